--- a/cmd/dunlinbench/main.go
+++ b/cmd/dunlinsail-bench/main.go
@@ -1,4 +1,4 @@
-// Command dunlinbench takes the project's own measurements. Each compares two things in one run.
+// Command dunlinsail-bench takes the project's own measurements. Each compares two things in one run.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	"dunlinsail/internal/bench/quietfleet"
 )
 
-const usage = `usage: dunlinbench MEASUREMENT [flags]
+const usage = `usage: dunlinsail-bench MEASUREMENT [flags]
 
   fast       endpoints that answer in a fraction of a millisecond: sidecar beside ReverseProxy
   service    processor time a request through the sidecar: alone, beside operators' calls, and through another build
@@ -35,7 +35,7 @@
   quiet      probes, new connections and connections held at each node, by the size of a fleet of quiet instances: subsets beside none
   stream     throughput of large bodies and memory of each stream: daemon beside ReverseProxy
 
-dunlinbench MEASUREMENT -h tells a measurement's flags.
+dunlinsail-bench MEASUREMENT -h tells a measurement's flags.
 `
 
 func main() {
@@ -50,7 +50,7 @@
 		err = run(ctx, filepath.Dir(self), os.Args[1], os.Args[2:])
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "dunlinbench:", err)
+		fmt.Fprintln(os.Stderr, "dunlinsail-bench:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/dunlinlab/hunts.go
+++ b/cmd/dunlinsail-experiment/hunts.go
@@ -164,7 +164,7 @@
 	}
 	fmt.Fprintf(
 		w,
-		"# %s\n# service %.4f, loses %.4f, %.0f rules broken; play it with: dunlinlab run FILE --seeds 1 --first %d\n",
+		"# %s\n# service %.4f, loses %.4f, %.0f rules broken; play it with: dunlinsail-experiment run FILE --seeds 1 --first %d\n",
 		f.Scenario.Name, f.Service, f.Loss, f.Violations, f.Seed,
 	)
 	if c.Out != "" {
--- a/cmd/dunlinlab/main.go
+++ b/cmd/dunlinsail-experiment/main.go
@@ -1,4 +1,4 @@
-// Command dunlinlab makes experiments with a model of the fleet: what would a change of settings, or another build, do
+// Command dunlinsail-experiment makes experiments with a model of the fleet: what would a change of settings, or another build, do
 // to the service? It plays scenarios in simulated time with the decisions themselves, compares, sweeps, searches and
 // reports.
 package main
@@ -49,7 +49,7 @@
 	Record    recordCmd    `cmd:"" help:"Access records: check, show, fit a scenario to one."`
 	Real      realCmd      `cmd:"" help:"Play scenarios with real daemons on loopback, and hold the model against them."`
 	Scale     scaleCmd     `cmd:"" help:"Say what runs of small and large fleets cost this computer."`
-	Build     buildCmd     `cmd:"" help:"Build a dunlinlab whose decisions have other constants, to be compared with."`
+	Build     buildCmd     `cmd:"" help:"Build a dunlinsail-experiment whose decisions have other constants, to be compared with."`
 	Play      playCmd      `cmd:"" hidden:"" help:"Play one run that another build asks for."`
 }
 
@@ -66,7 +66,7 @@
 	var c commands
 	parser, err := kong.New(
 		&c,
-		kong.Name("dunlinlab"),
+		kong.Name("dunlinsail-experiment"),
 		kong.Description("Experiments with a model of the fleet. See docs/operators/lab.md."),
 		kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 	command, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "dunlinlab:", err)
+		fmt.Fprintln(os.Stderr, "dunlinsail-experiment:", err)
 		return exitUsage
 	}
 	o := &output{Writer: bufio.NewWriter(os.Stdout)}
@@ -92,13 +92,13 @@
 	case ctx.Err() != nil:
 		fmt.Fprintln(
 			os.Stderr,
-			"dunlinlab: ended before it was done; what was run is kept, and the same command goes on from it",
+			"dunlinsail-experiment: ended before it was done; what was run is kept, and the same command goes on from it",
 		)
 		return exitStopped
 	case errors.As(err, &mistakes):
-		fmt.Fprintln(os.Stderr, "dunlinlab:", err)
+		fmt.Fprintln(os.Stderr, "dunlinsail-experiment:", err)
 		return exitUsage
 	}
-	fmt.Fprintln(os.Stderr, "dunlinlab:", err)
+	fmt.Fprintln(os.Stderr, "dunlinsail-experiment:", err)
 	return exitFailed
 }
--- a/cmd/dunlinlab/runs.go
+++ b/cmd/dunlinsail-experiment/runs.go
@@ -382,7 +382,7 @@
 			return fmt.Errorf("scenario %s: %w", name, err)
 		}
 		if s.NeedsProcesses() {
-			fmt.Fprintf(w, "%-20s is played by processes only: dunlinlab faults %s\n", s.Name, s.Name)
+			fmt.Fprintf(w, "%-20s is played by processes only: dunlinsail-experiment faults %s\n", s.Name, s.Name)
 			continue
 		}
 		own := v
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -175,7 +175,7 @@
 
 func newSite(n int, o endpoint.Options) (*site, error) {
 	s := &site{}
-	dir, err := os.MkdirTemp("", "dunlinbench")
+	dir, err := os.MkdirTemp("", "dunlinsail-bench")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/bench/fast.go
+++ b/internal/bench/fast.go
@@ -15,7 +15,7 @@
 // Fast asks endpoints that answer in a fraction of a millisecond, through the sidecar and through
 // net/http/httputil.ReverseProxy in turn: neither may refuse any for being fast.
 func Fast(ctx context.Context, w io.Writer, bin string, rate float64, each time.Duration) error {
-	dir, err := os.MkdirTemp("", "dunlinbench")
+	dir, err := os.MkdirTemp("", "dunlinsail-bench")
 	if err != nil {
 		return err
 	}
--- a/internal/bench/pools.go
+++ b/internal/bench/pools.go
@@ -20,7 +20,7 @@
 // with a retry budget and without one.
 func Pools(ctx context.Context, w io.Writer, bin string, rate float64, each time.Duration, rounds int) error {
 	const goodRate, work, badNodes = 200.0, 5 * time.Millisecond, 20
-	dir, err := os.MkdirTemp("", "dunlinbench")
+	dir, err := os.MkdirTemp("", "dunlinsail-bench")
 	if err != nil {
 		return err
 	}
--- a/internal/bench/routes.go
+++ b/internal/bench/routes.go
@@ -46,7 +46,7 @@
 		return nil, err
 	}
 	s := &site{addrs: []string{a.Addr}, stops: []func(){a.Close}}
-	if s.dir, err = os.MkdirTemp("", "dunlinbench"); err != nil {
+	if s.dir, err = os.MkdirTemp("", "dunlinsail-bench"); err != nil {
 		s.close()
 		return nil, err
 	}
--- a/internal/bench/service.go
+++ b/internal/bench/service.go
@@ -21,7 +21,7 @@
 // Service measures the processor time of a request through the sidecar: alone, with operators who read its figures and take
 // an endpoint out and back all the time, and through another build of it where one is named. Each in turn, in rounds.
 func Service(ctx context.Context, w io.Writer, bin, other string, rate float64, each time.Duration, rounds int) error {
-	dir, err := os.MkdirTemp("", "dunlinbench")
+	dir, err := os.MkdirTemp("", "dunlinsail-bench")
 	if err != nil {
 		return err
 	}
--- a/internal/bench/transport/stream/main.go
+++ b/internal/bench/transport/stream/main.go
@@ -1,5 +1,5 @@
 // Command stream takes versions as lines of JSON over an HTTP answer that does not end, which was weighed against xDS: one of
-// two that dunlinbench transport compares. It prints a line for each version, and ends after so many.
+// two that dunlinsail-bench transport compares. It prints a line for each version, and ends after so many.
 package main
 
 import (
--- a/internal/bench/transport/xds/main.go
+++ b/internal/bench/transport/xds/main.go
@@ -1,4 +1,4 @@
-// Command xds takes versions as the daemon does, by the xDS transport over gRPC: one of two that dunlinbench transport
+// Command xds takes versions as the daemon does, by the xDS transport over gRPC: one of two that dunlinsail-bench transport
 // compares. It prints a line for each version, and ends after so many.
 package main
 
--- a/internal/bench/versions.go
+++ b/internal/bench/versions.go
@@ -135,7 +135,7 @@
 // Transport measures what two ways of getting versions cost: xDS over gRPC, and lines of JSON over HTTP. Both programs do the
 // same with what comes.
 func Transport(ctx context.Context, w io.Writer, versions, resources, rounds int) error {
-	dir, err := os.MkdirTemp("", "dunlinbench")
+	dir, err := os.MkdirTemp("", "dunlinsail-bench")
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/build.go
+++ b/internal/experiment/build.go
@@ -44,10 +44,10 @@
 	return c, nil
 }
 
-// Build makes a dunlinlab in which constants have other values, from the module at root, which stays as it is: the
+// Build makes a dunlinsail-experiment in which constants have other values, from the module at root, which stays as it is: the
 // changed files are laid over it (go help build, -overlay). Variants name the program as @PROGRAM:.
 func Build(ctx context.Context, root, program string, constants []Constant) error {
-	dir, err := os.MkdirTemp("", "dunlinlab")
+	dir, err := os.MkdirTemp("", "dunlinsail-experiment")
 	if err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 	if program, err = filepath.Abs(program); err != nil {
 		return err
 	}
-	cmd := exec.CommandContext(ctx, "go", "build", "-overlay", list, "-o", program, "./cmd/dunlinlab")
+	cmd := exec.CommandContext(ctx, "go", "build", "-overlay", list, "-o", program, "./cmd/dunlinsail-experiment")
 	cmd.Dir = root
 	var told bytes.Buffer
 	cmd.Stderr = &told
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -432,7 +432,7 @@
 	}
 }
 
-// Comparisons of which it is known what they ought to say mostly say it. The command `dunlinlab prove` makes more of
+// Comparisons of which it is known what they ought to say mostly say it. The command `dunlinsail-experiment prove` makes more of
 // them.
 func TestProve(t *testing.T) {
 	p := must[*Proof](t)((&Runner{}).Prove(context.Background(), short(t), variant(t, Shipped), 6, 4, 0.05))
--- a/internal/experiment/processes/run.go
+++ b/internal/experiment/processes/run.go
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.workDir, err = os.MkdirTemp("", "dunlinlab"); err != nil {
+	if r.workDir, err = os.MkdirTemp("", "dunlinsail-experiment"); err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(r.workDir)
--- a/internal/experiment/scale.go
+++ b/internal/experiment/scale.go
@@ -38,7 +38,7 @@
 	Subset     int   // endpoints that an instance is told of, at most
 	Operations int64 // about so many in each run, by its length
 	Seed       uint64
-	Program    string   // a dunlinlab whose command play makes a run; "" is this program
+	Program    string   // a dunlinsail-experiment whose command play makes a run; "" is this program
 	Env        []string // of that program, beside this one's
 }
 
--- a/internal/experiment/search.go
+++ b/internal/experiment/search.go
@@ -299,7 +299,7 @@
 		}
 	}
 	found.Scenario.Name = "found"
-	found.Scenario.About = fmt.Sprintf("Found by dunlinlab search: seed %d loses %.3f.", found.Seed, found.Loss)
+	found.Scenario.About = fmt.Sprintf("Found by dunlinsail-experiment search: seed %d loses %.3f.", found.Seed, found.Loss)
 	found.Scenario.Expect = nil
 	return found, nil
 }
--- a/internal/experiment/variant.go
+++ b/internal/experiment/variant.go
@@ -26,7 +26,7 @@
 // Variant is what a fleet runs on: a daemon's file, with edits, by this build's decisions or another's.
 type Variant struct {
 	Spec          string // as it was given
-	Program       string // another build's dunlinlab; "" is this one
+	Program       string // another build's dunlinsail-experiment; "" is this one
 	Settings      []byte // the daemon's file, edited
 	ScenarioEdits []string
 	DecisionSeed  uint64
