--- a/internal/bench/fast.go
+++ b/internal/bench/fast.go
@@ -4,57 +4,54 @@
 	"context"
 	"fmt"
 	"io"
-	"os"
-	"time"
+	"path/filepath"
 
 	"dunlinsail/internal/fake/client"
 	"dunlinsail/internal/fake/endpoint"
 	"dunlinsail/internal/fake/freeport"
 )
 
-// Fast asks endpoints that answer in a fraction of a millisecond, through the sidecar and through
-// net/http/httputil.ReverseProxy in turn: neither may refuse any for being fast.
-func Fast(ctx context.Context, w io.Writer, bin string, rate float64, each time.Duration) error {
-	dir, err := os.MkdirTemp("", "dunlinsail-bench")
+// Fast sends requests to endpoints that answer in a fraction of a millisecond, through the sidecar and through
+// net/http/httputil.ReverseProxy in turn: neither may reject any for being fast.
+func Fast(ctx context.Context, w io.Writer, o Options) error {
+	s, err := newSite(fastEndpoints, endpoint.Options{})
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
-	addrs, stop, err := endpoints(4, endpoint.Options{})
+	defer s.close()
+	fmt.Fprintf(w, "%d idle endpoints that answer at once, %.0f requests a second for %v each\n",
+		len(s.endpoints), o.Rate, o.Duration)
+	sidecar, err := s.startSidecar(ctx, filepath.Join(o.Bin, sidecarName), nil)
 	if err != nil {
 		return err
 	}
-	defer stop()
-	sidecar, err := freeport.Free()
+	measureFast(ctx, w, o, sidecarName, sidecar)
+	proxy, err := s.startProxy(ctx, 1)
 	if err != nil {
 		return err
 	}
-	config, err := sidecarConfig(dir, sidecar, addrs)
-	if err != nil {
-		return err
-	}
-	run := func(name, addr string, env []string, command string, args ...string) error {
-		p, err := startProcess(ctx, addr, 1, env, command, args...)
-		if err != nil {
-			return err
-		}
-		c := client.New(client.Options{Name: name, Network: "tcp", Addr: addr, Tenant: "acme", Classes: classes,
-			Rate: rate, Duration: each, MaxOpen: 256, Seed: 1})
-		r := c.Run(ctx)
-		printReport(w, name, r, p.stop())
-		return nil
-	}
-	fmt.Fprintf(w, "%d idle endpoints that answer at once, %.0f requests a second for %v each\n", len(addrs), rate, each)
-	if err := run("dunlinsail", sidecar, []string{"ROUTER_CONFIG=" + config}, bin+"/dunlinsail"); err != nil {
-		return err
-	}
-	proxy, err := freeport.Free()
+	measureFast(ctx, w, o, proxyName, proxy)
+	return nil
+}
+
+// startSidecar starts a build of the sidecar over the site, on one core.
+func (s *site) startSidecar(ctx context.Context, program string, env []string) (*process, error) {
+	addr, err := freeport.Free()
 	if err != nil {
-		return err
+		return nil, err
 	}
-	self, err := os.Executable()
+	path, err := writeSidecarConfig(s.dir, addr, s.endpoints)
 	if err != nil {
-		return err
+		return nil, err
 	}
-	return run("ReverseProxy", proxy, nil, self, append([]string{"proxy", proxy}, addrs...)...)
+	return startProcess(ctx, addr, 1, append(env, "ROUTER_CONFIG="+path), program)
+}
+
+// measureFast sends requests to a program, stops it, and prints its line.
+func measureFast(ctx context.Context, w io.Writer, o Options, name string, p *process) {
+	report := client.New(client.Options{
+		Name: name, Network: "tcp", Addr: p.addr, Tenant: tenant, Classes: classes,
+		Rate: o.Rate, Duration: o.Duration, MaxOpen: maxOpenRequests, Seed: 1,
+	}).Run(ctx)
+	printReport(w, name, report, p.stop())
 }
--- a/internal/bench/idleconnections.go
+++ b/internal/bench/idleconnections.go
@@ -7,124 +7,98 @@
 	"io"
 	"net"
 	"net/http"
-	"os"
-	"strconv"
-	"strings"
-	"time"
 
 	"dunlinsail/internal/fake/endpoint"
 )
 
-// Idle measures the memory of connections at rest, each of which has asked once, in the daemon and in ReverseProxy.
-func Idle(ctx context.Context, w io.Writer, bin string, conns int) error {
-	s, err := newSite(2, endpoint.Options{})
+const (
+	idleEndpoints  = 2
+	firstIdleConns = 100 // are opened first: what they make the program hold is not counted
+	spareConns     = 100 // connections that the daemon allows beyond those that are measured
+	spareIdleConns = 50  // idle ones
+	kibibyte       = 1 << 10
+	mebibyte       = 1 << 20
+)
+
+// IdleConnections measures the memory of idle connections, each of which has had one request, in the daemon and in
+// ReverseProxy.
+func IdleConnections(ctx context.Context, w io.Writer, o Options, conns int) error {
+	s, err := newSite(idleEndpoints, endpoint.Options{})
 	if err != nil {
 		return err
 	}
 	defer s.close()
 	fmt.Fprintf(w, "%d connections, each has asked once and rests\n", conns)
-	for _, name := range []string{"dunlinsaild", "ReverseProxy"} {
-		var p *process
-		if name == "dunlinsaild" {
-			p, err = s.daemon(ctx, bin, 1, "[connections]", fmt.Sprintf("[connections]\nclients = %d\nat_rest = %d\nrest_least = \"10m\"\nrest_most = \"10m\"", conns+100, conns+50))
-		} else {
-			p, err = s.proxy(ctx, 1)
-		}
-		if err != nil {
-			return err
-		}
-		open := func(n int) (all []net.Conn, err error) {
-			for i := range n {
-				c, err := net.Dial("tcp", p.addr)
-				if err != nil {
-					return all, err
-				}
-				all = append(all, c)
-				fmt.Fprintf(c, "GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: i%s%d\r\nX-Customer: acme\r\n\r\n", name, i)
-				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-				if err != nil {
-					return all, err
-				}
-				if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-					return all, err
-				}
-			}
-			return all, nil
-		}
-		// What the first requests make the program hold is none of the connections'.
-		warm, err := open(100)
-		for _, c := range warm {
-			c.Close()
-		}
-		if err != nil {
-			return err
-		}
-		before, err := p.settled(ctx)
-		if err != nil {
-			return err
-		}
-		all, err := open(conns)
-		if err != nil {
-			return err
-		}
-		after, err := p.settled(ctx)
-		if err != nil {
-			return err
-		}
-		fmt.Fprintf(w, "%-13s %6.2f MiB at first, %6.2f MiB with them: %5.2f KiB each\n", name, float64(before)/(1<<20), float64(after)/(1<<20),
-			float64(after-before)/float64(conns)/1024)
-		for _, c := range all {
-			c.Close()
-		}
-		p.stop()
+	limits := fmt.Sprintf("[connections]\nclients = %d\nat_rest = %d\nrest_least = \"10m\"\nrest_most = \"10m\"",
+		conns+spareConns, conns+spareIdleConns)
+	daemon, err := s.startDaemon(ctx, o.Bin, 1, "[connections]", limits)
+	if err != nil {
+		return err
 	}
-	return nil
-}
-
-// settled returns the program's resident memory once it has stopped falling.
-func (p *process) settled(ctx context.Context) (int64, error) {
-	last := int64(1) << 60
-	for {
-		select {
-		case <-time.After(3 * time.Second):
-		case <-ctx.Done():
-			return 0, ctx.Err()
-		}
-		now, err := p.resident()
-		if err != nil || now >= last-64<<10 {
-			return min(now, last), err
-		}
-		last = now
+	err = measureIdle(ctx, w, daemonName, daemon, conns)
+	daemon.stop()
+	if err != nil {
+		return err
+	}
+	proxy, err := s.startProxy(ctx, 1)
+	if err != nil {
+		return err
 	}
+	err = measureIdle(ctx, w, proxyName, proxy, conns)
+	proxy.stop()
+	return err
 }
 
-// resident returns the program's resident memory in bytes.
-func (p *process) resident() (int64, error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
+// measureIdle prints a program's memory before and after so many connections became idle.
+func measureIdle(ctx context.Context, w io.Writer, name string, p *process, conns int) error {
+	first, err := openIdle(p.addr, name, firstIdleConns)
+	closeAll(first)
 	if err != nil {
-		return 0, err
+		return err
 	}
-	for line := range strings.Lines(string(text)) {
-		if rest, ok := strings.CutPrefix(line, "VmRSS:"); ok {
-			kb, err := strconv.ParseInt(strings.TrimSuffix(strings.TrimSpace(rest), " kB"), 10, 64)
-			return kb << 10, err
-		}
+	before, err := p.stableMemory(ctx)
+	if err != nil {
+		return err
+	}
+	idle, err := openIdle(p.addr, name, conns)
+	defer closeAll(idle)
+	if err != nil {
+		return err
+	}
+	after, err := p.stableMemory(ctx)
+	if err != nil {
+		return err
 	}
-	return 0, fmt.Errorf("no VmRSS")
+	fmt.Fprintf(w, "%-13s %6.2f MiB at first, %6.2f MiB with them: %5.2f KiB each\n",
+		name, mib(before), mib(after), float64(after-before)/float64(conns)/kibibyte)
+	return nil
 }
 
-// cpu returns the processor time that the program has taken so far, in the kernel's ticks of 10 ms.
-func (p *process) cpu() time.Duration {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
-	if err != nil {
-		return 0
+// openIdle opens n connections and has one request answered on each. With an error it returns those opened by then.
+func openIdle(addr, name string, n int) (conns []net.Conn, err error) {
+	for i := range n {
+		c, err := net.Dial("tcp", addr)
+		if err != nil {
+			return conns, err
+		}
+		conns = append(conns, c)
+		fmt.Fprintf(c, "GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: i%s%d\r\nX-Customer: acme\r\n\r\n", name, i)
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		if err != nil {
+			return conns, err
+		}
+		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+			return conns, err
+		}
 	}
-	_, rest, _ := strings.Cut(string(text), ") ")
-	f := strings.Fields(rest)
-	if len(f) < 13 {
-		return 0
+	return conns, nil
+}
+
+func closeAll(conns []net.Conn) {
+	for _, c := range conns {
+		c.Close()
 	}
-	user, _ := strconv.ParseInt(f[11], 10, 64)
-	system, _ := strconv.ParseInt(f[12], 10, 64)
-	return time.Duration(user+system) * 10 * time.Millisecond
 }
+
+// mib returns a number of bytes in MiB.
+func mib(bytes int64) float64 { return float64(bytes) / mebibyte }
--- a/internal/bench/quiet.go
+++ b/internal/bench/quiet.go
@@ -40,8 +40,8 @@
 // Quiet measures what fleets of many instances with little traffic each cost the endpoints, by size, with subsets and
 // budgets and without: probes and new connections a second and open connections, at each endpoint. The traffic of all
 // instances together is the same at each size. Instances are light: engine, core and connections as in the sidecar,
-// without a frontend, all in one process; the endpoints are in this one. File descriptors bound the open connections; where
-// they run out, the output says so.
+// without a frontend, all in one process; the endpoints are in this one. File descriptors bound the open connections;
+// where they run out, the output says so.
 func Quiet(ctx context.Context, w io.Writer, options QuietOptions) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -183,16 +183,16 @@
 		cost.probes[i] = -float64(e.server.ProbeCount())
 		cost.opened[i] = -float64(e.listener.opened.Load())
 	}
-	begin := time.Now()
+	start := time.Now()
 	samples := 0.0
-	for time.Since(begin) < duration && ctx.Err() == nil {
+	for time.Since(start) < duration && ctx.Err() == nil {
 		sleep(ctx, quietSampleInterval)
 		samples++
 		for i, e := range endpoints {
 			cost.open[i] += float64(e.listener.open.Load())
 		}
 	}
-	seconds := time.Since(begin).Seconds()
+	seconds := time.Since(start).Seconds()
 	for i, e := range endpoints {
 		cost.probes[i] = (cost.probes[i] + float64(e.server.ProbeCount())) / seconds
 		cost.opened[i] = (cost.opened[i] + float64(e.listener.opened.Load())) / seconds
--- a/internal/bench/quietfleet/quietfleet.go
+++ b/internal/bench/quietfleet/quietfleet.go
@@ -188,10 +188,10 @@
 	var result Result
 	var open sync.WaitGroup
 	rng := rand.New(rand.NewPCG(1, 2))
-	begin := time.Now()
+	start := time.Now()
 	for at := time.Duration(0); at < f.options.Duration && ctx.Err() == nil; result.Requested++ {
 		at += time.Duration(rng.ExpFloat64() / f.options.Rate * float64(time.Second))
-		if wait := at - time.Since(begin); wait > 0 {
+		if wait := at - time.Since(start); wait > 0 {
 			select {
 			case <-time.After(wait):
 			case <-ctx.Done():
--- a/internal/bench/service.go
+++ b/internal/bench/service.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"io"
 	"net/http"
-	"os"
+	"path/filepath"
 	"slices"
 	"strings"
 	"time"
@@ -15,88 +15,107 @@
 	"dunlinsail/internal/fake/freeport"
 )
 
-// operatorGap is from one call of the operators' to the next: twice as often as the figures are read in service.
-const operatorGap = 500 * time.Millisecond
+const (
+	// adminCallInterval is the time from one round of operators' calls to the next: half of the interval at which
+	// metrics are read in service.
+	adminCallInterval = 500 * time.Millisecond
+	adminCallTimeout  = time.Second
+)
+
+// sidecarVariant is a way in which the sidecar is run.
+type sidecarVariant struct {
+	name       string
+	program    string
+	adminCalls bool // operators call all the time
+}
 
-// Service measures the processor time of a request through the sidecar: alone, with operators who read its figures and take
-// an endpoint out and back all the time, and through another build of it where one is named. Each in turn, in rounds.
-func Service(ctx context.Context, w io.Writer, bin, other string, rate float64, each time.Duration, rounds int) error {
-	dir, err := os.MkdirTemp("", "dunlinsail-bench")
+// Service measures the processor time of a request through the sidecar: alone, with operators who read its metrics and
+// cordon and uncordon an endpoint all the time, and through another build of it where one is named. Each in turn, in
+// rounds.
+func Service(ctx context.Context, w io.Writer, o Options, otherBuild string) error {
+	s, err := newSite(fastEndpoints, endpoint.Options{})
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
-	addrs, stop, err := endpoints(4, endpoint.Options{})
-	if err != nil {
-		return err
+	defer s.close()
+	program := filepath.Join(o.Bin, sidecarName)
+	variants := []sidecarVariant{
+		{name: "alone", program: program},
+		{name: "operators", program: program, adminCalls: true},
 	}
-	defer stop()
-	ways := []struct{ name, program, desk string }{{"alone", bin + "/dunlinsail", ""}, {"operators", bin + "/dunlinsail", "yes"}}
-	if other != "" {
-		ways = append(ways, struct{ name, program, desk string }{"other", other, ""})
+	if otherBuild != "" {
+		variants = append(variants, sidecarVariant{name: "other", program: otherBuild})
 	}
-	cpu := make([][]float64, len(ways))
-	fmt.Fprintf(w, "%d idle endpoints, %.0f requests a second, %d rounds of %v each\n", len(addrs), rate, rounds, each)
-	for round := range rounds {
-		for i, way := range ways {
-			addr, err := freeport.Free()
+	fmt.Fprintf(w, "%d idle endpoints, %.0f requests a second, %d rounds of %v each\n",
+		len(s.endpoints), o.Rate, o.Rounds, o.Duration)
+	cpu := make([][]float64, len(variants))
+	for round := range o.Rounds {
+		for i, v := range variants {
+			report, used, err := s.measureService(ctx, o, v, uint64(round+1))
 			if err != nil {
 				return err
 			}
-			config, err := sidecarConfig(dir, addr, addrs)
-			if err != nil {
-				return err
-			}
-			env := []string{"ROUTER_CONFIG=" + config}
-			part, end := context.WithCancel(ctx)
-			calls := make(chan error, 1)
-			calls <- nil
-			var desk string
-			if way.desk != "" {
-				if desk, err = freeport.Free(); err != nil {
-					end()
-					return err
-				}
-				env = append(env, "ROUTER_OPERATOR="+desk)
-			}
-			p, err := startProcess(part, addr, 1, env, way.program)
-			if err != nil {
-				end()
-				return err
-			}
-			if desk != "" {
-				<-calls
-				go func() { calls <- operate(part, desk) }()
-			}
-			r := client.New(client.Options{Name: way.name, Network: "tcp", Addr: addr, Tenant: "acme", Classes: classes,
-				Rate: rate, Duration: each, MaxOpen: 256, Seed: uint64(round + 1)}).Run(part)
-			end()
-			if err := <-calls; err != nil {
-				p.stop()
-				return err
-			}
-			took := p.stop()
-			printReport(w, way.name, r, took)
-			cpu[i] = append(cpu[i], took.Seconds()*1e6/float64(max(1, r.Scheduled)))
+			printReport(w, v.name, report, used)
+			cpu[i] = append(cpu[i], microsPerRequest(used, report))
 		}
 	}
-	for i, way := range ways[1:] {
-		ratios := make([]float64, rounds)
-		for round := range rounds {
-			ratios[round] = cpu[i+1][round] / cpu[0][round]
-		}
-		slices.Sort(ratios)
-		fmt.Fprintf(w, "processor time a request, %s against alone, round by round: median %.3f, from %.3f to %.3f\n",
-			way.name, ratios[rounds/2], ratios[0], ratios[rounds-1])
+	for i, v := range variants[1:] {
+		printRatios(w, v.name, cpu[i+1], cpu[0])
 	}
 	return nil
 }
 
-// operate reads the figures, and takes the first endpoint out and back, until ctx ends. A call that is not answered well is
-// an error.
-func operate(ctx context.Context, desk string) error {
-	c := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	tick := time.NewTicker(operatorGap)
+// printRatios prints how the figures of a variant compare with those of the first, round by round.
+func printRatios(w io.Writer, name string, figures, base []float64) {
+	ratios := make([]float64, len(base))
+	for round := range base {
+		ratios[round] = figures[round] / base[round]
+	}
+	slices.Sort(ratios)
+	fmt.Fprintf(w, "processor time a request, %s against alone, round by round: median %.3f, from %.3f to %.3f\n",
+		name, ratios[len(ratios)/2], ratios[0], ratios[len(ratios)-1])
+}
+
+// measureService runs one variant for one part, and returns the processor time that the sidecar took in all.
+func (s *site) measureService(
+	ctx context.Context, o Options, v sidecarVariant, seed uint64,
+) (report client.Report, cpu time.Duration, err error) {
+	var env []string
+	var adminAddr string
+	if v.adminCalls {
+		if adminAddr, err = freeport.Free(); err != nil {
+			return client.Report{}, 0, err
+		}
+		env = append(env, "ROUTER_OPERATOR="+adminAddr)
+	}
+	p, err := s.startSidecar(ctx, v.program, env)
+	if err != nil {
+		return client.Report{}, 0, err
+	}
+	calls, stopCalls := context.WithCancel(ctx)
+	defer stopCalls()
+	callsEnded := make(chan error, 1)
+	go func() {
+		if !v.adminCalls {
+			callsEnded <- nil
+			return
+		}
+		callsEnded <- callAdmin(calls, adminAddr)
+	}()
+	report = client.New(client.Options{
+		Name: v.name, Network: "tcp", Addr: p.addr, Tenant: tenant, Classes: classes,
+		Rate: o.Rate, Duration: o.Duration, MaxOpen: maxOpenRequests, Seed: seed,
+	}).Run(ctx)
+	stopCalls()
+	err = <-callsEnded
+	return report, p.stop(), err
+}
+
+// callAdmin reads the metrics, and cordons and uncordons the first endpoint, until ctx ends. A call that does not
+// succeed is an error.
+func callAdmin(ctx context.Context, addr string) error {
+	c := &http.Client{Timeout: adminCallTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	tick := time.NewTicker(adminCallInterval)
 	defer tick.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -104,19 +123,37 @@
 			return nil
 		case <-tick.C:
 		}
-		resp, err := c.Get("http://" + desk + "/metrics")
-		if err == nil {
-			_, _ = io.Copy(io.Discard, resp.Body) // only how long it takes counts
-			resp.Body.Close()
-			word := [...]string{"disable", "enable"}[n%2]
-			resp, err = c.Post("http://"+desk+"/endpoints/"+word, "application/json", strings.NewReader(`{"target":"s-0"}`))
-		}
-		if err != nil {
-			return fmt.Errorf("operators' call: %w", err)
+		if err := readMetrics(c, addr); err != nil {
+			return err
 		}
-		resp.Body.Close()
-		if resp.StatusCode != http.StatusOK {
-			return fmt.Errorf("operators' call: %s", resp.Status)
+		action := [...]string{"disable", "enable"}[n%2]
+		target := strings.NewReader(`{"target":"s-0"}`)
+		resp, err := c.Post("http://"+addr+"/endpoints/"+action, "application/json", target)
+		if err := checkAdminCall(resp, err); err != nil {
+			return err
 		}
 	}
 }
+
+// readMetrics reads the metrics, whatever they are: only the time that they take counts.
+func readMetrics(c *http.Client, addr string) error {
+	resp, err := c.Get("http://" + addr + "/metrics")
+	if err != nil {
+		return fmt.Errorf("operators' call: %w", err)
+	}
+	defer resp.Body.Close()
+	_, _ = io.Copy(io.Discard, resp.Body) // a response that breaks off took its time, too
+	return nil
+}
+
+// checkAdminCall returns an error unless a call succeeded.
+func checkAdminCall(resp *http.Response, err error) error {
+	if err != nil {
+		return fmt.Errorf("operators' call: %w", err)
+	}
+	resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return fmt.Errorf("operators' call: %s", resp.Status)
+	}
+	return nil
+}
--- a/internal/bench/transport/stream/main.go
+++ b/internal/bench/transport/stream/main.go
@@ -1,5 +1,5 @@
-// Command stream takes versions as lines of JSON over an HTTP answer that does not end, which was weighed against xDS: one of
-// two that dunlinsail-bench transport compares. It prints a line for each version, and ends after so many.
+// Command stream takes versions as lines of JSON over an HTTP response that does not end. It is one of the two programs
+// that `dunlinsail-bench transport` compares. It prints a line for each version, and ends after so many.
 package main
 
 import (
@@ -13,26 +13,30 @@
 	"dunlinsail/internal/config"
 )
 
+// maxLine bounds the line of a version, in bytes.
+const maxLine = 64 << 20
+
 func main() {
-	most, err := strconv.Atoi(os.Args[2])
+	addr := os.Args[1]
+	count, err := strconv.Atoi(os.Args[2])
 	if err != nil {
 		panic(err)
 	}
-	r, err := http.Get("http://" + os.Args[1] + "/versions")
+	resp, err := http.Get("http://" + addr + "/versions")
 	if err != nil {
 		panic(err)
 	}
-	lines := bufio.NewScanner(r.Body)
-	lines.Buffer(nil, 64<<20)
-	for n := 0; n < most && lines.Scan(); n++ {
-		var all []config.Resource
-		if err := json.Unmarshal(lines.Bytes(), &all); err != nil {
+	lines := bufio.NewScanner(resp.Body)
+	lines.Buffer(nil, maxLine)
+	for n := 0; n < count && lines.Scan(); n++ {
+		var resources []config.Resource
+		if err := json.Unmarshal(lines.Bytes(), &resources); err != nil {
 			panic(err)
 		}
-		config.Digest(all)
-		if err := config.CheckResources(all); err != nil {
+		config.Digest(resources)
+		if err := config.CheckResources(resources); err != nil {
 			panic(err)
 		}
-		fmt.Println(len(all))
+		fmt.Println(len(resources))
 	}
 }
--- a/internal/bench/transport/xds/main.go
+++ b/internal/bench/transport/xds/main.go
@@ -1,5 +1,5 @@
-// Command xds takes versions as the daemon does, by the xDS transport over gRPC: one of two that dunlinsail-bench transport
-// compares. It prints a line for each version, and ends after so many.
+// Command xds takes versions as the daemon does, by the xDS transport over gRPC. It is one of the two programs that
+// `dunlinsail-bench transport` compares. It prints a line for each version, and ends after so many.
 package main
 
 import (
@@ -15,22 +15,36 @@
 	"dunlinsail/internal/xdsclient"
 )
 
+// maxResponse bounds a response of the control plane, in bytes.
+const maxResponse = 64 << 20
+
 func main() {
-	most, err := strconv.Atoi(os.Args[2])
+	addr := os.Args[1]
+	count, err := strconv.Atoi(os.Args[2])
 	if err != nil {
 		panic(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	n := 0
-	c, err := xdsclient.New(xdsclient.Options{Settings: config.ControlPlane{Address: os.Args[1], Plaintext: true, MaxResponseSize: stricttoml.Size{Bytes: 64 << 20}, MaxBackoff: stricttoml.Duration{Duration: time.Second}},
-		InstanceName: "bench", Log: slog.New(slog.DiscardHandler), OnUpdate: func(u xdsclient.Update) {
+	received := 0
+	client, err := xdsclient.New(xdsclient.Options{
+		Settings: config.ControlPlane{
+			Address:         addr,
+			Plaintext:       true,
+			MaxResponseSize: stricttoml.Size{Bytes: maxResponse},
+			MaxBackoff:      stricttoml.Duration{Duration: time.Second},
+		},
+		InstanceName: "bench",
+		Log:          slog.New(slog.DiscardHandler),
+		OnUpdate: func(u xdsclient.Update) {
 			fmt.Println(len(u.Resources))
-			if n++; n == most {
+			received++
+			if received == count {
 				cancel()
 			}
-		}})
+		},
+	})
 	if err != nil {
 		panic(err)
 	}
-	c.Run(ctx)
+	client.Run(ctx)
 }
