--- a/.ci/knownred/known.go
+++ b/.ci/knownred/known.go
@@ -76,7 +76,8 @@
 // checkFields returns an error unless an entry names its test or case, package, command, observation and issue.
 func checkFields(fields []string) error {
 	if len(fields) != fieldCount {
-		return fmt.Errorf("%d fields; want test | package or - | command and seed | what was seen | issue N", len(fields))
+		const want = "test | package or - | command and seed | what was seen | issue N"
+		return fmt.Errorf("%d fields; want %s", len(fields), want)
 	}
 	for _, field := range fields {
 		if strings.TrimSpace(field) == "" {
--- a/.ci/knownred/known_test.go
+++ b/.ci/knownred/known_test.go
@@ -14,7 +14,8 @@
 }
 
 func TestParseKnown(t *testing.T) {
-	known := mustParse(t, "# comment\n\n"+flaky+"\nsplit+mass | - | bench SITE --seed 5 | rule broken once | issue 46\n")
+	const day = "split+mass | - | bench SITE --seed 5 | rule broken once | issue 46"
+	known := mustParse(t, "# comment\n\n"+flaky+"\n"+day+"\n")
 	if len(known.tests) != 1 || len(known.cases) != 1 {
 		t.Errorf("%d tests and %d cases, want one of each", len(known.tests), len(known.cases))
 	}
@@ -39,7 +40,7 @@
 	flakyFailed   = `{"Action":"fail","Package":"dunlinsail/a","Test":"TestFlaky"}` + "\n"
 	flakySkipped  = `{"Action":"skip","Package":"dunlinsail/a","Test":"TestFlaky"}` + "\n"
 	flakySubtest  = `{"Action":"fail","Package":"dunlinsail/a","Test":"TestFlaky/case"}` + "\n"
-	flakyRaced    = `{"Action":"output","Package":"dunlinsail/a","Test":"TestFlaky","Output":"WARNING: DATA RACE\n"}` + "\n"
+	flakyRaced    = `{"Action":"output","Package":"dunlinsail/a","Test":"TestFlaky","Output":"DATA RACE\n"}` + "\n"
 	flakyPanics   = `{"Action":"output","Package":"dunlinsail/a","Test":"TestFlaky","Output":"panic: x\n"}` + "\n"
 	otherFailed   = `{"Action":"fail","Package":"dunlinsail/a","Test":"TestOther"}` + "\n"
 	sameElsewhere = `{"Action":"fail","Package":"dunlinsail/b","Test":"TestFlaky"}` + "\n"
--- a/.ci/stalenames/check.go
+++ b/.ci/stalenames/check.go
@@ -11,9 +11,10 @@
 
 var (
 	// innerCapital is an identifier of several words: a lower-case letter or digit is followed by a capital.
-	innerCapital = regexp.MustCompile(`\b(?:[a-z]|[A-Z][A-Za-z0-9]*[a-z0-9]|[a-z][A-Za-z0-9]*[a-z0-9])[A-Z][A-Za-z0-9]*\b`)
+	innerCapital = regexp.MustCompile(`\b(?:[a-z]|[A-Za-z][A-Za-z0-9]*[a-z0-9])[A-Z][A-Za-z0-9]*\b`)
 	// packagePath is a path below internal or decide, or of the pages and tools of the project.
-	packagePath = regexp.MustCompile(`\b(?:internal|decide|simulation|frontend|fake|experiment)/[a-z0-9_/]*[a-z0-9](?:\.go)?`)
+	packagePath = regexp.MustCompile(
+		`\b(?:internal|decide|simulation|frontend|fake|experiment)/[a-z0-9_/]*[a-z0-9](?:\.go)?`)
 	// qualified is a name of a package of this module and an exported identifier.
 	qualified = regexp.MustCompile(`\b([a-z][a-z0-9]+)\.([A-Z][A-Za-z0-9]*)\b`)
 )
--- a/.ci/stalenames/check_test.go
+++ b/.ci/stalenames/check_test.go
@@ -7,8 +7,10 @@
 
 func newChecker() checker {
 	return checker{
-		names:   map[string]bool{"idleConnsDivisor": true, "Scheduler": true, "Push": true},
-		folders: map[string]bool{"internal/decide": true, "internal/decide/fairqueue": true, "internal/decide/imports_test.go": true},
+		names: map[string]bool{"idleConnsDivisor": true, "Scheduler": true, "Push": true},
+		folders: map[string]bool{
+			"internal/decide": true, "internal/decide/fairqueue": true, "internal/decide/imports_test.go": true,
+		},
 		allowed: map[string]bool{"gRPC": false},
 	}
 }
