--- a/internal/experiment/processes/events.go
+++ b/internal/experiment/processes/events.go
@@ -129,16 +129,18 @@
 
 func (e *scheduledEvent) schedule() {
 	switch e.What {
-	case "slow", "errors", "mute", "full", "lies", "babble", "late-reports":
+	case scenario.EventSlow, scenario.EventErrors, scenario.EventUnanswered, scenario.EventRejecting,
+		scenario.EventFalseReports, scenario.EventInvalidReports, scenario.EventLateReports:
 		e.at(e.At, e.eachEndpoint(e.run.updateCondition))
 		e.atEnd(e.eachEndpoint(e.run.updateCondition))
-	case "neighbour":
+	case scenario.EventNeighbour:
 		e.scheduleNeighbor()
-	case "pause", "drain", "kill", "vanish", "rolling":
+	case scenario.EventPause, scenario.EventDrain, scenario.EventKill, scenario.EventMachineLost,
+		scenario.EventRollingRestart:
 		e.scheduleEndpointEvent()
-	case "cut", "sever":
+	case scenario.EventZonePartition, scenario.EventPathBlocked:
 		e.scheduleNetworkEvent()
-	case "stale", "silent", "deaf":
+	case scenario.EventDiscoveryDelay, scenario.EventDiscoverySilent, scenario.EventWatchBlocked:
 		e.scheduleDiscoveryEvent()
 	default:
 		e.scheduleInstanceEvent()
@@ -160,18 +162,18 @@
 func (e *scheduledEvent) scheduleEndpointEvent() {
 	r := e.run
 	switch e.What {
-	case "pause":
+	case scenario.EventPause:
 		e.at(e.At, e.eachEndpoint(func(n int) { r.endpoints[n].pause(e.Until - e.At) }))
-	case "drain":
+	case scenario.EventDrain:
 		e.at(e.At, e.eachEndpoint(func(n int) { r.endpoints[n].drain() }))
 		e.atEnd(e.eachEndpoint(r.startEndpoint))
-	case "kill":
+	case scenario.EventKill:
 		e.at(e.At, e.eachEndpoint(func(n int) { r.killEndpoint(n, false) }))
 		e.atEnd(e.eachEndpoint(r.startEndpoint))
-	case "vanish":
+	case scenario.EventMachineLost:
 		e.at(e.At, e.eachEndpoint(func(n int) { r.killEndpoint(n, true) }))
 		e.atEnd(e.eachEndpoint(r.startEndpoint))
-	case "rolling":
+	case scenario.EventRollingRestart:
 		for k, n := range e.Endpoints {
 			if at := e.At + monotime.Micros(k)*e.Every; at < min(e.Until, e.runEnd) {
 				e.at(at, func() { r.endpoints[n].drain() })
@@ -184,7 +186,7 @@
 // scheduleNetworkEvent schedules partitions between zones, and between instances and endpoints.
 func (e *scheduledEvent) scheduleNetworkEvent() {
 	r := e.run
-	if e.What == "sever" {
+	if e.What == scenario.EventPathBlocked {
 		e.at(e.At, r.applySilence)
 		e.atEnd(r.applySilence)
 		return
@@ -208,10 +210,10 @@
 func (e *scheduledEvent) scheduleDiscoveryEvent() {
 	r := e.run
 	switch e.What {
-	case "stale":
+	case scenario.EventDiscoveryDelay:
 		e.at(e.At, func() { r.updateCounts(func(*counts) { r.discoveryDelay += e.Delay }) })
 		e.atEnd(func() { r.updateCounts(func(*counts) { r.discoveryDelay -= e.Delay }) })
-	case "silent":
+	case scenario.EventDiscoverySilent:
 		silence := func(silent bool) {
 			for _, in := range r.instances {
 				in.discovery.SetSilent(silent)
@@ -219,7 +221,7 @@
 		}
 		e.at(e.At, func() { silence(true) })
 		e.atEnd(func() { silence(false) })
-	case "deaf":
+	case scenario.EventWatchBlocked:
 		silence := func(silent bool) {
 			for _, n := range e.Instances {
 				r.instances[n].discovery.SetSilent(silent)
@@ -234,9 +236,9 @@
 func (e *scheduledEvent) scheduleInstanceEvent() {
 	r := e.run
 	switch e.What {
-	case "restart", "power":
+	case scenario.EventInstanceRestart, scenario.EventPowerCut:
 		e.scheduleRestart()
-	case "liar":
+	case scenario.EventDemandOverstated:
 		e.at(e.At, func() {
 			stop, err := r.startMisreporter(e.Sizes[0])
 			if err != nil {
@@ -245,18 +247,18 @@
 			}
 			e.at(min(e.Until, e.runEnd), stop)
 		})
-	case "limits":
+	case scenario.EventTenantLimits:
 		e.at(e.At, func() { r.scaleTenantLimits(e.Instances, e.Sizes[0]) })
 		e.atEnd(func() { r.scaleTenantLimits(e.Instances, 1) })
-	case "work":
+	case scenario.EventMaintenance:
 		e.at(e.At, func() { r.runMaintenance(e.ctx, e.PlannedEvent) })
-	case "upgrade":
+	case scenario.EventHotRestart:
 		e.at(e.At, func() {
 			for _, n := range e.Instances {
 				r.upgrade(r.instances[n])
 			}
 		})
-	case "freeze":
+	case scenario.EventInstanceFreeze:
 		for at := e.At; at < min(e.Until, e.runEnd); at += 2 * e.Every {
 			until, _ := e.Frozen(at)
 			e.at(at, func() { r.freeze(e.Instances, until) })
@@ -271,7 +273,7 @@
 // scheduleRestart kills instances, and all endpoints where the power fails, and starts them again.
 func (e *scheduledEvent) scheduleRestart() {
 	r := e.run
-	powerFails := e.What == "power"
+	powerFails := e.What == scenario.EventPowerCut
 	e.at(e.At, func() {
 		if powerFails {
 			for n := range r.endpoints {
--- a/internal/experiment/processes/instance.go
+++ b/internal/experiment/processes/instance.go
@@ -7,7 +7,6 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -159,7 +158,7 @@
 
 // hasUpgrades reports whether the plan has hot restarts.
 func (r *run) hasUpgrades() bool {
-	return slices.ContainsFunc(r.plan.PlannedEvents, func(h scenario.PlannedEvent) bool { return h.What == "upgrade" })
+	return r.plan.HasEvent(scenario.EventHotRestart)
 }
 
 // freeze suspends instances (SIGSTOP) until an instant of the run.
--- a/internal/experiment/processes/misreporter.go
+++ b/internal/experiment/processes/misreporter.go
@@ -13,12 +13,13 @@
 	"dunlinsail/internal/fake/freeport"
 	"dunlinsail/internal/peers"
 	"dunlinsail/internal/simulation"
+	"dunlinsail/internal/simulation/scenario"
 )
 
 // misreporterCount is the number of instances that serve no client and report a false demand.
 func (r *run) misreporterCount() (n int) {
 	for i := range r.plan.PlannedEvents {
-		if r.plan.PlannedEvents[i].What == "liar" {
+		if r.plan.PlannedEvents[i].What == scenario.EventDemandOverstated {
 			n++
 		}
 	}
--- a/internal/experiment/processes/peers.go
+++ b/internal/experiment/processes/peers.go
@@ -3,6 +3,7 @@
 import (
 	"dunlinsail/internal/fake/freeport"
 	"dunlinsail/internal/simulation"
+	"dunlinsail/internal/simulation/scenario"
 )
 
 // setUpPeers assigns gossip addresses to instances that coordinate, and starts relays between them where the plan has
@@ -18,11 +19,8 @@
 		}
 		r.peerAddrs = append(r.peerAddrs, addr)
 	}
-	partitioned := false
-	for i := range r.plan.PlannedEvents {
-		what := r.plan.PlannedEvents[i].What
-		partitioned = partitioned || what == "part" || what == "cut" || what == "late-words"
-	}
+	partitioned := r.plan.HasEvent(
+		scenario.EventInstancePartition, scenario.EventZonePartition, scenario.EventLateMessages)
 	for i := range r.plan.Instances {
 		for j := range r.plan.Instances {
 			if partitioned && i != j {
--- a/internal/experiment/search.go
+++ b/internal/experiment/search.go
@@ -158,21 +158,24 @@
 	sizes [2]float64
 	every bool
 }{
-	{"slow", [2]float64{1.5, 20}, false},
-	{"errors", [2]float64{0.05, 1}, false},
-	{"mute", [2]float64{0.02, 0.6}, false},
-	{"neighbour", [2]float64{0.2, 0.9}, true},
-	{"lies", [2]float64{1, 8}, false},
-	{"late-reports", [2]float64{}, false},
-	{"kill", [2]float64{}, false},
-	{"vanish", [2]float64{}, false},
-	{"drain", [2]float64{}, false},
-	{"pause", [2]float64{}, false},
-	{"surge", [2]float64{1.2, 4}, false},
-	{"stale", [2]float64{}, false},
-	{"cut", [2]float64{}, false},
+	{scenario.EventSlow, [2]float64{1.5, 20}, false},
+	{scenario.EventErrors, [2]float64{0.05, 1}, false},
+	{scenario.EventUnanswered, [2]float64{0.02, 0.6}, false},
+	{scenario.EventNeighbour, [2]float64{0.2, 0.9}, true},
+	{scenario.EventFalseReports, [2]float64{1, 8}, false},
+	{scenario.EventLateReports, [2]float64{}, false},
+	{scenario.EventKill, [2]float64{}, false},
+	{scenario.EventMachineLost, [2]float64{}, false},
+	{scenario.EventDrain, [2]float64{}, false},
+	{scenario.EventPause, [2]float64{}, false},
+	{scenario.EventSurge, [2]float64{1.2, 4}, false},
+	{scenario.EventDiscoveryDelay, [2]float64{}, false},
+	{scenario.EventZonePartition, [2]float64{}, false},
 }
 
+// shareEvents are the kinds whose size is a share of requests or of the machine, 0 to 1.
+var shareEvents = []string{scenario.EventErrors, scenario.EventUnanswered, scenario.EventNeighbour}
+
 // drawEvent draws an event.
 func (x *search) drawEvent(s *scenario.Scenario) scenario.Event {
 	length := s.Length.Duration
@@ -186,19 +189,19 @@
 		e.Size = scenario.Range{math.Round(1000*k.sizes[0]*math.Pow(k.sizes[1]/k.sizes[0], x.rng.Float64())) / 1000}
 	}
 	switch k.what {
-	case "surge":
+	case scenario.EventSurge:
 		return e
-	case "stale":
+	case scenario.EventDiscoveryDelay:
 		e.Delay = fixedSpan(part(0.02, 0.2))
 		return e
-	case "cut":
+	case scenario.EventZonePartition:
 		e.Zone = s.Fleet.Zones[x.rng.IntN(len(s.Fleet.Zones))]
 		return e
-	case "late-reports":
+	case scenario.EventLateReports:
 		e.Delay = fixedSpan(part(0.005, 0.1))
-	case "pause":
+	case scenario.EventPause:
 		e.For = fixedSpan(part(0.002, 0.05))
-	case "neighbour":
+	case scenario.EventNeighbour:
 		e.Every = stricttoml.Duration{Duration: part(0.01, 0.1)}
 	}
 	switch x.rng.IntN(4) {
@@ -209,7 +212,7 @@
 	default:
 		e.Part = scenario.Range{math.Round(100*(0.05+0.5*x.rng.Float64())) / 100}
 	}
-	if k.what == "errors" && x.rng.IntN(2) == 0 {
+	if k.what == scenario.EventErrors && x.rng.IntN(2) == 0 {
 		e.Class = s.Classes[x.rng.IntN(len(s.Classes))].Name
 	}
 	return e
@@ -339,9 +342,10 @@
 	for i := range s.Events {
 		e := &s.Events[i]
 		if e.For != nil && e.For.From > time.Second {
-			add(func(s *scenario.Scenario) { s.Events[i].For = fixedSpan((e.For.From / 2).Round(10 * time.Millisecond)) })
+			half := (e.For.From / 2).Round(10 * time.Millisecond)
+			add(func(s *scenario.Scenario) { s.Events[i].For = fixedSpan(half) })
 		}
-		if len(e.Size) > 0 && e.What != "errors" && e.What != "mute" && e.What != "neighbour" && e.Size[0] > 1.5 {
+		if len(e.Size) > 0 && !slices.Contains(shareEvents, e.What) && e.Size[0] > 1.5 {
 			add(func(s *scenario.Scenario) { s.Events[i].Size[0] = math.Round(100*math.Sqrt(e.Size[0])) / 100 })
 		}
 		if len(e.Part) > 0 && e.Part[0] > 0.1 {
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -12,13 +12,13 @@
 
 const (
 	connecting attemptPhase = iota
-	sent                    // on its connection
-	replied                 // its reply is at the instance
-	notSent                 // it never goes out
-	aborted                 // its connection was closed with it out
+	sent                    // the request is on its connection
+	replied                 // the reply has arrived at the instance
+	notSent                 // cancelled before it was sent
+	aborted                 // the connection was closed while it was in flight
 )
 
-// attempt is an engine's attempt on its way to an endpoint and back.
+// attempt is an engine's attempt, from the instance to an endpoint and back.
 type attempt struct {
 	instance        *instance
 	endpoint        *endpoint
@@ -30,8 +30,8 @@
 	phase           attemptPhase
 	job             simendpoint.Job
 	status          balancer.Status
-	awaited         bool // somebody waits for it
-	held            bool // its work is the endpoint's
+	awaited         bool // the engine waits for its result
+	held            bool // the endpoint works at it or queues it
 }
 
 func newAttempt(in *instance, a *engine.Attempt) *attempt {
@@ -48,26 +48,27 @@
 	return s
 }
 
+// randKey identifies the attempt in random streams: its operation, and its request's and its own number.
 func (s *attempt) randKey() (uint64, uint64) {
 	return s.request.operation.ID, uint64(s.request.Number)<<8 | uint64(s.engineAttempt.Number)
 }
 
-// delay is how long a message between the instance and the endpoint takes.
-func (s *attempt) delay(what uint64) monotime.Micros {
-	who, which := s.randKey()
+// delay is how long a message between the instance and the endpoint takes. step numbers the attempt's messages.
+func (s *attempt) delay(step uint64) monotime.Micros {
+	operation, number := s.randKey()
 	r := s.instance.run
-	return r.network.endpointDelay(s.instance.zone, s.endpoint.zone(), who, which, what) +
+	return r.network.endpointDelay(s.instance.zone, s.endpoint.zone(), operation, number, step) +
 		r.plan.ExtraDelay(r.now, s.instance.index, s.endpoint.index)
 }
 
-// start finds a connection.
+// start uses an idle connection to the endpoint, or dials a new one.
 func (s *attempt) start() {
 	in := s.instance
 	r := s.instance.run
 	all := in.idleUpstream[s.endpoint.index]
 	idle := r.settings.Site.KeepAlive.Microseconds() * 2 / 3
 	if in.maxIdleUpstream > 0 && in.maxIdleUpstream < 1 {
-		idle = monotime.Micros(float64(idle) * in.maxIdleUpstream) // as upstream.Pool.Rest has it
+		idle = monotime.Micros(float64(idle) * in.maxIdleUpstream) // as upstream.Pool does for a limit under 1
 	}
 	for len(all) > 0 {
 		k := all[len(all)-1]
@@ -82,7 +83,7 @@
 		in.upstreamConns--
 		s.endpoint.disconnect(k.endpointIncarnation)
 	}
-	if most := r.settings.MaxConnections; most > 0 && in.upstreamConns >= most && !in.closeOldestIdle() {
+	if limit := r.settings.MaxConnections; limit > 0 && in.upstreamConns >= limit && !in.closeOldestIdle() {
 		s.status = balancer.NotSent
 		r.events.push(r.now, dialFailed, 0, s)
 		return
@@ -128,7 +129,7 @@
 	return true
 }
 
-// connected has the request go out, unless it may not any more.
+// connected sends the request, unless its instance restarted or it may not be sent any more.
 func (s *attempt) connected() {
 	in := s.instance
 	r := s.instance.run
@@ -167,7 +168,7 @@
 	}
 }
 
-// keepConn gives the connection back for the next.
+// keepConn keeps the connection idle, for the next attempt.
 func (s *attempt) keepConn() {
 	in := s.instance
 	in.idleUpstream[s.endpoint.index] = append(in.idleUpstream[s.endpoint.index],
@@ -175,16 +176,16 @@
 	if in.maxIdleUpstream == 0 {
 		return
 	}
-	resting := 0
-	for _, all := range in.idleUpstream {
-		resting += len(all)
+	idle := 0
+	for _, conns := range in.idleUpstream {
+		idle += len(conns)
 	}
-	for ; resting > max(1, int(in.maxIdleUpstream)); resting-- {
+	for ; idle > max(1, int(in.maxIdleUpstream)); idle-- {
 		in.closeOldestIdle()
 	}
 }
 
-// end tells the engine what came of the attempt, if it still waits for that.
+// end reports the attempt's result to the engine, if the engine still waits for it.
 func (s *attempt) end(status balancer.Status) {
 	in := s.instance
 	r := s.instance.run
@@ -208,7 +209,7 @@
 	return s.phase == notSent
 }
 
-// abort ends the attempt, for whose result nobody waits. A connection with a request in flight is closed.
+// abort ends an attempt whose result is no longer awaited. A connection with a request in flight is closed.
 func (s *attempt) abort() {
 	if !s.awaited {
 		return
@@ -221,12 +222,12 @@
 	}
 }
 
-// arriveAtEndpoint is the request's arrival at the endpoint.
+// arriveAtEndpoint handles the request's arrival at the endpoint.
 func (s *attempt) arriveAtEndpoint() {
 	r := s.instance.run
 	e := s.endpoint
 	if e.unreachable || r.pathBlocked(s.instance, e, false) {
-		return // nobody hears it, and nobody says so
+		return // lost on the way, without a reset
 	}
 	m := &r.meter.Costs
 	m.Attempts++
@@ -234,7 +235,7 @@
 	if e.zone() != s.instance.zone {
 		m.CrossZone++
 	}
-	if at, told := s.instance.leavingSince[e.index]; told && s.incarnation == s.instance.incarnation &&
+	if at, known := s.instance.leavingSince[e.index]; known && s.incarnation == s.instance.incarnation &&
 		s.startedAt > at+r.settings.Site.Settings.Contract.DrainGrace {
 		m.AttemptsAfterDrain++
 	}
@@ -267,7 +268,7 @@
 	}
 }
 
-// arrivalKind is what kind of arrival an attempt is, by its number among its request's.
+// arrivalKind is the kind of arrival of an attempt, by its number among the attempts of its request.
 func arrivalKind(attempt int) measure.Arrival {
 	if attempt == 0 {
 		return measure.FirstAttempt
@@ -275,7 +276,7 @@
 	return measure.ExtraAttempt
 }
 
-// planClass is the place among the plan's classes of one of the criteria's.
+// planClass is the index in the plan of one of the criteria's classes.
 func (r *run) planClass(class int) int {
 	for i, at := range r.criteriaClass {
 		if at == class {
@@ -285,7 +286,7 @@
 	return 0
 }
 
-// reply sends a reply on its way.
+// reply sends the endpoint's reply to the instance.
 func (s *attempt) reply(status balancer.Status) {
 	r := s.instance.run
 	if r.pathBlocked(s.instance, s.endpoint, true) {
@@ -295,10 +296,10 @@
 	r.events.push(r.now+s.delay(2)+s.instance.overhead(), replyAtInstance, 0, s)
 }
 
-// replyArrived is the reply's arrival at the instance.
+// replyArrived handles the reply's arrival at the instance.
 func (s *attempt) replyArrived() {
 	if s.incarnation != s.instance.incarnation || s.phase != sent {
-		return // nobody waits for it, and its connection is closed
+		return // it is not awaited, and its connection is closed
 	}
 	s.phase = replied
 	if s.status == balancer.Reset {
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -11,21 +11,21 @@
 	"dunlinsail/internal/simulation/simendpoint"
 )
 
-// discoveryService is the source of the instances' endpoint lists, with the state of the endpoints that it was notified
-// of.
+// discoveryService is the source of the instances' endpoint lists. It has the states of endpoints of which it has been
+// notified.
 type discoveryService struct {
 	run                *run
-	endpoints          []engine.EndpointInfo // as discovery has it
+	endpoints          []engine.EndpointInfo // by index, the latest known
 	generation         int64
-	extraDelay         monotime.Micros // what it hears comes later by this
-	silent             bool            // it says nothing
-	heldBack           []*watchEvent
+	extraDelay         monotime.Micros // by which notifications of endpoints arrive later
+	silent             bool            // it sends nothing
+	heldBack           []*watchEvent   // events to send once it is no longer silent
 	dedupGroups        map[int]*simendpoint.DedupGroup
 	random             *randstream.Stream
 	changes            uint64
-	fullList           []engine.EndpointInfo // the whole list of a generation
+	fullList           []engine.EndpointInfo // complete list of fullListGeneration
 	fullListGeneration int64
-	lastChangeAt       []monotime.Micros // when its last word of each endpoint was heard
+	lastChangeAt       []monotime.Micros // by endpoint, when its latest notification arrives
 }
 
 func newDiscoveryService(r *run) *discoveryService {
@@ -46,7 +46,8 @@
 	return t
 }
 
-// dedupGroup returns the endpoints that share which keys they have seen: for as long as the longest window of a class.
+// dedupGroup returns the deduplication state that a cell's endpoints share. It remembers keys for the longest window of
+// a class.
 func (t *discoveryService) dedupGroup(cell int) *simendpoint.DedupGroup {
 	if t.dedupGroups[cell] == nil {
 		var window monotime.Micros
@@ -60,7 +61,7 @@
 	return t.dedupGroups[cell]
 }
 
-// endpointInfo is an endpoint's entry.
+// endpointInfo is the list entry of an endpoint. Its address is its index.
 func (t *discoveryService) endpointInfo(n int, state balancer.EndpointState) engine.EndpointInfo {
 	p := &t.run.plan.Endpoints[n]
 	return engine.EndpointInfo{
@@ -81,8 +82,8 @@
 	update      engine.EndpointUpdate
 }
 
-// endpointChanged tells discovery how it now stands with an endpoint, after the time that it takes to hear of it.
-// vanished says that nobody told it: the endpoint has fallen silent.
+// endpointChanged notifies discovery of an endpoint's new state, after the delay that the scenario gives. vanished: the
+// machine is lost, and discovery finds out by its silence.
 func (t *discoveryService) endpointChanged(n int, state balancer.EndpointState, vanished bool) {
 	r := t.run
 	d := &t.run.plan.Discovery
@@ -130,7 +131,7 @@
 	}
 }
 
-// send sends a message on its way; an instance hears them in their order.
+// send sends a watch event to its instance. Events of an instance arrive in order.
 func (t *discoveryService) send(x *watchEvent) {
 	in := x.instance
 	spread := float64(t.run.plan.Discovery.Spread.Micros())
@@ -151,8 +152,8 @@
 	w.instance.advanceEngine()
 }
 
-// resumeDiscovery ends what kept discovery's events from an instance: it is told what it missed, or all if it knows
-// nothing.
+// resumeDiscovery removes one cause that blocked discovery's events. After the last one the instance gets the events
+// that it missed, or the complete list if it has none.
 func (in *instance) resumeDiscovery() {
 	if in.discoveryBlocks--; in.discoveryBlocks > 0 || in.down {
 		return
@@ -175,7 +176,7 @@
 	for _, m := range t.Endpoints {
 		n, err := strconv.Atoi(m.Addr)
 		if err != nil {
-			panic(err) // it is what truth.member wrote
+			panic(err) // endpointInfo wrote it
 		}
 		if m.State == balancer.Ready {
 			delete(in.leavingSince, n)
@@ -188,24 +189,24 @@
 
 // subscribedTo reports whether the instance's list has an endpoint.
 func (in *instance) subscribedTo(n int) bool {
-	mine := in.run.plan.Instances[in.index].Endpoints
-	if mine == nil {
+	subset := in.run.plan.Instances[in.index].Endpoints
+	if subset == nil {
 		return true
 	}
-	_, found := slices.BinarySearch(mine, n)
+	_, found := slices.BinarySearch(subset, n)
 	return found
 }
 
 // snapshot is the complete endpoint list for an instance.
 func (t *discoveryService) snapshot(in *instance) engine.EndpointUpdate {
-	told := engine.EndpointUpdate{Kind: balancer.ListFull, Generation: t.generation}
-	if mine := t.run.plan.Instances[in.index].Endpoints; mine != nil {
-		for _, n := range mine {
+	update := engine.EndpointUpdate{Kind: balancer.ListFull, Generation: t.generation}
+	if subset := t.run.plan.Instances[in.index].Endpoints; subset != nil {
+		for _, n := range subset {
 			if t.endpoints[n].State != balancer.Gone {
-				told.Endpoints = append(told.Endpoints, t.endpoints[n])
+				update.Endpoints = append(update.Endpoints, t.endpoints[n])
 			}
 		}
-		return told
+		return update
 	}
 	if t.fullList == nil || t.fullListGeneration != t.generation {
 		var all []engine.EndpointInfo
@@ -217,11 +218,15 @@
 		t.fullList = all
 		t.fullListGeneration = t.generation
 	}
-	told.Endpoints = t.fullList
-	return told
+	update.Endpoints = t.fullList
+	return update
 }
 
-// setWatch is what a balancer asks for that has to ask: it is answered with the whole list, or not at all.
+// pollDelay is the time in microseconds from a poll to its answer.
+const pollDelay = 1000
+
+// setWatch answers the poll of a balancer that has to poll: with the complete list, or with a failure while discovery
+// is silent.
 func (in *instance) setWatch(on bool) {
 	if !on || !in.run.settings.Site.Settings.Subscribe {
 		return
@@ -231,7 +236,7 @@
 	if t.silent {
 		x.update = engine.EndpointUpdate{Kind: balancer.ListFailed}
 	}
-	in.run.events.push(in.run.now+1000, watchEventArrives, 0, x)
+	in.run.events.push(in.run.now+pollDelay, watchEventArrives, 0, x)
 }
 
 // resume sends what was held back while discovery was silent.
@@ -243,7 +248,7 @@
 		}
 	}
 	t.heldBack = nil
-	for _, in := range t.run.instances { // those that began meanwhile know nothing
+	for _, in := range t.run.instances { // those that started meanwhile have no list
 		if !in.down && !in.hasEndpointList {
 			t.send(&watchEvent{instance: in, incarnation: in.incarnation, update: t.snapshot(in)})
 		}
--- a/internal/simulation/endpoint.go
+++ b/internal/simulation/endpoint.go
@@ -7,23 +7,23 @@
 	"dunlinsail/internal/simulation/simendpoint"
 )
 
-// endpoint is an endpoint of the run, with what its machine does.
+// endpoint is an endpoint of the run: its model, its connections and its machine.
 type endpoint struct {
 	run         *run
 	index       int
 	model       *simendpoint.Endpoint
 	incarnation uint32          // changes at each start
-	unreachable bool            // its machine has vanished: nothing is heard of it
-	wakeupAt    monotime.Micros // the instant of the event that is scheduled; 0 is none
+	unreachable bool            // its machine is lost: it sends no reply and no reset
+	wakeupAt    monotime.Micros // instant of the scheduled wake-up; 0 is none
 	executions  int64
 	maxInFlight int
 
-	arrivals []int64 // requests that came, by bins
-	draining bool    // ended once it is empty
+	arrivals []int64 // requests by bin of time
+	draining bool    // it stops once it has no request in flight
 	pauses   uint64  // pauses so far
 }
 
-// maxEndpointsWithArrivals is of how many endpoints at most it is noted when requests came.
+// maxEndpointsWithArrivals is the largest number of endpoints for which arrivals are counted by time.
 const maxEndpointsWithArrivals = 100
 
 func newEndpoint(r *run, n int) *endpoint {
@@ -38,10 +38,10 @@
 
 func (e *endpoint) zone() int { return e.run.plan.Endpoints[e.index].Zone }
 
-// arrive takes in a request.
+// arrive gives a request to the endpoint's model.
 func (e *endpoint) arrive(j *simendpoint.Job) simendpoint.Verdict {
 	e.advance()
-	fell := e.model.Collapsed()
+	collapsedBefore := e.model.Collapsed()
 	v := e.model.Arrive(e.run.now, j)
 	if len(e.run.endpoints) <= maxEndpointsWithArrivals {
 		at := int(e.run.now / e.run.meter.BinWidth())
@@ -50,7 +50,7 @@
 		}
 		e.arrivals[at]++
 	}
-	if !fell && e.model.Collapsed() {
+	if !collapsedBefore && e.model.Collapsed() {
 		e.run.meter.Costs.Collapses++
 	}
 	e.maxInFlight = max(e.maxInFlight, e.model.InFlight())
@@ -65,7 +65,7 @@
 	}
 }
 
-// scheduleWakeup schedules the next end.
+// scheduleWakeup schedules a wake-up for the next job that completes.
 func (e *endpoint) scheduleWakeup() {
 	if at, ok := e.model.NextCompletion(); ok && (e.wakeupAt == 0 || at < e.wakeupAt) {
 		e.wakeupAt = max(at, e.run.now)
@@ -123,7 +123,7 @@
 	}
 }
 
-// kill ends the process. What it held is reset; one that vanishes says nothing.
+// kill ends the process. Its requests are reset; with silent the machine is lost, and no reset is sent.
 func (e *endpoint) kill(silent bool) {
 	if !e.model.Up() {
 		return
@@ -155,8 +155,8 @@
 	e.run.discovery.endpointChanged(e.index, balancer.Gone, false)
 }
 
-// start has the process come up, cold.
-func (e *endpoint) start(always bool) {
+// start starts the process, which warms up. With alwaysUp it is warm at once.
+func (e *endpoint) start(alwaysUp bool) {
 	if e.model.Up() {
 		if !e.draining {
 			return
@@ -166,11 +166,11 @@
 	e.incarnation++
 	e.unreachable = false
 	e.draining = false
-	e.model.Start(e.run.now, always)
+	e.model.Start(e.run.now, alwaysUp)
 	e.run.discovery.endpointChanged(e.index, balancer.Ready, false)
 }
 
-// drain has it finish what it holds, and end.
+// drain has the process finish its requests, and stop.
 func (e *endpoint) drain() {
 	if !e.model.Up() || e.draining {
 		return
@@ -183,7 +183,7 @@
 	}
 }
 
-// schedulePause schedules the next moment at which it stops.
+// schedulePause schedules the next pause of the process.
 func (e *endpoint) schedulePause() {
 	p := &e.run.plan.Endpoints[e.index]
 	e.pauses++
--- a/internal/simulation/eventqueue.go
+++ b/internal/simulation/eventqueue.go
@@ -2,8 +2,8 @@
 
 import "dunlinsail/internal/monotime"
 
-// event is something that happens at an instant; those of the same instant go in the order in which they were set. What
-// is pointed to, and what n means, depends on its kind.
+// event happens at an instant. Events of the same instant are handled in the order in which they were pushed. The
+// meaning of index and target depends on the kind.
 type event struct {
 	at     monotime.Micros
 	order  uint64
@@ -12,35 +12,38 @@
 	target any
 }
 
-// eventQueue holds the events to come: a heap of four, which touches less memory than one of two (Larkin, Sen, Tarjan:
+// eventQueue holds the coming events in a 4-ary heap, which touches less memory than a binary one (Larkin, Sen, Tarjan:
 // "A back-to-basics empirical study of priority queues", 2014).
 type eventQueue struct {
 	heap  []event
 	order uint64
 }
 
+// heapArity is the number of children of a heap node.
+const heapArity = 4
+
 func (q *eventQueue) len() int { return len(q.heap) }
 
 func before(a, b *event) bool { return a.at < b.at || a.at == b.at && a.order < b.order }
 
 // push adds an event.
-func (q *eventQueue) push(at monotime.Micros, k eventKind, n uint32, p any) {
+func (q *eventQueue) push(at monotime.Micros, kind eventKind, index uint32, target any) {
 	q.order++
 	q.heap = append(q.heap, event{})
 	i := len(q.heap) - 1
-	e := event{at, q.order, k, n, p}
+	e := event{at, q.order, kind, index, target}
 	for i > 0 {
-		up := (i - 1) / 4
-		if !before(&e, &q.heap[up]) {
+		parent := (i - 1) / heapArity
+		if !before(&e, &q.heap[parent]) {
 			break
 		}
-		q.heap[i] = q.heap[up]
-		i = up
+		q.heap[i] = q.heap[parent]
+		i = parent
 	}
 	q.heap[i] = e
 }
 
-// pop takes the first event out. There must be one.
+// pop removes and returns the first event. The queue must not be empty.
 func (q *eventQueue) pop() event {
 	first := q.heap[0]
 	last := len(q.heap) - 1
@@ -53,8 +56,8 @@
 	i := 0
 	for {
 		least := -1
-		from := 4*i + 1
-		for c := from; c < min(from+4, last); c++ {
+		from := heapArity*i + 1
+		for c := from; c < min(from+heapArity, last); c++ {
 			if least < 0 || before(&q.heap[c], &q.heap[least]) {
 				least = c
 			}
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -7,42 +7,42 @@
 	"dunlinsail/internal/simulation/simclient"
 )
 
-// eventKind is what kind of event happens.
+// eventKind is the kind of an event. The comments say what its index or target is, and what happens.
 type eventKind uint8
 
 const (
-	operationArrives  eventKind = iota // index: an instance; the next operation begins there
-	requestRetried                     // target: *operation; its next request begins
-	requestAtInstance                  // target: *clientRequest; its request is whole at the instance
+	operationArrives  eventKind = iota // index: an instance; its next operation starts
+	requestRetried                     // target: *operation; its next request starts
+	requestAtInstance                  // target: *clientRequest; the request has arrived completely at the instance
 	connRejected                       // target: *clientRequest; the instance's machine rejects its connection
-	responseAtClient                   // target: *clientRequest; its answer is at the client
+	responseAtClient                   // target: *clientRequest; its response arrives at the client
 	clientConnReset                    // target: *clientRequest; the client sees its connection break
-	clientTimeout                      // target: *clientRequest; the client has waited long enough, or leaves
-	instanceWakeup                     // target: *instance; its engine has something due
-	attemptConnected                   // target: *attempt; its connection stands, at the instance
-	dialFailed                         // target: *attempt; it has none
-	attemptAtEndpoint                  // target: *attempt; it is at the endpoint
-	replyAtInstance                    // target: *attempt; its reply is at the instance
-	attemptAborted                     // target: *attempt; the endpoint sees that its sender has gone
-	endpointWakeup                     // index: an endpoint that has finished something
-	probeAtEndpoint                    // target: *probe; it is at the endpoint
-	probeReplied                       // target: *probe; its answer is at the instance
-	// index: an endpoint, target: engine.EndpointInfo; discovery hears how it stands with it
+	clientTimeout                      // target: *clientRequest; its client times out, or leaves early
+	instanceWakeup                     // target: *instance; its engine has a timer due
+	attemptConnected                   // target: *attempt; its connection is established
+	dialFailed                         // target: *attempt; its dial failed
+	attemptAtEndpoint                  // target: *attempt; it arrives at the endpoint
+	replyAtInstance                    // target: *attempt; its reply arrives at the instance
+	attemptAborted                     // target: *attempt; the endpoint notices that its connection was closed
+	endpointWakeup                     // index: an endpoint; a job completes there
+	probeAtEndpoint                    // target: *probe; it arrives at the endpoint
+	probeReplied                       // target: *probe; its report arrives at the instance
+	// index: an endpoint, target: engine.EndpointInfo; discovery is notified of the endpoint's new state
 	discoveryNotified
-	watchEventArrives  // target: *watchEvent; a discovery event is at an instance
-	plannedEventStarts // index: a planned event begins
-	plannedEventEnds   // index: a planned event ends
-	// index: a planned event goes on, at its next endpoint or phase; target: how far
+	watchEventArrives  // target: *watchEvent; an update of the endpoint list arrives at its instance
+	plannedEventStarts // index: a planned event, which starts
+	plannedEventEnds   // index: a planned event, which ends
+	// index: a planned event, which goes on with its next endpoint or phase; target: the number of that
 	plannedEventSteps
-	endpointStarts      // index: an endpoint starts
-	instanceRestarts    // target: *instance; it starts anew
-	endpointPauses      // index: an endpoint stops for a moment
-	fleetMessageArrives // target: *fleetMessage; it is at its instance
-	// target: *clientRequest; its instance goes on and sees that its client has left
+	endpointStarts      // index: an endpoint, which starts
+	instanceRestarts    // target: *instance; it starts again
+	endpointPauses      // index: an endpoint; its process pauses
+	fleetMessageArrives // target: *fleetMessage; it arrives at its instance
+	// target: *clientRequest; its instance notices that the client has left
 	clientGoneNoticed
 )
 
-// play handles events until there are none that matter any more.
+// play handles events until all operations have ended, or maxDrainTime is over.
 func (r *run) play(ctx context.Context) error {
 	end := r.plan.Length.Micros()
 	for n := 0; r.events.len() > 0; n++ {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// handle handles an event, or puts it off to when the instance that handles it is no longer frozen.
+// handle handles an event. While the instance that handles it is frozen, the event is postponed to the end of that.
 func (r *run) handle(e *event) {
 	if in := handlingInstance(e); in != nil && in.frozenUntil > r.now && !in.down {
 		if e.kind == instanceWakeup {
@@ -136,7 +136,7 @@
 	}
 }
 
-// handlingInstance is the instance whose process handles an event, nil for what happens elsewhere.
+// handlingInstance is the instance whose process handles an event, nil for events elsewhere.
 func handlingInstance(e *event) *instance {
 	switch e.kind {
 	case requestAtInstance, clientGoneNoticed:
--- a/internal/simulation/fleetmessages.go
+++ b/internal/simulation/fleetmessages.go
@@ -11,10 +11,11 @@
 
 // This file carries the messages between instances.
 
-// instanceName is how instances call one another, and how a file names those that lend.
+// instanceName is an instance's name among the fleet, as configuration files name lease candidates.
 func instanceName(n int) string { return fmt.Sprint("instance-", n) }
 
-// QuotaCandidates returns of those that a file names as many as there are in a run of so many instances, an odd number.
+// QuotaCandidates returns the lease candidates of a run of so many instances, out of those that a file names. Their
+// number is odd.
 func QuotaCandidates(names []string, instances int) []string {
 	n := min(len(names), instances)
 	return names[:max(0, n-1+n%2)]
@@ -23,11 +24,11 @@
 // fleetMessage is on its way from one instance to another.
 type fleetMessage struct {
 	from, to    *instance
-	incarnation uint32 // of the one that it is for
+	incarnation uint32 // of the recipient
 	message     coordination.Message
 }
 
-// joinFleet has an engine decide together with the others, where that is set.
+// joinFleet turns the engine's fleet coordination on, if the settings have it.
 func (in *instance) joinFleet() error {
 	if in.run.settings.Coordination == nil {
 		return nil
@@ -37,43 +38,46 @@
 	t.Settings.Self = instanceName(in.index)
 	t.Settings.Seed = in.seed + uint64(in.incarnation)
 	t.Settings.Quota.MaxInstances = len(in.run.plan.Instances)
-	lives := uint64(in.incarnation) << 8
+	incarnation := uint64(in.incarnation) << 8 // a process takes part several times, each as another incarnation
 	t.NextIncarnation = func() uint64 {
-		lives++
-		return lives
+		incarnation++
+		return incarnation
 	}
 	t.Send = in.sendFleetMessage
 	return in.engine.JoinFleet(t)
 }
 
-// sendFleetMessage sends a message on its way. What is said while a process is stopped was said before: it goes out.
+// sendFleetMessage sends a message to another instance. A message of a process that is now frozen was sent before that,
+// and is delivered.
 func (in *instance) sendFleetMessage(to string, w coordination.Message) {
 	r := in.run
 	text, ok := strings.CutPrefix(to, "instance-")
 	n, err := strconv.Atoi(text)
 	if !ok || err != nil || n < 0 || n >= len(r.instances) {
-		return // one that this run does not have
+		return // this run has no such instance
 	}
-	if times := r.plan.DemandOverstatement(r.now); times != 1 && w.Request != nil && in.index == len(r.instances)-1 {
+	misreports := w.Request != nil && in.index == len(r.instances)-1
+	if factor := r.plan.DemandOverstatement(r.now); misreports && factor != 1 {
 		for i := range w.Request.Demands {
-			w.Request.Demands[i].Requested *= times
-			w.Request.Demands[i].Contributed *= times
+			w.Request.Demands[i].Requested *= factor
+			w.Request.Demands[i].Contributed *= factor
 		}
 	}
 	r.fleetMessages++
 	r.meter.Costs.FleetMessages++
-	lots := r.faultRand.For(^r.fleetMessages, uint64(in.index))
-	more, twice := r.plan.MessageDelay(r.now, in.index, [3]float64{lots.Float64(), lots.Float64(), lots.Float64()})
+	random := r.faultRand.For(^r.fleetMessages, uint64(in.index))
+	draws := [3]float64{random.Float64(), random.Float64(), random.Float64()}
+	more, twice := r.plan.MessageDelay(r.now, in.index, draws)
 	at := r.now + r.network.endpointDelay(in.zone, r.plan.Instances[n].Zone, r.fleetMessages, uint64(in.index), 9)
 	out := &fleetMessage{in, r.instances[n], r.instances[n].incarnation, w}
 	r.events.push(at+more, fleetMessageArrives, 0, out)
 	if twice {
-		r.events.push(at+monotime.Micros(lots.Float64()*float64(more)), fleetMessageArrives, 0, out)
+		r.events.push(at+monotime.Micros(random.Float64()*float64(more)), fleetMessageArrives, 0, out)
 	}
 }
 
-// upgrade has another process take over from the instance's while it serves. Of that only the place among the others
-// is played: it is given away, and begun anew with what was given.
+// upgrade replaces the instance's process by a hot restart. Only fleet coordination is simulated: its state is handed
+// over and restored.
 func (in *instance) upgrade() {
 	now := in.localTime()
 	if s := in.engine.HandOverCoordination(now); s != nil {
@@ -82,7 +86,7 @@
 	in.advanceEngine()
 }
 
-// arrive hands a message over, unless nothing passes or its instance has begun anew.
+// arrive delivers a message, unless the network is partitioned or the recipient has restarted.
 func (w *fleetMessage) arrive() {
 	to := w.to
 	r := w.to.run
--- a/internal/simulation/gossipsim/simulation.go
+++ b/internal/simulation/gossipsim/simulation.go
@@ -23,7 +23,7 @@
 	clockRate    float64
 	clockOrigin  float64         // true time at which its clock is 0
 	demandRate   float64         // units a second
-	demandFactor float64         // it tells the allocator this many times its demand
+	demandFactor float64         // factor by which it overstates its demand to the allocator
 	budgetUnits  float64         // of the budget, as its configuration says
 	incarnation  uint64          // 0 while it is killed
 	wakeAt       monotime.Micros // when the next tick is scheduled
@@ -198,6 +198,7 @@
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
 
+// Swap is a swap of two elements, as heap.Interface asks for it.
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -8,19 +8,19 @@
 	"dunlinsail/internal/monotime"
 )
 
-// upstreamTarget is an endpoint, as an instance knows it.
+// upstreamTarget is an endpoint as an engine's target.
 type upstreamTarget struct{ endpoint *endpoint }
 
-// Drop does nothing: what is kept to an endpoint that has gone grows old.
+// Drop does nothing: idle connections to an endpoint that has gone expire.
 func (upstreamTarget) Drop() {}
 
-// NewTarget finds an endpoint by its address, which is its place.
+// NewTarget finds an endpoint by its address, which is its index.
 func (in *instance) NewTarget(addr string) engine.Target {
-	place, err := strconv.Atoi(addr)
+	index, err := strconv.Atoi(addr)
 	if err != nil {
-		panic(err) // it is what truth.member wrote
+		panic(err) // endpointInfo wrote it
 	}
-	return upstreamTarget{in.run.endpoints[place]}
+	return upstreamTarget{in.run.endpoints[index]}
 }
 
 // StartAttempt sends an attempt to its endpoint.
@@ -39,23 +39,23 @@
 	}
 }
 
-// AttemptTimedOut forgets idle connections that were last used before the attempt began.
+// AttemptTimedOut closes the endpoint's idle connections that were last used before the attempt started.
 func (in *instance) AttemptTimedOut(a *engine.Attempt) {
 	s, ok := a.HostData.(*attempt)
 	if !ok {
 		return
 	}
-	all := in.idleUpstream[s.endpoint.index]
-	left := all[:0]
-	for _, k := range all {
-		if k.idleSince >= s.startedAt {
-			left = append(left, k)
+	idle := in.idleUpstream[s.endpoint.index]
+	remaining := idle[:0]
+	for _, conn := range idle {
+		if conn.idleSince >= s.startedAt {
+			remaining = append(remaining, conn)
 			continue
 		}
 		in.upstreamConns--
-		s.endpoint.disconnect(k.endpointIncarnation)
+		s.endpoint.disconnect(conn.endpointIncarnation)
 	}
-	in.idleUpstream[s.endpoint.index] = left
+	in.idleUpstream[s.endpoint.index] = remaining
 }
 
 // StartProbe sends a health check to an endpoint, which replies with its load report.
@@ -80,18 +80,18 @@
 	r.events.push(r.now+r.network.clientDelay(t.operation.ID, t.Number, true)+in.overhead(), responseAtClient, 0, t)
 }
 
-// EndpointReady does nothing: nobody waits for it here.
+// EndpointReady does nothing: no hot restart waits for it in a simulation.
 func (in *instance) EndpointReady() {}
 
-// Log tells what an instance logs.
+// Log passes a log line on to Options.Log.
 func (in *instance) Log(line string, args ...any) {
 	if in.run.options.Log != nil {
 		in.run.options.Log(in.run.now, in.index, fmt.Sprint(append([]any{line}, args...)...))
 	}
 }
 
-// Warn is as Log.
+// Warn does the same as Log.
 func (in *instance) Warn(line string, args ...any) { in.Log(line, args...) }
 
-// overhead is what a request spends in the process on each side of its attempts.
+// overhead is the time that a request spends in the process before its attempts, and again after them.
 func (in *instance) overhead() monotime.Micros { return in.run.plan.Host.Overhead.Micros() / 2 }
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -14,39 +14,39 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// instance is one instance of the daemon: an engine, and what a process has around it.
+// instance is one instance of the daemon: an engine, and the state that a process keeps around it.
 type instance struct {
 	run         *run
 	index       int
 	zone        int
-	incarnation uint32 // changes at each start: what belongs to an earlier one is passed over
+	incarnation uint32 // changes at each start; events of an earlier one are ignored
 	down        bool
 
-	frozenUntil     monotime.Micros // it is stopped until then
-	discoveryBlocks int             // what keeps discovery's events from it
-	heldEvents      []*watchEvent   // meanwhile
+	frozenUntil     monotime.Micros // the process is stopped until then
+	discoveryBlocks int             // causes that block discovery's events
+	heldEvents      []*watchEvent   // events that arrived while blocked
 
 	engine   *engine.Engine
 	pool     *engine.Pool
 	clients  []*engine.Client // of each process
 	site     siteconfig.Site
-	wakeupAt monotime.Micros // the instant of the wake that is scheduled; 0 is none
+	wakeupAt monotime.Micros // instant of the scheduled wake-up; 0 is none
 	seed     uint64
 
 	connTable       *connlimit.Table[*clientConn]
 	owners          []*connlimit.Owner[*clientConn]
-	idleClientConns [][]*connlimit.Conn[*clientConn] // of each process, the one used last behind
+	idleClientConns [][]*connlimit.Conn[*clientConn] // by client process, the latest used last
 	idleUpstream    map[int][]idleConn               // connections to endpoints without an open request
-	upstreamConns   int                              // all of them
-	maxIdleUpstream float64                          // that may be kept; 0 is no bound
+	upstreamConns   int                              // open connections to endpoints
+	maxIdleUpstream float64                          // idle connections that may be kept; 0 is no bound
 
-	inFlight         []*clientRequest // taken and without an answer
-	hasEndpointList  bool             // it has been told a list
+	inFlight         []*clientRequest // accepted, without a response
+	hasEndpointList  bool             // it has received an endpoint list
 	operations       func() (simclient.Operation, bool)
 	nextOperation    simclient.Operation
 	probes           uint64
-	leavingSince     map[int]monotime.Micros // endpoints that this instance knows to be draining or gone, since when
-	lastWatchEventAt monotime.Micros         // when discovery's last word will be here
+	leavingSince     map[int]monotime.Micros // by endpoint known to be draining or gone: when it became known
+	lastWatchEventAt monotime.Micros         // when the latest watch event arrives
 }
 
 // clientConn is a client's connection.
@@ -54,7 +54,7 @@
 
 // idleConn is an idle connection to an endpoint.
 type idleConn struct {
-	endpointIncarnation uint32 // the endpoint's when it was opened
+	endpointIncarnation uint32 // incarnation of the endpoint when it was opened
 	idleSince           monotime.Micros
 }
 
@@ -91,7 +91,7 @@
 	return -1
 }
 
-// create makes the engine and what is around it, without a list.
+// create makes the engine and the process's other state, without an endpoint list.
 func (in *instance) create() error {
 	r := in.run
 	in.engine = engine.New(engine.Config{
@@ -163,11 +163,11 @@
 	return nil
 }
 
-// start has the instance serve, with the whole list as discovery knows it. An engine was made before the first start.
+// start has the instance serve, with discovery's complete list. newInstance has made the engine of the first start.
 func (in *instance) start(first bool) {
 	if !first {
 		if err := in.create(); err != nil {
-			panic(err) // the same settings were taken before
+			panic(err) // newInstance accepted the same settings
 		}
 	}
 	in.down = false
@@ -182,7 +182,7 @@
 	in.advanceEngine()
 }
 
-// kill ends the process: what it holds is lost, and its connections are reset.
+// kill ends the process: its requests in flight are lost, and its connections are reset.
 func (in *instance) kill() {
 	if in.down {
 		return
@@ -192,7 +192,7 @@
 	in.engine = nil
 }
 
-// localTime is what the instance's clock tells.
+// localTime is the time of the instance's clock.
 func (in *instance) localTime() monotime.Micros { return in.clockAt(in.run.now) }
 
 func (in *instance) clockAt(at monotime.Micros) monotime.Micros {
@@ -200,7 +200,7 @@
 	return clockOrigin + p.Skew + at + monotime.Micros(p.Drift*float64(at))
 }
 
-// worldTime is when the instance's clock will tell an instant, at the earliest.
+// worldTime is the earliest simulated time at which the instance's clock has reached an instant.
 func (in *instance) worldTime(local monotime.Micros) monotime.Micros {
 	p := &in.run.plan.Instances[in.index]
 	at := monotime.Micros(float64(local-clockOrigin-p.Skew) / (1 + p.Drift))
--- a/internal/simulation/measure/arrivals.go
+++ b/internal/simulation/measure/arrivals.go
@@ -2,19 +2,19 @@
 
 import "dunlinsail/internal/monotime"
 
-// Arrival is what comes at an endpoint.
+// Arrival is the kind of a message that arrives at an endpoint.
 type Arrival uint8
 
-// The kinds.
+// The kinds of arrivals.
 const (
 	FirstAttempt Arrival = iota // the first attempt of a request
-	ExtraAttempt                // one beyond it, or beside it
-	ProbeArrival
-	DialArrival // a new connection
+	ExtraAttempt                // a retry or hedged request
+	ProbeArrival                // a health check
+	DialArrival                 // a new connection
 )
 
-// Second is what came at all endpoints within a second of a run, and at the one to which most probes and most new
-// connections came.
+// Second counts the arrivals at all endpoints within a second of a run, and the largest numbers of probes and of new
+// connections at a single endpoint.
 type Second struct {
 	FirstAttempts     int `json:"First"`
 	ExtraAttempts     int `json:"Further"`
@@ -24,56 +24,56 @@
 	MaxEndpointDials  int `json:"DialsMost"`
 }
 
-// arrivals counts what comes at endpoints, second by second.
+// arrivals counts arrivals at endpoints by second.
 type arrivals struct {
 	seconds                 []Second
 	probes, dials           [][]uint32      // by second and endpoint
-	faultsFrom, faultsUntil monotime.Micros // when what goes wrong begins, and has ended
+	faultsFrom, faultsUntil monotime.Micros // from the start of the first event to the end of the last
 }
 
-// RecordArrival counts what came at an endpoint at an instant.
-func (m *Meter) RecordArrival(now monotime.Micros, node int, what Arrival) {
+// RecordArrival counts an arrival at an endpoint. Arrivals outside the run's length are ignored.
+func (m *Meter) RecordArrival(now monotime.Micros, endpoint int, kind Arrival) {
 	a := &m.arrivals
 	n := now / second
 	if n < 0 || n >= monotime.Micros(len(a.seconds)) {
 		return
 	}
 	s := &a.seconds[n]
-	switch what {
+	switch kind {
 	case FirstAttempt:
 		s.FirstAttempts++
 	case ExtraAttempt:
 		s.ExtraAttempts++
 	case ProbeArrival:
 		s.Probes++
-		s.MaxEndpointProbes = max(s.MaxEndpointProbes, countAt(a.probes, n, node))
+		s.MaxEndpointProbes = max(s.MaxEndpointProbes, countAt(a.probes, n, endpoint))
 	case DialArrival:
 		s.Dials++
-		s.MaxEndpointDials = max(s.MaxEndpointDials, countAt(a.dials, n, node))
+		s.MaxEndpointDials = max(s.MaxEndpointDials, countAt(a.dials, n, endpoint))
 	}
 }
 
-// countAt counts one more of a second at an endpoint, and returns how many there are. They need not come in order.
-func countAt(all [][]uint32, n monotime.Micros, node int) int {
-	for len(all[n]) <= node {
-		all[n] = append(all[n], 0)
+// countAt counts one more arrival of a second at an endpoint, and returns their number. Seconds need not be in order.
+func countAt(counts [][]uint32, second monotime.Micros, endpoint int) int {
+	for len(counts[second]) <= endpoint {
+		counts[second] = append(counts[second], 0)
 	}
-	all[n][node]++
-	return int(all[n][node])
+	counts[second][endpoint]++
+	return int(counts[second][endpoint])
 }
 
-// SetFaultPeriod tells when what goes wrong begins, and when all of it has ended.
+// SetFaultPeriod sets the period from the start of the first fault to the end of the last one.
 func (m *Meter) SetFaultPeriod(from, until monotime.Micros) {
 	m.arrivals.faultsFrom = from
 	m.arrivals.faultsUntil = until
 }
 
 const (
-	minFirstAttempts = 100        // first attempts in a second from which on a part of them says something
-	recoveryTime     = 3 * second // what has ended is to be over after so long
+	minFirstAttempts = 100        // in a second, for its ratio of extra attempts to count
+	recoveryTime     = 3 * second // after the last fault, until service has to be as before
 )
 
-// figures adds what the seconds come to.
+// figures adds the figures of arrivals and of recovery.
 func (a *arrivals) figures(f map[string]float64, weight []weightSum) {
 	first := 0
 	probes := 0
@@ -87,7 +87,7 @@
 		f["probes_peak"] = max(f["probes_peak"], float64(s.MaxEndpointProbes))
 		f["dials_peak"] = max(f["dials_peak"], float64(s.MaxEndpointDials))
 	}
-	f["further_peak"] += 0 // a figure, also where nothing came
+	f["further_peak"] += 0 // the figure exists, also without arrivals
 	f["probes_first"] = float64(probes) / max(1, float64(first))
 	f["back"] = 1
 	before := sum(weight, 0, a.faultsFrom)
@@ -97,7 +97,7 @@
 	}
 }
 
-// sum is the worth of the seconds that lie within.
+// sum adds up the weights of the seconds that lie within a period.
 func sum(weight []weightSum, from, until monotime.Micros) (w weightSum) {
 	for i := range weight {
 		if at := monotime.Micros(i) * second; at >= from && at+second <= until {
--- a/internal/simulation/measure/faults_test.go
+++ b/internal/simulation/measure/faults_test.go
@@ -9,9 +9,9 @@
 	"dunlinsail/internal/simulation/simclient"
 )
 
-// judged is a run of ten seconds of two classes, of which the first weighs ten times as much for its work; serve
-// says, by second and class, whether its operations are served.
-func judged(serve func(second, class int) bool, reached func(instance int, at monotime.Micros) bool,
+// evaluate returns the figures of a run of ten seconds with two classes, of which the first weighs ten times as much
+// for its work; serve says, by second and class, whether operations are served.
+func evaluate(serve func(second, class int) bool, reached func(instance int, at monotime.Micros) bool,
 	arrive func(m *Meter)) map[string]float64 {
 	m := New(Criteria{Classes: []balancer.Class{{
 		Name:             "a",
@@ -25,12 +25,12 @@
 	m.SetEnvironment(Environment{
 		Capacity: func(monotime.Micros) float64 { return 0.1 },
 		Serving:  reached,
-	}) // a tenth of a second's work in a second
+	}) // work of a tenth of a second in a second
 	m.SetFaultPeriod(3*second, 4*second)
 	id := uint64(0)
 	for s := range 10 {
 		for class := range 2 {
-			for i := range 10 { // of 10 ms each: both classes ask for all that can be done
+			for i := range 10 { // of 10 ms each: either class alone needs all of the capacity
 				id++
 				x := simclient.Operation{
 					ID:        id,
@@ -57,7 +57,7 @@
 
 func always(int, monotime.Micros) bool { return true }
 
-// Each of what must not be is found where it is planted, and not where it is not.
+// Each violation is found where it is planted, and not where it is not.
 func TestFiguresFindWhatIsPlanted(t *testing.T) {
 	near := func(name string, got, want float64) {
 		t.Helper()
@@ -65,23 +65,23 @@
 			t.Errorf("%s is %.3f, want %.3f", name, got, want)
 		}
 	}
-	best := judged(func(_, class int) bool { return class == 0 }, always, nil)
+	best := evaluate(func(_, class int) bool { return class == 0 }, always, nil)
 	near("of_could", best["of_could"], 1)
 	near("out_of_order", best["out_of_order"], 0)
 	near("back", best["back"], 1)
-	// one second the wrong way round
-	wrong := judged(func(s, class int) bool { return (class == 0) != (s == 5) }, always, nil)
+	// one second in the wrong order
+	wrong := evaluate(func(s, class int) bool { return (class == 0) != (s == 5) }, always, nil)
 	near("of_could", wrong["of_could"], 0.91)
 	near("out_of_order", wrong["out_of_order"], 0.05)
-	// from 3 s after the cause's end it is gone
-	worse := judged(func(s, class int) bool { return class == 0 && s < 8 }, always, nil)
+	// service is lost later than 3 s after the fault's end
+	worse := evaluate(func(s, class int) bool { return class == 0 && s < 8 }, always, nil)
 	near("back", worse["back"], 0.333)
-	gone := judged(func(s, class int) bool { return class == 0 && s != 5 },
-		// what nobody could take is held against nobody
+	gone := evaluate(func(s, class int) bool { return class == 0 && s != 5 },
+		// operations at instances that accept nothing do not count
 		func(_ int, at monotime.Micros) bool { return at/second != 5 }, nil)
 	near("of_could", gone["of_could"], 1)
 
-	arrived := judged(func(int, int) bool { return true }, always, func(m *Meter) {
+	arrived := evaluate(func(int, int) bool { return true }, always, func(m *Meter) {
 		for s := range monotime.Micros(10) {
 			for i := range 200 {
 				m.RecordArrival(s*second, i%4, FirstAttempt)
@@ -92,7 +92,7 @@
 			m.RecordArrival(7*second+monotime.Micros(i), 2, ProbeArrival)
 			m.RecordArrival(7*second+monotime.Micros(i), 3, DialArrival)
 		}
-		m.RecordArrival(99*second, 1, ExtraAttempt) // after the end it counts for nothing
+		m.RecordArrival(99*second, 1, ExtraAttempt) // after the run's end: ignored
 	})
 	near("further_peak", arrived["further_peak"], 0.15)
 	near("probes_peak", arrived["probes_peak"], 30)
@@ -100,10 +100,12 @@
 	near("dials_peak", arrived["dials_peak"], 30)
 }
 
-// What is spent is counted in any second, over all who tell of it, in whatever order they do.
+// Spent units are counted within any second, over all instances, in whatever order they report.
 func TestSpent(t *testing.T) {
-	m := New(Criteria{Tenants: []balancer.Tenant{{Name: "t"}}, TenantLimits: map[string]float64{"t": 3}}, 10*second, 1)
-	for _, at := range []monotime.Micros{900, 1500, 2100, 5000, 1901, 5999, 6000} { // by several, one after another
+	limits := map[string]float64{"t": 3}
+	m := New(Criteria{Tenants: []balancer.Tenant{{Name: "t"}}, TenantLimits: limits}, 10*second, 1)
+	// Instants of several instances, one after another.
+	for _, at := range []monotime.Micros{900, 1500, 2100, 5000, 1901, 5999, 6000} {
 		m.QuotaSpent(at*1000, "tenant/t")
 	}
 	if f := m.Result().Figures; f["over_budget"] != 1 || f["beyond_limit"] != 0 {
--- a/internal/simulation/measure/figures.go
+++ b/internal/simulation/measure/figures.go
@@ -6,12 +6,12 @@
 	Description      string  `json:"About"`
 	Unit             string  `json:"Unit"`   // "", "ms", "a story"
 	Direction        float64 `json:"Better"` // 1: more is better; -1: less is; 0: neither by itself
-	Threshold        float64 `json:"Step"`   // what is no difference that matters
-	CountsViolations bool    `json:"Count"`  // it counts what should never happen
+	Threshold        float64 `json:"Step"`   // smaller differences do not matter
+	CountsViolations bool    `json:"Count"`  // it counts violations of a rule
 }
 
-// Figures are those that hold of every site, the first what all is judged by. Those of classes and tenants come beside
-// them: service.NAME, p50.NAME and p99.NAME.
+// Figures are those of every site; the first is the one by which variants are compared. Beside them there are those of
+// classes and tenants: service.NAME, p50.NAME and p99.NAME.
 var Figures = []Figure{
 	{"service", "what the users judge by: the goal's mix of the following four, less the prices", "", 1, 0.002, false},
 	{"whole", "worth served within the aim, of the worth asked for", "", 1, 0.002, false},
@@ -69,7 +69,7 @@
 	{"breaks", "rules broken", "", -1, 0, true},
 }
 
-// Describe returns what a figure is, by its name.
+// Describe returns the description of a figure, by its name.
 func Describe(name string) (Figure, bool) {
 	for _, f := range Figures {
 		if f.Name == name {
--- a/internal/simulation/measure/meter.go
+++ b/internal/simulation/measure/meter.go
@@ -24,19 +24,19 @@
 type Criteria struct {
 	Classes         []balancer.Class  // in the order of the operations' classes
 	Tenants         []balancer.Tenant // in the order of the operations' tenants
-	OverQuotaWeight float64           // what a tenant's request beyond its allowance weighs
+	OverQuotaWeight float64           // weight of a request over its tenant's quota, relative to one within it
 	Goal            balancer.Goal
 	Prices          balancer.Prices
-	// of tenants, by name: requests a second that are let in over all instances; 0 is no limit
+	// TenantLimits are the requests a second, by tenant, that all instances together admit; 0 is no limit.
 	TenantLimits map[string]float64
 }
 
 const (
-	worstWindowSeconds = 10 // seconds
-	maxBins            = 120
+	worstWindowSeconds = 10  // length of the worst window
+	maxBins            = 120 // of a series
 )
 
-// Costs is what the operations of a run have cost, and what broke.
+// Costs are the costs of a run's operations, and the rules that were broken.
 type Costs struct {
 	ClientRequests int64   `json:"Tries"`    // requests that clients sent
 	Attempts       int64   `json:"Attempts"` // that instances forwarded
@@ -45,60 +45,60 @@
 	Probes         int64   `json:"Probes"`
 	OfferedWork    float64 `json:"Offered"`   // work of all operations, once each, in microseconds
 	ExecutedWork   float64 `json:"Worked"`    // by endpoints
-	UsefulWork     float64 `json:"Useful"`    // of this, for answers that clients took
+	UsefulWork     float64 `json:"Useful"`    // of this, for responses that clients received
 	Decisions      int64   `json:"Decisions"` // requests, outcomes, probes and timers that instances decided on
 
 	// Rules that were broken.
-	Collapses int64 `json:"Falls"` // endpoints pushed over while warming up
-	// attempts that reached an endpoint past the grace after its instance knew that it drains
+	Collapses int64 `json:"Falls"` // endpoints that collapsed while warming up
+	// Attempts that reached a draining endpoint later than the drain grace after its instance was notified.
 	AttemptsAfterDrain int64 `json:"Drained"`
-	DuplicateEffects   int64 `json:"Twice"`      // operations that took effect more than once by their instances' doing
+	DuplicateEffects   int64 `json:"Twice"`      // operations with several effects, by retries of their instances
 	LateResponses      int64 `json:"LateAnswer"` // final answers that came after the client's deadline, or not at all
 
-	// operations that took effect more than once by their clients' own requests
+	// Operations that took effect more than once, by requests of their clients.
 	ClientDuplicateEffects int64 `json:"ClientsTwice"`
-	KilledInFlight         int64 `json:"KilledOpen"` // requests that instances held when they were killed
-	FleetMessages          int64 `json:"Words"`      // that instances told one another
+	KilledInFlight         int64 `json:"KilledOpen"` // requests in flight at instances that were killed
+	FleetMessages          int64 `json:"Words"`      // between instances
 }
 
-// Meter judges one run. Make one with New.
+// Meter evaluates one run. Make one with New.
 type Meter struct {
 	criteria Criteria
 	end      monotime.Micros
 
 	binWidth      monotime.Micros
 	bins          []bin
-	allowances    []tokenBucket // of tenants' allowances
+	quotas        []tokenBucket // by tenant
 	classes       []groupTotals
 	tenants       []groupTotals
 	seconds       []weightSum
 	quotaSpending quotaSpending
 	maintenance   map[string]float64
-	tenantDemand  map[int][]int // operations of each tenant that began in each second
+	tenantDemand  map[int][]int // by tenant and second: operations that started
 	total         weightSum
 	clients       map[[2]int]*clientTotals // by instance and process
-	// worth that was unserved when its latency objective had passed, and not given up before
-	lateFailures  float64
+	lateFailures  float64                  // weight of operations that ended unserved after their latency objective
 	outcomes      [simclient.OutcomeCount]int64
 	operations    int64
 	requests      struct{ refused, failed, lost int64 }
 	arrivals      arrivals
 	priorityAudit *priorityAudit
-	latencies     []*hdrhistogram.Histogram // of each class
+	latencies     []*hdrhistogram.Histogram // by class
 	digest        *xxhash.Digest
 
 	Costs Costs
 }
 
+// weightSum is the weight of some operations, and the part of it that was earned by serving them.
 type weightSum struct{ offered, earned float64 }
 
 type groupTotals struct{ weightSum }
 
-// clientTotals is what one client process asked for and got.
+// clientTotals are the operations of one client process.
 type clientTotals struct {
 	weightSum
 	operations int64
-	latencies  []int32 // of those served, in tenths of a millisecond
+	latencies  []int32 // of the served operations, in tenths of a millisecond
 }
 
 type tokenBucket struct {
@@ -114,7 +114,7 @@
 	zones                                                                []weightSum
 }
 
-// New returns a meter of a run in which operations begin before an instant.
+// New returns a meter of a run whose operations start within a length.
 func New(j Criteria, length monotime.Micros, zones int) *Meter {
 	m := &Meter{criteria: j, end: length, digest: xxhash.New(), clients: map[[2]int]*clientTotals{}}
 	m.binWidth = max(second, (length+maxBins-1)/maxBins)
@@ -133,9 +133,9 @@
 	}
 	m.classes = make([]groupTotals, len(j.Classes))
 	m.tenants = make([]groupTotals, len(j.Tenants))
-	m.allowances = make([]tokenBucket, len(j.Tenants))
-	for i := range m.allowances {
-		m.allowances[i].level = max(1, j.Tenants[i].Quota)
+	m.quotas = make([]tokenBucket, len(j.Tenants))
+	for i := range m.quotas {
+		m.quotas[i].level = max(1, j.Tenants[i].Quota)
 	}
 	for range j.Classes {
 		m.latencies = append(m.latencies, hdrhistogram.New(10, int64(time.Minute/time.Microsecond), 3))
@@ -146,14 +146,15 @@
 // BinWidth is the length of a bin of the series.
 func (m *Meter) BinWidth() monotime.Micros { return m.binWidth }
 
-// Weight is what an operation weighs, which is settled as it begins: beyond its tenant's allowance it weighs less.
+// Weight returns the weight of an operation that starts now, and whether it is within its tenant's quota. Calls must be
+// in the order of the operations' starts.
 func (m *Meter) Weight(s *simclient.Operation) (weight float64, within bool) {
 	weight = m.criteria.Classes[s.Class].PriorityWeight
-	if s.Tenant < 0 || s.Tenant >= len(m.allowances) || m.criteria.Tenants[s.Tenant].Quota <= 0 {
+	if s.Tenant < 0 || s.Tenant >= len(m.quotas) || m.criteria.Tenants[s.Tenant].Quota <= 0 {
 		return weight, true
 	}
-	// A second's allowance may come at once.
-	b := &m.allowances[s.Tenant]
+	// A bucket holds the quota of one second.
+	b := &m.quotas[s.Tenant]
 	rate := m.criteria.Tenants[s.Tenant].Quota
 	b.level = min(max(1, rate), b.level+rate*float64(s.StartedAt-b.updatedAt)/float64(second))
 	b.updatedAt = s.StartedAt
@@ -164,8 +165,7 @@
 	return weight, true
 }
 
-// OperationEnded takes in an operation that has ended, with what Weight returned of it as it began. zone is its
-// instance's.
+// OperationEnded records an operation that has ended, with the results of Weight at its start. zone is its instance's.
 func (m *Meter) OperationEnded(s *simclient.Operation, zone int, weight float64, within bool) {
 	c := &m.criteria.Classes[s.Class]
 	took := s.EndedAt - s.StartedAt
@@ -176,7 +176,7 @@
 		if !onTime {
 			earned *= c.LateWeight
 		}
-		// up to a minute, which the histogram holds
+		// Longer ones count as a minute, the histogram's bound.
 		_ = m.latencies[s.Class].RecordValue(min(max(10, took), int64(time.Minute/time.Microsecond)))
 	} else if took > c.LatencyObjective {
 		m.lateFailures += weight
@@ -190,15 +190,15 @@
 	if within && s.Tenant >= 0 && s.Tenant < len(m.tenants) {
 		m.tenants[s.Tenant].add(weight, earned)
 	}
-	who := m.clients[[2]int{s.Instance, s.Process}]
-	if who == nil {
-		who = &clientTotals{}
-		m.clients[[2]int{s.Instance, s.Process}] = who
+	client := m.clients[[2]int{s.Instance, s.Process}]
+	if client == nil {
+		client = &clientTotals{}
+		m.clients[[2]int{s.Instance, s.Process}] = client
 	}
-	who.add(weight, earned)
-	who.operations++
+	client.add(weight, earned)
+	client.operations++
 	if s.Outcome == simclient.Served {
-		who.latencies = append(who.latencies, int32(min(took/100, math.MaxInt32)))
+		client.latencies = append(client.latencies, int32(min(took/100, math.MaxInt32)))
 	}
 	m.seconds[min(s.StartedAt/second, int64(len(m.seconds)-1))].add(weight, earned)
 	b := &m.bins[min(s.StartedAt/m.binWidth, int64(len(m.bins)-1))]
@@ -210,7 +210,7 @@
 	m.addToDigest(s)
 }
 
-// countDemand counts an operation of a tenant in the second in which it began.
+// countDemand counts an operation of a tenant in the second in which it started.
 func (m *Meter) countDemand(s *simclient.Operation) {
 	if s.Tenant < 0 {
 		return
@@ -224,7 +224,7 @@
 	m.tenantDemand[s.Tenant][min(s.StartedAt/second, int64(len(m.seconds)-1))]++
 }
 
-// operationEnded adds a finished operation to the bin in which it began.
+// operationEnded adds a finished operation to the bin in which it started.
 func (b *bin) operationEnded(s *simclient.Operation, zone int, onTime bool, weight, earned float64) {
 	took := s.EndedAt - s.StartedAt
 	b.add(weight, earned)
@@ -242,14 +242,14 @@
 		b.unserved++
 	}
 	if s.Outcome == simclient.Served {
-		// up to a minute, which the histogram holds
+		// Longer ones count as a minute, the histogram's bound.
 		_ = b.latencies.RecordValue(min(max(10, took), int64(time.Minute/time.Microsecond)))
 	}
 	b.rejectedRequests += int64(s.Rejected)
 	b.failedRequests += int64(s.Failed + s.Unanswered)
 }
 
-// addToDigest adds what became of an operation to the run's digest.
+// addToDigest adds an operation's end to the run's digest.
 func (m *Meter) addToDigest(s *simclient.Operation) {
 	var text [64]byte
 	for i, v := range [...]uint64{s.ID, uint64(s.Outcome), uint64(s.EndedAt), uint64(s.Requests),
@@ -264,7 +264,7 @@
 	w.earned += earned
 }
 
-// share is what was earned of what was asked, 1 where nothing was.
+// share is the part of the offered weight that was earned, 1 if none was offered.
 func (w weightSum) share() float64 {
 	if w.offered <= 0 {
 		return 1
@@ -272,8 +272,8 @@
 	return w.earned / w.offered
 }
 
-// RecordMaintenance tells what came of machines that were asked to go out for work: how many of them are back, how many
-// requests reached one while it was at work, and how long all took; 0 is that not all are back.
+// RecordMaintenance records a run's maintenance: how many machines an operator requested, how many of them have
+// returned, how many requests were sent to one while it was out, and how long all took (0 if not all have returned).
 func (m *Meter) RecordMaintenance(requested, returned, sent int, took monotime.Micros) {
 	m.maintenance = map[string]float64{
 		"work_sent": float64(sent),
--- a/internal/simulation/measure/result.go
+++ b/internal/simulation/measure/result.go
@@ -12,11 +12,11 @@
 	"dunlinsail/internal/simulation/simclient"
 )
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
 	Scenario string `json:"Scenario"`
 	Seed     uint64 `json:"Seed"`
-	Digest   string `json:"Digest"` // of all that became of all operations: runs that are the same have the same
+	Digest   string `json:"Digest"` // of the ends of all operations: equal runs have equal digests
 
 	Figures    map[string]float64 `json:"Figures"` // by the names in Figures
 	Costs      Costs              `json:"Costs"`
@@ -25,11 +25,11 @@
 	Series     Series             `json:"Series"`
 	Endpoints  []EndpointLoad     `json:"Nodes"`
 	Classes    []ClassLatency     `json:"Classes"`
-	Seconds    []Second           `json:"Seconds"` // what came at endpoints
-	Elapsed    time.Duration      `json:"-"`       // of the computer, not of the run
+	Seconds    []Second           `json:"Seconds"` // arrivals at endpoints
+	Elapsed    time.Duration      `json:"-"`       // real time that the simulation took
 }
 
-// Series are lines over time, an entry for each Bin.
+// Series are figures over time, an entry for each Bin.
 type Series struct {
 	Bin      monotime.Micros `json:"Bin"`
 	Service  []float64       `json:"Service"`
@@ -42,21 +42,21 @@
 	P50      []float64       `json:"P50"`     // milliseconds
 	P99      []float64       `json:"P99"`
 	Class    [][]float64     `json:"Class"` // service of each class
-	Zone     [][]float64     `json:"Zone"`  // and of the clients in each zone
+	Zone     [][]float64     `json:"Zone"`  // service of the clients in each zone
 }
 
-// EndpointLoad is what one endpoint had to do.
+// EndpointLoad is the load of one endpoint.
 type EndpointLoad struct {
 	Name        string  `json:"Name"`
 	Zone        int     `json:"Zone"`
 	Executions  int64   `json:"Runs"`
 	Utilization float64 `json:"Worked"` // of its core time, 0 to 1
-	MaxInFlight int     `json:"Most"`   // requests held at once, at most
-	// requests that came, in each bin of the series; nil where there are many endpoints
+	MaxInFlight int     `json:"Most"`   // requests at the same time, at most
+	// Arrivals are the requests in each bin of the series; nil where there are many endpoints.
 	Arrivals []int64 `json:"Line,omitempty"`
 }
 
-// ClassLatency is how long a class's operations took that were served: pairs of a part of them and milliseconds.
+// ClassLatency has the latencies of a class's served operations: pairs of a percentage and milliseconds.
 type ClassLatency struct {
 	Name      string       `json:"Name"`
 	Count     int64        `json:"Count"`
@@ -65,7 +65,7 @@
 
 var quantiles = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99, 100}
 
-// Result sums up.
+// Result returns the result so far.
 func (m *Meter) Result() *Result {
 	r := &Result{
 		Figures:    map[string]float64{},
@@ -129,7 +129,7 @@
 	return all
 }
 
-// requestFigures adds what clients and instances sent for an operation, and what came of it.
+// requestFigures adds the requests of clients and instances for an operation, and how they ended.
 func (m *Meter) requestFigures(f map[string]float64) {
 	c := &m.Costs
 	n := math.Max(1, float64(m.operations))
@@ -147,7 +147,7 @@
 	f["late_fail"] = m.lateFailures / math.Max(1e-9, m.total.offered)
 }
 
-// service is the figure that a run is judged by: the goal's mix of the shares served, less the prices.
+// service is the main figure of a run: the shares served, weighted by the goal, less the prices.
 func (m *Meter) service(f map[string]float64) float64 {
 	g := &m.criteria.Goal
 	p := &m.criteria.Prices
@@ -161,39 +161,39 @@
 	return service
 }
 
-// modestFactor is how many times as much as the median client of its instance one may ask for and still be modest.
+// modestFactor bounds the operations of a modest client, relative to the median client of its instance.
 const modestFactor = 2
 
-// modestClients is what those clients got that ask for no more than others: their service, and the time in milliseconds
-// within which 99 in 100 of their answers came.
+// modestClients returns the service of the clients that request no more than others, and the 99th percentile of their
+// latencies in milliseconds.
 func (m *Meter) modestClients() (service, p99 float64) {
-	// In order, since sums of fractions depend on it.
+	// Sorted, since the order of additions changes the sum.
 	order := slices.SortedFunc(maps.Keys(m.clients), func(a, b [2]int) int { return slices.Compare(a[:], b[:]) })
 	var all weightSum
-	var took []int32
+	var latencies []int32
 	for len(order) > 0 {
 		n := 1
 		for n < len(order) && order[n][0] == order[0][0] {
 			n++
 		}
 		var counts []int64
-		for _, who := range order[:n] {
-			counts = append(counts, m.clients[who].operations)
+		for _, id := range order[:n] {
+			counts = append(counts, m.clients[id].operations)
 		}
 		slices.Sort(counts)
-		for _, who := range order[:n] {
-			if c := m.clients[who]; c.operations <= modestFactor*counts[n/2] {
+		for _, id := range order[:n] {
+			if c := m.clients[id]; c.operations <= modestFactor*counts[n/2] {
 				all.add(c.weightSum.offered, c.earned)
-				took = append(took, c.latencies...)
+				latencies = append(latencies, c.latencies...)
 			}
 		}
 		order = order[n:]
 	}
-	if len(took) == 0 {
+	if len(latencies) == 0 {
 		return all.share(), 0
 	}
-	slices.Sort(took)
-	return all.share(), float64(took[min(len(took)-1, len(took)*99/100)]) / 10
+	slices.Sort(latencies)
+	return all.share(), float64(latencies[min(len(latencies)-1, len(latencies)*99/100)]) / 10
 }
 
 func hex(v uint64) string {
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -8,16 +8,16 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// network says how long messages take. What one takes follows from who sends it for what, so that it is the same
-// whatever else goes on.
+// network gives the delay of each message. A delay depends on the message's sender and purpose only, so that it is the
+// same in all runs of a plan whatever else differs.
 type network struct {
 	plan            *scenario.Plan
 	stream          *randstream.Stream
-	cuts            [][2]int // pairs of zones between which nothing comes through; a zone of -1 is each
+	cuts            [][2]int // pairs of zones without a connection; -1 stands for all other zones
 	jitter          float64
 	loss            float64
 	retransmitAfter float64
-	meanDelay       [3]float64 // client, within, between
+	meanDelay       [3]float64 // microseconds: to a client, within a zone, between zones
 	schedulingSlack float64
 }
 
@@ -35,9 +35,9 @@
 	}
 }
 
-// delay draws how long one message takes.
-func (n *network) delay(mean float64, who ...uint64) monotime.Micros {
-	r := n.stream.For(who...)
+// delay draws the delay of one message in microseconds; key identifies it.
+func (n *network) delay(mean float64, key ...uint64) monotime.Micros {
+	r := n.stream.For(key...)
 	d := mean * (1 + n.jitter*r.ExpFloat64())
 	if n.schedulingSlack > 0 {
 		d += n.schedulingSlack * r.ExpFloat64()
@@ -49,25 +49,27 @@
 	return max(1, monotime.Micros(math.Round(d)))
 }
 
-// clientDelay is the way between a client and its instance, there or back.
+// clientDelay is the delay of a request from a client to its instance, or of the response back.
 func (n *network) clientDelay(operation uint64, request int, back bool) monotime.Micros {
-	way := uint64(request) << 1
+	message := uint64(request) << 1
 	if back {
-		way |= 1
+		message |= 1
 	}
-	return n.delay(n.meanDelay[0], 0, operation, way)
+	return n.delay(n.meanDelay[0], 0, operation, message)
 }
 
-// endpointDelay is the way between an instance and an endpoint; what is 0, 1, 2 for the steps of one attempt or probe.
-func (n *network) endpointDelay(a, b int, who, which, what uint64) monotime.Micros {
+// endpointDelay is the delay of a message between zones a and b: of an attempt, a probe or a fleet message, which who
+// and which identify. step numbers its messages.
+func (n *network) endpointDelay(a, b int, who, which, step uint64) monotime.Micros {
 	mean := n.meanDelay[2]
 	if a == b {
 		mean = n.meanDelay[1]
 	}
-	return n.delay(mean, 1, who, which, what)
+	return n.delay(mean, 1, who, which, step)
 }
 
-// pathBlocked says whether nothing comes through between an instance and an endpoint, towards the endpoint or back.
+// pathBlocked reports whether messages from an instance to an endpoint are lost, or with back those of the endpoint to
+// the instance.
 func (r *run) pathBlocked(in *instance, e *endpoint, back bool) bool {
 	for _, i := range r.blockingEvents {
 		if r.plan.PlannedEvents[i].BlocksPath(r.now, in.index, e.index, back) {
@@ -77,12 +79,12 @@
 	return r.network.zonesCut(in.zone, e.zone())
 }
 
-// dialBlocked says whether a connection cannot be opened: words of both ways are needed for it.
+// dialBlocked reports whether no connection can be opened: a handshake needs both directions.
 func (r *run) dialBlocked(in *instance, e *endpoint) bool {
 	return r.pathBlocked(in, e, false) || r.pathBlocked(in, e, true)
 }
 
-// zonesCut says whether nothing comes through between two zones.
+// zonesCut reports whether two zones have no connection.
 func (n *network) zonesCut(a, b int) bool {
 	if a == b {
 		return false
--- a/internal/simulation/operation.go
+++ b/internal/simulation/operation.go
@@ -10,15 +10,15 @@
 	"dunlinsail/internal/simulation/simclient"
 )
 
-// operation is a client's operation with the run's own state.
+// operation is a client's operation with the state that the run keeps of it.
 type operation struct {
 	simclient.Operation
 	run         *run
-	class       *balancer.Class // the criteria's
+	class       *balancer.Class // of the criteria
 	weight      float64
 	withinQuota bool
 	ended       bool
-	current     *clientRequest // the present one
+	current     *clientRequest // the latest request
 }
 
 // scheduleNextOperation schedules the next operation of an instance.
@@ -41,6 +41,7 @@
 	return r.clientRand.For(s.ID, uint64(draw))
 }
 
+// startOperation starts an instance's next operation, and schedules the one after it.
 func (r *run) startOperation(in *instance) {
 	s := &operation{Operation: in.nextOperation, run: r}
 	r.scheduleNextOperation(in)
@@ -58,6 +59,7 @@
 	s.send(s.Start(r.now, &r.behavior, s.class, r.clientDraws(&s.Operation, 0)))
 }
 
+// retryOperation sends an operation's next request.
 func (r *run) retryOperation(s *operation) {
 	if !s.ended {
 		s.send(s.Retry(r.now, &r.behavior, s.class, r.clientDraws(&s.Operation, 2*s.Requests)))
@@ -84,18 +86,18 @@
 	operation     *operation
 	instance      *instance
 	sentAt        monotime.Micros
-	done          bool // for the client
+	done          bool // the client waits no longer
 	incarnation   uint32
 	call          engine.Call
 	conn          *connlimit.Conn[*clientConn]
 	response      engine.Response
-	responded     bool // the instance has answered
-	submitted     bool // by the engine
-	inFlightIndex int  // among its instance's open ones
-	effects       int  // of its attempts
+	responded     bool // the instance has sent its response
+	submitted     bool // the engine has it
+	inFlightIndex int  // in its instance's inFlight
+	effects       int  // executions that had an effect
 }
 
-// responseArrived takes the instance's answer to the client.
+// responseArrived handles the arrival of the instance's response at the client.
 func (t *clientRequest) responseArrived() {
 	r := t.operation.run
 	if t.done {
@@ -114,7 +116,7 @@
 	}
 }
 
-// clientLeaves has the client go if it still waits.
+// clientLeaves ends the request for a client that still waits.
 func (t *clientRequest) clientLeaves() {
 	if t.done {
 		return
@@ -122,7 +124,7 @@
 	r := t.operation.run
 	if r.now >= t.Deadline && t.submitted && t.incarnation == t.instance.incarnation && !t.responded &&
 		t.instance.frozenUntil < t.sentAt {
-		r.meter.Costs.LateResponses++ // a running instance that took it owed an answer by now
+		r.meter.Costs.LateResponses++ // a running instance owed a response by now
 	}
 	r.trace(t, -1, "", "leaves")
 	if t.submitted && t.incarnation == t.instance.incarnation && !t.instance.down {
@@ -160,7 +162,7 @@
 	}
 }
 
-func (r *run) trace(t *clientRequest, attempt int, node, what string) {
+func (r *run) trace(t *clientRequest, attempt int, endpoint, step string) {
 	if r.options.Trace != nil {
 		r.options.Trace(Trace{
 			At:        r.now,
@@ -168,8 +170,8 @@
 			Request:   t.Number,
 			Instance:  t.instance.index,
 			Attempt:   attempt,
-			Endpoint:  node,
-			Step:      what,
+			Endpoint:  endpoint,
+			Step:      step,
 		})
 	}
 }
--- a/internal/simulation/plannedevents.go
+++ b/internal/simulation/plannedevents.go
@@ -14,13 +14,13 @@
 	for i := range r.plan.PlannedEvents {
 		h := &r.plan.PlannedEvents[i]
 		r.events.push(h.At, plannedEventStarts, uint32(i), nil)
-		if h.Until < math.MaxInt64 && h.What != "rolling" && h.What != "pause" {
+		if h.Until < math.MaxInt64 && h.What != scenario.EventRollingRestart && h.What != scenario.EventPause {
 			r.events.push(h.Until, plannedEventEnds, uint32(i), nil)
 		}
 	}
 }
 
-// updateCondition sets an endpoint's condition from all planned events under way.
+// updateCondition sets an endpoint's condition by all planned events that are active.
 func (r *run) updateCondition(n int) {
 	var c simendpoint.Condition
 	for i := range r.plan.PlannedEvents {
@@ -44,57 +44,58 @@
 func (r *run) startEvent(i int) {
 	h := &r.plan.PlannedEvents[i]
 	switch h.What {
-	case "slow", "errors", "mute", "full", "lies", "babble", "late-reports":
+	case scenario.EventSlow, scenario.EventErrors, scenario.EventUnanswered, scenario.EventRejecting,
+		scenario.EventFalseReports, scenario.EventInvalidReports, scenario.EventLateReports:
 		for _, n := range h.Endpoints {
 			r.updateCondition(n)
 		}
-	case "neighbour":
+	case scenario.EventNeighbour:
 		r.stepEvent(i, 0)
-	case "pause":
+	case scenario.EventPause:
 		for _, n := range h.Endpoints {
 			e := r.endpoints[n]
 			e.advance()
 			e.model.Pause(r.now, h.Until-h.At)
 		}
-	case "drain":
+	case scenario.EventDrain:
 		for _, n := range h.Endpoints {
 			r.endpoints[n].drain()
 		}
-	case "kill":
+	case scenario.EventKill:
 		for _, n := range h.Endpoints {
 			r.killEndpoint(n, false)
 		}
-	case "vanish":
+	case scenario.EventMachineLost:
 		for _, n := range h.Endpoints {
 			r.killEndpoint(n, true)
 		}
-	case "rolling":
+	case scenario.EventRollingRestart:
 		r.stepEvent(i, 0)
-	case "cut":
+	case scenario.EventZonePartition:
 		r.network.cuts = append(r.network.cuts, [2]int{h.Zone, h.To})
-	case "stale":
+	case scenario.EventDiscoveryDelay:
 		r.discovery.extraDelay += h.Delay
-	case "silent":
+	case scenario.EventDiscoverySilent:
 		r.discovery.silent = true
-	case "restart":
+	case scenario.EventInstanceRestart:
 		r.restartInstances(h)
-	case "limits":
+	case scenario.EventTenantLimits:
 		r.scaleTenantLimits(h, h.Sizes[0])
-	case "upgrade":
+	case scenario.EventHotRestart:
 		for _, n := range h.Instances {
 			if in := r.instances[n]; !in.down {
 				in.upgrade()
 			}
 		}
-	case "freeze":
+	case scenario.EventInstanceFreeze:
 		r.stepEvent(i, 0)
-	case "deaf":
+	case scenario.EventWatchBlocked:
 		for _, n := range h.Instances {
 			r.instances[n].discoveryBlocks++
 		}
-	case "sever":
+	case scenario.EventPathBlocked:
 		r.blockingEvents = append(r.blockingEvents, i)
-	case "power":
+	case scenario.EventPowerCut:
 		r.killAll()
 	}
 }
@@ -128,7 +129,7 @@
 	r.discovery.endpointChanged(n, balancer.Gone, silent)
 }
 
-// killInstance kills an instance with all that it holds: its clients see their connections break.
+// killInstance kills an instance. The clients of its requests in flight see their connections reset.
 func (r *run) killInstance(in *instance) {
 	if in.down {
 		return
@@ -141,14 +142,14 @@
 }
 
 // scaleTenantLimits multiplies the tenants' limits at the event's instances.
-func (r *run) scaleTenantLimits(h *scenario.PlannedEvent, times float64) {
-	var all []float64
-	for _, v := range r.settings.Site.TenantLimits {
-		all = append(all, v*times)
+func (r *run) scaleTenantLimits(h *scenario.PlannedEvent, factor float64) {
+	var limits []float64
+	for _, limit := range r.settings.Site.TenantLimits {
+		limits = append(limits, limit*factor)
 	}
 	for _, n := range h.Instances {
 		if in := r.instances[n]; !in.down {
-			in.engine.SetTenantLimits(all)
+			in.engine.SetTenantLimits(limits)
 		}
 	}
 }
@@ -157,40 +158,41 @@
 func (r *run) endEvent(i int) {
 	h := &r.plan.PlannedEvents[i]
 	switch h.What {
-	case "slow", "errors", "mute", "full", "lies", "babble", "late-reports", "neighbour":
+	case scenario.EventSlow, scenario.EventErrors, scenario.EventUnanswered, scenario.EventRejecting,
+		scenario.EventFalseReports, scenario.EventInvalidReports, scenario.EventLateReports, scenario.EventNeighbour:
 		for _, n := range h.Endpoints {
 			r.updateCondition(n)
 		}
-	case "drain", "kill", "vanish":
+	case scenario.EventDrain, scenario.EventKill, scenario.EventMachineLost:
 		for _, n := range h.Endpoints {
 			r.endpoints[n].start(false)
 		}
-	case "cut":
+	case scenario.EventZonePartition:
 		for j, c := range r.network.cuts {
 			if c == [2]int{h.Zone, h.To} {
 				r.network.cuts = append(r.network.cuts[:j], r.network.cuts[j+1:]...)
 				break
 			}
 		}
-	case "stale":
+	case scenario.EventDiscoveryDelay:
 		r.discovery.extraDelay -= h.Delay
-	case "silent":
+	case scenario.EventDiscoverySilent:
 		r.discovery.resume()
-	case "restart":
+	case scenario.EventInstanceRestart:
 		for _, n := range h.Instances {
 			if in := r.instances[n]; in.down {
 				in.start(false)
 			}
 		}
-	case "limits":
+	case scenario.EventTenantLimits:
 		r.scaleTenantLimits(h, 1)
-	case "deaf":
+	case scenario.EventWatchBlocked:
 		for _, n := range h.Instances {
 			r.instances[n].resumeDiscovery()
 		}
-	case "sever":
+	case scenario.EventPathBlocked:
 		r.blockingEvents = slices.DeleteFunc(r.blockingEvents, func(at int) bool { return at == i })
-	case "power":
+	case scenario.EventPowerCut:
 		for _, e := range r.endpoints {
 			e.start(false)
 		}
@@ -202,14 +204,14 @@
 	}
 }
 
-// stepEvent goes on with what happens in steps: a neighbour on and off, or endpoints restarted one after another.
+// stepEvent goes on with an event of several steps: faults that come and go, or endpoints restarted one after another.
 func (r *run) stepEvent(i, at int) {
 	h := &r.plan.PlannedEvents[i]
 	if r.now >= h.Until {
 		return
 	}
 	switch h.What {
-	case "freeze":
+	case scenario.EventInstanceFreeze:
 		until, frozen := h.Frozen(r.now)
 		for _, n := range h.Instances {
 			if frozen {
@@ -219,18 +221,18 @@
 		if h.Every > 0 {
 			r.events.push(r.now+h.Every, plannedEventSteps, uint32(i), at+1)
 		}
-	case "neighbour":
+	case scenario.EventNeighbour:
 		for _, n := range h.Endpoints {
 			r.updateCondition(n)
 		}
 		if h.Every > 0 {
 			r.events.push(r.now+h.Every, plannedEventSteps, uint32(i), at+1)
 		}
-	case "rolling":
+	case scenario.EventRollingRestart:
 		if at >= len(h.Endpoints) {
 			return
 		}
-		// It has its time to drain, and comes up again as the next one begins.
+		// The endpoint has until the next step to drain, and starts again then.
 		r.endpoints[h.Endpoints[at]].drain()
 		r.events.push(r.now+h.Every, endpointStarts, uint32(h.Endpoints[at]), nil)
 		r.events.push(r.now+h.Every, plannedEventSteps, uint32(i), at+1)
--- a/internal/simulation/probe.go
+++ b/internal/simulation/probe.go
@@ -7,10 +7,10 @@
 	"dunlinsail/internal/simulation/measure"
 )
 
-// probeTimeout is how long a probe is waited for.
+// probeTimeout is the time after which a probe without a reply has failed.
 const probeTimeout = second / 4
 
-// probe is one that is out.
+// probe is a probe that an instance has sent.
 type probe struct {
 	instance       *instance
 	engineEndpoint *engine.Endpoint
@@ -22,6 +22,7 @@
 	reply          engine.AttemptResult
 }
 
+// newProbe sends a probe to an endpoint.
 func newProbe(in *instance, e *engine.Endpoint) {
 	r := in.run
 	in.probes++
@@ -42,12 +43,14 @@
 	r.events.push(r.now+in.overhead()+p.delay(0), probeAtEndpoint, 0, p)
 }
 
-func (p *probe) delay(what uint64) monotime.Micros {
+// delay is the delay of a message between the instance and the endpoint. step numbers the probe's messages.
+func (p *probe) delay(step uint64) monotime.Micros {
 	r := p.instance.run
 	return r.network.endpointDelay(p.instance.zone, p.endpoint.zone(), uint64(p.instance.index)|1<<63, p.number,
-		what) + r.plan.ExtraDelay(r.now, p.instance.index, p.endpoint.index)
+		step) + r.plan.ExtraDelay(r.now, p.instance.index, p.endpoint.index)
 }
 
+// arriveAtEndpoint has the endpoint reply with its load report.
 func (p *probe) arriveAtEndpoint() {
 	r := p.instance.run
 	switch {
@@ -55,7 +58,7 @@
 		p.reply.Status = balancer.ConnectFailed
 	default:
 		r.meter.RecordArrival(r.now, p.endpoint.index, measure.ProbeArrival)
-		r.meter.Costs.Probes++ // those that reach an endpoint, as that counts them
+		r.meter.Costs.Probes++ // probes that reach an endpoint, as the endpoint counts them
 		load := p.endpoint.model.Probe(r.now, r.reportRand.For(uint64(p.instance.index), p.number))
 		for _, f := range p.instance.site.Settings.LoadMetrics {
 			var v float64
@@ -79,6 +82,7 @@
 	r.events.push(r.now+p.delay(1)+p.instance.overhead(), probeReplied, 0, p)
 }
 
+// replyArrived gives the reply to the engine.
 func (p *probe) replyArrived() {
 	if p.incarnation != p.instance.incarnation || p.instance.down {
 		return
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -16,7 +16,7 @@
 	r := t.operation.run
 	s := t.operation
 	if t.done {
-		return // its client has left already
+		return // the client has left already
 	}
 	if in.down || !in.acceptConn(t) {
 		r.events.push(r.now+r.network.clientDelay(s.ID, t.Number, true), connRejected, 0, t)
@@ -31,7 +31,8 @@
 	if s.Tenant >= 0 {
 		tenant = uint16(r.settingsTenant[s.Tenant])
 	}
-	// What is told is how long the client waits from when it sent the request; the way here is not known.
+	// A request carries the time that its client waits from sending on. The instance does not know the delay since
+	// then.
 	t.call = engine.Call{
 		Client:    in.clients[s.Process],
 		Pool:      in.pool,
@@ -52,7 +53,7 @@
 	in.advanceEngine()
 }
 
-// acceptConn finds a connection for a request, or opens one, and says whether there is one.
+// acceptConn takes an idle connection of the request's client, or a new one, and reports whether it got one.
 func (in *instance) acceptConn(t *clientRequest) bool {
 	now := in.localTime()
 	p := t.operation.Process
@@ -63,9 +64,9 @@
 		}
 		in.forgetIdleClientConn(c)
 	}
-	if rest := in.idleClientConns[p]; len(rest) > 0 {
-		t.conn = rest[len(rest)-1]
-		in.idleClientConns[p] = rest[:len(rest)-1]
+	if idle := in.idleClientConns[p]; len(idle) > 0 {
+		t.conn = idle[len(idle)-1]
+		in.idleClientConns[p] = idle[:len(idle)-1]
 	} else {
 		c, closed := in.connTable.Add(now, in.owners[p], &clientConn{p})
 		if closed != nil {
@@ -79,18 +80,18 @@
 	return in.connTable.MarkBusy(t.conn)
 }
 
-// forgetIdleClientConn forgets a client's connection that was closed at rest.
+// forgetIdleClientConn removes an idle connection that was closed.
 func (in *instance) forgetIdleClientConn(c *connlimit.Conn[*clientConn]) {
-	rest := in.idleClientConns[c.Value.process]
-	for i := range rest {
-		if rest[i] == c {
-			in.idleClientConns[c.Value.process] = append(rest[:i], rest[i+1:]...)
+	idle := in.idleClientConns[c.Value.process]
+	for i := range idle {
+		if idle[i] == c {
+			in.idleClientConns[c.Value.process] = append(idle[:i], idle[i+1:]...)
 			return
 		}
 	}
 }
 
-// removeInFlight takes a request out of those that are open.
+// removeInFlight removes a request from those in flight.
 func (in *instance) removeInFlight(t *clientRequest) {
 	last := len(in.inFlight) - 1
 	in.inFlight[t.inFlightIndex] = in.inFlight[last]
@@ -100,14 +101,14 @@
 }
 
 // recordRequest reports a finished request to Options.Record.
-func (in *instance) recordRequest(t *clientRequest, left bool) {
-	tell := in.run.options.Record
-	if tell == nil {
+func (in *instance) recordRequest(t *clientRequest, clientGone bool) {
+	record := in.run.options.Record
+	if record == nil {
 		return
 	}
 	s := t.operation
 	arrived := t.call.ArrivedAt
-	tell(&RequestRecord{
+	record(&RequestRecord{
 		Instance:       in.index,
 		Process:        s.Process,
 		Operation:      s.ID,
@@ -119,12 +120,12 @@
 		ArrivedAt:      arrived,
 		Duration:       in.localTime() - arrived,
 		Timeout:        t.call.Request.Deadline - arrived,
-		ClientGone:     left,
+		ClientGone:     clientGone,
 		Response:       t.response,
 	})
 }
 
-// clientGone tells the engine that a client has gone.
+// clientGone notifies the engine that a request's client has left.
 func (in *instance) clientGone(t *clientRequest) {
 	if !t.responded {
 		in.removeInFlight(t)
--- a/internal/simulation/scenario/capacity.go
+++ b/internal/simulation/scenario/capacity.go
@@ -9,30 +9,29 @@
 // servableStep is the time resolution of MaxServableShare.
 const servableStep = second / 4
 
-// MaxServableShare estimates the part of the plan's operations that what is left of the endpoints could serve at best:
-// in each moment as much as is asked for, or as the endpoints that are up and known to be can do, each at the speed
-// that it has then. Nobody knows in advance what this takes as known, and operations do not come evenly: it is a bound,
-// not an aim.
+// MaxServableShare is an upper bound of the share of the plan's operations that the endpoints could serve: in each step
+// of time the demand, or the capacity of the endpoints that are up, at the speed that each has then. No balancer
+// reaches it, since none knows the faults in advance and operations do not arrive evenly.
 func (p *Plan) MaxServableShare() float64 {
-	var asked, could float64
+	var requested, servable float64
 	backlog := 0.0
 	work := p.MeanWork()
 	times := p.surges()
 	for at := monotime.Micros(0); at < p.Length.Micros(); at += servableStep {
 		demand := p.Rate * p.RateFactor(at) * times(at) * float64(servableStep) / float64(second)
 		capacity := p.CapacityAt(at) * float64(servableStep) / work
-		asked += demand
+		requested += demand
 		served := min(demand+backlog, capacity)
-		could += served
-		backlog = min(demand, demand+backlog-served) // what waits for longer than a moment is late
+		servable += served
+		backlog = min(demand, demand+backlog-served) // operations that wait for longer than a step are late
 	}
-	if asked <= 0 {
+	if requested <= 0 {
 		return 1
 	}
-	return min(1, could/asked)
+	return min(1, servable/requested)
 }
 
-// surges returns how many times the traffic of all instances is at an instant, beside the shape.
+// surges returns a function of time: the factor by which surges multiply the traffic of all instances.
 func (p *Plan) surges() func(at monotime.Micros) float64 {
 	var all []*operationMix
 	for i := range p.Instances {
@@ -53,7 +52,7 @@
 	}
 }
 
-// CapacityAt is the useful work that all endpoints can do in a microsecond at an instant.
+// CapacityAt is the useful work in microseconds that all endpoints can do in a microsecond at an instant.
 func (p *Plan) CapacityAt(at monotime.Micros) float64 {
 	speed := make([]float64, len(p.Endpoints))
 	for i := range p.Endpoints {
@@ -65,27 +64,27 @@
 	}
 	for i := range p.PlannedEvents {
 		h := &p.PlannedEvents[i]
-		if at < h.At || h.What == "rolling" && at >= h.Until {
+		if at < h.At || h.What == EventRollingRestart && at >= h.Until {
 			continue
 		}
 		over := at >= h.Until
 		switch h.What {
-		case "kill", "vanish", "drain", "power":
-			nodes := h.Endpoints
-			if h.What == "power" {
-				nodes = nil
+		case EventKill, EventMachineLost, EventDrain, EventPowerCut:
+			endpoints := h.Endpoints
+			if h.What == EventPowerCut {
+				endpoints = nil
 				for j := range p.Endpoints {
-					nodes = append(nodes, j)
+					endpoints = append(endpoints, j)
 				}
 			}
-			for _, j := range nodes {
+			for _, j := range endpoints {
 				if !over {
 					speed[j] = 0
 				} else if h.Until < math.MaxInt64 {
 					speed[j] *= p.Endpoints[j].warmupShare(at - h.Until)
 				}
 			}
-		case "rolling":
+		case EventRollingRestart:
 			for k, j := range h.Endpoints {
 				if from := h.At + monotime.Micros(k)*h.Every; at >= from && at < from+h.Every {
 					speed[j] = 0
@@ -93,7 +92,7 @@
 					speed[j] *= p.Endpoints[j].warmupShare(at - from - h.Every)
 				}
 			}
-		case "slow", "lies", "errors", "mute", "full", "neighbour", "pause":
+		case EventSlow, EventFalseReports, EventErrors, EventUnanswered, EventRejecting, EventNeighbour, EventPause:
 			if over {
 				continue
 			}
@@ -109,7 +108,7 @@
 	return sum
 }
 
-// warmupShare is the part of its speed that a node has so long after its start.
+// warmupShare is the part of its speed that an endpoint has at an age since its start.
 func (n *Endpoint) warmupShare(age monotime.Micros) float64 {
 	c := &n.Config
 	if c.WarmupDuration <= 0 || age >= c.WarmupDuration {
@@ -121,33 +120,33 @@
 // remainingSpeed is the part of its speed that an event leaves an endpoint.
 func remainingSpeed(h *PlannedEvent, k int, at monotime.Micros) float64 {
 	switch h.What {
-	case "slow", "lies":
+	case EventSlow, EventFalseReports:
 		return 1 / h.Sizes[k]
-	case "errors", "mute", "full":
+	case EventErrors, EventUnanswered, EventRejecting:
 		if h.Class >= 0 {
 			return 1 // the others can be served there
 		}
 		return 1 - h.Sizes[k]
-	case "neighbour":
+	case EventNeighbour:
 		if h.Every <= 0 || (at-h.At)/h.Every%2 == 0 {
 			return 1 - h.Sizes[k]
 		}
-	case "pause":
+	case EventPause:
 		return 0
 	}
 	return 1
 }
 
-// InstanceServing says whether an instance takes requests at an instant: it is neither stopped nor killed.
+// InstanceServing reports whether an instance accepts requests at an instant: it is neither frozen nor killed.
 func (p *Plan) InstanceServing(instance int, at monotime.Micros) bool {
 	for i := range p.PlannedEvents {
 		h := &p.PlannedEvents[i]
 		switch h.What {
-		case "freeze":
+		case EventInstanceFreeze:
 			if _, frozen := h.Frozen(at); frozen && contains(h.Instances, instance) {
 				return false
 			}
-		case "restart", "power":
+		case EventInstanceRestart, EventPowerCut:
 			until := h.Until
 			if until == math.MaxInt64 {
 				until = h.At + second
--- a/internal/simulation/scenario/check.go
+++ b/internal/simulation/scenario/check.go
@@ -9,6 +9,7 @@
 	"dunlinsail/internal/stricttoml"
 )
 
+// check checks all values of the scenario; each wrong one is an error with its key.
 func (s *Scenario) check(k *stricttoml.Validation) {
 	k.Require(s.Name != "", "name", "is missing")
 	k.Require(s.Length.Duration >= time.Second, "length", "%v is under a second", s.Length)
@@ -123,84 +124,3 @@
 	}
 	k.Require(c.Objects >= 1, "clients.objects", "%d: must be at least 1", c.Objects)
 }
-
-func (s *Scenario) checkEvent(k *stricttoml.Validation, i int) {
-	e := &s.Events[i]
-	at := func(key string) string { return fmt.Sprintf("event.%d.%s", i, key) }
-	kind, known := eventKinds[e.What]
-	if !known {
-		words := map[string]bool{}
-		for w := range eventKinds {
-			words[w] = true
-		}
-		stricttoml.Enum(k, at("what"), e.What, words)
-		return
-	}
-	k.Require(e.At != nil, at("at"), "is missing")
-	k.Require((e.Delay != nil) == (e.What == "late-reports" || e.What == "late-words" || e.What == "stale" ||
-		e.What == "lag" || e.What == "work"), at("delay"),
-		"is for late-reports, late-words, stale, lag and work, and needed there")
-	k.Require(e.At == nil || e.At.From < s.Length.Duration, at("at"), "it is after the end, %v", s.Length)
-	k.Require(e.Zone == "" || slices.Contains(s.Fleet.Zones, e.Zone), at("zone"), "%q is none of fleet.zones", e.Zone)
-	k.Require(e.To == "" || slices.Contains(s.Fleet.Zones, e.To), at("to"), "%q is none of fleet.zones", e.To)
-	k.Require(e.Kind == "" || slices.ContainsFunc(s.EndpointKinds,
-		func(n EndpointKind) bool { return n.Kind == e.Kind }), at("kind"), "%q is none of the kinds of nodes", e.Kind)
-	k.Require(e.Class == "" || slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == e.Class }),
-		at("class"), "%q is none of the classes", e.Class)
-	k.Require(e.Tenant == "" || slices.ContainsFunc(s.Tenants, func(t Tenant) bool { return t.Name == e.Tenant }),
-		at("tenant"), "%q is none of the tenants", e.Tenant)
-	ofInstances := e.What == "restart" || e.What == "freeze" || e.What == "deaf" || e.What == "sever" ||
-		e.What == "lag" || e.What == "surge" || e.What == "part" || e.What == "late-words" || e.What == "upgrade" ||
-		e.What == "limits"
-	k.Require(ofInstances || len(e.Instances) == 0, at("instances"), "%q does not happen to instances", e.What)
-	checkRange(k, at("instances"), e.Instances, 0, 1)
-	k.Require(ofInstances || len(e.Named) == 0, at("named"), "%q does not happen to instances", e.What)
-	k.Require(len(e.Named) == 0 || len(e.Instances) == 0, at("named"), "either named or instances")
-	k.Require(len(e.Others) == 0 || e.What == "part", at("others"), "is for part only")
-	for _, n := range append(slices.Clone(e.Named), e.Others...) {
-		k.Require(n >= 0, at("named"), "%d is negative", n)
-	}
-	stricttoml.Enum(k, at("way"), e.Way, map[string]bool{"": true, "to": true, "from": true})
-	k.Require(e.Way == "" || e.What == "sever" || e.What == "part", at("way"), "is for sever and part only")
-	k.Require(kind.nodes || e.Kind == "", at("kind"), "%q does not happen to endpoints", e.What)
-	checkRange(k, at("part"), e.Part, 0, 1)
-	k.Require(len(e.Part) == 0 || e.Count == 0, at("count"), "either a part or a count")
-	k.Require(e.Count >= 0, at("count"), "%d is negative", e.Count)
-	k.Require((len(e.Size) > 0) == (kind.size != ""), at("size"), "%q takes %s", e.What, sizeText(kind.size))
-	checkEventSize(k, e, at)
-	k.Require(e.Class == "" || e.What == "errors" || e.What == "surge", at("class"), "is for errors and surge only")
-	k.Require(e.Tenant == "" || e.What == "surge", at("tenant"), "is for surge only")
-	k.Require(!e.One || e.What == "surge", at("one"), "is for surge only")
-	k.Require(e.Every.Duration == 0 || e.What == "neighbour" || e.What == "rolling" || e.What == "pause" ||
-		e.What == "freeze" || e.What == "part", at("every"), "is for neighbour, pause, rolling, freeze and part only")
-	k.Require(e.What != "rolling" || e.Every.Duration > 0, at("every"), "is missing: the time from one to the next")
-	k.Require(e.What != "pause" || e.For != nil, at("for"), "is missing: how long it stops")
-	k.Require(e.What != "stale" && e.What != "silent" && e.What != "freeze" && e.What != "deaf" || e.For != nil,
-		at("for"), "is missing")
-}
-
-// checkEventSize checks the size of an event, whose bounds differ from kind to kind, and the zones of a cut.
-func checkEventSize(k *stricttoml.Validation, e *Event, at func(key string) string) {
-	switch e.What {
-	case "slow", "lies":
-		checkRange(k, at("size"), e.Size, 1, 1000)
-	case "errors", "mute", "full":
-		checkRange(k, at("size"), e.Size, 0, 1)
-	case "neighbour":
-		checkRange(k, at("size"), e.Size, 0, 0.99)
-	case "surge", "limits":
-		checkRange(k, at("size"), e.Size, 0, 1000)
-	case "liar":
-		checkRange(k, at("size"), e.Size, 1, 1e9)
-	case "cut":
-		k.Require(e.Zone != "", at("zone"), "is missing: which zone is cut off")
-		k.Require(e.To != e.Zone, at("to"), "a zone cannot be cut off from itself")
-	}
-}
-
-func sizeText(size string) string {
-	if size == "" {
-		return "no size"
-	}
-	return "a size: " + size
-}
--- a/internal/simulation/scenario/draw.go
+++ b/internal/simulation/scenario/draw.go
@@ -12,7 +12,7 @@
 	"dunlinsail/internal/simulation/simendpoint"
 )
 
-// sorted returns numbers in order; nil where there are none.
+// sorted returns a sorted copy; nil stays nil.
 func sorted(list []int) []int {
 	list = slices.Clone(list)
 	slices.Sort(list)
@@ -32,6 +32,7 @@
 	return p
 }
 
+// drawEndpoints draws the endpoints, and adds up their capacity.
 func (p *Plan) drawEndpoints() {
 	stream := randstream.New(p.Seed, "nodes")
 	cancels := map[string]simendpoint.Cancellation{
@@ -91,6 +92,7 @@
 	}
 }
 
+// drawInstances draws the instances; their shares of the traffic add up to 1.
 func (p *Plan) drawInstances() {
 	stream := randstream.New(p.Seed, "instances")
 	var sum float64
@@ -123,19 +125,19 @@
 	}
 }
 
-// subset returns the endpoints that an instance is told of, so that all are told to as many instances as any other
-// (deterministic subsetting: Beyer et al., "Site Reliability Engineering", chapter 20).
+// subset returns the endpoints on an instance's list, such that each endpoint is on equally many lists (deterministic
+// subsetting: Beyer et al., "Site Reliability Engineering", chapter 20).
 func (p *Plan) subset(instance int) []int {
 	size := p.Fleet.Subset
 	groups := len(p.Endpoints) / size
 	order := randstream.New(p.Seed, "subset").For(uint64(instance / groups)).Perm(len(p.Endpoints))
 	at := (instance % groups) * size
-	mine := slices.Clone(order[at : at+size])
-	slices.Sort(mine)
-	return mine
+	subset := slices.Clone(order[at : at+size])
+	slices.Sort(subset)
+	return subset
 }
 
-// chooseEndpoints returns the endpoints that an event happens to.
+// chooseEndpoints draws the endpoints that an event applies to.
 func (p *Plan) chooseEndpoints(e *Event, r *rand.Rand) []int {
 	var from []int
 	for i, n := range p.Endpoints {
@@ -154,7 +156,7 @@
 	return sample(r, from, n)
 }
 
-// sample returns so many of them, drawn without order, in their order.
+// sample draws n different numbers of a list, and returns them sorted.
 func sample(r *rand.Rand, from []int, n int) (drawn []int) {
 	for _, at := range r.Perm(len(from))[:n] {
 		drawn = append(drawn, from[at])
@@ -163,11 +165,12 @@
 	return drawn
 }
 
-// chooseInstances returns the instances that an event happens to. Of what happens on ways its zone is the endpoints'.
+// chooseInstances draws the instances that an event applies to. The zone of an event on network paths selects
+// endpoints, not instances.
 func (p *Plan) chooseInstances(e *Event, r *rand.Rand) []int {
 	var from []int
 	for i, in := range p.Instances {
-		if e.Zone == "" || eventKinds[e.What].nodes || p.Fleet.Zones[in.Zone] == e.Zone {
+		if e.Zone == "" || eventKinds[e.What].endpoints || p.Fleet.Zones[in.Zone] == e.Zone {
 			from = append(from, i)
 		}
 	}
@@ -181,6 +184,7 @@
 	return sample(r, from, n)
 }
 
+// drawEvents draws the events, and sorts them by their start.
 func (p *Plan) drawEvents() {
 	stream := randstream.New(p.Seed, "events")
 	for i := range p.Events {
@@ -217,7 +221,7 @@
 		if e.To != "" {
 			h.To = slices.Index(p.Fleet.Zones, e.To)
 		}
-		if eventKinds[e.What].nodes {
+		if eventKinds[e.What].endpoints {
 			h.Endpoints = p.chooseEndpoints(e, r)
 			for range h.Endpoints {
 				h.Sizes = append(h.Sizes, randstream.Range(r, e.Size.ends(0)))
--- a/internal/simulation/scenario/operations.go
+++ b/internal/simulation/scenario/operations.go
@@ -10,8 +10,9 @@
 	"dunlinsail/internal/simulation/simclient"
 )
 
-// Source gives the operations of an instance in the order in which they begin, in place of those that a plan draws.
+// Source gives an instance's operations in the order of their starts, in place of those that a plan draws.
 type Source interface {
+	// Operations returns a function that returns the next operation of an instance, and false after the last one.
 	Operations(instance int) func() (simclient.Operation, bool)
 }
 
@@ -20,8 +21,7 @@
 	if len(p.Shape) == 0 {
 		return 1
 	}
-	i, _ := slices.BinarySearchFunc(p.Shape, at, func(s RatePoint,
-		at monotime.Micros) int {
+	i, _ := slices.BinarySearchFunc(p.Shape, at, func(s RatePoint, at monotime.Micros) int {
 		return cmp.Compare(s.At.Micros(), at)
 	})
 	switch {
@@ -36,13 +36,12 @@
 	return a.Factor + (b.Factor-a.Factor)*part
 }
 
-// surge is how many times the traffic of an instance, a class, a tenant and a client process is at an instant, beside
-// the shape.
+// surge is the factor by which surges multiply the traffic of a class, tenant and client process of an instance.
 func (p *Plan) surge(at monotime.Micros, instance, class, tenant, process int) float64 {
 	v := 1.0
 	for i := range p.PlannedEvents {
 		h := &p.PlannedEvents[i]
-		if h.What == "surge" && at >= h.At && at < h.Until && contains(h.Instances, instance) &&
+		if h.What == EventSurge && at >= h.At && at < h.Until && contains(h.Instances, instance) &&
 			(h.Class < 0 || h.Class == class) &&
 			(h.Tenant < 0 || h.Tenant == tenant) && (!h.OneClient || process == 0) {
 			v *= h.Sizes[0]
@@ -51,7 +50,7 @@
 	return v
 }
 
-// operationMix are whose and what an operation may be: a weight for each class, tenant and client process.
+// operationMix has the weight of each combination of class, tenant and client process among an instance's operations.
 type operationMix struct {
 	plan      *Plan
 	instance  int
@@ -82,16 +81,16 @@
 		k.sum += w
 	}
 	k.weights = slices.Clone(k.base)
-	k.surges = slices.ContainsFunc(p.PlannedEvents, func(h PlannedEvent) bool { return h.What == "surge" })
+	k.surges = p.HasEvent(EventSurge)
 	return k
 }
 
-// split returns class, tenant and process of a place.
+// split returns the class, tenant and process of an index in weights.
 func (k *operationMix) split(i int) (class, tenant, process int) {
 	return i / (k.tenants * k.processes), i / k.processes % k.tenants, i % k.processes
 }
 
-// setTime sets the weights of an instant.
+// setTime sets the weights to those of an instant.
 func (k *operationMix) setTime(at monotime.Micros) {
 	if !k.surges {
 		return
@@ -104,7 +103,7 @@
 	}
 }
 
-// pick returns one, drawn by its weight.
+// pick draws a combination by its weight.
 func (k *operationMix) pick(r *rand.Rand) (class, tenant, process int) {
 	x := r.Float64() * k.sum
 	for i, w := range k.weights {
@@ -115,30 +114,31 @@
 	return k.split(len(k.weights) - 1)
 }
 
-// Operations returns the operations that begin at an instance, one at each call, in their order, until there are none.
+// Operations returns a function that returns an instance's operations in the order of their starts, one at each call,
+// and false after the last one.
 func (p *Plan) Operations(instance int) func() (simclient.Operation, bool) {
 	if p.Source != nil {
 		return p.Source.Operations(instance)
 	}
 	in := &p.Instances[instance]
 	arrivals := randstream.New(p.Seed, "arrivals").Source(uint64(instance))
-	stories := randstream.New(p.Seed, "stories")
+	operations := randstream.New(p.Seed, "stories")
 	kinds := p.operationMix(instance)
-	// Thinning (Lewis, Shedler: "Simulation of nonhomogeneous Poisson processes by thinning", 1979): the rate is drawn
-	// at its height, and a part of the arrivals taken.
-	most := 0.0
+	// Thinning (Lewis, Shedler: "Simulation of nonhomogeneous Poisson processes by thinning", 1979): arrivals are drawn
+	// at the highest rate, and a part of them is kept.
+	maxFactor := 0.0
 	for _, s := range p.Shape {
-		most = max(most, s.Factor)
+		maxFactor = max(maxFactor, s.Factor)
 	}
 	if len(p.Shape) == 0 {
-		most = 1
+		maxFactor = 1
 	}
 	for i := range p.PlannedEvents {
-		if h := &p.PlannedEvents[i]; h.What == "surge" {
-			most *= max(1, h.Sizes[0])
+		if h := &p.PlannedEvents[i]; h.What == EventSurge {
+			maxFactor *= max(1, h.Sizes[0])
 		}
 	}
-	rate := p.Rate * in.Share * most / float64(second)
+	rate := p.Rate * in.Share * maxFactor / float64(second)
 	at := 0.0
 	n := uint64(0)
 	end := float64(p.Length.Micros())
@@ -152,12 +152,12 @@
 				return simclient.Operation{}, false
 			}
 			kinds.setTime(monotime.Micros(at))
-			if arrivals.Float64()*most >= p.RateFactor(monotime.Micros(at))*kinds.sum {
+			if arrivals.Float64()*maxFactor >= p.RateFactor(monotime.Micros(at))*kinds.sum {
 				continue
 			}
 			id := uint64(instance)<<32 | n
 			n++
-			r := stories.For(id)
+			r := operations.For(id)
 			s := simclient.Operation{
 				ID:        id,
 				Instance:  instance,
@@ -177,7 +177,7 @@
 	}
 }
 
-// Draw draws the work of a request.
+// Draw draws the work of a request in microseconds, by the class's distribution.
 func (c *Class) Draw(r *rand.Rand) monotime.Micros {
 	mean := float64(c.Work.Micros())
 	switch c.Dist {
--- a/internal/simulation/scenario/parse.go
+++ b/internal/simulation/scenario/parse.go
@@ -11,12 +11,12 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// span returns a span, or nil where it is zero: a file need not give one.
+// span returns a pointer to a span: a file need not give one.
 func span(from, to time.Duration) *stricttoml.Span { return &stricttoml.Span{From: from, To: to} }
 
 func length(d time.Duration) stricttoml.Duration { return stricttoml.Duration{Duration: d} }
 
-// defaults are what a file that says nothing means: a small calm site.
+// defaults are the values of keys that a file leaves out: a small site without faults.
 func defaults() Scenario {
 	return Scenario{
 		Length: length(30 * time.Second),
@@ -47,15 +47,15 @@
 	}
 }
 
-// NeedsProcesses says whether what the scenario claims is of something that the simulation does not play.
+// NeedsProcesses reports whether the scenario has events that only runs by processes play.
 func (s *Scenario) NeedsProcesses() bool {
-	return slices.ContainsFunc(s.Events, func(e Event) bool { return e.What == "work" })
+	return slices.ContainsFunc(s.Events, func(e Event) bool { return e.What == EventMaintenance })
 }
 
 // Finder returns the text of a scenario that another is based on, by its name.
 type Finder func(name string) ([]byte, error)
 
-// Parse checks a file's text. Its error is stricttoml.Errors, or what find returns of the scenario that it is based on.
+// Parse reads and checks a file's text. Its error is stricttoml.Errors, or that of find for a base scenario.
 func Parse(text []byte, find Finder) (*Scenario, error) {
 	s := defaults()
 	if err := s.overlay(text, find, 0); err != nil {
@@ -67,7 +67,7 @@
 // maxBases bounds how many scenarios may be based on one another.
 const maxBases = 4
 
-// overlay reads a text over what is known already, and checks the whole.
+// overlay reads a text over the present values, and checks the result. depth is how many scenarios are based on it.
 func (s *Scenario) overlay(text []byte, find Finder, depth int) error {
 	var own Scenario
 	lines, err := stricttoml.Decode(text, &own)
@@ -76,35 +76,12 @@
 	}
 	k := &stricttoml.Validation{Lines: lines}
 	if own.Base != "" {
-		k.Require(depth < maxBases, "base", "more than %d scenarios are based on one another", maxBases)
-		if err := k.Err(); err != nil {
+		if err := s.overlayBase(own.Base, find, depth, k); err != nil {
 			return err
 		}
-		base, err := find(own.Base)
-		if err != nil {
-			k.Require(false, "base", "%v", err)
-			return k.Err()
-		}
-		if err := s.overlay(base, find, depth+1); err != nil {
-			return fmt.Errorf("scenario %q: %w", own.Base, err)
-		}
-		// these are of the one that says them
-		s.About = ""
-		s.Expect = nil
-	}
-	// A list that stands here stands in place of the base's.
-	for _, list := range []struct {
-		key   string
-		clear func()
-	}{{"nodes", func() { s.EndpointKinds = nil }}, {"class", func() { s.Classes = nil }},
-		{"tenant", func() { s.Tenants = nil }},
-		{"shape", func() { s.Shape = nil }}, {"event", func() { s.Events = nil }}, {"fleet.zones",
-			func() { s.Fleet.Zones = nil }}} {
-		if lines[list.key] > 0 || lines[list.key+".0"] > 0 {
-			list.clear()
-		}
 	}
-	// Of load and rate the one that stands here holds.
+	s.clearLists(lines)
+	// Load or rate in this text replaces the base's other one.
 	if own.Clients.Load > 0 {
 		s.Clients.Rate = 0
 	} else if own.Clients.Rate > 0 {
@@ -113,6 +90,53 @@
 	if _, err := stricttoml.Decode(text, s); err != nil {
 		return err
 	}
+	s.setDefaults()
+	s.check(k)
+	s.Base = ""
+	return k.Err()
+}
+
+// overlayBase reads the scenario on which this one is based.
+func (s *Scenario) overlayBase(name string, find Finder, depth int, k *stricttoml.Validation) error {
+	k.Require(depth < maxBases, "base", "more than %d scenarios are based on one another", maxBases)
+	if err := k.Err(); err != nil {
+		return err
+	}
+	base, err := find(name)
+	if err != nil {
+		k.Require(false, "base", "%v", err)
+		return k.Err()
+	}
+	if err := s.overlay(base, find, depth+1); err != nil {
+		return fmt.Errorf("scenario %q: %w", name, err)
+	}
+	// A base's description and claims are its own.
+	s.About = ""
+	s.Expect = nil
+	return nil
+}
+
+// clearLists empties the lists that a text has, by the lines of its keys: they replace the base's.
+func (s *Scenario) clearLists(lines map[string]int) {
+	for _, list := range []struct {
+		key   string
+		clear func()
+	}{
+		{"nodes", func() { s.EndpointKinds = nil }},
+		{"class", func() { s.Classes = nil }},
+		{"tenant", func() { s.Tenants = nil }},
+		{"shape", func() { s.Shape = nil }},
+		{"event", func() { s.Events = nil }},
+		{"fleet.zones", func() { s.Fleet.Zones = nil }},
+	} {
+		if lines[list.key] > 0 || lines[list.key+".0"] > 0 {
+			list.clear()
+		}
+	}
+}
+
+// setDefaults sets the values that the tables of kinds and classes leave out.
+func (s *Scenario) setDefaults() {
 	for i := range s.EndpointKinds {
 		s.EndpointKinds[i].setDefaults()
 	}
@@ -121,12 +145,9 @@
 			c.Dist = "lognormal"
 		}
 	}
-	s.check(k)
-	s.Base = ""
-	return k.Err()
 }
 
-// Text returns the scenario as a file that says all of it.
+// Text returns the scenario as a file with all values.
 func (s *Scenario) Text() ([]byte, error) {
 	var b bytes.Buffer
 	e := toml.NewEncoder(&b)
@@ -167,7 +188,7 @@
 	return &c
 }
 
-// setDefaults sets what a kind of endpoints is where its table says nothing.
+// setDefaults sets the values of keys that the table of a kind leaves out.
 func (n *EndpointKind) setDefaults() {
 	if n.Cores == 0 {
 		n.Cores = 2
--- a/internal/simulation/scenario/plan.go
+++ b/internal/simulation/scenario/plan.go
@@ -16,10 +16,10 @@
 	Seed          uint64
 	Endpoints     []Endpoint
 	Instances     []Instance
-	PlannedEvents []PlannedEvent // by their beginning
-	Rate          float64        // operations a second, where the shape is 1
-	Capacity      float64        // work that all nodes can do in a microsecond, once warm
-	Source        Source         // of operations; nil is those that the plan draws itself
+	PlannedEvents []PlannedEvent // sorted by their start
+	Rate          float64        // operations a second, where the shape's factor is 1
+	Capacity      float64        // work that all endpoints can do in a microsecond, once warm
+	Source        Source         // of operations; nil: the plan draws them
 }
 
 // Endpoint is an endpoint of a plan.
@@ -38,9 +38,14 @@
 type Instance struct {
 	Zone      int
 	Share     float64         // of all traffic
-	Skew      monotime.Micros // its clock against the world's
+	Skew      monotime.Micros // of its clock against simulated time
 	Drift     float64
-	Endpoints []int // that it is told of; nil is all
+	Endpoints []int // on its list, sorted; nil is all
+}
+
+// HasEvent reports whether the plan has an event of one of the kinds.
+func (p *Plan) HasEvent(kinds ...string) bool {
+	return slices.ContainsFunc(p.PlannedEvents, func(e PlannedEvent) bool { return slices.Contains(kinds, e.What) })
 }
 
 // MeanWork is the mean work of an operation, in microseconds.
@@ -68,8 +73,8 @@
 	}
 }
 
-// contains says whether a sorted list has a number.
+// contains reports whether a sorted list has a number.
 func contains(list []int, n int) bool {
-	_, yes := slices.BinarySearch(list, n)
-	return yes
+	_, found := slices.BinarySearch(list, n)
+	return found
 }
--- a/internal/simulation/scenario/plannedevent.go
+++ b/internal/simulation/scenario/plannedevent.go
@@ -7,13 +7,13 @@
 	"dunlinsail/internal/simulation/simendpoint"
 )
 
-// PlannedEvent is an event of a plan: what was left to chance is drawn.
+// PlannedEvent is an event of a plan, with all draws made.
 type PlannedEvent struct {
 	What      string          `json:"What"`
 	At        monotime.Micros `json:"At"`
-	Until     monotime.Micros `json:"Until"` // math.MaxInt64 for what does not end
+	Until     monotime.Micros `json:"Until"` // math.MaxInt64: it does not end
 	Endpoints []int           `json:"Nodes"`
-	Sizes     []float64       `json:"Sizes"`  // of each of Nodes; of one number where it happens to no node
+	Sizes     []float64       `json:"Sizes"`  // of each of Endpoints; one number where it applies to none
 	Class     int             `json:"Class"`  // -1 is all
 	Tenant    int             `json:"Tenant"` // -1 is all
 	OneClient bool            `json:"One"`    // of the first client process only
@@ -21,14 +21,14 @@
 	To        int             `json:"To"`     // the same
 	Every     monotime.Micros `json:"Every"`
 	Delay     monotime.Micros `json:"Delay"`
-	Instances []int           `json:"Instances"` // of what happens to instances, or on their ways
-	Others    []int           `json:"Others"`    // part: the other side; nil is all others
+	Instances []int           `json:"Instances"` // that it applies to, or whose network paths
+	Others    []int           `json:"Others"`    // EventInstancePartition: the other side; nil is all others
 	Way       string          `json:"Way"`
 }
 
-// Frozen says whether what happens at an instant stops an instance, and until when at least.
-func (h *PlannedEvent) Frozen(now monotime.Micros) (until monotime.Micros, yes bool) {
-	if h.What != "freeze" || now < h.At || now >= h.Until {
+// Frozen reports whether the event stops its instances at an instant, and until when at least.
+func (h *PlannedEvent) Frozen(now monotime.Micros) (until monotime.Micros, frozen bool) {
+	if h.What != EventInstanceFreeze || now < h.At || now >= h.Until {
 		return 0, false
 	}
 	if h.Every <= 0 {
@@ -38,18 +38,19 @@
 	return min(h.Until, h.At+(turn+1)*h.Every), turn%2 == 0
 }
 
-// BlocksPath reports whether the event lets nothing through between an instance and an endpoint, towards the endpoint
-// or back.
+// BlocksPath reports whether the event blocks messages from an instance to an endpoint, or with back those of the
+// endpoint to the instance.
 func (h *PlannedEvent) BlocksPath(now monotime.Micros, instance, node int, back bool) bool {
-	return h.What == "sever" && now >= h.At && now < h.Until && (h.Way == "" || (h.Way == "from") == back) &&
+	return h.What == EventPathBlocked && now >= h.At && now < h.Until && (h.Way == "" || (h.Way == WayFrom) == back) &&
 		contains(h.Instances, instance) && contains(h.Endpoints, node)
 }
 
-// Partitioned says whether no message passes from one instance to another at an instant.
+// Partitioned reports whether no message passes from one instance to another at an instant.
 func (p *Plan) Partitioned(now monotime.Micros, from, to int) bool {
 	for i := range p.PlannedEvents {
 		h := &p.PlannedEvents[i]
-		if h.What != "part" || now < h.At || now >= h.Until || h.Every > 0 && (now-h.At)/h.Every%2 != 0 {
+		inPause := h.Every > 0 && (now-h.At)/h.Every%2 != 0
+		if h.What != EventInstancePartition || now < h.At || now >= h.Until || inPause {
 			continue
 		}
 		a := contains(h.Instances, from)
@@ -57,42 +58,49 @@
 		if h.Others != nil && !contains(h.Others, from) && !contains(h.Others, to) {
 			continue
 		}
-		if a != b && (h.Way == "" || (h.Way == "to") == b) {
+		if a != b && (h.Way == "" || (h.Way == WayTo) == b) {
 			return true
 		}
 	}
 	return false
 }
 
-// DemandOverstatement is the factor by which the lying instance overstates its demand at an instant; 1 without one.
+// DemandOverstatement is the factor by which the misreporting instance overstates its demand at an instant; 1 without
+// one.
 func (p *Plan) DemandOverstatement(now monotime.Micros) float64 {
 	for i := range p.PlannedEvents {
-		if h := &p.PlannedEvents[i]; h.What == "liar" && now >= h.At && now < h.Until {
+		if h := &p.PlannedEvents[i]; h.What == EventDemandOverstated && now >= h.At && now < h.Until {
 			return h.Sizes[0]
 		}
 	}
 	return 1
 }
 
-// MessageDelay is by how much longer a message of an instance takes at an instant, and whether it comes twice; lots are
-// three numbers in 0..1 of the word's own.
+// Parts of the messages that EventLateMessages affects.
+const (
+	lateMessageRatio     = 0.5 // of the messages are delayed
+	repeatedMessageRatio = 0.1 // of the messages arrive twice
+)
+
+// MessageDelay is the additional delay of an instance's message at an instant, and whether it arrives twice. draws are
+// three random numbers in 0..1 of the message's own.
 func (p *Plan) MessageDelay(now monotime.Micros, from int, draws [3]float64) (more monotime.Micros, twice bool) {
 	for i := range p.PlannedEvents {
 		h := &p.PlannedEvents[i]
-		if h.What == "late-words" && now >= h.At && now < h.Until && contains(h.Instances, from) {
-			if draws[0] < 0.5 {
+		if h.What == EventLateMessages && now >= h.At && now < h.Until && contains(h.Instances, from) {
+			if draws[0] < lateMessageRatio {
 				more += monotime.Micros(draws[1] * float64(h.Delay))
 			}
-			twice = twice || draws[2] < 0.1
+			twice = twice || draws[2] < repeatedMessageRatio
 		}
 	}
 	return more, twice
 }
 
-// ExtraDelay is by how much longer each message between an instance and an endpoint takes at an instant.
+// ExtraDelay is the additional delay of messages between an instance and an endpoint at an instant.
 func (p *Plan) ExtraDelay(now monotime.Micros, instance, node int) (more monotime.Micros) {
 	for i := range p.PlannedEvents {
-		if h := &p.PlannedEvents[i]; h.What == "lag" && now >= h.At && now < h.Until &&
+		if h := &p.PlannedEvents[i]; h.What == EventLag && now >= h.At && now < h.Until &&
 			contains(h.Instances, instance) && contains(h.Endpoints, node) {
 			more += h.Delay
 		}
@@ -100,36 +108,36 @@
 	return more
 }
 
-// AddCondition adds what goes wrong at the k-th of its endpoints at an instant. classOf tells the number that each of
-// the scenario's classes has at endpoints.
+// AddCondition adds the event's fault at the k-th of its endpoints at an instant. classOf maps the scenario's classes
+// to those of the endpoints' jobs.
 func (h *PlannedEvent) AddCondition(c *simendpoint.Condition, now monotime.Micros, k int, classOf []int) {
 	size := h.Sizes[k]
 	switch h.What {
-	case "slow", "lies":
+	case EventSlow, EventFalseReports:
 		c.Slowdown = max(1, c.Slowdown) * size
-		c.FalseReports = c.FalseReports || h.What == "lies"
-	case "errors":
+		c.FalseReports = c.FalseReports || h.What == EventFalseReports
+	case EventErrors:
 		c.ErrorRate = min(1, c.ErrorRate+size)
 		if h.Class >= 0 {
 			c.OneClass = true
 			c.Class = classOf[h.Class]
 		}
-	case "mute":
+	case EventUnanswered:
 		c.UnansweredRate = min(1, c.UnansweredRate+size)
-	case "full":
+	case EventRejecting:
 		c.RejectRate = min(1, c.RejectRate+size)
-	case "babble":
+	case EventInvalidReports:
 		c.InvalidReports = true
-	case "neighbour":
+	case EventNeighbour:
 		if h.Every <= 0 || (now-h.At)/h.Every%2 == 0 {
 			c.StolenShare = max(c.StolenShare, size)
 		}
-	case "late-reports":
+	case EventLateReports:
 		c.ReportDelay = max(c.ReportDelay, h.Delay)
 	}
 }
 
-// EventPeriod is when the first of what happens begins and the last ends that does end; both 0 where nothing happens.
+// EventPeriod is from the start of the first event to the end of the last one that ends; both are 0 without events.
 func (p *Plan) EventPeriod() (from, until monotime.Micros) {
 	for i := range p.PlannedEvents {
 		h := &p.PlannedEvents[i]
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -36,7 +36,7 @@
 	return s
 }
 
-// What contradicts itself or makes no sense is told with its key and line, and all of it at once.
+// Each contradiction and each value out of bounds is an error with its key and line, all of them at once.
 func TestContradictions(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"load = 0.5\n",
@@ -170,9 +170,9 @@
 		t.Error("the same seed gave other stories")
 	}
 	if _, _, other := drawTraffic(t, s, 2); other == digest {
-		t.Error("another seed gave the same stories")
+		t.Error("another seed gave the same operations")
 	}
-	// Mean shapes of the three parts: 2/3, 1, 4/3. Tenant q asks for five times as much in the middle one.
+	// Mean factors of the three parts: 2/3, 1, 4/3. Tenant q has five times the traffic in the middle one.
 	for i, want := range [3][2]float64{{10_000, 3_333}, {15_000, 25_000}, {20_000, 6_667}} {
 		for j := range want {
 			if got := float64(by[i][j]); math.Abs(got-want[j]) > 5*math.Sqrt(want[j]) {
@@ -192,22 +192,22 @@
 	}
 }
 
-// Subsets tell each endpoint to as many instances as any other.
+// Each endpoint is in the subsets of equally many instances.
 func TestSubset(t *testing.T) {
 	s := parse(t, strings.Replace(strings.Replace(least, "count = 4", "count = 100", 1), "zones =",
 		"instances = 50\nsubset = 20\nzones =", 1))
-	told := make([]int, 100)
+	lists := make([]int, 100)
 	for _, in := range s.Draw(1).Instances {
 		if len(in.Endpoints) != 20 {
 			t.Fatalf("a subset of %d", len(in.Endpoints))
 		}
 		for _, n := range in.Endpoints {
-			told[n]++
+			lists[n]++
 		}
 	}
-	for n, times := range told {
-		if times != 10 {
-			t.Errorf("endpoint %d is told to %d instances, not 10", n, times)
+	for n, count := range lists {
+		if count != 10 {
+			t.Errorf("endpoint %d is on %d lists, not 10", n, count)
 		}
 	}
 }
--- a/internal/simulation/simclient/operation.go
+++ b/internal/simulation/simclient/operation.go
@@ -11,48 +11,46 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Behavior says how clients behave.
+// Behavior describes how clients behave. Each pair is a range from which a client's value is drawn.
 type Behavior struct {
-	Retries      [2]int     // a client requests again so many times at most, drawn between these
-	TimeoutShare [2]float64 // and waits for each request this part of all the time it has
-	// before the first request of its own again; twice as long before each further one
-	Backoff         [2]monotime.Micros
-	HonorRetryAfter float64 // part of the clients that wait for as long as they are told
-	EarlyAbort      float64 // part of the requests that are left before their time
-	MarkRetries     bool    // requests after the first say so
-	// part of the clients whose requests have a new key each, as if they were new requests
-	FreshKeys float64
+	Retries         [2]int             // retries of an operation, at most
+	TimeoutShare    [2]float64         // timeout of a request, as a part of the class's client timeout
+	Backoff         [2]monotime.Micros // before the first retry; it doubles with each retry
+	HonorRetryAfter float64            // part of the clients that wait for Retry-After
+	EarlyAbort      float64            // part of the requests whose client leaves before the timeout
+	MarkRetries     bool               // retries are marked as such
+	FreshKeys       float64            // part of the clients that give each retry a new idempotency key
 }
 
-// Operation is one thing that a client wants, with all its requests.
+// Operation is one thing that a client wants, with all its requests: the first and its retries.
 type Operation struct {
 	ID             uint64
-	Instance       int // that it asks
-	Process        int // of the clients there
+	Instance       int // to which its requests go
+	Process        int // client process, among those of the instance
 	Class          int
 	Tenant         int // -1 is none
 	Work           monotime.Micros
-	IdempotencyKey uint64 // keyed classes only
+	IdempotencyKey uint64 // of classes with idempotency keys only
 	Object         uint64
-	StartedAt      monotime.Micros // when its first request began
+	StartedAt      monotime.Micros // when its first request was sent
 
-	Requests         int // begun
+	Requests         int // sent so far
 	Outcome          Outcome
-	EndedAt          monotime.Micros // when its outcome was known, or it was given up
-	Executions       int             // attempts that were worked at to their end
+	EndedAt          monotime.Micros // when it was served or given up
+	Executions       int             // attempts that an endpoint completed
 	Effects          int             // of these, those that took effect
-	DiscardsResponse bool            // whatever answer comes is no use to the client
-	Rejected         int             // requests that were rejected,
-	Failed           int             // that failed,
-	Unanswered       int             // and that had no answer: the connection broke, or the request was given up
+	DiscardsResponse bool            // it counts as unserved although a response comes (a planted harm)
+	Rejected         int             // requests that were rejected
+	Failed           int             // requests that failed
+	Unanswered       int             // requests without a response: a connection reset, a timeout or an abort
 
 	maxRetries       int
 	honorsRetryAfter bool
 	freshKeys        bool
 	timeoutShare     float64
 	backoff          monotime.Micros
-	inFlight         bool // a request is under way
-	requestNumber    int  // its number, from 1
+	inFlight         bool // a request has not ended
+	requestNumber    int  // number of the latest request, from 1
 }
 
 // Outcome is how an operation ended.
@@ -61,9 +59,9 @@
 // The outcomes of an operation.
 const (
 	Pending      Outcome = iota
-	Served               // an answer came
-	Unserved             // none came in all its requests, or in its time
-	OutcomeCount         // how many there are
+	Served               // a response came
+	Unserved             // no request was served within the client timeout
+	OutcomeCount         // number of outcomes
 )
 
 // RequestOutcome is how one request ended.
@@ -72,21 +70,21 @@
 // The outcomes of a request.
 const (
 	OK         RequestOutcome = iota
-	Rejected                  // trying again is harmless
-	Failed                    // no such promise
-	NoResponse                // no whole answer
+	Rejected                  // a retry is harmless
+	Failed                    // it may have run
+	NoResponse                // no complete response; it may have run
 )
 
-// Request is a request that a client makes.
+// Request is one request of an operation.
 type Request struct {
 	Number         int
 	IdempotencyKey uint64
-	Deadline       monotime.Micros // when the client gives this request up
-	AbortAt        monotime.Micros // it leaves already then; 0 is that it does not
-	Retry          bool            // it says that it is a repetition
+	Deadline       monotime.Micros // when the client times out
+	AbortAt        monotime.Micros // when the client leaves early; 0: it does not
+	Retry          bool            // it is marked as a retry
 }
 
-// Start draws what an operation's client is like, and returns its first request.
+// Start draws the behavior of an operation's client, and returns its first request.
 func (s *Operation) Start(now monotime.Micros, h *Behavior, c *balancer.Class, r *rand.Rand) Request {
 	s.StartedAt = now
 	s.maxRetries = h.Retries[0] + r.IntN(h.Retries[1]-h.Retries[0]+1)
@@ -97,20 +95,24 @@
 	return s.nextRequest(now, h, c, r)
 }
 
-// Deadline returns when an operation is given up at the latest.
+// Deadline returns when the client gives up the operation at the latest.
 func (s *Operation) Deadline(c *balancer.Class) monotime.Micros { return s.StartedAt + c.ClientTimeout }
 
+// retryKeyStep separates the idempotency keys of an operation's requests, for clients that give each its own.
+const retryKeyStep = 0x9e3779b97f4a7c15
+
+// nextRequest makes the operation's next request.
 func (s *Operation) nextRequest(now monotime.Micros, h *Behavior, c *balancer.Class, r *rand.Rand) Request {
 	s.Requests++
 	s.requestNumber = s.Requests
 	s.inFlight = true
 	t := Request{Number: s.requestNumber, IdempotencyKey: s.IdempotencyKey, Retry: h.MarkRetries && s.requestNumber > 1}
 	if s.freshKeys && s.IdempotencyKey != 0 && s.requestNumber > 1 {
-		t.IdempotencyKey = s.IdempotencyKey + uint64(s.requestNumber)*0x9e3779b97f4a7c15
+		t.IdempotencyKey = s.IdempotencyKey + uint64(s.requestNumber)*retryKeyStep
 	}
 	t.Deadline = min(s.Deadline(c), now+monotime.Micros(s.timeoutShare*float64(c.ClientTimeout)))
 	if s.requestNumber > s.maxRetries {
-		t.Deadline = s.Deadline(c) // the last one is waited for as long as there is time
+		t.Deadline = s.Deadline(c) // the last request has all the remaining time
 	}
 	if r.Float64() < h.EarlyAbort {
 		t.AbortAt = now + monotime.Micros(r.Float64()*float64(t.Deadline-now))
@@ -118,9 +120,9 @@
 	return t
 }
 
-// RequestEnded tells how a request ended; trying again is harmless after a rejection only, and otherwise as the class
-// allows. If again is so, the next request begins at an instant: Again makes it. Of a request that is not the present
-// one nothing is taken in.
+// RequestEnded records how a request ended, and reports whether the client retries, and when: Retry makes that request.
+// Clients retry rejected requests, and others if their class is safe to repeat. The end of any but the latest request
+// is ignored.
 func (s *Operation) RequestEnded(now monotime.Micros, number int, v RequestOutcome, retryAfter monotime.Micros,
 	c *balancer.Class, r *rand.Rand) (at monotime.Micros, again bool) {
 	if !s.inFlight || number != s.requestNumber || s.Outcome != Pending {
@@ -143,12 +145,12 @@
 		s.Unanswered++
 	}
 	wait := s.backoff << (s.requestNumber - 1)
-	wait = wait/2 + monotime.Micros(r.Float64()*float64(wait)) // spread by half either way
+	wait = wait/2 + monotime.Micros(r.Float64()*float64(wait)) // jitter of half either way
 	if v == Rejected && s.honorsRetryAfter {
 		wait = max(wait, retryAfter)
 	}
-	if s.requestNumber > s.maxRetries || now+wait >= s.Deadline(c) || v != Rejected &&
-		c.Idempotency == balancer.NonIdempotent {
+	unsafe := v != Rejected && c.Idempotency == balancer.NonIdempotent
+	if s.requestNumber > s.maxRetries || now+wait >= s.Deadline(c) || unsafe {
 		s.Outcome = Unserved
 		s.EndedAt = now
 		return 0, false
--- a/internal/simulation/simclient/operation_test.go
+++ b/internal/simulation/simclient/operation_test.go
@@ -28,21 +28,22 @@
 		}
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		s := &Operation{ID: 1, IdempotencyKey: 5}
-		began := monotime.Micros(rapid.IntRange(0, 1_000_000).Draw(t, "began"))
-		try := s.Start(began, &h, c, r)
+		startedAt := monotime.Micros(rapid.IntRange(0, 1_000_000).Draw(t, "began"))
+		request := s.Start(startedAt, &h, c, r)
 		for {
-			if try.Deadline > began+c.ClientTimeout || try.AbortAt > try.Deadline || s.Requests > h.Retries[1]+1 {
-				t.Fatalf("try %+v of a story that began at %d, %d tries", try, began, s.Requests)
+			if request.Deadline > startedAt+c.ClientTimeout || request.AbortAt > request.Deadline ||
+				s.Requests > h.Retries[1]+1 {
+				t.Fatalf("request %+v of an operation that started at %d, %d requests", request, startedAt, s.Requests)
 			}
-			now := try.Deadline
+			now := request.Deadline
 			v := RequestOutcome(rapid.IntRange(0, 3).Draw(t, "verdict"))
 			if v != NoResponse {
-				now = rapid.Int64Range(min(began, try.Deadline), try.Deadline).Draw(t, "at")
+				now = rapid.Int64Range(min(startedAt, request.Deadline), request.Deadline).Draw(t, "at")
 			}
-			if _, again := s.RequestEnded(now, try.Number-1, OK, 0, c, r); again || s.Outcome != Pending {
-				t.Fatal("a try that is not the present one was taken in")
+			if _, again := s.RequestEnded(now, request.Number-1, OK, 0, c, r); again || s.Outcome != Pending {
+				t.Fatal("the end of a request that is not the latest one was recorded")
 			}
-			at, again := s.RequestEnded(now, try.Number, v, rapid.Int64Range(0, 300_000).Draw(t, "after"), c, r)
+			at, again := s.RequestEnded(now, request.Number, v, rapid.Int64Range(0, 300_000).Draw(t, "after"), c, r)
 			if again == (s.Outcome != Pending) {
 				t.Fatalf("again %v, outcome %v", again, s.Outcome)
 			}
@@ -50,15 +51,17 @@
 				t.Fatalf("verdict %v, outcome %v", v, s.Outcome)
 			}
 			if !again {
-				if _, again := s.RequestEnded(now, try.Number, OK, 0, c, r); again || v != OK && s.Outcome == Served {
+				_, again := s.RequestEnded(now, request.Number, OK, 0, c, r)
+				if again || v != OK && s.Outcome == Served {
 					t.Fatal("a second outcome")
 				}
 				return
 			}
-			if at < now || at >= began+c.ClientTimeout || c.Idempotency == balancer.NonIdempotent && v != Rejected {
-				t.Fatalf("tries again at %d after %v at %d", at, v, now)
+			if at < now || at >= startedAt+c.ClientTimeout ||
+				c.Idempotency == balancer.NonIdempotent && v != Rejected {
+				t.Fatalf("retries at %d after %v at %d", at, v, now)
 			}
-			try = s.Retry(at, &h, c, r)
+			request = s.Retry(at, &h, c, r)
 		}
 	})
 }
--- a/internal/simulation/simendpoint/dedup.go
+++ b/internal/simulation/simendpoint/dedup.go
@@ -6,19 +6,19 @@
 	"dunlinsail/internal/monotime"
 )
 
-// DedupGroup is a set of endpoints that share which keys they have seen.
+// DedupGroup is the deduplication state of endpoints that share the idempotency keys which they have seen.
 type DedupGroup struct {
 	window    monotime.Micros
-	firstSeen map[uint64]monotime.Micros // keys, by when each was first taken
-	order     []uint64                   // the oldest first
+	firstSeen map[uint64]monotime.Micros // by key, when it was first seen
+	order     []uint64                   // keys, the oldest first
 }
 
-// NewDedupGroup returns a group that drops a key's repeats for so long.
+// NewDedupGroup returns a group that drops repeats of a key within a window.
 func NewDedupGroup(window monotime.Micros) *DedupGroup {
 	return &DedupGroup{window: window, firstSeen: map[uint64]monotime.Micros{}}
 }
 
-// seenBefore says whether a key is known, and notes it.
+// seenBefore reports whether a key is known, and records it.
 func (g *DedupGroup) seenBefore(now monotime.Micros, key uint64) bool {
 	for len(g.order) > 0 && now-g.firstSeen[g.order[0]] >= g.window {
 		delete(g.firstSeen, g.order[0])
@@ -32,7 +32,7 @@
 	return false
 }
 
-// forget takes back that a key was seen: what was seen of it never ran.
+// forget removes a key whose request never ran.
 func (g *DedupGroup) forget(key uint64) {
 	if _, known := g.firstSeen[key]; known {
 		delete(g.firstSeen, key)
--- a/internal/simulation/simendpoint/endpoint.go
+++ b/internal/simulation/simendpoint/endpoint.go
@@ -19,13 +19,13 @@
 	Class          int
 	Work           monotime.Micros // at speed 1
 	IdempotencyKey uint64          // a repeat of it is dropped; 0 is none
-	Chance         float64
-	HostData       any             // the host's own
-	duplicate      bool            // its key was known as it came
-	startedAt      monotime.Micros // working only
-	endsAt         monotime.Micros
+	Chance         float64         // random number in 0..1 that decides whether it fails
+	HostData       any             // the caller's own
+	duplicate      bool            // its key was known when it arrived
+	startedAt      monotime.Micros // while running
+	endsAt         monotime.Micros // while running
 	state          jobState
-	core           int // among the cores, Working only
+	core           int // index of its core, while running
 }
 
 type jobState uint8
@@ -36,28 +36,28 @@
 	running
 )
 
-// Verdict is what becomes of a request at an endpoint.
+// Verdict is how a request ends at an endpoint, or that it was accepted.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Accepted   Verdict = iota // it waits or is at work: its end will come
+	Accepted   Verdict = iota // it is queued or runs: its completion follows
 	Completed                 // it ran
-	Duplicate                 // it had run before, and was answered as then
+	Duplicate                 // its key was known: it is answered as before, without effect
 	Failed                    // it failed; it may have run
-	Rejected                  // rejected unseen
-	Unanswered                // it ran, and nothing is said of it
+	Rejected                  // it did not run
+	Unanswered                // it ran, and no reply is sent
 )
 
-// Completion is a request's end at an endpoint.
+// Completion is the end of a request at an endpoint.
 type Completion struct {
 	Job     *Job
 	At      monotime.Micros
 	Verdict Verdict
-	Effect  bool // it took effect: it was no repeat that the endpoint knew. What fails after its work has, too
+	Effect  bool // it took effect: it was no known duplicate. A request that fails after it ran has its effect, too
 }
 
-// Endpoint is an endpoint. Make one with New, and start it.
+// Endpoint is the model of an endpoint. Make one with New, and start it with Start.
 type Endpoint struct {
 	config     Config
 	dedupGroup *DedupGroup
@@ -67,44 +67,47 @@
 	draining  bool
 	collapsed bool
 	startedAt monotime.Micros
-	alwaysUp  bool // it was up before everything began: it is warm
+	alwaysUp  bool // it was running before the simulation: it is warm
 
 	cores           []*Job // nil where a core is free
 	busy            int
 	queue           []*Job
-	pausedUntil     monotime.Micros // nothing goes on until then
-	pendingOverhead monotime.Micros // work for probes and handshakes that the next request waits for
+	pausedUntil     monotime.Micros // no job makes progress until then
+	pendingOverhead monotime.Micros // work of probes and handshakes, which delays the next request
 	connections     int
 	workDone        float64 // work done, at speed 1
 
-	// What was sent while warming up, in tenths of the time after which it falls over.
+	// Work offered while warming up, by slots of a tenth of Config.CollapseWindow.
 	offeredSlot int64
-	offeredWork [10]float64
+	offeredWork [offeredSlots]float64
 	completions []Completion
 	report      loadReporter
 }
 
-// New returns an endpoint that is down. group is that of its keys, and may be nil.
+// offeredSlots is the number of slots in the window of the offered work.
+const offeredSlots = 10
+
+// New returns an endpoint that is down. group has the idempotency keys that it shares with others, and may be nil.
 func New(c Config, group *DedupGroup) *Endpoint {
 	return &Endpoint{config: c, dedupGroup: group, cores: make([]*Job, max(1, c.Cores))}
 }
 
-// Start has it come up. One that was always up is warm.
-func (n *Endpoint) Start(now monotime.Micros, always bool) {
+// Start starts the process, which warms up. With alwaysUp it is warm at once, as one that has been running for long.
+func (n *Endpoint) Start(now monotime.Micros, alwaysUp bool) {
 	n.up = true
 	n.draining = false
 	n.collapsed = false
 	n.startedAt = now
-	n.alwaysUp = always
+	n.alwaysUp = alwaysUp
 	n.pendingOverhead = 0
 	n.connections = 0
 	n.pausedUntil = 0
-	n.offeredWork = [10]float64{}
+	n.offeredWork = [offeredSlots]float64{}
 	n.offeredSlot = 0
 	n.report = loadReporter{windowStart: now}
 }
 
-// Kill ends it at once, and returns what it held: nobody will be told of those.
+// Kill ends the process at once, and returns its requests in flight, for which no completion follows.
 func (n *Endpoint) Kill(now monotime.Micros) []*Job {
 	held := slices.Clone(n.queue)
 	for i, j := range n.cores {
@@ -123,16 +126,16 @@
 	return held
 }
 
-// Drain has it finish what it holds and take nothing new.
+// Drain has the process finish its requests and reject new ones.
 func (n *Endpoint) Drain() { n.draining = true }
 
-// Up says whether its process runs; it may be draining, or have fallen over.
+// Up reports whether its process runs; it may be draining or collapsed.
 func (n *Endpoint) Up() bool { return n.up }
 
-// Collapsed says whether it was pushed over while warming up. It stays so until it is started again.
+// Collapsed reports whether it collapsed under load while warming up. That lasts until it is started again.
 func (n *Endpoint) Collapsed() bool { return n.collapsed }
 
-// InFlight returns how many requests it holds.
+// InFlight returns the number of its running and queued requests.
 func (n *Endpoint) InFlight() int { return n.busy + len(n.queue) }
 
 // WorkDone returns the work that it has done, in microseconds at speed 1.
@@ -146,13 +149,13 @@
 	return n.startedAt
 }
 
-// SetCondition changes what goes wrong there.
+// SetCondition sets its faults.
 func (n *Endpoint) SetCondition(c Condition) { n.condition = c }
 
-// Condition returns what goes wrong there.
+// Condition returns its faults.
 func (n *Endpoint) Condition() Condition { return n.condition }
 
-// Pause stops it for a while, as a collector of garbage does: what is at work takes so much longer.
+// Pause stops the process for a while, as a garbage collection does. Running requests end that much later.
 func (n *Endpoint) Pause(now, length monotime.Micros) {
 	n.pausedUntil = max(n.pausedUntil, now) + length
 	for _, j := range n.cores {
@@ -162,7 +165,7 @@
 	}
 }
 
-// Connect takes in a new connection, and says whether there was room.
+// Connect accepts a new connection, and reports whether it could.
 func (n *Endpoint) Connect() bool {
 	if !n.up || n.config.MaxConnections > 0 && n.connections >= n.config.MaxConnections {
 		return false
@@ -172,7 +175,7 @@
 	return true
 }
 
-// Disconnect gives a connection back.
+// Disconnect closes a connection.
 func (n *Endpoint) Disconnect() { n.connections = max(0, n.connections-1) }
 
 // WarmupShare is the part of its speed that it has by now.
@@ -184,7 +187,7 @@
 	return n.config.WarmupFrom + (1-n.config.WarmupFrom)*float64(now-n.startedAt)/float64(n.config.WarmupDuration)
 }
 
-// Capacity is the work that it can do in a microsecond, by all its cores, as things stand.
+// Capacity is the work in microseconds that all its cores do in a microsecond now.
 func (n *Endpoint) Capacity(now monotime.Micros) float64 {
 	if !n.up || n.collapsed {
 		return 0
@@ -192,7 +195,10 @@
 	return float64(len(n.cores)) * n.coreSpeed(now)
 }
 
-// coreSpeed is that of one core.
+// minCoreSpeed keeps service times finite whatever the faults.
+const minCoreSpeed = 1e-3
+
+// coreSpeed is the present speed of one core.
 func (n *Endpoint) coreSpeed(now monotime.Micros) float64 {
 	v := n.config.Speed * n.WarmupShare(now) * (1 - n.condition.StolenShare)
 	if n.condition.Slowdown > 0 {
@@ -201,10 +207,10 @@
 	if n.config.ContentionLoss > 0 && float64(n.InFlight()) > n.config.ContentionThreshold*float64(len(n.cores)) {
 		v *= 1 - n.config.ContentionLoss
 	}
-	return max(v, 1e-3)
+	return max(v, minCoreSpeed)
 }
 
-// Arrive takes a request in, or says at once what becomes of it: Full, or Error of one that has not run.
+// Arrive accepts a request, or returns at once that it was Rejected or has Failed without having run.
 func (n *Endpoint) Arrive(now monotime.Micros, j *Job) Verdict {
 	if n.draining || n.collapsed || n.config.QueueCapacity > 0 && len(n.queue) >= n.config.QueueCapacity &&
 		n.busy == len(n.cores) {
@@ -230,11 +236,14 @@
 	return Accepted
 }
 
-// recordOffered counts what is sent to an endpoint that is warming up, which falls over when that is too much for too
-// long.
+// collapseSlack is the factor by which chance may raise the offered work.
+const collapseSlack = 1.1
+
+// recordOffered counts the work offered to an endpoint that is warming up. The endpoint collapses when that exceeds
+// Config.CollapseLoad over Config.CollapseWindow.
 func (n *Endpoint) recordOffered(now monotime.Micros, j *Job) {
-	warmth := n.WarmupShare(now)
-	if n.config.CollapseLoad <= 0 || n.config.CollapseWindow <= 0 || warmth >= 1 || n.collapsed {
+	warmupShare := n.WarmupShare(now)
+	if n.config.CollapseLoad <= 0 || n.config.CollapseWindow <= 0 || warmupShare >= 1 || n.collapsed {
 		return
 	}
 	width := max(1, n.config.CollapseWindow/int64(len(n.offeredWork)))
@@ -242,22 +251,22 @@
 	for ; n.offeredSlot < at; n.offeredSlot++ {
 		if at-n.offeredSlot > int64(len(n.offeredWork)) {
 			n.offeredSlot = at - 1
-			n.offeredWork = [10]float64{}
+			n.offeredWork = [offeredSlots]float64{}
 		}
 		n.offeredWork[(n.offeredSlot+1)%int64(len(n.offeredWork))] = 0
 	}
 	n.offeredWork[at%int64(len(n.offeredWork))] += float64(j.Work)
-	var sent float64
-	for _, v := range n.offeredWork {
-		sent += v
+	var offered float64
+	for _, work := range n.offeredWork {
+		offered += work
 	}
-	can := float64(len(n.cores)) * n.config.Speed * warmth * float64(n.config.CollapseWindow)
-	if sent > n.config.CollapseLoad*can*1.1 { // a tenth for chance
+	capacity := float64(len(n.cores)) * n.config.Speed * warmupShare * float64(n.config.CollapseWindow)
+	if offered > n.config.CollapseLoad*capacity*collapseSlack {
 		n.collapsed = true
 	}
 }
 
-// startJob has a request go to work on a free core.
+// startJob runs a request on a free core.
 func (n *Endpoint) startJob(now monotime.Micros, j *Job) {
 	j.state = running
 	speed := n.coreSpeed(now)
@@ -276,7 +285,7 @@
 	}
 }
 
-// NextCompletion returns the instant of the next end; ok says whether there is one.
+// NextCompletion returns the instant of the next completion; ok reports whether there is one.
 func (n *Endpoint) NextCompletion() (at monotime.Micros, ok bool) {
 	for _, j := range n.cores {
 		if j != nil && (!ok || j.endsAt < at) {
@@ -287,7 +296,7 @@
 	return at, ok
 }
 
-// Advance works on until an instant, and returns what has ended by then. The result is good until the next call.
+// Advance runs the endpoint until an instant, and returns the completions by then. They are valid until the next call.
 func (n *Endpoint) Advance(now monotime.Micros) []Completion {
 	n.completions = n.completions[:0]
 	for {
@@ -308,7 +317,7 @@
 	}
 }
 
-// startQueued has what waits go to work.
+// startQueued runs queued requests on free cores.
 func (n *Endpoint) startQueued(now monotime.Micros) {
 	for n.busy < len(n.cores) && len(n.queue) > 0 {
 		j := n.queue[0]
@@ -318,12 +327,15 @@
 	}
 }
 
-// complete is what came of a request that was worked at to its end. Its luck decides, so that it is the same whatever
-// else goes on.
+// latencyWeight is the weight of one request in the average service time of load reports.
+const latencyWeight = 0.1
+
+// complete returns the completion of a request that has run. Job.Chance decides how it ends, so that it does not depend
+// on other requests.
 func (n *Endpoint) complete(now monotime.Micros, j *Job) Completion {
 	n.workDone += float64(j.Work)
 	n.report.served++
-	n.report.current.LatencyMS += (float64(j.Work)/n.coreSpeed(now)/1000 - n.report.current.LatencyMS) * 0.1
+	n.report.current.LatencyMS += (float64(j.Work)/n.coreSpeed(now)/1000 - n.report.current.LatencyMS) * latencyWeight
 	e := Completion{Job: j, At: now, Verdict: Completed, Effect: true}
 	if j.duplicate {
 		e.Verdict = Duplicate
@@ -339,7 +351,7 @@
 	return e
 }
 
-// Cancel tells that a request's sender waits no longer, and says whether that ends it.
+// Cancel notifies the endpoint that a request's sender has cancelled it, and reports whether that ends the request.
 func (n *Endpoint) Cancel(now monotime.Micros, j *Job) bool {
 	switch {
 	case j.state == queued && n.config.Cancellation != CancelNone:
@@ -360,7 +372,7 @@
 	return true
 }
 
-// discard ends a request that has not run to its end. A repeat of it that comes now runs.
+// discard ends a request that did not complete. A repeat of its key that arrives later runs.
 func (n *Endpoint) discard(j *Job) {
 	j.state = idle
 	if j.IdempotencyKey != 0 && n.dedupGroup != nil && !j.duplicate {
@@ -368,7 +380,7 @@
 	}
 }
 
-// DrawWork draws what an attempt of a request costs: the request's own work, and what differs from one run to the next.
+// DrawWork draws the work of an attempt: that of its request, with the noise between two runs of it.
 func DrawWork(r *rand.Rand, work monotime.Micros, noise float64) monotime.Micros {
 	return max(1, monotime.Micros(randstream.LogNormal(r, float64(work), noise)))
 }
--- a/internal/simulation/simendpoint/endpoint_test.go
+++ b/internal/simulation/simendpoint/endpoint_test.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// Reports tell what is held, late ones what was held then, and a lying endpoint nothing.
+// Reports have the requests in flight, late ones those of then, and false ones none.
 func TestReports(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	n := New(Config{Cores: 1, Speed: 1}, nil)
--- a/internal/simulation/simendpoint/report.go
+++ b/internal/simulation/simendpoint/report.go
@@ -7,16 +7,16 @@
 	"dunlinsail/internal/monotime"
 )
 
-// loadReporter are what reports are made of.
+// loadReporter holds the figures of load reports.
 type loadReporter struct {
 	reportedAt  monotime.Micros
 	current     Load
-	windowStart monotime.Micros // of the present second
+	windowStart monotime.Micros // start of the second that is being counted
 	served      int
 	errors      int
-	coreTime    monotime.Micros // core time in the present second
+	coreTime    monotime.Micros // core time within that second
 	reported    Load
-	history     []timedLoad // for reports that come late
+	history     []timedLoad // earlier reports, for late ones
 }
 
 type timedLoad struct {
@@ -31,7 +31,7 @@
 	Served, Errors        float64 // a second
 }
 
-// Probe returns what a probe is told. It costs the endpoint a little.
+// Probe returns the load report for a probe. The probe costs the endpoint Config.ProbeWork.
 func (n *Endpoint) Probe(now monotime.Micros, r *rand.Rand) Load {
 	n.pendingOverhead += n.config.ProbeWork
 	f := &n.report
@@ -62,8 +62,8 @@
 	case n.condition.FalseReports:
 		return Load{}
 	case n.condition.InvalidReports && r.Float64() < 0.5:
-		nothing := math.NaN()
-		return Load{nothing, nothing, nothing, nothing, nothing, nothing}
+		none := math.NaN()
+		return Load{none, none, none, none, none, none}
 	case n.condition.InvalidReports:
 		return Load{
 			Inflight:  1e9,
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -34,20 +34,20 @@
 
 // Settings are what a fleet runs on.
 type Settings struct {
-	Site           siteconfig.Site // of any instance: what differs between them is filled in
+	Site           siteconfig.Site // of any instance; each gets its own position and zone
 	Concurrency    engine.ConcurrencySettings
 	RetryBudget    float64              // of the pool
-	Subset         *subset.Settings     // of each instance: place and number are filled in; nil is none
-	Overload       *overload.Settings   // of each instance: their number is filled in; nil is none
-	Coordination   *engine.Coordination // of each: its name and transport are filled in; nil is none
+	Subset         *subset.Settings     // of each instance, which gets its own position; nil is none
+	Overload       *overload.Settings   // of each instance, with the number of instances of the run; nil is none
+	Coordination   *engine.Coordination // of each instance, which gets its own name and transport; nil is none
 	MaxConnections int                  // to endpoints, of an instance; 0 is no bound
 	Clients        connlimit.Limits
-	Client         fairqueue.ClientSpec // what each client process may do
+	Client         fairqueue.ClientSpec // limits of each client process
 
-	// Lots sets apart what instances leave to chance in their decisions. Two runs of the same plan with other lots
-	// differ in nothing else.
+	// DecisionSeed is the seed of the instances' own random decisions. Two runs of the same plan with different
+	// decision seeds differ in nothing else.
 	DecisionSeed uint64
-	// Harm spoils this part of the operations: a known harm, to see whether a comparison finds it.
+	// KnownHarm is the share of operations, 0 to 1, that is spoilt on purpose, to test that a comparison finds it.
 	KnownHarm float64
 }
 
@@ -55,17 +55,19 @@
 type Options struct {
 	Plan     *scenario.Plan
 	Settings *Settings
-	// its classes and tenants, by name, are those of the plan
+	// Criteria are what the run is measured by. The plan's classes and tenants are among its, by name.
 	Criteria measure.Criteria
-	// called at each step of an operation, to trace causes; may be nil
+	// Trace is called at each step of an operation, to trace causes; may be nil.
 	Trace func(Trace)
-	// called with each request that an instance took, once it has ended; may be nil
-	Record   func(x *RequestRecord)
-	Log      func(at monotime.Micros, instance int, line string) // called with what instances log; may be nil
+	// Record is called with each request that an instance accepted, once it has ended; may be nil.
+	Record func(x *RequestRecord)
+	// Log is called with each log line of an instance; may be nil.
+	Log func(at monotime.Micros, instance int, line string)
+	// Progress is called now and then with the simulated time; may be nil.
 	Progress func(at monotime.Micros)
 }
 
-// Trace is one step in an operation's life.
+// Trace is one step of an operation.
 type Trace struct {
 	At        monotime.Micros
 	Operation uint64
@@ -80,17 +82,17 @@
 type RequestRecord struct {
 	Instance, Process      int
 	Operation              uint64
-	Class, Tenant          int // places among the criteria's; no tenant is -1
+	Class, Tenant          int // indices in the criteria's lists; no tenant is -1
 	IdempotencyKey, Object uint64
 	Retry                  bool
 	ArrivedAt              monotime.Micros // the instance's clock
 	Duration               monotime.Micros
 	Timeout                monotime.Micros
-	ClientGone             bool // its client went before its answer
+	ClientGone             bool // its client left before the response
 	Response               engine.Response
 }
 
-// clockOrigin is Unix time at the beginning of a run, in microseconds: what clocks of instances and discovery tell.
+// clockOrigin is the Unix time at which a run begins, in microseconds, on the clocks of instances and discovery.
 const clockOrigin monotime.Micros = 1_700_000_000_000_000
 
 // maxDrainTime bounds how long a run goes on after its last operation began.
@@ -104,22 +106,22 @@
 	now      monotime.Micros
 	events   eventQueue
 
-	criteriaClass  []int // place among the criteria's classes of each of the plan's
-	settingsClass  []int // and among the settings' of each of the criteria's
+	criteriaClass  []int // by index of the plan's class: its index in the criteria
+	settingsClass  []int // by index of the criteria's class: its index in the settings
 	criteriaTenant []int
 	settingsTenant []int
 	behavior       simclient.Behavior
 
 	instances      []*instance
 	endpoints      []*endpoint
-	blockingEvents []int // planned events that keep ways apart
+	blockingEvents []int // indices of the planned events that block network paths
 	discovery      *discoveryService
 	network        network
 
 	workRand, faultRand, clientRand, reportRand *randstream.Stream
 	meter                                       *measure.Meter
-	pendingOperations                           int // operations
-	instancesWithArrivals                       int // instances that have operations to come
+	pendingOperations                           int // started and not ended
+	instancesWithArrivals                       int // instances with operations still to start
 	fleetMessages                               uint64
 }
 
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -162,7 +162,7 @@
 // becomes of them.
 func TestSameRunSameDigest(t *testing.T) {
 	const events = "[[event]]\nwhat = \"kill\"\nat = \"4s\"\nfor = \"2s\"\npart = [0.3]\n"
-	asked := func(s *Settings) (digest string, first []Trace) {
+	runTraced := func(s *Settings) (digest string, first []Trace) {
 		seen := map[uint64]bool{}
 		r := play(t, events, 5, s, func(x Trace) {
 			if x.Step == "asks" && !seen[x.Operation] {
@@ -172,14 +172,14 @@
 		})
 		return r.Digest, first
 	}
-	a, first := asked(testSettings())
-	if b, _ := asked(testSettings()); a != b {
+	a, first := runTraced(testSettings())
+	if b, _ := runTraced(testSettings()); a != b {
 		t.Errorf("the same run came to %s and to %s", a, b)
 	}
 	other := testSettings()
 	other.DecisionSeed = 1
 	other.Site.Settings.Limits.MaxAttempts = 1
-	b, then := asked(other)
+	b, then := runTraced(other)
 	if a == b {
 		t.Error("other settings came to the very same")
 	}
@@ -213,24 +213,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			tries := map[[2]uint64]int{}
-			stories := map[uint64]bool{}
+			ends := map[[2]uint64]int{}
+			started := map[uint64]bool{}
 			r := play(t, events, 3, testSettings(), func(x Trace) {
 				at := [2]uint64{x.Operation, uint64(x.Request)}
 				switch x.Step {
 				case "asks":
-					stories[x.Operation] = true
+					started[x.Operation] = true
 				case "is served", "is refused", "is failed", "has no answer":
-					if tries[at]++; tries[at] > 1 {
-						t.Errorf("try %d of story %x ended twice", x.Request, x.Operation)
+					ends[at]++
+					if ends[at] > 1 {
+						t.Errorf("request %d of operation %x ended twice", x.Request, x.Operation)
 					}
 				}
 			})
-			if int(r.Operations) != len(stories) || len(stories) < 500 {
-				t.Errorf("%d stories began, %d ended", len(stories), r.Operations)
+			if int(r.Operations) != len(started) || len(started) < 500 {
+				t.Errorf("%d operations started, %d ended", len(started), r.Operations)
 			}
-			if int64(len(tries)) != r.Costs.ClientRequests {
-				t.Errorf("%d tries, %d ended", r.Costs.ClientRequests, len(tries))
+			if int64(len(ends)) != r.Costs.ClientRequests {
+				t.Errorf("%d tries, %d ended", r.Costs.ClientRequests, len(ends))
 			}
 			c := r.Costs
 			if c.AttemptsAfterDrain != 0 || c.DuplicateEffects != 0 || c.LateResponses != 0 || c.Collapses != 0 {
