--- a/balancer/api.go
+++ b/balancer/api.go
@@ -34,7 +34,8 @@
 	ListFailed                 // discovery failed; no entries
 )
 
-// Request is a client's request. It gets one final answer: an outcome that answers it, a rejection or a failure.
+// Request is a client's request. It gets one final answer: an outcome that answers it, a rejection or a
+// failure.
 type Request struct {
 	ID          uint64
 	ObjectKey   uint64          // hash of the object that the request is about, 0 for none; no decision reads it
@@ -53,8 +54,8 @@
 // Status says how an attempt or a probe ended.
 type Status uint8
 
-// The ways in which an attempt may end. Rejected, ConnectFailed and NotSent prove that it never ran; all others but
-// OK leave that open.
+// The ways in which an attempt may end. Rejected, ConnectFailed and NotSent prove that it never ran; all
+// others but OK leave that open.
 const (
 	OK            Status = iota
 	Error                // an error of the endpoint
@@ -93,12 +94,13 @@
 	MaxProbeRate        float64 // probes per second
 }
 
-// Actions is what a balancer calls its host for. Calls come from within event methods, in the order in which they
-// are to take effect; they must not call the balancer.
+// Actions is what a balancer calls its host for. Calls come from within event methods, in the order in which
+// they are to take effect; they must not call the balancer.
 type Actions interface {
 	// Send starts an attempt. Timeout 0 is until the request's deadline.
 	Send(id uint64, endpoint uint32, timeout monotime.Micros)
-	// Reject is a final answer that promises that a retry is harmless. retryAfter 0 is not said to the client.
+	// Reject is a final answer that promises that a retry is harmless. retryAfter 0 is not said to the
+	// client.
 	Reject(id uint64, retryAfter monotime.Micros)
 	// Fail is a final answer that promises nothing.
 	Fail(id uint64)
--- a/balancer/breakerwindow.go
+++ b/balancer/breakerwindow.go
@@ -3,23 +3,25 @@
 import "dunlinsail/internal/monotime"
 
 // breaker holds the outcomes of an endpoint's attempts in a sliding window, and two averages of its latency.
+// Its decisions are in breaker.go, breakerlatency.go and suspicion.go.
 type breaker struct {
 	ring           [breakerBuckets]bucket
-	newest         int64 // number of the newest bucket
-	requests       int   // over the window
-	accepts        int
-	baseLatency    float64 // the usual one: falls fast and rises slowly
-	currentLatency float64
-	lastForcedPass monotime.Micros
+	newest         int64           // number of the newest bucket, since the start of time
+	requests       int             // in the window: outcomes, and attempts that the breaker rejected
+	accepts        int             // in the window: successes
+	baseLatency    float64         // microseconds, the usual latency; 0 before the first answer
+	currentLatency float64         // microseconds, the present latency
+	lastForcedPass monotime.Micros // instant of the latest attempt that passed without regard to the chances
 }
 
+// bucket counts the outcomes of one part of the window.
 type bucket struct {
 	requests int
 	accepts  int
 	failures int
 }
 
-// advance drops buckets that have left the window, and returns the newest.
+// advance drops the buckets that have left the window, and returns the newest one.
 func (k *breaker) advance(now monotime.Micros) *bucket {
 	number := now / (breakerWindow / breakerBuckets)
 	if number-k.newest >= breakerBuckets {
@@ -38,7 +40,8 @@
 	return &k.ring[number%breakerBuckets]
 }
 
-// record adds a request to the newest bucket, and its accept or failure, if any.
+// record adds a request to the newest bucket, with an accept (1 or 0) and a failure (1 or 0). A request with
+// neither was rejected by the breaker.
 func (k *breaker) record(now monotime.Micros, accepts, failures int) {
 	newest := k.advance(now)
 	newest.requests++
@@ -47,17 +50,3 @@
 	k.requests++
 	k.accepts += accepts
 }
-
-func (k *breaker) recordLatency(latency float64) {
-	if k.baseLatency <= 0 {
-		k.baseLatency = latency
-		k.currentLatency = latency
-		return
-	}
-	divisor := float64(riseDivisor)
-	if latency < k.baseLatency {
-		divisor = fallDivisor
-	}
-	k.baseLatency = (latency + (divisor-1)*k.baseLatency) / divisor
-	k.currentLatency = (latency + (currentDivisor-1)*k.currentLatency) / currentDivisor
-}
--- /dev/null
+++ b/balancer/candidates.go
@@ -0,0 +1,111 @@
+package balancer
+
+import "dunlinsail/internal/monotime"
+
+// candidateSearch looks for the endpoint of the lowest cost for a request. Its methods consider endpoints,
+// each in another way; findCandidate calls them in a fixed order, which fixes the order of random draws.
+type candidateSearch struct {
+	b            *Balancer
+	now          monotime.Micros
+	request      *request
+	except       *endpoint // left out; nil for none
+	allowEjected bool
+	best         *endpoint // nil: none yet
+	bestCost     float64   // microseconds, of best
+}
+
+// findCandidate returns the endpoint of the lowest cost that r may be sent to, nil for none. Candidates are
+// the pool of recent load reports, some warming endpoints, random endpoints where the pool is too small, and
+// all others only if none of these may be used.
+func (b *Balancer) findCandidate(now monotime.Micros, r *request, except *endpoint,
+	allowEjected bool) *endpoint {
+	oldest := now - b.reportLifetime(now)
+	b.effectiveCapacity(now) // updates warmingEndpoints
+	s := candidateSearch{b: b, now: now, request: r, except: except, allowEjected: allowEjected}
+	pooled := s.considerPooled(oldest)
+	s.considerWarming()
+	if s.poolIsTooSmall(pooled) {
+		s.considerRandom()
+	}
+	s.scan()
+	return s.best
+}
+
+// consider compares e with the best endpoint so far, and reports whether r may be sent to e. It may not go to
+// an endpoint that it was sent to before, nor to one that is ejected, nor against the rules of maySend.
+func (s *candidateSearch) consider(e *endpoint) bool {
+	if e == s.except || s.request.hasAttempted(e) {
+		return false
+	}
+	if !s.allowEjected && s.b.isEjectedFor(s.now, e, s.request) {
+		return false
+	}
+	if !s.b.maySend(s.now, s.request, e) {
+		return false
+	}
+	if cost := s.b.candidateCost(s.now, s.request, e); s.best == nil || cost < s.bestCost {
+		s.best = e
+		s.bestCost = cost
+	}
+	return true
+}
+
+// considerPooled considers the endpoints of the pool whose load report was made at oldest or later, the
+// latest first, and returns how many of them may be used.
+func (s *candidateSearch) considerPooled(oldest monotime.Micros) int {
+	usable := 0
+	for i := len(s.b.probePool) - 1; i >= 0 && s.b.probePool[i].reportedAt >= oldest; i-- {
+		if s.consider(s.b.probePool[i]) {
+			usable++
+		}
+	}
+	return usable
+}
+
+// warmingDraws is the number of random warming endpoints that are considered for each request. Few of the
+// pool's reports are from warming endpoints, and capacity that is not used is lost.
+const warmingDraws = 2
+
+// considerWarming considers some random warming endpoints.
+func (s *candidateSearch) considerWarming() {
+	for i := 0; i < warmingDraws && len(s.b.warmingEndpoints) > 0; i++ {
+		s.consider(s.b.warmingEndpoints[s.b.random.index(len(s.b.warmingEndpoints))])
+	}
+}
+
+const (
+	randomDraws    = 2 // usable random endpoints that are looked for (power of two choices)
+	maxRandomDraws = 8 // random draws to find them
+
+	// poolCoverageDivisor divides the endpoints of a list that the pool could hold: if fewer than that are
+	// usable in the pool, random ones compete.
+	poolCoverageDivisor = 2
+)
+
+// poolIsTooSmall reports whether random endpoints compete with the usable ones of the pool: if these are
+// fewer than randomDraws or, of a list that the pool could hold, fewer than half. A small pool would get all
+// requests.
+func (s *candidateSearch) poolIsTooSmall(pooled int) bool {
+	count := len(s.b.endpoints)
+	return pooled < randomDraws || count <= probePoolSize && poolCoverageDivisor*pooled < count
+}
+
+// considerRandom considers random endpoints until randomDraws of them may be used.
+func (s *candidateSearch) considerRandom() {
+	usable := 0
+	for i := 0; usable < randomDraws && i < maxRandomDraws && len(s.b.endpoints) > 0; i++ {
+		if s.consider(s.b.endpoints[s.b.random.index(len(s.b.endpoints))]) {
+			usable++
+		}
+	}
+}
+
+// scan considers all endpoints in turn, from a random one on, until one may be used: where few may, random
+// draws do not find them. It draws the start in each search, also if there is a best endpoint already.
+func (s *candidateSearch) scan() {
+	count := len(s.b.endpoints)
+	start := s.b.random.index(count)
+	for i := 0; s.best == nil && i < count; i++ {
+		s.consider(s.b.endpoints[(start+i)%count])
+	}
+}
--- /dev/null
+++ b/balancer/capacity.go
@@ -0,0 +1,53 @@
+package balancer
+
+import "dunlinsail/internal/monotime"
+
+// capacityLifetime is how long a count of the effective capacity is used: a warming endpoint's part of its
+// capacity changes slowly.
+const capacityLifetime = second / 10
+
+// effectiveCapacity returns the capacity of all eligible endpoints, in warm ones (1 each), and updates
+// readyCount, warmCount and warmingEndpoints. Warming endpoints count by their present capacity: were only
+// warm ones counted, a deploy that leaves few of them would seem to leave much of the traffic for each
+// warming one.
+func (b *Balancer) effectiveCapacity(now monotime.Micros) float64 {
+	if now < b.capacityExpiresAt {
+		return b.readyCapacity
+	}
+	b.capacityExpiresAt = now + capacityLifetime
+	b.readyCapacity = 0
+	b.readyCount = 0
+	b.warmCount = 0
+	b.warmingEndpoints = b.warmingEndpoints[:0]
+	for _, e := range b.endpoints {
+		if !e.isEligible() {
+			continue
+		}
+		b.readyCapacity += e.capacityFraction(now, b)
+		b.readyCount++
+		if e.isWarmingUp {
+			b.warmingEndpoints = append(b.warmingEndpoints, e)
+		} else {
+			b.warmCount++
+		}
+	}
+	return b.readyCapacity
+}
+
+// capacityFraction returns the part of its capacity, over 0 to 1, that e has by now at least. It grows
+// linearly from Contract.WarmupStartCapacity to 1 over Contract.WarmupTime.
+func (e *endpoint) capacityFraction(now monotime.Micros, b *Balancer) float64 {
+	if !e.warmingUp(now, b) {
+		return 1
+	}
+	start := b.settings.Contract.WarmupStartCapacity
+	return start + (1-start)*float64(now-e.warmupStart)/float64(b.settings.Contract.WarmupTime)
+}
+
+// warmingUp reports whether e still warms up, and ends its warm-up after Contract.WarmupTime.
+func (e *endpoint) warmingUp(now monotime.Micros, b *Balancer) bool {
+	if e.isWarmingUp && now-e.warmupStart >= b.settings.Contract.WarmupTime {
+		e.isWarmingUp = false
+	}
+	return e.isWarmingUp
+}
--- /dev/null
+++ b/balancer/cordon.go
@@ -0,0 +1,34 @@
+package balancer
+
+import "dunlinsail/internal/monotime"
+
+// SetCordon takes an endpoint out of service by an operator's call, or returns it to service. A cordoned
+// endpoint gets no new attempts and no probes, whatever the list says; attempts in flight go on. One that is
+// returned to service is treated as restarted: what was learned is dropped, and it warms up.
+func (b *Balancer) SetCordon(now monotime.Micros, id uint32, cordoned bool) {
+	e := b.endpointsByID[id]
+	if e == nil || e.cordoned == cordoned {
+		return
+	}
+	e.cordoned = cordoned
+	b.capacityExpiresAt = now
+	b.removeFromPool(e)
+	if cordoned {
+		return
+	}
+	before := *e
+	b.resetEndpoint(e)
+	e.lastSentAt = before.lastSentAt
+	e.silentSince = before.silentSince
+	b.startWarmup(now, e, now)
+}
+
+// SetPaused pauses an endpoint, or resumes it. A paused endpoint gets no new attempts and no probes. What was
+// learned of it stays, and it does not warm up when it is resumed.
+func (b *Balancer) SetPaused(now monotime.Micros, id uint32, paused bool) {
+	if e := b.endpointsByID[id]; e != nil && e.paused != paused {
+		e.paused = paused
+		b.capacityExpiresAt = now
+		b.removeFromPool(e)
+	}
+}
--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An endpoint whose cordon ends counts as restarted: it gets no more than a warming one may, also where the list still
-// has its old start time, and nothing that was learned of the earlier process is used.
+// An endpoint whose cordon ends counts as restarted: it gets no more than a warming one may, also where the
+// list still has its old start time, and nothing that was learned of the earlier process is used.
 func TestUncordonedEndpointWarmsUp(t *testing.T) {
 	s := testSettings()
 	b, r := startBalancer(t, s, readyEndpoints(4))
--- a/balancer/decisions_test.go
+++ b/balancer/decisions_test.go
@@ -18,9 +18,10 @@
 	"dunlinsail/internal/monotime"
 )
 
-// The decisions of the balancer of commit 870f4ac, over scripted runs against simulated endpoints, as hashes in
-// testdata/decisions.golden: any decision, draw of the random source or rounding that moves shows as another hash.
-// The file is never written anew for a change that should move none. It has one line for each run.
+// The decisions of the balancer of commit 870f4ac, over scripted runs against simulated endpoints, as hashes
+// in testdata/decisions.golden: any decision, draw of the random source or rounding that moves shows as
+// another hash. The file is never written anew for a change that should move none. It has one line for each
+// run.
 //
 // The runs need only exported names. Texts of log lines are left out; that and when a line is written is in.
 
@@ -377,7 +378,8 @@
 	e.StartTime = s.now - s.random.Int64N(second)
 }
 
-// play is the script of all runs: calm, faults of single endpoints, overload, deploys, and changes of the list.
+// play is the script of all runs: calm, faults of single endpoints, overload, deploys, and changes of the
+// list.
 func (s *simulation) play() {
 	rate := s.options.arrivals
 	if s.options.boundsAtOnce {
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -6,50 +6,57 @@
 	"dunlinsail/internal/monotime"
 )
 
-// assumedCores is how many requests an endpoint is assumed to work at side by side.
+// assumedCores is the number of cores that an endpoint is assumed to have: so many requests run there in
+// parallel, and further ones wait. It shapes queue delays, the load of reports without a count, and warm-up
+// budgets.
 const assumedCores = 2.0
 
-// endpoint is what a balancer knows of an endpoint.
+// endpoint is the record of an endpoint.
 type endpoint struct {
 	Endpoint
-	listed   bool // named by the list being read
-	cordoned bool // SetCordon
-	paused   bool // SetPaused
-
-	isWarmingUp        bool // as of the latest call of warmingUp
-	warmupStart        monotime.Micros
-	warmupTokens       float64 // work that it may get, by this balancer's demand
-	warmupRefilledAt   monotime.Micros
-	servedTokens       float64 // work that it may get, by what this balancer was served
-	servedWorkAtRefill float64
-
-	inflight    int             // own attempts without outcome
-	streaming   int             // of these, those on which bytes flow
-	lastSentAt  monotime.Micros // latest own attempt
-	silentSince monotime.Micros // its latest answer, or the first attempt in flight after none was
-
-	probing         bool
-	probedAt        monotime.Micros
-	awaitedInRound  uint32 // the queue round that waits for its probe; 0 is none
-	rtt             ewma   // of probes
+	listed   bool // named by the list that is being applied
+	cordoned bool // by SetCordon
+	paused   bool // by SetPaused
+
+	// Warm-up (warmup.go).
+	isWarmingUp        bool            // as of the latest call of warmingUp
+	warmupStart        monotime.Micros // instant
+	warmupTokens       float64         // microseconds of work in the demand bucket
+	servedTokens       float64         // microseconds of work in the served bucket
+	warmupRefilledAt   monotime.Micros // instant of the latest refill of both buckets
+	servedWorkAtRefill float64         // Balancer.servedWork at that instant
+
+	// This balancer's attempts.
+	inflight    int             // attempts without outcome
+	streaming   int             // of these, those whose request or answer is being streamed
+	lastSentAt  monotime.Micros // instant of the latest attempt
+	silentSince monotime.Micros // instant of the latest answer, or of the first attempt sent after all had one
+
+	// Probes and load reports (proberounds.go, loadreports.go).
+	probing         bool            // a probe is in flight
+	probedAt        monotime.Micros // instant of the latest probe
+	awaitedInRound  uint32          // queue round that waits for the probe in flight; 0 is none
+	rtt             ewma            // microseconds, of probes
 	hasReport       bool
-	reportedAt      monotime.Micros // latest load report
-	reportSum       float32         // of its figures, to see whether they change
-	othersLoad      float64         // load by other balancers in it
-	ownLoadAtReport float64
-
-	serviceTimeRatio      ewma // service time per work and queue delay factor, once warm
-	serviceTimeObservedAt monotime.Micros
-	outliers              []outlierStats // by part of the traffic (trafficParts)
+	reportedAt      monotime.Micros // instant of the latest load report
+	reportSum       float32         // weighted sum of its figures, by which a changed report is recognized
+	othersLoad      float64         // requests of other balancers at the endpoint, by the latest report
+	ownLoadAtReport float64         // activeAttempts at the latest report
+
+	// Latency, outliers and breaker.
+	serviceTimeRatio      ewma            // service time per work and queue delay factor, of the warm endpoint
+	serviceTimeObservedAt monotime.Micros // instant of its latest sample
+	outliers              []outlierStats  // by part of the traffic (trafficParts)
 	breaker               breaker
-	suspicions            []float64 // by class: chance of being left out (SetSuspicion); nil is 0
+	suspicions            []float64 // by class, 0 to 1 (SetSuspicion); nil is 0 for each
 }
 
-// outlierStats counts an endpoint's consecutive failures of a part of the traffic.
+// outlierStats counts an endpoint's consecutive failures of a part of the traffic, and holds the ejection for
+// them.
 type outlierStats struct {
 	consecutiveFailures int
-	ejectedUntil        monotime.Micros
-	ejectionTime        monotime.Micros // of the latest ejection
+	ejectedUntil        monotime.Micros // instant
+	ejectionTime        monotime.Micros // of the latest ejection, before jitter; 0 is none since a success
 	trialPending        bool            // an attempt since the latest ejection has no outcome yet
 }
 
@@ -68,7 +75,7 @@
 	}
 }
 
-// addToPool puts e at the end of the pool of endpoints with load reports, in place of the oldest if it is full.
+// addToPool adds e to the end of the pool of endpoints with load reports. A full pool drops the oldest.
 func (b *Balancer) addToPool(e *endpoint) {
 	b.removeFromPool(e)
 	if len(b.probePool) == probePoolSize {
@@ -77,60 +84,37 @@
 	b.probePool = append(b.probePool, e)
 }
 
+// removeFromPool removes e from the pool, if it is there.
 func (b *Balancer) removeFromPool(e *endpoint) {
 	b.probePool = slices.DeleteFunc(b.probePool, func(other *endpoint) bool { return other == e })
 }
 
-// isEligible says whether e may get anything new.
+// isEligible reports whether e may get new attempts and probes: it is ready, and neither cordoned nor paused.
 func (e *endpoint) isEligible() bool { return e.State == Ready && !e.cordoned && !e.paused }
 
-// isEjected says whether e is ejected for all traffic.
+// isEjected reports whether e is ejected for all traffic.
 func (e *endpoint) isEjected(now monotime.Micros) bool {
 	return now < e.outliers[allTraffic].ejectedUntil
 }
 
-// isAvoided says whether this balancer itself keeps all requests from e.
+// isAvoided reports whether this balancer keeps all requests from e: by cordon, pause or ejection.
 func (e *endpoint) isAvoided(now monotime.Micros) bool {
 	return e.cordoned || e.paused || e.isEjected(now)
 }
 
-// ShouldAvoid says whether an endpoint gets nothing by this balancer's own choice: cordoned, paused or ejected.
+// activeAttempts returns how many of this balancer's attempts e may be working at. A streamed attempt does
+// not count: e has answered it, or has not begun with it.
+func (e *endpoint) activeAttempts() float64 { return float64(e.inflight - e.streaming) }
+
+// ShouldAvoid reports whether an endpoint gets no requests by this balancer's own choice: it is cordoned,
+// paused or ejected for all traffic.
 func (b *Balancer) ShouldAvoid(now monotime.Micros, id uint32) bool {
 	e := b.endpointsByID[id]
 	return e != nil && e.isAvoided(now)
 }
 
-// IsEjected says whether an endpoint is ejected for its failures, for all traffic.
+// IsEjected reports whether an endpoint is ejected for its failures, for all traffic.
 func (b *Balancer) IsEjected(now monotime.Micros, id uint32) bool {
 	e := b.endpointsByID[id]
 	return e != nil && e.isEjected(now)
 }
-
-// activeAttempts is how many of our attempts e may be working at: not those on which bytes flow, which it has
-// answered or not begun with.
-func (e *endpoint) activeAttempts() float64 { return float64(e.inflight - e.streaming) }
-
-// warmingUp says whether e still warms up.
-func (e *endpoint) warmingUp(now monotime.Micros, b *Balancer) bool {
-	if e.isWarmingUp && now-e.warmupStart >= b.settings.Contract.WarmupTime {
-		e.isWarmingUp = false
-	}
-	return e.isWarmingUp
-}
-
-// capacityFraction is the least part of its capacity that e has by now.
-func (e *endpoint) capacityFraction(now monotime.Micros, b *Balancer) float64 {
-	if !e.warmingUp(now, b) {
-		return 1
-	}
-	start := b.settings.Contract.WarmupStartCapacity
-	return start + (1-start)*float64(now-e.warmupStart)/float64(b.settings.Contract.WarmupTime)
-}
-
-// suspicion is the chance by which other balancers have e left out for a class.
-func (e *endpoint) suspicion(class int) float64 {
-	if e.suspicions == nil {
-		return 0
-	}
-	return e.suspicions[class]
-}
--- /dev/null
+++ b/balancer/endpointlist.go
@@ -0,0 +1,91 @@
+package balancer
+
+import (
+	"slices"
+
+	"dunlinsail/internal/monotime"
+)
+
+// UpdateEndpoints handles an endpoint list, a change of it, or discovery's failure to send one. After a
+// failure the latest list stays in use, and discovery is polled again.
+func (b *Balancer) UpdateEndpoints(now monotime.Micros, kind ListKind, entries []Endpoint) {
+	if kind == ListFailed {
+		b.subscribed = false
+		b.logDiscoveryFailure(now)
+		b.retryPoll(now)
+		return
+	}
+	if kind != ListCached && b.settings.Subscribe {
+		b.subscribed = true
+		b.pollBackoff = 0
+	}
+	for _, e := range b.endpoints {
+		e.listed = false
+	}
+	for i := range entries {
+		b.updateEndpoint(now, &entries[i], kind)
+	}
+	b.removeUnlisted(kind)
+	b.capacityExpiresAt = now
+	b.listReceived = b.listReceived || kind != ListCached || !b.settings.Subscribe
+}
+
+// updateEndpoint applies one entry of a list. What was learned of an earlier process of the endpoint is
+// dropped, and an endpoint that has just started begins to warm up.
+func (b *Balancer) updateEndpoint(now monotime.Micros, entry *Endpoint, kind ListKind) {
+	e := b.endpointsByID[entry.ID]
+	added := e == nil
+	if added {
+		e = b.addEndpoint(entry.ID)
+	}
+	restarted := !added && entry.StartTime != 0 && entry.StartTime != e.StartTime
+	if restarted {
+		b.resetEndpoint(e)
+		b.removeFromPool(e)
+	}
+	e.Endpoint = *entry
+	e.listed = true
+	if !added && !restarted {
+		return
+	}
+	started := b.startTimeOf(now, entry, added, kind)
+	if started != 0 && now-started < b.settings.Contract.WarmupTime {
+		b.startWarmup(now, e, min(started, now))
+	}
+}
+
+// addEndpoint adds a record to the endpoints.
+func (b *Balancer) addEndpoint(id uint32) *endpoint {
+	e := &endpoint{outliers: b.newOutliers()}
+	b.endpointsByID[id] = e
+	b.endpoints = append(b.endpoints, e)
+	return e
+}
+
+// startTimeOf returns when the process of an entry started, 0 for long ago. An entry without a start time
+// that is added after the first list has just started. A cached list may be old, so what it adds has not.
+func (b *Balancer) startTimeOf(now monotime.Micros, entry *Endpoint, added bool,
+	kind ListKind) monotime.Micros {
+	if entry.StartTime == 0 && added && b.listReceived && kind != ListCached {
+		return now
+	}
+	return entry.StartTime
+}
+
+// removeUnlisted marks endpoints that a complete list leaves out as Gone, and forgets those that are Gone
+// once they have no attempt in flight. What is not eligible leaves the pool.
+func (b *Balancer) removeUnlisted(kind ListKind) {
+	b.endpoints = slices.DeleteFunc(b.endpoints, func(e *endpoint) bool {
+		if kind != ListDelta && !e.listed {
+			e.State = Gone
+		}
+		if !e.isEligible() {
+			b.removeFromPool(e)
+		}
+		forget := e.State == Gone && e.inflight == 0
+		if forget {
+			delete(b.endpointsByID, e.ID)
+		}
+		return forget
+	})
+}
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -50,8 +50,9 @@
 	}
 }
 
-// Warm endpoints are busy, new warming ones idle: each of eighty balancers lets a warming one have only its own part,
-// and must give it that while there is room. What they give together stays within what the warming ones can take.
+// Warm endpoints are busy, new warming ones idle: each of eighty balancers lets a warming one have only its
+// own part, and must give it that while there is room. What they give together stays within what the warming
+// ones can take.
 func TestWarmingEndpointsGetTheirPart(t *testing.T) {
 	const balancers, warm, cold, rate, work = 80, 24, 36, 20.0, 0.05
 	s := testSettings()
@@ -104,7 +105,8 @@
 	}
 }
 
-// pollingBalancer is a balancer that polls a discovery which answers few calls and fails those that wait too long.
+// pollingBalancer is a balancer that polls a discovery which answers few calls and fails those that wait too
+// long.
 type pollingBalancer struct {
 	balancer   *Balancer
 	recorder   *recorder
@@ -198,9 +200,9 @@
 	}
 }
 
-// Eighty sidecars start within 100 ms while discovery answers four calls a second and fails what waits for two
-// seconds. All are notified within a minute, calls do not come faster than it fails them, and meanwhile the known list
-// serves.
+// Eighty sidecars start within 100 ms while discovery answers four calls a second and fails what waits for
+// two seconds. All are notified within a minute, calls do not come faster than it fails them, and meanwhile
+// the known list serves.
 func TestFleetPollsOverloadedDiscovery(t *testing.T) {
 	const balancers = 80
 	s := testSettings()
@@ -236,8 +238,8 @@
 	}
 }
 
-// A first list that never comes: the known list serves, and where nothing is known all is rejected at once; discovery
-// is polled on.
+// A first list that never comes: the known list serves, and where nothing is known all is rejected at once;
+// discovery is polled on.
 func TestFirstListNeverComes(t *testing.T) {
 	for _, known := range []int{0, 5} {
 		s := testSettings()
@@ -274,8 +276,8 @@
 	}
 }
 
-// Six in ten of the list are replaced, in one change or in twenty, with requests out at those that go. Nothing new goes
-// to these, each request has one final answer, and what answers late is taken.
+// Six in ten of the list are replaced, in one change or in twenty, with requests out at those that go.
+// Nothing new goes to these, each request has one final answer, and what answers late is taken.
 func TestReplacedWithRequestsOut(t *testing.T) {
 	for _, changes := range []int{1, 20} {
 		const all, gone = 60, 36
@@ -335,8 +337,8 @@
 	}
 }
 
-// A list that shrinks to one: all goes there while an answer would be in time, the rest is rejected at once, and when
-// the others come back they are used again.
+// A list that shrinks to one: all goes there while an answer would be in time, the rest is rejected at once,
+// and when the others come back they are used again.
 func TestListShrinksToOne(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(20))
 	b.UpdateEndpoints(second, ListFull, readyEndpoints(1))
@@ -369,8 +371,8 @@
 	}
 }
 
-// A fifth of the new endpoints fail all that they are asked. A sidecar with three requests a second and one with a
-// hundred, alone with what they see: both serve nearly all, the busy one finds them soon.
+// A fifth of the new endpoints fail all that they are asked. A sidecar with three requests a second and one
+// with a hundred, alone with what they see: both serve nearly all, the busy one finds them soon.
 func TestOutliersAmongNewEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		rate  float64
@@ -418,8 +420,8 @@
 	}
 }
 
-// crowd is a fleet of balancers at the same endpoints, in simulated time: each endpoint works through what it is sent
-// on so many cores' worth as it has at that instant, and answers probes with what it holds.
+// crowd is a fleet of balancers at the same endpoints, in simulated time: each endpoint works through what it
+// is sent on so many cores' worth as it has at that instant, and answers probes with what it holds.
 type simFleet struct {
 	balancers []*Balancer
 	recorders []*recorder
@@ -539,9 +541,9 @@
 	}
 }
 
-// The power comes back: five hundred balancers start with all endpoints warming up, of which the list tells a few at
-// first. What each alone takes for its small part is many times what the few can do. None may be made to collapse,
-// and what they serve grows.
+// The power comes back: five hundred balancers start with all endpoints warming up, of which the list tells a
+// few at first. What each alone takes for its small part is many times what the few can do. None may be made
+// to collapse, and what they serve grows.
 func TestPowerCutCollapsesNoEndpoint(t *testing.T) {
 	for _, assumedBalancers := range []int{500, 50, 5000} { // the size of the fleet, right and wrong by ten either way
 		t.Run(fmt.Sprint(assumedBalancers), func(t *testing.T) { powerCut(t, assumedBalancers) })
@@ -594,9 +596,9 @@
 	}
 }
 
-// A sidecar with three requests a second beside one with four hundred, at the same endpoints: three of twelve fail
-// all for ten seconds. The quiet one meets them more often before it knows, but what either is asked is served, and
-// neither at the other's cost.
+// A sidecar with three requests a second beside one with four hundred, at the same endpoints: three of twelve
+// fail all for ten seconds. The quiet one meets them more often before it knows, but what either is asked is
+// served, and neither at the other's cost.
 func TestQuietBesideBusy(t *testing.T) {
 	s := testSettings()
 	s.Prices.Probe = probeBudget * calmProbeShare / 0.05
@@ -627,8 +629,8 @@
 	}
 }
 
-// One balancer whose endpoints all come up at once serves in the first second, however wrong its first guess of their
-// work is.
+// One balancer whose endpoints all come up at once serves in the first second, however wrong its first guess
+// of their work is.
 func TestSingleBalancerWithAllEndpointsWarming(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// The golden files under testdata were written by the build of commit 870f4ac, before any field was renamed. Sidecars
-// of that build hand over their state in this form, and read it: the files are never written anew.
+// The golden files under testdata were written by the build of commit 870f4ac, before any field was renamed.
+// Sidecars of that build hand over their state in this form, and read it: the files are never written anew.
 
 func filledLearned() *LearnedState {
 	return &LearnedState{
--- /dev/null
+++ b/balancer/idempotency.go
@@ -0,0 +1,74 @@
+package balancer
+
+import "dunlinsail/internal/monotime"
+
+// Attempts, rejections and failures go through sendAttempt, reject and failRequest, which enforce the rules
+// of this file: no request has a second effect, and no rejection promises wrongly that a retry is harmless.
+
+// maySend reports whether the rules allow an attempt of r at e now. They do not:
+//   - after the final answer or the deadline, once an answer is streamed, or without attemptsLeft;
+//   - at an endpoint that is not ready, or that is cordoned or paused;
+//   - beside another attempt, without Limits.Hedging;
+//   - at a warming endpoint without capacity for r (hasWarmupCapacity), or after a handover (SetHandedOver);
+//   - where a second run of r would have a second effect (mayRunAgain).
+func (b *Balancer) maySend(now monotime.Micros, r *request, e *endpoint) bool {
+	if r.finished || r.streaming || now >= r.Deadline || !b.attemptsLeft(r) || !e.isEligible() {
+		return false
+	}
+	if r.inflight > 0 && !b.settings.Limits.Hedging {
+		return false
+	}
+	if e.warmingUp(now, b) && (b.handedOver || !b.hasWarmupCapacity(now, e, r.work)) {
+		return false
+	}
+	return b.mayRunAgain(now, r, e)
+}
+
+// mayRunAgain reports whether r may run at e although an earlier attempt may have run: if its class is
+// idempotent, or if e drops a second run with the same idempotency key. It does so within the class's
+// deduplication window from the first such attempt, and within that attempt's deduplication scope.
+func (b *Balancer) mayRunAgain(now monotime.Micros, r *request, e *endpoint) bool {
+	c := b.classOf(r)
+	first := r.firstMayHaveRun()
+	if first == nil || c.Idempotency == Idempotent {
+		return true
+	}
+	if c.Idempotency != IdempotentByKey || now >= first.sentAt+c.DedupWindow {
+		return false
+	}
+	switch c.DedupScope {
+	case DedupAll:
+		return true
+	case DedupZone:
+		return e.Zone == first.zone
+	case DedupCell:
+		return e.Cell == first.cell
+	}
+	return false
+}
+
+// FirstByteDeadline returns the instant up to which the first byte of a request's latest attempt may be sent,
+// 0 for none. It is the end of the deduplication window, where an earlier attempt may have run.
+func (b *Balancer) FirstByteDeadline(id uint64) monotime.Micros {
+	r := b.requests[id]
+	if r == nil || b.classOf(r).Idempotency != IdempotentByKey {
+		return 0
+	}
+	first := r.firstMayHaveRun()
+	if first == nil || first == &r.attempts[len(r.attempts)-1] {
+		return 0
+	}
+	return first.sentAt + b.classOf(r).DedupWindow
+}
+
+// mayReject reports whether r may be rejected, which promises the client that a retry is harmless: if it has
+// not run, if its class is idempotent, or if all endpoints drop second runs with its idempotency key. The
+// last does not hold with Settings.StrictIdempotencyKeys, since the client may retry after the deduplication
+// window.
+func (b *Balancer) mayReject(r *request) bool {
+	c := b.classOf(r)
+	if c.Idempotency == Idempotent || r.firstMayHaveRun() == nil {
+		return true
+	}
+	return c.Idempotency == IdempotentByKey && c.DedupScope == DedupAll && !b.settings.StrictIdempotencyKeys
+}
--- /dev/null
+++ b/balancer/latencylearning.go
@@ -0,0 +1,75 @@
+package balancer
+
+import (
+	"math"
+
+	"dunlinsail/internal/monotime"
+)
+
+// serviceTimeWeight is the weight of one attempt in the service time ratio of its endpoint.
+const serviceTimeWeight = 0.03
+
+// learnLatency updates the predictions by the latency (microseconds) of an attempt. lowerBound is set for a
+// timeout: the attempt would have taken longer, so that it may only raise the endpoint's service time.
+func (b *Balancer) learnLatency(now monotime.Micros, r *request, a *attempt, latency float64,
+	lowerBound bool) {
+	e := a.endpoint
+	known := e.currentServiceTimeRatio(now, b)
+	observed := max(0, latency-e.rtt.valueOr(0)) / a.workFactor
+	if lowerBound {
+		// A timeout may have other causes: a single one must not make a fast endpoint seem out of reach.
+		observed = min(observed, maxTrendStep*known)
+		if observed <= known {
+			return
+		}
+	}
+	b.updateLatencyTrend(latency / a.expectedLatency)
+	if !lowerBound && r.logHintRatio != 0 && observed > 0 {
+		b.updateHintTrust(r, observed/known)
+	}
+	capacity := e.capacityFraction(now, b) // the ratio is recorded as that of the warm endpoint
+	e.serviceTimeRatio = ewma{value: known * capacity, samples: manySamples}
+	e.serviceTimeRatio.add(observed*capacity, serviceTimeWeight)
+	e.serviceTimeObservedAt = now
+	if !lowerBound && !e.isWarmingUp {
+		b.updateFleetServiceTime(r, observed, known)
+	}
+}
+
+// updateFleetServiceTime updates the fleet's service time ratio by one attempt. Without a work hint it
+// updates the mean work of the class instead: then work is the mean service time, and the fleet's ratio is 1.
+func (b *Balancer) updateFleetServiceTime(r *request, observed, known float64) {
+	if r.HasWorkHint {
+		b.fleetServiceTimeRatio.add(observed, slowWeight)
+	} else {
+		b.classes[r.Class].meanWork.add(observed*r.work/known, slowWeight)
+	}
+}
+
+// hintTrustWeight is the weight of one answer in hintTrust.
+const hintTrustWeight = 0.005
+
+// updateHintTrust updates how far work hints are right, 0 to 1, by the ratio of an observed service time to
+// the expected one. Rough hints overstate large requests and understate small ones: if large ones take less
+// than expected, hints count less.
+func (b *Balancer) updateHintTrust(r *request, ratio float64) {
+	trust := b.hintTrust + hintTrustWeight*r.logHintRatio*math.Log(ratio)
+	b.hintTrust = min(1, max(0, trust))
+}
+
+const (
+	trendWeight  = 0.1 // of one answer in the latency trend
+	maxTrendStep = 4.0 // times its prediction: a longer latency counts as this
+	maxTrend     = 8.0 // bound of the latency trend, and of its inverse
+)
+
+// updateLatencyTrend updates the trend of all endpoints together by the ratio of an answer's latency to the
+// predicted one. By it a slowdown of the whole fleet is learned at once, endpoint by endpoint it would take
+// long.
+func (b *Balancer) updateLatencyTrend(ratio float64) {
+	step := trendWeight * (min(ratio, maxTrendStep) - 1)
+	b.latencyTrend = boundedTrend(b.latencyTrend * (1 + step))
+}
+
+// boundedTrend returns a latency trend within 1/maxTrend to maxTrend.
+func boundedTrend(trend float64) float64 { return min(maxTrend, max(1/maxTrend, trend)) }
--- a/balancer/learned.go
+++ b/balancer/learned.go
@@ -6,11 +6,12 @@
 	"dunlinsail/internal/monotime"
 )
 
-// LearnedState is what a balancer has learned, for another that takes its place in a hot restart: service times,
-// breaker windows, ejections, the budgets of warming endpoints. Instants are stored as ages at the time of the
-// snapshot, since the two may count time from different origins.
+// LearnedState is what a balancer has learned, for another that takes its place in a hot restart: service
+// times, breaker windows, ejections, the budgets of warming endpoints. Instants are stored as ages at the
+// time of the snapshot, since the two may count time from different origins.
 //
-// Its JSON form is stored and read by other versions. The tags are fixed; golden_test.go holds files of that form.
+// Its JSON form is stored and read by other versions. The tags are fixed; golden_test.go holds files of that
+// form.
 type LearnedState struct {
 	Classes   []LearnedClass    `json:"Classes"` // in the order of the settings
 	Endpoints []LearnedEndpoint `json:"Endpoints"`
@@ -138,9 +139,9 @@
 	return l
 }
 
-// Restore takes over what another balancer had learned an age ago, in place of what this one knows. It is meant for
-// one that has no request open. Endpoints are those of this balancer's list, by their IDs; what does not fit the
-// settings' classes or tenants is skipped, part by part.
+// Restore takes over what another balancer had learned an age ago, in place of what this one knows. It is
+// meant for one that has no request open. Endpoints are those of this balancer's list, by their IDs; what
+// does not fit the settings' classes or tenants is skipped, part by part.
 func (b *Balancer) Restore(now, age monotime.Micros, l *LearnedState) {
 	age = max(0, age)
 	b.requestRate.set(now, l.RequestRate)
@@ -229,8 +230,9 @@
 	}
 }
 
-// SetHandedOver says whether another balancer has taken over what this one has learned, and with it the buckets of
-// warming endpoints: this one sends them nothing more, or the two together could make one collapse.
+// SetHandedOver says whether another balancer has taken over what this one has learned, and with it the
+// buckets of warming endpoints: this one sends them nothing more, or the two together could make one
+// collapse.
 func (b *Balancer) SetHandedOver(now monotime.Micros, handedOver bool) {
 	b.handedOver = handedOver
 	for _, e := range b.endpoints {
--- a/balancer/learned_test.go
+++ b/balancer/learned_test.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// run sends 3000 requests, of which the second half is handed over to another balancer, and returns how many went to
-// the warming endpoint. The old balancer has as much to do as before for a while.
+// run sends 3000 requests, of which the second half is handed over to another balancer, and returns how many
+// went to the warming endpoint. The old balancer has as much to do as before for a while.
 func (h *handOverHost) run(handOver bool) int {
 	h.t.Helper()
 	b, _ := startBalancer(h.t, h.settings(), readyEndpoints(4))
@@ -208,8 +208,8 @@
 	return both
 }
 
-// The buckets of a warming endpoint are handed over: the old balancer sends it nothing more, and what both have sent
-// together stays within what one alone might have.
+// The buckets of a warming endpoint are handed over: the old balancer sends it nothing more, and what both
+// have sent together stays within what one alone might have.
 func TestWarmingEndpointIsHandedOver(t *testing.T) {
 	alone := (&handOverHost{t: t}).run(false)
 	both := (&handOverHost{t: t}).run(true)
@@ -280,8 +280,8 @@
 	}
 }
 
-// A change that comes before the cached list of another balancer must not make the endpoints of that list look new:
-// if all warmed up, the requests of the first seconds after a hot restart would be rejected.
+// A change that comes before the cached list of another balancer must not make the endpoints of that list
+// look new: if all warmed up, the requests of the first seconds after a hot restart would be rejected.
 func TestEndpointsOfCachedListAreNotNew(t *testing.T) {
 	s := testSettings()
 	s.Subscribe = false
--- a/balancer/lifecycle.go
+++ b/balancer/lifecycle.go
@@ -2,7 +2,8 @@
 
 import "dunlinsail/internal/monotime"
 
-// New returns a balancer, or a *SettingError for settings that make no sense. Call Start before any event.
+// New returns a balancer, or a *SettingError for settings that make no sense. Equal settings, seeds and
+// events give equal actions. Call Start before any event.
 func New(settings Settings, seed uint64, actions Actions) (*Balancer, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -11,38 +12,56 @@
 		settings.RetryRatio = DefaultRetryRatio
 	}
 	b := &Balancer{
-		settings: settings, actions: actions, random: randomSource(seed), seed: seed,
-		classes: make([]classStats, len(settings.Classes)), tenantRates: make([]rateMeter, len(settings.Tenants)),
-		requests: map[uint64]*request{}, endpointsByID: map[uint32]*endpoint{}, queueRound: 1, dueProbes: 1,
-		lateReportRatio: ewma{samples: manySamples}, rejectedRatio: ewma{samples: manySamples},
-		lastLogged: map[string]monotime.Micros{}, latencyTrend: 1, hintTrust: 0.5, retryCredit: retryBurst,
+		settings:           settings,
+		actions:            actions,
+		random:             randomSource(seed),
+		seed:               seed,
+		classes:            make([]classStats, len(settings.Classes)),
+		tenantRates:        make([]rateMeter, len(settings.Tenants)),
+		requests:           map[uint64]*request{},
+		endpointsByID:      map[uint32]*endpoint{},
+		queueRound:         1,
+		dueProbes:          1, // the first round sends a probe
+		lateReportRatio:    ewma{samples: manySamples},
+		rejectedRatio:      ewma{samples: manySamples},
+		withoutLoadReports: !settings.Limits.Probes || !reportsLoad(settings.LoadMetrics),
+		latencyTrend:       1,
+		hintTrust:          initialHintTrust,
+		lastLogged:         map[string]monotime.Micros{},
 	}
-	b.recentRequests.ring = make([]int, retrySlots)
-	b.recentRetries.ring = make([]int, retrySlots+1)
-	b.withoutLoadReports = !settings.Limits.Probes || !reportsLoad(settings.LoadMetrics)
+	b.initRetryBudget()
+	b.initClasses()
+	return b, nil
+}
+
+// initialWorkDivisor divides a class's latency objective for the first estimate of its work: a service whose
+// objective can be met answers a request well within it.
+const initialWorkDivisor = 5
+
+// initClasses sets the first estimates of each class: the mean work (microseconds) and the on-time ratio.
+func (b *Balancer) initClasses() {
 	for i := range b.classes {
-		work := float64(settings.Classes[i].LatencyObjective) / 5
+		work := float64(b.settings.Classes[i].LatencyObjective) / initialWorkDivisor
 		b.classes[i].meanWork = ewma{value: work, samples: manySamples}
 		b.classes[i].onTimeRatio = ewma{value: 1, samples: manySamples}
-		b.meanWork.add(work, 1/float64(i+1))
+		b.meanWork.add(work, 1/float64(i+1)) // the plain mean of the classes
 	}
-	return b, nil
 }
 
-// Start begins to count time, and starts the timers of polls and probes.
+// Start starts the timers of polls and probes, each at a random time: all instances of a fleet may start
+// together.
 func (b *Balancer) Start(now monotime.Micros) {
 	b.dueProbesAt = now
+	// As if it were long ago, so that warming endpoints get initial tokens (refillServedBucket).
 	b.lastServedAt = now - b.settings.Contract.CollapseAfter
-	if b.settings.Subscribe {
-		// All instances of a fleet may start at once: spread their first polls.
-		b.schedulePoll(now, 1+b.random.durationBelow(b.pollJitter()))
-	}
+	b.startPolling(now)
 	if b.settings.Limits.Probes {
 		b.actions.SetTimer(1+b.random.durationBelow(maxProbeInterval), tokenProbe)
 	}
 }
 
-// HandleTimer handles a token given to Actions.SetTimer. Tokens of finished requests have no effect.
+// HandleTimer handles a token that was given to Actions.SetTimer. A token of a finished request has no
+// effect.
 func (b *Balancer) HandleTimer(now monotime.Micros, token uint32) {
 	switch {
 	case token == tokenProbe:
@@ -50,9 +69,7 @@
 	case token == tokenDiscovery:
 		b.poll(now)
 	case token == tokenRecheck:
-		if e := b.endpointsByID[b.recheckedID]; e != nil {
-			b.sendProbe(now, e)
-		}
+		b.recheckReport(now)
 	case token >= firstRequestToken:
 		if r := b.requestOfToken(token); r != nil && !r.finished && !r.streaming {
 			b.onRequestTimer(now, r)
--- a/balancer/logging.go
+++ b/balancer/logging.go
@@ -2,44 +2,58 @@
 
 import "dunlinsail/internal/monotime"
 
-// Messages of log lines. docs/operators says what to do about each.
+// Messages of log lines. docs/operators/log-messages.md has what to do about each.
 const (
-	messageWatchFailed  = "discovery failed, the last endpoint list is used"
-	messageLateReports  = "load reports late"
-	messageRejected     = "requests rejected"
-	messageEjected      = "endpoint ejected"
-	microsInMillisecond = 1000
+	messageWatchFailed = "discovery failed, the last endpoint list is used"
+	messageLateReports = "load reports late"
+	messageRejected    = "requests rejected"
+	messageEjected     = "endpoint ejected"
 )
 
-// log writes a line for on-call staff, at most one a second of each message. args are alternating keys and values.
+// logInterval is the least time between two log lines of a message.
+const logInterval = second
+
+// percent converts a ratio for a log line.
+const percent = 100
+
+// log writes a line for on-call staff, at most one of each message per logInterval. args are alternating keys
+// and values.
 func (b *Balancer) log(now monotime.Micros, message string, args ...any) {
-	if last, ok := b.lastLogged[message]; ok && now-last < second {
+	if last, ok := b.lastLogged[message]; ok && now-last < logInterval {
 		return
 	}
 	b.lastLogged[message] = now
 	b.actions.Log(message, args...)
 }
 
+// logDiscoveryFailure logs that discovery failed to send a list.
 func (b *Balancer) logDiscoveryFailure(now monotime.Micros) { b.log(now, messageWatchFailed) }
 
+// logLateReports logs that reports have become late, or are in time again, with the ratio of late ones.
 func (b *Balancer) logLateReports(now monotime.Micros) {
-	b.log(now, messageLateReports, "late", b.reportsLate, "late_percent", int(100*b.lateReportRatio.value))
+	b.log(now, messageLateReports,
+		"late", b.reportsLate,
+		"late_percent", int(percent*b.lateReportRatio.value))
 }
 
-// logRejection says why a request is rejected: the best endpoint would answer too late. It is made only when due,
-// since rejections come in thousands.
+// logRejection logs why a request is rejected: the best endpoint would answer later (expected, microseconds)
+// than the latency budget allows (microseconds). The line is made only when one is due, since there may be
+// thousands of rejections per second.
 func (b *Balancer) logRejection(now monotime.Micros, best *endpoint, expected, budget float64) {
-	if now-b.lastLogged[messageRejected] >= second {
-		b.log(now, messageRejected, "rejected_percent", int(100*b.rejectedRatio.value), "best_endpoint", best.ID,
-			"expected_ms", int(expected/microsInMillisecond), "budget_ms", int(budget/microsInMillisecond))
+	if now-b.lastLogged[messageRejected] >= logInterval {
+		b.log(now, messageRejected,
+			"rejected_percent", int(percent*b.rejectedRatio.value),
+			"best_endpoint", best.ID,
+			"expected_ms", int(expected/microsPerMilli),
+			"budget_ms", int(budget/microsPerMilli))
 	}
 }
 
-// logEjection says for how long an endpoint is ejected, and for which class or tenant unless for all traffic.
+// logEjection logs for how long an endpoint is ejected, and for which class or tenant if not for all traffic.
 func (b *Balancer) logEjection(now monotime.Micros, e *endpoint, part int) {
 	o := &e.outliers[part]
 	args := []any{"endpoint", e.ID, "consecutive_failures", o.consecutiveFailures,
-		"for_ms", (o.ejectedUntil - now) / microsInMillisecond}
+		"for_ms", (o.ejectedUntil - now) / microsPerMilli}
 	switch {
 	case part == allTraffic:
 	case part <= len(b.classes):
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -2,56 +2,58 @@
 
 import "dunlinsail/internal/monotime"
 
-const ejectAfter = 3 // consecutive failures of all traffic, one more of a part: the whole is ejected first
+// Outlier detection (Envoy: outlier detection by consecutive failures; gRFC A50). An endpoint's failures are
+// counted for all traffic, and for each class and each tenant (trafficParts): an endpoint may fail one of
+// them only.
 
-// recordOutcome feeds the end of an attempt to the averages, the breaker and the outlier detection.
-func (b *Balancer) recordOutcome(now monotime.Micros, r *request, a *attempt, o *Outcome) {
-	e := a.endpoint
-	switch o.Status {
-	case OK:
-		b.servedWork += r.work / max(b.settings.Contract.WarmupStartCapacity, b.effectiveCapacity(now))
-		b.lastServedAt = now
-		e.breaker.record(now, 1, 0)
-		e.breaker.recordLatency(float64(o.Latency))
-		for _, part := range b.trafficParts(r) {
-			e.outliers[part] = outlierStats{}
-		}
-		b.learnLatency(now, r, a, float64(o.Latency), false)
-	case Cancelled, NotSent:
-	default:
-		e.breaker.record(now, 0, 1)
-		for _, part := range b.trafficParts(r) {
-			b.recordFailure(now, e, part)
-		}
-		if o.Status == Timeout {
-			b.learnLatency(now, r, a, float64(o.Latency), true)
-		}
-	}
-}
+const (
+	ejectAfter = 3 // consecutive failures of all traffic (Envoy: consecutive_5xx)
 
-// recordSend notes an attempt. After an ejection it is a trial: no other follows before its outcome.
-func (o *outlierStats) recordSend(now monotime.Micros) {
-	if o.ejectionTime > 0 {
-		o.ejectedUntil = max(o.ejectedUntil, now+o.ejectionTime)
-		o.trialPending = true
-	}
-}
+	// ejectPartAfter is the number of consecutive failures of a class or tenant. It is one more, so that an
+	// endpoint that fails all traffic is ejected for all of it first.
+	ejectPartAfter = ejectAfter + 1
+
+	// baseEjectionTime is the time of a first ejection, before jitter (Envoy: base_ejection_time). Each
+	// further one without a success between takes twice the time of the one before.
+	baseEjectionTime = second
+
+	maxEjectionTime = breakerWindow // of an ejection, before jitter (Envoy: max_ejection_time)
+)
 
-// recordFailure counts a failure of a part of the traffic, and ejects the endpoint for a few in a row.
+// recordFailure counts a failure of a part of the traffic, and ejects the endpoint for that part after some
+// in a row, for 0.5 to 1.5 of the ejection time: the balancers of a fleet must not all return together.
+//
+// Failures of attempts that were sent before the ejection do not lengthen it; that of the trial does. Nor is
+// an endpoint ejected if too few would be left (canEject).
 func (b *Balancer) recordFailure(now monotime.Micros, e *endpoint, part int) {
 	o := &e.outliers[part]
 	o.consecutiveFailures++
-	limit := ejectAfter + int(indicator(part != allTraffic))
-	if o.consecutiveFailures < limit || now < o.ejectedUntil && !o.trialPending || !b.canEject(now, e, part) {
+	limit := ejectPartAfter
+	if part == allTraffic {
+		limit = ejectAfter
+	}
+	if o.consecutiveFailures < limit {
+		return
+	}
+	if now < o.ejectedUntil && !o.trialPending || !b.canEject(now, e, part) {
 		return
 	}
 	o.trialPending = false
-	o.ejectionTime = min(max(2*o.ejectionTime, second), breakerWindow)
+	o.ejectionTime = min(max(2*o.ejectionTime, baseEjectionTime), maxEjectionTime)
 	o.ejectedUntil = now + o.ejectionTime/2 + b.random.durationBelow(o.ejectionTime)
 	b.logEjection(now, e, part)
 }
 
-// isEjectedFor says whether e is ejected for any part of the traffic that r belongs to.
+// recordSend notes an attempt. After an ejection it is a trial: for the latest ejection time no other attempt
+// follows before its outcome. A success ends the ejection (recordOutcome), a failure begins a longer one.
+func (o *outlierStats) recordSend(now monotime.Micros) {
+	if o.ejectionTime > 0 {
+		o.ejectedUntil = max(o.ejectedUntil, now+o.ejectionTime)
+		o.trialPending = true
+	}
+}
+
+// isEjectedFor reports whether e is ejected for any part of the traffic that r belongs to.
 func (b *Balancer) isEjectedFor(now monotime.Micros, e *endpoint, r *request) bool {
 	for _, part := range b.trafficParts(r) {
 		if now < e.outliers[part].ejectedUntil {
@@ -61,16 +63,23 @@
 	return false
 }
 
-// canEject keeps half of the endpoints in service, a third for a part of the traffic: fewer are overloaded.
+const (
+	minInServiceDivisor     = 2 // of the endpoints: at least 1/2 stay in service for all traffic
+	minPartInServiceDivisor = 3 // of the endpoints: at least 1/3 stay in service for a class or tenant
+)
+
+// canEject reports whether enough endpoints stay in service for a part of the traffic if e is ejected (Envoy:
+// max_ejection_percent): fewer would be overloaded. Cordoned and paused endpoints are out of service as well.
 func (b *Balancer) canEject(now monotime.Micros, e *endpoint, part int) bool {
-	out := 1
+	outOfService := 1 // e
 	for _, other := range b.endpoints {
 		if other != e && (other.isAvoided(now) || now < other.outliers[part].ejectedUntil) {
-			out++
+			outOfService++
 		}
 	}
+	divisor := minPartInServiceDivisor
 	if part == allTraffic {
-		return 2*out <= len(b.endpoints)
+		divisor = minInServiceDivisor
 	}
-	return 3*out <= 2*len(b.endpoints)
+	return divisor*(len(b.endpoints)-outOfService) >= len(b.endpoints)
 }
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -22,7 +22,8 @@
 	return b, r, to
 }
 
-// A part of the requests is admitted, the same ones at each call; of requests over a tenant's quota another part.
+// A part of the requests is admitted, the same ones at each call; of requests over a tenant's quota another
+// part.
 func TestOverloadPolicyRejects(t *testing.T) {
 	b, _, to := withOverloadPolicy(t)
 	to.AdmitRatio[0] = 0.3
@@ -83,8 +84,8 @@
 	}
 }
 
-// Where every endpoint is full, one request of a class is admitted against its limit in the interval of the policy, not
-// one a second; and how soon the first is differs between balancers that start at once.
+// Where every endpoint is full, one request of a class is admitted against its limit in the interval of the
+// policy, not one a second; and how soon the first is differs between balancers that start at once.
 func TestOverloadPolicySetsForcedAdmitInterval(t *testing.T) {
 	count := func(b *Balancer, r *recorder) int {
 		for id := range uint32(3) {
--- /dev/null
+++ b/balancer/overloadpolicy.go
@@ -0,0 +1,47 @@
+package balancer
+
+import "dunlinsail/internal/monotime"
+
+// SetOverloadPolicy sets what the fleet's overload control admits from now on. Without a policy (nil), each
+// request is admitted or rejected by its predicted latency alone.
+func (b *Balancer) SetOverloadPolicy(policy *OverloadPolicy) { b.overload = policy }
+
+// ShouldReject reports whether the overload policy rejects a request that has just arrived, and after which
+// time the client may retry (0: not given). The host calls it before the request enters the host's queue, and
+// does not pass on a request that is rejected.
+//
+// The policy's ratios (0 to 1) for the request's class, for requests over their tenant's quota and for
+// retries give the part that is admitted. A random rank per request decides, so that each client gets its
+// part.
+func (b *Balancer) ShouldReject(in Request) (retryAfter monotime.Micros, reject bool) {
+	if b.overload == nil || int(in.Class) >= len(b.classes) {
+		return 0, false
+	}
+	admit := b.overload.AdmitRatio[in.Class]
+	random := b.requestRand(in.ID)
+	rank := random.float()
+	within := b.overload.WithinQuotaRatio
+	if tenant := int(in.Tenant); tenant < len(within) && random.float() >= within[tenant] {
+		admit = b.overload.OverQuotaAdmitRatio[in.Class]
+	}
+	if in.Retry {
+		admit *= b.overload.RetryAdmitRatio
+	}
+	if rank < admit {
+		return 0, false
+	}
+	return b.retryAfter(&b.settings.Classes[in.Class]), true
+}
+
+// isTopRanked reports whether a request is in OverloadPolicy.TopRatio (part of the requests, 0 to 1): the
+// requests of the lowest ranks, which ShouldReject admits first.
+func (b *Balancer) isTopRanked(id uint64) bool {
+	random := b.requestRand(id)
+	return random.float() < b.overload.TopRatio
+}
+
+// requestRand returns a request's own random source. Its first number is the request's rank, which is
+// therefore the same before and after the request waits in the host's queue.
+func (b *Balancer) requestRand(id uint64) randomSource {
+	return randomSource(b.seed ^ id*goldenGamma)
+}
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -136,8 +136,9 @@
 	}
 }
 
-// Where no report has the load, only answers show that congestion is over. While a hundred a second are rejected, one
-// that passes each second would leave a balancer rejecting for minutes what all endpoints could serve.
+// Where no report has the load, only answers show that congestion is over. While a hundred a second are
+// rejected, one that passes each second would leave a balancer rejecting for minutes what all endpoints could
+// serve.
 func TestRejectionEndsSoonAfterCongestion(t *testing.T) {
 	for name, s := range map[string]func(*Settings){
 		"no probes":  func(s *Settings) { s.Limits.Probes = false },
@@ -406,7 +407,8 @@
 	}
 }
 
-// A balancer that rejects everything must still learn when it may stop, and one that rejects nothing needs few probes.
+// A balancer that rejects everything must still learn when it may stop, and one that rejects nothing needs
+// few probes.
 func TestProbesContinueWhileAllIsRejected(t *testing.T) {
 	s := testSettings()
 	s.Prices.Probe = probeBudget // one probe a request
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// With a thousand balancers at a warming endpoint, each alone saves too slowly for one request; their sum must
-// still come near what the endpoint can do, and never near what pushes it over.
+// With a thousand balancers at a warming endpoint, each alone saves too slowly for one request; their sum
+// must still come near what the endpoint can do, and never near what pushes it over.
 func TestWarmupCapacityOfManyQuietBalancers(t *testing.T) {
 	s := testSettings()
 	const balancers, perSecond, endpoints, work = 400, 2.0, 41, 40_000.0
@@ -142,7 +142,8 @@
 	}
 }
 
-// In a deploy most endpoints warm up at once: the few warm ones are no measure of what each warming one can take.
+// In a deploy most endpoints warm up at once: the few warm ones are no measure of what each warming one can
+// take.
 func TestWarmupCapacityWhenFewAreWarm(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
@@ -184,8 +185,8 @@
 	}
 }
 
-// Where much of a request's time is waiting for others, requests held side by side slow each other little: taken
-// for crowding, that rejected requests on quiet days.
+// Where much of a request's time is waiting for others, requests held side by side slow each other little:
+// taken for crowding, that rejected requests on quiet days.
 func TestReportedServiceTimeSetsCoreFraction(t *testing.T) {
 	s := testSettings()
 	s.LoadMetrics = []LoadMetric{MetricLatency, MetricInflight}
@@ -203,8 +204,8 @@
 	}
 }
 
-// With most endpoints full, each retry of what never ran meets the next full one: without a budget, the retries
-// of a jam outnumber its requests many times.
+// With most endpoints full, each retry of what never ran meets the next full one: without a budget, the
+// retries of a jam outnumber its requests many times.
 func TestRejectedAttemptsSpendTheRetryBudget(t *testing.T) {
 	s := testSettings()
 	s.Limits.MaxAttempts = 50
@@ -240,8 +241,8 @@
 	}
 }
 
-// The watch must be shorter than the span in which an answer is recent: watched for that long, reports made anew
-// every few milliseconds would seem as old as the limit, and queueing would stop (incident id71e59).
+// The watch must be shorter than the span in which an answer is recent: watched for that long, reports made
+// anew every few milliseconds would seem as old as the limit, and queueing would stop (incident id71e59).
 func TestReportIntervalOfFreshReports(t *testing.T) {
 	b, r := startBalancer(t, queueingSettings(), readyEndpoints(4))
 	now, load := second, float32(1)
--- a/balancer/loadreport.go
+++ b/balancer/reportparsing.go
@@ -5,21 +5,23 @@
 	"slices"
 )
 
-// loadReport is what an endpoint's load report says.
+// loadReport is the parsed load report of an endpoint.
 type loadReport struct {
 	hasLoad        bool
-	load           float64 // requests there
-	countsInflight bool    // load is all of them; else those that wait, and those at work as assumed
-	serviceTime    float64 // microseconds; -1 is unknown
+	load           float64 // requests at the endpoint
+	countsInflight bool    // load is a reported count; else it is made up of the queue and assumedCores
+	serviceTime    float64 // microseconds, without waiting; -1 is unknown
 }
 
-// reportsLoad says whether reports with these figures tell how many requests an endpoint has.
+// reportsLoad reports whether load reports with these metrics contain the number of requests at an endpoint.
 func reportsLoad(metrics []LoadMetric) bool {
 	return slices.Contains(metrics, MetricInflight) || slices.Contains(metrics, MetricQueueLength)
 }
 
-// parseLoadReport reads the figures of a report in the order of metrics. Negative and infinite figures and NaN are
-// skipped.
+const microsPerMilli = 1000 // microseconds in a millisecond
+
+// parseLoadReport parses the figures of a load report, in the order of metrics. Negative and infinite figures
+// and NaN are skipped, as are figures beyond the metrics.
 func parseLoadReport(metrics []LoadMetric, figures []float32) loadReport {
 	report := loadReport{serviceTime: -1}
 	queue := -1.0
@@ -35,7 +37,7 @@
 		case MetricQueueLength:
 			queue = figure
 		case MetricLatency:
-			report.serviceTime = 1000 * figure
+			report.serviceTime = microsPerMilli * figure
 		}
 	}
 	if !report.countsInflight && queue >= 0 {
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -6,8 +6,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Endpoints whose reports cannot be true are avoided, and do not change what is expected of the others: neither while
-// they tell that, nor after.
+// Endpoints whose reports cannot be true are avoided, and do not change what is expected of the others:
+// neither while they tell that, nor after.
 func TestImplausibleReportsDoNotCountForAll(t *testing.T) {
 	s := testSettings()
 	b, _ := startBalancer(t, s, readyEndpoints(12))
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -6,11 +6,12 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Timer tokens below firstRequestToken are the balancer's own; others name the slot of a request in their low bits.
+// Timer tokens. Those below firstRequestToken are the balancer's own. Others are of requests: the low
+// slotBits hold the slot of the request's record, the high bits count the uses of the record.
 const (
-	tokenProbe = iota
-	tokenDiscovery
-	tokenRecheck
+	tokenProbe        = 0 // probe round
+	tokenDiscovery    = 1 // poll
+	tokenRecheck      = 2 // second probe of an endpoint (recheckReport)
 	firstRequestToken = 16
 	slotBits          = 20
 )
@@ -19,31 +20,31 @@
 type request struct {
 	Request
 	timerToken   uint32
-	arrivedAt    monotime.Micros // at the host
-	work         float64
-	logHintRatio float64 // logarithm of its hint over the mean of its class
+	arrivedAt    monotime.Micros // instant of its arrival at the host
+	work         float64         // microseconds, as estimated
+	logHintRatio float64         // logarithm of its hint over the mean work of its class; 0 without a hint
 	attempts     []attempt
 	inflight     int     // attempts without outcome
 	queued       bool    // waits for probes
-	finished     bool    // the final answer is out
-	streaming    bool    // an answer has begun: the client has that attempt
-	onTime       float64 // 1 once answered within its latency objective
+	finished     bool    // has its final answer
+	streaming    bool    // an answer is being streamed: the client has that attempt
+	onTime       float64 // 1 once answered within the latency objective, else 0
 }
 
-// attempt is one sending of a request to an endpoint.
+// attempt is one send of a request to an endpoint.
 type attempt struct {
 	endpoint        *endpoint
-	zone            uint8 // of the endpoint when sent: it may move
-	cell            uint16
-	sentAt          monotime.Micros
-	expectedLatency float64
-	workFactor      float64 // work times the queue delay factor when sent
-	inflight        bool    // no outcome yet
-	streaming       bool    // bytes of its request or answer flow
-	mayHaveRun      bool    // it may have had its effect, or may have it yet
+	zone            uint8           // of the endpoint when sent: it may move
+	cell            uint16          // of the endpoint when sent
+	sentAt          monotime.Micros // instant
+	expectedLatency float64         // microseconds, when sent
+	workFactor      float64         // microseconds: work times the queue delay factor when sent
+	inflight        bool            // no outcome yet
+	streaming       bool            // its request or answer is being streamed
+	mayHaveRun      bool            // it may have had its effect, or may still have it
 }
 
-// newRequest returns a record in the table of requests.
+// newRequest returns a record for a request that is not open, and adds it to the open requests.
 func (b *Balancer) newRequest(now monotime.Micros, in Request) *request {
 	var r *request
 	if last := len(b.freeRequests) - 1; last >= 0 {
@@ -55,7 +56,7 @@
 	}
 	*r = request{
 		Request:    in,
-		timerToken: r.timerToken + 1<<slotBits, // the high bits count uses: an old timer finds nothing
+		timerToken: r.timerToken + 1<<slotBits, // one more use: an old timer finds nothing
 		arrivedAt:  now - max(0, in.QueueTime),
 		attempts:   r.attempts[:0],
 	}
@@ -64,13 +65,13 @@
 	return r
 }
 
-// removeFromQueue takes r off the requests that wait for probes.
+// removeFromQueue removes r from the requests that wait for probes.
 func (b *Balancer) removeFromQueue(r *request) {
 	b.queued = slices.DeleteFunc(b.queued, func(other *request) bool { return other == r })
 	r.queued = false
 }
 
-// requestOfToken returns the request that a timer was started for, nil if its record was used again since.
+// requestOfToken returns the request that a timer was set for, nil if its record has been used again since.
 func (b *Balancer) requestOfToken(token uint32) *request {
 	slot := int(token&(1<<slotBits-1)) - firstRequestToken
 	if slot < 0 || slot >= len(b.timerSlots) || b.timerSlots[slot].timerToken != token {
@@ -79,7 +80,7 @@
 	return b.timerSlots[slot]
 }
 
-// findAttempt returns an attempt of a request by the numbers that the host has, nil for none.
+// findAttempt returns a request by its ID and an attempt by its number (Outcome.Attempt), nil for none.
 func (b *Balancer) findAttempt(id uint64, number int) (*request, *attempt) {
 	r := b.requests[id]
 	if r == nil || number < 0 || number >= len(r.attempts) {
@@ -96,11 +97,13 @@
 	return nil
 }
 
+// hasAttempted reports whether r was sent to e before.
 func (r *request) hasAttempted(e *endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == e })
 }
 
-// markStreaming notes that bytes flow on an attempt: its endpoint is not silent, however long that takes.
+// markStreaming notes that an attempt's request or answer is being streamed: its endpoint is not silent,
+// however long that takes.
 func (a *attempt) markStreaming() {
 	if a.inflight && !a.streaming {
 		a.streaming = true
@@ -108,7 +111,7 @@
 	}
 }
 
-// end notes that an attempt has its outcome.
+// end notes that an attempt has its outcome. The endpoint is no longer silent.
 func (a *attempt) end(now monotime.Micros) {
 	a.inflight = false
 	a.endpoint.inflight--
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -6,7 +6,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// errs has each attempt of a request answered with an error until there is none left, and returns their number.
+// errs has each attempt of a request answered with an error until there is none left, and returns their
+// number.
 func errs(b *Balancer, r *recorder, id uint64) int {
 	first := len(r.sends)
 	for i := first - 1; i < len(r.sends); i++ {
@@ -50,8 +51,8 @@
 	}
 }
 
-// A budget that saves nothing up holds from the first request on and over any second in which requests come evenly,
-// after a quiet minute too. A quiet balancer has the least that is stated, and no more.
+// A budget that saves nothing up holds from the first request on and over any second in which requests come
+// evenly, after a quiet minute too. A quiet balancer has the least that is stated, and no more.
 func TestRetryRatioOverAWindow(t *testing.T) {
 	for _, c := range []struct {
 		rate, share, least float64
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -29,7 +29,8 @@
 // LoadMetric names one figure of a load report.
 type LoadMetric uint8
 
-// The figures that a load report may have. MetricUnknown is one that this version does not know; it is skipped.
+// The figures that a load report may have. MetricUnknown is one that this version does not know; it is
+// skipped.
 const (
 	MetricUnknown     LoadMetric = iota
 	MetricInflight               // requests at the endpoint
@@ -123,13 +124,15 @@
 	WeightByWork    bool            // weights count per unit of work, not per request
 	RetryRatio      float64         // retries, as a part of the requests; 0 is DefaultRetryRatio
 
-	// RetryWindow limits retries to that part in any stretch of this length; MinRetryRate retries per second are
-	// always allowed: a quiet balancer's part would be less than one. Without a window, unused retries are saved up.
+	// RetryWindow limits retries to that part in any stretch of this length; MinRetryRate retries per second
+	// are always allowed: a quiet balancer's part would be less than one. Without a window, unused retries
+	// are saved up.
 	RetryWindow  monotime.Micros
 	MinRetryRate float64
 
-	// StrictIdempotencyKeys has a request with an idempotency key that may have run fail, and never be rejected, even
-	// if all endpoints drop second runs: the client may retry when they have forgotten the key.
+	// StrictIdempotencyKeys has a request with an idempotency key that may have run fail, and never be
+	// rejected, even if all endpoints drop second runs: the client may retry when they have forgotten the
+	// key.
 	StrictIdempotencyKeys bool
 }
 
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -1,6 +1,7 @@
 package balancer
 
 import (
+	"go/ast"
 	"go/parser"
 	"go/token"
 	"os"
@@ -12,11 +13,11 @@
 )
 
 // recordFiles hold settings, events, records, statistics and log lines, but no decision.
-var recordFiles = []string{"api.go", "breakerwindow.go", "doc.go", "endpoint.go", "learned.go", "loadreport.go",
-	"logging.go",
-	"random.go", "request.go", "settings.go", "state.go", "statistics.go"}
+var recordFiles = []string{"api.go", "breakerwindow.go", "doc.go", "endpoint.go", "learned.go",
+	"logging.go", "random.go", "reportparsing.go", "request.go", "settings.go", "state.go", "statistics.go"}
 
-// policyFiles returns the files of this package that deploy/balancer.toml lists as those of the decision logic.
+// policyFiles returns the files of this package that deploy/balancer.toml lists as those of the decision
+// logic.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../deploy/balancer.toml")
@@ -43,21 +44,69 @@
 	return string(text)
 }
 
-// The operators' limits on the decision module. Each file is either listed as decision logic or known to hold none.
+// Limits on each file of the decision logic: a reader sees a whole rule at once, and each function and each
+// constant says what it decides, in which unit.
+const (
+	maxPolicyLines  = 250 // of a file, that are not blank
+	maxPolicyColumn = 110 // characters of a line
+)
+
 func TestModuleSize(t *testing.T) {
-	lines := 0
-	for _, name := range policyFiles(t) {
+	files := policyFiles(t)
+	if len(files) == 0 {
+		t.Error("no policy files")
+	}
+	for _, name := range files {
+		lines := 0
 		for i, line := range strings.Split(readSource(t, name), "\n") {
 			if strings.TrimSpace(line) != "" {
 				lines++
 			}
-			if len(line) > 110 {
-				t.Errorf("%s: line %d has %d characters", name, i+1, len(line))
+			if len(line) > maxPolicyColumn {
+				t.Errorf("%s: line %d has %d characters, want at most %d", name, i+1, len(line), maxPolicyColumn)
 			}
 		}
+		if lines == 0 || lines > maxPolicyLines {
+			t.Errorf("%s: %d lines that are not blank, want 1 to %d", name, lines, maxPolicyLines)
+		}
 	}
-	if lines == 0 || lines > 1200 {
-		t.Errorf("%d lines that are not blank, 1 to 1200 are allowed", lines)
+}
+
+func TestPolicyFunctionsAndConstantsHaveComments(t *testing.T) {
+	for _, name := range policyFiles(t) {
+		f, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.ParseComments)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, declaration := range f.Decls {
+			switch d := declaration.(type) {
+			case *ast.FuncDecl:
+				if !strings.HasPrefix(d.Doc.Text(), d.Name.Name+" ") {
+					t.Errorf("%s: the comment of %s does not begin with its name", name, d.Name.Name)
+				}
+			case *ast.GenDecl:
+				checkConstantComments(t, name, d)
+			}
+		}
+	}
+}
+
+// checkConstantComments requires a comment of its own on each constant: above it, behind it, or above a
+// declaration that has no other constant.
+func checkConstantComments(t *testing.T, file string, d *ast.GenDecl) {
+	t.Helper()
+	if d.Tok != token.CONST {
+		return
+	}
+	for _, s := range d.Specs {
+		constant := s.(*ast.ValueSpec)
+		text := constant.Doc.Text() + constant.Comment.Text()
+		if len(d.Specs) == 1 {
+			text += d.Doc.Text()
+		}
+		if strings.TrimSpace(text) == "" {
+			t.Errorf("%s: constant %s has no comment", file, constant.Names[0].Name)
+		}
 	}
 }
 
@@ -73,7 +122,10 @@
 		t.Errorf("files %v, want those of deploy/balancer.toml and the record files: %v", files, known)
 	}
 	doc := readSource(t, "doc.go")
-	for _, name := range append(policyFiles(t), "api.go") {
+	for _, name := range files {
+		if name == "doc.go" {
+			continue
+		}
 		if !strings.Contains(doc, name) {
 			t.Errorf("doc.go does not name %s", name)
 		}
--- a/balancer/statistics.go
+++ b/balancer/statistics.go
@@ -6,22 +6,23 @@
 	"dunlinsail/internal/monotime"
 )
 
-// ewma is an exponentially weighted moving average that starts as a plain mean: an odd first sample would count for
-// long otherwise.
+// ewma is an exponentially weighted moving average. The first sample sets it.
 type ewma struct {
 	value   float64
-	samples float64
+	samples float64 // number of samples
 }
 
 // Weights of one sample in moving averages.
 const (
-	slowWeight = 0.02
-	fastWeight = 0.25
+	slowWeight = 0.02 // of one request or answer: an average over about 50
+	fastWeight = 0.25 // of one round trip: an average over about 4
 )
 
-// manySamples has an average start with its value: each sample counts by its weight only.
+// manySamples is the number of samples of an average that starts with a value: the first sample does not
+// replace it.
 const manySamples = 1e9
 
+// add adds a sample with its weight, 0 to 1.
 func (a *ewma) add(x, weight float64) {
 	a.samples++
 	a.value += (x - a.value) * max(weight, indicator(a.samples == 1))
@@ -35,27 +36,22 @@
 	return fallback
 }
 
-// indicator is 1 for true and 0 for false.
-func indicator(condition bool) float64 {
-	if condition {
-		return 1
-	}
-	return 0
-}
-
-// rateMeter is a rate per second, averaged over about rateMeterSpan.
+// rateMeter measures a rate per second, by a sum that decays exponentially over rateMeterSpan.
 type rateMeter struct {
 	sum       float64
-	updatedAt monotime.Micros
+	updatedAt monotime.Micros // instant
 }
 
+// rateMeterSpan is the time in which the sum of a rateMeter decays by a factor of e.
 const rateMeterSpan = 2 * second
 
+// add adds x at an instant.
 func (m *rateMeter) add(now monotime.Micros, x float64) {
 	m.sum = m.decayed(now) + x
 	m.updatedAt = now
 }
 
+// decayed returns the sum as of an instant.
 func (m *rateMeter) decayed(now monotime.Micros) float64 {
 	if m.sum == 0 {
 		return 0
@@ -63,18 +59,19 @@
 	return m.sum * math.Exp(-float64(now-m.updatedAt)/float64(rateMeterSpan))
 }
 
+// rate returns the rate per second as of an instant.
 func (m *rateMeter) rate(now monotime.Micros) float64 {
 	return m.decayed(now) * float64(second) / float64(rateMeterSpan)
 }
 
-// slidingCounter counts events over the latest slots of time, as many as its ring has.
+// slidingCounter counts events over the latest slots of time, as many as its ring has elements.
 type slidingCounter struct {
 	ring   []int
 	sum    int
 	newest int64 // number of the newest slot
 }
 
-// advance drops slots that have left the window, and returns the sum.
+// advance drops the slots that have left the window by the given slot, and returns the sum.
 func (k *slidingCounter) advance(slot int64) int {
 	if slot-k.newest >= int64(len(k.ring)) {
 		clear(k.ring)
@@ -90,8 +87,17 @@
 	return k.sum
 }
 
+// add counts an event in a slot.
 func (k *slidingCounter) add(slot int64) {
 	k.advance(slot)
 	k.ring[slot%int64(len(k.ring))]++
 	k.sum++
 }
+
+// indicator returns 1 for true and 0 for false, as a factor of a sum.
+func indicator(condition bool) float64 {
+	if condition {
+		return 1
+	}
+	return 0
+}
--- a/balancer/warmup.go
+++ b/balancer/warmup.go
@@ -2,21 +2,25 @@
 
 import "dunlinsail/internal/monotime"
 
-// While an endpoint warms up, a token bucket limits the work that it gets: at most a share, by its present
-// capacity, of this balancer's own work per warm endpoint. As all balancers do so, their sum stays within its
-// capacity. Where most capacity is warming up, as after a power cut, demand is no measure of it. But a fleet
-// is served no more than its endpoints can do, however much it is offered. So a second bucket limits the work
-// to a multiple of what this balancer was served per unit of warm capacity, times the endpoint's present one.
+// Warm-up (Envoy: slow start). An endpoint that has just started has only a part of its capacity, and
+// collapses if it gets more than a multiple of that for some time (Contract). Two token buckets limit the
+// work that this balancer sends to it. A token is a microsecond of work.
+//
+// The demand bucket limits the endpoint, by its present capacity, to a part of this balancer's own work per
+// warm endpoint. All balancers do so, so that their sum stays within the endpoint's capacity.
+//
+// Where most of the capacity is warming up, as after a power cut, demand may be many times the capacity. But
+// endpoints serve no more than they can, however much they are sent. So the served bucket limits the endpoint
+// to a multiple of the work that this balancer was served per unit of warm capacity.
+
+// Charges of the demand bucket.
 const (
-	warmupShare         = 0.4  // of the multiple at which an endpoint collapses
-	warmupCharge        = 1.15 // tokens per work of a request: it may need a handshake, too
-	probeCharge         = 0.01 // of a request's work, for a probe
-	warmupServedShare   = 0.75 // of the multiple at which an endpoint collapses
-	warmupInitialShare  = 0.2  // of an endpoint's capacity, for all balancers that have been served nothing yet
-	warmupSavedRequests = 4    // requests' worth that the second bucket holds
+	warmupCharge = 1.15 // tokens per microsecond of a request's work: it may need a new connection
+	probeCharge  = 0.01 // of the work of a request of the first class, for a probe
 )
 
-// startWarmup begins e's warm-up. It gets a random part of a request's tokens: many balancers may be quiet.
+// startWarmup begins the warm-up of e, as from an instant. Both buckets start with a random part of one
+// request: many quiet balancers must not all send their first request at once.
 func (b *Balancer) startWarmup(now monotime.Micros, e *endpoint, from monotime.Micros) {
 	e.isWarmingUp = true
 	e.warmupStart = from
@@ -26,59 +30,88 @@
 	e.servedWorkAtRefill = b.servedWork
 }
 
-// hasWarmupCapacity refills the buckets of a warming endpoint and says whether a request of this work fits.
+// chargeWarmup takes the work of a request that is sent to e from both buckets, if e warms up.
+func (b *Balancer) chargeWarmup(now monotime.Micros, r *request, e *endpoint) {
+	if e.warmingUp(now, b) {
+		e.warmupTokens -= r.work * warmupCharge
+		e.servedTokens -= r.work
+	}
+}
+
+// hasWarmupCapacity refills both buckets of a warming endpoint, and reports whether they hold enough for a
+// request of this work (microseconds). The served bucket counts only where most of the capacity is warming
+// up, and not in a fleet of few balancers (servedBucketApplies).
 func (b *Balancer) hasWarmupCapacity(now monotime.Micros, e *endpoint, work float64) bool {
-	contract := &b.settings.Contract
-	rate := max(b.sentWorkRate.rate(now), b.requestRate.rate(now)*b.meanWork.value)
 	capacity := b.effectiveCapacity(now)
-	if b.warmCount == 0 { // the rate of sends would only follow what the bucket allows
-		rate = b.requestRate.rate(now) * work
+	size := b.refillDemandBucket(now, e, work, capacity)
+	b.refillServedBucket(now, e, work, size)
+	e.warmupRefilledAt = now
+	e.servedWorkAtRefill = b.servedWork
+	return e.warmupTokens >= work*warmupCharge &&
+		(!b.servedBucketApplies(work, capacity) || e.servedTokens >= work)
+}
+
+// warmupShare is the part of Contract.CollapseMultiple up to which the demand bucket fills an endpoint,
+// relative to a warm endpoint's work; the result is 1 at most. The rest is the margin for differences between
+// balancers.
+const warmupShare = 0.4
+
+// refillDemandBucket refills e's demand bucket and returns its size (microseconds of work): what it gains in
+// half of Contract.CollapseAfter, but at least one request. capacity is that of all eligible endpoints, in
+// warm ones.
+func (b *Balancer) refillDemandBucket(now monotime.Micros, e *endpoint, work, capacity float64) float64 {
+	contract := &b.settings.Contract
+	demand := max(b.sentWorkRate.rate(now), b.requestRate.rate(now)*b.meanWork.value) // work per second
+	if b.warmCount == 0 {
+		// The rate of sends is only what the buckets allow, so only requests count.
+		demand = b.requestRate.rate(now) * work
 	}
-	fraction := e.capacityFraction(now, b)
-	fill := min(1, warmupShare*contract.CollapseMultiple) * fraction * rate / max(1, capacity)
-	window := float64(contract.CollapseAfter)
-	size := max(fill*window/float64(second)/2, work*warmupCharge)
-	e.warmupTokens = min(size, e.warmupTokens+fill*float64(now-e.warmupRefilledAt)/float64(second))
+	share := min(1, warmupShare*contract.CollapseMultiple)
+	fillRate := share * e.capacityFraction(now, b) * demand / max(1, capacity) // work per second
+	size := max(fillRate*float64(contract.CollapseAfter)/float64(second)/2, work*warmupCharge)
+	e.warmupTokens = min(size, e.warmupTokens+fillRate*float64(now-e.warmupRefilledAt)/float64(second))
+	return size
+}
 
-	// A balancer that was served lately has grown beyond the initial share.
+const (
+	warmupServedShare   = 0.75 // of Contract.CollapseMultiple: the multiple of the served work
+	warmupSavedRequests = 4    // requests that the served bucket holds, at least
+
+	// warmupInitialShare is the part of an endpoint's present capacity that all balancers together fill while
+	// they have been served nothing: else none could begin.
+	warmupInitialShare = 0.2
+)
+
+// refillServedBucket refills e's served bucket: by the work that this balancer was served since the latest
+// refill, and by an initial rate while it was served nothing for Contract.CollapseAfter. minSize is the size
+// of the demand bucket (microseconds of work).
+func (b *Balancer) refillServedBucket(now monotime.Micros, e *endpoint, work, minSize float64) {
+	contract := &b.settings.Contract
+	fraction := e.capacityFraction(now, b)
 	since := max(e.warmupRefilledAt, b.lastServedAt+contract.CollapseAfter)
 	initial := warmupInitialShare * fraction * assumedCores / float64(b.settings.Balancers)
 	initial *= float64(max(0, now-since))
 	multiple := warmupServedShare * contract.CollapseMultiple * fraction
 	e.servedTokens += multiple*(b.servedWork-e.servedWorkAtRefill) + initial
-	e.servedTokens = min(e.servedTokens, max(size, warmupSavedRequests*work*warmupCharge))
-	e.warmupRefilledAt = now
-	e.servedWorkAtRefill = b.servedWork
-
-	// Where one request of each balancer at once is half of what an endpoint may get, the balancers are too few
-	// to need the second bucket, and its first tokens would be less than a request for long.
-	limit := contract.CollapseMultiple * contract.WarmupStartCapacity * assumedCores * window
-	fewBalancers := 2*float64(b.settings.Balancers)*work <= limit
-	return e.warmupTokens >= work*warmupCharge &&
-		(fewBalancers || 2*capacity >= b.readyCount || e.servedTokens >= work)
+	e.servedTokens = min(e.servedTokens, max(minSize, warmupSavedRequests*work*warmupCharge))
 }
 
-// effectiveCapacity is the capacity of all eligible endpoints, in warm ones. Were only warm ones counted, a
-// deploy that leaves few of them would seem to leave a large part of the traffic for each warming one.
-func (b *Balancer) effectiveCapacity(now monotime.Micros) float64 {
-	if now < b.capacityExpiresAt {
-		return b.readyCapacity
-	}
-	b.capacityExpiresAt = now + second/10
-	b.readyCapacity = 0
-	b.readyCount = 0
-	b.warmCount = 0
-	b.warmingEndpoints = b.warmingEndpoints[:0]
-	for _, e := range b.endpoints {
-		if e.isEligible() {
-			b.readyCapacity += e.capacityFraction(now, b)
-			b.readyCount++
-			if e.isWarmingUp {
-				b.warmingEndpoints = append(b.warmingEndpoints, e)
-			} else {
-				b.warmCount++
-			}
-		}
+const (
+	readyCapacityDivisor = 2 // of the eligible endpoints' full capacity: with less than that, the bucket applies
+	fewBalancersDivisor  = 2 // of the work that collapses a new endpoint: with requests up to that, it does not
+)
+
+// servedBucketApplies reports whether the served bucket limits a warming endpoint.
+//
+// It does not while at least half of the capacity of the eligible endpoints is there. Nor does it in a fleet
+// of few balancers, whose requests (one each, at once) are at most half of what collapses an endpoint that
+// has just started: its first tokens would be less than a request for a long time. work is in microseconds.
+func (b *Balancer) servedBucketApplies(work, capacity float64) bool {
+	contract := &b.settings.Contract
+	window := float64(contract.CollapseAfter)
+	collapseWork := contract.CollapseMultiple * contract.WarmupStartCapacity * assumedCores * window
+	if fewBalancersDivisor*float64(b.settings.Balancers)*work <= collapseWork {
+		return false
 	}
-	return b.readyCapacity
+	return readyCapacityDivisor*capacity < b.readyCount
 }
