--- a/balancer/api.go
+++ b/balancer/api.go
@@ -2,64 +2,72 @@
 
 import "dunlinsail/internal/monotime"
 
-// EndpointState is the state of an endpoint by discovery.
+// EndpointState is the state of an endpoint, as discovery gives it.
 type EndpointState uint8
 
 // The states of an endpoint.
 const (
 	Ready    EndpointState = iota
-	Draining               // gets nothing new
-	Gone
+	Draining               // gets no new attempts; attempts in flight go on
+	Gone                   // gets no new attempts, and is forgotten once it has none in flight
 )
 
 // Endpoint is one entry of an endpoint list.
 type Endpoint struct {
 	ID        uint32 // the host's number for it
 	Zone      uint8
-	Kind      uint8  // of machine; no decision reads it
-	Cell      uint16 // of its zone; a deduplication scope (DedupCell)
+	Kind      uint8  // of machine. Not used by the balancer.
+	Cell      uint16 // part of its zone, with a deduplication scope of its own (DedupCell)
 	State     EndpointState
-	Share     float32         // of the service; no decision reads it
-	StartTime monotime.Micros // of its present process; 0 is long ago
+	Share     float32         // of the service's capacity, 0 to 1. Not used by the balancer.
+	StartTime monotime.Micros // instant at which its present process started; 0 is long ago
 }
 
-// ListKind says how the entries of an endpoint list are to be read.
+// ListKind is the meaning of the entries of an endpoint list.
 type ListKind uint8
 
 // The kinds of endpoint list.
 const (
-	ListDelta  ListKind = iota // changed entries only
-	ListFull                   // the complete list
-	ListCached                 // a complete list of an earlier time; it may be old
-	ListFailed                 // discovery failed; no entries
+	ListDelta  ListKind = iota // the entries that have changed
+	ListFull                   // all entries
+	ListCached                 // all entries, as of an earlier time
+	ListFailed                 // no entries: discovery failed
 )
 
 // Request is a client's request. It gets one final answer: an outcome that answers it, a rejection or a
 // failure.
 type Request struct {
-	ID          uint64
-	ObjectKey   uint64          // hash of the object that the request is about, 0 for none; no decision reads it
-	Deadline    monotime.Micros // the instant at which the client gives up
-	QueueTime   monotime.Micros // time in the host's queue: the latency objective counts from the arrival there
+	ID        uint64
+	ObjectKey uint64          // hash of the object that the request is about, 0 for none. Not used by the balancer.
+	Deadline  monotime.Micros // instant at which the client gives up
+
+	// QueueTime is the time that the request has waited in the host's queue. The latency objective counts
+	// from the arrival at the host.
+	QueueTime monotime.Micros
+
 	WorkHint    monotime.Micros // expected work, if HasWorkHint
 	HasWorkHint bool
 	Retry       bool // the client marked it as a retry
-	MaxAttempts int  // within Limits.MaxAttempts; 0 is that many
-	Write       bool // no decision reads it
-	Upload      bool // its body is sent while an endpoint reads it: until the end the endpoint owes no answer
-	Tenant      uint16
-	Class       uint8
+	MaxAttempts int  // within Limits.MaxAttempts; 0 for that number
+	Write       bool // it changes data. Not used by the balancer.
+
+	// Upload is set for a request whose body is sent while the endpoint reads it. Until its end the endpoint
+	// is not expected to answer, and the attempt has no timeout of its own.
+	Upload bool
+
+	Tenant uint16 // index into Settings.Tenants
+	Class  uint8  // index into Settings.Classes
 }
 
-// Status says how an attempt or a probe ended.
+// Status is how an attempt or a probe ended.
 type Status uint8
 
-// The ways in which an attempt may end. Rejected, ConnectFailed and NotSent prove that it never ran; all
-// others but OK leave that open.
+// The statuses of an attempt. Rejected, ConnectFailed and NotSent prove that the attempt never ran. After all
+// others except OK it may have run.
 const (
 	OK            Status = iota
 	Error                // an error of the endpoint
-	Rejected             // by the endpoint, before it ran
+	Rejected             // by the endpoint, before the attempt ran
 	Timeout              // no answer in time
 	ConnectFailed        // no connection in time
 	Reset                // the connection broke
@@ -69,49 +77,61 @@
 
 // Outcome is the end of an attempt. Load is valid during the call only.
 type Outcome struct {
-	ID            uint64
-	Attempt       int // number among the request's attempts, from 0, in the order of Actions.Send
+	ID            uint64 // of the request
+	Attempt       int    // number among the request's attempts, from 0, in the order of Actions.Send
 	Endpoint      uint32
 	Status        Status
-	Latency       monotime.Micros
-	Answered      bool // the request has its final answer
-	NotReplayable bool // a part of its body that cannot be sent again has gone out: no retry is possible
-	Load          []float32
+	Latency       monotime.Micros // from the send to the end
+	Answered      bool            // the request has its final answer
+	NotReplayable bool            // a part of its body was sent that cannot be sent again: no retry is possible
+	Load          []float32       // load report on the answer. Not used by the balancer.
 }
 
-// OverloadPolicy is what the fleet's overload control admits. The host may change the slices between calls.
+// OverloadPolicy is what the fleet's overload control admits. All ratios are 0 to 1. The host may change the
+// slices between calls.
 type OverloadPolicy struct {
-	AdmitRatio           []float64 // by class: part of the requests that is admitted
-	OverQuotaAdmitRatio  []float64 // by class: the same of requests over their tenant's quota
-	WithinQuotaRatio     []float64 // by tenant: part of its requests that is within its quota
-	RetryAdmitRatio      float64   // part of the retries that is admitted, of those that are by the ratios above
-	QueueWaitFraction    []float64 // by class: part of what remains of the latency objective for queueing
-	TopQueueWaitFraction float64   // the same for the requests of the highest rank, whatever their class
-	TopRatio             float64   // part of the requests that has that rank
-
-	ForcedAdmitInterval monotime.Micros // time between requests of a class that are admitted against the prediction
-	RetryAllowed        bool
-	MaxProbeRate        float64 // probes per second
+	AdmitRatio          []float64 // by class: of its requests
+	OverQuotaAdmitRatio []float64 // by class: of its requests over their tenant's quota
+	WithinQuotaRatio    []float64 // by tenant: the part of its requests that is within its quota
+	RetryAdmitRatio     float64   // of the retries that the ratios above admit
+
+	QueueWaitFraction    []float64 // by class: part of the rest of the latency objective that queueing may take
+	TopQueueWaitFraction float64   // the same for the requests of the highest rank, of any class
+	TopRatio             float64   // of the requests, which have the highest rank
+
+	ForcedAdmitInterval monotime.Micros // time between two forced admissions of a class
+	RetryAllowed        bool            // the fleet's retry budget has one left
+	MaxProbeRate        float64         // probes per second
 }
 
-// Actions is what a balancer calls its host for. Calls come from within event methods, in the order in which
-// they are to take effect; they must not call the balancer.
+// Actions is what a balancer requires of its host. Calls come from within event methods, in the order in
+// which they are to take effect. They must not call the balancer, and must not block.
 type Actions interface {
-	// Send starts an attempt. Timeout 0 is until the request's deadline.
+	// Send starts an attempt. Its end is passed to Balancer.HandleOutcome. After timeout the host gives it up
+	// with status Timeout; 0 is at the request's deadline.
 	Send(id uint64, endpoint uint32, timeout monotime.Micros)
-	// Reject is a final answer that promises that a retry is harmless. retryAfter 0 is not said to the
-	// client.
+
+	// Reject gives the final answer "rejected", which promises that a retry is harmless. The client may retry
+	// after retryAfter; 0 gives no time.
 	Reject(id uint64, retryAfter monotime.Micros)
-	// Fail is a final answer that promises nothing.
+
+	// Fail gives the final answer "failed", which promises nothing.
 	Fail(id uint64)
-	// Cancel ends the wait for an attempt; its outcome still comes.
+
+	// Cancel ends the wait for an attempt. Its outcome still comes, with any status.
 	Cancel(id uint64, attempt int)
-	// SetTimer has Balancer.HandleTimer called with this token after a delay.
+
+	// SetTimer calls Balancer.HandleTimer with token after a delay, which is positive. There may be several
+	// timers of a token.
 	SetTimer(delay monotime.Micros, token uint32)
-	// Probe asks an endpoint for a load report; Balancer.HandleProbe gets it.
+
+	// Probe requests a load report of an endpoint. Its end is passed to Balancer.HandleProbe.
 	Probe(endpoint uint32)
-	// Watch subscribes to discovery's endpoint list, or ends the subscription.
+
+	// Watch subscribes to discovery's endpoint list, or ends the subscription, which the balancer never does.
+	// Lists are passed to Balancer.UpdateEndpoints.
 	Watch(on bool)
-	// Log writes a line for on-call staff. args are alternating keys and values, as of log/slog.
+
+	// Log writes a line for on-call staff. args are alternating keys and values, as in log/slog.
 	Log(message string, args ...any)
 }
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -56,9 +56,9 @@
 //	breakerlatency.go   Why does it reject for latency?
 //	suspicion.go        What do other balancers' observations change?
 //
-// The others hold no rule: api.go (events and actions), settings.go (settings), state.go, endpoint.go,
-// request.go and breakerwindow.go (records), learned.go (what a next balancer takes over), reportparsing.go,
-// statistics.go, random.go and logging.go.
+// The others hold no rule: api.go (events and actions), settings.go and validate.go (settings), state.go,
+// endpoint.go, request.go and breakerwindow.go (records), learned.go (what a next balancer takes over),
+// reportparsing.go, statistics.go, random.go and logging.go.
 //
 // # Units
 //
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -1,209 +1,168 @@
 package balancer
 
-import (
-	"fmt"
+import "dunlinsail/internal/monotime"
 
-	"dunlinsail/internal/monotime"
-)
-
-// Idempotency says what a second run of a request of a class would do.
+// Idempotency is what a second run of a request of a class does.
 type Idempotency uint8
 
-// The three kinds of class.
+// The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // a second run has no effect
-	IdempotentByKey                    // endpoints drop second runs with the same idempotency key for a while
+	IdempotentByKey                    // endpoints drop second runs with the same idempotency key for some time
 	NonIdempotent                      // a second run has a second effect
 )
 
-// DedupScope is the set of endpoints that drop second runs of a request with the same idempotency key.
+// DedupScope is the set of endpoints that drop second runs with the same idempotency key.
 type DedupScope uint8
 
-// The scopes of deduplication.
+// The deduplication scopes.
 const (
-	DedupAll  DedupScope = iota // every endpoint
-	DedupZone                   // the endpoints of one zone
-	DedupCell                   // the endpoints of one cell
+	DedupAll  DedupScope = iota // all endpoints
+	DedupZone                   // the endpoints of the zone of the first run
+	DedupCell                   // the endpoints of the cell of the first run
 )
 
-// LoadMetric names one figure of a load report.
+// LoadMetric is the meaning of one figure of a load report (ORCA has the like; gRFC A51).
 type LoadMetric uint8
 
-// The figures that a load report may have. MetricUnknown is one that this version does not know; it is
-// skipped.
+// The metrics of a load report. MetricUnknown is one that this version does not know; it is skipped.
 const (
 	MetricUnknown     LoadMetric = iota
-	MetricInflight               // requests at the endpoint
+	MetricInflight               // requests at the endpoint, running and waiting
 	MetricQueueLength            // requests that wait there
-	MetricUtilization            // part of its cores in use
-	MetricLatency                // recent service time in milliseconds
+	MetricUtilization            // part of its cores in use, 0 to 1
+	MetricLatency                // recent service time in milliseconds, without waiting
 	MetricServedRate             // requests served per second
 	MetricErrorRate              // errors per second
 )
 
-// Class describes one class of requests.
+// Class is the settings of a class of requests. Fields without a default must be set.
 type Class struct {
-	Name             string
-	Idempotency      Idempotency
-	DedupScope       DedupScope      // IdempotentByKey only
-	DedupWindow      monotime.Micros // IdempotentByKey only: how long the endpoints remember a key
-	LatencyObjective monotime.Micros // an answer within this time counts with the full weight
-	ClientTimeout    monotime.Micros // the time that a client waits over all its attempts
-	PriorityWeight   float64         // of one request
-	LateWeight       float64         // part of the weight, 0 to 1, of a later answer; no decision reads it
-	Streaming        bool            // answers are streamed: HandleHeaders is called for them
+	Name        string
+	Idempotency Idempotency // default Idempotent
+	DedupScope  DedupScope  // for IdempotentByKey; default DedupAll
+
+	// DedupWindow is how long endpoints remember an idempotency key, for IdempotentByKey. Not negative;
+	// default 0, which allows no second run.
+	DedupWindow monotime.Micros
+
+	LatencyObjective monotime.Micros // an answer within this time counts with the full weight; positive
+	ClientTimeout    monotime.Micros // that a client waits over all attempts (Envoy: route timeout); positive
+	PriorityWeight   float64         // of one request, relative to other classes; not negative, 0 is rejected first
+	LateWeight       float64         // of a late answer, as a part of the weight; 0 to 1. Not used by the balancer.
+	Streaming        bool            // answers are streamed, and HandleHeaders is called; default false
 }
 
-// Tenant describes one tenant.
+// Tenant is the settings of a tenant.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests per second over all balancers
-	Share float64 // of the service, 0 to 1; no decision reads it
+	Quota float64 // requests per second over all balancers; not negative
+	Share float64 // of the service, 0 to 1. Not used by the balancer.
 }
 
-// Limits holds what the deployment permits.
+// Limits is what the deployment permits. The defaults of the permissions are false.
 type Limits struct {
 	Cancel     bool // attempts may be cancelled
 	Probes     bool // endpoints may be probed
-	Hedging    bool // a second attempt may start while one is in flight
-	RetryAfter bool // rejections may say when to retry
-	Gossip     bool // balancers may send messages to one another; no decision reads it
-
-	MaxAttempts     int             // of a request
-	MaxOpenRequests int             // of a balancer
-	MaxRetryAfter   monotime.Micros // the longest Retry-After that clients honour
-	DialTimeout     monotime.Micros // no decision reads it
+	Hedging    bool // a request may have several attempts in flight (gRFC A6: hedging)
+	RetryAfter bool // rejections may have a Retry-After
+
+	MaxAttempts     int             // per request, the first included (gRFC A6: maxAttempts); at least 1
+	MaxOpenRequests int             // per balancer (Envoy: max_requests of circuit breakers); at least 1
+	MaxRetryAfter   monotime.Micros // the longest Retry-After that clients honour; not negative, 0 is none
+
+	// Not used by the balancer.
+	Gossip      bool            // balancers may send messages to one another
+	DialTimeout monotime.Micros // for a connection to an endpoint (Envoy: connect_timeout); not negative
 }
 
-// Contract holds what endpoints and discovery are known to do.
+// Contract is how endpoints and discovery are known to behave.
 type Contract struct {
-	DrainGrace          monotime.Micros // no decision reads it: a draining endpoint gets nothing new
-	WarmupStartCapacity float64         // least part of its capacity that an endpoint starts with, over 0 to 1
-	WarmupTime          monotime.Micros // after which an endpoint has all of it
-	CollapseMultiple    float64         // of its present capacity: a warming endpoint that gets so much
-	CollapseAfter       monotime.Micros // for so long collapses
-	PollInterval        monotime.Micros // a balancer without a subscription must poll discovery within this time
-	AnswerSlack         monotime.Micros // no decision reads it: answers leave by the deadline
+	// WarmupStartCapacity is the part of its capacity that an endpoint has at its start, at least (Envoy:
+	// slow start, min_weight_percent). Over 0, to 1.
+	WarmupStartCapacity float64
+
+	// WarmupTime is the time after which an endpoint has its full capacity (Envoy: slow start,
+	// slow_start_window). Not negative; 0 is no warm-up.
+	WarmupTime monotime.Micros
+
+	// A warming endpoint collapses if it gets CollapseMultiple of its present capacity for CollapseAfter.
+	CollapseMultiple float64         // positive
+	CollapseAfter    monotime.Micros // not negative
+
+	// PollInterval is the time within which a balancer that polls discovery must poll again
+	// (Settings.Subscribe). Not negative.
+	PollInterval monotime.Micros
+
+	// Not used by the balancer.
+	DrainGrace  monotime.Micros // time that a draining endpoint goes on serving; not negative
+	AnswerSlack monotime.Micros // time by which answers leave before the deadline; not negative
 }
 
-// Prices holds what is taken off the result, each for its rate per request.
+// Prices are taken off the goal's result, each for a rate per request. None may be negative; 0 is free.
 type Prices struct {
-	CrossZone float64 // an attempt in another zone
-	Probe     float64
-	Waste     float64 // no decision reads it
-	LateFail  float64 // no decision reads it
+	CrossZone float64 // per attempt in another zone: a higher price keeps more requests in the zone
+	Probe     float64 // per probe: a higher price means fewer probes
+
+	// Not used by the balancer.
+	Waste    float64 // per attempt whose answer is of no use
+	LateFail float64 // per request that fails late
 }
 
-// Goal holds the weights of the parts of the result: the ratio of requests that are answered in time.
+// Goal is the weights of the parts of the result, which is the ratio of requests that are answered in time.
+// None may be negative.
 type Goal struct {
-	Overall     float64
-	WorstWindow float64 // of time
-	WorstClass  float64
-	WorstTenant float64 // no decision reads it
+	Overall     float64 // of the ratio over all requests
+	WorstWindow float64 // of the ratio in the worst window of time
+	WorstClass  float64 // of the ratio of the worst class
+	WorstTenant float64 // of the ratio of the worst tenant. Not used by the balancer.
 }
 
-// Settings is all that a balancer is given at its start.
+// Settings is the settings of a balancer, which do not change.
 type Settings struct {
-	Balancers    int  // in this tier, this one included
-	Position     int  // of this one among them; no decision reads it
-	Zone         int  // of this one
-	ZoneCount    int  // no decision reads it
-	MachineKinds int  // no decision reads it
-	Subscribe    bool // discovery answers only when polled
-
-	Classes     []Class
-	Tenants     []Tenant
-	LoadMetrics []LoadMetric // of a load report, in order
-
-	Limits          Limits
-	Contract        Contract
-	Prices          Prices
-	Goal            Goal
-	Tick            monotime.Micros // least time between two rounds of events; no decision reads it
-	OverQuotaWeight float64         // part of its weight that a request over its tenant's quota has
-	WeightByWork    bool            // weights count per unit of work, not per request
-	RetryRatio      float64         // retries, as a part of the requests; 0 is DefaultRetryRatio
-
-	// RetryWindow limits retries to that part in any stretch of this length; MinRetryRate retries per second
-	// are always allowed: a quiet balancer's part would be less than one. Without a window, unused retries
-	// are saved up.
-	RetryWindow  monotime.Micros
+	Balancers int // instances of this tier, this one included; at least 1
+	Zone      int // number of this instance's zone, as in Endpoint.Zone; not negative
+
+	// Subscribe is set if discovery sends lists only to a balancer that polls it. By default lists are
+	// pushed.
+	Subscribe bool
+
+	Classes     []Class      // at least one
+	Tenants     []Tenant     // may be empty
+	LoadMetrics []LoadMetric // figures of a load report, in their order; may be empty
+
+	Limits   Limits
+	Contract Contract
+	Prices   Prices
+	Goal     Goal
+
+	OverQuotaWeight float64 // of a request over its tenant's quota, as a part of its weight; not negative
+	WeightByWork    bool    // a request's weight counts per microsecond of work; by default per request
+
+	// RetryRatio is the retry budget: retries per request (Envoy: retry budget, budget_percent). 0 to 10; 0
+	// is DefaultRetryRatio. MaxAttempts 1 turns retries off.
+	RetryRatio float64
+
+	// RetryWindow is the time in any stretch of which the retry budget holds. Not negative; 0 is no window:
+	// unused retries are saved up.
+	RetryWindow monotime.Micros
+
+	// MinRetryRate is the number of retries per second that a budget with a window always allows, since the
+	// ratio of a quiet balancer's requests is less than one (Envoy: retry budget, min_retry_concurrency). 0
+	// to 1,000,000.
 	MinRetryRate float64
 
-	// StrictIdempotencyKeys has a request with an idempotency key that may have run fail, and never be
+	// StrictIdempotencyKeys makes a request with an idempotency key fail once it may have run, and never be
 	// rejected, even if all endpoints drop second runs: the client may retry when they have forgotten the
 	// key.
 	StrictIdempotencyKeys bool
-}
 
-// DefaultRetryRatio is how many retries each request earns where the settings say nothing.
-const DefaultRetryRatio = 0.2
-
-// SettingError names a setting that makes no sense.
-type SettingError struct {
-	Key    string // the path of the setting's Go field, or of its key where it was read
-	Value  string
-	Reason string
-}
-
-// Error says which setting is wrong, and how.
-func (e *SettingError) Error() string {
-	return fmt.Sprintf("setting %s=%s: %s", e.Key, e.Value, e.Reason)
+	// Not used by the balancer.
+	Position     int             // of this instance among Balancers, from 0
+	ZoneCount    int             // zones of the service
+	MachineKinds int             // kinds of machine of the endpoints; not negative
+	Tick         monotime.Micros // least time between two rounds of events; not negative
 }
 
-// Validate returns a *SettingError for the first setting that makes no sense.
-func (s *Settings) Validate() error {
-	var err error
-	check := func(ok bool, key string, value any, reason string) {
-		if !ok && err == nil {
-			err = &SettingError{key, fmt.Sprint(value), reason}
-		}
-	}
-	check(s.Balancers >= 1, "Balancers", s.Balancers, "must be at least 1")
-	check(s.Position >= 0, "Position", s.Position, "must not be negative")
-	check(s.Zone >= 0, "Zone", s.Zone, "must not be negative")
-	check(s.MachineKinds >= 0, "MachineKinds", s.MachineKinds, "must not be negative")
-	check(s.Tick >= 0, "Tick", s.Tick, "must not be negative")
-	check(len(s.Classes) > 0, "Classes", "none", "at least one class is needed")
-	for i, c := range s.Classes {
-		at := func(name string) string { return fmt.Sprintf("Classes[%d].%s", i, name) }
-		check(c.Idempotency <= NonIdempotent, at("Idempotency"), c.Idempotency, "not a known kind")
-		check(c.DedupScope <= DedupCell, at("DedupScope"), c.DedupScope, "not a known scope")
-		check(c.DedupWindow >= 0, at("DedupWindow"), c.DedupWindow, "must not be negative")
-		check(c.LatencyObjective > 0, at("LatencyObjective"), c.LatencyObjective, "must be positive")
-		check(c.ClientTimeout > 0, at("ClientTimeout"), c.ClientTimeout, "must be positive")
-		check(c.PriorityWeight >= 0, at("PriorityWeight"), c.PriorityWeight, "must not be negative")
-		check(c.LateWeight >= 0 && c.LateWeight <= 1, at("LateWeight"), c.LateWeight, "must be in 0..1")
-	}
-	for i, t := range s.Tenants {
-		key := fmt.Sprintf("Tenants[%d].Quota", i)
-		check(t.Quota >= 0, key, t.Quota, "must not be negative")
-	}
-	for _, w := range [...]float64{s.Goal.Overall, s.Goal.WorstWindow, s.Goal.WorstClass, s.Goal.WorstTenant} {
-		check(w >= 0, "Goal", w, "must not be negative")
-	}
-	check(s.OverQuotaWeight >= 0, "OverQuotaWeight", s.OverQuotaWeight, "must not be negative")
-	check(s.RetryRatio >= 0 && s.RetryRatio <= 10, "RetryRatio", s.RetryRatio, "must be in 0..10")
-	check(s.RetryWindow >= 0, "RetryWindow", s.RetryWindow, "must not be negative")
-	check(s.MinRetryRate >= 0 && s.MinRetryRate <= 1e6, "MinRetryRate", s.MinRetryRate, "must be in 0..1000000")
-	l := &s.Limits
-	c := &s.Contract
-	p := &s.Prices
-	check(l.MaxAttempts >= 1, "Limits.MaxAttempts", l.MaxAttempts, "must be at least 1")
-	check(l.MaxOpenRequests >= 1, "Limits.MaxOpenRequests", l.MaxOpenRequests, "must be at least 1")
-	check(l.MaxRetryAfter >= 0, "Limits.MaxRetryAfter", l.MaxRetryAfter, "must not be negative")
-	check(l.DialTimeout >= 0, "Limits.DialTimeout", l.DialTimeout, "must not be negative")
-	check(c.DrainGrace >= 0, "Contract.DrainGrace", c.DrainGrace, "must not be negative")
-	start := c.WarmupStartCapacity
-	check(start > 0 && start <= 1, "Contract.WarmupStartCapacity", start, "must be in 0..1, not 0")
-	check(c.WarmupTime >= 0, "Contract.WarmupTime", c.WarmupTime, "must not be negative")
-	check(c.CollapseMultiple > 0, "Contract.CollapseMultiple", c.CollapseMultiple, "must be positive")
-	check(c.CollapseAfter >= 0, "Contract.CollapseAfter", c.CollapseAfter, "must not be negative")
-	check(c.PollInterval >= 0, "Contract.PollInterval", c.PollInterval, "must not be negative")
-	check(c.AnswerSlack >= 0, "Contract.AnswerSlack", c.AnswerSlack, "must not be negative")
-	check(p.CrossZone >= 0, "Prices.CrossZone", p.CrossZone, "must not be negative")
-	check(p.Probe >= 0, "Prices.Probe", p.Probe, "must not be negative")
-	check(p.Waste >= 0, "Prices.Waste", p.Waste, "must not be negative")
-	check(p.LateFail >= 0, "Prices.LateFail", p.LateFail, "must not be negative")
-	return err
-}
+// DefaultRetryRatio is the retry budget where the settings give none, in retries per request.
+const DefaultRetryRatio = 0.2
--- /dev/null
+++ b/balancer/validate.go
@@ -0,0 +1,130 @@
+package balancer
+
+import "fmt"
+
+// SettingError is the error for a setting that makes no sense.
+type SettingError struct {
+	Key    string // path of the setting's Go field, or the key where it was read
+	Value  string
+	Reason string // what the value must be
+}
+
+// Error returns which setting is wrong, and how.
+func (e *SettingError) Error() string {
+	return fmt.Sprintf("setting %s=%s: %s", e.Key, e.Value, e.Reason)
+}
+
+// Validate returns a *SettingError for the first setting that makes no sense, in the order of the checks.
+func (s *Settings) Validate() error {
+	var v validation
+	v.instance(s)
+	for i := range s.Classes {
+		v.class(i, &s.Classes[i])
+	}
+	for i, t := range s.Tenants {
+		notNegative(&v, fmt.Sprintf("Tenants[%d].Quota", i), t.Quota)
+	}
+	v.goal(&s.Goal)
+	v.weightsAndRetries(s)
+	v.limits(&s.Limits)
+	v.contract(&s.Contract)
+	v.prices(&s.Prices)
+	return v.err
+}
+
+const (
+	maxRetryRatio   = 10  // retries per request
+	maxMinRetryRate = 1e6 // retries per second
+)
+
+// validation keeps the first error of some checks.
+type validation struct{ err error }
+
+// require adds an error unless ok.
+func (v *validation) require(ok bool, key string, value any, reason string) {
+	if !ok && v.err == nil {
+		v.err = &SettingError{Key: key, Value: fmt.Sprint(value), Reason: reason}
+	}
+}
+
+// atLeastOne requires a count of 1 or more.
+func (v *validation) atLeastOne(key string, value int) {
+	v.require(value >= 1, key, value, "must be at least 1")
+}
+
+// notNegative requires a number or duration of 0 or more, which NaN is not.
+func notNegative[N int | int64 | float64](v *validation, key string, value N) {
+	v.require(value >= 0, key, value, "must not be negative")
+}
+
+// positive requires a number or duration over 0, which NaN is not.
+func positive[N int64 | float64](v *validation, key string, value N) {
+	v.require(value > 0, key, value, "must be positive")
+}
+
+// instance checks what the settings say of the instance and its surroundings.
+func (v *validation) instance(s *Settings) {
+	v.atLeastOne("Balancers", s.Balancers)
+	notNegative(v, "Position", s.Position)
+	notNegative(v, "Zone", s.Zone)
+	notNegative(v, "MachineKinds", s.MachineKinds)
+	notNegative(v, "Tick", s.Tick)
+	v.require(len(s.Classes) > 0, "Classes", "none", "at least one class is needed")
+}
+
+// class checks the class of an index.
+func (v *validation) class(index int, c *Class) {
+	key := func(field string) string { return fmt.Sprintf("Classes[%d].%s", index, field) }
+	v.require(c.Idempotency <= NonIdempotent, key("Idempotency"), c.Idempotency, "not a known kind")
+	v.require(c.DedupScope <= DedupCell, key("DedupScope"), c.DedupScope, "not a known scope")
+	notNegative(v, key("DedupWindow"), c.DedupWindow)
+	positive(v, key("LatencyObjective"), c.LatencyObjective)
+	positive(v, key("ClientTimeout"), c.ClientTimeout)
+	notNegative(v, key("PriorityWeight"), c.PriorityWeight)
+	v.require(c.LateWeight >= 0 && c.LateWeight <= 1, key("LateWeight"), c.LateWeight, "must be in 0..1")
+}
+
+// goal checks the weights of the result.
+func (v *validation) goal(g *Goal) {
+	notNegative(v, "Goal", g.Overall)
+	notNegative(v, "Goal", g.WorstWindow)
+	notNegative(v, "Goal", g.WorstClass)
+	notNegative(v, "Goal", g.WorstTenant)
+}
+
+// weightsAndRetries checks the weight of requests over quota, and the retry budget.
+func (v *validation) weightsAndRetries(s *Settings) {
+	notNegative(v, "OverQuotaWeight", s.OverQuotaWeight)
+	v.require(s.RetryRatio >= 0 && s.RetryRatio <= maxRetryRatio, "RetryRatio", s.RetryRatio, "must be in 0..10")
+	notNegative(v, "RetryWindow", s.RetryWindow)
+	v.require(s.MinRetryRate >= 0 && s.MinRetryRate <= maxMinRetryRate, "MinRetryRate", s.MinRetryRate,
+		"must be in 0..1000000")
+}
+
+// limits checks what the deployment permits.
+func (v *validation) limits(l *Limits) {
+	v.atLeastOne("Limits.MaxAttempts", l.MaxAttempts)
+	v.atLeastOne("Limits.MaxOpenRequests", l.MaxOpenRequests)
+	notNegative(v, "Limits.MaxRetryAfter", l.MaxRetryAfter)
+	notNegative(v, "Limits.DialTimeout", l.DialTimeout)
+}
+
+// contract checks how endpoints and discovery behave.
+func (v *validation) contract(c *Contract) {
+	notNegative(v, "Contract.DrainGrace", c.DrainGrace)
+	start := c.WarmupStartCapacity
+	v.require(start > 0 && start <= 1, "Contract.WarmupStartCapacity", start, "must be in 0..1, not 0")
+	notNegative(v, "Contract.WarmupTime", c.WarmupTime)
+	positive(v, "Contract.CollapseMultiple", c.CollapseMultiple)
+	notNegative(v, "Contract.CollapseAfter", c.CollapseAfter)
+	notNegative(v, "Contract.PollInterval", c.PollInterval)
+	notNegative(v, "Contract.AnswerSlack", c.AnswerSlack)
+}
+
+// prices checks what is taken off the result.
+func (v *validation) prices(p *Prices) {
+	notNegative(v, "Prices.CrossZone", p.CrossZone)
+	notNegative(v, "Prices.Probe", p.Probe)
+	notNegative(v, "Prices.Waste", p.Waste)
+	notNegative(v, "Prices.LateFail", p.LateFail)
+}
