--- a/internal/decide/fairqueue/client.go
+++ b/internal/decide/fairqueue/client.go
@@ -52,6 +52,18 @@
 	heapIndex  int     // in Scheduler.backlog; -1 while nothing waits
 }
 
+// Before decides whose request is admitted next (indexedheap.Element): the flow with the least tag, and among equal tags
+// the one with the fewest requests in flight.
+func (f *clientFlow) Before(other *clientFlow) bool {
+	if f.tag != other.tag {
+		return f.tag < other.tag
+	}
+	return f.open-len(f.queue) < other.open-len(other.queue)
+}
+
+// SetHeapIndex notes the flow's index in Scheduler.backlog.
+func (f *clientFlow) SetHeapIndex(index int) { f.heapIndex = index }
+
 // SharedLimit bounds the requests in flight and waiting over several schedulers together.
 type SharedLimit struct {
 	Max  int // 0 is no limit
--- a/internal/decide/fairqueue/fairqueue_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -142,7 +142,7 @@
 // checkEmpty checks that the scheduler has nothing left of any request.
 func (w *simulation) checkEmpty() {
 	x := w.scheduler
-	if len(x.requests) != 0 || len(x.backlog) != 0 || len(x.expiry) != 0 || x.inFlight != 0 || x.backlogWeight != 0 {
+	if len(x.requests) != 0 || x.backlog.Len() != 0 || x.expiry.Len() != 0 || x.inFlight != 0 || x.backlogWeight != 0 {
 		w.t.Fatalf("left behind: %+v", x)
 	}
 }
--- a/internal/decide/fairqueue/scheduler.go
+++ b/internal/decide/fairqueue/scheduler.go
@@ -1,11 +1,11 @@
 package fairqueue
 
 import (
-	"container/heap"
 	"maps"
 	"math"
 	"slices"
 
+	"dunlinsail/internal/decide/indexedheap"
 	"dunlinsail/internal/monotime"
 )
 
@@ -25,11 +25,11 @@
 	settings      Settings
 	estimates     []serviceEstimate // by class
 	requests      map[uint64]*queuedRequest
-	backlog       flowHeap   // flows with waiting requests, the least tag first
-	expiry        expiryHeap // waiting requests, the earliest latest start first
-	backlogWeight float64    // of the clients in backlog
-	virtualTime   float64    // greatest tag of an admitted request
-	maxTag        float64    // greatest tag of any flow
+	backlog       indexedheap.Heap[*clientFlow]    // flows with waiting requests, the least tag first
+	expiry        indexedheap.Heap[*queuedRequest] // waiting requests, the earliest latest start first
+	backlogWeight float64                          // of the clients in backlog
+	virtualTime   float64                          // greatest tag of an admitted request
+	maxTag        float64                          // greatest tag of any flow
 	inFlight      int
 	pending       []Decision // made already, for Next
 	closed        bool
@@ -46,6 +46,12 @@
 	heapIndex   int // in Scheduler.expiry while it waits
 }
 
+// Before orders waiting requests by their latest start (indexedheap.Element).
+func (r *queuedRequest) Before(other *queuedRequest) bool { return r.latestStart < other.latestStart }
+
+// SetHeapIndex notes the request's index in Scheduler.expiry.
+func (r *queuedRequest) SetHeapIndex(index int) { r.heapIndex = index }
+
 // New returns a scheduler without clients.
 func New(s Settings) *Scheduler {
 	if s.Shared == nil {
@@ -65,7 +71,7 @@
 func (x *Scheduler) SetMaxInFlight(n int) { x.settings.MaxInFlight = n }
 
 // Counts returns how many requests are waiting and in flight.
-func (x *Scheduler) Counts() (waiting, inFlight int) { return len(x.expiry), x.inFlight }
+func (x *Scheduler) Counts() (waiting, inFlight int) { return x.expiry.Len(), x.inFlight }
 
 // Enqueue takes in a request of a client, whose ID must not be that of an open request. Next returns its decision.
 func (x *Scheduler) Enqueue(now monotime.Micros, client *Client, r Request) {
@@ -104,7 +110,7 @@
 
 // mustWait reports whether a new request could not be admitted at once.
 func (x *Scheduler) mustWait() bool {
-	return x.settings.MaxInFlight > 0 && (x.inFlight >= x.settings.MaxInFlight || len(x.backlog) > 0)
+	return x.settings.MaxInFlight > 0 && (x.inFlight >= x.settings.MaxInFlight || x.backlog.Len() > 0)
 }
 
 // reject decides that a request which was not taken in is rejected.
@@ -122,11 +128,11 @@
 		// goes ahead of what others have waiting.
 		x.backlogWeight += flow.client.spec.Weight
 		flow.tag = max(flow.tag, x.virtualTime-burstCredit*float64(x.settings.MaxInFlight)/x.backlogWeight)
-		heap.Push(&x.backlog, flow)
+		x.backlog.Push(flow)
 	}
 	flow.queue = append(flow.queue, request)
 	flow.queuedCost += request.cost
-	heap.Push(&x.expiry, request)
+	x.expiry.Push(request)
 }
 
 // flowOf returns a client's flow, and makes it if need be.
@@ -158,7 +164,7 @@
 	x.inFlight--
 	took := float64(now - request.startedAt)
 	x.charge(flow, took-request.cost)
-	if x.inFlight == 0 && len(x.backlog) == 0 {
+	if x.inFlight == 0 && x.backlog.Len() == 0 {
 		x.virtualTime = x.maxTag // the next busy period starts with equal tags
 	}
 }
@@ -177,13 +183,13 @@
 		x.pending = append(x.pending[:0], x.pending[1:]...)
 		return d, true
 	}
-	if len(x.backlog) == 0 {
+	if x.backlog.Len() == 0 {
 		return Decision{}, false
 	}
 	if x.settings.MaxInFlight > 0 && x.inFlight >= x.settings.MaxInFlight {
 		return x.expire(now)
 	}
-	flow := x.backlog[0]
+	flow := x.backlog.First()
 	request := flow.queue[0]
 	x.virtualTime = max(x.virtualTime, flow.tag)
 	x.dequeue(request)
@@ -197,7 +203,7 @@
 // expire rejects a waiting request that could not be in time any more even if it were admitted now. While there
 // is capacity nothing waits, and whether a late request is still worth sending is not decided here.
 func (x *Scheduler) expire(now monotime.Micros) (d Decision, ok bool) {
-	request := x.expiry[0]
+	request := x.expiry.First()
 	if now < request.latestStart {
 		return Decision{}, false
 	}
@@ -209,10 +215,10 @@
 // NextExpiry returns the instant at which a waiting request must be rejected unless something happens before; 0 if none
 // waits. Next must be called then.
 func (x *Scheduler) NextExpiry() monotime.Micros {
-	if len(x.expiry) == 0 {
+	if x.expiry.Len() == 0 {
 		return 0
 	}
-	return x.expiry[0].latestStart
+	return x.expiry.First().latestStart
 }
 
 // charge advances a flow's tag by a cost; a negative cost moves it back.
@@ -220,7 +226,7 @@
 	flow.tag += cost / flow.client.spec.Weight
 	x.maxTag = max(x.maxTag, flow.tag)
 	if flow.heapIndex >= 0 {
-		heap.Fix(&x.backlog, flow.heapIndex)
+		x.backlog.Fix(flow.heapIndex)
 	}
 }
 
@@ -251,11 +257,11 @@
 	flow.queuedCost -= request.cost
 	if len(flow.queue) == 0 {
 		flow.queuedCost = 0
-		heap.Remove(&x.backlog, flow.heapIndex)
+		x.backlog.Remove(flow.heapIndex)
 		x.backlogWeight -= flow.client.spec.Weight
-		if len(x.backlog) == 0 {
+		if x.backlog.Len() == 0 {
 			x.backlogWeight = 0 // against the drift of floating-point sums
 		}
 	}
-	heap.Remove(&x.expiry, request.heapIndex)
+	x.expiry.Remove(request.heapIndex)
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -5,6 +5,7 @@
 
 	"dunlinsail/internal/decide/cordon"
 	"dunlinsail/internal/decide/fairqueue"
+	"dunlinsail/internal/decide/indexedheap"
 	"dunlinsail/internal/monotime"
 	"dunlinsail/internal/siteconfig"
 )
@@ -35,7 +36,7 @@
 	lastRequestID uint64
 	calls         map[uint64]*Call // by the balancer's request ID
 	dirtyPools    []*Pool          // whose queues may have decisions due
-	timers        timerHeap
+	timers        indexedheap.Heap[*timer]
 	timerSequence uint64
 	ready         bool // an endpoint was ready
 }
