--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -11,7 +11,8 @@
 	pool *Pool
 }
 
-// Send starts an attempt of a request at an endpoint.
+// Send starts an attempt of a request at an endpoint. An attempt that must not be sent any more ends as NotSent: its
+// request has a response, its endpoint has gone, its deadline is over, or it has had all its attempts.
 func (x actions) Send(id uint64, number uint32, timeout monotime.Micros) {
 	c := x.calls[id]
 	if c == nil {
@@ -20,18 +21,13 @@
 	now := x.now
 	a := x.newAttempt(c, x.pool.byNumber[number], timeout)
 	x.pool.observeLoad(now, 1)
-	if o := x.pool.overload; o != nil {
-		if a.Number == 0 {
-			o.control.OnAttemptSent(now, int(c.Request.Class), true)
-		} else {
-			x.pool.countRetry(now, int(c.Request.Class))
-		}
+	x.pool.countAttempt(now, a)
+	if a.Endpoint == nil {
+		a.Endpoint = &Endpoint{Number: number, Target: unknownTarget{}}
+		x.scheduleOutcome(a, balancer.NotSent)
+		return
 	}
-	if c.finished || a.Endpoint == nil || now >= a.Deadline ||
-		len(c.attempts) > x.config.Site.Settings.Limits.MaxAttempts {
-		if a.Endpoint == nil {
-			a.Endpoint = &Endpoint{Number: number, Target: unknownTarget{}}
-		}
+	if c.finished || now >= a.Deadline || len(c.attempts) > x.config.Site.Settings.Limits.MaxAttempts {
 		x.scheduleOutcome(a, balancer.NotSent)
 		return
 	}
@@ -42,7 +38,7 @@
 	x.config.Host.StartAttempt(a)
 }
 
-// newAttempt adds an attempt to a call. A timeout of 0 is none of its own.
+// newAttempt adds an attempt to a call. It ends by the request's deadline, and after a timeout unless that is 0.
 func (x actions) newAttempt(c *Call, e *Endpoint, timeout monotime.Micros) *Attempt {
 	a := &Attempt{
 		Call:      c,
@@ -60,7 +56,7 @@
 	return a
 }
 
-// Refuse rejects a request: a retry by the client is harmless.
+// Reject rejects a request: a retry by the client is harmless.
 func (x actions) Reject(id uint64, retryAfter monotime.Micros) {
 	c := x.calls[id]
 	if c == nil || c.finished {
@@ -82,7 +78,7 @@
 	}
 }
 
-// Cancel aborts an attempt. One of which nothing was written never ran.
+// Cancel aborts an attempt. Its outcome is NotSent if nothing of it was written, and Cancelled otherwise.
 func (x actions) Cancel(id uint64, number int) {
 	c := x.calls[id]
 	if c == nil || number < 0 || number >= len(c.attempts) || c.attempts[number].done {
@@ -97,7 +93,7 @@
 	x.scheduleOutcome(a, status)
 }
 
-// Timer has the balancer's Timer called with a token after a delay.
+// SetTimer has the balancer's HandleTimer called with a token after a delay.
 func (x actions) SetTimer(delay monotime.Micros, token uint32) {
 	x.schedule(x.now+delay, func(now monotime.Micros) {
 		if !x.pool.dissolved {
@@ -106,15 +102,8 @@
 	})
 }
 
-// Probe requests a load report from an endpoint, if the budget of probes allows it.
-func (x actions) Probe(number uint32) {
-	if e := x.pool.byNumber[number]; e != nil && x.pool.allowProbe(x.now, number) {
-		x.config.Host.StartProbe(x.pool, e)
-	}
-}
-
 // Watch starts or stops the watch of the endpoint list.
-func (x actions) Watch(on bool) { x.pool.config.SetWatch(on) }
+func (x actions) Watch(active bool) { x.pool.config.SetWatch(active) }
 
 // Log records a line for on-call staff.
 func (x actions) Log(message string, args ...any) {
--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -6,22 +6,18 @@
 	"dunlinsail/internal/monotime"
 )
 
-// ConcurrencySettings bound how many requests may be in progress at once.
+// ConcurrencySettings bound how many requests may be open at once.
 type ConcurrencySettings struct {
-	MaxInFlight int                   // in each pool; 0 is no bound. Not used with Adaptive
-	MaxOpen     int                   // in flight and queued, in all pools together; 0 is no bound
-	Adaptive    *concurrency.Settings // learns the bound of each pool; the engine sets Classes and Seed
+	MaxInFlight int                   // requests in flight in each pool; 0 is no bound. Not used with Adaptive
+	MaxOpen     int                   // requests in flight and queued, in all pools together; 0 is no bound
+	Adaptive    *concurrency.Settings // the bound of each pool is learned; the engine sets Classes and Seed
 }
 
-// objectiveToServiceTime is how many times its expected service time a class's latency objective is, before any request
-// was measured. The balancer's own first estimate is the same.
+// objectiveToServiceTime is the ratio of a class's latency objective to its expected service time until a request was
+// measured. The balancer's own initial estimate has the same ratio.
 const objectiveToServiceTime = 5
 
-// minQueueTime is how long a request must have been on its way to the balancer to count as queued: less than that is
-// spent between the frontend and the engine.
-const minQueueTime = 1000
-
-// initConcurrency makes the pool's fair queue and, where that is to be learned, its concurrency limit.
+// initConcurrency makes the pool's fair queue and, with ConcurrencySettings.Adaptive, its learned concurrency limit.
 func (p *Pool) initConcurrency(s ConcurrencySettings, seed uint64) error {
 	classes := p.engine.config.Site.Settings.Classes
 	expected := make([]monotime.Micros, len(classes))
@@ -47,21 +43,23 @@
 	return nil
 }
 
-// enqueue offers a request to the fair queue, unless its tenant is over its limit or overload control sheds it. The
-// queue's decisions are carried out by dispatchQueued.
+// enqueue decides whether a new request is queued: not if its tenant is over its limit (rejectOverLimit), nor if
+// overload control sheds it (shed). The fair queue then rejects it, or admits it now or later (package fairqueue), by
+// the instant after which its answer is of no use: its deadline, or the end of its latency objective if its class
+// gives late answers no weight. dispatchQueued carries that decision out.
 func (p *Pool) enqueue(now monotime.Micros, c *Call) {
 	if p.rejectOverLimit(now, c) || p.shed(now, c) {
 		return
 	}
 	class := &p.engine.config.Site.Settings.Classes[c.Request.Class]
-	until := c.Request.Deadline
+	latestAnswer := c.Request.Deadline
 	if class.LateWeight == 0 {
-		until = min(until, c.ArrivedAt+class.LatencyObjective)
+		latestAnswer = min(latestAnswer, c.ArrivedAt+class.LatencyObjective)
 	}
 	p.queue.Enqueue(now, c.Client.account, fairqueue.Request{
 		ID:              c.Request.ID,
 		Class:           int(c.Request.Class),
-		Deadline:        until,
+		Deadline:        latestAnswer,
 		MaxWaitFraction: p.balancer.QueueWaitFraction(now, c.Request),
 	})
 	p.engine.markDirty(p)
@@ -75,8 +73,8 @@
 	}
 }
 
-// dispatchQueued carries out all decisions of queues that have become due. It is called once at the end of each event
-// and never from within one: what it does may free a slot, which it then looks at again.
+// dispatchQueued carries out all decisions of queues that are due. It is called once at the end of each event, and
+// never from within one: a decision may free a slot, and with that make further decisions due.
 func (x *Engine) dispatchQueued(now monotime.Micros) {
 	for len(x.dirtyPools) > 0 {
 		last := len(x.dirtyPools) - 1
@@ -87,6 +85,7 @@
 	}
 }
 
+// dispatchQueued carries out the due decisions of the pool's queue, at the concurrency limit in force.
 func (p *Pool) dispatchQueued(now monotime.Micros) {
 	x := p.engine
 	if p.concurrency != nil {
@@ -116,8 +115,8 @@
 	p.balancer.HandleRequest(now, c.Request)
 }
 
-// scheduleQueue has the queue looked at again at the instant from which a queued request cannot be served in time any
-// more.
+// scheduleQueue sets the timer for the instant from which a queued request cannot be answered in time any more, and
+// must be rejected.
 func (p *Pool) scheduleQueue() {
 	due := p.queue.NextExpiry()
 	if due == p.queueTimerDue {
@@ -136,7 +135,12 @@
 	})
 }
 
-// rejection returns the response to a request that the queue rejects.
+// retryAfterJitterDivisor bounds the random part of a Retry-After: up to a half of it is added, so that clients that
+// were rejected at the same time do not retry at the same time.
+const retryAfterJitterDivisor = 2
+
+// rejection returns the response to a request that the queue rejects. Its Retry-After is the queue's estimate of when
+// there is capacity, with jitter, and at most Limits.MaxRetryAfter.
 func (x *Engine) rejection(d fairqueue.Decision) Response {
 	r := Response{Verdict: Rejected, Reason: d.Reason.String()}
 	if d.Reason == fairqueue.ClientOverRate {
@@ -144,14 +148,19 @@
 	}
 	limits := &x.config.Site.Settings.Limits
 	if limits.RetryAfter && d.RetryAfter > 0 {
-		// With jitter, so that clients that were rejected at the same time do not retry at the same time.
-		after := monotime.Micros(float64(d.RetryAfter) * (1 + x.rng.Float64()/2))
+		after := monotime.Micros(float64(d.RetryAfter) * (1 + x.rng.Float64()/retryAfterJitterDivisor))
 		r.RetryAfter = min(after, limits.MaxRetryAfter)
 	}
 	return r
 }
 
-// observeServiceTime learns from how long a request took that was served.
+// minQueueTime is the time from a request's arrival to its admission from which it counts as queued. Less than that
+// passes between frontend and engine without any queue.
+const minQueueTime = monotime.Millisecond
+
+// observeServiceTime learns from the time that a served request was in flight: the queue its class's service time,
+// and the concurrency limiter whether the limit can grow. limited is set if the limit kept a request waiting
+// meanwhile.
 func (p *Pool) observeServiceTime(now monotime.Micros, c *Call) {
 	took := now - c.admittedAt
 	class := int(c.Request.Class)
@@ -164,8 +173,8 @@
 	p.concurrency.AddSample(now, class, took, c.inFlightAtAdmission, limited)
 }
 
-// Counts returns how many of the pool's requests are queued and in flight, and how many may be in flight (0 is no bound
-// that is learned).
+// Counts returns how many of the pool's requests are queued and in flight, and the learned bound of those in flight,
+// 0 if the bound is not learned.
 func (p *Pool) Counts() (queued, inFlight, maxInFlight int) {
 	queued, inFlight = p.queue.Counts()
 	if p.concurrency != nil {
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -5,7 +5,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// startDeadlineTimer has an attempt abandoned at its deadline.
+// startDeadlineTimer has an attempt end at its deadline.
 func (x *Engine) startDeadlineTimer(a *Attempt) {
 	a.deadlineTimer = x.schedule(a.Deadline, func(now monotime.Micros) { x.expireAttempt(now, a) })
 }
@@ -17,11 +17,12 @@
 	})
 }
 
-// recordOutcome passes the outcome of an attempt to all that learn from it, and to the balancer last. The first
-// complete response of an endpoint is the client's.
+// recordOutcome passes the outcome of an attempt to all that learn from it, and to the balancer last, which may start
+// the next attempt. The first complete response of an endpoint is the client's. An attempt that has an outcome already
+// gets no other one.
 func (x *Engine) recordOutcome(now monotime.Micros, a *Attempt, r AttemptResult) {
 	if a.done {
-		return // it was abandoned before this came
+		return
 	}
 	a.done = true
 	x.config.Host.AbortAttempt(a)
@@ -36,7 +37,7 @@
 		c.Pool.observeServiceTime(now, c)
 		x.respond(c, Response{Verdict: Served, Result: &r, Endpoint: a.Endpoint.Name})
 	}
-	finished := c.finished
+	answered := c.finished
 	x.removeFinished(c)
 	latency := attemptLatency(a, &r)
 	c.Pool.observeOutcome(now, a, r, latency)
@@ -49,13 +50,13 @@
 		Endpoint:      a.Endpoint.Number,
 		Status:        r.Status,
 		Latency:       latency,
-		Answered:      finished,
+		Answered:      answered,
 		NotReplayable: c.NotReplayable != nil && c.NotReplayable(),
 		Load:          r.Load,
 	})
 }
 
-// observeOutcome has all parts of the pool but the balancer learn from the outcome of an attempt.
+// observeOutcome passes the outcome of an attempt to all parts of the pool that learn from it, but for the balancer.
 func (p *Pool) observeOutcome(now monotime.Micros, a *Attempt, r AttemptResult, latency monotime.Micros) {
 	p.observeEndpointHealth(now, a.Endpoint, r.Status, latency)
 	p.observeLoad(now, -1)
@@ -64,19 +65,20 @@
 	p.observeAttempt(now, a, r, latency)
 }
 
-// attemptLatency is the time from when the request was sent to its result.
+// attemptLatency returns the time from when the request was sent, or else from the attempt's start, to its result.
 func attemptLatency(a *Attempt, r *AttemptResult) monotime.Micros {
 	return max(0, r.ObservedAt-max(a.StartedAt, r.SentAt))
 }
 
-// expireAttempt abandons an attempt at its deadline, whatever its connection does.
+// expireAttempt decides on the outcome of an attempt whose deadline is over: Timeout if a part of it was written. If
+// nothing was, it is ConnectFailed after at least Limits.DialTimeout, and NotSent before, since a dial with less time
+// is no evidence against the endpoint.
 func (x *Engine) expireAttempt(now monotime.Micros, a *Attempt) {
 	if a.done {
 		return
 	}
 	status := balancer.Timeout
 	if x.config.Host.CancelUnsent(a) {
-		// Nothing was written. Only a dial that had its full time is evidence against the endpoint.
 		status = balancer.NotSent
 		if now-a.StartedAt >= x.config.Site.Settings.Limits.DialTimeout {
 			status = balancer.ConnectFailed
@@ -87,7 +89,9 @@
 	x.recordOutcome(now, a, AttemptResult{Status: status, ObservedAt: now})
 }
 
-// startResponse gives a response that has started to the client, if the request has none yet.
+// startResponse gives a response that has started to the client, if the request has none yet, and reports whether it
+// did. The request no longer counts as in flight: the rest of the response is transfer, which takes no processor
+// time.
 func (x *Engine) startResponse(now monotime.Micros, a *Attempt, r AttemptResult) bool {
 	c := a.Call
 	if a.done || c.finished {
@@ -98,13 +102,12 @@
 	p.balancer.HandleHeaders(now, c.Request.ID, a.Number, attemptLatency(a, &r)) // ends the other attempts
 	p.observeServiceTime(now, c)
 	x.respond(c, Response{Verdict: Served, Result: &r, Endpoint: a.Endpoint.Name})
-	// The request no longer counts as in flight: the rest of the response is transfer, which takes no processor time.
 	p.queue.Done(now, c.Request.ID)
 	x.markDirty(p)
 	return true
 }
 
-// failRequest responds that a request failed, with the last result that an endpoint gave.
+// failRequest responds that a request failed, with the latest response that an endpoint gave.
 func (x *Engine) failRequest(c *Call) {
 	verdict := Failed
 	if c.lastTimedOut {
@@ -113,7 +116,7 @@
 	x.respond(c, Response{Verdict: verdict, Result: c.lastResult})
 }
 
-// respond gives a request its one final response. No attempt is started for it any more.
+// respond gives a request its one final response, after which no attempt of it is started.
 func (x *Engine) respond(c *Call, r Response) {
 	r.Attempts = len(c.attempts)
 	r.QueueTime = x.now - c.ArrivedAt
@@ -124,8 +127,8 @@
 	x.finishRequest(c)
 }
 
-// finishRequest marks a request as finished and cancels attempts of which nothing has been written. That holds where
-// the settings forbid to cancel running attempts, too: nobody waits for the connection of such an attempt.
+// finishRequest marks a request as finished and cancels attempts of which nothing has been written, also where
+// Limits.Cancel is not set: that forbids only to cancel attempts that an endpoint may have received.
 func (x *Engine) finishRequest(c *Call) {
 	c.finished = true
 	for _, a := range c.attempts {
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -8,8 +8,8 @@
 // AttemptResult is the outcome of an attempt or a probe.
 type AttemptResult struct {
 	Status     balancer.Status
-	ObservedAt monotime.Micros // when it was known
-	SentAt     monotime.Micros // when the last byte of the request was written; 0 is StartedAt. Latency counts from it
+	ObservedAt monotime.Micros // when the host knew it
+	SentAt     monotime.Micros // when the last byte of the request was written: latency counts from it; 0 is StartedAt
 	Load       []float32       // the endpoint's load report, in the order of the settings; nil is none
 
 	// Response is the host's form of what the endpoint answered. It may be nil where Status is not OK.
@@ -22,8 +22,8 @@
 // The verdicts.
 const (
 	Served      Verdict = iota
-	Rejected            // a retry is harmless
-	RateLimited         // as Rejected: the client sends more requests than it may
+	Rejected            // nothing of it had an effect: a retry is harmless
+	RateLimited         // as Rejected, because its client or tenant is over its rate limit
 	Failed              // the request may have had an effect
 	TimedOut            // as Failed, and the last attempt timed out
 	DuplicateID         // not accepted: another request with this ID is open
@@ -32,9 +32,9 @@
 // Response is the final response to a request.
 type Response struct {
 	Verdict    Verdict
-	RetryAfter monotime.Micros // for Rejected and RateLimited; 0 is no advice
-	Reason     string          // for Rejected and RateLimited, for people; may be empty
-	Result     *AttemptResult  // of Served; otherwise the last that an endpoint answered, or nil
+	RetryAfter monotime.Micros // of Rejected and RateLimited: after which to retry; 0 is no advice
+	Reason     string          // of Rejected and RateLimited, for people; may be empty
+	Result     *AttemptResult  // of Served; otherwise the latest that carried an endpoint's response, or nil
 
 	Attempts  int             // how many were started
 	QueueTime monotime.Micros // time in the queue before the request went to the balancer
@@ -50,24 +50,24 @@
 	ArrivedAt monotime.Micros  // when the request was received completely
 	HostData  any              // for the host's use
 
-	// NotReplayable reports whether a part of the request was sent that cannot be sent again: then no further attempt
-	// is made. nil is never.
+	// NotReplayable reports whether a part of the request was sent that cannot be sent again: the request then gets no
+	// retry and no hedged request. nil is never.
 	NotReplayable func() bool
 
 	admittedAt          monotime.Micros // when it went to the balancer; 0 before
 	inFlightAtAdmission int             // requests in flight then, itself included
 	attempts            []*Attempt
-	openAttempts        int // attempts without an outcome
-	finished            bool
+	openAttempts        int            // attempts without an outcome
+	finished            bool           // it has its final response, or its client has gone
 	lastTimedOut        bool           // the latest outcome was a timeout
 	lastResult          *AttemptResult // the latest that carried an endpoint's response
 }
 
-// Attempt is one send of a request to an endpoint. The host reports its end once, and the engine passes it to the
-// balancer once.
+// Attempt is one send of a request to an endpoint. The balancer gets exactly one outcome of it, whatever the host
+// reports.
 type Attempt struct {
 	Call       *Call
-	Number     int // among the call's attempts, from 0
+	Number     int // among the call's attempts, from 0; those after the first are retries or hedged requests
 	Endpoint   *Endpoint
 	StartedAt  monotime.Micros
 	Deadline   monotime.Micros // the attempt is abandoned at this instant
@@ -78,5 +78,5 @@
 	done          bool // the balancer has the outcome
 }
 
-// Done reports whether the balancer has the attempt's outcome: nobody needs what the host still receives for it.
+// Done reports whether the balancer has the attempt's outcome: what the host still receives for it is dropped.
 func (a *Attempt) Done() bool { return a.done }
--- a/internal/engine/coordination.go
+++ b/internal/engine/coordination.go
@@ -4,6 +4,7 @@
 	"maps"
 	"slices"
 
+	"dunlinsail/balancer"
 	"dunlinsail/internal/decide/coordination"
 	"dunlinsail/internal/decide/observations"
 	"dunlinsail/internal/decide/quota"
@@ -17,17 +18,17 @@
 
 	// Send sends a gossip message to an instance. It must not block, and must not call the engine.
 	Send func(to string, message coordination.Message)
-	// NextIncarnation returns a number that no other process of the instance's name ever had, another at each call.
+	// NextIncarnation returns a number that no other process of the instance's name ever had, a new one at each call.
 	NextIncarnation func() uint64
 }
 
-// CoordinationScope says what is decided together with the other instances.
+// CoordinationScope is what is decided together with the other instances.
 type CoordinationScope struct {
-	Retries            bool // retries beyond the instance's own reserve are of a fleet budget. Needs overload control
-	Probes             bool // the same of probes
-	TenantLimits       bool // tenants' request rates
-	OverloadLevel      bool // how much is shed under overload
-	SuspectedEndpoints bool // which endpoints to avoid, by the failures that all instances have seen
+	Retries            bool // retries beyond the instance's own reserve have a fleet budget. Needs overload control
+	Probes             bool // probes beyond the instance's own reserve have a fleet budget. Needs overload control
+	TenantLimits       bool // tenants' request rates; not used by the engine, which goes by the settings' limits
+	OverloadLevel      bool // the admission level under overload
+	SuspectedEndpoints bool // which endpoints to avoid, by the failures that all instances have observed
 }
 
 // fleetCoordinator is an engine's part in its fleet.
@@ -36,9 +37,9 @@
 	member            *coordination.Member
 	localObservations observations.Local
 	timer             *timer                 // for the member's next tick
-	suspicions        map[suspectKey]float64 // by what all instances have seen: the probability that it fails
+	suspicions        map[suspectKey]float64 // probability, 0 to 1, with which an endpoint is avoided for a class
 	tenantBudgets     []string               // budget names by tenant; empty is a tenant without a limit
-	requestsOverLimit uint64                 // requests beyond their tenant's limit
+	requestsOverLimit uint64                 // requests rejected by their tenant's limit so far
 }
 
 // suspectKey is a class of requests at an endpoint, by the endpoint's name among instances (Pool.observationKey).
@@ -47,15 +48,6 @@
 	class    int
 }
 
-// maxObservedCounts is how many counts a message carries at most: a datagram must hold it.
-const maxObservedCounts = 32
-
-// Static division of tenants' limits, where there is no fleet to divide them: the lease that an instance grants itself.
-const (
-	staticLeaseInterval = monotime.Second
-	staticLeaseLength   = 4 * monotime.Second
-)
-
 // JoinFleet has the engine decide together with its fleet once StartCoordination or a Restore has begun that. It
 // returns an error for invalid settings. It must be called before the first pool is made.
 func (x *Engine) JoinFleet(c Coordination) error {
@@ -76,29 +68,6 @@
 	return nil
 }
 
-// divideLimitsStatically divides tenants' limits by the number of instances and the instance's position among them, as
-// long as no fleet is joined.
-func (x *Engine) divideLimitsStatically() {
-	if !slices.ContainsFunc(x.config.Site.TenantLimits, func(limit float64) bool { return limit > 0 }) {
-		return
-	}
-	settings := &x.config.Site.Settings
-	err := x.JoinFleet(Coordination{
-		Settings: coordination.Settings{Quota: quota.Settings{
-			MaxInstances:    max(1, settings.Balancers),
-			Position:        settings.Position,
-			Reserve:         1,
-			RequestInterval: staticLeaseInterval,
-			LeaseDuration:   staticLeaseLength,
-		}},
-		Send:            func(string, coordination.Message) {},
-		NextIncarnation: func() uint64 { return 1 },
-	})
-	if err != nil {
-		panic(err) // the settings are ours
-	}
-}
-
 // StartCoordination starts the engine's part in its fleet, as an instance without a predecessor. It does nothing if
 // that has started, or without a fleet.
 func (x *Engine) StartCoordination(now monotime.Micros) {
@@ -123,8 +92,8 @@
 	x.dispatchQueued(now)
 }
 
-// HandOverCoordination ends the engine's part in its fleet in favour of a successor, and returns what that has to know;
-// nil is nothing.
+// HandOverCoordination ends the engine's part in its fleet in favour of a successor, and returns the state for that;
+// nil if there is none to hand over.
 func (x *Engine) HandOverCoordination(now monotime.Micros) *quota.State {
 	f := x.fleet
 	if f == nil || !f.member.Active() {
@@ -136,8 +105,8 @@
 	return state
 }
 
-// RestoreCoordination takes the part of another engine that handed it over so long ago. It does nothing if the engine's
-// own part has started.
+// RestoreCoordination takes over the part of a predecessor that handed it over an age ago. It does nothing if the
+// engine's own part has started.
 func (x *Engine) RestoreCoordination(now, age monotime.Micros, state *quota.State) {
 	f := x.fleet
 	if f == nil || state == nil || f.member.Active() {
@@ -156,15 +125,15 @@
 	return x.fleet.member.View(now), true
 }
 
-// syncCoordinator does what the fleet member has become due to do: it sends its messages, applies new observations and
-// sets the timer for its next tick.
+// syncCoordinator carries out what the fleet member has decided: it sends its messages, applies new observations and
+// sets the timer for its next tick. It is called after each event of the member.
 func (x *Engine) syncCoordinator(now monotime.Micros) {
 	f := x.fleet
 	for _, out := range f.member.TakeOutgoing() {
 		f.Send(out.To, out.Message)
 	}
-	if all, changed := f.member.TakeAggregate(now); changed {
-		x.applyObservations(now, &all)
+	if aggregate, changed := f.member.TakeAggregate(now); changed {
+		x.applyObservations(now, &aggregate)
 	}
 	if !f.member.Active() {
 		x.cancelTimer(f.timer)
@@ -179,47 +148,51 @@
 	}
 }
 
+// maxObservedCounts is the maximum of outcome counts in a gossip message, which must fit into one datagram.
+const maxObservedCounts = 32
+
 // observe returns what this instance has observed, for the others, and updates the budgets that its requests earn.
-func (x *Engine) observe(now monotime.Micros) (seen observations.Observations) {
+func (x *Engine) observe(now monotime.Micros) (local observations.Observations) {
 	f := x.fleet
 	for _, p := range x.pools {
 		o := p.overload
 		if o == nil {
 			continue
 		}
-		own, all := o.control.EarnedRetryRate(now)
-		f.member.SetContribution(p.budgetName(retryBudget), own, all)
+		earned, fleetMax := o.control.EarnedRetryRate(now)
+		f.member.SetContribution(p.budgetName(retryBudget), earned, fleetMax)
 		if f.Scope.Probes {
 			f.member.SetBudget(p.budgetName(probeBudget), o.control.MaxFleetProbeRate(), false)
 		}
 		if f.Scope.OverloadLevel {
-			level, load, requested, failed := o.control.TakeObservations()
-			seen.Levels = append(seen.Levels, observations.OverloadLevel{
+			level, load, requests, failed := o.control.TakeObservations()
+			local.Levels = append(local.Levels, observations.OverloadLevel{
 				EndpointSet: p.name,
 				Level:       level,
 				Load:        load,
-				Requests:    float64(requested),
+				Requests:    float64(requests),
 				Failed:      float64(failed),
 			})
 		}
 		p.updateFleetShare(now)
 	}
 	if f.Scope.SuspectedEndpoints {
-		seen.Outcomes = f.localObservations.OutcomesToReport(now, maxObservedCounts)
+		local.Outcomes = f.localObservations.OutcomesToReport(now, maxObservedCounts)
 	}
-	return seen
+	return local
 }
 
-// applyObservations applies what all instances have observed.
-func (x *Engine) applyObservations(now monotime.Micros, all *observations.Aggregate) {
+// applyObservations applies the observations of all instances: the overload level of each pool, and which endpoints are
+// suspected.
+func (x *Engine) applyObservations(now monotime.Micros, aggregate *observations.Aggregate) {
 	f := x.fleet
 	suspicions := map[suspectKey]float64{}
-	for _, s := range all.Suspects {
+	for _, s := range aggregate.Suspects {
 		suspicions[suspectKey{s.Endpoint, s.Class}] = s.AvoidProbability
 	}
 	for _, p := range x.pools {
 		if p.overload != nil && f.Scope.OverloadLevel {
-			p.applyLevels(now, all.Levels)
+			p.applyLevels(now, aggregate.Levels)
 		}
 		p.applySuspicions(now, suspicions)
 	}
@@ -237,7 +210,8 @@
 	p.refreshBounds(now)
 }
 
-// applySuspicions tells the balancer of each suspicion that has changed.
+// applySuspicions passes each suspicion that has changed to the balancer: the probability, 0 to 1, with which it leaves
+// an endpoint out for a class.
 func (p *Pool) applySuspicions(now monotime.Micros, suspicions map[suspectKey]float64) {
 	f := p.engine.fleet
 	for _, name := range slices.Sorted(maps.Keys(p.byName)) { // sorted: random draws must not depend on map order
@@ -258,3 +232,18 @@
 	}
 	return p.name + "/" + endpoint
 }
+
+// recordObservation counts the outcome of an attempt at an endpoint, for the other instances. An attempt that this
+// instance ended, or never sent, is no evidence.
+func (p *Pool) recordObservation(now monotime.Micros, a *Attempt, status balancer.Status) {
+	f := p.engine.fleet
+	if f == nil || !f.Scope.SuspectedEndpoints {
+		return
+	}
+	switch status {
+	case balancer.Cancelled, balancer.NotSent:
+	default:
+		key := p.observationKey(a.Endpoint.Name)
+		f.localObservations.RecordOutcome(now, key, int(a.Call.Request.Class), status == balancer.OK)
+	}
+}
--- a/internal/engine/coordination_test.go
+++ b/internal/engine/coordination_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// A tenant's quota is spent, and what is handed over is spent by the successor only.
+// A tenant's quota is spent by its requests; once it is handed over, only the successor spends it.
 func TestTenantQuotaIsSpentAndHandedOver(t *testing.T) {
 	x, p, h := newEngine(t, tenantSite(10, 1, 0), &CoordinationScope{TenantLimits: true}, nil)
 	now := 20 * monotime.Second
@@ -48,62 +48,62 @@
 	for i := range 6 {
 		submit(t, x, p, now, fmt.Sprint(i), 0)
 		if n, _ := h.serveAll(x, now+1000); n != 1 {
-			t.Fatalf("the %d. is rejected, of 10 a monotime.Second: %+v", i+1, fleetView(t, x, now))
+			t.Fatalf("request %d is rejected, of 10 a second: %+v", i+1, fleetView(t, x, now))
 		}
 	}
-	s := x.HandOverCoordination(now)
+	state := x.HandOverCoordination(now)
 	submit(t, x, p, now, "handed over", 0)
 	if h.responses["handed over"].Verdict != RateLimited {
 		t.Error("a request is admitted by quota that was handed over")
 	}
-	y, q, g := newEngine(t, tenantSite(10, 1, 0), &CoordinationScope{TenantLimits: true}, nil)
-	y.HandOverCoordination(0)
-	y.RestoreCoordination(now+1000, 1000, s)
+	successor, pool, host := newEngine(t, tenantSite(10, 1, 0), &CoordinationScope{TenantLimits: true}, nil)
+	successor.HandOverCoordination(0)
+	successor.RestoreCoordination(now+1000, 1000, state)
 	limited := 0
 	for i := range 10 {
-		submit(t, y, q, now+1000, fmt.Sprint(i), 0)
-		if g.responses[fmt.Sprint(i)].Verdict == RateLimited {
+		submit(t, successor, pool, now+1000, fmt.Sprint(i), 0)
+		if host.responses[fmt.Sprint(i)].Verdict == RateLimited {
 			limited++
 		}
 	}
-	if allowed := fleetView(t, y, now+1000).Budgets[0].Allowed; allowed < 7 || limited != 10-(allowed-6) {
+	if allowed := fleetView(t, successor, now+1000).Budgets[0].Allowed; allowed < 7 || limited != 10-(allowed-6) {
 		t.Errorf("%d of 10 are beyond the limit where 6 of %d were spent a moment ago", limited, allowed)
 	}
 }
 
-// An endpoint that other instances suspect of failing a class is avoided for that class, and not for another, as long
-// as they say so.
+// An endpoint that is suspected of failing a class is avoided for that class, and not for another, as long as it is in
+// the observations of all instances.
 func TestSuspectedEndpointIsAvoidedForItsClass(t *testing.T) {
 	x, p, h := newEngine(t, tenantSite(0, 100, 0), &CoordinationScope{SuspectedEndpoints: true}, nil)
 	now := 5 * monotime.Second
 	x.HandOverCoordination(now) // it gets no observations but this test's
 	advanceTo(x, now)
-	count := func(class uint8) (part float64) {
-		all, there := 0, 0
+	shareOfE1 := func(class uint8) float64 {
+		all, atE1 := 0, 0
 		for i := range 300 {
 			request := balancer.Request{Class: class, Tenant: 1, Deadline: now + 500_000}
 			x.Submit(now, newCall(t, p, now, fmt.Sprint(class, i), request))
 			n, e1 := h.serveAll(x, now+20_000)
 			all += n
-			there += e1
+			atE1 += e1
 			now += 50_000
 			advanceTo(x, now)
 		}
-		return float64(there) / float64(all)
+		return float64(atE1) / float64(all)
 	}
-	count(0)
-	before := count(1)
+	shareOfE1(0)
+	before := shareOfE1(1)
 	x.applyObservations(now, &observations.Aggregate{Suspects: []observations.Suspect{
 		{Endpoint: "e1", Class: 1, AvoidProbability: 0.95},
 		{Endpoint: "gone", Class: 0, AvoidProbability: 1},
 	}})
 	// Without probes the endpoint that seems fastest gets most requests, whichever that is.
-	if suspected, other := count(1), count(0); suspected > 0.04 || other < 0.06 {
+	if suspected, other := shareOfE1(1), shareOfE1(0); suspected > 0.04 || other < 0.06 {
 		t.Errorf("%.2f go to the suspected endpoint, %.2f before, %.2f of the other class", suspected, before, other)
 	}
 	x.applyObservations(now, &observations.Aggregate{})
-	if n := count(1); n < 0.06 {
-		t.Errorf("%.2f go there once nothing is held against it, %.2f before", n, before)
+	if n := shareOfE1(1); n < 0.06 {
+		t.Errorf("%.2f go there once it is not suspected any more, %.2f before", n, before)
 	}
 }
 
@@ -137,7 +137,7 @@
 	}
 }
 
-// What a request costs an engine without and with a fleet. What a process adds around it is many times that.
+// The engine's work for a request without and with a fleet. The process around it adds many times that.
 func BenchmarkCoordination(b *testing.B) {
 	all := CoordinationScope{Retries: true, Probes: true, TenantLimits: true, OverloadLevel: true,
 		SuspectedEndpoints: true}
--- a/internal/engine/cordon.go
+++ b/internal/engine/cordon.go
@@ -6,10 +6,10 @@
 	"dunlinsail/internal/monotime"
 )
 
-// SetCordon takes an endpoint out of service in all pools that list it, or lets it back in. The instant at is on the
-// clock of cordons, which all processes that exchange them share. It returns the cordon that was set; known is false,
-// and nothing is changed, for a name that no pool lists and that is not cordoned.
-func (x *Engine) SetCordon(now monotime.Micros, name string, out bool, at monotime.Micros) (
+// SetCordon cordons an endpoint in all pools that list it: it gets no new requests. With cordoned false it uncordons
+// it. The instant at is on the clock of cordons, which all processes that exchange them share. It returns the record
+// of the change; known is false, and nothing is changed, for a name that no pool lists and that is not cordoned.
+func (x *Engine) SetCordon(now monotime.Micros, name string, cordoned bool, at monotime.Micros) (
 	entry cordon.Record, known bool) {
 	for _, p := range x.pools {
 		known = known || p.listsEndpoint(name)
@@ -17,13 +17,13 @@
 	if !known && !x.cordons.Cordoned(name) {
 		return cordon.Record{}, false
 	}
-	entry = cordon.Record{Name: name, Cordoned: out, At: max(at, x.cordons.LastChange(name)+1)}
+	entry = cordon.Record{Name: name, Cordoned: cordoned, At: max(at, x.cordons.LastChange(name)+1)}
 	x.ReceiveCordon(now, entry)
 	return entry, true
 }
 
-// ReceiveCordon applies a cordon that was set here or in another process. One that is older than the latest of its
-// endpoint changes nothing.
+// ReceiveCordon applies a record of a cordon that was set here or in another process. One that is not newer than the
+// latest of its endpoint changes nothing.
 func (x *Engine) ReceiveCordon(now monotime.Micros, entry cordon.Record) {
 	x.now = now
 	if !x.cordons.Apply(entry) {
@@ -39,11 +39,11 @@
 	x.dispatchQueued(now)
 }
 
-// Cordons returns all cordons, for another process that is to hold the same.
+// Cordons returns all records of cordons, for another process that has to have the same.
 func (x *Engine) Cordons() []cordon.Record { return x.cordons.Records() }
 
-// setExcluded has the balancer send nothing more to an endpoint, or lets it send there again. Attempts that wait for a
-// connection are stopped, too.
+// setExcluded decides whether an endpoint gets new requests: the balancer picks an excluded one no more, and attempts
+// that wait for a connection to it are not sent (Endpoint.MaySend).
 func (p *Pool) setExcluded(now monotime.Micros, e *Endpoint, excluded bool) {
 	if e.excluded == excluded {
 		return
--- a/internal/engine/cordon_test.go
+++ b/internal/engine/cordon_test.go
@@ -33,14 +33,14 @@
 // setCordon cordons an endpoint, or lets it back in.
 func (r *cordonRun) setCordon(t *testing.T, name string) {
 	t.Helper()
-	out := r.rng.IntN(3) > 0
-	cordon, known := r.host.engine.SetCordon(r.now, name, out, r.now)
+	cordoned := r.rng.IntN(3) > 0
+	record, known := r.host.engine.SetCordon(r.now, name, cordoned, r.now)
 	if listed := r.host.pool.byName[name] != nil; known != (listed || r.cordoned[name]) {
 		t.Fatalf("seed %d: known %v; listed %v, cordoned %v", r.seed, known, listed, r.cordoned[name])
 	}
 	if known {
-		r.cordons = append(r.cordons, cordon)
-		r.cordoned[name] = out
+		r.cordons = append(r.cordons, record)
+		r.cordoned[name] = cordoned
 	}
 }
 
@@ -69,8 +69,8 @@
 		r.list[i].State = balancer.Ready
 		r.updateList()
 	case 4: // old cordons, once more
-		for _, cordon := range r.cordons {
-			r.host.engine.ReceiveCordon(r.now, cordon)
+		for _, record := range r.cordons {
+			r.host.engine.ReceiveCordon(r.now, record)
 		}
 	case 5:
 		if r.rng.IntN(4) == 0 {
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -8,7 +8,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Endpoint is an endpoint that the balancer of a pool knows. It belongs to its engine, but for MaySend.
+// Endpoint is an endpoint that the balancer of a pool knows. It belongs to its engine; only MaySend may be called from
+// other goroutines.
 type Endpoint struct {
 	Number uint32 // the balancer's ID of it
 	Name   string
@@ -16,21 +17,19 @@
 	Target Target // for Addr
 
 	state         balancer.EndpointState
-	excluded      bool         // cordoned, or stopped by the maintenance plan
-	utilization   float64      // moving average of what it reports, 0 to 1
-	stopSendingAt atomic.Int64 // nothing is sent from this instant on; 0 is no such instant. Attempts read it
+	excluded      bool         // cordoned, or excluded by the maintenance plan
+	utilization   float64      // moving average of the utilization that it reports, 0 to 1
+	stopSendingAt atomic.Int64 // no attempt is sent from this instant on, in microseconds; 0 is no such instant
 }
 
-// MaySend reports whether the first byte of an attempt may still be written: a draining endpoint gets no new request
-// after the drain grace, which a slow dial may have outlasted. It is safe for concurrent use.
+// MaySend decides, right before the first byte of an attempt is written, whether the endpoint may still get it. The
+// balancer has picked the endpoint before; a slow dial may have outlasted the drain grace since, or the endpoint may
+// have been excluded. It is safe for concurrent use.
 func (e *Endpoint) MaySend(now monotime.Micros) bool {
 	stop := e.stopSendingAt.Load()
 	return stop == 0 || now < stop
 }
 
-// drainGraceMargin is kept from the drain grace: the first byte of a request must have arrived within the grace.
-const drainGraceMargin = 50_000
-
 // EndpointInfo is an entry of an endpoint list, with names where the balancer has numbers.
 type EndpointInfo struct {
 	Name      string                 `json:"Name"`
@@ -48,7 +47,7 @@
 	Kind             balancer.ListKind
 	Generation       int64
 	NewSource        bool // it comes from another source, with generations of its own
-	GenerationsReset bool // with NewSource: it is the same source, but its generations have started anew
+	GenerationsReset bool // with NewSource: it is the same source, which counts its generations anew
 	Endpoints        []EndpointInfo
 }
 
@@ -65,7 +64,8 @@
 	p.engine.dispatchQueued(now)
 }
 
-// applyUpdate applies an update. An old one would bring back endpoints that are known to be draining.
+// applyUpdate applies an update, unless its generation is older than that of the current list and it comes from the
+// same source: an old list would bring back endpoints that are known to be draining.
 func (p *Pool) applyUpdate(now monotime.Micros, update EndpointUpdate) {
 	if update.Kind == balancer.ListFailed {
 		p.balancer.UpdateEndpoints(now, update.Kind, nil)
@@ -111,7 +111,7 @@
 		}
 	}
 	p.balancer.UpdateEndpoints(now, update.Kind, entries)
-	for name, e := range p.byName { // in any order: a new endpoint is not excluded yet, and has had no request
+	for name, e := range p.byName { // in any order: only new endpoints change here, which have no requests yet
 		p.applyExclusion(now, name, e)
 	}
 	p.updateEndpointCount()
@@ -119,7 +119,8 @@
 }
 
 // updateEndpoint applies one entry and returns the balancer's form of it; ok is false for an unknown endpoint that is
-// gone. With a generations reset the entry may be older than a drain that is known.
+// gone. After a reset of generations an entry may be older than a drain that is known: an endpoint that drains and
+// has not restarted since then goes on draining.
 func (p *Pool) updateEndpoint(now monotime.Micros, info EndpointInfo, reset bool) (entry balancer.Endpoint, ok bool) {
 	site := p.engine.config.Site
 	e := p.byName[info.Name]
@@ -158,11 +159,15 @@
 	}, true
 }
 
-// setEndpointState notes from when on nothing new may be sent to an endpoint. The balancer stops at once; this is for
-// attempts that wait for a connection.
+// drainGraceMargin is subtracted from Contract.DrainGrace: requests must have arrived within the grace, not only have
+// been sent.
+const drainGraceMargin = 50 * monotime.Millisecond
+
+// setEndpointState notes an endpoint's state, and from when on attempts that wait for a connection to it may not be
+// sent: once it is no longer ready, after the drain grace less a margin. The balancer picks it no more at once.
 func (p *Pool) setEndpointState(now monotime.Micros, name string, e *Endpoint, state balancer.EndpointState) {
 	switch {
-	case e.excluded: // nothing is sent since then, whatever its state
+	case e.excluded: // stopSendingAt stays as setExcluded has set it
 	case state == balancer.Ready:
 		e.stopSendingAt.Store(0)
 	case e.state == balancer.Ready:
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -13,12 +13,13 @@
 // Config is what an Engine needs.
 type Config struct {
 	Site        *siteconfig.Site
-	Seed        uint64 // of all random draws
+	Seed        uint64 // of all random draws: the same events then have the same decisions
 	Concurrency ConcurrencySettings
 	Host        Host
 	Observer    Observer // nil is none
 
-	// OnQuotaSpent is called for each unit that is spent of a budget of the fleet. It must not block; nil is none.
+	// OnQuotaSpent is called for each unit that is spent of a budget of the fleet, with the budget's name. It must not
+	// block. It may be nil.
 	OnQuotaSpent func(now monotime.Micros, budget string)
 }
 
@@ -31,14 +32,14 @@
 	now           monotime.Micros // the instant of the present event
 	pools         []*Pool         // not dissolved
 	cordons       cordon.Set
-	fleet         *fleetCoordinator // nil where nothing is decided with other instances
+	fleet         *fleetCoordinator // nil without a fleet and without tenant limits
 	maintenance   maintenanceState
 	lastRequestID uint64
 	calls         map[uint64]*Call // by the balancer's request ID
 	dirtyPools    []*Pool          // whose queues may have decisions due
 	timers        indexedheap.Heap[*timer]
 	timerSequence uint64
-	ready         bool // an endpoint was ready
+	ready         bool // an endpoint has been ready (Host.EndpointReady)
 }
 
 // New returns an engine without pools.
@@ -59,7 +60,8 @@
 // Pools returns how many pools are not dissolved.
 func (x *Engine) Pools() int { return len(x.pools) }
 
-// Submit accepts a client's request. Its final response comes by Host.Respond.
+// Submit accepts a client's request. Its final response comes by Host.Respond: at once if its ID is that of an open
+// request of its client (DuplicateID), or if its pool is closed (Rejected).
 func (x *Engine) Submit(now monotime.Micros, c *Call) {
 	x.now = now
 	switch {
@@ -80,11 +82,12 @@
 	x.dispatchQueued(now)
 }
 
-// ClientGone reports that the client of a request is gone, and that nobody reads its response if there is one already.
+// ClientGone reports that the client of a request has gone: its attempts are aborted, since no response can be
+// delivered any more.
 func (x *Engine) ClientGone(now monotime.Micros, c *Call) {
 	x.now = now
 	if c.finished {
-		for _, a := range c.attempts { // a response that has started would wait for its reader
+		for _, a := range c.attempts { // one whose response has started would block until its client reads on
 			if !a.done {
 				x.config.Host.AbortAttempt(a)
 			}
@@ -98,7 +101,8 @@
 	x.dispatchQueued(now)
 }
 
-// AttemptEnded reports the outcome of an attempt. An outcome that comes after the attempt was abandoned is ignored.
+// AttemptEnded reports the outcome of an attempt. It is ignored if the attempt has ended already, by its deadline or by
+// being cancelled.
 func (x *Engine) AttemptEnded(now monotime.Micros, a *Attempt, r AttemptResult) {
 	x.now = now
 	x.recordOutcome(now, a, r)
@@ -106,8 +110,8 @@
 }
 
 // ResponseStarted reports that a response has started that is too large to be buffered; r.At is the instant of its
-// start. If it returns true, the response is the client's, and no deadline applies to the attempt any more; its end is
-// reported to AttemptEnded. If it returns false, the request has a response already.
+// start. If it returns true, the response is the client's, and no deadline applies to the attempt any more; the host
+// reports its end to AttemptEnded. If it returns false, the request has a response already, and this one is dropped.
 func (x *Engine) ResponseStarted(now monotime.Micros, a *Attempt, r AttemptResult) bool {
 	x.now = now
 	accepted := x.startResponse(now, a, r)
@@ -115,8 +119,8 @@
 	return accepted
 }
 
-// ResponseProgress reports that a response is arriving, if slowly: the attempt may last as long as the request's
-// deadline.
+// ResponseProgress reports that a response is arriving, if slowly. The attempt's own timeout no longer applies: it may
+// last until the request's deadline.
 func (x *Engine) ResponseProgress(now monotime.Micros, a *Attempt) {
 	x.now = now
 	if c := a.Call; !a.done && !c.finished && a.Deadline < c.Request.Deadline {
@@ -125,15 +129,3 @@
 		x.startDeadlineTimer(a)
 	}
 }
-
-// ProbeEnded reports the outcome of a probe that was sent at an instant.
-func (x *Engine) ProbeEnded(now monotime.Micros, p *Pool, e *Endpoint, sentAt monotime.Micros, r AttemptResult) {
-	x.now = now
-	if o := x.config.Observer; o != nil {
-		o.ProbeEnded(now, e.Name, r.Status, max(0, r.ObservedAt-sentAt))
-	}
-	p.observeUtilization(e, r.Load)
-	p.observeProbe(now, &r)
-	p.balancer.HandleProbe(now, e.Number, r.Status, max(0, r.ObservedAt-sentAt), r.Load)
-	x.dispatchQueued(now)
-}
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -75,27 +75,27 @@
 }
 
 // startPool gives the host another pool.
-func (h *answeringHost) startPool(t testing.TB, c PoolConfig, list []EndpointInfo) {
-	t.Helper()
+func (h *answeringHost) startPool(tb testing.TB, c PoolConfig, list []EndpointInfo) {
+	tb.Helper()
 	c.InitialEndpoints = EndpointUpdate{Generation: 1, Endpoints: list}
 	c.SetWatch = func(bool) {}
 	pool, err := h.engine.NewPool(c)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	pool.Start(1_000 * monotime.Second)
 	h.pool = pool
 }
 
 // newQuietInstance returns an instance of a fleet of 5,000 that uses four of sixty endpoints.
-func newQuietInstance(t testing.TB, probes float64) (*answeringHost, *Client, []EndpointInfo) {
-	t.Helper()
-	return newInstance(t, &subset.Settings{Position: 77, Instances: 5000, MinMembers: 4, EndpointProbes: probes})
+func newQuietInstance(tb testing.TB, probes float64) (*answeringHost, *Client, []EndpointInfo) {
+	tb.Helper()
+	return newInstance(tb, &subset.Settings{Position: 77, Instances: 5000, MinMembers: 4, EndpointProbes: probes})
 }
 
 // newInstance returns an instance that uses a subset of sixty endpoints, or all if that is nil.
-func newInstance(t testing.TB, part *subset.Settings) (*answeringHost, *Client, []EndpointInfo) {
-	t.Helper()
+func newInstance(tb testing.TB, part *subset.Settings) (*answeringHost, *Client, []EndpointInfo) {
+	tb.Helper()
 	s := balancer.Settings{Balancers: 5000, ZoneCount: 1, LoadMetrics: []balancer.LoadMetric{balancer.MetricInflight},
 		Classes: []balancer.Class{{Name: "look", LatencyObjective: 200_000, ClientTimeout: 500_000, PriorityWeight: 1}},
 		Limits: balancer.Limits{Probes: true, Hedging: true, MaxAttempts: 3, MaxOpenRequests: 100,
@@ -111,10 +111,10 @@
 		list = append(list, EndpointInfo{Name: fmt.Sprintf("s-%d", i), Addr: fmt.Sprintf("10.0.0.%d:80", i),
 			Zone: "a", Weight: 1})
 	}
-	h.startPool(t, PoolConfig{Subset: part}, list)
+	h.startPool(tb, PoolConfig{Subset: part}, list)
 	c, err := NewClient(fairqueue.ClientSpec{Name: "c", Weight: 1})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return h, c, list
 }
@@ -196,14 +196,14 @@
 }
 
 // newEngine returns an engine with three endpoints; with a scope it is the only instance of its fleet.
-func newEngine(t testing.TB, s *siteconfig.Site, scope *CoordinationScope, o *overload.Settings) (
+func newEngine(tb testing.TB, s *siteconfig.Site, scope *CoordinationScope, o *overload.Settings) (
 	*Engine, *Pool, *recordingHost) {
-	t.Helper()
+	tb.Helper()
 	h := &recordingHost{responses: map[string]Response{}}
 	x := New(Config{Site: s, Seed: 1, Host: h, Concurrency: ConcurrencySettings{MaxOpen: 1000}})
 	if scope != nil {
 		if err := x.JoinFleet(fleetOfOne(*scope)); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 	}
 	p, err := x.NewPool(PoolConfig{
@@ -212,7 +212,7 @@
 		Overload:         o,
 	})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	p.Start(0)
 	var list []EndpointInfo
@@ -234,27 +234,27 @@
 }
 
 // newCall returns a call of a client of its own.
-func newCall(t testing.TB, p *Pool, now monotime.Micros, id string, r balancer.Request) *Call {
-	t.Helper()
+func newCall(tb testing.TB, p *Pool, now monotime.Micros, id string, r balancer.Request) *Call {
+	tb.Helper()
 	c, err := NewClient(fairqueue.ClientSpec{Weight: 1})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return &Call{Client: c, Pool: p, ID: id, ArrivedAt: now, Request: r}
 }
 
 // submit submits a request of a tenant.
-func submit(t testing.TB, x *Engine, p *Pool, now monotime.Micros, id string, tenant uint16) {
-	t.Helper()
-	x.Submit(now, newCall(t, p, now, id, balancer.Request{Tenant: tenant, Deadline: now + 500_000}))
+func submit(tb testing.TB, x *Engine, p *Pool, now monotime.Micros, id string, tenant uint16) {
+	tb.Helper()
+	x.Submit(now, newCall(tb, p, now, id, balancer.Request{Tenant: tenant, Deadline: now + 500_000}))
 }
 
 // fleetView returns what an engine knows of its fleet.
-func fleetView(t testing.TB, x *Engine, now monotime.Micros) coordination.View {
-	t.Helper()
+func fleetView(tb testing.TB, x *Engine, now monotime.Micros) coordination.View {
+	tb.Helper()
 	view, ok := x.FleetView(now)
 	if !ok {
-		t.Fatal("no fleet")
+		tb.Fatal("no fleet")
 	}
 	return view
 }
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -15,15 +15,17 @@
 	// CancelUnsent cancels an attempt of which nothing has been written yet, and reports whether that was so: the
 	// attempt then never reaches its endpoint.
 	CancelUnsent(a *Attempt) (unsent bool)
-	// AbortAttempt ends an attempt in whatever state it is; nobody waits for it any more.
+	// AbortAttempt ends an attempt in whatever state it is, and frees what it holds. What the host reports of it after
+	// that is ignored.
 	AbortAttempt(a *Attempt)
 	// AttemptTimedOut reports that an attempt that was sent got no answer before its deadline.
 	AttemptTimedOut(a *Attempt)
-	// StartProbe requests a load report from an endpoint. The host reports the answer to Engine.ProbeEnded.
+	// StartProbe requests a load report from an endpoint. The host reports the outcome to Engine.ProbeEnded.
 	StartProbe(p *Pool, e *Endpoint)
 	// Respond gives a request its one final response.
 	Respond(c *Call, r Response)
-	// EndpointReady reports that an endpoint is ready for requests. It is called once, for the first one.
+	// EndpointReady reports that an endpoint is ready for requests. It is called once in an engine's life, for the
+	// first.
 	EndpointReady()
 	// Log records an informational line for on-call staff.
 	Log(line string, args ...any)
--- a/internal/engine/maintenance.go
+++ b/internal/engine/maintenance.go
@@ -1,29 +1,28 @@
 package engine
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 
 	"dunlinsail/balancer"
-	"dunlinsail/internal/decide/maintenance"
 	"dunlinsail/internal/monotime"
 )
 
 // MaintenancePlan is the part of the fleet's maintenance plan (package maintenance) that one instance has to follow.
 type MaintenancePlan struct {
-	// AwaitingPlan says that no plan is known yet: nothing is sent to any endpoint.
+	// AwaitingPlan is set as long as no plan is known: nothing is sent to any endpoint.
 	AwaitingPlan bool `json:"Wait"`
-	// Stopped are endpoints that get nothing new. One that is let back in has restarted.
+	// Excluded are endpoints that get no new requests. One that is admitted again has restarted.
 	Excluded []string `json:"Stop"`
-	// Announced are endpoints that are next, and get nothing new once the lease has ended.
-	Announced []string        `json:"Ahead"`
-	LeaseEnd  monotime.Micros `json:"Until"`
+	// Announced are endpoints that are excluded next. They get no new requests from LeaseEnd on.
+	Announced []string `json:"Ahead"`
+	// LeaseEnd is when this instance's lease of the plan ends, unless a newer plan is applied before.
+	LeaseEnd monotime.Micros `json:"Until"`
 	// DrainDeadline is when attempts that are still open at endpoints of both lists are ended.
 	DrainDeadline monotime.Micros `json:"End"`
 }
 
-// includes reports whether an endpoint is stopped or announced.
+// includes reports whether an endpoint is excluded or announced.
 func (p *MaintenancePlan) includes(name string) bool {
 	return slices.Contains(p.Excluded, name) || slices.Contains(p.Announced, name)
 }
@@ -35,7 +34,7 @@
 	drainTimer *timer
 }
 
-// ApplyMaintenancePlan has the engine follow a plan in place of the previous one.
+// ApplyMaintenancePlan replaces the plan that the engine follows.
 func (x *Engine) ApplyMaintenancePlan(now monotime.Micros, plan MaintenancePlan) {
 	x.now = now
 	x.cancelTimer(x.maintenance.leaseTimer)
@@ -59,7 +58,9 @@
 	}
 }
 
-// applyExclusion applies cordons and the maintenance plan to one endpoint.
+// applyExclusion decides whether one endpoint gets new requests. Excluded are endpoints that are cordoned, or that
+// the maintenance plan excludes. Paused are all endpoints while no plan is known, and announced ones once the lease
+// has ended: by then the others may take the endpoint out of service, whether this instance has the next plan or not.
 func (p *Pool) applyExclusion(now monotime.Micros, name string, e *Endpoint) {
 	plan := &p.engine.maintenance.MaintenancePlan
 	p.setExcluded(now, e, p.engine.cordons.Cordoned(name) || slices.Contains(plan.Excluded, name))
@@ -68,7 +69,7 @@
 	if e.excluded || e.state != balancer.Ready {
 		return // nothing is sent there in any case
 	}
-	// An attempt that waits for its connection, or whose process was suspended, checks this last.
+	// Attempts check this last: one may have waited for its connection, or its process may have been suspended.
 	switch {
 	case plan.AwaitingPlan:
 		e.stopSendingAt.Store(max(1, now))
@@ -79,7 +80,7 @@
 	}
 }
 
-// expireDrainedAttempts ends the attempts that are open at endpoints of the plan: its lease has been over for long.
+// expireDrainedAttempts ends the attempts that are open at excluded and announced endpoints at the drain deadline.
 func (x *Engine) expireDrainedAttempts(now monotime.Micros) {
 	for _, id := range slices.Sorted(maps.Keys(x.calls)) {
 		for _, a := range slices.Clone(x.calls[id].attempts) {
@@ -89,70 +90,3 @@
 		}
 	}
 }
-
-// OpenAttempts returns how many attempts are open at each of some endpoints; those without any are left out.
-func (x *Engine) OpenAttempts(endpoints []string) map[string]int {
-	open := map[string]int{}
-	for _, c := range x.calls {
-		for _, a := range c.attempts {
-			if !a.done && slices.Contains(endpoints, a.Endpoint.Name) {
-				open[a.Endpoint.Name]++
-			}
-		}
-	}
-	return open
-}
-
-// MaintenanceStatus returns the state of all machines as this instance sees them: the capacity of each by its weight,
-// and how much of that is in use. Without load reports that carry the utilization, the use is 0.
-func (x *Engine) MaintenanceStatus(now monotime.Micros) (facts maintenance.FleetStatus) {
-	for _, p := range x.pools {
-		for name, info := range p.fullEndpointList() {
-			machine := x.machine(now, p, info)
-			facts.Machines = append(facts.Machines, machine)
-			if e := p.byName[name]; e != nil && machine.Healthy {
-				facts.Usage += float64(info.Weight) * e.utilization
-			}
-		}
-	}
-	slices.SortFunc(facts.Machines, func(a, b maintenance.MachineStatus) int { return cmp.Compare(a.Name, b.Name) })
-	return facts
-}
-
-// machine returns the state of one machine. One that is stopped by the plan is as well as it was before.
-func (x *Engine) machine(now monotime.Micros, p *Pool, info EndpointInfo) maintenance.MachineStatus {
-	e := p.byName[info.Name]
-	ejected := e != nil && p.balancer.IsEjected(now, e.Number)
-	kind := info.Kind
-	if !slices.Contains(x.config.Site.Kinds, kind) {
-		kind = ""
-	}
-	return maintenance.MachineStatus{
-		Name:     info.Name,
-		Zone:     info.Zone,
-		Kind:     kind,
-		Cell:     int(info.Cell),
-		Capacity: float64(info.Weight),
-		Healthy:  info.State == balancer.Ready && !x.cordons.Cordoned(info.Name) && !ejected,
-	}
-}
-
-// fullEndpointList returns the endpoint list by name, also where the instance uses a part of it.
-func (p *Pool) fullEndpointList() map[string]EndpointInfo {
-	if p.subset != nil {
-		return p.subset.endpoints
-	}
-	return p.endpointList
-}
-
-// utilizationWeight is the weight of one load report in the moving average of an endpoint's utilization.
-const utilizationWeight = 0.1
-
-// observeUtilization takes in how busy an endpoint reports to be.
-func (p *Pool) observeUtilization(e *Endpoint, load []float32) {
-	i := slices.Index(p.engine.config.Site.Settings.LoadMetrics, balancer.MetricUtilization)
-	if i < 0 || i >= len(load) || !(load[i] >= 0 && load[i] <= 1) {
-		return
-	}
-	e.utilization += (float64(load[i]) - e.utilization) * utilizationWeight
-}
--- a/internal/engine/maintenance_test.go
+++ b/internal/engine/maintenance_test.go
@@ -53,8 +53,9 @@
 	}
 }
 
-// Without a plan nothing is sent. With one, nothing is sent to stopped endpoints, and to announced ones only until the
-// lease ends, which attempts that wait for a connection check last. What is open there at the drain deadline is ended.
+// Without a plan nothing is sent. With one, nothing is sent to excluded endpoints, and to announced ones only until the
+// lease ends, which attempts that wait for a connection check last. Attempts that are open there at the drain deadline
+// are ended.
 func TestMaintenancePlan(t *testing.T) {
 	x, p, h := newEngine(t, tenantSite(0, 1, 0), nil, nil)
 	r := &maintenanceRun{engine: x, pool: p, host: h, now: 5 * monotime.Second}
@@ -67,7 +68,7 @@
 	x.ApplyMaintenancePlan(r.now, MaintenancePlan{Excluded: []string{"e0"}, Announced: []string{"e1"},
 		LeaseEnd: leaseEnd, DrainDeadline: leaseEnd + monotime.Second})
 	if got := r.sent(t, 60); got["e0"] != 0 || got["e1"]+got["e2"] < 50 {
-		t.Errorf("with one stopped and one announced: %v", got)
+		t.Errorf("with one excluded and one announced: %v", got)
 	}
 	// One that waits for its connection while the process is suspended must not be sent once it wakes.
 	e1 := p.byName["e1"]
--- a/internal/engine/overload.go
+++ b/internal/engine/overload.go
@@ -9,24 +9,21 @@
 // noField is the index of a figure that load reports do not carry.
 const noField = -1
 
-// overloadLogInterval is how far apart two log lines about changes of the bounds are at least.
-const overloadLogInterval = monotime.Second
-
 // overloadState is the overload control of a pool (package overload): it bounds what the instance adds to the load of
-// endpoints that other instances load, too.
+// endpoints that it shares with other instances.
 type overloadState struct {
 	control          *overload.Controller
-	bounds           balancer.OverloadPolicy // the balancer reads these, as of the latest refresh
-	decided          overload.Bounds         // the same, as decided
-	loggedReason     overload.Reason
+	policy           balancer.OverloadPolicy // in force; the balancer reads it
+	bounds           overload.Bounds         // that policy was made from
+	loggedReason     overload.Reason         // of the latest log line about the bounds
 	loggedAt         monotime.Micros
-	shedRequests     uint64
-	suppressedProbes uint64 // probes that the budget did not allow
-	inFlightField    int    // index of the figure in a load report, or noField
-	servedField      int    // the same
+	shedRequests     uint64 // requests rejected by overload control so far
+	suppressedProbes uint64 // probes that its budget did not allow so far
+	inFlightField    int    // index of the requests in flight in a load report, or noField
+	servedField      int    // index of the served rate in a load report, or noField
 }
 
-// initOverload makes the pool's overload control.
+// initOverload makes the pool's overload control. Its settings of classes, tenants and goal weights are the site's.
 func (p *Pool) initOverload(s overload.Settings, seed uint64) error {
 	site := &p.engine.config.Site.Settings
 	s.Seed = seed
@@ -58,15 +55,16 @@
 		}
 	}
 	p.refreshBounds(0)
-	p.balancer.SetOverloadPolicy(&p.overload.bounds)
+	p.balancer.SetOverloadPolicy(&p.overload.policy)
 	return nil
 }
 
-// refreshBounds brings the balancer's bounds up to date, and logs when their reason changes.
+// refreshBounds puts the bounds of this instant in force (overload.Controller.Bounds). A retry is also allowed by the
+// fleet's quota. It is called after each event that changes them.
 func (p *Pool) refreshBounds(now monotime.Micros) {
 	o := p.overload
 	b := o.control.Bounds(now)
-	o.bounds = balancer.OverloadPolicy{
+	o.policy = balancer.OverloadPolicy{
 		AdmitRatio:           b.AdmitRatio,
 		OverQuotaAdmitRatio:  b.OverShareAdmitRatio,
 		WithinQuotaRatio:     b.TenantWithinShareRatio,
@@ -78,7 +76,17 @@
 		RetryAllowed:         b.RetryAllowed || p.hasRetryQuota(now),
 		MaxProbeRate:         b.ProbeRate,
 	}
-	o.decided = b
+	o.bounds = b
+	p.logBounds(now)
+}
+
+// overloadLogInterval is the minimum time between two log lines of a pool about its bounds.
+const overloadLogInterval = monotime.Second
+
+// logBounds logs a change of the reason for which work is bounded.
+func (p *Pool) logBounds(now monotime.Micros) {
+	o := p.overload
+	b := &o.bounds
 	if b.Reason != o.loggedReason && now-o.loggedAt >= overloadLogInterval {
 		o.loggedReason = b.Reason
 		o.loggedAt = now
@@ -87,7 +95,8 @@
 	}
 }
 
-// shed rejects a request that overload control does not admit, and reports whether it did.
+// shed decides whether overload control rejects a request before it is queued, and reports whether it did: by the
+// part of its class and tenant that the policy in force admits (balancer.ShouldReject, overload.Bounds).
 func (p *Pool) shed(now monotime.Micros, c *Call) bool {
 	o := p.overload
 	if o == nil {
@@ -127,7 +136,7 @@
 	p.refreshBounds(now)
 }
 
-// overloadOutcome is what the status of an attempt says about the load of its endpoint.
+// overloadOutcome returns what the status of an attempt shows of the load of its endpoint.
 func overloadOutcome(status balancer.Status) overload.Outcome {
 	switch status {
 	case balancer.OK:
@@ -152,16 +161,8 @@
 	})
 }
 
-// observeProbe passes the answer of a probe to overload control.
-func (p *Pool) observeProbe(now monotime.Micros, r *AttemptResult) {
-	if p.overload != nil && r.Status == balancer.OK {
-		p.overload.observeLoad(now, r.Load)
-		p.refreshBounds(now)
-	}
-}
-
-// updateEndpointCount tells overload control how many endpoints the fleet shares: all that are listed and ready, also
-// where this instance uses a part of them.
+// updateEndpointCount passes overload control the number of endpoints that the fleet shares: all that are listed, ready
+// and not excluded, also where this instance uses a subset of them.
 func (p *Pool) updateEndpointCount() {
 	if p.overload == nil {
 		return
--- a/internal/engine/overload_test.go
+++ b/internal/engine/overload_test.go
@@ -9,7 +9,7 @@
 )
 
 // Where every endpoint fails from the first request on, an instance sends each request once, stays within its share of
-// the probes, and responds to all requests, although its balancer holds requests for probes that are suppressed. Once
+// the probes, and responds to all requests, although its balancer queues requests for probes that are suppressed. Once
 // the endpoints serve again, so does the instance.
 func TestFailingEndpointsGetNoRetriesAndFewProbes(t *testing.T) {
 	h, c, list := newInstance(t, nil)
@@ -28,7 +28,7 @@
 	if n := h.verdicts[Rejected] + h.verdicts[Failed] + h.verdicts[TimedOut]; n != 300 || h.engine.Calls() != 0 {
 		t.Errorf("%d of 300 are answered, %d are open: %v", n, h.engine.Calls(), h.verdicts)
 	}
-	if b := h.pool.overload.decided; b.RetryAllowed || b.Reason == overload.None {
+	if b := h.pool.overload.bounds; b.RetryAllowed || b.Reason == overload.None {
 		t.Errorf("bounds %+v", b)
 	}
 	if f := h.engine.Statistics(now); !f.OverloadControlled || f.SuppressedProbes == 0 || f.OverloadLevel > 1 {
@@ -40,7 +40,7 @@
 	if h.verdicts[Served] < 900 {
 		t.Errorf("once endpoints serve again: %v", h.verdicts)
 	}
-	if b := h.pool.overload.decided; b.Reason != overload.None || b.Level < 0.9 {
+	if b := h.pool.overload.bounds; b.Reason != overload.None || b.Level < 0.9 {
 		t.Errorf("bounds %+v", b)
 	}
 }
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -15,27 +15,28 @@
 // PoolConfig is what a pool needs.
 type PoolConfig struct {
 	Name string
-	// Source identifies where the endpoint list comes from. What another engine learned of a pool holds here if name
-	// and source are the same.
+	// Source identifies where the endpoint list comes from. A snapshot of another engine's pool is restored if name and
+	// source are the same.
 	Source string
-	// StaticList says that the endpoint list is a part of the configuration: that of a snapshot is not restored.
+	// StaticList is set if the endpoint list is a part of the configuration: that of a snapshot is not restored.
 	StaticList bool
 
-	// InitialEndpoints is the list as last known, which may be old. Its Kind is not read; a negative Generation is no
+	// InitialEndpoints is the list as last known, which may be old. Its Kind is ignored; a negative Generation is no
 	// list.
 	InitialEndpoints EndpointUpdate
 
-	// Watch starts or stops the watch of the endpoint list. It must not block.
-	SetWatch func(on bool)
+	// SetWatch starts or stops the watch of the endpoint list. It must not block.
+	SetWatch func(active bool)
 
-	// Subset has the instance use a part of the endpoint list only; nil is all of it.
+	// Subset has the instance use a subset of the endpoint list; nil is all of it.
 	Subset *subset.Settings
 	// OnIdleConnections is called with how many idle connections the pool may hold, with Subset. It may be nil, and
 	// must not block.
 	OnIdleConnections func(n float64)
 
-	// Overload has requests shed and retries limited by the load that the whole fleet puts on the endpoints; nil is no
-	// such control. The engine sets what the site's settings say.
+	// Overload has requests shed, and retries and probes limited, by the load that the whole fleet puts on the
+	// endpoints; nil is no overload control. The engine sets the fields that the site's settings determine
+	// (initOverload).
 	Overload *overload.Settings
 
 	RetryShare  float64         // retries, as a part of the pool's requests; 0 is the site's
@@ -43,8 +44,8 @@
 	RetryLeast  float64         // as in balancer.Settings
 }
 
-// Pool is a set of endpoints with its own balancer, queue and concurrency limit. It belongs to its engine: only Name
-// may be called beside it.
+// Pool is a set of endpoints with its own balancer, queue and concurrency limit. It belongs to its engine; only Name
+// may be called from other goroutines.
 type Pool struct {
 	engine   *Engine
 	name     string
@@ -65,11 +66,11 @@
 	generation      int64                   // of the endpoint list
 	subset          *subsetState            // nil where all of the list is used
 	overload        *overloadState          // nil without overload control
-	hasFleetBudgets bool                    // its retries and probes have budgets over the fleet
+	hasFleetBudgets bool                    // its retries and probes may have budgets over the fleet
 
 	openCalls int  // in the request table
 	closed    bool // no request is accepted any more
-	dissolved bool // and none is left
+	dissolved bool // closed, without an open request, and no longer in the engine
 }
 
 // NewPool returns a pool, or the *balancer.SettingError of invalid settings. The engine does not know it before Start:
@@ -117,7 +118,7 @@
 	return p, nil
 }
 
-// poolSeed is the part of a pool's seed that its name makes: 0 for the pool without a name.
+// poolSeed returns the part of a pool's seed that depends on its name: 0 for the pool without a name.
 func poolSeed(name string) uint64 {
 	if name == "" {
 		return 0
--- a/internal/engine/restore.go
+++ b/internal/engine/restore.go
@@ -8,9 +8,9 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Restore takes over what another engine held at an instant that is age ago, and returns which parts were skipped. It
-// is meant for an engine without open requests. A pool takes over from the one of its name, if both have their endpoint
-// lists from the same source; the list itself is applied if it is not older than the pool's own.
+// Restore takes over the snapshot that another engine made an age ago, and returns descriptions of the parts that were
+// skipped. The engine should have no open requests. A pool takes over from the one of its name, if both have their
+// endpoint lists from the same source; the list itself is applied if it is not older than the pool's own.
 func (x *Engine) Restore(now, age monotime.Micros, s *Snapshot) (skipped []string) {
 	x.now = now
 	x.RestoreCoordination(now, age, s.Fleet)
@@ -52,15 +52,18 @@
 type poolRestore struct {
 	pool *Pool
 	from *PoolSnapshot
-	// learned is what the balancer restores: the snapshot's, arranged by the pool's own classes, tenants and endpoints.
+	// learned is the state that the balancer restores: the snapshot's, in the order of the pool's own classes,
+	// tenants and endpoints.
 	learned balancer.LearnedState
-	// indices are the snapshot's index of each of the pool's classes, followed by those of its tenants, or notFound. A
-	// tenant's index counts on from the snapshot's classes, as balancer.LearnedEndpoint.Parts does.
+	// indices are, for each of the pool's classes and then for each of its tenants, the index in the snapshot, or
+	// notFound. A tenant's index is offset by the number of the snapshot's classes, as in
+	// balancer.LearnedEndpoint.PartOutliers.
 	indices []int
 	skipped []string
 }
 
-// restore takes over what a pool of another engine had learned, and returns which parts were skipped.
+// restore takes over what a pool of another engine had learned, and returns descriptions of the parts that were
+// skipped.
 func (p *Pool) restore(now, age monotime.Micros, from *PoolSnapshot) (skipped []string) {
 	learned := from.Learned
 	if learned == nil || len(from.LearnedNames) != len(learned.Endpoints) || len(learned.Classes) != len(from.Classes) {
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -12,7 +12,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Snapshot is what an engine holds that a successor needs: for each pool its endpoint list and what was learned. It
+// Snapshot is the state of an engine that a successor needs: for each pool its endpoint list and what was learned. It
 // refers to endpoints, classes and tenants by name, since numbers differ between engines. A successor with other
 // settings skips the parts that do not fit.
 //
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// PoolSnapshot is what a pool holds.
+// PoolSnapshot is the state of a pool.
 type PoolSnapshot struct {
 	Name       string         `json:"Name"`
 	Source     string         `json:"Source"` // of the endpoint list
@@ -87,7 +87,7 @@
 	return fmt.Sprintf(tenantFingerprintFormat, t.Name, t.Quota, t.Share)
 }
 
-// Snapshot returns what the engine holds, but for Fleet and Maintenance, which its owner adds.
+// Snapshot returns the state of the engine, without Fleet and Maintenance, which its owner adds.
 func (x *Engine) Snapshot(now monotime.Micros) *Snapshot {
 	s := &Snapshot{Cordons: x.cordons.Records()}
 	for _, p := range x.pools {
@@ -98,15 +98,16 @@
 	return s
 }
 
-// TransferWarmupBudget leaves the requests that endpoints that are warming up may still get to the successor that
-// restores a snapshot of this instant. With transferred false it ends that: the requests then count as sent.
+// TransferWarmupBudget leaves the requests that endpoints that are warming up may still get to a successor, which
+// restores a snapshot of this instant. With transferred false the engine goes on without a successor: these requests
+// then count as sent.
 func (x *Engine) TransferWarmupBudget(now monotime.Micros, transferred bool) {
 	for _, p := range x.pools {
 		p.balancer.SetHandedOver(now, transferred)
 	}
 }
 
-// snapshot returns what the pool holds.
+// snapshot returns the state of the pool.
 func (p *Pool) snapshot(now monotime.Micros) *PoolSnapshot {
 	s := &PoolSnapshot{
 		Name:       p.name,
--- a/internal/engine/snapshot_golden_test.go
+++ b/internal/engine/snapshot_golden_test.go
@@ -244,7 +244,7 @@
 	}
 }
 
-// The stored form of a class, by which two builds tell whether they mean the same, was %+v in the build before.
+// The stored form of a class, by which two builds compare its settings, was %+v in the build before.
 func TestClassFingerprintIsStable(t *testing.T) {
 	for _, c := range []struct {
 		class balancer.Class
--- a/internal/engine/statistics.go
+++ b/internal/engine/statistics.go
@@ -9,19 +9,19 @@
 // Statistics are figures of an engine at one instant.
 type Statistics struct {
 	ListedEndpoints  int // in the lists of all pools
-	AvoidedEndpoints int // of these, those that get nothing now: cordoned, draining or ejected
+	AvoidedEndpoints int // of these, those that get no requests at present: cordoned, draining or ejected
 
 	// Of overload control (package overload).
-	OverloadControlled bool    // it is in use
-	OverloadLevel      float64 // the part of the load that is admitted, 0 to 1: the lowest of all pools
-	ShedRequests       uint64  // requests rejected by it so far
+	OverloadControlled bool    // a pool has it
+	OverloadLevel      float64 // admission level, 0 to 1: the lowest of all pools
+	ShedRequests       uint64  // requests rejected by overload control so far
 	SuppressedProbes   uint64  // probes that its budget did not allow so far
 
 	// Of coordination with the other instances of the fleet.
 	HasTenantLimits    bool   // tenants have limits
-	RequestsOverLimit  uint64 // requests rejected by these so far
+	RequestsOverLimit  uint64 // requests rejected by their tenant's limit so far
 	QuotaLeased        bool   // a quota lease is in force
-	SuspectedEndpoints int    // pairs of a class and an endpoint that are avoided by the evidence of all instances
+	SuspectedEndpoints int    // pairs of an endpoint and a class, suspected by what all instances observed
 }
 
 // Statistics returns the figures of an instant.
@@ -38,15 +38,15 @@
 	return s
 }
 
-// addStatistics adds a pool's part.
+// addStatistics adds a pool's figures.
 func (p *Pool) addStatistics(now monotime.Micros, s *Statistics) {
 	s.ListedEndpoints += len(p.byName)
 	if p.subset != nil {
 		s.ListedEndpoints += len(p.subset.endpoints) - len(p.byName)
 	}
 	if o := p.overload; o != nil {
-		if !s.OverloadControlled || o.decided.Level < s.OverloadLevel {
-			s.OverloadLevel = o.decided.Level
+		if !s.OverloadControlled || o.bounds.Level < s.OverloadLevel {
+			s.OverloadLevel = o.bounds.Level
 		}
 		s.OverloadControlled = true
 		s.ShedRequests += o.shedRequests
--- a/internal/engine/subset.go
+++ b/internal/engine/subset.go
@@ -3,7 +3,6 @@
 import (
 	"hash/fnv"
 	"maps"
-	"math"
 	"slices"
 	"strings"
 
@@ -12,47 +11,26 @@
 	"dunlinsail/internal/monotime"
 )
 
-const (
-	// unhealthyAfterFailures is how many failures in a row make an endpoint unhealthy for the subset: as many as make
-	// the balancer eject it.
-	unhealthyAfterFailures = 3
-	// unhealthyDuration is for how long after the latest failure an endpoint counts as unhealthy. The balancer sends it
-	// hardly anything meanwhile, so that there is no newer evidence.
-	unhealthyDuration = 30 * monotime.Second
-
-	// loadSpan is the time over which the instance's own load is averaged: about as long as Finagle's aperture smooths
-	// it (5 s), but shorter, since an instance may turn busy within a second.
-	loadSpan = 2 * monotime.Second
-	// loadReportInterval is how far apart two updates of the subset's load are at least.
-	loadReportInterval = monotime.Second / 10
-
-	// latencyWeight is the weight of one attempt in the moving average of latency.
-	latencyWeight = 0.05
-
-	// longAgo is the start time of an endpoint that was listed before any start could be seen.
-	longAgo monotime.Micros = 1
-)
-
 // subsetState is the subset of a pool whose instance uses a part of its endpoint list only (package subset).
 type subsetState struct {
 	set            *subset.Set
 	endpoints      map[string]EndpointInfo // the full list, by name
-	pollsDiscovery bool                    // there is no watch: a list that was known may be old
-	hasCurrentList bool                    // there is a list that is not
+	pollsDiscovery bool                    // Settings.Subscribe: the first list may be a cached, old one
+	hasCurrentList bool                    // the list is known not to be an old, cached one
 
 	consecutiveFailures map[string]int             // by name
-	unhealthyUntil      map[string]monotime.Micros // by name, for those that count as unhealthy by their failures
-	timer               *timer                     // for the set's next step
+	unhealthyUntil      map[string]monotime.Micros // by name, of the endpoints that are unhealthy by their failures
+	timer               *timer                     // for the next step
 
 	probeBudget        subset.TokenBucket
-	initialProbeTokens float64         // part of a probe that the budget starts with
+	initialProbeTokens float64         // part of a probe, 0 to 1, that the budget starts with
 	onIdleConnections  func(n float64) // may be nil
 
-	openAttempts   int     // attempts without an outcome
-	meanInFlight   float64 // average over loadSpan; a rejected request counts as if it had been sent (Little's law)
-	loadMeasuredAt monotime.Micros
-	loadReportedAt monotime.Micros // to the set
-	meanLatency    float64         // of attempts that succeed, moving average; 0 is not known
+	openAttempts   int             // attempts without an outcome
+	meanInFlight   float64         // openAttempts as a mean over loadSpan, with rejected requests (observeRejection)
+	loadMeasuredAt monotime.Micros // instant that meanInFlight is of
+	loadReportedAt monotime.Micros // when the set was passed the load
+	meanLatency    float64         // of attempts that succeed, in microseconds, moving average; 0 is not known
 }
 
 // initSubset makes the pool's subset.
@@ -74,13 +52,16 @@
 	return nil
 }
 
+// longAgo is the start time of an endpoint that was listed before its start could be observed.
+const longAgo monotime.Micros = 1
+
 // applyUpdate applies an update of the full list and returns the update of the subset that the balancer gets.
 func (s *subsetState) applyUpdate(now monotime.Micros, update EndpointUpdate) EndpointUpdate {
 	s.updateFullList(now, update)
 	s.forgetUnlisted()
 	list := make([]subset.Endpoint, 0, len(s.endpoints))
 	for _, info := range s.endpoints {
-		// Weights may follow load, and subsets would move with them: all endpoints have the same one here.
+		// All endpoints have the same weight here: weights may follow load, and subsets would move with them.
 		list = append(list, subset.Endpoint{ID: info.Name, Zone: int(hashString(info.Zone)), Weight: 1})
 	}
 	slices.SortFunc(list, func(a, b subset.Endpoint) int { return strings.Compare(a.ID, b.ID) })
@@ -111,23 +92,27 @@
 			continue
 		}
 		if info.StartedAt == 0 {
-			// Once it has a list, the balancer takes an endpoint that is new to it for one that has just started. One
-			// that leaves the subset and comes back started when it was first listed.
-			old, known := before[info.Name]
-			switch {
-			case known:
-				info.StartedAt = old.StartedAt
-			case s.hasCurrentList && update.Kind != balancer.ListCached:
-				info.StartedAt = now
-			default:
-				info.StartedAt = longAgo
-			}
+			info.StartedAt = s.startTime(now, before, info.Name, update.Kind)
 		}
 		s.endpoints[info.Name] = info
 	}
 	s.hasCurrentList = s.hasCurrentList || update.Kind != balancer.ListCached || !s.pollsDiscovery
 }
 
+// startTime determines when an endpoint without a start time has started: when it was first listed, or long ago if
+// that was by the first list. Without a start time the balancer would take an endpoint that comes back into the
+// subset for one that has just started.
+func (s *subsetState) startTime(
+	now monotime.Micros, before map[string]EndpointInfo, name string, kind balancer.ListKind) monotime.Micros {
+	if old, known := before[name]; known {
+		return old.StartedAt
+	}
+	if s.hasCurrentList && kind != balancer.ListCached {
+		return now
+	}
+	return longAgo
+}
+
 // forgetUnlisted forgets the failures of endpoints that are not listed any more.
 func (s *subsetState) forgetUnlisted() {
 	maps.DeleteFunc(s.consecutiveFailures, func(name string, _ int) bool { return !s.lists(name) })
@@ -137,12 +122,7 @@
 // lists reports whether the full list has an endpoint.
 func (s *subsetState) lists(name string) bool { return s.endpoints[name].Name != "" }
 
-// updateHealth tells the set whether an endpoint is unhealthy: not ready, or by its failures.
-func (s *subsetState) updateHealth(now monotime.Micros, name string) {
-	s.set.SetUnhealthy(now, name, s.endpoints[name].State != balancer.Ready || s.unhealthyUntil[name] > now)
-}
-
-// applyBudgets applies what the set grants the instance at its endpoints.
+// applyBudgets applies the instance's part of the endpoints' budgets: probes a second, and idle connections.
 func (s *subsetState) applyBudgets() {
 	budgets := s.set.Budgets()
 	s.probeBudget.Rate = budgets.Probes
@@ -161,83 +141,8 @@
 	return list
 }
 
-// observeEndpointHealth learns from the outcome of an attempt whether its endpoint is healthy.
-func (p *Pool) observeEndpointHealth(
-	now monotime.Micros, e *Endpoint, status balancer.Status, latency monotime.Micros) {
-	s := p.subset
-	if s == nil || !s.lists(e.Name) {
-		return
-	}
-	switch status {
-	case balancer.OK:
-		if s.meanLatency == 0 {
-			s.meanLatency = float64(latency)
-		}
-		s.meanLatency += (float64(latency) - s.meanLatency) * latencyWeight
-		if s.consecutiveFailures[e.Name] == 0 {
-			return
-		}
-		delete(s.consecutiveFailures, e.Name)
-		delete(s.unhealthyUntil, e.Name)
-	case balancer.Cancelled, balancer.NotSent:
-		return
-	default:
-		s.consecutiveFailures[e.Name]++
-		if s.consecutiveFailures[e.Name] >= unhealthyAfterFailures {
-			s.unhealthyUntil[e.Name] = now + unhealthyDuration
-		}
-	}
-	s.updateHealth(now, e.Name)
-	p.scheduleSubsetStep()
-}
-
-// expireUnhealthy lets endpoints count as healthy whose time as unhealthy is over. One more failure makes such an
-// endpoint unhealthy again.
-func (s *subsetState) expireUnhealthy(now monotime.Micros) {
-	for _, name := range slices.Sorted(maps.Keys(s.unhealthyUntil)) {
-		if now >= s.unhealthyUntil[name] {
-			delete(s.unhealthyUntil, name)
-			s.consecutiveFailures[name] = unhealthyAfterFailures - 1
-			s.updateHealth(now, name)
-		}
-	}
-}
-
-// observeOpenAttempts notes that attempts have started, or ended if the number is negative.
-func (s *subsetState) observeOpenAttempts(now monotime.Micros, attempts int) {
-	s.meanInFlight += (float64(s.openAttempts) - s.meanInFlight) *
-		-math.Expm1(-float64(now-s.loadMeasuredAt)/float64(loadSpan))
-	s.openAttempts += attempts
-	s.loadMeasuredAt = now
-}
-
-// observeRejection notes a request that was rejected before any attempt. Endpoints without free capacity hold no more
-// than they can: what is in flight would never show that the instance needs more of them.
-func (p *Pool) observeRejection(now monotime.Micros) {
-	if s := p.subset; s != nil {
-		s.meanInFlight += s.meanLatency / float64(loadSpan)
-		p.observeLoad(now, 0)
-	}
-}
-
-// observeLoad notes that attempts have started, or ended if the number is negative, and now and then reports the
-// instance's load to the set.
-func (p *Pool) observeLoad(now monotime.Micros, attempts int) {
-	s := p.subset
-	if s == nil {
-		return
-	}
-	s.observeOpenAttempts(now, attempts)
-	if now-s.loadReportedAt < loadReportInterval {
-		return
-	}
-	s.loadReportedAt = now
-	s.set.SetLoad(now, s.meanInFlight)
-	p.scheduleSubsetStep()
-}
-
-// scheduleSubsetStep sets the timer for the next step of the subset: of the set itself, or the end of an endpoint's
-// time as unhealthy.
+// scheduleSubsetStep sets the timer for the next step of the subset: a step of the set itself, or the end of an
+// endpoint's time as unhealthy.
 func (p *Pool) scheduleSubsetStep() {
 	s := p.subset
 	p.engine.cancelTimer(s.timer)
@@ -254,7 +159,7 @@
 	}
 }
 
-// advanceSubset does what is due of the subset, and passes a change of its members to the balancer.
+// advanceSubset makes the steps of the subset that are due, and passes a change of its members to the balancer.
 func (p *Pool) advanceSubset(now monotime.Micros) {
 	s := p.subset
 	s.timer = nil
@@ -269,27 +174,6 @@
 	p.scheduleSubsetStep()
 }
 
-// allowProbe reports whether the budgets allow a probe. The balancer is notified of one that is not sent as the next
-// event: a request may wait for its answer.
-func (p *Pool) allowProbe(now monotime.Micros, number uint32) bool {
-	allowed := true
-	if o := p.overload; o != nil && !o.control.TakeProbe(now, p.probeQuota(now)) {
-		allowed = false
-		o.suppressedProbes++
-	}
-	if s := p.subset; allowed && s != nil {
-		allowed, _ = s.probeBudget.Take(now, s.initialProbeTokens)
-	}
-	if !allowed {
-		p.engine.schedule(now, func(now monotime.Micros) {
-			if !p.dissolved {
-				p.balancer.HandleProbe(now, number, balancer.NotSent, 0, nil)
-			}
-		})
-	}
-	return allowed
-}
-
 // hashString is the 32-bit FNV-1a hash of a string.
 func hashString(s string) uint32 {
 	h := fnv.New32a()
--- a/internal/engine/subset_test.go
+++ b/internal/engine/subset_test.go
@@ -39,7 +39,7 @@
 	h.failing = map[string]bool{}
 	now = h.run(c, now, 1500, monotime.Second/5)
 	if _, _, widened := h.pool.subsetSize(); widened != 0 {
-		t.Errorf("all are well, and it stays widened %d times", widened)
+		t.Errorf("all serve again, and it stays widened %d times", widened)
 	}
 	for name, m := range h.pool.endpointList {
 		if m.StartedAt > 1 {
@@ -57,8 +57,8 @@
 func TestProbesStayWithinSubsetBudget(t *testing.T) {
 	h, c, _ := newQuietInstance(t, 5) // 60 endpoints times five a second, for 5,000: 0.06 a second
 	h.run(c, 1_000*monotime.Second, 1000, monotime.Second/5)
-	if most := 1 + 0.06*201; float64(h.probes) > most || h.probes < 5 {
-		t.Errorf("%d probes in 201 s, %.0f at most", h.probes, most)
+	if limit := 1 + 0.06*201; float64(h.probes) > limit || h.probes < 5 {
+		t.Errorf("%d probes in 201 s, %.0f at most", h.probes, limit)
 	}
 	if h.verdicts[Served] != 1000 {
 		t.Errorf("%v", h.verdicts)
@@ -81,7 +81,7 @@
 		Endpoints: []EndpointInfo{leaves, fresh}})
 	after, listed, _ := h.pool.subsetSize()
 	if listed != 60 || h.pool.byName[gone] != nil || after < before-1 {
-		t.Errorf("%d of %d members, %d before; the one that is gone is held: %v",
+		t.Errorf("%d of %d members, %d before; the one that is gone is still a member: %v",
 			after, listed, before, h.pool.byName[gone] != nil)
 	}
 	if got := h.pool.subset.endpoints["s-new"].StartedAt; got != now {
@@ -119,8 +119,7 @@
 	}
 }
 
-// What deciding a request costs with a subset and without, all of the engine's and the balancer's work for it, at a
-// thousand requests a second.
+// The engine's and the balancer's work for a request with a subset and without, at a thousand requests a second.
 func BenchmarkSubset(b *testing.B) {
 	four := &subset.Settings{Position: 77, Instances: 5000, MinMembers: 4, EndpointProbes: 2}
 	for name, part := range map[string]*subset.Settings{"all": nil, "four": four} {
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -2,7 +2,7 @@
 
 import "dunlinsail/internal/monotime"
 
-// timer is an action that is due at an instant. Timers of the same instant fire in the order in which they were set.
+// timer is an action that is due at an instant. Timers of one instant fire in the order in which they were set.
 type timer struct {
 	due       monotime.Micros
 	sequence  uint64
@@ -30,7 +30,7 @@
 	return t
 }
 
-// cancelTimer removes a timer that is still pending, so that what it refers to can be freed. nil is no timer.
+// cancelTimer removes a timer that is still pending, so that what it refers to can be freed. nil is allowed.
 func (x *Engine) cancelTimer(t *timer) {
 	if t.pending() {
 		x.timers.Remove(t.heapIndex)
