--- a/internal/engine/overload_test.go
+++ b/internal/engine/overload_test.go
@@ -73,7 +73,7 @@
 		h, _, list := newInstance(t, nil)
 		o := overload.DefaultSettings()
 		o.Instances = 600
-		h.startPool(t, PoolConfig{Name: "o", Overload: &o, Subset: part, RetryShare: 0.01}, list)
+		h.startPool(t, PoolConfig{Name: "o", Overload: &o, Subset: part, RetryRatio: 0.01}, list)
 		// A probe a second at each of sixty, over six hundred instances, by one that is served nothing.
 		rate := func() float64 { return h.pool.overload.control.Bounds(1_000 * monotime.Second).ProbeRate }
 		if got := rate(); got < 0.099 || got > 0.101 {
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -39,9 +39,11 @@
 	// (initOverload).
 	Overload *overload.Settings
 
-	RetryShare  float64         // retries, as a part of the pool's requests; 0 is the site's
-	RetryWithin monotime.Micros // as in balancer.Settings
-	RetryLeast  float64         // as in balancer.Settings
+	// The retry budget. RetryRatio is the ratio of retries to the pool's requests, 0 for the site's; RetryWindow and
+	// MinRetryRate are as in balancer.Settings.
+	RetryRatio   float64
+	RetryWindow  monotime.Micros
+	MinRetryRate float64 // retries a second
 }
 
 // Pool is a set of endpoints with its own balancer, queue and concurrency limit. It belongs to its engine; only Name
@@ -95,11 +97,11 @@
 		}
 	}
 	settings := x.config.Site.Settings
-	if c.RetryShare > 0 {
-		settings.RetryRatio = c.RetryShare
+	if c.RetryRatio > 0 {
+		settings.RetryRatio = c.RetryRatio
 	}
-	settings.RetryWindow = c.RetryWithin
-	settings.MinRetryRate = c.RetryLeast
+	settings.RetryWindow = c.RetryWindow
+	settings.MinRetryRate = c.MinRetryRate
 	var err error
 	if p.balancer, err = balancer.New(settings, seed, actions{x, p}); err != nil {
 		return nil, err
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -122,7 +122,7 @@
 		Subset:            part,
 		Overload:          over,
 		OnIdleConnections: func(n float64) { in.maxIdleUpstream = n },
-		RetryShare:        r.settings.RetryBudget,
+		RetryRatio:        r.settings.RetryBudget,
 		InitialEndpoints:  engine.EndpointUpdate{Generation: -1},
 		SetWatch:          in.setWatch,
 	})
