--- a/internal/core/operate.go
+++ b/internal/core/admin.go
@@ -8,22 +8,22 @@
 	"dunlinsail/internal/monotime"
 )
 
-// SetCordon takes an endpoint out of service, or lets it back in (engine.Engine.SetCordon). It returns once that is in
-// force, or an error if ctx ends or the core stops before.
-func (x *Core) SetCordon(ctx context.Context, name string, out bool, at monotime.Micros) (
+// SetCordon cordons or uncordons an endpoint (engine.Engine.SetCordon). It returns once that is in force, or an error
+// if ctx ends or the core stops before.
+func (x *Core) SetCordon(ctx context.Context, name string, cordoned bool, at monotime.Micros) (
 	entry cordon.Record, known bool, err error) {
 	type result struct {
 		entry cordon.Record
 		known bool
 	}
 	r, err := queryContext(ctx, x, func(now monotime.Micros) (r result) {
-		r.entry, r.known = x.engine.SetCordon(now, name, out, at)
+		r.entry, r.known = x.engine.SetCordon(now, name, cordoned, at)
 		return r
 	})
 	return r.entry, r.known, err
 }
 
-// ReceiveCordons applies cordons that were set in other processes.
+// ReceiveCordons applies records of cordons that were set in other processes.
 func (x *Core) ReceiveCordons(cordons ...cordon.Record) {
 	x.post(func(now monotime.Micros) {
 		for _, entry := range cordons {
@@ -32,12 +32,13 @@
 	})
 }
 
-// Cordons returns all cordons.
+// Cordons returns all records of cordons, or an error if ctx ends or the core stops before.
 func (x *Core) Cordons(ctx context.Context) ([]cordon.Record, error) {
 	return queryContext(ctx, x, func(monotime.Micros) []cordon.Record { return x.engine.Cordons() })
 }
 
-// Statistics returns the engine's figures, and calls collect at the same instant.
+// Statistics returns the engine's figures, and calls collect at the same instant on the core's goroutine. It returns an
+// error if ctx ends or the core stops before.
 func (x *Core) Statistics(ctx context.Context, collect func()) (engine.Statistics, error) {
 	return queryContext(ctx, x, func(now monotime.Micros) engine.Statistics {
 		collect()
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -13,30 +13,32 @@
 // attempt is aborted.
 type AttemptFunc func(ctx context.Context, a *AttemptContext) engine.AttemptResult
 
-// AttemptContext is what an AttemptFunc needs to know of its attempt, and how it reports progress.
+// AttemptContext is an attempt as its AttemptFunc has it: where to send it, and how to report progress.
 type AttemptContext struct {
 	Target   Target
-	Deadline monotime.Micros
+	Deadline monotime.Micros // the attempt is aborted at this instant
 
-	// ClaimSend must be called last, right before the first byte is written. If it returns false, nothing may be
-	// written, and the result's status is balancer.NotSent.
+	// ClaimSend reports whether the first byte may be written. It must be called right before that. If it returns
+	// false, nothing may be written, and the result's status must be balancer.NotSent.
 	ClaimSend func(now monotime.Micros) bool
 
-	// OnAbort sets how to end the sending at once, without blocking. It must be called before ClaimSend; if it returns
-	// false, the attempt has been aborted already. nil is an attempt that nobody aborts.
+	// OnAbort sets a function that ends the sending at once, without blocking. It must be called before ClaimSend. If
+	// it returns false, the attempt has been aborted already. A nil OnAbort is that of an attempt that is never
+	// aborted.
 	OnAbort func(abort func()) bool
-	// ReleaseConn must be called once nothing is written or read any more. It reports whether the sending was not ended
-	// by an abort: only then may the connection be reused.
+	// ReleaseConn must be called once nothing is written or read any more. If it returns false, the attempt was
+	// aborted, and its connection must not be reused.
 	ReleaseConn func() bool
 
-	// ResponseStarted reports that a response has started that is too large to be buffered (engine.ResponseStarted).
+	// ResponseStarted reports that a response has started that is too large to be buffered
+	// (engine.Engine.ResponseStarted). If it returns false, the response must be dropped.
 	ResponseStarted func(r engine.AttemptResult) bool
 
-	// ResponseProgress reports that a buffered response is arriving, if slowly (engine.ResponseProgress).
+	// ResponseProgress reports that a buffered response is arriving, if slowly (engine.Engine.ResponseProgress).
 	ResponseProgress func()
 }
 
-// Call is a client's request on its way through the core. Its fields are set before Core.Submit.
+// Call is a client's request on its way through the core. Its exported fields are set before Core.Submit.
 type Call struct {
 	Client    *engine.Client
 	Pool      *Pool            // the pool of endpoints that may serve it
@@ -45,7 +47,7 @@
 	ArrivedAt monotime.Micros  // when the request was received completely
 	Attempt   AttemptFunc
 
-	// Response receives the one final response. It needs a buffer of one.
+	// Response receives the one final response. It must have a buffer of one.
 	Response chan engine.Response
 	// NotReplayable is as in engine.Call.
 	NotReplayable func() bool
@@ -67,7 +69,7 @@
 	x.post(func(now monotime.Micros) { x.engine.Submit(now, &c.call) })
 }
 
-// ClientGone reports that the client of a request is gone, and that nobody reads its response if there is one already.
+// ClientGone reports that the client of a request has gone: its attempts are aborted (engine.Engine.ClientGone).
 func (x *Core) ClientGone(c *Call) {
 	x.post(func(now monotime.Micros) { x.engine.ClientGone(now, &c.call) })
 }
--- a/internal/core/fleet.go
+++ b/internal/core/coordination.go
@@ -4,14 +4,14 @@
 	"context"
 
 	"dunlinsail/internal/decide/coordination"
-	"dunlinsail/internal/decide/maintenance"
 	"dunlinsail/internal/decide/quota"
 	"dunlinsail/internal/engine"
 	"dunlinsail/internal/monotime"
 )
 
-// JoinFleet has the core decide together with the other instances of its fleet, or returns an error for invalid
-// settings. It must be called before the first pool is made; the functions of c are called on the core's goroutine.
+// JoinFleet has the core decide together with the other instances of its fleet (engine.Engine.JoinFleet). It returns
+// an error for invalid settings. It must be called before the first pool is made. The functions of c are called on
+// the core's goroutine, and must not block.
 func (x *Core) JoinFleet(c engine.Coordination) error { return x.engine.JoinFleet(c) }
 
 // StartCoordination starts the core's part in its fleet, for a process without a predecessor.
@@ -22,12 +22,13 @@
 	x.post(func(now monotime.Micros) { x.engine.ReceiveFleetMessage(now, from, message) })
 }
 
-// HandOverCoordination ends the core's part in its fleet: it spends nothing any more, and the others need not wait
-// until its lease expires. It returns what a successor has to know; nil without a fleet. If there is no successor,
-// StartCoordination goes on.
+// HandOverCoordination ends the core's part in its fleet: it spends no quota any more, and the others need not wait
+// until its lease expires. It returns the state for a successor; nil if there is none to hand over. If the successor
+// fails, StartCoordination begins a new part.
 func (x *Core) HandOverCoordination() *quota.State { return query(x, x.engine.HandOverCoordination) }
 
-// FleetView returns what is known of the fleet; ok is false without one.
+// FleetView returns what is known of the fleet; ok is false without one. It returns an error if ctx ends or the core
+// stops before.
 func (x *Core) FleetView(ctx context.Context) (view coordination.View, ok bool, err error) {
 	type result struct {
 		view coordination.View
@@ -39,27 +40,3 @@
 	})
 	return r.view, r.ok && err == nil, err
 }
-
-// ApplyMaintenancePlan has the core follow a plan (engine.Engine.ApplyMaintenancePlan), and returns once that is in
-// force.
-func (x *Core) ApplyMaintenancePlan(plan engine.MaintenancePlan) {
-	x.awaitingPlan.Store(plan.AwaitingPlan)
-	query(x, func(now monotime.Micros) bool {
-		x.engine.ApplyMaintenancePlan(now, plan)
-		return true
-	})
-}
-
-// MaintenanceStatus returns the state of all machines, and how many attempts are open at each of some.
-func (x *Core) MaintenanceStatus(endpoints []string) (facts maintenance.FleetStatus, open map[string]int) {
-	type result struct {
-		facts maintenance.FleetStatus
-		open  map[string]int
-	}
-	r := query(x, func(now monotime.Micros) (r result) {
-		r.open = x.engine.OpenAttempts(endpoints)
-		r.facts = x.engine.MaintenanceStatus(now)
-		return r
-	})
-	return r.facts, r.open
-}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -15,16 +15,18 @@
 
 // Upstream makes targets for addresses. Its methods must not block.
 type Upstream interface {
+	// Target returns the target for an address. It is called on the core's goroutine.
 	Target(addr string) Target
 }
 
-// Target is the address of one endpoint, as the package that talks to endpoints has it.
+// Target is the address of one endpoint: the handle of the package that sends requests to endpoints.
 type Target interface {
 	engine.Target
 
-	// Probe requests the endpoint's load report, and returns within a bounded time.
+	// Probe requests the endpoint's load report and waits for it. It must return within a bounded time.
 	Probe() engine.AttemptResult
-	// AttemptTimedOut reports that an attempt that started at an instant was not answered before its deadline.
+	// AttemptTimedOut reports that an attempt that started at an instant was not answered before its deadline. It must
+	// not block.
 	AttemptTimedOut(startedAt time.Time)
 }
 
@@ -42,7 +44,7 @@
 	OnQuotaSpent func(now monotime.Micros, budget string)
 }
 
-// eventQueueLength is how many events may wait for the core before posting another one blocks.
+// eventQueueLength is the number of events that may wait for the core before posting another one blocks.
 const eventQueueLength = 256
 
 // event is a change of the engine's state. Only the goroutine of Run calls it.
@@ -55,12 +57,12 @@
 	engine       *engine.Engine
 	events       chan event
 	stopped      chan struct{} // closed once no event is handled any more
-	ready        atomic.Bool   // an endpoint was ready
-	readySignal  chan struct{} // closed from then on
+	ready        atomic.Bool   // an endpoint has been ready
+	readySignal  chan struct{} // closed once ready is set
 	awaitingPlan atomic.Bool   // no maintenance plan is known yet: nothing is sent to any endpoint
 
 	mu            sync.Mutex
-	pendingStarts []event // of new pools; they are handled before all events that follow them
+	pendingStarts []event // of new pools, handled before any event that is posted later
 }
 
 // New returns a core without pools.
@@ -82,7 +84,8 @@
 	return x
 }
 
-// Ready reports whether requests can be served.
+// Ready reports whether requests can be served: an endpoint has been ready, and the core does not wait for its first
+// maintenance plan.
 func (x *Core) Ready() bool { return x.ready.Load() && !x.awaitingPlan.Load() }
 
 // WaitReady waits until an endpoint is ready. It returns the cause of ctx if that ends first, and context.Canceled if
@@ -98,7 +101,8 @@
 	}
 }
 
-// Run handles events and fires the engine's timers until ctx ends.
+// Run handles events and fires the engine's timers until ctx ends. It does not wait for attempts and probes that are in
+// flight then; what they report is dropped.
 func (x *Core) Run(ctx context.Context) {
 	defer close(x.stopped)
 	timer := time.NewTimer(0)
@@ -130,7 +134,7 @@
 	}
 }
 
-// query posts an event, waits for what it returns, and returns that; the zero value once the core has stopped.
+// query calls read as an event and returns its result; the zero value once the core has stopped.
 func query[T any](x *Core, read func(now monotime.Micros) T) (v T) {
 	result := make(chan T, 1)
 	x.post(func(now monotime.Micros) { result <- read(now) })
@@ -141,8 +145,8 @@
 	return v
 }
 
-// queryContext is query for callers with a context. It returns the cause of ctx if that ends before the result is
-// there, and context.Canceled if the core has stopped.
+// queryContext is query for callers with a context. It returns the cause of ctx if that ends first, and
+// context.Canceled if the core has stopped.
 func queryContext[T any](ctx context.Context, x *Core, read func(now monotime.Micros) T) (v T, err error) {
 	result := make(chan T, 1)
 	select {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -15,7 +15,7 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// upstreams is an Upstream whose targets only count what is asked of them.
+// upstreams is an Upstream that records the addresses of its targets, which do nothing.
 type upstreams struct{ made chan string }
 
 type target struct{}
@@ -89,7 +89,7 @@
 	}
 }
 
-// A list that is older than the current one is ignored, unless another source gives it.
+// A list that is older than the current one is ignored, unless it comes from another source.
 func TestStaleListIsIgnored(t *testing.T) {
 	p, u := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a", State: balancer.Draining})
 	x := p.core
@@ -104,13 +104,13 @@
 		NewSource: true, GenerationsReset: true, Endpoints: up})
 	x.sync(t)
 	if x.Ready() {
-		t.Error("a list that began anew brought back an endpoint that is known to drain")
+		t.Error("a list whose generations were reset brought back an endpoint that is known to drain")
 	}
 	p.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFull, Generation: 1,
 		NewSource: true, Endpoints: up})
 	x.sync(t)
 	if !x.Ready() || len(u.made) != 1 {
-		t.Error("another discovery's list was passed over")
+		t.Error("the list of another source was ignored")
 	}
 }
 
@@ -124,11 +124,11 @@
 		Endpoints: []engine.EndpointInfo{{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"}}})
 	x.sync(t)
 	if x.Ready() || len(u.made) != 0 {
-		t.Error("a list of an ended watch was heard")
+		t.Error("an update of an ended watch was applied")
 	}
 }
 
-// A request gets one response, whatever its attempts do, and nobody waits for it once the core has stopped.
+// A request gets one response, whatever its attempts do, and once it has ended nothing of it is left.
 func TestEachRequestGetsOneResponse(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
 	x := p.core
@@ -157,10 +157,10 @@
 	if a := scriptedpeer.Receive(t, c.Response, "answer"); a.Verdict != engine.Served || a.Result.Response != "yes" {
 		t.Errorf("answer %+v", a)
 	}
-	x.ClientGone(c) // too late to matter
-	left := make(chan [2]int, 1)
-	x.post(func(monotime.Micros) { left <- [2]int{x.engine.Calls(), client.OpenCalls()} })
-	if n := scriptedpeer.Receive(t, left, "counts"); n != [2]int{} {
+	x.ClientGone(c) // after the response: no effect
+	open := make(chan [2]int, 1)
+	x.post(func(monotime.Micros) { open <- [2]int{x.engine.Calls(), client.OpenCalls()} })
+	if n := scriptedpeer.Receive(t, open, "counts"); n != [2]int{} {
 		t.Errorf("left behind: %d calls, %d ids", n[0], n[1])
 	}
 	select {
@@ -195,7 +195,8 @@
 		t.Fatal(err)
 	}
 	release := make(chan struct{})
-	a, b := first.call(client, "1", release), second.call(client, "2", release)
+	a := first.call(client, "1", release)
+	b := second.call(client, "2", release)
 	x.Submit(a)
 	x.Submit(b)
 	x.sync(t)
@@ -212,10 +213,10 @@
 	if got := scriptedpeer.Receive(t, late.Response, "answer of a closed pool"); got.Verdict != engine.Rejected {
 		t.Errorf("a closed pool took a request: %+v", got)
 	}
-	gone := make(chan bool, 1)
-	x.post(func(monotime.Micros) { gone <- second.pool.Dissolved() })
-	if <-gone {
-		t.Error("a pool went with a request open")
+	dissolved := make(chan bool, 1)
+	x.post(func(monotime.Micros) { dissolved <- second.pool.Dissolved() })
+	if <-dissolved {
+		t.Error("a pool was dissolved with a request open")
 	}
 	close(release)
 	for _, c := range []*Call{a, b} {
@@ -225,10 +226,10 @@
 		}
 	}
 	x.post(func(monotime.Micros) {
-		gone <- second.pool.Dissolved() && x.engine.Pools() == 1 && !first.pool.Dissolved()
+		dissolved <- second.pool.Dissolved() && x.engine.Pools() == 1 && !first.pool.Dissolved()
 	})
-	if !<-gone {
-		t.Error("a closed pool without requests stays")
+	if !<-dissolved {
+		t.Error("a closed pool without requests is not dissolved")
 	}
 	// An update after the pool has dissolved changes nothing.
 	second.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFull, Generation: 9})
@@ -271,19 +272,19 @@
 	}
 	close(release)
 	if !scriptedpeer.Receive(t, ended, "the end of the attempt") {
-		t.Error("the deadline ended an answer that had begun")
+		t.Error("the deadline ended a response that had started")
 	}
 	for end := time.Now().Add(scriptedpeer.WaitTimeout); ; {
 		if p.Counts().OpenCalls == 0 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the call is not forgotten")
+			t.Fatal("the call stays in the request table")
 		}
 	}
 }
 
-// A client that goes just as its response starts leaves no attempt that waits for a reader.
+// If a client goes just as its response starts, the attempt is aborted: it would wait for its reader.
 func TestClientGoneAsResponseStartsAbortsAttempt(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
 	x := p.core
@@ -309,7 +310,7 @@
 }
 
 // A request that cannot be sent again is not retried, whatever its class allows. The balancer decides whether it is
-// rejected or failed, as for any other: the class is safe.
+// rejected or failed, as for any other: the class is idempotent.
 func TestRequestNotReplayableIsNotRetried(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"},
 		engine.EndpointInfo{Name: "s-2", Addr: "127.0.0.1:2", Zone: "a"})
@@ -338,7 +339,7 @@
 }
 
 // The sending of an aborted attempt has ended before any other event, however long its function takes to notice: no two
-// attempts are out where two are not allowed.
+// attempts are in flight where two are not allowed.
 func TestAbortEndsSendingBeforeNextEvent(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
 	x := p.core
@@ -347,43 +348,44 @@
 		t.Fatal(err)
 	}
 	var ended atomic.Bool
-	out, over := make(chan struct{}), make(chan struct{})
-	defer close(over)
+	sent := make(chan struct{})
+	testOver := make(chan struct{})
+	defer close(testOver)
 	c := p.call(client, "1", nil)
 	c.Request.Deadline = x.config.Clock.Now() + 2*scriptedpeer.WaitTimeout.Microseconds()
 	c.Attempt = func(ctx context.Context, attempt *AttemptContext) engine.AttemptResult {
 		if attempt.OnAbort(func() { ended.Store(true) }) && attempt.ClaimSend(x.config.Clock.Now()) {
-			close(out)
+			close(sent)
 		}
-		<-over // it notices nothing
+		<-testOver // it does not notice the abort
 		return engine.AttemptResult{Status: balancer.Reset, ObservedAt: x.config.Clock.Now()}
 	}
 	x.Submit(c)
-	scriptedpeer.Receive(t, out, "the attempt")
+	scriptedpeer.Receive(t, sent, "the attempt")
 	x.ClientGone(c)
 	x.sync(t)
 	if !ended.Load() {
-		t.Error("what comes next finds the attempt still being sent")
+		t.Error("the next event finds the attempt still being sent")
 	}
 }
 
-// Either the attempt or an abort gets the connection: one that is detached is not ended, one that was ended is not
-// detached.
+// Either the attempt or an abort gets the connection: a sending that is detached is not ended, and one that was ended
+// is not detached.
 func TestSendGuardEndsSendingOnce(t *testing.T) {
-	var l sendGuard
-	if !l.attach(func() { t.Error("ended after it was let go") }) || !l.detach() {
-		t.Error("not held, or not let go")
+	var detached sendGuard
+	if !detached.attach(func() { t.Error("ended after it was detached") }) || !detached.detach() {
+		t.Error("not attached, or not detached")
 	}
-	l.abort()
-	if l.attach(func() {}) {
-		t.Error("held after the end")
+	detached.abort()
+	if detached.attach(func() {}) {
+		t.Error("attached after the abort")
 	}
 	ends := 0
-	var other sendGuard
-	other.attach(func() { ends++ })
-	other.abort()
-	other.abort()
-	if other.detach() || ends != 1 {
-		t.Errorf("let go after the end, or ended %d times", ends)
+	var aborted sendGuard
+	aborted.attach(func() { ends++ })
+	aborted.abort()
+	aborted.abort()
+	if aborted.detach() || ends != 1 {
+		t.Errorf("detached after the abort, or ended %d times", ends)
 	}
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -5,11 +5,12 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Snapshot returns what the core holds; nil once it has stopped.
+// Snapshot returns the state of the engine (engine.Engine.Snapshot); nil once the core has stopped.
 func (x *Core) Snapshot() *engine.Snapshot { return query(x, x.engine.Snapshot) }
 
-// SnapshotForHandover returns what the core holds, and from that instant on leaves the requests that endpoints that are
-// warming up may still get to the successor that restores it. CancelHandover ends that.
+// SnapshotForHandover returns a snapshot for a successor, and from that instant on leaves to the successor the
+// requests that endpoints that are warming up may still get (engine.Engine.TransferWarmupBudget). It returns nil once
+// the core has stopped.
 func (x *Core) SnapshotForHandover() *engine.Snapshot {
 	return query(x, func(now monotime.Micros) *engine.Snapshot {
 		s := x.engine.Snapshot(now)
@@ -18,13 +19,14 @@
 	})
 }
 
-// CancelHandover goes on as before SnapshotForHandover. What endpoints that are warming up were to get counts as sent.
+// CancelHandover ends the handover that SnapshotForHandover began, if there is no successor after all. The requests
+// that were left to it count as sent.
 func (x *Core) CancelHandover() {
 	x.post(func(now monotime.Micros) { x.engine.TransferWarmupBudget(now, false) })
 }
 
-// Restore takes over what another core held at an instant that is age ago (engine.Engine.Restore). It returns once that
-// is done, with the parts that were skipped.
+// Restore takes over the snapshot that another core made an age ago (engine.Engine.Restore), and returns once that is
+// done, with descriptions of the parts that were skipped.
 func (x *Core) Restore(s *engine.Snapshot, age monotime.Micros) (skipped []string) {
 	return query(x, func(now monotime.Micros) []string { return x.engine.Restore(now, age, s) })
 }
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -11,7 +11,7 @@
 // host carries out what the engine requests (engine.Host), on goroutines that report by posting events.
 type host Core
 
-// inFlightSend is the host's part of an attempt.
+// inFlightSend is the host's part of an attempt (engine.Attempt.HostData).
 type inFlightSend struct {
 	startedAt time.Time
 	gate      sendGate
@@ -22,7 +22,8 @@
 // NewTarget returns the target for an address.
 func (h *host) NewTarget(addr string) engine.Target { return h.config.Upstream.Target(addr) }
 
-// StartAttempt makes an attempt on a goroutine of its own.
+// StartAttempt makes an attempt on a goroutine of its own, which ends with the attempt's function; AbortAttempt makes
+// that return.
 func (h *host) StartAttempt(a *engine.Attempt) {
 	x := (*Core)(h)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -36,8 +37,8 @@
 	}()
 }
 
-// attemptContext returns what an attempt's function gets. It is made on the core's goroutine, since the engine may
-// change the attempt's fields later.
+// attemptContext returns the AttemptContext of an attempt. It copies the attempt's fields, which the engine may change
+// later.
 func (x *Core) attemptContext(a *engine.Attempt, s *inFlightSend) *AttemptContext {
 	endpoint := a.Endpoint
 	deadline := a.Deadline
@@ -46,7 +47,7 @@
 		Target:   endpoint.Target.(Target),
 		Deadline: deadline,
 		ClaimSend: func(now monotime.Micros) bool {
-			// A dial may outlast the drain grace, the deadline, or the time in which the request may be repeated.
+			// A slow dial may have outlasted the drain grace, the deadline, or the dedup window of an idempotency key.
 			return endpoint.MaySend(now) && now < deadline && (sendBefore == 0 || now < sendBefore) && s.gate.claim()
 		},
 		OnAbort:     s.guard.attach,
@@ -60,13 +61,14 @@
 	}
 }
 
-// CancelUnsent cancels an attempt of which nothing has been written. One that was never started is such.
+// CancelUnsent cancels an attempt of which nothing has been written, and reports whether that was so. It is so of an
+// attempt that was never started.
 func (h *host) CancelUnsent(a *engine.Attempt) bool {
 	s, started := a.HostData.(*inFlightSend)
 	return !started || s.gate.closeUnsent()
 }
 
-// AbortAttempt ends an attempt.
+// AbortAttempt ends an attempt: its sending at once, its function by the end of its context.
 func (h *host) AbortAttempt(a *engine.Attempt) {
 	if s, started := a.HostData.(*inFlightSend); started {
 		s.guard.abort()
@@ -79,7 +81,7 @@
 	a.Endpoint.Target.(Target).AttemptTimedOut(a.HostData.(*inFlightSend).startedAt)
 }
 
-// StartProbe probes an endpoint on a goroutine of its own.
+// StartProbe probes an endpoint on a goroutine of its own, which ends once Target.Probe returns.
 func (h *host) StartProbe(p *engine.Pool, e *engine.Endpoint) {
 	x := (*Core)(h)
 	sentAt := h.config.Clock.Now()
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -23,19 +23,19 @@
 	return &Pool{x, p}, nil
 }
 
-// startPool has a pool start before any event that is posted from now on. It never blocks: Run may not have been
-// called.
+// startPool has a pool start before any event that is posted from now on. It never blocks, since Run may not have been
+// called yet.
 func (x *Core) startPool(start event) {
 	x.mu.Lock()
 	x.pendingStarts = append(x.pendingStarts, start)
 	x.mu.Unlock()
 	select {
 	case x.events <- func(monotime.Micros) {}: // wakes the core
-	default: // there are other events
+	default: // the queue is full: its events wake the core
 	}
 }
 
-// runPendingStarts starts pools that are new.
+// runPendingStarts starts the pools that were added.
 func (x *Core) runPendingStarts(now monotime.Micros) {
 	x.mu.Lock()
 	starts := x.pendingStarts
@@ -51,7 +51,8 @@
 	p.core.post(func(monotime.Micros) { p.pool.SetSource(source) })
 }
 
-// UpdateEndpoints applies an update of the endpoint list, unless ctx has ended by the time it is handled.
+// UpdateEndpoints applies an update of the endpoint list, unless ctx, that of its watch, has ended by the time the
+// update is handled.
 func (p *Pool) UpdateEndpoints(ctx context.Context, update engine.EndpointUpdate) {
 	p.core.post(func(now monotime.Micros) {
 		if ctx.Err() == nil {
@@ -67,7 +68,7 @@
 type PoolCounts struct {
 	Queued      int // in the pool's queue
 	InFlight    int // of the pool
-	MaxInFlight int // of the pool, where that is learned; 0 is no bound that is learned
+	MaxInFlight int // learned bound of InFlight; 0 if the bound is not learned
 	OpenCalls   int // in the request table, of all pools
 }
 
--- a/internal/core/sendguard.go
+++ b/internal/core/sendguard.go
@@ -5,16 +5,17 @@
 	"sync/atomic"
 )
 
-// sendGuard protects the connection that an attempt is sent on. An abort ends the sending before anything else is sent
-// for the request, so that no two attempts are out where two are not allowed. If the attempt detaches first, an abort
-// no longer touches the connection. It is safe for concurrent use.
+// sendGuard protects the connection of an attempt. An abort ends the sending before anything else is sent
+// for the request, so that no two attempts are in flight where two are not allowed. Once the attempt has detached, an
+// abort no longer touches the connection. It is safe for concurrent use.
 type sendGuard struct {
 	mu        sync.Mutex
 	abortFunc func() // nil before attach and after detach
 	aborted   bool
 }
 
-// attach sets how to end the sending, which must not block. It returns false if the attempt was aborted already.
+// attach sets the function that ends the sending, which must not block. It returns false if the attempt was aborted
+// already.
 func (g *sendGuard) attach(abort func()) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -30,7 +31,7 @@
 	return !g.aborted
 }
 
-// abort ends the sending, now or once it is attached.
+// abort ends the sending if it is attached. An attempt that attaches later is notified by the result of attach.
 func (g *sendGuard) abort() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
