--- a/internal/decide/quota/allocator.go
+++ b/internal/decide/quota/allocator.go
@@ -17,20 +17,20 @@
 
 	term            lease.Term
 	active          bool
-	recoveringUntil monotime.Micros // until then it grants nothing but what lessees show that they hold
+	recoveringUntil monotime.Micros // until then it grants only what lessees show that they hold
 	serial          uint64          // of the latest lease
 	lessees         map[lesseeID]*lesseeRecord
 	sortedLessees   []*lesseeRecord // by name and incarnation
 	dividedAt       monotime.Micros
-	dirty           bool // budgets or lessees have come or gone since dividedAt
+	dirty           bool // budgets or lessees were added or removed since dividedAt
 }
 
 // budget is what the allocator knows of one budget.
 type budget struct {
-	units       float64 // a second; of a contributed budget what its lessees add up to
+	units       float64 // a second; of a contributed budget the sum of its lessees' contributions
 	contributed bool    // its units are the sum of Demand.Contributed
-	ceiling     float64 // bounds the units of a contributed budget; infinite is no bound
-	committed   int     // sum of lesseeRecord.committed; expired commitments may be in it
+	ceiling     float64 // upper bound of the units of a contributed budget; infinite is no bound
+	committed   int     // sum of lesseeRecord.committed; it may include expired commitments, and is never too low
 }
 
 // NewAllocator returns an allocator that is not started, or a *setting.Error.
@@ -45,8 +45,8 @@
 	}, nil
 }
 
-// SetBudget sets how many units a second all instances together may spend of a budget. Of a contributed one the
-// lessees' contributions add up to that, and units is ignored.
+// SetBudget sets the units a second that all instances together may spend of a budget, and adds the budget if it is
+// new. A contributed budget is the sum of the lessees' contributions, and units is ignored.
 func (a *Allocator) SetBudget(name string, units float64, contributed bool) {
 	b := a.budgets[name]
 	if b == nil {
@@ -62,24 +62,25 @@
 	a.dirty = true
 }
 
-// SetCeiling bounds a contributed budget, whatever its lessees say that they contribute.
+// SetCeiling sets the upper bound of a contributed budget, in units a second. It has no effect on other budgets.
 func (a *Allocator) SetCeiling(name string, units float64) {
 	if b := a.budgets[name]; b != nil && b.contributed {
 		b.ceiling = units
 	}
 }
 
-// RemoveBudget removes a budget. What is leased of it expires.
+// RemoveBudget removes a budget. Its leases end when they expire.
 func (a *Allocator) RemoveBudget(name string) {
 	delete(a.budgets, name)
 	for _, lessee := range a.sortedLessees {
-		delete(lessee.committed, name) // if it comes back, what is leased of it is counted anew
+		delete(lessee.committed, name) // recountCommitted counts it anew if the budget is added again
 	}
 	a.budgetNames = slices.DeleteFunc(a.budgetNames, func(n string) bool { return n == name })
 	a.dirty = true
 }
 
-// Start begins a term. Leases of an allocator before it are not known, and expire within the longest lease's time.
+// Start begins a term, with recovery: until the leases of an earlier allocator, which are not known here, must have
+// expired, the allocator grants only what lessees show that they hold.
 func (a *Allocator) Start(now monotime.Micros, t lease.Term) {
 	a.term = t
 	a.active = true
@@ -102,20 +103,26 @@
 // RecoveringUntil returns when the allocator begins to grant more than lessees show that they hold.
 func (a *Allocator) RecoveringUntil() monotime.Micros { return a.recoveringUntil }
 
-// commitmentEnd is when units that are leased now can no longer have been spent within the last second, by any clock.
+// commitmentEnd returns when a commitment made now expires: the lease has then expired by any clock, and so has the
+// second within which its last units were spent.
 func (a *Allocator) commitmentEnd(now monotime.Micros) monotime.Micros {
 	return now + a.settings.leaseLifetime() + a.settings.window()
 }
 
-// HandleRequest answers a lessee's request. ok is false if there is no answer: the allocator is not active, or the
-// request is no newer than another of the same lessee.
+// divisionsPerInterval is how often budgets are divided anew in a request interval, at most: requests in between get
+// parts of the latest division.
+const divisionsPerInterval = 4
+
+// HandleRequest returns the reply to a lessee's request. ok is false if there is none: the allocator is not active, or
+// the request is not newer than an earlier request of the same lessee. A request of another term gets a grant without a
+// lease, by which the lessee learns the term.
 func (a *Allocator) HandleRequest(now monotime.Micros, from string, r LeaseRequest) (g Grant, ok bool) {
 	if !a.active {
 		return g, false
 	}
 	g = Grant{Incarnation: r.Incarnation, Sequence: r.Sequence, Term: a.term}
 	if r.Term != a.term {
-		return g, true // what it shows may have been leased to others since it was sent
+		return g, true // the lease that it shows may have been granted to others since
 	}
 	lessee := a.lessee(lesseeID{from, r.Incarnation})
 	if r.Sequence <= lessee.lastSequence {
@@ -129,7 +136,7 @@
 	}
 	a.applyHeldLease(now, lessee, &r)
 	a.dropExpired(now)
-	if a.dirty || now-a.dividedAt >= a.settings.RequestInterval/4 {
+	if a.dirty || now-a.dividedAt >= a.settings.RequestInterval/divisionsPerInterval {
 		a.divide(now)
 	}
 	a.serial++
@@ -139,7 +146,7 @@
 	return g, true
 }
 
-// commit grants a lessee its part of each budget under the latest serial.
+// commit grants a lessee its units of each budget under the latest serial, and records them as a commitment.
 func (a *Allocator) commit(now monotime.Micros, lessee *lesseeRecord) (allocations []Allocation) {
 	units := map[string]int{}
 	for _, name := range a.budgetNames {
@@ -153,17 +160,19 @@
 	return allocations
 }
 
-// grantableUnits returns how many units of a budget a lessee is granted.
+// grantableUnits returns the units of a budget that a lessee is granted. During recovery these are the units that it
+// shows it holds. After that it is its target, but at most the leasable units less the commitments to all others: so
+// the sum of commitments stays within the budget.
 func (a *Allocator) grantableUnits(now monotime.Micros, lessee *lesseeRecord, name string) int {
 	if now < a.recoveringUntil {
 		return min(lessee.committedUnits(now, name), lessee.demands[name].Held)
 	}
-	// What is counted for others may have expired since, and is never less than what they have.
+	// The count of the others' commitments may include expired ones; it is never too low.
 	free := a.leasableUnits(name) - (a.budgets[name].committed - lessee.committed[name])
 	return max(0, min(lessee.targets[name], free))
 }
 
-// leasableUnits returns how many units of a budget can be leased to all lessees together.
+// leasableUnits returns the units a second of a budget that can be leased to all lessees together.
 func (a *Allocator) leasableUnits(name string) int {
 	b := a.budgets[name]
 	if b.contributed {
@@ -172,20 +181,21 @@
 	return a.settings.Leasable(b.units)
 }
 
-// LeaseStatus is what the allocator takes a lessee to have of a budget, for operators. Its tags are the names in the
+// LeaseStatus is the allocator's record of one lessee and budget, for operators. Its tags are the names in the
 // JSON that operators' tools read.
 type LeaseStatus struct {
 	Lessee        string          `json:"Holder"`
 	Incarnation   uint64          `json:"Life"`
 	Budget        string          `json:"Budget"`
-	Units         int             `json:"Units"`
+	Units         int             `json:"Units"`  // committed, within any second
 	Target        int             `json:"Target"` // units that it gets once others have returned them
 	Requested     float64         `json:"Asked"`  // units a second
-	Until         monotime.Micros `json:"Until"`  // nobody else gets the units before then
-	LastRequestAt monotime.Micros `json:"Heard"`
+	Until         monotime.Micros `json:"Until"`  // other lessees do not get the units before then
+	LastRequestAt monotime.Micros `json:"Heard"`  // by the allocator's clock
 }
 
-// Leases returns the status of all leases, by lessee and budget.
+// Leases returns the status of all leases and unmet demands, sorted by lessee and budget; nil if the allocator is not
+// active.
 func (a *Allocator) Leases(now monotime.Micros) (all []LeaseStatus) {
 	if !a.active {
 		return nil
--- a/internal/decide/quota/commitment.go
+++ b/internal/decide/quota/commitment.go
@@ -8,8 +8,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// lesseeID identifies a lessee's process. Another incarnation of a name is another lessee: what the one before had
-// leased does not end with it.
+// lesseeID identifies a lessee's process. Another incarnation of a name is another lessee, since the leases of the
+// earlier one may still be in force.
 type lesseeID struct {
 	name        string
 	incarnation uint64
@@ -21,19 +21,21 @@
 	lastSequence  uint64 // of its latest request
 	lastRequestAt monotime.Micros
 	demands       map[string]Demand // by budget, as of its latest request
-	targets       map[string]int    // by budget: units that it gets once others have returned them
-	committed     map[string]int    // by budget: its part of budget.committed
+	targets       map[string]int    // by budget: units a second that it gets once others have returned them
+	committed     map[string]int    // by budget: its part of budget.committed, in units a second
 	commitments   []commitment
 }
 
-// commitment is units that a lessee may spend until the commitment expires.
+// commitment is the units of a lease, which count as spendable by the lessee until the commitment expires.
 type commitment struct {
-	serial    uint64 // of the lease; 0 is one that an allocator before this one granted
-	units     map[string]int
+	serial    uint64         // of the lease; 0 is a lease of an earlier allocator
+	units     map[string]int // by budget, within any second
 	expiresAt monotime.Micros
 }
 
-// lessee returns the record of a lessee, a new one if there is none.
+// lessee returns the record of a lessee, and creates it at the lessee's first request. The order of lessees decides the
+// order of floating-point sums. It compares incarnations as float64, so incarnations that differ only in bits beyond
+// the 53 of a float64 are tied: to compare them as integers would change the order, and so results in the last bit.
 func (a *Allocator) lessee(id lesseeID) *lesseeRecord {
 	if record := a.lessees[id]; record != nil {
 		return record
@@ -51,10 +53,11 @@
 	return record
 }
 
-// applyHeldLease takes in which lease a lessee shows to be in force. Earlier ones can be spent of no more.
+// applyHeldLease handles a request's statement of which lease is in force: the lessee spends nothing from earlier
+// leases any more, so their commitments end a window from now, when what was spent from them no longer counts.
 func (a *Allocator) applyHeldLease(now monotime.Micros, lessee *lesseeRecord, r *LeaseRequest) {
 	if r.HeldSerial == 0 {
-		return // it may not have received any yet: what it was granted expires
+		return // it may not have received its lease yet: all commitments stay until they expire
 	}
 	if r.HeldTerm != a.term {
 		a.applyEarlierTerm(now, lessee)
@@ -67,7 +70,8 @@
 	}
 }
 
-// applyEarlierTerm commits what a lessee shows to hold by a lease of an allocator before this one.
+// applyEarlierTerm commits the units that a lessee holds by a lease of an earlier allocator, during recovery. The lease
+// replaces one that the lessee stated before.
 func (a *Allocator) applyEarlierTerm(now monotime.Micros, lessee *lesseeRecord) {
 	if now >= a.recoveringUntil {
 		return // the lease expired before the request arrived
@@ -80,7 +84,8 @@
 	lessee.commitments = append(lessee.commitments, held)
 }
 
-// dropExpired removes expired commitments, and lessees that have none and are silent.
+// dropExpired removes expired commitments, and lessees that have no commitment and have sent no request within a
+// lease's lifetime.
 func (a *Allocator) dropExpired(now monotime.Micros) {
 	expired := func(c commitment) bool { return now >= c.expiresAt }
 	a.sortedLessees = slices.DeleteFunc(a.sortedLessees, func(lessee *lesseeRecord) bool {
@@ -95,7 +100,7 @@
 	})
 }
 
-// recountCommitted brings a lessee's part of budget.committed up to date.
+// recountCommitted updates a lessee's part of budget.committed to the commitments that have not expired.
 func (a *Allocator) recountCommitted(now monotime.Micros, lessee *lesseeRecord) {
 	for _, name := range a.budgetNames {
 		n := lessee.committedUnits(now, name)
@@ -104,7 +109,8 @@
 	}
 }
 
-// committedUnits returns how many units of a budget the lessee may be spending within a second.
+// committedUnits returns the units of a budget that the lessee may spend within a second: the largest of its
+// commitments, since it spends from one lease at a time.
 func (x *lesseeRecord) committedUnits(now monotime.Micros, name string) (n int) {
 	for i := range x.commitments {
 		if c := &x.commitments[i]; now < c.expiresAt {
@@ -114,7 +120,7 @@
 	return n
 }
 
-// status returns what the lessee has of a budget.
+// status returns the lessee's status for one budget.
 func (x *lesseeRecord) status(now monotime.Micros, name string) LeaseStatus {
 	l := LeaseStatus{
 		Lessee:        x.name,
--- a/internal/decide/quota/divide.go
+++ b/internal/decide/quota/divide.go
@@ -9,25 +9,20 @@
 	"dunlinsail/internal/monotime"
 )
 
-const (
-	// silentIntervals is after how many request intervals without a request a lessee is taken to have no demand. What
-	// it was leased remains its own until the lease expires.
-	silentIntervals = 3
-	// rotationPeriod is for how long the same lessees come first where there is less than a unit for each.
-	rotationPeriod = 4 * second
-	// minUtilization is the fraction of its units that a lessee must use for its whole demand to be believed.
-	minUtilization = 0.7
-)
-
-// claim is what a lessee gets considered for when a budget is divided.
+// claim is the units that one lessee is considered for when a budget is divided.
 type claim struct {
 	lessee *lesseeRecord
-	units  int    // that it gets if there are enough
-	rank   uint64 // random for a rotationPeriod; the lower comes first
+	units  int    // units a second that the lessee gets if there are enough
+	rank   uint64 // order among equal claims, the lowest first; drawn anew for each rotationPeriod
 }
 
-// divide sets the targets of all lessees: each budget is divided by max-min fairness over the demands (Bertsekas and
-// Gallager, "Data Networks", 6.5.2), in whole units.
+// silentIntervals is the number of request intervals without a request after which a lessee counts as one without
+// demand. Its leased units remain committed to it until the lease expires.
+const silentIntervals = 3
+
+// divide sets the targets of all lessees, in units a second. It divides each budget by max-min fairness over the
+// demands (Bertsekas and Gallager, "Data Networks", 6.5.2), in whole units, among the lessees that are not silent. A
+// target is granted as far as the other lessees' commitments leave units free.
 func (a *Allocator) divide(now monotime.Micros) {
 	a.dividedAt = now
 	a.dirty = false
@@ -47,7 +42,8 @@
 	}
 }
 
-// sumContributions sets the units of a contributed budget to what its lessees add up to.
+// sumContributions sets the units of a contributed budget to the sum of the active lessees' contributions, but at most
+// to its ceiling.
 func (x *budget) sumContributions(name string, active []*lesseeRecord) {
 	if !x.contributed {
 		return
@@ -59,7 +55,8 @@
 	x.units = min(x.units, x.ceiling)
 }
 
-// divideBudget sets the targets of one budget.
+// divideBudget sets the targets of one budget in three steps: fair parts of the claims, single units that the division
+// leaves, and spare units beyond all claims. The seed, a number of the budget, lets ranks differ between budgets.
 func (a *Allocator) divideBudget(now monotime.Micros, name string, seed uint64, active []*lesseeRecord) {
 	units := a.leasableUnits(name)
 	if units <= 0 {
@@ -73,9 +70,20 @@
 	}
 }
 
-// newClaims returns the lessees' claims of a budget, in the lessees' order. Where not all can have what they demand, a
-// lessee that does not use what it has claims no more than twice what it uses or what is fair: one that demands
-// everything gets what fairness gives.
+const (
+	// rotationPeriod is the time for which the order of equal claims stays the same. After it, other lessees come first
+	// where a budget has less than one unit for each.
+	rotationPeriod = 4 * second
+	// minUtilization is the fraction of its leased units that a lessee must use for its whole demand to be a claim.
+	minUtilization = 0.7
+	// maxClaimPerUse bounds the claim of a lessee below minUtilization, in multiples of the units that it uses.
+	maxClaimPerUse = 2
+)
+
+// newClaims returns the lessees' claims to a budget of the given leasable units a second, in the order of lessees. A
+// claim is the lessee's demand. Where the demands exceed the budget, the claim of a lessee that uses less than
+// minUtilization of its leased units is bounded by maxClaimPerUse times its use, or by an equal part of the budget if
+// that is more: a lessee that overstates its demand gets no more than an equal part.
 func newClaims(now monotime.Micros, name string, seed uint64, active []*lesseeRecord, units int) []claim {
 	claims := make([]claim, len(active))
 	total := 0
@@ -94,14 +102,14 @@
 	fairShare := float64(units) / float64(len(active))
 	for i, lessee := range active {
 		if d := lessee.demands[name]; d.Used < minUtilization*float64(d.Held) {
-			claims[i].units = min(claims[i].units, int(math.Ceil(math.Max(fairShare, 2*d.Used))))
+			claims[i].units = min(claims[i].units, int(math.Ceil(math.Max(fairShare, maxClaimPerUse*d.Used))))
 		}
 	}
 	return claims
 }
 
-// assignFairly sorts the claims, the smallest first, gives each its units as long as these are within an equal part of
-// what is left, and returns what is left then.
+// assignFairly sorts the claims, the smallest first, and sets the targets: each claim gets its units, but at most an
+// equal part of the units that the claims before it have left. It returns the units that are not assigned.
 func assignFairly(claims []claim, name string, units int) (left int) {
 	left = units
 	slices.SortFunc(claims, func(a, b claim) int {
@@ -115,7 +123,8 @@
 	return left
 }
 
-// assignRemainder gives one unit more to claims that are not met, as long as there are any, and returns what is left.
+// assignRemainder adds one unit to the target of each claim that is not met, in the order of claims, while units are
+// left. It returns the units that are not assigned.
 func assignRemainder(claims []claim, name string, units int) (left int) {
 	left = units
 	for _, c := range claims {
@@ -130,10 +139,13 @@
 	return left
 }
 
-// assignSpare divides what nobody demands now, so that demand before the next request is met. A quarter is held back
-// for whoever asks next.
+// spareRetainedDivisor: one part in so many of the spare units stays unassigned, for the next request of any lessee.
+const spareRetainedDivisor = 4
+
+// assignSpare divides the units beyond all claims equally, so that demand that arises before a lessee's next request
+// finds units leased.
 func assignSpare(claims []claim, name string, units int) {
-	spare := units - units/4
+	spare := units - units/spareRetainedDivisor
 	slices.SortFunc(claims, func(a, b claim) int { return cmp.Compare(a.rank, b.rank) })
 	for i, c := range claims {
 		n := spare / (len(claims) - i)
--- a/internal/decide/quota/golden_test.go
+++ b/internal/decide/quota/golden_test.go
@@ -8,8 +8,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// goldenState is what testdata/state.json holds. The file was written before the types had tags, and never changes:
-// it is part of what a process hands to its successor, which may be of another build.
+// goldenState is the content of testdata/state.json. The file was written before the types had tags, and never changes:
+// a process hands this form to its successor, which may be of another build.
 func goldenState() *State {
 	return &State{
 		Incarnation: 0xfedcba9876543210,
@@ -30,9 +30,9 @@
 	golden.CheckJSON(t, golden.Read(t, "state.json"), goldenState())
 }
 
-// A field without a value would not be seen by the test above.
+// TestStateKeepsItsStoredForm does not check a field without a value.
 func TestGoldenStateFillsEachField(t *testing.T) {
 	filled := goldenState()
-	filled.Buckets = filled.Buckets[1:] // of the first nothing is spent
+	filled.Buckets = filled.Buckets[1:] // the first bucket has no Spent
 	golden.RequireFilled(t, "State", filled)
 }
--- a/internal/decide/quota/lessee.go
+++ b/internal/decide/quota/lessee.go
@@ -15,35 +15,36 @@
 	settings    Settings
 	incarnation uint64
 	startedAt   monotime.Micros
-	active      bool // this process may spend: it is started, and has not handed over to a successor
-	buckets     map[string]*bucket
+	active      bool               // this process may spend: it is started, and has not handed over to a successor
+	buckets     map[string]*bucket // by budget
 
 	sequence    uint64                       // of the latest request
 	sent        [maxSentRequests]sentRequest // ring of the latest requests, by sequence number
-	term        lease.Term                   // of the allocator, as far as is known; the zero value is not known
+	term        lease.Term                   // latest known term of the allocator; the zero value is unknown
 	heldSerial  uint64                       // of the lease in force; 0 is none
 	heldTerm    lease.Term                   // of the allocator that granted it
-	expiresAt   monotime.Micros              // when the lease does
+	expiresAt   monotime.Micros              // when the lease in force expires
 	lastGrantAt monotime.Micros              // when the latest lease was received
 }
 
-// maxSentRequests is how many requests may be unanswered before the oldest is forgotten.
+// maxSentRequests is the number of latest requests whose time of sending is known: a grant for an earlier request is
+// ignored.
 const maxSentRequests = 16
 
-// sentRequest is when a request was sent.
+// sentRequest is the time at which a request was sent.
 type sentRequest struct {
 	sequence uint64
 	sentAt   monotime.Micros
 }
 
-// bucket is what may be spent of one budget, and what was.
+// bucket is what may be spent of one budget, and what was spent.
 type bucket struct {
 	minimum     int               // units within any second without a lease
-	leased      int               // units within any second beside these while the lease is in force
+	leased      int               // units within any second in addition to minimum, while the lease is in force
 	spent       []monotime.Micros // instants of the units spent within the last second, the oldest first
-	demand      rateEstimator
-	usage       rateEstimator
-	contributed float64 // units a second
+	demand      rateEstimator     // of units needed, available or not
+	usage       rateEstimator     // of units spent
+	contributed float64           // units a second that this instance adds to a contributed budget
 }
 
 // NewLessee returns the lessee of a process that has just started, or a *setting.Error.
@@ -54,8 +55,8 @@
 	return &Lessee{settings: s, buckets: map[string]*bucket{}}, nil
 }
 
-// Start lets a process spend that takes no other's place. It has no lease, and for a second nothing at all, since
-// nobody knows what a killed process of its name spent just before.
+// Start activates the lessee of a process that has no predecessor. It has no lease, and for its first second no minimum
+// either, since a killed process of the same name may have spent that within the second before.
 func (l *Lessee) Start(now monotime.Micros, incarnation uint64) {
 	l.active = true
 	l.incarnation = incarnation
@@ -68,8 +69,8 @@
 // Active reports whether this process may spend.
 func (l *Lessee) Active() bool { return l.active }
 
-// SetBudget sets how many units a second all instances together may spend of a budget. It is 0 for a contributed
-// budget, of which nothing is reserved.
+// SetBudget sets the units a second that all instances together may spend of a budget, and adds the budget if it is
+// new. For a contributed budget, of which nothing is reserved, units must be 0.
 func (l *Lessee) SetBudget(name string, units float64) {
 	x := l.buckets[name]
 	if x == nil {
@@ -79,17 +80,18 @@
 	x.minimum = l.settings.Minimum(units)
 }
 
-// RemoveBudget removes a budget. Nothing of it may be spent any more.
+// RemoveBudget removes a budget, of which nothing may be spent from now on.
 func (l *Lessee) RemoveBudget(name string) { delete(l.buckets, name) }
 
-// SetContribution sets how many units a second this instance adds to a contributed budget.
+// SetContribution sets the units a second that this instance adds to a contributed budget.
 func (l *Lessee) SetContribution(name string, units float64) {
 	if x := l.buckets[name]; x != nil {
 		x.contributed = units
 	}
 }
 
-// Allowed returns how many units of a budget may be spent within the second that ends at now.
+// Allowed returns the units of a budget that may be spent within the second that ends at now: the minimum, except in
+// the process's first second, plus the units of the lease in force.
 func (l *Lessee) Allowed(now monotime.Micros, name string) int {
 	x := l.buckets[name]
 	if x == nil || !l.active {
@@ -105,7 +107,8 @@
 	return n
 }
 
-// Available returns how many units of a budget may be spent at now: those allowed that are not spent yet.
+// Available returns the units of a budget that may be spent at now: those that are allowed, less those that were spent
+// within the last second.
 func (l *Lessee) Available(now monotime.Micros, name string) int {
 	x := l.buckets[name]
 	if x == nil {
@@ -133,7 +136,7 @@
 	return true
 }
 
-// dropSpentBefore forgets units that were spent at an instant or before it.
+// dropSpentBefore removes units that were spent at or before an instant.
 func (x *bucket) dropSpentBefore(instant monotime.Micros) {
 	n := 0
 	for n < len(x.spent) && x.spent[n] <= instant {
@@ -153,15 +156,17 @@
 	return l.expiresAt, l.heldTerm, l.heldSerial, true
 }
 
-// KnownAllocator returns the allocator's term as far as is known, and when the latest lease was received from one.
+// KnownAllocator returns the latest known term of the allocator, which is the zero value if it is unknown, and the time
+// at which the latest lease was received.
 func (l *Lessee) KnownAllocator() (t lease.Term, lastGrantAt monotime.Micros) {
 	return l.term, l.lastGrantAt
 }
 
-// ForgetAllocator forgets who the allocator is, so that the next request goes to all candidates.
+// ForgetAllocator sets the allocator to unknown, so that the next request goes to all candidates.
 func (l *Lessee) ForgetAllocator() { l.term = lease.Term{} }
 
-// NewRequest returns a request that is sent at now.
+// NewRequest returns a lease request with this instance's demand. The caller must send it at now, from which a lease
+// that it results in counts.
 func (l *Lessee) NewRequest(now monotime.Micros) LeaseRequest {
 	l.sequence++
 	l.sent[l.sequence%maxSentRequests] = sentRequest{l.sequence, now}
@@ -186,8 +191,10 @@
 	return r
 }
 
-// HandleGrant takes in the answer to a request. requestNow is true if the next request should be sent at once: because
-// the allocator is another than was asked, or because it should know that less is in force now.
+// HandleGrant handles the reply to a request. A grant is ignored if it is for another process, for a request that is
+// not among the latest, or not newer than the lease in force. requestNow reports that the next request should be sent
+// at once: because the allocator is another one than the request was sent to, or because the new lease is smaller, so
+// that the allocator can lease the difference to others as soon as it is informed.
 func (l *Lessee) HandleGrant(now monotime.Micros, g Grant) (requestNow bool) {
 	request := l.sent[g.Sequence%maxSentRequests]
 	if g.Incarnation != l.incarnation || !l.active || request.sequence != g.Sequence || g.Sequence == 0 {
@@ -207,8 +214,8 @@
 	return l.applyAllocations(g.Allocations)
 }
 
-// learnAllocator takes in the term of an allocator that granted no lease, if it answers the latest request, and reports
-// whether that is news.
+// learnAllocator stores the term of an allocator that granted no lease, if the grant replies to the latest request. It
+// reports whether the term has changed.
 func (l *Lessee) learnAllocator(g Grant) bool {
 	if l.term == g.Term || g.Sequence != l.sequence {
 		return false
@@ -217,20 +224,22 @@
 	return true
 }
 
-// supersedes reports whether a lease that ends at until takes the place of the one in force.
+// supersedes reports whether a lease that expires at until replaces the one in force. A lessee never returns to an
+// earlier lease, which the allocator may have granted to others in the meantime.
 func (l *Lessee) supersedes(g Grant, until monotime.Micros) bool {
 	switch {
 	case g.Term != l.term:
-		return false // of an allocator that is none any more
+		return false // of an allocator whose term has ended, or that is not known
 	case g.Term == l.heldTerm && g.Serial <= l.heldSerial:
 		return false // an earlier lease
 	case l.heldSerial != 0 && until <= l.expiresAt:
-		return false // the answer to an earlier request
+		return false // the reply to an earlier request
 	}
 	return true
 }
 
-// applyAllocations sets what the new lease gives of each budget, and reports whether that is less of any.
+// applyAllocations sets the leased units of each budget to those of the new lease, and reports whether any budget has
+// fewer than before.
 func (l *Lessee) applyAllocations(allocations []Allocation) (reduced bool) {
 	for name, x := range l.buckets {
 		before := x.leased
--- a/internal/decide/quota/quota.go
+++ b/internal/decide/quota/quota.go
@@ -1,15 +1,15 @@
 // Package quota divides budgets among the instances of a fleet. A budget is a number of units, such as requests, that
 // all instances together may spend within any second.
 //
-// The allocator runs at the instance that holds the fleet's lease (package lease). Each instance has a lessee, which
-// asks the allocator for a lease every Settings.RequestInterval and tells it the demand; the Grant that answers says
-// how many units of each budget the lessee may spend within any second until the lease expires. Beside its lease each
-// lessee has a minimum of each budget, which is reserved and needs no lease. Package coordination runs both and
-// carries the messages.
+// The allocator runs at the instance that holds the fleet's lease (package lease). Each instance has a lessee. Every
+// Settings.RequestInterval the lessee sends the allocator a LeaseRequest with its demand, and the allocator replies
+// with a Grant: the units of each budget that the lessee may spend within any second until the lease expires. In
+// addition each lessee has a minimum of each budget, which is reserved and needs no lease. Package coordination runs
+// both and exchanges the messages.
 //
 // Safety comes first: within each second the sum that is spent stays within the budget, whatever is lost, delayed,
-// duplicated or reordered, and whoever is killed, stopped, partitioned or lies about its demand. That the whole
-// budget is used where there is demand for it comes second.
+// duplicated or reordered, and whichever instance is killed, stopped, partitioned or overstates its demand. Using
+// the whole budget where there is demand for it comes second.
 //
 // # Why the sum holds
 //
@@ -38,28 +38,42 @@
 
 const second = monotime.Second
 
-// Settings must be the same for all instances of a fleet, but for Position.
+// Settings must be the same for all instances of a fleet, except for Position.
 type Settings struct {
-	MaxInstances    int     // the most instances that run at once; a minimum is reserved for each
-	Reserve         float64 // fraction of each budget for minimums; 1 is a static division without leases
-	Position        int     // of this instance, from 0: in a static division the first ones share the remainder
-	LeaseDuration   monotime.Micros
-	RequestInterval monotime.Micros // from one request of a lessee to its next
-	MaxClockDrift   float64         // the most by which a clock's rate is off, as a fraction of the true rate
+	// MaxInstances is the number of instances that may run at once, at least 1. A minimum is reserved for each.
+	MaxInstances int
+	// Reserve is the fraction of each budget that is reserved for minimums, in 0..1. 1 is a static division without
+	// leases.
+	Reserve float64
+	// Position numbers this instance from 0. In a static division the instances of the lowest positions get one unit
+	// more each, until the remainder of the division is used up.
+	Position int
+	// LeaseDuration is how long a lease may be spent from, counted from its request by the lessee's clock. It must be
+	// at least minRequestsPerLease request intervals.
+	LeaseDuration monotime.Micros
+	// RequestInterval is the time from one request of a lessee to its next, at least minRequestInterval.
+	RequestInterval monotime.Micros
+	// MaxClockDrift is the largest difference between the rate of an instance's clock and the true rate, as a fraction
+	// of the true rate, in 0..maxClockDrift. The budgets hold only while all clocks are within it.
+	MaxClockDrift float64
 }
 
 const (
 	// minRequestInterval is the smallest value of Settings.RequestInterval.
 	minRequestInterval = monotime.Millisecond
-	// minRequestsPerLease is how many requests a lease must cover, so that a lost message does not end it.
+	// minRequestsPerLease is the smallest number of request intervals in a lease: a single lost message must not let
+	// the lease expire.
 	minRequestsPerLease = 4
-	// maxClockDrift is the largest value of Settings.MaxClockDrift.
+	// maxClockDrift is the largest value of Settings.MaxClockDrift, as a fraction of the true rate.
 	maxClockDrift = 0.1
 )
 
-// invalidSetting returns the error of a setting that is out of range.
+// settingsComponent is the name of the quota settings in error messages, which predates the term quota.
+const settingsComponent = "loans"
+
+// invalidSetting returns the *setting.Error of a setting that is out of range.
 func invalidSetting(key, reason string) error {
-	return &setting.Error{Component: "loans", Key: key, Reason: reason}
+	return &setting.Error{Component: settingsComponent, Key: key, Reason: reason}
 }
 
 // Validate returns a *setting.Error if a setting is out of range.
@@ -79,7 +93,9 @@
 	return nil
 }
 
-// Minimum returns how many units a second of a budget of so many each instance may spend without a lease.
+// Minimum returns the units a second that each instance may spend without a lease, of a budget of the given units a
+// second: an equal part of the reserve, rounded down. In a static division the remainder of the rounding goes to the
+// instances of the lowest positions.
 func (s *Settings) Minimum(units float64) int {
 	n := int(s.Reserve * units / float64(s.MaxInstances))
 	if s.Reserve == 1 && s.Position < int(units)-n*s.MaxInstances {
@@ -88,7 +104,8 @@
 	return n
 }
 
-// Leasable returns how many units a second of a budget of so many can be leased: those beyond all minimums.
+// Leasable returns the units a second that can be leased to all lessees together, of a budget of the given units a
+// second: the units beyond all minimums.
 func (s *Settings) Leasable(units float64) int {
 	if s.Reserve == 1 {
 		return 0
@@ -96,10 +113,10 @@
 	return int(units) - s.Minimum(units)*s.MaxInstances
 }
 
-// window is the second within which a budget holds, extended so that a second has passed by any clock.
+// window is the time after which a second has passed by any clock: a unit that was spent longer ago no longer counts.
 func (s *Settings) window() monotime.Micros { return monotime.ExtendForDrift(second, s.MaxClockDrift) }
 
-// leaseLifetime is for how long a lease that is granted now may be in force, by any clock.
+// leaseLifetime is the time after which a lease that is granted now has expired by any clock.
 func (s *Settings) leaseLifetime() monotime.Micros {
 	return monotime.ExtendForDrift(s.LeaseDuration, s.MaxClockDrift)
 }
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -20,18 +20,18 @@
 var term = lease.Term{Holder: "a", Incarnation: 1, Round: 1}
 
 // startedLessee returns a lessee of a budget of 100 units, started at 0.
-func startedLessee(t testing.TB) *Lessee {
-	t.Helper()
+func startedLessee(tb testing.TB) *Lessee {
+	tb.Helper()
 	l, err := NewLessee(settings)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	l.SetBudget("b", 100) // a minimum of 5 each
 	l.Start(0, 7)
 	return l
 }
 
-// grant has a lessee receive a lease of so many units, as the answer to a request.
+// grant lets a lessee receive a lease of units, as the reply to a request.
 func grant(l *Lessee, now monotime.Micros, r LeaseRequest, serial uint64, units int) {
 	l.HandleGrant(now, Grant{
 		Incarnation: r.Incarnation, Sequence: r.Sequence, Term: term, Serial: serial, Duration: settings.LeaseDuration,
@@ -49,7 +49,7 @@
 	return r
 }
 
-// A lease counts from its request, whenever the grant arrives; a grant older than the lease in force changes nothing.
+// A lease counts from its request, whenever the grant arrives. A grant older than the lease in force is ignored.
 func TestLateAndReorderedGrants(t *testing.T) {
 	lessee := startedLessee(t)
 	firstRequest := newRequest(lessee, 2*second)
@@ -62,18 +62,19 @@
 	if n := lessee.Allowed(5*second+100, "b"); n != 5 {
 		t.Errorf("%d may be spent three seconds after the request", n)
 	}
-	grant(lessee, 5*second+100, secondRequest, 3, 30) // a second time, and expired
+	grant(lessee, 5*second+100, secondRequest, 3, 30) // duplicated, and expired
 	other := Grant{
 		Incarnation: 8, Sequence: secondRequest.Sequence, Term: term, Serial: 9, Duration: settings.LeaseDuration,
 		Allocations: []Allocation{{"b", 30}},
 	}
-	lessee.HandleGrant(5*second, other) // to another process
+	lessee.HandleGrant(5*second, other) // for another process
 	if n := lessee.Allowed(5*second+100, "b"); n != 5 {
 		t.Errorf("%d may be spent by an expired lease, or another process's", n)
 	}
 }
 
-// A process that starts may spend nothing for a second; a successor goes on, and what its predecessor spent counts.
+// A process that starts may spend nothing for a second. A successor continues with the lease of its predecessor, and
+// the units that this spent count.
 func TestStartAndRestore(t *testing.T) {
 	lessee := startedLessee(t)
 	if lessee.Spend(second, "b") {
@@ -99,7 +100,7 @@
 	if left != 3 {
 		t.Errorf("%d are left of 15 after 12", left)
 	}
-	if _, _, _, yes := successor.HeldLease(5*second + 1); yes {
+	if _, _, _, held := successor.HeldLease(5*second + 1); held {
 		t.Error("the lease is in force beyond its end")
 	}
 }
@@ -152,10 +153,10 @@
 		units      float64
 		demands    []float64
 		used       []float64
-		minTargets []int // targets
+		minTargets []int // smallest target of each lessee
 	}{
 		{100, []float64{10, 100, 100}, []float64{10, 40, 40}, []int{10, 35, 35}},
-		{100, []float64{10, 1e6, 30}, []float64{10, 5, 30}, []int{10, 27, 30}}, // one demands what it does not use
+		{100, []float64{10, 1e6, 30}, []float64{10, 5, 30}, []int{10, 27, 30}}, // the second uses little
 		{4, []float64{1, 1, 1}, []float64{1, 1, 1}, []int{1, 1, 1}},
 		{100, []float64{0, 0, 4}, []float64{0, 0, 4}, []int{5, 5, 9}},
 	} {
@@ -180,7 +181,7 @@
 	}
 }
 
-// A contributed budget is what its lessees add up to, but no more than its ceiling.
+// A contributed budget is the sum of its lessees' contributions, but at most its ceiling.
 func TestContributedBudget(t *testing.T) {
 	b, _ := NewAllocator(settings)
 	b.SetBudget("e", 0, true)
@@ -204,7 +205,7 @@
 		}
 		return a, b
 	}
-	if a, b := both(1, 40); a != 16 || b != 16 { // 0.8 of 40 together
+	if a, b := both(1, 40); a != 16 || b != 16 { // half of 40 units less the reserve of 0.2
 		t.Errorf("%d and %d of 16", a, b)
 	}
 	b.SetCeiling("e", 20)
--- a/internal/decide/quota/rate.go
+++ b/internal/decide/quota/rate.go
@@ -6,44 +6,60 @@
 	"dunlinsail/internal/monotime"
 )
 
-// decayTime is the time constant of the long-term mean.
-const decayTime = 2 * second
+// tenthsPerSecond is the number of intervals into which the last second is divided for counting.
+const tenthsPerSecond = 10
 
 // tenth is the resolution of the counts within the last second.
-const tenth = second / 10
+const tenth = second / tenthsPerSecond
+
+// decayTime is the time constant of the long-term mean.
+const decayTime = 2 * second
 
-// rateEstimator counts events within the last second, by tenths of it, and with exponential decay beyond. The zero
-// value has counted nothing.
+// rateEstimator estimates the rate of events. It has counts of the last second by tenths of a second, and a count with
+// exponential decay for the long-term mean. The zero value has counted nothing.
 type rateEstimator struct {
-	tenths       [10]int         // ring of counts, by the number of the tenth since the clock's origin
-	latestTenth  monotime.Micros // number of the latest one
-	decayedCount float64         // as of decayedAt
+	tenths       [tenthsPerSecond]int // ring of counts, by the number of the tenth since the clock's origin
+	latestTenth  monotime.Micros      // number of the latest tenth since the clock's origin
+	decayedCount float64              // events with exponential decay, as of decayedAt
 	decayedAt    monotime.Micros
 }
 
 // add counts an event.
 func (c *rateEstimator) add(now monotime.Micros) {
 	c.advance(now)
-	c.tenths[c.latestTenth%10]++
+	c.tenths[c.latestTenth%tenthsPerSecond]++
 	c.decay(now)
 	c.decayedCount++
 }
 
-// demandRate returns the demand in units a second: the long-term mean and a standard deviation of chance beside it,
-// since a second with fewer events says nothing about the next one; or the recent rate where that differs by more than
-// chance explains.
+// The counts of Poisson arrivals vary by the square root of their expected value. A recent count that differs from the
+// long-term mean by more than the number of standard deviations below, and by a whole unit more, is a change of the
+// rate.
+const (
+	risingDeviations  = 3.0 // standard deviations above the mean; a false alarm takes units from others
+	fallingDeviations = 2.0 // standard deviations below the mean
+	changeUnits       = 1.0 // units beyond the standard deviations, which are close to 0 at low rates
+)
+
+// fallingSpans are the spans within which falling demand is detected, in tenths of a second, the shortest first.
+var fallingSpans = [...]int{tenthsPerSecond / 2, tenthsPerSecond}
+
+// demandRate returns the demand in units a second. It is the long-term mean plus one standard deviation, so that a
+// second with more events than the mean finds enough units leased. Where the recent rate shows a rise beyond chance,
+// the demand is the recent rate; where recent counts show a fall beyond chance, the long-term mean starts anew from
+// them.
 func (c *rateEstimator) demandRate(now monotime.Micros) float64 {
 	c.decay(now)
 	mean := c.decayedCount * float64(second) / float64(decayTime)
 	recent := c.recentRate(now)
-	if recent > mean+3*math.Sqrt(mean)+1 {
+	if recent > mean+risingDeviations*math.Sqrt(mean)+changeUnits {
 		return recent
 	}
-	for _, tenths := range [...]int{5, 10} {
-		expected := mean * float64(tenths) / 10
+	for _, tenths := range fallingSpans {
+		expected := mean * float64(tenths) / tenthsPerSecond
 		counted := float64(c.countLatest(tenths))
-		if counted < expected-2*math.Sqrt(expected)-1 {
-			mean = counted * 10 / float64(tenths) // demand has fallen: forget what was before
+		if counted < expected-fallingDeviations*math.Sqrt(expected)-changeUnits {
+			mean = counted * tenthsPerSecond / float64(tenths) // the earlier rate no longer counts
 			c.decayedCount = mean * float64(decayTime) / float64(second)
 			break
 		}
@@ -51,35 +67,47 @@
 	return mean + math.Sqrt(mean)
 }
 
-// recentRate returns events a second by the last second, or by the last 0.3 s where that gives more, since rising
-// demand is to be met before a second has passed.
+// risingTenths is the span within which rising demand is detected, in tenths of a second: two complete tenths and the
+// present one.
+const risingTenths = 3
+
+const (
+	completeRisingTime = 0.2 // seconds: the risingTenths without the present tenth
+	tenthTime          = 0.1 // seconds
+)
+
+// recentRate returns the events a second within the last second, or within the last risingTenths where that rate is
+// higher: rising demand must be met before a whole second has passed.
 func (c *rateEstimator) recentRate(now monotime.Micros) float64 {
 	c.advance(now)
 	elapsed := float64(now%tenth) / float64(tenth) // fraction of the present tenth
-	return math.Max(float64(c.countLatest(10)), float64(c.countLatest(3))/(0.2+0.1*elapsed))
+	rising := float64(c.countLatest(risingTenths)) / (completeRisingTime + tenthTime*elapsed)
+	return math.Max(float64(c.countLatest(tenthsPerSecond)), rising)
 }
 
-// countLatest returns the events within so many of the latest tenths of a second, the present one included.
+// countLatest returns the number of events within the given number of latest tenths of a second, including the present
+// tenth.
 func (c *rateEstimator) countLatest(tenths int) (n int) {
 	for i := range monotime.Micros(tenths) {
-		n += c.tenths[(c.latestTenth-i+10)%10]
+		n += c.tenths[(c.latestTenth-i+tenthsPerSecond)%tenthsPerSecond]
 	}
 	return n
 }
 
-// advance clears the tenths that have begun since it was called last.
+// advance clears the counts of tenths that have begun since its last call.
 func (c *rateEstimator) advance(now monotime.Micros) {
 	present := now / tenth
-	if present-c.latestTenth >= 10 {
+	if present-c.latestTenth >= tenthsPerSecond {
 		clear(c.tenths[:])
 		c.latestTenth = present
 	}
 	for c.latestTenth < present {
 		c.latestTenth++
-		c.tenths[c.latestTenth%10] = 0
+		c.tenths[c.latestTenth%tenthsPerSecond] = 0
 	}
 }
 
+// decay brings the decayed count to now.
 func (c *rateEstimator) decay(now monotime.Micros) {
 	c.decayedCount *= math.Exp(-float64(now-c.decayedAt) / float64(decayTime))
 	c.decayedAt = now
--- a/internal/decide/quota/state.go
+++ b/internal/decide/quota/state.go
@@ -8,12 +8,13 @@
 	"dunlinsail/internal/monotime"
 )
 
-// State is what a process hands over to its successor in a hot restart. It holds ages in place of instants, since the
-// two may have different clocks. Its tags are the names in the takeover snapshot, which all builds share.
+// State is what a process hands over to its successor in a hot restart. It holds ages rather than instants, since the
+// clocks of the two may have different origins. Its tags are the names in the takeover snapshot, which all builds
+// share.
 type State struct {
 	Incarnation uint64          `json:"Life"`
 	Sequence    uint64          `json:"Number"` // of the latest request
-	Term        lease.Term      `json:"Term"`   // of the allocator, as far as is known
+	Term        lease.Term      `json:"Term"`   // latest known term of the allocator; the zero value is unknown
 	HeldSerial  uint64          `json:"Of"`     // of the lease in force; 0 is none
 	HeldTerm    lease.Term      `json:"OfTerm"` // of the allocator that granted it
 	Remaining   monotime.Micros `json:"Left"`   // of the lease in force
@@ -51,15 +52,15 @@
 	return s
 }
 
-// HandOver returns the state for a successor, and spends nothing from now on. If no successor takes it, Start with
-// another incarnation goes on.
+// HandOver returns the state for a successor and deactivates the lessee, which spends nothing from now on. If no
+// successor takes over, Start activates the lessee again; it must get another incarnation.
 func (l *Lessee) HandOver(now monotime.Micros) *State {
 	s := l.State(now)
 	l.active = false
 	return s
 }
 
-// Restore goes on where a predecessor left off, whose state is of the given age.
+// Restore activates the lessee with a predecessor's state. age is the time since the state was taken, in microseconds.
 func (l *Lessee) Restore(now, age monotime.Micros, s *State) {
 	age = max(0, age)
 	l.active = true
@@ -73,7 +74,7 @@
 	for _, b := range s.Buckets {
 		x := l.buckets[b.Budget]
 		if x == nil {
-			continue // not a budget of this process: nobody spends what was leased of it
+			continue // not a budget of this process: its leased units are not spent
 		}
 		x.leased = b.Leased
 		x.spent = x.spent[:0]
