--- a/internal/decide/coordination/golden_test.go
+++ b/internal/decide/coordination/golden_test.go
@@ -7,7 +7,7 @@
 	"dunlinsail/internal/fake/golden"
 )
 
-// goldenView is what testdata/view.json holds. The file was written before the types had tags, and never changes:
+// goldenView is the content of testdata/view.json. The file was written before the types had tags, and never changes:
 // operators' tools read this form.
 func goldenView() View {
 	return View{
--- a/internal/decide/coordination/member.go
+++ b/internal/decide/coordination/member.go
@@ -11,12 +11,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-const (
-	// maxUnanswered is after how many request intervals without an answer all candidates are asked.
-	maxUnanswered = 3
-	// aggregateLifetime is for how many request intervals a received aggregate is valid.
-	aggregateLifetime = 6
-)
+// delayStream is the number of the random stream of this package's delays: the lease's voter draws from the same seed.
+const delayStream = 3
 
 // Member is one instance of the fleet. Create one with New; it sends nothing, and spends nothing, before Start or
 // Restore. It is not safe for concurrent use.
@@ -24,7 +20,7 @@
 	settings Settings
 	rng      *rand.Rand
 	outgoing []Outgoing
-	voter    *lease.Voter // nil if this instance is no candidate, or is not active
+	voter    *lease.Voter // nil if this instance is not a candidate, or not active
 
 	// As a lessee.
 	lessee          *quota.Lessee
@@ -33,21 +29,21 @@
 	receivedAt      monotime.Micros
 	receivedNew     bool // received has changed since TakeAggregate
 	nextRequestAt   monotime.Micros
-	unansweredSince monotime.Micros // when the latest answer arrived, or all candidates were asked
+	unansweredSince monotime.Micros // when the latest grant arrived, or the allocator was forgotten for lack of one
 
 	// As the allocator.
 	allocator    *quota.Allocator
 	aggregator   *observations.Aggregator
-	sharedLevels map[string]*overload.SharedLevel // the fleet's overload level, by set of endpoints
-	ownAggregate observations.Aggregate           // what aggregator came to at aggregatedAt
+	sharedLevels map[string]*overload.SharedLevel // the fleet's admission level, by set of endpoints
+	ownAggregate observations.Aggregate           // the aggregator's result of aggregatedAt
 	aggregatedAt monotime.Micros
 }
 
-// New returns an instance that is not started, or an error if the settings are out of range.
+// New returns an instance that is not started, or a *setting.Error if a setting is out of range.
 func New(s Settings) (*Member, error) {
 	m := &Member{
 		settings:     s,
-		rng:          rand.New(rand.NewPCG(s.Seed, 3)),
+		rng:          rand.New(rand.NewPCG(s.Seed, delayStream)),
 		aggregator:   observations.NewAggregator(),
 		sharedLevels: map[string]*overload.SharedLevel{},
 	}
@@ -67,8 +63,10 @@
 	return m, nil
 }
 
+// isCandidate reports whether this instance may be the allocator.
 func (m *Member) isCandidate() bool { return slices.Contains(m.settings.Candidates, m.settings.Self) }
 
+// leaseSettings returns the settings of this instance's voter.
 func (m *Member) leaseSettings(incarnation uint64) lease.Settings {
 	return lease.Settings{
 		Self:          m.settings.Self,
@@ -80,29 +78,30 @@
 	}
 }
 
-// SetObserver sets what returns this instance's observations. It is called for each request; it may call
-// SetContribution and SetBudget.
+// SetObserver sets the function that returns this instance's observations. It is called before each lease request is
+// sent, and may call SetContribution and SetBudget.
 func (m *Member) SetObserver(observe func(now monotime.Micros) observations.Observations) {
 	m.observe = observe
 }
 
-// Start starts an instance whose process takes no other's place. No process of its name may have had the incarnation.
+// Start starts an instance whose process has no predecessor. No process of its name may have had the incarnation.
 func (m *Member) Start(now monotime.Micros, incarnation uint64) {
 	m.lessee.Start(now, incarnation)
 	m.activate(now, incarnation)
 }
 
-// Restore starts an instance whose process takes a predecessor's place, with the state that this handed over; age is
-// the state's.
+// Restore starts an instance whose process succeeds a predecessor, with the state that the predecessor handed over. age
+// is the time since the state was taken.
 func (m *Member) Restore(now, age monotime.Micros, incarnation uint64, s *quota.State) {
 	m.lessee.Restore(now, age, s)
 	m.activate(now, incarnation)
 }
 
+// activate starts sending, and as a candidate voting.
 func (m *Member) activate(now monotime.Micros, incarnation uint64) {
 	m.outgoing = nil
 	m.unansweredSince = now
-	// A random part of the interval, since all instances may start at once.
+	// All instances may start at the same time: their first requests are spread over an interval.
 	m.nextRequestAt = now + m.rng.Int64N(m.settings.Quota.RequestInterval)
 	if m.isCandidate() {
 		m.voter, _ = lease.New(now, m.leaseSettings(incarnation)) // New has validated the settings
@@ -119,8 +118,8 @@
 	return s
 }
 
-// resign gives up the lease, if it is held, because the process is about to end: the others need not wait until it
-// expires.
+// resign gives up the allocator's lease, if it is held, because the process is about to end: another candidate can win
+// it before it expires.
 func (m *Member) resign(now monotime.Micros) {
 	if m.voter != nil {
 		m.voter.Resign(now)
@@ -130,8 +129,8 @@
 	m.allocator.Stop()
 }
 
-// SetBudget sets how many units a second all instances together may spend of a budget. Of a contributed one the
-// instances' contributions add up to that, and units is ignored.
+// SetBudget sets the units a second that all instances together may spend of a budget, and adds the budget if it is
+// new. A contributed budget is the sum of the instances' contributions, and units is ignored.
 func (m *Member) SetBudget(name string, units float64, contributed bool) {
 	if contributed {
 		units = 0
@@ -140,14 +139,14 @@
 	m.allocator.SetBudget(name, units, contributed)
 }
 
-// RemoveBudget removes a budget. Nothing of it may be spent any more.
+// RemoveBudget removes a budget, of which nothing may be spent from now on.
 func (m *Member) RemoveBudget(name string) {
 	m.lessee.RemoveBudget(name)
 	m.allocator.RemoveBudget(name)
 }
 
-// SetContribution sets how many units a second this instance adds to a contributed budget, and a ceiling of what all
-// instances together can add to it.
+// SetContribution sets the units a second that this instance adds to a contributed budget, and the upper bound, also in
+// units a second, that this instance applies to the whole budget while it is the allocator.
 func (m *Member) SetContribution(name string, units, ceiling float64) {
 	m.lessee.SetContribution(name, units)
 	m.allocator.SetCeiling(name, ceiling)
@@ -159,16 +158,19 @@
 // Spend spends a unit of a budget, and reports whether one was available.
 func (m *Member) Spend(now monotime.Micros, name string) bool { return m.lessee.Spend(now, name) }
 
-// Available returns how many units of a budget may be spent at now.
+// Available returns the units of a budget that may be spent at now.
 func (m *Member) Available(now monotime.Micros, name string) int {
 	return m.lessee.Available(now, name)
 }
 
-// Allowed returns how many units of a budget may be spent within the second that ends at now.
+// Allowed returns the units of a budget that may be spent within the second that ends at now.
 func (m *Member) Allowed(now monotime.Micros, name string) int { return m.lessee.Allowed(now, name) }
 
-// TakeAggregate returns the latest aggregate of all instances' observations; changed is false if it has been returned
-// before. An aggregate that has expired becomes the zero value, which counts as a change once.
+// aggregateLifetime is the time for which a received aggregate is valid, in request intervals.
+const aggregateLifetime = 6
+
+// TakeAggregate returns the latest aggregate of all instances' observations. changed is false if that was returned
+// before. An expired aggregate becomes the zero value, which is returned as changed once.
 func (m *Member) TakeAggregate(now monotime.Micros) (all observations.Aggregate, changed bool) {
 	lifetime := aggregateLifetime * m.settings.Quota.RequestInterval
 	if !m.receivedNew && m.received.Reporters > 0 && now-m.receivedAt > lifetime {
--- a/internal/decide/coordination/member_test.go
+++ b/internal/decide/coordination/member_test.go
@@ -15,8 +15,8 @@
 	units      = 100
 )
 
-// convergenceTime is within what a fleet without faults has an allocator that has recovered, and all members have
-// leases.
+// convergenceTime is the time after which a fleet without faults has an allocator that has recovered, and each member
+// has a lease.
 const convergenceTime = 10 * second
 
 // fleet runs members by one clock, over a network that delivers each message after a millisecond.
@@ -25,7 +25,7 @@
 	now      monotime.Micros
 	names    []string
 	members  map[string]*Member
-	cut      map[string]bool // members that no message reaches
+	cut      map[string]bool // members that receive no messages
 	inFlight []inFlightMessage
 }
 
@@ -103,6 +103,7 @@
 	}
 }
 
+// collect puts a member's outgoing messages on the network.
 func (f *fleet) collect(from string) {
 	for _, o := range f.members[from].TakeOutgoing() {
 		f.inFlight = append(f.inFlight, inFlightMessage{from, o.To, f.now + second/1000, o.Message})
@@ -124,6 +125,7 @@
 	return name
 }
 
+// allowed returns the sum of the units that all members may spend within a second.
 func (f *fleet) allowed() (sum int) {
 	for _, m := range f.members {
 		sum += m.Allowed(f.now, budgetName)
--- a/internal/decide/coordination/protocol.go
+++ b/internal/decide/coordination/protocol.go
@@ -17,7 +17,7 @@
 	return at
 }
 
-// Tick does what is due at now.
+// Tick does what is due at now: the voter's rounds, and the next lease request.
 func (m *Member) Tick(now monotime.Micros) {
 	if !m.Active() {
 		return
@@ -32,7 +32,7 @@
 	}
 }
 
-// TakeOutgoing returns the messages to send since it was called last.
+// TakeOutgoing returns the messages to send that were queued since its last call.
 func (m *Member) TakeOutgoing() []Outgoing {
 	taken := m.outgoing
 	m.outgoing = nil
@@ -55,7 +55,8 @@
 	}
 }
 
-// followLease starts the allocator when the lease is won and stops it when the lease is lost.
+// followLease starts the allocator when this instance has won the lease, and stops it when the lease is lost or was won
+// anew in another term. An allocator starts with recovery, without observations.
 func (m *Member) followLease(now monotime.Micros) {
 	held, _, holds := m.voter.HeldTerm(now)
 	if term, active := m.allocator.ActiveTerm(); active && (!holds || held != term) {
@@ -70,10 +71,18 @@
 	}
 }
 
-// sendRequest requests a lease from the allocator, or from all candidates if it is not known or does not answer.
+// maxUnanswered is the time without a grant, in request intervals, after which requests go to all candidates.
+const maxUnanswered = 3
+
+// requestJitterDivisor: the time between two requests varies by one part in so many of the request interval, up and
+// down by half of that. Without jitter the instances' requests would synchronize.
+const requestJitterDivisor = 8
+
+// sendRequest requests a quota lease from the allocator, or from all candidates if the allocator is not known or has
+// not replied for maxUnanswered request intervals. It sets the time of the next request.
 func (m *Member) sendRequest(now monotime.Micros) {
 	interval := m.settings.Quota.RequestInterval
-	m.nextRequestAt = now + interval - interval/16 + m.rng.Int64N(interval/8) // instances must not fall into step
+	m.nextRequestAt = now + interval - interval/(2*requestJitterDivisor) + m.rng.Int64N(interval/requestJitterDivisor)
 	if len(m.settings.Candidates) == 0 {
 		return
 	}
@@ -96,7 +105,8 @@
 	}
 }
 
-// Receive handles a message of another instance.
+// Receive handles a message of an instance. Before Start or Restore, and after HandOver, messages are ignored; only
+// candidates handle votes and requests.
 func (m *Member) Receive(now monotime.Micros, from string, message Message) {
 	switch {
 	case !m.Active():
@@ -111,25 +121,25 @@
 	}
 }
 
-// handleRequest answers a request, if this instance is the allocator.
+// handleRequest replies to a lease request if this instance is the allocator, and passes on the observations in it.
 func (m *Member) handleRequest(now monotime.Micros, from string, message Message) {
 	m.followLease(now)
 	grant, ok := m.allocator.HandleRequest(now, from, *message.Request)
 	if !ok {
 		return
 	}
-	answer := Message{Grant: &grant}
+	reply := Message{Grant: &grant}
 	if message.Observations != nil {
 		m.aggregator.Receive(now, from, *message.Observations)
 	}
 	if grant.Serial != 0 {
 		aggregate := m.aggregate(now) // a copy: ownAggregate may change before the message is sent
-		answer.Aggregate = &aggregate
+		reply.Aggregate = &aggregate
 	}
-	m.send(now, from, answer)
+	m.send(now, from, reply)
 }
 
-// handleGrant takes in the answer to a request.
+// handleGrant handles the reply to a lease request. Its aggregate is used only if its lease was accepted.
 func (m *Member) handleGrant(now monotime.Micros, message Message) {
 	if m.lessee.HandleGrant(now, *message.Grant) {
 		m.nextRequestAt = now
@@ -145,10 +155,14 @@
 	}
 }
 
-// aggregate returns what all instances have reported, with the fleet's overload levels. It is computed at most four
-// times in a request interval.
+// aggregationsPerInterval is how often the allocator computes the aggregate in a request interval, at most: replies in
+// between get the latest one.
+const aggregationsPerInterval = 4
+
+// aggregate returns the aggregate of all instances' observations. In place of the instances' mean admission levels it
+// has the fleet's shared level for each set of endpoints (overload.SharedLevel).
 func (m *Member) aggregate(now monotime.Micros) observations.Aggregate {
-	if now-m.aggregatedAt < m.settings.Quota.RequestInterval/4 {
+	if now-m.aggregatedAt < m.settings.Quota.RequestInterval/aggregationsPerInterval {
 		return m.ownAggregate
 	}
 	m.ownAggregate = m.aggregator.TakeAggregate(now)
--- a/internal/decide/coordination/view.go
+++ b/internal/decide/coordination/view.go
@@ -5,27 +5,27 @@
 	"dunlinsail/internal/monotime"
 )
 
-// View is what an instance knows of its fleet, for operators. Its tags are the names in the JSON that operators' tools
+// View is an instance's view of its fleet, for operators. Its tags are the names in the JSON that operators' tools
 // read. Durations are in microseconds.
 type View struct {
 	Active            bool                `json:"Begun"`
-	Allocator         string              `json:"Book"`     // its name, as far as is known
+	Allocator         string              `json:"Book"`     // its name; empty if it is not known
 	SinceLastGrant    monotime.Micros     `json:"HeardAgo"` // since the allocator's latest lease was received
-	LeaseRemaining    monotime.Micros     `json:"Loan"`     // until the lease in force ends; 0 if there is none
+	LeaseRemaining    monotime.Micros     `json:"Loan"`     // until the lease in force expires; 0 if there is none
 	Budgets           []BudgetStatus      `json:"Shares"`   // by name
 	Reporters         int                 `json:"Members"`  // instances whose observations the allocator has
-	RecoveryRemaining monotime.Micros     `json:"Learning"` // of the allocator: until it grants new units; 0 if it does
-	Leases            []quota.LeaseStatus `json:"Loans"`    // of the allocator
+	RecoveryRemaining monotime.Micros     `json:"Learning"` // of the allocator: until its recovery ends; 0 if it has
+	Leases            []quota.LeaseStatus `json:"Loans"`    // if this instance is the allocator
 }
 
-// BudgetStatus is what an instance may spend of a budget.
+// BudgetStatus is what an instance may spend and has spent of a budget.
 type BudgetStatus struct {
 	Budget  string `json:"Budget"`
-	Allowed int    `json:"Allowed"` // units within a second
+	Allowed int    `json:"Allowed"` // units within the second that ends now
 	Spent   int    `json:"Spent"`   // units within the second before
 }
 
-// View returns what the instance knows at now.
+// View returns the instance's view at now.
 func (m *Member) View(now monotime.Micros) View {
 	term, lastGrantAt := m.lessee.KnownAllocator()
 	v := View{
