--- a/internal/decide/observations/aggregator.go
+++ b/internal/decide/observations/aggregator.go
@@ -7,25 +7,13 @@
 	"dunlinsail/internal/monotime"
 )
 
-const (
-	// maxCount bounds a count in a report: no instance makes so many attempts at an endpoint in so short a time.
-	maxCount = 1e7
-	// reportLifetime is for how long a member's report counts: one that has died must not be counted on.
-	reportLifetime = 2 * second
-	// maxMedianWeight is how many times the median of the members' requests a member counts for at most: one that gets
-	// more, or says so, must not decide for all.
-	maxMedianWeight = 4
-	// minMembersForMedian is the fewest members whose requests have a median.
-	minMembersForMedian = 3
-)
-
-// Aggregator adds up what members report. Create one with NewAggregator.
+// Aggregator adds up the members' reports. A member is an instance that reports. Create one with NewAggregator.
 type Aggregator struct {
 	reports map[string]*memberReport  // the latest of each member, by its name
-	totals  map[string]*requestTotals // by set of endpoints, since the aggregate before
+	totals  map[string]*requestTotals // by set of endpoints, since the previous aggregate
 }
 
-// memberReport is what a member reported last.
+// memberReport is a member's latest report.
 type memberReport struct {
 	Observations
 	receivedAt monotime.Micros
@@ -42,7 +30,8 @@
 	return &Aggregator{reports: map[string]*memberReport{}, totals: map[string]*requestTotals{}}
 }
 
-// Receive takes in a member's report, in place of the one before. Parts that are out of range are dropped.
+// Receive stores a member's report in place of its previous one, and adds its requests to the totals, weighted so that
+// no member counts for more than maxMedianWeight times the median. Counts and levels that are out of range are dropped.
 func (a *Aggregator) Receive(now monotime.Micros, member string, report Observations) {
 	report.Outcomes = slices.DeleteFunc(slices.Clone(report.Outcomes), func(c OutcomeCount) bool { return !c.valid() })
 	report.Levels = slices.DeleteFunc(slices.Clone(report.Levels), func(l OverloadLevel) bool { return !l.valid() })
@@ -62,18 +51,28 @@
 	a.reports[member] = &memberReport{report, now}
 }
 
+// maxCount is the largest valid count of attempts or requests in a report: no instance makes that many within the time
+// that a report covers.
+const maxCount = 1e7
+
 // inRange reports whether v is in 0..limit; NaN is not.
 func inRange(v, limit float64) bool { return v >= 0 && v <= limit }
 
+// valid reports whether the counts are in range.
 func (c *OutcomeCount) valid() bool {
 	return inRange(c.Succeeded, maxCount) && inRange(c.Failed, maxCount)
 }
 
+// valid reports whether level, load and counts are in range.
 func (l *OverloadLevel) valid() bool {
 	return inRange(l.Level, 1) && inRange(l.Load, 1) && inRange(l.Requests, maxCount) && inRange(l.Failed, l.Requests)
 }
 
-// TakeAggregate returns what the members have reported by now, and starts new sums of requests.
+// reportLifetime is the time for which a member's report counts: an instance that has ended must not count for longer.
+const reportLifetime = 2 * second
+
+// TakeAggregate returns the aggregate of the reports that are younger than reportLifetime, and starts new totals of
+// requests.
 func (a *Aggregator) TakeAggregate(now monotime.Micros) Aggregate {
 	var names []string
 	for name, r := range a.reports {
@@ -87,8 +86,16 @@
 	return Aggregate{Reporters: len(names), Levels: a.levels(names), Suspects: a.suspects(names)}
 }
 
-// medianRequests returns the median of the requests that members have reported last for a set of endpoints; 0 if too
-// few have.
+const (
+	// maxMedianWeight bounds a member's weight, in multiples of the median of the members' requests: a member that
+	// reports far more requests than the others, rightly or not, must not decide for all.
+	maxMedianWeight = 4
+	// minMembersForMedian is the smallest number of members whose median is used as a bound.
+	minMembersForMedian = 3
+)
+
+// medianRequests returns the median of the requests in the members' latest reports for a set of endpoints; 0, which is
+// no bound, for fewer than minMembersForMedian members.
 func (a *Aggregator) medianRequests(endpointSet string) float64 {
 	var requests []float64
 	for _, r := range a.reports {
--- a/internal/decide/observations/local.go
+++ b/internal/decide/observations/local.go
@@ -8,32 +8,30 @@
 	"dunlinsail/internal/monotime"
 )
 
-// outcomeDecayTime is the time constant by which outcomes are forgotten. In a fleet of three hundred instances that
-// each send a request a second, one endpoint of twelve is met ten times within it by a tenth of the instances.
-const outcomeDecayTime = 5 * second
-
-// negligibleCount is the smallest count of outcomes that is worth reporting.
-const negligibleCount = 0.05
-
-// Local is what one instance has observed of endpoints. The zero value has observed nothing.
+// Local holds one instance's observations of endpoints. The zero value has none.
 type Local struct {
 	counts   map[attemptKey]*decayingCount
-	rotation int // how many reports had no room for all counts
+	rotation int // number of reports that were too small for all counts
 }
 
-// attemptKey is what outcomes are counted by.
+// attemptKey is the key by which outcomes are counted.
 type attemptKey struct {
 	endpoint string
 	class    int
 }
 
-// decayingCount is the outcomes of a key as of decayedAt.
+// outcomeDecayTime is the time constant of the decay of outcomes. It has to be long enough for a fleet whose instances
+// each send a request a second to see several attempts at each endpoint, and short enough to follow a recovery.
+const outcomeDecayTime = 5 * second
+
+// decayingCount is the number of outcomes of a key, decayed as of decayedAt.
 type decayingCount struct {
 	succeeded float64
 	failed    float64
 	decayedAt monotime.Micros
 }
 
+// decay brings the counts to now. An earlier instant changes nothing.
 func (c *decayingCount) decay(now monotime.Micros) {
 	elapsed := now - c.decayedAt
 	if elapsed <= 0 {
@@ -45,7 +43,7 @@
 	c.decayedAt = now
 }
 
-// RecordOutcome counts an attempt at an endpoint that has ended.
+// RecordOutcome counts an attempt at an endpoint that has ended. class is the number of the request's class.
 func (l *Local) RecordOutcome(now monotime.Micros, endpoint string, class int, succeeded bool) {
 	if l.counts == nil {
 		l.counts = map[attemptKey]*decayingCount{}
@@ -64,8 +62,12 @@
 	}
 }
 
-// OutcomesToReport returns at most limit counts, for the next report. Where there are more, those with failures come
-// first and the others in rotation from call to call.
+// negligibleCount is the smallest decayed count of outcomes that is reported, and of failures that counts as an
+// accusation.
+const negligibleCount = 0.05
+
+// OutcomesToReport returns the counts for the next report, at most limit. Where there are more, those with the most
+// failures come first, and those without failures take turns from call to call.
 func (l *Local) OutcomesToReport(now monotime.Micros, limit int) []OutcomeCount {
 	var all []OutcomeCount
 	for key, c := range l.counts {
@@ -92,7 +94,7 @@
 	return all[:limit]
 }
 
-// rotate brings n counts to the front, others with each rotation.
+// rotate moves n counts to the front, different ones for each rotation.
 func rotate(counts []OutcomeCount, n, rotation int) {
 	for i := range n {
 		to := i % len(counts)
--- a/internal/decide/observations/observations.go
+++ b/internal/decide/observations/observations.go
@@ -1,10 +1,11 @@
-// Package observations adds up what the instances of a fleet observe of endpoints and of overload. In a large fleet
-// each instance observes little by itself: of a failing endpoint each of hundreds meets a failure now and then, and
-// how much load has to be shed shows in a few requests. Together they observe enough within a second.
+// Package observations adds up what the instances of a fleet observe of endpoints and of overload. In a large fleet a
+// single instance has too few requests to decide by: each of hundreds of instances has a failure at a failing endpoint
+// only now and then, and a few requests a second do not show how much load has to be shed. All instances together
+// observe enough within a second.
 //
-// Local holds what one instance has observed, and Aggregator what the instances report; its Aggregate goes back to
-// all of them. Package coordination carries both. An Aggregate is evidence, not a decision: each instance decides by
-// itself what to do about it, and goes by its own observations where none arrives.
+// Local holds one instance's observations. The Aggregator, at the allocator, adds up all instances' reports to an
+// Aggregate, which is sent back to all of them. Package coordination exchanges both. An Aggregate is evidence, not a
+// decision: each instance applies it by its own rules, and uses its own observations while it has no Aggregate.
 //
 // The types are deterministic, without I/O or a clock, and not safe for concurrent use. The package must not know about
 // balancers, sockets, or which instances are alive.
@@ -24,8 +25,8 @@
 	Outcomes []OutcomeCount  `cbor:"Counts"`
 }
 
-// OutcomeCount is how many attempts of a class of requests at an endpoint succeeded and failed lately, decayed with
-// time.
+// OutcomeCount is the number of attempts of a class of requests at an endpoint that succeeded and that failed, with
+// exponential decay (outcomeDecayTime).
 type OutcomeCount struct {
 	Endpoint  string  `cbor:"Endpoint"`
 	Class     int     `cbor:"Class"`
@@ -34,27 +35,27 @@
 }
 
 // OverloadLevel is what an instance has observed of the overload of a set of endpoints (package overload) since its
-// report before.
+// previous report.
 type OverloadLevel struct {
 	EndpointSet string  `cbor:"Of"`
-	Level       float64 `cbor:"Level"` // of load shedding, in 0..1
+	Level       float64 `cbor:"Level"` // admission level, in 0..1; 0 if there is none
 	Load        float64 `cbor:"Load"`  // fraction of its latency objective that a request spends at endpoints, in 0..1
-	Requests    float64 `cbor:"Asked"` // that arrived
-	Failed      float64 `cbor:"Vain"`  // of these, the ones that were admitted in vain
+	Requests    float64 `cbor:"Asked"` // requests that arrived
+	Failed      float64 `cbor:"Vain"`  // requests that were admitted and failed
 }
 
 // Aggregate is what all instances have reported.
 type Aggregate struct {
-	// Levels has means of Level and Load, weighted by requests, and sums of Requests and Failed since the aggregate
-	// before.
+	// Levels has, by set of endpoints, means of Level and Load weighted by requests, and sums of Requests and Failed
+	// since the previous aggregate.
 	Levels    []OverloadLevel `cbor:"Levels"`
-	Reporters int             `cbor:"Members"`  // instances whose reports are in it
+	Reporters int             `cbor:"Members"`  // number of instances whose reports are included
 	Suspects  []Suspect       `cbor:"Suspects"` // the most suspected first
 }
 
-// Suspect is an endpoint that fails much of a class of requests.
+// Suspect is an endpoint that fails a much larger part of a class of requests than the other endpoints do.
 type Suspect struct {
 	Endpoint         string  `cbor:"Endpoint"`
 	Class            int     `cbor:"Class"`
-	AvoidProbability float64 `cbor:"Chance"` // with which a request of the class is better sent elsewhere
+	AvoidProbability float64 `cbor:"Chance"` // with which to avoid it for a request of the class
 }
--- a/internal/decide/observations/observations_test.go
+++ b/internal/decide/observations/observations_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Each member meets a failing endpoint once or twice, all together find it; one that lies makes nobody a suspect.
+// Members that each have one or two failures at an endpoint make it a suspect together. A single member that reports
+// false failures makes no endpoint a suspect.
 func TestSuspectsAreFoundByManyAndNotByOne(t *testing.T) {
 	aggregator := NewAggregator()
 	for i := range 50 {
@@ -21,7 +22,7 @@
 		}
 		if i == 0 {
 			for j := range report.Outcomes {
-				report.Outcomes[j].Failed = 1e6 // it reports failures of all
+				report.Outcomes[j].Failed = 1e6 // a false report
 			}
 		}
 		aggregator.Receive(second, fmt.Sprint("m", i), report)
@@ -42,7 +43,7 @@
 	}
 }
 
-// Levels are weighted by requests; a member that claims most of them does not decide for all.
+// Levels are weighted by requests, within bounds: a member that claims most of the requests does not decide for all.
 func TestLevelsAreWeightedWithinBounds(t *testing.T) {
 	aggregator := NewAggregator()
 	for i := range 10 {
@@ -60,7 +61,7 @@
 	}
 }
 
-// Of many endpoints all with failures are reported, and the others in rotation.
+// Of many endpoints, those with failures are reported each time, and the others in turn.
 func TestOutcomesRotate(t *testing.T) {
 	var local Local
 	for i := range 100 {
--- a/internal/decide/observations/suspects.go
+++ b/internal/decide/observations/suspects.go
@@ -5,27 +5,13 @@
 	"slices"
 )
 
-const (
-	// minOutcomes is how many outcomes an endpoint must have before any is held against it, and steepness how the
-	// probability of avoiding it grows with what it fails beyond the others: beyond two in five it is nearly certain.
-	minOutcomes = 5.0
-	steepness   = 2.4
-	// ignoredAccusers is how many members that report failures of an endpoint are not enough: of so few one may be the
-	// cause itself. The one that reports most failures is left out in any case.
-	ignoredAccusers = 2
-	// maxAvoidProbability leaves a suspect some requests, by which its recovery shows.
-	maxAvoidProbability = 0.95
-	// maxSuspects is how many suspects there are at most: where more endpoints fail, none is to be avoided for another.
-	maxSuspects = 32
-)
-
-// outcomeTotal is what all members report of a key.
+// outcomeTotal is the sum of all members' outcomes of a key.
 type outcomeTotal struct {
 	succeeded    float64
 	failed       float64
 	accusers     int     // members that report failures
-	topFailed    float64 // failures by the member that reports most of them,
-	topSucceeded float64 // and its successes
+	topFailed    float64 // failures reported by the member that reports most
+	topSucceeded float64 // successes reported by the member that reports most failures
 }
 
 // attempts are outcomes without those of the member that reports most failures.
@@ -34,8 +20,27 @@
 	failed float64
 }
 
-// suspects returns the endpoints that fail much more of a class of requests than the others do, by what several members
-// report.
+const (
+	// minOutcomes is the number of outcomes, without those of the top accuser, up to which an endpoint is no suspect.
+	// Beyond it the probability grows with the part of the outcomes that is beyond it.
+	minOutcomes = 5.0
+	// steepness is the probability of avoiding an endpoint per difference of failure ratios, between the endpoint and
+	// the others of the class: with many outcomes, a difference of 0.4 reaches maxAvoidProbability.
+	steepness = 2.4
+	// ignoredAccusers is the largest number of members that report failures of an endpoint without making it a suspect:
+	// among so few members one may be the cause itself.
+	ignoredAccusers = 2
+	// maxAvoidProbability leaves a suspect some requests, by which its recovery is detected.
+	maxAvoidProbability = 0.95
+	// maxSuspects is the largest number of suspects in an aggregate. Where more endpoints fail, to avoid one would only
+	// move its requests to another.
+	maxSuspects = 32
+)
+
+// suspects returns the endpoints that fail a much larger part of a class of requests than the other endpoints do, by
+// the outcomes that several members report, the most suspected first. The probability of avoiding an endpoint is the
+// difference of the two failure ratios times steepness, less where there are few outcomes. The outcomes of the member
+// that reports most failures of an endpoint do not count, so that no single member can make an endpoint a suspect.
 func (a *Aggregator) suspects(members []string) (all []Suspect) {
 	totals, keys := a.outcomeTotals(members)
 	byClass := map[int]attempts{}
@@ -52,7 +57,7 @@
 		if totals[key].accusers <= ignoredAccusers || own.count <= minOutcomes {
 			continue
 		}
-		// One more failure: where nothing is known of others, all may fail.
+		// One failure is added for the others: without outcomes of others, all are taken to fail.
 		othersFailure := (class.failed - own.failed + 1) / (class.count - own.count + 1)
 		p := steepness * (own.failed/own.count - othersFailure) * (own.count - minOutcomes) / own.count
 		if p > 0 {
@@ -69,8 +74,8 @@
 	return all[:min(len(all), maxSuspects)]
 }
 
-// outcomeTotals returns the totals by key, and the keys in the order in which members report them: sums of
-// floating-point numbers depend on it.
+// outcomeTotals returns the totals by key, and the keys in the order of the members' reports, on which the sums of
+// floating-point numbers depend.
 func (a *Aggregator) outcomeTotals(members []string) (totals map[attemptKey]*outcomeTotal, keys []attemptKey) {
 	totals = map[attemptKey]*outcomeTotal{}
 	for _, name := range members {
@@ -88,6 +93,7 @@
 	return totals, keys
 }
 
+// add adds one member's outcomes.
 func (t *outcomeTotal) add(c OutcomeCount) {
 	t.succeeded += c.Succeeded
 	t.failed += c.Failed
