--- a/internal/decide/maintenance/capacity.go
+++ b/internal/decide/maintenance/capacity.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// This file holds the bounds on what may be out against the status of the fleet.
+// This file decides by the fleet's status whether another machine may be drained, and whether one is recalled.
 
-// index returns where a machine stands in the status, or -1.
+// index returns a machine's index in Machines, or -1.
 func (f *FleetStatus) index(name string) int {
 	return slices.IndexFunc(f.Machines, func(m MachineStatus) bool { return m.Name == name })
 }
@@ -18,29 +18,30 @@
 	return f.Usage == other.Usage && f.PeakUsage == other.PeakUsage && slices.Equal(f.Machines, other.Machines)
 }
 
-// demand returns the capacity that the remaining machines have to have.
+// demand returns the capacity that the machines in service must have: the present or the expected usage, if higher.
 func (f *FleetStatus) demand() float64 { return max(f.Usage, f.PeakUsage) }
 
+// isHealthy reports whether the fleet's status has a machine as healthy.
 func (x *State) isHealthy(name string) bool {
 	i := x.Fleet.index(name)
 	return i >= 0 && x.Fleet.Machines[i].Healthy
 }
 
-// isOut reports whether a machine counts as out: planned or not.
+// isOut reports whether a machine counts as out: it is drained or beyond by the plan, or it is unhealthy.
 func (x *State) isOut(status *MachineStatus) bool {
 	m := x.Machines[status.Name]
 	return !status.Healthy || m != nil && m.Phase >= Draining
 }
 
-// outage is what is out of service, and what is left, beside one machine.
+// outage is the machines out of service, and the capacity in service, without one machine that may be drained.
 type outage struct {
 	total, sameZone, sameCell, sameKind int // machines out
-	healthyInCell                       int
+	healthyInCell                       int // machines in service in the machine's cell
 	remainingCapacity                   float64
 	aloneInCell                         bool // no other machine is in its cell
 }
 
-// outageBeside returns what is out apart from the i-th machine, counted by that machine's zone, cell and kind.
+// outageBeside returns the outage without the i-th machine, counted by that machine's zone, cell and kind.
 func (x *State) outageBeside(i int) (o outage) {
 	o.aloneInCell = true
 	status := &x.Fleet.Machines[i]
@@ -77,7 +78,9 @@
 	}
 }
 
-// drainBlockedBy returns why a machine must not be drained now; "" if it may be.
+// drainBlockedBy returns why a machine must not be drained now; empty if it may be. The reasons are, in this order: a
+// hold, a machine that is not in the fleet's status, a lost zone, and the bounds of boundReachedBy. The texts are
+// replicated, and stay as they are.
 func (x *State) drainBlockedBy(m *Machine) string {
 	i := x.Fleet.index(m.Name)
 	switch {
@@ -94,7 +97,8 @@
 	return x.boundReachedBy(&x.Fleet.Machines[i], x.outageBeside(i))
 }
 
-// boundReachedBy returns which bound a machine would break if it were drained beside what is out; "" if none.
+// boundReachedBy returns which bound of the settings a machine's drain would break, given the machines that are out;
+// empty if none. After a drain the capacity in service, less Settings.Headroom, must cover the fleet's demand.
 func (x *State) boundReachedBy(status *MachineStatus, o outage) string {
 	s := &x.settings
 	spareable := o.remainingCapacity * (1 - s.Headroom)
@@ -115,7 +119,9 @@
 	return ""
 }
 
-// lostZone returns the first zone, by name, of which more than half is out without having been drained; "" if none.
+// lostZone returns the first zone, by name, of which more than half of the machines are unhealthy without being
+// drained; empty if there is none. While a zone is lost, its machines' capacity is needed elsewhere: nothing is
+// drained.
 func (x *State) lostZone() string {
 	total := map[string]int{}
 	unplanned := map[string]int{}
@@ -135,8 +141,8 @@
 	return ""
 }
 
-// recallUnaffordable recalls what is out where the remaining capacity no longer does: a machine that only drains
-// stays in service, and one under maintenance is marked as needed back.
+// recallUnaffordable recalls machines while the capacity in service is too small (recallReason): a draining machine
+// goes back into service, and one under maintenance is marked as needed back, until the reason no longer holds.
 func (x *State) recallUnaffordable() {
 	reason := x.recallReason()
 	for _, name := range slices.Sorted(maps.Keys(x.Machines)) {
@@ -155,7 +161,9 @@
 	}
 }
 
-// recallReason returns why capacity that is out is needed back; "" if it is not.
+// recallReason returns why capacity that is out is needed back; empty if it is not: a zone is lost, or the capacity in
+// service is less than the fleet's demand. Settings.Headroom does not count here, so that a drain that was just allowed
+// is not undone by a small rise of the demand.
 func (x *State) recallReason() string {
 	if zone := x.lostZone(); zone != "" {
 		return "more than half of zone " + zone + " is out unplanned"
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -8,30 +8,31 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Coordinator is what the leader knows of how far every instance has applied the plan. Each term of leadership has
-// its own, made with NewCoordinator; none of it is stored.
+// Coordinator is the leader's record of each instance's progress in applying the plan. Each term of leadership has its
+// own, created with NewCoordinator; it is not stored.
 type Coordinator struct {
 	settings  Settings
-	since     monotime.Micros
+	since     monotime.Micros // start of the term
 	instances map[Instance]*instanceProgress
 }
 
-// instanceProgress is how far a process has come, by its last report.
+// instanceProgress is a process's progress, by its latest report.
 type instanceProgress struct {
-	sequence    uint64
-	planVersion uint64
-	inFlight    map[string]int
-	leaseEnd    monotime.Micros // when its lease is over by any clock
+	sequence    uint64          // of the report
+	planVersion uint64          // of the plan that it applies
+	inFlight    map[string]int  // requests in flight, by excluded machine
+	leaseEnd    monotime.Micros // when its lease has expired by any clock
 	reportedAt  monotime.Micros
 }
 
-// NewCoordinator returns the knowledge of an instance that leads from now on: what leaders before it granted holds
-// for one lease at most.
+// NewCoordinator returns the coordinator of an instance that leads from now on. The leases that earlier leaders granted
+// are unknown; each expires within one lease's duration.
 func NewCoordinator(now monotime.Micros, s Settings) *Coordinator {
 	return &Coordinator{settings: s, since: now, instances: map[Instance]*instanceProgress{}}
 }
 
-// RecordReport records an instance's report, and reports whether it is newer than the last one of the same process.
+// RecordReport records an instance's report. It reports whether the report is newer than the last one of the same
+// process; an older one is ignored.
 func (c *Coordinator) RecordReport(now monotime.Micros, name string, report Report) bool {
 	instance := Instance{Name: name, Incarnation: report.Incarnation}
 	progress := c.instances[instance]
@@ -49,12 +50,12 @@
 	return true
 }
 
-// earlierLeasesEnd returns when all leases that leaders before this one granted are over by any clock.
+// earlierLeasesEnd returns when all leases of earlier leaders have expired by any clock.
 func (c *Coordinator) earlierLeasesEnd() monotime.Micros {
 	return c.since + c.settings.withDrift(c.settings.LeaseDuration)
 }
 
-// Grant returns the answer to a report that was recorded, and notes the lease that it gives.
+// Grant returns the reply to a report that was recorded, and records the lease in it.
 func (c *Coordinator) Grant(now monotime.Micros, name string, report Report, plan Plan) PlanGrant {
 	progress := c.instances[Instance{Name: name, Incarnation: report.Incarnation}]
 	progress.leaseEnd = max(progress.leaseEnd, now+c.settings.withDrift(c.settings.LeaseDuration))
@@ -66,14 +67,15 @@
 	}
 }
 
-// Progress is what instances' reports allow to be entered into the log.
+// Progress is the machines that may enter their next phase, by the instances' reports. The leader puts it into the log.
 type Progress struct {
-	Acknowledged []string          // machines that all instances know as announced
-	Drained      []string          // machines that nobody sends to, with nothing in flight there
-	WaitReasons  map[string]string // what the others wait for, by machine
+	Acknowledged []string          // machines that all instances have a plan with, as announced
+	Drained      []string          // machines to which no instance sends, with nothing in flight there
+	WaitReasons  map[string]string // by machine: why it may not enter its next phase; empty if it may
 }
 
-// Progress returns which machines of a state may enter their next phase, by name.
+// Progress returns the machines of a state that may enter their next phase, sorted by name, and what the others wait
+// for.
 func (c *Coordinator) Progress(now monotime.Micros, x *State) Progress {
 	progress := Progress{WaitReasons: map[string]string{}}
 	for _, name := range slices.Sorted(maps.Keys(x.Machines)) {
@@ -94,7 +96,7 @@
 	return progress
 }
 
-// notAcknowledgedBy returns which instance may not know that a machine is announced; "" if none.
+// notAcknowledgedBy returns which instance may not have a plan that lists a machine as announced; empty if none.
 func (c *Coordinator) notAcknowledgedBy(x *State, m *Machine) string {
 	for _, name := range slices.Sorted(maps.Keys(x.Instances)) {
 		progress := c.instances[Instance{Name: name, Incarnation: x.Instances[name]}]
@@ -105,8 +107,8 @@
 	return ""
 }
 
-// stillInUseBy returns who may still send to a draining machine or have something in flight there; "" is nobody. An
-// instance whose lease and grace time are over does neither: it knew the machine as announced.
+// stillInUseBy returns which instance may still send to a draining machine or have requests in flight there; empty if
+// none. An instance whose lease and grace time are over does neither, since its plan lists the machine as announced.
 func (c *Coordinator) stillInUseBy(now monotime.Micros, x *State, m *Machine) string {
 	if !c.ended(now, c.earlierLeasesEnd()) {
 		return "who led before may have told a process that is not heard yet"
@@ -124,7 +126,7 @@
 	return c.predecessorInUse(now, x)
 }
 
-// predecessorInUse returns which instance's earlier process may still have something in flight; "" if none.
+// predecessorInUse returns which instance's earlier process may still have requests in flight; empty if none.
 func (c *Coordinator) predecessorInUse(now monotime.Micros, x *State) string {
 	for _, instance := range c.sortedInstances() {
 		current := x.Instances[instance.Name] == instance.Incarnation
@@ -135,19 +137,20 @@
 	return ""
 }
 
-// ended reports whether the grace time after a lease is over by any clock.
+// ended reports whether the grace time after a lease has passed by any clock.
 func (c *Coordinator) ended(now, leaseEnd monotime.Micros) bool {
 	return now >= leaseEnd+c.settings.withDrift(c.settings.InFlightGrace)
 }
 
+// sortedInstances returns all processes that have reported in this term, by name and incarnation.
 func (c *Coordinator) sortedInstances() []Instance {
 	return slices.SortedFunc(maps.Keys(c.instances), func(a, b Instance) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 }
 
-// SilentInstances returns the instances that have not reported for a time, by name. They keep machines from being
-// acknowledged: whether such a process still runs cannot be told here.
+// SilentInstances returns the instances that have sent no report for a time, sorted by name. They prevent machines from
+// being acknowledged: such a process may have ended, or be cut off.
 func (c *Coordinator) SilentInstances(now monotime.Micros, x *State, after monotime.Micros) []Instance {
 	var silent []Instance
 	for _, name := range slices.Sorted(maps.Keys(x.Instances)) {
--- a/internal/decide/maintenance/encoding_test.go
+++ b/internal/decide/maintenance/encoding_test.go
@@ -14,9 +14,9 @@
 	"dunlinsail/internal/monotime"
 )
 
-// The files under testdata/encoded and testdata/replay were written by the build of commit 870f4ac, before any tag
-// was set on these structures. They are what a raft log on disk holds and what a voter of that build sends: they are
-// read here and must never be rewritten.
+// The files under testdata/encoded and testdata/replay were written by the build of commit 870f4ac, before these
+// structures had tags. They have the form of raft logs on disk and of messages of voters of that build, and must never
+// be rewritten.
 
 // encoded returns an empty value of each type of this package that is stored or sent.
 func encoded() map[string]any {
@@ -28,8 +28,8 @@
 	}
 }
 
-// A stored or sent structure has the same bytes as by the build before its fields had tags, and those bytes have
-// every field come back.
+// A stored or sent structure is encoded to the same bytes as by the build before its fields had tags, and each field is
+// decoded from those bytes.
 func TestEncodedFormIsThatOfTheBuildBefore(t *testing.T) {
 	for name, empty := range encoded() {
 		for _, form := range []string{"empty", "filled"} {
@@ -44,8 +44,8 @@
 	}
 }
 
-// A log of the build before has this build come to that build's state, byte for byte, also when the state is stored
-// and restored after each of its entries.
+// A log of the earlier build leads to that build's state, byte for byte, also when the state is stored and restored
+// after each entry.
 func TestLogOfTheBuildBeforeGivesItsState(t *testing.T) {
 	want := golden.ReadLine(t, "replay", "state.json")
 	direct, err := NewState(replaySettings)
@@ -100,7 +100,7 @@
 	}
 }
 
-// replaySettings are those by which the stored log was applied.
+// replaySettings are the settings with which the stored log was applied.
 var replaySettings = Settings{
 	MaxOut: 2, MaxOutPerZone: 1, MaxOutPerCell: 1, MaxAnnounced: 4, Headroom: 0.1,
 	LeaseDuration: monotime.Second, InFlightGrace: monotime.Second, Warmup: 2 * monotime.Second,
--- a/internal/decide/maintenance/follower.go
+++ b/internal/decide/maintenance/follower.go
@@ -6,26 +6,27 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Report says how far an instance has applied the plan, and asks the leader for the next one.
+// Report is an instance's progress in applying the plan, and its request for the next grant.
 type Report struct {
 	Incarnation uint64         `json:"Life"`
-	Sequence    uint64         `json:"Number"`  // grows with each report of a process; from 1
-	PlanVersion uint64         `json:"Version"` // of the plan that it applies; 0 is none yet
-	InFlight    map[string]int `json:"Open"`    // requests in flight at machines that nothing new may go to
+	Sequence    uint64         `json:"Number"`  // increases with each report of a process, from 1
+	PlanVersion uint64         `json:"Version"` // of the plan that the instance applies; 0 is none yet
+	InFlight    map[string]int `json:"Open"`    // requests in flight, by excluded machine
 }
 
-// PlanGrant answers a Report with the plan, under a lease that runs from when the report was sent.
+// PlanGrant is the leader's reply to a Report: the plan, under a lease that starts when the report was sent.
 type PlanGrant struct {
-	Incarnation   uint64          `json:"Life"`   // of the report,
-	Sequence      uint64          `json:"Number"` // and its number
+	Incarnation   uint64          `json:"Life"`   // of the report
+	Sequence      uint64          `json:"Number"` // of the report
 	Plan          Plan            `json:"Order"`
 	LeaseDuration monotime.Micros `json:"Lease"`
 }
 
-// rememberedReports is how many reports may be under way at once: a grant that answers an older one is dropped.
+// rememberedReports is the number of latest reports whose time of sending is known: a grant for an older one is
+// dropped.
 const rememberedReports = 8
 
-// Follower is what one instance has to apply of the plan. Make one with NewFollower.
+// Follower is the plan that one instance has to apply, and its lease. Create one with NewFollower.
 type Follower struct {
 	settings     Settings
 	incarnation  uint64
@@ -36,6 +37,7 @@
 	lastSequence uint64
 }
 
+// sentReport is the time at which a report was sent.
 type sentReport struct {
 	sequence uint64
 	sentAt   monotime.Micros
@@ -50,17 +52,18 @@
 	return &Follower{settings: s, incarnation: incarnation}, nil
 }
 
-// HasPlan reports whether it has received a plan at all.
+// HasPlan reports whether it has ever received a plan, or inherited one.
 func (f *Follower) HasPlan() bool { return f.hasPlan }
 
-// Inherit sets the plan, and the end of its lease, that the process applies whose successor this one is.
+// Inherit sets the plan of the predecessor in a hot restart, and the end of the predecessor's lease.
 func (f *Follower) Inherit(plan Plan, leaseEnd monotime.Micros) {
 	f.plan = plan
 	f.hasPlan = true
 	f.leaseEnd = leaseEnd
 }
 
-// NextReport returns a report that is sent now. inFlight returns how many requests are in flight at a machine.
+// NextReport returns the next report, which the caller must send at now. inFlight returns the number of requests that
+// are in flight at a machine.
 func (f *Follower) NextReport(now monotime.Micros, inFlight func(machine string) int) Report {
 	f.lastSequence++
 	*f.sentReport(f.lastSequence) = sentReport{sequence: f.lastSequence, sentAt: now}
@@ -76,12 +79,13 @@
 	return report
 }
 
+// sentReport returns the place of a report in the ring.
 func (f *Follower) sentReport(sequence uint64) *sentReport {
 	return &f.sentReports[sequence%rememberedReports]
 }
 
-// ApplyGrant applies a grant and reports whether ExcludedMachines or the plan may be others than before. It drops
-// grants that are late, come twice, or answer another process or an older plan than the one that is applied.
+// ApplyGrant applies a grant, and reports whether the plan or ExcludedMachines may have changed. It drops grants that
+// are late, duplicated, for another process, or of an older plan than the present one.
 func (f *Follower) ApplyGrant(now monotime.Micros, grant PlanGrant) (changed bool) {
 	report := *f.sentReport(grant.Sequence)
 	if grant.Incarnation != f.incarnation || report.sequence != grant.Sequence || grant.Sequence == 0 {
@@ -99,8 +103,8 @@
 	return changed
 }
 
-// ExcludedMachines returns the machines that nothing new may go to now, by name. Once the lease has expired,
-// announced ones are among them.
+// ExcludedMachines returns the machines to which nothing new may be sent at now. After the end of the lease these
+// include the announced machines, since a newer plan may exclude them.
 func (f *Follower) ExcludedMachines(now monotime.Micros) []string {
 	excluded := slices.Clone(f.plan.Excluded)
 	if now >= f.leaseEnd {
@@ -110,13 +114,14 @@
 	return excluded
 }
 
-// MustEndInFlight reports whether the lease expired so long ago that what is in flight at excluded machines has to end.
+// MustEndInFlight reports whether the lease expired at least Settings.InFlightGrace ago, so that requests in flight at
+// excluded machines must be ended.
 func (f *Follower) MustEndInFlight(now monotime.Micros) bool {
 	return f.hasPlan && now >= f.leaseEnd+f.settings.InFlightGrace
 }
 
-// CurrentPlan returns the plan that was applied last, the end of its lease, and when what is in flight at its
-// machines has to end.
+// CurrentPlan returns the plan that was applied last, the end of its lease, and the instant at which the requests in
+// flight at its machines must be ended if the lease is not renewed.
 func (f *Follower) CurrentPlan() (plan Plan, leaseEnd, inFlightEnd monotime.Micros) {
 	return f.plan, f.leaseEnd, f.leaseEnd + f.settings.InFlightGrace
 }
--- a/internal/decide/maintenance/requests.go
+++ b/internal/decide/maintenance/requests.go
@@ -7,13 +7,17 @@
 	"strings"
 )
 
-// This file applies operators' commands. Errors are answers to them: every replica returns the same, and nothing
-// changes.
+// This file applies operators' commands. An error is the reply to an operator whose command has no effect; all replicas
+// return the same.
 
 var errIncompleteRequest = errors.New("an id, a machine and a time are needed")
 
+// unknownRequest returns the error of a command for a request that does not exist. Its text predates the term request.
 func unknownRequest(id string) error { return fmt.Errorf("no job is named %q", id) }
 
+// addRequest adds a request and its machines to the plan. If a request of the same id exists, only that one's
+// description is returned. It fails if a field is missing, or if a machine is not in the fleet's status, where
+// that is known.
 func (x *State) addRequest(request Request) (answer string, err error) {
 	if request.ID == "" || len(request.Machines) == 0 || request.Duration <= 0 {
 		return "", errIncompleteRequest
@@ -39,7 +43,8 @@
 	return x.describe(&request), nil
 }
 
-// requireMachine adds a request to those that need a machine out.
+// requireMachine adds a request to those that need a machine out. One that is under maintenance stays so for at least
+// the request's duration; one that is returning starts anew.
 func (x *State) requireMachine(name string, request *Request) {
 	m := x.Machines[name]
 	switch {
@@ -56,7 +61,7 @@
 	}
 }
 
-// describe returns the phase of each of a request's machines, and what it waits for.
+// describe returns the phase of each of a request's machines, and what blocks it.
 func (x *State) describe(request *Request) string {
 	var parts []string
 	for _, name := range request.Machines {
@@ -88,7 +93,7 @@
 	return "cancelled", nil
 }
 
-// completeRequest releases a machine of a request, or all of them, and drops the request once it needs none any more.
+// completeRequest releases one machine of a request, or all, and removes the request once it needs no machine.
 func (x *State) completeRequest(c Completion) (answer string, err error) {
 	request := x.Requests[c.Request]
 	if request == nil {
@@ -117,8 +122,8 @@
 	return m != nil && slices.Contains(m.Requests, requestID)
 }
 
-// releaseMachine removes a request from those that need a machine out. Once there is none, a machine under
-// maintenance returns, and any other leaves the plan.
+// releaseMachine removes a request from those that need a machine out. Without any left, a machine under maintenance
+// returns, and any other is removed from the plan.
 func (x *State) releaseMachine(name, requestID string) {
 	if !x.needs(requestID, name) {
 		return
@@ -131,7 +136,7 @@
 		x.setPhase(m, Returning)
 		x.recordEvent("%s returns, cold", name)
 	case m.Phase == Draining:
-		// Nothing was done to the machine: it needs no warm-up.
+		// No work on the machine has begun: it needs no warm-up.
 		x.PlanVersion++
 		delete(x.Machines, name)
 		x.recordEvent("%s stays in", name)
@@ -143,7 +148,7 @@
 	}
 }
 
-// setHold starts or ends a hold of a request, or of all.
+// setHold starts or ends a hold of one request, or of all.
 func (x *State) setHold(h Hold) (answer string, err error) {
 	if h.Request == "" {
 		x.OnHold = h.On
--- a/internal/decide/maintenance/schedule.go
+++ b/internal/decide/maintenance/schedule.go
@@ -7,9 +7,10 @@
 	"slices"
 )
 
-// This file decides which machine goes on to its next phase, and what stands against it.
+// This file decides which machine enters its next phase, and in which order.
 
-// advance carries out all phase changes that have become due or possible.
+// advance makes all phase changes that have become due or possible: machines that are out first, then recalls, since
+// both change what may be announced and drained.
 func (x *State) advance() {
 	for _, name := range slices.Sorted(maps.Keys(x.Machines)) {
 		x.advanceOut(x.Machines[name])
@@ -20,7 +21,8 @@
 	x.drain(queue)
 }
 
-// advanceOut has a machine that is out become overdue, or go back into service after its warm-up.
+// advanceOut marks a machine under maintenance as overdue, or removes one from the plan that has returned, is warmed up
+// and healthy.
 func (x *State) advanceOut(m *Machine) {
 	warmedUp := m.Phase == Returning && x.Now >= m.Since+x.settings.Warmup
 	switch {
@@ -36,7 +38,8 @@
 	}
 }
 
-// announce has the first of the queue be announced, as many as may be.
+// announce announces the first machines of the queue, up to Settings.MaxAnnounced. An urgent machine takes the place of
+// an announced one that is not urgent.
 func (x *State) announce(queue []*Machine) {
 	announced := 0
 	for _, m := range x.Machines {
@@ -44,7 +47,7 @@
 			announced++
 		}
 	}
-	// A machine whose drain was recalled is announced again, which may be one too many: the last of the queue yields.
+	// A machine whose drain was undone is announced again, which may exceed the bound: the last of the queue yields.
 	for _, m := range slices.Backward(queue) {
 		if announced > x.settings.MaxAnnounced && listOf(m.Phase) == listAnnounced {
 			x.setPhase(m, Requested)
@@ -67,7 +70,7 @@
 	}
 }
 
-// drain starts to drain the acknowledged machines against which nothing stands.
+// drain starts to drain the acknowledged machines, in the order of the queue, that drainBlockedBy does not block.
 func (x *State) drain(queue []*Machine) {
 	for _, m := range queue {
 		if m.Phase != Acknowledged {
@@ -83,8 +86,8 @@
 	}
 }
 
-// preemptFor has the last announced machine of the queue that is not urgent yield to one that is, and reports whether
-// there was one.
+// preemptFor withdraws the announcement of the last machine of the queue that is not urgent, if the given machine is
+// urgent. It reports whether it has withdrawn one.
 func (x *State) preemptFor(urgent *Machine, queue []*Machine) bool {
 	if !x.firstRequest(urgent).Urgent {
 		return false
@@ -98,10 +101,12 @@
 	return false
 }
 
+// firstRequest returns the oldest of the requests that need a machine out.
 func (x *State) firstRequest(m *Machine) *Request { return x.Requests[m.Requests[0]] }
 
-// queue returns the machines that are not out, in the order in which they are to go: urgent ones first, then those
-// whose requester has had the fewest machines out, then the oldest request.
+// queue returns the machines that are not drained yet, in the order in which they are announced and drained: urgent
+// ones first, then those whose requester has had the fewest drains, so that one requester does not block others, then
+// those of the oldest request.
 func (x *State) queue() []*Machine {
 	var queue []*Machine
 	for _, m := range x.Machines {
@@ -113,6 +118,7 @@
 	return queue
 }
 
+// compareInQueue compares two machines by their place in the queue.
 func (x *State) compareInQueue(a, b *Machine) int {
 	requestA := x.firstRequest(a)
 	requestB := x.firstRequest(b)
@@ -124,6 +130,7 @@
 	)
 }
 
+// urgencyRank returns 0 for an urgent request and 1 for others.
 func urgencyRank(request *Request) int {
 	if request.Urgent {
 		return 0
--- a/internal/decide/maintenance/settings.go
+++ b/internal/decide/maintenance/settings.go
@@ -5,29 +5,49 @@
 	"dunlinsail/internal/monotime"
 )
 
-// The bounds that Settings.Validate sets.
 const (
+	// minLeaseDuration is the smallest value of Settings.LeaseDuration.
 	minLeaseDuration = 10 * monotime.Millisecond
-	largestDrift     = 0.1
+	// largestDrift is the largest value of Settings.MaxClockDrift, as a fraction of the true rate.
+	largestDrift = 0.1
 )
 
-// Settings bound what may be out of service. All instances of a fleet have the same.
+// Settings bound which machines may be out of service at the same time. All instances of a fleet have the same.
+// Machines out are those that are drained, under maintenance or returning, and those that are unhealthy.
 type Settings struct {
-	MaxOut        int             // machines out at once
-	MaxOutPerZone int             // machines out at once in a zone; 0 is no such bound
-	MaxOutPerCell int             // machines out at once in a cell; 0 is no such bound, but one always stays
-	MaxOutPerKind int             // machines out at once of a machine type; 0 is no such bound
-	MaxAnnounced  int             // machines announced at once, those that are out not counted
-	Headroom      float64         // the part of the remaining capacity that must stay unused, in 0..1
-	LeaseDuration monotime.Micros // for how long a plan holds at an instance
-	InFlightGrace monotime.Micros // how long after its lease an instance ends what is in flight at such machines
-	Warmup        monotime.Micros // for how long a machine that returns still counts as out
-	MaxClockDrift float64         // by what part of itself a clock's rate may be off
+	// MaxOut is the number of machines that may be out, at least 1.
+	MaxOut int
+	// MaxOutPerZone is the number of machines of a zone that may be out; 0 is no bound.
+	MaxOutPerZone int
+	// MaxOutPerCell is the number of machines of a cell that may be out; 0 is no bound. The last healthy machine of a
+	// cell of several is never drained.
+	MaxOutPerCell int
+	// MaxOutPerKind is the number of machines of a machine type that may be out; 0 is no bound.
+	MaxOutPerKind int
+	// MaxAnnounced is the number of machines that may be announced and not yet drained, at least MaxOut. An instance
+	// that is cut off cannot use that many machines.
+	MaxAnnounced int
+	// Headroom is the fraction of the remaining capacity that must stay unused after a drain, in 0..1, and not 1.
+	Headroom float64
+	// LeaseDuration is the time for which a plan holds at an instance, from when it sent its report, at least
+	// minLeaseDuration.
+	LeaseDuration monotime.Micros
+	// InFlightGrace is the time after the end of its lease after which an instance ends the requests that are in flight
+	// at announced and excluded machines.
+	InFlightGrace monotime.Micros
+	// Warmup is the time for which a machine that returns still counts as out.
+	Warmup monotime.Micros
+	// MaxClockDrift is the largest difference between the rate of an instance's clock and the true rate, as a fraction
+	// of the true rate, in 0..largestDrift. Machines are free of requests only while all clocks are within it.
+	MaxClockDrift float64
 }
 
-// invalidSetting returns the error of a setting.
+// settingsComponent is the name of the maintenance settings in error messages, which predates the term maintenance.
+const settingsComponent = "work"
+
+// invalidSetting returns the *setting.Error of a setting that is out of range.
 func invalidSetting(key, reason string) error {
-	return &setting.Error{Component: "work", Key: key, Reason: reason}
+	return &setting.Error{Component: settingsComponent, Key: key, Reason: reason}
 }
 
 // Validate returns a *setting.Error for the first setting that is out of its range.
@@ -49,7 +69,7 @@
 	return nil
 }
 
-// withDrift returns how long to wait by the own clock for a duration to have passed by any other clock.
+// withDrift returns the time to wait by the local clock until d has passed by any other clock.
 func (s *Settings) withDrift(d monotime.Micros) monotime.Micros {
 	return monotime.ExtendForDrift(d, s.MaxClockDrift)
 }
--- a/internal/decide/maintenance/state.go
+++ b/internal/decide/maintenance/state.go
@@ -8,24 +8,24 @@
 	"dunlinsail/internal/monotime"
 )
 
-// maxEvents is how many events a State keeps; older ones are dropped.
+// maxEvents is the number of latest events in a State; older ones are dropped.
 const maxEvents = 200
 
-// State is the replicated plan of which machines are out of service. Make one with NewState; Apply builds it from the
-// log. Its JSON is the content of a raft snapshot. The texts of events are part of it: replicas of two builds agree
+// State is the replicated plan of the machines that are out of service. Create one with NewState; Apply builds it from
+// the log. Its JSON is the content of a raft snapshot. The texts of events are part of it: replicas of two builds agree
 // only as long as they stay the same.
 type State struct {
 	settings          Settings
 	Now               monotime.Micros     `json:"Now"`
-	PlanVersion       uint64              `json:"Version"`   // grows with each change of what Plan returns
+	PlanVersion       uint64              `json:"Version"`   // increases with each change of Plan's lists
 	Requests          map[string]*Request `json:"Jobs"`      // by id
 	Machines          map[string]*Machine `json:"Items"`     // by name
-	Instances         map[string]uint64   `json:"Instances"` // incarnations, by the instance's name
+	Instances         map[string]uint64   `json:"Instances"` // incarnations, by instance name
 	Fleet             FleetStatus         `json:"Facts"`
 	OnHold            bool                `json:"Held"` // no further machine is drained
 	Events            []Event             `json:"Events"`
-	DrainsByRequester map[string]int      `json:"Taken"` // machines drained so far
-	CommandCount      uint64              `json:"Count"` // commands applied so far
+	DrainsByRequester map[string]int      `json:"Taken"` // number of drains so far, by requester
+	CommandCount      uint64              `json:"Count"` // number of commands applied so far
 }
 
 // NewState returns a plan in which no machine is out, or a *setting.Error.
@@ -42,11 +42,12 @@
 	}, nil
 }
 
-// UseSettings sets the settings of a state that was decoded from a snapshot: they are no part of its stored form.
+// UseSettings sets the settings of a state that was decoded from a snapshot, which does not contain them.
 func (x *State) UseSettings(s Settings) { x.settings = s }
 
-// Apply applies the log's next command. It returns the answer to the operator whose command it is, or an error that
-// says why the command changes nothing; that error is an answer too, not a fault of the log.
+// Apply applies the log's next command, and then all phase changes that are due or possible. It returns the reply to
+// the operator whose command it is. An error is a reply as well, not a fault of the log: the reason why the operator's
+// command has no effect. All replicas return the same.
 func (x *State) Apply(c Command) (answer string, err error) {
 	x.Now = max(x.Now, c.Time)
 	x.CommandCount++
@@ -73,7 +74,7 @@
 	return answer, err
 }
 
-// applyProgress has machines enter the next phase that instances have come to by what the leader found.
+// applyProgress moves machines to the next phase that all instances have reached, by the leader's Progress.
 func (x *State) applyProgress(acknowledged, drained []string) {
 	for _, name := range acknowledged {
 		if m := x.Machines[name]; m != nil && m.Phase == Announced {
@@ -106,7 +107,7 @@
 	return plan
 }
 
-// planList is the list of a Plan that a machine stands in.
+// planList is the list of a Plan that contains a machine.
 type planList int
 
 const (
@@ -115,6 +116,7 @@
 	listExcluded
 )
 
+// listOf returns the list of a Plan that contains a machine in a phase.
 func listOf(p Phase) planList {
 	switch p {
 	case Announced, Acknowledged:
@@ -125,7 +127,7 @@
 	return listNone
 }
 
-// setPhase has a machine enter a phase. Where that moves it to another list of the plan, the plan gets a new version.
+// setPhase moves a machine to a phase. If that moves it to another list of the plan, the plan gets a new version.
 func (x *State) setPhase(m *Machine, p Phase) {
 	if listOf(m.Phase) != listOf(p) {
 		x.PlanVersion++
@@ -138,7 +140,7 @@
 	m.Overdue = false
 }
 
-// longestDuration returns the longest time for which one of a machine's requests needs it out.
+// longestDuration returns the longest Request.Duration of a machine's requests.
 func (x *State) longestDuration(m *Machine) (longest monotime.Micros) {
 	for _, id := range m.Requests {
 		if request := x.Requests[id]; request != nil {
@@ -148,6 +150,7 @@
 	return longest
 }
 
+// recordEvent adds an event, and drops the oldest beyond maxEvents.
 func (x *State) recordEvent(format string, args ...any) {
 	x.Events = append(x.Events, Event{Time: x.Now, Text: fmt.Sprintf(format, args...)})
 	if surplus := len(x.Events) - maxEvents; surplus > 0 {
--- a/internal/decide/maintenance/state_test.go
+++ b/internal/decide/maintenance/state_test.go
@@ -17,8 +17,8 @@
 	LeaseDuration: monotime.Second, InFlightGrace: monotime.Second, Warmup: 2 * monotime.Second,
 }
 
-// eightMachines returns the status of eight healthy machines in four zones, two to a cell, of which so much capacity
-// is in use.
+// eightMachines returns the status of eight healthy machines in four zones, two to a cell, with the given
+// capacity in use.
 func eightMachines(usage float64) *FleetStatus {
 	status := &FleetStatus{Usage: usage, PeakUsage: usage}
 	for i := range 8 {
@@ -29,39 +29,39 @@
 	return status
 }
 
-// stateWith returns a state to which a fleet's status and requests have been applied, a microsecond after one another.
-func stateWith(t testing.TB, status *FleetStatus, requests ...Request) *State {
-	t.Helper()
+// stateWith returns a state to which a fleet's status and then requests have been applied, a microsecond apart.
+func stateWith(tb testing.TB, status *FleetStatus, requests ...Request) *State {
+	tb.Helper()
 	x, err := NewState(testSettings)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	apply(t, x, Command{FleetStatus: status})
+	apply(tb, x, Command{FleetStatus: status})
 	for i := range requests {
 		if requests[i].Duration == 0 {
 			requests[i].Duration = 60 * monotime.Second
 		}
 		if _, err := x.Apply(Command{Time: monotime.Micros(i + 1), Request: &requests[i]}); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 	}
 	return x
 }
 
 // apply applies a command that must not be an error.
-func apply(t testing.TB, x *State, c Command) {
-	t.Helper()
+func apply(tb testing.TB, x *State, c Command) {
+	tb.Helper()
 	if _, err := x.Apply(c); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
 
-// acknowledge has all that is announced be acknowledged, again and again, as long as something comes of it.
-func acknowledge(t testing.TB, x *State) {
-	t.Helper()
+// acknowledge acknowledges all announced machines, until the plan no longer changes.
+func acknowledge(tb testing.TB, x *State) {
+	tb.Helper()
 	for version := ^uint64(0); version != x.PlanVersion; {
 		version = x.PlanVersion
-		apply(t, x, Command{Acknowledged: x.Plan().Announced})
+		apply(tb, x, Command{Acknowledged: x.Plan().Announced})
 	}
 }
 
@@ -77,14 +77,14 @@
 	return strings.Join(names, "")
 }
 
-// What is drained is within each bound, and what waits has its reason.
+// Drains stay within each bound, and machines that wait have the reason.
 func TestDrainsAreWithinTheBounds(t *testing.T) {
 	all := []string{"m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7"}
 	for _, c := range []struct {
 		name       string
 		change     func(status *FleetStatus)
-		drained    string // at first
-		waitReason string // of one that is not
+		drained    string // the machines that are drained first
+		waitReason string // of one that is not drained
 	}{
 		{
 			name:    "two of eight, of zones and cells of their own",
@@ -156,7 +156,7 @@
 	}
 }
 
-// A machine of two requests is out until both are complete; a request that comes twice counts once.
+// A machine of two requests is out until both are complete. A duplicated request counts once.
 func TestMachineOfTwoRequestsIsOutUntilBothAreComplete(t *testing.T) {
 	x := stateWith(t, eightMachines(1),
 		Request{ID: "a", Machines: []string{"m0"}, Requester: "ana"},
@@ -180,8 +180,8 @@
 	}
 }
 
-// A request is cancelled in each phase: a machine under maintenance returns and warms up, any other stays in; nothing
-// is left.
+// A request is cancelled in each phase: a machine under maintenance returns and warms up, any other stays in service,
+// and nothing of the request remains in the plan.
 func TestCancelInEachPhase(t *testing.T) {
 	for step := range 5 {
 		x := stateWith(t, eightMachines(1), Request{ID: "a", Machines: []string{"m0"}, Requester: "ana"})
@@ -201,15 +201,8 @@
 		if m := x.Machines["m0"]; (m != nil) != (step > 1) || m != nil && m.Phase != Returning {
 			t.Errorf("step %d: %+v", step, m)
 		}
-		if step > 3 { // it returns, and is not healthy for a while
-			status := eightMachines(1)
-			status.Machines[0].Healthy = false
-			apply(t, x, Command{FleetStatus: status})
-			apply(t, x, Command{Time: x.Now + 10*monotime.Second})
-			if m := x.Machines["m0"]; m == nil || !strings.Contains(m.WaitReason, "not well") {
-				t.Errorf("%+v", m)
-			}
-			apply(t, x, Command{FleetStatus: eightMachines(1)})
+		if step > 3 {
+			checkUnhealthyMachineKeepsReturning(t, x)
 		}
 		apply(t, x, Command{Time: x.Now + 3*monotime.Second})
 		plan := x.Plan()
@@ -219,6 +212,19 @@
 	}
 }
 
+// checkUnhealthyMachineKeepsReturning checks that m0, which returns, stays in the plan while it is not healthy.
+func checkUnhealthyMachineKeepsReturning(t *testing.T, x *State) {
+	t.Helper()
+	status := eightMachines(1)
+	status.Machines[0].Healthy = false
+	apply(t, x, Command{FleetStatus: status})
+	apply(t, x, Command{Time: x.Now + 10*monotime.Second})
+	if m := x.Machines["m0"]; m == nil || !strings.Contains(m.WaitReason, "not well") {
+		t.Errorf("%+v", m)
+	}
+	apply(t, x, Command{FleetStatus: eightMachines(1)})
+}
+
 // Capacity that is needed back stays in service if it only drains, and is recalled if it is under maintenance.
 func TestCapacityThatIsNeededBackIsRecalled(t *testing.T) {
 	x := stateWith(t, eightMachines(1), Request{ID: "a", Machines: []string{"m0", "m2"}, Requester: "ana"})
@@ -244,8 +250,8 @@
 	}
 }
 
-// Whatever the log holds: bounds hold, each version of the plan has one content, and a state that was stored and
-// restored goes on as one that was not.
+// For any log the bounds hold, each version of the plan has one content, and a state that was stored and restored
+// behaves as one that was not.
 func TestInvariantsHoldForAnyLog(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		direct := stateWith(t, eightMachines(1))
@@ -303,6 +309,7 @@
 	return c
 }
 
+// storeAndRestore returns the state that is decoded from the JSON of x, as from a raft snapshot.
 func storeAndRestore(r *rapid.T, x *State) *State {
 	stored, err := json.Marshal(x)
 	if err != nil {
@@ -319,7 +326,8 @@
 	return restored
 }
 
-// checkPlan checks the bounds, and that a version of the plan that was seen before has the content that it had.
+// checkPlan checks the bounds, and that a version of the plan has the same content each time. plans has the content
+// seen so far, by version.
 func checkPlan(r *rapid.T, x *State, plans map[uint64]string) {
 	plan := x.Plan()
 	content := fmt.Sprint(plan.Announced, plan.Excluded)
