--- a/internal/decide/cordon/cordon.go
+++ b/internal/decide/cordon/cordon.go
@@ -1,8 +1,8 @@
 // Package cordon decides which endpoints operators have cordoned: those that must get no new requests until they are
 // uncordoned. Package engine keeps a Set and applies it to the balancers of all pools.
 //
-// A Set keeps the latest record of each endpoint name. Records of several sources, such as the two processes of a hot
-// restart, may arrive in any order and more than once; all who have received the same records agree.
+// A Set has the latest record of each endpoint name. Records of several sources, such as the two processes of a hot
+// restart, may arrive in any order and more than once. Sets that have received the same records agree.
 //
 // The package is a deterministic state machine without I/O or a clock, and must not know about endpoint lists or
 // balancers.
@@ -15,23 +15,23 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Record is an operator's latest call for an endpoint. Its tags are the names in takeover messages, snapshots and the
-// stored file.
+// Record is an operator's call to cordon or uncordon an endpoint. Its tags are the names in takeover messages,
+// snapshots and the stored file.
 type Record struct {
 	Name     string          `json:"Name"`
-	Cordoned bool            `json:"Out"` // false uncordons it
-	At       monotime.Micros `json:"At"`
+	Cordoned bool            `json:"Out"` // false uncordons the endpoint
+	At       monotime.Micros `json:"At"`  // instant of the call, by the clock that all sources of records share
 }
 
-// uncordonRetention is for how long a record that uncordons an endpoint is kept, since an older one that cordons it may
-// still arrive from another process. Records travel within a second; a minute is far beyond.
-const uncordonRetention monotime.Micros = 60_000_000
-
 // Set is the latest record of each endpoint name. The zero value is empty. It is not safe for concurrent use.
 type Set struct{ records map[string]Record }
 
-// Apply takes in a record, and reports whether that cordons or uncordons the endpoint. Of two records the later one
-// wins; of two of the same instant the one that cordons.
+// uncordonRetention is the time for which a record that uncordons an endpoint is kept. An older record that cordons the
+// endpoint may still arrive from another process; records are exchanged within a second.
+const uncordonRetention = 60 * monotime.Second
+
+// Apply applies a record, and reports whether that cordons or uncordons the endpoint. Of two records of an endpoint the
+// later one wins; of two of the same instant, the one that cordons.
 func (s *Set) Apply(r Record) (changed bool) {
 	before, known := s.records[r.Name]
 	if known && (r.At < before.At || r.At == before.At && !r.Cordoned) {
@@ -41,7 +41,7 @@
 		s.records = map[string]Record{}
 	}
 	s.records[r.Name] = r
-	for name, other := range s.records { // few: only endpoints that an operator has touched
+	for name, other := range s.records { // there are few: only endpoints that an operator has cordoned
 		if !other.Cordoned && r.At-other.At > uncordonRetention {
 			delete(s.records, name)
 		}
--- a/internal/decide/cordon/cordon_test.go
+++ b/internal/decide/cordon/cordon_test.go
@@ -9,23 +9,13 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Sets that have received the same records agree, in whatever order and however often these came: on the latest
-// record of each name.
+// Sets that have received the same records agree on the latest record of each name, whatever the order and number of
+// arrivals.
 func TestOrderOfRecordsDoesNotMatter(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var records []Record
-		for range 1 + rng.IntN(20) {
-			records = append(records, Record{fmt.Sprint("s-", rng.IntN(4)), rng.IntN(2) == 0,
-				monotime.Micros(rng.IntN(30))})
-		}
-		latest := map[string]Record{}
-		for _, record := range records {
-			if before, known := latest[record.Name]; !known || record.At > before.At ||
-				record.At == before.At && record.Cordoned {
-				latest[record.Name] = record
-			}
-		}
+		records := randomRecords(rng)
+		latest := latestRecords(records)
 		for range 4 {
 			var s Set
 			for range 2 {
@@ -37,19 +27,49 @@
 					}
 				}
 			}
-			if len(s.Records()) != len(latest) {
-				t.Fatalf("seed %d: %v, want %v", seed, s.Records(), latest)
-			}
-			for name, record := range latest {
-				if s.Cordoned(name) != record.Cordoned || s.LastChange(name) != record.At {
-					t.Fatalf("seed %d: %v, want %v", seed, s.Records(), record)
-				}
-			}
+			requireRecords(t, seed, &s, latest)
+		}
+	}
+}
+
+// randomRecords returns up to 20 records of four endpoints, some of the same instant.
+func randomRecords(rng *rand.Rand) (records []Record) {
+	for range 1 + rng.IntN(20) {
+		records = append(records, Record{
+			fmt.Sprint("s-", rng.IntN(4)),
+			rng.IntN(2) == 0,
+			monotime.Micros(rng.IntN(30)),
+		})
+	}
+	return records
+}
+
+// latestRecords returns the record of each name that wins by the rule of Set.Apply.
+func latestRecords(records []Record) map[string]Record {
+	latest := map[string]Record{}
+	for _, record := range records {
+		before, known := latest[record.Name]
+		if !known || record.At > before.At || record.At == before.At && record.Cordoned {
+			latest[record.Name] = record
+		}
+	}
+	return latest
+}
+
+// requireRecords ends the test unless a set has exactly the wanted records.
+func requireRecords(t *testing.T, seed uint64, s *Set, want map[string]Record) {
+	t.Helper()
+	if len(s.Records()) != len(want) {
+		t.Fatalf("seed %d: %v, want %v", seed, s.Records(), want)
+	}
+	for name, record := range want {
+		if s.Cordoned(name) != record.Cordoned || s.LastChange(name) != record.At {
+			t.Fatalf("seed %d: %v, want %v", seed, s.Records(), record)
 		}
 	}
 }
 
-// Records that uncordon are forgotten after a while, those that cordon never.
+// Records that uncordon are dropped after uncordonRetention, those that cordon never.
 func TestUncordonsAreForgotten(t *testing.T) {
 	var s Set
 	s.Apply(Record{"s-1", true, 1})
