--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -7,13 +7,13 @@
 	"dunlinsail/internal/admin"
 )
 
-// adminBackend answers operators' calls.
+// adminBackend returns what the admin server calls to answer operators.
 func (s *sidecar) adminBackend() admin.Backend {
 	return admin.Backend{Ready: s.readiness, Metrics: s.metrics, SetCordon: s.setCordon, Log: s.log}
 }
 
-// readiness says whether this process takes clients, and if not, why.
-func (s *sidecar) readiness() (yes bool, why string) {
+// readiness reports whether this process accepts clients, and the reason if it does not.
+func (s *sidecar) readiness() (ready bool, reason string) {
 	switch {
 	case !s.accepting.Load():
 		return false, "this process takes no clients"
@@ -23,7 +23,8 @@
 	return true, ""
 }
 
-// serveAdmin listens for operators where the configuration says so.
+// serveAdmin serves operators' calls at the configured address; an empty one turns the admin server off. stop closes
+// the listener and returns once the server's goroutine has ended.
 func (s *sidecar) serveAdmin() (stop func(), err error) {
 	if s.config.AdminAddress == "" {
 		return func() {}, nil
--- a/internal/sidecar/cordons.go
+++ b/internal/sidecar/cordons.go
@@ -15,17 +15,19 @@
 	"dunlinsail/internal/takeover"
 )
 
-// cordonsFile holds the cordons in the folder that two versions of a sidecar share, for the case that the old
-// one cannot send them any more when the new one starts. The platform empties the folder before any other
-// start.
 const (
-	cordonsFile    = "dunlinsail.words"
-	maxCordonsFile = 1 << 20
+	// cordonsFile is a file in the folder that the two processes of a hot restart share. The successor reads the
+	// cordons from it when the predecessor ended before it could send them. The platform empties the folder before
+	// every other start.
+	cordonsFile     = "dunlinsail.words"
+	maxCordonsFile  = 1 << 20 // bytes that are read of the file
+	cordonsFileMode = 0o600   // the sidecar's user only
 )
 
-// setCordon cordons an endpoint by name or address, or lifts the cordon.
-func (s *sidecar) setCordon(ctx context.Context, target string, out bool) error {
-	set, known, err := s.core.SetCordon(ctx, target, out, takeover.Monotonic())
+// setCordon cordons an endpoint, given by name or address, or lifts its cordon. An endpoint that is not in the list is
+// admin.ErrUnknownEndpoint.
+func (s *sidecar) setCordon(ctx context.Context, target string, cordoned bool) error {
+	set, known, err := s.core.SetCordon(ctx, target, cordoned, takeover.Monotonic())
 	switch {
 	case err != nil:
 		return err
@@ -37,8 +39,8 @@
 	return nil
 }
 
-// saveCordons writes the cordons down. A failure is logged, and no reason to reject the call: they hold here, and are
-// handed over.
+// saveCordons writes all cordons to the shared folder. A failure is logged only, because the cordons are in effect in
+// this process and are handed over to a successor.
 func (s *sidecar) saveCordons(ctx context.Context) {
 	if s.config.SharedDir == "" {
 		return
@@ -50,7 +52,7 @@
 	}
 }
 
-// writeCordons replaces the file of cordons.
+// writeCordons replaces the file of cordons by a rename, so that a reader never sees a part of it.
 func (s *sidecar) writeCordons(ctx context.Context) error {
 	cordons, err := s.core.Cordons(ctx)
 	if err != nil {
@@ -62,13 +64,14 @@
 	}
 	path := filepath.Join(s.config.SharedDir, cordonsFile)
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
-	if err := os.WriteFile(temporary, encoded, 0o600); err != nil {
+	if err := os.WriteFile(temporary, encoded, cordonsFileMode); err != nil {
 		return err
 	}
 	return os.Rename(temporary, path)
 }
 
-// readCordons returns the cordons that another process of this sidecar has written.
+// readCordons returns the cordons that another process of this sidecar wrote; nil if there are none. A file that
+// cannot be read is logged and counts as none.
 func (s *sidecar) readCordons() []cordon.Record {
 	if s.config.SharedDir == "" {
 		return nil
@@ -89,7 +92,7 @@
 	return cordons
 }
 
-// ReceiveCordons takes in cordons that were set at the process on the other side.
+// ReceiveCordons applies cordons that were set at the process on the other side.
 func (l *lifecycle) ReceiveCordons(payload []byte) {
 	var cordons []cordon.Record
 	if err := json.Unmarshal(payload, &cordons); err != nil {
@@ -99,11 +102,11 @@
 	l.sidecar.core.ReceiveCordons(cordons...)
 }
 
-// cordonPeers are the connections to other processes of this sidecar, to which cordons are sent. Its methods
-// may be called from any goroutine.
+// cordonPeers are the connections to other processes of this sidecar, to which cordons are sent. Its methods may be
+// called from any goroutine.
 type cordonPeers struct {
 	mu    sync.Mutex
-	conns []*takeover.Conn // replaced, never changed in place
+	conns []*takeover.Conn // its elements never change, since broadcast reads it without mu
 }
 
 func (p *cordonPeers) add(conn *takeover.Conn) {
@@ -123,7 +126,7 @@
 	}
 }
 
-// broadcast sends a cordon to all peers. A failure shows as the connection's end.
+// broadcast sends a cordon to all peers. A failed write is ignored: the reader of that connection reports its end.
 func (p *cordonPeers) broadcast(set cordon.Record) {
 	p.mu.Lock()
 	conns := p.conns
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -8,7 +8,7 @@
 	"dunlinsail/internal/frontend/http1"
 )
 
-// metrics returns the metrics of one moment, a line each.
+// metrics returns the metrics, all read at one moment, as one line "name=value" each.
 func (s *sidecar) metrics(ctx context.Context) ([]byte, error) {
 	var classes []http1.OutcomeCounts
 	var open int
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -8,9 +8,10 @@
 	"dunlinsail/internal/platform"
 )
 
-// reloadOnSignal reads the configuration again at each signal, until ctx ends, and moves to the discovery that
-// its file names anew. ROUTER_DISCOVERY goes before the file at the start only, or no new file could ever name
-// another. All else in the file takes effect at the next start. A file that cannot be read changes nothing.
+// reloadOnSignal reads the configuration again at each signal until ctx ends, and switches to the discovery address of
+// the file if that has changed. ROUTER_DISCOVERY overrides the file at the start only; otherwise no reload could
+// change the address. Every other setting takes effect at the next start. A file that cannot be read is logged and
+// changes nothing.
 func (s *sidecar) reloadOnSignal(ctx context.Context, signals <-chan os.Signal, read func() (*platform.Config, error)) {
 	c := s.config
 	for {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,6 +1,10 @@
 // Package sidecar assembles the platform's sidecar: one listener for one application, the core with its balancer,
-// the pool of connections to endpoints, and the watch at discovery. It starts them, moves them to a new
+// the pool of connections to endpoints, and the watch at discovery. It starts these parts, switches them to a new
 // configuration, and stops them in order.
+//
+// sidecar.go assembles the parts; lifecycle.go takes a process from its start to its end, with successor.go and
+// predecessor.go for the two sides of a hot restart; admin.go, cordons.go and metrics.go answer operators; reload.go
+// applies a new configuration.
 package sidecar
 
 import (
@@ -29,29 +33,28 @@
 	"dunlinsail/internal/upstream"
 )
 
-// reservedSockets are for what is neither a client's nor an endpoint's: standard streams, the listener, the
-// runtime, calls of discovery, the file of the configuration.
+// reservedSockets is the number of descriptors that neither clients nor endpoints may use: standard streams, the
+// listener, the runtime, calls of discovery and the configuration file.
 const reservedSockets = 16
 
 const (
-	// restPart of the descriptors, at most, are clients' connections without an open request. The machine of the
-	// clients has limits of its own, and every connection that we keep at rest is one that they cannot open anew:
-	// with half of the descriptors for such, clients that asked once and stayed held all that the usual ones
-	// needed, and their requests never came (incident r412b9a).
+	// idleConnsDivisor limits the clients' connections without an open request to this part of the descriptors. The
+	// clients' machine has limits of its own, and each idle connection that is kept is one that other clients there
+	// cannot open.
 	idleConnsDivisor = 6
-	maxIdle          = 15 * time.Second // between requests, while no other connection rests
-	minIdle          = 100 * time.Millisecond
+	maxIdle          = 15 * time.Second       // idle time of a connection between requests, while no other is idle
+	minIdle          = 100 * time.Millisecond // idle time of a connection while as many are idle as may be
 )
 
-// Where lists are pushed, discovery is an agent on this machine: it answers at once and at no cost. What it is
-// told when it is back after a silence counts as told to us at that moment, so that a call must be waiting, or
-// follow within the grace of a drain.
+// Where lists are pushed, discovery is an agent on this machine, and a call to it is fast and cheap. What the agent
+// learns when it is reachable again counts as known to this sidecar from that moment, so that a call must be open then,
+// or follow within the drain grace.
 const (
-	agentAnswerTimeout = 500 * time.Millisecond
-	agentPollWait      = 50 * time.Millisecond
+	agentAnswerTimeout = 500 * time.Millisecond // until an answer of the agent begins
+	agentPollWait      = 50 * time.Millisecond  // longest backoff between calls to the agent
 )
 
-// availableSockets is how many descriptors clients and endpoints share.
+// availableSockets returns the number of descriptors that clients and endpoints share, with the reserved ones.
 func availableSockets(c *platform.Config) int {
 	if c.AdminAddress != "" {
 		return c.Sockets - admin.Sockets
@@ -59,8 +62,9 @@
 	return c.Sockets
 }
 
-// clientLimits is how many connections of clients may be open: half of the descriptors. The other half is for
-// connections to endpoints: an open request has one of each, and probes and second attempts want more.
+// clientLimits returns the limits of clients' connections. They may use half of the descriptors that are not reserved.
+// The other half is for connections to endpoints: an open request has one of each, and health checks and hedged
+// requests need further ones.
 func clientLimits(sockets int) connlimit.Limits {
 	return connlimit.Limits{
 		MaxConnections: (sockets - reservedSockets) / 2,
@@ -70,13 +74,14 @@
 	}
 }
 
-// upstreamConns is how many connections to endpoints may be open.
+// upstreamConns returns the number of connections to endpoints that may be open.
 func upstreamConns(sockets int) int {
 	return sockets - reservedSockets - clientLimits(sockets).MaxConnections
 }
 
-// Run serves until stop ends, or another process has taken over, then finishes what it has taken and returns. At each
-// signal of reload it reads the configuration again.
+// Run serves until stop ends or another process has taken over, then finishes the open requests and returns. At each
+// signal of reload it calls read for the configuration. An error means that the process could not start, or that its
+// listener failed.
 func Run(stop context.Context, c *platform.Config, reload <-chan os.Signal, read func() (*platform.Config, error),
 	log *slog.Logger) error {
 	ln, err := listen(c)
@@ -91,7 +96,7 @@
 	return s.serve(stop, ln, reload, read)
 }
 
-// listen returns the clients' listening socket: the platform's, where it holds it, or our own.
+// listen returns the clients' listening socket: the one inherited from the platform, or a new one without that.
 func listen(c *platform.Config) (net.Listener, error) {
 	if c.InheritedFD == 0 {
 		return net.Listen("tcp", c.Listen)
@@ -101,15 +106,15 @@
 		return nil, fmt.Errorf("ROUTER_INHERITED_FD: %d is no descriptor", c.InheritedFD)
 	}
 	defer f.Close() // the listener has one of its own
-	for option, is := range map[int]int{syscall.SO_TYPE: syscall.SOCK_STREAM, syscall.SO_ACCEPTCONN: 1} {
-		if v, err := syscall.GetsockoptInt(c.InheritedFD, syscall.SOL_SOCKET, option); err != nil || v != is {
+	for option, want := range map[int]int{syscall.SO_TYPE: syscall.SOCK_STREAM, syscall.SO_ACCEPTCONN: 1} {
+		if got, err := syscall.GetsockoptInt(c.InheritedFD, syscall.SOL_SOCKET, option); err != nil || got != want {
 			return nil, fmt.Errorf("ROUTER_INHERITED_FD: %d is no listening stream socket", c.InheritedFD)
 		}
 	}
 	return net.FileListener(f)
 }
 
-// sidecar is what assemble put together.
+// sidecar holds the parts that assemble makes.
 type sidecar struct {
 	config *platform.Config
 	clock  clock.Clock
@@ -119,31 +124,30 @@
 	source *discovery.Source
 	front  *http1.Server
 	client *http1.Client // the application
-	events *eventlog.Log // nil where they are not asked for
+	events *eventlog.Log // nil unless the configuration has an event log
 
 	endpoints     *core.Pool
-	firstWatcher  *discovery.Watcher // the first
-	start         func()             // starts what runs beside the front
+	firstWatcher  *discovery.Watcher // the one that source starts with
+	start         func()             // starts the goroutines of core, pool and source; set by serve
 	lifecycle     *lifecycle
-	accepting     atomic.Bool // clients are taken
-	cordonsFileMu sync.Mutex  // of the words by hand
+	accepting     atomic.Bool // reports whether this process accepts clients
+	cordonsFileMu sync.Mutex  // guards the file of cordons
 }
 
 // dialFunc opens a connection to an endpoint.
 type dialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// assemble puts a sidecar together without starting it. A nil dial is the usual one.
+// assemble makes a sidecar without starting it. A nil dial is a net.Dialer's.
 func assemble(c *platform.Config, dial dialFunc, log *slog.Logger) (*sidecar, error) {
-	clk := clock.New()
-	s := &sidecar{config: c, clock: clk, log: log}
-	var observe engine.Observer
+	s := &sidecar{config: c, clock: clock.New(), log: log}
+	var observer engine.Observer
 	if c.Events != nil {
-		s.events = eventlog.NewLog(c.Events, clk.Now)
-		observe = s.events
+		s.events = eventlog.NewLog(c.Events, s.clock.Now)
+		observer = s.events
 		dial = s.logDials(dial)
 	}
 	s.pool = upstream.New(upstream.Options{
-		Clock:           clk,
+		Clock:           s.clock,
 		Log:             log,
 		MaxConns:        upstreamConns(availableSockets(c)),
 		DialTimeout:     clock.Duration(c.Site.Settings.Limits.DialTimeout),
@@ -154,46 +158,59 @@
 		Dial:            dial,
 	})
 	s.newSource()
-	var err error
 	s.core = core.New(core.Config{
-		Clock:    clk,
+		Clock:    s.clock,
 		Site:     &c.Site,
 		Seed:     c.Seed,
 		Upstream: s.pool,
 		Log:      log,
-		Observer: observe,
+		Observer: observer,
 	})
+	if err := s.newEndpoints(); err != nil {
+		return nil, err
+	}
+	return s, s.newFrontend()
+}
+
+// newEndpoints adds the sidecar's only pool of endpoints to the core.
+func (s *sidecar) newEndpoints() error {
+	c := s.config
 	pool := engine.PoolConfig{
 		Source:           c.Discovery,
 		InitialEndpoints: c.Known.EndpointUpdate(),
 		SetWatch:         s.source.SetWatching,
 	}
 	if c.OverloadControl {
-		o := overload.DefaultSettings()
-		o.Instances = c.Site.Settings.Balancers
-		pool.Overload = &o
+		settings := overload.DefaultSettings()
+		settings.Instances = c.Site.Settings.Balancers
+		pool.Overload = &settings
 	}
+	var err error
 	s.endpoints, err = s.core.NewPool(pool)
-	if err != nil {
-		return nil, err
-	}
+	return err
+}
+
+// newFrontend makes the frontend and its only client, the application.
+func (s *sidecar) newFrontend() error {
+	c := s.config
+	var err error
 	s.front, err = http1.New(http1.Options{
-		Clock:       clk,
+		Clock:       s.clock,
 		Site:        &c.Site,
 		Core:        s.core,
 		Pool:        s.endpoints,
 		SendAttempt: s.pool.Send,
 		Limits:      clientLimits(availableSockets(c)),
-		Log:         log,
+		Log:         s.log,
 	})
 	if err != nil {
-		return nil, err
+		return err
 	}
 	s.client, err = s.front.NewClient(http1.ClientSettings{ClientSpec: fairqueue.ClientSpec{Name: c.Name, Weight: 1}})
-	return s, err
+	return err
 }
 
-// logDials returns a dial whose connections and errors are logged as events; nil is the usual dial.
+// logDials returns a dial whose connections and errors are written to the event log. A nil dial is a net.Dialer's.
 func (s *sidecar) logDials(dial dialFunc) dialFunc {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: clock.Duration(s.config.Site.Settings.Limits.DialTimeout)}).DialContext
@@ -217,10 +234,11 @@
 	})
 }
 
-// identify says whose a connection is: the application's, the only client there is.
+// identify returns the client of a connection: the application is the only one.
 func (s *sidecar) identify(net.Conn) (*http1.Client, func(), error) { return s.client, nil, nil }
 
-// watchDiscovery returns a discovery watcher that updates the core.
+// watchDiscovery returns a discovery watcher that updates the core with the lists after a generation. The source starts
+// it.
 func (s *sidecar) watchDiscovery(addr string, after int64) *discovery.Watcher {
 	w := discovery.NewWatcher(addr, after, s.config.MemoryMB, s.updateEndpoints, s.log)
 	if s.events != nil {
@@ -233,32 +251,36 @@
 	return w
 }
 
-func (s *sidecar) updateEndpoints(ctx context.Context, t engine.EndpointUpdate) {
-	s.endpoints.UpdateEndpoints(ctx, t)
+// updateEndpoints passes an update of the endpoint list to the core. Watchers have it before s.endpoints is set.
+func (s *sidecar) updateEndpoints(ctx context.Context, update engine.EndpointUpdate) {
+	s.endpoints.UpdateEndpoints(ctx, update)
 }
 
+// serve runs the sidecar on a listener, which it closes, until stop ends or another process has taken over. read is
+// called at each signal of reload.
 func (s *sidecar) serve(stop context.Context, ln net.Listener, reload <-chan os.Signal,
 	read func() (*platform.Config, error)) error {
-	// What runs beside the front ends after it, so that all that it has taken is answered first.
+	// The goroutines of core, pool and reload end after the frontend, so that every request is answered first.
+	// That is why ctx is not derived from stop.
 	ctx, cancel := context.WithCancel(context.Background())
-	var beside sync.WaitGroup
-	defer beside.Wait()
+	var background sync.WaitGroup
+	defer background.Wait()
 	defer cancel()
-	beside.Go(func() { s.reloadOnSignal(ctx, reload, read) })
+	background.Go(func() { s.reloadOnSignal(ctx, reload, read) })
 	s.start = func() {
-		beside.Go(func() { s.core.Run(ctx) })
-		beside.Go(func() { s.pool.Run(ctx) })
+		background.Go(func() { s.core.Run(ctx) })
+		background.Go(func() { s.pool.Run(ctx) })
 		if !s.config.Site.Settings.Subscribe {
 			s.source.SetWatching(true)
 		}
 	}
 	defer s.source.Close()
 	s.lifecycle = newLifecycle(s, ln)
-	unoperate, err := s.serveAdmin()
+	stopAdmin, err := s.serveAdmin()
 	if err != nil {
 		ln.Close()
 		return err
 	}
-	defer unoperate()
+	defer stopAdmin()
 	return s.lifecycle.run(stop)
 }
--- a/internal/sidecar/successor.go
+++ b/internal/sidecar/successor.go
@@ -7,13 +7,14 @@
 	"dunlinsail/internal/takeover"
 )
 
-// The methods of this file carry out what the successor's state machine says (takeover.SuccessorHost).
+// The methods of this file implement takeover.SuccessorHost: they carry out the commands of the successor's state
+// machine.
 
-// ReceiveOffer notes the snapshot that is offered.
+// ReceiveOffer keeps the offered snapshot for StartWithOffer.
 func (l *lifecycle) ReceiveOffer(m takeover.Message) { l.offered = m.Payload }
 
-// StartWithOffer starts all but accepting. The endpoint watch goes on where the predecessor's stands: a complete list
-// might be older than what it has sent.
+// StartWithOffer starts everything except accepting. The endpoint watch continues from the predecessor's generation,
+// because a complete list might be older than the updates that the predecessor has received.
 func (l *lifecycle) StartWithOffer() error {
 	s := l.sidecar
 	if state, err := takeover.DecodeState(l.offered); err == nil {
@@ -30,14 +31,14 @@
 	return nil
 }
 
-// WaitReady returns nil once requests could be served.
+// WaitReady returns nil once an endpoint can serve, or an error once ctx ends.
 func (l *lifecycle) WaitReady(ctx context.Context) error { return l.sidecar.core.WaitReady(ctx) }
 
 // RestoreHandover restores the snapshot that came with the handover.
 func (l *lifecycle) RestoreHandover(snapshot []byte) { l.restore(snapshot, "at the handover") }
 
-// restore restores what the predecessor learned. A snapshot that cannot be read is logged: then this process
-// starts with less.
+// restore restores the state that the predecessor learned. A snapshot that cannot be decoded is logged, and this
+// process starts without it.
 func (l *lifecycle) restore(snapshot []byte, when string) {
 	log := l.sidecar.log
 	state, err := takeover.DecodeState(snapshot)
@@ -49,7 +50,7 @@
 	log.Info("snapshot restored", "when", when, "skipped", skipped)
 }
 
-// StartAlone starts with nothing but the cordons in the file, and serves.
+// StartAlone starts without a predecessor and serves. Of earlier state it has the cordons in the shared folder only.
 func (l *lifecycle) StartAlone() error {
 	l.sidecar.start()
 	l.sidecar.core.ReceiveCordons(l.sidecar.readCordons()...)
@@ -57,10 +58,10 @@
 	return nil
 }
 
-// StartError returns nil: the process was told to stop before it served.
+// StartError returns nil: a process that is stopped before it serves ends without an error.
 func (l *lifecycle) StartError(string) error { return nil }
 
-// StartServing accepts clients, and another process that wants to take over.
+// StartServing accepts clients, and successors of this process.
 func (l *lifecycle) StartServing() {
 	log := l.sidecar.log
 	l.accept()
@@ -80,7 +81,7 @@
 	log.Info("serving", "name", l.sidecar.config.Name, "listen", l.listener.Addr().String())
 }
 
-// AdoptConnection serves a connection that the predecessor handed over, or holds it until this process serves.
+// AdoptConnection serves a connection that the predecessor handed over, now or once this process serves.
 func (l *lifecycle) AdoptConnection(conn net.Conn) {
 	if l.sidecar.accepting.Load() {
 		l.sidecar.front.Adopt(conn, l.sidecar.identify)
@@ -89,7 +90,7 @@
 	l.earlyConns = append(l.earlyConns, conn)
 }
 
-// PredecessorLeaving ends the exchange of cordons with the predecessor.
+// PredecessorLeaving stops sending cordons to the predecessor.
 func (l *lifecycle) PredecessorLeaving(conn *takeover.Conn) {
 	if !l.Successor.Serving() || l.Successor.ReceivesConnections() {
 		l.sidecar.log.Warn("predecessor lost", "while", l.Successor.String())
