--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -73,18 +73,7 @@
 	if err := l.connect(); err != nil {
 		return err
 	}
-	stopped := l.stop.Done()
-	for !l.Ended() {
-		l.Arm()
-		select {
-		case event := <-l.Loop.Events:
-			event()
-		case <-stopped:
-			stopped = nil
-			l.onStop()
-		}
-	}
-	return l.Result()
+	return l.RunLoop(l.stop.Done(), l.onStop)
 }
 
 // close releases everything, whatever came before.
--- a/internal/sidecar/lifecycle.go
+++ b/internal/sidecar/lifecycle.go
@@ -74,23 +74,7 @@
 func (l *lifecycle) run(stop context.Context) error {
 	defer l.close()
 	l.connect()
-	stopped := stop.Done()
-	for !l.Ended() {
-		l.Arm()
-		select {
-		case event := <-l.Loop.Events:
-			event()
-		case err := <-l.acceptResult:
-			l.acceptResult = nil
-			if err != nil {
-				l.End(fmt.Errorf("serve: %w", err))
-			}
-		case <-stopped:
-			stopped = nil
-			l.onStop()
-		}
-	}
-	return l.Result()
+	return l.RunLoop(stop.Done(), l.onStop)
 }
 
 func (l *lifecycle) close() {
@@ -170,13 +154,27 @@
 
 // ---- Accepting clients ---------------------------------------------------------
 
-// accept starts the accept loop.
+// accept starts the accept loop. Its goroutine ends when pause sets a deadline on the listener, or with the listener.
 func (l *lifecycle) accept() {
 	result := make(chan error, 1)
 	l.acceptResult = result
 	l.setDeadline(time.Time{})
 	l.sidecar.accepting.Store(true)
-	l.Loop.Goroutines.Go(func() { result <- l.sidecar.front.Accept(l.listener, l.sidecar.identify) })
+	l.Loop.Goroutines.Go(func() {
+		result <- l.sidecar.front.Accept(l.listener, l.sidecar.identify)
+		l.Loop.Post(func() { l.onAcceptEnded(result) })
+	})
+}
+
+// onAcceptEnded ends the process if the accept loop failed. It does nothing if pause ended that loop.
+func (l *lifecycle) onAcceptEnded(result chan error) {
+	if l.acceptResult != result {
+		return
+	}
+	l.acceptResult = nil
+	if err := <-result; err != nil {
+		l.End(fmt.Errorf("serve: %w", err))
+	}
 }
 
 // pause ends the accept loop. Clients that connect from then on wait in the socket's queue.
--- /dev/null
+++ b/internal/takeover/runloop_test.go
@@ -0,0 +1,46 @@
+package takeover
+
+import (
+	"errors"
+	"io"
+	"log/slog"
+	"testing"
+
+	decide "dunlinsail/internal/decide/takeover"
+)
+
+// RunLoop runs posted events until one of them ends the lifecycle, and returns that result.
+func TestRunLoopReturnsResult(t *testing.T) {
+	l := NewLifecycle(nil, nil, decide.Times{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	defer l.CloseLoop()
+	ended := errors.New("ended")
+	events := 0
+	go func() {
+		l.Loop.Post(func() { events++ })
+		l.Loop.Post(func() { l.End(ended) })
+	}()
+	if err := l.RunLoop(nil, func() { t.Error("stopped without a stop") }); !errors.Is(err, ended) || events != 1 {
+		t.Errorf("ended with %v after %d events, want %v after 1", err, events, ended)
+	}
+}
+
+// RunLoop calls onStop once, however long stop is closed.
+func TestRunLoopStopsOnce(t *testing.T) {
+	l := NewLifecycle(nil, nil, decide.Times{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	defer l.CloseLoop()
+	stop := make(chan struct{})
+	close(stop)
+	stops := 0
+	onStop := func() {
+		stops++
+		go func() {
+			for range 10 { // events after the stop, each of which would find stop closed
+				l.Loop.Post(func() {})
+			}
+			l.Loop.Post(func() { l.End(nil) })
+		}()
+	}
+	if err := l.RunLoop(stop, onStop); err != nil || stops != 1 {
+		t.Errorf("ended with %v after %d calls of onStop, want nil after 1", err, stops)
+	}
+}
