--- a/internal/sidecar/lifecycle.go
+++ b/internal/sidecar/lifecycle.go
@@ -16,42 +16,42 @@
 )
 
 const (
-	// The platform sends SIGTERM to the old process 6 s after the new one was started at the latest. A hot
-	// restart takes three answers and a start, so that one which fails in the last step still leaves time to
-	// start with less.
+	// answerTimeout bounds each of the three answers of a hot restart, and readyTimeout the successor's start. Together
+	// they are below the 6 s after which the platform sends SIGTERM to the predecessor, so that a successor whose hot
+	// restart fails in the last step still has time to start alone.
 	answerTimeout = time.Second
 	readyTimeout  = 2 * time.Second
-	// drainTimeout bounds what is open when another process serves, or none is to: longer than any request's
-	// time, and than most answers that stream. The platform kills the process before that.
+	// drainTimeout bounds how long connections stay open once this process accepts no more. It is longer than any
+	// request's deadline and than most streamed responses; the platform usually kills the process earlier.
 	drainTimeout = 30 * time.Second
-	// deadlineMargin is how long after the longest deadline, maxDeadline at most, all must be answered: the platform
-	// kills the process 0.7 s after it.
+	// deadlineMargin is added to the longest client deadline to give the time within which everything is answered after
+	// a stop. It is below the 0.7 s after that deadline at which the platform kills the process.
 	deadlineMargin = 500 * time.Millisecond
-	maxDeadline    = 3 * time.Second
-	// stopAcceptDelay is how long a process that stops goes on accepting: clients still connect for 0.4 s.
+	// maxDeadline bounds the client deadline that a stop waits for.
+	maxDeadline = 3 * time.Second
+	// stopAcceptDelay is how long a process that stops goes on accepting. Clients still connect for 0.4 s after a stop.
 	stopAcceptDelay = 550 * time.Millisecond
 )
 
-// socketName is the socket, in the folder that two versions of a sidecar share, at which the process that
-// serves listens for its successor.
+// socketName is the unix socket at which the process that serves listens for its successor, in the folder that the two
+// processes of a hot restart share.
 const socketName = "dunlinsail.takeover"
 
-// lifecycle is the lifecycle of a sidecar's process from its start to its end: successor of the process that
-// serves, if there is one, then serving, then predecessor of the next. The platform holds the clients'
-// listening socket, and both processes have it: what is handed over is who accepts on it, what was learned and
-// the clients' connections.
+// lifecycle is the lifecycle of a sidecar's process from its start to its end: successor of the process that serves, if
+// there is one, then serving, then predecessor of the next. The platform holds the clients' listening socket, and both
+// processes have it. A handover moves accepting on that socket, the learned state and the clients' connections.
 //
-// Its fields belong to the goroutine of run; others post events to the loop.
+// Its fields belong to the goroutine of run; other goroutines post events to Loop.
 type lifecycle struct {
 	*takeover.Lifecycle
 	sidecar  *sidecar
 	listener net.Listener
 
 	offered    []byte     // the snapshot that came with the offer
-	earlyConns []net.Conn // connections handed over before this process accepts
+	earlyConns []net.Conn // handed over before this process accepts
 
-	successorListener *takeover.Listener
-	acceptResult      chan error // of the frontend's accept loop; nil while it does not run
+	successorListener *takeover.Listener // nil before this process serves, and without a shared folder
+	acceptResult      chan error         // of the frontend's accept loop; nil while it does not run
 
 	stopRequested bool // by the platform
 
@@ -70,13 +70,14 @@
 	return l
 }
 
-// run takes over or starts alone, serves, and returns once all is answered or handed over.
+// run takes over or starts alone, serves, and returns once every request is answered or handed over.
 func (l *lifecycle) run(stop context.Context) error {
 	defer l.close()
 	l.connect()
 	return l.RunLoop(stop.Done(), l.onStop)
 }
 
+// close releases every socket and connection, and waits for the goroutines that post events.
 func (l *lifecycle) close() {
 	l.CloseLoop()
 	if l.successorListener != nil {
@@ -87,11 +88,12 @@
 	for _, conn := range l.earlyConns {
 		conn.Close()
 	}
-	l.sidecar.front.CloseAll() // nothing is left, unless the start failed
+	l.sidecar.front.CloseAll() // there are connections only if the start failed
 	l.Loop.Goroutines.Wait()
 }
 
-// socketPath returns the path of the socket for successors, "" where no other process can have our listening socket.
+// socketPath returns the path of the socket for successors. It is "" without a shared folder, when no other process can
+// have this process's listening socket.
 func (l *lifecycle) socketPath() string {
 	if l.sidecar.config.SharedDir == "" {
 		return ""
@@ -113,37 +115,37 @@
 		}
 	}
 	l.Successor.ServeAlone()
-	_ = l.StartAlone() // it has no error to return
+	_ = l.StartAlone() // the error is always nil
 }
 
 // ---- Stopping ----------------------------------------------------------------
 
-// onStop carries out the platform's order to stop. The platform counts from the order, however far a hot restart is:
-// what is accepted from now on has no more time.
+// onStop handles the platform's order to stop. The platform's time limit runs from this moment, whatever the state of a
+// hot restart, and also for requests that are accepted later.
 func (l *lifecycle) onStop() {
 	l.stopRequested = true
-	l.answerInTime()
+	l.limitResponseTime()
 	l.StepSuccessor(decide.Stop, "")
 	if !l.Ended() {
 		l.StepPredecessor(decide.Stop)
 	}
 }
 
-// answerInTime has all answered in time after an order to stop that comes now. Requests that are only partly
-// received by then cannot be answered.
-func (l *lifecycle) answerInTime() {
+// limitResponseTime bounds the time of every response, so that all are sent before the platform kills the process.
+// Requests that are only partly received by then cannot be answered, and their connections are closed.
+func (l *lifecycle) limitResponseTime() {
 	log := l.sidecar.log
-	left := min(maxDeadline, longestDeadline(l.sidecar.config)) + deadlineMargin
-	log.Info("stop requested", "while", l.Predecessor.String(), "all answered within", left)
-	l.sidecar.front.SetResponseDeadline(l.sidecar.clock.Now() + clock.Micros(left))
-	l.Loop.After(left, func() {
+	limit := min(maxDeadline, longestDeadline(l.sidecar.config)) + deadlineMargin
+	log.Info("stop requested", "while", l.Predecessor.String(), "all answered within", limit)
+	l.sidecar.front.SetResponseDeadline(l.sidecar.clock.Now() + clock.Micros(limit))
+	l.Loop.After(limit, func() {
 		if n := l.sidecar.front.ClosePartialRequests(); n > 0 {
 			log.Warn("incomplete requests closed", "connections", n)
 		}
 	})
 }
 
-// longestDeadline is the longest time that a client waits.
+// longestDeadline returns the longest client timeout of all classes.
 func longestDeadline(c *platform.Config) time.Duration {
 	var longest time.Duration
 	for _, class := range c.Site.Settings.Classes {
@@ -187,8 +189,9 @@
 	}
 }
 
+// setDeadline sets the instant at which a waiting Accept returns; the zero time is never.
 func (l *lifecycle) setDeadline(t time.Time) {
 	if listener, ok := l.listener.(interface{ SetDeadline(time.Time) error }); ok {
-		_ = listener.SetDeadline(t) // it fails on a closed listener only
+		_ = listener.SetDeadline(t) // it fails only on a closed listener
 	}
 }
--- a/internal/sidecar/predecessor.go
+++ b/internal/sidecar/predecessor.go
@@ -8,21 +8,22 @@
 	"dunlinsail/internal/takeover"
 )
 
-// successorStartGrace is how long a predecessor outlives the message that the successor is to serve, with
-// nothing left to do: should the successor end in that step, the predecessor serves on. The platform leaves it
-// 0.7 s.
+// successorStartGrace is how long a predecessor stays alive after it has activated the successor, even with no
+// connection left: if the successor ends in this time, the predecessor resumes serving. It is below the 0.7 s that the
+// platform leaves the predecessor.
 const successorStartGrace = 500 * time.Millisecond
 
-// The methods of this file carry out what the predecessor's state machine says (takeover.PredecessorHost).
+// The methods of this file implement takeover.PredecessorHost: they carry out the commands of the predecessor's state
+// machine.
 
-// Offer returns what was learned so far.
+// Offer returns the message with the snapshot of the learned state, and sends later cordons to the successor, too.
 func (l *lifecycle) Offer(successor *takeover.Conn) takeover.Message {
 	snapshot := l.EncodeSnapshot(l.sidecar.core.Snapshot())
 	l.cordonPeers.add(successor)
 	return takeover.Message{Kind: decide.Offer, Payload: snapshot}
 }
 
-// StopAccepting pauses the accept loop, and returns what was learned.
+// StopAccepting pauses the accept loop and returns the encoded snapshot for the handover.
 func (l *lifecycle) StopAccepting() []byte {
 	l.pause()
 	return l.EncodeSnapshot(l.sidecar.core.SnapshotForHandover())
@@ -31,19 +32,19 @@
 // Activating does nothing: the listening socket is the platform's.
 func (l *lifecycle) Activating() {}
 
-// HandOverConnections hands idle connections to the successor, and closes idle connections to endpoints: their
-// descriptors are the successor's now.
+// HandOverConnections hands idle client connections to the successor as they come, and closes idle connections to
+// endpoints, because the limit on descriptors is the successor's from now on.
 func (l *lifecycle) HandOverConnections(successor *takeover.Conn) {
 	l.sidecar.pool.SetKeepIdle(false)
 	l.sidecar.front.SetHandoff(func(conn net.Conn) bool { return successor.HandOver(conn) == nil })
 	l.Loop.After(successorStartGrace, func() {
-		if l.SuccessorConn == successor { // else clients are served again here, or the process ends otherwise
+		if l.SuccessorConn == successor { // otherwise the successor was lost, and this process serves again or drains
 			l.WaitUntilDrained()
 		}
 	})
 }
 
-// ResumeServing accepts again: the successor was lost.
+// ResumeServing accepts clients again after the successor was lost.
 func (l *lifecycle) ResumeServing() {
 	l.sidecar.front.SetHandoff(nil)
 	l.sidecar.core.CancelHandover()
@@ -52,46 +53,46 @@
 	l.accept()
 }
 
-// Drain ends what is open in order: clients still connect for a moment, and are served, with each answer closing its
-// connection. Rejecting those that come meanwhile would fail them for nothing.
+// Drain starts the graceful shutdown without a successor. The process accepts for stopAcceptDelay, because clients
+// still connect, and serves these requests, too; each response closes its connection.
 func (l *lifecycle) Drain() {
 	l.sidecar.log.Info("draining")
 	l.sidecar.accepting.Store(false)
 	l.sidecar.front.SetHandoff(nil)
-	if !l.stopRequested { // it is the successor that was told to stop
-		l.answerInTime()
+	if !l.stopRequested { // the successor was stopped, so that the platform's time limit runs for this process, too
+		l.limitResponseTime()
 	}
 	l.sidecar.front.Quiesce()
 	if l.successorListener != nil {
 		l.successorListener.Close()
 	}
-	if l.acceptResult == nil { // paused for a successor that is gone
+	if l.acceptResult == nil { // it was paused for a successor that was lost
 		l.accept()
 		l.sidecar.accepting.Store(false)
 	}
 	l.Loop.After(stopAcceptDelay, l.stopListening)
 }
 
-// stopListening accepts the rest of the socket's queue and closes it.
+// stopListening accepts the connections in the socket's queue and closes the socket.
 func (l *lifecycle) stopListening() {
 	l.pause()
 	l.sidecar.front.AcceptQueued(l.listener, l.sidecar.identify)
 	l.listener.Close()
-	l.sidecar.front.Quiesce() // connections accepted meanwhile that have sent nothing
+	l.sidecar.front.Quiesce() // closes connections accepted since Drain that have sent nothing
 	l.WaitUntilDrained()
 }
 
-// CloseRemaining closes what is still open at the end of the drain time.
+// CloseRemaining closes the connections that are still open after drainTimeout.
 func (l *lifecycle) CloseRemaining() {
 	l.sidecar.log.Warn("drain timeout, connections closed", "after", drainTimeout)
 	l.sidecar.front.CloseAll()
 }
 
-// SendFailed does nothing: the connection's end is logged.
+// SendFailed does nothing: the end of the connection follows and is logged.
 func (l *lifecycle) SendFailed(error) {}
 
-// SuccessorLeaving ends the exchange of cordons with the successor.
+// SuccessorLeaving stops sending cordons to the successor.
 func (l *lifecycle) SuccessorLeaving(conn *takeover.Conn) { l.cordonPeers.remove(conn) }
 
-// HandingOver does nothing: nobody else needs to know.
+// HandingOver does nothing: a sidecar applies no configuration that a handover would have to delay.
 func (l *lifecycle) HandingOver(bool) {}
