--- a/internal/http1msg/body.go
+++ b/internal/http1msg/body.go
@@ -85,10 +85,9 @@
 	return f, false, nil
 }
 
-// Body reads a message's body. Unlike net/http's it can be read on after a temporary error of the connection, such as
-// a deadline, and accepts no chunk that ends otherwise than RFC 9112 requires. Read returns io.EOF only at the end
-// that the framing defines, and io.ErrUnexpectedEOF where the connection ends before. It is not safe for concurrent
-// use.
+// Body reads a message's body. Unlike that of net/http it can be read on after a temporary error of the connection,
+// such as a deadline, and accepts only chunks that end as RFC 9112 requires. Read returns io.EOF only at the end that
+// the framing defines, and io.ErrUnexpectedEOF where the connection ends before. It is not safe for concurrent use.
 type Body struct {
 	reader    *bufio.Reader
 	kind      FramingKind
@@ -118,6 +117,8 @@
 	maxExtensionBytes = 8 << 10
 	// chunkSizeDigits is the largest number of digits of a chunk's size.
 	chunkSizeDigits = 16
+	// chunkSizeBase is the base in which a chunk's size is written.
+	chunkSizeBase = 16
 )
 
 // NewBody returns the body that follows in r, whose buffer must hold 4 KiB at least.
@@ -161,7 +162,7 @@
 	}
 	n, err := b.reader.Read(p)
 	if b.kind == UntilClose {
-		b.done = err == io.EOF
+		b.done = errors.Is(err, io.EOF)
 		return n, err
 	}
 	b.remaining -= int64(n)
@@ -171,7 +172,7 @@
 		} else {
 			b.state = chunkEnd
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			err = nil // the next read returns it if more is expected
 		}
 	}
@@ -180,7 +181,7 @@
 
 // unexpectedEOF returns err, io.ErrUnexpectedEOF in place of io.EOF.
 func unexpectedEOF(err error) error {
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
@@ -193,38 +194,52 @@
 		if err != nil {
 			return err
 		}
-		switch b.state {
-		case chunkEnd:
-			if len(line) > 0 {
-				return ErrMalformedChunk
-			}
-			b.state = chunkHeader
-		case chunkHeader:
-			if b.remaining, err = chunkSize(line); err != nil {
-				return err
-			}
-			if b.overhead += max(0, len(line)-chunkSizeDigits); b.overhead > maxExtensionBytes {
-				return ErrMalformedChunk
-			}
-			b.state = chunkData
-			if b.remaining == 0 {
-				b.state = chunkTrailer
-				b.overhead = 0
-			}
-		case chunkTrailer:
-			if len(line) == 0 {
-				_, _ = b.reader.Discard(len(crlf)) // nextLine has them in the buffer
-				b.done = true
-				return nil
-			}
-			if b.overhead += len(line); b.overhead > MaxTrailerBytes {
-				return ErrMalformedTrailer
-			}
-			if err := b.addTrailer(line); err != nil {
-				return err
-			}
+		if err := b.takeLine(line); err != nil {
+			return err
 		}
 		_, _ = b.reader.Discard(len(line) + len(crlf)) // nextLine has them in the buffer
+		if b.done {
+			return nil
+		}
+	}
+	return nil
+}
+
+// takeLine interprets a line of the framing by the state, which it advances.
+func (b *Body) takeLine(line []byte) error {
+	switch b.state {
+	case chunkEnd:
+		if len(line) > 0 {
+			return ErrMalformedChunk
+		}
+		b.state = chunkHeader
+	case chunkHeader:
+		return b.takeChunkHeader(line)
+	case chunkTrailer:
+		if len(line) == 0 {
+			b.done = true
+			return nil
+		}
+		if b.overhead += len(line); b.overhead > MaxTrailerBytes {
+			return ErrMalformedTrailer
+		}
+		return b.addTrailer(line)
+	}
+	return nil
+}
+
+// takeChunkHeader interprets the line with a chunk's size. An empty chunk is followed by the trailers.
+func (b *Body) takeChunkHeader(line []byte) (err error) {
+	if b.remaining, err = chunkSize(line); err != nil {
+		return err
+	}
+	if b.overhead += max(0, len(line)-chunkSizeDigits); b.overhead > maxExtensionBytes {
+		return ErrMalformedChunk
+	}
+	b.state = chunkData
+	if b.remaining == 0 {
+		b.state = chunkTrailer
+		b.overhead = 0
 	}
 	return nil
 }
@@ -259,7 +274,7 @@
 	if len(digits) == 0 || len(digits) > chunkSizeDigits {
 		return 0, ErrMalformedChunk
 	}
-	n, err := strconv.ParseUint(string(digits), 16, 64) // accepts neither a sign nor a prefix
+	n, err := strconv.ParseUint(string(digits), chunkSizeBase, 64) // accepts neither a sign nor a prefix
 	if err != nil || n > math.MaxInt64 || bytes.IndexByte(digits, '_') >= 0 {
 		return 0, ErrMalformedChunk
 	}
@@ -286,7 +301,22 @@
 
 // AppendChunkHeader appends the header of a chunk of n bytes, 1 at least, to b. CR LF must follow the bytes.
 func AppendChunkHeader(b []byte, n int) []byte {
-	return append(strconv.AppendInt(b, int64(n), 16), crlf...)
+	return append(strconv.AppendInt(b, int64(n), chunkSizeBase), crlf...)
+}
+
+// chunkHeaderSpace is the space in bytes for the header of a chunk at the start of a buffer (ChunkData).
+const chunkHeaderSpace = 16
+
+// ChunkData returns the part of a buffer into which the data of a chunk is read, so that FrameChunk can frame it in
+// place. The buffer must be larger than 18 bytes.
+func ChunkData(buf []byte) []byte { return buf[chunkHeaderSpace : len(buf)-len(crlf)] }
+
+// FrameChunk returns the chunk whose data are the first n bytes, 1 at least, of ChunkData(buf). It is a part of buf.
+func FrameChunk(buf []byte, n int) []byte {
+	header := AppendChunkHeader(nil, n)
+	start := chunkHeaderSpace - len(header)
+	copy(buf[start:], header)
+	return append(buf[start:chunkHeaderSpace+n], crlf...)
 }
 
 // AppendLastChunk appends the end of a chunked body, with its trailers, to b.
--- a/internal/http1msg/body_test.go
+++ b/internal/http1msg/body_test.go
@@ -13,6 +13,7 @@
 	"testing/iotest"
 )
 
+// read reads a body from text to its end or to its first error.
 func read(text string, f Framing) ([]byte, *Body, error) {
 	b := NewBody(bufio.NewReader(strings.NewReader(text)), f)
 	got, err := io.ReadAll(b)
@@ -76,10 +77,10 @@
 		return h
 	}
 	for _, tc := range []struct {
-		h       http.Header
-		request Framing
-		answer  Framing
-		err     error
+		header   http.Header
+		request  Framing
+		response Framing
+		err      error
 	}{
 		{header(), Framing{}, Framing{Kind: UntilClose}, nil},
 		{header("Content-Length", "0"), Framing{}, Framing{}, nil},
@@ -96,18 +97,19 @@
 		{header("Content-Length", "+5"), Framing{}, Framing{}, ErrContentLength},
 		{header("Content-Length", "9223372036854775808"), Framing{}, Framing{}, ErrContentLength},
 	} {
-		if f, err := RequestFraming(tc.h); f != tc.request || err != tc.err {
-			t.Errorf("request with %v: %v, %v", tc.h, f, err)
+		if f, err := RequestFraming(tc.header); f != tc.request || !errors.Is(err, tc.err) {
+			t.Errorf("request with %v: %v, %v", tc.header, f, err)
 		}
-		if f, err := ResponseFraming("GET", 200, tc.h); f != tc.answer || err != tc.err {
-			t.Errorf("answer with %v: %v, %v", tc.h, f, err)
+		if f, err := ResponseFraming("GET", 200, tc.header); f != tc.response || !errors.Is(err, tc.err) {
+			t.Errorf("response with %v: %v, %v", tc.header, f, err)
 		}
 		for _, none := range []struct {
 			method string
 			code   int
 		}{{"HEAD", 200}, {"GET", 204}, {"GET", 304}, {"GET", 103}} {
-			if f, err := ResponseFraming(none.method, none.code, tc.h); f.Kind != NoBody || err != tc.err {
-				t.Errorf("%v with %v: %v, %v", none, tc.h, f, err)
+			f, err := ResponseFraming(none.method, none.code, tc.header)
+			if f.Kind != NoBody || !errors.Is(err, tc.err) {
+				t.Errorf("%v with %v: %v, %v", none, tc.header, f, err)
 			}
 		}
 	}
@@ -116,17 +118,18 @@
 // A deadline that passes anywhere in a body loses none of it.
 func TestBodyContinuesAfterDeadlines(t *testing.T) {
 	text := "3;x=y\r\nabc\r\n10\r\n0123456789abcdef\r\n0\r\nX-Sum: 7\r\n\r\n"
-	b := NewBody(bufio.NewReader(&flaky{r: iotest.OneByteReader(strings.NewReader(text))}), Framing{Kind: Chunked})
+	reader := &temporarilyFailingReader{r: iotest.OneByteReader(strings.NewReader(text))}
+	b := NewBody(bufio.NewReader(reader), Framing{Kind: Chunked})
 	var got []byte
 	for passed := 0; ; {
 		p := make([]byte, 7)
 		n, err := b.Read(p)
 		got = append(got, p[:n]...)
-		if err == errPasses {
+		if errors.Is(err, errTemporary) {
 			passed++
 			continue
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			if passed < len(text)/2 {
 				t.Errorf("only %d deadlines passed", passed)
 			}
@@ -141,17 +144,17 @@
 	}
 }
 
-var errPasses = errors.New("a deadline")
+var errTemporary = errors.New("a deadline")
 
-// flaky fails before each byte.
-type flaky struct {
+// temporarilyFailingReader fails with errTemporary before each read that succeeds.
+type temporarilyFailingReader struct {
 	r    io.Reader
 	fail bool
 }
 
-func (f *flaky) Read(p []byte) (int, error) {
+func (f *temporarilyFailingReader) Read(p []byte) (int, error) {
 	if f.fail = !f.fail; f.fail {
-		return 0, errPasses
+		return 0, errTemporary
 	}
 	return f.r.Read(p)
 }
