--- a/internal/upstream/buffered.go
+++ b/internal/upstream/buffered.go
@@ -21,11 +21,14 @@
 )
 
 const (
-	maxResponseBytes = siteconfig.MaxBodyBytes + 64<<10 // with its head and framing
-	probeTimeout     = 250 * time.Millisecond
+	maxResponseBytes = siteconfig.MaxBodyBytes + 64<<10 // of a response, its head and framing included
+	probeTimeout     = 250 * time.Millisecond           // of a health check, from its connection to its response
 )
 
-// BufferedRequest is a small request as it is forwarded to an endpoint, without the header of its remaining time.
+// This file makes exchanges whose request and response are read completely, with a 200 response as the only success.
+// The product uses them for health checks; SendBuffered serves tests and package bench/quietfleet.
+
+// BufferedRequest is a small request to an endpoint, without the header for its remaining time.
 type BufferedRequest struct {
 	Method string
 	URI    string
@@ -41,7 +44,7 @@
 }
 
 // SendBuffered makes one attempt (core.AttemptFunc, but for the request). The Response of its result is a
-// *BufferedResponse.
+// *BufferedResponse. Only tests and package bench/quietfleet call it: clients' requests are forwarded by Send.
 func (p *Pool) SendBuffered(
 	ctx context.Context, attempt *core.AttemptContext, m *BufferedRequest,
 ) engine.AttemptResult {
@@ -96,7 +99,7 @@
 	p.putUnused(c)
 }
 
-// Probe requests the load of an endpoint, or its health where there are no load reports.
+// Probe makes a health check: it requests a load report, or the health path where there are no load reports.
 func (to *Target) Probe() engine.AttemptResult {
 	p := to.pool
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
@@ -183,7 +186,7 @@
 	errMalformedResponse = errors.New("the answer is no HTTP/1")
 )
 
-// parsedResponse is a complete response.
+// parsedResponse is a response whose body is complete, or has not been read yet.
 type parsedResponse struct {
 	BufferedResponse
 	statusCode int
@@ -191,8 +194,8 @@
 }
 
 // readResponse reads a complete response. One that ends early, whose length is given in two ways, or that only the
-// end of the connection ends, is an error: nothing but what the endpoint made for the request may pass for its
-// response. http.ReadResponse would hide that it had both a length and chunks.
+// end of the connection ends, is an error, since it might not be the response to the request. http.ReadResponse would
+// hide that it had both a length and chunks.
 func (c *Conn) readResponse() (*parsedResponse, error) {
 	for range maxInterimResponses {
 		c.SetReadDeadline(time.Time{})
@@ -204,7 +207,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if response.statusCode < 200 {
+		if isInterim(response.statusCode) {
 			continue
 		}
 		response.Body, err = c.readBody(response)
@@ -272,11 +275,14 @@
 	return nil, errAmbiguousLength
 }
 
+// requestHeadSize is how many bytes are allocated for the head of a request. A larger head grows the buffer.
+const requestHeadSize = 512
+
 // encodeHead encodes the start of a request, up to the fields that frame its body, with the time that is left for it
 // in a header, if any.
 func (m *BufferedRequest) encodeHead(deadline string, leftMs int64) *bytes.Buffer {
 	b := &bytes.Buffer{}
-	b.Grow(512 + len(m.Body))
+	b.Grow(requestHeadSize + len(m.Body))
 	b.WriteString(m.Method + " " + m.URI + " HTTP/1.1\r\nHost: " + m.Host + "\r\n")
 	_ = m.Header.Write(b) // writing to memory does not fail
 	if leftMs > 0 && deadline != "" {
@@ -296,8 +302,9 @@
 	return b.Bytes()
 }
 
-// parseLoad parses a load report, TEXT name=value, name=value, and returns the values in the order of fields. A value
-// that is missing or invalid is NaN, never zero; a report without any valid value is nil.
+// parseLoad parses a load report, which is TEXT and then pairs name=value with commas between them, and returns the
+// values in the order of fields. A value that is missing or invalid is NaN, never zero, which would be an idle
+// endpoint; a report without any valid value is nil.
 func parseLoad(fields []string, text string) []float32 {
 	text = strings.TrimPrefix(strings.TrimSpace(text), "TEXT ")
 	load := make([]float32, len(fields))
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -17,10 +17,13 @@
 	"dunlinsail/internal/http1msg"
 )
 
-// bufferWindow is how long a response may take to arrive and still be buffered: one that arrives over a longer time is
+// bufferWindow is how long the body of a response may take to arrive and still be buffered. One that takes longer is
 // streamed.
 const bufferWindow = 20 * time.Millisecond
 
+// initialBodyBuffer is the size in bytes at which the buffer of a response body of unknown length starts.
+const initialBodyBuffer = 512
+
 // maxResponseHeadBytes bounds the heads of one response, those of interim (1xx) responses included.
 const maxResponseHeadBytes = 64 << 10
 
@@ -57,22 +60,20 @@
 	conn        *Conn
 	request     *Request
 	attempt     *core.AttemptContext
-	bodyWritten chan struct{} // closed once the body that streams has been written, or not
-	sentAt      atomic.Int64  // when its last byte was; 0 is not yet
+	bodyWritten chan struct{} // closed once forwardBody has written the streaming body or failed; nil for other bodies
+	sentAt      atomic.Int64  // monotime.Micros: when its last byte was written; 0 is not yet
 
 	mu        sync.Mutex
-	responded bool // or never will be
+	responded bool // the response's head has been read, or could not be
 }
 
-// run writes the request and reads its response, and reports whether the connection may be used again.
+// run writes the request, whose first piece is text, and reads its response. It reports whether the connection may be
+// used again.
 func (e *exchange) run(ctx context.Context, text []byte) (result engine.AttemptResult, reusable bool) {
 	if status := e.writeRequest(text); status != balancer.OK {
 		return e.pool.result(status), false
 	}
-	response, closeAfter, err := e.readHead()
-	e.mu.Lock()
-	e.responded = true
-	e.mu.Unlock()
+	response, closeAfter, err := e.awaitHead()
 	result = e.pool.result(balancer.Reset)
 	if err != nil {
 		result.Status = e.readFailure(err)
@@ -103,6 +104,15 @@
 	return result, !closeAfter
 }
 
+// awaitHead reads the head of the final response, after which writeBody sets no deadline for it any more.
+func (e *exchange) awaitHead() (response *Response, closeAfter bool, err error) {
+	response, closeAfter, err = e.readHead()
+	e.mu.Lock()
+	e.responded = true
+	e.mu.Unlock()
+	return response, closeAfter, err
+}
+
 // writeRequest writes the first piece of the request, and starts to forward a streaming body. It returns OK, or the
 // status of an attempt that could not be written.
 func (e *exchange) writeRequest(text []byte) balancer.Status {
@@ -183,7 +193,7 @@
 		return result, !closeAfter
 	case err == nil:
 		result.Status = balancer.Cancelled // the client left
-	case err == ErrResponseTooLong:
+	case errors.Is(err, ErrResponseTooLong):
 		result.Status = balancer.Error
 	default:
 		result.Status = balancer.Reset
@@ -196,47 +206,30 @@
 	stream := e.request.Stream
 	buf := streamBuffers.Get().(*[streamBufferSize]byte)
 	defer streamBuffers.Put(buf)
+	chunked := stream.Length < 0
 	total := int64(0)
-	const headerSpace = 16 // for a chunk's header
 	for {
 		stream.BeforeRead()
 		if stream.aborted.Load() {
 			return true
 		}
-		n, err := stream.Body.Read(buf[headerSpace : streamBufferSize-2])
+		n, err := stream.Body.Read(http1msg.ChunkData(buf[:]))
 		total += int64(n)
 		if stream.MaxBytes >= 0 && total > stream.MaxBytes {
 			n = 0
 			err = ErrRequestBodyTooLong
 		}
-		if n > 0 {
-			text := buf[headerSpace : headerSpace+n]
-			if stream.Length < 0 {
-				head := http1msg.AppendChunkHeader(nil, n)
-				copy(buf[headerSpace-len(head):], head)
-				text = append(buf[headerSpace-len(head):headerSpace+n], '\r', '\n')
-			}
-			e.conn.SetWriteDeadline(time.Now().Add(e.request.Policy.IdleTimeout))
-			if _, writeErr := e.conn.Write(text); writeErr != nil {
-				return true // the endpoint may have responded already; otherwise reading the response fails, too
-			}
+		piece := http1msg.ChunkData(buf[:])[:n]
+		if n > 0 && chunked {
+			piece = http1msg.FrameChunk(buf[:], n)
+		}
+		if n > 0 && !e.writeBodyPiece(piece) {
+			return true // the endpoint may have responded already; otherwise reading the response fails, too
 		}
 		switch {
-		case err == io.EOF:
-			if stream.Length < 0 {
-				lastChunk := http1msg.AppendLastChunk(nil, stream.Body.Trailer())
-				e.conn.SetWriteDeadline(time.Now().Add(e.request.Policy.IdleTimeout))
-				if _, writeErr := e.conn.Write(lastChunk); writeErr != nil {
-					return true
-				}
-			}
-			e.pool.forwarded.Add(1)
-			e.mu.Lock()
-			defer e.mu.Unlock()
-			e.conn.SetWriteDeadline(time.Time{})
-			e.sentAt.Store(e.pool.options.Clock.Now())
-			if timeout := e.request.responseTimeout(); !e.responded && timeout > 0 {
-				e.conn.SetReadDeadline(time.Now().Add(timeout))
+		case errors.Is(err, io.EOF):
+			if !chunked || e.writeBodyPiece(http1msg.AppendLastChunk(nil, stream.Body.Trailer())) {
+				e.bodySent()
 			}
 			return true
 		case err != nil:
@@ -246,6 +239,25 @@
 	}
 }
 
+// writeBodyPiece writes a piece of the streaming body, and reports whether that succeeded within the idle timeout.
+func (e *exchange) writeBodyPiece(piece []byte) bool {
+	e.conn.SetWriteDeadline(time.Now().Add(e.request.Policy.IdleTimeout))
+	_, err := e.conn.Write(piece)
+	return err == nil
+}
+
+// bodySent notes that the last byte of the streaming body has been written. The response's timeout runs from then.
+func (e *exchange) bodySent() {
+	e.pool.forwarded.Add(1)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.conn.SetWriteDeadline(time.Time{})
+	e.sentAt.Store(e.pool.options.Clock.Now())
+	if timeout := e.request.responseTimeout(); !e.responded && timeout > 0 {
+		e.conn.SetReadDeadline(time.Now().Add(timeout))
+	}
+}
+
 // readHead reads up to the head of the final response, and reports whether the endpoint closes the connection after
 // it.
 func (e *exchange) readHead() (*Response, bool, error) {
@@ -262,7 +274,7 @@
 			// An upgrade was not requested, and a client could misread invalid fields.
 			return nil, false, errMalformedResponse
 		}
-		if head.statusCode < 200 {
+		if isInterim(head.statusCode) {
 			if head.statusCode != http.StatusContinue { // that is between this hop and the endpoint
 				response.Interim = append(response.Interim, InterimResponse{head.statusCode, head.Header})
 			}
@@ -276,6 +288,9 @@
 	return nil, false, errResponseTooLarge
 }
 
+// isInterim reports whether a status is that of an informational (1xx) response, which is not the final one.
+func isInterim(statusCode int) bool { return statusCode < http.StatusOK }
+
 // isValidHeader reports whether all names and values are valid in a head (RFC 9110, section 5).
 func isValidHeader(h http.Header) bool {
 	for name, values := range h {
@@ -291,8 +306,8 @@
 	return true
 }
 
-// bufferBody reads as much of a response as is buffered, and reports whether that is all. With waitForAll, a response
-// of known length is waited for until the time of the attempt ends.
+// bufferBody reads as much of a response body as is buffered, and reports whether it is complete. With waitForAll, a
+// body of known length is waited for until the time of the attempt ends.
 func (e *exchange) bufferBody(response *Response, body *http1msg.Body, waitForAll bool) (bool, error) {
 	if body.Done() {
 		return true, nil
@@ -302,18 +317,14 @@
 	if fixedLength && response.Framing.Length > policy.MaxBuffered {
 		return false, nil
 	}
-	size := int64(512)
+	size := int64(initialBodyBuffer)
 	if fixedLength {
 		size = response.Framing.Length
 	}
 	response.Buffered = make([]byte, 0, min(size, policy.MaxBuffered)+1)
 	deadline := time.Now().Add(bufferWindow)
 	for int64(len(response.Buffered)) <= policy.MaxBuffered {
-		if len(response.Buffered) == cap(response.Buffered) {
-			grown := make([]byte, len(response.Buffered), min(2*int64(cap(response.Buffered)), policy.MaxBuffered+1))
-			copy(grown, response.Buffered)
-			response.Buffered = grown
-		}
+		response.ensureSpace(policy.MaxBuffered)
 		if body.Buffered() == 0 {
 			e.conn.SetReadDeadline(deadline)
 		}
@@ -338,6 +349,16 @@
 	return false, nil
 }
 
+// ensureSpace enlarges a full buffer of a response's body, up to maxBuffered bytes and one for the end of the body.
+func (r *Response) ensureSpace(maxBuffered int64) {
+	if len(r.Buffered) < cap(r.Buffered) {
+		return
+	}
+	grown := make([]byte, len(r.Buffered), min(2*int64(cap(r.Buffered)), maxBuffered+1))
+	copy(grown, r.Buffered)
+	r.Buffered = grown
+}
+
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
 // takeLoadReport returns the load report in a response, and removes it from the header.
--- a/internal/upstream/policy.go
+++ b/internal/upstream/policy.go
@@ -7,16 +7,16 @@
 	"dunlinsail/balancer"
 )
 
-// ResponsePolicy says how responses of endpoints are classified, buffered and bounded. It must not change while it is
-// used.
+// ResponsePolicy determines how responses of endpoints are classified, buffered and bounded. It must not change
+// while it is used.
 type ResponsePolicy struct {
-	FailureStatus  [600]bool // these count as an error of the endpoint
-	RejectedStatus [600]bool // these, with Retry-After, count as rejected before they ran
-	ReplaceErrors  bool      // the client gets a local response in place of an error, whose body is not needed
-	NonIdempotent  bool      // no retry of what may have run: rejections by RejectedStatus count as errors
+	FailureStatus  [600]bool // by status code: the response counts as an error of the endpoint
+	RejectedStatus [600]bool // by status code: the response, if it has Retry-After, counts as rejected before it ran
+	ReplaceErrors  bool      // the client receives a local response in place of an error, whose body is not read
+	NonIdempotent  bool      // requests must not be retried once they may have run: RejectedStatus counts as an error
 
-	MaxBuffered         int64         // a response up to so many bytes that arrives at once is forwarded in one piece
-	BufferSlowResponses bool          // one of known length up to MaxBuffered is buffered however slow it is
+	MaxBuffered         int64         // bytes: a larger response, or one that arrives slowly, is streamed
+	BufferSlowResponses bool          // a slow response of known length up to MaxBuffered is buffered nevertheless
 	MaxBytes            int64         // a larger response is aborted; 0 is no bound
 	IdleTimeout         time.Duration // between bytes of a streaming request or response
 	BodyTimeout         time.Duration // for the rest of a streaming response; 0 is no bound
@@ -28,9 +28,9 @@
 func (p *ResponsePolicy) classify(response *Response) balancer.Status {
 	code := min(response.StatusCode, len(p.FailureStatus)-1)
 	unavailable := code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout
-	never := unavailable && response.Header.Get("X-Never-Ran") == "1"
+	neverRan := unavailable && response.Header.Get("X-Never-Ran") == "1"
 	switch {
-	case never:
+	case neverRan:
 		return balancer.Rejected
 	case p.RejectedStatus[code] && response.Header.Get("Retry-After") != "":
 		if p.NonIdempotent {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,6 +1,7 @@
-// Package upstream holds the connections to endpoints and makes attempts and probes on them over HTTP/1.1 (RFC 9112).
-// It does not choose endpoints, and must not import the packages that serve clients. pool.go manages the connections;
-// exchange.go makes attempts whose bodies may stream; buffered.go makes small attempts and probes.
+// Package upstream holds the connections to endpoints and makes attempts and health checks on them over HTTP/1.1
+// (RFC 9112). It does not choose endpoints, and must not import the packages that serve clients. pool.go manages the
+// connections; exchange.go makes the attempts of clients' requests; buffered.go makes health checks, and small
+// exchanges that are read completely.
 package upstream
 
 import (
@@ -22,8 +23,15 @@
 	"dunlinsail/internal/monotime"
 )
 
+// sweepInterval is how often Run closes idle connections that have expired or that their endpoint has closed.
 const sweepInterval = time.Second
 
+// connReadBufferSize is the size in bytes of a connection's read buffer, the least that http1msg.NewBody takes.
+const connReadBufferSize = 4 << 10
+
+// shortageLogInterval is how long after a shortage of connections has been logged another one is not.
+const shortageLogInterval = time.Second
+
 // Options configure a Pool.
 type Options struct {
 	Clock           clock.Clock
@@ -33,7 +41,7 @@
 	MaxConns        int           // connections open or being opened
 	ReuseDelay      time.Duration // before a connection is used again (DefaultReuseDelay); 0 is none
 	LoadFields      []string      // fields of a load report, in the order of their values
-	LoadInResponses bool          // responses carry load reports, too
+	LoadInResponses bool          // load reports are also read from responses
 
 	// Dial opens a connection; nil is that of package net.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -66,8 +74,13 @@
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{Timeout: o.DialTimeout}).DialContext
 	}
-	// Well before the endpoint's own limit: a request that crosses its close is lost.
-	return &Pool{options: o, maxIdleTime: o.KeepAlive * 2 / 3, idleTargets: map[*Target]struct{}{}}
+	return &Pool{options: o, maxIdleTime: o.maxIdleTime(), idleTargets: map[*Target]struct{}{}}
+}
+
+// maxIdleTime returns how long a connection may be idle: two thirds of the time after which the endpoint closes it,
+// since a request that crosses the endpoint's close is lost.
+func (o *Options) maxIdleTime() time.Duration {
+	return o.KeepAlive * 2 / 3
 }
 
 // Forwarded returns how many attempts have been written to endpoints, their last byte included.
@@ -95,14 +108,14 @@
 	target    *Target
 	idleSince time.Time // since when it is idle
 
-	lastResponse time.Time       // after which a second response may follow; zero is none
-	availableAt  monotime.Micros // end of the wait of an attempt for it; 0 is no wait
+	lastResponse time.Time       // after which a second response may follow; zero: there was none
+	availableAt  monotime.Micros // when its reuse delay ended, if an attempt waited for that; else 0
 }
 
 func newConn(nc net.Conn, to *Target) *Conn {
 	c := &Conn{Conn: nc, target: to}
 	c.readLimit.R = nc
-	c.reader = bufio.NewReaderSize(&c.readLimit, 4096)
+	c.reader = bufio.NewReaderSize(&c.readLimit, connReadBufferSize)
 	return c
 }
 
@@ -111,21 +124,13 @@
 	errEndpointGone = errors.New("the endpoint is gone")
 )
 
-// noConnStatus returns the status of an attempt for which there is no connection, which never ran. A shortage of our
-// own is no fault of the endpoint: a healthy one would be ejected for it.
+// noConnStatus returns the status of an attempt for which there is no connection, which never ran. A shortage in this
+// process does not count as a failure of the endpoint, which would be ejected for it.
 func (p *Pool) noConnStatus(ctx context.Context, err error) balancer.Status {
 	shortage := errors.Is(err, errConnLimit) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.EADDRNOTAVAIL)
 	if shortage {
-		p.mu.Lock()
-		due := time.Since(p.lastShortageLog) > time.Second
-		if due {
-			p.lastShortageLog = time.Now()
-		}
-		p.mu.Unlock()
-		if due {
-			p.options.Log.Warn("no connection for an attempt", "error", err)
-		}
+		p.logShortage(err)
 	}
 	if shortage || errors.Is(err, errEndpointGone) || errors.Is(ctx.Err(), context.Canceled) {
 		return balancer.NotSent
@@ -133,9 +138,22 @@
 	return balancer.ConnectFailed
 }
 
-// DefaultReuseDelay is how long a connection is not used after a response. A second response may follow some
-// milliseconds later, and would be taken for that to the next request. The delay reveals it, and the connection is
-// closed. One that comes later still is only detected if nothing was written in between.
+// logShortage logs, once in shortageLogInterval at most, that this process has no connection for an attempt.
+func (p *Pool) logShortage(err error) {
+	p.mu.Lock()
+	due := time.Since(p.lastShortageLog) > shortageLogInterval
+	if due {
+		p.lastShortageLog = time.Now()
+	}
+	p.mu.Unlock()
+	if due {
+		p.options.Log.Warn("no connection for an attempt", "error", err)
+	}
+}
+
+// DefaultReuseDelay is how long a connection is not used after a response. An endpoint may send a second response some
+// milliseconds after the first, which would pass for the response to the next request. If it arrives within the delay,
+// the connection is closed. One that arrives later is only detected if the next request has not been written yet.
 const DefaultReuseDelay = 20 * time.Millisecond
 
 // Get returns the idle connection used last of those past their reuse delay, since the others may then expire; else
@@ -169,48 +187,70 @@
 	}
 }
 
-// getConn returns a connection, and what is left of its reuse delay. With ignoreDelay any idle one will do.
+// getConn returns a connection, and what is left of its reuse delay. With ignoreDelay that is not waited for.
 func (p *Pool) getConn(ctx context.Context, to *Target, ignoreDelay bool) (c *Conn, wait time.Duration, err error) {
 	p.mu.Lock()
-	for i := len(to.idle) - 1; i >= 0 && !to.dropped; i-- {
+	c, wait, err = p.takeOrReserveLocked(to, ignoreDelay)
+	p.mu.Unlock()
+	if c != nil || err != nil {
+		return c, wait, err
+	}
+	c, err = p.openConn(ctx, to)
+	return c, 0, err
+}
+
+// takeOrReserveLocked returns an idle connection and what is left of its reuse delay. It returns no connection and no
+// error where a new one is to be opened, which it has counted then.
+func (p *Pool) takeOrReserveLocked(to *Target, ignoreDelay bool) (*Conn, time.Duration, error) {
+	if to.dropped {
+		return nil, 0, errEndpointGone
+	}
+	if c := p.takeUsableLocked(to, ignoreDelay); c != nil {
+		return c, 0, nil
+	}
+	if len(to.idle) > 0 {
+		c, wait := p.takeDelayedLocked(to)
+		return c, wait, nil
+	}
+	if p.openConns >= p.options.MaxConns && !p.evictOldestLocked() { // an idle one of another target is evicted
+		return nil, 0, errConnLimit
+	}
+	p.openConns++
+	return nil, 0, nil
+}
+
+// takeUsableLocked removes and returns the idle connection used last of those past their reuse delay, nil if there is
+// none. It closes those that it finds expired.
+func (p *Pool) takeUsableLocked(to *Target, ignoreDelay bool) *Conn {
+	for i := len(to.idle) - 1; i >= 0; i-- {
 		if !ignoreDelay && p.remainingReuseDelay(to.idle[i]) > 0 {
 			continue
 		}
 		c := p.removeIdleLocked(to, i)
 		if p.isUsable(c) {
 			c.availableAt = 0
-			p.mu.Unlock()
-			return c, 0, nil
+			return c
 		}
 		p.closeLocked(c)
 	}
-	switch {
-	case to.dropped:
-		err = errEndpointGone
-	case len(to.idle) > 0:
-		c, wait = p.takeDelayedLocked(to)
-	case p.openConns >= p.options.MaxConns && !p.evictOldestLocked(): // an idle one of another target is evicted
-		err = errConnLimit
-	default:
-		p.openConns++
-	}
-	p.mu.Unlock()
-	if c != nil || err != nil {
-		return c, wait, err
-	}
+	return nil
+}
+
+// openConn opens a connection that takeOrReserveLocked has counted.
+func (p *Pool) openConn(ctx context.Context, to *Target) (*Conn, error) {
 	nc, err := p.options.Dial(ctx, "tcp", to.addr)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
 		p.openConns--
-		return nil, 0, err
+		return nil, err
 	}
-	c = newConn(nc, to)
+	c := newConn(nc, to)
 	if to.dropped {
-		p.closeLocked(c) // another may listen there by now
-		return nil, 0, errEndpointGone
+		p.closeLocked(c) // another endpoint may listen at the address by now
+		return nil, errEndpointGone
 	}
-	return c, 0, nil
+	return c, nil
 }
 
 // takeDelayedLocked removes the idle connection with the least left of its reuse delay, and returns both.
@@ -233,11 +273,12 @@
 	return p.options.ReuseDelay - time.Since(c.lastResponse)
 }
 
+// isUsable reports whether an idle connection has neither expired nor been closed, or written to, by its endpoint.
 func (p *Pool) isUsable(c *Conn) bool { return time.Since(c.idleSince) < p.maxIdleTime && c.isAlive() }
 
-// LimitIdle bounds the idle connections on behalf of one owner of endpoints; the bounds of all owners add up. A bound
-// below 1 keeps one connection for that part of the idle time: over many instances this comes to the same. The
-// connection unused longest is closed first. A limit of 0 removes the bound of the owner.
+// LimitIdle bounds the idle connections on behalf of one owner of endpoints; the bounds of all owners add up. With a
+// sum below 1 one connection stays idle for that part of the idle time, which over many instances has the same mean.
+// The connection that has been idle for longest is closed first. A limit of 0 removes the bound of the owner.
 func (p *Pool) LimitIdle(owner string, limit float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -249,7 +290,7 @@
 		delete(p.idleLimits, owner)
 	}
 	p.maxIdle = 0
-	p.maxIdleTime = p.options.KeepAlive * 2 / 3
+	p.maxIdleTime = p.options.maxIdleTime()
 	if len(p.idleLimits) == 0 {
 		return
 	}
@@ -258,7 +299,7 @@
 		sum += n
 	}
 	p.maxIdle = max(1, int(sum))
-	p.maxIdleTime = time.Duration(float64(p.options.KeepAlive*2/3) * min(1, sum))
+	p.maxIdleTime = time.Duration(float64(p.options.maxIdleTime()) * min(1, sum))
 	p.trimIdleLocked()
 }
 
@@ -290,7 +331,7 @@
 	p.insertIdleLocked(c)
 }
 
-// insertIdleLocked keeps an idle connection, in the order in which they were last used.
+// insertIdleLocked adds an idle connection to its target, in the order in which they were last used.
 func (p *Pool) insertIdleLocked(c *Conn) {
 	if c.target.dropped || p.discardIdle {
 		p.closeLocked(c)
@@ -354,8 +395,8 @@
 	}
 }
 
-// AttemptTimedOut closes the idle connections to an endpoint that were last used before an instant: one that has been
-// silent since then may not be the only one.
+// AttemptTimedOut closes the idle connections to an endpoint that were last used before an instant. An attempt that was
+// sent then has had no response, and the network path of the other connections may be broken, too.
 func (to *Target) AttemptTimedOut(since time.Time) {
 	p := to.pool
 	p.mu.Lock()
@@ -380,7 +421,8 @@
 	}
 }
 
-// SetKeepIdle sets whether idle connections are kept or closed. Another process may need the descriptors.
+// SetKeepIdle sets whether connections stay open while they are idle. They do not while another process may need the
+// descriptors (hot restart).
 func (p *Pool) SetKeepIdle(keep bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -405,8 +447,8 @@
 	}
 }
 
-// isAlive checks, without waiting, whether the endpoint has closed an idle connection or sent something on it
-// unasked. A request written to such a connection would be lost and might have run.
+// isAlive reports, without waiting, whether the endpoint has neither closed an idle connection nor sent anything on
+// it. A request written to another connection would be lost and might have run.
 func (c *Conn) isAlive() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -420,7 +462,7 @@
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		quiet = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
 	return err == nil && quiet
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -79,9 +79,9 @@
 	Abort func()
 
 	claimed atomic.Bool
-	aborted atomic.Bool
+	aborted atomic.Bool   // by finish: what is left of the body is not needed
 	done    chan struct{} // closed once nothing reads Body any more, if it was claimed
-	err     error         // what ended reading, but for io.EOF; set before done is closed
+	err     error         // that ended reading, other than io.EOF; set before done is closed
 }
 
 // NewRequestStream returns a stream of a body of length bytes (-1: unknown). beforeRead is called before each read,
@@ -100,7 +100,7 @@
 // Claimed reports whether the body has been claimed.
 func (s *RequestStream) Claimed() bool { return s.claimed.Load() }
 
-// Claim claims the body, for an attempt or so that no attempt can, and reports whether this call did.
+// Claim claims the body, for an attempt, or for no attempt to read it any more. It reports whether this call did.
 func (s *RequestStream) Claim() bool { return s.claimed.CompareAndSwap(false, true) }
 
 // Done returns a channel that is closed once a claimed body is not read any more.
@@ -120,16 +120,16 @@
 			e.conn.SetWriteDeadline(time.Unix(1, 0))
 			s.Abort()
 			<-e.bodyWritten
-			s.err = nil // it was we who ended it
+			s.err = nil // not the client's failure: Abort ended the read
 		}
 	}
 	close(s.done)
 }
 
-// clientFailed reports whether the client ended the body early.
-func (s *RequestStream) clientFailed(writing chan struct{}) bool {
+// clientFailed reports whether reading the body from the client failed. written is exchange.bodyWritten.
+func (s *RequestStream) clientFailed(written <-chan struct{}) bool {
 	select {
-	case <-writing:
+	case <-written:
 		return s.err != nil
 	default:
 		return false
