--- a/internal/upstream/buffered_test.go
+++ b/internal/upstream/buffered_test.go
@@ -17,7 +17,7 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// A figure that is missing or makes no sense must not read as an idle endpoint.
+// A value of a load report that is missing or invalid is not that of an idle endpoint.
 func TestParseLoad(t *testing.T) {
 	fields := []string{"busy_reqs", "served_ps", "cpu_share"}
 	for _, tc := range []struct{ text, want string }{
@@ -35,41 +35,46 @@
 	}
 }
 
-// Each Send is at most one attempt on the wire, also for requests that an http.Transport would send again:
-// those of a kept connection that breaks after the request was read.
+// A request is written once, also where an http.Transport would write it again: on a reused connection that breaks
+// after the endpoint has read the request.
 func TestBrokenIdleConnectionIsNotResent(t *testing.T) {
-	for name, m := range map[string]*BufferedRequest{"get": plainGet(), "keyed": idempotentPost("x")} {
+	for name, m := range map[string]*BufferedRequest{"get": plainGet(), "idempotency key": idempotentPost("x")} {
 		t.Run(name, func(t *testing.T) {
-			var taken atomic.Int32
-			u := newPool()
-			to := u.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
-				for i := 0; i < 2; i++ {
-					if _, err := scriptedpeer.ReadRequest(r); err != nil {
-						return
-					}
-					if taken.Add(1); i == 0 {
-						io.WriteString(c, okResponse)
-					}
-				}
-			}))
-			if r := u.sendOnce(m, to); r.Status != balancer.OK {
+			var received atomic.Int32
+			pool := newPool()
+			to := pool.newTarget(scriptedpeer.StartTCP(t, respondOnce(&received)))
+			if r := pool.sendOnce(m, to); r.Status != balancer.OK {
 				t.Fatalf("first: status %v", r.Status)
 			}
-			if r := u.sendOnce(m, to); r.Status != balancer.Reset {
+			if r := pool.sendOnce(m, to); r.Status != balancer.Reset {
 				t.Errorf("second: status %v, want Reset", r.Status)
 			}
-			if n := taken.Load(); n != 2 {
-				t.Errorf("the endpoint took %d requests, want 2", n)
+			if n := received.Load(); n != 2 {
+				t.Errorf("the endpoint received %d requests, want 2", n)
 			}
 		})
 	}
 }
 
-// truncatingConn is a connection that breaks before the last bytes of a write, or right after them.
+// respondOnce serves connections that break after their second request has been read, and counts the requests.
+func respondOnce(received *atomic.Int32) func(c *net.TCPConn, r *bufio.Reader) {
+	return func(c *net.TCPConn, r *bufio.Reader) {
+		for i := range 2 {
+			if _, err := scriptedpeer.ReadRequest(r); err != nil {
+				return
+			}
+			if received.Add(1); i == 0 {
+				io.WriteString(c, okResponse)
+			}
+		}
+	}
+}
+
+// truncatingConn is a connection whose writes fail before their last bytes, or after them.
 type truncatingConn struct {
 	net.Conn
-	missing int
-	after   bool
+	missing int  // bytes that are not written
+	after   bool // a complete write fails, too
 }
 
 func (s truncatingConn) Write(p []byte) (int, error) {
@@ -80,7 +85,7 @@
 	return n, err
 }
 
-// Whether a request may have run turns on its last byte.
+// A request may have run if its last byte was written, and has not otherwise.
 func TestLastByteDecides(t *testing.T) {
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		scriptedpeer.ReadRequest(r)
@@ -88,10 +93,10 @@
 	})
 	m := idempotentPost(strings.Repeat("x", 1000))
 	for _, tc := range []struct {
-		name  string
-		lack  int
-		after bool
-		want  balancer.Status
+		name    string
+		missing int
+		after   bool
+		want    balancer.Status
 	}{
 		{"all but one byte", 1, false, balancer.ConnectFailed},
 		{"no byte", 1 << 20, false, balancer.ConnectFailed},
@@ -99,35 +104,36 @@
 		{"all, then an error", 0, true, balancer.Reset},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			u := newPool()
-			dial := u.options.Dial
-			u.options.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			pool := newPool()
+			dial := pool.options.Dial
+			pool.options.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := dial(ctx, network, addr)
-				return truncatingConn{c, tc.lack, tc.after}, err
+				return truncatingConn{c, tc.missing, tc.after}, err
 			}
-			if r := u.sendOnce(m, u.newTarget(addr)); r.Status != tc.want {
+			if r := pool.sendOnce(m, pool.newTarget(addr)); r.Status != tc.want {
 				t.Errorf("status %v, want %v", r.Status, tc.want)
 			}
 		})
 	}
-	u := newPool()
-	if r := u.sendOnce(m, u.newTarget(scriptedpeer.ClosedAddress(t))); r.Status != balancer.ConnectFailed {
-		t.Errorf("refused connection: status %v, want ConnectFailed", r.Status)
+	pool := newPool()
+	if r := pool.sendOnce(m, pool.newTarget(scriptedpeer.ClosedAddress(t))); r.Status != balancer.ConnectFailed {
+		t.Errorf("closed port: status %v, want ConnectFailed", r.Status)
 	}
 }
 
-// What the endpoint's answer means. Only a marked 503 or 504 proves that the request never ran, and only a
-// whole 200 counts as one.
+// The status of an attempt by the endpoint's response. Only a marked 503 or 504 proves that the request never ran, and
+// only a complete 200 is a success.
 func TestAnswers(t *testing.T) {
 	for _, tc := range []struct {
-		name, answer string
-		want         balancer.Status
+		name     string
+		response string
+		want     balancer.Status
 	}{
-		{"whole", okResponse, balancer.OK},
+		{"complete", okResponse, balancer.OK},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.OK},
 		{"after a 100", "HTTP/1.1 100 Continue\r\n\r\n" + okResponse, balancer.OK},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", balancer.Error},
-		{"turned away", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
+		{"rejected", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
 		{"late", "HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
 		{"unmarked 503", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", balancer.Error},
 		{"marked 500", "HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Error},
@@ -156,10 +162,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 				scriptedpeer.ReadRequest(r)
-				io.WriteString(c, tc.answer)
+				io.WriteString(c, tc.response)
 			})
-			u := newPool()
-			r := u.sendOnce(idempotentPost("x"), u.newTarget(addr))
+			pool := newPool()
+			r := pool.sendOnce(idempotentPost("x"), pool.newTarget(addr))
 			if r.Status != tc.want {
 				t.Errorf("status %v, want %v", r.Status, tc.want)
 			}
@@ -170,10 +176,10 @@
 	}
 }
 
-// An answer that does not end, or says that it will not for long, is given up at once: its connection stays open,
-// and the time of the request would go by.
+// A response that does not end, or has a length that is not accepted, fails at once, although its connection stays
+// open: the attempt would otherwise last until its deadline.
 func TestAnswerWithoutEnd(t *testing.T) {
-	for _, answer := range []string{
+	for _, response := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
 		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok",
 		"HTTP/1.1 200 OK\r\nContent-Le",
@@ -181,36 +187,36 @@
 	} {
 		addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 			scriptedpeer.ReadRequest(r)
-			io.WriteString(c, answer)
+			io.WriteString(c, response)
 			r.ReadByte()
 		})
-		u := newPool()
-		begun := time.Now()
-		r := u.sendOnce(idempotentPost("x"), u.newTarget(addr))
-		if took := time.Since(begun); r.Status != balancer.Reset || took > 5*maxResponseStall {
-			t.Errorf("%q: status %v after %v, want Reset at once", answer, r.Status, took)
+		pool := newPool()
+		start := time.Now()
+		r := pool.sendOnce(idempotentPost("x"), pool.newTarget(addr))
+		if took := time.Since(start); r.Status != balancer.Reset || took > 5*maxResponseStall {
+			t.Errorf("%q: status %v after %v, want Reset at once", response, r.Status, took)
 		}
-		if u.openConns != 0 {
-			t.Errorf("%q: its connection is kept", answer)
+		if pool.openConns != 0 {
+			t.Errorf("%q: its connection is open", response)
 		}
 	}
 }
 
-// An answer may come long after a 1xx.
+// A response may follow an interim (1xx) response after more than maxResponseStall.
 func TestSlowAfterInterim(t *testing.T) {
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		scriptedpeer.ReadRequest(r)
 		io.WriteString(c, "HTTP/1.1 102 Wait\r\n\r\n")
-		time.Sleep(2 * maxResponseStall) // the work, not a wait for another
+		time.Sleep(2 * maxResponseStall) // the endpoint works
 		io.WriteString(c, okResponse)
 	})
-	u := newPool()
-	if r := u.sendOnce(idempotentPost("x"), u.newTarget(addr)); r.Status != balancer.OK {
+	pool := newPool()
+	if r := pool.sendOnce(idempotentPost("x"), pool.newTarget(addr)); r.Status != balancer.OK {
 		t.Errorf("status %v, want OK", r.Status)
 	}
 }
 
-// A good answer with more behind it is good, and what is behind it answers nothing.
+// A response with more bytes behind it succeeds, and these bytes are the response to no request.
 func TestMoreBehindAnswer(t *testing.T) {
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
@@ -219,16 +225,16 @@
 				return
 			}
 			id := req.Header.Get("X-Trace-Id")
-			one := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
-			io.WriteString(c, one+one)
+			response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
+			io.WriteString(c, response+response)
 		}
 	})
-	u := newPool()
-	to := u.newTarget(addr)
+	pool := newPool()
+	to := pool.newTarget(addr)
 	for i := range 4 {
 		m := plainGet()
 		m.Header.Set("X-Trace-Id", fmt.Sprint(i))
-		r := u.sendOnce(m, to)
+		r := pool.sendOnce(m, to)
 		response, _ := r.Response.(*BufferedResponse)
 		if r.Status != balancer.OK || string(response.Body) != fmt.Sprint(i) {
 			t.Errorf("request %d: status %v, response %v", i, r.Status, response)
@@ -236,7 +242,7 @@
 	}
 }
 
-// A probe asks for the load where there are reports, for the health elsewhere, and waits only so long.
+// A health check requests a load report where there are any, and the health path elsewhere. It ends after probeTimeout.
 func TestProbe(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -262,7 +268,7 @@
 		ended <- err
 	})
 	if r := newPool().newTarget(mute).Probe(); r.Status == balancer.OK {
-		t.Error("a probe that nobody answered is ok")
+		t.Error("a probe without a response is ok")
 	}
 	if err := scriptedpeer.Receive(t, ended, "end of a mute probe"); err == nil {
 		t.Error("more was written to a mute probe")
--- a/internal/upstream/connections_test.go
+++ b/internal/upstream/connections_test.go
@@ -16,7 +16,7 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// requestLedger is the reference: how often an endpoint received each request, by its ID, and which rules were broken.
+// requestLedger records how often an endpoint received each request, by its ID, and which rules were broken.
 type requestLedger struct {
 	mu         sync.Mutex
 	received   map[string]int
@@ -29,12 +29,12 @@
 	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
-// behaviors are what an endpoint may do with a request, by the path; each reports whether the connection goes on.
-var behaviors = map[string]func(c *net.TCPConn, id string) (goesOn bool){
+// behaviors are what an endpoint may do with a request, by the path. Each reports whether the connection stays open.
+var behaviors = map[string]func(c *net.TCPConn, id string) (keepOpen bool){
 	"ok": func(c *net.TCPConn, id string) bool { io.WriteString(c, responseFor(id)); return true },
 	"twice": func(c *net.TCPConn, id string) bool {
 		io.WriteString(c, responseFor(id))
-		time.Sleep(2 * time.Millisecond) // some milliseconds late: time is what it is about
+		time.Sleep(2 * time.Millisecond) // well within DefaultReuseDelay, unless the machine pauses
 		io.WriteString(c, responseFor(id))
 		return true
 	},
@@ -72,10 +72,10 @@
 	}
 }
 
-// attempt makes one attempt, and reports what broke a rule: a response that was not made for it, a request written
-// twice, or one written whose status says that it never ran.
-func (l *requestLedger) attempt(ctx context.Context, u *Pool, to *Target, id, behavior string) {
-	r := u.Send(ctx, u.newAttempt(to), &Request{
+// attempt makes one attempt, and reports what broke a rule: a response to another request, a request that was received
+// twice, or one that was received although its status means that it never ran.
+func (l *requestLedger) attempt(ctx context.Context, pool *Pool, to *Target, id, behavior string) {
+	r := pool.Send(ctx, pool.newAttempt(to), &Request{
 		Method: "GET",
 		URI:    "/" + behavior,
 		Host:   "origin.svc",
@@ -95,7 +95,7 @@
 	}
 }
 
-// randomEvents has attempts, withdrawals, drops and pauses meet in an order drawn from a seed.
+// randomEvents makes attempts, cancellations, drops and other events happen in an order drawn from a seed.
 type randomEvents struct {
 	ledger   *requestLedger
 	pool     *Pool
@@ -106,7 +106,7 @@
 	attempts sync.WaitGroup
 }
 
-// runRandomEvents returns what broke a rule: those of requestLedger.attempt, and that no connection is left behind.
+// runRandomEvents returns the violations of the rules of requestLedger.attempt and of checkConnections.
 func runRandomEvents(t *testing.T, seed uint64, reuseDelay time.Duration) []string {
 	t.Helper()
 	ledger := &requestLedger{received: map[string]int{}}
@@ -129,21 +129,21 @@
 	return ledger.violations
 }
 
-// startAttempt starts an attempt of a drawn behavior, and perhaps has its client leave at a drawn instant.
+// startAttempt starts an attempt of a drawn behavior, and may cancel it at a drawn instant.
 func (e *randomEvents) startAttempt(id string) {
 	behavior := drawnBehaviors[e.rng.IntN(len(drawnBehaviors))]
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	if e.rng.IntN(3) == 0 || behavior == "never" {
-		time.AfterFunc(time.Duration(e.rng.IntN(3000))*time.Microsecond, leave)
+		time.AfterFunc(time.Duration(e.rng.IntN(3000))*time.Microsecond, cancel)
 	}
 	to := e.target
 	e.attempts.Go(func() {
-		defer leave()
+		defer cancel()
 		e.ledger.attempt(ctx, e.pool, to, id, behavior)
 	})
 }
 
-// interfere does one drawn thing beside the attempts.
+// interfere makes one drawn event happen beside the attempts, or none.
 func (e *randomEvents) interfere() {
 	switch e.rng.IntN(12) {
 	case 0:
@@ -162,25 +162,26 @@
 	}
 }
 
-// checkConnections reports connections that are counted wrongly or belong to nobody. No attempt is in flight.
+// checkConnections reports connections that are counted wrongly, or stay open after all targets are dropped. No attempt
+// may be in flight.
 func (e *randomEvents) checkConnections() {
-	u := e.pool
-	u.mu.Lock()
-	if idle := len(e.target.idle); u.openConns != idle || u.idleConns != idle {
-		e.ledger.report("%d connections open, %d counted as idle, %d idle", u.openConns, u.idleConns, idle)
+	pool := e.pool
+	pool.mu.Lock()
+	if idle := len(e.target.idle); pool.openConns != idle || pool.idleConns != idle {
+		e.ledger.report("%d connections open, %d counted as idle, %d idle", pool.openConns, pool.idleConns, idle)
 	}
-	u.mu.Unlock()
+	pool.mu.Unlock()
 	for _, to := range append(e.dropped, e.target) {
 		to.Drop()
 	}
-	if u.openConns != 0 || len(u.idleTargets) != 0 {
-		e.ledger.report("%d connections left", u.openConns)
+	if pool.openConns != 0 || len(pool.idleTargets) != 0 {
+		e.ledger.report("%d connections left", pool.openConns)
 	}
 }
 
-// Whatever meets on connections to an endpoint, each attempt is written once at most, none is served with the response
-// to another, none that is said never to have run did, and no connection is left. The check finds connections that are
-// reused without a delay.
+// In whatever order events happen on connections to an endpoint, each request is written once at most, none is
+// served with the response to another, none whose status means that it never ran was received, and no connection is
+// leaked. That the check detects faults is shown by connections that are reused without a delay.
 func TestConnectionsUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(12) {
 		for _, violation := range runRandomEvents(t, seed, DefaultReuseDelay) {
@@ -192,5 +193,5 @@
 			return
 		}
 	}
-	t.Error("a planted fault, connections that are reused at once, was not found")
+	t.Error("connections that are reused without a delay were not detected")
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -331,7 +331,7 @@
 		n, err := body.Read(response.Buffered[len(response.Buffered):cap(response.Buffered)])
 		response.Buffered = response.Buffered[:len(response.Buffered)+n]
 		switch {
-		case err == io.EOF:
+		case errors.Is(err, io.EOF):
 			return true, nil
 		case isTimeout(err) && waitForAll && fixedLength && len(response.Buffered) > 0:
 			e.attempt.ResponseProgress() // it is slow, but not silent
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -70,73 +71,77 @@
 	return &Request{Method: "GET", URI: "/look", Host: "origin.svc", Header: http.Header{}, Policy: policy}
 }
 
+// readOneRequest is an endpoint that reads one request and closes the connection.
+func readOneRequest(_ *net.TCPConn, r *bufio.Reader) { scriptedpeer.ReadRequest(r) }
+
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// What is meant for an endpoint does not reach the one that listens at its address later, and nothing to one
-// that is gone is kept.
+// A request to an endpoint does not reach another one that listens at its address later, and no connection to an
+// endpoint that has gone stays open.
 func TestGoneEndpointsConnections(t *testing.T) {
 	var dials atomic.Int32
 	addr := startAnsweringEndpoint(t, &dials)
-	u := newPool()
-	old, next := u.newTarget(addr), u.newTarget(addr)
+	pool := newPool()
+	old := pool.newTarget(addr)
+	next := pool.newTarget(addr)
 	ctx := context.Background()
-	u.sendOnce(plainGet(), old)
-	if u.sendOnce(plainGet(), next); dials.Load() != 2 {
+	pool.sendOnce(plainGet(), old)
+	if pool.sendOnce(plainGet(), next); dials.Load() != 2 {
 		t.Errorf("%d connections to two endpoints at one address, want 2", dials.Load())
 	}
-	out, err := u.Get(ctx, old)
+	inFlight, err := pool.Get(ctx, old)
 	if err != nil {
 		t.Fatal(err)
 	}
 	old.Drop()
-	u.Put(out)
-	if u.openConns != 1 || len(old.idle) != 0 {
-		t.Errorf("%d connections open, %d idle to what is gone, want 1 and 0", u.openConns, len(old.idle))
+	pool.Put(inFlight)
+	if pool.openConns != 1 || len(old.idle) != 0 {
+		t.Errorf("%d connections open, %d idle to a dropped target, want 1 and 0", pool.openConns, len(old.idle))
 	}
-	if r := u.sendOnce(plainGet(), old); r.Status != balancer.NotSent {
-		t.Errorf("status %v for what is gone, want NotSent", r.Status)
+	if r := pool.sendOnce(plainGet(), old); r.Status != balancer.NotSent {
+		t.Errorf("status %v for a dropped target, want NotSent", r.Status)
 	}
-	late := u.newTarget(addr)
-	dial := u.options.Dial
-	u.options.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	late := pool.newTarget(addr)
+	dial := pool.options.Dial
+	pool.options.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		late.Drop()
 		return dial(ctx, network, addr)
 	}
-	if r := u.sendOnce(plainGet(), late); r.Status != balancer.NotSent || u.openConns != 1 {
-		t.Errorf("status %v for what went while dialled, want NotSent; %d connections", r.Status, u.openConns)
+	if r := pool.sendOnce(plainGet(), late); r.Status != balancer.NotSent || pool.openConns != 1 {
+		t.Errorf("status %v for a target dropped during the dial, want NotSent; %d connections", r.Status, pool.openConns)
 	}
 }
 
-// Our own shortage is no fault of the endpoint's.
+// A shortage in this process does not count as a failure of the endpoint.
 func TestShortageIsNoFault(t *testing.T) {
-	u := newPool()
-	to := u.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) { scriptedpeer.ReadRequest(r) }))
-	u.options.MaxConns = 0
-	if r := u.sendOnce(plainGet(), to); r.Status != balancer.NotSent {
+	pool := newPool()
+	to := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
+	pool.options.MaxConns = 0
+	if r := pool.sendOnce(plainGet(), to); r.Status != balancer.NotSent {
 		t.Errorf("all connections in use: status %v, want NotSent", r.Status)
 	}
-	u.options.MaxConns = 1
+	pool.options.MaxConns = 1
 	for _, e := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL} {
-		u.options.Dial = func(context.Context, string, string) (net.Conn, error) {
+		pool.options.Dial = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", e)}
 		}
-		if r := u.sendOnce(plainGet(), to); r.Status != balancer.NotSent {
+		if r := pool.sendOnce(plainGet(), to); r.Status != balancer.NotSent {
 			t.Errorf("%v: status %v, want NotSent", e, r.Status)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	u.options.Dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
+	pool.options.Dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		cancel()
 		return nil, ctx.Err()
 	}
-	r := u.SendBuffered(ctx, u.newAttempt(to), plainGet())
+	r := pool.SendBuffered(ctx, pool.newAttempt(to), plainGet())
 	if r.Status != balancer.NotSent {
-		t.Errorf("a dial that we ended: status %v, want NotSent", r.Status)
+		t.Errorf("a canceled dial: status %v, want NotSent", r.Status)
 	}
 }
 
-// A connection that the endpoint has closed meanwhile must not be used: the request would be lost, and
-// whether it ran would not be known.
+// A connection that the endpoint has closed while it was idle is not used: the request would be lost, and it would be
+// unknown whether it ran.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -145,17 +150,18 @@
 		c.Close()
 		closed <- struct{}{}
 	})
-	u := newPool()
-	to := u.newTarget(addr)
+	pool := newPool()
+	to := pool.newTarget(addr)
 	for i := range 3 {
-		if r := u.sendOnce(plainGet(), to); r.Status != balancer.OK {
+		if r := pool.sendOnce(plainGet(), to); r.Status != balancer.OK {
 			t.Fatalf("request %d: status %v", i, r.Status)
 		}
 		scriptedpeer.Receive(t, closed, "close")
 	}
 }
 
-// startAnsweringEndpoint is an endpoint that answers all that comes, and counts its connections.
+// startAnsweringEndpoint starts an endpoint that responds to every request, and counts its connections. It returns its
+// address.
 func startAnsweringEndpoint(t *testing.T, dials *atomic.Int32) string {
 	t.Helper()
 	return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -169,37 +175,37 @@
 	})
 }
 
-// An idle connection is retired well before the endpoint would close it, and the sweep closes it.
+// An idle connection expires well before the endpoint would close it: it is not used then, and the sweep closes it.
 func TestIdleConnectionIsRetired(t *testing.T) {
 	var dials atomic.Int32
 	addr := startAnsweringEndpoint(t, &dials)
-	u := newPool()
-	to := u.newTarget(addr)
-	if most := 12 * time.Second; u.maxIdleTime > most {
-		t.Errorf("kept idle for %v where the endpoint closes after 15 s", u.maxIdleTime)
+	pool := newPool()
+	to := pool.newTarget(addr)
+	if limit := 12 * time.Second; pool.maxIdleTime > limit {
+		t.Errorf("idle for %v where the endpoint closes after 15 s", pool.maxIdleTime)
 	}
 	age := func() {
 		for _, c := range to.idle {
-			c.idleSince = c.idleSince.Add(-u.maxIdleTime)
+			c.idleSince = c.idleSince.Add(-pool.maxIdleTime)
 		}
 	}
-	u.sendOnce(plainGet(), to)
-	u.sendOnce(plainGet(), to)
+	pool.sendOnce(plainGet(), to)
+	pool.sendOnce(plainGet(), to)
 	if n := dials.Load(); n != 1 {
 		t.Fatalf("%d connections for two requests in turn, want 1", n)
 	}
 	age()
-	u.sendOnce(plainGet(), to)
+	pool.sendOnce(plainGet(), to)
 	if n := dials.Load(); n != 2 {
 		t.Errorf("%d connections after one grew old, want 2", n)
 	}
 	age()
-	if u.sweep(); u.openConns != 0 {
-		t.Errorf("%d connections open after the sweep, want 0", u.openConns)
+	if pool.sweep(); pool.openConns != 0 {
+		t.Errorf("%d connections open after the sweep, want 0", pool.openConns)
 	}
 }
 
-// mustGet takes a connection.
+// mustGet returns a connection from the pool.
 func (p *Pool) mustGet(t *testing.T, to *Target) *Conn {
 	t.Helper()
 	c, err := p.Get(context.Background(), to)
@@ -209,195 +215,208 @@
 	return c
 }
 
-// An attempt that takes a connection and is withdrawn before its first byte has not used it: to the endpoint it has
-// been idle all the while, and it is not used beyond its age for that, nor before one used later.
+// An attempt that is withdrawn before its first byte has not used its connection, which has been idle for the endpoint
+// all the time: the connection expires as if it had stayed in the pool, and one that was used later is preferred.
 func TestUnusedConnectionKeepsItsAge(t *testing.T) {
 	var dials atomic.Int32
 	addr := startAnsweringEndpoint(t, &dials)
-	u := newPool()
-	to := u.newTarget(addr)
-	u.sendOnce(plainGet(), to)
-	to.idle[0].idleSince = to.idle[0].idleSince.Add(-u.maxIdleTime * 3 / 4)
+	pool := newPool()
+	to := pool.newTarget(addr)
+	pool.sendOnce(plainGet(), to)
+	to.idle[0].idleSince = to.idle[0].idleSince.Add(-pool.maxIdleTime * 3 / 4)
 	used := to.idle[0].idleSince
-	withdrawn := u.newAttempt(to)
+	withdrawn := pool.newAttempt(to)
 	withdrawn.ClaimSend = func(monotime.Micros) bool { return false }
-	r := u.SendBuffered(context.Background(), withdrawn, plainGet())
+	r := pool.SendBuffered(context.Background(), withdrawn, plainGet())
 	if r.Status != balancer.NotSent || len(to.idle) != 1 || !to.idle[0].idleSince.Equal(used) {
 		t.Fatalf("status %v; idle since %v, last used at %v", r.Status, to.idle[0].idleSince, used)
 	}
-	old, fresh := u.mustGet(t, to), u.mustGet(t, to)
-	u.Put(fresh)
-	u.putUnused(old)
-	if u.mustGet(t, to) != fresh {
+	old := pool.mustGet(t, to)
+	fresh := pool.mustGet(t, to)
+	pool.Put(fresh)
+	pool.putUnused(old)
+	if pool.mustGet(t, to) != fresh {
 		t.Error("one put back unused went before one used later")
 	}
-	u.Put(fresh)
-	old.idleSince = old.idleSince.Add(-u.maxIdleTime / 2)
-	if u.sweep(); len(to.idle) != 1 || to.idle[0] != fresh {
+	pool.Put(fresh)
+	old.idleSince = old.idleSince.Add(-pool.maxIdleTime / 2)
+	if pool.sweep(); len(to.idle) != 1 || to.idle[0] != fresh {
 		t.Errorf("%d idle connections after the old one's time", len(to.idle))
 	}
 }
 
-// The connection used last is used next, so that those not needed grow old and are closed.
+// The connection used last is used next, so that those that are not needed expire.
 func TestLatestConnectionFirst(t *testing.T) {
-	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) { scriptedpeer.ReadRequest(r) })
-	u := newPool()
-	to := u.newTarget(addr)
-	first, second := u.mustGet(t, to), u.mustGet(t, to)
-	u.Put(first)
-	u.Put(second)
-	if u.mustGet(t, to) != second {
-		t.Error("the connection used last was not taken")
+	addr := scriptedpeer.StartTCP(t, readOneRequest)
+	pool := newPool()
+	to := pool.newTarget(addr)
+	first := pool.mustGet(t, to)
+	second := pool.mustGet(t, to)
+	pool.Put(first)
+	pool.Put(second)
+	if pool.mustGet(t, to) != second {
+		t.Error("the connection used last was not used next")
 	}
 }
 
-// Connections are bounded, so that descriptors do not run out; one that is idle elsewhere makes room.
+// The number of connections is bounded, since each needs a descriptor. At the bound an idle one to another endpoint is
+// closed for a new one.
 func TestConnectionsAreBounded(t *testing.T) {
-	u := newPool()
-	one := u.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) { scriptedpeer.ReadRequest(r) }))
-	two := u.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) { scriptedpeer.ReadRequest(r) }))
-	u.options.MaxConns = 2
+	pool := newPool()
+	one := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
+	two := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
+	pool.options.MaxConns = 2
 	ctx := context.Background()
-	first, err := u.Get(ctx, one)
+	first, err := pool.Get(ctx, one)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := u.Get(ctx, one); err != nil {
+	if _, err := pool.Get(ctx, one); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := u.Get(ctx, two); err != errConnLimit {
+	if _, err := pool.Get(ctx, two); !errors.Is(err, errConnLimit) {
 		t.Fatalf("third connection: error %v, want %v", err, errConnLimit)
 	}
-	u.Put(first)
-	if _, err := u.Get(ctx, two); err != nil {
+	pool.Put(first)
+	if _, err := pool.Get(ctx, two); err != nil {
 		t.Errorf("third connection with one idle: %v", err)
 	}
-	if u.openConns != 2 {
-		t.Errorf("%d connections counted, want 2", u.openConns)
+	if pool.openConns != 2 {
+		t.Errorf("%d connections counted, want 2", pool.openConns)
 	}
-	// One that is refused gives its place back.
-	u.options.MaxConns = 3
-	if _, err := u.Get(ctx, u.newTarget(scriptedpeer.ClosedAddress(t))); err == nil {
-		t.Error("a connection to nobody")
+	// A failed dial is not counted as a connection.
+	pool.options.MaxConns = 3
+	if _, err := pool.Get(ctx, pool.newTarget(scriptedpeer.ClosedAddress(t))); err == nil {
+		t.Error("a connection to a closed port")
 	}
-	if u.openConns != 2 {
-		t.Errorf("%d connections counted after one refused, want 2", u.openConns)
+	if pool.openConns != 2 {
+		t.Errorf("%d connections counted after a failed dial, want 2", pool.openConns)
 	}
 }
 
-// What may rest is bounded for all who have endpoints here together; the one unused longest gives way, and a part of
-// one is a part of its time.
+// The number of idle connections is bounded by the sum of all owners' limits. The one that has been idle for longest is
+// closed first, and a limit below 1 shortens the idle time of one connection.
 func TestRestingConnectionsAreBounded(t *testing.T) {
-	u := newPool()
+	pool := newPool()
 	ctx := context.Background()
 	var conns []*Conn
 	for range 5 {
-		addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) { scriptedpeer.ReadRequest(r) })
-		c, err := u.Get(ctx, u.newTarget(addr))
+		addr := scriptedpeer.StartTCP(t, readOneRequest)
+		c, err := pool.Get(ctx, pool.newTarget(addr))
 		if err != nil {
 			t.Fatal(err)
 		}
 		conns = append(conns, c)
 	}
-	u.LimitIdle("a", 1.2)
-	u.LimitIdle("b", 2.1)
+	pool.LimitIdle("a", 1.2)
+	pool.LimitIdle("b", 2.1)
 	for _, c := range conns {
-		u.Put(c)
+		pool.Put(c)
 	}
-	if u.openConns != 3 || u.idleConns != 3 {
-		t.Errorf("%d open, %d at rest, want 3", u.openConns, u.idleConns)
+	if pool.openConns != 3 || pool.idleConns != 3 {
+		t.Errorf("%d open, %d idle, want 3", pool.openConns, pool.idleConns)
 	}
 	for i, c := range conns {
-		if kept := len(c.target.idle) == 1; kept != (i >= 2) {
-			t.Errorf("connection %d is kept: %v", i, kept)
+		if idle := len(c.target.idle) == 1; idle != (i >= 2) {
+			t.Errorf("connection %d is idle: %v", i, idle)
 		}
 	}
-	u.LimitIdle("b", 0)
-	if u.openConns != 1 || u.idleConns != 1 {
-		t.Errorf("%d open, %d at rest after a tighter bound, want 1", u.openConns, u.idleConns)
+	pool.LimitIdle("b", 0)
+	if pool.openConns != 1 || pool.idleConns != 1 {
+		t.Errorf("%d open, %d idle after a tighter bound, want 1", pool.openConns, pool.idleConns)
 	}
-	if got, err := u.Get(ctx, conns[4].target); err != nil || got != conns[4] || u.idleConns != 0 {
-		t.Errorf("the one kept is not used again (error %v, %d at rest)", err, u.idleConns)
+	if got, err := pool.Get(ctx, conns[4].target); err != nil || got != conns[4] || pool.idleConns != 0 {
+		t.Errorf("the one left is not used again (error %v, %d idle)", err, pool.idleConns)
 	}
-	whole := newPool().maxIdleTime
-	if u.LimitIdle("a", 0.25); u.maxIdleTime != whole/4 || u.maxIdle != 1 {
-		t.Errorf("a quarter of a connection: %d for %v, want one for %v", u.maxIdle, u.maxIdleTime, whole/4)
+	unlimited := newPool().maxIdleTime
+	if pool.LimitIdle("a", 0.25); pool.maxIdleTime != unlimited/4 || pool.maxIdle != 1 {
+		t.Errorf("a quarter of a connection: %d for %v, want one for %v", pool.maxIdle, pool.maxIdleTime, unlimited/4)
 	}
 }
 
-// An endpoint may answer twice, some milliseconds apart. What is written to the connection in between would be
-// answered by the second: so the connection rests first, and one on which more came is not used again. Both ways of
-// reading answers hold to it.
+// An endpoint may respond twice, some milliseconds apart. A request that is written to the connection in between would
+// be served with the second response. So a connection is not used again before its reuse delay has passed, and never
+// once a second response has arrived. Both ways of reading responses are tested.
 func TestLateSecondAnswer(t *testing.T) {
-	for name, send := range map[string]func(u *Pool, to core.Target) (balancer.Status, string){
-		"exchange": func(u *Pool, to core.Target) (balancer.Status, string) {
-			r := u.sendOnce(plainGet(), to)
-			a, _ := r.Response.(*BufferedResponse)
-			if a == nil {
+	for name, send := range map[string]func(pool *Pool, to core.Target) (balancer.Status, string){
+		"SendBuffered": func(pool *Pool, to core.Target) (balancer.Status, string) {
+			r := pool.sendOnce(plainGet(), to)
+			response, _ := r.Response.(*BufferedResponse)
+			if response == nil {
 				return r.Status, ""
 			}
-			return r.Status, string(a.Body)
+			return r.Status, string(response.Body)
 		},
-		"whole": func(u *Pool, to core.Target) (balancer.Status, string) {
-			r := u.Send(context.Background(), u.newAttempt(to), plainStreamedGet())
-			a, _ := r.Response.(*Response)
-			if a == nil {
+		"Send": func(pool *Pool, to core.Target) (balancer.Status, string) {
+			r := pool.Send(context.Background(), pool.newAttempt(to), plainStreamedGet())
+			response, _ := r.Response.(*Response)
+			if response == nil {
 				return r.Status, ""
 			}
-			return r.Status, string(a.Buffered)
+			return r.Status, string(response.Buffered)
 		},
 	} {
-		t.Run(name, func(t *testing.T) {
-			const settle = 300 * time.Millisecond // long beside a pause of the machine
-			u := newPool(func(o *Options) { o.ReuseDelay = settle })
-			var conns atomic.Int32
-			to := u.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
-				mine := conns.Add(1)
-				for first := true; ; first = false {
-					if _, err := scriptedpeer.ReadRequest(r); err != nil {
-						return
-					}
-					io.WriteString(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", mine))
-					if first && mine == 1 {
-						// The second copy comes when the next request has, or after a while.
-						c.SetReadDeadline(time.Now().Add(settle / 3))
-						r.Peek(1)
-						c.SetReadDeadline(time.Time{})
-						io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
-					}
-				}
-			}))
-			for i, want := range []string{"1", "2"} { // the second waits, sees that more came, and goes elsewhere
-				if status, got := send(u, to); status != balancer.OK || got != want {
-					t.Fatalf("request %d: status %v, %q, want %q", i, status, got, want)
-				}
-			}
-			time.Sleep(settle) // what has rested is used again, unless more came on it: time is what this is about
-			if status, got := send(u, to); status != balancer.OK || got != "2" {
-				t.Errorf("then: status %v, %q, want the connection on which nothing more came", status, got)
-			}
-			u.mu.Lock()
-			defer u.mu.Unlock()
-			if u.openConns != len(to.idle) {
-				t.Errorf("%d connections open, %d at rest", u.openConns, len(to.idle))
-			}
-		})
+		t.Run(name, func(t *testing.T) { testLateSecondResponse(t, send) })
 	}
 }
 
-// A connection that rests is waited for, since a new one costs more, and what that takes does not count as the
-// endpoint's time; whoever leaves meanwhile leaves it as it was.
+// testLateSecondResponse makes three attempts by send, which returns the status and the body of the response: the
+// connection's number. A second response arrives on connection 1 alone.
+func testLateSecondResponse(t *testing.T, send func(pool *Pool, to core.Target) (balancer.Status, string)) {
+	t.Helper()
+	const reuseDelay = 300 * time.Millisecond // much longer than a usual pause of the machine
+	pool := newPool(func(o *Options) { o.ReuseDelay = reuseDelay })
+	var conns atomic.Int32
+	to := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+		respondTwiceOnFirst(c, r, conns.Add(1), reuseDelay/3)
+	}))
+	// The second attempt waits for connection 1, on which a second response arrives meanwhile, and uses another.
+	for i, want := range []string{"1", "2"} {
+		if status, got := send(pool, to); status != balancer.OK || got != want {
+			t.Fatalf("request %d: status %v, %q, want %q", i, status, got, want)
+		}
+	}
+	time.Sleep(reuseDelay) // connection 2 can be used again
+	if status, got := send(pool, to); status != balancer.OK || got != "2" {
+		t.Errorf("then: status %v, %q, want the connection without a second response", status, got)
+	}
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if pool.openConns != len(to.idle) {
+		t.Errorf("%d connections open, %d idle", pool.openConns, len(to.idle))
+	}
+}
+
+// respondTwiceOnFirst serves connection number conn of an endpoint with that number as the body of each response. On
+// connection 1 a second copy of the first response follows after a delay, or as soon as the next request arrives.
+func respondTwiceOnFirst(c *net.TCPConn, r *bufio.Reader, conn int32, delay time.Duration) {
+	for first := true; ; first = false {
+		if _, err := scriptedpeer.ReadRequest(r); err != nil {
+			return
+		}
+		io.WriteString(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", conn))
+		if first && conn == 1 {
+			c.SetReadDeadline(time.Now().Add(delay))
+			r.Peek(1)
+			c.SetReadDeadline(time.Time{})
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
+		}
+	}
+}
+
+// An attempt waits for a connection in its reuse delay, since a new one costs more. The wait does not count as
+// latency of the endpoint, and an attempt that is canceled meanwhile leaves the connection unused.
 func TestRestingIsWaitedFor(t *testing.T) {
-	var tried atomic.Int32
-	const settle = 100 * time.Millisecond
-	u := newPool(func(o *Options) {
-		o.ReuseDelay = settle
+	var dials atomic.Int32
+	const reuseDelay = 100 * time.Millisecond
+	pool := newPool(func(o *Options) {
+		o.ReuseDelay = reuseDelay
 		o.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-			tried.Add(1)
+			dials.Add(1)
 			return (&net.Dialer{}).DialContext(ctx, network, addr)
 		}
 	})
-	to := u.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+	to := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
 			if _, err := scriptedpeer.ReadRequest(r); err != nil {
 				return
@@ -406,27 +425,27 @@
 		}
 	}))
 	send := func(ctx context.Context) engine.AttemptResult {
-		return u.Send(ctx, u.newAttempt(to), plainStreamedGet())
+		return pool.Send(ctx, pool.newAttempt(to), plainStreamedGet())
 	}
 	for i := range 4 {
-		begun := time.Now()
+		start := time.Now()
 		r := send(context.Background())
 		if r.Status != balancer.OK {
 			t.Fatalf("request %d: status %v", i, r.Status)
 		}
-		if took := time.Since(begun); i > 0 && (took < settle/2 || r.ObservedAt-r.SentAt > took.Microseconds()/2) {
-			t.Errorf("request %d: after %v, of which the endpoint's are %d", i, took, r.ObservedAt-r.SentAt)
+		if took := time.Since(start); i > 0 && (took < reuseDelay/2 || r.ObservedAt-r.SentAt > took.Microseconds()/2) {
+			t.Errorf("request %d: after %v, of which %d µs are the endpoint's", i, took, r.ObservedAt-r.SentAt)
 		}
 	}
-	left, leave := context.WithCancel(context.Background())
-	leave()
-	if r := send(left); r.Status != balancer.NotSent {
-		t.Errorf("one that has left: status %v", r.Status)
+	canceled, cancel := context.WithCancel(context.Background())
+	cancel()
+	if r := send(canceled); r.Status != balancer.NotSent {
+		t.Errorf("canceled: status %v", r.Status)
 	}
 	if r := send(context.Background()); r.Status != balancer.OK {
 		t.Errorf("after it: status %v", r.Status)
 	}
-	if n := tried.Load(); n != 1 {
-		t.Errorf("%d connections asked for", n)
+	if n := dials.Load(); n != 1 {
+		t.Errorf("%d dials, want 1", n)
 	}
 }
