--- a/internal/config/clients.go
+++ b/internal/config/clients.go
@@ -33,8 +33,8 @@
 	Burst          float64         `toml:"burst"` // requests at once; 0: Rate of a tenth of a second
 }
 
-// Share returns the limits as package fairqueue takes them.
-func (b *ClientLimits) Share(name string) fairqueue.ClientSpec {
+// ClientSpec returns the limits as package fairqueue takes them.
+func (b *ClientLimits) ClientSpec(name string) fairqueue.ClientSpec {
 	s := fairqueue.ClientSpec{Name: name, Weight: b.Weight, MaxOpen: b.MaxOpen, Rate: b.Rate, Burst: b.Burst}
 	if s.Rate > 0 && s.Burst == 0 {
 		s.Burst = max(1, s.Rate/10)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -172,7 +172,7 @@
 			t.Errorf("%q was taken: %v", text, err)
 		}
 		for i := range c.Clients {
-			if err := c.Clients[i].Share("c").Validate(); err != nil {
+			if err := c.Clients[i].ClientSpec("c").Validate(); err != nil {
 				t.Errorf("%q was taken: %v", text, err)
 			}
 		}
--- a/internal/config/decisions.go
+++ b/internal/config/decisions.go
@@ -71,8 +71,8 @@
 	return t
 }
 
-// Sharing returns the concurrency limits of all clients together, as the engine takes them.
-func (c *Config) Sharing() engine.ConcurrencySettings {
+// ConcurrencySettings returns the concurrency limits of all clients together, as the engine takes them.
+func (c *Config) ConcurrencySettings() engine.ConcurrencySettings {
 	r := &c.Requests
 	s := engine.ConcurrencySettings{MaxInFlight: r.InFlight, MaxOpen: r.MaxOpen}
 	if r.InFlight == 0 {
@@ -88,8 +88,8 @@
 // inFlightFirst is the initial adaptive limit of requests in flight.
 const inFlightFirst = 16
 
-// RestLimits returns the limits of clients' connections.
-func (c *Config) RestLimits() connlimit.Limits {
+// ConnectionLimits returns the limits of clients' connections.
+func (c *Config) ConnectionLimits() connlimit.Limits {
 	n := &c.Connections
 	return connlimit.Limits{
 		MaxConnections: n.MaxClients,
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -24,18 +24,18 @@
 	MinRetryRate *float64  `toml:"retry_least"` // a second; nil where the key is missing
 }
 
-// RetryWithin is the time over which the pool's budget of further tries holds, with nothing saved up; 0 where the
+// RetryWindow is the time over which the pool's budget of further tries holds, with nothing saved up; 0 where the
 // pool has no budget of its own.
-func (p *Pool) RetryWithin() time.Duration {
+func (p *Pool) RetryWindow() time.Duration {
 	if p.RetryBudget == 0 && p.MinRetryRate == nil {
 		return 0
 	}
 	return time.Second
 }
 
-// Least is how many further tries a second are let go whatever the budget: one without the key, as a pool that is
+// EffectiveMinRetryRate is how many further tries a second are let go whatever the budget: one without the key, as a pool that is
 // seldom asked would have none.
-func (p *Pool) Least() float64 {
+func (p *Pool) EffectiveMinRetryRate() float64 {
 	if p.MinRetryRate == nil {
 		return 1
 	}
@@ -221,8 +221,8 @@
 	k.Require(p.Discovery == "" || hostPort(p.Discovery, 1), at("discovery"),
 		"%q is no host:port with a port in 1..65535", p.Discovery)
 	k.Require(p.RetryBudget >= 0 && p.RetryBudget <= 10, at("retry_budget"), "%v: must be in 0..10", p.RetryBudget)
-	k.Require(p.Least() == 0 || p.Least() >= 1 && p.Least() <= 1000, at("retry_least"),
-		"%v: must be 0 or in 1..1000: a part of a try is none", p.Least())
+	k.Require(p.EffectiveMinRetryRate() == 0 || p.EffectiveMinRetryRate() >= 1 && p.EffectiveMinRetryRate() <= 1000, at("retry_least"),
+		"%v: must be 0 or in 1..1000: a part of a try is none", p.EffectiveMinRetryRate())
 }
 
 // pattern returns which requests the route takes.
--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -53,7 +53,7 @@
 
 func spec(name string, b *config.ClientLimits) http1.ClientSettings {
 	return http1.ClientSettings{
-		ClientSpec:       b.Share(name),
+		ClientSpec:       b.ClientSpec(name),
 		MaxConnections:   b.MaxConnections,
 		MaxBufferedBytes: b.MaxBytesHeld.Bytes,
 	}
--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -99,7 +99,7 @@
 		Clock:       d.clock,
 		Site:        &c.Site,
 		Seed:        o.Seed,
-		Concurrency: c.Sharing(),
+		Concurrency: c.ConcurrencySettings(),
 		Upstream:    d.upstreams,
 		Log:         o.Log,
 	}
@@ -123,7 +123,7 @@
 		Core:        d.core,
 		SendAttempt: d.upstreams.Send,
 		Log:         d.log,
-		Limits:      c.RestLimits(),
+		Limits:      c.ConnectionLimits(),
 	}
 	if p := d.pools[""]; p != nil {
 		front.Pool = p.endpoints
--- a/internal/experiment/variant.go
+++ b/internal/experiment/variant.go
@@ -181,16 +181,16 @@
 func modelSettings(c *config.Config) *simulation.Settings {
 	s := &simulation.Settings{
 		Site:           c.Site,
-		Concurrency:    c.Sharing(),
+		Concurrency:    c.ConcurrencySettings(),
 		MaxConnections: c.Connections.MaxEndpoints,
-		Clients:        c.RestLimits(),
+		Clients:        c.ConnectionLimits(),
 		Client:         fairqueue.ClientSpec{Weight: 1},
 		Subset:         c.Fleet.SubsetSettings(),
 		Overload:       c.Overload.Settings(c.Fleet.Instances),
 		Coordination:   c.Coordination(0),
 	}
 	if len(c.Clients) > 0 {
-		s.Client = c.Clients[0].Share(c.Clients[0].Name)
+		s.Client = c.Clients[0].ClientSpec(c.Clients[0].Name)
 	}
 	if len(c.Pools) > 0 {
 		s.RetryBudget = c.Pools[0].RetryBudget
