--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
 // Package config reads and validates the daemon's file: strict TOML, in which unknown keys, invalid values and
 // contradictions are errors with key, line and reason, reported all at once. It also combines a file with the
-// resources of a version from the control plane. What is done with a configuration, package daemon decides; this
-// package must not import it.
+// resources of a version from the control plane. Package daemon applies a configuration; this package must
+// not import it.
 package config
 
 import (
@@ -13,8 +13,10 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// Config is the configuration of a daemon.
+// Config is the configuration of a daemon. The tags are the keys of its file; the fields have the terms of the
+// glossary.
 type Config struct {
+	// Name identifies the instance in its log and to its peers: default "dunlinsaild".
 	Name string `toml:"name"`
 
 	Process      Process      `toml:"process"`
@@ -28,7 +30,7 @@
 	Requests     Requests      `toml:"requests"`
 	Listeners    []Listener    `toml:"listener"`
 	Clients      []Client      `toml:"client"`
-	OtherClients *ClientLimits `toml:"others"`
+	OtherClients *ClientLimits `toml:"others"` // of all clients without an entry together; nil rejects them
 
 	Fleet       Fleet       `toml:"fleet"`
 	Classes     []Class     `toml:"class"`
@@ -50,10 +52,10 @@
 	// Text is the file's text.
 	Text []byte `toml:"-"`
 
-	// Table finds the route of a request; nil without routes: requests are those of PROTOCOL then.
+	// Table finds the route of a request; nil without routes, where requests are routed by class (PROTOCOL).
 	Table *route.Table `toml:"-"`
 
-	// Site holds the settings of the decision packages, made of the tables from fleet on.
+	// Site holds the settings of the decision packages, made from the tables from fleet on.
 	Site siteconfig.Site `toml:"-"`
 }
 
@@ -75,9 +77,9 @@
 	}
 	c.Text = text
 	c.setRouteDefaults()
-	k := &validator{stricttoml.Validation{Lines: lines}}
-	k.config(&c)
-	if err := k.Err(); err != nil {
+	v := &validator{stricttoml.Validation{Lines: lines}}
+	v.config(&c)
+	if err := v.Err(); err != nil {
 		return nil, err
 	}
 	return &c, nil
@@ -87,20 +89,20 @@
 // all but the clients' limits, pools, routes and the address of discovery.
 func (c *Config) TablesNeedingRestart(next *Config) []string {
 	var all []string
-	present := reflect.ValueOf(*c)
-	following := reflect.ValueOf(*next)
-	for i := range present.NumField() {
-		name := present.Type().Field(i).Tag.Get("toml")
-		was := present.Field(i).Interface()
-		will := following.Field(i).Interface()
+	before := reflect.ValueOf(*c)
+	after := reflect.ValueOf(*next)
+	for i := range before.NumField() {
+		name := before.Type().Field(i).Tag.Get("toml")
+		was := before.Field(i).Interface()
+		is := after.Field(i).Interface()
 		switch name {
 		case "-", "client", "others", "pool", "route", "paths":
 			continue
 		case "discovery":
 			was = c.Discovery.Mode
-			will = next.Discovery.Mode
+			is = next.Discovery.Mode
 		}
-		if !reflect.DeepEqual(was, will) {
+		if !reflect.DeepEqual(was, is) {
 			all = append(all, name)
 		}
 	}
--- a/internal/config/decisions.go
+++ b/internal/config/decisions.go
@@ -10,7 +10,10 @@
 	"dunlinsail/internal/engine"
 )
 
-// Consensus returns the settings by which the maintenance plan is replicated; nil is that it is not.
+// ticksPerLease is the number of ticks of consensus, by which its timeouts are counted, in a maintenance lease.
+const ticksPerLease = 20
+
+// Consensus returns the settings by which the maintenance plan is replicated; nil if maintenance is off.
 func (c *Config) Consensus() *consensus.Settings {
 	w := &c.Maintenance
 	if !w.On {
@@ -19,7 +22,7 @@
 	return &consensus.Settings{
 		Self:         c.Name,
 		Voters:       c.Peers.Allocators,
-		TickInterval: w.Lease.Micros() / 20,
+		TickInterval: w.Lease.Micros() / ticksPerLease,
 		Maintenance: maintenance.Settings{
 			MaxOut:        w.MaxOut,
 			MaxOutPerZone: w.MaxPerZone,
@@ -35,7 +38,7 @@
 	}
 }
 
-// coordinatedUses are the names in peers.lends.
+// coordinatedUses are the values of Peers.CoordinatedUses.
 var coordinatedUses = map[string]func(u *engine.CoordinationScope){
 	"further":  func(u *engine.CoordinationScope) { u.Retries = true },
 	"probes":   func(u *engine.CoordinationScope) { u.Probes = true },
@@ -44,13 +47,13 @@
 	"suspects": func(u *engine.CoordinationScope) { u.SuspectedEndpoints = true },
 }
 
-// Coordination returns what the fleet coordinates, as the engine takes it, without the transport; nil is nothing.
+// Coordination returns what the fleet coordinates, as the engine takes it, without the transport; nil if it is off.
 func (c *Config) Coordination(seed uint64) *engine.Coordination {
 	p := &c.Peers
 	if !p.On {
 		return nil
 	}
-	t := &engine.Coordination{
+	coordinated := &engine.Coordination{
 		Settings: coordination.Settings{
 			Self:          c.Name,
 			Candidates:    p.Allocators,
@@ -66,11 +69,14 @@
 		},
 	}
 	for _, name := range p.CoordinatedUses {
-		coordinatedUses[name](&t.Scope)
+		coordinatedUses[name](&coordinated.Scope)
 	}
-	return t
+	return coordinated
 }
 
+// initialInFlight is the initial adaptive limit of requests in flight, unless the limits of Requests exclude it.
+const initialInFlight = 16
+
 // ConcurrencySettings returns the concurrency limits of all clients together, as the engine takes them.
 func (c *Config) ConcurrencySettings() engine.ConcurrencySettings {
 	r := &c.Requests
@@ -79,16 +85,13 @@
 		s.Adaptive = &concurrency.Settings{
 			Min:     r.MinInFlight,
 			Max:     r.MaxInFlight,
-			Initial: min(r.MaxInFlight, max(r.MinInFlight, inFlightFirst)),
+			Initial: min(r.MaxInFlight, max(r.MinInFlight, initialInFlight)),
 		}
 	}
 	return s
 }
 
-// inFlightFirst is the initial adaptive limit of requests in flight.
-const inFlightFirst = 16
-
-// ConnectionLimits returns the limits of clients' connections.
+// ConnectionLimits returns the limits of clients' connections, as package connlimit takes them.
 func (c *Config) ConnectionLimits() connlimit.Limits {
 	n := &c.Connections
 	return connlimit.Limits{
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -11,11 +11,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Change is what differs between two versions in one key of a resource, or in all of it.
+// Change is a difference between two versions in one key of a resource, or in a complete resource.
 type Change struct {
 	Resource string // its ID
-	Key      string // "" is the resource as a whole
-	From, To any    // nil is that it is not there
+	Key      string // "" is the complete resource
+	From, To any    // nil where it does not exist
 }
 
 // String returns one line: + added, - removed or ~ changed, resource, key and values.
@@ -45,41 +45,43 @@
 func Diff(from, to []Resource) (all []Change) {
 	before := byID(from)
 	after := byID(to)
-	ids := slices.Collect(maps.Keys(before))
-	for id := range after {
-		if _, both := before[id]; !both {
-			ids = append(ids, id)
-		}
-	}
-	slices.Sort(ids)
-	for _, id := range ids {
-		x := before[id]
-		y := after[id]
+	for _, id := range sortedUnion(before, after) {
+		was := before[id]
+		is := after[id]
 		switch {
-		case x == nil:
-			all = append(all, Change{Resource: id, To: y.Fields})
-		case y == nil:
-			all = append(all, Change{Resource: id, From: x.Fields})
+		case was == nil:
+			all = append(all, Change{Resource: id, To: is.Fields})
+		case is == nil:
+			all = append(all, Change{Resource: id, From: was.Fields})
 		default:
-			keys := slices.Collect(maps.Keys(x.Fields))
-			for key := range y.Fields {
-				if _, both := x.Fields[key]; !both {
-					keys = append(keys, key)
-				}
-			}
-			slices.Sort(keys)
-			for _, key := range keys {
-				was := x.Fields[key]
-				is := y.Fields[key]
-				if !reflect.DeepEqual(was, is) {
-					all = append(all, Change{id, key, was, is})
-				}
-			}
+			all = append(all, diffFields(id, was.Fields, is.Fields)...)
+		}
+	}
+	return all
+}
+
+// diffFields returns the changes between the fields of a resource, by key.
+func diffFields(id string, from, to map[string]any) (all []Change) {
+	for _, key := range sortedUnion(from, to) {
+		if !reflect.DeepEqual(from[key], to[key]) {
+			all = append(all, Change{id, key, from[key], to[key]})
 		}
 	}
 	return all
 }
 
+// sortedUnion returns the keys of two maps, sorted.
+func sortedUnion[V any](a, b map[string]V) []string {
+	keys := slices.Collect(maps.Keys(a))
+	for key := range b {
+		if _, both := a[key]; !both {
+			keys = append(keys, key)
+		}
+	}
+	slices.Sort(keys)
+	return keys
+}
+
 func byID(all []Resource) map[string]*Resource {
 	m := map[string]*Resource{}
 	for i := range all {
@@ -88,13 +90,13 @@
 	return m
 }
 
-// Resources returns what a file holds, as a version would hold it, but for what only a file may.
+// Resources returns the tables of a file as the resources of a version, without those that only a file may hold.
 func Resources(file *Config) ([]Resource, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(file.Text, &tree); err != nil {
 		return nil, err
 	}
-	// As JSON has it: one kind of number.
+	// JSON has one type of number, like a version.
 	b, err := json.Marshal(tree)
 	if err != nil {
 		return nil, err
@@ -109,20 +111,28 @@
 		case map[string]any:
 			all = append(all, Resource{Kind: name, Fields: v})
 		case []any:
-			for i, x := range v {
-				fields, ok := x.(map[string]any)
-				if !ok || !k.List {
-					continue
-				}
-				r := Resource{Kind: name, Fields: fields}
-				if r.Name, ok = fields["name"].(string); !ok {
-					r.Name = fmt.Sprint(i)
-				}
-				delete(fields, "name")
-				all = append(all, r)
+			if k.List {
+				all = append(all, listResources(name, v)...)
 			}
 		}
 	}
 	slices.SortFunc(all, func(a, b Resource) int { return strings.Compare(a.ID(), b.ID()) })
 	return all, nil
 }
+
+// listResources returns the tables of a list as resources. One without a name has its index as its name.
+func listResources(kind string, tables []any) (all []Resource) {
+	for i, table := range tables {
+		fields, ok := table.(map[string]any)
+		if !ok {
+			continue
+		}
+		r := Resource{Kind: kind, Fields: fields}
+		if r.Name, ok = fields["name"].(string); !ok {
+			r.Name = fmt.Sprint(i)
+		}
+		delete(fields, "name")
+		all = append(all, r)
+	}
+	return all
+}
--- a/internal/config/resources.go
+++ b/internal/config/resources.go
@@ -41,7 +41,8 @@
 	Type reflect.Type // of one
 }
 
-// localOnly are the tables that only the file has: what a process is and has on its host, and who may change that.
+// localOnly are the tables that only the file may hold: a control plane must not change the identity of a process, its
+// resources on the host, or who may change these.
 var localOnly = []string{"name", "process", "takeover", "record", "control", "peers", "operators", "work"}
 
 // ResourceKinds returns the kinds that a control plane may send, by name.
@@ -66,16 +67,16 @@
 	return all
 }
 
-// The bounds of what a version may hold. The service is not trusted with more of this process than it needs.
+// Bounds of a version, so that a faulty control plane cannot exhaust this process.
 const (
-	maxResources  = 20_000
-	maxNameLength = 255
-	maxDepth      = 6
-	maxValues     = 200_000 // in all resources together
-	maxTextLength = 8 << 10 // of one value
+	maxResources  = 20_000  // in a version
+	maxNameLength = 255     // bytes of a resource's name, or of a key
+	maxDepth      = 6       // of lists and tables within each other
+	maxValues     = 200_000 // in all resources of a version
+	maxTextLength = 8 << 10 // bytes of one value
 )
 
-// Digest returns that of a version's content, whatever the order of its resources.
+// Digest returns the digest of a version's content. It does not depend on the order of the resources.
 func Digest(all []Resource) string {
 	sorted := slices.Clone(all)
 	slices.SortFunc(sorted, func(a, b Resource) int {
@@ -83,12 +84,12 @@
 	})
 	h := sha256.New()
 	if err := json.NewEncoder(h).Encode(sorted); err != nil { // keys of maps are sorted
-		panic(err) // of values that a decoder of JSON made
+		panic(err) // values that were decoded from JSON can be encoded
 	}
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// CheckResources says what of a version makes no sense by itself: kinds, names, and more than may be.
+// CheckResources returns what is invalid in a version by itself: unknown kinds, names, and more than the bounds allow.
 func CheckResources(all []Resource) error {
 	kinds := ResourceKinds()
 	seen := map[string]bool{}
@@ -125,6 +126,8 @@
 	return nil
 }
 
+// checkValue returns what is invalid in a value. depth is how many more levels may be nested, and values counts all
+// values of the version so far.
 func checkValue(v any, depth int, values *int) error {
 	if *values++; *values > maxValues {
 		return fmt.Errorf("over %d values in one version", maxValues)
@@ -134,17 +137,10 @@
 	}
 	switch v := v.(type) {
 	case map[string]any:
-		for name, x := range v {
-			if len(name) > maxNameLength {
-				return fmt.Errorf("a key of %d bytes, %d at most", len(name), maxNameLength)
-			}
-			if err := checkValue(x, depth-1, values); err != nil {
-				return err
-			}
-		}
+		return checkTable(v, depth, values)
 	case []any:
-		for _, x := range v {
-			if err := checkValue(x, depth-1, values); err != nil {
+		for _, element := range v {
+			if err := checkValue(element, depth-1, values); err != nil {
 				return err
 			}
 		}
@@ -157,15 +153,27 @@
 			return fmt.Errorf("%v is no number that a file could have", v)
 		}
 	case bool:
-	default: // nil, in a version: a key that has no value is left out
+	default: // nil: a version leaves out a key without a value
 		return fmt.Errorf("%v is no text, number, truth value, list or table", v)
 	}
 	return nil
 }
 
-// Combine returns the configuration that a version comes to over a file, which must be sound by itself. A kind that
-// the version holds stands in place of the file's tables of that name, but for what the file pins (Control.Pin); of a
-// kind that it does not hold the file's tables stay. Its error names the resource, or the file's key, and the reason.
+func checkTable(table map[string]any, depth int, values *int) error {
+	for key, v := range table {
+		if len(key) > maxNameLength {
+			return fmt.Errorf("a key of %d bytes, %d at most", len(key), maxNameLength)
+		}
+		if err := checkValue(v, depth-1, values); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// Combine returns the configuration that a version and a file, which must be valid by itself, have together. The
+// resources of a kind replace the file's tables of that name, except what the file pins (ControlPlane.Pinned);
+// tables of other kinds stay. Its error names the resource, or the file's key, and the reason.
 func Combine(file *Config, all []Resource) (*Config, error) {
 	if len(all) == 0 {
 		return file, nil
@@ -175,7 +183,7 @@
 	}
 	var tree map[string]any
 	if err := toml.Unmarshal(file.Text, &tree); err != nil {
-		return nil, err // it was parsed before
+		return nil, err // unexpected: Parse has accepted it
 	}
 	m := merger{
 		tree:        tree,
@@ -195,14 +203,14 @@
 		return nil, err
 	}
 	c, err := Parse(text)
-	var wrong stricttoml.Errors
-	if errors.As(err, &wrong) {
-		return nil, m.explain(text, wrong)
+	var mistakes stricttoml.Errors
+	if errors.As(err, &mistakes) {
+		return nil, m.explain(text, mistakes)
 	}
 	if err != nil {
 		return nil, err
 	}
-	c.ControlPlane = file.ControlPlane // the file's, whatever was made of it
+	c.ControlPlane = file.ControlPlane // a version cannot change it
 	return c, nil
 }
 
@@ -211,7 +219,7 @@
 	tree        map[string]any
 	kinds       map[string]ResourceKind
 	pinned      map[string]bool
-	listOrigins map[string][]string // of each list, whose its entries are: a resource's ID, or "" for the file's
+	listOrigins map[string][]string // by kind: the ID of the resource of each entry, "" for one of the file
 }
 
 func pinSet(all []string) map[string]bool {
@@ -222,40 +230,44 @@
 	return set
 }
 
+// mergeKind merges all resources of a kind.
 func (m *merger) mergeKind(kind string, all []Resource) {
-	if m.pinned[kind] {
-		return
-	}
-	if !m.kinds[kind].List {
+	switch {
+	case m.pinned[kind]:
+	case m.kinds[kind].List:
+		m.mergeList(kind, all)
+	default:
 		m.mergeTable(kind, &all[0])
-		return
 	}
+}
+
+// mergeList replaces a list of tables by the resources of its kind, except for pinned entries. Entries that the file
+// has, too, come first and in its order, so that an unchanged list has an unchanged order; the others follow by name.
+func (m *merger) mergeList(kind string, all []Resource) {
 	entries := map[string]map[string]any{}
-	from := map[string]string{}
+	origins := map[string]string{}
 	for i := range all {
 		r := &all[i]
 		table := integralFloatsToInts(r.Fields).(map[string]any)
 		table["name"] = r.Name
 		entries[r.Name] = table
-		from[r.Name] = r.ID()
+		origins[r.Name] = r.ID()
 	}
-	var order []string // the file's first, so that a list that is the same is in the same order
+	var order []string
+	placed := map[string]bool{}
 	old, _ := m.tree[kind].([]any)
-	for _, x := range old {
-		table, _ := x.(map[string]any)
+	for _, entry := range old {
+		table, _ := entry.(map[string]any)
 		name, _ := table["name"].(string)
 		if m.pinned[kind+"."+name] {
 			entries[name] = table
-			from[name] = ""
+			origins[name] = ""
 		}
-		if entries[name] != nil && !slices.Contains(order, name) {
+		if entries[name] != nil && !placed[name] {
 			order = append(order, name)
+			placed[name] = true
 		}
 	}
-	placed := map[string]bool{}
-	for _, name := range order {
-		placed[name] = true
-	}
 	for _, name := range slices.Sorted(maps.Keys(entries)) {
 		if !placed[name] {
 			order = append(order, name)
@@ -264,11 +276,12 @@
 	list := make([]map[string]any, 0, len(order))
 	for _, name := range order {
 		list = append(list, entries[name])
-		m.listOrigins[kind] = append(m.listOrigins[kind], from[name])
+		m.listOrigins[kind] = append(m.listOrigins[kind], origins[name])
 	}
 	m.tree[kind] = list
 }
 
+// mergeTable replaces a table by a resource, except for pinned keys.
 func (m *merger) mergeTable(kind string, r *Resource) {
 	old, _ := m.tree[kind].(map[string]any)
 	table := integralFloatsToInts(r.Fields).(map[string]any)
@@ -307,45 +320,45 @@
 // maxReportedErrors is how many mistakes of a version are reported.
 const maxReportedErrors = 8
 
-// explain tells mistakes by the resources that they are in.
-func (m *merger) explain(text []byte, wrong stricttoml.Errors) error {
-	places := stricttoml.TableLookup(text)
-	var lines []string
-	for i, e := range wrong {
+// explain returns an error that names the mistakes in a combined text by the resources that they are in.
+func (m *merger) explain(text []byte, mistakes stricttoml.Errors) error {
+	tableAt := stricttoml.TableLookup(text)
+	var reports []string
+	for i, mistake := range mistakes {
 		if i == maxReportedErrors {
-			lines = append(lines, fmt.Sprintf("and %d more", len(wrong)-i))
+			reports = append(reports, fmt.Sprintf("and %d more", len(mistakes)-i))
 			break
 		}
-		key := e.Key
-		if place := places(e.Line); place != "" && !strings.HasPrefix(key, place) {
-			// The library names a key without its place in a list.
+		key := mistake.Key
+		if table := tableAt(mistake.Line); table != "" && !strings.HasPrefix(key, table) {
+			// The library leaves the index in a list out of a key.
 			_, last, _ := cutLast(key)
-			key = place + "." + last
-		}
-		parts := strings.SplitN(key, ".", 3)
-		who := "the file"
-		rest := key
-		if ids := m.listOrigins[parts[0]]; ids != nil {
-			at := 0
-			inList := m.kinds[parts[0]].List
-			if inList && len(parts) > 1 {
-				_, _ = fmt.Sscan(parts[1], &at) // the place in a list, a number
-			}
-			if at < len(ids) && ids[at] != "" {
-				who = ids[at]
-				rest = strings.Join(parts[1:], ".")
-				if inList && len(parts) > 1 {
-					rest = strings.Join(parts[2:], ".")
-				}
-			}
+			key = table + "." + last
 		}
-		lines = append(lines, strings.Join(slices.DeleteFunc([]string{
-			who,
-			rest,
-			e.Reason,
-		}, func(s string) bool { return s == "" }), ": "))
+		origin, rest := m.locate(key)
+		parts := []string{origin, rest, mistake.Reason}
+		parts = slices.DeleteFunc(parts, func(part string) bool { return part == "" })
+		reports = append(reports, strings.Join(parts, ": "))
+	}
+	return errors.New(strings.Join(reports, "; "))
+}
+
+// locate returns the ID of the resource that has a key, and the key within it; or "the file" and the complete key. In a
+// list of tables a key is KIND.INDEX.KEY.
+func (m *merger) locate(key string) (origin, rest string) {
+	parts := strings.SplitN(key, ".", 3)
+	kind := parts[0]
+	parts = parts[1:]
+	index := 0
+	if m.kinds[kind].List && len(parts) > 0 {
+		_, _ = fmt.Sscan(parts[0], &index)
+		parts = parts[1:]
+	}
+	origins := m.listOrigins[kind]
+	if index >= len(origins) || origins[index] == "" {
+		return "the file", key
 	}
-	return errors.New(strings.Join(lines, "; "))
+	return origins[index], strings.Join(parts, ".")
 }
 
 func cutLast(key string) (before, last string, found bool) {
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -14,14 +14,27 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// Pool is a named set of endpoints. Exactly one of Endpoints, File and Discovery tells which they are.
+// Pool is a named set of endpoints. Exactly one of Endpoints, File and Discovery is its source of endpoints.
 type Pool struct {
-	Name         string    `toml:"name"`
-	Endpoints    *[]string `toml:"endpoints"` // host:port each; nil where the key is missing
-	File         string    `toml:"file"`      // in discovery's form; it is read again when it changes
-	Discovery    string    `toml:"discovery"` // host:port of a discovery
-	RetryBudget  float64   `toml:"retry_budget"`
-	MinRetryRate *float64  `toml:"retry_least"` // a second; nil where the key is missing
+	// Name identifies the pool, and must be unique.
+	Name string `toml:"name"`
+
+	// Endpoints are the addresses, host:port each; nil where the key is missing. An empty list rejects all requests.
+	Endpoints *[]string `toml:"endpoints"`
+
+	// File is a file in discovery's form, which is read again when it changes.
+	File string `toml:"file"`
+
+	// Discovery is host:port of a discovery service.
+	Discovery string `toml:"discovery"`
+
+	// RetryBudget is the limit of retries, as a ratio of the requests within any second: up to 10; 0, the default, is
+	// Attempts.RetryBudget.
+	RetryBudget float64 `toml:"retry_budget"`
+
+	// MinRetryRate is how many retries a second are allowed whatever the budget: 0, or 1 to 1000; nil, where the key is
+	// missing, is 1.
+	MinRetryRate *float64 `toml:"retry_least"`
 }
 
 // RetryWindow is the time over which the pool's budget of further tries holds, with nothing saved up; 0 where the
@@ -33,8 +46,8 @@
 	return time.Second
 }
 
-// EffectiveMinRetryRate is how many further tries a second are let go whatever the budget: one without the key, as a pool that is
-// seldom asked would have none.
+// EffectiveMinRetryRate is how many further tries a second are let go whatever the budget: one without the key, as a
+// pool that is seldom asked would have none.
 func (p *Pool) EffectiveMinRetryRate() float64 {
 	if p.MinRetryRate == nil {
 		return 1
@@ -53,53 +66,99 @@
 	return "discovery " + p.Discovery
 }
 
-// Route says which requests it takes, and what becomes of them.
+// Route is which requests it matches, and how they are handled.
 type Route struct {
-	Name    string            `toml:"name"`
+	// Name identifies the route in the logs, and must be unique; default "".
+	Name string `toml:"name"`
+
+	// Host, Path, Methods and Headers are the pattern of package decide/route; "" and an empty list match any. A header
+	// with the value "" must be present.
 	Host    string            `toml:"host"`
 	Path    string            `toml:"path"`
 	Methods []string          `toml:"methods"`
-	Headers map[string]string `toml:"headers"` // "" is any value
+	Headers map[string]string `toml:"headers"`
+
+	// Pool is the name of the pool that requests are sent to. It is required.
+	Pool string `toml:"pool"`
+
+	// Class is the class of requests; "", the default, is ReadClass for safe methods and WriteClass for the others.
+	Class string `toml:"class"`
 
-	Pool  string `toml:"pool"`
-	Class string `toml:"class"` // "": "read" for safe methods, "write" for the others
+	// Tenant and Object are where these values of a request come from: "header:NAME", "path:NAME", "client" or "=NAME";
+	// "", the default, is none.
+	Tenant string `toml:"tenant"`
+	Object string `toml:"object"`
 
-	Tenant   string `toml:"tenant"` // "header:NAME", "path:NAME", "client" or "=NAME"; "" is none
-	Object   string `toml:"object"`
-	Key      string `toml:"key"` // "header:NAME"
-	ID       string `toml:"id"`  // "header:NAME"
+	// Key, ID and Deadline are the headers, as "header:NAME", of the idempotency key, the request ID and the remaining
+	// milliseconds; "", the default, is none. Key is required with a keyed class.
+	Key      string `toml:"key"`
+	ID       string `toml:"id"`
 	Deadline string `toml:"deadline"`
 
-	MaxAttempts       int                 `toml:"tries"`
-	MaxBody           stricttoml.Size     `toml:"body_most"` // 0 is no bound
-	MaxBodyHeld       stricttoml.Size     `toml:"body_hold"`
-	MaxResponse       stricttoml.Size     `toml:"answer_most"`
-	MaxResponseHeld   stricttoml.Size     `toml:"answer_hold"`
-	IdleTimeout       stricttoml.Duration `toml:"idle"`
-	TotalTimeout      stricttoml.Duration `toml:"whole"`
-	ErrorStatuses     []int               `toml:"errors"` // statuses that count as an error of the endpoint
-	RejectionStatuses []int               `toml:"full"`   // and, with Retry-After, as turned away
-
-	ToHost      string `toml:"to_host"`
+	// MaxAttempts is the limit of attempts of a request; 0, the default, is Attempts.MaxAttempts.
+	MaxAttempts int `toml:"tries"`
+
+	// MaxBody is the largest request body, beyond which the status is 413; 0, the default, is no bound.
+	MaxBody stricttoml.Size `toml:"body_most"`
+
+	// MaxBodyHeld is the largest request body that is buffered and can be sent again: default 64KiB, up to 1MiB. Larger
+	// ones are streamed.
+	MaxBodyHeld stricttoml.Size `toml:"body_hold"`
+
+	// MaxResponse is the largest response body, beyond which it is aborted: at least MaxResponseHeld; 0, the
+	// default, is no bound.
+	MaxResponse stricttoml.Size `toml:"answer_most"`
+
+	// MaxResponseHeld is the largest response body that is buffered, so that another endpoint's can replace it: default
+	// 64KiB, up to 1MiB. Larger ones are streamed.
+	MaxResponseHeld stricttoml.Size `toml:"answer_hold"`
+
+	// IdleTimeout is how long a streamed body may pause: default 30s, up to TotalTimeout.
+	IdleTimeout stricttoml.Duration `toml:"idle"`
+
+	// TotalTimeout is how long a streamed body may take: default 10m.
+	TotalTimeout stricttoml.Duration `toml:"whole"`
+
+	// ErrorStatuses are the statuses, 400 to 599, that count as an error of the endpoint, after which a request may be
+	// retried: default 500, 502, 504.
+	ErrorStatuses []int `toml:"errors"`
+
+	// RejectionStatuses are the statuses, 400 to 599, that count as rejected if the response has Retry-After: default
+	// 429, 503. For unsafe classes they count as errors.
+	RejectionStatuses []int `toml:"full"`
+
+	// ToHost replaces the Host header; "", the default, leaves it unchanged.
+	ToHost string `toml:"to_host"`
+
+	// StripPrefix, in complete segments of Path, is removed from the path, and AddPrefix then added; default "".
 	StripPrefix string `toml:"strip_prefix"`
 	AddPrefix   string `toml:"add_prefix"`
-	Forwarded   string `toml:"forwarded"` // "as-is", "none", "x-forwarded" or "rfc7239"
-	Trusted     bool   `toml:"trusted"`
 
+	// Forwarded is one of ForwardedModes: "as-is", the default, forwards the headers that the client sent, "none" none,
+	// "x-forwarded" X-Forwarded-For, -Host and -Proto, and "rfc7239" Forwarded.
+	Forwarded string `toml:"forwarded"`
+
+	// Trusted forwards what the client sends of earlier hops, with "x-forwarded" and "rfc7239" only; default false.
+	Trusted bool `toml:"trusted"`
+
+	// Request and Response are changes of the headers that are forwarded; default none.
 	Request  HeaderEdits `toml:"request"`
 	Response HeaderEdits `toml:"answer"`
 }
 
-// HeaderEdits are changes of headers, the removals first.
+// HeaderEdits are changes of headers, by names: first Remove, then Set, then Add. Headers in reservedHeaders must
+// not be changed.
 type HeaderEdits struct {
 	Remove []string          `toml:"remove"`
 	Set    map[string]string `toml:"set"`
 	Add    map[string]string `toml:"add"`
 }
 
-// Paths says how paths are read.
+// Paths configures how paths are interpreted.
 type Paths struct {
-	EncodedSlash string `toml:"encoded_slash"` // "refuse" or "keep"
+	// EncodedSlash is how %2F and %5C in a path are handled: "refuse", the default, rejects the request with 400,
+	// "keep" forwards them unchanged.
+	EncodedSlash string `toml:"encoded_slash"`
 }
 
 // The classes that routes without a class need, and that a file without classes has.
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -11,7 +11,7 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// units are the types that stand as texts in a file, and what they look like.
+// units are the types of values that are written as texts with a unit, and their patterns.
 var units = map[reflect.Type]string{
 	reflect.TypeFor[stricttoml.Duration](): `^([0-9]+(\.[0-9]+)?(ns|us|µs|ms|s|m|h))+$`,
 	reflect.TypeFor[stricttoml.Size]():     `^[0-9]+ *(B|KiB|MiB|GiB)$`,
@@ -19,7 +19,7 @@
 }
 
 // Schema returns the JSON Schema (2020-12) of the resources that a version may hold, as Resource is written in JSON.
-// It says which keys there are and what kind of value each has; what fits what, Combine says.
+// It describes the keys and the types of their values; Combine checks the values themselves.
 func Schema() ([]byte, error) {
 	r := jsonschema.Reflector{
 		FieldNameTag:               "toml",
@@ -33,7 +33,7 @@
 			return nil
 		},
 	}
-	var of []*jsonschema.Schema
+	var kindSchemas []*jsonschema.Schema
 	kinds := ResourceKinds()
 	for _, name := range slices.Sorted(maps.Keys(kinds)) {
 		k := kinds[name]
@@ -49,20 +49,20 @@
 		s.Properties.Set("kind", &jsonschema.Schema{Const: name})
 		if k.List {
 			fields.Properties.Delete("name")
-			most := uint64(maxNameLength)
-			s.Properties.Set("name", &jsonschema.Schema{Type: "string", MaxLength: &most})
+			maxLength := uint64(maxNameLength)
+			s.Properties.Set("name", &jsonschema.Schema{Type: "string", MaxLength: &maxLength})
 			s.Required = []string{"kind", "name", "fields"}
 		}
 		s.Properties.Set("fields", fields)
-		of = append(of, s)
+		kindSchemas = append(kindSchemas, s)
 	}
-	most := uint64(maxResources)
+	maxItems := uint64(maxResources)
 	all := &jsonschema.Schema{
 		Version:  jsonschema.Version,
 		Title:    "A version of dunlinsaild's configuration",
 		Type:     "array",
-		MaxItems: &most,
-		Items:    &jsonschema.Schema{OneOf: of},
+		MaxItems: &maxItems,
+		Items:    &jsonschema.Schema{OneOf: kindSchemas},
 	}
 	text, err := json.MarshalIndent(all, "", "  ")
 	return append(text, '\n'), err
