--- /dev/null
+++ b/internal/config/validate_routes.go
@@ -0,0 +1,243 @@
+package config
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+	"strings"
+
+	"dunlinsail/internal/decide/route"
+	"dunlinsail/internal/http1msg"
+	"dunlinsail/internal/stricttoml"
+)
+
+// routes validates pools and routes, and sets the table of routes.
+func (k *validator) routes(c *Config) {
+	stricttoml.Enum(&k.Validation, "paths.encoded_slash", c.Paths.EncodedSlash,
+		map[string]bool{"refuse": true, "keep": true})
+	pools := map[string]bool{}
+	for i := range c.Pools {
+		k.pool(&c.Pools[i], i, pools)
+	}
+	k.Require(len(c.Pools) == 0 || len(c.Routes) > 0, "pool", "no route leads to a pool: there is no table [[route]]")
+	if len(c.Routes) == 0 {
+		return
+	}
+	k.Require(c.Discovery.Address == "", "discovery.address", "with [[route]] it belongs into a [[pool]]")
+	k.Require(c.Discovery.Mode == "watch", "discovery.mode", "with [[route]] lists are watched")
+	names := map[string]bool{}
+	var patterns []route.Pattern
+	for i := range c.Routes {
+		k.route(c, i, pools, names)
+		patterns = append(patterns, c.Routes[i].pattern())
+	}
+	c.Table = k.routeTable(patterns)
+	for i := range c.Routes {
+		for key, source := range c.Routes[i].valueSources() {
+			if name, ok := strings.CutPrefix(*source, "path:"); ok && c.Table != nil {
+				_, known := c.Table.ParameterIndex(i, name)
+				k.Require(known, fmt.Sprintf("route.%d.%s", i, key), "the path has no part {%s}", name)
+			}
+		}
+	}
+}
+
+// pool validates the pool of an index. names are those of the pools before it.
+func (k *validator) pool(p *Pool, i int, names map[string]bool) {
+	at := func(key string) string { return fmt.Sprintf("pool.%d.%s", i, key) }
+	k.Require(p.Name != "", at("name"), "is missing")
+	k.Require(!names[p.Name], at("name"), "%q is named twice", p.Name)
+	names[p.Name] = true
+	sources := 0
+	for _, is := range []bool{p.Endpoints != nil, p.File != "", p.Discovery != ""} {
+		if is {
+			sources++
+		}
+	}
+	k.Require(sources == 1, at("endpoints"), "exactly one of endpoints, file and discovery must be given, not %d",
+		sources)
+	if p.Endpoints != nil {
+		for j, address := range *p.Endpoints {
+			k.Require(hostPort(address, 1), at("endpoints"), "%q is no host:port with a port in 1..65535", address)
+			k.Require(!slices.Contains((*p.Endpoints)[:j], address), at("endpoints"), "%q is named twice", address)
+		}
+	}
+	k.Require(p.Discovery == "" || hostPort(p.Discovery, 1), at("discovery"),
+		"%q is no host:port with a port in 1..65535", p.Discovery)
+	k.Require(p.RetryBudget >= 0 && p.RetryBudget <= 10, at("retry_budget"), "%v: must be in 0..10", p.RetryBudget)
+	k.Require(p.EffectiveMinRetryRate() == 0 || p.EffectiveMinRetryRate() >= 1 && p.EffectiveMinRetryRate() <= 1000, at("retry_least"),
+		"%v: must be 0 or in 1..1000: a part of a try is none", p.EffectiveMinRetryRate())
+}
+
+// pattern returns which requests the route matches.
+func (r *Route) pattern() route.Pattern {
+	p := route.Pattern{Host: r.Host, Path: r.Path, Methods: r.Methods}
+	for name, value := range r.Headers {
+		p.Headers = append(p.Headers, route.Header{Name: http.CanonicalHeaderKey(name), Value: value})
+	}
+	slices.SortFunc(p.Headers, func(a, b route.Header) int { return strings.Compare(a.Name, b.Name) })
+	return p
+}
+
+// routeTable returns the table of routes, nil if a pattern is invalid or two contradict each other.
+func (k *validator) routeTable(patterns []route.Pattern) *route.Table {
+	table, err := route.New(patterns)
+	var invalid *route.PatternError
+	var conflict *route.ConflictError
+	switch {
+	case errors.As(err, &invalid):
+		key := map[string]string{"method": "methods", "header": "headers"}[invalid.Key]
+		k.Require(false, fmt.Sprintf("route.%d.%s", invalid.Index, cmp.Or(key, invalid.Key)), "%s", invalid.Reason)
+	case errors.As(err, &conflict):
+		k.Require(false, fmt.Sprintf("route.%d", conflict.Second),
+			"can take the same request as the route on line %d, and neither is more specific",
+			k.Lines[fmt.Sprintf("route.%d", conflict.First)])
+	}
+	return table
+}
+
+func (r *Route) valueSources() map[string]*string {
+	return map[string]*string{
+		"tenant":   &r.Tenant,
+		"object":   &r.Object,
+		"key":      &r.Key,
+		"id":       &r.ID,
+		"deadline": &r.Deadline,
+	}
+}
+
+// reservedHeaders frame a message or concern one connection. No edit may change them.
+var reservedHeaders = []string{
+	"Connection", "Content-Length", "Transfer-Encoding", "Host", "Te", "Trailer", "Upgrade", "Keep-Alive",
+}
+
+// route validates the route of an index. pools and names are those of all pools and of the routes before it.
+func (k *validator) route(c *Config, i int, pools, names map[string]bool) {
+	r := &c.Routes[i]
+	at := func(key string) string { return fmt.Sprintf("route.%d.%s", i, key) }
+	k.Require(r.Name == "" || !names[r.Name], at("name"), "%q is named twice", r.Name)
+	names[r.Name] = true
+	k.Require(pools[r.Pool], at("pool"), "no pool is named %q", r.Pool)
+	k.routeClasses(c, r, at)
+	k.valueSources(r, at)
+	for name := range r.Headers {
+		k.Require(http1msg.IsToken(name), at("headers"), "%q is no name of a header", name)
+	}
+	k.routeLimits(r, at)
+	k.routeRewrites(r, at)
+}
+
+// routeClasses validates the classes of a route's requests.
+func (k *validator) routeClasses(c *Config, r *Route, at func(string) string) {
+	classes := []string{r.Class}
+	if r.Class == "" {
+		classes = []string{ReadClass, WriteClass}
+	}
+	for _, name := range classes {
+		j := slices.IndexFunc(c.Classes, func(cl Class) bool { return cl.Name == name })
+		if j < 0 {
+			k.Require(false, at("class"), "no class is named %q", name)
+			continue
+		}
+		k.Require(c.Classes[j].Idempotency != "keyed" || r.Key != "", at("key"), "is missing: class %q is keyed", name)
+	}
+}
+
+// routeRewrites validates the changes of a route's requests and responses on their way.
+func (k *validator) routeRewrites(r *Route, at func(string) string) {
+	k.Require(r.ToHost == "" || !strings.ContainsAny(r.ToHost, " /?#@"), at("to_host"), "%q is no host", r.ToHost)
+	k.Require(r.StripPrefix == "" || r.prefixIsStrippable(), at("strip_prefix"),
+		"%q is no beginning, in whole segments, of path %q", r.StripPrefix, r.Path)
+	if r.AddPrefix != "" {
+		normal, err := route.NormalizePath(r.AddPrefix, route.KeepEncodedSlashes)
+		k.Require(err == nil && normal == r.AddPrefix && !strings.HasSuffix(normal, "/"), at("add_prefix"),
+			"%q is no path in normal form without a / at its end", r.AddPrefix)
+	}
+	stricttoml.Enum(&k.Validation, at("forwarded"), r.Forwarded,
+		map[string]bool{"as-is": true, "none": true, "x-forwarded": true, "rfc7239": true})
+	k.Require(!r.Trusted || r.Forwarded == "x-forwarded" || r.Forwarded == "rfc7239", at("trusted"),
+		"means nothing with forwarded = %q", r.Forwarded)
+	for key, e := range map[string]*HeaderEdits{"request": &r.Request, "answer": &r.Response} {
+		k.edits(at(key), e)
+	}
+	for key, source := range map[string]string{"key": r.Key, "id": r.ID, "deadline": r.Deadline} {
+		name, _ := strings.CutPrefix(source, "header:")
+		k.Require(name == "" || !r.Request.touches(name), at("request"),
+			"%s, which %s names, must reach the endpoint as it is", name, key)
+	}
+}
+
+// valueSources validates where the values of a route's requests come from.
+func (k *validator) valueSources(r *Route, at func(string) string) {
+	for key, source := range r.valueSources() {
+		name, header := strings.CutPrefix(*source, "header:")
+		_, path := strings.CutPrefix(*source, "path:")
+		fixed := strings.HasPrefix(*source, "=")
+		switch {
+		case *source == "":
+		case header:
+			k.Require(http1msg.IsToken(name), at(key), "%q is no name of a header", name)
+			k.Require(!slices.Contains(reservedHeaders, http.CanonicalHeaderKey(name)), at(key),
+				"%s tells how a message is framed, nothing else", name)
+		case key == "key" || key == "id" || key == "deadline":
+			k.Require(false, at(key), "%q is no header, as \"header:NAME\"", *source)
+		case path, fixed, *source == "client":
+		default:
+			k.Require(false, at(key), "%q is none of \"header:NAME\", \"path:NAME\", \"client\", \"=NAME\"", *source)
+		}
+	}
+}
+
+// routeLimits validates the limits of a route.
+func (k *validator) routeLimits(r *Route, at func(string) string) {
+	k.Require(r.MaxAttempts >= 0, at("tries"), "%d is negative", r.MaxAttempts)
+	for key, size := range map[string]stricttoml.Size{"body_hold": r.MaxBodyHeld, "answer_hold": r.MaxResponseHeld} {
+		k.Require(size.Bytes <= MaxHeldBytes, at(key), "over 1MiB: what is larger streams")
+	}
+	k.Require(r.MaxResponse.Bytes == 0 || r.MaxResponse.Bytes >= r.MaxResponseHeld.Bytes, at("answer_most"),
+		"is under answer_hold")
+	k.Require(r.IdleTimeout.Duration <= r.TotalTimeout.Duration, at("idle"), "%v is over whole, %v", r.IdleTimeout,
+		r.TotalTimeout)
+	for key, codes := range map[string][]int{"errors": r.ErrorStatuses, "full": r.RejectionStatuses} {
+		for _, code := range codes {
+			k.Require(code >= 400 && code < 600, at(key), "%d is no status in 400..599", code)
+		}
+	}
+}
+
+// prefixIsStrippable reports whether all paths that the route matches start with StripPrefix.
+func (r *Route) prefixIsStrippable() bool {
+	rest, ok := strings.CutPrefix(r.Path, r.StripPrefix)
+	onSegments := strings.HasPrefix(r.StripPrefix, "/") && !strings.HasSuffix(r.StripPrefix, "/")
+	fixed := !strings.ContainsAny(r.StripPrefix, "{*")
+	return ok && onSegments && fixed && (rest == "" || rest[0] == '/')
+}
+
+// touches reports whether a header is changed.
+func (e *HeaderEdits) touches(name string) bool {
+	is := func(other string) bool { return strings.EqualFold(name, other) }
+	return slices.ContainsFunc(e.Remove, is) || slices.ContainsFunc(slices.Collect(maps.Keys(e.Set)), is) ||
+		slices.ContainsFunc(slices.Collect(maps.Keys(e.Add)), is)
+}
+
+// edits validates changes of headers.
+func (k *validator) edits(at string, e *HeaderEdits) {
+	name := func(key, name string) {
+		k.Require(http1msg.IsToken(name), at+"."+key, "%q is no name of a header", name)
+		k.Require(!slices.Contains(reservedHeaders, http.CanonicalHeaderKey(name)), at+"."+key,
+			"%s is not to be changed", name)
+	}
+	for _, n := range e.Remove {
+		name("remove", n)
+	}
+	for key, set := range map[string]map[string]string{"set": e.Set, "add": e.Add} {
+		for n, v := range set {
+			name(key, n)
+			k.Require(!strings.ContainsFunc(v, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }),
+				at+"."+key, "%q has a control character", v)
+		}
+	}
+}
