--- a/internal/config/resources.go
+++ b/internal/config/resources.go
@@ -346,19 +346,18 @@
 // locate returns the ID of the resource that has a key, and the key within it; or "the file" and the complete key. In a
 // list of tables a key is KIND.INDEX.KEY.
 func (m *merger) locate(key string) (origin, rest string) {
-	parts := strings.SplitN(key, ".", 3)
-	kind := parts[0]
-	parts = parts[1:]
+	kind, rest, _ := strings.Cut(key, ".")
 	index := 0
-	if m.kinds[kind].List && len(parts) > 0 {
-		_, _ = fmt.Sscan(parts[0], &index)
-		parts = parts[1:]
+	if m.kinds[kind].List && rest != "" {
+		var text string
+		text, rest, _ = strings.Cut(rest, ".")
+		_, _ = fmt.Sscan(text, &index)
 	}
 	origins := m.listOrigins[kind]
 	if index >= len(origins) || origins[index] == "" {
 		return "the file", key
 	}
-	return origins[index], strings.Join(parts, ".")
+	return origins[index], rest
 }
 
 func cutLast(key string) (before, last string, found bool) {
--- a/internal/config/validate_clients.go
+++ b/internal/config/validate_clients.go
@@ -4,12 +4,13 @@
 	"fmt"
 	"math"
 	"net"
+	"slices"
 	"strings"
 
 	"dunlinsail/internal/siteconfig"
 )
 
-// connections checks the bounds on connections, and fills in those that are left to the descriptors.
+// connections validates the limits of connections, and sets those that are 0 by the number of descriptors.
 func (k *validator) connections(c *Config) {
 	n := &c.Connections
 	free := c.Process.Descriptors - reservedDescriptors
@@ -33,28 +34,32 @@
 		n.MinIdleTime, n.MaxIdleTime)
 }
 
+// clients validates the clients and their limits. No user or group may belong to two.
 func (k *validator) clients(c *Config) {
 	names := map[string]bool{}
-	uids := map[uint32]string{}
-	gids := map[uint32]string{}
+	owners := map[string]map[uint32]string{"uids": {}, "gids": {}} // names of clients, by key and ID
 	for i := range c.Clients {
 		cl := &c.Clients[i]
 		at := func(key string) string { return fmt.Sprintf("client.%d.%s", i, key) }
 		k.Require(cl.Name != "", at("name"), "is missing")
 		k.Require(!names[cl.Name], at("name"), "%q is named twice", cl.Name)
 		names[cl.Name] = true
-		k.bounds(&cl.ClientLimits, at)
-		for of, ids := range map[string][]uint32{"uids": cl.UIDs, "gids": cl.GIDs} {
-			taken := map[string]map[uint32]string{"uids": uids, "gids": gids}[of]
+		k.clientLimits(&cl.ClientLimits, at)
+		for key, ids := range map[string][]uint32{"uids": cl.UIDs, "gids": cl.GIDs} {
 			for _, id := range ids {
-				k.Require(taken[id] == "", at(of), "%d is client %q already", id, taken[id])
-				taken[id] = cl.Name
+				owner := owners[key][id]
+				k.Require(owner == "", at(key), "%d is client %q already", id, owner)
+				owners[key][id] = cl.Name
 			}
 		}
 	}
 	if c.OtherClients != nil {
-		k.bounds(c.OtherClients, func(key string) string { return "others." + key })
+		k.clientLimits(c.OtherClients, func(key string) string { return "others." + key })
 	}
+}
+
+// listeners validates the listeners. Their names and addresses must be unique.
+func (k *validator) listeners(c *Config) {
 	k.Require(len(c.Listeners) > 0, "listener", "at least one is needed")
 	listeners := map[string]bool{}
 	addresses := map[string]bool{}
@@ -67,27 +72,46 @@
 		k.Require(!addresses[l.Address], at("address"), "%q is listened on twice", l.Address)
 		addresses[l.Address] = true
 		if network, address := l.Network(); network == "unix" {
-			k.Require(strings.HasPrefix(address, "/"), at("address"),
-				"%q: the path of a unix socket must begin with /", l.Address)
-			k.Require(len(address) <= 107, at("address"), "the path of a unix socket has at most 107 bytes, not %d",
-				len(address))
-			if l.Mode.Bits == 0 {
-				l.Mode.Bits = 0o600
-			}
+			k.unixListener(l, address, at)
 		} else {
-			host, _, _ := net.SplitHostPort(address)
-			ip := net.ParseIP(host)
-			k.Require(hostPort(address, 0) && ip != nil && ip.IsLoopback(), at("address"),
-				"%q is neither a loopback address with a port up to 65535, as \"127.0.0.1:8080\", nor \"unix:/path\"",
-				l.Address)
-			k.Require(l.Mode.Bits == 0, at("mode"), "is for unix sockets only")
-			k.Require(l.Client != "" || c.OtherClients != nil, at("client"), "is missing, and there is no table others")
+			k.tcpListener(c, l, address, at)
 		}
-		k.Require(l.Client == "" || names[l.Client], at("client"), "no client is named %q", l.Client)
+		isClient := func(cl Client) bool { return cl.Name == l.Client }
+		k.Require(l.Client == "" || slices.ContainsFunc(c.Clients, isClient), at("client"), "no client is named %q",
+			l.Client)
+	}
+}
+
+const (
+	// maxUnixPathBytes is the longest path of a unix socket: sockaddr_un has 108 bytes with a terminating zero.
+	maxUnixPathBytes = 107
+	// defaultUnixMode is the permissions of a unix socket without a key.
+	defaultUnixMode = 0o600
+)
+
+// unixListener validates a listener on a unix socket at a path, and sets its default permissions.
+func (k *validator) unixListener(l *Listener, path string, at func(string) string) {
+	k.Require(strings.HasPrefix(path, "/"), at("address"), "%q: the path of a unix socket must begin with /", l.Address)
+	k.Require(len(path) <= maxUnixPathBytes, at("address"), "the path of a unix socket has at most 107 bytes, not %d",
+		len(path))
+	if l.Mode.Bits == 0 {
+		l.Mode.Bits = defaultUnixMode
 	}
 }
 
-func (k *validator) bounds(b *ClientLimits, at func(string) string) {
+// tcpListener validates a listener at a TCP address, which must be on loopback.
+func (k *validator) tcpListener(c *Config, l *Listener, address string, at func(string) string) {
+	host, _, _ := net.SplitHostPort(address)
+	ip := net.ParseIP(host)
+	k.Require(isHostPort(address, 0) && ip != nil && ip.IsLoopback(), at("address"),
+		"%q is neither a loopback address with a port up to 65535, as \"127.0.0.1:8080\", nor \"unix:/path\"",
+		l.Address)
+	k.Require(l.Mode.Bits == 0, at("mode"), "is for unix sockets only")
+	k.Require(l.Client != "" || c.OtherClients != nil, at("client"), "is missing, and there is no table others")
+}
+
+// clientLimits validates the limits of a client, and sets its default weight.
+func (k *validator) clientLimits(b *ClientLimits, at func(string) string) {
 	if b.Weight == 0 {
 		b.Weight = 1
 	}
--- a/internal/config/validate_control.go
+++ b/internal/config/validate_control.go
@@ -7,12 +7,14 @@
 	"time"
 )
 
-func (k *validator) control(c *Config) {
+// controlPlane validates the control plane.
+func (k *validator) controlPlane(c *Config) {
 	n := &c.ControlPlane
 	on := n.Address != ""
 	host, _, _ := net.SplitHostPort(n.Address)
 	ip := net.ParseIP(host)
-	k.Require(!on || hostPort(n.Address, 1), "control.address", "%q is no host:port with a port in 1..65535", n.Address)
+	k.Require(!on || isHostPort(n.Address, 1), "control.address", "%q is no host:port with a port in 1..65535",
+		n.Address)
 	k.Require(!on || n.StateDir != "", "control.state", "is missing: a folder where the last good version is kept")
 	k.Require(n.StateDir == "" || strings.HasPrefix(n.StateDir, "/"), "control.state", "%q: must begin with /",
 		n.StateDir)
@@ -32,18 +34,23 @@
 		"must be in 4KiB..64MiB")
 	k.Require(n.MaxBackoff.Duration >= 100*time.Millisecond, "control.retry_most", "%v: must be at least 100ms",
 		n.MaxBackoff)
+	k.pins(n.Pinned)
+}
+
+// pins validates what of the file no version replaces.
+func (k *validator) pins(pins []string) {
 	kinds := ResourceKinds()
-	for _, pin := range n.Pinned {
-		kind, of, two := strings.Cut(pin, ".")
-		known, ok := kinds[kind]
-		k.Require(ok, "control.pin", "%q: %q is no table that a version may hold", pin, kind)
-		if ok && two && !known.List {
-			k.Require(hasKey(known.Type, of), "control.pin", "%q: the table %s has no key %q", pin, kind, of)
+	for _, pin := range pins {
+		name, key, hasName := strings.Cut(pin, ".")
+		kind, known := kinds[name]
+		k.Require(known, "control.pin", "%q: %q is no table that a version may hold", pin, name)
+		if known && hasName && !kind.List {
+			k.Require(hasKey(kind.Type, key), "control.pin", "%q: the table %s has no key %q", pin, name, key)
 		}
 	}
 }
 
-// hasKey says whether tables of a type have a key.
+// hasKey reports whether tables of a type have a key.
 func hasKey(t reflect.Type, key string) bool {
 	for i := range t.NumField() {
 		f := t.Field(i)
--- a/internal/config/validate_fleet.go
+++ b/internal/config/validate_fleet.go
@@ -10,6 +10,14 @@
 	"dunlinsail/internal/stricttoml"
 )
 
+const (
+	// maxLeaseRequestRate is the largest number of lease requests a second to one instance: each costs it about 0.1 ms.
+	maxLeaseRequestRate = 4000
+	// maxAllocators is the largest number of instances of which one grants quota leases.
+	maxAllocators = 7
+)
+
+// peers validates gossip and coordination.
 func (k *validator) peers(c *Config) {
 	p := &c.Peers
 	seen := map[string]bool{}
@@ -22,10 +30,10 @@
 		stricttoml.Enum(&k.Validation, "peers.lends", name, coordinatedUses)
 		k.Require(!slices.Contains(p.CoordinatedUses[:i], name), "peers.lends", "%q is named twice", name)
 	}
-	for _, way := range p.AddressMappings {
-		from, to, two := strings.Cut(way, "=")
-		k.Require(two && hostPort(from, 1) && hostPort(to, 1), "peers.ways", "%q is not ADDRESS=VIA, each host:port",
-			way)
+	for _, mapping := range p.AddressMappings {
+		address, via, complete := strings.Cut(mapping, "=")
+		k.Require(complete && isHostPort(address, 1) && isHostPort(via, 1), "peers.ways",
+			"%q is not ADDRESS=VIA, each host:port", mapping)
 	}
 	k.Require(p.ReserveFraction >= 0 && p.ReserveFraction <= 1, "peers.ready", "%v: must be in 0..1", p.ReserveFraction)
 	k.Require(p.MaxClockDrift >= 0 && p.MaxClockDrift <= 0.1, "peers.drift", "%v: must be in 0..0.1", p.MaxClockDrift)
@@ -35,39 +43,45 @@
 		"%v: must be at least four times peers.every, or a lost word ends a loan", p.QuotaLease)
 	k.Require(p.LeaderLease.Duration >= 2*p.LeaseRequestInterval.Duration, "peers.lease",
 		"%v: must be at least twice peers.every", p.LeaderLease)
-	if !p.On {
-		return
+	if p.On {
+		k.activePeers(c)
 	}
+}
+
+// activePeers validates what gossip and coordination need when they are on.
+func (k *validator) activePeers(c *Config) {
+	p := &c.Peers
 	host, _, _ := net.SplitHostPort(p.Address)
 	ip := net.ParseIP(host)
-	k.Require(ip != nil && hostPort(p.Address, 1), "peers.address", "%q is no address with a port in 1..65535",
+	k.Require(ip != nil && isHostPort(p.Address, 1), "peers.address", "%q is no address with a port in 1..65535",
 		p.Address)
 	k.Require(p.AllowBeyondLoopback || ip == nil || ip.IsLoopback(), "peers.address",
 		"%q is beyond loopback: peers.beyond_loopback says that this is meant", p.Address)
 	for _, other := range p.Join {
-		k.Require(hostPort(other, 1), "peers.join", "%q is no host:port with a port in 1..65535", other)
+		k.Require(isHostPort(other, 1), "peers.join", "%q is no host:port with a port in 1..65535", other)
 	}
 	k.Require(p.Fleet != "", "peers.fleet", "is missing")
-	k.Require(len(p.Allocators)%2 == 1 && len(p.Allocators) <= 7, "peers.lenders",
+	k.Require(len(p.Allocators)%2 == 1 && len(p.Allocators) <= maxAllocators, "peers.lenders",
 		"must be 1, 3, 5 or 7 names of instances: a majority of them decides who lends")
 	k.Require(len(p.CoordinatedUses) > 0, "peers.lends", "is empty: nothing would be decided together")
 	k.Require(c.Fleet.Instances >= len(p.Allocators), "fleet.instances", "%d is under the number of peers.lenders",
 		c.Fleet.Instances)
-	words := float64(c.Fleet.Instances) / p.LeaseRequestInterval.Seconds()
-	k.Require(words <= maxLeaseRequestRate, "peers.every",
+	requestRate := float64(c.Fleet.Instances) / p.LeaseRequestInterval.Seconds()
+	k.Require(requestRate <= maxLeaseRequestRate, "peers.every",
 		"%v: %d instances would ask the one that lends %.0f times a second; %d are the most", p.LeaseRequestInterval,
-		c.Fleet.Instances, words, maxLeaseRequestRate)
-	k.Require(c.Overload.On || !slices.ContainsFunc(p.CoordinatedUses,
-		func(n string) bool { return n != "suspects" && n != "tenants" }), "peers.lends",
+		c.Fleet.Instances, requestRate, maxLeaseRequestRate)
+	needsOverload := func(use string) bool { return use != "suspects" && use != "tenants" }
+	k.Require(c.Overload.On || !slices.ContainsFunc(p.CoordinatedUses, needsOverload), "peers.lends",
 		"further, probes and level are decided where overload.on is true")
 	for i, t := range c.Tenants {
 		k.Require(t.RateLimit == 0 || slices.Contains(p.CoordinatedUses, "tenants"),
-			fmt.Sprintf("tenant.%d.limit",
-				i), "%q has a limit over all instances: peers.lends must name \"tenants\"", t.Name)
+			fmt.Sprintf("tenant.%d.limit", i), "%q has a limit over all instances: peers.lends must name \"tenants\"",
+			t.Name)
 	}
 }
 
-func (k *validator) work(c *Config) {
+// maintenance validates maintenance plans.
+func (k *validator) maintenance(c *Config) {
 	w := &c.Maintenance
 	k.Require(w.MaxOut >= 1 && w.MaxOut <= 1000, "work.most", "%d: must be in 1..1000", w.MaxOut)
 	for key, v := range map[string]int{"zone": w.MaxPerZone, "cell": w.MaxPerCell, "machine": w.MaxPerMachineType} {
@@ -94,6 +108,3 @@
 		"%v: a process that gives its place must be over by work.lease and work.quiet together, %v",
 		c.Takeover.DrainWithin, maxDrain)
 }
-
-// maxLeaseRequestRate bounds the lease requests a second to one instance: each costs it about 0.1 ms.
-const maxLeaseRequestRate = 4000
--- a/internal/config/validate_routes.go
+++ b/internal/config/validate_routes.go
@@ -61,15 +61,16 @@
 		sources)
 	if p.Endpoints != nil {
 		for j, address := range *p.Endpoints {
-			k.Require(hostPort(address, 1), at("endpoints"), "%q is no host:port with a port in 1..65535", address)
+			k.Require(isHostPort(address, 1), at("endpoints"), "%q is no host:port with a port in 1..65535", address)
 			k.Require(!slices.Contains((*p.Endpoints)[:j], address), at("endpoints"), "%q is named twice", address)
 		}
 	}
-	k.Require(p.Discovery == "" || hostPort(p.Discovery, 1), at("discovery"),
+	k.Require(p.Discovery == "" || isHostPort(p.Discovery, 1), at("discovery"),
 		"%q is no host:port with a port in 1..65535", p.Discovery)
 	k.Require(p.RetryBudget >= 0 && p.RetryBudget <= 10, at("retry_budget"), "%v: must be in 0..10", p.RetryBudget)
-	k.Require(p.EffectiveMinRetryRate() == 0 || p.EffectiveMinRetryRate() >= 1 && p.EffectiveMinRetryRate() <= 1000, at("retry_least"),
-		"%v: must be 0 or in 1..1000: a part of a try is none", p.EffectiveMinRetryRate())
+	minRate := p.EffectiveMinRetryRate()
+	k.Require(minRate == 0 || minRate >= 1 && minRate <= 1000, at("retry_least"),
+		"%v: must be 0 or in 1..1000: a part of a try is none", minRate)
 }
 
 // pattern returns which requests the route matches.
--- a/internal/config/validate_site.go
+++ b/internal/config/validate_site.go
@@ -10,7 +10,7 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// loadReportFields are the metrics of a load report by their names in BENCH.
+// loadReportFields are the metrics of a load report, by the values of Probes.Fields.
 var loadReportFields = map[string]balancer.LoadMetric{
 	"inflight":   balancer.MetricInflight,
 	"queue":      balancer.MetricQueueLength,
@@ -20,7 +20,10 @@
 	"eps":        balancer.MetricErrorRate,
 }
 
-// site makes the settings of the decision packages, and validates them under the keys of the file.
+// maxNames is the largest number of zones, machine types or classes: their indexes have 8 bits.
+const maxNames = 254
+
+// site sets the settings of the decision packages, and validates them by the keys of the file.
 func (k *validator) site(c *Config, subscribe bool) {
 	s := &c.Site
 	k.fleet(&c.Fleet)
@@ -31,7 +34,7 @@
 	s.KeepAlive = c.Fleet.KeepAlive.Duration
 	s.Settings = k.balancerSettings(c, subscribe)
 	k.overload(&c.Overload)
-	k.reports(c)
+	k.loadReports(c)
 	k.classes(c)
 	k.tenants(c)
 	if k.Err() == nil {
@@ -46,8 +49,8 @@
 		f.Position, f.Instances-1)
 	k.Require(f.Zone == "" && len(f.Zones) == 0 || slices.Contains(f.Zones, f.Zone), "fleet.zone",
 		"%q is none of fleet.zones", f.Zone)
-	k.Require(len(f.Zones) < 255, "fleet.zones", "at most 254")
-	k.Require(len(f.Machines) < 255, "fleet.machines", "at most 254")
+	k.Require(len(f.Zones) <= maxNames, "fleet.zones", "at most 254")
+	k.Require(len(f.Machines) <= maxNames, "fleet.machines", "at most 254")
 	k.Require(f.KeepAlive.Duration > 0, "fleet.keep_alive", "must be positive")
 	k.Require(f.Subset >= 0 && f.Subset <= 1000, "fleet.subset", "%d: must be in 0..1000", f.Subset)
 	k.Require(f.EndpointIdle >= 0 && f.EndpointIdle <= 1e6, "fleet.node_idle", "%v: must be in 0..1000000",
@@ -69,7 +72,7 @@
 	k.Require(ru.PollWithin.Duration > 0, "rules.ask_within", "must be positive")
 }
 
-// weights validates the prices and the weights of the goal.
+// weights validates the prices and the weights of the goal. None may be negative or infinite.
 func (k *validator) weights(c *Config) {
 	for key, v := range map[string]float64{
 		"prices.cross_zone": c.Prices.CrossZone,
@@ -153,6 +156,7 @@
 		"%v is over node_probes, %v", o.MinEndpointProbes, o.MaxEndpointProbes)
 }
 
+// tenants validates the tenants, and adds them to the settings.
 func (k *validator) tenants(c *Config) {
 	s := &c.Site
 	tenants := map[string]bool{}
@@ -173,8 +177,8 @@
 	}
 }
 
-// reports reads what endpoints tell of their load.
-func (k *validator) reports(c *Config) {
+// loadReports validates the load reports of endpoints, and sets their fields.
+func (k *validator) loadReports(c *Config) {
 	s := &c.Site
 	s.ReportsOnResponses = stricttoml.Enum(&k.Validation, "probes.report", c.Probes.Report,
 		map[string]bool{"none": false, "probe": false, "answers": true})
@@ -191,49 +195,62 @@
 	}
 }
 
+// classes validates the classes, and adds them to the settings.
 func (k *validator) classes(c *Config) {
 	s := &c.Site
 	k.Require(len(c.Classes) > 0, "class", "at least one is needed")
-	k.Require(len(c.Classes) < 255, "class", "at most 254")
+	k.Require(len(c.Classes) <= maxNames, "class", "at most 254")
 	for i := range c.Classes {
 		cl := &c.Classes[i]
 		at := func(key string) string { return fmt.Sprintf("class.%d.%s", i, key) }
 		k.Require(cl.Name != "" && !strings.ContainsAny(cl.Name, "/ ?#%"), at("name"),
 			"%q must be a part of a path: neither empty nor with / ? # %% or a space", cl.Name)
 		k.Require(!slices.Contains(s.Classes, cl.Name), at("name"), "%q is named twice", cl.Name)
-		to := balancer.Class{
-			Name:             cl.Name,
-			LatencyObjective: cl.LatencyObjective.Micros(),
-			ClientTimeout:    cl.ClientTimeout.Micros(),
-			PriorityWeight:   1,
-			LateWeight:       cl.LateWeight,
-		}
-		to.Idempotency = stricttoml.Enum(&k.Validation, at("repeat"), cl.Idempotency, map[string]balancer.Idempotency{
-			"safe": balancer.Idempotent, "keyed": balancer.IdempotentByKey, "unsafe": balancer.NonIdempotent})
-		if cl.Idempotency == "keyed" {
-			scopes := map[string]balancer.DedupScope{
-				"all":  balancer.DedupAll,
-				"zone": balancer.DedupZone,
-				"cell": balancer.DedupCell,
-			}
-			to.DedupScope = stricttoml.Enum(&k.Validation, at("group"), cl.IdempotencyGroup, scopes)
-			to.DedupWindow = cl.KeyWindow.Micros()
-			k.Require(cl.KeyWindow.Duration > 0, at("window"),
-				"is missing: for how long the group drops a repeat of a key")
-		} else {
-			k.Require(cl.IdempotencyGroup == "" && cl.KeyWindow.Duration == 0, at("group"),
-				"group and window are for keyed classes only")
-		}
-		if cl.PriorityWeight != nil {
-			to.PriorityWeight = *cl.PriorityWeight
-		}
-		k.Require(to.PriorityWeight >= 0 && !math.IsInf(to.PriorityWeight, 0), at("worth"),
-			"%v: must not be negative", to.PriorityWeight)
-		k.Require(cl.LatencyObjective.Duration > 0, at("aim"), "is missing")
-		k.Require(cl.ClientTimeout.Duration >= cl.LatencyObjective.Duration, at("give_up"), "%v is under aim, %v",
-			cl.ClientTimeout, cl.LatencyObjective)
-		k.Require(cl.LateWeight >= 0 && cl.LateWeight <= 1, at("late_worth"), "%v: must be in 0..1", cl.LateWeight)
 		s.Classes = append(s.Classes, cl.Name)
-		s.Settings.Classes = append(s.Settings.Classes, to)
+		s.Settings.Classes = append(s.Settings.Classes, k.class(cl, at))
+	}
+}
+
+// idempotencies are the values of Class.Idempotency.
+var idempotencies = map[string]balancer.Idempotency{
+	"safe":   balancer.Idempotent,
+	"keyed":  balancer.IdempotentByKey,
+	"unsafe": balancer.NonIdempotent,
+}
+
+// dedupScopes are the values of Class.IdempotencyGroup.
+var dedupScopes = map[string]balancer.DedupScope{
+	"all":  balancer.DedupAll,
+	"zone": balancer.DedupZone,
+	"cell": balancer.DedupCell,
+}
+
+// class returns the balancer's form of a class, and validates it but for its name.
+func (k *validator) class(cl *Class, at func(string) string) balancer.Class {
+	class := balancer.Class{
+		Name:             cl.Name,
+		LatencyObjective: cl.LatencyObjective.Micros(),
+		ClientTimeout:    cl.ClientTimeout.Micros(),
+		PriorityWeight:   1,
+		LateWeight:       cl.LateWeight,
+	}
+	class.Idempotency = stricttoml.Enum(&k.Validation, at("repeat"), cl.Idempotency, idempotencies)
+	if cl.Idempotency == "keyed" {
+		class.DedupScope = stricttoml.Enum(&k.Validation, at("group"), cl.IdempotencyGroup, dedupScopes)
+		class.DedupWindow = cl.KeyWindow.Micros()
+		k.Require(cl.KeyWindow.Duration > 0, at("window"), "is missing: for how long the group drops a repeat of a key")
+	} else {
+		k.Require(cl.IdempotencyGroup == "" && cl.KeyWindow.Duration == 0, at("group"),
+			"group and window are for keyed classes only")
+	}
+	if cl.PriorityWeight != nil {
+		class.PriorityWeight = *cl.PriorityWeight
 	}
+	k.Require(class.PriorityWeight >= 0 && !math.IsInf(class.PriorityWeight, 0), at("worth"),
+		"%v: must not be negative", class.PriorityWeight)
+	k.Require(cl.LatencyObjective.Duration > 0, at("aim"), "is missing")
+	k.Require(cl.ClientTimeout.Duration >= cl.LatencyObjective.Duration, at("give_up"), "%v is under aim, %v",
+		cl.ClientTimeout, cl.LatencyObjective)
+	k.Require(cl.LateWeight >= 0 && cl.LateWeight <= 1, at("late_worth"), "%v: must be in 0..1", cl.LateWeight)
+	return class
 }
