--- a/cmd/dunlinsail-experiment/faults.go
+++ b/cmd/dunlinsail-experiment/faults.go
@@ -66,6 +66,8 @@
 	return nil
 }
 
+// play plays one scenario with one program and seed, and prints a line; with --without a second one. It returns how
+// many runs failed.
 func (c *faultsCmd) play(
 	ctx context.Context, w *output, s *scenario.Scenario, program string, seed uint64,
 ) (failed int, err error) {
@@ -80,7 +82,7 @@
 		}
 		keep := c.Keep
 		if i > 0 {
-			keep = "" // it is not held to anything
+			keep = "" // no claims are evaluated
 		}
 		f, err := experiment.RunWithFaults(ctx, s, v, program, c.Beside, seed, keep)
 		if err != nil {
--- a/cmd/dunlinsail-experiment/gossip.go
+++ b/cmd/dunlinsail-experiment/gossip.go
@@ -28,14 +28,34 @@
 	Plant   string        `help:"An error to plant, which must be found: two books, slow clocks, spends as it starts, more than said."`
 }
 
-// told is what the runs of one case come to.
+// caseTotals are the results of one case, over all seeds.
 type caseTotals struct {
-	maxSpent, exceeded                                             int
-	utilization                                                    []float64
-	messageRate, byteRate, allocatorMessageRate, allocatorByteRate float64
+	maxSpent    int       // units in the worst second
+	exceeded    int       // units spent beyond the budget
+	utilization []float64 // of each run, 0 to 1
+
+	// Sums over the runs: messages and bytes a second of an instance, and of the allocator.
+	messageRate          float64
+	byteRate             float64
+	allocatorMessageRate float64
+	allocatorByteRate    float64
+}
+
+// add adds the result of a run.
+func (t *caseTotals) add(r *gossipsim.Result) {
+	t.maxSpent = max(t.maxSpent, r.MaxSpent)
+	t.exceeded += r.UnitsExceeded
+	t.utilization = append(t.utilization, r.Utilization)
+	t.messageRate += r.MessageRate
+	t.byteRate += r.ByteRate
+	t.allocatorMessageRate += r.AllocatorMessageRate
+	t.allocatorByteRate += r.AllocatorByteRate
 }
 
-// Run plays the words between instances in simulated time, and checks each second of what they spend.
+// randomCase is the name of the case whose faults are drawn.
+const randomCase = "random"
+
+// Run simulates the messages between instances, and checks what they spend in each second.
 func (c *gossipCmd) Run(ctx context.Context, w *output) error {
 	if c.Members < 1 || c.Seeds < 1 {
 		return fmt.Errorf("--members and --seeds must be positive")
@@ -43,10 +63,10 @@
 	cases := gossipsim.HardCases(c.Members)
 	names := c.Cases
 	if len(names) == 0 {
-		names = append(slices.Sorted(maps.Keys(cases)), "random")
+		names = append(slices.Sorted(maps.Keys(cases)), randomCase)
 	}
 	for _, name := range names {
-		if _, known := cases[name]; !known && name != "random" {
+		if _, known := cases[name]; !known && name != randomCase {
 			return fmt.Errorf(
 				"there is no case %q; there are random, %s", name, strings.Join(slices.Sorted(maps.Keys(cases)), ", "),
 			)
@@ -88,55 +108,30 @@
 	return nil
 }
 
-func (c *gossipCmd) simulate(ctx context.Context, name string, faults []gossipsim.Fault) (t caseTotals, err error) {
-	size := func(w coordination.Message) int {
-		text, err := peers.Encode("instance-100", "instance-100", w)
-		if err != nil {
-			panic(err) // of our own words
-		}
-		return len(text)
+// messageSize is the size of a message between two instances, in bytes.
+func messageSize(m coordination.Message) int {
+	const name = "instance-100"
+	text, err := peers.Encode(name, name, m)
+	if err != nil {
+		panic(err) // the simulation made the message
 	}
-	var mu sync.Mutex
-	var all sync.WaitGroup
+	return len(text)
+}
+
+// simulate runs a case with each seed, on all processors.
+func (c *gossipCmd) simulate(ctx context.Context, name string, faults []gossipsim.Fault) (t caseTotals, err error) {
+	var mu sync.Mutex // guards t and err
+	var workers sync.WaitGroup
 	seeds := make(chan uint64)
 	for range runtime.GOMAXPROCS(0) {
-		all.Go(func() {
+		workers.Go(func() { // ends once seeds is closed
 			for seed := range seeds {
-				s := gossipsim.Settings{
-					Members:      c.Members,
-					Candidates:   3,
-					Units:        c.Units,
-					Demand:       c.Demand * c.Units,
-					Duration:     c.For.Microseconds(),
-					Seed:         seed,
-					Coordination: gossipsim.DefaultSettings(), MessageSize: size, Faults: faults, PlantedError: c.Plant}
-				if c.Every > 0 {
-					s.Coordination.Quota.RequestInterval = c.Every.Microseconds()
-					s.Coordination.Quota.LeaseDuration = max(
-						s.Coordination.Quota.LeaseDuration, 8*s.Coordination.Quota.RequestInterval,
-					)
-					s.Coordination.LeaseDuration = max(
-						s.Coordination.LeaseDuration, 4*s.Coordination.Quota.RequestInterval,
-					)
-				}
-				if c.Plant == "spends as it starts" {
-					s.Coordination.Quota.Reserve = 1 // nothing lies idle where one is killed
-				}
-				if name == "random" {
-					s.Faults = gossipsim.RandomFaults(seed, c.Members, s.Duration)
-				}
-				r, failed := gossipsim.Run(s)
+				result, runErr := gossipsim.Run(c.settings(name, faults, seed))
 				mu.Lock()
-				if failed != nil {
-					err = failed
+				if runErr != nil {
+					err = runErr
 				} else {
-					t.maxSpent = max(t.maxSpent, r.MaxSpent)
-					t.exceeded += r.UnitsExceeded
-					t.utilization = append(t.utilization, r.Utilization)
-					t.messageRate += r.MessageRate
-					t.byteRate += r.ByteRate
-					t.allocatorMessageRate += r.AllocatorMessageRate
-					t.allocatorByteRate += r.AllocatorByteRate
+					t.add(result)
 				}
 				mu.Unlock()
 			}
@@ -146,9 +141,47 @@
 		seeds <- seed
 	}
 	close(seeds)
-	all.Wait()
+	workers.Wait()
 	if ctx.Err() != nil {
 		return t, context.Cause(ctx)
 	}
 	return t, err
 }
+
+// Bounds of the durations that follow from --every, in request intervals.
+const (
+	minQuotaLease  = 8
+	minLeaderLease = 4
+)
+
+// leaseCandidates is the number of members that may lead.
+const leaseCandidates = 3
+
+// settings returns the settings of a case's run with a seed.
+func (c *gossipCmd) settings(name string, faults []gossipsim.Fault, seed uint64) gossipsim.Settings {
+	s := gossipsim.Settings{
+		Members:      c.Members,
+		Candidates:   leaseCandidates,
+		Units:        c.Units,
+		Demand:       c.Demand * c.Units,
+		Duration:     c.For.Microseconds(),
+		Seed:         seed,
+		Coordination: gossipsim.DefaultSettings(),
+		MessageSize:  messageSize,
+		Faults:       faults,
+		PlantedError: c.Plant,
+	}
+	if interval := c.Every.Microseconds(); c.Every > 0 {
+		quota := &s.Coordination.Quota
+		quota.RequestInterval = interval
+		quota.LeaseDuration = max(quota.LeaseDuration, minQuotaLease*interval)
+		s.Coordination.LeaseDuration = max(s.Coordination.LeaseDuration, minLeaderLease*interval)
+	}
+	if c.Plant == "spends as it starts" {
+		s.Coordination.Quota.Reserve = 1 // so that no unit is unused when a member is killed
+	}
+	if name == randomCase {
+		s.Faults = gossipsim.RandomFaults(seed, c.Members, s.Duration)
+	}
+	return s
+}
--- a/cmd/dunlinsail-experiment/main.go
+++ b/cmd/dunlinsail-experiment/main.go
@@ -1,6 +1,6 @@
-// Command dunlinsail-experiment makes experiments with a model of the fleet: what would a change of settings, or another build, do
-// to the service? It plays scenarios in simulated time with the decisions themselves, compares, sweeps, searches and
-// reports.
+// Command dunlinsail-experiment makes experiments with a simulated fleet: what would a change of settings, or another
+// build, do to the service? It plays scenarios in simulated time with the production code's decisions, compares,
+// sweeps, searches and reports.
 package main
 
 import (
@@ -18,19 +18,18 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// The exit codes: 1 is a claim that fails or a run that could not be made, 2 a mistake of whoever called or in a file,
-// 3 that it was ended before it was done.
+// The exit codes.
 const (
-	exitOK = iota
-	exitFailed
-	exitUsage
-	exitStopped
+	exitOK      = iota
+	exitFailed  // a claim fails, or a run could not be made
+	exitUsage   // the call or a file has a mistake
+	exitStopped // a signal ended the program before it was done
 )
 
-// errFailed is what was to hold and does not; all has been said of it.
+// errFailed is a check that failed and has been printed.
 var errFailed = errors.New("not all holds")
 
-// out is where answers go; what is said beside them goes to standard error.
+// output is where results are printed. Progress and errors go to standard error.
 type output struct {
 	*bufio.Writer
 }
@@ -60,9 +59,12 @@
 	os.Exit(code)
 }
 
+// gcPercent makes garbage collections rarer: runs allocate many short-lived objects, and memory is not scarce.
+const gcPercent = 400
+
+// run executes a command line and returns the exit code.
 func run(ctx context.Context, args []string) int {
-	// Runs make much that is short-lived, and memory is there.
-	debug.SetGCPercent(400)
+	debug.SetGCPercent(gcPercent)
 	var c commands
 	parser, err := kong.New(
 		&c,
@@ -70,7 +72,7 @@
 		kong.Description("Experiments with a model of the fleet. See docs/operators/lab.md."),
 		kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
-		panic(err) // of the program's own words
+		panic(err) // the commands are declared in this program
 	}
 	command, err := parser.Parse(args)
 	if err != nil {
@@ -92,7 +94,8 @@
 	case ctx.Err() != nil:
 		fmt.Fprintln(
 			os.Stderr,
-			"dunlinsail-experiment: ended before it was done; what was run is kept, and the same command goes on from it",
+			"dunlinsail-experiment: ended before it was done; "+
+				"what was run is kept, and the same command goes on from it",
 		)
 		return exitStopped
 	case errors.As(err, &mistakes):
--- a/cmd/dunlinsail-experiment/real.go
+++ b/cmd/dunlinsail-experiment/real.go
@@ -25,7 +25,7 @@
 	Log  bool `help:"Pass on what daemons log."`
 }
 
-// Run plays for real.
+// Run plays scenarios with real daemons and compares their figures with the simulation's.
 func (c *realCmd) Run(ctx context.Context, w *output) error {
 	v, err := experiment.ParseVariant(c.Settings)
 	if err != nil {
@@ -38,16 +38,16 @@
 		}
 		c.Daemon = filepath.Join(filepath.Dir(self), "dunlinsaild")
 	}
-	r, done, err := c.RunnerFlags.runner()
+	r, release, err := c.RunnerFlags.runner()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer release()
 	var log io.Writer
 	if c.Log {
 		log = os.Stderr
 	}
-	inside := 0
+	agreeing := 0
 	all := 0
 	for _, name := range c.Scenarios {
 		s, err := c.SizeFlags.load(name)
@@ -61,7 +61,7 @@
 		if err != nil {
 			return err
 		}
-		inside += a.AgreeingRows
+		agreeing += a.AgreeingRows
 		all += len(a.Rows)
 		if c.JSON {
 			if err := json.NewEncoder(w).Encode(a.Rows); err != nil {
@@ -79,7 +79,7 @@
 		_ = w.Flush() // its error comes again with the last Flush, in main
 	}
 	if !c.JSON {
-		fmt.Fprintf(w, "in all %d of %d\n", inside, all)
+		fmt.Fprintf(w, "in all %d of %d\n", agreeing, all)
 	}
 	return nil
 }
--- a/cmd/dunlinsail-experiment/records.go
+++ b/cmd/dunlinsail-experiment/records.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"maps"
 	"os"
 	"slices"
@@ -21,12 +22,13 @@
 	Make  recordMakeCmd  `cmd:"" help:"Write the access record that a run of a scenario would leave."`
 }
 
-// RecordPaths are those of a record.
+// RecordPaths are the flags that name an access record.
 type RecordPaths struct {
 	Paths []string `arg:"" help:"Folders of segments, or single segments."`
 	Align bool     `help:"Put instances whose clocks were wrong together by the system's."`
 }
 
+// read reads the record.
 func (p *RecordPaths) read() (*accesslog.Recording, error) {
 	rec, err := accesslog.Read(p.Paths...)
 	if err == nil && p.Align {
@@ -37,7 +39,7 @@
 
 type recordCheckCmd struct{ RecordPaths }
 
-// Run checks a record.
+// Run prints what a record lacks.
 func (c *recordCheckCmd) Run(w *output) error {
 	rec, err := c.read()
 	if err != nil {
@@ -56,7 +58,7 @@
 
 type recordShowCmd struct{ RecordPaths }
 
-// Run tells what a record holds.
+// Run prints a summary of a record, by class.
 func (c *recordShowCmd) Run(w *output) error {
 	rec, err := c.read()
 	if err != nil {
@@ -75,47 +77,56 @@
 		byClass[s.First().Class] = append(byClass[s.First().Class], s)
 	}
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
-		tries := 0
-		served := 0
-		var took []int64
-		verdicts := map[string]int{}
-		for _, s := range byClass[class] {
-			tries += len(s.Attempts)
-			for _, q := range s.Attempts {
-				verdicts[q.Verdict]++
-			}
-			if s.Served() {
-				served++
-				took = append(took, s.Attempts[len(s.Attempts)-1].End()-s.First().Arrived)
-			}
+		printClass(t, class, byClass[class])
+	}
+	return t.Flush()
+}
+
+// printClass prints the line of a class's operations.
+func printClass(w io.Writer, class string, operations []*accesslog.Operation) {
+	requests := 0
+	served := 0
+	var latencies []int64 // microseconds, of the served operations
+	verdicts := map[string]int{}
+	for _, s := range operations {
+		requests += len(s.Attempts)
+		for _, q := range s.Attempts {
+			verdicts[q.Verdict]++
 		}
-		slices.Sort(took)
-		quantile := func(q float64) string {
-			if len(took) == 0 {
-				return "-"
-			}
-			return fmt.Sprintf("%.1f ms", float64(took[min(len(took)-1, int(q*float64(len(took))))])/1000)
+		if s.Served() {
+			served++
+			latencies = append(latencies, s.Attempts[len(s.Attempts)-1].End()-s.First().Arrived)
 		}
-		var parts []string
-		for _, v := range slices.Sorted(maps.Keys(verdicts)) {
-			parts = append(parts, fmt.Sprintf("%s %d", v, verdicts[v]))
+	}
+	slices.Sort(latencies)
+	quantile := func(q float64) string {
+		if len(latencies) == 0 {
+			return "-"
 		}
-		n := len(byClass[class])
-		fmt.Fprintf(
-			t, "%s\t%d\t%.3f\t%.2f%%\t%s\t%s\t%s\n", class, n, float64(tries)/float64(n),
-			100*float64(served)/float64(n), quantile(0.5), quantile(0.99), strings.Join(parts, ", "),
-		)
+		i := min(len(latencies)-1, int(q*float64(len(latencies))))
+		return fmt.Sprintf("%.1f ms", float64(latencies[i])/1000)
 	}
-	return t.Flush()
+	var parts []string
+	for _, v := range slices.Sorted(maps.Keys(verdicts)) {
+		parts = append(parts, fmt.Sprintf("%s %d", v, verdicts[v]))
+	}
+	n := len(operations)
+	fmt.Fprintf(
+		w, "%s\t%d\t%.3f\t%.2f%%\t%s\t%s\t%s\n", class, n, float64(requests)/float64(n),
+		100*float64(served)/float64(n), quantile(0.5), quantile(0.99), strings.Join(parts, ", "),
+	)
 }
 
+// scenarioFileMode is the mode of scenario files that the commands write.
+const scenarioFileMode = 0o644
+
 type recordFitCmd struct {
 	RecordPaths
 	Base string `help:"A scenario by name, or a file: all that a record does not tell is its." default:"calm"`
 	Out  string `help:"Write the scenario to this file." placeholder:"FILE"`
 }
 
-// Run fits a scenario.
+// Run writes a scenario whose clients are as in a record.
 func (c *recordFitCmd) Run(w *output) error {
 	base, err := (&SizeFlags{}).load(c.Base)
 	if err != nil {
@@ -137,7 +148,7 @@
 		fmt.Fprintln(os.Stderr, n)
 	}
 	if c.Out != "" {
-		return os.WriteFile(c.Out, text, 0o644)
+		return os.WriteFile(c.Out, text, scenarioFileMode)
 	}
 	_, err = w.Write(text)
 	return err
@@ -151,7 +162,7 @@
 	Seed uint64 `help:"The seed." default:"1"`
 }
 
-// Run writes a record.
+// Run writes the record of a simulated run.
 func (c *recordMakeCmd) Run(ctx context.Context, w *output) error {
 	s, err := c.SizeFlags.load(c.Scenario)
 	if err != nil {
--- a/cmd/dunlinsail-experiment/runs.go
+++ b/cmd/dunlinsail-experiment/runs.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"io"
 	"os"
+	"slices"
 	"strings"
 	"text/tabwriter"
 	"time"
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// file makes a path of a name in the present folder, which a scenario's name could be taken for.
+// file returns a name in the working directory as a path that is not taken for a scenario's name.
 func file(name string) string {
 	if !strings.ContainsAny(name, "./") {
 		return "./" + name
@@ -84,13 +85,14 @@
 	return name
 }
 
-// SizeFlags changes how large a scenario is.
+// SizeFlags are the flags that change the size of a scenario.
 type SizeFlags struct {
 	World     []string `help:"Change the scenario: KEY=VALUE, as clients.load=0.8 or nodes.std-2c.count=50." placeholder:"KEY=VALUE" sep:"none"`
 	Instances int      `help:"So many instances in place of the scenario's."`
 	Nodes     int      `help:"So many endpoints in place of the scenario's, of its kinds in their proportion."`
 }
 
+// load returns a scenario of the flags' size.
 func (z *SizeFlags) load(name string) (*scenario.Scenario, error) {
 	s, err := library.Load(name)
 	if err != nil {
@@ -99,46 +101,54 @@
 	return experiment.Resize(s, z.World, z.Instances, z.Nodes)
 }
 
-// RunnerFlags says where runs are kept and how many are made at once.
+// RunnerFlags are the flags for the store of runs and their progress.
 type RunnerFlags struct {
 	Store    string `help:"File in which runs are kept, so that nothing is run twice; none keeps nothing." placeholder:"FILE"`
 	Parallel int    `help:"Runs at once; 0 is one for each processor." default:"0"`
 	Quiet    bool   `help:"Say nothing of progress."`
 }
 
-// runner returns a runner and what gives it back.
-func (k *RunnerFlags) runner() (*experiment.Runner, func(), error) {
-	r := &experiment.Runner{Parallel: k.Parallel}
-	done := func() {}
+// progressInterval is the least time between two updates of the progress line.
+const progressInterval = 200 * time.Millisecond
+
+// runner returns a runner, and a function that releases it.
+func (k *RunnerFlags) runner() (r *experiment.Runner, release func(), err error) {
+	r = &experiment.Runner{Parallel: k.Parallel}
+	release = func() {}
 	if k.Store != "" {
 		s, err := experiment.OpenStore(k.Store)
 		if err != nil {
 			return nil, nil, err
 		}
 		r.Store = s
-		done = func() { _ = s.Close() } // each run was committed as it ended
+		release = func() { _ = s.Close() } // each run was committed as it ended
 	}
 	if info, err := os.Stderr.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 && !k.Quiet {
-		began := time.Now()
-		last := time.Time{}
-		r.Progress = func(done, kept, all int) {
-			if time.Since(last) < 200*time.Millisecond && done+kept < all {
-				return
-			}
-			last = time.Now()
-			fmt.Fprintf(
-				os.Stderr, "\r%d of %d runs, %d of them kept from before, %v \x1b[K", done+kept, all, kept,
-				time.Since(began).Round(time.Second),
-			)
-			if done+kept == all {
-				fmt.Fprint(os.Stderr, "\r\x1b[K")
-			}
+		r.Progress = progressLine()
+	}
+	return r, release, nil
+}
+
+// progressLine returns a callback that keeps a line of progress on a terminal's standard error.
+func progressLine() func(done, stored, all int) {
+	startedAt := time.Now()
+	printedAt := time.Time{}
+	return func(done, stored, all int) {
+		if time.Since(printedAt) < progressInterval && done+stored < all {
+			return
+		}
+		printedAt = time.Now()
+		fmt.Fprintf(
+			os.Stderr, "\r%d of %d runs, %d of them kept from before, %v \x1b[K", done+stored, all, stored,
+			time.Since(startedAt).Round(time.Second),
+		)
+		if done+stored == all {
+			fmt.Fprint(os.Stderr, "\r\x1b[K")
 		}
 	}
-	return r, done, nil
 }
 
-// SeedFlags says how many plans are drawn.
+// SeedFlags are the flags for the seeds of plans.
 type SeedFlags struct {
 	Seeds int    `help:"So many seeds." default:"8"`
 	First uint64 `help:"The first seed." default:"1"`
@@ -156,7 +166,7 @@
 	Report string `help:"Write a report to this .html or .md file." placeholder:"FILE"`
 }
 
-// Run plays a scenario.
+// Run plays a scenario and prints its figures.
 func (c *runCmd) Run(ctx context.Context, w *output) error {
 	s, err := c.SizeFlags.load(c.Scenario)
 	if err != nil {
@@ -167,25 +177,16 @@
 		return err
 	}
 	if c.Log {
-		j, err := v.Job(s, v, c.First)
-		if err != nil {
-			return err
-		}
-		_, err = j.Play(ctx, func(o *simulation.Options) {
-			o.Log = func(at monotime.Micros, instance int, line string) {
-				fmt.Fprintf(w, "%9.3f s  instance %d: %s\n", float64(at)/1e6, instance, line)
-			}
-		})
-		return err
+		return printLogs(ctx, w, s, v, c.First)
 	}
 	if c.Trace != "" {
 		return traceOperation(ctx, w, s, v, c.First, c.Trace)
 	}
-	r, done, err := c.RunnerFlags.runner()
+	r, release, err := c.RunnerFlags.runner()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer release()
 	got, err := r.Compare(ctx, experiment.Plan{Scenario: s, A: v, FirstSeed: c.First, MinSeeds: c.SeedFlags.Seeds})
 	if err != nil {
 		return err
@@ -196,6 +197,25 @@
 	if c.JSON {
 		return json.NewEncoder(w).Encode(got.RunsA)
 	}
+	return printRun(w, got)
+}
+
+// printLogs plays a plan and prints what its instances log.
+func printLogs(ctx context.Context, w io.Writer, s *scenario.Scenario, v *experiment.Variant, seed uint64) error {
+	j, err := v.Job(s, v, seed)
+	if err != nil {
+		return err
+	}
+	_, err = j.Play(ctx, func(o *simulation.Options) {
+		o.Log = func(at monotime.Micros, instance int, line string) {
+			fmt.Fprintf(w, "%9.3f s  instance %d: %s\n", float64(at)/1e6, instance, line)
+		}
+	})
+	return err
+}
+
+// printRun prints the figures of a scenario's runs, and the speed of the simulation.
+func printRun(w io.Writer, got *experiment.Comparison) error {
 	fmt.Fprintln(w, got.Line())
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range got.Rows {
@@ -216,7 +236,7 @@
 	return nil
 }
 
-// trace prints what happens to one story.
+// traceOperation prints the steps of one operation: the one of a number, or the first that ends unserved.
 func traceOperation(
 	ctx context.Context, w io.Writer, s *scenario.Scenario, v *experiment.Variant, seed uint64, which string,
 ) error {
@@ -238,27 +258,27 @@
 		return err
 	}
 	for n, id := range order {
-		all := steps[id]
-		unserved := true
-		for _, x := range all {
-			unserved = unserved && x.Step != "is served"
-		}
-		if which != fmt.Sprint(n) && !(which == "unserved" && unserved) {
-			continue
+		served := slices.ContainsFunc(steps[id], func(x simulation.Trace) bool { return x.Step == "is served" })
+		if which == fmt.Sprint(n) || which == "unserved" && !served {
+			fmt.Fprintf(w, "story %d of %d\n", n, len(order))
+			printSteps(w, steps[id])
+			return nil
 		}
-		fmt.Fprintf(w, "story %d of %d\n", n, len(order))
-		for _, x := range all {
-			what := fmt.Sprintf("try %d", x.Request)
-			if x.Attempt >= 0 {
-				what += fmt.Sprintf(", attempt %d at %s", x.Attempt, x.Endpoint)
-			}
-			fmt.Fprintf(w, "%12.3f ms  instance %d  %s: %s\n", float64(x.At)/1000, x.Instance, what, x.Step)
-		}
-		return nil
 	}
 	return fmt.Errorf("there is no such story; there are %d", len(order))
 }
 
+// printSteps prints the steps of an operation.
+func printSteps(w io.Writer, steps []simulation.Trace) {
+	for _, x := range steps {
+		what := fmt.Sprintf("try %d", x.Request)
+		if x.Attempt >= 0 {
+			what += fmt.Sprintf(", attempt %d at %s", x.Attempt, x.Endpoint)
+		}
+		fmt.Fprintf(w, "%12.3f ms  instance %d  %s: %s\n", float64(x.At)/1000, x.Instance, what, x.Step)
+	}
+}
+
 type compareCmd struct {
 	A        string   `arg:"" help:"Variant: [@PROGRAM:]FILE[,KEY=VALUE]...; 'shipped' is the settings that come with the program."`
 	B        string   `arg:"" help:"The other."`
@@ -274,7 +294,7 @@
 	Report   string  `help:"Write a report to this .html or .md file." placeholder:"FILE"`
 }
 
-// Run compares.
+// Run compares two variants on each scenario.
 func (c *compareCmd) Run(ctx context.Context, w *output) error {
 	if (c.Width > 0) != (c.MaxSeeds > 0) {
 		return errors.New("--width and --most belong together")
@@ -287,28 +307,14 @@
 	if err != nil {
 		return err
 	}
-	r, done, err := c.RunnerFlags.runner()
+	r, release, err := c.RunnerFlags.runner()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer release()
 	var all []*experiment.Comparison
 	for _, name := range c.Scenario {
-		s, err := c.SizeFlags.load(name)
-		if err != nil {
-			return err
-		}
-		got, err := r.Compare(ctx, experiment.Plan{
-			Scenario:      s,
-			A:             a,
-			B:             b,
-			FirstSeed:     c.First,
-			MinSeeds:      c.SeedFlags.Seeds,
-			MaxSeeds:      c.MaxSeeds,
-			TargetWidth:   c.Width,
-			Method:        c.Method,
-			PrimaryFigure: c.Figure,
-		})
+		got, err := c.compare(ctx, r, name, a, b)
 		if err != nil {
 			return err
 		}
@@ -331,29 +337,55 @@
 		return nil
 	}
 	for _, got := range all {
-		fmt.Fprintf(w, "\n%s: %s\n", got.Plan.Scenario.Name, got.Plan.Scenario.About)
-		t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(t, "\tA\tB\tB less A\t")
-		for _, row := range got.Rows {
-			verdict := ""
-			if row.Verdict != experiment.Inconclusive {
-				verdict = row.Verdict.String()
-			}
-			if row.Note != "" {
-				verdict = strings.TrimSpace(verdict + " " + row.Note)
-			}
-			fmt.Fprintf(
-				t, "%s\t%s\t%s\t%s\t%s\n", row.Name, experiment.Number(row.Figure, row.A),
-				experiment.Number(row.Figure, row.B), experiment.Signed(row.Figure, row.Difference), verdict,
-			)
-		}
-		if err := t.Flush(); err != nil {
+		if err := printComparison(w, got); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// compare plays both variants on one scenario.
+func (c *compareCmd) compare(
+	ctx context.Context, r *experiment.Runner, name string, a, b *experiment.Variant,
+) (*experiment.Comparison, error) {
+	s, err := c.SizeFlags.load(name)
+	if err != nil {
+		return nil, err
+	}
+	return r.Compare(ctx, experiment.Plan{
+		Scenario:      s,
+		A:             a,
+		B:             b,
+		FirstSeed:     c.First,
+		MinSeeds:      c.SeedFlags.Seeds,
+		MaxSeeds:      c.MaxSeeds,
+		TargetWidth:   c.Width,
+		Method:        c.Method,
+		PrimaryFigure: c.Figure,
+	})
+}
+
+// printComparison prints a line for each figure of a comparison.
+func printComparison(w io.Writer, got *experiment.Comparison) error {
+	fmt.Fprintf(w, "\n%s: %s\n", got.Plan.Scenario.Name, got.Plan.Scenario.About)
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(t, "\tA\tB\tB less A\t")
+	for _, row := range got.Rows {
+		verdict := ""
+		if row.Verdict != experiment.Inconclusive {
+			verdict = row.Verdict.String()
+		}
+		if row.Note != "" {
+			verdict = strings.TrimSpace(verdict + " " + row.Note)
+		}
+		fmt.Fprintf(
+			t, "%s\t%s\t%s\t%s\t%s\n", row.Name, experiment.Number(row.Figure, row.A),
+			experiment.Number(row.Figure, row.B), experiment.Signed(row.Figure, row.Difference), verdict,
+		)
+	}
+	return t.Flush()
+}
+
 type expectCmd struct {
 	Scenarios []string `arg:"" optional:"" help:"Scenarios by name, or files; none is all that come with the program."`
 	Settings  string   `help:"The variant that is judged." default:"shipped"`
@@ -361,17 +393,17 @@
 	RunnerFlags
 }
 
-// Run judges claims.
+// Run evaluates the claims of scenarios.
 func (c *expectCmd) Run(ctx context.Context, w *output) error {
 	v, err := experiment.ParseVariant(c.Settings)
 	if err != nil {
 		return err
 	}
-	r, done, err := c.RunnerFlags.runner()
+	r, release, err := c.RunnerFlags.runner()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer release()
 	if len(c.Scenarios) == 0 {
 		c.Scenarios = library.Names()
 	}
@@ -385,34 +417,11 @@
 			fmt.Fprintf(w, "%-20s is played by processes only: dunlinsail-experiment faults %s\n", s.Name, s.Name)
 			continue
 		}
-		own := v
-		if len(s.Settings) > 0 {
-			if own, err = experiment.ParseVariant(strings.Join(
-				append([]string{c.Settings}, s.Settings...), ",",
-			)); err != nil {
-				return fmt.Errorf("scenario %s: %w", name, err)
-			}
-		}
-		got, err := r.Compare(ctx, experiment.Plan{
-			Scenario:  s,
-			A:         own,
-			FirstSeed: c.First,
-			MinSeeds:  c.SeedFlags.Seeds,
-		})
+		holds, err := c.evaluate(ctx, w, r, s, v)
 		if err != nil {
 			return err
 		}
-		judged, err := got.Claims(s.Expect)
-		if err != nil {
-			return fmt.Errorf("scenario %s: %w", name, err)
-		}
-		for _, j := range judged {
-			fmt.Fprintf(
-				w, "%-20s %-28s %-12s %.4g, margin %.3g ± %.2g\n", s.Name, j.Claim, j.Verdict, j.Left, j.Margin.Mean,
-				j.Margin.HalfWidth(),
-			)
-			failed = failed || j.Verdict == claim.Fails
-		}
+		failed = failed || !holds
 		_ = w.Flush() // its error comes again with the last Flush, in main
 	}
 	if failed {
@@ -421,9 +430,39 @@
 	return nil
 }
 
+// evaluate plays a scenario with its own settings added to a variant, prints a line for each claim, and reports whether
+// none fails.
+func (c *expectCmd) evaluate(
+	ctx context.Context, w io.Writer, r *experiment.Runner, s *scenario.Scenario, v *experiment.Variant,
+) (holds bool, err error) {
+	if len(s.Settings) > 0 {
+		v, err = experiment.ParseVariant(strings.Join(append([]string{c.Settings}, s.Settings...), ","))
+		if err != nil {
+			return false, fmt.Errorf("scenario %s: %w", s.Name, err)
+		}
+	}
+	got, err := r.Compare(ctx, experiment.Plan{
+		Scenario: s, A: v, FirstSeed: c.First, MinSeeds: c.SeedFlags.Seeds,
+	})
+	if err != nil {
+		return false, err
+	}
+	evaluations, err := got.Claims(s.Expect)
+	if err != nil {
+		return false, fmt.Errorf("scenario %s: %w", s.Name, err)
+	}
+	holds = true
+	for _, e := range evaluations {
+		fmt.Fprintf(w, "%-20s %-28s %-12s %.4g, margin %.3g ± %.2g\n",
+			s.Name, e.Claim, e.Verdict, e.Left, e.Margin.Mean, e.Margin.HalfWidth())
+		holds = holds && e.Verdict != claim.Fails
+	}
+	return holds, nil
+}
+
 type playCmd struct{}
 
-// Run plays a run that another build asks for on standard input.
+// Run plays a run that another build requests on standard input.
 func (c *playCmd) Run(ctx context.Context, w *output) error {
 	text, err := io.ReadAll(os.Stdin)
 	if err != nil {
@@ -436,7 +475,7 @@
 	return err
 }
 
-// report writes a report, if one is wanted.
+// writeReport writes a report, if a path is given.
 func writeReport(path string, all ...*experiment.Comparison) error {
 	if path == "" {
 		return nil
--- a/cmd/dunlinsail-experiment/search.go
+++ b/cmd/dunlinsail-experiment/search.go
@@ -25,7 +25,7 @@
 	Report string   `help:"Write a report to this .html or .md file." placeholder:"FILE"`
 }
 
-// Run sweeps.
+// Run plays the variant with each combination of values.
 func (c *sweepCmd) Run(ctx context.Context, w *output) error {
 	s, err := c.SizeFlags.load(c.Scenario)
 	if err != nil {
@@ -48,11 +48,11 @@
 			return fmt.Errorf("no figure is named %q", name)
 		}
 	}
-	r, done, err := c.RunnerFlags.runner()
+	r, release, err := c.RunnerFlags.runner()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer release()
 	got, err := r.Sweep(ctx, experiment.Plan{Scenario: s, A: v, FirstSeed: c.First, MinSeeds: c.SeedFlags.Seeds}, axes)
 	if err != nil {
 		return err
@@ -126,7 +126,7 @@
 	RunnerFlags
 }
 
-// Run searches.
+// Run searches for the plan at which the variant loses most.
 func (c *searchCmd) Run(ctx context.Context, w *output) error {
 	s, err := c.SizeFlags.load(c.Scenario)
 	if err != nil {
@@ -148,12 +148,12 @@
 			return err
 		}
 	}
-	r, done, err := c.RunnerFlags.runner()
+	r, release, err := c.RunnerFlags.runner()
 	if err != nil {
 		return err
 	}
-	defer done()
-	r.Progress = nil // what is found is told
+	defer release()
+	r.Progress = nil // OnFinding prints in its place
 	f, err := r.Search(ctx, h)
 	if err != nil {
 		return err
@@ -164,11 +164,12 @@
 	}
 	fmt.Fprintf(
 		w,
-		"# %s\n# service %.4f, loses %.4f, %.0f rules broken; play it with: dunlinsail-experiment run FILE --seeds 1 --first %d\n",
+		"# %s\n# service %.4f, loses %.4f, %.0f rules broken; "+
+			"play it with: dunlinsail-experiment run FILE --seeds 1 --first %d\n",
 		f.Scenario.Name, f.Service, f.Loss, f.Violations, f.Seed,
 	)
 	if c.Out != "" {
-		return os.WriteFile(c.Out, text, 0o644)
+		return os.WriteFile(c.Out, text, scenarioFileMode)
 	}
 	_, err = w.Write(text)
 	return err
@@ -184,7 +185,7 @@
 	RunnerFlags
 }
 
-// Run proves.
+// Run measures how often comparisons with a known answer are right.
 func (c *proveCmd) Run(ctx context.Context, w *output) error {
 	s, err := c.SizeFlags.load(c.Scenario)
 	if err != nil {
@@ -194,11 +195,11 @@
 	if err != nil {
 		return err
 	}
-	r, done, err := c.RunnerFlags.runner()
+	r, release, err := c.RunnerFlags.runner()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer release()
 	p, err := r.Prove(ctx, s, v, c.Comparisons, c.SeedFlags.Seeds, c.Harm)
 	if err != nil {
 		return err
--- a/cmd/dunlinsail-experiment/sizes.go
+++ b/cmd/dunlinsail-experiment/sizes.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"text/tabwriter"
 	"time"
 
@@ -23,7 +24,7 @@
 	JSON       bool     `help:"Print all as JSON."`
 }
 
-// Run plays fleets of several sizes.
+// Run plays fleets of several sizes and prints the cost of each run.
 func (c *scaleCmd) Run(ctx context.Context, w *output) error {
 	sizes := SizeFlags{}
 	s, err := sizes.load(c.Scenario)
@@ -49,37 +50,24 @@
 	if !c.JSON {
 		fmt.Fprintln(
 			t,
-			"instances\tendpoints\teach told of\tsimulated\tstories\tdecisions\tprocessor time\tdecisions/s\tstories/s\tmemory\t",
+			"instances\tendpoints\teach told of\tsimulated\tstories\tdecisions\tprocessor time\t"+
+				"decisions/s\tstories/s\tmemory\t",
 		)
 	}
 	for _, instances := range c.Instances {
-		for _, nodes := range c.Nodes {
-			r, err := sc.RunSize(ctx, experiment.Size{Instances: instances, Endpoints: nodes})
+		for _, endpoints := range c.Nodes {
+			r, err := sc.RunSize(ctx, experiment.Size{Instances: instances, Endpoints: endpoints})
 			if err != nil {
 				return err
 			}
-			if c.JSON {
-				r.Result = nil
-				if err := json.NewEncoder(w).Encode(r); err != nil {
-					return err
-				}
+			if !c.JSON {
+				printSize(t, r)
 				continue
 			}
-			took := r.ProcessorTime.Seconds()
-			fmt.Fprintf(
-				t,
-				"%d\t%d\t%d\t%v\t%d\t%d\t%v\t%.0f\t%.0f\t%d MB\t\n",
-				r.Instances,
-				r.Endpoints,
-				r.Subset,
-				r.Length,
-				r.Operations,
-				r.Decisions,
-				r.ProcessorTime.Round(10*time.Millisecond),
-				float64(r.Decisions)/took,
-				float64(r.Operations)/took,
-				r.Memory>>20,
-			)
+			r.Result = nil
+			if err := json.NewEncoder(w).Encode(r); err != nil {
+				return err
+			}
 		}
 	}
 	if err := t.Flush(); err != nil {
@@ -88,11 +76,25 @@
 	if c.JSON || len(c.Cores) == 0 {
 		return nil
 	}
+	return c.compareCores(ctx, w, &sc)
+}
+
+// printSize prints the line of one size.
+func printSize(w io.Writer, r *experiment.SizeRun) {
+	seconds := r.ProcessorTime.Seconds()
+	fmt.Fprintf(w, "%d\t%d\t%d\t%v\t%d\t%d\t%v\t%.0f\t%.0f\t%d MB\t\n",
+		r.Instances, r.Endpoints, r.Subset, r.Length, r.Operations, r.Decisions,
+		r.ProcessorTime.Round(10*time.Millisecond), float64(r.Decisions)/seconds, float64(r.Operations)/seconds,
+		r.Memory>>20)
+}
+
+// compareCores plays the second size on several numbers of processors: all have to give the same result.
+func (c *scaleCmd) compareCores(ctx context.Context, w io.Writer, sc *experiment.Scaling) error {
 	z := experiment.Size{Instances: c.Instances[min(1, len(c.Instances)-1)], Endpoints: c.Nodes[min(1, len(c.Nodes)-1)]}
 	same := true
 	var first string
-	for _, n := range c.Cores {
-		sc.Env = []string{"GOMAXPROCS=" + n}
+	for _, cores := range c.Cores {
+		sc.Env = []string{"GOMAXPROCS=" + cores}
 		r, err := sc.RunSize(ctx, z)
 		if err != nil {
 			return err
@@ -102,7 +104,7 @@
 		}
 		same = same && r.Result.Digest == first
 		fmt.Fprintf(
-			w, "%d instances on %d endpoints with %s processors: digest %s\n", z.Instances, z.Endpoints, n,
+			w, "%d instances on %d endpoints with %s processors: digest %s\n", z.Instances, z.Endpoints, cores,
 			r.Result.Digest,
 		)
 	}
@@ -119,7 +121,7 @@
 	Root    string   `help:"The module's folder." default:"."`
 }
 
-// Run builds.
+// Run builds the program with other constants.
 func (c *buildCmd) Run(ctx context.Context, w *output) error {
 	var all []experiment.Constant
 	for _, text := range c.Const {
