--- a/.ci/simwire/main.go
+++ b/.ci/simwire/main.go
@@ -24,7 +24,7 @@
 
 // Codes of the events that are sent.
 const (
-	codeBegin             = 16
+	codeStart             = 16
 	codeMembership        = 17
 	codeRequest           = 18
 	codeHeaders           = 19
@@ -131,8 +131,8 @@
 	return binary.BigEndian.Uint32(header[:]), actions, nil
 }
 
-// digest sums up all replies. What trace and exception records say is text for people, which may be put in better
-// words: that one comes, and when, counts here, not its text.
+// digest prints the digests of all replies. The texts of trace and exception records are left out, since they may be
+// improved; that a record comes, and when, is in.
 func digest(in io.Reader, text, out io.Writer) error {
 	in = bufio.NewReaderSize(in, 1<<20)
 	lines := bufio.NewWriter(text)
@@ -143,7 +143,7 @@
 	replies := 0
 	for {
 		batch, actions, err := readReply(in)
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
--- a/.ci/simwire/script.go
+++ b/.ci/simwire/script.go
@@ -50,9 +50,16 @@
 
 type events []*event
 
-func (q events) Len() int      { return len(q) }
-func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(x any)   { *q = append(*q, x.(*event)) }
+func (q events) Len() int { return len(q) }
+
+func (q events) Swap(i, j int) {
+	first := q[i]
+	q[i] = q[j]
+	q[j] = first
+}
+
+func (q *events) Push(x any) { *q = append(*q, x.(*event)) }
+
 func (q events) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
@@ -141,29 +148,34 @@
 	return file.Flush()
 }
 
+// nextBatch takes the events of the next tick off the queue, and returns their records and what follows the reply.
+func (s *script) nextBatch() (body bytes.Buffer, afterwards []func()) {
+	s.now = s.queue[0].at
+	current := int64(-1)
+	for len(s.queue) > 0 && s.queue[0].at <= s.now+s.tick() {
+		e := heap.Pop(&s.queue).(*event)
+		if e.incarnation != 0 && e.incarnation != s.incarnations[e.instance] {
+			continue
+		}
+		if current != int64(e.instance) {
+			body.Write(rec(codeInstance, e.instance))
+			current = int64(e.instance)
+		}
+		for _, r := range e.records {
+			body.Write(r)
+		}
+		if e.afterwards != nil {
+			afterwards = append(afterwards, e.afterwards)
+		}
+	}
+	return body, afterwards
+}
+
+// play sends the script's batches, and reacts to each reply.
 func (s *script) play(in io.Writer, out io.Reader) error {
 	s.setUp()
 	for batch := uint32(1); len(s.queue) > 0 && s.now < startTime+scriptLength; batch++ {
-		s.now = s.queue[0].at
-		var body bytes.Buffer
-		var then []func()
-		current := int64(-1)
-		for len(s.queue) > 0 && s.queue[0].at <= s.now+s.tick() {
-			e := heap.Pop(&s.queue).(*event)
-			if e.incarnation != 0 && e.incarnation != s.incarnations[e.instance] {
-				continue
-			}
-			if current != int64(e.instance) {
-				body.Write(rec(codeInstance, e.instance))
-				current = int64(e.instance)
-			}
-			for _, r := range e.records {
-				body.Write(r)
-			}
-			if e.afterwards != nil {
-				then = append(then, e.afterwards)
-			}
-		}
+		body, afterwards := s.nextBatch()
 		frame := binary.BigEndian.AppendUint32(nil, batch)
 		frame = binary.BigEndian.AppendUint32(frame, uint32(16+body.Len()))
 		frame = binary.BigEndian.AppendUint64(frame, uint64(s.now))
@@ -174,7 +186,7 @@
 		if err != nil {
 			return err
 		}
-		for _, f := range then {
+		for _, f := range afterwards {
 			f()
 		}
 		s.answer(actions)
@@ -206,14 +218,14 @@
 	for i := range uint32(instances) {
 		s.incarnations[i] = 1
 		text := settings(s.seed, i)
-		s.add(0, i, 0, nil, rec(codeBegin, s.seed*10+uint64(i), uint32(len(text)), text))
+		s.add(0, i, 0, nil, rec(codeStart, s.seed*10+uint64(i), uint32(len(text)), text))
 		s.list(int64(i)*20*millisecond, i, 4)
 		s.clients(i)
 	}
 	s.changes()
 }
 
-// list tells an instance of all endpoints, or of one that changed (kind 0).
+// list sends an instance the list of all endpoints, or of one that changed (kind 0).
 func (s *script) list(delay int64, instance uint32, kind uint8) {
 	number := uint8(s.rand.IntN(16))
 	chosen := s.endpoints
@@ -228,7 +240,7 @@
 	s.add(delay, instance, 0, nil, rec(codeManifest, fields...), rec(codeMembership, uint32(s.order), number, kind))
 }
 
-// load is the part of what the endpoints can do that clients ask for: too much in the middle of the script.
+// load is the clients' demand relative to the endpoints' capacity: too much in the middle of the script.
 func (s *script) load() float64 {
 	switch t := (s.now - startTime) / second; {
 	case t >= 10 && t < 14:
@@ -311,7 +323,7 @@
 		s.add(0, instance, 0, nil, rec(codeWhisper, uint16(1), uint16(3), "abc"))
 	case 8:
 		bad := "classes.count=1\nclasses.0.target=none\n"
-		s.add(0, instance, 0, nil, rec(codeStop), rec(codeBegin, uint64(1), uint32(len(bad)), bad))
+		s.add(0, instance, 0, nil, rec(codeStop), rec(codeStart, uint64(1), uint32(len(bad)), bad))
 		s.restart(instance)
 	case 9:
 		unknown := s.nextID + 1_000_000
@@ -336,7 +348,7 @@
 		}
 	}
 	text := settings(s.seed, instance)
-	s.add(0, instance, 0, nil, rec(codeStop), rec(codeBegin, s.rand.Uint64(), uint32(len(text)), text))
+	s.add(0, instance, 0, nil, rec(codeStop), rec(codeStart, s.rand.Uint64(), uint32(len(text)), text))
 	s.list(30*millisecond, instance, 3)
 	s.list(250*millisecond, instance, 4)
 }
@@ -374,7 +386,7 @@
 	return []float32{busy, max(0, busy-4), min(1, busy/4), 12 + 3*busy, e.served, e.failed}
 }
 
-// fault tells what is wrong with an endpoint now: nothing, errors, slowness, silence, refusals, no connection.
+// fault is the present fault of an endpoint: none, errors, slowness, silence, rejections, no connection.
 func (s *script) fault(e *endpoint) int {
 	if e.state == 3 {
 		return 5
@@ -435,7 +447,7 @@
 func (s *script) outcome(
 	delay int64, instance uint32, incarnation int, id uint64, number uint16, sent *attempt, status uint16,
 ) {
-	// What the record says is settled when it is due: the step before it writes it into the queue.
+	// What the record says is decided when it is due: the step before it writes it into the queue.
 	s.order++
 	e := &event{at: s.now + delay, order: s.order, instance: instance, incarnation: incarnation}
 	e.afterwards = func() { s.ended(instance, incarnation, id, number, sent, status) }
@@ -452,9 +464,9 @@
 	e := s.endpoint(sent.endpoint)
 	e.held--
 	k := openKey{instance, id}
-	settled := uint8(0)
+	final := uint8(0)
 	if r := s.requests[k]; r != nil && status == 200 && !r.over {
-		settled = 1
+		final = 1
 		r.over = true
 		delete(s.requests, k)
 	}
@@ -469,7 +481,7 @@
 	}
 	latency := uint32(s.now - sent.started)
 	s.add(0, instance, incarnation, nil,
-		rec(codeAnswer, id, number, sent.endpoint, status, latency, settled, uint8(len(report)), report))
+		rec(codeAnswer, id, number, sent.endpoint, status, latency, final, uint8(len(report)), report))
 }
 
 func (s *script) revoke(instance uint32, id uint64, number int) {
--- a/.ci/stalenames/check.go
+++ b/.ci/stalenames/check.go
@@ -10,7 +10,7 @@
 )
 
 var (
-	// innerCapital is an identifier of several words: a lower-case letter or digit is followed by a capital.
+	// innerCapital is an identifier in which a lower-case letter or digit is followed by a capital.
 	innerCapital = regexp.MustCompile(`\b(?:[a-z]|[A-Za-z][A-Za-z0-9]*[a-z0-9])[A-Z][A-Za-z0-9]*\b`)
 	// packagePath is a path below internal or decide, or of the pages and tools of the project.
 	packagePath = regexp.MustCompile(
--- a/.ci/stalenames/main.go
+++ b/.ci/stalenames/main.go
@@ -1,6 +1,6 @@
-// Command stalenames finds names in comments and in pages of docs that the code does not have any more: identifiers with
-// an inner capital, qualified ones (package.Name) and paths of packages. It prints one line
-// for each and exits with 1 if there is one. It reads the tree below the working directory.
+// Command stalenames finds names in comments and in pages of docs that the code does not have any more: identifiers
+// with an inner capital, qualified ones (package.Name) and paths of packages. It prints one line for each and exits
+// with 1 if there is one. It reads the tree below the working directory.
 //
 //	go run ./.ci/stalenames
 package main
--- a/.ci/stalenames/tree.go
+++ b/.ci/stalenames/tree.go
@@ -18,12 +18,13 @@
 
 // tree is what is read of the code.
 type tree struct {
-	names    map[string]bool // each identifier, and each word of a string literal, that the code has
+	names    map[string]bool // identifiers of the code, and names within its string literals
 	folders  map[string]bool // relative to the root, with slashes
 	comments []comment
 }
 
-var word = regexp.MustCompile(`[A-Za-z_][A-Za-z0-9_]*`)
+// literalName is a part of a string literal that may be a name.
+var literalName = regexp.MustCompile(`[A-Za-z_][A-Za-z0-9_]*`)
 
 // skippedFolders hold no code of the project, or as this command's own tests names that do not exist on purpose.
 var skippedFolders = map[string]bool{".git": true, "journal": true, "bin": true, "found": true, "stalenames": true}
@@ -66,7 +67,7 @@
 			t.names[n.Name] = true
 		case *ast.BasicLit:
 			if n.Kind == token.STRING {
-				t.addWords(n.Value)
+				t.addLiteral(n.Value)
 			}
 		}
 		return true
@@ -82,9 +83,9 @@
 	return nil
 }
 
-// addWords adds the words of a string literal: names on the wire, keys of files, flags.
-func (t *tree) addWords(literal string) {
-	for _, name := range word.FindAllString(literal, -1) {
+// addLiteral adds the names within a string literal: names on the wire, keys of files, flags.
+func (t *tree) addLiteral(literal string) {
+	for _, name := range literalName.FindAllString(literal, -1) {
 		t.names[name] = true
 	}
 }
--- a/internal/experiment/agree.go
+++ b/internal/experiment/agree.go
@@ -62,8 +62,8 @@
 	return 0.01
 }
 
-// CompareWithProcesses plays a scenario for real, and in the model several times for each seed with other lots, and
-// tells whether the mean of the real runs lies where the model says.
+// CompareWithProcesses plays a scenario by processes, and in the simulation several times for each seed with different
+// decision seeds. It reports whether the mean of the real runs lies within the simulation's interval.
 func (r *Runner) CompareWithProcesses(
 	ctx context.Context, s *scenario.Scenario, v *Variant, daemon string, seeds, decisionSeeds int, log io.Writer,
 ) (*Agreement, error) {
--- a/internal/experiment/build.go
+++ b/internal/experiment/build.go
@@ -44,8 +44,8 @@
 	return c, nil
 }
 
-// Build makes a dunlinsail-experiment in which constants have other values, from the module at root, which stays as it is: the
-// changed files are laid over it (go help build, -overlay). Variants name the program as @PROGRAM:.
+// Build makes a dunlinsail-experiment in which constants have other values, from the module at root. The module stays
+// as it is: the changed files are an overlay (go help build, -overlay). Variants name the program as @PROGRAM:.
 func Build(ctx context.Context, root, program string, constants []Constant) error {
 	dir, err := os.MkdirTemp("", "dunlinsail-experiment")
 	if err != nil {
--- a/internal/experiment/claim/claim.go
+++ b/internal/experiment/claim/claim.go
@@ -198,7 +198,7 @@
 }
 
 // Evaluate evaluates a claim by the figures of several runs, with a confidence such as 0.95. An == must hold in each
-// run, what compares sizes on average: the margin's interval tells whether that is sure.
+// run, a comparison of sizes on average: it is certain if the margin's interval is on one side of 0.
 func (c *Claim) Evaluate(runs []map[string]float64, confidence float64) Evaluation {
 	j := Evaluation{Claim: c.Text}
 	var margins []float64
@@ -209,10 +209,11 @@
 		j.Left += left / float64(len(runs))
 		j.Right += right / float64(len(runs))
 		same = same && left == right
+		margin := left - right
 		if strings.HasPrefix(c.comparison.Op, "<") {
-			left, right = right, left
+			margin = right - left
 		}
-		margins = append(margins, left-right)
+		margins = append(margins, margin)
 	}
 	j.Margin = stats.StudentT(margins, confidence)
 	strict := c.comparison.Op == "<" || c.comparison.Op == ">"
--- a/internal/experiment/claim/claim_test.go
+++ b/internal/experiment/claim/claim_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// Runs that differ tell a claim only as far as they agree; an == must hold in each.
+// Runs that differ decide a claim only as far as they agree; an == must hold in each.
 func TestJudgesByRuns(t *testing.T) {
-	judge := func(text string, v ...float64) Verdict {
+	evaluate := func(text string, v ...float64) Verdict {
 		c, err := Parse(text, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -63,8 +63,12 @@
 		{"x >= 1", []float64{1.2, 1.3, 1.25}, Holds},
 		{"x >= 1", []float64{0.7, 0.8, 0.75}, Fails},
 		{"x >= 1", []float64{0.9, 1.2, 1.1}, Inconclusive},
-		{"x >= 1", []float64{1.2}, Inconclusive}, {"x >= 1", []float64{0.2}, Fails}, {"x == 0", []float64{0, 0, 0}, Holds}, {"x == 0", []float64{0, 1, 0}, Fails}} {
-		if got := judge(x.text, x.v...); got != x.want {
+		{"x >= 1", []float64{1.2}, Inconclusive},
+		{"x >= 1", []float64{0.2}, Fails},
+		{"x == 0", []float64{0, 0, 0}, Holds},
+		{"x == 0", []float64{0, 1, 0}, Fails},
+	} {
+		if got := evaluate(x.text, x.v...); got != x.want {
 			t.Errorf("%s of %v: %v, want %v", x.text, x.v, got, x.want)
 		}
 	}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -88,7 +88,7 @@
 			return c, err
 		}
 		c.buildRows()
-		if p.TargetWidth <= 0 && len(c.Seeds) >= p.MaxSeeds || p.TargetWidth > 0 && len(c.Seeds) >= p.MinSeeds && 2*c.Rows[0].Difference.HalfWidth() <= p.TargetWidth {
+		if c.hasEnoughSeeds(&p) {
 			break
 		}
 	}
@@ -198,7 +198,7 @@
 	}
 	row.Relevant = math.Abs(d.Mean) > f.Threshold
 	switch {
-	// what it costs; whether that is well spent, other figures say
+	// A figure without a direction is a cost: other figures say whether it is well spent.
 	case row.Verdict != Inconclusive && f.Direction == 0:
 		row.Verdict = Inconclusive
 		row.Note = "less"
@@ -213,6 +213,15 @@
 	return row
 }
 
+// hasEnoughSeeds reports whether no further seeds have to be played: the plan's number is reached, or its width of the
+// difference's interval.
+func (c *Comparison) hasEnoughSeeds(p *Plan) bool {
+	if p.TargetWidth <= 0 {
+		return len(c.Seeds) >= p.MaxSeeds
+	}
+	return len(c.Seeds) >= p.MinSeeds && 2*c.Rows[0].Difference.HalfWidth() <= p.TargetWidth
+}
+
 // compareViolations compares counts of what must never happen. A count of 0 does not show that it never happens: the
 // note gives the upper bound of its rate.
 func (c *Comparison) compareViolations(row *Row, f measure.Figure) string {
@@ -223,17 +232,17 @@
 		}
 		return happened, operations
 	}
-	most := func(happened, operations int64) string {
+	upperBound := func(happened, operations int64) string {
 		return fmt.Sprintf(
 			"%d of %d stories: at most one in %.0f", happened, operations,
 			1/stats.RateInterval(min(happened, operations), operations, Confidence).High,
 		)
 	}
-	a, storiesA := count(c.RunsA)
+	a, operationsA := count(c.RunsA)
 	if c.RunsB == nil {
-		return most(a, storiesA)
+		return upperBound(a, operationsA)
 	}
-	b, storiesB := count(c.RunsB)
+	b, operationsB := count(c.RunsB)
 	row.B = c.interval(Figure(c.RunsB, f.Name))
 	row.Difference = c.interval(stats.PairedDifferences(Figure(c.RunsA, f.Name), Figure(c.RunsB, f.Name)))
 	if stats.RateEqualityPValue(a, b) < 1-Confidence {
@@ -242,7 +251,7 @@
 			row.Verdict = Better
 		}
 	}
-	return "A " + most(a, storiesA) + "; B " + most(b, storiesB)
+	return "A " + upperBound(a, operationsA) + "; B " + upperBound(b, operationsB)
 }
 
 // Line returns a one-line summary.
--- a/internal/experiment/faults_test.go
+++ b/internal/experiment/faults_test.go
@@ -57,7 +57,8 @@
 		}
 		for _, name := range []string{"scenario.toml", "settings.toml", "result.json", "log"} {
 			if c.failed {
-				if text, err := os.ReadFile(filepath.Join(f.EvidenceDir, name)); err != nil || name != "log" && len(text) == 0 {
+				text, err := os.ReadFile(filepath.Join(f.EvidenceDir, name))
+				if err != nil || name != "log" && len(text) == 0 {
 					t.Errorf("%s: %v, %d bytes", name, err, len(text))
 				}
 			}
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// What comes of runs does not depend on how many are made at once, nor on whether they were kept; what was kept is not
-// run again, and another build's are others.
+// What comes of runs does not depend on how many are made at once, nor on whether they were stored; what was stored is
+// not run again, and another build's are others.
 func TestSameHoweverRun(t *testing.T) {
 	ctx := context.Background()
 	plan := Plan{
@@ -150,10 +150,10 @@
 	one := digests(&Runner{
 		Parallel: 1,
 		Store:    store,
-		Progress: func(done, kept, all int) { last = [3]int{done, kept, all} },
+		Progress: func(done, stored, all int) { last = [3]int{done, stored, all} },
 	})
 	if last != [3]int{12, 0, 12} {
-		t.Errorf("done, kept and all: %v", last)
+		t.Errorf("done, stored and all: %v", last)
 	}
 	if slices.Compact(slices.Clone(one))[0] != one[0] || one[0] == one[1] || one[0] == one[2] {
 		t.Errorf("digests: %v", one)
@@ -166,16 +166,16 @@
 	store.Close()
 	store = must[*Store](t)(OpenStore(path))
 	defer store.Close()
-	again := &Runner{Store: store, Progress: func(done, kept, all int) { last = [3]int{done, kept, all} }}
+	again := &Runner{Store: store, Progress: func(done, stored, all int) { last = [3]int{done, stored, all} }}
 	if got := digests(again); !slices.Equal(got, one) || last != [3]int{0, 12, 12} {
-		t.Errorf("from the store: %v; done, kept and all: %v", got, last)
+		t.Errorf("from the store: %v; done, stored and all: %v", got, last)
 	}
 	other := &Runner{Store: store, builds: map[string]string{"": "another"}, Progress: again.Progress}
 	if digests(other); last != [3]int{12, 0, 12} {
-		t.Errorf("with another build: done, kept and all %v", last)
+		t.Errorf("with another build: done, stored and all %v", last)
 	}
 	if n := must[int](t)(store.Len()); n != 24 {
-		t.Errorf("%d runs are kept, not 24", n)
+		t.Errorf("%d runs are stored, not 24", n)
 	}
 }
 
@@ -194,15 +194,15 @@
 	if _, err := r.Compare(ctx, plan); !errors.Is(err, why) {
 		t.Errorf("cut off: %v", err)
 	}
-	kept := 0
-	r = &Runner{Store: store, Progress: func(_, k, _ int) { kept = max(kept, k) }}
+	stored := 0
+	r = &Runner{Store: store, Progress: func(_, n, _ int) { stored = max(stored, n) }}
 	c := must[*Comparison](t)(r.Compare(context.Background(), plan))
-	if kept != 3 || len(c.RunsA) != 8 {
-		t.Errorf("%d of %d runs were kept from before", kept, len(c.RunsA))
+	if stored != 3 || len(c.RunsA) != 8 {
+		t.Errorf("%d of %d runs were stored before", stored, len(c.RunsA))
 	}
 }
 
-// Another build is asked by its program, and what it says is not believed blindly.
+// Another build plays a job by its program, and its reply is checked.
 func TestOtherBuild(t *testing.T) {
 	self := must[string](t)(os.Executable())
 	v := variant(t, "@"+self+":shipped")
@@ -235,8 +235,8 @@
 	}
 }
 
-// A known harm is found, the same build with other lots is not told from itself, one with the same lots comes to the
-// very same, and a variant that changes how clients try again is compared like any other.
+// A known harm is found; the same build with another decision seed is not found to differ, and with the same seed it
+// gives identical runs; a variant that changes retries is compared like any other.
 func TestCompare(t *testing.T) {
 	ctx := context.Background()
 	against := func(a, b string, edits ...string) *Comparison {
@@ -249,7 +249,8 @@
 		}))
 	}
 	compare := func(b string) *Comparison { return against("shipped", b) }
-	if c := compare("shipped,harm=0.05"); c.Rows[0].Verdict != Worse || !strings.Contains(c.Line(), "B is worse: service -0.0") {
+	const isWorse = "B is worse: service -0.0"
+	if c := compare("shipped,harm=0.05"); c.Rows[0].Verdict != Worse || !strings.Contains(c.Line(), isWorse) {
 		t.Errorf("harm: %s", c.Line())
 	}
 	if c := compare("shipped,lots=7"); c.Rows[0].Verdict != Inconclusive || c.Identical {
@@ -268,8 +269,8 @@
 	}
 }
 
-// What an instance learns of how many requests may be in flight costs hardly any service while endpoints have room, and
-// keeps clients that ask for little from those that ask for far too much.
+// The learned concurrency limit costs hardly any service while endpoints have capacity, and protects modest clients
+// from one that sends far too much.
 func TestLearnedBoundInFlight(t *testing.T) {
 	mean := func(s *scenario.Scenario, spec, figure string) float64 {
 		c := must[*Comparison](t)((&Runner{}).Compare(context.Background(), Plan{
@@ -403,12 +404,12 @@
 // A search finds where a variant that may try once only loses against one that may try thrice, and what it leaves is a
 // small scenario that still shows it. The same search finds the same.
 func TestSearchShrinksItsFinding(t *testing.T) {
-	hunt := func() *Finding {
+	search := func() *Finding {
 		return must[*Finding](t)((&Runner{}).Search(context.Background(), SearchOptions{
 			Scenario: short(t, "clients.retries=[0, 0]", "length=8s"), Variant: variant(t, "shipped,attempts.most=1"),
 			Against: variant(t, Shipped), Budget: 40, Seed: 2}))
 	}
-	f := hunt()
+	f := search()
 	if f.Loss < 0.02 {
 		t.Fatalf("found a loss of %v only", f.Loss)
 	}
@@ -427,13 +428,12 @@
 	if got := c.RunsB[0].Figures["service"] - c.RunsA[0].Figures["service"]; got < f.Loss*0.9 {
 		t.Errorf("what was written loses %v, not %v", got, f.Loss)
 	}
-	if again := hunt(); again.Loss != f.Loss || again.Seed != f.Seed {
+	if again := search(); again.Loss != f.Loss || again.Seed != f.Seed {
 		t.Errorf("the same search found %v of seed %d, and %v of seed %d", f.Loss, f.Seed, again.Loss, again.Seed)
 	}
 }
 
-// Comparisons of which it is known what they ought to say mostly say it. The command `dunlinsail-experiment prove` makes more of
-// them.
+// Comparisons with a known answer mostly give it. The command `dunlinsail-experiment prove` makes more of them.
 func TestProve(t *testing.T) {
 	p := must[*Proof](t)((&Runner{}).Prove(context.Background(), short(t), variant(t, Shipped), 6, 4, 0.05))
 	if p.Inconclusive.Mean < 0.7 || p.Found.Mean < 0.8 {
@@ -453,7 +453,8 @@
 		for _, seed := range []float64{0.2, -0.2} {
 			a.Processes = append(a.Processes, &measure.Result{Figures: map[string]float64{"service": real + seed}})
 		}
-		if row := a.row("service"); row.Agrees != want || math.Abs(row.Model.Mean-0.71) > 1e-9 || row.Model.HalfWidth() > 0.05 {
+		row := a.row("service")
+		if row.Agrees != want || math.Abs(row.Model.Mean-0.71) > 1e-9 || row.Model.HalfWidth() > 0.05 {
 			t.Errorf("real %v: %+v", real, row)
 		}
 	}
--- a/internal/experiment/library/library.go
+++ b/internal/experiment/library/library.go
@@ -30,7 +30,7 @@
 	return names
 }
 
-// Text returns a scenario's file as it stands.
+// Text returns the text of a scenario's file.
 func Text(name string) ([]byte, error) {
 	text, err := files.ReadFile(name + ".toml")
 	if err != nil {
--- a/internal/experiment/processes/instance.go
+++ b/internal/experiment/processes/instance.go
@@ -111,8 +111,9 @@
 	in.killed = killed
 	go func() {
 		defer close(ended)
-		if err := cmd.Wait(); !killed.Load() {
-			r.fail(fmt.Errorf("the process of instance %d has ended by itself: %v", in.index, err))
+		_ = cmd.Wait() // the process's state says how it ended
+		if !killed.Load() {
+			r.fail(fmt.Errorf("the process of instance %d has ended by itself: %v", in.index, cmd.ProcessState))
 		}
 	}()
 	return nil
--- a/internal/experiment/processes/listener.go
+++ b/internal/experiment/processes/listener.go
@@ -118,7 +118,7 @@
 	return err
 }
 
-// Close closes the listener and ends a silence: new connections are refused.
+// Close closes the listener and ends a silence: the system rejects new connections.
 func (g *silenceableListener) Close() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/experiment/processes/listener_test.go
+++ b/internal/experiment/processes/listener_test.go
@@ -7,39 +7,49 @@
 	"time"
 )
 
-func isTimeout(err error) bool {
-	var e net.Error
-	return errors.As(err, &e) && e.Timeout()
-}
-
-// Who connects to a silent gate hears nothing, neither yes nor no; before and after that it is let in, and nobody but
-// who connects is.
-func TestSilencedListenerTimesOutConnections(t *testing.T) {
-	g, err := newSilenceableListener("127.0.0.1:0")
+// dialOnce connects to an address, closes the connection, and returns its own address.
+func dialOnce(addr string, timeout time.Duration) (string, error) {
+	c, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
-		t.Fatal(err)
+		return "", err
 	}
-	accepted := make(chan string, 10)
-	ended := make(chan struct{})
+	defer c.Close()
+	return c.LocalAddr().String(), nil
+}
+
+// acceptAll accepts connections and closes them until the listener is closed. It passes on the peers' addresses, and
+// closes ended when it ends.
+func acceptAll(ln net.Listener) (accepted <-chan string, ended <-chan struct{}) {
+	addrs := make(chan string, 10)
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		for {
-			c, err := g.Accept()
+			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			accepted <- c.RemoteAddr().String()
+			addrs <- c.RemoteAddr().String()
 			c.Close()
 		}
 	}()
-	dial := func(within time.Duration) (string, error) {
-		c, err := net.DialTimeout("tcp", g.Addr().String(), within)
-		if err != nil {
-			return "", err
-		}
-		defer c.Close()
-		return c.LocalAddr().String(), nil
+	return addrs, done
+}
+
+func isTimeout(err error) bool {
+	var e net.Error
+	return errors.As(err, &e) && e.Timeout()
+}
+
+// A client that connects to a silent listener times out. Before and after the silence it is accepted, and no other
+// connection is.
+func TestSilencedListenerTimesOutConnections(t *testing.T) {
+	g, err := newSilenceableListener("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
 	}
+	accepted, ended := acceptAll(g)
+	dial := func(timeout time.Duration) (string, error) { return dialOnce(g.Addr().String(), timeout) }
 	enter := func() {
 		t.Helper()
 		from, err := dial(5 * time.Second)
--- a/internal/experiment/processes/run_test.go
+++ b/internal/experiment/processes/run_test.go
@@ -110,8 +110,8 @@
 	return n
 }
 
-// Whatever faults endpoints have, every operation of the plan starts and ends, nothing takes effect twice, and no client
-// that waits is left without a response.
+// Whatever faults endpoints have, every operation of the plan starts and ends, nothing takes effect twice, and each
+// client that waits gets a response.
 func TestRunCompletesEveryOperationDespiteFaults(t *testing.T) {
 	o := newOptions(t, world+`
 [[event]]
@@ -182,8 +182,9 @@
 // Classes and tenants are found by their names, so that a run's settings must not have two of the same name.
 func TestRunRejectsDuplicateNamesInSettings(t *testing.T) {
 	for table, want := range map[string]string{
-		"\n[[class]]\nname = \"book\"\nrepeat = \"safe\"\naim = \"1s\"\ngive_up = \"1s\"\n": `"book" is named twice`,
-		"\n[[tenant]]\nname = \"sonrisa-norte\"\n":                                          `"sonrisa-norte" is named twice`,
+		"\n[[class]]\nname = \"book\"\nrepeat = \"safe\"\naim = \"1s\"\n" +
+			"give_up = \"1s\"\n": `"book" is named twice`,
+		"\n[[tenant]]\nname = \"sonrisa-norte\"\n": `"sonrisa-norte" is named twice`,
 	} {
 		o := newOptions(t, world)
 		o.Settings = append(slices.Clone(o.Settings), table...)
--- a/internal/experiment/recorder.go
+++ b/internal/experiment/recorder.go
@@ -20,7 +20,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r := &recorder{dir: dir, site: &parsed.Site, hasher: accesslog.NewHasherFromSecret([]byte("of no patient's: a model's"))}
+	hasher := accesslog.NewHasherFromSecret([]byte("of no patient's: a model's"))
+	r := &recorder{dir: dir, site: &parsed.Site, hasher: hasher}
 	if _, err := r.writer(0); err != nil { // an unusable folder is reported before the run
 		return nil, nil, err
 	}
--- a/internal/experiment/replay_test.go
+++ b/internal/experiment/replay_test.go
@@ -34,8 +34,8 @@
 	return dir, r
 }
 
-// Of a record that is full of retries only the first tries are played again: a variant under which less goes wrong sees
-// as many stories as there were, and not the retries that another caused.
+// Of a record that is full of retries only the first requests are replayed: a variant under which less fails gets as
+// many operations as there were, and not the retries that another variant caused.
 func TestReplayKeepsFirstRequests(t *testing.T) {
 	dir, was := recorded(t, storm(t))
 	rec := must[*accesslog.Recording](t)(accesslog.Read(dir))
@@ -62,7 +62,8 @@
 		return c.RunsA[0]
 	}
 	same := play(0)
-	if math.Abs(float64(same.Operations-was.Operations)) > 0.01*float64(was.Operations) || math.Abs(same.Figures["service"]-was.Figures["service"]) > 0.06 {
+	if math.Abs(float64(same.Operations-was.Operations)) > 0.01*float64(was.Operations) ||
+		math.Abs(same.Figures["service"]-was.Figures["service"]) > 0.06 {
 		t.Errorf(
 			"played again: %d stories, service %.3f; it was %d, %.3f", same.Operations, same.Figures["service"],
 			was.Operations, was.Figures["service"],
@@ -134,7 +135,9 @@
 	if err := os.Remove(must[[]string](t)(filepath.Glob(filepath.Join(dir, "*.parquet")))[0]); err != nil {
 		t.Fatal(err)
 	}
-	if a, b := must[string](t)(digestFiles([]string{dir})), must[string](t)(digestFiles([]string{part})); a == b || a == was.Digest {
+	a := must[string](t)(digestFiles([]string{dir}))
+	b := must[string](t)(digestFiles([]string{part}))
+	if a == b || a == was.Digest {
 		t.Error("other records have the same digest")
 	}
 }
@@ -155,7 +158,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := f.Clients.Rate * f.Length.Duration.Seconds(); math.Abs(got-float64(was.Operations)) > 0.1*float64(was.Operations) || f.Fleet.Instances != 2 || len(f.Shape) < 20 {
+	got := f.Clients.Rate * f.Length.Duration.Seconds()
+	if math.Abs(got-float64(was.Operations)) > 0.1*float64(was.Operations) || f.Fleet.Instances != 2 ||
+		len(f.Shape) < 20 {
 		t.Errorf(
 			"%.0f stories of %d, %d instances, %d places of the shape", got, was.Operations, f.Fleet.Instances,
 			len(f.Shape),
@@ -166,7 +171,11 @@
 	}
 	for _, c := range f.Classes {
 		for _, o := range s.Classes {
-			if c.Name == o.Name && (math.Abs(c.Share-o.Share) > 0.05 || math.Abs(float64(c.Work.Duration-o.Work.Duration)) > 0.3*float64(o.Work.Duration)) {
+			if c.Name != o.Name {
+				continue
+			}
+			workError := math.Abs(float64(c.Work.Duration - o.Work.Duration))
+			if math.Abs(c.Share-o.Share) > 0.05 || workError > 0.3*float64(o.Work.Duration) {
 				t.Errorf("%s: share %v and work %v, of %v and %v (%q)", c.Name, c.Share, c.Work, o.Share, o.Work, notes)
 			}
 		}
--- a/internal/experiment/report/charts.go
+++ b/internal/experiment/report/charts.go
@@ -19,7 +19,7 @@
 	"dunlinsail/internal/simulation/measure"
 )
 
-// Colours of A and B that those who see no red or no green tell apart (Okabe, Ito: "Color Universal Design", 2008).
+// Colours of A and B that are distinct with any colour vision (Okabe, Ito: "Color Universal Design", 2008).
 var (
 	colourA = color.RGBA{0, 114, 178, 255}
 	colourB = color.RGBA{213, 94, 0, 255}
@@ -57,7 +57,7 @@
 	return p
 }
 
-// svg renders a plot. The text is the library's own, and holds nothing of a user's but labels, which it escapes.
+// svg renders a plot. The library makes the text, and escapes the labels, which are the only part from users.
 func svg(p *plot.Plot, height vg.Length) (template.HTML, error) {
 	c := vgsvg.NewWith(vgsvg.UseWH(width, height))
 	p.Draw(draw.New(c))
@@ -67,12 +67,12 @@
 	}
 	text := b.Bytes()
 	if at := bytes.Index(text, []byte("<svg")); at > 0 {
-		text = text[at:] // without what is for files of their own
+		text = text[at:] // without the XML declaration
 	}
 	return template.HTML(text), nil
 }
 
-// side is one variant's runs.
+// variantRuns are the runs of one variant, and its colours.
 type variantRuns struct {
 	name string
 	runs []*measure.Result
@@ -88,6 +88,17 @@
 	return all
 }
 
+// valuesAt returns the sorted values of all runs at a bin of a series.
+func (v *variantRuns) valuesAt(of func(s *measure.Series) []float64, bin int) (values []float64) {
+	for _, r := range v.runs {
+		if series := of(&r.Series); bin < len(series) {
+			values = append(values, series[bin])
+		}
+	}
+	slices.Sort(values)
+	return values
+}
+
 // overTime draws a line of the runs' mean, with the band in which nine of ten runs lie.
 func overTime(
 	c *experiment.Comparison, y string, of func(s *measure.Series) []float64, maxValue float64,
@@ -97,13 +108,7 @@
 		var mean plotter.XYs
 		var low, high plotter.XYs
 		for i := range of(&s.runs[0].Series) {
-			var v []float64
-			for _, r := range s.runs {
-				if all := of(&r.Series); i < len(all) {
-					v = append(v, all[i])
-				}
-			}
-			slices.Sort(v)
+			v := s.valuesAt(of, i)
 			var sum float64
 			for _, x := range v {
 				sum += x
@@ -139,8 +144,8 @@
 	return svg(p, height)
 }
 
-// errors draws differences with their intervals.
-func differenceChart(rows []experiment.Row, times float64, label string) (template.HTML, error) {
+// differenceChart draws differences, multiplied by a factor, with their intervals.
+func differenceChart(rows []experiment.Row, factor float64, label string) (template.HTML, error) {
 	p := newPlot(label, "")
 	var names []string
 	type bars struct {
@@ -154,21 +159,21 @@
 			continue
 		}
 		names = append(names, r.Name)
-		at := plotter.XY{X: r.Difference.Mean * times, Y: float64(len(names) - 1)}
+		at := plotter.XY{X: r.Difference.Mean * factor, Y: float64(len(names) - 1)}
 		all.XYs = append(all.XYs, at)
 		all.XErrors = append(all.XErrors, struct{ Low, High float64 }{
-			(r.Difference.Low - r.Difference.Mean) * times, (r.Difference.High - r.Difference.Mean) * times,
+			(r.Difference.Low - r.Difference.Mean) * factor, (r.Difference.High - r.Difference.Mean) * factor,
 		})
 	}
 	if len(names) == 0 {
 		return "", nil
 	}
-	errs, err := plotter.NewXErrorBars(all)
+	intervals, err := plotter.NewXErrorBars(all)
 	if err != nil {
 		return "", err
 	}
-	errs.Color = colourB
-	errs.Width = vg.Points(1.5)
+	intervals.Color = colourB
+	intervals.Width = vg.Points(1.5)
 	dots, err := plotter.NewScatter(all.XYs)
 	if err != nil {
 		return "", err
@@ -181,12 +186,12 @@
 		return "", err
 	}
 	zero.Color = grey
-	p.Add(zero, errs, dots)
+	p.Add(zero, intervals, dots)
 	p.NominalY(names...)
 	return svg(p, vg.Length(1.6+0.6*float64(len(names)))*vg.Centimeter)
 }
 
-// latencies draws how long answers took, against how many took no longer.
+// latencies draws the quantiles of latencies, with a line for each class.
 func latencies(c *experiment.Comparison) (template.HTML, error) {
 	p := newPlot("part of the answers that took no longer", "milliseconds")
 	nines := func(q float64) float64 { return -math.Log10(1 - q/100) }
@@ -229,11 +234,13 @@
 	{vg.Points(8), vg.Points(2), vg.Points(2), vg.Points(2)},
 }
 
-// loads draws how much each endpoint had to do.
+// maxLoadBars is the largest number of endpoints whose loads are drawn.
+const maxLoadBars = 60
+
+// endpointLoads draws the utilization of each endpoint. There is no picture for more than maxLoadBars.
 func endpointLoads(c *experiment.Comparison) (template.HTML, error) {
-	const most = 60 // more bars than this show nothing
 	nodes := c.RunsA[0].Endpoints
-	if len(nodes) == 0 || len(nodes) > most {
+	if len(nodes) == 0 || len(nodes) > maxLoadBars {
 		return "", nil
 	}
 	p := newPlot("", "core time at work")
@@ -281,92 +288,113 @@
 	return svg(p, 8*vg.Centimeter)
 }
 
+// chartList collects the pictures of a page.
+type chartList struct{ charts []chart }
+
+// add adds a picture, unless it is empty.
+func (l *chartList) add(title, about string, picture template.HTML, err error) error {
+	if err != nil {
+		return fmt.Errorf("picture %q: %w", title, err)
+	}
+	if picture != "" {
+		l.charts = append(l.charts, chart{title, about, picture})
+	}
+	return nil
+}
+
 // charts draws all pictures of a comparison.
 func charts(c *experiment.Comparison) ([]chart, error) {
-	var all []chart
-	add := func(title, about string, picture template.HTML, err error) error {
-		if err != nil {
-			return fmt.Errorf("picture %q: %w", title, err)
-		}
-		if picture != "" {
-			all = append(all, chart{title, about, picture})
-		}
-		return nil
-	}
-	if c.RunsB != nil {
-		var shares, times []experiment.Row
-		for _, r := range c.Rows {
-			switch {
-			case r.Unit == "ms" && !slices.Contains([]string{"p999"}, r.Name):
-				times = append(times, r)
-			case r.Unit == "" && !r.CountsViolations:
-				shares = append(shares, r)
-			}
-		}
-		picture, err := differenceChart(shares, 100, "B less A, percentage points, with 95% intervals")
-		if err := add(
-			"Differences of shares",
-			"Right of the line B has more. For what is refused, failed, lost, unserved, wasted or late, less is better.",
-			picture, err,
-		); err != nil {
-			return nil, err
-		}
-		picture, err = differenceChart(times, 1, "B less A, milliseconds, with 95% intervals")
-		if err := add("Differences of times", "Left of the line B is faster.", picture, err); err != nil {
+	l := &chartList{}
+	for _, add := range []func(c *experiment.Comparison) error{
+		l.addDifferences, l.addSeries, l.addLatencies, l.addEndpointLoads,
+	} {
+		if err := add(c); err != nil {
 			return nil, err
 		}
 	}
-	picture, err := overTime(c, "service", func(s *measure.Series) []float64 { return s.Service }, 1)
-	if err := add(
-		"Service over time",
-		"Worth served within the aim, of the worth asked for in each moment: the mean of all seeds, and the band in which nine of ten lie.",
-		picture, err,
-	); err != nil {
-		return nil, err
-	}
-	picture, err = overTime(c, "a second", func(s *measure.Series) []float64 { return s.Offered }, 0)
-	if err := add(
-		"Stories begun a second", "What clients wanted. It is the same for both: they meet the same clients.", picture,
-		err,
-	); err != nil {
-		return nil, err
+	return l.charts, nil
+}
+
+// addDifferences adds the differences of shares and of times, if two variants are compared.
+func (l *chartList) addDifferences(c *experiment.Comparison) error {
+	if c.RunsB == nil {
+		return nil
 	}
-	picture, err = overTime(c, "a second", func(s *measure.Series) []float64 {
-		v := slices.Clone(s.Rejected)
-		for i := range v {
-			v[i] += s.Failed[i]
+	var shares, times []experiment.Row
+	for _, r := range c.Rows {
+		switch {
+		case r.Unit == "ms" && r.Name != "p999":
+			times = append(times, r)
+		case r.Unit == "" && !r.CountsViolations:
+			shares = append(shares, r)
 		}
-		return v
-	}, 0)
-	if err := add(
-		"Tries refused, failed or lost a second", "By the moment in which their stories began.", picture, err,
-	); err != nil {
-		return nil, err
 	}
-	picture, err = overTime(c, "milliseconds", func(s *measure.Series) []float64 { return s.P99 }, 0)
-	if err := add(
-		"99 in 100 answers are faster than", "By the moment in which their stories began.", picture, err,
-	); err != nil {
-		return nil, err
+	picture, err := differenceChart(shares, 100, "B less A, percentage points, with 95% intervals")
+	if err := l.add("Differences of shares",
+		"Right of the line B has more. For what is refused, failed, lost, unserved, wasted or late, less is better.",
+		picture, err); err != nil {
+		return err
 	}
-	picture, err = latencies(c)
-	if err := add(
-		"How long answers took", "Each class a line. From one mark to the next ten times fewer answers take longer.",
-		picture, err,
-	); err != nil {
-		return nil, err
+	picture, err = differenceChart(times, 1, "B less A, milliseconds, with 95% intervals")
+	return l.add("Differences of times", "Left of the line B is faster.", picture, err)
+}
+
+// addSeries adds the figures over time.
+func (l *chartList) addSeries(c *experiment.Comparison) error {
+	for _, series := range []struct {
+		title, about, label string
+		of                  func(s *measure.Series) []float64
+		maxValue            float64
+	}{
+		{
+			"Service over time",
+			"Worth served within the aim, of the worth asked for in each moment: the mean of all seeds, " +
+				"and the band in which nine of ten lie.",
+			"service", func(s *measure.Series) []float64 { return s.Service }, 1,
+		},
+		{
+			"Stories begun a second", "What clients wanted. It is the same for both: they meet the same clients.",
+			"a second", func(s *measure.Series) []float64 { return s.Offered }, 0,
+		},
+		{
+			"Tries refused, failed or lost a second", "By the moment in which their stories began.",
+			"a second", unsuccessfulRequests, 0,
+		},
+		{
+			"99 in 100 answers are faster than", "By the moment in which their stories began.",
+			"milliseconds", func(s *measure.Series) []float64 { return s.P99 }, 0,
+		},
+	} {
+		picture, err := overTime(c, series.label, series.of, series.maxValue)
+		if err := l.add(series.title, series.about, picture, err); err != nil {
+			return err
+		}
 	}
-	picture, err = endpointLoads(c)
-	if err := add(
-		"Load by endpoint",
-		"The part of its core time for which each endpoint was at work, over the whole run, by zone.", picture, err,
-	); err != nil {
-		return nil, err
+	return nil
+}
+
+// unsuccessfulRequests are the requests that were rejected, failed or had no response, a second.
+func unsuccessfulRequests(s *measure.Series) []float64 {
+	v := slices.Clone(s.Rejected)
+	for i := range v {
+		v[i] += s.Failed[i]
 	}
-	return all, nil
+	return v
+}
+
+func (l *chartList) addLatencies(c *experiment.Comparison) error {
+	picture, err := latencies(c)
+	return l.add("How long answers took",
+		"Each class a line. From one mark to the next ten times fewer answers take longer.", picture, err)
+}
+
+func (l *chartList) addEndpointLoads(c *experiment.Comparison) error {
+	picture, err := endpointLoads(c)
+	return l.add("Load by endpoint",
+		"The part of its core time for which each endpoint was at work, over the whole run, by zone.", picture, err)
 }
 
-// places draws a figure over the places of a sweep: along its last axis, a line for each value of the other.
+// sweepChart draws a figure over the points of a sweep: along its last axis, a line for each value of the other.
 func sweepChart(s *experiment.Sweep, figure string) (template.HTML, error) {
 	last := s.Axes[len(s.Axes)-1]
 	p := newPlot(last.Key, figure)
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -93,7 +93,8 @@
 		d.Charts = append(d.Charts, chart{
 			Title: name,
 			SVG:   picture,
-			About: "Means with intervals of 95%, over " + fmt.Sprint(len(s.Points[0].Seeds)) + " seeds of " + plan.Scenario.Name + ".",
+			About: fmt.Sprintf("Means with intervals of 95%%, over %d seeds of %s.",
+				len(s.Points[0].Seeds), plan.Scenario.Name),
 		})
 	}
 	for _, a := range s.Axes {
@@ -137,6 +138,7 @@
 	return pageTemplate.Execute(w, d)
 }
 
+// buildData collects what the templates need; pictures are drawn only for pages that show them.
 func buildData(all []*experiment.Comparison, pictures bool) (*data, error) {
 	p := &all[0].Plan
 	d := &data{
--- a/internal/experiment/runner.go
+++ b/internal/experiment/runner.go
@@ -10,16 +10,16 @@
 	"dunlinsail/internal/simulation/measure"
 )
 
-// Runner makes runs, several at once. What comes of each does not depend on how many.
+// Runner makes runs, several at the same time. Results do not depend on how many.
 type Runner struct {
-	Parallel int                       // at once; 0 is as many as there are processors
-	Store    *Store                    // where runs are kept; nil keeps none
-	Progress func(done, kept, all int) // one call at a time; must not call the runner
+	Parallel int                         // runs at the same time; 0 is one for each processor
+	Store    *Store                      // of results; nil stores none
+	Progress func(done, stored, all int) // one call at a time; must not call the runner
 
 	mu      sync.Mutex
 	builds  map[string]string
 	results map[string]*measure.Result // of this runner, by key
-	totals  struct{ done, kept, all int }
+	totals  struct{ done, stored, all int }
 }
 
 // Task is a run of a variant.
@@ -46,18 +46,20 @@
 	return b, nil
 }
 
-func (r *Runner) reportProgress(done, kept, all int) {
+// reportProgress adds to the runs that were made, found in the store, and requested.
+func (r *Runner) reportProgress(done, stored, all int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.totals.done += done
-	r.totals.kept += kept
+	r.totals.stored += stored
 	r.totals.all += all
 	if r.Progress != nil {
-		r.Progress(r.totals.done, r.totals.kept, r.totals.all)
+		r.Progress(r.totals.done, r.totals.stored, r.totals.all)
 	}
 }
 
-// Run makes runs and returns their results in order. When ctx ends it returns its cause; what is done by then is kept.
+// Run makes runs and returns their results in order. When ctx ends it returns its cause; the runs made by then are
+// stored.
 func (r *Runner) Run(ctx context.Context, tasks []Task) ([]*measure.Result, error) {
 	results := make([]*measure.Result, len(tasks))
 	r.reportProgress(0, 0, len(tasks))
@@ -72,12 +74,12 @@
 			if err := ctx.Err(); err != nil {
 				return context.Cause(ctx)
 			}
-			got, kept, err := r.runTask(ctx, &tasks[i])
+			got, stored, err := r.runTask(ctx, &tasks[i])
 			if err != nil {
 				return err
 			}
 			results[i] = got
-			if kept {
+			if stored {
 				r.reportProgress(0, 1, 0)
 			} else {
 				r.reportProgress(1, 0, 0)
--- a/internal/experiment/scale.go
+++ b/internal/experiment/scale.go
@@ -12,22 +12,22 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// Size is how large a fleet is.
+// Size is the size of a fleet.
 type Size struct {
 	Instances int `json:"Instances"`
 	Endpoints int `json:"Nodes"`
 }
 
-// SizeRun is what a run of a fleet of some size costs the computer.
+// SizeRun is the cost of a simulated run of a fleet of some size.
 type SizeRun struct {
 	Size
 	Subset        int             `json:"Subset"`
 	Length        time.Duration   `json:"Length"` // simulated
-	Rate          float64         `json:"Rate"`   // stories a second, simulated
+	Rate          float64         `json:"Rate"`   // operations a simulated second
 	Operations    int64           `json:"Stories"`
 	Decisions     int64           `json:"Decisions"`
-	ProcessorTime time.Duration   `json:"Processor"` // time of processors, in all
-	Memory        int64           `json:"Memory"`    // bytes held at most
+	ProcessorTime time.Duration   `json:"Processor"` // of all processors together
+	Memory        int64           `json:"Memory"`    // peak, in bytes
 	Result        *measure.Result `json:"Result"`
 }
 
@@ -35,13 +35,16 @@
 type Scaling struct {
 	Scenario   *scenario.Scenario
 	Variant    *Variant
-	Subset     int   // endpoints that an instance is told of, at most
-	Operations int64 // about so many in each run, by its length
+	Subset     int   // endpoints on an instance's list, at most
+	Operations int64 // about this many in each run, by its length
 	Seed       uint64
 	Program    string   // a dunlinsail-experiment whose command play makes a run; "" is this program
-	Env        []string // of that program, beside this one's
+	Env        []string // environment of that program, beside this one's
 }
 
+// subsetFactor is the least size of an instance's list, relative to its part of all endpoints.
+const subsetFactor = 4
+
 // RunSize makes a run of a size in a process of its own, so that its memory and time are known.
 func (sc *Scaling) RunSize(ctx context.Context, z Size) (*SizeRun, error) {
 	s, err := Resize(sc.Scenario, nil, z.Instances, z.Endpoints)
@@ -49,8 +52,8 @@
 		return nil, err
 	}
 	s = s.Clone()
-	// What few instances are told of must be enough for all that they are asked for.
-	run := &SizeRun{Size: z, Subset: min(max(sc.Subset, 4*z.Endpoints/z.Instances), z.Endpoints)}
+	// The endpoints of a few instances must suffice for all of the traffic.
+	run := &SizeRun{Size: z, Subset: min(max(sc.Subset, subsetFactor*z.Endpoints/z.Instances), z.Endpoints)}
 	if run.Subset < z.Endpoints {
 		s.Fleet.Subset = run.Subset
 	}
--- a/internal/experiment/search.go
+++ b/internal/experiment/search.go
@@ -34,7 +34,7 @@
 	Runs       int // until then
 }
 
-// worse says whether a is worse for the variant than b.
+// worse reports whether a is worse for the variant than b.
 func (a *Finding) worse(b *Finding) bool {
 	if (a.Violations > 0) != (b.Violations > 0) {
 		return a.Violations > 0
@@ -43,11 +43,11 @@
 }
 
 const (
-	randomFraction   = 0.4 // of the budget goes to plans drawn at random,
-	shrinkFraction   = 0.3 // and at the end to making the worst one small
-	maxCandidates    = 6   // the worst so many are changed further
-	searchBatch      = 8   // at once
-	minRemainingLoss = 0.8 // of its loss must be left in what is made small
+	randomFraction   = 0.4 // of the budget is for plans drawn at random
+	shrinkFraction   = 0.3 // of the budget is for shrinking the worst plan
+	maxCandidates    = 6   // worst plans that are mutated
+	searchBatch      = 8   // plans that are evaluated together
+	minRemainingLoss = 0.8 // part of its loss that a shrunk plan must still have
 )
 
 // Search looks for the plan at which a variant does worst, and shrinks it to what matters. It draws plans at random and
@@ -74,28 +74,33 @@
 			return x.worst(), err
 		}
 		for _, c := range batch {
-			if len(x.candidates) == 0 || c.worse(x.candidates[0]) {
-				c.Runs = x.runs
-				if h.OnFinding != nil {
-					h.OnFinding(*c)
-				}
-			}
-			x.candidates = append(x.candidates, c)
-			slices.SortStableFunc(x.candidates, func(a, b *Finding) int {
-				switch {
-				case a.worse(b):
-					return -1
-				case b.worse(a):
-					return 1
-				}
-				return 0
-			})
-			x.candidates = x.candidates[:min(len(x.candidates), maxCandidates)]
+			x.addCandidate(c)
 		}
 	}
 	return x.shrink(ctx)
 }
 
+// addCandidate adds an evaluated plan to the worst ones, and reports it if it is the worst.
+func (x *search) addCandidate(c *Finding) {
+	if len(x.candidates) == 0 || c.worse(x.candidates[0]) {
+		c.Runs = x.runs
+		if x.OnFinding != nil {
+			x.OnFinding(*c)
+		}
+	}
+	x.candidates = append(x.candidates, c)
+	slices.SortStableFunc(x.candidates, func(a, b *Finding) int {
+		switch {
+		case a.worse(b):
+			return -1
+		case b.worse(a):
+			return 1
+		}
+		return 0
+	})
+	x.candidates = x.candidates[:min(len(x.candidates), maxCandidates)]
+}
+
 // search is the state of a search.
 type search struct {
 	SearchOptions
@@ -185,7 +190,7 @@
 	}
 	e := scenario.Event{What: k.what, At: fixedSpan(part(0.1, 0.7)), For: fixedSpan(part(0.05, 0.5))}
 	if k.sizes[1] > 0 {
-		// Small sizes are as likely as large ones: most harm is done where nobody looks.
+		// Sizes are drawn evenly on a logarithmic scale: small ones do harm that is easily overlooked.
 		e.Size = scenario.Range{math.Round(1000*k.sizes[0]*math.Pow(k.sizes[1]/k.sizes[0], x.rng.Float64())) / 1000}
 	}
 	switch k.what {
@@ -302,12 +307,13 @@
 		}
 	}
 	found.Scenario.Name = "found"
-	found.Scenario.About = fmt.Sprintf("Found by dunlinsail-experiment search: seed %d loses %.3f.", found.Seed, found.Loss)
+	found.Scenario.About = fmt.Sprintf(
+		"Found by dunlinsail-experiment search: seed %d loses %.3f.", found.Seed, found.Loss)
 	found.Scenario.Expect = nil
 	return found, nil
 }
 
-// smaller are the plans that are a step smaller.
+// smaller returns the plans that are one step smaller than a finding's.
 func (x *search) smaller(f *Finding) (all []*Finding) {
 	add := func(change func(s *scenario.Scenario)) {
 		c := &Finding{Scenario: f.Scenario.Clone(), Seed: f.Seed}
@@ -324,7 +330,7 @@
 		add(func(s *scenario.Scenario) { s.Length = stricttoml.Duration{Duration: last + 5*time.Second} })
 	}
 	if first := firstEventStart(s); first > 6*time.Second {
-		add(func(s *scenario.Scenario) { // begin sooner
+		add(func(s *scenario.Scenario) { // starts sooner
 			for i := range s.Events {
 				s.Events[i].At = fixedSpan(s.Events[i].At.From - first + 5*time.Second)
 			}
@@ -339,6 +345,12 @@
 			add(func(s *scenario.Scenario) { s.EndpointKinds[i].Count = (s.EndpointKinds[i].Count + 1) / 2 })
 		}
 	}
+	addSmallerEvents(s, add)
+	return all
+}
+
+// addSmallerEvents adds the plans with a shorter or weaker event, or one that applies to fewer endpoints.
+func addSmallerEvents(s *scenario.Scenario, add func(change func(s *scenario.Scenario))) {
 	for i := range s.Events {
 		e := &s.Events[i]
 		if e.For != nil && e.For.From > time.Second {
@@ -352,7 +364,6 @@
 			add(func(s *scenario.Scenario) { s.Events[i].Part[0] = math.Round(100*e.Part[0]*0.6) / 100 })
 		}
 	}
-	return all
 }
 
 func lastEventEnd(s *scenario.Scenario) (last time.Duration) {
--- a/internal/experiment/size_test.go
+++ b/internal/experiment/size_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// A constant of the decisions is given another value where it is declared, and nothing else changes. What is no
-// constant of the module is told.
+// A constant of the decisions gets another value where it is declared, and nothing else changes. A name that is no
+// constant of the module is an error.
 func TestConstants(t *testing.T) {
 	root := "../.."
 	files := map[string][]byte{}
@@ -55,7 +55,10 @@
 		"maxAcceptWeight=1":            nil,
 		"balancer.maxAcceptWeight=1 +": nil,
 		"../x.maxAcceptWeight=1":       nil,
-		"balancer.noSuch=1":            errNoConstant, "balancer.Balancer=1": errNoConstant, "noSuch.maxAcceptWeight=1": fs.ErrNotExist} {
+		"balancer.noSuch=1":            errNoConstant,
+		"balancer.Balancer=1":          errNoConstant,
+		"noSuch.maxAcceptWeight=1":     fs.ErrNotExist,
+	} {
 		c, err := ParseConstant(text)
 		if err == nil {
 			err = c.applyTo(root, files)
@@ -75,7 +78,8 @@
 	for _, n := range []string{"1", "4"} {
 		sc.Env = []string{"LAB_TEST_AS=build", "GOMAXPROCS=" + n}
 		r := must[*SizeRun](t)(sc.RunSize(t.Context(), Size{3, 12}))
-		if r.Subset != 12 || r.Operations < 600 || r.Operations > 1000 || r.Memory < 1<<20 || r.ProcessorTime <= 0 || r.Decisions < r.Operations {
+		if r.Subset != 12 || r.Operations < 600 || r.Operations > 1000 || r.Memory < 1<<20 ||
+			r.ProcessorTime <= 0 || r.Decisions < r.Operations {
 			t.Errorf("%+v", r)
 		}
 		if first == nil {
--- a/internal/experiment/stats/stats_test.go
+++ b/internal/experiment/stats/stats_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// What few numbers do not tell is not told.
+// Too few numbers give no interval.
 func TestFew(t *testing.T) {
 	for _, v := range [][]float64{nil, {3}} {
 		if x := StudentT(v, 0.95); !math.IsInf(x.HalfWidth(), 1) {
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -115,7 +115,7 @@
 	return key, nil
 }
 
-// BuildID returns what tells a program's build from others: the digest of its file.
+// BuildID identifies a build of a program, by the digest of its file.
 func BuildID(program string) (string, error) {
 	if program == "" {
 		self, err := os.Executable()
--- a/internal/experiment/variant.go
+++ b/internal/experiment/variant.go
@@ -33,9 +33,9 @@
 	Harm          float64
 }
 
-// ParseVariant reads a variant: [@PROGRAM:]FILE[,KEY=VALUE]..., where FILE is a daemon's file or "shipped", and a key
-// one of that file, or world.KEY of the scenario, or lots (another draw of what instances leave to chance), or harm (a
-// part of the stories that is spoilt, to see whether a comparison finds it).
+// ParseVariant reads a variant: [@PROGRAM:]FILE[,KEY=VALUE]..., where FILE is a daemon's file or "shipped". A key
+// is one of that file, or world.KEY of the scenario, or lots (the decision seed), or harm (the share of operations that
+// is spoilt, to test that a comparison finds it).
 func ParseVariant(spec string) (*Variant, error) {
 	v := &Variant{Spec: spec}
 	rest := spec
@@ -50,22 +50,12 @@
 	parts := splitEdits(rest)
 	var edits []string
 	for _, e := range parts[1:] {
-		key, value, _ := strings.Cut(e, "=")
-		var err error
-		switch {
-		case strings.HasPrefix(key, "world."):
-			v.ScenarioEdits = append(v.ScenarioEdits, strings.TrimPrefix(e, "world."))
-		case key == "lots":
-			v.DecisionSeed, err = strconv.ParseUint(value, 10, 64)
-		case key == "harm":
-			if v.Harm, err = strconv.ParseFloat(value, 64); err == nil && !(v.Harm >= 0 && v.Harm <= 1) {
-				err = errors.New("must be in 0..1")
-			}
-		default:
-			edits = append(edits, e)
-		}
+		ownKey, err := v.setKey(e)
 		if err != nil {
-			return nil, fmt.Errorf("variant %q: %s: %w", spec, key, err)
+			return nil, fmt.Errorf("variant %q: %w", spec, err)
+		}
+		if !ownKey {
+			edits = append(edits, e)
 		}
 	}
 	text := deploy.Daemon
@@ -87,6 +77,29 @@
 	return v, nil
 }
 
+// setKey sets the value of an edit whose key is the variant's own, and reports whether it is one. All others are keys
+// of the daemon's file.
+func (v *Variant) setKey(edit string) (ownKey bool, err error) {
+	key, value, _ := strings.Cut(edit, "=")
+	switch {
+	case strings.HasPrefix(key, "world."):
+		v.ScenarioEdits = append(v.ScenarioEdits, strings.TrimPrefix(edit, "world."))
+	case key == "lots":
+		v.DecisionSeed, err = strconv.ParseUint(value, 10, 64)
+	case key == "harm":
+		v.Harm, err = strconv.ParseFloat(value, 64)
+		if err == nil && !(v.Harm >= 0 && v.Harm <= 1) {
+			err = errors.New("must be in 0..1")
+		}
+	default:
+		return false, nil
+	}
+	if err != nil {
+		return true, fmt.Errorf("%s: %w", key, err)
+	}
+	return true, nil
+}
+
 // splitEdits splits a spec at its commas, except for those within brackets or quotes.
 func splitEdits(spec string) []string {
 	var parts []string
@@ -222,7 +235,7 @@
 	Error        string          `json:"error,omitempty"`
 }
 
-// HandleJob plays a job that another build asks for, as JSON, and returns the Reply, as JSON.
+// HandleJob plays a job that another build sent, as JSON, and returns the Reply, as JSON.
 func HandleJob(ctx context.Context, text []byte) ([]byte, error) {
 	reply := Reply{ModelVersion: simulation.Version}
 	var j Job
--- a/internal/fake/client/client.go
+++ b/internal/fake/client/client.go
@@ -43,7 +43,7 @@
 	OnDone func(Result) `json:"-"`
 }
 
-// arrivalStream is the second word of the seed of the arrivals' random stream.
+// arrivalStream is the second part of the seed of the arrivals' random stream.
 const arrivalStream = 7
 
 // Client is a client process's side of its connections. It is safe for concurrent use.
--- a/internal/fake/endpoint/endpoint.go
+++ b/internal/fake/endpoint/endpoint.go
@@ -63,7 +63,7 @@
 	InternalError         // 500
 	NoResponse            // none until the client leaves
 	ConnectionReset       // the connection is reset after the request ran
-	Conflict              // 409, from the application: the request ran, and what it asks for is impossible
+	Conflict              // 409 from the application: the request ran, and its effect is impossible
 )
 
 // Start starts an endpoint on a free loopback port.
