--- a/.ci/simwire/main.go
+++ b/.ci/simwire/main.go
@@ -156,10 +156,8 @@
 				fields = "-"
 			}
 			line := fmt.Sprintf("%d %s %s\n", batch, actionNames[a.code], fields)
-			for _, w := range []io.Writer{lines, all, part} {
-				if _, err := io.WriteString(w, line); err != nil {
-					return err
-				}
+			if _, err := io.WriteString(io.MultiWriter(lines, all, part), line); err != nil {
+				return err
 			}
 		}
 		replies++
--- a/cmd/dunlinsail-experiment/faults.go
+++ b/cmd/dunlinsail-experiment/faults.go
@@ -27,21 +27,8 @@
 
 // Run plays scenarios by real processes with faults between them, and judges what they claim.
 func (c *faultsCmd) Run(ctx context.Context, w *output) error {
-	if len(c.Scenarios) == 0 {
-		for _, name := range library.Names() {
-			if strings.HasPrefix(name, "overload") {
-				c.Scenarios = append(c.Scenarios, name)
-			}
-		}
-	}
-	if len(c.Programs) == 0 {
-		self, err := os.Executable()
-		if err != nil {
-			return err
-		}
-		c.Programs = []string{
-			filepath.Join(filepath.Dir(self), "dunlinsaild"), filepath.Join(filepath.Dir(self), "dunlinsail"),
-		}
+	if err := c.setDefaults(); err != nil {
+		return err
 	}
 	failed := 0
 	for _, name := range c.Scenarios {
@@ -66,6 +53,27 @@
 	return nil
 }
 
+// setDefaults names the scenarios and programs where the call has none: the overload scenarios, and both programs beside
+// this one.
+func (c *faultsCmd) setDefaults() error {
+	if len(c.Scenarios) == 0 {
+		for _, name := range library.Names() {
+			if strings.HasPrefix(name, "overload") {
+				c.Scenarios = append(c.Scenarios, name)
+			}
+		}
+	}
+	if len(c.Programs) == 0 {
+		self, err := os.Executable()
+		if err != nil {
+			return err
+		}
+		dir := filepath.Dir(self)
+		c.Programs = []string{filepath.Join(dir, "dunlinsaild"), filepath.Join(dir, "dunlinsail")}
+	}
+	return nil
+}
+
 // play plays one scenario with one program and seed, and prints a line; with --without a second one. It returns how
 // many runs failed.
 func (c *faultsCmd) play(
--- a/cmd/dunlinsail-experiment/real.go
+++ b/cmd/dunlinsail-experiment/real.go
@@ -63,17 +63,7 @@
 		}
 		agreeing += a.AgreeingRows
 		all += len(a.Rows)
-		if c.JSON {
-			if err := json.NewEncoder(w).Encode(a.Rows); err != nil {
-				return err
-			}
-			continue
-		}
-		fmt.Fprintf(
-			w, "%s: %d of %d figures of %d real runs lie where the model says\n", s.Name, a.AgreeingRows, len(a.Rows),
-			a.Seeds,
-		)
-		if err := writeAgreement(w, a); err != nil {
+		if err := c.printAgreement(w, s.Name, a); err != nil {
 			return err
 		}
 		_ = w.Flush() // its error comes again with the last Flush, in main
@@ -84,6 +74,16 @@
 	return nil
 }
 
+// printAgreement prints one scenario's result, as JSON or as a table.
+func (c *realCmd) printAgreement(w io.Writer, name string, a *experiment.Agreement) error {
+	if c.JSON {
+		return json.NewEncoder(w).Encode(a.Rows)
+	}
+	fmt.Fprintf(w, "%s: %d of %d figures of %d real runs lie where the model says\n",
+		name, a.AgreeingRows, len(a.Rows), a.Seeds)
+	return writeAgreement(w, a)
+}
+
 // writeAgreement writes a line for each figure.
 func writeAgreement(w io.Writer, a *experiment.Agreement) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/cmd/dunlinsail-experiment/runs.go
+++ b/cmd/dunlinsail-experiment/runs.go
@@ -369,7 +369,7 @@
 func printComparison(w io.Writer, got *experiment.Comparison) error {
 	fmt.Fprintf(w, "\n%s: %s\n", got.Plan.Scenario.Name, got.Plan.Scenario.About)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "\tA\tB\tB less A\t")
+	fmt.Fprintln(t, "\tA\tB\t"+"B less A\t")
 	for _, row := range got.Rows {
 		verdict := ""
 		if row.Verdict != experiment.Inconclusive {
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -50,6 +50,7 @@
 }
 
 func must[T any](t *testing.T) func(v T, err error) T {
+	t.Helper()
 	return func(v T, err error) T {
 		t.Helper()
 		if err != nil {
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -169,17 +169,8 @@
 		if c.RunsB != nil && c.Rows[0].Verdict != experiment.Inconclusive {
 			x.Verdict = c.Rows[0].Verdict.String()
 		}
-		for _, r := range c.Rows {
-			text := row{Name: r.Name, About: r.Description, A: experiment.Number(r.Figure, r.A), Note: r.Note}
-			if c.RunsB != nil {
-				text.B = experiment.Number(r.Figure, r.B)
-				text.Difference = experiment.Signed(r.Figure, r.Difference)
-				if r.Verdict != experiment.Inconclusive {
-					text.Class = r.Verdict.String()
-					text.Note = strings.TrimSpace(text.Class + " " + text.Note)
-				}
-			}
-			x.Rows = append(x.Rows, text)
+		for i := range c.Rows {
+			x.Rows = append(x.Rows, rowText(c, &c.Rows[i]))
 		}
 		var err error
 		if c.RunsB == nil && len(c.Seeds) > 1 {
@@ -197,6 +188,21 @@
 	return d, nil
 }
 
+// rowText returns the texts of one figure.
+func rowText(c *experiment.Comparison, r *experiment.Row) row {
+	text := row{Name: r.Name, About: r.Description, A: experiment.Number(r.Figure, r.A), Note: r.Note}
+	if c.RunsB == nil {
+		return text
+	}
+	text.B = experiment.Number(r.Figure, r.B)
+	text.Difference = experiment.Signed(r.Figure, r.Difference)
+	if r.Verdict != experiment.Inconclusive {
+		text.Class = r.Verdict.String()
+		text.Note = strings.TrimSpace(text.Class + " " + text.Note)
+	}
+	return text
+}
+
 // Markdown writes the same without pictures.
 func Markdown(w io.Writer, all []*experiment.Comparison) error {
 	d, err := buildData(all, false)
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -1,6 +1,7 @@
 package report
 
 import (
+	"bytes"
 	"context"
 	"encoding/xml"
 	"errors"
@@ -36,6 +37,42 @@
 	return c
 }
 
+// checkPage fails the test unless a page is well-formed and needs nothing from elsewhere. It returns the numbers of
+// pictures and table rows.
+func checkPage(t *testing.T, text []byte) (pictures, rows int) {
+	t.Helper()
+	d := xml.NewDecoder(bytes.NewReader(text))
+	d.Strict = false
+	d.AutoClose = xml.HTMLAutoClose
+	d.Entity = xml.HTMLEntity
+	for {
+		token, err := d.Token()
+		if errors.Is(err, io.EOF) {
+			return pictures, rows
+		}
+		if err != nil {
+			t.Fatalf("not well-formed: %v", err)
+		}
+		start, ok := token.(xml.StartElement)
+		if !ok {
+			continue
+		}
+		switch start.Name.Local {
+		case "svg":
+			pictures++
+		case "tr":
+			rows++
+		case "script", "link", "img", "iframe":
+			t.Errorf("there is a %s", start.Name.Local)
+		}
+		for _, a := range start.Attr {
+			if (a.Name.Local == "href" || a.Name.Local == "src") && !strings.HasPrefix(a.Value, "#") {
+				t.Errorf("it needs %s", a.Value)
+			}
+		}
+	}
+}
+
 // A page is sound, has its pictures in it, needs nothing from elsewhere, and takes no text for markup.
 func TestPage(t *testing.T) {
 	b, err := experiment.ParseVariant("shipped,harm=0.4")
@@ -52,38 +89,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := xml.NewDecoder(strings.NewReader(string(text)))
-		d.Strict = false
-		d.AutoClose = xml.HTMLAutoClose
-		d.Entity = xml.HTMLEntity
-		pictures := 0
-		rows := 0
-		for {
-			token, err := d.Token()
-			if errors.Is(err, io.EOF) {
-				break
-			}
-			if err != nil {
-				t.Fatalf("not sound: %v", err)
-			}
-			start, ok := token.(xml.StartElement)
-			if !ok {
-				continue
-			}
-			switch start.Name.Local {
-			case "svg":
-				pictures++
-			case "tr":
-				rows++
-			case "script", "link", "img", "iframe":
-				t.Errorf("there is a %s", start.Name.Local)
-			}
-			for _, a := range start.Attr {
-				if (a.Name.Local == "href" || a.Name.Local == "src") && !strings.HasPrefix(a.Value, "#") {
-					t.Errorf("it needs %s", a.Value)
-				}
-			}
-		}
+		pictures, rows := checkPage(t, text)
 		want := 6
 		if c.RunsB != nil {
 			want = 8
--- a/internal/experiment/size_test.go
+++ b/internal/experiment/size_test.go
@@ -11,6 +11,22 @@
 	"testing"
 )
 
+// changedLines returns how many lines of a file differ in a text that takes its place.
+func changedLines(t *testing.T, name string, text []byte) (changed int) {
+	t.Helper()
+	before, err := os.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(string(text), "\n")
+	for i, line := range strings.Split(string(before), "\n") {
+		if lines[i] != line {
+			changed++
+		}
+	}
+	return changed
+}
+
 // A constant of the decisions gets another value where it is declared, and nothing else changes. A name that is no
 // constant of the module is an error.
 func TestConstants(t *testing.T) {
@@ -32,20 +48,10 @@
 		t.Fatalf("%d files", len(files))
 	}
 	for name, text := range files {
-		was, err := os.ReadFile(name)
-		if err != nil {
-			t.Fatal(err)
-		}
 		if _, err := parser.ParseFile(token.NewFileSet(), name, text, 0); err != nil {
 			t.Error(err)
 		}
-		changed := 0
-		lines := strings.Split(string(text), "\n")
-		for i, line := range strings.Split(string(was), "\n") {
-			if lines[i] != line {
-				changed++
-			}
-		}
+		changed := changedLines(t, name, text)
 		if want := map[string]int{"breaker.go": 2, "limiter.go": 1}[filepath.Base(name)]; changed != want {
 			t.Errorf("%s: %d lines have changed, want %d", name, changed, want)
 		}
--- a/internal/fake/golden/golden_test.go
+++ b/internal/fake/golden/golden_test.go
@@ -69,10 +69,10 @@
 func TestChecksReportWhatDiffers(t *testing.T) {
 	value := &part{Text: "x", Number: 1, Parts: []uint64{2}}
 	checkJSON := func(want string) func(testing.TB) {
-		return func(t testing.TB) { CheckJSON(t, []byte(want), value) }
+		return func(t testing.TB) { t.Helper(); CheckJSON(t, []byte(want), value) }
 	}
 	requireFilled := func(value any) func(testing.TB) {
-		return func(t testing.TB) { RequireFilled(t, "value", value) }
+		return func(t testing.TB) { t.Helper(); RequireFilled(t, "value", value) }
 	}
 	for name, c := range map[string]struct {
 		check func(testing.TB)
@@ -88,7 +88,7 @@
 		"an empty slice":         {requireFilled(part{Text: "x", Number: 1, Parts: []uint64{}}), "value.Parts"},
 		"a first element of 0":   {requireFilled(part{Text: "x", Number: 1, Parts: []uint64{0}}), "value.Parts[0]"},
 		"a nil pointer":          {requireFilled(record{}), "value.Pointer"},
-		"a type without a value": {func(t testing.TB) { Fill(t, &struct{ C chan int }{}) }, "chan int"},
+		"a type without a value": {func(t testing.TB) { t.Helper(); Fill(t, &struct{ C chan int }{}) }, "chan int"},
 	} {
 		got := failuresOf(c.check)
 		if c.want == "" && got != "" || !strings.Contains(got, c.want) {
@@ -116,10 +116,10 @@
 	if got := string(Read(t, "forms", "none")); got != "{}" {
 		t.Errorf("read %q", got)
 	}
-	if failuresOf(func(t testing.TB) { ReadLine(t, "forms", "none") }) == "" {
+	if failuresOf(func(t testing.TB) { t.Helper(); ReadLine(t, "forms", "none") }) == "" {
 		t.Error("a file without a newline is accepted")
 	}
-	if failuresOf(func(t testing.TB) { Read(t, "forms", "missing") }) == "" {
+	if failuresOf(func(t testing.TB) { t.Helper(); Read(t, "forms", "missing") }) == "" {
 		t.Error("a missing file is accepted")
 	}
 }
--- a/internal/simulation/gossipsim/gossipsim_test.go
+++ b/internal/simulation/gossipsim/gossipsim_test.go
@@ -17,6 +17,15 @@
 	}
 }
 
+// useAtEnd adds up the seconds after the faults: the demand within the budget, and what was spent.
+func useAtEnd(r *Result) (spendable, spent int) {
+	for _, at := range r.Seconds[37:] {
+		spendable += min(at.Demanded, 200)
+		spent += at.Spent
+	}
+	return spendable, spent
+}
+
 // In every hard case the sum is within the budget in every second, and the budget is used once the faults are over.
 func TestHardCasesStayWithinBudgetAndUseIt(t *testing.T) {
 	for name, faults := range HardCases(9) {
@@ -31,16 +40,12 @@
 				t.Errorf("%s, seed %d: %d spent in the second to %d, of 200", name, seed, r.MaxSpent, r.MaxSpentAt)
 			}
 			if name == "half have less" {
-				continue // which budget holds depends on who is the allocator
-			}
-			var spendable, spent int
-			for _, at := range r.Seconds[37:] {
-				spendable += min(at.Demanded, 200)
-				spent += at.Spent
+				continue // the budget in force depends on which member is the allocator
 			}
+			spendable, spent := useAtEnd(r)
 			minPercent := 90
 			if name == "demand moves" {
-				minPercent = 80 // demand is hardly above the budget: what one has to spare another lacks for a moment
+				minPercent = 80 // demand is hardly above the budget, and leases follow it with a delay
 			}
 			if 100*spent < minPercent*spendable {
 				t.Errorf("%s, seed %d: %d of %d at the end", name, seed, spent, spendable)
--- a/internal/simulation/gossipsim/network.go
+++ b/internal/simulation/gossipsim/network.go
@@ -22,8 +22,24 @@
 	if to == nil {
 		return
 	}
-	delay := monotime.Micros(200 + 1000*sim.rng.ExpFloat64())
-	copies := 1
+	delay, copies := sim.drawTransmission(from)
+	for range copies {
+		sim.schedule(delay+sim.rng.Int64N(copyJitter), func() { sim.deliver(from, to, o.Message) })
+	}
+}
+
+// Delays of messages in microseconds.
+const (
+	minDelay   = 200
+	meanDelay  = 1000 // beyond minDelay, exponentially distributed
+	copyJitter = 100  // upper bound of the difference between copies
+)
+
+// drawTransmission draws a message's delay, and how often it arrives: lossy faults drop, repeat and delay messages, slow
+// ones delay those of some members.
+func (sim *simulation) drawTransmission(from *member) (delay monotime.Micros, copies int) {
+	delay = monotime.Micros(minDelay + meanDelay*sim.rng.ExpFloat64())
+	copies = 1
 	leaseDuration := float64(sim.settings.Coordination.Quota.LeaseDuration)
 	for _, f := range sim.activeFaults {
 		switch f.Kind {
@@ -43,9 +59,7 @@
 			}
 		}
 	}
-	for range copies {
-		sim.schedule(delay+sim.rng.Int64N(100), func() { sim.deliver(from, to, o.Message) })
-	}
+	return delay, copies
 }
 
 // partitioned reports whether no message passes from one member to another now.
--- a/internal/simulation/plannedevents.go
+++ b/internal/simulation/plannedevents.go
@@ -168,11 +168,8 @@
 			r.endpoints[n].start(false)
 		}
 	case scenario.EventZonePartition:
-		for j, c := range r.network.cuts {
-			if c == [2]int{h.Zone, h.To} {
-				r.network.cuts = append(r.network.cuts[:j], r.network.cuts[j+1:]...)
-				break
-			}
+		if j := slices.Index(r.network.cuts, [2]int{h.Zone, h.To}); j >= 0 {
+			r.network.cuts = slices.Delete(r.network.cuts, j, j+1)
 		}
 	case scenario.EventDiscoveryDelay:
 		r.discovery.extraDelay -= h.Delay
@@ -193,13 +190,18 @@
 	case scenario.EventPathBlocked:
 		r.blockingEvents = slices.DeleteFunc(r.blockingEvents, func(at int) bool { return at == i })
 	case scenario.EventPowerCut:
-		for _, e := range r.endpoints {
-			e.start(false)
-		}
-		for _, in := range r.instances {
-			if in.down {
-				in.start(false)
-			}
+		r.startAll()
+	}
+}
+
+// startAll starts all endpoints, and the instances that are down.
+func (r *run) startAll() {
+	for _, e := range r.endpoints {
+		e.start(false)
+	}
+	for _, in := range r.instances {
+		if in.down {
+			in.start(false)
 		}
 	}
 }
--- a/internal/simulation/scenario/capacity.go
+++ b/internal/simulation/scenario/capacity.go
@@ -63,42 +63,8 @@
 		}
 	}
 	for i := range p.PlannedEvents {
-		h := &p.PlannedEvents[i]
-		if at < h.At || h.What == EventRollingRestart && at >= h.Until {
-			continue
-		}
-		over := at >= h.Until
-		switch h.What {
-		case EventKill, EventMachineLost, EventDrain, EventPowerCut:
-			endpoints := h.Endpoints
-			if h.What == EventPowerCut {
-				endpoints = nil
-				for j := range p.Endpoints {
-					endpoints = append(endpoints, j)
-				}
-			}
-			for _, j := range endpoints {
-				if !over {
-					speed[j] = 0
-				} else if h.Until < math.MaxInt64 {
-					speed[j] *= p.Endpoints[j].warmupShare(at - h.Until)
-				}
-			}
-		case EventRollingRestart:
-			for k, j := range h.Endpoints {
-				if from := h.At + monotime.Micros(k)*h.Every; at >= from && at < from+h.Every {
-					speed[j] = 0
-				} else if at >= from+h.Every {
-					speed[j] *= p.Endpoints[j].warmupShare(at - from - h.Every)
-				}
-			}
-		case EventSlow, EventFalseReports, EventErrors, EventUnanswered, EventRejecting, EventNeighbour, EventPause:
-			if over {
-				continue
-			}
-			for k, j := range h.Endpoints {
-				speed[j] *= remainingSpeed(h, k, at)
-			}
+		if h := &p.PlannedEvents[i]; at >= h.At {
+			p.applyEvent(speed, h, at)
 		}
 	}
 	var sum float64
@@ -108,6 +74,54 @@
 	return sum
 }
 
+// applyEvent reduces the endpoints' speeds at an instant by an event that has started.
+func (p *Plan) applyEvent(speed []float64, h *PlannedEvent, at monotime.Micros) {
+	over := at >= h.Until
+	switch h.What {
+	case EventKill, EventMachineLost, EventDrain:
+		p.applyStop(speed, h, h.Endpoints, at)
+	case EventPowerCut:
+		var all []int
+		for j := range p.Endpoints {
+			all = append(all, j)
+		}
+		p.applyStop(speed, h, all, at)
+	case EventRollingRestart:
+		if !over {
+			p.applyRollingRestart(speed, h, at)
+		}
+	case EventSlow, EventFalseReports, EventErrors, EventUnanswered, EventRejecting, EventNeighbour, EventPause:
+		if !over {
+			for k, j := range h.Endpoints {
+				speed[j] *= remainingSpeed(h, k, at)
+			}
+		}
+	}
+}
+
+// applyStop stops endpoints during an event. They warm up after it, if it ends.
+func (p *Plan) applyStop(speed []float64, h *PlannedEvent, endpoints []int, at monotime.Micros) {
+	for _, j := range endpoints {
+		if at < h.Until {
+			speed[j] = 0
+		} else if h.Until < math.MaxInt64 {
+			speed[j] *= p.Endpoints[j].warmupShare(at - h.Until)
+		}
+	}
+}
+
+// applyRollingRestart stops one endpoint after another; those before it warm up.
+func (p *Plan) applyRollingRestart(speed []float64, h *PlannedEvent, at monotime.Micros) {
+	for k, j := range h.Endpoints {
+		from := h.At + monotime.Micros(k)*h.Every
+		if at >= from && at < from+h.Every {
+			speed[j] = 0
+		} else if at >= from+h.Every {
+			speed[j] *= p.Endpoints[j].warmupShare(at - from - h.Every)
+		}
+	}
+}
+
 // warmupShare is the part of its speed that an endpoint has at an age since its start.
 func (n *Endpoint) warmupShare(age monotime.Micros) float64 {
 	c := &n.Config
--- a/internal/simulation/scenario/draw.go
+++ b/internal/simulation/scenario/draw.go
@@ -184,6 +184,14 @@
 	return sample(r, from, n)
 }
 
+// resolveNames sets the indices of the class, tenant and zones that an event names; -1 is all.
+func (p *Plan) resolveNames(e *Event, h *PlannedEvent) {
+	h.Class = slices.IndexFunc(p.Classes, func(c Class) bool { return c.Name == e.Class })
+	h.Tenant = slices.IndexFunc(p.Tenants, func(t Tenant) bool { return t.Name == e.Tenant })
+	h.Zone = slices.Index(p.Fleet.Zones, e.Zone)
+	h.To = slices.Index(p.Fleet.Zones, e.To)
+}
+
 // drawEvents draws the events, and sorts them by their start.
 func (p *Plan) drawEvents() {
 	stream := randstream.New(p.Seed, "events")
@@ -194,10 +202,6 @@
 			What:      e.What,
 			At:        monotime.Micros(randstream.Range(r, ends(e.At))),
 			Until:     math.MaxInt64,
-			Class:     -1,
-			Tenant:    -1,
-			Zone:      -1,
-			To:        -1,
 			OneClient: e.One,
 			Every:     e.Every.Micros(),
 			Delay:     monotime.Micros(randstream.Range(r, ends(e.Delay))),
@@ -205,22 +209,7 @@
 		if e.For != nil {
 			h.Until = h.At + monotime.Micros(randstream.Range(r, ends(e.For)))
 		}
-		for j, c := range p.Classes {
-			if c.Name == e.Class {
-				h.Class = j
-			}
-		}
-		for j, t := range p.Tenants {
-			if t.Name == e.Tenant {
-				h.Tenant = j
-			}
-		}
-		if e.Zone != "" {
-			h.Zone = slices.Index(p.Fleet.Zones, e.Zone)
-		}
-		if e.To != "" {
-			h.To = slices.Index(p.Fleet.Zones, e.To)
-		}
+		p.resolveNames(e, &h)
 		if eventKinds[e.What].endpoints {
 			h.Endpoints = p.chooseEndpoints(e, r)
 			for range h.Endpoints {
--- a/internal/simulation/simendpoint/endpoint_test.go
+++ b/internal/simulation/simendpoint/endpoint_test.go
@@ -37,69 +37,99 @@
 	}
 }
 
-// Whatever comes, each request that an endpoint takes ends once, it works at no more than its cores allow, and in time
-// it does no more work than it can.
+// openJobs are the jobs of an endpoint that have not ended, and the work of those that completed.
+type openJobs struct {
+	t        *rapid.T
+	endpoint *Endpoint
+	open     map[*Job]bool
+	done     float64 // work of completed jobs
+}
+
+// end marks a job as ended, and fails the test if it was not open.
+func (o *openJobs) end(j *Job, how string) {
+	if !o.open[j] {
+		o.t.Fatalf("%s: a request that was not open", how)
+	}
+	delete(o.open, j)
+}
+
+// advance runs the endpoint until an instant.
+func (o *openJobs) advance(now monotime.Micros) {
+	for _, e := range o.endpoint.Advance(now) {
+		o.end(e.Job, "ended")
+		o.done += float64(e.Job.Work)
+		if e.At > now {
+			o.t.Fatalf("ended at %d, which is after %d", e.At, now)
+		}
+	}
+}
+
+// step draws one thing that happens to the endpoint: a cancellation, a restart, a pause or a request.
+func (o *openJobs) step(now monotime.Micros) {
+	switch rapid.IntRange(0, 9).Draw(o.t, "what") {
+	case 0:
+		o.cancelOne(now)
+	case 1:
+		if rapid.IntRange(0, 9).Draw(o.t, "kill") == 0 {
+			o.restart(now)
+		}
+	case 2:
+		o.endpoint.Pause(now, 20_000)
+	default:
+		j := &Job{
+			Work:   monotime.Micros(rapid.IntRange(1, 60_000).Draw(o.t, "work")),
+			Chance: rapid.Float64Range(0, 1).Draw(o.t, "luck"),
+		}
+		if o.endpoint.Arrive(now, j) == Accepted {
+			o.open[j] = true
+		}
+	}
+}
+
+// cancelOne cancels any open job.
+func (o *openJobs) cancelOne(now monotime.Micros) {
+	for j := range o.open {
+		if o.endpoint.Cancel(now, j) {
+			o.end(j, "cancelled")
+		}
+		return
+	}
+}
+
+// restart kills the endpoint, which has to return all open jobs, and starts it again.
+func (o *openJobs) restart(now monotime.Micros) {
+	for _, j := range o.endpoint.Kill(now) {
+		o.end(j, "killed")
+	}
+	if len(o.open) != 0 {
+		o.t.Fatalf("%d requests outlived the process", len(o.open))
+	}
+	o.endpoint.Start(now, false)
+}
+
+// Whatever happens, each request that an endpoint accepts ends once, it runs no more requests than it has cores, and it
+// does no more work than it has time for.
 func TestEachRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
 		n := New(c, NewDedupGroup(400_000))
+		o := &openJobs{t: t, endpoint: n, open: map[*Job]bool{}}
 		now := monotime.Micros(0)
 		n.Start(now, rapid.Bool().Draw(t, "warm"))
-		open := map[*Job]bool{}
-		over := func(j *Job, how string) {
-			if !open[j] {
-				t.Fatalf("%s: a request that was not open", how)
-			}
-			delete(open, j)
-		}
-		var done float64
 		steps := rapid.IntRange(1, 80).Draw(t, "steps")
 		for range steps {
 			now += monotime.Micros(rapid.IntRange(0, 40_000).Draw(t, "gap"))
-			for _, e := range n.Advance(now) {
-				over(e.Job, "ended")
-				done += float64(e.Job.Work)
-				if e.At > now {
-					t.Fatalf("ended at %d, which is after %d", e.At, now)
-				}
-			}
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
-			case 0:
-				for j := range open {
-					if n.Cancel(now, j) {
-						over(j, "given up")
-					}
-					break
-				}
-			case 1:
-				if rapid.IntRange(0, 9).Draw(t, "kill") == 0 {
-					for _, j := range n.Kill(now) {
-						over(j, "killed")
-					}
-					if len(open) != 0 {
-						t.Fatalf("%d requests outlived the process", len(open))
-					}
-					n.Start(now, false)
-				}
-			case 2:
-				n.Pause(now, 20_000)
-			default:
-				j := &Job{
-					Work:   monotime.Micros(rapid.IntRange(1, 60_000).Draw(t, "work")),
-					Chance: rapid.Float64Range(0, 1).Draw(t, "luck"),
-				}
-				if v := n.Arrive(now, j); v == Accepted {
-					open[j] = true
-				}
-			}
-			if n.InFlight() != len(open) || n.busy > c.Cores {
-				t.Fatalf("holds %d, %d at work; %d are open", n.InFlight(), n.busy, len(open))
+			o.advance(now)
+			o.step(now)
+			if n.InFlight() != len(o.open) || n.busy > c.Cores {
+				t.Fatalf("%d in flight, %d running; %d are open", n.InFlight(), n.busy, len(o.open))
 			}
 		}
-		if can := float64(now) * c.Speed * float64(c.Cores); done > can+float64(c.Cores*60_000) {
-			t.Fatalf("%v of work done, at most %v could be", done, can)
+		capacity := float64(now) * c.Speed * float64(c.Cores)
+		if o.done > capacity+float64(c.Cores*60_000) {
+			t.Fatalf("%v of work done, at most %v is possible", o.done, capacity)
 		}
-		drain(t, n, over)
+		drain(t, n, o.end)
 	})
 }
 
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -184,12 +184,33 @@
 		t.Error("other settings came to the very same")
 	}
 	if !slices.Equal(first, then) {
-		t.Error("other settings met other stories")
+		t.Error("other settings met other operations")
 	}
 }
 
-// Whatever goes wrong, each operation has one outcome, each request that a running instance takes has one answer in its
-// time, and no rule is broken.
+// playCountingEnds plays a run with events. It returns how many operations started and how many requests ended, and fails
+// the test if a request ends twice.
+func playCountingEnds(t *testing.T, events string) (started, ends int, r *measure.Result) {
+	t.Helper()
+	operations := map[uint64]bool{}
+	requests := map[[2]uint64]bool{}
+	r = play(t, events, 3, testSettings(), func(x Trace) {
+		request := [2]uint64{x.Operation, uint64(x.Request)}
+		switch x.Step {
+		case "asks":
+			operations[x.Operation] = true
+		case "is served", "is refused", "is failed", "has no answer":
+			if requests[request] {
+				t.Errorf("request %d of operation %x ended twice", x.Request, x.Operation)
+			}
+			requests[request] = true
+		}
+	})
+	return len(operations), len(requests), r
+}
+
+// Whatever fails, each operation has one outcome, each request that a running instance accepts has one response in time,
+// and no rule is broken.
 func TestEachOperationEnds(t *testing.T) {
 	for name, events := range map[string]string{
 		"calm": "",
@@ -213,25 +234,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			ends := map[[2]uint64]int{}
-			started := map[uint64]bool{}
-			r := play(t, events, 3, testSettings(), func(x Trace) {
-				at := [2]uint64{x.Operation, uint64(x.Request)}
-				switch x.Step {
-				case "asks":
-					started[x.Operation] = true
-				case "is served", "is refused", "is failed", "has no answer":
-					ends[at]++
-					if ends[at] > 1 {
-						t.Errorf("request %d of operation %x ended twice", x.Request, x.Operation)
-					}
-				}
-			})
-			if int(r.Operations) != len(started) || len(started) < 500 {
-				t.Errorf("%d operations started, %d ended", len(started), r.Operations)
+			started, ends, r := playCountingEnds(t, events)
+			if int(r.Operations) != started || started < 500 {
+				t.Errorf("%d operations started, %d ended", started, r.Operations)
 			}
-			if int64(len(ends)) != r.Costs.ClientRequests {
-				t.Errorf("%d tries, %d ended", r.Costs.ClientRequests, len(ends))
+			if int64(ends) != r.Costs.ClientRequests {
+				t.Errorf("%d requests, %d ended", r.Costs.ClientRequests, ends)
 			}
 			c := r.Costs
 			if c.AttemptsAfterDrain != 0 || c.DuplicateEffects != 0 || c.LateResponses != 0 || c.Collapses != 0 {
