--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -84,9 +84,9 @@
 func (b *Balancer) observeReportAge(now monotime.Micros, late bool) {
 	b.lateReportRatio.add(indicator(late), ratioWeight)
 	ratio := b.lateReportRatio.value
-	begins := ratio > maxLateReportRatio && !b.reportsLate
-	ends := ratio < maxLateReportRatio/lateReportHysteresis && b.reportsLate
-	if begins || ends {
+	tooMany := ratio > maxLateReportRatio && !b.reportsLate
+	fewAgain := ratio < maxLateReportRatio/lateReportHysteresis && b.reportsLate
+	if tooMany || fewAgain {
 		b.reportsLate = !b.reportsLate
 		b.logLateReports(now)
 	}
