--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -145,8 +145,7 @@
 	if len(p.recorder.sends) != sends+1 {
 		t.Fatalf("at %d ms a request was not sent: the known list should serve", now/1000)
 	}
-	p.balancer.HandleOutcome(now, Outcome{ID: id, Endpoint: p.recorder.sends[sends].endpoint, Status: OK,
-		Latency: 30_000, Answered: true})
+	succeed(p.balancer, now, id, p.recorder.sends[sends].endpoint, 30_000)
 }
 
 func startPollingFleet(t *testing.T, s Settings) []*pollingBalancer {
@@ -309,8 +308,7 @@
 					t.Errorf("%d changes: a request went to endpoint %d, which is gone", changes, r.sends[n].endpoint)
 				}
 				if len(r.sends) > n {
-					b.HandleOutcome(now, Outcome{ID: r.sends[n].id, Endpoint: r.sends[n].endpoint, Status: OK,
-						Latency: 20_000, Answered: true})
+					succeed(b, now, r.sends[n].id, r.sends[n].endpoint, 20_000)
 				}
 			}
 		}
@@ -354,7 +352,7 @@
 		if x.endpoint != 1 {
 			t.Fatalf("sent to %d, which is not listed", x.endpoint)
 		}
-		b.HandleOutcome(now, Outcome{ID: x.id, Endpoint: 1, Status: OK, Latency: 100_000, Answered: true})
+		succeed(b, now, x.id, 1, 100_000)
 	}
 	b.UpdateEndpoints(now, ListFull, readyEndpoints(20))
 	now += 60 * second // they were always up; what was learned of the crowd has aged
@@ -647,7 +645,7 @@
 			id := uint64(now)
 			b.HandleRequest(now, Request{ID: id, Deadline: now + 4*second})
 			if len(r.sends) > n {
-				b.HandleOutcome(now+1000, Outcome{ID: id, Endpoint: 1, Status: OK, Latency: 1000, Answered: true})
+				succeed(b, now+1000, id, 1, 1000)
 			}
 		}
 		if len(r.sends) < 5 { // none without the exception for few; eight as it was before the bound
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -34,33 +34,36 @@
 	}
 }
 
+// sent is an attempt that a balancer has sent.
 type sent struct {
 	id       uint64
 	endpoint uint32
 }
 
-// recorder keeps a balancer's actions.
+// recorder is a host that records a balancer's actions.
 type recorder struct {
 	sends    []sent
 	timeouts []monotime.Micros // of the sends
-	rejected []uint64
-	failed   []uint64
-	cancels  []uint64
-	probes   []uint32
-	timers   []uint32
-	delays   []monotime.Micros
+	rejected []uint64          // request IDs
+	failed   []uint64          // request IDs
+	cancels  []uint64          // request IDs
+	probes   []uint32          // endpoint IDs
+	timers   []uint32          // tokens
+	delays   []monotime.Micros // of the timers
 	watches  int
 	logs     []string
 }
 
 func (r *recorder) Send(id uint64, e uint32, timeout monotime.Micros) {
-	r.sends, r.timeouts = append(r.sends, sent{id, e}), append(r.timeouts, timeout)
+	r.sends = append(r.sends, sent{id, e})
+	r.timeouts = append(r.timeouts, timeout)
 }
 func (r *recorder) Reject(id uint64, _ monotime.Micros) { r.rejected = append(r.rejected, id) }
 func (r *recorder) Fail(id uint64)                      { r.failed = append(r.failed, id) }
 func (r *recorder) Cancel(id uint64, _ int)             { r.cancels = append(r.cancels, id) }
 func (r *recorder) SetTimer(delay monotime.Micros, token uint32) {
-	r.timers, r.delays = append(r.timers, token), append(r.delays, delay)
+	r.timers = append(r.timers, token)
+	r.delays = append(r.delays, delay)
 }
 func (r *recorder) Probe(e uint32) { r.probes = append(r.probes, e) }
 func (r *recorder) Watch(bool)     { r.watches++ }
@@ -68,7 +71,24 @@
 	r.logs = append(r.logs, fmt.Sprintln(append([]any{message}, args...)...))
 }
 
-// ready returns n ready endpoints with ids from 1; pairs share a cell and a zone.
+// lastSend returns the latest attempt, the zero value for none.
+func (r *recorder) lastSend() sent {
+	if len(r.sends) == 0 {
+		return sent{}
+	}
+	return r.sends[len(r.sends)-1]
+}
+
+// sendsByEndpoint counts the attempts at each endpoint.
+func (r *recorder) sendsByEndpoint() map[uint32]int {
+	counts := map[uint32]int{}
+	for _, s := range r.sends {
+		counts[s.endpoint]++
+	}
+	return counts
+}
+
+// readyEndpoints returns n ready endpoints with IDs from 1. Pairs share a cell and a zone.
 func readyEndpoints(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
@@ -77,18 +97,47 @@
 	return list
 }
 
-func startBalancer(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
+// newBalancer returns a balancer that is not started.
+func newBalancer(t *testing.T, s Settings, seed uint64) (*Balancer, *recorder) {
 	t.Helper()
 	r := &recorder{}
-	b, err := New(s, 7, r)
+	b, err := New(s, seed, r)
 	if err != nil {
 		t.Fatal(err)
 	}
+	return b, r
+}
+
+// startBalancer returns a balancer that was started at 0 with a cached endpoint list.
+func startBalancer(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
+	t.Helper()
+	return startBalancerWithSeed(t, s, list, 7)
+}
+
+func startBalancerWithSeed(t *testing.T, s Settings, list []Endpoint, seed uint64) (*Balancer, *recorder) {
+	t.Helper()
+	b, r := newBalancer(t, s, seed)
 	b.Start(0)
 	b.UpdateEndpoints(0, ListCached, list)
 	return b, r
 }
 
+// reportLoad ends a probe of an endpoint with a load report of one figure.
+func reportLoad(b *Balancer, now monotime.Micros, id uint32, load float32) {
+	b.HandleProbe(now, id, OK, 500, []float32{load})
+}
+
+// succeed ends the first attempt of a request with its answer.
+func succeed(b *Balancer, now monotime.Micros, id uint64, endpoint uint32, latency monotime.Micros) {
+	b.HandleOutcome(now, Outcome{ID: id, Endpoint: endpoint, Status: OK, Latency: latency, Answered: true})
+}
+
+// failAttempt ends an attempt of a request with an error of the endpoint.
+func failAttempt(b *Balancer, now monotime.Micros, id uint64, number int, endpoint uint32) {
+	b.HandleOutcome(now, Outcome{ID: id, Attempt: number, Endpoint: endpoint, Status: Error, Latency: 100})
+}
+
+// newTestRequest returns a request with a deadline in one second.
 func newTestRequest(id uint64, class uint8, now monotime.Micros) Request {
 	return Request{ID: id, Class: class, Deadline: now + second}
 }
--- a/balancer/learned_test.go
+++ b/balancer/learned_test.go
@@ -160,8 +160,7 @@
 			if r.sends[n].endpoint == h.warming.ID {
 				h.sent++
 			}
-			b.HandleOutcome(h.now+900, Outcome{ID: h.lastID, Endpoint: r.sends[n].endpoint, Status: OK, Latency: 2000,
-				Answered: true})
+			succeed(b, h.now+900, h.lastID, r.sends[n].endpoint, 2000)
 		}
 	}
 }
@@ -269,8 +268,7 @@
 			b.HandleRequest(now, newTestRequest(id, uint8(id%5), now))
 			for _, s := range r.sends {
 				if s.id == id {
-					b.HandleOutcome(now+1000, Outcome{ID: id, Endpoint: s.endpoint, Status: OK, Latency: 1000,
-						Answered: true})
+					succeed(b, now+1000, id, s.endpoint, 1000)
 				}
 			}
 		}
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -14,7 +14,7 @@
 	s.Balancers = 1
 	b, r := startBalancer(t, s, readyEndpoints(3))
 	for i, load := range []float32{4, 0, 9} {
-		b.HandleProbe(1000, uint32(i+1), OK, 500, []float32{load})
+		reportLoad(b, 1000, uint32(i+1), load)
 	}
 	for id := range uint64(4) {
 		b.HandleRequest(2000, newTestRequest(id, 0, 2000))
@@ -40,7 +40,7 @@
 		s.Balancers = c.balancers
 		b, r := startBalancer(t, s, readyEndpoints(4))
 		for id := range uint32(4) {
-			b.HandleProbe(1000, id+1, OK, 500, []float32{3 * float32(min(1, id))})
+			reportLoad(b, 1000, id+1, 3*float32(min(1, id)))
 		}
 		for id := range uint64(8) {
 			b.HandleRequest(2000, Request{ID: id, Deadline: second, WorkHint: 10_000, HasWorkHint: true})
@@ -61,13 +61,12 @@
 func TestPoolAges(t *testing.T) {
 	s := testSettings()
 	b, r := startBalancer(t, s, readyEndpoints(2))
-	b.HandleProbe(1000, 1, OK, 500, []float32{0})
+	reportLoad(b, 1000, 1, 0)
 	now := 1000 + b.reportLifetime(1000) + 30*second
 	seen := map[uint32]bool{}
 	for id := range uint64(20) {
 		b.HandleRequest(now, newTestRequest(id, 0, now))
-		b.HandleOutcome(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK, Latency: 1000,
-			Answered: true})
+		succeed(b, now, id, r.sends[len(r.sends)-1].endpoint, 1000)
 		seen[r.sends[len(r.sends)-1].endpoint] = true
 	}
 	if len(seen) != 2 {
@@ -84,7 +83,7 @@
 			t.Errorf("report %v taken for a load", load)
 		}
 	}
-	b.HandleProbe(1000, 99, OK, 500, []float32{1}) // unknown endpoint
+	reportLoad(b, 1000, 99, 1) // unknown endpoint
 	b.HandleProbe(1000, 1, OK, 500, []float32{2, 7, 9})
 	if b.predictLoad(1000, b.endpoints[0]) != 2 {
 		t.Errorf("load %v", b.predictLoad(1000, b.endpoints[0]))
@@ -102,7 +101,7 @@
 	for i := range monotime.Micros(40) {
 		busy.probing = false
 		b.sendProbe(12_000+i, busy)
-		b.HandleProbe(13_000+i, busy.ID, OK, 500, []float32{0})
+		reportLoad(b, 13_000+i, busy.ID, 0)
 	}
 	if !b.reportsLate {
 		t.Fatal("not found out")
@@ -113,7 +112,7 @@
 	for i := range monotime.Micros(400) {
 		busy.probing = false
 		b.sendProbe(14_000+i, busy)
-		b.HandleProbe(15_000+i, busy.ID, OK, 500, []float32{5})
+		reportLoad(b, 15_000+i, busy.ID, 5)
 	}
 	if b.reportsLate {
 		t.Error("not left again")
@@ -198,7 +197,7 @@
 	step := func() {
 		now += 20_000
 		for e := range uint32(3) {
-			b.HandleProbe(now, e+1, OK, 500, []float32{0})
+			reportLoad(b, now, e+1, 0)
 		}
 		id++
 		from := len(r.sends)
@@ -250,7 +249,7 @@
 // At a start only few endpoints have answered; they must not get everything.
 func TestFewAnswersDoNotTakeAll(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(8))
-	b.HandleProbe(1000, 3, OK, 500, []float32{0})
+	reportLoad(b, 1000, 3, 0)
 	for id := range uint64(24) {
 		b.HandleRequest(2000, newTestRequest(id, 0, 2000))
 	}
@@ -310,8 +309,7 @@
 		if wait := r.timeouts[id]; wait != 0 && wait < s.Classes[0].LatencyObjective/minTimeoutDivisor {
 			t.Fatalf("attempt %d is waited for %d us only", id, wait)
 		}
-		b.HandleOutcome(now+200, Outcome{ID: id, Endpoint: r.sends[id].endpoint, Status: OK, Latency: 200,
-			Answered: true})
+		succeed(b, now+200, id, r.sends[id].endpoint, 200)
 	}
 	if r.timeouts[2999] == 0 {
 		t.Error("attempts of a safe class are waited for without end")
@@ -323,8 +321,8 @@
 	s := testSettings()
 	s.Limits.Hedging = false
 	b, r := startBalancer(t, s, readyEndpoints(2))
-	b.HandleProbe(1000, 1, OK, 500, []float32{0})
-	b.HandleProbe(1000, 2, OK, 500, []float32{2})
+	reportLoad(b, 1000, 1, 0)
+	reportLoad(b, 1000, 2, 2)
 	b.HandleRequest(1000, newTestRequest(1, 0, 1000))
 	if r.sends[0].endpoint != 1 {
 		t.Fatal("not the idle endpoint")
@@ -336,9 +334,9 @@
 		if last.endpoint != 2 || last.id != 10+id {
 			t.Fatalf("request %d went to %d, silent for 0.3 s", last.id, last.endpoint)
 		}
-		b.HandleOutcome(now, Outcome{ID: last.id, Endpoint: 2, Status: OK, Latency: 900, Answered: true})
+		succeed(b, now, last.id, 2, 900)
 	}
-	b.HandleOutcome(310_000, Outcome{ID: 1, Endpoint: 1, Status: OK, Latency: 309_000, Answered: true})
+	succeed(b, 310_000, 1, 1, 309_000)
 	if got := b.predictLatency(310_000, b.endpointsByID[1], 1000); got > 100_000 {
 		t.Errorf("after its answer still %v expected", got)
 	}
@@ -352,18 +350,17 @@
 		for i := range n {
 			now := from + step*monotime.Micros(i)
 			id := uint64(now)
-			b.HandleProbe(now, 1, OK, 500, []float32{9}) // the others serve
+			reportLoad(b, now, 1, 9) // the others serve
 			b.HandleRequest(now, Request{ID: id, Deadline: now + second, WorkHint: 10_000, HasWorkHint: true})
 			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
 				continue // rejected
 			}
 			latency := monotime.Micros(times * b.requests[id].attempts[0].expectedLatency)
-			b.HandleOutcome(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK,
-				Latency: latency, Answered: true})
+			succeed(b, now, id, r.sends[len(r.sends)-1].endpoint, latency)
 		}
 	}
 	one := func(now monotime.Micros) float64 {
-		b.HandleProbe(now, 1, OK, 500, []float32{0})
+		reportLoad(b, now, 1, 0)
 		b.endpointsByID[1].serviceTimeRatio, b.endpointsByID[1].serviceTimeObservedAt = ewma{1, manySamples}, now
 		return b.predictLatency(now, b.endpointsByID[1], 10_000)
 	}
@@ -397,8 +394,7 @@
 			hint := 5_000 + hints.durationBelow(60_000)
 			b.HandleRequest(now, Request{ID: uint64(i), Deadline: now + second, WorkHint: hint, HasWorkHint: true})
 			if n := len(r.sends); n > 0 && r.sends[n-1].id == uint64(i) {
-				b.HandleOutcome(now, Outcome{ID: uint64(i), Endpoint: r.sends[n-1].endpoint, Status: OK,
-					Latency: c.latency(hint), Answered: true})
+				succeed(b, now, uint64(i), r.sends[n-1].endpoint, c.latency(hint))
 			}
 		}
 		if b.hintTrust < c.from || b.hintTrust > c.to {
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -22,7 +22,7 @@
 	}
 	probes := r.probes
 	for i, e := range probes {
-		b.HandleProbe(second+1000, e, OK, 500, []float32{float32(2 - i)})
+		reportLoad(b, second+1000, e, float32(2-i))
 	}
 	if len(r.sends) != 1 || r.sends[0].endpoint != probes[2] {
 		t.Errorf("sends %v, want one to %d, which answered the least", r.sends, probes[2])
@@ -62,7 +62,7 @@
 	b.HandleRequest(second, newTestRequest(1, 0, second))
 	b.HandleClientGone(second+1, 1)
 	for _, e := range r.probes {
-		b.HandleProbe(second+1000, e, OK, 500, []float32{1})
+		reportLoad(b, second+1000, e, 1)
 	}
 	if len(r.sends) != 0 || len(b.queued) != 0 || len(b.requests) != 0 {
 		t.Errorf("sends %v, queued %d", r.sends, len(b.queued))
@@ -81,7 +81,7 @@
 		for range 40 {
 			load += c.next
 			now += 50_000
-			b.HandleProbe(now, 1, OK, 500, []float32{load})
+			reportLoad(b, now, 1, load)
 		}
 		now += 5 * second
 		b.HandleRequest(now, newTestRequest(1, 0, now))
@@ -94,7 +94,7 @@
 // An old low answer must not win over what is known now.
 func TestReportsFadeToTypicalLoad(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(4))
-	b.HandleProbe(0, 1, OK, 500, []float32{0})
+	reportLoad(b, 0, 1, 0)
 	b.typicalLoad = ewma{value: 4, samples: manySamples}
 	e := b.endpointsByID[1]
 	if l := b.predictLoad(1, e); l > 0.1 {
@@ -227,8 +227,8 @@
 // At the start of a small fleet two answers are pooled before the others: they must not take all the traffic.
 func TestPoolOfFewDoesNotTakeAll(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(10))
-	b.HandleProbe(1000, 1, OK, 500, []float32{1})
-	b.HandleProbe(1000, 2, OK, 500, []float32{1})
+	reportLoad(b, 1000, 1, 1)
+	reportLoad(b, 1000, 2, 1)
 	few := 0
 	for id := range uint64(12) {
 		b.HandleRequest(2000, newTestRequest(id, 0, 2000))
@@ -249,12 +249,12 @@
 	for range 400 {
 		r.timers, r.delays = nil, nil
 		load++
-		b.HandleProbe(now, 1, OK, 500, []float32{load})
+		reportLoad(b, now, 1, load)
 		now += 10 * second
 		for i, token := range r.timers {
 			if token == tokenRecheck {
 				load++
-				b.HandleProbe(now-10*second+r.delays[i]+5000, 1, OK, 500, []float32{load})
+				reportLoad(b, now-10*second+r.delays[i]+5000, 1, load)
 			}
 		}
 	}
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -19,7 +19,7 @@
 		if id <= 3 {
 			load = 1e9
 		}
-		b.HandleProbe(now, id, OK, 500, []float32{load})
+		reportLoad(b, now, id, load)
 	}
 	if b.typicalLoad.value > 8 {
 		t.Errorf("others hold 2, three of twelve report 1e9: %.1f is taken for typical", b.typicalLoad.value)
@@ -31,7 +31,7 @@
 	// What is true of all is followed.
 	for round := range 200 {
 		now += 5000
-		b.HandleProbe(now, uint32(round%12)+1, OK, 500, []float32{40})
+		reportLoad(b, now, uint32(round%12)+1, 40)
 	}
 	if b.typicalLoad.value < 38 {
 		t.Errorf("all hold 40, %.1f is taken for typical", b.typicalLoad.value)
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -6,105 +6,121 @@
 	"dunlinsail/internal/monotime"
 )
 
-// errs has each attempt of a request answered with an error until there is none left, and returns their
-// number.
-func errs(b *Balancer, r *recorder, id uint64) int {
-	first := len(r.sends)
-	for i := first - 1; i < len(r.sends); i++ {
-		b.HandleOutcome(1000, Outcome{ID: id, Attempt: i - first + 1, Endpoint: r.sends[i].endpoint, Status: Error,
-			Latency: 100})
+// failAllAttempts ends each attempt of a request with an error until there is none left, and returns their number.
+// The request was sent last.
+func failAllAttempts(b *Balancer, r *recorder, now monotime.Micros, id uint64) int {
+	first := len(r.sends) - 1
+	for i := first; i < len(r.sends); i++ {
+		failAttempt(b, now, id, i-first, r.sends[i].endpoint)
 	}
-	return len(r.sends) - first + 1
+	return len(r.sends) - first
 }
 
 // A request's own limit of attempts holds within that of the settings.
 func TestMaxAttemptsOfRequest(t *testing.T) {
-	for tries, want := range map[int]int{0: 3, 1: 1, 2: 2, 9: 3} {
+	for maxAttempts, want := range map[int]int{0: 3, 1: 1, 2: 2, 9: 3} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(8))
 		in := newTestRequest(1, 0, 0)
-		in.MaxAttempts = tries
+		in.MaxAttempts = maxAttempts
 		b.HandleRequest(0, in)
-		if n := errs(b, r, 1); n != want {
-			t.Errorf("%d tries with a bound of %d, want %d", n, tries, want)
+		if got := failAllAttempts(b, r, 1000, 1); got != want {
+			t.Errorf("%d attempts with a limit of %d, want %d", got, maxAttempts, want)
 		}
 	}
 }
 
-// Further tries are a share of the requests, and what was saved up before.
+// Retries are limited to a ratio of the requests, and the credit that was saved before.
 func TestRetryRatio(t *testing.T) {
 	const requests = 200
-	for _, share := range []float64{0, 0.05, 1} {
+	for _, ratio := range []float64{0, 0.05, 1} {
 		s := testSettings()
-		s.RetryRatio = share
-		if share == 0 {
-			share = DefaultRetryRatio
+		s.RetryRatio = ratio
+		if ratio == 0 {
+			ratio = DefaultRetryRatio
 		}
-		b, r := startBalancer(t, s, readyEndpoints(200)) // so many that no breaker comes before it
+		b, r := startBalancer(t, s, readyEndpoints(200)) // so many that no breaker rejects
 		for id := uint64(1); id <= requests; id++ {
 			b.HandleRequest(0, newTestRequest(id, 0, 0))
-			errs(b, r, id)
+			failAllAttempts(b, r, 1000, id)
 		}
-		most := retryBurst + share*requests
-		if more := float64(len(r.sends) - requests); more > most || more < 0.5*min(most, 2*requests) {
-			t.Errorf("%v retries of %d requests with a ratio of %v", more, requests, share)
+		limit := retryBurst + ratio*requests
+		if retries := float64(len(r.sends) - requests); retries > limit || retries < 0.5*min(limit, 2*requests) {
+			t.Errorf("%v retries of %d requests with a ratio of %v", retries, requests, ratio)
 		}
 	}
 }
 
-// A budget that saves nothing up holds from the first request on and over any second in which requests come
-// evenly, after a quiet minute too. A quiet balancer has the least that is stated, and no more.
+// A budget with a window saves nothing up: it holds from the first request on and over any second in which requests
+// come evenly, also after a quiet minute. A quiet balancer has the minimum rate, and no more.
 func TestRetryRatioOverAWindow(t *testing.T) {
 	for _, c := range []struct {
-		rate, share, least float64
-		least1, most1      float64 // retries in any second
-	}{{1000, 0.1, 0, 70, 100}, {1000, 0.1, 20, 70, 100}, {20, 0.1, 0, 1, 2}, {2, 0.1, 1, 1, 1}, {2, 0.1, 0, 0, 0}, {2,
-		0.1, 3, 2, 3}} {
+		requestRate, ratio, minRate float64
+		minRetries, maxRetries      int // in the second that has most
+	}{
+		{1000, 0.1, 0, 70, 100},
+		{1000, 0.1, 20, 70, 100},
+		{20, 0.1, 0, 1, 2},
+		{2, 0.1, 1, 1, 1},
+		{2, 0.1, 0, 0, 0},
+		{2, 0.1, 3, 2, 3},
+	} {
 		s := testSettings()
-		s.RetryRatio, s.MinRetryRate, s.RetryWindow = c.share, c.least, second
-		b, r := startBalancer(t, s, readyEndpoints(200))
-		var again []monotime.Micros
-		id := uint64(0)
-		for _, from := range []monotime.Micros{0, 60 * second} {
-			for now := from; now < from+5*second; now += monotime.Micros(float64(second) / c.rate) {
-				id++
-				n := len(r.sends)
-				b.HandleRequest(now, newTestRequest(id, 0, now))
-				for i := n; i < len(r.sends); i++ {
-					if i > n {
-						again = append(again, now)
-					}
-					b.HandleOutcome(now, Outcome{ID: id, Attempt: i - n, Endpoint: r.sends[i].endpoint, Status: Error,
-						Latency: 100})
-				}
-			}
+		s.RetryRatio = c.ratio
+		s.MinRetryRate = c.minRate
+		s.RetryWindow = second
+		retries := retryTimes(t, s, c.requestRate)
+		if got := maxInOneSecond(retries); got > c.maxRetries || got < c.minRetries {
+			t.Errorf("%+v: %d retries in the worst second", c, got)
 		}
-		most, from := 0, 0
-		for i, at := range again {
-			for again[from] <= at-second {
-				from++
+	}
+}
+
+// retryTimes fails all attempts of the requests of five seconds, twice with a minute between, and returns the
+// instants of the retries.
+func retryTimes(t *testing.T, s Settings, requestRate float64) []monotime.Micros {
+	t.Helper()
+	b, r := startBalancer(t, s, readyEndpoints(200))
+	var retries []monotime.Micros
+	id := uint64(0)
+	for _, from := range []monotime.Micros{0, 60 * second} {
+		for now := from; now < from+5*second; now += monotime.Micros(float64(second) / requestRate) {
+			id++
+			b.HandleRequest(now, newTestRequest(id, 0, now))
+			for range failAllAttempts(b, r, now, id) - 1 {
+				retries = append(retries, now)
 			}
-			most = max(most, i-from+1)
 		}
-		if float64(most) > c.most1 || float64(most) < c.least1 {
-			t.Errorf("%+v: %d retries in the worst second", c, most)
+	}
+	return retries
+}
+
+// maxInOneSecond returns how many of the instants, which are in order, lie within one second at most.
+func maxInOneSecond(instants []monotime.Micros) int {
+	greatest := 0
+	from := 0
+	for i, at := range instants {
+		for instants[from] <= at-second {
+			from++
 		}
+		greatest = max(greatest, i-from+1)
 	}
+	return greatest
 }
 
-// With Strict a keyed request that may have run is never rejected.
+// With StrictIdempotencyKeys a request with an idempotency key that may have run is never rejected.
 func TestStrictIdempotencyKeys(t *testing.T) {
 	for _, strict := range []bool{false, true} {
 		s := testSettings()
 		s.StrictIdempotencyKeys = strict
 		b, r := startBalancer(t, s, readyEndpoints(8))
 		b.HandleRequest(0, newTestRequest(1, 1, 0))
-		errs(b, r, 1)
+		failAllAttempts(b, r, 1000, 1)
 		if strict != (len(r.failed) == 1) || strict == (len(r.rejected) == 1) {
 			t.Errorf("strict %v: rejected %v, failed %v", strict, r.rejected, r.failed)
 		}
-		b.HandleRequest(0, Request{ID: 2, Class: 1, Deadline: 0}) // never sent: rejected all the same
+		b.HandleRequest(0, Request{ID: 2, Class: 1, Deadline: 0}) // never sent, and therefore rejected
 		if len(r.rejected) == 0 || r.rejected[len(r.rejected)-1] != 2 {
-			t.Errorf("strict %v: what was never sent is not rejected", strict)
+			t.Errorf("strict %v: a request that was never sent is not rejected", strict)
 		}
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -405,7 +405,7 @@
 	if len(r.failed) != 1 || len(r.cancels) != 1 {
 		t.Fatalf("failed %v, cancelled %v", r.failed, r.cancels)
 	}
-	b.HandleOutcome(2*second, Outcome{ID: 1, Endpoint: 1, Status: OK, Latency: second, Answered: true})
+	succeed(b, 2*second, 1, 1, second)
 	if b.endpoints[0].breaker.accepts != 1 || b.endpoints[0].inflight != 0 || len(b.requests) != 0 {
 		t.Error("a late outcome must still feed the statistics")
 	}
@@ -442,14 +442,13 @@
 	run := func(from, to monotime.Micros) {
 		for now := from; now < to; now += second / monotime.Micros(rate) {
 			for e := range uint32(12) {
-				b.HandleProbe(now, e+1, OK, 500, []float32{0})
+				reportLoad(b, now, e+1, 0)
 			}
 			id++
 			b.HandleRequest(now, newTestRequest(id, 0, now))
 			for ; seen < len(r.sends); seen++ {
 				counts[r.sends[seen].endpoint]++
-				b.HandleOutcome(now, Outcome{ID: r.sends[seen].id, Endpoint: r.sends[seen].endpoint, Status: OK,
-					Latency: 30_000, Answered: true})
+				succeed(b, now, r.sends[seen].id, r.sends[seen].endpoint, 30_000)
 			}
 		}
 	}
@@ -488,7 +487,7 @@
 		now := second + monotime.Micros(i)*10_000
 		b.HandleRequest(now, newTestRequest(i, 0, now))
 		if n := len(r.sends); n > 0 && b.requests[i] != nil {
-			b.HandleOutcome(now, Outcome{ID: i, Endpoint: 1, Status: OK, Latency: 10_000, Answered: true})
+			succeed(b, now, i, 1, 10_000)
 		}
 	}
 	if n := len(r.sends); n < 20 || n > 250 {
@@ -545,8 +544,7 @@
 	if len(r.sends) != 1 || len(r.rejected)+len(r.failed) != 0 {
 		t.Error("a stream that began was given an end or a copy")
 	}
-	b.HandleOutcome(3*second, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 3 * second,
-		Answered: true})
+	succeed(b, 3*second, 1, r.sends[0].endpoint, 3*second)
 	if len(b.requests) != 0 {
 		t.Error("record kept")
 	}
@@ -560,7 +558,7 @@
 			b.HandleRequest(now, newTestRequest(i, uint8(i%5), now))
 			if i%3 == 0 {
 				b.HandleTimer(now, tokenProbe)
-				b.HandleProbe(now, uint32(i%5+1), OK, 500, []float32{float32(i % 4)})
+				reportLoad(b, now, uint32(i%5+1), float32(i%4))
 			}
 			last := r.sends[len(r.sends)-1]
 			b.HandleOutcome(now, Outcome{ID: last.id, Endpoint: last.endpoint, Status: Status(i % 7), Latency: 3000})
@@ -579,7 +577,7 @@
 		id++
 		r.sends, r.timers, r.delays = r.sends[:0], r.timers[:0], r.delays[:0]
 		b.HandleRequest(1000, newTestRequest(id, 0, 1000))
-		b.HandleOutcome(2000, Outcome{ID: id, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 1000, Answered: true})
+		succeed(b, 2000, id, r.sends[0].endpoint, 1000)
 	}
 	for range 100 {
 		once()
@@ -601,10 +599,10 @@
 // Staff must learn why requests are rejected, in one line a second and not in thousands.
 func TestRejectionsAreLoggedOncePerSecond(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
-	b.HandleProbe(1000, 1, OK, 500, []float32{50})
+	reportLoad(b, 1000, 1, 50)
 	for id := range uint64(200) {
 		now := second + 5000*monotime.Micros(id)
-		b.HandleProbe(now, 1, OK, 500, []float32{50})
+		reportLoad(b, now, 1, 50)
 		b.HandleRequest(now, newTestRequest(id, 0, now))
 	}
 	if len(r.rejected) < 150 {
