--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -79,6 +79,18 @@
 	return r.sends[len(r.sends)-1]
 }
 
+// nextTimer returns the instant of the latest timer of a token, which was set now.
+func (r *recorder) nextTimer(t *testing.T, now monotime.Micros, token uint32) monotime.Micros {
+	t.Helper()
+	for i := len(r.timers) - 1; i >= 0; i-- {
+		if r.timers[i] == token {
+			return now + r.delays[i]
+		}
+	}
+	t.Fatalf("no timer of token %d", token)
+	return 0
+}
+
 // sendsByEndpoint counts the attempts at each endpoint.
 func (r *recorder) sendsByEndpoint() map[uint32]int {
 	counts := map[uint32]int{}
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -19,7 +19,7 @@
 	for id := range uint64(4) {
 		b.HandleRequest(2000, newTestRequest(id, 0, 2000))
 	}
-	// Endpoint 2 stays least until it holds as many as endpoint 1 reported.
+	// Endpoint 2 has the least load until it holds as many requests as endpoint 1 reported.
 	for i, s := range r.sends {
 		if s.endpoint != 2 {
 			t.Errorf("send %d went to %d", i, s.endpoint)
@@ -33,9 +33,9 @@
 	}
 }
 
-// In a large fleet all balancers learn of the same idle endpoint: none may fill it alone.
+// In a large fleet all balancers receive a report of the same idle endpoint. None may fill it alone.
 func TestOneLowAnswerDrawsNoHerd(t *testing.T) {
-	for _, c := range []struct{ balancers, most int }{{1, 5}, {3, 3}, {15, 2}} {
+	for _, c := range []struct{ balancers, maxSends int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
 		s.Balancers = c.balancers
 		b, r := startBalancer(t, s, readyEndpoints(4))
@@ -45,15 +45,10 @@
 		for id := range uint64(8) {
 			b.HandleRequest(2000, Request{ID: id, Deadline: second, WorkHint: 10_000, HasWorkHint: true})
 		}
-		n := 0
-		for _, at := range r.sends {
-			if at.endpoint == 1 {
-				n++
-			}
-		}
-		if len(r.sends) != 8 || n == 0 || n > c.most {
+		n := r.sendsByEndpoint()[1]
+		if len(r.sends) != 8 || n == 0 || n > c.maxSends {
 			t.Errorf("%d balancers: %d of %d sends to the idle endpoint, want 1 to %d",
-				c.balancers, n, len(r.sends), c.most)
+				c.balancers, n, len(r.sends), c.maxSends)
 		}
 	}
 }
@@ -70,7 +65,7 @@
 		seen[r.sends[len(r.sends)-1].endpoint] = true
 	}
 	if len(seen) != 2 {
-		t.Error("an answer beyond its age still decides: two random draws expected")
+		t.Error("a report beyond its lifetime still decides: two random draws expected")
 	}
 }
 
@@ -90,8 +85,7 @@
 	}
 }
 
-// Reports that count fewer than this balancer has there itself are late; they
-// must not steer picks.
+// Reports of fewer requests than this balancer has in flight there are late. They must not decide picks.
 func TestLateReportsAreDetected(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(2))
 	for id := range uint64(3) {
@@ -104,7 +98,7 @@
 		reportLoad(b, 13_000+i, busy.ID, 0)
 	}
 	if !b.reportsLate {
-		t.Fatal("not found out")
+		t.Fatal("late reports are not detected")
 	}
 	if got := b.predictLoad(15_000, busy); got < float64(busy.inflight) {
 		t.Errorf("load %v is under own in-flight %d", got, busy.inflight)
@@ -115,11 +109,11 @@
 		reportLoad(b, 15_000+i, busy.ID, 5)
 	}
 	if b.reportsLate {
-		t.Error("not left again")
+		t.Error("reports still count as late")
 	}
 }
 
-// A wrong guess of a class's work must not reject that class for ever.
+// A wrong estimate of a class's work must not reject that class for ever.
 func TestLatencyRejectionAdmitsOnePerInterval(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	b.classes[0].meanWork.value = float64(100 * second)
@@ -128,100 +122,96 @@
 		b.HandleRequest(now, newTestRequest(i, 0, now))
 	}
 	if n := len(r.sends); n < 2 || n > 4 {
-		t.Errorf("%d of 30 sent in three seconds, about one a second wanted", n)
+		t.Errorf("%d of 30 sent in three seconds, want about one per second", n)
 	}
 	if len(r.rejected) != 30-len(r.sends) {
 		t.Errorf("%d rejected, %d sent", len(r.rejected), len(r.sends))
 	}
 }
 
-// Where no report has the load, only answers show that congestion is over. While a hundred a second are
-// rejected, one that passes each second would leave a balancer rejecting for minutes what all endpoints could
-// serve.
+// Where no report has the load, only answers show that congestion is over. With a hundred requests per second, one
+// forced admission per second would leave a balancer rejecting for minutes what all endpoints could serve.
 func TestRejectionEndsSoonAfterCongestion(t *testing.T) {
-	for name, s := range map[string]func(*Settings){
+	for name, change := range map[string]func(*Settings){
 		"no probes":  func(s *Settings) { s.Limits.Probes = false },
 		"no reports": func(s *Settings) { s.LoadMetrics = nil },
 	} {
-		set := testSettings()
-		set.Limits.Cancel = false
-		s(&set)
-		b, out := startBalancer(t, set, readyEndpoints(8))
-		type due struct {
-			at   monotime.Micros
-			id   uint64
-			took monotime.Micros
+		s := testSettings()
+		s.Limits.Cancel = false
+		change(&s)
+		during, after := rejectedAroundCongestion(t, s)
+		if during < 100 {
+			t.Errorf("%s: %d rejected in 5 s of congestion, the test shows nothing", name, during)
 		}
-		var owed []due
-		rejected := map[bool]int{} // while congested, and from 5 s after that on
-		const jam, calm, end = 10 * second, 15 * second, 25 * second
-		id := uint64(0)
-		for now := monotime.Micros(0); now < end; now += 10_000 {
-			for len(owed) > 0 && owed[0].at <= now {
-				b.HandleOutcome(now, Outcome{ID: owed[0].id, Status: OK, Latency: owed[0].took, Answered: true})
-				owed = owed[1:]
-			}
-			id++
-			sends, no := len(out.sends), len(out.rejected)
-			b.HandleRequest(now, newTestRequest(id, 0, now))
-			if took := monotime.Micros(50_000); len(out.sends) > sends {
-				if now > 5*second && now < jam {
-					took = 900_000
-				}
-				owed = append(owed, due{now + took, id, took})
-				slices.SortFunc(owed, func(a, b due) int { return cmp.Compare(a.at, b.at) })
-			}
-			if len(out.rejected) > no {
-				switch {
-				case now < jam:
-					rejected[true]++
-				case now >= calm:
-					rejected[false]++
-				}
-			}
+		if after > 50 {
+			t.Errorf("%s: %d of 1000 rejected from 5 s after the congestion on", name, after)
 		}
-		if rejected[true] < 100 {
-			t.Errorf("%s: %d rejected in 5 s of congestion, the test shows nothing", name, rejected[true])
+	}
+}
+
+// rejectedAroundCongestion sends a hundred requests per second, of which those of the seconds 5 to 10 are answered
+// after their objective. It returns how many were rejected until then, and how many from second 15 to 25.
+func rejectedAroundCongestion(t *testing.T, s Settings) (during, after int) {
+	t.Helper()
+	type answer struct {
+		at      monotime.Micros
+		id      uint64
+		latency monotime.Micros
+	}
+	b, r := startBalancer(t, s, readyEndpoints(8))
+	var pending []answer // in the order of their instants
+	id := uint64(0)
+	for now := monotime.Micros(0); now < 25*second; now += 10_000 {
+		for len(pending) > 0 && pending[0].at <= now {
+			succeed(b, now, pending[0].id, 0, pending[0].latency)
+			pending = pending[1:]
 		}
-		if rejected[false] > 50 {
-			t.Errorf("%s: %d of 1000 rejected from 5 s after the congestion on", name, rejected[false])
+		id++
+		sends := len(r.sends)
+		rejected := len(r.rejected)
+		b.HandleRequest(now, newTestRequest(id, 0, now))
+		if len(r.sends) > sends {
+			latency := monotime.Micros(50_000)
+			if now > 5*second && now < 10*second {
+				latency = 900_000
+			}
+			pending = append(pending, answer{now + latency, id, latency})
+			slices.SortFunc(pending, func(x, y answer) int { return cmp.Compare(x.at, y.at) })
+		}
+		if now < 10*second {
+			during += len(r.rejected) - rejected
+		} else if now >= 15*second {
+			after += len(r.rejected) - rejected
 		}
 	}
+	return during, after
 }
 
 func TestFailingEndpointIsEjectedAndReadmitted(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(3))
 	now := second
-	sends := map[uint32]int{}
-	id := uint64(0)
-	step := func() {
+	for id := range uint64(3000) {
 		now += 20_000
 		for e := range uint32(3) {
 			reportLoad(b, now, e+1, 0)
 		}
-		id++
-		from := len(r.sends)
-		b.HandleRequest(now, newTestRequest(id, 0, now))
-		for n := 0; from < len(r.sends); n++ {
-			to := r.sends[from].endpoint
-			from++
-			sends[to]++
+		first := len(r.sends)
+		b.HandleRequest(now, newTestRequest(id+1, 0, now))
+		for i := first; i < len(r.sends); i++ {
 			status := OK
-			if to == 1 {
+			if r.sends[i].endpoint == 1 {
 				status = Error
 			}
-			b.HandleOutcome(now, Outcome{ID: id, Attempt: n, Endpoint: to, Status: status,
-				Latency: 30_000 + monotime.Micros(id*7919%60_000), Answered: status == OK})
+			b.HandleOutcome(now, Outcome{ID: id + 1, Attempt: i - first, Endpoint: r.sends[i].endpoint, Status: status,
+				Latency: 30_000 + monotime.Micros((id+1)*7919%60_000), Answered: status == OK})
 		}
 	}
-	for range 3000 {
-		step()
-	}
-	if sends[1] > 300 {
-		t.Errorf("a fast failing endpoint got %d of 3000", sends[1])
+	sends := r.sendsByEndpoint()[1]
+	if sends > 300 {
+		t.Errorf("a fast failing endpoint got %d of 3000", sends)
 	}
-	if sends[1] < 2 {
-		t.Errorf("a failing endpoint is never tried again: %d sends", sends[1])
+	if sends < 2 {
+		t.Errorf("a failing endpoint gets no trial: %d sends", sends)
 	}
 }
 
@@ -236,34 +226,32 @@
 			b.tenantRates[1].add(i*1000, 1)
 		}
 	}
-	over, within := &request{Request: Request{Tenant: 0}}, &request{Request: Request{Tenant: 1}}
+	over := &request{Request: Request{Tenant: 0}}
+	within := &request{Request: Request{Tenant: 1}}
 	b.rejectedRatio.value = 0.5
 	if o, w := b.tenantWeight(100_000, over), b.tenantWeight(100_000, within); w != 1 || o > 0.6 {
-		t.Errorf("weights %v over, %v within the share", o, w)
+		t.Errorf("weights %v over, %v within the quota", o, w)
 	}
 	if got := b.tenantWeight(100_000, &request{Request: Request{Tenant: 9}}); got != 1 {
 		t.Errorf("unknown tenant: %v", got)
 	}
 }
 
-// At a start only few endpoints have answered; they must not get everything.
+// At a start only few endpoints have a load report. They must not get all requests.
 func TestFewAnswersDoNotTakeAll(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(8))
 	reportLoad(b, 1000, 3, 0)
 	for id := range uint64(24) {
 		b.HandleRequest(2000, newTestRequest(id, 0, 2000))
 	}
-	seen := map[uint32]int{}
-	for _, s := range r.sends {
-		seen[s.endpoint]++
-	}
+	seen := r.sendsByEndpoint()
 	if len(r.sends) != 24 || len(seen) < 4 || seen[3] > 12 {
 		t.Errorf("%d sends, by endpoint %v", len(r.sends), seen)
 	}
 }
 
-// While reports are late, averages decide; they must not reject what an
-// endpoint that they cannot show would serve.
+// While reports are late, averages decide. They must not reject what the least loaded endpoint, which they do not show,
+// would serve.
 func TestLateReportsAllowTheFullObjective(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(1))
 	r := &request{Request: newTestRequest(1, 0, 0), work: 50_000}
@@ -276,8 +264,8 @@
 	}
 }
 
-// What a warming endpoint can do grows with its capacity fraction, and so must what is
-// expected of it, also once its service time ratio has been learned.
+// The expected service time of a warming endpoint falls as its capacity grows, also once its service time ratio has
+// been learned.
 func TestWarmingEndpointIsExpectedToBeSlow(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.UpdateEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
@@ -285,7 +273,8 @@
 	if got := e.currentServiceTimeRatio(1000, b); !near(got, 5) { // capacity fraction 0.2
 		t.Errorf("service time ratio %v just started", got)
 	}
-	e.serviceTimeRatio, e.serviceTimeObservedAt = ewma{value: 2, samples: manySamples}, 6*second
+	e.serviceTimeRatio = ewma{value: 2, samples: manySamples}
+	e.serviceTimeObservedAt = 6 * second
 	if got := e.currentServiceTimeRatio(6*second, b); got < 2.9 || got > 3 { // capacity fraction 0.68
 		t.Errorf("service time ratio %v half way", got)
 	}
@@ -294,8 +283,8 @@
 	}
 }
 
-// An endpoint that answers in a fraction of a millisecond must not be left for a silence of a few: nobody's
-// clock tells so little, and an attempt given less time than it takes to write it is never made.
+// An endpoint that answers in a fraction of a millisecond must not be given up after a silence of a few: clocks are not
+// that precise, and an attempt with a timeout shorter than its write is never made.
 func TestFastEndpointsMayHaveQueues(t *testing.T) {
 	s := testSettings()
 	s.Limits.Probes = false
@@ -307,16 +296,16 @@
 			t.Fatalf("request %d was not sent", id)
 		}
 		if wait := r.timeouts[id]; wait != 0 && wait < s.Classes[0].LatencyObjective/minTimeoutDivisor {
-			t.Fatalf("attempt %d is waited for %d us only", id, wait)
+			t.Fatalf("attempt %d has a timeout of %d us only", id, wait)
 		}
 		succeed(b, now+200, id, r.sends[id].endpoint, 200)
 	}
 	if r.timeouts[2999] == 0 {
-		t.Error("attempts of a safe class are waited for without end")
+		t.Error("attempts of an idempotent class have no timeout")
 	}
 }
 
-// A stuck endpoint must not look idle while its answers are merely missing.
+// An endpoint that is stuck must not look idle because its answers are missing.
 func TestSilentEndpointIsAvoidedBeforeAveragesShowIt(t *testing.T) {
 	s := testSettings()
 	s.Limits.Hedging = false
@@ -342,8 +331,8 @@
 	}
 }
 
-// When the whole fleet turns slow, an endpoint known as fast must be expected to be slow, too, and
-// must be trusted again soon after the recovery.
+// When the whole fleet becomes slow, an endpoint that was fast is expected to be slow as well, and to be fast again
+// soon after the recovery.
 func TestFleetWideSlowdownIsLearnedAtOnce(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 	serve := func(from, step monotime.Micros, n int, times float64) {
@@ -359,25 +348,26 @@
 			succeed(b, now, id, r.sends[len(r.sends)-1].endpoint, latency)
 		}
 	}
-	one := func(now monotime.Micros) float64 {
+	expectedAtFast := func(now monotime.Micros) float64 {
 		reportLoad(b, now, 1, 0)
-		b.endpointsByID[1].serviceTimeRatio, b.endpointsByID[1].serviceTimeObservedAt = ewma{1, manySamples}, now
+		b.endpointsByID[1].serviceTimeRatio = ewma{1, manySamples}
+		b.endpointsByID[1].serviceTimeObservedAt = now
 		return b.predictLatency(now, b.endpointsByID[1], 10_000)
 	}
 	serve(0, 1000, 50, 1)
-	before := one(60_000)
+	before := expectedAtFast(60_000)
 	serve(100_000, 1000, 15, 4)
-	if slow := one(120_000); slow < 2*before {
+	if slow := expectedAtFast(120_000); slow < 2*before {
 		t.Errorf("expected %v before, %v after 15 outcomes of four times the prediction", before, slow)
 	}
-	// While all is rejected only the forced passes, one a second, tell of the recovery.
+	// While all requests are rejected, only forced admissions, one per second, show the recovery.
 	serve(200_000, second/2, 80, 0.5)
-	if after := one(41 * second); after > 1.2*before {
+	if after := expectedAtFast(41 * second); after > 1.2*before {
 		t.Errorf("expected %v before, %v after the recovery", before, after)
 	}
 }
 
-// A hint must count for as much as it predicts, or idle endpoints get no requests that only seem large.
+// A hint counts as far as it predicts the work. Else requests that only seem large are rejected at idle endpoints.
 func TestHintTrustIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -403,21 +393,24 @@
 	}
 }
 
-// A balancer that rejects everything must still learn when it may stop, and one that rejects nothing needs
-// few probes.
+// A balancer that rejects all requests must notice when it may stop, and one that rejects none needs few probes.
 func TestProbesContinueWhileAllIsRejected(t *testing.T) {
 	s := testSettings()
-	s.Prices.Probe = probeBudget // one probe a request
+	s.Prices.Probe = probeBudget // one probe per request
 	b, _ := startBalancer(t, s, readyEndpoints(4))
 	for i := range 1000 {
 		b.requestRate.add(5000*monotime.Micros(i), 1)
 	}
 	now := 5 * second
 	all := b.requestRate.rate(now)
-	for _, c := range []struct{ rejected, want float64 }{{0, calmProbeShare},
+	for _, c := range []struct{ rejected, want float64 }{
+		{0, calmProbeShare},
 		{fullProbeRejectedRatio / 2, (1 - fullProbeRejectedRatio/2) * (1 + calmProbeShare) / 2},
-		{fullProbeRejectedRatio, 1 - fullProbeRejectedRatio}, {0.5, 0.5}, {0.9, minFirstAttemptRatio}, {1,
-			minFirstAttemptRatio}} {
+		{fullProbeRejectedRatio, 1 - fullProbeRejectedRatio},
+		{0.5, 0.5},
+		{0.9, minFirstAttemptRatio},
+		{1, minFirstAttemptRatio},
+	} {
 		b.rejectedRatio.value = c.rejected
 		if got := b.probeRate(now) / all; math.Abs(got-c.want) > 0.001 {
 			t.Errorf("rejected %v: %v of the probe rate, want %v", c.rejected, got, c.want)
