--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -7,6 +7,7 @@
 	"dunlinsail/internal/monotime"
 )
 
+// near reports whether two results are equal but for rounding.
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
 func TestErrorRejectChance(t *testing.T) {
@@ -20,12 +21,12 @@
 		{"empty", 0, 0, 0, 1, 0},
 		{"within protection", 0, 5, 0, 1, 0},
 		{"one beyond protection", 0, 6, 0, 1, 1.0 / 7},
-		// 30 requests, 10 accepts in the newest bucket: K stays 1.5.
+		// 30 requests, 10 accepts in the newest bucket: the accept weight stays 1.5.
 		{"two thirds fail", 10, 20, 0, 1, (30.0 - 5 - 15) / 31},
 		{"rejections count as requests", 10, 0, 20, 1, (30.0 - 5 - 15) / 31},
 		{"all accepted", 40, 0, 0, 1, 0},
-		// 20 failing buckets after the accepts: K = 1.5 - 0.4*20/40 = 1.3.
-		{"K eases", 10, 20, 0, 20, (30.0 - 5 - 13) / 31},
+		// 20 failing buckets after the accepts: the weight is 1.5 - 0.4*20/40 = 1.3.
+		{"weight falls", 10, 20, 0, 20, (30.0 - 5 - 13) / 31},
 	} {
 		var k breaker
 		now := 100 * second
@@ -112,7 +113,7 @@
 	}
 	r := &request{}
 	if !b.breakerAllows(now, r, e) {
-		t.Fatal("the first is passed by force")
+		t.Fatal("the first attempt does not pass")
 	}
 	passed := 0
 	for range 200 {
@@ -128,27 +129,25 @@
 	}
 }
 
-// When all endpoints fail at once, ejection must not leave the few last ones with everything.
+// When all endpoints fail at once, ejection must not leave all requests to the last few.
 func TestNoMoreThanHalfAreEjected(t *testing.T) {
-	for _, c := range []struct{ endpoints, most int }{{1, 0}, {2, 1}, {3, 1}, {4, 2}, {9, 4}} {
+	for _, c := range []struct{ endpoints, maxEjected int }{{1, 0}, {2, 1}, {3, 1}, {4, 2}, {9, 4}} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(c.endpoints))
 		worst := 0
 		for id := range uint64(200) {
 			now := 1000 + 100*monotime.Micros(id)
 			b.HandleRequest(now, Request{ID: id, Class: 4, Deadline: now + second})
-			if n := len(r.sends); n > 0 && r.sends[n-1].id == id {
-				b.HandleOutcome(now, Outcome{ID: id, Endpoint: r.sends[n-1].endpoint, Status: Error, Latency: 50})
+			if last := r.lastSend(); len(r.sends) > 0 && last.id == id {
+				failAttempt(b, now, id, 0, last.endpoint)
 			}
-			out := 0
+			ejected := 0
 			for _, e := range b.endpoints {
-				if now < e.outliers[allTraffic].ejectedUntil {
-					out++
-				}
+				ejected += int(indicator(e.isEjected(now)))
 			}
-			worst = max(worst, out)
+			worst = max(worst, ejected)
 		}
-		if worst != c.most {
-			t.Errorf("%d endpoints, all failing: %d ejected at once, want %d", c.endpoints, worst, c.most)
+		if worst != c.maxEjected {
+			t.Errorf("%d endpoints, all failing: %d ejected at once, want %d", c.endpoints, worst, c.maxEjected)
 		}
 	}
 }
--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An endpoint whose cordon ends counts as restarted: it gets no more than a warming one may, also where the
-// list still has its old start time, and nothing that was learned of the earlier process is used.
+// An endpoint whose cordon ends counts as restarted. It gets no more than a warming one may, also where the list still
+// has its old start time, and nothing that was learned before is used.
 func TestUncordonedEndpointWarmsUp(t *testing.T) {
 	s := testSettings()
 	b, r := startBalancer(t, s, readyEndpoints(4))
@@ -24,9 +24,9 @@
 			e.capacityFraction(now, b), b.ShouldAvoid(now, 1), e.outliers[allTraffic].consecutiveFailures)
 	}
 	if later := now + s.Contract.WarmupTime; e.warmingUp(later, b) {
-		t.Error("it warms up for ever")
+		t.Error("its warm-up does not end")
 	}
-	// Three of the four are cordoned: all goes to the one, and none is left for a second attempt.
+	// Three of the four are cordoned: all requests go to the fourth, and there is no endpoint for a second attempt.
 	for id := range uint32(3) {
 		b.SetCordon(now, id+2, true)
 	}
@@ -41,7 +41,7 @@
 	if len(r.sends) > 10 || len(r.rejected) < 30 {
 		t.Errorf("%d sent at once to the warming one, %d rejected", len(r.sends), len(r.rejected))
 	}
-	// All are cordoned: there is no exception.
+	// All are cordoned, without exception.
 	b.SetCordon(now, 1, true)
 	before := len(r.sends)
 	b.HandleRequest(now, newTestRequest(200, 4, 1000))
--- a/balancer/decisions_test.go
+++ b/balancer/decisions_test.go
@@ -30,14 +30,14 @@
 	second                      = 1_000 * millisecond
 )
 
-// simEndpoint is an endpoint of a run, and what is wrong with it.
+// simEndpoint is an endpoint of a run, with its faults.
 type simEndpoint struct {
 	balancer.Endpoint
-	slowness   float64
-	background float64 // requests of other balancers
+	slowness   float64 // factor of the service time
+	background float64 // requests of other balancers in flight
 	inflight   int
-	report     []float32 // the latest one, where reports are made anew only now and then
-	reportAt   monotime.Micros
+	report     []float32       // the latest one, which is repeated for runOptions.staleFor
+	reportAt   monotime.Micros // instant at which it was made
 
 	failing, full, unreachable, silent, nonsense bool
 }
@@ -76,16 +76,16 @@
 	counts    map[string]int
 }
 
-// runOptions are what a run varies besides the settings.
+// runOptions is what a run varies besides the settings.
 type runOptions struct {
-	endpoints     int
-	arrivals      float64 // requests a second in the calm phases
-	bounds        bool
-	staleFor      monotime.Micros // reports are made anew so often
-	boundsAtOnce  bool            // and from the start
-	handOver      bool
-	handOverPause monotime.Micros // from the old balancer's end to the new one's start
-	operatorCalls bool            // calls by hand and by the fleet: Ban, Pause, Suspect
+	endpoints       int
+	arrivals        float64         // requests per second in the calm phases
+	staleFor        monotime.Micros // time between two new reports of an endpoint
+	policy          bool            // there is an overload policy
+	policyFromStart bool            // and from the start
+	handover        bool
+	handoverPause   monotime.Micros // from the end of the old balancer to the start of the next
+	operatorCalls   bool            // SetCordon, SetPaused and SetSuspicion are called
 }
 
 func (s *simulation) note(kind string, args ...any) {
@@ -234,31 +234,32 @@
 	})
 }
 
-// load is a report of e with the fields of the settings.
+// load returns a load report of e with the metrics of the settings.
 func (s *simulation) load(e *simEndpoint) []float32 {
 	if e.report != nil && s.now-e.reportAt < s.options.staleFor {
 		return e.report
 	}
-	held := float64(e.inflight) + e.background
+	requests := float64(e.inflight) + e.background
 	var load []float32
 	for _, f := range s.settings.LoadMetrics {
 		v := 0.0
 		switch f {
 		case balancer.MetricInflight:
-			v = held
+			v = requests
 		case balancer.MetricQueueLength:
-			v = max(0, held-2)
+			v = max(0, requests-2)
 		case balancer.MetricLatency:
 			v = 8 * e.slowness
 		case balancer.MetricUtilization:
-			v = min(1, held/2)
+			v = min(1, requests/2)
 		}
 		if e.nonsense {
 			v = []float64{-1, 1e12, 3}[s.random.IntN(3)]
 		}
 		load = append(load, float32(v))
 	}
-	e.report, e.reportAt = load, s.now
+	e.report = load
+	e.reportAt = s.now
 	return load
 }
 
@@ -293,7 +294,7 @@
 	s.balancer.UpdateEndpoints(s.now, kind, entries)
 }
 
-// arrive brings a request, and the next one after it while the phase lasts.
+// arrive gives the balancer a request, and schedules the next one until the end of the phase.
 func (s *simulation) arrive(rate float64, end monotime.Micros) {
 	if s.now >= end {
 		return
@@ -328,9 +329,9 @@
 		s.requests[in.ID] = r
 		s.balancer.HandleRequest(s.now, in)
 		if s.random.IntN(20) == 0 {
-			// Within the millisecond many still wait for probes.
-			leaves := []monotime.Micros{millisecond, 50 * millisecond}[s.random.IntN(2)]
-			s.after(s.random.Int64N(leaves), func() {
+			// Within the first millisecond many requests still wait for probes.
+			longest := []monotime.Micros{millisecond, 50 * millisecond}[s.random.IntN(2)]
+			s.after(s.random.Int64N(longest), func() {
 				if !r.answered {
 					s.note("event gone", in.ID)
 					r.answered = true
@@ -342,7 +343,7 @@
 	s.after(monotime.Micros(s.random.ExpFloat64()/rate*float64(second)), func() { s.arrive(rate, end) })
 }
 
-// phase brings requests for a while.
+// phase simulates a time with requests at a rate, and records the state at its end.
 func (s *simulation) phase(length monotime.Micros, rate float64) {
 	end := s.now + length
 	s.after(0, func() { s.arrive(rate, end) })
@@ -357,7 +358,7 @@
 	s.note("state", string(state))
 }
 
-// change changes endpoints and tells the balancer of their list entries.
+// change changes endpoints, and updates the balancer by their list entries if these have changed.
 func (s *simulation) change(change func(e *simEndpoint), numbers ...int) {
 	var entries []balancer.Endpoint
 	for _, n := range numbers {
@@ -378,13 +379,22 @@
 	e.StartTime = s.now - s.random.Int64N(second)
 }
 
-// play is the script of all runs: calm, faults of single endpoints, overload, deploys, and changes of the
-// list.
+// play is the script of all runs.
 func (s *simulation) play() {
+	if s.options.policyFromStart {
+		s.setOverloadPolicy()
+	}
+	s.playFaults()
+	s.playOverload()
+	s.playListChanges()
+	s.playMassRestart()
+	s.playOutage()
+	s.runUntil(s.now + 30*second)
+}
+
+// playFaults has calm phases with faults of single endpoints.
+func (s *simulation) playFaults() {
 	rate := s.options.arrivals
-	if s.options.boundsAtOnce {
-		s.boundsOn()
-	}
 	s.phase(1500*millisecond, rate)
 	s.change(func(e *simEndpoint) { e.failing = true }, 0)
 	s.change(func(e *simEndpoint) { e.slowness = 6 }, 1)
@@ -396,14 +406,24 @@
 	s.change(func(e *simEndpoint) { e.silent = false }, 2)
 	s.change(func(e *simEndpoint) { e.full = true }, 4, 5)
 	s.change(func(e *simEndpoint) { e.unreachable = true }, 0)
+}
+
+// playOverload has phases of overload, without and with a policy, and a quiet one.
+func (s *simulation) playOverload() {
+	rate := s.options.arrivals
 	s.operatorCalls(true)
-	s.phase(1500*millisecond, 4*rate) // overload
+	s.phase(1500*millisecond, 4*rate)
 	s.change(func(e *simEndpoint) { e.full, e.unreachable, e.nonsense = false, false, false }, 0, 3, 4, 5)
 	s.operatorCalls(false)
-	s.boundsOn()
+	s.setOverloadPolicy()
 	s.phase(1500*millisecond, 4*rate)
-	s.phase(2*second, rate/8) // quiet: probes are older than requests
+	s.phase(2*second, rate/8) // probes are older than requests
 	s.balancer.SetOverloadPolicy(nil)
+}
+
+// playListChanges drains, removes, restarts, moves and adds endpoints.
+func (s *simulation) playListChanges() {
+	rate := s.options.arrivals
 	s.change(func(e *simEndpoint) { e.State = balancer.Draining }, 1, 2)
 	s.phase(second, rate)
 	s.change(func(e *simEndpoint) { e.State = balancer.Gone }, 1)
@@ -415,10 +435,20 @@
 	s.endpoints = append(s.endpoints, added)
 	s.members(balancer.ListFull, s.list())
 	s.phase(2*second, 2*rate)
-	s.change(s.restart, 0, 1, 2, 3, 4, 5, 6, 7) // most of what there is warms up, as after a power cut
+}
+
+// playMassRestart restarts most endpoints, as in a power cut, and hands over while they warm up.
+func (s *simulation) playMassRestart() {
+	rate := s.options.arrivals
+	s.change(s.restart, 0, 1, 2, 3, 4, 5, 6, 7)
 	s.phase(second, 2*rate)
 	s.takeOver()
 	s.phase(3*second, 2*rate)
+}
+
+// playOutage has most endpoints fail, and then an empty list.
+func (s *simulation) playOutage() {
+	rate := s.options.arrivals
 	s.change(func(e *simEndpoint) { e.failing = true }, 0, 1, 2, 3, 4, 5, 6, 7)
 	s.phase(1500*millisecond, rate)
 	s.change(func(e *simEndpoint) { e.failing = false }, 0, 1, 2, 3, 4, 5, 6, 7)
@@ -427,9 +457,9 @@
 	s.phase(200*millisecond, rate)
 	s.members(balancer.ListFull, s.list())
 	s.phase(second, rate)
-	s.runUntil(s.now + 30*second)
 }
 
+// operatorCalls sets a cordon, a pause and suspicions, or ends them.
 func (s *simulation) operatorCalls(on bool) {
 	if !s.options.operatorCalls {
 		return
@@ -444,32 +474,41 @@
 	s.balancer.SetSuspicion(s.now, s.endpoints[3].ID, 1, chance/2)
 }
 
-func (s *simulation) boundsOn() {
-	if !s.options.bounds {
+// setOverloadPolicy sets an overload policy, whose retry budget ends after half a second.
+func (s *simulation) setOverloadPolicy() {
+	if !s.options.policy {
 		return
 	}
 	n := len(s.settings.Classes)
-	of := func(x float64) []float64 { return slices.Repeat([]float64{x}, n) }
-	bounds := &balancer.OverloadPolicy{AdmitRatio: of(0.7), OverQuotaAdmitRatio: of(0.3),
-		WithinQuotaRatio: []float64{0.9, 0.5}, RetryAdmitRatio: 0.5,
-		QueueWaitFraction: of(0.25), TopQueueWaitFraction: 0.7, TopRatio: 0.1, ForcedAdmitInterval: 3 * second,
-		RetryAllowed: true, MaxProbeRate: 20}
-	s.balancer.SetOverloadPolicy(bounds)
-	s.after(500*millisecond, func() { bounds.RetryAllowed = false })
-}
-
-// takeOver replaces the balancer by one that takes over what it has learned.
+	forEachClass := func(x float64) []float64 { return slices.Repeat([]float64{x}, n) }
+	policy := &balancer.OverloadPolicy{
+		AdmitRatio:           forEachClass(0.7),
+		OverQuotaAdmitRatio:  forEachClass(0.3),
+		WithinQuotaRatio:     []float64{0.9, 0.5},
+		RetryAdmitRatio:      0.5,
+		QueueWaitFraction:    forEachClass(0.25),
+		TopQueueWaitFraction: 0.7,
+		TopRatio:             0.1,
+		ForcedAdmitInterval:  3 * second,
+		RetryAllowed:         true,
+		MaxProbeRate:         20,
+	}
+	s.balancer.SetOverloadPolicy(policy)
+	s.after(500*millisecond, func() { policy.RetryAllowed = false })
+}
+
+// takeOver replaces the balancer by another one that restores its learned state.
 func (s *simulation) takeOver() {
-	if !s.options.handOver {
+	if !s.options.handover {
 		return
 	}
 	learned := s.balancer.LearnedState(s.now)
 	s.balancer.SetHandedOver(s.now, true)
-	if s.options.handOverPause > 0 {
-		s.phase(s.options.handOverPause, s.options.arrivals)
+	if s.options.handoverPause > 0 {
+		s.phase(s.options.handoverPause, s.options.arrivals)
 	}
 	s.start(77)
-	s.balancer.Restore(s.now, s.options.handOverPause, learned)
+	s.balancer.Restore(s.now, s.options.handoverPause, learned)
 }
 
 func (s *simulation) start(seed uint64) {
@@ -483,13 +522,19 @@
 }
 
 func baseSettings() balancer.Settings {
-	class := func(name string, repeat balancer.Idempotency, group balancer.DedupScope,
-		aim monotime.Micros) balancer.Class {
-		c := balancer.Class{Name: name, Idempotency: repeat, DedupScope: group, LatencyObjective: aim,
-			ClientTimeout: 4 * aim, PriorityWeight: 1,
-			LateWeight: 0.3}
-		if repeat == balancer.IdempotentByKey {
-			c.DedupWindow = 2 * aim
+	class := func(name string, idempotency balancer.Idempotency, scope balancer.DedupScope,
+		objective monotime.Micros) balancer.Class {
+		c := balancer.Class{
+			Name:             name,
+			Idempotency:      idempotency,
+			DedupScope:       scope,
+			LatencyObjective: objective,
+			ClientTimeout:    4 * objective,
+			PriorityWeight:   1,
+			LateWeight:       0.3,
+		}
+		if idempotency == balancer.IdempotentByKey {
+			c.DedupWindow = 2 * objective
 		}
 		return c
 	}
@@ -518,17 +563,19 @@
 	return s
 }
 
+// decisionRun is a scripted run, which is repeated with several seeds.
 type decisionRun struct {
 	name    string
 	options runOptions
 	change  func(s *balancer.Settings)
 }
 
-// usual is what most runs have; with returns it changed.
-var usual = runOptions{endpoints: 8, arrivals: 120}
+// usualOptions are those of most runs.
+var usualOptions = runOptions{endpoints: 8, arrivals: 120}
 
+// with returns the usual options with a change.
 func with(change func(o *runOptions)) runOptions {
-	options := usual
+	options := usualOptions
 	change(&options)
 	return options
 }
@@ -536,57 +583,57 @@
 func decisionRuns() []decisionRun {
 	none := func(*balancer.Settings) {}
 	return []decisionRun{
-		{"plain", usual, none},
-		{"without-probes", usual, func(s *balancer.Settings) { s.Limits.Probes = false }},
-		{"dear-probes", usual, func(s *balancer.Settings) { s.Prices.Probe = 1000 }},
-		{"free-probes", usual, func(s *balancer.Settings) { s.Prices.Probe = 0 }},
-		{"reports-without-load", usual,
+		{"plain", usualOptions, none},
+		{"without-probes", usualOptions, func(s *balancer.Settings) { s.Limits.Probes = false }},
+		{"dear-probes", usualOptions, func(s *balancer.Settings) { s.Prices.Probe = 1000 }},
+		{"free-probes", usualOptions, func(s *balancer.Settings) { s.Prices.Probe = 0 }},
+		{"reports-without-load", usualOptions,
 			func(s *balancer.Settings) { s.LoadMetrics = []balancer.LoadMetric{balancer.MetricUtilization} }},
-		{"queue-and-latency", usual, func(s *balancer.Settings) {
+		{"queue-and-latency", usualOptions, func(s *balancer.Settings) {
 			s.LoadMetrics = []balancer.LoadMetric{balancer.MetricUnknown, balancer.MetricQueueLength,
 				balancer.MetricLatency}
 		}},
 		{"late-reports", with(func(o *runOptions) { o.staleFor = second }), none},
-		{"without-permits", usual, func(s *balancer.Settings) {
+		{"without-permits", usualOptions, func(s *balancer.Settings) {
 			s.Limits.Cancel = false
 			s.Limits.Hedging = false
 			s.Limits.RetryAfter = false
 			s.Limits.MaxAttempts = 2
 		}},
-		{"few-open", usual, func(s *balancer.Settings) { s.Limits.MaxOpenRequests = 6 }},
-		{"subscribe", usual, func(s *balancer.Settings) { s.Subscribe = true }},
-		{"subscribe-large-fleet", usual, func(s *balancer.Settings) {
+		{"few-open", usualOptions, func(s *balancer.Settings) { s.Limits.MaxOpenRequests = 6 }},
+		{"subscribe", usualOptions, func(s *balancer.Settings) { s.Subscribe = true }},
+		{"subscribe-large-fleet", usualOptions, func(s *balancer.Settings) {
 			s.Subscribe = true
 			s.Balancers = 80
 		}},
-		{"retry-window", usual, func(s *balancer.Settings) {
+		{"retry-window", usualOptions, func(s *balancer.Settings) {
 			s.RetryRatio = 0.1
 			s.RetryWindow = 2 * second
 			s.MinRetryRate = 2
 		}},
-		{"strict-keys", usual, func(s *balancer.Settings) { s.StrictIdempotencyKeys = true }},
-		{"bounds", with(func(o *runOptions) { o.bounds = true }), none},
-		{"bounds-without-probes", with(func(o *runOptions) { o.bounds = true }), func(s *balancer.Settings) {
+		{"strict-keys", usualOptions, func(s *balancer.Settings) { s.StrictIdempotencyKeys = true }},
+		{"bounds", with(func(o *runOptions) { o.policy = true }), none},
+		{"bounds-without-probes", with(func(o *runOptions) { o.policy = true }), func(s *balancer.Settings) {
 			s.Limits.Probes = false
 		}},
 		{"operator-calls", with(func(o *runOptions) { o.operatorCalls = true }), none},
-		{"bounds-at-once", with(func(o *runOptions) { o.bounds, o.boundsAtOnce = true, true }), none},
-		{"takeover", with(func(o *runOptions) { o.handOver = true }), none},
-		{"takeover-with-pause", with(func(o *runOptions) { o.handOver, o.handOverPause = true, 3*second }), none},
+		{"bounds-at-once", with(func(o *runOptions) { o.policy, o.policyFromStart = true, true }), none},
+		{"takeover", with(func(o *runOptions) { o.handover = true }), none},
+		{"takeover-with-pause", with(func(o *runOptions) { o.handover, o.handoverPause = true, 3*second }), none},
 		{"many-endpoints", with(func(o *runOptions) { o.endpoints, o.arrivals = 60, 300 }), none},
 		{"few-endpoints", with(func(o *runOptions) { o.endpoints, o.arrivals = 3, 60 }), none},
 		{"quiet", with(func(o *runOptions) { o.arrivals = 15 }), func(s *balancer.Settings) { s.Balancers = 15 }},
-		{"without-tenants", usual, func(s *balancer.Settings) { s.Tenants = nil }},
-		{"tight-tenants", usual, func(s *balancer.Settings) {
+		{"without-tenants", usualOptions, func(s *balancer.Settings) { s.Tenants = nil }},
+		{"tight-tenants", usualOptions, func(s *balancer.Settings) {
 			s.Tenants[0].Quota = 5
 			s.OverQuotaWeight = 0
 		}},
-		{"worth-by-work", usual, func(s *balancer.Settings) {
+		{"worth-by-work", usualOptions, func(s *balancer.Settings) {
 			s.WeightByWork = true
 			s.Goal.WorstClass = 2
 		}},
-		{"worth-nothing", usual, func(s *balancer.Settings) { s.Goal = balancer.Goal{} }},
-		{"one-balancer", usual, func(s *balancer.Settings) {
+		{"worth-nothing", usualOptions, func(s *balancer.Settings) { s.Goal = balancer.Goal{} }},
+		{"one-balancer", usualOptions, func(s *balancer.Settings) {
 			s.Balancers = 1
 			s.Contract.WarmupTime = 0
 		}},
--- a/balancer/learned_test.go
+++ b/balancer/learned_test.go
@@ -10,7 +10,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// trainedBalancer returns a balancer after a mixed minute: slow, failing and warming endpoints among others.
+// trainedBalancer returns a balancer after 4000 requests, with slow, failing and warming endpoints among others.
 func trainedBalancer(t *testing.T, s Settings, list []Endpoint) (*Balancer, monotime.Micros) {
 	t.Helper()
 	b, r := startBalancer(t, s, list)
@@ -18,15 +18,14 @@
 	now := monotime.Micros(0)
 	for id := range uint64(4000) {
 		now += 2000
-		if id == 2000 { // one that starts anew
-			cold := list[len(list)-1]
-			cold.StartTime = now
-			list[len(list)-1] = cold
-			b.UpdateEndpoints(now, ListDelta, []Endpoint{cold})
+		if id == 2000 { // the last endpoint restarts
+			restarted := &list[len(list)-1]
+			restarted.StartTime = now
+			b.UpdateEndpoints(now, ListDelta, []Endpoint{*restarted})
 		}
-		sent, first := len(r.sends), len(r.sends)
+		first := len(r.sends)
 		b.HandleRequest(now, Request{ID: id, Class: uint8(id % 5), Tenant: uint16(id % 2), Deadline: now + second})
-		for ; sent < len(r.sends); sent++ {
+		for sent := first; sent < len(r.sends); sent++ {
 			e := r.sends[sent].endpoint
 			status, latency := OK, monotime.Micros(1000*e)+rng.Int64N(3000)
 			if e == 2 && id%5 == 0 || e == 3 {
@@ -47,7 +46,7 @@
 	return s
 }
 
-// What one balancer has learned, its successor uses, at another origin of time.
+// The next balancer uses what one has learned, with another origin of time.
 func TestLearnedStateIsRestored(t *testing.T) {
 	s := withTenants(testSettings())
 	old, now := trainedBalancer(t, s, readyEndpoints(6))
@@ -62,10 +61,7 @@
 	list := readyEndpoints(6)
 	list[5].StartTime = old.endpointsByID[6].StartTime
 	const shift = 1_000 * second
-	next, err := New(s, 8, &recorder{})
-	if err != nil {
-		t.Fatal(err)
-	}
+	next, _ := newBalancer(t, s, 8)
 	for i := range list {
 		if list[i].StartTime != 0 {
 			list[i].StartTime += shift
@@ -94,7 +90,7 @@
 			old.endpointsByID[6].warmingUp(now, old))
 	}
 	if !near(old.requestRate.rate(now), next.requestRate.rate(now+shift)) || old.latencyTrend != next.latencyTrend {
-		t.Errorf("demand %v, then %v; trend %v, then %v", old.requestRate.rate(now), next.requestRate.rate(now+shift),
+		t.Errorf("request rate %v, then %v; trend %v, then %v", old.requestRate.rate(now), next.requestRate.rate(now+shift),
 			old.latencyTrend, next.latencyTrend)
 	}
 	again := next.LearnedState(now + shift)
@@ -106,7 +102,7 @@
 	}
 }
 
-// requireSamePredictions compares what two balancers expect of an endpoint, each at its own time.
+// requireSamePredictions requires that two balancers expect the same of an endpoint, each at its own time.
 func requireSamePredictions(t *testing.T, old *Balancer, a *endpoint, now monotime.Micros, next *Balancer, b *endpoint,
 	then monotime.Micros) {
 	t.Helper()
@@ -123,6 +119,7 @@
 	}
 }
 
+// requireSameBreaker requires that two breakers have the same window and usual latency, each at its own time.
 func requireSameBreaker(t *testing.T, a *endpoint, now monotime.Micros, b *endpoint, then monotime.Micros) {
 	t.Helper()
 	a.breaker.advance(now)
@@ -134,8 +131,8 @@
 	}
 }
 
-// handOverHost drives balancers with requests against four warm endpoints and a warming one.
-type handOverHost struct {
+// handoverHost gives balancers requests, for four warm endpoints and a warming one.
+type handoverHost struct {
 	t       *testing.T
 	now     monotime.Micros
 	lastID  uint64
@@ -143,14 +140,14 @@
 	sent    int // requests to the warming endpoint
 }
 
-func (h *handOverHost) settings() Settings {
+func (h *handoverHost) settings() Settings {
 	s := testSettings()
 	s.Limits.Probes = false
 	return s
 }
 
-// requests lets a millisecond pass and gives each balancer a request, which is answered.
-func (h *handOverHost) requests(balancers ...*Balancer) {
+// requests gives each balancer a request after a millisecond, which is answered.
+func (h *handoverHost) requests(balancers ...*Balancer) {
 	h.now += 1000
 	for _, b := range balancers {
 		r := b.actions.(*recorder)
@@ -165,9 +162,9 @@
 	}
 }
 
-// run sends 3000 requests, of which the second half is handed over to another balancer, and returns how many
-// went to the warming endpoint. The old balancer has as much to do as before for a while.
-func (h *handOverHost) run(handOver bool) int {
+// run sends 3000 requests, and returns how many went to the warming endpoint. With a handover another balancer takes
+// over for the second half, while the old one still gets as many requests as before.
+func (h *handoverHost) run(handover bool) int {
 	h.t.Helper()
 	b, _ := startBalancer(h.t, h.settings(), readyEndpoints(4))
 	h.warming = Endpoint{ID: 9, Zone: 0, Cell: 9, Share: 1, StartTime: 1}
@@ -176,7 +173,7 @@
 	for range 1500 {
 		h.requests(b)
 	}
-	if !handOver {
+	if !handover {
 		for range 1500 {
 			h.requests(b)
 		}
@@ -202,16 +199,16 @@
 		h.requests(b)
 	}
 	if h.sent == both {
-		h.t.Error("after it took over again it sends the endpoint nothing")
+		h.t.Error("after the handover was undone it sends the endpoint nothing")
 	}
 	return both
 }
 
-// The buckets of a warming endpoint are handed over: the old balancer sends it nothing more, and what both
-// have sent together stays within what one alone might have.
+// The token buckets of a warming endpoint are handed over. The old balancer sends it nothing more, and both together
+// send it what one alone might.
 func TestWarmingEndpointIsHandedOver(t *testing.T) {
-	alone := (&handOverHost{t: t}).run(false)
-	both := (&handOverHost{t: t}).run(true)
+	alone := (&handoverHost{t: t}).run(false)
+	both := (&handoverHost{t: t}).run(true)
 	if both > alone*5/4+2 {
 		t.Errorf("a warming endpoint got %d requests across a handover, %d without", both, alone)
 	}
@@ -231,45 +228,18 @@
 	}
 }
 
-// Figures that no balancer can have learned do no harm: no panic, no endpoint lost.
+// Figures that no balancer can have learned are skipped: there is no panic, and endpoints are used as before.
 func TestRestoreOfInvalidState(t *testing.T) {
-	rng := rand.New(rand.NewPCG(1, 9))
-	odd := func() float64 {
-		return []float64{math.NaN(), math.Inf(1), math.Inf(-1), -5, 0, 1e300, 7}[rng.IntN(7)]
-	}
-	oddM := func() monotime.Micros {
-		return []monotime.Micros{math.MinInt64 / 4, -1, 0, 5, math.MaxInt64 / 4}[rng.IntN(5)]
-	}
+	x := invalidState{rand.New(rand.NewPCG(1, 9))}
 	for range 300 {
-		avg := func() Average { return Average{odd(), odd()} }
-		l := &LearnedState{RequestRate: odd(), SentWorkRate: odd(), RejectedRatio: odd(), MeanWork: Average{5000, 1},
-			FleetServiceTimeRatio: avg(), LatencyTrend: odd(), HintTrust: odd(),
-			LateReportRatio: avg(), TypicalLoad: avg(), ServiceTime: avg(), ReportWatchTime: odd(),
-			ReportChanges: odd(), TenantRates: []float64{odd(), odd()}}
-		for range rng.IntN(7) {
-			l.Classes = append(l.Classes, LearnedClass{avg(), odd(), avg()})
-		}
-		for id := range uint32(8) {
-			e := LearnedEndpoint{ID: id, RTT: avg(), ServiceTimeRatio: avg(), ServiceTimeAge: oddM(),
-				WarmingUp: rng.IntN(2) == 0, WarmupAge: oddM(), WarmupTokens: odd(),
-				Outlier: LearnedOutlier{int(oddM()), oddM(), oddM(), true}, BaseLatency: odd(), CurrentLatency: odd()}
-			for range rng.IntN(9) {
-				e.PartOutliers = append(e.PartOutliers, LearnedOutlier{int(oddM()), oddM(), oddM(), false})
-			}
-			for range []int{0, 3, breakerBuckets}[rng.IntN(3)] {
-				e.BreakerWindow = append(e.BreakerWindow, [3]int{rng.IntN(9) - 4, rng.IntN(9) - 4, rng.IntN(9) - 4})
-			}
-			l.Endpoints = append(l.Endpoints, e)
-		}
+		l := x.learned()
 		b, r := startBalancer(t, withTenants(testSettings()), readyEndpoints(6))
-		b.Restore(20*second, oddM(), l)
+		b.Restore(20*second, x.duration(), l)
 		for id := range uint64(50) {
 			now := 60*second + monotime.Micros(id)*second
 			b.HandleRequest(now, newTestRequest(id, uint8(id%5), now))
-			for _, s := range r.sends {
-				if s.id == id {
-					succeed(b, now+1000, id, s.endpoint, 1000)
-				}
+			if last := r.lastSend(); len(r.sends) > 0 && last.id == id {
+				succeed(b, now+1000, id, last.endpoint, 1000)
 			}
 		}
 		if len(r.sends) < 25 {
@@ -278,16 +248,76 @@
 	}
 }
 
-// A change that comes before the cached list of another balancer must not make the endpoints of that list
-// look new: if all warmed up, the requests of the first seconds after a hot restart would be rejected.
+// invalidState draws learned state that is mostly impossible.
+type invalidState struct{ *rand.Rand }
+
+func (x invalidState) figure() float64 {
+	return []float64{math.NaN(), math.Inf(1), math.Inf(-1), -5, 0, 1e300, 7}[x.IntN(7)]
+}
+
+func (x invalidState) duration() monotime.Micros {
+	return []monotime.Micros{math.MinInt64 / 4, -1, 0, 5, math.MaxInt64 / 4}[x.IntN(5)]
+}
+
+func (x invalidState) average() Average { return Average{x.figure(), x.figure()} }
+
+func (x invalidState) outlier(trial bool) LearnedOutlier {
+	return LearnedOutlier{int(x.duration()), x.duration(), x.duration(), trial}
+}
+
+func (x invalidState) learned() *LearnedState {
+	l := &LearnedState{
+		RequestRate:           x.figure(),
+		SentWorkRate:          x.figure(),
+		RejectedRatio:         x.figure(),
+		MeanWork:              Average{5000, 1},
+		FleetServiceTimeRatio: x.average(),
+		LatencyTrend:          x.figure(),
+		HintTrust:             x.figure(),
+		LateReportRatio:       x.average(),
+		TypicalLoad:           x.average(),
+		ServiceTime:           x.average(),
+		ReportWatchTime:       x.figure(),
+		ReportChanges:         x.figure(),
+		TenantRates:           []float64{x.figure(), x.figure()},
+	}
+	for range x.IntN(7) {
+		l.Classes = append(l.Classes, LearnedClass{x.average(), x.figure(), x.average()})
+	}
+	for id := range uint32(8) {
+		l.Endpoints = append(l.Endpoints, x.endpoint(id))
+	}
+	return l
+}
+
+func (x invalidState) endpoint(id uint32) LearnedEndpoint {
+	e := LearnedEndpoint{
+		ID:               id,
+		RTT:              x.average(),
+		ServiceTimeRatio: x.average(),
+		ServiceTimeAge:   x.duration(),
+		WarmingUp:        x.IntN(2) == 0,
+		WarmupAge:        x.duration(),
+		WarmupTokens:     x.figure(),
+		Outlier:          x.outlier(true),
+		BaseLatency:      x.figure(),
+		CurrentLatency:   x.figure(),
+	}
+	for range x.IntN(9) {
+		e.PartOutliers = append(e.PartOutliers, x.outlier(false))
+	}
+	for range []int{0, 3, breakerBuckets}[x.IntN(3)] {
+		e.BreakerWindow = append(e.BreakerWindow, [3]int{x.IntN(9) - 4, x.IntN(9) - 4, x.IntN(9) - 4})
+	}
+	return e
+}
+
+// A delta before the cached list of another balancer must not make the endpoints of that list look new. If all warmed
+// up, requests would be rejected in the first seconds after a hot restart.
 func TestEndpointsOfCachedListAreNotNew(t *testing.T) {
 	s := testSettings()
 	s.Subscribe = false
-	r := &recorder{}
-	b, err := New(s, 1, r)
-	if err != nil {
-		t.Fatal(err)
-	}
+	b, _ := newBalancer(t, s, 1)
 	b.Start(0)
 	b.UpdateEndpoints(second, ListDelta, nil)
 	b.UpdateEndpoints(second, ListCached, readyEndpoints(2))
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -6,8 +6,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Endpoints whose reports cannot be true are avoided, and do not change what is expected of the others:
-// neither while they tell that, nor after.
+// Endpoints whose reports cannot be true are avoided, and do not change what is expected of the others, neither while
+// they report that nor after.
 func TestImplausibleReportsDoNotCountForAll(t *testing.T) {
 	s := testSettings()
 	b, _ := startBalancer(t, s, readyEndpoints(12))
@@ -22,18 +22,18 @@
 		reportLoad(b, now, id, load)
 	}
 	if b.typicalLoad.value > 8 {
-		t.Errorf("others hold 2, three of twelve report 1e9: %.1f is taken for typical", b.typicalLoad.value)
+		t.Errorf("three of twelve report 1e9, the others 2: typical load %.1f", b.typicalLoad.value)
 	}
 	r := &request{Request: newTestRequest(1, 0, now), arrivedAt: now, work: 10_000}
 	if e := b.pickEndpoint(now, r, nil); e == nil || e.ID <= 3 {
 		t.Errorf("picked %+v", e)
 	}
-	// What is true of all is followed.
+	// A load that all report becomes typical.
 	for round := range 200 {
 		now += 5000
 		reportLoad(b, now, uint32(round%12)+1, 40)
 	}
 	if b.typicalLoad.value < 38 {
-		t.Errorf("all hold 40, %.1f is taken for typical", b.typicalLoad.value)
+		t.Errorf("all report 40: typical load %.1f", b.typicalLoad.value)
 	}
 }
