--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -625,7 +625,7 @@
 	}
 }
 
-// A sidecar with three requests per second beside one with four hundred, at the same endpoints, of which three of twelve
+// A sidecar with three requests per second beside one with four hundred, at the same endpoints. Three of twelve
 // fail all requests for ten seconds. The quiet one meets them more often before it knows, but the requests of both are
 // served, and neither at the cost of the other.
 func TestQuietBesideBusy(t *testing.T) {
--- a/balancer/learned_test.go
+++ b/balancer/learned_test.go
@@ -90,8 +90,8 @@
 			old.endpointsByID[6].warmingUp(now, old))
 	}
 	if !near(old.requestRate.rate(now), next.requestRate.rate(now+shift)) || old.latencyTrend != next.latencyTrend {
-		t.Errorf("request rate %v, then %v; trend %v, then %v", old.requestRate.rate(now), next.requestRate.rate(now+shift),
-			old.latencyTrend, next.latencyTrend)
+		t.Errorf("request rate %v, then %v; trend %v, then %v", old.requestRate.rate(now),
+			next.requestRate.rate(now+shift), old.latencyTrend, next.latencyTrend)
 	}
 	again := next.LearnedState(now + shift)
 	again.Endpoints, l.Endpoints = nil, nil
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -257,6 +257,7 @@
 		}
 	}
 	if span := recentWorks * b.meanWork.value; b.reportWatchTime == 0 || b.reportInterval() > 0.8*span {
-		t.Errorf("report interval %.0f after a watch time of %.0f, limit %.0f", b.reportInterval(), b.reportWatchTime, span)
+		t.Errorf("report interval %.0f after a watch time of %.0f, limit %.0f", b.reportInterval(),
+			b.reportWatchTime, span)
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -10,24 +10,24 @@
 	"dunlinsail/internal/monotime"
 )
 
-// checker hosts a balancer and asserts the rules on every action.
+// checker is a host that checks the rules at each action.
 type checker struct {
 	settings     Settings
 	now          monotime.Micros
-	states       map[uint32]Endpoint
-	cordoned     map[uint32]bool
-	warmingUp    map[uint32]monotime.Micros // its start, by endpoint
-	warmingSends map[uint32]float64         // requests sent while it warms up, by endpoint
-	requests     map[uint64]*checked        // open and ended
+	states       map[uint32]Endpoint        // the latest entries
+	cordoned     map[uint32]bool            // by endpoint
+	warmingUp    map[uint32]monotime.Micros // by endpoint: instant of its start
+	warmingSends map[uint32]float64         // by endpoint: requests sent while it warms up
+	requests     map[uint64]*checkedRequest // open and ended
 	faults       []string
-	timers       []pending
-	probes       []uint32
+	timers       []pendingTimer
+	probes       []uint32 // endpoint IDs
 }
 
-type checked struct {
+type checkedRequest struct {
 	in       Request
-	answered int
-	closed   bool // by its answer or by its client
+	answered int  // final answers by the balancer
+	closed   bool // by the answer of an attempt, or by its client
 	attempts []checkedAttempt
 }
 
@@ -38,16 +38,18 @@
 	mayHaveRun bool
 }
 
-type pending struct {
+type pendingTimer struct {
 	at    monotime.Micros
 	token uint32
 }
 
+// fault records a broken rule.
 func (c *checker) fault(format string, args ...any) {
 	c.faults = append(c.faults, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-func (r *checked) bound() *checkedAttempt {
+// firstMayHaveRun returns the first attempt that may have run, nil for none.
+func (r *checkedRequest) firstMayHaveRun() *checkedAttempt {
 	for i := range r.attempts {
 		if r.attempts[i].mayHaveRun {
 			return &r.attempts[i]
@@ -63,7 +65,6 @@
 		return
 	}
 	e, known := c.states[endpoint]
-	class := c.settings.Classes[r.in.Class]
 	if r.answered > 0 || r.closed {
 		c.fault("send after the end of %d", id)
 	}
@@ -73,28 +74,43 @@
 	if c.cordoned[endpoint] {
 		c.fault("send to endpoint %d, which is cordoned", endpoint)
 	}
+	c.checkAttempts(r)
+	c.checkIdempotency(r, e)
+	if _, warming := c.warmingUp[endpoint]; warming {
+		c.warmingSends[endpoint]++
+	}
+	r.attempts = append(r.attempts, checkedAttempt{endpoint: e, sentAt: c.now, inflight: true, mayHaveRun: true})
+}
+
+// checkAttempts checks that r may have one more attempt.
+func (c *checker) checkAttempts(r *checkedRequest) {
 	if len(r.attempts) >= c.settings.Limits.MaxAttempts {
-		c.fault("attempt %d of %d", len(r.attempts), id)
+		c.fault("attempt %d of %d", len(r.attempts), r.in.ID)
 	}
 	for _, a := range r.attempts {
 		if a.inflight && !c.settings.Limits.Hedging {
-			c.fault("hedged attempt of %d", id)
+			c.fault("hedged attempt of %d", r.in.ID)
 		}
 	}
-	if b := r.bound(); b != nil && class.Idempotency != Idempotent {
-		same := class.DedupScope == DedupAll || class.DedupScope == DedupZone && b.endpoint.Zone == e.Zone ||
-			class.DedupScope == DedupCell && b.endpoint.Cell == e.Cell
-		if class.Idempotency == NonIdempotent || !same || c.now > b.sentAt+class.DedupWindow {
-			c.fault("repeat of %d (%s) may have a second effect", id, class.Name)
-		}
+}
+
+// checkIdempotency checks that an attempt of r at e has no second effect.
+func (c *checker) checkIdempotency(r *checkedRequest, e Endpoint) {
+	class := c.settings.Classes[r.in.Class]
+	first := r.firstMayHaveRun()
+	if first == nil || class.Idempotency == Idempotent {
+		return
 	}
-	if _, cold := c.warmingUp[endpoint]; cold {
-		c.warmingSends[endpoint]++
+	inScope := class.DedupScope == DedupAll ||
+		class.DedupScope == DedupZone && first.endpoint.Zone == e.Zone ||
+		class.DedupScope == DedupCell && first.endpoint.Cell == e.Cell
+	if class.Idempotency == NonIdempotent || !inScope || c.now > first.sentAt+class.DedupWindow {
+		c.fault("repeat of %d (%s) may have a second effect", r.in.ID, class.Name)
 	}
-	r.attempts = append(r.attempts, checkedAttempt{endpoint: e, sentAt: c.now, inflight: true, mayHaveRun: true})
 }
 
-func (c *checker) final(id uint64) *checked {
+// final records the final answer of a request.
+func (c *checker) final(id uint64) *checkedRequest {
 	r := c.requests[id]
 	if r == nil || r.answered > 0 || r.closed {
 		c.fault("final answer for %d, which is not open", id)
@@ -105,7 +121,7 @@
 }
 
 func (c *checker) Reject(id uint64, _ monotime.Micros) {
-	if r := c.final(id); r != nil && r.bound() != nil {
+	if r := c.final(id); r != nil && r.firstMayHaveRun() != nil {
 		class := c.settings.Classes[r.in.Class]
 		if class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != DedupAll {
 			c.fault("rejection of %d (%s), which may have run", id, class.Name)
@@ -125,7 +141,7 @@
 	if delay <= 0 {
 		c.fault("timer delay %d", delay)
 	}
-	c.timers = append(c.timers, pending{c.now + delay, token})
+	c.timers = append(c.timers, pendingTimer{c.now + delay, token})
 }
 
 func (c *checker) Probe(e uint32) {
@@ -146,7 +162,7 @@
 
 func (c *checker) Log(string, ...any) {}
 
-// randomRun gives a balancer legal random events, with a checker as its host.
+// randomRun gives a balancer random events that a host may give, with a checker as its host.
 type randomRun struct {
 	*checker
 	balancer *Balancer
@@ -156,12 +172,19 @@
 	lastID   uint64
 }
 
-// playRandomEvents runs random events from a seed and returns the faults found.
+// playRandomEvents runs random events from a seed, and returns the broken rules.
 func playRandomEvents(t *testing.T, s Settings, seed int64) []string {
 	t.Helper()
 	x := &randomRun{random: rand.New(rand.NewSource(seed))}
-	x.checker = &checker{settings: s, now: 1_000_000, states: map[uint32]Endpoint{}, cordoned: map[uint32]bool{},
-		warmingUp: map[uint32]monotime.Micros{}, warmingSends: map[uint32]float64{}, requests: map[uint64]*checked{}}
+	x.checker = &checker{
+		settings:     s,
+		now:          1_000_000,
+		states:       map[uint32]Endpoint{},
+		cordoned:     map[uint32]bool{},
+		warmingUp:    map[uint32]monotime.Micros{},
+		warmingSends: map[uint32]float64{},
+		requests:     map[uint64]*checkedRequest{},
+	}
 	var err error
 	x.balancer, err = New(s, uint64(seed), x.checker)
 	if err != nil {
@@ -175,7 +198,7 @@
 		x.fireTimers(0)
 		x.step()
 	}
-	// All that is still open must be answered by its deadline.
+	// Each request that is still open must be answered by its deadline.
 	for range 400 {
 		x.now += 5000
 		x.fireTimers(firstRequestToken)
@@ -188,7 +211,7 @@
 	return x.faults
 }
 
-// fireTimers calls the timers that are due, of tokens from the given one on.
+// fireTimers fires the timers that are due, of tokens from the given one on.
 func (x *randomRun) fireTimers(from uint32) {
 	for i := 0; i < len(x.timers); {
 		if p := x.timers[i]; p.at <= x.now && p.token >= from {
@@ -200,6 +223,7 @@
 	}
 }
 
+// status draws the status of an attempt or a probe; OK is the most frequent.
 func (x *randomRun) status() Status {
 	statuses := []Status{OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent}
 	return statuses[x.random.Intn(len(statuses))]
@@ -212,7 +236,7 @@
 		x.lastID++
 		in := Request{ID: x.lastID, Class: uint8(x.random.Intn(len(x.settings.Classes))),
 			Deadline: x.now + monotime.Micros(x.random.Intn(1_000_000)) - 50_000}
-		x.requests[in.ID] = &checked{in: in}
+		x.requests[in.ID] = &checkedRequest{in: in}
 		x.open = append(x.open, in.ID)
 		x.balancer.HandleRequest(x.now, in)
 	case n < 15 && len(x.open) > 0:
@@ -223,7 +247,7 @@
 			r.closed = true
 		}
 		x.balancer.HandleClientGone(x.now, r.in.ID)
-	case n == 16 && x.random.Intn(3) == 0: // two cordons are ended by one call
+	case n == 16 && x.random.Intn(3) == 0:
 		id := x.list[x.random.Intn(len(x.list))].ID
 		x.cordoned[id] = true
 		if x.random.Intn(2) == 0 {
@@ -242,7 +266,7 @@
 }
 
 // endAttempt ends the first attempt of r that is in flight.
-func (x *randomRun) endAttempt(r *checked) {
+func (x *randomRun) endAttempt(r *checkedRequest) {
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if !a.inflight {
@@ -283,6 +307,7 @@
 	}
 }
 
+// update sends a list to the balancer, and cordons as the host does: cordons are its own, and an entry may be new.
 func (x *randomRun) update(kind ListKind, entries []Endpoint) {
 	if kind != ListDelta && kind != ListFailed {
 		clear(x.states)
@@ -291,7 +316,7 @@
 		x.states[e.ID] = e
 	}
 	x.balancer.UpdateEndpoints(x.now, kind, entries)
-	for id := range x.cordoned { // as the host does: cordons are its own, and an entry may be new
+	for id := range x.cordoned {
 		x.balancer.SetCordon(x.now, id, true)
 	}
 }
@@ -303,7 +328,7 @@
 		s.Limits.Hedging = seed%3 != 0
 		s.Limits.Probes = seed%5 != 0
 		s.Limits.MaxAttempts = 1 + int(seed%4)
-		s.Prices.Probe *= float64(seed % 7 / 3) // queued requests, too
+		s.Prices.Probe *= float64(seed % 7 / 3) // 0 for some, so that requests are queued
 		for i, bad := range playRandomEvents(t, s, seed) {
 			if i < 5 {
 				t.Errorf("seed %d: %s", seed, bad)
@@ -312,46 +337,45 @@
 	}
 }
 
-// The checker itself must see each rule broken.
+// The checker must detect each broken rule.
 func TestCheckerDetectsBrokenRules(t *testing.T) {
-	fresh := func() *checker {
-		c := &checker{settings: testSettings(), states: map[uint32]Endpoint{}, requests: map[uint64]*checked{}}
+	newChecker := func() *checker {
+		c := &checker{settings: testSettings(), states: map[uint32]Endpoint{}, requests: map[uint64]*checkedRequest{}}
 		for _, e := range readyEndpoints(4) {
 			c.states[e.ID] = e
 		}
 		for class := range uint8(5) {
-			c.requests[uint64(class)] = &checked{in: newTestRequest(uint64(class), class, 0)}
+			c.requests[uint64(class)] = &checkedRequest{in: newTestRequest(uint64(class), class, 0)}
 		}
 		return c
 	}
 	for name, do := range map[string]func(*checker){
-		"two final answers":       func(c *checker) { c.Reject(0, 0); c.Fail(0) },
-		"send after the end":      func(c *checker) { c.Fail(0); c.Send(0, 1, 0) },
-		"send to the drained":     func(c *checker) { c.states[1] = Endpoint{ID: 1, State: Draining}; c.Send(0, 1, 0) },
-		"send to one out by hand": func(c *checker) { c.cordoned = map[uint32]bool{1: true}; c.Send(0, 1, 0) },
-		"unsafe sent twice":       func(c *checker) { c.Send(4, 1, 0); c.Send(4, 2, 0) },
-		"unsafe rejected":         func(c *checker) { c.Send(4, 1, 0); c.Reject(4, 0) },
-		"keyed outside its zone":  func(c *checker) { c.Send(2, 1, 0); c.Send(2, 3, 0) },
-		"keyed outside its cell":  func(c *checker) { c.Send(3, 1, 0); c.Send(3, 3, 0) },
-		"keyed after its window":  func(c *checker) { c.Send(1, 1, 0); c.now = second; c.Send(1, 2, 0) },
+		"two final answers":      func(c *checker) { c.Reject(0, 0); c.Fail(0) },
+		"send after the end":     func(c *checker) { c.Fail(0); c.Send(0, 1, 0) },
+		"send to the drained":    func(c *checker) { c.states[1] = Endpoint{ID: 1, State: Draining}; c.Send(0, 1, 0) },
+		"send to the cordoned":   func(c *checker) { c.cordoned = map[uint32]bool{1: true}; c.Send(0, 1, 0) },
+		"write sent twice":       func(c *checker) { c.Send(4, 1, 0); c.Send(4, 2, 0) },
+		"write rejected":         func(c *checker) { c.Send(4, 1, 0); c.Reject(4, 0) },
+		"keyed outside its zone": func(c *checker) { c.Send(2, 1, 0); c.Send(2, 3, 0) },
+		"keyed outside its cell": func(c *checker) { c.Send(3, 1, 0); c.Send(3, 3, 0) },
+		"keyed after its window": func(c *checker) { c.Send(1, 1, 0); c.now = second; c.Send(1, 2, 0) },
 		"too many attempts": func(c *checker) {
 			c.Send(0, 1, 0)
 			c.Send(0, 2, 0)
 			c.Send(0, 3, 0)
-			c.Send(0, 4,
-				0)
+			c.Send(0, 4, 0)
 		},
 	} {
-		c := fresh()
+		c := newChecker()
 		if do(c); len(c.faults) == 0 {
-			t.Errorf("%s: not seen", name)
+			t.Errorf("%s: not detected", name)
 		}
 	}
 }
 
-// Each kind of effect against each outcome of its first attempt.
+// Each kind of idempotency, with each outcome of its first attempt.
 func TestIdempotencyOfRetries(t *testing.T) {
-	never := map[Status]bool{Rejected: true, ConnectFailed: true, NotSent: true}
+	neverRan := map[Status]bool{Rejected: true, ConnectFailed: true, NotSent: true}
 	for class := range uint8(5) {
 		for status := Error; status <= NotSent; status++ {
 			s := testSettings()
@@ -361,15 +385,15 @@
 			b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: a.endpoint.ID, Status: status, Latency: 1000})
 			sends := len(r.sends)
 			switch kind := s.Classes[class]; {
-			case kind.Idempotency == NonIdempotent && !never[status]:
+			case kind.Idempotency == NonIdempotent && !neverRan[status]:
 				if sends != 1 || len(r.failed) != 1 {
-					t.Errorf("unsafe, status %d: %d sends, %d failed", status, sends, len(r.failed))
+					t.Errorf("not idempotent, status %d: %d sends, %d failed", status, sends, len(r.failed))
 				}
 			case sends != 2:
-				t.Errorf("class %d status %d: %d sends, 2 wanted", class, status, sends)
-			case kind.Idempotency == IdempotentByKey && kind.DedupScope != DedupAll && !never[status]:
+				t.Errorf("class %d status %d: %d sends, want 2", class, status, sends)
+			case kind.Idempotency == IdempotentByKey && kind.DedupScope != DedupAll && !neverRan[status]:
 				if (r.sends[0].endpoint-1)/2 != (r.sends[1].endpoint-1)/2 {
-					t.Errorf("class %d status %d left its group", class, status)
+					t.Errorf("class %d status %d left its deduplication scope", class, status)
 				}
 			}
 		}
@@ -430,49 +454,47 @@
 	}
 }
 
-// warmupSends counts sends to a warming endpoint over the overload window just
-// after its start, beside nine warm ones under a steady load.
-func warmupSends(t *testing.T, rate int, colds int) (cold []int, warm float64) {
+// warmupSends returns the sends to each of some warming endpoints in the second after their start, and the mean sends
+// to each of ten warm ones beside them, under a steady rate of requests per second.
+func warmupSends(t *testing.T, rate, warmingCount int) (warming []int, warm float64) {
 	t.Helper()
-	s := testSettings()
-	list := readyEndpoints(10)
-	b, r := startBalancer(t, s, list)
-	id, seen := uint64(0), 0
-	counts := map[uint32]int{}
+	b, r := startBalancer(t, testSettings(), readyEndpoints(10))
+	id := uint64(0)
 	run := func(from, to monotime.Micros) {
+		r.sends = nil
+		handled := 0
 		for now := from; now < to; now += second / monotime.Micros(rate) {
 			for e := range uint32(12) {
 				reportLoad(b, now, e+1, 0)
 			}
 			id++
 			b.HandleRequest(now, newTestRequest(id, 0, now))
-			for ; seen < len(r.sends); seen++ {
-				counts[r.sends[seen].endpoint]++
-				succeed(b, now, r.sends[seen].id, r.sends[seen].endpoint, 30_000)
+			for ; handled < len(r.sends); handled++ {
+				succeed(b, now, r.sends[handled].id, r.sends[handled].endpoint, 30_000)
 			}
 		}
 	}
 	run(0, 5*second)
-	clear(counts)
-	for i := range colds {
-		b.UpdateEndpoints(5*second, ListDelta, []Endpoint{{ID: uint32(11 + i), State: Ready, StartTime: 5 * second}})
+	for i := range warmingCount {
+		started := Endpoint{ID: uint32(11 + i), State: Ready, StartTime: 5 * second}
+		b.UpdateEndpoints(5*second, ListDelta, []Endpoint{started})
 	}
 	run(5*second, 6*second)
-	for e, n := range counts {
+	for e, n := range r.sendsByEndpoint() {
 		if e >= 11 {
-			cold = append(cold, n)
+			warming = append(warming, n)
 		} else {
 			warm += float64(n) / 10
 		}
 	}
-	return cold, warm
+	return warming, warm
 }
 
 func TestWarmingEndpointGetsItsWarmupShare(t *testing.T) {
-	for _, c := range []struct{ rate, colds int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
-		cold, warm := warmupSends(t, c.rate, c.colds)
-		for _, n := range cold {
-			// Warmth goes from 0.2 to 0.28 in this second; one request may round up.
+	for _, c := range []struct{ rate, warmingCount int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
+		warming, warm := warmupSends(t, c.rate, c.warmingCount)
+		for _, n := range warming {
+			// The capacity fraction grows from 0.2 to 0.28 in this second; one request may round up.
 			if float64(n) > 0.28*warm+1 {
 				t.Errorf("rate %d: a warming endpoint got %d, a warm one %.1f", c.rate, n, warm)
 			}
@@ -514,7 +536,7 @@
 	fire()
 	for n := 1; n < 8; n++ {
 		if r.watches != n {
-			t.Fatalf("%d calls, %d wanted", r.watches, n)
+			t.Fatalf("%d calls, want %d", r.watches, n)
 		}
 		before := now
 		if n%2 == 0 {
@@ -542,7 +564,7 @@
 	b.HandleHeaders(2000, 1, 0, 1000)
 	b.HandleTimer(2*second, b.requests[1].timerToken)
 	if len(r.sends) != 1 || len(r.rejected)+len(r.failed) != 0 {
-		t.Error("a stream that began was given an end or a copy")
+		t.Error("a request with a streamed answer was sent again, rejected or failed")
 	}
 	succeed(b, 3*second, 1, r.sends[0].endpoint, 3*second)
 	if len(b.requests) != 0 {
@@ -587,7 +609,7 @@
 	}
 }
 
-// A request of a class that the settings do not have is owed an answer all the same.
+// A request of a class that the settings do not have gets a final answer as well.
 func TestUnknownClassIsRejected(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.HandleRequest(1000, newTestRequest(1, 99, 1000))
@@ -596,7 +618,7 @@
 	}
 }
 
-// Staff must learn why requests are rejected, in one line a second and not in thousands.
+// The log has why requests are rejected, in one line per second and not in thousands.
 func TestRejectionsAreLoggedOncePerSecond(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	reportLoad(b, 1000, 1, 50)
