--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -70,11 +70,10 @@
 }
 
 const (
-	ratioWeight        = 0.02 // of one sample in the ratios of late reports and of rejected requests
-	maxLateReportRatio = 0.1  // of the compared reports are late: above it averages replace reports
+	maxLateReportRatio = 0.1 // of the compared reports are late: above it averages replace reports
 
-	// lateReportHysteresis divides maxLateReportRatio for the way back: reports are used again below a third
-	// of the ratio, so that the state does not flap.
+	// lateReportHysteresis divides maxLateReportRatio: reports are used again below a third of that ratio, so
+	// that the state does not flap.
 	lateReportHysteresis = 3
 )
 
@@ -93,12 +92,15 @@
 }
 
 const (
-	recentWorks   = 2.0 // mean works (microseconds each) for which a report is recent: it is about as old
+	// recentWorks is the age up to which a load report is recent, in mean works (microseconds each). Later,
+	// many of the requests that it counted have ended.
+	recentWorks = 2.0
+
 	maxRechecks   = 6   // endpoints that are probed twice, to measure how often reports change
 	recheckChance = 0.5 // of a second probe after a report, until there were maxRechecks
 
-	// maxRecheckGap is the longest time between two compared reports, in mean works. Over a longer time the
-	// load has changed anyway.
+	// maxRecheckGap is the longest time between two compared reports, in mean works. Reports that change
+	// often would seem to change once in a longer time.
 	maxRecheckGap = 2 * recentWorks
 )
 
--- a/balancer/proberate.go
+++ b/balancer/proberate.go
@@ -7,8 +7,8 @@
 	// rejected. Divided by Prices.Probe it gives probes per request.
 	probeBudget = 0.005
 
-	// calmProbeShare is the part of probeBudget that is used while no request is rejected. Then few requests
-	// gain from better reports (docs/design/model.md).
+	// calmProbeShare is the part of probeBudget that is used while no request is rejected. Then more probes
+	// gain little (docs/design/model.md).
 	calmProbeShare = 0.2
 
 	fullProbeRejectedRatio = 0.05 // of the requests are rejected: from there on probeBudget is used in full
@@ -17,12 +17,12 @@
 	minProbeRate           = 0.1  // probes per second, without an overload policy
 	minLimitedProbeRate    = 0.01 // probes per second under an overload policy: rates divide by it
 
-	// minFirstAttemptRatio is the least part of the requests that counts as admitted. While all are rejected,
-	// reports must still show when that may end.
+	// minFirstAttemptRatio is the least part of the requests that counts as admitted. While all requests are
+	// rejected, reports must show when that may end.
 	minFirstAttemptRatio = 0.3
 
-	// limitedRoundShare is the part of an overload policy's MaxProbeRate that rounds use. The rest is for
-	// probes that queued requests wait for: those are recent, and many requests share them.
+	// limitedRoundShare is the part of the probe rate that rounds use under an overload policy. The rest is
+	// for probes that queued requests wait for: their reports are recent, and many requests share them.
 	limitedRoundShare = 0.2
 )
 
--- a/balancer/proberounds.go
+++ b/balancer/proberounds.go
@@ -4,7 +4,7 @@
 
 const (
 	probeBatch       = 3           // endpoints per round, at most
-	maxProbeInterval = second / 10 // longest pause before a round of several probes
+	maxProbeInterval = second / 10 // mean pause before a round of several probes, at most
 	minPauseFactor   = 0.5         // of the mean pause before a round: the pause is 0.5 to 1.5 of it, at random
 
 	// probeRateRecheck is about how often the probe rate is computed anew. A longer pause, by the low rate of
--- a/balancer/statistics.go
+++ b/balancer/statistics.go
@@ -16,6 +16,8 @@
 const (
 	slowWeight = 0.02 // of one request or answer: an average over about 50
 	fastWeight = 0.25 // of one round trip: an average over about 4
+
+	ratioWeight = 0.02 // of one sample in the ratios of late reports and of rejected requests: over about 50
 )
 
 // manySamples is the number of samples of an average that starts with a value: the first sample does not
--- a/balancer/warmup.go
+++ b/balancer/warmup.go
@@ -52,8 +52,7 @@
 }
 
 // warmupShare is the part of Contract.CollapseMultiple up to which the demand bucket fills an endpoint,
-// relative to a warm endpoint's work; the result is 1 at most. The rest is the margin for differences between
-// balancers.
+// relative to a warm endpoint's work; the result is 1 at most.
 const warmupShare = 0.4
 
 // refillDemandBucket refills e's demand bucket and returns its size (microseconds of work): what it gains in
