--- a/balancer/api.go
+++ b/balancer/api.go
@@ -79,7 +79,7 @@
 type Outcome struct {
 	ID            uint64 // of the request
 	Attempt       int    // number among the request's attempts, from 0, in the order of Actions.Send
-	Endpoint      uint32
+	Endpoint      uint32 // Not used by the balancer, which knows it by the attempt.
 	Status        Status
 	Latency       monotime.Micros // from the send to the end
 	Answered      bool            // the request has its final answer
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -38,7 +38,7 @@
 
 // Class is the settings of a class of requests. Fields without a default must be set.
 type Class struct {
-	Name        string
+	Name        string      // Not used by the balancer.
 	Idempotency Idempotency // default Idempotent
 	DedupScope  DedupScope  // for IdempotentByKey; default DedupAll
 
@@ -50,12 +50,12 @@
 	ClientTimeout    monotime.Micros // that a client waits over all attempts (Envoy: route timeout); positive
 	PriorityWeight   float64         // of one request, relative to other classes; not negative, 0 is rejected first
 	LateWeight       float64         // of a late answer, as a part of the weight; 0 to 1. Not used by the balancer.
-	Streaming        bool            // answers are streamed, and HandleHeaders is called; default false
+	Streaming        bool            // answers are streamed; default false. Not used by the balancer.
 }
 
 // Tenant is the settings of a tenant.
 type Tenant struct {
-	Name  string
+	Name  string  // Not used by the balancer.
 	Quota float64 // requests per second over all balancers; not negative
 	Share float64 // of the service, 0 to 1. Not used by the balancer.
 }
