--- a/internal/decide/fairqueue/fairqueue.go
+++ b/internal/decide/fairqueue/fairqueue.go
@@ -1,18 +1,17 @@
-// Package fairqueue schedules the requests of an instance's clients: which request is admitted now, which
-// waits, and which is rejected. A Scheduler bounds the requests in flight to one set of endpoints; several
-// schedulers may share their clients. It must not import endpoints, which the balancer picks after admission,
-// nor sockets.
+// Package fairqueue decides which request of an instance's clients is admitted now, which waits, and which is
+// rejected. A Scheduler bounds the requests in flight to one set of endpoints; several schedulers may share their
+// clients. It must not import endpoints, which the balancer picks after admission, nor sockets.
 //
-// What is shared is time in flight: a client whose requests take longer gets fewer of them. The algorithm is
-// start-time fair queueing (Goyal, Vin, Cheng: "Start-time Fair Queueing", SIGCOMM 1996) with several requests
-// in service, SFQ(D) (Jin, Chase, Kaur: "Interposed Proportional Sharing for a Storage Service Utility",
-// SIGMETRICS 2004): each client has a start tag in virtual time, the least tag is served first, and each
-// request advances its client's tag by its cost over the client's weight. As the cost is known only at the end,
-// the mean of the request's class is charged at the start and the difference corrected at the end. The
-// scheduler is work-conserving: nothing waits while there is capacity.
+// Clients share time in flight by weight: a client whose requests take longer gets fewer of them. The algorithm is
+// start-time fair queueing (Goyal, Vin, Cheng: "Start-time Fair Queueing", SIGCOMM 1996) with several requests in
+// service, SFQ(D) (Jin, Chase, Kaur: "Interposed Proportional Sharing for a Storage Service Utility", SIGMETRICS
+// 2004): each client has a start tag in virtual time, the client with the least tag is served first (flow.go), and
+// each request advances its client's tag by its cost over the client's weight. The cost of a request, its time in
+// flight, is known only at its end: the mean of its class (service_time.go) is charged when it starts, and corrected
+// when it ends. The scheduler is work-conserving: no request waits while there is capacity.
 //
 // A Scheduler is a deterministic state machine for one goroutine at a time. Its caller passes events with their
-// instants, and calls Next for the decisions that follow until there are none.
+// instants, and then calls Next until there is no decision left.
 package fairqueue
 
 import "dunlinsail/internal/monotime"
@@ -23,11 +22,11 @@
 type Request struct {
 	ID       uint64
 	Class    int             // index in Settings.InitialTimes
-	Deadline monotime.Micros // an answer after this instant is worthless
+	Deadline monotime.Micros // an answer after this instant is of no use
 
-	// MaxWaitFraction is the part of the time left for waiting, over 0 to 1, that the request may wait here; 0
-	// is all. If all requests waited until their latest start, all answers would come at the last moment, and
-	// many after it.
+	// MaxWaitFraction is the part of the time until its latest start for which the request may wait, greater than 0,
+	// up to 1; 0 stands for all of it. Requests that start at their latest start are answered at the last moment, and
+	// many of them too late.
 	MaxWaitFraction float64
 }
 
@@ -36,8 +35,8 @@
 
 // The actions.
 const (
-	Admit  Action = iota // pass it on to the balancer
-	Reject               // answer without it; nothing of it was sent, so that a retry is safe
+	Admit  Action = iota // pass it to the balancer
+	Reject               // respond that it is rejected: nothing of it was sent, so that a retry is harmless
 )
 
 // Reason is why a request is rejected.
@@ -46,7 +45,7 @@
 // The reasons.
 const (
 	None               Reason = iota
-	WouldMissDeadline         // no answer could be in time by the time its turn comes
+	WouldMissDeadline         // once it could be admitted, its answer would come too late
 	ClientAtLimit             // its client has ClientSpec.MaxOpen requests open
 	ClientOverRate            // its client is over ClientSpec.Rate
 	SharedLimitReached        // SharedLimit.Max requests are open
@@ -68,5 +67,5 @@
 	ID         uint64
 	Action     Action
 	Reason     Reason          // of Reject
-	RetryAfter monotime.Micros // of Reject: when there may be capacity; 0 is no advice
+	RetryAfter monotime.Micros // of Reject: after which there may be capacity; 0 is no advice
 }
