--- a/internal/decide/fairqueue/fairqueue_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -52,7 +52,11 @@
 }
 func (e completionHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *completionHeap) Push(v any)   { *e = append(*e, v.(completion)) }
-func (e *completionHeap) Pop() any     { l := (*e)[len(*e)-1]; *e = (*e)[:len(*e)-1]; return l }
+func (e *completionHeap) Pop() any {
+	last := (*e)[len(*e)-1]
+	*e = (*e)[:len(*e)-1]
+	return last
+}
 
 func newSimulation(t rapid.TB, s Settings, took func(uint64) monotime.Micros) *simulation {
 	return &simulation{
@@ -89,39 +93,49 @@
 		if !ok {
 			break
 		}
-		p := w.open[d.ID]
-		if p == nil {
-			w.t.Fatalf("a decision on request %d, which is not open", d.ID)
-		}
-		if d.Action == Reject {
-			if p.inFlight {
-				w.t.Fatalf("request %d was rejected in flight", d.ID)
-			}
-			if d.RetryAfter < 0 {
-				w.t.Fatalf("retry after %d", d.RetryAfter)
-			}
-			delete(w.open, d.ID)
-			w.rejections[d.Reason]++
-			if p.onReject != nil {
-				p.onReject(d.Reason)
-			}
-			continue
-		}
-		if p.inFlight {
-			w.t.Fatalf("request %d was admitted twice", d.ID)
-		}
-		p.inFlight, p.startedAt = true, w.now
+		w.apply(d)
+	}
+	w.checkCapacity()
+}
+
+// apply carries out a decision, and checks that it is one on a waiting request.
+func (w *simulation) apply(d Decision) {
+	p := w.open[d.ID]
+	if p == nil {
+		w.t.Fatalf("a decision on request %d, which is not open", d.ID)
+	}
+	if p.inFlight {
+		w.t.Fatalf("request %d was admitted before: %+v", d.ID, d)
+	}
+	if d.Action == Admit {
+		p.inFlight = true
+		p.startedAt = w.now
 		heap.Push(&w.completions, completion{w.now + w.serviceTime(d.ID), d.ID})
+		return
+	}
+	if d.RetryAfter < 0 {
+		w.t.Fatalf("retry after %d", d.RetryAfter)
 	}
-	waiting, in := len(w.open)-len(w.completions), len(w.completions)
-	if a, b := w.scheduler.Counts(); a != waiting || b != in {
-		w.t.Fatalf("it counts %d waiting and %d in flight; there are %d and %d", a, b, waiting, in)
+	delete(w.open, d.ID)
+	w.rejections[d.Reason]++
+	if p.onReject != nil {
+		p.onReject(d.Reason)
+	}
+}
+
+// checkCapacity checks the scheduler's counts, its limit of requests in flight, and that no request waits while there
+// is capacity.
+func (w *simulation) checkCapacity() {
+	inFlight := len(w.completions)
+	waiting := len(w.open) - inFlight
+	if a, b := w.scheduler.Counts(); a != waiting || b != inFlight {
+		w.t.Fatalf("it counts %d waiting and %d in flight; there are %d and %d", a, b, waiting, inFlight)
 	}
-	if w.maxInFlight > 0 && in > w.maxInFlight {
-		w.t.Fatalf("%d in flight of %d", in, w.maxInFlight)
+	if w.maxInFlight > 0 && inFlight > w.maxInFlight {
+		w.t.Fatalf("%d in flight of %d", inFlight, w.maxInFlight)
 	}
-	if waiting > 0 && (w.maxInFlight == 0 || in < w.maxInFlight) {
-		w.t.Fatalf("%d wait while %d of %d slots are taken", waiting, in, w.maxInFlight)
+	if waiting > 0 && (w.maxInFlight == 0 || inFlight < w.maxInFlight) {
+		w.t.Fatalf("%d wait while %d of %d slots are taken", waiting, inFlight, w.maxInFlight)
 	}
 }
 
@@ -154,8 +168,8 @@
 		if len(w.completions) > 0 {
 			next = min(next, w.completions[0].at)
 		}
-		if wake := w.scheduler.NextExpiry(); wake > 0 {
-			next = min(next, max(w.now, wake))
+		if expiry := w.scheduler.NextExpiry(); expiry > 0 {
+			next = min(next, max(w.now, expiry))
 		}
 		w.now = max(w.now, next)
 		if len(w.completions) > 0 && w.completions[0].at <= w.now {
@@ -178,6 +192,7 @@
 }
 
 func newTestClient(t rapid.TB, s ClientSpec) *Client {
+	t.Helper()
 	c, err := NewClient(s)
 	if err != nil {
 		t.Fatal(err)
@@ -185,6 +200,55 @@
 	return c
 }
 
+// usageSlices is the time in flight of each client in slices of a quarter second.
+type usageSlices [][]float64
+
+const (
+	usageLength = 3 * second
+	usageSlice  = second / 4
+)
+
+// add adds a client's request that was in flight between two instants.
+func (u usageSlices) add(client int, from, to monotime.Micros) {
+	for from < to {
+		sliceEnd := min(to, (from/usageSlice+1)*usageSlice)
+		if s := from / usageSlice; int(s) < len(u[client]) {
+			u[client][s] += float64(sliceEnd - from)
+		}
+		from = sliceEnd
+	}
+}
+
+// shares returns each client's part of the time in flight of four slices.
+func (u usageSlices) shares(from int) []float64 {
+	shares := make([]float64, len(u))
+	var all float64
+	for i := range u {
+		for _, v := range u[i][from : from+4] {
+			shares[i] += v
+			all += v
+		}
+	}
+	for i := range shares {
+		shares[i] /= all
+	}
+	return shares
+}
+
+// saturate has a client send so many requests at once, and a new one for each that ends, until usageLength.
+func (w *simulation) saturate(c *Client, client, requests int, used usageSlices) {
+	var again func(p *simRequest, at monotime.Micros)
+	again = func(p *simRequest, at monotime.Micros) {
+		used.add(client, p.startedAt, at)
+		if w.now < usageLength {
+			w.enqueue(c, client, math.MaxInt64/2, again, nil)
+		}
+	}
+	for range requests {
+		w.enqueue(c, client, math.MaxInt64/2, again, nil)
+	}
+}
+
 // Under saturation each client's time in flight is within 5% of its weight's part in any second, none starves, and
 // no capacity is unused while a request waits (applyDecisions checks that).
 func TestTimeInFlightFollowsWeights(t *testing.T) {
@@ -199,53 +263,92 @@
 			// Each client has a class of its own: some clients' requests take longer than others'.
 			return monotime.Micros(float64(means[w.open[id].class]) * (0.5 + rng.Float64()))
 		})
-		const length, slice = 3 * second, second / 4
-		used := make([][]float64, len(weights)) // time in flight by slices of a quarter second
+		used := make(usageSlices, len(weights))
 		var sum float64
 		for i, weight := range weights {
 			sum += float64(weight)
-			used[i] = make([]float64, length/slice+1)
+			used[i] = make([]float64, usageLength/usageSlice+1)
 			c := newTestClient(t, ClientSpec{Name: fmt.Sprint(i), Weight: float64(weight)})
-			// Each keeps enough waiting that it never runs dry.
-			var again func(p *simRequest, at monotime.Micros)
-			again = func(p *simRequest, at monotime.Micros) {
-				for from := p.startedAt; from < at; {
-					to := min(at, (from/slice+1)*slice)
-					if s := from / slice; int(s) < len(used[i]) {
-						used[i][s] += float64(to - from)
-					}
-					from = to
-				}
-				if w.now < length {
-					w.enqueue(c, i, math.MaxInt64/2, again, nil)
-				}
-			}
-			for range 2*slots + 2 {
-				w.enqueue(c, i, math.MaxInt64/2, again, nil)
-			}
+			w.saturate(c, i, 2*slots+2, used) // so many that it always has requests waiting
 		}
-		w.runUntil(length)
+		w.runUntil(usageLength)
 		for from := 2; from+4 <= len(used[0])-2; from++ { // any second but the first half, where costs are guessed
-			var all float64
-			for i := range used {
-				for _, v := range used[i][from : from+4] {
-					all += v
-				}
-			}
-			for i := range used {
-				var own float64
-				for _, v := range used[i][from : from+4] {
-					own += v
-				}
-				if want := float64(weights[i]) / sum; math.Abs(own/all/want-1) > 0.05 {
+			for i, share := range used.shares(from) {
+				if want := float64(weights[i]) / sum; math.Abs(share/want-1) > 0.05 {
 					t.Fatalf("slots %d, weights %v, means %v: client %d had %.3f of a second, its part is %.3f",
-						slots, weights, means, i, own/all, want)
+						slots, weights, means, i, share, want)
 				}
 			}
 		}
 	})
 }
 
+// randomRun is a simulation with clients, in which random events happen.
+type randomRun struct {
+	*simulation
+	settings Settings
+	rng      *rand.Rand
+	clients  []*Client
+	enqueued int
+	finished int // ended, rejected or cancelled
+}
+
+// step makes one event at random.
+func (r *randomRun) step() {
+	switch r.rng.IntN(8) {
+	case 0:
+		r.runUntil(r.now + r.rng.Int64N(30*ms))
+	case 1:
+		if r.cancelAny() {
+			r.finished++
+		}
+	case 2:
+		if r.settings.MaxInFlight > 0 {
+			r.changeMaxInFlight(1 + r.rng.IntN(8))
+		}
+	default:
+		r.enqueueAny()
+	}
+}
+
+// changeMaxInFlight changes the limit of requests in flight. Those in flight stay.
+func (r *randomRun) changeMaxInFlight(n int) {
+	r.maxInFlight = n
+	r.scheduler.SetMaxInFlight(n)
+	if _, inFlight := r.scheduler.Counts(); inFlight > n {
+		r.maxInFlight = inFlight
+		r.scheduler.SetMaxInFlight(inFlight)
+	}
+	r.applyDecisions()
+}
+
+// enqueueAny enqueues a request of a client at random.
+func (r *randomRun) enqueueAny() {
+	r.enqueued++
+	c := r.clients[r.rng.IntN(len(r.clients))]
+	onEnd := func(p *simRequest, _ monotime.Micros) {
+		r.finished++
+		if p.startedAt > p.deadline {
+			r.t.Fatalf("a request was admitted at %d whose deadline was %d", p.startedAt, p.deadline)
+		}
+	}
+	r.enqueue(c, r.rng.IntN(2), r.now+r.rng.Int64N(200*ms), onEnd, func(Reason) { r.finished++ })
+}
+
+// checkLimits checks the limits of open requests.
+func (r *randomRun) checkLimits() {
+	for _, c := range r.clients {
+		waiting, inFlight := c.Counts()
+		if c.spec.MaxOpen > 0 && waiting+inFlight > c.spec.MaxOpen {
+			r.t.Fatalf("%d open of %d", waiting+inFlight, c.spec.MaxOpen)
+		}
+	}
+	limit := r.settings.Shared.Max
+	if waiting, inFlight := r.scheduler.Counts(); limit > 0 && waiting+inFlight > limit {
+		r.t.Fatalf("%d open of %d in all", waiting+inFlight, limit)
+	}
+}
+
 // Whatever clients send, each request is admitted or rejected once, none waits past the instant at which its answer
 // could still be in time, and at the end all counts are back where they started.
 func TestEveryRequestIsAdmittedOrRejectedOnce(t *testing.T) {
@@ -256,56 +359,21 @@
 			MaxInFlight:  rapid.IntRange(0, 6).Draw(t, "slots"),
 			Shared:       &SharedLimit{Max: rapid.SampledFrom([]int{0, 5, 50}).Draw(t, "open")},
 		}
-		w := newSimulation(t, s, func(uint64) monotime.Micros { return rng.Int64N(40 * ms) })
-		var clients []*Client
+		r := &randomRun{settings: s, rng: rng}
+		r.simulation = newSimulation(t, s, func(uint64) monotime.Micros { return rng.Int64N(40 * ms) })
 		for i := range rapid.IntRange(1, 4).Draw(t, "clients") {
-			clients = append(clients, newTestClient(t, ClientSpec{Name: fmt.Sprint(i), Weight: 0.5 + rng.Float64(),
+			r.clients = append(r.clients, newTestClient(t, ClientSpec{Name: fmt.Sprint(i), Weight: 0.5 + rng.Float64(),
 				MaxOpen: rng.IntN(3) * 4, Rate: float64(rng.IntN(2)) * 100, Burst: 10}))
 		}
-		enqueued, finished := 0, 0
 		for range 600 {
-			switch rng.IntN(8) {
-			case 0:
-				w.runUntil(w.now + rng.Int64N(30*ms))
-			case 1:
-				if w.cancelAny() {
-					finished++
-				}
-			case 2:
-				if s.MaxInFlight > 0 {
-					w.maxInFlight = 1 + rng.IntN(8)
-					w.scheduler.SetMaxInFlight(w.maxInFlight)
-					if _, in := w.scheduler.Counts(); in > w.maxInFlight {
-						w.maxInFlight = in // those in flight stay
-						w.scheduler.SetMaxInFlight(in)
-					}
-					w.applyDecisions()
-				}
-			default:
-				enqueued++
-				c := clients[rng.IntN(len(clients))]
-				w.enqueue(c, rng.IntN(2), w.now+rng.Int64N(200*ms), func(p *simRequest, _ monotime.Micros) {
-					finished++
-					if p.startedAt > p.deadline {
-						t.Fatalf("a request was admitted at %d whose deadline was %d", p.startedAt, p.deadline)
-					}
-				}, func(Reason) { finished++ })
-			}
-			for _, c := range clients {
-				waiting, in := c.Counts()
-				if c.spec.MaxOpen > 0 && waiting+in > c.spec.MaxOpen {
-					t.Fatalf("%d open of %d", waiting+in, c.spec.MaxOpen)
-				}
-			}
-			if waiting, in := w.scheduler.Counts(); s.Shared.Max > 0 && waiting+in > s.Shared.Max {
-				t.Fatalf("%d open of %d in all", waiting+in, s.Shared.Max)
-			}
+			r.step()
+			r.checkLimits()
 		}
-		w.runUntil(w.now + 10*second)
-		if enqueued != finished {
-			t.Fatalf("%d enqueued, %d finished", enqueued, finished)
+		r.runUntil(r.now + 10*second)
+		if r.enqueued != r.finished {
+			t.Fatalf("%d enqueued, %d finished", r.enqueued, r.finished)
 		}
-		w.checkEmpty()
+		r.checkEmpty()
 	})
 }
 
@@ -417,7 +485,7 @@
 	w := newSimulation(t, settings, func(uint64) monotime.Micros { return 10 * ms })
 	few := newTestClient(t, ClientSpec{Name: "few", Weight: 1, MaxOpen: 2})
 	fast := newTestClient(t, ClientSpec{Name: "fast", Weight: 1, Rate: 10, Burst: 2})
-	any := newTestClient(t, ClientSpec{Name: "any", Weight: 1})
+	unlimited := newTestClient(t, ClientSpec{Name: "any", Weight: 1})
 	expect := func(c *Client, want Reason) {
 		t.Helper()
 		got := None
@@ -429,9 +497,9 @@
 	expect(few, None)
 	expect(few, None)
 	expect(few, ClientAtLimit)
-	expect(any, None)
-	expect(any, None)
-	expect(any, SharedLimitReached)
+	expect(unlimited, None)
+	expect(unlimited, None)
+	expect(unlimited, SharedLimitReached)
 	w.runUntil(second)
 	expect(few, None)
 	expect(fast, None)
@@ -463,7 +531,8 @@
 func TestClientUpdateChangesItsShare(t *testing.T) {
 	settings := Settings{InitialTimes: []monotime.Micros{ms}, MaxInFlight: 2}
 	w := newSimulation(t, settings, func(uint64) monotime.Micros { return ms })
-	a, b := newTestClient(t, ClientSpec{Name: "a", Weight: 1}), newTestClient(t, ClientSpec{Name: "b", Weight: 1})
+	a := newTestClient(t, ClientSpec{Name: "a", Weight: 1})
+	b := newTestClient(t, ClientSpec{Name: "b", Weight: 1})
 	var done [2]int
 	for i, c := range []*Client{a, b} {
 		var again func(*simRequest, monotime.Micros)
--- a/internal/decide/fairqueue/main_test.go
+++ b/internal/decide/fairqueue/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain has rapid draw the same each time, unless a seed is asked for: -rapid.seed=0 draws anew.
+// TestMain gives rapid a fixed seed. Another one is set by its flag: -rapid.seed=0 draws a new seed each time.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
