--- a/internal/decide/concurrency/baseline.go
+++ b/internal/decide/concurrency/baseline.go
@@ -6,27 +6,27 @@
 	"dunlinsail/internal/monotime"
 )
 
-const (
-	unloadedDivisor = 4  // a request counts as alone if no more were in flight than this part of the limit
-	baselineSamples = 24 // samples that make a measurement,
-	minClassSamples = 6  // and of one class, for its baseline to be replaced
-	baselineWeight  = 0.05
+// unloadedDivisor defines few requests in flight: at most this part of the limit. A request that was sent then counts
+// as alone, and a measurement lowers the limit to that.
+const unloadedDivisor = 4
 
-	measureInterval = 15 * second // without enough unloaded samples for this time the limit is lowered to get some,
-	measureDuration = second      // for no longer than this
-)
+// baselineSamples is the number of unloaded samples, of all classes, that make a measurement complete or unnecessary.
+const baselineSamples = 24
 
-// baseline is what a class's requests take with hardly any others in flight.
+// baseline is the time that a class's requests take with hardly any others in flight.
 type baseline struct {
 	mean    float64 // in microseconds
 	samples int
 
-	measuredSum     float64 // of the present measurement
-	measuredSamples int
+	measuredSum     float64 // in the present measurement, in microseconds
+	measuredSamples int     // in the present measurement
 }
 
-// addUnloadedSample takes in a request that was alone while the limit is not lowered. Enough of them make a measurement
-// unnecessary.
+// baselineWeight is the least weight of one unloaded sample in the moving average of a baseline.
+const baselineWeight = 0.05
+
+// addUnloadedSample takes in a request that was alone while the limit is not lowered. Enough of them postpone the next
+// measurement.
 func (l *Limiter) addUnloadedSample(now monotime.Micros, base *baseline, took monotime.Micros) {
 	base.samples++
 	base.mean += (float64(took) - base.mean) * max(baselineWeight, 1/float64(base.samples))
@@ -37,6 +37,9 @@
 	}
 }
 
+// measureDuration is the time after which a measurement ends, with however few samples.
+const measureDuration = second
+
 // startMeasurement lowers the limit for a measurement.
 func (l *Limiter) startMeasurement(now monotime.Micros) {
 	l.measuring = true
@@ -48,11 +51,16 @@
 	}
 }
 
-// addBaselineSample takes in a request while the limit is lowered. Requests that were sent before, with more in
-// flight, do not count.
+// minClassSamples is the number of samples of a class from which on a measurement replaces its baseline. A class
+// without a baseline gets one by any sample.
+const minClassSamples = 6
+
+// addBaselineSample takes in a request while the limit is lowered, and ends the measurement once it has
+// baselineSamples or has lasted for measureDuration. Requests that were sent before it, with more in flight, do not
+// count.
 func (l *Limiter) addBaselineSample(now monotime.Micros, base *baseline, took monotime.Micros, inFlight int) {
 	if l.measureUntil == math.MaxInt64 {
-		l.measureUntil = now + measureDuration // the first sample of all
+		l.measureUntil = now + measureDuration // the first measurement lasts from its first sample on
 	}
 	if inFlight <= l.Limit() {
 		base.measuredSum += float64(took)
@@ -80,9 +88,14 @@
 	l.resetWindow(now)
 }
 
-// scheduleMeasurement returns when to measure again, with jitter.
+const (
+	measureInterval      = 15 * second // least time from one measurement, or from enough unloaded samples, to the next
+	measureJitterDivisor = 4           // of measureInterval, added at most, so that instances do not measure at once
+)
+
+// scheduleMeasurement returns the instant of the next measurement.
 func (l *Limiter) scheduleMeasurement(now monotime.Micros) monotime.Micros {
-	return now + measureInterval + l.randomBelow(measureInterval/4)
+	return now + measureInterval + l.randomBelow(measureInterval/measureJitterDivisor)
 }
 
 // randomBelow returns a random duration in [0,d).
--- a/internal/decide/concurrency/limiter.go
+++ b/internal/decide/concurrency/limiter.go
@@ -8,27 +8,12 @@
 	"dunlinsail/internal/monotime"
 )
 
-const (
-	minWindow        = second / 10 // a window is evaluated after this time at the earliest,
-	minWindowSamples = 30          // and after as many samples, or as many as the limit
-
-	// The limit grows while fewer requests wait than growWaiting and GrowThreshold of the limit, and shrinks
-	// while more wait than shrinkWaiting and ShrinkThreshold of it. At endpoints that are busy for seven tenths
-	// of the time, which is healthy, about as many wait by chance as the default thresholds say.
-	growWaiting            = 0.4
-	shrinkWaiting          = 0.8
-	defaultGrowThreshold   = 1.0 / 4
-	defaultShrinkThreshold = 1.0 / 2.5
-
-	maxSampleRatio = 4.0 // one request counts as at most this many times its baseline
-)
-
 // Limiter is an adaptive limit on the requests in flight. Make one with New; it is for one goroutine at a time.
 type Limiter struct {
 	settings  Settings
 	rand      hash64.Source
 	limit     float64
-	slowStart bool // the limit was never too high, and grows by half (slow start)
+	slowStart bool // the limit was never too high: it grows by half at a time
 
 	baselines []baseline // by class
 
@@ -36,17 +21,17 @@
 	windowStart  monotime.Micros
 	samples      int
 	timeSum      float64 // of the samples, in microseconds
-	baselineSum  float64 // of their classes' baselines
-	limitReached bool
+	baselineSum  float64 // of the baselines of the samples' classes, in microseconds
+	limitReached bool    // requests were kept waiting by the limit, or as many as the limit were in flight
 
 	// The measurement of baselines.
-	measuring       bool // the limit is lowered
-	measureUntil    monotime.Micros
-	unloadedSamples int             // since the last measurement, or of the present one
-	nextMeasurement monotime.Micros // unless enough unloaded samples come by themselves
+	measuring       bool            // the limit is lowered
+	measureUntil    monotime.Micros // latest end of the measurement
+	unloadedSamples int             // since the last measurement, or in the present one
+	nextMeasurement monotime.Micros // postponed whenever enough unloaded samples come by themselves
 }
 
-// New returns a limiter that first measures the baselines, or the error of settings that are invalid.
+// New returns a limiter that measures the baselines first, or an error if the settings are invalid.
 func New(s Settings) (*Limiter, error) {
 	if err := s.Validate(); err != nil {
 		return nil, fmt.Errorf("limit: %w", err)
@@ -66,7 +51,7 @@
 	}, nil
 }
 
-// Limit returns how many requests may be in flight now.
+// Limit returns how many requests may be in flight now: the learned limit, or a part of it during a measurement.
 func (l *Limiter) Limit() int {
 	if l.measuring {
 		return max(l.settings.Min, int(l.limit/unloadedDivisor))
@@ -74,8 +59,19 @@
 	return int(l.limit)
 }
 
-// AddSample takes in a request that was served: how long it took, how many were in flight when it was sent, itself
-// included, and whether any request has waited for admission meanwhile.
+// A window ends once it has lasted for minWindow and has as many samples as the limit, but at least minWindowSamples.
+const (
+	minWindow        = second / 10
+	minWindowSamples = 30
+)
+
+// maxSampleRatio is the multiple of its class's baseline that one request counts as at most, so that a few very slow
+// requests do not shrink the limit.
+const maxSampleRatio = 4.0
+
+// AddSample takes in a request that was served: its time in flight, the requests in flight when it was sent, itself
+// included, and whether a request has waited for admission meanwhile. At the end of a window it moves the limit
+// (adjust).
 func (l *Limiter) AddSample(now monotime.Micros, class int, took monotime.Micros, inFlight int, waited bool) {
 	base := &l.baselines[class]
 	if l.measuring {
@@ -99,7 +95,7 @@
 	}
 }
 
-// Learned returns the limit, and the baseline of each class in microseconds, zero where it is not known.
+// Learned returns the limit, and the baseline of each class in microseconds, 0 for a class whose baseline is not known.
 func (l *Limiter) Learned() (limit float64, baselines []float64) {
 	for i := range l.baselines {
 		baselines = append(baselines, l.baselines[i].mean)
@@ -107,8 +103,8 @@
 	return l.limit, baselines
 }
 
-// Restore sets what another limiter has learned, so that nothing need be measured first. Values that are
-// invalid, or that lack a class, are ignored.
+// Restore sets the limit and the baselines that another limiter has learned, in place of the first measurement. They
+// are ignored if one is invalid, or if the baseline of a class is missing.
 func (l *Limiter) Restore(now monotime.Micros, limit float64, baselines []float64) {
 	valid := limit >= 1 && !math.IsInf(limit, 0) && len(baselines) == len(l.baselines)
 	for _, mean := range baselines {
@@ -126,7 +122,26 @@
 	l.endMeasurement(now)
 }
 
-// adjust moves the limit by what the window showed.
+// The thresholds of adjust, in waiting requests: a constant part and a part of the limit. At endpoints that are busy
+// for seven tenths of the time, which is healthy, about as many requests wait by chance as the defaults allow.
+const (
+	growWaiting            = 0.4       // requests, added to GrowThreshold of the limit
+	shrinkWaiting          = 0.8       // requests, added to ShrinkThreshold of the limit
+	defaultGrowThreshold   = 1.0 / 4   // of the limit
+	defaultShrinkThreshold = 1.0 / 2.5 // of the limit
+)
+
+// The steps of adjust.
+const (
+	slowStartFactor     = 1.5 // on the limit, for a window in slow start
+	growDivisor         = 16  // of the limit that a later window adds, but at least one request
+	shrinkExcessDivisor = 2   // of the requests that wait beyond the threshold, by which the limit falls; at least one
+)
+
+// adjust decides at the end of a window whether the limit grows, shrinks or stays. waiting is the number of requests
+// that were only waiting at the endpoints, of those in flight: limit*(1-1/ratio), where ratio is the samples' time
+// over their baselines. Few waiting requests let the limit grow only if it was reached, since otherwise nothing shows
+// that there is more capacity.
 func (l *Limiter) adjust() {
 	ratio := max(1, l.timeSum/l.baselineSum)
 	waiting := l.limit * (1 - 1/ratio)
@@ -135,11 +150,11 @@
 	switch {
 	case waiting > shrinkAbove:
 		l.slowStart = false
-		l.limit -= max(1, (waiting-shrinkAbove)/2)
+		l.limit -= max(1, (waiting-shrinkAbove)/shrinkExcessDivisor)
 	case waiting < growBelow && l.limitReached && l.slowStart:
-		l.limit *= 1.5
+		l.limit *= slowStartFactor
 	case waiting < growBelow && l.limitReached:
-		l.limit += max(1, l.limit/16)
+		l.limit += max(1, l.limit/growDivisor)
 	case waiting >= growBelow:
 		l.slowStart = false
 	}
--- a/internal/decide/concurrency/limiter_test.go
+++ b/internal/decide/concurrency/limiter_test.go
@@ -43,7 +43,11 @@
 func (e endHeap) Less(i, j int) bool { return e[i].endsAt < e[j].endsAt }
 func (e endHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
 func (e *endHeap) Push(v any)        { *e = append(*e, v.(job)) }
-func (e *endHeap) Pop() any          { l := (*e)[len(*e)-1]; *e = (*e)[:len(*e)-1]; return l }
+func (e *endHeap) Pop() any {
+	last := (*e)[len(*e)-1]
+	*e = (*e)[:len(*e)-1]
+	return last
+}
 
 func (f *serverPool) start(j job) {
 	mean := float64(f.meanTime) * float64(1+j.class) // each class takes longer than the one before
@@ -52,7 +56,8 @@
 }
 
 func (f *serverPool) runUntil(at monotime.Micros) {
-	f.served, f.totalTime = 0, 0
+	f.served = 0
+	f.totalTime = 0
 	for f.now < at {
 		for f.inFlight < min(f.limiter.Limit(), f.demand) {
 			f.inFlight++
@@ -92,19 +97,20 @@
 	}
 }
 
-// check runs on, and checks that the servers' capacity is nearly used, and that requests hardly wait there.
-func (f *serverPool) check(t *testing.T, name string, warm, length monotime.Micros) {
+// check runs on, and fails unless the servers' capacity is nearly used and requests hardly wait there. The first part
+// of the run, transient, does not count.
+func (f *serverPool) check(t *testing.T, name string, transient, length monotime.Micros) {
 	t.Helper()
-	f.runUntil(f.now + warm)
+	f.runUntil(f.now + transient)
 	from := f.now
 	f.runUntil(from + length)
 	mean := float64(f.meanTime) * 1.5
 	possible := float64(f.count) * float64(f.now-from) / mean
 	if got := float64(f.served) / possible; got < 0.92 {
-		t.Errorf("%s: %.2f of what %d servers can do was done, limit %d", name, got, f.count, f.limiter.Limit())
+		t.Errorf("%s: %.2f of the capacity of %d servers was used, limit %d", name, got, f.count, f.limiter.Limit())
 	}
 	if got := float64(f.totalTime) / float64(f.served) / mean; got > 1.9 {
-		t.Errorf("%s: requests took %.2f times what they take alone, limit %d of %d servers",
+		t.Errorf("%s: requests took %.2f times their time alone, limit %d of %d servers",
 			name, got, f.limiter.Limit(), f.count)
 	}
 }
--- a/internal/decide/concurrency/settings.go
+++ b/internal/decide/concurrency/settings.go
@@ -1,15 +1,3 @@
-// Package concurrency learns how many requests an instance may have in flight before they only wait for one
-// another at the endpoints. It goes by how long requests took and how many were in flight when each was sent;
-// it must not import endpoints, clients or sockets.
-//
-// The algorithm is that of TCP Vegas (Brakmo, Peterson: "TCP Vegas: End to End Congestion Avoidance on a Global
-// Internet", IEEE JSAC 1995), as Netflix's concurrency-limits also has it: of n requests in flight that take r
-// times as long as a request alone, n*(1-1/r) are waiting. The limit grows while few wait, and shrinks while
-// many do. The baseline, what a request takes alone, is measured while few are in flight; where that does not
-// happen by itself, the limit is lowered for a moment now and then, as Envoy's adaptive concurrency filter does
-// for its minRTT.
-//
-// A Limiter is a deterministic state machine for one goroutine at a time.
 package concurrency
 
 import (
@@ -22,19 +10,20 @@
 
 // Settings configure a Limiter.
 type Settings struct {
-	Classes int // of requests
-	Min     int // bounds of the limit
-	Max     int
-	Initial int // the limit until there are enough samples, once the baselines are known
+	Classes int // number of classes of requests
+	Min     int // least limit, in requests in flight; at least 1
+	Max     int // greatest limit, in requests in flight
+	Initial int // first limit, in requests in flight, in Min..Max
 	Seed    uint64
 
-	// GrowThreshold and ShrinkThreshold are parts of the limit: it grows while fewer requests wait than the
-	// one, about, and shrinks while more wait than the other. 0 for both is the default.
+	// GrowThreshold and ShrinkThreshold are parts of the limit, 0 to 1: the limit grows while fewer requests wait
+	// than the first, and shrinks while more wait than the second (Limiter.adjust). 0 for both stands for the
+	// defaults.
 	GrowThreshold   float64
 	ShrinkThreshold float64
 }
 
-// Validate returns the error of the first setting that is invalid.
+// Validate returns an error that names the first invalid setting.
 func (s Settings) Validate() error {
 	switch {
 	case s.Classes < 1:
@@ -52,7 +41,7 @@
 	return nil
 }
 
-// thresholdsValid reports whether the thresholds are parts in order, or both 0.
+// thresholdsValid reports whether the thresholds are parts of the limit in ascending order, or both 0.
 func (s Settings) thresholdsValid() bool {
 	if !(s.GrowThreshold >= 0) || !(s.ShrinkThreshold >= 0) || s.ShrinkThreshold >= 1 {
 		return false
