--- a/internal/decide/overload/average.go
+++ b/internal/decide/overload/average.go
@@ -9,13 +9,13 @@
 // decaySpan is the time constant of a decayingRate.
 const decaySpan = 2 * second
 
-// decayingRate is a rate a second, averaged exponentially over about two seconds.
+// decayingRate is a rate a second, as an exponential average with the time constant decaySpan.
 type decayingRate struct {
 	sum       float64
 	updatedAt monotime.Micros
 }
 
-// decayed is the sum as of now.
+// decayed returns the sum as of now.
 func (r *decayingRate) decayed(now monotime.Micros) float64 {
 	if r.sum == 0 {
 		return 0
@@ -41,7 +41,7 @@
 	samples float64
 }
 
-// add takes in a sample, whose weight is at least the one given.
+// add takes in a sample with a weight; the first samples have the greater weight of a plain mean.
 func (m *movingAverage) add(sample, weight float64) {
 	m.samples++
 	m.value += (sample - m.value) * max(weight, 1/m.samples)
--- a/internal/decide/overload/bounds.go
+++ b/internal/decide/overload/bounds.go
@@ -8,25 +8,26 @@
 // The reasons.
 const (
 	None               Reason = iota // nothing is bounded
-	EndpointsSaturated               // requests spend too large a part of their objective at endpoints
-	AttemptsFailing                  // many attempts fail
+	EndpointsSaturated               // requests spend too large a part of their objective at endpoints, or work is shed
+	AttemptsFailing                  // many first attempts fail
 )
 
-// String returns the reason as it stands in the log.
+// String returns the reason as it is logged.
 func (r Reason) String() string {
 	return [...]string{"none", "endpoints are full", "many attempts fail"}[r]
 }
 
 // Bounds are the decisions of a Controller as of an instant.
 type Bounds struct {
-	Level                  float64   // admission level: 1 admits all work, towards 0 ever less
-	AdmitRatio             []float64 // by class: part of the requests that is admitted
-	OverShareAdmitRatio    []float64 // by class: the same of requests over their tenant's share
-	TenantWithinShareRatio []float64 // by tenant: part of its requests that is within its share
-	ClientRetryAdmitRatio  float64   // of the requests that AdmitRatio admits, the part of client retries that is admitted
+	Level                  float64   // admission level, minLevel to 1: the part of a standard mix of work
+	AdmitRatio             []float64 // by class: admitted part of the requests within their tenants' shares, 0 to 1
+	OverShareAdmitRatio    []float64 // by class: admitted part of the requests over their tenants' shares, 0 to 1
+	TenantWithinShareRatio []float64 // by tenant: part of its requests that is within its share, 0 to 1
+	ClientRetryAdmitRatio  float64   // admitted part of client retries, 0 to 1, of those that AdmitRatio admits
 
-	// How long a request may wait at an endpoint, as a part of the time that its latency objective leaves beyond its
-	// service time: by class, and for the requests of the floor, which is the part FloorRatio of every class.
+	// The time for which a request may wait at an endpoint, as a part of the time that its latency objective leaves
+	// beyond its service time: by class, and for the requests of the floor. The floor is the part FloorRatio of every
+	// class.
 	QueueWaitFraction      []float64
 	FloorQueueWaitFraction float64
 	FloorRatio             float64
@@ -34,76 +35,77 @@
 	RetryAllowed bool    // one more retry or hedged request may be sent
 	ProbeRate    float64 // probes a second within the budget
 
-	// ForcedAdmitInterval is how often one request of a class is admitted against its limit, so that a wrong
-	// estimate is corrected by new samples.
+	// ForcedAdmitInterval is the time between requests of a class that are admitted against its limit, so that new
+	// samples correct a wrong estimate.
 	ForcedAdmitInterval monotime.Micros
 
-	Load          float64 // part of its latency objective that a request spends at an endpoint
-	AdmittedRatio float64 // part of the work offered lately that was admitted
-	Reason        Reason
+	Load          float64 // part of its latency objective that a request spends at an endpoint, as a recent mean
+	AdmittedRatio float64 // admitted part of the work that was offered in the last seconds, 0 to 1
+	Reason        Reason  // why the retry budget is reduced
 }
 
-const (
-	// failingThreshold is the part of first attempts whose failure reduces the retry budget: beyond it the
-	// healthy endpoints could not serve all retries.
-	failingThreshold = 0.3
-	// sheddingThreshold is the admitted part of the work below which an instance counts as shedding.
-	sheddingThreshold = 0.9
-	// forcedAdmitRate is how many requests a second may be admitted against their limits at one endpoint, by
-	// all instances together: about an eighth of what an endpoint of two cores serves. One for each class and
-	// instance, as without bounds, would be all of the demand at 300 instances.
-	forcedAdmitRate = 4.0
-)
-
 // Bounds returns the bounds in force. Its slices belong to the controller and are valid until its next event.
 func (c *Controller) Bounds(now monotime.Micros) Bounds {
-	admitted := 1.0
-	if offered := c.workOffered.rate(now); offered > 0 {
-		admitted = min(1, c.workAdmitted.rate(now)/offered)
-	}
 	b := Bounds{
-		Level:         c.level.value,
-		Load:          c.level.load,
-		AdmittedRatio: admitted,
-		ProbeRate:     c.probeLimits(now).total(),
+		Level:                  c.level.value,
+		Load:                   c.level.load,
+		AdmittedRatio:          c.admittedRatio(now),
+		ProbeRate:              c.probeLimits(now).total(),
+		ClientRetryAdmitRatio:  clientRetryRatio(c.level.value),
+		FloorQueueWaitFraction: floorQueueWait,
+		ForcedAdmitInterval:    c.forcedAdmitInterval(),
 	}
 	b.AdmitRatio, b.OverShareAdmitRatio = c.shedding.ratios(b.Level, c.answerTimes)
-	b.ClientRetryAdmitRatio = clientRetryRatio(b.Level)
 	b.QueueWaitFraction = c.shedding.queueWaits
-	b.FloorQueueWaitFraction = floorQueueWait
 	b.FloorRatio = c.shedding.floorRatio
 	b.TenantWithinShareRatio = c.shedding.withinShareRatios(now, c.tenantDemand)
-	b.ForcedAdmitInterval = c.forcedAdmitInterval()
-	ratio := c.settings.RetryRatio
-	endedRate := c.endedFirst.rate(now)
-	switch {
-	case c.level.saturated() || admitted < sheddingThreshold:
-		b.Reason = EndpointsSaturated
-		ratio = c.settings.OverloadedRetryRatio
-	case endedRate >= 1 && 1-c.servedFirst.rate(now)/endedRate > failingThreshold:
-		b.Reason = AttemptsFailing
-		ratio = c.settings.OverloadedRetryRatio
-	}
-	c.retryRatio = ratio
+	b.Reason = c.boundReason(now, b.AdmittedRatio)
+	c.setRetryRatio(b.Reason)
 	c.startSecond(now)
 	b.RetryAllowed = c.RetryAllowed(now)
 	return b
 }
 
-// forcedAdmitInterval spreads forcedAdmitRate over the fleet's instances and classes.
-func (c *Controller) forcedAdmitInterval() monotime.Micros {
-	sources := float64(len(c.settings.Classes) * c.settings.Instances)
-	rate := forcedAdmitRate * float64(max(1, c.endpoints))
-	return max(second, monotime.Micros(sources/rate*float64(second)))
+// admittedRatio returns the admitted part of the work that was offered in the last seconds; 1 if none was.
+func (c *Controller) admittedRatio(now monotime.Micros) float64 {
+	offered := c.workOffered.rate(now)
+	if offered > 0 {
+		return min(1, c.workAdmitted.rate(now)/offered)
+	}
+	return 1
 }
 
-// RetryAllowed reports whether one more retry or hedged request is within the budget that the instance has on its own.
-func (c *Controller) RetryAllowed(now monotime.Micros) bool {
-	c.startSecond(now)
-	return c.retries.allows(now, c.retryLimit(now))
+const (
+	// sheddingThreshold is the admitted part of the work below which an instance counts as shedding.
+	sheddingThreshold = 0.9
+	// failingThreshold is the part of the first attempts that fail beyond which many count as failing: the endpoints
+	// that still serve could not serve a retry of each.
+	failingThreshold = 0.3
+	// minEndedRate is the rate of first attempts, a second, from which on their failures are judged.
+	minEndedRate = 1
+)
+
+// boundReason decides whether the retry budget is reduced, and why: the endpoints are saturated (level.go) or work is
+// shed, or many first attempts fail. admitted is the admitted part of the work, 0 to 1.
+func (c *Controller) boundReason(now monotime.Micros, admitted float64) Reason {
+	if c.level.saturated() || admitted < sheddingThreshold {
+		return EndpointsSaturated
+	}
+	endedRate := c.endedFirst.rate(now)
+	if endedRate >= minEndedRate && 1-c.servedFirst.rate(now)/endedRate > failingThreshold {
+		return AttemptsFailing
+	}
+	return None
 }
 
-// retryLimit is how many retries the first attempts of the last second have earned.
-func (c *Controller) retryLimit(now monotime.Micros) float64 {
-	return c.local.retries * c.retryRatio * float64(c.acceptedFirst.count(now, false))
+// forcedAdmitRate is the rate, a second, of requests that all instances together admit at one endpoint against their
+// limits: about an eighth of what an endpoint of two cores serves. If each instance admitted one of each class a
+// second, as without overload control, that would be all of the demand in a fleet of 300 instances.
+const forcedAdmitRate = 4.0
+
+// forcedAdmitInterval spreads forcedAdmitRate over the fleet's instances and classes. It is at least a second.
+func (c *Controller) forcedAdmitInterval() monotime.Micros {
+	sources := float64(len(c.settings.Classes) * c.settings.Instances)
+	rate := forcedAdmitRate * float64(max(1, c.endpoints))
+	return max(second, monotime.Micros(sources/rate*float64(second)))
 }
--- a/internal/decide/overload/settings.go
+++ b/internal/decide/overload/settings.go
@@ -1,17 +1,3 @@
-// Package overload limits what one instance of a fleet adds to the load of endpoints that all instances share.
-// While the endpoints cannot serve all requests it decides which part of the requests is admitted, and how many
-// retries and probes may still be sent. Instances need not communicate: each goes by its own demand, the
-// outcomes of its attempts, and the load reports of endpoints, which cover the traffic of all instances.
-//
-// The admission level (level.go) is controlled by additive increase and multiplicative decrease (AIMD: Chiu and
-// Jain, "Analysis of the Increase and Decrease Algorithms for Congestion Avoidance in Computer Networks",
-// 1989), so that instances with the same evidence converge to the same level. A fleet that communicates may
-// share one level (shared_level.go). Which classes and tenants are shed first at a level is decided in
-// shedding.go. Retries are bounded by a retry budget (Beyer et al., "Site Reliability Engineering", 2016,
-// chapter 21), here a ratio of the accepted first attempts, and probes by a rate for each endpoint (probes.go).
-//
-// A Controller is a deterministic state machine for one goroutine at a time. The package does no I/O, reads no
-// clock and draws from a seed only; it must not import the balancer, endpoint lists, requests or sockets.
 package overload
 
 import (
@@ -26,22 +12,21 @@
 
 // Class is a class of requests.
 type Class struct {
-	PriorityWeight   float64 // of one request that is answered within its objective
-	LatencyObjective monotime.Micros
+	PriorityWeight   float64         // of one request that is answered within its objective
+	LatencyObjective monotime.Micros // time from a request to its answer
 }
 
 // Tenant is one of the tenants that share the service.
 type Tenant struct {
-	// Quota is in requests a second over all instances; 0 is none. A tenant's share of the demand is in proportion to
-	// it, so that no tenant is over its share while all demand the same multiple of their quotas.
+	// Quota is in requests a second over all instances; 0 is no quota. A tenant's share of the demand is in
+	// proportion to its quota: while all demand the same multiple of their quotas, no tenant is over its share.
 	Quota float64
 }
 
-// GoalWeights are the weights, in the goal that the shedding order serves, of the part that is served of all priority
-// weight, and of the part that is served of the class served worst.
+// GoalWeights are the weights of the two parts of the goal that the shedding order maximizes.
 type GoalWeights struct {
-	Overall    float64
-	WorstClass float64
+	Overall    float64 // of the served part of all priority weight
+	WorstClass float64 // of the served part of the class that is served worst
 }
 
 // Settings configure a Controller.
@@ -50,34 +35,38 @@
 	Tenants         []Tenant
 	OverShareWeight float64 // factor on the priority weight of requests over their tenant's share, 0 to 1
 	GoalWeights     GoalWeights
-	Instances       int // in the fleet as far as known, this one included
+	Instances       int // number of instances in the fleet as far as known, this one included
 	Seed            uint64
 
-	// Retries and hedged requests for each first attempt that was accepted, within any second: as a rule, and
-	// while work is shed or many attempts fail.
+	// RetryRatio bounds retries and hedged requests within any second, as a ratio of the first attempts accepted in it.
+	// OverloadedRetryRatio takes its place while work is shed or many attempts fail.
 	RetryRatio           float64
 	OverloadedRetryRatio float64
 
-	ProbeRatio           float64 // probes for each first attempt that was accepted
-	MaxEndpointProbeRate float64 // probes a second of all instances at one endpoint, at most; 0 is no bound
-	MinEndpointProbeRate float64 // and at least, so that an endpoint that recovers is found
+	ProbeRatio           float64 // probes for each accepted first attempt
+	MaxEndpointProbeRate float64 // greatest rate of all instances' probes at one endpoint, a second; 0 is no bound
+	MinEndpointProbeRate float64 // the same that is allowed in any case, so that an endpoint that recovers is found
 }
 
+// The defaults of the budgets.
+const (
+	defaultRetryRatio = 0.2 // as a pool without overload control has
+	// As endpoints begin to fail, the last second may have twice as many accepted first attempts as the next second has
+	// first attempts: a twentieth is then a tenth of these.
+	defaultOverloadedRetryRatio = 0.05
+	defaultProbeRatio           = 2   // the two candidates that a request waits for; many requests share one probe
+	defaultMaxEndpointProbeRate = 100 // a hundredth of a core at 0.1 ms a probe
+	defaultMinEndpointProbeRate = 1   // an endpoint that recovers is found within a second
+)
+
 // DefaultSettings returns the budgets that hold where the operators set no others.
-//
-// A retry ratio of a fifth is what a pool has without overload control. Under overload it is a twentieth: as
-// endpoints begin to fail, the last second may hold twice as many accepted first attempts as the next second
-// has first attempts, and a tenth of those is the bound. Two probes for each accepted first attempt are the two
-// candidates that a request waits for; many requests share one, so that far fewer are made. A hundred probes a
-// second cost an endpoint a hundredth of a core at 0.1 ms each, and one a second finds it again within a second
-// after it recovers.
 func DefaultSettings() Settings {
 	return Settings{
-		RetryRatio:           0.2,
-		OverloadedRetryRatio: 0.05,
-		ProbeRatio:           2,
-		MaxEndpointProbeRate: 100,
-		MinEndpointProbeRate: 1,
+		RetryRatio:           defaultRetryRatio,
+		OverloadedRetryRatio: defaultOverloadedRetryRatio,
+		ProbeRatio:           defaultProbeRatio,
+		MaxEndpointProbeRate: defaultMaxEndpointProbeRate,
+		MinEndpointProbeRate: defaultMinEndpointProbeRate,
 	}
 }
 
--- a/internal/decide/overload/shedding.go
+++ b/internal/decide/overload/shedding.go
@@ -6,34 +6,14 @@
 	"dunlinsail/internal/monotime"
 )
 
-// The part of the time that a request's objective leaves beyond its service time which it may spend waiting at
-// an endpoint. The classes' values are spread evenly by rank, so that where too much was admitted for a moment
-// the lowest class is rejected.
-const (
-	maxQueueWait   = 0.8  // of the class that ranks first: shedding keeps the queues below that
-	floorQueueWait = 0.35 // at least, of the part of every class that is served whatever its priority weight
-	minQueueWait   = 0.15 // of the class that ranks last: in calm hardly any request waits for so long
-)
-
-// clientRetryThreshold is the level at which no client retries are admitted.
-const clientRetryThreshold = 0.8
-
-// rankInterval is after how many calls of ratios the classes are ranked anew: answer times change slowly.
-const rankInterval = 256
-
-const (
-	minQuotaLoad   = 0.05 // part of all quotas that an instance must carry: less is an unusual mix
-	shareTolerance = 1.25 // by which the mix of two seconds varies
-)
-
-// sheddingOrder translates an admission level into the parts of each class that are admitted. The level is a
-// part of a standard mix, in which every class has as much work as the others, and not of the instance's own
-// mix: at the same level all instances shed the same classes, also an instance that serves one class only. What
-// a level admits of the real mix is found by the control loop (level.go).
+// sheddingOrder translates an admission level into the part of each class that is admitted. The level is a part of a
+// standard mix, in which every class has as much work as the others, and not of the instance's own mix: at the same
+// level all instances shed the same classes, also an instance that serves one class only. How much of the real mix a
+// level admits does not matter, since the control loop (level.go) finds the level that fits.
 //
-// Within the level, classes are admitted by priority weight for their cost. As the goal also weighs the class
-// that is served worst, a part of all classes, the floor, is admitted first. The best floor for the standard
-// mix is the solution of a linear program, which lies at one of a few corners.
+// Within the level, classes are admitted by their priority weight over their cost. As the goal also weighs the class
+// that is served worst, a part of all classes, the floor, is admitted first. The best floor for the standard mix is
+// the solution of a linear program, which lies at one of a few corners.
 type sheddingOrder struct {
 	settings       Settings
 	admit          []float64 // by class, as Bounds.AdmitRatio
@@ -41,17 +21,17 @@
 	queueWaits     []float64 // by class, as Bounds.QueueWaitFraction
 	withinShare    []float64 // by tenant, as Bounds.TenantWithinShareRatio
 	groups         []workGroup
-	lastLevel      float64 // that admit and overShareAdmit are of
-	floorRatio     float64
+	lastLevel      float64 // level that admit and overShareAdmit are of; -1 is none
+	floorRatio     float64 // as Bounds.FloorRatio
 	callsSinceRank int
 }
 
-// workGroup is the requests of a class that are within the shares of their tenants, or over them.
+// workGroup is the requests of a class that are within the shares of their tenants, or those over them.
 type workGroup struct {
 	class        int
 	overShare    bool
-	weight       float64 // priority weight for a unit of work
-	workFraction float64 // of all work of the standard mix
+	weight       float64 // priority weight for a microsecond at an endpoint
+	workFraction float64 // its part of the work of the standard mix
 }
 
 // newSheddingOrder returns an order without ranks.
@@ -72,8 +52,12 @@
 	return o.settings.OverShareWeight < 1 && len(o.settings.Tenants) > 1
 }
 
-// ratios returns, by class, the part of the requests that is admitted at a level, within their tenants' shares
-// and over.
+// rankInterval is the number of calls of ratios after which the classes are ranked anew: answer times change slowly.
+const rankInterval = 256
+
+// ratios decides which part of each class is admitted at a level: of the requests within their tenants' shares, and
+// of those over them. Every group gets the floor; then groups get all of their requests admitted by rank, the highest
+// weight first, as long as the rest of the level allows.
 func (o *sheddingOrder) ratios(level float64, answerTimes []movingAverage) (admit, overShareAdmit []float64) {
 	o.callsSinceRank++
 	if len(o.groups) == 0 || o.callsSinceRank >= rankInterval {
@@ -103,17 +87,34 @@
 
 // setRatio sets the admitted part of a group.
 func (o *sheddingOrder) setRatio(group workGroup, ratio float64) {
-	if !o.splitsByShare() {
+	switch {
+	case !o.splitsByShare():
 		o.admit[group.class] = ratio
 		o.overShareAdmit[group.class] = ratio
-	} else if group.overShare {
+	case group.overShare:
 		o.overShareAdmit[group.class] = ratio
-	} else {
+	default:
 		o.admit[group.class] = ratio
 	}
 }
 
-// rank orders the groups by priority weight for their cost, the highest first. Time at an endpoint stands for cost.
+// The parts of a class's work in the standard mix, where it is split by tenants' shares.
+const (
+	withinShareWork = 0.9
+	overShareWork   = 0.1
+)
+
+// The part of the time that a request's objective leaves beyond its service time for which it may wait at an
+// endpoint. The classes' values are spread evenly by rank, so that where too much was admitted for a moment the
+// lowest class is rejected first.
+const (
+	maxQueueWait   = 0.8  // of the class that ranks first: shedding keeps the queues below that
+	minQueueWait   = 0.15 // of the class that ranks last: without overload hardly any request waits for longer
+	floorQueueWait = 0.35 // of the requests of the floor, whatever their class
+)
+
+// rank orders the groups by priority weight over cost, the highest first, and sets the queue wait of each class by its
+// rank. The cost of a request is its time at an endpoint.
 func (o *sheddingOrder) rank(answerTimes []movingAverage) {
 	o.groups = o.groups[:0]
 	n := float64(len(o.settings.Classes))
@@ -124,7 +125,9 @@
 			continue
 		}
 		overShareWeight := weight * o.settings.OverShareWeight
-		o.groups = append(o.groups, workGroup{i, false, weight, 0.9 / n}, workGroup{i, true, overShareWeight, 0.1 / n})
+		o.groups = append(o.groups,
+			workGroup{i, false, weight, withinShareWork / n},
+			workGroup{i, true, overShareWeight, overShareWork / n})
 	}
 	slices.SortStableFunc(o.groups, compareGroups)
 	rank := 0
@@ -136,12 +139,13 @@
 	}
 }
 
-// compareGroups orders groups by what is admitted first.
+// compareGroups orders groups by rank: all requests over their tenants' shares are shed before any within a share, and
+// otherwise the lowest weight is shed first.
 func compareGroups(a, b workGroup) int {
 	switch {
 	case a.overShare != b.overShare:
 		if a.overShare {
-			return 1 // requests over their tenant's share are shed before any within a share
+			return 1
 		}
 		return -1
 	case a.weight > b.weight:
@@ -152,16 +156,18 @@
 	return 0
 }
 
-// clientRetryRatio is the part of the clients' retries that is admitted at a level: none once a fifth is shed. A
-// client that retries has used a part of its time by then; each retry that is served late is wasted work, and the
+// clientRetryThreshold is the level up to which no client retries are admitted.
+const clientRetryThreshold = 0.8
+
+// clientRetryRatio decides which part of the clients' retries is admitted at a level: none once a fifth of the work
+// is shed. A client that retries has used a part of its time by then; a retry that is served late is wasted work, and
 // first requests that are shed in its place would have been in time.
 func clientRetryRatio(level float64) float64 {
 	return max(0, min(1, (level-clientRetryThreshold)/(1-clientRetryThreshold)))
 }
 
-// bestFloor returns the part of every group that is admitted whatever its priority weight, and what of the
-// level is left beyond that. The goal's value is linear between the corners at which the rest fills whole
-// groups: one of those is best.
+// bestFloor returns the part of every group that is admitted whatever its priority weight, and the rest of the level.
+// The goal's value is linear between the corners at which the rest fills whole groups, so that one of these is best.
 func (o *sheddingOrder) bestFloor(level float64) (floor, rest float64) {
 	bestValue := -1.0
 	bestFloor := 0.0
@@ -182,7 +188,7 @@
 	return bestFloor, level - bestFloor
 }
 
-// goalValue is the goal's value where a floor is admitted of all groups, and what the level leaves by priority weight.
+// goalValue returns the goal's value if a floor is admitted of all groups, and the rest of the level by rank.
 func (o *sheddingOrder) goalValue(level, floor float64) float64 {
 	var earned, total float64
 	rest := level - floor
@@ -198,10 +204,14 @@
 	return o.settings.GoalWeights.Overall*earned/total + o.settings.GoalWeights.WorstClass*floor
 }
 
-// withinShareRatios returns, by tenant, the part of its requests that is within its share. Tenants whose demands are
-// in proportion to their quotas are all within their shares, however much they demand; so is a tenant
-// without a quota. It goes by demand: if it went by what is served, rejections for being over a share
-// would shrink that share.
+const (
+	minQuotaLoad   = 0.05 // part of all quotas that must be demanded of the instance: the mix of less is unusual
+	shareTolerance = 1.25 // factor on a share, since the mix of two seconds varies
+)
+
+// withinShareRatios decides which part of each tenant's requests is within its share. Tenants whose demands are in
+// proportion to their quotas are all within their shares, however much they demand; so is a tenant without a quota. The
+// input is demand, in requests a second: by what is served, rejections for being over a share would shrink that share.
 func (o *sheddingOrder) withinShareRatios(now monotime.Micros, demand []decayingRate) []float64 {
 	var totalDemand, totalQuota float64
 	for i, t := range o.settings.Tenants {
