--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -1,6 +1,7 @@
 package overload
 
 import (
+	"errors"
 	"math"
 	"math/rand/v2"
 	"testing"
@@ -35,43 +36,66 @@
 	return c
 }
 
+// countWithinSecond returns how many instants are within the second that ends at now.
+func countWithinSecond(instants []monotime.Micros, now monotime.Micros) (n int) {
+	for _, at := range instants {
+		if at > now-second {
+			n++
+		}
+	}
+	return n
+}
+
+// retryRun is a controller to which random requests are passed, and the instants of first attempts and retries.
+type retryRun struct {
+	seed       uint64
+	settings   Settings
+	rng        *rand.Rand
+	controller *Controller
+	accepted   []monotime.Micros // first attempts
+	sent       []monotime.Micros // retries
+}
+
+// step passes a request and perhaps an outcome to the controller, and sends a retry if that is allowed.
+func (r *retryRun) step(t *testing.T, now monotime.Micros) {
+	t.Helper()
+	c := r.controller
+	c.OnRequest(now, r.rng.IntN(4), -1, r.rng.IntN(2) == 0)
+	switch r.rng.IntN(4) {
+	case 0:
+		c.OnAttemptEnded(now, 1, true, Answered, 50_000)
+		r.accepted = append(r.accepted, now)
+	case 1:
+		c.OnAttemptEnded(now, 1, true, Failed, 1000)
+	}
+	if !c.Bounds(now).RetryAllowed {
+		return
+	}
+	c.OnAttemptSent(now, 1, false)
+	r.sent = append(r.sent, now)
+	sent := countWithinSecond(r.sent, now)
+	accepted := countWithinSecond(r.accepted, now)
+	if float64(sent) > r.settings.RetryRatio*float64(accepted)+1 {
+		t.Fatalf("seed %d: %d retries within a second of %d accepted", r.seed, sent, accepted)
+	}
+}
+
 // Whatever is requested, rejected and retried, at no instant have more retries been sent within a second than the
 // ratio of the first attempts accepted in it, and where none is accepted no retry is sent.
 func TestRetriesStayWithinBudgetInAnySecond(t *testing.T) {
 	for seed := range uint64(200) {
-		rng := rand.New(rand.NewPCG(seed, 1))
 		s := testSettings(0, 8)
 		s.Seed = seed
-		c := newTestController(t, s)
-		var accepted, sent []monotime.Micros
-		countWithin := func(instants []monotime.Micros, now monotime.Micros) (n int) {
-			for _, at := range instants {
-				if at > now-second {
-					n++
-				}
-			}
-			return n
+		r := &retryRun{
+			seed:       seed,
+			settings:   s,
+			rng:        rand.New(rand.NewPCG(seed, 1)),
+			controller: newTestController(t, s),
 		}
 		start := monotime.Micros(1_700_000_000_000_000)
-		pause := func() monotime.Micros { return monotime.Micros(rng.ExpFloat64() * 20_000) }
-		for now := start; len(sent)+len(accepted) < 400 && rng.IntN(5000) > 0; now += pause() {
-			c.OnRequest(now, rng.IntN(4), -1, rng.IntN(2) == 0)
-			switch rng.IntN(4) {
-			case 0:
-				c.OnAttemptEnded(now, 1, true, Answered, 50_000)
-				accepted = append(accepted, now)
-			case 1:
-				c.OnAttemptEnded(now, 1, true, Failed, 1000)
-			}
-			if c.Bounds(now).RetryAllowed {
-				c.OnAttemptSent(now, 1, false)
-				sent = append(sent, now)
-				sentWithin := countWithin(sent, now)
-				acceptedWithin := countWithin(accepted, now)
-				if float64(sentWithin) > s.RetryRatio*float64(acceptedWithin)+1 {
-					t.Fatalf("seed %d: %d retries within a second of %d accepted", seed, sentWithin, acceptedWithin)
-				}
-			}
+		pause := func() monotime.Micros { return monotime.Micros(r.rng.ExpFloat64() * 20_000) }
+		for now := start; len(r.sent)+len(r.accepted) < 400 && r.rng.IntN(5000) > 0; now += pause() {
+			r.step(t, now)
 		}
 		quiet := newTestController(t, s)
 		for now := second; now < 20*second; now += 10_000 {
@@ -108,59 +132,83 @@
 	}
 }
 
+const (
+	probeTestEndpoints  = 12
+	probeTestServedRate = 40.0 // requests a second that each endpoint serves
+	probeTestSeconds    = 14
+)
+
+// probesOfInstance returns the probes that one of so many instances sends in each second, during a retry storm of its
+// clients. With serving false the endpoints serve nothing. For five seconds it sends none, and saves up what it may.
+func probesOfInstance(t *testing.T, number, instances int, serving bool) (probes [probeTestSeconds]float64) {
+	t.Helper()
+	s := testSettings(0, instances)
+	s.Seed = uint64(number) * 977
+	s.MaxEndpointProbeRate = 50
+	c := newTestController(t, s)
+	rng := rand.New(rand.NewPCG(uint64(number), 2))
+	// Mean time between the instance's own answers.
+	gap := float64(second) * float64(instances) / (probeTestEndpoints * probeTestServedRate)
+	next := monotime.Micros(rng.ExpFloat64() * gap)
+	for now := monotime.Micros(0); now < probeTestSeconds*second; now += second / 20 {
+		for range 5 {
+			c.OnRequest(now, 0, -1, true)
+			c.OnRejected(now, 0, true)
+		}
+		if serving || now%second == 0 { // load reports go on when nothing is served
+			c.OnLoadReport(now, LoadReport{InFlight: 4, ServedRate: probeTestServedRate})
+		}
+		for serving && next <= now {
+			c.OnAttemptEnded(now, 0, true, Answered, 60_000)
+			next += 1 + monotime.Micros(rng.ExpFloat64()*gap)
+		}
+		saving := now >= 4*second && now < 9*second
+		for !saving && c.TakeProbe(now, nil) {
+			probes[now/second]++
+		}
+	}
+	return probes
+}
+
+// checkProbes checks the probes of a fleet at one endpoint: in each second, and their mean over the nine seconds in
+// which probes are sent.
+func checkProbes(t *testing.T, instances int, serving bool) {
+	t.Helper()
+	var fleetProbes [probeTestSeconds]float64
+	sampled := min(instances, 1000) // all are alike
+	for i := range sampled {
+		for s, probes := range probesOfInstance(t, i, instances, serving) {
+			fleetProbes[s] += probes
+		}
+	}
+	// Chance of the draws and of who is served how much, at these sizes: a quarter.
+	maxProbes := 50*1.25 + 1
+	minProbes := 0.0
+	if !serving {
+		maxProbes = 2.5 + float64(min(instances, 300))/300 // the minimum, and what instances start with
+		minProbes = 0.3
+	}
+	sum := 0.0
+	for s, probes := range fleetProbes {
+		probes *= float64(instances) / float64(sampled) / probeTestEndpoints // at an endpoint
+		sum += probes
+		if probes > maxProbes+float64(minProbeBucket)/probeTestEndpoints {
+			t.Errorf("%d instances, served %v: %.1f probes at an endpoint in second %d, of %.1f",
+				instances, serving, probes, s, maxProbes)
+		}
+	}
+	if sum/9 < minProbes {
+		t.Errorf("%d instances, served %v: %.2f probes a second at an endpoint, of %v at least",
+			instances, serving, sum/9, minProbes)
+	}
+}
+
 // The probes of all instances at one endpoint are bounded within every second, whether they are 1 or 5,000,
 // whatever is rejected and repeated and however much all have saved up, and there are always some.
 func TestFleetProbesStayWithinEndpointBound(t *testing.T) {
-	const endpoints, serves, seconds = 12, 40.0, 14
 	for _, instances := range []int{1, 8, 300, 5000} {
-		for _, up := range []bool{true, false} {
-			var fleetProbes [seconds]float64
-			sampled := min(instances, 1000) // all are alike
-			for i := range sampled {
-				s := testSettings(0, instances)
-				s.Seed, s.MaxEndpointProbeRate = uint64(i)*977, 50
-				c := newTestController(t, s)
-				rng := rand.New(rand.NewPCG(uint64(i), 2))
-				gap := float64(second) * float64(instances) / (endpoints * serves) // between own answers
-				next := monotime.Micros(rng.ExpFloat64() * gap)
-				for now := monotime.Micros(0); now < seconds*second; now += second / 20 {
-					for range 5 {
-						c.OnRequest(now, 0, -1, true) // a retry storm
-						c.OnRejected(now, 0, true)
-					}
-					if up || now%second == 0 { // load reports go on when nothing is served
-						c.OnLoadReport(now, LoadReport{InFlight: 4, ServedRate: serves})
-					}
-					for up && next <= now {
-						c.OnAttemptEnded(now, 0, true, Answered, 60_000)
-						next += 1 + monotime.Micros(rng.ExpFloat64()*gap)
-					}
-					probing := now < 4*second || now >= 9*second // for five seconds all save up
-					for probing && c.TakeProbe(now, nil) {
-						fleetProbes[now/second]++
-					}
-				}
-			}
-			// Chance of the draws and of who is served how much, at these sizes: a quarter.
-			maxProbes := 50*1.25 + 1
-			minProbes := 0.0
-			if !up {
-				maxProbes = 2.5 + float64(min(instances, 300))/300 // the minimum, and what instances start with
-				minProbes = 0.3
-			}
-			sum := 0.0
-			for s, probes := range fleetProbes {
-				probes *= float64(instances) / float64(sampled) / endpoints // at an endpoint
-				sum += probes
-				if probes > maxProbes+float64(minProbeBucket)/endpoints {
-					t.Errorf("%d instances, served %v: %.1f probes at an endpoint in second %d, of %.1f",
-						instances, up, probes, s, maxProbes)
-				}
-			}
-			if sum/9 < minProbes {
-				t.Errorf("%d instances, served %v: %.2f probes a second at an endpoint, of %v at least",
-					instances, up, sum/9, minProbes)
-			}
+		for _, serving := range []bool{true, false} {
+			checkProbes(t, instances, serving)
 		}
 	}
 }
@@ -194,6 +242,21 @@
 	}
 }
 
+// checkAdmission checks the admitted parts of the classes at a level: they are in an order, and add up to the level.
+func checkAdmission(t *testing.T, admit []float64, order []int, level, worstClassWeight float64) {
+	t.Helper()
+	sum := 0.0
+	for i, class := range order {
+		sum += admit[class] / 4
+		if i > 0 && admit[class] > admit[order[i-1]]+1e-9 {
+			t.Errorf("worst class %v, level %.2f: %v is not in order", worstClassWeight, level, admit)
+		}
+	}
+	if math.Abs(sum-level) > 1e-9 {
+		t.Errorf("worst class %v, level %.2f: %v adds up to %.3f", worstClassWeight, level, admit, sum)
+	}
+}
+
 // The class with the highest priority weight for its cost is admitted first, and what is admitted adds up to the
 // level; where the goal weighs the class served worst, a part of all classes is served.
 func TestAdmissionFollowsPriorityWeight(t *testing.T) {
@@ -205,16 +268,7 @@
 		order := []int{2, 3, 0, 1} // chair-status, book, open-slots, patient-card
 		for level := 0.05; level <= 1; level += 0.05 {
 			admit, _ := c.shedding.ratios(level, c.answerTimes)
-			sum := 0.0
-			for i, class := range order {
-				sum += admit[class] / 4
-				if i > 0 && admit[class] > admit[order[i-1]]+1e-9 {
-					t.Errorf("worst class %v, level %.2f: %v is not in order", worstClassWeight, level, admit)
-				}
-			}
-			if math.Abs(sum-level) > 1e-9 {
-				t.Errorf("worst class %v, level %.2f: %v adds up to %.3f", worstClassWeight, level, admit, sum)
-			}
+			checkAdmission(t, admit, order, level, worstClassWeight)
 			lowest := admit[1]
 			if worstClassWeight == 0 && level < 0.75 && lowest > 0 || worstClassWeight == 0.6 && lowest < level/2 {
 				t.Errorf("worst class %v, level %.2f: the last class has %.2f", worstClassWeight, level, lowest)
@@ -292,7 +346,9 @@
 	} {
 		s := testSettings(0, 8)
 		invalidate(&s)
-		if _, err := New(s); err == nil || err.(*setting.Error).Key != key {
+		_, err := New(s)
+		var invalid *setting.Error
+		if !errors.As(err, &invalid) || invalid.Key != key {
 			t.Errorf("%s invalid: %v", key, err)
 		}
 	}
