--- a/internal/decide/subset/ring.go
+++ b/internal/decide/subset/ring.go
@@ -11,17 +11,14 @@
 // ringEntry is an endpoint on the ring.
 type ringEntry struct {
 	Endpoint
-	hash    uint64
+	hash    uint64  // of group and endpoint
 	sortKey float64 // by which the ring is sorted
-	start   float64 // where it begins, in weight
+	start   float64 // where it begins on the ring, in weight
 }
 
-// minShare is the part of an arc below which an endpoint does not lie on it: by rounding, an endpoint may seem
-// to end behind the point at which the arc begins.
-const minShare = 1e-9
-
-// arcCount is how many arcs the ring is cut into: a power of two, so that a list that grows or shrinks by a few
-// endpoints hardly ever changes it. Each arc then has targetSize to twice as many members.
+// arcCount decides how many arcs the ring is cut into: the greatest power of two with which each arc has at least
+// targetSize endpoints. By powers of two, a list that grows or shrinks by a few endpoints hardly ever changes it.
+// Each arc has targetSize to twice as many members.
 func (x *Set) arcCount() uint64 {
 	n := uint64(1)
 	for 2*n*uint64(x.targetSize()) <= uint64(len(x.ring)) {
@@ -30,8 +27,8 @@
 	return n
 }
 
-// targetSize is how many members the instance should have: more than MinMembers only while the endpoints'
-// budgets of idle connections allow it.
+// targetSize returns the number of members that the instance should have at least: MinMembers, or its part of all
+// endpoints' idle connections if that is more.
 func (x *Set) targetSize() int {
 	if x.settings.EndpointIdleConnections == 0 {
 		return x.settings.MinMembers
@@ -77,7 +74,7 @@
 	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.hash, b.hash), cmp.Compare(a.ID, b.ID))
 }
 
-// arcMembers returns the endpoints on the arc if it is doubled so often. An arc grows at its end.
+// arcMembers returns the endpoints on the instance's arc if that is doubled so often. An arc grows at its end.
 func (x *Set) arcMembers(doublings int) []Member {
 	if len(x.ring) == 0 {
 		return nil
@@ -93,8 +90,12 @@
 	return members
 }
 
-// appendSection appends the endpoints between two points of the ring, in weight, to an arc's members; length is
-// the whole arc's, as a part of the ring.
+// minShare is the part of an arc below which an endpoint does not lie on it: by rounding, an endpoint may seem to end
+// behind the point at which the arc begins.
+const minShare = 1e-9
+
+// appendSection appends the endpoints between two points of the ring, in weight, to an arc's members. length is that of
+// the whole arc, as a part of the ring.
 func (x *Set) appendSection(members []Member, from, to, length float64) []Member {
 	i, _ := slices.BinarySearchFunc(x.ring, from, func(entry ringEntry, at float64) int {
 		return cmp.Compare(entry.start+entry.Weight, at)
@@ -114,7 +115,7 @@
 	return members
 }
 
-// coversRing reports whether the arc, if it is doubled so often, is the whole ring.
+// coversRing reports whether the arc is the whole ring if it is doubled so often.
 func (x *Set) coversRing(doublings int) bool {
 	return math.Pow(2, float64(doublings)) >= float64(x.arcCount())
 }
--- a/internal/decide/subset/set.go
+++ b/internal/decide/subset/set.go
@@ -16,23 +16,26 @@
 	totalWeight    float64 // of the ring
 	unhealthy      map[string]bool
 	doublings      int             // how often the arc's length is doubled
-	nextStepAt     monotime.Micros // when to widen or narrow; 0 is never
-	nextStepWidens bool            // else it narrows
+	nextStepAt     monotime.Micros // when the arc is widened or narrowed; 0 is never
+	nextStepWidens bool            // the next step widens the arc; else it narrows it
 	load           float64         // own requests in flight, as a mean of some seconds
 	members        []Member
 }
 
-// New returns a set without members, or a *setting.Error.
+// seedSalt makes the set's random numbers differ from those of other users of the same seed.
+const seedSalt = 0x5eed
+
+// New returns a set without members, or a *setting.Error for an invalid setting.
 func New(s Settings) (*Set, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	x := &Set{settings: s, rand: hash64.Source(hash64.SplitMix(s.Seed ^ 0x5eed)), unhealthy: map[string]bool{}}
-	x.rand.Uint64() // not used, as in earlier builds: runs with the same seed make the same steps
+	x := &Set{settings: s, rand: hash64.Source(hash64.SplitMix(s.Seed ^ seedSalt)), unhealthy: map[string]bool{}}
+	x.rand.Uint64() // earlier builds did not use the first number: with the same seed, steps come at the same times
 	return x, nil
 }
 
-// SetEndpoints sets the endpoint list. Entries with an empty ID, or one that stands in the list before, are ignored.
+// SetEndpoints sets the endpoint list. Entries with an empty ID, and further entries of one ID, are ignored.
 func (x *Set) SetEndpoints(now monotime.Micros, endpoints []Endpoint) {
 	x.ring = x.ring[:0]
 	known := map[string]bool{}
@@ -55,7 +58,8 @@
 	x.update(now, false)
 }
 
-// SetUnhealthy sets whether an endpoint fails, drains or is full. The caller judges that by outcomes.
+// SetUnhealthy sets whether an endpoint is unhealthy: it fails, drains or is full, which the caller decides by
+// outcomes.
 func (x *Set) SetUnhealthy(now monotime.Micros, id string, unhealthy bool) {
 	if x.unhealthy[id] == unhealthy {
 		return
@@ -68,8 +72,8 @@
 	x.update(now, false)
 }
 
-// SetLoad sets how many of its own requests the instance has in flight, as a mean of some seconds. Values that
-// are invalid are ignored.
+// SetLoad sets the number of its own requests that the instance has in flight, as a mean of some seconds. A negative or
+// infinite number and NaN are ignored.
 func (x *Set) SetLoad(now monotime.Micros, inFlight float64) {
 	if inFlight >= 0 && !math.IsInf(inFlight, 0) {
 		x.load = inFlight
@@ -77,7 +81,7 @@
 	}
 }
 
-// NextStep returns when Advance must be called; ok is false if no step is due at any time.
+// NextStep returns the instant at which Advance must be called; ok is false if no step is due.
 func (x *Set) NextStep() (at monotime.Micros, ok bool) { return x.nextStepAt, x.nextStepAt > 0 }
 
 // Advance widens or narrows the set if that is due. It reports whether the members changed.
@@ -88,7 +92,8 @@
 	return x.update(now, true)
 }
 
-// update determines the members anew, and reports whether they changed; due is set if a step may be made now.
+// update decides the width of the arc, and its members by that, and reports whether they changed. A step to the target
+// width is made if due is set, and otherwise scheduled, unless one in the same direction is already.
 func (x *Set) update(now monotime.Micros, due bool) bool {
 	previousDoublings := x.doublings
 	target := x.targetDoublings()
@@ -111,14 +116,14 @@
 	return previousDoublings != x.doublings || !slices.Equal(previousMembers, x.members)
 }
 
-// Members returns the endpoints that this instance connects to, in the order of the ring. The caller must not
-// change them.
+// Members returns the endpoints that this instance connects to, in the order of the ring. The caller must not change
+// them.
 func (x *Set) Members() []Member { return x.members }
 
-// Doublings returns how often the arc is doubled at present; 0 is the usual width.
+// Doublings returns how often the arc is doubled at present; 0 is the width without unhealthy endpoints and load.
 func (x *Set) Doublings() int { return x.doublings }
 
-// Budgets returns this instance's part of all endpoints' budgets.
+// Budgets returns this instance's part of all endpoints' budgets: their sum over the number of instances.
 func (x *Set) Budgets() Budgets {
 	if x.settings.Instances == 0 {
 		return Budgets{}
--- a/internal/decide/subset/token_bucket.go
+++ b/internal/decide/subset/token_bucket.go
@@ -6,19 +6,20 @@
 	"dunlinsail/internal/monotime"
 )
 
-// TokenBucket is a token bucket on the caller's clock. golang.org/x/time/rate does the same on time.Time; here
-// instants are the engine's, so that a run in simulated time has the same results, and rates of a part of a
-// token a minute lose nothing to rounding. The zero value has no limit.
+// TokenBucket is a token bucket on the caller's clock, as golang.org/x/time/rate has one on time.Time: with the
+// engine's instants a run in simulated time has the same results, and rates of a part of a token a minute lose
+// nothing to rounding. The zero value has no limit.
 type TokenBucket struct {
 	Rate       float64 // tokens a second; 0 is no limit
-	Burst      float64 // tokens at most; below 1 it counts as 1, or there would never be a token
+	Burst      float64 // greatest number of tokens; less than 1 counts as 1, since there would never be a token
 	tokens     float64
 	refilledAt monotime.Micros
 	started    bool
 }
 
-// Take takes one token, or returns when there may be one. The bucket starts with the part of a token that initial says,
-// drawn by the caller: otherwise instances that start together would all take their first token at once.
+// Take takes one token, or returns the instant at which there may be one. The bucket starts with initial tokens, 0 to
+// 1, which the caller draws at random: otherwise instances that start together would all take their first token at
+// once.
 func (b *TokenBucket) Take(now monotime.Micros, initial float64) (ok bool, next monotime.Micros) {
 	if b.Rate <= 0 {
 		return true, now
--- a/internal/decide/subset/width.go
+++ b/internal/decide/subset/width.go
@@ -7,21 +7,13 @@
 )
 
 const (
-	widenBelowHealthy  = 0.5         // healthy part of the arc's weight below which the arc is doubled,
-	narrowAboveHealthy = 0.8         // and from which on, at half its length, it may be halved again
-	widenInterval      = second      // mean time to a widening: instances that see the same do not all widen at once
-	narrowInterval     = 10 * second // mean time for which the members must be healthy before the arc is halved
-
-	// The load band is that of Finagle's aperture (com.twitter.finagle.loadbalancer.aperture, 0.5 to 2.0 by
-	// default): own requests in flight for each member. The members of half an arc have twice the load each, so
-	// that one step does not cause the next.
-	minLoadPerMember = 0.5
-	maxLoadPerMember = 2.0
-	loadStepInterval = second / 5 // mean time to a widening by own load: no other instance makes it for the same reason
+	widenBelowHealthy  = 0.5 // healthy part of the weight of a single arc below which the arc is doubled
+	narrowAboveHealthy = 0.8 // the same, at half the present length, from which on the arc may be halved
 )
 
-// targetDoublings is how often the arc should be doubled: as often as the own load requires, once more, once
-// less, or as now.
+// targetDoublings decides how often the arc should be doubled. It is doubled as often as the instance's own load
+// requires; otherwise once more if too little of it is healthy, or once less if half of it is healthy enough and the
+// load allows it; otherwise it stays.
 func (x *Set) targetDoublings() int {
 	if x.overloaded(x.doublings) {
 		doublings := x.doublings + 1
@@ -39,18 +31,26 @@
 	return x.doublings
 }
 
-// overloaded reports whether the arc, if it is doubled so often, has too few members for the own load.
+// The load band, in own requests in flight for each member: that of Finagle's aperture
+// (com.twitter.finagle.loadbalancer.aperture, 0.5 to 2.0 by default). The members of half an arc have twice the load
+// each, so that one step does not cause the next.
+const (
+	minLoadPerMember = 0.5
+	maxLoadPerMember = 2.0
+)
+
+// overloaded reports whether the arc has too few members for the instance's own load if it is doubled so often.
 func (x *Set) overloaded(doublings int) bool {
 	return x.load > maxLoadPerMember*float64(len(x.arcMembers(doublings))) && !x.coversRing(doublings)
 }
 
-// underloaded reports whether the own load would allow fewer members.
+// underloaded reports whether the instance's own load allows fewer members.
 func (x *Set) underloaded() bool {
 	return x.load < minLoadPerMember*float64(len(x.members))
 }
 
-// healthyWeight is the weight of the healthy members as a part of a single arc's, if the arc is doubled so
-// often: a long arc may have more than 1.
+// healthyWeight returns the weight of the healthy members, as a part of a single arc's weight, if the arc is doubled so
+// often. A long arc may have more than 1.
 func (x *Set) healthyWeight(doublings int) float64 {
 	var sum float64
 	for _, m := range x.arcMembers(doublings) {
@@ -61,7 +61,15 @@
 	return sum * min(math.Pow(2, float64(doublings)), float64(x.arcCount()))
 }
 
-// scheduleStep sets when the next step is made, with jitter, so that instances that see the same do not step at once.
+// The mean times to a step, by its cause.
+const (
+	widenInterval    = second      // to a widening for unhealthy members
+	narrowInterval   = 10 * second // to a narrowing: the members must be healthy for that long
+	loadStepInterval = second / 5  // to a widening by own load, a cause that no other instance has at the same time
+)
+
+// scheduleStep sets the time of the next step: a half to one and a half of its mean time, at random, so that
+// instances with the same evidence do not step at once.
 func (x *Set) scheduleStep(now monotime.Micros, target int) {
 	x.nextStepWidens = target > x.doublings
 	interval := widenInterval
