--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -21,8 +21,9 @@
 	return list
 }
 
-func newTestSet(t interface{ Fatal(...any) }, position, least int, list []Endpoint) *Set {
-	x, err := New(Settings{Position: uint64(position), MinMembers: least, Seed: uint64(position)})
+func newTestSet(t rapid.TB, position, minMembers int, list []Endpoint) *Set {
+	t.Helper()
+	x, err := New(Settings{Position: uint64(position), MinMembers: minMembers, Seed: uint64(position)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +60,7 @@
 func TestLoadFollowsWeightExactly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 120).Draw(t, "endpoints")
-		least := rapid.IntRange(1, 12).Draw(t, "least")
+		minMembers := rapid.IntRange(1, 12).Draw(t, "least")
 		list := testEndpoints(n)
 		var total float64
 		for i := range list {
@@ -67,11 +68,11 @@
 			list[i].Zone = rapid.IntRange(0, 3).Draw(t, "zone")
 			total += list[i].Weight
 		}
-		arcs := int(newTestSet(t, 0, least, list).arcCount())
+		arcs := int(newTestSet(t, 0, minMembers, list).arcCount())
 		group := rapid.IntRange(0, 1000).Draw(t, "lot")
 		var fleet []*Set
 		for i := range arcs {
-			x := newTestSet(t, group*arcs+i, least, list)
+			x := newTestSet(t, group*arcs+i, minMembers, list)
 			var sum float64
 			for _, m := range x.Members() {
 				sum += m.Share
@@ -94,11 +95,12 @@
 func TestRemovedEndpointMovesFewMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(20, 200).Draw(t, "endpoints")
-		least := rapid.IntRange(2, 10).Draw(t, "least")
+		minMembers := rapid.IntRange(2, 10).Draw(t, "least")
 		position := rapid.IntRange(0, 5000).Draw(t, "position")
 		list := testEndpoints(n)
-		x := newTestSet(t, position, least, list)
-		before, arcs := map[string]float64{}, x.arcCount()
+		x := newTestSet(t, position, minMembers, list)
+		before := map[string]float64{}
+		arcs := x.arcCount()
 		for _, m := range x.Members() {
 			before[m.ID] = m.Share
 		}
@@ -124,17 +126,17 @@
 func TestImbalanceOfPartialFleets(t *testing.T) {
 	list := testEndpoints(200)
 	highestToMean := func(load map[string]float64, mean float64) float64 {
-		most := 0.0
+		highest := 0.0
 		for _, e := range list {
-			most = max(most, load[e.ID])
+			highest = max(highest, load[e.ID])
 		}
-		return most / mean
+		return highest / mean
 	}
 	for _, c := range []struct {
 		name      string
 		instances int
 		position  func(i int) int
-		most      float64
+		limit     float64
 	}{
 		{"numbered", 2000, func(i int) int { return i }, 1.03},
 		{"half lost, by chance", 2000, func(i int) int { return 2*i + int(hash64.SplitMix(uint64(i))&1) }, 1.25},
@@ -147,8 +149,8 @@
 		}
 		got := highestToMean(endpointLoads(fleet), float64(c.instances)/float64(len(list)))
 		t.Logf("%s: highest to mean %.3f", c.name, got)
-		if got > c.most {
-			t.Errorf("%s: highest to mean %.3f, want %.2f at most", c.name, got, c.most)
+		if got > c.limit {
+			t.Errorf("%s: highest to mean %.3f, want %.2f at most", c.name, got, c.limit)
 		}
 	}
 }
@@ -180,10 +182,10 @@
 	for i := range 800 {
 		fleet = append(fleet, newTestSet(t, i, 3, list))
 	}
-	setUnhealthy := func(now monotime.Micros, yes bool) {
+	setUnhealthy := func(now monotime.Micros, unhealthy bool) {
 		for _, x := range fleet {
 			for i := 0; i < 60; i += 5 {
-				x.SetUnhealthy(now, list[i].ID, yes)
+				x.SetUnhealthy(now, list[i].ID, unhealthy)
 			}
 		}
 	}
@@ -263,21 +265,21 @@
 	if len(x.Members()) != 3 {
 		t.Errorf("%v", x.Members())
 	}
-	x.SetUnhealthy(0, "nobody", true)
+	x.SetUnhealthy(0, "not listed", true)
 	x.SetEndpoints(0, nil)
 	if len(x.Members()) != 0 || len(x.unhealthy) != 0 {
 		t.Errorf("%v, %v", x.Members(), x.unhealthy)
 	}
 }
 
-// What the fleet uses of an endpoint's budgets is the same from 50 to 20,000 instances, and within ten times if its
-// size is set wrong by ten.
+// The part of an endpoint's budgets that the fleet uses is the same from 50 to 20,000 instances, and ten times too
+// high or too low if the number of instances is set too low or too high by a factor of ten.
 func TestEndpointBudgetsDoNotDependOnFleetSize(t *testing.T) {
-	for _, told := range []float64{0.1, 1, 10} {
+	for _, sizeError := range []float64{0.1, 1, 10} {
 		for _, n := range []int{50, 500, 5000, 20000} {
 			x, err := New(Settings{
 				MinMembers:              3,
-				Instances:               int(told * float64(n)),
+				Instances:               int(sizeError * float64(n)),
 				EndpointIdleConnections: 60,
 				EndpointProbes:          20,
 			})
@@ -287,8 +289,9 @@
 			x.SetEndpoints(0, testEndpoints(60))
 			b := x.Budgets()
 			for name, got := range map[string]float64{"idle": b.IdleConnections / 60, "probes": b.Probes / 20} {
-				if all := got * float64(n) / 60; math.Abs(all*told-1) > 1e-9 {
-					t.Errorf("%d instances, set times %v: %s at an endpoint is %v times its bound", n, told, name, all)
+				if all := got * float64(n) / 60; math.Abs(all*sizeError-1) > 1e-9 {
+					t.Errorf("%d instances, set times %v: %s at an endpoint is %v times its bound",
+						n, sizeError, name, all)
 				}
 			}
 		}
@@ -314,14 +317,7 @@
 				t.Fatalf("not now, %d, but at %d", now, at)
 			}
 		}
-		for i := range taken {
-			for j := i; j < len(taken); j++ {
-				limit := max(1, b.Burst) + b.Rate*float64(taken[j]-taken[i])/float64(second) + 1e-6
-				if float64(j-i+1) > limit {
-					t.Fatalf("%d within %d us, %v at most", j-i+1, taken[j]-taken[i], limit)
-				}
-			}
-		}
+		checkTokenRate(t, &b, taken)
 	})
 	b := TokenBucket{Rate: 1.0 / 60}
 	n := 0
@@ -340,6 +336,33 @@
 	}
 }
 
+// checkTokenRate checks the rate and the burst over each stretch between two instants at which a token was taken.
+func checkTokenRate(t rapid.TB, b *TokenBucket, taken []monotime.Micros) {
+	t.Helper()
+	for i := range taken {
+		for j := i; j < len(taken); j++ {
+			limit := max(1, b.Burst) + b.Rate*float64(taken[j]-taken[i])/float64(second) + 1e-6
+			if float64(j-i+1) > limit {
+				t.Fatalf("%d within %d us, %v at most", j-i+1, taken[j]-taken[i], limit)
+			}
+		}
+	}
+}
+
+// setAlternatingLoad sets a load again and again, as an engine does, a fifth higher every other second, and returns the
+// instant of the last time. onStep, if it is not nil, is called after each.
+func (x *Set) setAlternatingLoad(now monotime.Micros, load float64, seconds int, onStep func()) monotime.Micros {
+	for i := range seconds {
+		now += second
+		x.SetLoad(now, load*(1+0.2*float64(i%2)))
+		x.Advance(now)
+		if onStep != nil {
+			onStep()
+		}
+	}
+	return now
+}
+
 // The arc follows the own load: within a second from a quiet instance to one that needs half of the list, no
 // wider than the load band requires, back when it is quiet again, and at any even load it becomes stable.
 func TestWidthFollowsOwnLoad(t *testing.T) {
@@ -358,35 +381,28 @@
 	}
 	rapid.Check(t, func(r *rapid.T) {
 		position := rapid.IntRange(0, 5000).Draw(r, "position")
-		least := rapid.IntRange(1, 12).Draw(r, "least")
-		x := newTestSet(t, position, least, testEndpoints(rapid.IntRange(1, 64).Draw(r, "nodes")))
+		minMembers := rapid.IntRange(1, 12).Draw(r, "least")
+		x := newTestSet(t, position, minMembers, testEndpoints(rapid.IntRange(1, 64).Draw(r, "nodes")))
 		load := rapid.Float64Range(0, 300).Draw(r, "load")
 		now := monotime.Micros(0)
-		for range 3 { // from wherever the one before has left it
-			for i := range 150 { // set again and again, as an engine does
-				now += second
-				x.SetLoad(now, load*(1+0.2*float64(i%2)))
-				x.Advance(now)
-			}
+		for range 3 { // from wherever the load before has left it
+			now = x.setAlternatingLoad(now, load, 150, nil)
 			before := x.Doublings()
-			for i := range 40 {
-				now += second
-				x.SetLoad(now, load*(1+0.2*float64(i%2)))
-				x.Advance(now)
+			now = x.setAlternatingLoad(now, load, 40, func() {
 				if x.Doublings() != before {
 					r.Fatalf("at a load of %v it goes from %d to %d", load, before, x.Doublings())
 				}
-			}
+			})
 			if n := float64(len(x.Members())); load > maxLoadPerMember*n && int(n) < len(x.ring) {
 				r.Fatalf("%v in flight over %v members of %d", load, n, len(x.ring))
 			}
 			load = rapid.Float64Range(0, 300).Draw(r, "then")
 		}
 	})
-	was := len(x.Members())
-	for _, odd := range []float64{math.NaN(), math.Inf(1), -1} {
-		if x.SetLoad(400*second, odd); len(x.Members()) != was {
-			t.Errorf("a load of %v changed the members", odd)
+	members := len(x.Members())
+	for _, invalid := range []float64{math.NaN(), math.Inf(1), -1} {
+		if x.SetLoad(400*second, invalid); len(x.Members()) != members {
+			t.Errorf("a load of %v changed the members", invalid)
 		}
 	}
 }
