--- a/internal/decide/rollout/apply.go
+++ b/internal/decide/rollout/apply.go
@@ -6,11 +6,13 @@
 	"dunlinsail/internal/monotime"
 )
 
-// maxApplyAttempts is in how many processes a version is applied that ended before it was confirmed. One may have
-// ended for another reason; two are taken as the version's fault.
+// maxApplyAttempts is the number of processes that may end while a version is applied and not confirmed. A single one
+// may have ended for another reason; after that many the version is rejected as the cause.
 const maxApplyAttempts = 2
 
-// HandleValidated takes the result of ActionValidate: reason says why the version is invalid, "" that it is valid.
+// HandleValidated handles the result of ActionValidate: reason is why the version is invalid, empty if it is valid. A
+// valid version is applied, unless maxApplyAttempts processes ended with it. Otherwise it is rejected, and the phase
+// before the validation is resumed.
 func (m *StateMachine) HandleValidated(now monotime.Micros, reason string) []Command {
 	if m.phase != PhaseValidating {
 		return nil
@@ -28,7 +30,7 @@
 		return append(commands, m.abandonCandidate(now)...)
 	}
 	m.phase = PhaseApplying
-	// The attempt is stored before it is made: should the process end by it, the next one knows.
+	// The attempt is stored before it is made, so that it counts if the process ends.
 	m.persistent.recordAttempt(&v)
 	commands := m.persist()
 	return append(commands, Command{
@@ -39,7 +41,8 @@
 	})
 }
 
-// HandleApplied takes the result of ActionApply: reason says why nothing was changed, "" that the version runs.
+// HandleApplied handles the result of ActionApply: reason is why the version could not be applied and nothing has
+// changed, empty if the version runs. An applied version is confirmed at once, or after its canary.
 func (m *StateMachine) HandleApplied(now monotime.Micros, reason string) []Command {
 	if m.phase != PhaseApplying {
 		return nil
@@ -74,7 +77,7 @@
 	return append(commands, m.startNext(now)...)
 }
 
-// confirm makes what is running the last known good.
+// confirm makes the running version the last known good, and starts the next one.
 func (m *StateMachine) confirm(now monotime.Micros) []Command {
 	v := *m.unconfirmed
 	m.phase = PhaseIdle
@@ -89,13 +92,13 @@
 	return append(commands, m.startNext(now)...)
 }
 
-// reject records and answers a version that is rejected; rolledBack tells that it was applied before.
+// reject records the rejection of a version and rejects it at its source. rolledBack is true if it was applied before.
 func (m *StateMachine) reject(v Version, reason string, rolledBack bool) []Command {
 	m.persistent.recordRejection(Rejection{Version: v, Reason: reason, RolledBack: rolledBack})
 	return append(m.persist(), nack(v, reason))
 }
 
-// abandonCandidate resumes what was in progress before the candidate, which was rejected.
+// abandonCandidate drops a rejected candidate and resumes the phase before it: a failed rollback, a canary, or idle.
 func (m *StateMachine) abandonCandidate(now monotime.Micros) []Command {
 	m.candidate = nil
 	var commands []Command
@@ -103,7 +106,7 @@
 	case m.rollbackRequired:
 		m.phase = PhaseRollingBack
 		m.rollbackRetryAt = now + m.rollbackBackoff()
-	case m.unconfirmed != nil: // its canary was aborted, and starts again
+	case m.unconfirmed != nil: // its canary was stopped for the candidate, and starts anew
 		m.phase = PhaseCanary
 		commands = append(commands, Command{
 			Action:  ActionStartCanary,
--- a/internal/decide/rollout/command.go
+++ b/internal/decide/rollout/command.go
@@ -3,9 +3,9 @@
 // Action is what the host of a StateMachine has to do.
 type Action uint8
 
-// The actions. The host answers those with a result by one call of the named method.
+// The actions. For an action with a result the host calls the named method exactly once, with that result.
 const (
-	// ActionValidate: check that Version makes sense in Target and could be applied. Result: HandleValidated.
+	// ActionValidate: check that Version is valid in Target and can be applied. Result: HandleValidated.
 	ActionValidate Action = iota
 	// ActionApply: apply Target in place of Previous. Result: HandleApplied.
 	ActionApply
@@ -17,11 +17,11 @@
 	ActionRollBack
 	// ActionPersist: store PersistentState. Result: HandlePersisted.
 	ActionPersist
-	// ActionAck: acknowledge Version to its source. Confirmed tells whether its canary has passed.
+	// ActionAck: acknowledge Version to its source. Confirmed is true if its canary has passed or there is none.
 	ActionAck
 	// ActionNack: reject Version at its source, with a Reason.
 	ActionNack
-	// ActionSuperseded: Version was replaced by a newer one while it was pending; its source gets no answer.
+	// ActionSuperseded: Version was replaced by a newer one while it was pending; its source gets no reply.
 	ActionSuperseded
 )
 
@@ -32,7 +32,7 @@
 // String returns the action's name for people.
 func (a Action) String() string { return actionNames[a] }
 
-// Command is one action with its operands. Action tells which of the other fields are set.
+// Command is one action with its operands. The other fields are set as the Action's comment names them.
 type Command struct {
 	Action    Action
 	Version   Version
--- a/internal/decide/rollout/machine.go
+++ b/internal/decide/rollout/machine.go
@@ -8,9 +8,13 @@
 
 // Settings configure a StateMachine.
 type Settings struct {
-	CanaryEnabled         bool            // an applied version is unconfirmed until HandleCanaryResult
-	MinValidationInterval monotime.Micros // from the start of one validation to the next
-	Seed                  uint64          // of the jitter of retries
+	// CanaryEnabled keeps an applied version unconfirmed until HandleCanaryResult. Otherwise a version is confirmed as
+	// soon as it is applied.
+	CanaryEnabled bool
+	// MinValidationInterval is the shortest time from the start of one validation to the start of the next.
+	MinValidationInterval monotime.Micros
+	// Seed determines the jitter of retries.
+	Seed uint64
 }
 
 // Phase is the state of a StateMachine.
@@ -40,24 +44,25 @@
 
 	phase            Phase
 	running          LayeredVersion // applied
-	unconfirmed      *Version       // the part of running that is not confirmed, nil if all is
-	rollbackRequired bool           // the canary of unconfirmed found it worse
+	unconfirmed      *Version       // the part of running that is not confirmed, nil if all of it is
+	rollbackRequired bool           // the canary of unconfirmed has failed
 	candidate        *Version       // being validated or applied
 	pending          [2]*Version    // by source
 	paused           bool
 	nextValidationAt monotime.Micros // earliest instant of the next validation
 	rollbackAttempts int
-	rollbackRetryAt  monotime.Micros // 0: none is due, or one is in progress
+	rollbackRetryAt  monotime.Micros // 0 if none is due, or one is in progress
 
 	persistent      PersistentState
-	persisting      bool // an ActionPersist is not answered yet
-	persistAgain    bool // persistent has changed since
-	persistFailures int  // in a row
-	persistRetryAt  monotime.Micros
-	persistError    string // "" if persistent was stored
+	persisting      bool            // the result of an ActionPersist is outstanding
+	persistAgain    bool            // persistent has changed since that ActionPersist
+	persistFailures int             // consecutive failures to store the state
+	persistRetryAt  monotime.Micros // 0 if no retry is due
+	persistError    string          // of the latest attempt to store the state; empty if it succeeded
 }
 
-// New returns a state machine for a process that starts with running: the last known good version, or the local file.
+// New returns a state machine for a process that starts with running: the last known good version, or the local file if
+// there is none. persistent is the state that was stored last.
 func New(settings Settings, running LayeredVersion, persistent PersistentState) *StateMachine {
 	m := &StateMachine{
 		settings:   settings,
@@ -71,26 +76,26 @@
 	return m
 }
 
-// UpdateSettings replaces the settings except Seed. A canary in progress goes on.
+// UpdateSettings replaces the settings except Seed. A canary in progress continues.
 func (m *StateMachine) UpdateSettings(settings Settings) {
 	settings.Seed = m.settings.Seed
 	m.settings = settings
 }
 
-// ForgiveLastAttempt takes back one attempt to apply the unconfirmed version: the process that made it ended for
-// another reason, such as a hot restart or a stop.
+// ForgiveLastAttempt subtracts one attempt to apply the unconfirmed version, because the process that made it ended for
+// another reason: a hot restart or a regular stop.
 func (m *StateMachine) ForgiveLastAttempt() {
 	if m.persistent.ApplyAttempts > 0 {
 		m.persistent.ApplyAttempts--
 	}
 }
 
-// Running returns what is applied, and whether it is on canary.
+// Running returns the version that is applied, and reports whether it is on canary.
 func (m *StateMachine) Running() (version LayeredVersion, onCanary bool) {
 	return m.running, m.phase == PhaseCanary
 }
 
-// Phase returns the phase and the version that it is about, nil while idle.
+// Phase returns the phase and the version that is processed in it, nil while idle.
 func (m *StateMachine) Phase() (Phase, *Version) {
 	if m.candidate != nil {
 		return m.phase, m.candidate
@@ -101,10 +106,10 @@
 // Pending returns the version of a source that waits for its validation, nil for none.
 func (m *StateMachine) Pending(source Source) *Version { return m.pending[source] }
 
-// PersistentState returns the state to store. It belongs to the machine, and may be read until the next event only.
+// PersistentState returns the state to store. It belongs to the machine, and is valid only until the next event.
 func (m *StateMachine) PersistentState() *PersistentState { return &m.persistent }
 
-// PersistError returns why the state could not be stored last, "" if it was.
+// PersistError returns why the state could not be stored at the latest attempt, empty if it was stored.
 func (m *StateMachine) PersistError() string { return m.persistError }
 
 // Deadline returns the instant at which HandleDeadline is due, 0 for none.
@@ -133,13 +138,13 @@
 	if !m.persisting && m.persistRetryAt > 0 && now >= m.persistRetryAt {
 		commands = m.persist()
 	}
-	// A pending version may replace the one that cannot be rolled back, and goes first.
+	// A pending version goes first: it may replace a version whose rollback fails.
 	commands = append(commands, m.startNext(now)...)
 	return append(commands, m.retryRollback(now)...)
 }
 
-// SetPaused stops the machine from starting to process another version, or ends that: during a hot restart or a
-// shutdown.
+// SetPaused starts or ends a pause, during which no further version and no rollback's retry is started: for a hot
+// restart or a shutdown.
 func (m *StateMachine) SetPaused(now monotime.Micros, paused bool) []Command {
 	m.paused = paused
 	return m.startNext(now)
--- a/internal/decide/rollout/offer.go
+++ b/internal/decide/rollout/offer.go
@@ -7,17 +7,18 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Offer handles a version that its source offers.
+// Offer handles a version that its source offers. It is rejected or acknowledged at once if precheck allows that, else
+// it is pending until the present phase ends and Settings.MinValidationInterval has passed.
 func (m *StateMachine) Offer(now monotime.Micros, v Version) []Command {
 	reason, isRunning := m.precheck(v)
 	switch {
 	case reason != "":
 		return []Command{nack(v, reason)}
-	case isRunning && !m.inTransition(): // else it is pending, since it may not run any more when its turn comes
+	case isRunning && !m.inTransition(): // in a transition it is pending: it may no longer run when that ends
 		return []Command{m.ackRunning(v)}
 	}
 	if m.candidate != nil && m.candidate.ID == v.ID {
-		return nil // it is being processed, and will be answered
+		return nil // it is being processed, and gets its reply then
 	}
 	var commands []Command
 	if old := m.pending[v.Source]; old != nil {
@@ -37,12 +38,13 @@
 	return m.reject(v, reason, false)
 }
 
-// inTransition reports whether running may change without another version being started.
+// inTransition reports whether the running version may change without another version being started.
 func (m *StateMachine) inTransition() bool {
 	return m.phase == PhaseValidating || m.phase == PhaseApplying || m.phase == PhaseRollingBack
 }
 
-// canStartNext reports whether a pending version may be started.
+// canStartNext reports whether a pending version may be started: while idle, between two attempts of a rollback, and
+// during a canary for a version of the local file or with the Rollback flag. Never during a pause.
 func (m *StateMachine) canStartNext() bool {
 	if m.paused {
 		return false
@@ -52,17 +54,20 @@
 		return true
 	case PhaseRollingBack:
 		return m.rollbackRetryAt > 0
-	case PhaseCanary: // only for a version that ends the canary
+	case PhaseCanary:
 		fromControlPlane := m.pending[SourceControlPlane]
 		return m.pending[SourceFile] != nil || fromControlPlane != nil && fromControlPlane.Rollback
 	}
 	return false
 }
 
-// precheck returns why a version is rejected without validation, or that it is running already.
+// precheck decides what is known about a version without validating it: why it is rejected, empty if it is not, or that
+// it runs already. A version of the control plane is rejected if its number has another content, if it was rejected
+// before, or, without the Rollback flag, if its epoch is abandoned or a newer version of its epoch is pending,
+// processed or running.
 func (m *StateMachine) precheck(v Version) (reason string, isRunning bool) {
 	running := m.running.version(v.Source)
-	if v.Source == SourceFile { // only its content counts, not how often it was read
+	if v.Source == SourceFile { // its content counts, not its number
 		return "", v.Digest == running.Digest
 	}
 	if known := m.persistent.knownVersion(v.ID); known != nil && known.Digest != v.Digest {
@@ -93,7 +98,8 @@
 	return other.Source == SourceControlPlane && other.Epoch == v.Epoch && v.Number < other.Number
 }
 
-// startNext starts to process a pending version if the phase allows it.
+// startNext starts the validation of a pending version if the phase allows it and Settings.MinValidationInterval has
+// passed.
 func (m *StateMachine) startNext(now monotime.Micros) []Command {
 	if !m.canStartNext() || now < m.nextValidationAt {
 		return nil
@@ -102,7 +108,7 @@
 	if v == nil {
 		return nil
 	}
-	// What runs may have changed since the offer.
+	// The running version may have changed since the offer.
 	if reason, isRunning := m.precheck(*v); reason != "" {
 		return append([]Command{nack(*v, reason)}, m.startNext(now)...)
 	} else if isRunning && !m.rollbackRequired {
@@ -137,6 +143,7 @@
 	return Command{Action: ActionAck, Version: v, Confirmed: m.unconfirmed == nil}
 }
 
+// nack returns the command that rejects a version at its source.
 func nack(v Version, reason string) Command {
 	return Command{Action: ActionNack, Version: v, Reason: reason}
 }
--- a/internal/decide/rollout/persist.go
+++ b/internal/decide/rollout/persist.go
@@ -3,13 +3,13 @@
 import "dunlinsail/internal/monotime"
 
 const (
-	// persistRetryDelay is the backoff after the first failure to store the state; it doubles with each.
-	persistRetryDelay monotime.Micros = 1_000_000
-	// maxPersistDoublings bounds that backoff.
+	// persistRetryDelay is the mean backoff after the first failure to store the state. It doubles with each failure.
+	persistRetryDelay = monotime.Second
+	// maxPersistDoublings bounds the mean backoff to 2^maxPersistDoublings times persistRetryDelay, which is 64 s.
 	maxPersistDoublings = 6
 )
 
-// persist requests that the state is stored, now or once the request in progress is answered.
+// persist requests that the state is stored, now or after the result of the request that is outstanding.
 func (m *StateMachine) persist() []Command {
 	if m.persisting {
 		m.persistAgain = true
@@ -21,8 +21,8 @@
 	return []Command{{Action: ActionPersist}}
 }
 
-// HandlePersisted takes the result of ActionPersist: reason says why the state was not stored, "" that it was. A
-// failure is retried after a backoff with jitter; nothing else waits for it.
+// HandlePersisted handles the result of ActionPersist: reason is why the state was not stored, empty if it was. A
+// failure is retried after a backoff with jitter of half the mean up and down; no version waits for it.
 func (m *StateMachine) HandlePersisted(now monotime.Micros, reason string) []Command {
 	if !m.persisting {
 		return nil
--- a/internal/decide/rollout/random_test.go
+++ b/internal/decide/rollout/random_test.go
@@ -10,8 +10,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// simulatedHost is a host whose disk, control plane and contents are a test's. It executes commands in order, as far
-// and as well as the drawn events have it, and checks each against a plain reading of the rules.
+// simulatedHost is a host with a simulated disk, control plane and contents. It executes commands in order, with the
+// results that the drawn events give, and checks each against the rules.
 type simulatedHost struct {
 	*rapid.T
 	machine  *StateMachine
@@ -20,23 +20,23 @@
 	commands []Command // not executed yet
 
 	stored        []byte // PersistentState, as stored last
-	persistFailed bool   // ever: what is known may be lost with the process
+	persistFailed bool   // at least once: a restart may lose state
 
 	fileReads uint64
 	file      Version
 	epoch     string            // of new versions
-	numbers   map[string]uint64 // the last one, by epoch
+	numbers   map[string]uint64 // the latest number, by epoch
 	offered   []Version
 	restarts  int
 
-	valid      map[string]bool // by digest: passes its validation,
-	applicable map[string]bool // can be applied,
-	harmful    map[string]bool // and does harm
+	valid      map[string]bool // by digest: passes its validation
+	applicable map[string]bool // by digest: can be applied
+	harmful    map[string]bool // by digest: fails its canary
 
-	validated     *Version        // the last that passed
-	applied       map[ID]string   // digests of all that were
-	rolledBack    map[string]bool // digests of those that were rolled back, and this stored
-	lastKnownGood LayeredVersion  // as the rules have it
+	validated     *Version        // the latest version that passed its validation
+	applied       map[ID]string   // digests of all applied versions
+	rolledBack    map[string]bool // digests whose rollback is stored
+	lastKnownGood LayeredVersion  // by the rules
 	running       LayeredVersion
 	onCanary      bool
 	unanswered    map[ID]bool
@@ -64,7 +64,7 @@
 	return h
 }
 
-// restart starts another process with what is stored.
+// restart starts another process with the stored state.
 func (h *simulatedHost) restart() {
 	var persistent PersistentState
 	if h.stored != nil {
@@ -86,9 +86,10 @@
 	h.machine = New(h.settings, running, persistent)
 }
 
+// enqueue adds commands to those to execute.
 func (h *simulatedHost) enqueue(commands []Command) { h.commands = append(h.commands, commands...) }
 
-// result is the reason of a command that succeeds or not.
+// result returns the reason that a command's result has: empty if it succeeds.
 func result(ok bool) string {
 	if ok {
 		return ""
@@ -96,7 +97,7 @@
 	return "no"
 }
 
-// executeNext executes the next command. ok tells whether a rollback or a write to disk succeeds.
+// executeNext executes the next command. ok is whether a rollback or a write to disk succeeds.
 func (h *simulatedHost) executeNext(ok bool) {
 	command := h.commands[0]
 	h.commands = h.commands[1:]
@@ -137,6 +138,7 @@
 	}
 }
 
+// validate executes ActionValidate.
 func (h *simulatedHost) validate(v Version) {
 	if h.onCanary {
 		h.Fatalf("validate %v during a canary", v.ID)
@@ -148,6 +150,7 @@
 	h.enqueue(h.machine.HandleValidated(h.now, result(h.valid[v.Digest])))
 }
 
+// apply executes ActionApply, and checks that the rules allow it.
 func (h *simulatedHost) apply(command Command) {
 	v := command.Version
 	if h.validated == nil || *h.validated != v {
@@ -182,6 +185,7 @@
 	}
 }
 
+// persist executes ActionPersist.
 func (h *simulatedHost) persist(ok bool) {
 	h.persistFailed = h.persistFailed || !ok
 	if ok {
@@ -190,7 +194,7 @@
 	h.enqueue(h.machine.HandlePersisted(h.now, result(ok)))
 }
 
-// store encodes the state, and checks that it is decoded to the same.
+// store encodes the state, and checks that it decodes to the same state.
 func (h *simulatedHost) store() {
 	text, err := json.Marshal(h.machine.PersistentState())
 	if err != nil {
@@ -211,7 +215,7 @@
 	}
 }
 
-// evaluateCanary ends the canary in progress by whether the version does harm.
+// evaluateCanary ends the canary in progress: it fails if the version is harmful.
 func (h *simulatedHost) evaluateCanary() {
 	v := h.machine.unconfirmed
 	if v == nil || !h.onCanary {
@@ -221,12 +225,13 @@
 	reason := ""
 	if h.harmful[v.Digest] {
 		reason = "harm"
-	} else if h.machine.phase == PhaseCanary { // else the command that stops it is not executed yet
+	} else if h.machine.phase == PhaseCanary { // in another phase the command that stops it is still queued
 		h.lastKnownGood = h.running
 	}
 	h.enqueue(h.machine.HandleCanaryResult(h.now, reason))
 }
 
+// offer offers a version, whose reply is awaited from then on.
 func (h *simulatedHost) offer(v Version) {
 	h.unanswered[v.ID] = true
 	h.enqueue(h.machine.Offer(h.now, v))
@@ -242,7 +247,7 @@
 
 var contentCount int
 
-// drawContent gives a version a new content: one that is valid, applicable and harmless, or any.
+// drawContent gives a version a new content: a valid, applicable and harmless one if harmless is set, else any.
 func (h *simulatedHost) drawContent(v *Version, harmless bool) {
 	contentCount++
 	v.Digest = fmt.Sprint("c", contentCount)
@@ -331,7 +336,7 @@
 	isRunning := running.ControlPlane != nil && *running.ControlPlane == last
 	isGood := lastKnownGood.ControlPlane != nil && lastKnownGood.ControlPlane.ID == last.ID
 	if onCanary || !isRunning || !isGood || len(h.unanswered) > 0 {
-		h.Fatalf("runs %v, canary %v, last known good %v, unanswered %v; the last sound version is %v",
+		h.Fatalf("runs %v, canary %v, last known good %v, unanswered %v; the last harmless version is %v",
 			running, onCanary, lastKnownGood, h.unanswered, last.ID)
 	}
 	h.restart()
@@ -340,16 +345,15 @@
 	}
 }
 
-// In whatever order versions come, twice, late, or not at all, whatever fails and whenever the process ends: the
-// rules hold at each step, and once a sound version comes to an instance where nothing fails any more, that one runs
-// and is stored.
+// Whatever the order of versions, duplicated, late or lost, whatever fails and whenever the process ends: the rules
+// hold at each step, and a harmless version that is offered after the last failure runs and is stored.
 func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		host := newSimulatedHost(t)
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
 			host.drawEvent()
 		}
-		// From here on nothing fails.
+		// There are no failures from here on.
 		host.epoch += "z"
 		last := host.newVersion(true)
 		host.enqueue(host.machine.SetPaused(host.now, false))
--- a/internal/decide/rollout/rollback.go
+++ b/internal/decide/rollout/rollback.go
@@ -2,15 +2,12 @@
 
 import "dunlinsail/internal/monotime"
 
-// maxRollbackAttempts is how often a rollback is attempted. After that the rejected version keeps running until
-// another one is applied.
+// maxRollbackAttempts is the number of attempts of a rollback. After the last one the rejected version keeps running
+// until another one is applied.
 const maxRollbackAttempts = 5
 
-// minRollbackBackoff is the least backoff after the first failed rollback.
-const minRollbackBackoff monotime.Micros = 1_000_000
-
-// HandleCanaryResult takes the result of ActionStartCanary: reason says in what the version does worse than what ran
-// before, "" that it does not.
+// HandleCanaryResult handles the result of ActionStartCanary: reason is why the version is worse than the one before
+// it, empty if it is not. A version that is worse is rejected and rolled back, any other is confirmed.
 func (m *StateMachine) HandleCanaryResult(now monotime.Micros, reason string) []Command {
 	if m.phase != PhaseCanary {
 		return nil
@@ -26,8 +23,8 @@
 	return append(m.reject(*m.unconfirmed, reason, true), m.rollBack())
 }
 
-// HandleRolledBack takes the result of ActionRollBack: reason says why the rejected version still runs, "" that it
-// does not.
+// HandleRolledBack handles the result of ActionRollBack: reason is why the rejected version still runs, empty if the
+// last known good runs in its place. A failed rollback is retried up to maxRollbackAttempts.
 func (m *StateMachine) HandleRolledBack(now monotime.Micros, reason string) []Command {
 	if m.phase != PhaseRollingBack || m.rollbackRetryAt > 0 {
 		return nil
@@ -44,6 +41,7 @@
 	return m.startNext(now)
 }
 
+// endRollback ends the rollback, successful or not.
 func (m *StateMachine) endRollback() {
 	m.phase = PhaseIdle
 	m.unconfirmed = nil
@@ -71,7 +69,10 @@
 	}
 }
 
-// rollbackBackoff returns the wait before the next attempt: it doubles with each.
+// minRollbackBackoff is the shortest backoff after the first failed attempt of a rollback.
+const minRollbackBackoff = monotime.Second
+
+// rollbackBackoff returns the time until the next attempt of a rollback, which doubles with each attempt.
 func (m *StateMachine) rollbackBackoff() monotime.Micros {
 	return max(m.settings.MinValidationInterval, minRollbackBackoff) << max(0, m.rollbackAttempts-1)
 }
--- a/internal/decide/rollout/state.go
+++ b/internal/decide/rollout/state.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Bounds of what a StateMachine remembers. The oldest entry is dropped for a new one.
+// Bounds of the lists in a PersistentState. The oldest entry is dropped for a new one.
 const (
-	maxRejections      = 64
-	maxKnownVersions   = 256
-	maxAbandonedEpochs = 32
+	maxRejections      = 64  // rejected versions; a dropped one is validated again when it is offered again
+	maxKnownVersions   = 256 // versions whose number is known to identify one content
+	maxAbandonedEpochs = 32  // epochs whose versions are rejected
 )
 
 // Rejection is a version that was rejected.
@@ -16,20 +16,20 @@
 	RolledBack bool   `json:"tried,omitempty"` // it was applied, and rolled back
 }
 
-// PersistentState is what outlives a process. The host stores it at each ActionPersist, and passes it to New after a
-// restart. The names in its JSON are stored: they stay as they are.
+// PersistentState is the part of the state that outlives a process. The host stores it at each ActionPersist, and
+// passes it to New after a restart. The names in its JSON are stored: they stay as they are.
 type PersistentState struct {
 	LastKnownGood *LayeredVersion `json:"good,omitempty"`   // confirmed last; a process starts with it
 	PreviousGood  *LayeredVersion `json:"before,omitempty"` // confirmed before LastKnownGood
 	Unconfirmed   *Version        `json:"trying,omitempty"` // being applied, or applied and not confirmed
-	ApplyAttempts int             `json:"tries,omitempty"`  // processes that applied Unconfirmed
+	ApplyAttempts int             `json:"tries,omitempty"`  // number of processes that applied Unconfirmed
 
 	Rejected        []Rejection `json:"refused,omitempty"`
 	AbandonedEpochs []string    `json:"left,omitempty"`
 	KnownVersions   []Version   `json:"seen,omitempty"` // detects a number with two contents
 }
 
-// recordAttempt notes that v is being applied or on canary once more; nil clears the note.
+// recordAttempt records that one more process applies v, or has it on canary; nil clears the record.
 func (p *PersistentState) recordAttempt(v *Version) {
 	switch {
 	case v == nil:
@@ -43,7 +43,7 @@
 	}
 }
 
-// recordRejection notes a rejected version, in place of an earlier rejection of the same version.
+// recordRejection records a rejected version, in place of an earlier rejection of the same version.
 func (p *PersistentState) recordRejection(r Rejection) {
 	p.Rejected = slices.DeleteFunc(p.Rejected, func(old Rejection) bool { return old.ID == r.ID })
 	p.Rejected = append(p.Rejected, r)
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// forgetUnappliedRejections drops the rejections of versions that were not rolled back: with another file they may be
-// valid.
+// forgetUnappliedRejections drops the rejections of versions that were never applied: they may be valid over another
+// version of the local file.
 func (p *PersistentState) forgetUnappliedRejections() {
 	p.Rejected = slices.DeleteFunc(p.Rejected, func(r Rejection) bool { return !r.RolledBack })
 }
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// recordKnown notes the content of a version of the control plane.
+// recordKnown records the content of a version of the control plane.
 func (p *PersistentState) recordKnown(v Version) {
 	if v.Source == SourceFile || p.knownVersion(v.ID) != nil {
 		return
@@ -89,7 +89,8 @@
 	}
 }
 
-// recordEpoch notes that a version of an epoch replaced another one, nil for none.
+// recordEpoch records that a version of an epoch has replaced another version, nil for none: the other's epoch is
+// abandoned, and the epoch itself no longer is.
 func (p *PersistentState) recordEpoch(epoch string, replaced *Version) {
 	if replaced != nil && replaced.Epoch != epoch {
 		p.AbandonedEpochs = append(p.AbandonedEpochs, replaced.Epoch)
--- a/internal/decide/rollout/version.go
+++ b/internal/decide/rollout/version.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// Source is where a version comes from.
+// Source is the origin of a version.
 type Source uint8
 
 // The sources of versions.
 const (
 	// SourceControlPlane is the xDS management server.
 	SourceControlPlane Source = iota
-	// SourceFile is the local file. Its epoch is empty, and its numbers count how often the process read it.
+	// SourceFile is the local file. Its epoch is empty, and its numbers count the times that the process has read it.
 	SourceFile
 )
 
-// sourceNames are stored: they stay as they are.
+// sourceNames are the stored names, which never change.
 var sourceNames = [...]string{"service", "file"}
 
 // String returns the source's stored name.
@@ -38,7 +38,7 @@
 // ID identifies a version.
 type ID struct {
 	Source Source `json:"source"`
-	Epoch  string `json:"epoch,omitempty"` // namespace of the number; "" is one, too
+	Epoch  string `json:"epoch,omitempty"` // namespace of the number; the empty string is a valid one
 	Number uint64 `json:"number"`
 }
 
@@ -60,7 +60,8 @@
 	Rollback bool   `json:"rollback,omitempty"` // may be applied over a newer one
 }
 
-// LayeredVersion is what an instance runs: a version of the control plane, or none, over one of the local file.
+// LayeredVersion is the configuration that an instance runs: a version of the control plane, or none, over a version of
+// the local file.
 type LayeredVersion struct {
 	ControlPlane *Version `json:"service,omitempty"`
 	File         Version  `json:"file"`
@@ -92,7 +93,7 @@
 	return l.ControlPlane.ID.String() + " over " + l.File.ID.String()
 }
 
-// sameContent reports whether both have the same content in each layer.
+// sameContent reports whether both have the same content in each layer, by digest.
 func (l LayeredVersion) sameContent(other LayeredVersion) bool {
 	if l.File.Digest != other.File.Digest {
 		return false
