--- a/internal/decide/canary/analysis.go
+++ b/internal/decide/canary/analysis.go
@@ -7,40 +7,22 @@
 	"dunlinsail/internal/monotime"
 )
 
-// From severeMinRequests requests on, a harm over severeHarm is enough for a verdict before Settings.MinDuration.
-const (
-	severeMinRequests = 20
-	severeHarm        = 0.5
-)
-
-// A canary that gets less than lostMaxFraction of the requests that the baseline's rate would bring has lost its
-// clients: if those would be lostMinExpected at least, and it has run for lostMinDuration. Chance is out of the
-// question then.
-const (
-	lostMinExpected                 = 50
-	lostMaxFraction                 = 0.1
-	lostMinDuration monotime.Micros = 1_000_000
-)
-
-// surgeSlack is by how many standard deviations the recent demand must exceed its bound to be a surge.
-const surgeSlack = 3.0
-
-// Analysis compares a canary with its baseline. Make one with NewAnalysis. It is not safe for concurrent use.
+// Analysis compares a canary with its baseline. Create one with NewAnalysis. It is not safe for concurrent use.
 type Analysis struct {
 	settings Settings
 	baseline arm
 	canary   arm
 
-	calmDuration     monotime.Micros // of the canary, without surges of demand
-	requiredDuration monotime.Micros
-	extensions       int
+	calmDuration     monotime.Micros // of the canary's slots without a surge of demand
+	requiredDuration monotime.Micros // Settings.Duration and its extensions
+	extensions       int             // number of extensions so far
 
 	verdict    Verdict
 	statistics Statistics
 }
 
-// NewAnalysis returns an analysis with samples of the baseline, to which AddBaseline may add. Its error is that of
-// Settings.Validate.
+// NewAnalysis returns an analysis with samples of the baseline, to which AddBaseline may add more. It fails if
+// Settings.Validate does.
 func NewAnalysis(settings Settings, baseline ...Sample) (*Analysis, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, fmt.Errorf("canary: %w", err)
@@ -61,8 +43,9 @@
 // Result returns the present verdict and its statistics.
 func (a *Analysis) Result() (Verdict, Statistics) { return a.verdict, a.statistics }
 
-// AddCanary adds a sample of the canary, and returns the verdict with its statistics. A final verdict does not change
-// any more.
+// AddCanary adds a sample of the canary, and returns the verdict with its statistics. The canary is degraded as soon as
+// it has lost its clients or is harmed. After the required duration it has passed, is inconclusive, or runs for longer.
+// A final verdict no longer changes.
 func (a *Analysis) AddCanary(sample Sample) (Verdict, Statistics) {
 	if a.verdict != Undecided {
 		return a.verdict, a.statistics
@@ -76,7 +59,7 @@
 	failures := a.compare(&a.baseline.failures, &a.canary.failures, moreIsWorse)
 	a.updateStatistics(service, failures)
 	switch {
-	case a.baseline.requests <= 0: // there is nothing to compare with
+	case a.baseline.requests <= 0: // without a baseline no canary is degraded
 	case a.lostClients():
 		a.verdict = Degraded
 		return a.verdict, a.statistics
@@ -90,12 +73,18 @@
 	return a.verdict, a.statistics
 }
 
-// updateStatistics describes the present state, by the metric with the more certain harm.
+// microsecondsPerSecond converts rates a microsecond to rates a second.
+const microsecondsPerSecond = 1e6
+
+// updateStatistics sets the statistics to the present state, with the metric whose harm has the larger lower bound.
 func (a *Analysis) updateStatistics(service, failures comparison) {
 	a.statistics = Statistics{
-		Service:        [2]float64{a.baseline.service.perSlot.mean(), a.canary.service.perSlot.mean()},
-		Failures:       [2]float64{a.baseline.failures.perSlot.mean(), a.canary.failures.perSlot.mean()},
-		RequestRate:    [2]float64{a.baseline.requestRate() * 1e6, a.canary.requestRate() * 1e6},
+		Service:  [2]float64{a.baseline.service.perSlot.mean(), a.canary.service.perSlot.mean()},
+		Failures: [2]float64{a.baseline.failures.perSlot.mean(), a.canary.failures.perSlot.mean()},
+		RequestRate: [2]float64{
+			a.baseline.requestRate() * microsecondsPerSecond,
+			a.canary.requestRate() * microsecondsPerSecond,
+		},
 		Harm:           failures.harm,
 		HarmLowerBound: failures.lowerBound,
 		Metric:         MetricFailures,
@@ -109,7 +98,17 @@
 	}
 }
 
-// lostClients reports whether far fewer requests come than the baseline had, and describes that in the statistics.
+// Bounds beyond which missing requests are no chance.
+const (
+	lostMinExpected = 50              // requests that the canary would have had at the baseline's rate
+	lostMaxFraction = 0.1             // of these requests; with a larger fraction the clients are not lost
+	lostMinDuration = monotime.Second // of the canary
+)
+
+// lostClients reports whether the canary has lost its clients, and puts that into the statistics. It has if it gets
+// less than lostMaxFraction of the requests that the baseline's rate would give it, provided that these are at least
+// lostMinExpected, and that it has run for lostMinDuration and Settings.MinDuration. Clients that no longer reach a
+// version show in no ratio of its requests.
 func (a *Analysis) lostClients() bool {
 	expected := a.baseline.requestRate() * float64(a.canary.duration)
 	fewer := expected >= lostMinExpected && a.canary.requests < lostMaxFraction*expected
@@ -124,7 +123,14 @@
 	return true
 }
 
-// harmed reports whether the harm in the statistics is certain, beyond the margin, and old or severe enough.
+// Bounds of a severe harm, which needs no Settings.MinDuration.
+const (
+	severeMinRequests = 20  // of the canary
+	severeHarm        = 0.5 // difference of the ratios
+)
+
+// harmed reports whether the harm in the statistics is certain and beyond Settings.HarmMargin. Before
+// Settings.MinDuration it must also be severe.
 func (a *Analysis) harmed() bool {
 	s := &a.statistics
 	certain := s.HarmLowerBound > 0 && s.Harm > a.settings.HarmMargin
@@ -132,17 +138,22 @@
 	return certain && (severe || a.canary.duration >= a.settings.MinDuration)
 }
 
-// concludeOrExtend ends an analysis that has run for its required duration, or extends it if a result is not clear.
-// harm is the larger difference, which is not certain.
+// minCalmDivisor: an analysis concludes only if at least one part in so many of the required duration was without a
+// surge.
+const minCalmDivisor = 2
+
+// concludeOrExtend ends an analysis that has run for its required duration, or extends it by Settings.Duration, at most
+// Settings.MaxExtensions times. It is extended if the harm is beyond Settings.HarmMargin without being certain. It
+// starts anew if most of it was a surge of demand. harm is the larger difference of the two ratios.
 func (a *Analysis) concludeOrExtend(harm float64) {
-	surged := a.calmDuration < a.requiredDuration/2
+	surged := a.calmDuration < a.requiredDuration/minCalmDivisor
 	doubtful := a.baseline.requests > 0 && harm > a.settings.HarmMargin
 	switch {
 	case !surged && !doubtful:
 		a.verdict = Passed
 	case a.extensions >= a.settings.MaxExtensions:
 		a.verdict = Inconclusive
-	case surged: // which may end: start again
+	case surged: // the surge may end
 		a.extensions++
 		a.canary = arm{}
 		a.calmDuration = 0
@@ -153,27 +164,32 @@
 	}
 }
 
-// observeSurge notes the requests of a slot, and reports whether so many more come than the baseline had that less
-// service is to be expected.
+// surgeSlack is the number of standard deviations by which the recent requests must exceed their bound to be a surge.
+const surgeSlack = 3.0
+
+// observeSurge adds the requests of a slot, and reports whether the canary's demand is a surge: whether the requests of
+// the latest slots exceed Settings.MaxDemandRatio times the baseline's rate by more than chance. During a surge less
+// service is expected and no harm.
 func (a *Analysis) observeSurge(sample *Sample) bool {
 	recent, slots := a.canary.observeRequests(sample.Requests)
 	bound := a.settings.MaxDemandRatio * a.baseline.requestRate() * float64(sample.Duration) * float64(slots)
 	return a.baseline.requests > 0 && recent > bound+surgeSlack*math.Sqrt(bound)
 }
 
-// The signs of a metric.
+// The signs of a metric: whether a lower or a higher ratio of the canary is harm.
 const (
 	lessIsWorse = -1
 	moreIsWorse = 1
 )
 
-// comparison is by how much the canary does worse in a metric.
+// comparison is the harm of the canary in a metric.
 type comparison struct {
-	harm       float64 // difference of the means
-	lowerBound float64 // of harm
+	harm       float64 // difference of the means; positive if the canary is worse
+	lowerBound float64 // of harm, at all times, with a probability of 1 - Settings.Alpha/2
 }
 
-// compare compares a metric of baseline and canary.
+// compare compares a metric of baseline and canary. Both metrics together have the error probability Settings.Alpha, so
+// each has half of it.
 func (a *Analysis) compare(baseline, canary *ratioSeries, sign float64) comparison {
 	reference := &baseline.perSlot
 	tested := &canary.perSlot
@@ -181,8 +197,8 @@
 		return comparison{}
 	}
 	harm := sign * (tested.mean() - reference.mean())
-	// Slots without a failure show no variance, and one failed request proves nothing: the variance is never less
-	// than that of as many independent requests, of which one more has failed, and one more has not.
+	// Slots without a failure have no variance, and yet prove little: the variance is never less than that of as many
+	// independent requests, with one failed and one successful request added.
 	requests := a.baseline.requests + a.canary.requests
 	pooled := (reference.mean()*a.baseline.requests + tested.mean()*a.canary.requests + 1) / (requests + 2)
 	pooled = min(max(pooled, 1/(requests+2)), 1-1/(requests+2))
--- a/internal/decide/canary/canary_test.go
+++ b/internal/decide/canary/canary_test.go
@@ -11,21 +11,24 @@
 	"dunlinsail/internal/monotime"
 )
 
+// slot is the duration of a sample, in microseconds.
 const slot = 250_000
 
 var testSettings = Settings{Duration: 30_000_000, MinDuration: 2_000_000, HarmMargin: 0.01, Alpha: 0.01}
 
-// trafficSource draws samples with a request rate and a fraction that is not served, which varies from slot to slot.
+// trafficSource draws samples with a request rate and a fraction of requests that is not served, which varies by spells
+// of several slots.
 type trafficSource struct {
 	rng              *rand.Rand
 	rate             float64 // a second
 	unservedFraction float64
-	variation        float64 // the coefficient of variation of bad from slot to slot
-	failedFraction   float64 // part of the bad ones that fail, the others are refused
-	correlation      float64
-	slotsLeft        int
+	variation        float64 // standard deviation of the logarithm of correlation
+	failedFraction   float64 // of the requests that are not served; the others are rejected
+	correlation      float64 // factor of unservedFraction in the present spell
+	slotsLeft        int     // of the present spell
 }
 
+// sample draws the sample of the next slot.
 func (x *trafficSource) sample() Sample {
 	s := Sample{Duration: slot}
 	n := int(x.rate*float64(slot)/1e6 + x.rng.Float64())
@@ -34,11 +37,11 @@
 		x.correlation = math.Exp(x.variation*x.rng.NormFloat64() - x.variation*x.variation/2)
 	}
 	for range n {
-		worth := []float64{1, 2, 3, 5}[x.rng.IntN(4)]
+		weight := []float64{1, 2, 3, 5}[x.rng.IntN(4)]
 		s.Requests++
-		s.OfferedWeight += worth
+		s.OfferedWeight += weight
 		if x.rng.Float64() >= x.unservedFraction*x.correlation {
-			s.ServedWeight += worth
+			s.ServedWeight += weight
 		} else if x.rng.Float64() < x.failedFraction {
 			s.Failed++
 		}
@@ -65,29 +68,30 @@
 	panic("unreachable")
 }
 
-// What is no worse is hardly ever found to be, however steady or unsteady service is, and however often it is looked
-// at; what does harm beyond the margin is found, the sooner the worse it is.
+// A canary that is no worse is hardly ever found degraded, however much its service varies. A harm beyond the margin is
+// found, the larger the sooner.
 func TestHarmIsFoundAndNoiseIsNot(t *testing.T) {
 	const trials = 400
 	for _, tc := range []struct {
 		name                string
 		rate, bad, unsteady float64
 		harm                float64         // added to bad
-		least, most         float64         // part of trials found worse
-		within              monotime.Micros // at the median
+		minFound, maxFound  float64         // fraction of trials found degraded
+		within              monotime.Micros // median time until found degraded
 	}{
-		{name: "all goes well", rate: 100, bad: 0, most: 0.02},
-		{name: "few fail", rate: 200, bad: 0.005, most: 0.02},
-		{name: "some fail, in spells", rate: 200, bad: 0.02, unsteady: 1, most: 0.03},
-		{name: "many fail, in spells", rate: 50, bad: 0.2, unsteady: 0.5, most: 0.03},
-		{name: "hardly any traffic", rate: 3, bad: 0.02, most: 0.02},
-		{name: "less than the margin", rate: 500, bad: 0.002, harm: 0.004, most: 0.02},
-		{name: "all fails", rate: 100, bad: 0.001, harm: 0.9, least: 1, most: 1, within: 1_500_000},
-		{name: "all fails, little traffic", rate: 10, bad: 0.001, harm: 0.9, least: 1, most: 1, within: 4_000_000},
-		{name: "a fifth fails", rate: 100, bad: 0.01, harm: 0.2, least: 1, most: 1, within: 3_000_000},
-		{name: "a twentieth fails", rate: 100, bad: 0.005, harm: 0.05, least: 0.95, most: 1, within: 15_000_000},
+		{name: "all goes well", rate: 100, bad: 0, maxFound: 0.02},
+		{name: "few fail", rate: 200, bad: 0.005, maxFound: 0.02},
+		{name: "some fail, in spells", rate: 200, bad: 0.02, unsteady: 1, maxFound: 0.03},
+		{name: "many fail, in spells", rate: 50, bad: 0.2, unsteady: 0.5, maxFound: 0.03},
+		{name: "hardly any traffic", rate: 3, bad: 0.02, maxFound: 0.02},
+		{name: "less than the margin", rate: 500, bad: 0.002, harm: 0.004, maxFound: 0.02},
+		{name: "all fails", rate: 100, bad: 0.001, harm: 0.9, minFound: 1, maxFound: 1, within: 1_500_000},
+		{name: "all fails, little traffic", rate: 10, bad: 0.001, harm: 0.9,
+			minFound: 1, maxFound: 1, within: 4_000_000},
+		{name: "a fifth fails", rate: 100, bad: 0.01, harm: 0.2, minFound: 1, maxFound: 1, within: 3_000_000},
+		{name: "a twentieth fails", rate: 100, bad: 0.005, harm: 0.05, minFound: 0.95, maxFound: 1, within: 15_000_000},
 		{name: "a twentieth fails, in spells", rate: 200, bad: 0.01, unsteady: 0.7, harm: 0.05,
-			least: 0.9, most: 1, within: 20_000_000},
+			minFound: 0.9, maxFound: 1, within: 20_000_000},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			found := 0
@@ -108,9 +112,9 @@
 			part := float64(found) / trials
 			median := medianOf(times)
 			t.Logf("found worse: %.3f, median after %.2f s", part, median/1e6)
-			if part < tc.least || part > tc.most || tc.within > 0 && median > float64(tc.within) {
+			if part < tc.minFound || part > tc.maxFound || tc.within > 0 && median > float64(tc.within) {
 				t.Errorf("found worse: %.3f, want %.3f..%.3f; median after %.2f s, want %.2f",
-					part, tc.least, tc.most, median/1e6, float64(tc.within)/1e6)
+					part, tc.minFound, tc.maxFound, median/1e6, float64(tc.within)/1e6)
 			}
 		})
 	}
@@ -125,8 +129,7 @@
 	return values[len(values)/2]
 }
 
-// Less service while more is asked for proves nothing, and takes no blame; failures do all the same. A rush that
-// passes is waited for.
+// During a surge of demand less service is no harm, and failures are. The analysis goes on until a surge ends.
 func TestSurgeOfDemand(t *testing.T) {
 	s := testSettings
 	s.MaxExtensions = 2
@@ -151,22 +154,22 @@
 	for range 120 {
 		x.AddBaseline(before.sample())
 	}
-	rush := &trafficSource{rng: rng, rate: 300, unservedFraction: 0.2}
+	surge := &trafficSource{rng: rng, rate: 300, unservedFraction: 0.2}
 	after := &trafficSource{rng: rng, rate: 100, unservedFraction: 0.001}
 	var v Verdict
 	for i := 0; v == Undecided; i++ {
-		from := rush
+		from := surge
 		if i >= 130 {
 			from = after
 		}
 		v, _ = x.AddCanary(from.sample())
 	}
 	if v != Passed {
-		t.Errorf("after a rush that passed: %v", v)
+		t.Errorf("after a surge that ended: %v", v)
 	}
 }
 
-// Without anything to hold it against nothing is found worse; verdicts stay what they are.
+// Without a baseline no canary is degraded. A final verdict does not change.
 func TestWithoutBaseline(t *testing.T) {
 	x, err := NewAnalysis(testSettings)
 	if err != nil {
@@ -183,13 +186,13 @@
 	for range 100 {
 		x.AddBaseline(Sample{Duration: slot, OfferedWeight: 1000, ServedWeight: 1000, Requests: 1000})
 		if v, _ := x.AddCanary(bad.sample()); v != Passed {
-			t.Fatalf("%v, after it was good", v)
+			t.Fatalf("%v, after it had passed", v)
 		}
 	}
 }
 
-// Whatever the samples, figures are numbers, there is a verdict once the time and its extensions are over and not
-// before it is known, and a difference within the margin is never worse.
+// For any samples the statistics are numbers, there is a verdict after the duration and its extensions, a certain harm
+// is beyond the margin, and a difference within the margin is never harm.
 func TestAnySamples(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Settings{
@@ -202,48 +205,55 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sample := rapid.Custom(func(t *rapid.T) Sample {
-			n := rapid.Int64Range(0, 50).Draw(t, "requests")
-			offered := float64(n) * rapid.Float64Range(0, 5).Draw(t, "weight")
-			return Sample{
-				Duration:      slot,
-				Requests:      n,
-				Failed:        rapid.Int64Range(0, n).Draw(t, "failed"),
-				OfferedWeight: offered,
-				ServedWeight:  offered * rapid.Float64Range(0, 1).Draw(t, "served"),
-			}
-		})
+		sample := rapid.Custom(anySample)
 		for range rapid.IntRange(0, 30).Draw(t, "before") {
 			x.AddBaseline(sample.Draw(t, "reference"))
 		}
-		over := (s.Duration+slot-1)/slot*int64(1+s.MaxExtensions) + 1
-		for i := range over {
+		maxSlots := (s.Duration+slot-1)/slot*int64(1+s.MaxExtensions) + 1
+		for range maxSlots {
 			v, f := x.AddCanary(sample.Draw(t, "tried"))
-			for _, n := range []float64{
-				f.Service[0],
-				f.Service[1],
-				f.Failures[0],
-				f.Failures[1],
-				f.Harm,
-				f.RequestRate[1],
-			} {
-				if math.IsNaN(n) || math.IsInf(n, 0) {
-					t.Fatalf("%+v", f)
-				}
-			}
+			requireNumbers(t, f)
 			if v == Degraded && (f.Harm <= s.HarmMargin || f.HarmLowerBound <= 0) {
 				t.Fatalf("worse by %v, surely %v, with a margin of %v", f.Harm, f.HarmLowerBound, s.HarmMargin)
 			}
 			if v != Undecided {
 				return
 			}
-			if i == over-1 {
-				t.Fatalf("no verdict after %d slots", over)
-			}
 		}
+		t.Fatalf("no verdict after %d slots", maxSlots)
 	})
 }
 
+// anySample draws a sample of one slot.
+func anySample(t *rapid.T) Sample {
+	n := rapid.Int64Range(0, 50).Draw(t, "requests")
+	offered := float64(n) * rapid.Float64Range(0, 5).Draw(t, "weight")
+	return Sample{
+		Duration:      slot,
+		Requests:      n,
+		Failed:        rapid.Int64Range(0, n).Draw(t, "failed"),
+		OfferedWeight: offered,
+		ServedWeight:  offered * rapid.Float64Range(0, 1).Draw(t, "served"),
+	}
+}
+
+// requireNumbers ends the test if a statistic is infinite or not a number.
+func requireNumbers(t *rapid.T, f Statistics) {
+	t.Helper()
+	for _, n := range []float64{
+		f.Service[0],
+		f.Service[1],
+		f.Failures[0],
+		f.Failures[1],
+		f.Harm,
+		f.RequestRate[1],
+	} {
+		if math.IsNaN(n) || math.IsInf(n, 0) {
+			t.Fatalf("%+v", f)
+		}
+	}
+}
+
 func TestInvalidSettings(t *testing.T) {
 	for _, change := range []func(*Settings){
 		func(s *Settings) { s.Duration = 0 },
@@ -257,12 +267,12 @@
 		s := testSettings
 		change(&s)
 		if _, err := NewAnalysis(s); err == nil {
-			t.Errorf("%+v was taken", s)
+			t.Errorf("%+v is accepted", s)
 		}
 	}
 }
 
-// Where hardly anybody asks any more, that is harm, too: clients do not find their way. One quiet moment is none.
+// A canary that hardly gets any requests has lost its clients, which is harm. A single slot with few requests is not.
 func TestLostClients(t *testing.T) {
 	before := make([]Sample, 40)
 	for i := range before {
@@ -295,16 +305,16 @@
 	}
 }
 
-// What looks worse and is not surely so is tried for longer: little traffic is no proof that all is well.
+// An analysis whose harm is not certain is extended: little traffic does not prove that a canary is as good.
 func TestLittleTrafficIsExtended(t *testing.T) {
 	before := make([]Sample, 40)
 	for i := range before {
 		before[i] = Sample{Duration: 250_000, OfferedWeight: 2, ServedWeight: 2, Requests: 2}
 	}
 	for _, tc := range []struct {
-		part    float64 // served
-		verdict Verdict
-		least   int // slots at least
+		part     float64 // served
+		verdict  Verdict
+		minSlots int // until the verdict
 	}{{1, Passed, 8}, {0.5, Degraded, 4}, {0.99, Inconclusive, 32}} {
 		x, err := NewAnalysis(Settings{
 			Duration:      2_000_000,
@@ -319,13 +329,13 @@
 		var v Verdict
 		n := 0
 		for ; v == Undecided && n < 1000; n++ {
-			earned := 2.0
+			served := 2.0
 			if tc.part < 1 && (tc.part == 0.5 || n == 1) {
-				earned = 1
+				served = 1
 			}
-			v, _ = x.AddCanary(Sample{Duration: 250_000, OfferedWeight: 2, ServedWeight: earned, Requests: 2})
+			v, _ = x.AddCanary(Sample{Duration: 250_000, OfferedWeight: 2, ServedWeight: served, Requests: 2})
 		}
-		if v != tc.verdict || n < tc.least {
+		if v != tc.verdict || n < tc.minSlots {
 			t.Errorf("served %v: %v after %d slots", tc.part, v, n)
 		}
 	}
--- a/internal/decide/canary/ratio.go
+++ b/internal/decide/canary/ratio.go
@@ -2,22 +2,20 @@
 
 import "math"
 
-// batchSlots is the number of slots in a batch, over which correlation between slots is looked for.
+// batchSlots is the number of slots in a batch. Correlation between slots is detected within that span.
 const batchSlots = 8
 
-// minBatches is the number of batches from which on their variance is used.
-const minBatches = 4
-
 // ratioSeries accumulates a ratio of two sums, slot by slot and batch by batch.
 type ratioSeries struct {
 	perSlot  ratioMoments
 	perBatch ratioMoments
 
-	batchNumerator   float64 // of the present batch
-	batchDenominator float64
-	slotsInBatch     int
+	batchNumerator   float64 // sum of the present batch
+	batchDenominator float64 // sum of the present batch
+	slotsInBatch     int     // slots in the present batch
 }
 
+// add accumulates a slot. One with denominator 0 counts only as a part of its batch.
 func (s *ratioSeries) add(numerator, denominator float64) {
 	if denominator > 0 {
 		s.perSlot.add(numerator, denominator)
@@ -36,8 +34,11 @@
 	s.slotsInBatch = 0
 }
 
-// varianceInflation returns how many times larger the mean's variance is than if slots were independent; in
-// 1..batchSlots.
+// minBatches is the smallest number of batches whose variance is used.
+const minBatches = 4
+
+// varianceInflation returns the ratio of the mean's variance to its variance if slots were independent, in
+// 1..batchSlots: that of batches to that of slots.
 func (s *ratioSeries) varianceInflation() float64 {
 	slotVariance := s.perSlot.variance()
 	batchVariance := s.perBatch.variance()
@@ -58,6 +59,7 @@
 	denominatorSq float64 // sum of squares
 }
 
+// add accumulates an observation.
 func (r *ratioMoments) add(numerator, denominator float64) {
 	r.count++
 	r.numerator += numerator
@@ -67,6 +69,7 @@
 	r.denominatorSq += denominator * denominator
 }
 
+// mean returns the ratio of the sums, 0 if there is none.
 func (r *ratioMoments) mean() float64 {
 	if r.denominator <= 0 {
 		return 0
@@ -74,8 +77,8 @@
 	return r.numerator / r.denominator
 }
 
-// variance returns that of one observation's ratio: of the residuals numerator - mean·denominator, divided by the
-// square of the mean denominator (Cochran, "Sampling Techniques", 3rd ed., section 2.11).
+// variance returns the variance of one observation's ratio: that of the residuals numerator - mean·denominator, divided
+// by the square of the mean denominator (Cochran, "Sampling Techniques", 3rd ed., section 2.11).
 func (r *ratioMoments) variance() float64 {
 	if r.count < 2 || r.denominator <= 0 {
 		return 0
@@ -86,12 +89,12 @@
 	return max(0, residuals/(r.count-1)/(meanDenominator*meanDenominator))
 }
 
-// rho tunes where the confidence sequence is tightest: at about (-log α² + log(-2 log α² + 1))/ρ² slots
-// (Waudby-Smith et al., section B.2). Here these are a few dozen.
+// rho sets the number of slots at which the confidence sequence is tightest, which is
+// (-log α² + log(-2 log α² + 1))/ρ² (Waudby-Smith et al., section B.2): about 135 for a Settings.Alpha of 0.01.
 const rho = 0.3
 
-// confidenceHalfWidth returns the one-sided width of the confidence sequence after n slots, in standard deviations of
-// one slot.
+// confidenceHalfWidth returns the one-sided width of the confidence sequence with error probability alpha after n
+// slots, in standard deviations of one slot.
 func confidenceHalfWidth(n, alpha float64) float64 {
 	if n < 2 {
 		return math.Inf(1)
--- a/internal/decide/canary/sample.go
+++ b/internal/decide/canary/sample.go
@@ -2,27 +2,27 @@
 
 import "dunlinsail/internal/monotime"
 
-// Sample sums up the requests that ended in one slot.
+// Sample is the sum of the requests that ended in one slot.
 type Sample struct {
-	Duration      monotime.Micros
-	OfferedWeight float64 // sum of the requests' priority weights
-	ServedWeight  float64 // the part of it that was served within the latency objective
+	Duration      monotime.Micros // of the slot
+	OfferedWeight float64         // sum of the requests' priority weights
+	ServedWeight  float64         // sum of the priority weights of those served within the latency objective
 	Requests      int64
-	Failed        int64 // answered with an error, or not in time; rejected requests are not counted here
+	Failed        int64 // requests that ended with an error or too late; rejected ones do not count
 }
 
 // arm accumulates the samples of one side of the comparison.
 type arm struct {
 	duration       monotime.Micros
 	requests       float64
-	recentRequests [batchSlots]float64 // ring of the last slots
-	slots          int                 // in recentRequests so far
+	recentRequests [batchSlots]float64 // ring of the latest slots' requests
+	slots          int                 // number of slots added to recentRequests
 
-	service  ratioSeries
-	failures ratioSeries
+	service  ratioSeries // of served weight to offered weight
+	failures ratioSeries // of failed requests to requests
 }
 
-// add accumulates a sample. During a surge of demand it says nothing about service.
+// add accumulates a sample. During a surge of demand its service does not count.
 func (a *arm) add(sample *Sample, surge bool) {
 	a.duration += sample.Duration
 	a.requests += float64(sample.Requests)
@@ -32,7 +32,7 @@
 	}
 }
 
-// requestRate returns the requests a microsecond.
+// requestRate returns the mean request rate, in requests a microsecond.
 func (a *arm) requestRate() float64 {
 	if a.duration <= 0 {
 		return 0
