--- a/internal/decide/takeover/event.go
+++ b/internal/decide/takeover/event.go
@@ -2,38 +2,37 @@
 
 import "dunlinsail/internal/monotime"
 
-// Version is that of the messages. A Successor of another version is rejected.
+// Version is the version of the messages. A successor with another version is rejected.
 const Version = 1
 
-// Times bound the steps.
+// Times bound the steps. A step that takes longer ends the hot restart with DeadlineReached.
 type Times struct {
-	Ready  monotime.Micros // from Offer to Ready
-	Answer monotime.Micros // from a message to its answer, where that takes no work
-	Drain  monotime.Micros // from Activate to Done
+	Ready  monotime.Micros // from Offer to Ready: the successor's start
+	Answer monotime.Micros // from a message to its reply, where that needs no work
+	Drain  monotime.Micros // from Activate to Done, and of a graceful shutdown: remaining connections are closed then
 }
 
-// Event is what happened: a message came from the other side, or something happened at the host. The numbers of the
-// messages are sent.
+// Event is a message of the other side, or an event of the host. The numbers of the messages are part of the wire form.
 type Event uint8
 
-// The events. Those of the messages are named by them.
+// The events. An event that is a message has the message's name.
 const (
-	Hello           Event = iota
-	Offer                 // the listening sockets and a snapshot
-	Ready                 // the successor could serve
-	Handover              // the predecessor has stopped accepting; the final snapshot
-	Prepared              // the successor has restored it
-	Activate              // the successor is to serve
-	Done                  // the predecessor has nothing left
-	Stopping              // the successor was told to stop: the predecessor must not serve on
-	Rejected              // the other side rejects the hot restart
-	ConnectionLost        // the connection to the other side has ended without that
-	DeadlineReached       // the instant that Deadline named has come
-	Stop                  // the host was told to stop
-	Started               // Successor: the host could serve
-	Drained               // Predecessor: the host holds no connection, and none will be handed to it
-	HandedOver            // Successor: the host hands over to its own successor; also a message to its predecessor
-	Resumed               // Successor: its own successor is lost, it accepts again; also a message to its predecessor
+	Hello           Event = iota // the successor requests a hot restart
+	Offer                        // the listening sockets and a snapshot
+	Ready                        // the successor is able to serve
+	Handover                     // the predecessor has stopped accepting; the final snapshot
+	Prepared                     // the successor has restored the final snapshot
+	Activate                     // the successor is to serve
+	Done                         // the predecessor has no connections left
+	Stopping                     // the successor shuts down: the predecessor must not serve again
+	Rejected                     // the other side rejects the hot restart
+	ConnectionLost               // the connection to the other side has ended without Done or Rejected
+	DeadlineReached              // the instant of Deadline has passed
+	Stop                         // the host was requested to shut down
+	Started                      // Successor: the host is able to serve
+	Drained                      // Predecessor: the host has no connection left, and will get none
+	HandedOver                   // Successor: the host has handed over to its own successor; also a message
+	Resumed                      // Successor: its own successor is lost and it accepts again; also a message
 )
 
 var eventNames = [...]string{
@@ -58,25 +57,25 @@
 // String returns the event's name in logs.
 func (e Event) String() string { return eventNames[e] }
 
-// Action is what a host is to do.
+// Action is what a host must do.
 type Action uint8
 
 // The actions.
 const (
 	Send                Action = iota // the message that Step names
 	Disconnect                        // close the connection to the other side
-	StopAccepting                     // Predecessor: accept nothing more; the successor has the warm-up budget
+	StopAccepting                     // Predecessor: stop accepting, and leave the warm-up budget to the successor
 	ResumeServing                     // Predecessor: accept again, and take the warm-up budget back
 	HandOverConnections               // Predecessor: hand connections over as they become idle
 	Drain                             // Predecessor: shut down gracefully, without a successor
 	DrainForSuccessor                 // Predecessor: as Drain, but another process accepts
 	CloseRemaining                    // Predecessor: close what is still open
-	Exit                              // the host's process is over
-	StartWithOffer                    // Successor: start with what was offered
-	RestoreState                      // Successor: restore what came with Handover
+	Exit                              // end the process
+	StartWithOffer                    // Successor: start with the sockets and the snapshot of Offer
+	RestoreState                      // Successor: restore the snapshot of Handover
 	StartServing                      // Successor: serve
-	StartAlone                        // Successor: there is no predecessor: start without
-	Fail                              // Successor: the process is over, and has taken over nothing
+	StartAlone                        // Successor: start without a predecessor
+	Fail                              // Successor: end the process, which has taken nothing over
 )
 
 var actionNames = [...]string{
@@ -106,8 +105,10 @@
 	Reason  string // of Send Rejected and of Fail
 }
 
+// send returns the step that sends a message.
 func send(message Event) Step { return Step{Action: Send, Message: message} }
 
+// rejectWith returns the steps that reject the hot restart and end the connection.
 func rejectWith(reason string) []Step {
 	return []Step{{Action: Send, Message: Rejected, Reason: reason}, {Action: Disconnect}}
 }
--- a/internal/decide/takeover/predecessor.go
+++ b/internal/decide/takeover/predecessor.go
@@ -2,14 +2,15 @@
 
 import "dunlinsail/internal/monotime"
 
+// predecessorState is a state of a Predecessor.
 type predecessorState uint8
 
 const (
 	serving     predecessorState = iota
 	offered                      // to a successor that is starting
-	paused                       // nobody accepts
+	paused                       // no process accepts; the successor restores the final snapshot
 	handingOver                  // the successor accepts; connections are handed over
-	draining                     // without a successor, after a stop
+	draining                     // graceful shutdown without a connection to a successor
 	exited
 )
 
@@ -19,25 +20,21 @@
 type Predecessor struct {
 	Times Times
 
-	state               predecessorState
-	stopping            bool // told to stop: it does not serve on, whatever becomes of the successor
+	progress[predecessorState]
+	stopping            bool // after Stop: it does not serve again, whether or not the successor does
 	successorHandedOver bool // the successor has a successor of its own, which accepts
-	deadline            monotime.Micros
 }
 
 // String returns the state's name in logs.
 func (p *Predecessor) String() string { return predecessorStateNames[p.state] }
 
-// HandingOver reports whether a successor is served, or the process ends: another successor is rejected.
+// HandingOver reports whether a hot restart or a shutdown is in progress: another successor is rejected.
 func (p *Predecessor) HandingOver() bool { return p.state != serving }
 
-// Deadline returns the instant at which DeadlineReached is due, 0 for none.
-func (p *Predecessor) Deadline() monotime.Micros { return p.deadline }
-
-// Step handles an event. Events that cannot come in a state change nothing.
+// Step handles an event and returns the steps to carry out. Events that are not expected in a state are ignored.
 func (p *Predecessor) Step(now monotime.Micros, e Event) []Step {
-	if e == DeadlineReached && (p.deadline == 0 || now < p.deadline) {
-		return nil // an old one
+	if p.isStale(now, e) {
+		return nil
 	}
 	switch p.state {
 	case serving:
@@ -73,8 +70,7 @@
 		p.transition(paused, now+p.Times.Answer)
 		return []Step{{Action: StopAccepting}, send(Handover)}
 	case Stop:
-		// The successor has the sockets, so clients that connect wait for it. It is given the time to start
-		// that it had.
+		// The successor has the sockets, so clients that connect wait for it. Its deadline to start stays the same.
 		p.stopping = true
 		p.transition(paused, p.deadline)
 		return []Step{{Action: StopAccepting}, send(Handover)}
@@ -100,7 +96,7 @@
 		return append([]Step{{Action: Disconnect}}, p.resume(now)...)
 	case DeadlineReached:
 		if p.stopping {
-			// The successor has the sockets, and no other process will: not rejected, it serves once it can.
+			// The successor has the sockets and is the only process that will serve: it is not rejected.
 			return append([]Step{{Action: Disconnect}}, p.resume(now)...)
 		}
 		return append(rejectWith("no answer in time"), p.resume(now)...)
@@ -119,7 +115,7 @@
 	case Stop:
 		p.stopping = true
 	case Stopping:
-		// No process is to serve any more. What is open here has the time that it had.
+		// No process is to serve any more. The deadline of the connections here stays the same.
 		p.stopping = true
 		p.transition(draining, p.deadline)
 		return []Step{{Action: Disconnect}, {Action: Drain}}
@@ -140,7 +136,7 @@
 func (p *Predecessor) whileDraining(e Event) []Step {
 	switch e {
 	case Hello:
-		return []Step{{Action: Disconnect}} // there is nothing to take over: it starts alone
+		return []Step{{Action: Disconnect}} // there is nothing to take over: the new process starts alone
 	case Drained:
 		p.transition(exited, 0)
 		return []Step{{Action: Exit}}
@@ -151,7 +147,7 @@
 	return nil
 }
 
-// resume is what follows when a successor to which all was left is lost.
+// resume serves again after the loss of a successor to which everything was left, or shuts down after a Stop.
 func (p *Predecessor) resume(now monotime.Micros) []Step {
 	if p.stopping {
 		p.transition(draining, now+p.Times.Drain)
@@ -160,8 +156,3 @@
 	p.transition(serving, 0)
 	return []Step{{Action: ResumeServing}}
 }
-
-func (p *Predecessor) transition(state predecessorState, deadline monotime.Micros) {
-	p.state = state
-	p.deadline = deadline
-}
--- a/internal/decide/takeover/successor.go
+++ b/internal/decide/takeover/successor.go
@@ -6,15 +6,16 @@
 	"dunlinsail/internal/monotime"
 )
 
+// successorState is a state of a Successor.
 type successorState uint8
 
 const (
 	requesting successorState = iota // Hello is sent
-	starting                         // with what was offered
-	ready                            // waits for Handover
-	prepared                         // waits for Activate, which may be on its way as the predecessor ends
-	accepting                        // the predecessor may still hand connections over
-	alone                            // there is no predecessor any more
+	starting                         // the host starts with the offer
+	ready                            // Ready is sent, Handover is awaited
+	prepared                         // Prepared is sent, Activate is awaited
+	accepting                        // it serves; the predecessor may still hand connections over
+	alone                            // it serves; there is no predecessor
 	failed
 )
 
@@ -22,48 +23,45 @@
 	"requesting", "starting", "ready", "prepared", "accepting", "alone", "failed",
 }
 
-// Successor is the process that is to serve. The zero value with Times set has not started: call Connected, or
-// ServeAlone where no process serves.
+// Successor is the process that takes over. The zero value with Times set has not started: call Connected, or
+// ServeAlone if there is no predecessor.
 type Successor struct {
 	Times Times
 
-	// OwnsSockets says that the successor has its sockets whatever the predecessor does: it does not fail
-	// because of the predecessor, but goes on with what it has received so far. A predecessor that hangs may
-	// recover and serve beside it for a moment; the budget of endpoints that are warming up is then spent by
-	// both, unless the predecessor was told to stop.
+	// OwnsSockets is set if the successor has its own listening sockets. It then does not fail if the predecessor
+	// rejects or misses a deadline, but continues with what it has received so far. A predecessor that hangs may
+	// recover and serve at the same time for a moment; the warm-up budget is then spent by both, unless the
+	// predecessor was requested to shut down.
 	OwnsSockets bool
 
-	state            successorState
-	handoverReceived bool // Handover came before the host could serve
-	predecessorLost  bool // the predecessor ended before the host could serve
-	deadline         monotime.Micros
+	progress[successorState]
+	handoverReceived bool // Handover was received before the host was able to serve
+	predecessorLost  bool // the predecessor ended before the host was able to serve
 }
 
 // String returns the state's name in logs.
 func (s *Successor) String() string { return successorStateNames[s.state] }
 
-// Connected returns the first steps, once there is a connection to a predecessor.
+// Connected returns the first steps, after the connection to a predecessor is made.
 func (s *Successor) Connected(now monotime.Micros) []Step {
 	s.transition(requesting, now+s.Times.Answer)
 	return []Step{send(Hello)}
 }
 
-// ServeAlone notes that there is no predecessor.
+// ServeAlone records that there is no predecessor.
 func (s *Successor) ServeAlone() { s.transition(alone, 0) }
 
-// Deadline returns the instant at which DeadlineReached is due, 0 for none.
-func (s *Successor) Deadline() monotime.Micros { return s.deadline }
-
 // Serving reports whether the successor accepts.
 func (s *Successor) Serving() bool { return s.state == accepting || s.state == alone }
 
 // ReceivesConnections reports whether the predecessor may still hand connections over.
 func (s *Successor) ReceivesConnections() bool { return s.state == accepting }
 
-// Step handles an event; reason is that of Rejected. Events that cannot come in a state change nothing.
+// Step handles an event and returns the steps to carry out; reason is that of Rejected. Events that are not expected in
+// a state are ignored.
 func (s *Successor) Step(now monotime.Micros, e Event, reason string) []Step {
-	if e == DeadlineReached && (s.deadline == 0 || now < s.deadline) {
-		return nil // an old one
+	if s.isStale(now, e) {
+		return nil
 	}
 	if e == Stop || e == Rejected || e == DeadlineReached {
 		return s.abort(e, reason)
@@ -83,10 +81,11 @@
 	return nil
 }
 
-// abort handles what ends a hot restart that has not come to Activate.
+// abort handles the events that end a hot restart before Activate: the process fails, or proceeds alone if it owns its
+// sockets and was not requested to shut down. After Activate only Stop has an effect.
 func (s *Successor) abort(e Event, reason string) []Step {
 	if e == Stop && s.state == accepting {
-		return []Step{send(Stopping)} // the predecessor, which still has connections, must not serve on without us
+		return []Step{send(Stopping)} // the predecessor still has connections, and must not serve again
 	}
 	if s.Serving() || s.state == failed {
 		return nil
@@ -113,7 +112,7 @@
 		s.transition(starting, now+s.Times.Ready)
 		return []Step{{Action: StartWithOffer}}
 	case ConnectionLost:
-		s.transition(alone, 0) // it ended before it gave us anything
+		s.transition(alone, 0) // it ended before its Offer
 		return []Step{{Action: Disconnect}, {Action: StartAlone}}
 	}
 	return nil
@@ -174,7 +173,7 @@
 	return nil
 }
 
-// proceedAlone is what follows where nothing more is expected of a predecessor.
+// proceedAlone continues without the predecessor, with what was received from it so far.
 func (s *Successor) proceedAlone() []Step {
 	switch s.state {
 	case requesting:
@@ -189,8 +188,8 @@
 	return []Step{{Action: Disconnect}, {Action: StartServing}}
 }
 
-// prepare waits for Activate, without OwnsSockets however long: only Activate or the predecessor's end make it
-// accept.
+// prepare restores the final snapshot and waits for Activate. Without OwnsSockets there is no deadline: only Activate
+// or the predecessor's end may let the successor accept.
 func (s *Successor) prepare(now monotime.Micros) []Step {
 	s.transition(prepared, 0)
 	if s.OwnsSockets {
@@ -198,8 +197,3 @@
 	}
 	return []Step{{Action: RestoreState}, send(Prepared)}
 }
-
-func (s *Successor) transition(state successorState, deadline monotime.Micros) {
-	s.state = state
-	s.deadline = deadline
-}
--- a/internal/decide/takeover/takeover_test.go
+++ b/internal/decide/takeover/takeover_test.go
@@ -12,7 +12,7 @@
 
 var times = Times{Ready: 10, Answer: 2, Drain: 5}
 
-// wire is one direction between the two: the messages under way, and whether its sender has disconnected behind them.
+// wire is one direction of the connection: the messages in flight, and whether the sender has disconnected after them.
 type wire struct {
 	messages []Event
 	ended    bool
@@ -22,27 +22,61 @@
 type side struct {
 	alive        bool
 	disconnected bool // it has ended its connection
-	stop         bool // it was told to stop
+	stop         bool // it was requested to shut down
 	accept       bool
-	warmsUp      bool // it spends the budget of endpoints that are warming up
+	warmsUp      bool // it spends the warm-up budget
 	ended        bool
 }
 
-// state is all there is at an instant.
+// send puts a message on the outgoing wire, unless the process has disconnected.
+func (x *side) send(out *wire, message Event) {
+	if !x.disconnected {
+		out.messages = append(out.messages, message)
+	}
+}
+
+// disconnect ends the connection.
+func (x *side) disconnect(out *wire) {
+	x.disconnected = true
+	out.ended = true
+}
+
+// setServing starts or ends accepting, and spending the warm-up budget.
+func (x *side) setServing(serving bool) {
+	x.accept = serving
+	x.warmsUp = serving
+}
+
+// exit ends the process by itself.
+func (x *side) exit(out *wire) {
+	x.ended = true
+	x.alive = false
+	x.disconnect(out)
+}
+
+// kill ends the process from outside.
+func (x *side) kill(out *wire) {
+	x.alive = false
+	x.setServing(false)
+	x.disconnect(out)
+}
+
+// state is the state of both processes and their connection at an instant.
 type state struct {
 	predecessor                    Predecessor
 	successor                      Successor
 	predecessorSide, successorSide side
 	toPredecessor, toSuccessor     wire
-	started                        bool // the successor's host could serve
-	killed                         bool // one of the two was
-	timedOut                       bool // a time was up
-	restored                       bool
+	started                        bool // the successor's host is able to serve
+	killed                         bool // one of the two was killed
+	timedOut                       bool // a deadline was reached
+	restored                       bool // the successor has the final snapshot
 	third                          bool // the successor has a successor of its own, which accepts
 	thirdLost                      bool // that one was lost, once
 	path                           string
 }
 
+// key identifies the state, apart from the way to it and the time.
 func (s state) key() string {
 	s.path = ""
 	s.predecessor.deadline = min(1, s.predecessor.deadline) // any time may have passed
@@ -56,48 +90,48 @@
 	return s
 }
 
-func (s *state) carryOutPredecessor(steps []Step) {
-	for _, x := range steps {
+func (s *state) stepPredecessor(now monotime.Micros, e Event) {
+	for _, x := range s.predecessor.Step(now, e) {
 		switch x.Action {
 		case Send:
-			if !s.predecessorSide.disconnected {
-				s.toSuccessor.messages = append(s.toSuccessor.messages, x.Message)
-			}
+			s.predecessorSide.send(&s.toSuccessor, x.Message)
 		case Disconnect:
-			s.predecessorSide.disconnected, s.toSuccessor.ended = true, true
-		case StopAccepting:
-			s.predecessorSide.accept, s.predecessorSide.warmsUp = false, false
+			s.predecessorSide.disconnect(&s.toSuccessor)
+		case StopAccepting, Drain, DrainForSuccessor:
+			s.predecessorSide.setServing(false)
 		case ResumeServing:
-			s.predecessorSide.accept, s.predecessorSide.warmsUp = true, true
-		case Drain, DrainForSuccessor:
-			s.predecessorSide.accept, s.predecessorSide.warmsUp = false, false
+			s.predecessorSide.setServing(true)
 		case Exit:
-			s.predecessorSide.ended, s.predecessorSide.alive, s.predecessorSide.accept, s.predecessorSide.warmsUp = true, false, false, false
-			s.predecessorSide.disconnected, s.toSuccessor.ended = true, true
+			s.predecessorSide.setServing(false)
+			s.predecessorSide.exit(&s.toSuccessor)
 		}
 	}
 }
 
+func (s *state) stepSuccessor(now monotime.Micros, e Event) {
+	s.carryOutSuccessor(s.successor.Step(now, e, ""))
+}
+
 func (s *state) carryOutSuccessor(steps []Step) {
 	for _, x := range steps {
 		switch x.Action {
 		case Send:
-			if !s.successorSide.disconnected {
-				s.toPredecessor.messages = append(s.toPredecessor.messages, x.Message)
-			}
+			s.successorSide.send(&s.toPredecessor, x.Message)
 		case Disconnect:
-			s.successorSide.disconnected, s.toPredecessor.ended = true, true
+			s.successorSide.disconnect(&s.toPredecessor)
 		case RestoreState:
 			s.restored = true
 		case StartServing, StartAlone:
-			s.successorSide.accept, s.successorSide.warmsUp = true, true
+			s.successorSide.setServing(true)
 		case Fail:
-			s.successorSide.ended, s.successorSide.alive = true, false
-			s.successorSide.disconnected, s.toPredecessor.ended = true, true
+			s.successorSide.exit(&s.toPredecessor)
 		}
 	}
 }
 
+// addState adds a state that may follow; change makes it out of a copy of the present one.
+type addState func(name string, change func(*state))
+
 // next returns every state that may follow.
 func (s state) next() []state {
 	var all []state
@@ -116,192 +150,228 @@
 	return all
 }
 
-// predecessorEvents adds what may happen at the predecessor.
-func (s state) predecessorEvents(add func(name string, change func(*state))) {
-	step := func(n *state, now monotime.Micros, e Event) { n.carryOutPredecessor(n.predecessor.Step(now, e)) }
-	if len(s.toPredecessor.messages) > 0 && !s.predecessorSide.disconnected {
-		add("g<"+s.toPredecessor.messages[0].String(), func(n *state) {
-			e := n.toPredecessor.messages[0]
-			n.toPredecessor.messages = n.toPredecessor.messages[1:]
-			step(n, 0, e)
+// party gives access to one of the two processes of a state.
+type party struct {
+	name     string
+	deadline monotime.Micros // at present
+	side     func(*state) *side
+	in       func(*state) *wire
+	out      func(*state) *wire
+	step     func(n *state, now monotime.Micros, e Event)
+}
+
+// commonEvents adds the events that may happen at either process.
+func (s state) commonEvents(p party, add addState) {
+	switch own, in := p.side(&s), p.in(&s); {
+	case own.disconnected:
+	case len(in.messages) > 0:
+		add(p.name+"<"+in.messages[0].String(), func(n *state) {
+			in := p.in(n)
+			e := in.messages[0]
+			in.messages = in.messages[1:]
+			p.step(n, 0, e)
 		})
-	} else if s.toPredecessor.ended && !s.predecessorSide.disconnected {
-		add("g<broken", func(n *state) { step(n, 0, ConnectionLost) })
+	case in.ended:
+		add(p.name+"<broken", func(n *state) { p.step(n, 0, ConnectionLost) })
 	}
-	if deadline := s.predecessor.Deadline(); deadline != 0 {
-		add("g:wake", func(n *state) {
+	if p.deadline != 0 {
+		add(p.name+":deadline", func(n *state) {
 			n.timedOut = true
-			step(n, deadline, DeadlineReached)
+			p.step(n, p.deadline, DeadlineReached)
 		})
 	}
-	if !s.predecessorSide.stop {
-		add("g:stop", func(n *state) {
-			n.predecessorSide.stop = true
-			step(n, 0, Stop)
+	if !p.side(&s).stop {
+		add(p.name+":stop", func(n *state) {
+			p.side(n).stop = true
+			p.step(n, 0, Stop)
 		})
 	}
-	if s.predecessor.state == handingOver || s.predecessor.state == draining {
-		add("g:drained", func(n *state) { step(n, 0, Drained) })
-	}
-	add("g:killed", func(n *state) {
+	add(p.name+":killed", func(n *state) {
 		n.killed = true
-		n.predecessorSide.kill()
-		n.toSuccessor.ended = true
+		p.side(n).kill(p.out(n))
 	})
 }
 
-// successorEvents adds what may happen at the successor.
-func (s state) successorEvents(add func(name string, change func(*state))) {
-	step := func(n *state, now monotime.Micros, e Event) { n.carryOutSuccessor(n.successor.Step(now, e, "")) }
-	if len(s.toSuccessor.messages) > 0 && !s.successorSide.disconnected {
-		add("t<"+s.toSuccessor.messages[0].String(), func(n *state) {
-			e := n.toSuccessor.messages[0]
-			n.toSuccessor.messages = n.toSuccessor.messages[1:]
-			step(n, 0, e)
-		})
-	} else if s.toSuccessor.ended && !s.successorSide.disconnected {
-		add("t<broken", func(n *state) { step(n, 0, ConnectionLost) })
+// predecessorEvents adds the events that may happen at the predecessor.
+func (s state) predecessorEvents(add addState) {
+	s.commonEvents(party{
+		name:     "p",
+		deadline: s.predecessor.Deadline(),
+		side:     func(n *state) *side { return &n.predecessorSide },
+		in:       func(n *state) *wire { return &n.toPredecessor },
+		out:      func(n *state) *wire { return &n.toSuccessor },
+		step:     (*state).stepPredecessor,
+	}, add)
+	if s.predecessor.state == handingOver || s.predecessor.state == draining {
+		add("p:drained", func(n *state) { n.stepPredecessor(0, Drained) })
 	}
+}
+
+// successorEvents adds the events that may happen at the successor.
+func (s state) successorEvents(add addState) {
+	s.commonEvents(party{
+		name:     "s",
+		deadline: s.successor.Deadline(),
+		side:     func(n *state) *side { return &n.successorSide },
+		in:       func(n *state) *wire { return &n.toSuccessor },
+		out:      func(n *state) *wire { return &n.toPredecessor },
+		step: func(n *state, now monotime.Micros, e Event) {
+			n.stepSuccessor(now, e)
+			if e == Stop {
+				n.successorSide.accept = false
+			}
+		},
+	}, add)
 	if s.successor.state == starting && !s.started {
-		add("t:started", func(n *state) {
+		add("s:started", func(n *state) {
 			n.started = true
-			step(n, 0, Started)
-		})
-	}
-	if deadline := s.successor.Deadline(); deadline != 0 {
-		add("t:wake", func(n *state) {
-			n.timedOut = true
-			step(n, deadline, DeadlineReached)
-		})
-	}
-	if !s.successorSide.stop {
-		add("t:stop", func(n *state) {
-			n.successorSide.stop = true
-			step(n, 0, Stop)
-			n.successorSide.accept = false
+			n.stepSuccessor(0, Started)
 		})
 	}
 	s.thirdEvents(add)
-	add("t:killed", func(n *state) {
-		n.killed = true
-		n.successorSide.kill()
-		n.toPredecessor.ended = true
-	})
 }
 
-// thirdEvents adds what may happen between the successor and a successor of its own.
-func (s state) thirdEvents(add func(name string, change func(*state))) {
+// thirdEvents adds the events that may happen between the successor and a successor of its own.
+func (s state) thirdEvents(add addState) {
 	if s.successorSide.accept && !s.successorSide.stop && !s.thirdLost {
-		add("t:gives-on", func(n *state) {
-			n.carryOutSuccessor(n.successor.Step(0, HandedOver, ""))
-			n.successorSide.accept = false
-			n.successorSide.warmsUp = false
+		add("s:hands-over", func(n *state) {
+			n.stepSuccessor(0, HandedOver)
+			n.successorSide.setServing(false)
 			n.third = true
 		})
 	}
 	if !s.third {
 		return
 	}
-	add("t:takes-back", func(n *state) {
-		n.carryOutSuccessor(n.successor.Step(0, Resumed, ""))
-		n.successorSide.accept = !n.successorSide.stop
-		n.successorSide.warmsUp = !n.successorSide.stop
+	add("s:resumes", func(n *state) {
+		n.stepSuccessor(0, Resumed)
+		n.successorSide.setServing(!n.successorSide.stop)
 		n.third = false
 		n.thirdLost = true
 	})
-	add("t:ends", func(n *state) {
-		n.successorSide.alive = false
-		n.successorSide.ended = true
-		n.successorSide.disconnected = true
-		n.toPredecessor.ended = true
-	})
+	add("s:ends", func(n *state) { n.successorSide.exit(&n.toPredecessor) })
 }
 
-// kill ends a process at once.
-func (s *side) kill() {
-	s.alive = false
-	s.accept = false
-	s.warmsUp = false
-	s.disconnected = true
+// faults are the events that do not happen by themselves.
+var faults = []string{"p:stop", "s:stop", "p:killed", "s:killed", "s:hands-over", "s:resumes", "s:ends"}
+
+// exploration visits all states that can be reached.
+type exploration struct {
+	*testing.T
+	seen  map[string]bool
+	queue []state
+
+	ends     int // states in which nothing more happens without a fault or a deadline
+	handed   int // ends in which the successor serves in place of the predecessor
+	handedOn int // ends in which the successor's successor does
 }
 
-// Whatever is killed, stopped, late or lost, at whatever moment: never do two accept at once or spend the budget of
-// endpoints that are warming up, and unless both are gone or one was told to stop, one serves in the end.
-func TestEveryInterleaving(t *testing.T) {
-	first := state{predecessor: Predecessor{Times: times}, successor: Successor{Times: times}, predecessorSide: side{alive: true, accept: true, warmsUp: true},
-		successorSide: side{alive: true}}
-	first.carryOutSuccessor(first.successor.Connected(0))
-	seen := map[string]bool{first.key(): true}
-	queue := []state{first}
-	ends, handed, passed := 0, 0, 0
-	for len(queue) > 0 {
-		s := queue[0]
-		queue = queue[1:]
-		if s.predecessorSide.accept && (s.successorSide.accept || s.third) {
-			t.Fatalf("two accept after:%s", s.path)
-		}
-		if s.predecessorSide.warmsUp && (s.successorSide.warmsUp || s.third) {
-			t.Fatalf("two spend the warm-up budget after:%s", s.path)
-		}
-		// What is left to happen by itself, with nobody killed or stopped any more, and what without a time-out?
-		quiet, still := true, true
-		for _, n := range s.next() {
-			step := n.path[strings.LastIndexByte(n.path, ' ')+1:]
-			fault := slices.Contains([]string{"g:stop", "t:stop", "g:killed", "t:killed", "t:gives-on", "t:takes-back", "t:ends"}, step)
-			if !fault && n.key() != s.key() {
-				quiet = false
-				still = still && strings.HasSuffix(step, ":wake")
-			}
-			if !seen[n.key()] {
-				seen[n.key()] = true
-				queue = append(queue, n)
-			}
-		}
-		if !still {
-			continue
-		}
-		ends++
-		switch {
-		case s.successorSide.accept && s.restored && s.predecessorSide.ended:
-			handed++
-		case s.predecessorSide.accept || s.successorSide.accept || s.third:
-			passed += boolToInt(s.third && s.predecessorSide.ended)
-		case s.thirdLost && !s.successorSide.alive: // the last of three and the one before it
-		case s.successorSide.stop: // meant so
-		case s.predecessorSide.stop && (s.killed || s.timedOut): // the only one left, or the last, was told to stop
-		case !s.predecessorSide.alive && !s.successorSide.alive && s.killed: // nobody is left
-		default:
-			t.Fatalf("no process serves after:%s\n%+v", s.path, s)
-		}
-		if !quiet {
-			continue
-		}
-		if s.predecessorSide.alive && s.predecessor.HandingOver() {
-			t.Fatalf("the predecessor is stuck while %v after:%s", &s.predecessor, s.path)
-		}
-		if s.successorSide.alive && !s.successorSide.accept && !s.successorSide.stop && !s.third {
-			t.Fatalf("the successor is stuck while %v after:%s", &s.successor, s.path)
+// visit queues a state unless it was seen before.
+func (x *exploration) visit(s state) {
+	if key := s.key(); !x.seen[key] {
+		x.seen[key] = true
+		x.queue = append(x.queue, s)
+	}
+}
+
+// expand visits the states that may follow. quiet reports that without a fault nothing more happens, still that only
+// deadlines do.
+func (x *exploration) expand(s state) (quiet, still bool) {
+	quiet = true
+	still = true
+	for _, n := range s.next() {
+		step := n.path[strings.LastIndexByte(n.path, ' ')+1:]
+		if !slices.Contains(faults, step) && n.key() != s.key() {
+			quiet = false
+			still = still && strings.HasSuffix(step, ":deadline")
 		}
-		if !s.successorSide.alive && s.predecessorSide.alive && !s.predecessorSide.accept && !s.predecessorSide.stop && !s.successorSide.stop && !s.third && !s.thirdLost {
-			t.Fatalf("the predecessor serves no more after:%s", s.path)
+		x.visit(n)
+	}
+	return quiet, still
+}
+
+// requireExclusive ends the test if two processes accept, or spend the warm-up budget.
+func (x *exploration) requireExclusive(s *state) {
+	x.Helper()
+	if s.predecessorSide.accept && (s.successorSide.accept || s.third) {
+		x.Fatalf("two accept after:%s", s.path)
+	}
+	if s.predecessorSide.warmsUp && (s.successorSide.warmsUp || s.third) {
+		x.Fatalf("two spend the warm-up budget after:%s", s.path)
+	}
+}
+
+// requireServing ends the test if no process serves in an end, unless all that could were stopped or killed.
+func (x *exploration) requireServing(s *state) {
+	x.Helper()
+	x.ends++
+	switch {
+	case s.successorSide.accept && s.restored && s.predecessorSide.ended:
+		x.handed++
+	case s.predecessorSide.accept || s.successorSide.accept || s.third:
+		if s.third && s.predecessorSide.ended {
+			x.handedOn++
 		}
+	case s.thirdLost && !s.successorSide.alive: // the last of three processes and the one before it have ended
+	case s.successorSide.stop: // as requested
+	case s.predecessorSide.stop && (s.killed || s.timedOut): // the only process left, or the last, was stopped
+	case !s.predecessorSide.alive && !s.successorSide.alive && s.killed: // no process is left
+	default:
+		x.Fatalf("no process serves after:%s\n%+v", s.path, s)
+	}
+}
+
+// requireNotStuck ends the test if a process waits forever, or no longer serves though it should.
+func (x *exploration) requireNotStuck(s *state) {
+	x.Helper()
+	predecessor := &s.predecessorSide
+	successor := &s.successorSide
+	if predecessor.alive && s.predecessor.HandingOver() {
+		x.Fatalf("the predecessor is stuck while %v after:%s", &s.predecessor, s.path)
+	}
+	if successor.alive && !successor.accept && !successor.stop && !s.third {
+		x.Fatalf("the successor is stuck while %v after:%s", &s.successor, s.path)
 	}
-	if len(seen) < 500 || ends < 20 || handed == 0 || passed == 0 {
-		t.Errorf("only %d states, %d ends, %d of them handed over: too little was tried", len(seen), ends, handed)
+	mustServe := !successor.alive && !predecessor.stop && !successor.stop && !s.third && !s.thirdLost
+	if mustServe && predecessor.alive && !predecessor.accept {
+		x.Fatalf("the predecessor serves no more after:%s", s.path)
 	}
-	t.Logf("%d states, %d ends", len(seen), ends)
 }
 
-func boolToInt(b bool) int {
-	if b {
-		return 1
+// For any order of kills, stops, deadlines and losses: two processes never accept at once or spend the warm-up budget
+// at once, and in the end one serves, unless both have ended or one was requested to shut down.
+func TestEveryInterleaving(t *testing.T) {
+	first := state{
+		predecessor:     Predecessor{Times: times},
+		successor:       Successor{Times: times},
+		predecessorSide: side{alive: true, accept: true, warmsUp: true},
+		successorSide:   side{alive: true},
+	}
+	first.carryOutSuccessor(first.successor.Connected(0))
+	x := exploration{T: t, seen: map[string]bool{}}
+	x.visit(first)
+	for len(x.queue) > 0 {
+		s := x.queue[0]
+		x.queue = x.queue[1:]
+		x.requireExclusive(&s)
+		quiet, still := x.expand(s)
+		if still {
+			x.requireServing(&s)
+		}
+		if quiet {
+			x.requireNotStuck(&s)
+		}
+	}
+	if len(x.seen) < 500 || x.ends < 20 || x.handed == 0 || x.handedOn == 0 {
+		t.Errorf("only %d states, %d ends, %d of them handed over: too little was tried", len(x.seen), x.ends, x.handed)
 	}
-	return 0
+	t.Logf("%d states, %d ends", len(x.seen), x.ends)
 }
 
-// TestHotRestartWithoutFaults goes through all steps in order.
+// A hot restart without faults has these steps, in this order.
 func TestHotRestartWithoutFaults(t *testing.T) {
-	g, k := Predecessor{Times: times}, Successor{Times: times}
+	predecessor := Predecessor{Times: times}
+	successor := Successor{Times: times}
 	log := func(steps []Step) string {
 		var b strings.Builder
 		for _, s := range steps {
@@ -317,59 +387,62 @@
 		got  []Step
 		want string
 	}{
-		{k.Connected(0), "send hello"},
-		{g.Step(0, Hello), "send offer"},
-		{k.Step(1, Offer, ""), "start with offer"},
-		{k.Step(4, Started, ""), "send ready"},
-		{g.Step(4, Ready), "stop accepting send handover"},
-		{k.Step(5, Handover, ""), "restore state send prepared"},
-		{g.Step(5, Prepared), "send activate hand over connections"},
-		{k.Step(5, Activate, ""), "start serving"},
-		{g.Step(7, Drained), "send done disconnect exit"},
-		{k.Step(7, Done, ""), "disconnect"},
+		{successor.Connected(0), "send hello"},
+		{predecessor.Step(0, Hello), "send offer"},
+		{successor.Step(1, Offer, ""), "start with offer"},
+		{successor.Step(4, Started, ""), "send ready"},
+		{predecessor.Step(4, Ready), "stop accepting send handover"},
+		{successor.Step(5, Handover, ""), "restore state send prepared"},
+		{predecessor.Step(5, Prepared), "send activate hand over connections"},
+		{successor.Step(5, Activate, ""), "start serving"},
+		{predecessor.Step(7, Drained), "send done disconnect exit"},
+		{successor.Step(7, Done, ""), "disconnect"},
 	} {
 		if got := log(tc.got); got != tc.want {
 			t.Errorf("%q, want %q", got, tc.want)
 		}
 	}
-	if k.Deadline() != 0 || g.Deadline() != 0 || !k.Serving() {
-		t.Errorf("predecessor %v, successor %v", &g, &k)
+	if successor.Deadline() != 0 || predecessor.Deadline() != 0 || !successor.Serving() {
+		t.Errorf("predecessor %v, successor %v", &predecessor, &successor)
 	}
 }
 
-// A successor that is told to stop while connections are still handed to it says so: the predecessor must not
-// serve on.
+// A successor that is requested to shut down while connections are still handed to it notifies the predecessor, which
+// must not serve again.
 func TestSuccessorStopsWhileConnectionsAreHandedOver(t *testing.T) {
-	g, k := Predecessor{Times: times, state: handingOver, deadline: 9}, Successor{Times: times, state: accepting}
-	steps := k.Step(1, Stop, "")
+	predecessor := Predecessor{Times: times}
+	predecessor.transition(handingOver, 9)
+	successor := Successor{Times: times}
+	successor.transition(accepting, 0)
+	steps := successor.Step(1, Stop, "")
 	if len(steps) != 1 || steps[0].Message != Stopping {
 		t.Fatalf("the successor: %+v", steps)
 	}
-	steps = g.Step(1, Stopping)
-	if len(steps) != 2 || steps[1].Action != Drain || g.Deadline() != 9 {
-		t.Errorf("the predecessor: %+v until %d", steps, g.Deadline())
+	steps = predecessor.Step(1, Stopping)
+	if len(steps) != 2 || steps[1].Action != Drain || predecessor.Deadline() != 9 {
+		t.Errorf("the predecessor: %+v until %d", steps, predecessor.Deadline())
 	}
-	if steps = g.Step(2, ConnectionLost); steps != nil {
+	if steps = predecessor.Step(2, ConnectionLost); steps != nil {
 		t.Errorf("then: %+v", steps)
 	}
 }
 
 // A successor that hangs is rejected at its deadline and not before.
 func TestHungSuccessorIsRejectedAtItsDeadline(t *testing.T) {
-	g := Predecessor{Times: times}
-	g.Step(0, Hello)
-	if !g.HandingOver() || g.Deadline() != 10 {
-		t.Fatalf("%v until %d", &g, g.Deadline())
+	predecessor := Predecessor{Times: times}
+	predecessor.Step(0, Hello)
+	if !predecessor.HandingOver() || predecessor.Deadline() != 10 {
+		t.Fatalf("%v until %d", &predecessor, predecessor.Deadline())
 	}
-	if steps := g.Step(9, DeadlineReached); steps != nil {
+	if steps := predecessor.Step(9, DeadlineReached); steps != nil {
 		t.Errorf("before the time: %v", steps)
 	}
-	steps := g.Step(10, DeadlineReached)
-	if len(steps) != 2 || steps[0].Message != Rejected || steps[0].Reason == "" || g.HandingOver() {
-		t.Errorf("at the time: %+v, then %v", steps, &g)
+	steps := predecessor.Step(10, DeadlineReached)
+	if len(steps) != 2 || steps[0].Message != Rejected || steps[0].Reason == "" || predecessor.HandingOver() {
+		t.Errorf("at the time: %+v, then %v", steps, &predecessor)
 	}
-	// The next one finds it as before.
-	if steps := g.Step(11, Hello); len(steps) != 1 || steps[0].Message != Offer {
+	// The next successor gets an offer.
+	if steps := predecessor.Step(11, Hello); len(steps) != 1 || steps[0].Message != Offer {
 		t.Errorf("the next: %+v", steps)
 	}
 }
@@ -377,51 +450,70 @@
 // A successor that owns its sockets serves in time whatever the predecessor does, and fails only when it is stopped.
 func TestSuccessorThatOwnsSocketsServesInTime(t *testing.T) {
 	times := Times{Ready: 2_000_000, Answer: 1_000_000, Drain: 30_000_000}
-	from := []Event{Offer, Handover, Activate, Done, Rejected, ConnectionLost, Hello, Prepared}
 	for seed := range uint64(2000) {
-		rng := rand.New(rand.NewPCG(seed, 3))
-		tk := Successor{Times: times, OwnsSockets: true}
-		started, hung := false, false
-		served := 0
-		do := func(steps []Step) {
-			for _, s := range steps {
-				switch s.Action {
-				case StartWithOffer:
-					started = true
-				case Disconnect:
-					hung = true
-				case StartServing, StartAlone:
-					served++
-				case Fail:
-					t.Fatalf("seed %d: failed: %s", seed, s.Reason)
-				case Send:
-					if hung {
-						t.Fatalf("seed %d: sends %v to a predecessor it has disconnected from", seed, s.Message)
-					}
-				}
-			}
-		}
-		now := monotime.Micros(rng.IntN(1000))
-		began := now
-		do(tk.Connected(now))
-		for !tk.Serving() && now-began < 6_000_000 {
-			now += monotime.Micros(rng.IntN(300_000))
-			switch {
-			case tk.Deadline() != 0 && now >= tk.Deadline():
-				do(tk.Step(now, DeadlineReached, ""))
-			case started && rng.IntN(4) == 0:
-				do(tk.Step(now, Started, ""))
-			case !hung && rng.IntN(3) == 0:
-				do(tk.Step(now, from[rng.IntN(len(from))], "no sense"))
-			}
-		}
-		if !tk.Serving() || served != 1 {
-			t.Fatalf("seed %d: %v after %d ms, served %d times", seed, &tk, (now-began)/1000, served)
-		}
+		runSocketOwner(t, seed, times)
 	}
 	stopped := Successor{Times: times, OwnsSockets: true}
 	stopped.Connected(0)
 	if steps := stopped.Step(1, Stop, ""); len(steps) == 0 || steps[len(steps)-1].Action != Fail {
-		t.Errorf("told to stop before it began: %v", steps)
+		t.Errorf("stopped before it began: %v", steps)
+	}
+}
+
+// runSocketOwner runs a successor that owns its sockets with random events of the predecessor, and checks that it
+// serves, once, within six seconds.
+func runSocketOwner(t *testing.T, seed uint64, times Times) {
+	t.Helper()
+	const timeLimit = 6_000_000
+	fromPredecessor := []Event{Offer, Handover, Activate, Done, Rejected, ConnectionLost, Hello, Prepared}
+	rng := rand.New(rand.NewPCG(seed, 3))
+	host := socketOwner{T: t, seed: seed, successor: Successor{Times: times, OwnsSockets: true}}
+	successor := &host.successor
+	now := monotime.Micros(rng.IntN(1000))
+	startedAt := now
+	host.carryOut(successor.Connected(now))
+	for !successor.Serving() && now-startedAt < timeLimit {
+		now += monotime.Micros(rng.IntN(300_000))
+		switch {
+		case successor.Deadline() != 0 && now >= successor.Deadline():
+			host.carryOut(successor.Step(now, DeadlineReached, ""))
+		case host.started && rng.IntN(4) == 0:
+			host.carryOut(successor.Step(now, Started, ""))
+		case !host.disconnected && rng.IntN(3) == 0:
+			host.carryOut(successor.Step(now, fromPredecessor[rng.IntN(len(fromPredecessor))], "no sense"))
+		}
+	}
+	if !successor.Serving() || host.served != 1 {
+		t.Fatalf("seed %d: %v after %d ms, served %d times", seed, successor, (now-startedAt)/1000, host.served)
+	}
+}
+
+// socketOwner is the host of a successor that owns its sockets.
+type socketOwner struct {
+	*testing.T
+	seed         uint64
+	successor    Successor
+	started      bool // the start has begun
+	disconnected bool
+	served       int // number of steps that let it serve
+}
+
+func (h *socketOwner) carryOut(steps []Step) {
+	h.Helper()
+	for _, s := range steps {
+		switch s.Action {
+		case StartWithOffer:
+			h.started = true
+		case Disconnect:
+			h.disconnected = true
+		case StartServing, StartAlone:
+			h.served++
+		case Fail:
+			h.Fatalf("seed %d: failed: %s", h.seed, s.Reason)
+		case Send:
+			if h.disconnected {
+				h.Fatalf("seed %d: sends %v to a predecessor it has disconnected from", h.seed, s.Message)
+			}
+		}
 	}
 }
