--- a/internal/daemon/accesslog.go
+++ b/internal/daemon/accesslog.go
@@ -8,7 +8,7 @@
 	"dunlinsail/internal/frontend/http1"
 )
 
-// openAccessLog starts the access log, where the file configures one.
+// openAccessLog starts the access log if the configuration has a folder for it. stopBackground closes it.
 func (d *generation) openAccessLog() error {
 	c := &d.options.Config.AccessLog
 	if c.Dir == "" {
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -11,7 +11,8 @@
 	"dunlinsail/internal/takeover"
 )
 
-// serveAdmin serves operators' calls, where an address for them is configured.
+// serveAdmin serves operators' calls at the configured address; an empty one turns the admin server off. It retries
+// for bindTimeout, because the predecessor may still have the address.
 func (d *generation) serveAdmin() error {
 	addr := d.config.Admin.Address
 	if addr == "" || d.stopAdmin != nil {
@@ -19,7 +20,6 @@
 	}
 	var ln net.Listener
 	var err error
-	// The predecessor may still have the address.
 	for end := time.Now().Add(bindTimeout); ; time.Sleep(bindRetryInterval) {
 		if ln, err = net.Listen("tcp", addr); err == nil || time.Now().After(end) {
 			break
@@ -42,6 +42,7 @@
 	return nil
 }
 
+// stopServingAdmin closes the admin server and returns once its goroutine has ended. Without a server it does nothing.
 func (d *generation) stopServingAdmin() {
 	if d.stopAdmin != nil {
 		d.stopAdmin()
@@ -49,34 +50,34 @@
 	}
 }
 
-// readiness reports whether requests can be served, and if not, why.
-func (d *generation) readiness() (ready bool, why string) {
+// readiness reports whether requests can be served, and the reason if they cannot.
+func (d *generation) readiness() (ready bool, reason string) {
 	return d.core.Ready(), "no endpoint is known to serve"
 }
 
-// adminBackend answers operators' calls.
+// adminBackend returns what the admin server calls to answer operators.
 func (d *generation) adminBackend() admin.Backend {
 	return admin.Backend{
 		Ready:       d.readiness,
 		Metrics:     d.metrics,
 		SetCordon:   d.setCordon,
 		Members:     d.fleetView,
-		Maintenance: d.work,
+		Maintenance: d.maintenance,
 		Log:         d.log,
 	}
 }
 
-// setCordon cordons an endpoint by name or address, or lifts the cordon. It holds at this instance, and is part
-// of its snapshot.
-func (d *generation) setCordon(ctx context.Context, target string, out bool) error {
-	_, known, err := d.core.SetCordon(ctx, target, out, takeover.Monotonic())
+// setCordon cordons an endpoint, given by name or address, or lifts its cordon. A cordon is in effect at this instance
+// only, and is part of its snapshot. An endpoint that is in no list is admin.ErrUnknownEndpoint.
+func (d *generation) setCordon(ctx context.Context, target string, cordoned bool) error {
+	_, known, err := d.core.SetCordon(ctx, target, cordoned, takeover.Monotonic())
 	if err == nil && !known {
 		err = admin.ErrUnknownEndpoint
 	}
 	return err
 }
 
-// metrics returns the metrics of one moment, a line each.
+// metrics returns the metrics, all read at one moment, as one line "name=value" each.
 func (d *generation) metrics(ctx context.Context) ([]byte, error) {
 	f, err := d.core.Statistics(ctx, func() {})
 	if err != nil {
--- a/internal/daemon/canary_tally.go
+++ b/internal/daemon/canary_tally.go
@@ -9,32 +9,32 @@
 	"dunlinsail/internal/frontend/http1"
 )
 
-// canaryTally sums up the outcomes of a generation's requests, so that one configuration can be compared with
-// another. Both must be measured by the same objectives and weights, or one that only demands less would look
-// better.
+// canaryTally sums up the outcomes of a generation's requests, so that one configuration can be compared with another.
+// Both are measured by the same objectives and weights; otherwise a configuration with lower objectives would look
+// better. Its methods may be called from any goroutine.
 type canaryTally struct {
 	mu         sync.Mutex
-	objectives []balancer.Class // by the places of the generation's classes
+	objectives []balancer.Class // by class index of the generation
 	sample     canary.Sample
 }
 
-// setObjectives sets the classes by which outcomes are measured from now on: those of the same name, else the
-// generation's own.
-func (t *canaryTally) setObjectives(own, judges []balancer.Class) {
-	all := append([]balancer.Class(nil), own...)
-	for i := range all {
-		for j := range judges {
-			if judges[j].Name == all[i].Name {
-				all[i] = judges[j]
+// setObjectives sets the objectives and weights by which outcomes are measured from now on. A class of the generation
+// (own) is measured by the class of the same name in reference, or by its own values if there is none.
+func (t *canaryTally) setObjectives(own, reference []balancer.Class) {
+	objectives := append([]balancer.Class(nil), own...)
+	for i := range objectives {
+		for j := range reference {
+			if reference[j].Name == objectives[i].Name {
+				objectives[i] = reference[j]
 			}
 		}
 	}
 	t.mu.Lock()
-	t.objectives = all
+	t.objectives = objectives
 	t.mu.Unlock()
 }
 
-// add takes in a finished request. One whose client left before its deadline is not counted.
+// add counts a finished request. A request whose client left before its deadline is not counted.
 func (t *canaryTally) add(x *http1.ExchangeRecord) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -60,7 +60,7 @@
 	}
 }
 
-// take returns what came since the last time.
+// take returns the outcomes since the last call, without a duration.
 func (t *canaryTally) take() canary.Sample {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -13,104 +13,123 @@
 	"dunlinsail/internal/frontend/http1"
 )
 
-// clients finds whose a connection is: by the listener that it uses and, on a unix socket, by the kernel's
-// credentials of the process that connected (SO_PEERCRED, unix(7)). After a hot restart the successor finds the
-// same.
+// clients identifies the client of each connection: by the listener that it uses and, on a unix socket, by the
+// kernel's credentials of the process that connected (SO_PEERCRED, unix(7)). A successor identifies a connection that
+// is handed over in the same way. Its methods may be called from any goroutine.
 type clients struct {
 	front *http1.Server
 
 	mu            sync.Mutex
 	config        *config.Config
 	byName        map[string]*http1.Client
-	defaultClient *http1.Client // nil where clients that are not named are rejected
+	defaultClient *http1.Client // of connections without a configured client; nil if these are rejected
 	processes     map[clientProcess]*processClient
 }
 
-// clientProcess is one among those that a rule counts one by one.
+// clientProcess identifies a process of a client that is configured with limits for each process.
 type clientProcess struct {
 	client string
 	pid    int32
 }
 
-// processClient is the account of one client process.
+// processClient is the state of one client process.
 type processClient struct {
 	client      *http1.Client
 	connections int
-	idleSince   time.Time // without any connection
+	idleSince   time.Time // the end of its last connection; only valid without connections
 }
 
-// processClientTTL is how long the account of a process without connections is kept: its rate limit must not
+// processClientTTL is how long a client process without connections is remembered, so that its rate limit does not
 // start anew with each connection.
 const processClientTTL = 10 * time.Second
 
-const othersName = "others"
+// defaultClientName is the name of the default client in usage and logs.
+const defaultClientName = "others"
 
+// newClients returns the clients of a configuration.
 func newClients(front *http1.Server, c *config.Config) (*clients, error) {
 	k := &clients{front: front, byName: map[string]*http1.Client{}, processes: map[clientProcess]*processClient{}}
 	_, err := k.applyConfig(c)
 	return k, err
 }
 
-func spec(name string, b *config.ClientLimits) http1.ClientSettings {
+// clientSettings returns the settings of a client as the frontend takes them.
+func clientSettings(name string, limits *config.ClientLimits) http1.ClientSettings {
 	return http1.ClientSettings{
-		ClientSpec:       b.Share(name),
-		MaxConnections:   b.MaxConnections,
-		MaxBufferedBytes: b.MaxBytesHeld.Bytes,
+		ClientSpec:       limits.Share(name),
+		MaxConnections:   limits.MaxConnections,
+		MaxBufferedBytes: limits.MaxBytesHeld.Bytes,
 	}
 }
 
-// change goes by another file from now on, and says how many clients are new or have other bounds. Connections keep
-// the client that they have.
+// applyConfig applies the clients of a configuration, and returns how many are new or have other limits. Connections
+// keep the client that they have. After an error the configuration before stays in effect, but the limits of some
+// clients may have changed.
 func (k *clients) applyConfig(c *config.Config) (changed int, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	was := map[string]config.Client{}
+	limitsBefore := map[string]config.ClientLimits{}
 	if k.config != nil {
-		for _, cl := range k.config.Clients {
-			was[cl.Name] = cl
+		for _, client := range k.config.Clients {
+			limitsBefore[client.Name] = client.ClientLimits
 		}
 	}
-	set := func(to *http1.Client, s http1.ClientSettings) (*http1.Client, error) {
-		changed++
-		if to == nil {
-			return k.front.NewClient(s)
-		}
-		return to, k.front.UpdateClient(to, s)
-	}
 	byName := map[string]*http1.Client{}
 	for i := range c.Clients {
-		cl := &c.Clients[i]
-		to := k.byName[cl.Name]
-		if old, ok := was[cl.Name]; !ok || old.ClientLimits != cl.ClientLimits {
-			if to, err = set(to, spec(cl.Name, &cl.ClientLimits)); err != nil {
-				return changed, err
-			}
-			for p, s := range k.processes {
-				if p.client == cl.Name {
-					if err := k.front.UpdateClient(s.client, spec(s.client.Name, &cl.ClientLimits)); err != nil {
-						return changed, err
-					}
-				}
-			}
+		name := c.Clients[i].Name
+		limits := &c.Clients[i].ClientLimits
+		byName[name] = k.byName[name]
+		if before, known := limitsBefore[name]; known && before == *limits {
+			continue
+		}
+		changed++
+		if byName[name], err = k.setClientLocked(k.byName[name], clientSettings(name, limits)); err != nil {
+			return changed, err
+		}
+		if err := k.updateProcessesLocked(name, limits); err != nil {
+			return changed, err
 		}
-		byName[cl.Name] = to
 	}
-	others := k.defaultClient
+	defaultClient := k.defaultClient
 	switch {
 	case c.OtherClients == nil:
-		others = nil
+		defaultClient = nil
 	case k.config == nil || k.config.OtherClients == nil || *k.config.OtherClients != *c.OtherClients:
-		if others, err = set(others, spec(othersName, c.OtherClients)); err != nil {
+		changed++
+		settings := clientSettings(defaultClientName, c.OtherClients)
+		if defaultClient, err = k.setClientLocked(defaultClient, settings); err != nil {
 			return changed, err
 		}
 	}
 	k.config = c
 	k.byName = byName
-	k.defaultClient = others
+	k.defaultClient = defaultClient
 	return changed, nil
 }
 
-// identify returns the way to tell whose the connections of a listener are.
+// setClientLocked updates a client of the frontend, or makes one if client is nil, and returns it.
+func (k *clients) setClientLocked(client *http1.Client, settings http1.ClientSettings) (*http1.Client, error) {
+	if client == nil {
+		return k.front.NewClient(settings)
+	}
+	return client, k.front.UpdateClient(client, settings)
+}
+
+// updateProcessesLocked sets the limits of the known processes of a client.
+func (k *clients) updateProcessesLocked(name string, limits *config.ClientLimits) error {
+	for process, state := range k.processes {
+		if process.client != name {
+			continue
+		}
+		if err := k.front.UpdateClient(state.client, clientSettings(state.client.Name, limits)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// identify returns the function that identifies the client of a listener's connections. An error rejects the
+// connection.
 func (k *clients) identify(l *config.Listener) http1.Identify {
 	return func(nc net.Conn) (*http1.Client, func(), error) {
 		k.mu.Lock()
@@ -132,8 +151,8 @@
 
 var errUnknownClient = errors.New("no client of the configuration, and there is no table others")
 
-// ruleLocked finds the client that a connection belongs to, nil for the others, and the process that connected, 0
-// where that is not known.
+// ruleLocked returns the configured client of a connection, nil if there is none, and the id of the process that
+// connected, 0 if the connection is not on a unix socket.
 func (k *clients) ruleLocked(l *config.Listener, nc net.Conn) (*config.Client, int32, error) {
 	var pid int32
 	if network, _ := l.Network(); network == "unix" {
@@ -161,33 +180,34 @@
 	return nil, pid, nil
 }
 
-// processClientLocked returns the account of one process.
+// processClientLocked returns the client of one process for a new connection, and the function to call at the
+// connection's end.
 func (k *clients) processClientLocked(rule *config.Client, pid int32) (*http1.Client, func(), error) {
-	for p, s := range k.processes {
-		if s.connections == 0 && time.Since(s.idleSince) > processClientTTL {
-			delete(k.processes, p)
+	for process, state := range k.processes {
+		if state.connections == 0 && time.Since(state.idleSince) > processClientTTL {
+			delete(k.processes, process)
 		}
 	}
-	p := clientProcess{rule.Name, pid}
-	s := k.processes[p]
-	if s == nil {
-		client, err := k.front.NewClient(spec(fmt.Sprintf("%s/%d", rule.Name, pid), &rule.ClientLimits))
+	process := clientProcess{rule.Name, pid}
+	state := k.processes[process]
+	if state == nil {
+		client, err := k.front.NewClient(clientSettings(fmt.Sprintf("%s/%d", rule.Name, pid), &rule.ClientLimits))
 		if err != nil {
 			return nil, nil, err
 		}
-		s = &processClient{client: client}
-		k.processes[p] = s
+		state = &processClient{client: client}
+		k.processes[process] = state
 	}
-	s.connections++
-	return s.client, func() {
+	state.connections++
+	return state.client, func() {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		s.connections--
-		s.idleSince = time.Now()
+		state.connections--
+		state.idleSince = time.Now()
 	}, nil
 }
 
-// peerOf returns what the kernel says of the process that connected.
+// peerOf returns the kernel's credentials of the process that connected.
 func peerOf(nc net.Conn) (*syscall.Ucred, error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -206,15 +226,15 @@
 	return peer, err
 }
 
-// ClientUsage is what is held for one client.
+// ClientUsage is what one client uses of its limits.
 type ClientUsage struct {
-	Client      string
-	Connections int
-	Open        int
-	Bytes       int64
+	Client      string // its name; "name/pid" for a process with limits of its own
+	Connections int    // open connections
+	Open        int    // open requests
+	Bytes       int64  // buffered bytes of requests and responses
 }
 
-// held returns what is in use by each client.
+// usage returns what each client uses of its limits, sorted by name.
 func (k *clients) usage() []ClientUsage {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -229,8 +249,8 @@
 	if k.defaultClient != nil {
 		add(k.defaultClient)
 	}
-	for _, s := range k.processes {
-		add(s.client)
+	for _, state := range k.processes {
+		add(state.client)
 	}
 	slices.SortFunc(all, func(a, b ClientUsage) int {
 		if a.Client < b.Client {
--- a/internal/daemon/consensus.go
+++ b/internal/daemon/consensus.go
@@ -16,34 +16,37 @@
 	"dunlinsail/internal/monotime"
 )
 
-// consensusMember is a generation's part in the consensus on the maintenance plan. It has a goroutine of its
-// own, since it keeps a log on disk. The core gets the plan, and requests never wait for any of it.
+// consensusMember is a generation's member of the consensus on the maintenance plan. It passes the plan to the core.
+// Its goroutine is that of run, from startConsensus to stopConsensus, because the node writes a log to disk, which
+// requests must not wait for. The fields below done belong to that goroutine.
 type consensusMember struct {
 	generation *generation
 	node       *consensus.Node
-	file       *consensus.BoltStore // nil for who is no voter
+	file       *consensus.BoltStore // nil for a member that is not a voter
 	events     chan func()
 	cancel     context.CancelFunc
-	done       chan struct{}
+	done       chan struct{} // closed once run has returned
 
-	facts          maintenance.FleetStatus
-	factsTime      monotime.Micros
-	peak           float64
+	status         maintenance.FleetStatus // as last observed
+	statusTime     monotime.Micros
+	peakUsage      float64 // highest usage since peakTime, in the unit of MachineStatus.Capacity
 	peakTime       monotime.Micros
-	open           map[string]int
+	inFlight       map[string]int // requests in flight at excluded and announced machines, by name
 	applied        engine.MaintenancePlan
-	replies        map[uint64]chan consensus.OperatorReply
+	replies        map[uint64]chan consensus.OperatorReply // of operators who wait, by the node's request number
 	voteLossLogged bool
 }
 
 const (
-	observeInterval = 500_000     // microseconds from one look at how machines stand to the next
-	peakWindow      = 900_000_000 // for so long what was in use at most counts for the time to come
-	tickInterval    = 10 * time.Millisecond
+	consensusEventsBuffer = 1024        // messages and operators' requests that wait for run; further messages are lost
+	observeInterval       = 500_000     // microseconds between two observations of all machines
+	peakWindow            = 900_000_000 // microseconds for which a peak of the fleet's usage counts
+	usageSteps            = 20          // per unit of usage, which is rounded because each change is logged on disk
+	tickInterval          = 10 * time.Millisecond
 )
 
-// startConsensus starts the consensus member, where the configuration says so. From then on requests are sent
-// only once a plan has been received.
+// startConsensus starts the consensus member, if the configuration has one and none runs. From then on no request is
+// sent before a plan has been received. A member that cannot open its log follows without a vote.
 func (d *generation) startConsensus() error {
 	s := d.config.Consensus()
 	if s == nil || d.consensus != nil {
@@ -51,9 +54,9 @@
 	}
 	x := &consensusMember{
 		generation: d,
-		events:     make(chan func(), 1024),
+		events:     make(chan func(), consensusEventsBuffer),
 		done:       make(chan struct{}),
-		open:       map[string]int{},
+		inFlight:   map[string]int{},
 		replies:    map[uint64]chan consensus.OperatorReply{},
 	}
 	var disk consensus.LogStore
@@ -73,11 +76,11 @@
 		d.log.Error("consensus vote not available, following only", "error", err)
 	}
 	x.node = node
-	node.SetSources(x.machineFacts, func(name string) int { return x.open[name] })
+	node.SetSources(x.fleetStatus, func(name string) int { return x.inFlight[name] })
 	x.applied = engine.MaintenancePlan{AwaitingPlan: true}
-	if o := d.inheritedPlan; o != nil { // the process whose place this one takes has heard one
-		x.applied = *o
-		node.PlanFollower().Inherit(maintenance.Plan{Excluded: o.Excluded, Announced: o.Announced}, o.LeaseEnd)
+	if plan := d.inheritedPlan; plan != nil {
+		x.applied = *plan
+		node.PlanFollower().Inherit(maintenance.Plan{Excluded: plan.Excluded, Announced: plan.Announced}, plan.LeaseEnd)
 	}
 	d.core.ApplyMaintenancePlan(x.applied)
 	var ctx context.Context
@@ -87,41 +90,44 @@
 	return nil
 }
 
-// stopConsensus stops the consensus member, and returns the plan that is applied: it is applied here until its
-// lease ends.
-func (d *generation) stopConsensus() (o *engine.MaintenancePlan) {
-	if x := d.consensus; x != nil {
-		x.cancel()
-		<-x.done
-		if x.file != nil {
-			_ = x.file.Close() // each entry was synced before it was acknowledged
-		}
-		d.consensus = nil
-		if !x.applied.AwaitingPlan {
-			o = &x.applied
-			d.inheritedPlan = o // should nobody take this process's place, it goes on
-		}
+// stopConsensus stops the consensus member and returns the plan that is applied, nil if there is none. The core goes on
+// applying it until its lease ends.
+func (d *generation) stopConsensus() *engine.MaintenancePlan {
+	x := d.consensus
+	if x == nil {
+		return nil
+	}
+	x.cancel()
+	<-x.done
+	if x.file != nil {
+		_ = x.file.Close() // each entry was synced before it was acknowledged
 	}
-	return o
+	d.consensus = nil
+	if x.applied.AwaitingPlan {
+		return nil
+	}
+	d.inheritedPlan = &x.applied // for startConsensus, should the successor be lost
+	return &x.applied
 }
 
-// receive takes in a message. It never waits: a message that does not fit the buffer is lost.
-func (x *consensusMember) receive(from string, w consensus.Message) {
+// receive passes a message to the node. It never waits: a message that does not fit the buffer is lost.
+func (x *consensusMember) receive(from string, m consensus.Message) {
 	select {
-	case x.events <- func() { x.node.Receive(x.generation.clock.Now(), from, w) }:
+	case x.events <- func() { x.node.Receive(x.generation.clock.Now(), from, m) }:
 	default:
 	}
 }
 
+// run is the member's goroutine. It ends with ctx.
 func (x *consensusMember) run(ctx context.Context) {
 	defer close(x.done)
-	turn := time.NewTicker(tickInterval)
-	defer turn.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case event := <-x.events:
 			event()
-		case <-turn.C:
+		case <-ticker.C:
 			if now := x.generation.clock.Now(); now >= x.node.NextTick() {
 				x.observeMachines(now)
 				x.node.Tick(now)
@@ -133,58 +139,70 @@
 	}
 }
 
-// observeMachines reads what is in flight at excluded and announced machines, and once in a while the status of
-// all machines.
+// observeMachines reads the requests in flight at excluded and announced machines, and the status of the fleet. Without
+// such machines it does so every observeInterval only.
 func (x *consensusMember) observeMachines(now monotime.Micros) {
-	order, _, _ := x.node.PlanFollower().CurrentPlan()
-	names := append(append([]string(nil), order.Excluded...), order.Announced...)
-	if len(names) == 0 && now < x.factsTime+observeInterval {
+	plan, _, _ := x.node.PlanFollower().CurrentPlan()
+	names := append(append([]string(nil), plan.Excluded...), plan.Announced...)
+	if len(names) == 0 && now < x.statusTime+observeInterval {
 		return
 	}
-	f, open := x.generation.core.MaintenanceStatus(names)
-	x.open = open
-	x.factsTime = now
-	round := func(v float64) float64 { return math.Round(v*20) / 20 } // what hardly changes is not logged
-	if f.Usage > x.peak || now >= x.peakTime+peakWindow {
-		x.peak = f.Usage
+	status, inFlight := x.generation.core.MaintenanceStatus(names)
+	x.inFlight = inFlight
+	x.statusTime = now
+	if status.Usage > x.peakUsage || now >= x.peakTime+peakWindow {
+		x.peakUsage = status.Usage
 		x.peakTime = now
 	}
-	f.Usage = round(f.Usage)
-	f.PeakUsage = round(x.peak)
-	x.facts = f
+	status.Usage = roundUsage(status.Usage)
+	status.PeakUsage = roundUsage(x.peakUsage)
+	x.status = status
 }
 
-func (x *consensusMember) machineFacts() maintenance.FleetStatus { return x.facts }
+func roundUsage(usage float64) float64 { return math.Round(usage*usageSteps) / usageSteps }
+
+func (x *consensusMember) fleetStatus() maintenance.FleetStatus { return x.status }
 
-// publish sends messages, passes the plan to the core, and answers operators that wait.
+// publish sends messages, passes the plan to the core, answers operators who wait, and logs the loss of the vote.
 func (x *consensusMember) publish() {
-	p := x.generation.gossip.Load()
+	gossip := x.generation.gossip.Load()
 	for _, o := range x.node.TakeOutgoing() {
-		if p != nil {
-			p.SendConsensus(o.To, o.Message)
-		}
-	}
-	order, until, end := x.node.PlanFollower().CurrentPlan()
-	o := engine.MaintenancePlan{
-		AwaitingPlan:  !x.node.PlanFollower().HasPlan(),
-		Excluded:      order.Excluded,
-		Announced:     order.Announced,
-		LeaseEnd:      until,
-		DrainDeadline: end,
-	}
-	if fmt.Sprint(o) != fmt.Sprint(x.applied) {
-		if fmt.Sprint(o.Excluded) != fmt.Sprint(x.applied.Excluded) {
-			x.generation.log.Info("maintenance plan changed", "out", o.Excluded, "next in line", o.Announced)
+		if gossip != nil {
+			gossip.SendConsensus(o.To, o.Message)
 		}
-		x.applied = o
-		x.generation.core.ApplyMaintenancePlan(o)
 	}
-	for number, c := range x.replies {
-		if r, ok := x.node.TakeReply(number); ok {
-			c <- r
+	x.publishPlan()
+	for number, waiting := range x.replies {
+		if reply, ok := x.node.TakeReply(number); ok {
+			waiting <- reply
 			delete(x.replies, number)
 		}
 	}
+	x.logVoteLoss()
+}
+
+// publishPlan passes the plan to the core if it has changed.
+func (x *consensusMember) publishPlan() {
+	current, leaseEnd, drainDeadline := x.node.PlanFollower().CurrentPlan()
+	plan := engine.MaintenancePlan{
+		AwaitingPlan:  !x.node.PlanFollower().HasPlan(),
+		Excluded:      current.Excluded,
+		Announced:     current.Announced,
+		LeaseEnd:      leaseEnd,
+		DrainDeadline: drainDeadline,
+	}
+	if fmt.Sprint(plan) == fmt.Sprint(x.applied) {
+		return
+	}
+	if fmt.Sprint(plan.Excluded) != fmt.Sprint(x.applied.Excluded) {
+		x.generation.log.Info("maintenance plan changed", "out", plan.Excluded, "next in line", plan.Announced)
+	}
+	x.applied = plan
+	x.generation.core.ApplyMaintenancePlan(plan)
+}
+
+// logVoteLoss logs once that this member has no vote any more.
+func (x *consensusMember) logVoteLoss() {
 	if x.node.LogMissing() && x.node.PlanFollower().HasPlan() && !x.voteLossLogged {
 		x.voteLossLogged = true
 		x.generation.log.Error("consensus log missing, following only")
@@ -195,29 +213,31 @@
 	}
 }
 
-// errNoLeader is returned for a request while the consensus has no leader.
+// errNoLeader is the error of an operator's request that was not answered in time, as while the consensus has no
+// leader.
 var errNoLeader = errors.New("nobody leads in settling the order just now; say it again")
 
-// propose submits an operator's request, and waits for its answer.
-func (x *consensusMember) propose(ctx context.Context, put func(now monotime.Micros) uint64) (
+// propose has submit hand a request to the node, which returns its number, and waits for the reply to it. A reply with
+// an error is returned with that error; errNoLeader is the error once ctx or the member ends.
+func (x *consensusMember) propose(ctx context.Context, submit func(now monotime.Micros) uint64) (
 	consensus.OperatorReply, error) {
-	answer := make(chan consensus.OperatorReply, 1)
+	waiting := make(chan consensus.OperatorReply, 1)
 	select {
-	case x.events <- func() { x.replies[put(x.generation.clock.Now())] = answer }:
+	case x.events <- func() { x.replies[submit(x.generation.clock.Now())] = waiting }:
 	case <-ctx.Done():
 		return consensus.OperatorReply{}, errNoLeader
 	}
 	select {
-	case r := <-answer:
-		if r.Error != "" {
-			return r, errors.New(r.Error)
+	case reply := <-waiting:
+		if reply.Error != "" {
+			return reply, errors.New(reply.Error)
 		}
-		return r, nil
+		return reply, nil
 	case <-x.done:
 	case <-ctx.Done():
 		select {
 		case x.events <- func() {
-			maps.DeleteFunc(x.replies, func(_ uint64, c chan consensus.OperatorReply) bool { return c == answer })
+			maps.DeleteFunc(x.replies, func(_ uint64, c chan consensus.OperatorReply) bool { return c == waiting })
 		}:
 		default:
 		}
@@ -225,8 +245,8 @@
 	return consensus.OperatorReply{}, errNoLeader
 }
 
-// work answers an operator's call: an order in JSON, or a look at how all stands without one.
-func (d *generation) work(ctx context.Context, body []byte) ([]byte, error) {
+// maintenance answers an operator's call: a command in JSON, or with an empty body a request for the leader's view.
+func (d *generation) maintenance(ctx context.Context, body []byte) ([]byte, error) {
 	x := d.consensus
 	if x == nil {
 		return nil, errors.New("work.on is false here, or this process does not serve")
@@ -238,17 +258,17 @@
 		}
 		return json.Marshal(r.View)
 	}
-	var order maintenance.Command
-	if err := json.Unmarshal(body, &order); err != nil {
+	var received maintenance.Command
+	if err := json.Unmarshal(body, &received); err != nil {
 		return nil, fmt.Errorf("the body makes no sense: %w", err)
 	}
-	order = maintenance.Command{
-		Request:       order.Request,
-		CancelRequest: order.CancelRequest,
-		Complete:      order.Complete,
-		Hold:          order.Hold,
-		Forget:        order.Forget,
-	} // an operator says no more
-	r, err := x.propose(ctx, func(now monotime.Micros) uint64 { return x.node.Submit(now, order) })
+	command := maintenance.Command{ // only the fields that an operator may set
+		Request:       received.Request,
+		CancelRequest: received.CancelRequest,
+		Complete:      received.Complete,
+		Hold:          received.Hold,
+		Forget:        received.Forget,
+	}
+	r, err := x.propose(ctx, func(now monotime.Micros) uint64 { return x.node.Submit(now, command) })
 	return []byte(r.Answer), err
 }
--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -18,37 +18,37 @@
 	"dunlinsail/internal/upstream"
 )
 
-// generation is what assemble put together: all that serves by one configuration. A configuration that cannot
-// be changed into while serving has a generation of its own, which takes over from the one before it (life).
+// generation holds the parts that serve by one configuration. A configuration that the running generation cannot apply
+// while serving has a generation of its own, which takes over from the one before it (lifecycle).
 type generation struct {
 	options   Options
-	config    *config.Config // that it goes by; o.Config is what it was put together by
+	config    *config.Config // in effect now; options.Config is the one that it was assembled from
 	log       *slog.Logger
-	upstreams *upstream.Pool // to endpoints
+	upstreams *upstream.Pool // connections to endpoints
 	core      *core.Core
 	pools     pools
 	front     *http1.Server
 	clients   *clients
 
-	gossip        atomic.Pointer[peers.Peers] // nil while it is among no others
-	spentLog      *spentLog                   // nil where none is kept
-	consensus     *consensusMember            // nil while it takes no part in the order of machines out
-	inheritedPlan *engine.MaintenancePlan     // what the process before this one obeyed; nil is nothing
+	gossip        atomic.Pointer[peers.Peers] // nil while this instance is not part of a fleet
+	spentLog      *spentLog                   // nil without a file for it
+	consensus     *consensusMember            // nil while this instance takes no part in the consensus
+	inheritedPlan *engine.MaintenancePlan     // the predecessor's; nil without one
 	clock         clock.Clock
-	stopAdmin     func() // ends serving operators; nil while none are
+	stopAdmin     func() // stops the admin server; nil while none runs
 
-	recorder  *accesslog.Writer // nil where no access record is kept
-	keyHasher *accesslog.Hasher
-	tally     *canaryTally // nil where versions are not tried
+	recorder  *accesslog.Writer // nil without an access log
+	keyHasher *accesslog.Hasher // of the access log
+	tally     *canaryTally      // nil without canaries
 
 	listeners []*listener
 
-	ctx        context.Context // of what runs beside the front
+	ctx        context.Context // of the goroutines below; nil before startBackground
 	cancel     context.CancelFunc
-	goroutines sync.WaitGroup
+	goroutines sync.WaitGroup // of core and upstreams, from startBackground to stopBackground
 }
 
-// assemble puts a daemon together without starting it.
+// assemble makes a generation without starting it.
 func assemble(o Options) (*generation, error) {
 	c := o.Config
 	if o.Seed == 0 {
@@ -57,14 +57,13 @@
 	d := &generation{options: o, config: c, log: o.Log, pools: pools{}}
 	clk := clock.New()
 	if c.Peers.On {
-		clk = clock.NewBootClock() // leases end while the host sleeps, too
+		clk = clock.NewBootClock() // it counts the time while the host sleeps, in which leases end, too
 	}
 	d.clock = clk
-	n := &c.Connections
 	d.upstreams = upstream.New(upstream.Options{
 		Clock:           clk,
 		Log:             o.Log,
-		MaxConns:        n.MaxEndpoints,
+		MaxConns:        c.Connections.MaxEndpoints,
 		DialTimeout:     c.Attempts.DialTimeout.Duration,
 		KeepAlive:       c.Site.KeepAlive,
 		LoadFields:      c.Site.LoadReportFields,
@@ -88,10 +87,10 @@
 	if d.clients, err = newClients(d.front, c); err != nil {
 		return nil, err
 	}
-	return d, d.openAccessLog() // last, since it runs
+	return d, d.openAccessLog() // last, because it starts a goroutine
 }
 
-// newCore makes the core, and joins it to the other instances where the configuration says so.
+// newCore makes the core, with coordination in a fleet if the configuration has one.
 func (d *generation) newCore() error {
 	o := &d.options
 	c := d.config
@@ -114,7 +113,7 @@
 	return d.joinCoordination()
 }
 
-// newFrontend makes the frontend, and what it records requests in.
+// newFrontend makes the frontend, and the canary tally that it records requests in.
 func (d *generation) newFrontend() error {
 	c := d.config
 	front := http1.Options{
@@ -140,7 +139,7 @@
 	return err
 }
 
-// startBackground starts what runs beside the frontend: core, connections, watches. stopBackground ends it.
+// startBackground starts core, connections to endpoints and the sources of endpoint lists. stopBackground ends them.
 func (d *generation) startBackground() {
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	d.goroutines.Go(func() { d.core.Run(d.ctx) })
@@ -150,7 +149,8 @@
 	}
 }
 
-// stopBackground ends what runs beside the frontend. It may be called without startBackground.
+// stopBackground ends everything that the generation has started, listeners and connections included. It may be called
+// without startBackground.
 func (d *generation) stopBackground() {
 	for _, l := range d.listeners {
 		l.close()
@@ -166,7 +166,7 @@
 	if d.cancel != nil {
 		d.cancel()
 	}
-	d.front.CloseAll() // nothing is left, unless the start failed
+	d.front.CloseAll() // there are connections only if the start failed
 	d.goroutines.Wait()
 	if d.recorder != nil {
 		d.recorder.Close()
@@ -174,14 +174,14 @@
 	d.spentLog.close()
 }
 
-// changesLive reports whether a configuration can be applied while serving, and which tables prevent it.
-func (d *generation) changesLive(next *config.Config) (tables []string, ok bool) {
-	// Compared with the configuration that it was assembled by, however often it has been changed since.
+// changesLive reports whether a configuration can be applied while serving, and returns the tables that prevent it.
+// These are compared with the configuration that the generation was assembled from, not with the one in effect.
+func (d *generation) changesLive(next *config.Config) (tables []string, live bool) {
 	tables = d.options.Config.TablesNeedingRestart(next)
 	return tables, len(tables) == 0
 }
 
-// apply changes into a configuration that is live.
+// applyConfig applies a configuration for which changesLive is true, on the lifecycle's goroutine.
 func (d *generation) applyConfig(next *config.Config) error {
 	changed, err := d.clients.applyConfig(next)
 	if err != nil {
@@ -192,23 +192,12 @@
 		return fmt.Errorf("pools and routes: %w", err)
 	}
 	d.config = next
-	d.log.Info(
-		"configuration changed while serving",
-		"clients",
-		changed,
-		"pools",
-		d.pools.names(),
-		"new",
-		added,
-		"gone",
-		removed,
-		"routes",
-		len(next.Routes),
-	)
+	d.log.Info("configuration changed while serving", "clients", changed, "pools", d.pools.names(), "new", added,
+		"gone", removed, "routes", len(next.Routes))
 	return nil
 }
 
-// addresses returns the address that each listener has.
+// addresses returns the address of each listener by its name.
 func (d *generation) addresses() map[string]string {
 	all := map[string]string{}
 	for _, l := range d.listeners {
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -11,28 +11,27 @@
 	"dunlinsail/internal/peers"
 )
 
-// This file has a generation be one of its fleet's instances: what carries words, and who may ask about it.
-
-// joinCoordination has the core coordinate with the other instances, where the configuration says so.
+// joinCoordination has the core coordinate with the other instances of the fleet, if the configuration has one.
+// Messages are sent by gossip, and dropped while it does not run: before startGossip, and after a handover.
 func (d *generation) joinCoordination() error {
 	t := d.config.Coordination(d.options.Seed)
 	if t == nil {
 		return nil
 	}
 	t.NextIncarnation = rand.Uint64
-	t.Send = func(to string, w coordination.Message) {
-		if p := d.gossip.Load(); p != nil { // else it is one that has not begun, or has given its place away
-			p.Send(to, w)
+	t.Send = func(to string, m coordination.Message) {
+		if p := d.gossip.Load(); p != nil {
+			p.Send(to, m)
 		}
 	}
 	return d.core.JoinFleet(*t)
 }
 
-// bindRetryInterval is how often binding an address is retried that the predecessor may still have.
+// bindRetryInterval is the time between two attempts to bind an address that the predecessor may still have.
 const bindRetryInterval = 20 * time.Millisecond
 
-// startGossip joins the other instances by gossip. Only a generation that serves may call it: no other process
-// of its name is among them.
+// startGossip joins the other instances by gossip. Only a generation that serves may call it, because an instance must
+// not be in the fleet twice.
 func (d *generation) startGossip() error {
 	c := &d.config.Peers
 	if !c.On || d.gossip.Load() != nil {
@@ -64,7 +63,7 @@
 	return nil
 }
 
-// stopGossip leaves the other instances. With announce they are notified; without, a successor takes this
+// stopGossip leaves the fleet. With announce the other instances are notified; without, a successor takes this
 // instance's place.
 func (d *generation) stopGossip(announce bool) {
 	p := d.gossip.Swap(nil)
@@ -77,7 +76,7 @@
 	p.Close(announce)
 }
 
-// View is what an instance returns of its fleet.
+// View is an instance's view of its fleet, as the admin server sends it.
 type View struct {
 	Name    string            `json:"Name"`
 	Members []peers.Member    `json:"Members"`
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net"
 	"sync"
 	"syscall"
@@ -14,22 +15,22 @@
 	"dunlinsail/internal/takeover"
 )
 
-// answerTimeout bounds the steps of a hot restart that take no work.
+// answerTimeout bounds the steps of a hot restart in which a process only answers.
 const answerTimeout = 5 * time.Second
 
 // lifecycle is the lifecycle of a generation from its start to its end: successor, if another generation serves, then
 // serving, then predecessor of the next, in another process or in this one.
 //
-// Its fields belong to the goroutine of run; others post events to the loop.
+// Its fields belong to the goroutine of run; other goroutines post events to Loop.
 type lifecycle struct {
 	*generation
 	*takeover.Lifecycle
-	stop      context.Context
-	inProcess bool // the predecessor is in this process: this generation takes over from it, or ends
+	stop      context.Context // of the process; kept because the methods of takeover.Host have no context
+	inProcess bool            // the predecessor is in this process: this generation takes over from it, or ends
 	serving   bool
 
-	onServing     func()         // called once it accepts
-	onHandingOver func(yes bool) // called when a successor is served, and when it is not any more
+	onServing        func()            // called once it accepts
+	onHandoverChange func(active bool) // called at the start and at the end of a handover to a successor
 
 	offer            offer
 	offeredListeners []net.Listener // in the offer's order; nil for one that cannot be used
@@ -41,13 +42,13 @@
 
 // offer is what a predecessor offers with its listening sockets.
 type offer struct {
-	Listeners []string `json:"Listeners"` // their addresses as the predecessor's file has them
-	Takeover  bool     `json:"Takeover"`  // the last socket is the one for successors
+	Listeners []string `json:"Listeners"` // addresses as in the predecessor's file, in the order of the sockets
+	Takeover  bool     `json:"Takeover"`  // the last socket is the one at which successors connect
 	State     []byte   `json:"State"`     // the encoded snapshot
 }
 
-// newLifecycle returns the lifecycle of a generation. With a connection to a predecessor in this process it
-// takes over from that and from no other.
+// newLifecycle returns the lifecycle of a generation. A non-nil predecessor is in this process, and the generation
+// takes over from no other.
 func newLifecycle(stop context.Context, g *generation, predecessor *takeover.Conn) *lifecycle {
 	settings := g.options.Config.Takeover
 	times := decide.Times{
@@ -56,18 +57,18 @@
 		Drain:  clock.Micros(settings.DrainWithin.Duration),
 	}
 	l := &lifecycle{
-		generation:    g,
-		stop:          stop,
-		inProcess:     predecessor != nil,
-		onServing:     func() {},
-		onHandingOver: func(bool) {},
+		generation:       g,
+		stop:             stop,
+		inProcess:        predecessor != nil,
+		onServing:        func() {},
+		onHandoverChange: func(bool) {},
 	}
 	l.Lifecycle = takeover.NewLifecycle(l, g.front, times, g.log)
 	l.PredecessorConn = predecessor
 	return l
 }
 
-// run takes over or starts alone, serves, and returns once all is answered or handed over.
+// run takes over or starts alone, serves, and returns once every request is answered or handed over.
 func (l *lifecycle) run() error {
 	defer l.close()
 	if err := l.connect(); err != nil {
@@ -76,7 +77,8 @@
 	return l.RunLoop(l.stop.Done(), l.onStop)
 }
 
-// close releases everything, whatever came before.
+// close releases every socket and connection, and waits for the goroutines of this lifecycle. It may be called after
+// a start that failed at any step.
 func (l *lifecycle) close() {
 	l.CloseLoop()
 	if l.successorListener != nil {
@@ -96,15 +98,17 @@
 	l.Loop.Goroutines.Wait()
 }
 
+// now returns the host's monotonic time, which all its processes read alike.
 func now() monotime.Micros { return takeover.Monotonic() }
 
+// onStop handles the order to stop. A generation that does not serve yet ends at once.
 func (l *lifecycle) onStop() {
 	l.StepSuccessor(decide.Stop, "")
 	if l.serving {
 		l.StepPredecessor(decide.Stop)
 		return
 	}
-	l.End(nil) // nothing was served yet
+	l.End(nil)
 }
 
 // connect starts as the successor of the process that serves, or alone.
@@ -124,14 +128,14 @@
 	case errors.Is(err, syscall.ENOENT), errors.Is(err, syscall.ECONNREFUSED):
 		return l.serveAlone()
 	default:
-		return errorf("takeover: %s: %w", path, err)
+		return fmt.Errorf("takeover: %s: %w", path, err)
 	}
 	l.log.Info("hot restart started", "socket", path)
 	l.Connect(conn)
 	return nil
 }
 
-// serveAlone starts with nothing: it listens, and serves once discovery has sent an endpoint.
+// serveAlone starts without a predecessor: it listens, and serves once discovery has sent an endpoint.
 func (l *lifecycle) serveAlone() error {
 	l.Successor.ServeAlone()
 	if err := l.listen(l.stop, nil, nil, bindTimeout); err != nil {
@@ -142,8 +146,7 @@
 	return nil
 }
 
-// joinFleet joins the fleet and serves operators. That either cannot be had is logged, and no reason not to
-// serve: the instance goes on by itself.
+// joinFleet joins the fleet and starts the admin server. Failures are logged, and the instance serves on its own.
 func (l *lifecycle) joinFleet() {
 	if err := l.startConsensus(); err != nil {
 		l.log.Error("consensus not started", "error", err)
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -15,47 +15,57 @@
 	"dunlinsail/internal/takeover"
 )
 
-// listener is where clients connect.
+// listener accepts the connections of clients at one address.
 type listener struct {
 	config   *config.Listener
 	socket   net.Listener
 	identify http1.Identify
 
 	accepting  bool
-	acceptLoop sync.WaitGroup
+	acceptLoop sync.WaitGroup // the goroutine of accept
 }
 
-// bindTimeout is how long a start without a predecessor waits for an address that another process holds: one
-// that was told to stop just before goes on accepting for a moment.
+// bindTimeout is how long a start without a predecessor waits for an address that another process holds. A process that
+// was stopped just before goes on accepting for stopAcceptDelay.
 const bindTimeout = 3 * time.Second
 
-// listen opens the listeners of the configuration, those among the offered that it names as they are. On an error
-// none is left open that it opened.
+// socketUmask makes a new unix socket accessible to the daemon's user only.
+const socketUmask = 0o177
+
+// listen opens the listeners of the configuration. It takes an offered socket whose name (as in the predecessor's file)
+// or address is the listener's, and sets it to nil in offered. For an address in use it waits, but not longer than
+// wait. The listeners that were opened before an error are closed with the generation.
 func (d *generation) listen(stop context.Context, offered []net.Listener, names []string, wait time.Duration) error {
 	for i := range d.options.Config.Listeners {
 		conf := &d.options.Config.Listeners[i]
-		l := &listener{config: conf, identify: d.clients.identify(conf)}
-		for j, name := range names {
-			if offered[j] != nil && (name == conf.Address || offered[j].Addr().String() == conf.Address) {
-				l.socket = offered[j]
-				offered[j] = nil
-				l.keepPath(true) // the predecessor's still, if this start fails
-				break
-			}
-		}
-		if l.socket == nil {
-			ln, err := openListener(stop, conf, wait)
+		l := &listener{config: conf, identify: d.clients.identify(conf), socket: takeOffered(conf, offered, names)}
+		if l.socket != nil {
+			l.keepPath(true) // the path is still the predecessor's, should this start fail
+		} else {
+			socket, err := openListener(stop, conf, wait)
 			if err != nil {
 				return fmt.Errorf("listener %q: %w", conf.Name, err)
 			}
-			l.socket = ln
+			l.socket = socket
 		}
 		d.listeners = append(d.listeners, l)
 	}
 	return nil
 }
 
-// openListener opens one listener, and waits for an address in use.
+// takeOffered returns the offered socket of a listener, which it sets to nil in offered; nil if there is none.
+func takeOffered(conf *config.Listener, offered []net.Listener, names []string) net.Listener {
+	for i, name := range names {
+		socket := offered[i]
+		if socket != nil && (name == conf.Address || socket.Addr().String() == conf.Address) {
+			offered[i] = nil
+			return socket
+		}
+	}
+	return nil
+}
+
+// openListener opens one listener. It retries an address in use until the time of wait is over or stop ends.
 func openListener(stop context.Context, conf *config.Listener, wait time.Duration) (net.Listener, error) {
 	network, address := conf.Network()
 	for end := time.Now().Add(wait); ; {
@@ -64,13 +74,15 @@
 			return ln, err
 		}
 		select {
-		case <-time.After(20 * time.Millisecond):
+		case <-time.After(bindRetryInterval):
 		case <-stop.Done():
 			return nil, err
 		}
 	}
 }
 
+// openListenerOnce opens one listener. mode is the permissions of a unix socket; a socket at its path on which no
+// process listens is replaced.
 func openListenerOnce(network, address string, mode os.FileMode) (net.Listener, error) {
 	if network != "unix" {
 		return net.Listen(network, address)
@@ -78,50 +90,53 @@
 	if err := takeover.RemoveStale(network, address); err != nil {
 		return nil, err
 	}
-	// The socket must not be open to all for a moment before its permissions are set.
-	old := syscall.Umask(0o177)
-	ln, err := net.Listen(network, address)
-	syscall.Umask(old)
+	// Without the umask other users could connect before Chmod.
+	umask := syscall.Umask(socketUmask)
+	socket, err := net.Listen(network, address)
+	syscall.Umask(umask)
 	if err != nil {
 		return nil, err
 	}
 	if err := os.Chmod(address, mode); err != nil {
-		ln.Close()
+		socket.Close()
 		return nil, err
 	}
-	return ln, nil
+	return socket, nil
 }
 
-// accept serves the listener's connections until it is paused or closed.
-func (l *listener) accept(f *http1.Server) {
+// accept starts the goroutine that serves the listener's connections until pause or close. It does nothing while one
+// runs.
+func (l *listener) accept(front *http1.Server) {
 	if l.accepting {
 		return
 	}
 	l.accepting = true
 	l.setDeadline(time.Time{})
-	l.acceptLoop.Go(func() { _ = f.Accept(l.socket, l.identify) })
+	l.acceptLoop.Go(func() { _ = front.Accept(l.socket, l.identify) })
 }
 
-// pause ends accept. Who connects from then on waits in the socket's queue.
+// pause ends accept. Clients that connect from then on wait in the socket's queue.
 func (l *listener) pause() {
 	l.setDeadline(time.Unix(1, 0))
 	l.acceptLoop.Wait()
 	l.accepting = false
 }
 
+// setDeadline sets the instant at which a waiting Accept returns; the zero time is never.
 func (l *listener) setDeadline(t time.Time) {
 	if s, ok := l.socket.(interface{ SetDeadline(time.Time) error }); ok {
-		_ = s.SetDeadline(t) // it fails on a closed listener only
+		_ = s.SetDeadline(t) // it fails only on a closed listener
 	}
 }
 
-// keepPath sets whether a unix socket's path stays when it is closed: another process may listen on it.
-func (l *listener) keepPath(yes bool) {
+// keepPath sets whether closing a unix socket leaves its path, because another process may listen there.
+func (l *listener) keepPath(keep bool) {
 	if u, ok := l.socket.(*net.UnixListener); ok {
-		u.SetUnlinkOnClose(!yes)
+		u.SetUnlinkOnClose(!keep)
 	}
 }
 
+// close closes the socket and returns once accept has ended.
 func (l *listener) close() {
 	l.socket.Close()
 	l.acceptLoop.Wait()
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -15,20 +15,21 @@
 	"dunlinsail/internal/engine"
 )
 
-// pool is a pool of the configuration, with the source of its list.
+// pool is a pool of the configuration with the source of its endpoint list.
 type pool struct {
 	config         config.Pool
 	endpoints      *core.Pool
-	source         *discovery.Source  // of discovery; nil is another
-	firstWatcher   *discovery.Watcher // the source's first
-	file           *endpointsource.File
-	listGeneration int64 // generation of a list that stands in the configuration
+	source         *discovery.Source    // nil for a list that is not from discovery
+	firstWatcher   *discovery.Watcher   // the one that source starts with
+	file           *endpointsource.File // nil for a list that is not from a file
+	listGeneration int64                // generation of a list in the configuration itself
 }
 
-// pools are those that routes lead to, by name. Without routes there is one, of no name, at discovery.
+// pools are the pools that routes lead to, by name. Without routes there is one, named "", whose list is from
+// discovery.
 type pools map[string]*pool
 
-// newPool adds a pool to the core. begin starts the source of its list.
+// newPool adds a pool to the core. startSource starts the source of its list.
 func (d *generation) newPool(conf config.Pool, subscribe bool) (*pool, error) {
 	p := &pool{config: conf}
 	c := engine.PoolConfig{
@@ -67,11 +68,14 @@
 
 // watcher returns a discovery watcher that updates a pool. It requests the complete list first.
 func (d *generation) watcher(p *pool, addr string) *discovery.Watcher {
-	return discovery.NewWatcher(addr, discovery.NoGeneration, int(d.options.Config.Process.Memory.Bytes>>20),
-		func(ctx context.Context, t engine.EndpointUpdate) { p.endpoints.UpdateEndpoints(ctx, t) }, d.log)
+	return discovery.NewWatcher(addr, discovery.NoGeneration, int(d.options.Config.Process.Memory.Bytes/bytesPerMB),
+		p.update, d.log)
 }
 
-// update passes a new list to the pool.
+// bytesPerMB is the unit of memory sizes as discovery takes them.
+const bytesPerMB = 1 << 20
+
+// update passes an update of the endpoint list to the pool.
 func (p *pool) update(ctx context.Context, update engine.EndpointUpdate) {
 	p.endpoints.UpdateEndpoints(ctx, update)
 }
@@ -104,8 +108,8 @@
 	return c.Pools
 }
 
-// changePools goes by another file's pools and routes from now on. What is open goes on where it is. On an error
-// nothing has changed.
+// changePools applies the pools and routes of a configuration, and returns the names of pools that are new or gone.
+// Open requests end in the pool that they are in. After an error nothing has changed.
 func (d *generation) changePools(next *config.Config) (added, removed []string, err error) {
 	after := pools{}
 	fresh := pools{}
@@ -154,7 +158,8 @@
 	return added, removed, nil
 }
 
-// canBecome says whether a pool can go on as one of another configuration: with another list, or another discovery.
+// canBecome reports whether a pool can be changed into one of another configuration without losing its learned state.
+// The list or the discovery address may differ, but not the kind of source.
 func (p *pool) canBecome(conf *config.Pool) bool {
 	if p.config.RetryBudget != conf.RetryBudget {
 		return false
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -9,9 +9,10 @@
 	"dunlinsail/internal/takeover"
 )
 
-// The methods of this file carry out what the predecessor's state machine says (takeover.PredecessorHost).
+// The methods of this file implement takeover.PredecessorHost: they carry out the commands of the predecessor's state
+// machine.
 
-// Offer returns what a successor is offered: the sockets, and what was learned so far.
+// Offer returns the message with the listening sockets and the snapshot of the learned state.
 func (l *lifecycle) Offer(*takeover.Conn) takeover.Message {
 	offered := offer{Takeover: l.successorListener != nil, State: l.EncodeSnapshot(l.core.Snapshot())}
 	var sockets []syscall.Conn
@@ -29,7 +30,8 @@
 	return takeover.Message{Kind: decide.Offer, Payload: payload, Sockets: sockets}
 }
 
-// StopAccepting accepts nothing more, leaves the fleet's places to the successor and returns the snapshot.
+// StopAccepting stops accepting, leaves gossip and consensus so that the successor can take this instance's place, and
+// returns the encoded snapshot for the handover.
 func (l *lifecycle) StopAccepting() []byte {
 	for _, listener := range l.listeners {
 		listener.pause()
@@ -42,9 +44,9 @@
 	if snapshot != nil {
 		snapshot.Fleet = l.core.HandOverCoordination()
 	}
-	l.stopServingAdmin() // before what it reads is stopped
+	l.stopServingAdmin() // before gossip and consensus, which it reads
 	if plan := l.stopConsensus(); plan != nil && snapshot != nil {
-		remaining := *plan
+		remaining := *plan // with times from now on, since the successor's clock is another
 		remaining.LeaseEnd = plan.LeaseEnd - l.clock.Now()
 		remaining.DrainDeadline = plan.DrainDeadline - l.clock.Now()
 		snapshot.Maintenance = &remaining
@@ -63,13 +65,13 @@
 	}
 }
 
-// HandOverConnections hands idle connections to the successor.
+// HandOverConnections hands idle client connections to the successor as they come.
 func (l *lifecycle) HandOverConnections(successor *takeover.Conn) {
 	l.front.SetHandoff(func(conn net.Conn) bool { return successor.HandOver(conn) == nil })
 	l.WaitUntilDrained()
 }
 
-// ResumeServing accepts again: the successor was lost.
+// ResumeServing accepts clients and joins the fleet again after the successor was lost.
 func (l *lifecycle) ResumeServing() {
 	l.front.SetHandoff(nil)
 	l.core.CancelHandover()
@@ -85,18 +87,18 @@
 	}
 }
 
-// Drain ends what is open in order: clients that still connect are served for a moment, each answer closes its
-// connection, and endpoints that are warming up get nothing more.
+// Drain starts the graceful shutdown without a successor. The process accepts for stopAcceptDelay and serves these
+// requests, too; each response closes its connection, and endpoints that are warming up get no more requests.
 func (l *lifecycle) Drain() {
 	l.log.Info("draining")
 	l.front.SetHandoff(nil)
 	l.front.Quiesce()
-	l.core.SnapshotForHandover()
+	l.core.SnapshotForHandover() // for its effect on warming up endpoints
 	if l.successorListener != nil {
 		l.successorListener.Close()
 	}
 	for _, listener := range l.listeners {
-		listener.accept(l.front) // it may have been paused for a successor that is gone
+		listener.accept(l.front) // it may be paused for a successor that was lost
 	}
 	l.Loop.After(stopAcceptDelay, func() {
 		for _, listener := range l.listeners {
@@ -107,7 +109,7 @@
 	})
 }
 
-// CloseRemaining closes what is still open at the end of takeover.drain_within.
+// CloseRemaining closes the connections that are still open after the time of the setting takeover.drain_within.
 func (l *lifecycle) CloseRemaining() {
 	l.log.Warn("drain timeout, connections closed")
 	l.front.CloseAll()
@@ -116,8 +118,8 @@
 // SendFailed logs that a message could not be written to the successor.
 func (l *lifecycle) SendFailed(err error) { l.log.Warn("takeover", "error", err) }
 
-// SuccessorLeaving does nothing: the machine's own events are enough.
+// SuccessorLeaving does nothing: the daemon keeps no state of the connection to the successor.
 func (l *lifecycle) SuccessorLeaving(*takeover.Conn) {}
 
-// HandingOver notes for the process whether a successor is served.
-func (l *lifecycle) HandingOver(yes bool) { l.onHandingOver(yes) }
+// HandingOver notifies the process of the start and the end of a handover.
+func (l *lifecycle) HandingOver(active bool) { l.onHandoverChange(active) }
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -12,28 +12,29 @@
 	"dunlinsail/internal/takeover"
 )
 
-// process is what a daemon's process is over all its configurations. Package decide/versions decides which of
-// those that come is applied: a change that can be made while serving is made in the generation that serves,
-// and for any other one a new generation takes over from it, within the process, as another process would. Its
-// fields belong to the goroutine in run; others use events.
+// process is a daemon's process over all its configurations. Package decide/rollout decides which version is applied. A
+// change that can be made while serving is made in the serving generation; for any other, a new generation takes over
+// from it within the process, as another process would.
+//
+// Its fields belong to the goroutine of run; other goroutines post events.
 type process struct {
 	options     Options
 	log         *slog.Logger
-	stopContext context.Context
+	stopContext context.Context // ends the process; kept because events, which have no context, start generations
 	events      chan func()
 	closed      chan struct{} // closed once no event is taken any more
 	timer       *time.Timer
 
-	serving   *lifecycle // that serves, or is the first to
-	successor *lifecycle // that is to take over from it; nil while none is
-	running   int        // that have not ended
-	result    error
+	serving   *lifecycle // the generation that serves, or the first one before it does
+	successor *lifecycle // the generation that is to take over from it; nil while there is none
+	running   int        // lifecycles that have not ended
+	result    error      // of the last serving generation
 
 	versioning
 }
 
-// eventsBuffer is how many events wait before those that post them wait, too. Lifecycles post few, and never
-// wait for the process as it never waits for them.
+// eventsBuffer is the number of events that can wait for run before post blocks. Lifecycles post few events, and run
+// never waits for a lifecycle.
 const eventsBuffer = 64
 
 func newProcess(stop context.Context, o Options) *process {
@@ -64,14 +65,14 @@
 	return nil
 }
 
-// run serves by the first configuration, and then by those that follow, until the last generation has ended.
+// run serves by the first configuration and those that follow, until the last generation has ended.
 func (p *process) run() error {
 	defer p.following.Wait()
-	defer close(p.closed) // those that post do not wait any more
+	defer close(p.closed) // post does not block any more, so that the clients of control planes can end
 	p.timer = time.AfterFunc(time.Hour, func() { p.post(func() { p.carryOut(p.machine.HandleDeadline(now())) }) })
 	defer p.timer.Stop()
-	slots := time.NewTicker(sampleInterval)
-	defer slots.Stop()
+	samples := time.NewTicker(sampleInterval)
+	defer samples.Stop()
 	p.startLifecycle(p.serving)
 	for p.running > 0 {
 		p.armTimer()
@@ -80,7 +81,7 @@
 			event()
 		case <-p.options.Reload:
 			p.readFile()
-		case <-slots.C:
+		case <-samples.C:
 			p.takeSample()
 		}
 	}
@@ -105,11 +106,13 @@
 
 // ---- Generations ------------------------------------------------------------
 
+// assemble makes a generation of a configuration, without starting it.
 func (p *process) assemble(c *config.Config) (*generation, error) {
 	return assemble(Options{Config: c, Log: p.log, Seed: p.options.Seed})
 }
 
-// newLifecycle returns the lifecycle of a generation, which notifies the process.
+// newLifecycle returns the lifecycle of a generation, which notifies the process of its changes. A non-nil predecessor
+// is a connection to the serving generation of this process.
 func (p *process) newLifecycle(g *generation, predecessor *takeover.Conn) *lifecycle {
 	l := newLifecycle(p.stopContext, g, predecessor)
 	l.onServing = func() {
@@ -117,16 +120,17 @@
 		tookOver := l.Successor.ReceivesConnections()
 		p.post(func() { p.onServing(l, addresses, tookOver) })
 	}
-	l.onHandingOver = func(yes bool) {
+	l.onHandoverChange = func(active bool) {
 		p.post(func() {
 			if l == p.serving {
-				p.carryOut(p.machine.SetPaused(now(), yes))
+				p.carryOut(p.machine.SetPaused(now(), active))
 			}
 		})
 	}
 	return l
 }
 
+// startLifecycle runs a lifecycle in a goroutine of its own. run waits for onEnded of each.
 func (p *process) startLifecycle(l *lifecycle) {
 	p.running++
 	go func() {
@@ -135,7 +139,7 @@
 	}()
 }
 
-// onServing notes that a generation serves, and whether it took over from another process.
+// onServing handles that a generation serves. tookOver reports whether it took over from another process or generation.
 func (p *process) onServing(l *lifecycle, addresses map[string]string, tookOver bool) {
 	if p.options.Serving != nil {
 		p.options.Serving(addresses)
@@ -144,16 +148,16 @@
 		if tookOver {
 			p.machine.ForgiveLastAttempt()
 		}
-		p.followService(p.serving.options.Config)
+		p.followControlPlane(p.serving.options.Config)
 		return
 	}
 	p.serving = l
 	p.successor = nil
 	p.onApplied(nil)
-	p.carryOut(p.machine.SetPaused(now(), false)) // the one before it was busy with it
+	p.carryOut(p.machine.SetPaused(now(), false)) // the predecessor's handover had paused the rollout
 }
 
-// onEnded notes the end of a generation.
+// onEnded handles the end of a generation.
 func (p *process) onEnded(l *lifecycle, err error) {
 	p.running--
 	switch l {
@@ -168,7 +172,8 @@
 	}
 }
 
-// startSuccessor has a generation of another configuration take over from the one that serves.
+// startSuccessor has a generation of another configuration take over from the serving one. An error means that it could
+// not be assembled; onServing or onEnded follows otherwise.
 func (p *process) startSuccessor(c *config.Config) error {
 	g, err := p.assemble(c)
 	if err != nil {
@@ -181,9 +186,9 @@
 	}
 	p.successor = p.newLifecycle(g, toPredecessor)
 	p.startLifecycle(p.successor)
-	from := p.serving
-	go func() {
-		if !from.Loop.Post(func() { from.ReadHello(from.ctx, toSuccessor, answerTimeout) }) {
+	serving := p.serving
+	go func() { // ends once the serving generation takes the event, or takes none any more
+		if !serving.Loop.Post(func() { serving.ReadHello(serving.ctx, toSuccessor, answerTimeout) }) {
 			toSuccessor.Close()
 		}
 	}()
--- a/internal/daemon/rollout_source.go
+++ b/internal/daemon/rollout_source.go
@@ -9,7 +9,7 @@
 	"dunlinsail/internal/xdsclient"
 )
 
-// readFile reads the file again, and offers its version.
+// readFile reads the file again and offers its version to the rollout's machine. A file that cannot be read is logged.
 func (p *process) readFile() {
 	c, err := p.options.Read()
 	if err != nil {
@@ -19,7 +19,7 @@
 	p.carryOut(p.machine.Offer(now(), p.fileVersion(c)))
 }
 
-// fileVersion notes a content of the file, and returns its version.
+// fileVersion keeps a content of the file and returns its version.
 func (p *process) fileVersion(c *config.Config) rollout.Version {
 	p.fileReads++
 	v := rollout.Version{ID: rollout.ID{Source: rollout.SourceFile, Number: p.fileReads}, Digest: digest(c.Text)}
@@ -27,8 +27,9 @@
 	return v
 }
 
-// followService follows the control service that a configuration names, if it is another than before.
-func (p *process) followService(c *config.Config) {
+// followControlPlane follows the control plane of a configuration, if its settings have changed. The client's goroutine
+// ends with stopFollowing.
+func (p *process) followControlPlane(c *config.Config) {
 	if reflect.DeepEqual(p.control, c.ControlPlane) {
 		return
 	}
@@ -44,7 +45,7 @@
 		Settings:     c.ControlPlane,
 		InstanceName: c.Name,
 		Zone:         c.Fleet.Zone,
-		Applied:      p.runningServiceVersion(),
+		Applied:      p.runningControlPlaneVersion(),
 		Log:          p.log,
 		OnUpdate: func(u xdsclient.Update) {
 			p.post(func() {
@@ -65,19 +66,20 @@
 	p.log.Info("following control service", "service", c.ControlPlane.Address)
 }
 
-// runningServiceVersion returns which of the service's versions runs, or will in a moment; nil for none.
-func (p *process) runningServiceVersion() *rollout.ID {
-	pair, _ := p.machine.Running()
+// runningControlPlaneVersion returns the control plane's version that runs, or that is being rolled back to; nil for
+// none.
+func (p *process) runningControlPlaneVersion() *rollout.ID {
+	version, _ := p.machine.Running()
 	if phase, _ := p.machine.Phase(); phase == rollout.PhaseRollingBack {
-		pair = *p.machine.PersistentState().LastKnownGood
+		version = *p.machine.PersistentState().LastKnownGood
 	}
-	if pair.ControlPlane == nil {
+	if version.ControlPlane == nil {
 		return nil
 	}
-	return &pair.ControlPlane.ID
+	return &version.ControlPlane.ID
 }
 
-// onUpdate offers a version that the service sent.
+// onUpdate offers a version that the control plane sent to the rollout's machine.
 func (p *process) onUpdate(u xdsclient.Update) {
 	if u.DecodeError != "" {
 		p.carryOut(p.machine.RejectUnreadable(u.Version, u.DecodeError))
--- a/internal/daemon/rollout_state.go
+++ b/internal/daemon/rollout_state.go
@@ -10,8 +10,8 @@
 	"dunlinsail/internal/decide/rollout"
 )
 
-// restoreVersions finds the configuration to start with: the file, and over it the last known good version of
-// the service. Without a sound one it is the file alone, which is sound by itself.
+// restoreVersions selects the configuration to start with: the last known good version of the control plane over the
+// file, or the file alone if there is no such version that is valid with it.
 func (p *process) restoreVersions() {
 	p.files = map[string]*config.Config{}
 	p.resources = map[string][]config.Resource{}
@@ -39,7 +39,7 @@
 		}
 	}
 	if known.LastKnownGood != nil && !sameContents(known.LastKnownGood, &running) {
-		// Whoever starts the process with another file means it.
+		// A start with another file is a change by the operator, so that its configuration counts as good.
 		known.PreviousGood = known.LastKnownGood
 		known.LastKnownGood = &running
 	}
@@ -54,7 +54,8 @@
 	return a.ControlPlane == nil || *a.ControlPlane == *b.ControlPlane
 }
 
-// loadState returns the state that the process before this one saved, nil if there is none.
+// loadState returns the rollout state that an earlier process saved, nil if there is none. Of an incomplete state it
+// returns what could be read.
 func (p *process) loadState() *rollout.PersistentState {
 	k, from, err := p.cache.Load()
 	if err != nil {
@@ -63,42 +64,45 @@
 	if k == nil {
 		return nil
 	}
-	for _, pair := range []*rollout.LayeredVersion{k.LastKnownGood, k.PreviousGood} {
-		if pair == nil {
+	for _, version := range []*rollout.LayeredVersion{k.LastKnownGood, k.PreviousGood} {
+		if version == nil {
 			continue
 		}
-		if text, err := p.cache.Content(pair.File.Digest); err == nil && digest(text) == pair.File.Digest {
+		if text, err := p.cache.Content(version.File.Digest); err == nil && digest(text) == version.File.Digest {
 			if c, err := config.Parse(text); err == nil {
-				p.files[pair.File.Digest] = c
+				p.files[version.File.Digest] = c
 			}
 		}
 	}
 	return k
 }
 
-// cachedConfig returns the configuration of a cached version over a file.
+// cachedConfig returns the configuration of a cached control plane version over a file. A content that does not match
+// the version's digest is configcache.ErrCorrupt.
 func (p *process) cachedConfig(v *rollout.Version, file *config.Config) (*config.Config, error) {
 	text, err := p.cache.Content(v.Digest)
 	if err != nil {
 		return nil, err
 	}
-	var all []config.Resource
-	if err := json.Unmarshal(text, &all); err != nil {
+	var resources []config.Resource
+	if err := json.Unmarshal(text, &resources); err != nil {
 		return nil, err
 	}
-	if config.Digest(all) != v.Digest {
+	if config.Digest(resources) != v.Digest {
 		return nil, configcache.ErrCorrupt
 	}
-	p.resources[v.Digest] = all
-	return config.Combine(file, all)
+	p.resources[v.Digest] = resources
+	return config.Combine(file, resources)
 }
 
+// digest returns the digest of a file's content, a SHA-256 in hexadecimal digits.
 func digest(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
-// saveState writes the machine's persistent state.
+// saveState writes the machine's persistent state in a goroutine of its own, which stopVersioning waits for, and steps
+// the machine with the result.
 func (p *process) saveState() {
 	if p.cache == nil {
 		p.carryOut(p.machine.HandlePersisted(now(), ""))
@@ -123,7 +127,7 @@
 	})
 }
 
-// stateToSave returns a copy of the persistent state, and the contents that it names.
+// stateToSave returns a copy of the persistent state, and the contents of all versions by digest.
 func (p *process) stateToSave() (*rollout.PersistentState, map[string][]byte, error) {
 	text, err := json.Marshal(p.machine.PersistentState())
 	if err != nil {
@@ -137,34 +141,34 @@
 	for d, c := range p.files {
 		contents[d] = c.Text
 	}
-	for d, all := range p.resources {
-		if contents[d], err = json.Marshal(all); err != nil {
+	for d, resources := range p.resources {
+		if contents[d], err = json.Marshal(resources); err != nil {
 			return nil, nil, err
 		}
 	}
 	return k, contents, nil
 }
 
-// dropUnused drops contents that nothing names any more.
+// dropUnused drops the contents of versions that the machine does not name any more.
 func (p *process) dropUnused() {
 	keep := map[string]bool{}
-	note := func(v *rollout.Version) {
+	mark := func(v *rollout.Version) {
 		if v != nil {
 			keep[v.Digest] = true
 		}
 	}
 	running, _ := p.machine.Running()
 	state := p.machine.PersistentState()
-	for _, pair := range []*rollout.LayeredVersion{&running, state.LastKnownGood, state.PreviousGood} {
-		if pair != nil {
-			note(&pair.File)
-			note(pair.ControlPlane)
+	for _, version := range []*rollout.LayeredVersion{&running, state.LastKnownGood, state.PreviousGood} {
+		if version != nil {
+			mark(&version.File)
+			mark(version.ControlPlane)
 		}
 	}
-	note(p.machine.Pending(rollout.SourceFile))
-	note(p.machine.Pending(rollout.SourceControlPlane))
-	_, work := p.machine.Phase()
-	note(work)
+	mark(p.machine.Pending(rollout.SourceFile))
+	mark(p.machine.Pending(rollout.SourceControlPlane))
+	_, changing := p.machine.Phase()
+	mark(changing)
 	for d := range p.files {
 		if !keep[d] {
 			delete(p.files, d)
@@ -177,8 +181,8 @@
 	}
 }
 
-// stopVersioning ends the versioning with the process. A process that was told to stop did not end because of
-// the version on trial: the attempt is forgiven.
+// stopVersioning ends the versioning with the process. A process that was stopped did not end because of the version
+// that is not confirmed yet, so that this attempt to apply it is not counted.
 func (p *process) stopVersioning() {
 	p.stopFollowing()
 	p.saving.Wait()
--- a/internal/daemon/routes.go
+++ b/internal/daemon/routes.go
@@ -18,7 +18,7 @@
 		d.front.SetRoutes(nil)
 		return
 	}
-	all := &http1.Routes{Table: c.Table, ProxyName: agent(c.Name), SingletonHeaders: map[string]bool{}}
+	all := &http1.Routes{Table: c.Table, ProxyName: proxyName(c.Name), SingletonHeaders: map[string]bool{}}
 	if c.Paths.EncodedSlash == "keep" {
 		all.EncodedSlashes = route.KeepEncodedSlashes
 	}
@@ -28,8 +28,9 @@
 	d.front.SetRoutes(all)
 }
 
-// agent returns a name as Proxy-Status has it: a token, or a string (RFC 9651).
-func agent(name string) string {
+// proxyName returns the instance's name in Proxy-Status, which is a token there (RFC 9651). A name that is not a token
+// of ASCII letters, digits, "-", "_" and "." is replaced by "dunlinsaild".
+func proxyName(name string) string {
 	if name != "" && !strings.ContainsFunc(name, func(r rune) bool {
 		return !('a' <= r && r <= 'z' || 'A' <= r && r <= 'Z' || '0' <= r && r <= '9' || strings.ContainsRune("-_.", r))
 	}) && (name[0] < '0' || name[0] > '9') {
@@ -38,8 +39,9 @@
 	return "dunlinsaild"
 }
 
-// routeOf returns a route as the front takes it, and notes which headers it goes by.
-func (d *generation) routeOf(c *config.Config, i int, decisive map[string]bool) http1.Route {
+// routeOf returns the configuration's i-th route as the frontend takes it. It adds the headers that the route matches
+// or takes values from to singleton: a request may have each of them once.
+func (d *generation) routeOf(c *config.Config, i int, singleton map[string]bool) http1.Route {
 	conf := &c.Routes[i]
 	classOf := func(name string) uint8 {
 		if conf.Class != "" {
@@ -53,11 +55,11 @@
 		case text == "":
 		case kind == "header":
 			name = http.CanonicalHeaderKey(name)
-			decisive[name] = true
+			singleton[name] = true
 			return http1.ValueSource{Kind: http1.FromHeader, Name: name}
 		case kind == "path":
-			place, _ := c.Table.ParameterIndex(i, name)
-			return http1.ValueSource{Kind: http1.FromPathSegment, Segment: place}
+			segment, _ := c.Table.ParameterIndex(i, name)
+			return http1.ValueSource{Kind: http1.FromPathSegment, Segment: segment}
 		case text == "client":
 			return http1.ValueSource{Kind: http1.FromClientName}
 		default:
@@ -84,23 +86,24 @@
 		AddPrefix:        conf.AddPrefix,
 		TrustForwarded:   conf.Trusted,
 		ForwardedMode:    http1.ForwardedMode(slices.Index(config.ForwardedModes, conf.Forwarded)),
-		RequestEdits:     edits(&conf.Request),
-		ResponseEdits:    edits(&conf.Response),
+		RequestEdits:     headerEdits(&conf.Request),
+		ResponseEdits:    headerEdits(&conf.Response),
 	}
 	for name := range conf.Headers {
-		decisive[http.CanonicalHeaderKey(name)] = true
+		singleton[http.CanonicalHeaderKey(name)] = true
 	}
-	r.SafePolicy = upstreamRules(c, conf, r.SafeClass, r.Deadline)
-	r.UnsafePolicy = upstreamRules(c, conf, r.UnsafeClass, r.Deadline)
+	r.SafePolicy = responsePolicy(c, conf, r.SafeClass, r.Deadline)
+	r.UnsafePolicy = responsePolicy(c, conf, r.UnsafeClass, r.Deadline)
 	return r
 }
 
-// upstreamRules returns how a route's requests of a class are sent, and their responses judged.
-func upstreamRules(
+// responsePolicy returns the limits of a route's requests of a class, and the statuses that count as failure or
+// rejection.
+func responsePolicy(
 	c *config.Config, conf *config.Route, class uint8, deadline http1.ValueSource,
 ) *upstream.ResponsePolicy {
 	settings := &c.Site.Settings.Classes[class]
-	x := &upstream.ResponsePolicy{
+	policy := &upstream.ResponsePolicy{
 		NonIdempotent:   settings.Idempotency == balancer.NonIdempotent,
 		MaxBuffered:     conf.MaxResponseHeld.Bytes,
 		MaxBytes:        conf.MaxResponse.Bytes,
@@ -109,28 +112,29 @@
 		ResponseTimeout: c.Classes[class].ClientTimeout.Duration,
 	}
 	if deadline.Kind == http1.FromHeader {
-		x.DeadlineHeader = deadline.Name
+		policy.DeadlineHeader = deadline.Name
 	}
 	for _, code := range conf.ErrorStatuses {
-		x.FailureStatus[code] = true
+		policy.FailureStatus[code] = true
 	}
 	for _, code := range conf.RejectionStatuses {
-		x.RejectedStatus[code] = true
+		policy.RejectedStatus[code] = true
 	}
-	return x
+	return policy
 }
 
-func edits(e *config.HeaderEdits) http1.HeaderEdits {
-	canonical := func(of map[string]string) map[string]string {
+// headerEdits returns the configuration's edits of headers as the frontend takes them, with canonical names.
+func headerEdits(e *config.HeaderEdits) http1.HeaderEdits {
+	canonical := func(values map[string]string) map[string]string {
 		all := map[string]string{}
-		for name, v := range of {
-			all[http.CanonicalHeaderKey(name)] = v
+		for name, value := range values {
+			all[http.CanonicalHeaderKey(name)] = value
 		}
 		return all
 	}
-	x := http1.HeaderEdits{Set: canonical(e.Set), Add: canonical(e.Add)}
+	edits := http1.HeaderEdits{Set: canonical(e.Set), Add: canonical(e.Add)}
 	for _, name := range e.Remove {
-		x.Remove = append(x.Remove, http.CanonicalHeaderKey(name))
+		edits.Remove = append(edits.Remove, http.CanonicalHeaderKey(name))
 	}
-	return x
+	return edits
 }
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
+	"fmt"
 	"net"
 	"os"
 
@@ -10,9 +12,11 @@
 	"dunlinsail/internal/takeover"
 )
 
-// The methods of this file carry out what the successor's state machine says (takeover.SuccessorHost).
+// The methods of this file implement takeover.SuccessorHost: they carry out the commands of the successor's state
+// machine.
 
-// ReceiveOffer takes the listening sockets that are offered.
+// ReceiveOffer keeps the offered snapshot and adopts the offered sockets. One that cannot be adopted is logged, and
+// this generation opens its own.
 func (l *lifecycle) ReceiveOffer(m takeover.Message) {
 	if err := json.Unmarshal(m.Payload, &l.offer); err != nil {
 		l.log.Warn("offer rejected", "error", err)
@@ -37,12 +41,12 @@
 	l.offer.Listeners = l.offer.Listeners[:min(len(l.offer.Listeners), len(l.offeredListeners))]
 }
 
-// StartWithOffer starts all but accepting, with the sockets and the snapshot that were offered.
+// StartWithOffer starts everything except accepting, with the offered sockets and snapshot.
 func (l *lifecycle) StartWithOffer() error {
 	var names []string
 	for i, name := range l.offer.Listeners {
 		if l.offeredListeners[i] == nil {
-			name = "" // cannot be used
+			name = "" // no listener of the configuration has this name
 		}
 		names = append(names, name)
 	}
@@ -58,8 +62,8 @@
 	return nil
 }
 
-// resumeWatches has the endpoint watches go on where the predecessor's stand: a complete list might be older
-// than what it has sent.
+// resumeWatches has the endpoint watches continue from the predecessor's generations, because a complete list might be
+// older than the updates that the predecessor has received.
 func (l *lifecycle) resumeWatches(snapshot *engine.Snapshot) {
 	for name, p := range l.pools {
 		from := snapshot.Pool(name)
@@ -69,7 +73,7 @@
 	}
 }
 
-// WaitReady returns nil once the core could serve.
+// WaitReady returns nil once an endpoint can serve, or an error once ctx ends.
 func (l *lifecycle) WaitReady(ctx context.Context) error { return l.core.WaitReady(ctx) }
 
 // RestoreHandover restores the snapshot that came with the handover.
@@ -77,7 +81,8 @@
 	l.restore(l.decodeState(snapshot, "at the handover"), "at the handover")
 }
 
-// decodeState decodes a snapshot. One that cannot be read is logged: then this generation starts with less.
+// decodeState decodes a snapshot. One that cannot be decoded is logged and returned as nil, and this generation starts
+// without it.
 func (l *lifecycle) decodeState(encoded []byte, when string) *takeover.State {
 	state, err := takeover.DecodeState(encoded)
 	if err != nil {
@@ -87,7 +92,7 @@
 	return state
 }
 
-// restore restores what the predecessor learned; nil is nothing.
+// restore restores the state that the predecessor learned. A nil state is none.
 func (l *lifecycle) restore(state *takeover.State, when string) {
 	if state == nil {
 		return
@@ -104,27 +109,26 @@
 		}
 		l.core.ApplyMaintenancePlan(*l.inheritedPlan)
 	}
-	l.log.Info("snapshot restored", "when", when, "pools", len(state.Snapshot.Pools),
-		"skipped", skipped)
+	l.log.Info("snapshot restored", "when", when, "pools", len(state.Snapshot.Pools), "skipped", skipped)
 }
 
-// StartAlone starts without a predecessor, unless that was to be one in this process.
+// StartAlone starts without a predecessor. It is an error for a generation that was to take over in this process.
 func (l *lifecycle) StartAlone() error {
 	if l.inProcess {
-		return errorf("what served in this process has ended")
+		return errors.New("what served in this process has ended")
 	}
 	return l.serveAlone()
 }
 
-// StartError returns why this generation ends before it served; nil if it was told to stop.
+// StartError returns the error of a generation that ends before it serves; nil after an order to stop.
 func (l *lifecycle) StartError(reason string) error {
 	if l.stop.Err() != nil {
 		return nil
 	}
-	return errorf("takeover: %s", reason)
+	return fmt.Errorf("takeover: %s", reason)
 }
 
-// StartServing joins the fleet, and accepts clients and, where the configuration says so, successors.
+// StartServing joins the fleet, and accepts clients, and successors if the configuration has a socket for them.
 func (l *lifecycle) StartServing() {
 	l.serving = true
 	l.joinFleet()
@@ -142,7 +146,7 @@
 	l.onServing()
 }
 
-// closeUnusedListeners closes the sockets that were offered and are not in this generation's file.
+// closeUnusedListeners closes the offered sockets that are not in this generation's configuration.
 func (l *lifecycle) closeUnusedListeners() {
 	for i, listener := range l.offeredListeners {
 		if listener == nil {
@@ -156,8 +160,7 @@
 	}
 }
 
-// listenForSuccessors accepts successors at the configuration's path, on the predecessor's socket where it is
-// the same.
+// listenForSuccessors accepts successors at the configured path, on the predecessor's socket if that has the same path.
 func (l *lifecycle) listenForSuccessors() {
 	path := l.options.Config.Takeover.Socket
 	if l.successorListener != nil && l.successorListener.Path() != path {
@@ -179,13 +182,14 @@
 	}
 }
 
+// acceptSuccessors starts the accept loop for successors. Its goroutine ends when the listener is paused or closed.
 func (l *lifecycle) acceptSuccessors() {
 	listener := l.successorListener
 	listener.SetPaused(false)
 	l.accepting.Go(func() { l.AcceptSuccessors(l.ctx, listener, answerTimeout) })
 }
 
-// AdoptConnection serves a connection that the predecessor handed over, or holds it until this generation serves.
+// AdoptConnection serves a connection that the predecessor handed over, now or once this generation serves.
 func (l *lifecycle) AdoptConnection(conn net.Conn) {
 	if !l.serving {
 		l.earlyConns = append(l.earlyConns, conn)
@@ -194,7 +198,8 @@
 	l.adopt(conn)
 }
 
-// adopt serves a connection that was accepted by one of this generation's listeners, and closes any other.
+// adopt serves a connection that was accepted at the address of one of this generation's listeners, and closes any
+// other.
 func (l *lifecycle) adopt(conn net.Conn) {
 	local := conn.LocalAddr()
 	for _, listener := range l.listeners {
@@ -208,5 +213,5 @@
 	conn.Close()
 }
 
-// PredecessorLeaving does nothing: the machine's own events are enough.
+// PredecessorLeaving does nothing: the daemon keeps no state of the connection to the predecessor.
 func (l *lifecycle) PredecessorLeaving(*takeover.Conn) {}
