--- a/cmd/dunlinsail/upgrade_test.go
+++ b/cmd/dunlinsail/upgrade_test.go
@@ -2,290 +2,26 @@
 
 import (
 	"bufio"
-	"bytes"
-	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"net"
-	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"regexp"
 	"strings"
-	"sync"
-	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
 	"dunlinsail/internal/decide/cordon"
 	decide "dunlinsail/internal/decide/takeover"
-	"dunlinsail/internal/fake/freeport"
 	"dunlinsail/internal/fake/scriptedpeer"
 	"dunlinsail/internal/takeover"
 )
 
-// within is how long the platform waits for a new process.
-const readyTimeout = 6 * time.Second
-
-// host is what the platform holds for one sidecar: the clients' listening socket and a folder.
-type host struct {
-	t        *testing.T
-	ln       *os.File
-	addr     string
-	dir      string
-	config   string
-	requests [2]atomic.Int64 // requests at the endpoints s-0 and s-1
-	hold     atomic.Pointer[chan struct{}]
-
-	processes int // that were started
-}
-
-// programs are what the first, third, ... and the second, fourth, ... process of a host run: this build's
-// program, unless .ci/mixed-restart names that of another build.
-var programs = [2]string{
-	cmp.Or(os.Getenv("DUNLINSAIL_PREDECESSOR"), os.Args[0]),
-	cmp.Or(os.Getenv("DUNLINSAIL_SUCCESSOR"), os.Args[0]),
-}
-
-func newHost(t *testing.T) *host {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	f, err := ln.(*net.TCPListener).File()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { f.Close() })
-	h := &host{t: t, ln: f, addr: ln.Addr().String(), dir: t.TempDir()}
-	var list []string
-	for i := range h.requests {
-		addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-			if h.requests[i].Add(1); r.URL.Path == "/pay/held" {
-				<-*h.hold.Load()
-			}
-			io.Copy(w, r.Body)
-			io.WriteString(w, "ok")
-		})
-		list = append(list, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":"%s","lifecycle":"up"}`, i, addr))
-	}
-	text := strings.Replace(config, `{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"up"}`, strings.Join(list, ","), 1)
-	text = strings.Replace(text, `"classes":[`, `"classes":[{"name":"pay","repeat":"side_effect","target":5000000,"give-up":9000000,"credit":5.0},`, 1)
-	h.config = filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(h.config, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	return h
-}
-
-// process is one version of the sidecar.
-type process struct {
-	h            *host
-	cmd          *exec.Cmd
-	adminAddress string
-	log          bytes.Buffer
-	ended        chan error
-}
-
-// start starts a process without waiting for it.
-func (h *host) start() *process {
-	h.t.Helper()
-	program := programs[h.processes%len(programs)]
-	h.processes++
-	return h.startAs(program)
-}
-
-func (h *host) startAs(program string) *process {
-	h.t.Helper()
-	desk, err := freeport.Free()
-	if err != nil {
-		h.t.Fatal(err)
-	}
-	p := &process{h: h, adminAddress: desk, cmd: exec.Command(program), ended: make(chan error, 1)}
-	p.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+h.config, "ROUTER_LISTEN="+h.addr, "ROUTER_OPERATOR="+desk,
-		"ROUTER_INHERITED_FD=3", "TMPDIR="+h.dir,
-		"GORACE=atexit_sleep_ms=0") // the detector's own wait at the end is none of the program's
-	p.cmd.ExtraFiles = []*os.File{h.ln}
-	p.cmd.Stderr = &p.log
-	if err := p.cmd.Start(); err != nil {
-		h.t.Fatal(err)
-	}
-	go func() { p.ended <- p.cmd.Wait() }()
-	h.t.Cleanup(func() { p.cmd.Process.Kill() })
-	return p
-}
-
-// call makes an operator's call.
-func (p *process) call(method, path, body string) (int, string) {
-	r, err := http.NewRequest(method, "http://"+p.adminAddress+path, strings.NewReader(body))
-	if err != nil {
-		p.h.t.Fatal(err)
-	}
-	resp, err := (&http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
-	if err != nil {
-		return 0, err.Error()
-	}
-	defer resp.Body.Close()
-	text, _ := io.ReadAll(resp.Body)
-	return resp.StatusCode, string(text)
-}
-
-func (p *process) setCordon(action, target string) {
-	p.h.t.Helper()
-	if code, text := p.call("POST", "/endpoints/"+action, `{"target":"`+target+`"}`); code != 200 {
-		p.h.t.Fatalf("%s %s: %d %s", action, target, code, text)
-	}
-}
-
-// ready waits until a process takes clients.
-func (p *process) ready() *process {
-	p.h.t.Helper()
-	for end := time.Now().Add(readyTimeout); ; time.Sleep(5 * time.Millisecond) {
-		if code, _ := p.call("GET", "/ready", ""); code == 200 {
-			return p
-		}
-		select {
-		case err := <-p.ended:
-			p.h.t.Fatalf("ended: %v\n%s", err, p.log.String())
-		default:
-		}
-		if time.Now().After(end) {
-			p.cmd.Process.Kill()
-			<-p.ended
-			p.h.t.Fatalf("not ready within %v:\n%s", readyTimeout, p.log.String())
-		}
-	}
-}
-
-// restored checks, once a process has ended, that all its predecessor learned arrived: at its start, and again
-// at the handover.
-func (p *process) restored() {
-	p.h.t.Helper()
-	all := regexp.MustCompile(restoredLine).FindAllStringSubmatch(p.log.String(), -1)
-	if len(all) != 2 || all[0][1]+all[0][2] != "at the start" || all[1][1]+all[1][2] != "at the handover" {
-		p.h.t.Errorf("what was learned arrived %q:\n%s", all, p.log.String())
-		return
-	}
-	p.h.t.Logf("%s: %s; %s", filepath.Base(p.cmd.Path), all[0][0], all[1][0])
-}
-
-// restoredLine matches the log line of a snapshot that was restored completely; the second form is that of
-// builds before this message was renamed.
-const restoredLine = `msg="(?:snapshot restored" when="(at the [a-z]+)" skipped|` +
-	`what the other process learned is taken over" when="(at the [a-z]+)" "passed over")=\[\]`
-
-// ends waits for a process that was told to stop, or has handed over.
-func (p *process) ends() {
-	p.h.t.Helper()
-	if err := scriptedpeer.Receive(p.h.t, p.ended, "end"); err != nil {
-		p.h.t.Errorf("ended with %v\n%s", err, p.log.String())
-	}
-}
-
-var ids atomic.Int64
-
-func requestHead(method, path, more string) string {
-	class, _, _ := strings.Cut(path[1:], "/")
-	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %d\r\nX-Qos: %s\r\n%s\r\n", method, path, ids.Add(1), class, more)
-}
-
-// ask sends a request on a connection and returns the answer's status.
-func exchange(c net.Conn, r *bufio.Reader, text string) (int, error) {
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	if _, err := io.WriteString(c, text); err != nil {
-		return 0, err
-	}
-	resp, err := http.ReadResponse(r, nil)
-	if err != nil {
-		return 0, err
-	}
-	_, err = io.Copy(io.Discard, resp.Body)
-	return resp.StatusCode, err
-}
-
-func (h *host) requestOnce(method, path, more string) {
-	h.t.Helper()
-	c, err := net.Dial("tcp", h.addr)
-	if err != nil {
-		h.t.Fatal(err)
-	}
-	defer c.Close()
-	if code, err := exchange(c, bufio.NewReader(c), requestHead(method, path, more)); code != 200 {
-		h.t.Fatalf("answered %d, %v", code, err)
-	}
-}
-
-// open has a client whose request is open at an endpoint until h.hold lets it go, and returns where its
-// answer's status comes.
-func (h *host) openRequest() <-chan int {
-	h.t.Helper()
-	c, err := net.Dial("tcp", h.addr)
-	if err != nil {
-		h.t.Fatal(err)
-	}
-	h.t.Cleanup(func() { c.Close() })
-	before := h.requests[0].Load() + h.requests[1].Load()
-	answered := make(chan int, 1)
-	go func() {
-		code, _ := exchange(c, bufio.NewReader(c), requestHead("POST", "/pay/held", "Content-Length: 0\r\n"))
-		answered <- code
-	}()
-	scriptedpeer.Eventually(h.t, "request at an endpoint", func() bool { return h.requests[0].Load()+h.requests[1].Load() > before })
-	return answered
-}
-
-// load has clients ask all the time, each on a connection that it keeps and every fourth time on a new one, until the
-// returned function is called. It returns how many asked, and fails the test for each that was not served.
-func (h *host) load(clients int) (stop func() int64) {
-	// A sidecar that knows nothing yet guesses long times, and refuses what comes at once beyond what they allow.
-	for range 10 {
-		h.requestOnce("POST", "/pay/1", "Content-Length: 0\r\n")
-	}
-	var done atomic.Bool
-	var asked atomic.Int64
-	var all sync.WaitGroup
-	for range clients {
-		all.Go(func() {
-			var c net.Conn
-			var r *bufio.Reader
-			for n := 0; !done.Load(); n++ {
-				if n%4 == 0 {
-					if c != nil {
-						if n := r.Buffered(); n != 0 {
-							h.t.Errorf("%d bytes behind an answer", n)
-						}
-						c.Close()
-					}
-					var err error
-					if c, err = net.Dial("tcp", h.addr); err != nil {
-						h.t.Error("at the door:", err)
-						return
-					}
-					r = bufio.NewReader(c)
-				}
-				asked.Add(1)
-				// Unsafe, so that none is given up and asked for elsewhere because the machine is slow.
-				if code, err := exchange(c, r, requestHead("POST", "/pay/1", "Content-Length: 0\r\n")); code != 200 {
-					h.t.Errorf("answered %d, %v", code, err)
-					return
-				}
-			}
-			c.Close()
-		})
-	}
-	return func() int64 {
-		done.Store(true)
-		all.Wait()
-		return asked.Load()
-	}
-}
-
 // Three versions follow one another under load: no connection is rejected, a request half sent and one
 // whose answer is waited for are answered, kept connections go on, and an endpoint that is out stays out until
 // it is let in again.
@@ -418,41 +154,6 @@
 	}
 }
 
-// actAsPredecessor listens as the process that serves.
-func (h *host) actAsPredecessor() *takeover.Listener {
-	h.t.Helper()
-	ln, err := takeover.Listen(filepath.Join(h.dir, "dunlinsail.takeover"))
-	if err != nil {
-		h.t.Fatal(err)
-	}
-	h.t.Cleanup(func() { ln.Close() })
-	return ln
-}
-
-// connectAsSuccessor connects as a process that wants to take over, and goes so many steps: asked, ready, prepared.
-func (h *host) connectAsSuccessor(steps int) *takeover.Conn {
-	h.t.Helper()
-	c, err := takeover.Dial(filepath.Join(h.dir, "dunlinsail.takeover"))
-	if err != nil {
-		h.t.Fatal(err)
-	}
-	for _, kind := range []decide.Event{decide.Hello, decide.Ready, decide.Prepared}[:steps] {
-		m := takeover.Message{Kind: kind}
-		if kind == decide.Hello {
-			m.Payload = fmt.Append(nil, decide.Version)
-		}
-		if err := c.Write(m); err != nil {
-			h.t.Fatal(err)
-		}
-		got, err := c.ReadWithin(scriptedpeer.WaitTimeout)
-		if err != nil {
-			h.t.Fatal(err)
-		}
-		got.CloseFiles()
-	}
-	return c
-}
-
 // The predecessor is told to stop at each step of a handover to one that falls silent there, or is lost as the
 // order comes. What it has taken is answered, and what its clients send whole later is by the time at which the
 // platform kills it: 3 s, the longest that counts, and 0.7 s. The endpoint that has the later one never
--- a/internal/daemon/helper_test.go
+++ b/internal/daemon/helper_test.go
@@ -386,3 +386,21 @@
 
 // quietLog is a log of package log that nobody reads.
 func quietLog() *log.Logger { return log.New(io.Discard, "", 0) }
+
+// settled waits until nothing is open any more.
+func (r *running) settled(t *testing.T) {
+	t.Helper()
+	scriptedpeer.Eventually(t, "nothing open", func() bool {
+		for _, p := range r.pools {
+			if counts := p.endpoints.Counts(); counts.Queued+counts.InFlight+counts.OpenCalls > 0 {
+				return false
+			}
+		}
+		for _, h := range r.clients.usage() {
+			if h.Open != 0 || h.Bytes != 0 {
+				return false
+			}
+		}
+		return true
+	})
+}
--- /dev/null
+++ b/internal/daemon/pool_changes_test.go
@@ -0,0 +1,171 @@
+package daemon
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"dunlinsail/internal/fake/scriptedpeer"
+	"dunlinsail/internal/fake/webapp"
+)
+
+const twoPools = `
+[[listener]]
+address = "127.0.0.1:0"
+[[pool]]
+name = "one"
+endpoints = [ONE]
+BUDGET
+[[pool]]
+name = "two"
+endpoints = [TWO]
+[[route]]
+path = "/one/*"
+pool = "one"
+[[route]]
+path = "/two/*"
+pool = "two"
+`
+
+// A route that is taken away while its requests stream: they end whole where they are, and the next go elsewhere.
+func TestRouteTakenAwayWhileItStreams(t *testing.T) {
+	more := make(chan struct{})
+	old := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+		if _, err := scriptedpeer.ReadRequest(r); err == nil {
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"+strings.Repeat("x", 100_000))
+			<-more
+			io.WriteString(c, strings.Repeat("y", 100_000))
+			r.Peek(1)
+		}
+	})
+	b := newApp(t, nil)
+	text := strings.Replace(twoPools, "BUDGET", "", 1)
+	d, addr := routed(t, text, "ONE", `"`+old+`"`, "TWO", addrs(b))
+	k := dial(t, "tcp", addr)
+	io.WriteString(k, "GET /one/1 HTTP/1.1\r\nHost: h\r\n\r\n")
+	k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+	resp, err := http.ReadResponse(k.r, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	was := d.pools["one"]
+	next := strings.Replace(text, "path = \"/one/*\"\npool = \"one\"", "path = \"/one/*\"\npool = \"two\"", 1)
+	next = strings.Replace(next, "[[pool]]\nname = \"one\"\nendpoints = [ONE]", "", 1)
+	d.changed(t, parse(t, next, "TWO", addrs(b)))
+	if resp, _ := dial(t, "tcp", addr).request(t, "GET /one/2 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 || b.RequestCount() != 1 {
+		t.Errorf("after the change: %s, %d asked there", resp.Status, b.RequestCount())
+	}
+	if counts := was.endpoints.Counts(); counts.OpenCalls != 1 {
+		t.Errorf("%d calls are open", counts.OpenCalls)
+	}
+	close(more)
+	if got, err := io.ReadAll(resp.Body); err != nil || len(got) != 200_000 {
+		t.Errorf("what streamed: %d bytes, %v", len(got), err)
+	}
+	if resp, _ := k.request(t, "GET /one/3 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 || b.RequestCount() != 2 {
+		t.Errorf("the same connection afterwards: %s", resp.Status)
+	}
+	d.settled(t)
+}
+
+// A pool that is emptied is refused at once, with advice when to return; once it is refilled it serves, and whoever
+// was served or refused meanwhile was told the truth.
+func TestPoolEmptiedAndRefilled(t *testing.T) {
+	var ran sync.Map
+	a := newApp(t, func(id string, whole bool) { ran.Store(id, whole) })
+	d, addr := routed(t, eight, "ADDRS", addrs(a))
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	var served, refused, other atomic.Int64
+	var clients sync.WaitGroup
+	for i := range 4 {
+		clients.Go(func() {
+			tr := &http.Transport{}
+			defer tr.CloseIdleConnections()
+			for n := 0; ctx.Err() == nil; n++ {
+				q, _ := http.NewRequest("POST", "http://"+addr+"/", strings.NewReader("x"))
+				id := fmt.Sprint(i, "-", n)
+				q.Header.Set("X-Id", id)
+				resp, err := tr.RoundTrip(q)
+				if err != nil {
+					other.Add(1)
+					continue
+				}
+				io.Copy(io.Discard, resp.Body)
+				resp.Body.Close()
+				_, did := ran.Load(id)
+				switch {
+				case resp.StatusCode == 200 && did:
+					served.Add(1)
+				case resp.StatusCode == 503 && !did && resp.Header.Get("Retry-After") != "" && resp.Header.Get("Proxy-Status") != "":
+					refused.Add(1)
+				default:
+					other.Add(1)
+				}
+			}
+		})
+	}
+	for range 3 {
+		s, r := served.Load(), refused.Load()
+		scriptedpeer.Eventually(t, "requests served", func() bool { return served.Load() > s+50 })
+		d.changed(t, parse(t, eight, "ADDRS", ""))
+		scriptedpeer.Eventually(t, "requests refused", func() bool { return refused.Load() > r+50 })
+		d.changed(t, parse(t, eight, "ADDRS", addrs(a)))
+	}
+	s := served.Load()
+	scriptedpeer.Eventually(t, "requests served", func() bool { return served.Load() > s+50 })
+	cancel()
+	clients.Wait()
+	if n := other.Load(); n > 0 {
+		t.Errorf("%d of %d were neither served nor truly refused", n, served.Load()+refused.Load()+n)
+	}
+	d.settled(t)
+}
+
+// While every endpoint of a pool fails, no more than its share of further tries arrives there; without a budget far
+// more do. Another pool is served as before.
+func TestRetryBudget(t *testing.T) {
+	const requests = 100
+	arrivals := func(budget string) (n int64) {
+		good := newApp(t, nil)
+		var bad []*webapp.App
+		for range 20 { // the breaker of each lets some through before it knows
+			bad = append(bad, newApp(t, nil))
+			bad[len(bad)-1].SetStatus(500)
+		}
+		d, addr := routed(t, twoPools, "ONE", addrs(bad...), "TWO", addrs(good), "BUDGET", budget)
+		k, beside := dial(t, "tcp", addr), dial(t, "tcp", addr)
+		for i := range requests {
+			// What the breaker turns away is refused; what was tried has the endpoint's own words.
+			resp, _ := k.request(t, "GET /one/1 HTTP/1.1\r\nHost: h\r\n\r\n")
+			if resp.StatusCode != 500 && resp.StatusCode != 503 || (resp.StatusCode == 500) != (resp.Header.Get("Proxy-Status") == "") {
+				t.Fatalf("%s, %v", resp.Status, resp.Header)
+			}
+			if i%10 == 0 {
+				if resp, _ := beside.request(t, "GET /two/1 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
+					t.Fatalf("the other pool: %s", resp.Status)
+				}
+			}
+		}
+		d.settled(t)
+		for _, a := range bad {
+			n += a.RequestCount()
+		}
+		return n
+	}
+	with, without := arrivals("retry_budget = 0.1\nretry_least = 0.0"), arrivals("retry_budget = 10.0")
+	if with > requests+requests/10 {
+		t.Errorf("%d requests arrived as %d with a budget of a tenth", requests, with)
+	}
+	if without < with+requests/10 {
+		t.Errorf("%d arrived without a budget, %d with one", without, with)
+	}
+}
--- /dev/null
+++ b/internal/daemon/predecessor_test.go
@@ -0,0 +1,175 @@
+package daemon
+
+import (
+	"strings"
+	"syscall"
+	"testing"
+
+	decide "dunlinsail/internal/decide/takeover"
+	"dunlinsail/internal/fake/endpoint"
+	"dunlinsail/internal/fake/scriptedpeer"
+	"dunlinsail/internal/takeover"
+)
+
+// A snapshot that is truncated, spoilt, of another version, another configuration or another discovery is refused
+// as far as it does not fit, and the new process serves all the same, with what discovery tells it.
+func TestSnapshotsThatDoNotMatch(t *testing.T) {
+	w := newWorld(t, 1, endpoint.Options{})
+	d := start(t, w.config(t))
+	k := dial(t, "tcp", d.addrs["desk"])
+	for range 20 {
+		k.request(t, request("look", 900, ""))
+	}
+	state := func(edit func(*takeover.State)) []byte {
+		s := &takeover.State{TakenAt: takeover.Monotonic(), Snapshot: d.core.Snapshot()}
+		edit(s)
+		return must(s.Encode())
+	}
+	good := state(func(*takeover.State) {})
+	spoilt := append([]byte{}, good...)
+	spoilt[len(spoilt)/2] ^= 1
+	version := append([]byte{}, good...)
+	version[7]++
+	rename := func(old, new string) func(s *takeover.State) {
+		return func(s *takeover.State) {
+			classes := s.Snapshot.Pools[0].Classes
+			for i := range classes {
+				classes[i].Name = strings.ReplaceAll(classes[i].Name, old, new)
+			}
+		}
+	}
+	for _, tc := range []struct {
+		name  string
+		state []byte
+		taken bool // the endpoint's record is known afterwards
+	}{
+		{"good", good, true},
+		{"nothing", nil, false},
+		{"truncated", good[:len(good)-10], false},
+		{"only a head", good[:20], false},
+		{"spoilt", spoilt, false},
+		{"another version", version, false},
+		{"another discovery", state(func(s *takeover.State) { s.Snapshot.Pools[0].Source = "discovery 127.0.0.1:1" }), false},
+		{"another class", state(rename("book", "cancel")), true},
+		{"no class that is known", state(func(s *takeover.State) { rename("o", "0")(s); rename("a", "4")(s) }), true},
+		{"names missing", state(func(s *takeover.State) { s.Snapshot.Pools[0].LearnedNames = nil }), false},
+		{"so old that nothing of it counts", state(func(s *takeover.State) { s.TakenAt -= 3600_000_000 }), false},
+		{"from the future", state(func(s *takeover.State) { s.TakenAt += 3600_000_000 }), true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			w := &testFleet{discovery: w.discovery, ledger: w.ledger, endpoints: w.endpoints, dir: t.TempDir()}
+			c := w.config(t)
+			var next *running
+			var serving <-chan map[string]string
+			g := actAsPredecessor(t, c.Takeover.Socket, func() { next, serving = launch(t, c, testLog()) })
+			g.send(decide.Offer, `{"State":"`+base64(tc.state)+`"}`)
+			g.expect(decide.Ready)
+			if err := g.Write(takeover.Message{Kind: decide.Handover, Payload: tc.state}); err != nil {
+				t.Fatal(err)
+			}
+			g.expect(decide.Prepared)
+			g.send(decide.Activate, "")
+			next.addrs = scriptedpeer.Receive(t, serving, "a daemon that serves")
+			s := next.core.Snapshot().Pools[0]
+			known := len(s.Learned.Endpoints) == 1 && len(s.Learned.Endpoints[0].BreakerWindow) > 0
+			if known != tc.taken {
+				t.Errorf("known afterwards: %v, want %v", known, tc.taken)
+			}
+			if resp, body := dial(t, "tcp", next.addrs["desk"]).request(t, request("look", 900, "")); resp.StatusCode != 200 {
+				t.Errorf("it answers %s: %s", resp.Status, body)
+			}
+		})
+	}
+}
+
+// What a predecessor does out of order or not at all, a successor survives or gives up, and never accepts
+// before its turn.
+func TestPredecessorIsLost(t *testing.T) {
+	w := newWorld(t, 1, endpoint.Options{})
+	for _, tc := range []struct {
+		name   string
+		do     func(g *scriptedPredecessor)
+		serves bool
+	}{
+		{"killed before it offers", func(g *scriptedPredecessor) { g.ln.Close(); g.Close() }, true},
+		{"killed after it has offered", func(g *scriptedPredecessor) { g.send(decide.Offer, "{}"); g.Close() }, true},
+		{"killed before it lets go", func(g *scriptedPredecessor) { g.send(decide.Offer, "{}"); g.expect(decide.Ready); g.Close() }, true},
+		{"killed before its last word", func(g *scriptedPredecessor) {
+			g.send(decide.Offer, "{}")
+			g.expect(decide.Ready)
+			g.send(decide.Handover, "")
+			g.expect(decide.Prepared)
+			g.Close()
+		}, true},
+		{"told to stop meanwhile", func(g *scriptedPredecessor) {
+			w.discovery.SetSilent(true) // without an endpoint it does not become ready before the handover
+			g.Cleanup(func() { w.discovery.SetSilent(false) })
+			g.send(decide.Offer, "{}")
+			g.send(decide.Handover, "")
+			g.waitReceived()
+			w.discovery.SetSilent(false)
+			g.expect(decide.Prepared)
+			g.send(decide.Activate, "")
+			g.send(decide.Done, "")
+		}, true},
+		{"says no", func(g *scriptedPredecessor) { g.send(decide.Rejected, "another takeover is under way") }, false},
+		{"says no late", func(g *scriptedPredecessor) {
+			g.send(decide.Offer, "{}")
+			g.expect(decide.Ready)
+			g.send(decide.Handover, "")
+			g.expect(decide.Prepared)
+			g.send(decide.Rejected, "no answer in time")
+		}, false},
+		{"offers nonsense", func(g *scriptedPredecessor) {
+			g.send(decide.Offer, "}")
+			g.expect(decide.Ready)
+			g.send(decide.Handover, "nonsense")
+			g.expect(decide.Prepared)
+			g.send(decide.Activate, "")
+		}, true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			w := &testFleet{discovery: w.discovery, ledger: w.ledger, endpoints: w.endpoints, dir: t.TempDir()}
+			c := w.config(t)
+			var next *running
+			var serving <-chan map[string]string
+			g := actAsPredecessor(t, c.Takeover.Socket, func() { next, serving = launch(t, c, testLog()) })
+			tc.do(g)
+			if !tc.serves {
+				if err := scriptedpeer.Receive(t, next.ended, "end"); err == nil || !strings.Contains(err.Error(), "says no") {
+					t.Errorf("it ended with %v", err)
+				}
+				if len(serving) != 0 {
+					t.Error("it served")
+				}
+				return
+			}
+			next.addrs = scriptedpeer.Receive(t, serving, "a daemon that serves")
+			scriptedpeer.Eventually(t, "answers", func() bool {
+				resp, _ := dial(t, "tcp", next.addrs["desk"]).request(t, request("look", 900, ""))
+				return resp.StatusCode == 200
+			})
+		})
+	}
+}
+
+// The new process of one that was killed starts with nothing learned, on the sockets that were left behind.
+func TestPredecessorKilledBefore(t *testing.T) {
+	w := newWorld(t, 1, endpoint.Options{})
+	c := w.config(t)
+	// What a killed process leaves: sockets at whose paths nobody listens.
+	for _, path := range []string{"/takeover.sock", "/clients.sock"} {
+		fd := must(syscall.Socket(syscall.AF_UNIX, syscall.SOCK_SEQPACKET, 0))
+		if err := syscall.Bind(fd, &syscall.SockaddrUnix{Name: w.dir + path}); err != nil {
+			t.Fatal(err)
+		}
+		if err := syscall.Close(fd); err != nil {
+			t.Fatal(err)
+		}
+	}
+	d := start(t, c)
+	d.stillServes(t)
+	if s := d.core.Snapshot().Pools[0]; s.Learned.Endpoints[0].RTT.Samples > 5 {
+		t.Errorf("it knows what it cannot have learned: %+v", s.Learned.Endpoints[0])
+	}
+}
--- /dev/null
+++ b/internal/daemon/requests_test.go
@@ -0,0 +1,166 @@
+package daemon
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"dunlinsail/internal/fake/scriptedpeer"
+	"dunlinsail/internal/fake/webapp"
+)
+
+// Requests that are sent before the first is answered are answered in order, whatever their bodies.
+func TestPipelinedRequests(t *testing.T) {
+	a := newApp(t, nil)
+	d, addr := routed(t, eight, "ADDRS", addrs(a))
+	k := dial(t, "tcp", addr)
+	big := strings.Repeat("x", 100_000)
+	plan := func(body int, work time.Duration) string {
+		return webapp.PlanHeader + ": " + webapp.Plan{BodySize: body, Delay: work}.JSON() + "\r\n"
+	}
+	all := "GET /1 HTTP/1.1\r\nHost: h\r\n" + plan(1, 30*time.Millisecond) + "\r\n" +
+		"POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n" + plan(2, 0) + "\r\nabc" +
+		"POST /3 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n" + plan(3, 0) + "\r\n3\r\nabc\r\n0\r\n\r\n" +
+		fmt.Sprintf("POST /4 HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n", len(big)) + plan(100_004, 0) + "\r\n" + big +
+		"GET /none HTTP/1.1\r\nHost: h\r\nX-A : b\r\n\r\n"
+	go io.WriteString(k, all)
+	for _, want := range []int{1, 2, 3, 100_004} {
+		if resp, body := k.answer(t); resp.StatusCode != 200 || len(body) != want {
+			t.Fatalf("%s with %d bytes, want %d", resp.Status, len(body), want)
+		}
+	}
+	if resp, _ := k.answer(t); resp.StatusCode != 400 {
+		t.Errorf("a head that makes no sense behind others: %s", resp.Status)
+	}
+	d.settled(t)
+}
+
+// What HTTP has beside GET and POST, and what is this instance's own to say, with the reason.
+func TestFormsOfRequests(t *testing.T) {
+	a := newApp(t, nil)
+	_, addr := routed(t, eight+"path = \"/a/*\"\nmethods = [\"GET\", \"HEAD\", \"PUT\"]\n", "ADDRS", addrs(a))
+	for _, tc := range []struct {
+		text, want, proxyStatus string
+		last                    bool
+	}{
+		{"GET /a/1 HTTP/1.1\r\nHost: h\r\n\r\n", "200", "", false},
+		{"GET http://h/a/1 HTTP/1.1\r\nHost: h\r\n\r\n", "200", "", false},
+		{"GET /a/../a/1 HTTP/1.1\r\nHost: h\r\n\r\n", "200", "", false},
+		{"HEAD /a/1 HTTP/1.1\r\nHost: h\r\n\r\n", "200", "", false},
+		{"PUT /a/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", "200", "", false},
+		{"GET /a/1 HTTP/1.0\r\n\r\n", "200", "", true},
+		{"GET /a/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", "200", "", true},
+		{"OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n", "200", "", false},
+		{"GET /b HTTP/1.1\r\nHost: h\r\n\r\n", "404", "destination_not_found", false},
+		{"GET /a/../b HTTP/1.1\r\nHost: h\r\n\r\n", "404", "destination_not_found", false},
+		{"POST /a/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", "405", "http_request_denied", false},
+		{"POST /a/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc", "405", "http_request_denied", true},
+		{"HEAD /b HTTP/1.1\r\nHost: h\r\n\r\n", "404", "destination_not_found", false},
+		{"CONNECT h:80 HTTP/1.1\r\nHost: h\r\n\r\n", "501", "http_request_denied", false},
+		{"GET /a%2f1 HTTP/1.1\r\nHost: h\r\n\r\n", "400", "http_request_error", false},
+		{"GET /../a HTTP/1.1\r\nHost: h\r\n\r\n", "400", "http_request_error", false},
+		{"GET ftp://h/a/1 HTTP/1.1\r\nHost: h\r\n\r\n", "400", "http_request_error", false},
+		{"GET /a/1 HTTP/1.1\r\nHost: h\r\nExpect: wonders\r\n\r\n", "417", "http_request_error", false},
+		{"PRI * HTTP/2.0\r\n\r\n", "505", "", true},
+	} {
+		k := dial(t, "tcp", addr)
+		method, _, _ := strings.Cut(tc.text, " ")
+		io.WriteString(k, tc.text)
+		k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+		resp, err := http.ReadResponse(k.r, &http.Request{Method: method})
+		if err != nil {
+			t.Errorf("%q: %v", tc.text, err)
+			continue
+		}
+		body, err := io.ReadAll(resp.Body)
+		if err != nil || !strings.HasPrefix(resp.Status, tc.want) || resp.Close != tc.last ||
+			(tc.proxyStatus == "") != (resp.Header.Get("Proxy-Status") == "") || !strings.Contains(resp.Header.Get("Proxy-Status"), tc.proxyStatus) {
+			t.Errorf("%q: %s, %q, close %v, %q, %v", tc.text, resp.Status, resp.Header["Proxy-Status"], resp.Close, body, err)
+		}
+		if !tc.last { // it serves another
+			if resp, _ := k.request(t, "GET /a/2 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
+				t.Errorf("%q: the next is answered %s", tc.text, resp.Status)
+			}
+		}
+	}
+}
+
+// Whatever two readers could take for two requests, or for other ones, is turned away, however it is cut up, and no
+// endpoint hears of it.
+func TestSmuggling(t *testing.T) {
+	a := newApp(t, nil)
+	_, addr := routed(t, eight, "ADDRS", addrs(a))
+	const host = "Host: h\r\n"
+	for name, text := range map[string]string{
+		"length and encoding":     "POST / HTTP/1.1\r\n" + host + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /x HTTP/1.1\r\n\r\n",
+		"encoding and length":     "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
+		"two lengths":             "POST / HTTP/1.1\r\n" + host + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nabcde",
+		"a length twice":          "POST / HTTP/1.1\r\n" + host + "Content-Length: 4\r\nContent-Length: 4\r\n\r\nabcd",
+		"list of lengths":         "POST / HTTP/1.1\r\n" + host + "Content-Length: 4, 4\r\n\r\nabcd",
+		"signed length":           "POST / HTTP/1.1\r\n" + host + "Content-Length: +4\r\n\r\nabcd",
+		"negative length":         "POST / HTTP/1.1\r\n" + host + "Content-Length: -4\r\n\r\nabcd",
+		"hexadecimal length":      "POST / HTTP/1.1\r\n" + host + "Content-Length: 0x4\r\n\r\nabcd",
+		"empty length":            "POST / HTTP/1.1\r\n" + host + "Content-Length:\r\n\r\nabcd",
+		"two encodings":           "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n",
+		"list of encodings":       "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+		"encoding unknown":        "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
+		"encoding with a tab":     "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding:\tchunked\x0b\r\n\r\n0\r\n\r\n",
+		"encoding, space, colon":  "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n",
+		"encoding folded":         "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding:\r\n chunked\r\n\r\n0\r\n\r\n",
+		"encoding in 1.0":         "POST / HTTP/1.0\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+		"folded field":            "GET / HTTP/1.1\r\n" + host + "X-A: b\r\n\tc: d\r\n\r\n",
+		"lone line feed":          "GET / HTTP/1.1\r\n" + host + "X-A: b\nX-C: d\r\n\r\n",
+		"lone carriage return":    "GET / HTTP/1.1\r\n" + host + "X-A: b\rX-C: d\r\n\r\n",
+		"nul":                     "GET / HTTP/1.1\r\n" + host + "X-A: b\x00c\r\n\r\n",
+		"no colon":                "GET / HTTP/1.1\r\n" + host + "X-A\r\n\r\n",
+		"no name":                 "GET / HTTP/1.1\r\n" + host + ": b\r\n\r\n",
+		"two hosts":               "GET / HTTP/1.1\r\n" + host + host + "\r\n",
+		"no host":                 "GET / HTTP/1.1\r\nX-A: b\r\n\r\n",
+		"target against host":     "GET http://other/ HTTP/1.1\r\n" + host + "\r\n",
+		"target with a user":      "GET http://u@h/ HTTP/1.1\r\nHost: u@h\r\n\r\n",
+		"line feed in the target": "GET /a\nb HTTP/1.1\r\n" + host + "\r\n",
+		"two spaces":              "GET /  HTTP/1.1\r\n" + host + "\r\n",
+		"no version":              "GET /\r\n" + host + "\r\n",
+		"small version":           "GET / http/1.1\r\n" + host + "\r\n",
+		"key hop by hop":          "POST / HTTP/1.1\r\n" + host + "Connection: idempotency-key\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n",
+		"chunk with a sign":       "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n+3\r\nabc\r\n0\r\n\r\n",
+		"chunk with 0x":           "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n0x3\r\nabc\r\n0\r\n\r\n",
+		"chunk, line feed":        "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n3\nabc\r\n0\r\n\r\n",
+		"chunk's end":             "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n0\r\n\r\n",
+		"chunk over all":          "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\nabc",
+		"extension with a return": "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n3;a\rb\r\nabc\r\n0\r\n\r\n",
+		"trailing length":         "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n0\r\nContent-Length: 3\r\n\r\n",
+	} {
+		try := func(cut int) {
+			k := dial(t, "tcp", addr)
+			defer k.Close()
+			io.WriteString(k, text[:cut])
+			if cut < len(text) {
+				k.SetReadDeadline(time.Now().Add(time.Microsecond)) // a moment for the first part
+				k.r.Peek(1)
+				io.WriteString(k, text[cut:])
+			}
+			k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+			resp, err := http.ReadResponse(k.r, nil)
+			if err != nil {
+				if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !strings.Contains(err.Error(), "reset") {
+					t.Errorf("%s, cut at %d: %v", name, cut, err)
+				}
+				return
+			}
+			if resp.StatusCode < 400 {
+				t.Errorf("%s, cut at %d: %s", name, cut, resp.Status)
+			}
+		}
+		for cut := 1; cut <= len(text); cut++ {
+			try(cut)
+		}
+	}
+	if n := a.RequestCount(); n > 0 {
+		t.Errorf("the application got %d requests", n)
+	}
+}
--- /dev/null
+++ b/internal/daemon/successor_test.go
@@ -0,0 +1,184 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+
+	decide "dunlinsail/internal/decide/takeover"
+	"dunlinsail/internal/fake/endpoint"
+	"dunlinsail/internal/fake/scriptedpeer"
+	"dunlinsail/internal/takeover"
+)
+
+// A successor that hands over before its own predecessor is done, and ends, does not make that one serve again
+// beside the last.
+func TestSuccessorHandsOverBeforeItsPredecessorIsDone(t *testing.T) {
+	w := newWorld(t, 2, endpoint.Options{})
+	hold, taken := make(chan struct{}), make(chan struct{}, 1)
+	for _, e := range w.endpoints {
+		e.SetFaults(func(r *http.Request) endpoint.Fault {
+			if r.URL.Path == "/pay/1" {
+				taken <- struct{}{}
+				<-hold
+			}
+			return endpoint.NoFault
+		})
+	}
+	addr := freeAddr(t)
+	first := start(t, w.config(t, "127.0.0.1:0", addr))
+	k := dial(t, "tcp", addr)
+	if _, err := io.WriteString(k, request("pay", 900, "")); err != nil {
+		t.Fatal(err)
+	}
+	scriptedpeer.Receive(t, taken, "attempt")
+	second := start(t, w.config(t, "127.0.0.1:0", addr, `drain_within = "3s"`, `drain_within = "50ms"`))
+	third := start(t, w.config(t, "127.0.0.1:0", addr))
+	if err := scriptedpeer.Receive(t, second.ended, "end of the second"); err != nil {
+		t.Error(err)
+	}
+	for range 20 {
+		if resp, _ := dial(t, "tcp", addr).request(t, request("look", 900, "")); resp.StatusCode != 200 || resp.Close {
+			t.Errorf("%s, close %v", resp.Status, resp.Close)
+		}
+	}
+	if all, _ := first.front.ConnectionCounts(); all != 1 {
+		t.Errorf("the first has %d connections, and should have the one with the open request", all)
+	}
+	if all, _ := third.front.ConnectionCounts(); all != 20 {
+		t.Errorf("the last has %d connections of 20", all)
+	}
+	close(hold)
+	if resp, _ := k.answer(t); resp.StatusCode != 200 {
+		t.Errorf("the open request: %s", resp.Status)
+	}
+	if err := scriptedpeer.Receive(t, first.ended, "end of the first"); err != nil {
+		t.Error(err)
+	}
+}
+
+// A successor that fails to start is rejected, and the predecessor serves on as if nothing had been.
+func TestSuccessorThatFailsToStart(t *testing.T) {
+	w := newWorld(t, 1, endpoint.Options{})
+	c := w.config(t, "127.0.0.1:0", freeAddr(t))
+	d := start(t, c)
+	k := dial(t, "tcp", d.addrs["desk"])
+	// One more listener, at an address that another process holds.
+	bad := w.config(t, "127.0.0.1:0", c.Listeners[0].Address, "[[client]]\nname = \"desk\"",
+		"[[listener]]\nname = \"more\"\naddress = \""+w.discovery.Addr+"\"\nclient = \"desk\"\n[[client]]\nname = \"desk\"")
+	ctx, cancel := context.WithTimeout(context.Background(), scriptedpeer.WaitTimeout)
+	defer cancel()
+	if err := Run(ctx, Options{Config: bad, Log: testLog(), Seed: 2}); err == nil || !strings.Contains(err.Error(), `listener "more"`) {
+		t.Errorf("the new one: %v", err)
+	}
+	d.stillServes(t, k)
+	restart(t, d, &options{c})
+}
+
+// A new process that hangs before it is ready, is killed at any moment, or speaks another version, leaves the old
+// one as it was.
+func TestSuccessorIsLost(t *testing.T) {
+	for _, tc := range []struct {
+		name string
+		do   func(k *scriptedSuccessor)
+	}{
+		{"killed at once", func(k *scriptedSuccessor) { k.Close() }},
+		{"killed before it is ready", func(k *scriptedSuccessor) { k.expect(decide.Offer); k.Close() }},
+		{"hangs before it is ready", func(k *scriptedSuccessor) {
+			k.expect(decide.Offer)
+			if m := k.expect(decide.Rejected); !strings.Contains(string(m.Payload), "not ready in time") {
+				k.Errorf("told %q", m.Payload)
+			}
+		}},
+		{"killed once ready", func(k *scriptedSuccessor) { k.expect(decide.Offer); k.send(decide.Ready, ""); k.Close() }},
+		{"killed while nobody accepts", func(k *scriptedSuccessor) {
+			k.expect(decide.Offer)
+			k.send(decide.Ready, "")
+			k.expect(decide.Handover)
+			k.Close()
+		}},
+		{"killed as all is its own", func(k *scriptedSuccessor) {
+			k.expect(decide.Offer)
+			k.send(decide.Ready, "")
+			k.expect(decide.Handover)
+			k.send(decide.Prepared, "")
+			k.expect(decide.Activate)
+			k.Close()
+		}},
+		{"says no", func(k *scriptedSuccessor) { k.expect(decide.Offer); k.send(decide.Rejected, "no room"); k.Close() }},
+		{"talks out of turn", func(k *scriptedSuccessor) {
+			k.expect(decide.Offer)
+			for _, e := range []decide.Event{decide.Prepared, decide.Activate, decide.Stopping, 77, decide.Hello} {
+				k.send(e, "nonsense")
+			}
+			k.Close()
+		}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			w := newWorld(t, 1, endpoint.Options{})
+			c := w.config(t, "127.0.0.1:0", freeAddr(t), `ready_within = "5s"`, `ready_within = "300ms"`)
+			d := start(t, c)
+			busy := dial(t, "tcp", d.addrs["desk"])
+			if resp, _ := busy.request(t, request("look", 900, "")); resp.StatusCode != 200 {
+				t.Fatal(resp.Status)
+			}
+			held, hold := make(chan struct{}, 1), make(chan struct{})
+			w.endpoints[0].SetFaults(func(r *http.Request) endpoint.Fault {
+				if r.URL.Path == "/pay/1" {
+					held <- struct{}{}
+					<-hold
+				}
+				return endpoint.NoFault
+			})
+			if _, err := io.WriteString(busy, request("pay", 900, "x")); err != nil {
+				t.Fatal(err)
+			}
+			scriptedpeer.Receive(t, held, "attempt") // a connection in use is not handed over, so it cannot be lost
+			tc.do(connectAsSuccessor(t, c.Takeover.Socket))
+			close(hold)
+			if resp, _ := busy.answer(t); resp.StatusCode != 200 {
+				t.Errorf("the request that was open: %s", resp.Status)
+			}
+			d.stillServes(t, busy)
+			restart(t, d, &options{w.config(t, "127.0.0.1:0", c.Listeners[0].Address)})
+		})
+	}
+	t.Run("says nothing", func(t *testing.T) {
+		w := newWorld(t, 1, endpoint.Options{})
+		c := w.config(t, "127.0.0.1:0", freeAddr(t))
+		d := start(t, c)
+		for range 3 {
+			defer must(takeover.Dial(c.Takeover.Socket)).Close()
+		}
+		restart(t, d, &options{c})
+	})
+	t.Run("another version", func(t *testing.T) {
+		w := newWorld(t, 1, endpoint.Options{})
+		d := start(t, w.config(t))
+		k := connectAsSuccessor(t, d.options.Config.Takeover.Socket)
+		k.expect(decide.Offer)
+		other := &scriptedSuccessor{t, must(takeover.Dial(d.options.Config.Takeover.Socket))}
+		defer other.Close()
+		other.send(decide.Hello, fmt.Sprint(decide.Version))
+		if m := other.expect(decide.Rejected); !strings.Contains(string(m.Payload), "under way") {
+			t.Errorf("a second successor was rejected with %q", m.Payload)
+		}
+		k.Close()
+		var m takeover.Message
+		scriptedpeer.Eventually(t, "an answer to the version", func() bool {
+			c := must(takeover.Dial(d.options.Config.Takeover.Socket))
+			defer c.Close()
+			c.Write(takeover.Message{Kind: decide.Hello, Payload: []byte("999")})
+			var err error
+			m, err = c.Read()
+			return err == nil && strings.Contains(string(m.Payload), "version 1")
+		})
+		if m.Kind != decide.Rejected {
+			t.Errorf("%v %q", m.Kind, m.Payload)
+		}
+		d.stillServes(t)
+	})
+}
--- /dev/null
+++ b/internal/sidecar/attempts_test.go
@@ -0,0 +1,393 @@
+package sidecar
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"dunlinsail/internal/discovery"
+	"dunlinsail/internal/fake/scripteddiscovery"
+	"dunlinsail/internal/fake/scriptedpeer"
+)
+
+// A refusal promises that the request never ran; where that is not known it is a failure, whatever the
+// endpoint said.
+func TestRejectedOrFailed(t *testing.T) {
+	never := func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("X-Never-Ran", "1")
+		w.WriteHeader(503)
+	}
+	perhaps := func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("Retry-After", "1")
+		w.WriteHeader(503)
+	}
+	broken := func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("Content-Length", "9")
+		io.WriteString(w, "half")
+	}
+	for _, tc := range []struct {
+		name    string
+		h       http.HandlerFunc
+		class   string
+		refused bool
+	}{
+		{"turned away, unsafe", never, "pay", true},
+		{"turned away, keyed", never, "book", true},
+		{"turned away, safe", never, "look", true},
+		{"503, unsafe", perhaps, "pay", false},
+		{"503, keyed", perhaps, "book", false},
+		{"half a body, unsafe", broken, "pay", false},
+		{"no connection, unsafe", nil, "pay", true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			addr := scriptedpeer.ClosedAddress(t)
+			if tc.h != nil {
+				addr = scriptedpeer.StartHTTP(t, tc.h)
+			}
+			s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}))
+			method := "POST"
+			if tc.class == "look" {
+				method = "GET"
+			}
+			begun := time.Now()
+			resp, _ := s.request(t, request(method, "/"+tc.class, tc.class, 900, ""))
+			if got := resp.StatusCode == 503; got != tc.refused || resp.StatusCode < 500 {
+				t.Errorf("%s, refused should be %v", resp.Status, tc.refused)
+			}
+			if advice, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); tc.refused != (err == nil && advice > 0) {
+				t.Errorf("Retry-After %q", resp.Header.Get("Retry-After"))
+			}
+			// What is given up is answered at once, not held back.
+			if took := time.Since(begun); took > 450*time.Millisecond {
+				t.Errorf("answered after %v", took)
+			}
+		})
+	}
+}
+
+// A request that may have run goes to no endpoint again if it is unsafe, and only to one of the same cell if
+// it is keyed.
+func TestResends(t *testing.T) {
+	for _, tc := range []struct {
+		class      string
+		cell       uint16 // of the second endpoint
+		mostCopies int32
+		served     bool
+	}{
+		{"pay", 1, 1, false},
+		{"book", 2, 1, false},
+		{"book", 1, 2, true},
+	} {
+		t.Run(fmt.Sprint(tc.class, tc.cell), func(t *testing.T) {
+			var copies atomic.Int32
+			// The first to be asked breaks its connection after reading the request.
+			endpoint := func() string {
+				return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+					if _, err := scriptedpeer.ReadRequest(r); err == nil && copies.Add(1) > 1 {
+						io.WriteString(c, okAnswer)
+					}
+				})
+			}
+			other := scripteddiscovery.Up("s-2", endpoint())
+			other.Cell = tc.cell
+			s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", endpoint()), other}))
+			resp, _ := s.request(t, request("POST", "/"+tc.class, tc.class, 900, "x"))
+			if n := copies.Load(); n > tc.mostCopies {
+				t.Errorf("%d copies, %d at most", n, tc.mostCopies)
+			}
+			if got := resp.StatusCode == 200; got != tc.served || resp.StatusCode == 503 {
+				t.Errorf("%s, served should be %v", resp.Status, tc.served)
+			}
+		})
+	}
+}
+
+// An answer of which the head comes and nothing else is no answer: a request that may be repeated is served by
+// another endpoint, and one that may not gets its final answer in its time.
+func TestHeadWithoutBody(t *testing.T) {
+	var heads atomic.Int32
+	var stalls atomic.Bool
+	bad := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+		for {
+			if _, err := scriptedpeer.ReadRequest(r); err != nil {
+				return
+			}
+			if stalls.Load() {
+				break
+			}
+			io.WriteString(c, okAnswer)
+		}
+		heads.Add(1)
+		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n")
+		r.Peek(1) // until it is withdrawn
+	})
+	stalls.Store(true)
+	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", bad)}))
+	asked := time.Now()
+	resp, _ := s.request(t, request("POST", "/pay", "pay", 400, "x"))
+	if took := time.Since(asked); resp.StatusCode != 504 || took > 450*time.Millisecond || heads.Load() != 1 {
+		t.Errorf("alone: %s after %v, with %d attempts", resp.Status, took, heads.Load())
+	}
+	good := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
+	s = start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", bad), scripteddiscovery.Up("s-2", good)}))
+	stalls.Store(false)
+	for range 20 { // it learns how long answers take; until then any silence is waited for
+		s.request(t, look(900))
+	}
+	stalls.Store(true)
+	for before := heads.Load(); heads.Load() == before; {
+		if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 {
+			t.Errorf("beside another: %s", resp.Status)
+		}
+	}
+}
+
+// An endpoint that is mute must not keep the client waiting past its time, nor the connection open.
+func TestDeadline(t *testing.T) {
+	ended := make(chan error, 3)
+	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+		if _, err := scriptedpeer.ReadRequest(r); err != nil {
+			return
+		}
+		_, err := r.ReadByte()
+		ended <- err
+	})
+	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}))
+	for _, tc := range []struct {
+		class string
+		want  int
+	}{{"pay", 504}, {"book", 504}} {
+		begun := time.Now()
+		resp, _ := s.request(t, request("POST", "/"+tc.class, tc.class, 200, "x"))
+		if took := time.Since(begun); took > 250*time.Millisecond || resp.StatusCode != tc.want { // 50 ms are the machine's (PROTOCOL)
+			t.Errorf("%s: %s after %v, want %d within 250 ms", tc.class, resp.Status, took, tc.want)
+		}
+		if err := scriptedpeer.Receive(t, ended, "end of the attempt"); err != io.EOF {
+			t.Errorf("%s: the endpoint read on: %v", tc.class, err)
+		}
+	}
+	// One whose time is up when it comes never ran.
+	if resp, _ := s.request(t, request("POST", "/pay", "pay", 0, "x")); resp.StatusCode != 503 {
+		t.Errorf("no time: %s, want 503", resp.Status)
+	}
+}
+
+// A client that goes takes its attempt with it.
+func TestClientGone(t *testing.T) {
+	taken, ended := make(chan struct{}), make(chan error, 1)
+	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+		scriptedpeer.ReadRequest(r)
+		close(taken)
+		_, err := r.ReadByte()
+		ended <- err
+	})
+	cfg := configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}, `"give-up":1000000`, `"give-up":60000000`)
+	s := start(t, cfg)
+	c, err := net.Dial("tcp", s.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := request("POST", "/pay", "pay", 60000, "x").Write(c); err != nil {
+		t.Fatal(err)
+	}
+	scriptedpeer.Receive(t, taken, "attempt")
+	c.Close()
+	if err := scriptedpeer.Receive(t, ended, "end of the attempt"); err != io.EOF {
+		t.Errorf("the endpoint read on: %v", err)
+	}
+}
+
+// An endpoint that leaves one class unanswered, or turns one tenant away, gets little of that, and still the
+// rest.
+func TestEndpointFailsOnePart(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		bad    func(r *http.Request) bool
+		handle func(w http.ResponseWriter, r *http.Request)
+		rest   func() *http.Request
+	}{
+		{"class", func(r *http.Request) bool { return r.URL.Path == "/look/1" },
+			func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+			func() *http.Request { return request("POST", "/pay", "pay", 900, "x") }},
+		{"tenant", func(r *http.Request) bool { return r.Header.Get("X-Customer") == "zeta" },
+			func(w http.ResponseWriter, r *http.Request) {
+				w.Header().Set("X-Never-Ran", "1")
+				w.WriteHeader(503)
+			},
+			func() *http.Request { return look(900) }}, // of the same class
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			var failed, served atomic.Int32
+			half := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+				if tc.bad(r) {
+					failed.Add(1)
+					tc.handle(w, r)
+					return
+				}
+				served.Add(1)
+			})
+			whole := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {})
+			s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", half), scripteddiscovery.Up("s-2", whole)},
+				`"tenants":[`, `"tenants":[{"name":"zeta","allowance-per-s":100.0,"share":1.0},`))
+			const rounds = 40
+			for range rounds {
+				r := look(60)
+				r.Header.Set("X-Customer", "zeta")
+				s.request(t, r)
+				for range 5 {
+					s.request(t, tc.rest())
+				}
+			}
+			if n := failed.Load(); n > rounds/6 {
+				t.Errorf("%d of %d requests went to the endpoint that fails them", n, rounds)
+			}
+			if n := served.Load(); n < rounds/4 {
+				t.Errorf("%d of %d other requests went there", n, 5*rounds)
+			}
+		})
+	}
+}
+
+// Kept connections may fall silent. A safe request on one goes elsewhere long before its time is up, and the
+// others that have been idle for as long are not tried one after another.
+func TestSilentConnections(t *testing.T) {
+	var silent atomic.Bool
+	var lost atomic.Int32
+	endpoint := func(falls bool) string {
+		return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+			old := falls && !silent.Load()
+			for {
+				if _, err := scriptedpeer.ReadRequest(r); err != nil {
+					return
+				}
+				if old && silent.Load() {
+					lost.Add(1)
+					continue
+				}
+				io.WriteString(c, okAnswer)
+			}
+		})
+	}
+	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", endpoint(true)), scripteddiscovery.Up("s-2", endpoint(false))}))
+	for range 40 { // the sidecar learns how long requests take, over some connections at once
+		var several sync.WaitGroup
+		for range 8 {
+			several.Go(func() { s.request(t, look(900)) })
+		}
+		several.Wait()
+	}
+	silent.Store(true)
+	for i := range 60 {
+		if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 {
+			t.Errorf("request %d: %s", i, resp.Status)
+		}
+	}
+	if n := lost.Load(); n != 1 {
+		t.Errorf("%d requests went to silent connections, want 1", n)
+	}
+}
+
+// A dial can outlast the grace for a drain: then nothing may go out, and the request never ran.
+func TestDialOutlastsDrain(t *testing.T) {
+	var sent atomic.Int32
+	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) { sent.Add(1) })
+	drained := scripteddiscovery.Up("s-1", addr)
+	drained.Lifecycle = "draining"
+	for _, tc := range []struct {
+		name string
+		news discovery.List
+		wait bool // the grace goes by before the connection is up
+		want int
+	}{
+		{"within the grace", discovery.List{Instances: []discovery.Instance{drained}}, false, 200},
+		{"past the grace", discovery.List{Instances: []discovery.Instance{drained}}, true, 503},
+		{"left out of a whole list", discovery.List{Reset: true}, true, 503},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			sent.Store(0)
+			cfg := configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)})
+			dialing, release := make(chan struct{}), make(chan struct{})
+			s := startDialing(t, cfg, func(ctx context.Context, network, addr string) (net.Conn, error) {
+				close(dialing)
+				<-release
+				return (&net.Dialer{}).DialContext(ctx, network, addr)
+			})
+			answer := make(chan int, 1)
+			c, err := net.Dial("tcp", s.addr)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer c.Close()
+			go func() {
+				resp, _ := s.requestOn(t, c, request("POST", "/pay", "pay", 900, "x"))
+				answer <- resp.StatusCode
+			}()
+			scriptedpeer.Receive(t, dialing, "dial")
+			tc.news.Generation = 8
+			s.parts.endpoints.UpdateEndpoints(context.Background(), tc.news.EndpointUpdate())
+			if tc.wait {
+				<-time.After(time.Duration(cfg.Site.Settings.Contract.DrainGrace) * time.Microsecond)
+			}
+			close(release)
+			if code := scriptedpeer.Receive(t, answer, "answer"); code != tc.want {
+				t.Errorf("answered %d, want %d", code, tc.want)
+			}
+			if got := sent.Load(); (got > 0) != (tc.want == 200) {
+				t.Errorf("the endpoint got %d requests", got)
+			}
+		})
+	}
+}
+
+// A dial can outlast the window in which a keyed request may be repeated: the second attempt then does not go
+// out, and the request has failed, since the first may have run. Within the window it goes on.
+func TestDialOutlastsWindow(t *testing.T) {
+	const window = 400 * time.Millisecond // as in settings
+	for name, late := range map[string]bool{"within": false, "past": true} {
+		t.Run(name, func(t *testing.T) {
+			var got atomic.Int32
+			first := make(chan time.Time, 1)
+			endpoint := func() string {
+				return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+					if _, err := scriptedpeer.ReadRequest(r); err != nil {
+						return
+					}
+					if got.Add(1) == 1 {
+						first <- time.Now()
+						c.SetLinger(0) // it may have run
+						return
+					}
+					io.WriteString(c, okAnswer)
+				})
+			}
+			var dials atomic.Int32
+			cfg := configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", endpoint()), scripteddiscovery.Up("s-2", endpoint())})
+			s := startDialing(t, cfg, func(ctx context.Context, network, addr string) (net.Conn, error) {
+				c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
+				if dials.Add(1) == 2 && late && err == nil {
+					select { // a handshake that takes its time
+					case <-time.After(time.Until((<-first).Add(window))):
+					case <-ctx.Done():
+					}
+				}
+				return c, err
+			})
+			resp, _ := s.request(t, request("POST", "/book", "book", 900, "x"))
+			want, attempts := 200, int32(2)
+			if late {
+				want, attempts = 502, 1
+			}
+			if resp.StatusCode != want || got.Load() != attempts {
+				t.Errorf("%s, %d attempts reached endpoints; want %d and %d", resp.Status, got.Load(), want, attempts)
+			}
+		})
+	}
+}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -1,14 +1,15 @@
 package sidecar
 
 import (
-	"dunlinsail/internal/discovery"
-	"dunlinsail/internal/fake/scripteddiscovery"
-	"dunlinsail/internal/fake/scriptedpeer"
 	"io"
 	"net/http"
 	"strings"
 	"testing"
 	"time"
+
+	"dunlinsail/internal/discovery"
+	"dunlinsail/internal/fake/scripteddiscovery"
+	"dunlinsail/internal/fake/scriptedpeer"
 )
 
 // The list moves requests: to a new address, away from what drains or has gone, and a whole list leaves out
--- a/internal/sidecar/helper_test.go
+++ b/internal/sidecar/helper_test.go
@@ -3,9 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"dunlinsail/internal/discovery"
-	"dunlinsail/internal/fake/scriptedpeer"
-	"dunlinsail/internal/platform"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -18,6 +15,10 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"dunlinsail/internal/discovery"
+	"dunlinsail/internal/fake/scriptedpeer"
+	"dunlinsail/internal/platform"
 )
 
 // settings is a small site without probes: a safe class, a keyed one and an unsafe one.
--- /dev/null
+++ b/internal/sidecar/limits_test.go
@@ -0,0 +1,233 @@
+package sidecar
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"dunlinsail/internal/discovery"
+	"dunlinsail/internal/fake/scripteddiscovery"
+	"dunlinsail/internal/fake/scriptedpeer"
+	"dunlinsail/internal/frontend/http1"
+	"dunlinsail/internal/platform"
+)
+
+// Requests over the settings' limit never ran.
+func TestRequestLimit(t *testing.T) {
+	taken, release := make(chan struct{}, 2), make(chan struct{})
+	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {
+		taken <- struct{}{}
+		<-release
+	})
+	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}, `"most-held":1000`, `"most-held":1`))
+	first := make(chan int)
+	c, err := net.Dial("tcp", s.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	go func() {
+		resp, _ := s.requestOn(t, c, request("POST", "/pay", "pay", 900, "x"))
+		first <- resp.StatusCode
+	}()
+	scriptedpeer.Receive(t, taken, "first attempt")
+	if resp, _ := s.request(t, request("POST", "/pay", "pay", 900, "x")); resp.StatusCode != 503 {
+		t.Errorf("second: %s, want 503", resp.Status)
+	}
+	close(release)
+	if code := scriptedpeer.Receive(t, first, "first answer"); code != 200 {
+		t.Errorf("first: %d, want 200", code)
+	}
+	if len(taken) != 0 {
+		t.Error("the second request was sent")
+	}
+}
+
+// Connections that ask for nothing make room for those that do, the longest silent first, and none costs the
+// sidecar a descriptor that it needs.
+func TestConnectionLimit(t *testing.T) {
+	taken, release := make(chan struct{}, 1), make(chan struct{})
+	addr := scriptedpeer.StartHTTP(t, func(_ http.ResponseWriter, r *http.Request) {
+		if r.URL.Path == "/pay" {
+			taken <- struct{}{}
+			<-release
+		}
+	})
+	cfg := configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)})
+	cfg.Sockets = platform.MinSockets
+	s := start(t, cfg)
+	dial := func() net.Conn {
+		c, err := net.Dial("tcp", s.addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { c.Close() })
+		return c
+	}
+	waiting := make(chan int, 1)
+	c := dial()
+	go func() {
+		resp, _ := s.requestOn(t, c, request("POST", "/pay", "pay", 1000, "x"))
+		waiting <- resp.StatusCode
+	}()
+	scriptedpeer.Receive(t, taken, "attempt")
+	var silent []net.Conn
+	for range 2 * clientLimits(cfg.Sockets).MaxConnections {
+		silent = append(silent, dial())
+	}
+	kept := dial()
+	for range 3 {
+		if resp, _ := s.requestOn(t, kept, look(900)); resp.StatusCode != 200 || resp.Close {
+			t.Fatalf("beside silent connections: %s, close %v", resp.Status, resp.Close)
+		}
+	}
+	first := silent[0]
+	first.SetReadDeadline(time.Now().Add(http1.RequestTimeout / 2))
+	if _, err := first.Read(make([]byte, 1)); err != io.EOF {
+		t.Errorf("the connection silent for longest: %v, want it closed", err)
+	}
+	last := silent[len(silent)-1]
+	if resp, _ := s.requestOn(t, last, look(900)); resp.StatusCode != 200 {
+		t.Errorf("a connection silent for a moment: %s", resp.Status)
+	}
+	close(release)
+	if code := scriptedpeer.Receive(t, waiting, "answer"); code != 200 {
+		t.Errorf("the request that waited meanwhile: %d", code)
+	}
+}
+
+// Clients that ask once and stay hold few of the descriptors that their own machine needs to open connections,
+// while those whose requests are open may take all that there are for clients (incident r412b9a).
+func TestRestingConnections(t *testing.T) {
+	taken, release := make(chan struct{}, 64), make(chan struct{})
+	addr := scriptedpeer.StartHTTP(t, func(_ http.ResponseWriter, r *http.Request) {
+		if r.URL.Path == "/pay" {
+			taken <- struct{}{}
+			<-release
+		}
+	})
+	free := sync.OnceFunc(func() { close(release) })
+	t.Cleanup(free)               // or the endpoint could not be closed
+	var many []discovery.Instance // or one would seem overrun
+	for i := range 64 {
+		many = append(many, scripteddiscovery.Up(fmt.Sprint("s-", i), addr))
+	}
+	cfg := configure(t, scriptedpeer.ClosedAddress(t), many)
+	cfg.Sockets = 2 * platform.MinSockets
+	limits := clientLimits(cfg.Sockets)
+	if 4*limits.MaxIdle > cfg.Sockets {
+		t.Fatalf("%d of %d descriptors may rest: not well under the third that clients have", limits.MaxIdle, cfg.Sockets)
+	}
+	s := start(t, cfg)
+	dial := func() net.Conn {
+		c, err := net.Dial("tcp", s.addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { c.Close() })
+		return c
+	}
+	var stayed []net.Conn
+	for range 2 * limits.MaxIdle {
+		c := dial()
+		if resp, _ := s.requestOn(t, c, look(900)); resp.StatusCode != 200 || resp.Close {
+			t.Fatalf("%s, close %v", resp.Status, resp.Close)
+		}
+		stayed = append(stayed, c)
+	}
+	// The earliest are closed at once, not after the idle time.
+	for i, c := range stayed[:limits.MaxIdle] {
+		c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+			t.Fatalf("connection %d: %v, want it closed", i, err)
+		}
+	}
+	// The others follow far sooner than one connection alone would.
+	began := time.Now()
+	stayed[limits.MaxIdle].SetReadDeadline(began.Add(maxIdle / 2))
+	if _, err := stayed[limits.MaxIdle].Read(make([]byte, 1)); err != io.EOF {
+		t.Errorf("among as many as may rest: %v, want it closed", err)
+	}
+	codes := make(chan int, limits.MaxConnections)
+	for range limits.MaxConnections {
+		c := dial()
+		go func() {
+			resp, _ := s.requestOn(t, c, request("POST", "/pay", "pay", 1000, "x"))
+			codes <- resp.StatusCode
+		}()
+		scriptedpeer.Receive(t, taken, "an attempt of each that is open")
+	}
+	free()
+	for range limits.MaxConnections {
+		if code := scriptedpeer.Receive(t, codes, "answer"); code != 200 {
+			t.Errorf("of those open together: %d", code)
+		}
+	}
+}
+
+// Whoever sends no whole request is told so or cut off within 3 s, before another reading and before the
+// sidecar is made to wait when it stops.
+func TestHalfRequests(t *testing.T) {
+	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) { t.Error("an attempt was made") })
+	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}))
+	for _, text := range []string{
+		"",
+		"GET /look/1 HT",
+		"GET /look/1 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: 1\r\n",
+		"POST /pay HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: 1\r\nX-Qos: pay\r\nContent-Length: 20\r\n\r\nhalf",
+	} {
+		t.Run(fmt.Sprint(len(text)), func(t *testing.T) {
+			t.Parallel()
+			c, err := net.Dial("tcp", s.addr)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer c.Close()
+			io.WriteString(c, text)
+			c.SetReadDeadline(time.Now().Add(3 * time.Second))
+			got, err := io.ReadAll(c)
+			if err != nil || (len(got) > 0) != (text != "") || text != "" && !strings.HasPrefix(string(got), "HTTP/1.1 4") {
+				t.Errorf("answered %q, %v", got, err)
+			}
+		})
+	}
+}
+
+// Two requests of one id would be one and the same to an endpoint.
+func TestOpenID(t *testing.T) {
+	taken, release := make(chan struct{}, 2), make(chan struct{})
+	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {
+		taken <- struct{}{}
+		<-release
+	})
+	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}))
+	c, err := net.Dial("tcp", s.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	first := make(chan int, 1)
+	r := look(900)
+	go func() {
+		resp, _ := s.requestOn(t, c, r)
+		first <- resp.StatusCode
+	}()
+	scriptedpeer.Receive(t, taken, "attempt")
+	again := look(900)
+	again.Header.Set("X-Trace-Id", r.Header.Get("X-Trace-Id"))
+	if resp, _ := s.request(t, again); resp.StatusCode != 409 {
+		t.Errorf("an open id: %s, want 409", resp.Status)
+	}
+	close(release)
+	if code := scriptedpeer.Receive(t, first, "answer"); code != 200 {
+		t.Errorf("its owner: %d, want 200", code)
+	}
+	if resp, _ := s.request(t, again); resp.StatusCode != 200 {
+		t.Errorf("an id that is free again: %s", resp.Status)
+	}
+}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -1,15 +1,16 @@
 package sidecar
 
 import (
-	"dunlinsail/internal/discovery"
-	"dunlinsail/internal/fake/scripteddiscovery"
-	"dunlinsail/internal/fake/scriptedpeer"
-	"dunlinsail/internal/platform"
 	"io"
 	"net/http"
 	"syscall"
 	"testing"
 	"time"
+
+	"dunlinsail/internal/discovery"
+	"dunlinsail/internal/fake/scripteddiscovery"
+	"dunlinsail/internal/fake/scriptedpeer"
+	"dunlinsail/internal/platform"
 )
 
 // A new configuration moves the watch to the discovery that its file names, at once and with nothing held
