--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,8 +11,8 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// least is the shortest file that makes sense.
-const least = `
+// minimalFile is the shortest valid file without routes.
+const minimalFile = `
 [discovery]
 address = "127.0.0.1:8500"
 [[listener]]
@@ -28,7 +28,8 @@
 give_up = "500ms"
 `
 
-func shipped(t *testing.T) string {
+// shippedFile returns the text of deploy/dunlinsaild.toml.
+func shippedFile(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/dunlinsaild.toml")
 	if err != nil {
@@ -37,20 +38,27 @@
 	return string(text)
 }
 
-// The file that ships is sound, and says what it seems to.
+// The shipped file is valid, and its values arrive in the settings.
 func TestShippedFile(t *testing.T) {
-	c, err := Parse([]byte(shipped(t)))
+	c, err := Parse([]byte(shippedFile(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := c.Site.Settings
-	book := balancer.Class{Name: "book", Idempotency: balancer.IdempotentByKey, DedupScope: balancer.DedupCell, DedupWindow: 400_000, LatencyObjective: 300_000,
-		ClientTimeout: 600_000, PriorityWeight: 5}
-	if s.Classes[3] != book || fmt.Sprint(c.Site.Classes) != "[open-slots patient-card chair-status book]" {
+	bookClass := balancer.Class{
+		Name:             "book",
+		Idempotency:      balancer.IdempotentByKey,
+		DedupScope:       balancer.DedupCell,
+		DedupWindow:      400_000,
+		LatencyObjective: 300_000,
+		ClientTimeout:    600_000,
+		PriorityWeight:   5,
+	}
+	if s.Classes[3] != bookClass || fmt.Sprint(c.Site.Classes) != "[open-slots patient-card chair-status book]" {
 		t.Errorf("classes %v, %+v", c.Site.Classes, s.Classes[3])
 	}
-	if s.Contract.WarmupTime != 23_000_000 || s.Zone != 0 || s.Goal.WorstClass != 0.2 || s.Limits.MaxOpenRequests != 2000 ||
-		s.Tenants[1].Quota != 180 || s.LoadMetrics[1] != balancer.MetricServedRate {
+	if s.Contract.WarmupTime != 23_000_000 || s.Zone != 0 || s.Goal.WorstClass != 0.2 ||
+		s.Limits.MaxOpenRequests != 2000 || s.Tenants[1].Quota != 180 || s.LoadMetrics[1] != balancer.MetricServedRate {
 		t.Errorf("settings %+v", s)
 	}
 	if n := c.Connections; n.MaxClients != 2032 || n.MaxEndpoints != 2032 || n.MaxIdle != 677 {
@@ -58,24 +66,10 @@
 	}
 }
 
-// What the shipped file states as holding without a key holds without it, and every key of the program is in it.
+// The values in the comments of the shipped file are the defaults of their keys.
 func TestShippedFileStatesDefaults(t *testing.T) {
-	text := shipped(t)
-	var open strings.Builder
-	for line := range strings.Lines(text) {
-		if rest, ok := strings.CutPrefix(line, "# "); ok {
-			if key, value, ok := strings.Cut(rest, " = "); ok && !strings.Contains(key, " ") && key != "mode" {
-				value, _, _ = strings.Cut(value, "  #")
-				// Where the file goes on to settle the key, what holds without it is told, not set.
-				if !strings.Contains(text, "\n"+key+" = ") || key == "name" || key == "address" {
-					fmt.Fprintf(&open, "%s = %s\n", key, strings.TrimSpace(value))
-				}
-				continue
-			}
-		}
-		open.WriteString(line)
-	}
-	with, err := Parse([]byte(open.String()))
+	text := shippedFile(t)
+	with, err := Parse([]byte(uncommentKeys(text)))
 	if err != nil {
 		t.Fatalf("with its comments taken as keys: %v", err)
 	}
@@ -83,8 +77,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []*Config{with, without} { // what is printed as an address, or differs only in print
-		c.Clients[0].UIDs, c.Clients[0].GIDs, c.OtherClients, c.Text = nil, nil, nil, nil
+	for _, c := range []*Config{with, without} { // values that are equal but are printed differently, as pointers
+		c.Clients[0].UIDs = nil
+		c.Clients[0].GIDs = nil
+		c.OtherClients = nil
+		c.Text = nil
 		for i := range c.Classes {
 			c.Classes[i].PriorityWeight = nil
 		}
@@ -94,59 +91,160 @@
 	}
 }
 
-// Each mistake is told with its key, its line and a reason, and all of them at once.
+// uncommentKeys returns a file's text with the keys in its comments set.
+func uncommentKeys(text string) string {
+	var b strings.Builder
+	for line := range strings.Lines(text) {
+		comment, isComment := strings.CutPrefix(line, "# ")
+		key, value, isKey := strings.Cut(comment, " = ")
+		if !isComment || !isKey || strings.Contains(key, " ") || key == "mode" {
+			b.WriteString(line)
+			continue
+		}
+		value, _, _ = strings.Cut(value, "  #")
+		// Where the file sets the key, too, the comment states its default.
+		if !strings.Contains(text, "\n"+key+" = ") || key == "name" || key == "address" {
+			fmt.Fprintf(&b, "%s = %s\n", key, strings.TrimSpace(value))
+		}
+	}
+	return b.String()
+}
+
+// mistake is an invalid file: one in which a text is replaced, and what its error contains.
+type mistake struct{ old, new, want string }
+
+var mistakes = []mistake{
+	{`name = "desk"` + "\naddress", `nmae = "desk"` + "\naddress", "line 5: listener.nmae: is not a known key"},
+	{`aim = "250ms"`, `aim = 250`, `line 13: class.0.aim: "250" is no time with a unit`},
+	{`aim = "250ms"`, `aim = "soon"`, `line 13: class.aim: "soon" is no time with a unit`},
+	{`aim = "250ms"`, `aim = "-1s"`, `line 13: class.aim: "-1s" is negative`},
+	{`aim = "250ms"`, `aim = "900ms"`, "line 14: class.0.give_up: 500ms is under aim, 900ms"},
+	{`aim = "250ms"` + "\n", ``, "line 10: class.0.aim: is missing"},
+	{
+		`repeat = "safe"`,
+		`repeat = "maybe"`,
+		`line 12: class.0.repeat: "maybe" is none of "keyed", "safe", "unsafe"`,
+	},
+	{`repeat = "safe"`, `repeat = "keyed"`, `class.0.group: "" is none of "all", "cell", "zone"`},
+	{
+		`repeat = "safe"`,
+		"repeat = \"safe\"\nwindow = \"1s\"",
+		"class.0.group: group and window are for keyed classes only",
+	},
+	{`name = "look"`, `name = "a/b"`, `line 11: class.0.name: "a/b" must be a part of a path`},
+	{
+		`address = "127.0.0.1:0"`,
+		`address = "0.0.0.0:80"`,
+		`line 6: listener.0.address: "0.0.0.0:80" is neither a loopback`,
+	},
+	{`address = "127.0.0.1:0"`, `address = "unix:rel"`, `line 6: listener.0.address: "unix:rel": the path`},
+	{`client = "desk"`, `client = "disk"`, `line 7: listener.0.client: no client is named "disk"`},
+	{`client = "desk"` + "\n", ``, "line 4: listener.0.client: is missing, and there is no table others"},
+	{
+		"[[client]]\nname = \"desk\"",
+		"[[client]]\nname = \"desk\"\nweight = -2",
+		"line 10: client.0.weight: -2: must be positive",
+	},
+	{
+		"[[client]]\nname = \"desk\"",
+		"[[client]]\nname = \"desk\"\nbytes_held = \"1KiB\"",
+		"line 10: client.0.bytes_held: under 65536",
+	},
+	{
+		"[[client]]\nname = \"desk\"",
+		"[[client]]\nname = \"desk\"\nbytes_held = \"1 stone\"",
+		`line 10: client.bytes_held: "1 stone" is no size`,
+	},
+	{
+		"[[client]]\nname = \"desk\"",
+		"[[client]]\nname = \"desk\"\nburst = 2",
+		"line 10: client.0.burst: means nothing without",
+	},
+	{
+		"[[client]]\nname = \"desk\"",
+		"[[client]]\nname = \"desk\"\nuids = [1, 1]",
+		`line 10: client.0.uids: 1 is client "desk" already`,
+	},
+	{
+		"[[client]]\nname = \"desk\"",
+		"[[client]]\nname = \"desk\"\n[[client]]\nname = \"desk\"",
+		`line 11: client.1.name: "desk" is named twice`,
+	},
+	{`[discovery]`, "[process]\ndescriptors = 5\n[discovery]", "line 3: process.descriptors: 5 is under 128"},
+	{`[discovery]`, "[process]\nmemory = \"1KiB\"\n[discovery]", "line 3: process.memory: under 16MiB"},
+	{
+		`[discovery]`,
+		"[connections]\nclients = 5000\n[discovery]",
+		"line 3: connections.clients: 5000, and 1 to endpoints",
+	},
+	{
+		`[discovery]`,
+		"[connections]\nclients = 5\nat_rest = 6\n[discovery]",
+		"line 4: connections.at_rest: 6: must be in 1..5",
+	},
+	{
+		`[discovery]`,
+		"[requests]\nin_flight_most = 2\n[discovery]",
+		"line 3: requests.in_flight_most: 2 is under in_flight_least, 4",
+	},
+	{`[discovery]`, "fleet = { instances = 0 }\n[discovery]", "line 2: fleet.instances: 0: must be at least 1"},
+	{
+		`[discovery]`,
+		"[attempts]\nretry_budget = 0.0\n[discovery]",
+		"line 3: attempts.retry_budget: 0: must be over 0, to 10",
+	},
+	{`[discovery]`, "[probes]\nreport = \"probe\"\n[discovery]", "line 2: probes.fields: are missing"},
+	{
+		`[discovery]`,
+		"[probes]\nreport = \"probe\"\nfields = [\"x\"]\n[discovery]",
+		`line 4: probes.fields: "x" is none of "eps", `,
+	},
+	{
+		`[discovery]`,
+		"[fleet]\nzone = \"x\"\nzones = [\"a\"]\n[discovery]",
+		`line 3: fleet.zone: "x" is none of fleet.zones`,
+	},
+	{`[discovery]`, "[goal]\nwhole = -1\n[discovery]", "line 3: goal.whole: -1: must not be negative"},
+	{`address = "127.0.0.1:8500"`, `address = "here"`, `line 3: discovery.address: "here" is no host:port`},
+	{
+		`address = "127.0.0.1:8500"`,
+		`address = "127.0.0.1:99999"`,
+		`line 3: discovery.address: "127.0.0.1:99999" is no host:port with a port in 1..65535`,
+	},
+	{
+		`address = "127.0.0.1:0"`,
+		`address = "127.0.0.1:99999"`,
+		`line 6: listener.0.address: "127.0.0.1:99999" is neither`,
+	},
+	{
+		`[discovery]`,
+		"[takeover]\ndrain_within = \"999999h\"\n[discovery]",
+		`line 3: takeover.drain_within: "999999h" is over 24h`,
+	},
+	{"\n[discovery]", "\ufeff[discovery]", "line 1: the file begins with a byte order mark"},
+	{`[[class]]`, `[[class]`, "line 10: "},
+	{`[[class]]`, `[[clazz]]`, "line 10: clazz: is not a known key"},
+}
+
+// Each mistake is reported with its key, its line and a reason, and all of them at once.
 func TestMistakes(t *testing.T) {
-	if _, err := Parse([]byte(least)); err != nil {
+	if _, err := Parse([]byte(minimalFile)); err != nil {
 		t.Fatal(err)
 	}
-	for _, tc := range []struct{ old, new, want string }{
-		{`name = "desk"` + "\naddress", `nmae = "desk"` + "\naddress", "line 5: listener.nmae: is not a known key"},
-		{`aim = "250ms"`, `aim = 250`, `line 13: class.0.aim: "250" is no time with a unit`},
-		{`aim = "250ms"`, `aim = "soon"`, `line 13: class.aim: "soon" is no time with a unit`},
-		{`aim = "250ms"`, `aim = "-1s"`, `line 13: class.aim: "-1s" is negative`},
-		{`aim = "250ms"`, `aim = "900ms"`, "line 14: class.0.give_up: 500ms is under aim, 900ms"},
-		{`aim = "250ms"` + "\n", ``, "line 10: class.0.aim: is missing"},
-		{`repeat = "safe"`, `repeat = "maybe"`, `line 12: class.0.repeat: "maybe" is none of "keyed", "safe", "unsafe"`},
-		{`repeat = "safe"`, `repeat = "keyed"`, `class.0.group: "" is none of "all", "cell", "zone"`},
-		{`repeat = "safe"`, "repeat = \"safe\"\nwindow = \"1s\"", "class.0.group: group and window are for keyed classes only"},
-		{`name = "look"`, `name = "a/b"`, `line 11: class.0.name: "a/b" must be a part of a path`},
-		{`address = "127.0.0.1:0"`, `address = "0.0.0.0:80"`, `line 6: listener.0.address: "0.0.0.0:80" is neither a loopback`},
-		{`address = "127.0.0.1:0"`, `address = "unix:rel"`, `line 6: listener.0.address: "unix:rel": the path`},
-		{`client = "desk"`, `client = "disk"`, `line 7: listener.0.client: no client is named "disk"`},
-		{`client = "desk"` + "\n", ``, "line 4: listener.0.client: is missing, and there is no table others"},
-		{"[[client]]\nname = \"desk\"", "[[client]]\nname = \"desk\"\nweight = -2", "line 10: client.0.weight: -2: must be positive"},
-		{"[[client]]\nname = \"desk\"", "[[client]]\nname = \"desk\"\nbytes_held = \"1KiB\"", "line 10: client.0.bytes_held: under 65536"},
-		{"[[client]]\nname = \"desk\"", "[[client]]\nname = \"desk\"\nbytes_held = \"1 stone\"", `line 10: client.bytes_held: "1 stone" is no size`},
-		{"[[client]]\nname = \"desk\"", "[[client]]\nname = \"desk\"\nburst = 2", "line 10: client.0.burst: means nothing without"},
-		{"[[client]]\nname = \"desk\"", "[[client]]\nname = \"desk\"\nuids = [1, 1]", `line 10: client.0.uids: 1 is client "desk" already`},
-		{"[[client]]\nname = \"desk\"", "[[client]]\nname = \"desk\"\n[[client]]\nname = \"desk\"", `line 11: client.1.name: "desk" is named twice`},
-		{`[discovery]`, "[process]\ndescriptors = 5\n[discovery]", "line 3: process.descriptors: 5 is under 128"},
-		{`[discovery]`, "[process]\nmemory = \"1KiB\"\n[discovery]", "line 3: process.memory: under 16MiB"},
-		{`[discovery]`, "[connections]\nclients = 5000\n[discovery]", "line 3: connections.clients: 5000, and 1 to endpoints"},
-		{`[discovery]`, "[connections]\nclients = 5\nat_rest = 6\n[discovery]", "line 4: connections.at_rest: 6: must be in 1..5"},
-		{`[discovery]`, "[requests]\nin_flight_most = 2\n[discovery]", "line 3: requests.in_flight_most: 2 is under in_flight_least, 4"},
-		{`[discovery]`, "fleet = { instances = 0 }\n[discovery]", "line 2: fleet.instances: 0: must be at least 1"},
-		{`[discovery]`, "[attempts]\nretry_budget = 0.0\n[discovery]", "line 3: attempts.retry_budget: 0: must be over 0, to 10"},
-		{`[discovery]`, "[probes]\nreport = \"probe\"\n[discovery]", "line 2: probes.fields: are missing"},
-		{`[discovery]`, "[probes]\nreport = \"probe\"\nfields = [\"x\"]\n[discovery]", `line 4: probes.fields: "x" is none of "eps", `},
-		{`[discovery]`, "[fleet]\nzone = \"x\"\nzones = [\"a\"]\n[discovery]", `line 3: fleet.zone: "x" is none of fleet.zones`},
-		{`[discovery]`, "[goal]\nwhole = -1\n[discovery]", "line 3: goal.whole: -1: must not be negative"},
-		{`address = "127.0.0.1:8500"`, `address = "here"`, `line 3: discovery.address: "here" is no host:port`},
-		{`address = "127.0.0.1:8500"`, `address = "127.0.0.1:99999"`, `line 3: discovery.address: "127.0.0.1:99999" is no host:port with a port in 1..65535`},
-		{`address = "127.0.0.1:0"`, `address = "127.0.0.1:99999"`, `line 6: listener.0.address: "127.0.0.1:99999" is neither`},
-		{`[discovery]`, "[takeover]\ndrain_within = \"999999h\"\n[discovery]", `line 3: takeover.drain_within: "999999h" is over 24h`},
-		{"\n[discovery]", "\ufeff[discovery]", "line 1: the file begins with a byte order mark"},
-		{`[[class]]`, `[[class]`, "line 10: "},
-		{`[[class]]`, `[[clazz]]`, "line 10: clazz: is not a known key"},
-	} {
-		text := strings.Replace(least, tc.old, tc.new, 1)
+	for _, tc := range mistakes {
+		text := strings.Replace(minimalFile, tc.old, tc.new, 1)
 		_, err := Parse([]byte(text))
 		var all stricttoml.Errors
 		if !errors.As(err, &all) || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%q in place of %q:\n got %v\nwant %s", tc.new, tc.old, err, tc.want)
 		}
 	}
-	text := strings.NewReplacer(`aim = "250ms"`, `aim = "0s"`, `client = "desk"`, `client = "disk"`, `:8500`, ``).Replace(least)
+	threeMistakes := strings.NewReplacer(
+		`aim = "250ms"`, `aim = "0s"`,
+		`client = "desk"`, `client = "disk"`,
+		`:8500`, ``,
+	)
+	text := threeMistakes.Replace(minimalFile)
 	_, err := Parse([]byte(text))
 	var all stricttoml.Errors
 	if !errors.As(err, &all) || len(all) != 3 || all[0].Line != 3 || all[1].Line != 7 || all[2].Line != 13 {
@@ -154,9 +252,9 @@
 	}
 }
 
-// No text brings the reader down, and what it takes makes sense to the decisions.
+// No text makes the parser panic, and the settings of an accepted one are valid for the decision packages.
 func FuzzParse(f *testing.F) {
-	f.Add(least)
+	f.Add(minimalFile)
 	text, err := os.ReadFile("../../deploy/dunlinsaild.toml")
 	if err != nil {
 		f.Fatal(err)
@@ -169,11 +267,11 @@
 			return
 		}
 		if err := c.Site.Settings.Validate(); err != nil {
-			t.Errorf("%q was taken: %v", text, err)
+			t.Errorf("%q was accepted: %v", text, err)
 		}
 		for i := range c.Clients {
 			if err := c.Clients[i].ClientSpec("c").Validate(); err != nil {
-				t.Errorf("%q was taken: %v", text, err)
+				t.Errorf("%q was accepted: %v", text, err)
 			}
 		}
 	})
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -9,7 +9,7 @@
 )
 
 // The files under testdata/golden were written by the build of 870f4ac and never change: a file, the resources of two
-// versions as they are cached, each named by its digest, and what the file and the first of them combine to.
+// versions as they are cached, each named by its digest, and the combination of the file and the first of them.
 func TestGoldenResources(t *testing.T) {
 	read := func(path string) string {
 		t.Helper()
--- a/internal/config/resources_test.go
+++ b/internal/config/resources_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"maps"
@@ -11,8 +12,8 @@
 	"testing"
 )
 
-// cases has for each key of each kind a value that is taken and one that is refused. Beside them stand the keys that
-// the one or the other needs.
+// cases has for each key of each kind a value that is accepted and one that is rejected. Other keys that they need
+// are in needs and completeFields.
 var cases = map[string]struct{ good, bad string }{
 	"attempts.cancel":            {`false`, `1`},
 	"attempts.dial_timeout":      {`"100ms"`, `"0s"`},
@@ -135,19 +136,27 @@
 	"tenant.share":               {`0.5`, `2`},
 }
 
-// needs are further keys of the same resource that a case needs.
+// needs are the other keys of the same resource that a case needs, as members of a JSON object.
 var needs = map[string]string{
-	"discovery.mode": `"address":"127.0.0.1:8500"`,
-	"class.group":    `"repeat":"keyed","window":"400ms"`, "class.window": `"repeat":"keyed","group":"cell"`,
-	"client.burst": `"requests_per_second":50`, "others.burst": `"requests_per_second":50`,
-	"connections.endpoints": `"clients":300`, "connections.at_rest": `"clients":300`,
-	"listener.mode": `"address":"unix:/run/a.sock"`, "pool.discovery": `"endpoints":null`, "pool.file": `"endpoints":null`,
-	"probes.fields": `"on":true,"report":"probe"`, "probes.report": `"on":true,"fields":["queue"]`,
-	"requests.in_flight_most": `"in_flight_least":2`, "route.strip_prefix": `"path":"/a/*"`, "route.trusted": `"forwarded":"rfc7239"`,
-	"route.whole": `"idle":"5s"`,
+	"discovery.mode":          `"address":"127.0.0.1:8500"`,
+	"class.group":             `"repeat":"keyed","window":"400ms"`,
+	"class.window":            `"repeat":"keyed","group":"cell"`,
+	"client.burst":            `"requests_per_second":50`,
+	"others.burst":            `"requests_per_second":50`,
+	"connections.endpoints":   `"clients":300`,
+	"connections.at_rest":     `"clients":300`,
+	"listener.mode":           `"address":"unix:/run/a.sock"`,
+	"pool.discovery":          `"endpoints":null`,
+	"pool.file":               `"endpoints":null`,
+	"probes.fields":           `"on":true,"report":"probe"`,
+	"probes.report":           `"on":true,"fields":["queue"]`,
+	"requests.in_flight_most": `"in_flight_least":2`,
+	"route.strip_prefix":      `"path":"/a/*"`,
+	"route.trusted":           `"forwarded":"rfc7239"`,
+	"route.whole":             `"idle":"5s"`,
 }
 
-// whole are resources that are sound, one of each kind that needs more than a key.
+// completeFields are the fields of a valid resource of each kind that needs more than one key, in JSON.
 var completeFields = map[string]string{
 	"class":    `{"repeat":"safe","aim":"100ms","give_up":"1s"}`,
 	"listener": `{"address":"127.0.0.1:8081","client":"desk"}`,
@@ -155,6 +164,7 @@
 	"route":    `{"pool":"app","class":"look"}`,
 }
 
+// object decodes a JSON object.
 func object(t *testing.T, text string) map[string]any {
 	t.Helper()
 	var f map[string]any
@@ -164,7 +174,8 @@
 	return f
 }
 
-func sound(t *testing.T, text string) *Config {
+// mustParse returns a valid configuration.
+func mustParse(t *testing.T, text string) *Config {
 	t.Helper()
 	c, err := Parse([]byte(text))
 	if err != nil {
@@ -173,84 +184,101 @@
 	return c
 }
 
-// Each key that a version may hold has a value that is taken, and one that is refused with the resource and the key.
+// routedFile is a file with routes, and with a class and a client that resources can name.
+const routedFile = "[control]\npin = []\n" + minimalRoutes + `class = "look"
+[[class]]
+name = "look"
+repeat = "safe"
+aim = "250ms"
+give_up = "500ms"
+[[client]]
+name = "desk"
+[others]
+`
+
+// Each key that a version may hold has a value that is accepted, and one that is rejected with an error that names the
+// resource and the key.
 func TestEachKey(t *testing.T) {
-	protocol := sound(t, "[control]\npin = []\n"+least)
-	routed := sound(t,
-		"[control]\npin = []\n"+leastRoutes+"class = \"look\"\n[[class]]\nname = \"look\"\nrepeat = \"safe\"\naim = \"250ms\"\ngive_up = \"500ms\"\n[[client]]\nname = \"desk\"\n[others]\n")
-	var keys []string
-	var collect func(kind string, t reflect.Type)
-	collect = func(kind string, t reflect.Type) {
-		for i := range t.NumField() {
-			if f := t.Field(i); f.Anonymous && f.Tag.Get("toml") == "" {
-				collect(kind, f.Type)
-			} else {
-				keys = append(keys, kind+"."+f.Tag.Get("toml"))
-			}
-		}
-	}
-	for name, k := range ResourceKinds() {
-		collect(name, k.Type)
-	}
-	slices.Sort(keys)
+	byClass := mustParse(t, "[control]\npin = []\n"+minimalFile)
+	routed := mustParse(t, routedFile)
+	keys := resourceKeys()
 	if listed := slices.Sorted(maps.Keys(cases)); !slices.Equal(keys, listed) {
 		t.Fatalf("keys %v, cases for %v", keys, listed)
 	}
 	for _, key := range keys {
 		kind, name, _ := strings.Cut(key, ".")
-		file := protocol
+		file := byClass
 		if slices.Contains([]string{"pool", "route", "paths"}, kind) {
 			file = routed
 		}
-		made := func(value string) []Resource {
-			r := Resource{Kind: kind, Fields: map[string]any{}}
-			if completeFields[kind] != "" {
-				r.Fields = object(t, completeFields[kind])
-			}
-			if needs[key] != "" {
-				maps.Copy(r.Fields, object(t, "{"+needs[key]+"}"))
-			}
-			if ResourceKinds()[kind].List {
-				r.Name = map[string]string{"class": "look", "client": "desk", "pool": "app", "route": "r"}[kind]
-				if r.Name == "" {
-					r.Name = "one"
-				}
-			}
-			if name == "name" {
-				r.Name = object(t, `{"v":`+value+`}`)["v"].(string)
-			} else {
-				r.Fields[name] = object(t, `{"v":`+value+`}`)["v"]
-			}
-			maps.DeleteFunc(r.Fields, func(_ string, v any) bool { return v == nil })
-			all := []Resource{r}
-			switch { // what else the version must hold for this to be whole
-			case kind == "client" && r.Name != "desk":
-				all = append(all, Resource{Kind: "client", Name: "desk", Fields: map[string]any{}})
-			case kind == "fleet" && name == "instances":
-			}
-			return all
-		}
-		c, err := Combine(file, made(cases[key].good))
+		c, err := Combine(file, resourcesWith(t, key, cases[key].good))
 		if err != nil {
 			t.Errorf("%s = %s: %v", key, cases[key].good, err)
 		} else if c == file || len(c.Listeners) == 0 {
-			t.Errorf("%s: nothing was made of it", key)
+			t.Errorf("%s: not combined", key)
 		}
-		_, err = Combine(file, made(cases[key].bad))
+		_, err = Combine(file, resourcesWith(t, key, cases[key].bad))
 		if err == nil {
-			t.Errorf("%s = %s was taken", key, cases[key].bad)
+			t.Errorf("%s = %s was accepted", key, cases[key].bad)
 			continue
 		}
 		if !strings.HasPrefix(err.Error(), kind) || name != "name" && !strings.Contains(err.Error(), name) {
-			t.Errorf("%s = %s: refused without saying where: %v", key, cases[key].bad, err)
+			t.Errorf("%s = %s: rejected without resource and key: %v", key, cases[key].bad, err)
 		}
 	}
 }
 
-// What a version holds stands in place of the file's, but for what that pins, and a list that is the same is in the
-// same order.
-func TestCombine(t *testing.T) {
-	file := sound(t, `
+// resourceKeys returns the keys of all kinds of resources, "KIND.KEY", sorted.
+func resourceKeys() (keys []string) {
+	var collect func(kind string, t reflect.Type)
+	collect = func(kind string, t reflect.Type) {
+		for i := range t.NumField() {
+			if f := t.Field(i); f.Anonymous && f.Tag.Get("toml") == "" {
+				collect(kind, f.Type)
+			} else {
+				keys = append(keys, kind+"."+f.Tag.Get("toml"))
+			}
+		}
+	}
+	for name, k := range ResourceKinds() {
+		collect(name, k.Type)
+	}
+	slices.Sort(keys)
+	return keys
+}
+
+// resourcesWith returns a version with a resource in which a key has a value in JSON, and with the others that it
+// needs.
+func resourcesWith(t *testing.T, key, value string) []Resource {
+	t.Helper()
+	kind, name, _ := strings.Cut(key, ".")
+	r := Resource{Kind: kind, Fields: map[string]any{}}
+	if completeFields[kind] != "" {
+		r.Fields = object(t, completeFields[kind])
+	}
+	if needs[key] != "" {
+		maps.Copy(r.Fields, object(t, "{"+needs[key]+"}"))
+	}
+	if ResourceKinds()[kind].List {
+		names := map[string]string{"class": "look", "client": "desk", "pool": "app", "route": "r"}
+		r.Name = cmp.Or(names[kind], "one")
+	}
+	decoded := object(t, `{"v":`+value+`}`)["v"]
+	if name == "name" {
+		r.Name = decoded.(string)
+	} else {
+		r.Fields[name] = decoded
+	}
+	maps.DeleteFunc(r.Fields, func(_ string, v any) bool { return v == nil })
+	all := []Resource{r}
+	if kind == "client" && r.Name != "desk" { // the listener needs it
+		all = append(all, Resource{Kind: "client", Name: "desk", Fields: map[string]any{}})
+	}
+	return all
+}
+
+// pinningFile pins a list, an entry of a list and a key.
+const pinningFile = `
 [control]
 pin = ["listener", "client.desk", "requests.open"]
 [discovery]
@@ -279,14 +307,28 @@
 give_up = "500ms"
 [[tenant]]
 name = "acme"
-`)
+`
+
+// A version's resources replace the file's tables, except those that the file pins, and an unchanged list has an
+// unchanged order.
+func TestCombine(t *testing.T) {
+	file := mustParse(t, pinningFile)
 	class := func(name, more string) Resource {
-		return Resource{Kind: "class", Name: name, Fields: object(t, `{"repeat":"safe","aim":"100ms","give_up":"1s"`+more+`}`)}
+		return Resource{
+			Kind:   "class",
+			Name:   name,
+			Fields: object(t, `{"repeat":"safe","aim":"100ms","give_up":"1s"`+more+`}`),
+		}
 	}
-	c, err := Combine(file, []Resource{class("zoom", ""), class("book", ""), class("look", `,"worth":2`),
+	c, err := Combine(file, []Resource{
+		class("zoom", ""),
+		class("book", ""),
+		class("look", `,"worth":2`),
 		{Kind: "requests", Fields: object(t, `{"open":7,"in_flight_least":5}`)},
-		{Kind: "client", Name: "desk", Fields: object(t, `{"weight":1}`)}, {Kind: "client", Name: "new", Fields: object(t, `{"weight":2.5}`)},
-		{Kind: "listener", Name: "evil", Fields: object(t, `{"address":"unix:/tmp/x"}`)}})
+		{Kind: "client", Name: "desk", Fields: object(t, `{"weight":1}`)},
+		{Kind: "client", Name: "new", Fields: object(t, `{"weight":2.5}`)},
+		{Kind: "listener", Name: "evil", Fields: object(t, `{"address":"unix:/tmp/x"}`)},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -311,53 +353,75 @@
 	}
 }
 
-// What is wrong with a version is told by its resource, all of it at once; what is wrong between it and the file, by
-// the key.
-func TestCombineTellsWhere(t *testing.T) {
-	file := sound(t, least)
+// The error of a version names the resource of each mistake, and the file's key where only the combination is invalid.
+func TestCombineErrorsNameTheResource(t *testing.T) {
+	file := mustParse(t, minimalFile)
 	deep := any("x")
 	for range 10 {
 		deep = map[string]any{"k": deep}
 	}
 	for want, all := range map[string][]Resource{
-		"class/book: aim: is missing":                                           {{Kind: "class", Name: "book", Fields: object(t, `{"repeat":"safe"}`)}},
-		"class/book: worht: is not a known key":                                 {{Kind: "class", Name: "a", Fields: object(t, completeFields["class"])}, {Kind: "class", Name: "book", Fields: object(t, `{"worht":1}`)}},
-		"class/b: repeat: \"x\" is none of":                                     {{Kind: "class", Name: "a", Fields: object(t, completeFields["class"])}, {Kind: "class", Name: "b", Fields: object(t, `{"repeat":"x","aim":"1s","give_up":"1s"}`)}},
-		"the file: listener.0.client: no client is":                             {{Kind: "client", Name: "other", Fields: map[string]any{}}},
-		"requests: in_flight_most: 3 is under in_fli":                           {{Kind: "requests", Fields: object(t, `{"in_flight_least":5,"in_flight_most":3}`)}},
-		"\"clas\" is no kind of resource":                                       {{Kind: "clas", Name: "a"}},
-		"process: only the instance's own file":                                 {{Kind: "process"}},
-		"class: has no name":                                                    {{Kind: "class"}},
-		"requests/x: there is one table":                                        {{Kind: "requests", Name: "x"}},
-		"class/a: stands twice":                                                 {{Kind: "class", Name: "a"}, {Kind: "class", Name: "a"}},
-		"requests: nested deeper than 6":                                        {{Kind: "requests", Fields: map[string]any{"open": deep}}},
-		"requests: <nil> is no text":                                            {{Kind: "requests", Fields: map[string]any{"open": nil}}},
-		"requests: a text of 8193 bytes":                                        {{Kind: "requests", Fields: map[string]any{"open": strings.Repeat("x", 8193)}}},
-		"requests: in_flight: -1 is negative; requests: open: 0: must be at le": {{Kind: "requests", Fields: object(t, `{"in_flight":-1,"open":0}`)}},
+		"class/book: aim: is missing": {
+			{Kind: "class", Name: "book", Fields: object(t, `{"repeat":"safe"}`)},
+		},
+		"class/book: worht: is not a known key": {
+			{Kind: "class", Name: "a", Fields: object(t, completeFields["class"])},
+			{Kind: "class", Name: "book", Fields: object(t, `{"worht":1}`)},
+		},
+		"class/b: repeat: \"x\" is none of": {
+			{Kind: "class", Name: "a", Fields: object(t, completeFields["class"])},
+			{Kind: "class", Name: "b", Fields: object(t, `{"repeat":"x","aim":"1s","give_up":"1s"}`)},
+		},
+		"the file: listener.0.client: no client is": {
+			{Kind: "client", Name: "other", Fields: map[string]any{}},
+		},
+		"requests: in_flight_most: 3 is under in_fli": {
+			{Kind: "requests", Fields: object(t, `{"in_flight_least":5,"in_flight_most":3}`)},
+		},
+		"\"clas\" is no kind of resource":       {{Kind: "clas", Name: "a"}},
+		"process: only the instance's own file": {{Kind: "process"}},
+		"class: has no name":                    {{Kind: "class"}},
+		"requests/x: there is one table":        {{Kind: "requests", Name: "x"}},
+		"class/a: stands twice": {
+			{Kind: "class", Name: "a"},
+			{Kind: "class", Name: "a"},
+		},
+		"requests: nested deeper than 6": {
+			{Kind: "requests", Fields: map[string]any{"open": deep}},
+		},
+		"requests: <nil> is no text": {
+			{Kind: "requests", Fields: map[string]any{"open": nil}},
+		},
+		"requests: a text of 8193 bytes": {
+			{Kind: "requests", Fields: map[string]any{"open": strings.Repeat("x", 8193)}},
+		},
+		"requests: in_flight: -1 is negative; requests: open: 0: must be at le": {
+			{Kind: "requests", Fields: object(t, `{"in_flight":-1,"open":0}`)},
+		},
 	} {
 		if _, err := Combine(file, all); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v\nwant %s", err, want)
 		}
 	}
 	if _, err := Combine(file, make([]Resource, maxResources+1)); err == nil {
-		t.Error("too many resources were taken")
+		t.Error("too many resources were accepted")
 	}
 }
 
-// A version's digest is that of what is in it.
+// The digest of a version depends on its content, and not on the order of the resources.
 func TestDigest(t *testing.T) {
 	a := []Resource{{Kind: "a", Name: "1", Fields: object(t, `{"x":1,"y":[true]}`)}, {Kind: "b"}}
 	b := []Resource{{Kind: "b"}, {Kind: "a", Name: "1", Fields: object(t, `{"y":[true],"x":1}`)}}
 	if Digest(a) != Digest(b) {
-		t.Error("the order counts")
+		t.Error("the digest depends on the order")
 	}
 	b[1].Fields["x"] = 2.0
 	if Digest(a) == Digest(b) {
-		t.Error("a value does not count")
+		t.Error("the digest does not depend on a value")
 	}
 }
 
-// The schema in the repository is the program's.
+// The schema in the repository is the one that the program prints.
 func TestSchema(t *testing.T) {
 	want, err := Schema()
 	if err != nil {
--- a/internal/config/routes_test.go
+++ b/internal/config/routes_test.go
@@ -1,16 +1,18 @@
 package config
 
 import (
-	"dunlinsail/internal/stricttoml"
 	"errors"
 	"os"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
+
+	"dunlinsail/internal/stricttoml"
 )
 
-const leastRoutes = `
+// minimalRoutes is the shortest valid file with routes.
+const minimalRoutes = `
 [[listener]]
 address = "127.0.0.1:0"
 [[pool]]
@@ -20,24 +22,25 @@
 pool = "app"
 `
 
-// Eight lines are enough to begin.
+// A file of eight lines is valid, with defaults for the rest.
 func TestLeastRoutes(t *testing.T) {
-	c, err := Parse([]byte(leastRoutes))
+	c, err := Parse([]byte(minimalRoutes))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := c.Routes[0]
-	if c.Table == nil || len(c.Classes) != 2 || c.OtherClients == nil || c.Listeners[0].Name != "127.0.0.1:0" || r.MaxBodyHeld.Bytes != 64<<10 ||
+	if c.Table == nil || len(c.Classes) != 2 || c.OtherClients == nil || c.Listeners[0].Name != "127.0.0.1:0" ||
+		r.MaxBodyHeld.Bytes != 64<<10 ||
 		r.IdleTimeout.Duration != 30*time.Second || r.Forwarded != "as-is" ||
 		!reflect.DeepEqual(r.ErrorStatuses, []int{500, 502, 504}) {
 		t.Errorf("%+v", c)
 	}
 	if got := c.Table.Match("any", "/a/b", "PURGE", nil); got != 0 {
-		t.Errorf("route %d takes it", got)
+		t.Errorf("route %d matches", got)
 	}
 }
 
-// The file of routes that ships is sound and uses every key of its tables.
+// The shipped file of routes is valid and has every key of its tables.
 func TestShippedRoutes(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/routes.toml")
 	if err != nil {
@@ -57,48 +60,76 @@
 	}
 }
 
+// minimalRoute is the key of the route in minimalRoutes.
+const minimalRoute = "pool = \"app\"\n"
+
+var mistakesInRoutes = []mistake{
+	{minimalRoute, "pool = \"ap\"\n", `line 8: route.0.pool: no pool is named "ap"`},
+	{minimalRoute, "pol = \"app\"\n", "line 8: route.pol: is not a known key"},
+	{minimalRoute, minimalRoute + "path = \"a\"\n", "line 9: route.0.path: must begin with /"},
+	{minimalRoute, minimalRoute + "path = \"/a/../b\"\n", "line 9: route.0.path: requests never have it"},
+	{minimalRoute, minimalRoute + "host = \"H\"\n", "line 9: route.0.host: "},
+	{minimalRoute, minimalRoute + "methods = [\"GET\", \"GET\"]\n", "line 9: route.0.methods: \"GET\" is named twice"},
+	{
+		minimalRoute,
+		minimalRoute + "[[route]]\n" + minimalRoute,
+		"line 9: route.1: can take the same request as the route on line 7",
+	},
+	{minimalRoute, minimalRoute + "class = \"look\"\n", `line 9: route.0.class: no class is named "look"`},
+	{
+		minimalRoute,
+		minimalRoute + "tenant = \"path:clinic\"\n",
+		"line 9: route.0.tenant: the path has no part {clinic}",
+	},
+	{minimalRoute, minimalRoute + "tenant = \"X-Customer\"\n", "line 9: route.0.tenant: \"X-Customer\" is none of"},
+	{minimalRoute, minimalRoute + "key = \"path:x\"\n", "line 9: route.0.key: \"path:x\" is no header"},
+	{minimalRoute, minimalRoute + "key = \"header:Host\"\n", "line 9: route.0.key: Host tells how a message is framed"},
+	{
+		minimalRoute,
+		minimalRoute + "key = \"header:K\"\nrequest = { remove = [\"k\"] }\n",
+		"line 10: route.0.request: K, which key names",
+	},
+	{minimalRoute, minimalRoute + "tries = -1\n", "line 9: route.0.tries: -1 is negative"},
+	{minimalRoute, minimalRoute + "body_hold = \"2MiB\"\n", "line 9: route.0.body_hold: over 1MiB"},
+	{minimalRoute, minimalRoute + "answer_most = \"1KiB\"\n", "line 9: route.0.answer_most: is under answer_hold"},
+	{minimalRoute, minimalRoute + "idle = \"1h\"\n", "line 9: route.0.idle: 1h0m0s is over whole"},
+	{minimalRoute, minimalRoute + "errors = [200]\n", "line 9: route.0.errors: 200 is no status"},
+	{minimalRoute, minimalRoute + "path = \"/a/*\"\nstrip_prefix = \"/b\"\n", "line 10: route.0.strip_prefix: "},
+	{minimalRoute, minimalRoute + "path = \"/ab/*\"\nstrip_prefix = \"/a\"\n", "line 10: route.0.strip_prefix: "},
+	{minimalRoute, minimalRoute + "add_prefix = \"/a/\"\n", "line 9: route.0.add_prefix: "},
+	{minimalRoute, minimalRoute + "forwarded = \"yes\"\n", "line 9: route.0.forwarded: \"yes\" is none of"},
+	{minimalRoute, minimalRoute + "trusted = true\n", "line 9: route.0.trusted: means nothing"},
+	{
+		minimalRoute,
+		minimalRoute + "request = { set = { \"Connection\" = \"x\" } }\n",
+		"line 9: route.0.request.set: Connection is not to be changed",
+	},
+	{minimalRoute, minimalRoute + "answer = { add = { \"X\" = \"a\\nb\" } }\n", "line 9: route.0.answer.add: "},
+	{"127.0.0.1:9002", "127.0.0.1:9001", "line 6: pool.0.endpoints: \"127.0.0.1:9001\" is named twice"},
+	{"127.0.0.1:9002", "127.0.0.1:0", "line 6: pool.0.endpoints: \"127.0.0.1:0\" is no host:port"},
+	{"[[route]]", "file = \"x\"\n[[route]]", "line 6: pool.0.endpoints: exactly one of"},
+	{"[[route]]", "retry_budget = 11.0\n[[route]]", "line 7: pool.0.retry_budget: 11: must be in 0..10"},
+	{
+		"[[listener]]",
+		"[discovery]\naddress = \"127.0.0.1:1\"\n[[listener]]",
+		"line 3: discovery.address: with [[route]]",
+	},
+	{
+		"[[listener]]",
+		"[paths]\nencoded_slash = \"yes\"\n[[listener]]",
+		"line 3: paths.encoded_slash: \"yes\" is none of",
+	},
+}
+
 func TestMistakesInRoutes(t *testing.T) {
-	route := "pool = \"app\"\n"
-	for _, tc := range []struct{ old, new, want string }{
-		{route, "pool = \"ap\"\n", `line 8: route.0.pool: no pool is named "ap"`},
-		{route, "pol = \"app\"\n", "line 8: route.pol: is not a known key"},
-		{route, route + "path = \"a\"\n", "line 9: route.0.path: must begin with /"},
-		{route, route + "path = \"/a/../b\"\n", "line 9: route.0.path: requests never have it"},
-		{route, route + "host = \"H\"\n", "line 9: route.0.host: "},
-		{route, route + "methods = [\"GET\", \"GET\"]\n", "line 9: route.0.methods: \"GET\" is named twice"},
-		{route, route + "[[route]]\n" + route, "line 9: route.1: can take the same request as the route on line 7"},
-		{route, route + "class = \"look\"\n", `line 9: route.0.class: no class is named "look"`},
-		{route, route + "tenant = \"path:clinic\"\n", "line 9: route.0.tenant: the path has no part {clinic}"},
-		{route, route + "tenant = \"X-Customer\"\n", "line 9: route.0.tenant: \"X-Customer\" is none of"},
-		{route, route + "key = \"path:x\"\n", "line 9: route.0.key: \"path:x\" is no header"},
-		{route, route + "key = \"header:Host\"\n", "line 9: route.0.key: Host tells how a message is framed"},
-		{route, route + "key = \"header:K\"\nrequest = { remove = [\"k\"] }\n", "line 10: route.0.request: K, which key names"},
-		{route, route + "tries = -1\n", "line 9: route.0.tries: -1 is negative"},
-		{route, route + "body_hold = \"2MiB\"\n", "line 9: route.0.body_hold: over 1MiB"},
-		{route, route + "answer_most = \"1KiB\"\n", "line 9: route.0.answer_most: is under answer_hold"},
-		{route, route + "idle = \"1h\"\n", "line 9: route.0.idle: 1h0m0s is over whole"},
-		{route, route + "errors = [200]\n", "line 9: route.0.errors: 200 is no status"},
-		{route, route + "path = \"/a/*\"\nstrip_prefix = \"/b\"\n", "line 10: route.0.strip_prefix: "},
-		{route, route + "path = \"/ab/*\"\nstrip_prefix = \"/a\"\n", "line 10: route.0.strip_prefix: "},
-		{route, route + "add_prefix = \"/a/\"\n", "line 9: route.0.add_prefix: "},
-		{route, route + "forwarded = \"yes\"\n", "line 9: route.0.forwarded: \"yes\" is none of"},
-		{route, route + "trusted = true\n", "line 9: route.0.trusted: means nothing"},
-		{route, route + "request = { set = { \"Connection\" = \"x\" } }\n", "line 9: route.0.request.set: Connection is not to be changed"},
-		{route, route + "answer = { add = { \"X\" = \"a\\nb\" } }\n", "line 9: route.0.answer.add: "},
-		{"127.0.0.1:9002", "127.0.0.1:9001", "line 6: pool.0.endpoints: \"127.0.0.1:9001\" is named twice"},
-		{"127.0.0.1:9002", "127.0.0.1:0", "line 6: pool.0.endpoints: \"127.0.0.1:0\" is no host:port"},
-		{"[[route]]", "file = \"x\"\n[[route]]", "line 6: pool.0.endpoints: exactly one of"},
-		{"[[route]]", "retry_budget = 11.0\n[[route]]", "line 7: pool.0.retry_budget: 11: must be in 0..10"},
-		{"[[listener]]", "[discovery]\naddress = \"127.0.0.1:1\"\n[[listener]]", "line 3: discovery.address: with [[route]]"},
-		{"[[listener]]", "[paths]\nencoded_slash = \"yes\"\n[[listener]]", "line 3: paths.encoded_slash: \"yes\" is none of"},
-	} {
-		_, err := Parse([]byte(strings.Replace(leastRoutes, tc.old, tc.new, 1)))
+	for _, tc := range mistakesInRoutes {
+		_, err := Parse([]byte(strings.Replace(minimalRoutes, tc.old, tc.new, 1)))
 		var all stricttoml.Errors
 		if !errors.As(err, &all) || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%q in place of %q:\n got %v\nwant %s", tc.new, tc.old, err, tc.want)
 		}
 	}
-	withPool := strings.Replace(least, "[[class]]", "[[pool]]\nname = \"a\"\nendpoints = []\n[[class]]", 1)
+	withPool := strings.Replace(minimalFile, "[[class]]", "[[pool]]\nname = \"a\"\nendpoints = []\n[[class]]", 1)
 	if _, err := Parse([]byte(withPool)); err == nil ||
 		!strings.Contains(err.Error(), "no route leads to a pool") {
 		t.Errorf("a pool without routes: %v", err)
