--- a/internal/stricttoml/decode.go
+++ b/internal/stricttoml/decode.go
@@ -1,6 +1,6 @@
 // Package stricttoml decodes TOML files strictly: an unknown key, an invalid value and a contradiction are errors
 // that name key, line and reason, and all of them are reported at once. It also has the types of values with units.
-// It must not import what a file configures.
+// It must not import the packages that a file configures.
 package stricttoml
 
 import (
@@ -11,7 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode decodes a TOML text into a struct, and returns the line of each key, for a Validation. Its error is Errors.
+// Decode decodes a TOML text into a struct, and returns the line of each key, from 1, for a Validation. Its error is
+// Errors.
 func Decode(text []byte, into any) (lines map[string]int, err error) {
 	if bytes.HasPrefix(text, []byte("\xef\xbb\xbf")) {
 		return nil, Errors{{"", 1, "the file begins with a byte order mark (U+FEFF): save it as UTF-8 without one"}}
@@ -41,7 +42,7 @@
 		line, _ := bad.Position()
 		return Errors{{strings.Join(bad.Key(), "."), line, strings.TrimPrefix(bad.Error(), "toml: ")}}
 	}
-	// If a value with a unit is written as a number, the library does not tell where.
+	// For a value with a unit that is written as a number, the library does not report the position.
 	if unit := (*unitError)(nil); errors.As(err, &unit) {
 		_, numbers := scanKeys(text)
 		for _, n := range numbers {
--- a/internal/stricttoml/errors.go
+++ b/internal/stricttoml/errors.go
@@ -7,7 +7,7 @@
 
 // Error is one mistake in a file.
 type Error struct {
-	Key    string // dotted, with indexes in lists from 0; "" if the text is no TOML
+	Key    string // dotted, with indexes in lists from 0; "" if the text is not TOML
 	Line   int    // from 1; 0 if the file does not contain the key
 	Reason string
 }
--- a/internal/stricttoml/lines.go
+++ b/internal/stricttoml/lines.go
@@ -8,30 +8,30 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyLines returns the line of each key of a valid TOML text, with indexes in lists of tables from 0. The library
-// tells the lines of what it cannot decode only, not of what is found invalid afterwards.
+// keyLines returns the line of each key of a valid TOML text, with indexes in lists of tables from 0. The library only
+// reports the lines of values that it cannot decode, not of those that are found invalid afterwards.
 func keyLines(text []byte) map[string]int {
 	lines, _ := scanKeys(text)
 	return lines
 }
 
-// lineIndex is the offset of each line's first byte. The library counts lines from the beginning for each node, which
-// takes a minute for a text of ten thousand tables.
+// lineIndex is the offset of each line's first byte. The library would count lines from the start of the text for each
+// node, which takes a minute for ten thousand tables.
 type lineIndex []uint32
 
 func newLineIndex(text []byte) lineIndex {
-	r := lineIndex{0}
+	index := lineIndex{0}
 	for i, b := range text {
 		if b == '\n' {
-			r = append(r, uint32(i+1))
+			index = append(index, uint32(i+1))
 		}
 	}
-	return r
+	return index
 }
 
 // line returns the line, from 1, on which a range starts.
-func (r lineIndex) line(at unstable.Range) int {
-	i, found := slices.BinarySearch(r, at.Offset)
+func (index lineIndex) line(at unstable.Range) int {
+	i, found := slices.BinarySearch(index, at.Offset)
 	if found {
 		i++
 	}
@@ -55,17 +55,10 @@
 		if e.Kind != unstable.Table && e.Kind != unstable.ArrayTable {
 			continue
 		}
-		var key []string
-		line := 0
-		for it := e.Key(); it.Next(); {
-			key = append(key, string(it.Node().Data))
-			line = lineOf.line(it.Node().Raw)
-		}
+		key, line := readKey(e.Key(), lineOf)
 		full := withListIndexes(key, counts)
 		if e.Kind == unstable.ArrayTable {
-			name := strings.Join(full, ".")
-			counts[name]++
-			full = append(withListIndexes(key[:len(key)-1], counts), key[len(key)-1], strconv.Itoa(counts[name]-1))
+			full = nextInList(key, counts)
 		}
 		headers = append(headers, header{line, strings.Join(full, ".")})
 	}
@@ -99,34 +92,44 @@
 	p.Reset(text)
 	for p.NextExpression() {
 		e := p.Expression()
-		var key []string
-		line := 0
-		for it := e.Key(); it.Next(); {
-			n := it.Node()
-			key = append(key, string(n.Data))
-			line = lineOf.line(n.Raw)
-		}
+		key, line := readKey(e.Key(), lineOf)
 		switch e.Kind {
 		case unstable.Table:
 			table = withListIndexes(key, counts)
 			lines[strings.Join(table, ".")] = line
 		case unstable.ArrayTable:
-			name := strings.Join(withListIndexes(key, counts), ".")
-			counts[name]++
-			table = append(withListIndexes(key[:len(key)-1], counts), key[len(key)-1], strconv.Itoa(counts[name]-1))
+			table = nextInList(key, counts)
 			lines[strings.Join(table, ".")] = line
 		case unstable.KeyValue:
-			at := append(append([]string{}, table...), key...)
-			lines[strings.Join(at, ".")] = line
+			full := slices.Concat(table, key)
+			lines[strings.Join(full, ".")] = line
 			if v := e.Value(); v.Kind == unstable.Integer || v.Kind == unstable.Float {
-				numbers = append(numbers, numberValue{strings.Join(at, "."), string(v.Data), line})
+				numbers = append(numbers, numberValue{strings.Join(full, "."), string(v.Data), line})
 			}
-			recordInlineKeys(lineOf, e.Value(), at, lines)
+			recordInlineKeys(lineOf, e.Value(), full, lines)
 		}
 	}
 	return lines, numbers
 }
 
+// readKey returns the parts of a key, and the line of its last part.
+func readKey(it unstable.Iterator, lineOf lineIndex) (key []string, line int) {
+	for it.Next() {
+		key = append(key, string(it.Node().Data))
+		line = lineOf.line(it.Node().Raw)
+	}
+	return key, line
+}
+
+// nextInList counts the next table of a list, and returns its key with its index. counts has the tables of each list
+// so far.
+func nextInList(key []string, counts map[string]int) []string {
+	list := strings.Join(withListIndexes(key, counts), ".")
+	counts[list]++
+	last := len(key) - 1
+	return append(withListIndexes(key[:last], counts), key[last], strconv.Itoa(counts[list]-1))
+}
+
 // withListIndexes inserts the indexes of lists of tables into a key: a part that is such a list means its latest
 // table.
 func withListIndexes(key []string, counts map[string]int) []string {
@@ -140,25 +143,21 @@
 	return full
 }
 
-// recordInlineKeys records the lines of the keys of inline tables in a value.
+// recordInlineKeys records the lines of the keys of inline tables in a value, whose own key is at.
 func recordInlineKeys(lineOf lineIndex, v *unstable.Node, at []string, lines map[string]int) {
 	switch v.Kind {
 	case unstable.InlineTable:
 		for it := v.Children(); it.Next(); {
 			kv := it.Node()
-			key := append([]string{}, at...)
-			line := 0
-			for k := kv.Key(); k.Next(); {
-				key = append(key, string(k.Node().Data))
-				line = lineOf.line(k.Node().Raw)
-			}
-			lines[strings.Join(key, ".")] = line
-			recordInlineKeys(lineOf, kv.Value(), key, lines)
+			key, line := readKey(kv.Key(), lineOf)
+			full := slices.Concat(at, key)
+			lines[strings.Join(full, ".")] = line
+			recordInlineKeys(lineOf, kv.Value(), full, lines)
 		}
 	case unstable.Array:
 		i := 0
 		for it := v.Children(); it.Next(); i++ {
-			recordInlineKeys(lineOf, it.Node(), append(append([]string{}, at...), strconv.Itoa(i)), lines)
+			recordInlineKeys(lineOf, it.Node(), slices.Concat(at, []string{strconv.Itoa(i)}), lines)
 		}
 	}
 }
--- a/internal/stricttoml/stricttoml_test.go
+++ b/internal/stricttoml/stricttoml_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What is wrong with a file is told with its key and line, whatever kind of mistake it is.
+// Each kind of mistake in a file is reported with its key and line.
 func TestMistakesHaveLines(t *testing.T) {
 	type file struct {
 		Name string     `toml:"name"`
@@ -54,7 +54,7 @@
 	}
 }
 
-// No text brings the reader of lines down.
+// No text makes keyLines panic.
 func FuzzKeyLines(f *testing.F) {
 	f.Add("[[a]]\n[a.b]\n[[a.b.c]]\nd = [{e = 1}, {f.g = 2}]")
 	f.Fuzz(func(t *testing.T, text string) { keyLines([]byte(text)) })
--- a/internal/stricttoml/units.go
+++ b/internal/stricttoml/units.go
@@ -23,7 +23,7 @@
 // not a plain number, so that a number without a unit is an error.
 type Duration struct{ time.Duration }
 
-// MaxDuration is the longest duration that a file may have: a longer one is taken for a typing error.
+// MaxDuration is the longest valid duration in a file: a longer one is most likely a typing error.
 const MaxDuration = 24 * time.Hour
 
 // UnmarshalText parses a duration.
@@ -52,22 +52,22 @@
 
 // UnmarshalText parses a span.
 func (s *Span) UnmarshalText(text []byte) error {
-	from, to, two := strings.Cut(string(text), "..")
-	var ends [2]Duration
-	if err := ends[0].UnmarshalText([]byte(from)); err != nil {
+	fromText, toText, hasTo := strings.Cut(string(text), "..")
+	var from Duration
+	if err := from.UnmarshalText([]byte(fromText)); err != nil {
 		return newUnitError(text, "is no time or span of times, as \"5s\" or \"5s..8s\"")
 	}
-	ends[1] = ends[0]
-	if two {
-		if err := ends[1].UnmarshalText([]byte(to)); err != nil {
+	to := from
+	if hasTo {
+		if err := to.UnmarshalText([]byte(toText)); err != nil {
 			return newUnitError(text, "is no span of times, as \"5s..8s\"")
 		}
 	}
-	if ends[1].Duration < ends[0].Duration {
+	if to.Duration < from.Duration {
 		return newUnitError(text, "ends before it begins")
 	}
-	s.From = ends[0].Duration
-	s.To = ends[1].Duration
+	s.From = from.Duration
+	s.To = to.Duration
 	return nil
 }
 
@@ -104,13 +104,16 @@
 	return newUnitError(text, "is no size with a unit, as \"512B\", \"64KiB\", \"4MiB\" or \"1GiB\"")
 }
 
+// maxMode has all bits of permissions.
+const maxMode = 0o777
+
 // Mode is the permissions of a file in octal, as "0660".
 type Mode struct{ Bits os.FileMode }
 
 // UnmarshalText parses permissions.
 func (m *Mode) UnmarshalText(text []byte) error {
 	v, err := strconv.ParseUint(string(text), 8, 32)
-	if err != nil || v > 0o777 {
+	if err != nil || v > maxMode {
 		return newUnitError(text, "are no permissions in octal, as \"0660\"")
 	}
 	m.Bits = os.FileMode(v)
--- a/internal/stricttoml/validation.go
+++ b/internal/stricttoml/validation.go
@@ -28,7 +28,7 @@
 		return
 	}
 	line := k.Lines[key]
-	for parent := key; line == 0 && parent != ""; line = k.Lines[parent] { // a missing key: the table that lacks it
+	for parent := key; line == 0 && parent != ""; line = k.Lines[parent] { // of a missing key: the line of its table
 		parent, _, _ = cutLast(parent)
 		if parent == "" {
 			break
