--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,8 @@
 // Package platform reads the configuration that the platform gives a sidecar (DEPLOY): JSON in the file that
-// ROUTER_CONFIG names, with ROUTER_ variables before it.
+// ROUTER_CONFIG names, and ROUTER_ variables, which take precedence over it.
+//
+// The names of keys and variables are the platform's. Those of the file are tags here, and those of the variables are
+// constants; the settings' keys are mapped to package balancer in package wire, whose text form they are converted to.
 package platform
 
 import (
@@ -24,33 +27,62 @@
 
 // Config is a sidecar's configuration.
 type Config struct {
-	Name            string
-	Listen          string // where clients connect
-	Discovery       string
-	AdminAddress    string // where operators call; "" is nowhere
-	InheritedFD     int    // the descriptor of the clients' listening socket, where the platform holds it; 0 is none
-	SharedDir       string // a folder that a new version of this sidecar shares with the old one; "" is none
-	OverloadControl bool   // what the fleet's overload leaves is decided with the other instances in mind
-	Seed            uint64
-	MemoryMB        int
-	Sockets         int // file descriptors
-	Known           discovery.List
-	Site            siteconfig.Site
-
-	FileDiscovery string    // as the file alone names it
-	Events        io.Writer // of calls to endpoints and discovery (package eventlog); nil is nowhere
+	// Name identifies the sidecar: key name, ROUTER_NAME. Default "".
+	Name string
+
+	// Listen is host:port where clients connect: key listen, ROUTER_LISTEN. It is required.
+	Listen string
+
+	// Discovery is host:port of the discovery service: key discovery, ROUTER_DISCOVERY. It is required. FileDiscovery
+	// is that of the file alone.
+	Discovery     string
+	FileDiscovery string
+
+	// AdminAddress is host:port of the operators' calls: key operator, ROUTER_OPERATOR; "", the default, turns them
+	// off.
+	AdminAddress string
+
+	// InheritedFD is the descriptor, 3 at least, of the clients' listening socket where the platform holds it:
+	// ROUTER_INHERITED_FD; 0, the default, is none.
+	InheritedFD int
+
+	// SharedDir is a folder that a new process of this sidecar shares with its predecessor: TMPDIR, with InheritedFD
+	// only; "" is none.
+	SharedDir string
+
+	// OverloadControl turns overload control for the whole fleet on: ROUTER_OVERLOAD, "1" or "0", the default.
+	OverloadControl bool
+
+	// Seed is the seed of random draws: key seed, hexadecimal. It is required.
+	Seed uint64
+
+	// MemoryMB is the memory limit in MiB: key limits.memory_mb, default 192, positive.
+	MemoryMB int
+
+	// Sockets is the limit of file descriptors: key limits.sockets, default 1024, at least MinSockets.
+	Sockets int
+
+	// Known is the endpoint list at the start: key known; without it the generation is discovery.NoGeneration.
+	Known discovery.List
+
+	// Site holds the settings of the decision packages: key settings. It is required.
+	Site siteconfig.Site
+
+	// Events receives the events of calls to endpoints and discovery (package eventlog): standard error with
+	// ROUTER_EVENTS "1"; nil with "0", the default, turns them off.
+	Events io.Writer
 }
 
-// ConfigError names the part of the configuration that makes no sense.
+// ConfigError is an invalid value of the configuration.
 type ConfigError struct {
-	Key string
+	Key string // of the file, dotted, or the name of a variable
 	Err error
 }
 
-// Error names the key.
+// Error returns the key and the reason.
 func (e *ConfigError) Error() string { return "configuration: " + e.Key + ": " + e.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns Err.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
 const (
@@ -59,18 +91,35 @@
 	defaultKeepAlive = 15 * time.Second
 )
 
-// MinSockets is how few descriptors a sidecar may be given.
+// MinSockets is the least value of Config.Sockets.
 const MinSockets = 64
 
-// Read reads the file named by ROUTER_CONFIG. The other ROUTER_ variables, where set, go before it.
+// The names of the platform's variables.
+const (
+	varConfig      = "ROUTER_CONFIG"
+	varName        = "ROUTER_NAME"
+	varListen      = "ROUTER_LISTEN"
+	varDiscovery   = "ROUTER_DISCOVERY"
+	varAdmin       = "ROUTER_OPERATOR"
+	varInheritedFD = "ROUTER_INHERITED_FD"
+	varEvents      = "ROUTER_EVENTS"
+	varOverload    = "ROUTER_OVERLOAD"
+	varSharedDir   = "TMPDIR"
+)
+
+// firstInheritedFD is the first descriptor behind the standard streams.
+const firstInheritedFD = 3
+
+// Read reads the file named by ROUTER_CONFIG and applies the variables. getenv returns the value of a variable, "" for
+// none.
 func Read(getenv func(string) string) (*Config, error) {
-	path := getenv("ROUTER_CONFIG")
+	path := getenv(varConfig)
 	if path == "" {
-		return nil, &ConfigError{"ROUTER_CONFIG", errors.New("is not set")}
+		return nil, &ConfigError{varConfig, errors.New("is not set")}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &ConfigError{"ROUTER_CONFIG", err}
+		return nil, &ConfigError{varConfig, err}
 	}
 	c, err := Parse(text, getenv)
 	if err != nil {
@@ -79,12 +128,12 @@
 	return c, nil
 }
 
-// configFile is the configuration file.
+// configFile is the form of the file.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Operator  string `json:"operator"`
+	Admin     string `json:"operator"`
 	Seed      string `json:"seed"`
 	Limits    struct {
 		MemoryMB *int `json:"memory_mb"`
@@ -94,22 +143,18 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Parse parses the text of a configuration. Its errors are of type *ConfigError and name the key.
+// Parse parses the text of a file and applies the variables. Its error is a *ConfigError.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
-		key := "file"
-		if wrong := (*json.UnmarshalTypeError)(nil); errors.As(err, &wrong) && wrong.Field != "" {
-			key = wrong.Field
-		}
-		return nil, &ConfigError{key, err}
+		return nil, &ConfigError{cmp.Or(wrongTypeField(err), "file"), err}
 	}
 	c := &Config{
 		Name:          file.Name,
 		Listen:        file.Listen,
 		Discovery:     file.Discovery,
 		FileDiscovery: file.Discovery,
-		AdminAddress:  file.Operator,
+		AdminAddress:  file.Admin,
 		MemoryMB:      defaultMemoryMB,
 		Sockets:       defaultSockets,
 	}
@@ -126,8 +171,8 @@
 	if err := c.applyLimits(&file); err != nil {
 		return nil, err
 	}
-	// Without a list in the file, the first one that comes names endpoints that have long been there: an empty one
-	// would make all endpoints look just started, and warming up.
+	// Without a list in the file, the endpoints of the first list from discovery count as started long ago. With an
+	// empty one they would count as just started, and warm up.
 	c.Known = discovery.List{Generation: discovery.NoGeneration}
 	if file.Known != nil {
 		c.Known = *file.Known
@@ -138,40 +183,55 @@
 	return c, c.parseSettings(file.Settings)
 }
 
-// applyEnvironment applies the ROUTER_ variables, which go before the file.
+// wrongTypeField returns the key whose value has a wrong type of JSON; "" for another error, or the complete text.
+func wrongTypeField(err error) string {
+	if wrong := (*json.UnmarshalTypeError)(nil); errors.As(err, &wrong) {
+		return wrong.Field
+	}
+	return ""
+}
+
+// applyEnvironment applies the variables.
 func (c *Config) applyEnvironment(getenv func(string) string) error {
-	for name, to := range map[string]*string{
-		"ROUTER_NAME":      &c.Name,
-		"ROUTER_LISTEN":    &c.Listen,
-		"ROUTER_DISCOVERY": &c.Discovery,
-		"ROUTER_OPERATOR":  &c.AdminAddress,
+	for name, value := range map[string]*string{
+		varName:      &c.Name,
+		varListen:    &c.Listen,
+		varDiscovery: &c.Discovery,
+		varAdmin:     &c.AdminAddress,
 	} {
 		if v := getenv(name); v != "" {
-			*to = v
+			*value = v
 		}
 	}
-	if v := getenv("ROUTER_INHERITED_FD"); v != "" {
+	if v := getenv(varInheritedFD); v != "" {
 		fd, err := strconv.Atoi(v)
-		if err != nil || fd < 3 {
-			return &ConfigError{"ROUTER_INHERITED_FD", fmt.Errorf("%q is no descriptor from 3 on", v)}
+		if err != nil || fd < firstInheritedFD {
+			return &ConfigError{varInheritedFD, fmt.Errorf("%q is no descriptor from 3 on", v)}
 		}
 		c.InheritedFD = fd
-		c.SharedDir = getenv("TMPDIR")
+		c.SharedDir = getenv(varSharedDir)
 	}
-	switch v := getenv("ROUTER_EVENTS"); v {
-	case "", "0":
-	case "1":
+	events, err := parseSwitch(getenv, varEvents)
+	if err != nil {
+		return err
+	}
+	if events {
 		c.Events = os.Stderr
-	default:
-		return &ConfigError{"ROUTER_EVENTS", fmt.Errorf("%q is neither 0 nor 1", v)}
 	}
-	switch v := getenv("ROUTER_OVERLOAD"); v {
-	case "", "0", "1":
-		c.OverloadControl = v == "1"
+	c.OverloadControl, err = parseSwitch(getenv, varOverload)
+	return err
+}
+
+// parseSwitch returns the value of a variable that is "1" for on, and "0" or not set for off.
+func parseSwitch(getenv func(string) string, name string) (bool, error) {
+	switch v := getenv(name); v {
+	case "", "0":
+		return false, nil
+	case "1":
+		return true, nil
 	default:
-		return &ConfigError{"ROUTER_OVERLOAD", fmt.Errorf("%q is neither 0 nor 1", v)}
+		return false, &ConfigError{name, fmt.Errorf("%q is neither 0 nor 1", v)}
 	}
-	return nil
 }
 
 // checkAddresses checks that each address has a host and a port.
@@ -206,30 +266,33 @@
 	return nil
 }
 
-// parseSettings reads the settings twice: as the simulator's text, by the parser that the simulator's host uses,
-// and for the names that only the sockets need.
+// siteNames is the part of the settings that package wire does not read: names, and what only the sockets need.
+type siteNames struct {
+	Zones   []string `json:"areas"`
+	Kinds   []string `json:"skus"`
+	Classes []struct {
+		Name string `json:"name"`
+	} `json:"classes"`
+	Tenants []struct {
+		Name string `json:"name"`
+	} `json:"tenants"`
+	LoadReports struct {
+		Fields []string `json:"fields"`
+		Source string   `json:"how"` // wire.NoReports, ReportsOnProbes or ReportsOnRequests
+	} `json:"reporting"`
+	Limits struct {
+		KeepAlive monotime.Micros `json:"keepalive"`
+	} `json:"limits"`
+}
+
+// parseSettings reads the settings twice: as the simulator's text, by the parser of package wire, and for the names
+// that only the sockets need.
 func (c *Config) parseSettings(raw json.RawMessage) error {
-	var names struct {
-		Areas   []string `json:"areas"`
-		Skus    []string `json:"skus"`
-		Classes []struct {
-			Name string `json:"name"`
-		} `json:"classes"`
-		Tenants []struct {
-			Name string `json:"name"`
-		} `json:"tenants"`
-		Reporting struct {
-			Fields []string `json:"fields"`
-			How    string   `json:"how"`
-		} `json:"reporting"`
-		Limits struct {
-			KeepAlive monotime.Micros `json:"keepalive"`
-		} `json:"limits"`
-	}
+	var names siteNames
 	if err := json.Unmarshal(raw, &names); err != nil {
 		key := "settings"
-		if wrong := (*json.UnmarshalTypeError)(nil); errors.As(err, &wrong) && wrong.Field != "" {
-			key += "." + wrong.Field
+		if field := wrongTypeField(err); field != "" {
+			key += "." + field
 		}
 		return &ConfigError{key, err}
 	}
@@ -237,76 +300,96 @@
 	if err != nil {
 		return &ConfigError{"settings", err}
 	}
-	to := &c.Site
-	if to.Settings, err = wire.ParseSettings(text); err == nil {
-		err = to.Settings.Validate()
+	settings, err := wire.ParseSettings(text)
+	if err == nil {
+		err = settings.Validate()
 	}
 	if err != nil {
 		return &ConfigError{"settings", err} // its message names the key
 	}
-	to.Zones = names.Areas
-	to.Kinds = names.Skus
+	c.Site.Settings = settings
+	return c.setNames(&names)
+}
+
+// setNames sets the site's names. Each class must have one.
+func (c *Config) setNames(names *siteNames) error {
+	site := &c.Site
+	site.Zones = names.Zones
+	site.Kinds = names.Kinds
 	for i, class := range names.Classes {
 		if class.Name == "" {
 			return &ConfigError{fmt.Sprintf("settings.classes.%d.name", i), errors.New("is missing")}
 		}
-		to.Classes = append(to.Classes, class.Name)
+		site.Classes = append(site.Classes, class.Name)
 	}
-	for _, t := range names.Tenants {
-		to.Tenants = append(to.Tenants, t.Name)
+	for _, tenant := range names.Tenants {
+		site.Tenants = append(site.Tenants, tenant.Name)
 	}
-	if names.Reporting.How != "none" {
-		to.LoadReportFields = names.Reporting.Fields
+	if names.LoadReports.Source != wire.NoReports {
+		site.LoadReportFields = names.LoadReports.Fields
 	}
-	to.ReportsOnResponses = names.Reporting.How == "answers"
-	if to.KeepAlive = time.Duration(names.Limits.KeepAlive) * time.Microsecond; to.KeepAlive <= 0 {
-		to.KeepAlive = defaultKeepAlive
+	site.ReportsOnResponses = names.LoadReports.Source == wire.ReportsOnRequests
+	site.KeepAlive = time.Duration(names.Limits.KeepAlive) * time.Microsecond
+	if site.KeepAlive <= 0 {
+		site.KeepAlive = defaultKeepAlive
 	}
 	return nil
 }
 
-// settingsText turns the settings object into the simulator's text: a line path=value for each plain value.
+// settingsText converts the settings to the simulator's text: a line key=value for each plain value or list of them,
+// and a line key.count for each list of objects.
 func settingsText(raw json.RawMessage) (string, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
 	var tree map[string]any
-	if err := d.Decode(&tree); err != nil && err != io.EOF {
+	if err := d.Decode(&tree); err != nil && !errors.Is(err, io.EOF) {
 		return "", err
 	}
-	var lines []string
-	var walk func(path string, v any)
-	walk = func(path string, v any) {
-		switch v := v.(type) {
-		case map[string]any:
-			for k, item := range v {
-				walk(path+"."+k, item)
-			}
-		case []any:
-			if len(v) > 0 {
-				if _, object := v[0].(map[string]any); object {
-					lines = append(lines, fmt.Sprintf("%s.count=%d", path[1:], len(v)))
-					for i, item := range v {
-						walk(path+"."+strconv.Itoa(i), item)
-					}
-					return
-				}
-			}
-			words := make([]string, len(v))
-			for i, item := range v {
-				words[i] = settingsValue(item)
+	var text textSettings
+	for key, v := range tree {
+		text.add(key, v)
+	}
+	sort.Strings(text)
+	return strings.Join(text, "\n"), nil
+}
+
+// textSettings are the lines of the settings in the simulator's text.
+type textSettings []string
+
+// add adds the lines of a value and all below it.
+func (s *textSettings) add(key string, v any) {
+	switch v := v.(type) {
+	case map[string]any:
+		for k, item := range v {
+			s.add(key+"."+k, item)
+		}
+	case []any:
+		s.addList(key, v)
+	case nil:
+	default:
+		*s = append(*s, key+"="+settingsValue(v))
+	}
+}
+
+// addList adds the lines of a list: of objects, if the first item is one, or of plain values.
+func (s *textSettings) addList(key string, list []any) {
+	if len(list) > 0 {
+		if _, isObject := list[0].(map[string]any); isObject {
+			*s = append(*s, fmt.Sprintf("%s.count=%d", key, len(list)))
+			for i, item := range list {
+				s.add(key+"."+strconv.Itoa(i), item)
 			}
-			lines = append(lines, path[1:]+"="+strings.Join(words, ","))
-		case nil:
-		default:
-			lines = append(lines, path[1:]+"="+settingsValue(v))
+			return
 		}
 	}
-	walk("", tree)
-	sort.Strings(lines)
-	return strings.Join(lines, "\n"), nil
+	values := make([]string, len(list))
+	for i, item := range list {
+		values[i] = settingsValue(item)
+	}
+	*s = append(*s, key+"="+strings.Join(values, ","))
 }
 
-// settingsValue writes a value as the text form does, where commas and ends of lines separate.
+// settingsValue returns a value in the simulator's text, in which commas and line ends separate values.
 func settingsValue(v any) string {
 	return strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_").Replace(fmt.Sprint(v))
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -9,7 +9,7 @@
 	"dunlinsail/internal/discovery"
 )
 
-// settings is a small site.
+// settings are those of a small site.
 const settings = `{"peers-total":1,"areas":["a","b"],"skus":["m1"],"discovery":"automatic",
 	"classes":[
 	{"name":"look","repeat":"pure","target":500000,"give-up":1000000,"credit":1.0},
@@ -17,13 +17,17 @@
 	{"name":"pay","repeat":"side_effect","target":500000,"give-up":1000000,"credit":5.0}],
 	"contract":{"drain-grace":250000}}`
 
-// A value that makes no sense stops the start with a message that names its key.
+// env returns a lookup of variables, for Parse.
+func env(variables map[string]string) func(string) string {
+	return func(name string) string { return variables[name] }
+}
+
+// The error of an invalid value names its key or variable, and valid values and variables are applied.
 func TestConfigErrors(t *testing.T) {
 	good := func() map[string]any {
 		return map[string]any{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
 			"limits": map[string]any{}, "settings": json.RawMessage(settings)}
 	}
-	none := func(string) string { return "" }
 	for _, tc := range []struct {
 		key   string
 		value any
@@ -47,7 +51,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Parse(text, none); err == nil || !strings.Contains(err.Error(), tc.want) {
+		if _, err := Parse(text, env(nil)); err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%s = %v: error %v, want one that names %s", tc.key, tc.value, err, tc.want)
 		}
 	}
@@ -55,24 +59,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Parse(text, func(name string) string { return map[string]string{"ROUTER_EVENTS": "yes"}[name] }); err == nil || !strings.Contains(err.Error(), "ROUTER_EVENTS") {
+	_, err = Parse(text, env(map[string]string{"ROUTER_EVENTS": "yes"}))
+	if err == nil || !strings.Contains(err.Error(), "ROUTER_EVENTS") {
 		t.Errorf("ROUTER_EVENTS=yes: error %v, want one that names it", err)
 	}
-	c, err := Parse(text, func(name string) string {
-		return map[string]string{"ROUTER_NAME": "n9", "ROUTER_LISTEN": "127.0.0.9:1"}[name]
-	})
+	c, err := Parse(text, env(map[string]string{"ROUTER_NAME": "n9", "ROUTER_LISTEN": "127.0.0.9:1"}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := fmt.Sprint(c.Name, c.Listen, c.Discovery, c.Seed, c.Site.Classes, c.Site.Settings.Contract.DrainGrace); got != "n9127.0.0.9:1127.0.0.1:131 [look book pay] 250000" {
-		t.Errorf("read as %s", got)
+	got := fmt.Sprint(c.Name, c.Listen, c.Discovery, c.Seed, c.Site.Classes, c.Site.Settings.Contract.DrainGrace)
+	if got != "n9127.0.0.9:1127.0.0.1:131 [look book pay] 250000" {
+		t.Errorf("parsed as %s", got)
 	}
 }
 
-// A sidecar that was told no list holds none: an empty one would make the endpoints of the first list look just started.
+// Without a list in its file a sidecar has none. With an empty one the endpoints of the first list would count as just
+// started.
 func TestNoListKnown(t *testing.T) {
-	for known, want := range map[string]int64{"": discovery.NoGeneration, `"known":{"generation":4,"instances":[]},`: 4} {
-		c, err := Parse([]byte(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",`+known+`"settings":`+settings+`}`), func(string) string { return "" })
+	for known, want := range map[string]int64{
+		"": discovery.NoGeneration,
+		`"known":{"generation":4,"instances":[]},`: 4,
+	} {
+		text := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",` + known + `"settings":` + settings + `}`
+		c, err := Parse([]byte(text), env(nil))
 		if err != nil || c.Known.Generation != want {
 			t.Errorf("known %q: %+v, %v; want generation %d", known, c, err, want)
 		}
--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Code is the number of a record on the wire: an event from the simulator, or an action of the reply.
+// Code is the code of a record on the wire: an event from the simulator, or an action of the reply.
 type Code uint8
 
 // Codes of events. Their names on the wire are in eventNames.
@@ -38,6 +38,7 @@
 	ActionInstance  Code = 92
 )
 
+// eventNames are the names of events on the wire.
 var eventNames = map[Code]string{
 	EventStart:        "begin",
 	EventEndpointList: "membership",
@@ -53,7 +54,7 @@
 	EventInstance:     "instance",
 }
 
-// String returns the event's name on the wire.
+// String returns an event's name on the wire.
 func (c Code) String() string {
 	if name, ok := eventNames[c]; ok {
 		return name
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -10,8 +10,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Event is one decoded record. Only the fields of its code are set; slices are
-// valid until the next call of Next.
+// Event is one decoded record. Only the fields of its code are set. Slices are valid until the next call of Next.
 type Event struct {
 	Code     Code
 	Offset   int                 // of the record in its frame
@@ -19,36 +18,36 @@
 	Seed     uint64              // EventStart
 	Settings string              // EventStart
 	ListKind balancer.ListKind   // EventEndpointList
-	Entries  []balancer.Endpoint // EventEndpointList
-	Request  balancer.Request
-	Outcome  balancer.Outcome // EventOutcome; EventHeaders and EventClientGone set parts of it
-	Token    uint32           // EventTimer
-	Endpoint uint32           // EventProbe
-	Status   balancer.Status  // EventProbe
-	Latency  monotime.Micros  // EventProbe
-	Load     []float32        // EventProbe
-	Peer     uint16           // EventGossip
-	Message  []byte           // EventGossip
+	Entries  []balancer.Endpoint // EventEndpointList; nil for ListFailed
+	Request  balancer.Request    // EventRequest
+	Outcome  balancer.Outcome    // EventOutcome; EventHeaders and EventClientGone set parts of it
+	Token    uint32              // EventTimer
+	Endpoint uint32              // EventProbe
+	Status   balancer.Status     // EventProbe
+	Latency  monotime.Micros     // EventProbe
+	Load     []float32           // EventProbe
+	Peer     uint16              // EventGossip
+	Message  []byte              // EventGossip
 }
 
-// maxLists is how many numbered endpoint lists the wire has.
+// maxLists is the number of numbered endpoint lists on the wire.
 const maxLists = 16
 
-// Decoder reads the records of batches. It keeps the numbered endpoint lists, which outlive a batch. The zero value
-// is ready to use.
+// Decoder reads the records of batches. It holds the numbered endpoint lists, which outlive a batch. The zero value is
+// ready to use.
 type Decoder struct {
 	frame       []byte
 	frameOffset int // of the next record
 
-	record       []byte // the present one, header included
-	recordStart  int    // in its frame
+	record       []byte // the current record, header included
+	recordStart  int    // offset of the record in its frame
 	recordName   string
 	recordOffset int   // of the next field in the record
-	err          error // the first one in the record
+	err          error // the first error in the record
 
 	lists    [maxLists][]balancer.Endpoint
-	conveyed [maxLists]bool // lists that were sent
-	load     []float32
+	received [maxLists]bool // lists that have been received
+	load     []float32      // the load report of the latest record
 }
 
 // Reset starts on a frame from ReadFrame and returns its number and clock.
@@ -56,21 +55,29 @@
 	if len(frame) < batchHeader {
 		return 0, 0, &FrameError{"batch header", len(frame), "shorter than a header"}
 	}
-	if size := int(binary.BigEndian.Uint32(frame[4:])); size != len(frame) {
-		return 0, 0, &FrameError{"batch header", 4, fmt.Sprintf("size %d but %d bytes", size, len(frame))}
+	if size := int(binary.BigEndian.Uint32(frame[offsetFrameSize:])); size != len(frame) {
+		return 0, 0, &FrameError{"batch header", offsetFrameSize, fmt.Sprintf("size %d but %d bytes", size, len(frame))}
 	}
 	d.frame = frame
 	d.frameOffset = batchHeader
-	return binary.BigEndian.Uint32(frame), monotime.Micros(binary.BigEndian.Uint64(frame[8:])), nil
+	return binary.BigEndian.Uint32(frame), monotime.Micros(binary.BigEndian.Uint64(frame[offsetClock:])), nil
 }
 
-// fail notes an error at the present field. Only the first of a record counts; later reads return zero.
+// fail notes an error at the next field. Only the first error of a record counts; later reads return zero.
 func (d *Decoder) fail(reason string) {
 	if d.err == nil {
 		d.err = &FrameError{d.recordName, d.recordStart + d.recordOffset, reason}
 	}
 }
 
+// failBefore notes an error at the field of n bytes that was read last, unless there is an error already.
+func (d *Decoder) failBefore(n int, reason string) {
+	if d.err == nil {
+		d.recordOffset -= n
+		d.fail(reason)
+	}
+}
+
 // next returns the next n bytes of the record, or nil after an error.
 func (d *Decoder) next(n int) []byte {
 	if d.err != nil {
@@ -93,21 +100,21 @@
 }
 
 func (d *Decoder) u16() uint16 {
-	if p := d.next(2); p != nil {
+	if p := d.next(sizeU16); p != nil {
 		return binary.BigEndian.Uint16(p)
 	}
 	return 0
 }
 
 func (d *Decoder) u32() uint32 {
-	if p := d.next(4); p != nil {
+	if p := d.next(sizeU32); p != nil {
 		return binary.BigEndian.Uint32(p)
 	}
 	return 0
 }
 
 func (d *Decoder) u64() uint64 {
-	if p := d.next(8); p != nil {
+	if p := d.next(sizeU64); p != nil {
 		return binary.BigEndian.Uint64(p)
 	}
 	return 0
@@ -116,39 +123,48 @@
 // micros reads a duration.
 func (d *Decoder) micros() monotime.Micros { return monotime.Micros(d.u32()) }
 
+// Codes of an attempt's status on the wire.
+const (
+	statusOK            = 200
+	statusNotSent       = 410
+	statusCancelled     = 499
+	statusError         = 500
+	statusConnectFailed = 502
+	statusRejected      = 503
+	statusTimeout       = 504
+	statusReset         = 598
+)
+
 func (d *Decoder) status() balancer.Status {
 	code := d.u16()
 	switch code {
-	case 200:
+	case statusOK:
 		return balancer.OK
-	case 500:
+	case statusError:
 		return balancer.Error
-	case 503:
+	case statusRejected:
 		return balancer.Rejected
-	case 504:
+	case statusTimeout:
 		return balancer.Timeout
-	case 502:
+	case statusConnectFailed:
 		return balancer.ConnectFailed
-	case 598:
+	case statusReset:
 		return balancer.Reset
-	case 499:
+	case statusCancelled:
 		return balancer.Cancelled
-	case 410:
+	case statusNotSent:
 		return balancer.NotSent
 	}
-	if d.err == nil {
-		d.recordOffset -= 2
-		d.fail(fmt.Sprintf("unknown status %d", code))
-	}
+	d.failBefore(sizeU16, fmt.Sprintf("unknown status %d", code))
 	return balancer.Error
 }
 
-// loadReport reads a report; the slice is used again for the next.
+// loadReport reads a load report. The slice is reused for the next one.
 func (d *Decoder) loadReport() []float32 {
 	n := int(d.u8())
-	p := d.next(4 * n)
+	p := d.next(sizeU32 * n)
 	d.load = d.load[:0]
-	for i := 0; i+4 <= len(p); i += 4 {
+	for i := 0; i+sizeU32 <= len(p); i += sizeU32 {
 		d.load = append(d.load, math.Float32frombits(binary.BigEndian.Uint32(p[i:])))
 	}
 	return d.load
@@ -189,7 +205,7 @@
 	return d.err
 }
 
-// fields decodes the fields of the present record into e.
+// fields decodes the fields of the current record into e. Those of an unknown code are skipped.
 func (d *Decoder) fields(e *Event) {
 	switch e.Code {
 	case EventStart:
@@ -198,7 +214,7 @@
 	case EventEntries:
 		d.entries()
 	case EventEndpointList:
-		d.u32()
+		d.u32() // not used
 		d.endpointList(e)
 	case EventRequest:
 		d.request(&e.Request)
@@ -261,9 +277,8 @@
 
 func (d *Decoder) listNumber() int {
 	n := int(d.u8())
-	if n >= maxLists && d.err == nil {
-		d.recordOffset--
-		d.fail(fmt.Sprintf("list number %d is over %d", n, maxLists-1))
+	if n >= maxLists {
+		d.failBefore(1, fmt.Sprintf("list number %d is over %d", n, maxLists-1))
 		return 0
 	}
 	return n
@@ -273,63 +288,78 @@
 func (d *Decoder) entries() {
 	id := d.listNumber()
 	n := int(d.u32())
-	if d.err == nil && n*entrySize > len(d.record)-d.recordOffset {
-		d.recordOffset -= 4
-		d.fail(fmt.Sprintf("%d entries overrun the record", n))
+	if n*entrySize > len(d.record)-d.recordOffset {
+		d.failBefore(sizeU32, fmt.Sprintf("%d entries overrun the record", n))
 	}
 	if d.err != nil {
 		return
 	}
 	list := d.lists[id][:0]
 	for i := 0; i < n && d.err == nil; i++ {
-		var e balancer.Endpoint
-		e.ID = d.u32()
-		e.Zone = d.u8()
-		e.Kind = d.u8()
-		e.Cell = d.u16()
-		switch state := d.u8(); state {
-		case 0:
-			e.State = balancer.Ready
-		case 1:
-			e.State = balancer.Draining
-		case 3:
-			e.State = balancer.Gone
-		default:
-			d.recordOffset--
-			d.fail(fmt.Sprintf("unknown endpoint status %d", state))
-		}
-		e.Share = math.Float32frombits(d.u32())
-		e.StartTime = monotime.Micros(d.u64())
-		list = append(list, e)
+		list = append(list, d.endpoint())
 	}
 	d.lists[id] = list
-	d.conveyed[id] = true
+	d.received[id] = true
 }
 
-// endpointList reads which numbered list an endpoint list event is about, and of which kind that is.
+// Codes of an endpoint's state on the wire.
+const (
+	stateReady    = 0
+	stateDraining = 1
+	stateGone     = 3
+)
+
+// endpoint reads an entry of an endpoint list.
+func (d *Decoder) endpoint() (e balancer.Endpoint) {
+	e.ID = d.u32()
+	e.Zone = d.u8()
+	e.Kind = d.u8()
+	e.Cell = d.u16()
+	switch state := d.u8(); state {
+	case stateReady:
+		e.State = balancer.Ready
+	case stateDraining:
+		e.State = balancer.Draining
+	case stateGone:
+		e.State = balancer.Gone
+	default:
+		d.failBefore(1, fmt.Sprintf("unknown endpoint status %d", state))
+	}
+	e.Share = math.Float32frombits(d.u32())
+	e.StartTime = monotime.Micros(d.u64())
+	return e
+}
+
+// Codes of the kind of an endpoint list on the wire.
+const (
+	listDelta  = 0
+	listFailed = 2
+	listCached = 3
+	listFull   = 4
+)
+
+// endpointList reads the number and the kind of the list of an endpoint list event.
 func (d *Decoder) endpointList(e *Event) {
 	id := d.u8()
 	e.Entries = nil
 	switch kind := d.u8(); kind {
-	case 0:
+	case listDelta:
 		e.ListKind = balancer.ListDelta
-	case 4:
+	case listFull:
 		e.ListKind = balancer.ListFull
-	case 3:
+	case listCached:
 		e.ListKind = balancer.ListCached
-	case 2:
+	case listFailed:
 		e.ListKind = balancer.ListFailed
 		return
 	default:
-		d.recordOffset--
-		d.fail(fmt.Sprintf("unknown kind %d", kind))
+		d.failBefore(1, fmt.Sprintf("unknown kind %d", kind))
 	}
 	if d.err != nil {
 		return
 	}
-	if id >= maxLists || !d.conveyed[id] {
-		d.recordOffset -= 2
-		d.fail(fmt.Sprintf("list number %d has not been conveyed", id))
+	if id >= maxLists || !d.received[id] {
+		d.failBefore(2, fmt.Sprintf("list number %d has not been conveyed", id)) // number and kind
 		return
 	}
 	e.Entries = d.lists[id]
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,4 +1,6 @@
-// Package wire reads and writes the simulator's binary frames and the settings text in them. A batch of event records
-// comes in as one frame, and a frame of action records answers it. The names of records, fields and settings on the
-// wire are the simulator's; the Go names are those of package balancer. It takes no decision.
+// Package wire reads and writes the simulator's binary frames (WIRE) and the settings text in them. A batch of event
+// records arrives as one frame, and the reply is a frame of action records. It makes no decisions.
+//
+// The names on the wire are the simulator's, and are mapped to the terms of package balancer here only: codes and event
+// names in codes.go, action names beside the methods of Reply, codes of values in decoder.go, settings in settings.go.
 package wire
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -9,17 +9,26 @@
 
 // Sizes in bytes.
 const (
-	batchHeader  = 16 // batch number, frame size, clock
-	replyHeader  = 12 // batch number, frame size, number of records
-	recordHeader = 5  // code, size of the fields
-	entrySize    = 21 // of an endpoint list
-	maxFrameSize = 1 << 30
-	readStep     = 1 << 20 // a frame's buffer grows as its bytes arrive: a size alone takes no memory
+	batchHeader  = 16      // batch number, frame size, clock
+	replyHeader  = 12      // batch number, frame size, number of records
+	recordHeader = 5       // code, size of the fields
+	entrySize    = 21      // an entry of an endpoint list
+	maxFrameSize = 1 << 30 // a larger frame is malformed
+	readStep     = 1 << 20 // by which a frame's buffer grows as its bytes arrive: a stated size allocates nothing
+	firstBuffer  = 1 << 16 // initial size of a frame's buffer
+
+	sizeU16 = 2 // of integers, which are big endian
+	sizeU32 = 4
+	sizeU64 = 8
+
+	offsetFrameSize = 4 // in the header of a batch or reply
+	offsetClock     = 8 // in the header of a batch
+	offsetRecords   = 8 // in the header of a reply
 )
 
-// FrameError says which record is malformed, and where.
+// FrameError is a malformed record or frame.
 type FrameError struct {
-	Record string // its name on the wire
+	Record string // the record's name on the wire
 	Offset int    // in its frame, in bytes
 	Reason string
 }
@@ -29,11 +38,11 @@
 	return fmt.Sprintf("%s at byte %d: %s", e.Record, e.Offset, e.Reason)
 }
 
-// ReadFrame reads one batch into buf, growing it as needed. It returns io.EOF
-// only at a clean end of input.
+// ReadFrame reads one batch into buf, or into a larger copy, which it returns. Its error is io.EOF only at the end of
+// input between two frames, and otherwise a *FrameError.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
 	if cap(buf) < batchHeader {
-		buf = make([]byte, 1<<16)
+		buf = make([]byte, firstBuffer)
 	}
 	buf = buf[:batchHeader]
 	if n, err := io.ReadFull(r, buf); err != nil {
@@ -42,9 +51,9 @@
 		}
 		return nil, &FrameError{"batch header", n, "input ends inside it"}
 	}
-	size := int(binary.BigEndian.Uint32(buf[4:]))
+	size := int(binary.BigEndian.Uint32(buf[offsetFrameSize:]))
 	if size < batchHeader || size > maxFrameSize {
-		return nil, &FrameError{"batch header", 4, fmt.Sprintf("frame size %d is out of range", size)}
+		return nil, &FrameError{"batch header", offsetFrameSize, fmt.Sprintf("frame size %d is out of range", size)}
 	}
 	for have := batchHeader; have < size; {
 		step := min(size-have, readStep)
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -7,7 +7,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Reply builds the reply to one batch: a frame of action records. It reuses its buffer.
+// Reply builds the reply to one batch: a frame of action records. It reuses its buffer. Durations are clamped to the 32
+// bits, in microseconds, of the wire.
 type Reply struct {
 	frame   []byte
 	records uint32
@@ -16,17 +17,18 @@
 // Reset starts the reply to a batch.
 func (w *Reply) Reset(batch uint32) {
 	w.frame = binary.BigEndian.AppendUint32(w.frame[:0], batch)
-	w.frame = append(w.frame, 0, 0, 0, 0, 0, 0, 0, 0)
+	w.frame = append(w.frame, 0, 0, 0, 0, 0, 0, 0, 0) // frame size and number of records, which Bytes sets
 	w.records = 0
 }
 
-// Bytes completes the frame.
+// Bytes completes and returns the frame, which is valid until Reset.
 func (w *Reply) Bytes() []byte {
-	binary.BigEndian.PutUint32(w.frame[4:], uint32(len(w.frame)))
-	binary.BigEndian.PutUint32(w.frame[8:], w.records)
+	binary.BigEndian.PutUint32(w.frame[offsetFrameSize:], uint32(len(w.frame)))
+	binary.BigEndian.PutUint32(w.frame[offsetRecords:], w.records)
 	return w.frame
 }
 
+// startRecord appends the header of a record whose fields have size bytes.
 func (w *Reply) startRecord(c Code, size int) {
 	w.records++
 	w.frame = append(w.frame, byte(c))
@@ -39,56 +41,56 @@
 
 func (w *Reply) micros(v monotime.Micros) { w.u32(uint32(min(max(v, 0), math.MaxUint32))) }
 
-// Instance writes an as record: it names the instance of the actions that follow.
+// Instance writes a record "as": the instance of the actions that follow.
 func (w *Reply) Instance(instance uint32) {
-	w.startRecord(ActionInstance, 4)
+	w.startRecord(ActionInstance, sizeU32)
 	w.u32(instance)
 }
 
-// Send writes a deliver record.
+// Send writes a record "deliver": an attempt of a request.
 func (w *Reply) Send(id uint64, endpoint uint32, timeout monotime.Micros) {
-	w.startRecord(ActionSend, 16)
+	w.startRecord(ActionSend, sizeU64+2*sizeU32)
 	w.u64(id)
 	w.u32(endpoint)
 	w.micros(timeout)
 }
 
-// Reject writes a decline record.
+// Reject writes a record "decline": a rejection with a Retry-After.
 func (w *Reply) Reject(id uint64, retryIn monotime.Micros) {
-	w.startRecord(ActionReject, 12)
+	w.startRecord(ActionReject, sizeU64+sizeU32)
 	w.u64(id)
 	w.micros(retryIn)
 }
 
-// Fail writes a fail record.
+// Fail writes a record "fail": the final failure of a request.
 func (w *Reply) Fail(id uint64) {
-	w.startRecord(ActionFail, 8)
+	w.startRecord(ActionFail, sizeU64)
 	w.u64(id)
 }
 
-// Cancel writes a revoke record.
+// Cancel writes a record "revoke": the cancellation of an attempt.
 func (w *Reply) Cancel(id uint64, attempt int) {
-	w.startRecord(ActionCancel, 10)
+	w.startRecord(ActionCancel, sizeU64+sizeU16)
 	w.u64(id)
 	w.u16(uint16(attempt))
 }
 
-// SetTimer writes an arm record.
+// SetTimer writes a record "arm": token returns in an EventTimer after the delay.
 func (w *Reply) SetTimer(delay monotime.Micros, token uint32) {
-	w.startRecord(ActionSetTimer, 8)
+	w.startRecord(ActionSetTimer, 2*sizeU32)
 	w.micros(delay)
 	w.u32(token)
 }
 
-// Probe writes a sound_out record.
+// Probe writes a record "sound_out": a health check.
 func (w *Reply) Probe(endpoint uint32) {
-	w.startRecord(ActionProbe, 4)
+	w.startRecord(ActionProbe, sizeU32)
 	w.u32(endpoint)
 }
 
-// Release writes a let_go record.
+// Release writes a record "let_go": an endpoint that is no longer used.
 func (w *Reply) Release(endpoint uint32) {
-	w.startRecord(ActionRelease, 4)
+	w.startRecord(ActionRelease, sizeU32)
 	w.u32(endpoint)
 }
 
@@ -98,29 +100,30 @@
 // maxGossip is the longest message to a peer, in bytes.
 const maxGossip = 256
 
-// Gossip writes a write_peer record; data beyond maxGossip is cut off.
+// Gossip writes a record "write_peer": a message to another instance, of which data beyond maxGossip is cut off.
 func (w *Reply) Gossip(peer uint32, data []byte) {
 	data = data[:min(len(data), maxGossip)]
-	w.startRecord(ActionGossip, 6+len(data))
+	w.startRecord(ActionGossip, sizeU32+sizeU16+len(data))
 	w.u32(peer)
 	w.u16(uint16(len(data)))
 	w.frame = append(w.frame, data...)
 }
 
+// text writes a record with a text, which is cut off after 65535 bytes.
 func (w *Reply) text(c Code, line string) {
 	line = line[:min(len(line), math.MaxUint16)]
-	w.startRecord(c, 2+len(line))
+	w.startRecord(c, sizeU16+len(line))
 	w.u16(uint16(len(line)))
 	w.frame = append(w.frame, line...)
 }
 
-// Log writes a trace record.
+// Log writes a record "trace": a line of the log.
 func (w *Reply) Log(line string) { w.text(ActionLog, line) }
 
-// Exception writes an exception record.
+// Exception writes a record "exception": a line on an internal error.
 func (w *Reply) Exception(line string) { w.text(ActionException, line) }
 
-// Watch writes a track record.
+// Watch writes a record "track": the endpoint list is watched from now on, or no longer.
 func (w *Reply) Watch(on bool) {
 	w.startRecord(ActionWatch, 1)
 	if on {
@@ -130,5 +133,5 @@
 	}
 }
 
-// ListAll writes a list_all record.
+// ListAll writes a record "list_all": a request of the complete endpoint list.
 func (w *Reply) ListAll() { w.startRecord(ActionListAll, 0) }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,30 +7,40 @@
 	"strings"
 
 	"dunlinsail/balancer"
+	"dunlinsail/internal/monotime"
 )
 
-// settingsText holds the pairs of a settings text, and the first error.
+// maxListItems is the largest number of objects in a list of the settings.
+const maxListItems = 256
+
+// settingsText holds the pairs of a settings text, and its first error.
 type settingsText struct {
 	pairs map[string]string
 	err   error
 }
 
-// get returns the value of a key, parsed; a key that is absent gives def.
-func get[T any](t *settingsText, key string, def T, what string, parse func(string) (T, error)) T {
+// get returns the parsed value of a key, or def if the key is missing. kind is the expected kind of value, for the
+// error.
+func get[T any](t *settingsText, key string, def T, kind string, parse func(string) (T, error)) T {
 	text, ok := t.pairs[key]
 	if !ok {
 		return def
 	}
 	v, err := parse(text)
 	if err != nil {
-		if t.err == nil {
-			t.err = &balancer.SettingError{Key: key, Value: text, Reason: "not " + what}
-		}
+		t.fail(key, text, "not "+kind)
 		return def
 	}
 	return v
 }
 
+// fail notes an error of a key. Only the first one is reported.
+func (t *settingsText) fail(key, value, reason string) {
+	if t.err == nil {
+		t.err = &balancer.SettingError{Key: key, Value: value, Reason: reason}
+	}
+}
+
 func (t *settingsText) number(key string, def float64) float64 {
 	return get(t, key, def, "a finite number", func(s string) (float64, error) {
 		v, err := strconv.ParseFloat(s, 64)
@@ -47,12 +57,12 @@
 	})
 }
 
-// flag returns a flag's value; one that is absent is false.
+// flag returns the value of a flag; a missing one is false.
 func (t *settingsText) flag(key string) bool {
 	return get(t, key, false, "true or false", strconv.ParseBool)
 }
 
-// keyword returns the meaning of a word; an unlisted word is an error.
+// keyword returns the meaning of a value; one without a meaning is an error.
 func keyword[T any](t *settingsText, key string, def T, meanings map[string]T) T {
 	return get(t, key, def, "a known word", func(s string) (T, error) {
 		if v, ok := meanings[s]; ok {
@@ -64,32 +74,32 @@
 
 // count returns the length of a list of objects, each of which must have a key.
 func (t *settingsText) count(key string, required bool) int {
-	if _, ok := t.pairs[key+".count"]; !ok && required && t.err == nil {
-		t.err = &balancer.SettingError{Key: key + ".count", Value: "", Reason: "is missing"}
+	countKey := key + ".count"
+	if _, ok := t.pairs[countKey]; !ok && required {
+		t.fail(countKey, "", "is missing")
 	}
-	n := t.integer(key+".count", 0)
-	if n < 0 || n > 256 {
-		if t.err == nil {
-			t.err = &balancer.SettingError{Key: key + ".count", Value: strconv.FormatInt(n, 10), Reason: "out of range"}
-		}
+	n := t.integer(countKey, 0)
+	if n < 0 || n > maxListItems {
+		t.fail(countKey, strconv.FormatInt(n, 10), "out of range")
 		return 0
 	}
 	for i := range int(n) {
-		found := false
-		for k := range t.pairs {
-			if strings.HasPrefix(k, fmt.Sprintf("%s.%d.", key, i)) {
-				found = true
-				break
-			}
-		}
-		if !found && t.err == nil {
-			t.err = &balancer.SettingError{Key: key + ".count", Value: strconv.FormatInt(n, 10),
-				Reason: fmt.Sprintf("%s.%d is missing", key, i)}
+		if !t.hasKeyWithPrefix(fmt.Sprintf("%s.%d.", key, i)) {
+			t.fail(countKey, strconv.FormatInt(n, 10), fmt.Sprintf("%s.%d is missing", key, i))
 		}
 	}
 	return int(n)
 }
 
+func (t *settingsText) hasKeyWithPrefix(prefix string) bool {
+	for key := range t.pairs {
+		if strings.HasPrefix(key, prefix) {
+			return true
+		}
+	}
+	return false
+}
+
 // itemCount counts the comma-separated items of a list of plain values.
 func itemCount(text string) int {
 	if text == "" {
@@ -98,6 +108,7 @@
 	return strings.Count(text, ",") + 1
 }
 
+// metricNames are the metrics of load reports, by the names in reporting.fields.
 var metricNames = map[string]balancer.LoadMetric{
 	"busy_reqs": balancer.MetricInflight,
 	"pending":   balancer.MetricQueueLength,
@@ -107,8 +118,11 @@
 	"failed_ps": balancer.MetricErrorRate,
 }
 
-// ParseSettings reads the settings text of an EventStart. Unknown keys are skipped. Errors are
-// *balancer.SettingError and name the key on the wire.
+// ParseSettings reads the settings text of an EventStart: lines key=value. Unknown keys are skipped. Its error is a
+// *balancer.SettingError that names the key on the wire.
+//
+// The keys and the values of keywords are the simulator's. They stand here, each beside the field that it is mapped to,
+// and in package platform, which reads the same settings as JSON. Durations are in microseconds.
 func ParseSettings(text string) (balancer.Settings, error) {
 	t, err := parsePairs(text)
 	if err != nil {
@@ -139,7 +153,7 @@
 	return s, t.err
 }
 
-// parsePairs reads lines of the form path=value.
+// parsePairs reads lines of the form key=value.
 func parsePairs(text string) (*settingsText, error) {
 	t := &settingsText{pairs: map[string]string{}}
 	for i, line := range strings.Split(text, "\n") {
@@ -149,8 +163,11 @@
 		}
 		key, value, ok := strings.Cut(line, "=")
 		if !ok {
-			return nil, &balancer.SettingError{Key: fmt.Sprintf("line %d", i+1), Value: line,
-				Reason: "not of the form path=value"}
+			return nil, &balancer.SettingError{
+				Key:    fmt.Sprintf("line %d", i+1),
+				Value:  line,
+				Reason: "not of the form path=value",
+			}
 		}
 		t.pairs[key] = value
 	}
@@ -171,6 +188,9 @@
 	}
 }
 
+// defaultPollInterval is the time within which a balancer polls discovery.
+const defaultPollInterval = 10 * monotime.Second
+
 func (t *settingsText) contract() balancer.Contract {
 	return balancer.Contract{
 		DrainGrace:          t.integer("contract.drain-grace", 0),
@@ -178,7 +198,7 @@
 		WarmupTime:          t.integer("contract.ramp-time", 0),
 		CollapseMultiple:    t.number("contract.fall-multiple", 1),
 		CollapseAfter:       t.integer("contract.overload-for", 0),
-		PollInterval:        t.integer("contract.ask-within", 10_000_000),
+		PollInterval:        t.integer("contract.ask-within", defaultPollInterval),
 		AnswerSlack:         t.integer("contract.answer-slack", 0),
 	}
 }
@@ -201,12 +221,22 @@
 	}
 }
 
-// loadMetrics returns the figures of load reports; none where reports are off.
+// Values of reporting.how: where load reports come from.
+const (
+	NoReports         = "none"
+	ReportsOnProbes   = "probe"   // in the responses to health checks
+	ReportsOnRequests = "answers" // in all responses
+)
+
+// loadMetrics returns the metrics of load reports; none where reports are off.
 func (t *settingsText) loadMetrics() []balancer.LoadMetric {
-	how := keyword(t, "reporting.how", "none", map[string]string{"answers": "answers", "probe": "probe",
-		"none": "none"})
+	reports := keyword(t, "reporting.how", false, map[string]bool{
+		NoReports:         false,
+		ReportsOnProbes:   true,
+		ReportsOnRequests: true,
+	})
 	fields := t.pairs["reporting.fields"]
-	if how == "none" || fields == "" {
+	if !reports || fields == "" {
 		return nil
 	}
 	var metrics []balancer.LoadMetric
@@ -216,19 +246,31 @@
 	return metrics
 }
 
+// idempotencies are the values of a class's key repeat.
+var idempotencies = map[string]balancer.Idempotency{
+	"pure":        balancer.Idempotent,
+	"token":       balancer.IdempotentByKey,
+	"side_effect": balancer.NonIdempotent,
+}
+
+// dedupScopes are the values of a class's key group.
+var dedupScopes = map[string]balancer.DedupScope{
+	"all":  balancer.DedupAll,
+	"zone": balancer.DedupZone,
+	"cell": balancer.DedupCell,
+}
+
 // class reads the class whose keys have a prefix.
 func (t *settingsText) class(prefix string) balancer.Class {
 	for _, key := range [...]string{"target", "give-up", "repeat"} {
-		if _, ok := t.pairs[prefix+key]; !ok && t.err == nil {
-			t.err = &balancer.SettingError{Key: prefix + key, Value: "", Reason: "is missing"}
+		if _, ok := t.pairs[prefix+key]; !ok {
+			t.fail(prefix+key, "", "is missing")
 		}
 	}
 	return balancer.Class{
-		Name: t.pairs[prefix+"name"],
-		Idempotency: keyword(t, prefix+"repeat", balancer.NonIdempotent, map[string]balancer.Idempotency{
-			"pure": balancer.Idempotent, "token": balancer.IdempotentByKey, "side_effect": balancer.NonIdempotent}),
-		DedupScope: keyword(t, prefix+"group", balancer.DedupCell, map[string]balancer.DedupScope{
-			"all": balancer.DedupAll, "zone": balancer.DedupZone, "cell": balancer.DedupCell}),
+		Name:             t.pairs[prefix+"name"],
+		Idempotency:      keyword(t, prefix+"repeat", balancer.NonIdempotent, idempotencies),
+		DedupScope:       keyword(t, prefix+"group", balancer.DedupCell, dedupScopes),
 		DedupWindow:      t.integer(prefix+"window", 0),
 		LatencyObjective: t.integer(prefix+"target", 0),
 		ClientTimeout:    t.integer(prefix+"give-up", 0),
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -13,11 +13,12 @@
 	"dunlinsail/balancer"
 )
 
-func unhex(t testing.TB, parts ...string) []byte {
-	t.Helper()
+// unhex decodes hexadecimal digits, in which spaces are ignored.
+func unhex(tb testing.TB, parts ...string) []byte {
+	tb.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(strings.Join(parts, ""), " ", ""))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return b
 }
@@ -31,7 +32,7 @@
 	return append(f, body...)
 }
 
-// The examples of the page.
+// Records of the examples in WIRE.
 const (
 	exInstance = "1b 00000004 00000003"
 	exRequest  = "12 00000020 0005bf975d3a91c4 91f03b7c55d20a64 00000000008405da 00002ee0 01 0000 00"
@@ -46,6 +47,7 @@
 	exMembers = "11 00000006 00000029 00 03"
 )
 
+// decode returns the events of a frame that is valid.
 func decode(t *testing.T, d *Decoder, f []byte) []Event {
 	t.Helper()
 	if _, now, err := d.Reset(f); err != nil || now != 0x805c5a {
@@ -55,7 +57,7 @@
 	for {
 		var e Event
 		err := d.Next(&e)
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return all
 		}
 		if err != nil {
@@ -148,12 +150,12 @@
 	}
 }
 
-// A list number stands for the list last conveyed before, in event order.
+// A list number means the list that was sent last with it before the event.
 func TestListsAreResolvedInOrder(t *testing.T) {
-	one := "1a 0000001a 00 00000001 00000001 00 00 0000 00 3f800000 0000000000000000"
-	two := "1a 0000001a 00 00000001 00000002 00 00 0000 01 3f800000 0000000000000000"
+	ready := "1a 0000001a 00 00000001 00000001 00 00 0000 00 3f800000 0000000000000000"
+	draining := "1a 0000001a 00 00000001 00000002 00 00 0000 01 3f800000 0000000000000000"
 	d := new(Decoder)
-	e := decode(t, d, frame(unhex(t, one, exMembers, two, exMembers)))
+	e := decode(t, d, frame(unhex(t, ready, exMembers, draining, exMembers)))
 	if e[1].Entries[0].ID != 1 || e[3].Entries[0].ID != 2 || e[3].Entries[0].State != balancer.Draining {
 		t.Errorf("%+v", e)
 	}
@@ -210,7 +212,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := ReadFrame(bytes.NewReader(nil), nil); err != io.EOF {
+	if _, err := ReadFrame(bytes.NewReader(nil), nil); !errors.Is(err, io.EOF) {
 		t.Errorf("clean end: %v", err)
 	}
 }
@@ -230,7 +232,7 @@
 			err := d.Next(&e)
 			if err != nil {
 				var bad *FrameError
-				if err != io.EOF && !errors.As(err, &bad) {
+				if !errors.Is(err, io.EOF) && !errors.As(err, &bad) {
 					t.Fatalf("error of another kind: %v", err)
 				}
 				return
@@ -286,7 +288,7 @@
 		t.Errorf("fields %v", s.LoadMetrics)
 	}
 	if _, err := balancer.New(s, 1, nil); err != nil {
-		t.Errorf("the constructor refuses them: %v", err)
+		t.Errorf("balancer.New: %v", err)
 	}
 	if s, err = ParseSettings(strings.Replace(goodSettings, "how=probe", "how=none", 1)); err != nil ||
 		s.LoadMetrics != nil {
@@ -314,7 +316,7 @@
 			t.Errorf("%s -> %s: %v", c.old, c.new, err)
 		}
 	}
-	// Values that parse but make no sense are the constructor's to refuse.
+	// Values that can be parsed but are invalid are rejected by balancer.New.
 	s, err := ParseSettings(strings.Replace(goodSettings, "window=400000", "window=-1", 1))
 	if err != nil {
 		t.Fatal(err)
