--- a/cmd/simhost/golden_test.go
+++ b/cmd/simhost/golden_test.go
@@ -9,6 +9,8 @@
 	"os"
 	"strings"
 	"testing"
+
+	"dunlinsail/internal/wire"
 )
 
 const goldenSettings = `peers-total=3
@@ -79,69 +81,94 @@
 	return rec(26, fields...)
 }
 
-// goldenInput is a script of all event codes for two instances: requests, outcomes of each status, probes, timers,
-// lists, a stop and a new begin.
+// goldenScript draws a script of all event codes for two instances from a seed: requests, outcomes of each status,
+// probes, timers, lists, a stop and a new start. The order of its draws must not change.
+type goldenScript struct {
+	random  *rand.Rand
+	entries []entry
+	now     uint64 // microseconds
+	lastID  uint64 // of the latest request
+}
+
+// goldenStatuses are the statuses of outcomes, in the frequencies in which they are drawn.
+var goldenStatuses = []uint16{200, 200, 200, 200, 500, 503, 504, 502, 598, 499, 410}
+
+// goldenInput returns the batches of a script.
 func goldenInput(seed uint64, discovery string, probes bool) [][]byte {
-	random := rand.New(rand.NewPCG(seed, 3))
 	settings := fmt.Sprintf(goldenSettings, discovery, probes)
-	entries := []entry{{id: 11}, {id: 12}, {id: 13}, {id: 14}, {id: 15}, {id: 16}}
-	batches := [][]byte{batch(1, 1000, list(0, entries), at(1), startRecord(settings), members(0, 3), at(2),
-		startRecord(settings),
-		members(0, 3))}
-	statuses := []uint16{200, 200, 200, 200, 500, 503, 504, 502, 598, 499, 410}
-	now := uint64(1000)
-	id := uint64(0)
+	s := &goldenScript{
+		random:  rand.New(rand.NewPCG(seed, 3)),
+		entries: []entry{{id: 11}, {id: 12}, {id: 13}, {id: 14}, {id: 15}, {id: 16}},
+		now:     1000,
+	}
+	batches := [][]byte{batch(1, 1000, list(0, s.entries),
+		at(1), startRecord(settings), members(0, 3),
+		at(2), startRecord(settings), members(0, 3))}
 	for n := uint32(2); n < 400; n++ {
-		now += 1000 * (1 + random.Uint64N(10))
-		records := [][]byte{at(1 + uint32(random.IntN(2)))}
-		for range 1 + random.IntN(6) {
-			endpoint := 11 + uint32(random.IntN(6))
-			earlier := id - random.Uint64N(min(id, 5)+1)
-			status := statuses[random.IntN(len(statuses))]
-			switch random.IntN(10) {
-			case 0, 1, 2, 3:
-				id++
-				records = append(records, rec(18, id, id, now+400_000, uint32(random.IntN(20_000)),
-					uint8(random.IntN(8)), uint16(random.IntN(3)), uint8(random.IntN(4))))
-			case 4, 5:
-				records = append(records, rec(20, earlier, uint16(random.IntN(2)), endpoint, status,
-					uint32(random.IntN(60_000)), uint8(random.IntN(2)), uint8(2), float32(random.IntN(5)), float32(4)))
-			case 6:
-				records = append(records, rec(23, endpoint, status, uint32(500), uint8(2), float32(random.IntN(9)),
-					float32(5)))
-			case 7:
-				token := uint32(random.IntN(3))
-				if random.IntN(2) == 0 {
-					token = uint32(1<<20 + 16 + random.IntN(8)) // a request's
-				}
-				records = append(records, rec(22, token))
-			case 8:
-				records = append(records, rec(19, earlier, uint16(0), endpoint, uint32(3000)), rec(21, earlier),
-					rec(24, uint16(2), uint16(3), "abc"))
-			case 9:
-				changed := entry{id: endpoint}
-				switch random.IntN(8) {
-				case 0:
-					changed.state = 1
-				case 1:
-					changed.state = 3
-				case 2:
-					changed.started = now - 5
-				}
-				records = append(records, list(1, []entry{changed}), members(1, 0))
-				if kind := random.IntN(8); kind < 3 {
-					records = append(records, list(2, entries), members(2, []uint8{4, 3, 2}[kind]))
-				}
-			}
+		s.now += 1000 * (1 + s.random.Uint64N(10))
+		records := [][]byte{at(1 + uint32(s.random.IntN(2)))}
+		for range 1 + s.random.IntN(6) {
+			records = append(records, s.events()...)
 		}
 		if n%150 == 0 {
 			records = append(records, rec(25), startRecord(settings), members(0, 3))
 		}
-		batches = append(batches, batch(n, now, records...))
+		batches = append(batches, batch(n, s.now, records...))
 	}
 	return batches
 }
 
+// events draws the records of one kind of event.
+func (s *goldenScript) events() [][]byte {
+	random := s.random
+	endpoint := 11 + uint32(random.IntN(6))
+	earlier := s.lastID - random.Uint64N(min(s.lastID, 5)+1)
+	status := goldenStatuses[random.IntN(len(goldenStatuses))]
+	switch random.IntN(10) {
+	case 0, 1, 2, 3:
+		s.lastID++
+		return [][]byte{rec(18, s.lastID, s.lastID, s.now+400_000, uint32(random.IntN(20_000)),
+			uint8(random.IntN(8)), uint16(random.IntN(3)), uint8(random.IntN(4)))}
+	case 4, 5:
+		return [][]byte{rec(20, earlier, uint16(random.IntN(2)), endpoint, status,
+			uint32(random.IntN(60_000)), uint8(random.IntN(2)), uint8(2), float32(random.IntN(5)), float32(4))}
+	case 6:
+		return [][]byte{rec(23, endpoint, status, uint32(500), uint8(2), float32(random.IntN(9)), float32(5))}
+	case 7:
+		token := uint32(random.IntN(3))
+		if random.IntN(2) == 0 {
+			token = uint32(1<<20 + 16 + random.IntN(8)) // of a request
+		}
+		return [][]byte{rec(22, token)}
+	case 8:
+		return [][]byte{
+			rec(19, earlier, uint16(0), endpoint, uint32(3000)),
+			rec(21, earlier),
+			rec(24, uint16(2), uint16(3), "abc"),
+		}
+	default:
+		return s.listEvents(endpoint)
+	}
+}
+
+// listEvents draws a change of an endpoint, and perhaps a complete list.
+func (s *goldenScript) listEvents(endpoint uint32) [][]byte {
+	changed := entry{id: endpoint}
+	switch s.random.IntN(8) {
+	case 0:
+		changed.state = 1
+	case 1:
+		changed.state = 3
+	case 2:
+		changed.started = s.now - 5
+	}
+	records := [][]byte{list(1, []entry{changed}), members(1, 0)}
+	if kind := s.random.IntN(8); kind < 3 {
+		records = append(records, list(2, s.entries), members(2, []uint8{4, 3, 2}[kind]))
+	}
+	return records
+}
+
 // The replies of the simhost of commit 870f4ac to scripted input, as hashes: decisions and the wire's form. The texts
 // of trace records are left out. The file is not written anew for a change that should alter neither.
 func TestRepliesAreUnchanged(t *testing.T) {
@@ -157,27 +184,7 @@
 				if err != nil || stderr != "" {
 					t.Fatal(stderr, err)
 				}
-				digest := sha256.New()
-				counts := map[byte]int{}
-				for rest := []byte(out); len(rest) > 0; {
-					size := int(binary.BigEndian.Uint32(rest[4:]))
-					digest.Write(rest[:4])
-					digest.Write(rest[8:12])
-					for start := 12; start < size; {
-						length := 5 + int(binary.BigEndian.Uint32(rest[start+1:]))
-						counts[rest[start]]++
-						if rest[start] != 88 {
-							digest.Write(rest[start : start+length])
-						}
-						start += length
-					}
-					rest = rest[size:]
-				}
-				line := fmt.Sprintf("%s probes=%v seed=%d", discovery, probes, seed)
-				for code := byte(80); code <= 92; code++ {
-					line += fmt.Sprintf(" %d:%d", code, counts[code])
-				}
-				lines = append(lines, line+" sha256="+hex.EncodeToString(digest.Sum(nil)[:16]))
+				lines = append(lines, fmt.Sprintf("%s probes=%v seed=%d", discovery, probes, seed)+summary(out))
 			}
 		}
 	}
@@ -185,3 +192,26 @@
 		t.Errorf("got\n%swant\n%s", got, golden)
 	}
 }
+
+// summary returns the number of records of each action code in the replies, and a hash of all but trace records.
+func summary(replies string) string {
+	digest := sha256.New()
+	counts := map[byte]int{}
+	for rest := []byte(replies); len(rest) > 0; {
+		size := int(binary.BigEndian.Uint32(rest[4:]))
+		digest.Write(rest[:4])
+		digest.Write(rest[8:12])
+		for _, record := range replyRecords(rest[:size]) {
+			counts[record[0]]++
+			if record[0] != byte(wire.ActionLog) {
+				digest.Write(record)
+			}
+		}
+		rest = rest[size:]
+	}
+	text := ""
+	for code := byte(wire.ActionSend); code <= byte(wire.ActionInstance); code++ {
+		text += fmt.Sprintf(" %d:%d", code, counts[code])
+	}
+	return text + " sha256=" + hex.EncodeToString(digest.Sum(nil)[:16])
+}
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -21,6 +21,7 @@
 reporting.how=probe
 `
 
+// rec returns a record with fields in big endian.
 func rec(code byte, fields ...any) []byte {
 	var b bytes.Buffer
 	for _, f := range fields {
@@ -35,6 +36,7 @@
 	return append(out, b.Bytes()...)
 }
 
+// batch returns a frame of records at an instant.
 func batch(number uint32, now uint64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	b := binary.BigEndian.AppendUint32(nil, number)
@@ -43,11 +45,12 @@
 	return append(b, body...)
 }
 
+// at names the instance of the records that follow.
 func at(i uint32) []byte { return rec(27, i) }
 
 func startRecord(text string) []byte { return rec(16, uint64(5), uint32(len(text)), text) }
 
-// manifest conveys list 0.
+// manifest returns list 0, of ready endpoints.
 func manifest(ids ...uint32) []byte {
 	fields := []any{uint8(0), uint32(len(ids))}
 	for _, id := range ids {
@@ -66,6 +69,7 @@
 	return rec(20, id, uint16(0), endpoint, status, uint32(3000), answered, uint8(0))
 }
 
+// drive returns what simhost writes for batches.
 func drive(t *testing.T, batches ...[]byte) (out, stderr string, err error) {
 	t.Helper()
 	var o, e bytes.Buffer
@@ -73,22 +77,31 @@
 	return o.String(), e.String(), err
 }
 
-// actions lists the codes of the records of one reply and its number.
+// actions returns the number of one reply and the codes of its records.
 func actions(t *testing.T, reply []byte) (number uint32, codes []byte) {
 	t.Helper()
 	if int(binary.BigEndian.Uint32(reply[4:])) != len(reply) {
-		t.Fatalf("reply of %d bytes says %d", len(reply), binary.BigEndian.Uint32(reply[4:]))
+		t.Fatalf("reply of %d bytes has size %d", len(reply), binary.BigEndian.Uint32(reply[4:]))
 	}
-	for at := 12; at < len(reply); {
-		codes = append(codes, reply[at])
-		at += 5 + int(binary.BigEndian.Uint32(reply[at+1:]))
+	for _, record := range replyRecords(reply) {
+		codes = append(codes, record[0])
 	}
 	if int(binary.BigEndian.Uint32(reply[8:])) != len(codes) {
-		t.Fatalf("%d records, header says %d", len(codes), binary.BigEndian.Uint32(reply[8:]))
+		t.Fatalf("%d records, %d in the header", len(codes), binary.BigEndian.Uint32(reply[8:]))
 	}
 	return binary.BigEndian.Uint32(reply), codes
 }
 
+// replyRecords returns the records of a reply.
+func replyRecords(reply []byte) (records [][]byte) {
+	for start := 12; start < len(reply); { // behind the header of the reply
+		size := 5 + int(binary.BigEndian.Uint32(reply[start+1:])) // with the header of the record
+		records = append(records, reply[start:start+size])
+		start += size
+	}
+	return records
+}
+
 func TestEmptyBatchAndEnd(t *testing.T) {
 	out, _, err := drive(t, batch(1, 100))
 	if err != nil || out != "\x00\x00\x00\x01\x00\x00\x00\x0c\x00\x00\x00\x00" {
@@ -119,60 +132,60 @@
 	first := int(binary.BigEndian.Uint32([]byte(out)[4:]))
 	_, codes := actions(t, []byte(out)[first:])
 	if bytes.Count(codes, []byte{80}) != 1 || bytes.IndexByte(codes, 81) >= 0 || bytes.IndexByte(codes, 82) >= 0 {
-		t.Errorf("the new life knows the old one's request: %v", codes)
+		t.Errorf("the new balancer knows a request of the old one: %v", codes)
 	}
 }
 
 func TestInstancesAreIndependent(t *testing.T) {
 	script := func(instances ...uint32) [][]byte {
-		var all [][]byte
-		var records [][]byte
-		records = append(records, manifest(11, 12, 13))
+		var batches [][]byte
+		records := [][]byte{manifest(11, 12, 13)}
 		for _, i := range instances {
 			records = append(records, at(i), startRecord(settings), members(0, 3))
 		}
-		all = append(all, batch(1, 1000, records...))
+		batches = append(batches, batch(1, 1000, records...))
 		for n := range uint64(30) {
 			records = nil
 			for _, i := range instances {
 				records = append(records, at(i), request(100*uint64(i)+n, 1000*n+500_000))
 			}
-			all = append(all, batch(uint32(n+2), 1000*n+2000, records...))
+			batches = append(batches, batch(uint32(n+2), 1000*n+2000, records...))
 		}
-		return all
+		return batches
 	}
-	together, _, _ := drive(t, script(1, 2)...)
+	shared, _, _ := drive(t, script(1, 2)...)
 	again, _, _ := drive(t, script(1, 2)...)
-	if together != again {
+	if shared != again {
 		t.Fatal("two runs differ")
 	}
-	alone := ""
+	separate := ""
 	for _, i := range []uint32{1, 2} {
 		out, _, _ := drive(t, script(i)...)
-		alone += out
-	}
-	count := func(s string) map[string]int {
-		seen := map[string]int{}
-		for rest := []byte(s); len(rest) > 0; {
-			n := int(binary.BigEndian.Uint32(rest[4:]))
-			for at := 12; at < n; {
-				size := 5 + int(binary.BigEndian.Uint32(rest[at+1:]))
-				seen[string(rest[at:at+size])]++
-				at += size
-			}
-			rest = rest[n:]
-		}
-		return seen
+		separate += out
 	}
-	a, b := count(together), count(alone)
-	if len(a) != len(b) {
-		t.Fatalf("%d kinds of record together, %d alone", len(a), len(b))
+	got := recordCounts(shared)
+	want := recordCounts(separate)
+	if len(got) != len(want) {
+		t.Fatalf("%d different records in one process, %d in two", len(got), len(want))
 	}
-	for k, n := range a {
-		if b[k] != n {
-			t.Errorf("record %x: %d together, %d alone", k, n, b[k])
+	for record, n := range got {
+		if want[record] != n {
+			t.Errorf("record %x: %d times in one process, %d in two", record, n, want[record])
+		}
+	}
+}
+
+// recordCounts returns how often each record is in replies.
+func recordCounts(replies string) map[string]int {
+	counts := map[string]int{}
+	for rest := []byte(replies); len(rest) > 0; {
+		size := int(binary.BigEndian.Uint32(rest[4:]))
+		for _, record := range replyRecords(rest[:size]) {
+			counts[string(record)]++
 		}
+		rest = rest[size:]
 	}
+	return counts
 }
 
 func TestBadInputEndsTheProcess(t *testing.T) {
@@ -180,7 +193,7 @@
 	for _, c := range []struct {
 		name  string
 		input []byte
-		says  string
+		want  string
 	}{
 		{"event before instance", batch(2, 1000, rec(22, uint32(1))), "timeout_fired at byte 16"},
 		{"event before begin", batch(2, 1000, at(4), rec(22, uint32(1))), "instance 4 has not begun"},
@@ -188,7 +201,7 @@
 		{"overrun", batch(2, 1000, []byte{18, 0, 0, 1, 0}), "request at byte 17"},
 	} {
 		out, _, err := drive(t, good, c.input)
-		if err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
+		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", c.name, err)
 		}
 		if number, _ := actions(t, []byte(out)); number != 1 {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -80,7 +80,8 @@
 		"": discovery.NoGeneration,
 		`"known":{"generation":4,"instances":[]},`: 4,
 	} {
-		text := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",` + known + `"settings":` + settings + `}`
+		text := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",` + known +
+			`"settings":` + settings + `}`
 		c, err := Parse([]byte(text), env(nil))
 		if err != nil || c.Known.Generation != want {
 			t.Errorf("known %q: %+v, %v; want generation %d", known, c, err, want)
