--- a/internal/xdsclient/client.go
+++ b/internal/xdsclient/client.go
@@ -27,13 +27,13 @@
 	Applied      *rollout.ID // version of the control plane that is running, nil for none
 	Log          *slog.Logger
 
-	// OnUpdate is called for each version that arrives, on the client's goroutine. Until it returns nothing more is
-	// read.
+	// OnUpdate is called for each version that arrives, on the goroutine of Run. No more responses are read until it
+	// returns.
 	OnUpdate func(Update)
 }
 
-// Client holds a stream to a control plane, and opens another one whenever it ends. Make one with New. Its methods
-// may be called from any goroutine.
+// Client holds a stream to a control plane, and opens another one whenever it ends. New makes one. Its methods may be
+// called concurrently.
 type Client struct {
 	options     Options
 	credentials credentials.TransportCredentials
@@ -41,24 +41,24 @@
 
 	mu               sync.Mutex
 	versionInfo      string                           // of the version that is running; "" is none
-	nonces           map[string]string                // of the present stream, by version_info
-	requests         chan *discovery.DiscoveryRequest // to send on the present stream; nil without one
-	responseReceived bool                             // on the present stream
+	nonces           map[string]string                // of the current stream, by version_info
+	requests         chan *discovery.DiscoveryRequest // send queue of the current stream; nil without one
+	responseReceived bool                             // on the current stream
 }
 
 const (
-	minBackoff        = 500 * time.Millisecond // after a stream has ended
-	backoffMultiplier = 2
-	dialJitter        = 0.5
-	minConnectTimeout = 5 * time.Second
-	keepaliveTime     = 20 * time.Second // without traffic a ping is sent,
-	keepaliveTimeout  = 5 * time.Second  // and must be answered within this
+	minBackoff        = 500 * time.Millisecond // after the first failure of a stream or connection
+	backoffMultiplier = 2                      // by which the backoff grows with each failure
+	dialJitter        = 0.5                    // of the backoff between connections, as a fraction of it
+	minConnectTimeout = 5 * time.Second        // for a connection to open
+	keepaliveTime     = 20 * time.Second       // without traffic, after which a ping is sent
+	keepaliveTimeout  = 5 * time.Second        // for the response to a ping, after which the connection is closed
 )
 
-// userAgent is the user_agent_name of the node.
+// userAgent is the user_agent_name of the node. It is on the wire.
 const userAgent = "dunlinsaild"
 
-// New returns a client that does nothing until Run, or the error of certificates that cannot be read.
+// New returns a client that connects in Run. It fails if the certificates cannot be read.
 func New(options Options) (*Client, error) {
 	c := &Client{options: options, nonces: map[string]string{}}
 	if c.options.Settings.Node == "" {
@@ -91,7 +91,7 @@
 	return "unknown"
 }
 
-// Run holds a stream until ctx ends. Between streams it waits a backoff with full jitter.
+// Run holds a stream until ctx ends. Between streams it waits for a backoff with full jitter.
 func (c *Client) Run(ctx context.Context) {
 	settings := &c.options.Settings
 	conn, err := c.dial()
--- a/internal/xdsclient/client_test.go
+++ b/internal/xdsclient/client_test.go
@@ -35,17 +35,17 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testClient is a client under test.
+// testClient is a client under test, and the updates that it has received.
 type testClient struct {
 	*xdsclient.Client
 	mu       sync.Mutex
 	received []xdsclient.Update
 }
 
-func (f *testClient) updates() []xdsclient.Update {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return append([]xdsclient.Update(nil), f.received...)
+func (client *testClient) updates() []xdsclient.Update {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	return append([]xdsclient.Update(nil), client.received...)
 }
 
 func settings(addr string) config.ControlPlane {
@@ -57,25 +57,26 @@
 	}
 }
 
-func startClient(t *testing.T, c config.ControlPlane, running *rollout.ID) *testClient {
+// startClient runs a client until the test ends.
+func startClient(t *testing.T, settings config.ControlPlane, running *rollout.ID) *testClient {
 	t.Helper()
-	f := &testClient{}
-	client, err := xdsclient.New(xdsclient.Options{
-		Settings:     c,
+	client := &testClient{}
+	inner, err := xdsclient.New(xdsclient.Options{
+		Settings:     settings,
 		InstanceName: "i-1",
 		Zone:         "a",
 		Applied:      running,
 		Log:          scriptedpeer.DiscardLog,
 		OnUpdate: func(u xdsclient.Update) {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			f.received = append(f.received, u)
+			client.mu.Lock()
+			defer client.mu.Unlock()
+			client.received = append(client.received, u)
 		},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Client = client
+	client.Client = inner
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -86,7 +87,7 @@
 		cancel()
 		<-done
 	})
-	return f
+	return client
 }
 
 func startServer(t *testing.T, o xdsserver.Options) *xdsserver.Server {
@@ -107,7 +108,7 @@
 	}
 }
 
-// A version arrives as it was sent, and what is said of it reaches the service with its nonce.
+// A version arrives as it was sent, and ACKs and NACKs of it reach the server with its nonce.
 func TestUpdateAndAnswers(t *testing.T) {
 	s := startServer(t, xdsserver.Options{})
 	if err := s.SetResources("e/7", []config.Resource{
@@ -116,9 +117,9 @@
 	}, map[string]any{"rollback": true, "about": "try"}); err != nil {
 		t.Fatal(err)
 	}
-	f := startClient(t, settings(s.Address), &rollout.ID{Epoch: "e", Number: 6})
-	scriptedpeer.Eventually(t, "the version", func() bool { return len(f.updates()) == 1 })
-	u := f.updates()[0]
+	client := startClient(t, settings(s.Address), &rollout.ID{Epoch: "e", Number: 6})
+	scriptedpeer.Eventually(t, "the version", func() bool { return len(client.updates()) == 1 })
+	u := client.updates()[0]
 	if u.DecodeError != "" || !u.Version.Rollback || u.Version.Digest != config.Digest(u.Resources) {
 		t.Errorf("%+v", u)
 	}
@@ -131,9 +132,9 @@
 	if fields := u.Resources[0].Fields; fields["worth"] != 2.0 || fields["name"] != nil {
 		t.Errorf("fields %v", fields)
 	}
-	f.Ack(u.Version.ID, false)
-	f.Ack(u.Version.ID, true)
-	f.Nack(u.Version.ID, "it did harm", &rollout.ID{Epoch: "e", Number: 6})
+	client.Ack(u.Version.ID, false)
+	client.Ack(u.Version.ID, true)
+	client.Nack(u.Version.ID, "it did harm", &rollout.ID{Epoch: "e", Number: 6})
 	scriptedpeer.Eventually(t, "the answers", func() bool { return len(s.Requests()) == 4 })
 	w := s.Requests()
 	if w[0].VersionInfo != "e/6" || w[0].Node != "i-1" || w[0].ResponseNonce != "" {
@@ -152,20 +153,20 @@
 	}
 }
 
-// What makes no sense is refused with its reason, and the next version comes all the same.
+// Invalid responses are rejected with their reason, and later versions arrive nevertheless.
 func TestInvalidResponses(t *testing.T) {
 	s := startServer(t, xdsserver.Options{})
-	f := startClient(t, settings(s.Address), nil)
+	client := startClient(t, settings(s.Address), nil)
 	scriptedpeer.Eventually(t, "a stream", func() bool { return s.StreamsOpened() == 1 })
-	sound, err := xdsserver.NewResponse("1", []config.Resource{class("look", 1)}, nil)
+	valid, err := xdsserver.NewResponse("1", []config.Resource{class("look", 1)}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	made := func(change func(r *discovery.DiscoveryResponse)) *discovery.DiscoveryResponse {
 		r := &discovery.DiscoveryResponse{
-			VersionInfo: sound.VersionInfo,
-			TypeUrl:     sound.TypeUrl,
-			Resources:   sound.Resources,
+			VersionInfo: valid.VersionInfo,
+			TypeUrl:     valid.TypeUrl,
+			Resources:   valid.Resources,
 		}
 		change(r)
 		return r
@@ -181,25 +182,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wrong := map[string]*discovery.DiscoveryResponse{
+	invalid := map[string]*discovery.DiscoveryResponse{
 		"no resource is in it":        made(func(r *discovery.DiscoveryResponse) { r.Resources = nil }),
 		"neither true nor false":      release,
 		"is no kind of resource":      unknown,
 		"cannot parse invalid wire-f": made(func(r *discovery.DiscoveryResponse) { r.Resources = cut(r) }),
 	}
 	n := 0
-	for want, r := range wrong {
+	for want, r := range invalid {
 		s.Broadcast(r)
 		n++
-		scriptedpeer.Eventually(t, want, func() bool { return len(f.updates()) == n })
-		u := f.updates()[n-1]
+		scriptedpeer.Eventually(t, want, func() bool { return len(client.updates()) == n })
+		u := client.updates()[n-1]
 		if !strings.Contains(u.DecodeError, want) || u.Resources != nil || u.Version.Digest == "" {
 			t.Errorf("%s: %+v", want, u)
 		}
 	}
-	s.Broadcast(sound)
-	scriptedpeer.Eventually(t, "a sound one", func() bool {
-		u := f.updates()
+	s.Broadcast(valid)
+	scriptedpeer.Eventually(t, "a valid one", func() bool {
+		u := client.updates()
 		return len(u) == n+1 && u[n].DecodeError == ""
 	})
 	if s.StreamsOpened() != 1 {
@@ -207,12 +208,12 @@
 	}
 }
 
-// broadcastUnreadable sends responses whose version cannot be read, and waits for the NACK of each.
+// broadcastUnreadable sends responses whose type or version_info is invalid, and waits for the NACK of each.
 func broadcastUnreadable(
 	t *testing.T, s *xdsserver.Server, made func(func(*discovery.DiscoveryResponse)) *discovery.DiscoveryResponse,
 ) {
 	t.Helper()
-	unread := map[string]*discovery.DiscoveryResponse{
+	unreadable := map[string]*discovery.DiscoveryResponse{
 		"was not asked for": made(func(r *discovery.DiscoveryResponse) {
 			r.TypeUrl = "type.googleapis.com/envoy.config.listener.v3.Listener"
 		}),
@@ -226,7 +227,7 @@
 			r.VersionInfo = "18446744073709551616"
 		}),
 	}
-	for want, r := range unread {
+	for want, r := range unreadable {
 		s.Broadcast(r)
 		scriptedpeer.Eventually(t, want, func() bool {
 			for _, w := range s.Requests() {
@@ -239,7 +240,7 @@
 	}
 }
 
-// A version over the bound is not read; the stream is asked for again, and what is sent then arrives.
+// A version over the limit of its size is not decoded. The stream is opened again, and later versions arrive.
 func TestResponseTooLarge(t *testing.T) {
 	s := startServer(t, xdsserver.Options{})
 	var many []config.Resource
@@ -249,22 +250,22 @@
 	if err := s.SetResources("1", many, nil); err != nil {
 		t.Fatal(err)
 	}
-	f := startClient(t, settings(s.Address), nil)
-	scriptedpeer.Eventually(t, "asked again", func() bool { return s.StreamsOpened() >= 3 })
-	if len(f.updates()) > 0 {
-		t.Error("it was taken")
+	client := startClient(t, settings(s.Address), nil)
+	scriptedpeer.Eventually(t, "the stream opened again", func() bool { return s.StreamsOpened() >= 3 })
+	if len(client.updates()) > 0 {
+		t.Error("it was decoded")
 	}
 	if err := s.SetResources("2", many[:5], nil); err != nil {
 		t.Fatal(err)
 	}
-	scriptedpeer.Eventually(t, "the next", func() bool { return len(f.updates()) > 0 })
+	scriptedpeer.Eventually(t, "the next", func() bool { return len(client.updates()) > 0 })
 }
 
-// A service that vanishes, at whatever byte of what it sends, is asked again; what arrives is whole, and begins with
-// what runs by then.
+// A server that fails at any byte of a response is connected to again. Versions arrive complete, and each stream starts
+// with the version that is running.
 func TestServerVanishes(t *testing.T) {
 	s := startServer(t, xdsserver.Options{})
-	f := startClient(t, settings(s.Address), nil)
+	client := startClient(t, settings(s.Address), nil)
 	scriptedpeer.Eventually(t, "a stream", func() bool { return s.StreamsOpened() == 1 })
 	all := []config.Resource{class("look", 1), class("book", 2)}
 	for n, cut := range []int64{0, 1, 9, 10, 40, 100, 200, 300} {
@@ -273,39 +274,39 @@
 		if err := s.SetResources(info, all, nil); err != nil {
 			t.Fatal(err)
 		}
-		scriptedpeer.Eventually(t, "the cut", func() bool { return s.OpenStreams() == 0 || f.has(n+1) })
+		scriptedpeer.Eventually(t, "the cut", func() bool { return s.OpenStreams() == 0 || client.has(n+1) })
 		s.ResetConnectionsAfter(-1)
-		scriptedpeer.Eventually(t, "version "+info, func() bool { return f.has(n + 1) })
-		f.Ack(rollout.ID{Number: uint64(n + 1)}, true)
+		scriptedpeer.Eventually(t, "version "+info, func() bool { return client.has(n + 1) })
+		client.Ack(rollout.ID{Number: uint64(n + 1)}, true)
 	}
-	for _, u := range f.updates() {
+	for _, u := range client.updates() {
 		if u.DecodeError != "" || len(u.Resources) != 2 {
 			t.Errorf("%+v", u)
 		}
 	}
-	// In the midst of an answer: what runs is said at the beginning of the next stream.
+	// An ACK without a stream: the next stream starts with the version that is running.
 	s.DropStreams()
-	f.Ack(rollout.ID{Number: 8}, true)
-	scriptedpeer.Eventually(t, "what runs", func() bool {
+	client.Ack(rollout.ID{Number: 8}, true)
+	scriptedpeer.Eventually(t, "the running version", func() bool {
 		w := s.Requests()
 		return w[len(w)-1].VersionInfo == "8" && w[len(w)-1].ResponseNonce == ""
 	})
-	// For long.
+	// A longer outage, with a NACK meanwhile.
 	addr := s.Address
 	s.Close()
-	f.Nack(rollout.ID{Number: 8}, "late", nil)
+	client.Nack(rollout.ID{Number: 8}, "late", nil)
 	again := startServer(t, xdsserver.Options{Address: addr})
 	if err := again.SetResources("9", all, nil); err != nil {
 		t.Fatal(err)
 	}
-	scriptedpeer.Eventually(t, "the service's return", func() bool { return f.has(9) })
+	scriptedpeer.Eventually(t, "the service's return", func() bool { return client.has(9) })
 	if w := again.Requests()[0]; w.VersionInfo != "" {
-		t.Errorf("after the nack it says to run %q", w.VersionInfo)
+		t.Errorf("after the NACK version_info is %q", w.VersionInfo)
 	}
 }
 
-func (f *testClient) has(number int) bool {
-	for _, u := range f.updates() {
+func (client *testClient) has(number int) bool {
+	for _, u := range client.updates() {
 		if u.Version.Number == uint64(number) {
 			return true
 		}
@@ -313,16 +314,16 @@
 	return false
 }
 
-// cut returns resources of which the first is not whole.
+// cut returns the first resource of a response without its last bytes.
 func cut(r *discovery.DiscoveryResponse) []*anypb.Any {
 	x := &anypb.Any{TypeUrl: r.Resources[0].TypeUrl, Value: r.Resources[0].Value[:len(r.Resources[0].Value)-3]}
 	return []*anypb.Any{x}
 }
 
-// A service that never stops sending is read at a bounded pace, and costs no more memory than what is under way.
+// Responses are read at a limited rate from a server that never stops sending, so that they need little memory.
 func TestServerNeverStopsSending(t *testing.T) {
 	s := startServer(t, xdsserver.Options{})
-	f := startClient(t, settings(s.Address), nil)
+	client := startClient(t, settings(s.Address), nil)
 	scriptedpeer.Eventually(t, "a stream", func() bool { return s.StreamsOpened() == 1 })
 	for n := range 1000 {
 		r, err := xdsserver.NewResponse(fmt.Sprint(n+1), []config.Resource{class("look", 1)}, nil)
@@ -331,8 +332,8 @@
 		}
 		s.Broadcast(r)
 	}
-	scriptedpeer.Eventually(t, "some", func() bool { return len(f.updates()) >= 10 })
-	if n := len(f.updates()); n > 30 {
+	scriptedpeer.Eventually(t, "some", func() bool { return len(client.updates()) >= 10 })
+	if n := len(client.updates()); n > 30 {
 		t.Errorf("%d of 1000 were read at once", n)
 	}
 }
@@ -344,6 +345,7 @@
 	dir  string
 }
 
+// newAuthority returns an authority whose certificate is in ca.pem of its folder.
 func newAuthority(t *testing.T) *authority {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -404,6 +406,7 @@
 	return a.write(t, name+".pem", "CERTIFICATE", der), a.write(t, name+".key", "EC PRIVATE KEY", private)
 }
 
+// server returns the credentials of a server that requires certificates of the authority.
 func (a *authority) server(t *testing.T) credentials.TransportCredentials {
 	t.Helper()
 	cert, key := a.issue(t, "service")
@@ -424,17 +427,19 @@
 	})
 }
 
-// Both sides must show a certificate that the other's authority has signed, and the service the name that is
-// expected.
+// Each side must have a certificate that the authority of the other has signed, and the server's must have the expected
+// name.
 func TestMutualTLS(t *testing.T) {
-	ours, theirs := newAuthority(t), newAuthority(t)
+	ours := newAuthority(t)
+	theirs := newAuthority(t)
 	s := startServer(t, xdsserver.Options{Credentials: ours.server(t)})
 	if err := s.SetResources("1", []config.Resource{class("look", 1)}, nil); err != nil {
 		t.Fatal(err)
 	}
 	with := func(ca, own *authority, name string) config.ControlPlane {
 		c := settings(s.Address)
-		c.Plaintext, c.ServerName = false, name
+		c.Plaintext = false
+		c.ServerName = name
 		c.CA = filepath.Join(ca.dir, "ca.pem")
 		c.Cert, c.Key = own.issue(t, "instance")
 		return c
@@ -446,10 +451,10 @@
 		"another name":                           with(ours, ours, "somebody"),
 		"no TLS":                                 settings(s.Address),
 	} {
-		f := startClient(t, c, nil)
+		client := startClient(t, c, nil)
 		defer func() {
-			if len(f.updates()) > 0 {
-				t.Errorf("%s: versions came", what)
+			if len(client.updates()) > 0 {
+				t.Errorf("%s: versions arrived", what)
 			}
 		}()
 	}
@@ -458,12 +463,12 @@
 	bad.CA = bad.Key
 	_, err := xdsclient.New(xdsclient.Options{Settings: bad})
 	if err == nil || !strings.Contains(err.Error(), "control.ca") {
-		t.Errorf("a CA that is none: %v", err)
+		t.Errorf("an invalid CA: %v", err)
 	}
 	bad = with(ours, ours, "")
 	bad.Key = "/nowhere"
 	_, err = xdsclient.New(xdsclient.Options{Settings: bad})
 	if err == nil || !strings.Contains(err.Error(), "control.cert") {
-		t.Errorf("a key that is not there: %v", err)
+		t.Errorf("a missing key: %v", err)
 	}
 }
--- a/internal/xdsclient/credentials.go
+++ b/internal/xdsclient/credentials.go
@@ -13,7 +13,7 @@
 	"dunlinsail/internal/config"
 )
 
-// transportCredentials returns mutual TLS, or plaintext, which the configuration allows on loopback only.
+// transportCredentials returns mutual TLS, or plaintext, which package config accepts on loopback only.
 func transportCredentials(settings *config.ControlPlane) (credentials.TransportCredentials, error) {
 	if settings.Plaintext {
 		return insecure.NewCredentials(), nil
--- a/internal/xdsclient/decode.go
+++ b/internal/xdsclient/decode.go
@@ -16,18 +16,20 @@
 	"dunlinsail/internal/decide/rollout"
 )
 
-// TypeURL is the type_url of all resources: TypedStruct, as xDS has it for extensions without a protobuf type of
-// their own. All kinds share one type, since xDS guarantees a consistent version within one type only.
+// TypeURL is the type_url of all resources: TypedStruct, the type of xDS for extensions without a protobuf type of
+// their own. All kinds share one type, since xDS guarantees a consistent version only within a type.
 const TypeURL = "type.googleapis.com/xds.type.v3.TypedStruct"
 
 // KindPrefix precedes a resource's kind in the type_url of its TypedStruct.
 const KindPrefix = "type.googleapis.com/dunlinsail.config.v1."
 
-// releaseKind is the kind of the one resource that describes the version itself.
-const releaseKind = "release"
-
-// nameField is the field of a resource that holds its name.
-const nameField = "name"
+// Names on the wire.
+const (
+	releaseKind   = "release"  // kind of the resource that describes the version itself
+	rollbackField = "rollback" // of a release, a boolean: Version.Rollback
+	commentField  = "about"    // of a release: a text for operators, which is not used
+	nameField     = "name"     // of a resource: its name
+)
 
 // Update is a version as the control plane sent it.
 type Update struct {
@@ -36,7 +38,7 @@
 	DecodeError string // why the content cannot be decoded; Resources is nil then
 }
 
-// decode returns the update in a response, or the error of a response whose version is unknown.
+// decode returns the update in a response, or an error if its type or version_info is invalid.
 func decode(response *discovery.DiscoveryResponse) (*Update, error) {
 	if response.GetTypeUrl() != TypeURL {
 		return nil, fmt.Errorf("type_url %q was not asked for", truncate(response.GetTypeUrl()))
@@ -56,7 +58,8 @@
 	return update, nil
 }
 
-// rawDigest returns a digest of resources that cannot be decoded: another content may come under the same number.
+// rawDigest returns a digest of resources that cannot be decoded, since different contents may have the same
+// version_info.
 func rawDigest(response *discovery.DiscoveryResponse) string {
 	hash := sha256.New()
 	for _, resource := range response.GetResources() {
@@ -65,6 +68,7 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
+// decodeResources sets the resources, and the properties of the version.
 func (u *Update) decodeResources(response *discovery.DiscoveryResponse) error {
 	for i, packed := range response.GetResources() {
 		kind, fields, err := unpack(packed)
@@ -114,17 +118,17 @@
 	return kind, fields, nil
 }
 
-// decodeRelease reads what a release resource says about the version.
+// decodeRelease sets the properties of the version that a release resource has.
 func (u *Update) decodeRelease(fields map[string]any) error {
 	for key, value := range fields {
 		switch key {
-		case "rollback":
+		case rollbackField:
 			rollback, isBool := value.(bool)
 			if !isBool {
 				return fmt.Errorf("release: rollback: %v is neither true nor false", value)
 			}
 			u.Version.Rollback = rollback
-		case "about": // for people
+		case commentField:
 		default:
 			return fmt.Errorf("release: %s: is not a known key", truncate(key))
 		}
--- a/internal/xdsclient/decode_test.go
+++ b/internal/xdsclient/decode_test.go
@@ -12,7 +12,8 @@
 	"dunlinsail/internal/config"
 )
 
-// What is read of a version names itself as it came, makes a configuration or an error, and never ends the process.
+// A decoded version has the version_info that it arrived with, combines to a configuration or an error, and never makes
+// the process panic.
 func FuzzDecode(f *testing.F) {
 	file, err := config.Parse([]byte(`
 [[listener]]
@@ -39,7 +40,7 @@
 			return
 		}
 		if got := FormatVersionInfo(u.Version.ID); got != r.GetVersionInfo() {
-			t.Errorf("version %q was read as %q", r.GetVersionInfo(), got)
+			t.Errorf("version %q was decoded as %q", r.GetVersionInfo(), got)
 		}
 		if u.Version.Digest == "" || (u.DecodeError == "") != (u.Resources != nil) {
 			t.Errorf("%+v", u)
@@ -52,7 +53,7 @@
 		}
 		c, err := config.Combine(file, u.Resources)
 		if err == nil && (len(c.Listeners) != 1 || c.Process != file.Process) {
-			t.Error("what only the file may say was replaced")
+			t.Error("a table that only the file may hold was replaced")
 		}
 	})
 }
--- a/internal/xdsclient/doc.go
+++ b/internal/xdsclient/doc.go
@@ -3,7 +3,7 @@
 // at a control plane (management server), in the state-of-the-world variant over an aggregated gRPC stream, with
 // resources of the project's own kinds in xds.type.v3.TypedStruct.
 //
-// It decodes responses within bounds and acknowledges (ACK) or rejects (NACK) them by version_info and nonce. Which
-// version is applied, package rollout decides; what a resource means, package config. The package must not import
-// what runs a configuration.
+// It decodes responses within bounds and acknowledges (ACK) or rejects (NACK) them by version_info and nonce. Package
+// rollout decides which version is applied, and package config what a resource means. This package must not import
+// package daemon, which applies versions.
 package xdsclient
--- a/internal/xdsclient/golden_test.go
+++ b/internal/xdsclient/golden_test.go
@@ -19,7 +19,7 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// recordingServer is an ADS server that sends prepared responses and keeps the requests as they came.
+// recordingServer is an ADS server that sends prepared responses and passes on the requests that it receives.
 type recordingServer struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	requests  chan *discovery.DiscoveryRequest
@@ -98,7 +98,7 @@
 
 // The golden files under testdata/golden were written by the build of 870f4ac and never change. The response is what
 // a control plane of that time sends; the requests are what that build sent: the first of a stream, an ACK of a
-// version on trial, an ACK of a confirmed one, a NACK after a rollback, and a NACK of an unreadable version_info.
+// version on canary, an ACK of a confirmed one, a NACK after a rollback, and a NACK of an unreadable version_info.
 func TestGoldenExchange(t *testing.T) {
 	server, address := startRecordingServer(t)
 	client := startClient(t, settings(address), &rollout.ID{Epoch: "e", Number: 6})
@@ -118,7 +118,7 @@
 	checkJSON(t, "response-resources.json", update.Resources)
 
 	client.Ack(update.Version.ID, false)
-	receive("the ACK on trial")
+	receive("the ACK on canary")
 	client.Ack(update.Version.ID, true)
 	receive("the final ACK")
 	client.Nack(update.Version.ID, "it did harm", &rollout.ID{Epoch: "e", Number: 6})
--- a/internal/xdsclient/interop_test.go
+++ b/internal/xdsclient/interop_test.go
@@ -17,8 +17,7 @@
 	"dunlinsail/internal/xdsclient"
 )
 
-// A control plane that is built on go-control-plane, as many are, is understood as it comes, and understands the
-// answers.
+// The client works with a control plane that is built on go-control-plane, as many are.
 func TestWithGoControlPlane(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,13 +38,13 @@
 	discovery.RegisterAggregatedDiscoveryServiceServer(g, xds)
 	go g.Serve(ln)
 	t.Cleanup(g.Stop)
-	set := func(worth float64) {
+	set := func(weight float64) {
 		value, err := structpb.NewStruct(map[string]any{
 			"name":    "look",
 			"repeat":  "safe",
 			"aim":     "100ms",
 			"give_up": "1s",
-			"worth":   worth,
+			"worth":   weight,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -55,24 +54,24 @@
 		})
 	}
 	set(1)
-	f := startClient(t, settings(ln.Addr().String()), nil)
-	scriptedpeer.Eventually(t, "a version", func() bool { return len(f.updates()) == 1 })
-	one := f.updates()[0]
-	if one.DecodeError != "" || one.Version.Epoch != "plane" || one.Resources[0].ID() != "class/look" {
-		t.Fatalf("%+v", one)
+	client := startClient(t, settings(ln.Addr().String()), nil)
+	scriptedpeer.Eventually(t, "a version", func() bool { return len(client.updates()) == 1 })
+	first := client.updates()[0]
+	if first.DecodeError != "" || first.Version.Epoch != "plane" || first.Resources[0].ID() != "class/look" {
+		t.Fatalf("%+v", first)
 	}
-	f.Ack(one.Version.ID, true)
+	client.Ack(first.Version.ID, true)
 	set(2)
-	scriptedpeer.Eventually(t, "the next", func() bool { return len(f.updates()) == 2 })
-	two := f.updates()[1]
-	if two.Version.Number != one.Version.Number+1 || two.Resources[0].Fields["worth"] != 2.0 {
-		t.Errorf("%+v", two)
+	scriptedpeer.Eventually(t, "the next", func() bool { return len(client.updates()) == 2 })
+	second := client.updates()[1]
+	if second.Version.Number != first.Version.Number+1 || second.Resources[0].Fields["worth"] != 2.0 {
+		t.Errorf("%+v", second)
 	}
-	f.Nack(two.Version.ID, "not today", &one.Version.ID)
-	expected := xdsclient.FormatVersionInfo(one.Version.ID) + ": not today"
+	client.Nack(second.Version.ID, "not today", &first.Version.ID)
+	expected := xdsclient.FormatVersionInfo(first.Version.ID) + ": not today"
 	if got := scriptedpeer.Receive(t, rejected, "the NACK"); got != expected {
 		t.Errorf("NACK %q, not %q", got, expected)
 	}
 	set(3)
-	scriptedpeer.Eventually(t, "the one after a rejected one", func() bool { return len(f.updates()) == 3 })
+	scriptedpeer.Eventually(t, "the one after a rejected one", func() bool { return len(client.updates()) == 3 })
 }
--- a/internal/xdsclient/stream.go
+++ b/internal/xdsclient/stream.go
@@ -18,15 +18,17 @@
 )
 
 const (
-	responseRate      = 5   // responses a second that are read; the others wait at the control plane
-	responseBurst     = 10  // responses at once
-	maxQueuedRequests = 64  // ACKs and NACKs that wait to be sent
-	maxNonces         = 512 // versions of one stream without an answer
+	responseRate      = 5   // responses read a second; flow control delays the others at the control plane
+	responseBurst     = 10  // responses read at once
+	maxQueuedRequests = 64  // ACKs and NACKs in the send queue
+	maxNonces         = 512 // versions of one stream that wait for an ACK or NACK
 )
 
-// The states that the node's metadata tell with an ACK or NACK: xDS has no term for a version on canary. They are on
-// the wire: they stay as they are.
+// Names on the wire in the node's metadata of an ACK or NACK: a version and its state, for which xDS has no terms.
 const (
+	versionField = "version"
+	stateField   = "state"
+
 	stateCanary    = "trial"
 	stateConfirmed = "good"
 	stateRejected  = "refused"
@@ -49,18 +51,7 @@
 	var sender sync.WaitGroup
 	defer sender.Wait()
 	defer cancel()
-	sender.Go(func() {
-		for {
-			select {
-			case request := <-requests:
-				if stream.Send(request) != nil {
-					return // Recv returns the reason
-				}
-			case <-ctx.Done():
-				return
-			}
-		}
-	})
+	sender.Go(func() { sendQueued(ctx, stream, requests) })
 	limiter := rate.NewLimiter(responseRate, responseBurst)
 	for {
 		response, err := stream.Recv()
@@ -78,7 +69,25 @@
 	}
 }
 
-// startStream makes requests those of the present stream, and returns the first one.
+// sendQueued sends the requests of a queue until ctx ends or the stream fails, whose reason Recv returns.
+func sendQueued(
+	ctx context.Context,
+	stream discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient,
+	requests <-chan *discovery.DiscoveryRequest,
+) {
+	for {
+		select {
+		case request := <-requests:
+			if stream.Send(request) != nil {
+				return
+			}
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// startStream makes requests the send queue of the current stream, and returns the first request.
 func (c *Client) startStream(requests chan *discovery.DiscoveryRequest) *discovery.DiscoveryRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,13 +97,14 @@
 	return &discovery.DiscoveryRequest{Node: c.node, TypeUrl: TypeURL, VersionInfo: c.versionInfo}
 }
 
+// endStream drops requests until the next stream starts.
 func (c *Client) endStream() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requests = nil
 }
 
-// handleResponse passes a response on, or rejects it if its version cannot be read.
+// handleResponse passes on the version in a response, or rejects the response if its version_info is invalid.
 func (c *Client) handleResponse(response *discovery.DiscoveryResponse) {
 	update, err := decode(response)
 	if err != nil {
@@ -107,7 +117,7 @@
 	}
 	c.mu.Lock()
 	if len(c.nonces) >= maxNonces {
-		clear(c.nonces) // old versions stay without an answer: the control plane has sent newer ones
+		clear(c.nonces) // older versions get no ACK or NACK, which the control plane expects for the newest only
 	}
 	c.nonces[response.GetVersionInfo()] = response.GetNonce()
 	c.mu.Unlock()
@@ -145,7 +155,7 @@
 	info := FormatVersionInfo(id)
 	nonce := c.nonces[info]
 	c.mu.Unlock()
-	if nonce == "" { // the version came on an earlier stream: the present one has told what runs
+	if nonce == "" { // the version arrived on an earlier stream: the current one started with what is running
 		return
 	}
 	c.send(&discovery.DiscoveryRequest{
@@ -161,14 +171,14 @@
 		Id:      c.node.Id,
 		Cluster: c.node.Cluster,
 		Metadata: &structpb.Struct{Fields: map[string]*structpb.Value{
-			"version": structpb.NewStringValue(info),
-			"state":   structpb.NewStringValue(state),
+			versionField: structpb.NewStringValue(info),
+			stateField:   structpb.NewStringValue(state),
 		}},
 	}
 }
 
-// send queues a request on the present stream. Without a stream, or with a full queue, it is dropped: the next stream
-// begins with what runs, and the control plane sends its version again.
+// send queues a request on the current stream. Without a stream, or with a full queue, it is dropped: the next stream
+// starts with the version that is running, and the control plane sends its own again.
 func (c *Client) send(request *discovery.DiscoveryRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/xdsclient/versioninfo.go
+++ b/internal/xdsclient/versioninfo.go
@@ -8,13 +8,13 @@
 	"dunlinsail/internal/decide/rollout"
 )
 
-// maxEpochLength is the length of an epoch in bytes, at most.
+// maxEpochLength is the largest length of an epoch in bytes.
 const maxEpochLength = 64
 
-// maxQuotedLength is the length to which text of the control plane is cut in errors.
+// maxQuotedLength is the length in bytes to which texts of the control plane are cut in errors.
 const maxQuotedLength = 80
 
-// ParseVersionInfo parses a version_info: "17", or "epoch/17" where numbers may restart.
+// ParseVersionInfo parses a version_info: "17", or "epoch/17" where the numbers of another epoch start again.
 func ParseVersionInfo(text string) (rollout.ID, error) {
 	epoch := ""
 	numberText := text
