--- a/internal/configcache/cache.go
+++ b/internal/configcache/cache.go
@@ -1,7 +1,7 @@
 // Package configcache caches on disk the rollout state of an instance and the contents of its last known good
 // versions of the configuration, so that a restart does not depend on the control plane. A file is replaced
-// atomically, and the state before the last one is kept as a fallback. The package stores contents by their digest;
-// it must not import what interprets them.
+// atomically, and the state before the last one is retained as a fallback. The package stores contents by their digest;
+// it must not import packages that interpret them.
 package configcache
 
 import (
@@ -26,7 +26,7 @@
 //	content-DIGEST   the content of a version that either of them names
 type Cache struct{ path string }
 
-// Names and headers of files. They are stored: they stay as they are.
+// Names and headers of files. They are a stored form, which other builds read, too.
 const (
 	stateFile         = "state"
 	previousStateFile = "state.before"
@@ -35,13 +35,13 @@
 	stateHeader       = "dunlinsail versions 1 sha256 "
 )
 
-// maxFileBytes is the size up to which a file is read: no file that a Cache wrote is larger.
+// maxFileBytes is the largest size of a file that is read. A Cache writes none that is larger.
 const maxFileBytes = 256 << 20
 
-// folderMode is the mode of the folder.
+// folderMode is the permissions of the folder.
 const folderMode = 0o700
 
-// ErrCorrupt is wrapped by the errors of files that do not hold what was written.
+// ErrCorrupt is wrapped by the errors of files whose content is not what a Cache wrote.
 var ErrCorrupt = errors.New("corrupt file")
 
 // Open returns the cache in a folder, which it creates if necessary.
@@ -52,8 +52,8 @@
 	return &Cache{path}, nil
 }
 
-// Load returns the newest state that can be read, and the name of its file; nil if nothing was ever saved. Errors of
-// newer files that were skipped are returned beside it; they wrap ErrCorrupt if the file is.
+// Load returns the newest state that can be read, and the name of its file; nil if nothing was ever saved. Its error is
+// that of newer files that were skipped, and wraps ErrCorrupt if one is corrupt.
 func (c *Cache) Load() (state *rollout.PersistentState, file string, err error) {
 	var skipped []error
 	for _, name := range []string{stateFile, previousStateFile} {
@@ -68,6 +68,7 @@
 	return nil, "", errors.Join(skipped...)
 }
 
+// loadState reads a state file. Its error wraps ErrCorrupt if the file is corrupt, and fs.ErrNotExist if there is none.
 func (c *Cache) loadState(name string) (*rollout.PersistentState, error) {
 	text, err := c.readFile(name)
 	if err != nil {
@@ -110,7 +111,7 @@
 }
 
 // Save stores the state, and the contents of the versions that it refers to which are not stored yet. Contents that
-// neither this state nor the one before refers to are removed. After an error the cache holds what it held before.
+// neither this state nor the one before refers to are removed. After an error the cache is as it was before.
 func (c *Cache) Save(state *rollout.PersistentState, contents map[string][]byte) error {
 	if err := c.saveContents(state, contents); err != nil {
 		return err
@@ -129,6 +130,7 @@
 	return nil
 }
 
+// saveContents stores the contents that a state refers to and that are not stored yet.
 func (c *Cache) saveContents(state *rollout.PersistentState, contents map[string][]byte) error {
 	for digest := range referencedDigests(state) {
 		text, available := contents[digest]
--- a/internal/configcache/files.go
+++ b/internal/configcache/files.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// fileMode is the mode of all files: contents may hold what is not for other users.
+// fileMode is the permissions of all files: contents may be confidential.
 const fileMode = 0o600
 
 // readFile reads a file of at most maxFileBytes.
@@ -65,22 +65,22 @@
 	return f.Sync()
 }
 
-// backUpState makes the state file the previous one too, unless it is missing or corrupt.
+// backUpState makes the state file the previous one, too, unless it is missing or corrupt.
 func (c *Cache) backUpState() error {
 	if _, err := c.loadState(stateFile); err != nil {
-		return nil //nolint:nilerr // the previous one is better than a corrupt one
+		return nil //nolint:nilerr // the previous file stays rather than a corrupt one
 	}
 	previous := filepath.Join(c.path, previousStateFile)
 	temporary := previous + temporarySuffix
-	os.Remove(temporary) // of a process that crashed here
+	os.Remove(temporary) // left by a process that crashed here
 	if err := os.Link(filepath.Join(c.path, stateFile), temporary); err != nil {
 		return err
 	}
 	return os.Rename(temporary, previous)
 }
 
-// removeUnreferenced removes contents that neither state refers to. Failures are ignored: such a file does no harm,
-// and the next Save tries again.
+// removeUnreferenced removes contents that neither state refers to. Failures are ignored: such a file is not used, and
+// the next Save removes it.
 func (c *Cache) removeUnreferenced() {
 	referenced := map[string]bool{}
 	for _, name := range []string{stateFile, previousStateFile} {
--- a/internal/configcache/golden_test.go
+++ b/internal/configcache/golden_test.go
@@ -19,11 +19,12 @@
 	goldenSecond = "8abc261d8cadcccd2d253679c5ea720c88aa015d267915b778bd5a1736ce6f9f"
 )
 
+// fileVersion returns a version of the file.
 func fileVersion(number uint64) rollout.Version {
 	return rollout.Version{ID: rollout.ID{Source: rollout.SourceFile, Number: number}, Digest: goldenFile}
 }
 
-func serviceVersion(epoch string, number uint64, digest string, rollback bool) *rollout.Version {
+func controlPlaneVersion(epoch string, number uint64, digest string, rollback bool) *rollout.Version {
 	return &rollout.Version{
 		ID:       rollout.ID{Source: rollout.SourceControlPlane, Epoch: epoch, Number: number},
 		Digest:   digest,
@@ -34,7 +35,7 @@
 // goldenStates are what the state files in testdata/golden hold, by folder.
 func goldenStates() map[string]*rollout.PersistentState {
 	onlyFile := &rollout.LayeredVersion{File: fileVersion(1)}
-	first := serviceVersion("", 1, goldenFirst, false)
+	first := controlPlaneVersion("", 1, goldenFirst, false)
 	return map[string]*rollout.PersistentState{
 		"empty":     {},
 		"file-only": {LastKnownGood: onlyFile},
@@ -51,19 +52,19 @@
 		},
 		"full": {
 			LastKnownGood: &rollout.LayeredVersion{
-				ControlPlane: serviceVersion("e", 7, goldenFirst, false),
+				ControlPlane: controlPlaneVersion("e", 7, goldenFirst, false),
 				File:         fileVersion(3),
 			},
 			PreviousGood: &rollout.LayeredVersion{
-				ControlPlane: serviceVersion("e", 6, goldenSecond, true),
+				ControlPlane: controlPlaneVersion("e", 6, goldenSecond, true),
 				File:         fileVersion(3),
 			},
-			Unconfirmed:   serviceVersion("f", 1, goldenSecond, true),
+			Unconfirmed:   controlPlaneVersion("f", 1, goldenSecond, true),
 			ApplyAttempts: 2,
 			Rejected: []rollout.Rejection{
-				{Version: *serviceVersion("e", 5, "0a", false), Reason: "version e/5 is older than e/6"},
+				{Version: *controlPlaneVersion("e", 5, "0a", false), Reason: "version e/5 is older than e/6"},
 				{
-					Version:    *serviceVersion("", 18446744073709551615, "0b", true),
+					Version:    *controlPlaneVersion("", 18446744073709551615, "0b", true),
 					Reason:     `worse by service: <1> & "2"`,
 					RolledBack: true,
 				},
@@ -71,17 +72,17 @@
 			},
 			AbandonedEpochs: []string{"c", "d"},
 			KnownVersions: []rollout.Version{
-				*serviceVersion("e", 5, "0a", false),
-				*serviceVersion("e", 6, goldenSecond, true),
-				*serviceVersion("e", 7, goldenFirst, false),
-				*serviceVersion("f", 1, goldenSecond, true),
+				*controlPlaneVersion("e", 5, "0a", false),
+				*controlPlaneVersion("e", 6, goldenSecond, true),
+				*controlPlaneVersion("e", 7, goldenFirst, false),
+				*controlPlaneVersion("f", 1, goldenSecond, true),
 			},
 		},
 	}
 }
 
-// The folders under testdata/golden were written by the build of 870f4ac and never change. They are read as what was
-// written, and writing it again gives the same bytes, which that build reads, too.
+// The folders under testdata/golden were written by the build of 870f4ac and never change. Each is loaded as the
+// state that was saved, and saving that again gives the same bytes, which that build can load.
 func TestGoldenFolders(t *testing.T) {
 	for name, want := range goldenStates() {
 		t.Run(name, func(t *testing.T) {
