--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	s := c.Site.Settings
-	bookClass := balancer.Class{
+	keyedClass := balancer.Class{
 		Name:             "book",
 		Idempotency:      balancer.IdempotentByKey,
 		DedupScope:       balancer.DedupCell,
@@ -54,7 +54,7 @@
 		ClientTimeout:    600_000,
 		PriorityWeight:   5,
 	}
-	if s.Classes[3] != bookClass || fmt.Sprint(c.Site.Classes) != "[open-slots patient-card chair-status book]" {
+	if s.Classes[3] != keyedClass || fmt.Sprint(c.Site.Classes) != "[open-slots patient-card chair-status book]" {
 		t.Errorf("classes %v, %+v", c.Site.Classes, s.Classes[3])
 	}
 	if s.Contract.WarmupTime != 23_000_000 || s.Zone != 0 || s.Goal.WorstClass != 0.2 ||
--- a/internal/frontend/http1/accept.go
+++ b/internal/frontend/http1/accept.go
@@ -12,8 +12,8 @@
 	// Bounds of the pause after an error of accept.
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = time.Second
-	// queuePollTimeout is how long acceptQueued waits for one connection, maxQueueDrainTime for all: a full queue
-	// takes far less.
+	// queuePollTimeout is how long acceptQueued waits for one connection, and maxQueueDrainTime for all of a full
+	// queue, which are accepted in far less time.
 	queuePollTimeout  = 5 * time.Millisecond
 	maxQueueDrainTime = 100 * time.Millisecond
 )
@@ -48,8 +48,8 @@
 }
 
 // acceptQueued serves the connections that are in ln's queue, and returns once it is empty: closing ln would reset
-// them, with what their clients have sent. Nothing else may accept on ln meanwhile. It takes at most
-// maxQueueDrainTime.
+// them, with what their clients have sent. Nothing else may accept on ln meanwhile. It returns
+// after maxQueueDrainTime at the latest.
 func (m *connManager) acceptQueued(ln net.Listener, identify Identify) {
 	bounded, ok := ln.(interface{ SetDeadline(time.Time) error })
 	if !ok {
--- a/internal/frontend/http1/class_requests.go
+++ b/internal/frontend/http1/class_requests.go
@@ -22,16 +22,16 @@
 // buffering, forwarding and responding, is the same as for routed requests (exchange.go).
 
 const (
-	// classBodyBuffer is how many bytes of a body are buffered in either direction. Up to so many bytes a message's
-	// time is that of its last byte, and beyond it that of its first (DAYS): buffering more would only make it later.
+	// classBodyBuffer is how many bytes of a body are buffered in either direction. The time of a message up to this
+	// size is that of its last byte, and of a larger one that of its first (DAYS): buffering more would delay it.
 	classBodyBuffer = siteconfig.MaxBodyBytes
-	// classIdleTimeout is how long a streamed message may pause. Peers write slowly and in pieces, a client 64 kB a
-	// second at the least; one that is silent for longer than any request may take is gone.
+	// classIdleTimeout is how long a streamed message may pause. Peers write in pieces and slowly, clients at 64 kB a
+	// second or more; one that pauses for longer than the longest request has failed.
 	classIdleTimeout = 10 * time.Second
-	// maxClassBody bounds a streamed body, at twice the largest one in use (DAYS): an endpoint is not to be promised a
-	// length that cannot arrive within classStreamTimeout.
+	// maxClassBody is the largest streamed body, twice the largest one in use (DAYS): a larger one could not arrive
+	// within classStreamTimeout.
 	maxClassBody = 64 << 20
-	// classStreamTimeout bounds a streamed body: 32 MB at 64 kB a second take 512 s.
+	// classStreamTimeout is how long a streamed body may take: 32 MB arrive in 512 s at 64 kB a second.
 	classStreamTimeout = 10 * time.Minute
 	// minBodyBytesPerSecond is the slowest rate at which a buffered body may arrive.
 	minBodyBytesPerSecond = 32 << 10
@@ -87,7 +87,7 @@
 	return x.forward(&parsed, "")
 }
 
-// parsedRequest is a request as it goes to the core and to an endpoint.
+// parsedRequest is a request in the forms for the core (call) and for an endpoint (out).
 type parsedRequest struct {
 	route   *Route
 	call    *core.Call
@@ -154,7 +154,8 @@
 	return req.URL.RequestURI(), nil
 }
 
-// checkClassRequest verifies that a request has what its class needs: an ID, the method, a body or none, a key.
+// checkClassRequest returns an error if a request lacks what its class requires: an ID, the method, an idempotency key,
+// no body for GET.
 func checkClassRequest(
 	req *http.Request, class string, idempotency balancer.Idempotency, framing http1msg.Framing,
 ) error {
@@ -235,9 +236,8 @@
 // pipelinedMethods are what a request that follows another on its connection may start with.
 var pipelinedMethods = [][]byte{[]byte("GET "), []byte("POST "), []byte("HEAD ")}
 
-// mayStartRequest reports whether the bytes behind a request can be the start of the next one. A client of PROTOCOL
-// that sends more than its request's length has stated a wrong length: it must not be served with what an endpoint
-// makes of a part.
+// mayStartRequest reports whether the bytes behind a request can be the start of the next one. Otherwise the client has
+// stated a wrong length, and must not be served with the response to a part of its request.
 func mayStartRequest(b []byte) bool {
 	return slices.ContainsFunc(pipelinedMethods, func(method []byte) bool {
 		n := min(len(b), len(method))
--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -68,12 +68,12 @@
 }
 
 const (
-	writeTimeout   = time.Second // of a response of this process
-	lingerTimeout  = 200 * time.Millisecond
-	maxLingerBytes = 64 << 10
+	writeTimeout   = time.Second            // for a response of this process to be written
+	lingerTimeout  = 200 * time.Millisecond // for which linger reads
+	maxLingerBytes = 64 << 10               // that linger reads at most
 )
 
-// reject writes a response to a request that is not read to its end, and ends the connection's use.
+// reject writes the last response on the connection, to a request that may not have been read completely.
 func (c *conn) reject(response *localResponse) {
 	c.writeResponse(response, true)
 	c.linger()
@@ -89,7 +89,7 @@
 	_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes) // until its end, or the deadline
 }
 
-// abort resets the connection, which no client can take for the end of a response.
+// abort resets the connection, so that its client does not take the end of it for the end of a response.
 func (c *conn) abort() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/internal/frontend/http1/connmanager.go
+++ b/internal/frontend/http1/connmanager.go
@@ -25,10 +25,11 @@
 	serving     int             // connections that are being served
 	drained     []chan struct{} // those of waitDrained, closed once serving is 0
 
-	handoff  func(net.Conn) bool // takes over idle connections; nil while none are handed over
+	handoff  func(net.Conn) bool // hands an idle connection over (Server.SetHandoff); nil while none are
 	handoffs int                 // number of setHandoff calls that started handing over
 }
 
+// newConnManager returns a manager that calls serve in a goroutine for each connection. It fails if limits are invalid.
 func newConnManager(
 	limits connlimit.Limits, clk clock.Clock, serve func(*conn), log *slog.Logger,
 ) (*connManager, error) {
@@ -106,6 +107,7 @@
 	}
 }
 
+// closeLocked closes a connection and removes it from the table; nil is none.
 func (m *connManager) closeLocked(entry *connlimit.Conn[*conn]) {
 	if entry != nil {
 		m.table.Remove(entry)
@@ -120,6 +122,7 @@
 	m.closeExpiredLocked()
 }
 
+// closeExpiredLocked is closeExpired, and sets the timer for the next connection that expires.
 func (m *connManager) closeExpiredLocked() {
 	now := m.clock.Now()
 	for {
--- a/internal/frontend/http1/exchange_record.go
+++ b/internal/frontend/http1/exchange_record.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// finishExchange counts and records a request that is over. response is nil if the client has gone.
+// finishExchange counts and records a request that is over. response is nil if the client has closed its connection.
 func (s *Server) finishExchange(
 	record *ExchangeRecord, class uint8, response *engine.Response, status int, responseBytes int64,
 ) {
--- a/internal/frontend/http1/handoff.go
+++ b/internal/frontend/http1/handoff.go
@@ -9,17 +9,18 @@
 	"dunlinsail/internal/decide/connlimit"
 )
 
-// This file hands idle connections over to another process (hot restart). A connection without an open request, and
-// of whose next request no byte has been read, can be served on there without its client noticing. One with an open
-// request follows after its response.
+// This file hands idle connections over to another process (hot restart). That process can serve a connection without
+// an open request, and of whose next request no byte has been read, without its client noticing. A connection with an
+// open request follows after its response.
 
-// setHandoff has each connection handed over as soon as it is idle: see Server.SetHandoff.
+// setHandoff starts or ends the handing over of idle connections: see Server.SetHandoff.
 func (m *connManager) setHandoff(handoff func(net.Conn) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.setHandoffLocked(handoff)
 }
 
+// setHandoffLocked interrupts the connections that wait for a request, so that they are offered to handoff.
 func (m *connManager) setHandoffLocked(handoff func(net.Conn) bool) {
 	m.handoff = handoff
 	if handoff == nil {
@@ -53,7 +54,7 @@
 		}
 		err := c.waitReadable()
 		m.mu.Lock()
-		// The handing over may have ended since it interrupted the wait; the wait goes on then.
+		// If the handing over has ended since it interrupted the wait, the connection waits again.
 		timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 		again := c.interrupted && timedOut
 		arrived := err == nil || timedOut && !c.input.isDrained() // it arrived at the deadline
--- a/internal/frontend/http1/local_response.go
+++ b/internal/frontend/http1/local_response.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// localResponse is a final response that this process makes itself.
+// localResponse is a final response of this process, not of an endpoint.
 type localResponse struct {
 	status int
 	header http.Header
--- a/internal/frontend/http1/outcomes.go
+++ b/internal/frontend/http1/outcomes.go
@@ -22,7 +22,7 @@
 	return outcomeCounter{classes: make([]OutcomeCounts, classes)}
 }
 
-// record counts a final response by its status; 0 is none, since the client was gone.
+// record counts a final response by its status; 0 is no response, to a client that has closed its connection.
 func (c *outcomeCounter) record(class uint8, status int) {
 	if status == 0 || int(class) >= len(c.classes) {
 		return
--- a/internal/frontend/http1/request_body.go
+++ b/internal/frontend/http1/request_body.go
@@ -13,10 +13,10 @@
 	"dunlinsail/internal/upstream"
 )
 
-// bodyBufferTimeout is how long a body of unknown length may take to be buffered. One that takes longer is streamed.
+// bodyBufferTimeout is how long a body of unknown length is buffered. One that has not ended by then is streamed.
 const bodyBufferTimeout = 20 * time.Millisecond
 
-// bufferBody reserves bytes for the request's body and reads as much of it as is buffered.
+// bufferBody reserves bytes for the request's body, and reads the part of it that is buffered (readBody).
 func (x *exchange) bufferBody(rt *Route, out *upstream.Request, framing http1msg.Framing) error {
 	if framing.Kind == http1msg.FixedLength && rt.MaxBodyBytes > 0 && framing.Length > rt.MaxBodyBytes {
 		return rt.bodyTooLarge()
--- a/internal/frontend/http1/response.go
+++ b/internal/frontend/http1/response.go
@@ -1,6 +1,7 @@
 package http1
 
 import (
+	"cmp"
 	"errors"
 	"io"
 	"net/http"
@@ -45,12 +46,13 @@
 	return x.writeLocal(verdictResponse(&response))
 }
 
-// verdictResponse returns the response to a request that no endpoint answered, and its error type of Proxy-Status.
+// verdictResponse returns the response to a request without a response of an endpoint, and its error type of
+// Proxy-Status.
 func verdictResponse(response *engine.Response) (local *localResponse, proxyError string) {
 	retryAfter := clock.Duration(response.RetryAfter)
 	switch response.Verdict {
 	case engine.Rejected:
-		reason := "refused: " + orDefault(response.Reason, "try again later")
+		reason := "refused: " + cmp.Or(response.Reason, "try again later")
 		return newLocalResponse(http.StatusServiceUnavailable, reason).setRetryAfter(retryAfter), proxyErrUnavailable
 	case engine.RateLimited:
 		reason := "refused: " + response.Reason
@@ -63,13 +65,6 @@
 	return newLocalResponse(http.StatusBadGateway, "failed"), proxyErrIncomplete
 }
 
-func orDefault(s, fallback string) string {
-	if s == "" {
-		return fallback
-	}
-	return s
-}
-
 // writeLocal writes a response of this process. Proxy-Status (RFC 9209) distinguishes it from an endpoint's and gives
 // its error type; "" leaves that header out. It reports whether the connection may serve another request.
 func (x *exchange) writeLocal(response *localResponse, proxyError string) bool {
@@ -84,6 +79,7 @@
 	return x.conn.writeResponse(response, x.closeAfter) && x.server.conns.finishRequest(x.conn) && !x.closeAfter
 }
 
+// setProxyStatus sets Proxy-Status (RFC 9209 section 2).
 func (x *exchange) setProxyStatus(response *localResponse, proxyError, details string) {
 	response.header.Set("Proxy-Status", x.proxyName+"; error="+proxyError+"; details="+strconv.Quote(details))
 }
@@ -156,7 +152,7 @@
 	return x.server.conns.finishRequest(x.conn) && !x.closeAfter
 }
 
-// appendBufferedBody appends what is buffered of a response's body, and the end of a chunked one that is complete.
+// appendBufferedBody appends the buffered part of a response's body, and the end of a chunked one that is complete.
 func appendBufferedBody(buf []byte, response *upstream.Response, framing outgoingFraming) []byte {
 	switch {
 	case framing.noBody:
--- a/internal/frontend/http1/routed_requests.go
+++ b/internal/frontend/http1/routed_requests.go
@@ -23,7 +23,7 @@
 // serveByRoute serves a request by the routes. It reports whether the connection may serve another.
 func (s *Server) serveByRoute(c *conn, req *http.Request, routes *Routes) bool {
 	x := s.newExchange(c, req, routes.ProxyName)
-	if req.RequestURI == "*" && req.Method == http.MethodOptions { // of the server as a whole: it forwards any request
+	if req.RequestURI == "*" && req.Method == http.MethodOptions { // RFC 9110 section 9.3.7: any request is forwarded
 		return s.conns.markBusy(c) && x.writeLocal(newLocalResponse(http.StatusOK, "any"), "")
 	}
 	parsed, path, err := s.parseRoutedRequest(c, req, routes)
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -1,8 +1,10 @@
 // Package http1 is the HTTP/1.1 server for clients: it accepts their connections, reads their requests (by class, as
 // PROTOCOL describes, or by configured routes), submits them to the core and writes exactly one final response to each.
 //
-// Which endpoint a request goes to is decided by packages core and engine, how many connections may be open by
-// decide/connlimit, and which route matches by decide/route; this package must not make such decisions.
+// Packages core and engine decide which endpoint a request is sent to, decide/connlimit how many connections may be
+// open, and decide/route which route matches; this package must not make such decisions.
+//
+// A request's way is serveConn, serveRequest, serveByRoute or serveByClass, exchange.forward, submit and respond.
 package http1
 
 import (
@@ -26,10 +28,11 @@
 	"dunlinsail/internal/upstream"
 )
 
+// readinessPath is the path of readiness probes (PROTOCOL).
 const readinessPath = "/-/ready"
 
-// byteLimitRetryAfter is the Retry-After for a client at its limit of buffered bytes: about the time of a response or
-// two.
+// byteLimitRetryAfter is the Retry-After for a client at its limit of buffered bytes: about the duration of one or two
+// requests.
 const byteLimitRetryAfter = 100 * time.Millisecond
 
 // Limits of a request's head.
@@ -37,7 +40,7 @@
 	// MaxHeaderBytes is the largest size of a request's head.
 	MaxHeaderBytes = 16 << 10
 	// RequestTimeout is how long a head may take to arrive completely, from its first byte or from the start of the
-	// connection: clients may take 2 s (DAYS), and their last bytes are in transit for a while.
+	// connection: 2 s for the client (DAYS), and 500 ms for the network.
 	RequestTimeout = 2500 * time.Millisecond
 )
 
--- a/internal/http1msg/body_test.go
+++ b/internal/http1msg/body_test.go
@@ -159,8 +159,8 @@
 	return f.r.Read(p)
 }
 
-// net/http accepts what is accepted as a chunked body, with the same bytes; in pieces the result is the same; and
-// what is written is read again.
+// net/http reads an accepted chunked body with the same bytes, the pieces in which a body arrives make no
+// difference, and a body that is written is read with the same bytes and trailers.
 func FuzzChunks(f *testing.F) {
 	for _, s := range []string{
 		"0\r\n\r\n", "3\r\nabc\r\n0\r\nA: b\r\n\r\n", "3;x\r\nabc\r\n00\r\n\r\nnext",
--- a/internal/http1msg/head.go
+++ b/internal/http1msg/head.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// CheckHead returns what is wrong with a request's head, whose lines end with CR LF, as a *HeadError. It is stricter
+// CheckHead returns the first error in a request's head, whose lines end with CR LF, as a *HeadError. It is stricter
 // than http.ReadRequest, which enforces the rest of RFC 9112: a head that two readers could interpret differently is
 // rejected. extraSingletons are fields that are handled like SingletonHeaders.
 func CheckHead(head []byte, extraSingletons map[string]bool) error {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// checkRequestLine returns what is wrong with the parts of a request line.
+// checkRequestLine returns the first error in the parts of a request line.
 func checkRequestLine(method, target []byte, version string) error {
 	isInvisible := func(r rune) bool { return r <= ' ' || r > '~' }
 	switch {
@@ -123,7 +123,7 @@
 	return SingletonHeaders[key] || f.extraSingletons[key]
 }
 
-// add returns what is wrong with a field line by itself or beside the fields before.
+// add adds a field line, or returns an error if it is invalid by itself or beside the fields before.
 func (f *headFields) add(line []byte) error {
 	name, value, found := bytes.Cut(line, colon)
 	switch {
--- a/internal/upstream/buffered.go
+++ b/internal/upstream/buffered.go
@@ -77,8 +77,8 @@
 	return c, leftMs, balancer.OK
 }
 
-// release ends an attempt's use of a connection, which is kept if the exchange on it is complete and it was not
-// aborted.
+// release ends an attempt's use of a connection. It is returned to the pool if keep is set, since the exchange on it is
+// complete, and the attempt was not aborted; otherwise it is closed.
 func (p *Pool) release(c *Conn, attempt *core.AttemptContext, keep bool) {
 	if attempt.ReleaseConn != nil && !attempt.ReleaseConn() {
 		keep = false
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -17,8 +17,7 @@
 	"dunlinsail/internal/http1msg"
 )
 
-// bufferWindow is how long the body of a response may take to arrive and still be buffered. One that takes longer is
-// streamed.
+// bufferWindow is how long the body of a response is buffered. One that has not ended by then is streamed.
 const bufferWindow = 20 * time.Millisecond
 
 // initialBodyBuffer is the size in bytes at which the buffer of a response body of unknown length starts.
@@ -184,7 +183,7 @@
 	var err error
 	select {
 	case err = <-stream.ended:
-	case <-ctx.Done(): // the client left before the response was taken over
+	case <-ctx.Done(): // the client closed its connection before the response was forwarded
 		return e.pool.result(balancer.Cancelled), false
 	}
 	switch {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -47,12 +47,12 @@
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Pool is a small pool of connections; its methods may be called concurrently. It is not an http.Transport since that
-// resends some requests by itself when a reused connection breaks, and does not report whether the last byte was
-// written. Here an attempt is written at most once, its head in one piece.
+// Pool is a pool of connections. Its methods may be called concurrently. It is not an http.Transport, which resends
+// some requests by itself when a reused connection breaks, and does not report whether the last byte was written.
+// Here an attempt is written once at most.
 type Pool struct {
 	options     Options
-	maxIdleTime time.Duration
+	maxIdleTime time.Duration // of a connection
 	forwarded   atomic.Uint64 // attempts written completely
 
 	mu              sync.Mutex
@@ -86,8 +86,8 @@
 // Forwarded returns how many attempts have been written to endpoints, their last byte included.
 func (p *Pool) Forwarded() uint64 { return p.forwarded.Load() }
 
-// Target is the address of one endpoint, with the connections to it. They are not shared by address: a new endpoint
-// may listen where another has gone, and what was meant for the one must not reach the other.
+// Target is the address of one endpoint, with the connections to it. Targets with the same address do not share them:
+// a new endpoint may listen at the address of one that has gone, whose requests must not reach it.
 type Target struct {
 	pool *Pool
 	addr string
@@ -321,7 +321,8 @@
 	p.insertIdleLocked(c)
 }
 
-// putUnused returns a connection that was not used. Its idle time goes on: the endpoint counts from its last use.
+// putUnused returns a connection that was not used. Its idle time continues, since the endpoint counts from its last
+// use.
 func (p *Pool) putUnused(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -108,7 +108,7 @@
 		return dial(ctx, network, addr)
 	}
 	if r := pool.sendOnce(plainGet(), late); r.Status != balancer.NotSent || pool.openConns != 1 {
-		t.Errorf("target dropped during the dial: status %v, %d connections, want NotSent and 1", r.Status, pool.openConns)
+		t.Errorf("target dropped in the dial: status %v, %d connections, want NotSent and 1", r.Status, pool.openConns)
 	}
 }
 
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -17,7 +17,7 @@
 type Request struct {
 	Method, URI, Host string
 	Header            http.Header    // end-to-end headers
-	Body              []byte         // complete, or what is buffered of one that streams
+	Body              []byte         // complete, or the buffered part of one that streams
 	Trailer           http.Header    // of a complete body that came in chunks
 	ExplicitLength    bool           // Content-Length is sent even without a body
 	Stream            *RequestStream // the rest of the body; nil is none
@@ -30,7 +30,7 @@
 	return cmp.Or(r.ResponseTimeout, r.Policy.ResponseTimeout)
 }
 
-// encode returns the head and what is buffered of the body, which are written in one piece.
+// encode returns the head and the buffered part of the body, which are written in one piece.
 func (r *Request) encode(leftMs int64) []byte {
 	m := BufferedRequest{Method: r.Method, URI: r.URI, Host: r.Host, Header: r.Header, Body: r.Body}
 	b := m.encodeHead(r.Policy.DeadlineHeader, leftMs)
@@ -79,7 +79,7 @@
 	Abort func()
 
 	claimed atomic.Bool
-	aborted atomic.Bool   // by finish: what is left of the body is not needed
+	aborted atomic.Bool   // by finish: the rest of the body is not needed
 	done    chan struct{} // closed once nothing reads Body any more, if it was claimed
 	err     error         // that ended reading, other than io.EOF; set before done is closed
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -9,14 +9,14 @@
 	"dunlinsail/internal/http1msg"
 )
 
-// ErrResponseTooLong means that a response is larger than its policy allows, or takes longer.
+// ErrResponseTooLong means that a response is larger than ResponsePolicy.MaxBytes.
 var ErrResponseTooLong = errors.New("the answer is larger, or takes longer, than it may")
 
-// Response is the response of an endpoint with a complete head. Its body is in Buffered, and goes on in Stream if
-// that is not nil.
+// Response is the response of an endpoint with a complete head. Its body is in Buffered, followed by Stream if that is
+// not nil.
 type Response struct {
 	StatusCode int
-	Interim    []InterimResponse // that came ahead
+	Interim    []InterimResponse // that preceded it
 	Header     http.Header
 	Framing    http1msg.Framing
 	Buffered   []byte
@@ -71,7 +71,7 @@
 // Trailer returns the trailers, once Read has returned io.EOF.
 func (r *ResponseStream) Trailer() http.Header { return r.body.Trailer() }
 
-// Finish ends the reading: the response is complete, or its client has gone.
+// Finish ends the reading, of a complete response or for a client that has closed its connection.
 func (r *ResponseStream) Finish() {
 	r.once.Do(func() { r.ended <- r.err })
 }
