--- a/internal/playground/config.go
+++ b/internal/playground/config.go
@@ -13,37 +13,24 @@
 const routeFormat = "[[route]]\npath = \"/%s/*\"\npool = %q\nclass = %q\ntenant = \"header:X-Customer\"\n" +
 	"key = \"header:Idempotency-Key\"\nid = \"header:X-Trace-Id\"\ndeadline = \"header:X-Expires-In-Ms\"\n"
 
-// config returns the daemon's configuration.
-func (p *playground) config() string {
-	var files, routes []string
-	for _, n := range p.fileEndpoints {
-		files = append(files, strconv.Quote(n.Addr))
-	}
-	for _, r := range [][2]string{
-		{"open-slots", "agenda"}, {"chair-status", "agenda"}, {"book", "agenda"}, {"files", "files"},
-	} {
-		class := r[0]
-		if r[1] == "files" {
-			class = "chair-status"
-		}
-		routes = append(routes, fmt.Sprintf(routeFormat, r[0], r[1], class))
-	}
-	return `name = "playground"
+// configFormat is the daemon's configuration. Its arguments are the discovery's address, the endpoints of the pool files,
+// the routes, the takeover socket, the address of the listener desk, and the address of the listener local.
+const configFormat = `name = "playground"
 [[pool]]
 name = "agenda"
-discovery = "` + p.discovery.Addr + `"
+discovery = %q
 [[pool]]
 name = "files"
-endpoints = [` + strings.Join(files, ", ") + `]
-` + strings.Join(routes, "") + `[takeover]
-socket = "` + p.dir + `/takeover.sock"
+endpoints = [%s]
+%s[takeover]
+socket = %q
 [[listener]]
 name = "desk"
-address = "` + p.listenAddr + `"
+address = %q
 client = "desk"
 [[listener]]
 name = "local"
-address = "unix:` + p.dir + `/clients.sock"
+address = %q
 client = "process"
 [[client]]
 name = "desk"
@@ -90,4 +77,22 @@
 cross_zone = 0.01
 probe = 0.002
 `
+
+// config returns the daemon's configuration.
+func (p *playground) config() string {
+	var files, routes []string
+	for _, n := range p.fileEndpoints {
+		files = append(files, strconv.Quote(n.Addr))
+	}
+	for _, r := range [][2]string{
+		{"open-slots", "agenda"}, {"chair-status", "agenda"}, {"book", "agenda"}, {"files", "files"},
+	} {
+		class := r[0]
+		if r[1] == "files" {
+			class = "chair-status"
+		}
+		routes = append(routes, fmt.Sprintf(routeFormat, r[0], r[1], class))
+	}
+	return fmt.Sprintf(configFormat, p.discovery.Addr, strings.Join(files, ", "), strings.Join(routes, ""),
+		filepath.Join(p.dir, "takeover.sock"), p.listenAddr, "unix:"+filepath.Join(p.dir, "clients.sock"))
 }
--- a/internal/simulation/gossipsim/network.go
+++ b/internal/simulation/gossipsim/network.go
@@ -35,8 +35,8 @@
 	copyJitter = 100  // upper bound of the difference between copies
 )
 
-// drawTransmission draws a message's delay, and how often it arrives: lossy faults drop, repeat and delay messages, slow
-// ones delay those of some members.
+// drawTransmission draws a message's delay, and how often it arrives: lossy faults drop, repeat and delay messages,
+// slow ones delay those of some members.
 func (sim *simulation) drawTransmission(from *member) (delay monotime.Micros, copies int) {
 	delay = monotime.Micros(minDelay + meanDelay*sim.rng.ExpFloat64())
 	copies = 1
--- a/internal/simulation/gossipsim/simulation.go
+++ b/internal/simulation/gossipsim/simulation.go
@@ -198,8 +198,11 @@
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
 
-// Swap is a swap of two elements, as heap.Interface asks for it.
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Swap(i, j int) {
+	first := q[i]
+	q[i] = q[j]
+	q[j] = first
+}
 
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
--- a/internal/simulation/measure/figures.go
+++ b/internal/simulation/measure/figures.go
@@ -4,7 +4,7 @@
 type Figure struct {
 	Name             string  `json:"Name"`
 	Description      string  `json:"About"`
-	Unit             string  `json:"Unit"`   // "", "ms", "a story"
+	Unit             string  `json:"Unit"`   // such as "ms"; "" is none
 	Direction        float64 `json:"Better"` // 1: more is better; -1: less is; 0: neither by itself
 	Threshold        float64 `json:"Step"`   // smaller differences do not matter
 	CountsViolations bool    `json:"Count"`  // it counts violations of a rule
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -188,8 +188,8 @@
 	}
 }
 
-// playCountingEnds plays a run with events. It returns how many operations started and how many requests ended, and fails
-// the test if a request ends twice.
+// playCountingEnds plays a run with events. It returns how many operations started and how many requests ended, and
+// fails the test if a request ends twice.
 func playCountingEnds(t *testing.T, events string) (started, ends int, r *measure.Result) {
 	t.Helper()
 	operations := map[uint64]bool{}
@@ -209,8 +209,8 @@
 	return len(operations), len(requests), r
 }
 
-// Whatever fails, each operation has one outcome, each request that a running instance accepts has one response in time,
-// and no rule is broken.
+// Whatever fails, each operation has one outcome, each request that a running instance accepts has one response in
+// time, and no rule is broken.
 func TestEachOperationEnds(t *testing.T) {
 	for name, events := range map[string]string{
 		"calm": "",
