--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -264,25 +264,6 @@
 	}
 }
 
-// The expected service time of a warming endpoint falls as its capacity grows, also once its service time ratio has
-// been learned.
-func TestWarmingEndpointIsExpectedToBeSlow(t *testing.T) {
-	b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
-	b.UpdateEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
-	e := b.endpointsByID[9]
-	if got := e.currentServiceTimeRatio(1000, b); !near(got, 5) { // capacity fraction 0.2
-		t.Errorf("service time ratio %v just started", got)
-	}
-	e.serviceTimeRatio = ewma{value: 2, samples: manySamples}
-	e.serviceTimeObservedAt = 6 * second
-	if got := e.currentServiceTimeRatio(6*second, b); got < 2.9 || got > 3 { // capacity fraction 0.68
-		t.Errorf("service time ratio %v half way", got)
-	}
-	if got := e.currentServiceTimeRatio(12*second, b); got > 2 {
-		t.Errorf("service time ratio %v once warm", got)
-	}
-}
-
 // An endpoint that answers in a fraction of a millisecond must not be given up after a silence of a few: clocks are not
 // that precise, and an attempt with a timeout shorter than its write is never made.
 func TestFastEndpointsMayHaveQueues(t *testing.T) {
--- /dev/null
+++ b/balancer/polling_test.go
@@ -0,0 +1,212 @@
+package balancer
+
+import (
+	"slices"
+	"testing"
+
+	"dunlinsail/internal/monotime"
+)
+
+// pollingBalancer is a balancer that polls discovery.
+type pollingBalancer struct {
+	balancer   *Balancer
+	recorder   *recorder
+	pollAt     monotime.Micros // instant of its next discovery timer; 0 is none
+	timersSeen int             // of its recorder's timers
+	notified   bool            // it has a list from discovery
+}
+
+// update applies the discovery timers that the balancer has set.
+func (p *pollingBalancer) update(now monotime.Micros) {
+	for ; p.timersSeen < len(p.recorder.timers); p.timersSeen++ {
+		if p.recorder.timers[p.timersSeen] == tokenDiscovery {
+			p.pollAt = now + p.recorder.delays[p.timersSeen]
+		}
+	}
+}
+
+// poll fires the discovery timer if it is due, and reports whether the balancer polled.
+func (p *pollingBalancer) poll(now monotime.Micros) bool {
+	if p.pollAt == 0 || p.pollAt > now {
+		return false
+	}
+	p.pollAt = 0
+	before := p.recorder.watches
+	p.balancer.HandleTimer(now, tokenDiscovery)
+	p.update(now)
+	return p.recorder.watches > before
+}
+
+// mustServe requires that the balancer sends a request by the list that it has.
+func (p *pollingBalancer) mustServe(t *testing.T, now monotime.Micros) {
+	t.Helper()
+	id := uint64(now) + 1
+	sends := len(p.recorder.sends)
+	p.balancer.HandleRequest(now, Request{ID: id, Deadline: now + second})
+	if len(p.recorder.sends) != sends+1 {
+		t.Fatalf("at %d ms a request was not sent by the known list", now/1000)
+	}
+	succeed(p.balancer, now, id, p.recorder.sends[sends].endpoint, 30_000)
+}
+
+// startPollingFleet starts the balancers within 100 ms, each with a cached list.
+func startPollingFleet(t *testing.T, s Settings) []*pollingBalancer {
+	t.Helper()
+	rng := randomSource(9)
+	var fleet []*pollingBalancer
+	for seed := range uint64(s.Balancers) {
+		p := &pollingBalancer{}
+		p.balancer, p.recorder = newBalancer(t, s, seed)
+		from := rng.durationBelow(second / 10)
+		p.balancer.Start(from)
+		p.balancer.UpdateEndpoints(from, ListCached, readyEndpoints(6))
+		p.update(from)
+		fleet = append(fleet, p)
+	}
+	return fleet
+}
+
+// slowDiscovery answers one call after the other, and fails those that wait for too long.
+type slowDiscovery struct {
+	callTime monotime.Micros
+	timeout  monotime.Micros
+	queue    []discoveryCall
+	freeAt   monotime.Micros // instant of the end of the present call
+	notified int             // balancers that have a list
+}
+
+// discoveryCall is a call that waits.
+type discoveryCall struct {
+	from *pollingBalancer
+	at   monotime.Micros
+}
+
+// answer answers the calls that are due, and fails those that have waited for too long.
+func (d *slowDiscovery) answer(now monotime.Micros) {
+	for len(d.queue) > 0 && (now >= d.freeAt || now-d.queue[0].at > d.timeout) {
+		c := d.queue[0]
+		d.queue = d.queue[1:]
+		if now-c.at > d.timeout {
+			c.from.balancer.UpdateEndpoints(now, ListFailed, nil)
+			c.from.update(now)
+			continue
+		}
+		d.freeAt = now + d.callTime
+		c.from.balancer.UpdateEndpoints(now, ListFull, readyEndpoints(6))
+		if !c.from.notified {
+			c.from.notified = true
+			d.notified++
+		}
+	}
+}
+
+// Eighty sidecars start within 100 ms, while discovery answers four calls per second and fails a call that waits for
+// two seconds. All are notified within a minute, calls do not come faster than discovery fails them, and meanwhile the
+// cached list serves.
+func TestFleetPollsOverloadedDiscovery(t *testing.T) {
+	const balancers = 80
+	s := testSettings()
+	s.Subscribe = true
+	s.Balancers = balancers
+	fleet := startPollingFleet(t, s)
+	discovery := &slowDiscovery{callTime: second / 4, timeout: 2 * second}
+	inSecond := map[monotime.Micros]int{}
+	calls := 0
+	for now := monotime.Micros(0); now < 60*second && discovery.notified < balancers; now += 10_000 {
+		for _, p := range fleet {
+			if p.poll(now) {
+				calls++
+				inSecond[now/second]++
+				discovery.queue = append(discovery.queue, discoveryCall{p, now})
+			}
+			if now%second == 0 {
+				p.mustServe(t, now)
+			}
+		}
+		discovery.answer(now)
+	}
+	if discovery.notified < balancers {
+		t.Errorf("%d of %d were notified in a minute, by %d calls", discovery.notified, balancers, calls)
+	}
+	for at, n := range inSecond {
+		if n > balancers/2 {
+			t.Errorf("%d calls in second %d: they come together", n, at)
+		}
+	}
+	if calls > 6*balancers {
+		t.Errorf("%d calls to notify %d", calls, balancers)
+	}
+}
+
+// The first list never comes. A cached list serves; without one, each request is rejected at once. Discovery is polled
+// again and again.
+func TestFirstListNeverComes(t *testing.T) {
+	for _, known := range []int{0, 5} {
+		s := testSettings()
+		s.Subscribe = true
+		b, r := startBalancer(t, s, readyEndpoints(known))
+		polls := 0
+		for now := monotime.Micros(0); now < 60*second; now += second {
+			if slices.Contains(r.timers, tokenDiscovery) {
+				b.HandleTimer(b.nextPollAt, tokenDiscovery)
+			}
+			if r.watches > polls {
+				polls = r.watches
+				b.UpdateEndpoints(now, ListFailed, nil)
+			}
+			id := uint64(now) + 1
+			b.HandleRequest(now, newTestRequest(id, 0, now))
+			if known == 0 && !slices.Contains(r.rejected, id) {
+				t.Fatalf("at %d s: not rejected at once", now/second)
+			}
+			if known > 0 && r.lastSend().id != id {
+				t.Fatalf("at %d s: not sent", now/second)
+			}
+			succeed(b, now, id, 0, 30_000)
+		}
+		if polls < 5 {
+			t.Errorf("%d known: discovery was polled %d times in a minute", known, polls)
+		}
+	}
+}
+
+func TestSubscriptionIsRenewedAfterLoss(t *testing.T) {
+	s := testSettings()
+	s.Subscribe = true
+	b, r := startBalancer(t, s, readyEndpoints(2))
+	now := monotime.Micros(0)
+	fire := func() {
+		for i, token := range r.timers {
+			if token == tokenDiscovery {
+				now += r.delays[i]
+				r.timers, r.delays = nil, nil
+				b.HandleTimer(now, tokenDiscovery)
+				return
+			}
+		}
+		t.Fatal("no timer for discovery")
+	}
+	fire()
+	for n := 1; n < 8; n++ {
+		if r.watches != n {
+			t.Fatalf("%d calls, want %d", r.watches, n)
+		}
+		before := now
+		if n%2 == 0 {
+			b.UpdateEndpoints(now, ListFailed, nil)
+		} // else the answer is lost
+		fire()
+		if now-before > s.Contract.PollInterval {
+			t.Fatalf("polled only after %d", now-before)
+		}
+	}
+	if len(b.endpoints) != 2 {
+		t.Error("a failed call changed the list")
+	}
+	b.UpdateEndpoints(now, ListDelta, nil)
+	n := r.watches
+	b.HandleTimer(now+100*second, tokenDiscovery)
+	if r.watches != n {
+		t.Error("polled while subscribed")
+	}
+}
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -105,67 +105,6 @@
 	}
 }
 
-// With many balancers at a warming endpoint, the tokens of each are too few for a request. Their sum must still come
-// near what the endpoint can do, and stay far from what makes it collapse.
-func TestWarmupCapacityOfManyQuietBalancers(t *testing.T) {
-	s := testSettings()
-	const balancers, perSecond, endpoints, work = 400, 2.0, 41, 40_000.0
-	sent := 0.0
-	for i := range balancers {
-		out := &recorder{}
-		b, err := New(s, uint64(i), out)
-		if err != nil {
-			t.Fatal(err)
-		}
-		b.Start(0)
-		b.UpdateEndpoints(0, ListCached, readyEndpoints(endpoints-1))
-		b.meanWork = ewma{value: work, samples: manySamples}
-		for now := monotime.Micros(0); now < 10*second; now += second / 2 {
-			b.sentWorkRate.add(now, work*perSecond/2)
-		}
-		start := 10 * second
-		b.UpdateEndpoints(start, ListDelta, []Endpoint{{ID: 999, StartTime: start}})
-		e := b.endpointsByID[999]
-		for now := start; now < start+second; now += second / 2 {
-			b.sentWorkRate.add(now, work*perSecond/2)
-			if b.hasWarmupCapacity(now, e, work) {
-				e.warmupTokens -= work * warmupCharge
-				sent += work
-			}
-		}
-	}
-	// With 40 ms of work per request the fleet needs 32 cores, 0.78 at each endpoint.
-	fair := balancers * perSecond * work / endpoints
-	if ratio := sent / fair; ratio < 0.05 || ratio > 0.5 {
-		t.Errorf("the warming endpoint was sent %.2f of a warm one's work in its first second, at 0.2 of its capacity",
-			ratio)
-	}
-}
-
-// In a deploy most endpoints warm up together. The work of the few warm ones is no measure of what each warming one can
-// take.
-func TestWarmupCapacityWhenFewAreWarm(t *testing.T) {
-	s := testSettings()
-	s.Balancers = 1
-	list := readyEndpoints(10)
-	for i := range list[1:] {
-		list[1+i].StartTime = 10 * second
-	}
-	b, _ := startBalancer(t, s, nil)
-	b.UpdateEndpoints(10*second, ListDelta, list)
-	for now := 9 * second; now <= 10*second; now += 10_000 {
-		b.sentWorkRate.add(now, 40_000) // four cores
-	}
-	e := b.endpointsByID[2]
-	e.warmupTokens = 0
-	e.warmupRefilledAt = 10 * second
-	b.hasWarmupCapacity(10*second+second/10, e, 1)
-	// Its part by capacity fraction is 0.2/(1+9*0.2) of four cores.
-	if limit := 0.2 / 2.8 * 4 * float64(second) / 10 * 1.1; e.warmupTokens > limit {
-		t.Errorf("tokens for %.0f us of work after 0.1 s, want at most %.0f", e.warmupTokens, limit)
-	}
-}
-
 // A quiet balancer sees few tenants, often one. Their mix does not show who is over quota in the fleet.
 func TestQuietBalancerDoesNotWeighTenants(t *testing.T) {
 	s := testSettings()
--- /dev/null
+++ b/balancer/warmup_test.go
@@ -0,0 +1,235 @@
+package balancer
+
+import (
+	"testing"
+
+	"dunlinsail/internal/monotime"
+)
+
+// warmupSends returns the sends to each of some warming endpoints in the second after their start, and the mean sends
+// to each of ten warm ones beside them, under a steady rate of requests per second.
+func warmupSends(t *testing.T, rate, warmingCount int) (warming []int, warm float64) {
+	t.Helper()
+	b, r := startBalancer(t, testSettings(), readyEndpoints(10))
+	id := uint64(0)
+	run := func(from, to monotime.Micros) {
+		r.sends = nil
+		handled := 0
+		for now := from; now < to; now += second / monotime.Micros(rate) {
+			for e := range uint32(12) {
+				reportLoad(b, now, e+1, 0)
+			}
+			id++
+			b.HandleRequest(now, newTestRequest(id, 0, now))
+			for ; handled < len(r.sends); handled++ {
+				succeed(b, now, r.sends[handled].id, r.sends[handled].endpoint, 30_000)
+			}
+		}
+	}
+	run(0, 5*second)
+	for i := range warmingCount {
+		started := Endpoint{ID: uint32(11 + i), State: Ready, StartTime: 5 * second}
+		b.UpdateEndpoints(5*second, ListDelta, []Endpoint{started})
+	}
+	run(5*second, 6*second)
+	for e, n := range r.sendsByEndpoint() {
+		if e >= 11 {
+			warming = append(warming, n)
+		} else {
+			warm += float64(n) / 10
+		}
+	}
+	return warming, warm
+}
+
+func TestWarmingEndpointGetsItsWarmupShare(t *testing.T) {
+	for _, c := range []struct{ rate, warmingCount int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
+		warming, warm := warmupSends(t, c.rate, c.warmingCount)
+		for _, n := range warming {
+			// The capacity fraction grows from 0.2 to 0.28 in this second; one request may round up.
+			if float64(n) > 0.28*warm+1 {
+				t.Errorf("rate %d: a warming endpoint got %d, a warm one %.1f", c.rate, n, warm)
+			}
+		}
+	}
+}
+
+func TestOneServerFleetRestarts(t *testing.T) {
+	b, r := startBalancer(t, testSettings(), readyEndpoints(1)[:1])
+	b.UpdateEndpoints(second, ListDelta, []Endpoint{{ID: 1, State: Ready, StartTime: second}})
+	for i := range uint64(400) {
+		now := second + monotime.Micros(i)*10_000
+		b.HandleRequest(now, newTestRequest(i, 0, now))
+		if n := len(r.sends); n > 0 && b.requests[i] != nil {
+			succeed(b, now, i, 1, 10_000)
+		}
+	}
+	if n := len(r.sends); n < 20 || n > 250 {
+		t.Errorf("%d of 400 sent to the only endpoint, which warms up", n)
+	}
+}
+
+// Warm endpoints are busy, new warming ones idle. Each of eighty balancers may send a warming endpoint its own part
+// only, and must send it that part if it can take it. The sum of all stays within what the warming endpoints can take.
+func TestWarmingEndpointsGetTheirPart(t *testing.T) {
+	const balancers, warm, warming, work = 80, 24, 36, 0.05
+	s := testSettings()
+	s.Balancers = balancers
+	s.Prices.Probe = probeBudget * calmProbeShare / 0.05
+	s.Contract.CollapseAfter = 2 * second
+	s.Contract.WarmupTime = 1000 * second // they keep the capacity of their start
+	inWindow := map[uint32]float64{}
+	for seed := range uint64(balancers) {
+		b, r := newBalancer(t, s, seed)
+		b.Start(0)
+		list := readyEndpoints(warm + warming)
+		b.UpdateEndpoints(0, ListFull, list[:warm])
+		b.UpdateEndpoints(second, ListDelta, list[warm:])
+		for now := second; now < 7*second; now += second / 20 {
+			reportAllLoads(b, now, list, warm)
+			sends := len(r.sends)
+			b.HandleRequest(now, Request{ID: uint64(now), Deadline: now + second})
+			if len(r.sends) == sends {
+				continue
+			}
+			e := r.sends[sends].endpoint
+			if e > warm && now >= 5*second {
+				inWindow[e] += work
+			}
+			b.HandleOutcome(now, Outcome{ID: uint64(now), Endpoint: e, Status: OK,
+				Latency: monotime.Micros(3 * work * float64(second))})
+		}
+	}
+	startCapacity := 2 * s.Contract.WarmupStartCapacity // cores
+	var all float64
+	for e, got := range inWindow {
+		all += got
+		if limit := s.Contract.CollapseMultiple * startCapacity * 2; got > limit {
+			t.Errorf("endpoint %d was sent %.1f s of work in 2 s, collapses from %.1f s on", e, got, limit)
+		}
+	}
+	if used := all / (warming * startCapacity * 2); used < 0.5 {
+		t.Errorf("warming endpoints got %.0f%% of what they can do at least, want at least half", 100*used)
+	}
+}
+
+// reportAllLoads reports five requests at each of the first endpoints of a list, which are warm, and none at the
+// others. All reports are as of now, since the test is not about late ones.
+func reportAllLoads(b *Balancer, now monotime.Micros, list []Endpoint, warm int) {
+	for i := range list {
+		load := float32(0)
+		if i < warm {
+			load = 5
+		}
+		b.HandleProbe(now, list[i].ID, OK, 1000, []float32{load})
+	}
+}
+
+// A balancer whose endpoints all start together serves in the first second, however wrong its first estimate of the
+// work is.
+func TestSingleBalancerWithAllEndpointsWarming(t *testing.T) {
+	s := testSettings()
+	s.Balancers = 1
+	s.Contract.CollapseAfter = 2 * second
+	s.Contract.WarmupTime = 20 * second
+	s.Classes[0].LatencyObjective = 2 * second // an estimate of 400 ms
+	s.Classes[0].ClientTimeout = 4 * second
+	for seed := range uint64(20) {
+		b, r := startBalancer(t, s, nil)
+		b.random = randomSource(seed)
+		list := readyEndpoints(1)
+		list[0].StartTime = second
+		b.UpdateEndpoints(second, ListFull, list)
+		for now := second; now < 2*second; now += 5000 {
+			sends := len(r.sends)
+			id := uint64(now)
+			b.HandleRequest(now, Request{ID: id, Deadline: now + 4*second})
+			if len(r.sends) > sends {
+				succeed(b, now+1000, id, 1, 1000)
+			}
+		}
+		if len(r.sends) < 5 { // none without the exception for few balancers (servedBucketApplies)
+			t.Errorf("seed %d: %d of 200 sent in the first second", seed, len(r.sends))
+		}
+	}
+}
+
+// With many balancers at a warming endpoint, the tokens of each are too few for a request. Their sum must still come
+// near what the endpoint can do, and stay far from what makes it collapse.
+func TestWarmupCapacityOfManyQuietBalancers(t *testing.T) {
+	s := testSettings()
+	const balancers, perSecond, endpoints, work = 400, 2.0, 41, 40_000.0
+	sent := 0.0
+	for i := range balancers {
+		out := &recorder{}
+		b, err := New(s, uint64(i), out)
+		if err != nil {
+			t.Fatal(err)
+		}
+		b.Start(0)
+		b.UpdateEndpoints(0, ListCached, readyEndpoints(endpoints-1))
+		b.meanWork = ewma{value: work, samples: manySamples}
+		for now := monotime.Micros(0); now < 10*second; now += second / 2 {
+			b.sentWorkRate.add(now, work*perSecond/2)
+		}
+		start := 10 * second
+		b.UpdateEndpoints(start, ListDelta, []Endpoint{{ID: 999, StartTime: start}})
+		e := b.endpointsByID[999]
+		for now := start; now < start+second; now += second / 2 {
+			b.sentWorkRate.add(now, work*perSecond/2)
+			if b.hasWarmupCapacity(now, e, work) {
+				e.warmupTokens -= work * warmupCharge
+				sent += work
+			}
+		}
+	}
+	// With 40 ms of work per request the fleet needs 32 cores, 0.78 at each endpoint.
+	fair := balancers * perSecond * work / endpoints
+	if ratio := sent / fair; ratio < 0.05 || ratio > 0.5 {
+		t.Errorf("the warming endpoint was sent %.2f of a warm one's work in its first second, at 0.2 of its capacity",
+			ratio)
+	}
+}
+
+// In a deploy most endpoints warm up together. The work of the few warm ones is no measure of what each warming one can
+// take.
+func TestWarmupCapacityWhenFewAreWarm(t *testing.T) {
+	s := testSettings()
+	s.Balancers = 1
+	list := readyEndpoints(10)
+	for i := range list[1:] {
+		list[1+i].StartTime = 10 * second
+	}
+	b, _ := startBalancer(t, s, nil)
+	b.UpdateEndpoints(10*second, ListDelta, list)
+	for now := 9 * second; now <= 10*second; now += 10_000 {
+		b.sentWorkRate.add(now, 40_000) // four cores
+	}
+	e := b.endpointsByID[2]
+	e.warmupTokens = 0
+	e.warmupRefilledAt = 10 * second
+	b.hasWarmupCapacity(10*second+second/10, e, 1)
+	// Its part by capacity fraction is 0.2/(1+9*0.2) of four cores.
+	if limit := 0.2 / 2.8 * 4 * float64(second) / 10 * 1.1; e.warmupTokens > limit {
+		t.Errorf("tokens for %.0f us of work after 0.1 s, want at most %.0f", e.warmupTokens, limit)
+	}
+}
+
+// The expected service time of a warming endpoint falls as its capacity grows, also once its service time ratio has
+// been learned.
+func TestWarmingEndpointIsExpectedToBeSlow(t *testing.T) {
+	b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
+	b.UpdateEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
+	e := b.endpointsByID[9]
+	if got := e.currentServiceTimeRatio(1000, b); !near(got, 5) { // capacity fraction 0.2
+		t.Errorf("service time ratio %v just started", got)
+	}
+	e.serviceTimeRatio = ewma{value: 2, samples: manySamples}
+	e.serviceTimeObservedAt = 6 * second
+	if got := e.currentServiceTimeRatio(6*second, b); got < 2.9 || got > 3 { // capacity fraction 0.68
+		t.Errorf("service time ratio %v half way", got)
+	}
+	if got := e.currentServiceTimeRatio(12*second, b); got > 2 {
+		t.Errorf("service time ratio %v once warm", got)
+	}
+}
