--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -2,6 +2,11 @@
 
 import "dunlinsail/internal/monotime"
 
+// assumedCores is the number of cores that an endpoint is assumed to have: so many requests run there in
+// parallel, and further ones wait. It shapes queue delays, the load of reports without a count, and warm-up
+// budgets.
+const assumedCores = 2.0
+
 // capacityLifetime is how long a count of the effective capacity is used: a warming endpoint's part of its
 // capacity changes slowly.
 const capacityLifetime = second / 10
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -6,11 +6,6 @@
 	"dunlinsail/internal/monotime"
 )
 
-// assumedCores is the number of cores that an endpoint is assumed to have: so many requests run there in
-// parallel, and further ones wait. It shapes queue delays, the load of reports without a count, and warm-up
-// budgets.
-const assumedCores = 2.0
-
 // endpoint is the record of an endpoint.
 type endpoint struct {
 	Endpoint
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -14,13 +14,13 @@
 	h.sent = append(h.sent, endpoint)
 	fmt.Printf("send request %d to endpoint %d\n", id, endpoint)
 }
-func (h *host) Reject(id uint64, after monotime.Micros) { fmt.Printf("reject request %d\n", id) }
-func (h *host) Fail(id uint64)                          { fmt.Printf("fail request %d\n", id) }
-func (h *host) Cancel(id uint64, attempt int)           {}
-func (h *host) SetTimer(monotime.Micros, uint32)        {}
-func (h *host) Probe(endpoint uint32)                   {}
-func (h *host) Watch(on bool)                           {}
-func (h *host) Log(message string, args ...any)         { fmt.Println(message, args) }
+func (h *host) Reject(id uint64, retryAfter monotime.Micros) { fmt.Printf("reject request %d\n", id) }
+func (h *host) Fail(id uint64)                               { fmt.Printf("fail request %d\n", id) }
+func (h *host) Cancel(id uint64, attempt int)                {}
+func (h *host) SetTimer(monotime.Micros, uint32)             {}
+func (h *host) Probe(endpoint uint32)                        {}
+func (h *host) Watch(on bool)                                {}
+func (h *host) Log(message string, args ...any)              { fmt.Println(message, args) }
 
 func Example() {
 	settings := balancer.Settings{
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -87,7 +87,7 @@
 		}
 	}
 	l := filledLearned()
-	// spread over four there
+	// filledLearned spreads these values over four outliers.
 	l.Endpoints[0].PartOutliers[0] = LearnedOutlier{ConsecutiveFailures: 1, EjectedFor: 2, EjectionTime: 3,
 		TrialPending: true}
 	check("Learned", reflect.ValueOf(*l))
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -22,7 +22,7 @@
 	DedupCell                   // the endpoints of the cell of the first run
 )
 
-// LoadMetric is the meaning of one figure of a load report (ORCA has the like; gRFC A51).
+// LoadMetric is the meaning of one figure of a load report (compare ORCA load reports, gRFC A51).
 type LoadMetric uint8
 
 // The metrics of a load report. MetricUnknown is one that this version does not know; it is skipped.
--- a/balancer/warmup.go
+++ b/balancer/warmup.go
@@ -96,8 +96,13 @@
 }
 
 const (
-	readyCapacityDivisor = 2 // of the eligible endpoints' full capacity: with less than that, the bucket applies
-	fewBalancersDivisor  = 2 // of the work that collapses a new endpoint: with requests up to that, it does not
+	// readyCapacityDivisor divides the number of eligible endpoints. The served bucket applies while their
+	// effective capacity is less than the result.
+	readyCapacityDivisor = 2
+
+	// fewBalancersDivisor divides the work that collapses an endpoint that has just started. The served
+	// bucket does not apply while the requests of all balancers, one each, are no more work than the result.
+	fewBalancersDivisor = 2
 )
 
 // servedBucketApplies reports whether the served bucket limits a warming endpoint.
