--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -7,7 +7,7 @@
 )
 
 // HandleRequest handles a client's request: it is sent, queued until probes return, or rejected. A request is
-// rejected at once after its deadline, or beyond Limits.MaxOpenRequests. The ID of a request that is still
+// rejected at once after its deadline, or beyond Limits.MaxOpenRequests. One with the ID of a request that is
 // open is ignored.
 func (b *Balancer) HandleRequest(now monotime.Micros, in Request) {
 	if b.requests[in.ID] != nil {
--- a/balancer/decisions_test.go
+++ b/balancer/decisions_test.go
@@ -18,8 +18,7 @@
 
 // The decisions of the balancer of commit 870f4ac, over scripted runs against simulated endpoints, as hashes
 // in testdata/decisions.golden: any decision, draw of the random source or rounding that moves shows as
-// another hash. The file is never written anew for a change that should move none. It has one line for each
-// run.
+// another hash. The file is never rewritten for a change that should move none. It has one line for each run.
 //
 // The runs need only exported names. Texts of log lines are left out; that and when a line is written is in.
 
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // The golden files under testdata were written by the build of commit 870f4ac, before any field was renamed.
-// Sidecars of that build hand over their state in this form, and read it: the files are never written anew.
+// Sidecars of that build hand over their state in this form, and read it: the files are never rewritten.
 
 func filledLearned() *LearnedState {
 	return &LearnedState{
--- a/balancer/learned.go
+++ b/balancer/learned.go
@@ -152,10 +152,10 @@
 	return window
 }
 
-// Restore takes over what another balancer had learned at an age ago, in place of what this one knows. It is
-// meant for a balancer without open requests. Endpoints are those of this balancer's list, by ID and start
-// time. Classes or tenants are skipped if their number is not that of the settings, and so are figures that
-// cannot have been learned.
+// Restore takes over what another balancer had learned when its snapshot was made, which is of some age, in
+// place of what this one knows. It is meant for a balancer without open requests. Endpoints are those of this
+// balancer's list, by ID and start time. Classes or tenants are skipped if their number is not that of the
+// settings, and so are figures that cannot have been learned.
 func (b *Balancer) Restore(now, age monotime.Micros, l *LearnedState) {
 	age = max(0, age)
 	b.restoreRates(now, l)
--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -16,8 +16,8 @@
 	return min(max(minReportLifetime, monotime.Micros(reportLifetimeRounds*turn)), maxReportLifetime)
 }
 
-// reportedServiceTimeWeight is the weight of one report in the mean reported service time: that of about a
-// pool.
+// reportedServiceTimeWeight is the weight of one report in the mean reported service time, which is over
+// about a pool of reports.
 const reportedServiceTimeWeight = 1.0 / probePoolSize
 
 // recordReport records the round trip (microseconds) and the load report of a probe of e.
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -73,7 +73,7 @@
 		same += int(indicator(x == y))
 	}
 	if same < 1050 || same > 1270 { // 0.58 by chance
-		t.Errorf("two balancers decide alike on %d of 2000", same)
+		t.Errorf("two balancers decide the same on %d of 2000", same)
 	}
 	policy.AdmitRatio[0] = 1
 	policy.WithinQuotaRatio = []float64{0.5}
--- a/balancer/proberounds.go
+++ b/balancer/proberounds.go
@@ -7,8 +7,9 @@
 	maxProbeInterval = second / 10 // mean pause before a round of several probes, at most
 	minPauseFactor   = 0.5         // of the mean pause before a round: the pause is 0.5 to 1.5 of it, at random
 
-	// probeRateRecheck is about how often the probe rate is computed anew. A longer pause, by the low rate of
-	// before the first requests, would leave a busy balancer without reports.
+	// probeRateRecheck is the mean of the longest pause between two rounds, which is random, so that the
+	// probe rate is computed about twice a second. A longer pause, by the low rate of before the first
+	// requests, would leave a busy balancer without reports.
 	probeRateRecheck = second / 2
 
 	// maxProbeDraws bounds the random draws for one batch of probes: where few endpoints may be probed, most
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -38,7 +38,7 @@
 	readyCount        float64         // eligible endpoints
 	warmCount         float64         // of these, those that do not warm up
 	warmingEndpoints  []*endpoint     // of these, those that do
-	capacityExpiresAt monotime.Micros // instant from which on they are counted anew
+	capacityExpiresAt monotime.Micros // instant from which on they must be counted again
 	sentWorkRate      rateMeter       // microseconds of work per second
 	servedWork        float64         // microseconds of work answered since the start, per unit of warm capacity
 	lastServedAt      monotime.Micros // instant of the latest success
