--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -30,7 +30,7 @@
 		Contract: Contract{DrainGrace: 500_000, WarmupStartCapacity: 0.2, WarmupTime: 10 * second,
 			CollapseMultiple: 2.5, CollapseAfter: second, PollInterval: 10 * second},
 		Goal:   Goal{Overall: 1},
-		Prices: Prices{Probe: 1000}, // so expensive that no request is queued for probes; queue_test.go has queueingSettings
+		Prices: Prices{Probe: 1000}, // so expensive that no request is queued for probes
 	}
 }
 
