--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // The golden files under testdata were written by the build of commit 870f4ac, before any field was renamed.
-// Sidecars of that build hand over their state in this form, and read it: the files are never written anew.
+// Sidecars of that build hand over their state in this form, and read it: the files are never rewritten.
 
 func filledLearned() *LearnedState {
 	return &LearnedState{
@@ -87,7 +87,7 @@
 		}
 	}
 	l := filledLearned()
-	// spread over four there
+	// filledLearned spreads these values over four outliers.
 	l.Endpoints[0].PartOutliers[0] = LearnedOutlier{ConsecutiveFailures: 1, EjectedFor: 2, EjectionTime: 3,
 		TrialPending: true}
 	check("Learned", reflect.ValueOf(*l))
