--- a/internal/decide/connlimit/eviction.go
+++ b/internal/decide/connlimit/eviction.go
@@ -2,8 +2,8 @@
 
 import "dunlinsail/internal/monotime"
 
-// Evictable returns the idle connection to evict first, nil if each has an open request: of the owner with the
-// most idle connections for its weight, the one that was idle longest.
+// Evictable decides which idle connection is evicted first (evictionCandidate), of those that the caller confirms to
+// be idle. It returns nil if all connections have an open request.
 func (t *Table[T]) Evictable() *Conn[T] {
 	for {
 		candidate := t.evictionCandidate()
@@ -14,7 +14,8 @@
 	}
 }
 
-// evictableOf returns an owner's connection that was idle longest, nil if each has an open request.
+// evictableOf returns the connection of an owner that was idle longest and that the caller confirms to be idle; nil
+// if all of them have an open request.
 func (t *Table[T]) evictableOf(o *Owner[T]) *Conn[T] {
 	for {
 		candidate := t.longestIdle(o)
@@ -25,7 +26,9 @@
 	}
 }
 
-// evictionCandidate returns what Evictable does, not confirmed.
+// evictionCandidate returns the connection to evict first, not confirmed: of the owner with the most idle connections
+// over its weight, the one that was idle longest; among such owners, the one that was idle longest of all. nil if
+// none is idle.
 func (t *Table[T]) evictionCandidate() *Conn[T] {
 	var best *Conn[T]
 	var maxIdleRatio float64
@@ -40,8 +43,9 @@
 	return best
 }
 
-// RemoveExpired removes and returns a connection that was idle for too long. If there is none it returns nil and the
-// instant at which the next one expires unless something happens before; 0 while none is idle.
+// RemoveExpired decides whether an idle connection has expired (idleTimeout). It removes and returns the one that was
+// idle longest if so. Otherwise it returns nil, and the instant at which that one expires unless the number of idle
+// connections changes before; 0 if none is idle.
 func (t *Table[T]) RemoveExpired(now monotime.Micros) (expired *Conn[T], next monotime.Micros) {
 	for {
 		oldest := t.oldestIdle()
@@ -59,7 +63,7 @@
 	}
 }
 
-// oldestIdle returns the connection of any owner that was idle longest, nil if there is none.
+// oldestIdle returns the connection of any owner that was idle longest; nil if none is idle.
 func (t *Table[T]) oldestIdle() *Conn[T] {
 	var oldest *Conn[T]
 	for _, o := range t.idleOwners {
@@ -70,13 +74,14 @@
 	return oldest
 }
 
-// idleTimeout is how long a connection may be idle at present.
+// idleTimeout returns the time for which a connection may be idle at present: linear in the idle connections, from
+// Limits.MaxIdleTime with none to Limits.MinIdleTime with Limits.MaxIdle of them.
 func (t *Table[T]) idleTimeout() monotime.Micros {
-	free := 1 - float64(t.idle)/float64(t.limits.MaxIdle)
-	return t.limits.MinIdleTime + monotime.Micros(free*float64(t.limits.MaxIdleTime-t.limits.MinIdleTime))
+	freeFraction := 1 - float64(t.idle)/float64(t.limits.MaxIdle)
+	return t.limits.MinIdleTime + monotime.Micros(freeFraction*float64(t.limits.MaxIdleTime-t.limits.MinIdleTime))
 }
 
-// longestIdle returns an owner's connection that was idle longest, nil if there is none.
+// longestIdle returns the connection of an owner that was idle longest; nil if none is idle.
 func (t *Table[T]) longestIdle(o *Owner[T]) *Conn[T] {
 	if first := o.idle.Front(); first != nil {
 		return first.Value.(*Conn[T])
--- a/internal/decide/connlimit/table.go
+++ b/internal/decide/connlimit/table.go
@@ -12,15 +12,15 @@
 type Table[T any] struct {
 	limits      Limits
 	confirmIdle func(T) bool
-	idleOwners  []*Owner[T] // those with idle connections
-	busy        int
-	idle        int
+	idleOwners  []*Owner[T] // owners with idle connections
+	busy        int         // connections with an open request
+	idle        int         // connections without an open request
 	connections map[*Conn[T]]struct{}
 }
 
-// New returns an empty table, or the error of limits that are invalid. confirmIdle is called before a
-// connection without an open request is evicted: if it returns false, something has arrived that was not read,
-// and the connection counts as one with an open request from then on. nil always confirms.
+// New returns an empty table, or an error if the limits are invalid. confirmIdle is called before a connection
+// without an open request is evicted or expires: if it returns false, something has arrived that was not read yet,
+// and the connection counts as one with an open request from then on. A nil confirmIdle always confirms.
 func New[T any](l Limits, confirmIdle func(T) bool) (*Table[T], error) {
 	if err := l.Validate(); err != nil {
 		return nil, fmt.Errorf("conns: %w", err)
@@ -31,8 +31,8 @@
 	return &Table[T]{limits: l, confirmIdle: confirmIdle, connections: map[*Conn[T]]struct{}{}}, nil
 }
 
-// NewOwner returns a new owner of at most maxConnections, and of maxBytes reserved; 0 bytes is no limit. Where idle
-// connections must be evicted, the owner with the most of them for its weight is first.
+// NewOwner returns a new owner of at most maxConnections connections and maxBytes reserved bytes; 0 bytes is no
+// limit. If an idle connection must be evicted, it is one of the owner with the most of them over its weight.
 func (t *Table[T]) NewOwner(weight float64, maxConnections int, maxBytes int64) *Owner[T] {
 	return &Owner[T]{weight: weight, maxConnections: maxConnections, maxBytes: maxBytes, idle: list.New()}
 }
@@ -47,9 +47,12 @@
 // Counts returns how many connections the table holds, and how many of them have an open request.
 func (t *Table[T]) Counts() (all, busy int) { return t.busy + t.idle, t.busy }
 
-// Add takes in a new connection of an owner, which is idle until its first request is complete. It returns the
-// connection that is to be closed in its place, if any. If the limits leave no place for the new one, it
-// returns nil for both.
+// Add decides whether a new connection of an owner is kept, and which other one is closed in its place. At its owner's
+// limit, an idle connection of that owner is evicted; at the limits of the table, any idle connection. Without one to
+// evict, the new connection is not kept, unless only the limit on idle connections is reached. A new connection is idle
+// until its first request is complete.
+//
+// Add returns the connection, or nil if it is not kept, and the evicted one, or nil, which the caller must close.
 func (t *Table[T]) Add(now monotime.Micros, o *Owner[T], value T) (c, evicted *Conn[T]) {
 	switch {
 	case o.busy+o.idle.Len() >= o.maxConnections:
@@ -58,7 +61,6 @@
 			return nil, nil
 		}
 	case t.busy+t.idle >= t.limits.MaxConnections || t.idle >= t.limits.MaxIdle:
-		// Only an idle one can be evicted. If there is none, all wait for their answers.
 		evicted = t.Evictable()
 		if evicted == nil && t.busy+t.idle >= t.limits.MaxConnections {
 			return nil, nil
@@ -73,13 +75,13 @@
 	return c, evicted
 }
 
-// MarkBusy notes that a request is open on a connection. It reports false if the connection was evicted
-// meanwhile, and the request must not be handled.
+// MarkBusy notes that a request is open on a connection. It returns false if the connection was evicted meanwhile: the
+// request must not be handled then.
 func (t *Table[T]) MarkBusy(c *Conn[T]) bool {
 	if c.removed {
 		return false
 	}
-	if c.idleElement != nil { // else confirmIdle has found the request before
+	if c.idleElement != nil { // nil if confirmIdle has found the request before
 		t.removeIdle(c)
 		c.owner.busy++
 		t.busy++
@@ -87,8 +89,8 @@
 	return true
 }
 
-// MarkIdle notes that the request on a connection was answered. It returns the connection that is to be closed
-// for that, if too many are idle now.
+// MarkIdle notes that the request on a connection was answered, and releases its bytes. If Limits.MaxIdle connections
+// are idle already, it returns another one that the caller must close; otherwise nil.
 func (t *Table[T]) MarkIdle(now monotime.Micros, c *Conn[T]) (evicted *Conn[T]) {
 	c.owner.busy--
 	t.busy--
@@ -103,9 +105,8 @@
 	return evicted
 }
 
-// ReserveBytes reserves n bytes more for a connection, until it is idle or removed. It reports false and
-// reserves nothing if that exceeds its owner's limit, unless force is set: an answer that has arrived must be
-// held.
+// ReserveBytes reserves n more bytes for a connection, until it is idle or removed. If that exceeds its owner's limit
+// it reserves nothing and returns false, unless force is set: a response that has arrived must be kept in memory.
 func (t *Table[T]) ReserveBytes(c *Conn[T], n int64, force bool) bool {
 	o := c.owner
 	if c.removed || !force && o.maxBytes > 0 && o.reservedBytes+n > o.maxBytes {
@@ -122,7 +123,7 @@
 	c.reservedBytes = 0
 }
 
-// Remove removes a connection. It may be called again.
+// Remove removes a connection. It does nothing for one that was removed before.
 func (t *Table[T]) Remove(c *Conn[T]) {
 	if c.removed {
 		return
