--- a/internal/decide/connlimit/connlimit_test.go
+++ b/internal/decide/connlimit/connlimit_test.go
@@ -38,16 +38,16 @@
 	o := x.NewOwner(1, 100, 0)
 	var open []*Conn[int]
 	for i := range 4 {
-		c, closed := x.Add(int64(i), o, i)
-		if c == nil || closed != nil {
-			t.Fatalf("connection %d: %v, %v", i, c, closed)
+		c, evicted := x.Add(int64(i), o, i)
+		if c == nil || evicted != nil {
+			t.Fatalf("connection %d: %v, %v", i, c, evicted)
 		}
 		open = append(open, c)
 	}
 	x.MarkBusy(open[0])
 	x.MarkIdle(10, open[0]) // it was idle for the shortest time now
-	if _, closed := x.Add(11, o, 4); closed != open[1] {
-		t.Fatalf("evicted: %+v, want connection 1", closed)
+	if _, evicted := x.Add(11, o, 4); evicted != open[1] {
+		t.Fatalf("evicted: %+v, want connection 1", evicted)
 	}
 	if x.MarkBusy(open[1]) {
 		t.Error("a removed connection was marked busy")
@@ -60,14 +60,14 @@
 	x = newTestTable(t, testLimits)
 	o = x.NewOwner(1, 100, 0)
 	for i := range 8 {
-		c, closed := x.Add(0, o, i)
-		if c == nil || closed != nil || !x.MarkBusy(c) {
-			t.Fatalf("busy connection %d: %v, %v", i, c, closed)
+		c, evicted := x.Add(0, o, i)
+		if c == nil || evicted != nil || !x.MarkBusy(c) {
+			t.Fatalf("busy connection %d: %v, %v", i, c, evicted)
 		}
 		open = append(open, c)
 	}
-	if c, closed := x.Add(0, o, 8); c != nil || closed != nil {
-		t.Errorf("over MaxConnections: %v, %v", c, closed)
+	if c, evicted := x.Add(0, o, 8); c != nil || evicted != nil {
+		t.Errorf("over MaxConnections: %v, %v", c, evicted)
 	}
 }
 
@@ -100,20 +100,22 @@
 // few.
 func TestOwnerLimitsAndWeights(t *testing.T) {
 	x := newTestTable(t, testLimits)
-	many, few := x.NewOwner(1, 3, 0), x.NewOwner(1, 3, 0)
+	many := x.NewOwner(1, 3, 0)
+	few := x.NewOwner(1, 3, 0)
 	x.Add(0, few, 0)
 	for i := range 3 {
 		x.Add(int64(1+i), many, 1+i)
 	}
-	if _, closed := x.Add(9, many, 4); closed == nil || closed.Value != 1 {
-		t.Fatalf("at its own limit: %+v, want connection 1 evicted", closed)
+	if _, evicted := x.Add(9, many, 4); evicted == nil || evicted.Value != 1 {
+		t.Fatalf("at its own limit: %+v, want connection 1 evicted", evicted)
 	}
-	if c, closed := x.Add(9, few, 5); c == nil || closed == nil || closed.owner != many {
-		t.Errorf("at the limit of all: %+v evicted, want one of many's", closed)
+	if c, evicted := x.Add(9, few, 5); c == nil || evicted == nil || evicted.owner != many {
+		t.Errorf("at the limit of all: %+v evicted, want one of many's", evicted)
 	}
 	// Weight counts: two idle ones of weight 4 are less than one of weight 1.
 	x = newTestTable(t, testLimits)
-	heavy, light := x.NewOwner(4, 8, 0), x.NewOwner(1, 8, 0)
+	heavy := x.NewOwner(4, 8, 0)
+	light := x.NewOwner(1, 8, 0)
 	x.Add(0, heavy, 0)
 	x.Add(0, heavy, 1)
 	x.Add(5, light, 2)
@@ -123,12 +125,13 @@
 	}
 	// If all of an owner's are busy, no connection of it is added, and none of another owner is evicted.
 	x = newTestTable(t, testLimits)
-	full, other := x.NewOwner(1, 1, 0), x.NewOwner(1, 1, 0)
+	full := x.NewOwner(1, 1, 0)
+	other := x.NewOwner(1, 1, 0)
 	x.Add(0, other, 0)
 	c, _ := x.Add(0, full, 1)
 	x.MarkBusy(c)
-	if c, closed := x.Add(0, full, 2); c != nil || closed != nil {
-		t.Errorf("%+v added, %+v evicted", c, closed)
+	if c, evicted := x.Add(0, full, 2); c != nil || evicted != nil {
+		t.Errorf("%+v added, %+v evicted", c, evicted)
 	}
 }
 
@@ -185,11 +188,77 @@
 				seed, i, all, busy, o.maxConnections, count[o])
 		}
 	}
-	all, held := x.Counts()
+	all, withRequest := x.Counts()
 	overLimits := all > x.limits.MaxConnections || len(idle) > x.limits.MaxIdle
-	if all != len(idle)+len(busy) || held != len(busy) || overLimits {
+	if all != len(idle)+len(busy) || withRequest != len(busy) || overLimits {
 		t.Fatalf("seed %d: %d connections, %d busy; counted %d and %d; limits %+v",
-			seed, all, held, len(idle)+len(busy), len(busy), x.limits)
+			seed, all, withRequest, len(idle)+len(busy), len(busy), x.limits)
+	}
+}
+
+// randomRun is a table on which random events happen, and its connections by what they should be.
+type randomRun struct {
+	rng    *rand.Rand
+	table  *Table[int]
+	owners []*Owner[int]
+	idle   []*Conn[int]
+	busy   []*Conn[int]
+	now    int64
+}
+
+// step makes one event at random.
+func (r *randomRun) step(t *testing.T, value int) {
+	t.Helper()
+	r.now += int64(r.rng.IntN(40))
+	switch r.rng.IntN(5) {
+	case 0, 1:
+		c, evicted := r.table.Add(r.now, r.owners[r.rng.IntN(3)], value)
+		r.idle = without(r.idle, evicted)
+		if c != nil {
+			r.idle = append(r.idle, c)
+		}
+	case 2:
+		r.markAnyBusy(t)
+	case 3:
+		r.markAnyIdle()
+	case 4:
+		r.expireOrRemove()
+	}
+}
+
+// markAnyBusy marks an idle connection busy.
+func (r *randomRun) markAnyBusy(t *testing.T) {
+	t.Helper()
+	if len(r.idle) == 0 {
+		return
+	}
+	c := r.idle[r.rng.IntN(len(r.idle))]
+	r.idle = without(r.idle, c)
+	if !r.table.MarkBusy(c) {
+		t.Fatal("an idle connection was not marked busy")
+	}
+	r.busy = append(r.busy, c)
+}
+
+// markAnyIdle marks a busy connection idle.
+func (r *randomRun) markAnyIdle() {
+	if len(r.busy) == 0 {
+		return
+	}
+	c := r.busy[r.rng.IntN(len(r.busy))]
+	r.busy = without(r.busy, c)
+	r.idle = append(without(r.idle, r.table.MarkIdle(r.now, c)), c)
+}
+
+// expireOrRemove removes a connection that has expired, or perhaps a busy one if none has.
+func (r *randomRun) expireOrRemove() {
+	if c, _ := r.table.RemoveExpired(r.now); c != nil {
+		r.idle = without(r.idle, c)
+		return
+	}
+	if len(r.busy) > 0 && r.rng.IntN(2) == 0 {
+		r.table.Remove(r.busy[0])
+		r.busy = r.busy[1:]
 	}
 }
 
@@ -200,45 +269,13 @@
 		limits := Limits{MaxIdleTime: 500, MinIdleTime: 10}
 		limits.MaxConnections = 2 + rng.IntN(20)
 		limits.MaxIdle = 1 + rng.IntN(2)
-		x := newTestTable(t, limits)
-		var owners []*Owner[int]
+		r := &randomRun{rng: rng, table: newTestTable(t, limits)}
 		for _, weight := range []float64{1, 3, 0.5} {
-			owners = append(owners, x.NewOwner(weight, 1+rng.IntN(9), 0))
+			r.owners = append(r.owners, r.table.NewOwner(weight, 1+rng.IntN(9), 0))
 		}
-		var idle, busy []*Conn[int]
-		now := int64(0)
 		for step := range 400 {
-			now += int64(rng.IntN(40))
-			switch rng.IntN(5) {
-			case 0, 1:
-				c, closed := x.Add(now, owners[rng.IntN(3)], step)
-				idle = without(idle, closed)
-				if c != nil {
-					idle = append(idle, c)
-				}
-			case 2:
-				if len(idle) > 0 {
-					c := idle[rng.IntN(len(idle))]
-					if idle = without(idle, c); !x.MarkBusy(c) {
-						t.Fatal("an idle connection was not marked busy")
-					}
-					busy = append(busy, c)
-				}
-			case 3:
-				if len(busy) > 0 {
-					c := busy[rng.IntN(len(busy))]
-					busy = without(busy, c)
-					idle = append(without(idle, x.MarkIdle(now, c)), c)
-				}
-			case 4:
-				if c, _ := x.RemoveExpired(now); c != nil {
-					idle = without(idle, c)
-				} else if len(busy) > 0 && rng.IntN(2) == 0 {
-					x.Remove(busy[0])
-					busy = busy[1:]
-				}
-			}
-			checkCounts(t, seed, x, owners, idle, busy)
+			r.step(t, step)
+			checkCounts(t, seed, r.table, r.owners, r.idle, r.busy)
 		}
 	}
 }
@@ -257,17 +294,18 @@
 		c, _ := x.Add(int64(i), o, i)
 		open = append(open, c)
 	}
-	unread[0], unread[2] = true, true
-	c4, closed := x.Add(5, o, 4) // over MaxIdle: 0 was idle longest, and 1 is evicted
-	if closed != open[1] || c4 == nil {
-		t.Fatalf("evicted: %+v", closed)
+	unread[0] = true
+	unread[2] = true
+	c4, evicted := x.Add(5, o, 4) // over MaxIdle: 0 was idle longest, and 1 is evicted
+	if evicted != open[1] || c4 == nil {
+		t.Fatalf("evicted: %+v", evicted)
 	}
-	c5, closed := x.Add(6, o, 5) // 0 is busy, so that there is capacity
-	if closed != nil || c5 == nil {
-		t.Fatalf("evicted: %+v", closed)
+	c5, evicted := x.Add(6, o, 5) // 0 is busy, so that there is capacity
+	if evicted != nil || c5 == nil {
+		t.Fatalf("evicted: %+v", evicted)
 	}
-	if _, closed = x.Add(7, o, 6); closed != open[3] { // over the owner's limit: 2 was idle longest
-		t.Fatalf("evicted: %+v", closed)
+	if _, evicted = x.Add(7, o, 6); evicted != open[3] { // over the owner's limit: 2 was idle longest
+		t.Fatalf("evicted: %+v", evicted)
 	}
 	if all, busy := x.Counts(); all != 5 || busy != 2 {
 		t.Errorf("%d connections, %d busy; want 5, 2", all, busy)
@@ -278,7 +316,8 @@
 	if _, busy := x.Counts(); busy != 2 {
 		t.Errorf("%d busy, want 2", busy)
 	}
-	unread[4], unread[5] = true, true
+	unread[4] = true
+	unread[5] = true
 	if c, _ := x.RemoveExpired(10_000); c == nil || c.Value != 6 {
 		t.Errorf("expired: %+v, want 6", c)
 	}
