--- a/internal/decide/zones/meter.go
+++ b/internal/decide/zones/rate_meter.go
@@ -2,11 +2,11 @@
 
 import "dunlinsail/internal/monotime"
 
-// rateMeter counts the events of the last second, about.
+// rateMeter estimates the number of events in the last second.
 type rateMeter struct {
 	secondStart monotime.Micros
-	current     float64 // since secondStart
-	previous    float64 // in the second before
+	current     float64 // events since secondStart
+	previous    float64 // events in the second before secondStart
 }
 
 // advance moves the meter to now.
@@ -29,7 +29,7 @@
 	m.current++
 }
 
-// rate returns the events of the last second, of which the part before secondStart is interpolated.
+// rate returns the events of the last second. Those before secondStart are interpolated, as if they had come evenly.
 func (m *rateMeter) rate(now monotime.Micros) float64 {
 	m.advance(now)
 	return m.current + m.previous*(1-float64(now-m.secondStart)/float64(second))
--- a/internal/decide/zones/router.go
+++ b/internal/decide/zones/router.go
@@ -1,30 +1,17 @@
 package zones
 
 import (
-	"math"
-
 	"dunlinsail/internal/decide/concurrency"
 	"dunlinsail/internal/decide/hash64"
 	"dunlinsail/internal/monotime"
 )
 
-const (
-	initialFleetLimit = 16  // requests in flight to a zone at first, by all instances together
-	ownOverLimit      = 3.0 // times the learned limit up to which a zone's own requests do not spill
-	reservedFraction  = 0.6 // of the spare capacity, kept from the lowest class
-	jitter            = 0.25
-
-	// The learned limits of zones are tighter than a Limiter's default: requests must hardly wait in spare capacity.
-	growThreshold   = 1.0 / 16
-	shrinkThreshold = 1.0 / 8
-)
-
 // Request is a request to be routed.
 type Request struct {
 	Group        int  // index in Settings.ZonePreferences
 	Class        int  // index in Settings.ClassWeights
 	OverShare    bool // it is over its tenant's share
-	RequiredZone int  // the only zone it may go to, as an attempt may have run there; -1 is none
+	RequiredZone int  // the only zone that it may go to, since an attempt may have run there; -1 is none
 }
 
 // Reason is why a request is rejected.
@@ -34,8 +21,8 @@
 const (
 	None              Reason = iota
 	NoZoneUp                 // none of its zones is up
-	NoSpareCapacity          // the other zones have no spare capacity for it
-	SpillLimitReached        // Settings.MaxSpillFraction of its zone's traffic spills
+	NoSpareCapacity          // the other zones that are up have no spare capacity for it
+	SpillLimitReached        // Settings.MaxSpillFraction of its zone's requests spill
 	RequiredZoneDown         // its required zone is down
 )
 
@@ -47,50 +34,36 @@
 	"the zone that may have run it is down",
 }
 
-// String returns the reason in words.
+// String returns the reason as text for people.
 func (r Reason) String() string { return reasonTexts[r] }
 
 // Decision is where a request goes.
 type Decision struct {
-	Zone       int  // -1 is none: it is rejected
-	Spill      bool // the zone is not its first one
-	Reason     Reason
-	RetryAfter monotime.Micros // of a request that is rejected
+	Zone       int             // -1 is none: it is rejected
+	Spill      bool            // the zone is not the first one of its preferences
+	Reason     Reason          // of a request that is rejected
+	RetryAfter monotime.Micros // of a request that is rejected; 0 is no advice
 }
 
 // Router routes requests to zones. Make one with New; it is for one goroutine at a time.
 type Router struct {
 	settings   Settings
 	rand       hash64.Source
-	classRanks []float64 // by class: part of the classes that has a higher priority weight
+	classRanks []float64 // by class: part of the classes with a higher priority weight, 0 to 1
 	zones      []zone
 }
 
-// New returns a router with all zones up, or the error of settings that are invalid.
+// New returns a router with all zones up, or an error if the settings are invalid.
 func New(s Settings) (*Router, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	t := &Router{settings: s, rand: hash64.Source(s.Seed), zones: make([]zone, s.Zones)}
 	for _, weight := range s.ClassWeights {
-		higher := 0
-		for _, other := range s.ClassWeights {
-			if other > weight {
-				higher++
-			}
-		}
-		t.classRanks = append(t.classRanks, float64(higher)/float64(len(s.ClassWeights)))
+		t.classRanks = append(t.classRanks, classRank(s.ClassWeights, weight))
 	}
 	for i := range t.zones {
-		limiter, err := concurrency.New(concurrency.Settings{
-			Classes:         len(s.ClassWeights),
-			Min:             s.MinInFlight,
-			Max:             s.MaxInFlight,
-			Initial:         min(s.MaxInFlight, max(s.MinInFlight, initialFleetLimit/s.Instances)),
-			Seed:            s.Seed + uint64(i),
-			GrowThreshold:   growThreshold,
-			ShrinkThreshold: shrinkThreshold,
-		})
+		limiter, err := newZoneLimiter(&s, i)
 		if err != nil {
 			return nil, err
 		}
@@ -103,8 +76,48 @@
 	return t, nil
 }
 
-// Choose returns the zone of a request. The caller has the balancer pick within it, and calls OnAttemptSent for
-// each attempt it sends there, retries included.
+// classRank returns the part of the classes with a priority weight higher than weight.
+func classRank(classWeights []float64, weight float64) float64 {
+	higher := 0
+	for _, other := range classWeights {
+		if other > weight {
+			higher++
+		}
+	}
+	return float64(higher) / float64(len(classWeights))
+}
+
+// initialFleetLimit is the first limit of all instances together, in requests in flight to a zone.
+const initialFleetLimit = 16
+
+// The thresholds of a zone's limit, as parts of it (concurrency.Settings). They are tighter than the defaults: requests
+// must hardly wait in spare capacity.
+const (
+	growThreshold   = 1.0 / 16
+	shrinkThreshold = 1.0 / 8
+)
+
+// newZoneLimiter returns the limiter of requests in flight to a zone.
+func newZoneLimiter(s *Settings, zone int) (*concurrency.Limiter, error) {
+	return concurrency.New(concurrency.Settings{
+		Classes:         len(s.ClassWeights),
+		Min:             s.MinInFlight,
+		Max:             s.MaxInFlight,
+		Initial:         min(s.MaxInFlight, max(s.MinInFlight, initialFleetLimit/s.Instances)),
+		Seed:            s.Seed + uint64(zone),
+		GrowThreshold:   growThreshold,
+		ShrinkThreshold: shrinkThreshold,
+	})
+}
+
+// Choose decides which zone a request goes to, or that it is rejected. A request with a required zone goes there
+// unless it is down. Another one goes to its first zone if that admits it (admitsOwn), and otherwise spills to the
+// first of the next zones that is up and has spare capacity for it (admitsSpill), within MaxSpillFraction of its
+// first zone's requests a second. If there is no other zone that is up, it goes to its first zone unless that is
+// down: the balancer then decides what is sent.
+//
+// The caller has the balancer pick an endpoint within the zone, and calls OnAttemptSent for each attempt that it sends
+// there, retries included.
 func (t *Router) Choose(now monotime.Micros, r Request) Decision {
 	if r.RequiredZone >= 0 {
 		return t.chooseRequired(now, r.RequiredZone)
@@ -134,7 +147,7 @@
 		reason = NoSpareCapacity
 	}
 	if reason == NoZoneUp && home.state != Down {
-		return Decision{Zone: preferences[0]} // there is no other zone: the balancer decides what is still sent
+		return Decision{Zone: preferences[0]}
 	}
 	return t.reject(reason)
 }
@@ -148,18 +161,27 @@
 	return Decision{Zone: number}
 }
 
-// reject returns the decision to reject a request, with jitter on its Retry-After.
+// meanRetryAfter is the mean Retry-After of a request that is rejected.
+const meanRetryAfter = second / 2
+
+// reject returns the decision to reject a request.
 func (t *Router) reject(reason Reason) Decision {
-	return Decision{Zone: -1, Reason: reason, RetryAfter: t.jittered(second / 2)}
+	return Decision{Zone: -1, Reason: reason, RetryAfter: t.jittered(meanRetryAfter)}
 }
 
-// admitsOwn reports whether a zone takes one more of its own requests.
+// ownOverLimit is the multiple of a zone's learned limit up to which its own requests are in flight before they
+// spill. They may wait for one another a little: the learned limit also shrinks when spill fills the zone, and the
+// spill must give way first.
+const ownOverLimit = 3.0
+
+// admitsOwn decides whether a zone takes one more of its own requests: up to ownOverLimit times its learned limit of
+// requests in flight if it is up; none if it is down. While it recovers it takes its share of them, evenly, and never
+// has more in flight than that share of the limit.
 func (t *Router) admitsOwn(z *zone) bool {
 	switch z.state {
 	case Down:
 		return false
 	case Recovering:
-		// An even part of the requests, and never more in flight than that part of what is known to fit.
 		z.recoveryCredit += z.recoveryShare
 		if z.recoveryCredit < 1 || z.inFlight >= max(1, int(z.recoveryShare*float64(z.limiter.Limit()))) {
 			z.recoveryCredit = min(z.recoveryCredit, 1)
@@ -168,27 +190,10 @@
 		z.recoveryCredit--
 		return true
 	}
-	// Own requests may wait for one another a little before they spill: the learned limit also shrinks when
-	// spill fills the zone, and the spill must give way first.
 	return float64(z.inFlight) < ownOverLimit*float64(z.limiter.Limit())
 }
 
-// admitsSpill reports whether a zone has spare capacity for a request of another zone.
-func (t *Router) admitsSpill(z *zone, r Request) bool {
-	free := math.Max(0, float64(z.limiter.Limit()-(z.inFlight-z.spillInFlight)))
-	spare := t.settings.MaxSpareFraction * free
-	rank := t.classRanks[r.Class]
-	if r.OverShare {
-		rank = 1 // behind all that is within a share
-	}
-	spare *= (1 - reservedFraction*rank) * z.spillFactor
-	if spare < 1 { // less than one request: with that probability
-		return z.spillInFlight == 0 && t.rand.Float64() < spare
-	}
-	return float64(z.spillInFlight) < spare
-}
-
-// OnAttemptSent notes an attempt that was sent to a zone. Retries count as first attempts do.
+// OnAttemptSent takes in an attempt that was sent to a zone. Retries count as first attempts do.
 func (t *Router) OnAttemptSent(now monotime.Micros, number int, spill bool) {
 	z := &t.zones[number]
 	z.inFlight++
@@ -204,14 +209,14 @@
 type Outcome struct {
 	Class        int
 	Spill        bool
-	Duration     monotime.Micros
-	InFlight     int  // in the zone when it was sent, itself included
-	Served       bool // it was answered
-	InTime       bool // within its latency objective
-	Inconclusive bool // it tells nothing of the zone: cancelled, or never sent
+	Duration     monotime.Micros // from when it was sent to its end
+	InFlight     int             // attempts in flight in the zone when it was sent, itself included
+	Served       bool            // it was answered
+	InTime       bool            // it was answered within its latency objective
+	Inconclusive bool            // it is no evidence of the zone's state: cancelled, or never sent
 }
 
-// OnAttemptEnded notes how an attempt ended.
+// OnAttemptEnded takes in how an attempt ended.
 func (t *Router) OnAttemptEnded(now monotime.Micros, number int, o Outcome) {
 	z := &t.zones[number]
 	z.inFlight--
@@ -241,7 +246,10 @@
 // InFlight returns how many attempts are in flight in a zone.
 func (t *Router) InFlight(number int) int { return t.zones[number].inFlight }
 
-// jittered returns a duration around d, so that instances that decide alike do not act at once.
+// jitter is the greatest part of a duration that is added or subtracted at random.
+const jitter = 0.25
+
+// jittered returns a random duration around d, so that instances with the same evidence do not act at once.
 func (t *Router) jittered(d monotime.Micros) monotime.Micros {
 	return monotime.Micros(float64(d) * (1 + jitter*(2*t.rand.Float64()-1)))
 }
--- a/internal/decide/zones/settings.go
+++ b/internal/decide/zones/settings.go
@@ -1,16 +1,3 @@
-// Package zones routes requests to zones: to the first zone of a request's preferences as long as that has
-// capacity, to the next ones with as much as it lacks and no more than those can spare, and to a zone that
-// recovers in steps. It goes by the attempts that were sent to each zone and their outcomes. It must not import
-// endpoints, which the balancer picks within the zone that is chosen, nor sockets.
-//
-// A zone's capacity is not taken from the number of its endpoints. It is learned as in package concurrency: how
-// many requests of this instance may be in flight there before they only wait for one another. What is left of
-// that is the zone's spare capacity, of which traffic of other zones, the spill, may use a set part. Of that, a
-// class has the more the higher its priority weight (trunk reservation, as in telephone exchanges: Akinpelu,
-// "The Overload Performance of Engineered Networks with Nonhierarchical and Hierarchical Routing", BSTJ 1984):
-// so the lowest class is rejected first, without a forecast.
-//
-// A Router is a deterministic state machine for one goroutine at a time. Nothing imports this package yet.
 package zones
 
 import (
@@ -26,24 +13,24 @@
 
 // Settings configure a Router.
 type Settings struct {
-	Zones           int
+	Zones           int       // number of zones, 1 to maxZones
 	ClassWeights    []float64 // by class: priority weight of a request
 	ZonePreferences [][]int   // by group of clients: its zones, the preferred one first
 
-	MaxSpareFraction     float64 // part of another zone's spare capacity that spill may use, over 0 to 1
-	MaxSpillFraction     float64 // part of a zone's requests that may spill, over 0 to 1
-	InitialRecoveryShare float64 // part of its requests that a zone gets when it starts to recover, over 0 to 1
+	MaxSpareFraction     float64 // part of another zone's spare capacity that spill may use; greater than 0, up to 1
+	MaxSpillFraction     float64 // part of a zone's requests that may spill; greater than 0, up to 1
+	InitialRecoveryShare float64 // part of its requests that a recovering zone gets first; greater than 0, up to 1
 
-	RecoveryStep monotime.Micros // duration of a step of the recovery, with jitter
-	MinDownTime  monotime.Micros // for how long a zone stays down at least; doubled each time it flaps,
-	MaxDownTime  monotime.Micros // up to this
-	MinInFlight  int             // bounds of what is learned: requests in flight to a zone
-	MaxInFlight  int
+	RecoveryStep monotime.Micros // mean duration of a step of the recovery
+	MinDownTime  monotime.Micros // mean time for which a zone stays down; doubled each time it flaps
+	MaxDownTime  monotime.Micros // greatest mean time for which a zone stays down
+	MinInFlight  int             // least learned limit of requests in flight to a zone
+	MaxInFlight  int             // greatest learned limit of requests in flight to a zone
 	Seed         uint64
-	Instances    int // that decide alike, this one included
+	Instances    int // number of instances that send to the zones, this one included
 }
 
-// Validate returns the error of the first setting that is invalid.
+// Validate returns an error that names the first invalid setting.
 func (s *Settings) Validate() error {
 	isFraction := func(v float64) bool { return v > 0 && v <= 1 }
 	switch {
@@ -70,7 +57,7 @@
 	return s.validatePreferences()
 }
 
-// validatePreferences returns the error of the first group whose preferences are invalid.
+// validatePreferences returns an error that names the first group whose preferences are invalid.
 func (s *Settings) validatePreferences() error {
 	for group, preferences := range s.ZonePreferences {
 		seen := map[int]bool{}
--- a/internal/decide/zones/state.go
+++ b/internal/decide/zones/state.go
@@ -12,7 +12,7 @@
 const (
 	Up         State = iota
 	Down             // it gets no requests
-	Recovering       // it gets a share of its requests
+	Recovering       // it gets a share of its requests, and no spill
 )
 
 var stateNames = [...]string{"up", "down", "recovering"}
@@ -20,25 +20,6 @@
 // String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-const (
-	windowDuration    = second / 2
-	minWindowOutcomes = 8      // outcomes by which a zone is judged
-	recoverThreshold  = 0.9    // part of the outcomes in time from which on a recovery goes on
-	downThreshold     = 0.3    // the same up to which a zone goes down
-	silenceTimeout    = second // without an answer, with minSilentInFlight in flight, after which a zone is cut off
-	minSilentInFlight = 4
-	recoveryGrowth    = 1.5         // factor on the share from one step to the next
-	flapMemory        = 30 * second // after so long up, MinDownTime holds again
-
-	// The spill factor grows by spillIncrease in each window in which so many spilled requests are in time, and
-	// shrinks to the part spillDecrease otherwise.
-	spillInTimeThreshold = 0.95
-	spillIncrease        = 0.05
-	spillDecrease        = 0.6
-	minSpillFactor       = 0.02
-	initialSpillFactor   = 0.3
-)
-
 // zone is the state of one zone.
 type zone struct {
 	state          State
@@ -47,21 +28,20 @@
 	inFlight       int // attempts, spill included
 	spillInFlight  int // attempts of other zones' traffic
 
-	// spillFactor is the part of the spare capacity that spill may use, by its outcomes: what the zone's own
-	// requests through other instances need is seen by this instance only in the answers to its spill.
+	// spillFactor is the part of the spare capacity, 0 to 1, that spill may use by its outcomes (observeSpill).
 	spillFactor      float64
 	spillWindowStart monotime.Micros
 	spillInTime      int
 	spillOutcomes    int
 
-	recoveryShare  float64         // Recovering: part of its requests that it gets
-	recoveryCredit float64         // of that share, not used yet
-	until          monotime.Micros // Down: at least until then; Recovering: end of the present step
-	nextDownTime   monotime.Micros // when it goes down next
+	recoveryShare  float64         // while Recovering: part of its requests that it gets, 0 to 1
+	recoveryCredit float64         // requests of that share that it has not got yet
+	until          monotime.Micros // earliest end of Down, or of the present step of Recovering
+	nextDownTime   monotime.Micros // mean time for which it stays down the next time
 	upSince        monotime.Micros
 
-	requests rateMeter // whose first zone it is
-	spilled  rateMeter // of these, what went to other zones
+	requests rateMeter // requests whose first zone it is
+	spilled  rateMeter // those of them that went to other zones
 	outcomes outcomeWindow
 }
 
@@ -70,10 +50,10 @@
 	start       monotime.Micros
 	inTime      int
 	total       int
-	silentSince monotime.Micros // no answer since then, with attempts in flight; 0 is not so
+	silentSince monotime.Micros // since when there was no answer with minSilentInFlight in flight; 0 is not so
 }
 
-// SetReadyEndpoints sets how many endpoints of a zone are ready. A zone without any goes down.
+// SetReadyEndpoints sets the number of a zone's endpoints that are ready. A zone without any goes down.
 func (t *Router) SetReadyEndpoints(now monotime.Micros, number, ready int) {
 	z := &t.zones[number]
 	z.readyEndpoints = ready
@@ -82,7 +62,8 @@
 	}
 }
 
-// ZoneState returns a zone's state, the part of its requests that it gets, and its learned limit of requests in flight.
+// ZoneState returns a zone's state, the part of its requests that it gets, 0 to 1, and its learned limit of requests in
+// flight.
 func (t *Router) ZoneState(number int) (state State, share float64, limit int) {
 	z := &t.zones[number]
 	switch z.state {
@@ -94,7 +75,12 @@
 	return Up, 1, z.limiter.Limit()
 }
 
-// markDown takes a zone out of service.
+const (
+	downTimeFactor = 2           // on the down time, each time the zone goes down
+	flapMemory     = 30 * second // time for which a zone must be up until MinDownTime holds again
+)
+
+// markDown takes a zone down, for nextDownTime on average. That is doubled each time, up to MaxDownTime.
 func (t *Router) markDown(now monotime.Micros, z *zone) {
 	if z.state == Up && now-z.upSince > flapMemory {
 		z.nextDownTime = t.settings.MinDownTime
@@ -103,15 +89,24 @@
 	z.recoveryShare = 0
 	z.recoveryCredit = 0
 	z.until = now + t.jittered(z.nextDownTime)
-	z.nextDownTime = min(2*z.nextDownTime, t.settings.MaxDownTime)
+	z.nextDownTime = min(downTimeFactor*z.nextDownTime, t.settings.MaxDownTime)
 	z.outcomes = outcomeWindow{start: now}
 }
 
-// updateState moves a zone's state on by its outcomes.
+const (
+	// silenceTimeout is the time without an answer, with minSilentInFlight attempts in flight, after which a zone
+	// counts as cut off.
+	silenceTimeout    = second
+	minSilentInFlight = 4
+)
+
+// updateState decides on a zone's state at an instant. A zone that is cut off goes down, whatever endpoints discovery
+// lists. A zone that is down recovers once its down time is over and an endpoint is ready. For the others see
+// updateRecovering and updateUp.
 func (t *Router) updateState(now monotime.Micros, z *zone) {
 	outcomes := &z.outcomes
 	if z.state != Down && outcomes.silentSince > 0 && now-outcomes.silentSince > silenceTimeout {
-		t.markDown(now, z) // cut off, whatever discovery says
+		t.markDown(now, z)
 		return
 	}
 	switch z.state {
@@ -125,21 +120,44 @@
 	case Recovering:
 		t.updateRecovering(now, z)
 	case Up:
-		failing := float64(outcomes.inTime) <= downThreshold*float64(outcomes.total)
-		if outcomes.conclusive() && failing && now-outcomes.start >= windowDuration/2 {
-			t.markDown(now, z)
-			return
-		}
-		if now-outcomes.start >= windowDuration {
-			*outcomes = outcomeWindow{start: now, silentSince: outcomes.silentSince}
-		}
+		t.updateUp(now, z)
+	}
+}
+
+const (
+	windowDuration    = second / 2         // duration of the window of a zone that is up
+	minJudgedTime     = windowDuration / 2 // age of the window from which on it can take the zone down
+	minWindowOutcomes = 8                  // outcomes by which a zone is judged, or its spill
+	downThreshold     = 0.3                // part of the outcomes in time up to which a zone goes down
+)
+
+// updateUp decides whether a zone that is up goes down: by the part of its outcomes in time within a window.
+func (t *Router) updateUp(now monotime.Micros, z *zone) {
+	outcomes := &z.outcomes
+	failing := float64(outcomes.inTime) <= downThreshold*float64(outcomes.total)
+	if outcomes.conclusive() && failing && now-outcomes.start >= minJudgedTime {
+		t.markDown(now, z)
+		return
+	}
+	if now-outcomes.start >= windowDuration {
+		*outcomes = outcomeWindow{start: now, silentSince: outcomes.silentSince}
 	}
 }
 
-// conclusive reports whether a zone may be judged by the window.
+// conclusive reports whether the window has enough outcomes to judge a zone.
 func (w *outcomeWindow) conclusive() bool { return w.total >= minWindowOutcomes }
 
-// updateRecovering moves a recovery a step on, or back.
+const (
+	recoverThreshold = 0.9 // part of the outcomes in time from which on a recovery goes on
+	recoveryGrowth   = 1.5 // factor on the share from one step to the next
+	// recoveryDecreaseDivisor is that of the share if too few outcomes are in time, and that of InitialRecoveryShare
+	// for the least share.
+	recoveryDecreaseDivisor = 2
+)
+
+// updateRecovering decides on the next step of a recovery, by the part of the outcomes in time in the present one:
+// the zone goes down, gets a lower share of its requests, or a higher one once the step is over. With the whole share
+// it is up. A step without any answer goes on.
 func (t *Router) updateRecovering(now monotime.Micros, z *zone) {
 	outcomes := &z.outcomes
 	inTimeFraction := float64(outcomes.inTime) / float64(max(1, outcomes.total))
@@ -148,10 +166,11 @@
 	case outcomes.conclusive() && inTimeFraction <= downThreshold:
 		t.markDown(now, z)
 	case outcomes.total > 0 && inTimeFraction < recoverThreshold && (outcomes.conclusive() || stepOver):
-		z.recoveryShare = max(t.settings.InitialRecoveryShare/2, z.recoveryShare/2)
+		minShare := t.settings.InitialRecoveryShare / recoveryDecreaseDivisor
+		z.recoveryShare = max(minShare, z.recoveryShare/recoveryDecreaseDivisor)
 		z.until = now + t.jittered(t.settings.RecoveryStep)
 		*outcomes = outcomeWindow{start: now}
-	case stepOver && outcomes.total > 0: // a step without any answer tells nothing
+	case stepOver && outcomes.total > 0:
 		z.recoveryShare *= recoveryGrowth
 		if z.recoveryShare >= 1 {
 			z.state = Up
@@ -161,22 +180,3 @@
 		*outcomes = outcomeWindow{start: now, silentSince: outcomes.silentSince}
 	}
 }
-
-// observeSpill adjusts how much spill the zone takes by the outcome of a spilled request.
-func (z *zone) observeSpill(now monotime.Micros, inTime bool) {
-	z.spillOutcomes++
-	if inTime {
-		z.spillInTime++
-	}
-	if z.spillOutcomes < minWindowOutcomes && now-z.spillWindowStart < windowDuration {
-		return
-	}
-	if float64(z.spillInTime) >= spillInTimeThreshold*float64(z.spillOutcomes) {
-		z.spillFactor = min(1, z.spillFactor+spillIncrease)
-	} else {
-		z.spillFactor = max(minSpillFactor, z.spillFactor*spillDecrease)
-	}
-	z.spillWindowStart = now
-	z.spillInTime = 0
-	z.spillOutcomes = 0
-}
