--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -41,8 +41,8 @@
 	routers []*Router
 
 	requests, served, rejected [3]int // by home zone, since the last count
-	spilled                    [3]int // that each zone has been sent, since the last count
-	late                       [3]int // that each zone was sent and did not answer within the objective
+	spilled                    [3]int // spilled requests by the zone that got them, since the last count
+	late                       [3]int // requests by zone that it did not answer within the objective
 }
 
 // servers are a zone's cores and their queue.
@@ -106,7 +106,8 @@
 	warmupTime    = 10 * second
 )
 
-func newSimulation(t testing.TB, instances, cores int, rate float64) *simulation {
+func newSimulation(tb testing.TB, instances, cores int, rate float64) *simulation {
+	tb.Helper()
 	w := &simulation{rng: rand.New(rand.NewPCG(1, uint64(instances)))}
 	for i := range w.zones {
 		w.zones[i] = &servers{cores: cores, slow: 1}
@@ -116,7 +117,7 @@
 		s.Seed = uint64(i + 1)
 		router, err := New(s)
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		w.routers = append(w.routers, router)
 		home := i % 3
@@ -212,10 +213,11 @@
 	})
 }
 
-// stopZone stops a zone: what is there is lost, and connections fail. Discovery reports it after a delay.
+// stopZone stops a zone: requests there are lost, and connections fail. Discovery reports it after a delay.
 func (w *simulation) stopZone(number int, discoveryDelay monotime.Micros) {
 	z := w.zones[number]
-	z.stopped, z.queue = true, nil
+	z.stopped = true
+	z.queue = nil
 	w.after(discoveryDelay, func() {
 		if z.stopped {
 			w.setReady(number, 0)
@@ -225,7 +227,9 @@
 
 func (w *simulation) restartZone(number int) {
 	z := w.zones[number]
-	z.stopped, z.mute, z.warmingSince = false, false, w.now
+	z.stopped = false
+	z.mute = false
+	z.warmingSince = w.now
 	w.setReady(number, z.cores)
 }
 
@@ -243,58 +247,78 @@
 		good += w.served[i]
 		requests += w.requests[i]
 	}
-	w.requests, w.served, w.rejected, w.spilled, w.late = [3]int{}, [3]int{}, [3]int{}, [3]int{}, [3]int{}
+	for _, counts := range []*[3]int{&w.requests, &w.served, &w.rejected, &w.spilled, &w.late} {
+		*counts = [3]int{}
+	}
 	return part, float64(good) / float64(max(1, requests))
 }
 
+const (
+	outageCores = 12    // of each zone
+	outageRate  = 750.0 // requests a second of each zone's clients, of 1,200 that it can serve
+)
+
+// checkOutage runs ten seconds in which zone 0 is down, and checks that the others serve all that they can, their own
+// clients as before, and that the spill does not oscillate.
+func (w *simulation) checkOutage(t *testing.T) {
+	t.Helper()
+	minSpill := 1e9
+	maxSpill := 0.0
+	for s := range 10 {
+		w.runUntil(monotime.Micros(43+s) * second)
+		spilled := float64(w.spilled[1] + w.spilled[2])
+		minSpill = min(minSpill, spilled)
+		maxSpill = max(maxSpill, spilled)
+		part, all := w.takeCounts()
+		if part[1] < 0.95 || part[2] < 0.95 {
+			t.Errorf("second %d: the others' own clients %.3f", 43+s, part)
+		}
+		// 2,400 can be served of 2,250; 0.8 of the spare 900 is 720.
+		if want := 0.95 * (2*outageRate + 0.8*900*outageRate/900) / (3 * outageRate); all < want*0.95 {
+			t.Errorf("second %d: %.3f in all, want %.3f", 43+s, all, want)
+		}
+	}
+	if maxSpill > 1.25*minSpill {
+		t.Errorf("the spill oscillates from %v to %v a second", minSpill, maxSpill)
+	}
+	t.Logf("spill %v to %v a second", minSpill, maxSpill)
+}
+
+// checkRecovery runs the thirty seconds after zone 0 has restarted, and checks that it is never sent more than it can
+// answer in time, and that the others' clients are served.
+func (w *simulation) checkRecovery(t *testing.T) {
+	t.Helper()
+	for half := range 60 {
+		w.runUntil(52*second + monotime.Micros(half+1)*second/2)
+		if sent := w.served[0] + w.late[0]; w.late[0] > 5 && w.late[0] > sent/10 {
+			t.Errorf("%.1f s after its restart %d of %d were not answered in time", float64(half+1)/2, w.late[0], sent)
+		}
+		part, _ := w.takeCounts()
+		if part[1] < 0.9 || part[2] < 0.9 {
+			t.Errorf("%.1f s after its restart the others' clients %.3f", float64(half+1)/2, part)
+		}
+	}
+}
+
 // A zone goes down and recovers. The others serve all that they can, their own clients as before; the spill does not
 // oscillate; and the zone that recovers is never sent more than it can answer in time.
 func TestZoneOutageAndRecovery(t *testing.T) {
 	for _, instances := range []int{3, 30, 300} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
-			const cores, rate = 12, 750.0 // of 1,200 a second
-			w := newSimulation(t, instances, cores, rate)
+			w := newSimulation(t, instances, outageCores, outageRate)
 			w.runUntil(20 * second)
 			w.takeCounts()
 			w.runUntil(30 * second)
 			if part, all := w.takeCounts(); all < 0.99 {
-				t.Errorf("all well: %.3f, %.3f", all, part)
+				t.Errorf("before the outage: %.3f, %.3f", all, part)
 			}
 			w.stopZone(0, 2*second)
 			w.runUntil(42 * second) // until it is stable
 			w.takeCounts()
-			minSpill, maxSpill := 1e9, 0.0
-			for s := range 10 {
-				w.runUntil(monotime.Micros(43+s) * second)
-				spilled := float64(w.spilled[1] + w.spilled[2])
-				minSpill = min(minSpill, spilled)
-				maxSpill = max(maxSpill, spilled)
-				part, all := w.takeCounts()
-				if part[1] < 0.95 || part[2] < 0.95 {
-					t.Errorf("second %d: the others' own clients %.3f", 43+s, part)
-				}
-				// 2,400 can be served of 2,250; 0.8 of the spare 900 is 720.
-				if want := 0.95 * (2*rate + 0.8*900*rate/900) / (3 * rate); all < want*0.95 {
-					t.Errorf("second %d: %.3f in all, want %.3f", 43+s, all, want)
-				}
-			}
-			if maxSpill > 1.25*minSpill {
-				t.Errorf("the spill oscillates from %v to %v a second", minSpill, maxSpill)
-			}
-			t.Logf("spill %v to %v a second", minSpill, maxSpill)
+			w.checkOutage(t)
 			w.restartZone(0)
 			w.takeCounts()
-			for half := range 60 {
-				w.runUntil(52*second + monotime.Micros(half+1)*second/2)
-				if sent := w.served[0] + w.late[0]; w.late[0] > 5 && w.late[0] > sent/10 {
-					t.Errorf("%.1f s after its restart %d of %d were not answered in time",
-						float64(half+1)/2, w.late[0], sent)
-				}
-				part, _ := w.takeCounts()
-				if part[1] < 0.9 || part[2] < 0.9 {
-					t.Errorf("%.1f s after its restart the others' clients %.3f", float64(half+1)/2, part)
-				}
-			}
+			w.checkRecovery(t)
 			w.runUntil(100 * second)
 			w.takeCounts()
 			w.runUntil(110 * second)
@@ -352,7 +376,7 @@
 	for i := range 4 {
 		router.SetReadyEndpoints(now, 0, 0)
 		router.SetReadyEndpoints(now, 0, 5)
-		out := now
+		downAt := now
 		for {
 			now += 10 * ms
 			router.Choose(now, Request{RequiredZone: -1})
@@ -360,7 +384,7 @@
 				break
 			}
 		}
-		if downTime := now - out; i > 0 && downTime < last*5/4 {
+		if downTime := now - downAt; i > 0 && downTime < last*5/4 {
 			t.Errorf("flap %d: down for %d ms after %d", i, downTime/ms, last/ms)
 		} else {
 			last = downTime
