--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock is the one clock of a process: all its packages read instants from it. An instant is in microseconds
-// (monotime.Micros), and counts from the Unix epoch.
+// Package clock is the one clock of a process, from which all its packages read instants. An instant is in microseconds
+// since the Unix epoch (monotime.Micros).
 package clock
 
 import (
@@ -10,24 +10,25 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Clock reads instants: Unix time at its start, monotonic from there, so that a step of the system clock moves no
-// deadline. It is safe for concurrent use.
+// Clock reads instants. It is Unix time at its start and monotonic from there, so that a step of the system clock
+// moves no deadline. It is safe for concurrent use.
 type Clock struct {
-	start       time.Time
-	startUptime monotime.Micros // BootTime at the start; 0 is a clock that does not count while the host sleeps
+	start         time.Time
+	startBootTime monotime.Micros // BootTime at the start; 0 is that of a clock that may stop while the host sleeps
 }
 
-// New returns a clock that starts now. It may stand still while the host sleeps, as CLOCK_MONOTONIC does.
+// New returns a clock that starts now. It may stop while the host sleeps, as CLOCK_MONOTONIC does.
 func New() Clock { return Clock{start: time.Now()} }
 
-// NewBootClock returns a clock that starts now and goes on while the host sleeps, as CLOCK_BOOTTIME does: a lease that
-// has expired for others has then expired here, too. Where the host has no such clock, it is as New returns it.
-func NewBootClock() Clock { return Clock{start: time.Now(), startUptime: BootTime()} }
+// NewBootClock returns a clock that starts now and goes on while the host sleeps, as CLOCK_BOOTTIME does: a lease
+// that has expired for other instances has then expired here, too. If the host has no such clock, it returns what New
+// does.
+func NewBootClock() Clock { return Clock{start: time.Now(), startBootTime: BootTime()} }
 
 // Now returns the present instant.
 func (c Clock) Now() monotime.Micros {
-	if c.startUptime != 0 {
-		return c.start.UnixMicro() + BootTime() - c.startUptime
+	if c.startBootTime != 0 {
+		return c.start.UnixMicro() + BootTime() - c.startBootTime
 	}
 	return c.start.UnixMicro() + time.Since(c.start).Microseconds()
 }
@@ -35,11 +36,10 @@
 // clockBoottime is CLOCK_BOOTTIME of clock_gettime(2).
 const clockBoottime = 7
 
-// nanosPerMicro converts nanoseconds to microseconds.
 const nanosPerMicro = 1000
 
-// BootTime returns the time since the host started, its sleep included. All processes of the host read the same; 0 is
-// that the host does not tell.
+// BootTime returns the time since the host started, its sleep included, or 0 if the host has no such clock. All
+// processes of the host read the same time.
 func BootTime() monotime.Micros {
 	var t syscall.Timespec
 	_, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockBoottime, uintptr(unsafe.Pointer(&t)), 0)
--- a/internal/decide/hash64/hash64.go
+++ b/internal/decide/hash64/hash64.go
@@ -1,35 +1,51 @@
-// Package hash64 has the 64-bit hashes and the seeded random numbers of the decision packages. Instances that
-// are given the same input come to the same numbers, in every build: stored and shared decisions depend on
-// them, so that they must not change.
+// Package hash64 has the 64-bit hashes and the seeded random numbers of the decision packages. The same input gives the
+// same numbers at every instance and in every build. Stored and shared decisions depend on them: they must not change.
 package hash64
 
 // Increment is the increment of the SplitMix64 generator: 2^64 over the golden ratio.
 const Increment = 0x9e3779b97f4a7c15
 
-// Mix is the output function of SplitMix64 (Steele, Lea, Flood: "Fast Splittable Pseudorandom Number
-// Generators", 2014): a bijection in which each bit of the result depends on all bits of z.
+// The multipliers of SplitMix64's output function.
+const (
+	mixMultiplier1 = 0xbf58476d1ce4e5b9
+	mixMultiplier2 = 0x94d049bb133111eb
+)
+
+// Mix is the output function of SplitMix64 (Steele, Lea, Flood: "Fast Splittable Pseudorandom Number Generators",
+// 2014): a bijection in which each bit of the result depends on all bits of z.
 func Mix(z uint64) uint64 {
-	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
-	z = (z ^ z>>27) * 0x94d049bb133111eb
+	z = (z ^ z>>30) * mixMultiplier1
+	z = (z ^ z>>27) * mixMultiplier2
 	return z ^ z>>31
 }
 
-// SplitMix is the first number of a SplitMix64 generator with a seed; it serves as a hash of the seed.
+// SplitMix returns the first number of a SplitMix64 generator with a seed. It serves as a hash of the seed.
 func SplitMix(seed uint64) uint64 { return Mix(seed + Increment) }
 
+const (
+	hashBits = 64
+	unitBits = 53 // of a number in [0,1) that a float64 represents exactly
+)
+
 // Unit maps a hash to a number in [0,1) by its upper 53 bits.
-func Unit(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
+func Unit(hash uint64) float64 { return float64(hash>>(hashBits-unitBits)) / (1 << unitBits) }
+
+// The offset basis and the prime of the 64-bit FNV-1a hash.
+const (
+	fnvOffsetBasis = 14695981039346656037
+	fnvPrime       = 1099511628211
+)
 
-// String is the 64-bit FNV-1a hash of a string.
+// String returns the 64-bit FNV-1a hash of a string.
 func String(s string) uint64 {
-	h := uint64(14695981039346656037)
+	h := uint64(fnvOffsetBasis)
 	for i := range len(s) {
-		h = (h ^ uint64(s[i])) * 1099511628211
+		h = (h ^ uint64(s[i])) * fnvPrime
 	}
 	return h
 }
 
-// Source is a SplitMix64 generator; its value is the seed. It is for one goroutine at a time.
+// Source is a SplitMix64 generator; its value is its state, at first the seed. It is for one goroutine at a time.
 type Source uint64
 
 // Uint64 returns the next number.
@@ -38,5 +54,5 @@
 	return Mix(uint64(*s))
 }
 
-// Float64 returns the next number, in [0,1).
+// Float64 returns the next number as one in [0,1).
 func (s *Source) Float64() float64 { return Unit(s.Uint64()) }
--- a/internal/monotime/drift_test.go
+++ b/internal/monotime/drift_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The slowest other clock has shown d by then, and no duration is shortened by rounding.
+// By then d has passed by the slowest other clock, and no duration is shortened by rounding.
 func TestExtendForDriftCoversTheSlowestClock(t *testing.T) {
 	for _, c := range []struct {
 		d     Micros
