--- a/internal/decide/overload/level.go
+++ b/internal/decide/overload/level.go
@@ -86,12 +86,13 @@
 	l.value = min(1, l.value+l.requestWeight*rise)
 }
 
-// decreasePerSecond is the part of the level that is taken off within a second in which all requests fail. In
-// equilibrium the part increasePerSecond/(decreasePerSecond*level) of the requests fails: 7% at a level of a half.
-// For other values see docs/design/overload.md.
+// decreasePerSecond is the rate at which the level falls while all requests fail, as a multiple of the level a
+// second. In equilibrium the part increasePerSecond/(decreasePerSecond*level) of the requests fails: 7% at a level of
+// a half. For other values see docs/design/overload.md.
 const decreasePerSecond = 3.0
 
-// onFailure lowers the level for an admitted request that failed, unless a shared level is in force.
+// onFailure lowers the level for an admitted request that failed, unless a shared level was in force at the latest
+// request.
 func (l *admissionLevel) onFailure() {
 	l.failed++
 	if l.requestAt >= l.sharedUntil {
--- a/internal/decide/overload/shedding.go
+++ b/internal/decide/overload/shedding.go
@@ -110,7 +110,7 @@
 const (
 	maxQueueWait   = 0.8  // of the class that ranks first: shedding keeps the queues below that
 	minQueueWait   = 0.15 // of the class that ranks last: without overload hardly any request waits for longer
-	floorQueueWait = 0.35 // of the requests of the floor, whatever their class
+	floorQueueWait = 0.35 // least value for the requests of the floor, whatever their class
 )
 
 // rank orders the groups by priority weight over cost, the highest first, and sets the queue wait of each class by its
--- a/internal/engine/subset_health.go
+++ b/internal/engine/subset_health.go
@@ -12,7 +12,7 @@
 	// unhealthyAfterFailures is the number of consecutive failures from which on an endpoint is unhealthy for the
 	// subset: the same as that by which the balancer ejects it.
 	unhealthyAfterFailures = 3
-	// unhealthyDuration is the time after the latest failure for which an endpoint stays unhealthy. The balancer
+	// unhealthyDuration is the time after the latest failure during which an endpoint stays unhealthy. The balancer
 	// sends it hardly anything meanwhile, so that there is no newer evidence.
 	unhealthyDuration = 30 * monotime.Second
 )
--- a/internal/engine/tenantlimits.go
+++ b/internal/engine/tenantlimits.go
@@ -29,10 +29,10 @@
 	limitRetryAfterSpread = 0.75 // seconds that are added at most, evenly distributed
 )
 
-// rejectOverLimit decides whether a request is within its tenant's limit, in requests a second over all instances: it
-// spends one unit of the quota that the instance has been leased of that limit, and rejects the request if there is
-// none. It reports whether it rejected the request. It comes before all other admission decisions, so that a tenant
-// over its limit takes no capacity from the others.
+// rejectOverLimit decides whether a request is within its tenant's limit, in requests a second over all instances. It
+// spends one unit of that limit's quota, which is the instance's reserve and what the fleet has leased to it, and
+// rejects the request if none is left. It reports whether it rejected the request. It comes before all other
+// admission decisions, so that a tenant over its limit takes no capacity from the others.
 func (p *Pool) rejectOverLimit(now monotime.Micros, c *Call) bool {
 	x := p.engine
 	f := x.fleet
