--- a/internal/decide/route/match.go
+++ b/internal/decide/route/match.go
@@ -5,16 +5,17 @@
 	"strings"
 )
 
-// The results of Match that are no route.
+// The results of Match for a request without a route.
 const (
-	NotFound   = -1 // no pattern has this host and path, or none of those has these headers
-	NotAllowed = -2 // some have, but not this method
+	NotFound   = -1 // no pattern matches host, path and headers
+	NotAllowed = -2 // at least one pattern matches host, path and headers, but none the method
 )
 
-// Match returns the index of the pattern that matches a request, NotFound or NotAllowed. The host and the path
-// must be in the form that NormalizeHost and NormalizePath return. It allocates nothing, and takes time in
-// proportion to the path's segments and the host's labels only, but for patterns that differ in nothing but
-// parameters, methods or headers.
+// Match returns the index of the most specific pattern that matches a request, NotFound or NotAllowed. The host and the
+// path must be in the form that NormalizeHost and NormalizePath return. The search goes from the exact host over its
+// suffixes, the longest first, to patterns without a host. It allocates nothing. The time is proportional to the number
+// of the path's segments and of the host's labels, and to the number of patterns that differ only in parameters,
+// methods or headers.
 func (t *Table) Match(host, path, method string, headers map[string][]string) int {
 	s := search{method: method, headers: headers, result: NotFound}
 	rest := path[1:]
@@ -43,11 +44,11 @@
 type search struct {
 	method  string
 	headers map[string][]string
-	result  int
+	result  int // of Match, as far as is known
 }
 
-// walk searches the most specific entry from a node on, and reports whether there is one. atEnd is set if no segment is
-// left.
+// walk searches the most specific entry at and below a node for the rest of the path, and reports whether there is one.
+// atEnd is true if no segment is left.
 func (s *search) walk(n *node, rest string, atEnd bool) bool {
 	if atEnd {
 		return s.matchEntries(n.exactEntries) || s.matchEntries(n.prefixEntries)
@@ -62,8 +63,7 @@
 	return s.matchEntries(n.prefixEntries)
 }
 
-// matchEntries sets the result to the first entry that matches the headers and the method, and reports whether there is
-// one.
+// matchEntries sets the result to the first entry that matches headers and method, and reports whether there is one.
 func (s *search) matchEntries(entries []entry) bool {
 	for i := range entries {
 		e := &entries[i]
--- a/internal/decide/route/path.go
+++ b/internal/decide/route/path.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// The errors of NormalizePath. Each is of a path that two servers could read differently, or that none can read.
+// The errors of NormalizePath. A path with one of them could be read differently by two servers, or is invalid.
 var (
 	ErrNoPath       = errors.New("the path does not begin with /")
 	ErrEscape       = errors.New("a % in the path is not followed by two hexadecimal digits")
@@ -19,20 +19,27 @@
 	ErrDotParameter = errors.New("a dot segment of the path has parameters")
 )
 
-// EncodedSlashes is what becomes of an encoded slash (%2F) or backslash (%5C) in a path.
+// EncodedSlashes is the treatment of an encoded slash (%2F) or backslash (%5C) in a path.
 type EncodedSlashes uint8
 
-// The rules on encoded slashes. Some servers read one as a slash and some do not, so that the same path names
-// two resources: by default it is rejected. It is never decoded.
+// The treatments of encoded slashes. Some servers read one as a slash and some do not, so that the same path names two
+// resources: by default it is rejected. It is never decoded.
 const (
 	RejectEncodedSlashes EncodedSlashes = iota
 	KeepEncodedSlashes
 )
 
-// NormalizePath returns the normal form of a request's path, without its query, which is matched and forwarded:
-// unreserved characters are not escaped, all others that need it are, with capital digits (RFC 3986, section
-// 6.2.2); dot segments, also escaped ones, are resolved (section 5.2.4) after empty segments are removed. The
-// result is its own normal form. It allocates nothing if the path is in normal form and has no escapes.
+// Capacities of the buffers of NormalizePath, in bytes. Longer paths grow them.
+const (
+	extraPathCapacity = 8  // beyond the length of the path, for characters that get escaped
+	segmentCapacity   = 64 // of a decoded segment
+)
+
+// NormalizePath returns the normal form of a request's path, without its query, by which the request is matched and
+// forwarded. In it, unreserved characters are not escaped, and all others that need it are, with capital digits (RFC
+// 3986, section 6.2.2). Empty segments are removed, and then dot segments, escaped ones included, are resolved (section
+// 5.2.4). The result is its own normal form. NormalizePath allocates nothing if the path is in normal form and has no
+// escapes.
 func NormalizePath(path string, slashes EncodedSlashes) (string, error) {
 	if path == "" || path[0] != '/' {
 		return "", ErrNoPath
@@ -40,8 +47,8 @@
 	if isNormal(path) {
 		return path, nil
 	}
-	out := make([]byte, 0, len(path)+8)
-	decoded := make([]byte, 0, 64) // of the segment
+	out := make([]byte, 0, len(path)+extraPathCapacity)
+	decoded := make([]byte, 0, segmentCapacity) // the segment without escapes
 	rest := path[1:]
 	last := false
 	for !last {
@@ -57,22 +64,8 @@
 		if out, decoded, err = appendSegment(out, decoded, segment, slashes); err != nil {
 			return "", err
 		}
-		name, _, parameters := strings.Cut(string(decoded), ";")
-		if name == "." || name == ".." {
-			if parameters {
-				return "", ErrDotParameter // "/a/..;x/b": some servers drop the parameter first
-			}
-			out = out[:segmentStart]
-			if name == ".." {
-				i := bytes.LastIndexByte(out, '/')
-				if i < 0 {
-					return "", ErrAboveRoot
-				}
-				out = out[:i]
-			}
-			if last {
-				out = append(out, '/')
-			}
+		if out, err = resolveDotSegment(out, segmentStart, decoded, last); err != nil {
+			return "", err
 		}
 	}
 	if path[len(path)-1] == '/' && (len(out) == 0 || out[len(out)-1] != '/') || len(out) == 0 {
@@ -81,37 +74,50 @@
 	return string(out), nil
 }
 
+// resolveDotSegment removes the segment at the end of out if it is a dot segment, together with the segment before it
+// if it is "..". Any other segment stays. last is true if it is the last segment of the path, which a slash replaces.
+func resolveDotSegment(out []byte, segmentStart int, decoded []byte, last bool) ([]byte, error) {
+	name, _, hasParameters := strings.Cut(string(decoded), ";")
+	if name != "." && name != ".." {
+		return out, nil
+	}
+	if hasParameters {
+		return nil, ErrDotParameter // "/a/..;x/b": some servers drop the parameter first
+	}
+	out = out[:segmentStart]
+	if name == ".." {
+		i := bytes.LastIndexByte(out, '/')
+		if i < 0 {
+			return nil, ErrAboveRoot
+		}
+		out = out[:i]
+	}
+	if last {
+		out = append(out, '/')
+	}
+	return out, nil
+}
+
 // appendSegment appends a segment's normal form to out, and the segment without escapes to decoded.
 func appendSegment(out, decoded []byte, segment string, slashes EncodedSlashes) ([]byte, []byte, error) {
 	for i := 0; i < len(segment); i++ {
 		c := segment[i]
-		switch {
-		case c == '%':
-			if i+2 >= len(segment) {
-				return nil, nil, ErrEscape
-			}
-			high := hexValue(segment[i+1])
-			low := hexValue(segment[i+2])
-			if high > 15 || low > 15 {
+		escaped := c == '%'
+		if escaped {
+			var ok bool
+			if c, ok = unescape(segment[i:]); !ok {
 				return nil, nil, ErrEscape
 			}
-			i += 2
-			c = high<<4 | low
-			switch {
-			case c < ' ' || c == 0x7f:
-				return nil, nil, ErrControl
-			case (c == '/' || c == '\\') && slashes == RejectEncodedSlashes:
-				return nil, nil, ErrEncodedSlash
-			case isUnreserved(c):
-				out = append(out, c)
-			default:
-				out = appendEscaped(out, c)
-			}
-		case c == '\\':
-			return nil, nil, ErrBackslash
-		case c < ' ' || c == 0x7f:
+			i += len("%41") - 1
+		}
+		switch {
+		case c < ' ' || c == del:
 			return nil, nil, ErrControl
-		case isPathChar[c]:
+		case escaped && (c == '/' || c == '\\') && slashes == RejectEncodedSlashes:
+			return nil, nil, ErrEncodedSlash
+		case !escaped && c == '\\':
+			return nil, nil, ErrBackslash
+		case isUnreserved(c), !escaped && isPathChar[c]:
 			out = append(out, c)
 		default:
 			out = appendEscaped(out, c)
@@ -124,7 +130,23 @@
 	return out, decoded, nil
 }
 
-// isNormal reports whether a path is certainly in normal form; it may be so even if the result is false.
+// del is the control character DEL.
+const del = 0x7f
+
+// unescape returns the byte of the percent-encoded triplet at the start of text; ok is false if it is invalid.
+func unescape(text string) (c byte, ok bool) {
+	if len(text) < len("%41") {
+		return 0, false
+	}
+	high := hexValue(text[1])
+	low := hexValue(text[2])
+	if high == notHex || low == notHex {
+		return 0, false
+	}
+	return high<<bitsPerHexDigit | low, true
+}
+
+// isNormal reports whether a path is certainly in normal form. It may be in normal form even if the result is false.
 func isNormal(path string) bool {
 	for i := 0; i < len(path); i++ {
 		switch c := path[i]; {
@@ -147,7 +169,7 @@
 	return path, "", true
 }
 
-// Segment returns the n-th segment of a path in normal form, from 0; "" if there are fewer.
+// Segment returns the n-th segment of a path in normal form, from 0, or "" if there are fewer.
 func Segment(path string, n int) string {
 	rest := strings.TrimPrefix(path, "/")
 	for last := false; !last; n-- {
@@ -160,8 +182,8 @@
 	return ""
 }
 
-// NormalizeHost returns the normal form of a Host header, which is matched: without its port, in lower case,
-// without the dot of the root. It allocates nothing if the host is in normal form.
+// NormalizeHost returns the normal form of a Host header, by which the request is matched: without its port, in lower
+// case, without the dot of the root. It allocates nothing if the host is in normal form.
 func NormalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -172,10 +194,16 @@
 // appendEscaped appends a byte as a percent-encoded triplet.
 func appendEscaped(out []byte, c byte) []byte {
 	const digits = "0123456789ABCDEF"
-	return append(out, '%', digits[c>>4], digits[c&15])
+	return append(out, '%', digits[c>>bitsPerHexDigit], digits[c&(1<<bitsPerHexDigit-1)])
 }
 
-// hexValue returns the value of a hexadecimal digit, 255 if it is none.
+// bitsPerHexDigit is the number of bits of a hexadecimal digit.
+const bitsPerHexDigit = 4
+
+// notHex is the result of hexValue for a byte that is not a hexadecimal digit.
+const notHex = 255
+
+// hexValue returns the value of a hexadecimal digit, or notHex.
 func hexValue(c byte) byte {
 	switch {
 	case '0' <= c && c <= '9':
@@ -185,7 +213,7 @@
 	case 'A' <= c && c <= 'F':
 		return c - 'A' + 10
 	}
-	return 255
+	return notHex
 }
 
 // isUnreserved reports whether a byte is an unreserved character (RFC 3986, section 2.3).
@@ -193,7 +221,7 @@
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || strings.IndexByte("-._~", c) >= 0
 }
 
-// isPathChar is pchar of RFC 3986, section 3.3, but for escapes.
+// isPathChar has the characters of pchar (RFC 3986, section 3.3) without escapes.
 var isPathChar = func() (is [256]bool) {
 	for c := range 256 {
 		is[c] = isUnreserved(byte(c)) || c != 0 && strings.IndexByte("!$&'()*+,;=:@", byte(c)) >= 0
--- a/internal/decide/route/pattern.go
+++ b/internal/decide/route/pattern.go
@@ -1,9 +1,9 @@
-// Package route decides which of the operator's routes takes a request: it matches hosts, paths, methods and
-// headers against patterns. It must not import what a route does with a request, nor sockets. A Table does not
-// change after it was made, and a match depends on nothing else.
+// Package route decides which of the operator's routes a request takes: it matches host, path, method and headers
+// against patterns. A Table does not change after New, and a match depends on nothing else. The package must not import
+// sockets, or the packages that handle the routes' requests.
 //
-// Where several patterns match, the most specific one wins, whatever their order in the file. The parts are
-// compared in this order, and the first that differs decides:
+// Where several patterns match, the most specific one wins, whatever their order in the file. They are compared by
+// these parts, in this order, and the first part that differs decides:
 //
 //  1. the host: an exact one, before a longer suffix, before a shorter one, before none;
 //  2. the path, segment by segment: a literal, before a parameter, before the end of a prefix (an exact path
@@ -11,7 +11,7 @@
 //  3. headers: more that must have a value, then more that must be present;
 //  4. the method: named, before any.
 //
-// Two patterns that could match the same request and are equal in all four are an error.
+// Two patterns that could match the same request and are equal in all four parts are an error.
 package route
 
 import (
@@ -20,21 +20,21 @@
 	"strings"
 )
 
-// Pattern is which requests a route takes. The zero Pattern takes all.
+// Pattern describes the requests that take a route. The zero Pattern matches all.
 type Pattern struct {
-	Host    string   // "", "name", or "*.suffix" for all names below the suffix
-	Path    string   // "", "/exact", "/prefix/*" for the prefix and all below; segments may be {parameters}
-	Methods []string // empty is any
-	Headers []Header // all must match
+	Host    string   // "name", "*.suffix" for all names below the suffix, or "" for any
+	Path    string   // "/exact", "/prefix/*" for it and all below, or "" for any; segments may be {parameters}
+	Methods []string // empty for any
+	Headers []Header // conditions that must all be met
 }
 
 // Header is a condition on a request's header, of which the first value counts.
 type Header struct {
 	Name  string // in canonical form
-	Value string // "" is any: the header must be present
+	Value string // "" for any value: the header must be present
 }
 
-// PatternError is the error of one invalid pattern.
+// PatternError is the error of New for an invalid pattern.
 type PatternError struct {
 	Index  int    // of the pattern
 	Key    string // of the pattern: "host", "path", "method" or "header"
@@ -46,10 +46,11 @@
 	return fmt.Sprintf("route %d: %s: %s", e.Index, e.Key, e.Reason)
 }
 
-// ConflictError is the error of two patterns that could match the same request, neither of which is the more specific.
+// ConflictError is the error of New for two patterns that could match the same request, neither of which is more
+// specific.
 type ConflictError struct {
-	First  int // index of the pattern
-	Second int
+	First  int // index of the first of the two patterns
+	Second int // index of the second
 }
 
 // Error returns the indexes of both patterns.
@@ -57,7 +58,7 @@
 	return fmt.Sprintf("routes %d and %d can take the same request, and neither is more specific", e.First, e.Second)
 }
 
-// validate returns which key of a pattern is invalid by itself and why; an empty reason is none.
+// validate returns the first key of a pattern that is invalid by itself, and the reason; both are empty if it is valid.
 func (p *Pattern) validate() (key, reason string) {
 	if p.Host != "" && !validHost(strings.TrimPrefix(p.Host, "*.")) {
 		return "host", fmt.Sprintf("%q is neither a name in small letters without a port nor \"*.suffix\"", p.Host)
@@ -81,7 +82,7 @@
 	return host != "" && host == NormalizeHost(host) && !strings.ContainsAny(host, "*/ ")
 }
 
-// validateMethods returns why methods are invalid; "" is valid.
+// validateMethods returns why methods are invalid, empty if they are valid.
 func validateMethods(methods []string) (reason string) {
 	for i, m := range methods {
 		if m == "" || strings.ContainsFunc(m, func(r rune) bool { return r <= ' ' || r > '~' }) {
@@ -94,7 +95,7 @@
 	return ""
 }
 
-// validateHeaders returns why conditions on headers are invalid; "" is valid.
+// validateHeaders returns why conditions on headers are invalid, empty if they are valid.
 func validateHeaders(headers []Header) (reason string) {
 	for i, h := range headers {
 		if h.Name == "" {
@@ -107,7 +108,8 @@
 	return ""
 }
 
-// validatePath returns why a pattern's path is invalid; "" is valid.
+// validatePath returns why a pattern's path is invalid, empty if it is valid. Its literal segments must be in normal
+// form, since requests' paths are matched in normal form.
 func validatePath(path string) (reason string) {
 	path, prefix := strings.CutSuffix(path, "*")
 	if prefix && !strings.HasSuffix(path, "/") || path == "" || path[0] != '/' || strings.Contains(path, "*") {
@@ -141,7 +143,7 @@
 
 // parameterName returns the name of a {named} segment; ok is false for other segments.
 func parameterName(segment string) (name string, ok bool) {
-	if len(segment) < 3 || segment[0] != '{' || segment[len(segment)-1] != '}' {
+	if len(segment) < len("{x}") || segment[0] != '{' || segment[len(segment)-1] != '}' {
 		return "", false
 	}
 	name = segment[1 : len(segment)-1]
--- a/internal/decide/route/table.go
+++ b/internal/decide/route/table.go
@@ -5,31 +5,32 @@
 	"strings"
 )
 
-// Table finds the route of a request. Make one with New; it may be used by several goroutines at once.
+// Table finds the route of a request, with a tree of path segments for each host. Create one with New. It is safe for
+// concurrent use.
 type Table struct {
 	exactHosts   map[string]*node // by host
-	hostSuffixes map[string]*node // by what follows "*."
-	anyHost      *node
+	hostSuffixes map[string]*node // by the suffix after "*."
+	anyHost      *node            // of patterns without a host; nil if there are none
 	parameters   []map[string]int // by pattern: the index of each parameter's segment
 }
 
-// node is the node of a prefix tree that a number of segments leads to.
+// node is a node of the tree: the end of a path of segments.
 type node struct {
-	literals      map[string]*node
-	parameter     *node
-	exactEntries  []entry // patterns whose path ends here, the most specific first
-	prefixEntries []entry // patterns that match all paths from here on, the same
+	literals      map[string]*node // children by literal segment
+	parameter     *node            // child of any segment that is not empty
+	exactEntries  []entry          // patterns whose path ends here, the most specific first
+	prefixEntries []entry          // patterns that match all paths from here on, the most specific first
 }
 
-// entry is a pattern, without its host and path.
+// entry is a pattern without its host and path.
 type entry struct {
-	index         int
+	index         int // of the pattern
 	methods       []string
 	headers       []Header
-	valuedHeaders int // headers that must have a value
+	valuedHeaders int // number of headers that must have a certain value
 }
 
-// New returns a table of patterns, or a *PatternError or *ConflictError.
+// New returns a table of patterns. It fails with a *PatternError or a *ConflictError.
 func New(patterns []Pattern) (*Table, error) {
 	t := &Table{
 		exactHosts:   map[string]*node{},
@@ -44,7 +45,7 @@
 	return t, nil
 }
 
-// insert adds a pattern to the table.
+// insert adds a pattern to the table, and keeps the entries of its node in the order of specificity.
 func (t *Table) insert(index int, p *Pattern) error {
 	if key, reason := p.validate(); reason != "" {
 		return &PatternError{index, key, reason}
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// hostNode returns the root of a pattern's host, and makes it if need be.
+// hostNode returns the root of the tree of a pattern's host, and creates it if it does not exist.
 func (t *Table) hostNode(host string) *node {
 	if host == "" {
 		if t.anyHost == nil {
@@ -93,8 +94,8 @@
 	return nodes[host]
 }
 
-// insertPath returns the node at the end of a pattern's path, and makes what is missing on the way. It returns
-// also whether the path is a prefix, and the index of each parameter's segment.
+// insertPath returns the node at the end of a pattern's path, and creates the nodes that do not exist. It also reports
+// whether the path is a prefix, and returns the index of each parameter's segment.
 func (n *node) insertPath(path string) (end *node, prefix bool, parameters map[string]int) {
 	if path == "" {
 		return n, true, nil
@@ -121,7 +122,7 @@
 	return n, prefix, parameters
 }
 
-// literalChild returns the node that a literal segment leads to, and makes it if need be.
+// literalChild returns the child of a literal segment, and creates it if it does not exist.
 func (n *node) literalChild(segment string) *node {
 	if n.literals == nil {
 		n.literals = map[string]*node{}
@@ -132,7 +133,7 @@
 	return n.literals[segment]
 }
 
-// moreSpecificThan reports whether an entry is more specific than another of the same host and path.
+// moreSpecificThan reports whether an entry is more specific than another one of the same host and path.
 func (e *entry) moreSpecificThan(other *entry) bool {
 	if e.valuedHeaders != other.valuedHeaders {
 		return e.valuedHeaders > other.valuedHeaders
@@ -159,8 +160,8 @@
 	return true
 }
 
-// ParameterIndex returns the index, from 0, of a parameter's segment in a pattern's path; Segment returns its
-// value in a request's.
+// ParameterIndex returns the index, from 0, of a parameter's segment in a pattern's path, by which Segment returns its
+// value in a request's path. ok is false if the pattern has no such parameter.
 func (t *Table) ParameterIndex(index int, name string) (position int, ok bool) {
 	position, ok = t.parameters[index][name]
 	return position, ok
