--- a/internal/consensus/boltstore.go
+++ b/internal/consensus/boltstore.go
@@ -1,6 +1,7 @@
 package consensus
 
 import (
+	"bytes"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -11,10 +12,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// BoltStore is a LogStore in a file of go.etcd.io/bbolt, whose transactions are atomic and durable. Its methods may
-// be called from many goroutines. The caller of OpenBoltStore must close it.
+// BoltStore is a LogStore in a file of go.etcd.io/bbolt, whose transactions are atomic and durable. It is safe for
+// concurrent use. The caller of OpenBoltStore must close it.
 //
-// The file's form is that of earlier builds: a bucket "meta" with the keys "hard" and "snapshot", and a bucket
+// The file has the form of earlier builds: a bucket "meta" with the keys "hard" and "snapshot", and a bucket
 // "entries" with each entry under its index (8 bytes, big endian); all values are in raft's protocol buffers.
 type BoltStore struct{ db *bbolt.DB }
 
@@ -28,12 +29,15 @@
 	keySnapshot   = []byte("snapshot")
 )
 
-// openTimeout bounds how long OpenBoltStore waits for another process that has the file open.
+// openTimeout is the time for which OpenBoltStore waits for another process that has the file open.
 const openTimeout = 2 * time.Second
 
-// OpenBoltStore opens a file and creates it if needed. Only one process may have it open.
+// fileMode lets only the process's user read and write the file.
+const fileMode = 0o600
+
+// OpenBoltStore opens a file, and creates it if it does not exist. Only one process may have it open.
 func OpenBoltStore(path string) (*BoltStore, error) {
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout})
+	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: openTimeout})
 	if err != nil {
 		return nil, fmt.Errorf("consensus: open %s: %w", path, err)
 	}
@@ -46,7 +50,7 @@
 		return nil
 	})
 	if err != nil {
-		_ = db.Close() // the error before says more
+		_ = db.Close() // the earlier error is the cause
 		return nil, fmt.Errorf("consensus: create the buckets of %s: %w", path, err)
 	}
 	return &BoltStore{db: db}, nil
@@ -55,7 +59,7 @@
 // Close closes the file.
 func (s *BoltStore) Close() error { return s.db.Close() }
 
-// Load returns what is stored. Its errors wrap ErrCorrupt if the content is invalid.
+// Load returns the stored log. Its error wraps ErrCorrupt if the content is invalid.
 func (s *BoltStore) Load() (stored StoredLog, empty bool, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
@@ -81,17 +85,17 @@
 	return stored, empty, err
 }
 
-// loadEntries returns the entries after an index, or an error where one is missing.
+// loadEntries returns the entries after an index, or an error that wraps ErrCorrupt if one is invalid or missing.
 func loadEntries(bucket *bbolt.Bucket, after uint64) ([]*raftpb.Entry, error) {
 	var entries []*raftpb.Entry
 	last := after
 	err := bucket.ForEach(func(key, value []byte) error {
 		entry := &raftpb.Entry{}
-		if proto.Unmarshal(value, entry) != nil || len(key) != 8 || binary.BigEndian.Uint64(key) != entry.GetIndex() {
+		if proto.Unmarshal(value, entry) != nil || !bytes.Equal(key, entryKey(entry.GetIndex())) {
 			return fmt.Errorf("%w: an entry", ErrCorrupt)
 		}
 		if entry.GetIndex() <= last {
-			return nil // the snapshot has it
+			return nil // it is in the snapshot
 		}
 		last++
 		if entry.GetIndex() != last {
@@ -103,7 +107,7 @@
 	return entries, err
 }
 
-// Save stores what is new in one transaction.
+// Save stores its arguments in one transaction.
 func (s *BoltStore) Save(hard *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	snapshotIndex := snapshot.GetMetadata().GetIndex()
 	if hard == nil && len(entries) == 0 && snapshotIndex == 0 {
@@ -132,7 +136,8 @@
 	return nil
 }
 
-// replaceEntries puts entries in the place of those from the first of them on, which an earlier leader has put there.
+// replaceEntries stores entries in place of all stored ones from the first one's index on, which are an earlier
+// leader's.
 func replaceEntries(bucket *bbolt.Bucket, entries []*raftpb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -148,7 +153,7 @@
 	return nil
 }
 
-// deleteEntries deletes the entries from an index on and before another; 0 is no bound.
+// deleteEntries deletes the entries from an index on and before another one; 0 is no bound.
 func deleteEntries(bucket *bbolt.Bucket, from, before uint64) error {
 	var keys [][]byte
 	cursor := bucket.Cursor()
@@ -158,7 +163,7 @@
 		}
 		keys = append(keys, append([]byte(nil), key...))
 	}
-	// A bucket must not change under its cursor.
+	// A bucket must not be changed while a cursor is in use.
 	for _, key := range keys {
 		if err := bucket.Delete(key); err != nil {
 			return err
@@ -167,8 +172,10 @@
 	return nil
 }
 
+// entryKey returns the key of the entry at an index.
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
+// putMessage stores a message of raft under a key.
 func putMessage(bucket *bbolt.Bucket, key []byte, m proto.Message) error {
 	encoded, err := proto.Marshal(m)
 	if err != nil {
--- a/internal/consensus/boltstore_test.go
+++ b/internal/consensus/boltstore_test.go
@@ -14,14 +14,15 @@
 	return &raftpb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Data: []byte("x")}
 }
 
-func closeStore(t testing.TB, store *BoltStore) {
-	t.Helper()
+func closeStore(tb testing.TB, store *BoltStore) {
+	tb.Helper()
 	if err := store.Close(); err != nil {
-		t.Error(err)
+		tb.Error(err)
 	}
 }
 
-// What was saved is loaded, with what another leader put in its place; a gap and a file of another kind are errors.
+// Load returns what Save has stored, with the entries that another leader has replaced. A gap is an error, and so is a
+// file of another kind.
 func TestBoltStoreLoadsWhatWasSaved(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	store, err := OpenBoltStore(path)
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -14,7 +14,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// memoryStore is a LogStore that outlives its process.
+// memoryStore is a LogStore in memory, which outlives its simulated process.
 type memoryStore struct {
 	hard     *raftpb.HardState
 	snapshot *raftpb.Snapshot
@@ -66,16 +66,16 @@
 	pausedUntil float64
 	clockRate   float64
 	clockZero   float64
-	store       *memoryStore       // nil is no voter
-	inFlight    map[string]float64 // until when a request is in flight, by machine
-	predecessor map[string]float64 // the same of the process whose place this one took over while it served
+	store       *memoryStore       // nil if it is not a voter
+	inFlight    map[string]float64 // end of the latest request in flight, by machine
+	predecessor map[string]float64 // the same of the predecessor in a hot restart
 }
 
 func (p *instance) clock(now float64) monotime.Micros {
 	return monotime.Micros((now - p.clockZero) * p.clockRate)
 }
 
-// delivery is a message under way.
+// delivery is a message in flight.
 type delivery struct {
 	at       float64
 	from, to *instance
@@ -107,23 +107,24 @@
 	incarnations uint64
 	machines     []maintenance.MachineStatus
 	tickInterval monotime.Micros
-	furthest     *instance // whose state is applied furthest
+	furthest     *instance // the one with the highest applied index
 	fault        fault
-	sent         int
-	violation    string // the first that check has found
+	sent         int    // requests sent to machines
+	violation    string // the first one that check has found
 }
 
-// newCluster starts a cluster of three voters, i0 to i2, and of so many other instances.
-func newCluster(t testing.TB, others int, seed uint64) *cluster {
+// newCluster starts a cluster of three voters, i0 to i2, and the given number of other instances.
+func newCluster(tb testing.TB, others int, seed uint64) *cluster {
+	tb.Helper()
 	const voters = 3
 	c := &cluster{
-		t:            t,
+		t:            tb,
 		rng:          rand.New(rand.NewPCG(seed, 5)),
 		cut:          map[[2]string]bool{},
 		tickInterval: monotime.Second / 20,
 	}
 	if seed%2 == 1 {
-		// A leader that is cut off goes on to think that it leads for longer than a lease.
+		// A leader that is cut off believes that it leads for longer than a lease.
 		c.tickInterval = monotime.Second / 5
 	}
 	for i := range 8 {
@@ -145,6 +146,7 @@
 	return c
 }
 
+// start starts a process of an instance, with a clock of its own.
 func (c *cluster) start(p *instance) {
 	c.incarnations++
 	p.clockRate = 1 + 0.005*(2*c.rng.Float64()-1)
@@ -171,7 +173,7 @@
 	return Settings{Self: p.name, Voters: c.voters, Maintenance: testSettings, TickInterval: c.tickInterval}
 }
 
-// attach has an instance run a node.
+// attach lets an instance run a node.
 func (c *cluster) attach(p *instance, node *Node) {
 	p.node = node
 	status := func() maintenance.FleetStatus {
@@ -212,7 +214,7 @@
 	return nil
 }
 
-// sendMessages puts an instance's messages on their way.
+// sendMessages puts an instance's messages on the network.
 func (c *cluster) sendMessages(p *instance) {
 	for _, out := range p.node.TakeOutgoing() {
 		to := c.find(out.To)
@@ -227,12 +229,12 @@
 	}
 }
 
-// step goes on by a while: messages arrive, timers fire, and each instance sends requests where it may.
+// step advances the time: messages arrive, timers fire, and each instance sends requests to machines.
 func (c *cluster) step(d float64) {
 	c.now += d
-	underWay := c.deliveries
+	inFlight := c.deliveries
 	c.deliveries = nil
-	for _, m := range underWay {
+	for _, m := range inFlight {
 		switch {
 		case m.at > c.now || m.to.pausedUntil > c.now:
 			c.deliveries = append(c.deliveries, m)
@@ -260,7 +262,8 @@
 	c.check()
 }
 
-// sendRequest has an instance send a request to a machine where its follower lets it, and end what has to end.
+// sendRequest lets an instance send a request to a random machine if its follower allows that, and end the requests
+// that its follower requires to end.
 func (c *cluster) sendRequest(p *instance) {
 	follower := p.node.PlanFollower()
 	now := p.clock(c.now)
@@ -286,8 +289,8 @@
 	}
 }
 
-// excludedUnderLease returns what nothing new may go to while a lease lasts: an instance without one that goes by it
-// is the fault.
+// excludedUnderLease returns the machines that are excluded during a lease. An instance that still uses that list after
+// its lease has the fault.
 func excludedUnderLease(follower *maintenance.Follower, now monotime.Micros) (excluded []string) {
 	underLease := follower.ExcludedMachines(now - 10*monotime.Second)
 	for _, machine := range follower.ExcludedMachines(now) {
@@ -298,7 +301,7 @@
 	return excluded
 }
 
-// check holds all instances against the state that a voter has applied furthest: nothing is in flight at a machine
+// check compares all instances with the state of the voter that has applied most: nothing is in flight at a machine
 // under maintenance, and no bound is broken.
 func (c *cluster) check() {
 	if c.furthest == nil || c.violation != "" {
@@ -367,7 +370,7 @@
 	return OperatorReply{}
 }
 
-// request submits a request for machines at the instance that is no voter.
+// request submits a request for machines at an instance that is not a voter.
 func (c *cluster) request(id string, machines ...string) OperatorReply {
 	c.t.Helper()
 	return c.submit("i3", maintenance.Command{Request: &maintenance.Request{
@@ -375,8 +378,8 @@
 	}})
 }
 
-// finish completes the work on each machine as it comes to be done, and returns how many machines are left after so
-// long.
+// finish completes the work on each machine that is under maintenance, for the given time, and returns the number of
+// machines that are left in the plan.
 func (c *cluster) finish(d float64) (left int) {
 	for end := c.now + d; c.now < end && c.violation == ""; {
 		c.run(1e5)
@@ -407,7 +410,7 @@
 	return names
 }
 
-// injectFaults breaks things for a number of rounds, with maintenance going on.
+// injectFaults injects random faults for a number of rounds, while maintenance goes on.
 func (c *cluster) injectFaults(rounds int) {
 	for range rounds {
 		c.injectFault(c.instances[c.rng.IntN(len(c.instances))])
@@ -425,7 +428,7 @@
 	}
 }
 
-// injectFault breaks one thing, at an instance where it concerns one.
+// injectFault injects one random fault, of the given instance or of the network.
 func (c *cluster) injectFault(p *instance) {
 	switch c.rng.IntN(9) {
 	case 0, 1:
@@ -455,7 +458,7 @@
 	}
 }
 
-// hotRestart has another process take an instance's place; the one before it ends its requests within a lease and the
+// hotRestart replaces an instance's process by a successor. The predecessor ends its requests within a lease and the
 // grace time.
 func (c *cluster) hotRestart(p *instance) {
 	predecessor := p.inFlight
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -9,34 +9,25 @@
 	"dunlinsail/internal/monotime"
 )
 
-const (
-	// proposalRetry is after how long a proposal that has not been applied is made again.
-	proposalRetry = monotime.Second
-	// fleetStatusInterval is from one look at the fleet's status to the next.
-	fleetStatusInterval = monotime.Second / 2
-	// clockEntryInterval is from one clock entry to the next while a machine is in the plan.
-	clockEntryInterval = monotime.Second
-)
-
-// leaderTerm is what an instance knows while it leads. Each term of leadership has its own.
+// leaderTerm is the state of the leader. Each term of leadership has its own.
 type leaderTerm struct {
 	number      uint64 // raft's
 	coordinator *maintenance.Coordinator
-	clockBase   monotime.Micros            // the state's clock as the term began,
-	clockBaseAt monotime.Micros            // and the own clock then
-	retryAt     map[string]monotime.Micros // when a proposal may be made again, by its key
+	clockBase   monotime.Micros            // the state's clock at the start of the term
+	clockBaseAt monotime.Micros            // the local clock at the start of the term
+	retryAt     map[string]monotime.Micros // when a proposal may be repeated, by its key
 
-	pendingReads []readRequest   // that wait for the ReadIndex round under way
-	queuedReads  []readRequest   // that wait for the next one
-	readRetryAt  monotime.Micros // when the round under way is asked for again
+	pendingReads []readRequest   // wait for the present ReadIndex round
+	queuedReads  []readRequest   // wait for the next round
+	readRetryAt  monotime.Micros // when the present round is started again
 }
 
-// isLeader reports whether this instance leads, as far as it knows: another may lead already.
+// isLeader reports whether this instance leads, as far as it knows: another one may have been elected already.
 func (n *Node) isLeader() bool {
 	return n.rawNode != nil && n.rawNode.BasicStatus().RaftState == raft.StateLeader
 }
 
-// runLeader does what falls to the leader.
+// runLeader does the leader's work: it proposes commands and runs ReadIndex rounds.
 func (n *Node) runLeader(now monotime.Micros) {
 	if !n.isLeader() {
 		n.term = nil
@@ -52,8 +43,9 @@
 	n.runReads(now)
 }
 
-// enterTerm starts a term of leadership where raft has come to another one, and reports whether this instance may act
-// as the leader: it may not before an entry of its term is applied, and with it all that was committed before.
+// enterTerm starts a term of leadership if raft's term is a new one, and reports whether this instance may act as the
+// leader. It may not before it has applied an entry of its own term, and with it all entries that were committed
+// before.
 func (n *Node) enterTerm(now monotime.Micros) bool {
 	number := n.rawNode.BasicStatus().GetTerm()
 	if n.term != nil && n.term.number == number {
@@ -72,12 +64,12 @@
 	return true
 }
 
-// stateClock returns the state's clock: it goes on with the leader's own.
+// stateClock returns the time of the state's clock, which advances with the leader's local clock.
 func (n *Node) stateClock(now monotime.Micros) monotime.Micros {
 	return max(n.state.Now, n.term.clockBase+now-n.term.clockBaseAt)
 }
 
-// proposeProgress proposes the phases that machines have come to by what instances report.
+// proposeProgress proposes the phases that machines have reached by the instances' reports.
 func (n *Node) proposeProgress(now monotime.Micros) {
 	progress := n.term.coordinator.Progress(now, n.state)
 	n.waitReasons = progress.WaitReasons
@@ -89,7 +81,10 @@
 	}
 }
 
-// proposeFleetStatus proposes the fleet's status where it differs from that of the state.
+// fleetStatusInterval is the time from one check of the fleet's status to the next.
+const fleetStatusInterval = monotime.Second / 2
+
+// proposeFleetStatus proposes the fleet's status if it differs from the status in the replicated state.
 func (n *Node) proposeFleetStatus(now monotime.Micros) {
 	if n.fleetStatus == nil || now < n.fleetStatusAt {
 		return
@@ -101,7 +96,10 @@
 	}
 }
 
-// proposeClock proposes a clock entry, by which time goes on for the machines in the plan.
+// clockEntryInterval is the time from one clock entry to the next while a machine is in the plan.
+const clockEntryInterval = monotime.Second
+
+// proposeClock proposes a clock entry, which advances the state's clock: machines become overdue or warmed up by it.
 func (n *Node) proposeClock(now monotime.Micros) {
 	if now < n.clockEntryAt || len(n.state.Machines) == 0 {
 		return
@@ -110,8 +108,11 @@
 	n.propose(now, maintenance.Command{})
 }
 
-// proposeOnce proposes a command unless the proposal of the same key is younger than proposalRetry: it may be under
-// way.
+// proposalRetry is the time after which a proposal that has not been applied is repeated.
+const proposalRetry = monotime.Second
+
+// proposeOnce proposes a command, unless one with the same key was proposed less than proposalRetry ago and may still
+// be committed.
 func (n *Node) proposeOnce(now monotime.Micros, key string, command maintenance.Command) {
 	if now < n.term.retryAt[key] {
 		return
@@ -126,7 +127,7 @@
 	n.lastNumber++
 	entry, err := json.Marshal(logEntry{ProposalID: n.lastNumber, Command: command})
 	if err != nil {
-		panic(err) // a command holds nothing that JSON cannot encode
+		panic(err) // JSON can encode each field of a command
 	}
 	return n.lastNumber, n.rawNode.Propose(entry) == nil
 }
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -5,44 +5,44 @@
 	"dunlinsail/internal/monotime"
 )
 
-// The json tags of this package are the stored and sent names: of raft's log entries (JSON), of messages between
-// instances (CBOR, whose encoder goes by them too) and of operators' calls (JSON). They are those of earlier builds
-// and must not change.
+// The json tags of this package are the stored and sent names: in raft's log entries (JSON), in messages between
+// instances (CBOR, whose encoder uses them too) and in operators' calls (JSON). Earlier builds have the same names,
+// which must not change.
 
-// Message is what instances send each other. One of its fields is set. Messages may be lost, late, doubled or out of
-// order.
+// Message is what instances send to each other. One of its fields is set. Messages may be lost, delayed, duplicated or
+// reordered.
 type Message struct {
 	Raft            []byte                 `json:"Raft"`    // between voters: a raftpb.Message
 	NoLog           bool                   `json:"Blank"`   // between voters: the sender has no log
-	Report          *maintenance.Report    `json:"Report"`  // to the leader, or to every voter while it is not known
-	Grant           *maintenance.PlanGrant `json:"Told"`    // the leader's answer to a Report
-	Leader          string                 `json:"Leader"`  // another voter's answer: who leads
-	OperatorRequest *OperatorRequest       `json:"Command"` // to the leader, or to every voter while it is not known
-	OperatorReply   *OperatorReply         `json:"Reply"`   // the leader's answer to an OperatorRequest
+	Report          *maintenance.Report    `json:"Report"`  // to the leader, or to all voters if it is unknown
+	Grant           *maintenance.PlanGrant `json:"Told"`    // the leader's reply to a Report
+	Leader          string                 `json:"Leader"`  // another voter's reply: the leader's name
+	OperatorRequest *OperatorRequest       `json:"Command"` // to the leader, or to all voters if it is unknown
+	OperatorReply   *OperatorReply         `json:"Reply"`   // the leader's reply to an OperatorRequest
 }
 
-// Outgoing is a message to be sent.
+// Outgoing is a message that the caller must send to an instance.
 type Outgoing struct {
 	To      string // an instance's name
 	Message Message
 }
 
-// OperatorRequest is an operator's request: a command for the log, or a look at the View.
+// OperatorRequest is an operator's request: a command for the log, or a request for the View.
 type OperatorRequest struct {
 	Number  uint64              `json:"Number"` // chosen by the instance that sends it, to match the reply
-	View    bool                `json:"Look"`
-	Command maintenance.Command `json:"Order"` // where View is false
+	View    bool                `json:"Look"`   // requests the View
+	Command maintenance.Command `json:"Order"`  // if View is false
 }
 
-// OperatorReply answers the OperatorRequest of the same number.
+// OperatorReply is the leader's reply to the OperatorRequest of the same number.
 type OperatorReply struct {
 	Number uint64 `json:"Number"`
-	Answer string `json:"Answer"`
-	Error  string `json:"Error"` // why the command changes nothing
-	View   *View  `json:"View"`
+	Answer string `json:"Answer"` // of a command that was applied
+	Error  string `json:"Error"`  // why the command has no effect; empty if it has one
+	View   *View  `json:"View"`   // nil for a command
 }
 
-// View is the plan as the leader has it, for operators.
+// View is the leader's view of the plan, for operators.
 type View struct {
 	Leader    string                 `json:"Leader"`
 	Now       monotime.Micros        `json:"Now"` // by the state's clock
@@ -51,11 +51,11 @@
 	Machines  []maintenance.Machine  `json:"Items"`     // by name
 	Instances []maintenance.Instance `json:"Instances"` // by name
 	Events    []maintenance.Event    `json:"Events"`    // the oldest first
-	Silent    []maintenance.Instance `json:"Silent"`    // without a report for long; nothing can be acknowledged
+	Silent    []maintenance.Instance `json:"Silent"`    // without a report for silentLeases
 }
 
 // logEntry is the content of an entry of the raft log.
 type logEntry struct {
-	ProposalID uint64              `json:"ID"` // by which the leader knows whom to answer
+	ProposalID uint64              `json:"ID"` // identifies the operator's request to reply to
 	Command    maintenance.Command `json:"Order"`
 }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -10,69 +10,70 @@
 	"dunlinsail/internal/monotime"
 )
 
-const (
-	// maxMissedTicks is how many of raft's ticks are made up for after a pause of the process.
-	maxMissedTicks = 20
-	// reportsPerLease is how often an instance reports while a lease lasts.
-	reportsPerLease = 4
-	// maxUnansweredReports is how many reports may go without an answer before the leader counts as unknown.
-	maxUnansweredReports = 3
-)
-
-// Settings are the same for all instances of a fleet, but for Self.
+// Settings must be the same for all instances of a fleet, except for Self.
 type Settings struct {
-	Self         string   // the instance's name
-	Voters       []string // names, an odd number of them; a voter's place in the list is its raft id, less one
-	Maintenance  maintenance.Settings
-	TickInterval monotime.Micros // of raft's clock: an election starts after ten to twenty ticks without the leader
+	// Self is this instance's name.
+	Self string
+	// Voters are the names of the voters, an odd number. A voter's raft id is its index plus one, so the order must
+	// not change.
+	Voters []string
+	// Maintenance configures the plan and its leases.
+	Maintenance maintenance.Settings
+	// TickInterval is the interval of raft's clock. An election starts after electionTicks to twice electionTicks
+	// without the leader.
+	TickInterval monotime.Micros
 }
 
-// Node is one instance of the fleet. Make one with New. Its methods are for one goroutine at a time; after each of
-// Tick, Receive, Submit and RequestView the caller sends what TakeOutgoing returns.
+// Node is one instance of the fleet. Create one with New. Its methods must be called by one goroutine at a time. After
+// each call of Tick, Receive, Submit and RequestView the caller sends the messages that TakeOutgoing returns.
 type Node struct {
 	settings          Settings
 	follower          *maintenance.Follower
-	leader            string          // as far as known; "" if unknown
+	leader            string          // name of the latest known leader; empty if unknown
 	reportAt          monotime.Micros // when the next report is due
-	unansweredReports int
+	unansweredReports int             // reports sent since the latest grant
 	outgoing          []Outgoing
 	toSelf            []Message // messages from this instance to itself, handled by process
 
-	// The sources of what is reported and proposed.
-	fleetStatus func() maintenance.FleetStatus // nil if this instance knows nothing
-	inFlight    func(machine string) int
+	// Sources of the content of reports and proposals.
+	fleetStatus func() maintenance.FleetStatus // nil if this instance has no status
+	inFlight    func(machine string) int       // number of requests in flight at a machine
 
-	// Of a voter: the raft log, see raftlog.go and voters.go.
+	// State of a voter and its raft log, see raftlog.go and voters.go.
 	store            LogStore
 	raftID           uint64
 	rawNode          *raft.RawNode // nil while this instance has no vote
 	raftStorage      *raft.MemoryStorage
 	tickAt           monotime.Micros // when raft's next tick is due
-	voterErr         error
-	noLog            bool            // nothing was ever stored: see LogMissing
+	voterErr         error           // why this voter has stopped voting
+	noLog            bool            // nothing was ever stored, see LogMissing
 	votersWithoutLog map[string]bool // other voters that have no log either
 	bootstrapped     bool            // this process has started the log
 	seenVoters       map[string]bool // voters that have sent a raft message to this process
 	state            *maintenance.State
-	appliedIndex     uint64
-	snapshotIndex    uint64
-
-	// Of the leader, see leader.go and reads.go.
-	term          *leaderTerm // nil while this instance does not lead
-	proposers     map[uint64]operatorCall
-	waitReasons   map[string]string // what machines wait for, by name
-	readSequence  uint64            // of the last ReadIndex round
-	fleetStatusAt monotime.Micros   // when the fleet's status is looked at next
-	clockEntryAt  monotime.Micros   // when the next clock entry is due
-
-	// Of operators' requests at this instance, see operators.go.
-	replies    map[uint64]OperatorReply
-	lastNumber uint64 // of a request or a proposal
+	appliedIndex     uint64 // of the latest applied entry
+	snapshotIndex    uint64 // of the latest snapshot
+
+	// State of the leader, see leader.go and reads.go.
+	term          *leaderTerm             // nil while this instance does not lead
+	proposers     map[uint64]operatorCall // operators' calls that await a reply, by proposal id
+	waitReasons   map[string]string       // why machines do not enter their next phase, by name
+	readSequence  uint64                  // of the latest ReadIndex round
+	fleetStatusAt monotime.Micros         // when the fleet's status is checked next
+	clockEntryAt  monotime.Micros         // when the next clock entry is due
+
+	// State of operators' requests at this instance, see operators.go.
+	replies    map[uint64]OperatorReply // received and not taken yet, by number of the request
+	lastNumber uint64                   // of the latest request or proposal
 }
 
-// New returns an instance, of which incarnation tells its process from any other of its name. store is nil for one
-// that is no voter. Where the store cannot be read, or raft rejects its log, New returns the error beside an
-// instance that has no vote; any other error comes without an instance.
+// incarnationShift is the number of low bits of lastNumber that count an incarnation's requests and proposals: the
+// numbers of two processes differ.
+const incarnationShift = 20
+
+// New returns an instance. incarnation must be different for each process of its name. store is nil for an instance
+// that is not a voter. If the store cannot be read, or raft rejects its log, New returns the error together with an
+// instance that has no vote. Any other error, of the settings, comes without an instance.
 func New(now monotime.Micros, s Settings, incarnation uint64, store LogStore) (*Node, error) {
 	follower, err := maintenance.NewFollower(s.Maintenance, incarnation)
 	if err != nil {
@@ -94,7 +95,7 @@
 		state:            state,
 		proposers:        map[uint64]operatorCall{},
 		replies:          map[uint64]OperatorReply{},
-		lastNumber:       incarnation<<20 | 1,
+		lastNumber:       incarnation<<incarnationShift | 1,
 	}
 	if i := slices.Index(s.Voters, s.Self); i >= 0 && store != nil {
 		return n, n.startVoter(raftIDOf(i))
@@ -102,30 +103,34 @@
 	return n, nil
 }
 
-// SetSources sets what tells how machines stand, and how many requests are in flight at one. It must be called before
-// the first Tick.
+// SetSources sets the functions that return the fleet's status, and the number of requests in flight at a machine. It
+// must be called before the first Tick.
 func (n *Node) SetSources(fleetStatus func() maintenance.FleetStatus, inFlight func(machine string) int) {
 	n.fleetStatus = fleetStatus
 	n.inFlight = inFlight
 }
 
-// PlanFollower returns what this instance has to apply of the plan.
+// PlanFollower returns the follower, which has the plan that this instance has to apply.
 func (n *Node) PlanFollower() *maintenance.Follower { return n.follower }
 
-// State returns the plan as far as this voter has applied the log. The caller must not modify it.
+// State returns the replicated plan, as far as this voter has applied the log. The caller must not modify it.
 func (n *Node) State() *maintenance.State { return n.state }
 
-// NextTick returns when Tick has something to do.
+// NextTick returns when Tick must be called next.
 func (n *Node) NextTick() monotime.Micros { return min(n.reportAt, n.tickAt) }
 
-// TakeOutgoing returns the messages that are to be sent since it was called last.
+// TakeOutgoing returns the messages to send that were queued since its last call.
 func (n *Node) TakeOutgoing() []Outgoing {
 	outgoing := n.outgoing
 	n.outgoing = nil
 	return outgoing
 }
 
-// Tick does the work that is due at an instant: ticks of raft's clock, reports, and what a leader proposes.
+// maxMissedTicks is the largest number of raft's ticks that are made up for after a pause of the process. After a
+// longer pause raft's clock starts anew, so that the voter does not start elections for the time of its pause.
+const maxMissedTicks = 20
+
+// Tick does the work that is due at now: ticks of raft's clock, reports, and the leader's proposals.
 func (n *Node) Tick(now monotime.Micros) {
 	defer n.recoverRaftPanic()
 	for n.tickAt <= now {
@@ -142,14 +147,15 @@
 	}
 }
 
-// Receive handles a message from another instance.
+// Receive handles a message of another instance.
 func (n *Node) Receive(now monotime.Micros, from string, m Message) {
 	defer n.recoverRaftPanic()
 	n.handle(now, from, m)
 	n.process(now)
 }
 
-// process does what has become due, and handles the messages of this instance to itself.
+// process does the leader's work and raft's, and then handles the messages of this instance to itself, until there are
+// none.
 func (n *Node) process(now monotime.Micros) {
 	n.runLeader(now)
 	n.handleReady(now)
@@ -162,6 +168,7 @@
 	}
 }
 
+// handle dispatches a message to its handler.
 func (n *Node) handle(now monotime.Micros, from string, m Message) {
 	switch {
 	case m.Raft != nil:
@@ -183,7 +190,7 @@
 	}
 }
 
-// handleLeader records which voter leads, and schedules a report to it at once if that has changed.
+// handleLeader records the leader, and schedules a report to it at once if the leader has changed.
 func (n *Node) handleLeader(now monotime.Micros, leader string) {
 	if n.leader != leader {
 		n.leader = leader
@@ -191,7 +198,15 @@
 	}
 }
 
-// sendReport reports to the leader, or to all voters where it is not known.
+const (
+	// reportsPerLease is the number of reports that an instance sends within a lease's duration.
+	reportsPerLease = 4
+	// maxUnansweredReports is the number of reports without a grant after which the leader is unknown, and reports go
+	// to all voters.
+	maxUnansweredReports = 3
+)
+
+// sendReport sends a report to the leader, or to all voters if the leader is unknown.
 func (n *Node) sendReport(now monotime.Micros) {
 	n.reportAt = now + n.settings.Maintenance.LeaseDuration/reportsPerLease
 	n.unansweredReports++
@@ -231,7 +246,7 @@
 	}
 }
 
-// sendLeader sends an instance the name of the voter that leads, where this one knows of another.
+// sendLeader sends an instance the name of the leader, if it is known and another voter.
 func (n *Node) sendLeader(to string) {
 	if leader := n.raftLeader(); leader != "" && leader != n.settings.Self {
 		n.send(to, Message{Leader: leader})
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// All machines are taken out and come back, some at a time, within the bounds.
+// All machines are taken out of service and return, some at a time, within the bounds.
 func TestAllMachinesAreTakenOutAndReturn(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	if reply := c.request("night", c.machineNames()...); reply.Error != "" {
@@ -23,8 +23,8 @@
 	}
 }
 
-// Whatever is killed, paused or cut off: nothing is in flight at a machine under maintenance, no bound is broken, and
-// once faults stop the plan finishes.
+// Whatever is killed, paused or cut off, nothing is in flight at a machine under maintenance and no bound is broken.
+// After the last fault the plan completes.
 func TestSafetyHoldsUnderFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		c := newCluster(t, 3, seed)
@@ -39,8 +39,8 @@
 	}
 }
 
-// A voter that has lost its log, or cannot read it, has no vote, and applies and reports on; what was committed is
-// there, and goes on while a majority has it. All killed with their logs go on.
+// A voter that has lost its log, or cannot read it, has no vote, but still applies the plan and reports. Committed
+// entries stay as long as a majority has its logs, also when all processes are killed.
 func TestVotersWithoutTheirLogs(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	c.request("night", "m0")
--- a/internal/consensus/operators.go
+++ b/internal/consensus/operators.go
@@ -8,10 +8,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// This file carries operators' requests from any instance to the leader, and its replies back.
-
-// silentLeases is for how many leases an instance may go without a report before operators see it as silent.
-const silentLeases = 4
+// This file sends operators' requests from any instance to the leader, and its replies back.
 
 // operatorCall identifies an operator's request that awaits a reply.
 type operatorCall struct {
@@ -19,27 +16,27 @@
 	number uint64 // of the request
 }
 
-// Submit sends an operator's command to the leader and returns the number by which TakeReply has the reply. There may
-// be none, since nobody leads just then, or a message is lost: the caller then submits it again, which does no harm,
-// since a request's id is an idempotency key.
+// Submit sends an operator's command to the leader and returns the number by which TakeReply returns the reply. There
+// may be no reply, because there is no leader or a message is lost. The caller may then submit the command again: the
+// id of a request is an idempotency key.
 func (n *Node) Submit(now monotime.Micros, command maintenance.Command) (number uint64) {
 	return n.sendOperatorRequest(now, OperatorRequest{Command: command})
 }
 
-// RequestView asks the leader for its View. TakeReply has the reply, as that of Submit.
+// RequestView requests the leader's View. TakeReply returns the reply, as for Submit.
 func (n *Node) RequestView(now monotime.Micros) (number uint64) {
 	return n.sendOperatorRequest(now, OperatorRequest{View: true})
 }
 
-// TakeReply returns the reply to a request, once; ok is false if none has arrived.
+// TakeReply returns the reply to a request, once; ok is false if it has not arrived.
 func (n *Node) TakeReply(number uint64) (reply OperatorReply, ok bool) {
 	reply, ok = n.replies[number]
 	delete(n.replies, number)
 	return reply, ok
 }
 
-// sendOperatorRequest sends a request to the leader, or to all voters where it is not known. number is a named
-// result, so that it is returned also where raft panics.
+// sendOperatorRequest sends a request to the leader, or to all voters if the leader is unknown. number is a named
+// result, so that it is returned even if raft panics.
 func (n *Node) sendOperatorRequest(now monotime.Micros, request OperatorRequest) (number uint64) {
 	defer n.recoverRaftPanic()
 	n.lastNumber++
@@ -58,8 +55,8 @@
 	return number
 }
 
-// handleOperatorRequest handles an operator's request. A voter that does not lead answers with the name of the one
-// that does.
+// handleOperatorRequest replies to a request for the View, or proposes a command, whose reply follows when it is
+// applied. A voter that does not lead replies with the leader's name.
 func (n *Node) handleOperatorRequest(now monotime.Micros, from string, request OperatorRequest) {
 	if !n.isLeader() || n.term == nil {
 		n.sendLeader(from)
@@ -75,7 +72,10 @@
 	}
 }
 
-// view returns the plan as this instance, the leader, has it.
+// silentLeases is the time without a report, in lease durations, after which operators see an instance as silent.
+const silentLeases = 4
+
+// view returns the View of this instance, which leads.
 func (n *Node) view(now monotime.Micros) *View {
 	x := n.state
 	silentAfter := silentLeases * n.settings.Maintenance.LeaseDuration
--- a/internal/consensus/raftlog.go
+++ b/internal/consensus/raftlog.go
@@ -15,20 +15,17 @@
 	"dunlinsail/internal/monotime"
 )
 
-// This file runs raft: it stores and sends what raft has ready, applies committed entries, and takes snapshots.
+// This file runs raft: it stores and sends raft's output, applies committed entries, and takes snapshots.
 
+// Parameters of raft.
 const (
-	electionTicks       = 10 // without the leader, at least, before an election
-	heartbeatTicks      = 2
-	maxRaftMessageBytes = 256 << 10
-	maxInflightMessages = 64
-	// snapshotInterval is how many entries are applied from one snapshot to the next.
-	snapshotInterval = 500
-	// retainedEntries stay in the log after a snapshot: a voter that is less far behind needs no snapshot sent.
-	retainedEntries = snapshotInterval / 2
+	electionTicks       = 10        // ticks without the leader before an election, at least
+	heartbeatTicks      = 2         // ticks from one heartbeat of the leader to the next
+	maxRaftMessageBytes = 256 << 10 // of the entries in one message
+	maxInflightMessages = 64        // messages with entries that the leader sends a voter without acknowledgement
 )
 
-// startRaft starts raft from a stored log. With an error this instance stops voting.
+// startRaft starts raft from a stored log. On an error this instance stops voting.
 func (n *Node) startRaft(stored StoredLog) (err error) {
 	defer func() {
 		if p := recover(); p != nil { // see recoverRaftPanic
@@ -60,7 +57,7 @@
 	return nil
 }
 
-// loadRaftStorage fills raft's storage, and the state, from a stored log.
+// loadRaftStorage loads a stored log into raft's storage, and its snapshot into the state.
 func (n *Node) loadRaftStorage(stored StoredLog) error {
 	n.raftStorage = raft.NewMemoryStorage()
 	if stored.Snapshot.GetMetadata().GetIndex() > 0 {
@@ -82,7 +79,7 @@
 	return nil
 }
 
-// raftLeader returns the name of the leader, as far as this voter knows; "" if there is none.
+// raftLeader returns the name of the leader that this voter's raft knows, empty if there is none.
 func (n *Node) raftLeader() string {
 	if n.rawNode == nil {
 		return ""
@@ -91,7 +88,8 @@
 	return name
 }
 
-// handleReady carries out what raft has ready. What is new is stored before any other instance receives of it.
+// handleReady handles raft's output (raft.Ready) in the order that raft requires: entries and votes are stored before
+// messages that depend on them are sent.
 func (n *Node) handleReady(now monotime.Micros) {
 	for n.rawNode != nil && n.rawNode.HasReady() {
 		ready := n.rawNode.Ready()
@@ -113,12 +111,12 @@
 	}
 }
 
-// persist stores what raft has ready, and restores the state from the snapshot that another voter has sent.
+// persist stores raft's new entries, hard state and snapshot, and restores the state from a snapshot of another voter.
 func (n *Node) persist(ready raft.Ready) error {
 	if err := n.store.Save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
 		return err
 	}
-	// Errors of the storage in memory are about what raft has checked itself.
+	// The storage in memory returns errors only for conditions that raft has checked before.
 	if ready.Snapshot.GetMetadata().GetIndex() > 0 {
 		_ = n.raftStorage.ApplySnapshot(ready.Snapshot)
 		if err := n.restoreSnapshot(ready.Snapshot); err != nil {
@@ -132,6 +130,7 @@
 	return nil
 }
 
+// sendRaftMessages queues raft's messages to other voters.
 func (n *Node) sendRaftMessages(messages []*raftpb.Message) {
 	for _, m := range messages {
 		encoded, err := proto.Marshal(m)
@@ -146,7 +145,7 @@
 	}
 }
 
-// applyEntry applies a committed entry to the state. The leader answers the operator whose command it is.
+// applyEntry applies a committed entry to the state, once. The leader replies to the operator whose command it is.
 func (n *Node) applyEntry(committed *raftpb.Entry) {
 	if committed.GetIndex() <= n.appliedIndex {
 		return
@@ -157,7 +156,7 @@
 	}
 	var entry logEntry
 	if json.Unmarshal(committed.GetData(), &entry) != nil {
-		return // every replica skips it
+		return // all replicas skip it
 	}
 	answer, err := n.state.Apply(entry.Command)
 	call, ok := n.proposers[entry.ProposalID]
@@ -172,7 +171,7 @@
 	n.send(call.from, Message{OperatorReply: &reply})
 }
 
-// restoreSnapshot sets the state to that of a snapshot.
+// restoreSnapshot replaces the state by the state in a snapshot.
 func (n *Node) restoreSnapshot(snapshot *raftpb.Snapshot) error {
 	n.appliedIndex = snapshot.GetMetadata().GetIndex()
 	n.snapshotIndex = n.appliedIndex
@@ -191,7 +190,15 @@
 	return nil
 }
 
-// takeSnapshot stores a snapshot and shortens the log once enough entries have been applied since the last one.
+const (
+	// snapshotInterval is the number of entries that are applied from one snapshot to the next.
+	snapshotInterval = 500
+	// retainedEntries is the number of entries that stay in the log after a snapshot. A voter that is behind by less
+	// needs no snapshot.
+	retainedEntries = snapshotInterval / 2
+)
+
+// takeSnapshot stores a snapshot and shortens the log, after snapshotInterval entries since the previous snapshot.
 func (n *Node) takeSnapshot() {
 	if n.appliedIndex-n.snapshotIndex < snapshotInterval {
 		return
@@ -210,15 +217,19 @@
 	}
 	n.snapshotIndex = n.appliedIndex
 	if n.appliedIndex > retainedEntries {
-		_ = n.raftStorage.Compact(n.appliedIndex - retainedEntries) // fails only if it was compacted before
+		_ = n.raftStorage.Compact(n.appliedIndex - retainedEntries) // fails only if the log was compacted before
 	}
 }
 
-// encodeReadContext and decodeReadContext are the form in which raft carries the number of a ReadIndex round.
+// readContextBytes is the length of a ReadIndex round's context.
+const readContextBytes = 8
+
+// encodeReadContext returns the context by which raft identifies a ReadIndex round: its number, in big endian.
 func encodeReadContext(sequence uint64) []byte { return binary.BigEndian.AppendUint64(nil, sequence) }
 
+// decodeReadContext returns the number of the ReadIndex round with a context; ok is false if the context is invalid.
 func decodeReadContext(context []byte) (sequence uint64, ok bool) {
-	if len(context) != 8 {
+	if len(context) != readContextBytes {
 		return 0, false
 	}
 	return binary.BigEndian.Uint64(context), true
--- a/internal/consensus/reads.go
+++ b/internal/consensus/reads.go
@@ -5,11 +5,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// This file answers reports by linearizable reads: a report is answered once a ReadIndex round to a majority, started
-// after the report came, has shown that this instance still leads.
-
-// readRetriesPerLease is how often a ReadIndex round is asked for again while a lease lasts: its messages may be lost.
-const readRetriesPerLease = 8
+// This file replies to reports by linearizable reads: the reply is sent after a ReadIndex round to a majority, started
+// after the report was received, has shown that this instance still leads.
 
 // readRequest is a report that waits for a ReadIndex round.
 type readRequest struct {
@@ -17,7 +14,8 @@
 	report maintenance.Report
 }
 
-// handleReport handles an instance's report. A voter that does not lead answers with the name of the one that does.
+// handleReport queues an instance's report for the next ReadIndex round. A voter that does not lead replies with the
+// leader's name.
 func (n *Node) handleReport(now monotime.Micros, from string, report maintenance.Report) {
 	if !n.isLeader() {
 		n.sendLeader(from)
@@ -28,7 +26,11 @@
 	}
 }
 
-// runReads starts a ReadIndex round for the reports that wait, one at a time, and asks for it again where it takes
+// readRetriesPerLease is the number of times that a ReadIndex round is started again within a lease's duration while it
+// has no result: its messages may be lost.
+const readRetriesPerLease = 8
+
+// runReads starts a ReadIndex round for the queued reports, one round at a time, and starts it again if it takes too
 // long.
 func (n *Node) runReads(now monotime.Micros) {
 	t := n.term
@@ -45,8 +47,8 @@
 	t.readRetryAt = now + n.settings.Maintenance.LeaseDuration/readRetriesPerLease
 }
 
-// answerReads grants the plan to the instances whose reports waited for a round, which has shown that this instance
-// has led since they came. index is that of the log at the round's start.
+// answerReads grants the plan to the instances whose reports wait for a ReadIndex round, which has shown that this
+// instance has led since they were received. index is the commit index at the round's start.
 func (n *Node) answerReads(now monotime.Micros, sequence, index uint64) {
 	if sequence != n.readSequence || n.term == nil || n.appliedIndex < index {
 		return
@@ -57,7 +59,7 @@
 	for _, request := range requests {
 		instance := maintenance.Instance{Name: request.from, Incarnation: request.report.Incarnation}
 		if n.state.Instances[instance.Name] != instance.Incarnation {
-			// It gets no lease before every later leader would know of it, which takes an entry in the log.
+			// An instance gets no lease before it is in the log, by which later leaders know it.
 			n.proposeOnce(now, "join/"+instance.Name, maintenance.Command{Join: &instance})
 			continue
 		}
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -4,18 +4,19 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// LogStore keeps a voter's log. What Save has returned for must be there after any end of the process.
+// LogStore stores a voter's log. Everything that Save has returned for must be there after a crash of the process or of
+// its machine.
 type LogStore interface {
-	// Load returns what is stored; empty is true if nothing ever was.
+	// Load returns the stored log; empty is true if nothing was ever stored.
 	Load() (stored StoredLog, empty bool, err error)
-	// Save stores what is new, all of it or nothing, and returns once it is durable. Entries replace stored ones from
-	// the first of them on; a snapshot replaces all entries up to its index. Any of the arguments may be nil.
+	// Save stores its arguments, all or none, and returns once they are durable. Entries replace all stored ones from
+	// the first one's index on; a snapshot replaces all entries up to its index. Any argument may be nil.
 	Save(hard *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error
 }
 
-// StoredLog is what a LogStore has.
+// StoredLog is the content of a LogStore.
 type StoredLog struct {
 	HardState *raftpb.HardState
 	Snapshot  *raftpb.Snapshot
-	Entries   []*raftpb.Entry // those after the snapshot, without a gap
+	Entries   []*raftpb.Entry // entries after the snapshot, without a gap
 }
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -10,17 +10,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// This file holds the membership of voters: which instance has a vote, and how the fleet's log is started. The voters
-// are those of the settings; they do not change while the fleet runs.
+// This file decides which instances have a vote, and how the fleet's first log is started. The voters are those of the
+// settings; they do not change while the fleet runs.
 
-// ErrLogInconsistent is wrapped by the error of a voter whose log raft rejects, such as one restored from an older
+// ErrLogInconsistent is wrapped by the error of a voter whose log raft rejects, such as a log restored from an old
 // copy.
 var ErrLogInconsistent = errors.New("the raft log is inconsistent")
 
-// raftIDOf returns the raft id of the voter at an index of Settings.Voters. 0 is no valid id in raft.
+// raftIDOf returns the raft id of the voter at an index of Settings.Voters. Raft's ids start at 1.
 func raftIDOf(index int) uint64 { return uint64(index + 1) }
 
-// voterName returns the name of the voter of a raft id; ok is false if there is none.
+// voterName returns the name of the voter with a raft id; ok is false if there is none.
 func (n *Node) voterName(raftID uint64) (name string, ok bool) {
 	if raftID == 0 || int(raftID) > len(n.settings.Voters) {
 		return "", false
@@ -28,6 +28,7 @@
 	return n.settings.Voters[raftID-1], true
 }
 
+// confState returns raft's configuration: all voters.
 func (n *Node) confState() *raftpb.ConfState {
 	voters := &raftpb.ConfState{}
 	for i := range n.settings.Voters {
@@ -36,7 +37,7 @@
 	return voters
 }
 
-// startVoter loads the log and has this instance vote, unless nothing was ever stored.
+// startVoter loads the log and starts raft. A voter without a log has no vote until the log is bootstrapped.
 func (n *Node) startVoter(raftID uint64) error {
 	n.raftID = raftID
 	stored, empty, err := n.store.Load()
@@ -61,18 +62,19 @@
 // VoterError returns why this voter has stopped voting; nil if it has not, or is no voter.
 func (n *Node) VoterError() error { return n.voterErr }
 
-// LogMissing reports whether this voter has no log. Where the fleet has one, the voter has lost its own: it has no
-// vote, since it does not know what it has voted for and acknowledged before.
+// LogMissing reports whether this voter has no log. If the fleet has one, this voter has lost its own. It then has no
+// vote, since its earlier votes and acknowledgements are unknown.
 func (n *Node) LogMissing() bool { return n.noLog }
 
-// recoverRaftPanic, deferred, has a panic by which raft rejects its log stop this voter and not the process.
+// recoverRaftPanic must be deferred. It turns a panic, by which raft rejects its log, into the end of this voter's vote
+// instead of the process.
 func (n *Node) recoverRaftPanic() {
 	if p := recover(); p != nil {
 		n.stopVoting(fmt.Errorf("%w: %v", ErrLogInconsistent, p))
 	}
 }
 
-// tickVoter has a tick of raft's clock pass.
+// tickVoter advances raft's clock by a tick. A voter without a log announces that instead.
 func (n *Node) tickVoter() {
 	switch {
 	case n.noLog:
@@ -82,7 +84,7 @@
 	}
 }
 
-// handleNoLog records that another voter has no log. The log is bootstrapped once no voter has one.
+// handleNoLog records that another voter has no log. The log is bootstrapped once all voters are known to have none.
 func (n *Node) handleNoLog(from string) {
 	switch {
 	case n.noLog:
@@ -91,17 +93,17 @@
 			n.bootstrap()
 		}
 	case n.bootstrapped && !n.seenVoters[from]:
-		// It may not have received yet that this voter had no log either. If it has taken part since, some voter has
-		// seen it.
+		// The other voter may not know yet that this one had no log either, and cannot bootstrap without that. If it
+		// has sent raft messages since, it has a log, or has lost it.
 		n.send(from, Message{NoLog: true})
 	}
 }
 
-// bootstrap starts the fleet's log by a snapshot that all voters write alike.
+// bootstrap starts the fleet's log with a snapshot at index and term 1 that is the same at all voters.
 func (n *Node) bootstrap() {
 	data, err := json.Marshal(n.state)
 	if err != nil {
-		panic(err) // the state holds nothing that JSON cannot encode
+		panic(err) // JSON can encode each field of the state
 	}
 	snapshot := &raftpb.Snapshot{
 		Data:     data,
@@ -117,7 +119,7 @@
 	_ = n.startRaft(StoredLog{HardState: hard, Snapshot: snapshot}) // VoterError has the error
 }
 
-// stepRaft hands raft a message from another voter.
+// stepRaft passes a message of another voter to raft. Messages that are not from a voter to this one are ignored.
 func (n *Node) stepRaft(from string, encoded []byte) {
 	var m raftpb.Message
 	if n.rawNode == nil || proto.Unmarshal(encoded, &m) != nil || m.GetTo() != n.raftID {
@@ -128,5 +130,5 @@
 		return
 	}
 	n.seenVoters[from] = true
-	_ = n.rawNode.Step(&m) // raft's errors are about messages that come too late
+	_ = n.rawNode.Step(&m) // raft returns errors for messages that arrive too late
 }
