--- a/internal/peers/envelope.go
+++ b/internal/peers/envelope.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// maxMessageBytes bounds a received message.
+	// maxMessageBytes is the largest size of a received message.
 	maxMessageBytes = 64 << 10
-	// maxItems bounds each array and map in it.
+	// maxItems is the largest number of items of an array or a map in a received message.
 	maxItems = 4096
-	// maxNesting bounds its depth.
+	// maxNesting is the largest depth of nested arrays and maps in a received message.
 	maxNesting = 16
 )
 
-// envelope is a message with its sender and recipient, as it is encoded. One of Message and Consensus is set; Consensus
-// goes first. Its tags are the keys on the wire, which all builds share.
+// envelope is the encoded form of a message, with its sender and recipient. If Consensus is set, Message is ignored.
+// Its tags are the keys on the wire, which all builds share.
 type envelope struct {
 	From      string               `cbor:"1,keyasint"`
 	To        string               `cbor:"2,keyasint"`
@@ -25,7 +25,7 @@
 	Consensus *consensus.Message   `cbor:"4,keyasint,omitempty"`
 }
 
-// The options are constant and valid, so there are no errors.
+// The options are constant and valid, so EncMode and DecMode return no errors.
 var (
 	encoding, _ = cbor.EncOptions{Sort: cbor.SortNone, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	decoding, _ = cbor.DecOptions{
@@ -37,12 +37,12 @@
 	}.DecMode()
 )
 
-// Encode returns a message as it is sent from one instance to another, so that simulations know its size.
+// Encode returns the encoded form of a message from one instance to another. Simulations use it for the message's size.
 func Encode(from, to string, m coordination.Message) ([]byte, error) {
 	return encoding.Marshal(envelope{From: from, To: to, Message: m})
 }
 
-// decode reads a received message; ok is false if it is malformed.
+// decode decodes a received message; ok is false if it is malformed or too large.
 func decode(encoded []byte) (e envelope, ok bool) {
 	if len(encoded) > maxMessageBytes || decoding.Unmarshal(encoded, &e) != nil {
 		return envelope{}, false
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -14,8 +14,8 @@
 	"dunlinsail/internal/fake/golden"
 )
 
-// The files under testdata were written before the message types had tags, and never change: instances of builds
-// before and after a change of the code must understand each other.
+// The files under testdata were written before the message types had tags, and never change: instances of earlier and
+// later builds exchange messages in this form.
 
 // goldenEnvelopes returns one message of each type, with the file that holds its encoded form.
 func goldenEnvelopes() map[string]envelope {
@@ -115,12 +115,12 @@
 	}
 }
 
-// A message field without a value here would go untested.
+// The tests above do not check a field without a value.
 func TestGoldenMessagesFillEachField(t *testing.T) {
 	golden.RequireFilled(t, "envelope", goldenEnvelopes()["all-parts"].Message)
 }
 
-// Operators' tools read the forms of members and figures as JSON.
+// Operators' tools read members and statistics in this JSON form.
 func TestJSONForOperatorsKeepsItsForm(t *testing.T) {
 	for name, v := range map[string]any{
 		"member.json": &Member{
--- a/internal/peers/membership.go
+++ b/internal/peers/membership.go
@@ -6,11 +6,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// joinInterval is how often the addresses of Options.Join at which no live instance is known are joined again. After a
-// start, or a partition that lasted, nobody else brings the instances together.
+// joinInterval is the time from one attempt to the next to join the addresses of Options.Join at which no live instance
+// is known. After a start, or a long partition, gossip alone does not connect the instances.
 const joinInterval = 2 * time.Second
 
-// joinMissing joins the others until Close.
+// joinMissing joins the missing addresses every joinInterval. It runs in a goroutine of its own, which Close ends.
 func (p *Peers) joinMissing() {
 	if len(p.options.Join) == 0 {
 		return
@@ -60,7 +60,11 @@
 // NodeMeta implements memberlist.Delegate; there is no metadata.
 func (d *delegate) NodeMeta(int) []byte { return nil }
 
-// NotifyMsg implements memberlist.Delegate: it queues a received message. It must not block.
+// minusOne, added to an unsigned counter, subtracts one.
+const minusOne = ^uint64(0)
+
+// NotifyMsg implements memberlist.Delegate: it queues a received message, or drops it if the queue is full. It must not
+// block.
 func (d *delegate) NotifyMsg(encoded []byte) {
 	e, ok := decode(encoded)
 	if !ok {
@@ -68,13 +72,13 @@
 		return
 	}
 	if e.To != d.options.Name {
-		return // for an instance that had this address before
+		return // for another instance that had this address earlier
 	}
-	d.receivedCount.Add(1) // before the handler is called, which may look at Stats
+	d.receivedCount.Add(1) // before the handler is called, which may call Stats
 	select {
 	case d.received <- e:
 	default:
-		d.receivedCount.Add(^uint64(0))
+		d.receivedCount.Add(minusOne)
 		d.droppedCount.Add(1)
 	}
 }
@@ -94,10 +98,10 @@
 // NotifyUpdate implements memberlist.EventDelegate.
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.recordMember(n, true) }
 
-// NotifyLeave implements memberlist.EventDelegate: the instance has left, or is taken for dead.
+// NotifyLeave implements memberlist.EventDelegate: the instance has left, or is considered dead.
 func (d *delegate) NotifyLeave(n *memberlist.Node) { d.recordMember(n, false) }
 
-// recordMember records the address and state of an instance.
+// recordMember records the address and state of an instance, and the time at which the state changed.
 func (d *delegate) recordMember(n *memberlist.Node, alive bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,13 +1,12 @@
-// Package peers carries messages between the instances of a fleet. It finds the other instances and detects their
-// failure by gossip with hashicorp/memberlist (SWIM: Das, Gupta, Motivala, 2002, with Lifeguard: Dadgar, Phillips,
-// Currey, 2017), and sends messages as that library's user messages, in CBOR (RFC 8949): datagrams where they fit,
-// else a TCP stream.
+// Package peers sends messages between the instances of a fleet. It finds the other instances and detects their failure
+// by gossip with hashicorp/memberlist (SWIM: Das, Gupta, Motivala, 2002, with Lifeguard: Dadgar, Phillips, Currey,
+// 2017). Messages are that library's user messages, in CBOR (RFC 8949): a datagram, or a TCP stream for larger ones.
 //
 // A message may be lost, delayed, duplicated or reordered; senders must not rely on its arrival. Instances of different
-// fleets (Options.Fleet) do not hear of each other.
+// fleets (Options.Fleet) ignore each other.
 //
-// The package decides nothing. It must not know about engines or what messages mean: package coordination and package
-// consensus handle them. Where an instance's own endpoint lists come from is up to package endpointsource.
+// The package decides nothing. It must not know about engines or the meaning of messages, which packages coordination
+// and consensus handle. Endpoint lists are not gossiped; package endpointsource provides them.
 package peers
 
 import (
@@ -28,58 +27,60 @@
 )
 
 const (
-	// queueCapacity is how many messages wait to be delivered, and how many to be sent. Beyond that they are dropped.
+	// queueCapacity is the number of messages that may wait to be delivered, and that may wait to be sent. Further ones
+	// are dropped.
 	queueCapacity = 4096
-	// leaveTimeout bounds how long Close waits for the others to learn that this instance leaves.
+	// leaveTimeout is the time for which Close waits until the other instances are notified that this one leaves.
 	leaveTimeout = 500 * time.Millisecond
-	// reclaimTime is after how long the name of a dead instance may come back at another address.
+	// reclaimTime is the time after which another address may use the name of a dead instance.
 	reclaimTime = time.Second
-	// tcpTimeout bounds connecting, reading and writing of memberlist's streams.
+	// tcpTimeout is the time limit of connecting, reading and writing of memberlist's TCP streams.
 	tcpTimeout = 2 * time.Second
 )
 
 // Options configure an instance's part in the gossip.
 type Options struct {
 	Name    string            // of this instance, unique in the fleet
-	Fleet   string            // only instances of the same fleet hear of each other
+	Fleet   string            // label of the fleet; instances with another one are ignored
 	Address string            // host:port to listen at, by UDP and TCP
-	Join    []string          // addresses of some other instances
-	DialVia map[string]string // addresses that are reached at another one from here
+	Join    []string          // addresses of some other instances, host:port
+	DialVia map[string]string // by address: the address to dial in its place
 	Log     *slog.Logger
 
-	// HandleMessage handles received messages, one at a time. It may block.
+	// HandleMessage handles received messages of package coordination, one at a time. It may block: further messages
+	// wait in the queue.
 	HandleMessage func(from string, m coordination.Message)
-	// HandleConsensus handles those of package consensus likewise. If nil, they are discarded.
+	// HandleConsensus handles received messages of package consensus in the same way. If nil, they are discarded.
 	HandleConsensus func(from string, m consensus.Message)
 }
 
-// Member is an instance of the fleet, as far as is known here. Its tags are the names in the JSON that operators' tools
-// read.
+// Member is an instance of the fleet, by the gossip that was received here. Its tags are the names in the JSON that
+// operators' tools read.
 type Member struct {
 	Name    string    `json:"Name"`
 	Address string    `json:"Address"`
 	Alive   bool      `json:"Alive"`
-	Since   time.Time `json:"Since"` // when Alive changed
+	Since   time.Time `json:"Since"` // when Alive changed last
 }
 
 // Stats are counters of messages since Start. Its tags are the names in the JSON that operators' tools read.
 type Stats struct {
-	Sent      uint64 `json:"Sent"`
-	Received  uint64 `json:"Heard"`
-	Bytes     uint64 `json:"Bytes"`   // of the messages sent
-	Dropped   uint64 `json:"Dropped"` // a queue was full, or the recipient was not known
-	Malformed uint64 `json:"Spoilt"`  // received ones that could not be decoded
+	Sent      uint64 `json:"Sent"`    // messages handed to memberlist
+	Received  uint64 `json:"Heard"`   // messages queued for a handler
+	Bytes     uint64 `json:"Bytes"`   // encoded bytes of the sent messages
+	Dropped   uint64 `json:"Dropped"` // messages dropped because a queue was full or the recipient unknown
+	Malformed uint64 `json:"Spoilt"`  // received messages that could not be decoded
 }
 
-// Peers is a running instance's part in the gossip. Create one with Start; Close ends its goroutines. It is safe for
-// concurrent use.
+// Peers is an instance's part in the gossip. Create one with Start, which starts three goroutines; Close ends them, and
+// those of large messages. It is safe for concurrent use.
 type Peers struct {
 	options  Options
 	list     *memberlist.Memberlist
-	received chan envelope
-	outgoing chan outgoing
-	closing  chan struct{} // closed by Close
-	workers  sync.WaitGroup
+	received chan envelope  // wait for a handler
+	outgoing chan outgoing  // wait to be sent
+	closing  chan struct{}  // closed by Close
+	workers  sync.WaitGroup // all goroutines of this Peers
 
 	mu      sync.Mutex
 	members map[string]*Member // by name, this instance included
@@ -91,8 +92,8 @@
 	malformedCount atomic.Uint64
 }
 
-// Start has an instance take part in the gossip. It returns an error if the address is malformed or cannot be listened
-// at; that no other instance can be reached is none.
+// Start starts an instance's part in the gossip. It fails if the address is malformed or in use. It does not fail if no
+// other instance can be reached: they are joined as soon as they can.
 func Start(o Options) (*Peers, error) {
 	p := &Peers{
 		options:  o,
@@ -110,7 +111,7 @@
 	return p, nil
 }
 
-// listen creates the memberlist.
+// listen creates the memberlist, which listens at Options.Address.
 func (p *Peers) listen() error {
 	host, portText, err := net.SplitHostPort(p.options.Address)
 	if err != nil {
@@ -150,8 +151,8 @@
 	return nil
 }
 
-// Close ends the instance's part and waits for its goroutines. With announce the others learn that it leaves;
-// without, a successor takes its place at once.
+// Close ends the instance's part and waits for all its goroutines. With announce the other instances are notified that
+// it leaves. Without, it looks alive to them, because a successor of its name starts at once. It must be called once.
 func (p *Peers) Close(announce bool) {
 	close(p.closing)
 	if announce {
@@ -165,7 +166,7 @@
 	p.workers.Wait()
 }
 
-// Members returns the instances that are known, dead ones included, sorted by name.
+// Members returns all known instances, dead ones and this one included, sorted by name.
 func (p *Peers) Members() (all []Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -14,12 +14,14 @@
 	"dunlinsail/internal/fake/freeport"
 )
 
+// receivedMessage is a message with its sender.
 type receivedMessage struct {
 	from    string
 	message coordination.Message
 }
 
-// start starts an instance at a free address, and returns it with the address and the messages that it receives.
+// start starts an instance at a free address, and returns it with its address and the messages that it receives. The
+// caller must close it.
 func start(t *testing.T, name, fleet string, join ...string) (*Peers, string, chan receivedMessage) {
 	t.Helper()
 	addr, err := freeport.Free()
@@ -41,7 +43,7 @@
 	return p, addr, received
 }
 
-// eventually fails the test if a condition does not come true in time.
+// eventually waits for a condition, and ends the test if it does not become true within 20 s.
 func eventually(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
@@ -51,6 +53,7 @@
 	}
 }
 
+// alive reports whether an instance knows another one as alive.
 func alive(p *Peers, name string) bool {
 	for _, m := range p.Members() {
 		if m.Name == name {
@@ -60,7 +63,7 @@
 	return false
 }
 
-// Messages of any size arrive at their recipient, and at nobody of another fleet.
+// Messages of any size arrive at their recipient, and at no instance of another fleet.
 func TestMessagesReachTheirRecipientWithinTheFleet(t *testing.T) {
 	a, address, received := start(t, "a", "one")
 	b, _, _ := start(t, "b", "one", address)
@@ -102,7 +105,7 @@
 	}
 }
 
-// An address in use, or none, is an error.
+// An address that is in use or malformed is an error.
 func TestUnusableAddressIsAnError(t *testing.T) {
 	a, address, _ := start(t, "a", "one")
 	defer a.Close(false)
--- a/internal/peers/queue.go
+++ b/internal/peers/queue.go
@@ -10,8 +10,8 @@
 	"dunlinsail/internal/decide/coordination"
 )
 
-// maxDatagramBytes is the largest message that is sent as a datagram: with memberlist's own head it stays within an
-// Ethernet frame.
+// maxDatagramBytes is the size of the largest message that is sent as a datagram. Together with memberlist's header it
+// fits into an Ethernet frame.
 const maxDatagramBytes = 1300
 
 // outgoing is a message that waits to be sent.
@@ -21,14 +21,16 @@
 	consensus *consensus.Message
 }
 
-// Send sends a message to an instance by its name. It never blocks, and does not report whether the message arrives.
+// Send queues a message to an instance by its name. It never blocks: the message is dropped if the queue is full. The
+// message may be lost.
 func (p *Peers) Send(to string, m coordination.Message) { p.enqueue(outgoing{to: to, message: m}) }
 
-// SendConsensus sends a message of package consensus likewise.
+// SendConsensus queues a message of package consensus in the same way.
 func (p *Peers) SendConsensus(to string, m consensus.Message) {
 	p.enqueue(outgoing{to: to, consensus: &m})
 }
 
+// enqueue queues a message, or drops it if the queue is full.
 func (p *Peers) enqueue(o outgoing) {
 	select {
 	case p.outgoing <- o:
@@ -37,7 +39,7 @@
 	}
 }
 
-// deliverReceived calls the handlers of received messages until Close.
+// deliverReceived calls the handlers of received messages. It runs in a goroutine of its own, which Close ends.
 func (p *Peers) deliverReceived() {
 	for {
 		select {
@@ -54,7 +56,8 @@
 	}
 }
 
-// transmitQueued sends queued messages until Close, and then those that were queued before.
+// transmitQueued sends queued messages. It runs in a goroutine of its own, which Close ends after the messages that are
+// queued by then.
 func (p *Peers) transmitQueued() {
 	for {
 		select {
@@ -67,6 +70,7 @@
 	}
 }
 
+// transmitRest sends the messages that are queued now.
 func (p *Peers) transmitRest() {
 	for {
 		select {
@@ -78,7 +82,8 @@
 	}
 }
 
-// transmit sends a message as a datagram or, if it is too large, by TCP in a goroutine of its own.
+// transmit sends a message as a datagram or, if it is too large, by TCP. That takes a goroutine of its own, which ends
+// within memberlist's TCP timeout and which Close waits for.
 func (p *Peers) transmit(o outgoing) {
 	address, known := p.addressOf(o.to)
 	if !known {
@@ -103,14 +108,15 @@
 	p.workers.Go(func() { p.logUnsent(o.to, p.list.SendReliable(node, encoded)) })
 }
 
+// logUnsent logs the error of a message that could not be sent, if there is one.
 func (p *Peers) logUnsent(to string, err error) {
 	if err != nil {
 		p.options.Log.Debug("gossip message not sent", "to", to, "error", err)
 	}
 }
 
-// addressOf returns the address of an instance by its name. One that is taken for dead has an address, too: it may be
-// that only the way back is cut.
+// addressOf returns the address of an instance by its name. A dead one has an address, too: it may be that only the
+// messages from it are lost.
 func (p *Peers) addressOf(name string) (address string, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -7,13 +7,13 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is memberlist's own, but for addresses that are reached at another one (Options.DialVia).
+// transport is memberlist's transport, with other addresses dialed in place of those in Options.DialVia.
 type transport struct {
 	*memberlist.NetTransport
-	dialVia map[string]string
+	dialVia map[string]string // by address: the address to dial in its place
 }
 
-// dialAddress returns where an address is reached.
+// dialAddress returns the address to dial for an address.
 func (t *transport) dialAddress(address string) string {
 	if via, ok := t.dialVia[address]; ok {
 		return via
