--- a/internal/takeover/conn.go
+++ b/internal/takeover/conn.go
@@ -12,32 +12,37 @@
 	decide "dunlinsail/internal/decide/takeover"
 )
 
-// Message is one message. Which fields it has depends on its kind.
+// Message is one message between the two processes. Its fields depend on its kind.
 type Message struct {
 	Kind    decide.Event
-	Payload []byte // Hello: the version; Offer: what is offered; Handover: the snapshot; Rejected: the reason
+	Payload []byte // Hello: the version; Offer: the host's offer; Handover: the snapshot; Rejected: the reason
 	// Sockets are sent with the message. Offer: the listening sockets; ConnectionHandedOver: one connection.
 	Sockets []syscall.Conn
-	Files   []*os.File // that were received
+	Files   []*os.File // received with the message
 }
 
-// Kinds of messages beside those of package decide/takeover: ConnectionHandedOver is an idle connection, from
-// predecessor to successor. A chunk is the beginning of the next message's payload. Cordons are what an
-// operator set at either side.
+// firstOwnKind is the kind of this package's first message. The kinds below are events of package decide/takeover.
+const firstOwnKind decide.Event = 100
+
+// Kinds of messages in addition to those of package decide/takeover. Their numbers are part of the wire form.
 const (
-	ConnectionHandedOver decide.Event = 100 + iota
-	chunk
-	Cordons
+	ConnectionHandedOver = firstOwnKind + iota // an idle connection, from predecessor to successor
+	chunk                                      // a part of the next message's payload
+	Cordons                                    // the cordons that an operator has set at the sender
 )
 
 const (
-	maxChunk     = 32 << 10
-	maxPayload   = 64 << 20 // of one message in all its chunks
-	maxFiles     = 250      // with one message; the kernel takes 253 (SCM_MAX_FD)
-	writeTimeout = 2 * time.Second
+	maxChunk     = 32 << 10        // bytes of payload in one packet
+	maxPayload   = 64 << 20        // bytes of payload of one message, in all its packets
+	maxFiles     = 250             // open files with one message; the kernel allows 253 (SCM_MAX_FD)
+	writeTimeout = 2 * time.Second // of one message
+	dialTimeout  = time.Second     // of the check whether a process listens at a socket
+
+	socketMode      = 0o600 // only the process's user may connect
+	descriptorBytes = 4     // of an open file in a control message
 )
 
-// Conn is a connection to the other side. Many goroutines may write, and one read.
+// Conn is a connection to the other process. Any goroutine may write; only one may read.
 type Conn struct {
 	unixConn *net.UnixConn
 	writing  sync.Mutex // one message is written at a time
@@ -67,7 +72,7 @@
 		f.Close()
 		if err != nil {
 			if i == 0 {
-				_ = syscall.Close(fds[1]) // given up
+				_ = syscall.Close(fds[1]) // it has no Conn yet
 			} else {
 				ends[0].Close()
 			}
@@ -81,8 +86,8 @@
 // Listener accepts successors.
 type Listener struct{ socket *net.UnixListener }
 
-// Listen listens for successors at a path. A socket that a process which has ended left there is replaced. Only the
-// user that the process runs as may connect.
+// Listen listens for successors at a path. A socket that an ended process has left there is replaced. Only the
+// process's user may connect.
 func Listen(path string) (*Listener, error) {
 	if err := RemoveStale("unixpacket", path); err != nil {
 		return nil, err
@@ -91,15 +96,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := os.Chmod(path, 0o600); err != nil {
+	if err := os.Chmod(path, socketMode); err != nil {
 		ln.Close()
 		return nil, err
 	}
 	return &Listener{ln}, nil
 }
 
-// RemoveStale removes a unix socket at which no process listens any more. It is an error if the path is no
-// socket, or a process listens there (syscall.EADDRINUSE).
+// RemoveStale removes a unix socket at which no process listens any more. It fails if the path is not a socket, or if a
+// process listens there; that error wraps syscall.EADDRINUSE.
 func RemoveStale(network, path string) error {
 	info, err := os.Lstat(path)
 	switch {
@@ -110,7 +115,7 @@
 	case info.Mode()&os.ModeSocket == 0:
 		return fmt.Errorf("%s is no socket: it is left alone", path)
 	}
-	c, err := net.DialTimeout(network, path, time.Second)
+	c, err := net.DialTimeout(network, path, dialTimeout)
 	if err == nil {
 		c.Close()
 		return fmt.Errorf("%s: another process listens there: %w", path, syscall.EADDRINUSE)
@@ -121,17 +126,17 @@
 	return os.Remove(path)
 }
 
-// ListenReplacing listens for successors at a path in place of the process that listens there, atomically. The path
-// stays when the listener is closed, since it may be the next process's by then.
+// ListenReplacing listens for successors at a path, and atomically replaces the process that listens there. The path
+// stays when the listener is closed, since another process may have replaced it by then.
 func ListenReplacing(path string) (*Listener, error) {
 	own := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(own) // left by a process that had our number
+	os.Remove(own) // an ended process of the same id may have left it
 	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: own, Net: "unixpacket"})
 	if err != nil {
 		return nil, err
 	}
 	ln.SetUnlinkOnClose(false)
-	if err = os.Chmod(own, 0o600); err == nil {
+	if err = os.Chmod(own, socketMode); err == nil {
 		err = os.Rename(own, path)
 	}
 	if err != nil {
@@ -159,17 +164,18 @@
 // Path returns the listener's path.
 func (l *Listener) Path() string { return l.socket.Addr().String() }
 
-// Socket returns the listening socket, to be passed on.
+// Socket returns the listening socket, to be sent to a successor.
 func (l *Listener) Socket() syscall.Conn { return l.socket }
 
-// KeepPath sets whether the socket's path stays when it is closed: another process may listen on it.
-func (l *Listener) KeepPath(yes bool) { l.socket.SetUnlinkOnClose(!yes) }
+// KeepPath sets whether the socket's path stays when the listener is closed, because another process may listen at it.
+func (l *Listener) KeepPath(keep bool) { l.socket.SetUnlinkOnClose(!keep) }
 
-// SetPaused makes Accept return os.ErrDeadlineExceeded, or ends that. Processes that connect meanwhile wait.
-func (l *Listener) SetPaused(yes bool) { l.socket.SetDeadline(pauseDeadline(yes)) }
+// SetPaused starts or ends a pause, during which Accept returns os.ErrDeadlineExceeded and processes that connect wait.
+func (l *Listener) SetPaused(paused bool) { l.socket.SetDeadline(pauseDeadline(paused)) }
 
-func pauseDeadline(yes bool) time.Time {
-	if yes {
+// pauseDeadline returns a deadline that has passed during a pause, and none otherwise.
+func pauseDeadline(paused bool) time.Time {
+	if paused {
 		return time.Unix(1, 0)
 	}
 	return time.Time{}
@@ -190,7 +196,7 @@
 // Close closes the connection.
 func (c *Conn) Close() error { return c.unixConn.Close() }
 
-// Write sends a message within writeTimeout. Its sockets stay open here.
+// Write sends a message, within writeTimeout. Its sockets stay open in this process.
 func (c *Conn) Write(m Message) error {
 	if len(m.Sockets) > maxFiles {
 		return fmt.Errorf("%d open files are too many for one message", len(m.Sockets))
@@ -207,8 +213,8 @@
 	return withDescriptors(m.Sockets, nil, func(fds []int) error { return c.writePacket(m.Kind, m.Payload, fds) })
 }
 
-// withDescriptors calls f with the sockets' descriptors, which stay open meanwhile. net.Conn.File would make them
-// blocking, here and in the other process alike, as soon as their number was asked for.
+// withDescriptors calls f with the sockets' descriptors, which stay open during the call. The method File of a
+// connection is no alternative: it makes the descriptor blocking in both processes.
 func withDescriptors(socks []syscall.Conn, fds []int, f func([]int) error) error {
 	if len(socks) == 0 {
 		return f(fds)
@@ -224,6 +230,7 @@
 	return err
 }
 
+// writePacket writes a packet with a message's kind, a part of its payload, and descriptors.
 func (c *Conn) writePacket(kind decide.Event, text []byte, fds []int) error {
 	var rights []byte
 	if len(fds) > 0 {
@@ -233,19 +240,19 @@
 	return err
 }
 
-// ReadWithin reads a message, and waits for it so long at most.
+// ReadWithin reads a message, and fails if it does not arrive within d.
 func (c *Conn) ReadWithin(d time.Duration) (Message, error) {
 	c.unixConn.SetReadDeadline(time.Now().Add(d))
 	defer c.unixConn.SetReadDeadline(time.Time{})
 	return c.Read()
 }
 
-// Read waits for a message. The caller closes its files. A malformed message is an error, and so is the connection's
-// end.
+// Read waits for a message. The caller must close its files. It fails for a malformed message and at the end of the
+// connection.
 func (c *Conn) Read() (Message, error) {
 	var m Message
 	buf := make([]byte, 1+maxChunk)
-	oob := make([]byte, syscall.CmsgSpace(4*maxFiles))
+	oob := make([]byte, syscall.CmsgSpace(descriptorBytes*maxFiles))
 	for {
 		n, oobn, flags, _, err := c.unixConn.ReadMsgUnix(buf, oob)
 		if err != nil {
@@ -274,6 +281,7 @@
 	}
 }
 
+// errConnectionClosed is the error of Read at the end of the connection.
 var errConnectionClosed = errors.New("the other side has ended the connection")
 
 // CloseFiles closes the message's files.
@@ -284,7 +292,7 @@
 	m.Files = nil
 }
 
-// receivedFiles returns the files that came with a message.
+// receivedFiles returns the open files in a packet's control messages.
 func receivedFiles(oob []byte) ([]*os.File, error) {
 	var files []*os.File
 	messages, err := syscall.ParseSocketControlMessage(oob)
@@ -294,7 +302,7 @@
 	for i := range messages {
 		fds, err := syscall.ParseUnixRights(&messages[i])
 		if err != nil {
-			continue // not open files
+			continue // a control message of another type
 		}
 		for _, fd := range fds {
 			syscall.CloseOnExec(fd)
@@ -304,7 +312,7 @@
 	return files, nil
 }
 
-// HandOver sends an idle connection. Its descriptor here stays open: the caller closes it.
+// HandOver sends an idle connection to the successor. The caller must close it in this process.
 func (c *Conn) HandOver(nc net.Conn) error {
 	sock, ok := nc.(syscall.Conn)
 	if !ok {
--- a/internal/takeover/golden_test.go
+++ b/internal/takeover/golden_test.go
@@ -35,17 +35,7 @@
 
 // TestMessagesOfEarlierBuild checks the packet of each kind of message, in both directions.
 func TestMessagesOfEarlierBuild(t *testing.T) {
-	file, err := os.ReadFile("testdata/messages.golden")
-	if err != nil {
-		t.Fatal(err)
-	}
-	golden := map[string][]byte{}
-	for line := range strings.Lines(string(file)) {
-		name, text, _ := strings.Cut(strings.TrimSpace(line), " ")
-		if golden[name], err = hex.DecodeString(text); err != nil {
-			t.Fatal(err)
-		}
-	}
+	golden := goldenPackets(t)
 	messages := map[string]Message{
 		"hello":     HelloMessage(),
 		"offer":     {Kind: decide.Offer, Payload: []byte("what is offered")},
@@ -67,44 +57,74 @@
 	}
 	for name, m := range messages {
 		t.Run(name, func(t *testing.T) {
-			packet := golden[name]
-			if packet == nil {
+			if golden[name] == nil {
 				t.Fatal("no golden packet")
 			}
-			sender, receiver := pair(t)
-			if err := sender.Write(m); err != nil {
-				t.Fatal(err)
-			}
-			if got := readPacket(t, receiver); !bytes.Equal(got, packet) {
-				t.Errorf("written as %x, want %x", got, packet)
-			}
-			if _, err := sender.unixConn.Write(packet); err != nil {
-				t.Fatal(err)
-			}
-			want := m
-			if m.Kind == chunk { // a chunk is the beginning of the message that follows
-				if err := sender.Write(Message{Kind: decide.Ready}); err != nil {
-					t.Fatal(err)
-				}
-				want.Kind = decide.Ready
-			}
-			got, err := receiver.Read()
-			if err != nil {
-				t.Fatal(err)
-			}
-			if got.Kind != want.Kind || !bytes.Equal(got.Payload, want.Payload) || len(got.Files) != 0 {
-				t.Errorf("read %d %q with %d files, want %d %q",
-					got.Kind, got.Payload, len(got.Files), want.Kind, want.Payload)
-			}
+			checkWritten(t, m, golden[name])
+			checkRead(t, golden[name], m)
 		})
 	}
 }
 
-// TestLongMessageOfEarlierBuild checks how a long message is cut into packets, and where its open files are.
+// goldenPackets returns the packets of the earlier build by their names.
+func goldenPackets(t *testing.T) map[string][]byte {
+	t.Helper()
+	file, err := os.ReadFile("testdata/messages.golden")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden := map[string][]byte{}
+	for line := range strings.Lines(string(file)) {
+		name, text, _ := strings.Cut(strings.TrimSpace(line), " ")
+		if golden[name], err = hex.DecodeString(text); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return golden
+}
+
+// checkWritten checks that a message is written as the wanted packet.
+func checkWritten(t *testing.T, m Message, want []byte) {
+	t.Helper()
+	sender, receiver := pair(t)
+	if err := sender.Write(m); err != nil {
+		t.Fatal(err)
+	}
+	if got := readPacket(t, receiver); !bytes.Equal(got, want) {
+		t.Errorf("written as %x, want %x", got, want)
+	}
+}
+
+// checkRead checks that a packet is read as the wanted message.
+func checkRead(t *testing.T, packet []byte, want Message) {
+	t.Helper()
+	sender, receiver := pair(t)
+	if _, err := sender.unixConn.Write(packet); err != nil {
+		t.Fatal(err)
+	}
+	if want.Kind == chunk { // a chunk is the beginning of the message that follows
+		if err := sender.Write(Message{Kind: decide.Ready}); err != nil {
+			t.Fatal(err)
+		}
+		want.Kind = decide.Ready
+	}
+	got, err := receiver.Read()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.Kind != want.Kind || !bytes.Equal(got.Payload, want.Payload) || len(got.Files) != 0 {
+		t.Errorf("read %d %q with %d files, want %d %q",
+			got.Kind, got.Payload, len(got.Files), want.Kind, want.Payload)
+	}
+}
+
+// TestLongMessageOfEarlierBuild checks how a long message is divided into packets, and which of them has its open
+// files.
 func TestLongMessageOfEarlierBuild(t *testing.T) {
 	sender, receiver := pair(t)
 	text := bytes.Repeat([]byte("0123456789abcdef"), 4096+1)
-	if err := sender.Write(Message{Kind: decide.Offer, Payload: text, Sockets: []syscall.Conn{sender.unixConn}}); err != nil {
+	offer := Message{Kind: decide.Offer, Payload: text, Sockets: []syscall.Conn{sender.unixConn}}
+	if err := sender.Write(offer); err != nil {
 		t.Fatal(err)
 	}
 	for i, want := range []struct {
@@ -135,6 +155,7 @@
 	}
 }
 
+// pair returns both ends of a connection, which are closed at the end of the test.
 func pair(t *testing.T) (sender, receiver *Conn) {
 	t.Helper()
 	sender, receiver, err := ConnPair()
@@ -148,6 +169,7 @@
 	return sender, receiver
 }
 
+// readPacket returns the next packet of a connection.
 func readPacket(t *testing.T, c *Conn) []byte {
 	t.Helper()
 	buf := make([]byte, 1<<17)
--- a/internal/takeover/lifecycle.go
+++ b/internal/takeover/lifecycle.go
@@ -9,10 +9,10 @@
 	"dunlinsail/internal/engine"
 )
 
-// Lifecycle carries out the hot restarts of one process: first as successor, if another process serves, and
-// then as predecessor of the next. It exchanges the messages, steps both state machines of package
-// decide/takeover and has its Host do what they say. Its fields and methods belong to the goroutine that runs
-// the events of Loop, if nothing else is said.
+// Lifecycle carries out the hot restarts of one process: first as successor, if another process serves, and then as
+// predecessor of the next one. It exchanges the messages, steps both state machines of package decide/takeover, and
+// carries out their steps with its Host. Its fields and methods belong to the goroutine that runs the events of Loop,
+// except where a comment allows others.
 type Lifecycle struct {
 	Loop        *Loop
 	Successor   decide.Successor
@@ -26,17 +26,17 @@
 	frontend Frontend
 	log      *slog.Logger
 
-	snapshot     []byte // that came from the predecessor, or is to go to the successor, with the handover
-	drainedEarly bool   // no connection is served, but the predecessor may still hand some over
-	handingOver  bool   // what the host was last notified of
-	cancelWait   context.CancelFunc
+	snapshot     []byte             // of the handover, received from the predecessor or to be sent to the successor
+	drainedEarly bool               // no connection is served, but the predecessor may still hand some over
+	handingOver  bool               // the latest value that Host.HandingOver was called with
+	cancelWait   context.CancelFunc // of the latest wait; nil before the first
 
 	ended  bool
-	result error
+	result error // valid if ended
 }
 
-// NewLifecycle returns the lifecycle of a host's process. Both machines start with the zero state; OwnsSockets of the
-// successor may be set before the lifecycle is used.
+// NewLifecycle returns the lifecycle of a host's process. Both state machines are in their first state; OwnsSockets of
+// the successor may be set before the lifecycle is used.
 func NewLifecycle(host Host, frontend Frontend, times decide.Times, log *slog.Logger) *Lifecycle {
 	l := &Lifecycle{host: host, frontend: frontend, log: log}
 	l.Successor.Times = times
@@ -45,10 +45,10 @@
 	return l
 }
 
-// Arm sets the loop's timer to the next deadline of both machines.
+// Arm sets the loop's timer to the earlier deadline of both state machines.
 func (l *Lifecycle) Arm() { l.Loop.Arm(l.Successor.Deadline(), l.Predecessor.Deadline()) }
 
-// End ends the process with a result. The first one counts.
+// End ends the process with a result. Only the first call has an effect.
 func (l *Lifecycle) End(result error) {
 	if l.ended {
 		return
@@ -57,13 +57,13 @@
 	l.result = result
 }
 
-// Ended reports whether the process is over.
+// Ended reports whether End was called.
 func (l *Lifecycle) Ended() bool { return l.ended }
 
-// Result returns what the process ended with.
+// Result returns the result of the process, nil before its end.
 func (l *Lifecycle) Result() error { return l.result }
 
-// CloseLoop closes the loop: no event is taken any more. It cancels what is waited for.
+// CloseLoop closes the loop, which runs no further event, and cancels the latest wait.
 func (l *Lifecycle) CloseLoop() {
 	l.Loop.Close()
 	l.CancelWait()
@@ -78,13 +78,14 @@
 	}
 }
 
+// onDeadline steps both state machines, which ignore a deadline that is not theirs.
 func (l *Lifecycle) onDeadline() {
 	l.StepSuccessor(decide.DeadlineReached, "")
 	l.StepPredecessor(decide.DeadlineReached)
 }
 
-// WaitUntilDrained steps the predecessor's machine once no connection is served and none will be handed to this
-// process.
+// WaitUntilDrained starts to wait until no connection is served, and then steps the predecessor's state machine, unless
+// this process's own predecessor may still hand connections over.
 func (l *Lifecycle) WaitUntilDrained() {
 	l.wait(l.frontend.WaitDrained, func() {
 		l.drainedEarly = l.Successor.ReceivesConnections()
@@ -94,14 +95,15 @@
 	})
 }
 
-// CancelWait cancels the last wait that has begun.
+// CancelWait cancels the latest wait, if there is one.
 func (l *Lifecycle) CancelWait() {
 	if l.cancelWait != nil {
 		l.cancelWait()
 	}
 }
 
-// wait posts an event once a condition holds.
+// wait posts an event once a condition holds. The condition runs on a goroutine of its own, which ends with it or after
+// CancelWait. The wait outlives the event that starts it, so its context has no parent.
 func (l *Lifecycle) wait(condition func(context.Context) error, event func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l.cancelWait = cancel
@@ -112,7 +114,8 @@
 	})
 }
 
-// EncodeSnapshot returns the form of a snapshot, nil where it has none: the successor then starts with less.
+// EncodeSnapshot returns the encoded form of a snapshot. It is nil if the encoding fails; the successor then starts
+// without what was learned.
 func (l *Lifecycle) EncodeSnapshot(s *engine.Snapshot) []byte {
 	state := State{TakenAt: now(), Snapshot: s}
 	encoded, err := state.Encode()
@@ -123,7 +126,7 @@
 	return encoded
 }
 
-// adoptConnections passes the connections of a message to the host.
+// adoptConnections passes the connections of a message to the host, and closes the message's files.
 func (l *Lifecycle) adoptConnections(m Message) {
 	for _, file := range m.Files {
 		conn, err := net.FileConn(file)
@@ -135,3 +138,13 @@
 		l.host.AdoptConnection(conn)
 	}
 }
+
+// disconnect closes the connection to another process, if there is one. leaving is called before.
+func disconnect(conn **Conn, leaving func(*Conn)) {
+	if *conn == nil {
+		return
+	}
+	leaving(*conn)
+	(*conn).Close()
+	*conn = nil
+}
--- a/internal/takeover/lifecycle_test.go
+++ b/internal/takeover/lifecycle_test.go
@@ -12,7 +12,7 @@
 	decide "dunlinsail/internal/decide/takeover"
 )
 
-// stubHost is a host that is never ready, and records what it was called for.
+// stubHost is a host that is never ready, and records the calls of its methods.
 type stubHost struct{ calls []string }
 
 func (h *stubHost) record(call string) { h.calls = append(h.calls, call) }
@@ -83,8 +83,8 @@
 	}
 }
 
-// startingWithoutPredecessor returns the lifecycle of a successor whose predecessor was lost after its offer, while
-// the host was starting. The time to become ready is over.
+// startingWithoutPredecessor returns the lifecycle of a successor whose predecessor was lost after its offer, while the
+// host was starting. The deadline to become ready has passed.
 func startingWithoutPredecessor(t *testing.T, host *stubHost, ownsSockets bool) *Lifecycle {
 	t.Helper()
 	times := decide.Times{Ready: 1, Answer: 1, Drain: 1}
@@ -110,15 +110,15 @@
 	return l
 }
 
-// A predecessor that is lost while its successor starts is disconnected once: what ends or continues the start later
-// finds no connection any more.
+// A predecessor that is lost while its successor starts is disconnected once. Later events of the start find no
+// connection.
 func TestPredecessorLostWhileStarting(t *testing.T) {
 	lost := []string{"ReceiveOffer", "StartWithOffer", "PredecessorLeaving"}
 	for _, tc := range []struct {
 		name        string
 		ownsSockets bool
 		event       decide.Event
-		result      string // "" if the lifecycle goes on
+		result      string // empty if the lifecycle continues
 	}{
 		{"stop", false, decide.Stop, "told to stop"},
 		{"stop, own sockets", true, decide.Stop, "told to stop"},
--- a/internal/takeover/loop.go
+++ b/internal/takeover/loop.go
@@ -10,24 +10,28 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Loop brings the events of a hot restart to the one goroutine that carries them out: messages, deadlines, and
-// whatever else its owner posts. Make one with NewLoop, and receive from Events until Close.
+// Loop posts the events of a hot restart to the one goroutine that runs them: messages, deadlines, and any other event
+// of its owner. Create one with NewLoop, receive from Events, and run each received event, until Close.
 type Loop struct {
 	Events     chan func()
-	Goroutines sync.WaitGroup // those that post
+	Goroutines sync.WaitGroup // goroutines that post events; they end after Close
 
-	done  chan struct{} // closed once no event is taken any more
-	timer *time.Timer
+	done  chan struct{} // closed by Close
+	timer *time.Timer   // of the next deadline
 }
 
-// NewLoop returns a loop that posts onDeadline whenever a deadline that was armed has come.
+// unarmedTime is the time until a loop's timer expires if no deadline is armed. The state machines ignore that.
+const unarmedTime = time.Hour
+
+// NewLoop returns a loop that posts onDeadline whenever the armed deadline has passed.
 func NewLoop(onDeadline func()) *Loop {
 	l := &Loop{Events: make(chan func()), done: make(chan struct{})}
-	l.timer = time.AfterFunc(time.Hour, func() { l.Post(onDeadline) })
+	l.timer = time.AfterFunc(unarmedTime, func() { l.Post(onDeadline) })
 	return l
 }
 
-// Post hands an event to the receiver of Events, and reports whether it was received: after Close none is.
+// Post passes an event to the receiver of Events, and blocks until it is received or the loop is closed. It reports
+// whether the event was received. It may be called by any goroutine except the receiver.
 func (l *Loop) Post(event func()) bool {
 	select {
 	case l.Events <- event:
@@ -37,16 +41,16 @@
 	}
 }
 
-// Done returns a channel that is closed once no event is taken any more.
+// Done returns a channel that is closed by Close.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// Close closes the loop: no event is received any more. Wait for Goroutines after it.
+// Close closes the loop, which receives no further event. The caller must wait for Goroutines after it.
 func (l *Loop) Close() {
 	close(l.done)
 	l.timer.Stop()
 }
 
-// Arm sets the timer to the next of some deadlines, of which 0 is none.
+// Arm sets the timer to the earliest of the deadlines; 0 is none. Without any the timer stays as it is.
 func (l *Loop) Arm(deadlines ...monotime.Micros) {
 	var next monotime.Micros
 	for _, d := range deadlines {
@@ -59,7 +63,7 @@
 	}
 }
 
-// After posts an event after a time.
+// After posts an event after a time, unless the loop is closed before.
 func (l *Loop) After(d time.Duration, event func()) {
 	l.Goroutines.Go(func() {
 		select {
@@ -70,7 +74,8 @@
 	})
 }
 
-// Read posts a connection's messages, and its end as one of kind ConnectionLost.
+// Read posts a call of received for each message of a connection, on a goroutine of its own. The end of the connection
+// is a last message of kind ConnectionLost.
 func (l *Loop) Read(c *Conn, received func(c *Conn, m Message)) {
 	l.Goroutines.Go(func() {
 		for {
@@ -88,7 +93,8 @@
 	})
 }
 
-// PostConnectionLost posts that a connection is of no use, as its reader would.
+// PostConnectionLost posts a message of kind ConnectionLost for a connection that cannot be written to, as Read does at
+// its end.
 func (l *Loop) PostConnectionLost(c *Conn, why error, received func(c *Conn, m Message)) {
 	l.Goroutines.Go(func() {
 		l.Post(func() { received(c, Message{Kind: decide.ConnectionLost, Payload: []byte(why.Error())}) })
@@ -100,7 +106,7 @@
 	return Message{Kind: decide.Hello, Payload: fmt.Append(nil, decide.Version)}
 }
 
-// HelloProblem returns why a process that has sent this first message is rejected, "" if it is not.
+// HelloProblem returns why a process is rejected by its first message, empty if it is not.
 func HelloProblem(m Message) string {
 	switch {
 	case m.Kind != decide.Hello:
@@ -111,7 +117,7 @@
 	return ""
 }
 
-// Reject rejects a process that has connected, and closes the connection.
+// Reject sends the other process that it is rejected, and closes the connection.
 func (c *Conn) Reject(reason string) {
 	_ = c.Write(Message{Kind: decide.Rejected, Payload: []byte(reason)})
 	c.Close()
--- a/internal/takeover/predecessor.go
+++ b/internal/takeover/predecessor.go
@@ -7,9 +7,9 @@
 	decide "dunlinsail/internal/decide/takeover"
 )
 
-// AcceptSuccessors accepts processes that want to take over, until the listener is paused or closed. Each has
-// helloTimeout to say so: one that sends nothing keeps nobody from taking over. It may run on any goroutine;
-// connections that have sent nothing are closed when ctx ends.
+// AcceptSuccessors accepts processes that request a hot restart, until the listener is paused or closed. Each must send
+// Hello within helloTimeout, and does not block others until then. It may run on any goroutine; connections that have
+// sent nothing are closed when ctx ends.
 func (l *Lifecycle) AcceptSuccessors(ctx context.Context, listener *Listener, helloTimeout time.Duration) {
 	for {
 		conn, err := listener.Accept()
@@ -20,7 +20,8 @@
 	}
 }
 
-// ReadHello reads the first message of a process that has connected, on a goroutine of its own.
+// ReadHello reads the first message of a process that has connected, on a goroutine of its own, which ends with the
+// message, the timeout or ctx. It may be called by any goroutine.
 func (l *Lifecycle) ReadHello(ctx context.Context, conn *Conn, timeout time.Duration) {
 	l.Loop.Goroutines.Go(func() {
 		release := context.AfterFunc(ctx, func() { conn.Close() })
@@ -33,7 +34,8 @@
 	})
 }
 
-// onHello begins as the predecessor of a process that has connected, if it is the only one.
+// onHello starts a hot restart as the predecessor of a process that has connected, or rejects that process if another
+// one is in progress or its first message is invalid.
 func (l *Lifecycle) onHello(conn *Conn, m Message) {
 	problem := HelloProblem(m)
 	if problem == "" && l.SuccessorConn != nil {
@@ -49,6 +51,7 @@
 	l.StepPredecessor(decide.Hello)
 }
 
+// onSuccessorMessage handles a message of the successor. Messages of an earlier connection are ignored.
 func (l *Lifecycle) onSuccessorMessage(conn *Conn, m Message) {
 	m.CloseFiles()
 	if conn != l.SuccessorConn {
@@ -65,24 +68,25 @@
 	l.StepPredecessor(m.Kind)
 }
 
-// StepPredecessor passes an event to the predecessor's machine and carries out its steps.
+// StepPredecessor passes an event to the predecessor's state machine and carries out its steps.
 func (l *Lifecycle) StepPredecessor(e decide.Event) {
 	for _, step := range l.Predecessor.Step(now(), e) {
 		l.log.Debug("takeover", "event", e.String(), "action", step.Action.String(), "message", step.Message.String())
 		l.carryOutPredecessor(step)
 	}
-	if yes := l.Predecessor.HandingOver(); yes != l.handingOver {
-		l.handingOver = yes
-		l.host.HandingOver(yes)
+	if active := l.Predecessor.HandingOver(); active != l.handingOver {
+		l.handingOver = active
+		l.host.HandingOver(active)
 	}
 }
 
+// carryOutPredecessor carries out a step of the predecessor's state machine.
 func (l *Lifecycle) carryOutPredecessor(step decide.Step) {
 	switch step.Action {
 	case decide.Send:
 		l.sendToSuccessor(step)
 	case decide.Disconnect:
-		l.disconnectSuccessor()
+		disconnect(&l.SuccessorConn, l.host.SuccessorLeaving)
 	case decide.StopAccepting:
 		l.snapshot = l.host.StopAccepting()
 	case decide.ResumeServing:
@@ -106,15 +110,7 @@
 	}
 }
 
-func (l *Lifecycle) disconnectSuccessor() {
-	if l.SuccessorConn == nil {
-		return
-	}
-	l.host.SuccessorLeaving(l.SuccessorConn)
-	l.SuccessorConn.Close()
-	l.SuccessorConn = nil
-}
-
+// sendToSuccessor sends a step's message. A failure ends the hot restart as a lost connection.
 func (l *Lifecycle) sendToSuccessor(step decide.Step) {
 	if l.SuccessorConn == nil {
 		return
@@ -128,7 +124,7 @@
 		m.Payload = l.snapshot
 		l.snapshot = nil
 	case decide.Activate:
-		l.StepSuccessor(decide.HandedOver, "") // before the other side accepts
+		l.StepSuccessor(decide.HandedOver, "") // before the successor accepts
 		l.host.Activating()
 		l.log.Info("handed over", "waiting for", "open requests and connections")
 	}
--- a/internal/takeover/snapshot.go
+++ b/internal/takeover/snapshot.go
@@ -11,28 +11,34 @@
 	"dunlinsail/internal/engine"
 )
 
-// State is the snapshot that a predecessor sends to its successor.
+// State is the snapshot that a predecessor sends to its successor, with its time.
 type State struct {
-	// TakenAt is on the host's monotonic clock, in microseconds: the same in all its processes.
+	// TakenAt is the time of the snapshot by Monotonic, which is the same for both processes.
 	TakenAt  int64            `json:"Taken"`
 	Snapshot *engine.Snapshot `json:"Core"`
 }
 
-// FormatVersion is that of a State's encoding. A state of another version is rejected: the successor then starts with
-// what discovery sends.
+// FormatVersion is the version of a State's encoding. A successor rejects a state of another version, and starts
+// without what was learned.
 const FormatVersion = 2
 
+// magic is the start of an encoded state.
 var magic = [4]byte{'D', 'L', 'S', 'S'}
 
-// headerSize is magic, version, length and checksum.
-const headerSize = 4 + 4 + 8 + 4
+// Offsets of the fields of an encoded state's header, in bytes. Numbers are in big endian.
+const (
+	versionOffset  = 4  // after magic; 4 bytes
+	lengthOffset   = 8  // of the JSON; 8 bytes
+	checksumOffset = 16 // CRC-32C of the JSON; 4 bytes
+	headerSize     = 20
+)
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrState is wrapped by the errors of DecodeState.
+// ErrState is wrapped by all errors of DecodeState.
 var ErrState = errors.New("what the other process learned is refused")
 
-// Encode encodes the state: magic, version, length and CRC-32C of the JSON that follows.
+// Encode returns the encoded state: a header, and the JSON.
 func (s *State) Encode() ([]byte, error) {
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -48,30 +54,31 @@
 	return b.Bytes(), nil
 }
 
-// DecodeState decodes a state. Anything but a complete one of this version is an error that wraps ErrState.
+// DecodeState decodes a state. It fails with an error that wraps ErrState unless the state is complete and of this
+// version.
 func DecodeState(b []byte) (*State, error) {
-	refused := func(format string, args ...any) (*State, error) {
+	reject := func(format string, args ...any) (*State, error) {
 		return nil, fmt.Errorf("%w: %s", ErrState, fmt.Sprintf(format, args...))
 	}
-	if len(b) < headerSize || !bytes.Equal(b[:4], magic[:]) {
-		return refused("it is none")
+	if len(b) < headerSize || !bytes.Equal(b[:versionOffset], magic[:]) {
+		return reject("it is none")
 	}
-	if v := binary.BigEndian.Uint32(b[4:]); v != FormatVersion {
-		return refused("version %d, not %d", v, FormatVersion)
+	if v := binary.BigEndian.Uint32(b[versionOffset:]); v != FormatVersion {
+		return reject("version %d, not %d", v, FormatVersion)
 	}
 	text := b[headerSize:]
-	if n := binary.BigEndian.Uint64(b[8:]); n != uint64(len(text)) {
-		return refused("%d of %d bytes", len(text), n)
+	if n := binary.BigEndian.Uint64(b[lengthOffset:]); n != uint64(len(text)) {
+		return reject("%d of %d bytes", len(text), n)
 	}
-	if sum := crc32.Checksum(text, castagnoli); sum != binary.BigEndian.Uint32(b[16:]) {
-		return refused("its checksum is wrong")
+	if sum := crc32.Checksum(text, castagnoli); sum != binary.BigEndian.Uint32(b[checksumOffset:]) {
+		return reject("its checksum is wrong")
 	}
 	s := &State{}
 	if err := json.Unmarshal(text, s); err != nil {
-		return refused("%v", err)
+		return reject("%v", err)
 	}
 	if s.Snapshot == nil {
-		return refused("nothing is in it")
+		return reject("nothing is in it")
 	}
 	return s, nil
 }
--- a/internal/takeover/successor.go
+++ b/internal/takeover/successor.go
@@ -4,13 +4,14 @@
 	decide "dunlinsail/internal/decide/takeover"
 )
 
-// Connect begins as the successor of the process at the other end of a connection.
+// Connect starts a hot restart as the successor of the process at the other end of a connection.
 func (l *Lifecycle) Connect(predecessor *Conn) {
 	l.PredecessorConn = predecessor
 	l.Loop.Read(predecessor, l.onPredecessorMessage)
 	l.carryOutSuccessor(l.Successor.Connected(now()))
 }
 
+// onPredecessorMessage handles a message of the predecessor. Messages of an earlier connection are ignored.
 func (l *Lifecycle) onPredecessorMessage(conn *Conn, m Message) {
 	if conn != l.PredecessorConn {
 		m.CloseFiles()
@@ -37,11 +38,12 @@
 	}
 }
 
-// StepSuccessor passes an event to the successor's machine and carries out its steps.
+// StepSuccessor passes an event to the successor's state machine and carries out its steps. reason is that of Rejected.
 func (l *Lifecycle) StepSuccessor(e decide.Event, reason string) {
 	l.carryOutSuccessor(l.Successor.Step(now(), e, reason))
 }
 
+// carryOutSuccessor carries out steps of the successor's state machine, until the process has ended.
 func (l *Lifecycle) carryOutSuccessor(steps []decide.Step) {
 	for _, step := range steps {
 		if l.ended {
@@ -51,7 +53,7 @@
 		case decide.Send:
 			l.sendToPredecessor(step)
 		case decide.Disconnect:
-			l.disconnectPredecessor()
+			disconnect(&l.PredecessorConn, l.host.PredecessorLeaving) // it may be lost already
 		case decide.StartWithOffer:
 			l.startWithOffer()
 		case decide.RestoreState:
@@ -70,17 +72,7 @@
 	}
 }
 
-// disconnectPredecessor closes the connection to the predecessor, unless that was lost earlier.
-func (l *Lifecycle) disconnectPredecessor() {
-	if l.PredecessorConn == nil {
-		return
-	}
-	l.host.PredecessorLeaving(l.PredecessorConn)
-	l.PredecessorConn.Close()
-	l.PredecessorConn = nil
-}
-
-// sendToPredecessor sends a step's message. A failure shows as the connection's end.
+// sendToPredecessor sends a step's message. A failure is detected as the end of the connection.
 func (l *Lifecycle) sendToPredecessor(step decide.Step) {
 	m := Message{Kind: step.Message, Payload: []byte(step.Reason)}
 	if step.Message == decide.Hello {
@@ -89,7 +81,7 @@
 	_ = l.PredecessorConn.Write(m)
 }
 
-// startWithOffer starts the host, and steps the successor's machine once requests could be served.
+// startWithOffer starts the host, and steps the successor's state machine once requests can be served.
 func (l *Lifecycle) startWithOffer() {
 	if err := l.host.StartWithOffer(); err != nil {
 		_ = l.PredecessorConn.Write(Message{Kind: decide.Rejected, Payload: []byte(err.Error())})
