--- a/internal/accesslog/operations.go
+++ b/internal/accesslog/operations.go
@@ -4,73 +4,97 @@
 
 // Operation is one thing that a client requested, with all its attempts.
 type Operation struct {
-	Attempts []Request // in their order
+	Attempts []Request // in the order of their arrival, at least one
 }
 
-// First is its first try.
+// First returns the first attempt.
 func (s *Operation) First() *Request { return &s.Attempts[0] }
 
-// Served says whether one of its tries was.
+// Served reports whether one of the attempts was served.
 func (s *Operation) Served() bool {
 	return slices.ContainsFunc(s.Attempts, func(q Request) bool { return q.Verdict == Served })
 }
 
 const (
-	// keyLifetime is for how long a key means the same thing, in microseconds: what comes later with it is another
-	// story.
+	// keyLifetime is the time, in microseconds, for which a key identifies one operation. A later request with the key
+	// is another operation.
 	keyLifetime = 60_000_000
-	// retryWindow is within what time after a try that was not served the next one of the same client for the same
-	// thing belongs to it.
+	// retryWindow is the time, in microseconds, after the end of an attempt that was not served, within which a request
+	// of the same client for the same object is a retry.
 	retryWindow = 2_000_000
-	// maxAttempts is how many tries a story has at most.
+	// maxAttempts is the largest number of attempts of an operation.
 	maxAttempts = 12
 )
 
-// operationKey is by what a try without a key is found to belong to another.
+// operationKey identifies the operation of an attempt without an idempotency key.
 type operationKey struct {
 	instance, client, tenant, class, route string
 	object                                 uint64
 }
 
-// Operations groups the attempts of each operation: a better variant must not be fed the retries that a worse one
-// made clients make. Tries with a key belong together by it, whichever instance they came to. Others do where the
-// same client asks for the same object again soon after a try that was not served; where objects are not told, only
-// if the client marks its retries. A client may in truth ask anew by chance: what is taken for a retry then is
-// missing.
+// Operations groups the requests by operation, so that a replay contains what clients wanted, without the retries that
+// the recorded fleet caused. Requests with an idempotency key belong together by the key, at any instance. A request
+// without one is a retry if the same client requested the same object shortly before and was not served. If objects are
+// not recorded, it is one only if the client marks its retries. A client may also request an object again by chance:
+// such a request is taken for a retry, and is missing from the replay.
 func (rec *Recording) Operations() []*Operation {
-	var all []*Operation
-	byKey := map[uint64]*Operation{}
-	open := map[operationKey]*Operation{} // whose last try was not served
+	g := operationGrouper{byKey: map[uint64]*Operation{}, unserved: map[operationKey]*Operation{}}
 	for i := range rec.Requests {
-		q := rec.Requests[i]
-		if q.KeyHash != 0 {
-			if s := byKey[q.KeyHash]; s != nil && q.Arrived-s.First().Arrived < keyLifetime && len(s.Attempts) < maxAttempts {
-				s.Attempts = append(s.Attempts, q)
-				continue
-			}
-			s := &Operation{[]Request{q}}
-			byKey[q.KeyHash] = s
-			all = append(all, s)
-			continue
-		}
-		w := operationKey{q.Instance, q.Client, q.Tenant, q.Class, q.Route, q.ObjectHash}
-		if s := open[w]; s != nil && (q.ObjectHash != 0 || q.Retry) {
-			last := &s.Attempts[len(s.Attempts)-1]
-			if since := q.Arrived - last.End(); since >= 0 && since < retryWindow && last.Verdict != Served && len(s.Attempts) < maxAttempts {
-				s.Attempts = append(s.Attempts, q)
-				if q.Verdict == Served {
-					delete(open, w)
-				}
-				continue
-			}
-		}
-		s := &Operation{[]Request{q}}
-		all = append(all, s)
-		if q.Verdict != Served {
-			open[w] = s
+		if q := rec.Requests[i]; q.KeyHash != 0 {
+			g.addByKey(q)
 		} else {
-			delete(open, w)
+			g.addByObject(q)
+		}
+	}
+	return g.all
+}
+
+// operationGrouper is the state of Operations.
+type operationGrouper struct {
+	all      []*Operation
+	byKey    map[uint64]*Operation       // the latest operation of an idempotency key
+	unserved map[operationKey]*Operation // operations without a key whose latest attempt was not served
+}
+
+// start starts an operation with its first attempt.
+func (g *operationGrouper) start(q Request) *Operation {
+	s := &Operation{[]Request{q}}
+	g.all = append(g.all, s)
+	return s
+}
+
+// addByKey adds a request with an idempotency key.
+func (g *operationGrouper) addByKey(q Request) {
+	s := g.byKey[q.KeyHash]
+	if s != nil && q.Arrived-s.First().Arrived < keyLifetime && len(s.Attempts) < maxAttempts {
+		s.Attempts = append(s.Attempts, q)
+		return
+	}
+	g.byKey[q.KeyHash] = g.start(q)
+}
+
+// addByObject adds a request without an idempotency key.
+func (g *operationGrouper) addByObject(q Request) {
+	key := operationKey{q.Instance, q.Client, q.Tenant, q.Class, q.Route, q.ObjectHash}
+	if s := g.unserved[key]; s != nil && (q.ObjectHash != 0 || q.Retry) && s.isRetriedBy(&q) {
+		s.Attempts = append(s.Attempts, q)
+		if q.Verdict == Served {
+			delete(g.unserved, key)
 		}
+		return
+	}
+	s := g.start(q)
+	if q.Verdict != Served {
+		g.unserved[key] = s
+	} else {
+		delete(g.unserved, key)
 	}
-	return all
+}
+
+// isRetriedBy reports whether a request for the same object follows soon enough after the latest attempt, which was not
+// served.
+func (s *Operation) isRetriedBy(q *Request) bool {
+	last := &s.Attempts[len(s.Attempts)-1]
+	since := q.Arrived - last.End()
+	return since >= 0 && since < retryWindow && last.Verdict != Served && len(s.Attempts) < maxAttempts
 }
--- a/internal/accesslog/recording.go
+++ b/internal/accesslog/recording.go
@@ -13,41 +13,43 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// Request is a row with the instance that wrote it.
+// Request is a row, with the instance that wrote it.
 type Request struct {
 	Row
 	Instance string
 }
 
-// End is when its client had its answer, or left.
+// End returns when the client got the response or left, in Unix microseconds.
 func (r *Request) End() int64 { return r.Arrived + r.Duration }
 
-// Run is what one run of an instance has left.
+// Run is the summary of the segments of one process of an instance.
 type Run struct {
 	Instance, Process string
-	Segments          int
-	Rows              int64
-	Missing           int64 // rows that ought to be there and are not
-	Dropped           int64 // of these, those of which the instance said so
-	Sample            float64
-	From, To          int64   // Unix microseconds
-	Offset            int64   // by which the system's clock was ahead of the run's, at the end
-	Steps             []int64 // by which the system's clock stepped, from one segment to the next
-	offsets           []int64
-	maxSeq            int64 // the greatest number of a row
+	Segments          int     // number of complete segments
+	Rows              int64   // number of rows
+	Missing           int64   // number of rows that were lost, by gaps in the rows' numbers
+	Dropped           int64   // number of rows that the instance has counted as dropped
+	Sample            float64 // fraction of requests that is recorded
+	From, To          int64   // of the first arrival and the last end, in Unix microseconds
+	Offset            int64   // system's clock less the run's clock at the end, in microseconds
+	Steps             []int64 // steps of the system's clock between segments, in microseconds
+	offsets           []int64 // system's clock less the run's clock, by segment
+	maxSeq            int64   // largest number of a row
 }
 
-// Recording is what a number of folders hold.
+// Recording is the content of a number of folders.
 type Recording struct {
 	Runs     []*Run
 	Requests []Request // by their arrival
-	Problems []string  // what cannot be read
+	Problems []string  // files and rows that cannot be used, and why
 }
 
-// minClockStep is the least step of a clock that is told, in microseconds: less is how late a segment is written.
+// minClockStep is the smallest step of a clock that is reported, in microseconds. Smaller differences are delays in
+// writing a segment.
 const minClockStep = 200_000
 
-// Read reads folders and single segments. What cannot be read is told as a problem, and the rest is read.
+// Read reads folders and single segments. A file that cannot be decoded is added to Problems. Read fails only if a path
+// does not exist or a folder cannot be read.
 func Read(paths ...string) (*Recording, error) {
 	var files []string
 	for _, p := range paths {
@@ -85,7 +87,7 @@
 	return rec, nil
 }
 
-// file reads a segment.
+// file reads a segment. seen has the numbers of the rows that were read, by run.
 func (rec *Recording) file(path string, runs map[string]*Run, seen map[string]map[int64]bool) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -110,7 +112,8 @@
 		if v, err := strconv.ParseFloat(meta["sample"], 64); err == nil && v > 0 {
 			r.Sample = v
 		}
-		runs[name], seen[name] = r, map[int64]bool{}
+		runs[name] = r
+		seen[name] = map[int64]bool{}
 		rec.Runs = append(rec.Runs, r)
 	}
 	r.Segments++
@@ -139,7 +142,14 @@
 	return nil
 }
 
-// decode reads a segment's rows and what it says of itself. The library panics at some of what is no Parquet.
+// maxRowsPerByte bounds the number of rows that a segment may claim to have, by its size in bytes.
+const maxRowsPerByte = 1000
+
+// metadataKeys are the keys of a segment's metadata.
+var metadataKeys = []string{"version", "instance", "process", "sample", "dropped", "began_wall_us", "ended_wall_us"}
+
+// decode reads a segment's rows and its metadata. The Parquet library panics for some invalid files, which is an error
+// here.
 func decode(f *os.File, size int64) (rows []Row, meta map[string]string, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -151,14 +161,14 @@
 		return nil, nil, fmt.Errorf("is no whole segment: %w", err)
 	}
 	meta = map[string]string{}
-	for _, key := range []string{"version", "instance", "process", "sample", "dropped", "began_wall_us", "ended_wall_us"} {
+	for _, key := range metadataKeys {
 		if v, ok := file.Lookup(key); ok {
 			meta[key] = v
 		}
 	}
 	r := parquet.NewGenericReader[Row](file)
-	defer func() { _ = r.Close() }() // nothing of what was read depends on it
-	if n := r.NumRows(); n < 0 || n > size*1000 {
+	defer func() { _ = r.Close() }() // the rows have been read by then
+	if n := r.NumRows(); n < 0 || n > size*maxRowsPerByte {
 		return nil, nil, fmt.Errorf("says that it has %d rows", n)
 	}
 	rows = make([]Row, r.NumRows())
@@ -169,7 +179,7 @@
 	return rows, meta, nil
 }
 
-// summarize tells what a run's segments say together.
+// summarize computes the figures of a run from all its segments.
 func (r *Run) summarize() {
 	if r.Sample >= 1 {
 		r.Missing = r.maxSeq - r.Rows
@@ -184,13 +194,13 @@
 	if n := len(r.offsets); n > 0 {
 		sorted := slices.Sorted(slices.Values(r.offsets))
 		if r.Offset = sorted[n/2]; len(r.Steps) > 0 {
-			r.Offset = r.offsets[n-1] // the clock was set right at last
+			r.Offset = r.offsets[n-1] // the clock is most likely right after its last step
 		}
 	}
 }
 
-// Align moves the requests of runs whose clock was wrong by the system's clock at their end, so that what several
-// instances wrote can be put together.
+// Align moves the requests of runs whose clock was wrong by the run's Offset, so that the requests of several instances
+// are in the right order.
 func (rec *Recording) Align() {
 	for _, r := range rec.Runs {
 		if r.Offset > -minClockStep && r.Offset < minClockStep+maxSegmentDelay {
@@ -206,57 +216,90 @@
 	slices.SortStableFunc(rec.Requests, func(a, b Request) int { return cmp.Compare(a.Arrived, b.Arrived) })
 }
 
-// maxSegmentDelay is for how long a segment may rest before it is written, in microseconds: a clock that is ahead by
-// less may be right.
+// maxSegmentDelay is the longest time from a segment's last row until it is written, in microseconds. A clock that
+// seems ahead by less may be right.
 const maxSegmentDelay = 60_000_000
 
-// Check tells what a recording lacks, for whoever wants to play it again.
+// Check returns what a recording lacks for a replay, a line for each finding.
 func (rec *Recording) Check() (all []string) {
 	all = append(all, rec.Problems...)
 	if len(rec.Requests) == 0 {
 		return append(all, "there is no request")
 	}
 	for _, r := range rec.Runs {
-		at := fmt.Sprintf("instance %s, run %s", r.Instance, r.Process)
-		if r.Missing > 0 {
-			all = append(all, fmt.Sprintf("%s: %d of %d requests are missing (%d were dropped by a slow or full disk)", at, r.Missing, r.Missing+r.Rows, r.Dropped))
-		}
-		if r.Sample < 1 {
-			all = append(all, fmt.Sprintf("%s: a sample of %g; what is played again is scaled up by it", at, r.Sample))
-		}
-		for _, step := range r.Steps {
-			all = append(all, fmt.Sprintf("%s: the system's clock stepped by %.3f s meanwhile; the run's own did not", at, float64(step)/1e6))
-		}
-		if r.Offset < -minClockStep || r.Offset > maxSegmentDelay+minClockStep {
-			all = append(all, fmt.Sprintf("%s: its clock was %.3f s off at the end; put together with others, align it", at, float64(r.Offset)/1e6))
-		}
+		all = append(all, r.check()...)
+	}
+	all = append(all, rec.checkSpans()...)
+	return append(all, rec.checkRetryMarks()...)
+}
+
+// check returns what a run lacks by itself.
+func (r *Run) check() (all []string) {
+	add := func(format string, args ...any) {
+		all = append(all, fmt.Sprintf("instance %s, run %s: ", r.Instance, r.Process)+fmt.Sprintf(format, args...))
+	}
+	if r.Missing > 0 {
+		add("%d of %d requests are missing (%d were dropped by a slow or full disk)",
+			r.Missing, r.Missing+r.Rows, r.Dropped)
+	}
+	if r.Sample < 1 {
+		add("a sample of %g; what is played again is scaled up by it", r.Sample)
 	}
+	for _, step := range r.Steps {
+		add("the system's clock stepped by %.3f s meanwhile; the run's own did not", inSeconds(step))
+	}
+	if r.Offset < -minClockStep || r.Offset > maxSegmentDelay+minClockStep {
+		add("its clock was %.3f s off at the end; put together with others, align it", inSeconds(r.Offset))
+	}
+	return all
+}
+
+const (
+	// minSpanGap is the shortest time, in microseconds, by which a run begins later or ends earlier than the recording
+	// that Check reports.
+	minSpanGap = 5_000_000
+	// spanGapDivisor: Check reports such a time only if it is longer than one part in so many of the recording.
+	spanGapDivisor = 20
+)
+
+// checkSpans returns which runs do not cover the time of the recording.
+func (rec *Recording) checkSpans() (all []string) {
 	from, to := rec.Span()
 	for _, r := range rec.Runs {
-		if gap := r.From - from; gap > 5_000_000 && gap > (to-from)/20 {
-			all = append(all, fmt.Sprintf("instance %s, run %s: begins %.0f s after the first", r.Instance, r.Process, float64(gap)/1e6))
+		if gap := r.From - from; gap > minSpanGap && gap > (to-from)/spanGapDivisor {
+			all = append(all, fmt.Sprintf("instance %s, run %s: begins %.0f s after the first",
+				r.Instance, r.Process, inSeconds(gap)))
 		}
-		if gap := to - r.To; gap > 5_000_000 && gap > (to-from)/20 {
-			all = append(all, fmt.Sprintf("instance %s, run %s: ends %.0f s before the last", r.Instance, r.Process, float64(gap)/1e6))
+		if gap := to - r.To; gap > minSpanGap && gap > (to-from)/spanGapDivisor {
+			all = append(all, fmt.Sprintf("instance %s, run %s: ends %.0f s before the last",
+				r.Instance, r.Process, inSeconds(gap)))
 		}
 	}
-	blind := map[string]int{}
+	return all
+}
+
+// checkRetryMarks returns the classes with requests by which retries cannot be detected.
+func (rec *Recording) checkRetryMarks() (all []string) {
+	unmarked := map[string]int{}
 	counts := map[string]int{}
 	for i := range rec.Requests {
 		q := &rec.Requests[i]
 		counts[q.Class]++
 		if q.KeyHash == 0 && q.ObjectHash == 0 && !q.Retry {
-			blind[q.Class]++
+			unmarked[q.Class]++
 		}
 	}
-	for _, class := range slices.Sorted(maps.Keys(blind)) {
-		all = append(all, fmt.Sprintf("class %q: %d of %d requests have neither key nor object nor a mark: a client's own retry cannot be told from another request of its", class,
-			blind[class], counts[class]))
+	for _, class := range slices.Sorted(maps.Keys(unmarked)) {
+		all = append(all, fmt.Sprintf("class %q: %d of %d requests have neither key nor object nor a mark: "+
+			"a client's own retry cannot be told from another request of its", class, unmarked[class], counts[class]))
 	}
 	return all
 }
 
-// Span is when the first request arrived and the last one ended.
+// inSeconds converts microseconds.
+func inSeconds(micros int64) float64 { return float64(micros) / 1e6 }
+
+// Span returns when the first request arrived and the last one ended, in Unix microseconds.
 func (rec *Recording) Span() (from, to int64) {
 	for i := range rec.Requests {
 		q := &rec.Requests[i]
--- a/internal/accesslog/row.go
+++ b/internal/accesslog/row.go
@@ -1,10 +1,11 @@
-// Package accesslog writes and reads access records: the requests that an instance received, when, and their outcomes,
-// for inspection and for replay in the simulation of the fleet. They hold no patient data: a path is given as the name
-// of its route, and keys and objects as keyed hashes with a secret of the operators. The package must not import HTTP or
-// decisions.
+// Package accesslog writes and reads access records: the requests that an instance received, with their times and
+// outcomes, for inspection and for replay in the simulation of the fleet. They contain no patient data: a path is
+// recorded as the name of its route, and keys and objects as hashes keyed with a secret of the operators. The package
+// must not import HTTP or decisions.
 //
-// A record is a directory of segments, each an Apache Parquet file that is complete or absent: it is written under a
-// temporary name, synced and renamed. Rows in the memory of a process that dies are lost; gaps in their numbers show it.
+// A record is a directory of segments. Each is an Apache Parquet file that is complete or absent: it is written under a
+// temporary name, synced and renamed. Rows in the memory of a process that is killed are lost, which gaps in the rows'
+// numbers show.
 package accesslog
 
 import (
@@ -17,7 +18,7 @@
 	"strings"
 )
 
-// Version is the version of the meaning of rows.
+// Version is the version of segments. Read rejects others.
 const Version = 1
 
 // Verdicts of requests, as stored in Row.Verdict.
@@ -25,40 +26,40 @@
 	Served    = "served"
 	Rejected  = "refused"
 	Failed    = "failed"
-	TimedOut  = "late" // failed, and the last attempt ran out of time
-	Cancelled = "left" // its client went before its answer
+	TimedOut  = "late" // failed because the last attempt timed out
+	Cancelled = "left" // the client left before the response
 )
 
 // Row is one request of a client.
 type Row struct {
-	Seq           int64  `parquet:"seq,delta"`        // counts up in one run; gaps were lost or not sampled
-	Arrived       int64  `parquet:"arrived_us,delta"` // Unix µs, by a clock that does not step during a run
-	Duration      int64  `parquet:"took_us"`          // µs until its response was sent, or its client left
-	QueueTime     int64  `parquet:"waited_us"`        // µs of this in queues
-	ClientTimeout int64  `parquet:"patience_us"`      // µs for which its client waits
-	Client        string `parquet:"client,dict"`      // as the instance knows it
+	Seq           int64  `parquet:"seq,delta"`        // number in its run; missing numbers were lost or not sampled
+	Arrived       int64  `parquet:"arrived_us,delta"` // Unix µs, by a clock without steps during a run
+	Duration      int64  `parquet:"took_us"`          // µs until the response was sent or the client left
+	QueueTime     int64  `parquet:"waited_us"`        // part of Duration spent in queues, in µs
+	ClientTimeout int64  `parquet:"patience_us"`      // how long the client waits, in µs
+	Client        string `parquet:"client,dict"`      // name by which the instance knows the client
 	Route         string `parquet:"route,dict"`       // "" without routes
 	Class         string `parquet:"class,dict"`
 	Tenant        string `parquet:"tenant,dict"`
 	Verdict       string `parquet:"verdict,dict"`
-	Endpoint      string `parquet:"endpoint,dict"` // that served it; "" is none
-	Status        int32  `parquet:"status"`        // of HTTP, as the client got it; 0 where it left
+	Endpoint      string `parquet:"endpoint,dict"` // that served it; empty if none
+	Status        int32  `parquet:"status"`        // HTTP status of the response; 0 if the client left
 	Attempts      int32  `parquet:"attempts"`
-	KeyHash       uint64 `parquet:"key_hash"`    // 0 is none
-	ObjectHash    uint64 `parquet:"object_hash"` // 0 is none
-	BytesIn       int64  `parquet:"bytes_in"`    // of the request's body; -1 is not known
-	BytesOut      int64  `parquet:"bytes_out"`   // of the answer's
-	Retry         bool   `parquet:"retry"`       // its client said that it is a repetition
+	KeyHash       uint64 `parquet:"key_hash"`    // of the idempotency key; 0 if none
+	ObjectHash    uint64 `parquet:"object_hash"` // of the requested object; 0 if none
+	BytesIn       int64  `parquet:"bytes_in"`    // of the request's body; -1 if unknown
+	BytesOut      int64  `parquet:"bytes_out"`   // of the response's body
+	Retry         bool   `parquet:"retry"`       // the client marked it as a retry
 }
 
-// Hasher makes keyed hashes. Instances with the same secret make the same, so that a key can be followed from one to
-// another; nobody without it can tell whose a hash is.
+// Hasher computes keyed hashes. Instances with the same secret compute the same, so that a key can be followed from one
+// instance to another. Without the secret a hash cannot be traced back to a client.
 type Hasher struct{ secret []byte }
 
-// minSecretBytes is how many bytes a secret has at least.
+// minSecretBytes is the smallest size of a secret, in bytes.
 const minSecretBytes = 16
 
-// NewHasher returns a hasher with a secret from a file, or the error of one that is too short.
+// NewHasher returns a hasher with the secret in a file. It fails if the file cannot be read or the secret is too short.
 func NewHasher(path string) (*Hasher, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -74,8 +75,8 @@
 // NewHasherFromSecret returns a hasher with a secret.
 func NewHasherFromSecret(secret []byte) *Hasher { return &Hasher{secret} }
 
-// Hash returns 64 bits of HMAC-SHA256 (RFC 2104) of a text, of a kind: the same text as a key and as an object has two
-// hashes. That of "" is 0, and of nothing else.
+// Hash returns 64 bits of the HMAC-SHA256 (RFC 2104) of a kind and a text: the same text has different hashes as a key
+// and as an object. The hash of the empty text, and of no other, is 0.
 func (h *Hasher) Hash(kind, text string) uint64 {
 	if text == "" {
 		return 0
@@ -87,10 +88,18 @@
 	return max(1, binary.BigEndian.Uint64(m.Sum(nil)))
 }
 
-// Sampled reports whether a request belongs to a sample of a part: by its key or, without one, its object, so that all
-// tries for one thing are in it or none is; by its number where it has neither.
-func Sampled(r *Row, part float64) bool {
-	if part >= 1 {
+// Constants of the mixing of hashes in Sampled.
+const (
+	goldenGamma      = 0x9e3779b97f4a7c15 // increment of SplitMix64
+	murmurMultiplier = 0xff51afd7ed558ccd // of MurmurHash3's finalizer
+	murmurShift      = 33                 // of MurmurHash3's finalizer
+)
+
+// Sampled reports whether a request belongs to a sample of the given fraction. A request is sampled by its key or,
+// without one, its object, so that all attempts of an operation are in the sample or none is. Without both it is
+// sampled by its number.
+func Sampled(r *Row, fraction float64) bool {
+	if fraction >= 1 {
 		return true
 	}
 	x := r.KeyHash
@@ -98,11 +107,11 @@
 		x = r.ObjectHash
 	}
 	if x == 0 {
-		x = uint64(r.Seq)*0x9e3779b97f4a7c15 ^ uint64(r.Arrived)
+		x = uint64(r.Seq)*goldenGamma ^ uint64(r.Arrived)
 	}
-	// The hash's own bits go on being used by others: these are mixed anew (MurmurHash3's finalizer).
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	x ^= x >> 33
-	return float64(x) < part*math.MaxUint64
+	// The hash's own bits have other uses, which must be independent of the sample.
+	x ^= x >> murmurShift
+	x *= murmurMultiplier
+	x ^= x >> murmurShift
+	return float64(x) < fraction*math.MaxUint64
 }
--- a/internal/accesslog/writer.go
+++ b/internal/accesslog/writer.go
@@ -18,69 +18,70 @@
 
 // Options configure a Writer.
 type Options struct {
-	Dir      string
-	Instance string        // its name, a part of the segments' names
-	Sample   float64       // of the requests, over 0 to 1 (Sampled)
-	Rows     int           // of a segment at most
-	Age      time.Duration // a segment is ended after so long
-	Keep     int64         // bytes of all of this instance's segments: the oldest go first; 0 is no bound
+	Dir      string        // created if it does not exist
+	Instance string        // name of the instance, a part of the segments' names
+	Sample   float64       // fraction of requests to record, above 0 and at most 1 (Sampled)
+	Rows     int           // largest number of rows of a segment
+	Age      time.Duration // after which a segment is written even if it has fewer rows
+	Keep     int64         // bytes of all segments of this instance, the oldest are removed; 0 is no bound
 	Log      *slog.Logger
 	Now      func() time.Time // the system's clock; nil is time.Now
 }
 
-// Writer writes access records. Add never waits for the disk: rows that cannot be written in time are dropped and counted.
+// Writer writes access records. Add never waits for the disk: rows that cannot be written in time are dropped and
+// counted. Create one with NewWriter, which starts a goroutine; Close ends it. It is safe for concurrent use.
 type Writer struct {
 	options Options
 	process string // of this run, a part of the segments' names
 
 	mu           sync.Mutex
-	rows         []Row
+	rows         []Row     // of the present segment
 	segmentStart time.Time // of the present segment
-	seq          int64
-	dropped      int64
+	seq          int64     // number of the latest row
+	dropped      int64     // rows dropped since the latest written segment
 	closed       bool
 
-	pending chan segment
-	done    chan struct{}
-	tick    *time.Ticker
-	writing sync.Mutex // one segment at a time
-	lastLog time.Time
-	number  int
+	pending chan segment  // wait for the disk
+	done    chan struct{} // closed at the end of run
+	tick    *time.Ticker  // at which the present segment's age is checked
+	writing sync.Mutex    // held while a segment is written
+	lastLog time.Time     // of the latest logged error
+	number  int           // of the latest segment
 }
 
-// segment is one that is ready to be written.
+// segment is a segment that is ready to be written.
 type segment struct {
 	rows    []Row
 	began   time.Time
-	dropped int64
+	dropped int64 // rows dropped before it
 }
 
-// maxPendingSegments is how many segments may wait for the disk.
+// maxPendingSegments is the number of segments that may wait for the disk. The rows of further ones are dropped.
 const maxPendingSegments = 2
 
-// segmentSuffix is that of a segment's name.
+// segmentSuffix is the end of a segment's name.
 const segmentSuffix = ".parquet"
 
-// partialSuffix is what a segment's name ends in while it is being written.
+// partialSuffix is the end of a segment's name while it is being written.
 const partialSuffix = ".part"
 
-// ownSegment says whether a segment's name is one of this instance's, and of which process.
+// ownSegment reports whether a segment's name is one of this instance's, and returns the id of its process.
 func (w *Writer) ownSegment(name string) (pid int, ours bool) {
 	rest, ok := strings.CutPrefix(name, w.options.Instance+"-")
-	rest, whole := strings.CutSuffix(rest, segmentSuffix)
-	process, number, two := strings.Cut(rest, "-")
-	if !ok || !whole || !two || strings.Contains(number, "-") {
+	rest, complete := strings.CutSuffix(rest, segmentSuffix)
+	process, number, hasNumber := strings.Cut(rest, "-")
+	if !ok || !complete || !hasNumber || strings.Contains(number, "-") {
 		return 0, false
 	}
 	return processID(process)
 }
 
-// startDigits is how many base-36 digits the Unix milliseconds of a process's start have, from 1972 to 2059.
+// startDigits is the number of base-36 digits of a process's start in Unix milliseconds, from 1972 to 2059.
 const startDigits = 8
 
 // processID returns the process id in a segment name's process part: the start in milliseconds, the letter p and the
-// process id, both numbers in base 36. The letter is a digit of base 36 too, so the separator is looked for behind the
-// digits of the start; a start of fewer digits ends at the first one.
+// process id, both numbers in base 36. The letter p is also a digit of base 36: the separator is the one after the
+// digits of the start, or the first one if the start has fewer digits.
 func processID(process string) (pid int, ok bool) {
 	separator := strings.IndexByte(process, 'p')
 	if len(process) > startDigits && process[startDigits] == 'p' {
@@ -93,18 +94,29 @@
 	return int(id), err == nil
 }
 
-// processAlive reports whether a process runs: a successor starts to write while its predecessor still does.
+// processAlive reports whether a process runs. In a hot restart a successor starts to write while its predecessor still
+// writes.
 func processAlive(pid int) bool {
 	return pid == os.Getpid() || syscall.Kill(pid, 0) == nil
 }
 
-// NewWriter starts a writer in a folder, which it makes if need be. Files that a process left half written are
-// removed.
+const (
+	// dirMode and segmentMode let the process's group read the segments.
+	dirMode     = 0o750
+	segmentMode = 0o640
+	// ageChecksPerSegment is the number of times that a segment's age is checked within Options.Age.
+	ageChecksPerSegment = 4
+	// minAgeCheckInterval bounds the rate of these checks.
+	minAgeCheckInterval = 10 * time.Millisecond
+)
+
+// NewWriter starts a writer. It removes files that ended processes of the same instance have left incomplete. It fails
+// if the folder cannot be used, or the instance's name cannot be a part of a file's name.
 func NewWriter(o Options) (*Writer, error) {
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	if err := os.MkdirAll(o.Dir, 0o750); err != nil {
+	if err := os.MkdirAll(o.Dir, dirMode); err != nil {
 		return nil, err
 	}
 	if strings.ContainsAny(o.Instance, "/\\\x00") || o.Instance == "" {
@@ -117,7 +129,7 @@
 		segmentStart: o.Now(),
 		pending:      make(chan segment, maxPendingSegments),
 		done:         make(chan struct{}),
-		tick:         time.NewTicker(max(o.Age/4, 10*time.Millisecond)),
+		tick:         time.NewTicker(max(o.Age/ageChecksPerSegment, minAgeCheckInterval)),
 	}
 	entries, err := os.ReadDir(o.Dir)
 	if err != nil {
@@ -136,7 +148,10 @@
 	return w, nil
 }
 
-// Add adds a row, whose number it gives.
+// initialRows is the largest number of rows for which memory is allocated before they are added.
+const initialRows = 1024
+
+// Add numbers a row and adds it, if it belongs to the sample. After Close it has no effect.
 func (w *Writer) Add(r Row) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -149,7 +164,7 @@
 		return
 	}
 	if w.rows == nil {
-		w.rows = make([]Row, 0, min(w.options.Rows, 1024))
+		w.rows = make([]Row, 0, min(w.options.Rows, initialRows))
 	}
 	w.rows = append(w.rows, r)
 	if len(w.rows) >= w.options.Rows {
@@ -157,7 +172,7 @@
 	}
 }
 
-// handOverLocked hands the present segment on. The caller holds mu.
+// handOverLocked queues the present segment, or drops its rows if too many segments wait. The caller holds mu.
 func (w *Writer) handOverLocked() {
 	s := segment{w.rows, w.segmentStart, w.dropped}
 	select {
@@ -170,7 +185,8 @@
 	w.segmentStart = w.options.Now()
 }
 
-// run writes segments, and ends those that have grown old.
+// run writes queued segments, and queues the present one when it has reached Options.Age. It runs in a goroutine of its
+// own, which Close ends.
 func (w *Writer) run() {
 	defer close(w.done)
 	for {
@@ -190,7 +206,7 @@
 	}
 }
 
-// Close writes what is held, and ends the writer.
+// Close writes all rows that were added, and ends the writer's goroutine.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	if w.closed {
@@ -209,14 +225,18 @@
 	}
 }
 
-// Dropped returns how many rows were dropped and not told of in a segment yet.
+// Dropped returns the number of rows that were dropped and are not counted in a written segment yet.
 func (w *Writer) Dropped() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.dropped
 }
 
-// write writes a segment. One that cannot be written is dropped: the disk may have room again for the next.
+// errorLogInterval is the shortest time from one logged error to the next.
+const errorLogInterval = 10 * time.Second
+
+// write writes a segment, and removes the oldest ones beyond Options.Keep. The rows of a segment that cannot be written
+// are dropped; later segments are written if the disk allows it.
 func (w *Writer) write(s segment) {
 	w.writing.Lock()
 	defer w.writing.Unlock()
@@ -228,17 +248,18 @@
 		w.dropped += s.dropped + int64(len(s.rows))
 		w.mu.Unlock()
 	}
-	if now := w.options.Now(); err != nil && now.Sub(w.lastLog) > 10*time.Second {
+	if now := w.options.Now(); err != nil && now.Sub(w.lastLog) > errorLogInterval {
 		w.lastLog = now
 		w.options.Log.Warn("access record not written", "dir", w.options.Dir, "error", err, "rows", len(s.rows))
 	}
 }
 
+// writeFile writes a segment under a temporary name, syncs and renames it. On an error no file is left.
 func (w *Writer) writeFile(s segment) (err error) {
 	w.number++
 	name := fmt.Sprintf("%s-%s-%06d%s", w.options.Instance, w.process, w.number, segmentSuffix)
 	part := filepath.Join(w.options.Dir, "."+name+partialSuffix)
-	f, err := os.OpenFile(part, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
+	f, err := os.OpenFile(part, os.O_CREATE|os.O_EXCL|os.O_WRONLY, segmentMode)
 	if err != nil {
 		return err
 	}
@@ -278,7 +299,7 @@
 	return os.Rename(part, filepath.Join(w.options.Dir, name))
 }
 
-// rotate removes the oldest of this instance's segments where they are too many.
+// rotate removes the oldest segments of this instance while all are larger than Options.Keep. The newest one stays.
 func (w *Writer) rotate() error {
 	if w.options.Keep <= 0 {
 		return nil
@@ -297,7 +318,7 @@
 	for _, e := range entries {
 		info, err := e.Info()
 		if _, ours := w.ownSegment(e.Name()); !ours || err != nil {
-			continue // another's, or somebody else removed it
+			continue // another instance's, or removed in the meantime
 		}
 		all = append(all, file{filepath.Join(w.options.Dir, e.Name()), info.Size(), info.ModTime()})
 		sum += info.Size()
@@ -308,7 +329,7 @@
 		}
 		return strings.Compare(a.path, b.path)
 	})
-	for _, f := range all[:max(0, len(all)-1)] { // the newest stays in any case
+	for _, f := range all[:max(0, len(all)-1)] {
 		if sum <= w.options.Keep {
 			return nil
 		}
