--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -18,8 +19,8 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// A refusal promises that the request never ran; where that is not known it is a failure, whatever the
-// endpoint said.
+// A rejection (503) promises that the request never ran. Without certainty of that the request has failed, whatever the
+// endpoint answered.
 func TestRejectedOrFailed(t *testing.T) {
 	never := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Never-Ran", "1")
@@ -34,10 +35,10 @@
 		io.WriteString(w, "half")
 	}
 	for _, tc := range []struct {
-		name    string
-		h       http.HandlerFunc
-		class   string
-		refused bool
+		name     string
+		h        http.HandlerFunc
+		class    string
+		rejected bool
 	}{
 		{"turned away, unsafe", never, "pay", true},
 		{"turned away, keyed", never, "book", true},
@@ -52,35 +53,36 @@
 			if tc.h != nil {
 				addr = scriptedpeer.StartHTTP(t, tc.h)
 			}
-			s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}))
+			s := start(t, configureStatic(t, instances(addr)))
 			method := "POST"
 			if tc.class == "look" {
 				method = "GET"
 			}
-			begun := time.Now()
+			started := time.Now()
 			resp, _ := s.request(t, request(method, "/"+tc.class, tc.class, 900, ""))
-			if got := resp.StatusCode == 503; got != tc.refused || resp.StatusCode < 500 {
-				t.Errorf("%s, refused should be %v", resp.Status, tc.refused)
+			if got := resp.StatusCode == 503; got != tc.rejected || resp.StatusCode < 500 {
+				t.Errorf("%s, rejected should be %v", resp.Status, tc.rejected)
 			}
-			if advice, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); tc.refused != (err == nil && advice > 0) {
+			retryAfter, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
+			if advised := err == nil && retryAfter > 0; advised != tc.rejected {
 				t.Errorf("Retry-After %q", resp.Header.Get("Retry-After"))
 			}
-			// What is given up is answered at once, not held back.
-			if took := time.Since(begun); took > 450*time.Millisecond {
+			// The final answer must come at once, not at the request's deadline.
+			if took := time.Since(started); took > 450*time.Millisecond {
 				t.Errorf("answered after %v", took)
 			}
 		})
 	}
 }
 
-// A request that may have run goes to no endpoint again if it is unsafe, and only to one of the same cell if
-// it is keyed.
+// A request that may have run is not retried if it is unsafe, and only at an endpoint of the same cell if it has an
+// idempotency key.
 func TestResends(t *testing.T) {
 	for _, tc := range []struct {
-		class      string
-		cell       uint16 // of the second endpoint
-		mostCopies int32
-		served     bool
+		class     string
+		cell      uint16 // of the second endpoint
+		maxCopies int32
+		served    bool
 	}{
 		{"pay", 1, 1, false},
 		{"book", 2, 1, false},
@@ -96,12 +98,12 @@
 					}
 				})
 			}
-			other := scripteddiscovery.Up("s-2", endpoint())
-			other.Cell = tc.cell
-			s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", endpoint()), other}))
+			list := instances(endpoint(), endpoint())
+			list[1].Cell = tc.cell
+			s := start(t, configureStatic(t, list))
 			resp, _ := s.request(t, request("POST", "/"+tc.class, tc.class, 900, "x"))
-			if n := copies.Load(); n > tc.mostCopies {
-				t.Errorf("%d copies, %d at most", n, tc.mostCopies)
+			if n := copies.Load(); n > tc.maxCopies {
+				t.Errorf("%d copies, %d at most", n, tc.maxCopies)
 			}
 			if got := resp.StatusCode == 200; got != tc.served || resp.StatusCode == 503 {
 				t.Errorf("%s, served should be %v", resp.Status, tc.served)
@@ -110,8 +112,8 @@
 	}
 }
 
-// An answer of which the head comes and nothing else is no answer: a request that may be repeated is served by
-// another endpoint, and one that may not gets its final answer in its time.
+// A response of which only the head comes counts as none: a safe request is served by another endpoint, and an unsafe
+// one gets its final answer by its deadline.
 func TestHeadWithoutBody(t *testing.T) {
 	var heads atomic.Int32
 	var stalls atomic.Bool
@@ -127,19 +129,19 @@
 		}
 		heads.Add(1)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n")
-		r.Peek(1) // until it is withdrawn
+		r.Peek(1) // until the attempt is cancelled
 	})
 	stalls.Store(true)
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", bad)}))
-	asked := time.Now()
+	s := start(t, configureStatic(t, instances(bad)))
+	started := time.Now()
 	resp, _ := s.request(t, request("POST", "/pay", "pay", 400, "x"))
-	if took := time.Since(asked); resp.StatusCode != 504 || took > 450*time.Millisecond || heads.Load() != 1 {
+	if took := time.Since(started); resp.StatusCode != 504 || took > 450*time.Millisecond || heads.Load() != 1 {
 		t.Errorf("alone: %s after %v, with %d attempts", resp.Status, took, heads.Load())
 	}
 	good := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	s = start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", bad), scripteddiscovery.Up("s-2", good)}))
+	s = start(t, configureStatic(t, instances(bad, good)))
 	stalls.Store(false)
-	for range 20 { // it learns how long answers take; until then any silence is waited for
+	for range 20 { // the sidecar learns response times; before, attempts have no timeout of their own
 		s.request(t, look(900))
 	}
 	stalls.Store(true)
@@ -150,7 +152,7 @@
 	}
 }
 
-// An endpoint that is mute must not keep the client waiting past its time, nor the connection open.
+// An endpoint without a response must not keep the client waiting past its deadline, nor the connection open.
 func TestDeadline(t *testing.T) {
 	ended := make(chan error, 3)
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -160,27 +162,28 @@
 		_, err := r.ReadByte()
 		ended <- err
 	})
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}))
+	s := start(t, configureStatic(t, instances(addr)))
 	for _, tc := range []struct {
 		class string
 		want  int
 	}{{"pay", 504}, {"book", 504}} {
-		begun := time.Now()
+		started := time.Now()
 		resp, _ := s.request(t, request("POST", "/"+tc.class, tc.class, 200, "x"))
-		if took := time.Since(begun); took > 250*time.Millisecond || resp.StatusCode != tc.want { // 50 ms are the machine's (PROTOCOL)
+		// The deadline, and 50 ms that PROTOCOL allows for the machine.
+		if took := time.Since(started); took > 250*time.Millisecond || resp.StatusCode != tc.want {
 			t.Errorf("%s: %s after %v, want %d within 250 ms", tc.class, resp.Status, took, tc.want)
 		}
-		if err := scriptedpeer.Receive(t, ended, "end of the attempt"); err != io.EOF {
+		if err := scriptedpeer.Receive(t, ended, "end of the attempt"); !errors.Is(err, io.EOF) {
 			t.Errorf("%s: the endpoint read on: %v", tc.class, err)
 		}
 	}
-	// One whose time is up when it comes never ran.
+	// A request that arrives after its deadline is rejected.
 	if resp, _ := s.request(t, request("POST", "/pay", "pay", 0, "x")); resp.StatusCode != 503 {
 		t.Errorf("no time: %s, want 503", resp.Status)
 	}
 }
 
-// A client that goes takes its attempt with it.
+// The attempt of a client that disconnects is cancelled.
 func TestClientGone(t *testing.T) {
 	taken, ended := make(chan struct{}), make(chan error, 1)
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -189,7 +192,7 @@
 		_, err := r.ReadByte()
 		ended <- err
 	})
-	cfg := configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}, `"give-up":1000000`, `"give-up":60000000`)
+	cfg := configureStatic(t, instances(addr), `"give-up":1000000`, `"give-up":60000000`)
 	s := start(t, cfg)
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
@@ -200,13 +203,12 @@
 	}
 	scriptedpeer.Receive(t, taken, "attempt")
 	c.Close()
-	if err := scriptedpeer.Receive(t, ended, "end of the attempt"); err != io.EOF {
+	if err := scriptedpeer.Receive(t, ended, "end of the attempt"); !errors.Is(err, io.EOF) {
 		t.Errorf("the endpoint read on: %v", err)
 	}
 }
 
-// An endpoint that leaves one class unanswered, or turns one tenant away, gets little of that, and still the
-// rest.
+// An endpoint that does not answer one class, or rejects one tenant, gets few requests of these, and still the others.
 func TestEndpointFailsOnePart(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -234,8 +236,8 @@
 				}
 				served.Add(1)
 			})
-			whole := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {})
-			s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", half), scripteddiscovery.Up("s-2", whole)},
+			healthy := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {})
+			s := start(t, configureStatic(t, instances(half, healthy),
 				`"tenants":[`, `"tenants":[{"name":"zeta","allowance-per-s":100.0,"share":1.0},`))
 			const rounds = 40
 			for range rounds {
@@ -256,8 +258,8 @@
 	}
 }
 
-// Kept connections may fall silent. A safe request on one goes elsewhere long before its time is up, and the
-// others that have been idle for as long are not tried one after another.
+// Idle connections may fail without a reset. A safe request on one is retried elsewhere long before its deadline, and
+// the others that have been idle for as long are not used one after another.
 func TestSilentConnections(t *testing.T) {
 	var silent atomic.Bool
 	var lost atomic.Int32
@@ -276,7 +278,7 @@
 			}
 		})
 	}
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", endpoint(true)), scripteddiscovery.Up("s-2", endpoint(false))}))
+	s := start(t, configureStatic(t, instances(endpoint(true), endpoint(false))))
 	for range 40 { // the sidecar learns how long requests take, over some connections at once
 		var several sync.WaitGroup
 		for range 8 {
@@ -295,25 +297,25 @@
 	}
 }
 
-// A dial can outlast the grace for a drain: then nothing may go out, and the request never ran.
+// A dial can outlast the drain grace. Then nothing may be sent, and the request is rejected.
 func TestDialOutlastsDrain(t *testing.T) {
 	var sent atomic.Int32
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) { sent.Add(1) })
 	drained := scripteddiscovery.Up("s-1", addr)
 	drained.Lifecycle = "draining"
 	for _, tc := range []struct {
-		name string
-		news discovery.List
-		wait bool // the grace goes by before the connection is up
-		want int
+		name   string
+		update discovery.List
+		wait   bool // the grace ends before the connection is established
+		want   int
 	}{
 		{"within the grace", discovery.List{Instances: []discovery.Instance{drained}}, false, 200},
 		{"past the grace", discovery.List{Instances: []discovery.Instance{drained}}, true, 503},
-		{"left out of a whole list", discovery.List{Reset: true}, true, 503},
+		{"left out of a complete list", discovery.List{Reset: true}, true, 503},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sent.Store(0)
-			cfg := configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)})
+			cfg := configureStatic(t, instances(addr))
 			dialing, release := make(chan struct{}), make(chan struct{})
 			s := startDialing(t, cfg, func(ctx context.Context, network, addr string) (net.Conn, error) {
 				close(dialing)
@@ -321,18 +323,14 @@
 				return (&net.Dialer{}).DialContext(ctx, network, addr)
 			})
 			answer := make(chan int, 1)
-			c, err := net.Dial("tcp", s.addr)
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer c.Close()
+			c := s.dial(t)
 			go func() {
 				resp, _ := s.requestOn(t, c, request("POST", "/pay", "pay", 900, "x"))
 				answer <- resp.StatusCode
 			}()
 			scriptedpeer.Receive(t, dialing, "dial")
-			tc.news.Generation = 8
-			s.parts.endpoints.UpdateEndpoints(context.Background(), tc.news.EndpointUpdate())
+			tc.update.Generation = 8
+			s.parts.endpoints.UpdateEndpoints(context.Background(), tc.update.EndpointUpdate())
 			if tc.wait {
 				<-time.After(time.Duration(cfg.Site.Settings.Contract.DrainGrace) * time.Microsecond)
 			}
@@ -347,8 +345,8 @@
 	}
 }
 
-// A dial can outlast the window in which a keyed request may be repeated: the second attempt then does not go
-// out, and the request has failed, since the first may have run. Within the window it goes on.
+// A dial can outlast the window in which a request with an idempotency key may be retried. The second attempt is not
+// sent then, and the request fails, because the first may have run. Within the window the second attempt is sent.
 func TestDialOutlastsWindow(t *testing.T) {
 	const window = 400 * time.Millisecond // as in settings
 	for name, late := range map[string]bool{"within": false, "past": true} {
@@ -369,7 +367,7 @@
 				})
 			}
 			var dials atomic.Int32
-			cfg := configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", endpoint()), scripteddiscovery.Up("s-2", endpoint())})
+			cfg := configureStatic(t, instances(endpoint(), endpoint()))
 			s := startDialing(t, cfg, func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 				if dials.Add(1) == 2 && late && err == nil {
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -12,21 +12,10 @@
 	"testing"
 	"time"
 
-	"dunlinsail/internal/discovery"
-	"dunlinsail/internal/fake/scripteddiscovery"
 	"dunlinsail/internal/fake/scriptedpeer"
-	"dunlinsail/internal/platform"
 )
 
-func before(t *testing.T, addr ...string) *platform.Config {
-	t.Helper()
-	var list []discovery.Instance
-	for i, a := range addr {
-		list = append(list, scripteddiscovery.Up(fmt.Sprint("s-", i), a))
-	}
-	return configure(t, scriptedpeer.ClosedAddress(t), list)
-}
-
+// pattern returns n bytes, a multiple of 16.
 func pattern(n int) []byte { return bytes.Repeat([]byte("0123456789abcdef"), n/16) }
 
 // echo answers with the body as it comes, in chunks where it came so.
@@ -40,10 +29,9 @@
 	io.Copy(w, r.Body)
 }
 
-// All forms of a request reach the endpoint with the body that the client meant, and all forms of an answer the
-// client.
+// All forms of a request reach the endpoint with the body that the client sent.
 func TestForms(t *testing.T) {
-	s := start(t, before(t, scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	s := start(t, configureStatic(t, instances(scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			t.Errorf("%s: %v", r.URL, err)
@@ -53,80 +41,94 @@
 			return
 		}
 		fmt.Fprintf(w, "%s %s %s", r.Method, r.URL.RequestURI(), body)
-	})))
+	}))))
 	head := func(target string, lines ...string) string {
-		return "POST " + target + " HTTP/1.1\r\nHost: origin.svc\r\nX-Qos: pay\r\n" + strings.Join(append(lines, "\r\n"), "\r\n")
+		return "POST " + target + " HTTP/1.1\r\nHost: origin.svc\r\nX-Qos: pay\r\n" +
+			strings.Join(append(lines, "\r\n"), "\r\n")
 	}
 	get := "GET /look/9?q HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: 9\r\n\r\n"
+	const chunked = "Transfer-Encoding: chunked"
 	for _, tc := range []struct {
 		name, text string
 		want       []string
 	}{
-		{"chunks", head("/pay/1", "X-Trace-Id: 1", "Transfer-Encoding: chunked") + "3;a=\"b\"\r\nabc\r\n002\r\nde\r\n0\r\nX-Sum: 1\r\n\r\n", []string{"POST /pay/1 abcde"}},
-		{"absolute", head("http://origin.svc/pay/2?x=1", "X-Trace-Id: 2", "Content-Length: 2") + "ab", []string{"POST /pay/2?x=1 ab"}},
-		{"expectation", head("/pay/3", "X-Trace-Id: 3", "Content-Length: 2", "Expect: 100-continue") + "ab", []string{"", "POST /pay/3 ab"}},
-		{"one behind another", head("/pay/4", "X-Trace-Id: 4", "Content-Length: 2") + "ab" + get, []string{"POST /pay/4 ab", "GET /look/9?q "}},
-		{"behind chunks", head("/pay/5", "X-Trace-Id: 5", "Transfer-Encoding: chunked") + "1\r\nz\r\n0\r\n\r\n" + get, []string{"POST /pay/5 z", "GET /look/9?q "}},
-		{"old", "GET /look/6 HTTP/1.0\r\nX-Trace-Id: 6\r\n\r\n", []string{"GET /look/6 "}},
-		{"head", "HEAD /look/7 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: 7\r\n\r\n" + get, []string{"", "GET /look/9?q "}},
+		{"chunks", head("/pay/1", "X-Trace-Id: 1", chunked) + "3;a=\"b\"\r\nabc\r\n002\r\nde\r\n0\r\nX-Sum: 1\r\n\r\n",
+			[]string{"POST /pay/1 abcde"}},
+		{"absolute", head("http://origin.svc/pay/2?x=1", "X-Trace-Id: 2", "Content-Length: 2") + "ab",
+			[]string{"POST /pay/2?x=1 ab"}},
+		{"expectation", head("/pay/3", "X-Trace-Id: 3", "Content-Length: 2", "Expect: 100-continue") + "ab",
+			[]string{"", "POST /pay/3 ab"}},
+		{"one behind another", head("/pay/4", "X-Trace-Id: 4", "Content-Length: 2") + "ab" + get,
+			[]string{"POST /pay/4 ab", "GET /look/9?q "}},
+		{"behind chunks", head("/pay/5", "X-Trace-Id: 5", chunked) + "1\r\nz\r\n0\r\n\r\n" + get,
+			[]string{"POST /pay/5 z", "GET /look/9?q "}},
+		{"old", "GET /look/6 HTTP/1.0\r\nX-Trace-Id: 6\r\n\r\n",
+			[]string{"GET /look/6 "}},
+		{"head", "HEAD /look/7 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: 7\r\n\r\n" + get,
+			[]string{"", "GET /look/9?q "}},
 	} {
 		for _, piece := range []int{len(tc.text), 1} {
-			c, err := net.Dial("tcp", s.addr)
-			if err != nil {
-				t.Fatal(err)
-			}
-			go func() {
-				for text := tc.text; text != ""; text = text[min(piece, len(text)):] {
-					io.WriteString(c, text[:min(piece, len(text))])
-				}
-			}()
-			c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-			r := bufio.NewReader(c)
-			for i, want := range tc.want {
-				q := &http.Request{Method: "GET"}
-				if i == 0 {
-					q.Method, _, _ = strings.Cut(tc.text, " ")
-				}
-				resp, err := http.ReadResponse(r, q)
-				if err != nil {
-					t.Fatalf("%s in pieces of %d: %v", tc.name, piece, err)
-				}
-				got, err := io.ReadAll(resp.Body)
-				if string(got) != want || err != nil || resp.StatusCode != 200 && resp.StatusCode != 100 {
-					t.Errorf("%s in pieces of %d: %d %q %v, want %q", tc.name, piece, resp.StatusCode, got, err, want)
-				}
-			}
-			c.Close()
+			s.checkExchange(t, fmt.Sprintf("%s in pieces of %d", tc.name, piece), tc.text, piece, tc.want)
 		}
 	}
 }
 
-// Answers as endpoints word them: what is whole is passed on unchanged; what is not whole is never shown as if
-// it were.
+// checkExchange sends a text in pieces of a size on a new connection, and checks the bodies of the responses, 100 or 200.
+func (s *running) checkExchange(t *testing.T, what, text string, piece int, want []string) {
+	t.Helper()
+	c := s.dial(t)
+	defer c.Close()
+	go func() {
+		for rest := text; rest != ""; rest = rest[min(piece, len(rest)):] {
+			io.WriteString(c, rest[:min(piece, len(rest))])
+		}
+	}()
+	c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+	r := bufio.NewReader(c)
+	for i, want := range want {
+		q := &http.Request{Method: "GET"}
+		if i == 0 {
+			q.Method, _, _ = strings.Cut(text, " ")
+		}
+		resp, err := http.ReadResponse(r, q)
+		if err != nil {
+			t.Fatalf("%s: %v", what, err)
+		}
+		got, err := io.ReadAll(resp.Body)
+		if string(got) != want || err != nil || resp.StatusCode != 200 && resp.StatusCode != 100 {
+			t.Errorf("%s: %d %q %v, want %q", what, resp.StatusCode, got, err, want)
+		}
+	}
+}
+
+// Responses in the forms that endpoints give them: a complete one is passed on unchanged, and one that is cut is never
+// shown as complete.
 func TestAnswerForms(t *testing.T) {
 	long := string(pattern(200 << 10))
+	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, tc := range []struct {
 		name, text, want string
-		cut              bool // the client must see that it is not whole
+		cut              bool // the client must see that it is not complete
 	}{
 		{"ended by close", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabc", "abc", false},
 		{"long, ended by close", "HTTP/1.1 200 OK\r\n\r\n" + long, long, false},
-		{"chunks with extensions and a trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x\r\nab\r\n1\r\nc\r\n0\r\nX-Sum: 3\r\n\r\n", "abc", false},
+		{"chunks with extensions and a trailer",
+			chunked + "2;x\r\nab\r\n1\r\nc\r\n0\r\nX-Sum: 3\r\n\r\n", "abc", false},
 		{"1xx ahead", "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "abc", false},
-		{"long chunk", fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(long), long), long, false},
+		{"long chunk", fmt.Sprintf(chunked+"%x\r\n%s\r\n0\r\n\r\n", len(long), long), long, false},
 		{"long, cut", "HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + long, "", true},
-		{"long chunk, cut", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n" + long, "", true},
+		{"long chunk, cut", chunked + "fffff\r\n" + long, "", true},
 	} {
-		var tries atomic.Int32
+		var attempts atomic.Int32
 		endpoint := func() string {
 			return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 				if _, err := scriptedpeer.ReadRequest(r); err == nil {
-					tries.Add(1)
+					attempts.Add(1)
 					io.WriteString(c, tc.text)
 				}
 			})
 		}
-		s := start(t, before(t, endpoint(), endpoint()))
+		s := start(t, configureStatic(t, instances(endpoint(), endpoint())))
 		c, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -145,16 +147,16 @@
 		if tc.cut != (err != nil) || !tc.cut && (resp.StatusCode != 200 || string(got) != tc.want) {
 			t.Errorf("%s: %d bytes, %v", tc.name, len(got), err)
 		}
-		if n := tries.Load(); n != 1 {
-			t.Errorf("%s: %d attempts; what has begun is not tried again", tc.name, n)
+		if n := attempts.Load(); n != 1 {
+			t.Errorf("%s: %d attempts; a response that has started must not be retried", tc.name, n)
 		}
 		c.Close()
 	}
 }
 
-// Bodies far larger than what is held go through in both directions, with a length and without.
+// Bodies far larger than what is buffered are forwarded in both directions, with a length and without.
 func TestLargeBothWays(t *testing.T) {
-	s := start(t, before(t, scriptedpeer.StartHTTP(t, echo)))
+	s := start(t, configureStatic(t, instances(scriptedpeer.StartHTTP(t, echo))))
 	body := pattern(8 << 20)
 	for _, sized := range []bool{true, false} {
 		r := request("POST", "/pay", "pay", 900, "x")
@@ -162,11 +164,7 @@
 		if !sized {
 			r.ContentLength = -1
 		}
-		c, err := net.Dial("tcp", s.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
+		c := s.dial(t)
 		go r.Write(c)
 		c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 		resp, err := http.ReadResponse(bufio.NewReader(c), r)
@@ -183,12 +181,13 @@
 	}
 }
 
-// The first bytes of a large answer go on before the rest is there, and a small one that comes slower than an
-// attempt is usually waited for is neither cut off nor asked for twice.
+// The first bytes of a large response are forwarded before the rest has come, and a small one that takes longer than the
+// usual attempt timeout is neither cut off nor requested twice.
 func TestSlowIsNotSilent(t *testing.T) {
-	seen, tries := make(chan struct{}), atomic.Int32{}
+	seen := make(chan struct{})
+	var attempts atomic.Int32
 	handle := func(w http.ResponseWriter, r *http.Request) {
-		tries.Add(1)
+		attempts.Add(1)
 		controller := http.NewResponseController(w)
 		if r.URL.Path == "/look/large" {
 			w.Header().Set("Content-Length", fmt.Sprint(128<<10))
@@ -199,18 +198,14 @@
 			return
 		}
 		w.Header().Set("Content-Length", "1024")
-		for range 16 { // 400 ms in all; a silent one is given up after 50
+		for range 16 { // 400 ms in all; an attempt without a response times out after 50 ms
 			w.Write(pattern(64))
 			controller.Flush()
 			time.Sleep(25 * time.Millisecond)
 		}
 	}
-	s := start(t, before(t, scriptedpeer.StartHTTP(t, handle), scriptedpeer.StartHTTP(t, handle)))
-	c, err := net.Dial("tcp", s.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
+	s := start(t, configureStatic(t, instances(scriptedpeer.StartHTTP(t, handle), scriptedpeer.StartHTTP(t, handle))))
+	c := s.dial(t)
 	request("GET", "/look/large", "look", 900, "").Write(c)
 	c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -224,22 +219,20 @@
 	if rest, err := io.ReadAll(resp.Body); err != nil || len(rest) != 127<<10 {
 		t.Errorf("the rest: %d bytes, %v", len(rest), err)
 	}
-	tries.Store(0)
-	if resp, body := s.request(t, request("GET", "/look/small", "look", 900, "")); resp.StatusCode != 200 || len(body) != 1024 || tries.Load() != 1 {
-		t.Errorf("%s, %d bytes, %d attempts", resp.Status, len(body), tries.Load())
+	attempts.Store(0)
+	small, body := s.request(t, request("GET", "/look/small", "look", 900, ""))
+	if small.StatusCode != 200 || len(body) != 1024 || attempts.Load() != 1 {
+		t.Errorf("%s, %d bytes, %d attempts", small.Status, len(body), attempts.Load())
 	}
 }
 
-// A body that comes slowly is waited for, and the endpoint that takes it is not held for stuck meanwhile.
+// A slow body is waited for, and the endpoint that receives it does not count as failing meanwhile.
 func TestSlowUpload(t *testing.T) {
-	s := start(t, before(t, scriptedpeer.StartHTTP(t, echo)))
-	c, err := net.Dial("tcp", s.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	fmt.Fprint(c, "POST /pay HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 77\r\nX-Qos: pay\r\nX-Expires-In-Ms: 300\r\nContent-Length: 98304\r\n\r\n")
-	for range 6 { // 600 ms: more than the client waits for the answer, which counts from the last byte
+	s := start(t, configureStatic(t, instances(scriptedpeer.StartHTTP(t, echo))))
+	c := s.dial(t)
+	fmt.Fprint(c, "POST /pay HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 77\r\nX-Qos: pay\r\nX-Expires-In-Ms: 300\r\n"+
+		"Content-Length: 98304\r\n\r\n")
+	for range 6 { // 600 ms: longer than the client waits for the response, which counts from the last byte
 		c.Write(pattern(16 << 10))
 		time.Sleep(100 * time.Millisecond)
 		if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 {
--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -19,18 +19,18 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// held is a dial that is done, and whose connection is kept back until the test lets it go: a handshake that takes its time.
-type held struct {
-	dialing chan struct{}
-	release chan struct{}
-	ended   atomic.Int32 // dials that were given up meanwhile
+// heldDials holds the connections of dials back until the test releases them, like a slow handshake.
+type heldDials struct {
+	dialing   chan struct{} // receives each dial
+	release   chan struct{} // closed by the test
+	cancelled atomic.Int32  // dials that were cancelled meanwhile
 }
 
-func holdDials() *held {
-	return &held{dialing: make(chan struct{}, 1000), release: make(chan struct{})}
+func holdDials() *heldDials {
+	return &heldDials{dialing: make(chan struct{}, 1000), release: make(chan struct{})}
 }
 
-func (h *held) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (h *heldDials) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
@@ -39,15 +39,16 @@
 	select {
 	case <-h.release:
 	case <-ctx.Done():
-		h.ended.Add(1)
+		h.cancelled.Add(1)
 		c.Close()
 		return nil, ctx.Err()
 	}
 	return c, nil
 }
 
-// counting is an endpoint that counts the bytes of what comes, and answers.
+// counting starts an endpoint that counts the bytes that it receives, and answers each request. It returns its address.
 func counting(t *testing.T, bytes *atomic.Int64) string {
+	t.Helper()
 	return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
 			if _, err := r.Peek(1); err != nil {
@@ -62,8 +63,8 @@
 	})
 }
 
-// sent is the whole text of a request.
-func sent(t *testing.T, r *http.Request) string {
+// requestText returns the complete text of a request.
+func requestText(t *testing.T, r *http.Request) string {
 	t.Helper()
 	var b bytes.Buffer
 	if err := r.Write(&b); err != nil {
@@ -72,29 +73,28 @@
 	return b.String()
 }
 
+// reset closes a connection by a reset.
 func reset(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-// noticedWithin is how long after a client has left nothing of its request may go on any more.
-const noticedWithin = 300 * time.Millisecond
+// cancelTimeout is the time after a client's disconnect in which its request must be cancelled.
+const cancelTimeout = 300 * time.Millisecond
 
-// forgets waits until nothing of any request is held any more, and fails the test if that took too long since
-// the client left.
-func (s *running) forgets(t *testing.T, left time.Time) {
+// checkCancelled waits until no request is open any more, and fails the test if that took longer than cancelTimeout
+// since the client's disconnect.
+func (s *running) checkCancelled(t *testing.T, disconnected time.Time) {
 	t.Helper()
-	scriptedpeer.Eventually(t, "its place is free", func() bool {
-		counts := s.parts.endpoints.Counts()
-		return counts.InFlight == 0 && counts.OpenCalls == 0
-	})
-	if took := time.Since(left); took > noticedWithin {
+	scriptedpeer.Eventually(t, "no request is open", s.idle)
+	if took := time.Since(disconnected); took > cancelTimeout {
 		t.Errorf("noticed after %v", took)
 	}
 }
 
-// hanging is an endpoint that takes requests, counts them and never answers.
+// hanging starts an endpoint that counts requests and never answers. It returns its address.
 func hanging(t *testing.T, taken *atomic.Int32) string {
+	t.Helper()
 	return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
 			if _, err := scriptedpeer.ReadRequest(r); err != nil {
@@ -105,80 +105,88 @@
 	})
 }
 
-// A client that leaves while its request waits for a connection takes it along: nothing of it goes to an
-// endpoint from then on, however the client has left and whatever it had sent before, also where the settings
-// forbid to withdraw what runs. It costs nothing more: its place is free at once, before the connection is up.
+// largeBody does not fit into the buffers between a client and the sidecar.
+var largeBody = strings.Repeat("x", 200<<10)
+
+// disconnect has a client with an open request disconnect; text returns the text of a further request.
+type disconnect func(c *net.TCPConn, text func(*http.Request) string)
+
+// disconnects are the ways in which a client disconnects.
+var disconnects = map[string]disconnect{
+	"closes":      func(c *net.TCPConn, _ func(*http.Request) string) { c.Close() },
+	"resets":      func(c *net.TCPConn, _ func(*http.Request) string) { reset(c) },
+	"half closes": func(c *net.TCPConn, _ func(*http.Request) string) { c.CloseWrite() },
+	"after a first byte of the next": func(c *net.TCPConn, _ func(*http.Request) string) {
+		io.WriteString(c, "G")
+		c.Close()
+	},
+	"after the next, in two pieces": func(c *net.TCPConn, text func(*http.Request) string) {
+		next := text(look(900))
+		io.WriteString(c, next[:30])
+		io.WriteString(c, next[30:])
+		c.Close()
+	},
+	"after more than is held": func(c *net.TCPConn, text func(*http.Request) string) {
+		io.WriteString(c, text(request("POST", "/pay", "pay", 900, largeBody[:40<<10])))
+		c.CloseWrite()
+	},
+}
+
+// A client that disconnects while its request waits for a connection to an endpoint cancels it: nothing of it is sent to
+// an endpoint, however the client disconnects and whatever it had sent before, also with settings that forbid the
+// cancellation of attempts. Its place is free at once, before the connection is established.
 func TestLeavesWhileConnecting(t *testing.T) {
-	large := strings.Repeat("x", 200<<10)
-	next := func(t *testing.T, r *http.Request) string { return sent(t, r) }
-	ways := map[string]func(t *testing.T, c *net.TCPConn){
-		"closes":      func(t *testing.T, c *net.TCPConn) { c.Close() },
-		"resets":      func(t *testing.T, c *net.TCPConn) { reset(c) },
-		"half closes": func(t *testing.T, c *net.TCPConn) { c.CloseWrite() },
-		"after a first byte of the next": func(t *testing.T, c *net.TCPConn) {
-			io.WriteString(c, "G")
-			c.Close()
-		},
-		"after the next, in two pieces": func(t *testing.T, c *net.TCPConn) {
-			text := next(t, look(900))
-			io.WriteString(c, text[:30])
-			io.WriteString(c, text[30:])
-			c.Close()
-		},
-		"after more than is held": func(t *testing.T, c *net.TCPConn) {
-			io.WriteString(c, next(t, request("POST", "/pay", "pay", 900, large[:40<<10])))
-			c.CloseWrite()
-		},
-	}
 	requests := map[string]func() *http.Request{
 		"safe":     func() *http.Request { return look(900) },
 		"unsafe":   func() *http.Request { return request("POST", "/pay", "pay", 900, "x") },
-		"streamed": func() *http.Request { return request("POST", "/pay", "pay", 900, large) },
+		"streamed": func() *http.Request { return request("POST", "/pay", "pay", 900, largeBody) },
 	}
-	for way, leave := range ways {
-		for kind, make := range requests {
+	for way, leave := range disconnects {
+		for kind, newRequest := range requests {
 			if kind == "streamed" && way != "resets" {
-				continue // its end would wait at the client, behind what does not fit between
+				continue // the end of the connection would wait at the client, behind the rest of the body
 			}
 			for _, cancel := range []string{"true", "false"} {
 				t.Run(fmt.Sprintf("%s, %s, cancel %s", way, kind, cancel), func(t *testing.T) {
 					t.Parallel()
-					var got atomic.Int64
-					h := holdDials()
-					cfg := configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", counting(t, &got))}, `"cancel":true`, `"cancel":`+cancel)
-					s := startDialing(t, cfg, h.dial)
-					nc, err := net.Dial("tcp", s.addr)
-					if err != nil {
-						t.Fatal(err)
-					}
-					defer nc.Close()
-					go io.WriteString(nc, sent(t, make())) // a body that streams is not taken before the connection is up
-					scriptedpeer.Receive(t, h.dialing, "dial")
-					leave(t, nc.(*net.TCPConn))
-					left := time.Now()
-					s.forgets(t, left)
-					scriptedpeer.Eventually(t, "the dial is given up", func() bool { return h.ended.Load() == 1 })
-					close(h.release)
-					// Another goes on as ever, and what was held for the one that left would have come before.
-					if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 {
-						t.Errorf("the next is answered %s", resp.Status)
-					}
-					want := int64(len(sent(t, look(900))))
-					if n := got.Load(); n > 2*want {
-						t.Errorf("the endpoint got %d bytes, where the other request has about %d", n, want)
-					}
-					if n := h.ended.Load(); n != 1 {
-						t.Errorf("%d dials were given up, want that of the request", n)
-					}
+					checkDisconnectWhileConnecting(t, leave, newRequest(), cancel)
 				})
 			}
 		}
 	}
 }
 
-// A request that is held until probes have answered waits, too: if its client leaves, nothing of it goes out
-// once they have. A round in which the probes' own time was up first, on a busy machine, shows nothing and is
-// played again.
+// checkDisconnectWhileConnecting has a client disconnect while the dial for its request is held back, with the setting
+// cancel.
+func checkDisconnectWhileConnecting(t *testing.T, leave disconnect, r *http.Request, cancel string) {
+	t.Helper()
+	var received atomic.Int64
+	h := holdDials()
+	cfg := configureStatic(t, instances(counting(t, &received)), `"cancel":true`, `"cancel":`+cancel)
+	s := startDialing(t, cfg, h.dial)
+	c := s.dial(t)
+	text := requestText(t, r)
+	go io.WriteString(c, text) // a streamed body is not read before the connection is established
+	scriptedpeer.Receive(t, h.dialing, "dial")
+	leave(c.(*net.TCPConn), func(r *http.Request) string { return requestText(t, r) })
+	s.checkCancelled(t, time.Now())
+	scriptedpeer.Eventually(t, "the dial is cancelled", func() bool { return h.cancelled.Load() == 1 })
+	close(h.release)
+	// Another client is served as usual. Anything of the cancelled request would have been received before.
+	if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 {
+		t.Errorf("the next is answered %s", resp.Status)
+	}
+	want := int64(len(requestText(t, look(900))))
+	if n := received.Load(); n > 2*want {
+		t.Errorf("the endpoint got %d bytes, where the other request has about %d", n, want)
+	}
+	if n := h.cancelled.Load(); n != 1 {
+		t.Errorf("%d dials were cancelled, want that of the request", n)
+	}
+}
+
+// A request that waits for health checks is cancelled when its client disconnects, and not sent once they have
+// succeeded. A round in which the health checks timed out first, on a busy machine, shows nothing and is repeated.
 func TestLeavesWhileProbesAreWaitedFor(t *testing.T) {
 	var mu sync.Mutex
 	var taken []time.Time
@@ -194,14 +202,15 @@
 		io.WriteString(w, "ok")
 	})
 	defer close(release)
-	var list []discovery.Instance // several: one that is being probed anyway is not waited for
+	var list []discovery.Instance // several, because the check of an endpoint that runs anyway is not waited for
 	for i := range 8 {
 		list = append(list, scripteddiscovery.Up(fmt.Sprint("s-", i), addr))
 	}
 	for round := 0; ; round++ {
-		// A new one each time: who was asked more lately does not wait for probes.
-		s := start(t, configure(t, scriptedpeer.ClosedAddress(t), list,
-			`"probes":false`, `"probes":true`, `"target":500000,"give-up":1000000`, `"target":1000000,"give-up":9000000`))
+		// A new sidecar each time: one that has sent requests lately does not wait for health checks.
+		s := start(t, configureStatic(t, list,
+			`"probes":false`, `"probes":true`,
+			`"target":500000,"give-up":1000000`, `"target":1000000,"give-up":9000000`))
 		c, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -209,7 +218,7 @@
 		mu.Lock()
 		before := len(taken)
 		mu.Unlock()
-		io.WriteString(c, sent(t, look(9000)))
+		io.WriteString(c, requestText(t, look(9000)))
 		scriptedpeer.Eventually(t, "it is taken", func() bool {
 			counts := s.parts.endpoints.Counts()
 			mu.Lock()
@@ -218,8 +227,8 @@
 		})
 		c.Close()
 		left := time.Now()
-		s.forgets(t, left)
-		time.Sleep(time.Until(left.Add(noticedWithin))) // the probes' time is up by then, too
+		s.checkCancelled(t, left)
+		time.Sleep(time.Until(left.Add(cancelTimeout))) // the health checks have timed out by then, too
 		mu.Lock()
 		late := taken[before:]
 		mu.Unlock()
@@ -232,23 +241,20 @@
 	}
 }
 
-// A client whose whole body has come and that has left then, all of it still in the kernel, has left all the same.
+// The disconnect of a client is noticed, too, if its complete streamed body is still in the kernel's buffer.
 func TestLeavesBehindAStreamedBody(t *testing.T) {
 	var got atomic.Int64
 	h := holdDials()
-	s := startDialing(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", counting(t, &got))}), h.dial)
-	nc, err := net.Dial("tcp", s.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer nc.Close()
-	if _, err := io.WriteString(nc, sent(t, request("POST", "/pay", "pay", 900, strings.Repeat("x", 70<<10)))); err != nil {
+	s := startDialing(t, configureStatic(t, instances(counting(t, &got))), h.dial)
+	nc := s.dial(t)
+	text := requestText(t, request("POST", "/pay", "pay", 900, strings.Repeat("x", 70<<10)))
+	if _, err := io.WriteString(nc, text); err != nil {
 		t.Fatal(err)
 	}
 	scriptedpeer.Receive(t, h.dialing, "dial")
 	nc.Close()
 	left := time.Now()
-	s.forgets(t, left)
+	s.checkCancelled(t, left)
 	close(h.release)
 	if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 {
 		t.Errorf("the next is answered %s", resp.Status)
@@ -258,22 +264,22 @@
 	}
 }
 
-// Many that leave at once leave nothing behind.
+// Many clients that disconnect at once leave no request and no connection open.
 func TestLeaveInABurst(t *testing.T) {
 	var got atomic.Int64
 	h := holdDials()
-	s := startDialing(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", counting(t, &got))}), h.dial)
-	const many, out = 40, 4 // the others are turned away, or have not been looked at yet
+	s := startDialing(t, configureStatic(t, instances(counting(t, &got))), h.dial)
+	const many, dialed = 40, 4 // the others are rejected, or still unread
 	var conns []net.Conn
 	for range many {
 		c, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, sent(t, request("POST", "/pay", "pay", 900, "x")))
+		io.WriteString(c, requestText(t, request("POST", "/pay", "pay", 900, "x")))
 		conns = append(conns, c)
 	}
-	for range out {
+	for range dialed {
 		scriptedpeer.Receive(t, h.dialing, "dial")
 	}
 	for i, c := range conns {
@@ -282,11 +288,7 @@
 		}
 		c.Close()
 	}
-	scriptedpeer.Eventually(t, "all places are free", func() bool {
-		counts := s.parts.endpoints.Counts()
-		all, _ := s.parts.front.ConnectionCounts()
-		return counts.InFlight == 0 && counts.OpenCalls == 0 && all == 0
-	})
+	scriptedpeer.Eventually(t, "all places are free", func() bool { return s.idle() && s.openConnections() == 0 })
 	close(h.release)
 	if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 {
 		t.Errorf("the next is answered %s", resp.Status)
@@ -296,23 +298,23 @@
 	}
 }
 
-// A request whose client had left before it was read goes nowhere. Several were sent at once, and the client
-// went while the first was waiting: nothing of those behind it goes out once that one's time is up.
+// Pipelined requests behind an open one are not sent to an endpoint if the client has disconnected meanwhile, not even
+// after the open one's deadline.
 func TestLeftBeforeItIsRead(t *testing.T) {
 	var taken atomic.Int32
 	addr := hanging(t, &taken)
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}, `"cancel":true`, `"cancel":false`))
+	s := start(t, configureStatic(t, instances(addr), `"cancel":true`, `"cancel":false`))
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(c, sent(t, request("POST", "/pay", "pay", 900, "1")))
+	io.WriteString(c, requestText(t, request("POST", "/pay", "pay", 900, "1")))
 	scriptedpeer.Eventually(t, "the first is out", func() bool { return taken.Load() == 1 })
 	for range 3 {
-		io.WriteString(c, sent(t, request("POST", "/pay", "pay", 900, "2")))
+		io.WriteString(c, requestText(t, request("POST", "/pay", "pay", 900, "2")))
 	}
 	c.Close()
-	scriptedpeer.Eventually(t, "nobody is served", func() bool { all, _ := s.parts.front.ConnectionCounts(); return all == 0 })
+	scriptedpeer.Eventually(t, "no connection is open", func() bool { return s.openConnections() == 0 })
 	if resp, _ := s.request(t, request("POST", "/pay", "pay", 50, "3")); resp.StatusCode == 200 {
 		t.Errorf("answered %s", resp.Status)
 	}
--- a/internal/sidecar/client_lifetimes_test.go
+++ b/internal/sidecar/client_lifetimes_test.go
@@ -11,8 +11,6 @@
 	"testing"
 	"time"
 
-	"dunlinsail/internal/discovery"
-	"dunlinsail/internal/fake/scripteddiscovery"
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
@@ -58,7 +56,7 @@
 		}
 		io.WriteString(rw, id)
 	})
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}))
+	s := start(t, configureStatic(t, instances(addr)))
 	// one is the life of a client's connection. It calls sentAll once the client sends nothing more. A racing client
 	// comes as the sidecar stops: it may find nobody, or be closed with no answer, if nothing of it was sent on.
 	one := func(rng *rand.Rand, racing bool, sentAll func()) {
@@ -79,7 +77,7 @@
 				r = request("POST", "/pay", "pay", 900, "x")
 			}
 			ids = append(ids, r.Header.Get("X-Trace-Id"))
-			text += sent(t, r)
+			text += requestText(t, r)
 		}
 		stays := rng.IntN(3) > 0
 		cut := 1 + rng.IntN(len(text))
@@ -136,11 +134,7 @@
 		})
 	}
 	clients.Wait()
-	scriptedpeer.Eventually(t, "nothing is left", func() bool {
-		counts := s.parts.endpoints.Counts()
-		all, _ := s.parts.front.ConnectionCounts()
-		return counts.InFlight == 0 && counts.OpenCalls == 0 && all == 0
-	})
+	scriptedpeer.Eventually(t, "nothing is left", func() bool { return s.idle() && s.openConnections() == 0 })
 	// These have sent all that they send before the order to stop: what waits at the listener then is served, too.
 	var last, sending sync.WaitGroup
 	for i := range 4 {
@@ -167,7 +161,7 @@
 	}
 	for id, at := range w.taken {
 		for _, at := range at {
-			if left, gone := w.left[id]; gone && at.Sub(left) > noticedWithin {
+			if left, gone := w.left[id]; gone && at.Sub(left) > cancelTimeout {
 				w.wrong = append(w.wrong, fmt.Sprintf("%s was sent on %v after its client had left", id, at.Sub(left)))
 			}
 		}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -69,7 +69,7 @@
 // The sidecar serves from the list that it was started with while discovery is down.
 func TestKnownListServes(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {})
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}))
+	s := start(t, configureStatic(t, instances(addr)))
 	if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 {
 		t.Errorf("with a known list and no discovery: %s", resp.Status)
 	}
@@ -79,7 +79,7 @@
 func TestPolledDiscovery(t *testing.T) {
 	b := scripteddiscovery.New(t)
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {})
-	s := start(t, configure(t, b.Addr, []discovery.Instance{scripteddiscovery.Up("s-1", scriptedpeer.ClosedAddress(t))},
+	s := start(t, configure(t, b.Addr, instances(scriptedpeer.ClosedAddress(t)),
 		`"discovery":"automatic"`, `"discovery":"subscribe"`))
 	scriptedpeer.Receive(t, b.Requests, "first watch")
 	b.Lines <- "" // it ends
--- a/internal/sidecar/endpoint_connlimit_test.go
+++ b/internal/sidecar/endpoint_connlimit_test.go
@@ -7,8 +7,6 @@
 	"sync/atomic"
 	"testing"
 
-	"dunlinsail/internal/discovery"
-	"dunlinsail/internal/fake/scripteddiscovery"
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
@@ -72,7 +70,7 @@
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, "other")
 	})
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", inner.Addr().String()), scripteddiscovery.Up("s-2", other)}))
+	s := start(t, configureStatic(t, instances(inner.Addr().String(), other)))
 
 	// One request takes the one connection, and waits there; no other can be had meanwhile.
 	taken := make(chan int, 1)
--- a/internal/sidecar/events_test.go
+++ b/internal/sidecar/events_test.go
@@ -6,17 +6,14 @@
 	"net/http"
 	"testing"
 
-	"dunlinsail/internal/discovery"
 	"dunlinsail/internal/eventlog"
-	"dunlinsail/internal/fake/scripteddiscovery"
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// What is done at an endpoint is told, by its name and under its address, and read again by who counts a
-// fleet's logs.
+// The event log has each attempt by the endpoint's name and each connection by its address, and Read reads it again.
 func TestEventsAreLogged(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "one") })
-	c := configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)})
+	c := configureStatic(t, instances(addr))
 	var out bytes.Buffer
 	c.Events = &out
 	s := start(t, c)
@@ -44,7 +41,9 @@
 			t.Errorf("%+v", e)
 		}
 	}
-	if n[eventlog.AttemptStarted] != 3 || n[eventlog.AttemptEnded] != 3 || n[eventlog.EndpointUpdated] != 1 || n[eventlog.ConnOpened] == 0 || n[eventlog.ConnClosed] != n[eventlog.ConnOpened] || n[eventlog.DiscoveryPolled] == 0 {
+	if n[eventlog.AttemptStarted] != 3 || n[eventlog.AttemptEnded] != 3 || n[eventlog.EndpointUpdated] != 1 ||
+		n[eventlog.ConnOpened] == 0 || n[eventlog.ConnClosed] != n[eventlog.ConnOpened] ||
+		n[eventlog.DiscoveryPolled] == 0 {
 		t.Errorf("%v", n)
 	}
 }
--- a/internal/sidecar/golden_test.go
+++ b/internal/sidecar/golden_test.go
@@ -25,12 +25,15 @@
 		t.Fatal(err)
 	}
 	s := &sidecar{config: &platform.Config{SharedDir: dir}, log: scriptedpeer.DiscardLog}
-	words := s.readCordons()
-	want := []cordon.Record{{Name: "s-0", Cordoned: true, At: 1_700_000_000_000_001}, {Name: "s-1", Cordoned: false, At: 2}}
-	if len(words) != len(want) || words[0] != want[0] || words[1] != want[1] {
-		t.Fatalf("read %+v, want %+v", words, want)
+	cordons := s.readCordons()
+	want := []cordon.Record{
+		{Name: "s-0", Cordoned: true, At: 1_700_000_000_000_001},
+		{Name: "s-1", Cordoned: false, At: 2},
 	}
-	encoded, err := json.Marshal(words)
+	if len(cordons) != len(want) || cordons[0] != want[0] || cordons[1] != want[1] {
+		t.Fatalf("read %+v, want %+v", cordons, want)
+	}
+	encoded, err := json.Marshal(cordons)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/helper_test.go
+++ b/internal/sidecar/helper_test.go
@@ -17,11 +17,12 @@
 	"time"
 
 	"dunlinsail/internal/discovery"
+	"dunlinsail/internal/fake/scripteddiscovery"
 	"dunlinsail/internal/fake/scriptedpeer"
 	"dunlinsail/internal/platform"
 )
 
-// settings is a small site without probes: a safe class, a keyed one and an unsafe one.
+// settings is a small site without health checks: a safe class, one with idempotency keys and an unsafe one.
 const settings = `{"peers-total":1,"areas":["a","b"],"skus":["m1"],"discovery":"automatic",
 	"classes":[
 	{"name":"look","repeat":"pure","target":500000,"give-up":1000000,"credit":1.0},
@@ -34,6 +35,44 @@
 	"reporting":{"how":"probe","fields":["busy_reqs","served_ps","cpu_share"]},
 	"tenants":[{"name":"acme","allowance-per-s":100.0,"share":1.0}]}`
 
+// configureStatic makes a configuration whose discovery is down, so that the known list stays the only one.
+func configureStatic(t *testing.T, known []discovery.Instance, edits ...string) *platform.Config {
+	t.Helper()
+	return configure(t, scriptedpeer.ClosedAddress(t), known, edits...)
+}
+
+// instances returns endpoints at some addresses, named s-1, s-2 and so on.
+func instances(addrs ...string) []discovery.Instance {
+	var all []discovery.Instance
+	for i, addr := range addrs {
+		all = append(all, scripteddiscovery.Up(fmt.Sprint("s-", i+1), addr))
+	}
+	return all
+}
+
+// dial connects to the sidecar. The connection is closed with the test.
+func (s *running) dial(t *testing.T) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp", s.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	return c
+}
+
+// idle reports whether no request and no attempt is open.
+func (s *running) idle() bool {
+	counts := s.parts.endpoints.Counts()
+	return counts.InFlight == 0 && counts.OpenCalls == 0
+}
+
+// openConnections returns the number of clients' connections.
+func (s *running) openConnections() int {
+	all, _ := s.parts.front.ConnectionCounts()
+	return all
+}
+
 // configure makes a configuration, with edits to the settings as pairs of old and new text.
 func configure(t *testing.T, addr string, known []discovery.Instance, edits ...string) *platform.Config {
 	t.Helper()
@@ -68,8 +107,8 @@
 	return startDialing(t, c, nil)
 }
 
-// startDialing does so with a dial of the test's own.
-func startDialing(t *testing.T, c *platform.Config, dial func(context.Context, string, string) (net.Conn, error)) *running {
+// startDialing runs a sidecar as start does, with a dial of the test's own.
+func startDialing(t *testing.T, c *platform.Config, dial dialFunc) *running {
 	t.Helper()
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
@@ -104,11 +143,12 @@
 	}
 }
 
+// read returns the configuration that a test has sent for the reload.
 func (s *running) read() (*platform.Config, error) {
 	if c := <-s.config; c != nil {
 		return c, nil
 	}
-	return nil, errors.New("no sense")
+	return nil, errors.New("unreadable")
 }
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -118,6 +158,7 @@
 
 var lastID atomic.Uint32
 
+// request makes a request of a class with a deadline in milliseconds and a new id.
 func request(method, path, class string, ms int, body string) *http.Request {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	if body == "" {
@@ -133,17 +174,14 @@
 	return r
 }
 
-// ask sends a request to the sidecar on a connection of its own and returns the whole answer.
+// request sends a request to the sidecar on a connection of its own and returns the complete response.
 func (s *running) request(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
-	c, err := net.Dial("tcp", s.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
+	c := s.dial(t)
 	return s.requestOn(t, c, r)
 }
 
+// requestOn sends a request on a connection and returns the complete response.
 func (s *running) requestOn(t *testing.T, c net.Conn, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	if err := r.Write(c); err != nil {
@@ -156,7 +194,7 @@
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Fatalf("the answer is not whole: %v", err)
+		t.Fatalf("the answer is not complete: %v", err)
 	}
 	return resp, string(body)
 }
--- a/internal/sidecar/limits_test.go
+++ b/internal/sidecar/limits_test.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -24,13 +25,9 @@
 		taken <- struct{}{}
 		<-release
 	})
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}, `"most-held":1000`, `"most-held":1`))
+	s := start(t, configureStatic(t, instances(addr), `"most-held":1000`, `"most-held":1`))
 	first := make(chan int)
-	c, err := net.Dial("tcp", s.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
+	c := s.dial(t)
 	go func() {
 		resp, _ := s.requestOn(t, c, request("POST", "/pay", "pay", 900, "x"))
 		first <- resp.StatusCode
@@ -58,19 +55,11 @@
 			<-release
 		}
 	})
-	cfg := configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)})
+	cfg := configureStatic(t, instances(addr))
 	cfg.Sockets = platform.MinSockets
 	s := start(t, cfg)
-	dial := func() net.Conn {
-		c, err := net.Dial("tcp", s.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		return c
-	}
 	waiting := make(chan int, 1)
-	c := dial()
+	c := s.dial(t)
 	go func() {
 		resp, _ := s.requestOn(t, c, request("POST", "/pay", "pay", 1000, "x"))
 		waiting <- resp.StatusCode
@@ -78,9 +67,9 @@
 	scriptedpeer.Receive(t, taken, "attempt")
 	var silent []net.Conn
 	for range 2 * clientLimits(cfg.Sockets).MaxConnections {
-		silent = append(silent, dial())
+		silent = append(silent, s.dial(t))
 	}
-	kept := dial()
+	kept := s.dial(t)
 	for range 3 {
 		if resp, _ := s.requestOn(t, kept, look(900)); resp.StatusCode != 200 || resp.Close {
 			t.Fatalf("beside silent connections: %s, close %v", resp.Status, resp.Close)
@@ -88,7 +77,7 @@
 	}
 	first := silent[0]
 	first.SetReadDeadline(time.Now().Add(http1.RequestTimeout / 2))
-	if _, err := first.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection silent for longest: %v, want it closed", err)
 	}
 	last := silent[len(silent)-1]
@@ -117,24 +106,16 @@
 	for i := range 64 {
 		many = append(many, scripteddiscovery.Up(fmt.Sprint("s-", i), addr))
 	}
-	cfg := configure(t, scriptedpeer.ClosedAddress(t), many)
+	cfg := configureStatic(t, many)
 	cfg.Sockets = 2 * platform.MinSockets
 	limits := clientLimits(cfg.Sockets)
 	if 4*limits.MaxIdle > cfg.Sockets {
 		t.Fatalf("%d of %d descriptors may rest: not well under the third that clients have", limits.MaxIdle, cfg.Sockets)
 	}
 	s := start(t, cfg)
-	dial := func() net.Conn {
-		c, err := net.Dial("tcp", s.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		return c
-	}
 	var stayed []net.Conn
 	for range 2 * limits.MaxIdle {
-		c := dial()
+		c := s.dial(t)
 		if resp, _ := s.requestOn(t, c, look(900)); resp.StatusCode != 200 || resp.Close {
 			t.Fatalf("%s, close %v", resp.Status, resp.Close)
 		}
@@ -143,19 +124,19 @@
 	// The earliest are closed at once, not after the idle time.
 	for i, c := range stayed[:limits.MaxIdle] {
 		c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Fatalf("connection %d: %v, want it closed", i, err)
 		}
 	}
 	// The others follow far sooner than one connection alone would.
 	began := time.Now()
 	stayed[limits.MaxIdle].SetReadDeadline(began.Add(maxIdle / 2))
-	if _, err := stayed[limits.MaxIdle].Read(make([]byte, 1)); err != io.EOF {
+	if _, err := stayed[limits.MaxIdle].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("among as many as may rest: %v, want it closed", err)
 	}
 	codes := make(chan int, limits.MaxConnections)
 	for range limits.MaxConnections {
-		c := dial()
+		c := s.dial(t)
 		go func() {
 			resp, _ := s.requestOn(t, c, request("POST", "/pay", "pay", 1000, "x"))
 			codes <- resp.StatusCode
@@ -174,7 +155,7 @@
 // sidecar is made to wait when it stops.
 func TestHalfRequests(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) { t.Error("an attempt was made") })
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}))
+	s := start(t, configureStatic(t, instances(addr)))
 	for _, text := range []string{
 		"",
 		"GET /look/1 HT",
@@ -183,11 +164,7 @@
 	} {
 		t.Run(fmt.Sprint(len(text)), func(t *testing.T) {
 			t.Parallel()
-			c, err := net.Dial("tcp", s.addr)
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer c.Close()
+			c := s.dial(t)
 			io.WriteString(c, text)
 			c.SetReadDeadline(time.Now().Add(3 * time.Second))
 			got, err := io.ReadAll(c)
@@ -205,12 +182,8 @@
 		taken <- struct{}{}
 		<-release
 	})
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}))
-	c, err := net.Dial("tcp", s.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
+	s := start(t, configureStatic(t, instances(addr)))
+	c := s.dial(t)
 	first := make(chan int, 1)
 	r := look(900)
 	go func() {
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -80,7 +80,7 @@
 func TestReloadWhileStopping(t *testing.T) {
 	b := scripteddiscovery.New(t)
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {})
-	c := configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)})
+	c := configureStatic(t, instances(addr))
 	s := start(t, c)
 	s.stop()
 	s.reload <- syscall.SIGHUP
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -36,7 +37,7 @@
 		w.Header().Set("Endpoint-Load-Metrics", "TEXT busy_reqs=1")
 		io.WriteString(w, "\x00card "+string(b))
 	})
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}))
+	s := start(t, configureStatic(t, instances(addr)))
 	for _, r := range []*http.Request{
 		look(480),
 		request("GET", "/look/a%2Fb?x=%20y&z", "look", 480, ""),
@@ -79,7 +80,7 @@
 func TestBadRequests(t *testing.T) {
 	var sent atomic.Int32
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) { sent.Add(1) })
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}))
+	s := start(t, configureStatic(t, instances(addr)))
 	without := func(r *http.Request, header string) *http.Request {
 		r.Header.Del(header)
 		return r
@@ -174,12 +175,8 @@
 	for i := range 4 {
 		known = append(known, scripteddiscovery.Up(fmt.Sprint("s-", i), scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {})))
 	}
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), known))
-	c, err := net.Dial("tcp", s.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
+	s := start(t, configureStatic(t, known))
+	c := s.dial(t)
 	for i := range 1500 {
 		if resp, _ := s.requestOn(t, c, look(900)); resp.StatusCode != 200 {
 			t.Fatalf("request %d: %s", i, resp.Status)
@@ -197,12 +194,8 @@
 			<-release
 		}
 	})
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}))
-	idle, err := net.Dial("tcp", s.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer idle.Close()
+	s := start(t, configureStatic(t, instances(addr)))
+	idle := s.dial(t)
 	if resp, _ := s.requestOn(t, idle, look(900)); resp.Close {
 		t.Error("a connection was not kept")
 	}
@@ -214,13 +207,13 @@
 		}
 	})
 	scriptedpeer.Receive(t, taken, "attempt")
-	begun := time.Now()
+	started := time.Now()
 	s.stop()
 	idle.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("idle connection: %v, want it closed", err)
 	}
-	for time.Since(begun) < 450*time.Millisecond {
+	for time.Since(started) < 450*time.Millisecond {
 		if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 || !resp.Close {
 			t.Fatalf("after the order: %s, close %v", resp.Status, resp.Close)
 		}
@@ -232,7 +225,7 @@
 	if err := scriptedpeer.Receive(t, s.ended, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	if took := time.Since(begun); took < 500*time.Millisecond {
+	if took := time.Since(started); took < 500*time.Millisecond {
 		t.Errorf("stopped accepting after %v", took)
 	}
 }
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -84,7 +85,7 @@
 // serveOn runs a sidecar with one endpoint on a listener of the test's own.
 func serveOn(t *testing.T, ln net.Listener, endpoint discovery.Instance) *running {
 	t.Helper()
-	s, err := assemble(configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{endpoint}), nil, scriptedpeer.DiscardLog)
+	s, err := assemble(configureStatic(t, []discovery.Instance{endpoint}), nil, scriptedpeer.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,12 +121,8 @@
 	const many = 5
 	var conns []net.Conn
 	for range many {
-		c, err := net.Dial("tcp", s.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-		io.WriteString(c, sent(t, look(900)))
+		c := s.dial(t)
+		io.WriteString(c, requestText(t, look(900)))
 		conns = append(conns, c)
 	}
 	s.stop()
@@ -150,15 +147,11 @@
 		<-release
 		io.WriteString(w, "ok")
 	})
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}))
-	c, err := net.Dial("tcp", s.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	io.WriteString(c, sent(t, look(900)))
+	s := start(t, configureStatic(t, instances(addr)))
+	c := s.dial(t)
+	io.WriteString(c, requestText(t, look(900)))
 	scriptedpeer.Receive(t, taken, "first attempt")
-	io.WriteString(c, sent(t, look(900))+sent(t, look(900)))
+	io.WriteString(c, requestText(t, look(900))+requestText(t, look(900)))
 	s.stop()
 	scriptedpeer.Eventually(t, "all are to close", func() bool {
 		resp, err := http.Get("http://" + s.addr + "/-/ready")
@@ -181,7 +174,7 @@
 			t.Errorf("answer %d: %s, close %v", i, resp.Status, resp.Close)
 		}
 	}
-	if _, err := r.ReadByte(); err != io.EOF {
+	if _, err := r.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("behind the last: %v", err)
 	}
 	if err := scriptedpeer.Receive(t, s.ended, "end"); err != nil {
@@ -195,16 +188,12 @@
 func TestStopEndsInTime(t *testing.T) {
 	var taken atomic.Int32
 	addr := hanging(t, &taken)
-	s := start(t, configure(t, scriptedpeer.ClosedAddress(t), []discovery.Instance{scripteddiscovery.Up("s-1", addr)}))
-	c, err := net.Dial("tcp", s.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	text := sent(t, request("POST", "/pay", "pay", 1000, "x"))
+	s := start(t, configureStatic(t, instances(addr)))
+	c := s.dial(t)
+	text := requestText(t, request("POST", "/pay", "pay", 1000, "x"))
 	io.WriteString(c, text[:len(text)-1])
 	scriptedpeer.Eventually(t, "it has begun", func() bool { all, _ := s.parts.front.ConnectionCounts(); return all > 0 })
-	begun := time.Now()
+	started := time.Now()
 	s.stop()
 	late := time.AfterFunc(900*time.Millisecond, func() { io.WriteString(c, text[len(text)-1:]) }) // its time would end at 1.9 s
 	defer late.Stop()
@@ -214,13 +203,13 @@
 		t.Fatalf("no answer: %v", err)
 	}
 	const killed = 1700 * time.Millisecond // 1 s, the longest deadline, and 0.7 s
-	if took := time.Since(begun); took > killed || taken.Load() != 1 || resp.StatusCode != 504 {
+	if took := time.Since(started); took > killed || taken.Load() != 1 || resp.StatusCode != 504 {
 		t.Errorf("%s after %v, with %d attempts", resp.Status, took, taken.Load())
 	}
 	if err := scriptedpeer.Receive(t, s.ended, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	if took := time.Since(begun); took > killed {
+	if took := time.Since(started); took > killed {
 		t.Errorf("ended after %v", took)
 	}
 }
@@ -277,18 +266,14 @@
 	}
 	var halves []half
 	for _, missing := range []int{20, 1, 20} { // of the head, of the body, of one that never comes whole
-		c, err := net.Dial("tcp", s.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-		text := sent(t, request("POST", "/pay", "pay", 1000, "x"))
+		c := s.dial(t)
+		text := requestText(t, request("POST", "/pay", "pay", 1000, "x"))
 		io.WriteString(c, text[:len(text)-missing])
 		halves = append(halves, half{c, text[len(text)-missing:]})
 		ours := scriptedpeer.Receive(t, ln.accepted, "connection")
 		scriptedpeer.Eventually(t, "it is read: the kernel holds nothing by which it could be known", func() bool { return !unread(t, ours) })
 	}
-	begun := time.Now()
+	started := time.Now()
 	s.stop()
 	scriptedpeer.Eventually(t, "the listener is closed", func() bool {
 		c, err := net.Dial("tcp", s.addr)
@@ -309,7 +294,7 @@
 		t.Errorf("ended with %v", err)
 	}
 	const killed = 1700 * time.Millisecond // 1 s, the longest deadline, and 0.7 s
-	if took := time.Since(begun); took > killed {
+	if took := time.Since(started); took > killed {
 		t.Errorf("ended after %v", took)
 	}
 }
