--- a/internal/frontend/http1/class_requests.go
+++ b/internal/frontend/http1/class_requests.go
@@ -43,7 +43,7 @@
 		MaxBuffered:         classBodyBuffer,
 		BufferSlowResponses: true,
 		IdleTimeout:         classIdleTimeout,
-		DeadlineHeader:      "X-Expires-In-Ms",
+		DeadlineHeader:      http1msg.FieldDeadline,
 		ReplaceErrors:       true,
 	}
 	for code := range policy.FailureStatus {
@@ -61,8 +61,8 @@
 			MaxBufferedBytes: classBodyBuffer,
 			MaxBodyBytes:     maxClassBody,
 			StreamTimeout:    classStreamTimeout,
-			IdempotencyKey:   ValueSource{Kind: FromHeader, Name: "Idempotency-Key"},
-			Object:           ValueSource{Kind: FromHeader, Name: "X-Object"},
+			IdempotencyKey:   ValueSource{Kind: FromHeader, Name: http1msg.FieldIdempotencyKey},
+			Object:           ValueSource{Kind: FromHeader, Name: http1msg.FieldObject},
 		}
 	}
 	return routes
@@ -95,6 +95,14 @@
 	framing http1msg.Framing
 }
 
+// visibleFields are the fields whose values, if they are present, must consist of visible characters.
+var visibleFields = []string{
+	http1msg.FieldRequestID,
+	http1msg.FieldClass,
+	http1msg.FieldDeadline,
+	http1msg.FieldIdempotencyKey,
+}
+
 // parseClassRequest interprets a request, or returns why it is rejected; route is nil where its class is not known.
 func (s *Server) parseClassRequest(c *conn, req *http.Request) (parsed parsedRequest, err error) {
 	if parsed.framing, err = http1msg.RequestFraming(req.Header); err != nil {
@@ -104,17 +112,11 @@
 	if err != nil {
 		return parsed, err
 	}
-	if !isVisibleASCII(req.Host) && req.ProtoAtLeast(1, 1) {
-		return parsed, requestErrorf(http.StatusBadRequest, "Host makes no sense")
-	}
-	for _, name := range []string{"X-Trace-Id", "X-Qos", "X-Expires-In-Ms", "Idempotency-Key"} {
-		v := req.Header[name] // http1msg.CheckHead has verified that it occurs once
-		if len(v) > 0 && !isVisibleASCII(v[0]) {
-			return parsed, requestErrorf(http.StatusBadRequest, "%s makes no sense", name)
-		}
+	if err := checkVisibleFields(req); err != nil {
+		return parsed, err
 	}
 	pathClass, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
-	name := req.Header.Get("X-Qos")
+	name := req.Header.Get(http1msg.FieldClass)
 	if name == "" {
 		name = pathClass
 	}
@@ -124,15 +126,16 @@
 	}
 	parsed.route = &s.classRoutes[class]
 	if name != pathClass {
-		return parsed, requestErrorf(http.StatusBadRequest, "X-Qos %q is not the first part of the path", name)
+		return parsed, requestErrorf(http.StatusBadRequest, http1msg.FieldClass+" %q is not the first part of the path",
+			name)
 	}
 	settings := &s.options.Site.Settings.Classes[class]
 	if err := checkClassRequest(req, name, settings.Idempotency, parsed.framing); err != nil {
 		return parsed, err
 	}
 	timeout := settings.ClientTimeout
-	if text := req.Header.Get("X-Expires-In-Ms"); text != "" {
-		if timeout, err = shortenTimeout(timeout, text, "X-Expires-In-Ms"); err != nil {
+	if text := req.Header.Get(http1msg.FieldDeadline); text != "" {
+		if timeout, err = shortenTimeout(timeout, text, http1msg.FieldDeadline); err != nil {
 			return parsed, err
 		}
 	}
@@ -142,6 +145,20 @@
 	return parsed, nil
 }
 
+// checkVisibleFields returns an error for a Host or a field in visibleFields with other than visible characters.
+func checkVisibleFields(req *http.Request) error {
+	if !isVisibleASCII(req.Host) && req.ProtoAtLeast(1, 1) {
+		return requestErrorf(http.StatusBadRequest, "Host makes no sense")
+	}
+	for _, name := range visibleFields {
+		v := req.Header[name] // http1msg.CheckHead has verified that it occurs once
+		if len(v) > 0 && !isVisibleASCII(v[0]) {
+			return requestErrorf(http.StatusBadRequest, "%s makes no sense", name)
+		}
+	}
+	return nil
+}
+
 // originForm returns a request's target as a path and query.
 func originForm(req *http.Request) (string, error) {
 	if strings.HasPrefix(req.RequestURI, "/") {
@@ -159,8 +176,8 @@
 func checkClassRequest(
 	req *http.Request, class string, idempotency balancer.Idempotency, framing http1msg.Framing,
 ) error {
-	if req.Header.Get("X-Trace-Id") == "" {
-		return requestErrorf(http.StatusBadRequest, "X-Trace-Id is missing")
+	if req.Header.Get(http1msg.FieldRequestID) == "" {
+		return requestErrorf(http.StatusBadRequest, http1msg.FieldRequestID+" is missing")
 	}
 	method := http.MethodPost
 	if idempotency == balancer.Idempotent {
@@ -173,9 +190,9 @@
 	if method == http.MethodGet && !emptyBody {
 		return requestErrorf(http.StatusBadRequest, "class %q takes no body", class)
 	}
-	if idempotency == balancer.IdempotentByKey && req.Header.Get("Idempotency-Key") == "" {
+	if idempotency == balancer.IdempotentByKey && req.Header.Get(http1msg.FieldIdempotencyKey) == "" {
 		// A repetition could not be recognized.
-		return requestErrorf(http.StatusBadRequest, "Idempotency-Key is missing")
+		return requestErrorf(http.StatusBadRequest, http1msg.FieldIdempotencyKey+" is missing")
 	}
 	return nil
 }
@@ -194,17 +211,17 @@
 	call := &core.Call{
 		Client:   c.client.engineClient,
 		Pool:     s.options.Pool,
-		ID:       req.Header.Get("X-Trace-Id"),
+		ID:       req.Header.Get(http1msg.FieldRequestID),
 		Response: make(chan engine.Response, 1),
 		Request: balancer.Request{
 			Class:     class,
-			Tenant:    s.tenantIndex(req.Header.Get("X-Customer")),
-			ObjectKey: objectKey(req.Header.Get("X-Object")),
-			Retry:     req.Header.Get("X-Second-Try") == "1",
+			Tenant:    s.tenantIndex(req.Header.Get(http1msg.FieldTenant)),
+			ObjectKey: objectKey(req.Header.Get(http1msg.FieldObject)),
+			Retry:     req.Header.Get(http1msg.FieldRetry) == "1",
 			Deadline:  timeout - siteconfig.ResponseMargin.Microseconds(),
 		},
 	}
-	if hint, err := strconv.ParseInt(req.Header.Get("X-Size-Hint"), 10, 64); err == nil && hint > 0 {
+	if hint, err := strconv.ParseInt(req.Header.Get(http1msg.FieldWorkHint), 10, 64); err == nil && hint > 0 {
 		call.Request.WorkHint = hint
 		call.Request.HasWorkHint = true
 	}
@@ -223,7 +240,7 @@
 	connection := req.Header["Connection"]
 	for name, values := range req.Header {
 		switch name {
-		case "Expect", "Host", "X-Never-Ran", "X-Expires-In-Ms":
+		case "Expect", "Host", http1msg.FieldNeverRan, http1msg.FieldDeadline:
 			continue
 		}
 		if !http1msg.IsHopByHop(name, connection) {
--- a/internal/http1msg/head.go
+++ b/internal/http1msg/head.go
@@ -20,9 +20,9 @@
 // would be removed on the way to the endpoint, which could then not recognize a repetition. Names are in canonical
 // form.
 var SingletonHeaders = map[string]bool{
-	"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Authorization": true, "Idempotency-Key": true,
-	"X-Trace-Id": true, "X-Qos": true, "X-Customer": true, "X-Object": true, "X-Expires-In-Ms": true,
-	"X-Second-Try": true, "X-Size-Hint": true, "X-Props": true, "Traceparent": true,
+	"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Authorization": true, "Traceparent": true,
+	FieldIdempotencyKey: true, FieldRequestID: true, FieldClass: true, FieldTenant: true, FieldObject: true,
+	FieldDeadline: true, FieldRetry: true, FieldWorkHint: true, "X-Props": true,
 }
 
 // HeadError is why a request's head is rejected.
--- a/internal/upstream/buffered.go
+++ b/internal/upstream/buffered.go
@@ -17,6 +17,7 @@
 	"dunlinsail/balancer"
 	"dunlinsail/internal/core"
 	"dunlinsail/internal/engine"
+	"dunlinsail/internal/http1msg"
 	"dunlinsail/internal/siteconfig"
 )
 
@@ -99,6 +100,13 @@
 	p.putUnused(c)
 }
 
+// Names of the health check in PROTOCOL.
+const (
+	healthPath       = "/-/healthy"
+	loadReportPath   = "/-/load"
+	loadReportPrefix = "TEXT " // of a load report, before its pairs name=value
+)
+
 // Probe makes a health check: it requests a load report, or the health path where there are no load reports.
 func (to *Target) Probe() engine.AttemptResult {
 	p := to.pool
@@ -110,9 +118,9 @@
 		return p.result(p.noConnStatus(ctx, err))
 	}
 	lastResponse := c.lastResponse
-	m := BufferedRequest{Method: http.MethodGet, URI: "/-/healthy", Host: to.addr}
+	m := BufferedRequest{Method: http.MethodGet, URI: healthPath, Host: to.addr}
 	if len(p.options.LoadFields) > 0 {
-		m.URI = "/-/load"
+		m.URI = loadReportPath
 	}
 	keep := false
 	result := p.roundTrip(ctx, c, m.encode(0), nil, func(reusable bool) { keep = reusable })
@@ -164,13 +172,13 @@
 	case code == http.StatusOK:
 		result.Status = balancer.OK
 		result.Response = &response.BufferedResponse
-	case unavailable && response.Header.Get("X-Never-Ran") == "1":
+	case unavailable && response.Header.Get(http1msg.FieldNeverRan) == "1":
 		result.Status = balancer.Rejected
 	default:
 		result.Status = balancer.Error
 	}
 	if p.options.LoadInResponses {
-		result.Load = parseLoad(p.options.LoadFields, response.Header.Get("Endpoint-Load-Metrics"))
+		result.Load = parseLoad(p.options.LoadFields, response.Header.Get(http1msg.FieldLoadReport))
 	}
 	return result
 }
@@ -293,7 +301,7 @@
 
 // encode encodes the request in one piece, with the time that is left for it in milliseconds, if any.
 func (m *BufferedRequest) encode(leftMs int64) []byte {
-	b := m.encodeHead("X-Expires-In-Ms", leftMs)
+	b := m.encodeHead(http1msg.FieldDeadline, leftMs)
 	if len(m.Body) > 0 || m.Method != http.MethodGet {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(m.Body)) + "\r\n")
 	}
@@ -306,7 +314,7 @@
 // values in the order of fields. A value that is missing or invalid is NaN, never zero, which would be an idle
 // endpoint; a report without any valid value is nil.
 func parseLoad(fields []string, text string) []float32 {
-	text = strings.TrimPrefix(strings.TrimSpace(text), "TEXT ")
+	text = strings.TrimPrefix(strings.TrimSpace(text), loadReportPrefix)
 	load := make([]float32, len(fields))
 	for i := range load {
 		load[i] = float32(math.NaN())
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -362,12 +362,11 @@
 
 // takeLoadReport returns the load report in a response, and removes it from the header.
 func (e *exchange) takeLoadReport(response *Response) (load []float32) {
-	const name = "Endpoint-Load-Metrics"
-	if text := response.Header[name]; len(text) > 0 {
+	if text := response.Header[http1msg.FieldLoadReport]; len(text) > 0 {
 		if e.pool.options.LoadInResponses {
 			load = parseLoad(e.pool.options.LoadFields, text[0])
 		}
-		delete(response.Header, name)
+		delete(response.Header, http1msg.FieldLoadReport)
 	}
 	return load
 }
--- a/internal/upstream/policy.go
+++ b/internal/upstream/policy.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"dunlinsail/balancer"
+	"dunlinsail/internal/http1msg"
 )
 
 // ResponsePolicy determines how responses of endpoints are classified, buffered and bounded. It must not change
@@ -28,7 +29,7 @@
 func (p *ResponsePolicy) classify(response *Response) balancer.Status {
 	code := min(response.StatusCode, len(p.FailureStatus)-1)
 	unavailable := code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout
-	neverRan := unavailable && response.Header.Get("X-Never-Ran") == "1"
+	neverRan := unavailable && response.Header.Get(http1msg.FieldNeverRan) == "1"
 	switch {
 	case neverRan:
 		return balancer.Rejected
