--- a/internal/config/validate_clients.go
+++ b/internal/config/validate_clients.go
@@ -11,7 +11,7 @@
 )
 
 // connections validates the limits of connections, and sets those that are 0 by the number of descriptors.
-func (k *validator) connections(c *Config) {
+func (v *validator) connections(c *Config) {
 	n := &c.Connections
 	free := c.Process.Descriptors - reservedDescriptors
 	if n.MaxClients == 0 {
@@ -23,61 +23,61 @@
 	if n.MaxIdle == 0 {
 		n.MaxIdle = max(1, min(n.MaxClients, free/idleDivisor))
 	}
-	k.Require(n.MaxClients >= 1, "connections.clients", "%d: must be at least 1", n.MaxClients)
-	k.Require(n.MaxEndpoints >= 1, "connections.endpoints", "%d: must be at least 1", n.MaxEndpoints)
-	k.Require(n.MaxClients+n.MaxEndpoints <= free, "connections.clients",
+	v.Require(n.MaxClients >= 1, "connections.clients", "%d: must be at least 1", n.MaxClients)
+	v.Require(n.MaxEndpoints >= 1, "connections.endpoints", "%d: must be at least 1", n.MaxEndpoints)
+	v.Require(n.MaxClients+n.MaxEndpoints <= free, "connections.clients",
 		"%d, and %d to endpoints, are over the %d that process.descriptors leaves", n.MaxClients, n.MaxEndpoints, free)
-	k.Require(n.MaxIdle >= 1 && n.MaxIdle <= n.MaxClients, "connections.at_rest",
+	v.Require(n.MaxIdle >= 1 && n.MaxIdle <= n.MaxClients, "connections.at_rest",
 		"%d: must be in 1..%d, connections.clients", n.MaxIdle, n.MaxClients)
-	k.Require(n.MaxIdleTime.Duration > 0, "connections.rest_most", "must be positive")
-	k.Require(n.MinIdleTime.Duration <= n.MaxIdleTime.Duration, "connections.rest_least", "%v is over rest_most, %v",
+	v.Require(n.MaxIdleTime.Duration > 0, "connections.rest_most", "must be positive")
+	v.Require(n.MinIdleTime.Duration <= n.MaxIdleTime.Duration, "connections.rest_least", "%v is over rest_most, %v",
 		n.MinIdleTime, n.MaxIdleTime)
 }
 
 // clients validates the clients and their limits. No user or group may belong to two.
-func (k *validator) clients(c *Config) {
+func (v *validator) clients(c *Config) {
 	names := map[string]bool{}
 	owners := map[string]map[uint32]string{"uids": {}, "gids": {}} // names of clients, by key and ID
 	for i := range c.Clients {
 		cl := &c.Clients[i]
 		at := func(key string) string { return fmt.Sprintf("client.%d.%s", i, key) }
-		k.Require(cl.Name != "", at("name"), "is missing")
-		k.Require(!names[cl.Name], at("name"), "%q is named twice", cl.Name)
+		v.Require(cl.Name != "", at("name"), "is missing")
+		v.Require(!names[cl.Name], at("name"), "%q is named twice", cl.Name)
 		names[cl.Name] = true
-		k.clientLimits(&cl.ClientLimits, at)
+		v.clientLimits(&cl.ClientLimits, at)
 		for key, ids := range map[string][]uint32{"uids": cl.UIDs, "gids": cl.GIDs} {
 			for _, id := range ids {
 				owner := owners[key][id]
-				k.Require(owner == "", at(key), "%d is client %q already", id, owner)
+				v.Require(owner == "", at(key), "%d is client %q already", id, owner)
 				owners[key][id] = cl.Name
 			}
 		}
 	}
 	if c.OtherClients != nil {
-		k.clientLimits(c.OtherClients, func(key string) string { return "others." + key })
+		v.clientLimits(c.OtherClients, func(key string) string { return "others." + key })
 	}
 }
 
 // listeners validates the listeners. Their names and addresses must be unique.
-func (k *validator) listeners(c *Config) {
-	k.Require(len(c.Listeners) > 0, "listener", "at least one is needed")
+func (v *validator) listeners(c *Config) {
+	v.Require(len(c.Listeners) > 0, "listener", "at least one is needed")
 	listeners := map[string]bool{}
 	addresses := map[string]bool{}
 	for i := range c.Listeners {
 		l := &c.Listeners[i]
 		at := func(key string) string { return fmt.Sprintf("listener.%d.%s", i, key) }
-		k.Require(l.Name != "", at("name"), "is missing")
-		k.Require(!listeners[l.Name], at("name"), "%q is named twice", l.Name)
+		v.Require(l.Name != "", at("name"), "is missing")
+		v.Require(!listeners[l.Name], at("name"), "%q is named twice", l.Name)
 		listeners[l.Name] = true
-		k.Require(!addresses[l.Address], at("address"), "%q is listened on twice", l.Address)
+		v.Require(!addresses[l.Address], at("address"), "%q is listened on twice", l.Address)
 		addresses[l.Address] = true
 		if network, address := l.Network(); network == "unix" {
-			k.unixListener(l, address, at)
+			v.unixListener(l, address, at)
 		} else {
-			k.tcpListener(c, l, address, at)
+			v.tcpListener(c, l, address, at)
 		}
 		isClient := func(cl Client) bool { return cl.Name == l.Client }
-		k.Require(l.Client == "" || slices.ContainsFunc(c.Clients, isClient), at("client"), "no client is named %q",
+		v.Require(l.Client == "" || slices.ContainsFunc(c.Clients, isClient), at("client"), "no client is named %q",
 			l.Client)
 	}
 }
@@ -90,9 +90,9 @@
 )
 
 // unixListener validates a listener on a unix socket at a path, and sets its default permissions.
-func (k *validator) unixListener(l *Listener, path string, at func(string) string) {
-	k.Require(strings.HasPrefix(path, "/"), at("address"), "%q: the path of a unix socket must begin with /", l.Address)
-	k.Require(len(path) <= maxUnixPathBytes, at("address"), "the path of a unix socket has at most 107 bytes, not %d",
+func (v *validator) unixListener(l *Listener, path string, at func(string) string) {
+	v.Require(strings.HasPrefix(path, "/"), at("address"), "%q: the path of a unix socket must begin with /", l.Address)
+	v.Require(len(path) <= maxUnixPathBytes, at("address"), "the path of a unix socket has at most 107 bytes, not %d",
 		len(path))
 	if l.Mode.Bits == 0 {
 		l.Mode.Bits = defaultUnixMode
@@ -100,27 +100,27 @@
 }
 
 // tcpListener validates a listener at a TCP address, which must be on loopback.
-func (k *validator) tcpListener(c *Config, l *Listener, address string, at func(string) string) {
+func (v *validator) tcpListener(c *Config, l *Listener, address string, at func(string) string) {
 	host, _, _ := net.SplitHostPort(address)
 	ip := net.ParseIP(host)
-	k.Require(isHostPort(address, 0) && ip != nil && ip.IsLoopback(), at("address"),
+	v.Require(isHostPort(address, 0) && ip != nil && ip.IsLoopback(), at("address"),
 		"%q is neither a loopback address with a port up to 65535, as \"127.0.0.1:8080\", nor \"unix:/path\"",
 		l.Address)
-	k.Require(l.Mode.Bits == 0, at("mode"), "is for unix sockets only")
-	k.Require(l.Client != "" || c.OtherClients != nil, at("client"), "is missing, and there is no table others")
+	v.Require(l.Mode.Bits == 0, at("mode"), "is for unix sockets only")
+	v.Require(l.Client != "" || c.OtherClients != nil, at("client"), "is missing, and there is no table others")
 }
 
 // clientLimits validates the limits of a client, and sets its default weight.
-func (k *validator) clientLimits(b *ClientLimits, at func(string) string) {
+func (v *validator) clientLimits(b *ClientLimits, at func(string) string) {
 	if b.Weight == 0 {
 		b.Weight = 1
 	}
-	k.Require(b.Weight > 0 && !math.IsInf(b.Weight, 0), at("weight"), "%v: must be positive", b.Weight)
-	k.Require(b.MaxConnections >= 0, at("connections"), "%d is negative", b.MaxConnections)
-	k.Require(b.MaxOpen >= 0, at("open_requests"), "%d is negative", b.MaxOpen)
-	k.Require(b.Rate >= 0 && !math.IsInf(b.Rate, 0), at("requests_per_second"), "%v: must not be negative", b.Rate)
-	k.Require(b.Burst == 0 || b.Rate > 0, at("burst"), "means nothing without requests_per_second")
-	k.Require(b.Burst == 0 || b.Burst >= 1, at("burst"), "%v: must be at least 1", b.Burst)
-	k.Require(b.MaxBytesHeld.Bytes == 0 || b.MaxBytesHeld.Bytes >= siteconfig.MaxBodyBytes, at("bytes_held"),
+	v.Require(b.Weight > 0 && !math.IsInf(b.Weight, 0), at("weight"), "%v: must be positive", b.Weight)
+	v.Require(b.MaxConnections >= 0, at("connections"), "%d is negative", b.MaxConnections)
+	v.Require(b.MaxOpen >= 0, at("open_requests"), "%d is negative", b.MaxOpen)
+	v.Require(b.Rate >= 0 && !math.IsInf(b.Rate, 0), at("requests_per_second"), "%v: must not be negative", b.Rate)
+	v.Require(b.Burst == 0 || b.Rate > 0, at("burst"), "means nothing without requests_per_second")
+	v.Require(b.Burst == 0 || b.Burst >= 1, at("burst"), "%v: must be at least 1", b.Burst)
+	v.Require(b.MaxBytesHeld.Bytes == 0 || b.MaxBytesHeld.Bytes >= siteconfig.MaxBodyBytes, at("bytes_held"),
 		"under %d a whole body does not fit", siteconfig.MaxBodyBytes)
 }
--- a/internal/config/validate_control.go
+++ b/internal/config/validate_control.go
@@ -8,44 +8,44 @@
 )
 
 // controlPlane validates the control plane.
-func (k *validator) controlPlane(c *Config) {
+func (v *validator) controlPlane(c *Config) {
 	n := &c.ControlPlane
 	on := n.Address != ""
 	host, _, _ := net.SplitHostPort(n.Address)
 	ip := net.ParseIP(host)
-	k.Require(!on || isHostPort(n.Address, 1), "control.address", "%q is no host:port with a port in 1..65535",
+	v.Require(!on || isHostPort(n.Address, 1), "control.address", "%q is no host:port with a port in 1..65535",
 		n.Address)
-	k.Require(!on || n.StateDir != "", "control.state", "is missing: a folder where the last good version is kept")
-	k.Require(n.StateDir == "" || strings.HasPrefix(n.StateDir, "/"), "control.state", "%q: must begin with /",
+	v.Require(!on || n.StateDir != "", "control.state", "is missing: a folder where the last good version is kept")
+	v.Require(n.StateDir == "" || strings.HasPrefix(n.StateDir, "/"), "control.state", "%q: must begin with /",
 		n.StateDir)
-	k.Require(!on || n.Plaintext || n.CA != "" && n.Cert != "" && n.Key != "", "control.ca",
+	v.Require(!on || n.Plaintext || n.CA != "" && n.Cert != "" && n.Key != "", "control.ca",
 		"ca, cert and key are needed: both sides must be vouched for")
-	k.Require(!n.Plaintext || n.CA == "" && n.Cert == "" && n.Key == "", "control.plaintext",
+	v.Require(!n.Plaintext || n.CA == "" && n.Cert == "" && n.Key == "", "control.plaintext",
 		"means that there is no ca, cert or key")
-	k.Require(!on || !n.Plaintext || ip != nil && ip.IsLoopback(), "control.plaintext",
+	v.Require(!on || !n.Plaintext || ip != nil && ip.IsLoopback(), "control.plaintext",
 		"is for a service on a loopback address only, not %q", n.Address)
-	k.Require(n.HarmMargin >= 0 && n.HarmMargin < 1, "control.trial_margin", "%v: must be in 0..1, not 1", n.HarmMargin)
-	k.Require(n.Alpha > 0 && n.Alpha < 0.5, "control.trial_alpha", "%v: must be over 0, under 0.5", n.Alpha)
-	k.Require(n.CanaryDuration.Duration == 0 || n.CanaryDuration.Duration >= time.Second, "control.trial",
+	v.Require(n.HarmMargin >= 0 && n.HarmMargin < 1, "control.trial_margin", "%v: must be in 0..1, not 1", n.HarmMargin)
+	v.Require(n.Alpha > 0 && n.Alpha < 0.5, "control.trial_alpha", "%v: must be over 0, under 0.5", n.Alpha)
+	v.Require(n.CanaryDuration.Duration == 0 || n.CanaryDuration.Duration >= time.Second, "control.trial",
 		"%v: must be \"0s\" or at least 1s", n.CanaryDuration)
-	k.Require(n.MinValidationInterval.Duration >= 10*time.Millisecond, "control.gap", "%v: must be at least 10ms",
+	v.Require(n.MinValidationInterval.Duration >= 10*time.Millisecond, "control.gap", "%v: must be at least 10ms",
 		n.MinValidationInterval)
-	k.Require(n.MaxResponseSize.Bytes >= 4<<10 && n.MaxResponseSize.Bytes <= 64<<20, "control.size_most",
+	v.Require(n.MaxResponseSize.Bytes >= 4<<10 && n.MaxResponseSize.Bytes <= 64<<20, "control.size_most",
 		"must be in 4KiB..64MiB")
-	k.Require(n.MaxBackoff.Duration >= 100*time.Millisecond, "control.retry_most", "%v: must be at least 100ms",
+	v.Require(n.MaxBackoff.Duration >= 100*time.Millisecond, "control.retry_most", "%v: must be at least 100ms",
 		n.MaxBackoff)
-	k.pins(n.Pinned)
+	v.pins(n.Pinned)
 }
 
 // pins validates what of the file no version replaces.
-func (k *validator) pins(pins []string) {
+func (v *validator) pins(pins []string) {
 	kinds := ResourceKinds()
 	for _, pin := range pins {
 		name, key, hasName := strings.Cut(pin, ".")
 		kind, known := kinds[name]
-		k.Require(known, "control.pin", "%q: %q is no table that a version may hold", pin, name)
+		v.Require(known, "control.pin", "%q: %q is no table that a version may hold", pin, name)
 		if known && hasName && !kind.List {
-			k.Require(hasKey(kind.Type, key), "control.pin", "%q: the table %s has no key %q", pin, name, key)
+			v.Require(hasKey(kind.Type, key), "control.pin", "%q: the table %s has no key %q", pin, name, key)
 		}
 	}
 }
--- a/internal/config/validate_fleet.go
+++ b/internal/config/validate_fleet.go
@@ -18,93 +18,93 @@
 )
 
 // peers validates gossip and coordination.
-func (k *validator) peers(c *Config) {
+func (v *validator) peers(c *Config) {
 	p := &c.Peers
 	seen := map[string]bool{}
 	for _, name := range p.Allocators {
-		k.Require(name != "", "peers.lenders", "an empty name")
-		k.Require(!seen[name], "peers.lenders", "%q is named twice", name)
+		v.Require(name != "", "peers.lenders", "an empty name")
+		v.Require(!seen[name], "peers.lenders", "%q is named twice", name)
 		seen[name] = true
 	}
 	for i, name := range p.CoordinatedUses {
-		stricttoml.Enum(&k.Validation, "peers.lends", name, coordinatedUses)
-		k.Require(!slices.Contains(p.CoordinatedUses[:i], name), "peers.lends", "%q is named twice", name)
+		stricttoml.Enum(&v.Validation, "peers.lends", name, coordinatedUses)
+		v.Require(!slices.Contains(p.CoordinatedUses[:i], name), "peers.lends", "%q is named twice", name)
 	}
 	for _, mapping := range p.AddressMappings {
 		address, via, complete := strings.Cut(mapping, "=")
-		k.Require(complete && isHostPort(address, 1) && isHostPort(via, 1), "peers.ways",
+		v.Require(complete && isHostPort(address, 1) && isHostPort(via, 1), "peers.ways",
 			"%q is not ADDRESS=VIA, each host:port", mapping)
 	}
-	k.Require(p.ReserveFraction >= 0 && p.ReserveFraction <= 1, "peers.ready", "%v: must be in 0..1", p.ReserveFraction)
-	k.Require(p.MaxClockDrift >= 0 && p.MaxClockDrift <= 0.1, "peers.drift", "%v: must be in 0..0.1", p.MaxClockDrift)
-	k.Require(p.LeaseRequestInterval.Duration >= 10*time.Millisecond, "peers.every", "%v: must be at least 10ms",
+	v.Require(p.ReserveFraction >= 0 && p.ReserveFraction <= 1, "peers.ready", "%v: must be in 0..1", p.ReserveFraction)
+	v.Require(p.MaxClockDrift >= 0 && p.MaxClockDrift <= 0.1, "peers.drift", "%v: must be in 0..0.1", p.MaxClockDrift)
+	v.Require(p.LeaseRequestInterval.Duration >= 10*time.Millisecond, "peers.every", "%v: must be at least 10ms",
 		p.LeaseRequestInterval)
-	k.Require(p.QuotaLease.Duration >= 4*p.LeaseRequestInterval.Duration, "peers.loan",
+	v.Require(p.QuotaLease.Duration >= 4*p.LeaseRequestInterval.Duration, "peers.loan",
 		"%v: must be at least four times peers.every, or a lost word ends a loan", p.QuotaLease)
-	k.Require(p.LeaderLease.Duration >= 2*p.LeaseRequestInterval.Duration, "peers.lease",
+	v.Require(p.LeaderLease.Duration >= 2*p.LeaseRequestInterval.Duration, "peers.lease",
 		"%v: must be at least twice peers.every", p.LeaderLease)
 	if p.On {
-		k.activePeers(c)
+		v.activePeers(c)
 	}
 }
 
 // activePeers validates what gossip and coordination need when they are on.
-func (k *validator) activePeers(c *Config) {
+func (v *validator) activePeers(c *Config) {
 	p := &c.Peers
 	host, _, _ := net.SplitHostPort(p.Address)
 	ip := net.ParseIP(host)
-	k.Require(ip != nil && isHostPort(p.Address, 1), "peers.address", "%q is no address with a port in 1..65535",
+	v.Require(ip != nil && isHostPort(p.Address, 1), "peers.address", "%q is no address with a port in 1..65535",
 		p.Address)
-	k.Require(p.AllowBeyondLoopback || ip == nil || ip.IsLoopback(), "peers.address",
+	v.Require(p.AllowBeyondLoopback || ip == nil || ip.IsLoopback(), "peers.address",
 		"%q is beyond loopback: peers.beyond_loopback says that this is meant", p.Address)
 	for _, other := range p.Join {
-		k.Require(isHostPort(other, 1), "peers.join", "%q is no host:port with a port in 1..65535", other)
+		v.Require(isHostPort(other, 1), "peers.join", "%q is no host:port with a port in 1..65535", other)
 	}
-	k.Require(p.Fleet != "", "peers.fleet", "is missing")
-	k.Require(len(p.Allocators)%2 == 1 && len(p.Allocators) <= maxAllocators, "peers.lenders",
+	v.Require(p.Fleet != "", "peers.fleet", "is missing")
+	v.Require(len(p.Allocators)%2 == 1 && len(p.Allocators) <= maxAllocators, "peers.lenders",
 		"must be 1, 3, 5 or 7 names of instances: a majority of them decides who lends")
-	k.Require(len(p.CoordinatedUses) > 0, "peers.lends", "is empty: nothing would be decided together")
-	k.Require(c.Fleet.Instances >= len(p.Allocators), "fleet.instances", "%d is under the number of peers.lenders",
+	v.Require(len(p.CoordinatedUses) > 0, "peers.lends", "is empty: nothing would be decided together")
+	v.Require(c.Fleet.Instances >= len(p.Allocators), "fleet.instances", "%d is under the number of peers.lenders",
 		c.Fleet.Instances)
 	requestRate := float64(c.Fleet.Instances) / p.LeaseRequestInterval.Seconds()
-	k.Require(requestRate <= maxLeaseRequestRate, "peers.every",
+	v.Require(requestRate <= maxLeaseRequestRate, "peers.every",
 		"%v: %d instances would ask the one that lends %.0f times a second; %d are the most", p.LeaseRequestInterval,
 		c.Fleet.Instances, requestRate, maxLeaseRequestRate)
 	needsOverload := func(use string) bool { return use != "suspects" && use != "tenants" }
-	k.Require(c.Overload.On || !slices.ContainsFunc(p.CoordinatedUses, needsOverload), "peers.lends",
+	v.Require(c.Overload.On || !slices.ContainsFunc(p.CoordinatedUses, needsOverload), "peers.lends",
 		"further, probes and level are decided where overload.on is true")
 	for i, t := range c.Tenants {
-		k.Require(t.RateLimit == 0 || slices.Contains(p.CoordinatedUses, "tenants"),
+		v.Require(t.RateLimit == 0 || slices.Contains(p.CoordinatedUses, "tenants"),
 			fmt.Sprintf("tenant.%d.limit", i), "%q has a limit over all instances: peers.lends must name \"tenants\"",
 			t.Name)
 	}
 }
 
 // maintenance validates maintenance plans.
-func (k *validator) maintenance(c *Config) {
+func (v *validator) maintenance(c *Config) {
 	w := &c.Maintenance
-	k.Require(w.MaxOut >= 1 && w.MaxOut <= 1000, "work.most", "%d: must be in 1..1000", w.MaxOut)
-	for key, v := range map[string]int{"zone": w.MaxPerZone, "cell": w.MaxPerCell, "machine": w.MaxPerMachineType} {
-		k.Require(v >= 0, "work."+key, "%d is negative; 0 is no bound of its own", v)
+	v.Require(w.MaxOut >= 1 && w.MaxOut <= 1000, "work.most", "%d: must be in 1..1000", w.MaxOut)
+	for key, value := range map[string]int{"zone": w.MaxPerZone, "cell": w.MaxPerCell, "machine": w.MaxPerMachineType} {
+		v.Require(value >= 0, "work."+key, "%d is negative; 0 is no bound of its own", value)
 	}
-	k.Require(w.Announced >= w.MaxOut, "work.ahead", "%d is under work.most, %d: what is out was told ahead",
+	v.Require(w.Announced >= w.MaxOut, "work.ahead", "%d is under work.most, %d: what is out was told ahead",
 		w.Announced, w.MaxOut)
-	k.Require(w.CapacityReserve >= 0 && w.CapacityReserve < 1, "work.room", "%v: must be in 0..1, not 1",
+	v.Require(w.CapacityReserve >= 0 && w.CapacityReserve < 1, "work.room", "%v: must be in 0..1, not 1",
 		w.CapacityReserve)
-	k.Require(w.Lease.Duration >= 200*time.Millisecond, "work.lease", "%v: must be at least 200ms", w.Lease)
-	k.Require(w.StateFile == "" || strings.HasPrefix(w.StateFile, "/"), "work.state", "%q: must begin with /",
+	v.Require(w.Lease.Duration >= 200*time.Millisecond, "work.lease", "%v: must be at least 200ms", w.Lease)
+	v.Require(w.StateFile == "" || strings.HasPrefix(w.StateFile, "/"), "work.state", "%q: must begin with /",
 		w.StateFile)
 	if !w.On {
 		return
 	}
-	k.Require(c.Peers.On, "peers.on", "is false: machines are taken out in an order that instances settle by words")
-	k.Require(c.Admin.Address != "", "operators.address", "is missing: nobody could ask for work")
-	k.Require(len(c.Peers.Allocators) != 1, "peers.lenders",
+	v.Require(c.Peers.On, "peers.on", "is false: machines are taken out in an order that instances settle by words")
+	v.Require(c.Admin.Address != "", "operators.address", "is missing: nobody could ask for work")
+	v.Require(len(c.Peers.Allocators) != 1, "peers.lenders",
 		"one alone settles nothing that outlives it: 3, 5 or 7 are needed")
-	k.Require(slices.Contains(c.Peers.Allocators, c.Name) == (w.StateFile != ""), "work.state",
+	v.Require(slices.Contains(c.Peers.Allocators, c.Name) == (w.StateFile != ""), "work.state",
 		"is for the instances that peers.lenders names, and needed there")
 	maxDrain := w.Lease.Duration + w.QuietPeriod.Duration
-	k.Require(c.Takeover.Socket == "" || c.Takeover.DrainWithin.Duration <= maxDrain, "takeover.drain_within",
+	v.Require(c.Takeover.Socket == "" || c.Takeover.DrainWithin.Duration <= maxDrain, "takeover.drain_within",
 		"%v: a process that gives its place must be over by work.lease and work.quiet together, %v",
 		c.Takeover.DrainWithin, maxDrain)
 }
--- a/internal/config/validate_routes.go
+++ b/internal/config/validate_routes.go
@@ -15,41 +15,41 @@
 )
 
 // routes validates pools and routes, and sets the table of routes.
-func (k *validator) routes(c *Config) {
-	stricttoml.Enum(&k.Validation, "paths.encoded_slash", c.Paths.EncodedSlash,
+func (v *validator) routes(c *Config) {
+	stricttoml.Enum(&v.Validation, "paths.encoded_slash", c.Paths.EncodedSlash,
 		map[string]bool{"refuse": true, "keep": true})
 	pools := map[string]bool{}
 	for i := range c.Pools {
-		k.pool(&c.Pools[i], i, pools)
+		v.pool(&c.Pools[i], i, pools)
 	}
-	k.Require(len(c.Pools) == 0 || len(c.Routes) > 0, "pool", "no route leads to a pool: there is no table [[route]]")
+	v.Require(len(c.Pools) == 0 || len(c.Routes) > 0, "pool", "no route leads to a pool: there is no table [[route]]")
 	if len(c.Routes) == 0 {
 		return
 	}
-	k.Require(c.Discovery.Address == "", "discovery.address", "with [[route]] it belongs into a [[pool]]")
-	k.Require(c.Discovery.Mode == "watch", "discovery.mode", "with [[route]] lists are watched")
+	v.Require(c.Discovery.Address == "", "discovery.address", "with [[route]] it belongs into a [[pool]]")
+	v.Require(c.Discovery.Mode == "watch", "discovery.mode", "with [[route]] lists are watched")
 	names := map[string]bool{}
 	var patterns []route.Pattern
 	for i := range c.Routes {
-		k.route(c, i, pools, names)
+		v.route(c, i, pools, names)
 		patterns = append(patterns, c.Routes[i].pattern())
 	}
-	c.Table = k.routeTable(patterns)
+	c.Table = v.routeTable(patterns)
 	for i := range c.Routes {
 		for key, source := range c.Routes[i].valueSources() {
 			if name, ok := strings.CutPrefix(*source, "path:"); ok && c.Table != nil {
 				_, known := c.Table.ParameterIndex(i, name)
-				k.Require(known, fmt.Sprintf("route.%d.%s", i, key), "the path has no part {%s}", name)
+				v.Require(known, fmt.Sprintf("route.%d.%s", i, key), "the path has no part {%s}", name)
 			}
 		}
 	}
 }
 
 // pool validates the pool of an index. names are those of the pools before it.
-func (k *validator) pool(p *Pool, i int, names map[string]bool) {
+func (v *validator) pool(p *Pool, i int, names map[string]bool) {
 	at := func(key string) string { return fmt.Sprintf("pool.%d.%s", i, key) }
-	k.Require(p.Name != "", at("name"), "is missing")
-	k.Require(!names[p.Name], at("name"), "%q is named twice", p.Name)
+	v.Require(p.Name != "", at("name"), "is missing")
+	v.Require(!names[p.Name], at("name"), "%q is named twice", p.Name)
 	names[p.Name] = true
 	sources := 0
 	for _, is := range []bool{p.Endpoints != nil, p.File != "", p.Discovery != ""} {
@@ -57,19 +57,19 @@
 			sources++
 		}
 	}
-	k.Require(sources == 1, at("endpoints"), "exactly one of endpoints, file and discovery must be given, not %d",
+	v.Require(sources == 1, at("endpoints"), "exactly one of endpoints, file and discovery must be given, not %d",
 		sources)
 	if p.Endpoints != nil {
 		for j, address := range *p.Endpoints {
-			k.Require(isHostPort(address, 1), at("endpoints"), "%q is no host:port with a port in 1..65535", address)
-			k.Require(!slices.Contains((*p.Endpoints)[:j], address), at("endpoints"), "%q is named twice", address)
+			v.Require(isHostPort(address, 1), at("endpoints"), "%q is no host:port with a port in 1..65535", address)
+			v.Require(!slices.Contains((*p.Endpoints)[:j], address), at("endpoints"), "%q is named twice", address)
 		}
 	}
-	k.Require(p.Discovery == "" || isHostPort(p.Discovery, 1), at("discovery"),
+	v.Require(p.Discovery == "" || isHostPort(p.Discovery, 1), at("discovery"),
 		"%q is no host:port with a port in 1..65535", p.Discovery)
-	k.Require(p.RetryBudget >= 0 && p.RetryBudget <= 10, at("retry_budget"), "%v: must be in 0..10", p.RetryBudget)
+	v.Require(p.RetryBudget >= 0 && p.RetryBudget <= 10, at("retry_budget"), "%v: must be in 0..10", p.RetryBudget)
 	minRate := p.EffectiveMinRetryRate()
-	k.Require(minRate == 0 || minRate >= 1 && minRate <= 1000, at("retry_least"),
+	v.Require(minRate == 0 || minRate >= 1 && minRate <= 1000, at("retry_least"),
 		"%v: must be 0 or in 1..1000: a part of a try is none", minRate)
 }
 
@@ -84,18 +84,18 @@
 }
 
 // routeTable returns the table of routes, nil if a pattern is invalid or two contradict each other.
-func (k *validator) routeTable(patterns []route.Pattern) *route.Table {
+func (v *validator) routeTable(patterns []route.Pattern) *route.Table {
 	table, err := route.New(patterns)
 	var invalid *route.PatternError
 	var conflict *route.ConflictError
 	switch {
 	case errors.As(err, &invalid):
 		key := map[string]string{"method": "methods", "header": "headers"}[invalid.Key]
-		k.Require(false, fmt.Sprintf("route.%d.%s", invalid.Index, cmp.Or(key, invalid.Key)), "%s", invalid.Reason)
+		v.Require(false, fmt.Sprintf("route.%d.%s", invalid.Index, cmp.Or(key, invalid.Key)), "%s", invalid.Reason)
 	case errors.As(err, &conflict):
-		k.Require(false, fmt.Sprintf("route.%d", conflict.Second),
+		v.Require(false, fmt.Sprintf("route.%d", conflict.Second),
 			"can take the same request as the route on line %d, and neither is more specific",
-			k.Lines[fmt.Sprintf("route.%d", conflict.First)])
+			v.Lines[fmt.Sprintf("route.%d", conflict.First)])
 	}
 	return table
 }
@@ -116,23 +116,23 @@
 }
 
 // route validates the route of an index. pools and names are those of all pools and of the routes before it.
-func (k *validator) route(c *Config, i int, pools, names map[string]bool) {
+func (v *validator) route(c *Config, i int, pools, names map[string]bool) {
 	r := &c.Routes[i]
 	at := func(key string) string { return fmt.Sprintf("route.%d.%s", i, key) }
-	k.Require(r.Name == "" || !names[r.Name], at("name"), "%q is named twice", r.Name)
+	v.Require(r.Name == "" || !names[r.Name], at("name"), "%q is named twice", r.Name)
 	names[r.Name] = true
-	k.Require(pools[r.Pool], at("pool"), "no pool is named %q", r.Pool)
-	k.routeClasses(c, r, at)
-	k.valueSources(r, at)
+	v.Require(pools[r.Pool], at("pool"), "no pool is named %q", r.Pool)
+	v.routeClasses(c, r, at)
+	v.valueSources(r, at)
 	for name := range r.Headers {
-		k.Require(http1msg.IsToken(name), at("headers"), "%q is no name of a header", name)
+		v.Require(http1msg.IsToken(name), at("headers"), "%q is no name of a header", name)
 	}
-	k.routeLimits(r, at)
-	k.routeRewrites(r, at)
+	v.routeLimits(r, at)
+	v.routeRewrites(r, at)
 }
 
 // routeClasses validates the classes of a route's requests.
-func (k *validator) routeClasses(c *Config, r *Route, at func(string) string) {
+func (v *validator) routeClasses(c *Config, r *Route, at func(string) string) {
 	classes := []string{r.Class}
 	if r.Class == "" {
 		classes = []string{ReadClass, WriteClass}
@@ -140,39 +140,39 @@
 	for _, name := range classes {
 		j := slices.IndexFunc(c.Classes, func(cl Class) bool { return cl.Name == name })
 		if j < 0 {
-			k.Require(false, at("class"), "no class is named %q", name)
+			v.Require(false, at("class"), "no class is named %q", name)
 			continue
 		}
-		k.Require(c.Classes[j].Idempotency != "keyed" || r.Key != "", at("key"), "is missing: class %q is keyed", name)
+		v.Require(c.Classes[j].Idempotency != "keyed" || r.Key != "", at("key"), "is missing: class %q is keyed", name)
 	}
 }
 
 // routeRewrites validates the changes of a route's requests and responses on their way.
-func (k *validator) routeRewrites(r *Route, at func(string) string) {
-	k.Require(r.ToHost == "" || !strings.ContainsAny(r.ToHost, " /?#@"), at("to_host"), "%q is no host", r.ToHost)
-	k.Require(r.StripPrefix == "" || r.prefixIsStrippable(), at("strip_prefix"),
+func (v *validator) routeRewrites(r *Route, at func(string) string) {
+	v.Require(r.ToHost == "" || !strings.ContainsAny(r.ToHost, " /?#@"), at("to_host"), "%q is no host", r.ToHost)
+	v.Require(r.StripPrefix == "" || r.prefixIsStrippable(), at("strip_prefix"),
 		"%q is no beginning, in whole segments, of path %q", r.StripPrefix, r.Path)
 	if r.AddPrefix != "" {
 		normal, err := route.NormalizePath(r.AddPrefix, route.KeepEncodedSlashes)
-		k.Require(err == nil && normal == r.AddPrefix && !strings.HasSuffix(normal, "/"), at("add_prefix"),
+		v.Require(err == nil && normal == r.AddPrefix && !strings.HasSuffix(normal, "/"), at("add_prefix"),
 			"%q is no path in normal form without a / at its end", r.AddPrefix)
 	}
-	stricttoml.Enum(&k.Validation, at("forwarded"), r.Forwarded,
+	stricttoml.Enum(&v.Validation, at("forwarded"), r.Forwarded,
 		map[string]bool{"as-is": true, "none": true, "x-forwarded": true, "rfc7239": true})
-	k.Require(!r.Trusted || r.Forwarded == "x-forwarded" || r.Forwarded == "rfc7239", at("trusted"),
+	v.Require(!r.Trusted || r.Forwarded == "x-forwarded" || r.Forwarded == "rfc7239", at("trusted"),
 		"means nothing with forwarded = %q", r.Forwarded)
 	for key, e := range map[string]*HeaderEdits{"request": &r.Request, "answer": &r.Response} {
-		k.edits(at(key), e)
+		v.edits(at(key), e)
 	}
 	for key, source := range map[string]string{"key": r.Key, "id": r.ID, "deadline": r.Deadline} {
 		name, _ := strings.CutPrefix(source, "header:")
-		k.Require(name == "" || !r.Request.touches(name), at("request"),
+		v.Require(name == "" || !r.Request.touches(name), at("request"),
 			"%s, which %s names, must reach the endpoint as it is", name, key)
 	}
 }
 
 // valueSources validates where the values of a route's requests come from.
-func (k *validator) valueSources(r *Route, at func(string) string) {
+func (v *validator) valueSources(r *Route, at func(string) string) {
 	for key, source := range r.valueSources() {
 		name, header := strings.CutPrefix(*source, "header:")
 		_, path := strings.CutPrefix(*source, "path:")
@@ -180,31 +180,31 @@
 		switch {
 		case *source == "":
 		case header:
-			k.Require(http1msg.IsToken(name), at(key), "%q is no name of a header", name)
-			k.Require(!slices.Contains(reservedHeaders, http.CanonicalHeaderKey(name)), at(key),
+			v.Require(http1msg.IsToken(name), at(key), "%q is no name of a header", name)
+			v.Require(!slices.Contains(reservedHeaders, http.CanonicalHeaderKey(name)), at(key),
 				"%s tells how a message is framed, nothing else", name)
 		case key == "key" || key == "id" || key == "deadline":
-			k.Require(false, at(key), "%q is no header, as \"header:NAME\"", *source)
+			v.Require(false, at(key), "%q is no header, as \"header:NAME\"", *source)
 		case path, fixed, *source == "client":
 		default:
-			k.Require(false, at(key), "%q is none of \"header:NAME\", \"path:NAME\", \"client\", \"=NAME\"", *source)
+			v.Require(false, at(key), "%q is none of \"header:NAME\", \"path:NAME\", \"client\", \"=NAME\"", *source)
 		}
 	}
 }
 
 // routeLimits validates the limits of a route.
-func (k *validator) routeLimits(r *Route, at func(string) string) {
-	k.Require(r.MaxAttempts >= 0, at("tries"), "%d is negative", r.MaxAttempts)
+func (v *validator) routeLimits(r *Route, at func(string) string) {
+	v.Require(r.MaxAttempts >= 0, at("tries"), "%d is negative", r.MaxAttempts)
 	for key, size := range map[string]stricttoml.Size{"body_hold": r.MaxBodyHeld, "answer_hold": r.MaxResponseHeld} {
-		k.Require(size.Bytes <= MaxHeldBytes, at(key), "over 1MiB: what is larger streams")
+		v.Require(size.Bytes <= MaxHeldBytes, at(key), "over 1MiB: what is larger streams")
 	}
-	k.Require(r.MaxResponse.Bytes == 0 || r.MaxResponse.Bytes >= r.MaxResponseHeld.Bytes, at("answer_most"),
+	v.Require(r.MaxResponse.Bytes == 0 || r.MaxResponse.Bytes >= r.MaxResponseHeld.Bytes, at("answer_most"),
 		"is under answer_hold")
-	k.Require(r.IdleTimeout.Duration <= r.TotalTimeout.Duration, at("idle"), "%v is over whole, %v", r.IdleTimeout,
+	v.Require(r.IdleTimeout.Duration <= r.TotalTimeout.Duration, at("idle"), "%v is over whole, %v", r.IdleTimeout,
 		r.TotalTimeout)
 	for key, codes := range map[string][]int{"errors": r.ErrorStatuses, "full": r.RejectionStatuses} {
 		for _, code := range codes {
-			k.Require(code >= 400 && code < 600, at(key), "%d is no status in 400..599", code)
+			v.Require(code >= 400 && code < 600, at(key), "%d is no status in 400..599", code)
 		}
 	}
 }
@@ -225,20 +225,20 @@
 }
 
 // edits validates changes of headers.
-func (k *validator) edits(at string, e *HeaderEdits) {
+func (v *validator) edits(at string, e *HeaderEdits) {
 	name := func(key, name string) {
-		k.Require(http1msg.IsToken(name), at+"."+key, "%q is no name of a header", name)
-		k.Require(!slices.Contains(reservedHeaders, http.CanonicalHeaderKey(name)), at+"."+key,
+		v.Require(http1msg.IsToken(name), at+"."+key, "%q is no name of a header", name)
+		v.Require(!slices.Contains(reservedHeaders, http.CanonicalHeaderKey(name)), at+"."+key,
 			"%s is not to be changed", name)
 	}
 	for _, n := range e.Remove {
 		name("remove", n)
 	}
 	for key, set := range map[string]map[string]string{"set": e.Set, "add": e.Add} {
-		for n, v := range set {
+		for n, value := range set {
 			name(key, n)
-			k.Require(!strings.ContainsFunc(v, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }),
-				at+"."+key, "%q has a control character", v)
+			v.Require(!strings.ContainsFunc(value, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }),
+				at+"."+key, "%q has a control character", value)
 		}
 	}
 }
--- a/internal/config/validate_site.go
+++ b/internal/config/validate_site.go
@@ -24,57 +24,57 @@
 const maxNames = 254
 
 // site sets the settings of the decision packages, and validates them by the keys of the file.
-func (k *validator) site(c *Config, subscribe bool) {
+func (v *validator) site(c *Config, subscribe bool) {
 	s := &c.Site
-	k.fleet(&c.Fleet)
-	k.attemptsAndRules(&c.Attempts, &c.Rules)
-	k.weights(c)
+	v.fleet(&c.Fleet)
+	v.attemptsAndRules(&c.Attempts, &c.Rules)
+	v.weights(c)
 	s.Zones = c.Fleet.Zones
 	s.Kinds = c.Fleet.Machines
 	s.KeepAlive = c.Fleet.KeepAlive.Duration
-	s.Settings = k.balancerSettings(c, subscribe)
-	k.overload(&c.Overload)
-	k.loadReports(c)
-	k.classes(c)
-	k.tenants(c)
-	if k.Err() == nil {
+	s.Settings = v.balancerSettings(c, subscribe)
+	v.overload(&c.Overload)
+	v.loadReports(c)
+	v.classes(c)
+	v.tenants(c)
+	if v.Err() == nil {
 		err := s.Settings.Validate() // the rules between several settings
-		k.Require(err == nil, "", "%v", err)
+		v.Require(err == nil, "", "%v", err)
 	}
 }
 
-func (k *validator) fleet(f *Fleet) {
-	k.Require(f.Instances >= 1, "fleet.instances", "%d: must be at least 1", f.Instances)
-	k.Require(f.Position >= 0 && f.Position < max(1, f.Instances), "fleet.position", "%d: must be in 0..%d",
+func (v *validator) fleet(f *Fleet) {
+	v.Require(f.Instances >= 1, "fleet.instances", "%d: must be at least 1", f.Instances)
+	v.Require(f.Position >= 0 && f.Position < max(1, f.Instances), "fleet.position", "%d: must be in 0..%d",
 		f.Position, f.Instances-1)
-	k.Require(f.Zone == "" && len(f.Zones) == 0 || slices.Contains(f.Zones, f.Zone), "fleet.zone",
+	v.Require(f.Zone == "" && len(f.Zones) == 0 || slices.Contains(f.Zones, f.Zone), "fleet.zone",
 		"%q is none of fleet.zones", f.Zone)
-	k.Require(len(f.Zones) <= maxNames, "fleet.zones", "at most 254")
-	k.Require(len(f.Machines) <= maxNames, "fleet.machines", "at most 254")
-	k.Require(f.KeepAlive.Duration > 0, "fleet.keep_alive", "must be positive")
-	k.Require(f.Subset >= 0 && f.Subset <= 1000, "fleet.subset", "%d: must be in 0..1000", f.Subset)
-	k.Require(f.EndpointIdle >= 0 && f.EndpointIdle <= 1e6, "fleet.node_idle", "%v: must be in 0..1000000",
+	v.Require(len(f.Zones) <= maxNames, "fleet.zones", "at most 254")
+	v.Require(len(f.Machines) <= maxNames, "fleet.machines", "at most 254")
+	v.Require(f.KeepAlive.Duration > 0, "fleet.keep_alive", "must be positive")
+	v.Require(f.Subset >= 0 && f.Subset <= 1000, "fleet.subset", "%d: must be in 0..1000", f.Subset)
+	v.Require(f.EndpointIdle >= 0 && f.EndpointIdle <= 1e6, "fleet.node_idle", "%v: must be in 0..1000000",
 		f.EndpointIdle)
-	k.Require(f.EndpointProbes >= 0 && f.EndpointProbes <= 1e6, "fleet.node_probes", "%v: must be in 0..1000000",
+	v.Require(f.EndpointProbes >= 0 && f.EndpointProbes <= 1e6, "fleet.node_probes", "%v: must be in 0..1000000",
 		f.EndpointProbes)
-	k.Require(f.OverShareWeight >= 0 && f.OverShareWeight <= 1, "fleet.over_share_worth", "%v: must be in 0..1",
+	v.Require(f.OverShareWeight >= 0 && f.OverShareWeight <= 1, "fleet.over_share_worth", "%v: must be in 0..1",
 		f.OverShareWeight)
 }
 
-func (k *validator) attemptsAndRules(a *Attempts, ru *Rules) {
-	k.Require(a.MaxAttempts >= 1, "attempts.most", "%d: must be at least 1", a.MaxAttempts)
-	k.Require(a.RetryBudget > 0 && a.RetryBudget <= 10, "attempts.retry_budget",
+func (v *validator) attemptsAndRules(a *Attempts, ru *Rules) {
+	v.Require(a.MaxAttempts >= 1, "attempts.most", "%d: must be at least 1", a.MaxAttempts)
+	v.Require(a.RetryBudget > 0 && a.RetryBudget <= 10, "attempts.retry_budget",
 		"%v: must be over 0, to 10; attempts.most = 1 is no retries", a.RetryBudget)
-	k.Require(a.DialTimeout.Duration > 0, "attempts.dial_timeout", "must be positive")
-	k.Require(ru.WarmupStart > 0 && ru.WarmupStart <= 1, "rules.cold_from", "%v: must be in 0..1, not 0",
+	v.Require(a.DialTimeout.Duration > 0, "attempts.dial_timeout", "must be positive")
+	v.Require(ru.WarmupStart > 0 && ru.WarmupStart <= 1, "rules.cold_from", "%v: must be in 0..1, not 0",
 		ru.WarmupStart)
-	k.Require(ru.FallMultiple > 0, "rules.fall_multiple", "%v: must be positive", ru.FallMultiple)
-	k.Require(ru.PollWithin.Duration > 0, "rules.ask_within", "must be positive")
+	v.Require(ru.FallMultiple > 0, "rules.fall_multiple", "%v: must be positive", ru.FallMultiple)
+	v.Require(ru.PollWithin.Duration > 0, "rules.ask_within", "must be positive")
 }
 
 // weights validates the prices and the weights of the goal. None may be negative or infinite.
-func (k *validator) weights(c *Config) {
-	for key, v := range map[string]float64{
+func (v *validator) weights(c *Config) {
+	for key, value := range map[string]float64{
 		"prices.cross_zone": c.Prices.CrossZone,
 		"prices.probe":      c.Prices.Probe,
 		"prices.waste":      c.Prices.Waste,
@@ -84,12 +84,12 @@
 		"goal.worst_class":  c.Goal.WorstClass,
 		"goal.worst_tenant": c.Goal.WorstTenant,
 	} {
-		k.Require(v >= 0 && !math.IsInf(v, 0), key, "%v: must not be negative", v)
+		v.Require(value >= 0 && !math.IsInf(value, 0), key, "%v: must not be negative", value)
 	}
 }
 
 // balancerSettings returns the balancer's settings, without load reports, classes and tenants.
-func (k *validator) balancerSettings(c *Config, subscribe bool) balancer.Settings {
+func (v *validator) balancerSettings(c *Config, subscribe bool) balancer.Settings {
 	f := &c.Fleet
 	a := &c.Attempts
 	ru := &c.Rules
@@ -102,7 +102,7 @@
 		Subscribe:       subscribe,
 		RetryRatio:      a.RetryBudget,
 		OverQuotaWeight: f.OverShareWeight,
-		WeightByWork: stricttoml.Enum(&k.Validation, "fleet.worth_by", f.WeightBy,
+		WeightByWork: stricttoml.Enum(&v.Validation, "fleet.worth_by", f.WeightBy,
 			map[string]bool{"request": false, "work": true}),
 		Limits: balancer.Limits{
 			Cancel:          a.Cancel,
@@ -138,37 +138,37 @@
 	}
 }
 
-func (k *validator) overload(o *Overload) {
-	for key, v := range map[string]float64{
+func (v *validator) overload(o *Overload) {
+	for key, value := range map[string]float64{
 		"further":      o.RetryRatio,
 		"further_sick": o.OverloadedRetryRatio,
 		"probes":       o.ProbeRatio,
 	} {
-		k.Require(v >= 0 && v <= 10, "overload."+key, "%v: must be in 0..10", v)
+		v.Require(value >= 0 && value <= 10, "overload."+key, "%v: must be in 0..10", value)
 	}
-	k.Require(o.OverloadedRetryRatio <= o.RetryRatio, "overload.further_sick", "%v is over further, %v",
+	v.Require(o.OverloadedRetryRatio <= o.RetryRatio, "overload.further_sick", "%v is over further, %v",
 		o.OverloadedRetryRatio, o.RetryRatio)
-	k.Require(o.MaxEndpointProbes >= 0 && o.MaxEndpointProbes <= 1e6, "overload.node_probes",
+	v.Require(o.MaxEndpointProbes >= 0 && o.MaxEndpointProbes <= 1e6, "overload.node_probes",
 		"%v: must be in 0..1000000", o.MaxEndpointProbes)
-	k.Require(o.MinEndpointProbes > 0 && o.MinEndpointProbes <= 1e6, "overload.node_least",
+	v.Require(o.MinEndpointProbes > 0 && o.MinEndpointProbes <= 1e6, "overload.node_least",
 		"%v: must be over 0, to 1000000: an endpoint that recovers must be found", o.MinEndpointProbes)
-	k.Require(o.MaxEndpointProbes == 0 || o.MinEndpointProbes <= o.MaxEndpointProbes, "overload.node_least",
+	v.Require(o.MaxEndpointProbes == 0 || o.MinEndpointProbes <= o.MaxEndpointProbes, "overload.node_least",
 		"%v is over node_probes, %v", o.MinEndpointProbes, o.MaxEndpointProbes)
 }
 
 // tenants validates the tenants, and adds them to the settings.
-func (k *validator) tenants(c *Config) {
+func (v *validator) tenants(c *Config) {
 	s := &c.Site
 	tenants := map[string]bool{}
 	for i, t := range c.Tenants {
 		at := func(key string) string { return fmt.Sprintf("tenant.%d.%s", i, key) }
-		k.Require(t.Name != "", at("name"), "is missing")
-		k.Require(!tenants[t.Name], at("name"), "%q is named twice", t.Name)
+		v.Require(t.Name != "", at("name"), "is missing")
+		v.Require(!tenants[t.Name], at("name"), "%q is named twice", t.Name)
 		tenants[t.Name] = true
-		k.Require(t.Allowance >= 0 && !math.IsInf(t.Allowance, 0), at("allowance"), "%v: must not be negative",
+		v.Require(t.Allowance >= 0 && !math.IsInf(t.Allowance, 0), at("allowance"), "%v: must not be negative",
 			t.Allowance)
-		k.Require(t.Share >= 0 && t.Share <= 1, at("share"), "%v: must be in 0..1", t.Share)
-		k.Require(t.RateLimit == 0 || t.RateLimit >= 1 && t.RateLimit <= 1e6, at("limit"),
+		v.Require(t.Share >= 0 && t.Share <= 1, at("share"), "%v: must be in 0..1", t.Share)
+		v.Require(t.RateLimit == 0 || t.RateLimit >= 1 && t.RateLimit <= 1e6, at("limit"),
 			"%v: must be 0 for none, or in 1..1000000", t.RateLimit)
 		s.Tenants = append(s.Tenants, t.Name)
 		s.TenantLimits = append(s.TenantLimits, t.RateLimit)
@@ -178,36 +178,36 @@
 }
 
 // loadReports validates the load reports of endpoints, and sets their fields.
-func (k *validator) loadReports(c *Config) {
+func (v *validator) loadReports(c *Config) {
 	s := &c.Site
-	s.ReportsOnResponses = stricttoml.Enum(&k.Validation, "probes.report", c.Probes.Report,
+	s.ReportsOnResponses = stricttoml.Enum(&v.Validation, "probes.report", c.Probes.Report,
 		map[string]bool{"none": false, "probe": false, "answers": true})
 	if c.Probes.Report == "none" {
-		k.Require(len(c.Probes.Fields) == 0, "probes.fields", "mean nothing while probes.report is \"none\"")
+		v.Require(len(c.Probes.Fields) == 0, "probes.fields", "mean nothing while probes.report is \"none\"")
 		return
 	}
-	k.Require(len(c.Probes.Fields) > 0, "probes.fields", "are missing")
+	v.Require(len(c.Probes.Fields) > 0, "probes.fields", "are missing")
 	for i, name := range c.Probes.Fields {
-		k.Require(!slices.Contains(c.Probes.Fields[:i], name), "probes.fields", "%q is named twice", name)
+		v.Require(!slices.Contains(c.Probes.Fields[:i], name), "probes.fields", "%q is named twice", name)
 		s.LoadReportFields = append(s.LoadReportFields, name)
 		s.Settings.LoadMetrics = append(s.Settings.LoadMetrics,
-			stricttoml.Enum(&k.Validation, "probes.fields", name, loadReportFields))
+			stricttoml.Enum(&v.Validation, "probes.fields", name, loadReportFields))
 	}
 }
 
 // classes validates the classes, and adds them to the settings.
-func (k *validator) classes(c *Config) {
+func (v *validator) classes(c *Config) {
 	s := &c.Site
-	k.Require(len(c.Classes) > 0, "class", "at least one is needed")
-	k.Require(len(c.Classes) <= maxNames, "class", "at most 254")
+	v.Require(len(c.Classes) > 0, "class", "at least one is needed")
+	v.Require(len(c.Classes) <= maxNames, "class", "at most 254")
 	for i := range c.Classes {
 		cl := &c.Classes[i]
 		at := func(key string) string { return fmt.Sprintf("class.%d.%s", i, key) }
-		k.Require(cl.Name != "" && !strings.ContainsAny(cl.Name, "/ ?#%"), at("name"),
+		v.Require(cl.Name != "" && !strings.ContainsAny(cl.Name, "/ ?#%"), at("name"),
 			"%q must be a part of a path: neither empty nor with / ? # %% or a space", cl.Name)
-		k.Require(!slices.Contains(s.Classes, cl.Name), at("name"), "%q is named twice", cl.Name)
+		v.Require(!slices.Contains(s.Classes, cl.Name), at("name"), "%q is named twice", cl.Name)
 		s.Classes = append(s.Classes, cl.Name)
-		s.Settings.Classes = append(s.Settings.Classes, k.class(cl, at))
+		s.Settings.Classes = append(s.Settings.Classes, v.class(cl, at))
 	}
 }
 
@@ -226,7 +226,7 @@
 }
 
 // class returns the balancer's form of a class, and validates it but for its name.
-func (k *validator) class(cl *Class, at func(string) string) balancer.Class {
+func (v *validator) class(cl *Class, at func(string) string) balancer.Class {
 	class := balancer.Class{
 		Name:             cl.Name,
 		LatencyObjective: cl.LatencyObjective.Micros(),
@@ -234,23 +234,23 @@
 		PriorityWeight:   1,
 		LateWeight:       cl.LateWeight,
 	}
-	class.Idempotency = stricttoml.Enum(&k.Validation, at("repeat"), cl.Idempotency, idempotencies)
+	class.Idempotency = stricttoml.Enum(&v.Validation, at("repeat"), cl.Idempotency, idempotencies)
 	if cl.Idempotency == "keyed" {
-		class.DedupScope = stricttoml.Enum(&k.Validation, at("group"), cl.IdempotencyGroup, dedupScopes)
+		class.DedupScope = stricttoml.Enum(&v.Validation, at("group"), cl.IdempotencyGroup, dedupScopes)
 		class.DedupWindow = cl.KeyWindow.Micros()
-		k.Require(cl.KeyWindow.Duration > 0, at("window"), "is missing: for how long the group drops a repeat of a key")
+		v.Require(cl.KeyWindow.Duration > 0, at("window"), "is missing: for how long the group drops a repeat of a key")
 	} else {
-		k.Require(cl.IdempotencyGroup == "" && cl.KeyWindow.Duration == 0, at("group"),
+		v.Require(cl.IdempotencyGroup == "" && cl.KeyWindow.Duration == 0, at("group"),
 			"group and window are for keyed classes only")
 	}
 	if cl.PriorityWeight != nil {
 		class.PriorityWeight = *cl.PriorityWeight
 	}
-	k.Require(class.PriorityWeight >= 0 && !math.IsInf(class.PriorityWeight, 0), at("worth"),
+	v.Require(class.PriorityWeight >= 0 && !math.IsInf(class.PriorityWeight, 0), at("worth"),
 		"%v: must not be negative", class.PriorityWeight)
-	k.Require(cl.LatencyObjective.Duration > 0, at("aim"), "is missing")
-	k.Require(cl.ClientTimeout.Duration >= cl.LatencyObjective.Duration, at("give_up"), "%v is under aim, %v",
+	v.Require(cl.LatencyObjective.Duration > 0, at("aim"), "is missing")
+	v.Require(cl.ClientTimeout.Duration >= cl.LatencyObjective.Duration, at("give_up"), "%v is under aim, %v",
 		cl.ClientTimeout, cl.LatencyObjective)
-	k.Require(cl.LateWeight >= 0 && cl.LateWeight <= 1, at("late_worth"), "%v: must be in 0..1", cl.LateWeight)
+	v.Require(cl.LateWeight >= 0 && cl.LateWeight <= 1, at("late_worth"), "%v: must be in 0..1", cl.LateWeight)
 	return class
 }
--- a/internal/stricttoml/validation.go
+++ b/internal/stricttoml/validation.go
@@ -14,27 +14,27 @@
 }
 
 // Err returns all mistakes as Errors, in the order of lines; nil if there is none.
-func (k *Validation) Err() error {
-	if len(k.errors) == 0 {
+func (v *Validation) Err() error {
+	if len(v.errors) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(k.errors, func(a, b *Error) int { return a.Line - b.Line })
-	return k.errors
+	slices.SortStableFunc(v.errors, func(a, b *Error) int { return a.Line - b.Line })
+	return v.errors
 }
 
 // Require records a mistake of a key unless ok. reason is a format with args.
-func (k *Validation) Require(ok bool, key, reason string, args ...any) {
+func (v *Validation) Require(ok bool, key, reason string, args ...any) {
 	if ok {
 		return
 	}
-	line := k.Lines[key]
-	for parent := key; line == 0 && parent != ""; line = k.Lines[parent] { // of a missing key: the line of its table
+	line := v.Lines[key]
+	for parent := key; line == 0 && parent != ""; line = v.Lines[parent] { // of a missing key: the line of its table
 		parent, _, _ = cutLast(parent)
 		if parent == "" {
 			break
 		}
 	}
-	k.errors = append(k.errors, &Error{key, line, fmt.Sprintf(reason, args...)})
+	v.errors = append(v.errors, &Error{key, line, fmt.Sprintf(reason, args...)})
 }
 
 func cutLast(key string) (before, after string, found bool) {
@@ -45,15 +45,15 @@
 }
 
 // Enum returns the value of a name, or records a mistake that lists the known names.
-func Enum[T any](k *Validation, key, value string, values map[string]T) T {
-	v, ok := values[value]
+func Enum[T any](v *Validation, key, value string, values map[string]T) T {
+	meaning, ok := values[value]
 	if !ok {
 		var known []string
 		for name := range values {
 			known = append(known, fmt.Sprintf("%q", name))
 		}
 		slices.Sort(known)
-		k.Require(false, key, "%q is none of %s", value, strings.Join(known, ", "))
+		v.Require(false, key, "%q is none of %s", value, strings.Join(known, ", "))
 	}
-	return v
+	return meaning
 }
