--- a/internal/config/clients.go
+++ b/internal/config/clients.go
@@ -42,8 +42,8 @@
 	// MaxOpen is the limit of requests that are queued or in flight.
 	MaxOpen int `toml:"open_requests"`
 
-	// MaxBytesHeld is the limit of buffered bytes of requests and responses: at least 64KiB.
-	MaxBytesHeld stricttoml.Size `toml:"bytes_held"`
+	// MaxBufferedBytes is the limit of buffered bytes of requests and responses: at least 64KiB.
+	MaxBufferedBytes stricttoml.Size `toml:"bytes_held"`
 
 	// Rate is the limit of requests a second, on average.
 	Rate float64 `toml:"requests_per_second"`
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -96,17 +96,17 @@
 	// MaxBody is the largest request body, beyond which the status is 413; 0, the default, is no bound.
 	MaxBody stricttoml.Size `toml:"body_most"`
 
-	// MaxBodyHeld is the largest request body that is buffered and can be sent again: default 64KiB, up to 1MiB. Larger
+	// MaxBufferedBody is the largest request body that is buffered and can be sent again: default 64KiB, up to 1MiB. Larger
 	// ones are streamed.
-	MaxBodyHeld stricttoml.Size `toml:"body_hold"`
+	MaxBufferedBody stricttoml.Size `toml:"body_hold"`
 
-	// MaxResponse is the largest response body, beyond which it is aborted: at least MaxResponseHeld; 0, the
+	// MaxResponse is the largest response body, beyond which it is aborted: at least MaxBufferedResponse; 0, the
 	// default, is no bound.
 	MaxResponse stricttoml.Size `toml:"answer_most"`
 
-	// MaxResponseHeld is the largest response body that is buffered, so that another endpoint's can replace it: default
+	// MaxBufferedResponse is the largest response body that is buffered, so that another endpoint's can replace it: default
 	// 64KiB, up to 1MiB. Larger ones are streamed.
-	MaxResponseHeld stricttoml.Size `toml:"answer_hold"`
+	MaxBufferedResponse stricttoml.Size `toml:"answer_hold"`
 
 	// IdleTimeout is how long a streamed body may pause: default 30s, up to TotalTimeout.
 	IdleTimeout stricttoml.Duration `toml:"idle"`
@@ -169,7 +169,7 @@
 const (
 	defaultRouteObjective = 10 * time.Second // of the classes ReadClass and WriteClass
 	defaultRouteTimeout   = 30 * time.Second // of the classes ReadClass and WriteClass
-	defaultHeldBytes      = 64 << 10
+	defaultBufferedBytes  = 64 << 10
 	defaultStreamIdle     = 30 * time.Second
 	defaultStreamTotal    = 10 * time.Minute
 	defaultForwarded      = "as-is"
@@ -210,8 +210,8 @@
 // setDefaults sets the values of a route's missing keys.
 func (r *Route) setDefaults() {
 	r.Forwarded = cmp.Or(r.Forwarded, defaultForwarded)
-	r.MaxBodyHeld.Bytes = cmp.Or(r.MaxBodyHeld.Bytes, defaultHeldBytes)
-	r.MaxResponseHeld.Bytes = cmp.Or(r.MaxResponseHeld.Bytes, defaultHeldBytes)
+	r.MaxBufferedBody.Bytes = cmp.Or(r.MaxBufferedBody.Bytes, defaultBufferedBytes)
+	r.MaxBufferedResponse.Bytes = cmp.Or(r.MaxBufferedResponse.Bytes, defaultBufferedBytes)
 	r.IdleTimeout.Duration = cmp.Or(r.IdleTimeout.Duration, defaultStreamIdle)
 	r.TotalTimeout.Duration = cmp.Or(r.TotalTimeout.Duration, defaultStreamTotal)
 	if r.ErrorStatuses == nil {
@@ -222,5 +222,5 @@
 	}
 }
 
-// MaxHeldBytes is the largest value in bytes of Route.MaxBodyHeld and MaxResponseHeld.
-const MaxHeldBytes = 1 << 20
+// maxBufferedBytes is the largest value in bytes of Route.MaxBufferedBody and MaxBufferedResponse.
+const maxBufferedBytes = 1 << 20
--- a/internal/config/routes_test.go
+++ b/internal/config/routes_test.go
@@ -30,7 +30,7 @@
 	}
 	r := c.Routes[0]
 	if c.Table == nil || len(c.Classes) != 2 || c.OtherClients == nil || c.Listeners[0].Name != "127.0.0.1:0" ||
-		r.MaxBodyHeld.Bytes != 64<<10 ||
+		r.MaxBufferedBody.Bytes != 64<<10 ||
 		r.IdleTimeout.Duration != 30*time.Second || r.Forwarded != "as-is" ||
 		!reflect.DeepEqual(r.ErrorStatuses, []int{500, 502, 504}) {
 		t.Errorf("%+v", c)
--- a/internal/config/validate_clients.go
+++ b/internal/config/validate_clients.go
@@ -121,6 +121,6 @@
 	v.Require(b.Rate >= 0 && !math.IsInf(b.Rate, 0), at("requests_per_second"), "%v: must not be negative", b.Rate)
 	v.Require(b.Burst == 0 || b.Rate > 0, at("burst"), "means nothing without requests_per_second")
 	v.Require(b.Burst == 0 || b.Burst >= 1, at("burst"), "%v: must be at least 1", b.Burst)
-	v.Require(b.MaxBytesHeld.Bytes == 0 || b.MaxBytesHeld.Bytes >= siteconfig.MaxBodyBytes, at("bytes_held"),
+	v.Require(b.MaxBufferedBytes.Bytes == 0 || b.MaxBufferedBytes.Bytes >= siteconfig.MaxBodyBytes, at("bytes_held"),
 		"under %d a whole body does not fit", siteconfig.MaxBodyBytes)
 }
--- a/internal/config/validate_routes.go
+++ b/internal/config/validate_routes.go
@@ -195,10 +195,10 @@
 // routeLimits validates the limits of a route.
 func (v *validator) routeLimits(r *Route, at func(string) string) {
 	v.Require(r.MaxAttempts >= 0, at("tries"), "%d is negative", r.MaxAttempts)
-	for key, size := range map[string]stricttoml.Size{"body_hold": r.MaxBodyHeld, "answer_hold": r.MaxResponseHeld} {
-		v.Require(size.Bytes <= MaxHeldBytes, at(key), "over 1MiB: what is larger streams")
+	for key, size := range map[string]stricttoml.Size{"body_hold": r.MaxBufferedBody, "answer_hold": r.MaxBufferedResponse} {
+		v.Require(size.Bytes <= maxBufferedBytes, at(key), "over 1MiB: what is larger streams")
 	}
-	v.Require(r.MaxResponse.Bytes == 0 || r.MaxResponse.Bytes >= r.MaxResponseHeld.Bytes, at("answer_most"),
+	v.Require(r.MaxResponse.Bytes == 0 || r.MaxResponse.Bytes >= r.MaxBufferedResponse.Bytes, at("answer_most"),
 		"is under answer_hold")
 	v.Require(r.IdleTimeout.Duration <= r.TotalTimeout.Duration, at("idle"), "%v is over whole, %v", r.IdleTimeout,
 		r.TotalTimeout)
--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -55,7 +55,7 @@
 	return http1.ClientSettings{
 		ClientSpec:       b.ClientSpec(name),
 		MaxConnections:   b.MaxConnections,
-		MaxBufferedBytes: b.MaxBytesHeld.Bytes,
+		MaxBufferedBytes: b.MaxBufferedBytes.Bytes,
 	}
 }
 
--- a/internal/daemon/routes.go
+++ b/internal/daemon/routes.go
@@ -77,7 +77,7 @@
 		Deadline:         source(conf.Deadline),
 		MaxAttempts:      conf.MaxAttempts,
 		MaxBodyBytes:     conf.MaxBody.Bytes,
-		MaxBufferedBytes: conf.MaxBodyHeld.Bytes,
+		MaxBufferedBytes: conf.MaxBufferedBody.Bytes,
 		StreamTimeout:    conf.TotalTimeout.Duration,
 		HostOverride:     conf.ToHost,
 		StripPrefix:      conf.StripPrefix,
@@ -102,7 +102,7 @@
 	settings := &c.Site.Settings.Classes[class]
 	x := &upstream.ResponsePolicy{
 		NonIdempotent:   settings.Idempotency == balancer.NonIdempotent,
-		MaxBuffered:     conf.MaxResponseHeld.Bytes,
+		MaxBuffered:     conf.MaxBufferedResponse.Bytes,
 		MaxBytes:        conf.MaxResponse.Bytes,
 		IdleTimeout:     conf.IdleTimeout.Duration,
 		BodyTimeout:     conf.TotalTimeout.Duration,
