--- a/internal/frontend/http1/routed_requests.go
+++ b/internal/frontend/http1/routed_requests.go
@@ -1,6 +1,7 @@
 package http1
 
 import (
+	"cmp"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -139,11 +140,13 @@
 		// A repetition could not be recognized.
 		return nil, nil, requestErrorf(http.StatusBadRequest, "%s is missing", rt.IdempotencyKey.Name)
 	}
-	out := &upstream.Request{Method: req.Method, Host: host, Header: endToEndHeader(req), Policy: policy}
-	if rt.HostOverride != "" {
-		out.Host = rt.HostOverride
+	out := &upstream.Request{
+		Method: req.Method,
+		URI:    rt.rewritePath(path) + query,
+		Host:   cmp.Or(rt.HostOverride, host),
+		Header: endToEndHeader(req),
+		Policy: policy,
 	}
-	out.URI = rt.rewritePath(path) + query
 	timeout, err := rt.clientTimeout(c, req, path, settings.ClientTimeout)
 	if err != nil {
 		return nil, nil, err
