--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -58,7 +58,7 @@
 	return http1.ClientSettings{
 		ClientSpec:       limits.ClientSpec(name),
 		MaxConnections:   limits.MaxConnections,
-		MaxBufferedBytes: limits.MaxBytesHeld.Bytes,
+		MaxBufferedBytes: limits.MaxBufferedBytes.Bytes,
 	}
 }
 
