--- a/.ci/stalenames/pages.go
+++ b/.ci/stalenames/pages.go
@@ -18,6 +18,8 @@
 var pages = []page{
 	{path: "docs/ARCHITECTURE.md"},
 	{path: "docs/GLOSSARY.md", cells: 2},
+	{path: "docs/DECISIONS.md"},
+	{path: "docs/operators/capacity.md"},
 }
 
 // code is text in backquotes.
--- /dev/null
+++ b/internal/decide/decisions_page_test.go
@@ -0,0 +1,216 @@
+package decide
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+const (
+	repositoryRoot = "../.."
+	decisionsPage  = repositoryRoot + "/docs/DECISIONS.md"
+)
+
+// Columns of the page's tables.
+const (
+	columnQuestion = iota + 1
+	columnRule
+	columnWhere // `file`: `function`, ...; several files are parted by semicolons
+	columnInputs
+	columnConstants // constants and settings of the packages of these files
+	columnShownBy   // log messages and names of figures in backquotes
+	columnCount
+)
+
+var quoted = regexp.MustCompile("`([^`]+)`")
+
+// sourceNames are the names that a Go package or file declares.
+type sourceNames struct {
+	functions map[string]bool // and methods, without their receivers
+	values    map[string]bool // constants, variables and struct fields
+}
+
+// decisionRows returns the rows of the page's tables, by line number.
+func decisionRows(t *testing.T) map[int][]string {
+	t.Helper()
+	text, err := os.ReadFile(decisionsPage)
+	if err != nil {
+		t.Fatal(err)
+	}
+	rows := map[int][]string{}
+	for i, line := range strings.Split(string(text), "\n") {
+		cells := strings.Split(line, "|")
+		if !strings.HasPrefix(line, "| ") || strings.HasPrefix(line, "| ---") || strings.HasPrefix(line, "| question") {
+			continue
+		}
+		if len(cells) != columnCount+1 {
+			t.Fatalf("line %d has %d cells, want %d", i+1, len(cells)-2, columnCount-1)
+		}
+		rows[i+1] = cells
+	}
+	return rows
+}
+
+// parseNames returns the names that some files declare.
+func parseNames(t *testing.T, files ...string) sourceNames {
+	t.Helper()
+	names := sourceNames{functions: map[string]bool{}, values: map[string]bool{}}
+	for _, path := range files {
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			t.Fatal(err)
+		}
+		ast.Inspect(file, func(node ast.Node) bool {
+			switch n := node.(type) {
+			case *ast.FuncDecl:
+				names.functions[n.Name.Name] = true
+			case *ast.ValueSpec:
+				names.addValues(n.Names)
+			case *ast.Field:
+				names.addValues(n.Names)
+			}
+			return true
+		})
+	}
+	return names
+}
+
+func (n sourceNames) addValues(identifiers []*ast.Ident) {
+	for _, identifier := range identifiers {
+		n.values[identifier.Name] = true
+	}
+}
+
+// packageFiles returns the product files of a folder.
+func packageFiles(t *testing.T, folder string) (files []string) {
+	t.Helper()
+	all, err := filepath.Glob(folder + "/*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range all {
+		if !strings.HasSuffix(path, "_test.go") {
+			files = append(files, path)
+		}
+	}
+	return files
+}
+
+// sourcePath returns a file of the page relative to this folder: pages leave out internal/.
+func sourcePath(name string) string {
+	path := filepath.Join(repositoryRoot, name)
+	if _, err := os.Stat(path); err == nil {
+		return path
+	}
+	return filepath.Join(repositoryRoot, "internal", name)
+}
+
+// Each function and constant that the page of decisions names exists in the file, or the packages, that it names.
+func TestDecisionsPageNamesExist(t *testing.T) {
+	for line, cells := range decisionRows(t) {
+		var files []string
+		for _, place := range strings.Split(cells[columnWhere], ";") {
+			if path := checkPlace(t, line, place); path != "" {
+				files = append(files, packageFiles(t, filepath.Dir(path))...)
+			}
+		}
+		declared := parseNames(t, files...)
+		for _, name := range quoted.FindAllStringSubmatch(cells[columnConstants], -1) {
+			if !declared.values[name[1]] {
+				t.Errorf("line %d: the packages of this row declare no constant or setting %s", line, name[1])
+			}
+		}
+	}
+}
+
+// checkPlace checks a file and its functions, and returns the file's path, "" if there is none.
+func checkPlace(t *testing.T, line int, place string) string {
+	t.Helper()
+	names := quoted.FindAllStringSubmatch(place, -1)
+	if len(names) < 2 || !strings.HasSuffix(names[0][1], ".go") {
+		t.Errorf("line %d: %q is no file with functions", line, strings.TrimSpace(place))
+		return ""
+	}
+	path := sourcePath(names[0][1])
+	if _, err := os.Stat(path); err != nil {
+		t.Errorf("line %d: %v", line, err)
+		return ""
+	}
+	declared := parseNames(t, path)
+	for _, name := range names[1:] {
+		if !declared.functions[name[1]] {
+			t.Errorf("line %d: %s declares no function %s", line, names[0][1], name[1])
+		}
+	}
+	return path
+}
+
+// Each log message and each name of a figure on the page is a string of the code.
+func TestDecisionsPageFiguresExist(t *testing.T) {
+	literals := map[string]bool{}
+	for _, folder := range []string{"balancer", "internal", "cmd"} {
+		folder = filepath.Join(repositoryRoot, folder)
+		err := filepath.WalkDir(folder, func(path string, _ os.DirEntry, err error) error {
+			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			return addLiterals(literals, path)
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	for line, cells := range decisionRows(t) {
+		for _, name := range quoted.FindAllStringSubmatch(cells[columnShownBy], -1) {
+			if !literals[name[1]] {
+				t.Errorf("line %d: no program prints %q", line, name[1])
+			}
+		}
+	}
+}
+
+// addLiterals adds the string literals of a file.
+func addLiterals(literals map[string]bool, path string) error {
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+	if err != nil {
+		return err
+	}
+	ast.Inspect(file, func(node ast.Node) bool {
+		if literal, ok := node.(*ast.BasicLit); ok && literal.Kind == token.STRING {
+			if text, err := strconv.Unquote(literal.Value); err == nil {
+				literals[text] = true
+			}
+		}
+		return true
+	})
+	return nil
+}
+
+// Each file of decision logic that the deploy file lists has a rule on the page.
+func TestDecisionsPageCoversThePolicy(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join(repositoryRoot, "deploy", "balancer.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := regexp.MustCompile(`(?s)\npolicy = \[(.*?)\]`).FindSubmatch(text)
+	if list == nil {
+		t.Fatal("the deploy file lists no policy files")
+	}
+	covered := map[string]bool{}
+	for _, cells := range decisionRows(t) {
+		for _, name := range quoted.FindAllStringSubmatch(cells[columnWhere], -1) {
+			covered[name[1]] = true
+		}
+	}
+	for _, file := range regexp.MustCompile(`"([^"]+\.go)"`).FindAllSubmatch(list[1], -1) {
+		if !covered[string(file[1])] {
+			t.Errorf("no row names %s", file[1])
+		}
+	}
+}
