--- a/balancer/decisions_test.go
+++ b/balancer/decisions_test.go
@@ -272,7 +272,7 @@
 		return c
 	}
 	s := balancer.Settings{
-		Balancers: 3, ZoneCount: 3, MachineKinds: 1, Tick: millisecond,
+		Balancers: 3,
 		Classes: []balancer.Class{
 			class("read", balancer.Idempotent, 0, 100*millisecond),
 			class("stream", balancer.Idempotent, 0, 200*millisecond),
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -11,7 +11,7 @@
 // testSettings are plain settings that tests change as they need.
 func testSettings() Settings {
 	return Settings{
-		Balancers: 2, ZoneCount: 1, MachineKinds: 1, Tick: 5000,
+		Balancers: 2,
 		Classes: []Class{
 			{Name: "read", Idempotency: Idempotent, LatencyObjective: 400_000, ClientTimeout: second,
 				PriorityWeight: 1},
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -72,7 +72,6 @@
 	MaxRetryAfter   monotime.Micros // the longest Retry-After that clients honour; not negative, 0 is none
 
 	// Not used by the balancer.
-	Gossip      bool            // balancers may send messages to one another
 	DialTimeout monotime.Micros // for a connection to an endpoint (Envoy: connect_timeout); not negative
 }
 
@@ -95,8 +94,7 @@
 	PollInterval monotime.Micros
 
 	// Not used by the balancer.
-	DrainGrace  monotime.Micros // time that a draining endpoint goes on serving; not negative
-	AnswerSlack monotime.Micros // time by which answers leave before the deadline; not negative
+	DrainGrace monotime.Micros // time that a draining endpoint goes on serving; not negative
 }
 
 // Prices are taken off the goal's result, each for a rate per request. None may be negative; 0 is free.
@@ -158,10 +156,7 @@
 	StrictIdempotencyKeys bool
 
 	// Not used by the balancer.
-	Position     int             // of this instance among Balancers, from 0
-	ZoneCount    int             // zones of the service
-	MachineKinds int             // kinds of machine of the endpoints; not negative
-	Tick         monotime.Micros // least time between two rounds of events; not negative
+	Position int // of this instance among Balancers, from 0
 }
 
 // DefaultRetryRatio is the retry budget where the settings give none, in retries per request.
--- a/balancer/validate.go
+++ b/balancer/validate.go
@@ -67,8 +67,6 @@
 	v.atLeastOne("Balancers", s.Balancers)
 	notNegative(v, "Position", s.Position)
 	notNegative(v, "Zone", s.Zone)
-	notNegative(v, "MachineKinds", s.MachineKinds)
-	notNegative(v, "Tick", s.Tick)
 	v.require(len(s.Classes) > 0, "Classes", "none", "at least one class is needed")
 }
 
@@ -118,7 +116,6 @@
 	positive(v, "Contract.CollapseMultiple", c.CollapseMultiple)
 	notNegative(v, "Contract.CollapseAfter", c.CollapseAfter)
 	notNegative(v, "Contract.PollInterval", c.PollInterval)
-	notNegative(v, "Contract.AnswerSlack", c.AnswerSlack)
 }
 
 // prices checks what is taken off the result.
--- a/internal/bench/quietfleet/quietfleet.go
+++ b/internal/bench/quietfleet/quietfleet.go
@@ -55,10 +55,8 @@
 // settings returns the balancers' settings in a fleet of so many instances.
 func settings(instances int) balancer.Settings {
 	return balancer.Settings{
-		Balancers:    instances,
-		ZoneCount:    1,
-		MachineKinds: 1,
-		LoadMetrics:  []balancer.LoadMetric{balancer.MetricInflight, balancer.MetricQueueLength},
+		Balancers:   instances,
+		LoadMetrics: []balancer.LoadMetric{balancer.MetricInflight, balancer.MetricQueueLength},
 		Classes: []balancer.Class{{
 			Name:             "look",
 			LatencyObjective: clock.Micros(latencyObjective),
--- a/internal/config/validate_site.go
+++ b/internal/config/validate_site.go
@@ -97,8 +97,6 @@
 		Balancers:       f.Instances,
 		Position:        f.Position,
 		Zone:            max(0, slices.Index(f.Zones, f.Zone)),
-		ZoneCount:       len(f.Zones),
-		MachineKinds:    len(f.Machines),
 		Subscribe:       subscribe,
 		RetryRatio:      a.RetryBudget,
 		OverQuotaWeight: f.OverShareWeight,
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -96,7 +96,7 @@
 // newInstance returns an instance that uses a subset of sixty endpoints, or all if that is nil.
 func newInstance(tb testing.TB, part *subset.Settings) (*answeringHost, *Client, []EndpointInfo) {
 	tb.Helper()
-	s := balancer.Settings{Balancers: 5000, ZoneCount: 1, LoadMetrics: []balancer.LoadMetric{balancer.MetricInflight},
+	s := balancer.Settings{Balancers: 5000, LoadMetrics: []balancer.LoadMetric{balancer.MetricInflight},
 		Classes: []balancer.Class{{Name: "look", LatencyObjective: 200_000, ClientTimeout: 500_000, PriorityWeight: 1}},
 		Limits: balancer.Limits{Probes: true, Hedging: true, MaxAttempts: 3, MaxOpenRequests: 100,
 			DialTimeout: 100_000},
@@ -164,7 +164,7 @@
 		Zones:        []string{"z"},
 		Kinds:        []string{"k"},
 		Settings: balancer.Settings{
-			Balancers: instances, Position: position, ZoneCount: 1, MachineKinds: 1, OverQuotaWeight: 1,
+			Balancers: instances, Position: position, OverQuotaWeight: 1,
 			Classes: []balancer.Class{
 				{Name: "look", LatencyObjective: 200_000, ClientTimeout: 500_000, PriorityWeight: 1},
 				{Name: "book", LatencyObjective: 200_000, ClientTimeout: 500_000, PriorityWeight: 5},
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -72,7 +72,6 @@
 	s.Balancers = len(r.plan.Instances)
 	s.Position = n
 	s.Zone = zoneIndex(in.site.Zones, r.plan.Fleet.Zones[p.Zone])
-	s.ZoneCount = len(in.site.Zones)
 	if s.Zone < 0 {
 		return nil, fmt.Errorf("the scenario's zone %q is none of the settings' zones", r.plan.Fleet.Zones[p.Zone])
 	}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -106,7 +106,6 @@
 			CollapseMultiple:    2.5,
 			CollapseAfter:       2_000_000,
 			PollInterval:        10_000_000,
-			AnswerSlack:         16_000,
 		},
 		Goal: balancer.Goal{Overall: 1},
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -100,14 +100,6 @@
 	return false
 }
 
-// itemCount counts the comma-separated items of a list of plain values.
-func itemCount(text string) int {
-	if text == "" {
-		return 0
-	}
-	return strings.Count(text, ",") + 1
-}
-
 // metricNames are the metrics of load reports, by the names in reporting.fields.
 var metricNames = map[string]balancer.LoadMetric{
 	"busy_reqs": balancer.MetricInflight,
@@ -132,10 +124,7 @@
 		Balancers:       int(t.integer("peers-total", 1)),
 		Position:        int(t.integer("position", 0)),
 		Zone:            int(t.integer("zone", 0)),
-		ZoneCount:       itemCount(t.pairs["areas"]),
-		MachineKinds:    itemCount(t.pairs["skus"]),
 		Subscribe:       keyword(t, "discovery", false, map[string]bool{"automatic": false, "subscribe": true}),
-		Tick:            t.integer("tick", 0),
 		Limits:          t.limits(),
 		Contract:        t.contract(),
 		Prices:          t.prices(),
@@ -150,9 +139,20 @@
 	for i := range t.count("tenants", false) {
 		s.Tenants = append(s.Tenants, t.tenant(fmt.Sprintf("tenants.%d.", i)))
 	}
+	t.checkUnused()
 	return s, t.err
 }
 
+// checkUnused checks the settings of the protocol that no decision uses, so that a wrong value is an error all the same.
+func (t *settingsText) checkUnused() {
+	t.flag("limits.may-tell")
+	for _, key := range [...]string{"tick", "contract.answer-slack"} {
+		if t.integer(key, 0) < 0 {
+			t.fail(key, t.pairs[key], "must not be negative")
+		}
+	}
+}
+
 // parsePairs reads lines of the form key=value.
 func parsePairs(text string) (*settingsText, error) {
 	t := &settingsText{pairs: map[string]string{}}
@@ -180,7 +180,6 @@
 		Probes:          t.flag("limits.probes"),
 		Hedging:         t.flag("limits.second-copies"),
 		RetryAfter:      t.flag("limits.retry-after"),
-		Gossip:          t.flag("limits.may-tell"),
 		MaxAttempts:     int(t.integer("limits.most-tries", 1)),
 		MaxOpenRequests: int(t.integer("limits.most-held", math.MaxInt32)),
 		MaxRetryAfter:   t.integer("limits.max-retry-after", 0),
@@ -199,7 +198,6 @@
 		CollapseMultiple:    t.number("contract.fall-multiple", 1),
 		CollapseAfter:       t.integer("contract.overload-for", 0),
 		PollInterval:        t.integer("contract.ask-within", defaultPollInterval),
-		AnswerSlack:         t.integer("contract.answer-slack", 0),
 	}
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -278,7 +278,7 @@
 	}
 	if len(s.Classes) != 2 || s.Classes[1].Idempotency != balancer.IdempotentByKey ||
 		s.Classes[1].DedupScope != balancer.DedupZone ||
-		s.Classes[1].DedupWindow != 400000 || !s.Subscribe || !s.WeightByWork || s.ZoneCount != 2 ||
+		s.Classes[1].DedupWindow != 400000 || !s.Subscribe || !s.WeightByWork ||
 		s.Limits.MaxAttempts != 3 ||
 		s.Goal.Overall != 0.6 || s.Tenants[0].Quota != 137 || s.Prices.Probe != 0.002 {
 		t.Errorf("%+v", s)
@@ -308,6 +308,9 @@
 		{"probes=true", "probes=maybe", "limits.probes"},
 		{"discovery=subscribe", "discovery=magic", "discovery"},
 		{"value-by=work", "no pair", "line 25"},
+		{"value-by=work", "value-by=work\nlimits.may-tell=perhaps", "limits.may-tell"},
+		{"value-by=work", "value-by=work\ntick=-1", "tick"},
+		{"value-by=work", "value-by=work\ncontract.answer-slack=-1", "contract.answer-slack"},
 	} {
 		text := strings.Replace(goodSettings, c.old, c.new, 1)
 		_, err := ParseSettings(text)
