--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -69,7 +69,7 @@
 	x.post(func(now monotime.Micros) { x.engine.Submit(now, &c.call) })
 }
 
-// ClientGone reports that the client of a request has gone: its attempts are aborted (engine.Engine.ClientGone).
+// ClientGone reports that the client of a request has gone (engine.Engine.ClientGone).
 func (x *Core) ClientGone(c *Call) {
 	x.post(func(now monotime.Micros) { x.engine.ClientGone(now, &c.call) })
 }
--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -310,7 +310,7 @@
 	for _, falseReport := range []LoadReport{
 		{1e9, 20}, {0, 1e12}, {math.Inf(1), 5}, {math.NaN(), math.NaN()}, {-1, 30}, {5, 0},
 	} {
-		for _, held := range []float64{2, 9} { // of 40 a second: 50 and 225 ms
+		for _, inFlight := range []float64{2, 9} { // at 40 a second: 50 and 225 ms
 			c := newTestController(t, testSettings(0, 8))
 			now := monotime.Micros(0)
 			for i := range 2000 {
@@ -320,12 +320,13 @@
 				if i%12 == 0 {
 					c.OnLoadReport(now, falseReport)
 				} else {
-					c.OnLoadReport(now, LoadReport{held, 40})
+					c.OnLoadReport(now, LoadReport{inFlight, 40})
 				}
 			}
 			b := c.Bounds(now)
-			if calm := held == 2; calm != (b.Reason == None) {
-				t.Errorf("%v and others that hold %v: %v at a load of %.2f", falseReport, held, b.Reason, b.Load)
+			if calm := inFlight == 2; calm != (b.Reason == None) {
+				t.Errorf("%v and others with %v in flight: %v at a load of %.2f",
+					falseReport, inFlight, b.Reason, b.Load)
 			}
 			if probeRate := b.ProbeRate; !(probeRate >= 0) || math.IsInf(probeRate, 0) {
 				t.Errorf("%v: %v probes a second", falseReport, probeRate)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -82,12 +82,13 @@
 	x.dispatchQueued(now)
 }
 
-// ClientGone reports that the client of a request has gone: its attempts are aborted, since no response can be
-// delivered any more.
+// ClientGone reports that the client of a request has gone. A request that has its response already may still have an
+// attempt that transfers it: that is aborted. Any other request ends without a response: its attempts of which nothing
+// was sent are cancelled, and the balancer decides on the others.
 func (x *Engine) ClientGone(now monotime.Micros, c *Call) {
 	x.now = now
 	if c.finished {
-		for _, a := range c.attempts { // one whose response has started would block until its client reads on
+		for _, a := range c.attempts {
 			if !a.done {
 				x.config.Host.AbortAttempt(a)
 			}
