--- a/internal/accesslog/golden_test.go
+++ b/internal/accesslog/golden_test.go
@@ -12,31 +12,45 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// goldenSegment is what a build wrote before names in this package changed. It is never written anew.
+// goldenSegment was written by an earlier build, before names in this package changed. It never changes.
 var goldenSegment = filepath.Join("testdata", "golden", "golden-instance-00000000p0-000001.parquet")
 
 // goldenNow is the time of the system's clock at which goldenSegment was written.
 var goldenNow = time.UnixMilli(1_700_000_000_123)
 
-// goldenRows are the rows of goldenSegment, without their numbers, which the writer gives.
+// goldenRows returns the rows of goldenSegment without their numbers, which the writer sets.
 func goldenRows() []Row {
 	return []Row{
-		{Arrived: 1_700_000_000_000_001, Duration: 1002, QueueTime: 1003, ClientTimeout: 1004, Client: "client-a", Route: "route-a", Class: "class-a",
-			Tenant: "tenant-a", Verdict: "served", Endpoint: "node-1", Status: 200, Attempts: 1, KeyHash: 1 << 63, ObjectHash: 77, BytesIn: -1,
-			BytesOut: 1005},
-		{Arrived: 1_700_000_000_000_002, Duration: 2002, Client: "client-b", Class: "class-a", Verdict: "refused", Status: 503, Attempts: 0,
-			KeyHash: 3, BytesIn: 12, BytesOut: 13, Retry: true},
-		{Arrived: 1_700_000_000_000_003, Duration: 3002, QueueTime: 3003, Client: "client-a", Class: "class-b", Verdict: "failed",
-			Endpoint: "node-2", Status: 502, Attempts: 3},
-		{Arrived: 1_700_000_000_000_004, Duration: 4002, Client: "client-a", Class: "class-b", Verdict: "late", Status: 504, Attempts: 2},
-		{Arrived: 1_700_000_000_000_005, Duration: 5002, Client: "client-b", Class: "class-b", Verdict: "left", Attempts: 1, ObjectHash: 9},
+		{
+			Arrived: 1_700_000_000_000_001, Duration: 1002, QueueTime: 1003, ClientTimeout: 1004,
+			Client: "client-a", Route: "route-a", Class: "class-a", Tenant: "tenant-a",
+			Verdict: "served", Endpoint: "node-1", Status: 200, Attempts: 1,
+			KeyHash: 1 << 63, ObjectHash: 77, BytesIn: -1, BytesOut: 1005,
+		},
+		{
+			Arrived: 1_700_000_000_000_002, Duration: 2002, Client: "client-b", Class: "class-a",
+			Verdict: "refused", Status: 503, Attempts: 0, KeyHash: 3, BytesIn: 12, BytesOut: 13, Retry: true,
+		},
+		{
+			Arrived: 1_700_000_000_000_003, Duration: 3002, QueueTime: 3003, Client: "client-a", Class: "class-b",
+			Verdict: "failed", Endpoint: "node-2", Status: 502, Attempts: 3,
+		},
+		{
+			Arrived: 1_700_000_000_000_004, Duration: 4002, Client: "client-a", Class: "class-b",
+			Verdict: "late", Status: 504, Attempts: 2,
+		},
+		{
+			Arrived: 1_700_000_000_000_005, Duration: 5002, Client: "client-b", Class: "class-b",
+			Verdict: "left", Attempts: 1, ObjectHash: 9,
+		},
 	}
 }
 
-// writeGolden writes goldenRows to a folder as a segment, whose path it returns.
+// writeGolden writes goldenRows to a folder as a segment, and returns its path.
 func writeGolden(t *testing.T, dir string) string {
 	t.Helper()
-	w := writer(t, Options{Dir: dir, Instance: "golden-instance", Sample: 1, Now: func() time.Time { return goldenNow }})
+	clock := func() time.Time { return goldenNow }
+	w := writer(t, Options{Dir: dir, Instance: "golden-instance", Sample: 1, Now: clock})
 	for _, r := range goldenRows() {
 		w.Add(r)
 	}
@@ -48,7 +62,7 @@
 	return all[0]
 }
 
-// rawSegment is a segment as any reader of Parquet sees it: nothing in it depends on the names of this package.
+// rawSegment is the content of a segment for any reader of Parquet. It does not depend on the names of this package.
 type rawSegment struct {
 	Schema  string
 	Columns []string
@@ -57,6 +71,7 @@
 	Creator string
 }
 
+// readRaw reads a segment by the Parquet library alone.
 func readRaw(t *testing.T, path string) rawSegment {
 	t.Helper()
 	f, err := os.Open(path)
@@ -97,15 +112,16 @@
 	return raw
 }
 
-// A segment of an earlier build is read to the rows that it wrote, with what it says of its run.
+// A segment of an earlier build is read to the rows that were written, with the figures of its run.
 func TestGoldenSegmentIsRead(t *testing.T) {
 	rec := read(t, filepath.Dir(goldenSegment))
 	if len(rec.Problems) != 0 || len(rec.Runs) != 1 {
 		t.Fatalf("%d runs, problems %q", len(rec.Runs), rec.Problems)
 	}
 	run := *rec.Runs[0]
-	if run.Instance != "golden-instance" || run.Segments != 1 || run.Rows != 5 || run.Missing != 0 || run.Dropped != 0 || run.Sample != 1 ||
-		run.Offset != goldenNow.UnixMicro()-1_700_000_000_005_007 {
+	complete := run.Segments == 1 && run.Rows == 5 && run.Missing == 0 && run.Dropped == 0 && run.Sample == 1
+	offset := goldenNow.UnixMicro() - 1_700_000_000_005_007
+	if run.Instance != "golden-instance" || !complete || run.Offset != offset {
 		t.Errorf("its run: %+v", run)
 	}
 	want := goldenRows()
@@ -125,7 +141,8 @@
 	got := readRaw(t, writeGolden(t, t.TempDir()))
 	want := readRaw(t, goldenSegment)
 	if len(want.Rows) != 5 || len(want.Columns) != 18 || len(want.Meta) != 7 {
-		t.Fatalf("the golden segment has %d rows, %d columns, %d entries of metadata", len(want.Rows), len(want.Columns), len(want.Meta))
+		t.Fatalf("the golden segment has %d rows, %d columns, %d entries of metadata",
+			len(want.Rows), len(want.Columns), len(want.Meta))
 	}
 	if got.Meta["process"] == "" || want.Meta["process"] == "" {
 		t.Errorf("no process: %v, %v", got.Meta, want.Meta)
--- a/internal/accesslog/record_test.go
+++ b/internal/accesslog/record_test.go
@@ -19,6 +19,7 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
+// writer starts a writer, which is closed at the end of the test.
 func writer(t *testing.T, o Options) *Writer {
 	t.Helper()
 	if o.Sample == 0 {
@@ -39,6 +40,7 @@
 	return w
 }
 
+// read reads a recording.
 func read(t *testing.T, paths ...string) *Recording {
 	t.Helper()
 	r, err := Read(paths...)
@@ -48,6 +50,7 @@
 	return r
 }
 
+// segments returns the paths of a folder's segments, sorted.
 func segments(t *testing.T, dir string) []string {
 	t.Helper()
 	all, err := filepath.Glob(filepath.Join(dir, "*.parquet"))
@@ -57,7 +60,7 @@
 	return all
 }
 
-// What is written is read back, from several instances, in the order in which it arrived, with nothing missing.
+// Rows of several instances are read as they were written, in the order of their arrival, with none missing.
 func TestWrittenAndRead(t *testing.T) {
 	dir := t.TempDir()
 	now := time.UnixMilli(1_700_000_000_000)
@@ -66,13 +69,16 @@
 		w := writer(t, Options{Dir: dir, Instance: name, Rows: 40, Now: func() time.Time { return now }})
 		var all sync.WaitGroup
 		for k := range 100 {
-			r := Row{Arrived: now.UnixMicro() + int64(1000*(k%50)+i), Duration: int64(10 * k), Client: "c", Class: "book", Verdict: Served, Status: 200, Attempts: 1, KeyHash: uint64(1 + k + 1000*i), BytesIn: -1, BytesOut: 5}
+			r := Row{
+				Arrived: now.UnixMicro() + int64(1000*(k%50)+i), Duration: int64(10 * k), Client: "c", Class: "book",
+				Verdict: Served, Status: 200, Attempts: 1, KeyHash: uint64(1 + k + 1000*i), BytesIn: -1, BytesOut: 5,
+			}
 			want[fmt.Sprint(name, r.KeyHash)] = r
 			all.Go(func() { w.Add(r) })
 		}
 		all.Wait()
 		w.Close()
-		w.Add(Row{}) // too late to matter
+		w.Add(Row{}) // after Close: ignored
 	}
 	rec := read(t, dir)
 	if len(rec.Requests) != 200 || len(rec.Runs) != 2 || len(rec.Problems) != 0 {
@@ -97,13 +103,14 @@
 	}
 }
 
-// A segment that is cut off, spoilt or of another version is told, and the rest is read; what is missing shows.
+// Segments that are truncated, empty or invalid are reported as problems, and the others are read. Missing rows are
+// counted.
 func TestTruncatedSegments(t *testing.T) {
 	dir := t.TempDir()
 	w := writer(t, Options{Dir: dir, Instance: "a", Rows: 100})
 	for k := range 400 {
 		w.Add(Row{Arrived: int64(1_700_000_000_000_000 + k), Class: "look", KeyHash: uint64(k + 1)})
-		if (k+1)%100 == 0 { // one at a time: the disk is waited for by nobody
+		if (k+1)%100 == 0 { // a segment at a time: Add does not wait for the disk, and would drop rows
 			for end := time.Now().Add(5 * time.Second); len(segments(t, dir)) < (k+1)/100 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
@@ -118,8 +125,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, bad := range map[string][]byte{all[1]: text[:len(text)/2], filepath.Join(dir, "a-empty-1.parquet"): nil,
-		filepath.Join(dir, "a-none-1.parquet"): []byte(strings.Repeat("PAR1", 100))} {
+	for name, bad := range map[string][]byte{
+		all[1]:                                  text[:len(text)/2],
+		filepath.Join(dir, "a-empty-1.parquet"): nil,
+		filepath.Join(dir, "a-none-1.parquet"):  []byte(strings.Repeat("PAR1", 100)),
+	} {
 		if err := os.WriteFile(name, bad, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -134,15 +144,13 @@
 	if r := rec.Runs[0]; r.Missing != 200 {
 		t.Errorf("%d are missing, not 200", r.Missing)
 	}
-	if got := strings.Join(read(t, dir).Check(), "\n"); !strings.Contains(got, "200 of 400 requests are missing") || !strings.Contains(got, "is no whole segment") {
-		t.Errorf("what it lacks: %s", got)
-	}
+	requireFindings(t, read(t, dir), "200 of 400 requests are missing", "is no whole segment")
 	if _, err := Read(filepath.Join(dir, "nowhere")); err == nil {
 		t.Error("a folder that is not there was read")
 	}
 }
 
-// No bytes bring the reader down, whichever of a segment's are changed.
+// Changes of arbitrary bytes of a segment do not stop the reader, or add rows.
 func TestCorruptedSegments(t *testing.T) {
 	dir := t.TempDir()
 	w := writer(t, Options{Dir: dir, Instance: "a"})
@@ -173,8 +181,8 @@
 	}
 }
 
-// A disk that takes nothing costs rows, which are counted and told, and holds nobody up; when it takes something
-// again the record goes on. The oldest segments go where they are too many, and none of another instance.
+// While a disk cannot be written, rows are dropped and counted, and Add does not block. Later rows are written again.
+// The oldest segments are removed beyond Options.Keep, and none of another instance.
 func TestDiskThatTakesNothing(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "record")
 	w := writer(t, Options{Dir: dir, Instance: "a", Rows: 10, Keep: 8000})
@@ -184,28 +192,16 @@
 	if err := os.WriteFile(dir, nil, 0o600); err != nil { // where the folder was
 		t.Fatal(err)
 	}
-	soon := func(what string, ok func() bool) {
-		t.Helper()
-		for end := time.Now().Add(5 * time.Second); !ok(); time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatal(what)
-			}
-		}
-	}
-	for range 10 {
-		w.Add(Row{})
-	}
-	soon("nothing is told to be dropped", func() bool { return w.Dropped() == 10 })
+	addRows(w, 10, 0)
+	eventually(t, "no row counts as dropped", func() bool { return w.Dropped() == 10 })
 	if err := os.Remove(dir); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for range 10 {
-		w.Add(Row{Arrived: 1})
-	}
-	soon("nothing is written again", func() bool { return len(segments(t, dir)) == 1 })
+	addRows(w, 10, 1)
+	eventually(t, "no segment is written again", func() bool { return len(segments(t, dir)) == 1 })
 	if r := read(t, dir).Runs[0]; r.Missing != 10 || r.Dropped != 10 {
 		t.Errorf("%+v", r)
 	}
@@ -214,10 +210,8 @@
 		t.Fatal(err)
 	}
 	for n := range 10 {
-		for range 10 {
-			w.Add(Row{Arrived: int64(n)})
-		}
-		soon("a segment is missing", func() bool {
+		addRows(w, 10, int64(n))
+		eventually(t, "a segment is missing", func() bool {
 			left, err := filepath.Glob(filepath.Join(dir, fmt.Sprintf("a-*-%06d.parquet", n+3)))
 			return err == nil && len(left) == 1
 		})
@@ -231,12 +225,17 @@
 	}
 }
 
-// What a process that died had half written is removed by the next one, what a living one writes is not.
+// The incomplete file of an ended process is removed by the next process of the instance, that of a running one is not.
 func TestHalfWritten(t *testing.T) {
 	dir := t.TempDir()
-	dead, living, others := ".a-xxp7fffffff-000001.parquet.part", ".a-xxp1-000001.parquet.part", ".b-xxp7fffffff-000001.parquet.part"
-	for _, name := range []string{dead, living, others} {
-		if err := os.WriteFile(filepath.Join(dir, strings.Replace(name, "7fffffff", "zik0z", 1)), nil, 0o600); err != nil {
+	const (
+		ended         = ".a-xxp7fffffff-000001.parquet.part"
+		running       = ".a-xxp1-000001.parquet.part"
+		otherInstance = ".b-xxp7fffffff-000001.parquet.part"
+	)
+	for _, name := range []string{ended, running, otherInstance} {
+		path := filepath.Join(dir, strings.Replace(name, "7fffffff", "zik0z", 1))
+		if err := os.WriteFile(path, nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -253,23 +252,28 @@
 		t.Errorf("left: %q", names)
 	}
 	if _, err := NewWriter(Options{Dir: dir, Instance: "a/b", Log: quiet}); err == nil {
-		t.Error("an instance with a / in its name was taken")
+		t.Error("an instance with a / in its name is accepted")
 	}
 }
 
-// A step of the system's clock moves no row, and is told; of an instance whose clock was wrong the requests are put
-// where they belong.
+// A step of the system's clock moves no row, and is reported. Align moves the requests of an instance whose clock was
+// wrong to their true time.
 func TestClocks(t *testing.T) {
 	dir := t.TempDir()
 	base := time.UnixMilli(1_700_000_000_000)
 	var mu sync.Mutex
 	wall := base
-	w := writer(t, Options{Dir: dir, Instance: "a", Rows: 10, Now: func() time.Time { mu.Lock(); defer mu.Unlock(); return wall }})
+	clock := func() time.Time {
+		mu.Lock()
+		defer mu.Unlock()
+		return wall
+	}
+	w := writer(t, Options{Dir: dir, Instance: "a", Rows: 10, Now: clock})
 	for n := range 3 {
 		mu.Lock()
 		wall = base.Add(time.Duration(n) * time.Second)
 		if n == 2 {
-			wall = wall.Add(-90 * time.Second) // set right: it had been ahead
+			wall = wall.Add(-90 * time.Second) // corrected: it was ahead before
 		}
 		mu.Unlock()
 		for k := range 10 {
@@ -287,9 +291,7 @@
 	}
 	b.Close()
 	rec := read(t, dir)
-	if got := strings.Join(rec.Check(), "\n"); !strings.Contains(got, "clock stepped by -90.000 s") || !strings.Contains(got, "its clock was -90.000 s off") {
-		t.Errorf("what it lacks: %s", got)
-	}
+	requireFindings(t, rec, "clock stepped by -90.000 s", "its clock was -90.000 s off")
 	if from, to := rec.Span(); to-from < 80_000_000 {
 		t.Errorf("before: %d", to-from)
 	}
@@ -299,105 +301,145 @@
 	}
 }
 
-// Tries belong together by their key, wherever they came to, or by client and object after one that was not served;
-// what follows a served one, or comes late, is a story of its own.
+// Attempts belong to one operation by their key, at any instance, or by client and object after an attempt that was not
+// served. A request after a served attempt, or a late one, is another operation.
 func TestOperations(t *testing.T) {
 	rec := &Recording{}
 	const ms = 1000
 	add := func(instance, client string, key, object uint64, at, took int64, verdict string, retry bool) {
-		rec.Requests = append(rec.Requests, Request{Row{Arrived: at * ms, Duration: took * ms, Client: client, Class: "c", KeyHash: key, ObjectHash: object, Verdict: verdict, Retry: retry}, instance})
+		rec.Requests = append(rec.Requests, Request{Row{
+			Arrived: at * ms, Duration: took * ms, Client: client, Class: "c", KeyHash: key, ObjectHash: object,
+			Verdict: verdict, Retry: retry,
+		}, instance})
 	}
-	add("i", "a", 1, 0, 0, 10, Failed, false)      // story 1
+	add("i", "a", 1, 0, 0, 10, Failed, false)      // operation 1
 	add("j", "b", 1, 0, 100, 10, Served, false)    // the same key elsewhere
-	add("i", "a", 0, 7, 110, 20, Rejected, false)  // story 2
-	add("i", "a", 0, 8, 120, 20, Served, false)    // story 3: another object
-	add("i", "b", 0, 7, 125, 20, Served, false)    // story 4: another client
-	add("i", "a", 0, 7, 200, 20, Cancelled, false) // 2 again
-	add("i", "a", 0, 7, 300, 20, Served, false)    // and again
-	add("i", "a", 0, 7, 400, 20, Served, false)    // story 5: it was served
-	add("i", "a", 0, 8, 500, 20, Rejected, false)  // story 6
-	add("i", "a", 0, 8, 5000, 20, Served, false)   // story 7: too late
-	add("i", "a", 0, 0, 5100, 10, Rejected, false) // story 8: no object
-	add("i", "a", 0, 0, 5200, 10, Served, false)   // story 9
-	add("i", "a", 0, 0, 5300, 10, Rejected, false) // story 10
-	add("i", "a", 0, 0, 5400, 10, Served, true)    // marked: 10 again
-	add("i", "a", 1, 0, 90_000, 10, Served, false) // story 11: a key that is used anew
+	add("i", "a", 0, 7, 110, 20, Rejected, false)  // operation 2
+	add("i", "a", 0, 8, 120, 20, Served, false)    // operation 3: another object
+	add("i", "b", 0, 7, 125, 20, Served, false)    // operation 4: another client
+	add("i", "a", 0, 7, 200, 20, Cancelled, false) // operation 2 again
+	add("i", "a", 0, 7, 300, 20, Served, false)    // operation 2 again
+	add("i", "a", 0, 7, 400, 20, Served, false)    // operation 5: the one before was served
+	add("i", "a", 0, 8, 500, 20, Rejected, false)  // operation 6
+	add("i", "a", 0, 8, 5000, 20, Served, false)   // operation 7: too late
+	add("i", "a", 0, 0, 5100, 10, Rejected, false) // operation 8: no object
+	add("i", "a", 0, 0, 5200, 10, Served, false)   // operation 9
+	add("i", "a", 0, 0, 5300, 10, Rejected, false) // operation 10
+	add("i", "a", 0, 0, 5400, 10, Served, true)    // operation 10 again: marked
+	add("i", "a", 1, 0, 90_000, 10, Served, false) // operation 11: the key's lifetime has passed
 	var got []int
 	for _, s := range rec.Operations() {
 		got = append(got, len(s.Attempts))
 	}
 	if want := []int{2, 3, 1, 1, 1, 1, 1, 1, 1, 2, 1}; !slices.Equal(got, want) {
-		t.Errorf("tries of each story %v, want %v", got, want)
-	}
-	if all := strings.Join(rec.Check(), "\n"); !strings.Contains(all, `class "c": 3 of 15 requests have neither key nor object nor a mark`) {
-		t.Errorf("what it lacks: %s", all)
+		t.Errorf("attempts of each operation %v, want %v", got, want)
 	}
+	requireFindings(t, rec, `class "c": 3 of 15 requests have neither key nor object nor a mark`)
 }
 
-// A sample has all tries for one thing or none, about as many as it says; hashes are the same for the same secret
-// only.
+// A sample has all attempts of an operation or none, and about the fraction of operations that it should have. Hashes
+// are equal only for the same secret.
 func TestSampleAndHashes(t *testing.T) {
 	dir := t.TempDir()
-	secret := func(name, text string) *Hasher {
-		path := filepath.Join(dir, name)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		h, err := NewHasher(path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return h
-	}
-	a, b := secret("a", "0123456789abcdef\n"), secret("b", "0123456789abcdeg\n")
-	if a.Hash("key", "x") != secret("c", "0123456789abcdef").Hash("key", "x") || a.Hash("key", "x") == b.Hash("key", "x") || a.Hash("key", "x") == a.Hash("object", "x") ||
-		a.Hash("key", "") != 0 {
+	a := hasherOf(t, filepath.Join(dir, "a"), "0123456789abcdef\n")
+	b := hasherOf(t, filepath.Join(dir, "b"), "0123456789abcdeg\n")
+	same := hasherOf(t, filepath.Join(dir, "c"), "0123456789abcdef")
+	hash := a.Hash("key", "x")
+	differs := hash != b.Hash("key", "x") && hash != a.Hash("object", "x")
+	if hash != same.Hash("key", "x") || !differs || a.Hash("key", "") != 0 {
 		t.Error("hashes")
 	}
 	if _, err := NewHasher(filepath.Join(dir, "none")); err == nil {
-		t.Error("no secret was taken")
+		t.Error("no secret is accepted")
 	}
-	if os.WriteFile(filepath.Join(dir, "short"), []byte("secret"), 0o600) != nil {
-		t.Fatal()
+	if err := os.WriteFile(filepath.Join(dir, "short"), []byte("secret"), 0o600); err != nil {
+		t.Fatal(err)
 	}
 	if _, err := NewHasher(filepath.Join(dir, "short")); err == nil {
-		t.Error("a short secret was taken")
+		t.Error("a short secret is accepted")
 	}
-	in := 0
+	sampled := 0
 	for k := range 10_000 {
 		key := a.Hash("key", fmt.Sprint(k))
 		first := Sampled(&Row{KeyHash: key, Seq: 1}, 0.1)
 		if first != Sampled(&Row{KeyHash: key, Seq: 99, Arrived: 5}, 0.1) {
-			t.Fatal("one try is in the sample, another is not")
+			t.Fatal("one attempt is in the sample, another is not")
 		}
 		if first {
-			in++
+			sampled++
 		}
 	}
-	if in < 900 || in > 1100 {
-		t.Errorf("%d of 10,000 are in a sample of a tenth", in)
+	if sampled < 900 || sampled > 1100 {
+		t.Errorf("%d of 10,000 are in a sample of a tenth", sampled)
 	}
 	for k := range 2000 {
 		if Sampled(&Row{Seq: int64(k), Arrived: int64(k) * 777}, 0.5) {
-			in++
+			sampled++
+		}
+	}
+	if sampled < 1800 || sampled > 2200 {
+		t.Errorf("%d", sampled)
+	}
+}
+
+// hasherOf returns the hasher of a secret that is written to a file.
+func hasherOf(t *testing.T, path, secret string) *Hasher {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(secret), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	h, err := NewHasher(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return h
+}
+
+// addRows adds rows of the same arrival.
+func addRows(w *Writer, n int, arrived int64) {
+	for range n {
+		w.Add(Row{Arrived: arrived})
+	}
+}
+
+// eventually waits for a condition, and ends the test if it does not become true within 5 s.
+func eventually(t *testing.T, failure string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal(failure)
 		}
 	}
-	if in < 1800 || in > 2200 {
-		t.Errorf("%d", in)
+}
+
+// requireFindings checks that a recording's findings contain all of the given texts.
+func requireFindings(t *testing.T, rec *Recording, texts ...string) {
+	t.Helper()
+	findings := strings.Join(rec.Check(), "\n")
+	for _, text := range texts {
+		if !strings.Contains(findings, text) {
+			t.Errorf("no %q in the findings: %s", text, findings)
+		}
 	}
 }
 
-// What a row costs a request, its hashes included.
+// BenchmarkRow measures the cost of recording a request, with its hashes.
 func BenchmarkRow(b *testing.B) {
-	w, err := NewWriter(Options{Dir: b.TempDir(), Instance: "a", Sample: 1, Rows: 20_000, Age: time.Hour, Keep: 64 << 20, Log: quiet})
+	w, err := NewWriter(Options{
+		Dir: b.TempDir(), Instance: "a", Sample: 1, Rows: 20_000, Age: time.Hour, Keep: 64 << 20, Log: quiet,
+	})
 	if err != nil {
 		b.Fatal(err)
 	}
 	h := NewHasherFromSecret([]byte("0123456789abcdef"))
 	b.ReportAllocs()
 	for k := range b.N {
-		w.Add(Row{Arrived: int64(k), Duration: 1000, Client: "desk", Class: "book", Tenant: "acme", Verdict: Served, Endpoint: "s-1", Status: 200, Attempts: 1,
-			KeyHash: h.Hash("key", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"), ObjectHash: h.Hash("object", "7f3a9c21e0b4d655"), BytesOut: 500})
+		w.Add(Row{
+			Arrived: int64(k), Duration: 1000, Client: "desk", Class: "book", Tenant: "acme",
+			Verdict: Served, Endpoint: "s-1", Status: 200, Attempts: 1,
+			KeyHash:    h.Hash("key", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"),
+			ObjectHash: h.Hash("object", "7f3a9c21e0b4d655"), BytesOut: 500,
+		})
 	}
 	w.Close()
 }
--- a/internal/accesslog/recording.go
+++ b/internal/accesslog/recording.go
@@ -296,8 +296,11 @@
 	return all
 }
 
-// inSeconds converts microseconds.
-func inSeconds(micros int64) float64 { return float64(micros) / 1e6 }
+// microsPerSecond converts microseconds to seconds.
+const microsPerSecond = 1e6
+
+// inSeconds returns a time in seconds.
+func inSeconds(micros int64) float64 { return float64(micros) / microsPerSecond }
 
 // Span returns when the first request arrived and the last one ended, in Unix microseconds.
 func (rec *Recording) Span() (from, to int64) {
