--- a/internal/eventlog/analyze.go
+++ b/internal/eventlog/analyze.go
@@ -4,26 +4,19 @@
 	"cmp"
 	"slices"
 
+	"dunlinsail/balancer"
 	"dunlinsail/internal/monotime"
 )
 
-const second monotime.Micros = 1_000_000
+const second = monotime.Second
 
-// The bounds by which an endpoint counts as bad for a stretch of time: so many failures of so many attempts, by the
-// whole fleet, within two seconds. No instance sees that; it is what the count is for.
-const (
-	faultWindow       = 2 * second
-	faultMinAttempts  = 5
-	faultFailureRatio = 0.5
-	faultQuietTime    = 5 * second // without a failure, and it is over
-)
-
-// Distribution summarizes a number over instances, endpoints or seconds.
+// Distribution is the summary of a number over instances, endpoints or seconds.
 type Distribution struct {
 	Count             int
 	Mean, Median, Max float64
 }
 
+// newDistribution returns the summary of values, which it sorts.
 func newDistribution(v []float64) Distribution {
 	if len(v) == 0 {
 		return Distribution{}
@@ -36,62 +29,64 @@
 	return Distribution{len(v), sum / float64(len(v)), v[len(v)/2], v[len(v)-1]}
 }
 
-// FleetStats is what a fleet did. Times are in seconds.
+// FleetStats are the statistics of a fleet. Times are in seconds.
 type FleetStats struct {
 	Instances, Endpoints int
-	Seconds              float64
+	Seconds              float64 // from the first event to the last
 
 	Attempts, Failures int
-	PerSecond          map[Kind]Distribution // at each endpoint in each second of its life: attempts, probes, new connections
-	OpenConns          Distribution          // connections of all instances at one endpoint, the most at once
+	PerSecond          map[Kind]Distribution // attempts, probes and new connections, by endpoint and second
+	OpenConns          Distribution          // largest number of connections of all instances, by endpoint
 	FailedDials        int
 
 	Polls, FailedPolls int
-	MaxPollsPerSecond  int // in one second
+	MaxPollsPerSecond  int // of all instances together
 
-	Added   Propagation // of endpoints that came while the fleet was watched
-	Removed Propagation // of those that left the list
+	Added   Propagation // of endpoints that were added after the first second
+	Removed Propagation // of endpoints that were removed from the list
 	Faults  FaultStats
 }
 
-// Propagation is how a change of the list reached a fleet.
+// Propagation describes how a change of the endpoint list reached the instances of a fleet. Times are from the update
+// at the first instance.
 type Propagation struct {
 	Endpoints     int
-	Notified      Distribution // time from the first instance that was told until each was
-	FirstUse      Distribution // New: time from the first that was told until each instance's first attempt there; who made none is left out
-	Users         Distribution // New: instances that used the endpoint at all
-	StaleFailures Distribution // Lost: attempts there that failed, before their instance was told, for each endpoint
+	Notified      Distribution // time until an instance's update
+	FirstUse      Distribution // added: time until an instance's first attempt there, of instances with any
+	Users         Distribution // added: instances with an attempt there, by endpoint
+	StaleFailures Distribution // removed: failed attempts there before their instance's update, by endpoint
 }
 
-// FaultStats is what bad endpoints cost.
+// FaultStats describe the fault episodes of endpoints and their cost.
 type FaultStats struct {
-	Endpoints   int
-	Episodes    int
-	Length      Distribution // seconds from the first failure to the last
-	Failures    Distribution // for each stretch
-	Instances   Distribution // instances that met it, for each stretch
-	PerInstance Distribution // failures that one instance met, in one stretch
-	Late        Distribution // failures later than two seconds after the fleet's first, for each stretch
+	Endpoints   int          // with an episode
+	Episodes    int          // of all endpoints
+	Length      Distribution // seconds from the first failure to the last, by episode
+	Failures    Distribution // failures, by episode
+	Instances   Distribution // instances with a failure, by episode
+	PerInstance Distribution // failures of one instance in one episode
+	Late        Distribution // failures later than faultWindow after the first, by episode
 }
 
-// endpointHistory is what is known of one endpoint over the fleet.
+// endpointHistory is the events of one endpoint at all instances.
 type endpointHistory struct {
 	name                    string
 	started                 []attempt
 	ended                   []attempt
 	probes, dials           []monotime.Micros
 	openConns, maxOpenConns int
-	firstUpdate             monotime.Micros // it was told by anyone
-	added, removed          map[int]monotime.Micros
+	firstUpdate             monotime.Micros         // at any instance
+	added, removed          map[int]monotime.Micros // the first such update, by instance
 }
 
+// attempt is the start or the end of an attempt.
 type attempt struct {
 	time     monotime.Micros
 	instance int
 	failed   bool
 }
 
-// Analyze counts the events of a fleet, each instance's in the order written.
+// Analyze returns the statistics of a fleet's events, by instance and in the order in which each has written them.
 func Analyze(fleet [][]Event) FleetStats {
 	events := mergeByTime(fleet)
 	if len(events) == 0 {
@@ -135,11 +130,11 @@
 	start     monotime.Micros // of the first event
 	end       monotime.Micros // of the last event
 	endpoints map[string]*endpointHistory
-	names     []map[string]string // endpoint names by address, for each instance
-	polls     map[monotime.Micros]int
+	names     []map[string]string     // endpoint names by address, for each instance
+	polls     map[monotime.Micros]int // by second since start
 }
 
-// endpoint returns the history of an endpoint, a new one for a new name.
+// endpoint returns the history of an endpoint, and creates it for a new name.
 func (a *analysis) endpoint(name string) *endpointHistory {
 	if a.endpoints[name] == nil {
 		a.endpoints[name] = &endpointHistory{
@@ -161,7 +156,7 @@
 		endpoint := a.endpoint(e.Endpoint)
 		endpoint.started = append(endpoint.started, attempt{e.At, e.instance, false})
 	case AttemptEnded:
-		failed := e.Status != "ok" && e.Status != "cancelled" && e.Status != "moot"
+		failed := hasFailed(e.Status)
 		a.stats.Failures += boolToInt(failed)
 		endpoint := a.endpoint(e.Endpoint)
 		endpoint.ended = append(endpoint.ended, attempt{e.At, e.instance, failed})
@@ -171,14 +166,23 @@
 	case ConnOpened, ConnClosed:
 		a.addConn(e)
 	case DiscoveryPolled:
-		a.stats.Polls += boolToInt(e.Status == "ok")
-		a.stats.FailedPolls += boolToInt(e.Status != "ok")
+		a.stats.Polls += boolToInt(e.Status == statusOK)
+		a.stats.FailedPolls += boolToInt(e.Status != statusOK)
 		elapsed := (e.At - a.start) / second
 		a.polls[elapsed]++
 		a.stats.MaxPollsPerSecond = max(a.stats.MaxPollsPerSecond, a.polls[elapsed])
 	}
 }
 
+// hasFailed reports whether a status is a failure of the endpoint: not one that was cancelled or never sent.
+func hasFailed(status string) bool {
+	switch status {
+	case statusOK, statusNames[balancer.Cancelled], statusNames[balancer.NotSent]:
+		return false
+	}
+	return true
+}
+
 // addUpdate counts an update of an endpoint.
 func (a *analysis) addUpdate(e fleetEvent) {
 	if a.names[e.instance] == nil {
@@ -191,7 +195,7 @@
 	if endpoint.firstUpdate == 0 {
 		endpoint.firstUpdate = e.At
 	}
-	if e.Status == "ready" {
+	if e.Status == stateNames[balancer.Ready] {
 		setOnce(endpoint.added, e.instance, e.At)
 	} else {
 		setOnce(endpoint.removed, e.instance, e.At)
@@ -208,7 +212,7 @@
 	switch {
 	case e.Kind == ConnClosed:
 		endpoint.openConns--
-	case e.Status == "ok":
+	case e.Status == statusOK:
 		endpoint.openConns++
 		endpoint.maxOpenConns = max(endpoint.maxOpenConns, endpoint.openConns)
 		endpoint.dials = append(endpoint.dials, e.At)
@@ -252,19 +256,22 @@
 	return a.stats
 }
 
+// setOnce sets the instant of an instance unless it is set.
 func setOnce(m map[int]monotime.Micros, instance int, at monotime.Micros) {
 	if _, ok := m[instance]; !ok {
 		m[instance] = at
 	}
 }
 
-func boolToInt(yes bool) int {
-	if yes {
+// boolToInt returns 1 for true and 0 for false.
+func boolToInt(b bool) int {
+	if b {
 		return 1
 	}
 	return 0
 }
 
+// attemptTimes returns the instants of attempts.
 func attemptTimes(uses []attempt) (at []monotime.Micros) {
 	for _, u := range uses {
 		at = append(at, u.time)
@@ -272,7 +279,7 @@
 	return at
 }
 
-// countPerSecond counts instants in each whole second of a stretch of time.
+// countPerSecond returns the number of instants in each complete second of a period.
 func countPerSecond(at []monotime.Micros, from, to monotime.Micros) []float64 {
 	n := int((to - from) / second)
 	if n <= 0 {
@@ -287,96 +294,134 @@
 	return v
 }
 
-// propagation counts how changes of the list reached the fleet. What was told within a second of the fleet's start was
-// there before.
-func propagation(list []*endpointHistory, start monotime.Micros) (came, left Propagation) {
-	var cameTold, leftTold, used, users, unknowing []float64
-	for _, o := range list {
-		if o.firstUpdate > start+second && len(o.added) > 0 {
-			came.Endpoints++
-			for _, t := range o.added {
-				cameTold = append(cameTold, float64(t-o.firstUpdate)/float64(second))
-			}
-			first := map[int]monotime.Micros{}
-			for _, u := range o.started {
-				setOnce(first, u.instance, u.time)
-			}
-			for _, t := range first {
-				used = append(used, float64(t-o.firstUpdate)/float64(second))
-			}
-			users = append(users, float64(len(first)))
-		}
-		if len(o.removed) == 0 {
-			continue
-		}
-		left.Endpoints++
-		var first monotime.Micros
-		for _, t := range o.removed {
-			if first == 0 || t < first {
-				first = t
-			}
+// initialTime is the time from the start within which an endpoint's first update means that it was there before.
+const initialTime = second
+
+// propagation returns how added and removed endpoints reached the fleet.
+func propagation(list []*endpointHistory, start monotime.Micros) (added, removed Propagation) {
+	var addedSamples, removedSamples propagationSamples
+	for _, endpoint := range list {
+		if endpoint.firstUpdate > start+initialTime && len(endpoint.added) > 0 {
+			added.Endpoints++
+			addedSamples.addAdded(endpoint)
 		}
-		n := 0
-		for _, t := range o.removed {
-			leftTold = append(leftTold, float64(t-first)/float64(second))
+		if len(endpoint.removed) > 0 {
+			removed.Endpoints++
+			removedSamples.addRemoved(endpoint)
 		}
-		for _, u := range o.ended {
-			told, ever := o.removed[u.instance]
-			n += boolToInt(u.failed && (!ever || u.time < told) && u.time > first-10*second)
+	}
+	added.Notified = newDistribution(addedSamples.notified)
+	added.FirstUse = newDistribution(addedSamples.firstUse)
+	added.Users = newDistribution(addedSamples.users)
+	removed.Notified = newDistribution(removedSamples.notified)
+	removed.StaleFailures = newDistribution(removedSamples.staleFailures)
+	return added, removed
+}
+
+// propagationSamples are the values of a Propagation's distributions.
+type propagationSamples struct{ notified, firstUse, users, staleFailures []float64 }
+
+// addAdded adds the values of an endpoint that was added.
+func (s *propagationSamples) addAdded(endpoint *endpointHistory) {
+	for _, t := range endpoint.added {
+		s.notified = append(s.notified, float64(t-endpoint.firstUpdate)/float64(second))
+	}
+	firstUses := map[int]monotime.Micros{} // by instance
+	for _, u := range endpoint.started {
+		setOnce(firstUses, u.instance, u.time)
+	}
+	for _, t := range firstUses {
+		s.firstUse = append(s.firstUse, float64(t-endpoint.firstUpdate)/float64(second))
+	}
+	s.users = append(s.users, float64(len(firstUses)))
+}
+
+// staleTime is the time before the first update that an endpoint is removed, from which on its failures count as stale.
+const staleTime = 10 * second
+
+// addRemoved adds the values of an endpoint that was removed.
+func (s *propagationSamples) addRemoved(endpoint *endpointHistory) {
+	var first monotime.Micros
+	for _, t := range endpoint.removed {
+		if first == 0 || t < first {
+			first = t
 		}
-		unknowing = append(unknowing, float64(n))
-	}
-	came.Notified = newDistribution(cameTold)
-	came.FirstUse = newDistribution(used)
-	came.Users = newDistribution(users)
-	left.Notified = newDistribution(leftTold)
-	left.StaleFailures = newDistribution(unknowing)
-	return came, left
+	}
+	for _, t := range endpoint.removed {
+		s.notified = append(s.notified, float64(t-first)/float64(second))
+	}
+	staleFailures := 0
+	for _, u := range endpoint.ended {
+		notifiedAt, notified := endpoint.removed[u.instance]
+		stale := (!notified || u.time < notifiedAt) && u.time > first-staleTime
+		staleFailures += boolToInt(u.failed && stale)
+	}
+	s.staleFailures = append(s.staleFailures, float64(staleFailures))
 }
 
-// faultStats counts what endpoints cost that failed half of what the fleet sent them, for as long as that went on.
-func faultStats(list []*endpointHistory) (b FaultStats) {
-	var length, failures, met, each, late []float64
-	for _, o := range list {
-		was := b.Episodes
-		for i := 0; i < len(o.ended); {
-			if !o.ended[i].failed || !isFaultStart(o.ended[i:]) {
-				i++
-				continue
-			}
-			first := o.ended[i].time
-			last := first
-			failed := 0
-			later := 0
-			by := map[int]int{}
-			for ; i < len(o.ended) && o.ended[i].time < last+faultQuietTime; i++ {
-				if u := o.ended[i]; u.failed {
-					last = u.time
-					failed++
-					by[u.instance]++
-					later += boolToInt(u.time > first+faultWindow)
-				}
+// Bounds of a fault episode of an endpoint, by the attempts of the whole fleet. A single instance has too few to detect
+// one.
+const (
+	faultWindow       = 2 * second // from a failure, within which an episode is detected
+	faultMinAttempts  = 5          // attempts within faultWindow
+	faultFailureRatio = 0.5        // of the attempts within faultWindow
+	faultQuietTime    = 5 * second // without a failure, after which an episode has ended
+)
+
+// faultStats returns the fault episodes of all endpoints.
+func faultStats(list []*endpointHistory) (stats FaultStats) {
+	var length, failures, instances, perInstance, late []float64
+	for _, endpoint := range list {
+		episodes := faultEpisodes(endpoint.ended)
+		for _, e := range episodes {
+			length = append(length, float64(e.last-e.first)/float64(second))
+			failures = append(failures, float64(e.failed))
+			late = append(late, float64(e.late))
+			instances = append(instances, float64(len(e.byInstance)))
+			for _, n := range e.byInstance {
+				perInstance = append(perInstance, float64(n))
 			}
-			b.Episodes++
-			length = append(length, float64(last-first)/float64(second))
-			failures = append(failures, float64(failed))
-			late = append(late, float64(later))
-			met = append(met, float64(len(by)))
-			for _, n := range by {
-				each = append(each, float64(n))
+		}
+		stats.Episodes += len(episodes)
+		stats.Endpoints += boolToInt(len(episodes) > 0)
+	}
+	stats.Length = newDistribution(length)
+	stats.Failures = newDistribution(failures)
+	stats.Instances = newDistribution(instances)
+	stats.PerInstance = newDistribution(perInstance)
+	stats.Late = newDistribution(late)
+	return stats
+}
+
+// faultEpisode is a period in which an endpoint failed much of the fleet's attempts.
+type faultEpisode struct {
+	first, last  monotime.Micros // of its failures
+	failed, late int
+	byInstance   map[int]int // failures
+}
+
+// faultEpisodes returns the fault episodes in the ends of an endpoint's attempts.
+func faultEpisodes(ended []attempt) (all []faultEpisode) {
+	for i := 0; i < len(ended); {
+		if !ended[i].failed || !isFaultStart(ended[i:]) {
+			i++
+			continue
+		}
+		e := faultEpisode{first: ended[i].time, last: ended[i].time, byInstance: map[int]int{}}
+		for ; i < len(ended) && ended[i].time < e.last+faultQuietTime; i++ {
+			if u := ended[i]; u.failed {
+				e.last = u.time
+				e.failed++
+				e.byInstance[u.instance]++
+				e.late += boolToInt(u.time > e.first+faultWindow)
 			}
 		}
-		b.Endpoints += boolToInt(b.Episodes > was)
-	}
-	b.Length = newDistribution(length)
-	b.Failures = newDistribution(failures)
-	b.Instances = newDistribution(met)
-	b.PerInstance = newDistribution(each)
-	b.Late = newDistribution(late)
-	return b
+		all = append(all, e)
+	}
+	return all
 }
 
-// isFaultStart says whether, from a failure on, an endpoint fails half of what the fleet sends it.
+// isFaultStart reports whether a fault episode begins with the first of the attempts, which has failed.
 func isFaultStart(ended []attempt) bool {
 	n := 0
 	failed := 0
--- a/internal/eventlog/events.go
+++ b/internal/eventlog/events.go
@@ -1,6 +1,6 @@
-// Package eventlog writes what one instance does with its endpoints and with discovery, one line for each event, and
-// analyzes the lines of a whole fleet. It makes no decisions and must not import protocols. events.go defines the
-// lines, analyze.go the statistics, report.go how they are printed.
+// Package eventlog writes one instance's events with endpoints and discovery, a line for each, and analyzes the lines
+// of a whole fleet. It makes no decisions and must not import protocols. events.go defines the lines, analyze.go the
+// statistics, report.go their output.
 package eventlog
 
 import (
@@ -17,35 +17,41 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Kind says what happened.
+// Kind is the kind of an event, by its stored name.
 type Kind string
 
 // The kinds of event.
 const (
 	AttemptStarted  Kind = "sent"   // an attempt started
-	AttemptEnded    Kind = "ended"  // and had an outcome
-	ProbeEnded      Kind = "probed" // a probe had an outcome
-	EndpointUpdated Kind = "told"   // news of an endpoint came
-	ConnOpened      Kind = "dialed" // a connection to an endpoint was opened, or was not
-	ConnClosed      Kind = "closed" // and closed
+	AttemptEnded    Kind = "ended"  // an attempt ended
+	ProbeEnded      Kind = "probed" // a probe ended
+	EndpointUpdated Kind = "told"   // an update of an endpoint arrived
+	ConnOpened      Kind = "dialed" // a connection to an endpoint was opened, or failed to
+	ConnClosed      Kind = "closed" // a connection to an endpoint was closed
 	DiscoveryPolled Kind = "asked"  // discovery was called
 )
 
-// Event is what happened at one instance.
+// Event is an event at one instance.
 type Event struct {
 	At       monotime.Micros // by the instance's clock
 	Kind     Kind
-	Endpoint string // its name; its address for Dialed and Closed; "" for Asked
-	Addr     string // of Told
-	Status   string // of Ended and Probed, by balancer.Status; of Told, the state; of Dialed and Asked, "ok" or "failed"
-	Latency  monotime.Micros
+	Endpoint string // name; for ConnOpened and ConnClosed the address; empty for DiscoveryPolled
+	Addr     string // of EndpointUpdated
+	// Status is the balancer.Status of AttemptEnded and ProbeEnded, the state of EndpointUpdated, and "ok" or "failed"
+	// of ConnOpened and DiscoveryPolled.
+	Status  string
+	Latency monotime.Micros // of AttemptEnded and ProbeEnded
 }
 
+// linePrefix is the start of an event in a line.
 const linePrefix = "event "
 
-// String is the event's line without its end. What reads it needs no quoting: names with blanks are written with "_".
+// lineFields is the number of fields of an event after linePrefix.
+const lineFields = 6
+
+// String returns the event's line without its end. Fields need no quoting: blanks in names are replaced by "_".
 func (e Event) String() string {
-	word := func(s string) string {
+	field := func(s string) string {
 		if s == "" {
 			return "-"
 		}
@@ -56,24 +62,25 @@
 			return r
 		}, s)
 	}
-	return fmt.Sprintf("%s%d %s %s %s %s %d", linePrefix, e.At, e.Kind, word(e.Endpoint), word(e.Addr), word(e.Status), e.Latency)
+	return fmt.Sprintf("%s%d %s %s %s %s %d",
+		linePrefix, e.At, e.Kind, field(e.Endpoint), field(e.Addr), field(e.Status), e.Latency)
 }
 
-// Parse reads a line. What stands before the event, as a time that a collector of logs puts there, is passed over; ok
-// says whether there is an event, and err what is wrong with it.
+// Parse reads a line. Text before the event, such as a collector's time, is ignored. ok is false if the line has no
+// event; err is not nil if its event is malformed.
 func Parse(line string) (e Event, ok bool, err error) {
 	at := strings.Index(line, linePrefix)
 	if at < 0 {
 		return e, false, nil
 	}
 	f := strings.Fields(line[at+len(linePrefix):])
-	if len(f) != 6 {
-		return e, true, fmt.Errorf("%d words after %q, want 6", len(f), strings.TrimSpace(linePrefix))
+	if len(f) != lineFields {
+		return e, true, fmt.Errorf("%d words after %q, want %d", len(f), strings.TrimSpace(linePrefix), lineFields)
 	}
 	if e.At, err = strconv.ParseInt(f[0], 10, 64); err != nil {
 		return e, true, err
 	}
-	if e.Latency, err = strconv.ParseInt(f[5], 10, 64); err != nil {
+	if e.Latency, err = strconv.ParseInt(f[lineFields-1], 10, 64); err != nil {
 		return e, true, err
 	}
 	e.Kind = Kind(f[1])
@@ -85,10 +92,13 @@
 	return e, true, nil
 }
 
-// Read reads an instance's log, in which events stand among other lines. An error names the line.
+// maxLineBytes is the length of the longest line that Read accepts.
+const maxLineBytes = 1 << 20
+
+// Read reads an instance's log, which may have lines without an event. An error names the number of the line.
 func Read(r io.Reader) (all []Event, err error) {
 	in := bufio.NewScanner(r)
-	in.Buffer(nil, 1<<20)
+	in.Buffer(nil, maxLineBytes)
 	for n := 1; in.Scan(); n++ {
 		e, ok, err := Parse(in.Text())
 		if err != nil {
@@ -101,17 +111,19 @@
 	return all, in.Err()
 }
 
-// Log writes events. It is engine.Observer and is told of connections and calls of discovery beside that. Its methods
-// may be called side by side.
+// Log writes events. It implements engine.Observer, and has methods for connections and calls of discovery in addition.
+// It is safe for concurrent use.
 type Log struct {
 	now    func() monotime.Micros
 	mu     sync.Mutex
 	output io.Writer
 }
 
-// NewLog returns a log that writes to a writer, with instants by a clock. What cannot be written is lost.
+// NewLog returns a log that writes to a writer. now is the clock for events without an instant. Events that cannot be
+// written are lost.
 func NewLog(to io.Writer, now func() monotime.Micros) *Log { return &Log{now: now, output: to} }
 
+// write writes an event, with the present instant if it has none.
 func (l *Log) write(e Event) {
 	if e.At == 0 {
 		e.At = l.now()
@@ -121,62 +133,78 @@
 	fmt.Fprintln(l.output, e)
 }
 
-var statusNames = [...]string{balancer.OK: "ok", balancer.Error: "error", balancer.Rejected: "full", balancer.Timeout: "timeout",
-	balancer.ConnectFailed: "connect", balancer.Reset: "reset", balancer.Cancelled: "cancelled", balancer.NotSent: "moot"}
+// statusOK is the status of an attempt, a connection or a poll that succeeded.
+const statusOK = "ok"
+
+// statusNames are the stored names, which never change.
+var statusNames = [...]string{
+	balancer.OK:            statusOK,
+	balancer.Error:         "error",
+	balancer.Rejected:      "full",
+	balancer.Timeout:       "timeout",
+	balancer.ConnectFailed: "connect",
+	balancer.Reset:         "reset",
+	balancer.Cancelled:     "cancelled",
+	balancer.NotSent:       "moot",
+}
 
+// stateNames are the stored names, which never change.
 var stateNames = [...]string{balancer.Ready: "ready", balancer.Draining: "draining", balancer.Gone: "gone"}
 
-// AttemptStarted notes that an attempt started.
+// AttemptStarted writes that an attempt started.
 func (l *Log) AttemptStarted(now monotime.Micros, endpoint string) {
 	l.write(Event{At: now, Kind: AttemptStarted, Endpoint: endpoint})
 }
 
-// AttemptEnded notes an attempt's outcome.
+// AttemptEnded writes the outcome of an attempt.
 func (l *Log) AttemptEnded(now monotime.Micros, endpoint string, s balancer.Status, latency monotime.Micros) {
 	l.write(Event{At: now, Kind: AttemptEnded, Endpoint: endpoint, Status: statusNames[s], Latency: latency})
 }
 
-// ProbeEnded notes a probe's outcome.
+// ProbeEnded writes the outcome of a probe.
 func (l *Log) ProbeEnded(now monotime.Micros, endpoint string, s balancer.Status, latency monotime.Micros) {
 	l.write(Event{At: now, Kind: ProbeEnded, Endpoint: endpoint, Status: statusNames[s], Latency: latency})
 }
 
-// EndpointsUpdated notes an update of the endpoint list, an event for each entry. What a full list leaves out is not
-// noted.
+// EndpointsUpdated writes an update of the endpoint list, an event for each of its entries. Endpoints that a full list
+// no longer contains have no event.
 func (l *Log) EndpointsUpdated(now monotime.Micros, t engine.EndpointUpdate) {
 	for _, m := range t.Endpoints {
 		l.write(Event{At: now, Kind: EndpointUpdated, Endpoint: m.Name, Addr: m.Addr, Status: stateNames[m.State]})
 	}
 }
 
-// DiscoveryPolled notes a call of discovery.
+// DiscoveryPolled writes the outcome of a call of discovery.
 func (l *Log) DiscoveryPolled(err error) {
 	l.write(Event{Kind: DiscoveryPolled, Status: outcome(err == nil)})
 }
 
-func outcome(yes bool) string {
-	if yes {
-		return "ok"
+// outcome returns the status of a connection or a poll.
+func outcome(succeeded bool) string {
+	if succeeded {
+		return statusOK
 	}
 	return "failed"
 }
 
-// ConnOpened notes a connection that was opened to an address, or was not, and returns it such that its close is
-// noted.
+// ConnOpened writes that a connection to an address was opened or failed to. It returns the connection and the error;
+// the close of the returned connection is written as well.
 func (l *Log) ConnOpened(addr string, c net.Conn, err error) (net.Conn, error) {
 	l.write(Event{Kind: ConnOpened, Endpoint: addr, Status: outcome(err == nil)})
 	if tcp, ok := c.(*net.TCPConn); ok && err == nil {
-		return &observedConn{TCPConn: tcp, onClose: sync.OnceFunc(func() { l.write(Event{Kind: ConnClosed, Endpoint: addr}) })}, nil
+		onClose := func() { l.write(Event{Kind: ConnClosed, Endpoint: addr}) }
+		return &observedConn{TCPConn: tcp, onClose: sync.OnceFunc(onClose)}, nil
 	}
 	return c, err
 }
 
-// observedConn is a connection whose close is noted.
+// observedConn is a connection whose first close is written.
 type observedConn struct {
 	*net.TCPConn
 	onClose func()
 }
 
+// Close closes the connection.
 func (c *observedConn) Close() error {
 	c.onClose()
 	return c.TCPConn.Close()
--- a/internal/eventlog/events_test.go
+++ b/internal/eventlog/events_test.go
@@ -11,8 +11,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// What is written is read again, among other lines and behind a collector's time; half a line is an error that names
-// it.
+// Written events are read again, among other lines and after a collector's time. An incomplete event is an error that
+// names the line.
 func TestEventsSurviveWriteAndRead(t *testing.T) {
 	var out bytes.Buffer
 	l := NewLog(&out, func() monotime.Micros { return 7 })
@@ -25,8 +25,13 @@
 	}
 	text := "time=x level=INFO msg=serving\n0.015 " + strings.ReplaceAll(out.String(), "\n", "\n0.1 ")
 	got, err := Read(strings.NewReader(text))
-	want := []Event{{1, AttemptStarted, "s_1", "", "", 0}, {2, AttemptEnded, "s-1", "", "reset", 55}, {3, EndpointUpdated, "s-2", "", "gone", 0},
-		{7, DiscoveryPolled, "", "", "ok", 0}, {7, ConnOpened, "1.2.3.4:5", "", "failed", 0}}
+	want := []Event{
+		{1, AttemptStarted, "s_1", "", "", 0},
+		{2, AttemptEnded, "s-1", "", "reset", 55},
+		{3, EndpointUpdated, "s-2", "", "gone", 0},
+		{7, DiscoveryPolled, "", "", "ok", 0},
+		{7, ConnOpened, "1.2.3.4:5", "", "failed", 0},
+	}
 	if err != nil || len(got) != len(want) {
 		t.Fatalf("%v, %v", got, err)
 	}
@@ -36,32 +41,37 @@
 		}
 	}
 	for _, bad := range []string{"event", "event 1 sent", "event x sent - - - 0", "event 1 sent - - - -"} {
-		if _, err := Read(strings.NewReader("ok\n" + bad + " \n")); bad != "event" && (err == nil || !strings.Contains(err.Error(), "line 2")) {
+		_, err := Read(strings.NewReader("ok\n" + bad + " \n"))
+		if bad != "event" && (err == nil || !strings.Contains(err.Error(), "line 2")) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
 }
 
-// Two instances: an endpoint that fails most for three seconds, one that comes, one that goes while it is still asked.
+// Two instances, and three endpoints: one that fails most attempts for three seconds, one that is added, and one that
+// is removed while it is still used.
 func TestAnalyze(t *testing.T) {
-	told := func(at monotime.Micros, name, state string) Event {
+	updated := func(at monotime.Micros, name, state string) Event {
 		return Event{At: at, Kind: EndpointUpdated, Endpoint: name, Addr: name + ":1", Status: state}
 	}
 	ended := func(at monotime.Micros, name, status string) Event {
 		return Event{At: at, Kind: AttemptEnded, Endpoint: name, Status: status}
 	}
 	var a, b []Event
-	a = append(a, told(1, "bad", "ready"), told(1, "goes", "ready"), Event{At: 2, Kind: ConnOpened, Endpoint: "bad:1", Status: "ok"})
-	b = append(b, told(1, "bad", "ready"), told(1, "goes", "ready"), Event{At: 2, Kind: ConnOpened, Endpoint: "bad:1", Status: "ok"},
-		Event{At: 3, Kind: ConnClosed, Endpoint: "bad:1"})
+	opened := Event{At: 2, Kind: ConnOpened, Endpoint: "bad:1", Status: "ok"}
+	closed := Event{At: 3, Kind: ConnClosed, Endpoint: "bad:1"}
+	a = append(a, updated(1, "bad", "ready"), updated(1, "goes", "ready"), opened)
+	b = append(b, updated(1, "bad", "ready"), updated(1, "goes", "ready"), opened, closed)
 	for i := range monotime.Micros(6) {
 		a = append(a, ended(4*second+i*second/2, "bad", "error"))
 	}
 	b = append(b, ended(4*second+1, "bad", "error"), ended(4*second+2, "bad", "ok"), ended(7*second, "goes", "reset"))
-	a = append(a, told(8*second, "goes", "gone"), told(9*second, "comes", "ready"), Event{At: 10 * second, Kind: AttemptStarted, Endpoint: "comes"})
-	b = append(b, told(8*second+second/2, "goes", "gone"), told(9*second+second/4, "comes", "ready"))
+	started := Event{At: 10 * second, Kind: AttemptStarted, Endpoint: "comes"}
+	a = append(a, updated(8*second, "goes", "gone"), updated(9*second, "comes", "ready"), started)
+	b = append(b, updated(8*second+second/2, "goes", "gone"), updated(9*second+second/4, "comes", "ready"))
 	c := Analyze([][]Event{a, b})
-	if c.Faults.Episodes != 1 || c.Faults.Failures.Max != 7 || c.Faults.Instances.Max != 2 || c.Faults.PerInstance.Max != 6 || c.Faults.Late.Max != 1 {
+	faults := [...]float64{c.Faults.Failures.Max, c.Faults.Instances.Max, c.Faults.PerInstance.Max, c.Faults.Late.Max}
+	if c.Faults.Episodes != 1 || faults != [...]float64{7, 2, 6, 1} {
 		t.Errorf("bad: %+v", c.Faults)
 	}
 	if c.Added.Endpoints != 1 || c.Added.Notified.Max != 0.25 || c.Added.FirstUse.Max != 1 || c.Added.Users.Max != 1 {
--- a/internal/eventlog/golden_test.go
+++ b/internal/eventlog/golden_test.go
@@ -14,7 +14,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// goldenLog is what a build wrote before names in this package changed. It is never written anew.
+// goldenLog was written by an earlier build, before names in this package changed. It never changes.
 var goldenLog = filepath.Join("testdata", "events.log")
 
 // goldenEvents are the events of goldenLog.
@@ -41,15 +41,17 @@
 	{77, "closed", "10.0.0.1:80", "", "", 0},
 }
 
-// writeGoldenEvents has a log write the events of goldenLog.
+// writeGoldenEvents returns the lines of a log to which the events of goldenLog are written.
 func writeGoldenEvents(t *testing.T) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	l := NewLog(&out, func() monotime.Micros { return 77 })
 	l.AttemptStarted(1, "node-1")
 	l.AttemptStarted(2, "node with blanks")
-	outcomes := []balancer.Status{balancer.OK, balancer.Error, balancer.Rejected, balancer.Timeout, balancer.ConnectFailed,
-		balancer.Reset, balancer.Cancelled, balancer.NotSent}
+	outcomes := []balancer.Status{
+		balancer.OK, balancer.Error, balancer.Rejected, balancer.Timeout, balancer.ConnectFailed,
+		balancer.Reset, balancer.Cancelled, balancer.NotSent,
+	}
 	for i, s := range outcomes {
 		l.AttemptEnded(monotime.Micros(10+i), "node-1", s, monotime.Micros(1001+i))
 	}
@@ -73,7 +75,7 @@
 	return out.Bytes()
 }
 
-// Lines of an earlier build are read to the events that it wrote.
+// Lines of an earlier build are read to the events that were written.
 func TestGoldenEventsAreRead(t *testing.T) {
 	file, err := os.Open(goldenLog)
 	if err != nil {
--- a/internal/eventlog/report.go
+++ b/internal/eventlog/report.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 )
 
-// ReadFleet reads the logs of a fleet: each file of a folder is an instance's, as its programs wrote them to standard
-// error. A file without an event is counted as an instance that did nothing.
+// ReadFleet reads the logs of a fleet: each file of a folder is the standard error of one instance's programs. A file
+// without an event counts as an instance without activity.
 func ReadFleet(dir string) ([][]Event, error) {
 	files, err := os.ReadDir(dir)
 	if err != nil {
@@ -28,6 +28,7 @@
 	return fleet, nil
 }
 
+// readFile reads the log of one instance.
 func readFile(path string) ([]Event, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -37,33 +38,34 @@
 	return Read(f)
 }
 
-// Write tells the counts, a line for each.
+// Write prints the statistics, a line for each.
 func (c FleetStats) Write(w io.Writer) error {
 	var err error
-	say := func(format string, args ...any) {
+	printLine := func(format string, args ...any) {
 		if err == nil {
 			_, err = fmt.Fprintf(w, format+"\n", args...)
 		}
 	}
 	row := func(name string, s Distribution) {
-		say("  %-58s %7d %9.2f %9.2f %9.2f", name, s.Count, s.Mean, s.Median, s.Max)
+		printLine("  %-58s %7d %9.2f %9.2f %9.2f", name, s.Count, s.Mean, s.Median, s.Max)
 	}
-	say("%d instances, %d endpoints, %.1f s: %d attempts, %d of them failed; %d connections not opened", c.Instances, c.Endpoints,
-		c.Seconds, c.Attempts, c.Failures, c.FailedDials)
-	say("discovery: %d calls that went well, %d that failed, %d in the busiest second", c.Polls, c.FailedPolls, c.MaxPollsPerSecond)
-	say("  %-58s %7s %9s %9s %9s", "", "n", "mean", "median", "most")
+	printLine("%d instances, %d endpoints, %.1f s: %d attempts, %d of them failed; %d connections not opened",
+		c.Instances, c.Endpoints, c.Seconds, c.Attempts, c.Failures, c.FailedDials)
+	printLine("discovery: %d calls that went well, %d that failed, %d in the busiest second",
+		c.Polls, c.FailedPolls, c.MaxPollsPerSecond)
+	printLine("  %-58s %7s %9s %9s %9s", "", "n", "mean", "median", "most")
 	row("attempts at one endpoint in one second", c.PerSecond[AttemptStarted])
 	row("probes at one endpoint in one second", c.PerSecond[ProbeEnded])
 	row("new connections at one endpoint in one second", c.PerSecond[ConnOpened])
 	row("connections of all instances at one endpoint, at once", c.OpenConns)
-	say("%d endpoints came:", c.Added.Endpoints)
+	printLine("%d endpoints came:", c.Added.Endpoints)
 	row("seconds until an instance was told, after the first was", c.Added.Notified)
 	row("seconds until its first attempt there", c.Added.FirstUse)
 	row("instances that used such an endpoint", c.Added.Users)
-	say("%d endpoints left the list:", c.Removed.Endpoints)
+	printLine("%d endpoints left the list:", c.Removed.Endpoints)
 	row("seconds until an instance was told, after the first was", c.Removed.Notified)
 	row("failed attempts by those not yet told, at one endpoint", c.Removed.StaleFailures)
-	say("%d endpoints were bad in %d stretches of time:", c.Faults.Endpoints, c.Faults.Episodes)
+	printLine("%d endpoints were bad in %d stretches of time:", c.Faults.Endpoints, c.Faults.Episodes)
 	row("seconds from the first failure to the last", c.Faults.Length)
 	row("failures in one stretch", c.Faults.Failures)
 	row("of them later than 2 s after the fleet's first", c.Faults.Late)
