--- /dev/null
+++ b/internal/decide/lease/settings.go
@@ -0,0 +1,64 @@
+package lease
+
+import (
+	"fmt"
+	"slices"
+
+	"dunlinsail/internal/decide/setting"
+	"dunlinsail/internal/monotime"
+)
+
+// Settings configure a voter. They must be the same at all voters, except for Self, Incarnation and Seed.
+type Settings struct {
+	// Self is this voter's name, which must be one of Voters.
+	Self string
+	// Incarnation numbers this process. No two processes of a name may have the same: a vote that was granted to an
+	// earlier process would count for this one.
+	Incarnation uint64
+	// Voters are the distinct names of all voters.
+	Voters []string
+	// Duration is the time for which a lease holds without renewal, by its holder's clock, at least minDuration. After
+	// a holder's crash there is no holder for up to this time and a random delay.
+	Duration monotime.Micros
+	// MaxClockDrift is the largest difference between the rate of a voter's clock and the true rate, as a fraction of
+	// the true rate, in 0..maxClockDrift. There is at most one holder only while all clocks are within it.
+	MaxClockDrift float64
+	// Seed determines the random delays.
+	Seed uint64
+}
+
+const (
+	// minDuration is the smallest value of Settings.Duration.
+	minDuration = monotime.Millisecond
+	// maxClockDrift is the largest value of Settings.MaxClockDrift, as a fraction of the true rate.
+	maxClockDrift = 0.1
+)
+
+// invalidSetting returns the *setting.Error of a setting that is out of range.
+func invalidSetting(key, reason string) error {
+	return &setting.Error{Component: "lease", Key: key, Reason: reason}
+}
+
+// validate returns a *setting.Error if a setting is out of range.
+func (s *Settings) validate() error {
+	switch {
+	case !slices.Contains(s.Voters, s.Self):
+		return invalidSetting("self", "is none of the voters")
+	case s.Duration < minDuration:
+		return invalidSetting("length", "must be a millisecond at least")
+	case !(s.MaxClockDrift >= 0 && s.MaxClockDrift <= maxClockDrift):
+		return invalidSetting("drift", "must be in 0..0.1")
+	}
+	for i, name := range s.Voters {
+		if slices.Contains(s.Voters[:i], name) {
+			return invalidSetting("voters", fmt.Sprintf("%q stands there twice", name))
+		}
+	}
+	return nil
+}
+
+// voteDuration is how long a vote is valid by its voter's clock: no lease that it wins is valid for longer by any
+// clock.
+func (s *Settings) voteDuration() monotime.Micros {
+	return monotime.ExtendForDrift(s.Duration, s.MaxClockDrift)
+}
--- a/internal/decide/lease/voter.go
+++ b/internal/decide/lease/voter.go
@@ -1,7 +1,6 @@
 package lease
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"slices"
 
@@ -52,30 +51,6 @@
 	return v, nil
 }
 
-// validate returns a *setting.Error if a setting is out of range.
-func (s *Settings) validate() error {
-	switch {
-	case !slices.Contains(s.Voters, s.Self):
-		return invalidSetting("self", "is none of the voters")
-	case s.Duration < minDuration:
-		return invalidSetting("length", "must be a millisecond at least")
-	case !(s.MaxClockDrift >= 0 && s.MaxClockDrift <= maxClockDrift):
-		return invalidSetting("drift", "must be in 0..0.1")
-	}
-	for i, name := range s.Voters {
-		if slices.Contains(s.Voters[:i], name) {
-			return invalidSetting("voters", fmt.Sprintf("%q stands there twice", name))
-		}
-	}
-	return nil
-}
-
-// voteDuration is how long a vote is valid by its voter's clock: no lease that it wins is valid for longer by any
-// clock.
-func (s *Settings) voteDuration() monotime.Micros {
-	return monotime.ExtendForDrift(s.Duration, s.MaxClockDrift)
-}
-
 // Parts of a lease's duration, as divisors of Settings.Duration.
 const (
 	// maxDelayDivisor gives the longest random delay before a round.
