--- a/internal/accesslog/recording.go
+++ b/internal/accesslog/recording.go
@@ -258,7 +258,7 @@
 	// minSpanGap is the shortest time, in microseconds, by which a run begins later or ends earlier than the recording
 	// that Check reports.
 	minSpanGap = 5_000_000
-	// spanGapDivisor: Check reports such a time only if it is longer than one part in so many of the recording.
+	// spanGapDivisor gives the part of the recording that such a time must exceed.
 	spanGapDivisor = 20
 )
 
--- a/internal/decide/canary/analysis.go
+++ b/internal/decide/canary/analysis.go
@@ -138,8 +138,7 @@
 	return certain && (severe || a.canary.duration >= a.settings.MinDuration)
 }
 
-// minCalmDivisor: an analysis concludes only if at least one part in so many of the required duration was without a
-// surge.
+// minCalmDivisor gives the part of the required duration that must be without a surge for an analysis to conclude.
 const minCalmDivisor = 2
 
 // concludeOrExtend ends an analysis that has run for its required duration, or extends it by Settings.Duration, at most
--- a/internal/decide/canary/doc.go
+++ b/internal/decide/canary/doc.go
@@ -1,7 +1,7 @@
 // Package canary decides whether a canary does worse than its baseline: a new version of the configuration compared
-// with the one before it, or a new pool compared with the old one beside it. Both are given as samples of service and
-// failures in short time slots. The package does no I/O, reads no clock, and must not import the packages of what is
-// compared.
+// with the one before it, or a new pool compared with an old one that runs at the same time. Both are given as samples
+// of service and failures in short time slots. The package does no I/O, reads no clock, and must not import the
+// packages of what is compared.
 //
 // An Analysis is evaluated after each slot, and may end at any of them. A fixed-sample significance test that is
 // repeated after each slot would sooner or later find harm by chance. The Analysis therefore uses a confidence
--- a/internal/decide/coordination/protocol.go
+++ b/internal/decide/coordination/protocol.go
@@ -74,8 +74,8 @@
 // maxUnanswered is the time without a grant, in request intervals, after which requests go to all candidates.
 const maxUnanswered = 3
 
-// requestJitterDivisor: the time between two requests varies by one part in so many of the request interval, up and
-// down by half of that. Without jitter the instances' requests would synchronize.
+// requestJitterDivisor gives the range of the time between two requests, as a part of the request interval, half of it
+// below the interval and half above. Without jitter the instances' requests would synchronize.
 const requestJitterDivisor = 8
 
 // sendRequest requests a quota lease from the allocator, or from all candidates if the allocator is not known or has
--- a/internal/decide/quota/divide.go
+++ b/internal/decide/quota/divide.go
@@ -139,7 +139,7 @@
 	return left
 }
 
-// spareRetainedDivisor: one part in so many of the spare units stays unassigned, for the next request of any lessee.
+// spareRetainedDivisor gives the part of the spare units that stays unassigned, for the next request of any lessee.
 const spareRetainedDivisor = 4
 
 // assignSpare divides the units beyond all claims equally, so that demand that arises before a lessee's next request
--- a/internal/decide/quota/doc.go
+++ b/internal/decide/quota/doc.go
@@ -23,7 +23,8 @@
 //  3. The allocator grants no more than keeps the committed units of all lessees within the budget less all minimums.
 //  4. There is one allocator at a time. A new one recovers first: it grants nothing but what lessees show that they
 //     hold, until all leases of the allocator before it have expired. It takes only requests that were sent since it
-//     is the allocator (LeaseRequest.Term), so that what they show was not leased to others meanwhile.
+//     is the allocator (LeaseRequest.Term), so that what they show was not leased to others in
+//     the meantime.
 //
 // docs/design/peers.md has the argument at length.
 //
--- a/internal/decide/route/path.go
+++ b/internal/decide/route/path.go
@@ -111,13 +111,15 @@
 			i += len("%41") - 1
 		}
 		switch {
+		case !escaped && isPathChar[c]: // most characters
+			out = append(out, c)
 		case c < ' ' || c == del:
 			return nil, nil, ErrControl
 		case escaped && (c == '/' || c == '\\') && slashes == RejectEncodedSlashes:
 			return nil, nil, ErrEncodedSlash
 		case !escaped && c == '\\':
 			return nil, nil, ErrBackslash
-		case isUnreserved(c), !escaped && isPathChar[c]:
+		case isUnreserved(c):
 			out = append(out, c)
 		default:
 			out = appendEscaped(out, c)
