--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -52,7 +52,7 @@
 	return n.startRaft(stored)
 }
 
-// stopVoting ends this instance's part as a voter. It goes on as any other instance.
+// stopVoting ends this instance's part as a voter. It continues as an instance without a vote.
 func (n *Node) stopVoting(err error) {
 	n.voterErr = err
 	n.rawNode = nil
--- a/internal/decide/coordination/view.go
+++ b/internal/decide/coordination/view.go
@@ -22,7 +22,7 @@
 type BudgetStatus struct {
 	Budget  string `json:"Budget"`
 	Allowed int    `json:"Allowed"` // units within the second that ends now
-	Spent   int    `json:"Spent"`   // units within the second before
+	Spent   int    `json:"Spent"`   // units within the last second
 }
 
 // View returns the instance's view at now.
--- a/internal/decide/maintenance/doc.go
+++ b/internal/decide/maintenance/doc.go
@@ -5,8 +5,8 @@
 //
 //   - State is the replicated plan. It is built from a log of Commands, which every replica applies in the same order
 //     (package consensus keeps that log).
-//   - Follower is what one instance has to apply of the plan. It holds the plan under a lease.
-//   - Coordinator is what the leader knows of how far every instance has applied the plan.
+//   - Follower holds the plan that one instance has to apply, under a lease.
+//   - Coordinator is the leader's record of each instance's progress in applying the plan.
 //
 // # Safety
 //
--- a/internal/decide/maintenance/types.go
+++ b/internal/decide/maintenance/types.go
@@ -69,7 +69,7 @@
 	Phase        Phase           `json:"Phase"`
 	Since        monotime.Micros `json:"Since"`   // when it entered its phase
 	DueAt        monotime.Micros `json:"Until"`   // under maintenance: when the work should be complete
-	PlanVersion  uint64          `json:"Version"` // of the first plan that lists it as it is listed now
+	PlanVersion  uint64          `json:"Version"` // of the first plan that has it in its present list
 	Overdue      bool            `json:"Overdue"` // under maintenance beyond DueAt
 	RecallReason string          `json:"Wanted"`  // under maintenance: why it is needed back; empty if it is not
 	WaitReason   string          `json:"Waits"`   // why it does not enter the next phase; empty if nothing blocks it
--- a/internal/decide/quota/allocator.go
+++ b/internal/decide/quota/allocator.go
@@ -25,7 +25,7 @@
 	dirty           bool // budgets or lessees were added or removed since dividedAt
 }
 
-// budget is what the allocator knows of one budget.
+// budget is the allocator's record of one budget.
 type budget struct {
 	units       float64 // a second; of a contributed budget the sum of its lessees' contributions
 	contributed bool    // its units are the sum of Demand.Contributed
@@ -188,7 +188,7 @@
 	Incarnation   uint64          `json:"Life"`
 	Budget        string          `json:"Budget"`
 	Units         int             `json:"Units"`  // committed, within any second
-	Target        int             `json:"Target"` // units that it gets once others have returned them
+	Target        int             `json:"Target"` // units that it gets when others have returned them
 	Requested     float64         `json:"Asked"`  // units a second
 	Until         monotime.Micros `json:"Until"`  // other lessees do not get the units before then
 	LastRequestAt monotime.Micros `json:"Heard"`  // by the allocator's clock
--- a/internal/decide/quota/commitment.go
+++ b/internal/decide/quota/commitment.go
@@ -15,7 +15,7 @@
 	incarnation uint64
 }
 
-// lesseeRecord is what the allocator knows of a lessee.
+// lesseeRecord is the allocator's record of a lessee.
 type lesseeRecord struct {
 	lesseeID
 	lastSequence  uint64 // of its latest request
--- a/internal/decide/rollout/command.go
+++ b/internal/decide/rollout/command.go
@@ -1,6 +1,6 @@
 package rollout
 
-// Action is what the host of a StateMachine has to do.
+// Action is what the host of a StateMachine must do.
 type Action uint8
 
 // The actions. For an action with a result the host calls the named method exactly once, with that result.
@@ -9,7 +9,7 @@
 	ActionValidate Action = iota
 	// ActionApply: apply Target in place of Previous. Result: HandleApplied.
 	ActionApply
-	// ActionStartCanary: compare Target, which is applied, with what ran before. Result: HandleCanaryResult.
+	// ActionStartCanary: compare Target, which is applied, with the version before it. Result: HandleCanaryResult.
 	ActionStartCanary
 	// ActionStopCanary: abort the comparison without a result.
 	ActionStopCanary
--- a/internal/decide/rollout/machine.go
+++ b/internal/decide/rollout/machine.go
@@ -37,7 +37,7 @@
 // rngStream is the second half of the random generator's seed.
 const rngStream = 0x76
 
-// StateMachine is the rollout state of one instance. Make one with New. It is not safe for concurrent use.
+// StateMachine is the rollout state of one instance. Create one with New. It is not safe for concurrent use.
 type StateMachine struct {
 	settings Settings
 	rng      *rand.Rand
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -138,7 +138,7 @@
 	d.expect()
 }
 
-// A version is rejected with its reason at each stage, and again without being processed; what ran keeps running.
+// A version is rejected with its reason at each stage, and again without being processed. The running version stays.
 func TestRejectionAtEachStage(t *testing.T) {
 	d := newDriver(t, true)
 	d.failures["validate a/1"], d.failures["apply a/2"] = "no sense", "no room"
