--- a/internal/decide/canary/ratio.go
+++ b/internal/decide/canary/ratio.go
@@ -77,8 +77,8 @@
 	return r.numerator / r.denominator
 }
 
-// variance returns the variance of one observation's ratio: that of the residuals numerator - mean·denominator, divided
-// by the square of the mean denominator (Cochran, "Sampling Techniques", 3rd ed., section 2.11).
+// variance returns the variance of one observation's ratio: that of the residuals numerator - mean·denominator,
+// divided by the square of the mean denominator (Cochran, "Sampling Techniques", 3rd ed., section 2.11).
 func (r *ratioMoments) variance() float64 {
 	if r.count < 2 || r.denominator <= 0 {
 		return 0
