--- a/internal/accesslog/recording.go
+++ b/internal/accesslog/recording.go
@@ -258,7 +258,7 @@
 	// minSpanGap is the shortest time, in microseconds, by which a run begins later or ends earlier than the recording
 	// that Check reports.
 	minSpanGap = 5_000_000
-	// spanGapDivisor: Check reports such a time only if it is longer than one part in so many of the recording.
+	// spanGapDivisor gives the part of the recording that such a time must exceed.
 	spanGapDivisor = 20
 )
 
@@ -296,8 +296,11 @@
 	return all
 }
 
-// inSeconds converts microseconds.
-func inSeconds(micros int64) float64 { return float64(micros) / 1e6 }
+// microsPerSecond converts microseconds to seconds.
+const microsPerSecond = 1e6
+
+// inSeconds returns a time in seconds.
+func inSeconds(micros int64) float64 { return float64(micros) / microsPerSecond }
 
 // Span returns when the first request arrived and the last one ended, in Unix microseconds.
 func (rec *Recording) Span() (from, to int64) {
