--- a/cmd/dunlinsail/host_test.go
+++ b/cmd/dunlinsail/host_test.go
@@ -24,10 +24,10 @@
 	"dunlinsail/internal/takeover"
 )
 
-// within is how long the platform waits for a new process.
+// readyTimeout is how long the platform waits for a new process.
 const readyTimeout = 6 * time.Second
 
-// host is what the platform holds for one sidecar: the clients' listening socket and a folder.
+// host is what the platform has for one sidecar: the clients' listening socket and a folder.
 type host struct {
 	t        *testing.T
 	ln       *os.File
@@ -71,8 +71,10 @@
 		})
 		list = append(list, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":"%s","lifecycle":"up"}`, i, addr))
 	}
-	text := strings.Replace(config, `{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"up"}`, strings.Join(list, ","), 1)
-	text = strings.Replace(text, `"classes":[`, `"classes":[{"name":"pay","repeat":"side_effect","target":5000000,"give-up":9000000,"credit":5.0},`, 1)
+	const payClass = `{"name":"pay","repeat":"side_effect","target":5000000,"give-up":9000000,"credit":5.0},`
+	listed := `{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"up"}`
+	text := strings.Replace(config, listed, strings.Join(list, ","), 1)
+	text = strings.Replace(text, `"classes":[`, `"classes":[`+payClass, 1)
 	h.config = filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(h.config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -97,16 +99,17 @@
 	return h.startAs(program)
 }
 
+// startAs starts a process of a program without waiting for it.
 func (h *host) startAs(program string) *process {
 	h.t.Helper()
-	desk, err := freeport.Free()
+	adminAddress, err := freeport.Free()
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	p := &process{h: h, adminAddress: desk, cmd: exec.Command(program), ended: make(chan error, 1)}
-	p.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+h.config, "ROUTER_LISTEN="+h.addr, "ROUTER_OPERATOR="+desk,
-		"ROUTER_INHERITED_FD=3", "TMPDIR="+h.dir,
-		"GORACE=atexit_sleep_ms=0") // the detector's own wait at the end is none of the program's
+	p := &process{h: h, adminAddress: adminAddress, cmd: exec.Command(program), ended: make(chan error, 1)}
+	p.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+h.config, "ROUTER_LISTEN="+h.addr,
+		"ROUTER_OPERATOR="+adminAddress, "ROUTER_INHERITED_FD=3", "TMPDIR="+h.dir,
+		"GORACE=atexit_sleep_ms=0") // without the race detector's own wait at the end
 	p.cmd.ExtraFiles = []*os.File{h.ln}
 	p.cmd.Stderr = &p.log
 	if err := p.cmd.Start(); err != nil {
@@ -132,6 +135,7 @@
 	return resp.StatusCode, string(text)
 }
 
+// setCordon makes an operator's call that disables or enables an endpoint.
 func (p *process) setCordon(action, target string) {
 	p.h.t.Helper()
 	if code, text := p.call("POST", "/endpoints/"+action, `{"target":"`+target+`"}`); code != 200 {
@@ -139,7 +143,7 @@
 	}
 }
 
-// ready waits until a process takes clients.
+// ready waits until a process accepts clients.
 func (p *process) ready() *process {
 	p.h.t.Helper()
 	for end := time.Now().Add(readyTimeout); ; time.Sleep(5 * time.Millisecond) {
@@ -176,7 +180,7 @@
 const restoredLine = `msg="(?:snapshot restored" when="(at the [a-z]+)" skipped|` +
 	`what the other process learned is taken over" when="(at the [a-z]+)" "passed over")=\[\]`
 
-// ends waits for a process that was told to stop, or has handed over.
+// ends waits for a process that was stopped, or has handed over.
 func (p *process) ends() {
 	p.h.t.Helper()
 	if err := scriptedpeer.Receive(p.h.t, p.ended, "end"); err != nil {
@@ -186,12 +190,14 @@
 
 var ids atomic.Int64
 
+// requestHead returns the head of a request of the class that its path names, with further header lines.
 func requestHead(method, path, more string) string {
 	class, _, _ := strings.Cut(path[1:], "/")
-	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %d\r\nX-Qos: %s\r\n%s\r\n", method, path, ids.Add(1), class, more)
+	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %d\r\nX-Qos: %s\r\n%s\r\n",
+		method, path, ids.Add(1), class, more)
 }
 
-// ask sends a request on a connection and returns the answer's status.
+// exchange sends a request on a connection and returns the status of the response.
 func exchange(c net.Conn, r *bufio.Reader, text string) (int, error) {
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	if _, err := io.WriteString(c, text); err != nil {
@@ -205,84 +211,100 @@
 	return resp.StatusCode, err
 }
 
-func (h *host) requestOnce(method, path, more string) {
+// dial connects to the sidecar as a client. The connection is closed with the test.
+func (h *host) dial() net.Conn {
 	h.t.Helper()
 	c, err := net.Dial("tcp", h.addr)
 	if err != nil {
 		h.t.Fatal(err)
 	}
+	h.t.Cleanup(func() { c.Close() })
+	return c
+}
+
+// endpointRequests returns the number of requests that the endpoints have received.
+func (h *host) endpointRequests() int64 { return h.requests[0].Load() + h.requests[1].Load() }
+
+// requestOnce sends a request on a connection of its own, which must be served.
+func (h *host) requestOnce(method, path, more string) {
+	h.t.Helper()
+	c := h.dial()
 	defer c.Close()
 	if code, err := exchange(c, bufio.NewReader(c), requestHead(method, path, more)); code != 200 {
 		h.t.Fatalf("answered %d, %v", code, err)
 	}
 }
 
-// open has a client whose request is open at an endpoint until h.hold lets it go, and returns where its
-// answer's status comes.
+// openRequest sends a request that is held at an endpoint until h.hold lets it go, and returns the channel for the
+// status of its response.
 func (h *host) openRequest() <-chan int {
 	h.t.Helper()
-	c, err := net.Dial("tcp", h.addr)
-	if err != nil {
-		h.t.Fatal(err)
-	}
-	h.t.Cleanup(func() { c.Close() })
-	before := h.requests[0].Load() + h.requests[1].Load()
+	c := h.dial()
+	before := h.endpointRequests()
 	answered := make(chan int, 1)
 	go func() {
 		code, _ := exchange(c, bufio.NewReader(c), requestHead("POST", "/pay/held", "Content-Length: 0\r\n"))
 		answered <- code
 	}()
-	scriptedpeer.Eventually(h.t, "request at an endpoint", func() bool { return h.requests[0].Load()+h.requests[1].Load() > before })
+	scriptedpeer.Eventually(h.t, "request at an endpoint", func() bool { return h.endpointRequests() > before })
 	return answered
 }
 
-// load has clients ask all the time, each on a connection that it keeps and every fourth time on a new one, until the
-// returned function is called. It returns how many asked, and fails the test for each that was not served.
+// load starts clients that send requests without a pause, each on a new connection for every fourth one, until stop is
+// called, which returns the number of requests. A request that is not served fails the test.
 func (h *host) load(clients int) (stop func() int64) {
-	// A sidecar that knows nothing yet guesses long times, and refuses what comes at once beyond what they allow.
+	h.t.Helper()
+	// Before it has learned response times, a sidecar assumes long ones, and rejects requests that come at once.
 	for range 10 {
 		h.requestOnce("POST", "/pay/1", "Content-Length: 0\r\n")
 	}
 	var done atomic.Bool
-	var asked atomic.Int64
+	var requests atomic.Int64
 	var all sync.WaitGroup
 	for range clients {
 		all.Go(func() {
-			var c net.Conn
-			var r *bufio.Reader
-			for n := 0; !done.Load(); n++ {
-				if n%4 == 0 {
-					if c != nil {
-						if n := r.Buffered(); n != 0 {
-							h.t.Errorf("%d bytes behind an answer", n)
-						}
-						c.Close()
-					}
-					var err error
-					if c, err = net.Dial("tcp", h.addr); err != nil {
-						h.t.Error("at the door:", err)
-						return
-					}
-					r = bufio.NewReader(c)
-				}
-				asked.Add(1)
-				// Unsafe, so that none is given up and asked for elsewhere because the machine is slow.
-				if code, err := exchange(c, r, requestHead("POST", "/pay/1", "Content-Length: 0\r\n")); code != 200 {
-					h.t.Errorf("answered %d, %v", code, err)
+			for !done.Load() {
+				if !h.sendOnNewConn(&done, &requests) {
 					return
 				}
 			}
-			c.Close()
 		})
 	}
 	return func() int64 {
 		done.Store(true)
 		all.Wait()
-		return asked.Load()
+		return requests.Load()
+	}
+}
+
+// sendOnNewConn sends up to four requests on a new connection, until done, and reports whether each was served. There
+// must be nothing behind the last response.
+func (h *host) sendOnNewConn(done *atomic.Bool, requests *atomic.Int64) (served bool) {
+	c, err := net.Dial("tcp", h.addr)
+	if err != nil {
+		h.t.Error("connecting:", err)
+		return false
+	}
+	defer c.Close()
+	r := bufio.NewReader(c)
+	for range 4 {
+		if done.Load() {
+			return true
+		}
+		requests.Add(1)
+		// Unsafe requests, so that none is retried elsewhere because the machine is slow.
+		if code, err := exchange(c, r, requestHead("POST", "/pay/1", "Content-Length: 0\r\n")); code != 200 {
+			h.t.Errorf("answered %d, %v", code, err)
+			return false
+		}
+	}
+	if n := r.Buffered(); n != 0 {
+		h.t.Errorf("%d bytes behind an answer", n)
 	}
+	return true
 }
 
-// actAsPredecessor listens as the process that serves.
+// actAsPredecessor listens for a successor as the process that serves would.
 func (h *host) actAsPredecessor() *takeover.Listener {
 	h.t.Helper()
 	ln, err := takeover.Listen(filepath.Join(h.dir, "dunlinsail.takeover"))
@@ -293,7 +315,8 @@
 	return ln
 }
 
-// connectAsSuccessor connects as a process that wants to take over, and goes so many steps: asked, ready, prepared.
+// connectAsSuccessor connects as a process that wants to take over, and completes a number of steps: Hello, Ready,
+// Prepared.
 func (h *host) connectAsSuccessor(steps int) *takeover.Conn {
 	h.t.Helper()
 	c, err := takeover.Dial(filepath.Join(h.dir, "dunlinsail.takeover"))
--- a/cmd/dunlinsail/size_test.go
+++ b/cmd/dunlinsail/size_test.go
@@ -17,8 +17,8 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// Fifty answers of 32 MB to readers who stop after the first part, in the smallest memory that the platform gives: none is held
-// by the sidecar, and all are read to their ends afterwards.
+// Fifty responses of 32 MB to readers that stop after the first part, in the smallest memory that the platform gives:
+// the sidecar buffers none of them, and all are read to their ends afterwards.
 func TestLargeAnswersInLittleMemory(t *testing.T) {
 	const (
 		answers  = 50
@@ -40,7 +40,8 @@
 		t.Fatal(err)
 	}
 	known := strings.Replace(config, "127.0.0.1:1\",\"lifecycle", large+"\",\"lifecycle", 1)
-	known = strings.Replace(known, `"seed":"1f",`, fmt.Sprintf(`"seed":"1f","limits":{"memory_mb":%d,"sockets":256},`, memoryMB), 1)
+	limits := fmt.Sprintf(`"seed":"1f","limits":{"memory_mb":%d,"sockets":256},`, memoryMB)
+	known = strings.Replace(known, `"seed":"1f",`, limits, 1)
 	if known == config || len(text) == 0 || os.WriteFile(h.config, []byte(known), 0o600) != nil {
 		t.Fatal("no configuration")
 	}
@@ -50,13 +51,13 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	p := h.startAs(program).ready()
-	begun, goOn := make(chan error), make(chan struct{})
+	firstPart, goOn := make(chan error), make(chan struct{})
 	var all sync.WaitGroup
 	for range answers {
 		all.Go(func() {
 			c, err := net.Dial("tcp", h.addr)
 			if err != nil {
-				begun <- err
+				firstPart <- err
 				return
 			}
 			defer c.Close()
@@ -70,7 +71,7 @@
 			if err == nil {
 				_, err = io.CopyN(io.Discard, resp.Body, 64<<10)
 			}
-			if begun <- err; err != nil {
+			if firstPart <- err; err != nil {
 				return
 			}
 			<-goOn
@@ -79,7 +80,7 @@
 			}
 		})
 		// One after the other: so many at once are more than the one endpoint can be expected to answer in time.
-		if err := scriptedpeer.Receive(t, begun, "the first part of an answer"); err != nil {
+		if err := scriptedpeer.Receive(t, firstPart, "the first part of an answer"); err != nil {
 			t.Error(err)
 		}
 	}
--- a/cmd/dunlinsail/upgrade_test.go
+++ b/cmd/dunlinsail/upgrade_test.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -22,9 +21,8 @@
 	"dunlinsail/internal/takeover"
 )
 
-// Three versions follow one another under load: no connection is rejected, a request half sent and one
-// whose answer is waited for are answered, kept connections go on, and an endpoint that is out stays out until
-// it is let in again.
+// Three processes follow one another under load: no connection is rejected, a request that is sent in part and one that
+// is open are answered, connections are kept, and a cordoned endpoint gets no request until its cordon is lifted.
 func TestUpgrades(t *testing.T) {
 	h := newHost(t)
 	hold := make(chan struct{})
@@ -36,22 +34,14 @@
 	if code, text := one.call("POST", "/endpoints/disable", `{"target":"s-9"}`); code != 404 {
 		t.Errorf("an id that nobody has: %d %s", code, text)
 	}
-	time.Sleep(50 * time.Millisecond) // what was on its way has arrived
+	time.Sleep(50 * time.Millisecond) // for requests that were sent before the cordon
 	before := h.requests[0].Load()
 	old := one
 	for range 2 {
-		half, err := net.Dial("tcp", h.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer half.Close()
+		half := h.dial()
 		text := requestHead("GET", "/look/1", "")
 		io.WriteString(half, text[:len(text)/2])
-		held, err := net.Dial("tcp", h.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer held.Close()
+		held := h.dial()
 		at := h.requests[1].Load()
 		answered := make(chan int, 1)
 		go func() {
@@ -79,12 +69,12 @@
 	if n := h.requests[0].Load() - before; n != 0 {
 		t.Errorf("%d requests to the endpoint that was out", n)
 	}
-	var figures string
-	if _, figures = old.call("GET", "/metrics", ""); !strings.Contains(figures, "registry_entries=2\nout_of_rotation=1\n") {
-		t.Errorf("figures:\n%s", figures)
+	_, metrics := old.call("GET", "/metrics", "")
+	if !strings.Contains(metrics, "registry_entries=2\nout_of_rotation=1\n") {
+		t.Errorf("metrics:\n%s", metrics)
 	}
 	old.setCordon("enable", "s-0")
-	scriptedpeer.Eventually(t, "requests to the one that is in again", func() bool { return h.requests[0].Load() > before })
+	scriptedpeer.Eventually(t, "requests to the enabled one", func() bool { return h.requests[0].Load() > before })
 	n := stop()
 	if n < 20 {
 		t.Errorf("%d requests in all", n)
@@ -95,8 +85,8 @@
 	t.Logf("%d requests, each answered once with 200", n)
 }
 
-// The old process stands still, or was killed and its socket is left: the new one serves in time, with what was
-// said by hand.
+// The old process is stopped by SIGSTOP, or was killed and its socket is left: the new one serves in time, with the
+// cordons.
 func TestPredecessorIsLost(t *testing.T) {
 	for _, signal := range []syscall.Signal{syscall.SIGSTOP, syscall.SIGKILL} {
 		t.Run(signal.String(), func(t *testing.T) {
@@ -111,7 +101,7 @@
 			}
 			next := h.start().ready()
 			if signal == syscall.SIGSTOP {
-				old.cmd.Process.Signal(syscall.SIGKILL) // who waits in its hands is lost, whatever we do
+				old.cmd.Process.Signal(syscall.SIGKILL) // its connections are lost in any case
 				<-old.ended
 			}
 			before := h.requests[0].Load()
@@ -119,15 +109,14 @@
 				h.requestOnce("GET", "/look/1", "")
 			}
 			if h.requests[0].Load() != before {
-				t.Error("the endpoint that was out got requests")
+				t.Error("the cordoned endpoint got requests")
 			}
 			next.setCordon("enable", "s-0")
 		})
 	}
 }
 
-// The new process is lost at each step: the old one goes on as if it had never been asked, and the next one
-// takes over.
+// The new process is lost at each step: the old one serves on, and the next one takes over.
 func TestSuccessorIsLost(t *testing.T) {
 	for steps := range 4 {
 		t.Run(fmt.Sprint(steps), func(t *testing.T) {
@@ -135,29 +124,31 @@
 			h := newHost(t)
 			old := h.start().ready()
 			stop := func() int64 { return 0 }
-			if steps < 3 { // from Yours on, connections are in the hands of the one that is lost
+			if steps < 3 { // after Prepared, connections are handed over to the process that is lost
 				stop = h.load(2)
 			}
 			c := h.connectAsSuccessor(steps)
-			old.cmd.Process.Signal(syscall.SIGHUP) // in the middle of it
+			old.cmd.Process.Signal(syscall.SIGHUP) // during the hot restart
 			c.Close()
-			scriptedpeer.Eventually(t, "the old one serves as before", func() bool { code, _ := old.call("GET", "/ready", ""); return code == 200 })
+			scriptedpeer.Eventually(t, "the old one serves as before", func() bool {
+				code, _ := old.call("GET", "/ready", "")
+				return code == 200
+			})
 			h.requestOnce("GET", "/look/1", "")
 			h.start().ready()
 			old.cmd.Process.Signal(syscall.SIGTERM)
 			old.ends()
 			stop()
 			if !regexp.MustCompile("configuration (reloaded|read again)").MatchString(old.log.String()) {
-				t.Error("a SIGHUP was not heard")
+				t.Error("a SIGHUP had no effect")
 			}
 		})
 	}
 }
 
-// The predecessor is told to stop at each step of a handover to one that falls silent there, or is lost as the
-// order comes. What it has taken is answered, and what its clients send whole later is by the time at which the
-// platform kills it: 3 s, the longest that counts, and 0.7 s. The endpoint that has the later one never
-// answers.
+// The predecessor is stopped at each step of a handover to a successor that sends nothing more, or is lost at that
+// moment. Open requests are answered, and one that becomes complete later is answered before the platform kills the
+// process: after 3 s, the longest deadline that counts, and 0.7 s. The endpoint of the later one never answers.
 func TestStopDuringHotRestart(t *testing.T) {
 	for steps := range 4 {
 		for _, lost := range []bool{false, true} {
@@ -168,12 +159,9 @@
 				defer close(hold)
 				h.hold.Store(&hold)
 				old := h.start().ready()
-				half, err := net.Dial("tcp", h.addr)
-				if err != nil {
-					t.Fatal(err)
-				}
-				defer half.Close()
-				io.WriteString(half, requestHead("POST", "/pay/held", "Content-Length: 2\r\nX-Expires-In-Ms: 3000\r\n")+"o")
+				half := h.dial()
+				head := requestHead("POST", "/pay/held", "Content-Length: 2\r\nX-Expires-In-Ms: 3000\r\n")
+				io.WriteString(half, head+"o")
 				answered := h.openRequest()
 				successor := h.connectAsSuccessor(steps)
 				defer successor.Close()
@@ -187,7 +175,7 @@
 					t.Errorf("what was open was answered %d", code)
 				}
 				const killed = 3700 * time.Millisecond
-				time.Sleep(time.Until(stopped.Add(time.Second))) // whole so late, its own time would end at 4 s
+				time.Sleep(time.Until(stopped.Add(time.Second))) // complete so late, its own deadline would be at 4 s
 				code, err := exchange(half, bufio.NewReader(half), "k")
 				if took := time.Since(stopped); code != 504 || took > killed {
 					t.Errorf("what was whole later: %d, %v after %v", code, err, took)
@@ -201,12 +189,11 @@
 	}
 }
 
-// A successor is told to stop at each step before it serves, twice at once: it ends with 0
-// and has served nobody, and the one that serves sees its end. Who serves is scripted, so that the order comes
-// at that step each time.
+// A successor is stopped, twice at once, at each step before it serves: it ends with 0, has served no client, and its
+// predecessor sees its end. The predecessor is scripted, so that the stop comes at that step each time.
 func TestSuccessorStoppedBeforeItServes(t *testing.T) {
-	for steps, heard := range []decide.Event{decide.Hello, decide.Ready, decide.Prepared} {
-		t.Run("after "+heard.String(), func(t *testing.T) {
+	for steps, last := range []decide.Event{decide.Hello, decide.Ready, decide.Prepared} {
+		t.Run("after "+last.String(), func(t *testing.T) {
 			t.Parallel()
 			h := newHost(t)
 			ln := h.actAsPredecessor()
@@ -229,18 +216,14 @@
 					t.Fatal(err)
 				}
 			}
-			client, err := net.Dial("tcp", h.addr)
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer client.Close()
+			client := h.dial()
 			io.WriteString(client, requestHead("GET", "/look/1", ""))
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			p.ends()
 			client.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // what the process has done has come by now
 			if n, err := client.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("a client that waits for whoever serves: %d bytes, %v", n, err)
+				t.Errorf("a client that waits to be accepted: %d bytes, %v", n, err)
 			}
 			if m, err := c.ReadWithin(scriptedpeer.WaitTimeout); err == nil {
 				m.CloseFiles()
@@ -250,8 +233,8 @@
 	}
 }
 
-// A process that has just taken over is told to stop while its predecessor still has an open request: nobody is
-// to go on, the request is answered, and both end.
+// A process that has just taken over is stopped while its predecessor still has an open request: the request is
+// answered, and both end.
 func TestBothProcessesStop(t *testing.T) {
 	h := newHost(t)
 	hold := make(chan struct{})
@@ -268,8 +251,8 @@
 	old.ends()
 }
 
-// What is met is no sidecar, or speaks another version, or garbles what it says, or falls silent at each step:
-// the new process serves in time and does not end for it.
+// A predecessor that has another version of the protocol, sends malformed messages, or sends nothing more at some step:
+// the new process serves in time and does not end.
 func TestPredecessorSendsGarbage(t *testing.T) {
 	for name, answers := range map[string][]takeover.Message{
 		"says nothing":       {},
@@ -282,39 +265,25 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h := newHost(t)
-			words, err := json.Marshal([]cordon.Record{{Name: "s-0", Cordoned: true, At: 1}})
+			cordons, err := json.Marshal([]cordon.Record{{Name: "s-0", Cordoned: true, At: 1}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(filepath.Join(h.dir, "dunlinsail.words"), words, 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(h.dir, "dunlinsail.words"), cordons, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			ln := h.actAsPredecessor()
 			over := make(chan struct{})
-			go func() {
+			go func() { // until the successor closes the connection
 				defer close(over)
-				c, err := ln.Accept()
-				if err != nil {
-					return
-				}
-				defer c.Close()
-				for i := 0; ; i++ {
-					m, err := c.Read()
-					if err != nil {
-						return
-					}
-					m.CloseFiles()
-					if i < len(answers) && answers[i].Kind != decide.Hello {
-						c.Write(answers[i])
-					}
-				}
+				answerSuccessor(ln, answers)
 			}()
 			p := h.start().ready()
 			for range 5 {
 				h.requestOnce("GET", "/look/1", "")
 			}
 			if h.requests[0].Load() != 0 {
-				t.Error("the endpoint that was out got requests")
+				t.Error("the cordoned endpoint got requests")
 			}
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			p.ends()
@@ -323,7 +292,26 @@
 	}
 }
 
-// A word said to either of two processes that are both alive holds in both.
+// answerSuccessor accepts a successor and answers its messages one after another, but for answers of the kind Hello.
+func answerSuccessor(ln *takeover.Listener, answers []takeover.Message) {
+	c, err := ln.Accept()
+	if err != nil {
+		return
+	}
+	defer c.Close()
+	for i := 0; ; i++ {
+		m, err := c.Read()
+		if err != nil {
+			return
+		}
+		m.CloseFiles()
+		if i < len(answers) && answers[i].Kind != decide.Hello {
+			c.Write(answers[i])
+		}
+	}
+}
+
+// A cordon that is set at one of two processes that are both alive is in effect in both.
 func TestCordonsReachBothProcesses(t *testing.T) {
 	h := newHost(t)
 	hold := make(chan struct{})
@@ -351,7 +339,7 @@
 	old.ends()
 }
 
-// What is inherited must be a listening stream socket.
+// The inherited descriptor must be a listening stream socket.
 func TestInheritedSocket(t *testing.T) {
 	h := newHost(t)
 	r, w, err := os.Pipe()
@@ -363,7 +351,8 @@
 	h.ln = r
 	p := h.start()
 	var exit *exec.ExitError
-	if err := scriptedpeer.Receive(t, p.ended, "end"); !errors.As(err, &exit) || !strings.Contains(p.log.String(), "no listening stream socket") {
+	err = scriptedpeer.Receive(t, p.ended, "end")
+	if !errors.As(err, &exit) || !strings.Contains(p.log.String(), "no listening stream socket") {
 		t.Errorf("%v\n%s", err, p.log.String())
 	}
 }
