--- a/cmd/dunlinsaild/golden_test.go
+++ b/cmd/dunlinsaild/golden_test.go
@@ -36,10 +36,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			code, out, errs := ends(t, append(args[:2:2], append([]string{"--config", path}, args[2:]...)...)...)
+			code, out, stderr := ends(t, append(args[:2:2], append([]string{"--config", path}, args[2:]...)...)...)
 			out = strings.ReplaceAll(out, folder, "FOLDER")
-			if code != 0 || errs != "" || out != string(want) {
-				t.Errorf("%v: code %d, errors %q, got\n%s\nwant\n%s", args, code, errs, out, want)
+			if code != 0 || stderr != "" || out != string(want) {
+				t.Errorf("%v: code %d, errors %q, got\n%s\nwant\n%s", args, code, stderr, out, want)
 			}
 		})
 	}
--- a/cmd/dunlinsaild/hot_restart_test.go
+++ b/cmd/dunlinsaild/hot_restart_test.go
@@ -63,7 +63,7 @@
 	return p
 }
 
-// ends waits for a process that has handed over, or was told to end.
+// ends waits for a process that has handed over, or was stopped.
 func (p *served) ends(t *testing.T) {
 	t.Helper()
 	if err := scriptedpeer.Receive(t, p.ended, "end"); err != nil {
@@ -123,7 +123,7 @@
 give_up = "9s"
 `
 	text = strings.Replace(text, `ready_within = "1s"`, `ready_within = "5s"`, 1)
-	addr := strings.Split(strings.Split(text, "name = \"desk\"\naddress = \"")[1], "\"")[0]
+	addr := deskAddress(text)
 	path := write(t, text)
 	current := serveBy(t, programs[0], path)
 	// Long times, so that no request is given up, or retried, because the machine is slow.
@@ -143,12 +143,20 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	reports := make(chan client.Report, 1)
-	load := client.New(client.Options{Name: "load", Network: "tcp", Addr: addr, Workers: 4, Duration: time.Minute, Seed: 3, Classes: classes,
+	load := client.New(client.Options{
+		Name:     "load",
+		Network:  "tcp",
+		Addr:     addr,
+		Workers:  4,
+		Duration: time.Minute,
+		Seed:     3,
+		Classes:  classes,
 		OnDone: func(r client.Result) {
 			if r.Verdict != client.Served {
 				t.Errorf("%s %s: %v, %d, %v", r.Class, r.ID, r.Verdict, r.Status, r.Err)
 			}
-		}})
+		},
+	})
 	go func() { reports <- load.Run(ctx) }()
 	for i := 1; i < 3; i++ {
 		reached := len(ledger.Runs()) + 100
--- a/cmd/dunlinsaild/main_test.go
+++ b/cmd/dunlinsaild/main_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"bytes"
-	"context"
 	"errors"
 	"io"
 	"net"
@@ -39,19 +38,19 @@
 }
 
 // ends runs the program to its end.
-func ends(t *testing.T, args ...string) (code int, out, errs string) {
+func ends(t *testing.T, args ...string) (code int, out, stderr string) {
 	t.Helper()
 	cmd := program(args...)
 	var o, e bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &o, &e
-	// One that does not end is asked where it stands.
+	// A program that does not end prints its goroutines at SIGQUIT.
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	late := time.AfterFunc(scriptedpeer.WaitTimeout, func() { cmd.Process.Signal(syscall.SIGQUIT) })
 	err := cmd.Wait()
 	if !late.Stop() {
-		t.Fatalf("%v did not end; it said %q", args, e.String())
+		t.Fatalf("%v did not end; it printed %q", args, e.String())
 	}
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) {
@@ -60,6 +59,7 @@
 	return cmd.ProcessState.ExitCode(), o.String(), e.String()
 }
 
+// write writes a configuration file and returns its path.
 func write(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "d.toml")
@@ -69,32 +69,45 @@
 	return path
 }
 
-// A mistake in the file or of the caller is told with its place, and the program ends with 2 and starts nothing.
+// A mistake in the file or in the arguments is printed with its place, and the program ends with 2 and starts nothing.
 func TestCheck(t *testing.T) {
-	if code, out, errs := ends(t, "check", "--config", "../../deploy/dunlinsaild.toml"); code != 0 || !strings.Contains(out, "sound") {
-		t.Errorf("the file that ships: %d %q %q", code, out, errs)
+	code, out, stderr := ends(t, "check", "--config", "../../deploy/dunlinsaild.toml")
+	if code != 0 || !strings.Contains(out, "sound") {
+		t.Errorf("the file that ships: %d %q %q", code, out, stderr)
 	}
 	bad := write(t, "[[listener]]\nname = \"desk\"\nadress = \"127.0.0.1:0\"\n")
 	for _, args := range [][]string{{"check", "--config", bad}, {"--config", bad}} {
-		code, _, errs := ends(t, args...)
-		if code != 2 || !strings.Contains(errs, bad+": line 3: listener.adress: is not a known key") {
-			t.Errorf("%v: %d %q", args, code, errs)
+		code, _, stderr := ends(t, args...)
+		if code != 2 || !strings.Contains(stderr, bad+": line 3: listener.adress: is not a known key") {
+			t.Errorf("%v: %d %q", args, code, stderr)
 		}
 	}
-	for _, args := range [][]string{{}, {"--config"}, {"check"}, {"sell"}, {"--config", "x", "y"}, {"--sell"}, {"playground", "x"}} {
-		if code, _, errs := ends(t, args...); code != 2 || errs == "" {
-			t.Errorf("%v: %d %q", args, code, errs)
+	for _, args := range [][]string{
+		{}, {"--config"}, {"check"}, {"sell"}, {"--config", "x", "y"}, {"--sell"}, {"playground", "x"},
+	} {
+		if code, _, stderr := ends(t, args...); code != 2 || stderr == "" {
+			t.Errorf("%v: %d %q", args, code, stderr)
 		}
 	}
-	if code, _, errs := ends(t, "--config", "/nowhere/at/all"); code != 2 || !strings.Contains(errs, "/nowhere/at/all") {
-		t.Errorf("no file: %d %q", code, errs)
+	code, _, stderr = ends(t, "--config", "/nowhere/at/all")
+	if code != 2 || !strings.Contains(stderr, "/nowhere/at/all") {
+		t.Errorf("no file: %d %q", code, stderr)
 	}
-	greedy := write(t, strings.Replace(file(t, "127.0.0.1:1", t.TempDir()), "descriptors = 256", "descriptors = 1000000000", 1))
-	if code, _, errs := ends(t, "--config", greedy); code != 1 || !strings.Contains(errs, "process.descriptors") {
-		t.Errorf("more descriptors than there are: %d %q", code, errs)
+	text := file(t, "127.0.0.1:1", t.TempDir())
+	greedy := write(t, strings.Replace(text, "descriptors = 256", "descriptors = 1000000000", 1))
+	if code, _, stderr := ends(t, "--config", greedy); code != 1 || !strings.Contains(stderr, "process.descriptors") {
+		t.Errorf("more descriptors than there are: %d %q", code, stderr)
 	}
 }
 
+// deskAddress returns the address of the listener desk in a file.
+func deskAddress(file string) string {
+	_, rest, _ := strings.Cut(file, "name = \"desk\"\naddress = \"")
+	address, _, _ := strings.Cut(rest, "\"")
+	return address
+}
+
+// file returns a daemon's file with one client, one class and a takeover socket in dir.
 func file(t *testing.T, discovery, dir string) string {
 	t.Helper()
 	return `
@@ -119,83 +132,98 @@
 `
 }
 
-// A daemon serves on through a successor whose file cannot be read, one that makes no sense, one that does not
-// become ready, and signals; a sound one takes over, and SIGTERM ends it with 0.
-func TestServe(t *testing.T) {
-	e, err := endpoint.Start(endpoint.Options{Name: "s-1"})
+// serveAndWatch starts a daemon and waits until it serves. ended receives its end, and read each reload of its file.
+func serveAndWatch(t *testing.T, path string, read chan<- error) (cmd *exec.Cmd, ended <-chan error) {
+	t.Helper()
+	cmd = program("--config", path, "--announce")
+	log, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer e.Close()
-	r, err := discoveryserver.Start(scripteddiscovery.Up("s-1", e.Addr))
+	out, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Close()
-	dir := t.TempDir()
-	text := file(t, r.Addr, dir)
-	path := write(t, text)
-	addr := strings.Split(strings.Split(text, "name = \"desk\"\naddress = \"")[1], "\"")[0]
-	read := make(chan error, 16) // the file was read again, in whichever process, or could not be
-	serve := func() (*exec.Cmd, <-chan error) {
-		t.Helper()
-		cmd := program("--config", path, "--announce")
-		log, err := cmd.StderrPipe()
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { cmd.Process.Kill() })
+	go func() { // until the end of the log
+		for lines := bufio.NewScanner(log); lines.Scan(); {
+			if strings.Contains(lines.Text(), "configuration ") {
+				read <- nil
+			}
+		}
+	}()
+	announced := make(chan error, 1)
+	go func() {
+		_, err := io.ReadFull(out, make([]byte, len("serving\n")))
+		announced <- err
+	}()
+	if err := scriptedpeer.Receive(t, announced, "a daemon that serves"); err != nil {
+		t.Fatal(err)
+	}
+	end := make(chan error, 1)
+	go func() { end <- cmd.Wait() }()
+	return cmd, end
+}
+
+// checkServes sends requests on a connection that is open already until one is served.
+func checkServes(t *testing.T, conn net.Conn, what string) {
+	t.Helper()
+	r := bufio.NewReader(conn)
+	for end := time.Now().Add(scriptedpeer.WaitTimeout); ; {
+		req, err := http.NewRequest(http.MethodGet, "http://"+conn.RemoteAddr().String()+"/look/1", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		out, err := cmd.StdoutPipe()
+		req.Header.Set("X-Trace-Id", "t1")
+		if err := req.Write(conn); err != nil {
+			t.Fatalf("%s: on a connection that was open: %v", what, err)
+		}
+		resp, err := http.ReadResponse(r, req)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s: on a connection that was open: %v", what, err)
 		}
-		if err := cmd.Start(); err != nil {
-			t.Fatal(err)
+		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
+			t.Fatalf("%s: on a connection that was open: close %v, %v", what, resp.Close, err)
 		}
-		t.Cleanup(func() { cmd.Process.Kill() })
-		go func() {
-			for lines := bufio.NewScanner(log); lines.Scan(); {
-				if strings.Contains(lines.Text(), "configuration ") {
-					read <- nil
-				}
-			}
-		}()
-		said := make(chan error, 1)
-		go func() {
-			_, err := io.ReadFull(out, make([]byte, len("serving\n")))
-			said <- err
-		}()
-		if err := scriptedpeer.Receive(t, said, "a daemon that serves"); err != nil {
-			t.Fatal(err)
+		if resp.StatusCode == 200 {
+			return
 		}
-		ended := make(chan error, 1)
-		go func() { ended <- cmd.Wait() }()
-		return cmd, ended
+		if time.Now().After(end) {
+			t.Fatalf("%s: %s", what, resp.Status)
+		}
+	}
+}
+
+// A daemon serves on while a successor's file cannot be read, is malformed or names a discovery without a list, and
+// through signals. A successor with a valid file takes over, and SIGTERM ends it with 0.
+func TestServe(t *testing.T) {
+	e, err := endpoint.Start(endpoint.Options{Name: "s-1"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer e.Close()
+	r, err := discoveryserver.Start(scripteddiscovery.Up("s-1", e.Addr))
+	if err != nil {
+		t.Fatal(err)
 	}
-	first, ended := serve()
-	nc, err := net.Dial("tcp", addr)
+	defer r.Close()
+	dir := t.TempDir()
+	text := file(t, r.Addr, dir)
+	path := write(t, text)
+	addr := deskAddress(text)
+	read := make(chan error, 16) // receives each reload of the file, successful or not, in any process
+	first, ended := serveAndWatch(t, path, read)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	kept := &http.Client{Transport: &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) { return nc, nil }}}
+	defer conn.Close()
 	serves := func(what string) {
 		t.Helper()
-		for end := time.Now().Add(scriptedpeer.WaitTimeout); ; {
-			req, _ := http.NewRequest("GET", "http://"+addr+"/look/1", nil)
-			req.Header.Set("X-Trace-Id", "t1")
-			resp, err := kept.Do(req)
-			if err != nil {
-				t.Fatalf("%s: on a connection that was open: %v", what, err)
-			}
-			io.Copy(io.Discard, resp.Body)
-			resp.Body.Close()
-			if resp.StatusCode == 200 {
-				return
-			}
-			if time.Now().After(end) {
-				t.Fatalf("%s: %s", what, resp.Status)
-			}
-		}
+		checkServes(t, conn, what)
 	}
 	serves("at first")
 	silent := scripteddiscovery.New(t)
@@ -214,20 +242,20 @@
 		},
 	} {
 		spoil()
-		if code, _, errs := ends(t, "--config", path); code == 0 || errs == "" {
-			t.Errorf("%s: the new process ended with %d, and said %q", what, code, errs)
+		if code, _, stderr := ends(t, "--config", path); code == 0 || stderr == "" {
+			t.Errorf("%s: the new process ended with %d, and said %q", what, code, stderr)
 		}
 		if err := first.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		// Before the next spoils the file: one that has moved to a discovery that is silent hands on what it knows of it.
-		_ = scriptedpeer.Receive(t, read, "a file read again") // refused or not
+		// Before the file changes again: a process that has switched to the silent discovery hands that over.
+		_ = scriptedpeer.Receive(t, read, "a file read again")
 		serves(what)
 	}
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	second, secondEnded := serve()
+	second, secondEnded := serveAndWatch(t, path, read)
 	if err := scriptedpeer.Receive(t, ended, "end of the first"); err != nil {
 		t.Errorf("the first ended with %v", err)
 	}
@@ -240,9 +268,9 @@
 
 // The playground shows requests served, and leaves nothing running.
 func TestPlayground(t *testing.T) {
-	code, out, errs := ends(t, "playground", "--for", "2500ms", "--quiet")
-	if code != 0 || errs != "" {
-		t.Fatalf("%d %q", code, errs)
+	code, out, stderr := ends(t, "playground", "--for", "2500ms", "--quiet")
+	if code != 0 || stderr != "" {
+		t.Fatalf("%d %q", code, stderr)
 	}
 	screens := strings.Split(out, "dunlinsaild playground, ")
 	last := screens[len(screens)-1]
@@ -253,8 +281,8 @@
 	}
 	all := false
 	for line := range strings.Lines(last) {
-		if words := strings.Fields(line); len(words) == 8 && words[0] == "all" {
-			if all = true; words[1] == "0" || words[5] != "0" {
+		if fields := strings.Fields(line); len(fields) == 8 && fields[0] == "all" {
+			if all = true; fields[1] == "0" || fields[5] != "0" {
 				t.Errorf("nothing served, or some lost:\n%s", last)
 			}
 		}
--- a/cmd/dunlinsaild/members_test.go
+++ b/cmd/dunlinsaild/members_test.go
@@ -22,8 +22,8 @@
 	gossipAddress, adminAddress, clientAddress string
 }
 
-// Two fleets on one machine whose files name each other's addresses do not mix: each lends by itself, and what one's instances may
-// let in is no part of the other's. A member that is killed is seen to be gone, and members tells all of it.
+// Two fleets on one machine whose files name each other's addresses stay separate: each allocates its own quota. A
+// member that is killed is seen to be gone, and the command members prints all of it.
 func TestFleets(t *testing.T) {
 	e, err := endpoint.Start(endpoint.Options{Name: "s-1"})
 	if err != nil {
@@ -39,7 +39,11 @@
 	var join []string
 	names := []string{"a", "b", "c", "d"}
 	for _, name := range names {
-		all[name] = &daemonProcess{gossipAddress: scriptedpeer.ClosedAddress(t), adminAddress: scriptedpeer.ClosedAddress(t), clientAddress: scriptedpeer.ClosedAddress(t)}
+		all[name] = &daemonProcess{
+			gossipAddress: scriptedpeer.ClosedAddress(t),
+			adminAddress:  scriptedpeer.ClosedAddress(t),
+			clientAddress: scriptedpeer.ClosedAddress(t),
+		}
 		join = append(join, fmt.Sprintf("%q", all[name].gossipAddress))
 	}
 	for i, name := range names {
@@ -59,7 +63,7 @@
 name = "t"
 limit = 40.0
 [discovery]`, i/2, o.gossipAddress, strings.Join(join, ", "), lender, o.adminAddress), 1)
-		at := strings.Split(strings.Split(text, "name = \"desk\"\naddress = \"")[1], "\"")[0]
+		at := deskAddress(text)
 		o.clientAddress = at
 		text = "name = \"" + name + "\"\n" + text
 		o.cmd = program("--config", write(t, text), "--announce")
@@ -79,9 +83,9 @@
 		}
 	}
 	view := func(name string) (v daemon.View) {
-		code, out, errs := ends(t, "members", "--at", all[name].adminAddress, "--json")
+		code, out, stderr := ends(t, "members", "--at", all[name].adminAddress, "--json")
 		if code != 0 || json.Unmarshal([]byte(out), &v) != nil {
-			t.Fatalf("members of %s: %d %q %q", name, code, out, errs)
+			t.Fatalf("members of %s: %d %q %q", name, code, out, stderr)
 		}
 		return v
 	}
@@ -96,18 +100,21 @@
 	for i, name := range names {
 		lender := names[i/2*2]
 		scriptedpeer.Eventually(t, name+" is lent nothing", func() bool {
-			v := view(name)
-			return v.Fleet.Allocator == lender && v.Fleet.LeaseRemaining > 0 && len(v.Fleet.Budgets) == 1 && v.Fleet.Budgets[0].Allowed > 2
+			f := view(name).Fleet
+			return f.Allocator == lender && f.LeaseRemaining > 0 && len(f.Budgets) == 1 && f.Budgets[0].Allowed > 2
 		})
 		if s := alive(name); s != "ab" && s != "cd" || !strings.Contains(s, name) {
 			t.Errorf("%s sees %q", name, s)
 		}
 	}
-	if code, out, _ := ends(t, "members", "--at", all["a"].adminAddress); code != 0 || !strings.Contains(out, "a lends") || !strings.Contains(out, "tenant/t") || !strings.Contains(out, "It has lent") {
+	code, out, _ := ends(t, "members", "--at", all["a"].adminAddress)
+	if code != 0 || !strings.Contains(out, "a lends") || !strings.Contains(out, "tenant/t") ||
+		!strings.Contains(out, "It has lent") {
 		t.Errorf("%d %q", code, out)
 	}
-	// All ask for far more than the limits at once: each fleet lets in what it may, and says when to return of the rest.
-	let := map[int]int{}
+	// Far more requests than the limits at once: each fleet admits its own quota, and rejects the others with
+	// Retry-After.
+	admitted := map[int]int{}
 	for i, name := range names {
 		for k := range 60 {
 			q, _ := http.NewRequest(http.MethodGet, "http://"+all[name].clientAddress+"/look/x", nil)
@@ -120,15 +127,15 @@
 			resp.Body.Close()
 			switch {
 			case resp.StatusCode == http.StatusOK:
-				let[i/2]++
+				admitted[i/2]++
 			case resp.StatusCode != http.StatusTooManyRequests || resp.Header.Get("Retry-After") == "":
 				t.Fatalf("%d %v", resp.StatusCode, resp.Header)
 			}
 		}
 	}
 	for i := range 2 {
-		if let[i] < 10 {
-			t.Errorf("fleet %d lets in %d", i, let[i])
+		if admitted[i] < 10 {
+			t.Errorf("fleet %d lets in %d", i, admitted[i])
 		}
 	}
 	if resp, err := http.Get("http://" + all["b"].adminAddress + "/metrics"); err != nil {
@@ -146,7 +153,7 @@
 	}
 	all["b"].cmd.Process.Kill()
 	scriptedpeer.Eventually(t, "nobody sees that b is gone", func() bool { return alive("a") == "a" })
-	if code, _, errs := ends(t, "members", "--at", scriptedpeer.ClosedAddress(t)); code != 1 || errs == "" {
-		t.Errorf("nobody there: %d %q", code, errs)
+	if code, _, stderr := ends(t, "members", "--at", scriptedpeer.ClosedAddress(t)); code != 1 || stderr == "" {
+		t.Errorf("nobody there: %d %q", code, stderr)
 	}
 }
