--- a/cmd/dunlinsail-experiment/faults.go
+++ b/cmd/dunlinsail-experiment/faults.go
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// setDefaults names the scenarios and programs where the call has none: the overload scenarios, and both programs beside
-// this one.
+// setDefaults names the scenarios and programs where the call has none: the overload scenarios, and both programs
+// beside this one.
 func (c *faultsCmd) setDefaults() error {
 	if len(c.Scenarios) == 0 {
 		for _, name := range library.Names() {
--- a/internal/playground/config.go
+++ b/internal/playground/config.go
@@ -10,7 +10,8 @@
 func (p *playground) configPath() string { return filepath.Join(p.dir, "playground.toml") }
 
 // routeFormat is a route of the configuration; its arguments are the path's first segment, the pool and the class.
-const routeFormat = "[[route]]\npath = \"/%s/*\"\npool = %q\nclass = %q\ntenant = \"header:X-Customer\"\n" +
+const routeFormat = "[[route]]\npath = \"/%s/*\"\npool = %q\nclass = %q\n" +
+	"tenant = \"header:X-Customer\"\n" +
 	"key = \"header:Idempotency-Key\"\nid = \"header:X-Trace-Id\"\ndeadline = \"header:X-Expires-In-Ms\"\n"
 
 // configFormat is the daemon's configuration. Its arguments are the discovery's address, the endpoints of the pool files,
--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -345,6 +345,14 @@
 	}
 }
 
+// waitUntil returns at the instant end, or when the context is done.
+func waitUntil(ctx context.Context, end time.Time) {
+	select {
+	case <-time.After(time.Until(end)):
+	case <-ctx.Done():
+	}
+}
+
 // A dial can outlast the window in which a request with an idempotency key may be retried. The second attempt is not
 // sent then, and the request fails, because the first may have run. Within the window the second attempt is sent.
 func TestDialOutlastsWindow(t *testing.T) {
@@ -373,17 +381,15 @@
 				io.WriteString(c, okAnswer)
 			}
 			var dials atomic.Int32
-			cfg := configureStatic(t, instances(scriptedpeer.StartTCP(t, handle), scriptedpeer.StartTCP(t, handle)))
-			s := startDialing(t, cfg, func(ctx context.Context, network, addr string) (net.Conn, error) {
+			dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 				if dials.Add(1) == 2 && tc.late && err == nil {
-					select { // a slow handshake
-					case <-time.After(time.Until((<-first).Add(window))):
-					case <-ctx.Done():
-					}
+					waitUntil(ctx, (<-first).Add(window)) // a slow handshake
 				}
 				return c, err
-			})
+			}
+			cfg := configureStatic(t, instances(scriptedpeer.StartTCP(t, handle), scriptedpeer.StartTCP(t, handle)))
+			s := startDialing(t, cfg, dial)
 			resp, _ := s.request(t, request("POST", "/book", "book", 900, "x"))
 			if resp.StatusCode != tc.wantStatus || attempts.Load() != tc.wantAttempts {
 				t.Errorf("%s, %d attempts reached endpoints; want %d and %d",
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -143,7 +143,8 @@
 	return s, t.err
 }
 
-// checkUnused checks the settings of the protocol that no decision uses, so that a wrong value is an error all the same.
+// checkUnused checks the settings of the protocol that no decision uses, so that a wrong value is an error all the
+// same.
 func (t *settingsText) checkUnused() {
 	t.flag("limits.may-tell")
 	for _, key := range [...]string{"tick", "contract.answer-slack"} {
