--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -96,16 +96,16 @@
 	// MaxBody is the largest request body, beyond which the status is 413; 0, the default, is no bound.
 	MaxBody stricttoml.Size `toml:"body_most"`
 
-	// MaxBufferedBody is the largest request body that is buffered and can be sent again: default 64KiB, up to 1MiB. Larger
-	// ones are streamed.
+	// MaxBufferedBody is the largest request body that is buffered and can be sent again: default 64KiB, up to 1MiB.
+	// Larger ones are streamed.
 	MaxBufferedBody stricttoml.Size `toml:"body_hold"`
 
 	// MaxResponse is the largest response body, beyond which it is aborted: at least MaxBufferedResponse; 0, the
 	// default, is no bound.
 	MaxResponse stricttoml.Size `toml:"answer_most"`
 
-	// MaxBufferedResponse is the largest response body that is buffered, so that another endpoint's can replace it: default
-	// 64KiB, up to 1MiB. Larger ones are streamed.
+	// MaxBufferedResponse is the largest response body that is buffered, so that another endpoint's can replace it:
+	// default 64KiB, up to 1MiB. Larger ones are streamed.
 	MaxBufferedResponse stricttoml.Size `toml:"answer_hold"`
 
 	// IdleTimeout is how long a streamed body may pause: default 30s, up to TotalTimeout.
--- a/internal/config/validate_routes.go
+++ b/internal/config/validate_routes.go
@@ -195,7 +195,10 @@
 // routeLimits validates the limits of a route.
 func (v *validator) routeLimits(r *Route, at func(string) string) {
 	v.Require(r.MaxAttempts >= 0, at("tries"), "%d is negative", r.MaxAttempts)
-	for key, size := range map[string]stricttoml.Size{"body_hold": r.MaxBufferedBody, "answer_hold": r.MaxBufferedResponse} {
+	for key, size := range map[string]stricttoml.Size{
+		"body_hold":   r.MaxBufferedBody,
+		"answer_hold": r.MaxBufferedResponse,
+	} {
 		v.Require(size.Bytes <= maxBufferedBytes, at(key), "over 1MiB: what is larger streams")
 	}
 	v.Require(r.MaxResponse.Bytes == 0 || r.MaxResponse.Bytes >= r.MaxBufferedResponse.Bytes, at("answer_most"),
