--- a/internal/daemon/generations_test.go
+++ b/internal/daemon/generations_test.go
@@ -70,9 +70,15 @@
 	if s := last.core.Snapshot().Pools[0]; len(s.Learned.Endpoints) != 3 || s.Learned.Endpoints[0].RTT.Samples < 2 {
 		t.Errorf("what the last knows: %+v", s.Learned)
 	}
-	scriptedpeer.Eventually(t, "the ends of those before", func() bool {
+	d.awaitOneGeneration(t)
+}
+
+// awaitOneGeneration waits until all generations but the latest have ended.
+func (r *running) awaitOneGeneration(t *testing.T) {
+	t.Helper()
+	scriptedpeer.Eventually(t, "the end of earlier generations", func() bool {
 		running := make(chan int, 1)
-		d.process.post(func() { running <- d.process.running })
+		r.process.post(func() { running <- r.process.running })
 		return scriptedpeer.Receive(t, running, "number of generations") == 1
 	})
 }
