--- a/internal/decide/overload/bounds.go
+++ b/internal/decide/overload/bounds.go
@@ -32,7 +32,7 @@
 	FloorQueueWaitFraction float64
 	FloorRatio             float64
 
-	RetryAllowed bool    // one more retry or hedged request may be sent
+	RetryAllowed bool    // one more retry may be sent without a lease
 	ProbeRate    float64 // probes a second within the budget
 
 	// ForcedAdmitInterval is the time between requests of a class that are admitted against its limit, so that new
@@ -44,7 +44,8 @@
 	Reason        Reason  // why the retry budget is reduced
 }
 
-// Bounds returns the bounds in force. Its slices belong to the controller and are valid until its next event.
+// Bounds brings the bounds up to date, and returns them: it sets the retry ratio and, at the start of a second, the
+// second's budgets. Its slices belong to the controller and are valid until its next event.
 func (c *Controller) Bounds(now monotime.Micros) Bounds {
 	b := Bounds{
 		Level:                  c.level.value,
--- a/internal/decide/overload/controller.go
+++ b/internal/decide/overload/controller.go
@@ -90,8 +90,8 @@
 // SetEndpointCount sets how many endpoints the instance shares with the others.
 func (c *Controller) SetEndpointCount(n int) { c.endpoints = n }
 
-// OnRequest takes in a client's request. A client's retry adds no demand. The tenant is an index in the settings, or
-// negative for one that they do not have.
+// OnRequest takes in a client's request, which may raise the level. A client's retry adds no demand. The tenant is an
+// index in the settings, or negative for one that they do not have.
 func (c *Controller) OnRequest(now monotime.Micros, class, tenant int, clientRetry bool) {
 	if class < 0 || class >= len(c.classDemand) {
 		return
@@ -107,7 +107,8 @@
 	}
 }
 
-// OnAttemptSent takes in an attempt that was sent; first is set for the first one of its request.
+// OnAttemptSent takes in an attempt that was sent. The first one of its request counts as admitted work, each further
+// one against the retry budget.
 func (c *Controller) OnAttemptSent(now monotime.Micros, class int, first bool) {
 	if !first {
 		c.retries.sent.add(now)
@@ -118,7 +119,7 @@
 }
 
 // OnRejected takes in a request that was rejected before anything of it was sent: by the bounds, or, if
-// afterAdmission is set, by the balancer after the bounds had admitted it.
+// afterAdmission is set, by the balancer after the bounds had admitted it. The latter lowers the level.
 func (c *Controller) OnRejected(now monotime.Micros, class int, afterAdmission bool) {
 	if class >= 0 && class < len(c.answerTimes) {
 		c.workOffered.add(now, c.requestCost(class))
--- a/internal/decide/overload/retries.go
+++ b/internal/decide/overload/retries.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// RetryAllowed decides whether one more retry or hedged request is within the budget that the instance has without a
+// RetryAllowed decides whether one more retry is within the budget that the instance has without a
 // lease. Within any second that is the retry ratio of the first attempts accepted in the last second (retryLimit), both
 // as of the second's beginning and as of now.
 func (c *Controller) RetryAllowed(now monotime.Micros) bool {
--- a/internal/decide/overload/settings.go
+++ b/internal/decide/overload/settings.go
@@ -38,14 +38,14 @@
 	Instances       int // number of instances in the fleet as far as known, this one included
 	Seed            uint64
 
-	// RetryRatio bounds retries and hedged requests within any second, as a ratio of the first attempts accepted in it.
+	// RetryRatio bounds retries within any second, as a ratio of the first attempts accepted in it.
 	// OverloadedRetryRatio takes its place while work is shed or many attempts fail.
 	RetryRatio           float64
 	OverloadedRetryRatio float64
 
 	ProbeRatio           float64 // probes for each accepted first attempt
 	MaxEndpointProbeRate float64 // greatest rate of all instances' probes at one endpoint, a second; 0 is no bound
-	MinEndpointProbeRate float64 // the same that is allowed in any case, so that an endpoint that recovers is found
+	MinEndpointProbeRate float64 // least rate of all instances' probes at one endpoint, allowed in any case
 }
 
 // The defaults of the budgets.
--- a/internal/decide/overload/shared_level.go
+++ b/internal/decide/overload/shared_level.go
@@ -20,7 +20,8 @@
 }
 
 // Update decides the level by all instances' requests since the last update and the failed ones among them, and returns
-// it. load is as in Bounds.Load. The level rises and falls as admissionLevel does, by the time since the last update.
+// it. load is as in Bounds.Load. The level rises as admissionLevel does, and falls by sharedDecreasePerSecond times the
+// failed part of the requests, both by the time since the last update.
 func (l *SharedLevel) Update(now monotime.Micros, requests, failed, load float64) float64 {
 	seconds := min(1, float64(max(0, now-l.updatedAt))/float64(second))
 	l.updatedAt = now
@@ -51,7 +52,8 @@
 	sharedLoadWeight = 0.5        // weight of the shared load; the rest is that of the local one
 )
 
-// ApplySharedLevel sets the level of all instances together (SharedLevel), and the load that they observe. The shared
+// ApplySharedLevel sets the level of all instances together (SharedLevel), and moves the load towards the one that they
+// observe by sharedLoadWeight. The shared
 // level is in force for sharedLevelTTL; without a further call the instance then controls a level of its own again.
 // Values out of range are ignored.
 func (c *Controller) ApplySharedLevel(now monotime.Micros, level, load float64) {
--- a/internal/decide/quota/messages.go
+++ b/internal/decide/quota/messages.go
@@ -25,7 +25,7 @@
 type Demand struct {
 	Budget      string  `cbor:"Budget"`
 	Requested   float64 `cbor:"Asked"` // units a second that it would spend if they were available
-	Used        float64 `cbor:"Used"`  // units a second that it spent within the last second
+	Used        float64 `cbor:"Used"`  // units a second that it spent (recentRate)
 	Held        int     `cbor:"Holds"` // units of the lease in force
 	Contributed float64 `cbor:"Earns"` // units a second that it adds to a budget that lessees contribute to
 }
--- a/internal/decide/rollout/apply.go
+++ b/internal/decide/rollout/apply.go
@@ -30,7 +30,8 @@
 		return append(commands, m.abandonCandidate(now)...)
 	}
 	m.phase = PhaseApplying
-	// The attempt is stored before it is made, so that it counts if the process ends.
+	// The attempt is recorded before it is made, so that it counts if the process ends. The write is not waited for: a
+	// process that ends before it is done is not counted.
 	m.persistent.recordAttempt(&v)
 	commands := m.persist()
 	return append(commands, Command{
--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -173,8 +173,8 @@
 	p.concurrency.AddSample(now, class, took, c.inFlightAtAdmission, limited)
 }
 
-// Counts returns how many of the pool's requests are queued and in flight, and the learned bound of those in flight,
-// 0 if the bound is not learned.
+// Counts returns how many of the pool's requests are queued and in flight, and the learned limit of those in flight,
+// lowered while a measurement runs; 0 if the limit is not learned.
 func (p *Pool) Counts() (queued, inFlight, maxInFlight int) {
 	queued, inFlight = p.queue.Counts()
 	if p.concurrency != nil {
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -22,7 +22,7 @@
 // The verdicts.
 const (
 	Served      Verdict = iota
-	Rejected            // nothing of it had an effect: a retry is harmless
+	Rejected            // a retry is harmless: nothing of it ran, or running it again has no second effect
 	RateLimited         // as Rejected, because its client or tenant is over its rate limit
 	Failed              // the request may have had an effect
 	TimedOut            // as Failed, and the last attempt timed out
--- a/internal/engine/coordination.go
+++ b/internal/engine/coordination.go
@@ -26,7 +26,7 @@
 type CoordinationScope struct {
 	Retries            bool // retries beyond the instance's own reserve have a fleet budget. Needs overload control
 	Probes             bool // probes beyond the instance's own reserve have a fleet budget. Needs overload control
-	TenantLimits       bool // tenants' request rates; not used by the engine, which goes by the settings' limits
+	TenantLimits       bool // has no effect: tenants' limits are coordinated wherever the settings have them
 	OverloadLevel      bool // the admission level under overload
 	SuspectedEndpoints bool // which endpoints to avoid, by the failures that all instances have observed
 }
--- a/internal/engine/cordon.go
+++ b/internal/engine/cordon.go
@@ -7,8 +7,9 @@
 )
 
 // SetCordon cordons an endpoint in all pools that list it: it gets no new requests. With cordoned false it uncordons
-// it. The instant at is on the clock of cordons, which all processes that exchange them share. It returns the record
-// of the change; known is false, and nothing is changed, for a name that no pool lists and that is not cordoned.
+// it: it starts a warm-up, unless the maintenance plan excludes it still. The instant at is on the clock of cordons,
+// which all processes that exchange them share. It returns the record of the change; known is false, and nothing is
+// changed, for a name that no pool lists and that is not cordoned.
 func (x *Engine) SetCordon(now monotime.Micros, name string, cordoned bool, at monotime.Micros) (
 	entry cordon.Record, known bool) {
 	for _, p := range x.pools {
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -54,7 +54,8 @@
 // unknownIndex stands for a zone or kind that the settings do not name.
 const unknownIndex = 255
 
-// UpdateEndpoints applies an update of the endpoint list. One that is older than the current list is ignored.
+// UpdateEndpoints applies an update of the endpoint list. One that is older than the current list is ignored, unless it
+// comes from a new source.
 func (p *Pool) UpdateEndpoints(now monotime.Micros, update EndpointUpdate) {
 	if p.dissolved {
 		return
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -61,7 +61,8 @@
 func (x *Engine) Pools() int { return len(x.pools) }
 
 // Submit accepts a client's request. Its final response comes by Host.Respond: at once if its ID is that of an open
-// request of its client (DuplicateID), or if its pool is closed (Rejected).
+// request of its client (DuplicateID), if its pool is closed, if its tenant is over its limit, or if overload control
+// or the queue rejects it; otherwise in a later call.
 func (x *Engine) Submit(now monotime.Micros, c *Call) {
 	x.now = now
 	switch {
@@ -110,9 +111,10 @@
 	x.dispatchQueued(now)
 }
 
-// ResponseStarted reports that a response has started that is too large to be buffered; r.At is the instant of its
-// start. If it returns true, the response is the client's, and no deadline applies to the attempt any more; the host
-// reports its end to AttemptEnded. If it returns false, the request has a response already, and this one is dropped.
+// ResponseStarted reports that a response has started that is too large to be buffered; r.ObservedAt is the instant of
+// its start. If it returns true, the response is the client's, and no deadline applies to the attempt any more; the
+// host reports its end to AttemptEnded. If it returns false, the request has a response already, and this one is
+// dropped.
 func (x *Engine) ResponseStarted(now monotime.Micros, a *Attempt, r AttemptResult) bool {
 	x.now = now
 	accepted := x.startResponse(now, a, r)
--- a/internal/engine/maintenance.go
+++ b/internal/engine/maintenance.go
@@ -12,7 +12,7 @@
 type MaintenancePlan struct {
 	// AwaitingPlan is set as long as no plan is known: nothing is sent to any endpoint.
 	AwaitingPlan bool `json:"Wait"`
-	// Excluded are endpoints that get no new requests. One that is admitted again has restarted.
+	// Excluded are endpoints that get no new requests. One that is admitted again counts as restarted.
 	Excluded []string `json:"Stop"`
 	// Announced are endpoints that are excluded next. They get no new requests from LeaseEnd on.
 	Announced []string `json:"Ahead"`
--- a/internal/engine/restore.go
+++ b/internal/engine/restore.go
@@ -10,7 +10,8 @@
 
 // Restore takes over the snapshot that another engine made an age ago, and returns descriptions of the parts that were
 // skipped. The engine should have no open requests. A pool takes over from the one of its name, if both have their
-// endpoint lists from the same source; the list itself is applied if it is not older than the pool's own.
+// endpoint lists from the same source; the list itself is applied if it is not older than the pool's own, and never to
+// a pool whose list is static.
 func (x *Engine) Restore(now, age monotime.Micros, s *Snapshot) (skipped []string) {
 	x.now = now
 	x.RestoreCoordination(now, age, s.Fleet)
--- a/internal/engine/statistics.go
+++ b/internal/engine/statistics.go
@@ -9,7 +9,7 @@
 // Statistics are figures of an engine at one instant.
 type Statistics struct {
 	ListedEndpoints  int // in the lists of all pools
-	AvoidedEndpoints int // of these, those that get no requests at present: cordoned, draining or ejected
+	AvoidedEndpoints int // of these, those that balancer.ShouldAvoid names: cordoned, paused or ejected
 
 	// Of overload control (package overload).
 	OverloadControlled bool    // a pool has it
