--- a/cmd/dunlinsaild/config.go
+++ b/cmd/dunlinsaild/config.go
@@ -89,7 +89,8 @@
 	}
 	text, err := os.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("%q is neither good, before, file, a version that is kept, nor a file of resources", name)
+		return nil, fmt.Errorf("%q is neither good, before, file, a version that is kept,"+
+			" nor a file of resources", name)
 	}
 	if err != nil {
 		return nil, err
