--- /dev/null
+++ b/internal/daemon/rollout_fleet_test.go
@@ -0,0 +1,130 @@
+package daemon
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"dunlinsail/internal/config"
+	"dunlinsail/internal/fake/client"
+	"dunlinsail/internal/fake/endpoint"
+	"dunlinsail/internal/fake/scriptedpeer"
+	"dunlinsail/internal/fake/xdsserver"
+)
+
+// fleetResult is the outcome of the requests to twenty instances.
+type fleetResult struct {
+	served, scheduled, failed int
+	longestGap                time.Duration // between two responses to one client
+}
+
+// runFleet has twenty instances serve under load while changes runs, which may send versions by the control plane.
+func runFleet(t *testing.T, changes func(s *xdsserver.Server, nodes []string)) fleetResult {
+	t.Helper()
+	w := newTestFleet(t, 6, endpoint.Options{
+		ServiceTime: map[string]time.Duration{"": 2 * time.Millisecond},
+		Spread:      0.5,
+	})
+	s := w.withControlPlane(t)
+	var nodes []string
+	var all []*running
+	var ends []func() client.Report
+	for i := range 20 {
+		node := fmt.Sprintf("i-%02d", i)
+		nodes = append(nodes, node)
+		addr := freeAddr(t)
+		edits := append(w.managed(addr, node, `trial = "1s"`, `trial = "3s"`),
+			"takeover.sock", node+"-takeover.sock", "clients.sock", node+"-clients.sock",
+			"[fleet]", fmt.Sprintf("[fleet]\ninstances = 20\nposition = %d", i))
+		all = append(all, start(t, w.config(t, edits...)))
+		ends = append(ends, steady(t, node, addr, 12))
+	}
+	scriptedpeer.Eventually(t, "the streams", func() bool { return s.OpenStreams() == 20 })
+	changes(s, nodes)
+	var result fleetResult
+	for _, end := range ends {
+		r := end()
+		result.scheduled += r.Scheduled
+		result.served += r.ByVerdict[client.Served]
+		result.failed += r.ByVerdict[client.Failed]
+		result.longestGap = max(result.longestGap, r.LongestGap)
+	}
+	checkRuns(t, w.ledger.Runs())
+	for _, d := range all {
+		d.stop()
+	}
+	return result
+}
+
+// invalidVersions are versions that every instance rejects, and the start of its answer.
+var invalidVersions = []struct {
+	resources []config.Resource
+	answer    string
+}{
+	{maxAttemptsResource(-1), "refused: attempts: most: -1: must be at least 1"},
+	{
+		[]config.Resource{{Kind: "class", Name: "look",
+			Fields: map[string]any{"repeat": "safe", "aim": "2s", "give_up": "1s"}}},
+		"refused: class/look: give_up: 1s is under aim, 2s",
+	},
+	{
+		append(maxAttemptsResource(3),
+			config.Resource{Kind: "tenant", Name: "acme", Fields: map[string]any{"alowance": 1.0}}),
+		"refused: tenant/acme: alowance: is not a known key",
+	},
+}
+
+// harmfulVersion is a valid version under which most requests are rejected.
+var harmfulVersion = append(maxAttemptsResource(3),
+	table("requests", map[string]any{"open": 1.0, "in_flight": 1.0}),
+	clientResource("each", map[string]any{"per_process": true}),
+	clientResource("desk", map[string]any{"requests_per_second": 2.0, "burst": 1.0}))
+
+// sendVersions sends versions of some kinds one after another, each when the one before has its answers. A harmful one
+// goes to the first node only.
+func sendVersions(t *testing.T, s *xdsserver.Server, nodes, kinds []string) {
+	t.Helper()
+	invalid := invalidVersions
+	for n, kind := range kinds {
+		version := fmt.Sprint("e/", n+1)
+		switch kind {
+		case "good":
+			set(t, s, version, maxAttemptsResource(float64(2+n%3)), nil)
+			awaitAnswers(t, s, version, "good", nodes)
+		case "broken":
+			set(t, s, version, invalid[0].resources, nil)
+			awaitAnswers(t, s, version, invalid[0].answer, nodes)
+			invalid = invalid[1:]
+		case "harmful":
+			if err := s.SetResourcesForNodes(version, harmfulVersion, nodes[:1]...); err != nil {
+				t.Fatal(err)
+			}
+			awaitAnswers(t, s, version, "refused: worse by service", nodes[:1])
+			if len(s.Answers(nodes[1], version)) > 0 {
+				t.Error("the harmful version was sent to another node, too")
+			}
+		}
+	}
+}
+
+// Twenty instances under load get good, invalid and harmful versions in a seeded order, a harmful one at one instance
+// only. Invalid ones are rejected by all, the harmful one is rolled back by its instance, and as many requests are
+// served as without any version.
+func TestTwentyInstances(t *testing.T) {
+	kinds := []string{"good", "broken", "good", "harmful", "broken", "good", "broken"}
+	rand.New(rand.NewPCG(5, 5)).Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
+	t.Log(kinds)
+	started := time.Now()
+	with := runFleet(t, func(s *xdsserver.Server, nodes []string) { sendVersions(t, s, nodes, kinds) })
+	length := time.Since(started)
+	without := runFleet(t, func(*xdsserver.Server, []string) { time.Sleep(length) })
+	t.Logf("%v: with versions %d of %d served, longest gap %v; without %d of %d, %v", length,
+		with.served, with.scheduled, with.longestGap, without.served, without.scheduled, without.longestGap)
+	servedWith := float64(with.served) / float64(with.scheduled)
+	servedWithout := float64(without.served) / float64(without.scheduled)
+	if servedWith < servedWithout-0.01 || with.failed > without.failed+2 {
+		t.Errorf("served %.4f with versions, %.4f without; %d failed, %d without",
+			servedWith, servedWithout, with.failed, without.failed)
+	}
+}
