--- a/internal/decide/fairqueue/scheduler.go
+++ b/internal/decide/fairqueue/scheduler.go
@@ -61,9 +61,8 @@
 func (x *Scheduler) Counts() (waiting, inFlight int) { return x.expiry.Len(), x.inFlight }
 
 // Enqueue takes in a request of a client, whose ID must not be that of an open request. It is rejected if its client or
-// the shared limit allows no more (overLimit), or if it is estimated to wait past its latest start. Next
-// returns that decision, or the one to admit it. The client spends a token of its rate for each request that is not
-// rejected here.
+// the shared limit allows no more (overLimit), or if it is estimated to wait past its latest start. Next returns that
+// decision, or the one to admit it. The client spends a token of its rate for each request that is not rejected here.
 func (x *Scheduler) Enqueue(now monotime.Micros, client *Client, r Request) {
 	flow := x.flowOf(client)
 	if reason, retryAfter := x.overLimit(now, flow); reason != None {
