--- a/internal/decide/concurrency/limiter.go
+++ b/internal/decide/concurrency/limiter.go
@@ -125,10 +125,14 @@
 // The thresholds of adjust, in waiting requests: a constant part and a part of the limit. At endpoints that are busy
 // for seven tenths of the time, which is healthy, about as many requests wait by chance as the defaults allow.
 const (
-	growWaiting            = 0.4       // requests, added to GrowThreshold of the limit
-	shrinkWaiting          = 0.8       // requests, added to ShrinkThreshold of the limit
-	defaultGrowThreshold   = 1.0 / 4   // of the limit
-	defaultShrinkThreshold = 1.0 / 2.5 // of the limit
+	growWaiting   = 0.4 // requests, added to GrowThreshold of the limit
+	shrinkWaiting = 0.8 // requests, added to ShrinkThreshold of the limit
+)
+
+// The default thresholds, as parts of the limit.
+const (
+	defaultGrowThreshold   = 1.0 / 4
+	defaultShrinkThreshold = 1.0 / 2.5
 )
 
 // The steps of adjust.
