--- a/cmd/dunlinsail/size_test.go
+++ b/cmd/dunlinsail/size_test.go
@@ -17,6 +17,71 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
+// firstPartSize is how much of a large response a reader reads before it stops.
+const firstPartSize = 64 << 10
+
+// largeResponse is a response of which the first part has been read.
+type largeResponse struct {
+	conn     net.Conn
+	response *http.Response
+}
+
+// openLargeResponse sends a request, and reads the first part of its response.
+func openLargeResponse(addr string) (*largeResponse, error) {
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	c.SetDeadline(time.Now().Add(time.Minute))
+	io.WriteString(c, requestHead("GET", "/look/1", "X-Expires-In-Ms: 1000\r\n"))
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err == nil && resp.StatusCode != 200 {
+		err = fmt.Errorf("answered %s", resp.Status)
+	}
+	if err == nil {
+		_, err = io.CopyN(io.Discard, resp.Body, firstPartSize)
+	}
+	if err != nil {
+		c.Close()
+		return nil, err
+	}
+	return &largeResponse{conn: c, response: resp}, nil
+}
+
+// readRest reads the response to its end, and returns how many bytes that were.
+func (r *largeResponse) readRest() (int64, error) {
+	defer r.conn.Close()
+	return io.Copy(io.Discard, r.response.Body)
+}
+
+// startLargeServer starts a server that answers each request with a number of bytes, and returns its address.
+func startLargeServer(t *testing.T, size int) string {
+	t.Helper()
+	part := make([]byte, firstPartSize)
+	return scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("Content-Length", fmt.Sprint(size))
+		for range size / len(part) {
+			if _, err := w.Write(part); err != nil {
+				return
+			}
+		}
+	})
+}
+
+// peakMemoryKB returns the most that a process has had resident, in kB.
+func peakMemoryKB(t *testing.T, pid int) (peak int) {
+	t.Helper()
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, after, _ := strings.Cut(string(status), "VmHWM:")
+	if _, err := fmt.Sscan(after, &peak); err != nil {
+		t.Fatal(err)
+	}
+	return peak
+}
+
 // Fifty responses of 32 MB to readers that stop after the first part, in the smallest memory that the platform gives:
 // the sidecar buffers none of them, and all are read to their ends afterwards.
 func TestLargeAnswersInLittleMemory(t *testing.T) {
@@ -25,15 +90,7 @@
 		size     = 32 << 20
 		memoryMB = 32
 	)
-	part := make([]byte, 64<<10)
-	large := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Length", fmt.Sprint(size))
-		for range size / len(part) {
-			if _, err := w.Write(part); err != nil {
-				return
-			}
-		}
-	})
+	large := startLargeServer(t, size)
 	h := newHost(t)
 	text, err := os.ReadFile(h.config)
 	if err != nil {
@@ -55,27 +112,12 @@
 	var all sync.WaitGroup
 	for range answers {
 		all.Go(func() {
-			c, err := net.Dial("tcp", h.addr)
-			if err != nil {
-				firstPart <- err
-				return
-			}
-			defer c.Close()
-			c.SetDeadline(time.Now().Add(time.Minute))
-			r := bufio.NewReader(c)
-			io.WriteString(c, requestHead("GET", "/look/1", "X-Expires-In-Ms: 1000\r\n"))
-			resp, err := http.ReadResponse(r, nil)
-			if err == nil && resp.StatusCode != 200 {
-				err = fmt.Errorf("answered %s", resp.Status)
-			}
-			if err == nil {
-				_, err = io.CopyN(io.Discard, resp.Body, 64<<10)
-			}
+			r, err := openLargeResponse(h.addr)
 			if firstPart <- err; err != nil {
 				return
 			}
 			<-goOn
-			if n, err := io.Copy(io.Discard, resp.Body); err != nil || n != size-64<<10 {
+			if n, err := r.readRest(); err != nil || n != size-firstPartSize {
 				t.Errorf("%d bytes more, %v", n, err)
 			}
 		})
@@ -86,15 +128,7 @@
 	}
 	close(goOn)
 	all.Wait()
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
-	if err != nil {
-		t.Fatal(err)
-	}
-	_, after, _ := strings.Cut(string(status), "VmHWM:")
-	var peak int
-	if _, err := fmt.Sscan(after, &peak); err != nil {
-		t.Fatal(err)
-	}
+	peak := peakMemoryKB(t, p.cmd.Process.Pid)
 	t.Logf("resident at most: %d kB of %d MB", peak, memoryMB)
 	if peak > memoryMB<<10 {
 		t.Errorf("resident at most: %d kB of %d MB", peak, memoryMB)
--- a/cmd/dunlinsail/upgrade_test.go
+++ b/cmd/dunlinsail/upgrade_test.go
@@ -189,6 +189,24 @@
 	}
 }
 
+// answerSteps answers a number of a successor's messages as its predecessor, and reads one more.
+func answerSteps(t *testing.T, c *takeover.Conn, steps int) {
+	t.Helper()
+	for i, answer := range []decide.Event{decide.Offer, decide.Handover, decide.Activate} {
+		m, err := c.ReadWithin(scriptedpeer.WaitTimeout)
+		if err != nil {
+			t.Fatalf("step %d: %v", i, err)
+		}
+		m.CloseFiles()
+		if i == steps {
+			break
+		}
+		if err := c.Write(takeover.Message{Kind: answer}); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
 // A successor is stopped, twice at once, at each step before it serves: it ends with 0, has served no client, and its
 // predecessor sees its end. The predecessor is scripted, so that the stop comes at that step each time.
 func TestSuccessorStoppedBeforeItServes(t *testing.T) {
@@ -203,19 +221,7 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			for i, answer := range []decide.Event{decide.Offer, decide.Handover, decide.Activate} {
-				m, err := c.ReadWithin(scriptedpeer.WaitTimeout)
-				if err != nil {
-					t.Fatalf("step %d: %v", i, err)
-				}
-				m.CloseFiles()
-				if i == steps {
-					break
-				}
-				if err := c.Write(takeover.Message{Kind: answer}); err != nil {
-					t.Fatal(err)
-				}
-			}
+			answerSteps(t, c, steps)
 			client := h.dial()
 			io.WriteString(client, requestHead("GET", "/look/1", ""))
 			p.cmd.Process.Signal(syscall.SIGTERM)
--- a/cmd/dunlinsaild/members_test.go
+++ b/cmd/dunlinsaild/members_test.go
@@ -22,32 +22,43 @@
 	gossipAddress, adminAddress, clientAddress string
 }
 
-// Two fleets on one machine whose files name each other's addresses stay separate: each allocates its own quota. A
-// member that is killed is seen to be gone, and the command members prints all of it.
-func TestFleets(t *testing.T) {
+// twoFleets are the daemons a and b of one fleet, and c and d of another, which stand in each other's lists of
+// addresses to join. The first of each fleet is the only candidate for its quota allocator.
+type twoFleets struct {
+	processes map[string]*daemonProcess
+}
+
+// daemonNames are the names of the daemons of twoFleets, in order; each two are a fleet.
+var daemonNames = []string{"a", "b", "c", "d"}
+
+// allocatorOf returns the name of the allocator of the fleet of daemonNames[i].
+func allocatorOf(i int) string { return daemonNames[i/2*2] }
+
+// startTwoFleets starts the daemons with an endpoint, and waits until each serves. They end with the test.
+func startTwoFleets(t *testing.T) *twoFleets {
+	t.Helper()
 	e, err := endpoint.Start(endpoint.Options{Name: "s-1"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer e.Close()
+	t.Cleanup(func() { e.Close() })
 	r, err := discoveryserver.Start(scripteddiscovery.Up("s-1", e.Addr))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Close()
-	all := map[string]*daemonProcess{}
+	t.Cleanup(func() { r.Close() })
+	f := &twoFleets{processes: map[string]*daemonProcess{}}
 	var join []string
-	names := []string{"a", "b", "c", "d"}
-	for _, name := range names {
-		all[name] = &daemonProcess{
+	for _, name := range daemonNames {
+		p := &daemonProcess{
 			gossipAddress: scriptedpeer.ClosedAddress(t),
 			adminAddress:  scriptedpeer.ClosedAddress(t),
-			clientAddress: scriptedpeer.ClosedAddress(t),
 		}
-		join = append(join, fmt.Sprintf("%q", all[name].gossipAddress))
+		f.processes[name] = p
+		join = append(join, fmt.Sprintf("%q", p.gossipAddress))
 	}
-	for i, name := range names {
-		o, lender := all[name], names[i/2*2]
+	for i, name := range daemonNames {
+		p := f.processes[name]
 		text := strings.Replace(file(t, r.Addr, t.TempDir()), "[discovery]", fmt.Sprintf(`[peers]
 on = true
 fleet = "fleet-%d"
@@ -62,52 +73,119 @@
 [[tenant]]
 name = "t"
 limit = 40.0
-[discovery]`, i/2, o.gossipAddress, strings.Join(join, ", "), lender, o.adminAddress), 1)
-		at := deskAddress(text)
-		o.clientAddress = at
-		text = "name = \"" + name + "\"\n" + text
-		o.cmd = program("--config", write(t, text), "--announce")
-		out, err := o.cmd.StdoutPipe()
+[discovery]`, i/2, p.gossipAddress, strings.Join(join, ", "), allocatorOf(i), p.adminAddress), 1)
+		p.clientAddress = deskAddress(text)
+		p.start(t, name, "name = \""+name+"\"\n"+text)
+	}
+	return f
+}
+
+// start starts a daemon by the text of its file, and waits until it serves. It is killed at the end of the test.
+func (p *daemonProcess) start(t *testing.T, name, text string) {
+	t.Helper()
+	p.cmd = program("--config", write(t, text), "--announce")
+	out, err := p.cmd.StdoutPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := p.cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		p.cmd.Process.Kill()
+		_ = p.cmd.Wait() // killed
+	})
+	if line, err := bufio.NewReader(out).ReadString('\n'); err != nil || line != "serving\n" {
+		t.Fatalf("%s: %q, %v", name, line, err)
+	}
+}
+
+// view returns what the command members prints of a daemon for programs.
+func (f *twoFleets) view(t *testing.T, name string) (v daemon.View) {
+	t.Helper()
+	code, out, stderr := ends(t, "members", "--at", f.processes[name].adminAddress, "--json")
+	if code != 0 || json.Unmarshal([]byte(out), &v) != nil {
+		t.Fatalf("members of %s: %d %q %q", name, code, out, stderr)
+	}
+	return v
+}
+
+// alive returns the names of the members that a daemon sees alive, one after another.
+func (f *twoFleets) alive(t *testing.T, name string) (names string) {
+	t.Helper()
+	for _, m := range f.view(t, name).Members {
+		if m.Alive {
+			names += m.Name
+		}
+	}
+	return names
+}
+
+// awaitLeases waits until each daemon has a lease of its own fleet's allocator, and sees its own fleet only.
+func (f *twoFleets) awaitLeases(t *testing.T) {
+	t.Helper()
+	for i, name := range daemonNames {
+		scriptedpeer.Eventually(t, name+" is lent nothing", func() bool {
+			fleet := f.view(t, name).Fleet
+			leased := fleet.Allocator == allocatorOf(i) && fleet.LeaseRemaining > 0
+			return leased && len(fleet.Budgets) == 1 && fleet.Budgets[0].Allowed > 2
+		})
+		if s := f.alive(t, name); s != "ab" && s != "cd" || !strings.Contains(s, name) {
+			t.Errorf("%s sees %q", name, s)
+		}
+	}
+}
+
+// overload sends a daemon many more requests of a tenant at once than its limit, and returns how many were admitted.
+// Each other one has to be rejected with Retry-After.
+func (p *daemonProcess) overload(t *testing.T, name string) (admitted int) {
+	t.Helper()
+	for k := range 60 {
+		q, err := http.NewRequest(http.MethodGet, "http://"+p.clientAddress+"/look/x", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := o.cmd.Start(); err != nil {
+		q.Header.Set("X-Trace-Id", fmt.Sprintf("%s-%d", name, k))
+		q.Header.Set("X-Customer", "t")
+		resp, err := http.DefaultClient.Do(q)
+		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() {
-			o.cmd.Process.Kill()
-			_ = o.cmd.Wait() // killed
-		}()
-		if line, err := bufio.NewReader(out).ReadString('\n'); err != nil || line != "serving\n" {
-			t.Fatalf("%s: %q, %v", name, line, err)
+		resp.Body.Close()
+		switch {
+		case resp.StatusCode == http.StatusOK:
+			admitted++
+		case resp.StatusCode != http.StatusTooManyRequests || resp.Header.Get("Retry-After") == "":
+			t.Fatalf("%d %v", resp.StatusCode, resp.Header)
 		}
 	}
-	view := func(name string) (v daemon.View) {
-		code, out, stderr := ends(t, "members", "--at", all[name].adminAddress, "--json")
-		if code != 0 || json.Unmarshal([]byte(out), &v) != nil {
-			t.Fatalf("members of %s: %d %q %q", name, code, out, stderr)
-		}
-		return v
+	return admitted
+}
+
+// hasMetric reports whether a line stands among a daemon's metrics.
+func (p *daemonProcess) hasMetric(t *testing.T, line string) bool {
+	t.Helper()
+	resp, err := http.Get("http://" + p.adminAddress + "/metrics")
+	if err != nil {
+		t.Error(err)
+		return false
 	}
-	alive := func(name string) (s string) {
-		for _, m := range view(name).Members {
-			if m.Alive {
-				s += m.Name
-			}
+	defer resp.Body.Close()
+	lines := bufio.NewScanner(resp.Body)
+	for lines.Scan() {
+		if lines.Text() == line {
+			return true
 		}
-		return s
 	}
-	for i, name := range names {
-		lender := names[i/2*2]
-		scriptedpeer.Eventually(t, name+" is lent nothing", func() bool {
-			f := view(name).Fleet
-			return f.Allocator == lender && f.LeaseRemaining > 0 && len(f.Budgets) == 1 && f.Budgets[0].Allowed > 2
-		})
-		if s := alive(name); s != "ab" && s != "cd" || !strings.Contains(s, name) {
-			t.Errorf("%s sees %q", name, s)
-		}
-	}
-	code, out, _ := ends(t, "members", "--at", all["a"].adminAddress)
+	return false
+}
+
+// Two fleets on one machine whose files name each other's addresses stay separate: each allocates its own quota. A
+// member that is killed is seen to be gone, and the command members prints all of it.
+func TestFleets(t *testing.T) {
+	f := startTwoFleets(t)
+	f.awaitLeases(t)
+	code, out, _ := ends(t, "members", "--at", f.processes["a"].adminAddress)
 	if code != 0 || !strings.Contains(out, "a lends") || !strings.Contains(out, "tenant/t") ||
 		!strings.Contains(out, "It has lent") {
 		t.Errorf("%d %q", code, out)
@@ -115,44 +193,19 @@
 	// Far more requests than the limits at once: each fleet admits its own quota, and rejects the others with
 	// Retry-After.
 	admitted := map[int]int{}
-	for i, name := range names {
-		for k := range 60 {
-			q, _ := http.NewRequest(http.MethodGet, "http://"+all[name].clientAddress+"/look/x", nil)
-			q.Header.Set("X-Trace-Id", fmt.Sprintf("%s-%d", name, k))
-			q.Header.Set("X-Customer", "t")
-			resp, err := http.DefaultClient.Do(q)
-			if err != nil {
-				t.Fatal(err)
-			}
-			resp.Body.Close()
-			switch {
-			case resp.StatusCode == http.StatusOK:
-				admitted[i/2]++
-			case resp.StatusCode != http.StatusTooManyRequests || resp.Header.Get("Retry-After") == "":
-				t.Fatalf("%d %v", resp.StatusCode, resp.Header)
-			}
-		}
+	for i, name := range daemonNames {
+		admitted[i/2] += f.processes[name].overload(t, name)
 	}
 	for i := range 2 {
 		if admitted[i] < 10 {
 			t.Errorf("fleet %d lets in %d", i, admitted[i])
 		}
 	}
-	if resp, err := http.Get("http://" + all["b"].adminAddress + "/metrics"); err != nil {
-		t.Error(err)
-	} else {
-		lines := bufio.NewScanner(resp.Body)
-		found := false
-		for lines.Scan() {
-			found = found || lines.Text() == "peers_lent=1"
-		}
-		resp.Body.Close()
-		if !found {
-			t.Error("its figures do not say that it has a loan")
-		}
+	if !f.processes["b"].hasMetric(t, "peers_lent=1") {
+		t.Error("its figures do not say that it has a loan")
 	}
-	all["b"].cmd.Process.Kill()
-	scriptedpeer.Eventually(t, "nobody sees that b is gone", func() bool { return alive("a") == "a" })
+	f.processes["b"].cmd.Process.Kill()
+	scriptedpeer.Eventually(t, "nobody sees that b is gone", func() bool { return f.alive(t, "a") == "a" })
 	if code, _, stderr := ends(t, "members", "--at", scriptedpeer.ClosedAddress(t)); code != 1 || stderr == "" {
 		t.Errorf("nobody there: %d %q", code, stderr)
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -7,6 +7,7 @@
 	"net"
 	"net/http"
 	"os"
+	"slices"
 	"strconv"
 	"strings"
 	"syscall"
@@ -48,6 +49,16 @@
 	}
 }
 
+// checkClosed checks that the daemon closes a connection.
+func (k *clientConn) checkClosed(t *testing.T, what string) {
+	t.Helper()
+	k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+	_, err := k.Read(make([]byte, 1))
+	if !errors.Is(err, io.EOF) && !strings.Contains(err.Error(), "reset") {
+		t.Errorf("%s: %v, want it closed", what, err)
+	}
+}
+
 // A client is identified by the kernel's credentials of its process. A process of no configured client is rejected, or
 // is of the default client if there is one.
 func TestWhoAClientIs(t *testing.T) {
@@ -66,11 +77,7 @@
 			d := start(t, w.config(t, tc.old, tc.new))
 			k := dial(t, "unix", d.addrs["local"])
 			if tc.want == "" {
-				k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-				_, err := k.Read(make([]byte, 1))
-				if !errors.Is(err, io.EOF) && !strings.Contains(err.Error(), "reset") {
-					t.Errorf("the connection of no client: %v, want it closed", err)
-				}
+				k.checkClosed(t, "the connection of no client")
 				return
 			}
 			if resp, _ := k.request(t, request("look", 900, "")); resp.StatusCode != 200 {
@@ -129,12 +136,9 @@
 		}
 	}
 	scriptedpeer.Eventually(t, "nothing held", func() bool {
-		for _, h := range d.clients.usage() {
-			if h.Client == "desk" && (h.Bytes != 0 || h.Open != 0) {
-				return false
-			}
-		}
-		return true
+		return !slices.ContainsFunc(d.clients.usage(), func(u ClientUsage) bool {
+			return u.Client == "desk" && (u.Bytes != 0 || u.Open != 0)
+		})
 	})
 }
 
--- a/internal/daemon/routes_test.go
+++ b/internal/daemon/routes_test.go
@@ -324,7 +324,8 @@
 	if second == d.generation {
 		t.Error("other classes without a generation of their own")
 	}
-	d.awaitOneGeneration(t) // until its connections are handed over, the earlier generation answers on them by its routes
+	// Until its connections are handed over, the earlier generation answers on them by its routes.
+	d.awaitOneGeneration(t)
 	checkStatus("/old", 404)
 	checkStatus("/new", 200)
 	if d.changed(t, other(swapped+"[paths]\nencoded_slash = \"keep\"\n")) != second {
--- a/internal/daemon/streaming_test.go
+++ b/internal/daemon/streaming_test.go
@@ -224,6 +224,23 @@
 	d.waitIdle(t)
 }
 
+// checkBreaksOff checks that a response of an HTTP version, of which the first three characters count, ends with an
+// error that is no timeout, with at most maxSize bytes and no trailer.
+func checkBreaksOff(t *testing.T, addr, version string, maxSize int) {
+	t.Helper()
+	k := dial(t, "tcp", addr)
+	fmt.Fprintf(k, "GET / HTTP/%.3s\r\nHost: h\r\n\r\n", version)
+	k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+	resp, err := http.ReadResponse(k.r, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := io.ReadAll(resp.Body)
+	if err == nil || isTimeout(err) || len(got) > maxSize || resp.Trailer.Get("X-Sum") != "" {
+		t.Errorf("HTTP/%s: %d bytes, %v, trailer %v", version, len(got), err, resp.Trailer)
+	}
+}
+
 // The client sees that a response breaks off, whatever would have marked its end, and gets nothing in place of the
 // missing part.
 func TestBrokenAnswers(t *testing.T) {
@@ -252,17 +269,7 @@
 			})
 			for version, at := range map[string]string{"1.1": endpoint, "1.0": endpoint, "1.1, slowly": slow} {
 				d, addr := routed(t, appFile+"idle = \"200ms\"\n", "ADDRS", `"`+at+`"`)
-				k := dial(t, "tcp", addr)
-				fmt.Fprintf(k, "GET / HTTP/%.3s\r\nHost: h\r\n\r\n", version)
-				k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-				resp, err := http.ReadResponse(k.r, nil)
-				if err != nil {
-					t.Fatal(err)
-				}
-				got, err := io.ReadAll(resp.Body)
-				if err == nil || isTimeout(err) || len(got) > len(big)+2 || resp.Trailer.Get("X-Sum") != "" {
-					t.Errorf("HTTP/%s: %d bytes, %v, trailer %v", version, len(got), err, resp.Trailer)
-				}
+				checkBreaksOff(t, addr, version, len(big)+2)
 				d.waitIdle(t)
 			}
 		})
--- a/internal/playground/config.go
+++ b/internal/playground/config.go
@@ -14,8 +14,8 @@
 	"tenant = \"header:X-Customer\"\n" +
 	"key = \"header:Idempotency-Key\"\nid = \"header:X-Trace-Id\"\ndeadline = \"header:X-Expires-In-Ms\"\n"
 
-// configFormat is the daemon's configuration. Its arguments are the discovery's address, the endpoints of the pool files,
-// the routes, the takeover socket, the address of the listener desk, and the address of the listener local.
+// configFormat is the daemon's configuration. Its arguments are the discovery's address, the endpoints of the pool
+// files, the routes, the takeover socket, the address of the listener desk, and the address of the listener local.
 const configFormat = `name = "playground"
 [[pool]]
 name = "agenda"
--- a/internal/wire/names_page_test.go
+++ b/internal/wire/names_page_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// Each name on the wire is spelled in the one file that the glossary names, and nowhere else in the programs. Names that
-// are one plain word are only looked for in their file: elsewhere they may mean something else.
+// Each name on the wire is spelled in the one file that the glossary names, and nowhere else in the programs. Names
+// that are one plain word are only looked for in their file: elsewhere they may mean something else.
 func TestWireNamesHaveOnePlace(t *testing.T) {
 	files := wireNameFiles(t)
 	spelled := map[string]bool{} // file and name
