--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -27,37 +27,38 @@
 //
 // Files in reading order. These hold the rules, with their constants beside them:
 //
-//	lifecycle.go        start, timers, first estimates
-//	endpointlist.go     Why is an endpoint known, gone, or treated as restarted?
-//	polling.go          When is discovery polled, and polled again after a failure?
-//	cordon.go           What do a cordon and a pause do?
-//	capacity.go         How much capacity is there; how much has a warming endpoint?
-//	warmup.go           Why does a warming endpoint get so little: which of its two token buckets is empty?
-//	proberate.go        Why so many probes per second?
-//	proberounds.go      Which endpoints are probed, and when?
-//	loadreports.go      How long is a load report used; when do reports count as late?
-//	probequeue.go       Why does a request wait for probes?
-//	overloadpolicy.go   What does the fleet's overload control reject?
-//	admission.go        Why is a request rejected at once; when is one admitted against the prediction?
-//	latencybudget.go    How late may the answer of a request be predicted to be?
-//	priorityweight.go   Which class and tenant is rejected first?
-//	pick.go             Why this endpoint: what do load, warm-up and another zone cost?
-//	candidates.go       Which endpoints are compared for a request?
-//	latency.go          Which latency is predicted of an endpoint?
-//	loadprediction.go   Which load is predicted of an endpoint?
-//	latencylearning.go  What does an answer change in the predictions?
-//	idempotency.go      May a request be sent again, or be rejected, without a second effect?
-//	attempts.go         How many attempts, with which timeout; what does a streamed answer change?
-//	retrybudget.go      Why was there no retry?
-//	outcomes.go         What follows from the end of an attempt?
-//	rejection.go        Rejected or failed; with which Retry-After?
-//	outliers.go         Why is an endpoint ejected, for how long, and what is its trial?
-//	breaker.go          Why does the circuit breaker reject?
-//	breakerlatency.go   Why does it reject for latency?
-//	suspicion.go        What do other balancers' observations change?
+//	lifecycle.go          start, timers, first estimates
+//	endpointlist.go       Why is an endpoint known, gone, or treated as restarted?
+//	polling.go            When is discovery polled, and polled again after a failure?
+//	cordon.go             What do a cordon and a pause do?
+//	eligibility.go        Which endpoints may get requests, and which are avoided?
+//	capacity.go           How much capacity is there; how much has a warming endpoint?
+//	warmup.go             Why does a warming endpoint get so little: which of its two token buckets is empty?
+//	proberate.go          Why so many probes per second?
+//	proberounds.go        Which endpoints are probed, and when?
+//	loadreports.go        How long is a load report used; when do reports count as late?
+//	probequeue.go         Why does a request wait for probes?
+//	overloadpolicy.go     What does the fleet's overload control reject?
+//	admission.go          Why is a request rejected at once; when is one admitted against the prediction?
+//	latencybudget.go      How late may the answer of a request be predicted to be?
+//	priorityweight.go     Which class and tenant is rejected first?
+//	pick.go               Why this endpoint: what do load, warm-up and another zone cost?
+//	candidates.go         Which endpoints are compared for a request?
+//	latencyprediction.go  Which latency is predicted of an endpoint?
+//	loadprediction.go     Which load is predicted of an endpoint?
+//	latencylearning.go    What does an answer change in the predictions?
+//	idempotency.go        May a request be sent again, or be rejected, without a second effect?
+//	attempts.go           How many attempts, with which timeout; what does a streamed answer change?
+//	retrybudget.go        Why was there no retry?
+//	outcomes.go           What follows from the end of an attempt?
+//	rejection.go          Rejected or failed; with which Retry-After?
+//	outliers.go           Why is an endpoint ejected, for how long, and what is its trial?
+//	breaker.go            Why does the circuit breaker reject?
+//	breakerlatency.go     Why does it reject for latency?
+//	suspicion.go          What do other balancers' observations change?
 //
 // The others hold no rule: api.go (events and actions), settings.go and validate.go (settings), state.go,
-// endpoint.go, request.go and breakerwindow.go (records), learned.go (what a next balancer takes over),
+// endpoint.go, request.go and breakerwindow.go (records), snapshot.go (what a next balancer takes over),
 // reportparsing.go, statistics.go, random.go and logging.go.
 //
 // # Units
