--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -95,6 +95,9 @@
 		return true
 	}
 	c := &b.classes[r.Class]
+	if first {
+		b.initForcedAdmit(now, c)
+	}
 	if !first || now-c.lastForcedAdmit < b.forcedAdmitInterval(now, c) {
 		b.logRejection(now, e, expected, budget)
 		return false
@@ -114,14 +117,19 @@
 	requestsPerForcedAdmit = 10.0
 )
 
+// initForcedAdmit sets, under an overload policy, the instant of a class's latest forced admission to a
+// random one within OverloadPolicy.ForcedAdmitInterval, if the class had none: balancers that start together
+// must not force admissions together.
+func (b *Balancer) initForcedAdmit(now monotime.Micros, c *classStats) {
+	if b.overload != nil && c.lastForcedAdmit == 0 {
+		c.lastForcedAdmit = now - b.random.durationBelow(b.overload.ForcedAdmitInterval)
+	}
+}
+
 // forcedAdmitInterval returns the time between two forced admissions of a class: that of the overload policy,
 // else a constant, and less for a class of many requests (per second) while endpoints report no load.
 func (b *Balancer) forcedAdmitInterval(now monotime.Micros, c *classStats) monotime.Micros {
 	if b.overload != nil {
-		if c.lastForcedAdmit == 0 {
-			// A random start, since balancers that start together must not force admissions together.
-			c.lastForcedAdmit = now - b.random.durationBelow(b.overload.ForcedAdmitInterval)
-		}
 		return b.overload.ForcedAdmitInterval
 	}
 	if b.withoutLoadReports {
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -38,7 +38,7 @@
 	}
 	e.lastSentAt = now
 	for _, part := range b.trafficParts(r) {
-		e.outliers[part].recordSend(now)
+		e.outliers[part].startTrial(now)
 	}
 	b.sentWorkRate.add(now, r.work)
 	b.actions.Send(r.ID, e.ID, b.attemptTimeout(now, r, expected))
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -44,9 +44,12 @@
 	b.logEjection(now, e, part)
 }
 
-// recordSend notes an attempt. After an ejection it is a trial: for the latest ejection time no other attempt
-// follows before its outcome. A success ends the ejection (recordOutcome), a failure begins a longer one.
-func (o *outlierStats) recordSend(now monotime.Micros) {
+// startTrial makes an attempt that is sent now a trial, if its part of the traffic had an ejection since its
+// latest success: the ejection goes on for its time (ejectionTime, microseconds) from the send. A success
+// ends the ejection (recordOutcome), a failure begins a longer one (recordFailure). A trial that ends as
+// Cancelled or NotSent changes nothing: the endpoint stays ejected until the time is over, and the next
+// attempt is a trial.
+func (o *outlierStats) startTrial(now monotime.Micros) {
 	if o.ejectionTime > 0 {
 		o.ejectedUntil = max(o.ejectedUntil, now+o.ejectionTime)
 		o.trialPending = true
