--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -108,7 +108,7 @@
 
 const (
 	// defaultForcedAdmitInterval is the time between two forced admissions of a class without an overload
-	// policy. It is that of the breaker.
+	// policy: 1 s, the interval at which a breaker lets an attempt pass.
 	defaultForcedAdmitInterval = forcedPassInterval
 
 	// requestsPerForcedAdmit is the number of requests of a class per forced admission while endpoints report
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -3,8 +3,13 @@
 import "dunlinsail/internal/monotime"
 
 // assumedCores is the number of cores that an endpoint is assumed to have: so many requests run there in
-// parallel, and further ones wait. It shapes queue delays, the load of reports without a count, and warm-up
-// budgets.
+// parallel, and further ones wait. No setting gives the true number. It enters queueDelayFactor,
+// parseLoadReport (load of a report without a count), recordLoad (plausible loads), refillServedBucket and
+// servedBucketApplies.
+//
+// Where endpoints have more cores, predictions at a high load are too long: with 16 cores and 16 requests by
+// a factor of 8.5, until a lower service time ratio is learned. Until then such an endpoint gets fewer
+// requests, and requests are rejected that it would serve in time. With one core predictions are too short.
 const assumedCores = 2.0
 
 // capacityLifetime is how long a count of the effective capacity is used: a warming endpoint's part of its
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -17,7 +17,9 @@
 	// further one without a success between takes twice the time of the one before.
 	baseEjectionTime = second
 
-	maxEjectionTime = breakerWindow // of an ejection, before jitter (Envoy: max_ejection_time)
+	// maxEjectionTime is the longest time of an ejection, before jitter (Envoy: max_ejection_time): 10 s, as
+	// long as the breaker counts a failure.
+	maxEjectionTime = breakerWindow
 )
 
 // recordFailure counts a failure of a part of the traffic, and ejects the endpoint for that part after some
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -5,7 +5,7 @@
 // Discovery is polled only with Settings.Subscribe; else the host passes on each list that discovery pushes.
 
 const (
-	pollCallTime = 50_000 // microseconds that discovery is assumed to take for one call
+	pollCallTime = 50 * millisecond // that discovery is assumed to take for one call
 
 	// minJitterDivisor and maxJitterDivisor divide Contract.PollInterval for the bounds of pollJitter.
 	minJitterDivisor = 10
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -2,8 +2,11 @@
 
 import "dunlinsail/internal/monotime"
 
-// second is the unit of the constants of this package.
-const second monotime.Micros = 1_000_000
+// Units of the constants of this package.
+const (
+	millisecond = monotime.Millisecond // microseconds
+	second      = monotime.Second      // microseconds
+)
 
 // Balancer takes the decisions of one sidecar. New returns one. It is not safe for concurrent use.
 type Balancer struct {
--- a/balancer/statistics.go
+++ b/balancer/statistics.go
@@ -14,10 +14,15 @@
 
 // Weights of one sample in moving averages.
 const (
-	slowWeight = 0.02 // of one request or answer: an average over about 50
-	fastWeight = 0.25 // of one round trip: an average over about 4
+	// slowWeight is the weight of one request or answer, for an average over about 50. It shapes the mean
+	// work of classes and of all requests, the fleet's service time ratio, and the on-time ratio of classes.
+	slowWeight = 0.02
 
-	ratioWeight = 0.02 // of one sample in the ratios of late reports and of rejected requests: over about 50
+	fastWeight = 0.25 // of one round trip to an endpoint: an average over about 4
+
+	// ratioWeight is the weight of one sample, for an average over about 50. It shapes the ratio of late
+	// reports (reportsLate) and of rejected requests (probe rate, tenant weight).
+	ratioWeight = 0.02
 )
 
 // manySamples is the number of samples of an average that starts with a value: the first sample does not
@@ -44,7 +49,9 @@
 	updatedAt monotime.Micros // instant
 }
 
-// rateMeterSpan is the time in which the sum of a rateMeter decays by a factor of e.
+// rateMeterSpan is the time in which the sum of a rateMeter decays by a factor of e. It shapes the rates of
+// requests (of all, by class, by tenant) and of sent work, and with them the probe rate, priority weights,
+// warm-up, the wait for probes, and forced admissions without load reports.
 const rateMeterSpan = 2 * second
 
 // add adds x at an instant.
