--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -7,8 +7,9 @@
 )
 
 // HandleRequest handles a client's request: it is sent, queued until probes return, or rejected. A request is
-// rejected at once after its deadline, or beyond Limits.MaxOpenRequests. One with the ID of a request that is
-// open is ignored.
+// rejected at once after its deadline, or beyond Limits.MaxOpenRequests. One of an unknown class is rejected
+// at once without a Retry-After, and is counted nowhere. One with the ID of a request that is open is
+// ignored.
 func (b *Balancer) HandleRequest(now monotime.Micros, in Request) {
 	if b.requests[in.ID] != nil {
 		return
@@ -46,6 +47,8 @@
 // estimateWork sets the work (microseconds) that is expected of a request: the mean of its class, or its
 // hint, which counts by hintTrust (0: not at all; 1: as it is). Both are compared as logarithms, since hints
 // are wrong by factors.
+//
+// It also learns: a hint moves the mean work of the class, and the estimate the mean work of all requests.
 func (b *Balancer) estimateWork(r *request) {
 	meanWork := &b.classes[r.Class].meanWork
 	r.work = meanWork.value
@@ -68,7 +71,7 @@
 
 // attemptRequest picks an endpoint and sends r there, and reports whether it did. first is set for the first
 // attempt of a request. Where the breaker of the picked endpoint rejects the attempt, one other endpoint is
-// picked.
+// picked. That one is not checked by admit: its predicted latency may be over the latency budget.
 func (b *Balancer) attemptRequest(now monotime.Micros, r *request, first bool) bool {
 	e := b.pickEndpoint(now, r, nil)
 	if e == nil || !b.admit(now, r, e, first) {
@@ -87,7 +90,10 @@
 // there (predictLatency, microseconds) with latencyBudget. A request over budget would be answered too late.
 //
 // From time to time a first attempt is admitted although it is over budget (forced admission): its latency
-// corrects a prediction that is wrong.
+// corrects a prediction that is wrong. The forced admission counts as used, even if a breaker then rejects
+// the attempt. A retry over budget is never admitted.
+//
+// What is not admitted is logged as rejected (logRejection), also a retry, whose request may then fail.
 func (b *Balancer) admit(now monotime.Micros, r *request, e *endpoint, first bool) bool {
 	expected := b.predictLatency(now, e, r.work)
 	budget := b.latencyBudget(now, r, e)
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -12,6 +12,9 @@
 }
 
 // sendAttempt starts an attempt of r at e if the rules allow it (maySend), and reports whether it did.
+//
+// With the send it charges the token buckets of a warming endpoint (chargeWarmup), makes the attempt a trial
+// for each part of the traffic with an earlier ejection (startTrial), and sets the timer of the deadline.
 func (b *Balancer) sendAttempt(now monotime.Micros, r *request, e *endpoint) bool {
 	if !b.maySend(now, r, e) {
 		return false
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -46,7 +46,8 @@
 // breakerAllows decides at random whether e's breaker lets an attempt of r pass. The chance of a rejection is
 // the greatest of errorRejectChance, latencyRejectChance and the suspicion of other balancers (each 0 to 1).
 // One attempt passes in any case after an interval: forcedPassInterval, or suspectTrialInterval if suspicion
-// is the greatest.
+// is the greatest. Both intervals count from the same instant, lastForcedPass: a pass by one of the two rules
+// delays the next pass by the other.
 //
 // A rejection counts as a request in the window, but not one by suspicion: the window holds own outcomes.
 func (b *Balancer) breakerAllows(now monotime.Micros, r *request, e *endpoint) bool {
--- a/balancer/breakerwindow.go
+++ b/balancer/breakerwindow.go
@@ -6,12 +6,15 @@
 // Its decisions are in breaker.go, breakerlatency.go and suspicion.go.
 type breaker struct {
 	ring           [breakerBuckets]bucket
-	newest         int64           // number of the newest bucket, since the start of time
-	requests       int             // in the window: outcomes, and attempts that the breaker rejected
-	accepts        int             // in the window: successes
-	baseLatency    float64         // microseconds, the usual latency; 0 before the first answer
-	currentLatency float64         // microseconds, the present latency
-	lastForcedPass monotime.Micros // instant of the latest attempt that passed without regard to the chances
+	newest         int64   // number of the newest bucket, since the start of time
+	requests       int     // in the window: outcomes, and attempts that the breaker rejected
+	accepts        int     // in the window: successes
+	baseLatency    float64 // microseconds, the usual latency; 0 before the first answer
+	currentLatency float64 // microseconds, the present latency
+
+	// lastForcedPass is the instant of the latest attempt that passed without regard to the chances. The
+	// breaker and the suspicion of other balancers share it (breakerAllows); SetSuspicion sets it as well.
+	lastForcedPass monotime.Micros
 }
 
 // bucket counts the outcomes of one part of the window.
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -77,14 +77,15 @@
 	randomDraws    = 2 // usable random endpoints that are looked for (power of two choices)
 	maxRandomDraws = 8 // random draws to find them
 
-	// poolCoverageDivisor divides the endpoints of a list that the pool could hold: if fewer than that are
-	// usable in the pool, random ones compete.
+	// poolCoverageDivisor divides the number of listed endpoints, where it is at most probePoolSize: if fewer
+	// than the result are usable in the pool, random ones compete.
 	poolCoverageDivisor = 2
 )
 
-// poolIsTooSmall reports whether random endpoints compete with the usable ones of the pool: if these are
-// fewer than randomDraws or, of a list that the pool could hold, fewer than half. A small pool would get all
-// requests.
+// poolIsTooSmall reports whether random endpoints compete with the usable ones of the pool (pooled is their
+// number), since a small pool would get all requests. It does if there are fewer than randomDraws of them.
+// Where the list has at most probePoolSize endpoints, it also does if fewer than half of the list are usable
+// in the pool.
 func (s *candidateSearch) poolIsTooSmall(pooled int) bool {
 	count := len(s.b.endpoints)
 	return pooled < randomDraws || count <= probePoolSize && poolCoverageDivisor*pooled < count
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -19,7 +19,7 @@
 // effectiveCapacity returns the capacity of all eligible endpoints, in warm ones (1 each), and updates
 // readyCount, warmCount and warmingEndpoints. Warming endpoints count by their present capacity: were only
 // warm ones counted, a deploy that leaves few of them would seem to leave much of the traffic for each
-// warming one.
+// warming one. Ejected endpoints count in full: they are eligible. The count is up to capacityLifetime old.
 func (b *Balancer) effectiveCapacity(now monotime.Micros) float64 {
 	if now < b.capacityExpiresAt {
 		return b.readyCapacity
--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -7,7 +7,8 @@
 )
 
 // UpdateEndpoints handles an endpoint list, a change of it, or discovery's failure to send one. After a
-// failure the latest list stays in use, and discovery is polled again.
+// failure the latest list stays in use and, with Settings.Subscribe, discovery is polled again. A cached list
+// does not count as the answer of a poll: polls go on until discovery sends a list.
 func (b *Balancer) UpdateEndpoints(now monotime.Micros, kind ListKind, entries []Endpoint) {
 	if kind == ListFailed {
 		b.subscribed = false
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -8,7 +8,7 @@
 // maySend reports whether the rules allow an attempt of r at e now. They do not:
 //   - after the final answer or the deadline, once an answer is streamed, or without attemptsLeft;
 //   - at an endpoint that is not ready, or that is cordoned or paused;
-//   - beside another attempt, without Limits.Hedging;
+//   - beside another attempt in flight, without Limits.Hedging (HandleOutcome starts none there in any case);
 //   - at a warming endpoint without capacity for r (hasWarmupCapacity), or after a handover (SetHandedOver);
 //   - where a second run of r would have a second effect (mayRunAgain).
 func (b *Balancer) maySend(now monotime.Micros, r *request, e *endpoint) bool {
@@ -26,7 +26,8 @@
 
 // mayRunAgain reports whether r may run at e although an earlier attempt may have run: if its class is
 // idempotent, or if e drops a second run with the same idempotency key. It does so within the class's
-// deduplication window from the first such attempt, and within that attempt's deduplication scope.
+// deduplication window from the first such attempt, and within that attempt's deduplication scope. The scope
+// DedupCell compares Endpoint.Cell without the zone, so cell numbers must be unique over all zones.
 func (b *Balancer) mayRunAgain(now monotime.Micros, r *request, e *endpoint) bool {
 	c := b.classOf(r)
 	first := r.firstMayHaveRun()
--- a/balancer/latencybudget.go
+++ b/balancer/latencybudget.go
@@ -11,7 +11,8 @@
 //
 // It is the latency with no other request there, and a part (queueWaitFraction) of what then remains of the
 // latency objective since the arrival, for queueing at e. Requests of less priority weight get a smaller
-// part, so that they are rejected first. The time until the deadline is the upper bound.
+// part, so that they are rejected first. While load reports are late, all that remains may be spent on
+// queueing, whatever the weight. The time until the deadline is the upper bound.
 func (b *Balancer) latencyBudget(now monotime.Micros, r *request, e *endpoint) float64 {
 	idle := e.rtt.valueOr(0) + r.work*b.fleetSlowdown()*e.currentServiceTimeRatio(now, b)
 	fraction := b.queueWaitFraction(now, r)
@@ -24,7 +25,9 @@
 }
 
 // QueueWaitFraction returns which part (0 to 1) of what remains of its latency objective a request may wait
-// in the host's queue. It is the part that latencyBudget allows for queueing at an endpoint.
+// in the host's queue. It is the part that latencyBudget allows for queueing at an endpoint while load
+// reports are in time; while they are late it stays the same here, and is 1 there. An unknown class gets the
+// least part.
 func (b *Balancer) QueueWaitFraction(now monotime.Micros, in Request) float64 {
 	if int(in.Class) >= len(b.classes) {
 		return minQueueWaitFraction
--- a/balancer/latencylearning.go
+++ b/balancer/latencylearning.go
@@ -10,7 +10,13 @@
 const serviceTimeWeight = 0.03
 
 // learnLatency updates the predictions by the latency (microseconds) of an attempt. lowerBound is set for a
-// timeout: the attempt would have taken longer, so that it may only raise the endpoint's service time.
+// timeout: the attempt would have taken longer, so that it may only raise the endpoint's service time. It
+// counts as at most maxTrendStep times the known service time ratio, and has no effect if it is not above
+// that ratio.
+//
+// An attempt that counts, by an answer or a timeout, also moves the latency trend of all endpoints
+// (updateLatencyTrend). Only an answer moves the trust in hints and, of a warm endpoint, what is known of the
+// fleet and the class.
 func (b *Balancer) learnLatency(now monotime.Micros, r *request, a *attempt, latency float64,
 	lowerBound bool) {
 	e := a.endpoint
--- a/balancer/lifecycle.go
+++ b/balancer/lifecycle.go
@@ -48,8 +48,9 @@
 	}
 }
 
-// Start starts the timers of polls and probes, each at a random time: all instances of a fleet may start
-// together.
+// Start starts the timers of polls (only with Settings.Subscribe) and of probe rounds (only with
+// Limits.Probes), each at a random time: all instances of a fleet may start together. It also makes the
+// served buckets of warming endpoints gain their initial tokens from now on.
 func (b *Balancer) Start(now monotime.Micros) {
 	b.dueProbesAt = now
 	// As if it were long ago, so that warming endpoints get initial tokens (refillServedBucket).
@@ -61,7 +62,7 @@
 }
 
 // HandleTimer handles a token that was given to Actions.SetTimer. A token of a finished request has no
-// effect.
+// effect, nor has that of a request whose answer is being streamed.
 func (b *Balancer) HandleTimer(now monotime.Micros, token uint32) {
 	switch {
 	case token == tokenProbe:
--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -9,8 +9,9 @@
 	maxReportLifetime    = 30 * second // a report may be used for at most this time
 )
 
-// reportLifetime returns how long a load report may be used for picks: some turns of the pool, whose length
-// is the number of pooled endpoints over the probe rate (per second).
+// reportLifetime returns how long (microseconds) a load report may be used for picks: reportLifetimeRounds
+// turns of the pool, but at least minReportLifetime and at most maxReportLifetime. A turn is
+// min(probePoolSize, number of listed endpoints) over the probe rate (per second).
 func (b *Balancer) reportLifetime(now monotime.Micros) monotime.Micros {
 	turn := float64(min(probePoolSize, len(b.endpoints))) / b.probeRate(now) * float64(second)
 	return min(max(minReportLifetime, monotime.Micros(reportLifetimeRounds*turn)), maxReportLifetime)
@@ -62,7 +63,9 @@
 )
 
 // checkReportAge compares a reported load (requests) with this balancer's own attempts in flight at e. A
-// report of fewer was made before they arrived: it is late.
+// report of fewer was made before they arrived: it is late. Nothing is checked without an attempt in flight
+// at e, or within deliveryRoundTrips of the latest send to e. So a quiet balancer checks few reports or none,
+// and reportsLate stays as it was.
 func (b *Balancer) checkReportAge(now monotime.Micros, e *endpoint, load float64) {
 	if e.inflight > 0 && float64(now-e.lastSentAt) > deliveryRoundTrips*e.rtt.value {
 		b.observeReportAge(now, load+loadRounding < float64(e.inflight))
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -5,8 +5,11 @@
 // HandleOutcome handles the end of an attempt: its request is finished, retried, rejected or failed.
 //
 // A request is retried if no other attempt of it is in flight, its body can be sent again, the retry budget
-// has one left (mayRetry), and attemptRequest finds an endpoint. Otherwise it is rejected where that is true,
-// else failed.
+// has one left (mayRetry), and attemptRequest finds an endpoint. Otherwise it is rejected where a retry by
+// the client would be harmless (mayReject), else failed. An outcome with Answered is the final answer,
+// whatever its status: it is never retried.
+//
+// The balancer does not hedge: a further attempt starts only here, and only when no other is in flight.
 func (b *Balancer) HandleOutcome(now monotime.Micros, o Outcome) {
 	r, a := b.findAttempt(o.ID, o.Attempt)
 	if a == nil || !a.inflight {
@@ -61,7 +64,9 @@
 	}
 }
 
-// HandleClientGone handles a client that left before its final answer: its attempts are cancelled.
+// HandleClientGone handles a client that left before its final answer: its attempts are cancelled, with
+// Limits.Cancel. Without it they go on, and their outcomes count as usual. For its class the request counts
+// as not answered in time, unless a streamed answer began in time.
 func (b *Balancer) HandleClientGone(now monotime.Micros, id uint64) {
 	if r := b.requests[id]; r != nil {
 		b.finishRequest(r)
@@ -69,6 +74,7 @@
 }
 
 // onRequestTimer handles a request that has waited long enough for probes, or that has reached its deadline.
+// In the first case all queued requests are dispatched, not only this one.
 func (b *Balancer) onRequestTimer(now monotime.Micros, r *request) {
 	if r.queued {
 		b.dispatchQueued(now)
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -25,8 +25,9 @@
 // recordFailure counts a failure of a part of the traffic, and ejects the endpoint for that part after some
 // in a row, for 0.5 to 1.5 of the ejection time: the balancers of a fleet must not all return together.
 //
-// Failures of attempts that were sent before the ejection do not lengthen it; that of the trial does. Nor is
-// an endpoint ejected if too few would be left (canEject).
+// Failures of attempts that were sent before the ejection do not lengthen it; that of the trial does. While a
+// trial is pending, the failure of any attempt counts as the trial's, also of one sent before the ejection.
+// An endpoint is not ejected if too few would be left (canEject).
 func (b *Balancer) recordFailure(now monotime.Micros, e *endpoint, part int) {
 	o := &e.outliers[part]
 	o.consecutiveFailures++
@@ -75,6 +76,7 @@
 
 // canEject reports whether enough endpoints stay in service for a part of the traffic if e is ejected (Envoy:
 // max_ejection_percent): fewer would be overloaded. Cordoned and paused endpoints are out of service as well.
+// Draining ones, and gone ones with attempts in flight, count as in service.
 func (b *Balancer) canEject(now monotime.Micros, e *endpoint, part int) bool {
 	outOfService := 1 // e
 	for _, other := range b.endpoints {
--- a/balancer/overloadpolicy.go
+++ b/balancer/overloadpolicy.go
@@ -2,8 +2,10 @@
 
 import "dunlinsail/internal/monotime"
 
-// SetOverloadPolicy sets what the fleet's overload control admits from now on. Without a policy (nil), each
-// request is admitted or rejected by its predicted latency alone.
+// SetOverloadPolicy sets what the fleet's overload control admits from now on. A policy adds ShouldReject,
+// and replaces the parts of the objective for queueing, the interval of forced admissions and the retry
+// budget; it also limits probes. nil is no policy. All other rules (admit, the breaker, the deadline,
+// Limits.MaxOpenRequests) hold in both cases.
 func (b *Balancer) SetOverloadPolicy(policy *OverloadPolicy) { b.overload = policy }
 
 // ShouldReject reports whether the overload policy rejects a request that has just arrived, and after which
@@ -11,8 +13,8 @@
 // does not pass on a request that is rejected.
 //
 // The policy's ratios (0 to 1) for the request's class, for requests over their tenant's quota and for
-// retries give the part that is admitted. A random rank per request decides, so that each client gets its
-// part.
+// retries give the part that is admitted. A random rank number (0 to 1) per request decides, so that each
+// client gets its part: a request is admitted if its rank number is below the ratio.
 func (b *Balancer) ShouldReject(in Request) (retryAfter monotime.Micros, reject bool) {
 	if b.overload == nil || int(in.Class) >= len(b.classes) {
 		return 0, false
@@ -33,8 +35,8 @@
 	return b.retryAfter(&b.settings.Classes[in.Class]), true
 }
 
-// isTopRanked reports whether a request is in OverloadPolicy.TopRatio (part of the requests, 0 to 1): the
-// requests of the lowest ranks, which ShouldReject admits first.
+// isTopRanked reports whether a request is in OverloadPolicy.TopRatio (part of the requests, 0 to 1): those
+// of the lowest rank numbers, which ShouldReject admits first.
 func (b *Balancer) isTopRanked(id uint64) bool {
 	random := b.requestRand(id)
 	return random.float() < b.overload.TopRatio
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -17,8 +17,9 @@
 	// (Prices.CrossZone, part of the result per attempt) adds to the cost.
 	crossZoneWeight = 2.0
 
-	// queuedWorkWeight is the part of the service time of the requests at an endpoint that adds to the cost.
-	// An endpoint with a free core is as fast as an idle one, but it delays later requests.
+	// queuedWorkWeight is the weight of an endpoint's load in its cost: queuedWorkWeight x mean work of the
+	// request's class x service time ratio x predicted load (requests). An endpoint with a free core is as fast
+	// as an idle one, but it delays later requests.
 	queuedWorkWeight = 0.05
 )
 
@@ -26,7 +27,8 @@
 // the load and the price of another zone as time.
 //
 // An endpoint over the latency budget costs one more latency objective: one that answers in time goes first.
-// Of these, a warming one costs one less: it gets little, and what it gets warms it up.
+// A warming endpoint within the budget costs one objective less and so goes before all others: it gets
+// little, and what it gets warms it up.
 func (b *Balancer) candidateCost(now monotime.Micros, r *request, e *endpoint) float64 {
 	objective := float64(b.classOf(r).LatencyObjective)
 	cost := b.predictLatency(now, e, r.work)
--- a/balancer/priorityweight.go
+++ b/balancer/priorityweight.go
@@ -22,7 +22,7 @@
 
 // priorityWeight ranks a request from 0 to 1, by what the goal gains per unit of its work relative to the
 // best class: by its class's weight, more for a class of which fewer requests are answered in time, and less
-// for a tenant over its quota (tenantWeight).
+// for a tenant over its quota (tenantWeight). It may be over 1 only with a Settings.OverQuotaWeight over 1.
 func (b *Balancer) priorityWeight(now monotime.Micros, r *request) float64 {
 	total := b.trafficTotals(now)
 	var top, own float64
@@ -87,8 +87,9 @@
 	tenantQuotaSlack = 1.25
 )
 
-// tenantWeight returns the mean weight, 0 to 1, of a request of r's tenant: 1 within the tenant's quota,
-// Settings.OverQuotaWeight over it, by the part of the tenant's traffic that is over.
+// tenantWeight returns the mean weight of a request of r's tenant: 1 within the tenant's quota,
+// Settings.OverQuotaWeight over it, by the part of the tenant's traffic that is over. It is 0 to 1, unless
+// that setting is over 1.
 //
 // A balancer knows its own traffic only. It assumes that the fleet's traffic exceeds the quotas (requests per
 // second) as much as its own traffic exceeds what it admits.
--- a/balancer/probequeue.go
+++ b/balancer/probequeue.go
@@ -23,8 +23,10 @@
 	maxRecentRequests = 1.0
 )
 
-// queueUntilProbed queues r until probes that are sent now have returned, and reports whether it did. A quiet
-// balancer's reports are too old to pick by.
+// queueUntilProbed queues r until probes have returned, and reports whether it did. A quiet balancer's
+// reports are too old to pick by. Probes that earlier queued requests wait for count; only the missing ones
+// are sent now. r waits for a tenth of its latency objective at most (maxQueueTimeDivisor), and not beyond
+// its deadline.
 //
 // It does not queue r where enough reports are recent (probesForQueued), or where no probe could be sent.
 func (b *Balancer) queueUntilProbed(now monotime.Micros, r *request) bool {
@@ -43,8 +45,9 @@
 // probesForQueued returns how many more reports a request needs now, at most the number of endpoints.
 //
 // The price of a probe bounds them; a fraction of a probe is sent at random. Reports that are younger than
-// recentWorks mean works count. It is 0 for a busy balancer without an overload policy, and where reports
-// change more seldom than that: then all balancers would see the same report and follow it.
+// recentWorks mean works count. It is 0 for a busy balancer without an overload policy, and where an endpoint
+// makes a new report less than once in recentWorks mean works: then all balancers would see the same report
+// and follow it.
 func (b *Balancer) probesForQueued(now monotime.Micros) int {
 	probes := min(maxProbesPerQueued, queuedProbeBudget/max(minProbePrice, b.settings.Prices.Probe))
 	requestLimit := maxRecentRequests * float64(second) // requests per second, times microseconds
--- a/balancer/proberounds.go
+++ b/balancer/proberounds.go
@@ -7,9 +7,9 @@
 	maxProbeInterval = second / 10 // mean pause before a round of several probes, at most
 	minPauseFactor   = 0.5         // of the mean pause before a round: the pause is 0.5 to 1.5 of it, at random
 
-	// probeRateRecheck is the mean of the longest pause between two rounds, which is random, so that the
-	// probe rate is computed about twice a second. A longer pause, by the low rate of before the first
-	// requests, would leave a busy balancer without reports.
+	// probeRateRecheck bounds the pause between two rounds: the bound is drawn anew for each round, from 0.5
+	// to 1.5 of it. The probe rate is computed in each round. In a longer pause a balancer whose requests
+	// have just begun would go without reports.
 	probeRateRecheck = second / 2
 
 	// maxProbeDraws bounds the random draws for one batch of probes: where few endpoints may be probed, most
@@ -72,7 +72,8 @@
 }
 
 // HandleProbe handles the end of a probe after latency, with the load report that it returned. load is valid
-// during the call only; it counts for status OK.
+// during the call only; it counts for status OK. A probe that fails only brings no report: it neither ejects
+// the endpoint nor counts in its breaker, since a probe is no health check.
 func (b *Balancer) HandleProbe(now monotime.Micros, id uint32, status Status, latency monotime.Micros,
 	load []float32) {
 	e := b.endpointsByID[id]
--- a/balancer/retrybudget.go
+++ b/balancer/retrybudget.go
@@ -37,9 +37,13 @@
 	b.recentRetries.add(b.retrySlot(now))
 }
 
-// mayRetry reports whether the retry budget has a retry left. With a window that is so below the greater of
-// Settings.RetryRatio of the window's requests and Settings.MinRetryRate (per second): the ratio of a quiet
-// balancer's requests is less than one retry.
+// mayRetry reports whether the retry budget has a retry left: by OverloadPolicy.RetryAllowed, if there is an
+// overload policy. Else, with Settings.RetryWindow, it has one if, of the counts in the window,
+//
+//	retries + 1 <= max(RetryRatio x requests, MinRetryRate x RetryWindow)
+//
+// The second term (MinRetryRate is per second) is for a quiet balancer, whose RetryRatio x requests is less
+// than one. Without a window it has one if retryCredit is at least 1.
 func (b *Balancer) mayRetry(now monotime.Micros) bool {
 	if b.overload != nil {
 		return b.overload.RetryAllowed
--- a/balancer/suspicion.go
+++ b/balancer/suspicion.go
@@ -4,7 +4,10 @@
 
 // SetSuspicion sets the chance (0 to 1) by which attempts of a class leave out an endpoint that other
 // balancers have observed to fail. A quiet balancer uses an endpoint too seldom to observe that itself.
-// Chance 0 ends the suspicion.
+// Chance 0 ends the suspicion. An endpoint or a class that is not known is ignored.
+//
+// The start of a suspicion sets breaker.lastForcedPass to a random instant of the latest
+// suspectTrialInterval. The breaker's own forced passes count from that instant as well.
 func (b *Balancer) SetSuspicion(now monotime.Micros, id uint32, class int, chance float64) {
 	e := b.endpointsByID[id]
 	if e == nil || class < 0 || class >= len(b.classes) {
--- a/balancer/warmup.go
+++ b/balancer/warmup.go
@@ -108,8 +108,13 @@
 // servedBucketApplies reports whether the served bucket limits a warming endpoint.
 //
 // It does not while at least half of the capacity of the eligible endpoints is there. Nor does it in a fleet
-// of few balancers, whose requests (one each, at once) are at most half of what collapses an endpoint that
-// has just started: its first tokens would be less than a request for a long time. work is in microseconds.
+// of few balancers, where the endpoint's first tokens would be less than a request for a long time:
+//
+//	fewBalancersDivisor x Balancers x work <=
+//		CollapseMultiple x WarmupStartCapacity x assumedCores x CollapseAfter
+//
+// The first line has the work of the requests of all balancers, one each at once; the second one is the work
+// that collapses an endpoint that has just started. work is in microseconds, capacity in warm endpoints.
 func (b *Balancer) servedBucketApplies(work, capacity float64) bool {
 	contract := &b.settings.Contract
 	window := float64(contract.CollapseAfter)
