--- a/balancer/api.go
+++ b/balancer/api.go
@@ -17,7 +17,7 @@
 	ID        uint32 // the host's number for it
 	Zone      uint8
 	Kind      uint8  // of machine. Not used by the balancer.
-	Cell      uint16 // part of its zone, with a deduplication scope of its own (DedupCell)
+	Cell      uint16 // part of its zone, with a deduplication scope of its own (DedupCell); unique over all zones
 	State     EndpointState
 	Share     float32         // of the service's capacity, 0 to 1. Not used by the balancer.
 	StartTime monotime.Micros // instant at which its present process started; 0 is long ago
@@ -47,7 +47,7 @@
 
 	WorkHint    monotime.Micros // expected work, if HasWorkHint
 	HasWorkHint bool
-	Retry       bool // the client marked it as a retry
+	Retry       bool // the client marked it as its own retry; it is no retry by the balancer
 	MaxAttempts int  // within Limits.MaxAttempts; 0 for that number
 	Write       bool // it changes data. Not used by the balancer.
 
@@ -63,7 +63,8 @@
 type Status uint8
 
 // The statuses of an attempt. Rejected, ConnectFailed and NotSent prove that the attempt never ran. After all
-// others except OK it may have run.
+// others, Cancelled included, it may have run, which limits retries and rejections of its request; after OK
+// it has run.
 const (
 	OK            Status = iota
 	Error                // an error of the endpoint
@@ -93,15 +94,15 @@
 	AdmitRatio          []float64 // by class: of its requests
 	OverQuotaAdmitRatio []float64 // by class: of its requests over their tenant's quota
 	WithinQuotaRatio    []float64 // by tenant: the part of its requests that is within its quota
-	RetryAdmitRatio     float64   // of the retries that the ratios above admit
+	RetryAdmitRatio     float64   // of the clients' retries (Request.Retry) that the ratios above admit
 
 	QueueWaitFraction    []float64 // by class: part of the rest of the latency objective that queueing may take
-	TopQueueWaitFraction float64   // the same for the requests of the highest rank, of any class
-	TopRatio             float64   // of the requests, which have the highest rank
+	TopQueueWaitFraction float64   // the same, at least, for the requests of TopRatio, of any class
+	TopRatio             float64   // of the requests: those of the lowest rank numbers, which are admitted first
 
 	ForcedAdmitInterval monotime.Micros // time between two forced admissions of a class
-	RetryAllowed        bool            // the fleet's retry budget has one left
-	MaxProbeRate        float64         // probes per second
+	RetryAllowed        bool            // this instance may send one more retry, by its own budget or its leased quota
+	MaxProbeRate        float64         // probes per second of this instance
 }
 
 // Actions is what a balancer requires of its host. Calls come from within event methods, in the order in
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -32,7 +32,7 @@
 //	polling.go            When is discovery polled, and polled again after a failure?
 //	cordon.go             What do a cordon and a pause do?
 //	eligibility.go        Which endpoints may get requests, and which are avoided?
-//	capacity.go           How much capacity is there; how much has a warming endpoint?
+//	capacity.go           How much capacity is there; how much has a warming endpoint; how many cores are assumed?
 //	warmup.go             Why does a warming endpoint get so little: which of its two token buckets is empty?
 //	proberate.go          Why so many probes per second?
 //	proberounds.go        Which endpoints are probed, and when?
@@ -59,7 +59,7 @@
 //
 // The others hold no rule: api.go (events and actions), settings.go and validate.go (settings), state.go,
 // endpoint.go, request.go and breakerwindow.go (records), snapshot.go (what a next balancer takes over),
-// reportparsing.go, statistics.go, random.go and logging.go.
+// reportparsing.go, statistics.go (averages, and the weights that shape them), random.go and logging.go.
 //
 // # Units
 //
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -9,7 +9,7 @@
 // the client would be harmless (mayReject), else failed. An outcome with Answered is the final answer,
 // whatever its status: it is never retried.
 //
-// The balancer does not hedge: a further attempt starts only here, and only when no other is in flight.
+// The balancer does not hedge: another attempt starts only here, and only when no other is in flight.
 func (b *Balancer) HandleOutcome(now monotime.Micros, o Outcome) {
 	r, a := b.findAttempt(o.ID, o.Attempt)
 	if a == nil || !a.inflight {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -19,7 +19,7 @@
 const (
 	DedupAll  DedupScope = iota // all endpoints
 	DedupZone                   // the endpoints of the zone of the first run
-	DedupCell                   // the endpoints of the cell of the first run
+	DedupCell                   // the endpoints of the cell of the first run (Endpoint.Cell)
 )
 
 // LoadMetric is the meaning of one figure of a load report (compare ORCA load reports, gRFC A51).
@@ -48,9 +48,15 @@
 
 	LatencyObjective monotime.Micros // an answer within this time counts with the full weight; positive
 	ClientTimeout    monotime.Micros // that a client waits over all attempts (Envoy: route timeout); positive
-	PriorityWeight   float64         // of one request, relative to other classes; not negative, 0 is rejected first
-	LateWeight       float64         // of a late answer, as a part of the weight; 0 to 1. Not used by the balancer.
-	Streaming        bool            // answers are streamed; default false. Not used by the balancer.
+
+	// PriorityWeight is the weight of one request, relative to other classes. Not negative. Requests of less
+	// weight are rejected first. Also with 0 a request may spend minQueueWaitFraction of the rest of its
+	// latency objective on queueing, so it is not always rejected; Goal.WorstClass raises the weight of the
+	// worst class.
+	PriorityWeight float64
+
+	LateWeight float64 // of a late answer, as a part of the weight; 0 to 1. Not used by the balancer.
+	Streaming  bool    // answers are streamed; default false. Not used by the balancer.
 }
 
 // Tenant is the settings of a tenant.
@@ -62,9 +68,13 @@
 
 // Limits is what the deployment permits. The defaults of the permissions are false.
 type Limits struct {
-	Cancel     bool // attempts may be cancelled
-	Probes     bool // endpoints may be probed
-	Hedging    bool // a request may have several attempts in flight (gRFC A6: hedging)
+	Cancel bool // attempts may be cancelled
+	Probes bool // endpoints may be probed
+
+	// Hedging permits several attempts of a request in flight (gRFC A6: hedging). It only permits: the balancer
+	// never starts a hedged request, since HandleOutcome waits until no attempt is in flight.
+	Hedging bool
+
 	RetryAfter bool // rejections may have a Retry-After
 
 	MaxAttempts     int             // per request, the first included (gRFC A6: maxAttempts); at least 1
@@ -134,8 +144,12 @@
 	Prices   Prices
 	Goal     Goal
 
-	OverQuotaWeight float64 // of a request over its tenant's quota, as a part of its weight; not negative
-	WeightByWork    bool    // a request's weight counts per microsecond of work; by default per request
+	// OverQuotaWeight is the weight of a request over its tenant's quota, as a part of its weight
+	// (tenantWeight). Not negative. Usually 0 to 1: over 1 it would put requests over the quota before those
+	// within.
+	OverQuotaWeight float64
+
+	WeightByWork bool // a request's weight counts per microsecond of work; by default per request
 
 	// RetryRatio is the retry budget: retries per request (Envoy: retry budget, budget_percent). 0 to 10; 0
 	// is DefaultRetryRatio. MaxAttempts 1 turns retries off.
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -8,7 +8,8 @@
 
 // LearnedState is what a balancer has learned, for the balancer that takes its place in a hot restart:
 // service times, breaker windows, ejections, the token buckets of warming endpoints. It holds ages instead of
-// instants, since the two balancers may count time from different origins.
+// instants, since the two balancers may count time from different origins. The one instant,
+// LearnedEndpoint.StartTime, comes from discovery and is only compared with that of the list.
 //
 // Its JSON form is stored and read by other versions. The tags are fixed; golden_test.go holds files of that
 // form.
@@ -277,9 +278,10 @@
 	}
 }
 
-// SetHandedOver says whether another balancer has taken over what this one has learned, and with it the
+// SetHandedOver sets whether another balancer has taken over what this one has learned, and with it the
 // buckets of warming endpoints: this one sends them nothing more, or the two together could make one
-// collapse.
+// collapse. Each call, also one that ends the handover, empties the buckets: the other balancer may have used
+// their tokens.
 func (b *Balancer) SetHandedOver(now monotime.Micros, handedOver bool) {
 	b.handedOver = handedOver
 	for _, e := range b.endpoints {
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -13,9 +13,8 @@
 )
 
 // recordFiles hold settings, events, records, statistics and log lines, but no decision.
-var recordFiles = []string{"api.go", "breakerwindow.go", "doc.go", "endpoint.go",
-	"logging.go", "random.go", "reportparsing.go", "request.go", "settings.go", "snapshot.go", "state.go", "statistics.go",
-	"validate.go"}
+var recordFiles = []string{"api.go", "breakerwindow.go", "doc.go", "endpoint.go", "logging.go", "random.go",
+	"reportparsing.go", "request.go", "settings.go", "snapshot.go", "state.go", "statistics.go", "validate.go"}
 
 // policyFiles returns the files of this package that deploy/balancer.toml lists as those of the decision
 // logic.
