--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -17,14 +17,17 @@
 	// further one without a success between takes twice the time of the one before.
 	baseEjectionTime = second
 
-	maxEjectionTime = breakerWindow // of an ejection, before jitter (Envoy: max_ejection_time)
+	// maxEjectionTime is the longest time of an ejection, before jitter (Envoy: max_ejection_time): 10 s, as
+	// long as the breaker counts a failure.
+	maxEjectionTime = breakerWindow
 )
 
 // recordFailure counts a failure of a part of the traffic, and ejects the endpoint for that part after some
 // in a row, for 0.5 to 1.5 of the ejection time: the balancers of a fleet must not all return together.
 //
-// Failures of attempts that were sent before the ejection do not lengthen it; that of the trial does. Nor is
-// an endpoint ejected if too few would be left (canEject).
+// Failures of attempts that were sent before the ejection do not lengthen it; that of the trial does. While a
+// trial is pending, the failure of any attempt counts as the trial's, also of one sent before the ejection.
+// An endpoint is not ejected if too few would be left (canEject).
 func (b *Balancer) recordFailure(now monotime.Micros, e *endpoint, part int) {
 	o := &e.outliers[part]
 	o.consecutiveFailures++
@@ -44,9 +47,12 @@
 	b.logEjection(now, e, part)
 }
 
-// recordSend notes an attempt. After an ejection it is a trial: for the latest ejection time no other attempt
-// follows before its outcome. A success ends the ejection (recordOutcome), a failure begins a longer one.
-func (o *outlierStats) recordSend(now monotime.Micros) {
+// startTrial makes an attempt that is sent now a trial, if its part of the traffic had an ejection since its
+// latest success: the ejection goes on for its time (ejectionTime, microseconds) from the send. A success
+// ends the ejection (recordOutcome), a failure begins a longer one (recordFailure). A trial that ends as
+// Cancelled or NotSent changes nothing: the endpoint stays ejected until the time is over, and the next
+// attempt is a trial.
+func (o *outlierStats) startTrial(now monotime.Micros) {
 	if o.ejectionTime > 0 {
 		o.ejectedUntil = max(o.ejectedUntil, now+o.ejectionTime)
 		o.trialPending = true
@@ -70,6 +76,7 @@
 
 // canEject reports whether enough endpoints stay in service for a part of the traffic if e is ejected (Envoy:
 // max_ejection_percent): fewer would be overloaded. Cordoned and paused endpoints are out of service as well.
+// Draining ones, and gone ones with attempts in flight, count as in service.
 func (b *Balancer) canEject(now monotime.Micros, e *endpoint, part int) bool {
 	outOfService := 1 // e
 	for _, other := range b.endpoints {
