--- a/balancer/api.go
+++ b/balancer/api.go
@@ -20,7 +20,7 @@
 	Cell      uint16 // part of its zone, with a deduplication scope of its own (DedupCell); unique over all zones
 	State     EndpointState
 	Share     float32         // of the service's capacity, 0 to 1. Not used by the balancer.
-	StartTime monotime.Micros // instant at which its present process started; 0 is long ago
+	StartTime monotime.Micros // instant at which its present process started; 0 is unknown (startTimeOf)
 }
 
 // ListKind is the meaning of the entries of an endpoint list.
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -14,9 +14,9 @@
 	bestCost     float64   // microseconds, of best
 }
 
-// findCandidate returns the endpoint of the lowest cost that r may be sent to, nil for none. Candidates are
-// the pool of recent load reports, some warming endpoints, random endpoints where the pool is too small, and
-// all others only if none of these may be used.
+// findCandidate returns an endpoint that r may be sent to, nil for none: the one of the lowest cost among the
+// pool of recent load reports, some warming endpoints, and random endpoints where the pool is too small. If
+// none of these may be used, it is the first of all others that may (scan).
 func (b *Balancer) findCandidate(now monotime.Micros, r *request, except *endpoint,
 	allowEjected bool) *endpoint {
 	oldest := now - b.reportLifetime(now)
@@ -32,7 +32,8 @@
 }
 
 // consider compares e with the best endpoint so far, and reports whether r may be sent to e. It may not go to
-// an endpoint that it was sent to before, nor to one that is ejected, nor against the rules of maySend.
+// an endpoint that it was sent to before, nor, without allowEjected, to one that is ejected, nor against the
+// rules of maySend.
 func (s *candidateSearch) consider(e *endpoint) bool {
 	if e == s.except || s.request.hasAttempted(e) {
 		return false
--- a/balancer/proberate.go
+++ b/balancer/proberate.go
@@ -26,7 +26,8 @@
 	limitedRoundShare = 0.2
 )
 
-// probeRate returns how many probes per second this balancer sends in rounds.
+// probeRate returns how many probes per second this balancer sends in rounds, over all endpoints together.
+// The host may send fewer (its own budgets).
 //
 // Inputs are Prices.Probe (part of the result per probe and request), the request rate (per second), the
 // ratio of rejected requests, and OverloadPolicy.MaxProbeRate (per second). The price bounds probes per
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -85,8 +85,9 @@
 	return &c, nil
 }
 
-// TablesNeedingRestart returns the tables that differ between two files and cannot be changed while a daemon serves:
-// all but the clients' limits, pools, routes and the address of discovery.
+// TablesNeedingRestart returns the tables that differ between two files and that the serving generation cannot change,
+// so that a new generation of the same process takes over: all but the limits of clients, pools, routes, paths and the
+// address of discovery.
 func (c *Config) TablesNeedingRestart(next *Config) []string {
 	var all []string
 	before := reflect.ValueOf(*c)
--- a/internal/config/decisions.go
+++ b/internal/config/decisions.go
@@ -77,7 +77,8 @@
 // initialInFlight is the initial adaptive limit of requests in flight, unless the limits of Requests exclude it.
 const initialInFlight = 16
 
-// ConcurrencySettings returns the concurrency limits of all clients together, as the engine takes them.
+// ConcurrencySettings returns the concurrency limits of all clients together, as the engine takes them: those of
+// requests in flight hold in each pool.
 func (c *Config) ConcurrencySettings() engine.ConcurrencySettings {
 	r := &c.Requests
 	s := engine.ConcurrencySettings{MaxInFlight: r.InFlight, MaxOpen: r.MaxOpen}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -49,7 +49,8 @@
 	EndpointIdle float64 `toml:"node_idle"`
 }
 
-// SubsetSettings returns which part of the endpoint list the instance uses; nil if it uses all.
+// SubsetSettings returns which part of the endpoint list the instance uses, and its bounds of probes and idle
+// connections; nil without any of them. With bounds only, the part is the whole list.
 func (f *Fleet) SubsetSettings() *subset.Settings {
 	if f.Subset == 0 && f.EndpointProbes == 0 && f.EndpointIdle == 0 {
 		return nil
@@ -187,8 +188,8 @@
 	// MaxPerMachineType is that limit for machines of one type; 0, the default, is no bound of its own.
 	MaxPerMachineType int `toml:"machine"`
 
-	// Announced is how many machines are announced as out or next to go out: default 4, at least MaxOut. An instance
-	// that is cut off sends them no new requests.
+	// Announced is how many machines are announced as next to go out, beside those that are out: default 4, at least
+	// MaxOut. An instance that is cut off sends them no new requests.
 	Announced int `toml:"ahead"`
 
 	// CapacityReserve is the part of the remaining capacity that must stay unused: default 0.2, 0 to under 1.
--- a/internal/config/host.go
+++ b/internal/config/host.go
@@ -146,12 +146,12 @@
 	MaxEndpoints int `toml:"endpoints"`
 }
 
-// Requests bounds the requests of the instance, over all clients.
+// Requests bounds the requests of all clients: MaxOpen over all pools, the other limits in each pool.
 type Requests struct {
 	// MaxOpen is the limit of requests that are queued or in flight: default 2000, at least 1. More are rejected.
 	MaxOpen int `toml:"open"`
 
-	// InFlight is a fixed limit of requests in flight; 0, the default, is an adaptive limit.
+	// InFlight is a fixed limit of requests in flight in each pool; 0, the default, is an adaptive limit.
 	InFlight int `toml:"in_flight"`
 
 	// MinInFlight is the least adaptive limit: default 4, at least 1.
--- a/internal/config/requests.go
+++ b/internal/config/requests.go
@@ -59,7 +59,7 @@
 	// Cancel allows the balancer to cancel attempts that are no longer needed; default true.
 	Cancel bool `toml:"cancel"`
 
-	// HedgedRequests allows a second attempt beside one in flight, for classes that permit it; default true.
+	// HedgedRequests has no effect: the balancer starts no second attempt beside one in flight. Default true.
 	HedgedRequests bool `toml:"second_copies"`
 
 	// RetryBudget is the number of retries that each request adds to the budget: default 0.2, over 0 to 10. It is that
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -27,13 +27,13 @@
 	// Attempts.RetryBudget.
 	RetryBudget float64 `toml:"retry_budget"`
 
-	// MinRetryRate is how many retries a second are allowed whatever the budget: 0, or 1 to 1000; nil, where the key is
-	// missing, is 1.
+	// MinRetryRate is how many retries a second are allowed at least, in a pool that sets this or RetryBudget
+	// and has no overload control: 0, or 1 to 1000; nil, where the key is missing, is 1.
 	MinRetryRate *float64 `toml:"retry_least"`
 }
 
 // RetryWindow is the time within which the pool's retries are limited to its budget, none of which is saved up; 0 where
-// the pool has no budget of its own.
+// the pool sets neither RetryBudget nor MinRetryRate.
 func (p *Pool) RetryWindow() time.Duration {
 	if p.RetryBudget == 0 && p.MinRetryRate == nil {
 		return 0
@@ -41,8 +41,8 @@
 	return defaultRetryWindow
 }
 
-// EffectiveMinRetryRate is how many retries a second are allowed whatever the budget, MinRetryRate or its default: the
-// budget of a pool with few requests is less than one retry.
+// EffectiveMinRetryRate is MinRetryRate or its default. It counts only with a RetryWindow: the budget of a pool with few
+// requests is less than one retry.
 func (p *Pool) EffectiveMinRetryRate() float64 {
 	if p.MinRetryRate == nil {
 		return defaultMinRetryRate
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -135,7 +135,8 @@
 	return nil
 }
 
-// serveAlone starts without a predecessor: it listens, and serves once discovery has sent an endpoint.
+// serveAlone starts without a predecessor: it listens, and serves at once. Until an endpoint list has come, requests are
+// rejected.
 func (l *lifecycle) serveAlone() error {
 	l.Successor.ServeAlone()
 	if err := l.listen(l.stop, nil, nil, bindTimeout); err != nil {
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -9,7 +9,7 @@
 //
 // Every voter is also a candidate. A candidate sends a VoteRequest with a new round number to all voters, itself
 // included. A voter replies with VoteGranted, or with VoteDenied and the name of the candidate that has its vote. A
-// majority of grants within the lease's duration wins the lease, or renews it. A candidate that fails sends
+// majority of grants within half of the lease's duration wins the lease, or renews it. A candidate that fails sends
 // VoteReleased, so that other candidates need not wait until its votes expire.
 //
 // # Why two never hold it
--- a/internal/decide/lease/voter.go
+++ b/internal/decide/lease/voter.go
@@ -110,7 +110,8 @@
 	}
 }
 
-// Resign gives up the lease, if it is held, and releases its votes, because the process is about to end.
+// Resign gives up the lease, if it is held, and releases its votes, because the process is about to end. It starts no
+// round for as long as a vote lasts.
 func (v *Voter) Resign(now monotime.Micros) {
 	v.heldUntil = 0
 	v.roundOpen = false
--- a/internal/decide/maintenance/types.go
+++ b/internal/decide/maintenance/types.go
@@ -14,7 +14,7 @@
 	Kind     string  `json:"Kind"` // machine type
 	Cell     int     `json:"Cell"`
 	Capacity float64 `json:"Share"` // in a unit that is the same for all machines
-	Healthy  bool    `json:"Well"`  // serving, warmed up and not ejected
+	Healthy  bool    `json:"Well"`  // ready, and neither cordoned nor ejected
 }
 
 // FleetStatus is the status of all machines, and the capacity in use.
@@ -52,7 +52,7 @@
 
 // Request is an operator's request to take machines out of service.
 type Request struct {
-	ID          string          `json:"ID"` // idempotency key: another request with the same one is ignored
+	ID          string          `json:"ID"` // idempotency key: while the plan has a request, another one with its ID is ignored
 	Machines    []string        `json:"Machines"`
 	Duration    monotime.Micros `json:"For"` // of the work on each machine
 	Reason      string          `json:"Why"`
@@ -72,7 +72,7 @@
 	PlanVersion  uint64          `json:"Version"` // of the first plan that has it in its present list
 	Overdue      bool            `json:"Overdue"` // under maintenance beyond DueAt
 	RecallReason string          `json:"Wanted"`  // under maintenance: why it is needed back; empty if it is not
-	WaitReason   string          `json:"Waits"`   // why it does not enter the next phase; empty if nothing blocks it
+	WaitReason   string          `json:"Waits"`   // why it does not enter the next phase, by the plan; Progress has it for Announced and Draining
 }
 
 // Event is an entry of the event list that operators see.
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -46,12 +46,12 @@
 	Client    *Client
 	Pool      *Pool            // the pool of endpoints that may serve it
 	ID        string           // the client's ID of the request, unique among its open requests
-	Request   balancer.Request // the engine sets its ID
+	Request   balancer.Request // the engine sets its ID and QueueTime
 	ArrivedAt monotime.Micros  // when the request was received completely
 	HostData  any              // for the host's use
 
 	// NotReplayable reports whether a part of the request was sent that cannot be sent again: the request then gets no
-	// retry and no hedged request. nil is never.
+	// retry. nil is never.
 	NotReplayable func() bool
 
 	admittedAt          monotime.Micros // when it went to the balancer; 0 before
@@ -67,7 +67,7 @@
 // reports.
 type Attempt struct {
 	Call       *Call
-	Number     int // among the call's attempts, from 0; those after the first are retries or hedged requests
+	Number     int // among the call's attempts, from 0; those after the first are retries
 	Endpoint   *Endpoint
 	StartedAt  monotime.Micros
 	Deadline   monotime.Micros // the attempt is abandoned at this instant
--- a/internal/engine/coordination.go
+++ b/internal/engine/coordination.go
@@ -69,7 +69,7 @@
 }
 
 // StartCoordination starts the engine's part in its fleet, as an instance without a predecessor. It does nothing if
-// that has started, or without a fleet.
+// that has started, or without a fleet and tenants' limits: those need it for their static division, too.
 func (x *Engine) StartCoordination(now monotime.Micros) {
 	f := x.fleet
 	if f == nil || f.member.Active() {
@@ -117,7 +117,7 @@
 	x.syncCoordinator(now)
 }
 
-// FleetView returns what is known of the fleet; ok is false without one.
+// FleetView returns what is known of the fleet; ok is false without a fleet and without tenants' limits.
 func (x *Engine) FleetView(now monotime.Micros) (view coordination.View, ok bool) {
 	if x.fleet == nil {
 		return view, false
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -6,5 +6,6 @@
 // engine does no I/O, reads no clock and starts no goroutine: package core runs one engine in a process, and package
 // simulation runs thousands in simulated time. It must not import packages of protocols, sockets or files.
 //
-// Concurrency limits hold over all pools of an engine; all else is decided per pool (Pool).
+// Over all pools of an engine hold the limit of open requests (MaxOpen), tenants' limits, cordons and the maintenance
+// plan. All else, the limits of requests in flight included, is decided per pool (Pool).
 package engine
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -39,7 +39,7 @@
 	Cell      uint16                 `json:"Cell"`
 	State     balancer.EndpointState `json:"State"`
 	Weight    float32                `json:"Weight"`
-	StartedAt monotime.Micros        `json:"Started"` // Unix time of its latest start; 0 is long ago
+	StartedAt monotime.Micros        `json:"Started"` // Unix time of its latest start; 0 as in balancer.Endpoint
 }
 
 // EndpointUpdate is an update of an endpoint list. The generations of one source only grow.
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -40,7 +40,7 @@
 	Overload *overload.Settings
 
 	// The retry budget. RetryRatio is the ratio of retries to the pool's requests, 0 for the site's; RetryWindow and
-	// MinRetryRate are as in balancer.Settings.
+	// MinRetryRate are as in balancer.Settings, and 0 is 0.
 	RetryRatio   float64
 	RetryWindow  monotime.Micros
 	MinRetryRate float64 // retries a second
@@ -75,8 +75,9 @@
 	dissolved bool // closed, without an open request, and no longer in the engine
 }
 
-// NewPool returns a pool, or the *balancer.SettingError of invalid settings. The engine does not know it before Start:
-// NewPool may be called while the engine runs on another goroutine.
+// NewPool returns a pool, or an error that names the invalid setting. The engine does not know it before Start: NewPool
+// may be called while the engine runs on another goroutine, unless the pool has a subset, which draws from the engine's
+// random numbers.
 func (x *Engine) NewPool(c PoolConfig) (*Pool, error) {
 	p := &Pool{
 		engine:       x,
--- a/internal/takeover/doc.go
+++ b/internal/takeover/doc.go
@@ -17,6 +17,7 @@
 //  9. No connection is left: the process sends Done and exits. At the drain deadline Host.CloseRemaining closes the
 //     connections that are left.
 //
-// If a successor is lost before 8, Host.ResumeServing serves again. A shutdown without a successor calls Host.Drain.
+// If a successor is lost before 9, Host.ResumeServing serves again, unless this process is stopping or the successor
+// has handed over to another. A shutdown without a successor calls Host.Drain.
 // One goroutine runs all events of a Lifecycle; its Loop posts messages, deadlines and the ends of connections to it.
 package takeover
--- a/internal/takeover/lifecycle.go
+++ b/internal/takeover/lifecycle.go
@@ -48,7 +48,7 @@
 // Arm sets the loop's timer to the earlier deadline of both state machines.
 func (l *Lifecycle) Arm() { l.Loop.Arm(l.Successor.Deadline(), l.Predecessor.Deadline()) }
 
-// End ends the process with a result. Only the first call has an effect.
+// End records the result with which RunLoop returns. Only the first call has an effect.
 func (l *Lifecycle) End(result error) {
 	if l.ended {
 		return
--- a/internal/upstream/buffered.go
+++ b/internal/upstream/buffered.go
@@ -29,7 +29,7 @@
 // This file makes exchanges whose request and response are read completely, with a 200 response as the only success.
 // The product uses them for health checks; SendBuffered serves tests and package bench/quietfleet.
 
-// BufferedRequest is a small request to an endpoint, without the header for its remaining time.
+// BufferedRequest is a small request to an endpoint. SendBuffered adds the header of its remaining time.
 type BufferedRequest struct {
 	Method string
 	URI    string
