--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -41,8 +41,8 @@
 	return defaultRetryWindow
 }
 
-// EffectiveMinRetryRate is MinRetryRate or its default. It counts only with a RetryWindow: the budget of a pool with few
-// requests is less than one retry.
+// EffectiveMinRetryRate is MinRetryRate or its default. It counts only with a RetryWindow: the budget of a pool with
+// few requests is less than one retry.
 func (p *Pool) EffectiveMinRetryRate() float64 {
 	if p.MinRetryRate == nil {
 		return defaultMinRetryRate
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// serveAlone starts without a predecessor: it listens, and serves at once. Until an endpoint list has come, requests are
-// rejected.
+// serveAlone starts without a predecessor: it listens, and serves at once. Until an endpoint list has come, requests
+// are rejected.
 func (l *lifecycle) serveAlone() error {
 	l.Successor.ServeAlone()
 	if err := l.listen(l.stop, nil, nil, bindTimeout); err != nil {
