--- a/internal/decide/maintenance/types.go
+++ b/internal/decide/maintenance/types.go
@@ -52,7 +52,7 @@
 
 // Request is an operator's request to take machines out of service.
 type Request struct {
-	ID          string          `json:"ID"` // idempotency key: while the plan has a request, another one with its ID is ignored
+	ID          string          `json:"ID"` // idempotency key: of two in the plan the second is ignored
 	Machines    []string        `json:"Machines"`
 	Duration    monotime.Micros `json:"For"` // of the work on each machine
 	Reason      string          `json:"Why"`
@@ -72,7 +72,7 @@
 	PlanVersion  uint64          `json:"Version"` // of the first plan that has it in its present list
 	Overdue      bool            `json:"Overdue"` // under maintenance beyond DueAt
 	RecallReason string          `json:"Wanted"`  // under maintenance: why it is needed back; empty if it is not
-	WaitReason   string          `json:"Waits"`   // why it does not enter the next phase, by the plan; Progress has it for Announced and Draining
+	WaitReason   string          `json:"Waits"`   // why it does not enter the next phase; for listed ones see Progress
 }
 
 // Event is an entry of the event list that operators see.
