--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -79,8 +79,8 @@
 }
 
 // HandleHeaders handles the start of a streamed answer of an attempt. From then on the request has neither a
-// deadline nor a retry, and with Limits.Cancel its other attempts are cancelled. latency, from the send to the
-// start, is not used by the balancer.
+// deadline nor a retry, and with Limits.Cancel its other attempts are cancelled. latency, from the send to
+// the start, is not used by the balancer.
 func (b *Balancer) HandleHeaders(now monotime.Micros, id uint64, number int, latency monotime.Micros) {
 	r, a := b.findAttempt(id, number)
 	if a == nil || r.finished {
