--- a/cmd/dunlinsail/main.go
+++ b/cmd/dunlinsail/main.go
@@ -15,11 +15,11 @@
 )
 
 func main() {
-	// First of all, since a SIGHUP that nobody waits for ends the program.
+	// First of all, because a SIGHUP without a handler ends the program.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	// One core is ours, and other sidecars may share it.
+	// A sidecar has one core, which it may share with other sidecars.
 	runtime.GOMAXPROCS(1)
 	read := func() (*platform.Config, error) { return platform.Read(os.Getenv) }
 	config, err := read()
@@ -27,13 +27,14 @@
 		log.Error("cannot start", "error", err)
 		os.Exit(2)
 	}
-	// The collector works harder well before the limit at which we would be killed.
+	// The collector works harder from half of the memory on; at the limit itself the platform kills the process.
 	debug.SetMemoryLimit(int64(config.MemoryMB) << 20 / 2)
-	// To the very end: who has handed over ends by itself, and the platform's SIGTERM may come at that moment.
+	// The signals are never reset: a SIGTERM of the platform may come while this process, after a handover, ends by
+	// itself, and must not kill it.
 	stop, cancel := context.WithCancel(context.Background())
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
-	go func() {
+	go func() { // until the program ends
 		<-signals
 		cancel()
 	}()
--- a/cmd/dunlinsaild/adminflag.go
+++ b/cmd/dunlinsaild/adminflag.go
@@ -11,16 +11,17 @@
 	"dunlinsail/internal/config"
 )
 
-// adminHelp holds the help texts that are too long for a line.
+// adminHelp holds the help texts that are too long for a tag on one line.
 var adminHelp = kong.Vars{"admin_config_help": "The daemon's file; it is asked at operators.address."}
 
-// adminFlag says where a daemon takes operators' calls. Commands that make such calls embed it.
+// adminFlag is the address at which a daemon takes operators' calls, or the file that has it. Commands that make such
+// calls embed it.
 type adminFlag struct {
 	Config string `help:"${admin_config_help}" placeholder:"FILE" xor:"where" required:""`
 	At     string `help:"Or where it is asked." placeholder:"HOST:PORT" xor:"where" required:""`
 }
 
-// address returns the host:port that the flags name, or a *fileError of a file that cannot be read.
+// address returns the host:port that the flags name. The error is a *fileError if the file cannot be read.
 func (f *adminFlag) address() (string, error) {
 	if f.Config == "" {
 		return f.At, nil
@@ -38,7 +39,7 @@
 // callTimeout bounds a call to a daemon.
 const callTimeout = 3 * time.Second
 
-// call makes an operators' call, with a body in JSON where it is not nil, and returns the answer.
+// call makes an operators' call, with a body in JSON unless it is nil, and returns the body of the answer.
 func (f *adminFlag) call(ctx context.Context, path string, body any) ([]byte, error) {
 	address, err := f.address()
 	if err != nil {
--- a/cmd/dunlinsaild/main.go
+++ b/cmd/dunlinsaild/main.go
@@ -14,36 +14,46 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// The exit codes: 1 is that something could not be done, 2 a mistake of whoever called, or in a file; nothing was started.
+// The exit codes of the program.
 const (
-	exitOK = iota
-	exitFailed
-	exitUsage
+	exitOK     = iota
+	exitFailed // the command failed
+	exitUsage  // the arguments or a file are invalid, and nothing was started
 )
 
+// commandsHelp holds the help texts that are too long for a tag on one line.
+var commandsHelp = kong.Vars{
+	"serve_help": "Serve; take over from the process that serves now. (The default.)",
+	"work_help":  "Machines that go out for work, in an order that the instances settle among themselves.",
+}
+
 type commands struct {
-	Serve            serveCmd      `cmd:"" default:"withargs" help:"Serve; take over from the process that serves now. (The default.)"`
+	Serve            serveCmd      `cmd:"" default:"withargs" help:"${serve_help}"`
 	Check            checkCmd      `cmd:"" help:"Say what is wrong with a file."`
 	Config           configCmd     `cmd:"" help:"Versions of the configuration from a control service."`
 	Members          membersCmd    `cmd:"" help:"What a daemon knows of the other instances, and what is lent to whom."`
-	Work             workCmd       `cmd:"" help:"Machines that go out for work, in an order that the instances settle among themselves."`
+	Work             workCmd       `cmd:"" help:"${work_help}"`
 	Playground       playgroundCmd `cmd:"" help:"Show a daemon at work beside stand-ins; Ctrl-C ends it."`
 	PlaygroundClient clientCmd     `cmd:"" hidden:"" help:"A part of the playground."`
 }
 
 func main() {
-	// First of all, since a SIGHUP that nobody waits for ends the program.
+	// First of all, because a SIGHUP without a handler ends the program.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer cancel()
-	os.Exit(run(stop, os.Args[1:], reload))
+	code := run(stop, os.Args[1:], reload)
+	_ = cancel // not called: it would let a SIGTERM at this moment kill the program
+	os.Exit(code)
 }
 
+// run runs the command of the arguments and returns the exit code.
 func run(stop context.Context, args []string, reload <-chan os.Signal) int {
 	var c commands
-	parser, err := kong.New(&c, kong.Name("dunlinsaild"), kong.Description("Balances the requests of a host's client processes. See docs/operators/daemon.md."),
-		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Vars{"user": os.Getenv("USER")}, adminHelp, workHelp)
+	parser, err := kong.New(&c, kong.Name("dunlinsaild"),
+		kong.Description("Balances the requests of a host's client processes. See docs/operators/daemon.md."),
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
+		kong.Vars{"user": os.Getenv("USER")}, commandsHelp, adminHelp, configHelp, workHelp)
 	if err != nil {
 		panic(err) // the tags of the commands are invalid
 	}
--- a/cmd/dunlinsaild/members.go
+++ b/cmd/dunlinsaild/members.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"dunlinsail/internal/daemon"
+	"dunlinsail/internal/decide/coordination"
 )
 
 type membersCmd struct {
@@ -34,6 +35,7 @@
 	return printMembers(os.Stdout, &v)
 }
 
+// micros returns a number of microseconds as a duration, rounded to 10 ms.
 func micros(v int64) time.Duration {
 	return (time.Duration(v) * time.Microsecond).Round(10 * time.Millisecond)
 }
@@ -50,17 +52,24 @@
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", m.Name, m.Address, state, m.Since.UTC().Format(time.RFC3339))
 	}
-	f := &v.Fleet
 	fmt.Fprintln(w)
+	printQuota(w, &v.Fleet)
+	return w.Flush()
+}
+
+// printQuota prints the instance's quota lease and budgets and, at the allocator, the leases that it has granted.
+func printQuota(w io.Writer, f *coordination.View) {
 	switch {
 	case !f.Active:
 		fmt.Fprintln(w, "It takes no part yet: another process has its place.")
 	case f.Allocator == "":
 		fmt.Fprintln(w, "Nobody lends, as far as it knows: it goes on with its least.")
 	case f.LeaseRemaining == 0:
-		fmt.Fprintf(w, "%s lends, and has not answered for %v: it goes on with its least.\n", f.Allocator, micros(f.SinceLastGrant))
+		fmt.Fprintf(w, "%s lends, and has not answered for %v: it goes on with its least.\n",
+			f.Allocator, micros(f.SinceLastGrant))
 	default:
-		fmt.Fprintf(w, "%s lends (heard %v ago); its loan ends in %v if it is not renewed.\n", f.Allocator, micros(f.SinceLastGrant), micros(f.LeaseRemaining))
+		fmt.Fprintf(w, "%s lends (heard %v ago); its loan ends in %v if it is not renewed.\n",
+			f.Allocator, micros(f.SinceLastGrant), micros(f.LeaseRemaining))
 	}
 	if len(f.Budgets) > 0 {
 		fmt.Fprintln(w, "BUDGET\tIT MAY SPEND A SECOND\tSPENT IN THE LAST")
@@ -69,7 +78,8 @@
 		}
 	}
 	if f.RecoveryRemaining > 0 {
-		fmt.Fprintf(w, "\nIt lends since a moment: for %v only what the others show that they hold.\n", micros(f.RecoveryRemaining))
+		fmt.Fprintf(w, "\nIt lends since a moment: for %v only what the others show that they hold.\n",
+			micros(f.RecoveryRemaining))
 	}
 	if len(f.Leases) > 0 {
 		fmt.Fprintln(w, "\nIt has lent:")
@@ -78,5 +88,4 @@
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.1f\n", l.Lessee, l.Budget, l.Units, l.Target, l.Requested)
 		}
 	}
-	return w.Flush()
 }
--- a/cmd/dunlinsaild/playground.go
+++ b/cmd/dunlinsaild/playground.go
@@ -13,7 +13,7 @@
 	Quiet bool          `help:"Nothing goes wrong by itself."`
 }
 
-// Run plays.
+// Run runs the playground until stop ends or its time is over.
 func (c *playgroundCmd) Run(stop context.Context) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -21,12 +21,18 @@
 	}
 	info, err := os.Stdout.Stat()
 	terminal := err == nil && info.Mode()&os.ModeCharDevice != 0
-	return playground.Run(stop, playground.Options{Program: self, Out: os.Stdout, Clear: terminal, For: c.For, Quiet: c.Quiet})
+	return playground.Run(stop, playground.Options{
+		Program: self,
+		Out:     os.Stdout,
+		Clear:   terminal,
+		For:     c.For,
+		Quiet:   c.Quiet,
+	})
 }
 
 type clientCmd struct{}
 
-// Run is a client process.
+// Run runs a client process of the playground, which talks to its parent by standard input and output.
 func (*clientCmd) Run(stop context.Context) error {
 	return playground.Client(stop, os.Stdin, os.Stdout)
 }
--- a/cmd/dunlinsaild/work.go
+++ b/cmd/dunlinsaild/work.go
@@ -15,8 +15,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// This file has the commands for maintenance: dunlinsaild work ask, list, watch, and so on. The names of commands,
-// flags and arguments are operators' and stand in the tags.
+// This file has the commands for maintenance, below "dunlinsaild work". The names of commands, flags and arguments are
+// operators', in tags where the Go name differs.
 
 // The paths of operators' calls.
 const (
@@ -24,7 +24,7 @@
 	pathMaintenanceCommand = "/work/say"
 )
 
-// workHelp holds the help texts that are too long for a line.
+// workHelp holds the help texts that are too long for a tag on one line.
 var workHelp = kong.Vars{
 	"work_forget_help": "Say that an instance's process is dead for certain:" +
 		" it keeps no machine from being taken out any more.",
@@ -42,13 +42,13 @@
 	Forget   workForgetCmd   `cmd:"" help:"${work_forget_help}"`
 }
 
-// submit sends a command for the log, and returns the answer.
+// submit sends a command for the consensus log, and returns the answer.
 func (f *adminFlag) submit(ctx context.Context, command maintenance.Command) (string, error) {
 	answer, err := f.call(ctx, pathMaintenanceCommand, command)
 	return strings.TrimSpace(string(answer)), err
 }
 
-// submitAndPrint sends a command for the log, and prints the answer.
+// submitAndPrint sends a command for the consensus log, and prints the answer.
 func (f *adminFlag) submitAndPrint(ctx context.Context, command maintenance.Command) error {
 	answer, err := f.submit(ctx, command)
 	if err == nil {
@@ -57,7 +57,7 @@
 	return err
 }
 
-// view returns the leader's view of the plan.
+// view returns the leader's view of the maintenance plan.
 func (f *adminFlag) view(ctx context.Context) (*consensus.View, error) {
 	text, err := f.call(ctx, pathMaintenanceView, nil)
 	if err != nil {
@@ -80,7 +80,7 @@
 	Urgent    bool          `help:"It goes before what is not."`
 }
 
-// Run submits a request.
+// Run submits a maintenance request and prints the answer.
 func (c *workRequestCmd) Run(ctx context.Context) error {
 	if c.ID == "" {
 		c.ID = "job-" + time.Now().UTC().Format("20060102-150405.000")
@@ -122,10 +122,10 @@
 
 type workWatchCmd struct{ adminFlag }
 
-// watchInterval is from one view to the next.
+// watchInterval is the time between two views.
 const watchInterval = 500 * time.Millisecond
 
-// Run prints events as they come, until ctx is done.
+// Run prints events as they come, until ctx ends. A view that fails is printed to standard error and tried again.
 func (c *workWatchCmd) Run(ctx context.Context) error {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
@@ -173,7 +173,7 @@
 	Request string `arg:"" name:"job" optional:"" help:"The job; all without it."`
 }
 
-// Run starts a hold.
+// Run starts a hold on a request, or on all.
 func (c *workHoldCmd) Run(ctx context.Context) error {
 	return c.submitAndPrint(ctx, maintenance.Command{Hold: &maintenance.Hold{Request: c.Request, On: true}})
 }
@@ -183,7 +183,7 @@
 	Request string `arg:"" name:"job" optional:"" help:"The job; all without it."`
 }
 
-// Run ends a hold.
+// Run ends a hold on a request, or on all.
 func (c *workReleaseCmd) Run(ctx context.Context) error {
 	return c.submitAndPrint(ctx, maintenance.Command{Hold: &maintenance.Hold{Request: c.Request}})
 }
@@ -193,7 +193,7 @@
 	Instance string `arg:"" help:"Its name."`
 }
 
-// Run forgets an instance, if it is silent.
+// Run has the fleet forget an instance. It is an error if the instance is not silent.
 func (c *workForgetCmd) Run(ctx context.Context) error {
 	v, err := c.view(ctx)
 	if err != nil {
--- a/cmd/dunlinsaild/workview.go
+++ b/cmd/dunlinsaild/workview.go
@@ -12,7 +12,10 @@
 	"dunlinsail/internal/monotime"
 )
 
-// printView prints the leader's view of the plan for people.
+// microsPerSecond converts the times of events.
+const microsPerSecond = 1e6
+
+// printView prints the leader's view of the maintenance plan for people.
 func printView(out io.Writer, v *consensus.View) error {
 	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%s leads; %d instances obey", v.Leader, len(v.Instances))
@@ -40,7 +43,7 @@
 	return w.Flush()
 }
 
-// attentionFor returns what a machine waits for, or what is needed of operators.
+// attentionFor returns what a machine waits for, or what an operator has to do about it.
 func attentionFor(m *maintenance.Machine) string {
 	switch {
 	case m.Overdue:
@@ -51,11 +54,11 @@
 	return m.WaitReason
 }
 
-// printEventsAfter prints the events after an instant, and returns that of the last one.
+// printEventsAfter prints the events after an instant, and returns the instant of the last one.
 func printEventsAfter(out io.Writer, events []maintenance.Event, last monotime.Micros) monotime.Micros {
 	for _, event := range events {
 		if event.Time > last {
-			fmt.Fprintf(out, "%8.1f s  %s\n", float64(event.Time)/1e6, event.Text)
+			fmt.Fprintf(out, "%8.1f s  %s\n", float64(event.Time)/microsPerSecond, event.Text)
 		}
 	}
 	if len(events) == 0 {
