--- a/internal/admin/connlimiter.go
+++ b/internal/admin/connlimiter.go
@@ -10,41 +10,42 @@
 	"time"
 )
 
-// connLimiter bounds the connections: the one that has waited longest without a complete call is closed for the next.
-// If all calls are being served, the next connection waits in the socket's queue.
+// connLimiter limits the connections to maxConns. For a new one, the connection that has been open for longest
+// without a complete call is closed. While all connections have calls being served, the next one stays in the listen
+// queue.
 type connLimiter struct {
 	net.Listener
 
 	mu         sync.Mutex
 	connClosed sync.Cond  // a connection has closed
-	waiting    []net.Conn // without a complete call, oldest first
-	active     []net.Conn // with a call being served
+	waiting    []net.Conn // those without a complete call, oldest first
+	active     []net.Conn // those with a call being served
 }
 
 func newConnLimiter(ln net.Listener) *connLimiter {
-	k := &connLimiter{Listener: ln}
-	k.connClosed.L = &k.mu
-	return k
+	l := &connLimiter{Listener: ln}
+	l.connClosed.L = &l.mu
+	return l
 }
 
-// acceptRetryDelay is the delay after a failure to accept: descriptors may have run out for a moment.
+// acceptRetryDelay is the pause after a failure to accept, as when no descriptor is left for a moment.
 const acceptRetryDelay = 5 * time.Millisecond
 
 // Accept accepts a connection, and closes a waiting one if there are too many.
-func (k *connLimiter) Accept() (net.Conn, error) {
+func (l *connLimiter) Accept() (net.Conn, error) {
 	for {
-		c, err := k.Listener.Accept()
+		c, err := l.Listener.Accept()
 		if err == nil {
-			k.mu.Lock()
-			defer k.mu.Unlock()
-			for len(k.active) >= maxConns {
-				k.connClosed.Wait()
+			l.mu.Lock()
+			defer l.mu.Unlock()
+			for len(l.active) >= maxConns {
+				l.connClosed.Wait()
 			}
-			if len(k.waiting)+len(k.active) >= maxConns {
-				k.waiting[0].Close()
-				k.waiting = k.waiting[1:]
+			if len(l.waiting)+len(l.active) >= maxConns {
+				l.waiting[0].Close()
+				l.waiting = l.waiting[1:]
 			}
-			k.waiting = append(k.waiting, c)
+			l.waiting = append(l.waiting, c)
 			return c, nil
 		}
 		if errors.Is(err, net.ErrClosed) {
@@ -54,32 +55,32 @@
 	}
 }
 
-// trackState forgets closed connections (http.Server.ConnState).
-func (k *connLimiter) trackState(c net.Conn, s http.ConnState) {
+// trackState removes closed connections (http.Server.ConnState).
+func (l *connLimiter) trackState(c net.Conn, s http.ConnState) {
 	if s == http.StateClosed {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		k.waiting = removeConn(k.waiting, c)
-		k.active = removeConn(k.active, c)
-		k.connClosed.Signal()
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.waiting = removeConn(l.waiting, c)
+		l.active = removeConn(l.active, c)
+		l.connClosed.Signal()
 	}
 }
 
 type connKey struct{}
 
 // connContext stores the connection of a call (http.Server.ConnContext).
-func (k *connLimiter) connContext(ctx context.Context, c net.Conn) context.Context {
+func (l *connLimiter) connContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
 // markActive notes that a call has arrived completely: its connection is not closed for another.
-func (k *connLimiter) markActive(ctx context.Context) {
+func (l *connLimiter) markActive(ctx context.Context) {
 	c, _ := ctx.Value(connKey{}).(net.Conn)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if slices.Contains(k.waiting, c) { // else it has been closed for another
-		k.waiting = removeConn(k.waiting, c)
-		k.active = append(k.active, c)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if slices.Contains(l.waiting, c) { // otherwise it has been closed for another
+		l.waiting = removeConn(l.waiting, c)
+		l.active = append(l.active, c)
 	}
 }
 
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
-// Package admin serves the HTTP calls of on-call staff: readiness, metrics, cordons, members and maintenance. It
-// keeps no state of its own and must not import the engines or the servers of clients: a Backend carries the calls
-// out. Each call is answered in time, however busy the process is.
+// Package admin serves the HTTP calls of on-call staff: readiness, metrics, cordons, members and maintenance. It has no
+// state of its own and must not import the engines or the servers of clients: a Backend executes the calls. Each call
+// has a response in time, however busy the process is.
 package admin
 
 import (
@@ -17,35 +17,53 @@
 	"time"
 )
 
-// Sockets is the most descriptors that the server uses: the listener, the connections, and one being accepted.
+// Sockets is the largest number of descriptors that the server uses: the listener, the connections, and one being
+// accepted.
 const Sockets = maxConns + 2
 
 const (
-	maxConns       = 8               // connected at once; the next replaces one without a complete call
-	requestTimeout = 2 * time.Second // for a call to arrive completely
-	backendTimeout = 700 * time.Millisecond
-	maxBodyBytes   = 4 << 10
-	maxHeaderBytes = 4 << 10
-	maxTargetBytes = 256
+	maxConns       = 8                      // at once; the next one replaces one without a complete call
+	requestTimeout = 2 * time.Second        // for a call to arrive completely, and for its response to be written
+	backendTimeout = 700 * time.Millisecond // for the backend to execute a call
+	maxBodyBytes   = 4 << 10                // of a call
+	maxHeaderBytes = 4 << 10                // of a call
+	maxTargetBytes = 256                    // of an endpoint's ID
 )
 
-// ErrUnknownEndpoint means that no endpoint has the target id.
+// Paths of the calls. The names are the operators' protocol; the terms are those of Backend.
+const (
+	PathReady              = "/ready"
+	PathMetrics            = "/metrics"
+	PathMembers            = "/members"
+	PathMaintenance        = "/work"
+	PathMaintenanceCommand = "/work/say"
+	PathCordon             = "/endpoints/disable"
+	PathUncordon           = "/endpoints/enable"
+)
+
+// ErrUnknownEndpoint means that no endpoint has the ID that a call names.
 var ErrUnknownEndpoint = errors.New("no endpoint has this id")
 
-// Backend is the process that the calls are about. Its functions are called concurrently and must return when ctx
-// ends.
+// Backend executes the calls in its process. Its functions are called concurrently and must return when ctx ends.
 type Backend struct {
-	Ready   func() (ready bool, reason string)
+	// Ready reports whether the process is ready, and why not.
+	Ready func() (ready bool, reason string)
+
+	// Metrics returns the metrics: lines name=value.
 	Metrics func(ctx context.Context) (text []byte, err error)
-	// SetCordon cordons an endpoint or lifts its cordon, and returns once that holds; ErrUnknownEndpoint: there is
-	// none.
-	SetCordon func(ctx context.Context, target string, out bool) error
-	// Members returns the known members of the fleet as JSON; nil: not served here.
+
+	// SetCordon cordons or uncordons the endpoint with an ID, and returns once that is in effect. Its error is
+	// ErrUnknownEndpoint if there is none.
+	SetCordon func(ctx context.Context, endpoint string, cordoned bool) error
+
+	// Members returns the known members of the fleet as JSON; nil if the call is not served.
 	Members func(ctx context.Context) (text []byte, err error)
-	// Maintenance sends a request about machines under maintenance, or without a body returns their state, as JSON;
-	// nil: not served here.
+
+	// Maintenance executes a command about machines under maintenance, or without a body returns their state, as JSON;
+	// nil if the calls are not served.
 	Maintenance func(ctx context.Context, body []byte) (text []byte, err error)
-	Log         *slog.Logger
+
+	Log *slog.Logger
 }
 
 // Serve serves the calls until ln is closed.
@@ -61,7 +79,7 @@
 		ConnContext:    s.conns.connContext,
 		ErrorLog:       slog.NewLogLogger(backend.Log.Handler(), slog.LevelDebug),
 	}
-	httpServer.SetKeepAlivesEnabled(false) // one request on each connection
+	httpServer.SetKeepAlivesEnabled(false) // one call on each connection
 	err := httpServer.Serve(s.conns)
 	httpServer.Close()
 	if errors.Is(err, net.ErrClosed) {
@@ -81,27 +99,29 @@
 type handlerFunc func(ctx context.Context, w http.ResponseWriter, body []byte)
 
 func (s *server) registerRoutes() {
-	s.handle(http.MethodGet, "/ready", s.serveReady)
-	s.handle(http.MethodGet, "/metrics", s.serveMetrics)
+	s.handle(http.MethodGet, PathReady, s.serveReady)
+	s.handle(http.MethodGet, PathMetrics, s.serveMetrics)
 	if s.backend.Members != nil {
-		s.handleJSON("/members", s.backend.Members)
+		s.handleJSON(PathMembers, s.backend.Members)
 	}
 	if s.backend.Maintenance != nil {
-		s.handleJSON("/work", func(ctx context.Context) ([]byte, error) { return s.backend.Maintenance(ctx, nil) })
-		s.handle(http.MethodPost, "/work/say", s.serveMaintenance)
+		state := func(ctx context.Context) ([]byte, error) { return s.backend.Maintenance(ctx, nil) }
+		s.handleJSON(PathMaintenance, state)
+		s.handle(http.MethodPost, PathMaintenanceCommand, s.serveMaintenance)
 	}
-	for path, out := range map[string]bool{"/endpoints/disable": true, "/endpoints/enable": false} {
+	for path, cordoned := range map[string]bool{PathCordon: true, PathUncordon: false} {
 		s.handle(http.MethodPost, path, func(ctx context.Context, w http.ResponseWriter, body []byte) {
-			s.backend.serveCordon(ctx, w, body, out)
+			s.serveCordon(ctx, w, body, cordoned)
 		})
 	}
 	s.mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		writeText(w, http.StatusNotFound, "there is no %.100q here; GET /ready, GET /metrics, "+
-			"POST /endpoints/disable, POST /endpoints/enable", r.URL.Path)
+		writeText(w, http.StatusNotFound, "there is no %.100q here; GET "+PathReady+", GET "+PathMetrics+
+			", POST "+PathCordon+", POST "+PathUncordon, r.URL.Path)
 	})
 }
 
-// handle registers a handler for one method of a path. It is called with a complete body and the time limit of a call.
+// handle registers a handler for one method of a path. serve is called with the complete body, and a context that ends
+// after backendTimeout.
 func (s *server) handle(method, path string, serve handlerFunc) {
 	s.mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != method {
@@ -165,26 +185,26 @@
 	writeText(w, http.StatusOK, "%s", text)
 }
 
-func (d *Backend) serveCordon(ctx context.Context, w http.ResponseWriter, body []byte, out bool) {
-	target, err := parseTarget(body)
+func (s *server) serveCordon(ctx context.Context, w http.ResponseWriter, body []byte, cordoned bool) {
+	endpoint, err := parseTarget(body)
 	if err != nil {
 		writeText(w, http.StatusBadRequest, "%v", err)
 		return
 	}
-	err = d.SetCordon(ctx, target, out)
+	err = s.backend.SetCordon(ctx, endpoint, cordoned)
 	switch {
 	case errors.Is(err, ErrUnknownEndpoint):
-		writeText(w, http.StatusNotFound, "%s: %v", target, err)
+		writeText(w, http.StatusNotFound, "%s: %v", endpoint, err)
 	case err != nil:
-		writeText(w, http.StatusServiceUnavailable, "%s: %v; call again", target, err)
-	case out:
-		writeText(w, http.StatusOK, "%s is out", target)
+		writeText(w, http.StatusServiceUnavailable, "%s: %v; call again", endpoint, err)
+	case cordoned:
+		writeText(w, http.StatusOK, "%s is out", endpoint)
 	default:
-		writeText(w, http.StatusOK, "%s may serve again", target)
+		writeText(w, http.StatusOK, "%s may serve again", endpoint)
 	}
 }
 
-// parseTarget reads the one thing that a call's body says.
+// parseTarget returns the endpoint's ID, which is the only field of a call's body that is used.
 func parseTarget(text []byte) (string, error) {
 	var call struct {
 		Target *string `json:"target"`
@@ -224,11 +244,11 @@
 		method = http.MethodPost
 		requestBody = bytes.NewReader(text)
 	}
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, requestBody)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, requestBody)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := http.DefaultClient.Do(q)
+	resp, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
@@ -240,5 +260,5 @@
 	return text, err
 }
 
-// maxResponseBytes bounds what a call's answer may be.
+// maxResponseBytes is the size in bytes to which Call reads a response.
 const maxResponseBytes = 64 << 20
