--- a/cmd/dunlinsaild/members.go
+++ b/cmd/dunlinsaild/members.go
@@ -9,6 +9,7 @@
 	"text/tabwriter"
 	"time"
 
+	"dunlinsail/internal/admin"
 	"dunlinsail/internal/daemon"
 	"dunlinsail/internal/decide/coordination"
 )
@@ -20,7 +21,7 @@
 
 // Run prints a daemon's view of its fleet.
 func (c *membersCmd) Run(stop context.Context) error {
-	text, err := c.call(stop, "/members", nil)
+	text, err := c.call(stop, admin.PathMembers, nil)
 	if err != nil {
 		return err
 	}
--- a/cmd/dunlinsaild/work.go
+++ b/cmd/dunlinsaild/work.go
@@ -10,6 +10,7 @@
 
 	"github.com/alecthomas/kong"
 
+	"dunlinsail/internal/admin"
 	"dunlinsail/internal/consensus"
 	"dunlinsail/internal/decide/maintenance"
 	"dunlinsail/internal/monotime"
@@ -18,12 +19,6 @@
 // This file has the commands for maintenance, below "dunlinsaild work". The names of commands, flags and arguments are
 // operators', in tags where the Go name differs.
 
-// The paths of operators' calls.
-const (
-	pathMaintenanceView    = "/work"
-	pathMaintenanceCommand = "/work/say"
-)
-
 // workHelp holds the help texts that are too long for a tag on one line.
 var workHelp = kong.Vars{
 	"work_forget_help": "Say that an instance's process is dead for certain:" +
@@ -44,7 +39,7 @@
 
 // submit sends a command for the consensus log, and returns the answer.
 func (f *adminFlag) submit(ctx context.Context, command maintenance.Command) (string, error) {
-	answer, err := f.call(ctx, pathMaintenanceCommand, command)
+	answer, err := f.call(ctx, admin.PathMaintenanceCommand, command)
 	return strings.TrimSpace(string(answer)), err
 }
 
@@ -59,7 +54,7 @@
 
 // view returns the leader's view of the maintenance plan.
 func (f *adminFlag) view(ctx context.Context) (*consensus.View, error) {
-	text, err := f.call(ctx, pathMaintenanceView, nil)
+	text, err := f.call(ctx, admin.PathMaintenance, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -107,7 +102,7 @@
 // Run prints the view, as text or as the JSON that the daemon sends.
 func (c *workListCmd) Run(ctx context.Context) error {
 	if c.JSON {
-		text, err := c.call(ctx, pathMaintenanceView, nil)
+		text, err := c.call(ctx, admin.PathMaintenance, nil)
 		if err == nil {
 			fmt.Printf("%s\n", text)
 		}
--- /dev/null
+++ b/internal/wire/names_page_test.go
@@ -0,0 +1,138 @@
+package wire
+
+import (
+	"go/scanner"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+const (
+	repositoryRoot  = "../.."
+	wireNamesPage   = repositoryRoot + "/docs/GLOSSARY.md"
+	wireNamesTitle  = "## Names on the wire"
+	minWireNameRows = 30
+)
+
+// otherSides are folders that play the other side of the wire: its names are spelled there independently.
+var otherSides = []string{
+	"internal/fake", "internal/experiment", "internal/bench", "internal/playground", "internal/simulation",
+}
+
+var (
+	backquoted = regexp.MustCompile("`([^`]+)`")
+	plainWord  = regexp.MustCompile(`^[a-z]+$`) // could be a word of another meaning
+	tagName    = regexp.MustCompile(`(?:json|toml|cbor):"([^",]+)`)
+)
+
+// wireNameFiles returns the files in which each name of the page's table may be spelled.
+func wireNameFiles(t *testing.T) map[string][]string {
+	t.Helper()
+	text, err := os.ReadFile(wireNamesPage)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, section, found := strings.Cut(string(text), wireNamesTitle+"\n")
+	if !found {
+		t.Fatalf("the page has no section %q", wireNamesTitle)
+	}
+	section, _, _ = strings.Cut(section, "\n## ")
+	files, rows := map[string][]string{}, 0
+	for _, line := range strings.Split(section, "\n") {
+		cells := strings.Split(line, "|")
+		if !strings.HasPrefix(line, "| `") || len(cells) != 5 {
+			continue
+		}
+		rows++
+		file := backquoted.FindStringSubmatch(cells[2])[1]
+		for _, name := range backquoted.FindAllStringSubmatch(cells[3], -1) {
+			files[name[1]] = append(files[name[1]], file)
+		}
+	}
+	if rows < minWireNameRows {
+		t.Fatalf("%d rows, want at least %d", rows, minWireNameRows)
+	}
+	return files
+}
+
+// literals returns the values of a file's string literals, and the names in its struct tags.
+func literals(t *testing.T, name string) []string {
+	t.Helper()
+	source, err := os.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var s scanner.Scanner
+	s.Init(token.NewFileSet().AddFile(name, -1, len(source)), source, nil, 0)
+	var values []string
+	for _, tok, text := s.Scan(); tok != token.EOF; _, tok, text = s.Scan() {
+		if tok != token.STRING {
+			continue
+		}
+		value, err := strconv.Unquote(text)
+		if err != nil {
+			t.Fatalf("%s: %s: %v", name, text, err)
+		}
+		values = append(values, value)
+		for _, tag := range tagName.FindAllStringSubmatch(value, -1) {
+			values = append(values, tag[1])
+		}
+	}
+	return values
+}
+
+// productFiles calls visit with each Go file of the programs, and its path from the repository's root.
+func productFiles(t *testing.T, visit func(name, path string)) {
+	t.Helper()
+	err := filepath.WalkDir(repositoryRoot, func(name string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		path, err := filepath.Rel(repositoryRoot, name)
+		if err != nil {
+			return err
+		}
+		path = filepath.ToSlash(path)
+		hidden := strings.HasPrefix(entry.Name(), ".") && path != "."
+		switch {
+		case entry.IsDir() && (hidden || slices.Contains(otherSides, path)):
+			return fs.SkipDir
+		case strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go"):
+			visit(name, path)
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Each name on the wire is spelled in the one file that the glossary names, and nowhere else in the programs. Names that
+// are one plain word are only looked for in their file: elsewhere they may mean something else.
+func TestWireNamesHaveOnePlace(t *testing.T) {
+	files := wireNameFiles(t)
+	spelled := map[string]bool{} // file and name
+	productFiles(t, func(name, path string) {
+		for _, value := range literals(t, name) {
+			places, known := files[value]
+			spelled[path+" "+value] = known
+			if known && !plainWord.MatchString(value) && !slices.Contains(places, path) {
+				t.Errorf("%s spells %q, which belongs into %s only", path, value, places)
+			}
+		}
+	})
+	onlyInComments := "internal/wire/reply.go"
+	for value, places := range files {
+		for _, path := range places {
+			if path != onlyInComments && !spelled[path+" "+value] {
+				t.Errorf("%s does not spell %q", path, value)
+			}
+		}
+	}
+}
