--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -8,7 +8,7 @@
 )
 
 // near reports whether two results are equal but for rounding.
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
+func approxEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
 func TestErrorRejectChance(t *testing.T) {
 	for _, c := range []struct {
@@ -28,59 +28,59 @@
 		// 20 failing buckets after the accepts: the weight is 1.5 - 0.4*20/40 = 1.3.
 		{"weight falls", 10, 20, 0, 20, (30.0 - 5 - 13) / 31},
 	} {
-		var k breaker
+		var br breaker
 		now := 100 * second
 		for range c.accepts {
-			k.record(now, 1, 0)
+			br.record(now, 1, 0)
 		}
 		for i := range c.failures {
 			if c.spread > 1 && i%(c.failures/c.spread) == 0 {
 				now += breakerWindow / breakerBuckets
 			}
-			k.record(now, 0, 1)
+			br.record(now, 0, 1)
 		}
 		for range c.rejections {
-			k.record(now, 0, 0)
+			br.record(now, 0, 0)
 		}
-		if got := k.errorRejectChance(now); !near(got, c.want) {
+		if got := br.errorRejectChance(now); !approxEqual(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
 func TestBreakerWindowForgets(t *testing.T) {
-	var k breaker
+	var br breaker
 	for range 100 {
-		k.record(100*second, 0, 1)
+		br.record(100*second, 0, 1)
 	}
-	if k.errorRejectChance(109*second) == 0 {
+	if br.errorRejectChance(109*second) == 0 {
 		t.Error("failures of nine seconds ago are forgotten")
 	}
-	if got := k.errorRejectChance(110*second + 1); got != 0 || k.requests != 0 {
-		t.Errorf("after the window: chance %v, %d requests", got, k.requests)
+	if got := br.errorRejectChance(110*second + 1); got != 0 || br.requests != 0 {
+		t.Errorf("after the window: chance %v, %d requests", got, br.requests)
 	}
 	for range 100 {
-		k.record(200*second, 0, 1)
+		br.record(200*second, 0, 1)
 	}
-	k.errorRejectChance(500 * second)
-	if k.requests != 0 {
-		t.Errorf("after a long pause: %d requests", k.requests)
+	br.errorRejectChance(500 * second)
+	if br.requests != 0 {
+		t.Errorf("after a long pause: %d requests", br.requests)
 	}
 }
 
 func TestLatencyAverages(t *testing.T) {
-	var k breaker
-	k.recordLatency(100)
-	if k.baseLatency != 100 || k.currentLatency != 100 {
-		t.Fatalf("first: base %v current %v", k.baseLatency, k.currentLatency)
+	var br breaker
+	br.recordLatency(100)
+	if br.baseLatency != 100 || br.currentLatency != 100 {
+		t.Fatalf("first: base %v current %v", br.baseLatency, br.currentLatency)
 	}
-	k.recordLatency(60) // falls by a quarter of the way; current (60+3*100)/4
-	if !near(k.baseLatency, 90) || !near(k.currentLatency, 90) {
-		t.Fatalf("fall: base %v current %v", k.baseLatency, k.currentLatency)
+	br.recordLatency(60) // falls by a quarter of the way; current (60+3*100)/4
+	if !approxEqual(br.baseLatency, 90) || !approxEqual(br.currentLatency, 90) {
+		t.Fatalf("fall: base %v current %v", br.baseLatency, br.currentLatency)
 	}
-	k.recordLatency(190) // rises by a hundredth: (190+99*90)/100; current (190+270)/4
-	if !near(k.baseLatency, 91) || !near(k.currentLatency, 115) {
-		t.Fatalf("rise: base %v current %v", k.baseLatency, k.currentLatency)
+	br.recordLatency(190) // rises by a hundredth: (190+99*90)/100; current (190+270)/4
+	if !approxEqual(br.baseLatency, 91) || !approxEqual(br.currentLatency, 115) {
+		t.Fatalf("rise: base %v current %v", br.baseLatency, br.currentLatency)
 	}
 }
 
@@ -97,8 +97,8 @@
 		{"capped", 100, 5000, 1000, 0.3},
 		{"ceiling under the threshold", 400, 5000, 1000, 0},
 	} {
-		k := breaker{baseLatency: c.base, currentLatency: c.current}
-		if got := k.latencyRejectChance(c.timeout); !near(got, c.want) {
+		br := breaker{baseLatency: c.base, currentLatency: c.current}
+		if got := br.latencyRejectChance(c.timeout); !approxEqual(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -133,7 +133,7 @@
 func TestNoMoreThanHalfAreEjected(t *testing.T) {
 	for _, c := range []struct{ endpoints, maxEjected int }{{1, 0}, {2, 1}, {3, 1}, {4, 2}, {9, 4}} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(c.endpoints))
-		worst := 0
+		peakEjected := 0
 		for id := range uint64(200) {
 			now := 1000 + 100*monotime.Micros(id)
 			b.HandleRequest(now, Request{ID: id, Class: 4, Deadline: now + second})
@@ -144,10 +144,10 @@
 			for _, e := range b.endpoints {
 				ejected += int(indicator(e.isEjected(now)))
 			}
-			worst = max(worst, ejected)
+			peakEjected = max(peakEjected, ejected)
 		}
-		if worst != c.maxEjected {
-			t.Errorf("%d endpoints, all failing: %d ejected at once, want %d", c.endpoints, worst, c.maxEjected)
+		if peakEjected != c.maxEjected {
+			t.Errorf("%d endpoints, all failing: %d ejected at once, want %d", c.endpoints, peakEjected, c.maxEjected)
 		}
 	}
 }
--- a/balancer/checker_test.go
+++ b/balancer/checker_test.go
@@ -11,24 +11,24 @@
 )
 
 // checker is a host that checks the rules at each action.
-type checker struct {
+type ruleChecker struct {
 	settings     Settings
 	now          monotime.Micros
-	states       map[uint32]Endpoint        // the latest entries
+	entries      map[uint32]Endpoint        // the latest entries
 	cordoned     map[uint32]bool            // by endpoint
 	warmingUp    map[uint32]monotime.Micros // by endpoint: instant of its start
 	warmingSends map[uint32]float64         // by endpoint: requests sent while it warms up
 	requests     map[uint64]*checkedRequest // open and ended
-	faults       []string
+	violations   []string
 	timers       []pendingTimer
 	probes       []uint32 // endpoint IDs
 }
 
 type checkedRequest struct {
-	in       Request
-	answered int  // final answers by the balancer
-	closed   bool // by the answer of an attempt, or by its client
-	attempts []checkedAttempt
+	request        Request
+	finalResponses int  // final answers by the balancer
+	ended          bool // by the answer of an attempt, or by its client
+	attempts       []checkedAttempt
 }
 
 type checkedAttempt struct {
@@ -44,12 +44,12 @@
 }
 
 // fault records a broken rule.
-func (c *checker) fault(format string, args ...any) {
-	c.faults = append(c.faults, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
+func (c *ruleChecker) recordViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-// firstMayHaveRun returns the first attempt that may have run, nil for none.
-func (r *checkedRequest) firstMayHaveRun() *checkedAttempt {
+// firstThatMayHaveRun returns the first attempt that may have run, nil for none.
+func (r *checkedRequest) firstThatMayHaveRun() *checkedAttempt {
 	for i := range r.attempts {
 		if r.attempts[i].mayHaveRun {
 			return &r.attempts[i]
@@ -58,21 +58,21 @@
 	return nil
 }
 
-func (c *checker) Send(id uint64, endpoint uint32, _ monotime.Micros) {
+func (c *ruleChecker) Send(id uint64, endpoint uint32, _ monotime.Micros) {
 	r := c.requests[id]
 	if r == nil {
-		c.fault("send for unknown request %d", id)
+		c.recordViolation("send for unknown request %d", id)
 		return
 	}
-	e, known := c.states[endpoint]
-	if r.answered > 0 || r.closed {
-		c.fault("send after the end of %d", id)
+	e, known := c.entries[endpoint]
+	if r.finalResponses > 0 || r.ended {
+		c.recordViolation("send after the end of %d", id)
 	}
 	if !known || e.State != Ready {
-		c.fault("send to endpoint %d in state %d", endpoint, e.State)
+		c.recordViolation("send to endpoint %d in state %d", endpoint, e.State)
 	}
 	if c.cordoned[endpoint] {
-		c.fault("send to endpoint %d, which is cordoned", endpoint)
+		c.recordViolation("send to endpoint %d, which is cordoned", endpoint)
 	}
 	c.checkAttempts(r)
 	c.checkIdempotency(r, e)
@@ -83,21 +83,21 @@
 }
 
 // checkAttempts checks that r may have one more attempt.
-func (c *checker) checkAttempts(r *checkedRequest) {
+func (c *ruleChecker) checkAttempts(r *checkedRequest) {
 	if len(r.attempts) >= c.settings.Limits.MaxAttempts {
-		c.fault("attempt %d of %d", len(r.attempts), r.in.ID)
+		c.recordViolation("attempt %d of %d", len(r.attempts), r.request.ID)
 	}
-	for _, a := range r.attempts {
-		if a.inflight && !c.settings.Limits.Hedging {
-			c.fault("hedged attempt of %d", r.in.ID)
+	for _, attempt := range r.attempts {
+		if attempt.inflight && !c.settings.Limits.Hedging {
+			c.recordViolation("hedged attempt of %d", r.request.ID)
 		}
 	}
 }
 
 // checkIdempotency checks that an attempt of r at e has no second effect.
-func (c *checker) checkIdempotency(r *checkedRequest, e Endpoint) {
-	class := c.settings.Classes[r.in.Class]
-	first := r.firstMayHaveRun()
+func (c *ruleChecker) checkIdempotency(r *checkedRequest, e Endpoint) {
+	class := c.settings.Classes[r.request.Class]
+	first := r.firstThatMayHaveRun()
 	if first == nil || class.Idempotency == Idempotent {
 		return
 	}
@@ -105,116 +105,116 @@
 		class.DedupScope == DedupZone && first.endpoint.Zone == e.Zone ||
 		class.DedupScope == DedupCell && first.endpoint.Cell == e.Cell
 	if class.Idempotency == NonIdempotent || !inScope || c.now > first.sentAt+class.DedupWindow {
-		c.fault("repeat of %d (%s) may have a second effect", r.in.ID, class.Name)
+		c.recordViolation("repeat of %d (%s) may have a second effect", r.request.ID, class.Name)
 	}
 }
 
 // final records the final answer of a request.
-func (c *checker) final(id uint64) *checkedRequest {
+func (c *ruleChecker) recordFinalResponse(id uint64) *checkedRequest {
 	r := c.requests[id]
-	if r == nil || r.answered > 0 || r.closed {
-		c.fault("final answer for %d, which is not open", id)
+	if r == nil || r.finalResponses > 0 || r.ended {
+		c.recordViolation("final answer for %d, which is not open", id)
 		return nil
 	}
-	r.answered++
+	r.finalResponses++
 	return r
 }
 
-func (c *checker) Reject(id uint64, _ monotime.Micros) {
-	if r := c.final(id); r != nil && r.firstMayHaveRun() != nil {
-		class := c.settings.Classes[r.in.Class]
+func (c *ruleChecker) Reject(id uint64, _ monotime.Micros) {
+	if r := c.recordFinalResponse(id); r != nil && r.firstThatMayHaveRun() != nil {
+		class := c.settings.Classes[r.request.Class]
 		if class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != DedupAll {
-			c.fault("rejection of %d (%s), which may have run", id, class.Name)
+			c.recordViolation("rejection of %d (%s), which may have run", id, class.Name)
 		}
 	}
 }
 
-func (c *checker) Fail(id uint64) { c.final(id) }
+func (c *ruleChecker) Fail(id uint64) { c.recordFinalResponse(id) }
 
-func (c *checker) Cancel(id uint64, attempt int) {
+func (c *ruleChecker) Cancel(id uint64, attempt int) {
 	if r := c.requests[id]; r == nil || attempt >= len(r.attempts) {
-		c.fault("cancel of attempt %d of %d, never made", attempt, id)
+		c.recordViolation("cancel of attempt %d of %d, never made", attempt, id)
 	}
 }
 
-func (c *checker) SetTimer(delay monotime.Micros, token uint32) {
+func (c *ruleChecker) SetTimer(delay monotime.Micros, token uint32) {
 	if delay <= 0 {
-		c.fault("timer delay %d", delay)
+		c.recordViolation("timer delay %d", delay)
 	}
 	c.timers = append(c.timers, pendingTimer{c.now + delay, token})
 }
 
-func (c *checker) Probe(e uint32) {
-	if _, known := c.states[e]; !known {
-		c.fault("probe of unknown endpoint %d", e)
+func (c *ruleChecker) Probe(e uint32) {
+	if _, known := c.entries[e]; !known {
+		c.recordViolation("probe of unknown endpoint %d", e)
 	}
 	if c.cordoned[e] {
-		c.fault("probe of endpoint %d, which is cordoned", e)
+		c.recordViolation("probe of endpoint %d, which is cordoned", e)
 	}
 	c.probes = append(c.probes, e)
 }
 
-func (c *checker) Watch(bool) {
+func (c *ruleChecker) Watch(bool) {
 	if !c.settings.Subscribe {
-		c.fault("subscription where changes are pushed")
+		c.recordViolation("subscription where changes are pushed")
 	}
 }
 
-func (c *checker) Log(string, ...any) {}
+func (c *ruleChecker) Log(string, ...any) {}
 
 // randomRun gives a balancer random events that a host may give, with a checker as its host.
 type randomRun struct {
-	*checker
-	balancer *Balancer
-	random   *rand.Rand
-	list     []Endpoint
-	open     []uint64
-	lastID   uint64
+	*ruleChecker
+	balancer   *Balancer
+	random     *rand.Rand
+	endpoints  []Endpoint
+	requestIDs []uint64
+	lastID     uint64
 }
 
 // playRandomEvents runs random events from a seed, and returns the broken rules.
 func playRandomEvents(t *testing.T, s Settings, seed int64) []string {
 	t.Helper()
-	x := &randomRun{random: rand.New(rand.NewSource(seed))}
-	x.checker = &checker{
+	run := &randomRun{random: rand.New(rand.NewSource(seed))}
+	run.ruleChecker = &ruleChecker{
 		settings:     s,
 		now:          1_000_000,
-		states:       map[uint32]Endpoint{},
+		entries:      map[uint32]Endpoint{},
 		cordoned:     map[uint32]bool{},
 		warmingUp:    map[uint32]monotime.Micros{},
 		warmingSends: map[uint32]float64{},
 		requests:     map[uint64]*checkedRequest{},
 	}
 	var err error
-	x.balancer, err = New(s, uint64(seed), x.checker)
+	run.balancer, err = New(s, uint64(seed), run.ruleChecker)
 	require.NoError(t, err)
-	x.balancer.Start(x.now)
-	x.list = readyEndpoints(1 + x.random.Intn(6))
-	x.update(ListCached, slices.Clone(x.list))
+	run.balancer.Start(run.now)
+	run.endpoints = readyEndpoints(1 + run.random.Intn(6))
+	run.updateEndpoints(ListCached, slices.Clone(run.endpoints))
 	for range 3000 {
-		x.now += monotime.Micros(x.random.Intn(20_000))
-		x.fireTimers(0)
-		x.step()
+		run.now += monotime.Micros(run.random.Intn(20_000))
+		run.fireTimers(0)
+		run.handleRandomEvent()
 	}
 	// Each request that is still open must be answered by its deadline.
 	for range 400 {
-		x.now += 5000
-		x.fireTimers(firstRequestToken)
+		run.now += 5000
+		run.fireTimers(firstRequestToken)
 	}
-	for id, r := range x.requests {
-		if r.answered == 0 && !r.closed {
-			x.fault("request %d never got a final answer", id)
+	for id, r := range run.requests {
+		if r.finalResponses == 0 && !r.ended {
+			run.recordViolation("request %d never got a final answer", id)
 		}
 	}
-	return x.faults
+	return run.violations
 }
 
 // fireTimers fires the timers that are due, of tokens from the given one on.
-func (x *randomRun) fireTimers(from uint32) {
-	for i := 0; i < len(x.timers); {
-		if p := x.timers[i]; p.at <= x.now && p.token >= from {
-			x.timers = slices.Delete(x.timers, i, i+1)
-			x.balancer.HandleTimer(x.now, p.token)
+func (run *randomRun) fireTimers(from uint32) {
+	for i := 0; i < len(run.timers); {
+		if timer := run.timers[i]; timer.at <= run.now && timer.token >= from {
+			run.timers = slices.Delete(run.timers, i, i+1)
+			run.balancer.HandleTimer(run.now, timer.token)
 			continue
 		}
 		i++
@@ -222,100 +222,100 @@
 }
 
 // status draws the status of an attempt or a probe; OK is the most frequent.
-func (x *randomRun) status() Status {
+func (run *randomRun) drawStatus() Status {
 	statuses := []Status{OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent}
-	return statuses[x.random.Intn(len(statuses))]
+	return statuses[run.random.Intn(len(statuses))]
 }
 
 // step gives the balancer one random event.
-func (x *randomRun) step() {
-	switch n := x.random.Intn(20); {
+func (run *randomRun) handleRandomEvent() {
+	switch n := run.random.Intn(20); {
 	case n < 8:
-		x.lastID++
-		in := Request{ID: x.lastID, Class: uint8(x.random.Intn(len(x.settings.Classes))),
-			Deadline: x.now + monotime.Micros(x.random.Intn(1_000_000)) - 50_000}
-		x.requests[in.ID] = &checkedRequest{in: in}
-		x.open = append(x.open, in.ID)
-		x.balancer.HandleRequest(x.now, in)
-	case n < 15 && len(x.open) > 0:
-		x.endAttempt(x.requests[x.open[x.random.Intn(len(x.open))]])
-	case n < 16 && len(x.open) > 0:
-		r := x.requests[x.open[x.random.Intn(len(x.open))]]
-		if r.answered == 0 {
-			r.closed = true
+		run.lastID++
+		request := Request{ID: run.lastID, Class: uint8(run.random.Intn(len(run.settings.Classes))),
+			Deadline: run.now + monotime.Micros(run.random.Intn(1_000_000)) - 50_000}
+		run.requests[request.ID] = &checkedRequest{request: request}
+		run.requestIDs = append(run.requestIDs, request.ID)
+		run.balancer.HandleRequest(run.now, request)
+	case n < 15 && len(run.requestIDs) > 0:
+		run.endAttempt(run.requests[run.requestIDs[run.random.Intn(len(run.requestIDs))]])
+	case n < 16 && len(run.requestIDs) > 0:
+		r := run.requests[run.requestIDs[run.random.Intn(len(run.requestIDs))]]
+		if r.finalResponses == 0 {
+			r.ended = true
 		}
-		x.balancer.HandleClientGone(x.now, r.in.ID)
-	case n == 16 && x.random.Intn(3) == 0:
-		id := x.list[x.random.Intn(len(x.list))].ID
-		x.cordoned[id] = true
-		if x.random.Intn(2) == 0 {
-			delete(x.cordoned, id)
+		run.balancer.HandleClientGone(run.now, r.request.ID)
+	case n == 16 && run.random.Intn(3) == 0:
+		id := run.endpoints[run.random.Intn(len(run.endpoints))].ID
+		run.cordoned[id] = true
+		if run.random.Intn(2) == 0 {
+			delete(run.cordoned, id)
 		}
-		x.balancer.SetCordon(x.now, id, x.cordoned[id])
+		run.balancer.SetCordon(run.now, id, run.cordoned[id])
 	case n < 18:
-		for _, e := range x.probes {
-			status := x.status()
-			x.balancer.HandleProbe(x.now, e, status, 500, []float32{float32(x.random.Intn(8))})
+		for _, e := range run.probes {
+			status := run.drawStatus()
+			run.balancer.HandleProbe(run.now, e, status, 500, []float32{float32(run.random.Intn(8))})
 		}
-		x.probes = x.probes[:0]
+		run.probes = run.probes[:0]
 	default:
-		x.changeList()
+		run.changeEndpointList()
 	}
 }
 
 // endAttempt ends the first attempt of r that is in flight.
-func (x *randomRun) endAttempt(r *checkedRequest) {
+func (run *randomRun) endAttempt(r *checkedRequest) {
 	for i := range r.attempts {
-		a := &r.attempts[i]
-		if !a.inflight {
+		attempt := &r.attempts[i]
+		if !attempt.inflight {
 			continue
 		}
-		a.inflight = false
-		status := x.status()
+		attempt.inflight = false
+		status := run.drawStatus()
 		if status == Rejected || status == ConnectFailed || status == NotSent {
-			a.mayHaveRun = false
+			attempt.mayHaveRun = false
 		}
-		if status == OK && r.answered == 0 && !r.closed {
-			r.closed = true
+		if status == OK && r.finalResponses == 0 && !r.ended {
+			r.ended = true
 		}
-		x.balancer.HandleOutcome(x.now, Outcome{ID: r.in.ID, Attempt: i, Endpoint: a.endpoint.ID, Status: status,
-			Latency: x.now - a.sentAt, Answered: r.answered > 0 || r.closed})
+		run.balancer.HandleOutcome(run.now, Outcome{ID: r.request.ID, Attempt: i, Endpoint: attempt.endpoint.ID,
+			Status: status, Latency: run.now - attempt.sentAt, Answered: r.finalResponses > 0 || r.ended})
 		break
 	}
 }
 
-// changeList changes an endpoint and sends a list with or without it, or a failure.
-func (x *randomRun) changeList() {
-	e := &x.list[x.random.Intn(len(x.list))]
-	e.State = EndpointState(x.random.Intn(3))
-	if x.random.Intn(4) == 0 {
+// changeEndpointList changes an endpoint and sends a list with or without it, or a failure.
+func (run *randomRun) changeEndpointList() {
+	e := &run.endpoints[run.random.Intn(len(run.endpoints))]
+	e.State = EndpointState(run.random.Intn(3))
+	if run.random.Intn(4) == 0 {
 		e.State = Ready
-		e.StartTime = x.now - monotime.Micros(x.random.Intn(1_000_000))
+		e.StartTime = run.now - monotime.Micros(run.random.Intn(1_000_000))
 	}
-	if e.State == Ready && x.random.Intn(4) == 0 {
-		e.Zone = uint8(x.random.Intn(3))
+	if e.State == Ready && run.random.Intn(4) == 0 {
+		e.Zone = uint8(run.random.Intn(3))
 	}
-	switch x.random.Intn(6) {
+	switch run.random.Intn(6) {
 	case 0:
-		x.update(ListFull, slices.Clone(x.list[:x.random.Intn(len(x.list)+1)]))
+		run.updateEndpoints(ListFull, slices.Clone(run.endpoints[:run.random.Intn(len(run.endpoints)+1)]))
 	case 1:
-		x.update(ListFailed, nil)
+		run.updateEndpoints(ListFailed, nil)
 	default:
-		x.update(ListDelta, []Endpoint{*e, *e})
+		run.updateEndpoints(ListDelta, []Endpoint{*e, *e})
 	}
 }
 
 // update sends a list to the balancer, and cordons as the host does: cordons are its own, and an entry may be new.
-func (x *randomRun) update(kind ListKind, entries []Endpoint) {
-	if kind != ListDelta && kind != ListFailed {
-		clear(x.states)
+func (run *randomRun) updateEndpoints(listKind ListKind, entries []Endpoint) {
+	if listKind != ListDelta && listKind != ListFailed {
+		clear(run.entries)
 	}
 	for _, e := range entries {
-		x.states[e.ID] = e
+		run.entries[e.ID] = e
 	}
-	x.balancer.UpdateEndpoints(x.now, kind, entries)
-	for id := range x.cordoned {
-		x.balancer.SetCordon(x.now, id, true)
+	run.balancer.UpdateEndpoints(run.now, listKind, entries)
+	for id := range run.cordoned {
+		run.balancer.SetCordon(run.now, id, true)
 	}
 }
 
@@ -327,9 +327,9 @@
 		s.Limits.Probes = seed%5 != 0
 		s.Limits.MaxAttempts = 1 + int(seed%4)
 		s.Prices.Probe *= float64(seed % 7 / 3) // 0 for some, so that requests are queued
-		for i, bad := range playRandomEvents(t, s, seed) {
+		for i, violation := range playRandomEvents(t, s, seed) {
 			if i < 5 {
-				t.Errorf("seed %d: %s", seed, bad)
+				t.Errorf("seed %d: %s", seed, violation)
 			}
 		}
 	}
@@ -337,27 +337,31 @@
 
 // The checker must detect each broken rule.
 func TestCheckerDetectsBrokenRules(t *testing.T) {
-	newChecker := func() *checker {
-		c := &checker{settings: testSettings(), states: map[uint32]Endpoint{}, requests: map[uint64]*checkedRequest{}}
+	newChecker := func() *ruleChecker {
+		c := &ruleChecker{settings: testSettings(), entries: map[uint32]Endpoint{},
+			requests: map[uint64]*checkedRequest{}}
 		for _, e := range readyEndpoints(4) {
-			c.states[e.ID] = e
+			c.entries[e.ID] = e
 		}
 		for class := range uint8(5) {
-			c.requests[uint64(class)] = &checkedRequest{in: newTestRequest(uint64(class), class, 0)}
+			c.requests[uint64(class)] = &checkedRequest{request: newTestRequest(uint64(class), class, 0)}
 		}
 		return c
 	}
-	for name, do := range map[string]func(*checker){
-		"two final answers":      func(c *checker) { c.Reject(0, 0); c.Fail(0) },
-		"send after the end":     func(c *checker) { c.Fail(0); c.Send(0, 1, 0) },
-		"send to the drained":    func(c *checker) { c.states[1] = Endpoint{ID: 1, State: Draining}; c.Send(0, 1, 0) },
-		"send to the cordoned":   func(c *checker) { c.cordoned = map[uint32]bool{1: true}; c.Send(0, 1, 0) },
-		"write sent twice":       func(c *checker) { c.Send(4, 1, 0); c.Send(4, 2, 0) },
-		"write rejected":         func(c *checker) { c.Send(4, 1, 0); c.Reject(4, 0) },
-		"keyed outside its zone": func(c *checker) { c.Send(2, 1, 0); c.Send(2, 3, 0) },
-		"keyed outside its cell": func(c *checker) { c.Send(3, 1, 0); c.Send(3, 3, 0) },
-		"keyed after its window": func(c *checker) { c.Send(1, 1, 0); c.now = second; c.Send(1, 2, 0) },
-		"too many attempts": func(c *checker) {
+	for name, violate := range map[string]func(*ruleChecker){
+		"two final answers":  func(c *ruleChecker) { c.Reject(0, 0); c.Fail(0) },
+		"send after the end": func(c *ruleChecker) { c.Fail(0); c.Send(0, 1, 0) },
+		"send to the drained": func(c *ruleChecker) {
+			c.entries[1] = Endpoint{ID: 1, State: Draining}
+			c.Send(0, 1, 0)
+		},
+		"send to the cordoned":   func(c *ruleChecker) { c.cordoned = map[uint32]bool{1: true}; c.Send(0, 1, 0) },
+		"write sent twice":       func(c *ruleChecker) { c.Send(4, 1, 0); c.Send(4, 2, 0) },
+		"write rejected":         func(c *ruleChecker) { c.Send(4, 1, 0); c.Reject(4, 0) },
+		"keyed outside its zone": func(c *ruleChecker) { c.Send(2, 1, 0); c.Send(2, 3, 0) },
+		"keyed outside its cell": func(c *ruleChecker) { c.Send(3, 1, 0); c.Send(3, 3, 0) },
+		"keyed after its window": func(c *ruleChecker) { c.Send(1, 1, 0); c.now = second; c.Send(1, 2, 0) },
+		"too many attempts": func(c *ruleChecker) {
 			c.Send(0, 1, 0)
 			c.Send(0, 2, 0)
 			c.Send(0, 3, 0)
@@ -365,7 +369,7 @@
 		},
 	} {
 		c := newChecker()
-		if do(c); len(c.faults) == 0 {
+		if violate(c); len(c.violations) == 0 {
 			t.Errorf("%s: not detected", name)
 		}
 	}
--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("after the cordon: warming up %v, capacity fraction %v, avoided %v, streak %d", e.warmingUp(now, b),
 			e.capacityFraction(now, b), b.ShouldAvoid(now, 1), e.outliers[allTraffic].consecutiveFailures)
 	}
-	if later := now + s.Contract.WarmupTime; e.warmingUp(later, b) {
+	if warmupEnd := now + s.Contract.WarmupTime; e.warmingUp(warmupEnd, b) {
 		t.Error("its warm-up does not end")
 	}
 	// Three of the four are cordoned: all requests go to the fourth, and there is no endpoint for a second attempt.
@@ -33,9 +33,9 @@
 	for id := range uint64(40) {
 		b.HandleRequest(now, newTestRequest(100+id, 0, 1000))
 	}
-	for _, sent := range r.sends {
-		if sent.endpoint != 1 {
-			t.Errorf("sent to endpoint %d, which is cordoned", sent.endpoint)
+	for _, attempt := range r.sends {
+		if attempt.endpoint != 1 {
+			t.Errorf("sent to endpoint %d, which is cordoned", attempt.endpoint)
 		}
 	}
 	if len(r.sends) > 10 || len(r.rejected) < 30 {
@@ -43,9 +43,9 @@
 	}
 	// All are cordoned, without exception.
 	b.SetCordon(now, 1, true)
-	before := len(r.sends)
+	sendsBefore := len(r.sends)
 	b.HandleRequest(now, newTestRequest(200, 4, 1000))
-	if len(r.sends) != before {
+	if len(r.sends) != sendsBefore {
 		t.Error("a request was sent while all are cordoned")
 	}
 }
--- a/balancer/decisionhost_test.go
+++ b/balancer/decisionhost_test.go
@@ -14,13 +14,13 @@
 // simEndpoint is an endpoint of a run, with its faults.
 type simEndpoint struct {
 	balancer.Endpoint
-	slowness   float64 // factor of the service time
-	background float64 // requests of other balancers in flight
-	inflight   int
-	report     []float32       // the latest one, which is repeated for runOptions.staleFor
-	reportAt   monotime.Micros // instant at which it was made
+	serviceTimeFactor  float64 // factor of the service time
+	backgroundRequests float64 // requests of other balancers in flight
+	inflight           int
+	lastReport         []float32       // the latest one, which is repeated for runOptions.reportInterval
+	reportedAt         monotime.Micros // instant at which it was made
 
-	failing, full, unreachable, silent, nonsense bool
+	failing, rejecting, unreachable, unresponsive, invalidReports bool
 }
 
 type simEvent struct {
@@ -32,7 +32,7 @@
 type simAttempt struct {
 	endpoint *simEndpoint
 	sentAt   monotime.Micros
-	done     bool
+	ended    bool
 }
 
 type simRequest struct {
@@ -43,52 +43,52 @@
 
 // simulation is the host of one balancer. Its own random source is independent of the balancer's.
 type simulation struct {
-	balancer  *balancer.Balancer
-	settings  balancer.Settings
-	options   runOptions
-	now       monotime.Micros
-	seq       int
-	queue     []simEvent
-	random    *rand.Rand
-	endpoints []*simEndpoint
-	requests  map[uint64]*simRequest
-	nextID    uint64
-	digest    hash.Hash
-	counts    map[string]int
+	balancer     *balancer.Balancer
+	settings     balancer.Settings
+	options      runOptions
+	now          monotime.Micros
+	lastSeq      int
+	queue        []simEvent
+	random       *rand.Rand
+	endpoints    []*simEndpoint
+	requests     map[uint64]*simRequest
+	nextID       uint64
+	digest       hash.Hash
+	countsByKind map[string]int
 }
 
 // runOptions is what a run varies besides the settings.
 type runOptions struct {
 	endpoints       int
-	arrivals        float64         // requests per second in the calm phases
-	staleFor        monotime.Micros // time between two new reports of an endpoint
-	policy          bool            // there is an overload policy
+	requestRate     float64         // requests per second in the calm phases
+	reportInterval  monotime.Micros // time between two new reports of an endpoint
+	overloadPolicy  bool            // there is an overload policy
 	policyFromStart bool            // and from the start
-	handover        bool
-	handoverPause   monotime.Micros // from the end of the old balancer to the start of the next
+	takeover        bool
+	takeoverGap     monotime.Micros // from the end of the old balancer to the start of the next
 	operatorCalls   bool            // SetCordon, SetPaused and SetSuspicion are called
 }
 
-func (s *simulation) note(kind string, args ...any) {
-	s.counts[kind]++
-	fmt.Fprintln(s.digest, s.now, kind, args)
+func (s *simulation) record(eventKind string, args ...any) {
+	s.countsByKind[eventKind]++
+	fmt.Fprintln(s.digest, s.now, eventKind, args)
 }
 
-func (s *simulation) after(delay monotime.Micros, call func()) {
-	s.seq++
-	e := simEvent{at: s.now + max(0, delay), seq: s.seq, call: call}
-	at, _ := slices.BinarySearchFunc(s.queue, e, func(a, b simEvent) int {
+func (s *simulation) schedule(delay monotime.Micros, call func()) {
+	s.lastSeq++
+	event := simEvent{at: s.now + max(0, delay), seq: s.lastSeq, call: call}
+	index, _ := slices.BinarySearchFunc(s.queue, event, func(a, b simEvent) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.seq, b.seq))
 	})
-	s.queue = slices.Insert(s.queue, at, e)
+	s.queue = slices.Insert(s.queue, index, event)
 }
 
 func (s *simulation) runUntil(end monotime.Micros) {
 	for len(s.queue) > 0 && s.queue[0].at <= end {
-		e := s.queue[0]
+		event := s.queue[0]
 		s.queue = s.queue[1:]
-		s.now = e.at
-		e.call()
+		s.now = event.at
+		event.call()
 	}
 	s.now = end
 }
@@ -104,29 +104,29 @@
 
 func (s *simulation) Send(id uint64, endpoint uint32, timeout monotime.Micros) {
 	r := s.requests[id]
-	s.note("send", id, endpoint, timeout, s.balancer.FirstByteDeadline(id))
-	a := &simAttempt{endpoint: s.endpoint(endpoint), sentAt: s.now}
-	number := len(r.attempts)
-	r.attempts = append(r.attempts, a)
-	e := a.endpoint
+	s.record("send", id, endpoint, timeout, s.balancer.FirstByteDeadline(id))
+	attempt := &simAttempt{endpoint: s.endpoint(endpoint), sentAt: s.now}
+	attemptNumber := len(r.attempts)
+	r.attempts = append(r.attempts, attempt)
+	e := attempt.endpoint
 	e.inflight++
 	class := &s.settings.Classes[r.request.Class]
 	work := float64(class.LatencyObjective) / 8 * s.random.ExpFloat64()
 	if r.request.HasWorkHint {
 		work = float64(r.request.WorkHint) * (0.7 + 0.6*s.random.Float64())
 	}
-	load := float64(e.inflight) + e.background
-	latency := monotime.Micros(400 + work*e.slowness*max(1, load/2))
+	load := float64(e.inflight) + e.backgroundRequests
+	latency := monotime.Micros(400 + work*e.serviceTimeFactor*max(1, load/2))
 	status := balancer.OK
 	draw := s.random.Float64()
 	switch {
 	case e.State == balancer.Gone || e.unreachable:
 		status, latency = balancer.ConnectFailed, 2*millisecond
-	case e.full && draw < 0.7:
+	case e.rejecting && draw < 0.7:
 		status, latency = balancer.Rejected, millisecond
 	case e.failing && draw < 0.8:
 		status, latency = balancer.Error, 3*millisecond
-	case e.silent:
+	case e.unresponsive:
 		latency = 20 * second
 	case draw < 0.01:
 		status = balancer.Reset
@@ -140,124 +140,125 @@
 		status, latency = balancer.Timeout, timeout
 	}
 	if class.Streaming && status == balancer.OK {
-		first := latency / 3
-		s.after(first, func() {
-			if !a.done && !r.answered {
-				s.note("event headers", id, number)
-				s.balancer.HandleHeaders(s.now, id, number, first)
+		headersDelay := latency / 3
+		s.schedule(headersDelay, func() {
+			if !attempt.ended && !r.answered {
+				s.record("event headers", id, attemptNumber)
+				s.balancer.HandleHeaders(s.now, id, attemptNumber, headersDelay)
 			}
 		})
 	}
-	s.after(latency, func() { s.finish(r, number, status) })
+	s.schedule(latency, func() { s.endAttempt(r, attemptNumber, status) })
 }
 
 // finish reports the end of an attempt, once.
-func (s *simulation) finish(r *simRequest, number int, status balancer.Status) {
-	a := r.attempts[number]
-	if a.done {
+func (s *simulation) endAttempt(r *simRequest, attemptNumber int, status balancer.Status) {
+	attempt := r.attempts[attemptNumber]
+	if attempt.ended {
 		return
 	}
-	a.done = true
-	a.endpoint.inflight--
+	attempt.ended = true
+	attempt.endpoint.inflight--
 	if status == balancer.OK {
 		r.answered = true
 	}
-	o := balancer.Outcome{ID: r.request.ID, Attempt: number, Endpoint: a.endpoint.ID, Status: status,
-		Latency: s.now - a.sentAt, Answered: r.answered, NotReplayable: s.random.IntN(40) == 0,
-		Load: s.load(a.endpoint)}
-	s.note("event outcome", o.ID, o.Attempt, uint8(o.Status), o.Latency, o.Answered, o.NotReplayable)
-	s.balancer.HandleOutcome(s.now, o)
+	outcome := balancer.Outcome{ID: r.request.ID, Attempt: attemptNumber, Endpoint: attempt.endpoint.ID, Status: status,
+		Latency: s.now - attempt.sentAt, Answered: r.answered, NotReplayable: s.random.IntN(40) == 0,
+		Load: s.loadReport(attempt.endpoint)}
+	s.record("event outcome", outcome.ID, outcome.Attempt, uint8(outcome.Status), outcome.Latency,
+		outcome.Answered, outcome.NotReplayable)
+	s.balancer.HandleOutcome(s.now, outcome)
 }
 
 func (s *simulation) Reject(id uint64, retryAfter monotime.Micros) {
-	s.note("reject", id, retryAfter)
+	s.record("reject", id, retryAfter)
 	if r := s.requests[id]; r != nil {
 		r.answered = true
 	}
 }
 
 func (s *simulation) Fail(id uint64) {
-	s.note("fail", id)
+	s.record("fail", id)
 	s.requests[id].answered = true
 }
 
 func (s *simulation) Cancel(id uint64, attempt int) {
-	s.note("cancel", id, attempt)
+	s.record("cancel", id, attempt)
 	r := s.requests[id]
-	s.after(100, func() { s.finish(r, attempt, balancer.Cancelled) })
+	s.schedule(100, func() { s.endAttempt(r, attempt, balancer.Cancelled) })
 }
 
 func (s *simulation) SetTimer(delay monotime.Micros, token uint32) {
-	s.note("timer", delay, token)
-	b := s.balancer
-	s.after(delay, func() {
-		if s.balancer == b {
+	s.record("timer", delay, token)
+	setBy := s.balancer
+	s.schedule(delay, func() {
+		if s.balancer == setBy {
 			s.balancer.HandleTimer(s.now, token)
 		}
 	})
 }
 
 func (s *simulation) Probe(endpoint uint32) {
-	s.note("probe", endpoint)
+	s.record("probe", endpoint)
 	e := s.endpoint(endpoint)
 	if s.random.IntN(50) == 0 {
 		return // lost
 	}
 	latency := 300 + s.random.Int64N(400)
-	s.after(latency, func() {
+	s.schedule(latency, func() {
 		status := balancer.OK
 		if e.unreachable || e.State == balancer.Gone {
 			status = balancer.ConnectFailed
 		}
-		load := s.load(e)
-		s.note("event probed", endpoint, uint8(status), latency, load)
+		load := s.loadReport(e)
+		s.record("event probed", endpoint, uint8(status), latency, load)
 		s.balancer.HandleProbe(s.now, endpoint, status, latency, load)
 	})
 }
 
 // load returns a load report of e with the metrics of the settings.
-func (s *simulation) load(e *simEndpoint) []float32 {
-	if e.report != nil && s.now-e.reportAt < s.options.staleFor {
-		return e.report
+func (s *simulation) loadReport(e *simEndpoint) []float32 {
+	if e.lastReport != nil && s.now-e.reportedAt < s.options.reportInterval {
+		return e.lastReport
 	}
-	requests := float64(e.inflight) + e.background
+	requests := float64(e.inflight) + e.backgroundRequests
 	var load []float32
-	for _, f := range s.settings.LoadMetrics {
-		v := 0.0
-		switch f {
+	for _, metric := range s.settings.LoadMetrics {
+		value := 0.0
+		switch metric {
 		case balancer.MetricInflight:
-			v = requests
+			value = requests
 		case balancer.MetricQueueLength:
-			v = max(0, requests-2)
+			value = max(0, requests-2)
 		case balancer.MetricLatency:
-			v = 8 * e.slowness
+			value = 8 * e.serviceTimeFactor
 		case balancer.MetricUtilization:
-			v = min(1, requests/2)
+			value = min(1, requests/2)
 		}
-		if e.nonsense {
-			v = []float64{-1, 1e12, 3}[s.random.IntN(3)]
+		if e.invalidReports {
+			value = []float64{-1, 1e12, 3}[s.random.IntN(3)]
 		}
-		load = append(load, float32(v))
+		load = append(load, float32(value))
 	}
-	e.report = load
-	e.reportAt = s.now
+	e.lastReport = load
+	e.reportedAt = s.now
 	return load
 }
 
 func (s *simulation) Watch(on bool) {
-	s.note("watch", on)
+	s.record("watch", on)
 	switch s.random.IntN(4) {
 	case 0:
-		s.after(300*millisecond, func() { s.members(balancer.ListFailed, nil) })
+		s.schedule(300*millisecond, func() { s.updateEndpoints(balancer.ListFailed, nil) })
 	case 1: // lost
 	default:
-		s.after(30*millisecond, func() { s.members(balancer.ListFull, s.list()) })
+		s.schedule(30*millisecond, func() { s.updateEndpoints(balancer.ListFull, s.endpointList()) })
 	}
 }
 
-func (s *simulation) Log(string, ...any) { s.note("log") }
+func (s *simulation) Log(string, ...any) { s.record("log") }
 
-func (s *simulation) list() []balancer.Endpoint {
+func (s *simulation) endpointList() []balancer.Endpoint {
 	var list []balancer.Endpoint
 	for _, e := range s.endpoints {
 		if e.State != balancer.Gone {
@@ -267,10 +268,10 @@
 	return list
 }
 
-func (s *simulation) members(kind balancer.ListKind, entries []balancer.Endpoint) {
-	s.note("event members", uint8(kind), len(entries))
+func (s *simulation) updateEndpoints(listKind balancer.ListKind, entries []balancer.Endpoint) {
+	s.record("event members", uint8(listKind), len(entries))
 	for _, e := range entries {
-		s.note("entry", e.ID, e.Zone, e.Kind, e.Cell, uint8(e.State), e.Share, e.StartTime)
+		s.record("entry", e.ID, e.Zone, e.Kind, e.Cell, uint8(e.State), e.Share, e.StartTime)
 	}
-	s.balancer.UpdateEndpoints(s.now, kind, entries)
+	s.balancer.UpdateEndpoints(s.now, listKind, entries)
 }
--- a/balancer/firstanswers_test.go
+++ b/balancer/firstanswers_test.go
@@ -6,9 +6,9 @@
 	"dunlinsail/internal/monotime"
 )
 
-// newBalancerWithoutAnswers returns a balancer whose initial estimate of the work of a class is far above what its four
-// endpoints take.
-func newBalancerWithoutAnswers(t *testing.T) (*Balancer, *recorder) {
+// newBalancerWithoutResponses returns a balancer of four endpoints that has received no response yet. Its initial
+// estimate of the work of a request, 80 ms, is far above the service times that the tests use.
+func newBalancerWithoutResponses(t *testing.T) (*Balancer, *recorder) {
 	t.Helper()
 	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 	if got := b.classes[0].meanWork.value; got != 80_000 {
@@ -17,8 +17,8 @@
 	return b, r
 }
 
-// answerAll answers all attempts since the first so many within a latency, also those that the answers bring about.
-func answerAll(b *Balancer, r *recorder, now monotime.Micros, first int, latency monotime.Micros) monotime.Micros {
+// respondToAll answers all attempts since the first so many within a latency, also those that the answers bring about.
+func respondToAll(b *Balancer, r *recorder, now monotime.Micros, first int, latency monotime.Micros) monotime.Micros {
 	for first < len(r.sends) {
 		last := len(r.sends)
 		now += latency
@@ -33,7 +33,7 @@
 // A new process gets a burst before it has had any answer. Its endpoints are idle and fast: each request is sent
 // within a tenth of its latency objective.
 func TestBurstAtNewProcessIsNotRejected(t *testing.T) {
-	b, r := newBalancerWithoutAnswers(t)
+	b, r := newBalancerWithoutResponses(t)
 	now := second
 	for id := range uint64(150) {
 		b.HandleRequest(now, newTestRequest(id, 0, now))
@@ -41,7 +41,7 @@
 	if len(r.rejected) > 0 {
 		t.Errorf("%d requests rejected before any answer", len(r.rejected))
 	}
-	end := answerAll(b, r, now, 0, 3_000)
+	end := respondToAll(b, r, now, 0, 3_000)
 	if len(r.sends) != 150 || len(r.rejected) > 0 || end-now > 40_000 {
 		t.Errorf("%d of 150 sent, %d rejected, within %d us", len(r.sends), len(r.rejected), end-now)
 	}
@@ -52,16 +52,16 @@
 
 // Where no answer comes, a request over the latency budget waits for a tenth of its objective and is rejected then.
 func TestWaitForAnswersIsBounded(t *testing.T) {
-	b, r := newBalancerWithoutAnswers(t)
+	b, r := newBalancerWithoutResponses(t)
 	now := second
 	var delays []monotime.Micros
 	for id := range uint64(60) {
-		first := len(r.timers)
+		first := len(r.timerTokens)
 		b.HandleRequest(now, newTestRequest(id, 0, now))
 		if in := b.requests[id]; in != nil && in.waiting {
-			delays = append(delays, r.delays[len(r.delays)-1])
-			if len(r.timers) != first+1 || r.timers[first] != in.timerToken {
-				t.Fatalf("request %d waits with timers %v", id, r.timers[first:])
+			delays = append(delays, r.timerDelays[len(r.timerDelays)-1])
+			if len(r.timerTokens) != first+1 || r.timerTokens[first] != in.timerToken {
+				t.Fatalf("request %d waits with timers %v", id, r.timerTokens[first:])
 			}
 		}
 	}
@@ -86,7 +86,7 @@
 
 // The client of a waiting request leaves: nothing of the request is sent, and nothing of it is left.
 func TestClientLeavesWhileRequestWaitsForAnswers(t *testing.T) {
-	b, r := newBalancerWithoutAnswers(t)
+	b, r := newBalancerWithoutResponses(t)
 	now := second
 	id := uint64(0)
 	for ; len(b.classes[0].waiting) == 0 && id < 100; id++ {
@@ -95,7 +95,7 @@
 	gone := b.classes[0].waiting[0]
 	b.HandleClientGone(now, gone.ID)
 	sends := len(r.sends)
-	answerAll(b, r, now, 0, 3_000)
+	respondToAll(b, r, now, 0, 3_000)
 	b.HandleTimer(now+40_000, gone.timerToken)
 	if len(r.sends) != sends || len(b.requests) != 0 || len(b.classes[0].waiting) != 0 {
 		t.Errorf("%d sent after the client left, %d open, %d wait", len(r.sends)-sends, len(b.requests),
@@ -106,11 +106,11 @@
 // A class that has had few answers in a process's first second is predicted by them, whether the endpoints are faster
 // or slower than the initial estimate says.
 func TestFirstAnswersCorrectTheInitialEstimate(t *testing.T) {
-	const answers = 60
+	const responses = 60
 	for _, latency := range []monotime.Micros{3_000, 30_000, 200_000} {
-		b, r := newBalancerWithoutAnswers(t)
+		b, r := newBalancerWithoutResponses(t)
 		now := second
-		for id := range uint64(answers) {
+		for id := range uint64(responses) {
 			now += 20_000
 			b.HandleRequest(now, newTestRequest(id, 0, now))
 			if s := r.lastSend(); s.id == id {
@@ -121,7 +121,7 @@
 		e := b.endpoints[0]
 		predicted := b.predictLatency(now, e, b.classes[0].meanWork.value)
 		if ratio := predicted / float64(latency); ratio > 3 || ratio < 1.0/3 {
-			t.Errorf("after %d answers of %d us each, %v us are predicted", answers, latency, predicted)
+			t.Errorf("after %d answers of %d us each, %v us are predicted", responses, latency, predicted)
 		}
 	}
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -16,11 +16,11 @@
 	s.Prices.Probe = probeBudget * calmProbeShare / 0.02 // one probe per fifty requests
 	for seed := range uint64(20) {
 		b, r := startBalancerWithSeed(t, s, readyEndpoints(60), seed)
-		probeRoundAt := r.nextTimer(t, 0, tokenProbe)
+		probeRoundAt := r.timerInstant(t, 0, tokenProbe)
 		for now := monotime.Micros(0); now < 3*second; now += 5_000 {
 			if probeRoundAt <= now {
 				b.HandleTimer(now, tokenProbe)
-				probeRoundAt = r.nextTimer(t, now, tokenProbe)
+				probeRoundAt = r.timerInstant(t, now, tokenProbe)
 			}
 			id := uint64(now) + 1
 			b.HandleRequest(now, Request{ID: id, Deadline: now + second})
@@ -40,46 +40,46 @@
 // Nothing new goes to these, each request has one final answer, and late outcomes are recorded.
 func TestReplacedWithRequestsOut(t *testing.T) {
 	for _, changes := range []int{1, 20} {
-		t.Run(fmt.Sprint(changes), func(t *testing.T) { testReplacement(t, changes) })
+		t.Run(fmt.Sprint(changes), func(t *testing.T) { testEndpointReplacement(t, changes) })
 	}
 }
 
-func testReplacement(t *testing.T, changes int) {
+func testEndpointReplacement(t *testing.T, changes int) {
 	t.Helper()
-	const all, gone = 60, 36
-	b, r := startBalancer(t, testSettings(), readyEndpoints(all))
+	const initial, replaced = 60, 36
+	b, r := startBalancer(t, testSettings(), readyEndpoints(initial))
 	now := monotime.Micros(0)
-	for i := range uint64(all) {
+	for i := range uint64(initial) {
 		now += 1000
 		b.HandleRequest(now, newTestRequest(i+1, 0, now))
 	}
-	open := slices.Clone(r.sends)
-	list := readyEndpoints(all + gone)
+	openAttempts := slices.Clone(r.sends)
+	endpoints := readyEndpoints(initial + replaced)
 	removed := map[uint32]bool{}
-	perChange := (gone + changes - 1) / changes
-	for from := 0; from < gone; from += perChange {
+	perChange := (replaced + changes - 1) / changes
+	for from := 0; from < replaced; from += perChange {
 		now += 10_000
 		var delta []Endpoint
-		for i := from; i < min(from+perChange, gone); i++ {
-			before, after := list[i], list[all+i]
-			before.State = Gone
-			after.StartTime = now
-			delta = append(delta, before, after)
-			removed[before.ID] = true
+		for i := from; i < min(from+perChange, replaced); i++ {
+			oldEndpoint, newEndpoint := endpoints[i], endpoints[initial+i]
+			oldEndpoint.State = Gone
+			newEndpoint.StartTime = now
+			delta = append(delta, oldEndpoint, newEndpoint)
+			removed[oldEndpoint.ID] = true
 		}
 		b.UpdateEndpoints(now, ListDelta, delta)
-		requireNotSentTo(t, b, r, now, removed)
+		requireNoSendsTo(t, b, r, now, removed)
 	}
 	// Half were served before their endpoint went, half saw their connection break.
-	for _, x := range open {
+	for _, attempt := range openAttempts {
 		status := OK
-		if removed[x.endpoint] && x.id%2 == 0 {
+		if removed[attempt.endpoint] && attempt.id%2 == 0 {
 			status = Reset
 		}
-		b.HandleOutcome(now, Outcome{ID: x.id, Endpoint: x.endpoint, Status: status, Latency: now,
+		b.HandleOutcome(now, Outcome{ID: attempt.id, Endpoint: attempt.endpoint, Status: status, Latency: now,
 			Answered: status == OK})
 	}
-	for i := len(open); len(r.sends) > i; i++ { // their retries
+	for i := len(openAttempts); len(r.sends) > i; i++ { // their retries
 		b.HandleOutcome(now, Outcome{ID: r.sends[i].id, Attempt: 1, Endpoint: r.sends[i].endpoint, Status: OK,
 			Latency: 20_000, Answered: true})
 	}
@@ -87,14 +87,14 @@
 		t.Errorf("%d requests have no answer, %d have a record", b.openRequests, len(b.requests))
 	}
 	b.UpdateEndpoints(now, ListDelta, nil)
-	if len(b.endpoints) != all {
-		t.Errorf("%d endpoints have a record, want %d", len(b.endpoints), all)
+	if len(b.endpoints) != initial {
+		t.Errorf("%d endpoints have a record, want %d", len(b.endpoints), initial)
 	}
 }
 
-// requireNotSentTo gives the balancer forty requests, which are answered, and requires that none goes to an endpoint
+// requireNoSendsTo gives the balancer forty requests, which are answered, and requires that none goes to an endpoint
 // that is gone.
-func requireNotSentTo(t *testing.T, b *Balancer, r *recorder, now monotime.Micros, gone map[uint32]bool) {
+func requireNoSendsTo(t *testing.T, b *Balancer, r *recorder, now monotime.Micros, gone map[uint32]bool) {
 	t.Helper()
 	for i := range uint64(40) {
 		sends := len(r.sends)
@@ -114,7 +114,7 @@
 // rejected at once. When the other endpoints are listed again, they are used again.
 func TestListShrinksToOne(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(20))
-	knowWork(b)
+	trustWorkEstimates(b)
 	b.UpdateEndpoints(second, ListFull, readyEndpoints(1))
 	now := second
 	for i := range uint64(200) {
@@ -124,11 +124,11 @@
 	if len(r.sends)+len(r.rejected) != 200 || len(r.rejected) == 0 || len(r.sends) == 0 {
 		t.Fatalf("%d sent, %d rejected of 200", len(r.sends), len(r.rejected))
 	}
-	for _, x := range r.sends {
-		if x.endpoint != 1 {
-			t.Fatalf("sent to %d, which is not listed", x.endpoint)
+	for _, attempt := range r.sends {
+		if attempt.endpoint != 1 {
+			t.Fatalf("sent to %d, which is not listed", attempt.endpoint)
 		}
-		succeed(b, now, x.id, 1, 100_000)
+		succeed(b, now, attempt.id, 1, 100_000)
 	}
 	b.UpdateEndpoints(now, ListFull, readyEndpoints(20))
 	now += 60 * second // they were up all the time, and what was learned of the load has aged
@@ -137,8 +137,8 @@
 		b.HandleRequest(now, newTestRequest(1000+i, 0, now))
 	}
 	used := map[uint32]bool{}
-	for _, x := range r.sends {
-		used[x.endpoint] = true
+	for _, attempt := range r.sends {
+		used[attempt.endpoint] = true
 	}
 	if len(used) < 10 {
 		t.Errorf("%d endpoints used of 20 that are back", len(used))
@@ -161,18 +161,18 @@
 			list[i].StartTime = second
 		}
 		b.UpdateEndpoints(second, ListFull, list)
-		served, all, failed := 0, 0, 0 // requests; failed have one attempt that failed, or several
+		served, total, failed := 0, 0, 0 // requests; failed have one attempt that failed, or several
 		for now := second; now < 31*second; now += monotime.Micros(float64(second) / c.rate) {
-			all++
+			total++
 			ok, attempts := requestAmongOutliers(b, r, now)
 			served += int(indicator(ok))
 			failed += int(indicator(attempts > 1 || attempts == 1 && !ok))
 		}
-		if ratio := float64(served) / float64(all); ratio < c.minServed {
-			t.Errorf("%v per second: %.3f of %d served, want %.2f", c.rate, ratio, all, c.minServed)
+		if ratio := float64(served) / float64(total); ratio < c.minServed {
+			t.Errorf("%v per second: %.3f of %d served, want %.2f", c.rate, ratio, total, c.minServed)
 		}
-		if c.rate > 50 && failed > all/20 {
-			t.Errorf("%v per second: %d of %d requests met an outlier", c.rate, failed, all)
+		if c.rate > 50 && failed > total/20 {
+			t.Errorf("%v per second: %d of %d requests met an outlier", c.rate, failed, total)
 		}
 	}
 }
@@ -182,15 +182,15 @@
 func requestAmongOutliers(b *Balancer, r *recorder, now monotime.Micros) (served bool, attempts int) {
 	b.HandleTimer(now, tokenProbe)
 	id := uint64(now)
-	next := len(r.sends)
+	nextSend := len(r.sends)
 	b.HandleRequest(now, Request{ID: id, Deadline: now + second})
 	for _, e := range slices.Clone(r.probes) {
 		b.HandleProbe(now, e, OK, 1000, []float32{1})
 	}
 	r.probes = r.probes[:0]
-	for ; len(r.sends) > next; attempts++ {
-		e := r.sends[next].endpoint
-		next = len(r.sends)
+	for ; len(r.sends) > nextSend; attempts++ {
+		e := r.sends[nextSend].endpoint
+		nextSend = len(r.sends)
 		if e > 24 && e%5 == 0 {
 			b.HandleOutcome(now, Outcome{ID: id, Attempt: attempts, Endpoint: e, Status: Error, Latency: 1000})
 			continue
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -14,7 +14,7 @@
 // The golden files under testdata were written by the build of commit 870f4ac, before any field was renamed.
 // Sidecars of that build hand over their state in this form, and read it: the files are never rewritten.
 
-func filledLearned() *LearnedState {
+func filledLearnedState() *LearnedState {
 	return &LearnedState{
 		Classes: []LearnedClass{
 			{MeanWork: Average{Value: 5000.5, Samples: 1e9}, RequestRate: 20.25,
@@ -46,7 +46,7 @@
 
 func TestStoredFormOfLearnedStateIsUnchanged(t *testing.T) {
 	for file, value := range map[string]*LearnedState{
-		"learned.json":       filledLearned(),
+		"learned.json":       filledLearnedState(),
 		"learned_empty.json": {},
 	} {
 		text, err := json.Marshal(value)
@@ -65,30 +65,30 @@
 
 // A field without a value would not be seen by the test above.
 func TestGoldenLearnedStateFillsEachField(t *testing.T) {
-	var check func(path string, v reflect.Value)
-	check = func(path string, v reflect.Value) {
+	var requireFilled func(path string, v reflect.Value)
+	requireFilled = func(path string, v reflect.Value) {
 		switch v.Kind() {
 		case reflect.Struct:
 			for i := range v.NumField() {
-				check(path+"."+v.Type().Field(i).Name, v.Field(i))
+				requireFilled(path+"."+v.Type().Field(i).Name, v.Field(i))
 			}
 		case reflect.Slice:
 			if v.Len() == 0 {
 				t.Errorf("%s is empty", path)
 				return
 			}
-			check(path+"[0]", v.Index(0))
+			requireFilled(path+"[0]", v.Index(0))
 		default:
 			if v.IsZero() {
 				t.Errorf("%s has no value", path)
 			}
 		}
 	}
-	l := filledLearned()
-	// filledLearned spreads these values over four outliers.
+	l := filledLearnedState()
+	// filledLearnedState spreads these values over four outliers.
 	l.Endpoints[0].PartOutliers[0] = LearnedOutlier{ConsecutiveFailures: 1, EjectedFor: 2, EjectionTime: 3,
 		TrialPending: true}
-	check("Learned", reflect.ValueOf(*l))
+	requireFilled("Learned", reflect.ValueOf(*l))
 }
 
 func readTestdata(t *testing.T, name string) string {
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -36,35 +36,35 @@
 }
 
 // sent is an attempt that a balancer has sent.
-type sent struct {
+type sentAttempt struct {
 	id       uint64
 	endpoint uint32
 }
 
 // recorder is a host that records a balancer's actions.
 type recorder struct {
-	sends    []sent
-	timeouts []monotime.Micros // of the sends
-	rejected []uint64          // request IDs
-	failed   []uint64          // request IDs
-	cancels  []uint64          // request IDs
-	probes   []uint32          // endpoint IDs
-	timers   []uint32          // tokens
-	delays   []monotime.Micros // of the timers
-	watches  int
-	logs     []string
+	sends       []sentAttempt
+	timeouts    []monotime.Micros // of the sends
+	rejected    []uint64          // request IDs
+	failed      []uint64          // request IDs
+	cancels     []uint64          // request IDs
+	probes      []uint32          // endpoint IDs
+	timerTokens []uint32          // tokens
+	timerDelays []monotime.Micros // of the timers
+	watches     int
+	logs        []string
 }
 
 func (r *recorder) Send(id uint64, e uint32, timeout monotime.Micros) {
-	r.sends = append(r.sends, sent{id, e})
+	r.sends = append(r.sends, sentAttempt{id, e})
 	r.timeouts = append(r.timeouts, timeout)
 }
 func (r *recorder) Reject(id uint64, _ monotime.Micros) { r.rejected = append(r.rejected, id) }
 func (r *recorder) Fail(id uint64)                      { r.failed = append(r.failed, id) }
 func (r *recorder) Cancel(id uint64, _ int)             { r.cancels = append(r.cancels, id) }
 func (r *recorder) SetTimer(delay monotime.Micros, token uint32) {
-	r.timers = append(r.timers, token)
-	r.delays = append(r.delays, delay)
+	r.timerTokens = append(r.timerTokens, token)
+	r.timerDelays = append(r.timerDelays, delay)
 }
 func (r *recorder) Probe(e uint32) { r.probes = append(r.probes, e) }
 func (r *recorder) Watch(bool)     { r.watches++ }
@@ -73,19 +73,19 @@
 }
 
 // lastSend returns the latest attempt, the zero value for none.
-func (r *recorder) lastSend() sent {
+func (r *recorder) lastSend() sentAttempt {
 	if len(r.sends) == 0 {
-		return sent{}
+		return sentAttempt{}
 	}
 	return r.sends[len(r.sends)-1]
 }
 
-// nextTimer returns the instant of the latest timer of a token, which was set now.
-func (r *recorder) nextTimer(t *testing.T, now monotime.Micros, token uint32) monotime.Micros {
+// timerInstant returns the instant of the latest timer of a token, which was set now.
+func (r *recorder) timerInstant(t *testing.T, now monotime.Micros, token uint32) monotime.Micros {
 	t.Helper()
-	for i := len(r.timers) - 1; i >= 0; i-- {
-		if r.timers[i] == token {
-			return now + r.delays[i]
+	for i := len(r.timerTokens) - 1; i >= 0; i-- {
+		if r.timerTokens[i] == token {
+			return now + r.timerDelays[i]
 		}
 	}
 	t.Fatalf("no timer of token %d", token)
@@ -133,8 +133,8 @@
 	return b, r
 }
 
-// knowWork has the balancer take the initial estimates of the work of classes as learned.
-func knowWork(b *Balancer) {
+// trustWorkEstimates has the balancer take the initial estimates of the work of classes as learned.
+func trustWorkEstimates(b *Balancer) {
 	for i := range b.classes {
 		b.classes[i].meanWork.samples = manySamples
 	}
@@ -162,8 +162,8 @@
 
 func TestNewNamesBadSetting(t *testing.T) {
 	for _, c := range []struct {
-		key   string
-		spoil func(*Settings)
+		key        string
+		invalidate func(*Settings)
 	}{
 		{"Balancers", func(s *Settings) { s.Balancers = 0 }},
 		{"Classes", func(s *Settings) { s.Classes = nil }},
@@ -174,10 +174,10 @@
 		{"Prices.Probe", func(s *Settings) { s.Prices.Probe = -1 }},
 	} {
 		s := testSettings()
-		c.spoil(&s)
+		c.invalidate(&s)
 		_, err := New(s, 1, &recorder{})
-		var bad *SettingError
-		if !errors.As(err, &bad) || bad.Key != c.key {
+		var settingErr *SettingError
+		if !errors.As(err, &settingErr) || settingErr.Key != c.key {
 			t.Errorf("want an error for %s, got %v", c.key, err)
 		}
 	}
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -6,19 +6,19 @@
 	"dunlinsail/internal/monotime"
 )
 
-// withOverloadPolicy returns a balancer of three endpoints, and its overload policy, which admits all.
-func withOverloadPolicy(t *testing.T) (*Balancer, *recorder, *OverloadPolicy) {
+// startWithOverloadPolicy returns a balancer of three endpoints, and its overload policy, which admits all.
+func startWithOverloadPolicy(t *testing.T) (*Balancer, *recorder, *OverloadPolicy) {
 	t.Helper()
 	s := testSettings()
 	b, r := startBalancer(t, s, readyEndpoints(3))
-	all := make([]float64, len(s.Classes))
-	for i := range all {
-		all[i] = 1
+	ones := make([]float64, len(s.Classes))
+	for i := range ones {
+		ones[i] = 1
 	}
 	policy := &OverloadPolicy{
-		AdmitRatio:             all,
-		OverQuotaAdmitRatio:    make([]float64, len(all)),
-		QueueWaitFraction:      []float64{0.6, 0.6, 0.6, 0.6, 0.6}[:len(all)],
+		AdmitRatio:             ones,
+		OverQuotaAdmitRatio:    make([]float64, len(ones)),
+		QueueWaitFraction:      []float64{0.6, 0.6, 0.6, 0.6, 0.6}[:len(ones)],
 		FloorQueueWaitFraction: 0.6,
 		RetryAdmitRatio:        1,
 		RetryAllowed:           true,
@@ -36,8 +36,8 @@
 	for id := range uint64(2000) {
 		in := newTestRequest(id, 0, 0)
 		retryAfter, rejected := b.ShouldReject(in)
-		if _, again := b.ShouldReject(in); again != rejected {
-			t.Fatalf("request %d: rejected %v, then %v", id, rejected, again)
+		if _, rejectedAgain := b.ShouldReject(in); rejectedAgain != rejected {
+			t.Fatalf("request %d: rejected %v, then %v", id, rejected, rejectedAgain)
 		}
 		if !rejected {
 			admitted++
@@ -58,7 +58,7 @@
 
 // A part of the requests is admitted, the same ones at each call; of requests over a tenant's quota another part.
 func TestOverloadPolicyRejects(t *testing.T) {
-	b, _, policy := withOverloadPolicy(t)
+	b, _, policy := startWithOverloadPolicy(t)
 	policy.AdmitRatio[0] = 0.3
 	if n := countAdmitted(t, b); n < 500 || n > 700 {
 		t.Errorf("%d of 2000 admitted, want three in ten", n)
@@ -66,14 +66,14 @@
 	// Balancers that start together do not reject the same ones of their requests.
 	other, _ := newBalancer(t, b.settings, 99)
 	other.SetOverloadPolicy(policy)
-	same := 0
+	sameDecisions := 0
 	for id := range uint64(2000) {
-		_, x := b.ShouldReject(newTestRequest(id, 0, 0))
-		_, y := other.ShouldReject(newTestRequest(id, 0, 0))
-		same += int(indicator(x == y))
+		_, rejected := b.ShouldReject(newTestRequest(id, 0, 0))
+		_, rejectedByOther := other.ShouldReject(newTestRequest(id, 0, 0))
+		sameDecisions += int(indicator(rejected == rejectedByOther))
 	}
-	if same < 1050 || same > 1270 { // 0.58 by chance
-		t.Errorf("two balancers decide the same on %d of 2000", same)
+	if sameDecisions < 1050 || sameDecisions > 1270 { // 0.58 by chance
+		t.Errorf("two balancers decide the same on %d of 2000", sameDecisions)
 	}
 	policy.AdmitRatio[0] = 1
 	policy.WithinQuotaRatio = []float64{0.5}
@@ -110,21 +110,21 @@
 		}
 		return len(r.sends)
 	}
-	b, r, policy := withOverloadPolicy(t)
+	b, r, policy := startWithOverloadPolicy(t)
 	policy.RetryAllowed = false
-	limited := countForced(b, r)
-	b, r, _ = withOverloadPolicy(t)
+	withPolicy := countForced(b, r)
+	b, r, _ = startWithOverloadPolicy(t)
 	b.SetOverloadPolicy(nil)
-	if all := countForced(b, r); limited > 1 || all < 10 {
+	if withoutPolicy := countForced(b, r); withPolicy > 1 || withoutPolicy < 10 {
 		t.Errorf("%d requests admitted within 20 s, want one in 100 s; without a policy %d, want one per second",
-			limited, all)
+			withPolicy, withoutPolicy)
 	}
 }
 
 // There is no retry unless the policy allows it, whatever credit was saved before.
 func TestOverloadPolicyLimitsRetries(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
-		b, r, policy := withOverloadPolicy(t)
+		b, r, policy := startWithOverloadPolicy(t)
 		policy.RetryAllowed = allowed
 		b.HandleRequest(1000, newTestRequest(1, 0, 1000))
 		b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: Rejected, Latency: 1000})
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -58,13 +58,13 @@
 	b, r := startBalancer(t, s, readyEndpoints(2))
 	reportLoad(b, 1000, 1, 0)
 	now := 1000 + b.reportLifetime(1000) + 30*second
-	seen := map[uint32]bool{}
+	used := map[uint32]bool{}
 	for id := range uint64(20) {
 		b.HandleRequest(now, newTestRequest(id, 0, now))
 		succeed(b, now, id, r.sends[len(r.sends)-1].endpoint, 1000)
-		seen[r.sends[len(r.sends)-1].endpoint] = true
+		used[r.sends[len(r.sends)-1].endpoint] = true
 	}
-	if len(seen) != 2 {
+	if len(used) != 2 {
 		t.Error("a report beyond its lifetime still decides: two random draws expected")
 	}
 }
@@ -116,7 +116,7 @@
 // A wrong estimate of a class's work must not reject that class for ever.
 func TestLatencyRejectionAdmitsOnePerInterval(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
-	knowWork(b)
+	trustWorkEstimates(b)
 	b.classes[0].meanWork.value = float64(100 * second)
 	for i := range uint64(30) {
 		now := 10*second + monotime.Micros(i)*second/10
@@ -154,13 +154,13 @@
 // after their objective. It returns how many were rejected until then, and how many from second 15 to 25.
 func rejectedAroundCongestion(t *testing.T, s Settings) (during, after int) {
 	t.Helper()
-	type answer struct {
+	type response struct {
 		at      monotime.Micros
 		id      uint64
 		latency monotime.Micros
 	}
 	b, r := startBalancer(t, s, readyEndpoints(8))
-	var pending []answer // in the order of their instants
+	var pending []response // in the order of their instants
 	id := uint64(0)
 	for now := monotime.Micros(0); now < 25*second; now += 10_000 {
 		for len(pending) > 0 && pending[0].at <= now {
@@ -176,8 +176,8 @@
 			if now > 5*second && now < 10*second {
 				latency = 900_000
 			}
-			pending = append(pending, answer{now + latency, id, latency})
-			slices.SortFunc(pending, func(x, y answer) int { return cmp.Compare(x.at, y.at) })
+			pending = append(pending, response{now + latency, id, latency})
+			slices.SortFunc(pending, func(x, y response) int { return cmp.Compare(x.at, y.at) })
 		}
 		if now < 10*second {
 			during += len(r.rejected) - rejected
@@ -227,11 +227,12 @@
 			b.tenantRates[1].add(i*1000, 1)
 		}
 	}
-	over := &request{Request: Request{Tenant: 0}}
-	within := &request{Request: Request{Tenant: 1}}
+	overQuota := &request{Request: Request{Tenant: 0}}
+	withinQuota := &request{Request: Request{Tenant: 1}}
 	b.rejectedRatio.value = 0.5
-	if o, w := b.tenantWeight(100_000, over), b.tenantWeight(100_000, within); w != 1 || o > 0.6 {
-		t.Errorf("weights %v over, %v within the quota", o, w)
+	if overWeight, withinWeight := b.tenantWeight(100_000, overQuota),
+		b.tenantWeight(100_000, withinQuota); withinWeight != 1 || overWeight > 0.6 {
+		t.Errorf("weights %v over, %v within the quota", overWeight, withinWeight)
 	}
 	if got := b.tenantWeight(100_000, &request{Request: Request{Tenant: 9}}); got != 1 {
 		t.Errorf("unknown tenant: %v", got)
@@ -245,9 +246,9 @@
 	for id := range uint64(24) {
 		b.HandleRequest(2000, newTestRequest(id, 0, 2000))
 	}
-	seen := r.sendsByEndpoint()
-	if len(r.sends) != 24 || len(seen) < 4 || seen[3] > 12 {
-		t.Errorf("%d sends, by endpoint %v", len(r.sends), seen)
+	sendsByEndpoint := r.sendsByEndpoint()
+	if len(r.sends) != 24 || len(sendsByEndpoint) < 4 || sendsByEndpoint[3] > 12 {
+		t.Errorf("%d sends, by endpoint %v", len(r.sends), sendsByEndpoint)
 	}
 }
 
@@ -257,11 +258,11 @@
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(1))
 	r := &request{Request: newTestRequest(1, 0, 0), work: 50_000}
 	b.classes[0].requestRate.add(0, 1)
-	before := b.latencyBudget(0, r, b.endpoints[0])
+	usualBudget := b.latencyBudget(0, r, b.endpoints[0])
 	b.reportsLate = true
-	if after := b.latencyBudget(0, r, b.endpoints[0]); after <= before ||
-		after != float64(b.settings.Classes[0].LatencyObjective) {
-		t.Errorf("limit %v before, %v while late", before, after)
+	if lateBudget := b.latencyBudget(0, r, b.endpoints[0]); lateBudget <= usualBudget ||
+		lateBudget != float64(b.settings.Classes[0].LatencyObjective) {
+		t.Errorf("limit %v before, %v while late", usualBudget, lateBudget)
 	}
 }
 
@@ -277,8 +278,8 @@
 		if len(r.sends) != int(id)+1 {
 			t.Fatalf("request %d was not sent", id)
 		}
-		if wait := r.timeouts[id]; wait != 0 && wait < s.Classes[0].LatencyObjective/minTimeoutDivisor {
-			t.Fatalf("attempt %d has a timeout of %d us only", id, wait)
+		if timeout := r.timeouts[id]; timeout != 0 && timeout < s.Classes[0].LatencyObjective/minTimeoutDivisor {
+			t.Fatalf("attempt %d has a timeout of %d us only", id, timeout)
 		}
 		succeed(b, now+200, id, r.sends[id].endpoint, 200)
 	}
@@ -317,35 +318,35 @@
 // soon after the recovery.
 func TestFleetWideSlowdownIsLearnedAtOnce(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
-	serve := func(from, step monotime.Micros, n int, times float64) {
-		for i := range n {
-			now := from + step*monotime.Micros(i)
+	serve := func(from, interval monotime.Micros, requestCount int, latencyFactor float64) {
+		for i := range requestCount {
+			now := from + interval*monotime.Micros(i)
 			id := uint64(now)
 			reportLoad(b, now, 1, 9) // the others serve
 			b.HandleRequest(now, Request{ID: id, Deadline: now + second, WorkHint: 10_000, HasWorkHint: true})
 			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
 				continue // rejected
 			}
-			latency := monotime.Micros(times * b.requests[id].attempts[0].expectedLatency)
+			latency := monotime.Micros(latencyFactor * b.requests[id].attempts[0].expectedLatency)
 			succeed(b, now, id, r.sends[len(r.sends)-1].endpoint, latency)
 		}
 	}
-	expectedAtFast := func(now monotime.Micros) float64 {
+	predictForFastEndpoint := func(now monotime.Micros) float64 {
 		reportLoad(b, now, 1, 0)
 		b.endpointsByID[1].serviceTimeRatio = ewma{1, manySamples}
 		b.endpointsByID[1].serviceTimeObservedAt = now
 		return b.predictLatency(now, b.endpointsByID[1], 10_000)
 	}
 	serve(0, 1000, 50, 1)
-	before := expectedAtFast(60_000)
+	initialLatency := predictForFastEndpoint(60_000)
 	serve(100_000, 1000, 15, 4)
-	if slow := expectedAtFast(120_000); slow < 2*before {
-		t.Errorf("expected %v before, %v after 15 outcomes of four times the prediction", before, slow)
+	if slowLatency := predictForFastEndpoint(120_000); slowLatency < 2*initialLatency {
+		t.Errorf("expected %v before, %v after 15 outcomes of four times the prediction", initialLatency, slowLatency)
 	}
 	// While all requests are rejected, only forced admissions, one per second, show the recovery.
 	serve(200_000, second/2, 80, 0.5)
-	if after := expectedAtFast(41 * second); after > 1.2*before {
-		t.Errorf("expected %v before, %v after the recovery", before, after)
+	if recoveredLatency := predictForFastEndpoint(41 * second); recoveredLatency > 1.2*initialLatency {
+		t.Errorf("expected %v before, %v after the recovery", initialLatency, recoveredLatency)
 	}
 }
 
@@ -384,7 +385,7 @@
 		b.requestRate.add(5000*monotime.Micros(i), 1)
 	}
 	now := 5 * second
-	all := b.requestRate.rate(now)
+	requestRate := b.requestRate.rate(now)
 	for _, c := range []struct{ rejected, want float64 }{
 		{0, calmProbeShare},
 		{fullProbeRejectedRatio / 2, (1 - fullProbeRejectedRatio/2) * (1 + calmProbeShare) / 2},
@@ -394,7 +395,7 @@
 		{1, minFirstAttemptRatio},
 	} {
 		b.rejectedRatio.value = c.rejected
-		if got := b.probeRate(now) / all; math.Abs(got-c.want) > 0.001 {
+		if got := b.probeRate(now) / requestRate; math.Abs(got-c.want) > 0.001 {
 			t.Errorf("rejected %v: %v of the probe rate, want %v", c.rejected, got, c.want)
 		}
 	}
@@ -406,7 +407,7 @@
 	s := testSettings()
 	s.Limits.Probes = false
 	b, r := startBalancer(t, s, readyEndpoints(4))
-	now := serveSome(b, r, second, 400, 3_000)
+	now := serveRequests(b, r, second, 400, 3_000)
 	b.HandleRequest(now, newTestRequest(1, 0, now))
 	stuck := r.lastSend().endpoint
 	now += 350 * millisecond
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -12,33 +12,33 @@
 	balancer   *Balancer
 	recorder   *recorder
 	pollAt     monotime.Micros // instant of its next discovery timer; 0 is none
-	timersSeen int             // of its recorder's timers
-	notified   bool            // it has a list from discovery
+	timersRead int             // of its recorder's timers
+	hasList    bool            // it has a list from discovery
 }
 
 // update applies the discovery timers that the balancer has set.
-func (p *pollingBalancer) update(now monotime.Micros) {
-	for ; p.timersSeen < len(p.recorder.timers); p.timersSeen++ {
-		if p.recorder.timers[p.timersSeen] == tokenDiscovery {
-			p.pollAt = now + p.recorder.delays[p.timersSeen]
+func (p *pollingBalancer) readDiscoveryTimers(now monotime.Micros) {
+	for ; p.timersRead < len(p.recorder.timerTokens); p.timersRead++ {
+		if p.recorder.timerTokens[p.timersRead] == tokenDiscovery {
+			p.pollAt = now + p.recorder.timerDelays[p.timersRead]
 		}
 	}
 }
 
 // poll fires the discovery timer if it is due, and reports whether the balancer polled.
-func (p *pollingBalancer) poll(now monotime.Micros) bool {
+func (p *pollingBalancer) pollIfDue(now monotime.Micros) bool {
 	if p.pollAt == 0 || p.pollAt > now {
 		return false
 	}
 	p.pollAt = 0
 	before := p.recorder.watches
 	p.balancer.HandleTimer(now, tokenDiscovery)
-	p.update(now)
+	p.readDiscoveryTimers(now)
 	return p.recorder.watches > before
 }
 
-// mustServe requires that the balancer sends a request by the list that it has.
-func (p *pollingBalancer) mustServe(t *testing.T, now monotime.Micros) {
+// requireServes requires that the balancer sends a request by the list that it has.
+func (p *pollingBalancer) requireServes(t *testing.T, now monotime.Micros) {
 	t.Helper()
 	id := uint64(now) + 1
 	sends := len(p.recorder.sends)
@@ -57,10 +57,10 @@
 	for seed := range uint64(s.Balancers) {
 		p := &pollingBalancer{}
 		p.balancer, p.recorder = newBalancer(t, s, seed)
-		from := rng.durationBelow(second / 10)
-		p.balancer.Start(from)
-		p.balancer.UpdateEndpoints(from, ListCached, readyEndpoints(6))
-		p.update(from)
+		startedAt := rng.durationBelow(second / 10)
+		p.balancer.Start(startedAt)
+		p.balancer.UpdateEndpoints(startedAt, ListCached, readyEndpoints(6))
+		p.readDiscoveryTimers(startedAt)
 		fleet = append(fleet, p)
 	}
 	return fleet
@@ -71,30 +71,30 @@
 	callTime monotime.Micros
 	timeout  monotime.Micros
 	queue    []discoveryCall
-	freeAt   monotime.Micros // instant of the end of the present call
+	idleAt   monotime.Micros // instant of the end of the present call
 	notified int             // balancers that have a list
 }
 
 // discoveryCall is a call that waits.
 type discoveryCall struct {
-	from *pollingBalancer
-	at   monotime.Micros
+	caller   *pollingBalancer
+	queuedAt monotime.Micros
 }
 
 // answer answers the calls that are due, and fails those that have waited for too long.
-func (d *slowDiscovery) answer(now monotime.Micros) {
-	for len(d.queue) > 0 && (now >= d.freeAt || now-d.queue[0].at > d.timeout) {
-		c := d.queue[0]
+func (d *slowDiscovery) respond(now monotime.Micros) {
+	for len(d.queue) > 0 && (now >= d.idleAt || now-d.queue[0].queuedAt > d.timeout) {
+		call := d.queue[0]
 		d.queue = d.queue[1:]
-		if now-c.at > d.timeout {
-			c.from.balancer.UpdateEndpoints(now, ListFailed, nil)
-			c.from.update(now)
+		if now-call.queuedAt > d.timeout {
+			call.caller.balancer.UpdateEndpoints(now, ListFailed, nil)
+			call.caller.readDiscoveryTimers(now)
 			continue
 		}
-		d.freeAt = now + d.callTime
-		c.from.balancer.UpdateEndpoints(now, ListFull, readyEndpoints(6))
-		if !c.from.notified {
-			c.from.notified = true
+		d.idleAt = now + d.callTime
+		call.caller.balancer.UpdateEndpoints(now, ListFull, readyEndpoints(6))
+		if !call.caller.hasList {
+			call.caller.hasList = true
 			d.notified++
 		}
 	}
@@ -110,25 +110,25 @@
 	s.Balancers = balancers
 	fleet := startPollingFleet(t, s)
 	discovery := &slowDiscovery{callTime: second / 4, timeout: 2 * second}
-	inSecond := map[monotime.Micros]int{}
+	callsBySecond := map[monotime.Micros]int{}
 	calls := 0
 	for now := monotime.Micros(0); now < 60*second && discovery.notified < balancers; now += 10_000 {
 		for _, p := range fleet {
-			if p.poll(now) {
+			if p.pollIfDue(now) {
 				calls++
-				inSecond[now/second]++
+				callsBySecond[now/second]++
 				discovery.queue = append(discovery.queue, discoveryCall{p, now})
 			}
 			if now%second == 0 {
-				p.mustServe(t, now)
+				p.requireServes(t, now)
 			}
 		}
-		discovery.answer(now)
+		discovery.respond(now)
 	}
 	if discovery.notified < balancers {
 		t.Errorf("%d of %d were notified in a minute, by %d calls", discovery.notified, balancers, calls)
 	}
-	for at, n := range inSecond {
+	for at, n := range callsBySecond {
 		if n > balancers/2 {
 			t.Errorf("%d calls in second %d: they come together", n, at)
 		}
@@ -141,13 +141,13 @@
 // The first list never comes. A cached list serves; without one, each request is rejected at once. Discovery is polled
 // again and again.
 func TestFirstListNeverComes(t *testing.T) {
-	for _, known := range []int{0, 5} {
+	for _, cachedCount := range []int{0, 5} {
 		s := testSettings()
 		s.Subscribe = true
-		b, r := startBalancer(t, s, readyEndpoints(known))
+		b, r := startBalancer(t, s, readyEndpoints(cachedCount))
 		polls := 0
 		for now := monotime.Micros(0); now < 60*second; now += second {
-			if slices.Contains(r.timers, tokenDiscovery) {
+			if slices.Contains(r.timerTokens, tokenDiscovery) {
 				b.HandleTimer(b.nextPollAt, tokenDiscovery)
 			}
 			if r.watches > polls {
@@ -156,16 +156,16 @@
 			}
 			id := uint64(now) + 1
 			b.HandleRequest(now, newTestRequest(id, 0, now))
-			if known == 0 && !slices.Contains(r.rejected, id) {
+			if cachedCount == 0 && !slices.Contains(r.rejected, id) {
 				t.Fatalf("at %d s: not rejected at once", now/second)
 			}
-			if known > 0 && r.lastSend().id != id {
+			if cachedCount > 0 && r.lastSend().id != id {
 				t.Fatalf("at %d s: not sent", now/second)
 			}
 			succeed(b, now, id, 0, 30_000)
 		}
 		if polls < 5 {
-			t.Errorf("%d known: discovery was polled %d times in a minute", known, polls)
+			t.Errorf("%d known: discovery was polled %d times in a minute", cachedCount, polls)
 		}
 	}
 }
@@ -175,29 +175,29 @@
 	s.Subscribe = true
 	b, r := startBalancer(t, s, readyEndpoints(2))
 	now := monotime.Micros(0)
-	fire := func() {
-		for i, token := range r.timers {
+	fireDiscoveryTimer := func() {
+		for i, token := range r.timerTokens {
 			if token == tokenDiscovery {
-				now += r.delays[i]
-				r.timers, r.delays = nil, nil
+				now += r.timerDelays[i]
+				r.timerTokens, r.timerDelays = nil, nil
 				b.HandleTimer(now, tokenDiscovery)
 				return
 			}
 		}
 		t.Fatal("no timer for discovery")
 	}
-	fire()
+	fireDiscoveryTimer()
 	for n := 1; n < 8; n++ {
 		if r.watches != n {
 			t.Fatalf("%d calls, want %d", r.watches, n)
 		}
-		before := now
+		previousPollAt := now
 		if n%2 == 0 {
 			b.UpdateEndpoints(now, ListFailed, nil)
 		} // else the answer is lost
-		fire()
-		if now-before > s.Contract.PollInterval {
-			t.Fatalf("polled only after %d", now-before)
+		fireDiscoveryTimer()
+		if now-previousPollAt > s.Contract.PollInterval {
+			t.Fatalf("polled only after %d", now-previousPollAt)
 		}
 	}
 	if len(b.endpoints) != 2 {
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -31,22 +31,22 @@
 
 // Probes may be lost. A queued request is sent all the same, and ends by its deadline.
 func TestQueuedRequestDoesNotWaitForLostProbes(t *testing.T) {
-	for _, left := range []monotime.Micros{second, 10_000} {
+	for _, timeLeft := range []monotime.Micros{second, 10_000} {
 		b, r := startBalancer(t, queueingSettings(), readyEndpoints(4))
-		b.HandleRequest(second, Request{ID: 1, Deadline: second + left})
-		i := len(r.timers) - 1
-		if r.delays[i] > min(40_000, left) {
-			t.Errorf("queued for %d with %d left", r.delays[i], left)
+		b.HandleRequest(second, Request{ID: 1, Deadline: second + timeLeft})
+		i := len(r.timerTokens) - 1
+		if r.timerDelays[i] > min(40_000, timeLeft) {
+			t.Errorf("queued for %d with %d left", r.timerDelays[i], timeLeft)
 		}
-		b.HandleTimer(second+r.delays[i], r.timers[i])
+		b.HandleTimer(second+r.timerDelays[i], r.timerTokens[i])
 		if len(r.sends)+len(r.rejected) != 1 {
-			t.Errorf("%d left: sends %v, rejected %v", left, r.sends, r.rejected)
+			t.Errorf("%d left: sends %v, rejected %v", timeLeft, r.sends, r.rejected)
 		}
 		// Late results of the round before must not end the next round early.
-		earlier := r.probes
+		earlierProbes := r.probes
 		b.HandleRequest(2*second, newTestRequest(2, 0, 2*second))
-		for _, e := range earlier {
-			if at := b.endpointsByID[e]; at.awaitedInRound != b.queueRound {
+		for _, e := range earlierProbes {
+			if endpoint := b.endpointsByID[e]; endpoint.awaitedInRound != b.queueRound {
 				b.HandleProbe(2*second, e, ConnectFailed, 500, nil)
 			}
 		}
@@ -72,21 +72,22 @@
 // Where reports change more seldom than requests end, all balancers would follow the same old one, so none queues.
 func TestNoQueueingOnRarelyRenewedReports(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		change float32 // of the reported load, with each further probe
-		queues bool
+		name       string
+		loadStep   float32 // of the reported load, with each further probe
+		wantQueued bool
 	}{{"new at each probe", 1, true}, {"unchanged", 0, false}} {
 		b, r := startBalancer(t, queueingSettings(), readyEndpoints(4))
 		now, load := second, float32(5)
 		for range 40 {
-			load += c.change
+			load += c.loadStep
 			now += 50_000
 			reportLoad(b, now, 1, load)
 		}
 		now += 5 * second
 		b.HandleRequest(now, newTestRequest(1, 0, now))
-		if queued := len(r.sends) == 0; queued != c.queues {
-			t.Errorf("%s: queued %v, want %v (report interval %.0f us)", c.name, queued, c.queues, b.reportInterval())
+		if queued := len(r.sends) == 0; queued != c.wantQueued {
+			t.Errorf("%s: queued %v, want %v (report interval %.0f us)", c.name, queued, c.wantQueued,
+				b.reportInterval())
 		}
 	}
 }
@@ -97,11 +98,11 @@
 	reportLoad(b, 0, 1, 0)
 	b.typicalLoad = ewma{value: 4, samples: manySamples}
 	e := b.endpointsByID[1]
-	if l := b.predictLoad(1, e); l > 0.1 {
-		t.Errorf("new report of 0: load %.2f", l)
+	if load := b.predictLoad(1, e); load > 0.1 {
+		t.Errorf("new report of 0: load %.2f", load)
 	}
-	if l := b.predictLoad(10*second, e); l < 3.9 {
-		t.Errorf("report of 0, ten seconds old: load %.2f, want the typical 4", l)
+	if load := b.predictLoad(10*second, e); load < 3.9 {
+		t.Errorf("report of 0, ten seconds old: load %.2f, want the typical 4", load)
 	}
 }
 
@@ -111,16 +112,16 @@
 	s.Tenants = []Tenant{{Name: "a", Quota: 100}, {Name: "b", Quota: 100}}
 	s.OverQuotaWeight = 0.1
 	for _, c := range []struct {
-		rate     int  // requests per second
-		compares bool // tenants
+		rate         int  // requests per second
+		wantCompared bool // tenants
 	}{{2, false}, {100, true}} {
 		b, _ := startBalancer(t, s, readyEndpoints(2))
 		for i := range 4 * c.rate {
 			b.tenantRates[0].add(4*second*monotime.Micros(i)/monotime.Micros(4*c.rate), 1)
 		}
 		r := &request{Request: Request{Tenant: 0}}
-		if compares := b.tenantWeight(4*second, r) < 1; compares != c.compares {
-			t.Errorf("%d requests per second: compares tenants %v, want %v", c.rate, compares, c.compares)
+		if compared := b.tenantWeight(4*second, r) < 1; compared != c.wantCompared {
+			t.Errorf("%d requests per second: compares tenants %v, want %v", c.rate, compared, c.wantCompared)
 		}
 	}
 }
@@ -173,8 +174,8 @@
 		b.HandleRequest(2000, newTestRequest(id, 0, 2000))
 	}
 	sends := r.sendsByEndpoint()
-	if pooled := sends[1] + sends[2]; len(r.sends) != 12 || pooled > 8 {
-		t.Errorf("%d of %d sends to the two endpoints with a report", pooled, len(r.sends))
+	if pooledSends := sends[1] + sends[2]; len(r.sends) != 12 || pooledSends > 8 {
+		t.Errorf("%d of %d sends to the two endpoints with a report", pooledSends, len(r.sends))
 	}
 }
 
@@ -184,19 +185,19 @@
 	b, r := startBalancer(t, queueingSettings(), readyEndpoints(4))
 	now, load := second, float32(1)
 	for range 400 {
-		r.timers, r.delays = nil, nil
+		r.timerTokens, r.timerDelays = nil, nil
 		load++
 		reportLoad(b, now, 1, load)
 		now += 10 * second
-		for i, token := range r.timers {
+		for i, token := range r.timerTokens {
 			if token == tokenRecheck {
 				load++
-				reportLoad(b, now-10*second+r.delays[i]+5000, 1, load)
+				reportLoad(b, now-10*second+r.timerDelays[i]+5000, 1, load)
 			}
 		}
 	}
-	if span := recentWorks * b.meanWork.value; b.reportWatchTime == 0 || b.reportInterval() > 0.8*span {
+	if maxInterval := recentWorks * b.meanWork.value; b.reportWatchTime == 0 || b.reportInterval() > 0.8*maxInterval {
 		t.Errorf("report interval %.0f after a watch time of %.0f, limit %.0f", b.reportInterval(),
-			b.reportWatchTime, span)
+			b.reportWatchTime, maxInterval)
 	}
 }
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -96,15 +96,15 @@
 
 // maxInOneSecond returns how many of the instants, which are in order, lie within one second at most.
 func maxInOneSecond(instants []monotime.Micros) int {
-	greatest := 0
+	maxCount := 0
 	from := 0
 	for i, at := range instants {
 		for instants[from] <= at-second {
 			from++
 		}
-		greatest = max(greatest, i-from+1)
+		maxCount = max(maxCount, i-from+1)
 	}
-	return greatest
+	return maxCount
 }
 
 // With StrictIdempotencyKeys a request with an idempotency key that may have run is never rejected.
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -16,17 +16,18 @@
 			s := testSettings()
 			b, r := startBalancer(t, s, readyEndpoints(4)) // endpoints 1, 2 share a zone and a cell; so do 3, 4
 			b.HandleRequest(1000, newTestRequest(1, class, 1000))
-			a := b.requests[1].attempts[0]
-			b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: a.endpoint.ID, Status: status, Latency: 1000})
+			attempt := b.requests[1].attempts[0]
+			b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: attempt.endpoint.ID, Status: status, Latency: 1000})
 			sends := len(r.sends)
-			switch kind := s.Classes[class]; {
-			case kind.Idempotency == NonIdempotent && !neverRan[status]:
+			switch classSettings := s.Classes[class]; {
+			case classSettings.Idempotency == NonIdempotent && !neverRan[status]:
 				if sends != 1 || len(r.failed) != 1 {
 					t.Errorf("not idempotent, status %d: %d sends, %d failed", status, sends, len(r.failed))
 				}
 			case sends != 2:
 				t.Errorf("class %d status %d: %d sends, want 2", class, status, sends)
-			case kind.Idempotency == IdempotentByKey && kind.DedupScope != DedupAll && !neverRan[status]:
+			case classSettings.Idempotency == IdempotentByKey && classSettings.DedupScope != DedupAll &&
+				!neverRan[status]:
 				if (r.sends[0].endpoint-1)/2 != (r.sends[1].endpoint-1)/2 {
 					t.Errorf("class %d status %d left its deduplication scope", class, status)
 				}
@@ -126,16 +127,16 @@
 func TestSteadyStateDoesNotAllocate(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(5))
 	id := uint64(0)
-	once := func() {
+	serveOne := func() {
 		id++
-		r.sends, r.timers, r.delays = r.sends[:0], r.timers[:0], r.delays[:0]
+		r.sends, r.timerTokens, r.timerDelays = r.sends[:0], r.timerTokens[:0], r.timerDelays[:0]
 		b.HandleRequest(1000, newTestRequest(id, 0, 1000))
 		succeed(b, 2000, id, r.sends[0].endpoint, 1000)
 	}
 	for range 100 {
-		once()
+		serveOne()
 	}
-	if n := testing.AllocsPerRun(200, once); n > 0.1 {
+	if n := testing.AllocsPerRun(200, serveOne); n > 0.1 {
 		t.Errorf("%v allocations a request", n)
 	}
 }
@@ -152,7 +153,7 @@
 // The log has why requests are rejected, in one line per second and not in thousands.
 func TestRejectionsAreLoggedOncePerSecond(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
-	knowWork(b)
+	trustWorkEstimates(b)
 	reportLoad(b, 1000, 1, 50)
 	for id := range uint64(200) {
 		now := second + 5000*monotime.Micros(id)
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -12,27 +12,27 @@
 )
 
 // trainedBalancer returns a balancer after 4000 requests, with slow, failing and warming endpoints among others.
-func trainedBalancer(t *testing.T, s Settings, list []Endpoint) (*Balancer, monotime.Micros) {
+func trainedBalancer(t *testing.T, s Settings, endpoints []Endpoint) (*Balancer, monotime.Micros) {
 	t.Helper()
-	b, r := startBalancer(t, s, list)
+	b, r := startBalancer(t, s, endpoints)
 	rng := rand.New(rand.NewPCG(4, 4))
 	now := monotime.Micros(0)
 	for id := range uint64(4000) {
 		now += 2000
 		if id == 2000 { // the last endpoint restarts
-			restarted := &list[len(list)-1]
+			restarted := &endpoints[len(endpoints)-1]
 			restarted.StartTime = now
 			b.UpdateEndpoints(now, ListDelta, []Endpoint{*restarted})
 		}
 		first := len(r.sends)
 		b.HandleRequest(now, Request{ID: id, Class: uint8(id % 5), Tenant: uint16(id % 2), Deadline: now + second})
-		for sent := first; sent < len(r.sends); sent++ {
-			e := r.sends[sent].endpoint
+		for sendIndex := first; sendIndex < len(r.sends); sendIndex++ {
+			e := r.sends[sendIndex].endpoint
 			status, latency := OK, monotime.Micros(1000*e)+rng.Int64N(3000)
 			if e == 2 && id%5 == 0 || e == 3 {
 				status = Error
 			}
-			b.HandleOutcome(now+latency, Outcome{ID: id, Attempt: sent - first, Endpoint: e, Status: status,
+			b.HandleOutcome(now+latency, Outcome{ID: id, Attempt: sendIndex - first, Endpoint: e, Status: status,
 				Latency: latency, Answered: true})
 		}
 		if id%50 == 0 {
@@ -53,8 +53,8 @@
 	old, now := trainedBalancer(t, s, readyEndpoints(6))
 	text, err := json.Marshal(old.LearnedState(now))
 	require.NoError(t, err)
-	var l LearnedState
-	require.NoError(t, json.Unmarshal(text, &l))
+	var learned LearnedState
+	require.NoError(t, json.Unmarshal(text, &learned))
 	list := readyEndpoints(6)
 	list[5].StartTime = old.endpointsByID[6].StartTime
 	const shift = 1_000 * second
@@ -62,22 +62,23 @@
 	for i := range list {
 		if list[i].StartTime != 0 {
 			list[i].StartTime += shift
-			l.Endpoints[i].StartTime += shift // both are of the host's clock
+			learned.Endpoints[i].StartTime += shift // both are of the host's clock
 		}
 	}
 	next.Start(now + shift)
 	next.UpdateEndpoints(now+shift, ListCached, list)
-	next.Restore(now+shift, 0, &l)
+	next.Restore(now+shift, 0, &learned)
 	ejected := 0
-	for id, a := range old.endpointsByID {
-		b := next.endpointsByID[id]
-		requireSamePredictions(t, old, a, now, next, b, now+shift)
-		requireSameBreaker(t, a, now, b, now+shift)
+	for id, oldEndpoint := range old.endpointsByID {
+		newEndpoint := next.endpointsByID[id]
+		requireSamePredictions(t, old, oldEndpoint, now, next, newEndpoint, now+shift)
+		requireSameBreaker(t, oldEndpoint, now, newEndpoint, now+shift)
 		for class := range uint8(5) {
 			r := &request{Request: Request{Class: class, Tenant: 1}}
-			if x, y := old.isEjectedFor(now, a, r), next.isEjectedFor(now+shift, b, r); x != y {
-				t.Errorf("endpoint %d, class %d: ejected %v, then %v", id, class, x, y)
-			} else if x {
+			if before, after := old.isEjectedFor(now, oldEndpoint, r),
+				next.isEjectedFor(now+shift, newEndpoint, r); before != after {
+				t.Errorf("endpoint %d, class %d: ejected %v, then %v", id, class, before, after)
+			} else if before {
 				ejected++
 			}
 		}
@@ -86,65 +87,71 @@
 		t.Errorf("nothing was learned that could have been lost: %d ejected, warming up %v", ejected,
 			old.endpointsByID[6].warmingUp(now, old))
 	}
-	if !near(old.requestRate.rate(now), next.requestRate.rate(now+shift)) || old.latencyTrend != next.latencyTrend {
+	if !approxEqual(old.requestRate.rate(now), next.requestRate.rate(now+shift)) ||
+		old.latencyTrend != next.latencyTrend {
 		t.Errorf("request rate %v, then %v; trend %v, then %v", old.requestRate.rate(now),
 			next.requestRate.rate(now+shift), old.latencyTrend, next.latencyTrend)
 	}
-	again := next.LearnedState(now + shift)
-	again.Endpoints, l.Endpoints = nil, nil
-	again.Classes, l.Classes = nil, nil
-	if a, b := *again, l; math.Abs(a.RequestRate-b.RequestRate) > 1e-6 ||
-		!reflect.DeepEqual(a.LateReportRatio, b.LateReportRatio) {
-		t.Errorf("handed on: %+v, was %+v", a, b)
+	exported := next.LearnedState(now + shift)
+	exported.Endpoints, learned.Endpoints = nil, nil
+	exported.Classes, learned.Classes = nil, nil
+	if got, want := *exported, learned; math.Abs(got.RequestRate-want.RequestRate) > 1e-6 ||
+		!reflect.DeepEqual(got.LateReportRatio, want.LateReportRatio) {
+		t.Errorf("handed on: %+v, was %+v", got, want)
 	}
 }
 
 // requireSamePredictions requires that two balancers expect the same of an endpoint, each at its own time.
-func requireSamePredictions(t *testing.T, old *Balancer, a *endpoint, now monotime.Micros, next *Balancer, b *endpoint,
-	then monotime.Micros) {
+func requireSamePredictions(t *testing.T, old *Balancer, oldEndpoint *endpoint, now monotime.Micros,
+	next *Balancer, newEndpoint *endpoint, nextNow monotime.Micros) {
 	t.Helper()
-	x, y := old.predictLatency(now, a, 5000), next.predictLatency(then, b, 5000)
-	if a.inflight == 0 && !b.hasReport && !old.reportsLate && math.Abs(x/y-1) > 0.5 {
-		t.Errorf("endpoint %d: %v expected by the old one, %v by the new", a.ID, x, y)
+	before, after := old.predictLatency(now, oldEndpoint, 5000), next.predictLatency(nextNow, newEndpoint, 5000)
+	if oldEndpoint.inflight == 0 && !newEndpoint.hasReport && !old.reportsLate && math.Abs(before/after-1) > 0.5 {
+		t.Errorf("endpoint %d: %v expected by the old one, %v by the new", oldEndpoint.ID, before, after)
 	}
-	if x, y := a.currentServiceTimeRatio(now, old), b.currentServiceTimeRatio(then, next); !near(x, y) {
-		t.Errorf("endpoint %d: service time ratio %v, then %v", a.ID, x, y)
+	if before, after := oldEndpoint.currentServiceTimeRatio(now, old),
+		newEndpoint.currentServiceTimeRatio(nextNow, next); !approxEqual(before, after) {
+		t.Errorf("endpoint %d: service time ratio %v, then %v", oldEndpoint.ID, before, after)
 	}
-	if x, y := a.capacityFraction(now, old), b.capacityFraction(then, next); !near(x, y) ||
-		a.warmingUp(now, old) != b.warmingUp(then, next) {
-		t.Errorf("endpoint %d: capacity fraction %v, then %v", a.ID, x, y)
+	if before, after := oldEndpoint.capacityFraction(now, old),
+		newEndpoint.capacityFraction(nextNow, next); !approxEqual(before, after) ||
+		oldEndpoint.warmingUp(now, old) != newEndpoint.warmingUp(nextNow, next) {
+		t.Errorf("endpoint %d: capacity fraction %v, then %v", oldEndpoint.ID, before, after)
 	}
 }
 
 // requireSameBreaker requires that two breakers have the same window and usual latency, each at its own time.
-func requireSameBreaker(t *testing.T, a *endpoint, now monotime.Micros, b *endpoint, then monotime.Micros) {
+func requireSameBreaker(t *testing.T, oldEndpoint *endpoint, now monotime.Micros, newEndpoint *endpoint,
+	nextNow monotime.Micros) {
 	t.Helper()
-	a.breaker.advance(now)
-	b.breaker.advance(then)
-	if x, y := a.breaker, b.breaker; x.requests != y.requests || x.accepts != y.accepts ||
-		x.baseLatency != y.baseLatency || a.ID < 6 && x.requests == 0 {
-		t.Errorf("endpoint %d: breaker %d of %d, base %v; then %d of %d, base %v", a.ID, x.accepts, x.requests,
-			x.baseLatency, y.accepts, y.requests, y.baseLatency)
+	oldEndpoint.breaker.advance(now)
+	newEndpoint.breaker.advance(nextNow)
+	if before, after := oldEndpoint.breaker, newEndpoint.breaker; before.requests != after.requests ||
+		before.accepts != after.accepts || before.baseLatency != after.baseLatency ||
+		oldEndpoint.ID < 6 && before.requests == 0 {
+		t.Errorf("endpoint %d: breaker %d of %d, base %v; then %d of %d, base %v", oldEndpoint.ID, before.accepts,
+			before.requests,
+			before.baseLatency, after.accepts, after.requests, after.baseLatency)
 	}
 }
 
-// handoverHost gives balancers requests, for four warm endpoints and a warming one.
-type handoverHost struct {
-	t       *testing.T
-	now     monotime.Micros
-	lastID  uint64
-	warming Endpoint
-	sent    int // requests to the warming endpoint
+// takeoverHost gives balancers requests, for four warm endpoints and a warming one.
+type takeoverHost struct {
+	t            *testing.T
+	now          monotime.Micros
+	lastID       uint64
+	warming      Endpoint
+	warmingSends int // requests to the warming endpoint
 }
 
-func (h *handoverHost) settings() Settings {
+func (h *takeoverHost) settings() Settings {
 	s := testSettings()
 	s.Limits.Probes = false
 	return s
 }
 
 // requests gives each balancer a request after a millisecond, which is answered.
-func (h *handoverHost) requests(balancers ...*Balancer) {
+func (h *takeoverHost) sendRequests(balancers ...*Balancer) {
 	h.now += 1000
 	for _, b := range balancers {
 		r := b.actions.(*recorder)
@@ -152,7 +159,7 @@
 		b.HandleRequest(h.now, newTestRequest(h.lastID, 0, h.now))
 		if n := len(r.sends) - 1; n >= 0 && r.sends[n].id == h.lastID {
 			if r.sends[n].endpoint == h.warming.ID {
-				h.sent++
+				h.warmingSends++
 			}
 			succeed(b, h.now+900, h.lastID, r.sends[n].endpoint, 2000)
 		}
@@ -161,20 +168,20 @@
 
 // run sends 3000 requests, and returns how many went to the warming endpoint. With a handover another balancer takes
 // over for the second half, while the old one still gets as many requests as before.
-func (h *handoverHost) run(handover bool) int {
+func (h *takeoverHost) run(withTakeover bool) int {
 	h.t.Helper()
 	b, _ := startBalancer(h.t, h.settings(), readyEndpoints(4))
 	h.warming = Endpoint{ID: 9, Zone: 0, Cell: 9, Share: 1, StartTime: 1}
 	h.now = 1
 	b.UpdateEndpoints(h.now, ListDelta, []Endpoint{h.warming})
 	for range 1500 {
-		h.requests(b)
+		h.sendRequests(b)
 	}
-	if !handover {
+	if !withTakeover {
 		for range 1500 {
-			h.requests(b)
+			h.sendRequests(b)
 		}
-		return h.sent
+		return h.warmingSends
 	}
 	learned := b.LearnedState(h.now + 1000)
 	b.SetHandedOver(h.now+1000, true)
@@ -182,32 +189,33 @@
 	next.UpdateEndpoints(h.now+1000, ListCached, append(readyEndpoints(4), h.warming))
 	next.Restore(h.now+1000, 0, learned)
 	for range 1500 {
-		h.requests(next, b)
+		h.sendRequests(next, b)
 	}
-	both := h.sent
+	sendsByBoth := h.warmingSends
 	for range 500 {
-		h.requests(b)
+		h.sendRequests(b)
 	}
-	if h.sent != both {
-		h.t.Errorf("the old balancer sent the warming endpoint %d requests after it had handed over", h.sent-both)
+	if h.warmingSends != sendsByBoth {
+		h.t.Errorf("the old balancer sent the warming endpoint %d requests after it had handed over",
+			h.warmingSends-sendsByBoth)
 	}
 	b.SetHandedOver(h.now, false)
 	for range 3000 {
-		h.requests(b)
+		h.sendRequests(b)
 	}
-	if h.sent == both {
+	if h.warmingSends == sendsByBoth {
 		h.t.Error("after the handover was undone it sends the endpoint nothing")
 	}
-	return both
+	return sendsByBoth
 }
 
 // The token buckets of a warming endpoint are handed over. The old balancer sends it nothing more, and both together
 // send it what one alone might.
 func TestWarmingEndpointIsHandedOver(t *testing.T) {
-	alone := (&handoverHost{t: t}).run(false)
-	both := (&handoverHost{t: t}).run(true)
-	if both > alone*5/4+2 {
-		t.Errorf("a warming endpoint got %d requests across a handover, %d without", both, alone)
+	sendsByOne := (&takeoverHost{t: t}).run(false)
+	sendsByBoth := (&takeoverHost{t: t}).run(true)
+	if sendsByBoth > sendsByOne*5/4+2 {
+		t.Errorf("a warming endpoint got %d requests across a handover, %d without", sendsByBoth, sendsByOne)
 	}
 }
 
@@ -215,10 +223,10 @@
 func TestRestartedEndpointStartsAnew(t *testing.T) {
 	s := withTenants(testSettings())
 	old, now := trainedBalancer(t, s, readyEndpoints(6))
-	l := old.LearnedState(now)
+	learned := old.LearnedState(now)
 	next, _ := startBalancer(t, s, readyEndpoints(6))
 	next.UpdateEndpoints(now, ListDelta, []Endpoint{{ID: 3, Zone: 1, Cell: 1, StartTime: now - 1}})
-	next.Restore(now, 0, l)
+	next.Restore(now, 0, learned)
 	if e := next.endpointsByID[3]; e.breaker.requests != 0 || e.outliers[allTraffic].consecutiveFailures != 0 ||
 		!e.warmingUp(now, next) {
 		t.Errorf("%+v", e)
@@ -229,9 +237,9 @@
 func TestRestoreOfInvalidState(t *testing.T) {
 	x := invalidState{rand.New(rand.NewPCG(1, 9))}
 	for range 300 {
-		l := x.learned()
+		learned := x.learned()
 		b, r := startBalancer(t, withTenants(testSettings()), readyEndpoints(6))
-		b.Restore(20*second, x.duration(), l)
+		b.Restore(20*second, x.duration(), learned)
 		for id := range uint64(50) {
 			now := 60*second + monotime.Micros(id)*second
 			b.HandleRequest(now, newTestRequest(id, uint8(id%5), now))
@@ -240,7 +248,7 @@
 			}
 		}
 		if len(r.sends) < 25 {
-			t.Fatalf("%d of 50 requests were sent after %+v", len(r.sends), l)
+			t.Fatalf("%d of 50 requests were sent after %+v", len(r.sends), learned)
 		}
 	}
 }
@@ -248,7 +256,7 @@
 // invalidState draws learned state that is mostly impossible.
 type invalidState struct{ *rand.Rand }
 
-func (x invalidState) figure() float64 {
+func (x invalidState) number() float64 {
 	return []float64{math.NaN(), math.Inf(1), math.Inf(-1), -5, 0, 1e300, 7}[x.IntN(7)]
 }
 
@@ -256,7 +264,7 @@
 	return []monotime.Micros{math.MinInt64 / 4, -1, 0, 5, math.MaxInt64 / 4}[x.IntN(5)]
 }
 
-func (x invalidState) average() Average { return Average{x.figure(), x.figure()} }
+func (x invalidState) average() Average { return Average{x.number(), x.number()} }
 
 func (x invalidState) outlier(trial bool) LearnedOutlier {
 	return LearnedOutlier{int(x.duration()), x.duration(), x.duration(), trial}
@@ -264,22 +272,22 @@
 
 func (x invalidState) learned() *LearnedState {
 	l := &LearnedState{
-		RequestRate:           x.figure(),
-		SentWorkRate:          x.figure(),
-		RejectedRatio:         x.figure(),
+		RequestRate:           x.number(),
+		SentWorkRate:          x.number(),
+		RejectedRatio:         x.number(),
 		MeanWork:              Average{5000, 1},
 		FleetServiceTimeRatio: x.average(),
-		LatencyTrend:          x.figure(),
-		HintTrust:             x.figure(),
+		LatencyTrend:          x.number(),
+		HintTrust:             x.number(),
 		LateReportRatio:       x.average(),
 		TypicalLoad:           x.average(),
 		ServiceTime:           x.average(),
-		ReportWatchTime:       x.figure(),
-		ReportChanges:         x.figure(),
-		TenantRates:           []float64{x.figure(), x.figure()},
+		ReportWatchTime:       x.number(),
+		ReportChanges:         x.number(),
+		TenantRates:           []float64{x.number(), x.number()},
 	}
 	for range x.IntN(7) {
-		l.Classes = append(l.Classes, LearnedClass{x.average(), x.figure(), x.average()})
+		l.Classes = append(l.Classes, LearnedClass{x.average(), x.number(), x.average()})
 	}
 	for id := range uint32(8) {
 		l.Endpoints = append(l.Endpoints, x.endpoint(id))
@@ -295,10 +303,10 @@
 		ServiceTimeAge:   x.duration(),
 		WarmingUp:        x.IntN(2) == 0,
 		WarmupAge:        x.duration(),
-		WarmupTokens:     x.figure(),
+		WarmupTokens:     x.number(),
 		Outlier:          x.outlier(true),
-		BaseLatency:      x.figure(),
-		CurrentLatency:   x.figure(),
+		BaseLatency:      x.number(),
+		CurrentLatency:   x.number(),
 	}
 	for range x.IntN(9) {
 		e.PartOutliers = append(e.PartOutliers, x.outlier(false))
@@ -318,10 +326,10 @@
 	b.Start(0)
 	b.UpdateEndpoints(second, ListDelta, nil)
 	b.UpdateEndpoints(second, ListCached, readyEndpoints(2))
-	late := readyEndpoints(3)[2:]
-	b.UpdateEndpoints(second, ListDelta, late)
+	added := readyEndpoints(3)[2:]
+	b.UpdateEndpoints(second, ListDelta, added)
 	for _, e := range b.endpoints {
-		if want := e.ID == late[0].ID; e.warmingUp(second, b) != want {
+		if want := e.ID == added[0].ID; e.warmingUp(second, b) != want {
 			t.Errorf("endpoint %d warming up: %v, want %v", e.ID, !want, want)
 		}
 	}
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -14,8 +14,8 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// recordFiles hold settings, events, records, statistics and log lines, but no decision.
-var recordFiles = []string{"api.go", "breakerwindow.go", "doc.go", "endpoint.go", "logging.go", "random.go",
+// nonDecisionFiles hold settings, events, records, statistics and log lines, but no decision.
+var nonDecisionFiles = []string{"api.go", "breakerwindow.go", "doc.go", "endpoint.go", "logging.go", "random.go",
 	"reportparsing.go", "request.go", "settings.go", "snapshot.go", "state.go", "statistics.go", "validate.go"}
 
 // policyFiles returns the files of this package that deploy/balancer.toml lists as those of the decision
@@ -24,13 +24,13 @@
 	t.Helper()
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	require.NoError(t, err)
-	list := regexp.MustCompile(`(?s)\npolicy = \[(.*?)\]`).FindStringSubmatch(string(text))
-	if list == nil {
+	policyList := regexp.MustCompile(`(?s)\npolicy = \[(.*?)\]`).FindStringSubmatch(string(text))
+	if policyList == nil {
 		t.Fatal("deploy/balancer.toml has no policy files")
 	}
 	var files []string
-	for _, name := range regexp.MustCompile(`"balancer/(\w+\.go)"`).FindAllStringSubmatch(list[1], -1) {
-		files = append(files, name[1])
+	for _, match := range regexp.MustCompile(`"balancer/(\w+\.go)"`).FindAllStringSubmatch(policyList[1], -1) {
+		files = append(files, match[1])
 	}
 	return files
 }
@@ -45,8 +45,8 @@
 // Limits on each file of the decision logic: a reader sees a whole rule at once, and each function and each
 // constant says what it decides, in which unit.
 const (
-	maxPolicyLines  = 250 // of a file, that are not blank
-	maxPolicyColumn = 110 // characters of a line
+	maxPolicyLines      = 250 // of a file, that are not blank
+	maxPolicyLineLength = 110 // characters of a line
 )
 
 func TestModuleSize(t *testing.T) {
@@ -60,8 +60,8 @@
 			if strings.TrimSpace(line) != "" {
 				lines++
 			}
-			if len(line) > maxPolicyColumn {
-				t.Errorf("%s: line %d has %d characters, want at most %d", name, i+1, len(line), maxPolicyColumn)
+			if len(line) > maxPolicyLineLength {
+				t.Errorf("%s: line %d has %d characters, want at most %d", name, i+1, len(line), maxPolicyLineLength)
 			}
 		}
 		if lines == 0 || lines > maxPolicyLines {
@@ -94,8 +94,8 @@
 	if d.Tok != token.CONST {
 		return
 	}
-	for _, s := range d.Specs {
-		constant := s.(*ast.ValueSpec)
+	for _, spec := range d.Specs {
+		constant := spec.(*ast.ValueSpec)
 		text := constant.Doc.Text() + constant.Comment.Text()
 		if len(d.Specs) == 1 {
 			text += d.Doc.Text()
@@ -110,10 +110,10 @@
 	files, err := filepath.Glob("*.go")
 	require.NoError(t, err)
 	files = slices.DeleteFunc(files, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
-	known := slices.Concat(policyFiles(t), recordFiles)
-	slices.Sort(known)
-	if !slices.Equal(files, known) {
-		t.Errorf("files %v, want those of deploy/balancer.toml and the record files: %v", files, known)
+	listedFiles := slices.Concat(policyFiles(t), nonDecisionFiles)
+	slices.Sort(listedFiles)
+	if !slices.Equal(files, listedFiles) {
+		t.Errorf("files %v, want those of deploy/balancer.toml and the record files: %v", files, listedFiles)
 	}
 	doc := readSource(t, "doc.go")
 	for _, name := range files {
@@ -129,12 +129,12 @@
 func TestModuleImports(t *testing.T) {
 	allowed := map[string]bool{`"fmt"`: true, `"math"`: true, `"slices"`: true, `"strconv"`: true,
 		`"dunlinsail/internal/monotime"`: true}
-	for _, name := range slices.Concat(policyFiles(t), recordFiles) {
+	for _, name := range slices.Concat(policyFiles(t), nonDecisionFiles) {
 		f, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.ImportsOnly)
 		require.NoError(t, err)
-		for _, i := range f.Imports {
-			if !allowed[i.Path.Value] {
-				t.Errorf("%s imports %s", name, i.Path.Value)
+		for _, importSpec := range f.Imports {
+			if !allowed[importSpec.Path.Value] {
+				t.Errorf("%s imports %s", name, importSpec.Path.Value)
 			}
 		}
 	}
--- a/balancer/stall_test.go
+++ b/balancer/stall_test.go
@@ -6,8 +6,10 @@
 	"dunlinsail/internal/monotime"
 )
 
-// serveSome has a balancer learn from answered requests, each after a latency, and returns the instant after the last.
-func serveSome(b *Balancer, r *recorder, now monotime.Micros, count uint64, latency monotime.Micros) monotime.Micros {
+// serveRequests sends count requests to b, 5 ms apart, each of which succeeds after the given latency. It returns the
+// instant of the last response.
+func serveRequests(b *Balancer, r *recorder, now monotime.Micros, count uint64,
+	latency monotime.Micros) monotime.Micros {
 	for range count {
 		now += 5_000
 		id := uint64(now)
@@ -23,25 +25,25 @@
 func TestStallIsNotChargedToEndpoints(t *testing.T) {
 	for _, length := range []monotime.Micros{100 * millisecond, 600 * millisecond, second, 5 * second} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(4))
-		now := serveSome(b, r, second, 400, 3_000)
+		now := serveRequests(b, r, second, 400, 3_000)
 		b.HandleRequest(now, newTestRequest(1, 0, now))
 		waiting := r.lastSend()
 		e := b.endpointsByID[waiting.endpoint]
-		trend := b.latencyTrend
-		work := b.classes[0].meanWork
-		ratio := e.serviceTimeRatio
-		breaker := e.breaker.currentLatency
+		trendBefore := b.latencyTrend
+		workBefore := b.classes[0].meanWork
+		ratioBefore := e.serviceTimeRatio
+		latencyBefore := e.breaker.currentLatency
 		now += length
 		b.HandleStall(now, length)
-		if got := b.predictLatency(now, e, work.value); got > 10_000 {
+		if got := b.predictLatency(now, e, workBefore.value); got > 10_000 {
 			t.Errorf("%d: %v us are predicted right after the stall", length, got)
 		}
 		b.HandleOutcome(now, Outcome{ID: 1, Endpoint: e.ID, Status: OK, Latency: length, Stalled: length,
 			Answered: true})
-		if b.latencyTrend != trend || b.classes[0].meanWork != work || e.serviceTimeRatio != ratio ||
-			e.breaker.currentLatency != breaker {
+		if b.latencyTrend != trendBefore || b.classes[0].meanWork != workBefore || e.serviceTimeRatio != ratioBefore ||
+			e.breaker.currentLatency != latencyBefore {
 			t.Errorf("%d: learned from the stall: trend %v, then %v; work %v, then %v; ratio %v, then %v", length,
-				trend, b.latencyTrend, work, b.classes[0].meanWork, ratio, e.serviceTimeRatio)
+				trendBefore, b.latencyTrend, workBefore, b.classes[0].meanWork, ratioBefore, e.serviceTimeRatio)
 		}
 		first := len(r.sends)
 		for id := range uint64(60) {
--- a/balancer/warmup_test.go
+++ b/balancer/warmup_test.go
@@ -7,13 +7,14 @@
 	"dunlinsail/internal/monotime"
 )
 
-// warmupSends returns the sends to each of some warming endpoints in the second after their start, and the mean sends
-// to each of ten warm ones beside them, under a steady rate of requests per second.
-func warmupSends(t *testing.T, rate, warmingCount int) (warming []int, warm float64) {
+// countWarmupSends sends requests at a steady rate (per second) to ten warm endpoints and warmingCount endpoints that
+// warm up. For the first second of the warm-up it returns the attempts at each warming endpoint and the mean number of
+// attempts per warm endpoint.
+func countWarmupSends(t *testing.T, rate, warmingCount int) (warmingSends []int, meanWarmSends float64) {
 	t.Helper()
 	b, r := startBalancer(t, testSettings(), readyEndpoints(10))
 	id := uint64(0)
-	run := func(from, to monotime.Micros) {
+	runRequests := func(from, to monotime.Micros) {
 		r.sends = nil
 		handled := 0
 		for now := from; now < to; now += second / monotime.Micros(rate) {
@@ -27,29 +28,29 @@
 			}
 		}
 	}
-	run(0, 5*second)
+	runRequests(0, 5*second)
 	for i := range warmingCount {
-		started := Endpoint{ID: uint32(11 + i), State: Ready, StartTime: 5 * second}
-		b.UpdateEndpoints(5*second, ListDelta, []Endpoint{started})
+		warmingEndpoint := Endpoint{ID: uint32(11 + i), State: Ready, StartTime: 5 * second}
+		b.UpdateEndpoints(5*second, ListDelta, []Endpoint{warmingEndpoint})
 	}
-	run(5*second, 6*second)
+	runRequests(5*second, 6*second)
 	for e, n := range r.sendsByEndpoint() {
 		if e >= 11 {
-			warming = append(warming, n)
+			warmingSends = append(warmingSends, n)
 		} else {
-			warm += float64(n) / 10
+			meanWarmSends += float64(n) / 10
 		}
 	}
-	return warming, warm
+	return warmingSends, meanWarmSends
 }
 
 func TestWarmingEndpointGetsItsWarmupShare(t *testing.T) {
 	for _, c := range []struct{ rate, warmingCount int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
-		warming, warm := warmupSends(t, c.rate, c.warmingCount)
-		for _, n := range warming {
+		warmingSends, meanWarmSends := countWarmupSends(t, c.rate, c.warmingCount)
+		for _, n := range warmingSends {
 			// The capacity fraction grows from 0.2 to 0.28 in this second; one request may round up.
-			if float64(n) > 0.28*warm+1 {
-				t.Errorf("rate %d: a warming endpoint got %d, a warm one %.1f", c.rate, n, warm)
+			if float64(n) > 0.28*meanWarmSends+1 {
+				t.Errorf("rate %d: a warming endpoint got %d, a warm one %.1f", c.rate, n, meanWarmSends)
 			}
 		}
 	}
@@ -73,53 +74,53 @@
 // Warm endpoints are busy, new warming ones idle. Each of eighty balancers may send a warming endpoint its own part
 // only, and must send it that part if it can take it. The sum of all stays within what the warming endpoints can take.
 func TestWarmingEndpointsGetTheirPart(t *testing.T) {
-	const balancers, warm, warming, work = 80, 24, 36, 0.05
+	const balancers, warmCount, warmingCount, work = 80, 24, 36, 0.05
 	s := testSettings()
 	s.Balancers = balancers
 	s.Prices.Probe = probeBudget * calmProbeShare / 0.05
 	s.Contract.CollapseAfter = 2 * second
 	s.Contract.WarmupTime = 1000 * second // they keep the capacity of their start
-	inWindow := map[uint32]float64{}
+	workInWindow := map[uint32]float64{}
 	for seed := range uint64(balancers) {
 		b, r := newBalancer(t, s, seed)
 		b.Start(0)
-		list := readyEndpoints(warm + warming)
-		b.UpdateEndpoints(0, ListFull, list[:warm])
-		b.UpdateEndpoints(second, ListDelta, list[warm:])
+		list := readyEndpoints(warmCount + warmingCount)
+		b.UpdateEndpoints(0, ListFull, list[:warmCount])
+		b.UpdateEndpoints(second, ListDelta, list[warmCount:])
 		for now := second; now < 7*second; now += second / 20 {
-			reportAllLoads(b, now, list, warm)
+			reportAllLoads(b, now, list, warmCount)
 			sends := len(r.sends)
 			b.HandleRequest(now, Request{ID: uint64(now), Deadline: now + second})
 			if len(r.sends) == sends {
 				continue
 			}
 			e := r.sends[sends].endpoint
-			if e > warm && now >= 5*second {
-				inWindow[e] += work
+			if e > warmCount && now >= 5*second {
+				workInWindow[e] += work
 			}
 			b.HandleOutcome(now, Outcome{ID: uint64(now), Endpoint: e, Status: OK,
 				Latency: monotime.Micros(3 * work * float64(second))})
 		}
 	}
 	startCapacity := 2 * s.Contract.WarmupStartCapacity // cores
-	var all float64
-	for e, got := range inWindow {
-		all += got
+	var totalWork float64
+	for e, got := range workInWindow {
+		totalWork += got
 		if limit := s.Contract.CollapseMultiple * startCapacity * 2; got > limit {
 			t.Errorf("endpoint %d was sent %.1f s of work in 2 s, collapses from %.1f s on", e, got, limit)
 		}
 	}
-	if used := all / (warming * startCapacity * 2); used < 0.5 {
-		t.Errorf("warming endpoints got %.0f%% of what they can do at least, want at least half", 100*used)
+	if usedRatio := totalWork / (warmingCount * startCapacity * 2); usedRatio < 0.5 {
+		t.Errorf("warming endpoints got %.0f%% of what they can do at least, want at least half", 100*usedRatio)
 	}
 }
 
 // reportAllLoads reports five requests at each of the first endpoints of a list, which are warm, and none at the
 // others. All reports are as of now, since the test is not about late ones.
-func reportAllLoads(b *Balancer, now monotime.Micros, list []Endpoint, warm int) {
+func reportAllLoads(b *Balancer, now monotime.Micros, list []Endpoint, warmCount int) {
 	for i := range list {
 		load := float32(0)
-		if i < warm {
+		if i < warmCount {
 			load = 5
 		}
 		b.HandleProbe(now, list[i].ID, OK, 1000, []float32{load})
@@ -159,32 +160,32 @@
 // near what the endpoint can do, and stay far from what makes it collapse.
 func TestWarmupCapacityOfManyQuietBalancers(t *testing.T) {
 	s := testSettings()
-	const balancers, perSecond, endpoints, work = 400, 2.0, 41, 40_000.0
-	sent := 0.0
+	const balancers, ratePerBalancer, endpoints, work = 400, 2.0, 41, 40_000.0
+	sentWork := 0.0
 	for i := range balancers {
-		out := &recorder{}
-		b, err := New(s, uint64(i), out)
+		actions := &recorder{}
+		b, err := New(s, uint64(i), actions)
 		require.NoError(t, err)
 		b.Start(0)
 		b.UpdateEndpoints(0, ListCached, readyEndpoints(endpoints-1))
 		b.meanWork = ewma{value: work, samples: manySamples}
 		for now := monotime.Micros(0); now < 10*second; now += second / 2 {
-			b.sentWorkRate.add(now, work*perSecond/2)
+			b.sentWorkRate.add(now, work*ratePerBalancer/2)
 		}
 		start := 10 * second
 		b.UpdateEndpoints(start, ListDelta, []Endpoint{{ID: 999, StartTime: start}})
 		e := b.endpointsByID[999]
 		for now := start; now < start+second; now += second / 2 {
-			b.sentWorkRate.add(now, work*perSecond/2)
+			b.sentWorkRate.add(now, work*ratePerBalancer/2)
 			if b.hasWarmupCapacity(now, e, work) {
 				e.warmupTokens -= work * warmupCharge
-				sent += work
+				sentWork += work
 			}
 		}
 	}
 	// With 40 ms of work per request the fleet needs 32 cores, 0.78 at each endpoint.
-	fair := balancers * perSecond * work / endpoints
-	if ratio := sent / fair; ratio < 0.05 || ratio > 0.5 {
+	fairShare := balancers * ratePerBalancer * work / endpoints
+	if ratio := sentWork / fairShare; ratio < 0.05 || ratio > 0.5 {
 		t.Errorf("the warming endpoint was sent %.2f of a warm one's work in its first second, at 0.2 of its capacity",
 			ratio)
 	}
@@ -220,7 +221,7 @@
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.UpdateEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
 	e := b.endpointsByID[9]
-	if got := e.currentServiceTimeRatio(1000, b); !near(got, 5) { // capacity fraction 0.2
+	if got := e.currentServiceTimeRatio(1000, b); !approxEqual(got, 5) { // capacity fraction 0.2
 		t.Errorf("service time ratio %v just started", got)
 	}
 	e.serviceTimeRatio = ewma{value: 2, samples: manySamples}
