--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -7,25 +7,27 @@
 	"dunlinsail/internal/monotime"
 )
 
-// near reports whether two results are equal but for rounding.
+// approxEqual reports whether two results are equal apart from rounding errors.
 func approxEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
+// The reject chance follows from the requests, accepts and protection of the window, and from the accept weight, which
+// falls with each bucket without accepts.
 func TestErrorRejectChance(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		accepts, failures int
 		rejections        int
-		spread            int // buckets that failures are spread over
+		spread            int // number of buckets over which the failures are spread
 		want              float64
 	}{
 		{"empty", 0, 0, 0, 1, 0},
 		{"within protection", 0, 5, 0, 1, 0},
 		{"one beyond protection", 0, 6, 0, 1, 1.0 / 7},
-		// 30 requests, 10 accepts in the newest bucket: the accept weight stays 1.5.
+		// 30 requests with 10 accepts, all in the newest bucket: the accept weight stays 1.5.
 		{"two thirds fail", 10, 20, 0, 1, (30.0 - 5 - 15) / 31},
 		{"rejections count as requests", 10, 0, 20, 1, (30.0 - 5 - 15) / 31},
 		{"all accepted", 40, 0, 0, 1, 0},
-		// 20 failing buckets after the accepts: the weight is 1.5 - 0.4*20/40 = 1.3.
+		// 20 buckets with failures only after the accepts: the accept weight is 1.5 - 0.4*20/40 = 1.3.
 		{"weight falls", 10, 20, 0, 20, (30.0 - 5 - 13) / 31},
 	} {
 		var br breaker
@@ -48,6 +50,7 @@
 	}
 }
 
+// Outcomes count for the ten seconds of the window, and no longer.
 func TestBreakerWindowForgets(t *testing.T) {
 	var br breaker
 	for range 100 {
@@ -74,11 +77,11 @@
 	if br.baseLatency != 100 || br.currentLatency != 100 {
 		t.Fatalf("first: base %v current %v", br.baseLatency, br.currentLatency)
 	}
-	br.recordLatency(60) // falls by a quarter of the way; current (60+3*100)/4
+	br.recordLatency(60) // base falls by a quarter of the difference; current is (60+3*100)/4
 	if !approxEqual(br.baseLatency, 90) || !approxEqual(br.currentLatency, 90) {
 		t.Fatalf("fall: base %v current %v", br.baseLatency, br.currentLatency)
 	}
-	br.recordLatency(190) // rises by a hundredth: (190+99*90)/100; current (190+270)/4
+	br.recordLatency(190) // base rises by a hundredth of the difference: (190+99*90)/100; current is (190+270)/4
 	if !approxEqual(br.baseLatency, 91) || !approxEqual(br.currentLatency, 115) {
 		t.Fatalf("rise: base %v current %v", br.baseLatency, br.currentLatency)
 	}
@@ -104,6 +107,7 @@
 	}
 }
 
+// Even at an endpoint that fails everything, one attempt passes the breaker per forced-pass interval.
 func TestForcedPass(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(1))
 	e := b.endpoints[0]
@@ -129,7 +133,8 @@
 	}
 }
 
-// When all endpoints fail at once, ejection must not leave all requests to the last few.
+// If all endpoints fail at once, at most half of them may be ejected: otherwise the few remaining endpoints would
+// receive all requests.
 func TestNoMoreThanHalfAreEjected(t *testing.T) {
 	for _, c := range []struct{ endpoints, maxEjected int }{{1, 0}, {2, 1}, {3, 1}, {4, 2}, {9, 4}} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(c.endpoints))
--- a/balancer/checker_test.go
+++ b/balancer/checker_test.go
@@ -10,45 +10,48 @@
 	"dunlinsail/internal/monotime"
 )
 
-// checker is a host that checks the rules at each action.
+// ruleChecker is a host that checks each action of a balancer against the rules that every balancer has to follow.
 type ruleChecker struct {
 	settings     Settings
 	now          monotime.Micros
-	entries      map[uint32]Endpoint        // the latest entries
-	cordoned     map[uint32]bool            // by endpoint
-	warmingUp    map[uint32]monotime.Micros // by endpoint: instant of its start
-	warmingSends map[uint32]float64         // by endpoint: requests sent while it warms up
-	requests     map[uint64]*checkedRequest // open and ended
-	violations   []string
+	entries      map[uint32]Endpoint        // by endpoint ID: its latest list entry
+	cordoned     map[uint32]bool            // by endpoint ID
+	warmingUp    map[uint32]monotime.Micros // by endpoint ID: instant at which it started
+	warmingSends map[uint32]float64         // by endpoint ID: attempts sent during its warm-up
+	requests     map[uint64]*checkedRequest // by request ID: open and ended requests
+	violations   []string                   // one message per broken rule
 	timers       []pendingTimer
-	probes       []uint32 // endpoint IDs
+	probes       []uint32 // IDs of the endpoints with a pending probe
 }
 
+// checkedRequest is a request with the actions of the balancer for it.
 type checkedRequest struct {
 	request        Request
-	finalResponses int  // final answers by the balancer
-	ended          bool // by the answer of an attempt, or by its client
+	finalResponses int  // rejections and failures by the balancer
+	ended          bool // the client received a response from an endpoint, or disconnected
 	attempts       []checkedAttempt
 }
 
+// checkedAttempt is one attempt of a checkedRequest.
 type checkedAttempt struct {
-	endpoint   Endpoint
+	endpoint   Endpoint // its list entry when the attempt was sent
 	sentAt     monotime.Micros
 	inflight   bool
-	mayHaveRun bool
+	mayHaveRun bool // its outcome does not prove that the endpoint never ran it
 }
 
+// pendingTimer is a timer that the balancer has set and that has not fired.
 type pendingTimer struct {
 	at    monotime.Micros
 	token uint32
 }
 
-// fault records a broken rule.
+// recordViolation records a broken rule, with the present instant.
 func (c *ruleChecker) recordViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-// firstThatMayHaveRun returns the first attempt that may have run, nil for none.
+// firstThatMayHaveRun returns the first attempt of r that may have run, or nil if there is none.
 func (r *checkedRequest) firstThatMayHaveRun() *checkedAttempt {
 	for i := range r.attempts {
 		if r.attempts[i].mayHaveRun {
@@ -82,7 +85,8 @@
 	r.attempts = append(r.attempts, checkedAttempt{endpoint: e, sentAt: c.now, inflight: true, mayHaveRun: true})
 }
 
-// checkAttempts checks that r may have one more attempt.
+// checkAttempts checks that the settings allow one more attempt of r: their attempt limit and, while an attempt is in
+// flight, hedging.
 func (c *ruleChecker) checkAttempts(r *checkedRequest) {
 	if len(r.attempts) >= c.settings.Limits.MaxAttempts {
 		c.recordViolation("attempt %d of %d", len(r.attempts), r.request.ID)
@@ -94,7 +98,7 @@
 	}
 }
 
-// checkIdempotency checks that an attempt of r at e has no second effect.
+// checkIdempotency checks that an attempt of r at e cannot apply the effect of r a second time.
 func (c *ruleChecker) checkIdempotency(r *checkedRequest, e Endpoint) {
 	class := c.settings.Classes[r.request.Class]
 	first := r.firstThatMayHaveRun()
@@ -109,7 +113,7 @@
 	}
 }
 
-// final records the final answer of a request.
+// recordFinalResponse records that the balancer rejects or fails a request. It returns nil if the request is not open.
 func (c *ruleChecker) recordFinalResponse(id uint64) *checkedRequest {
 	r := c.requests[id]
 	if r == nil || r.finalResponses > 0 || r.ended {
@@ -162,17 +166,17 @@
 
 func (c *ruleChecker) Log(string, ...any) {}
 
-// randomRun gives a balancer random events that a host may give, with a checker as its host.
+// randomRun passes random but valid host events to a balancer whose actions a ruleChecker checks.
 type randomRun struct {
 	*ruleChecker
 	balancer   *Balancer
 	random     *rand.Rand
-	endpoints  []Endpoint
-	requestIDs []uint64
+	endpoints  []Endpoint // all endpoints of the service, listed or not
+	requestIDs []uint64   // of all requests so far, open and ended
 	lastID     uint64
 }
 
-// playRandomEvents runs random events from a seed, and returns the broken rules.
+// playRandomEvents passes 3000 random events, drawn from the seed, to a new balancer and returns the violations.
 func playRandomEvents(t *testing.T, s Settings, seed int64) []string {
 	t.Helper()
 	run := &randomRun{random: rand.New(rand.NewSource(seed))}
@@ -196,7 +200,7 @@
 		run.fireTimers(0)
 		run.handleRandomEvent()
 	}
-	// Each request that is still open must be answered by its deadline.
+	// Each request that is still open must get its final response by its deadline.
 	for range 400 {
 		run.now += 5000
 		run.fireTimers(firstRequestToken)
@@ -209,10 +213,10 @@
 	return run.violations
 }
 
-// fireTimers fires the timers that are due, of tokens from the given one on.
-func (run *randomRun) fireTimers(from uint32) {
+// fireTimers fires the due timers whose token is at least minToken.
+func (run *randomRun) fireTimers(minToken uint32) {
 	for i := 0; i < len(run.timers); {
-		if timer := run.timers[i]; timer.at <= run.now && timer.token >= from {
+		if timer := run.timers[i]; timer.at <= run.now && timer.token >= minToken {
 			run.timers = slices.Delete(run.timers, i, i+1)
 			run.balancer.HandleTimer(run.now, timer.token)
 			continue
@@ -221,13 +225,13 @@
 	}
 }
 
-// status draws the status of an attempt or a probe; OK is the most frequent.
+// drawStatus draws the status of an attempt or a probe. OK is the most frequent one.
 func (run *randomRun) drawStatus() Status {
 	statuses := []Status{OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent}
 	return statuses[run.random.Intn(len(statuses))]
 }
 
-// step gives the balancer one random event.
+// handleRandomEvent passes one random event to the balancer.
 func (run *randomRun) handleRandomEvent() {
 	switch n := run.random.Intn(20); {
 	case n < 8:
@@ -263,7 +267,7 @@
 	}
 }
 
-// endAttempt ends the first attempt of r that is in flight.
+// endAttempt ends the earliest attempt of r that is still in flight, with a random status.
 func (run *randomRun) endAttempt(r *checkedRequest) {
 	for i := range r.attempts {
 		attempt := &r.attempts[i]
@@ -284,7 +288,8 @@
 	}
 }
 
-// changeEndpointList changes an endpoint and sends a list with or without it, or a failure.
+// changeEndpointList changes a random endpoint. Then the balancer receives a delta with it, a full list of a random
+// prefix of the endpoints, or a discovery failure.
 func (run *randomRun) changeEndpointList() {
 	e := &run.endpoints[run.random.Intn(len(run.endpoints))]
 	e.State = EndpointState(run.random.Intn(3))
@@ -305,7 +310,8 @@
 	}
 }
 
-// update sends a list to the balancer, and cordons as the host does: cordons are its own, and an entry may be new.
+// updateEndpoints passes an endpoint list to the balancer. It then sets all cordons again, as the host does: endpoint
+// lists do not contain cordons, and the balancer knows none for an endpoint that is new to it.
 func (run *randomRun) updateEndpoints(listKind ListKind, entries []Endpoint) {
 	if listKind != ListDelta && listKind != ListFailed {
 		clear(run.entries)
@@ -326,7 +332,7 @@
 		s.Limits.Hedging = seed%3 != 0
 		s.Limits.Probes = seed%5 != 0
 		s.Limits.MaxAttempts = 1 + int(seed%4)
-		s.Prices.Probe *= float64(seed % 7 / 3) // 0 for some, so that requests are queued
+		s.Prices.Probe *= float64(seed % 7 / 3) // free for some seeds, so that requests are queued for probes
 		for i, violation := range playRandomEvents(t, s, seed) {
 			if i < 5 {
 				t.Errorf("seed %d: %s", seed, violation)
@@ -335,7 +341,7 @@
 	}
 }
 
-// The checker must detect each broken rule.
+// Without this test a ruleChecker that misses violations would let TestRulesUnderRandomEvents pass.
 func TestCheckerDetectsBrokenRules(t *testing.T) {
 	newChecker := func() *ruleChecker {
 		c := &ruleChecker{settings: testSettings(), entries: map[uint32]Endpoint{},
--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An endpoint whose cordon ends counts as restarted. It gets no more than a warming one may, also where the list still
-// has its old start time, and nothing that was learned before is used.
+// An endpoint whose cordon ends is treated as restarted: it warms up although the endpoint list still has its old start
+// time, and the state that was learned before is discarded. Cordoned endpoints receive no requests.
 func TestUncordonedEndpointWarmsUp(t *testing.T) {
 	s := testSettings()
 	b, r := startBalancer(t, s, readyEndpoints(4))
@@ -26,7 +26,7 @@
 	if warmupEnd := now + s.Contract.WarmupTime; e.warmingUp(warmupEnd, b) {
 		t.Error("its warm-up does not end")
 	}
-	// Three of the four are cordoned: all requests go to the fourth, and there is no endpoint for a second attempt.
+	// With three of four endpoints cordoned, all requests go to the fourth, and a second attempt has no endpoint.
 	for id := range uint32(3) {
 		b.SetCordon(now, id+2, true)
 	}
@@ -41,7 +41,7 @@
 	if len(r.sends) > 10 || len(r.rejected) < 30 {
 		t.Errorf("%d sent at once to the warming one, %d rejected", len(r.sends), len(r.rejected))
 	}
-	// All are cordoned, without exception.
+	// With all endpoints cordoned, nothing may be sent.
 	b.SetCordon(now, 1, true)
 	sendsBefore := len(r.sends)
 	b.HandleRequest(now, newTestRequest(200, 4, 1000))
--- a/balancer/decisionhost_test.go
+++ b/balancer/decisionhost_test.go
@@ -11,69 +11,78 @@
 	"dunlinsail/internal/monotime"
 )
 
-// simEndpoint is an endpoint of a run, with its faults.
+// simEndpoint is a simulated endpoint and its present faults.
 type simEndpoint struct {
 	balancer.Endpoint
-	serviceTimeFactor  float64 // factor of the service time
+	serviceTimeFactor  float64 // multiplies the service time; 1 is normal
 	backgroundRequests float64 // requests of other balancers in flight
 	inflight           int
-	lastReport         []float32       // the latest one, which is repeated for runOptions.reportInterval
-	reportedAt         monotime.Micros // instant at which it was made
+	lastReport         []float32       // repeated until runOptions.reportInterval has passed
+	reportedAt         monotime.Micros // instant at which lastReport was made
 
+	// Present faults: failing endpoints return errors to most attempts, rejecting ones reject most attempts,
+	// unreachable ones accept no connections, unresponsive ones take 20 s for a response, and invalidReports
+	// makes load reports impossible values.
 	failing, rejecting, unreachable, unresponsive, invalidReports bool
 }
 
+// simEvent is a function that the simulation calls at an instant.
 type simEvent struct {
 	at   monotime.Micros
-	seq  int
+	seq  int // order among the events of one instant
 	call func()
 }
 
+// simAttempt is an attempt that the balancer has sent.
 type simAttempt struct {
 	endpoint *simEndpoint
 	sentAt   monotime.Micros
 	ended    bool
 }
 
+// simRequest is a request and its attempts.
 type simRequest struct {
 	request  balancer.Request
 	attempts []*simAttempt
-	answered bool
+	answered bool // it has its final response, or its client has disconnected
 }
 
-// simulation is the host of one balancer. Its own random source is independent of the balancer's.
+// simulation is the host of one balancer in simulated time, and its simulated endpoints. Its random source is
+// independent of that of the balancer.
 type simulation struct {
 	balancer     *balancer.Balancer
 	settings     balancer.Settings
 	options      runOptions
 	now          monotime.Micros
-	lastSeq      int
-	queue        []simEvent
+	lastSeq      int        // simEvent.seq of the event that was scheduled last
+	queue        []simEvent // in the order of their instants
 	random       *rand.Rand
 	endpoints    []*simEndpoint
 	requests     map[uint64]*simRequest
 	nextID       uint64
-	digest       hash.Hash
-	countsByKind map[string]int
+	digest       hash.Hash      // of all recorded events and actions
+	countsByKind map[string]int // of the recorded events and actions
 }
 
-// runOptions is what a run varies besides the settings.
+// runOptions are the conditions of a run that differ between runs, apart from the balancer settings.
 type runOptions struct {
 	endpoints       int
-	requestRate     float64         // requests per second in the calm phases
-	reportInterval  monotime.Micros // time between two new reports of an endpoint
-	overloadPolicy  bool            // there is an overload policy
-	policyFromStart bool            // and from the start
-	takeover        bool
-	takeoverGap     monotime.Micros // from the end of the old balancer to the start of the next
+	requestRate     float64         // requests per second in the phases without overload
+	reportInterval  monotime.Micros // minimum age at which an endpoint replaces its load report
+	overloadPolicy  bool            // setOverloadPolicy sets a policy
+	policyFromStart bool            // an overload policy is set before the first phase
+	takeover        bool            // a second balancer takes over during the run
+	takeoverGap     monotime.Micros // between the learned state of the old balancer and the start of its successor
 	operatorCalls   bool            // SetCordon, SetPaused and SetSuspicion are called
 }
 
+// record adds an event or an action to the digest. The texts are part of the golden hashes.
 func (s *simulation) record(eventKind string, args ...any) {
 	s.countsByKind[eventKind]++
 	fmt.Fprintln(s.digest, s.now, eventKind, args)
 }
 
+// schedule calls a function after a delay. Calls at the same instant keep the order in which they were scheduled.
 func (s *simulation) schedule(delay monotime.Micros, call func()) {
 	s.lastSeq++
 	event := simEvent{at: s.now + max(0, delay), seq: s.lastSeq, call: call}
@@ -83,6 +92,7 @@
 	s.queue = slices.Insert(s.queue, index, event)
 }
 
+// runUntil runs the scheduled events up to an instant, which becomes the present one.
 func (s *simulation) runUntil(end monotime.Micros) {
 	for len(s.queue) > 0 && s.queue[0].at <= end {
 		event := s.queue[0]
@@ -93,6 +103,7 @@
 	s.now = end
 }
 
+// endpoint returns the endpoint with an ID, or nil if there is none.
 func (s *simulation) endpoint(id uint32) *simEndpoint {
 	for _, e := range s.endpoints {
 		if e.ID == id {
@@ -102,6 +113,8 @@
 	return nil
 }
 
+// Send simulates an attempt: it draws the work, derives the latency and the status from the state of the endpoint, and
+// schedules the end of the attempt.
 func (s *simulation) Send(id uint64, endpoint uint32, timeout monotime.Micros) {
 	r := s.requests[id]
 	s.record("send", id, endpoint, timeout, s.balancer.FirstByteDeadline(id))
@@ -151,7 +164,7 @@
 	s.schedule(latency, func() { s.endAttempt(r, attemptNumber, status) })
 }
 
-// finish reports the end of an attempt, once.
+// endAttempt passes the outcome of an attempt to the balancer, unless the attempt has already ended.
 func (s *simulation) endAttempt(r *simRequest, attemptNumber int, status balancer.Status) {
 	attempt := r.attempts[attemptNumber]
 	if attempt.ended {
@@ -202,7 +215,7 @@
 	s.record("probe", endpoint)
 	e := s.endpoint(endpoint)
 	if s.random.IntN(50) == 0 {
-		return // lost
+		return // the probe is lost
 	}
 	latency := 300 + s.random.Int64N(400)
 	s.schedule(latency, func() {
@@ -216,7 +229,7 @@
 	})
 }
 
-// load returns a load report of e with the metrics of the settings.
+// loadReport returns a load report of e, with one value per load metric of the settings.
 func (s *simulation) loadReport(e *simEndpoint) []float32 {
 	if e.lastReport != nil && s.now-e.reportedAt < s.options.reportInterval {
 		return e.lastReport
@@ -245,12 +258,13 @@
 	return load
 }
 
+// Watch responds to a subscription with a full list, a discovery failure or nothing.
 func (s *simulation) Watch(on bool) {
 	s.record("watch", on)
 	switch s.random.IntN(4) {
 	case 0:
 		s.schedule(300*millisecond, func() { s.updateEndpoints(balancer.ListFailed, nil) })
-	case 1: // lost
+	case 1: // the subscription is lost, and no list follows
 	default:
 		s.schedule(30*millisecond, func() { s.updateEndpoints(balancer.ListFull, s.endpointList()) })
 	}
@@ -258,6 +272,7 @@
 
 func (s *simulation) Log(string, ...any) { s.record("log") }
 
+// endpointList returns the entries of all endpoints that are not gone.
 func (s *simulation) endpointList() []balancer.Endpoint {
 	var list []balancer.Endpoint
 	for _, e := range s.endpoints {
@@ -268,6 +283,7 @@
 	return list
 }
 
+// updateEndpoints records an endpoint list and passes it to the balancer.
 func (s *simulation) updateEndpoints(listKind balancer.ListKind, entries []balancer.Endpoint) {
 	s.record("event members", uint8(listKind), len(entries))
 	for _, e := range entries {
--- a/balancer/decisions_test.go
+++ b/balancer/decisions_test.go
@@ -17,18 +17,19 @@
 	"dunlinsail/internal/monotime"
 )
 
-// The decisions of the balancer of commit 870f4ac, over scripted runs against simulated endpoints, as hashes
-// in testdata/decisions.golden: any decision, draw of the random source or rounding that moves shows as
-// another hash. The file is never rewritten for a change that should move none. It has one line for each run.
+// testdata/decisions.golden has one line per scripted run against simulated endpoints, with a hash of all decisions of
+// the balancer of commit 870f4ac in that run. Any change of a decision, of a draw from the random source or of the
+// rounding changes the hash. The file is never rewritten for a change that is meant to keep all decisions.
 //
-// The runs need only exported names. Texts of log lines are left out; that and when a line is written is in.
+// The runs use exported names only. The hashes cover the instants of log lines, but not their texts.
 
 const (
 	millisecond monotime.Micros = 1_000
 	second                      = 1_000 * millisecond
 )
 
-// arrive gives the balancer a request, and schedules the next one until the end of the phase.
+// handleArrival passes a random request to the balancer and schedules the next arrival, until the phase ends. rate is
+// in requests per second.
 func (s *simulation) handleArrival(rate float64, end monotime.Micros) {
 	if s.now >= end {
 		return
@@ -52,7 +53,7 @@
 		request.WorkHint = monotime.Micros(objective / 8 * s.random.ExpFloat64())
 	}
 	if s.random.IntN(500) == 0 {
-		request.Class = 200 // none of the settings
+		request.Class = 200 // a class that the settings do not have
 	}
 	retryAfter, rejected := s.balancer.ShouldReject(request)
 	s.record("event request", request.ID, request.ObjectKey, request.Deadline, request.QueueTime, request.WorkHint,
@@ -64,7 +65,7 @@
 		s.requests[request.ID] = r
 		s.balancer.HandleRequest(s.now, request)
 		if s.random.IntN(20) == 0 {
-			// Within the first millisecond many requests still wait for probes.
+			// Some clients disconnect within 1 ms, while many requests still wait for probes.
 			maxDelay := []monotime.Micros{millisecond, 50 * millisecond}[s.random.IntN(2)]
 			s.schedule(s.random.Int64N(maxDelay), func() {
 				if !r.answered {
@@ -78,7 +79,8 @@
 	s.schedule(monotime.Micros(s.random.ExpFloat64()/rate*float64(second)), func() { s.handleArrival(rate, end) })
 }
 
-// phase simulates a time with requests at a rate, and records the state at its end.
+// runPhase simulates a period with requests at a rate (per second). At its end it records the learned state and, for
+// each endpoint, whether the balancer avoids or has ejected it.
 func (s *simulation) runPhase(length monotime.Micros, rate float64) {
 	end := s.now + length
 	s.schedule(0, func() { s.handleArrival(rate, end) })
@@ -93,7 +95,8 @@
 	s.record("state", string(state))
 }
 
-// change changes endpoints, and updates the balancer by their list entries if these have changed.
+// changeEndpoints applies a function to the endpoints with the given indexes, and passes a delta with the list entries
+// that have changed to the balancer.
 func (s *simulation) apply(apply func(e *simEndpoint), indexes ...int) {
 	var entries []balancer.Endpoint
 	for _, index := range indexes {
@@ -109,12 +112,13 @@
 	}
 }
 
+// restartEndpoint makes e a ready endpoint whose process started within the last second.
 func (s *simulation) restartEndpoint(e *simEndpoint) {
 	e.State = balancer.Ready
 	e.StartTime = s.now - s.random.Int64N(second)
 }
 
-// play is the script of all runs.
+// runScript plays the phases that all runs have in common.
 func (s *simulation) runScript() {
 	if s.options.policyFromStart {
 		s.setOverloadPolicy()
@@ -127,7 +131,7 @@
 	s.runUntil(s.now + 30*second)
 }
 
-// runFaults has calm phases with faults of single endpoints.
+// runFaults plays phases without overload in which single endpoints have faults.
 func (s *simulation) runFaults() {
 	rate := s.options.requestRate
 	s.runPhase(1500*millisecond, rate)
@@ -143,7 +147,7 @@
 	s.apply(func(e *simEndpoint) { e.unreachable = true }, 0)
 }
 
-// runOverload has phases of overload, without and with a policy, and a quiet one.
+// runOverload plays a phase of overload without an overload policy, another one with a policy, and a quiet phase.
 func (s *simulation) runOverload() {
 	rate := s.options.requestRate
 	s.setOperatorOverrides(true)
@@ -152,11 +156,11 @@
 	s.setOperatorOverrides(false)
 	s.setOverloadPolicy()
 	s.runPhase(1500*millisecond, 4*rate)
-	s.runPhase(2*second, rate/8) // probes are older than requests
+	s.runPhase(2*second, rate/8) // so few requests that load reports age between them
 	s.balancer.SetOverloadPolicy(nil)
 }
 
-// runListChanges drains, removes, restarts, moves and adds endpoints.
+// runListChanges plays phases in which endpoints drain, disappear, restart, move to another zone and are added.
 func (s *simulation) runListChanges() {
 	rate := s.options.requestRate
 	s.apply(func(e *simEndpoint) { e.State = balancer.Draining }, 1, 2)
@@ -172,7 +176,8 @@
 	s.runPhase(2*second, 2*rate)
 }
 
-// runMassRestart restarts most endpoints, as in a power cut, and hands over while they warm up.
+// runMassRestart restarts most endpoints, as after a power cut. If the options have a takeover, it takes place while
+// the endpoints warm up.
 func (s *simulation) runMassRestart() {
 	rate := s.options.requestRate
 	s.apply(s.restartEndpoint, 0, 1, 2, 3, 4, 5, 6, 7)
@@ -181,7 +186,7 @@
 	s.runPhase(3*second, 2*rate)
 }
 
-// runOutage has most endpoints fail, and then an empty list.
+// runOutage plays a phase in which most endpoints fail and later one in which the endpoint list is empty.
 func (s *simulation) runOutage() {
 	rate := s.options.requestRate
 	s.apply(func(e *simEndpoint) { e.failing = true }, 0, 1, 2, 3, 4, 5, 6, 7)
@@ -194,7 +199,7 @@
 	s.runPhase(second, rate)
 }
 
-// setOperatorOverrides sets a cordon, a pause and suspicions, or ends them.
+// setOperatorOverrides sets a cordon, a pause and two suspicions if on is true, and removes them otherwise.
 func (s *simulation) setOperatorOverrides(on bool) {
 	if !s.options.operatorCalls {
 		return
@@ -209,7 +214,7 @@
 	s.balancer.SetSuspicion(s.now, s.endpoints[3].ID, 1, suspicion/2)
 }
 
-// setOverloadPolicy sets an overload policy, whose retry budget ends after half a second.
+// setOverloadPolicy sets an overload policy that allows no retries after half a second.
 func (s *simulation) setOverloadPolicy() {
 	if !s.options.overloadPolicy {
 		return
@@ -232,7 +237,7 @@
 	s.schedule(500*millisecond, func() { policy.RetryAllowed = false })
 }
 
-// takeOver replaces the balancer by another one that restores its learned state.
+// takeOver replaces the balancer with a new one that restores its learned state.
 func (s *simulation) takeOver() {
 	if !s.options.takeover {
 		return
@@ -246,6 +251,7 @@
 	s.balancer.Restore(s.now, s.options.takeoverGap, learned)
 }
 
+// startBalancer starts a new balancer with a cached list of all endpoints.
 func (s *simulation) startBalancer(seed uint64) {
 	b, err := balancer.New(s.settings, seed, s)
 	if err != nil {
@@ -256,6 +262,7 @@
 	s.updateEndpoints(balancer.ListCached, s.endpointList())
 }
 
+// baseSettings returns the settings that the runs change: six classes with all kinds of idempotency, and two tenants.
 func baseSettings() balancer.Settings {
 	class := func(name string, idempotency balancer.Idempotency, scope balancer.DedupScope,
 		objective monotime.Micros) balancer.Class {
@@ -298,23 +305,24 @@
 	return s
 }
 
-// decisionRun is a scripted run, which is repeated with several seeds.
+// decisionRun is a scripted run that is repeated with several seeds. Its name identifies it in the golden file.
 type decisionRun struct {
 	name           string
 	options        runOptions
 	changeSettings func(s *balancer.Settings)
 }
 
-// defaultOptions are those of most runs.
+// defaultOptions are the options of most runs.
 var defaultOptions = runOptions{endpoints: 8, requestRate: 120}
 
-// with returns the usual options with a change.
+// optionsWith returns the default options after a change.
 func optionsWith(change func(o *runOptions)) runOptions {
 	options := defaultOptions
 	change(&options)
 	return options
 }
 
+// decisionRuns returns all runs of the golden file.
 func decisionRuns() []decisionRun {
 	unchanged := func(*balancer.Settings) {}
 	return []decisionRun{
@@ -377,6 +385,8 @@
 	}
 }
 
+// goldenLine plays the run and returns its line of the golden file: name, seed, number of actions of each kind, and the
+// hash.
 func (d decisionRun) goldenLine(seed uint64) string {
 	s := &simulation{
 		settings:     baseSettings(),
@@ -407,6 +417,7 @@
 	return b.String()
 }
 
+// A change that is meant to keep all decisions must reproduce the golden hashes.
 func TestDecisionsAreUnchanged(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
 		t.Skip("floating-point results may differ in the last bit on " + runtime.GOARCH)
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// host prints a balancer's actions. A sidecar carries them out.
+// host prints the actions of a balancer. A real host, such as a sidecar, carries them out.
 type host struct{ sent []uint32 }
 
 func (h *host) Send(id uint64, endpoint uint32, timeout monotime.Micros) {
@@ -40,8 +40,8 @@
 	}
 	b.Start(0)
 	b.UpdateEndpoints(0, balancer.ListCached, []balancer.Endpoint{{ID: 7}, {ID: 8}})
-	b.HandleProbe(1_000, 7, balancer.OK, 500, []float32{2}) // endpoint 7 holds two requests,
-	b.HandleProbe(1_000, 8, balancer.OK, 500, []float32{0}) // endpoint 8 none
+	b.HandleProbe(1_000, 7, balancer.OK, 500, []float32{2}) // endpoint 7 has two requests in flight
+	b.HandleProbe(1_000, 8, balancer.OK, 500, []float32{0}) // endpoint 8 has none
 
 	b.HandleRequest(2_000, balancer.Request{ID: 1, Deadline: 802_000})
 	b.HandleOutcome(3_000, balancer.Outcome{ID: 1, Endpoint: 8, Status: balancer.Error, Latency: 1_000})
--- a/balancer/firstanswers_test.go
+++ b/balancer/firstanswers_test.go
@@ -17,7 +17,8 @@
 	return b, r
 }
 
-// respondToAll answers all attempts since the first so many within a latency, also those that the answers bring about.
+// respondToAll ends all attempts from index first on successfully after the given latency, including attempts that
+// follow from these responses. It returns the instant of the last response.
 func respondToAll(b *Balancer, r *recorder, now monotime.Micros, first int, latency monotime.Micros) monotime.Micros {
 	for first < len(r.sends) {
 		last := len(r.sends)
@@ -30,8 +31,8 @@
 	return now
 }
 
-// A new process gets a burst before it has had any answer. Its endpoints are idle and fast: each request is sent
-// within a tenth of its latency objective.
+// A new process receives a burst of requests before any response. Its initial estimate of the work is far too high, but
+// the endpoints are idle and fast, so each request must be sent within a tenth of its latency objective.
 func TestBurstAtNewProcessIsNotRejected(t *testing.T) {
 	b, r := newBalancerWithoutResponses(t)
 	now := second
@@ -50,7 +51,8 @@
 	}
 }
 
-// Where no answer comes, a request over the latency budget waits for a tenth of its objective and is rejected then.
+// If no response arrives, a request that is over the latency budget waits for a tenth of its latency objective and is
+// rejected then.
 func TestWaitForAnswersIsBounded(t *testing.T) {
 	b, r := newBalancerWithoutResponses(t)
 	now := second
@@ -84,7 +86,8 @@
 	}
 }
 
-// The client of a waiting request leaves: nothing of the request is sent, and nothing of it is left.
+// If the client of a request that waits for first responses disconnects, the request must not be sent, and no record of
+// it may remain.
 func TestClientLeavesWhileRequestWaitsForAnswers(t *testing.T) {
 	b, r := newBalancerWithoutResponses(t)
 	now := second
@@ -103,8 +106,8 @@
 	}
 }
 
-// A class that has had few answers in a process's first second is predicted by them, whether the endpoints are faster
-// or slower than the initial estimate says.
+// After a few dozen responses the predicted latency of a class follows these responses and no longer the initial
+// estimate, whether that was too high or too low.
 func TestFirstAnswersCorrectTheInitialEstimate(t *testing.T) {
 	const responses = 60
 	for _, latency := range []monotime.Micros{3_000, 30_000, 200_000} {
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -8,12 +8,14 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Faults of a balancer in a large fleet: few requests, expensive probes, and no messages from the others.
+// The tests of this file guard against faults of a balancer in a large fleet, where each balancer has few requests and
+// expensive probes, and exchanges no messages with the others.
 
-// A balancer that is busy from the first moment must not keep the probe rate of before.
+// The probe rate is derived from the request rate, which is 0 at the start. A balancer that receives many requests from
+// its start on must raise it within seconds.
 func TestProbeRateFollowsFirstRequests(t *testing.T) {
 	s := testSettings()
-	s.Prices.Probe = probeBudget * calmProbeShare / 0.02 // one probe per fifty requests
+	s.Prices.Probe = probeBudget * calmProbeShare / 0.02 // one probe per 50 requests
 	for seed := range uint64(20) {
 		b, r := startBalancerWithSeed(t, s, readyEndpoints(60), seed)
 		probeRoundAt := r.timerInstant(t, 0, tokenProbe)
@@ -36,14 +38,16 @@
 	}
 }
 
-// Six in ten of the list are replaced, in one change or in twenty, while requests are in flight at those that go.
-// Nothing new goes to these, each request has one final answer, and late outcomes are recorded.
+// 36 of 60 endpoints are replaced, in one list change or in twenty, while they have requests in flight. The removed
+// endpoints must receive no further attempts, each request must end, and outcomes that arrive after the removal must be
+// recorded.
 func TestReplacedWithRequestsOut(t *testing.T) {
 	for _, changes := range []int{1, 20} {
 		t.Run(fmt.Sprint(changes), func(t *testing.T) { testEndpointReplacement(t, changes) })
 	}
 }
 
+// testEndpointReplacement runs TestReplacedWithRequestsOut with a number of list changes.
 func testEndpointReplacement(t *testing.T, changes int) {
 	t.Helper()
 	const initial, replaced = 60, 36
@@ -70,7 +74,7 @@
 		b.UpdateEndpoints(now, ListDelta, delta)
 		requireNoSendsTo(t, b, r, now, removed)
 	}
-	// Half were served before their endpoint went, half saw their connection break.
+	// At the removed endpoints half of the attempts succeed, and the connections of the other half are reset.
 	for _, attempt := range openAttempts {
 		status := OK
 		if removed[attempt.endpoint] && attempt.id%2 == 0 {
@@ -79,7 +83,7 @@
 		b.HandleOutcome(now, Outcome{ID: attempt.id, Endpoint: attempt.endpoint, Status: status, Latency: now,
 			Answered: status == OK})
 	}
-	for i := len(openAttempts); len(r.sends) > i; i++ { // their retries
+	for i := len(openAttempts); len(r.sends) > i; i++ { // the retries of the reset attempts
 		b.HandleOutcome(now, Outcome{ID: r.sends[i].id, Attempt: 1, Endpoint: r.sends[i].endpoint, Status: OK,
 			Latency: 20_000, Answered: true})
 	}
@@ -92,8 +96,8 @@
 	}
 }
 
-// requireNoSendsTo gives the balancer forty requests, which are answered, and requires that none goes to an endpoint
-// that is gone.
+// requireNoSendsTo passes forty requests to the balancer, all of which succeed, and requires that none is sent to an
+// endpoint that is gone.
 func requireNoSendsTo(t *testing.T, b *Balancer, r *recorder, now monotime.Micros, gone map[uint32]bool) {
 	t.Helper()
 	for i := range uint64(40) {
@@ -110,8 +114,8 @@
 	}
 }
 
-// A list that shrinks to one endpoint: all requests go there while their answers would be in time, the others are
-// rejected at once. When the other endpoints are listed again, they are used again.
+// When the endpoint list shrinks to one endpoint, it receives the requests that it can serve within their latency
+// objective, and all others are rejected at once. When the other endpoints are listed again, they must be used again.
 func TestListShrinksToOne(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(20))
 	trustWorkEstimates(b)
@@ -131,7 +135,7 @@
 		succeed(b, now, attempt.id, 1, 100_000)
 	}
 	b.UpdateEndpoints(now, ListFull, readyEndpoints(20))
-	now += 60 * second // they were up all the time, and what was learned of the load has aged
+	now += 60 * second // the endpoints were up meanwhile, and their learned loads no longer count
 	r.sends = r.sends[:0]
 	for i := range uint64(40) {
 		b.HandleRequest(now, newTestRequest(1000+i, 0, now))
@@ -145,12 +149,12 @@
 	}
 }
 
-// A fifth of the new endpoints fail all requests. A sidecar with three requests per second and one with a hundred, each
-// with its own observations only, serve nearly all requests, and the busy one finds the outliers soon.
+// A fifth of the new endpoints fail all requests. A sidecar with 3 requests per second and one with 100, each with its
+// own observations only, must serve nearly all requests. The busy sidecar must detect the outliers early.
 func TestOutliersAmongNewEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		rate      float64 // requests per second
-		minServed float64 // ratio
+		minServed float64 // fraction of the requests
 	}{{3, 0.9}, {100, 0.97}} {
 		s := testSettings()
 		s.Balancers = 80
@@ -161,7 +165,7 @@
 			list[i].StartTime = second
 		}
 		b.UpdateEndpoints(second, ListFull, list)
-		served, total, failed := 0, 0, 0 // requests; failed have one attempt that failed, or several
+		served, total, failed := 0, 0, 0 // numbers of requests; those of failed had at least one failed attempt
 		for now := second; now < 31*second; now += monotime.Micros(float64(second) / c.rate) {
 			total++
 			ok, attempts := requestAmongOutliers(b, r, now)
@@ -177,8 +181,8 @@
 	}
 }
 
-// requestAmongOutliers fires the probe timer and gives the balancer a request, of which the attempts at each fifth
-// endpoint from 25 on fail. It reports whether the request was served, and how many attempts it had.
+// requestAmongOutliers fires the probe timer and passes a request to the balancer. Attempts at endpoints 25, 30, 35 and
+// so on fail. It returns whether the request succeeded, and its number of attempts.
 func requestAmongOutliers(b *Balancer, r *recorder, now monotime.Micros) (served bool, attempts int) {
 	b.HandleTimer(now, tokenProbe)
 	id := uint64(now)
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -11,9 +11,10 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// The golden files under testdata were written by the build of commit 870f4ac, before any field was renamed.
-// Sidecars of that build hand over their state in this form, and read it: the files are never rewritten.
+// The golden files in testdata were written by the build of commit 870f4ac, before any field was renamed. Sidecars of
+// that build pass on their learned state in this form and read it, so the files are never rewritten.
 
+// filledLearnedState returns learned state in which each field has a value.
 func filledLearnedState() *LearnedState {
 	return &LearnedState{
 		Classes: []LearnedClass{
@@ -44,6 +45,7 @@
 	}
 }
 
+// A changed form could not be read by a predecessor or successor of another version at a hot restart.
 func TestStoredFormOfLearnedStateIsUnchanged(t *testing.T) {
 	for file, value := range map[string]*LearnedState{
 		"learned.json":       filledLearnedState(),
@@ -63,7 +65,7 @@
 	}
 }
 
-// A field without a value would not be seen by the test above.
+// TestStoredFormOfLearnedStateIsUnchanged cannot detect a change of a field that has no value in filledLearnedState.
 func TestGoldenLearnedStateFillsEachField(t *testing.T) {
 	var requireFilled func(path string, v reflect.Value)
 	requireFilled = func(path string, v reflect.Value) {
@@ -85,12 +87,13 @@
 		}
 	}
 	l := filledLearnedState()
-	// filledLearnedState spreads these values over four outliers.
+	// filledLearnedState spreads the fields of an outlier over four elements; the check looks at the first one only.
 	l.Endpoints[0].PartOutliers[0] = LearnedOutlier{ConsecutiveFailures: 1, EjectedFor: 2, EjectionTime: 3,
 		TrialPending: true}
 	requireFilled("Learned", reflect.ValueOf(*l))
 }
 
+// readTestdata returns the text of a file in testdata.
 func readTestdata(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -9,7 +9,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// testSettings are plain settings that tests change as they need.
+// testSettings returns valid settings with one class per kind of idempotency and deduplication scope. Tests change the
+// returned value as they need.
 func testSettings() Settings {
 	return Settings{
 		Balancers: 2,
@@ -31,28 +32,28 @@
 		Contract: Contract{DrainGrace: 500_000, WarmupStartCapacity: 0.2, WarmupTime: 10 * second,
 			CollapseMultiple: 2.5, CollapseAfter: second, PollInterval: 10 * second},
 		Goal:   Goal{Overall: 1},
-		Prices: Prices{Probe: 1000}, // so expensive that no request is queued for probes
+		Prices: Prices{Probe: 1000}, // too expensive for a request to wait for probes
 	}
 }
 
-// sent is an attempt that a balancer has sent.
+// sentAttempt is an attempt that a balancer has sent.
 type sentAttempt struct {
-	id       uint64
-	endpoint uint32
+	id       uint64 // request ID
+	endpoint uint32 // endpoint ID
 }
 
 // recorder is a host that records a balancer's actions.
 type recorder struct {
-	sends       []sentAttempt
-	timeouts    []monotime.Micros // of the sends
-	rejected    []uint64          // request IDs
-	failed      []uint64          // request IDs
-	cancels     []uint64          // request IDs
-	probes      []uint32          // endpoint IDs
-	timerTokens []uint32          // tokens
-	timerDelays []monotime.Micros // of the timers
-	watches     int
-	logs        []string
+	sends       []sentAttempt     // in the order of the calls
+	timeouts    []monotime.Micros // timeouts[i] is the timeout of sends[i]; 0 is none
+	rejected    []uint64          // IDs of rejected requests
+	failed      []uint64          // IDs of failed requests
+	cancels     []uint64          // request ID of each canceled attempt
+	probes      []uint32          // IDs of probed endpoints
+	timerTokens []uint32          // token of each timer that was set
+	timerDelays []monotime.Micros // timerDelays[i] is the delay of the timer of timerTokens[i]
+	watches     int               // calls of Watch
+	logs        []string          // one line per log call: message, keys and values
 }
 
 func (r *recorder) Send(id uint64, e uint32, timeout monotime.Micros) {
@@ -72,7 +73,7 @@
 	r.logs = append(r.logs, fmt.Sprintln(append([]any{message}, args...)...))
 }
 
-// lastSend returns the latest attempt, the zero value for none.
+// lastSend returns the latest attempt, or the zero value if nothing was sent.
 func (r *recorder) lastSend() sentAttempt {
 	if len(r.sends) == 0 {
 		return sentAttempt{}
@@ -80,7 +81,7 @@
 	return r.sends[len(r.sends)-1]
 }
 
-// timerInstant returns the instant of the latest timer of a token, which was set now.
+// timerInstant returns the instant at which the latest timer with a token fires, given that it was set at now.
 func (r *recorder) timerInstant(t *testing.T, now monotime.Micros, token uint32) monotime.Micros {
 	t.Helper()
 	for i := len(r.timerTokens) - 1; i >= 0; i-- {
@@ -92,7 +93,7 @@
 	return 0
 }
 
-// sendsByEndpoint counts the attempts at each endpoint.
+// sendsByEndpoint returns the number of attempts at each endpoint, by endpoint ID.
 func (r *recorder) sendsByEndpoint() map[uint32]int {
 	counts := map[uint32]int{}
 	for _, s := range r.sends {
@@ -101,7 +102,8 @@
 	return counts
 }
 
-// readyEndpoints returns n ready endpoints with IDs from 1. Pairs share a cell and a zone.
+// readyEndpoints returns n ready endpoints with the IDs 1 to n. Endpoints 1 and 2 share a zone and a cell, as do 3 and
+// 4, and so on.
 func readyEndpoints(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
@@ -119,12 +121,13 @@
 	return b, r
 }
 
-// startBalancer returns a balancer that was started at 0 with a cached endpoint list.
+// startBalancer returns a balancer with a fixed seed that was started at instant 0 with a cached endpoint list.
 func startBalancer(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
 	t.Helper()
 	return startBalancerWithSeed(t, s, list, 7)
 }
 
+// startBalancerWithSeed returns a balancer that was started at instant 0 with a cached endpoint list.
 func startBalancerWithSeed(t *testing.T, s Settings, list []Endpoint, seed uint64) (*Balancer, *recorder) {
 	t.Helper()
 	b, r := newBalancer(t, s, seed)
@@ -133,29 +136,30 @@
 	return b, r
 }
 
-// trustWorkEstimates has the balancer take the initial estimates of the work of classes as learned.
+// trustWorkEstimates makes b treat its initial estimates of the work of each class as if they were averages of many
+// responses.
 func trustWorkEstimates(b *Balancer) {
 	for i := range b.classes {
 		b.classes[i].meanWork.samples = manySamples
 	}
 }
 
-// reportLoad ends a probe of an endpoint with a load report of one figure.
+// reportLoad passes a successful probe of an endpoint to b, with a load report of one value.
 func reportLoad(b *Balancer, now monotime.Micros, id uint32, load float32) {
 	b.HandleProbe(now, id, OK, 500, []float32{load})
 }
 
-// succeed ends the first attempt of a request with its answer.
+// succeed ends the first attempt of a request with a response that is final for the client.
 func succeed(b *Balancer, now monotime.Micros, id uint64, endpoint uint32, latency monotime.Micros) {
 	b.HandleOutcome(now, Outcome{ID: id, Endpoint: endpoint, Status: OK, Latency: latency, Answered: true})
 }
 
-// failAttempt ends an attempt of a request with an error of the endpoint.
+// failAttempt ends an attempt of a request with an error response of the endpoint.
 func failAttempt(b *Balancer, now monotime.Micros, id uint64, number int, endpoint uint32) {
 	b.HandleOutcome(now, Outcome{ID: id, Attempt: number, Endpoint: endpoint, Status: Error, Latency: 100})
 }
 
-// newTestRequest returns a request with a deadline in one second.
+// newTestRequest returns a request whose deadline is one second after now.
 func newTestRequest(id uint64, class uint8, now monotime.Micros) Request {
 	return Request{ID: id, Class: class, Deadline: now + second}
 }
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -6,7 +6,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// startWithOverloadPolicy returns a balancer of three endpoints, and its overload policy, which admits all.
+// startWithOverloadPolicy returns a balancer with three endpoints, and its overload policy, which admits all requests
+// within their quota.
 func startWithOverloadPolicy(t *testing.T) (*Balancer, *recorder, *OverloadPolicy) {
 	t.Helper()
 	s := testSettings()
@@ -29,7 +30,7 @@
 	return b, r, policy
 }
 
-// countAdmitted returns how many of 2000 requests are admitted. Each call for a request must give the same.
+// countAdmitted returns how many of 2000 requests are admitted. Repeated calls for a request must decide the same.
 func countAdmitted(t *testing.T, b *Balancer) int {
 	t.Helper()
 	admitted := 0
@@ -48,7 +49,8 @@
 	return admitted
 }
 
-// requireRejected requires that a request is rejected, or is admitted.
+// requireRejected requires that a request is rejected if want is true, and admitted otherwise. name describes the
+// request.
 func requireRejected(t *testing.T, b *Balancer, in Request, want bool, name string) {
 	t.Helper()
 	if _, rejected := b.ShouldReject(in); rejected != want {
@@ -56,14 +58,15 @@
 	}
 }
 
-// A part of the requests is admitted, the same ones at each call; of requests over a tenant's quota another part.
+// The overload policy admits a fraction of the requests, and another fraction of the requests over their tenant's
+// quota. Repeated calls for a request decide the same.
 func TestOverloadPolicyRejects(t *testing.T) {
 	b, _, policy := startWithOverloadPolicy(t)
 	policy.AdmitRatio[0] = 0.3
 	if n := countAdmitted(t, b); n < 500 || n > 700 {
 		t.Errorf("%d of 2000 admitted, want three in ten", n)
 	}
-	// Balancers that start together do not reject the same ones of their requests.
+	// Balancers that start together must not reject requests with the same IDs.
 	other, _ := newBalancer(t, b.settings, 99)
 	other.SetOverloadPolicy(policy)
 	sameDecisions := 0
@@ -72,7 +75,7 @@
 		_, rejectedByOther := other.ShouldReject(newTestRequest(id, 0, 0))
 		sameDecisions += int(indicator(rejected == rejectedByOther))
 	}
-	if sameDecisions < 1050 || sameDecisions > 1270 { // 0.58 by chance
+	if sameDecisions < 1050 || sameDecisions > 1270 { // independent decisions agree with a probability of 0.58
 		t.Errorf("two balancers decide the same on %d of 2000", sameDecisions)
 	}
 	policy.AdmitRatio[0] = 1
@@ -89,8 +92,8 @@
 	requireRejected(t, b, newTestRequest(1, 0, 0), false, "without a policy")
 }
 
-// Where all endpoints are full, one request of a class is admitted over budget in the interval of the policy, not one
-// per second. When the first one is differs between balancers that start together.
+// While all endpoints are full, one request of a class is admitted over its latency budget per ForcedAdmitInterval of
+// the policy, instead of one per second. The instant of the first one differs between balancers that start together.
 func TestOverloadPolicySetsForcedAdmitInterval(t *testing.T) {
 	reportFull := func(b *Balancer, now monotime.Micros) {
 		for e := range uint32(3) {
@@ -121,7 +124,7 @@
 	}
 }
 
-// There is no retry unless the policy allows it, whatever credit was saved before.
+// The policy alone decides whether a retry is allowed, even if the balancer has retry budget left.
 func TestOverloadPolicyLimitsRetries(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		b, r, policy := startWithOverloadPolicy(t)
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -9,6 +9,7 @@
 	"dunlinsail/internal/monotime"
 )
 
+// The predicted load of an endpoint is its reported load plus the requests that the balancer has sent since.
 func TestPickTakesLeastLoadPlusOwnSends(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
@@ -19,7 +20,7 @@
 	for id := range uint64(4) {
 		b.HandleRequest(2000, newTestRequest(id, 0, 2000))
 	}
-	// Endpoint 2 has the least load until it holds as many requests as endpoint 1 reported.
+	// Endpoint 2 has the least load until it has four requests in flight, as many as endpoint 1 reported.
 	for i, s := range r.sends {
 		if s.endpoint != 2 {
 			t.Errorf("send %d went to %d", i, s.endpoint)
@@ -33,7 +34,8 @@
 	}
 }
 
-// In a large fleet all balancers receive a report of the same idle endpoint. None may fill it alone.
+// In a large fleet all balancers may receive a report of the same idle endpoint at the same time. The larger the fleet,
+// the fewer requests each balancer may send there before a new report.
 func TestOneLowAnswerDrawsNoHerd(t *testing.T) {
 	for _, c := range []struct{ balancers, maxSends int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
@@ -53,6 +55,7 @@
 	}
 }
 
+// Load reports that are older than the report lifetime must not influence picks.
 func TestPoolAges(t *testing.T) {
 	s := testSettings()
 	b, r := startBalancer(t, s, readyEndpoints(2))
@@ -78,14 +81,15 @@
 			t.Errorf("report %v taken for a load", load)
 		}
 	}
-	reportLoad(b, 1000, 99, 1) // unknown endpoint
+	reportLoad(b, 1000, 99, 1) // an endpoint that is not listed
 	b.HandleProbe(1000, 1, OK, 500, []float32{2, 7, 9})
 	if b.predictLoad(1000, b.endpoints[0]) != 2 {
 		t.Errorf("load %v", b.predictLoad(1000, b.endpoints[0]))
 	}
 }
 
-// Reports of fewer requests than this balancer has in flight there are late. They must not decide picks.
+// A report with fewer requests than the balancer itself has in flight at the endpoint is outdated. If this is frequent,
+// reports must not decide picks until they are up to date again.
 func TestLateReportsAreDetected(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(2))
 	for id := range uint64(3) {
@@ -113,7 +117,8 @@
 	}
 }
 
-// A wrong estimate of a class's work must not reject that class for ever.
+// If the work of a class is overestimated, all its requests are over the latency budget. One forced admission per
+// interval provides the responses that correct the estimate.
 func TestLatencyRejectionAdmitsOnePerInterval(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	trustWorkEstimates(b)
@@ -130,8 +135,8 @@
 	}
 }
 
-// Where no report has the load, only answers show that congestion is over. With a hundred requests per second, one
-// forced admission per second would leave a balancer rejecting for minutes what all endpoints could serve.
+// Without load reports only responses show that congestion has ended. If a balancer with 100 requests per second relied
+// on one forced admission per second for them, it would reject requests for minutes although all endpoints are idle.
 func TestRejectionEndsSoonAfterCongestion(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"no probes":  func(s *Settings) { s.Limits.Probes = false },
@@ -150,17 +155,18 @@
 	}
 }
 
-// rejectedAroundCongestion sends a hundred requests per second, of which those of the seconds 5 to 10 are answered
-// after their objective. It returns how many were rejected until then, and how many from second 15 to 25.
+// rejectedAroundCongestion sends 100 requests per second for 25 s. Responses to requests of seconds 5 to 10 miss the
+// latency objective. It returns the number of rejections in the first 10 s (during) and from second 15 on (after).
 func rejectedAroundCongestion(t *testing.T, s Settings) (during, after int) {
 	t.Helper()
+	// response is a successful response that arrives at an instant.
 	type response struct {
 		at      monotime.Micros
 		id      uint64
 		latency monotime.Micros
 	}
 	b, r := startBalancer(t, s, readyEndpoints(8))
-	var pending []response // in the order of their instants
+	var pending []response // ordered by instant
 	id := uint64(0)
 	for now := monotime.Micros(0); now < 25*second; now += 10_000 {
 		for len(pending) > 0 && pending[0].at <= now {
@@ -188,6 +194,7 @@
 	return during, after
 }
 
+// An endpoint that fails all requests fast must not attract requests, but has to receive trials after its ejection.
 func TestFailingEndpointIsEjectedAndReadmitted(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(3))
 	now := second
@@ -216,6 +223,7 @@
 	}
 }
 
+// While the balancer rejects requests, those of a tenant that is over its quota have a lower weight.
 func TestTenantOverItsQuotaWeighsLess(t *testing.T) {
 	s := testSettings()
 	s.OverQuotaWeight = 0.05
@@ -239,7 +247,7 @@
 	}
 }
 
-// At a start only few endpoints have a load report. They must not get all requests.
+// After the start only a few endpoints have a load report. They must not receive all requests.
 func TestFewAnswersDoNotTakeAll(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(8))
 	reportLoad(b, 1000, 3, 0)
@@ -252,8 +260,8 @@
 	}
 }
 
-// While reports are late, averages decide. They must not reject what the least loaded endpoint, which they do not show,
-// would serve.
+// While reports are late, latencies are predicted from averages, which do not show the least loaded endpoint. Requests
+// that this endpoint could serve must not be rejected, so the latency budget is the whole latency objective then.
 func TestLateReportsAllowTheFullObjective(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(1))
 	r := &request{Request: newTestRequest(1, 0, 0), work: 50_000}
@@ -266,8 +274,8 @@
 	}
 }
 
-// An endpoint that answers in a fraction of a millisecond must not be given up after a silence of a few: clocks are not
-// that precise, and an attempt with a timeout shorter than its write is never made.
+// If an endpoint usually responds within a fraction of a millisecond, its attempts must still not time out after a few
+// milliseconds: timers are not that precise, and writing the request may take longer.
 func TestFastEndpointsMayHaveQueues(t *testing.T) {
 	s := testSettings()
 	s.Limits.Probes = false
@@ -288,7 +296,8 @@
 	}
 }
 
-// An endpoint that is stuck must not look idle because its answers are missing.
+// An endpoint that is stuck sends no responses, so its averages do not change. It must be avoided because of its
+// silence, and its predicted latency must fall again after its response.
 func TestSilentEndpointIsAvoidedBeforeAveragesShowIt(t *testing.T) {
 	s := testSettings()
 	s.Limits.Hedging = false
@@ -314,15 +323,15 @@
 	}
 }
 
-// When the whole fleet becomes slow, an endpoint that was fast is expected to be slow as well, and to be fast again
-// soon after the recovery.
+// When all other endpoints become slow, the predicted latency of an endpoint that used to be fast has to rise, too, and
+// has to fall again soon after the recovery.
 func TestFleetWideSlowdownIsLearnedAtOnce(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 	serve := func(from, interval monotime.Micros, requestCount int, latencyFactor float64) {
 		for i := range requestCount {
 			now := from + interval*monotime.Micros(i)
 			id := uint64(now)
-			reportLoad(b, now, 1, 9) // the others serve
+			reportLoad(b, now, 1, 9) // so that the others serve the requests
 			b.HandleRequest(now, Request{ID: id, Deadline: now + second, WorkHint: 10_000, HasWorkHint: true})
 			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
 				continue // rejected
@@ -343,14 +352,15 @@
 	if slowLatency := predictForFastEndpoint(120_000); slowLatency < 2*initialLatency {
 		t.Errorf("expected %v before, %v after 15 outcomes of four times the prediction", initialLatency, slowLatency)
 	}
-	// While all requests are rejected, only forced admissions, one per second, show the recovery.
+	// While all requests are rejected, only one forced admission per second shows the recovery.
 	serve(200_000, second/2, 80, 0.5)
 	if recoveredLatency := predictForFastEndpoint(41 * second); recoveredLatency > 1.2*initialLatency {
 		t.Errorf("expected %v before, %v after the recovery", initialLatency, recoveredLatency)
 	}
 }
 
-// A hint counts as far as it predicts the work. Else requests that only seem large are rejected at idle endpoints.
+// A work hint counts to the extent to which hints have predicted the work so far. If useless hints counted fully, idle
+// endpoints would not get requests with a large hint.
 func TestHintTrustIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -376,7 +386,8 @@
 	}
 }
 
-// A balancer that rejects all requests must notice when it may stop, and one that rejects none needs few probes.
+// The probe rate rises with the rejected ratio: a balancer that rejects requests needs reports to detect the end of the
+// overload, and one that rejects none needs few probes.
 func TestProbesContinueWhileAllIsRejected(t *testing.T) {
 	s := testSettings()
 	s.Prices.Probe = probeBudget // one probe per request
@@ -401,8 +412,8 @@
 	}
 }
 
-// One of four idle endpoints is stuck with a request. Without load reports two random endpoints are compared, which may
-// be the same one twice: a request is not rejected for that while others are idle.
+// Without load reports two randomly drawn endpoints are compared, and both draws may be the same endpoint. If that
+// endpoint is stuck, the request must not be rejected while the other three are idle.
 func TestStuckEndpointDrawnTwiceRejectsNothing(t *testing.T) {
 	s := testSettings()
 	s.Limits.Probes = false
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -7,16 +7,16 @@
 	"dunlinsail/internal/monotime"
 )
 
-// pollingBalancer is a balancer that polls discovery.
+// pollingBalancer is a balancer that polls discovery, and its recorded actions.
 type pollingBalancer struct {
 	balancer   *Balancer
 	recorder   *recorder
-	pollAt     monotime.Micros // instant of its next discovery timer; 0 is none
-	timersRead int             // of its recorder's timers
-	hasList    bool            // it has a list from discovery
+	pollAt     monotime.Micros // instant at which the discovery timer fires; 0 is none
+	timersRead int             // number of the recorder's timers that readDiscoveryTimers has read
+	hasList    bool            // it has received an endpoint list from discovery
 }
 
-// update applies the discovery timers that the balancer has set.
+// readDiscoveryTimers sets pollAt from the discovery timers that the balancer has set since the last call.
 func (p *pollingBalancer) readDiscoveryTimers(now monotime.Micros) {
 	for ; p.timersRead < len(p.recorder.timerTokens); p.timersRead++ {
 		if p.recorder.timerTokens[p.timersRead] == tokenDiscovery {
@@ -25,7 +25,7 @@
 	}
 }
 
-// poll fires the discovery timer if it is due, and reports whether the balancer polled.
+// pollIfDue fires the discovery timer if it is due, and reports whether the balancer polled.
 func (p *pollingBalancer) pollIfDue(now monotime.Micros) bool {
 	if p.pollAt == 0 || p.pollAt > now {
 		return false
@@ -37,7 +37,7 @@
 	return p.recorder.watches > before
 }
 
-// requireServes requires that the balancer sends a request by the list that it has.
+// requireServes requires that the balancer sends a request to an endpoint of the list that it has.
 func (p *pollingBalancer) requireServes(t *testing.T, now monotime.Micros) {
 	t.Helper()
 	id := uint64(now) + 1
@@ -49,7 +49,7 @@
 	succeed(p.balancer, now, id, p.recorder.sends[sends].endpoint, 30_000)
 }
 
-// startPollingFleet starts the balancers within 100 ms, each with a cached list.
+// startPollingFleet starts s.Balancers balancers at random instants within 100 ms, each with a cached list.
 func startPollingFleet(t *testing.T, s Settings) []*pollingBalancer {
 	t.Helper()
 	rng := randomSource(9)
@@ -66,22 +66,23 @@
 	return fleet
 }
 
-// slowDiscovery answers one call after the other, and fails those that wait for too long.
+// slowDiscovery is a discovery service that processes one call at a time and fails calls that have waited longer than
+// its timeout.
 type slowDiscovery struct {
-	callTime monotime.Micros
-	timeout  monotime.Micros
+	callTime monotime.Micros // time that one call takes
+	timeout  monotime.Micros // longest time that a call may wait
 	queue    []discoveryCall
-	idleAt   monotime.Micros // instant of the end of the present call
-	notified int             // balancers that have a list
+	idleAt   monotime.Micros // instant at which the present call ends
+	notified int             // number of balancers that have received a list
 }
 
-// discoveryCall is a call that waits.
+// discoveryCall is a call that waits in the queue of slowDiscovery.
 type discoveryCall struct {
 	caller   *pollingBalancer
 	queuedAt monotime.Micros
 }
 
-// answer answers the calls that are due, and fails those that have waited for too long.
+// respond responds to the calls that are due, and fails those that have waited longer than the timeout.
 func (d *slowDiscovery) respond(now monotime.Micros) {
 	for len(d.queue) > 0 && (now >= d.idleAt || now-d.queue[0].queuedAt > d.timeout) {
 		call := d.queue[0]
@@ -100,9 +101,9 @@
 	}
 }
 
-// Eighty sidecars start within 100 ms, while discovery answers four calls per second and fails a call that waits for
-// two seconds. All are notified within a minute, calls do not come faster than discovery fails them, and meanwhile the
-// cached list serves.
+// Eighty sidecars start within 100 ms, while discovery processes four calls per second and fails calls that have waited
+// for 2 s. All sidecars must receive a list within a minute. Their calls must spread out instead of arriving together
+// again after each failure, and requests must be sent to the cached list meanwhile.
 func TestFleetPollsOverloadedDiscovery(t *testing.T) {
 	const balancers = 80
 	s := testSettings()
@@ -138,8 +139,8 @@
 	}
 }
 
-// The first list never comes. A cached list serves; without one, each request is rejected at once. Discovery is polled
-// again and again.
+// If discovery never returns a list, requests are sent to the endpoints of the cached list; without a cached list each
+// request is rejected at once. The balancer must keep polling discovery.
 func TestFirstListNeverComes(t *testing.T) {
 	for _, cachedCount := range []int{0, 5} {
 		s := testSettings()
@@ -170,6 +171,7 @@
 	}
 }
 
+// A balancer subscribes again after each failed or lost response of discovery, and does not poll while subscribed.
 func TestSubscriptionIsRenewedAfterLoss(t *testing.T) {
 	s := testSettings()
 	s.Subscribe = true
@@ -194,7 +196,7 @@
 		previousPollAt := now
 		if n%2 == 0 {
 			b.UpdateEndpoints(now, ListFailed, nil)
-		} // else the answer is lost
+		} // otherwise the response is lost
 		fireDiscoveryTimer()
 		if now-previousPollAt > s.Contract.PollInterval {
 			t.Fatalf("polled only after %d", now-previousPollAt)
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -6,14 +6,15 @@
 	"dunlinsail/internal/monotime"
 )
 
-// queueingSettings are settings under which a request may wait for three probes.
+// queueingSettings returns settings with free probes, under which a request may wait for three probes.
 func queueingSettings() Settings {
 	s := testSettings()
 	s.Prices.Probe = 0
 	return s
 }
 
-// The pooled reports of a quiet balancer are old. Without recent ones it would pick by a load of long ago.
+// The pooled reports of a quiet balancer are old. A request waits for new probes, so that outdated loads do not decide
+// the pick.
 func TestQuietBalancerProbesBeforeItSends(t *testing.T) {
 	b, r := startBalancer(t, queueingSettings(), readyEndpoints(4))
 	b.HandleRequest(second, newTestRequest(1, 0, second))
@@ -29,7 +30,7 @@
 	}
 }
 
-// Probes may be lost. A queued request is sent all the same, and ends by its deadline.
+// Probes may be lost. A queued request must still be sent in time, and must end by its deadline.
 func TestQueuedRequestDoesNotWaitForLostProbes(t *testing.T) {
 	for _, timeLeft := range []monotime.Micros{second, 10_000} {
 		b, r := startBalancer(t, queueingSettings(), readyEndpoints(4))
@@ -42,7 +43,7 @@
 		if len(r.sends)+len(r.rejected) != 1 {
 			t.Errorf("%d left: sends %v, rejected %v", timeLeft, r.sends, r.rejected)
 		}
-		// Late results of the round before must not end the next round early.
+		// Late results of the first probe round must not end the second round early.
 		earlierProbes := r.probes
 		b.HandleRequest(2*second, newTestRequest(2, 0, 2*second))
 		for _, e := range earlierProbes {
@@ -56,7 +57,7 @@
 	}
 }
 
-// A client may leave while its request is queued. The record must not be sent later.
+// If a client disconnects while its request is queued, the request must not be sent later.
 func TestQueuedRequestOfGoneClient(t *testing.T) {
 	b, r := startBalancer(t, queueingSettings(), readyEndpoints(4))
 	b.HandleRequest(second, newTestRequest(1, 0, second))
@@ -69,11 +70,12 @@
 	}
 }
 
-// Where reports change more seldom than requests end, all balancers would follow the same old one, so none queues.
+// If endpoints renew their reports less often than requests end, a probe returns an old report, and all balancers would
+// follow the same one. Requests are not queued for probes then.
 func TestNoQueueingOnRarelyRenewedReports(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		loadStep   float32 // of the reported load, with each further probe
+		loadStep   float32 // change of the reported load from one probe to the next
 		wantQueued bool
 	}{{"new at each probe", 1, true}, {"unchanged", 0, false}} {
 		b, r := startBalancer(t, queueingSettings(), readyEndpoints(4))
@@ -92,7 +94,8 @@
 	}
 }
 
-// An old report of a low load must not win over the typical load.
+// The predicted load of an endpoint approaches the typical load as its report ages. Otherwise an old report of a low
+// load would attract requests.
 func TestReportsFadeToTypicalLoad(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(4))
 	reportLoad(b, 0, 1, 0)
@@ -106,14 +109,15 @@
 	}
 }
 
-// A quiet balancer sees few tenants, often one. Their mix does not show who is over quota in the fleet.
+// A quiet balancer has requests of few tenants, often of one. Their rates do not show which tenant is over its quota in
+// the fleet, so tenants must have equal weights.
 func TestQuietBalancerDoesNotWeighTenants(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "a", Quota: 100}, {Name: "b", Quota: 100}}
 	s.OverQuotaWeight = 0.1
 	for _, c := range []struct {
 		rate         int  // requests per second
-		wantCompared bool // tenants
+		wantCompared bool // tenants have different weights
 	}{{2, false}, {100, true}} {
 		b, _ := startBalancer(t, s, readyEndpoints(2))
 		for i := range 4 * c.rate {
@@ -126,8 +130,8 @@
 	}
 }
 
-// Where requests spend much of their time waiting for other services, they delay each other little. Counted as load on
-// the cores, they would be rejected on quiet days.
+// Requests that mostly wait for other services delay each other little. If they counted as load on the cores for their
+// whole latency, requests would be rejected without any overload.
 func TestReportedServiceTimeSetsCoreFraction(t *testing.T) {
 	s := testSettings()
 	s.LoadMetrics = []LoadMetric{MetricLatency, MetricInflight}
@@ -145,8 +149,8 @@
 	}
 }
 
-// Where most endpoints are full, each retry of a rejected attempt meets the next full one. Without a budget, retries
-// would outnumber requests many times.
+// If most endpoints are full, each retry of a rejected attempt reaches another full endpoint. Unless rejected attempts
+// spend the retry budget, there would be many times more retries than requests.
 func TestRejectedAttemptsSpendTheRetryBudget(t *testing.T) {
 	s := testSettings()
 	s.Limits.MaxAttempts = 50
@@ -165,7 +169,7 @@
 	}
 }
 
-// At the start of a small fleet two reports are pooled before the others. Their endpoints must not get all requests.
+// After the start of a small fleet only two endpoints have a pooled report. They must not receive all requests.
 func TestPoolOfFewDoesNotTakeAll(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(10))
 	reportLoad(b, 1000, 1, 1)
@@ -179,8 +183,8 @@
 	}
 }
 
-// The second probe of an endpoint must come before its report stops being recent. Later, reports that change every few
-// milliseconds would seem to change as seldom as the limit, and requests would not be queued.
+// The second probe of an endpoint has to follow while its first report is recent (recentWorks). After a longer gap,
+// reports that change every few milliseconds would seem to change rarely, and requests would not be queued for probes.
 func TestReportIntervalOfFreshReports(t *testing.T) {
 	b, r := startBalancer(t, queueingSettings(), readyEndpoints(4))
 	now, load := second, float32(1)
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -6,8 +6,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Endpoints whose reports cannot be true are avoided, and do not change what is expected of the others, neither while
-// they report that nor after.
+// Endpoints that report implausible loads are avoided, and their reports must not change the typical load, which the
+// predictions for all endpoints use. A high load that all endpoints report does become typical.
 func TestImplausibleReportsDoNotCountForAll(t *testing.T) {
 	s := testSettings()
 	b, _ := startBalancer(t, s, readyEndpoints(12))
@@ -28,7 +28,7 @@
 	if e := b.pickEndpoint(now, r, nil); e == nil || e.ID <= 3 {
 		t.Errorf("picked %+v", e)
 	}
-	// A load that all report becomes typical.
+	// A load that all endpoints report becomes the typical load.
 	for round := range 200 {
 		now += 5000
 		reportLoad(b, now, uint32(round%12)+1, 40)
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -6,8 +6,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// failAllAttempts ends each attempt of a request with an error until there is none left, and returns their number.
-// The request was sent last.
+// failAllAttempts ends each attempt of a request with an error until no retry follows, and returns the number of
+// attempts. The first attempt of the request must be the latest one that was sent.
 func failAllAttempts(b *Balancer, r *recorder, now monotime.Micros, id uint64) int {
 	first := len(r.sends) - 1
 	for i := first; i < len(r.sends); i++ {
@@ -16,7 +16,7 @@
 	return len(r.sends) - first
 }
 
-// A request's own limit of attempts holds within that of the settings.
+// The attempt limit of a request counts if it is lower than that of the settings.
 func TestMaxAttemptsOfRequest(t *testing.T) {
 	for maxAttempts, want := range map[int]int{0: 3, 1: 1, 2: 2, 9: 3} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(8))
@@ -29,7 +29,7 @@
 	}
 }
 
-// Retries are limited to a ratio of the requests, and the credit that was saved before.
+// Retries are limited to a ratio of the requests plus the saved retry budget.
 func TestRetryRatio(t *testing.T) {
 	const requests = 200
 	for _, ratio := range []float64{0, 0.05, 1} {
@@ -38,7 +38,7 @@
 		if ratio == 0 {
 			ratio = DefaultRetryRatio
 		}
-		b, r := startBalancer(t, s, readyEndpoints(200)) // so many that no breaker rejects
+		b, r := startBalancer(t, s, readyEndpoints(200)) // so many endpoints that no breaker rejects an attempt
 		for id := uint64(1); id <= requests; id++ {
 			b.HandleRequest(0, newTestRequest(id, 0, 0))
 			failAllAttempts(b, r, 1000, id)
@@ -50,12 +50,12 @@
 	}
 }
 
-// A budget with a window saves nothing up: it holds from the first request on and over any second in which requests
-// come evenly, also after a quiet minute. A quiet balancer has the minimum rate, and no more.
+// A retry budget with a window does not accumulate. The ratio limits the retries of any second with evenly spaced
+// requests, from the first request on and after a quiet minute. A quiet balancer gets the minimum rate, and no more.
 func TestRetryRatioOverAWindow(t *testing.T) {
 	for _, c := range []struct {
 		requestRate, ratio, minRate float64
-		minRetries, maxRetries      int // in the second that has most
+		minRetries, maxRetries      int // bounds for the second with the most retries
 	}{
 		{1000, 0.1, 0, 70, 100},
 		{1000, 0.1, 20, 70, 100},
@@ -75,8 +75,8 @@
 	}
 }
 
-// retryTimes fails all attempts of the requests of five seconds, twice with a minute between, and returns the
-// instants of the retries.
+// retryTimes sends requests at a rate (per second) for five seconds, at the instants 0 and 60 s, fails all attempts and
+// returns the instants of the retries.
 func retryTimes(t *testing.T, s Settings, requestRate float64) []monotime.Micros {
 	t.Helper()
 	b, r := startBalancer(t, s, readyEndpoints(200))
@@ -94,7 +94,7 @@
 	return retries
 }
 
-// maxInOneSecond returns how many of the instants, which are in order, lie within one second at most.
+// maxInOneSecond returns the largest number of instants within any one second. The instants are in ascending order.
 func maxInOneSecond(instants []monotime.Micros) int {
 	maxCount := 0
 	from := 0
@@ -107,7 +107,8 @@
 	return maxCount
 }
 
-// With StrictIdempotencyKeys a request with an idempotency key that may have run is never rejected.
+// With StrictIdempotencyKeys a request that has an idempotency key and may have run is failed instead of rejected: a
+// rejection promises that a retry is harmless.
 func TestStrictIdempotencyKeys(t *testing.T) {
 	for _, strict := range []bool{false, true} {
 		s := testSettings()
@@ -118,7 +119,8 @@
 		if strict != (len(r.failed) == 1) || strict == (len(r.rejected) == 1) {
 			t.Errorf("strict %v: rejected %v, failed %v", strict, r.rejected, r.failed)
 		}
-		b.HandleRequest(0, Request{ID: 2, Class: 1, Deadline: 0}) // never sent, and therefore rejected
+		// This request has passed its deadline, so it is rejected without an attempt.
+		b.HandleRequest(0, Request{ID: 2, Class: 1, Deadline: 0})
 		if len(r.rejected) == 0 || r.rejected[len(r.rejected)-1] != 2 {
 			t.Errorf("strict %v: a request that was never sent is not rejected", strict)
 		}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -8,13 +8,14 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Each kind of idempotency, with each outcome of its first attempt.
+// Whether and where a request may be retried depends on the idempotency of its class and on the status of the first
+// attempt. All combinations are tried.
 func TestIdempotencyOfRetries(t *testing.T) {
 	neverRan := map[Status]bool{Rejected: true, ConnectFailed: true, NotSent: true}
 	for class := range uint8(5) {
 		for status := Error; status <= NotSent; status++ {
 			s := testSettings()
-			b, r := startBalancer(t, s, readyEndpoints(4)) // endpoints 1, 2 share a zone and a cell; so do 3, 4
+			b, r := startBalancer(t, s, readyEndpoints(4)) // endpoints 1 and 2 share a zone and a cell, as do 3 and 4
 			b.HandleRequest(1000, newTestRequest(1, class, 1000))
 			attempt := b.requests[1].attempts[0]
 			b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: attempt.endpoint.ID, Status: status, Latency: 1000})
@@ -36,6 +37,7 @@
 	}
 }
 
+// The deduplication window of a request starts with its first attempt that may have run. After it there is no retry.
 func TestWindowCountsFromFirstThatMayHaveRun(t *testing.T) {
 	s := testSettings()
 	s.Limits.Hedging = false
@@ -57,6 +59,8 @@
 	}
 }
 
+// At its deadline a request without a response is failed. A late outcome still updates the statistics, and the old
+// timer must not end another request that uses the same slot.
 func TestUnansweredAttemptEndsAtTheDeadline(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	b.HandleRequest(1000, newTestRequest(1, 4, 1000))
@@ -70,12 +74,13 @@
 		t.Error("a late outcome must still feed the statistics")
 	}
 	b.HandleRequest(3*second, newTestRequest(2, 0, 3*second))
-	b.HandleTimer(3*second, token) // of the ended request, whose slot is in use again
+	b.HandleTimer(3*second, token) // the timer of the ended request, whose slot the new request uses
 	if len(r.failed) != 1 || len(r.rejected) != 0 {
 		t.Error("an old timer ended another request")
 	}
 }
 
+// Endpoints that drain or are missing from a full list receive no requests.
 func TestDrainingEndpointGetsNothing(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.UpdateEndpoints(1000, ListDelta, []Endpoint{{ID: 1, State: Draining}})
@@ -90,6 +95,7 @@
 	}
 }
 
+// A request whose response headers have arrived is neither sent again nor rejected or failed at its deadline.
 func TestStreamingRequestIsNotRetried(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.HandleRequest(1000, newTestRequest(1, 0, 1000))
@@ -104,6 +110,7 @@
 	}
 }
 
+// The same events with the same seed lead to the same actions.
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() *recorder {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(5))
@@ -141,7 +148,7 @@
 	}
 }
 
-// A request of a class that the settings do not have gets a final answer as well.
+// A request of a class that is not in the settings gets a final response, too.
 func TestUnknownClassIsRejected(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.HandleRequest(1000, newTestRequest(1, 99, 1000))
@@ -150,7 +157,7 @@
 	}
 }
 
-// The log has why requests are rejected, in one line per second and not in thousands.
+// Under overload there may be thousands of rejections per second. The log states the reason once per second.
 func TestRejectionsAreLoggedOncePerSecond(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	trustWorkEstimates(b)
--- a/balancer/simfleet_test.go
+++ b/balancer/simfleet_test.go
@@ -8,31 +8,37 @@
 	"dunlinsail/internal/monotime"
 )
 
-// simFleet is a fleet of balancers at the same endpoints, in simulated time. Each endpoint works through its requests
-// with its capacity of the moment, and reports the requests in flight to probes.
+// simFleet simulates several balancers that send requests to the same endpoints. Each endpoint serves its requests one
+// after the other, at its present capacity, and reports its number of requests in flight to probes.
 type simFleet struct {
 	balancers      []*Balancer
 	recorders      []*recorder
-	requestRates   []float64 // requests per second, of each balancer
+	requestRates   []float64 // requests per second of each balancer
 	workPerRequest monotime.Micros
-	capacity       func(e uint32, at monotime.Micros) float64 // cores; 0 fails all requests at once
+
+	// capacity returns the cores of endpoint e at an instant. Without cores all its requests fail after 1 ms.
+	capacity func(e uint32, at monotime.Micros) float64
 
 	random          randomSource
 	lastID          uint64
-	timersScheduled []int                      // scheduled, of each balancer's recorder
-	sendsStarted    []int                      // carried out, of each balancer's recorder
-	arrivedAt       map[uint64]monotime.Micros // by request
-	outcomeCounts   map[uint64]int             // by request: attempts with an outcome
-	idleAt          map[uint32]monotime.Micros // by endpoint: when it has worked through its requests
-	inflight        map[uint32]int             // by endpoint
-	events          map[monotime.Micros][]func(now monotime.Micros)
-	sendTimes       map[uint32][]monotime.Micros // by endpoint
-	requestCounts   []int                        // of each balancer
-	onTimeCounts    []int                        // of these, answered within the latency objective
-	recentSince     monotime.Micros
-	recentResponses int // since recentSince
+	timersScheduled []int                      // by balancer: timers of its recorder that are scheduled
+	sendsStarted    []int                      // by balancer: attempts of its recorder that have started
+	arrivedAt       map[uint64]monotime.Micros // by request ID: instant of its arrival
+	outcomeCounts   map[uint64]int             // by request ID: attempts that have ended
+	idleAt          map[uint32]monotime.Micros // by endpoint ID: instant at which its last request ends
+	inflight        map[uint32]int             // by endpoint ID: attempts in flight
+
+	// events are the scheduled functions, by the index of the step in which they are called.
+	events map[monotime.Micros][]func(now monotime.Micros)
+
+	sendTimes       map[uint32][]monotime.Micros // by endpoint ID: instants of the attempts sent to it
+	requestCounts   []int                        // by balancer: requests that have arrived
+	onTimeCounts    []int                        // by balancer: requests that met their latency objective
+	recentSince     monotime.Micros              // start of the period of recentResponses
+	recentResponses int                          // successful responses since recentSince
 }
 
+// newSimFleet starts one balancer per request rate, without endpoints. The balancers know the work of a request.
 func newSimFleet(t *testing.T, s Settings, requestRates []float64, workPerRequest monotime.Micros) *simFleet {
 	t.Helper()
 	f := &simFleet{
@@ -63,16 +69,17 @@
 	return f
 }
 
-// simStep is the step of simulated time.
+// simStep is the resolution of simulated time.
 const simStep monotime.Micros = 1000
 
-// schedule calls event at an instant, or in the next step if that is over.
+// schedule calls event in the step of the instant at, or in the step after now if that is later.
 func (f *simFleet) schedule(now, at monotime.Micros, event func(now monotime.Micros)) {
 	step := max(now/simStep+1, at/simStep)
 	f.events[step] = append(f.events[step], event)
 }
 
-// executeActions carries out a balancer's actions.
+// executeActions carries out the new actions of balancer i: it starts attempts, ends probes 1 ms later and schedules
+// timers.
 func (f *simFleet) executeActions(now monotime.Micros, i int) {
 	b := f.balancers[i]
 	r := f.recorders[i]
@@ -95,7 +102,7 @@
 	}
 }
 
-// startAttempt adds an attempt to the requests of its endpoint.
+// startAttempt queues an attempt of balancer i at its endpoint and schedules the end of the attempt.
 func (f *simFleet) startAttempt(now monotime.Micros, i int, s sentAttempt) {
 	f.sendTimes[s.endpoint] = append(f.sendTimes[s.endpoint], now)
 	cores := f.capacity(s.endpoint, now)
@@ -112,7 +119,7 @@
 	})
 }
 
-// endAttempt passes the end of an attempt to its balancer.
+// endAttempt passes the outcome of an attempt to balancer i and counts the response if the attempt succeeded.
 func (f *simFleet) endAttempt(now monotime.Micros, i int, s sentAttempt, status Status, latency monotime.Micros) {
 	b := f.balancers[i]
 	b.HandleOutcome(now, Outcome{ID: s.id, Attempt: f.outcomeCounts[s.id], Endpoint: s.endpoint, Status: status,
@@ -125,7 +132,7 @@
 	f.executeActions(now, i)
 }
 
-// run simulates the time from an instant to another, and counts the answers of its last second.
+// run simulates the time between two instants. Afterwards recentResponses covers the last second of it.
 func (f *simFleet) run(from, to monotime.Micros) {
 	f.recentSince = to - second
 	f.recentResponses = 0
@@ -146,16 +153,17 @@
 	}
 }
 
-// The power comes back: five hundred balancers start while all endpoints warm up, of which the list has a few at first.
-// The part that each balancer might take alone is, in sum, many times what the few can do. No endpoint may collapse,
-// and the served rate grows.
+// After a power cut five hundred balancers start while all endpoints warm up, and the endpoint list contains only a few
+// endpoints at first. The shares that the balancers may use independently of each other add up to many times the
+// capacity of these few. No endpoint may receive enough work to collapse, and the rate of responses has to grow.
 func TestPowerCutCollapsesNoEndpoint(t *testing.T) {
-	// The configured size of the fleet: right, and wrong by a factor of ten either way.
+	// The configured number of balancers is correct, ten times too small and ten times too large.
 	for _, assumedBalancers := range []int{500, 50, 5000} {
 		t.Run(fmt.Sprint(assumedBalancers), func(t *testing.T) { testPowerCut(t, assumedBalancers) })
 	}
 }
 
+// testPowerCut runs TestPowerCutCollapsesNoEndpoint with a configured number of balancers.
 func testPowerCut(t *testing.T, assumedBalancers int) {
 	t.Helper()
 	const balancers, end = 500, 6 * second
@@ -183,7 +191,7 @@
 		f.run(step.at, steps[i+1].at)
 	}
 	f.requireNoCollapse(t, &s.Contract)
-	minServed := 0.4 // of what thirty endpoints can do
+	minServed := 0.4 // fraction of the capacity of thirty endpoints
 	if assumedBalancers > balancers {
 		minServed = 0.2
 	}
@@ -193,8 +201,8 @@
 	}
 }
 
-// requireNoCollapse requires that no endpoint got as much work within CollapseAfter as makes it collapse, with a
-// tolerance of a tenth.
+// requireNoCollapse requires that no endpoint received enough work within any period of CollapseAfter to collapse, with
+// a tolerance of a tenth.
 func (f *simFleet) requireNoCollapse(t *testing.T, c *Contract) {
 	t.Helper()
 	for e, sends := range f.sendTimes {
@@ -213,9 +221,9 @@
 	}
 }
 
-// A sidecar with three requests per second beside one with four hundred, at the same endpoints. Three of twelve
-// fail all requests for ten seconds. The quiet one meets them more often before it knows, but the requests of both are
-// served, and neither at the cost of the other.
+// A sidecar with 3 requests per second and one with 400 use the same twelve endpoints, of which three fail all requests
+// for ten seconds. The quiet sidecar sends a larger fraction of its requests to the failing endpoints before it detects
+// them. Both must still serve nearly all requests within the latency objective.
 func TestQuietBesideBusy(t *testing.T) {
 	s := testSettings()
 	s.Prices.Probe = probeBudget * calmProbeShare / 0.05
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -11,7 +11,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// trainedBalancer returns a balancer after 4000 requests, with slow, failing and warming endpoints among others.
+// trainedBalancer returns a balancer after 4000 requests in 8 s, and the instant of the last one. Latencies differ by
+// endpoint, endpoint 2 fails some requests, endpoint 3 fails all, and the last endpoint has restarted and warms up.
 func trainedBalancer(t *testing.T, s Settings, endpoints []Endpoint) (*Balancer, monotime.Micros) {
 	t.Helper()
 	b, r := startBalancer(t, s, endpoints)
@@ -19,7 +20,7 @@
 	now := monotime.Micros(0)
 	for id := range uint64(4000) {
 		now += 2000
-		if id == 2000 { // the last endpoint restarts
+		if id == 2000 { // the last endpoint restarts half way
 			restarted := &endpoints[len(endpoints)-1]
 			restarted.StartTime = now
 			b.UpdateEndpoints(now, ListDelta, []Endpoint{*restarted})
@@ -42,12 +43,14 @@
 	return b, now
 }
 
+// withTenants returns s with two tenants.
 func withTenants(s Settings) Settings {
 	s.Tenants = []Tenant{{Name: "a", Quota: 100, Share: 0.5}, {Name: "b", Quota: 100, Share: 0.5}}
 	return s
 }
 
-// The next balancer uses what one has learned, with another origin of time.
+// A balancer that restores the learned state of its predecessor must make the same predictions and decisions, although
+// the clocks of the two have different origins.
 func TestLearnedStateIsRestored(t *testing.T) {
 	s := withTenants(testSettings())
 	old, now := trainedBalancer(t, s, readyEndpoints(6))
@@ -62,7 +65,7 @@
 	for i := range list {
 		if list[i].StartTime != 0 {
 			list[i].StartTime += shift
-			learned.Endpoints[i].StartTime += shift // both are of the host's clock
+			learned.Endpoints[i].StartTime += shift // list and learned state use the clock of the same host
 		}
 	}
 	next.Start(now + shift)
@@ -101,7 +104,8 @@
 	}
 }
 
-// requireSamePredictions requires that two balancers expect the same of an endpoint, each at its own time.
+// requireSamePredictions requires that two balancers make the same predictions for an endpoint, old at now and next at
+// nextNow.
 func requireSamePredictions(t *testing.T, old *Balancer, oldEndpoint *endpoint, now monotime.Micros,
 	next *Balancer, newEndpoint *endpoint, nextNow monotime.Micros) {
 	t.Helper()
@@ -120,7 +124,8 @@
 	}
 }
 
-// requireSameBreaker requires that two breakers have the same window and usual latency, each at its own time.
+// requireSameBreaker requires that the breakers of two balancers for an endpoint have the same window and base latency,
+// at the instants now and nextNow.
 func requireSameBreaker(t *testing.T, oldEndpoint *endpoint, now monotime.Micros, newEndpoint *endpoint,
 	nextNow monotime.Micros) {
 	t.Helper()
@@ -135,22 +140,23 @@
 	}
 }
 
-// takeoverHost gives balancers requests, for four warm endpoints and a warming one.
+// takeoverHost passes requests to balancers that have four warm endpoints and a warming one.
 type takeoverHost struct {
 	t            *testing.T
 	now          monotime.Micros
 	lastID       uint64
 	warming      Endpoint
-	warmingSends int // requests to the warming endpoint
+	warmingSends int // attempts at the warming endpoint
 }
 
+// settings returns settings without probes, so that the balancers do not depend on load reports.
 func (h *takeoverHost) settings() Settings {
 	s := testSettings()
 	s.Limits.Probes = false
 	return s
 }
 
-// requests gives each balancer a request after a millisecond, which is answered.
+// sendRequests advances time by 1 ms and passes one request to each balancer. All attempts succeed.
 func (h *takeoverHost) sendRequests(balancers ...*Balancer) {
 	h.now += 1000
 	for _, b := range balancers {
@@ -166,8 +172,8 @@
 	}
 }
 
-// run sends 3000 requests, and returns how many went to the warming endpoint. With a handover another balancer takes
-// over for the second half, while the old one still gets as many requests as before.
+// run sends 3000 requests and returns the number of attempts at the warming endpoint. If withTakeover is set, another
+// balancer takes over for the second half, during which the old balancer still receives as many requests as before.
 func (h *takeoverHost) run(withTakeover bool) int {
 	h.t.Helper()
 	b, _ := startBalancer(h.t, h.settings(), readyEndpoints(4))
@@ -209,8 +215,8 @@
 	return sendsByBoth
 }
 
-// The token buckets of a warming endpoint are handed over. The old balancer sends it nothing more, and both together
-// send it what one alone might.
+// At a takeover the successor inherits the token buckets of a warming endpoint, and the old balancer stops sending
+// requests to it. If both started with full buckets, the endpoint would receive more than it may.
 func TestWarmingEndpointIsHandedOver(t *testing.T) {
 	sendsByOne := (&takeoverHost{t: t}).run(false)
 	sendsByBoth := (&takeoverHost{t: t}).run(true)
@@ -219,7 +225,7 @@
 	}
 }
 
-// What was learned of an endpoint is not used for a later process of it.
+// If an endpoint has restarted since the learned state was saved, the state of its earlier process is not used.
 func TestRestartedEndpointStartsAnew(t *testing.T) {
 	s := withTenants(testSettings())
 	old, now := trainedBalancer(t, s, readyEndpoints(6))
@@ -233,7 +239,7 @@
 	}
 }
 
-// Figures that no balancer can have learned are skipped: there is no panic, and endpoints are used as before.
+// Restore skips impossible values: it must not panic, and afterwards requests must still be sent.
 func TestRestoreOfInvalidState(t *testing.T) {
 	x := invalidState{rand.New(rand.NewPCG(1, 9))}
 	for range 300 {
@@ -253,7 +259,7 @@
 	}
 }
 
-// invalidState draws learned state that is mostly impossible.
+// invalidState draws learned state in which most values are impossible.
 type invalidState struct{ *rand.Rand }
 
 func (x invalidState) number() float64 {
@@ -317,8 +323,8 @@
 	return e
 }
 
-// A delta before the cached list of another balancer must not make the endpoints of that list look new. If all warmed
-// up, requests would be rejected in the first seconds after a hot restart.
+// After a hot restart a delta may arrive before the cached list of the predecessor. The endpoints of the cached list
+// must not count as new then: if all of them warmed up, requests would be rejected in the first seconds.
 func TestEndpointsOfCachedListAreNotNew(t *testing.T) {
 	s := testSettings()
 	s.Subscribe = false
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -14,11 +14,11 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// nonDecisionFiles hold settings, events, records, statistics and log lines, but no decision.
+// nonDecisionFiles define settings, events, records, statistics and log lines, and contain no decision logic.
 var nonDecisionFiles = []string{"api.go", "breakerwindow.go", "doc.go", "endpoint.go", "logging.go", "random.go",
 	"reportparsing.go", "request.go", "settings.go", "snapshot.go", "state.go", "statistics.go", "validate.go"}
 
-// policyFiles returns the files of this package that deploy/balancer.toml lists as those of the decision
+// policyFiles returns the files of this package that deploy/balancer.toml lists as policy, which is the decision
 // logic.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
@@ -35,6 +35,7 @@
 	return files
 }
 
+// readSource returns the text of a file of this package.
 func readSource(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(name)
@@ -42,11 +43,10 @@
 	return string(text)
 }
 
-// Limits on each file of the decision logic: a reader sees a whole rule at once, and each function and each
-// constant says what it decides, in which unit.
+// The limits on each file of the decision logic keep a file short enough to read a whole rule at once.
 const (
-	maxPolicyLines      = 250 // of a file, that are not blank
-	maxPolicyLineLength = 110 // characters of a line
+	maxPolicyLines      = 250 // lines of a file that are not blank
+	maxPolicyLineLength = 110 // bytes of a line; a tab counts as one
 )
 
 func TestModuleSize(t *testing.T) {
@@ -70,6 +70,7 @@
 	}
 }
 
+// A doc comment on each function and constant of the decision logic states what it decides, and in which unit.
 func TestPolicyFunctionsAndConstantsHaveComments(t *testing.T) {
 	for _, name := range policyFiles(t) {
 		f, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.ParseComments)
@@ -87,8 +88,8 @@
 	}
 }
 
-// checkConstantComments requires a comment of its own on each constant: above it, behind it, or above a
-// declaration that has no other constant.
+// checkConstantComments requires a comment for each constant: above it, behind it, or above the declaration if that
+// declares no other constant.
 func checkConstantComments(t *testing.T, file string, d *ast.GenDecl) {
 	t.Helper()
 	if d.Tok != token.CONST {
@@ -106,6 +107,7 @@
 	}
 }
 
+// Each file is either listed as decision logic or known to contain none, and doc.go names all files but itself.
 func TestEveryFileIsListedOrHoldsNoDecision(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	require.NoError(t, err)
@@ -126,6 +128,7 @@
 	}
 }
 
+// The package may not import time, I/O or synchronization: decisions depend on their inputs only.
 func TestModuleImports(t *testing.T) {
 	allowed := map[string]bool{`"fmt"`: true, `"math"`: true, `"slices"`: true, `"strconv"`: true,
 		`"dunlinsail/internal/monotime"`: true}
--- a/balancer/stall_test.go
+++ b/balancer/stall_test.go
@@ -21,7 +21,8 @@
 	return now + latency
 }
 
-// A response that has waited in a stalled process's socket buffer says nothing of its endpoint.
+// While the process of the balancer is stalled, responses wait in its socket buffers. This time must not count as
+// latency or silence of the endpoints.
 func TestStallIsNotChargedToEndpoints(t *testing.T) {
 	for _, length := range []monotime.Micros{100 * millisecond, 600 * millisecond, second, 5 * second} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(4))
@@ -55,7 +56,9 @@
 	}
 }
 
-// Of a latency with a stall in it, what is certain still counts: an endpoint that was slow before the stall is slow.
+// If the process stalled during an attempt, the true latency lies between the measured latency minus the stall and the
+// measured latency. The bound that is closer to the prediction counts. If the prediction lies between the bounds, the
+// latency is unknown.
 func TestChargedLatency(t *testing.T) {
 	for _, c := range []struct {
 		latency, stalled monotime.Micros
--- a/balancer/warmup_test.go
+++ b/balancer/warmup_test.go
@@ -44,11 +44,12 @@
 	return warmingSends, meanWarmSends
 }
 
+// A warming endpoint gets at most its capacity fraction of the requests that a warm endpoint gets.
 func TestWarmingEndpointGetsItsWarmupShare(t *testing.T) {
 	for _, c := range []struct{ rate, warmingCount int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
 		warmingSends, meanWarmSends := countWarmupSends(t, c.rate, c.warmingCount)
 		for _, n := range warmingSends {
-			// The capacity fraction grows from 0.2 to 0.28 in this second; one request may round up.
+			// The capacity fraction grows from 0.2 to 0.28 in this second; 1 allows for rounding up.
 			if float64(n) > 0.28*meanWarmSends+1 {
 				t.Errorf("rate %d: a warming endpoint got %d, a warm one %.1f", c.rate, n, meanWarmSends)
 			}
@@ -56,6 +57,7 @@
 	}
 }
 
+// If the only endpoint restarts, some requests must be sent while it warms up, but not all.
 func TestOneServerFleetRestarts(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1)[:1])
 	b.UpdateEndpoints(second, ListDelta, []Endpoint{{ID: 1, State: Ready, StartTime: second}})
@@ -71,15 +73,16 @@
 	}
 }
 
-// Warm endpoints are busy, new warming ones idle. Each of eighty balancers may send a warming endpoint its own part
-// only, and must send it that part if it can take it. The sum of all stays within what the warming endpoints can take.
+// Warm endpoints are busy, while new endpoints that warm up are idle and attract requests. Each of eighty balancers may
+// use only its own share of the capacity of a warming endpoint. Their requests together must not make any of these
+// endpoints collapse, and must use at least half of their capacity.
 func TestWarmingEndpointsGetTheirPart(t *testing.T) {
 	const balancers, warmCount, warmingCount, work = 80, 24, 36, 0.05
 	s := testSettings()
 	s.Balancers = balancers
 	s.Prices.Probe = probeBudget * calmProbeShare / 0.05
 	s.Contract.CollapseAfter = 2 * second
-	s.Contract.WarmupTime = 1000 * second // they keep the capacity of their start
+	s.Contract.WarmupTime = 1000 * second // so long that their capacity stays at the start value
 	workInWindow := map[uint32]float64{}
 	for seed := range uint64(balancers) {
 		b, r := newBalancer(t, s, seed)
@@ -102,7 +105,7 @@
 				Latency: monotime.Micros(3 * work * float64(second))})
 		}
 	}
-	startCapacity := 2 * s.Contract.WarmupStartCapacity // cores
+	startCapacity := 2 * s.Contract.WarmupStartCapacity // cores of an endpoint that has just started
 	var totalWork float64
 	for e, got := range workInWindow {
 		totalWork += got
@@ -115,8 +118,8 @@
 	}
 }
 
-// reportAllLoads reports five requests at each of the first endpoints of a list, which are warm, and none at the
-// others. All reports are as of now, since the test is not about late ones.
+// reportAllLoads passes new load reports to b: five requests at each of the first warmCount endpoints of the list, and
+// none at the others. The test does not cover late reports.
 func reportAllLoads(b *Balancer, now monotime.Micros, list []Endpoint, warmCount int) {
 	for i := range list {
 		load := float32(0)
@@ -127,14 +130,14 @@
 	}
 }
 
-// A balancer whose endpoints all start together serves in the first second, however wrong its first estimate of the
-// work is.
+// A single balancer whose only endpoint has just started must send requests in the first second, even if its initial
+// estimate of the work of a request is hundreds of times too high.
 func TestSingleBalancerWithAllEndpointsWarming(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
 	s.Contract.CollapseAfter = 2 * second
 	s.Contract.WarmupTime = 20 * second
-	s.Classes[0].LatencyObjective = 2 * second // an estimate of 400 ms
+	s.Classes[0].LatencyObjective = 2 * second // results in an initial estimate of 400 ms of work
 	s.Classes[0].ClientTimeout = 4 * second
 	for seed := range uint64(20) {
 		b, r := startBalancer(t, s, nil)
@@ -150,14 +153,14 @@
 				succeed(b, now+1000, id, 1, 1000)
 			}
 		}
-		if len(r.sends) < 5 { // none without the exception for few balancers (servedBucketApplies)
+		if len(r.sends) < 5 { // 0 if the served bucket also limited few balancers (servedBucketApplies)
 			t.Errorf("seed %d: %d of 200 sent in the first second", seed, len(r.sends))
 		}
 	}
 }
 
-// With many balancers at a warming endpoint, the tokens of each are too few for a request. Their sum must still come
-// near what the endpoint can do, and stay far from what makes it collapse.
+// If many quiet balancers share a warming endpoint, the tokens of each are fewer than one request needs. Together they
+// must still use a good part of the capacity of the endpoint, and stay far below the work that makes it collapse.
 func TestWarmupCapacityOfManyQuietBalancers(t *testing.T) {
 	s := testSettings()
 	const balancers, ratePerBalancer, endpoints, work = 400, 2.0, 41, 40_000.0
@@ -191,8 +194,8 @@
 	}
 }
 
-// In a deploy most endpoints warm up together. The work of the few warm ones is no measure of what each warming one can
-// take.
+// During a rollout most endpoints warm up together, and the few warm endpoints receive far more work than usual. The
+// tokens of a warming endpoint must not be derived from the work of a warm one.
 func TestWarmupCapacityWhenFewAreWarm(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
@@ -203,19 +206,19 @@
 	b, _ := startBalancer(t, s, nil)
 	b.UpdateEndpoints(10*second, ListDelta, list)
 	for now := 9 * second; now <= 10*second; now += 10_000 {
-		b.sentWorkRate.add(now, 40_000) // four cores
+		b.sentWorkRate.add(now, 40_000) // work for four cores
 	}
 	e := b.endpointsByID[2]
 	e.warmupTokens = 0
 	e.warmupRefilledAt = 10 * second
 	b.hasWarmupCapacity(10*second+second/10, e, 1)
-	// Its part by capacity fraction is 0.2/(1+9*0.2) of four cores.
+	// By its capacity fraction, the share of the endpoint is 0.2/(1+9*0.2) of four cores.
 	if limit := 0.2 / 2.8 * 4 * float64(second) / 10 * 1.1; e.warmupTokens > limit {
 		t.Errorf("tokens for %.0f us of work after 0.1 s, want at most %.0f", e.warmupTokens, limit)
 	}
 }
 
-// The expected service time of a warming endpoint falls as its capacity grows, also once its service time ratio has
+// The expected service time of a warming endpoint falls as its capacity grows, even after its service time ratio has
 // been learned.
 func TestWarmingEndpointIsExpectedToBeSlow(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
