--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -11,7 +11,7 @@
 func approxEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
 // The reject chance follows from the requests, accepts and protection of the window, and from the accept weight, which
-// falls with each bucket without accepts.
+// falls with the number of latest buckets that have failures only.
 func TestErrorRejectChance(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -57,17 +57,17 @@
 		br.record(100*second, 0, 1)
 	}
 	if br.errorRejectChance(109*second) == 0 {
-		t.Error("failures of nine seconds ago are forgotten")
+		t.Error("failures of nine seconds ago no longer count, want a window of ten seconds")
 	}
 	if got := br.errorRejectChance(110*second + 1); got != 0 || br.requests != 0 {
-		t.Errorf("after the window: chance %v, %d requests", got, br.requests)
+		t.Errorf("after the window: reject chance %v, %d requests, want 0 of each", got, br.requests)
 	}
 	for range 100 {
 		br.record(200*second, 0, 1)
 	}
 	br.errorRejectChance(500 * second)
 	if br.requests != 0 {
-		t.Errorf("after a long pause: %d requests", br.requests)
+		t.Errorf("after a long pause: %d requests in the window, want 0", br.requests)
 	}
 }
 
@@ -75,15 +75,15 @@
 	var br breaker
 	br.recordLatency(100)
 	if br.baseLatency != 100 || br.currentLatency != 100 {
-		t.Fatalf("first: base %v current %v", br.baseLatency, br.currentLatency)
+		t.Fatalf("first latency: base %v, current %v", br.baseLatency, br.currentLatency)
 	}
 	br.recordLatency(60) // base falls by a quarter of the difference; current is (60+3*100)/4
 	if !approxEqual(br.baseLatency, 90) || !approxEqual(br.currentLatency, 90) {
-		t.Fatalf("fall: base %v current %v", br.baseLatency, br.currentLatency)
+		t.Fatalf("lower latency: base %v, current %v", br.baseLatency, br.currentLatency)
 	}
 	br.recordLatency(190) // base rises by a hundredth of the difference: (190+99*90)/100; current is (190+270)/4
 	if !approxEqual(br.baseLatency, 91) || !approxEqual(br.currentLatency, 115) {
-		t.Fatalf("rise: base %v current %v", br.baseLatency, br.currentLatency)
+		t.Fatalf("higher latency: base %v, current %v", br.baseLatency, br.currentLatency)
 	}
 }
 
@@ -117,7 +117,7 @@
 	}
 	r := &request{}
 	if !b.breakerAllows(now, r, e) {
-		t.Fatal("the first attempt does not pass")
+		t.Fatal("the breaker rejects the first attempt")
 	}
 	passed := 0
 	for range 200 {
@@ -126,10 +126,10 @@
 		}
 	}
 	if passed > 20 {
-		t.Errorf("%d of 200 passed an endpoint that fails all", passed)
+		t.Errorf("%d of 200 attempts passed the breaker of an endpoint that fails all requests", passed)
 	}
 	if !b.breakerAllows(now+forcedPassInterval+1001, r, e) {
-		t.Error("none passed after the forced-pass interval")
+		t.Error("no attempt passed the breaker after the forced-pass interval")
 	}
 }
 
--- a/balancer/checker_test.go
+++ b/balancer/checker_test.go
@@ -64,18 +64,18 @@
 func (c *ruleChecker) Send(id uint64, endpoint uint32, _ monotime.Micros) {
 	r := c.requests[id]
 	if r == nil {
-		c.recordViolation("send for unknown request %d", id)
+		c.recordViolation("attempt of unknown request %d", id)
 		return
 	}
 	e, known := c.entries[endpoint]
 	if r.finalResponses > 0 || r.ended {
-		c.recordViolation("send after the end of %d", id)
+		c.recordViolation("attempt of request %d after its end", id)
 	}
 	if !known || e.State != Ready {
-		c.recordViolation("send to endpoint %d in state %d", endpoint, e.State)
+		c.recordViolation("attempt at endpoint %d in state %d", endpoint, e.State)
 	}
 	if c.cordoned[endpoint] {
-		c.recordViolation("send to endpoint %d, which is cordoned", endpoint)
+		c.recordViolation("attempt at endpoint %d, which is cordoned", endpoint)
 	}
 	c.checkAttempts(r)
 	c.checkIdempotency(r, e)
@@ -89,11 +89,11 @@
 // flight, hedging.
 func (c *ruleChecker) checkAttempts(r *checkedRequest) {
 	if len(r.attempts) >= c.settings.Limits.MaxAttempts {
-		c.recordViolation("attempt %d of %d", len(r.attempts), r.request.ID)
+		c.recordViolation("attempt %d of request %d is over the attempt limit", len(r.attempts), r.request.ID)
 	}
 	for _, attempt := range r.attempts {
 		if attempt.inflight && !c.settings.Limits.Hedging {
-			c.recordViolation("hedged attempt of %d", r.request.ID)
+			c.recordViolation("hedged attempt of request %d, although hedging is disabled", r.request.ID)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 		class.DedupScope == DedupZone && first.endpoint.Zone == e.Zone ||
 		class.DedupScope == DedupCell && first.endpoint.Cell == e.Cell
 	if class.Idempotency == NonIdempotent || !inScope || c.now > first.sentAt+class.DedupWindow {
-		c.recordViolation("repeat of %d (%s) may have a second effect", r.request.ID, class.Name)
+		c.recordViolation("another attempt of request %d (%s) may apply its effect twice", r.request.ID, class.Name)
 	}
 }
 
@@ -117,7 +117,7 @@
 func (c *ruleChecker) recordFinalResponse(id uint64) *checkedRequest {
 	r := c.requests[id]
 	if r == nil || r.finalResponses > 0 || r.ended {
-		c.recordViolation("final answer for %d, which is not open", id)
+		c.recordViolation("final response for request %d, which is not open", id)
 		return nil
 	}
 	r.finalResponses++
@@ -128,7 +128,7 @@
 	if r := c.recordFinalResponse(id); r != nil && r.firstThatMayHaveRun() != nil {
 		class := c.settings.Classes[r.request.Class]
 		if class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != DedupAll {
-			c.recordViolation("rejection of %d (%s), which may have run", id, class.Name)
+			c.recordViolation("rejection of request %d (%s), which may have run", id, class.Name)
 		}
 	}
 }
@@ -137,13 +137,13 @@
 
 func (c *ruleChecker) Cancel(id uint64, attempt int) {
 	if r := c.requests[id]; r == nil || attempt >= len(r.attempts) {
-		c.recordViolation("cancel of attempt %d of %d, never made", attempt, id)
+		c.recordViolation("cancellation of attempt %d of request %d, which was never sent", attempt, id)
 	}
 }
 
 func (c *ruleChecker) SetTimer(delay monotime.Micros, token uint32) {
 	if delay <= 0 {
-		c.recordViolation("timer delay %d", delay)
+		c.recordViolation("timer delay of %d us, want a positive one", delay)
 	}
 	c.timers = append(c.timers, pendingTimer{c.now + delay, token})
 }
@@ -160,7 +160,7 @@
 
 func (c *ruleChecker) Watch(bool) {
 	if !c.settings.Subscribe {
-		c.recordViolation("subscription where changes are pushed")
+		c.recordViolation("subscription although Settings.Subscribe is false")
 	}
 }
 
@@ -207,7 +207,7 @@
 	}
 	for id, r := range run.requests {
 		if r.finalResponses == 0 && !r.ended {
-			run.recordViolation("request %d never got a final answer", id)
+			run.recordViolation("request %d never got a final response", id)
 		}
 	}
 	return run.violations
@@ -376,7 +376,7 @@
 	} {
 		c := newChecker()
 		if violate(c); len(c.violations) == 0 {
-			t.Errorf("%s: not detected", name)
+			t.Errorf("%s: violation not detected", name)
 		}
 	}
 }
--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -20,11 +20,12 @@
 	if e != b.endpointsByID[1] || !e.warmingUp(now, b) ||
 		e.capacityFraction(now, b) != s.Contract.WarmupStartCapacity || b.ShouldAvoid(now, 1) ||
 		e.outliers[allTraffic].consecutiveFailures != 0 {
-		t.Errorf("after the cordon: warming up %v, capacity fraction %v, avoided %v, streak %d", e.warmingUp(now, b),
+		t.Errorf("after the cordon: warming up %v, capacity fraction %v, avoided %v, %d consecutive failures",
+			e.warmingUp(now, b),
 			e.capacityFraction(now, b), b.ShouldAvoid(now, 1), e.outliers[allTraffic].consecutiveFailures)
 	}
 	if warmupEnd := now + s.Contract.WarmupTime; e.warmingUp(warmupEnd, b) {
-		t.Error("its warm-up does not end")
+		t.Error("the warm-up after the cordon does not end")
 	}
 	// With three of four endpoints cordoned, all requests go to the fourth, and a second attempt has no endpoint.
 	for id := range uint32(3) {
@@ -39,13 +40,13 @@
 		}
 	}
 	if len(r.sends) > 10 || len(r.rejected) < 30 {
-		t.Errorf("%d sent at once to the warming one, %d rejected", len(r.sends), len(r.rejected))
+		t.Errorf("%d of 40 requests sent at once to the warming endpoint, %d rejected", len(r.sends), len(r.rejected))
 	}
 	// With all endpoints cordoned, nothing may be sent.
 	b.SetCordon(now, 1, true)
 	sendsBefore := len(r.sends)
 	b.HandleRequest(now, newTestRequest(200, 4, 1000))
 	if len(r.sends) != sendsBefore {
-		t.Error("a request was sent while all are cordoned")
+		t.Error("a request was sent while all endpoints are cordoned")
 	}
 }
--- a/balancer/firstanswers_test.go
+++ b/balancer/firstanswers_test.go
@@ -12,7 +12,7 @@
 	t.Helper()
 	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 	if got := b.classes[0].meanWork.value; got != 80_000 {
-		t.Fatalf("initial estimate of %v us", got)
+		t.Fatalf("initial estimate of the work: %v us, want 80000", got)
 	}
 	return b, r
 }
@@ -40,14 +40,14 @@
 		b.HandleRequest(now, newTestRequest(id, 0, now))
 	}
 	if len(r.rejected) > 0 {
-		t.Errorf("%d requests rejected before any answer", len(r.rejected))
+		t.Errorf("%d requests rejected before any response", len(r.rejected))
 	}
 	end := respondToAll(b, r, now, 0, 3_000)
 	if len(r.sends) != 150 || len(r.rejected) > 0 || end-now > 40_000 {
-		t.Errorf("%d of 150 sent, %d rejected, within %d us", len(r.sends), len(r.rejected), end-now)
+		t.Errorf("%d of 150 requests sent, %d rejected, within %d us", len(r.sends), len(r.rejected), end-now)
 	}
 	if len(b.classes[0].waiting) > 0 {
-		t.Errorf("%d requests still wait", len(b.classes[0].waiting))
+		t.Errorf("%d requests still wait for first responses", len(b.classes[0].waiting))
 	}
 }
 
@@ -63,16 +63,17 @@
 		if in := b.requests[id]; in != nil && in.waiting {
 			delays = append(delays, r.timerDelays[len(r.timerDelays)-1])
 			if len(r.timerTokens) != first+1 || r.timerTokens[first] != in.timerToken {
-				t.Fatalf("request %d waits with timers %v", id, r.timerTokens[first:])
+				t.Fatalf("request %d waits with the timer tokens %v, want one timer of its own",
+					id, r.timerTokens[first:])
 			}
 		}
 	}
 	if len(delays) == 0 || len(delays)+len(r.sends) != 60 {
-		t.Fatalf("%d wait, %d sent", len(delays), len(r.sends))
+		t.Fatalf("%d requests wait, %d sent, want 60 in total", len(delays), len(r.sends))
 	}
 	for _, delay := range delays {
 		if delay != 40_000 {
-			t.Errorf("waits for %d us", delay)
+			t.Errorf("request waits for %d us, want 40000", delay)
 		}
 	}
 	now += 40_000
@@ -81,7 +82,7 @@
 		b.HandleTimer(now, in.timerToken)
 	}
 	if len(r.rejected) != len(delays) || len(b.classes[0].waiting) != 0 {
-		t.Errorf("%d rejected of %d that waited; %d still wait", len(r.rejected), len(delays),
+		t.Errorf("%d requests rejected of %d that waited; %d still wait", len(r.rejected), len(delays),
 			len(b.classes[0].waiting))
 	}
 }
@@ -101,7 +102,8 @@
 	respondToAll(b, r, now, 0, 3_000)
 	b.HandleTimer(now+40_000, gone.timerToken)
 	if len(r.sends) != sends || len(b.requests) != 0 || len(b.classes[0].waiting) != 0 {
-		t.Errorf("%d sent after the client left, %d open, %d wait", len(r.sends)-sends, len(b.requests),
+		t.Errorf("after the client disconnected: %d attempts sent, %d requests open, %d waiting",
+			len(r.sends)-sends, len(b.requests),
 			len(b.classes[0].waiting))
 	}
 }
@@ -124,7 +126,8 @@
 		e := b.endpoints[0]
 		predicted := b.predictLatency(now, e, b.classes[0].meanWork.value)
 		if ratio := predicted / float64(latency); ratio > 3 || ratio < 1.0/3 {
-			t.Errorf("after %d answers of %d us each, %v us are predicted", responses, latency, predicted)
+			t.Errorf("after %d responses with a latency of %d us each, %v us are predicted",
+				responses, latency, predicted)
 		}
 	}
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -88,11 +88,11 @@
 			Latency: 20_000, Answered: true})
 	}
 	if b.openRequests != 0 || len(b.requests) != 0 {
-		t.Errorf("%d requests have no answer, %d have a record", b.openRequests, len(b.requests))
+		t.Errorf("%d requests have no final response, %d still have a record", b.openRequests, len(b.requests))
 	}
 	b.UpdateEndpoints(now, ListDelta, nil)
 	if len(b.endpoints) != initial {
-		t.Errorf("%d endpoints have a record, want %d", len(b.endpoints), initial)
+		t.Errorf("%d endpoints still have a record, want %d", len(b.endpoints), initial)
 	}
 }
 
@@ -126,11 +126,11 @@
 		b.HandleRequest(now, newTestRequest(i+1, 0, now))
 	}
 	if len(r.sends)+len(r.rejected) != 200 || len(r.rejected) == 0 || len(r.sends) == 0 {
-		t.Fatalf("%d sent, %d rejected of 200", len(r.sends), len(r.rejected))
+		t.Fatalf("%d requests sent, %d rejected, want both, and 200 in total", len(r.sends), len(r.rejected))
 	}
 	for _, attempt := range r.sends {
 		if attempt.endpoint != 1 {
-			t.Fatalf("sent to %d, which is not listed", attempt.endpoint)
+			t.Fatalf("attempt at endpoint %d, which is not listed", attempt.endpoint)
 		}
 		succeed(b, now, attempt.id, 1, 100_000)
 	}
@@ -145,7 +145,7 @@
 		used[attempt.endpoint] = true
 	}
 	if len(used) < 10 {
-		t.Errorf("%d endpoints used of 20 that are back", len(used))
+		t.Errorf("%d of the 20 endpoints that are listed again are used, want at least 10", len(used))
 	}
 }
 
@@ -173,10 +173,11 @@
 			failed += int(indicator(attempts > 1 || attempts == 1 && !ok))
 		}
 		if ratio := float64(served) / float64(total); ratio < c.minServed {
-			t.Errorf("%v per second: %.3f of %d served, want %.2f", c.rate, ratio, total, c.minServed)
+			t.Errorf("%v requests per second: %.3f of %d served, want at least %.2f", c.rate, ratio, total, c.minServed)
 		}
 		if c.rate > 50 && failed > total/20 {
-			t.Errorf("%v per second: %d of %d requests met an outlier", c.rate, failed, total)
+			t.Errorf("%v requests per second: %d of %d were sent to an outlier, want at most a twentieth",
+				c.rate, failed, total)
 		}
 	}
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -89,7 +89,7 @@
 			return now + r.timerDelays[i]
 		}
 	}
-	t.Fatalf("no timer of token %d", token)
+	t.Fatalf("no timer with token %d was set", token)
 	return 0
 }
 
@@ -182,7 +182,7 @@
 		_, err := New(s, 1, &recorder{})
 		var settingErr *SettingError
 		if !errors.As(err, &settingErr) || settingErr.Key != c.key {
-			t.Errorf("want an error for %s, got %v", c.key, err)
+			t.Errorf("want an error for setting %s, got %v", c.key, err)
 		}
 	}
 }
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -38,7 +38,7 @@
 		in := newTestRequest(id, 0, 0)
 		retryAfter, rejected := b.ShouldReject(in)
 		if _, rejectedAgain := b.ShouldReject(in); rejectedAgain != rejected {
-			t.Fatalf("request %d: rejected %v, then %v", id, rejected, rejectedAgain)
+			t.Fatalf("request %d: rejected %v, and %v at the second call", id, rejected, rejectedAgain)
 		}
 		if !rejected {
 			admitted++
@@ -64,7 +64,7 @@
 	b, _, policy := startWithOverloadPolicy(t)
 	policy.AdmitRatio[0] = 0.3
 	if n := countAdmitted(t, b); n < 500 || n > 700 {
-		t.Errorf("%d of 2000 admitted, want three in ten", n)
+		t.Errorf("%d of 2000 requests admitted, want about 600", n)
 	}
 	// Balancers that start together must not reject requests with the same IDs.
 	other, _ := newBalancer(t, b.settings, 99)
@@ -76,18 +76,18 @@
 		sameDecisions += int(indicator(rejected == rejectedByOther))
 	}
 	if sameDecisions < 1050 || sameDecisions > 1270 { // independent decisions agree with a probability of 0.58
-		t.Errorf("two balancers decide the same on %d of 2000", sameDecisions)
+		t.Errorf("two balancers decide the same for %d of 2000 requests, want about 1160", sameDecisions)
 	}
 	policy.AdmitRatio[0] = 1
 	policy.WithinQuotaRatio = []float64{0.5}
 	if n := countAdmitted(t, b); n < 900 || n > 1100 {
-		t.Errorf("%d of 2000 admitted where half is over a tenant's quota", n)
+		t.Errorf("%d of 2000 requests admitted with half of them over their tenant's quota, want about 1000", n)
 	}
 	policy.WithinQuotaRatio = nil
 	policy.RetryAdmitRatio = 0
 	retry := newTestRequest(1, 0, 0)
 	retry.Retry = true
-	requireRejected(t, b, retry, true, "a retry, of which none is admitted")
+	requireRejected(t, b, retry, true, "a retry, with RetryAdmitRatio 0")
 	b.SetOverloadPolicy(nil)
 	requireRejected(t, b, newTestRequest(1, 0, 0), false, "without a policy")
 }
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -23,14 +23,14 @@
 	// Endpoint 2 has the least load until it has four requests in flight, as many as endpoint 1 reported.
 	for i, s := range r.sends {
 		if s.endpoint != 2 {
-			t.Errorf("send %d went to %d", i, s.endpoint)
+			t.Errorf("attempt %d was sent to endpoint %d, want 2", i, s.endpoint)
 		}
 	}
 	if len(r.sends) != 4 {
-		t.Fatalf("%d sends", len(r.sends))
+		t.Fatalf("%d attempts sent, want 4", len(r.sends))
 	}
 	if got := b.predictLoad(2000, b.endpointsByID[2]); math.Abs(got-4) > 0.1 {
-		t.Errorf("load with own sends: %v", got)
+		t.Errorf("predicted load after four own attempts: %v, want 4", got)
 	}
 }
 
@@ -68,7 +68,7 @@
 		used[r.sends[len(r.sends)-1].endpoint] = true
 	}
 	if len(used) != 2 {
-		t.Error("a report beyond its lifetime still decides: two random draws expected")
+		t.Error("a report beyond its lifetime still decides picks, want both endpoints used")
 	}
 }
 
@@ -78,13 +78,13 @@
 	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
 		b.HandleProbe(1000, 1, OK, 500, load)
 		if b.endpoints[0].hasReport {
-			t.Errorf("report %v taken for a load", load)
+			t.Errorf("report %v accepted as a load", load)
 		}
 	}
 	reportLoad(b, 1000, 99, 1) // an endpoint that is not listed
 	b.HandleProbe(1000, 1, OK, 500, []float32{2, 7, 9})
 	if b.predictLoad(1000, b.endpoints[0]) != 2 {
-		t.Errorf("load %v", b.predictLoad(1000, b.endpoints[0]))
+		t.Errorf("predicted load %v, want 2", b.predictLoad(1000, b.endpoints[0]))
 	}
 }
 
@@ -105,7 +105,7 @@
 		t.Fatal("late reports are not detected")
 	}
 	if got := b.predictLoad(15_000, busy); got < float64(busy.inflight) {
-		t.Errorf("load %v is under own in-flight %d", got, busy.inflight)
+		t.Errorf("predicted load %v is below the balancer's own %d requests in flight", got, busy.inflight)
 	}
 	for i := range monotime.Micros(400) {
 		busy.probing = false
@@ -128,10 +128,10 @@
 		b.HandleRequest(now, newTestRequest(i, 0, now))
 	}
 	if n := len(r.sends); n < 2 || n > 4 {
-		t.Errorf("%d of 30 sent in three seconds, want about one per second", n)
+		t.Errorf("%d of 30 requests sent in three seconds, want about one per second", n)
 	}
 	if len(r.rejected) != 30-len(r.sends) {
-		t.Errorf("%d rejected, %d sent", len(r.rejected), len(r.sends))
+		t.Errorf("%d requests rejected and %d sent, want 30 in total", len(r.rejected), len(r.sends))
 	}
 }
 
@@ -147,10 +147,10 @@
 		change(&s)
 		during, after := rejectedAroundCongestion(t, s)
 		if during < 100 {
-			t.Errorf("%s: %d rejected in 5 s of congestion, the test shows nothing", name, during)
+			t.Errorf("%s: %d requests rejected in 5 s of congestion, too few for this test", name, during)
 		}
 		if after > 50 {
-			t.Errorf("%s: %d of 1000 rejected from 5 s after the congestion on", name, after)
+			t.Errorf("%s: %d of 1000 requests rejected 5 s after the end of the congestion and later", name, after)
 		}
 	}
 }
@@ -216,10 +216,10 @@
 	}
 	sends := r.sendsByEndpoint()[1]
 	if sends > 300 {
-		t.Errorf("a fast failing endpoint got %d of 3000", sends)
+		t.Errorf("an endpoint that fails fast got %d attempts for 3000 requests, want at most 300", sends)
 	}
 	if sends < 2 {
-		t.Errorf("a failing endpoint gets no trial: %d sends", sends)
+		t.Errorf("an ejected endpoint gets no trial: %d attempts", sends)
 	}
 }
 
@@ -240,10 +240,11 @@
 	b.rejectedRatio.value = 0.5
 	if overWeight, withinWeight := b.tenantWeight(100_000, overQuota),
 		b.tenantWeight(100_000, withinQuota); withinWeight != 1 || overWeight > 0.6 {
-		t.Errorf("weights %v over, %v within the quota", overWeight, withinWeight)
+		t.Errorf("tenant weight %v over the quota, %v within the quota, want at most 0.6 and 1",
+			overWeight, withinWeight)
 	}
 	if got := b.tenantWeight(100_000, &request{Request: Request{Tenant: 9}}); got != 1 {
-		t.Errorf("unknown tenant: %v", got)
+		t.Errorf("weight %v of an unknown tenant, want 1", got)
 	}
 }
 
@@ -256,7 +257,7 @@
 	}
 	sendsByEndpoint := r.sendsByEndpoint()
 	if len(r.sends) != 24 || len(sendsByEndpoint) < 4 || sendsByEndpoint[3] > 12 {
-		t.Errorf("%d sends, by endpoint %v", len(r.sends), sendsByEndpoint)
+		t.Errorf("%d attempts, by endpoint %v", len(r.sends), sendsByEndpoint)
 	}
 }
 
@@ -270,7 +271,7 @@
 	b.reportsLate = true
 	if lateBudget := b.latencyBudget(0, r, b.endpoints[0]); lateBudget <= usualBudget ||
 		lateBudget != float64(b.settings.Classes[0].LatencyObjective) {
-		t.Errorf("limit %v before, %v while late", usualBudget, lateBudget)
+		t.Errorf("latency budget %v with current reports, %v with late ones", usualBudget, lateBudget)
 	}
 }
 
@@ -287,7 +288,7 @@
 			t.Fatalf("request %d was not sent", id)
 		}
 		if timeout := r.timeouts[id]; timeout != 0 && timeout < s.Classes[0].LatencyObjective/minTimeoutDivisor {
-			t.Fatalf("attempt %d has a timeout of %d us only", id, timeout)
+			t.Fatalf("attempt %d has a timeout of only %d us", id, timeout)
 		}
 		succeed(b, now+200, id, r.sends[id].endpoint, 200)
 	}
@@ -306,20 +307,21 @@
 	reportLoad(b, 1000, 2, 2)
 	b.HandleRequest(1000, newTestRequest(1, 0, 1000))
 	if r.sends[0].endpoint != 1 {
-		t.Fatal("not the idle endpoint")
+		t.Fatal("the first request was not sent to the idle endpoint")
 	}
 	for id := range uint64(5) {
 		now := 300_000 + 1000*monotime.Micros(id)
 		b.HandleRequest(now, newTestRequest(10+id, 0, now))
 		last := r.sends[len(r.sends)-1]
 		if last.endpoint != 2 || last.id != 10+id {
-			t.Fatalf("request %d went to %d, silent for 0.3 s", last.id, last.endpoint)
+			t.Fatalf("request %d was sent to endpoint %d, want 2, since endpoint 1 has been silent for 0.3 s",
+				last.id, last.endpoint)
 		}
 		succeed(b, now, last.id, 2, 900)
 	}
 	succeed(b, 310_000, 1, 1, 309_000)
 	if got := b.predictLatency(310_000, b.endpointsByID[1], 1000); got > 100_000 {
-		t.Errorf("after its answer still %v expected", got)
+		t.Errorf("predicted latency after the response of the endpoint: %v us, want at most 100000", got)
 	}
 }
 
@@ -350,12 +352,14 @@
 	initialLatency := predictForFastEndpoint(60_000)
 	serve(100_000, 1000, 15, 4)
 	if slowLatency := predictForFastEndpoint(120_000); slowLatency < 2*initialLatency {
-		t.Errorf("expected %v before, %v after 15 outcomes of four times the prediction", initialLatency, slowLatency)
+		t.Errorf("predicted latency %v us, then %v us after 15 outcomes of four times the prediction",
+			initialLatency, slowLatency)
 	}
 	// While all requests are rejected, only one forced admission per second shows the recovery.
 	serve(200_000, second/2, 80, 0.5)
 	if recoveredLatency := predictForFastEndpoint(41 * second); recoveredLatency > 1.2*initialLatency {
-		t.Errorf("expected %v before, %v after the recovery", initialLatency, recoveredLatency)
+		t.Errorf("predicted latency %v us before the slowdown, %v us after the recovery",
+			initialLatency, recoveredLatency)
 	}
 }
 
@@ -381,7 +385,7 @@
 			}
 		}
 		if b.hintTrust < c.from || b.hintTrust > c.to {
-			t.Errorf("%s: trust %.2f, want %.2f to %.2f", c.name, b.hintTrust, c.from, c.to)
+			t.Errorf("%s: hint trust %.2f, want %.2f to %.2f", c.name, b.hintTrust, c.from, c.to)
 		}
 	}
 }
@@ -407,7 +411,7 @@
 	} {
 		b.rejectedRatio.value = c.rejected
 		if got := b.probeRate(now) / requestRate; math.Abs(got-c.want) > 0.001 {
-			t.Errorf("rejected %v: %v of the probe rate, want %v", c.rejected, got, c.want)
+			t.Errorf("rejected ratio %v: %v probes per request, want %v", c.rejected, got, c.want)
 		}
 	}
 }
@@ -427,7 +431,8 @@
 		b.HandleRequest(now, newTestRequest(10+id, 0, now))
 		s := r.lastSend()
 		if s.id != 10+id || s.endpoint == stuck {
-			t.Fatalf("request %d: sent to %d, with %d stuck; %d rejected", id, s.endpoint, stuck, len(r.rejected))
+			t.Fatalf("request %d: sent to endpoint %d, with endpoint %d stuck; %d requests rejected",
+				id, s.endpoint, stuck, len(r.rejected))
 		}
 		succeed(b, now+3_000, s.id, s.endpoint, 3_000)
 	}
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -44,7 +44,7 @@
 	sends := len(p.recorder.sends)
 	p.balancer.HandleRequest(now, Request{ID: id, Deadline: now + second})
 	if len(p.recorder.sends) != sends+1 {
-		t.Fatalf("at %d ms a request was not sent by the known list", now/1000)
+		t.Fatalf("at %d ms a request was not sent to an endpoint of the cached list", now/1000)
 	}
 	succeed(p.balancer, now, id, p.recorder.sends[sends].endpoint, 30_000)
 }
@@ -127,15 +127,16 @@
 		discovery.respond(now)
 	}
 	if discovery.notified < balancers {
-		t.Errorf("%d of %d were notified in a minute, by %d calls", discovery.notified, balancers, calls)
+		t.Errorf("%d of %d balancers received a list within a minute, with %d calls",
+			discovery.notified, balancers, calls)
 	}
 	for at, n := range callsBySecond {
 		if n > balancers/2 {
-			t.Errorf("%d calls in second %d: they come together", n, at)
+			t.Errorf("%d calls in second %d, want them spread out", n, at)
 		}
 	}
 	if calls > 6*balancers {
-		t.Errorf("%d calls to notify %d", calls, balancers)
+		t.Errorf("%d calls until %d balancers had a list", calls, balancers)
 	}
 }
 
@@ -158,15 +159,16 @@
 			id := uint64(now) + 1
 			b.HandleRequest(now, newTestRequest(id, 0, now))
 			if cachedCount == 0 && !slices.Contains(r.rejected, id) {
-				t.Fatalf("at %d s: not rejected at once", now/second)
+				t.Fatalf("at %d s: a request without endpoints was not rejected at once", now/second)
 			}
 			if cachedCount > 0 && r.lastSend().id != id {
-				t.Fatalf("at %d s: not sent", now/second)
+				t.Fatalf("at %d s: a request was not sent to an endpoint of the cached list", now/second)
 			}
 			succeed(b, now, id, 0, 30_000)
 		}
 		if polls < 5 {
-			t.Errorf("%d known: discovery was polled %d times in a minute", cachedCount, polls)
+			t.Errorf("%d cached endpoints: discovery was polled %d times in a minute, want at least 5",
+				cachedCount, polls)
 		}
 	}
 }
@@ -186,12 +188,12 @@
 				return
 			}
 		}
-		t.Fatal("no timer for discovery")
+		t.Fatal("no discovery timer was set")
 	}
 	fireDiscoveryTimer()
 	for n := 1; n < 8; n++ {
 		if r.watches != n {
-			t.Fatalf("%d calls, want %d", r.watches, n)
+			t.Fatalf("%d subscription calls, want %d", r.watches, n)
 		}
 		previousPollAt := now
 		if n%2 == 0 {
@@ -199,7 +201,7 @@
 		} // otherwise the response is lost
 		fireDiscoveryTimer()
 		if now-previousPollAt > s.Contract.PollInterval {
-			t.Fatalf("polled only after %d", now-previousPollAt)
+			t.Fatalf("next poll %d us after the failed one, want at most the poll interval", now-previousPollAt)
 		}
 	}
 	if len(b.endpoints) != 2 {
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -19,14 +19,14 @@
 	b, r := startBalancer(t, queueingSettings(), readyEndpoints(4))
 	b.HandleRequest(second, newTestRequest(1, 0, second))
 	if len(r.sends) != 0 || len(r.probes) != 3 {
-		t.Fatalf("sends %v, probes %v: want 3 probes and no send", r.sends, r.probes)
+		t.Fatalf("attempts %v, probes %v, want 3 probes and no attempt", r.sends, r.probes)
 	}
 	probes := r.probes
 	for i, e := range probes {
 		reportLoad(b, second+1000, e, float32(2-i))
 	}
 	if len(r.sends) != 1 || r.sends[0].endpoint != probes[2] {
-		t.Errorf("sends %v, want one to %d, which reported the least", r.sends, probes[2])
+		t.Errorf("attempts %v, want one at endpoint %d, which reported the lowest load", r.sends, probes[2])
 	}
 }
 
@@ -37,11 +37,12 @@
 		b.HandleRequest(second, Request{ID: 1, Deadline: second + timeLeft})
 		i := len(r.timerTokens) - 1
 		if r.timerDelays[i] > min(40_000, timeLeft) {
-			t.Errorf("queued for %d with %d left", r.timerDelays[i], timeLeft)
+			t.Errorf("request queued for %d us with %d us until its deadline", r.timerDelays[i], timeLeft)
 		}
 		b.HandleTimer(second+r.timerDelays[i], r.timerTokens[i])
 		if len(r.sends)+len(r.rejected) != 1 {
-			t.Errorf("%d left: sends %v, rejected %v", timeLeft, r.sends, r.rejected)
+			t.Errorf("%d us until the deadline: attempts %v, rejected %v, want one of them",
+				timeLeft, r.sends, r.rejected)
 		}
 		// Late results of the first probe round must not end the second round early.
 		earlierProbes := r.probes
@@ -52,7 +53,7 @@
 			}
 		}
 		if b.requests[2] != nil && !b.requests[2].queued && b.awaitedProbes > 0 {
-			t.Error("dispatched by results of another round")
+			t.Error("request dispatched because of probe results of an earlier round")
 		}
 	}
 }
@@ -66,7 +67,7 @@
 		reportLoad(b, second+1000, e, 1)
 	}
 	if len(r.sends) != 0 || len(b.queued) != 0 || len(b.requests) != 0 {
-		t.Errorf("sends %v, queued %d", r.sends, len(b.queued))
+		t.Errorf("attempts %v, %d requests queued, want neither", r.sends, len(b.queued))
 	}
 }
 
@@ -102,10 +103,10 @@
 	b.typicalLoad = ewma{value: 4, samples: manySamples}
 	e := b.endpointsByID[1]
 	if load := b.predictLoad(1, e); load > 0.1 {
-		t.Errorf("new report of 0: load %.2f", load)
+		t.Errorf("predicted load %.2f after a new report of 0", load)
 	}
 	if load := b.predictLoad(10*second, e); load < 3.9 {
-		t.Errorf("report of 0, ten seconds old: load %.2f, want the typical 4", load)
+		t.Errorf("predicted load %.2f ten seconds after a report of 0, want the typical 4", load)
 	}
 }
 
@@ -125,7 +126,7 @@
 		}
 		r := &request{Request: Request{Tenant: 0}}
 		if compared := b.tenantWeight(4*second, r) < 1; compared != c.wantCompared {
-			t.Errorf("%d requests per second: compares tenants %v, want %v", c.rate, compared, c.wantCompared)
+			t.Errorf("%d requests per second: different tenant weights %v, want %v", c.rate, compared, c.wantCompared)
 		}
 	}
 }
@@ -144,7 +145,8 @@
 		delays[ms] = b.queueDelayFactor(second, b.endpointsByID[1])
 	}
 	if delays[200] < 3.9 || delays[50] > 1.5 {
-		t.Errorf("queue delay at 7 requests: %.2f if all of the time needs a core, %.2f if a quarter", delays[200],
+		t.Errorf("queue delay factor at 7 requests: %.2f if a request uses a core all the time, %.2f if for a quarter",
+			delays[200],
 			delays[50])
 	}
 }
@@ -179,7 +181,8 @@
 	}
 	sends := r.sendsByEndpoint()
 	if pooledSends := sends[1] + sends[2]; len(r.sends) != 12 || pooledSends > 8 {
-		t.Errorf("%d of %d sends to the two endpoints with a report", pooledSends, len(r.sends))
+		t.Errorf("%d of %d attempts at the two endpoints with a report, want at most 8 of 12",
+			pooledSends, len(r.sends))
 	}
 }
 
@@ -201,7 +204,7 @@
 		}
 	}
 	if maxInterval := recentWorks * b.meanWork.value; b.reportWatchTime == 0 || b.reportInterval() > 0.8*maxInterval {
-		t.Errorf("report interval %.0f after a watch time of %.0f, limit %.0f", b.reportInterval(),
+		t.Errorf("report interval %.0f us after a watch time of %.0f us, limit %.0f us", b.reportInterval(),
 			b.reportWatchTime, maxInterval)
 	}
 }
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -22,11 +22,12 @@
 		reportLoad(b, now, id, load)
 	}
 	if b.typicalLoad.value > 8 {
-		t.Errorf("three of twelve report 1e9, the others 2: typical load %.1f", b.typicalLoad.value)
+		t.Errorf("typical load %.1f, with 1e9 reported by three of twelve endpoints and 2 by the others",
+			b.typicalLoad.value)
 	}
 	r := &request{Request: newTestRequest(1, 0, now), arrivedAt: now, work: 10_000}
 	if e := b.pickEndpoint(now, r, nil); e == nil || e.ID <= 3 {
-		t.Errorf("picked %+v", e)
+		t.Errorf("picked endpoint %+v, want one with plausible reports", e)
 	}
 	// A load that all endpoints report becomes the typical load.
 	for round := range 200 {
@@ -34,6 +35,6 @@
 		reportLoad(b, now, uint32(round%12)+1, 40)
 	}
 	if b.typicalLoad.value < 38 {
-		t.Errorf("all report 40: typical load %.1f", b.typicalLoad.value)
+		t.Errorf("typical load %.1f, with 40 reported by all endpoints", b.typicalLoad.value)
 	}
 }
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -24,7 +24,7 @@
 		in.MaxAttempts = maxAttempts
 		b.HandleRequest(0, in)
 		if got := failAllAttempts(b, r, 1000, 1); got != want {
-			t.Errorf("%d attempts with a limit of %d, want %d", got, maxAttempts, want)
+			t.Errorf("%d attempts of a request with a limit of %d, want %d", got, maxAttempts, want)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 		}
 		limit := retryBurst + ratio*requests
 		if retries := float64(len(r.sends) - requests); retries > limit || retries < 0.5*min(limit, 2*requests) {
-			t.Errorf("%v retries of %d requests with a ratio of %v", retries, requests, ratio)
+			t.Errorf("%v retries of %d requests with a retry ratio of %v", retries, requests, ratio)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 		s.RetryWindow = second
 		retries := retryTimes(t, s, c.requestRate)
 		if got := maxInOneSecond(retries); got > c.maxRetries || got < c.minRetries {
-			t.Errorf("%+v: %d retries in the worst second", c, got)
+			t.Errorf("%+v: %d retries in the second with the most", c, got)
 		}
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -23,14 +23,15 @@
 			switch classSettings := s.Classes[class]; {
 			case classSettings.Idempotency == NonIdempotent && !neverRan[status]:
 				if sends != 1 || len(r.failed) != 1 {
-					t.Errorf("not idempotent, status %d: %d sends, %d failed", status, sends, len(r.failed))
+					t.Errorf("class is not idempotent, status %d: %d attempts, %d failed requests, want 1 and 1",
+						status, sends, len(r.failed))
 				}
 			case sends != 2:
-				t.Errorf("class %d status %d: %d sends, want 2", class, status, sends)
+				t.Errorf("class %d, status %d: %d attempts, want 2", class, status, sends)
 			case classSettings.Idempotency == IdempotentByKey && classSettings.DedupScope != DedupAll &&
 				!neverRan[status]:
 				if (r.sends[0].endpoint-1)/2 != (r.sends[1].endpoint-1)/2 {
-					t.Errorf("class %d status %d left its deduplication scope", class, status)
+					t.Errorf("class %d, status %d: the retry is outside of the deduplication scope", class, status)
 				}
 			}
 		}
@@ -46,7 +47,7 @@
 	first := r.sends[0].endpoint
 	b.HandleOutcome(1000+s.Classes[3].DedupWindow, Outcome{ID: 1, Endpoint: first, Status: Reset})
 	if len(r.sends) != 1 || len(r.failed) != 1 || len(r.rejected) != 0 {
-		t.Errorf("after the window: sends %v, failed %v, rejected %v", r.sends, r.failed, r.rejected)
+		t.Errorf("after the deduplication window: attempts %v, failed %v, rejected %v", r.sends, r.failed, r.rejected)
 	}
 }
 
@@ -55,7 +56,7 @@
 	b.HandleRequest(1000, newTestRequest(1, 4, 1000))
 	b.HandleRequest(1000, Request{ID: 2, Deadline: 500})
 	if len(r.rejected) != 2 || b.openRequests != 0 || len(b.requests) != 0 {
-		t.Errorf("rejected %v, open %d", r.rejected, b.openRequests)
+		t.Errorf("rejected %v, want 2 requests; %d requests open, want 0", r.rejected, b.openRequests)
 	}
 }
 
@@ -67,16 +68,16 @@
 	token := b.requests[1].timerToken
 	b.HandleTimer(1000+second, token)
 	if len(r.failed) != 1 || len(r.cancels) != 1 {
-		t.Fatalf("failed %v, cancelled %v", r.failed, r.cancels)
+		t.Fatalf("failed %v, canceled %v, want one request each", r.failed, r.cancels)
 	}
 	succeed(b, 2*second, 1, 1, second)
 	if b.endpoints[0].breaker.accepts != 1 || b.endpoints[0].inflight != 0 || len(b.requests) != 0 {
-		t.Error("a late outcome must still feed the statistics")
+		t.Error("a late outcome does not update the statistics")
 	}
 	b.HandleRequest(3*second, newTestRequest(2, 0, 3*second))
 	b.HandleTimer(3*second, token) // the timer of the ended request, whose slot the new request uses
 	if len(r.failed) != 1 || len(r.rejected) != 0 {
-		t.Error("an old timer ended another request")
+		t.Error("the timer of an ended request ended another request")
 	}
 }
 
@@ -90,7 +91,7 @@
 	}
 	for _, s := range r.sends {
 		if s.endpoint == 1 || s.endpoint == 2 {
-			t.Fatalf("sent to %d", s.endpoint)
+			t.Fatalf("attempt at endpoint %d, which is draining or not listed", s.endpoint)
 		}
 	}
 }
@@ -102,11 +103,11 @@
 	b.HandleHeaders(2000, 1, 0, 1000)
 	b.HandleTimer(2*second, b.requests[1].timerToken)
 	if len(r.sends) != 1 || len(r.rejected)+len(r.failed) != 0 {
-		t.Error("a request with a streamed answer was sent again, rejected or failed")
+		t.Error("a request whose response is streamed was sent again, rejected or failed")
 	}
 	succeed(b, 3*second, 1, r.sends[0].endpoint, 3*second)
 	if len(b.requests) != 0 {
-		t.Error("record kept")
+		t.Error("the record of an ended request was kept")
 	}
 }
 
@@ -127,7 +128,7 @@
 		return r
 	}
 	if a, b := fmt.Sprint(run()), fmt.Sprint(run()); a != b {
-		t.Error("two runs differ")
+		t.Error("two runs with the same events and seed differ")
 	}
 }
 
@@ -144,7 +145,7 @@
 		serveOne()
 	}
 	if n := testing.AllocsPerRun(200, serveOne); n > 0.1 {
-		t.Errorf("%v allocations a request", n)
+		t.Errorf("%v allocations per request, want none", n)
 	}
 }
 
@@ -153,7 +154,7 @@
 	b, r := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.HandleRequest(1000, newTestRequest(1, 99, 1000))
 	if len(r.rejected) != 1 || len(r.sends) != 0 || len(b.requests) != 0 {
-		t.Errorf("rejected %v, sends %v", r.rejected, r.sends)
+		t.Errorf("rejected %v, attempts %v, want one rejection and no attempt", r.rejected, r.sends)
 	}
 }
 
@@ -168,9 +169,9 @@
 		b.HandleRequest(now, newTestRequest(id, 0, now))
 	}
 	if len(r.rejected) < 150 {
-		t.Fatalf("only %d rejected", len(r.rejected))
+		t.Fatalf("only %d of 200 requests rejected, too few for this test", len(r.rejected))
 	}
 	if len(r.logs) != 1 || !strings.Contains(r.logs[0], "best_endpoint 1 expected_ms ") {
-		t.Errorf("log: %q", r.logs)
+		t.Errorf("log lines %q, want one with the best endpoint", r.logs)
 	}
 }
--- a/balancer/simfleet_test.go
+++ b/balancer/simfleet_test.go
@@ -197,7 +197,7 @@
 	}
 	want := minServed * 30 * f.capacity(0, end) * float64(second) / float64(f.workPerRequest)
 	if float64(f.recentResponses) < want {
-		t.Errorf("%d served in the last second of 6, want %.0f", f.recentResponses, want)
+		t.Errorf("%d requests served in the last of 6 seconds, want at least %.0f", f.recentResponses, want)
 	}
 }
 
@@ -214,7 +214,7 @@
 			workInWindow := float64(i-from+1) * float64(f.workPerRequest)
 			limit := c.CollapseMultiple * f.capacity(e, at) * float64(c.CollapseAfter) * 1.1
 			if workInWindow > limit {
-				t.Fatalf("endpoint %d was sent %.1f s of work in the 2 s before %d ms, collapses from %.1f s on", e,
+				t.Fatalf("endpoint %d received %.1f s of work in the 2 s before %d ms, and collapses from %.1f s on", e,
 					workInWindow/1e6, at/1000, limit/1e6)
 			}
 		}
@@ -241,7 +241,8 @@
 	quietRatio := float64(f.onTimeCounts[0]) / float64(f.requestCounts[0])
 	busyRatio := float64(f.onTimeCounts[1]) / float64(f.requestCounts[1])
 	if quietRatio < 0.95 || busyRatio < 0.97 {
-		t.Errorf("the quiet one got %.3f of %d served, the busy one %.3f of %d; want 0.95 and 0.97", quietRatio,
+		t.Errorf("quiet sidecar: %.3f of %d requests on time, busy sidecar: %.3f of %d, want at least 0.95 and 0.97",
+			quietRatio,
 			f.requestCounts[0], busyRatio, f.requestCounts[1])
 	}
 	sendsToFailing := 0
@@ -251,6 +252,7 @@
 		}
 	}
 	if ratio := float64(sendsToFailing) / (8 * 403); ratio > 0.05 {
-		t.Errorf("%.3f of the requests went to an endpoint that failed, two seconds after it began", ratio)
+		t.Errorf("%.3f of the requests were sent to failing endpoints from two seconds after the first failure on",
+			ratio)
 	}
 }
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -80,19 +80,20 @@
 			r := &request{Request: Request{Class: class, Tenant: 1}}
 			if before, after := old.isEjectedFor(now, oldEndpoint, r),
 				next.isEjectedFor(now+shift, newEndpoint, r); before != after {
-				t.Errorf("endpoint %d, class %d: ejected %v, then %v", id, class, before, after)
+				t.Errorf("endpoint %d, class %d: ejected %v, after the restore %v", id, class, before, after)
 			} else if before {
 				ejected++
 			}
 		}
 	}
 	if ejected == 0 || !old.endpointsByID[6].warmingUp(now, old) {
-		t.Errorf("nothing was learned that could have been lost: %d ejected, warming up %v", ejected,
+		t.Errorf("the old balancer learned too little for this test: %d ejections, endpoint 6 warming up %v", ejected,
 			old.endpointsByID[6].warmingUp(now, old))
 	}
 	if !approxEqual(old.requestRate.rate(now), next.requestRate.rate(now+shift)) ||
 		old.latencyTrend != next.latencyTrend {
-		t.Errorf("request rate %v, then %v; trend %v, then %v", old.requestRate.rate(now),
+		t.Errorf("request rate %v, after the restore %v; latency trend %v, after the restore %v",
+			old.requestRate.rate(now),
 			next.requestRate.rate(now+shift), old.latencyTrend, next.latencyTrend)
 	}
 	exported := next.LearnedState(now + shift)
@@ -100,7 +101,7 @@
 	exported.Classes, learned.Classes = nil, nil
 	if got, want := *exported, learned; math.Abs(got.RequestRate-want.RequestRate) > 1e-6 ||
 		!reflect.DeepEqual(got.LateReportRatio, want.LateReportRatio) {
-		t.Errorf("handed on: %+v, was %+v", got, want)
+		t.Errorf("learned state after the restore: %+v, want %+v", got, want)
 	}
 }
 
@@ -111,16 +112,16 @@
 	t.Helper()
 	before, after := old.predictLatency(now, oldEndpoint, 5000), next.predictLatency(nextNow, newEndpoint, 5000)
 	if oldEndpoint.inflight == 0 && !newEndpoint.hasReport && !old.reportsLate && math.Abs(before/after-1) > 0.5 {
-		t.Errorf("endpoint %d: %v expected by the old one, %v by the new", oldEndpoint.ID, before, after)
+		t.Errorf("endpoint %d: predicted latency %v, after the restore %v", oldEndpoint.ID, before, after)
 	}
 	if before, after := oldEndpoint.currentServiceTimeRatio(now, old),
 		newEndpoint.currentServiceTimeRatio(nextNow, next); !approxEqual(before, after) {
-		t.Errorf("endpoint %d: service time ratio %v, then %v", oldEndpoint.ID, before, after)
+		t.Errorf("endpoint %d: service time ratio %v, after the restore %v", oldEndpoint.ID, before, after)
 	}
 	if before, after := oldEndpoint.capacityFraction(now, old),
 		newEndpoint.capacityFraction(nextNow, next); !approxEqual(before, after) ||
 		oldEndpoint.warmingUp(now, old) != newEndpoint.warmingUp(nextNow, next) {
-		t.Errorf("endpoint %d: capacity fraction %v, then %v", oldEndpoint.ID, before, after)
+		t.Errorf("endpoint %d: capacity fraction %v, after the restore %v", oldEndpoint.ID, before, after)
 	}
 }
 
@@ -134,7 +135,8 @@
 	if before, after := oldEndpoint.breaker, newEndpoint.breaker; before.requests != after.requests ||
 		before.accepts != after.accepts || before.baseLatency != after.baseLatency ||
 		oldEndpoint.ID < 6 && before.requests == 0 {
-		t.Errorf("endpoint %d: breaker %d of %d, base %v; then %d of %d, base %v", oldEndpoint.ID, before.accepts,
+		t.Errorf("endpoint %d: breaker accepted %d of %d, base latency %v; after the restore %d of %d, %v",
+			oldEndpoint.ID, before.accepts,
 			before.requests,
 			before.baseLatency, after.accepts, after.requests, after.baseLatency)
 	}
@@ -202,7 +204,7 @@
 		h.sendRequests(b)
 	}
 	if h.warmingSends != sendsByBoth {
-		h.t.Errorf("the old balancer sent the warming endpoint %d requests after it had handed over",
+		h.t.Errorf("the old balancer sent %d requests to the warming endpoint after the takeover",
 			h.warmingSends-sendsByBoth)
 	}
 	b.SetHandedOver(h.now, false)
@@ -210,7 +212,7 @@
 		h.sendRequests(b)
 	}
 	if h.warmingSends == sendsByBoth {
-		h.t.Error("after the handover was undone it sends the endpoint nothing")
+		h.t.Error("the old balancer sends nothing to the warming endpoint after the takeover was undone")
 	}
 	return sendsByBoth
 }
@@ -221,7 +223,7 @@
 	sendsByOne := (&takeoverHost{t: t}).run(false)
 	sendsByBoth := (&takeoverHost{t: t}).run(true)
 	if sendsByBoth > sendsByOne*5/4+2 {
-		t.Errorf("a warming endpoint got %d requests across a handover, %d without", sendsByBoth, sendsByOne)
+		t.Errorf("the warming endpoint got %d requests with a takeover, %d without", sendsByBoth, sendsByOne)
 	}
 }
 
@@ -235,7 +237,7 @@
 	next.Restore(now, 0, learned)
 	if e := next.endpointsByID[3]; e.breaker.requests != 0 || e.outliers[allTraffic].consecutiveFailures != 0 ||
 		!e.warmingUp(now, next) {
-		t.Errorf("%+v", e)
+		t.Errorf("the restarted endpoint kept learned state: %+v", e)
 	}
 }
 
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -52,7 +52,7 @@
 func TestModuleSize(t *testing.T) {
 	files := policyFiles(t)
 	if len(files) == 0 {
-		t.Error("no policy files")
+		t.Error("deploy/balancer.toml lists no policy files of this package")
 	}
 	for _, name := range files {
 		lines := 0
@@ -115,7 +115,7 @@
 	listedFiles := slices.Concat(policyFiles(t), nonDecisionFiles)
 	slices.Sort(listedFiles)
 	if !slices.Equal(files, listedFiles) {
-		t.Errorf("files %v, want those of deploy/balancer.toml and the record files: %v", files, listedFiles)
+		t.Errorf("files %v, want those of deploy/balancer.toml and nonDecisionFiles: %v", files, listedFiles)
 	}
 	doc := readSource(t, "doc.go")
 	for _, name := range files {
@@ -123,7 +123,7 @@
 			continue
 		}
 		if !strings.Contains(doc, name) {
-			t.Errorf("doc.go does not name %s", name)
+			t.Errorf("doc.go does not mention %s", name)
 		}
 	}
 }
@@ -137,7 +137,7 @@
 		require.NoError(t, err)
 		for _, importSpec := range f.Imports {
 			if !allowed[importSpec.Path.Value] {
-				t.Errorf("%s imports %s", name, importSpec.Path.Value)
+				t.Errorf("%s imports %s, which is not allowed", name, importSpec.Path.Value)
 			}
 		}
 	}
--- a/balancer/stall_test.go
+++ b/balancer/stall_test.go
@@ -37,13 +37,13 @@
 		now += length
 		b.HandleStall(now, length)
 		if got := b.predictLatency(now, e, workBefore.value); got > 10_000 {
-			t.Errorf("%d: %v us are predicted right after the stall", length, got)
+			t.Errorf("stall of %d us: %v us are predicted right after it", length, got)
 		}
 		b.HandleOutcome(now, Outcome{ID: 1, Endpoint: e.ID, Status: OK, Latency: length, Stalled: length,
 			Answered: true})
 		if b.latencyTrend != trendBefore || b.classes[0].meanWork != workBefore || e.serviceTimeRatio != ratioBefore ||
 			e.breaker.currentLatency != latencyBefore {
-			t.Errorf("%d: learned from the stall: trend %v, then %v; work %v, then %v; ratio %v, then %v", length,
+			t.Errorf("stall of %d us changed estimates: trend %v, then %v; work %v, then %v; ratio %v, then %v", length,
 				trendBefore, b.latencyTrend, workBefore, b.classes[0].meanWork, ratioBefore, e.serviceTimeRatio)
 		}
 		first := len(r.sends)
@@ -51,7 +51,7 @@
 			b.HandleRequest(now, newTestRequest(100+id, 0, now))
 		}
 		if sent := len(r.sends) - first; sent != 60 {
-			t.Errorf("%d: %d of 60 requests sent right after the stall", length, sent)
+			t.Errorf("stall of %d us: %d of 60 requests sent right after it", length, sent)
 		}
 	}
 }
--- a/balancer/warmup_test.go
+++ b/balancer/warmup_test.go
@@ -51,7 +51,7 @@
 		for _, n := range warmingSends {
 			// The capacity fraction grows from 0.2 to 0.28 in this second; 1 allows for rounding up.
 			if float64(n) > 0.28*meanWarmSends+1 {
-				t.Errorf("rate %d: a warming endpoint got %d, a warm one %.1f", c.rate, n, meanWarmSends)
+				t.Errorf("%d requests per second: a warming endpoint got %d, a warm one %.1f", c.rate, n, meanWarmSends)
 			}
 		}
 	}
@@ -69,7 +69,7 @@
 		}
 	}
 	if n := len(r.sends); n < 20 || n > 250 {
-		t.Errorf("%d of 400 sent to the only endpoint, which warms up", n)
+		t.Errorf("%d of 400 requests sent to the only endpoint, which warms up, want 20 to 250", n)
 	}
 }
 
@@ -110,11 +110,12 @@
 	for e, got := range workInWindow {
 		totalWork += got
 		if limit := s.Contract.CollapseMultiple * startCapacity * 2; got > limit {
-			t.Errorf("endpoint %d was sent %.1f s of work in 2 s, collapses from %.1f s on", e, got, limit)
+			t.Errorf("endpoint %d received %.1f s of work in 2 s, and collapses from %.1f s on", e, got, limit)
 		}
 	}
 	if usedRatio := totalWork / (warmingCount * startCapacity * 2); usedRatio < 0.5 {
-		t.Errorf("warming endpoints got %.0f%% of what they can do at least, want at least half", 100*usedRatio)
+		t.Errorf("warming endpoints received %.0f%% of the work of their start capacity, want at least half",
+			100*usedRatio)
 	}
 }
 
@@ -154,7 +155,7 @@
 			}
 		}
 		if len(r.sends) < 5 { // 0 if the served bucket also limited few balancers (servedBucketApplies)
-			t.Errorf("seed %d: %d of 200 sent in the first second", seed, len(r.sends))
+			t.Errorf("seed %d: %d of 200 requests sent in the first second, want at least 5", seed, len(r.sends))
 		}
 	}
 }
@@ -189,7 +190,7 @@
 	// With 40 ms of work per request the fleet needs 32 cores, 0.78 at each endpoint.
 	fairShare := balancers * ratePerBalancer * work / endpoints
 	if ratio := sentWork / fairShare; ratio < 0.05 || ratio > 0.5 {
-		t.Errorf("the warming endpoint was sent %.2f of a warm one's work in its first second, at 0.2 of its capacity",
+		t.Errorf("the warming endpoint received %.2f of a warm one's work in its first second, at 0.2 of its capacity",
 			ratio)
 	}
 }
@@ -225,14 +226,14 @@
 	b.UpdateEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
 	e := b.endpointsByID[9]
 	if got := e.currentServiceTimeRatio(1000, b); !approxEqual(got, 5) { // capacity fraction 0.2
-		t.Errorf("service time ratio %v just started", got)
+		t.Errorf("service time ratio %v at the start of the warm-up", got)
 	}
 	e.serviceTimeRatio = ewma{value: 2, samples: manySamples}
 	e.serviceTimeObservedAt = 6 * second
 	if got := e.currentServiceTimeRatio(6*second, b); got < 2.9 || got > 3 { // capacity fraction 0.68
-		t.Errorf("service time ratio %v half way", got)
+		t.Errorf("service time ratio %v half way through the warm-up", got)
 	}
 	if got := e.currentServiceTimeRatio(12*second, b); got > 2 {
-		t.Errorf("service time ratio %v once warm", got)
+		t.Errorf("service time ratio %v after the warm-up", got)
 	}
 }
