--- a/balancer/decisionhost_test.go
+++ b/balancer/decisionhost_test.go
@@ -274,13 +274,13 @@
 
 // endpointList returns the entries of all endpoints that are not gone.
 func (s *simulation) endpointList() []balancer.Endpoint {
-	var list []balancer.Endpoint
+	var entries []balancer.Endpoint
 	for _, e := range s.endpoints {
 		if e.State != balancer.Gone {
-			list = append(list, e.Endpoint)
+			entries = append(entries, e.Endpoint)
 		}
 	}
-	return list
+	return entries
 }
 
 // updateEndpoints records an endpoint list and passes it to the balancer.
--- a/balancer/decisions_test.go
+++ b/balancer/decisions_test.go
@@ -97,7 +97,7 @@
 
 // changeEndpoints applies a function to the endpoints with the given indexes, and passes a delta with the list entries
 // that have changed to the balancer.
-func (s *simulation) apply(apply func(e *simEndpoint), indexes ...int) {
+func (s *simulation) changeEndpoints(apply func(e *simEndpoint), indexes ...int) {
 	var entries []balancer.Endpoint
 	for _, index := range indexes {
 		e := s.endpoints[index%len(s.endpoints)]
@@ -135,16 +135,16 @@
 func (s *simulation) runFaults() {
 	rate := s.options.requestRate
 	s.runPhase(1500*millisecond, rate)
-	s.apply(func(e *simEndpoint) { e.failing = true }, 0)
-	s.apply(func(e *simEndpoint) { e.serviceTimeFactor = 6 }, 1)
+	s.changeEndpoints(func(e *simEndpoint) { e.failing = true }, 0)
+	s.changeEndpoints(func(e *simEndpoint) { e.serviceTimeFactor = 6 }, 1)
 	s.runPhase(2*second, rate)
-	s.apply(func(e *simEndpoint) { e.failing, e.serviceTimeFactor = false, 1 }, 0, 1)
-	s.apply(func(e *simEndpoint) { e.unresponsive = true }, 2)
-	s.apply(func(e *simEndpoint) { e.invalidReports = true }, 3)
+	s.changeEndpoints(func(e *simEndpoint) { e.failing, e.serviceTimeFactor = false, 1 }, 0, 1)
+	s.changeEndpoints(func(e *simEndpoint) { e.unresponsive = true }, 2)
+	s.changeEndpoints(func(e *simEndpoint) { e.invalidReports = true }, 3)
 	s.runPhase(2*second, rate)
-	s.apply(func(e *simEndpoint) { e.unresponsive = false }, 2)
-	s.apply(func(e *simEndpoint) { e.rejecting = true }, 4, 5)
-	s.apply(func(e *simEndpoint) { e.unreachable = true }, 0)
+	s.changeEndpoints(func(e *simEndpoint) { e.unresponsive = false }, 2)
+	s.changeEndpoints(func(e *simEndpoint) { e.rejecting = true }, 4, 5)
+	s.changeEndpoints(func(e *simEndpoint) { e.unreachable = true }, 0)
 }
 
 // runOverload plays a phase of overload without an overload policy, another one with a policy, and a quiet phase.
@@ -152,7 +152,8 @@
 	rate := s.options.requestRate
 	s.setOperatorOverrides(true)
 	s.runPhase(1500*millisecond, 4*rate)
-	s.apply(func(e *simEndpoint) { e.rejecting, e.unreachable, e.invalidReports = false, false, false }, 0, 3, 4, 5)
+	s.changeEndpoints(
+		func(e *simEndpoint) { e.rejecting, e.unreachable, e.invalidReports = false, false, false }, 0, 3, 4, 5)
 	s.setOperatorOverrides(false)
 	s.setOverloadPolicy()
 	s.runPhase(1500*millisecond, 4*rate)
@@ -163,13 +164,13 @@
 // runListChanges plays phases in which endpoints drain, disappear, restart, move to another zone and are added.
 func (s *simulation) runListChanges() {
 	rate := s.options.requestRate
-	s.apply(func(e *simEndpoint) { e.State = balancer.Draining }, 1, 2)
+	s.changeEndpoints(func(e *simEndpoint) { e.State = balancer.Draining }, 1, 2)
 	s.runPhase(second, rate)
-	s.apply(func(e *simEndpoint) { e.State = balancer.Gone }, 1)
-	s.apply(s.restartEndpoint, 2, 3)
+	s.changeEndpoints(func(e *simEndpoint) { e.State = balancer.Gone }, 1)
+	s.changeEndpoints(s.restartEndpoint, 2, 3)
 	s.runPhase(3*second, rate)
 	s.updateEndpoints(balancer.ListFailed, nil)
-	s.apply(func(e *simEndpoint) { e.Zone++ }, 4)
+	s.changeEndpoints(func(e *simEndpoint) { e.Zone++ }, 4)
 	added := &simEndpoint{Endpoint: balancer.Endpoint{ID: 900, Zone: 1, Cell: 1, Share: 1}, serviceTimeFactor: 1}
 	s.endpoints = append(s.endpoints, added)
 	s.updateEndpoints(balancer.ListFull, s.endpointList())
@@ -180,7 +181,7 @@
 // the endpoints warm up.
 func (s *simulation) runMassRestart() {
 	rate := s.options.requestRate
-	s.apply(s.restartEndpoint, 0, 1, 2, 3, 4, 5, 6, 7)
+	s.changeEndpoints(s.restartEndpoint, 0, 1, 2, 3, 4, 5, 6, 7)
 	s.runPhase(second, 2*rate)
 	s.takeOver()
 	s.runPhase(3*second, 2*rate)
@@ -189,9 +190,9 @@
 // runOutage plays a phase in which most endpoints fail and later one in which the endpoint list is empty.
 func (s *simulation) runOutage() {
 	rate := s.options.requestRate
-	s.apply(func(e *simEndpoint) { e.failing = true }, 0, 1, 2, 3, 4, 5, 6, 7)
+	s.changeEndpoints(func(e *simEndpoint) { e.failing = true }, 0, 1, 2, 3, 4, 5, 6, 7)
 	s.runPhase(1500*millisecond, rate)
-	s.apply(func(e *simEndpoint) { e.failing = false }, 0, 1, 2, 3, 4, 5, 6, 7)
+	s.changeEndpoints(func(e *simEndpoint) { e.failing = false }, 0, 1, 2, 3, 4, 5, 6, 7)
 	s.runPhase(12*second, rate/2)
 	s.updateEndpoints(balancer.ListFull, nil)
 	s.runPhase(200*millisecond, rate)
@@ -400,10 +401,10 @@
 	d.changeSettings(&s.settings)
 	for i := range d.options.endpoints {
 		e := balancer.Endpoint{ID: uint32(i + 1), Zone: uint8(i % 3), Cell: uint16(i % 4), Share: 1}
-		slowness := 0.8 + 0.4*s.random.Float64()
-		background := 2 * s.random.Float64()
-		s.endpoints = append(s.endpoints, &simEndpoint{Endpoint: e, serviceTimeFactor: slowness,
-			backgroundRequests: background})
+		serviceTimeFactor := 0.8 + 0.4*s.random.Float64()
+		backgroundRequests := 2 * s.random.Float64()
+		s.endpoints = append(s.endpoints, &simEndpoint{Endpoint: e, serviceTimeFactor: serviceTimeFactor,
+			backgroundRequests: backgroundRequests})
 	}
 	s.startBalancer(seed)
 	s.runScript()
--- a/balancer/firstanswers_test.go
+++ b/balancer/firstanswers_test.go
@@ -17,16 +17,17 @@
 	return b, r
 }
 
-// respondToAll ends all attempts from index first on successfully after the given latency, including attempts that
+// respondToAll ends all attempts from index firstSend on successfully after the given latency, including attempts that
 // follow from these responses. It returns the instant of the last response.
-func respondToAll(b *Balancer, r *recorder, now monotime.Micros, first int, latency monotime.Micros) monotime.Micros {
-	for first < len(r.sends) {
-		last := len(r.sends)
+func respondToAll(b *Balancer, r *recorder, now monotime.Micros, firstSend int,
+	latency monotime.Micros) monotime.Micros {
+	for firstSend < len(r.sends) {
+		sendCount := len(r.sends)
 		now += latency
-		for _, s := range r.sends[first:last] {
+		for _, s := range r.sends[firstSend:sendCount] {
 			succeed(b, now, s.id, s.endpoint, latency)
 		}
-		first = last
+		firstSend = sendCount
 	}
 	return now
 }
@@ -58,13 +59,13 @@
 	now := second
 	var delays []monotime.Micros
 	for id := range uint64(60) {
-		first := len(r.timerTokens)
+		timersBefore := len(r.timerTokens)
 		b.HandleRequest(now, newTestRequest(id, 0, now))
-		if in := b.requests[id]; in != nil && in.waiting {
+		if request := b.requests[id]; request != nil && request.waiting {
 			delays = append(delays, r.timerDelays[len(r.timerDelays)-1])
-			if len(r.timerTokens) != first+1 || r.timerTokens[first] != in.timerToken {
+			if len(r.timerTokens) != timersBefore+1 || r.timerTokens[timersBefore] != request.timerToken {
 				t.Fatalf("request %d waits with the timer tokens %v, want one timer of its own",
-					id, r.timerTokens[first:])
+					id, r.timerTokens[timersBefore:])
 			}
 		}
 	}
@@ -78,8 +79,8 @@
 	}
 	now += 40_000
 	waiting := append([]*request(nil), b.classes[0].waiting...)
-	for _, in := range waiting {
-		b.HandleTimer(now, in.timerToken)
+	for _, request := range waiting {
+		b.HandleTimer(now, request.timerToken)
 	}
 	if len(r.rejected) != len(delays) || len(b.classes[0].waiting) != 0 {
 		t.Errorf("%d requests rejected of %d that waited; %d still wait", len(r.rejected), len(delays),
@@ -96,14 +97,14 @@
 	for ; len(b.classes[0].waiting) == 0 && id < 100; id++ {
 		b.HandleRequest(now, newTestRequest(id, 0, now))
 	}
-	gone := b.classes[0].waiting[0]
-	b.HandleClientGone(now, gone.ID)
-	sends := len(r.sends)
+	abandoned := b.classes[0].waiting[0]
+	b.HandleClientGone(now, abandoned.ID)
+	sendsBefore := len(r.sends)
 	respondToAll(b, r, now, 0, 3_000)
-	b.HandleTimer(now+40_000, gone.timerToken)
-	if len(r.sends) != sends || len(b.requests) != 0 || len(b.classes[0].waiting) != 0 {
+	b.HandleTimer(now+40_000, abandoned.timerToken)
+	if len(r.sends) != sendsBefore || len(b.requests) != 0 || len(b.classes[0].waiting) != 0 {
 		t.Errorf("after the client disconnected: %d attempts sent, %d requests open, %d waiting",
-			len(r.sends)-sends, len(b.requests),
+			len(r.sends)-sendsBefore, len(b.requests),
 			len(b.classes[0].waiting))
 	}
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -61,10 +61,10 @@
 	endpoints := readyEndpoints(initial + replaced)
 	removed := map[uint32]bool{}
 	perChange := (replaced + changes - 1) / changes
-	for from := 0; from < replaced; from += perChange {
+	for firstReplaced := 0; firstReplaced < replaced; firstReplaced += perChange {
 		now += 10_000
 		var delta []Endpoint
-		for i := from; i < min(from+perChange, replaced); i++ {
+		for i := firstReplaced; i < min(firstReplaced+perChange, replaced); i++ {
 			oldEndpoint, newEndpoint := endpoints[i], endpoints[initial+i]
 			oldEndpoint.State = Gone
 			newEndpoint.StartTime = now
@@ -98,16 +98,16 @@
 
 // requireNoSendsTo passes forty requests to the balancer, all of which succeed, and requires that none is sent to an
 // endpoint that is gone.
-func requireNoSendsTo(t *testing.T, b *Balancer, r *recorder, now monotime.Micros, gone map[uint32]bool) {
+func requireNoSendsTo(t *testing.T, b *Balancer, r *recorder, now monotime.Micros, goneIDs map[uint32]bool) {
 	t.Helper()
 	for i := range uint64(40) {
-		sends := len(r.sends)
+		sendsBefore := len(r.sends)
 		b.HandleRequest(now, newTestRequest(1000*uint64(now)+i, 0, now))
-		if len(r.sends) == sends {
+		if len(r.sends) == sendsBefore {
 			continue
 		}
-		s := r.sends[sends]
-		if gone[s.endpoint] {
+		s := r.sends[sendsBefore]
+		if goneIDs[s.endpoint] {
 			t.Errorf("a request went to endpoint %d, which is gone", s.endpoint)
 		}
 		succeed(b, now, s.id, s.endpoint, 20_000)
@@ -160,11 +160,11 @@
 		s.Balancers = 80
 		s.Prices.Probe = probeBudget * calmProbeShare / 0.05
 		b, r := startBalancer(t, s, readyEndpoints(24))
-		list := readyEndpoints(60)
+		endpoints := readyEndpoints(60)
 		for i := 24; i < 60; i++ {
-			list[i].StartTime = second
+			endpoints[i].StartTime = second
 		}
-		b.UpdateEndpoints(second, ListFull, list)
+		b.UpdateEndpoints(second, ListFull, endpoints)
 		served, total, failed := 0, 0, 0 // numbers of requests; those of failed had at least one failed attempt
 		for now := second; now < 31*second; now += monotime.Micros(float64(second) / c.rate) {
 			total++
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -67,30 +67,30 @@
 
 // TestStoredFormOfLearnedStateIsUnchanged cannot detect a change of a field that has no value in filledLearnedState.
 func TestGoldenLearnedStateFillsEachField(t *testing.T) {
-	var requireFilled func(path string, v reflect.Value)
-	requireFilled = func(path string, v reflect.Value) {
-		switch v.Kind() {
+	var requireFilled func(path string, value reflect.Value)
+	requireFilled = func(path string, value reflect.Value) {
+		switch value.Kind() {
 		case reflect.Struct:
-			for i := range v.NumField() {
-				requireFilled(path+"."+v.Type().Field(i).Name, v.Field(i))
+			for i := range value.NumField() {
+				requireFilled(path+"."+value.Type().Field(i).Name, value.Field(i))
 			}
 		case reflect.Slice:
-			if v.Len() == 0 {
+			if value.Len() == 0 {
 				t.Errorf("%s is empty", path)
 				return
 			}
-			requireFilled(path+"[0]", v.Index(0))
+			requireFilled(path+"[0]", value.Index(0))
 		default:
-			if v.IsZero() {
+			if value.IsZero() {
 				t.Errorf("%s has no value", path)
 			}
 		}
 	}
-	l := filledLearnedState()
+	learned := filledLearnedState()
 	// filledLearnedState spreads the fields of an outlier over four elements; the check looks at the first one only.
-	l.Endpoints[0].PartOutliers[0] = LearnedOutlier{ConsecutiveFailures: 1, EjectedFor: 2, EjectionTime: 3,
+	learned.Endpoints[0].PartOutliers[0] = LearnedOutlier{ConsecutiveFailures: 1, EjectedFor: 2, EjectionTime: 3,
 		TrialPending: true}
-	requireFilled("Learned", reflect.ValueOf(*l))
+	requireFilled("Learned", reflect.ValueOf(*learned))
 }
 
 // readTestdata returns the text of a file in testdata.
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -105,11 +105,11 @@
 // readyEndpoints returns n ready endpoints with the IDs 1 to n. Endpoints 1 and 2 share a zone and a cell, as do 3 and
 // 4, and so on.
 func readyEndpoints(n int) []Endpoint {
-	list := make([]Endpoint, n)
-	for i := range list {
-		list[i] = Endpoint{ID: uint32(i + 1), Zone: uint8(i / 2), Cell: uint16(i / 2), Share: 1}
+	endpoints := make([]Endpoint, n)
+	for i := range endpoints {
+		endpoints[i] = Endpoint{ID: uint32(i + 1), Zone: uint8(i / 2), Cell: uint16(i / 2), Share: 1}
 	}
-	return list
+	return endpoints
 }
 
 // newBalancer returns a balancer that is not started.
@@ -122,17 +122,17 @@
 }
 
 // startBalancer returns a balancer with a fixed seed that was started at instant 0 with a cached endpoint list.
-func startBalancer(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
+func startBalancer(t *testing.T, s Settings, endpoints []Endpoint) (*Balancer, *recorder) {
 	t.Helper()
-	return startBalancerWithSeed(t, s, list, 7)
+	return startBalancerWithSeed(t, s, endpoints, 7)
 }
 
 // startBalancerWithSeed returns a balancer that was started at instant 0 with a cached endpoint list.
-func startBalancerWithSeed(t *testing.T, s Settings, list []Endpoint, seed uint64) (*Balancer, *recorder) {
+func startBalancerWithSeed(t *testing.T, s Settings, endpoints []Endpoint, seed uint64) (*Balancer, *recorder) {
 	t.Helper()
 	b, r := newBalancer(t, s, seed)
 	b.Start(0)
-	b.UpdateEndpoints(0, ListCached, list)
+	b.UpdateEndpoints(0, ListCached, endpoints)
 	return b, r
 }
 
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -35,9 +35,9 @@
 	t.Helper()
 	admitted := 0
 	for id := range uint64(2000) {
-		in := newTestRequest(id, 0, 0)
-		retryAfter, rejected := b.ShouldReject(in)
-		if _, rejectedAgain := b.ShouldReject(in); rejectedAgain != rejected {
+		request := newTestRequest(id, 0, 0)
+		retryAfter, rejected := b.ShouldReject(request)
+		if _, rejectedAgain := b.ShouldReject(request); rejectedAgain != rejected {
 			t.Fatalf("request %d: rejected %v, and %v at the second call", id, rejected, rejectedAgain)
 		}
 		if !rejected {
@@ -51,9 +51,9 @@
 
 // requireRejected requires that a request is rejected if want is true, and admitted otherwise. name describes the
 // request.
-func requireRejected(t *testing.T, b *Balancer, in Request, want bool, name string) {
+func requireRejected(t *testing.T, b *Balancer, request Request, want bool, name string) {
 	t.Helper()
-	if _, rejected := b.ShouldReject(in); rejected != want {
+	if _, rejected := b.ShouldReject(request); rejected != want {
 		t.Errorf("%s: rejected %v, want %v", name, rejected, want)
 	}
 }
@@ -67,12 +67,12 @@
 		t.Errorf("%d of 2000 requests admitted, want about 600", n)
 	}
 	// Balancers that start together must not reject requests with the same IDs.
-	other, _ := newBalancer(t, b.settings, 99)
-	other.SetOverloadPolicy(policy)
+	otherBalancer, _ := newBalancer(t, b.settings, 99)
+	otherBalancer.SetOverloadPolicy(policy)
 	sameDecisions := 0
 	for id := range uint64(2000) {
 		_, rejected := b.ShouldReject(newTestRequest(id, 0, 0))
-		_, rejectedByOther := other.ShouldReject(newTestRequest(id, 0, 0))
+		_, rejectedByOther := otherBalancer.ShouldReject(newTestRequest(id, 0, 0))
 		sameDecisions += int(indicator(rejected == rejectedByOther))
 	}
 	if sameDecisions < 1050 || sameDecisions > 1270 { // independent decisions agree with a probability of 0.58
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -95,22 +95,22 @@
 	for id := range uint64(3) {
 		b.HandleRequest(1000, newTestRequest(id, 0, 1000))
 	}
-	busy := b.endpointsByID[r.sends[0].endpoint]
+	busyEndpoint := b.endpointsByID[r.sends[0].endpoint]
 	for i := range monotime.Micros(40) {
-		busy.probing = false
-		b.sendProbe(12_000+i, busy)
-		reportLoad(b, 13_000+i, busy.ID, 0)
+		busyEndpoint.probing = false
+		b.sendProbe(12_000+i, busyEndpoint)
+		reportLoad(b, 13_000+i, busyEndpoint.ID, 0)
 	}
 	if !b.reportsLate {
 		t.Fatal("late reports are not detected")
 	}
-	if got := b.predictLoad(15_000, busy); got < float64(busy.inflight) {
-		t.Errorf("predicted load %v is below the balancer's own %d requests in flight", got, busy.inflight)
+	if got := b.predictLoad(15_000, busyEndpoint); got < float64(busyEndpoint.inflight) {
+		t.Errorf("predicted load %v is below the balancer's own %d requests in flight", got, busyEndpoint.inflight)
 	}
 	for i := range monotime.Micros(400) {
-		busy.probing = false
-		b.sendProbe(14_000+i, busy)
-		reportLoad(b, 15_000+i, busy.ID, 5)
+		busyEndpoint.probing = false
+		b.sendProbe(14_000+i, busyEndpoint)
+		reportLoad(b, 15_000+i, busyEndpoint.ID, 5)
 	}
 	if b.reportsLate {
 		t.Error("reports still count as late")
@@ -138,13 +138,13 @@
 // Without load reports only responses show that congestion has ended. If a balancer with 100 requests per second relied
 // on one forced admission per second for them, it would reject requests for minutes although all endpoints are idle.
 func TestRejectionEndsSoonAfterCongestion(t *testing.T) {
-	for name, change := range map[string]func(*Settings){
+	for name, changeSettings := range map[string]func(*Settings){
 		"no probes":  func(s *Settings) { s.Limits.Probes = false },
 		"no reports": func(s *Settings) { s.LoadMetrics = nil },
 	} {
 		s := testSettings()
 		s.Limits.Cancel = false
-		change(&s)
+		changeSettings(&s)
 		during, after := rejectedAroundCongestion(t, s)
 		if during < 100 {
 			t.Errorf("%s: %d requests rejected in 5 s of congestion, too few for this test", name, during)
@@ -174,10 +174,10 @@
 			pending = pending[1:]
 		}
 		id++
-		sends := len(r.sends)
-		rejected := len(r.rejected)
+		sendsBefore := len(r.sends)
+		rejectedBefore := len(r.rejected)
 		b.HandleRequest(now, newTestRequest(id, 0, now))
-		if len(r.sends) > sends {
+		if len(r.sends) > sendsBefore {
 			latency := monotime.Micros(50_000)
 			if now > 5*second && now < 10*second {
 				latency = 900_000
@@ -186,9 +186,9 @@
 			slices.SortFunc(pending, func(x, y response) int { return cmp.Compare(x.at, y.at) })
 		}
 		if now < 10*second {
-			during += len(r.rejected) - rejected
+			during += len(r.rejected) - rejectedBefore
 		} else if now >= 15*second {
-			after += len(r.rejected) - rejected
+			after += len(r.rejected) - rejectedBefore
 		}
 	}
 	return during, after
@@ -203,23 +203,23 @@
 		for e := range uint32(3) {
 			reportLoad(b, now, e+1, 0)
 		}
-		first := len(r.sends)
+		firstSend := len(r.sends)
 		b.HandleRequest(now, newTestRequest(id+1, 0, now))
-		for i := first; i < len(r.sends); i++ {
+		for i := firstSend; i < len(r.sends); i++ {
 			status := OK
 			if r.sends[i].endpoint == 1 {
 				status = Error
 			}
-			b.HandleOutcome(now, Outcome{ID: id + 1, Attempt: i - first, Endpoint: r.sends[i].endpoint, Status: status,
-				Latency: 30_000 + monotime.Micros((id+1)*7919%60_000), Answered: status == OK})
+			b.HandleOutcome(now, Outcome{ID: id + 1, Attempt: i - firstSend, Endpoint: r.sends[i].endpoint,
+				Status: status, Latency: 30_000 + monotime.Micros((id+1)*7919%60_000), Answered: status == OK})
 		}
 	}
-	sends := r.sendsByEndpoint()[1]
-	if sends > 300 {
-		t.Errorf("an endpoint that fails fast got %d attempts for 3000 requests, want at most 300", sends)
+	failingSends := r.sendsByEndpoint()[1]
+	if failingSends > 300 {
+		t.Errorf("an endpoint that fails fast got %d attempts for 3000 requests, want at most 300", failingSends)
 	}
-	if sends < 2 {
-		t.Errorf("an ejected endpoint gets no trial: %d attempts", sends)
+	if failingSends < 2 {
+		t.Errorf("an ejected endpoint gets no trial: %d attempts", failingSends)
 	}
 }
 
@@ -367,25 +367,25 @@
 // endpoints would not get requests with a large hint.
 func TestHintTrustIsLearned(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		latency  func(hint monotime.Micros) monotime.Micros
-		from, to float64
+		name               string
+		latency            func(hint monotime.Micros) monotime.Micros
+		minTrust, maxTrust float64
 	}{
 		{"useless hints", func(monotime.Micros) monotime.Micros { return 20_000 }, 0, 0.15},
 		{"exact hints", func(hint monotime.Micros) monotime.Micros { return hint }, 0.85, 1},
 	} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(4))
-		hints := randomSource(3)
+		hintSource := randomSource(3)
 		for i := range 4000 {
 			now := 10_000 * monotime.Micros(i)
-			hint := 5_000 + hints.durationBelow(60_000)
+			hint := 5_000 + hintSource.durationBelow(60_000)
 			b.HandleRequest(now, Request{ID: uint64(i), Deadline: now + second, WorkHint: hint, HasWorkHint: true})
 			if n := len(r.sends); n > 0 && r.sends[n-1].id == uint64(i) {
 				succeed(b, now, uint64(i), r.sends[n-1].endpoint, c.latency(hint))
 			}
 		}
-		if b.hintTrust < c.from || b.hintTrust > c.to {
-			t.Errorf("%s: hint trust %.2f, want %.2f to %.2f", c.name, b.hintTrust, c.from, c.to)
+		if b.hintTrust < c.minTrust || b.hintTrust > c.maxTrust {
+			t.Errorf("%s: hint trust %.2f, want %.2f to %.2f", c.name, b.hintTrust, c.minTrust, c.maxTrust)
 		}
 	}
 }
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -41,12 +41,12 @@
 func (p *pollingBalancer) requireServes(t *testing.T, now monotime.Micros) {
 	t.Helper()
 	id := uint64(now) + 1
-	sends := len(p.recorder.sends)
+	sendsBefore := len(p.recorder.sends)
 	p.balancer.HandleRequest(now, Request{ID: id, Deadline: now + second})
-	if len(p.recorder.sends) != sends+1 {
+	if len(p.recorder.sends) != sendsBefore+1 {
 		t.Fatalf("at %d ms a request was not sent to an endpoint of the cached list", now/1000)
 	}
-	succeed(p.balancer, now, id, p.recorder.sends[sends].endpoint, 30_000)
+	succeed(p.balancer, now, id, p.recorder.sends[sendsBefore].endpoint, 30_000)
 }
 
 // startPollingFleet starts s.Balancers balancers at random instants within 100 ms, each with a cached list.
@@ -130,9 +130,9 @@
 		t.Errorf("%d of %d balancers received a list within a minute, with %d calls",
 			discovery.notified, balancers, calls)
 	}
-	for at, n := range callsBySecond {
+	for callSecond, n := range callsBySecond {
 		if n > balancers/2 {
-			t.Errorf("%d calls in second %d, want them spread out", n, at)
+			t.Errorf("%d calls in second %d, want them spread out", n, callSecond)
 		}
 	}
 	if calls > 6*balancers {
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -139,10 +139,10 @@
 	b, _ := startBalancer(t, s, readyEndpoints(2))
 	b.meanWork = ewma{value: 200_000, samples: manySamples}
 	delays := map[float32]float64{}
-	for _, ms := range []float32{200, 50} {
+	for _, serviceTimeMillis := range []float32{200, 50} {
 		b.serviceTime = ewma{}
-		b.HandleProbe(second, 1, OK, 500, []float32{ms, 7})
-		delays[ms] = b.queueDelayFactor(second, b.endpointsByID[1])
+		b.HandleProbe(second, 1, OK, 500, []float32{serviceTimeMillis, 7})
+		delays[serviceTimeMillis] = b.queueDelayFactor(second, b.endpointsByID[1])
 	}
 	if delays[200] < 3.9 || delays[50] > 1.5 {
 		t.Errorf("queue delay factor at 7 requests: %.2f if a request uses a core all the time, %.2f if for a quarter",
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -9,20 +9,20 @@
 // failAllAttempts ends each attempt of a request with an error until no retry follows, and returns the number of
 // attempts. The first attempt of the request must be the latest one that was sent.
 func failAllAttempts(b *Balancer, r *recorder, now monotime.Micros, id uint64) int {
-	first := len(r.sends) - 1
-	for i := first; i < len(r.sends); i++ {
-		failAttempt(b, now, id, i-first, r.sends[i].endpoint)
+	firstSend := len(r.sends) - 1
+	for i := firstSend; i < len(r.sends); i++ {
+		failAttempt(b, now, id, i-firstSend, r.sends[i].endpoint)
 	}
-	return len(r.sends) - first
+	return len(r.sends) - firstSend
 }
 
 // The attempt limit of a request counts if it is lower than that of the settings.
 func TestMaxAttemptsOfRequest(t *testing.T) {
 	for maxAttempts, want := range map[int]int{0: 3, 1: 1, 2: 2, 9: 3} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(8))
-		in := newTestRequest(1, 0, 0)
-		in.MaxAttempts = maxAttempts
-		b.HandleRequest(0, in)
+		request := newTestRequest(1, 0, 0)
+		request.MaxAttempts = maxAttempts
+		b.HandleRequest(0, request)
 		if got := failAllAttempts(b, r, 1000, 1); got != want {
 			t.Errorf("%d attempts of a request with a limit of %d, want %d", got, maxAttempts, want)
 		}
@@ -82,8 +82,8 @@
 	b, r := startBalancer(t, s, readyEndpoints(200))
 	var retries []monotime.Micros
 	id := uint64(0)
-	for _, from := range []monotime.Micros{0, 60 * second} {
-		for now := from; now < from+5*second; now += monotime.Micros(float64(second) / requestRate) {
+	for _, startAt := range []monotime.Micros{0, 60 * second} {
+		for now := startAt; now < startAt+5*second; now += monotime.Micros(float64(second) / requestRate) {
 			id++
 			b.HandleRequest(now, newTestRequest(id, 0, now))
 			for range failAllAttempts(b, r, now, id) - 1 {
@@ -97,12 +97,12 @@
 // maxInOneSecond returns the largest number of instants within any one second. The instants are in ascending order.
 func maxInOneSecond(instants []monotime.Micros) int {
 	maxCount := 0
-	from := 0
+	windowStart := 0
 	for i, at := range instants {
-		for instants[from] <= at-second {
-			from++
+		for instants[windowStart] <= at-second {
+			windowStart++
 		}
-		maxCount = max(maxCount, i-from+1)
+		maxCount = max(maxCount, i-windowStart+1)
 	}
 	return maxCount
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -19,15 +19,15 @@
 			b.HandleRequest(1000, newTestRequest(1, class, 1000))
 			attempt := b.requests[1].attempts[0]
 			b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: attempt.endpoint.ID, Status: status, Latency: 1000})
-			sends := len(r.sends)
+			sendCount := len(r.sends)
 			switch classSettings := s.Classes[class]; {
 			case classSettings.Idempotency == NonIdempotent && !neverRan[status]:
-				if sends != 1 || len(r.failed) != 1 {
+				if sendCount != 1 || len(r.failed) != 1 {
 					t.Errorf("class is not idempotent, status %d: %d attempts, %d failed requests, want 1 and 1",
-						status, sends, len(r.failed))
+						status, sendCount, len(r.failed))
 				}
-			case sends != 2:
-				t.Errorf("class %d, status %d: %d attempts, want 2", class, status, sends)
+			case sendCount != 2:
+				t.Errorf("class %d, status %d: %d attempts, want 2", class, status, sendCount)
 			case classSettings.Idempotency == IdempotentByKey && classSettings.DedupScope != DedupAll &&
 				!neverRan[status]:
 				if (r.sends[0].endpoint-1)/2 != (r.sends[1].endpoint-1)/2 {
@@ -44,8 +44,8 @@
 	s.Limits.Hedging = false
 	b, r := startBalancer(t, s, readyEndpoints(2))
 	b.HandleRequest(1000, newTestRequest(1, 3, 1000))
-	first := r.sends[0].endpoint
-	b.HandleOutcome(1000+s.Classes[3].DedupWindow, Outcome{ID: 1, Endpoint: first, Status: Reset})
+	firstEndpoint := r.sends[0].endpoint
+	b.HandleOutcome(1000+s.Classes[3].DedupWindow, Outcome{ID: 1, Endpoint: firstEndpoint, Status: Reset})
 	if len(r.sends) != 1 || len(r.failed) != 1 || len(r.rejected) != 0 {
 		t.Errorf("after the deduplication window: attempts %v, failed %v, rejected %v", r.sends, r.failed, r.rejected)
 	}
@@ -127,7 +127,7 @@
 		}
 		return r
 	}
-	if a, b := fmt.Sprint(run()), fmt.Sprint(run()); a != b {
+	if firstRun, secondRun := fmt.Sprint(run()), fmt.Sprint(run()); firstRun != secondRun {
 		t.Error("two runs with the same events and seed differ")
 	}
 }
--- a/balancer/simfleet_test.go
+++ b/balancer/simfleet_test.go
@@ -60,8 +60,8 @@
 		b, r := startBalancer(t, s, nil)
 		b.random = randomSource(i)
 		b.meanWork = ewma{float64(workPerRequest), manySamples}
-		for k := range b.classes {
-			b.classes[k].meanWork = b.meanWork
+		for classIndex := range b.classes {
+			b.classes[classIndex].meanWork = b.meanWork
 		}
 		f.balancers = append(f.balancers, b)
 		f.recorders = append(f.recorders, r)
@@ -182,8 +182,8 @@
 	}{{0, 1}, {300_000, 4}, {800_000, 12}, {1_500_000, 30}, {end, 0}}
 	for i, step := range steps[:len(steps)-1] {
 		endpoints := readyEndpoints(step.endpoints)
-		for k := range endpoints {
-			endpoints[k].StartTime = 1
+		for index := range endpoints {
+			endpoints[index].StartTime = 1
 		}
 		for _, b := range f.balancers {
 			b.UpdateEndpoints(step.at+1, ListFull, endpoints)
@@ -205,13 +205,13 @@
 // a tolerance of a tenth.
 func (f *simFleet) requireNoCollapse(t *testing.T, c *Contract) {
 	t.Helper()
-	for e, sends := range f.sendTimes {
-		from := 0
-		for i, at := range sends {
-			for sends[from] < at-c.CollapseAfter {
-				from++
+	for e, times := range f.sendTimes {
+		windowStart := 0
+		for i, at := range times {
+			for times[windowStart] < at-c.CollapseAfter {
+				windowStart++
 			}
-			workInWindow := float64(i-from+1) * float64(f.workPerRequest)
+			workInWindow := float64(i-windowStart+1) * float64(f.workPerRequest)
 			limit := c.CollapseMultiple * f.capacity(e, at) * float64(c.CollapseAfter) * 1.1
 			if workInWindow > limit {
 				t.Fatalf("endpoint %d received %.1f s of work in the 2 s before %d ms, and collapses from %.1f s on", e,
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -25,15 +25,15 @@
 			restarted.StartTime = now
 			b.UpdateEndpoints(now, ListDelta, []Endpoint{*restarted})
 		}
-		first := len(r.sends)
+		firstSend := len(r.sends)
 		b.HandleRequest(now, Request{ID: id, Class: uint8(id % 5), Tenant: uint16(id % 2), Deadline: now + second})
-		for sendIndex := first; sendIndex < len(r.sends); sendIndex++ {
+		for sendIndex := firstSend; sendIndex < len(r.sends); sendIndex++ {
 			e := r.sends[sendIndex].endpoint
 			status, latency := OK, monotime.Micros(1000*e)+rng.Int64N(3000)
 			if e == 2 && id%5 == 0 || e == 3 {
 				status = Error
 			}
-			b.HandleOutcome(now+latency, Outcome{ID: id, Attempt: sendIndex - first, Endpoint: e, Status: status,
+			b.HandleOutcome(now+latency, Outcome{ID: id, Attempt: sendIndex - firstSend, Endpoint: e, Status: status,
 				Latency: latency, Answered: true})
 		}
 		if id%50 == 0 {
@@ -53,50 +53,50 @@
 // the clocks of the two have different origins.
 func TestLearnedStateIsRestored(t *testing.T) {
 	s := withTenants(testSettings())
-	old, now := trainedBalancer(t, s, readyEndpoints(6))
-	text, err := json.Marshal(old.LearnedState(now))
+	predecessor, now := trainedBalancer(t, s, readyEndpoints(6))
+	text, err := json.Marshal(predecessor.LearnedState(now))
 	require.NoError(t, err)
 	var learned LearnedState
 	require.NoError(t, json.Unmarshal(text, &learned))
-	list := readyEndpoints(6)
-	list[5].StartTime = old.endpointsByID[6].StartTime
-	const shift = 1_000 * second
-	next, _ := newBalancer(t, s, 8)
-	for i := range list {
-		if list[i].StartTime != 0 {
-			list[i].StartTime += shift
-			learned.Endpoints[i].StartTime += shift // list and learned state use the clock of the same host
+	endpoints := readyEndpoints(6)
+	endpoints[5].StartTime = predecessor.endpointsByID[6].StartTime
+	const clockOffset = 1_000 * second
+	successor, _ := newBalancer(t, s, 8)
+	for i := range endpoints {
+		if endpoints[i].StartTime != 0 {
+			endpoints[i].StartTime += clockOffset
+			learned.Endpoints[i].StartTime += clockOffset // list and learned state use the clock of the same host
 		}
 	}
-	next.Start(now + shift)
-	next.UpdateEndpoints(now+shift, ListCached, list)
-	next.Restore(now+shift, 0, &learned)
+	successor.Start(now + clockOffset)
+	successor.UpdateEndpoints(now+clockOffset, ListCached, endpoints)
+	successor.Restore(now+clockOffset, 0, &learned)
 	ejected := 0
-	for id, oldEndpoint := range old.endpointsByID {
-		newEndpoint := next.endpointsByID[id]
-		requireSamePredictions(t, old, oldEndpoint, now, next, newEndpoint, now+shift)
-		requireSameBreaker(t, oldEndpoint, now, newEndpoint, now+shift)
+	for id, oldEndpoint := range predecessor.endpointsByID {
+		newEndpoint := successor.endpointsByID[id]
+		requireSamePredictions(t, predecessor, oldEndpoint, now, successor, newEndpoint, now+clockOffset)
+		requireSameBreaker(t, oldEndpoint, now, newEndpoint, now+clockOffset)
 		for class := range uint8(5) {
 			r := &request{Request: Request{Class: class, Tenant: 1}}
-			if before, after := old.isEjectedFor(now, oldEndpoint, r),
-				next.isEjectedFor(now+shift, newEndpoint, r); before != after {
+			if before, after := predecessor.isEjectedFor(now, oldEndpoint, r),
+				successor.isEjectedFor(now+clockOffset, newEndpoint, r); before != after {
 				t.Errorf("endpoint %d, class %d: ejected %v, after the restore %v", id, class, before, after)
 			} else if before {
 				ejected++
 			}
 		}
 	}
-	if ejected == 0 || !old.endpointsByID[6].warmingUp(now, old) {
+	if ejected == 0 || !predecessor.endpointsByID[6].warmingUp(now, predecessor) {
 		t.Errorf("the old balancer learned too little for this test: %d ejections, endpoint 6 warming up %v", ejected,
-			old.endpointsByID[6].warmingUp(now, old))
+			predecessor.endpointsByID[6].warmingUp(now, predecessor))
 	}
-	if !approxEqual(old.requestRate.rate(now), next.requestRate.rate(now+shift)) ||
-		old.latencyTrend != next.latencyTrend {
+	if !approxEqual(predecessor.requestRate.rate(now), successor.requestRate.rate(now+clockOffset)) ||
+		predecessor.latencyTrend != successor.latencyTrend {
 		t.Errorf("request rate %v, after the restore %v; latency trend %v, after the restore %v",
-			old.requestRate.rate(now),
-			next.requestRate.rate(now+shift), old.latencyTrend, next.latencyTrend)
+			predecessor.requestRate.rate(now),
+			successor.requestRate.rate(now+clockOffset), predecessor.latencyTrend, successor.latencyTrend)
 	}
-	exported := next.LearnedState(now + shift)
+	exported := successor.LearnedState(now + clockOffset)
 	exported.Endpoints, learned.Endpoints = nil, nil
 	exported.Classes, learned.Classes = nil, nil
 	if got, want := *exported, learned; math.Abs(got.RequestRate-want.RequestRate) > 1e-6 ||
@@ -105,33 +105,35 @@
 	}
 }
 
-// requireSamePredictions requires that two balancers make the same predictions for an endpoint, old at now and next at
-// nextNow.
-func requireSamePredictions(t *testing.T, old *Balancer, oldEndpoint *endpoint, now monotime.Micros,
-	next *Balancer, newEndpoint *endpoint, nextNow monotime.Micros) {
+// requireSamePredictions requires that two balancers make the same predictions for an endpoint, the predecessor at now
+// and the successor at successorNow, each by its own clock.
+func requireSamePredictions(t *testing.T, predecessor *Balancer, oldEndpoint *endpoint, now monotime.Micros,
+	successor *Balancer, newEndpoint *endpoint, successorNow monotime.Micros) {
 	t.Helper()
-	before, after := old.predictLatency(now, oldEndpoint, 5000), next.predictLatency(nextNow, newEndpoint, 5000)
-	if oldEndpoint.inflight == 0 && !newEndpoint.hasReport && !old.reportsLate && math.Abs(before/after-1) > 0.5 {
+	before, after := predecessor.predictLatency(now, oldEndpoint, 5000),
+		successor.predictLatency(successorNow, newEndpoint, 5000)
+	if oldEndpoint.inflight == 0 && !newEndpoint.hasReport && !predecessor.reportsLate &&
+		math.Abs(before/after-1) > 0.5 {
 		t.Errorf("endpoint %d: predicted latency %v, after the restore %v", oldEndpoint.ID, before, after)
 	}
-	if before, after := oldEndpoint.currentServiceTimeRatio(now, old),
-		newEndpoint.currentServiceTimeRatio(nextNow, next); !approxEqual(before, after) {
+	if before, after := oldEndpoint.currentServiceTimeRatio(now, predecessor),
+		newEndpoint.currentServiceTimeRatio(successorNow, successor); !approxEqual(before, after) {
 		t.Errorf("endpoint %d: service time ratio %v, after the restore %v", oldEndpoint.ID, before, after)
 	}
-	if before, after := oldEndpoint.capacityFraction(now, old),
-		newEndpoint.capacityFraction(nextNow, next); !approxEqual(before, after) ||
-		oldEndpoint.warmingUp(now, old) != newEndpoint.warmingUp(nextNow, next) {
+	if before, after := oldEndpoint.capacityFraction(now, predecessor),
+		newEndpoint.capacityFraction(successorNow, successor); !approxEqual(before, after) ||
+		oldEndpoint.warmingUp(now, predecessor) != newEndpoint.warmingUp(successorNow, successor) {
 		t.Errorf("endpoint %d: capacity fraction %v, after the restore %v", oldEndpoint.ID, before, after)
 	}
 }
 
 // requireSameBreaker requires that the breakers of two balancers for an endpoint have the same window and base latency,
-// at the instants now and nextNow.
+// at the instants now and successorNow.
 func requireSameBreaker(t *testing.T, oldEndpoint *endpoint, now monotime.Micros, newEndpoint *endpoint,
-	nextNow monotime.Micros) {
+	successorNow monotime.Micros) {
 	t.Helper()
 	oldEndpoint.breaker.advance(now)
-	newEndpoint.breaker.advance(nextNow)
+	newEndpoint.breaker.advance(successorNow)
 	if before, after := oldEndpoint.breaker, newEndpoint.breaker; before.requests != after.requests ||
 		before.accepts != after.accepts || before.baseLatency != after.baseLatency ||
 		oldEndpoint.ID < 6 && before.requests == 0 {
@@ -193,11 +195,11 @@
 	}
 	learned := b.LearnedState(h.now + 1000)
 	b.SetHandedOver(h.now+1000, true)
-	next, _ := startBalancer(h.t, h.settings(), readyEndpoints(4))
-	next.UpdateEndpoints(h.now+1000, ListCached, append(readyEndpoints(4), h.warming))
-	next.Restore(h.now+1000, 0, learned)
+	successor, _ := startBalancer(h.t, h.settings(), readyEndpoints(4))
+	successor.UpdateEndpoints(h.now+1000, ListCached, append(readyEndpoints(4), h.warming))
+	successor.Restore(h.now+1000, 0, learned)
 	for range 1500 {
-		h.sendRequests(next, b)
+		h.sendRequests(successor, b)
 	}
 	sendsByBoth := h.warmingSends
 	for range 500 {
@@ -230,13 +232,13 @@
 // If an endpoint has restarted since the learned state was saved, the state of its earlier process is not used.
 func TestRestartedEndpointStartsAnew(t *testing.T) {
 	s := withTenants(testSettings())
-	old, now := trainedBalancer(t, s, readyEndpoints(6))
-	learned := old.LearnedState(now)
-	next, _ := startBalancer(t, s, readyEndpoints(6))
-	next.UpdateEndpoints(now, ListDelta, []Endpoint{{ID: 3, Zone: 1, Cell: 1, StartTime: now - 1}})
-	next.Restore(now, 0, learned)
-	if e := next.endpointsByID[3]; e.breaker.requests != 0 || e.outliers[allTraffic].consecutiveFailures != 0 ||
-		!e.warmingUp(now, next) {
+	predecessor, now := trainedBalancer(t, s, readyEndpoints(6))
+	learned := predecessor.LearnedState(now)
+	successor, _ := startBalancer(t, s, readyEndpoints(6))
+	successor.UpdateEndpoints(now, ListDelta, []Endpoint{{ID: 3, Zone: 1, Cell: 1, StartTime: now - 1}})
+	successor.Restore(now, 0, learned)
+	if e := successor.endpointsByID[3]; e.breaker.requests != 0 || e.outliers[allTraffic].consecutiveFailures != 0 ||
+		!e.warmingUp(now, successor) {
 		t.Errorf("the restarted endpoint kept learned state: %+v", e)
 	}
 }
@@ -279,7 +281,7 @@
 }
 
 func (x invalidState) learned() *LearnedState {
-	l := &LearnedState{
+	learned := &LearnedState{
 		RequestRate:           x.number(),
 		SentWorkRate:          x.number(),
 		RejectedRatio:         x.number(),
@@ -295,12 +297,12 @@
 		TenantRates:           []float64{x.number(), x.number()},
 	}
 	for range x.IntN(7) {
-		l.Classes = append(l.Classes, LearnedClass{x.average(), x.number(), x.average()})
+		learned.Classes = append(learned.Classes, LearnedClass{x.average(), x.number(), x.average()})
 	}
 	for id := range uint32(8) {
-		l.Endpoints = append(l.Endpoints, x.endpoint(id))
+		learned.Endpoints = append(learned.Endpoints, x.endpoint(id))
 	}
-	return l
+	return learned
 }
 
 func (x invalidState) endpoint(id uint32) LearnedEndpoint {
--- a/balancer/stall_test.go
+++ b/balancer/stall_test.go
@@ -24,34 +24,35 @@
 // While the process of the balancer is stalled, responses wait in its socket buffers. This time must not count as
 // latency or silence of the endpoints.
 func TestStallIsNotChargedToEndpoints(t *testing.T) {
-	for _, length := range []monotime.Micros{100 * millisecond, 600 * millisecond, second, 5 * second} {
+	for _, stallTime := range []monotime.Micros{100 * millisecond, 600 * millisecond, second, 5 * second} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 		now := serveRequests(b, r, second, 400, 3_000)
 		b.HandleRequest(now, newTestRequest(1, 0, now))
-		waiting := r.lastSend()
-		e := b.endpointsByID[waiting.endpoint]
+		waitingAttempt := r.lastSend()
+		e := b.endpointsByID[waitingAttempt.endpoint]
 		trendBefore := b.latencyTrend
 		workBefore := b.classes[0].meanWork
 		ratioBefore := e.serviceTimeRatio
 		latencyBefore := e.breaker.currentLatency
-		now += length
-		b.HandleStall(now, length)
+		now += stallTime
+		b.HandleStall(now, stallTime)
 		if got := b.predictLatency(now, e, workBefore.value); got > 10_000 {
-			t.Errorf("stall of %d us: %v us are predicted right after it", length, got)
+			t.Errorf("stall of %d us: %v us are predicted right after it", stallTime, got)
 		}
-		b.HandleOutcome(now, Outcome{ID: 1, Endpoint: e.ID, Status: OK, Latency: length, Stalled: length,
+		b.HandleOutcome(now, Outcome{ID: 1, Endpoint: e.ID, Status: OK, Latency: stallTime, Stalled: stallTime,
 			Answered: true})
 		if b.latencyTrend != trendBefore || b.classes[0].meanWork != workBefore || e.serviceTimeRatio != ratioBefore ||
 			e.breaker.currentLatency != latencyBefore {
-			t.Errorf("stall of %d us changed estimates: trend %v, then %v; work %v, then %v; ratio %v, then %v", length,
+			t.Errorf("stall of %d us changed estimates: trend %v, then %v; work %v, then %v; ratio %v, then %v",
+				stallTime,
 				trendBefore, b.latencyTrend, workBefore, b.classes[0].meanWork, ratioBefore, e.serviceTimeRatio)
 		}
-		first := len(r.sends)
+		sendsBefore := len(r.sends)
 		for id := range uint64(60) {
 			b.HandleRequest(now, newTestRequest(100+id, 0, now))
 		}
-		if sent := len(r.sends) - first; sent != 60 {
-			t.Errorf("stall of %d us: %d of 60 requests sent right after it", length, sent)
+		if sentCount := len(r.sends) - sendsBefore; sentCount != 60 {
+			t.Errorf("stall of %d us: %d of 60 requests sent right after it", stallTime, sentCount)
 		}
 	}
 }
--- a/balancer/warmup_test.go
+++ b/balancer/warmup_test.go
@@ -87,17 +87,17 @@
 	for seed := range uint64(balancers) {
 		b, r := newBalancer(t, s, seed)
 		b.Start(0)
-		list := readyEndpoints(warmCount + warmingCount)
-		b.UpdateEndpoints(0, ListFull, list[:warmCount])
-		b.UpdateEndpoints(second, ListDelta, list[warmCount:])
+		endpoints := readyEndpoints(warmCount + warmingCount)
+		b.UpdateEndpoints(0, ListFull, endpoints[:warmCount])
+		b.UpdateEndpoints(second, ListDelta, endpoints[warmCount:])
 		for now := second; now < 7*second; now += second / 20 {
-			reportAllLoads(b, now, list, warmCount)
-			sends := len(r.sends)
+			reportAllLoads(b, now, endpoints, warmCount)
+			sendsBefore := len(r.sends)
 			b.HandleRequest(now, Request{ID: uint64(now), Deadline: now + second})
-			if len(r.sends) == sends {
+			if len(r.sends) == sendsBefore {
 				continue
 			}
-			e := r.sends[sends].endpoint
+			e := r.sends[sendsBefore].endpoint
 			if e > warmCount && now >= 5*second {
 				workInWindow[e] += work
 			}
@@ -121,13 +121,13 @@
 
 // reportAllLoads passes new load reports to b: five requests at each of the first warmCount endpoints of the list, and
 // none at the others. The test does not cover late reports.
-func reportAllLoads(b *Balancer, now monotime.Micros, list []Endpoint, warmCount int) {
-	for i := range list {
+func reportAllLoads(b *Balancer, now monotime.Micros, endpoints []Endpoint, warmCount int) {
+	for i := range endpoints {
 		load := float32(0)
 		if i < warmCount {
 			load = 5
 		}
-		b.HandleProbe(now, list[i].ID, OK, 1000, []float32{load})
+		b.HandleProbe(now, endpoints[i].ID, OK, 1000, []float32{load})
 	}
 }
 
@@ -143,9 +143,9 @@
 	for seed := range uint64(20) {
 		b, r := startBalancer(t, s, nil)
 		b.random = randomSource(seed)
-		list := readyEndpoints(1)
-		list[0].StartTime = second
-		b.UpdateEndpoints(second, ListFull, list)
+		endpoints := readyEndpoints(1)
+		endpoints[0].StartTime = second
+		b.UpdateEndpoints(second, ListFull, endpoints)
 		for now := second; now < 2*second; now += 5000 {
 			sends := len(r.sends)
 			id := uint64(now)
@@ -176,10 +176,10 @@
 		for now := monotime.Micros(0); now < 10*second; now += second / 2 {
 			b.sentWorkRate.add(now, work*ratePerBalancer/2)
 		}
-		start := 10 * second
-		b.UpdateEndpoints(start, ListDelta, []Endpoint{{ID: 999, StartTime: start}})
+		warmupStart := 10 * second
+		b.UpdateEndpoints(warmupStart, ListDelta, []Endpoint{{ID: 999, StartTime: warmupStart}})
 		e := b.endpointsByID[999]
-		for now := start; now < start+second; now += second / 2 {
+		for now := warmupStart; now < warmupStart+second; now += second / 2 {
 			b.sentWorkRate.add(now, work*ratePerBalancer/2)
 			if b.hasWarmupCapacity(now, e, work) {
 				e.warmupTokens -= work * warmupCharge
@@ -200,12 +200,12 @@
 func TestWarmupCapacityWhenFewAreWarm(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
-	list := readyEndpoints(10)
-	for i := range list[1:] {
-		list[1+i].StartTime = 10 * second
+	endpoints := readyEndpoints(10)
+	for i := range endpoints[1:] {
+		endpoints[1+i].StartTime = 10 * second
 	}
 	b, _ := startBalancer(t, s, nil)
-	b.UpdateEndpoints(10*second, ListDelta, list)
+	b.UpdateEndpoints(10*second, ListDelta, endpoints)
 	for now := 9 * second; now <= 10*second; now += 10_000 {
 		b.sentWorkRate.add(now, 40_000) // work for four cores
 	}
