--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -71,6 +71,7 @@
 	}
 }
 
+// The base latency falls fast and rises slowly, while the current latency follows each response by a quarter.
 func TestLatencyAverages(t *testing.T) {
 	var br breaker
 	br.recordLatency(100)
@@ -87,6 +88,7 @@
 	}
 }
 
+// The reject chance for latency rises from 0 at three times the base latency to its maximum near the client timeout.
 func TestLatencyRejectChance(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
--- a/balancer/checker_test.go
+++ b/balancer/checker_test.go
@@ -15,7 +15,7 @@
 	settings     Settings
 	now          monotime.Micros
 	entries      map[uint32]Endpoint        // by endpoint ID: its latest list entry
-	cordoned     map[uint32]bool            // by endpoint ID
+	cordoned     map[uint32]bool            // by endpoint ID: true while it is cordoned
 	warmingUp    map[uint32]monotime.Micros // by endpoint ID: instant at which it started
 	warmingSends map[uint32]float64         // by endpoint ID: attempts sent during its warm-up
 	requests     map[uint64]*checkedRequest // by request ID: open and ended requests
@@ -325,6 +325,7 @@
 	}
 }
 
+// No sequence of valid host events may make a balancer break a rule, under any of several settings.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range int64(40) {
 		s := testSettings()
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -41,7 +41,7 @@
 	b.Start(0)
 	b.UpdateEndpoints(0, balancer.ListCached, []balancer.Endpoint{{ID: 7}, {ID: 8}})
 	b.HandleProbe(1_000, 7, balancer.OK, 500, []float32{2}) // endpoint 7 has two requests in flight
-	b.HandleProbe(1_000, 8, balancer.OK, 500, []float32{0}) // endpoint 8 has none
+	b.HandleProbe(1_000, 8, balancer.OK, 500, []float32{0}) // endpoint 8 has no requests in flight
 
 	b.HandleRequest(2_000, balancer.Request{ID: 1, Deadline: 802_000})
 	b.HandleOutcome(3_000, balancer.Outcome{ID: 1, Endpoint: 8, Status: balancer.Error, Latency: 1_000})
--- a/balancer/firstanswers_test.go
+++ b/balancer/firstanswers_test.go
@@ -7,7 +7,7 @@
 )
 
 // newBalancerWithoutResponses returns a balancer of four endpoints that has received no response yet. Its initial
-// estimate of the work of a request, 80 ms, is far above the service times that the tests use.
+// estimate of the work of a request is 80 ms, far above the latencies that most tests of this file use.
 func newBalancerWithoutResponses(t *testing.T) (*Balancer, *recorder) {
 	t.Helper()
 	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -164,6 +164,7 @@
 	return Request{ID: id, Class: class, Deadline: now + second}
 }
 
+// New must reject invalid settings with an error that contains the key of the setting.
 func TestNewNamesBadSetting(t *testing.T) {
 	for _, c := range []struct {
 		key        string
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -72,6 +72,7 @@
 	}
 }
 
+// Load reports that are empty, negative, infinite or NaN must not count as a load; extra values are ignored.
 func TestInvalidReportsAreIgnored(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(1))
 	nan := float32(math.NaN())
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -51,6 +51,7 @@
 	}
 }
 
+// A request is rejected if there is no endpoint, or if its deadline has already passed.
 func TestNoEndpointMeansRejection(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), nil)
 	b.HandleRequest(1000, newTestRequest(1, 4, 1000))
@@ -132,6 +133,7 @@
 	}
 }
 
+// Once the internal buffers have grown, handling a request must not allocate memory.
 func TestSteadyStateDoesNotAllocate(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(5))
 	id := uint64(0)
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -49,6 +49,7 @@
 	maxPolicyLineLength = 110 // bytes of a line; a tab counts as one
 )
 
+// Each policy file must stay within maxPolicyLines and maxPolicyLineLength.
 func TestModuleSize(t *testing.T) {
 	files := policyFiles(t)
 	if len(files) == 0 {
