--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -22,13 +22,13 @@
 	}{
 		{"empty", 0, 0, 0, 1, 0},
 		{"within protection", 0, 5, 0, 1, 0},
-		{"one beyond protection", 0, 6, 0, 1, 1.0 / 7},
+		{"one failure beyond protection", 0, 6, 0, 1, 1.0 / 7},
 		// 30 requests with 10 accepts, all in the newest bucket: the accept weight stays 1.5.
 		{"two thirds fail", 10, 20, 0, 1, (30.0 - 5 - 15) / 31},
 		{"rejections count as requests", 10, 0, 20, 1, (30.0 - 5 - 15) / 31},
 		{"all accepted", 40, 0, 0, 1, 0},
 		// 20 buckets with failures only after the accepts: the accept weight is 1.5 - 0.4*20/40 = 1.3.
-		{"weight falls", 10, 20, 0, 20, (30.0 - 5 - 13) / 31},
+		{"accept weight falls", 10, 20, 0, 20, (30.0 - 5 - 13) / 31},
 	} {
 		var br breaker
 		now := 100 * second
@@ -96,11 +96,11 @@
 		want                   float64
 	}{
 		{"no sample", 0, 0, 1000, 0},
-		{"under three times the baseline", 100, 299, 1000, 0},
+		{"below three times the base latency", 100, 299, 1000, 0},
 		{"half way to the ceiling", 100, 625, 1000, 0.15}, // (625-300)/(950-300)*0.3
 		{"at the ceiling", 100, 950, 1000, 0.3},
 		{"capped", 100, 5000, 1000, 0.3},
-		{"ceiling under the threshold", 400, 5000, 1000, 0},
+		{"ceiling below the threshold", 400, 5000, 1000, 0},
 	} {
 		br := breaker{baseLatency: c.base, currentLatency: c.current}
 		if got := br.latencyRejectChance(c.timeout); !approxEqual(got, c.want) {
--- a/balancer/checker_test.go
+++ b/balancer/checker_test.go
@@ -356,18 +356,21 @@
 		return c
 	}
 	for name, violate := range map[string]func(*ruleChecker){
-		"two final answers":  func(c *ruleChecker) { c.Reject(0, 0); c.Fail(0) },
-		"send after the end": func(c *ruleChecker) { c.Fail(0); c.Send(0, 1, 0) },
-		"send to the drained": func(c *ruleChecker) {
+		"two final responses": func(c *ruleChecker) { c.Reject(0, 0); c.Fail(0) },
+		"send after the end":  func(c *ruleChecker) { c.Fail(0); c.Send(0, 1, 0) },
+		"send to a draining endpoint": func(c *ruleChecker) {
 			c.entries[1] = Endpoint{ID: 1, State: Draining}
 			c.Send(0, 1, 0)
 		},
-		"send to the cordoned":   func(c *ruleChecker) { c.cordoned = map[uint32]bool{1: true}; c.Send(0, 1, 0) },
-		"write sent twice":       func(c *ruleChecker) { c.Send(4, 1, 0); c.Send(4, 2, 0) },
-		"write rejected":         func(c *ruleChecker) { c.Send(4, 1, 0); c.Reject(4, 0) },
-		"keyed outside its zone": func(c *ruleChecker) { c.Send(2, 1, 0); c.Send(2, 3, 0) },
-		"keyed outside its cell": func(c *ruleChecker) { c.Send(3, 1, 0); c.Send(3, 3, 0) },
-		"keyed after its window": func(c *ruleChecker) { c.Send(1, 1, 0); c.now = second; c.Send(1, 2, 0) },
+		"send to a cordoned endpoint": func(c *ruleChecker) {
+			c.cordoned = map[uint32]bool{1: true}
+			c.Send(0, 1, 0)
+		},
+		"write sent twice":               func(c *ruleChecker) { c.Send(4, 1, 0); c.Send(4, 2, 0) },
+		"write rejected":                 func(c *ruleChecker) { c.Send(4, 1, 0); c.Reject(4, 0) },
+		"keyed request outside its zone": func(c *ruleChecker) { c.Send(2, 1, 0); c.Send(2, 3, 0) },
+		"keyed request outside its cell": func(c *ruleChecker) { c.Send(3, 1, 0); c.Send(3, 3, 0) },
+		"keyed request after its window": func(c *ruleChecker) { c.Send(1, 1, 0); c.now = second; c.Send(1, 2, 0) },
 		"too many attempts": func(c *ruleChecker) {
 			c.Send(0, 1, 0)
 			c.Send(0, 2, 0)
