--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -7,83 +7,88 @@
 	"dunlinsail/internal/monotime"
 )
 
-// near reports whether two results are equal but for rounding.
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
+// approxEqual reports whether two results are equal apart from rounding errors.
+func approxEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
+// The reject chance follows from the requests, accepts and protection of the window, and from the accept weight, which
+// falls with the number of latest buckets that have failures only.
 func TestErrorRejectChance(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		accepts, failures int
 		rejections        int
-		spread            int // buckets that failures are spread over
+		spread            int // number of buckets over which the failures are spread
 		want              float64
 	}{
 		{"empty", 0, 0, 0, 1, 0},
 		{"within protection", 0, 5, 0, 1, 0},
-		{"one beyond protection", 0, 6, 0, 1, 1.0 / 7},
-		// 30 requests, 10 accepts in the newest bucket: the accept weight stays 1.5.
+		{"one failure beyond protection", 0, 6, 0, 1, 1.0 / 7},
+		// 30 requests with 10 accepts, all in the newest bucket: the accept weight stays 1.5.
 		{"two thirds fail", 10, 20, 0, 1, (30.0 - 5 - 15) / 31},
 		{"rejections count as requests", 10, 0, 20, 1, (30.0 - 5 - 15) / 31},
 		{"all accepted", 40, 0, 0, 1, 0},
-		// 20 failing buckets after the accepts: the weight is 1.5 - 0.4*20/40 = 1.3.
-		{"weight falls", 10, 20, 0, 20, (30.0 - 5 - 13) / 31},
+		// 20 buckets with failures only after the accepts: the accept weight is 1.5 - 0.4*20/40 = 1.3.
+		{"accept weight falls", 10, 20, 0, 20, (30.0 - 5 - 13) / 31},
 	} {
-		var k breaker
+		var br breaker
 		now := 100 * second
 		for range c.accepts {
-			k.record(now, 1, 0)
+			br.record(now, 1, 0)
 		}
 		for i := range c.failures {
 			if c.spread > 1 && i%(c.failures/c.spread) == 0 {
 				now += breakerWindow / breakerBuckets
 			}
-			k.record(now, 0, 1)
+			br.record(now, 0, 1)
 		}
 		for range c.rejections {
-			k.record(now, 0, 0)
+			br.record(now, 0, 0)
 		}
-		if got := k.errorRejectChance(now); !near(got, c.want) {
+		if got := br.errorRejectChance(now); !approxEqual(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
+// Outcomes count for the ten seconds of the window, and no longer.
 func TestBreakerWindowForgets(t *testing.T) {
-	var k breaker
+	var br breaker
 	for range 100 {
-		k.record(100*second, 0, 1)
+		br.record(100*second, 0, 1)
 	}
-	if k.errorRejectChance(109*second) == 0 {
-		t.Error("failures of nine seconds ago are forgotten")
+	if br.errorRejectChance(109*second) == 0 {
+		t.Error("failures of nine seconds ago no longer count, want a window of ten seconds")
 	}
-	if got := k.errorRejectChance(110*second + 1); got != 0 || k.requests != 0 {
-		t.Errorf("after the window: chance %v, %d requests", got, k.requests)
+	if got := br.errorRejectChance(110*second + 1); got != 0 || br.requests != 0 {
+		t.Errorf("after the window: reject chance %v, %d requests, want 0 of each", got, br.requests)
 	}
 	for range 100 {
-		k.record(200*second, 0, 1)
+		br.record(200*second, 0, 1)
 	}
-	k.errorRejectChance(500 * second)
-	if k.requests != 0 {
-		t.Errorf("after a long pause: %d requests", k.requests)
+	br.errorRejectChance(500 * second)
+	if br.requests != 0 {
+		t.Errorf("after a long pause: %d requests in the window, want 0", br.requests)
 	}
 }
 
+// The base latency falls fast and rises slowly, while the current latency follows each response by a quarter.
 func TestLatencyAverages(t *testing.T) {
-	var k breaker
-	k.recordLatency(100)
-	if k.baseLatency != 100 || k.currentLatency != 100 {
-		t.Fatalf("first: base %v current %v", k.baseLatency, k.currentLatency)
+	var br breaker
+	br.recordLatency(100)
+	if br.baseLatency != 100 || br.currentLatency != 100 {
+		t.Fatalf("first latency: base %v, current %v", br.baseLatency, br.currentLatency)
 	}
-	k.recordLatency(60) // falls by a quarter of the way; current (60+3*100)/4
-	if !near(k.baseLatency, 90) || !near(k.currentLatency, 90) {
-		t.Fatalf("fall: base %v current %v", k.baseLatency, k.currentLatency)
+	br.recordLatency(60) // base falls by a quarter of the difference; current is (60+3*100)/4
+	if !approxEqual(br.baseLatency, 90) || !approxEqual(br.currentLatency, 90) {
+		t.Fatalf("lower latency: base %v, current %v", br.baseLatency, br.currentLatency)
 	}
-	k.recordLatency(190) // rises by a hundredth: (190+99*90)/100; current (190+270)/4
-	if !near(k.baseLatency, 91) || !near(k.currentLatency, 115) {
-		t.Fatalf("rise: base %v current %v", k.baseLatency, k.currentLatency)
+	br.recordLatency(190) // base rises by a hundredth of the difference: (190+99*90)/100; current is (190+270)/4
+	if !approxEqual(br.baseLatency, 91) || !approxEqual(br.currentLatency, 115) {
+		t.Fatalf("higher latency: base %v, current %v", br.baseLatency, br.currentLatency)
 	}
 }
 
+// The reject chance for latency rises from 0 at three times the base latency to its maximum near the client timeout.
 func TestLatencyRejectChance(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
@@ -91,19 +96,20 @@
 		want                   float64
 	}{
 		{"no sample", 0, 0, 1000, 0},
-		{"under three times the baseline", 100, 299, 1000, 0},
+		{"below three times the base latency", 100, 299, 1000, 0},
 		{"half way to the ceiling", 100, 625, 1000, 0.15}, // (625-300)/(950-300)*0.3
 		{"at the ceiling", 100, 950, 1000, 0.3},
 		{"capped", 100, 5000, 1000, 0.3},
-		{"ceiling under the threshold", 400, 5000, 1000, 0},
+		{"ceiling below the threshold", 400, 5000, 1000, 0},
 	} {
-		k := breaker{baseLatency: c.base, currentLatency: c.current}
-		if got := k.latencyRejectChance(c.timeout); !near(got, c.want) {
+		br := breaker{baseLatency: c.base, currentLatency: c.current}
+		if got := br.latencyRejectChance(c.timeout); !approxEqual(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
+// Even at an endpoint that fails everything, one attempt passes the breaker per forced-pass interval.
 func TestForcedPass(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(1))
 	e := b.endpoints[0]
@@ -113,7 +119,7 @@
 	}
 	r := &request{}
 	if !b.breakerAllows(now, r, e) {
-		t.Fatal("the first attempt does not pass")
+		t.Fatal("the breaker rejects the first attempt")
 	}
 	passed := 0
 	for range 200 {
@@ -122,18 +128,19 @@
 		}
 	}
 	if passed > 20 {
-		t.Errorf("%d of 200 passed an endpoint that fails all", passed)
+		t.Errorf("%d of 200 attempts passed the breaker of an endpoint that fails all requests", passed)
 	}
 	if !b.breakerAllows(now+forcedPassInterval+1001, r, e) {
-		t.Error("none passed after the forced-pass interval")
+		t.Error("no attempt passed the breaker after the forced-pass interval")
 	}
 }
 
-// When all endpoints fail at once, ejection must not leave all requests to the last few.
+// If all endpoints fail at once, at most half of them may be ejected: otherwise the few remaining endpoints would
+// receive all requests.
 func TestNoMoreThanHalfAreEjected(t *testing.T) {
 	for _, c := range []struct{ endpoints, maxEjected int }{{1, 0}, {2, 1}, {3, 1}, {4, 2}, {9, 4}} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(c.endpoints))
-		worst := 0
+		peakEjected := 0
 		for id := range uint64(200) {
 			now := 1000 + 100*monotime.Micros(id)
 			b.HandleRequest(now, Request{ID: id, Class: 4, Deadline: now + second})
@@ -144,10 +151,10 @@
 			for _, e := range b.endpoints {
 				ejected += int(indicator(e.isEjected(now)))
 			}
-			worst = max(worst, ejected)
+			peakEjected = max(peakEjected, ejected)
 		}
-		if worst != c.maxEjected {
-			t.Errorf("%d endpoints, all failing: %d ejected at once, want %d", c.endpoints, worst, c.maxEjected)
+		if peakEjected != c.maxEjected {
+			t.Errorf("%d endpoints, all failing: %d ejected at once, want %d", c.endpoints, peakEjected, c.maxEjected)
 		}
 	}
 }
--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An endpoint whose cordon ends counts as restarted. It gets no more than a warming one may, also where the list still
-// has its old start time, and nothing that was learned before is used.
+// An endpoint whose cordon ends is treated as restarted: it warms up although the endpoint list still has its old start
+// time, and the state that was learned before is discarded. Cordoned endpoints receive no requests.
 func TestUncordonedEndpointWarmsUp(t *testing.T) {
 	s := testSettings()
 	b, r := startBalancer(t, s, readyEndpoints(4))
@@ -20,32 +20,33 @@
 	if e != b.endpointsByID[1] || !e.warmingUp(now, b) ||
 		e.capacityFraction(now, b) != s.Contract.WarmupStartCapacity || b.ShouldAvoid(now, 1) ||
 		e.outliers[allTraffic].consecutiveFailures != 0 {
-		t.Errorf("after the cordon: warming up %v, capacity fraction %v, avoided %v, streak %d", e.warmingUp(now, b),
+		t.Errorf("after the cordon: warming up %v, capacity fraction %v, avoided %v, %d consecutive failures",
+			e.warmingUp(now, b),
 			e.capacityFraction(now, b), b.ShouldAvoid(now, 1), e.outliers[allTraffic].consecutiveFailures)
 	}
-	if later := now + s.Contract.WarmupTime; e.warmingUp(later, b) {
-		t.Error("its warm-up does not end")
+	if warmupEnd := now + s.Contract.WarmupTime; e.warmingUp(warmupEnd, b) {
+		t.Error("the warm-up after the cordon does not end")
 	}
-	// Three of the four are cordoned: all requests go to the fourth, and there is no endpoint for a second attempt.
+	// With three of four endpoints cordoned, all requests go to the fourth, and a second attempt has no endpoint.
 	for id := range uint32(3) {
 		b.SetCordon(now, id+2, true)
 	}
 	for id := range uint64(40) {
 		b.HandleRequest(now, newTestRequest(100+id, 0, 1000))
 	}
-	for _, sent := range r.sends {
-		if sent.endpoint != 1 {
-			t.Errorf("sent to endpoint %d, which is cordoned", sent.endpoint)
+	for _, attempt := range r.sends {
+		if attempt.endpoint != 1 {
+			t.Errorf("sent to endpoint %d, which is cordoned", attempt.endpoint)
 		}
 	}
 	if len(r.sends) > 10 || len(r.rejected) < 30 {
-		t.Errorf("%d sent at once to the warming one, %d rejected", len(r.sends), len(r.rejected))
+		t.Errorf("%d of 40 requests sent at once to the warming endpoint, %d rejected", len(r.sends), len(r.rejected))
 	}
-	// All are cordoned, without exception.
+	// With all endpoints cordoned, nothing may be sent.
 	b.SetCordon(now, 1, true)
-	before := len(r.sends)
+	sendsBefore := len(r.sends)
 	b.HandleRequest(now, newTestRequest(200, 4, 1000))
-	if len(r.sends) != before {
-		t.Error("a request was sent while all are cordoned")
+	if len(r.sends) != sendsBefore {
+		t.Error("a request was sent while all endpoints are cordoned")
 	}
 }
--- a/balancer/firstanswers_test.go
+++ b/balancer/firstanswers_test.go
@@ -6,111 +6,117 @@
 	"dunlinsail/internal/monotime"
 )
 
-// newBalancerWithoutAnswers returns a balancer whose initial estimate of the work of a class is far above what its four
-// endpoints take.
-func newBalancerWithoutAnswers(t *testing.T) (*Balancer, *recorder) {
+// newBalancerWithoutResponses returns a balancer of four endpoints that has received no response yet. Its initial
+// estimate of the work of a request is 80 ms, far above the latencies that most tests of this file use.
+func newBalancerWithoutResponses(t *testing.T) (*Balancer, *recorder) {
 	t.Helper()
 	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 	if got := b.classes[0].meanWork.value; got != 80_000 {
-		t.Fatalf("initial estimate of %v us", got)
+		t.Fatalf("initial estimate of the work: %v us, want 80000", got)
 	}
 	return b, r
 }
 
-// answerAll answers all attempts since the first so many within a latency, also those that the answers bring about.
-func answerAll(b *Balancer, r *recorder, now monotime.Micros, first int, latency monotime.Micros) monotime.Micros {
-	for first < len(r.sends) {
-		last := len(r.sends)
+// respondToAll ends all attempts from index firstSend on successfully after the given latency, including attempts that
+// follow from these responses. It returns the instant of the last response.
+func respondToAll(b *Balancer, r *recorder, now monotime.Micros, firstSend int,
+	latency monotime.Micros) monotime.Micros {
+	for firstSend < len(r.sends) {
+		sendCount := len(r.sends)
 		now += latency
-		for _, s := range r.sends[first:last] {
+		for _, s := range r.sends[firstSend:sendCount] {
 			succeed(b, now, s.id, s.endpoint, latency)
 		}
-		first = last
+		firstSend = sendCount
 	}
 	return now
 }
 
-// A new process gets a burst before it has had any answer. Its endpoints are idle and fast: each request is sent
-// within a tenth of its latency objective.
+// A new process receives a burst of requests before any response. Its initial estimate of the work is far too high, but
+// the endpoints are idle and fast, so each request must be sent within a tenth of its latency objective.
 func TestBurstAtNewProcessIsNotRejected(t *testing.T) {
-	b, r := newBalancerWithoutAnswers(t)
+	b, r := newBalancerWithoutResponses(t)
 	now := second
 	for id := range uint64(150) {
 		b.HandleRequest(now, newTestRequest(id, 0, now))
 	}
 	if len(r.rejected) > 0 {
-		t.Errorf("%d requests rejected before any answer", len(r.rejected))
+		t.Errorf("%d requests rejected before any response", len(r.rejected))
 	}
-	end := answerAll(b, r, now, 0, 3_000)
+	end := respondToAll(b, r, now, 0, 3_000)
 	if len(r.sends) != 150 || len(r.rejected) > 0 || end-now > 40_000 {
-		t.Errorf("%d of 150 sent, %d rejected, within %d us", len(r.sends), len(r.rejected), end-now)
+		t.Errorf("%d of 150 requests sent, %d rejected, within %d us", len(r.sends), len(r.rejected), end-now)
 	}
 	if len(b.classes[0].waiting) > 0 {
-		t.Errorf("%d requests still wait", len(b.classes[0].waiting))
+		t.Errorf("%d requests still wait for first responses", len(b.classes[0].waiting))
 	}
 }
 
-// Where no answer comes, a request over the latency budget waits for a tenth of its objective and is rejected then.
+// If no response arrives, a request that is over the latency budget waits for a tenth of its latency objective and is
+// rejected then.
 func TestWaitForAnswersIsBounded(t *testing.T) {
-	b, r := newBalancerWithoutAnswers(t)
+	b, r := newBalancerWithoutResponses(t)
 	now := second
 	var delays []monotime.Micros
 	for id := range uint64(60) {
-		first := len(r.timers)
+		timersBefore := len(r.timerTokens)
 		b.HandleRequest(now, newTestRequest(id, 0, now))
-		if in := b.requests[id]; in != nil && in.waiting {
-			delays = append(delays, r.delays[len(r.delays)-1])
-			if len(r.timers) != first+1 || r.timers[first] != in.timerToken {
-				t.Fatalf("request %d waits with timers %v", id, r.timers[first:])
+		if request := b.requests[id]; request != nil && request.waiting {
+			delays = append(delays, r.timerDelays[len(r.timerDelays)-1])
+			if len(r.timerTokens) != timersBefore+1 || r.timerTokens[timersBefore] != request.timerToken {
+				t.Fatalf("request %d waits with the timer tokens %v, want one timer of its own",
+					id, r.timerTokens[timersBefore:])
 			}
 		}
 	}
 	if len(delays) == 0 || len(delays)+len(r.sends) != 60 {
-		t.Fatalf("%d wait, %d sent", len(delays), len(r.sends))
+		t.Fatalf("%d requests wait, %d sent, want 60 in total", len(delays), len(r.sends))
 	}
 	for _, delay := range delays {
 		if delay != 40_000 {
-			t.Errorf("waits for %d us", delay)
+			t.Errorf("request waits for %d us, want 40000", delay)
 		}
 	}
 	now += 40_000
 	waiting := append([]*request(nil), b.classes[0].waiting...)
-	for _, in := range waiting {
-		b.HandleTimer(now, in.timerToken)
+	for _, request := range waiting {
+		b.HandleTimer(now, request.timerToken)
 	}
 	if len(r.rejected) != len(delays) || len(b.classes[0].waiting) != 0 {
-		t.Errorf("%d rejected of %d that waited; %d still wait", len(r.rejected), len(delays),
+		t.Errorf("%d requests rejected of %d that waited; %d still wait", len(r.rejected), len(delays),
 			len(b.classes[0].waiting))
 	}
 }
 
-// The client of a waiting request leaves: nothing of the request is sent, and nothing of it is left.
+// If the client of a request that waits for first responses disconnects, the request must not be sent, and no record of
+// it may remain.
 func TestClientLeavesWhileRequestWaitsForAnswers(t *testing.T) {
-	b, r := newBalancerWithoutAnswers(t)
+	b, r := newBalancerWithoutResponses(t)
 	now := second
 	id := uint64(0)
 	for ; len(b.classes[0].waiting) == 0 && id < 100; id++ {
 		b.HandleRequest(now, newTestRequest(id, 0, now))
 	}
-	gone := b.classes[0].waiting[0]
-	b.HandleClientGone(now, gone.ID)
-	sends := len(r.sends)
-	answerAll(b, r, now, 0, 3_000)
-	b.HandleTimer(now+40_000, gone.timerToken)
-	if len(r.sends) != sends || len(b.requests) != 0 || len(b.classes[0].waiting) != 0 {
-		t.Errorf("%d sent after the client left, %d open, %d wait", len(r.sends)-sends, len(b.requests),
+	abandoned := b.classes[0].waiting[0]
+	b.HandleClientGone(now, abandoned.ID)
+	sendsBefore := len(r.sends)
+	respondToAll(b, r, now, 0, 3_000)
+	b.HandleTimer(now+40_000, abandoned.timerToken)
+	if len(r.sends) != sendsBefore || len(b.requests) != 0 || len(b.classes[0].waiting) != 0 {
+		t.Errorf("after the client disconnected: %d attempts sent, %d requests open, %d waiting",
+			len(r.sends)-sendsBefore, len(b.requests),
 			len(b.classes[0].waiting))
 	}
 }
 
-// A class that has had few answers in a process's first second is predicted by them, whether the endpoints are faster
-// or slower than the initial estimate says.
+// After a few dozen responses the predicted latency of a class follows these responses and no longer the initial
+// estimate, whether that was too high or too low.
 func TestFirstAnswersCorrectTheInitialEstimate(t *testing.T) {
-	const answers = 60
+	const responses = 60
 	for _, latency := range []monotime.Micros{3_000, 30_000, 200_000} {
-		b, r := newBalancerWithoutAnswers(t)
+		b, r := newBalancerWithoutResponses(t)
 		now := second
-		for id := range uint64(answers) {
+		for id := range uint64(responses) {
 			now += 20_000
 			b.HandleRequest(now, newTestRequest(id, 0, now))
 			if s := r.lastSend(); s.id == id {
@@ -121,7 +127,8 @@
 		e := b.endpoints[0]
 		predicted := b.predictLatency(now, e, b.classes[0].meanWork.value)
 		if ratio := predicted / float64(latency); ratio > 3 || ratio < 1.0/3 {
-			t.Errorf("after %d answers of %d us each, %v us are predicted", answers, latency, predicted)
+			t.Errorf("after %d responses with a latency of %d us each, %v us are predicted",
+				responses, latency, predicted)
 		}
 	}
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -8,19 +8,21 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Faults of a balancer in a large fleet: few requests, expensive probes, and no messages from the others.
+// The tests of this file guard against faults of a balancer in a large fleet, where each balancer has few requests and
+// expensive probes, and exchanges no messages with the others.
 
-// A balancer that is busy from the first moment must not keep the probe rate of before.
+// The probe rate is derived from the request rate, which is 0 at the start. A balancer that receives many requests from
+// its start on must raise it within seconds.
 func TestProbeRateFollowsFirstRequests(t *testing.T) {
 	s := testSettings()
-	s.Prices.Probe = probeBudget * calmProbeShare / 0.02 // one probe per fifty requests
+	s.Prices.Probe = probeBudget * calmProbeShare / 0.02 // one probe per 50 requests
 	for seed := range uint64(20) {
 		b, r := startBalancerWithSeed(t, s, readyEndpoints(60), seed)
-		probeRoundAt := r.nextTimer(t, 0, tokenProbe)
+		probeRoundAt := r.timerInstant(t, 0, tokenProbe)
 		for now := monotime.Micros(0); now < 3*second; now += 5_000 {
 			if probeRoundAt <= now {
 				b.HandleTimer(now, tokenProbe)
-				probeRoundAt = r.nextTimer(t, now, tokenProbe)
+				probeRoundAt = r.timerInstant(t, now, tokenProbe)
 			}
 			id := uint64(now) + 1
 			b.HandleRequest(now, Request{ID: id, Deadline: now + second})
@@ -36,85 +38,87 @@
 	}
 }
 
-// Six in ten of the list are replaced, in one change or in twenty, while requests are in flight at those that go.
-// Nothing new goes to these, each request has one final answer, and late outcomes are recorded.
+// 36 of 60 endpoints are replaced, in one list change or in twenty, while they have requests in flight. The removed
+// endpoints must receive no further attempts, each request must end, and outcomes that arrive after the removal must be
+// recorded.
 func TestReplacedWithRequestsOut(t *testing.T) {
 	for _, changes := range []int{1, 20} {
-		t.Run(fmt.Sprint(changes), func(t *testing.T) { testReplacement(t, changes) })
+		t.Run(fmt.Sprint(changes), func(t *testing.T) { testEndpointReplacement(t, changes) })
 	}
 }
 
-func testReplacement(t *testing.T, changes int) {
+// testEndpointReplacement runs TestReplacedWithRequestsOut with a number of list changes.
+func testEndpointReplacement(t *testing.T, changes int) {
 	t.Helper()
-	const all, gone = 60, 36
-	b, r := startBalancer(t, testSettings(), readyEndpoints(all))
+	const initial, replaced = 60, 36
+	b, r := startBalancer(t, testSettings(), readyEndpoints(initial))
 	now := monotime.Micros(0)
-	for i := range uint64(all) {
+	for i := range uint64(initial) {
 		now += 1000
 		b.HandleRequest(now, newTestRequest(i+1, 0, now))
 	}
-	open := slices.Clone(r.sends)
-	list := readyEndpoints(all + gone)
+	openAttempts := slices.Clone(r.sends)
+	endpoints := readyEndpoints(initial + replaced)
 	removed := map[uint32]bool{}
-	perChange := (gone + changes - 1) / changes
-	for from := 0; from < gone; from += perChange {
+	perChange := (replaced + changes - 1) / changes
+	for firstReplaced := 0; firstReplaced < replaced; firstReplaced += perChange {
 		now += 10_000
 		var delta []Endpoint
-		for i := from; i < min(from+perChange, gone); i++ {
-			before, after := list[i], list[all+i]
-			before.State = Gone
-			after.StartTime = now
-			delta = append(delta, before, after)
-			removed[before.ID] = true
+		for i := firstReplaced; i < min(firstReplaced+perChange, replaced); i++ {
+			oldEndpoint, newEndpoint := endpoints[i], endpoints[initial+i]
+			oldEndpoint.State = Gone
+			newEndpoint.StartTime = now
+			delta = append(delta, oldEndpoint, newEndpoint)
+			removed[oldEndpoint.ID] = true
 		}
 		b.UpdateEndpoints(now, ListDelta, delta)
-		requireNotSentTo(t, b, r, now, removed)
+		requireNoSendsTo(t, b, r, now, removed)
 	}
-	// Half were served before their endpoint went, half saw their connection break.
-	for _, x := range open {
+	// At the removed endpoints half of the attempts succeed, and the connections of the other half are reset.
+	for _, attempt := range openAttempts {
 		status := OK
-		if removed[x.endpoint] && x.id%2 == 0 {
+		if removed[attempt.endpoint] && attempt.id%2 == 0 {
 			status = Reset
 		}
-		b.HandleOutcome(now, Outcome{ID: x.id, Endpoint: x.endpoint, Status: status, Latency: now,
+		b.HandleOutcome(now, Outcome{ID: attempt.id, Endpoint: attempt.endpoint, Status: status, Latency: now,
 			Answered: status == OK})
 	}
-	for i := len(open); len(r.sends) > i; i++ { // their retries
+	for i := len(openAttempts); len(r.sends) > i; i++ { // the retries of the reset attempts
 		b.HandleOutcome(now, Outcome{ID: r.sends[i].id, Attempt: 1, Endpoint: r.sends[i].endpoint, Status: OK,
 			Latency: 20_000, Answered: true})
 	}
 	if b.openRequests != 0 || len(b.requests) != 0 {
-		t.Errorf("%d requests have no answer, %d have a record", b.openRequests, len(b.requests))
+		t.Errorf("%d requests have no final response, %d still have a record", b.openRequests, len(b.requests))
 	}
 	b.UpdateEndpoints(now, ListDelta, nil)
-	if len(b.endpoints) != all {
-		t.Errorf("%d endpoints have a record, want %d", len(b.endpoints), all)
+	if len(b.endpoints) != initial {
+		t.Errorf("%d endpoints still have a record, want %d", len(b.endpoints), initial)
 	}
 }
 
-// requireNotSentTo gives the balancer forty requests, which are answered, and requires that none goes to an endpoint
-// that is gone.
-func requireNotSentTo(t *testing.T, b *Balancer, r *recorder, now monotime.Micros, gone map[uint32]bool) {
+// requireNoSendsTo passes forty requests to the balancer, all of which succeed, and requires that none is sent to an
+// endpoint that is gone.
+func requireNoSendsTo(t *testing.T, b *Balancer, r *recorder, now monotime.Micros, goneIDs map[uint32]bool) {
 	t.Helper()
 	for i := range uint64(40) {
-		sends := len(r.sends)
+		sendsBefore := len(r.sends)
 		b.HandleRequest(now, newTestRequest(1000*uint64(now)+i, 0, now))
-		if len(r.sends) == sends {
+		if len(r.sends) == sendsBefore {
 			continue
 		}
-		s := r.sends[sends]
-		if gone[s.endpoint] {
+		s := r.sends[sendsBefore]
+		if goneIDs[s.endpoint] {
 			t.Errorf("a request went to endpoint %d, which is gone", s.endpoint)
 		}
 		succeed(b, now, s.id, s.endpoint, 20_000)
 	}
 }
 
-// A list that shrinks to one endpoint: all requests go there while their answers would be in time, the others are
-// rejected at once. When the other endpoints are listed again, they are used again.
+// When the endpoint list shrinks to one endpoint, it receives the requests that it can serve within their latency
+// objective, and all others are rejected at once. When the other endpoints are listed again, they must be used again.
 func TestListShrinksToOne(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(20))
-	knowWork(b)
+	trustWorkEstimates(b)
 	b.UpdateEndpoints(second, ListFull, readyEndpoints(1))
 	now := second
 	for i := range uint64(200) {
@@ -122,75 +126,76 @@
 		b.HandleRequest(now, newTestRequest(i+1, 0, now))
 	}
 	if len(r.sends)+len(r.rejected) != 200 || len(r.rejected) == 0 || len(r.sends) == 0 {
-		t.Fatalf("%d sent, %d rejected of 200", len(r.sends), len(r.rejected))
+		t.Fatalf("%d requests sent, %d rejected, want both, and 200 in total", len(r.sends), len(r.rejected))
 	}
-	for _, x := range r.sends {
-		if x.endpoint != 1 {
-			t.Fatalf("sent to %d, which is not listed", x.endpoint)
+	for _, attempt := range r.sends {
+		if attempt.endpoint != 1 {
+			t.Fatalf("attempt at endpoint %d, which is not listed", attempt.endpoint)
 		}
-		succeed(b, now, x.id, 1, 100_000)
+		succeed(b, now, attempt.id, 1, 100_000)
 	}
 	b.UpdateEndpoints(now, ListFull, readyEndpoints(20))
-	now += 60 * second // they were up all the time, and what was learned of the load has aged
+	now += 60 * second // the endpoints were up meanwhile, and their learned loads no longer count
 	r.sends = r.sends[:0]
 	for i := range uint64(40) {
 		b.HandleRequest(now, newTestRequest(1000+i, 0, now))
 	}
 	used := map[uint32]bool{}
-	for _, x := range r.sends {
-		used[x.endpoint] = true
+	for _, attempt := range r.sends {
+		used[attempt.endpoint] = true
 	}
 	if len(used) < 10 {
-		t.Errorf("%d endpoints used of 20 that are back", len(used))
+		t.Errorf("%d of the 20 endpoints that are listed again are used, want at least 10", len(used))
 	}
 }
 
-// A fifth of the new endpoints fail all requests. A sidecar with three requests per second and one with a hundred, each
-// with its own observations only, serve nearly all requests, and the busy one finds the outliers soon.
+// A fifth of the new endpoints fail all requests. A sidecar with 3 requests per second and one with 100, each with its
+// own observations only, must serve nearly all requests. The busy sidecar must detect the outliers early.
 func TestOutliersAmongNewEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		rate      float64 // requests per second
-		minServed float64 // ratio
+		minServed float64 // fraction of the requests
 	}{{3, 0.9}, {100, 0.97}} {
 		s := testSettings()
 		s.Balancers = 80
 		s.Prices.Probe = probeBudget * calmProbeShare / 0.05
 		b, r := startBalancer(t, s, readyEndpoints(24))
-		list := readyEndpoints(60)
+		endpoints := readyEndpoints(60)
 		for i := 24; i < 60; i++ {
-			list[i].StartTime = second
+			endpoints[i].StartTime = second
 		}
-		b.UpdateEndpoints(second, ListFull, list)
-		served, all, failed := 0, 0, 0 // requests; failed have one attempt that failed, or several
+		b.UpdateEndpoints(second, ListFull, endpoints)
+		served, total, failed := 0, 0, 0 // numbers of requests; those of failed had at least one failed attempt
 		for now := second; now < 31*second; now += monotime.Micros(float64(second) / c.rate) {
-			all++
+			total++
 			ok, attempts := requestAmongOutliers(b, r, now)
 			served += int(indicator(ok))
 			failed += int(indicator(attempts > 1 || attempts == 1 && !ok))
 		}
-		if ratio := float64(served) / float64(all); ratio < c.minServed {
-			t.Errorf("%v per second: %.3f of %d served, want %.2f", c.rate, ratio, all, c.minServed)
+		if ratio := float64(served) / float64(total); ratio < c.minServed {
+			t.Errorf("%v requests per second: %.3f of %d served, want at least %.2f", c.rate, ratio, total, c.minServed)
 		}
-		if c.rate > 50 && failed > all/20 {
-			t.Errorf("%v per second: %d of %d requests met an outlier", c.rate, failed, all)
+		if c.rate > 50 && failed > total/20 {
+			t.Errorf("%v requests per second: %d of %d were sent to an outlier, want at most a twentieth",
+				c.rate, failed, total)
 		}
 	}
 }
 
-// requestAmongOutliers fires the probe timer and gives the balancer a request, of which the attempts at each fifth
-// endpoint from 25 on fail. It reports whether the request was served, and how many attempts it had.
+// requestAmongOutliers fires the probe timer and passes a request to the balancer. Attempts at endpoints 25, 30, 35 and
+// so on fail. It returns whether the request succeeded, and its number of attempts.
 func requestAmongOutliers(b *Balancer, r *recorder, now monotime.Micros) (served bool, attempts int) {
 	b.HandleTimer(now, tokenProbe)
 	id := uint64(now)
-	next := len(r.sends)
+	nextSend := len(r.sends)
 	b.HandleRequest(now, Request{ID: id, Deadline: now + second})
 	for _, e := range slices.Clone(r.probes) {
 		b.HandleProbe(now, e, OK, 1000, []float32{1})
 	}
 	r.probes = r.probes[:0]
-	for ; len(r.sends) > next; attempts++ {
-		e := r.sends[next].endpoint
-		next = len(r.sends)
+	for ; len(r.sends) > nextSend; attempts++ {
+		e := r.sends[nextSend].endpoint
+		nextSend = len(r.sends)
 		if e > 24 && e%5 == 0 {
 			b.HandleOutcome(now, Outcome{ID: id, Attempt: attempts, Endpoint: e, Status: Error, Latency: 1000})
 			continue
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -11,10 +11,11 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// The golden files under testdata were written by the build of commit 870f4ac, before any field was renamed.
-// Sidecars of that build hand over their state in this form, and read it: the files are never rewritten.
+// The golden files in testdata were written by the build of commit 870f4ac, before any field was renamed. Sidecars of
+// that build pass on their learned state in this form and read it, so the files are never rewritten.
 
-func filledLearned() *LearnedState {
+// filledLearnedState returns learned state in which each field has a value.
+func filledLearnedState() *LearnedState {
 	return &LearnedState{
 		Classes: []LearnedClass{
 			{MeanWork: Average{Value: 5000.5, Samples: 1e9}, RequestRate: 20.25,
@@ -44,9 +45,10 @@
 	}
 }
 
+// A changed form could not be read by a predecessor or successor of another version at a hot restart.
 func TestStoredFormOfLearnedStateIsUnchanged(t *testing.T) {
 	for file, value := range map[string]*LearnedState{
-		"learned.json":       filledLearned(),
+		"learned.json":       filledLearnedState(),
 		"learned_empty.json": {},
 	} {
 		text, err := json.Marshal(value)
@@ -63,34 +65,35 @@
 	}
 }
 
-// A field without a value would not be seen by the test above.
+// TestStoredFormOfLearnedStateIsUnchanged cannot detect a change of a field that has no value in filledLearnedState.
 func TestGoldenLearnedStateFillsEachField(t *testing.T) {
-	var check func(path string, v reflect.Value)
-	check = func(path string, v reflect.Value) {
-		switch v.Kind() {
+	var requireFilled func(path string, value reflect.Value)
+	requireFilled = func(path string, value reflect.Value) {
+		switch value.Kind() {
 		case reflect.Struct:
-			for i := range v.NumField() {
-				check(path+"."+v.Type().Field(i).Name, v.Field(i))
+			for i := range value.NumField() {
+				requireFilled(path+"."+value.Type().Field(i).Name, value.Field(i))
 			}
 		case reflect.Slice:
-			if v.Len() == 0 {
+			if value.Len() == 0 {
 				t.Errorf("%s is empty", path)
 				return
 			}
-			check(path+"[0]", v.Index(0))
+			requireFilled(path+"[0]", value.Index(0))
 		default:
-			if v.IsZero() {
+			if value.IsZero() {
 				t.Errorf("%s has no value", path)
 			}
 		}
 	}
-	l := filledLearned()
-	// filledLearned spreads these values over four outliers.
-	l.Endpoints[0].PartOutliers[0] = LearnedOutlier{ConsecutiveFailures: 1, EjectedFor: 2, EjectionTime: 3,
+	learned := filledLearnedState()
+	// filledLearnedState spreads the fields of an outlier over four elements; the check looks at the first one only.
+	learned.Endpoints[0].PartOutliers[0] = LearnedOutlier{ConsecutiveFailures: 1, EjectedFor: 2, EjectionTime: 3,
 		TrialPending: true}
-	check("Learned", reflect.ValueOf(*l))
+	requireFilled("Learned", reflect.ValueOf(*learned))
 }
 
+// readTestdata returns the text of a file in testdata.
 func readTestdata(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -6,19 +6,20 @@
 	"dunlinsail/internal/monotime"
 )
 
-// withOverloadPolicy returns a balancer of three endpoints, and its overload policy, which admits all.
-func withOverloadPolicy(t *testing.T) (*Balancer, *recorder, *OverloadPolicy) {
+// startWithOverloadPolicy returns a balancer with three endpoints, and its overload policy, which admits all requests
+// within their quota.
+func startWithOverloadPolicy(t *testing.T) (*Balancer, *recorder, *OverloadPolicy) {
 	t.Helper()
 	s := testSettings()
 	b, r := startBalancer(t, s, readyEndpoints(3))
-	all := make([]float64, len(s.Classes))
-	for i := range all {
-		all[i] = 1
+	ones := make([]float64, len(s.Classes))
+	for i := range ones {
+		ones[i] = 1
 	}
 	policy := &OverloadPolicy{
-		AdmitRatio:             all,
-		OverQuotaAdmitRatio:    make([]float64, len(all)),
-		QueueWaitFraction:      []float64{0.6, 0.6, 0.6, 0.6, 0.6}[:len(all)],
+		AdmitRatio:             ones,
+		OverQuotaAdmitRatio:    make([]float64, len(ones)),
+		QueueWaitFraction:      []float64{0.6, 0.6, 0.6, 0.6, 0.6}[:len(ones)],
 		FloorQueueWaitFraction: 0.6,
 		RetryAdmitRatio:        1,
 		RetryAllowed:           true,
@@ -29,15 +30,15 @@
 	return b, r, policy
 }
 
-// countAdmitted returns how many of 2000 requests are admitted. Each call for a request must give the same.
+// countAdmitted returns how many of 2000 requests are admitted. Repeated calls for a request must decide the same.
 func countAdmitted(t *testing.T, b *Balancer) int {
 	t.Helper()
 	admitted := 0
 	for id := range uint64(2000) {
-		in := newTestRequest(id, 0, 0)
-		retryAfter, rejected := b.ShouldReject(in)
-		if _, again := b.ShouldReject(in); again != rejected {
-			t.Fatalf("request %d: rejected %v, then %v", id, rejected, again)
+		request := newTestRequest(id, 0, 0)
+		retryAfter, rejected := b.ShouldReject(request)
+		if _, rejectedAgain := b.ShouldReject(request); rejectedAgain != rejected {
+			t.Fatalf("request %d: rejected %v, and %v at the second call", id, rejected, rejectedAgain)
 		}
 		if !rejected {
 			admitted++
@@ -48,49 +49,51 @@
 	return admitted
 }
 
-// requireRejected requires that a request is rejected, or is admitted.
-func requireRejected(t *testing.T, b *Balancer, in Request, want bool, name string) {
+// requireRejected requires that a request is rejected if want is true, and admitted otherwise. name describes the
+// request.
+func requireRejected(t *testing.T, b *Balancer, request Request, want bool, name string) {
 	t.Helper()
-	if _, rejected := b.ShouldReject(in); rejected != want {
+	if _, rejected := b.ShouldReject(request); rejected != want {
 		t.Errorf("%s: rejected %v, want %v", name, rejected, want)
 	}
 }
 
-// A part of the requests is admitted, the same ones at each call; of requests over a tenant's quota another part.
+// The overload policy admits a fraction of the requests, and another fraction of the requests over their tenant's
+// quota. Repeated calls for a request decide the same.
 func TestOverloadPolicyRejects(t *testing.T) {
-	b, _, policy := withOverloadPolicy(t)
+	b, _, policy := startWithOverloadPolicy(t)
 	policy.AdmitRatio[0] = 0.3
 	if n := countAdmitted(t, b); n < 500 || n > 700 {
-		t.Errorf("%d of 2000 admitted, want three in ten", n)
+		t.Errorf("%d of 2000 requests admitted, want about 600", n)
 	}
-	// Balancers that start together do not reject the same ones of their requests.
-	other, _ := newBalancer(t, b.settings, 99)
-	other.SetOverloadPolicy(policy)
-	same := 0
+	// Balancers that start together must not reject requests with the same IDs.
+	otherBalancer, _ := newBalancer(t, b.settings, 99)
+	otherBalancer.SetOverloadPolicy(policy)
+	sameDecisions := 0
 	for id := range uint64(2000) {
-		_, x := b.ShouldReject(newTestRequest(id, 0, 0))
-		_, y := other.ShouldReject(newTestRequest(id, 0, 0))
-		same += int(indicator(x == y))
+		_, rejected := b.ShouldReject(newTestRequest(id, 0, 0))
+		_, rejectedByOther := otherBalancer.ShouldReject(newTestRequest(id, 0, 0))
+		sameDecisions += int(indicator(rejected == rejectedByOther))
 	}
-	if same < 1050 || same > 1270 { // 0.58 by chance
-		t.Errorf("two balancers decide the same on %d of 2000", same)
+	if sameDecisions < 1050 || sameDecisions > 1270 { // independent decisions agree with a probability of 0.58
+		t.Errorf("two balancers decide the same for %d of 2000 requests, want about 1160", sameDecisions)
 	}
 	policy.AdmitRatio[0] = 1
 	policy.WithinQuotaRatio = []float64{0.5}
 	if n := countAdmitted(t, b); n < 900 || n > 1100 {
-		t.Errorf("%d of 2000 admitted where half is over a tenant's quota", n)
+		t.Errorf("%d of 2000 requests admitted with half of them over their tenant's quota, want about 1000", n)
 	}
 	policy.WithinQuotaRatio = nil
 	policy.RetryAdmitRatio = 0
 	retry := newTestRequest(1, 0, 0)
 	retry.Retry = true
-	requireRejected(t, b, retry, true, "a retry, of which none is admitted")
+	requireRejected(t, b, retry, true, "a retry, with RetryAdmitRatio 0")
 	b.SetOverloadPolicy(nil)
 	requireRejected(t, b, newTestRequest(1, 0, 0), false, "without a policy")
 }
 
-// Where all endpoints are full, one request of a class is admitted over budget in the interval of the policy, not one
-// per second. When the first one is differs between balancers that start together.
+// While all endpoints are full, one request of a class is admitted over its latency budget per ForcedAdmitInterval of
+// the policy, instead of one per second. The instant of the first one differs between balancers that start together.
 func TestOverloadPolicySetsForcedAdmitInterval(t *testing.T) {
 	reportFull := func(b *Balancer, now monotime.Micros) {
 		for e := range uint32(3) {
@@ -110,21 +113,21 @@
 		}
 		return len(r.sends)
 	}
-	b, r, policy := withOverloadPolicy(t)
+	b, r, policy := startWithOverloadPolicy(t)
 	policy.RetryAllowed = false
-	limited := countForced(b, r)
-	b, r, _ = withOverloadPolicy(t)
+	withPolicy := countForced(b, r)
+	b, r, _ = startWithOverloadPolicy(t)
 	b.SetOverloadPolicy(nil)
-	if all := countForced(b, r); limited > 1 || all < 10 {
+	if withoutPolicy := countForced(b, r); withPolicy > 1 || withoutPolicy < 10 {
 		t.Errorf("%d requests admitted within 20 s, want one in 100 s; without a policy %d, want one per second",
-			limited, all)
+			withPolicy, withoutPolicy)
 	}
 }
 
-// There is no retry unless the policy allows it, whatever credit was saved before.
+// The policy alone decides whether a retry is allowed, even if the balancer has retry budget left.
 func TestOverloadPolicyLimitsRetries(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
-		b, r, policy := withOverloadPolicy(t)
+		b, r, policy := startWithOverloadPolicy(t)
 		policy.RetryAllowed = allowed
 		b.HandleRequest(1000, newTestRequest(1, 0, 1000))
 		b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: Rejected, Latency: 1000})
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -9,6 +9,7 @@
 	"dunlinsail/internal/monotime"
 )
 
+// The predicted load of an endpoint is its reported load plus the requests that the balancer has sent since.
 func TestPickTakesLeastLoadPlusOwnSends(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
@@ -19,21 +20,22 @@
 	for id := range uint64(4) {
 		b.HandleRequest(2000, newTestRequest(id, 0, 2000))
 	}
-	// Endpoint 2 has the least load until it holds as many requests as endpoint 1 reported.
+	// Endpoint 2 has the least load until it has four requests in flight, as many as endpoint 1 reported.
 	for i, s := range r.sends {
 		if s.endpoint != 2 {
-			t.Errorf("send %d went to %d", i, s.endpoint)
+			t.Errorf("attempt %d was sent to endpoint %d, want 2", i, s.endpoint)
 		}
 	}
 	if len(r.sends) != 4 {
-		t.Fatalf("%d sends", len(r.sends))
+		t.Fatalf("%d attempts sent, want 4", len(r.sends))
 	}
 	if got := b.predictLoad(2000, b.endpointsByID[2]); math.Abs(got-4) > 0.1 {
-		t.Errorf("load with own sends: %v", got)
+		t.Errorf("predicted load after four own attempts: %v, want 4", got)
 	}
 }
 
-// In a large fleet all balancers receive a report of the same idle endpoint. None may fill it alone.
+// In a large fleet all balancers may receive a report of the same idle endpoint at the same time. The larger the fleet,
+// the fewer requests each balancer may send there before a new report.
 func TestOneLowAnswerDrawsNoHerd(t *testing.T) {
 	for _, c := range []struct{ balancers, maxSends int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
@@ -53,114 +55,119 @@
 	}
 }
 
+// Load reports that are older than the report lifetime must not influence picks.
 func TestPoolAges(t *testing.T) {
 	s := testSettings()
 	b, r := startBalancer(t, s, readyEndpoints(2))
 	reportLoad(b, 1000, 1, 0)
 	now := 1000 + b.reportLifetime(1000) + 30*second
-	seen := map[uint32]bool{}
+	used := map[uint32]bool{}
 	for id := range uint64(20) {
 		b.HandleRequest(now, newTestRequest(id, 0, now))
 		succeed(b, now, id, r.sends[len(r.sends)-1].endpoint, 1000)
-		seen[r.sends[len(r.sends)-1].endpoint] = true
+		used[r.sends[len(r.sends)-1].endpoint] = true
 	}
-	if len(seen) != 2 {
-		t.Error("a report beyond its lifetime still decides: two random draws expected")
+	if len(used) != 2 {
+		t.Error("a report beyond its lifetime still decides picks, want both endpoints used")
 	}
 }
 
+// Load reports that are empty, negative, infinite or NaN must not count as a load; extra values are ignored.
 func TestInvalidReportsAreIgnored(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(1))
 	nan := float32(math.NaN())
 	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
 		b.HandleProbe(1000, 1, OK, 500, load)
 		if b.endpoints[0].hasReport {
-			t.Errorf("report %v taken for a load", load)
+			t.Errorf("report %v accepted as a load", load)
 		}
 	}
-	reportLoad(b, 1000, 99, 1) // unknown endpoint
+	reportLoad(b, 1000, 99, 1) // an endpoint that is not listed
 	b.HandleProbe(1000, 1, OK, 500, []float32{2, 7, 9})
 	if b.predictLoad(1000, b.endpoints[0]) != 2 {
-		t.Errorf("load %v", b.predictLoad(1000, b.endpoints[0]))
+		t.Errorf("predicted load %v, want 2", b.predictLoad(1000, b.endpoints[0]))
 	}
 }
 
-// Reports of fewer requests than this balancer has in flight there are late. They must not decide picks.
+// A report with fewer requests than the balancer itself has in flight at the endpoint is outdated. If this is frequent,
+// reports must not decide picks until they are up to date again.
 func TestLateReportsAreDetected(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(2))
 	for id := range uint64(3) {
 		b.HandleRequest(1000, newTestRequest(id, 0, 1000))
 	}
-	busy := b.endpointsByID[r.sends[0].endpoint]
+	busyEndpoint := b.endpointsByID[r.sends[0].endpoint]
 	for i := range monotime.Micros(40) {
-		busy.probing = false
-		b.sendProbe(12_000+i, busy)
-		reportLoad(b, 13_000+i, busy.ID, 0)
+		busyEndpoint.probing = false
+		b.sendProbe(12_000+i, busyEndpoint)
+		reportLoad(b, 13_000+i, busyEndpoint.ID, 0)
 	}
 	if !b.reportsLate {
 		t.Fatal("late reports are not detected")
 	}
-	if got := b.predictLoad(15_000, busy); got < float64(busy.inflight) {
-		t.Errorf("load %v is under own in-flight %d", got, busy.inflight)
+	if got := b.predictLoad(15_000, busyEndpoint); got < float64(busyEndpoint.inflight) {
+		t.Errorf("predicted load %v is below the balancer's own %d requests in flight", got, busyEndpoint.inflight)
 	}
 	for i := range monotime.Micros(400) {
-		busy.probing = false
-		b.sendProbe(14_000+i, busy)
-		reportLoad(b, 15_000+i, busy.ID, 5)
+		busyEndpoint.probing = false
+		b.sendProbe(14_000+i, busyEndpoint)
+		reportLoad(b, 15_000+i, busyEndpoint.ID, 5)
 	}
 	if b.reportsLate {
 		t.Error("reports still count as late")
 	}
 }
 
-// A wrong estimate of a class's work must not reject that class for ever.
+// If the work of a class is overestimated, all its requests are over the latency budget. One forced admission per
+// interval provides the responses that correct the estimate.
 func TestLatencyRejectionAdmitsOnePerInterval(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
-	knowWork(b)
+	trustWorkEstimates(b)
 	b.classes[0].meanWork.value = float64(100 * second)
 	for i := range uint64(30) {
 		now := 10*second + monotime.Micros(i)*second/10
 		b.HandleRequest(now, newTestRequest(i, 0, now))
 	}
 	if n := len(r.sends); n < 2 || n > 4 {
-		t.Errorf("%d of 30 sent in three seconds, want about one per second", n)
+		t.Errorf("%d of 30 requests sent in three seconds, want about one per second", n)
 	}
 	if len(r.rejected) != 30-len(r.sends) {
-		t.Errorf("%d rejected, %d sent", len(r.rejected), len(r.sends))
+		t.Errorf("%d requests rejected and %d sent, want 30 in total", len(r.rejected), len(r.sends))
 	}
 }
 
-// Where no report has the load, only answers show that congestion is over. With a hundred requests per second, one
-// forced admission per second would leave a balancer rejecting for minutes what all endpoints could serve.
+// Without load reports only responses show that congestion has ended. If a balancer with 100 requests per second relied
+// on one forced admission per second for them, it would reject requests for minutes although all endpoints are idle.
 func TestRejectionEndsSoonAfterCongestion(t *testing.T) {
-	for name, change := range map[string]func(*Settings){
+	for name, changeSettings := range map[string]func(*Settings){
 		"no probes":  func(s *Settings) { s.Limits.Probes = false },
 		"no reports": func(s *Settings) { s.LoadMetrics = nil },
 	} {
 		s := testSettings()
 		s.Limits.Cancel = false
-		change(&s)
+		changeSettings(&s)
 		during, after := rejectedAroundCongestion(t, s)
 		if during < 100 {
-			t.Errorf("%s: %d rejected in 5 s of congestion, the test shows nothing", name, during)
+			t.Errorf("%s: %d requests rejected in 5 s of congestion, too few for this test", name, during)
 		}
 		if after > 50 {
-			t.Errorf("%s: %d of 1000 rejected from 5 s after the congestion on", name, after)
+			t.Errorf("%s: %d of 1000 requests rejected 5 s after the end of the congestion and later", name, after)
 		}
 	}
 }
 
-// rejectedAroundCongestion sends a hundred requests per second, of which those of the seconds 5 to 10 are answered
-// after their objective. It returns how many were rejected until then, and how many from second 15 to 25.
+// rejectedAroundCongestion sends 100 requests per second for 25 s. Responses to requests of seconds 5 to 10 miss the
+// latency objective. It returns the number of rejections in the first 10 s (during) and from second 15 on (after).
 func rejectedAroundCongestion(t *testing.T, s Settings) (during, after int) {
 	t.Helper()
-	type answer struct {
+	// response is a successful response that arrives at an instant.
+	type response struct {
 		at      monotime.Micros
 		id      uint64
 		latency monotime.Micros
 	}
 	b, r := startBalancer(t, s, readyEndpoints(8))
-	var pending []answer // in the order of their instants
+	var pending []response // ordered by instant
 	id := uint64(0)
 	for now := monotime.Micros(0); now < 25*second; now += 10_000 {
 		for len(pending) > 0 && pending[0].at <= now {
@@ -168,26 +175,27 @@
 			pending = pending[1:]
 		}
 		id++
-		sends := len(r.sends)
-		rejected := len(r.rejected)
+		sendsBefore := len(r.sends)
+		rejectedBefore := len(r.rejected)
 		b.HandleRequest(now, newTestRequest(id, 0, now))
-		if len(r.sends) > sends {
+		if len(r.sends) > sendsBefore {
 			latency := monotime.Micros(50_000)
 			if now > 5*second && now < 10*second {
 				latency = 900_000
 			}
-			pending = append(pending, answer{now + latency, id, latency})
-			slices.SortFunc(pending, func(x, y answer) int { return cmp.Compare(x.at, y.at) })
+			pending = append(pending, response{now + latency, id, latency})
+			slices.SortFunc(pending, func(x, y response) int { return cmp.Compare(x.at, y.at) })
 		}
 		if now < 10*second {
-			during += len(r.rejected) - rejected
+			during += len(r.rejected) - rejectedBefore
 		} else if now >= 15*second {
-			after += len(r.rejected) - rejected
+			after += len(r.rejected) - rejectedBefore
 		}
 	}
 	return during, after
 }
 
+// An endpoint that fails all requests fast must not attract requests, but has to receive trials after its ejection.
 func TestFailingEndpointIsEjectedAndReadmitted(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(3))
 	now := second
@@ -196,26 +204,27 @@
 		for e := range uint32(3) {
 			reportLoad(b, now, e+1, 0)
 		}
-		first := len(r.sends)
+		firstSend := len(r.sends)
 		b.HandleRequest(now, newTestRequest(id+1, 0, now))
-		for i := first; i < len(r.sends); i++ {
+		for i := firstSend; i < len(r.sends); i++ {
 			status := OK
 			if r.sends[i].endpoint == 1 {
 				status = Error
 			}
-			b.HandleOutcome(now, Outcome{ID: id + 1, Attempt: i - first, Endpoint: r.sends[i].endpoint, Status: status,
-				Latency: 30_000 + monotime.Micros((id+1)*7919%60_000), Answered: status == OK})
+			b.HandleOutcome(now, Outcome{ID: id + 1, Attempt: i - firstSend, Endpoint: r.sends[i].endpoint,
+				Status: status, Latency: 30_000 + monotime.Micros((id+1)*7919%60_000), Answered: status == OK})
 		}
 	}
-	sends := r.sendsByEndpoint()[1]
-	if sends > 300 {
-		t.Errorf("a fast failing endpoint got %d of 3000", sends)
+	failingSends := r.sendsByEndpoint()[1]
+	if failingSends > 300 {
+		t.Errorf("an endpoint that fails fast got %d attempts for 3000 requests, want at most 300", failingSends)
 	}
-	if sends < 2 {
-		t.Errorf("a failing endpoint gets no trial: %d sends", sends)
+	if failingSends < 2 {
+		t.Errorf("an ejected endpoint gets no trial: %d attempts", failingSends)
 	}
 }
 
+// While the balancer rejects requests, those of a tenant that is over its quota have a lower weight.
 func TestTenantOverItsQuotaWeighsLess(t *testing.T) {
 	s := testSettings()
 	s.OverQuotaWeight = 0.05
@@ -227,46 +236,48 @@
 			b.tenantRates[1].add(i*1000, 1)
 		}
 	}
-	over := &request{Request: Request{Tenant: 0}}
-	within := &request{Request: Request{Tenant: 1}}
+	overQuota := &request{Request: Request{Tenant: 0}}
+	withinQuota := &request{Request: Request{Tenant: 1}}
 	b.rejectedRatio.value = 0.5
-	if o, w := b.tenantWeight(100_000, over), b.tenantWeight(100_000, within); w != 1 || o > 0.6 {
-		t.Errorf("weights %v over, %v within the quota", o, w)
+	if overWeight, withinWeight := b.tenantWeight(100_000, overQuota),
+		b.tenantWeight(100_000, withinQuota); withinWeight != 1 || overWeight > 0.6 {
+		t.Errorf("tenant weight %v over the quota, %v within the quota, want at most 0.6 and 1",
+			overWeight, withinWeight)
 	}
 	if got := b.tenantWeight(100_000, &request{Request: Request{Tenant: 9}}); got != 1 {
-		t.Errorf("unknown tenant: %v", got)
+		t.Errorf("weight %v of an unknown tenant, want 1", got)
 	}
 }
 
-// At a start only few endpoints have a load report. They must not get all requests.
+// After the start only a few endpoints have a load report. They must not receive all requests.
 func TestFewAnswersDoNotTakeAll(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(8))
 	reportLoad(b, 1000, 3, 0)
 	for id := range uint64(24) {
 		b.HandleRequest(2000, newTestRequest(id, 0, 2000))
 	}
-	seen := r.sendsByEndpoint()
-	if len(r.sends) != 24 || len(seen) < 4 || seen[3] > 12 {
-		t.Errorf("%d sends, by endpoint %v", len(r.sends), seen)
+	sendsByEndpoint := r.sendsByEndpoint()
+	if len(r.sends) != 24 || len(sendsByEndpoint) < 4 || sendsByEndpoint[3] > 12 {
+		t.Errorf("%d attempts, by endpoint %v", len(r.sends), sendsByEndpoint)
 	}
 }
 
-// While reports are late, averages decide. They must not reject what the least loaded endpoint, which they do not show,
-// would serve.
+// While reports are late, latencies are predicted from averages, which do not show the least loaded endpoint. Requests
+// that this endpoint could serve must not be rejected, so the latency budget is the whole latency objective then.
 func TestLateReportsAllowTheFullObjective(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(1))
 	r := &request{Request: newTestRequest(1, 0, 0), work: 50_000}
 	b.classes[0].requestRate.add(0, 1)
-	before := b.latencyBudget(0, r, b.endpoints[0])
+	usualBudget := b.latencyBudget(0, r, b.endpoints[0])
 	b.reportsLate = true
-	if after := b.latencyBudget(0, r, b.endpoints[0]); after <= before ||
-		after != float64(b.settings.Classes[0].LatencyObjective) {
-		t.Errorf("limit %v before, %v while late", before, after)
+	if lateBudget := b.latencyBudget(0, r, b.endpoints[0]); lateBudget <= usualBudget ||
+		lateBudget != float64(b.settings.Classes[0].LatencyObjective) {
+		t.Errorf("latency budget %v with current reports, %v with late ones", usualBudget, lateBudget)
 	}
 }
 
-// An endpoint that answers in a fraction of a millisecond must not be given up after a silence of a few: clocks are not
-// that precise, and an attempt with a timeout shorter than its write is never made.
+// If an endpoint usually responds within a fraction of a millisecond, its attempts must still not time out after a few
+// milliseconds: timers are not that precise, and writing the request may take longer.
 func TestFastEndpointsMayHaveQueues(t *testing.T) {
 	s := testSettings()
 	s.Limits.Probes = false
@@ -277,8 +288,8 @@
 		if len(r.sends) != int(id)+1 {
 			t.Fatalf("request %d was not sent", id)
 		}
-		if wait := r.timeouts[id]; wait != 0 && wait < s.Classes[0].LatencyObjective/minTimeoutDivisor {
-			t.Fatalf("attempt %d has a timeout of %d us only", id, wait)
+		if timeout := r.timeouts[id]; timeout != 0 && timeout < s.Classes[0].LatencyObjective/minTimeoutDivisor {
+			t.Fatalf("attempt %d has a timeout of only %d us", id, timeout)
 		}
 		succeed(b, now+200, id, r.sends[id].endpoint, 200)
 	}
@@ -287,7 +298,8 @@
 	}
 }
 
-// An endpoint that is stuck must not look idle because its answers are missing.
+// An endpoint that is stuck sends no responses, so its averages do not change. It must be avoided because of its
+// silence, and its predicted latency must fall again after its response.
 func TestSilentEndpointIsAvoidedBeforeAveragesShowIt(t *testing.T) {
 	s := testSettings()
 	s.Limits.Hedging = false
@@ -296,86 +308,91 @@
 	reportLoad(b, 1000, 2, 2)
 	b.HandleRequest(1000, newTestRequest(1, 0, 1000))
 	if r.sends[0].endpoint != 1 {
-		t.Fatal("not the idle endpoint")
+		t.Fatal("the first request was not sent to the idle endpoint")
 	}
 	for id := range uint64(5) {
 		now := 300_000 + 1000*monotime.Micros(id)
 		b.HandleRequest(now, newTestRequest(10+id, 0, now))
 		last := r.sends[len(r.sends)-1]
 		if last.endpoint != 2 || last.id != 10+id {
-			t.Fatalf("request %d went to %d, silent for 0.3 s", last.id, last.endpoint)
+			t.Fatalf("request %d was sent to endpoint %d, want 2, since endpoint 1 has been silent for 0.3 s",
+				last.id, last.endpoint)
 		}
 		succeed(b, now, last.id, 2, 900)
 	}
 	succeed(b, 310_000, 1, 1, 309_000)
 	if got := b.predictLatency(310_000, b.endpointsByID[1], 1000); got > 100_000 {
-		t.Errorf("after its answer still %v expected", got)
+		t.Errorf("predicted latency after the response of the endpoint: %v us, want at most 100000", got)
 	}
 }
 
-// When the whole fleet becomes slow, an endpoint that was fast is expected to be slow as well, and to be fast again
-// soon after the recovery.
+// When all other endpoints become slow, the predicted latency of an endpoint that used to be fast has to rise, too, and
+// has to fall again soon after the recovery.
 func TestFleetWideSlowdownIsLearnedAtOnce(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
-	serve := func(from, step monotime.Micros, n int, times float64) {
-		for i := range n {
-			now := from + step*monotime.Micros(i)
+	serve := func(from, interval monotime.Micros, requestCount int, latencyFactor float64) {
+		for i := range requestCount {
+			now := from + interval*monotime.Micros(i)
 			id := uint64(now)
-			reportLoad(b, now, 1, 9) // the others serve
+			reportLoad(b, now, 1, 9) // so that the others serve the requests
 			b.HandleRequest(now, Request{ID: id, Deadline: now + second, WorkHint: 10_000, HasWorkHint: true})
 			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
 				continue // rejected
 			}
-			latency := monotime.Micros(times * b.requests[id].attempts[0].expectedLatency)
+			latency := monotime.Micros(latencyFactor * b.requests[id].attempts[0].expectedLatency)
 			succeed(b, now, id, r.sends[len(r.sends)-1].endpoint, latency)
 		}
 	}
-	expectedAtFast := func(now monotime.Micros) float64 {
+	predictForFastEndpoint := func(now monotime.Micros) float64 {
 		reportLoad(b, now, 1, 0)
 		b.endpointsByID[1].serviceTimeRatio = ewma{1, manySamples}
 		b.endpointsByID[1].serviceTimeObservedAt = now
 		return b.predictLatency(now, b.endpointsByID[1], 10_000)
 	}
 	serve(0, 1000, 50, 1)
-	before := expectedAtFast(60_000)
+	initialLatency := predictForFastEndpoint(60_000)
 	serve(100_000, 1000, 15, 4)
-	if slow := expectedAtFast(120_000); slow < 2*before {
-		t.Errorf("expected %v before, %v after 15 outcomes of four times the prediction", before, slow)
+	if slowLatency := predictForFastEndpoint(120_000); slowLatency < 2*initialLatency {
+		t.Errorf("predicted latency %v us, then %v us after 15 outcomes of four times the prediction",
+			initialLatency, slowLatency)
 	}
-	// While all requests are rejected, only forced admissions, one per second, show the recovery.
+	// While all requests are rejected, only one forced admission per second shows the recovery.
 	serve(200_000, second/2, 80, 0.5)
-	if after := expectedAtFast(41 * second); after > 1.2*before {
-		t.Errorf("expected %v before, %v after the recovery", before, after)
+	if recoveredLatency := predictForFastEndpoint(41 * second); recoveredLatency > 1.2*initialLatency {
+		t.Errorf("predicted latency %v us before the slowdown, %v us after the recovery",
+			initialLatency, recoveredLatency)
 	}
 }
 
-// A hint counts as far as it predicts the work. Else requests that only seem large are rejected at idle endpoints.
+// A work hint counts to the extent to which hints have predicted the work so far. If useless hints counted fully, idle
+// endpoints would not get requests with a large hint.
 func TestHintTrustIsLearned(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		latency  func(hint monotime.Micros) monotime.Micros
-		from, to float64
+		name               string
+		latency            func(hint monotime.Micros) monotime.Micros
+		minTrust, maxTrust float64
 	}{
 		{"useless hints", func(monotime.Micros) monotime.Micros { return 20_000 }, 0, 0.15},
 		{"exact hints", func(hint monotime.Micros) monotime.Micros { return hint }, 0.85, 1},
 	} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(4))
-		hints := randomSource(3)
+		hintSource := randomSource(3)
 		for i := range 4000 {
 			now := 10_000 * monotime.Micros(i)
-			hint := 5_000 + hints.durationBelow(60_000)
+			hint := 5_000 + hintSource.durationBelow(60_000)
 			b.HandleRequest(now, Request{ID: uint64(i), Deadline: now + second, WorkHint: hint, HasWorkHint: true})
 			if n := len(r.sends); n > 0 && r.sends[n-1].id == uint64(i) {
 				succeed(b, now, uint64(i), r.sends[n-1].endpoint, c.latency(hint))
 			}
 		}
-		if b.hintTrust < c.from || b.hintTrust > c.to {
-			t.Errorf("%s: trust %.2f, want %.2f to %.2f", c.name, b.hintTrust, c.from, c.to)
+		if b.hintTrust < c.minTrust || b.hintTrust > c.maxTrust {
+			t.Errorf("%s: hint trust %.2f, want %.2f to %.2f", c.name, b.hintTrust, c.minTrust, c.maxTrust)
 		}
 	}
 }
 
-// A balancer that rejects all requests must notice when it may stop, and one that rejects none needs few probes.
+// The probe rate rises with the rejected ratio: a balancer that rejects requests needs reports to detect the end of the
+// overload, and one that rejects none needs few probes.
 func TestProbesContinueWhileAllIsRejected(t *testing.T) {
 	s := testSettings()
 	s.Prices.Probe = probeBudget // one probe per request
@@ -384,7 +401,7 @@
 		b.requestRate.add(5000*monotime.Micros(i), 1)
 	}
 	now := 5 * second
-	all := b.requestRate.rate(now)
+	requestRate := b.requestRate.rate(now)
 	for _, c := range []struct{ rejected, want float64 }{
 		{0, calmProbeShare},
 		{fullProbeRejectedRatio / 2, (1 - fullProbeRejectedRatio/2) * (1 + calmProbeShare) / 2},
@@ -394,19 +411,19 @@
 		{1, minFirstAttemptRatio},
 	} {
 		b.rejectedRatio.value = c.rejected
-		if got := b.probeRate(now) / all; math.Abs(got-c.want) > 0.001 {
-			t.Errorf("rejected %v: %v of the probe rate, want %v", c.rejected, got, c.want)
+		if got := b.probeRate(now) / requestRate; math.Abs(got-c.want) > 0.001 {
+			t.Errorf("rejected ratio %v: %v probes per request, want %v", c.rejected, got, c.want)
 		}
 	}
 }
 
-// One of four idle endpoints is stuck with a request. Without load reports two random endpoints are compared, which may
-// be the same one twice: a request is not rejected for that while others are idle.
+// Without load reports two randomly drawn endpoints are compared, and both draws may be the same endpoint. If that
+// endpoint is stuck, the request must not be rejected while the other three are idle.
 func TestStuckEndpointDrawnTwiceRejectsNothing(t *testing.T) {
 	s := testSettings()
 	s.Limits.Probes = false
 	b, r := startBalancer(t, s, readyEndpoints(4))
-	now := serveSome(b, r, second, 400, 3_000)
+	now := serveRequests(b, r, second, 400, 3_000)
 	b.HandleRequest(now, newTestRequest(1, 0, now))
 	stuck := r.lastSend().endpoint
 	now += 350 * millisecond
@@ -415,7 +432,8 @@
 		b.HandleRequest(now, newTestRequest(10+id, 0, now))
 		s := r.lastSend()
 		if s.id != 10+id || s.endpoint == stuck {
-			t.Fatalf("request %d: sent to %d, with %d stuck; %d rejected", id, s.endpoint, stuck, len(r.rejected))
+			t.Fatalf("request %d: sent to endpoint %d, with endpoint %d stuck; %d requests rejected",
+				id, s.endpoint, stuck, len(r.rejected))
 		}
 		succeed(b, now+3_000, s.id, s.endpoint, 3_000)
 	}
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -7,49 +7,49 @@
 	"dunlinsail/internal/monotime"
 )
 
-// pollingBalancer is a balancer that polls discovery.
+// pollingBalancer is a balancer that polls discovery, and its recorded actions.
 type pollingBalancer struct {
 	balancer   *Balancer
 	recorder   *recorder
-	pollAt     monotime.Micros // instant of its next discovery timer; 0 is none
-	timersSeen int             // of its recorder's timers
-	notified   bool            // it has a list from discovery
+	pollAt     monotime.Micros // instant at which the discovery timer fires; 0 is none
+	timersRead int             // number of the recorder's timers that readDiscoveryTimers has read
+	hasList    bool            // it has received an endpoint list from discovery
 }
 
-// update applies the discovery timers that the balancer has set.
-func (p *pollingBalancer) update(now monotime.Micros) {
-	for ; p.timersSeen < len(p.recorder.timers); p.timersSeen++ {
-		if p.recorder.timers[p.timersSeen] == tokenDiscovery {
-			p.pollAt = now + p.recorder.delays[p.timersSeen]
+// readDiscoveryTimers sets pollAt from the discovery timers that the balancer has set since the last call.
+func (p *pollingBalancer) readDiscoveryTimers(now monotime.Micros) {
+	for ; p.timersRead < len(p.recorder.timerTokens); p.timersRead++ {
+		if p.recorder.timerTokens[p.timersRead] == tokenDiscovery {
+			p.pollAt = now + p.recorder.timerDelays[p.timersRead]
 		}
 	}
 }
 
-// poll fires the discovery timer if it is due, and reports whether the balancer polled.
-func (p *pollingBalancer) poll(now monotime.Micros) bool {
+// pollIfDue fires the discovery timer if it is due, and reports whether the balancer polled.
+func (p *pollingBalancer) pollIfDue(now monotime.Micros) bool {
 	if p.pollAt == 0 || p.pollAt > now {
 		return false
 	}
 	p.pollAt = 0
 	before := p.recorder.watches
 	p.balancer.HandleTimer(now, tokenDiscovery)
-	p.update(now)
+	p.readDiscoveryTimers(now)
 	return p.recorder.watches > before
 }
 
-// mustServe requires that the balancer sends a request by the list that it has.
-func (p *pollingBalancer) mustServe(t *testing.T, now monotime.Micros) {
+// requireServes requires that the balancer sends a request to an endpoint of the list that it has.
+func (p *pollingBalancer) requireServes(t *testing.T, now monotime.Micros) {
 	t.Helper()
 	id := uint64(now) + 1
-	sends := len(p.recorder.sends)
+	sendsBefore := len(p.recorder.sends)
 	p.balancer.HandleRequest(now, Request{ID: id, Deadline: now + second})
-	if len(p.recorder.sends) != sends+1 {
-		t.Fatalf("at %d ms a request was not sent by the known list", now/1000)
+	if len(p.recorder.sends) != sendsBefore+1 {
+		t.Fatalf("at %d ms a request was not sent to an endpoint of the cached list", now/1000)
 	}
-	succeed(p.balancer, now, id, p.recorder.sends[sends].endpoint, 30_000)
+	succeed(p.balancer, now, id, p.recorder.sends[sendsBefore].endpoint, 30_000)
 }
 
-// startPollingFleet starts the balancers within 100 ms, each with a cached list.
+// startPollingFleet starts s.Balancers balancers at random instants within 100 ms, each with a cached list.
 func startPollingFleet(t *testing.T, s Settings) []*pollingBalancer {
 	t.Helper()
 	rng := randomSource(9)
@@ -57,52 +57,53 @@
 	for seed := range uint64(s.Balancers) {
 		p := &pollingBalancer{}
 		p.balancer, p.recorder = newBalancer(t, s, seed)
-		from := rng.durationBelow(second / 10)
-		p.balancer.Start(from)
-		p.balancer.UpdateEndpoints(from, ListCached, readyEndpoints(6))
-		p.update(from)
+		startedAt := rng.durationBelow(second / 10)
+		p.balancer.Start(startedAt)
+		p.balancer.UpdateEndpoints(startedAt, ListCached, readyEndpoints(6))
+		p.readDiscoveryTimers(startedAt)
 		fleet = append(fleet, p)
 	}
 	return fleet
 }
 
-// slowDiscovery answers one call after the other, and fails those that wait for too long.
+// slowDiscovery is a discovery service that processes one call at a time and fails calls that have waited longer than
+// its timeout.
 type slowDiscovery struct {
-	callTime monotime.Micros
-	timeout  monotime.Micros
+	callTime monotime.Micros // time that one call takes
+	timeout  monotime.Micros // longest time that a call may wait
 	queue    []discoveryCall
-	freeAt   monotime.Micros // instant of the end of the present call
-	notified int             // balancers that have a list
+	idleAt   monotime.Micros // instant at which the present call ends
+	notified int             // number of balancers that have received a list
 }
 
-// discoveryCall is a call that waits.
+// discoveryCall is a call that waits in the queue of slowDiscovery.
 type discoveryCall struct {
-	from *pollingBalancer
-	at   monotime.Micros
+	caller   *pollingBalancer
+	queuedAt monotime.Micros
 }
 
-// answer answers the calls that are due, and fails those that have waited for too long.
-func (d *slowDiscovery) answer(now monotime.Micros) {
-	for len(d.queue) > 0 && (now >= d.freeAt || now-d.queue[0].at > d.timeout) {
-		c := d.queue[0]
+// respond responds to the calls that are due, and fails those that have waited longer than the timeout.
+func (d *slowDiscovery) respond(now monotime.Micros) {
+	for len(d.queue) > 0 && (now >= d.idleAt || now-d.queue[0].queuedAt > d.timeout) {
+		call := d.queue[0]
 		d.queue = d.queue[1:]
-		if now-c.at > d.timeout {
-			c.from.balancer.UpdateEndpoints(now, ListFailed, nil)
-			c.from.update(now)
+		if now-call.queuedAt > d.timeout {
+			call.caller.balancer.UpdateEndpoints(now, ListFailed, nil)
+			call.caller.readDiscoveryTimers(now)
 			continue
 		}
-		d.freeAt = now + d.callTime
-		c.from.balancer.UpdateEndpoints(now, ListFull, readyEndpoints(6))
-		if !c.from.notified {
-			c.from.notified = true
+		d.idleAt = now + d.callTime
+		call.caller.balancer.UpdateEndpoints(now, ListFull, readyEndpoints(6))
+		if !call.caller.hasList {
+			call.caller.hasList = true
 			d.notified++
 		}
 	}
 }
 
-// Eighty sidecars start within 100 ms, while discovery answers four calls per second and fails a call that waits for
-// two seconds. All are notified within a minute, calls do not come faster than discovery fails them, and meanwhile the
-// cached list serves.
+// Eighty sidecars start within 100 ms, while discovery processes four calls per second and fails calls that have waited
+// for 2 s. All sidecars must receive a list within a minute. Their calls must spread out instead of arriving together
+// again after each failure, and requests must be sent to the cached list meanwhile.
 func TestFleetPollsOverloadedDiscovery(t *testing.T) {
 	const balancers = 80
 	s := testSettings()
@@ -110,44 +111,45 @@
 	s.Balancers = balancers
 	fleet := startPollingFleet(t, s)
 	discovery := &slowDiscovery{callTime: second / 4, timeout: 2 * second}
-	inSecond := map[monotime.Micros]int{}
+	callsBySecond := map[monotime.Micros]int{}
 	calls := 0
 	for now := monotime.Micros(0); now < 60*second && discovery.notified < balancers; now += 10_000 {
 		for _, p := range fleet {
-			if p.poll(now) {
+			if p.pollIfDue(now) {
 				calls++
-				inSecond[now/second]++
+				callsBySecond[now/second]++
 				discovery.queue = append(discovery.queue, discoveryCall{p, now})
 			}
 			if now%second == 0 {
-				p.mustServe(t, now)
+				p.requireServes(t, now)
 			}
 		}
-		discovery.answer(now)
+		discovery.respond(now)
 	}
 	if discovery.notified < balancers {
-		t.Errorf("%d of %d were notified in a minute, by %d calls", discovery.notified, balancers, calls)
+		t.Errorf("%d of %d balancers received a list within a minute, with %d calls",
+			discovery.notified, balancers, calls)
 	}
-	for at, n := range inSecond {
+	for callSecond, n := range callsBySecond {
 		if n > balancers/2 {
-			t.Errorf("%d calls in second %d: they come together", n, at)
+			t.Errorf("%d calls in second %d, want them spread out", n, callSecond)
 		}
 	}
 	if calls > 6*balancers {
-		t.Errorf("%d calls to notify %d", calls, balancers)
+		t.Errorf("%d calls until %d balancers had a list", calls, balancers)
 	}
 }
 
-// The first list never comes. A cached list serves; without one, each request is rejected at once. Discovery is polled
-// again and again.
+// If discovery never returns a list, requests are sent to the endpoints of the cached list; without a cached list each
+// request is rejected at once. The balancer must keep polling discovery.
 func TestFirstListNeverComes(t *testing.T) {
-	for _, known := range []int{0, 5} {
+	for _, cachedCount := range []int{0, 5} {
 		s := testSettings()
 		s.Subscribe = true
-		b, r := startBalancer(t, s, readyEndpoints(known))
+		b, r := startBalancer(t, s, readyEndpoints(cachedCount))
 		polls := 0
 		for now := monotime.Micros(0); now < 60*second; now += second {
-			if slices.Contains(r.timers, tokenDiscovery) {
+			if slices.Contains(r.timerTokens, tokenDiscovery) {
 				b.HandleTimer(b.nextPollAt, tokenDiscovery)
 			}
 			if r.watches > polls {
@@ -156,48 +158,50 @@
 			}
 			id := uint64(now) + 1
 			b.HandleRequest(now, newTestRequest(id, 0, now))
-			if known == 0 && !slices.Contains(r.rejected, id) {
-				t.Fatalf("at %d s: not rejected at once", now/second)
+			if cachedCount == 0 && !slices.Contains(r.rejected, id) {
+				t.Fatalf("at %d s: a request without endpoints was not rejected at once", now/second)
 			}
-			if known > 0 && r.lastSend().id != id {
-				t.Fatalf("at %d s: not sent", now/second)
+			if cachedCount > 0 && r.lastSend().id != id {
+				t.Fatalf("at %d s: a request was not sent to an endpoint of the cached list", now/second)
 			}
 			succeed(b, now, id, 0, 30_000)
 		}
 		if polls < 5 {
-			t.Errorf("%d known: discovery was polled %d times in a minute", known, polls)
+			t.Errorf("%d cached endpoints: discovery was polled %d times in a minute, want at least 5",
+				cachedCount, polls)
 		}
 	}
 }
 
+// A balancer subscribes again after each failed or lost response of discovery, and does not poll while subscribed.
 func TestSubscriptionIsRenewedAfterLoss(t *testing.T) {
 	s := testSettings()
 	s.Subscribe = true
 	b, r := startBalancer(t, s, readyEndpoints(2))
 	now := monotime.Micros(0)
-	fire := func() {
-		for i, token := range r.timers {
+	fireDiscoveryTimer := func() {
+		for i, token := range r.timerTokens {
 			if token == tokenDiscovery {
-				now += r.delays[i]
-				r.timers, r.delays = nil, nil
+				now += r.timerDelays[i]
+				r.timerTokens, r.timerDelays = nil, nil
 				b.HandleTimer(now, tokenDiscovery)
 				return
 			}
 		}
-		t.Fatal("no timer for discovery")
+		t.Fatal("no discovery timer was set")
 	}
-	fire()
+	fireDiscoveryTimer()
 	for n := 1; n < 8; n++ {
 		if r.watches != n {
-			t.Fatalf("%d calls, want %d", r.watches, n)
+			t.Fatalf("%d subscription calls, want %d", r.watches, n)
 		}
-		before := now
+		previousPollAt := now
 		if n%2 == 0 {
 			b.UpdateEndpoints(now, ListFailed, nil)
-		} // else the answer is lost
-		fire()
-		if now-before > s.Contract.PollInterval {
-			t.Fatalf("polled only after %d", now-before)
+		} // otherwise the response is lost
+		fireDiscoveryTimer()
+		if now-previousPollAt > s.Contract.PollInterval {
+			t.Fatalf("next poll %d us after the failed one, want at most the poll interval", now-previousPollAt)
 		}
 	}
 	if len(b.endpoints) != 2 {
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -11,28 +11,29 @@
 	"dunlinsail/internal/monotime"
 )
 
-// trainedBalancer returns a balancer after 4000 requests, with slow, failing and warming endpoints among others.
-func trainedBalancer(t *testing.T, s Settings, list []Endpoint) (*Balancer, monotime.Micros) {
+// trainedBalancer returns a balancer after 4000 requests in 8 s, and the instant of the last one. Latencies differ by
+// endpoint, endpoint 2 fails some requests, endpoint 3 fails all, and the last endpoint has restarted and warms up.
+func trainedBalancer(t *testing.T, s Settings, endpoints []Endpoint) (*Balancer, monotime.Micros) {
 	t.Helper()
-	b, r := startBalancer(t, s, list)
+	b, r := startBalancer(t, s, endpoints)
 	rng := rand.New(rand.NewPCG(4, 4))
 	now := monotime.Micros(0)
 	for id := range uint64(4000) {
 		now += 2000
-		if id == 2000 { // the last endpoint restarts
-			restarted := &list[len(list)-1]
+		if id == 2000 { // the last endpoint restarts half way
+			restarted := &endpoints[len(endpoints)-1]
 			restarted.StartTime = now
 			b.UpdateEndpoints(now, ListDelta, []Endpoint{*restarted})
 		}
-		first := len(r.sends)
+		firstSend := len(r.sends)
 		b.HandleRequest(now, Request{ID: id, Class: uint8(id % 5), Tenant: uint16(id % 2), Deadline: now + second})
-		for sent := first; sent < len(r.sends); sent++ {
-			e := r.sends[sent].endpoint
+		for sendIndex := firstSend; sendIndex < len(r.sends); sendIndex++ {
+			e := r.sends[sendIndex].endpoint
 			status, latency := OK, monotime.Micros(1000*e)+rng.Int64N(3000)
 			if e == 2 && id%5 == 0 || e == 3 {
 				status = Error
 			}
-			b.HandleOutcome(now+latency, Outcome{ID: id, Attempt: sent - first, Endpoint: e, Status: status,
+			b.HandleOutcome(now+latency, Outcome{ID: id, Attempt: sendIndex - firstSend, Endpoint: e, Status: status,
 				Latency: latency, Answered: true})
 		}
 		if id%50 == 0 {
@@ -42,109 +43,125 @@
 	return b, now
 }
 
+// withTenants returns s with two tenants.
 func withTenants(s Settings) Settings {
 	s.Tenants = []Tenant{{Name: "a", Quota: 100, Share: 0.5}, {Name: "b", Quota: 100, Share: 0.5}}
 	return s
 }
 
-// The next balancer uses what one has learned, with another origin of time.
+// A balancer that restores the learned state of its predecessor must make the same predictions and decisions, although
+// the clocks of the two have different origins.
 func TestLearnedStateIsRestored(t *testing.T) {
 	s := withTenants(testSettings())
-	old, now := trainedBalancer(t, s, readyEndpoints(6))
-	text, err := json.Marshal(old.LearnedState(now))
+	predecessor, now := trainedBalancer(t, s, readyEndpoints(6))
+	text, err := json.Marshal(predecessor.LearnedState(now))
 	require.NoError(t, err)
-	var l LearnedState
-	require.NoError(t, json.Unmarshal(text, &l))
-	list := readyEndpoints(6)
-	list[5].StartTime = old.endpointsByID[6].StartTime
-	const shift = 1_000 * second
-	next, _ := newBalancer(t, s, 8)
-	for i := range list {
-		if list[i].StartTime != 0 {
-			list[i].StartTime += shift
-			l.Endpoints[i].StartTime += shift // both are of the host's clock
+	var learned LearnedState
+	require.NoError(t, json.Unmarshal(text, &learned))
+	endpoints := readyEndpoints(6)
+	endpoints[5].StartTime = predecessor.endpointsByID[6].StartTime
+	const clockOffset = 1_000 * second
+	successor, _ := newBalancer(t, s, 8)
+	for i := range endpoints {
+		if endpoints[i].StartTime != 0 {
+			endpoints[i].StartTime += clockOffset
+			learned.Endpoints[i].StartTime += clockOffset // list and learned state use the clock of the same host
 		}
 	}
-	next.Start(now + shift)
-	next.UpdateEndpoints(now+shift, ListCached, list)
-	next.Restore(now+shift, 0, &l)
+	successor.Start(now + clockOffset)
+	successor.UpdateEndpoints(now+clockOffset, ListCached, endpoints)
+	successor.Restore(now+clockOffset, 0, &learned)
 	ejected := 0
-	for id, a := range old.endpointsByID {
-		b := next.endpointsByID[id]
-		requireSamePredictions(t, old, a, now, next, b, now+shift)
-		requireSameBreaker(t, a, now, b, now+shift)
+	for id, oldEndpoint := range predecessor.endpointsByID {
+		newEndpoint := successor.endpointsByID[id]
+		requireSamePredictions(t, predecessor, oldEndpoint, now, successor, newEndpoint, now+clockOffset)
+		requireSameBreaker(t, oldEndpoint, now, newEndpoint, now+clockOffset)
 		for class := range uint8(5) {
 			r := &request{Request: Request{Class: class, Tenant: 1}}
-			if x, y := old.isEjectedFor(now, a, r), next.isEjectedFor(now+shift, b, r); x != y {
-				t.Errorf("endpoint %d, class %d: ejected %v, then %v", id, class, x, y)
-			} else if x {
+			if before, after := predecessor.isEjectedFor(now, oldEndpoint, r),
+				successor.isEjectedFor(now+clockOffset, newEndpoint, r); before != after {
+				t.Errorf("endpoint %d, class %d: ejected %v, after the restore %v", id, class, before, after)
+			} else if before {
 				ejected++
 			}
 		}
 	}
-	if ejected == 0 || !old.endpointsByID[6].warmingUp(now, old) {
-		t.Errorf("nothing was learned that could have been lost: %d ejected, warming up %v", ejected,
-			old.endpointsByID[6].warmingUp(now, old))
+	if ejected == 0 || !predecessor.endpointsByID[6].warmingUp(now, predecessor) {
+		t.Errorf("the old balancer learned too little for this test: %d ejections, endpoint 6 warming up %v", ejected,
+			predecessor.endpointsByID[6].warmingUp(now, predecessor))
 	}
-	if !near(old.requestRate.rate(now), next.requestRate.rate(now+shift)) || old.latencyTrend != next.latencyTrend {
-		t.Errorf("request rate %v, then %v; trend %v, then %v", old.requestRate.rate(now),
-			next.requestRate.rate(now+shift), old.latencyTrend, next.latencyTrend)
+	if !approxEqual(predecessor.requestRate.rate(now), successor.requestRate.rate(now+clockOffset)) ||
+		predecessor.latencyTrend != successor.latencyTrend {
+		t.Errorf("request rate %v, after the restore %v; latency trend %v, after the restore %v",
+			predecessor.requestRate.rate(now),
+			successor.requestRate.rate(now+clockOffset), predecessor.latencyTrend, successor.latencyTrend)
 	}
-	again := next.LearnedState(now + shift)
-	again.Endpoints, l.Endpoints = nil, nil
-	again.Classes, l.Classes = nil, nil
-	if a, b := *again, l; math.Abs(a.RequestRate-b.RequestRate) > 1e-6 ||
-		!reflect.DeepEqual(a.LateReportRatio, b.LateReportRatio) {
-		t.Errorf("handed on: %+v, was %+v", a, b)
+	exported := successor.LearnedState(now + clockOffset)
+	exported.Endpoints, learned.Endpoints = nil, nil
+	exported.Classes, learned.Classes = nil, nil
+	if got, want := *exported, learned; math.Abs(got.RequestRate-want.RequestRate) > 1e-6 ||
+		!reflect.DeepEqual(got.LateReportRatio, want.LateReportRatio) {
+		t.Errorf("learned state after the restore: %+v, want %+v", got, want)
 	}
 }
 
-// requireSamePredictions requires that two balancers expect the same of an endpoint, each at its own time.
-func requireSamePredictions(t *testing.T, old *Balancer, a *endpoint, now monotime.Micros, next *Balancer, b *endpoint,
-	then monotime.Micros) {
+// requireSamePredictions requires that two balancers make the same predictions for an endpoint, the predecessor at now
+// and the successor at successorNow, each by its own clock.
+func requireSamePredictions(t *testing.T, predecessor *Balancer, oldEndpoint *endpoint, now monotime.Micros,
+	successor *Balancer, newEndpoint *endpoint, successorNow monotime.Micros) {
 	t.Helper()
-	x, y := old.predictLatency(now, a, 5000), next.predictLatency(then, b, 5000)
-	if a.inflight == 0 && !b.hasReport && !old.reportsLate && math.Abs(x/y-1) > 0.5 {
-		t.Errorf("endpoint %d: %v expected by the old one, %v by the new", a.ID, x, y)
+	before, after := predecessor.predictLatency(now, oldEndpoint, 5000),
+		successor.predictLatency(successorNow, newEndpoint, 5000)
+	if oldEndpoint.inflight == 0 && !newEndpoint.hasReport && !predecessor.reportsLate &&
+		math.Abs(before/after-1) > 0.5 {
+		t.Errorf("endpoint %d: predicted latency %v, after the restore %v", oldEndpoint.ID, before, after)
 	}
-	if x, y := a.currentServiceTimeRatio(now, old), b.currentServiceTimeRatio(then, next); !near(x, y) {
-		t.Errorf("endpoint %d: service time ratio %v, then %v", a.ID, x, y)
+	if before, after := oldEndpoint.currentServiceTimeRatio(now, predecessor),
+		newEndpoint.currentServiceTimeRatio(successorNow, successor); !approxEqual(before, after) {
+		t.Errorf("endpoint %d: service time ratio %v, after the restore %v", oldEndpoint.ID, before, after)
 	}
-	if x, y := a.capacityFraction(now, old), b.capacityFraction(then, next); !near(x, y) ||
-		a.warmingUp(now, old) != b.warmingUp(then, next) {
-		t.Errorf("endpoint %d: capacity fraction %v, then %v", a.ID, x, y)
+	if before, after := oldEndpoint.capacityFraction(now, predecessor),
+		newEndpoint.capacityFraction(successorNow, successor); !approxEqual(before, after) ||
+		oldEndpoint.warmingUp(now, predecessor) != newEndpoint.warmingUp(successorNow, successor) {
+		t.Errorf("endpoint %d: capacity fraction %v, after the restore %v", oldEndpoint.ID, before, after)
 	}
 }
 
-// requireSameBreaker requires that two breakers have the same window and usual latency, each at its own time.
-func requireSameBreaker(t *testing.T, a *endpoint, now monotime.Micros, b *endpoint, then monotime.Micros) {
+// requireSameBreaker requires that the breakers of two balancers for an endpoint have the same window and base latency,
+// at the instants now and successorNow.
+func requireSameBreaker(t *testing.T, oldEndpoint *endpoint, now monotime.Micros, newEndpoint *endpoint,
+	successorNow monotime.Micros) {
 	t.Helper()
-	a.breaker.advance(now)
-	b.breaker.advance(then)
-	if x, y := a.breaker, b.breaker; x.requests != y.requests || x.accepts != y.accepts ||
-		x.baseLatency != y.baseLatency || a.ID < 6 && x.requests == 0 {
-		t.Errorf("endpoint %d: breaker %d of %d, base %v; then %d of %d, base %v", a.ID, x.accepts, x.requests,
-			x.baseLatency, y.accepts, y.requests, y.baseLatency)
+	oldEndpoint.breaker.advance(now)
+	newEndpoint.breaker.advance(successorNow)
+	if before, after := oldEndpoint.breaker, newEndpoint.breaker; before.requests != after.requests ||
+		before.accepts != after.accepts || before.baseLatency != after.baseLatency ||
+		oldEndpoint.ID < 6 && before.requests == 0 {
+		t.Errorf("endpoint %d: breaker accepted %d of %d, base latency %v; after the restore %d of %d, %v",
+			oldEndpoint.ID, before.accepts,
+			before.requests,
+			before.baseLatency, after.accepts, after.requests, after.baseLatency)
 	}
 }
 
-// handoverHost gives balancers requests, for four warm endpoints and a warming one.
-type handoverHost struct {
-	t       *testing.T
-	now     monotime.Micros
-	lastID  uint64
-	warming Endpoint
-	sent    int // requests to the warming endpoint
+// takeoverHost passes requests to balancers that have four warm endpoints and a warming one.
+type takeoverHost struct {
+	t            *testing.T
+	now          monotime.Micros
+	lastID       uint64
+	warming      Endpoint
+	warmingSends int // attempts at the warming endpoint
 }
 
-func (h *handoverHost) settings() Settings {
+// settings returns settings without probes, so that the balancers do not depend on load reports.
+func (h *takeoverHost) settings() Settings {
 	s := testSettings()
 	s.Limits.Probes = false
 	return s
 }
 
-// requests gives each balancer a request after a millisecond, which is answered.
-func (h *handoverHost) requests(balancers ...*Balancer) {
+// sendRequests advances time by 1 ms and passes one request to each balancer. All attempts succeed.
+func (h *takeoverHost) sendRequests(balancers ...*Balancer) {
 	h.now += 1000
 	for _, b := range balancers {
 		r := b.actions.(*recorder)
@@ -152,86 +169,87 @@
 		b.HandleRequest(h.now, newTestRequest(h.lastID, 0, h.now))
 		if n := len(r.sends) - 1; n >= 0 && r.sends[n].id == h.lastID {
 			if r.sends[n].endpoint == h.warming.ID {
-				h.sent++
+				h.warmingSends++
 			}
 			succeed(b, h.now+900, h.lastID, r.sends[n].endpoint, 2000)
 		}
 	}
 }
 
-// run sends 3000 requests, and returns how many went to the warming endpoint. With a handover another balancer takes
-// over for the second half, while the old one still gets as many requests as before.
-func (h *handoverHost) run(handover bool) int {
+// run sends 3000 requests and returns the number of attempts at the warming endpoint. If withTakeover is set, another
+// balancer takes over for the second half, during which the old balancer still receives as many requests as before.
+func (h *takeoverHost) run(withTakeover bool) int {
 	h.t.Helper()
 	b, _ := startBalancer(h.t, h.settings(), readyEndpoints(4))
 	h.warming = Endpoint{ID: 9, Zone: 0, Cell: 9, Share: 1, StartTime: 1}
 	h.now = 1
 	b.UpdateEndpoints(h.now, ListDelta, []Endpoint{h.warming})
 	for range 1500 {
-		h.requests(b)
+		h.sendRequests(b)
 	}
-	if !handover {
+	if !withTakeover {
 		for range 1500 {
-			h.requests(b)
+			h.sendRequests(b)
 		}
-		return h.sent
+		return h.warmingSends
 	}
 	learned := b.LearnedState(h.now + 1000)
 	b.SetHandedOver(h.now+1000, true)
-	next, _ := startBalancer(h.t, h.settings(), readyEndpoints(4))
-	next.UpdateEndpoints(h.now+1000, ListCached, append(readyEndpoints(4), h.warming))
-	next.Restore(h.now+1000, 0, learned)
+	successor, _ := startBalancer(h.t, h.settings(), readyEndpoints(4))
+	successor.UpdateEndpoints(h.now+1000, ListCached, append(readyEndpoints(4), h.warming))
+	successor.Restore(h.now+1000, 0, learned)
 	for range 1500 {
-		h.requests(next, b)
+		h.sendRequests(successor, b)
 	}
-	both := h.sent
+	sendsByBoth := h.warmingSends
 	for range 500 {
-		h.requests(b)
+		h.sendRequests(b)
 	}
-	if h.sent != both {
-		h.t.Errorf("the old balancer sent the warming endpoint %d requests after it had handed over", h.sent-both)
+	if h.warmingSends != sendsByBoth {
+		h.t.Errorf("the old balancer sent %d requests to the warming endpoint after the takeover",
+			h.warmingSends-sendsByBoth)
 	}
 	b.SetHandedOver(h.now, false)
 	for range 3000 {
-		h.requests(b)
+		h.sendRequests(b)
 	}
-	if h.sent == both {
-		h.t.Error("after the handover was undone it sends the endpoint nothing")
+	if h.warmingSends == sendsByBoth {
+		h.t.Error("the old balancer sends nothing to the warming endpoint after the takeover was undone")
 	}
-	return both
+	return sendsByBoth
 }
 
-// The token buckets of a warming endpoint are handed over. The old balancer sends it nothing more, and both together
-// send it what one alone might.
+// At a takeover the successor inherits the token buckets of a warming endpoint, and the old balancer stops sending
+// requests to it. If both started with full buckets, the endpoint would receive more than it may.
 func TestWarmingEndpointIsHandedOver(t *testing.T) {
-	alone := (&handoverHost{t: t}).run(false)
-	both := (&handoverHost{t: t}).run(true)
-	if both > alone*5/4+2 {
-		t.Errorf("a warming endpoint got %d requests across a handover, %d without", both, alone)
+	sendsByOne := (&takeoverHost{t: t}).run(false)
+	sendsByBoth := (&takeoverHost{t: t}).run(true)
+	if sendsByBoth > sendsByOne*5/4+2 {
+		t.Errorf("the warming endpoint got %d requests with a takeover, %d without", sendsByBoth, sendsByOne)
 	}
 }
 
-// What was learned of an endpoint is not used for a later process of it.
+// If an endpoint has restarted since the learned state was saved, the state of its earlier process is not used.
 func TestRestartedEndpointStartsAnew(t *testing.T) {
 	s := withTenants(testSettings())
-	old, now := trainedBalancer(t, s, readyEndpoints(6))
-	l := old.LearnedState(now)
-	next, _ := startBalancer(t, s, readyEndpoints(6))
-	next.UpdateEndpoints(now, ListDelta, []Endpoint{{ID: 3, Zone: 1, Cell: 1, StartTime: now - 1}})
-	next.Restore(now, 0, l)
-	if e := next.endpointsByID[3]; e.breaker.requests != 0 || e.outliers[allTraffic].consecutiveFailures != 0 ||
-		!e.warmingUp(now, next) {
-		t.Errorf("%+v", e)
+	predecessor, now := trainedBalancer(t, s, readyEndpoints(6))
+	learned := predecessor.LearnedState(now)
+	successor, _ := startBalancer(t, s, readyEndpoints(6))
+	successor.UpdateEndpoints(now, ListDelta, []Endpoint{{ID: 3, Zone: 1, Cell: 1, StartTime: now - 1}})
+	successor.Restore(now, 0, learned)
+	if e := successor.endpointsByID[3]; e.breaker.requests != 0 || e.outliers[allTraffic].consecutiveFailures != 0 ||
+		!e.warmingUp(now, successor) {
+		t.Errorf("the restarted endpoint kept learned state: %+v", e)
 	}
 }
 
-// Figures that no balancer can have learned are skipped: there is no panic, and endpoints are used as before.
+// Restore skips impossible values: it must not panic, and afterwards requests must still be sent.
 func TestRestoreOfInvalidState(t *testing.T) {
 	x := invalidState{rand.New(rand.NewPCG(1, 9))}
 	for range 300 {
-		l := x.learned()
+		learned := x.learned()
 		b, r := startBalancer(t, withTenants(testSettings()), readyEndpoints(6))
-		b.Restore(20*second, x.duration(), l)
+		b.Restore(20*second, x.duration(), learned)
 		for id := range uint64(50) {
 			now := 60*second + monotime.Micros(id)*second
 			b.HandleRequest(now, newTestRequest(id, uint8(id%5), now))
@@ -240,15 +258,15 @@
 			}
 		}
 		if len(r.sends) < 25 {
-			t.Fatalf("%d of 50 requests were sent after %+v", len(r.sends), l)
+			t.Fatalf("%d of 50 requests were sent after %+v", len(r.sends), learned)
 		}
 	}
 }
 
-// invalidState draws learned state that is mostly impossible.
+// invalidState draws learned state in which most values are impossible.
 type invalidState struct{ *rand.Rand }
 
-func (x invalidState) figure() float64 {
+func (x invalidState) number() float64 {
 	return []float64{math.NaN(), math.Inf(1), math.Inf(-1), -5, 0, 1e300, 7}[x.IntN(7)]
 }
 
@@ -256,35 +274,35 @@
 	return []monotime.Micros{math.MinInt64 / 4, -1, 0, 5, math.MaxInt64 / 4}[x.IntN(5)]
 }
 
-func (x invalidState) average() Average { return Average{x.figure(), x.figure()} }
+func (x invalidState) average() Average { return Average{x.number(), x.number()} }
 
 func (x invalidState) outlier(trial bool) LearnedOutlier {
 	return LearnedOutlier{int(x.duration()), x.duration(), x.duration(), trial}
 }
 
 func (x invalidState) learned() *LearnedState {
-	l := &LearnedState{
-		RequestRate:           x.figure(),
-		SentWorkRate:          x.figure(),
-		RejectedRatio:         x.figure(),
+	learned := &LearnedState{
+		RequestRate:           x.number(),
+		SentWorkRate:          x.number(),
+		RejectedRatio:         x.number(),
 		MeanWork:              Average{5000, 1},
 		FleetServiceTimeRatio: x.average(),
-		LatencyTrend:          x.figure(),
-		HintTrust:             x.figure(),
+		LatencyTrend:          x.number(),
+		HintTrust:             x.number(),
 		LateReportRatio:       x.average(),
 		TypicalLoad:           x.average(),
 		ServiceTime:           x.average(),
-		ReportWatchTime:       x.figure(),
-		ReportChanges:         x.figure(),
-		TenantRates:           []float64{x.figure(), x.figure()},
+		ReportWatchTime:       x.number(),
+		ReportChanges:         x.number(),
+		TenantRates:           []float64{x.number(), x.number()},
 	}
 	for range x.IntN(7) {
-		l.Classes = append(l.Classes, LearnedClass{x.average(), x.figure(), x.average()})
+		learned.Classes = append(learned.Classes, LearnedClass{x.average(), x.number(), x.average()})
 	}
 	for id := range uint32(8) {
-		l.Endpoints = append(l.Endpoints, x.endpoint(id))
+		learned.Endpoints = append(learned.Endpoints, x.endpoint(id))
 	}
-	return l
+	return learned
 }
 
 func (x invalidState) endpoint(id uint32) LearnedEndpoint {
@@ -295,10 +313,10 @@
 		ServiceTimeAge:   x.duration(),
 		WarmingUp:        x.IntN(2) == 0,
 		WarmupAge:        x.duration(),
-		WarmupTokens:     x.figure(),
+		WarmupTokens:     x.number(),
 		Outlier:          x.outlier(true),
-		BaseLatency:      x.figure(),
-		CurrentLatency:   x.figure(),
+		BaseLatency:      x.number(),
+		CurrentLatency:   x.number(),
 	}
 	for range x.IntN(9) {
 		e.PartOutliers = append(e.PartOutliers, x.outlier(false))
@@ -309,8 +327,8 @@
 	return e
 }
 
-// A delta before the cached list of another balancer must not make the endpoints of that list look new. If all warmed
-// up, requests would be rejected in the first seconds after a hot restart.
+// After a hot restart a delta may arrive before the cached list of the predecessor. The endpoints of the cached list
+// must not count as new then: if all of them warmed up, requests would be rejected in the first seconds.
 func TestEndpointsOfCachedListAreNotNew(t *testing.T) {
 	s := testSettings()
 	s.Subscribe = false
@@ -318,10 +336,10 @@
 	b.Start(0)
 	b.UpdateEndpoints(second, ListDelta, nil)
 	b.UpdateEndpoints(second, ListCached, readyEndpoints(2))
-	late := readyEndpoints(3)[2:]
-	b.UpdateEndpoints(second, ListDelta, late)
+	added := readyEndpoints(3)[2:]
+	b.UpdateEndpoints(second, ListDelta, added)
 	for _, e := range b.endpoints {
-		if want := e.ID == late[0].ID; e.warmingUp(second, b) != want {
+		if want := e.ID == added[0].ID; e.warmingUp(second, b) != want {
 			t.Errorf("endpoint %d warming up: %v, want %v", e.ID, !want, want)
 		}
 	}
--- a/balancer/stall_test.go
+++ b/balancer/stall_test.go
@@ -6,8 +6,10 @@
 	"dunlinsail/internal/monotime"
 )
 
-// serveSome has a balancer learn from answered requests, each after a latency, and returns the instant after the last.
-func serveSome(b *Balancer, r *recorder, now monotime.Micros, count uint64, latency monotime.Micros) monotime.Micros {
+// serveRequests sends count requests to b, 5 ms apart, each of which succeeds after the given latency. It returns the
+// instant of the last response.
+func serveRequests(b *Balancer, r *recorder, now monotime.Micros, count uint64,
+	latency monotime.Micros) monotime.Micros {
 	for range count {
 		now += 5_000
 		id := uint64(now)
@@ -19,41 +21,45 @@
 	return now + latency
 }
 
-// A response that has waited in a stalled process's socket buffer says nothing of its endpoint.
+// While the process of the balancer is stalled, responses wait in its socket buffers. This time must not count as
+// latency or silence of the endpoints.
 func TestStallIsNotChargedToEndpoints(t *testing.T) {
-	for _, length := range []monotime.Micros{100 * millisecond, 600 * millisecond, second, 5 * second} {
+	for _, stallTime := range []monotime.Micros{100 * millisecond, 600 * millisecond, second, 5 * second} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(4))
-		now := serveSome(b, r, second, 400, 3_000)
+		now := serveRequests(b, r, second, 400, 3_000)
 		b.HandleRequest(now, newTestRequest(1, 0, now))
-		waiting := r.lastSend()
-		e := b.endpointsByID[waiting.endpoint]
-		trend := b.latencyTrend
-		work := b.classes[0].meanWork
-		ratio := e.serviceTimeRatio
-		breaker := e.breaker.currentLatency
-		now += length
-		b.HandleStall(now, length)
-		if got := b.predictLatency(now, e, work.value); got > 10_000 {
-			t.Errorf("%d: %v us are predicted right after the stall", length, got)
+		waitingAttempt := r.lastSend()
+		e := b.endpointsByID[waitingAttempt.endpoint]
+		trendBefore := b.latencyTrend
+		workBefore := b.classes[0].meanWork
+		ratioBefore := e.serviceTimeRatio
+		latencyBefore := e.breaker.currentLatency
+		now += stallTime
+		b.HandleStall(now, stallTime)
+		if got := b.predictLatency(now, e, workBefore.value); got > 10_000 {
+			t.Errorf("stall of %d us: %v us are predicted right after it", stallTime, got)
 		}
-		b.HandleOutcome(now, Outcome{ID: 1, Endpoint: e.ID, Status: OK, Latency: length, Stalled: length,
+		b.HandleOutcome(now, Outcome{ID: 1, Endpoint: e.ID, Status: OK, Latency: stallTime, Stalled: stallTime,
 			Answered: true})
-		if b.latencyTrend != trend || b.classes[0].meanWork != work || e.serviceTimeRatio != ratio ||
-			e.breaker.currentLatency != breaker {
-			t.Errorf("%d: learned from the stall: trend %v, then %v; work %v, then %v; ratio %v, then %v", length,
-				trend, b.latencyTrend, work, b.classes[0].meanWork, ratio, e.serviceTimeRatio)
+		if b.latencyTrend != trendBefore || b.classes[0].meanWork != workBefore || e.serviceTimeRatio != ratioBefore ||
+			e.breaker.currentLatency != latencyBefore {
+			t.Errorf("stall of %d us changed estimates: trend %v, then %v; work %v, then %v; ratio %v, then %v",
+				stallTime,
+				trendBefore, b.latencyTrend, workBefore, b.classes[0].meanWork, ratioBefore, e.serviceTimeRatio)
 		}
-		first := len(r.sends)
+		sendsBefore := len(r.sends)
 		for id := range uint64(60) {
 			b.HandleRequest(now, newTestRequest(100+id, 0, now))
 		}
-		if sent := len(r.sends) - first; sent != 60 {
-			t.Errorf("%d: %d of 60 requests sent right after the stall", length, sent)
+		if sentCount := len(r.sends) - sendsBefore; sentCount != 60 {
+			t.Errorf("stall of %d us: %d of 60 requests sent right after it", stallTime, sentCount)
 		}
 	}
 }
 
-// Of a latency with a stall in it, what is certain still counts: an endpoint that was slow before the stall is slow.
+// If the process stalled during an attempt, the true latency lies between the measured latency minus the stall and the
+// measured latency. The bound that is closer to the prediction counts. If the prediction lies between the bounds, the
+// latency is unknown.
 func TestChargedLatency(t *testing.T) {
 	for _, c := range []struct {
 		latency, stalled monotime.Micros
