--- a/internal/decide/concurrency/baseline.go
+++ b/internal/decide/concurrency/baseline.go
@@ -27,9 +27,9 @@
 
 // addUnloadedSample takes in a request that was alone while the limit is not lowered. Enough of them postpone the next
 // measurement.
-func (l *Limiter) addUnloadedSample(now monotime.Micros, base *baseline, took monotime.Micros) {
-	base.samples++
-	base.mean += (float64(took) - base.mean) * max(baselineWeight, 1/float64(base.samples))
+func (l *Limiter) addUnloadedSample(now monotime.Micros, b *baseline, timeInFlight monotime.Micros) {
+	b.samples++
+	b.mean += (float64(timeInFlight) - b.mean) * max(baselineWeight, 1/float64(b.samples))
 	l.unloadedSamples++
 	if l.unloadedSamples >= baselineSamples {
 		l.unloadedSamples = 0
@@ -58,13 +58,15 @@
 // addBaselineSample takes in a request while the limit is lowered, and ends the measurement once it has
 // baselineSamples or has lasted for measureDuration. Requests that were sent before it, with more in flight, do not
 // count.
-func (l *Limiter) addBaselineSample(now monotime.Micros, base *baseline, took monotime.Micros, inFlight int) {
+func (l *Limiter) addBaselineSample(
+	now monotime.Micros, classBaseline *baseline, timeInFlight monotime.Micros, inFlight int,
+) {
 	if l.measureUntil == math.MaxInt64 {
 		l.measureUntil = now + measureDuration // the first measurement lasts from its first sample on
 	}
 	if inFlight <= l.Limit() {
-		base.measuredSum += float64(took)
-		base.measuredSamples++
+		classBaseline.measuredSum += float64(timeInFlight)
+		classBaseline.measuredSamples++
 		l.unloadedSamples++
 	}
 	if l.unloadedSamples < baselineSamples && now < l.measureUntil {
--- a/internal/decide/concurrency/limiter.go
+++ b/internal/decide/concurrency/limiter.go
@@ -18,11 +18,11 @@
 	baselines []baseline // by class
 
 	// The present window.
-	windowStart  monotime.Micros
-	samples      int
-	timeSum      float64 // of the samples, in microseconds
-	baselineSum  float64 // of the baselines of the samples' classes, in microseconds
-	limitReached bool    // requests were kept waiting by the limit, or as many as the limit were in flight
+	windowStart   monotime.Micros
+	samples       int
+	sampleTimeSum float64 // of the samples, in microseconds
+	baselineSum   float64 // of the baselines of the samples' classes, in microseconds
+	limitReached  bool    // requests were kept waiting by the limit, or as many as the limit were in flight
 
 	// The measurement of baselines.
 	measuring       bool            // the limit is lowered
@@ -72,22 +72,22 @@
 // AddSample takes in a request that was served: its time in flight, the requests in flight when it was sent, itself
 // included, and whether a request has waited for admission meanwhile. At the end of a window it moves the limit
 // (adjust).
-func (l *Limiter) AddSample(now monotime.Micros, class int, took monotime.Micros, inFlight int, waited bool) {
-	base := &l.baselines[class]
+func (l *Limiter) AddSample(now monotime.Micros, class int, timeInFlight monotime.Micros, inFlight int, waited bool) {
+	classBaseline := &l.baselines[class]
 	if l.measuring {
-		l.addBaselineSample(now, base, took, inFlight)
+		l.addBaselineSample(now, classBaseline, timeInFlight, inFlight)
 		return
 	}
 	if now >= l.nextMeasurement {
 		l.startMeasurement(now)
 		return
 	}
-	if base.samples == 0 || inFlight <= max(1, int(l.limit/unloadedDivisor)) {
-		l.addUnloadedSample(now, base, took)
+	if classBaseline.samples == 0 || inFlight <= max(1, int(l.limit/unloadedDivisor)) {
+		l.addUnloadedSample(now, classBaseline, timeInFlight)
 	}
 	l.samples++
-	l.timeSum += min(float64(took), maxSampleRatio*base.mean)
-	l.baselineSum += base.mean
+	l.sampleTimeSum += min(float64(timeInFlight), maxSampleRatio*classBaseline.mean)
+	l.baselineSum += classBaseline.mean
 	l.limitReached = l.limitReached || waited || inFlight >= int(l.limit)
 	if now-l.windowStart >= minWindow && l.samples >= max(minWindowSamples, int(l.limit)) {
 		l.adjust()
@@ -147,7 +147,7 @@
 // over their baselines. Few waiting requests let the limit grow only if it was reached, since otherwise nothing shows
 // that there is more capacity.
 func (l *Limiter) adjust() {
-	ratio := max(1, l.timeSum/l.baselineSum)
+	ratio := max(1, l.sampleTimeSum/l.baselineSum)
 	waiting := l.limit * (1 - 1/ratio)
 	growBelow := growWaiting + l.settings.GrowThreshold*l.limit
 	shrinkAbove := shrinkWaiting + l.settings.ShrinkThreshold*l.limit
@@ -169,7 +169,7 @@
 func (l *Limiter) resetWindow(now monotime.Micros) {
 	l.windowStart = now
 	l.samples = 0
-	l.timeSum = 0
+	l.sampleTimeSum = 0
 	l.baselineSum = 0
 	l.limitReached = false
 }
--- a/internal/decide/fairqueue/client.go
+++ b/internal/decide/fairqueue/client.go
@@ -9,8 +9,8 @@
 // Client is one client. Its limits hold over all schedulers that it uses together, its weight in each of them. Make one
 // with NewClient. It is for one goroutine at a time.
 type Client struct {
-	spec ClientSpec
-	open int // requests waiting and in flight
+	spec         ClientSpec
+	openRequests int // requests waiting and in flight
 
 	tokens   float64         // requests that the client may send now, by spec.Rate and spec.Burst
 	tokensAt monotime.Micros // instant that tokens is of
@@ -47,7 +47,7 @@
 	for _, flow := range c.flows {
 		waiting += len(flow.queue)
 	}
-	return waiting, c.open - waiting
+	return waiting, c.openRequests - waiting
 }
 
 // refill adds the tokens that have come since the last call: spec.Rate a second, spec.Burst at most.
--- a/internal/decide/fairqueue/fairqueue_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -17,15 +17,15 @@
 
 // simulation runs requests in simulated time: an admitted request is in flight for its service time and then done.
 type simulation struct {
-	t           rapid.TB
-	scheduler   *Scheduler
-	now         monotime.Micros
-	lastID      uint64
-	completions completionHeap
-	serviceTime func(id uint64) monotime.Micros
-	open        map[uint64]*simRequest
-	rejections  map[Reason]int
-	maxInFlight int
+	t            rapid.TB
+	scheduler    *Scheduler
+	now          monotime.Micros
+	lastID       uint64
+	completions  completionHeap
+	serviceTime  func(id uint64) monotime.Micros
+	openRequests map[uint64]*simRequest
+	rejections   map[Reason]int
+	maxInFlight  int
 }
 
 type simRequest struct {
@@ -35,157 +35,158 @@
 	class      int
 	startedAt  monotime.Micros
 	inFlight   bool
-	onEnd      func(p *simRequest, at monotime.Micros)
-	onReject   func(why Reason)
+	onEnd      func(request *simRequest, end monotime.Micros)
+	onReject   func(reason Reason)
 }
 
 type completion struct {
-	at monotime.Micros
-	id uint64
+	endAt monotime.Micros
+	id    uint64
 }
 
 type completionHeap []completion
 
-func (e completionHeap) Len() int { return len(e) }
-func (e completionHeap) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].id < e[j].id
+func (h completionHeap) Len() int { return len(h) }
+func (h completionHeap) Less(i, j int) bool {
+	return h[i].endAt < h[j].endAt || h[i].endAt == h[j].endAt && h[i].id < h[j].id
 }
-func (e completionHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *completionHeap) Push(v any)   { *e = append(*e, v.(completion)) }
-func (e *completionHeap) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (h completionHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *completionHeap) Push(v any)   { *h = append(*h, v.(completion)) }
+func (h *completionHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-func newSimulation(t rapid.TB, s Settings, took func(uint64) monotime.Micros) *simulation {
+func newSimulation(t rapid.TB, s Settings, serviceTimeOf func(uint64) monotime.Micros) *simulation {
 	return &simulation{
-		t:           t,
-		scheduler:   New(s),
-		serviceTime: took,
-		open:        map[uint64]*simRequest{},
-		rejections:  map[Reason]int{},
-		maxInFlight: s.MaxInFlight,
+		t:            t,
+		scheduler:    New(s),
+		serviceTime:  serviceTimeOf,
+		openRequests: map[uint64]*simRequest{},
+		rejections:   map[Reason]int{},
+		maxInFlight:  s.MaxInFlight,
 	}
 }
 
 // enqueue enqueues a request; onEnd is called when it has ended, onReject when it is rejected.
-func (w *simulation) enqueue(
+func (s *simulation) enqueue(
 	c *Client, class int, deadline monotime.Micros, onEnd func(*simRequest, monotime.Micros), onReject func(Reason),
 ) {
-	w.lastID++
-	w.open[w.lastID] = &simRequest{
+	s.lastID++
+	s.openRequests[s.lastID] = &simRequest{
 		client:     c,
-		enqueuedAt: w.now,
+		enqueuedAt: s.now,
 		deadline:   deadline,
 		class:      class,
 		onEnd:      onEnd,
 		onReject:   onReject,
 	}
-	w.scheduler.Enqueue(w.now, c, Request{ID: w.lastID, Class: class, Deadline: deadline})
-	w.applyDecisions()
+	s.scheduler.Enqueue(s.now, c, Request{ID: s.lastID, Class: class, Deadline: deadline})
+	s.applyDecisions()
 }
 
 // applyDecisions takes the decisions that are due, and checks what must hold after them.
-func (w *simulation) applyDecisions() {
+func (s *simulation) applyDecisions() {
 	for {
-		d, ok := w.scheduler.Next(w.now)
+		d, ok := s.scheduler.Next(s.now)
 		if !ok {
 			break
 		}
-		w.apply(d)
+		s.apply(d)
 	}
-	w.checkCapacity()
+	s.checkCapacity()
 }
 
 // apply carries out a decision, and checks that it is one on a waiting request.
-func (w *simulation) apply(d Decision) {
-	p := w.open[d.ID]
-	if p == nil {
-		w.t.Fatalf("a decision on request %d, which is not open", d.ID)
+func (s *simulation) apply(d Decision) {
+	request := s.openRequests[d.ID]
+	if request == nil {
+		s.t.Fatalf("a decision on request %d, which is not open", d.ID)
 	}
-	if p.inFlight {
-		w.t.Fatalf("request %d was admitted before: %+v", d.ID, d)
+	if request.inFlight {
+		s.t.Fatalf("request %d was admitted before: %+v", d.ID, d)
 	}
 	if d.Action == Admit {
-		p.inFlight = true
-		p.startedAt = w.now
-		heap.Push(&w.completions, completion{w.now + w.serviceTime(d.ID), d.ID})
+		request.inFlight = true
+		request.startedAt = s.now
+		heap.Push(&s.completions, completion{s.now + s.serviceTime(d.ID), d.ID})
 		return
 	}
 	if d.RetryAfter < 0 {
-		w.t.Fatalf("retry after %d", d.RetryAfter)
+		s.t.Fatalf("retry after %d", d.RetryAfter)
 	}
-	delete(w.open, d.ID)
-	w.rejections[d.Reason]++
-	if p.onReject != nil {
-		p.onReject(d.Reason)
+	delete(s.openRequests, d.ID)
+	s.rejections[d.Reason]++
+	if request.onReject != nil {
+		request.onReject(d.Reason)
 	}
 }
 
 // checkCapacity checks the scheduler's counts, its limit of requests in flight, and that no request waits while there
 // is capacity.
-func (w *simulation) checkCapacity() {
-	inFlight := len(w.completions)
-	waiting := len(w.open) - inFlight
-	if a, b := w.scheduler.Counts(); a != waiting || b != inFlight {
-		w.t.Fatalf("it counts %d waiting and %d in flight; there are %d and %d", a, b, waiting, inFlight)
+func (s *simulation) checkCapacity() {
+	inFlight := len(s.completions)
+	waiting := len(s.openRequests) - inFlight
+	if gotWaiting, gotInFlight := s.scheduler.Counts(); gotWaiting != waiting || gotInFlight != inFlight {
+		s.t.Fatalf("it counts %d waiting and %d in flight; there are %d and %d", gotWaiting, gotInFlight, waiting, inFlight)
 	}
-	if w.maxInFlight > 0 && inFlight > w.maxInFlight {
-		w.t.Fatalf("%d in flight of %d", inFlight, w.maxInFlight)
+	if s.maxInFlight > 0 && inFlight > s.maxInFlight {
+		s.t.Fatalf("%d in flight of %d", inFlight, s.maxInFlight)
 	}
-	if waiting > 0 && (w.maxInFlight == 0 || inFlight < w.maxInFlight) {
-		w.t.Fatalf("%d wait while %d of %d slots are taken", waiting, inFlight, w.maxInFlight)
+	if waiting > 0 && (s.maxInFlight == 0 || inFlight < s.maxInFlight) {
+		s.t.Fatalf("%d wait while %d of %d slots are taken", waiting, inFlight, s.maxInFlight)
 	}
 }
 
 // cancelAny takes any open request, cancels it if it waits, and reports whether it did.
-func (w *simulation) cancelAny() bool {
-	for id, p := range w.open {
-		if p.inFlight {
+func (s *simulation) cancelAny() bool {
+	for id, request := range s.openRequests {
+		if request.inFlight {
 			return false
 		}
-		delete(w.open, id)
-		w.scheduler.Done(w.now, id)
-		w.applyDecisions()
+		delete(s.openRequests, id)
+		s.scheduler.Done(s.now, id)
+		s.applyDecisions()
 		return true
 	}
 	return false
 }
 
 // checkEmpty checks that the scheduler has nothing left of any request.
-func (w *simulation) checkEmpty() {
-	x := w.scheduler
-	if len(x.requests) != 0 || x.backlog.Len() != 0 || x.expiry.Len() != 0 || x.inFlight != 0 || x.backlogWeight != 0 {
-		w.t.Fatalf("left behind: %+v", x)
+func (s *simulation) checkEmpty() {
+	sched := s.scheduler
+	if len(sched.requests) != 0 || sched.backlog.Len() != 0 || sched.expiry.Len() != 0 ||
+		sched.inFlight != 0 || sched.backlogWeight != 0 {
+		s.t.Fatalf("left behind: %+v", sched)
 	}
 }
 
 // runUntil runs to an instant.
-func (w *simulation) runUntil(at monotime.Micros) {
+func (s *simulation) runUntil(endAt monotime.Micros) {
 	for {
-		next := at
-		if len(w.completions) > 0 {
-			next = min(next, w.completions[0].at)
+		next := endAt
+		if len(s.completions) > 0 {
+			next = min(next, s.completions[0].endAt)
 		}
-		if expiry := w.scheduler.NextExpiry(); expiry > 0 {
-			next = min(next, max(w.now, expiry))
+		if expiry := s.scheduler.NextExpiry(); expiry > 0 {
+			next = min(next, max(s.now, expiry))
 		}
-		w.now = max(w.now, next)
-		if len(w.completions) > 0 && w.completions[0].at <= w.now {
-			e := heap.Pop(&w.completions).(completion)
-			p := w.open[e.id]
-			delete(w.open, e.id)
-			w.scheduler.Done(w.now, e.id)
-			w.scheduler.ObserveServiceTime(p.class, w.now-p.startedAt)
-			w.applyDecisions()
-			if p.onEnd != nil {
-				p.onEnd(p, w.now)
+		s.now = max(s.now, next)
+		if len(s.completions) > 0 && s.completions[0].endAt <= s.now {
+			completed := heap.Pop(&s.completions).(completion)
+			request := s.openRequests[completed.id]
+			delete(s.openRequests, completed.id)
+			s.scheduler.Done(s.now, completed.id)
+			s.scheduler.ObserveServiceTime(request.class, s.now-request.startedAt)
+			s.applyDecisions()
+			if request.onEnd != nil {
+				request.onEnd(request, s.now)
 			}
 			continue
 		}
-		w.applyDecisions()
-		if w.now >= at {
+		s.applyDecisions()
+		if s.now >= endAt {
 			return
 		}
 	}
@@ -204,15 +205,15 @@
 type usageSlices [][]float64
 
 const (
-	usageLength = 3 * second
-	usageSlice  = second / 4
+	usageDuration      = 3 * second
+	usageSliceDuration = second / 4
 )
 
 // add adds a client's request that was in flight between two instants.
 func (u usageSlices) add(client int, from, to monotime.Micros) {
 	for from < to {
-		sliceEnd := min(to, (from/usageSlice+1)*usageSlice)
-		if s := from / usageSlice; int(s) < len(u[client]) {
+		sliceEnd := min(to, (from/usageSliceDuration+1)*usageSliceDuration)
+		if s := from / usageSliceDuration; int(s) < len(u[client]) {
 			u[client][s] += float64(sliceEnd - from)
 		}
 		from = sliceEnd
@@ -222,30 +223,30 @@
 // shares returns each client's part of the time in flight of four slices.
 func (u usageSlices) shares(from int) []float64 {
 	shares := make([]float64, len(u))
-	var all float64
+	var total float64
 	for i := range u {
 		for _, v := range u[i][from : from+4] {
 			shares[i] += v
-			all += v
+			total += v
 		}
 	}
 	for i := range shares {
-		shares[i] /= all
+		shares[i] /= total
 	}
 	return shares
 }
 
-// saturate has a client send so many requests at once, and a new one for each that ends, until usageLength.
-func (w *simulation) saturate(c *Client, client, requests int, used usageSlices) {
-	var again func(p *simRequest, at monotime.Micros)
-	again = func(p *simRequest, at monotime.Micros) {
-		used.add(client, p.startedAt, at)
-		if w.now < usageLength {
-			w.enqueue(c, client, math.MaxInt64/2, again, nil)
+// saturate has a client send so many requests at once, and a new one for each that ends, until usageDuration.
+func (s *simulation) saturate(c *Client, client, requests int, used usageSlices) {
+	var enqueueNext func(request *simRequest, end monotime.Micros)
+	enqueueNext = func(request *simRequest, end monotime.Micros) {
+		used.add(client, request.startedAt, end)
+		if s.now < usageDuration {
+			s.enqueue(c, client, math.MaxInt64/2, enqueueNext, nil)
 		}
 	}
 	for range requests {
-		w.enqueue(c, client, math.MaxInt64/2, again, nil)
+		s.enqueue(c, client, math.MaxInt64/2, enqueueNext, nil)
 	}
 }
 
@@ -257,21 +258,21 @@
 		weights := rapid.SliceOfN(rapid.IntRange(1, 5), 2, 5).Draw(t, "weights")
 		means := rapid.SliceOfN(rapid.Int64Range(1000, 4000), len(weights), len(weights)).Draw(t, "means")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		var w *simulation
+		var sim *simulation
 		settings := Settings{InitialTimes: make([]monotime.Micros, len(weights)), MaxInFlight: slots}
-		w = newSimulation(t, settings, func(id uint64) monotime.Micros {
+		sim = newSimulation(t, settings, func(id uint64) monotime.Micros {
 			// Each client has a class of its own: some clients' requests take longer than others'.
-			return monotime.Micros(float64(means[w.open[id].class]) * (0.5 + rng.Float64()))
+			return monotime.Micros(float64(means[sim.openRequests[id].class]) * (0.5 + rng.Float64()))
 		})
 		used := make(usageSlices, len(weights))
 		var sum float64
 		for i, weight := range weights {
 			sum += float64(weight)
-			used[i] = make([]float64, usageLength/usageSlice+1)
+			used[i] = make([]float64, usageDuration/usageSliceDuration+1)
 			c := newTestClient(t, ClientSpec{Name: fmt.Sprint(i), Weight: float64(weight)})
-			w.saturate(c, i, 2*slots+2, used) // so many that it always has requests waiting
+			sim.saturate(c, i, 2*slots+2, used) // so many that it always has requests waiting
 		}
-		w.runUntil(usageLength)
+		sim.runUntil(usageDuration)
 		for from := 2; from+4 <= len(used[0])-2; from++ { // any second but the first half, where costs are guessed
 			for i, share := range used.shares(from) {
 				if want := float64(weights[i]) / sum; math.Abs(share/want-1) > 0.05 {
@@ -326,10 +327,10 @@
 func (r *randomRun) enqueueAny() {
 	r.enqueued++
 	c := r.clients[r.rng.IntN(len(r.clients))]
-	onEnd := func(p *simRequest, _ monotime.Micros) {
+	onEnd := func(request *simRequest, _ monotime.Micros) {
 		r.finished++
-		if p.startedAt > p.deadline {
-			r.t.Fatalf("a request was admitted at %d whose deadline was %d", p.startedAt, p.deadline)
+		if request.startedAt > request.deadline {
+			r.t.Fatalf("a request was admitted at %d whose deadline was %d", request.startedAt, request.deadline)
 		}
 	}
 	r.enqueue(c, r.rng.IntN(2), r.now+r.rng.Int64N(200*ms), onEnd, func(Reason) { r.finished++ })
@@ -383,47 +384,47 @@
 	run := func(heavyLoad float64) (p99 monotime.Micros, rejected int, share float64) {
 		rng := rand.New(rand.NewPCG(5, 3))
 		settings := Settings{InitialTimes: []monotime.Micros{10 * ms}, MaxInFlight: 16}
-		w := newSimulation(t, settings, func(uint64) monotime.Micros {
+		sim := newSimulation(t, settings, func(uint64) monotime.Micros {
 			return 8*ms + rng.Int64N(4*ms)
 		})
 		light := newTestClient(t, ClientSpec{Name: "light", Weight: 1})
 		heavy := newTestClient(t, ClientSpec{Name: "heavy", Weight: 1})
 		var times []monotime.Micros
-		var lightTime, all monotime.Micros
-		next := [2]float64{}
-		for w.now < 20*second { // the light one sends 400 a second, half of its share of the capacity
-			i := 0
-			if next[1] < next[0] && heavyLoad > 0 {
-				i = 1
+		var lightTime, totalTime monotime.Micros
+		nextAt := [2]float64{}
+		for sim.now < 20*second { // the light one sends 400 a second, half of its share of the capacity
+			sender := 0
+			if nextAt[1] < nextAt[0] && heavyLoad > 0 {
+				sender = 1
 			}
-			w.runUntil(monotime.Micros(next[i]))
-			if i == 0 {
-				next[0] += rng.ExpFloat64() / 400 * float64(second)
-				w.enqueue(light, 0, w.now+250*ms, func(p *simRequest, end monotime.Micros) {
-					times = append(times, end-p.enqueuedAt)
-					lightTime += end - p.startedAt
-					all += end - p.startedAt
+			sim.runUntil(monotime.Micros(nextAt[sender]))
+			if sender == 0 {
+				nextAt[0] += rng.ExpFloat64() / 400 * float64(second)
+				sim.enqueue(light, 0, sim.now+250*ms, func(request *simRequest, end monotime.Micros) {
+					times = append(times, end-request.enqueuedAt)
+					lightTime += end - request.startedAt
+					totalTime += end - request.startedAt
 				}, func(Reason) { rejected++ })
 				continue
 			}
-			next[1] += rng.ExpFloat64() / (400 * heavyLoad) * float64(second)
-			w.enqueue(heavy, 0, w.now+250*ms, func(p *simRequest, end monotime.Micros) {
-				all += end - p.startedAt
+			nextAt[1] += rng.ExpFloat64() / (400 * heavyLoad) * float64(second)
+			sim.enqueue(heavy, 0, sim.now+250*ms, func(request *simRequest, end monotime.Micros) {
+				totalTime += end - request.startedAt
 			}, nil)
 		}
 		slices.Sort(times)
-		return times[len(times)*99/100], rejected, 1 - float64(lightTime)/float64(all)
+		return times[len(times)*99/100], rejected, 1 - float64(lightTime)/float64(totalTime)
 	}
-	alone, rejected, _ := run(0)
+	aloneP99, rejected, _ := run(0)
 	if rejected != 0 {
 		t.Fatalf("alone %d rejected", rejected)
 	}
-	beside, rejected, share := run(20)
+	besideP99, rejected, share := run(20)
 	if rejected != 0 {
 		t.Errorf("beside the other %d of its requests were rejected", rejected)
 	}
-	if r := float64(beside) / float64(alone); r > 1.25 {
-		t.Errorf("p99 %d us beside the other, %d alone: %.2f times, want 1.25 at most", beside, alone, r)
+	if ratio := float64(besideP99) / float64(aloneP99); ratio > 1.25 {
+		t.Errorf("p99 %d us beside the other, %d alone: %.2f times, want 1.25 at most", besideP99, aloneP99, ratio)
 	}
 	if share < 0.7 {
 		t.Errorf("the other got %.2f of the time: what the light one leaves is its own", share)
@@ -433,13 +434,13 @@
 // A request that would miss its deadline is rejected at once, with the time after which it would not.
 func TestRejectsAtOnceWhatWouldMissItsDeadline(t *testing.T) {
 	settings := Settings{InitialTimes: []monotime.Micros{100 * ms}, MaxInFlight: 1}
-	w := newSimulation(t, settings, func(uint64) monotime.Micros { return 100 * ms })
+	sim := newSimulation(t, settings, func(uint64) monotime.Micros { return 100 * ms })
 	c := newTestClient(t, ClientSpec{Name: "c", Weight: 1})
-	w.enqueue(c, 0, 250*ms, nil, nil) // in flight
-	w.enqueue(c, 0, 250*ms, nil, nil) // waits for the first
-	w.scheduler.Enqueue(0, c, Request{ID: 99, Deadline: 250 * ms})
-	w.open[99] = &simRequest{client: c}
-	d, ok := w.scheduler.Next(0)
+	sim.enqueue(c, 0, 250*ms, nil, nil) // in flight
+	sim.enqueue(c, 0, 250*ms, nil, nil) // waits for the first
+	sim.scheduler.Enqueue(0, c, Request{ID: 99, Deadline: 250 * ms})
+	sim.openRequests[99] = &simRequest{client: c}
+	d, ok := sim.scheduler.Next(0)
 	if !ok || d.Action != Reject || d.Reason != WouldMissDeadline || d.RetryAfter < 20*ms || d.RetryAfter > 200*ms {
 		t.Fatalf("the third: %+v, want it rejected by its deadline, to retry after 20 to 200 ms", d)
 	}
@@ -450,11 +451,11 @@
 func TestAdmitsWhileCapacityIsFree(t *testing.T) {
 	for _, slots := range []int{0, 1} {
 		settings := Settings{InitialTimes: []monotime.Micros{10 * ms}, MaxInFlight: slots}
-		w := newSimulation(t, settings, func(uint64) monotime.Micros { return 300 * ms })
+		sim := newSimulation(t, settings, func(uint64) monotime.Micros { return 300 * ms })
 		c := newTestClient(t, ClientSpec{Name: "c", Weight: 1})
 		for range 20 {
-			w.enqueue(c, 0, w.now+200*ms, nil, func(why Reason) { t.Fatalf("slots %d: rejected: %v", slots, why) })
-			w.runUntil(w.now + 400*ms)
+			sim.enqueue(c, 0, sim.now+200*ms, nil, func(reason Reason) { t.Fatalf("slots %d: rejected: %v", slots, reason) })
+			sim.runUntil(sim.now + 400*ms)
 		}
 	}
 }
@@ -462,34 +463,34 @@
 // A waiting request is rejected at the instant from which its answer could not be in time.
 func TestRejectsWaitingRequestAtItsLatestStart(t *testing.T) {
 	settings := Settings{InitialTimes: []monotime.Micros{10 * ms}, MaxInFlight: 1}
-	w := newSimulation(t, settings, func(id uint64) monotime.Micros {
+	sim := newSimulation(t, settings, func(id uint64) monotime.Micros {
 		return map[bool]monotime.Micros{true: second, false: 10 * ms}[id == 1] // the first hangs
 	})
 	c := newTestClient(t, ClientSpec{Name: "c", Weight: 1})
-	w.enqueue(c, 0, 250*ms, nil, nil)
-	var at monotime.Micros
-	w.enqueue(c, 0, 50*ms, nil, func(why Reason) {
-		if at = w.now; why != WouldMissDeadline {
-			t.Errorf("rejected as: %v", why)
+	sim.enqueue(c, 0, 250*ms, nil, nil)
+	var rejectedAt monotime.Micros
+	sim.enqueue(c, 0, 50*ms, nil, func(reason Reason) {
+		if rejectedAt = sim.now; reason != WouldMissDeadline {
+			t.Errorf("rejected as: %v", reason)
 		}
 	})
-	w.runUntil(200 * ms)
-	if at != 40*ms {
-		t.Errorf("rejected at %d us, want 40 ms: 50 less the 10 that it takes", at)
+	sim.runUntil(200 * ms)
+	if rejectedAt != 40*ms {
+		t.Errorf("rejected at %d us, want 40 ms: 50 less the 10 that it takes", rejectedAt)
 	}
 }
 
 // The limits of a client hold, and a rejection has the time after which to retry.
 func TestClientLimits(t *testing.T) {
 	settings := Settings{InitialTimes: []monotime.Micros{10 * ms}, MaxInFlight: 1, Shared: &SharedLimit{Max: 4}}
-	w := newSimulation(t, settings, func(uint64) monotime.Micros { return 10 * ms })
+	sim := newSimulation(t, settings, func(uint64) monotime.Micros { return 10 * ms })
 	few := newTestClient(t, ClientSpec{Name: "few", Weight: 1, MaxOpen: 2})
 	fast := newTestClient(t, ClientSpec{Name: "fast", Weight: 1, Rate: 10, Burst: 2})
 	unlimited := newTestClient(t, ClientSpec{Name: "any", Weight: 1})
 	expect := func(c *Client, want Reason) {
 		t.Helper()
 		got := None
-		w.enqueue(c, 0, w.now+second, nil, func(why Reason) { got = why })
+		sim.enqueue(c, 0, sim.now+second, nil, func(reason Reason) { got = reason })
 		if got != want {
 			t.Errorf("rejected as %q, want %q", got, want)
 		}
@@ -500,16 +501,16 @@
 	expect(unlimited, None)
 	expect(unlimited, None)
 	expect(unlimited, SharedLimitReached)
-	w.runUntil(second)
+	sim.runUntil(second)
 	expect(few, None)
 	expect(fast, None)
 	expect(fast, None)
 	expect(fast, ClientOverRate)
-	w.scheduler.Enqueue(w.now, fast, Request{ID: 999, Deadline: w.now + second})
-	if d, _ := w.scheduler.Next(w.now); d.RetryAfter != 100*ms {
+	sim.scheduler.Enqueue(sim.now, fast, Request{ID: 999, Deadline: sim.now + second})
+	if d, _ := sim.scheduler.Next(sim.now); d.RetryAfter != 100*ms {
 		t.Errorf("to retry after %d us, want 100 ms: one of ten a second", d.RetryAfter)
 	}
-	w.runUntil(2 * second)
+	sim.runUntil(2 * second)
 	expect(fast, None)
 }
 
@@ -530,69 +531,70 @@
 // A client whose weight changes has its new share from then on.
 func TestClientUpdateChangesItsShare(t *testing.T) {
 	settings := Settings{InitialTimes: []monotime.Micros{ms}, MaxInFlight: 2}
-	w := newSimulation(t, settings, func(uint64) monotime.Micros { return ms })
+	sim := newSimulation(t, settings, func(uint64) monotime.Micros { return ms })
 	a := newTestClient(t, ClientSpec{Name: "a", Weight: 1})
 	b := newTestClient(t, ClientSpec{Name: "b", Weight: 1})
-	var done [2]int
+	var completed [2]int
 	for i, c := range []*Client{a, b} {
-		var again func(*simRequest, monotime.Micros)
-		again = func(*simRequest, monotime.Micros) {
-			if done[i]++; w.now < 2*second {
-				w.enqueue(c, 0, math.MaxInt64/2, again, nil)
+		var enqueueNext func(*simRequest, monotime.Micros)
+		enqueueNext = func(*simRequest, monotime.Micros) {
+			if completed[i]++; sim.now < 2*second {
+				sim.enqueue(c, 0, math.MaxInt64/2, enqueueNext, nil)
 			}
 		}
 		for range 5 {
-			w.enqueue(c, 0, math.MaxInt64/2, again, nil)
+			sim.enqueue(c, 0, math.MaxInt64/2, enqueueNext, nil)
 		}
 	}
-	w.runUntil(second)
-	if r := float64(done[0]) / float64(done[1]); math.Abs(r-1) > 0.02 {
-		t.Fatalf("%v with equal weights", done)
+	sim.runUntil(second)
+	if ratio := float64(completed[0]) / float64(completed[1]); math.Abs(ratio-1) > 0.02 {
+		t.Fatalf("%v with equal weights", completed)
 	}
 	if err := b.Update(ClientSpec{Name: "b", Weight: 3}); err != nil {
 		t.Fatal(err)
 	}
-	before := done
-	w.runUntil(2 * second)
-	if r := float64(done[1]-before[1]) / float64(done[0]-before[0]); math.Abs(r-3) > 0.1 {
-		t.Errorf("%.2f times as much with three times the weight", r)
+	completedBefore := completed
+	sim.runUntil(2 * second)
+	if ratio := float64(completed[1]-completedBefore[1]) /
+		float64(completed[0]-completedBefore[0]); math.Abs(ratio-3) > 0.1 {
+		t.Errorf("%.2f times as much with three times the weight", ratio)
 	}
 }
 
 // The limits of a client, and the shared limit, hold over several schedulers; capacity in one is none in another.
 func TestLimitsHoldOverSeveralSchedulers(t *testing.T) {
-	total := &SharedLimit{Max: 5}
-	var x [2]*Scheduler
-	for i := range x {
-		x[i] = New(Settings{InitialTimes: []monotime.Micros{ms}, MaxInFlight: 1, Shared: total})
+	sharedLimit := &SharedLimit{Max: 5}
+	var scheduler [2]*Scheduler
+	for i := range scheduler {
+		scheduler[i] = New(Settings{InitialTimes: []monotime.Micros{ms}, MaxInFlight: 1, Shared: sharedLimit})
 	}
 	a := newTestClient(t, ClientSpec{Name: "a", Weight: 1, MaxOpen: 3})
 	b := newTestClient(t, ClientSpec{Name: "b", Weight: 1})
 	id := uint64(0)
-	enqueue := func(x *Scheduler, c *Client, want Decision) {
+	enqueue := func(scheduler *Scheduler, c *Client, want Decision) {
 		t.Helper()
 		id++
-		x.Enqueue(0, c, Request{ID: id, Deadline: second})
-		d, ok := x.Next(0)
+		scheduler.Enqueue(0, c, Request{ID: id, Deadline: second})
+		d, ok := scheduler.Next(0)
 		if ok != (d.ID != 0) || ok && d.ID != id || !ok && want.ID != 0 ||
 			d.Action != want.Action || d.Reason != want.Reason {
 			t.Fatalf("request %d: %+v, %v", id, d, ok)
 		}
 	}
 	admitted, queued := Decision{ID: 1}, Decision{}
-	enqueue(x[0], a, admitted)
-	enqueue(x[0], a, queued)
-	enqueue(x[1], a, admitted)
-	enqueue(x[1], a, Decision{ID: 1, Action: Reject, Reason: ClientAtLimit})
-	enqueue(x[1], b, queued)
-	enqueue(x[0], b, queued)
-	enqueue(x[0], b, Decision{ID: 1, Action: Reject, Reason: SharedLimitReached})
-	if w, in := a.Counts(); w != 1 || in != 2 {
-		t.Errorf("a has %d waiting and %d in flight", w, in)
-	}
-	x[1].Done(0, 3)
-	if d, ok := x[1].Next(0); !ok || d.ID != 5 || d.Action != Admit {
+	enqueue(scheduler[0], a, admitted)
+	enqueue(scheduler[0], a, queued)
+	enqueue(scheduler[1], a, admitted)
+	enqueue(scheduler[1], a, Decision{ID: 1, Action: Reject, Reason: ClientAtLimit})
+	enqueue(scheduler[1], b, queued)
+	enqueue(scheduler[0], b, queued)
+	enqueue(scheduler[0], b, Decision{ID: 1, Action: Reject, Reason: SharedLimitReached})
+	if waiting, inFlight := a.Counts(); waiting != 1 || inFlight != 2 {
+		t.Errorf("a has %d waiting and %d in flight", waiting, inFlight)
+	}
+	scheduler[1].Done(0, 3)
+	if d, ok := scheduler[1].Next(0); !ok || d.ID != 5 || d.Action != Admit {
 		t.Errorf("with capacity there: %+v, %v", d, ok)
 	}
-	enqueue(x[1], a, queued)
+	enqueue(scheduler[1], a, queued)
 }
--- a/internal/decide/fairqueue/scheduler.go
+++ b/internal/decide/fairqueue/scheduler.go
@@ -44,49 +44,49 @@
 	if s.Shared == nil {
 		s.Shared = &SharedLimit{}
 	}
-	x := &Scheduler{settings: s, requests: map[uint64]*queuedRequest{}}
+	scheduler := &Scheduler{settings: s, requests: map[uint64]*queuedRequest{}}
 	for _, expected := range s.InitialTimes {
-		x.estimates = append(x.estimates, serviceEstimate{mean: float64(max(1, expected))})
+		scheduler.estimates = append(scheduler.estimates, serviceEstimate{mean: float64(max(1, expected))})
 	}
-	return x
+	return scheduler
 }
 
 // Close declares that no more requests will be enqueued. Clients drop the scheduler once it has no open request.
-func (x *Scheduler) Close() { x.closed = true }
+func (s *Scheduler) Close() { s.closed = true }
 
 // SetMaxInFlight sets how many requests may be in flight at once; 0 is no limit.
-func (x *Scheduler) SetMaxInFlight(n int) { x.settings.MaxInFlight = n }
+func (s *Scheduler) SetMaxInFlight(n int) { s.settings.MaxInFlight = n }
 
 // Counts returns how many requests are waiting and in flight.
-func (x *Scheduler) Counts() (waiting, inFlight int) { return x.expiry.Len(), x.inFlight }
+func (s *Scheduler) Counts() (waiting, inFlight int) { return s.expiry.Len(), s.inFlight }
 
 // Enqueue takes in a request of a client, whose ID must not be that of an open request. It is rejected if its client or
 // the shared limit allows no more (overLimit), or if it is estimated to wait past its latest start. Next returns that
 // decision, or the one to admit it. The client spends a token of its rate for each request that is not rejected here.
-func (x *Scheduler) Enqueue(now monotime.Micros, client *Client, r Request) {
-	flow := x.flowOf(client)
-	if reason, retryAfter := x.overLimit(now, flow); reason != None {
-		x.reject(r.ID, reason, retryAfter)
+func (s *Scheduler) Enqueue(now monotime.Micros, client *Client, r Request) {
+	flow := s.flowOf(client)
+	if reason, retryAfter := s.overLimit(now, flow); reason != None {
+		s.reject(r.ID, reason, retryAfter)
 		return
 	}
-	cost := x.estimates[r.Class].mean
-	latestStart := x.latestStart(now, &r)
-	if x.mustWait() {
+	cost := s.estimates[r.Class].mean
+	latestStart := s.latestStart(now, &r)
+	if s.mustWait() {
 		spare := latestStart - now
-		if delay := x.queueDelay(flow, cost); delay > spare {
-			x.reject(r.ID, WouldMissDeadline, delay-max(0, spare))
+		if delay := s.queueDelay(flow, cost); delay > spare {
+			s.reject(r.ID, WouldMissDeadline, delay-max(0, spare))
 			return
 		}
 	}
 	client.tokens--
-	x.push(&queuedRequest{Request: r, flow: flow, cost: cost, latestStart: latestStart, waiting: true})
+	s.push(&queuedRequest{Request: r, flow: flow, cost: cost, latestStart: latestStart, waiting: true})
 }
 
 // overLimit decides whether a client may have one more request: by its rate (ClientSpec.Rate and Burst), its open
 // requests (ClientSpec.MaxOpen) and the open requests of all schedulers (SharedLimit.Max), in this order. If it may
 // not, overLimit returns the reason, and when to retry: once the rate has earned a token, or once the client's queue
 // is estimated to be empty.
-func (x *Scheduler) overLimit(now monotime.Micros, flow *clientFlow) (reason Reason, retryAfter monotime.Micros) {
+func (s *Scheduler) overLimit(now monotime.Micros, flow *clientFlow) (reason Reason, retryAfter monotime.Micros) {
 	client := flow.client
 	if client.spec.Rate > 0 {
 		client.refill(now)
@@ -95,19 +95,19 @@
 			return ClientOverRate, wait
 		}
 	}
-	if client.spec.MaxOpen > 0 && client.open >= client.spec.MaxOpen {
-		return ClientAtLimit, x.queueDelay(flow, 0)
+	if client.spec.MaxOpen > 0 && client.openRequests >= client.spec.MaxOpen {
+		return ClientAtLimit, s.queueDelay(flow, 0)
 	}
-	if shared := x.settings.Shared; shared.Max > 0 && shared.open >= shared.Max {
-		return SharedLimitReached, x.queueDelay(flow, 0)
+	if shared := s.settings.Shared; shared.Max > 0 && shared.openRequests >= shared.Max {
+		return SharedLimitReached, s.queueDelay(flow, 0)
 	}
 	return None, 0
 }
 
 // latestStart determines the instant until which a request may wait: the last at which its answer can still be in
 // time, by its deadline and its class's expected time, or the part Request.MaxWaitFraction of the time until then.
-func (x *Scheduler) latestStart(now monotime.Micros, r *Request) monotime.Micros {
-	latestStart := r.Deadline - x.expectedTime(r.Class)
+func (s *Scheduler) latestStart(now monotime.Micros, r *Request) monotime.Micros {
+	latestStart := r.Deadline - s.expectedTime(r.Class)
 	if r.MaxWaitFraction > 0 {
 		latestStart = now + monotime.Micros(r.MaxWaitFraction*float64(latestStart-now))
 	}
@@ -115,86 +115,86 @@
 }
 
 // mustWait reports whether a new request could not be admitted at once.
-func (x *Scheduler) mustWait() bool {
-	return x.settings.MaxInFlight > 0 && (x.inFlight >= x.settings.MaxInFlight || x.backlog.Len() > 0)
+func (s *Scheduler) mustWait() bool {
+	return s.settings.MaxInFlight > 0 && (s.inFlight >= s.settings.MaxInFlight || s.backlog.Len() > 0)
 }
 
 // reject notes the decision to reject a request that was not taken in.
-func (x *Scheduler) reject(id uint64, reason Reason, retryAfter monotime.Micros) {
-	x.pending = append(x.pending, Decision{ID: id, Action: Reject, Reason: reason, RetryAfter: max(0, retryAfter)})
+func (s *Scheduler) reject(id uint64, reason Reason, retryAfter monotime.Micros) {
+	s.pending = append(s.pending, Decision{ID: id, Action: Reject, Reason: reason, RetryAfter: max(0, retryAfter)})
 }
 
 // Done notes that a request in flight has ended, or that a waiting one was cancelled. Unknown requests are ignored.
-func (x *Scheduler) Done(now monotime.Micros, id uint64) {
-	request := x.requests[id]
+func (s *Scheduler) Done(now monotime.Micros, id uint64) {
+	request := s.requests[id]
 	if request == nil {
 		return
 	}
-	delete(x.requests, id)
+	delete(s.requests, id)
 	flow := request.flow
-	x.addOpen(flow, -1)
+	s.addOpen(flow, -1)
 	if request.waiting {
-		x.dequeue(request)
+		s.dequeue(request)
 		return
 	}
-	x.inFlight--
-	took := float64(now - request.startedAt)
-	x.charge(flow, took-request.cost)
-	if x.inFlight == 0 && x.backlog.Len() == 0 {
-		x.virtualTime = x.maxTag // by the algorithm: the next busy period starts with equal tags
+	s.inFlight--
+	timeInFlight := float64(now - request.startedAt)
+	s.charge(flow, timeInFlight-request.cost)
+	if s.inFlight == 0 && s.backlog.Len() == 0 {
+		s.virtualTime = s.maxTag // by the algorithm: the next busy period starts with equal tags
 	}
 }
 
 // addOpen notes that n more requests of a flow are open, or fewer if n is negative.
-func (x *Scheduler) addOpen(flow *clientFlow, n int) {
-	flow.open += n
-	flow.client.open += n
-	x.settings.Shared.open += n
+func (s *Scheduler) addOpen(flow *clientFlow, n int) {
+	flow.openRequests += n
+	flow.client.openRequests += n
+	s.settings.Shared.openRequests += n
 }
 
 // Next returns one decision that is due; ok is false if there is none. As long as there is capacity it admits the
 // earliest request of the client with the least tag (clientFlow.Before), and otherwise rejects requests past their
 // latest start.
-func (x *Scheduler) Next(now monotime.Micros) (d Decision, ok bool) {
-	if len(x.pending) > 0 {
-		d = x.pending[0]
-		x.pending = append(x.pending[:0], x.pending[1:]...)
+func (s *Scheduler) Next(now monotime.Micros) (d Decision, ok bool) {
+	if len(s.pending) > 0 {
+		d = s.pending[0]
+		s.pending = append(s.pending[:0], s.pending[1:]...)
 		return d, true
 	}
-	if x.backlog.Len() == 0 {
+	if s.backlog.Len() == 0 {
 		return Decision{}, false
 	}
-	if x.settings.MaxInFlight > 0 && x.inFlight >= x.settings.MaxInFlight {
-		return x.expire(now)
+	if s.settings.MaxInFlight > 0 && s.inFlight >= s.settings.MaxInFlight {
+		return s.expire(now)
 	}
-	flow := x.backlog.First()
+	flow := s.backlog.First()
 	request := flow.queue[0]
-	x.virtualTime = max(x.virtualTime, flow.tag)
-	x.dequeue(request)
+	s.virtualTime = max(s.virtualTime, flow.tag)
+	s.dequeue(request)
 	request.waiting = false
 	request.startedAt = now
-	x.inFlight++
-	x.charge(flow, request.cost)
+	s.inFlight++
+	s.charge(flow, request.cost)
 	return Decision{ID: request.ID, Action: Admit}, true
 }
 
 // expire rejects a waiting request at its latest start. A request that is late while there is capacity is admitted:
 // whether to send it is the balancer's decision.
-func (x *Scheduler) expire(now monotime.Micros) (d Decision, ok bool) {
-	request := x.expiry.First()
+func (s *Scheduler) expire(now monotime.Micros) (d Decision, ok bool) {
+	request := s.expiry.First()
 	if now < request.latestStart {
 		return Decision{}, false
 	}
-	x.Done(now, request.ID)
-	delay := x.queueDelay(request.flow, request.cost)
+	s.Done(now, request.ID)
+	delay := s.queueDelay(request.flow, request.cost)
 	return Decision{ID: request.ID, Action: Reject, Reason: WouldMissDeadline, RetryAfter: delay}, true
 }
 
 // NextExpiry returns the instant at which Next must be called, unless another event comes before: the earliest latest
 // start of a waiting request; 0 if none waits.
-func (x *Scheduler) NextExpiry() monotime.Micros {
-	if x.expiry.Len() == 0 {
+func (s *Scheduler) NextExpiry() monotime.Micros {
+	if s.expiry.Len() == 0 {
 		return 0
 	}
-	return x.expiry.First().latestStart
+	return s.expiry.First().latestStart
 }
--- a/internal/decide/fairqueue/service_time.go
+++ b/internal/decide/fairqueue/service_time.go
@@ -29,40 +29,40 @@
 )
 
 // ObserveServiceTime takes in the time for which a request of a class was in flight that was served.
-func (x *Scheduler) ObserveServiceTime(class int, took monotime.Micros) {
-	estimate := &x.estimates[class]
+func (s *Scheduler) ObserveServiceTime(class int, timeInFlight monotime.Micros) {
+	estimate := &s.estimates[class]
 	if !estimate.known {
-		estimate.mean = float64(took)
-		estimate.deviation = float64(took) / initialDeviationDivisor
+		estimate.mean = float64(timeInFlight)
+		estimate.deviation = float64(timeInFlight) / initialDeviationDivisor
 		estimate.known = true
 		return
 	}
-	estimate.deviation += (math.Abs(float64(took)-estimate.mean) - estimate.deviation) / deviationGainDivisor
-	estimate.mean += (float64(took) - estimate.mean) / meanGainDivisor
+	estimate.deviation += (math.Abs(float64(timeInFlight)-estimate.mean) - estimate.deviation) / deviationGainDivisor
+	estimate.mean += (float64(timeInFlight) - estimate.mean) / meanGainDivisor
 	estimate.mean = max(1, estimate.mean)
 }
 
 // ServiceTimes returns the service time of each class, zero for a class without samples.
-func (x *Scheduler) ServiceTimes() []ServiceTime {
-	all := make([]ServiceTime, len(x.estimates))
-	for i, estimate := range x.estimates {
+func (s *Scheduler) ServiceTimes() []ServiceTime {
+	times := make([]ServiceTime, len(s.estimates))
+	for i, estimate := range s.estimates {
 		if estimate.known {
-			all[i] = ServiceTime{estimate.mean, estimate.deviation}
+			times[i] = ServiceTime{estimate.mean, estimate.deviation}
 		}
 	}
-	return all
+	return times
 }
 
 // RestoreServiceTime sets the service time of a class that another scheduler has learned. An invalid one is ignored.
-func (x *Scheduler) RestoreServiceTime(class int, t ServiceTime) {
+func (s *Scheduler) RestoreServiceTime(class int, t ServiceTime) {
 	if t.Mean >= 1 && t.Deviation >= 0 && !math.IsInf(t.Mean, 0) && !math.IsInf(t.Deviation, 0) {
-		x.estimates[class] = serviceEstimate{t.Mean, t.Deviation, true}
+		s.estimates[class] = serviceEstimate{t.Mean, t.Deviation, true}
 	}
 }
 
 // expectedTime returns the time in flight that a request of a class is given in its latest start: the mean and one mean
 // deviation.
-func (x *Scheduler) expectedTime(class int) monotime.Micros {
-	estimate := &x.estimates[class]
+func (s *Scheduler) expectedTime(class int) monotime.Micros {
+	estimate := &s.estimates[class]
 	return monotime.Micros(estimate.mean + estimate.deviation)
 }
--- a/internal/decide/fairqueue/settings.go
+++ b/internal/decide/fairqueue/settings.go
@@ -16,8 +16,8 @@
 
 // SharedLimit bounds the open requests, waiting and in flight, of several schedulers together.
 type SharedLimit struct {
-	Max  int // 0 is no limit
-	open int
+	Max          int // 0 is no limit
+	openRequests int
 }
 
 // ClientSpec is the weight and the limits of a client. A limit of 0 is none.
--- a/internal/decide/overload/average.go
+++ b/internal/decide/overload/average.go
@@ -6,10 +6,10 @@
 	"dunlinsail/internal/monotime"
 )
 
-// decaySpan is the time constant of a decayingRate.
-const decaySpan = 2 * second
+// decayTimeConstant is the time constant of a decayingRate.
+const decayTimeConstant = 2 * second
 
-// decayingRate is a rate a second, as an exponential average with the time constant decaySpan.
+// decayingRate is a rate a second, as an exponential average with the time constant decayTimeConstant.
 type decayingRate struct {
 	sum       float64
 	updatedAt monotime.Micros
@@ -20,7 +20,7 @@
 	if r.sum == 0 {
 		return 0
 	}
-	return r.sum * math.Exp(-float64(max(0, now-r.updatedAt))/float64(decaySpan))
+	return r.sum * math.Exp(-float64(max(0, now-r.updatedAt))/float64(decayTimeConstant))
 }
 
 // add counts an amount.
@@ -31,7 +31,7 @@
 
 // rate returns the amount a second.
 func (r *decayingRate) rate(now monotime.Micros) float64 {
-	return r.decayed(now) * float64(second) / float64(decaySpan)
+	return r.decayed(now) * float64(second) / float64(decayTimeConstant)
 }
 
 // movingAverage is an exponential moving average that starts as a plain mean, so that an unusual first sample does not
@@ -42,15 +42,15 @@
 }
 
 // add takes in a sample with a weight; the first samples have the greater weight of a plain mean.
-func (m *movingAverage) add(sample, weight float64) {
+func (m *movingAverage) add(sample, minWeight float64) {
 	m.samples++
-	m.value += (sample - m.value) * max(weight, 1/m.samples)
+	m.value += (sample - m.value) * max(minWeight, 1/m.samples)
 }
 
 // valueOr returns the average, or another value while there is no sample.
-func (m *movingAverage) valueOr(other float64) float64 {
+func (m *movingAverage) valueOr(fallback float64) float64 {
 	if m.samples > 0 {
 		return m.value
 	}
-	return other
+	return fallback
 }
--- a/internal/decide/overload/bounds.go
+++ b/internal/decide/overload/bounds.go
@@ -56,7 +56,7 @@
 		FloorQueueWaitFraction: floorQueueWait,
 		ForcedAdmitInterval:    c.forcedAdmitInterval(),
 	}
-	b.AdmitRatio, b.OverQuotaAdmitRatio = c.shedding.ratios(b.Level, c.answerTimes)
+	b.AdmitRatio, b.OverQuotaAdmitRatio = c.shedding.ratios(b.Level, c.responseTimes)
 	b.QueueWaitFraction = c.shedding.queueWaits
 	b.FloorRatio = c.shedding.floorRatio
 	b.WithinQuotaRatio = c.shedding.withinQuotaRatios(now, c.tenantDemand)
@@ -88,12 +88,12 @@
 
 // boundReason decides whether the retry budget is reduced, and why: the endpoints are saturated (level.go) or work is
 // shed, or many first attempts fail. admitted is the admitted part of the work, 0 to 1.
-func (c *Controller) boundReason(now monotime.Micros, admitted float64) Reason {
-	if c.level.saturated() || admitted < sheddingThreshold {
+func (c *Controller) boundReason(now monotime.Micros, admittedRatio float64) Reason {
+	if c.level.saturated() || admittedRatio < sheddingThreshold {
 		return EndpointsSaturated
 	}
-	endedRate := c.endedFirst.rate(now)
-	if endedRate >= minEndedRate && 1-c.servedFirst.rate(now)/endedRate > failingThreshold {
+	endedRate := c.endedFirstRate.rate(now)
+	if endedRate >= minEndedRate && 1-c.acceptedFirstRate.rate(now)/endedRate > failingThreshold {
 		return AttemptsFailing
 	}
 	return None
@@ -106,7 +106,7 @@
 
 // forcedAdmitInterval spreads forcedAdmitRate over the fleet's instances and classes. It is at least a second.
 func (c *Controller) forcedAdmitInterval() monotime.Micros {
-	sources := float64(len(c.settings.Classes) * c.settings.Instances)
+	classInstancePairs := float64(len(c.settings.Classes) * c.settings.Instances)
 	rate := forcedAdmitRate * float64(max(1, c.endpoints))
-	return max(second, monotime.Micros(sources/rate*float64(second)))
+	return max(second, monotime.Micros(classInstancePairs/rate*float64(second)))
 }
--- a/internal/decide/overload/controller.go
+++ b/internal/decide/overload/controller.go
@@ -4,41 +4,41 @@
 
 // Controller controls the overload of one instance. Make one with New; it is for one goroutine at a time.
 type Controller struct {
-	settings        Settings
-	level           admissionLevel
-	shedding        sheddingOrder
-	retries         secondBudget  // attempts beyond a request's first
-	acceptedFirst   slidingWindow // first attempts accepted
-	retryRatio      float64       // retries for each accepted first attempt, as the latest Bounds has it
-	probeTokens     probeBucket
-	earnedProbes    secondBudget // probes of the instance's own part of MaxEndpointProbeRate
-	discoveryProbes secondBudget // probes of its part of MinEndpointProbeRate, which are allowed in any case
-
-	endpoints    int
-	classDemand  []decayingRate  // by class: requests, without client retries
-	tenantDemand []decayingRate  // by tenant: requests, without client retries
-	answerTimes  []movingAverage // by class: time of an answer, in microseconds
-	workOffered  decayingRate    // work admitted or rejected, client retries included, in microseconds at an endpoint
-	workAdmitted decayingRate    // the admitted part of workOffered
-	servedFirst  decayingRate    // accepted first attempts
-	endedFirst   decayingRate    // first attempts that ended
-	endpointRate movingAverage   // requests a second that an endpoint reports to serve to all instances
-	local        localShares
+	settings             Settings
+	level                admissionLevel
+	shedding             sheddingOrder
+	retries              secondBudget  // attempts beyond a request's first
+	acceptedInLastSecond slidingWindow // first attempts accepted
+	retryRatio           float64       // retries for each accepted first attempt, as the latest Bounds has it
+	probeTokens          probeBucket
+	earnedProbes         secondBudget // probes of the instance's own part of MaxEndpointProbeRate
+	discoveryProbes      secondBudget // probes of its part of MinEndpointProbeRate, which are allowed in any case
+
+	endpoints         int
+	classDemand       []decayingRate  // by class: requests, without client retries
+	tenantDemand      []decayingRate  // by tenant: requests, without client retries
+	responseTimes     []movingAverage // by class: time of an answer, in microseconds
+	workOffered       decayingRate    // work admitted or rejected, client retries included, in microseconds at an endpoint
+	workAdmitted      decayingRate    // the admitted part of workOffered
+	acceptedFirstRate decayingRate    // accepted first attempts
+	endedFirstRate    decayingRate    // first attempts that ended
+	endpointRate      movingAverage   // requests a second that an endpoint reports to serve to all instances
+	unleasedShares    localShares
 
 	leasedProbeRate float64 // probes a second leased from the fleet
 }
 
-// localShares are the parts of its budgets that an instance may use without a lease, 0 to 1.
+// unleasedShares are the parts of its budgets that an instance may use without a lease, 0 to 1.
 type localShares struct {
 	retries float64
 	probes  float64
 }
 
 const (
-	// objectiveToAnswerTime is the ratio of a class's latency objective to its initial answer time.
-	objectiveToAnswerTime = 5
-	// initialAnswerSamples is the number of answers that the initial answer time counts as.
-	initialAnswerSamples = 4
+	// objectiveToResponseTime is the ratio of a class's latency objective to its initial answer time.
+	objectiveToResponseTime = 5
+	// initialResponseSamples is the number of answers that the initial answer time counts as.
+	initialResponseSamples = 4
 )
 
 // New returns the controller of an instance that has just started, or a *setting.Error for an invalid setting.
@@ -50,7 +50,7 @@
 		settings:        s,
 		classDemand:     make([]decayingRate, len(s.Classes)),
 		tenantDemand:    make([]decayingRate, len(s.Tenants)),
-		answerTimes:     make([]movingAverage, len(s.Classes)),
+		responseTimes:   make([]movingAverage, len(s.Classes)),
 		shedding:        newSheddingOrder(s),
 		retries:         secondBudget{seed: s.Seed},
 		earnedProbes:    secondBudget{seed: s.Seed ^ 1},
@@ -58,10 +58,10 @@
 		retryRatio:      s.OverloadedRetryRatio,
 	}
 	c.SetLocalShares(1, 1, 0)
-	for i := range c.answerTimes {
-		c.answerTimes[i] = movingAverage{
-			value:   float64(s.Classes[i].LatencyObjective) / objectiveToAnswerTime,
-			samples: initialAnswerSamples,
+	for i := range c.responseTimes {
+		c.responseTimes[i] = movingAverage{
+			value:   float64(s.Classes[i].LatencyObjective) / objectiveToResponseTime,
+			samples: initialResponseSamples,
 		}
 	}
 	c.level.value = 1 // nothing is shed without evidence
@@ -83,7 +83,7 @@
 // SetLocalShares sets the parts, 0 to 1, of its retry and probe budgets that the instance may use without a lease, and
 // the probes a second that it has leased at present.
 func (c *Controller) SetLocalShares(retries, probes, leasedProbeRate float64) {
-	c.local = localShares{retries: retries, probes: probes}
+	c.unleasedShares = localShares{retries: retries, probes: probes}
 	c.leasedProbeRate = leasedProbeRate
 }
 
@@ -111,8 +111,8 @@
 // one against the retry budget.
 func (c *Controller) OnAttemptSent(now monotime.Micros, class int, first bool) {
 	if !first {
-		c.retries.sent.add(now)
-	} else if class >= 0 && class < len(c.answerTimes) {
+		c.retries.sentEvents.add(now)
+	} else if class >= 0 && class < len(c.responseTimes) {
 		c.workOffered.add(now, c.requestCost(class))
 		c.workAdmitted.add(now, c.requestCost(class))
 	}
@@ -121,7 +121,7 @@
 // OnRejected takes in a request that was rejected before anything of it was sent: by the bounds, or, if
 // afterAdmission is set, by the balancer after the bounds had admitted it. The latter lowers the level.
 func (c *Controller) OnRejected(now monotime.Micros, class int, afterAdmission bool) {
-	if class >= 0 && class < len(c.answerTimes) {
+	if class >= 0 && class < len(c.responseTimes) {
 		c.workOffered.add(now, c.requestCost(class))
 	}
 	if afterAdmission {
@@ -131,7 +131,7 @@
 
 // requestCost returns the cost of a request of a class: its time at an endpoint, in microseconds.
 func (c *Controller) requestCost(class int) float64 {
-	return c.answerTimes[class].value
+	return c.responseTimes[class].value
 }
 
 // Outcome is how an attempt ended, as far as that depends on load.
@@ -145,29 +145,31 @@
 	Cancelled          // by this instance, which is no evidence
 )
 
-// answerTimeWeight is the weight of one answer in the moving average of a class's answer time.
-const answerTimeWeight = 0.02
+// responseTimeWeight is the weight of one answer in the moving average of a class's answer time.
+const responseTimeWeight = 0.02
 
 // OnAttemptEnded takes in how an attempt ended, and how long it took; first is set for the first one of its request.
-func (c *Controller) OnAttemptEnded(now monotime.Micros, class int, first bool, outcome Outcome, took monotime.Micros) {
+func (c *Controller) OnAttemptEnded(
+	now monotime.Micros, class int, first bool, outcome Outcome, responseTime monotime.Micros,
+) {
 	if class < 0 || class >= len(c.settings.Classes) || outcome == Cancelled {
 		return
 	}
 	c.startSecond(now)
 	if first {
-		c.endedFirst.add(now, 1)
+		c.endedFirstRate.add(now, 1)
 	}
 	objective := float64(c.settings.Classes[class].LatencyObjective)
 	switch outcome {
 	case Answered:
 		if first {
-			c.servedFirst.add(now, 1)
-			c.acceptedFirst.add(now)
+			c.acceptedFirstRate.add(now, 1)
+			c.acceptedInLastSecond.add(now)
 			c.probeTokens.earn(c.probeLimits(now))
 		}
-		c.answerTimes[class].add(float64(took), answerTimeWeight)
-		c.level.addSample(now, float64(took)/objective)
-		if float64(took) > objective {
+		c.responseTimes[class].add(float64(responseTime), responseTimeWeight)
+		c.level.addSample(now, float64(responseTime)/objective)
+		if float64(responseTime) > objective {
 			c.level.onFailure()
 		}
 	case Overloaded:
@@ -178,7 +180,7 @@
 
 // startSecond fixes the budgets of a second when it begins.
 func (c *Controller) startSecond(now monotime.Micros) {
-	if now/second == c.retries.currentSecond {
+	if now/second == c.retries.limitSecond {
 		return
 	}
 	limits := c.probeLimits(now)
--- a/internal/decide/overload/level.go
+++ b/internal/decide/overload/level.go
@@ -23,9 +23,9 @@
 	requestAt     monotime.Micros // instant of the latest request
 	requestWeight float64         // of the latest request, in seconds
 
-	sharedUntil monotime.Micros // value is a SharedLevel's until this instant: own requests do not change it
-	requests    int             // since the last TakeObservations
-	failed      int             // failed requests since the last TakeObservations
+	sharedUntil    monotime.Micros // value is a SharedLevel's until this instant: own requests do not change it
+	requests       int             // since the last TakeObservations
+	failedRequests int             // failed requests since the last TakeObservations
 
 	load      float64 // part of its objective that a request spends at an endpoint, as a mean of recent samples
 	sampledAt monotime.Micros
@@ -35,9 +35,9 @@
 const (
 	// maxLoadSample bounds a sample to the whole objective: an endpoint that reports falsely or hangs moves the mean
 	// by its part of the samples at most.
-	maxLoadSample = 1.0
-	loadSpan      = second // time constant of the mean load
-	maxLoadWeight = 0.1    // weight of one sample, so that few samples move the mean over a longer time
+	maxLoadSample    = 1.0
+	loadTimeConstant = second // time constant of the mean load
+	maxLoadWeight    = 0.1    // weight of one sample, so that few samples move the mean over a longer time
 )
 
 // addSample takes in the part of its objective that a request spent at an endpoint. The weight of a sample grows with
@@ -49,7 +49,7 @@
 	elapsed := float64(max(0, now-l.sampledAt))
 	l.sampledAt = now
 	l.samples++
-	weight := max(1/float64(l.samples), min(maxLoadWeight, -math.Expm1(-elapsed/float64(loadSpan))))
+	weight := max(1/float64(l.samples), min(maxLoadWeight, -math.Expm1(-elapsed/float64(loadTimeConstant))))
 	l.load += (min(load, maxLoadSample) - l.load) * weight
 }
 
@@ -94,7 +94,7 @@
 // onFailure lowers the level for an admitted request that failed, unless a shared level was in force at the latest
 // request.
 func (l *admissionLevel) onFailure() {
-	l.failed++
+	l.failedRequests++
 	if l.requestAt >= l.sharedUntil {
 		l.value = max(minLevel, l.value-l.requestWeight*decreasePerSecond*l.value)
 	}
--- a/internal/decide/overload/load.go
+++ b/internal/decide/overload/load.go
@@ -41,14 +41,14 @@
 // meanObjective returns the mean latency objective over the demand, in microseconds; that of the first class without
 // demand.
 func (c *Controller) meanObjective(now monotime.Micros) float64 {
-	var sum, n float64
+	var weightedSum, totalRate float64
 	for i := range c.classDemand {
-		r := c.classDemand[i].rate(now)
-		sum += r * float64(c.settings.Classes[i].LatencyObjective)
-		n += r
+		classRate := c.classDemand[i].rate(now)
+		weightedSum += classRate * float64(c.settings.Classes[i].LatencyObjective)
+		totalRate += classRate
 	}
-	if n == 0 {
+	if totalRate == 0 {
 		return float64(c.settings.Classes[0].LatencyObjective)
 	}
-	return sum / n
+	return weightedSum / totalRate
 }
--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -97,11 +97,11 @@
 		for now := start; len(r.sent)+len(r.accepted) < 400 && r.rng.IntN(5000) > 0; now += pause() {
 			r.step(t, now)
 		}
-		quiet := newTestController(t, s)
+		unserved := newTestController(t, s)
 		for now := second; now < 20*second; now += 10_000 {
-			quiet.OnRequest(now, 0, -1, false)
-			quiet.OnAttemptEnded(now, 0, true, Overloaded, 1000)
-			if quiet.Bounds(now).RetryAllowed {
+			unserved.OnRequest(now, 0, -1, false)
+			unserved.OnAttemptEnded(now, 0, true, Overloaded, 1000)
+			if unserved.Bounds(now).RetryAllowed {
 				t.Fatal("a retry is sent where nothing was ever accepted")
 			}
 		}
@@ -111,7 +111,7 @@
 // Many quiet instances, each with a budget of less than one retry, send the ratio of what all were served.
 func TestQuietInstancesShareRetryBudget(t *testing.T) {
 	const n = 400
-	sent, accepted := 0, 0
+	retries, accepted := 0, 0
 	for i := range uint64(n) {
 		s := testSettings(0, n)
 		s.Seed = i * 77
@@ -123,11 +123,11 @@
 			accepted++
 			for c.Bounds(now + 1).RetryAllowed {
 				c.OnAttemptSent(now+1, 0, false)
-				sent++
+				retries++
 			}
 		}
 	}
-	if ratio := float64(sent) / float64(accepted); ratio > 0.2 || ratio < 0.04 {
+	if ratio := float64(retries) / float64(accepted); ratio > 0.2 || ratio < 0.04 {
 		t.Errorf("%.3f retries for each accepted attempt, want 0.2 at most", ratio)
 	}
 }
@@ -148,8 +148,8 @@
 	c := newTestController(t, s)
 	rng := rand.New(rand.NewPCG(uint64(number), 2))
 	// Mean time between the instance's own answers.
-	gap := float64(second) * float64(instances) / (probeTestEndpoints * probeTestServedRate)
-	next := monotime.Micros(rng.ExpFloat64() * gap)
+	meanGap := float64(second) * float64(instances) / (probeTestEndpoints * probeTestServedRate)
+	next := monotime.Micros(rng.ExpFloat64() * meanGap)
 	for now := monotime.Micros(0); now < probeTestSeconds*second; now += second / 20 {
 		for range 5 {
 			c.OnRequest(now, 0, -1, true)
@@ -160,7 +160,7 @@
 		}
 		for serving && next <= now {
 			c.OnAttemptEnded(now, 0, true, Answered, 60_000)
-			next += 1 + monotime.Micros(rng.ExpFloat64()*gap)
+			next += 1 + monotime.Micros(rng.ExpFloat64()*meanGap)
 		}
 		saving := now >= 4*second && now < 9*second
 		for !saving && c.TakeProbe(now, nil) {
@@ -175,8 +175,8 @@
 func checkProbes(t *testing.T, instances int, serving bool) {
 	t.Helper()
 	var fleetProbes [probeTestSeconds]float64
-	sampled := min(instances, 1000) // all are alike
-	for i := range sampled {
+	sampledInstances := min(instances, 1000) // all are alike
+	for i := range sampledInstances {
 		for s, probes := range probesOfInstance(t, i, instances, serving) {
 			fleetProbes[s] += probes
 		}
@@ -190,7 +190,7 @@
 	}
 	sum := 0.0
 	for s, probes := range fleetProbes {
-		probes *= float64(instances) / float64(sampled) / probeTestEndpoints // at an endpoint
+		probes *= float64(instances) / float64(sampledInstances) / probeTestEndpoints // at an endpoint
 		sum += probes
 		if probes > maxProbes+float64(minProbeBucket)/probeTestEndpoints {
 			t.Errorf("%d instances, served %v: %.1f probes at an endpoint in second %d, of %.1f",
@@ -216,29 +216,29 @@
 // The better an instance is served, the higher its level; and instances that see the same converge to the same
 // level within two seconds, wherever they started.
 func TestLevelFallsWithFailureRatio(t *testing.T) {
-	play := func(from, failedRatio float64) float64 {
+	finalLevel := func(startLevel, failureRatio float64) float64 {
 		var l admissionLevel
-		l.value = from
+		l.value = startLevel
 		rng := rand.New(rand.NewPCG(9, 9))
 		for now := monotime.Micros(0); now < 2*second; now += 10_000 {
 			l.addSample(now, 0.5)
 			l.onRequest(now)
-			if rng.Float64() < l.value && rng.Float64() < failedRatio {
+			if rng.Float64() < l.value && rng.Float64() < failureRatio {
 				l.onFailure()
 			}
 		}
 		return l.value
 	}
-	last := 2.0
-	for _, failedRatio := range []float64{0, 0.02, 0.05, 0.1, 0.3, 0.9} {
-		if value := play(0.5, failedRatio); value > last {
-			t.Errorf("with %v failed the level is %.2f, over %.2f with less", failedRatio, value, last)
+	previous := 2.0
+	for _, failureRatio := range []float64{0, 0.02, 0.05, 0.1, 0.3, 0.9} {
+		if value := finalLevel(0.5, failureRatio); value > previous {
+			t.Errorf("with %v failed the level is %.2f, over %.2f with less", failureRatio, value, previous)
 		} else {
-			last = value
+			previous = value
 		}
 	}
-	if a, b := play(1, 0.5), play(0.05, 0.5); math.Abs(a-b) > 0.12 {
-		t.Errorf("after two seconds of the same the levels are %.2f and %.2f", a, b)
+	if fromHigh, fromLow := finalLevel(1, 0.5), finalLevel(0.05, 0.5); math.Abs(fromHigh-fromLow) > 0.12 {
+		t.Errorf("after two seconds of the same the levels are %.2f and %.2f", fromHigh, fromLow)
 	}
 }
 
@@ -263,15 +263,15 @@
 	for _, worstClassWeight := range []float64{0, 0.2, 0.6} {
 		c := newTestController(t, testSettings(worstClassWeight, 8))
 		for i, ms := range []float64{35, 29, 27, 54} {
-			c.answerTimes[i].value = ms * 1000
+			c.responseTimes[i].value = ms * 1000
 		}
 		order := []int{2, 3, 0, 1} // chair-status, book, open-slots, patient-card
 		for level := 0.05; level <= 1; level += 0.05 {
-			admit, _ := c.shedding.ratios(level, c.answerTimes)
+			admit, _ := c.shedding.ratios(level, c.responseTimes)
 			checkAdmission(t, admit, order, level, worstClassWeight)
-			lowest := admit[1]
-			if worstClassWeight == 0 && level < 0.75 && lowest > 0 || worstClassWeight == 0.6 && lowest < level/2 {
-				t.Errorf("worst class %v, level %.2f: the last class has %.2f", worstClassWeight, level, lowest)
+			lastRatio := admit[1]
+			if worstClassWeight == 0 && level < 0.75 && lastRatio > 0 || worstClassWeight == 0.6 && lastRatio < level/2 {
+				t.Errorf("worst class %v, level %.2f: the last class has %.2f", worstClassWeight, level, lastRatio)
 			}
 		}
 	}
@@ -282,24 +282,24 @@
 func TestDemandOverTenantShare(t *testing.T) {
 	s := testSettings(0, 8)
 	s.OverQuotaWeight = 0.05
-	for _, test := range []struct{ allowedB, a, b, inA, inB float64 }{
+	for _, test := range []struct{ quotaB, rateA, rateB, withinA, withinB float64 }{
 		{50, 100, 100, 1, 1},
 		{50, 300, 100, 0.83, 1},
 		{50, 2, 0, 1, 1},
 		{0, 100, 300, 1, 1},
 	} {
-		s.Tenants = []Tenant{{50}, {test.allowedB}}
+		s.Tenants = []Tenant{{50}, {test.quotaB}}
 		c := newTestController(t, s)
 		for now := monotime.Micros(0); now < 4*second; now += second / 50 {
-			for i, rate := range []float64{test.a, test.b} {
+			for i, rate := range []float64{test.rateA, test.rateB} {
 				for range int(rate / 50) {
 					c.OnRequest(now, 0, i, false)
 				}
 			}
 		}
 		withinQuota := c.Bounds(4 * second).WithinQuotaRatio
-		if math.Abs(withinQuota[0]-test.inA) > 0.02 || math.Abs(withinQuota[1]-test.inB) > 0.02 {
-			t.Errorf("%v and %v a second: %.2f are within their quotas", test.a, test.b, withinQuota)
+		if math.Abs(withinQuota[0]-test.withinA) > 0.02 || math.Abs(withinQuota[1]-test.withinB) > 0.02 {
+			t.Errorf("%v and %v a second: %.2f are within their quotas", test.rateA, test.rateB, withinQuota)
 		}
 	}
 }
@@ -324,7 +324,7 @@
 				}
 			}
 			b := c.Bounds(now)
-			if calm := inFlight == 2; calm != (b.Reason == None) {
+			if wantUnbounded := inFlight == 2; wantUnbounded != (b.Reason == None) {
 				t.Errorf("%v and others with %v in flight: %v at a load of %.2f",
 					falseReport, inFlight, b.Reason, b.Load)
 			}
--- a/internal/decide/overload/probes.go
+++ b/internal/decide/overload/probes.go
@@ -27,16 +27,16 @@
 }
 
 const (
-	// probeBucketSpan is the time at the present rate for which a full bucket lasts: probes need not keep step with
+	// probeBucketFillTime is the time at the present rate for which a full bucket lasts: probes need not keep step with
 	// answers.
-	probeBucketSpan = second / 2
+	probeBucketFillTime = second / 2
 	// minProbeBucket is the least size of a bucket, in probes: two candidates of a request, and one probe beside them.
 	minProbeBucket = 3
 )
 
 // earn adds the tokens of one accepted first attempt.
 func (p *probeBucket) earn(limits probeLimits) {
-	size := max(minProbeBucket, limits.ratio*limits.servedRate*float64(probeBucketSpan)/float64(second))
+	size := max(minProbeBucket, limits.ratio*limits.servedRate*float64(probeBucketFillTime)/float64(second))
 	p.tokens = min(p.tokens+limits.ratio, size)
 }
 
@@ -54,11 +54,11 @@
 	c.startSecond(now)
 	switch {
 	case c.discoveryProbes.allows(now, math.Inf(1)):
-		c.discoveryProbes.sent.add(now)
+		c.discoveryProbes.sentEvents.add(now)
 	case c.probeTokens.empty():
 		return false
 	case c.earnedProbes.allows(now, math.Inf(1)):
-		c.earnedProbes.sent.add(now)
+		c.earnedProbes.sentEvents.add(now)
 		c.probeTokens.take()
 	case leaseProbe != nil && leaseProbe():
 		c.probeTokens.take()
@@ -74,16 +74,16 @@
 	s := &c.settings
 	limits := probeLimits{
 		ratio:         s.ProbeRatio,
-		servedRate:    c.servedFirst.rate(now),
+		servedRate:    c.acceptedFirstRate.rate(now),
 		minRate:       s.MinEndpointProbeRate * float64(c.endpoints) / float64(s.Instances),
 		maxEarnedRate: math.Inf(1),
 		leasedRate:    c.leasedProbeRate,
 	}
 	fleetRate := c.endpointRate.valueOr(0) * float64(c.endpoints)
 	if s.MaxEndpointProbeRate > 0 && fleetRate > 0 {
-		part := min(1, limits.servedRate/fleetRate)
+		loadShare := min(1, limits.servedRate/fleetRate)
 		perEndpoint := max(0, s.MaxEndpointProbeRate-s.MinEndpointProbeRate)
-		limits.maxEarnedRate = c.local.probes * perEndpoint * float64(c.endpoints) * part
+		limits.maxEarnedRate = c.unleasedShares.probes * perEndpoint * float64(c.endpoints) * loadShare
 	}
 	return limits
 }
--- a/internal/decide/overload/retries.go
+++ b/internal/decide/overload/retries.go
@@ -26,7 +26,7 @@
 // retryLimit returns the retries a second that the first attempts accepted in the last second have earned, as far as
 // the instance may use them without a lease.
 func (c *Controller) retryLimit(now monotime.Micros) float64 {
-	return c.local.retries * c.retryRatio * float64(c.acceptedFirst.count(now, false))
+	return c.unleasedShares.retries * c.retryRatio * float64(c.acceptedInLastSecond.count(now, false))
 }
 
 // reportTolerance is the factor by which endpoints may serve more than they report: reports are averages over a second
@@ -35,10 +35,10 @@
 
 // EarnedRetryRate returns the retries a second that this instance's accepted first attempts add to the fleet's budget,
 // and the greatest rate that the fleet can earn by the served rates that endpoints report; infinite without reports.
-func (c *Controller) EarnedRetryRate(now monotime.Micros) (local, fleetMax float64) {
-	fleetMax = math.Inf(1)
+func (c *Controller) EarnedRetryRate(now monotime.Micros) (ownRate, maxFleetRate float64) {
+	maxFleetRate = math.Inf(1)
 	if reported := c.endpointRate.valueOr(0) * float64(c.endpoints); reported > 0 {
-		fleetMax = c.settings.RetryRatio * reported * reportTolerance
+		maxFleetRate = c.settings.RetryRatio * reported * reportTolerance
 	}
-	return c.retryRatio * float64(c.acceptedFirst.count(now, false)), fleetMax
+	return c.retryRatio * float64(c.acceptedInLastSecond.count(now, false)), maxFleetRate
 }
--- a/internal/decide/overload/second_budget.go
+++ b/internal/decide/overload/second_budget.go
@@ -11,23 +11,23 @@
 // of a second is fixed at its beginning: if it followed each change, instances would use every moment in which it is
 // high by chance.
 type secondBudget struct {
-	seed          uint64
-	currentSecond monotime.Micros // number of the second that limit is of
-	limit         float64         // events within that second
-	sent          slidingWindow   // events of the last second
+	seed        uint64
+	limitSecond monotime.Micros // number of the second that limit is of
+	limit       float64         // events within that second
+	sentEvents  slidingWindow   // events of the last second
 }
 
 // start fixes the limit of a second, once; it must be called before the events of that second are counted.
 func (b *secondBudget) start(now monotime.Micros, limit float64) {
-	if n := now / second; n != b.currentSecond {
-		b.currentSecond = n
+	if n := now / second; n != b.limitSecond {
+		b.limitSecond = n
 		b.limit = limit
 	}
 }
 
 // allows reports whether one more event is within the limit of the second, and within an upper bound that holds now.
 func (b *secondBudget) allows(now monotime.Micros, upperBound float64) bool {
-	return float64(b.sent.count(now, true))+seededFraction(b.seed, uint64(now/second)+1) < min(b.limit, upperBound)
+	return float64(b.sentEvents.count(now, true))+seededFraction(b.seed, uint64(now/second)+1) < min(b.limit, upperBound)
 }
 
 // seededFraction returns a number in [0,1): the one after n others of a generator with the seed.
--- a/internal/decide/overload/shared_level.go
+++ b/internal/decide/overload/shared_level.go
@@ -38,13 +38,13 @@
 
 // TakeObservations returns this instance's observations for a shared level: the local level, the load as in
 // Bounds.Load, and the requests since the last call, with the failed ones among them.
-func (c *Controller) TakeObservations() (level, load float64, requests, failed int) {
+func (c *Controller) TakeObservations() (level, load float64, requests, failedRequests int) {
 	l := &c.level
 	requests = l.requests
-	failed = min(l.failed, l.requests)
+	failedRequests = min(l.failedRequests, l.requests)
 	l.requests = 0
-	l.failed = 0
-	return l.value, l.load, requests, failed
+	l.failedRequests = 0
+	return l.value, l.load, requests, failedRequests
 }
 
 const (
--- a/internal/decide/overload/shedding.go
+++ b/internal/decide/overload/shedding.go
@@ -58,10 +58,10 @@
 // ratios decides which part of each class is admitted at a level: of the requests within their tenants' quotas, and
 // of those over them. Every group gets the floor; then groups get all of their requests admitted by rank, the highest
 // weight first, as long as the rest of the level allows.
-func (o *sheddingOrder) ratios(level float64, answerTimes []movingAverage) (admit, overQuotaAdmit []float64) {
+func (o *sheddingOrder) ratios(level float64, responseTimes []movingAverage) (admit, overQuotaAdmit []float64) {
 	o.callsSinceRank++
 	if len(o.groups) == 0 || o.callsSinceRank >= rankInterval {
-		o.rank(answerTimes)
+		o.rank(responseTimes)
 		o.callsSinceRank = 0
 		o.lastLevel = -1
 	}
@@ -69,16 +69,16 @@
 		return o.admit, o.overQuotaAdmit
 	}
 	o.lastLevel = level
-	floor, rest := o.bestFloor(level)
+	floor, remaining := o.bestFloor(level)
 	o.floorRatio = floor
 	for _, group := range o.groups {
 		var ratio float64
-		if upgradeCost := (1 - floor) * group.workFraction; rest >= upgradeCost {
+		if upgradeCost := (1 - floor) * group.workFraction; remaining >= upgradeCost {
 			ratio = 1
-			rest -= upgradeCost
+			remaining -= upgradeCost
 		} else {
-			ratio = floor + rest/group.workFraction
-			rest = 0
+			ratio = floor + remaining/group.workFraction
+			remaining = 0
 		}
 		o.setRatio(group, min(1, ratio))
 	}
@@ -100,8 +100,8 @@
 
 // The parts of a class's work in the standard mix, where it is split by tenants' quotas.
 const (
-	withinQuotaWork = 0.9
-	overQuotaWork   = 0.1
+	withinQuotaWorkFraction = 0.9
+	overQuotaWorkFraction   = 0.1
 )
 
 // The part of the time that a request's objective leaves beyond its service time for which it may wait at an
@@ -115,19 +115,19 @@
 
 // rank orders the groups by priority weight over cost, the highest first, and sets the queue wait of each class by its
 // rank. The cost of a request is its time at an endpoint.
-func (o *sheddingOrder) rank(answerTimes []movingAverage) {
+func (o *sheddingOrder) rank(responseTimes []movingAverage) {
 	o.groups = o.groups[:0]
 	n := float64(len(o.settings.Classes))
 	for i, c := range o.settings.Classes {
-		weight := c.PriorityWeight / max(1, answerTimes[i].value)
+		weight := c.PriorityWeight / max(1, responseTimes[i].value)
 		if !o.splitsByQuota() {
 			o.groups = append(o.groups, workGroup{i, false, weight, 1 / n})
 			continue
 		}
 		overQuotaWeight := weight * o.settings.OverQuotaWeight
 		o.groups = append(o.groups,
-			workGroup{i, false, weight, withinQuotaWork / n},
-			workGroup{i, true, overQuotaWeight, overQuotaWork / n})
+			workGroup{i, false, weight, withinQuotaWorkFraction / n},
+			workGroup{i, true, overQuotaWeight, overQuotaWorkFraction / n})
 	}
 	slices.SortStableFunc(o.groups, compareGroups)
 	rank := 0
@@ -156,19 +156,19 @@
 	return 0
 }
 
-// clientRetryThreshold is the level up to which no client retries are admitted.
-const clientRetryThreshold = 0.8
+// minRetryLevel is the level up to which no client retries are admitted.
+const minRetryLevel = 0.8
 
 // clientRetryRatio decides which part of the clients' retries is admitted at a level: none once a fifth of the work
 // is shed. A client that retries has used a part of its time by then; a retry that is served late is wasted work, and
 // first requests that are shed in its place would have been in time.
 func clientRetryRatio(level float64) float64 {
-	return max(0, min(1, (level-clientRetryThreshold)/(1-clientRetryThreshold)))
+	return max(0, min(1, (level-minRetryLevel)/(1-minRetryLevel)))
 }
 
 // bestFloor returns the part of every group that is admitted whatever its priority weight, and the rest of the level.
 // The goal's value is linear between the corners at which the rest fills whole groups, so that one of these is best.
-func (o *sheddingOrder) bestFloor(level float64) (floor, rest float64) {
+func (o *sheddingOrder) bestFloor(level float64) (floor, remaining float64) {
 	bestValue := -1.0
 	bestFloor := 0.0
 	workFullyServed := 0.0 // of the groups that are admitted in full
@@ -189,19 +189,19 @@
 }
 
 // goalValue returns the goal's value if a floor is admitted of all groups, and the rest of the level by rank.
-func (o *sheddingOrder) goalValue(level, floor float64) float64 {
-	var earned, total float64
-	rest := level - floor
+func (o *sheddingOrder) goalValue(level, floorRatio float64) float64 {
+	var servedWeight, totalWeight float64
+	remaining := level - floorRatio
 	for _, group := range o.groups {
-		extra := max(0, min(rest, (1-floor)*group.workFraction))
-		rest -= extra
-		earned += group.weight * (floor*group.workFraction + extra)
-		total += group.weight * group.workFraction
+		aboveFloor := max(0, min(remaining, (1-floorRatio)*group.workFraction))
+		remaining -= aboveFloor
+		servedWeight += group.weight * (floorRatio*group.workFraction + aboveFloor)
+		totalWeight += group.weight * group.workFraction
 	}
-	if total == 0 {
+	if totalWeight == 0 {
 		return 0
 	}
-	return o.settings.GoalWeights.Overall*earned/total + o.settings.GoalWeights.WorstClass*floor
+	return o.settings.GoalWeights.Overall*servedWeight/totalWeight + o.settings.GoalWeights.WorstClass*floorRatio
 }
 
 const (
@@ -222,9 +222,9 @@
 	}
 	for i, t := range o.settings.Tenants {
 		o.withinQuota[i] = 1
-		own := demand[i].rate(now)
-		if t.Quota > 0 && own > 0 && totalDemand >= minQuotaLoad*totalQuota {
-			o.withinQuota[i] = min(1, t.Quota/totalQuota*totalDemand/own*quotaTolerance)
+		tenantRate := demand[i].rate(now)
+		if t.Quota > 0 && tenantRate > 0 && totalDemand >= minQuotaLoad*totalQuota {
+			o.withinQuota[i] = min(1, t.Quota/totalQuota*totalDemand/tenantRate*quotaTolerance)
 		}
 	}
 	return o.withinQuota
--- a/internal/decide/overload/sliding_window.go
+++ b/internal/decide/overload/sliding_window.go
@@ -13,13 +13,13 @@
 
 // advance moves the window to now, and returns the present bucket.
 func (w *slidingWindow) advance(now monotime.Micros) *int {
-	bucket := now / (second / bucketsPerSecond)
+	currentBucket := now / (second / bucketsPerSecond)
 	n := monotime.Micros(len(w.buckets))
-	if bucket-w.head >= n {
+	if currentBucket-w.head >= n {
 		clear(w.buckets[:])
-		w.head = bucket
+		w.head = currentBucket
 	}
-	for w.head < bucket {
+	for w.head < currentBucket {
 		w.head++
 		w.buckets[w.head%n] = 0
 	}
--- a/internal/decide/reuse/delay.go
+++ b/internal/decide/reuse/delay.go
@@ -12,13 +12,13 @@
 	// minDelay is the delay from which on this process counts as late. Less is the usual delay of a timer.
 	minDelay = 2 * monotime.Millisecond
 
-	// unknownDelay is assumed of a process with less than minObservations.
-	unknownDelay    = 5 * monotime.Millisecond
+	// initialDelay is assumed of a process with less than minObservations.
+	initialDelay    = 5 * monotime.Millisecond
 	minObservations = 20
 
-	// starvedRatio is how many times as long as they run the threads of this process wait for a processor where the
+	// starvedWaitRatio is how many times as long as they run the threads of this process wait for a processor where the
 	// machine has far too few.
-	starvedRatio = 4
+	starvedWaitRatio = 4
 
 	// minProcessorWait is the least wait, of all threads together, that says something of the machine.
 	minProcessorWait = 10 * monotime.Millisecond
@@ -26,10 +26,10 @@
 
 // delayWindow holds the longest delay of this process in the present period and in the one before it.
 type delayWindow struct {
-	present   monotime.Micros
-	previous  monotime.Micros
-	presentAt monotime.Micros // instant at which the present period began
-	count     int             // observations, up to minObservations
+	currentMax   monotime.Micros
+	previousMax  monotime.Micros
+	currentStart monotime.Micros // instant at which the present period began
+	count        int             // observations, up to minObservations
 }
 
 // add adds a delay.
@@ -37,7 +37,7 @@
 	w.advance(now)
 	w.count = min(w.count+1, minObservations)
 	if delay >= minDelay {
-		w.present = max(w.present, delay)
+		w.currentMax = max(w.currentMax, delay)
 	}
 }
 
@@ -45,23 +45,23 @@
 func (w *delayWindow) longest(now monotime.Micros) monotime.Micros {
 	w.advance(now)
 	if w.count < minObservations {
-		return max(w.present, w.previous, unknownDelay)
+		return max(w.currentMax, w.previousMax, initialDelay)
 	}
-	return max(w.present, w.previous)
+	return max(w.currentMax, w.previousMax)
 }
 
 // advance begins a new period if the present one is over.
 func (w *delayWindow) advance(now monotime.Micros) {
-	elapsed := now - w.presentAt
+	elapsed := now - w.currentStart
 	if elapsed < delayPeriod {
 		return
 	}
-	w.previous = w.present
+	w.previousMax = w.currentMax
 	if elapsed >= 2*delayPeriod {
-		w.previous = 0
+		w.previousMax = 0
 	}
-	w.present = 0
-	w.presentAt = now
+	w.currentMax = 0
+	w.currentStart = now
 }
 
 // ObserveDelay takes into account that this process runs now and was due a delay ago.
@@ -76,22 +76,22 @@
 // processor, since the last call. Where processors are scarce, the delays of a process that mostly sleeps say little:
 // the scheduler prefers a thread that wakes up. One that was preempted, as that of an endpoint may be while it
 // responds, waits for all others.
-func (d *Decider) ObserveProcessorTime(now, ran, waited monotime.Micros) {
-	if waited >= minProcessorWait && waited >= starvedRatio*ran {
+func (d *Decider) ObserveProcessorTime(now, runTime, waitTime monotime.Micros) {
+	if waitTime >= minProcessorWait && waitTime >= starvedWaitRatio*runTime {
 		d.starvedUntil = now + delayPeriod
 	}
 }
 
-// delayRest returns what is added to a rest since this process, or one of an endpoint on the same machine, may be late.
-func (d *Decider) delayRest(now monotime.Micros) monotime.Micros {
+// delayAllowance returns what is added to a rest since this process, or one of an endpoint on the same machine, may be late.
+func (d *Decider) delayAllowance(now monotime.Micros) monotime.Micros {
 	if now < d.starvedUntil {
-		return maxDelayRest
+		return maxDelayAllowance
 	}
-	return min(delayMargin*d.delays.longest(now), maxDelayRest)
+	return min(delayFactor*d.delays.longest(now), maxDelayAllowance)
 }
 
 // running returns for how much of the time since an instant this process has run. While it did not, endpoints on the
 // same machine may not have run either.
-func (d *Decider) running(now, since monotime.Micros) monotime.Micros {
-	return now - since - d.stalls.Within(since, now)
+func (d *Decider) timeRunning(now, from monotime.Micros) monotime.Micros {
+	return now - from - d.stalls.Within(from, now)
 }
--- a/internal/decide/reuse/evidence.go
+++ b/internal/decide/reuse/evidence.go
@@ -20,7 +20,7 @@
 // impliesMisdelivery reports whether a misdelivery has to be assumed: it is possible, and the second response did not
 // come at once with the response before it, as those of endpoints do that send a response twice at once.
 func (s *SecondResponse) impliesMisdelivery() bool {
-	return s.mayFollowMisdelivery() && s.Interval <= maxAssumed && s.Lateness > 0
+	return s.mayFollowMisdelivery() && s.Interval <= maxAssumedLateness && s.Lateness > 0
 }
 
 // provenLateness returns how late second responses are at least. On the first response of a connection nothing could be
@@ -40,12 +40,12 @@
 
 // evidence is the longest lateness of second responses. A nil evidence is none.
 type evidence struct {
-	forgetAt monotime.Micros // instant
-	longest  monotime.Micros
+	expiresAt monotime.Micros // instant
+	longest   monotime.Micros
 }
 
 // isRecent reports whether there was a second response within evidencePeriod.
-func (e *evidence) isRecent(now monotime.Micros) bool { return e != nil && now < e.forgetAt }
+func (e *evidence) isRecent(now monotime.Micros) bool { return e != nil && now < e.expiresAt }
 
 // lateness returns the longest lateness within evidencePeriod, 0 without any.
 func (e *evidence) lateness(now monotime.Micros) monotime.Micros {
@@ -58,7 +58,7 @@
 // add adds a lateness.
 func (e *evidence) add(now, lateness monotime.Micros) {
 	e.longest = max(e.lateness(now), lateness)
-	e.forgetAt = now + evidencePeriod
+	e.expiresAt = now + evidencePeriod
 }
 
 // poolEvidence is what was observed in a pool. A nil poolEvidence is nothing.
@@ -86,12 +86,12 @@
 		p.certain.add(now, s.provenLateness())
 		p.assumed = evidence{}
 	case s.impliesMisdelivery() && !isExplained:
-		p.assumed.add(now, min(max(s.Lateness, s.Interval), maxAssumed))
+		p.assumed.add(now, min(max(s.Lateness, s.Interval), maxAssumedLateness))
 	}
 }
 
 // pool returns the evidence of a pool, and adds an empty one if there is none.
-func (d *Decider) pool(name string) *poolEvidence {
+func (d *Decider) ensurePool(name string) *poolEvidence {
 	p := d.pools[name]
 	if p == nil {
 		p = &poolEvidence{}
@@ -101,7 +101,7 @@
 }
 
 // address returns the evidence of an address, and adds an empty one if there is none.
-func (d *Decider) address(address string) *evidence {
+func (d *Decider) ensureAddress(address string) *evidence {
 	e := d.addresses[address]
 	if e == nil {
 		e = &evidence{}
@@ -113,7 +113,7 @@
 // ObserveSecondResponse takes a second response into account. It reports whether the response before it may have been
 // delivered to the wrong request.
 func (d *Decider) ObserveSecondResponse(now monotime.Micros, s SecondResponse) (mayBeMisdelivered bool) {
-	d.address(s.Endpoint.Address).add(now, s.provenLateness())
-	d.pool(s.Endpoint.Pool).add(now, &s)
+	d.ensureAddress(s.Endpoint.Address).add(now, s.provenLateness())
+	d.ensurePool(s.Endpoint.Pool).add(now, &s)
 	return s.mayFollowMisdelivery()
 }
--- a/internal/decide/reuse/reuse.go
+++ b/internal/decide/reuse/reuse.go
@@ -24,24 +24,24 @@
 	// evidencePeriod is how long the lateness of a second response counts.
 	evidencePeriod = 5 * 60 * monotime.Second
 
-	// maxAssumed bounds the lateness that is only assumed.
-	maxAssumed = 250 * monotime.Millisecond
+	// maxAssumedLateness bounds the lateness that is only assumed.
+	maxAssumedLateness = 250 * monotime.Millisecond
 
-	// addressMargin and poolMargin are the rest as a multiple of the longest lateness seen at the address and in the
+	// addressFactor and poolFactor are the rest as a multiple of the longest lateness seen at the address and in the
 	// pool.
-	addressMargin = 4
-	poolMargin    = 2
+	addressFactor = 4
+	poolFactor    = 2
 
 	// maxLateness bounds the lateness that is taken into account. What comes later is rather the response with which
 	// an endpoint announces that it closes an idle connection.
 	maxLateness = monotime.Second
 
-	// delayMargin is what is added to the rest, as a multiple of the longest recent delay of this process.
-	delayMargin = 4
+	// delayFactor is what is added to the rest, as a multiple of the longest recent delay of this process.
+	delayFactor = 4
 
-	// maxDelayRest bounds what is added to the rest for delays of this process. A longer rest would only cost
+	// maxDelayAllowance bounds what is added to the rest for delays of this process. A longer rest would only cost
 	// connections.
-	maxDelayRest = 250 * monotime.Millisecond
+	maxDelayAllowance = 250 * monotime.Millisecond
 )
 
 // Settings are the least rests. The zero Settings have connections reused at once.
@@ -77,25 +77,25 @@
 
 // Rest returns how long after a response a connection to an endpoint may be used again.
 func (d *Decider) Rest(now monotime.Micros, e Endpoint) monotime.Micros {
-	rest := d.settings.Rest
+	delay := d.settings.Rest
 	if address := d.addresses[e.Address]; address.isRecent(now) && d.settings.DistrustedRest > 0 {
-		rest = max(rest, d.settings.DistrustedRest, addressMargin*address.longest)
+		delay = max(delay, d.settings.DistrustedRest, addressFactor*address.longest)
 	}
 	if d.settings.Rest == 0 {
-		return rest
+		return delay
 	}
-	rest = max(rest, poolMargin*d.pools[e.Pool].lateness(now))
-	return rest + d.delayRest(now)
+	delay = max(delay, poolFactor*d.pools[e.Pool].lateness(now))
+	return delay + d.delayAllowance(now)
 }
 
 // Left returns how long a connection to an endpoint still has to rest that got a response some time ago. Times for
 // which this process did not run do not count.
 func (d *Decider) Left(now monotime.Micros, e Endpoint, elapsed monotime.Micros) monotime.Micros {
-	rest := d.Rest(now, e)
-	if elapsed < rest {
-		return rest - elapsed
+	delay := d.Rest(now, e)
+	if elapsed < delay {
+		return delay - elapsed
 	}
-	return max(0, rest-d.running(now, now-elapsed))
+	return max(0, delay-d.timeRunning(now, now-elapsed))
 }
 
 // IsDistrusted reports whether an address has sent a second response within evidencePeriod.
--- a/internal/decide/reuse/reuse_test.go
+++ b/internal/decide/reuse/reuse_test.go
@@ -10,14 +10,14 @@
 const ms = monotime.Millisecond
 
 var (
-	testSettings = Settings{Rest: 20 * ms, DistrustedRest: 40 * ms}
-	testEndpoint = Endpoint{Pool: "clinic", Address: "127.0.0.1:1"}
-	samePool     = Endpoint{Pool: "clinic", Address: "127.0.0.1:2"}
-	otherPool    = Endpoint{Pool: "archive", Address: "127.0.0.1:3"}
+	testSettings      = Settings{Rest: 20 * ms, DistrustedRest: 40 * ms}
+	firstEndpoint     = Endpoint{Pool: "clinic", Address: "127.0.0.1:1"}
+	samePoolEndpoint  = Endpoint{Pool: "clinic", Address: "127.0.0.1:2"}
+	otherPoolEndpoint = Endpoint{Pool: "archive", Address: "127.0.0.1:3"}
 )
 
-// newPunctual returns a Decider of a process that has observed itself for long enough, and never ran late.
-func newPunctual(s Settings) *Decider {
+// newPunctualDecider returns a Decider of a process that has observed itself for long enough, and never ran late.
+func newPunctualDecider(s Settings) *Decider {
 	d := New(s)
 	for range minObservations {
 		d.ObserveDelay(0, 0)
@@ -25,10 +25,10 @@
 	return d
 }
 
-// checkRest checks the rests of testEndpoint, samePool and otherPool.
-func checkRest(t *testing.T, d *Decider, now monotime.Micros, want ...monotime.Micros) {
+// checkReuseDelays checks the rests of firstEndpoint, samePoolEndpoint and otherPoolEndpoint.
+func checkReuseDelays(t *testing.T, d *Decider, now monotime.Micros, want ...monotime.Micros) {
 	t.Helper()
-	for i, e := range []Endpoint{testEndpoint, samePool, otherPool} {
+	for i, e := range []Endpoint{firstEndpoint, samePoolEndpoint, otherPoolEndpoint} {
 		if got := d.Rest(now, e); got != want[i] {
 			t.Errorf("rest at %v: %d, want %d", e, got, want[i])
 		}
@@ -36,21 +36,21 @@
 }
 
 // A process that has not observed itself for long assumes that it may run late.
-func TestUnobservedProcessRestsLonger(t *testing.T) {
+func TestUnobservedProcessHasLongerReuseDelay(t *testing.T) {
 	d := New(testSettings)
 	for range minObservations {
-		checkRest(t, d, 0, 40*ms, 40*ms, 40*ms)
+		checkReuseDelays(t, d, 0, 40*ms, 40*ms, 40*ms)
 		d.ObserveDelay(0, 0)
 	}
-	checkRest(t, d, 0, 20*ms, 20*ms, 20*ms)
+	checkReuseDelays(t, d, 0, 20*ms, 20*ms, 20*ms)
 	d = New(testSettings)
 	d.ObserveDelay(0, 50*ms)
-	checkRest(t, d, 0, 220*ms, 220*ms, 220*ms)
+	checkReuseDelays(t, d, 0, 220*ms, 220*ms, 220*ms)
 }
 
 // A second response makes connections rest longer at its address and in its pool, by its lateness, until it is
 // forgotten. If the response before it may have been misdelivered, the worst case is assumed in the pool.
-func TestRestFollowsLateness(t *testing.T) {
+func TestReuseDelayFollowsLateness(t *testing.T) {
 	for _, c := range []struct {
 		lateness, interval monotime.Micros
 		atAddress, inPool  monotime.Micros // rests
@@ -68,51 +68,51 @@
 		{lateness: 3 * ms, interval: 2000 * ms, atAddress: 40 * ms, inPool: 20 * ms},
 	} {
 		t.Run(fmt.Sprint(c.lateness, c.interval), func(t *testing.T) {
-			d := newPunctual(testSettings)
-			suspect := d.ObserveSecondResponse(0, SecondResponse{testEndpoint, c.lateness, c.interval})
+			d := newPunctualDecider(testSettings)
+			suspect := d.ObserveSecondResponse(0, SecondResponse{firstEndpoint, c.lateness, c.interval})
 			if suspect != c.suspect {
 				t.Errorf("suspect %v, want %v", suspect, c.suspect)
 			}
-			checkRest(t, d, evidencePeriod-1, c.atAddress, c.inPool, 20*ms)
-			checkRest(t, d, evidencePeriod, 20*ms, 20*ms, 20*ms)
+			checkReuseDelays(t, d, evidencePeriod-1, c.atAddress, c.inPool, 20*ms)
+			checkReuseDelays(t, d, evidencePeriod, 20*ms, 20*ms, 20*ms)
 		})
 	}
 }
 
 // Where a lateness is certain in a pool, the worst case is not assumed of second responses that are no later.
 func TestCertainLatenessExplainsOthers(t *testing.T) {
-	d := newPunctual(testSettings)
-	ambiguous := SecondResponse{Endpoint: testEndpoint, Lateness: 5 * ms, Interval: 200 * ms}
+	d := newPunctualDecider(testSettings)
+	ambiguous := SecondResponse{Endpoint: firstEndpoint, Lateness: 5 * ms, Interval: 200 * ms}
 	d.ObserveSecondResponse(0, ambiguous)
-	checkRest(t, d, 0, 400*ms, 400*ms, 20*ms)
-	d.ObserveSecondResponse(0, SecondResponse{Endpoint: samePool, Lateness: 15 * ms})
-	checkRest(t, d, 0, 40*ms, 60*ms, 20*ms)
+	checkReuseDelays(t, d, 0, 400*ms, 400*ms, 20*ms)
+	d.ObserveSecondResponse(0, SecondResponse{Endpoint: samePoolEndpoint, Lateness: 15 * ms})
+	checkReuseDelays(t, d, 0, 40*ms, 60*ms, 20*ms)
 	d.ObserveSecondResponse(0, ambiguous)
-	checkRest(t, d, 0, 40*ms, 60*ms, 20*ms)
-	d.ObserveSecondResponse(0, SecondResponse{Endpoint: testEndpoint, Lateness: 16 * ms, Interval: 70 * ms})
-	checkRest(t, d, 0, 140*ms, 140*ms, 20*ms)
-	d.ObserveSecondResponse(0, SecondResponse{Endpoint: samePool})
+	checkReuseDelays(t, d, 0, 40*ms, 60*ms, 20*ms)
+	d.ObserveSecondResponse(0, SecondResponse{Endpoint: firstEndpoint, Lateness: 16 * ms, Interval: 70 * ms})
+	checkReuseDelays(t, d, 0, 140*ms, 140*ms, 20*ms)
+	d.ObserveSecondResponse(0, SecondResponse{Endpoint: samePoolEndpoint})
 	d.ObserveSecondResponse(0, ambiguous)
-	checkRest(t, d, 0, 64*ms, 60*ms, 20*ms)
+	checkReuseDelays(t, d, 0, 64*ms, 60*ms, 20*ms)
 }
 
 // Delays of this process lengthen all rests for a while, up to a bound.
-func TestRestFollowsDelays(t *testing.T) {
-	d := newPunctual(testSettings)
+func TestReuseDelayFollowsProcessDelays(t *testing.T) {
+	d := newPunctualDecider(testSettings)
 	d.ObserveDelay(0, minDelay-1)
-	checkRest(t, d, 0, 20*ms, 20*ms, 20*ms)
+	checkReuseDelays(t, d, 0, 20*ms, 20*ms, 20*ms)
 	d.ObserveDelay(0, 10*ms)
 	d.ObserveDelay(1, 5*ms)
-	checkRest(t, d, delayPeriod, 60*ms, 60*ms, 60*ms)
-	checkRest(t, d, 2*delayPeriod, 20*ms, 20*ms, 20*ms)
+	checkReuseDelays(t, d, delayPeriod, 60*ms, 60*ms, 60*ms)
+	checkReuseDelays(t, d, 2*delayPeriod, 20*ms, 20*ms, 20*ms)
 	d.ObserveDelay(2*delayPeriod, 10*monotime.Second)
-	checkRest(t, d, 2*delayPeriod, 20*ms+maxDelayRest, 20*ms+maxDelayRest, 20*ms+maxDelayRest)
-	checkRest(t, d, 10*delayPeriod, 20*ms, 20*ms, 20*ms)
+	checkReuseDelays(t, d, 2*delayPeriod, 20*ms+maxDelayAllowance, 20*ms+maxDelayAllowance, 20*ms+maxDelayAllowance)
+	checkReuseDelays(t, d, 10*delayPeriod, 20*ms, 20*ms, 20*ms)
 }
 
 // Connections rest longer for a while after the threads of this process have waited for processors far longer than they
 // ran, whatever its own delays are.
-func TestRestFollowsProcessorTime(t *testing.T) {
+func TestReuseDelayFollowsProcessorTime(t *testing.T) {
 	for _, c := range []struct {
 		ran, waited monotime.Micros
 		starved     bool
@@ -123,58 +123,58 @@
 		{ran: 0, waited: minProcessorWait - 1},
 		{ran: 0, waited: 0},
 	} {
-		rest := 20 * ms
+		want := 20 * ms
 		if c.starved {
-			rest += maxDelayRest
+			want += maxDelayAllowance
 		}
-		d := newPunctual(testSettings)
+		d := newPunctualDecider(testSettings)
 		d.ObserveProcessorTime(0, c.ran, c.waited)
-		checkRest(t, d, 0, rest, rest, rest)
-		checkRest(t, d, delayPeriod-1, rest, rest, rest)
-		checkRest(t, d, delayPeriod, 20*ms, 20*ms, 20*ms)
+		checkReuseDelays(t, d, 0, want, want, want)
+		checkReuseDelays(t, d, delayPeriod-1, want, want, want)
+		checkReuseDelays(t, d, delayPeriod, 20*ms, 20*ms, 20*ms)
 	}
 }
 
 // Times for which this process did not run are no rest, however long they were.
-func TestDelaysAreNoRest(t *testing.T) {
-	d := newPunctual(testSettings)
+func TestStallsDoNotCountTowardsReuseDelay(t *testing.T) {
+	d := newPunctualDecider(testSettings)
 	for _, c := range []struct{ elapsed, want monotime.Micros }{
 		{0, 20 * ms}, {5 * ms, 15 * ms}, {20 * ms, 0}, {21 * ms, 0},
 	} {
-		if got := d.Left(1000*ms, testEndpoint, c.elapsed); got != c.want {
+		if got := d.Left(1000*ms, firstEndpoint, c.elapsed); got != c.want {
 			t.Errorf("%d left after %d, want %d", got, c.elapsed, c.want)
 		}
 	}
 	now := 100 * monotime.Second
 	d.ObserveDelay(now, 5*monotime.Second)
-	rest := d.Rest(now, testEndpoint)
-	if got := d.Left(now, testEndpoint, 5010*ms); got != rest-10*ms {
-		t.Errorf("%d left after a pause, want %d", got, rest-10*ms)
+	reuseDelay := d.Rest(now, firstEndpoint)
+	if got := d.Left(now, firstEndpoint, 5010*ms); got != reuseDelay-10*ms {
+		t.Errorf("%d left after a pause, want %d", got, reuseDelay-10*ms)
 	}
 	now += 4 * delayPeriod
-	if got := d.Left(now, testEndpoint, 4*delayPeriod+5015*ms); got != 0 {
+	if got := d.Left(now, firstEndpoint, 4*delayPeriod+5015*ms); got != 0 {
 		t.Errorf("%d left after a long rest, want none", got)
 	}
 }
 
 // Without a rest connections are reused at once, whatever was seen; with one for distrusted addresses only, at others.
-func TestDisabledRests(t *testing.T) {
-	second := SecondResponse{Endpoint: testEndpoint, Lateness: 300 * ms}
+func TestDisabledReuseDelays(t *testing.T) {
+	secondResponse := SecondResponse{Endpoint: firstEndpoint, Lateness: 300 * ms}
 	d := New(Settings{})
-	d.ObserveSecondResponse(0, second)
+	d.ObserveSecondResponse(0, secondResponse)
 	d.ObserveDelay(0, monotime.Second)
-	checkRest(t, d, 0, 0, 0, 0)
+	checkReuseDelays(t, d, 0, 0, 0, 0)
 	d = New(Settings{DistrustedRest: 100 * ms})
-	d.ObserveSecondResponse(0, second)
-	checkRest(t, d, 0, 1200*ms, 0, 0)
+	d.ObserveSecondResponse(0, secondResponse)
+	checkReuseDelays(t, d, 0, 1200*ms, 0, 0)
 }
 
 // Old evidence takes up no memory.
 func TestExpireForgetsAddresses(t *testing.T) {
 	const endpoints = 3200
-	d := newPunctual(testSettings)
+	d := newPunctualDecider(testSettings)
 	for i := range endpoints {
-		e := Endpoint{Pool: testEndpoint.Pool, Address: fmt.Sprint(i)}
+		e := Endpoint{Pool: firstEndpoint.Pool, Address: fmt.Sprint(i)}
 		d.ObserveSecondResponse(int64(i), SecondResponse{Endpoint: e, Lateness: ms})
 	}
 	d.Expire(evidencePeriod - 1)
@@ -187,25 +187,25 @@
 }
 
 // A successor has the rests of its predecessor, for the time that was left, and keeps evidence of its own.
-func TestSnapshotKeepsRests(t *testing.T) {
+func TestSnapshotKeepsReuseDelays(t *testing.T) {
 	const age = 10 * ms
-	old := newPunctual(testSettings)
-	old.ObserveSecondResponse(0, SecondResponse{Endpoint: testEndpoint, Lateness: 150 * ms})
-	taken := 10 * monotime.Second
-	s := old.Snapshot(taken)
-	next := newPunctual(testSettings)
-	next.ObserveSecondResponse(0, SecondResponse{Endpoint: otherPool, Lateness: 80 * ms})
+	predecessor := newPunctualDecider(testSettings)
+	predecessor.ObserveSecondResponse(0, SecondResponse{Endpoint: firstEndpoint, Lateness: 150 * ms})
+	takenAt := 10 * monotime.Second
+	s := predecessor.Snapshot(takenAt)
+	successor := newPunctualDecider(testSettings)
+	successor.ObserveSecondResponse(0, SecondResponse{Endpoint: otherPoolEndpoint, Lateness: 80 * ms})
 	const now = 1000 * monotime.Second // its clock has another origin
-	next.Restore(now, s, age)
-	next.Restore(now, nil, age)
-	left := evidencePeriod - taken - age
-	checkRest(t, next, now, 600*ms, 300*ms, 20*ms)
-	checkRest(t, next, now+left-1, 600*ms, 300*ms, 20*ms)
-	checkRest(t, next, now+left, 20*ms, 20*ms, 20*ms)
-	late := newPunctual(testSettings)
-	late.Restore(now, s, evidencePeriod)
-	checkRest(t, late, now, 20*ms, 20*ms, 20*ms)
-	if len(late.addresses) != 0 {
+	successor.Restore(now, s, age)
+	successor.Restore(now, nil, age)
+	remaining := evidencePeriod - takenAt - age
+	checkReuseDelays(t, successor, now, 600*ms, 300*ms, 20*ms)
+	checkReuseDelays(t, successor, now+remaining-1, 600*ms, 300*ms, 20*ms)
+	checkReuseDelays(t, successor, now+remaining, 20*ms, 20*ms, 20*ms)
+	expired := newPunctualDecider(testSettings)
+	expired.Restore(now, s, evidencePeriod)
+	checkReuseDelays(t, expired, now, 20*ms, 20*ms, 20*ms)
+	if len(expired.addresses) != 0 {
 		t.Error("an address whose evidence is forgotten was restored")
 	}
 }
--- a/internal/decide/reuse/snapshot.go
+++ b/internal/decide/reuse/snapshot.go
@@ -12,8 +12,8 @@
 
 // EvidenceSnapshot is the longest lateness of second responses, in microseconds.
 type EvidenceSnapshot struct {
-	ForgetAfter monotime.Micros `json:"ForgetAfter"`
-	Longest     monotime.Micros `json:"Longest"`
+	ExpiresAfter monotime.Micros `json:"ForgetAfter"`
+	Longest      monotime.Micros `json:"Longest"`
 }
 
 // PoolSnapshot is the evidence of a pool.
@@ -48,14 +48,14 @@
 	if s == nil {
 		return
 	}
-	for name, from := range s.Pools {
-		p := d.pool(name)
-		p.proven.restore(now, age, from.Proven, maxLateness)
-		p.certain.restore(now, age, from.Certain, maxLateness)
-		p.assumed.restore(now, age, from.Assumed, maxAssumed)
+	for name, poolSnapshot := range s.Pools {
+		p := d.ensurePool(name)
+		p.proven.restore(now, age, poolSnapshot.Proven, maxLateness)
+		p.certain.restore(now, age, poolSnapshot.Certain, maxLateness)
+		p.assumed.restore(now, age, poolSnapshot.Assumed, maxAssumedLateness)
 	}
-	for address, from := range s.Addresses {
-		d.address(address).restore(now, age, from, maxLateness)
+	for address, addressSnapshot := range s.Addresses {
+		d.ensureAddress(address).restore(now, age, addressSnapshot, maxLateness)
 	}
 	d.Expire(now)
 }
@@ -65,16 +65,16 @@
 	if !e.isRecent(now) {
 		return EvidenceSnapshot{}
 	}
-	return EvidenceSnapshot{ForgetAfter: e.forgetAt - now, Longest: e.longest}
+	return EvidenceSnapshot{ExpiresAfter: e.expiresAt - now, Longest: e.longest}
 }
 
 // restore adds evidence that is some time old, unless it is to be forgotten by now. A lateness over limit counts as
 // limit.
-func (e *evidence) restore(now, age monotime.Micros, from EvidenceSnapshot, limit monotime.Micros) {
-	forgetAt := now - age + min(from.ForgetAfter, evidencePeriod)
-	if forgetAt <= now {
+func (e *evidence) restore(now, age monotime.Micros, snapshot EvidenceSnapshot, maxLongest monotime.Micros) {
+	expiresAt := now - age + min(snapshot.ExpiresAfter, evidencePeriod)
+	if expiresAt <= now {
 		return
 	}
-	e.longest = max(e.lateness(now), min(from.Longest, limit))
-	e.forgetAt = max(e.forgetAt, forgetAt)
+	e.longest = max(e.lateness(now), min(snapshot.Longest, maxLongest))
+	e.expiresAt = max(e.expiresAt, expiresAt)
 }
--- a/internal/decide/stall/detector.go
+++ b/internal/decide/stall/detector.go
@@ -7,8 +7,8 @@
 	// is found short by up to that time.
 	HeartbeatInterval = 20 * monotime.Millisecond
 
-	// minLength is the lateness from which on a loop counts as stalled. Less is the usual delay of a timer.
-	minLength = 10 * monotime.Millisecond
+	// minStall is the lateness from which on a loop counts as stalled. Less is the usual delay of a timer.
+	minStall = 10 * monotime.Millisecond
 )
 
 // Detector finds stalls of an event loop: the loop was due to run at one instant, and ran later. The loop calls Run
@@ -19,13 +19,13 @@
 }
 
 // Run notes that the loop runs, and returns the stall that has just ended, if found is true.
-func (d *Detector) Run(now monotime.Micros) (stalled Interval, found bool) {
-	stalled = Interval{From: d.due, To: now}
-	found = d.started && stalled.Length() >= minLength
+func (d *Detector) Run(now monotime.Micros) (interval Interval, found bool) {
+	interval = Interval{From: d.due, To: now}
+	found = d.started && interval.Length() >= minStall
 	d.started = true
 	d.due = now
-	return stalled, found
+	return interval, found
 }
 
 // WaitUntil notes that the loop waits until an instant at most.
-func (d *Detector) WaitUntil(instant monotime.Micros) { d.due = max(d.due, instant) }
+func (d *Detector) WaitUntil(until monotime.Micros) { d.due = max(d.due, until) }
--- a/internal/decide/stall/stall.go
+++ b/internal/decide/stall/stall.go
@@ -14,27 +14,27 @@
 // Length returns how long the stall was.
 func (i Interval) Length() monotime.Micros { return i.To - i.From }
 
-// maxRecent is the number of stalls that a Log remembers.
-const maxRecent = 64
+// maxStalls is the number of stalls that a Log remembers.
+const maxStalls = 64
 
 // Log remembers the latest stalls. The zero Log is empty.
 type Log struct {
-	recent []Interval // in order, without overlap
+	stalls []Interval // in order, without overlap
 }
 
 // Add adds a stall, which must not begin before the end of the one before.
-func (l *Log) Add(i Interval) {
-	if len(l.recent) == maxRecent {
-		l.recent = append(l.recent[:0], l.recent[1:]...)
+func (l *Log) Add(stalled Interval) {
+	if len(l.stalls) == maxStalls {
+		l.stalls = append(l.stalls[:0], l.stalls[1:]...)
 	}
-	l.recent = append(l.recent, i)
+	l.stalls = append(l.stalls, stalled)
 }
 
 // Within returns how much of the time between two instants the process did not run.
 func (l *Log) Within(from, to monotime.Micros) monotime.Micros {
 	var sum monotime.Micros
-	for n := len(l.recent) - 1; n >= 0 && l.recent[n].To > from; n-- {
-		sum += max(0, min(to, l.recent[n].To)-max(from, l.recent[n].From))
+	for n := len(l.stalls) - 1; n >= 0 && l.stalls[n].To > from; n-- {
+		sum += max(0, min(to, l.stalls[n].To)-max(from, l.stalls[n].From))
 	}
 	return sum
 }
--- a/internal/decide/stall/stall_test.go
+++ b/internal/decide/stall/stall_test.go
@@ -29,11 +29,11 @@
 
 func TestLogKeepsTheLatestStalls(t *testing.T) {
 	var l Log
-	for i := range monotime.Micros(2 * maxRecent) {
+	for i := range monotime.Micros(2 * maxStalls) {
 		l.Add(Interval{From: 2 * i * ms, To: (2*i + 1) * ms})
 	}
-	if got := l.Within(0, monotime.Second); len(l.recent) != maxRecent || got != maxRecent*ms {
-		t.Errorf("%d stalls with %d, want %d", len(l.recent), got, maxRecent)
+	if got := l.Within(0, monotime.Second); len(l.stalls) != maxStalls || got != maxStalls*ms {
+		t.Errorf("%d stalls with %d, want %d", len(l.stalls), got, maxStalls)
 	}
 }
 
