--- a/internal/decide/overload/controller.go
+++ b/internal/decide/overload/controller.go
@@ -2,46 +2,48 @@
 
 import "dunlinsail/internal/monotime"
 
-// Controller controls the overload of one instance. Make one with New; it is for one goroutine at a time.
+// Controller limits the load that one instance adds to the endpoints during an overload. Create it with New. It
+// must not be used by several goroutines at once.
 type Controller struct {
 	settings             Settings
 	level                admissionLevel
 	shedding             sheddingOrder
-	retries              secondBudget  // attempts beyond a request's first
-	acceptedInLastSecond slidingWindow // first attempts accepted
-	retryRatio           float64       // retries for each accepted first attempt, as the latest Bounds has it
-	probeTokens          probeBucket
-	earnedProbes         secondBudget // probes of the instance's own part of MaxEndpointProbeRate
-	discoveryProbes      secondBudget // probes of its part of MinEndpointProbeRate, which are allowed in any case
-
-	endpoints         int
-	classDemand       []decayingRate  // by class: requests, without client retries
-	tenantDemand      []decayingRate  // by tenant: requests, without client retries
-	responseTimes     []movingAverage // by class: time of an answer, in microseconds
-	workOffered       decayingRate    // work admitted or rejected, client retries included, in microseconds at an endpoint
-	workAdmitted      decayingRate    // the admitted part of workOffered
-	acceptedFirstRate decayingRate    // accepted first attempts
-	endedFirstRate    decayingRate    // first attempts that ended
-	endpointRate      movingAverage   // requests a second that an endpoint reports to serve to all instances
-	unleasedShares    localShares
-
-	leasedProbeRate float64 // probes a second leased from the fleet
+	retries              secondBudget  // budget for attempts after the first attempt of a request
+	acceptedInLastSecond slidingWindow // accepted first attempts of the last second
+	retryRatio           float64       // allowed retries per accepted first attempt, set by Bounds
+	probeTokens          probeBucket   // tokens for probes, earned by accepted first attempts
+	earnedProbes         secondBudget  // budget for earned probes: this instance's share of MaxEndpointProbeRate
+	discoveryProbes      secondBudget  // budget for unconditional probes: this instance's share of MinEndpointProbeRate
+
+	endpoints         int             // number of endpoints shared with the other instances
+	classDemand       []decayingRate  // by class: requests per second, without client retries
+	tenantDemand      []decayingRate  // by tenant: requests per second, without client retries
+	responseTimes     []movingAverage // by class: mean response time, in microseconds
+	workOffered       decayingRate    // admitted and rejected work with client retries, in microseconds at an endpoint
+	workAdmitted      decayingRate    // admitted work, in microseconds at an endpoint
+	acceptedFirstRate decayingRate    // rate of accepted first attempts, per second
+	endedFirstRate    decayingRate    // rate of ended first attempts, per second
+	endpointRate      movingAverage   // mean served rate that endpoints report, in requests per second
+	unleasedShares    localShares     // fractions of the budgets usable without a quota lease
+
+	leasedProbeRate float64 // rate of probes, per second, that is leased from the fleet
 }
 
-// unleasedShares are the parts of its budgets that an instance may use without a lease, 0 to 1.
+// localShares are the fractions of its retry and probe budgets, 0 to 1, that an instance may use without a
+// quota lease.
 type localShares struct {
 	retries float64
 	probes  float64
 }
 
 const (
-	// objectiveToResponseTime is the ratio of a class's latency objective to its initial answer time.
+	// objectiveToResponseTime is the ratio of a class's latency objective to its initial mean response time.
 	objectiveToResponseTime = 5
-	// initialResponseSamples is the number of answers that the initial answer time counts as.
+	// initialResponseSamples is the number of samples that the initial mean response time of a class counts as.
 	initialResponseSamples = 4
 )
 
-// New returns the controller of an instance that has just started, or a *setting.Error for an invalid setting.
+// New returns the controller of an instance that has just started, or a *setting.Error if a setting is invalid.
 func New(s Settings) (*Controller, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -64,34 +66,35 @@
 			samples: initialResponseSamples,
 		}
 	}
-	c.level.value = 1 // nothing is shed without evidence
+	c.level.value = 1 // no work is shed until there is evidence of an overload
 	return c, nil
 }
 
-// Level returns the admission level in force, minLevel to 1.
+// Level returns the current admission level, minLevel to 1.
 func (c *Controller) Level() float64 { return c.level.value }
 
-// RestoreLevel sets the level that the instance's predecessor had at a hot restart: with a level of 1 the instance
-// would admit too much until it has learned its own. Budgets are not restored, so that nothing is spent twice. A
-// level out of range is ignored.
+// RestoreLevel sets the admission level that the instance's predecessor had at a hot restart. With the initial
+// level of 1 the instance would admit too much until it has found its own level. Budgets are not restored, so
+// that no budget is spent twice. A level out of range is ignored.
 func (c *Controller) RestoreLevel(level float64) {
 	if level >= minLevel && level <= 1 {
 		c.level.value = level
 	}
 }
 
-// SetLocalShares sets the parts, 0 to 1, of its retry and probe budgets that the instance may use without a lease, and
-// the probes a second that it has leased at present.
+// SetLocalShares sets the fractions, 0 to 1, of its retry and probe budgets that the instance may use without a
+// quota lease, and the rate of probes, per second, that it currently leases.
 func (c *Controller) SetLocalShares(retries, probes, leasedProbeRate float64) {
 	c.unleasedShares = localShares{retries: retries, probes: probes}
 	c.leasedProbeRate = leasedProbeRate
 }
 
-// SetEndpointCount sets how many endpoints the instance shares with the others.
+// SetEndpointCount sets the number of endpoints that the instance shares with the other instances.
 func (c *Controller) SetEndpointCount(n int) { c.endpoints = n }
 
-// OnRequest takes in a client's request, which may raise the level. A client's retry adds no demand. The tenant is an
-// index in the settings, or negative for one that they do not have.
+// OnRequest processes the arrival of a client's request, which may raise the admission level. A client's retry
+// does not count as demand. tenant is an index in Settings.Tenants, or negative for a tenant that is not listed
+// there.
 func (c *Controller) OnRequest(now monotime.Micros, class, tenant int, clientRetry bool) {
 	if class < 0 || class >= len(c.classDemand) {
 		return
@@ -107,8 +110,8 @@
 	}
 }
 
-// OnAttemptSent takes in an attempt that was sent. The first one of its request counts as admitted work, each further
-// one against the retry budget.
+// OnAttemptSent records that an attempt was sent. The first attempt of a request counts as admitted work, every
+// further attempt counts against the retry budget.
 func (c *Controller) OnAttemptSent(now monotime.Micros, class int, first bool) {
 	if !first {
 		c.retries.sentEvents.add(now)
@@ -118,8 +121,8 @@
 	}
 }
 
-// OnRejected takes in a request that was rejected before anything of it was sent: by the bounds, or, if
-// afterAdmission is set, by the balancer after the bounds had admitted it. The latter lowers the level.
+// OnRejected records that a request was rejected before any part of it was sent. If afterAdmission is set, the
+// bounds admitted the request and the balancer rejected it; this lowers the admission level.
 func (c *Controller) OnRejected(now monotime.Micros, class int, afterAdmission bool) {
 	if class >= 0 && class < len(c.responseTimes) {
 		c.workOffered.add(now, c.requestCost(class))
@@ -129,26 +132,27 @@
 	}
 }
 
-// requestCost returns the cost of a request of a class: its time at an endpoint, in microseconds.
+// requestCost returns the mean cost of a request of a class: its time at an endpoint, in microseconds.
 func (c *Controller) requestCost(class int) float64 {
 	return c.responseTimes[class].value
 }
 
-// Outcome is how an attempt ended, as far as that depends on load.
+// Outcome is the result of an attempt, as far as it depends on load.
 type Outcome uint8
 
-// The outcomes of attempts.
+// The outcomes of attempts. Answered is that of an attempt to which the endpoint has responded.
 const (
 	Answered   Outcome = iota
-	Overloaded         // rejected by the endpoint, or not answered within its timeout
-	Failed             // failed in another way, which is no evidence of load
-	Cancelled          // by this instance, which is no evidence
+	Overloaded         // rejected by the endpoint, or no response within the timeout
+	Failed             // failed for another reason, which is no evidence of load
+	Cancelled          // canceled by this instance, which is no evidence of load
 )
 
-// responseTimeWeight is the weight of one answer in the moving average of a class's answer time.
+// responseTimeWeight is the weight of one sample in the moving average of a class's response time.
 const responseTimeWeight = 0.02
 
-// OnAttemptEnded takes in how an attempt ended, and how long it took; first is set for the first one of its request.
+// OnAttemptEnded records the outcome and the response time of an attempt. first is set for the first attempt of
+// a request.
 func (c *Controller) OnAttemptEnded(
 	now monotime.Micros, class int, first bool, outcome Outcome, responseTime monotime.Micros,
 ) {
@@ -178,7 +182,7 @@
 	}
 }
 
-// startSecond fixes the budgets of a second when it begins.
+// startSecond sets the budgets of a second, once at its start.
 func (c *Controller) startSecond(now monotime.Micros) {
 	if now/second == c.retries.limitSecond {
 		return
--- a/internal/decide/overload/level.go
+++ b/internal/decide/overload/level.go
@@ -6,42 +6,44 @@
 	"dunlinsail/internal/monotime"
 )
 
-// minLevel is the least level: some work must be admitted, or no evidence could show that more may be.
+// minLevel is the least admission level. Some work must be admitted, or there would be no evidence that more
+// can be admitted.
 const minLevel = 0.05
 
-// admissionLevel is the part of a standard mix of work that is admitted (sheddingOrder). It rises by a step for each
-// request, and falls by a part of itself for each request that fails: one that the balancer or an endpoint rejects
-// after it was admitted, or that is answered too late. These failures depend on the endpoints' queues, which all
-// instances share; and as a high level falls by more than a low one, instances with the same evidence converge (AIMD:
-// Chiu and Jain 1989).
+// admissionLevel is the fraction of a standard mix of work that is admitted (sheddingOrder). It rises by a step
+// for each request, and falls by a fraction of itself for each failed request: one that the balancer or an
+// endpoint rejects after its admission, or whose response is too late. These failures depend on the endpoints'
+// queues, which all instances share. As a high level falls by more than a low one, instances with the same
+// evidence converge (AIMD: Chiu and Jain 1989).
 //
-// The queues themselves are bounded by the balancer's limits, request by request. The level only finds the part of the
-// work that these limits need not reject. It depends on demand and capacity and does not follow the queues, so that
+// The balancer's limits bound the endpoints' queues, request by request. The level only tracks how much work
+// these limits need not reject. It depends on demand and capacity and does not follow the queues, so that
 // evidence that is seconds old controls it without oscillation (docs/design/overload.md).
 type admissionLevel struct {
-	value         float64         // minLevel to 1
-	requestAt     monotime.Micros // instant of the latest request
-	requestWeight float64         // of the latest request, in seconds
+	value         float64         // admission level, minLevel to 1
+	requestAt     monotime.Micros // arrival of the latest request
+	requestWeight float64         // weight of the latest request, in seconds
 
-	sharedUntil    monotime.Micros // value is a SharedLevel's until this instant: own requests do not change it
-	requests       int             // since the last TakeObservations
+	sharedUntil    monotime.Micros // instant until which value is the SharedLevel and does not change with own requests
+	requests       int             // requests since the last TakeObservations
 	failedRequests int             // failed requests since the last TakeObservations
 
-	load      float64 // part of its objective that a request spends at an endpoint, as a mean of recent samples
-	sampledAt monotime.Micros
-	samples   int
+	load      float64         // recent mean fraction of its latency objective that a request spends at an endpoint
+	sampledAt monotime.Micros // instant of the latest load sample
+	samples   int             // load samples so far
 }
 
 const (
-	// maxLoadSample bounds a sample to the whole objective: an endpoint that reports falsely or hangs moves the mean
-	// by its part of the samples at most.
+	// maxLoadSample limits a load sample to the whole latency objective. An endpoint that hangs or sends false
+	// reports then moves the mean by its share of the samples at most.
 	maxLoadSample    = 1.0
-	loadTimeConstant = second // time constant of the mean load
-	maxLoadWeight    = 0.1    // weight of one sample, so that few samples move the mean over a longer time
+	loadTimeConstant = second // time constant of the moving average of the load
+	maxLoadWeight    = 0.1    // greatest weight of one load sample: with few samples the mean changes more slowly
 )
 
-// addSample takes in the part of its objective that a request spent at an endpoint. The weight of a sample grows with
-// the time since the last one, up to maxLoadWeight, but the first samples make a plain mean.
+// addSample adds a load sample: the fraction of its latency objective that a request spent at an endpoint. The
+// weight of a sample grows with the time since the previous one, up to maxLoadWeight. The first samples form a
+// plain mean.
 func (l *admissionLevel) addSample(now monotime.Micros, load float64) {
 	if !(load >= 0) {
 		return
@@ -53,25 +55,25 @@
 	l.load += (min(load, maxLoadSample) - l.load) * weight
 }
 
-// saturatedLoad is the load beyond which endpoints count as saturated. A request without others takes about a fifth
-// of its objective.
+// saturatedLoad is the mean load above which the endpoints count as saturated. The load is about a fifth while
+// a request is alone at its endpoint.
 const saturatedLoad = 0.45
 
-// saturated reports whether the endpoints count as saturated.
+// saturated reports whether the mean load is above saturatedLoad.
 func (l *admissionLevel) saturated() bool { return l.load > saturatedLoad }
 
 const (
-	increasePerSecond = 0.1 // of the level, added in a second
-	// idleIncreasePerSecond takes the place of increasePerSecond while the load is below idleLoad: there is no lasting
+	increasePerSecond = 0.1 // increase of the admission level per second
+	// idleIncreasePerSecond replaces increasePerSecond while the load is below idleLoad: there is no lasting
 	// overload then, and the level may recover fast.
 	idleIncreasePerSecond = 0.5
-	idleLoad              = 0.3 // of its objective that a request spends at an endpoint
-	// maxRequestWeight is the greatest weight of one request, in seconds: an instance with few requests learns from
-	// as many requests as another one, over a longer time.
+	idleLoad              = 0.3 // mean load below which the endpoints count as idle
+	// maxRequestWeight is the greatest weight of one request, in seconds. An instance with few requests thus
+	// bases its level on as many requests as a busy one, over a longer time.
 	maxRequestWeight = 0.1
 )
 
-// onRequest raises the level for the time since the latest request, unless a shared level is in force.
+// onRequest raises the level for the time since the previous request, unless a shared level is in force.
 func (l *admissionLevel) onRequest(now monotime.Micros) {
 	l.requestWeight = min(maxRequestWeight, float64(max(0, now-l.requestAt))/float64(second))
 	l.requestAt = now
@@ -86,13 +88,13 @@
 	l.value = min(1, l.value+l.requestWeight*rise)
 }
 
-// decreasePerSecond is the rate at which the level falls while all requests fail, as a multiple of the level a
-// second. In equilibrium the part increasePerSecond/(decreasePerSecond*level) of the requests fails: 7% at a level of
-// a half. For other values see docs/design/overload.md.
+// decreasePerSecond is the rate at which the level falls while all requests fail, as a multiple of the level
+// per second. In equilibrium the fraction increasePerSecond/(decreasePerSecond*level) of the requests fails: 7%
+// at a level of 0.5. docs/design/overload.md compares other values.
 const decreasePerSecond = 3.0
 
-// onFailure lowers the level for an admitted request that failed, unless a shared level was in force at the latest
-// request.
+// onFailure lowers the level for an admitted request that failed, unless a shared level was in force at the
+// latest request.
 func (l *admissionLevel) onFailure() {
 	l.failedRequests++
 	if l.requestAt >= l.sharedUntil {
--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -10,7 +10,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// testSettings has four classes as a clinic's, and the goal's weight of the worst class.
+// testSettings returns settings with four classes, as a clinic's service has, and the given goal weight of the
+// worst-served class.
 func testSettings(worstClassWeight float64, instances int) Settings {
 	millis := func(ms int64) monotime.Micros { return ms * 1000 }
 	return Settings{
@@ -36,7 +37,7 @@
 	return c
 }
 
-// countWithinSecond returns how many instants are within the second that ends at now.
+// countWithinSecond returns how many of the instants lie within the second that ends at now.
 func countWithinSecond(instants []monotime.Micros, now monotime.Micros) (n int) {
 	for _, at := range instants {
 		if at > now-second {
@@ -46,17 +47,19 @@
 	return n
 }
 
-// retryRun is a controller to which random requests are passed, and the instants of first attempts and retries.
+// retryRun passes random requests to a controller, and records the instants of accepted first attempts and of
+// retries.
 type retryRun struct {
 	seed       uint64
 	settings   Settings
 	rng        *rand.Rand
 	controller *Controller
-	accepted   []monotime.Micros // first attempts
-	sent       []monotime.Micros // retries
+	accepted   []monotime.Micros // instants at which first attempts were accepted
+	sent       []monotime.Micros // instants at which retries were sent
 }
 
-// step passes a request and perhaps an outcome to the controller, and sends a retry if that is allowed.
+// step passes a request, and at random an outcome, to the controller, and sends a retry if the controller
+// allows it.
 func (r *retryRun) step(t *testing.T, now monotime.Micros) {
 	t.Helper()
 	c := r.controller
@@ -80,8 +83,9 @@
 	}
 }
 
-// Whatever is requested, rejected and retried, at no instant have more retries been sent within a second than the
-// ratio of the first attempts accepted in it, and where none is accepted no retry is sent.
+// Guards against a retry storm. With random requests, rejections and retries, the retries sent within any
+// second must not exceed the retry ratio times the first attempts accepted in that second. If no attempt is
+// accepted, no retry is sent.
 func TestRetriesStayWithinBudgetInAnySecond(t *testing.T) {
 	for seed := range uint64(200) {
 		s := testSettings(0, 8)
@@ -108,7 +112,8 @@
 	}
 }
 
-// Many quiet instances, each with a budget of less than one retry, send the ratio of what all were served.
+// Many instances with little traffic, each with a budget of less than one retry, together send the configured
+// ratio of retries.
 func TestQuietInstancesShareRetryBudget(t *testing.T) {
 	const n = 400
 	retries, accepted := 0, 0
@@ -118,7 +123,7 @@
 		c := newTestController(t, s)
 		rng := rand.New(rand.NewPCG(i, 3))
 		for now := 1000 * second; now < 1020*second; now += 1 + monotime.Micros(rng.ExpFloat64()*float64(second)) {
-			// one a second, and as many failures
+			// each instance has one accepted attempt per second, and may then retry
 			c.OnAttemptEnded(now, 0, true, Answered, 50_000)
 			accepted++
 			for c.Bounds(now + 1).RetryAllowed {
@@ -134,12 +139,13 @@
 
 const (
 	probeTestEndpoints  = 12
-	probeTestServedRate = 40.0 // requests a second that each endpoint serves
+	probeTestServedRate = 40.0 // requests per second that each endpoint serves
 	probeTestSeconds    = 14
 )
 
-// probesOfInstance returns the probes that one of so many instances sends in each second, during a retry storm of its
-// clients. With serving false the endpoints serve nothing. For five seconds it sends none, and saves up what it may.
+// probesOfInstance returns the number of probes that one of many instances sends in each second of a retry
+// storm of its clients. If serving is false, the endpoints serve no requests. The instance sends no probes from
+// second 4 to 8 and thus saves its budget.
 func probesOfInstance(t *testing.T, number, instances int, serving bool) (probes [probeTestSeconds]float64) {
 	t.Helper()
 	s := testSettings(0, instances)
@@ -147,7 +153,7 @@
 	s.MaxEndpointProbeRate = 50
 	c := newTestController(t, s)
 	rng := rand.New(rand.NewPCG(uint64(number), 2))
-	// Mean time between the instance's own answers.
+	// Mean time between two responses to this instance.
 	meanGap := float64(second) * float64(instances) / (probeTestEndpoints * probeTestServedRate)
 	next := monotime.Micros(rng.ExpFloat64() * meanGap)
 	for now := monotime.Micros(0); now < probeTestSeconds*second; now += second / 20 {
@@ -155,7 +161,7 @@
 			c.OnRequest(now, 0, -1, true)
 			c.OnRejected(now, 0, true)
 		}
-		if serving || now%second == 0 { // load reports go on when nothing is served
+		if serving || now%second == 0 { // endpoints send load reports even if they serve no requests
 			c.OnLoadReport(now, LoadReport{InFlight: 4, ServedRate: probeTestServedRate})
 		}
 		for serving && next <= now {
@@ -170,27 +176,29 @@
 	return probes
 }
 
-// checkProbes checks the probes of a fleet at one endpoint: in each second, and their mean over the nine seconds in
-// which probes are sent.
+// checkProbes checks the probes of a whole fleet to one endpoint: their number in each second, and their mean
+// rate over the nine seconds in which probes are sent.
 func checkProbes(t *testing.T, instances int, serving bool) {
 	t.Helper()
 	var fleetProbes [probeTestSeconds]float64
-	sampledInstances := min(instances, 1000) // all are alike
+	sampledInstances := min(instances, 1000) // all instances behave alike, so that a sample is enough
 	for i := range sampledInstances {
 		for s, probes := range probesOfInstance(t, i, instances, serving) {
 			fleetProbes[s] += probes
 		}
 	}
-	// Chance of the draws and of who is served how much, at these sizes: a quarter.
+	// At these sizes, random draws and the random distribution of served requests vary the result by up to a
+	// quarter.
 	maxProbes := 50*1.25 + 1
 	minProbes := 0.0
 	if !serving {
-		maxProbes = 2.5 + float64(min(instances, 300))/300 // the minimum, and what instances start with
+		maxProbes = 2.5 + float64(min(instances, 300))/300 // the minimum rate, and the initial budget of each instance
 		minProbes = 0.3
 	}
 	sum := 0.0
 	for s, probes := range fleetProbes {
-		probes *= float64(instances) / float64(sampledInstances) / probeTestEndpoints // at an endpoint
+		// Scaled to the whole fleet, per endpoint.
+		probes *= float64(instances) / float64(sampledInstances) / probeTestEndpoints
 		sum += probes
 		if probes > maxProbes+float64(minProbeBucket)/probeTestEndpoints {
 			t.Errorf("%d instances, served %v: %.1f probes at an endpoint in second %d, of %.1f",
@@ -203,8 +211,8 @@
 	}
 }
 
-// The probes of all instances at one endpoint are bounded within every second, whether they are 1 or 5,000,
-// whatever is rejected and repeated and however much all have saved up, and there are always some.
+// The probes of all instances to one endpoint are limited within every second, for 1 to 5,000 instances,
+// whatever is rejected and retried and however much budget was saved. Some probes are always sent.
 func TestFleetProbesStayWithinEndpointBound(t *testing.T) {
 	for _, instances := range []int{1, 8, 300, 5000} {
 		for _, serving := range []bool{true, false} {
@@ -213,8 +221,8 @@
 	}
 }
 
-// The better an instance is served, the higher its level; and instances that see the same converge to the same
-// level within two seconds, wherever they started.
+// The admission level is higher for a lower failure ratio. Levels of instances with the same failure ratio
+// converge within two seconds, whatever their initial values.
 func TestLevelFallsWithFailureRatio(t *testing.T) {
 	finalLevel := func(startLevel, failureRatio float64) float64 {
 		var l admissionLevel
@@ -242,7 +250,8 @@
 	}
 }
 
-// checkAdmission checks the admitted parts of the classes at a level: they are in an order, and add up to the level.
+// checkAdmission checks the admitted fractions of the classes at a level: they must descend in the given order
+// and add up to the level.
 func checkAdmission(t *testing.T, admit []float64, order []int, level, worstClassWeight float64) {
 	t.Helper()
 	sum := 0.0
@@ -257,28 +266,30 @@
 	}
 }
 
-// The class with the highest priority weight for its cost is admitted first, and what is admitted adds up to the
-// level; where the goal weighs the class served worst, a part of all classes is served.
+// The class with the highest priority weight per cost is admitted first, and the admitted work adds up to the
+// level. If the goal includes the worst-served class, a fraction of every class is admitted.
 func TestAdmissionFollowsPriorityWeight(t *testing.T) {
 	for _, worstClassWeight := range []float64{0, 0.2, 0.6} {
 		c := newTestController(t, testSettings(worstClassWeight, 8))
 		for i, ms := range []float64{35, 29, 27, 54} {
 			c.responseTimes[i].value = ms * 1000
 		}
-		order := []int{2, 3, 0, 1} // chair-status, book, open-slots, patient-card
+		order := []int{2, 3, 0, 1} // class indexes in the order of priority weight per cost
 		for level := 0.05; level <= 1; level += 0.05 {
 			admit, _ := c.shedding.ratios(level, c.responseTimes)
 			checkAdmission(t, admit, order, level, worstClassWeight)
 			lastRatio := admit[1]
-			if worstClassWeight == 0 && level < 0.75 && lastRatio > 0 || worstClassWeight == 0.6 && lastRatio < level/2 {
+			if worstClassWeight == 0 && level < 0.75 && lastRatio > 0 ||
+				worstClassWeight == 0.6 && lastRatio < level/2 {
 				t.Errorf("worst class %v, level %.2f: the last class has %.2f", worstClassWeight, level, lastRatio)
 			}
 		}
 	}
 }
 
-// A tenant whose demand is more than its part of the mix is over its quota by that, and the other is not; two that
-// demand twice the capacity, each in its part, are both within; so is one without a quota.
+// If a tenant's fraction of the demand is greater than its fraction of the quotas, only its excess is over
+// quota and the other tenant is not affected. Two tenants in proportion to their quotas are both within quota,
+// even at twice the capacity. A tenant without a quota is always within quota.
 func TestDemandOverTenantShare(t *testing.T) {
 	s := testSettings(0, 8)
 	s.OverQuotaWeight = 0.05
@@ -304,13 +315,13 @@
 	}
 }
 
-// One endpoint of twelve with false load reports, either way, does not make an instance take calm for an overload
-// or an overload for calm; invalid reports are ignored.
+// One of twelve endpoints sends false load reports, too high or too low. They must neither cause a false
+// overload nor hide a real one. Invalid reports are ignored.
 func TestFalseLoadReportsDoNotHideOverload(t *testing.T) {
 	for _, falseReport := range []LoadReport{
 		{1e9, 20}, {0, 1e12}, {math.Inf(1), 5}, {math.NaN(), math.NaN()}, {-1, 30}, {5, 0},
 	} {
-		for _, inFlight := range []float64{2, 9} { // at 40 a second: 50 and 225 ms
+		for _, inFlight := range []float64{2, 9} { // at 40 requests per second these are 50 and 225 ms per request
 			c := newTestController(t, testSettings(0, 8))
 			now := monotime.Micros(0)
 			for i := range 2000 {
@@ -335,7 +346,7 @@
 	}
 }
 
-// The error of an invalid setting names it.
+// The error for an invalid setting contains the key of that setting.
 func TestInvalidSettingIsNamed(t *testing.T) {
 	for key, invalidate := range map[string]func(*Settings){
 		"classes":     func(s *Settings) { s.Classes = nil },
--- a/internal/decide/overload/probes.go
+++ b/internal/decide/overload/probes.go
@@ -6,50 +6,51 @@
 	"dunlinsail/internal/monotime"
 )
 
-// probeLimits are the bounds on this instance's probes. Rates are in probes a second, but for servedRate.
+// probeLimits are the limits on this instance's probes. Its rates are in probes per second, except servedRate.
 type probeLimits struct {
-	ratio         float64 // probes for each accepted first attempt
-	servedRate    float64 // accepted first attempts a second
-	minRate       float64 // allowed in any case
-	maxEarnedRate float64 // greatest rate of earned probes without a lease; infinite is no bound
-	leasedRate    float64 // leased from the fleet, beyond maxEarnedRate
+	ratio         float64 // probes per accepted first attempt
+	servedRate    float64 // accepted first attempts per second
+	minRate       float64 // probe rate that is allowed unconditionally
+	maxEarnedRate float64 // greatest rate of earned probes without a quota lease; infinite means no limit
+	leasedRate    float64 // probe rate leased from the fleet in addition to maxEarnedRate
 }
 
-// total returns the rate of probes that is within the limits.
+// total returns the rate of probes, per second, that the limits allow.
 func (l probeLimits) total() float64 {
 	return min(l.ratio*l.servedRate, l.maxEarnedRate+l.leasedRate) + l.minRate
 }
 
-// probeBucket is a token bucket of probes that are earned by accepted first attempts. Rejected requests and retries
-// earn none.
+// probeBucket is a token bucket for probes. Accepted first attempts add tokens; rejected requests and retries
+// add none.
 type probeBucket struct {
 	tokens float64
 }
 
 const (
-	// probeBucketFillTime is the time at the present rate for which a full bucket lasts: probes need not keep step with
-	// answers.
+	// probeBucketFillTime is the time in which probes at the current rate use up a full bucket. Its size allows
+	// probes to be sent in bursts between responses.
 	probeBucketFillTime = second / 2
-	// minProbeBucket is the least size of a bucket, in probes: two candidates of a request, and one probe beside them.
+	// minProbeBucket is the least size of a bucket, in probes: two for the candidates of one request, and one
+	// more.
 	minProbeBucket = 3
 )
 
-// earn adds the tokens of one accepted first attempt.
+// earn adds the tokens of one accepted first attempt, up to the size of the bucket.
 func (p *probeBucket) earn(limits probeLimits) {
 	size := max(minProbeBucket, limits.ratio*limits.servedRate*float64(probeBucketFillTime)/float64(second))
 	p.tokens = min(p.tokens+limits.ratio, size)
 }
 
-// empty reports whether no probe is earned.
+// empty reports whether the bucket has less than one token.
 func (p *probeBucket) empty() bool { return p.tokens < 1 }
 
-// take removes a token from a bucket that is not empty.
+// take removes a token. The bucket must not be empty.
 func (p *probeBucket) take() { p.tokens-- }
 
-// TakeProbe decides whether a probe may be sent, and charges it. It may if the rate allowed in any case has one left
-// in this second (MinEndpointProbeRate, divided by the instances), whatever is served. Beyond that it takes a token
-// that an accepted first attempt has earned, and a unit of the endpoints' bound (MaxEndpointProbeRate): of the
-// instance's own part, or else a leased one, if leaseProbe returns true. A nil leaseProbe leases none.
+// TakeProbe decides whether a probe may be sent, and charges it. Each second a few probes are allowed
+// unconditionally: the instance's share of MinEndpointProbeRate. Any other probe needs a token that an accepted
+// first attempt has added, and a unit of MaxEndpointProbeRate, from the instance's own share or, if leaseProbe
+// returns true, from a quota lease. With a nil leaseProbe no lease is used.
 func (c *Controller) TakeProbe(now monotime.Micros, leaseProbe func() bool) bool {
 	c.startSecond(now)
 	switch {
@@ -68,8 +69,9 @@
 	return true
 }
 
-// probeLimits returns the bounds on this instance's probes. Its part of the endpoints' bound is its part of the fleet's
-// load: what it is served, of what endpoints report to serve to all.
+// probeLimits returns the current limits on this instance's probes. Its share of MaxEndpointProbeRate is its
+// share of the fleet's load: its own accepted first attempts divided by the rate that the endpoints report to
+// serve for all instances.
 func (c *Controller) probeLimits(now monotime.Micros) probeLimits {
 	s := &c.settings
 	limits := probeLimits{
@@ -88,7 +90,8 @@
 	return limits
 }
 
-// MaxFleetProbeRate returns the probes a second that all instances together may send; 0 is no bound.
+// MaxFleetProbeRate returns the greatest rate of probes, per second, of all instances together; 0 means no
+// limit.
 func (c *Controller) MaxFleetProbeRate() float64 {
 	return c.settings.MaxEndpointProbeRate * float64(c.endpoints)
 }
--- a/internal/decide/overload/retries.go
+++ b/internal/decide/overload/retries.go
@@ -6,8 +6,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// setRetryRatio sets the ratio of retries to accepted first attempts: the lower one while there is a reason to bound
-// work.
+// setRetryRatio sets the allowed ratio of retries to accepted first attempts. The ratio is lower while there is
+// a reason to reduce the retry budget.
 func (c *Controller) setRetryRatio(reason Reason) {
 	c.retryRatio = c.settings.RetryRatio
 	if reason != None {
@@ -15,26 +15,27 @@
 	}
 }
 
-// RetryAllowed decides whether one more retry is within the budget that the instance has without a
-// lease. Within any second that is the retry ratio of the first attempts accepted in the last second (retryLimit), both
-// as of the second's beginning and as of now.
+// RetryAllowed decides whether one more retry is within the budget that the instance may use without a quota
+// lease. The retries within any second must not exceed retryLimit, neither its value at the start of the second
+// nor its current value.
 func (c *Controller) RetryAllowed(now monotime.Micros) bool {
 	c.startSecond(now)
 	return c.retries.allows(now, c.retryLimit(now))
 }
 
-// retryLimit returns the retries a second that the first attempts accepted in the last second have earned, as far as
-// the instance may use them without a lease.
+// retryLimit returns the number of retries per second that the first attempts accepted in the last second
+// allow, limited to the share that the instance may use without a quota lease.
 func (c *Controller) retryLimit(now monotime.Micros) float64 {
 	return c.unleasedShares.retries * c.retryRatio * float64(c.acceptedInLastSecond.count(now, false))
 }
 
-// reportTolerance is the factor by which endpoints may serve more than they report: reports are averages over a second
-// that is past.
+// reportTolerance is the factor by which the rate that endpoints serve may exceed the rate that they report,
+// since reports are averages over the previous second.
 const reportTolerance = 1.5
 
-// EarnedRetryRate returns the retries a second that this instance's accepted first attempts add to the fleet's budget,
-// and the greatest rate that the fleet can earn by the served rates that endpoints report; infinite without reports.
+// EarnedRetryRate returns the rate of retries, per second, that this instance's accepted first attempts add to
+// the fleet's retry budget. maxFleetRate is the greatest rate that the whole fleet can earn, derived from the
+// served rates that endpoints report; it is infinite without reports.
 func (c *Controller) EarnedRetryRate(now monotime.Micros) (ownRate, maxFleetRate float64) {
 	maxFleetRate = math.Inf(1)
 	if reported := c.endpointRate.valueOr(0) * float64(c.endpoints); reported > 0 {
--- a/internal/decide/overload/settings.go
+++ b/internal/decide/overload/settings.go
@@ -10,57 +10,59 @@
 
 const second = monotime.Second
 
-// Class is a class of requests.
+// Class configures a class of requests.
 type Class struct {
-	PriorityWeight   float64         // of one request that is answered within its objective
-	LatencyObjective monotime.Micros // time from a request to its answer
+	PriorityWeight   float64         // value of one response within the latency objective
+	LatencyObjective monotime.Micros // time from a request to its response
 }
 
-// Tenant is one of the tenants that share the service.
+// Tenant configures one of the tenants that share the service.
 type Tenant struct {
-	// Quota is in requests a second over all instances; 0 is no quota. Tenants are compared with one another: a tenant
-	// is over its quota if its part of the demand is over its part of all quotas. While all demand the same multiple
-	// of their quotas, none is over its quota.
+	// Quota is in requests per second over all instances; 0 means no quota. Tenants are compared with one
+	// another: a tenant is over its quota if its fraction of the total demand is greater than its fraction of
+	// all quotas. While the demands of all tenants are the same multiple of their quotas, no tenant is over its
+	// quota.
 	Quota float64
 }
 
-// GoalWeights are the weights of the two parts of the goal that the shedding order maximizes.
+// GoalWeights are the weights of the two terms of the goal that the shedding order maximizes.
 type GoalWeights struct {
-	Overall    float64 // of the served part of all priority weight
-	WorstClass float64 // of the served part of the class that is served worst
+	Overall    float64 // weight of the served fraction of all priority weight
+	WorstClass float64 // weight of the served fraction of the class with the lowest served fraction
 }
 
 // Settings configure a Controller.
 type Settings struct {
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaWeight float64 // factor on the priority weight of requests over their tenant's quota, 0 to 1
+	OverQuotaWeight float64 // factor, 0 to 1, on the priority weight of requests over their tenant's quota
 	GoalWeights     GoalWeights
-	Instances       int // number of instances in the fleet as far as known, this one included
-	Seed            uint64
+	Instances       int    // known number of instances in the fleet, including this one
+	Seed            uint64 // for the random draws of the budgets
 
-	// RetryRatio bounds retries within any second, as a ratio of the first attempts accepted in it.
-	// OverloadedRetryRatio takes its place while work is shed or many attempts fail.
+	// RetryRatio is the greatest ratio of retries within any second to the first attempts accepted in that
+	// second. OverloadedRetryRatio replaces it while work is shed, endpoints are saturated or many attempts
+	// fail.
 	RetryRatio           float64
 	OverloadedRetryRatio float64
 
-	ProbeRatio           float64 // probes for each accepted first attempt
-	MaxEndpointProbeRate float64 // greatest rate of all instances' probes at one endpoint, a second; 0 is no bound
-	MinEndpointProbeRate float64 // least rate of all instances' probes at one endpoint, allowed in any case
+	ProbeRatio           float64 // probes per accepted first attempt
+	MaxEndpointProbeRate float64 // greatest rate, per second, of all instances' probes to one endpoint; 0: no limit
+	MinEndpointProbeRate float64 // always allowed rate, per second, of all instances' probes to one endpoint
 }
 
-// The defaults of the budgets.
+// The default budgets.
 const (
-	defaultRetryRatio = 0.2 // as a pool without overload control has
-	// As endpoints begin to fail, the last second may have twice as many accepted first attempts as the next second has
-	// first attempts: a twentieth is then a tenth of these.
+	defaultRetryRatio = 0.2 // the ratio of a pool without overload control
+	// When endpoints start to fail, the last second may have twice as many accepted first attempts as the next
+	// second has first attempts: a ratio of 0.05 then allows retries of a tenth of these.
 	defaultOverloadedRetryRatio = 0.05
-	defaultProbeRatio           = 2   // the two candidates that a request waits for; many requests share one probe
-	defaultMaxEndpointProbeRate = 100 // a hundredth of a core at 0.1 ms a probe
-	defaultMinEndpointProbeRate = 1   // an endpoint that recovers is found within a second
+	defaultProbeRatio           = 2   // two candidates per request; many requests share one probe
+	defaultMaxEndpointProbeRate = 100 // 1% of a core, at 0.1 ms per probe
+	defaultMinEndpointProbeRate = 1   // a recovered endpoint is detected within a second
 )
 
-// DefaultSettings returns the budgets that hold where the operators set no others.
+// DefaultSettings returns the default budgets. The other settings are zero.
 func DefaultSettings() Settings {
 	return Settings{
 		RetryRatio:           defaultRetryRatio,
@@ -71,12 +73,12 @@
 	}
 }
 
-// invalidSetting returns the error of a setting.
+// invalidSetting returns the error for the setting with the key, for the given reason.
 func invalidSetting(key, reason string) error {
 	return &setting.Error{Component: "overload", Key: key, Reason: reason}
 }
 
-// validate returns a *setting.Error for the first setting that is invalid.
+// validate returns a *setting.Error for the first invalid setting.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
 		return invalidSetting("classes", "at least one is needed")
--- a/internal/decide/overload/shedding.go
+++ b/internal/decide/overload/shedding.go
@@ -6,35 +6,38 @@
 	"dunlinsail/internal/monotime"
 )
 
-// sheddingOrder translates an admission level into the part of each class that is admitted. The level is a part of a
-// standard mix, in which every class has as much work as the others, and not of the instance's own mix: at the same
-// level all instances shed the same classes, also an instance that serves one class only. How much of the real mix a
-// level admits does not matter, since the control loop (level.go) finds the level that fits.
+// sheddingOrder translates an admission level into the admitted fraction of each class. The level refers to a
+// standard mix, in which all classes have the same amount of work, and not to the instance's own mix. All
+// instances therefore shed the same classes at the same level, even an instance that serves only one class. How
+// much of the actual mix a level admits does not matter, since the control loop (admissionLevel) finds a
+// suitable level.
 //
-// Within the level, classes are admitted by their priority weight over their cost. As the goal also weighs the class
-// that is served worst, a part of all classes, the floor, is admitted first. The best floor for the standard mix is
-// the solution of a linear program, which lies at one of a few corners.
+// Within the level, classes are admitted in the order of priority weight per cost. As the goal also includes
+// the class with the lowest served fraction, the same fraction of every class, called the floor, is admitted
+// first. The best floor for the standard mix is the solution of a linear program, which lies at one of a few
+// corners.
 type sheddingOrder struct {
 	settings       Settings
-	admit          []float64 // by class, as Bounds.AdmitRatio
-	overQuotaAdmit []float64 // by class, as Bounds.OverQuotaAdmitRatio
-	queueWaits     []float64 // by class, as Bounds.QueueWaitFraction
-	withinQuota    []float64 // by tenant, as Bounds.WithinQuotaRatio
-	groups         []workGroup
-	lastLevel      float64 // level that admit and overQuotaAdmit are of; -1 is none
-	floorRatio     float64 // as Bounds.FloorRatio
-	callsSinceRank int
+	admit          []float64   // by class: Bounds.AdmitRatio
+	overQuotaAdmit []float64   // by class: Bounds.OverQuotaAdmitRatio
+	queueWaits     []float64   // by class: Bounds.QueueWaitFraction
+	withinQuota    []float64   // by tenant: Bounds.WithinQuotaRatio
+	groups         []workGroup // in the order of admission (compareGroups)
+	lastLevel      float64     // level for which admit and overQuotaAdmit were computed; -1: not computed yet
+	floorRatio     float64     // Bounds.FloorRatio
+	callsSinceRank int         // calls of ratios since the last rank
 }
 
-// workGroup is the requests of a class that are within the quotas of their tenants, or those over them.
+// workGroup contains either the requests of a class that are within their tenants' quotas, or those over them.
+// If quotas do not matter (splitsByQuota), it contains all requests of the class.
 type workGroup struct {
 	class        int
 	overQuota    bool
-	weight       float64 // priority weight for a microsecond at an endpoint
-	workFraction float64 // its part of the work of the standard mix
+	weight       float64 // priority weight per microsecond at an endpoint
+	workFraction float64 // fraction of the work of the standard mix
 }
 
-// newSheddingOrder returns an order without ranks.
+// newSheddingOrder returns an order whose groups are ranked by the first call of ratios.
 func newSheddingOrder(s Settings) sheddingOrder {
 	n := len(s.Classes)
 	return sheddingOrder{
@@ -47,17 +50,18 @@
 	}
 }
 
-// splitsByQuota reports whether requests over their tenant's quota are a group of their own.
+// splitsByQuota reports whether a class's requests over their tenants' quotas form a separate group.
 func (o *sheddingOrder) splitsByQuota() bool {
 	return o.settings.OverQuotaWeight < 1 && len(o.settings.Tenants) > 1
 }
 
-// rankInterval is the number of calls of ratios after which the classes are ranked anew: answer times change slowly.
+// rankInterval is the number of calls of ratios after which the groups are ranked again: response times change
+// slowly.
 const rankInterval = 256
 
-// ratios decides which part of each class is admitted at a level: of the requests within their tenants' quotas, and
-// of those over them. Every group gets the floor; then groups get all of their requests admitted by rank, the highest
-// weight first, as long as the rest of the level allows.
+// ratios returns the admitted fraction of each class at a level, for requests within and over their tenants'
+// quotas. The floor is admitted from every group. The remaining level then admits whole groups by rank, those
+// with the highest weight first.
 func (o *sheddingOrder) ratios(level float64, responseTimes []movingAverage) (admit, overQuotaAdmit []float64) {
 	o.callsSinceRank++
 	if len(o.groups) == 0 || o.callsSinceRank >= rankInterval {
@@ -85,7 +89,7 @@
 	return o.admit, o.overQuotaAdmit
 }
 
-// setRatio sets the admitted part of a group.
+// setRatio sets the admitted fraction of a group.
 func (o *sheddingOrder) setRatio(group workGroup, ratio float64) {
 	switch {
 	case !o.splitsByQuota():
@@ -98,23 +102,24 @@
 	}
 }
 
-// The parts of a class's work in the standard mix, where it is split by tenants' quotas.
+// The fractions of a class's work in the standard mix that are within and over tenants' quotas, if the class is
+// split by quota.
 const (
 	withinQuotaWorkFraction = 0.9
 	overQuotaWorkFraction   = 0.1
 )
 
-// The part of the time that a request's objective leaves beyond its service time for which it may wait at an
-// endpoint. The classes' values are spread evenly by rank, so that where too much was admitted for a moment the
-// lowest class is rejected first.
+// The queue wait of a request is the fraction of the time that its latency objective leaves beyond its service
+// time for which it may wait at an endpoint. The values of the classes are spread evenly by rank, so that the
+// class with the lowest rank is rejected first if too much was admitted for a moment.
 const (
-	maxQueueWait   = 0.8  // of the class that ranks first: shedding keeps the queues below that
-	minQueueWait   = 0.15 // of the class that ranks last: without overload hardly any request waits for longer
-	floorQueueWait = 0.35 // least value for the requests of the floor, whatever their class
+	maxQueueWait   = 0.8  // for the first class by rank: shedding keeps queues shorter
+	minQueueWait   = 0.15 // for the last class by rank: without an overload few requests wait longer
+	floorQueueWait = 0.35 // least value for requests of the floor, whatever their class
 )
 
-// rank orders the groups by priority weight over cost, the highest first, and sets the queue wait of each class by its
-// rank. The cost of a request is its time at an endpoint.
+// rank sorts the groups by compareGroups, with the priority weight per cost as weight, and sets the queue wait
+// of each class from its rank. The cost of a request is its time at an endpoint.
 func (o *sheddingOrder) rank(responseTimes []movingAverage) {
 	o.groups = o.groups[:0]
 	n := float64(len(o.settings.Classes))
@@ -139,8 +144,8 @@
 	}
 }
 
-// compareGroups orders groups by rank: all requests over their tenants' quotas are shed before any within a quota, and
-// otherwise the lowest weight is shed first.
+// compareGroups orders groups by rank: groups within the tenants' quotas come before all groups over the
+// quotas, and otherwise a group with a higher weight comes first. The last group is shed first.
 func compareGroups(a, b workGroup) int {
 	switch {
 	case a.overQuota != b.overQuota:
@@ -156,22 +161,23 @@
 	return 0
 }
 
-// minRetryLevel is the level up to which no client retries are admitted.
+// minRetryLevel is the admission level up to which no client retries are admitted.
 const minRetryLevel = 0.8
 
-// clientRetryRatio decides which part of the clients' retries is admitted at a level: none once a fifth of the work
-// is shed. A client that retries has used a part of its time by then; a retry that is served late is wasted work, and
-// first requests that are shed in its place would have been in time.
+// clientRetryRatio returns the fraction of client retries that is admitted at a level: none once a fifth of the
+// work is shed. A client that retries has already spent a part of its time. A retry whose response is late is
+// wasted work, and the first requests that are shed in its place would have been in time.
 func clientRetryRatio(level float64) float64 {
 	return max(0, min(1, (level-minRetryLevel)/(1-minRetryLevel)))
 }
 
-// bestFloor returns the part of every group that is admitted whatever its priority weight, and the rest of the level.
-// The goal's value is linear between the corners at which the rest fills whole groups, so that one of these is best.
+// bestFloor returns the fraction of every group that is admitted whatever its priority weight, and the
+// remaining level. The goal is a linear function of the floor between the corners at which the remaining level
+// admits whole groups, so that one of the corners is the best floor.
 func (o *sheddingOrder) bestFloor(level float64) (floor, remaining float64) {
 	bestValue := -1.0
 	bestFloor := 0.0
-	workFullyServed := 0.0 // of the groups that are admitted in full
+	workFullyServed := 0.0 // work fraction of the groups that are admitted in full
 	for i := 0; i <= len(o.groups); i++ {
 		candidate := 0.0
 		if workFullyServed < level && workFullyServed < 1 {
@@ -188,7 +194,8 @@
 	return bestFloor, level - bestFloor
 }
 
-// goalValue returns the goal's value if a floor is admitted of all groups, and the rest of the level by rank.
+// goalValue returns the value of the goal if the fraction floorRatio of every group is admitted, and the rest
+// of the level admits groups by rank.
 func (o *sheddingOrder) goalValue(level, floorRatio float64) float64 {
 	var servedWeight, totalWeight float64
 	remaining := level - floorRatio
@@ -205,13 +212,14 @@
 }
 
 const (
-	minQuotaLoad   = 0.05 // part of all quotas that must be demanded of the instance: the mix of less is unusual
-	quotaTolerance = 1.25 // factor on a tenant's part of all quotas, since the mix of two seconds varies
+	minQuotaLoad   = 0.05 // least demand, as a fraction of all quotas, for quotas to apply: less has no typical mix
+	quotaTolerance = 1.25 // tolerance factor on a tenant's quota, since the mix of requests varies within two seconds
 )
 
-// withinQuotaRatios decides which part of each tenant's requests is within its quota. Tenants whose demands are in
-// proportion to their quotas are all within them, however much they demand; so is a tenant without a quota. The input
-// is demand, in requests a second: by what is served, rejections for being over a quota would shrink what is within it.
+// withinQuotaRatios returns the fraction of each tenant's requests that is within its quota. If the demands of
+// all tenants are in proportion to their quotas, all requests are within the quotas, however great the demand
+// is. All requests of a tenant without a quota are within quota. The input is the requested rate, per second,
+// and not the served rate: otherwise rejections of requests over a quota would reduce the quota further.
 func (o *sheddingOrder) withinQuotaRatios(now monotime.Micros, demand []decayingRate) []float64 {
 	var totalDemand, totalQuota float64
 	for i, t := range o.settings.Tenants {
