--- a/internal/decide/reuse/delay.go
+++ b/internal/decide/reuse/delay.go
@@ -6,33 +6,35 @@
 )
 
 const (
-	// delayPeriod is the least time for which a delay of this process counts.
+	// delayPeriod is the least time for which an observed delay of this process is taken into account.
 	delayPeriod = 3 * monotime.Second
 
-	// minDelay is the delay from which on this process counts as late. Less is the usual delay of a timer.
+	// minDelay is the least delay at which this process counts as late. Shorter delays are usual for timers.
 	minDelay = 2 * monotime.Millisecond
 
-	// initialDelay is assumed of a process with less than minObservations.
+	// initialDelay is the least delay that is assumed for a process with fewer than minObservations.
 	initialDelay    = 5 * monotime.Millisecond
 	minObservations = 20
 
-	// starvedWaitRatio is how many times as long as they run the threads of this process wait for a processor where the
-	// machine has far too few.
+	// starvedWaitRatio is the ratio of the time that the threads of this process wait for a processor to the
+	// time that they run at which the machine counts as having far too few processors.
 	starvedWaitRatio = 4
 
-	// minProcessorWait is the least wait, of all threads together, that says something of the machine.
+	// minProcessorWait is the least total wait of all threads for a processor that is taken as evidence of too
+	// few processors.
 	minProcessorWait = 10 * monotime.Millisecond
 )
 
-// delayWindow holds the longest delay of this process in the present period and in the one before it.
+// delayWindow holds the longest delay of this process in the current period of delayPeriod and in the previous
+// one.
 type delayWindow struct {
-	currentMax   monotime.Micros
-	previousMax  monotime.Micros
-	currentStart monotime.Micros // instant at which the present period began
-	count        int             // observations, up to minObservations
+	currentMax   monotime.Micros // longest delay in the current period
+	previousMax  monotime.Micros // longest delay in the previous period
+	currentStart monotime.Micros // instant at which the current period started
+	count        int             // number of observations, up to minObservations
 }
 
-// add adds a delay.
+// add records a delay that was observed at the instant now.
 func (w *delayWindow) add(now, delay monotime.Micros) {
 	w.advance(now)
 	w.count = min(w.count+1, minObservations)
@@ -41,7 +43,8 @@
 	}
 }
 
-// longest returns the longest delay of the last delayPeriod, or somewhat longer.
+// longest returns the longest delay of at least the last delayPeriod and at most the last two; with fewer than
+// minObservations, at least initialDelay.
 func (w *delayWindow) longest(now monotime.Micros) monotime.Micros {
 	w.advance(now)
 	if w.count < minObservations {
@@ -50,7 +53,7 @@
 	return max(w.currentMax, w.previousMax)
 }
 
-// advance begins a new period if the present one is over.
+// advance starts a new period if the current one is over.
 func (w *delayWindow) advance(now monotime.Micros) {
 	elapsed := now - w.currentStart
 	if elapsed < delayPeriod {
@@ -64,7 +67,7 @@
 	w.currentStart = now
 }
 
-// ObserveDelay takes into account that this process runs now and was due a delay ago.
+// ObserveDelay records that this process runs now and was due to run earlier, by the given delay.
 func (d *Decider) ObserveDelay(now, delay monotime.Micros) {
 	d.delays.add(now, delay)
 	if delay >= minDelay {
@@ -72,17 +75,18 @@
 	}
 }
 
-// ObserveProcessorTime takes into account for how long the threads of this process have run, and have waited for a
-// processor, since the last call. Where processors are scarce, the delays of a process that mostly sleeps say little:
-// the scheduler prefers a thread that wakes up. One that was preempted, as that of an endpoint may be while it
-// responds, waits for all others.
+// ObserveProcessorTime records for how long the threads of this process have run, and have waited for a
+// processor, since the last call. If processors are scarce, the delays of a process that mostly sleeps are no
+// good evidence, since the scheduler prefers a thread that wakes up. A preempted thread, such as that of an
+// endpoint while it responds, waits for all other threads.
 func (d *Decider) ObserveProcessorTime(now, runTime, waitTime monotime.Micros) {
 	if waitTime >= minProcessorWait && waitTime >= starvedWaitRatio*runTime {
 		d.starvedUntil = now + delayPeriod
 	}
 }
 
-// delayAllowance returns what is added to a rest since this process, or one of an endpoint on the same machine, may be late.
+// delayAllowance returns the time that is added to a reuse delay because this process, or an endpoint on the
+// same machine, may run late.
 func (d *Decider) delayAllowance(now monotime.Micros) monotime.Micros {
 	if now < d.starvedUntil {
 		return maxDelayAllowance
@@ -90,8 +94,8 @@
 	return min(delayFactor*d.delays.longest(now), maxDelayAllowance)
 }
 
-// running returns for how much of the time since an instant this process has run. While it did not, endpoints on the
-// same machine may not have run either.
+// timeRunning returns for how much of the time since an instant this process has run. While it did not run,
+// endpoints on the same machine may not have run either.
 func (d *Decider) timeRunning(now, from monotime.Micros) monotime.Micros {
 	return now - from - d.stalls.Within(from, now)
 }
--- a/internal/decide/reuse/evidence.go
+++ b/internal/decide/reuse/evidence.go
@@ -2,31 +2,34 @@
 
 import "dunlinsail/internal/monotime"
 
-// SecondResponse is a response of an endpoint that belongs to no request, found on a connection after another response.
+// SecondResponse is a response that an endpoint sent without a request, after another response on the same
+// connection.
 type SecondResponse struct {
 	Endpoint Endpoint
-	Lateness monotime.Micros // from the response before it on the connection to its arrival; 0: both came at once
+	Lateness monotime.Micros // time from the previous response on the connection; 0: received together
 
-	// Interval is the time between the two responses before it on the connection; 0 if there was only one.
+	// Interval is the time between the two preceding responses on the connection; 0 if there was only one.
 	Interval monotime.Micros
 }
 
-// mayFollowMisdelivery reports whether the response before the second response may have been that to an earlier
-// request. The second response is then the one that belonged there.
+// mayFollowMisdelivery reports whether the previous response on the connection may have been a late response to
+// an earlier request, and was delivered to the wrong request. The second response is then the one to that
+// request.
 func (s *SecondResponse) mayFollowMisdelivery() bool {
 	return s.Interval > 0 && s.Interval <= maxLateness
 }
 
-// impliesMisdelivery reports whether a misdelivery has to be assumed: it is possible, and the second response did not
-// come at once with the response before it, as those of endpoints do that send a response twice at once.
+// impliesMisdelivery reports whether a misdelivery must be assumed: it is possible, and the second response did
+// not arrive together with the previous response. Both arrive together from endpoints that send a response
+// twice at once.
 func (s *SecondResponse) impliesMisdelivery() bool {
 	return s.mayFollowMisdelivery() && s.Interval <= maxAssumedLateness && s.Lateness > 0
 }
 
-// provenLateness returns how late second responses are at least. On the first response of a connection nothing could be
-// misdelivered, and the lateness is certain. Otherwise either the second response was late itself, or the response
-// before it was late by the interval, and what follows is the response to the last request: it is at least the lesser
-// of both. A lateness over maxLateness does not count.
+// provenLateness returns the least lateness that a second response proves. On the first response of a
+// connection no misdelivery is possible, and the lateness is certain. Otherwise either the second response
+// itself was late, or the previous response was late by the interval and the second response is the one to the
+// last request; the lesser of both times is proven. A lateness over maxLateness is not counted.
 func (s *SecondResponse) provenLateness() monotime.Micros {
 	lateness := s.Lateness
 	if s.mayFollowMisdelivery() {
@@ -38,16 +41,16 @@
 	return lateness
 }
 
-// evidence is the longest lateness of second responses. A nil evidence is none.
+// evidence is the longest lateness of second responses within evidencePeriod. A nil evidence is empty.
 type evidence struct {
-	expiresAt monotime.Micros // instant
-	longest   monotime.Micros
+	expiresAt monotime.Micros // instant at which the evidence is forgotten
+	longest   monotime.Micros // longest lateness
 }
 
-// isRecent reports whether there was a second response within evidencePeriod.
+// isRecent reports whether a second response was observed within evidencePeriod.
 func (e *evidence) isRecent(now monotime.Micros) bool { return e != nil && now < e.expiresAt }
 
-// lateness returns the longest lateness within evidencePeriod, 0 without any.
+// lateness returns the longest lateness within evidencePeriod, or 0 if there was no second response.
 func (e *evidence) lateness(now monotime.Micros) monotime.Micros {
 	if !e.isRecent(now) {
 		return 0
@@ -55,20 +58,20 @@
 	return e.longest
 }
 
-// add adds a lateness.
+// add records a lateness that was observed at the instant now.
 func (e *evidence) add(now, lateness monotime.Micros) {
 	e.longest = max(e.lateness(now), lateness)
 	e.expiresAt = now + evidencePeriod
 }
 
-// poolEvidence is what was observed in a pool. A nil poolEvidence is nothing.
+// poolEvidence is the evidence from the second responses of a pool. A nil poolEvidence is empty.
 type poolEvidence struct {
-	proven  evidence // how late second responses were at least
-	certain evidence // of these, how late those to the first request on a connection were
-	assumed evidence // how late they were if responses were delivered to the wrong requests
+	proven  evidence // least lateness that second responses prove
+	certain evidence // lateness of second responses to the first request on a connection
+	assumed evidence // lateness if responses were delivered to the wrong requests
 }
 
-// lateness returns the longest lateness that is proven or has to be assumed.
+// lateness returns the longest lateness in the pool that is proven or must be assumed.
 func (p *poolEvidence) lateness(now monotime.Micros) monotime.Micros {
 	if p == nil {
 		return 0
@@ -76,8 +79,8 @@
 	return max(p.proven.lateness(now), p.assumed.lateness(now))
 }
 
-// add adds a second response. If the lateness of another one is certain, and as long, it explains this one without a
-// misdelivery: the endpoints of a pool usually run the same software.
+// add records a second response. If another second response of the pool had a certain lateness that is no
+// shorter, it explains this one without a misdelivery: the endpoints of a pool usually run the same software.
 func (p *poolEvidence) add(now monotime.Micros, s *SecondResponse) {
 	isExplained := p.certain.isRecent(now) && s.Lateness <= p.certain.longest
 	p.proven.add(now, s.provenLateness())
@@ -90,7 +93,7 @@
 	}
 }
 
-// pool returns the evidence of a pool, and adds an empty one if there is none.
+// ensurePool returns the evidence of the pool with a name. It adds an empty evidence if the pool has none.
 func (d *Decider) ensurePool(name string) *poolEvidence {
 	p := d.pools[name]
 	if p == nil {
@@ -100,7 +103,7 @@
 	return p
 }
 
-// address returns the evidence of an address, and adds an empty one if there is none.
+// ensureAddress returns the evidence of an endpoint address. It adds an empty evidence if the address has none.
 func (d *Decider) ensureAddress(address string) *evidence {
 	e := d.addresses[address]
 	if e == nil {
@@ -110,8 +113,8 @@
 	return e
 }
 
-// ObserveSecondResponse takes a second response into account. It reports whether the response before it may have been
-// delivered to the wrong request.
+// ObserveSecondResponse records a second response. It reports whether the previous response on the connection
+// may have been delivered to the wrong request.
 func (d *Decider) ObserveSecondResponse(now monotime.Micros, s SecondResponse) (mayBeMisdelivered bool) {
 	d.ensureAddress(s.Endpoint.Address).add(now, s.provenLateness())
 	d.ensurePool(s.Endpoint.Pool).add(now, &s)
--- a/internal/decide/reuse/reuse.go
+++ b/internal/decide/reuse/reuse.go
@@ -1,16 +1,18 @@
-// Package reuse decides how long a connection to an endpoint rests after a response, before it may carry another
-// request.
+// Package reuse decides on the reuse delay: the time after a response before the connection to an endpoint may
+// carry another request.
 //
-// HTTP/1.1 does not name the request that a response belongs to. If an endpoint sends a second response to a request,
-// and it arrives after the next request was written to the same connection, it passes for the response to that one.
-// If it arrives before, it is detected, and the connection is closed. So a connection rests until the evidence says
-// that its endpoint has finished with the last request:
+// HTTP/1.1 does not name the request that a response belongs to. If an endpoint sends a second response to a
+// request, and it arrives after the next request was written to the same connection, it is taken for the
+// response to that next request. If it arrives before, it is detected, and the connection is closed. A
+// connection is therefore not reused until the evidence indicates that its endpoint has finished with the last
+// request:
 //
-//   - how late second responses have been, at the address and in the pool: the endpoints of a pool usually run the same
-//     software;
-//   - how late this process has run recently: a lack of processor time also delays endpoints on the same machine. A
-//     process that has not observed itself for long assumes some. Times for which it did not run are no rest;
-//   - whether its threads wait for processors far longer than they run.
+//   - the lateness of second responses from the same address and in the same pool: the endpoints of a pool
+//     usually run the same software;
+//   - the recent delays of this process: a lack of processor time also delays endpoints on the same machine.
+//     A process with few observations assumes a delay. Time during which the process did not run does not
+//     count towards the reuse delay;
+//   - whether the threads of this process wait for processors far longer than they run.
 //
 // A Decider is deterministic and does no I/O: its host observes the connections, and passes instants.
 package reuse
@@ -21,49 +23,49 @@
 )
 
 const (
-	// evidencePeriod is how long the lateness of a second response counts.
+	// evidencePeriod is the time for which the lateness of a second response is taken into account.
 	evidencePeriod = 5 * 60 * monotime.Second
 
-	// maxAssumedLateness bounds the lateness that is only assumed.
+	// maxAssumedLateness is the greatest lateness that is assumed without proof.
 	maxAssumedLateness = 250 * monotime.Millisecond
 
-	// addressFactor and poolFactor are the rest as a multiple of the longest lateness seen at the address and in the
-	// pool.
+	// addressFactor and poolFactor give the reuse delay as a multiple of the longest lateness at the address
+	// and in the pool.
 	addressFactor = 4
 	poolFactor    = 2
 
-	// maxLateness bounds the lateness that is taken into account. What comes later is rather the response with which
-	// an endpoint announces that it closes an idle connection.
+	// maxLateness is the greatest lateness that is taken into account. A response that arrives later is more
+	// likely the one with which an endpoint announces that it closes an idle connection.
 	maxLateness = monotime.Second
 
-	// delayFactor is what is added to the rest, as a multiple of the longest recent delay of this process.
+	// delayFactor is the multiple of the longest recent delay of this process that is added to the reuse delay.
 	delayFactor = 4
 
-	// maxDelayAllowance bounds what is added to the rest for delays of this process. A longer rest would only cost
-	// connections.
+	// maxDelayAllowance is the greatest time that is added to the reuse delay for delays of this process. A
+	// longer time would only require more connections.
 	maxDelayAllowance = 250 * monotime.Millisecond
 )
 
-// Settings are the least rests. The zero Settings have connections reused at once.
+// Settings are the least reuse delays. With the zero Settings connections are reused at once.
 type Settings struct {
-	Rest           monotime.Micros // at every endpoint
-	DistrustedRest monotime.Micros // at an address that has sent a second response within evidencePeriod
+	Rest           monotime.Micros // least of every endpoint; 0: only evidence of addresses is used
+	DistrustedRest monotime.Micros // least of a distrusted address (IsDistrusted); 0: no address is distrusted
 }
 
-// Endpoint identifies an endpoint.
+// Endpoint identifies an endpoint by its pool and its address.
 type Endpoint struct {
 	Pool    string
 	Address string
 }
 
-// Decider decides on the rests of connections. Its methods must not be called concurrently.
+// Decider decides on the reuse delays of connections. Its methods must not be called concurrently.
 type Decider struct {
 	settings     Settings
-	pools        map[string]*poolEvidence
-	addresses    map[string]*evidence
-	delays       delayWindow
-	stalls       stall.Log       // times for which this process did not run
-	starvedUntil monotime.Micros // instant until which the machine counts as short of processors
+	pools        map[string]*poolEvidence // by name
+	addresses    map[string]*evidence     // by endpoint address
+	delays       delayWindow              // recent delays of this process
+	stalls       stall.Log                // intervals in which this process did not run
+	starvedUntil monotime.Micros          // instant until which the machine counts as short of processors
 }
 
 // New returns a Decider without evidence.
@@ -75,7 +77,8 @@
 	}
 }
 
-// Rest returns how long after a response a connection to an endpoint may be used again.
+// Rest returns the reuse delay of connections to an endpoint: the time after a response before a connection may
+// carry another request.
 func (d *Decider) Rest(now monotime.Micros, e Endpoint) monotime.Micros {
 	delay := d.settings.Rest
 	if address := d.addresses[e.Address]; address.isRecent(now) && d.settings.DistrustedRest > 0 {
@@ -88,8 +91,8 @@
 	return delay + d.delayAllowance(now)
 }
 
-// Left returns how long a connection to an endpoint still has to rest that got a response some time ago. Times for
-// which this process did not run do not count.
+// Left returns the remaining reuse delay of a connection to an endpoint, where elapsed is the time since the
+// last response on the connection. Time during which this process did not run does not count as elapsed.
 func (d *Decider) Left(now monotime.Micros, e Endpoint, elapsed monotime.Micros) monotime.Micros {
 	delay := d.Rest(now, e)
 	if elapsed < delay {
@@ -98,12 +101,13 @@
 	return max(0, delay-d.timeRunning(now, now-elapsed))
 }
 
-// IsDistrusted reports whether an address has sent a second response within evidencePeriod.
+// IsDistrusted reports whether an address has sent a second response within evidencePeriod. It returns false
+// for all addresses if Settings.DistrustedRest is 0.
 func (d *Decider) IsDistrusted(now monotime.Micros, address string) bool {
 	return d.settings.DistrustedRest > 0 && d.addresses[address].isRecent(now)
 }
 
-// Expire forgets old evidence.
+// Expire removes addresses without evidence within evidencePeriod.
 func (d *Decider) Expire(now monotime.Micros) {
 	for address, e := range d.addresses {
 		if !e.isRecent(now) {
--- a/internal/decide/reuse/reuse_test.go
+++ b/internal/decide/reuse/reuse_test.go
@@ -16,7 +16,7 @@
 	otherPoolEndpoint = Endpoint{Pool: "archive", Address: "127.0.0.1:3"}
 )
 
-// newPunctualDecider returns a Decider of a process that has observed itself for long enough, and never ran late.
+// newPunctualDecider returns a Decider with minObservations of this process, none of which is a delay.
 func newPunctualDecider(s Settings) *Decider {
 	d := New(s)
 	for range minObservations {
@@ -25,17 +25,18 @@
 	return d
 }
 
-// checkReuseDelays checks the rests of firstEndpoint, samePoolEndpoint and otherPoolEndpoint.
+// checkReuseDelays checks the reuse delays of firstEndpoint, samePoolEndpoint and otherPoolEndpoint, in this
+// order.
 func checkReuseDelays(t *testing.T, d *Decider, now monotime.Micros, want ...monotime.Micros) {
 	t.Helper()
 	for i, e := range []Endpoint{firstEndpoint, samePoolEndpoint, otherPoolEndpoint} {
 		if got := d.Rest(now, e); got != want[i] {
-			t.Errorf("rest at %v: %d, want %d", e, got, want[i])
+			t.Errorf("reuse delay of %v: %d, want %d", e, got, want[i])
 		}
 	}
 }
 
-// A process that has not observed itself for long assumes that it may run late.
+// A process with fewer than minObservations assumes that it may run late, which lengthens the reuse delay.
 func TestUnobservedProcessHasLongerReuseDelay(t *testing.T) {
 	d := New(testSettings)
 	for range minObservations {
@@ -48,23 +49,24 @@
 	checkReuseDelays(t, d, 0, 220*ms, 220*ms, 220*ms)
 }
 
-// A second response makes connections rest longer at its address and in its pool, by its lateness, until it is
-// forgotten. If the response before it may have been misdelivered, the worst case is assumed in the pool.
+// A second response lengthens the reuse delays of its address and of its pool, in proportion to its lateness,
+// until the evidence expires. If the previous response may have been misdelivered, the worst case is assumed
+// for the pool.
 func TestReuseDelayFollowsLateness(t *testing.T) {
 	for _, c := range []struct {
 		lateness, interval monotime.Micros
-		atAddress, inPool  monotime.Micros // rests
+		atAddress, inPool  monotime.Micros // expected reuse delays
 		suspect            bool
 	}{
 		{lateness: 5 * ms, atAddress: 40 * ms, inPool: 20 * ms},
 		{lateness: 30 * ms, atAddress: 120 * ms, inPool: 60 * ms},
 		{lateness: 150 * ms, atAddress: 600 * ms, inPool: 300 * ms},
 		{lateness: 1000 * ms, atAddress: 4000 * ms, inPool: 2000 * ms},
-		{lateness: 1001 * ms, atAddress: 40 * ms, inPool: 20 * ms}, // no second response to a request
+		{lateness: 1001 * ms, atAddress: 40 * ms, inPool: 20 * ms}, // over maxLateness, not counted
 		{3 * ms, 60 * ms, 120 * ms, 120 * ms, true},
 		{60 * ms, 25 * ms, 120 * ms, 120 * ms, true},
-		{3 * ms, 300 * ms, 40 * ms, 20 * ms, true}, // later than what is assumed
-		{0, 60 * ms, 40 * ms, 20 * ms, true},       // it came together with the response before it
+		{3 * ms, 300 * ms, 40 * ms, 20 * ms, true}, // interval over maxAssumedLateness: no misdelivery is assumed
+		{0, 60 * ms, 40 * ms, 20 * ms, true},       // arrived together with the previous response
 		{lateness: 3 * ms, interval: 2000 * ms, atAddress: 40 * ms, inPool: 20 * ms},
 	} {
 		t.Run(fmt.Sprint(c.lateness, c.interval), func(t *testing.T) {
@@ -79,7 +81,8 @@
 	}
 }
 
-// Where a lateness is certain in a pool, the worst case is not assumed of second responses that are no later.
+// If the certain lateness in a pool is at least as long as that of another second response, no misdelivery is
+// assumed for the other one.
 func TestCertainLatenessExplainsOthers(t *testing.T) {
 	d := newPunctualDecider(testSettings)
 	ambiguous := SecondResponse{Endpoint: firstEndpoint, Lateness: 5 * ms, Interval: 200 * ms}
@@ -96,7 +99,7 @@
 	checkReuseDelays(t, d, 0, 64*ms, 60*ms, 20*ms)
 }
 
-// Delays of this process lengthen all rests for a while, up to a bound.
+// Delays of this process lengthen the reuse delays of all endpoints for a while, up to maxDelayAllowance.
 func TestReuseDelayFollowsProcessDelays(t *testing.T) {
 	d := newPunctualDecider(testSettings)
 	d.ObserveDelay(0, minDelay-1)
@@ -110,8 +113,8 @@
 	checkReuseDelays(t, d, 10*delayPeriod, 20*ms, 20*ms, 20*ms)
 }
 
-// Connections rest longer for a while after the threads of this process have waited for processors far longer than they
-// ran, whatever its own delays are.
+// The reuse delays of all endpoints are longer for a while after the threads of this process have waited for
+// processors far longer than they ran, even if the process itself was never late.
 func TestReuseDelayFollowsProcessorTime(t *testing.T) {
 	for _, c := range []struct {
 		ran, waited monotime.Micros
@@ -135,7 +138,8 @@
 	}
 }
 
-// Times for which this process did not run are no rest, however long they were.
+// Guards against early reuse after a stall: time during which this process did not run does not count towards
+// the reuse delay, however long it was.
 func TestStallsDoNotCountTowardsReuseDelay(t *testing.T) {
 	d := newPunctualDecider(testSettings)
 	for _, c := range []struct{ elapsed, want monotime.Micros }{
@@ -153,11 +157,12 @@
 	}
 	now += 4 * delayPeriod
 	if got := d.Left(now, firstEndpoint, 4*delayPeriod+5015*ms); got != 0 {
-		t.Errorf("%d left after a long rest, want none", got)
+		t.Errorf("%d left after a long reuse delay, want none", got)
 	}
 }
 
-// Without a rest connections are reused at once, whatever was seen; with one for distrusted addresses only, at others.
+// With zero Settings connections are reused at once, whatever was observed. With only a reuse delay for
+// distrusted addresses, connections to all other addresses are reused at once.
 func TestDisabledReuseDelays(t *testing.T) {
 	secondResponse := SecondResponse{Endpoint: firstEndpoint, Lateness: 300 * ms}
 	d := New(Settings{})
@@ -169,7 +174,7 @@
 	checkReuseDelays(t, d, 0, 1200*ms, 0, 0)
 }
 
-// Old evidence takes up no memory.
+// Expire removes the evidence of all addresses whose evidence has expired, so that the memory is bounded.
 func TestExpireForgetsAddresses(t *testing.T) {
 	const endpoints = 3200
 	d := newPunctualDecider(testSettings)
@@ -182,11 +187,12 @@
 		t.Errorf("%d addresses known, want %d", len(d.addresses), endpoints)
 	}
 	if d.Expire(evidencePeriod + endpoints); len(d.addresses) != 0 {
-		t.Errorf("%d addresses known after their time, want none", len(d.addresses))
+		t.Errorf("%d addresses known after their expiry, want none", len(d.addresses))
 	}
 }
 
-// A successor has the rests of its predecessor, for the time that was left, and keeps evidence of its own.
+// A successor has the reuse delays of its predecessor for the rest of the evidence period, and keeps its own
+// evidence. The snapshot's age counts.
 func TestSnapshotKeepsReuseDelays(t *testing.T) {
 	const age = 10 * ms
 	predecessor := newPunctualDecider(testSettings)
@@ -195,7 +201,7 @@
 	s := predecessor.Snapshot(takenAt)
 	successor := newPunctualDecider(testSettings)
 	successor.ObserveSecondResponse(0, SecondResponse{Endpoint: otherPoolEndpoint, Lateness: 80 * ms})
-	const now = 1000 * monotime.Second // its clock has another origin
+	const now = 1000 * monotime.Second // the clock of the successor has another origin
 	successor.Restore(now, s, age)
 	successor.Restore(now, nil, age)
 	remaining := evidencePeriod - takenAt - age
@@ -206,6 +212,6 @@
 	expired.Restore(now, s, evidencePeriod)
 	checkReuseDelays(t, expired, now, 20*ms, 20*ms, 20*ms)
 	if len(expired.addresses) != 0 {
-		t.Error("an address whose evidence is forgotten was restored")
+		t.Error("an address with expired evidence was restored")
 	}
 }
--- a/internal/decide/reuse/snapshot.go
+++ b/internal/decide/reuse/snapshot.go
@@ -2,28 +2,28 @@
 
 import "dunlinsail/internal/monotime"
 
-// Snapshot is the evidence of a Decider for the process that takes over from it. Instants are relative to that of the
-// snapshot. Predecessor and successor may be different builds: the names in the tags are the stored form, and never
-// change.
+// Snapshot is the evidence that a Decider passes to its successor. Instants are relative to the instant of the
+// snapshot. Predecessor and successor may be different builds: the names in the tags are the stored form, and
+// never change.
 type Snapshot struct {
-	Pools     map[string]PoolSnapshot     `json:"Pools,omitempty"`     // by name
-	Addresses map[string]EvidenceSnapshot `json:"Addresses,omitempty"` // by address
+	Pools     map[string]PoolSnapshot     `json:"Pools,omitempty"`     // by pool name
+	Addresses map[string]EvidenceSnapshot `json:"Addresses,omitempty"` // by endpoint address
 }
 
-// EvidenceSnapshot is the longest lateness of second responses, in microseconds.
+// EvidenceSnapshot is the longest lateness of second responses, with times in microseconds.
 type EvidenceSnapshot struct {
-	ExpiresAfter monotime.Micros `json:"ForgetAfter"`
+	ExpiresAfter monotime.Micros `json:"ForgetAfter"` // from the instant of the snapshot
 	Longest      monotime.Micros `json:"Longest"`
 }
 
-// PoolSnapshot is the evidence of a pool.
+// PoolSnapshot is the evidence of a pool. Its fields are those of poolEvidence.
 type PoolSnapshot struct {
-	Proven  EvidenceSnapshot `json:"Proven"`  // how late second responses were at least
-	Certain EvidenceSnapshot `json:"Certain"` // those to the first request on a connection
-	Assumed EvidenceSnapshot `json:"Assumed"` // if responses were delivered to the wrong requests
+	Proven  EvidenceSnapshot `json:"Proven"`  // least lateness that second responses prove
+	Certain EvidenceSnapshot `json:"Certain"` // lateness of second responses to the first request on a connection
+	Assumed EvidenceSnapshot `json:"Assumed"` // lateness if responses were delivered to the wrong requests
 }
 
-// Snapshot returns the evidence at an instant.
+// Snapshot returns the evidence at the instant now.
 func (d *Decider) Snapshot(now monotime.Micros) *Snapshot {
 	s := &Snapshot{Pools: map[string]PoolSnapshot{}, Addresses: map[string]EvidenceSnapshot{}}
 	for name, p := range d.pools {
@@ -43,7 +43,7 @@
 	return s
 }
 
-// Restore adds the evidence of a snapshot that is some time old. A nil snapshot is none.
+// Restore adds the evidence of a snapshot with the given age. A nil snapshot is ignored.
 func (d *Decider) Restore(now monotime.Micros, s *Snapshot, age monotime.Micros) {
 	if s == nil {
 		return
@@ -60,7 +60,8 @@
 	d.Expire(now)
 }
 
-// snapshot returns the evidence with times relative to an instant.
+// snapshot returns the evidence with its expiry relative to the instant now, or an empty snapshot if it has
+// expired.
 func (e *evidence) snapshot(now monotime.Micros) EvidenceSnapshot {
 	if !e.isRecent(now) {
 		return EvidenceSnapshot{}
@@ -68,8 +69,8 @@
 	return EvidenceSnapshot{ExpiresAfter: e.expiresAt - now, Longest: e.longest}
 }
 
-// restore adds evidence that is some time old, unless it is to be forgotten by now. A lateness over limit counts as
-// limit.
+// restore adds the evidence of a snapshot with the given age, unless it has expired. A lateness over maxLongest
+// is reduced to maxLongest.
 func (e *evidence) restore(now, age monotime.Micros, snapshot EvidenceSnapshot, maxLongest monotime.Micros) {
 	expiresAt := now - age + min(snapshot.ExpiresAfter, evidencePeriod)
 	if expiresAt <= now {
--- a/internal/decide/stall/detector.go
+++ b/internal/decide/stall/detector.go
@@ -3,22 +3,23 @@
 import "dunlinsail/internal/monotime"
 
 const (
-	// HeartbeatInterval is the longest time that an event loop should wait while it wants stalls to be found: a stall
-	// is found short by up to that time.
+	// HeartbeatInterval is the longest time for which an event loop should wait if its stalls are to be
+	// detected. A stall is measured too short by up to this time.
 	HeartbeatInterval = 20 * monotime.Millisecond
 
-	// minStall is the lateness from which on a loop counts as stalled. Less is the usual delay of a timer.
+	// minStall is the least lateness at which a loop counts as stalled. Shorter delays are usual for timers.
 	minStall = 10 * monotime.Millisecond
 )
 
-// Detector finds stalls of an event loop: the loop was due to run at one instant, and ran later. The loop calls Run
-// each time it runs, and WaitUntil before it waits.
+// Detector detects stalls of an event loop: the loop runs later than it was due to run. The loop calls Run each
+// time it runs, and WaitUntil before it waits.
 type Detector struct {
 	due     monotime.Micros // instant at which the loop is due to run
-	started bool
+	started bool            // Run has been called
 }
 
-// Run notes that the loop runs, and returns the stall that has just ended, if found is true.
+// Run records that the loop runs at the instant now. If found is true, it also returns the stall that has just
+// ended.
 func (d *Detector) Run(now monotime.Micros) (interval Interval, found bool) {
 	interval = Interval{From: d.due, To: now}
 	found = d.started && interval.Length() >= minStall
@@ -27,5 +28,5 @@
 	return interval, found
 }
 
-// WaitUntil notes that the loop waits until an instant at most.
+// WaitUntil records that the loop waits until the given instant at the latest.
 func (d *Detector) WaitUntil(until monotime.Micros) { d.due = max(d.due, until) }
--- a/internal/decide/stall/stall.go
+++ b/internal/decide/stall/stall.go
@@ -1,28 +1,29 @@
-// Package stall finds the times for which this process did not run (it was stopped, or the machine had no processor
-// time for it), and says how much of an interval they take up. During a stall nothing is read from a socket: that no
-// response was seen then says nothing of the endpoint that was to send it.
+// Package stall detects intervals in which this process did not run, because it was stopped or the machine had
+// no processor time for it, and computes how much of a given time they take up. During a stall no socket is
+// read: if no response was received then, that is no evidence against the endpoint.
 package stall
 
 import "dunlinsail/internal/monotime"
 
-// Interval is a time for which the process did not run.
+// Interval is a stall: an interval in which the process did not run.
 type Interval struct {
-	From monotime.Micros // instant
-	To   monotime.Micros // instant at which it ran again
+	From monotime.Micros // instant at which the process was due to run
+	To   monotime.Micros // instant at which the process ran again
 }
 
-// Length returns how long the stall was.
+// Length returns the duration of the stall.
 func (i Interval) Length() monotime.Micros { return i.To - i.From }
 
-// maxStalls is the number of stalls that a Log remembers.
+// maxStalls is the greatest number of stalls that a Log keeps.
 const maxStalls = 64
 
-// Log remembers the latest stalls. The zero Log is empty.
+// Log contains the latest stalls. The zero Log is empty.
 type Log struct {
-	stalls []Interval // in order, without overlap
+	stalls []Interval // in order of time, without overlap
 }
 
-// Add adds a stall, which must not begin before the end of the one before.
+// Add appends a stall, which must not start before the end of the previous one. If the log is full, the oldest
+// stall is dropped.
 func (l *Log) Add(stalled Interval) {
 	if len(l.stalls) == maxStalls {
 		l.stalls = append(l.stalls[:0], l.stalls[1:]...)
@@ -30,7 +31,8 @@
 	l.stalls = append(l.stalls, stalled)
 }
 
-// Within returns how much of the time between two instants the process did not run.
+// Within returns for how much of the time between two instants the process did not run, according to the stalls
+// in the log.
 func (l *Log) Within(from, to monotime.Micros) monotime.Micros {
 	var sum monotime.Micros
 	for n := len(l.stalls) - 1; n >= 0 && l.stalls[n].To > from; n-- {
--- a/internal/decide/stall/stall_test.go
+++ b/internal/decide/stall/stall_test.go
@@ -37,14 +37,14 @@
 	}
 }
 
-// A loop that runs when it is due, or before that for an event, is not stalled; one that runs late is, whether it was
-// waiting or busy.
+// A loop that runs when it is due, or earlier because of an event, is not stalled. A loop that runs late is
+// stalled, whether it was waiting or busy.
 func TestDetector(t *testing.T) {
 	var d Detector
 	for _, step := range []struct {
 		run       monotime.Micros
-		waitUntil monotime.Micros // 0: the loop does not wait
-		want      monotime.Micros // length of the stall; 0 is none
+		waitUntil monotime.Micros // 0 means that the loop does not wait
+		want      monotime.Micros // length of the stall; 0 means no stall
 	}{
 		{run: 1000 * ms, waitUntil: 1020 * ms},
 		{run: 1021 * ms, waitUntil: 1041 * ms},
