--- a/internal/decide/concurrency/baseline.go
+++ b/internal/decide/concurrency/baseline.go
@@ -6,27 +6,28 @@
 	"dunlinsail/internal/monotime"
 )
 
-// unloadedDivisor defines few requests in flight: at most this part of the limit. A request that was sent then counts
-// as alone, and a measurement lowers the limit to that.
+// unloadedDivisor is the divisor of the limit that gives the number of requests in flight up to which a sample
+// counts as unloaded. A measurement lowers the limit to that number.
 const unloadedDivisor = 4
 
-// baselineSamples is the number of unloaded samples, of all classes, that make a measurement complete or unnecessary.
+// baselineSamples is the number of unloaded samples, of all classes together, that complete a measurement. As
+// many samples outside of a measurement postpone the next one.
 const baselineSamples = 24
 
-// baseline is the time that a class's requests take with hardly any others in flight.
+// baseline is the time that the requests of a class take while few others are in flight.
 type baseline struct {
-	mean    float64 // in microseconds
-	samples int
+	mean    float64 // mean time of a request, in microseconds
+	samples int     // unloaded samples in the mean
 
-	measuredSum     float64 // in the present measurement, in microseconds
-	measuredSamples int     // in the present measurement
+	measuredSum     float64 // sum of the samples of the current measurement, in microseconds
+	measuredSamples int     // number of samples in the current measurement
 }
 
 // baselineWeight is the least weight of one unloaded sample in the moving average of a baseline.
 const baselineWeight = 0.05
 
-// addUnloadedSample takes in a request that was alone while the limit is not lowered. Enough of them postpone the next
-// measurement.
+// addUnloadedSample updates the baseline of a class with an unloaded sample outside of a measurement. After
+// baselineSamples such samples the next measurement is postponed.
 func (l *Limiter) addUnloadedSample(now monotime.Micros, b *baseline, timeInFlight monotime.Micros) {
 	b.samples++
 	b.mean += (float64(timeInFlight) - b.mean) * max(baselineWeight, 1/float64(b.samples))
@@ -37,10 +38,10 @@
 	}
 }
 
-// measureDuration is the time after which a measurement ends, with however few samples.
+// measureDuration is the time after which a measurement ends even if it has fewer than baselineSamples.
 const measureDuration = second
 
-// startMeasurement lowers the limit for a measurement.
+// startMeasurement lowers the limit to start a measurement of the baselines.
 func (l *Limiter) startMeasurement(now monotime.Micros) {
 	l.measuring = true
 	l.unloadedSamples = 0
@@ -51,18 +52,18 @@
 	}
 }
 
-// minClassSamples is the number of samples of a class from which on a measurement replaces its baseline. A class
-// without a baseline gets one by any sample.
+// minClassSamples is the least number of samples of a class with which a measurement replaces the baseline of
+// that class. For a class without a baseline one sample is enough.
 const minClassSamples = 6
 
-// addBaselineSample takes in a request while the limit is lowered, and ends the measurement once it has
-// baselineSamples or has lasted for measureDuration. Requests that were sent before it, with more in flight, do not
-// count.
+// addBaselineSample adds a sample to the current measurement, and ends the measurement once it has
+// baselineSamples or has lasted for measureDuration. Requests that were sent before the measurement, with more
+// than the lowered limit in flight, do not count.
 func (l *Limiter) addBaselineSample(
 	now monotime.Micros, classBaseline *baseline, timeInFlight monotime.Micros, inFlight int,
 ) {
 	if l.measureUntil == math.MaxInt64 {
-		l.measureUntil = now + measureDuration // the first measurement lasts from its first sample on
+		l.measureUntil = now + measureDuration // the duration of the initial measurement starts at its first sample
 	}
 	if inFlight <= l.Limit() {
 		classBaseline.measuredSum += float64(timeInFlight)
@@ -82,7 +83,7 @@
 	l.endMeasurement(now)
 }
 
-// endMeasurement restores the limit and starts a window.
+// endMeasurement ends the measurement, which restores the limit, and starts a window.
 func (l *Limiter) endMeasurement(now monotime.Micros) {
 	l.measuring = false
 	l.unloadedSamples = 0
@@ -91,11 +92,11 @@
 }
 
 const (
-	measureInterval      = 15 * second // least time from one measurement, or from enough unloaded samples, to the next
-	measureJitterDivisor = 4           // of measureInterval, added at most, so that instances do not measure at once
+	measureInterval      = 15 * second // least time from a measurement, or enough unloaded samples, to the next
+	measureJitterDivisor = 4           // for a random delay, so that instances do not measure simultaneously
 )
 
-// scheduleMeasurement returns the instant of the next measurement.
+// scheduleMeasurement returns the instant of the next measurement, with a random delay.
 func (l *Limiter) scheduleMeasurement(now monotime.Micros) monotime.Micros {
 	return now + measureInterval + l.randomBelow(measureInterval/measureJitterDivisor)
 }
--- a/internal/decide/concurrency/limiter.go
+++ b/internal/decide/concurrency/limiter.go
@@ -8,30 +8,31 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Limiter is an adaptive limit on the requests in flight. Make one with New; it is for one goroutine at a time.
+// Limiter adapts a limit on the number of requests in flight. Create it with New. It must not be used by
+// several goroutines at once.
 type Limiter struct {
 	settings  Settings
-	rand      hash64.Source
-	limit     float64
-	slowStart bool // the limit was never too high: it grows by half at a time
+	rand      hash64.Source // for the random delay of measurements
+	limit     float64       // requests in flight, outside of a measurement
+	slowStart bool          // the limit has not been too high yet, and grows by slowStartFactor
 
 	baselines []baseline // by class
 
-	// The present window.
+	// The samples of the current window.
 	windowStart   monotime.Micros
 	samples       int
-	sampleTimeSum float64 // of the samples, in microseconds
-	baselineSum   float64 // of the baselines of the samples' classes, in microseconds
-	limitReached  bool    // requests were kept waiting by the limit, or as many as the limit were in flight
-
-	// The measurement of baselines.
-	measuring       bool            // the limit is lowered
-	measureUntil    monotime.Micros // latest end of the measurement
-	unloadedSamples int             // since the last measurement, or in the present one
-	nextMeasurement monotime.Micros // postponed whenever enough unloaded samples come by themselves
+	sampleTimeSum float64 // sum of the times in flight, in microseconds
+	baselineSum   float64 // sum of the baselines of the samples' classes, in microseconds
+	limitReached  bool    // a request waited for admission, or as many requests as the limit were in flight
+
+	// The measurement of baselines (baseline.go).
+	measuring       bool            // a measurement is in progress, and the limit is lowered
+	measureUntil    monotime.Micros // instant at which the measurement ends at the latest
+	unloadedSamples int             // unloaded samples since the last measurement, or in the current one
+	nextMeasurement monotime.Micros // instant; postponed by baselineSamples unloaded samples
 }
 
-// New returns a limiter that measures the baselines first, or an error if the settings are invalid.
+// New returns a limiter that first measures the baselines, or an error if the settings are invalid.
 func New(s Settings) (*Limiter, error) {
 	if err := s.Validate(); err != nil {
 		return nil, fmt.Errorf("limit: %w", err)
@@ -51,7 +52,8 @@
 	}, nil
 }
 
-// Limit returns how many requests may be in flight now: the learned limit, or a part of it during a measurement.
+// Limit returns how many requests may be in flight now: the estimated limit, or a fraction of it during a
+// measurement.
 func (l *Limiter) Limit() int {
 	if l.measuring {
 		return max(l.settings.Min, int(l.limit/unloadedDivisor))
@@ -59,19 +61,20 @@
 	return int(l.limit)
 }
 
-// A window ends once it has lasted for minWindow and has as many samples as the limit, but at least minWindowSamples.
+// A window ends once it has lasted for minWindow and has as many samples as the limit, and at least
+// minWindowSamples.
 const (
 	minWindow        = second / 10
 	minWindowSamples = 30
 )
 
-// maxSampleRatio is the multiple of its class's baseline that one request counts as at most, so that a few very slow
-// requests do not shrink the limit.
+// maxSampleRatio limits the time of one sample to this multiple of the baseline of its class, so that a few
+// very slow requests do not shrink the limit.
 const maxSampleRatio = 4.0
 
-// AddSample takes in a request that was served: its time in flight, the requests in flight when it was sent, itself
-// included, and whether a request has waited for admission meanwhile. At the end of a window it moves the limit
-// (adjust).
+// AddSample records a served request: its time in flight, the number of requests in flight when it was sent,
+// including itself, and whether a request waited for admission in the meantime. At the end of a window it
+// adjusts the limit.
 func (l *Limiter) AddSample(now monotime.Micros, class int, timeInFlight monotime.Micros, inFlight int, waited bool) {
 	classBaseline := &l.baselines[class]
 	if l.measuring {
@@ -95,7 +98,8 @@
 	}
 }
 
-// Learned returns the limit, and the baseline of each class in microseconds, 0 for a class whose baseline is not known.
+// Learned returns the estimated limit, and the baseline of each class in microseconds, 0 for a class without a
+// baseline.
 func (l *Limiter) Learned() (limit float64, baselines []float64) {
 	for i := range l.baselines {
 		baselines = append(baselines, l.baselines[i].mean)
@@ -103,8 +107,8 @@
 	return l.limit, baselines
 }
 
-// Restore sets the limit and the baselines that another limiter has learned, in place of the first measurement. They
-// are ignored if one is invalid, or if the baseline of a class is missing.
+// Restore sets the limit and the baselines that another limiter has estimated, and skips the initial
+// measurement. It does nothing if a value is invalid, or if the baseline of a class is missing.
 func (l *Limiter) Restore(now monotime.Micros, limit float64, baselines []float64) {
 	valid := limit >= 1 && !math.IsInf(limit, 0) && len(baselines) == len(l.baselines)
 	for _, mean := range baselines {
@@ -122,30 +126,31 @@
 	l.endMeasurement(now)
 }
 
-// The thresholds of adjust, in waiting requests: a constant part and a part of the limit. At endpoints that are busy
-// for seven tenths of the time, which is healthy, about as many requests wait by chance as the defaults allow.
+// Constant terms of the thresholds on the number of waiting requests (adjust). The other term is a fraction of
+// the limit. With the defaults, about as many requests may wait as wait by chance at endpoints that are busy
+// for 70% of the time, which is healthy.
 const (
-	growWaiting   = 0.4 // requests, added to GrowThreshold of the limit
-	shrinkWaiting = 0.8 // requests, added to ShrinkThreshold of the limit
+	growWaiting   = 0.4 // requests, added to the product of GrowThreshold and the limit
+	shrinkWaiting = 0.8 // requests, added to the product of ShrinkThreshold and the limit
 )
 
-// The default thresholds, as parts of the limit.
+// The default thresholds, as fractions of the limit.
 const (
 	defaultGrowThreshold   = 1.0 / 4
 	defaultShrinkThreshold = 1.0 / 2.5
 )
 
-// The steps of adjust.
+// The changes of the limit at the end of a window (adjust).
 const (
-	slowStartFactor     = 1.5 // on the limit, for a window in slow start
-	growDivisor         = 16  // of the limit that a later window adds, but at least one request
-	shrinkExcessDivisor = 2   // of the requests that wait beyond the threshold, by which the limit falls; at least one
+	slowStartFactor     = 1.5 // factor by which the limit grows in slow start
+	growDivisor         = 16  // divisor of the limit that gives its later growth, at least one request
+	shrinkExcessDivisor = 2   // divisor of the excess of waiting requests that gives the decrease, at least one
 )
 
-// adjust decides at the end of a window whether the limit grows, shrinks or stays. waiting is the number of requests
-// that were only waiting at the endpoints, of those in flight: limit*(1-1/ratio), where ratio is the samples' time
-// over their baselines. Few waiting requests let the limit grow only if it was reached, since otherwise nothing shows
-// that there is more capacity.
+// adjust grows, shrinks or keeps the limit at the end of a window. The number of requests in flight that were
+// only waiting at the endpoints is limit*(1-1/ratio), where ratio is the time of the samples divided by their
+// baselines. If few requests wait, the limit only grows if it was reached: otherwise there is no evidence of
+// more capacity.
 func (l *Limiter) adjust() {
 	ratio := max(1, l.sampleTimeSum/l.baselineSum)
 	waiting := l.limit * (1 - 1/ratio)
@@ -165,7 +170,7 @@
 	l.limit = min(float64(l.settings.Max), max(float64(l.settings.Min), l.limit))
 }
 
-// resetWindow starts a new window.
+// resetWindow starts a new window at the instant now.
 func (l *Limiter) resetWindow(now monotime.Micros) {
 	l.windowStart = now
 	l.samples = 0
--- a/internal/decide/concurrency/limiter_test.go
+++ b/internal/decide/concurrency/limiter_test.go
@@ -11,7 +11,8 @@
 
 const ms = monotime.Millisecond
 
-// serverPool is a number of servers with one queue, in simulated time, which get requests as fast as the limit allows.
+// serverPool simulates several servers with one common queue. Clients send requests as soon as the limit
+// allows.
 type serverPool struct {
 	limiter           *Limiter
 	rng               *rand.Rand
@@ -19,7 +20,7 @@
 	meanServiceTime   monotime.Micros
 	serviceTimeSpread float64
 	now               monotime.Micros
-	running           completionHeap // by when they end
+	running           completionHeap // requests in service
 	queue             []simJob
 	inFlight          int
 	maxDemand         int // requests that clients would have in flight without a limit
@@ -28,16 +29,16 @@
 	totalTime monotime.Micros
 }
 
-// job is a request in flight.
+// simJob is a request in flight.
 type simJob struct {
 	class    int
-	inFlight int // when it was sent, itself included
+	inFlight int // requests in flight when it was sent, including itself
 	sentAt   monotime.Micros
 	endsAt   monotime.Micros
 	waited   bool
 }
 
-// completionHeap is a heap (container/heap) of jobs by their end.
+// completionHeap is a heap (container/heap) of jobs, ordered by the instant at which they end.
 type completionHeap []simJob
 
 func (h completionHeap) Len() int           { return len(h) }
@@ -51,7 +52,7 @@
 }
 
 func (p *serverPool) startService(j simJob) {
-	mean := float64(p.meanServiceTime) * float64(1+j.class) // each class takes longer than the one before
+	mean := float64(p.meanServiceTime) * float64(1+j.class) // the service time of class 1 is twice that of class 0
 	j.endsAt = p.now + monotime.Micros(mean*(1-p.serviceTimeSpread+2*p.serviceTimeSpread*p.rng.Float64()))
 	heap.Push(&p.running, j)
 }
@@ -62,7 +63,12 @@
 	for p.now < until {
 		for p.inFlight < min(p.limiter.Limit(), p.maxDemand) {
 			p.inFlight++
-			j := simJob{class: p.rng.IntN(2), inFlight: p.inFlight, sentAt: p.now, waited: p.maxDemand > p.limiter.Limit()}
+			j := simJob{
+				class:    p.rng.IntN(2),
+				inFlight: p.inFlight,
+				sentAt:   p.now,
+				waited:   p.maxDemand > p.limiter.Limit(),
+			}
 			if len(p.running) < p.serverCount {
 				p.startService(j)
 			} else {
@@ -96,8 +102,8 @@
 	}
 }
 
-// check runs on, and fails unless the servers' capacity is nearly used and requests hardly wait there. The first part
-// of the run, transient, does not count.
+// check continues the simulation, and fails unless nearly all of the servers' capacity is used and requests
+// hardly wait at the servers. The time of transient at the start does not count.
 func (p *serverPool) check(t *testing.T, phase string, transient, measured monotime.Micros) {
 	t.Helper()
 	p.runUntil(p.now + transient)
@@ -106,7 +112,8 @@
 	mean := float64(p.meanServiceTime) * 1.5
 	capacity := float64(p.serverCount) * float64(p.now-start) / mean
 	if got := float64(p.served) / capacity; got < 0.92 {
-		t.Errorf("%s: %.2f of the capacity of %d servers was used, limit %d", phase, got, p.serverCount, p.limiter.Limit())
+		t.Errorf("%s: %.2f of the capacity of %d servers was used, limit %d",
+			phase, got, p.serverCount, p.limiter.Limit())
 	}
 	if got := float64(p.totalTime) / float64(p.served) / mean; got > 1.9 {
 		t.Errorf("%s: requests took %.2f times their time alone, limit %d of %d servers",
@@ -114,7 +121,7 @@
 	}
 }
 
-// Whatever the number of servers, the limit finds it, and follows it.
+// The limit adapts to the capacity for any number of servers, and follows it when the number changes.
 func TestLimitFollowsServerCount(t *testing.T) {
 	for _, servers := range []int{4, 16, 100} {
 		pool := newServerPool(t, servers, 1000)
@@ -126,7 +133,8 @@
 	}
 }
 
-// When requests become slower for another reason than load, the baseline follows soon.
+// If requests become slower or faster for another reason than load, the baseline follows within a few
+// measurements.
 func TestBaselineFollowsSlowerRequests(t *testing.T) {
 	pool := newServerPool(t, 20, 1000)
 	pool.check(t, "at first", 10*second, 20*second)
@@ -136,16 +144,16 @@
 	pool.check(t, "as fast as before", 20*second, 40*second)
 }
 
-// Without demand the limit stays as it is: nothing shows that there is more capacity.
+// Without demand the limit does not change: there is no evidence of more capacity.
 func TestLimitDoesNotGrowWithoutDemand(t *testing.T) {
 	pool := newServerPool(t, 100, 3)
 	pool.runUntil(60 * second)
 	if limit := pool.limiter.Limit(); limit != 16 {
-		t.Errorf("%d after a minute with 3 in flight, want 16 still", limit)
+		t.Errorf("limit %d after a minute with 3 requests in flight, want the initial 16", limit)
 	}
 }
 
-// The limit stays within Min and Max, also where requests take no time at all, or very long.
+// The limit stays between Min and Max, even if requests take no time at all or several hours.
 func TestLimitStaysWithinMinAndMax(t *testing.T) {
 	for _, timeInFlight := range []monotime.Micros{0, 1, 3600 * second} {
 		l, err := New(Settings{Classes: 1, Min: 3, Max: 40, Initial: 5})
--- a/internal/decide/concurrency/settings.go
+++ b/internal/decide/concurrency/settings.go
@@ -10,20 +10,20 @@
 
 // Settings configure a Limiter.
 type Settings struct {
-	Classes int // number of classes of requests
-	Min     int // least limit, in requests in flight; at least 1
-	Max     int // greatest limit, in requests in flight
-	Initial int // first limit, in requests in flight, in Min..Max
-	Seed    uint64
+	Classes int    // number of request classes
+	Min     int    // least limit, in requests in flight; at least 1
+	Max     int    // greatest limit, in requests in flight
+	Initial int    // initial limit, in requests in flight, from Min to Max
+	Seed    uint64 // for the random delay of measurements
 
-	// GrowThreshold and ShrinkThreshold are parts of the limit, 0 to 1: the limit grows while fewer requests wait
-	// than the first, and shrinks while more wait than the second (Limiter.adjust). 0 for both stands for the
-	// defaults.
+	// GrowThreshold and ShrinkThreshold are fractions of the limit, 0 to 1. The limit grows while fewer
+	// requests wait than GrowThreshold allows, and shrinks while more wait than ShrinkThreshold allows
+	// (Limiter.adjust). If both are 0, the defaults apply.
 	GrowThreshold   float64
 	ShrinkThreshold float64
 }
 
-// Validate returns an error that names the first invalid setting.
+// Validate returns an error that names the first invalid setting, or nil.
 func (s Settings) Validate() error {
 	switch {
 	case s.Classes < 1:
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// thresholdsValid reports whether the thresholds are parts of the limit in ascending order, or both 0.
+// thresholdsValid reports whether the thresholds are fractions of the limit in ascending order, or both 0.
 func (s Settings) thresholdsValid() bool {
 	if !(s.GrowThreshold >= 0) || !(s.ShrinkThreshold >= 0) || s.ShrinkThreshold >= 1 {
 		return false
--- a/internal/decide/connlimit/connlimit_test.go
+++ b/internal/decide/connlimit/connlimit_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// With MaxIdle idle connections the one that was idle longest is evicted; one with an open request never is, and if
-// all have one, no connection is added.
+// If MaxIdle connections are idle, the longest idle one is evicted for a new connection. A connection with an
+// open request is never evicted: if all have one, no connection is added.
 func TestEvictsLongestIdleConnection(t *testing.T) {
 	table := newTestTable(t, testLimits)
 	o := table.NewOwner(1, 100, 0)
@@ -45,14 +45,14 @@
 		conns = append(conns, c)
 	}
 	table.MarkBusy(conns[0])
-	table.MarkIdle(10, conns[0]) // it was idle for the shortest time now
+	table.MarkIdle(10, conns[0]) // connection 0 is now the one that became idle last
 	if _, evicted := table.Add(11, o, 4); evicted != conns[1] {
 		t.Fatalf("evicted: %+v, want connection 1", evicted)
 	}
 	if table.MarkBusy(conns[1]) {
 		t.Error("a removed connection was marked busy")
 	}
-	table.Remove(conns[1]) // once more, as the caller may
+	table.Remove(conns[1]) // the caller may remove an evicted connection again
 	if all, busy := table.Counts(); all != 4 || busy != 0 {
 		t.Errorf("%d connections, %d busy; want 4, 0", all, busy)
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-// The idle timeout shrinks as MaxIdle is neared.
+// The idle timeout shrinks as the number of idle connections approaches MaxIdle.
 func TestIdleTimeoutShrinksNearMaxIdle(t *testing.T) {
 	table := newTestTable(t, testLimits)
 	o := table.NewOwner(1, 100, 0)
@@ -96,8 +96,8 @@
 	}
 }
 
-// Guards against a client whose only connection is closed because another client has many idle ones: the idle time of
-// an owner within its share of MaxIdle is not shortened, and the limit holds all the same.
+// Guards against a client whose only connection is closed because another client has many idle ones. The idle
+// time of an owner within its share of MaxIdle must not be shortened, and MaxIdle must still not be exceeded.
 func TestIdleTimeOfOneOwnerIsNotShortenedByAnother(t *testing.T) {
 	limits := Limits{MaxConnections: 200, MaxIdle: 80, MaxIdleTime: 15_000, MinIdleTime: 100}
 	table := newTestTable(t, limits)
@@ -110,7 +110,7 @@
 	for range 50 {
 		c, evicted := table.Add(2, manyOwner, 100)
 		if c == nil || evicted == nil || evicted.owner != manyOwner {
-			t.Fatalf("evicted: %+v, want one of the crowd's", evicted)
+			t.Fatalf("evicted: %+v, want a connection of the owner with many", evicted)
 		}
 	}
 	if all, busy := table.Counts(); all-busy != limits.MaxIdle {
@@ -131,8 +131,8 @@
 	}
 }
 
-// Of an owner at its own limit one of its own connections is evicted; an owner with many idle ones is before one with
-// few.
+// If an owner has reached its own limit, one of its own connections is evicted. At the limit of the table, a
+// connection of the owner with more idle connections is evicted.
 func TestOwnerLimitsAndWeights(t *testing.T) {
 	table := newTestTable(t, testLimits)
 	manyOwner := table.NewOwner(1, 3, 0)
@@ -147,7 +147,7 @@
 	if c, evicted := table.Add(9, fewOwner, 5); c == nil || evicted == nil || evicted.owner != manyOwner {
 		t.Errorf("at the limit of all: %+v evicted, want one of many's", evicted)
 	}
-	// Weight counts: two idle ones of weight 4 are less than one of weight 1.
+	// Idle connections are divided by weight: two of an owner with weight 4 count less than one with weight 1.
 	table = newTestTable(t, testLimits)
 	heavyOwner := table.NewOwner(4, 8, 0)
 	lightOwner := table.NewOwner(1, 8, 0)
@@ -158,7 +158,8 @@
 	if got := table.Evictable(); got.owner != lightOwner {
 		t.Errorf("evictable: connection %d of heavy", got.Value)
 	}
-	// If all of an owner's are busy, no connection of it is added, and none of another owner is evicted.
+	// If all connections of an owner at its limit are busy, its new connection is not kept, and no connection
+	// of another owner is evicted.
 	table = newTestTable(t, testLimits)
 	fullOwner := table.NewOwner(1, 1, 0)
 	otherOwner := table.NewOwner(1, 1, 0)
@@ -170,7 +171,8 @@
 	}
 }
 
-// The bytes of an owner are bounded, and released when its requests are answered or its connections removed.
+// The reserved bytes of an owner are limited, and are released when a request has its response or a connection
+// is removed.
 func TestReservedBytesAreBoundedAndReleased(t *testing.T) {
 	table := newTestTable(t, testLimits)
 	o := table.NewOwner(1, 100, 1000)
@@ -181,20 +183,20 @@
 	}
 	table.MarkBusy(a)
 	if !table.ReserveBytes(a, 5000, true) || o.ReservedBytes() != 6000 {
-		t.Errorf("%d reserved with an answer of 5000", o.ReservedBytes())
+		t.Errorf("%d bytes reserved with a response of 5000", o.ReservedBytes())
 	}
 	table.MarkIdle(1, a)
 	if o.ReservedBytes() != 400 {
-		t.Errorf("%d reserved after the answer", o.ReservedBytes())
+		t.Errorf("%d bytes reserved after the response", o.ReservedBytes())
 	}
 	table.Remove(b)
 	table.Remove(b)
 	if o.ReservedBytes() != 0 || table.ReserveBytes(b, 1, true) {
-		t.Errorf("%d reserved after the removal", o.ReservedBytes())
+		t.Errorf("%d bytes reserved after the removal", o.ReservedBytes())
 	}
 }
 
-// without returns a list without a connection.
+// without returns a list of connections without the given connection.
 func without(conns []*Conn[int], c *Conn[int]) []*Conn[int] {
 	for i := range conns {
 		if conns[i] == c {
@@ -204,7 +206,8 @@
 	return conns
 }
 
-// checkCounts compares a table's counts with a recount, and both with its limits.
+// checkCounts compares the counts of a table with the expected idle and busy connections, and both with the
+// limits.
 func checkCounts(t *testing.T, seed uint64, table *Table[int], owners []*Owner[int], idle, busy []*Conn[int]) {
 	t.Helper()
 	recounted := map[*Owner[int]][2]int{}
@@ -231,7 +234,8 @@
 	}
 }
 
-// randomRun is a table on which random events happen, and its connections by what they should be.
+// randomRun applies random events to a table, and tracks which of its connections are expected to be idle and
+// busy.
 type randomRun struct {
 	rng    *rand.Rand
 	table  *Table[int]
@@ -241,7 +245,7 @@
 	now    int64
 }
 
-// step makes one event at random.
+// step applies one random event.
 func (r *randomRun) step(t *testing.T, value int) {
 	t.Helper()
 	r.now += int64(r.rng.IntN(40))
@@ -261,7 +265,7 @@
 	}
 }
 
-// markAnyBusy marks an idle connection busy.
+// markAnyBusy marks a random idle connection as busy.
 func (r *randomRun) markAnyBusy(t *testing.T) {
 	t.Helper()
 	if len(r.idle) == 0 {
@@ -275,7 +279,7 @@
 	r.busy = append(r.busy, c)
 }
 
-// markAnyIdle marks a busy connection idle.
+// markAnyIdle marks a random busy connection as idle.
 func (r *randomRun) markAnyIdle() {
 	if len(r.busy) == 0 {
 		return
@@ -285,7 +289,8 @@
 	r.idle = append(without(r.idle, r.table.MarkIdle(r.now, c)), c)
 }
 
-// expireOrRemove removes a connection that has expired, or perhaps a busy one if none has.
+// expireOrRemove removes a connection that has expired. If none has expired, it sometimes removes a busy
+// connection.
 func (r *randomRun) expireOrRemove() {
 	if c, _ := r.table.RemoveExpired(r.now); c != nil {
 		r.idle = without(r.idle, c)
@@ -297,7 +302,7 @@
 	}
 }
 
-// Whatever happens, the limits hold and the counts are those of a recount.
+// With random events, the table stays within its limits, and its counts equal those of a recount.
 func TestLimitsHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -315,8 +320,8 @@
 	}
 }
 
-// A connection on which something has arrived that was not read yet is not evicted for any reason; it counts as one
-// with an open request, and MarkBusy changes nothing more.
+// Guards against losing a request: a connection on which a request has arrived that was not read yet is not
+// evicted for any reason. It counts as busy, and a later MarkBusy does not count it again.
 func TestConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
 	hasUnread := map[int]bool{}
 	table, err := New(testLimits, func(n int) bool { return !hasUnread[n] })
@@ -329,15 +334,17 @@
 	}
 	hasUnread[0] = true
 	hasUnread[2] = true
-	conn4, evicted := table.Add(5, o, 4) // over MaxIdle: 0 was idle longest, and 1 is evicted
+	// MaxIdle is reached. Connection 0 is idle longest but has an unread request, so that 1 is evicted.
+	conn4, evicted := table.Add(5, o, 4)
 	if evicted != conns[1] || conn4 == nil {
 		t.Fatalf("evicted: %+v", evicted)
 	}
-	conn5, evicted := table.Add(6, o, 5) // 0 is busy, so that there is capacity
+	conn5, evicted := table.Add(6, o, 5) // 0 counts as busy, so that MaxIdle is not reached
 	if evicted != nil || conn5 == nil {
 		t.Fatalf("evicted: %+v", evicted)
 	}
-	if _, evicted = table.Add(7, o, 6); evicted != conns[3] { // over the owner's limit: 2 was idle longest
+	// The owner's limit is reached. Connection 2 is idle longest but has an unread request, so that 3 is evicted.
+	if _, evicted = table.Add(7, o, 6); evicted != conns[3] {
 		t.Fatalf("evicted: %+v", evicted)
 	}
 	if all, busy := table.Counts(); all != 5 || busy != 2 {
@@ -362,7 +369,7 @@
 	}
 	table.MarkIdle(20_000, conns[0])
 	table.Remove(conns[2])
-	if all, busy := table.Counts(); all != 3 || busy != 2 { // 4 and 5 are busy
+	if all, busy := table.Counts(); all != 3 || busy != 2 { // 4 and 5 count as busy
 		t.Errorf("%d connections, %d busy; want 3, 2", all, busy)
 	}
 }
--- a/internal/decide/connlimit/eviction.go
+++ b/internal/decide/connlimit/eviction.go
@@ -2,8 +2,8 @@
 
 import "dunlinsail/internal/monotime"
 
-// Evictable decides which idle connection is evicted first (evictionCandidate), of those that the caller confirms to
-// be idle. It returns nil if all connections have an open request.
+// Evictable returns the idle connection to evict first (evictionCandidate), after the caller has confirmed that
+// it is idle. It returns nil if all connections have an open request.
 func (t *Table[T]) Evictable() *Conn[T] {
 	for {
 		candidate := t.evictionCandidate()
@@ -14,8 +14,8 @@
 	}
 }
 
-// evictableOf returns the connection of an owner that was idle longest and that the caller confirms to be idle; nil
-// if all of them have an open request.
+// evictableOf returns the longest idle connection of an owner that the caller confirms to be idle, or nil if
+// all its connections have an open request.
 func (t *Table[T]) evictableOf(o *Owner[T]) *Conn[T] {
 	for {
 		candidate := t.longestIdle(o)
@@ -26,9 +26,9 @@
 	}
 }
 
-// evictionCandidate returns the connection to evict first, not confirmed: of the owner with the most idle connections
-// over its weight, the one that was idle longest; among such owners, the one that was idle longest of all. nil if
-// none is idle.
+// evictionCandidate returns the connection to evict first, which the caller has yet to confirm to be idle: the
+// longest idle connection of the owner with the most idle connections divided by its weight. Among several such
+// owners, the connection that has been idle longest is returned; nil if no connection is idle.
 func (t *Table[T]) evictionCandidate() *Conn[T] {
 	var best *Conn[T]
 	var maxIdleRatio float64
@@ -43,9 +43,9 @@
 	return best
 }
 
-// RemoveExpired decides whether an idle connection has expired (idleTimeout). It removes and returns one that has.
-// Otherwise it returns nil, and the instant at which the next one expires unless the numbers of idle connections change
-// before; 0 if none is idle.
+// RemoveExpired removes and returns an idle connection that has been idle for its idleTimeout. If there is
+// none, it returns nil and the instant at which the next connection expires unless the numbers of idle
+// connections change before; 0 if no connection is idle.
 func (t *Table[T]) RemoveExpired(now monotime.Micros) (expired *Conn[T], next monotime.Micros) {
 	for {
 		c, expiresAt := t.firstToExpire()
@@ -63,9 +63,10 @@
 	}
 }
 
-// firstToExpire returns the connection that expires first, and when; nil if none is idle.
+// firstToExpire returns the connection that expires first and the instant at which it expires; nil if no
+// connection is idle.
 func (t *Table[T]) firstToExpire() (first *Conn[T], expiresAt monotime.Micros) {
-	var weights float64 // of all owners with idle connections
+	var weights float64 // sum of the weights of all owners with idle connections
 	for _, o := range t.idleOwners {
 		weights += o.weight
 	}
@@ -79,10 +80,11 @@
 	return first, expiresAt
 }
 
-// idleTimeout returns the time for which a connection of an owner may be idle at present, where weights is the sum of
-// the weights of all owners with idle connections. It is the longer of what the idle connections of all owners allow
-// within Limits.MaxIdle, and what those of this owner allow within its share of that: many idle connections of one
-// owner do not shorten the idle time of another that is within its share.
+// idleTimeout returns how long a connection of an owner may currently be idle. weights is the sum of the
+// weights of all owners with idle connections. Two timeouts are computed, from the idle connections of all
+// owners relative to Limits.MaxIdle, and from those of this owner relative to its share of that limit. The
+// longer one applies: many idle connections of one owner do not shorten the idle time of another owner within
+// its share.
 func (t *Table[T]) idleTimeout(o *Owner[T], weights float64) monotime.Micros {
 	maxIdle := float64(t.limits.MaxIdle)
 	usedByAll := float64(t.idle) / maxIdle
@@ -91,7 +93,7 @@
 	return t.limits.MinIdleTime + monotime.Micros(freeFraction*float64(t.limits.MaxIdleTime-t.limits.MinIdleTime))
 }
 
-// longestIdle returns the connection of an owner that was idle longest; nil if none is idle.
+// longestIdle returns the longest idle connection of an owner; nil if none of its connections is idle.
 func (t *Table[T]) longestIdle(o *Owner[T]) *Conn[T] {
 	if first := o.idle.Front(); first != nil {
 		return first.Value.(*Conn[T])
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// addIdle adds a connection to the idle ones.
+// addIdle adds a connection to the idle connections of its owner, as the one that became idle last.
 func (t *Table[T]) addIdle(now monotime.Micros, c *Conn[T]) {
 	c.idleSince = now
 	o := c.owner
@@ -111,7 +113,7 @@
 	t.idle++
 }
 
-// removeIdle removes a connection from the idle ones.
+// removeIdle removes a connection from the idle connections of its owner.
 func (t *Table[T]) removeIdle(c *Conn[T]) {
 	o := c.owner
 	o.idle.Remove(c.idleElement)
--- a/internal/decide/connlimit/owner.go
+++ b/internal/decide/connlimit/owner.go
@@ -6,21 +6,21 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Owner is a client whose connections are counted together. Make one with Table.NewOwner.
+// Owner is a client whose connections are counted together. Create it with Table.NewOwner.
 type Owner[T any] struct {
-	weight         float64 // of its idle connections (evictionCandidate)
-	maxConnections int     // idle and busy ones together
-	maxBytes       int64   // of its requests and responses in memory; 0 is no limit
-	reservedBytes  int64
+	weight         float64    // share of Limits.MaxIdle, relative to other owners
+	maxConnections int        // greatest number of connections, idle or busy
+	maxBytes       int64      // greatest size of its requests and responses in memory; 0 means no limit
+	reservedBytes  int64      // bytes reserved for all its connections
 	busy           int        // connections with an open request
-	idle           *list.List // of *Conn[T], the one that was idle longest first
-	index          int        // in Table.idleOwners, while it has idle connections
+	idle           *list.List // idle connections (*Conn[T]), the longest idle first
+	index          int        // index in Table.idleOwners while it has idle connections
 }
 
-// Connections returns how many connections the owner has, and how many of them have an open request.
+// Connections returns the number of connections of the owner, and the number of those with an open request.
 func (o *Owner[T]) Connections() (all, busy int) { return o.busy + o.idle.Len(), o.busy }
 
-// ReservedBytes returns how many bytes are reserved for the owner.
+// ReservedBytes returns the number of bytes that are reserved for the owner.
 func (o *Owner[T]) ReservedBytes() int64 { return o.reservedBytes }
 
 // Conn is a connection in a Table.
@@ -30,9 +30,9 @@
 	owner         *Owner[T]
 	reservedBytes int64
 	idleSince     monotime.Micros
-	idleElement   *list.Element // in owner.idle; nil while a request is open
-	removed       bool          // from the table
+	idleElement   *list.Element // element of owner.idle; nil while a request is open
+	removed       bool          // the connection was removed from the table
 }
 
-// IdleTime returns how long a connection that is idle, or was removed while it was, has been idle.
+// IdleTime returns how long an idle connection, or a connection that was removed while idle, has been idle.
 func (c *Conn[T]) IdleTime(now monotime.Micros) monotime.Micros { return now - c.idleSince }
--- a/internal/decide/connlimit/settings.go
+++ b/internal/decide/connlimit/settings.go
@@ -6,18 +6,19 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Limits are the limits of a Table. All must be positive but MinIdleTime.
+// Limits are the limits of a Table. All except MinIdleTime must be positive.
 type Limits struct {
-	MaxConnections int // with and without an open request, of all owners
-	MaxIdle        int // without an open request, of all owners; at most MaxConnections
+	MaxConnections int // greatest number of connections of all owners, idle or busy
+	MaxIdle        int // greatest number of idle connections of all owners; at most MaxConnections
 
-	// A connection may be idle for MaxIdleTime if hardly any others are, and for MinIdleTime if MaxIdle are and its
-	// owner has its share of them. In between the time falls linearly (Table.idleTimeout).
+	// MaxIdleTime is the idle timeout while there are hardly any idle connections. MinIdleTime is the idle
+	// timeout while MaxIdle connections are idle and the owner has used its share of them. Between these cases
+	// the timeout falls linearly (Table.idleTimeout).
 	MaxIdleTime monotime.Micros
 	MinIdleTime monotime.Micros
 }
 
-// Validate returns an error that names the first invalid limit.
+// Validate returns an error that names the first invalid limit, or nil.
 func (l Limits) Validate() error {
 	switch {
 	case l.MaxConnections < 1:
--- a/internal/decide/connlimit/table.go
+++ b/internal/decide/connlimit/table.go
@@ -8,19 +8,20 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Table holds the connections of a server. Make one with New; it is for one goroutine at a time.
+// Table contains the connections of a server. Create it with New. It must not be used by several goroutines at
+// once.
 type Table[T any] struct {
 	limits      Limits
-	confirmIdle func(T) bool
-	idleOwners  []*Owner[T] // owners with idle connections
-	busy        int         // connections with an open request
-	idle        int         // connections without an open request
+	confirmIdle func(T) bool // whether no unread request has arrived (New)
+	idleOwners  []*Owner[T]  // owners with idle connections
+	busy        int          // number of connections with an open request
+	idle        int          // number of connections without an open request
 	connections map[*Conn[T]]struct{}
 }
 
 // New returns an empty table, or an error if the limits are invalid. confirmIdle is called before a connection
-// without an open request is evicted or expires: if it returns false, something has arrived that was not read yet,
-// and the connection counts as one with an open request from then on. A nil confirmIdle always confirms.
+// without an open request is evicted or expires. If it returns false, a request has arrived that was not read
+// yet, and the connection counts as busy from then on. A nil confirmIdle always confirms.
 func New[T any](l Limits, confirmIdle func(T) bool) (*Table[T], error) {
 	if err := l.Validate(); err != nil {
 		return nil, fmt.Errorf("conns: %w", err)
@@ -31,28 +32,31 @@
 	return &Table[T]{limits: l, confirmIdle: confirmIdle, connections: map[*Conn[T]]struct{}{}}, nil
 }
 
-// NewOwner returns a new owner of at most maxConnections connections and maxBytes reserved bytes; 0 bytes is no
-// limit. If an idle connection must be evicted, it is one of the owner with the most of them over its weight.
+// NewOwner returns a new owner with at most maxConnections connections and maxBytes reserved bytes; 0 bytes
+// means no limit. If an idle connection must be evicted, it is taken from the owner with the most idle
+// connections divided by weight.
 func (t *Table[T]) NewOwner(weight float64, maxConnections int, maxBytes int64) *Owner[T] {
 	return &Owner[T]{weight: weight, maxConnections: maxConnections, maxBytes: maxBytes, idle: list.New()}
 }
 
-// UpdateOwner gives an owner another weight and limits. Its connections stay.
+// UpdateOwner sets the weight and the limits of an owner. Its connections stay open even if they exceed the new
+// limits.
 func (t *Table[T]) UpdateOwner(o *Owner[T], weight float64, maxConnections int, maxBytes int64) {
 	o.weight = weight
 	o.maxConnections = maxConnections
 	o.maxBytes = maxBytes
 }
 
-// Counts returns how many connections the table holds, and how many of them have an open request.
+// Counts returns the number of connections in the table, and the number of those with an open request.
 func (t *Table[T]) Counts() (all, busy int) { return t.busy + t.idle, t.busy }
 
-// Add decides whether a new connection of an owner is kept, and which other one is closed in its place. At its owner's
-// limit, an idle connection of that owner is evicted; at the limits of the table, any idle connection. Without one to
-// evict, the new connection is not kept, unless only the limit on idle connections is reached. A new connection is idle
-// until its first request is complete.
+// Add decides whether a new connection of an owner is kept, and which other connection is closed in its place.
+// If the limit of its owner is reached, an idle connection of that owner is evicted; if a limit of the table is
+// reached, an idle connection of any owner. If no connection can be evicted, the new one is not kept, unless
+// only the limit on idle connections is reached. A new connection is idle until its first request is complete.
 //
-// Add returns the connection, or nil if it is not kept, and the evicted one, or nil, which the caller must close.
+// Add returns the connection, or nil if it is not kept, and the evicted connection, or nil. The caller must
+// close the evicted connection.
 func (t *Table[T]) Add(now monotime.Micros, o *Owner[T], value T) (c, evicted *Conn[T]) {
 	switch {
 	case o.busy+o.idle.Len() >= o.maxConnections:
@@ -75,13 +79,13 @@
 	return c, evicted
 }
 
-// MarkBusy notes that a request is open on a connection. It returns false if the connection was evicted meanwhile: the
-// request must not be handled then.
+// MarkBusy records that a request is open on a connection. It returns false if the connection has been removed;
+// the request must not be handled then.
 func (t *Table[T]) MarkBusy(c *Conn[T]) bool {
 	if c.removed {
 		return false
 	}
-	if c.idleElement != nil { // nil if confirmIdle has found the request before
+	if c.idleElement != nil { // nil if confirmIdle has already reported the request
 		t.removeIdle(c)
 		c.owner.busy++
 		t.busy++
@@ -89,8 +93,9 @@
 	return true
 }
 
-// MarkIdle notes that the request on a connection was answered, and releases its bytes. If Limits.MaxIdle connections
-// are idle already, it returns another one that the caller must close; otherwise nil.
+// MarkIdle records that the request on a connection has its response, and releases the reserved bytes of the
+// connection. If Limits.MaxIdle connections are already idle, it evicts one of them and returns it: the caller
+// must close it. Otherwise it returns nil.
 func (t *Table[T]) MarkIdle(now monotime.Micros, c *Conn[T]) (evicted *Conn[T]) {
 	c.owner.busy--
 	t.busy--
@@ -105,8 +110,9 @@
 	return evicted
 }
 
-// ReserveBytes reserves n more bytes for a connection, until it is idle or removed. If that exceeds its owner's limit
-// it reserves nothing and returns false, unless force is set: a response that has arrived must be kept in memory.
+// ReserveBytes reserves n more bytes for a connection until it becomes idle or is removed. If that exceeds the
+// limit of its owner, it reserves nothing and returns false, unless force is set: a response that has arrived
+// must be kept in memory.
 func (t *Table[T]) ReserveBytes(c *Conn[T], n int64, force bool) bool {
 	o := c.owner
 	if c.removed || !force && o.maxBytes > 0 && o.reservedBytes+n > o.maxBytes {
@@ -123,7 +129,7 @@
 	c.reservedBytes = 0
 }
 
-// Remove removes a connection. It does nothing for one that was removed before.
+// Remove removes a connection from the table. It does nothing if the connection was already removed.
 func (t *Table[T]) Remove(c *Conn[T]) {
 	if c.removed {
 		return
@@ -139,14 +145,15 @@
 	}
 }
 
-// Each calls f for each connection, in no order.
+// Each calls f for every connection, in no particular order.
 func (t *Table[T]) Each(f func(*Conn[T])) {
 	for c := range t.connections {
 		f(c)
 	}
 }
 
-// EachIdle calls f for each connection without an open request, the longest idle of each owner first. f may remove it.
+// EachIdle calls f for every connection without an open request, the longest idle connection of each owner
+// first. f may remove the connection.
 func (t *Table[T]) EachIdle(f func(*Conn[T])) {
 	for _, o := range slices.Clone(t.idleOwners) {
 		for element := o.idle.Front(); element != nil; {
--- a/internal/decide/hash64/hash64.go
+++ b/internal/decide/hash64/hash64.go
@@ -1,8 +1,9 @@
-// Package hash64 has the 64-bit hashes and the seeded random numbers of the decision packages. The same input gives the
-// same numbers at every instance and in every build. Stored and shared decisions depend on them: they must not change.
+// Package hash64 provides the 64-bit hashes and seeded random numbers of the decision packages. The same input
+// gives the same numbers in every instance and every build. The functions must not change, since stored and
+// shared decisions depend on their results.
 package hash64
 
-// Increment is the increment of the SplitMix64 generator: 2^64 over the golden ratio.
+// Increment is the increment of the SplitMix64 generator: 2^64 divided by the golden ratio.
 const Increment = 0x9e3779b97f4a7c15
 
 // The multipliers of SplitMix64's output function.
@@ -19,12 +20,12 @@
 	return z ^ z>>31
 }
 
-// SplitMix returns the first number of a SplitMix64 generator with a seed. It serves as a hash of the seed.
+// SplitMix returns the first number of a SplitMix64 generator with a seed. It is used as a hash of the seed.
 func SplitMix(seed uint64) uint64 { return Mix(seed + Increment) }
 
 const (
 	hashBits = 64
-	unitBits = 53 // of a number in [0,1) that a float64 represents exactly
+	unitBits = 53 // bits of a fraction in [0,1) that a float64 represents exactly
 )
 
 // Unit maps a hash to a number in [0,1) by its upper 53 bits.
@@ -45,14 +46,15 @@
 	return h
 }
 
-// Source is a SplitMix64 generator; its value is its state, at first the seed. It is for one goroutine at a time.
+// Source is a SplitMix64 generator. Its value is its state, and initially its seed. It must not be used by
+// several goroutines at once.
 type Source uint64
 
-// Uint64 returns the next number.
+// Uint64 returns the next number of the generator.
 func (s *Source) Uint64() uint64 {
 	*s += Increment
 	return Mix(uint64(*s))
 }
 
-// Float64 returns the next number as one in [0,1).
+// Float64 returns the next number of the generator, mapped to [0,1).
 func (s *Source) Float64() float64 { return Unit(s.Uint64()) }
--- a/internal/decide/hash64/hash64_test.go
+++ b/internal/decide/hash64/hash64_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The generator gives the numbers of the reference implementation (Vigna, splitmix64.c) for a seed of 0.
+// The generator returns the numbers of the reference implementation (Vigna, splitmix64.c) for the seed 0.
 func TestSourceGivesReferenceNumbers(t *testing.T) {
 	var s Source
 	for i, want := range []uint64{0xe220a8397b1dcdaf, 0x6e789e6aa1b965f4, 0x06c45d188009454f} {
@@ -15,7 +15,7 @@
 	}
 }
 
-// The hash of strings is FNV-1a by its published test vectors (Noll).
+// The hash of a string equals the published FNV-1a test vector (Noll).
 func TestStringIsFNV1a(t *testing.T) {
 	for s, want := range map[string]uint64{
 		"":       0xcbf29ce484222325,
@@ -28,7 +28,7 @@
 	}
 }
 
-// Unit covers [0,1): its ends are those of the hashes.
+// Unit maps the least hash to 0 and the greatest hash to a number just below 1.
 func TestUnitIsBelowOne(t *testing.T) {
 	if got := Unit(0); got != 0 {
 		t.Errorf("Unit(0) is %v", got)
--- a/internal/decide/indexedheap/indexedheap.go
+++ b/internal/decide/indexedheap/indexedheap.go
@@ -1,27 +1,29 @@
-// Package indexedheap has a binary heap whose elements know their place in it, so that any of them can be removed or
-// moved. The order of removal, among equal elements too, is that of package container/heap: decisions depend on it.
+// Package indexedheap provides a binary heap whose elements store their index in it, so that any element can be
+// removed or moved. The order of removal, also of equal elements, is that of package container/heap: decisions
+// depend on it.
 package indexedheap
 
 import "container/heap"
 
 // Element is an element of a Heap.
 type Element[T any] interface {
-	// Before reports whether the element is to leave the heap before another one. It must not change while the element
-	// is in the heap, but for a call of Heap.Fix.
+	// Before reports whether the element leaves the heap before another one. While the element is in the heap,
+	// its result may only change if Heap.Fix is called afterwards.
 	Before(other T) bool
-	// SetHeapIndex is called with the element's index whenever that changes; -1 once it has left the heap.
+	// SetHeapIndex is called whenever the index of the element changes; the index is -1 once the element has
+	// left the heap.
 	SetHeapIndex(index int)
 }
 
-// Heap is a heap of elements. The zero value is empty. It is for one goroutine at a time.
+// Heap is a heap of elements. The zero value is empty. It must not be used by several goroutines at once.
 type Heap[T Element[T]] struct {
 	storage storage[T]
 }
 
-// Len returns how many elements the heap has.
+// Len returns the number of elements in the heap.
 func (h *Heap[T]) Len() int { return len(h.storage) }
 
-// First returns the element that leaves the heap first. The heap must not be empty.
+// First returns the element that leaves the heap first, without removing it. The heap must not be empty.
 func (h *Heap[T]) First() T { return h.storage[0] }
 
 // Push adds an element.
@@ -30,13 +32,13 @@
 // Pop removes and returns the first element. The heap must not be empty.
 func (h *Heap[T]) Pop() T { return heap.Pop(&h.storage).(T) }
 
-// Remove removes the element with an index.
+// Remove removes the element at an index.
 func (h *Heap[T]) Remove(index int) { heap.Remove(&h.storage, index) }
 
-// Fix moves the element with an index to its place after its order has changed.
+// Fix restores the order of the heap after the order of the element at an index has changed.
 func (h *Heap[T]) Fix(index int) { heap.Fix(&h.storage, index) }
 
-// storage is the heap.Interface of a Heap.
+// storage implements heap.Interface for a Heap.
 type storage[T Element[T]] []T
 
 // Len implements heap.Interface.
@@ -64,7 +66,7 @@
 	var none T
 	last := len(*s) - 1
 	element := (*s)[last]
-	(*s)[last] = none // so that it can be freed
+	(*s)[last] = none // so that the element can be freed
 	element.SetHeapIndex(-1)
 	*s = (*s)[:last]
 	return element
--- a/internal/decide/indexedheap/indexedheap_test.go
+++ b/internal/decide/indexedheap/indexedheap_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// item is an element whose order is that of its key.
+// item is a heap element that is ordered by its key.
 type item struct {
 	key   int64
 	index int
@@ -16,7 +16,7 @@
 func (i *item) Before(other *item) bool { return i.key < other.key }
 func (i *item) SetHeapIndex(index int)  { i.index = index }
 
-// referenceHeap is a heap of items by their key, written out for container/heap.
+// referenceHeap is a heap of items for container/heap, ordered by key.
 type referenceHeap []*item
 
 func (h referenceHeap) Len() int           { return len(h) }
@@ -29,14 +29,14 @@
 	return last
 }
 
-// comparison is a Heap and the reference heap, to which the same is done.
+// comparison applies the same operations to a Heap and to a reference heap.
 type comparison struct {
 	rng  *rand.Rand
 	got  Heap[*item]
 	want referenceHeap
 }
 
-// step does one thing at random to both heaps.
+// step applies one random operation to both heaps.
 func (c *comparison) step(t *testing.T, seed uint64, step int) {
 	t.Helper()
 	switch operation := c.rng.IntN(5); {
@@ -64,7 +64,7 @@
 	}
 }
 
-// check fails unless both heaps have the same elements at the same places, and each element knows its index.
+// check fails unless both heaps have the same elements at the same indexes, and each element stores its index.
 func (c *comparison) check(t *testing.T, seed uint64, step int) {
 	t.Helper()
 	if !slices.Equal(c.got.storage, storage[*item](c.want)) || c.got.Len() != len(c.want) {
@@ -80,8 +80,8 @@
 	}
 }
 
-// Through random pushes, removals and changes the heap has the same elements at the same places as one written
-// out, equal ones included, and each element knows its index.
+// After random pushes, removals and changes, the heap has the same elements at the same indexes as a heap of
+// package container/heap, also for equal elements, and each element stores its index.
 func TestIndexedHeapKeepsTheOrderOfEqualElements(t *testing.T) {
 	for seed := range uint64(50) {
 		c := &comparison{rng: rand.New(rand.NewPCG(seed, 4))}
--- a/internal/decide/setting/setting.go
+++ b/internal/decide/setting/setting.go
@@ -1,12 +1,12 @@
-// Package setting has the error that decision packages return for an invalid setting. Operators see it as it is,
-// below the key of the component in the configuration.
+// Package setting defines the error that decision packages return for an invalid setting. Operators see its
+// text unchanged, below the key of the component in the configuration.
 package setting
 
-// Error names an invalid setting.
+// Error reports an invalid setting.
 type Error struct {
-	Component string // whose setting it is, by the name that operators know; empty if the caller adds it
-	Key       string // of the setting, within the component
-	Reason    string // why it is invalid, and what is valid
+	Component string // component of the setting, as named in the configuration; empty if the caller adds it
+	Key       string // key of the setting within the component
+	Reason    string // why the value is invalid, and which values are valid
 }
 
 // Error returns the component, the key and the reason, separated by colons.
