--- a/internal/decide/fairqueue/fairqueue_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -15,7 +15,8 @@
 
 const ms = monotime.Millisecond
 
-// simulation runs requests in simulated time: an admitted request is in flight for its service time and then done.
+// simulation runs requests in simulated time: an admitted request is in flight for its service time and then
+// ends.
 type simulation struct {
 	t            rapid.TB
 	scheduler    *Scheduler
@@ -69,7 +70,7 @@
 	}
 }
 
-// enqueue enqueues a request; onEnd is called when it has ended, onReject when it is rejected.
+// enqueue enqueues a request. onEnd is called when it has ended, onReject when it is rejected.
 func (s *simulation) enqueue(
 	c *Client, class int, deadline monotime.Micros, onEnd func(*simRequest, monotime.Micros), onReject func(Reason),
 ) {
@@ -86,7 +87,8 @@
 	s.applyDecisions()
 }
 
-// applyDecisions takes the decisions that are due, and checks what must hold after them.
+// applyDecisions applies all pending decisions, and then checks the invariants of the scheduler
+// (checkCapacity).
 func (s *simulation) applyDecisions() {
 	for {
 		d, ok := s.scheduler.Next(s.now)
@@ -98,7 +100,7 @@
 	s.checkCapacity()
 }
 
-// apply carries out a decision, and checks that it is one on a waiting request.
+// apply applies a decision, and checks that its request is waiting.
 func (s *simulation) apply(d Decision) {
 	request := s.openRequests[d.ID]
 	if request == nil {
@@ -123,13 +125,13 @@
 	}
 }
 
-// checkCapacity checks the scheduler's counts, its limit of requests in flight, and that no request waits while there
-// is capacity.
+// checkCapacity checks the counts of the scheduler, its limit on requests in flight, and that no request waits
+// while there is capacity.
 func (s *simulation) checkCapacity() {
 	inFlight := len(s.completions)
 	waiting := len(s.openRequests) - inFlight
 	if gotWaiting, gotInFlight := s.scheduler.Counts(); gotWaiting != waiting || gotInFlight != inFlight {
-		s.t.Fatalf("it counts %d waiting and %d in flight; there are %d and %d", gotWaiting, gotInFlight, waiting, inFlight)
+		s.t.Fatalf("Counts: %d waiting and %d in flight, want %d and %d", gotWaiting, gotInFlight, waiting, inFlight)
 	}
 	if s.maxInFlight > 0 && inFlight > s.maxInFlight {
 		s.t.Fatalf("%d in flight of %d", inFlight, s.maxInFlight)
@@ -139,7 +141,7 @@
 	}
 }
 
-// cancelAny takes any open request, cancels it if it waits, and reports whether it did.
+// cancelAny selects an arbitrary open request, cancels it if it waits, and reports whether it did.
 func (s *simulation) cancelAny() bool {
 	for id, request := range s.openRequests {
 		if request.inFlight {
@@ -153,7 +155,7 @@
 	return false
 }
 
-// checkEmpty checks that the scheduler has nothing left of any request.
+// checkEmpty checks that the scheduler stores no state of any request.
 func (s *simulation) checkEmpty() {
 	sched := s.scheduler
 	if len(sched.requests) != 0 || sched.backlog.Len() != 0 || sched.expiry.Len() != 0 ||
@@ -162,7 +164,7 @@
 	}
 }
 
-// runUntil runs to an instant.
+// runUntil runs the simulation up to an instant.
 func (s *simulation) runUntil(endAt monotime.Micros) {
 	for {
 		next := endAt
@@ -201,7 +203,7 @@
 	return c
 }
 
-// usageSlices is the time in flight of each client in slices of a quarter second.
+// usageSlices is the time in flight of each client, in consecutive intervals of usageSliceDuration.
 type usageSlices [][]float64
 
 const (
@@ -209,7 +211,7 @@
 	usageSliceDuration = second / 4
 )
 
-// add adds a client's request that was in flight between two instants.
+// add adds the time in flight of a request of a client, from one instant to another.
 func (u usageSlices) add(client int, from, to monotime.Micros) {
 	for from < to {
 		sliceEnd := min(to, (from/usageSliceDuration+1)*usageSliceDuration)
@@ -220,7 +222,8 @@
 	}
 }
 
-// shares returns each client's part of the time in flight of four slices.
+// shares returns each client's fraction of the time in flight during the second that starts with the given
+// slice.
 func (u usageSlices) shares(from int) []float64 {
 	shares := make([]float64, len(u))
 	var total float64
@@ -236,7 +239,8 @@
 	return shares
 }
 
-// saturate has a client send so many requests at once, and a new one for each that ends, until usageDuration.
+// saturate makes a client send several requests at once, and a new request after the end of each, until
+// usageDuration.
 func (s *simulation) saturate(c *Client, client, requests int, used usageSlices) {
 	var enqueueNext func(request *simRequest, end monotime.Micros)
 	enqueueNext = func(request *simRequest, end monotime.Micros) {
@@ -250,8 +254,8 @@
 	}
 }
 
-// Under saturation each client's time in flight is within 5% of its weight's part in any second, none starves, and
-// no capacity is unused while a request waits (applyDecisions checks that).
+// Under saturation, each client's time in flight within any second differs from the share of its weight by at
+// most 5%. No client starves, and no capacity is unused while a request waits (applyDecisions checks this).
 func TestTimeInFlightFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 24).Draw(t, "slots")
@@ -261,7 +265,8 @@
 		var sim *simulation
 		settings := Settings{InitialTimes: make([]monotime.Micros, len(weights)), MaxInFlight: slots}
 		sim = newSimulation(t, settings, func(id uint64) monotime.Micros {
-			// Each client has a class of its own: some clients' requests take longer than others'.
+			// Each client has its own class, so that the requests of some clients take longer than those of
+			// others.
 			return monotime.Micros(float64(means[sim.openRequests[id].class]) * (0.5 + rng.Float64()))
 		})
 		used := make(usageSlices, len(weights))
@@ -270,13 +275,14 @@
 			sum += float64(weight)
 			used[i] = make([]float64, usageDuration/usageSliceDuration+1)
 			c := newTestClient(t, ClientSpec{Name: fmt.Sprint(i), Weight: float64(weight)})
-			sim.saturate(c, i, 2*slots+2, used) // so many that it always has requests waiting
+			sim.saturate(c, i, 2*slots+2, used) // enough requests that the client always has some waiting
 		}
 		sim.runUntil(usageDuration)
-		for from := 2; from+4 <= len(used[0])-2; from++ { // any second but the first half, where costs are guessed
+		// The first half second is skipped: the costs are not estimated yet.
+		for from := 2; from+4 <= len(used[0])-2; from++ {
 			for i, share := range used.shares(from) {
 				if want := float64(weights[i]) / sum; math.Abs(share/want-1) > 0.05 {
-					t.Fatalf("slots %d, weights %v, means %v: client %d had %.3f of a second, its part is %.3f",
+					t.Fatalf("slots %d, weights %v, means %v: client %d had %.3f of a second, its share is %.3f",
 						slots, weights, means, i, share, want)
 				}
 			}
@@ -284,17 +290,17 @@
 	})
 }
 
-// randomRun is a simulation with clients, in which random events happen.
+// randomRun is a simulation with clients that applies random events.
 type randomRun struct {
 	*simulation
 	settings Settings
 	rng      *rand.Rand
 	clients  []*Client
-	enqueued int
-	finished int // ended, rejected or cancelled
+	enqueued int // requests that were enqueued
+	finished int // requests that ended, were rejected or were canceled
 }
 
-// step makes one event at random.
+// step applies one random event.
 func (r *randomRun) step() {
 	switch r.rng.IntN(8) {
 	case 0:
@@ -312,7 +318,7 @@
 	}
 }
 
-// changeMaxInFlight changes the limit of requests in flight. Those in flight stay.
+// changeMaxInFlight changes the limit on requests in flight, but not to less than the current number of these.
 func (r *randomRun) changeMaxInFlight(n int) {
 	r.maxInFlight = n
 	r.scheduler.SetMaxInFlight(n)
@@ -323,35 +329,35 @@
 	r.applyDecisions()
 }
 
-// enqueueAny enqueues a request of a client at random.
+// enqueueAny enqueues a request of a random client.
 func (r *randomRun) enqueueAny() {
 	r.enqueued++
 	c := r.clients[r.rng.IntN(len(r.clients))]
 	onEnd := func(request *simRequest, _ monotime.Micros) {
 		r.finished++
 		if request.startedAt > request.deadline {
-			r.t.Fatalf("a request was admitted at %d whose deadline was %d", request.startedAt, request.deadline)
+			r.t.Fatalf("a request was admitted at %d, after its deadline %d", request.startedAt, request.deadline)
 		}
 	}
 	r.enqueue(c, r.rng.IntN(2), r.now+r.rng.Int64N(200*ms), onEnd, func(Reason) { r.finished++ })
 }
 
-// checkLimits checks the limits of open requests.
+// checkLimits checks the limits on open requests, of each client and of the shared limit.
 func (r *randomRun) checkLimits() {
 	for _, c := range r.clients {
 		waiting, inFlight := c.Counts()
 		if c.spec.MaxOpen > 0 && waiting+inFlight > c.spec.MaxOpen {
-			r.t.Fatalf("%d open of %d", waiting+inFlight, c.spec.MaxOpen)
+			r.t.Fatalf("%d open requests of a client, the limit is %d", waiting+inFlight, c.spec.MaxOpen)
 		}
 	}
 	limit := r.settings.Shared.Max
 	if waiting, inFlight := r.scheduler.Counts(); limit > 0 && waiting+inFlight > limit {
-		r.t.Fatalf("%d open of %d in all", waiting+inFlight, limit)
+		r.t.Fatalf("%d open requests in total, the limit is %d", waiting+inFlight, limit)
 	}
 }
 
-// Whatever clients send, each request is admitted or rejected once, none waits past the instant at which its answer
-// could still be in time, and at the end all counts are back where they started.
+// With random requests, each request is admitted or rejected exactly once, no request waits longer than its
+// response could still meet the deadline, and at the end all counts are 0 again.
 func TestEveryRequestIsAdmittedOrRejectedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
@@ -378,8 +384,8 @@
 	})
 }
 
-// A client within its share is not affected by one at twenty times its own: it never waits behind the other's
-// queue, and none of its requests is rejected.
+// A client that uses half of its share is not affected by a client that sends twenty times as much: it never
+// waits behind the other client's queue, and none of its requests is rejected.
 func TestLightClientIsIsolatedFromHeavyClient(t *testing.T) {
 	run := func(heavyLoad float64) (p99 monotime.Micros, rejected int, share float64) {
 		rng := rand.New(rand.NewPCG(5, 3))
@@ -392,7 +398,7 @@
 		var times []monotime.Micros
 		var lightTime, totalTime monotime.Micros
 		nextAt := [2]float64{}
-		for sim.now < 20*second { // the light one sends 400 a second, half of its share of the capacity
+		for sim.now < 20*second { // the light client sends 400 requests per second, half of its share
 			sender := 0
 			if nextAt[1] < nextAt[0] && heavyLoad > 0 {
 				sender = 1
@@ -417,70 +423,75 @@
 	}
 	aloneP99, rejected, _ := run(0)
 	if rejected != 0 {
-		t.Fatalf("alone %d rejected", rejected)
+		t.Fatalf("%d requests of the light client rejected without the heavy client", rejected)
 	}
 	besideP99, rejected, share := run(20)
 	if rejected != 0 {
-		t.Errorf("beside the other %d of its requests were rejected", rejected)
+		t.Errorf("%d requests of the light client rejected beside the heavy client", rejected)
 	}
 	if ratio := float64(besideP99) / float64(aloneP99); ratio > 1.25 {
-		t.Errorf("p99 %d us beside the other, %d alone: %.2f times, want 1.25 at most", besideP99, aloneP99, ratio)
+		t.Errorf("p99 %d us beside the heavy client, %d alone: ratio %.2f, want at most 1.25",
+			besideP99, aloneP99, ratio)
 	}
 	if share < 0.7 {
-		t.Errorf("the other got %.2f of the time: what the light one leaves is its own", share)
+		t.Errorf("the heavy client got %.2f of the time in flight, want the 0.7 that the light client leaves", share)
 	}
 }
 
-// A request that would miss its deadline is rejected at once, with the time after which it would not.
+// A request that would miss its deadline is rejected at once, with a time to retry after which it would meet
+// the deadline.
 func TestRejectsAtOnceWhatWouldMissItsDeadline(t *testing.T) {
 	settings := Settings{InitialTimes: []monotime.Micros{100 * ms}, MaxInFlight: 1}
 	sim := newSimulation(t, settings, func(uint64) monotime.Micros { return 100 * ms })
 	c := newTestClient(t, ClientSpec{Name: "c", Weight: 1})
-	sim.enqueue(c, 0, 250*ms, nil, nil) // in flight
-	sim.enqueue(c, 0, 250*ms, nil, nil) // waits for the first
+	sim.enqueue(c, 0, 250*ms, nil, nil) // admitted at once
+	sim.enqueue(c, 0, 250*ms, nil, nil) // waits for the first request
 	sim.scheduler.Enqueue(0, c, Request{ID: 99, Deadline: 250 * ms})
 	sim.openRequests[99] = &simRequest{client: c}
 	d, ok := sim.scheduler.Next(0)
 	if !ok || d.Action != Reject || d.Reason != WouldMissDeadline || d.RetryAfter < 20*ms || d.RetryAfter > 200*ms {
-		t.Fatalf("the third: %+v, want it rejected by its deadline, to retry after 20 to 200 ms", d)
+		t.Fatalf("third request: %+v, want WouldMissDeadline and a retry after 20 to 200 ms", d)
 	}
 }
 
-// While there is capacity a request is admitted, however slow its class has been: whether it is still sent is the
-// balancer's decision.
+// While there is capacity, every request is admitted, however slow its class has been: the balancer decides
+// whether it is still sent.
 func TestAdmitsWhileCapacityIsFree(t *testing.T) {
 	for _, slots := range []int{0, 1} {
 		settings := Settings{InitialTimes: []monotime.Micros{10 * ms}, MaxInFlight: slots}
 		sim := newSimulation(t, settings, func(uint64) monotime.Micros { return 300 * ms })
 		c := newTestClient(t, ClientSpec{Name: "c", Weight: 1})
 		for range 20 {
-			sim.enqueue(c, 0, sim.now+200*ms, nil, func(reason Reason) { t.Fatalf("slots %d: rejected: %v", slots, reason) })
+			sim.enqueue(c, 0, sim.now+200*ms, nil, func(reason Reason) {
+				t.Fatalf("slots %d: rejected: %v", slots, reason)
+			})
 			sim.runUntil(sim.now + 400*ms)
 		}
 	}
 }
 
-// A waiting request is rejected at the instant from which its answer could not be in time.
+// A waiting request is rejected at the instant from which its response can no longer meet the deadline.
 func TestRejectsWaitingRequestAtItsLatestStart(t *testing.T) {
 	settings := Settings{InitialTimes: []monotime.Micros{10 * ms}, MaxInFlight: 1}
 	sim := newSimulation(t, settings, func(id uint64) monotime.Micros {
-		return map[bool]monotime.Micros{true: second, false: 10 * ms}[id == 1] // the first hangs
+		return map[bool]monotime.Micros{true: second, false: 10 * ms}[id == 1] // the first request hangs
 	})
 	c := newTestClient(t, ClientSpec{Name: "c", Weight: 1})
 	sim.enqueue(c, 0, 250*ms, nil, nil)
 	var rejectedAt monotime.Micros
 	sim.enqueue(c, 0, 50*ms, nil, func(reason Reason) {
 		if rejectedAt = sim.now; reason != WouldMissDeadline {
-			t.Errorf("rejected as: %v", reason)
+			t.Errorf("rejected for %v, want WouldMissDeadline", reason)
 		}
 	})
 	sim.runUntil(200 * ms)
 	if rejectedAt != 40*ms {
-		t.Errorf("rejected at %d us, want 40 ms: 50 less the 10 that it takes", rejectedAt)
+		t.Errorf("rejected at %d us, want 40 ms: the deadline of 50 ms less the service time of 10 ms", rejectedAt)
 	}
 }
 
-// The limits of a client hold, and a rejection has the time after which to retry.
+// The limits of a client and the shared limit are enforced, and a rejection contains the time after which to
+// retry.
 func TestClientLimits(t *testing.T) {
 	settings := Settings{InitialTimes: []monotime.Micros{10 * ms}, MaxInFlight: 1, Shared: &SharedLimit{Max: 4}}
 	sim := newSimulation(t, settings, func(uint64) monotime.Micros { return 10 * ms })
@@ -492,7 +503,7 @@
 		got := None
 		sim.enqueue(c, 0, sim.now+second, nil, func(reason Reason) { got = reason })
 		if got != want {
-			t.Errorf("rejected as %q, want %q", got, want)
+			t.Errorf("rejected for %q, want %q", got, want)
 		}
 	}
 	expect(few, None)
@@ -508,7 +519,7 @@
 	expect(fast, ClientOverRate)
 	sim.scheduler.Enqueue(sim.now, fast, Request{ID: 999, Deadline: sim.now + second})
 	if d, _ := sim.scheduler.Next(sim.now); d.RetryAfter != 100*ms {
-		t.Errorf("to retry after %d us, want 100 ms: one of ten a second", d.RetryAfter)
+		t.Errorf("retry after %d us, want 100 ms at 10 requests per second", d.RetryAfter)
 	}
 	sim.runUntil(2 * second)
 	expect(fast, None)
@@ -528,7 +539,7 @@
 	}
 }
 
-// A client whose weight changes has its new share from then on.
+// After an update of its weight, a client has its new share of the time in flight.
 func TestClientUpdateChangesItsShare(t *testing.T) {
 	settings := Settings{InitialTimes: []monotime.Micros{ms}, MaxInFlight: 2}
 	sim := newSimulation(t, settings, func(uint64) monotime.Micros { return ms })
@@ -548,7 +559,7 @@
 	}
 	sim.runUntil(second)
 	if ratio := float64(completed[0]) / float64(completed[1]); math.Abs(ratio-1) > 0.02 {
-		t.Fatalf("%v with equal weights", completed)
+		t.Fatalf("%v requests completed with equal weights", completed)
 	}
 	if err := b.Update(ClientSpec{Name: "b", Weight: 3}); err != nil {
 		t.Fatal(err)
@@ -557,11 +568,12 @@
 	sim.runUntil(2 * second)
 	if ratio := float64(completed[1]-completedBefore[1]) /
 		float64(completed[0]-completedBefore[0]); math.Abs(ratio-3) > 0.1 {
-		t.Errorf("%.2f times as much with three times the weight", ratio)
+		t.Errorf("ratio of completed requests %.2f with three times the weight, want 3", ratio)
 	}
 }
 
-// The limits of a client, and the shared limit, hold over several schedulers; capacity in one is none in another.
+// The limits of a client, and the shared limit, apply to several schedulers together. Free capacity of one
+// scheduler does not admit requests of another.
 func TestLimitsHoldOverSeveralSchedulers(t *testing.T) {
 	sharedLimit := &SharedLimit{Max: 5}
 	var scheduler [2]*Scheduler
@@ -594,7 +606,7 @@
 	}
 	scheduler[1].Done(0, 3)
 	if d, ok := scheduler[1].Next(0); !ok || d.ID != 5 || d.Action != Admit {
-		t.Errorf("with capacity there: %+v, %v", d, ok)
+		t.Errorf("after a request has ended: %+v, %v", d, ok)
 	}
 	enqueue(scheduler[1], a, queued)
 }
--- a/internal/decide/fairqueue/flow.go
+++ b/internal/decide/fairqueue/flow.go
@@ -7,18 +7,18 @@
 	"dunlinsail/internal/monotime"
 )
 
-// clientFlow is a client's state in one scheduler.
+// clientFlow is the state of a client in one scheduler.
 type clientFlow struct {
 	client       *Client
-	tag          float64          // virtual start time of its next request, in microseconds in flight for a weight of 1
-	queue        []*queuedRequest // its waiting requests, the earliest first
-	queuedCost   float64          // sum of the costs of queue, in microseconds in flight
-	openRequests int              // requests waiting and in flight
-	heapIndex    int              // in Scheduler.backlog; -1 while no request waits
+	tag          float64          // virtual start time of the next request, in microseconds in flight for weight 1
+	queue        []*queuedRequest // waiting requests of the client, the earliest first
+	queuedCost   float64          // sum of the costs of the queued requests, in microseconds in flight
+	openRequests int              // number of requests waiting and in flight
+	heapIndex    int              // index in Scheduler.backlog; -1 while no request of the client waits
 }
 
-// Before decides whose request is admitted next (indexedheap.Element): the flow with the least tag, and among equal
-// tags the one with the fewest requests in flight.
+// Before orders flows by the admission of their next request (indexedheap.Element): the flow with the least tag
+// comes first, and among equal tags the flow with the fewest requests in flight.
 func (f *clientFlow) Before(other *clientFlow) bool {
 	if f.tag != other.tag {
 		return f.tag < other.tag
@@ -26,10 +26,11 @@
 	return f.openRequests-len(f.queue) < other.openRequests-len(other.queue)
 }
 
-// SetHeapIndex notes the flow's index in Scheduler.backlog.
+// SetHeapIndex stores the flow's index in Scheduler.backlog.
 func (f *clientFlow) SetHeapIndex(index int) { f.heapIndex = index }
 
-// flowOf returns a client's flow. A client that is new to the scheduler gets one, and drops those of closed schedulers.
+// flowOf returns the flow of a client in this scheduler. For a client that is new to the scheduler it creates a
+// flow, and removes the client's flows in closed schedulers without open requests.
 func (s *Scheduler) flowOf(c *Client) *clientFlow {
 	flow := c.flows[s]
 	if flow == nil {
@@ -42,13 +43,13 @@
 	return flow
 }
 
-// burstCredit is the time, in microseconds at the whole capacity, for which an idle client saves up the share that it
-// does not use: far less than the second within which shares have to hold.
+// burstCredit is the time, in microseconds at full capacity, for which an idle client accumulates its unused
+// share. It is far shorter than the second within which shares must be correct.
 const burstCredit = 25_000.0
 
-// push adds a request to those that wait. The tag of a client without waiting requests is at most burstCredit behind
-// the virtual time: a short burst of a client with little traffic goes ahead of what other clients have waiting, and
-// a client that was idle for longer has no further advantage.
+// push adds a request to the waiting requests. The tag of a client without waiting requests is raised to at
+// most burstCredit behind the virtual time. A short burst of a client with little traffic is therefore served
+// before the waiting requests of other clients, and a client that was idle for longer has no further advantage.
 func (s *Scheduler) push(request *queuedRequest) {
 	flow := request.flow
 	s.requests[request.ID] = request
@@ -63,10 +64,10 @@
 	s.expiry.Push(request)
 }
 
-// dequeue removes a request from those that wait.
+// dequeue removes a request from the waiting requests.
 func (s *Scheduler) dequeue(request *queuedRequest) {
 	flow := request.flow
-	if flow.queue[0] == request { // the usual case: any other was cancelled, or is past its latest start
+	if flow.queue[0] == request { // the usual case; any other request was canceled or is past its latest start
 		flow.queue[0] = nil
 		flow.queue = flow.queue[1:]
 	} else if i := slices.Index(flow.queue, request); i > 0 {
@@ -78,14 +79,14 @@
 		s.backlog.Remove(flow.heapIndex)
 		s.backlogWeight -= flow.client.spec.Weight
 		if s.backlog.Len() == 0 {
-			s.backlogWeight = 0 // so that rounding errors of sums do not add up
+			s.backlogWeight = 0 // so that rounding errors do not accumulate
 		}
 	}
 	s.expiry.Remove(request.heapIndex)
 }
 
-// charge advances a flow's tag by a cost, in microseconds in flight, over its client's weight. A negative cost moves
-// the tag back.
+// charge advances the tag of a flow by a cost, in microseconds in flight, divided by its client's weight. A
+// negative cost moves the tag back.
 func (s *Scheduler) charge(flow *clientFlow, cost float64) {
 	flow.tag += cost / flow.client.spec.Weight
 	s.maxTag = max(s.maxTag, flow.tag)
@@ -94,9 +95,9 @@
 	}
 }
 
-// queueDelay estimates the time until a flow's waiting requests, and a request of an extra cost, have been admitted:
-// their cost over the flow's part of the capacity, as if all clients that wait now went on sending. It is 0 without a
-// limit on the requests in flight.
+// queueDelay estimates the time until the waiting requests of a flow, and a request of extraCost, have been
+// admitted: their cost divided by the flow's share of the capacity, assuming that all clients with waiting
+// requests continue to send. It is 0 if requests in flight are not limited.
 func (s *Scheduler) queueDelay(flow *clientFlow, extraCost float64) monotime.Micros {
 	if s.settings.MaxInFlight <= 0 {
 		return 0
--- a/internal/decide/fairqueue/service_time.go
+++ b/internal/decide/fairqueue/service_time.go
@@ -6,29 +6,29 @@
 	"dunlinsail/internal/monotime"
 )
 
-// serviceEstimate estimates the time in flight of a class's requests, in microseconds, as SRTT and RTTVAR do for round
-// trips (RFC 6298, section 2).
+// serviceEstimate estimates the time in flight of a class's requests, in microseconds, as SRTT and RTTVAR
+// estimate round-trip times (RFC 6298, section 2).
 type serviceEstimate struct {
-	mean      float64 // at least 1
-	deviation float64
-	known     bool // there was a sample; else mean is that of Settings.InitialTimes
+	mean      float64 // mean time in flight, at least 1
+	deviation float64 // mean deviation from the mean
+	known     bool    // there was a sample; otherwise mean is from Settings.InitialTimes
 }
 
-// ServiceTime is the time that requests of a class are in flight, in microseconds.
+// ServiceTime is the time for which requests of a class are in flight, in microseconds.
 type ServiceTime struct {
 	Mean      float64 `json:"Mean"`
 	Deviation float64 `json:"Dev"`
 }
 
-// The gains of RFC 6298, as divisors: a sample moves the mean by an eighth of its difference, and the deviation by a
-// quarter. The deviation starts as a half of the first sample.
+// The gains of RFC 6298, as divisors. A sample moves the mean by an eighth and the deviation by a quarter of
+// their differences from the sample. The initial deviation is half of the first sample.
 const (
 	meanGainDivisor         = 8
 	deviationGainDivisor    = 4
 	initialDeviationDivisor = 2
 )
 
-// ObserveServiceTime takes in the time for which a request of a class was in flight that was served.
+// ObserveServiceTime adds a sample: the time for which a served request of a class was in flight.
 func (s *Scheduler) ObserveServiceTime(class int, timeInFlight monotime.Micros) {
 	estimate := &s.estimates[class]
 	if !estimate.known {
@@ -42,7 +42,7 @@
 	estimate.mean = max(1, estimate.mean)
 }
 
-// ServiceTimes returns the service time of each class, zero for a class without samples.
+// ServiceTimes returns the estimated service time of each class, zero for a class without samples.
 func (s *Scheduler) ServiceTimes() []ServiceTime {
 	times := make([]ServiceTime, len(s.estimates))
 	for i, estimate := range s.estimates {
@@ -53,15 +53,16 @@
 	return times
 }
 
-// RestoreServiceTime sets the service time of a class that another scheduler has learned. An invalid one is ignored.
+// RestoreServiceTime sets the service time of a class to the estimate of another scheduler. An invalid estimate
+// is ignored.
 func (s *Scheduler) RestoreServiceTime(class int, t ServiceTime) {
 	if t.Mean >= 1 && t.Deviation >= 0 && !math.IsInf(t.Mean, 0) && !math.IsInf(t.Deviation, 0) {
 		s.estimates[class] = serviceEstimate{t.Mean, t.Deviation, true}
 	}
 }
 
-// expectedTime returns the time in flight that a request of a class is given in its latest start: the mean and one mean
-// deviation.
+// expectedTime returns the time in flight that the latest start of a request allows for: the mean of its class
+// plus one mean deviation.
 func (s *Scheduler) expectedTime(class int) monotime.Micros {
 	estimate := &s.estimates[class]
 	return monotime.Micros(estimate.mean + estimate.deviation)
--- a/internal/decide/fairqueue/settings.go
+++ b/internal/decide/fairqueue/settings.go
@@ -10,26 +10,26 @@
 // Settings configure a Scheduler.
 type Settings struct {
 	InitialTimes []monotime.Micros // by class: expected time in flight of a request until there is a sample
-	MaxInFlight  int               // requests in flight at once; 0 is no limit
-	Shared       *SharedLimit      // of the open requests of this and other schedulers; nil is none
+	MaxInFlight  int               // greatest number of requests in flight; 0 means no limit
+	Shared       *SharedLimit      // limit on the open requests of several schedulers; nil means no limit
 }
 
-// SharedLimit bounds the open requests, waiting and in flight, of several schedulers together.
+// SharedLimit limits the open requests, waiting or in flight, of several schedulers together.
 type SharedLimit struct {
-	Max          int // 0 is no limit
-	openRequests int
+	Max          int // greatest number of open requests; 0 means no limit
+	openRequests int // current number of open requests
 }
 
-// ClientSpec is the weight and the limits of a client. A limit of 0 is none.
+// ClientSpec configures the weight and the limits of a client. A limit of 0 means no limit.
 type ClientSpec struct {
 	Name    string
-	Weight  float64 // its part of the time in flight, relative to other clients' weights; must be positive
-	MaxOpen int     // requests waiting and in flight together
-	Rate    float64 // requests a second on average; up to Burst may come at once
-	Burst   float64 // requests; at least 1 if Rate is positive
+	Weight  float64 // share of the time in flight, relative to the weights of other clients; must be positive
+	MaxOpen int     // greatest number of requests waiting and in flight
+	Rate    float64 // greatest mean rate, in requests per second
+	Burst   float64 // number of requests that may be sent at once; at least 1 if Rate is positive
 }
 
-// Validate returns an error if the spec is invalid.
+// Validate returns an error that names the first invalid field, or nil.
 func (s ClientSpec) Validate() error {
 	switch {
 	case !(s.Weight > 0) || math.IsInf(s.Weight, 0):
