--- a/internal/decide/concurrency/limiter.go
+++ b/internal/decide/concurrency/limiter.go
@@ -75,7 +75,9 @@
 // AddSample records a served request: its time in flight, the number of requests in flight when it was sent,
 // including itself, and whether a request waited for admission in the meantime. At the end of a window it
 // adjusts the limit.
-func (l *Limiter) AddSample(now monotime.Micros, class int, timeInFlight monotime.Micros, inFlight int, waited bool) {
+func (l *Limiter) AddSample(
+	now monotime.Micros, class int, timeInFlight monotime.Micros, inFlight int, requestWaited bool,
+) {
 	classBaseline := &l.baselines[class]
 	if l.measuring {
 		l.addBaselineSample(now, classBaseline, timeInFlight, inFlight)
@@ -91,7 +93,7 @@
 	l.samples++
 	l.sampleTimeSum += min(float64(timeInFlight), maxSampleRatio*classBaseline.mean)
 	l.baselineSum += classBaseline.mean
-	l.limitReached = l.limitReached || waited || inFlight >= int(l.limit)
+	l.limitReached = l.limitReached || requestWaited || inFlight >= int(l.limit)
 	if now-l.windowStart >= minWindow && l.samples >= max(minWindowSamples, int(l.limit)) {
 		l.adjust()
 		l.resetWindow(now)
@@ -152,19 +154,19 @@
 // baselines. If few requests wait, the limit only grows if it was reached: otherwise there is no evidence of
 // more capacity.
 func (l *Limiter) adjust() {
-	ratio := max(1, l.sampleTimeSum/l.baselineSum)
-	waiting := l.limit * (1 - 1/ratio)
+	timeRatio := max(1, l.sampleTimeSum/l.baselineSum)
+	waitingRequests := l.limit * (1 - 1/timeRatio)
 	growBelow := growWaiting + l.settings.GrowThreshold*l.limit
 	shrinkAbove := shrinkWaiting + l.settings.ShrinkThreshold*l.limit
 	switch {
-	case waiting > shrinkAbove:
+	case waitingRequests > shrinkAbove:
 		l.slowStart = false
-		l.limit -= max(1, (waiting-shrinkAbove)/shrinkExcessDivisor)
-	case waiting < growBelow && l.limitReached && l.slowStart:
+		l.limit -= max(1, (waitingRequests-shrinkAbove)/shrinkExcessDivisor)
+	case waitingRequests < growBelow && l.limitReached && l.slowStart:
 		l.limit *= slowStartFactor
-	case waiting < growBelow && l.limitReached:
+	case waitingRequests < growBelow && l.limitReached:
 		l.limit += max(1, l.limit/growDivisor)
-	case waiting >= growBelow:
+	case waitingRequests >= growBelow:
 		l.slowStart = false
 	}
 	l.limit = min(float64(l.settings.Max), max(float64(l.settings.Min), l.limit))
--- a/internal/decide/concurrency/limiter_test.go
+++ b/internal/decide/concurrency/limiter_test.go
@@ -25,8 +25,8 @@
 	inFlight          int
 	maxDemand         int // requests that clients would have in flight without a limit
 
-	served    int
-	totalTime monotime.Micros
+	servedCount int
+	totalTime   monotime.Micros
 }
 
 // simJob is a request in flight.
@@ -58,7 +58,7 @@
 }
 
 func (p *serverPool) runUntil(until monotime.Micros) {
-	p.served = 0
+	p.servedCount = 0
 	p.totalTime = 0
 	for p.now < until {
 		for p.inFlight < min(p.limiter.Limit(), p.maxDemand) {
@@ -82,7 +82,7 @@
 			p.startService(p.queue[0])
 			p.queue = p.queue[1:]
 		}
-		p.served++
+		p.servedCount++
 		p.totalTime += p.now - j.sentAt
 		p.limiter.AddSample(p.now, j.class, p.now-j.sentAt, j.inFlight, j.waited)
 	}
@@ -104,18 +104,18 @@
 
 // check continues the simulation, and fails unless nearly all of the servers' capacity is used and requests
 // hardly wait at the servers. The time of transient at the start does not count.
-func (p *serverPool) check(t *testing.T, phase string, transient, measured monotime.Micros) {
+func (p *serverPool) check(t *testing.T, phase string, transientDuration, duration monotime.Micros) {
 	t.Helper()
-	p.runUntil(p.now + transient)
+	p.runUntil(p.now + transientDuration)
 	start := p.now
-	p.runUntil(start + measured)
-	mean := float64(p.meanServiceTime) * 1.5
-	capacity := float64(p.serverCount) * float64(p.now-start) / mean
-	if got := float64(p.served) / capacity; got < 0.92 {
+	p.runUntil(start + duration)
+	meanTimeAlone := float64(p.meanServiceTime) * 1.5
+	capacity := float64(p.serverCount) * float64(p.now-start) / meanTimeAlone
+	if got := float64(p.servedCount) / capacity; got < 0.92 {
 		t.Errorf("%s: %.2f of the capacity of %d servers was used, limit %d",
 			phase, got, p.serverCount, p.limiter.Limit())
 	}
-	if got := float64(p.totalTime) / float64(p.served) / mean; got > 1.9 {
+	if got := float64(p.totalTime) / float64(p.servedCount) / meanTimeAlone; got > 1.9 {
 		t.Errorf("%s: requests took %.2f times their time alone, limit %d of %d servers",
 			phase, got, p.limiter.Limit(), p.serverCount)
 	}
--- a/internal/decide/connlimit/connlimit_test.go
+++ b/internal/decide/connlimit/connlimit_test.go
@@ -53,8 +53,8 @@
 		t.Error("a removed connection was marked busy")
 	}
 	table.Remove(conns[1]) // the caller may remove an evicted connection again
-	if all, busy := table.Counts(); all != 4 || busy != 0 {
-		t.Errorf("%d connections, %d busy; want 4, 0", all, busy)
+	if total, busy := table.Counts(); total != 4 || busy != 0 {
+		t.Errorf("%d connections, %d busy; want 4, 0", total, busy)
 	}
 
 	table = newTestTable(t, testLimits)
@@ -103,7 +103,7 @@
 	table := newTestTable(t, limits)
 	singleOwner := table.NewOwner(1, 100, 0)
 	manyOwner := table.NewOwner(1, 100, 0)
-	only, _ := table.Add(0, singleOwner, 0)
+	onlyConn, _ := table.Add(0, singleOwner, 0)
 	for i := range 79 {
 		table.Add(1, manyOwner, 1+i)
 	}
@@ -113,21 +113,21 @@
 			t.Fatalf("evicted: %+v, want a connection of the owner with many", evicted)
 		}
 	}
-	if all, busy := table.Counts(); all-busy != limits.MaxIdle {
-		t.Errorf("%d idle connections, want %d", all-busy, limits.MaxIdle)
+	if total, busy := table.Counts(); total-busy != limits.MaxIdle {
+		t.Errorf("%d idle connections, want %d", total-busy, limits.MaxIdle)
 	}
 	table.Add(2, manyOwner, 101)
 	for _, now := range []int64{102, 1000, 14_000} {
 		for c, _ := table.RemoveExpired(now); c != nil; c, _ = table.RemoveExpired(now) {
-			if c == only {
+			if c == onlyConn {
 				t.Fatalf("the only connection of an owner expired after %d", now)
 			}
 		}
 	}
 	for c, _ := table.RemoveExpired(15_100); c != nil; c, _ = table.RemoveExpired(15_100) {
 	}
-	if all, _ := table.Counts(); all != 0 {
-		t.Errorf("%d connections left after MaxIdleTime, want none", all)
+	if total, _ := table.Counts(); total != 0 {
+		t.Errorf("%d connections left after MaxIdleTime, want none", total)
 	}
 }
 
@@ -176,22 +176,23 @@
 func TestReservedBytesAreBoundedAndReleased(t *testing.T) {
 	table := newTestTable(t, testLimits)
 	o := table.NewOwner(1, 100, 1000)
-	a, _ := table.Add(0, o, 1)
-	b, _ := table.Add(0, o, 2)
-	if !table.ReserveBytes(a, 600, false) || table.ReserveBytes(b, 600, false) || !table.ReserveBytes(b, 400, false) {
+	connA, _ := table.Add(0, o, 1)
+	connB, _ := table.Add(0, o, 2)
+	if !table.ReserveBytes(connA, 600, false) || table.ReserveBytes(connB, 600, false) ||
+		!table.ReserveBytes(connB, 400, false) {
 		t.Fatal("600 and 400 of 1000 fit, 600 twice do not")
 	}
-	table.MarkBusy(a)
-	if !table.ReserveBytes(a, 5000, true) || o.ReservedBytes() != 6000 {
+	table.MarkBusy(connA)
+	if !table.ReserveBytes(connA, 5000, true) || o.ReservedBytes() != 6000 {
 		t.Errorf("%d bytes reserved with a response of 5000", o.ReservedBytes())
 	}
-	table.MarkIdle(1, a)
+	table.MarkIdle(1, connA)
 	if o.ReservedBytes() != 400 {
 		t.Errorf("%d bytes reserved after the response", o.ReservedBytes())
 	}
-	table.Remove(b)
-	table.Remove(b)
-	if o.ReservedBytes() != 0 || table.ReserveBytes(b, 1, true) {
+	table.Remove(connB)
+	table.Remove(connB)
+	if o.ReservedBytes() != 0 || table.ReserveBytes(connB, 1, true) {
 		t.Errorf("%d bytes reserved after the removal", o.ReservedBytes())
 	}
 }
@@ -220,17 +221,17 @@
 		recounted[c.owner] = [2]int{n[0] + 1, n[1] + 1}
 	}
 	for ownerIndex, o := range owners {
-		all, busy := o.Connections()
-		if [2]int{all, busy} != recounted[o] || all > o.maxConnections {
+		total, busy := o.Connections()
+		if [2]int{total, busy} != recounted[o] || total > o.maxConnections {
 			t.Fatalf("seed %d: owner %d has %d, %d busy, limit %d; counted %v",
-				seed, ownerIndex, all, busy, o.maxConnections, recounted[o])
+				seed, ownerIndex, total, busy, o.maxConnections, recounted[o])
 		}
 	}
-	all, withOpenRequest := table.Counts()
-	overLimits := all > table.limits.MaxConnections || len(idle) > table.limits.MaxIdle
-	if all != len(idle)+len(busy) || withOpenRequest != len(busy) || overLimits {
+	total, withOpenRequest := table.Counts()
+	overLimits := total > table.limits.MaxConnections || len(idle) > table.limits.MaxIdle
+	if total != len(idle)+len(busy) || withOpenRequest != len(busy) || overLimits {
 		t.Fatalf("seed %d: %d connections, %d busy; counted %d and %d; limits %+v",
-			seed, all, withOpenRequest, len(idle)+len(busy), len(busy), table.limits)
+			seed, total, withOpenRequest, len(idle)+len(busy), len(busy), table.limits)
 	}
 }
 
@@ -347,8 +348,8 @@
 	if _, evicted = table.Add(7, o, 6); evicted != conns[3] {
 		t.Fatalf("evicted: %+v", evicted)
 	}
-	if all, busy := table.Counts(); all != 5 || busy != 2 {
-		t.Errorf("%d connections, %d busy; want 5, 2", all, busy)
+	if total, busy := table.Counts(); total != 5 || busy != 2 {
+		t.Errorf("%d connections, %d busy; want 5, 2", total, busy)
 	}
 	if !table.MarkBusy(conns[0]) || !table.MarkBusy(conns[2]) {
 		t.Error("a connection with an unread request was not marked busy")
@@ -369,7 +370,7 @@
 	}
 	table.MarkIdle(20_000, conns[0])
 	table.Remove(conns[2])
-	if all, busy := table.Counts(); all != 3 || busy != 2 { // 4 and 5 count as busy
-		t.Errorf("%d connections, %d busy; want 3, 2", all, busy)
+	if total, busy := table.Counts(); total != 3 || busy != 2 { // 4 and 5 count as busy
+		t.Errorf("%d connections, %d busy; want 3, 2", total, busy)
 	}
 }
--- a/internal/decide/connlimit/eviction.go
+++ b/internal/decide/connlimit/eviction.go
@@ -30,23 +30,23 @@
 // longest idle connection of the owner with the most idle connections divided by its weight. Among several such
 // owners, the connection that has been idle longest is returned; nil if no connection is idle.
 func (t *Table[T]) evictionCandidate() *Conn[T] {
-	var best *Conn[T]
+	var evictFirst *Conn[T]
 	var maxIdleRatio float64
 	for _, o := range t.idleOwners {
 		c := t.longestIdle(o)
 		ratio := float64(o.idle.Len()) / o.weight
-		if best == nil || ratio > maxIdleRatio || ratio == maxIdleRatio && c.idleSince < best.idleSince {
-			best = c
+		if evictFirst == nil || ratio > maxIdleRatio || ratio == maxIdleRatio && c.idleSince < evictFirst.idleSince {
+			evictFirst = c
 			maxIdleRatio = ratio
 		}
 	}
-	return best
+	return evictFirst
 }
 
 // RemoveExpired removes and returns an idle connection that has been idle for its idleTimeout. If there is
 // none, it returns nil and the instant at which the next connection expires unless the numbers of idle
 // connections change before; 0 if no connection is idle.
-func (t *Table[T]) RemoveExpired(now monotime.Micros) (expired *Conn[T], next monotime.Micros) {
+func (t *Table[T]) RemoveExpired(now monotime.Micros) (expired *Conn[T], nextExpiry monotime.Micros) {
 	for {
 		c, expiresAt := t.firstToExpire()
 		if c == nil {
@@ -72,9 +72,9 @@
 	}
 	for _, o := range t.idleOwners {
 		c := t.longestIdle(o)
-		if at := c.idleSince + t.idleTimeout(o, weights); first == nil || at < expiresAt {
+		if connExpiresAt := c.idleSince + t.idleTimeout(o, weights); first == nil || connExpiresAt < expiresAt {
 			first = c
-			expiresAt = at
+			expiresAt = connExpiresAt
 		}
 	}
 	return first, expiresAt
@@ -87,9 +87,9 @@
 // its share.
 func (t *Table[T]) idleTimeout(o *Owner[T], weights float64) monotime.Micros {
 	maxIdle := float64(t.limits.MaxIdle)
-	usedByAll := float64(t.idle) / maxIdle
-	usedOfShare := float64(o.idle.Len()) / (maxIdle * o.weight / weights)
-	freeFraction := 1 - min(usedByAll, usedOfShare)
+	usedFraction := float64(t.idle) / maxIdle
+	usedShareFraction := float64(o.idle.Len()) / (maxIdle * o.weight / weights)
+	freeFraction := 1 - min(usedFraction, usedShareFraction)
 	return t.limits.MinIdleTime + monotime.Micros(freeFraction*float64(t.limits.MaxIdleTime-t.limits.MinIdleTime))
 }
 
--- a/internal/decide/connlimit/owner.go
+++ b/internal/decide/connlimit/owner.go
@@ -18,7 +18,7 @@
 }
 
 // Connections returns the number of connections of the owner, and the number of those with an open request.
-func (o *Owner[T]) Connections() (all, busy int) { return o.busy + o.idle.Len(), o.busy }
+func (o *Owner[T]) Connections() (total, busy int) { return o.busy + o.idle.Len(), o.busy }
 
 // ReservedBytes returns the number of bytes that are reserved for the owner.
 func (o *Owner[T]) ReservedBytes() int64 { return o.reservedBytes }
--- a/internal/decide/connlimit/table.go
+++ b/internal/decide/connlimit/table.go
@@ -48,7 +48,7 @@
 }
 
 // Counts returns the number of connections in the table, and the number of those with an open request.
-func (t *Table[T]) Counts() (all, busy int) { return t.busy + t.idle, t.busy }
+func (t *Table[T]) Counts() (total, busy int) { return t.busy + t.idle, t.busy }
 
 // Add decides whether a new connection of an owner is kept, and which other connection is closed in its place.
 // If the limit of its owner is reached, an idle connection of that owner is evicted; if a limit of the table is
--- a/internal/decide/fairqueue/fairqueue_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -171,8 +171,8 @@
 		if len(s.completions) > 0 {
 			next = min(next, s.completions[0].endAt)
 		}
-		if expiry := s.scheduler.NextExpiry(); expiry > 0 {
-			next = min(next, max(s.now, expiry))
+		if nextExpiry := s.scheduler.NextExpiry(); nextExpiry > 0 {
+			next = min(next, max(s.now, nextExpiry))
 		}
 		s.now = max(s.now, next)
 		if len(s.completions) > 0 && s.completions[0].endAt <= s.now {
@@ -228,9 +228,9 @@
 	shares := make([]float64, len(u))
 	var total float64
 	for i := range u {
-		for _, v := range u[i][from : from+4] {
-			shares[i] += v
-			total += v
+		for _, sliceTime := range u[i][from : from+4] {
+			shares[i] += sliceTime
+			total += sliceTime
 		}
 	}
 	for i := range shares {
@@ -241,15 +241,15 @@
 
 // saturate makes a client send several requests at once, and a new request after the end of each, until
 // usageDuration.
-func (s *simulation) saturate(c *Client, client, requests int, used usageSlices) {
+func (s *simulation) saturate(c *Client, client, requestCount int, usage usageSlices) {
 	var enqueueNext func(request *simRequest, end monotime.Micros)
 	enqueueNext = func(request *simRequest, end monotime.Micros) {
-		used.add(client, request.startedAt, end)
+		usage.add(client, request.startedAt, end)
 		if s.now < usageDuration {
 			s.enqueue(c, client, math.MaxInt64/2, enqueueNext, nil)
 		}
 	}
-	for range requests {
+	for range requestCount {
 		s.enqueue(c, client, math.MaxInt64/2, enqueueNext, nil)
 	}
 }
@@ -260,30 +260,30 @@
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 24).Draw(t, "slots")
 		weights := rapid.SliceOfN(rapid.IntRange(1, 5), 2, 5).Draw(t, "weights")
-		means := rapid.SliceOfN(rapid.Int64Range(1000, 4000), len(weights), len(weights)).Draw(t, "means")
+		meanTimes := rapid.SliceOfN(rapid.Int64Range(1000, 4000), len(weights), len(weights)).Draw(t, "means")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		var sim *simulation
 		settings := Settings{InitialTimes: make([]monotime.Micros, len(weights)), MaxInFlight: slots}
 		sim = newSimulation(t, settings, func(id uint64) monotime.Micros {
 			// Each client has its own class, so that the requests of some clients take longer than those of
 			// others.
-			return monotime.Micros(float64(means[sim.openRequests[id].class]) * (0.5 + rng.Float64()))
+			return monotime.Micros(float64(meanTimes[sim.openRequests[id].class]) * (0.5 + rng.Float64()))
 		})
-		used := make(usageSlices, len(weights))
-		var sum float64
+		usage := make(usageSlices, len(weights))
+		var weightSum float64
 		for i, weight := range weights {
-			sum += float64(weight)
-			used[i] = make([]float64, usageDuration/usageSliceDuration+1)
+			weightSum += float64(weight)
+			usage[i] = make([]float64, usageDuration/usageSliceDuration+1)
 			c := newTestClient(t, ClientSpec{Name: fmt.Sprint(i), Weight: float64(weight)})
-			sim.saturate(c, i, 2*slots+2, used) // enough requests that the client always has some waiting
+			sim.saturate(c, i, 2*slots+2, usage) // enough requests that the client always has some waiting
 		}
 		sim.runUntil(usageDuration)
 		// The first half second is skipped: the costs are not estimated yet.
-		for from := 2; from+4 <= len(used[0])-2; from++ {
-			for i, share := range used.shares(from) {
-				if want := float64(weights[i]) / sum; math.Abs(share/want-1) > 0.05 {
+		for from := 2; from+4 <= len(usage[0])-2; from++ {
+			for i, share := range usage.shares(from) {
+				if want := float64(weights[i]) / weightSum; math.Abs(share/want-1) > 0.05 {
 					t.Fatalf("slots %d, weights %v, means %v: client %d had %.3f of a second, its share is %.3f",
-						slots, weights, means, i, share, want)
+						slots, weights, meanTimes, i, share, want)
 				}
 			}
 		}
@@ -293,11 +293,11 @@
 // randomRun is a simulation with clients that applies random events.
 type randomRun struct {
 	*simulation
-	settings Settings
-	rng      *rand.Rand
-	clients  []*Client
-	enqueued int // requests that were enqueued
-	finished int // requests that ended, were rejected or were canceled
+	settings      Settings
+	rng           *rand.Rand
+	clients       []*Client
+	enqueuedCount int // requests that were enqueued
+	finishedCount int // requests that ended, were rejected or were canceled
 }
 
 // step applies one random event.
@@ -307,7 +307,7 @@
 		r.runUntil(r.now + r.rng.Int64N(30*ms))
 	case 1:
 		if r.cancelAny() {
-			r.finished++
+			r.finishedCount++
 		}
 	case 2:
 		if r.settings.MaxInFlight > 0 {
@@ -331,15 +331,15 @@
 
 // enqueueAny enqueues a request of a random client.
 func (r *randomRun) enqueueAny() {
-	r.enqueued++
+	r.enqueuedCount++
 	c := r.clients[r.rng.IntN(len(r.clients))]
 	onEnd := func(request *simRequest, _ monotime.Micros) {
-		r.finished++
+		r.finishedCount++
 		if request.startedAt > request.deadline {
 			r.t.Fatalf("a request was admitted at %d, after its deadline %d", request.startedAt, request.deadline)
 		}
 	}
-	r.enqueue(c, r.rng.IntN(2), r.now+r.rng.Int64N(200*ms), onEnd, func(Reason) { r.finished++ })
+	r.enqueue(c, r.rng.IntN(2), r.now+r.rng.Int64N(200*ms), onEnd, func(Reason) { r.finishedCount++ })
 }
 
 // checkLimits checks the limits on open requests, of each client and of the shared limit.
@@ -377,8 +377,8 @@
 			r.checkLimits()
 		}
 		r.runUntil(r.now + 10*second)
-		if r.enqueued != r.finished {
-			t.Fatalf("%d enqueued, %d finished", r.enqueued, r.finished)
+		if r.enqueuedCount != r.finishedCount {
+			t.Fatalf("%d enqueued, %d finished", r.enqueuedCount, r.finishedCount)
 		}
 		r.checkEmpty()
 	})
@@ -387,15 +387,15 @@
 // A client that uses half of its share is not affected by a client that sends twenty times as much: it never
 // waits behind the other client's queue, and none of its requests is rejected.
 func TestLightClientIsIsolatedFromHeavyClient(t *testing.T) {
-	run := func(heavyLoad float64) (p99 monotime.Micros, rejected int, share float64) {
+	simulate := func(heavyLoad float64) (p99 monotime.Micros, rejected int, share float64) {
 		rng := rand.New(rand.NewPCG(5, 3))
 		settings := Settings{InitialTimes: []monotime.Micros{10 * ms}, MaxInFlight: 16}
 		sim := newSimulation(t, settings, func(uint64) monotime.Micros {
 			return 8*ms + rng.Int64N(4*ms)
 		})
-		light := newTestClient(t, ClientSpec{Name: "light", Weight: 1})
-		heavy := newTestClient(t, ClientSpec{Name: "heavy", Weight: 1})
-		var times []monotime.Micros
+		lightClient := newTestClient(t, ClientSpec{Name: "light", Weight: 1})
+		heavyClient := newTestClient(t, ClientSpec{Name: "heavy", Weight: 1})
+		var responseTimes []monotime.Micros
 		var lightTime, totalTime monotime.Micros
 		nextAt := [2]float64{}
 		for sim.now < 20*second { // the light client sends 400 requests per second, half of its share
@@ -406,26 +406,26 @@
 			sim.runUntil(monotime.Micros(nextAt[sender]))
 			if sender == 0 {
 				nextAt[0] += rng.ExpFloat64() / 400 * float64(second)
-				sim.enqueue(light, 0, sim.now+250*ms, func(request *simRequest, end monotime.Micros) {
-					times = append(times, end-request.enqueuedAt)
+				sim.enqueue(lightClient, 0, sim.now+250*ms, func(request *simRequest, end monotime.Micros) {
+					responseTimes = append(responseTimes, end-request.enqueuedAt)
 					lightTime += end - request.startedAt
 					totalTime += end - request.startedAt
 				}, func(Reason) { rejected++ })
 				continue
 			}
 			nextAt[1] += rng.ExpFloat64() / (400 * heavyLoad) * float64(second)
-			sim.enqueue(heavy, 0, sim.now+250*ms, func(request *simRequest, end monotime.Micros) {
+			sim.enqueue(heavyClient, 0, sim.now+250*ms, func(request *simRequest, end monotime.Micros) {
 				totalTime += end - request.startedAt
 			}, nil)
 		}
-		slices.Sort(times)
-		return times[len(times)*99/100], rejected, 1 - float64(lightTime)/float64(totalTime)
+		slices.Sort(responseTimes)
+		return responseTimes[len(responseTimes)*99/100], rejected, 1 - float64(lightTime)/float64(totalTime)
 	}
-	aloneP99, rejected, _ := run(0)
+	aloneP99, rejected, _ := simulate(0)
 	if rejected != 0 {
 		t.Fatalf("%d requests of the light client rejected without the heavy client", rejected)
 	}
-	besideP99, rejected, share := run(20)
+	besideP99, rejected, share := simulate(20)
 	if rejected != 0 {
 		t.Errorf("%d requests of the light client rejected beside the heavy client", rejected)
 	}
@@ -495,34 +495,34 @@
 func TestClientLimits(t *testing.T) {
 	settings := Settings{InitialTimes: []monotime.Micros{10 * ms}, MaxInFlight: 1, Shared: &SharedLimit{Max: 4}}
 	sim := newSimulation(t, settings, func(uint64) monotime.Micros { return 10 * ms })
-	few := newTestClient(t, ClientSpec{Name: "few", Weight: 1, MaxOpen: 2})
-	fast := newTestClient(t, ClientSpec{Name: "fast", Weight: 1, Rate: 10, Burst: 2})
-	unlimited := newTestClient(t, ClientSpec{Name: "any", Weight: 1})
-	expect := func(c *Client, want Reason) {
+	fewOpenClient := newTestClient(t, ClientSpec{Name: "few", Weight: 1, MaxOpen: 2})
+	slowRateClient := newTestClient(t, ClientSpec{Name: "fast", Weight: 1, Rate: 10, Burst: 2})
+	unlimitedClient := newTestClient(t, ClientSpec{Name: "any", Weight: 1})
+	enqueueAndExpect := func(c *Client, want Reason) {
 		t.Helper()
-		got := None
-		sim.enqueue(c, 0, sim.now+second, nil, func(reason Reason) { got = reason })
-		if got != want {
-			t.Errorf("rejected for %q, want %q", got, want)
+		gotReason := None
+		sim.enqueue(c, 0, sim.now+second, nil, func(reason Reason) { gotReason = reason })
+		if gotReason != want {
+			t.Errorf("rejected for %q, want %q", gotReason, want)
 		}
 	}
-	expect(few, None)
-	expect(few, None)
-	expect(few, ClientAtLimit)
-	expect(unlimited, None)
-	expect(unlimited, None)
-	expect(unlimited, SharedLimitReached)
+	enqueueAndExpect(fewOpenClient, None)
+	enqueueAndExpect(fewOpenClient, None)
+	enqueueAndExpect(fewOpenClient, ClientAtLimit)
+	enqueueAndExpect(unlimitedClient, None)
+	enqueueAndExpect(unlimitedClient, None)
+	enqueueAndExpect(unlimitedClient, SharedLimitReached)
 	sim.runUntil(second)
-	expect(few, None)
-	expect(fast, None)
-	expect(fast, None)
-	expect(fast, ClientOverRate)
-	sim.scheduler.Enqueue(sim.now, fast, Request{ID: 999, Deadline: sim.now + second})
+	enqueueAndExpect(fewOpenClient, None)
+	enqueueAndExpect(slowRateClient, None)
+	enqueueAndExpect(slowRateClient, None)
+	enqueueAndExpect(slowRateClient, ClientOverRate)
+	sim.scheduler.Enqueue(sim.now, slowRateClient, Request{ID: 999, Deadline: sim.now + second})
 	if d, _ := sim.scheduler.Next(sim.now); d.RetryAfter != 100*ms {
 		t.Errorf("retry after %d us, want 100 ms at 10 requests per second", d.RetryAfter)
 	}
 	sim.runUntil(2 * second)
-	expect(fast, None)
+	enqueueAndExpect(slowRateClient, None)
 }
 
 func TestInvalidClientSpecs(t *testing.T) {
@@ -593,13 +593,13 @@
 			t.Fatalf("request %d: %+v, %v", id, d, ok)
 		}
 	}
-	admitted, queued := Decision{ID: 1}, Decision{}
-	enqueue(scheduler[0], a, admitted)
-	enqueue(scheduler[0], a, queued)
-	enqueue(scheduler[1], a, admitted)
+	wantAdmitted, wantWaiting := Decision{ID: 1}, Decision{}
+	enqueue(scheduler[0], a, wantAdmitted)
+	enqueue(scheduler[0], a, wantWaiting)
+	enqueue(scheduler[1], a, wantAdmitted)
 	enqueue(scheduler[1], a, Decision{ID: 1, Action: Reject, Reason: ClientAtLimit})
-	enqueue(scheduler[1], b, queued)
-	enqueue(scheduler[0], b, queued)
+	enqueue(scheduler[1], b, wantWaiting)
+	enqueue(scheduler[0], b, wantWaiting)
 	enqueue(scheduler[0], b, Decision{ID: 1, Action: Reject, Reason: SharedLimitReached})
 	if waiting, inFlight := a.Counts(); waiting != 1 || inFlight != 2 {
 		t.Errorf("a has %d waiting and %d in flight", waiting, inFlight)
@@ -608,5 +608,5 @@
 	if d, ok := scheduler[1].Next(0); !ok || d.ID != 5 || d.Action != Admit {
 		t.Errorf("after a request has ended: %+v, %v", d, ok)
 	}
-	enqueue(scheduler[1], a, queued)
+	enqueue(scheduler[1], a, wantWaiting)
 }
--- a/internal/decide/fairqueue/scheduler.go
+++ b/internal/decide/fairqueue/scheduler.go
@@ -46,8 +46,8 @@
 		s.Shared = &SharedLimit{}
 	}
 	scheduler := &Scheduler{settings: s, requests: map[uint64]*queuedRequest{}}
-	for _, expected := range s.InitialTimes {
-		scheduler.estimates = append(scheduler.estimates, serviceEstimate{mean: float64(max(1, expected))})
+	for _, initialTime := range s.InitialTimes {
+		scheduler.estimates = append(scheduler.estimates, serviceEstimate{mean: float64(max(1, initialTime))})
 	}
 	return scheduler
 }
@@ -75,9 +75,9 @@
 	cost := s.estimates[r.Class].mean
 	latestStart := s.latestStart(now, &r)
 	if s.mustWait() {
-		spare := latestStart - now
-		if delay := s.queueDelay(flow, cost); delay > spare {
-			s.reject(r.ID, WouldMissDeadline, delay-max(0, spare))
+		spareTime := latestStart - now
+		if delay := s.queueDelay(flow, cost); delay > spareTime {
+			s.reject(r.ID, WouldMissDeadline, delay-max(0, spareTime))
 			return
 		}
 	}
@@ -94,8 +94,8 @@
 	if client.spec.Rate > 0 {
 		client.refill(now)
 		if client.tokens < 1 {
-			wait := monotime.Micros(math.Ceil((1 - client.tokens) / client.spec.Rate * float64(second)))
-			return ClientOverRate, wait
+			waitTime := monotime.Micros(math.Ceil((1 - client.tokens) / client.spec.Rate * float64(second)))
+			return ClientOverRate, waitTime
 		}
 	}
 	if client.spec.MaxOpen > 0 && client.openRequests >= client.spec.MaxOpen {
--- a/internal/decide/fairqueue/service_time.go
+++ b/internal/decide/fairqueue/service_time.go
@@ -11,7 +11,7 @@
 type serviceEstimate struct {
 	mean      float64 // mean time in flight, at least 1
 	deviation float64 // mean deviation from the mean
-	known     bool    // there was a sample; otherwise mean is from Settings.InitialTimes
+	hasSample bool    // there was a sample; otherwise mean is from Settings.InitialTimes
 }
 
 // ServiceTime is the time for which requests of a class are in flight, in microseconds.
@@ -31,10 +31,10 @@
 // ObserveServiceTime adds a sample: the time for which a served request of a class was in flight.
 func (s *Scheduler) ObserveServiceTime(class int, timeInFlight monotime.Micros) {
 	estimate := &s.estimates[class]
-	if !estimate.known {
+	if !estimate.hasSample {
 		estimate.mean = float64(timeInFlight)
 		estimate.deviation = float64(timeInFlight) / initialDeviationDivisor
-		estimate.known = true
+		estimate.hasSample = true
 		return
 	}
 	estimate.deviation += (math.Abs(float64(timeInFlight)-estimate.mean) - estimate.deviation) / deviationGainDivisor
@@ -46,7 +46,7 @@
 func (s *Scheduler) ServiceTimes() []ServiceTime {
 	times := make([]ServiceTime, len(s.estimates))
 	for i, estimate := range s.estimates {
-		if estimate.known {
+		if estimate.hasSample {
 			times[i] = ServiceTime{estimate.mean, estimate.deviation}
 		}
 	}
--- a/internal/decide/overload/average.go
+++ b/internal/decide/overload/average.go
@@ -12,8 +12,8 @@
 // decayingRate measures a rate per second as an exponentially weighted average with the time constant
 // decayTimeConstant.
 type decayingRate struct {
-	sum       float64
-	updatedAt monotime.Micros
+	sum       float64         // decayed sum of the amounts, as of updatedAt
+	updatedAt monotime.Micros // instant
 }
 
 // decayed returns the exponentially decayed sum at the instant now.
@@ -38,8 +38,8 @@
 // movingAverage is an exponential moving average. It starts as a plain mean, so that an unusual first sample
 // loses its influence soon.
 type movingAverage struct {
-	value   float64
-	samples float64
+	value   float64 // current average
+	samples float64 // number of samples so far
 }
 
 // add adds a sample. Its weight is minWeight, or that of a sample in a plain mean if that is greater, as for
--- a/internal/decide/overload/bounds.go
+++ b/internal/decide/overload/bounds.go
@@ -72,9 +72,9 @@
 // admittedRatio returns the admitted fraction of the work offered in the last seconds; 1 if no work was
 // offered.
 func (c *Controller) admittedRatio(now monotime.Micros) float64 {
-	offered := c.workOffered.rate(now)
-	if offered > 0 {
-		return min(1, c.workAdmitted.rate(now)/offered)
+	offeredRate := c.workOffered.rate(now)
+	if offeredRate > 0 {
+		return min(1, c.workAdmitted.rate(now)/offeredRate)
 	}
 	return 1
 }
@@ -114,6 +114,6 @@
 // all classes of all instances together have forcedAdmitRate.
 func (c *Controller) forcedAdmitInterval() monotime.Micros {
 	classInstancePairs := float64(len(c.settings.Classes) * c.settings.Instances)
-	rate := forcedAdmitRate * float64(max(1, c.endpoints))
+	rate := forcedAdmitRate * float64(max(1, c.endpointCount))
 	return max(second, monotime.Micros(classInstancePairs/rate*float64(second)))
 }
--- a/internal/decide/overload/controller.go
+++ b/internal/decide/overload/controller.go
@@ -5,17 +5,17 @@
 // Controller limits the load that one instance adds to the endpoints during an overload. Create it with New. It
 // must not be used by several goroutines at once.
 type Controller struct {
-	settings             Settings
-	level                admissionLevel
-	shedding             sheddingOrder
-	retries              secondBudget  // budget for attempts after the first attempt of a request
-	acceptedInLastSecond slidingWindow // accepted first attempts of the last second
-	retryRatio           float64       // allowed retries per accepted first attempt, set by Bounds
-	probeTokens          probeBucket   // tokens for probes, earned by accepted first attempts
-	earnedProbes         secondBudget  // budget for earned probes: this instance's share of MaxEndpointProbeRate
-	discoveryProbes      secondBudget  // budget for unconditional probes: this instance's share of MinEndpointProbeRate
-
-	endpoints         int             // number of endpoints shared with the other instances
+	settings                 Settings
+	level                    admissionLevel
+	shedding                 sheddingOrder
+	retryBudget              secondBudget  // budget for attempts after the first attempt of a request
+	acceptedInLastSecond     slidingWindow // accepted first attempts of the last second
+	retryRatio               float64       // allowed retries per accepted first attempt, set by Bounds
+	probeTokens              probeBucket   // tokens for probes, earned by accepted first attempts
+	earnedProbeBudget        secondBudget  // this instance's share of MaxEndpointProbeRate
+	unconditionalProbeBudget secondBudget  // this instance's share of MinEndpointProbeRate
+
+	endpointCount     int             // number of endpoints shared with the other instances
 	classDemand       []decayingRate  // by class: requests per second, without client retries
 	tenantDemand      []decayingRate  // by tenant: requests per second, without client retries
 	responseTimes     []movingAverage // by class: mean response time, in microseconds
@@ -32,8 +32,8 @@
 // localShares are the fractions of its retry and probe budgets, 0 to 1, that an instance may use without a
 // quota lease.
 type localShares struct {
-	retries float64
-	probes  float64
+	retryBudget float64
+	probeBudget float64
 }
 
 const (
@@ -49,15 +49,15 @@
 		return nil, err
 	}
 	c := &Controller{
-		settings:        s,
-		classDemand:     make([]decayingRate, len(s.Classes)),
-		tenantDemand:    make([]decayingRate, len(s.Tenants)),
-		responseTimes:   make([]movingAverage, len(s.Classes)),
-		shedding:        newSheddingOrder(s),
-		retries:         secondBudget{seed: s.Seed},
-		earnedProbes:    secondBudget{seed: s.Seed ^ 1},
-		discoveryProbes: secondBudget{seed: s.Seed ^ 2},
-		retryRatio:      s.OverloadedRetryRatio,
+		settings:                 s,
+		classDemand:              make([]decayingRate, len(s.Classes)),
+		tenantDemand:             make([]decayingRate, len(s.Tenants)),
+		responseTimes:            make([]movingAverage, len(s.Classes)),
+		shedding:                 newSheddingOrder(s),
+		retryBudget:              secondBudget{seed: s.Seed},
+		earnedProbeBudget:        secondBudget{seed: s.Seed ^ 1},
+		unconditionalProbeBudget: secondBudget{seed: s.Seed ^ 2},
+		retryRatio:               s.OverloadedRetryRatio,
 	}
 	c.SetLocalShares(1, 1, 0)
 	for i := range c.responseTimes {
@@ -84,13 +84,13 @@
 
 // SetLocalShares sets the fractions, 0 to 1, of its retry and probe budgets that the instance may use without a
 // quota lease, and the rate of probes, per second, that it currently leases.
-func (c *Controller) SetLocalShares(retries, probes, leasedProbeRate float64) {
-	c.unleasedShares = localShares{retries: retries, probes: probes}
+func (c *Controller) SetLocalShares(retryBudget, probeBudget, leasedProbeRate float64) {
+	c.unleasedShares = localShares{retryBudget: retryBudget, probeBudget: probeBudget}
 	c.leasedProbeRate = leasedProbeRate
 }
 
 // SetEndpointCount sets the number of endpoints that the instance shares with the other instances.
-func (c *Controller) SetEndpointCount(n int) { c.endpoints = n }
+func (c *Controller) SetEndpointCount(n int) { c.endpointCount = n }
 
 // OnRequest processes the arrival of a client's request, which may raise the admission level. A client's retry
 // does not count as demand. tenant is an index in Settings.Tenants, or negative for a tenant that is not listed
@@ -112,9 +112,9 @@
 
 // OnAttemptSent records that an attempt was sent. The first attempt of a request counts as admitted work, every
 // further attempt counts against the retry budget.
-func (c *Controller) OnAttemptSent(now monotime.Micros, class int, first bool) {
-	if !first {
-		c.retries.sentEvents.add(now)
+func (c *Controller) OnAttemptSent(now monotime.Micros, class int, firstAttempt bool) {
+	if !firstAttempt {
+		c.retryBudget.sentEvents.add(now)
 	} else if class >= 0 && class < len(c.responseTimes) {
 		c.workOffered.add(now, c.requestCost(class))
 		c.workAdmitted.add(now, c.requestCost(class))
@@ -154,19 +154,19 @@
 // OnAttemptEnded records the outcome and the response time of an attempt. first is set for the first attempt of
 // a request.
 func (c *Controller) OnAttemptEnded(
-	now monotime.Micros, class int, first bool, outcome Outcome, responseTime monotime.Micros,
+	now monotime.Micros, class int, firstAttempt bool, outcome Outcome, responseTime monotime.Micros,
 ) {
 	if class < 0 || class >= len(c.settings.Classes) || outcome == Cancelled {
 		return
 	}
 	c.startSecond(now)
-	if first {
+	if firstAttempt {
 		c.endedFirstRate.add(now, 1)
 	}
 	objective := float64(c.settings.Classes[class].LatencyObjective)
 	switch outcome {
 	case Answered:
-		if first {
+		if firstAttempt {
 			c.acceptedFirstRate.add(now, 1)
 			c.acceptedInLastSecond.add(now)
 			c.probeTokens.earn(c.probeLimits(now))
@@ -184,11 +184,11 @@
 
 // startSecond sets the budgets of a second, once at its start.
 func (c *Controller) startSecond(now monotime.Micros) {
-	if now/second == c.retries.limitSecond {
+	if now/second == c.retryBudget.limitSecond {
 		return
 	}
 	limits := c.probeLimits(now)
-	c.retries.start(now, c.retryLimit(now))
-	c.earnedProbes.start(now, limits.maxEarnedRate)
-	c.discoveryProbes.start(now, limits.minRate)
+	c.retryBudget.start(now, c.retryLimit(now))
+	c.earnedProbeBudget.start(now, limits.maxEarnedRate)
+	c.unconditionalProbeBudget.start(now, limits.minRate)
 }
--- a/internal/decide/overload/level.go
+++ b/internal/decide/overload/level.go
@@ -81,11 +81,11 @@
 	if now < l.sharedUntil {
 		return
 	}
-	rise := increasePerSecond
+	increaseRate := increasePerSecond
 	if l.load < idleLoad {
-		rise = idleIncreasePerSecond
+		increaseRate = idleIncreasePerSecond
 	}
-	l.value = min(1, l.value+l.requestWeight*rise)
+	l.value = min(1, l.value+l.requestWeight*increaseRate)
 }
 
 // decreasePerSecond is the rate at which the level falls while all requests fail, as a multiple of the level
--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -97,15 +97,15 @@
 			controller: newTestController(t, s),
 		}
 		start := monotime.Micros(1_700_000_000_000_000)
-		pause := func() monotime.Micros { return monotime.Micros(r.rng.ExpFloat64() * 20_000) }
-		for now := start; len(r.sent)+len(r.accepted) < 400 && r.rng.IntN(5000) > 0; now += pause() {
+		randomPause := func() monotime.Micros { return monotime.Micros(r.rng.ExpFloat64() * 20_000) }
+		for now := start; len(r.sent)+len(r.accepted) < 400 && r.rng.IntN(5000) > 0; now += randomPause() {
 			r.step(t, now)
 		}
-		unserved := newTestController(t, s)
+		unservedController := newTestController(t, s)
 		for now := second; now < 20*second; now += 10_000 {
-			unserved.OnRequest(now, 0, -1, false)
-			unserved.OnAttemptEnded(now, 0, true, Overloaded, 1000)
-			if unserved.Bounds(now).RetryAllowed {
+			unservedController.OnRequest(now, 0, -1, false)
+			unservedController.OnAttemptEnded(now, 0, true, Overloaded, 1000)
+			if unservedController.Bounds(now).RetryAllowed {
 				t.Fatal("a retry is sent where nothing was ever accepted")
 			}
 		}
@@ -146,16 +146,16 @@
 // probesOfInstance returns the number of probes that one of many instances sends in each second of a retry
 // storm of its clients. If serving is false, the endpoints serve no requests. The instance sends no probes from
 // second 4 to 8 and thus saves its budget.
-func probesOfInstance(t *testing.T, number, instances int, serving bool) (probes [probeTestSeconds]float64) {
+func probesOfInstance(t *testing.T, instanceIndex, instances int, serving bool) (probes [probeTestSeconds]float64) {
 	t.Helper()
 	s := testSettings(0, instances)
-	s.Seed = uint64(number) * 977
+	s.Seed = uint64(instanceIndex) * 977
 	s.MaxEndpointProbeRate = 50
 	c := newTestController(t, s)
-	rng := rand.New(rand.NewPCG(uint64(number), 2))
+	rng := rand.New(rand.NewPCG(uint64(instanceIndex), 2))
 	// Mean time between two responses to this instance.
 	meanGap := float64(second) * float64(instances) / (probeTestEndpoints * probeTestServedRate)
-	next := monotime.Micros(rng.ExpFloat64() * meanGap)
+	nextResponseAt := monotime.Micros(rng.ExpFloat64() * meanGap)
 	for now := monotime.Micros(0); now < probeTestSeconds*second; now += second / 20 {
 		for range 5 {
 			c.OnRequest(now, 0, -1, true)
@@ -164,9 +164,9 @@
 		if serving || now%second == 0 { // endpoints send load reports even if they serve no requests
 			c.OnLoadReport(now, LoadReport{InFlight: 4, ServedRate: probeTestServedRate})
 		}
-		for serving && next <= now {
+		for serving && nextResponseAt <= now {
 			c.OnAttemptEnded(now, 0, true, Answered, 60_000)
-			next += 1 + monotime.Micros(rng.ExpFloat64()*meanGap)
+			nextResponseAt += 1 + monotime.Micros(rng.ExpFloat64()*meanGap)
 		}
 		saving := now >= 4*second && now < 9*second
 		for !saving && c.TakeProbe(now, nil) {
@@ -195,19 +195,19 @@
 		maxProbes = 2.5 + float64(min(instances, 300))/300 // the minimum rate, and the initial budget of each instance
 		minProbes = 0.3
 	}
-	sum := 0.0
+	probesSum := 0.0
 	for s, probes := range fleetProbes {
 		// Scaled to the whole fleet, per endpoint.
 		probes *= float64(instances) / float64(sampledInstances) / probeTestEndpoints
-		sum += probes
+		probesSum += probes
 		if probes > maxProbes+float64(minProbeBucket)/probeTestEndpoints {
 			t.Errorf("%d instances, served %v: %.1f probes at an endpoint in second %d, of %.1f",
 				instances, serving, probes, s, maxProbes)
 		}
 	}
-	if sum/9 < minProbes {
+	if probesSum/9 < minProbes {
 		t.Errorf("%d instances, served %v: %.2f probes a second at an endpoint, of %v at least",
-			instances, serving, sum/9, minProbes)
+			instances, serving, probesSum/9, minProbes)
 	}
 }
 
@@ -252,17 +252,17 @@
 
 // checkAdmission checks the admitted fractions of the classes at a level: they must descend in the given order
 // and add up to the level.
-func checkAdmission(t *testing.T, admit []float64, order []int, level, worstClassWeight float64) {
+func checkAdmission(t *testing.T, admitRatios []float64, order []int, level, worstClassWeight float64) {
 	t.Helper()
-	sum := 0.0
+	admittedWork := 0.0
 	for i, class := range order {
-		sum += admit[class] / 4
-		if i > 0 && admit[class] > admit[order[i-1]]+1e-9 {
-			t.Errorf("worst class %v, level %.2f: %v is not in order", worstClassWeight, level, admit)
+		admittedWork += admitRatios[class] / 4
+		if i > 0 && admitRatios[class] > admitRatios[order[i-1]]+1e-9 {
+			t.Errorf("worst class %v, level %.2f: %v is not in order", worstClassWeight, level, admitRatios)
 		}
 	}
-	if math.Abs(sum-level) > 1e-9 {
-		t.Errorf("worst class %v, level %.2f: %v adds up to %.3f", worstClassWeight, level, admit, sum)
+	if math.Abs(admittedWork-level) > 1e-9 {
+		t.Errorf("worst class %v, level %.2f: %v adds up to %.3f", worstClassWeight, level, admitRatios, admittedWork)
 	}
 }
 
@@ -276,9 +276,9 @@
 		}
 		order := []int{2, 3, 0, 1} // class indexes in the order of priority weight per cost
 		for level := 0.05; level <= 1; level += 0.05 {
-			admit, _ := c.shedding.ratios(level, c.responseTimes)
-			checkAdmission(t, admit, order, level, worstClassWeight)
-			lastRatio := admit[1]
+			admitRatios, _ := c.shedding.ratios(level, c.responseTimes)
+			checkAdmission(t, admitRatios, order, level, worstClassWeight)
+			lastRatio := admitRatios[1]
 			if worstClassWeight == 0 && level < 0.75 && lastRatio > 0 ||
 				worstClassWeight == 0.6 && lastRatio < level/2 {
 				t.Errorf("worst class %v, level %.2f: the last class has %.2f", worstClassWeight, level, lastRatio)
@@ -308,9 +308,9 @@
 				}
 			}
 		}
-		withinQuota := c.Bounds(4 * second).WithinQuotaRatio
-		if math.Abs(withinQuota[0]-test.withinA) > 0.02 || math.Abs(withinQuota[1]-test.withinB) > 0.02 {
-			t.Errorf("%v and %v a second: %.2f are within their quotas", test.rateA, test.rateB, withinQuota)
+		withinQuotaRatios := c.Bounds(4 * second).WithinQuotaRatio
+		if math.Abs(withinQuotaRatios[0]-test.withinA) > 0.02 || math.Abs(withinQuotaRatios[1]-test.withinB) > 0.02 {
+			t.Errorf("%v and %v a second: %.2f are within their quotas", test.rateA, test.rateB, withinQuotaRatios)
 		}
 	}
 }
@@ -321,7 +321,7 @@
 	for _, falseReport := range []LoadReport{
 		{1e9, 20}, {0, 1e12}, {math.Inf(1), 5}, {math.NaN(), math.NaN()}, {-1, 30}, {5, 0},
 	} {
-		for _, inFlight := range []float64{2, 9} { // at 40 requests per second these are 50 and 225 ms per request
+		for _, reportedInFlight := range []float64{2, 9} { // 50 and 225 ms per request, at 40 per second
 			c := newTestController(t, testSettings(0, 8))
 			now := monotime.Micros(0)
 			for i := range 2000 {
@@ -331,15 +331,15 @@
 				if i%12 == 0 {
 					c.OnLoadReport(now, falseReport)
 				} else {
-					c.OnLoadReport(now, LoadReport{inFlight, 40})
+					c.OnLoadReport(now, LoadReport{reportedInFlight, 40})
 				}
 			}
-			b := c.Bounds(now)
-			if wantUnbounded := inFlight == 2; wantUnbounded != (b.Reason == None) {
+			bounds := c.Bounds(now)
+			if wantUnbounded := reportedInFlight == 2; wantUnbounded != (bounds.Reason == None) {
 				t.Errorf("%v and others with %v in flight: %v at a load of %.2f",
-					falseReport, inFlight, b.Reason, b.Load)
+					falseReport, reportedInFlight, bounds.Reason, bounds.Load)
 			}
-			if probeRate := b.MaxProbeRate; !(probeRate >= 0) || math.IsInf(probeRate, 0) {
+			if probeRate := bounds.MaxProbeRate; !(probeRate >= 0) || math.IsInf(probeRate, 0) {
 				t.Errorf("%v: %v probes a second", falseReport, probeRate)
 			}
 		}
@@ -359,8 +359,8 @@
 		s := testSettings(0, 8)
 		invalidate(&s)
 		_, err := New(s)
-		var invalid *setting.Error
-		if !errors.As(err, &invalid) || invalid.Key != key {
+		var settingError *setting.Error
+		if !errors.As(err, &settingError) || settingError.Key != key {
 			t.Errorf("%s invalid: %v", key, err)
 		}
 	}
--- a/internal/decide/overload/probes.go
+++ b/internal/decide/overload/probes.go
@@ -54,12 +54,12 @@
 func (c *Controller) TakeProbe(now monotime.Micros, leaseProbe func() bool) bool {
 	c.startSecond(now)
 	switch {
-	case c.discoveryProbes.allows(now, math.Inf(1)):
-		c.discoveryProbes.sentEvents.add(now)
+	case c.unconditionalProbeBudget.allows(now, math.Inf(1)):
+		c.unconditionalProbeBudget.sentEvents.add(now)
 	case c.probeTokens.empty():
 		return false
-	case c.earnedProbes.allows(now, math.Inf(1)):
-		c.earnedProbes.sentEvents.add(now)
+	case c.earnedProbeBudget.allows(now, math.Inf(1)):
+		c.earnedProbeBudget.sentEvents.add(now)
 		c.probeTokens.take()
 	case leaseProbe != nil && leaseProbe():
 		c.probeTokens.take()
@@ -77,15 +77,15 @@
 	limits := probeLimits{
 		ratio:         s.ProbeRatio,
 		servedRate:    c.acceptedFirstRate.rate(now),
-		minRate:       s.MinEndpointProbeRate * float64(c.endpoints) / float64(s.Instances),
+		minRate:       s.MinEndpointProbeRate * float64(c.endpointCount) / float64(s.Instances),
 		maxEarnedRate: math.Inf(1),
 		leasedRate:    c.leasedProbeRate,
 	}
-	fleetRate := c.endpointRate.valueOr(0) * float64(c.endpoints)
+	fleetRate := c.endpointRate.valueOr(0) * float64(c.endpointCount)
 	if s.MaxEndpointProbeRate > 0 && fleetRate > 0 {
 		loadShare := min(1, limits.servedRate/fleetRate)
 		perEndpoint := max(0, s.MaxEndpointProbeRate-s.MinEndpointProbeRate)
-		limits.maxEarnedRate = c.unleasedShares.probes * perEndpoint * float64(c.endpoints) * loadShare
+		limits.maxEarnedRate = c.unleasedShares.probeBudget * perEndpoint * float64(c.endpointCount) * loadShare
 	}
 	return limits
 }
@@ -93,5 +93,5 @@
 // MaxFleetProbeRate returns the greatest rate of probes, per second, of all instances together; 0 means no
 // limit.
 func (c *Controller) MaxFleetProbeRate() float64 {
-	return c.settings.MaxEndpointProbeRate * float64(c.endpoints)
+	return c.settings.MaxEndpointProbeRate * float64(c.endpointCount)
 }
--- a/internal/decide/overload/retries.go
+++ b/internal/decide/overload/retries.go
@@ -20,13 +20,13 @@
 // nor its current value.
 func (c *Controller) RetryAllowed(now monotime.Micros) bool {
 	c.startSecond(now)
-	return c.retries.allows(now, c.retryLimit(now))
+	return c.retryBudget.allows(now, c.retryLimit(now))
 }
 
 // retryLimit returns the number of retries per second that the first attempts accepted in the last second
 // allow, limited to the share that the instance may use without a quota lease.
 func (c *Controller) retryLimit(now monotime.Micros) float64 {
-	return c.unleasedShares.retries * c.retryRatio * float64(c.acceptedInLastSecond.count(now, false))
+	return c.unleasedShares.retryBudget * c.retryRatio * float64(c.acceptedInLastSecond.count(now, false))
 }
 
 // reportTolerance is the factor by which the rate that endpoints serve may exceed the rate that they report,
@@ -38,7 +38,7 @@
 // served rates that endpoints report; it is infinite without reports.
 func (c *Controller) EarnedRetryRate(now monotime.Micros) (ownRate, maxFleetRate float64) {
 	maxFleetRate = math.Inf(1)
-	if reported := c.endpointRate.valueOr(0) * float64(c.endpoints); reported > 0 {
+	if reported := c.endpointRate.valueOr(0) * float64(c.endpointCount); reported > 0 {
 		maxFleetRate = c.settings.RetryRatio * reported * reportTolerance
 	}
 	return c.retryRatio * float64(c.acceptedInLastSecond.count(now, false)), maxFleetRate
--- a/internal/decide/overload/settings.go
+++ b/internal/decide/overload/settings.go
@@ -88,7 +88,7 @@
 			return invalidSetting(fmt.Sprintf("classes.%d", i), "worth must not be negative, aim must be positive")
 		}
 	}
-	for _, bounded := range []struct {
+	for _, bound := range []struct {
 		key   string
 		value float64
 		max   float64
@@ -102,8 +102,8 @@
 		{"goal.whole", s.GoalWeights.Overall, 1e6},
 		{"goal.worst_class", s.GoalWeights.WorstClass, 1e6},
 	} {
-		if !(bounded.value >= 0 && bounded.value <= bounded.max) {
-			return invalidSetting(bounded.key, fmt.Sprintf("must be in 0..%v", bounded.max))
+		if !(bound.value >= 0 && bound.value <= bound.max) {
+			return invalidSetting(bound.key, fmt.Sprintf("must be in 0..%v", bound.max))
 		}
 	}
 	if s.Instances < 1 {
--- a/internal/decide/overload/shared_level.go
+++ b/internal/decide/overload/shared_level.go
@@ -27,11 +27,11 @@
 func (l *SharedLevel) Update(now monotime.Micros, requests, failed, load float64) float64 {
 	seconds := min(1, float64(max(0, now-l.updatedAt))/float64(second))
 	l.updatedAt = now
-	rise := increasePerSecond
+	increaseRate := increasePerSecond
 	if load < idleLoad {
-		rise = idleIncreasePerSecond
+		increaseRate = idleIncreasePerSecond
 	}
-	l.value = min(1, l.value+seconds*rise)
+	l.value = min(1, l.value+seconds*increaseRate)
 	if requests > 0 {
 		l.value = max(minLevel, l.value-seconds*sharedDecreasePerSecond*l.value*min(1, failed/requests))
 	}
--- a/internal/decide/reuse/reuse_test.go
+++ b/internal/decide/reuse/reuse_test.go
@@ -54,20 +54,20 @@
 // for the pool.
 func TestReuseDelayFollowsLateness(t *testing.T) {
 	for _, c := range []struct {
-		lateness, interval monotime.Micros
-		atAddress, inPool  monotime.Micros // expected reuse delays
-		suspect            bool
+		lateness, interval          monotime.Micros
+		delayAtAddress, delayInPool monotime.Micros // expected reuse delays
+		suspect                     bool
 	}{
-		{lateness: 5 * ms, atAddress: 40 * ms, inPool: 20 * ms},
-		{lateness: 30 * ms, atAddress: 120 * ms, inPool: 60 * ms},
-		{lateness: 150 * ms, atAddress: 600 * ms, inPool: 300 * ms},
-		{lateness: 1000 * ms, atAddress: 4000 * ms, inPool: 2000 * ms},
-		{lateness: 1001 * ms, atAddress: 40 * ms, inPool: 20 * ms}, // over maxLateness, not counted
+		{lateness: 5 * ms, delayAtAddress: 40 * ms, delayInPool: 20 * ms},
+		{lateness: 30 * ms, delayAtAddress: 120 * ms, delayInPool: 60 * ms},
+		{lateness: 150 * ms, delayAtAddress: 600 * ms, delayInPool: 300 * ms},
+		{lateness: 1000 * ms, delayAtAddress: 4000 * ms, delayInPool: 2000 * ms},
+		{lateness: 1001 * ms, delayAtAddress: 40 * ms, delayInPool: 20 * ms}, // over maxLateness, not counted
 		{3 * ms, 60 * ms, 120 * ms, 120 * ms, true},
 		{60 * ms, 25 * ms, 120 * ms, 120 * ms, true},
 		{3 * ms, 300 * ms, 40 * ms, 20 * ms, true}, // interval over maxAssumedLateness: no misdelivery is assumed
 		{0, 60 * ms, 40 * ms, 20 * ms, true},       // arrived together with the previous response
-		{lateness: 3 * ms, interval: 2000 * ms, atAddress: 40 * ms, inPool: 20 * ms},
+		{lateness: 3 * ms, interval: 2000 * ms, delayAtAddress: 40 * ms, delayInPool: 20 * ms},
 	} {
 		t.Run(fmt.Sprint(c.lateness, c.interval), func(t *testing.T) {
 			d := newPunctualDecider(testSettings)
@@ -75,7 +75,7 @@
 			if suspect != c.suspect {
 				t.Errorf("suspect %v, want %v", suspect, c.suspect)
 			}
-			checkReuseDelays(t, d, evidencePeriod-1, c.atAddress, c.inPool, 20*ms)
+			checkReuseDelays(t, d, evidencePeriod-1, c.delayAtAddress, c.delayInPool, 20*ms)
 			checkReuseDelays(t, d, evidencePeriod, 20*ms, 20*ms, 20*ms)
 		})
 	}
@@ -85,17 +85,17 @@
 // assumed for the other one.
 func TestCertainLatenessExplainsOthers(t *testing.T) {
 	d := newPunctualDecider(testSettings)
-	ambiguous := SecondResponse{Endpoint: firstEndpoint, Lateness: 5 * ms, Interval: 200 * ms}
-	d.ObserveSecondResponse(0, ambiguous)
+	ambiguousResponse := SecondResponse{Endpoint: firstEndpoint, Lateness: 5 * ms, Interval: 200 * ms}
+	d.ObserveSecondResponse(0, ambiguousResponse)
 	checkReuseDelays(t, d, 0, 400*ms, 400*ms, 20*ms)
 	d.ObserveSecondResponse(0, SecondResponse{Endpoint: samePoolEndpoint, Lateness: 15 * ms})
 	checkReuseDelays(t, d, 0, 40*ms, 60*ms, 20*ms)
-	d.ObserveSecondResponse(0, ambiguous)
+	d.ObserveSecondResponse(0, ambiguousResponse)
 	checkReuseDelays(t, d, 0, 40*ms, 60*ms, 20*ms)
 	d.ObserveSecondResponse(0, SecondResponse{Endpoint: firstEndpoint, Lateness: 16 * ms, Interval: 70 * ms})
 	checkReuseDelays(t, d, 0, 140*ms, 140*ms, 20*ms)
 	d.ObserveSecondResponse(0, SecondResponse{Endpoint: samePoolEndpoint})
-	d.ObserveSecondResponse(0, ambiguous)
+	d.ObserveSecondResponse(0, ambiguousResponse)
 	checkReuseDelays(t, d, 0, 64*ms, 60*ms, 20*ms)
 }
 
@@ -117,21 +117,21 @@
 // processors far longer than they ran, even if the process itself was never late.
 func TestReuseDelayFollowsProcessorTime(t *testing.T) {
 	for _, c := range []struct {
-		ran, waited monotime.Micros
-		starved     bool
+		runTime, waitTime monotime.Micros
+		wantStarved       bool
 	}{
-		{ran: 10 * ms, waited: 39 * ms},
-		{ran: 10 * ms, waited: 40 * ms, starved: true},
-		{ran: 0, waited: minProcessorWait, starved: true},
-		{ran: 0, waited: minProcessorWait - 1},
-		{ran: 0, waited: 0},
+		{runTime: 10 * ms, waitTime: 39 * ms},
+		{runTime: 10 * ms, waitTime: 40 * ms, wantStarved: true},
+		{runTime: 0, waitTime: minProcessorWait, wantStarved: true},
+		{runTime: 0, waitTime: minProcessorWait - 1},
+		{runTime: 0, waitTime: 0},
 	} {
 		want := 20 * ms
-		if c.starved {
+		if c.wantStarved {
 			want += maxDelayAllowance
 		}
 		d := newPunctualDecider(testSettings)
-		d.ObserveProcessorTime(0, c.ran, c.waited)
+		d.ObserveProcessorTime(0, c.runTime, c.waitTime)
 		checkReuseDelays(t, d, 0, want, want, want)
 		checkReuseDelays(t, d, delayPeriod-1, want, want, want)
 		checkReuseDelays(t, d, delayPeriod, 20*ms, 20*ms, 20*ms)
@@ -198,18 +198,18 @@
 	predecessor := newPunctualDecider(testSettings)
 	predecessor.ObserveSecondResponse(0, SecondResponse{Endpoint: firstEndpoint, Lateness: 150 * ms})
 	takenAt := 10 * monotime.Second
-	s := predecessor.Snapshot(takenAt)
+	snapshot := predecessor.Snapshot(takenAt)
 	successor := newPunctualDecider(testSettings)
 	successor.ObserveSecondResponse(0, SecondResponse{Endpoint: otherPoolEndpoint, Lateness: 80 * ms})
 	const now = 1000 * monotime.Second // the clock of the successor has another origin
-	successor.Restore(now, s, age)
+	successor.Restore(now, snapshot, age)
 	successor.Restore(now, nil, age)
 	remaining := evidencePeriod - takenAt - age
 	checkReuseDelays(t, successor, now, 600*ms, 300*ms, 20*ms)
 	checkReuseDelays(t, successor, now+remaining-1, 600*ms, 300*ms, 20*ms)
 	checkReuseDelays(t, successor, now+remaining, 20*ms, 20*ms, 20*ms)
 	expired := newPunctualDecider(testSettings)
-	expired.Restore(now, s, evidencePeriod)
+	expired.Restore(now, snapshot, evidencePeriod)
 	checkReuseDelays(t, expired, now, 20*ms, 20*ms, 20*ms)
 	if len(expired.addresses) != 0 {
 		t.Error("an address with expired evidence was restored")
--- a/internal/decide/stall/stall_test.go
+++ b/internal/decide/stall/stall_test.go
@@ -42,21 +42,21 @@
 func TestDetector(t *testing.T) {
 	var d Detector
 	for _, step := range []struct {
-		run       monotime.Micros
+		runAt     monotime.Micros
 		waitUntil monotime.Micros // 0 means that the loop does not wait
 		want      monotime.Micros // length of the stall; 0 means no stall
 	}{
-		{run: 1000 * ms, waitUntil: 1020 * ms},
-		{run: 1021 * ms, waitUntil: 1041 * ms},
-		{run: 1030 * ms, waitUntil: 1050 * ms},
-		{run: 1666 * ms, want: 616 * ms},
-		{run: 1667 * ms},
-		{run: 1700 * ms, waitUntil: 9000 * ms, want: 33 * ms},
-		{run: 8000 * ms},
+		{runAt: 1000 * ms, waitUntil: 1020 * ms},
+		{runAt: 1021 * ms, waitUntil: 1041 * ms},
+		{runAt: 1030 * ms, waitUntil: 1050 * ms},
+		{runAt: 1666 * ms, want: 616 * ms},
+		{runAt: 1667 * ms},
+		{runAt: 1700 * ms, waitUntil: 9000 * ms, want: 33 * ms},
+		{runAt: 8000 * ms},
 	} {
-		stalled, found := d.Run(step.run)
-		if found != (step.want > 0) || found && (stalled.Length() != step.want || stalled.To != step.run) {
-			t.Errorf("at %d: %v %v, want %d", step.run, stalled, found, step.want)
+		stalled, found := d.Run(step.runAt)
+		if found != (step.want > 0) || found && (stalled.Length() != step.want || stalled.To != step.runAt) {
+			t.Errorf("at %d: %v %v, want %d", step.runAt, stalled, found, step.want)
 		}
 		if step.waitUntil > 0 {
 			d.WaitUntil(step.waitUntil)
