--- a/internal/decide/concurrency/limiter_test.go
+++ b/internal/decide/concurrency/limiter_test.go
@@ -116,7 +116,7 @@
 			phase, got, p.serverCount, p.limiter.Limit())
 	}
 	if got := float64(p.totalTime) / float64(p.servedCount) / meanTimeAlone; got > 1.9 {
-		t.Errorf("%s: requests took %.2f times their time alone, limit %d of %d servers",
+		t.Errorf("%s: requests took %.2f times as long as alone, limit %d with %d servers",
 			phase, got, p.limiter.Limit(), p.serverCount)
 	}
 }
@@ -161,7 +161,7 @@
 		for i := range 20_000 {
 			l.AddSample(monotime.Micros(i)*5*ms, 0, timeInFlight*monotime.Micros(i%7), 1+i%50, i%2 == 0)
 			if limit := l.Limit(); limit < 3 || limit > 40 {
-				t.Fatalf("took %d: limit %d", timeInFlight, limit)
+				t.Fatalf("time in flight %d: limit %d", timeInFlight, limit)
 			}
 		}
 	}
--- a/internal/decide/connlimit/connlimit_test.go
+++ b/internal/decide/connlimit/connlimit_test.go
@@ -145,7 +145,7 @@
 		t.Fatalf("at its own limit: %+v, want connection 1 evicted", evicted)
 	}
 	if c, evicted := table.Add(9, fewOwner, 5); c == nil || evicted == nil || evicted.owner != manyOwner {
-		t.Errorf("at the limit of all: %+v evicted, want one of many's", evicted)
+		t.Errorf("at the limit of the table: %+v evicted, want a connection of the owner with many", evicted)
 	}
 	// Idle connections are divided by weight: two of an owner with weight 4 count less than one with weight 1.
 	table = newTestTable(t, testLimits)
@@ -156,7 +156,7 @@
 	table.Add(5, lightOwner, 2)
 	table.Add(6, lightOwner, 3)
 	if got := table.Evictable(); got.owner != lightOwner {
-		t.Errorf("evictable: connection %d of heavy", got.Value)
+		t.Errorf("evictable: connection %d of the heavy owner", got.Value)
 	}
 	// If all connections of an owner at its limit are busy, its new connection is not kept, and no connection
 	// of another owner is evicted.
@@ -180,7 +180,7 @@
 	connB, _ := table.Add(0, o, 2)
 	if !table.ReserveBytes(connA, 600, false) || table.ReserveBytes(connB, 600, false) ||
 		!table.ReserveBytes(connB, 400, false) {
-		t.Fatal("600 and 400 of 1000 fit, 600 twice do not")
+		t.Fatal("want 600 and 400 of 1000 bytes reserved, but not 600 twice")
 	}
 	table.MarkBusy(connA)
 	if !table.ReserveBytes(connA, 5000, true) || o.ReservedBytes() != 6000 {
--- a/internal/decide/connlimit/eviction.go
+++ b/internal/decide/connlimit/eviction.go
@@ -81,10 +81,10 @@
 }
 
 // idleTimeout returns how long a connection of an owner may currently be idle. weights is the sum of the
-// weights of all owners with idle connections. Two timeouts are computed, from the idle connections of all
-// owners relative to Limits.MaxIdle, and from those of this owner relative to its share of that limit. The
-// longer one applies: many idle connections of one owner do not shorten the idle time of another owner within
-// its share.
+// weights of all owners with idle connections. The idle timeout is the longer of two: one follows the idle
+// connections of all owners relative to Limits.MaxIdle, the other one the idle connections of this owner
+// relative to its share of MaxIdle. Many idle connections of one owner therefore do not shorten the idle time
+// of another owner within its share.
 func (t *Table[T]) idleTimeout(o *Owner[T], weights float64) monotime.Micros {
 	maxIdle := float64(t.limits.MaxIdle)
 	usedFraction := float64(t.idle) / maxIdle
--- a/internal/decide/fairqueue/fairqueue_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -134,10 +134,10 @@
 		s.t.Fatalf("Counts: %d waiting and %d in flight, want %d and %d", gotWaiting, gotInFlight, waiting, inFlight)
 	}
 	if s.maxInFlight > 0 && inFlight > s.maxInFlight {
-		s.t.Fatalf("%d in flight of %d", inFlight, s.maxInFlight)
+		s.t.Fatalf("%d requests in flight, the limit is %d", inFlight, s.maxInFlight)
 	}
 	if waiting > 0 && (s.maxInFlight == 0 || inFlight < s.maxInFlight) {
-		s.t.Fatalf("%d wait while %d of %d slots are taken", waiting, inFlight, s.maxInFlight)
+		s.t.Fatalf("%d requests wait while %d are in flight and the limit is %d", waiting, inFlight, s.maxInFlight)
 	}
 }
 
@@ -160,7 +160,7 @@
 	sched := s.scheduler
 	if len(sched.requests) != 0 || sched.backlog.Len() != 0 || sched.expiry.Len() != 0 ||
 		sched.inFlight != 0 || sched.backlogWeight != 0 {
-		s.t.Fatalf("left behind: %+v", sched)
+		s.t.Fatalf("state of requests left in the scheduler: %+v", sched)
 	}
 }
 
--- a/internal/decide/overload/average.go
+++ b/internal/decide/overload/average.go
@@ -42,8 +42,7 @@
 	samples float64 // number of samples so far
 }
 
-// add adds a sample. Its weight is minWeight, or that of a sample in a plain mean if that is greater, as for
-// the first samples.
+// add adds a sample. The weight of the nth sample is minWeight or 1/n, whichever is greater.
 func (m *movingAverage) add(sample, minWeight float64) {
 	m.samples++
 	m.value += (sample - m.value) * max(minWeight, 1/m.samples)
--- a/internal/decide/overload/controller.go
+++ b/internal/decide/overload/controller.go
@@ -132,7 +132,8 @@
 	}
 }
 
-// requestCost returns the mean cost of a request of a class: its time at an endpoint, in microseconds.
+// requestCost returns the mean cost of a request of a class, in microseconds: the time that it takes at an
+// endpoint.
 func (c *Controller) requestCost(class int) float64 {
 	return c.responseTimes[class].value
 }
@@ -140,7 +141,7 @@
 // Outcome is the result of an attempt, as far as it depends on load.
 type Outcome uint8
 
-// The outcomes of attempts. Answered is that of an attempt to which the endpoint has responded.
+// The outcomes of attempts. Answered means that the endpoint has responded.
 const (
 	Answered   Outcome = iota
 	Overloaded         // rejected by the endpoint, or no response within the timeout
--- a/internal/decide/overload/level.go
+++ b/internal/decide/overload/level.go
@@ -11,10 +11,10 @@
 const minLevel = 0.05
 
 // admissionLevel is the fraction of a standard mix of work that is admitted (sheddingOrder). It rises by a step
-// for each request, and falls by a fraction of itself for each failed request: one that the balancer or an
-// endpoint rejects after its admission, or whose response is too late. These failures depend on the endpoints'
-// queues, which all instances share. As a high level falls by more than a low one, instances with the same
-// evidence converge (AIMD: Chiu and Jain 1989).
+// for each request, and falls by a fraction of itself for each failed request. A request has failed if the
+// balancer or an endpoint rejects it after its admission, or if its response is too late. These failures depend
+// on the endpoints' queues, which all instances share. As a high level falls by more than a low one, instances
+// with the same evidence converge (AIMD: Chiu and Jain 1989).
 //
 // The balancer's limits bound the endpoints' queues, request by request. The level only tracks how much work
 // these limits need not reject. It depends on demand and capacity and does not follow the queues, so that
@@ -55,8 +55,8 @@
 	l.load += (min(load, maxLoadSample) - l.load) * weight
 }
 
-// saturatedLoad is the mean load above which the endpoints count as saturated. The load is about a fifth while
-// a request is alone at its endpoint.
+// saturatedLoad is the mean load above which the endpoints count as saturated. Without other requests at its
+// endpoint, a request has a load of about 0.2.
 const saturatedLoad = 0.45
 
 // saturated reports whether the mean load is above saturatedLoad.
--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -79,7 +79,7 @@
 	sent := countWithinSecond(r.sent, now)
 	accepted := countWithinSecond(r.accepted, now)
 	if float64(sent) > r.settings.RetryRatio*float64(accepted)+1 {
-		t.Fatalf("seed %d: %d retries within a second of %d accepted", r.seed, sent, accepted)
+		t.Fatalf("seed %d: %d retries within a second with %d accepted attempts", r.seed, sent, accepted)
 	}
 }
 
@@ -106,7 +106,7 @@
 			unservedController.OnRequest(now, 0, -1, false)
 			unservedController.OnAttemptEnded(now, 0, true, Overloaded, 1000)
 			if unservedController.Bounds(now).RetryAllowed {
-				t.Fatal("a retry is sent where nothing was ever accepted")
+				t.Fatal("a retry was allowed although no attempt was accepted")
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 		}
 	}
 	if ratio := float64(retries) / float64(accepted); ratio > 0.2 || ratio < 0.04 {
-		t.Errorf("%.3f retries for each accepted attempt, want 0.2 at most", ratio)
+		t.Errorf("%.3f retries per accepted attempt, want 0.04 to 0.2", ratio)
 	}
 }
 
@@ -201,12 +201,12 @@
 		probes *= float64(instances) / float64(sampledInstances) / probeTestEndpoints
 		probesSum += probes
 		if probes > maxProbes+float64(minProbeBucket)/probeTestEndpoints {
-			t.Errorf("%d instances, served %v: %.1f probes at an endpoint in second %d, of %.1f",
+			t.Errorf("%d instances, serving %v: %.1f probes to an endpoint in second %d, want at most %.1f",
 				instances, serving, probes, s, maxProbes)
 		}
 	}
 	if probesSum/9 < minProbes {
-		t.Errorf("%d instances, served %v: %.2f probes a second at an endpoint, of %v at least",
+		t.Errorf("%d instances, serving %v: %.2f probes per second to an endpoint, want at least %v",
 			instances, serving, probesSum/9, minProbes)
 	}
 }
@@ -221,7 +221,7 @@
 	}
 }
 
-// The admission level is higher for a lower failure ratio. Levels of instances with the same failure ratio
+// The admission level is lower for a higher failure ratio. Levels of instances with the same failure ratio
 // converge within two seconds, whatever their initial values.
 func TestLevelFallsWithFailureRatio(t *testing.T) {
 	finalLevel := func(startLevel, failureRatio float64) float64 {
@@ -240,13 +240,14 @@
 	previous := 2.0
 	for _, failureRatio := range []float64{0, 0.02, 0.05, 0.1, 0.3, 0.9} {
 		if value := finalLevel(0.5, failureRatio); value > previous {
-			t.Errorf("with %v failed the level is %.2f, over %.2f with less", failureRatio, value, previous)
+			t.Errorf("failure ratio %v: level %.2f, above the level %.2f of a lower ratio",
+				failureRatio, value, previous)
 		} else {
 			previous = value
 		}
 	}
 	if fromHigh, fromLow := finalLevel(1, 0.5), finalLevel(0.05, 0.5); math.Abs(fromHigh-fromLow) > 0.12 {
-		t.Errorf("after two seconds of the same the levels are %.2f and %.2f", fromHigh, fromLow)
+		t.Errorf("levels %.2f and %.2f after two seconds with the same failure ratio", fromHigh, fromLow)
 	}
 }
 
@@ -258,11 +259,12 @@
 	for i, class := range order {
 		admittedWork += admitRatios[class] / 4
 		if i > 0 && admitRatios[class] > admitRatios[order[i-1]]+1e-9 {
-			t.Errorf("worst class %v, level %.2f: %v is not in order", worstClassWeight, level, admitRatios)
+			t.Errorf("worst class weight %v, level %.2f: %v is not in order", worstClassWeight, level, admitRatios)
 		}
 	}
 	if math.Abs(admittedWork-level) > 1e-9 {
-		t.Errorf("worst class %v, level %.2f: %v adds up to %.3f", worstClassWeight, level, admitRatios, admittedWork)
+		t.Errorf("worst class weight %v, level %.2f: %v adds up to %.3f",
+			worstClassWeight, level, admitRatios, admittedWork)
 	}
 }
 
@@ -281,7 +283,8 @@
 			lastRatio := admitRatios[1]
 			if worstClassWeight == 0 && level < 0.75 && lastRatio > 0 ||
 				worstClassWeight == 0.6 && lastRatio < level/2 {
-				t.Errorf("worst class %v, level %.2f: the last class has %.2f", worstClassWeight, level, lastRatio)
+				t.Errorf("worst class weight %v, level %.2f: last class admitted at %.2f",
+					worstClassWeight, level, lastRatio)
 			}
 		}
 	}
@@ -310,7 +313,8 @@
 		}
 		withinQuotaRatios := c.Bounds(4 * second).WithinQuotaRatio
 		if math.Abs(withinQuotaRatios[0]-test.withinA) > 0.02 || math.Abs(withinQuotaRatios[1]-test.withinB) > 0.02 {
-			t.Errorf("%v and %v a second: %.2f are within their quotas", test.rateA, test.rateB, withinQuotaRatios)
+			t.Errorf("%v and %v requests per second: fractions within quota %.2f",
+				test.rateA, test.rateB, withinQuotaRatios)
 		}
 	}
 }
@@ -336,11 +340,11 @@
 			}
 			bounds := c.Bounds(now)
 			if wantUnbounded := reportedInFlight == 2; wantUnbounded != (bounds.Reason == None) {
-				t.Errorf("%v and others with %v in flight: %v at a load of %.2f",
+				t.Errorf("false report %v, others with %v in flight: reason %v at load %.2f",
 					falseReport, reportedInFlight, bounds.Reason, bounds.Load)
 			}
 			if probeRate := bounds.MaxProbeRate; !(probeRate >= 0) || math.IsInf(probeRate, 0) {
-				t.Errorf("%v: %v probes a second", falseReport, probeRate)
+				t.Errorf("false report %v: %v probes per second", falseReport, probeRate)
 			}
 		}
 	}
@@ -361,7 +365,7 @@
 		_, err := New(s)
 		var settingError *setting.Error
 		if !errors.As(err, &settingError) || settingError.Key != key {
-			t.Errorf("%s invalid: %v", key, err)
+			t.Errorf("invalid %s: error %v", key, err)
 		}
 	}
 }
--- a/internal/decide/overload/shedding.go
+++ b/internal/decide/overload/shedding.go
@@ -28,8 +28,8 @@
 	callsSinceRank int         // calls of ratios since the last rank
 }
 
-// workGroup contains either the requests of a class that are within their tenants' quotas, or those over them.
-// If quotas do not matter (splitsByQuota), it contains all requests of the class.
+// workGroup contains the requests of a class that are either all within or all over their tenants' quotas. If
+// quotas do not matter (splitsByQuota), it contains all requests of the class.
 type workGroup struct {
 	class        int
 	overQuota    bool
@@ -60,8 +60,8 @@
 const rankInterval = 256
 
 // ratios returns the admitted fraction of each class at a level, for requests within and over their tenants'
-// quotas. The floor is admitted from every group. The remaining level then admits whole groups by rank, those
-// with the highest weight first.
+// quotas. Every group is admitted up to the floor. The remaining level then admits whole groups by rank, the
+// highest weight first.
 func (o *sheddingOrder) ratios(level float64, responseTimes []movingAverage) (admit, overQuotaAdmit []float64) {
 	o.callsSinceRank++
 	if len(o.groups) == 0 || o.callsSinceRank >= rankInterval {
--- a/internal/decide/reuse/evidence.go
+++ b/internal/decide/reuse/evidence.go
@@ -13,23 +13,23 @@
 }
 
 // mayFollowMisdelivery reports whether the previous response on the connection may have been a late response to
-// an earlier request, and was delivered to the wrong request. The second response is then the one to that
-// request.
+// an earlier request, and was delivered to the wrong request. In that case the second response is the actual
+// response to that request.
 func (s *SecondResponse) mayFollowMisdelivery() bool {
 	return s.Interval > 0 && s.Interval <= maxLateness
 }
 
 // impliesMisdelivery reports whether a misdelivery must be assumed: it is possible, and the second response did
-// not arrive together with the previous response. Both arrive together from endpoints that send a response
+// not arrive together with the previous response. If both arrive together, the endpoint has sent a response
 // twice at once.
 func (s *SecondResponse) impliesMisdelivery() bool {
 	return s.mayFollowMisdelivery() && s.Interval <= maxAssumedLateness && s.Lateness > 0
 }
 
 // provenLateness returns the least lateness that a second response proves. On the first response of a
-// connection no misdelivery is possible, and the lateness is certain. Otherwise either the second response
-// itself was late, or the previous response was late by the interval and the second response is the one to the
-// last request; the lesser of both times is proven. A lateness over maxLateness is not counted.
+// connection no misdelivery is possible, and the lateness is certain. Otherwise there are two explanations: the
+// second response itself was late, or the previous response was late by the interval and the second response
+// belongs to the last request. The lesser of both times is proven. A lateness over maxLateness is not counted.
 func (s *SecondResponse) provenLateness() monotime.Micros {
 	lateness := s.Lateness
 	if s.mayFollowMisdelivery() {
@@ -79,8 +79,8 @@
 	return max(p.proven.lateness(now), p.assumed.lateness(now))
 }
 
-// add records a second response. If another second response of the pool had a certain lateness that is no
-// shorter, it explains this one without a misdelivery: the endpoints of a pool usually run the same software.
+// add records a second response. If the pool has a certain lateness that is at least as long, no misdelivery is
+// assumed: the endpoints of a pool usually run the same software.
 func (p *poolEvidence) add(now monotime.Micros, s *SecondResponse) {
 	isExplained := p.certain.isRecent(now) && s.Lateness <= p.certain.longest
 	p.proven.add(now, s.provenLateness())
--- a/internal/decide/reuse/reuse.go
+++ b/internal/decide/reuse/reuse.go
@@ -48,8 +48,8 @@
 
 // Settings are the least reuse delays. With the zero Settings connections are reused at once.
 type Settings struct {
-	Rest           monotime.Micros // least of every endpoint; 0: only evidence of addresses is used
-	DistrustedRest monotime.Micros // least of a distrusted address (IsDistrusted); 0: no address is distrusted
+	Rest           monotime.Micros // least reuse delay of all endpoints; 0 disables pool and process evidence
+	DistrustedRest monotime.Micros // least reuse delay of a distrusted address (IsDistrusted); 0 disables distrust
 }
 
 // Endpoint identifies an endpoint by its pool and its address.
--- a/internal/decide/reuse/reuse_test.go
+++ b/internal/decide/reuse/reuse_test.go
@@ -16,7 +16,8 @@
 	otherPoolEndpoint = Endpoint{Pool: "archive", Address: "127.0.0.1:3"}
 )
 
-// newPunctualDecider returns a Decider with minObservations of this process, none of which is a delay.
+// newPunctualDecider returns a Decider that has observed its process minObservations times, always without a
+// delay.
 func newPunctualDecider(s Settings) *Decider {
 	d := New(s)
 	for range minObservations {
