--- a/internal/decide/concurrency/limiter.go
+++ b/internal/decide/concurrency/limiter.go
@@ -16,7 +16,7 @@
 	limit     float64       // requests in flight, outside of a measurement
 	slowStart bool          // the limit has not been too high yet, and grows by slowStartFactor
 
-	baselines []baseline // by class
+	baselines []baseline // baselines by class
 
 	// The samples of the current window.
 	windowStart   monotime.Micros
@@ -149,10 +149,10 @@
 	shrinkExcessDivisor = 2   // divisor of the excess of waiting requests that gives the decrease, at least one
 )
 
-// adjust grows, shrinks or keeps the limit at the end of a window. The number of requests in flight that were
-// only waiting at the endpoints is limit*(1-1/ratio), where ratio is the time of the samples divided by their
-// baselines. If few requests wait, the limit only grows if it was reached: otherwise there is no evidence of
-// more capacity.
+// adjust grows, shrinks or keeps the limit at the end of a window. The number of requests in flight that only
+// wait at the endpoints is limit*(1-1/timeRatio), where timeRatio is the sum of the times in flight divided by
+// the sum of the baselines. If few requests wait, the limit only grows if it was reached: otherwise there is no
+// evidence of more capacity.
 func (l *Limiter) adjust() {
 	timeRatio := max(1, l.sampleTimeSum/l.baselineSum)
 	waitingRequests := l.limit * (1 - 1/timeRatio)
--- a/internal/decide/connlimit/eviction.go
+++ b/internal/decide/connlimit/eviction.go
@@ -43,8 +43,8 @@
 	return evictFirst
 }
 
-// RemoveExpired removes and returns an idle connection that has been idle for its idleTimeout. If there is
-// none, it returns nil and the instant at which the next connection expires unless the numbers of idle
+// RemoveExpired removes and returns a connection that has been idle for its idleTimeout. If there is no such
+// connection, it returns nil and the instant at which the next connection expires unless the numbers of idle
 // connections change before; 0 if no connection is idle.
 func (t *Table[T]) RemoveExpired(now monotime.Micros) (expired *Conn[T], nextExpiry monotime.Micros) {
 	for {
--- a/internal/decide/overload/level.go
+++ b/internal/decide/overload/level.go
@@ -69,7 +69,7 @@
 	idleIncreasePerSecond = 0.5
 	idleLoad              = 0.3 // mean load below which the endpoints count as idle
 	// maxRequestWeight is the greatest weight of one request, in seconds. An instance with few requests thus
-	// bases its level on as many requests as a busy one, over a longer time.
+	// bases its level on as many requests as a busy instance, over a longer time.
 	maxRequestWeight = 0.1
 )
 
--- a/internal/decide/overload/probes.go
+++ b/internal/decide/overload/probes.go
@@ -27,11 +27,11 @@
 }
 
 const (
-	// probeBucketFillTime is the time in which probes at the current rate use up a full bucket. Its size allows
-	// probes to be sent in bursts between responses.
+	// probeBucketFillTime is the time in which accepted first attempts at the current rate fill an empty
+	// bucket. The size of the bucket allows bursts of probes between responses.
 	probeBucketFillTime = second / 2
 	// minProbeBucket is the least size of a bucket, in probes: two for the candidates of one request, and one
-	// more.
+	// spare.
 	minProbeBucket = 3
 )
 
