--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -10,7 +10,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// testSettings has four classes as a clinic's, and the goal's weight of the worst class.
+// testSettings returns settings with four classes, as a clinic's service has, and the given goal weight of the
+// worst-served class.
 func testSettings(worstClassWeight float64, instances int) Settings {
 	millis := func(ms int64) monotime.Micros { return ms * 1000 }
 	return Settings{
@@ -36,7 +37,7 @@
 	return c
 }
 
-// countWithinSecond returns how many instants are within the second that ends at now.
+// countWithinSecond returns how many of the instants lie within the second that ends at now.
 func countWithinSecond(instants []monotime.Micros, now monotime.Micros) (n int) {
 	for _, at := range instants {
 		if at > now-second {
@@ -46,17 +47,19 @@
 	return n
 }
 
-// retryRun is a controller to which random requests are passed, and the instants of first attempts and retries.
+// retryRun passes random requests to a controller, and records the instants of accepted first attempts and of
+// retries.
 type retryRun struct {
 	seed       uint64
 	settings   Settings
 	rng        *rand.Rand
 	controller *Controller
-	accepted   []monotime.Micros // first attempts
-	sent       []monotime.Micros // retries
+	accepted   []monotime.Micros // instants at which first attempts were accepted
+	sent       []monotime.Micros // instants at which retries were sent
 }
 
-// step passes a request and perhaps an outcome to the controller, and sends a retry if that is allowed.
+// step passes a request, and at random an outcome, to the controller, and sends a retry if the controller
+// allows it.
 func (r *retryRun) step(t *testing.T, now monotime.Micros) {
 	t.Helper()
 	c := r.controller
@@ -76,12 +79,13 @@
 	sent := countWithinSecond(r.sent, now)
 	accepted := countWithinSecond(r.accepted, now)
 	if float64(sent) > r.settings.RetryRatio*float64(accepted)+1 {
-		t.Fatalf("seed %d: %d retries within a second of %d accepted", r.seed, sent, accepted)
+		t.Fatalf("seed %d: %d retries within a second with %d accepted attempts", r.seed, sent, accepted)
 	}
 }
 
-// Whatever is requested, rejected and retried, at no instant have more retries been sent within a second than the
-// ratio of the first attempts accepted in it, and where none is accepted no retry is sent.
+// Guards against a retry storm. With random requests, rejections and retries, the retries sent within any
+// second must not exceed the retry ratio times the first attempts accepted in that second. If no attempt is
+// accepted, no retry is sent.
 func TestRetriesStayWithinBudgetInAnySecond(t *testing.T) {
 	for seed := range uint64(200) {
 		s := testSettings(0, 8)
@@ -93,74 +97,76 @@
 			controller: newTestController(t, s),
 		}
 		start := monotime.Micros(1_700_000_000_000_000)
-		pause := func() monotime.Micros { return monotime.Micros(r.rng.ExpFloat64() * 20_000) }
-		for now := start; len(r.sent)+len(r.accepted) < 400 && r.rng.IntN(5000) > 0; now += pause() {
+		randomPause := func() monotime.Micros { return monotime.Micros(r.rng.ExpFloat64() * 20_000) }
+		for now := start; len(r.sent)+len(r.accepted) < 400 && r.rng.IntN(5000) > 0; now += randomPause() {
 			r.step(t, now)
 		}
-		quiet := newTestController(t, s)
+		unservedController := newTestController(t, s)
 		for now := second; now < 20*second; now += 10_000 {
-			quiet.OnRequest(now, 0, -1, false)
-			quiet.OnAttemptEnded(now, 0, true, Overloaded, 1000)
-			if quiet.Bounds(now).RetryAllowed {
-				t.Fatal("a retry is sent where nothing was ever accepted")
+			unservedController.OnRequest(now, 0, -1, false)
+			unservedController.OnAttemptEnded(now, 0, true, Overloaded, 1000)
+			if unservedController.Bounds(now).RetryAllowed {
+				t.Fatal("a retry was allowed although no attempt was accepted")
 			}
 		}
 	}
 }
 
-// Many quiet instances, each with a budget of less than one retry, send the ratio of what all were served.
+// Many instances with little traffic, each with a budget of less than one retry, together send the configured
+// ratio of retries.
 func TestQuietInstancesShareRetryBudget(t *testing.T) {
 	const n = 400
-	sent, accepted := 0, 0
+	retries, accepted := 0, 0
 	for i := range uint64(n) {
 		s := testSettings(0, n)
 		s.Seed = i * 77
 		c := newTestController(t, s)
 		rng := rand.New(rand.NewPCG(i, 3))
 		for now := 1000 * second; now < 1020*second; now += 1 + monotime.Micros(rng.ExpFloat64()*float64(second)) {
-			// one a second, and as many failures
+			// each instance has one accepted attempt per second, and may then retry
 			c.OnAttemptEnded(now, 0, true, Answered, 50_000)
 			accepted++
 			for c.Bounds(now + 1).RetryAllowed {
 				c.OnAttemptSent(now+1, 0, false)
-				sent++
+				retries++
 			}
 		}
 	}
-	if ratio := float64(sent) / float64(accepted); ratio > 0.2 || ratio < 0.04 {
-		t.Errorf("%.3f retries for each accepted attempt, want 0.2 at most", ratio)
+	if ratio := float64(retries) / float64(accepted); ratio > 0.2 || ratio < 0.04 {
+		t.Errorf("%.3f retries per accepted attempt, want 0.04 to 0.2", ratio)
 	}
 }
 
 const (
 	probeTestEndpoints  = 12
-	probeTestServedRate = 40.0 // requests a second that each endpoint serves
+	probeTestServedRate = 40.0 // requests per second that each endpoint serves
 	probeTestSeconds    = 14
 )
 
-// probesOfInstance returns the probes that one of so many instances sends in each second, during a retry storm of its
-// clients. With serving false the endpoints serve nothing. For five seconds it sends none, and saves up what it may.
-func probesOfInstance(t *testing.T, number, instances int, serving bool) (probes [probeTestSeconds]float64) {
+// probesOfInstance returns the number of probes that one of many instances sends in each second of a retry
+// storm of its clients. If serving is false, the endpoints serve no requests. The instance sends no probes from
+// second 4 to 8 and thus saves its budget.
+func probesOfInstance(t *testing.T, instanceIndex, instances int, serving bool) (probes [probeTestSeconds]float64) {
 	t.Helper()
 	s := testSettings(0, instances)
-	s.Seed = uint64(number) * 977
+	s.Seed = uint64(instanceIndex) * 977
 	s.MaxEndpointProbeRate = 50
 	c := newTestController(t, s)
-	rng := rand.New(rand.NewPCG(uint64(number), 2))
-	// Mean time between the instance's own answers.
-	gap := float64(second) * float64(instances) / (probeTestEndpoints * probeTestServedRate)
-	next := monotime.Micros(rng.ExpFloat64() * gap)
+	rng := rand.New(rand.NewPCG(uint64(instanceIndex), 2))
+	// Mean time between two responses to this instance.
+	meanGap := float64(second) * float64(instances) / (probeTestEndpoints * probeTestServedRate)
+	nextResponseAt := monotime.Micros(rng.ExpFloat64() * meanGap)
 	for now := monotime.Micros(0); now < probeTestSeconds*second; now += second / 20 {
 		for range 5 {
 			c.OnRequest(now, 0, -1, true)
 			c.OnRejected(now, 0, true)
 		}
-		if serving || now%second == 0 { // load reports go on when nothing is served
+		if serving || now%second == 0 { // endpoints send load reports even if they serve no requests
 			c.OnLoadReport(now, LoadReport{InFlight: 4, ServedRate: probeTestServedRate})
 		}
-		for serving && next <= now {
+		for serving && nextResponseAt <= now {
 			c.OnAttemptEnded(now, 0, true, Answered, 60_000)
-			next += 1 + monotime.Micros(rng.ExpFloat64()*gap)
+			nextResponseAt += 1 + monotime.Micros(rng.ExpFloat64()*meanGap)
 		}
 		saving := now >= 4*second && now < 9*second
 		for !saving && c.TakeProbe(now, nil) {
@@ -170,41 +176,43 @@
 	return probes
 }
 
-// checkProbes checks the probes of a fleet at one endpoint: in each second, and their mean over the nine seconds in
-// which probes are sent.
+// checkProbes checks the probes of a whole fleet to one endpoint: their number in each second, and their mean
+// rate over the nine seconds in which probes are sent.
 func checkProbes(t *testing.T, instances int, serving bool) {
 	t.Helper()
 	var fleetProbes [probeTestSeconds]float64
-	sampled := min(instances, 1000) // all are alike
-	for i := range sampled {
+	sampledInstances := min(instances, 1000) // all instances behave alike, so that a sample is enough
+	for i := range sampledInstances {
 		for s, probes := range probesOfInstance(t, i, instances, serving) {
 			fleetProbes[s] += probes
 		}
 	}
-	// Chance of the draws and of who is served how much, at these sizes: a quarter.
+	// At these sizes, random draws and the random distribution of served requests vary the result by up to a
+	// quarter.
 	maxProbes := 50*1.25 + 1
 	minProbes := 0.0
 	if !serving {
-		maxProbes = 2.5 + float64(min(instances, 300))/300 // the minimum, and what instances start with
+		maxProbes = 2.5 + float64(min(instances, 300))/300 // the minimum rate, and the initial budget of each instance
 		minProbes = 0.3
 	}
-	sum := 0.0
+	probesSum := 0.0
 	for s, probes := range fleetProbes {
-		probes *= float64(instances) / float64(sampled) / probeTestEndpoints // at an endpoint
-		sum += probes
+		// Scaled to the whole fleet, per endpoint.
+		probes *= float64(instances) / float64(sampledInstances) / probeTestEndpoints
+		probesSum += probes
 		if probes > maxProbes+float64(minProbeBucket)/probeTestEndpoints {
-			t.Errorf("%d instances, served %v: %.1f probes at an endpoint in second %d, of %.1f",
+			t.Errorf("%d instances, serving %v: %.1f probes to an endpoint in second %d, want at most %.1f",
 				instances, serving, probes, s, maxProbes)
 		}
 	}
-	if sum/9 < minProbes {
-		t.Errorf("%d instances, served %v: %.2f probes a second at an endpoint, of %v at least",
-			instances, serving, sum/9, minProbes)
+	if probesSum/9 < minProbes {
+		t.Errorf("%d instances, serving %v: %.2f probes per second to an endpoint, want at least %v",
+			instances, serving, probesSum/9, minProbes)
 	}
 }
 
-// The probes of all instances at one endpoint are bounded within every second, whether they are 1 or 5,000,
-// whatever is rejected and repeated and however much all have saved up, and there are always some.
+// The probes of all instances to one endpoint are limited within every second, for 1 to 5,000 instances,
+// whatever is rejected and retried and however much budget was saved. Some probes are always sent.
 func TestFleetProbesStayWithinEndpointBound(t *testing.T) {
 	for _, instances := range []int{1, 8, 300, 5000} {
 		for _, serving := range []bool{true, false} {
@@ -213,104 +221,111 @@
 	}
 }
 
-// The better an instance is served, the higher its level; and instances that see the same converge to the same
-// level within two seconds, wherever they started.
+// The admission level is lower for a higher failure ratio. Levels of instances with the same failure ratio
+// converge within two seconds, whatever their initial values.
 func TestLevelFallsWithFailureRatio(t *testing.T) {
-	play := func(from, failedRatio float64) float64 {
+	finalLevel := func(startLevel, failureRatio float64) float64 {
 		var l admissionLevel
-		l.value = from
+		l.value = startLevel
 		rng := rand.New(rand.NewPCG(9, 9))
 		for now := monotime.Micros(0); now < 2*second; now += 10_000 {
 			l.addSample(now, 0.5)
 			l.onRequest(now)
-			if rng.Float64() < l.value && rng.Float64() < failedRatio {
+			if rng.Float64() < l.value && rng.Float64() < failureRatio {
 				l.onFailure()
 			}
 		}
 		return l.value
 	}
-	last := 2.0
-	for _, failedRatio := range []float64{0, 0.02, 0.05, 0.1, 0.3, 0.9} {
-		if value := play(0.5, failedRatio); value > last {
-			t.Errorf("with %v failed the level is %.2f, over %.2f with less", failedRatio, value, last)
+	previous := 2.0
+	for _, failureRatio := range []float64{0, 0.02, 0.05, 0.1, 0.3, 0.9} {
+		if value := finalLevel(0.5, failureRatio); value > previous {
+			t.Errorf("failure ratio %v: level %.2f, above the level %.2f of a lower ratio",
+				failureRatio, value, previous)
 		} else {
-			last = value
+			previous = value
 		}
 	}
-	if a, b := play(1, 0.5), play(0.05, 0.5); math.Abs(a-b) > 0.12 {
-		t.Errorf("after two seconds of the same the levels are %.2f and %.2f", a, b)
+	if fromHigh, fromLow := finalLevel(1, 0.5), finalLevel(0.05, 0.5); math.Abs(fromHigh-fromLow) > 0.12 {
+		t.Errorf("levels %.2f and %.2f after two seconds with the same failure ratio", fromHigh, fromLow)
 	}
 }
 
-// checkAdmission checks the admitted parts of the classes at a level: they are in an order, and add up to the level.
-func checkAdmission(t *testing.T, admit []float64, order []int, level, worstClassWeight float64) {
+// checkAdmission checks the admitted fractions of the classes at a level: they must descend in the given order
+// and add up to the level.
+func checkAdmission(t *testing.T, admitRatios []float64, order []int, level, worstClassWeight float64) {
 	t.Helper()
-	sum := 0.0
+	admittedWork := 0.0
 	for i, class := range order {
-		sum += admit[class] / 4
-		if i > 0 && admit[class] > admit[order[i-1]]+1e-9 {
-			t.Errorf("worst class %v, level %.2f: %v is not in order", worstClassWeight, level, admit)
+		admittedWork += admitRatios[class] / 4
+		if i > 0 && admitRatios[class] > admitRatios[order[i-1]]+1e-9 {
+			t.Errorf("worst class weight %v, level %.2f: %v is not in order", worstClassWeight, level, admitRatios)
 		}
 	}
-	if math.Abs(sum-level) > 1e-9 {
-		t.Errorf("worst class %v, level %.2f: %v adds up to %.3f", worstClassWeight, level, admit, sum)
+	if math.Abs(admittedWork-level) > 1e-9 {
+		t.Errorf("worst class weight %v, level %.2f: %v adds up to %.3f",
+			worstClassWeight, level, admitRatios, admittedWork)
 	}
 }
 
-// The class with the highest priority weight for its cost is admitted first, and what is admitted adds up to the
-// level; where the goal weighs the class served worst, a part of all classes is served.
+// The class with the highest priority weight per cost is admitted first, and the admitted work adds up to the
+// level. If the goal includes the worst-served class, a fraction of every class is admitted.
 func TestAdmissionFollowsPriorityWeight(t *testing.T) {
 	for _, worstClassWeight := range []float64{0, 0.2, 0.6} {
 		c := newTestController(t, testSettings(worstClassWeight, 8))
 		for i, ms := range []float64{35, 29, 27, 54} {
-			c.answerTimes[i].value = ms * 1000
+			c.responseTimes[i].value = ms * 1000
 		}
-		order := []int{2, 3, 0, 1} // chair-status, book, open-slots, patient-card
+		order := []int{2, 3, 0, 1} // class indexes in the order of priority weight per cost
 		for level := 0.05; level <= 1; level += 0.05 {
-			admit, _ := c.shedding.ratios(level, c.answerTimes)
-			checkAdmission(t, admit, order, level, worstClassWeight)
-			lowest := admit[1]
-			if worstClassWeight == 0 && level < 0.75 && lowest > 0 || worstClassWeight == 0.6 && lowest < level/2 {
-				t.Errorf("worst class %v, level %.2f: the last class has %.2f", worstClassWeight, level, lowest)
+			admitRatios, _ := c.shedding.ratios(level, c.responseTimes)
+			checkAdmission(t, admitRatios, order, level, worstClassWeight)
+			lastRatio := admitRatios[1]
+			if worstClassWeight == 0 && level < 0.75 && lastRatio > 0 ||
+				worstClassWeight == 0.6 && lastRatio < level/2 {
+				t.Errorf("worst class weight %v, level %.2f: last class admitted at %.2f",
+					worstClassWeight, level, lastRatio)
 			}
 		}
 	}
 }
 
-// A tenant whose demand is more than its part of the mix is over its quota by that, and the other is not; two that
-// demand twice the capacity, each in its part, are both within; so is one without a quota.
+// If a tenant's fraction of the demand is greater than its fraction of the quotas, only its excess is over
+// quota and the other tenant is not affected. Two tenants in proportion to their quotas are both within quota,
+// even at twice the capacity. A tenant without a quota is always within quota.
 func TestDemandOverTenantShare(t *testing.T) {
 	s := testSettings(0, 8)
 	s.OverQuotaWeight = 0.05
-	for _, test := range []struct{ allowedB, a, b, inA, inB float64 }{
+	for _, test := range []struct{ quotaB, rateA, rateB, withinA, withinB float64 }{
 		{50, 100, 100, 1, 1},
 		{50, 300, 100, 0.83, 1},
 		{50, 2, 0, 1, 1},
 		{0, 100, 300, 1, 1},
 	} {
-		s.Tenants = []Tenant{{50}, {test.allowedB}}
+		s.Tenants = []Tenant{{50}, {test.quotaB}}
 		c := newTestController(t, s)
 		for now := monotime.Micros(0); now < 4*second; now += second / 50 {
-			for i, rate := range []float64{test.a, test.b} {
+			for i, rate := range []float64{test.rateA, test.rateB} {
 				for range int(rate / 50) {
 					c.OnRequest(now, 0, i, false)
 				}
 			}
 		}
-		withinQuota := c.Bounds(4 * second).WithinQuotaRatio
-		if math.Abs(withinQuota[0]-test.inA) > 0.02 || math.Abs(withinQuota[1]-test.inB) > 0.02 {
-			t.Errorf("%v and %v a second: %.2f are within their quotas", test.a, test.b, withinQuota)
+		withinQuotaRatios := c.Bounds(4 * second).WithinQuotaRatio
+		if math.Abs(withinQuotaRatios[0]-test.withinA) > 0.02 || math.Abs(withinQuotaRatios[1]-test.withinB) > 0.02 {
+			t.Errorf("%v and %v requests per second: fractions within quota %.2f",
+				test.rateA, test.rateB, withinQuotaRatios)
 		}
 	}
 }
 
-// One endpoint of twelve with false load reports, either way, does not make an instance take calm for an overload
-// or an overload for calm; invalid reports are ignored.
+// One of twelve endpoints sends false load reports, too high or too low. They must neither cause a false
+// overload nor hide a real one. Invalid reports are ignored.
 func TestFalseLoadReportsDoNotHideOverload(t *testing.T) {
 	for _, falseReport := range []LoadReport{
 		{1e9, 20}, {0, 1e12}, {math.Inf(1), 5}, {math.NaN(), math.NaN()}, {-1, 30}, {5, 0},
 	} {
-		for _, inFlight := range []float64{2, 9} { // at 40 a second: 50 and 225 ms
+		for _, reportedInFlight := range []float64{2, 9} { // 50 and 225 ms per request, at 40 per second
 			c := newTestController(t, testSettings(0, 8))
 			now := monotime.Micros(0)
 			for i := range 2000 {
@@ -320,22 +335,22 @@
 				if i%12 == 0 {
 					c.OnLoadReport(now, falseReport)
 				} else {
-					c.OnLoadReport(now, LoadReport{inFlight, 40})
+					c.OnLoadReport(now, LoadReport{reportedInFlight, 40})
 				}
 			}
-			b := c.Bounds(now)
-			if calm := inFlight == 2; calm != (b.Reason == None) {
-				t.Errorf("%v and others with %v in flight: %v at a load of %.2f",
-					falseReport, inFlight, b.Reason, b.Load)
+			bounds := c.Bounds(now)
+			if wantUnbounded := reportedInFlight == 2; wantUnbounded != (bounds.Reason == None) {
+				t.Errorf("false report %v, others with %v in flight: reason %v at load %.2f",
+					falseReport, reportedInFlight, bounds.Reason, bounds.Load)
 			}
-			if probeRate := b.MaxProbeRate; !(probeRate >= 0) || math.IsInf(probeRate, 0) {
-				t.Errorf("%v: %v probes a second", falseReport, probeRate)
+			if probeRate := bounds.MaxProbeRate; !(probeRate >= 0) || math.IsInf(probeRate, 0) {
+				t.Errorf("false report %v: %v probes per second", falseReport, probeRate)
 			}
 		}
 	}
 }
 
-// The error of an invalid setting names it.
+// The error for an invalid setting contains the key of that setting.
 func TestInvalidSettingIsNamed(t *testing.T) {
 	for key, invalidate := range map[string]func(*Settings){
 		"classes":     func(s *Settings) { s.Classes = nil },
@@ -348,9 +363,9 @@
 		s := testSettings(0, 8)
 		invalidate(&s)
 		_, err := New(s)
-		var invalid *setting.Error
-		if !errors.As(err, &invalid) || invalid.Key != key {
-			t.Errorf("%s invalid: %v", key, err)
+		var settingError *setting.Error
+		if !errors.As(err, &settingError) || settingError.Key != key {
+			t.Errorf("invalid %s: error %v", key, err)
 		}
 	}
 }
--- a/internal/decide/reuse/snapshot.go
+++ b/internal/decide/reuse/snapshot.go
@@ -2,28 +2,28 @@
 
 import "dunlinsail/internal/monotime"
 
-// Snapshot is the evidence of a Decider for the process that takes over from it. Instants are relative to that of the
-// snapshot. Predecessor and successor may be different builds: the names in the tags are the stored form, and never
-// change.
+// Snapshot is the evidence that a Decider passes to its successor. Instants are relative to the instant of the
+// snapshot. Predecessor and successor may be different builds: the names in the tags are the stored form, and
+// never change.
 type Snapshot struct {
-	Pools     map[string]PoolSnapshot     `json:"Pools,omitempty"`     // by name
-	Addresses map[string]EvidenceSnapshot `json:"Addresses,omitempty"` // by address
+	Pools     map[string]PoolSnapshot     `json:"Pools,omitempty"`     // by pool name
+	Addresses map[string]EvidenceSnapshot `json:"Addresses,omitempty"` // by endpoint address
 }
 
-// EvidenceSnapshot is the longest lateness of second responses, in microseconds.
+// EvidenceSnapshot is the longest lateness of second responses, with times in microseconds.
 type EvidenceSnapshot struct {
-	ForgetAfter monotime.Micros `json:"ForgetAfter"`
-	Longest     monotime.Micros `json:"Longest"`
+	ExpiresAfter monotime.Micros `json:"ForgetAfter"` // from the instant of the snapshot
+	Longest      monotime.Micros `json:"Longest"`
 }
 
-// PoolSnapshot is the evidence of a pool.
+// PoolSnapshot is the evidence of a pool. Its fields are those of poolEvidence.
 type PoolSnapshot struct {
-	Proven  EvidenceSnapshot `json:"Proven"`  // how late second responses were at least
-	Certain EvidenceSnapshot `json:"Certain"` // those to the first request on a connection
-	Assumed EvidenceSnapshot `json:"Assumed"` // if responses were delivered to the wrong requests
+	Proven  EvidenceSnapshot `json:"Proven"`  // least lateness that second responses prove
+	Certain EvidenceSnapshot `json:"Certain"` // lateness of second responses to the first request on a connection
+	Assumed EvidenceSnapshot `json:"Assumed"` // lateness if responses were delivered to the wrong requests
 }
 
-// Snapshot returns the evidence at an instant.
+// Snapshot returns the evidence at the instant now.
 func (d *Decider) Snapshot(now monotime.Micros) *Snapshot {
 	s := &Snapshot{Pools: map[string]PoolSnapshot{}, Addresses: map[string]EvidenceSnapshot{}}
 	for name, p := range d.pools {
@@ -43,38 +43,39 @@
 	return s
 }
 
-// Restore adds the evidence of a snapshot that is some time old. A nil snapshot is none.
+// Restore adds the evidence of a snapshot with the given age. A nil snapshot is ignored.
 func (d *Decider) Restore(now monotime.Micros, s *Snapshot, age monotime.Micros) {
 	if s == nil {
 		return
 	}
-	for name, from := range s.Pools {
-		p := d.pool(name)
-		p.proven.restore(now, age, from.Proven, maxLateness)
-		p.certain.restore(now, age, from.Certain, maxLateness)
-		p.assumed.restore(now, age, from.Assumed, maxAssumed)
+	for name, poolSnapshot := range s.Pools {
+		p := d.ensurePool(name)
+		p.proven.restore(now, age, poolSnapshot.Proven, maxLateness)
+		p.certain.restore(now, age, poolSnapshot.Certain, maxLateness)
+		p.assumed.restore(now, age, poolSnapshot.Assumed, maxAssumedLateness)
 	}
-	for address, from := range s.Addresses {
-		d.address(address).restore(now, age, from, maxLateness)
+	for address, addressSnapshot := range s.Addresses {
+		d.ensureAddress(address).restore(now, age, addressSnapshot, maxLateness)
 	}
 	d.Expire(now)
 }
 
-// snapshot returns the evidence with times relative to an instant.
+// snapshot returns the evidence with its expiry relative to the instant now, or an empty snapshot if it has
+// expired.
 func (e *evidence) snapshot(now monotime.Micros) EvidenceSnapshot {
 	if !e.isRecent(now) {
 		return EvidenceSnapshot{}
 	}
-	return EvidenceSnapshot{ForgetAfter: e.forgetAt - now, Longest: e.longest}
+	return EvidenceSnapshot{ExpiresAfter: e.expiresAt - now, Longest: e.longest}
 }
 
-// restore adds evidence that is some time old, unless it is to be forgotten by now. A lateness over limit counts as
-// limit.
-func (e *evidence) restore(now, age monotime.Micros, from EvidenceSnapshot, limit monotime.Micros) {
-	forgetAt := now - age + min(from.ForgetAfter, evidencePeriod)
-	if forgetAt <= now {
+// restore adds the evidence of a snapshot with the given age, unless it has expired. A lateness over maxLongest
+// is reduced to maxLongest.
+func (e *evidence) restore(now, age monotime.Micros, snapshot EvidenceSnapshot, maxLongest monotime.Micros) {
+	expiresAt := now - age + min(snapshot.ExpiresAfter, evidencePeriod)
+	if expiresAt <= now {
 		return
 	}
-	e.longest = max(e.lateness(now), min(from.Longest, limit))
-	e.forgetAt = max(e.forgetAt, forgetAt)
+	e.longest = max(e.lateness(now), min(snapshot.Longest, maxLongest))
+	e.expiresAt = max(e.expiresAt, expiresAt)
 }
--- a/internal/decide/stall/stall_test.go
+++ b/internal/decide/stall/stall_test.go
@@ -29,34 +29,34 @@
 
 func TestLogKeepsTheLatestStalls(t *testing.T) {
 	var l Log
-	for i := range monotime.Micros(2 * maxRecent) {
+	for i := range monotime.Micros(2 * maxStalls) {
 		l.Add(Interval{From: 2 * i * ms, To: (2*i + 1) * ms})
 	}
-	if got := l.Within(0, monotime.Second); len(l.recent) != maxRecent || got != maxRecent*ms {
-		t.Errorf("%d stalls with %d, want %d", len(l.recent), got, maxRecent)
+	if got := l.Within(0, monotime.Second); len(l.stalls) != maxStalls || got != maxStalls*ms {
+		t.Errorf("%d stalls with %d, want %d", len(l.stalls), got, maxStalls)
 	}
 }
 
-// A loop that runs when it is due, or before that for an event, is not stalled; one that runs late is, whether it was
-// waiting or busy.
+// A loop that runs when it is due, or earlier because of an event, is not stalled. A loop that runs late is
+// stalled, whether it was waiting or busy.
 func TestDetector(t *testing.T) {
 	var d Detector
 	for _, step := range []struct {
-		run       monotime.Micros
-		waitUntil monotime.Micros // 0: the loop does not wait
-		want      monotime.Micros // length of the stall; 0 is none
+		runAt     monotime.Micros
+		waitUntil monotime.Micros // 0 means that the loop does not wait
+		want      monotime.Micros // length of the stall; 0 means no stall
 	}{
-		{run: 1000 * ms, waitUntil: 1020 * ms},
-		{run: 1021 * ms, waitUntil: 1041 * ms},
-		{run: 1030 * ms, waitUntil: 1050 * ms},
-		{run: 1666 * ms, want: 616 * ms},
-		{run: 1667 * ms},
-		{run: 1700 * ms, waitUntil: 9000 * ms, want: 33 * ms},
-		{run: 8000 * ms},
+		{runAt: 1000 * ms, waitUntil: 1020 * ms},
+		{runAt: 1021 * ms, waitUntil: 1041 * ms},
+		{runAt: 1030 * ms, waitUntil: 1050 * ms},
+		{runAt: 1666 * ms, want: 616 * ms},
+		{runAt: 1667 * ms},
+		{runAt: 1700 * ms, waitUntil: 9000 * ms, want: 33 * ms},
+		{runAt: 8000 * ms},
 	} {
-		stalled, found := d.Run(step.run)
-		if found != (step.want > 0) || found && (stalled.Length() != step.want || stalled.To != step.run) {
-			t.Errorf("at %d: %v %v, want %d", step.run, stalled, found, step.want)
+		stalled, found := d.Run(step.runAt)
+		if found != (step.want > 0) || found && (stalled.Length() != step.want || stalled.To != step.runAt) {
+			t.Errorf("at %d: %v %v, want %d", step.runAt, stalled, found, step.want)
 		}
 		if step.waitUntil > 0 {
 			d.WaitUntil(step.waitUntil)
