--- a/internal/decide/coordination/doc.go
+++ b/internal/decide/coordination/doc.go
@@ -6,7 +6,7 @@
 // A few instances, the candidates, are named in the settings of all. The one that wins the lease by the votes of a
 // majority of them is the allocator. Every instance sends the allocator a quota.LeaseRequest at each request
 // interval, with its observations. The allocator replies with a quota.Grant and the aggregate of all observations. An
-// instance that does not know the allocator, or gets no reply for maxUnanswered intervals, sends its request to all
+// instance that does not know the allocator, or gets no reply for maxUnansweredIntervals intervals, sends its request to all
 // candidates.
 //
 // No request of a client waits for a message. An instance without a reply continues with its lease until that expires,
--- a/internal/decide/coordination/member.go
+++ b/internal/decide/coordination/member.go
@@ -11,8 +11,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// delayStream is the number of the random stream of this package's delays: the lease's voter draws from the same seed.
-const delayStream = 3
+// delayRandomStream is the number of the random stream of this package's delays: the lease's voter draws from the same seed.
+const delayRandomStream = 3
 
 // Member is one instance of the fleet. Create one with New; it sends nothing, and spends nothing, before Start or
 // Restore. It is not safe for concurrent use.
@@ -23,13 +23,13 @@
 	voter    *lease.Voter // nil if this instance is not a candidate, or not active
 
 	// As a lessee.
-	lessee          *quota.Lessee
-	observe         func(now monotime.Micros) observations.Observations // may be nil
-	received        observations.Aggregate                              // the latest from the allocator
-	receivedAt      monotime.Micros
-	receivedNew     bool // received has changed since TakeAggregate
-	nextRequestAt   monotime.Micros
-	unansweredSince monotime.Micros // when the latest grant arrived, or the allocator was forgotten for lack of one
+	lessee              *quota.Lessee
+	observe             func(now monotime.Micros) observations.Observations // may be nil
+	receivedAggregate   observations.Aggregate                              // the latest from the allocator
+	aggregateReceivedAt monotime.Micros
+	aggregateUnread     bool // received has changed since TakeAggregate
+	nextRequestAt       monotime.Micros
+	unansweredSince     monotime.Micros // when the latest grant arrived, or the allocator was forgotten for lack of one
 
 	// As the allocator.
 	allocator    *quota.Allocator
@@ -43,7 +43,7 @@
 func New(s Settings) (*Member, error) {
 	m := &Member{
 		settings:     s,
-		rng:          rand.New(rand.NewPCG(s.Seed, delayStream)),
+		rng:          rand.New(rand.NewPCG(s.Seed, delayRandomStream)),
 		aggregator:   observations.NewAggregator(),
 		sharedLevels: map[string]*overload.SharedLevel{},
 	}
@@ -171,13 +171,13 @@
 
 // TakeAggregate returns the latest aggregate of all instances' observations. changed is false if that was returned
 // before. An expired aggregate becomes the zero value, which is returned as changed once.
-func (m *Member) TakeAggregate(now monotime.Micros) (all observations.Aggregate, changed bool) {
+func (m *Member) TakeAggregate(now monotime.Micros) (aggregate observations.Aggregate, changed bool) {
 	lifetime := aggregateLifetime * m.settings.Quota.RequestInterval
-	if !m.receivedNew && m.received.Reporters > 0 && now-m.receivedAt > lifetime {
-		m.received = observations.Aggregate{}
-		m.receivedNew = true
+	if !m.aggregateUnread && m.receivedAggregate.Reporters > 0 && now-m.aggregateReceivedAt > lifetime {
+		m.receivedAggregate = observations.Aggregate{}
+		m.aggregateUnread = true
 	}
-	changed = m.receivedNew
-	m.receivedNew = false
-	return m.received, changed
+	changed = m.aggregateUnread
+	m.aggregateUnread = false
+	return m.receivedAggregate, changed
 }
--- a/internal/decide/coordination/member_test.go
+++ b/internal/decide/coordination/member_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	second     = monotime.Second
-	budgetName = "b"
-	units      = 100
+	second      = monotime.Second
+	budgetName  = "b"
+	budgetUnits = 100
 )
 
 // convergenceTime is the time after which a fleet without faults has an allocator that has recovered, and each member
@@ -26,7 +26,7 @@
 	now      monotime.Micros
 	names    []string
 	members  map[string]*Member
-	cut      map[string]bool // members that receive no messages
+	isolated map[string]bool // members that receive no messages
 	inFlight []inFlightMessage
 }
 
@@ -55,7 +55,7 @@
 // startFleet starts members, the first three of which are candidates.
 func startFleet(t *testing.T, names ...string) *fleet {
 	t.Helper()
-	f := &fleet{t: t, names: names, members: map[string]*Member{}, cut: map[string]bool{}}
+	f := &fleet{t: t, names: names, members: map[string]*Member{}, isolated: map[string]bool{}}
 	for i, name := range names {
 		f.members[name] = f.newMember(name)
 		f.members[name].Start(f.now, uint64(i+1))
@@ -67,23 +67,23 @@
 	f.t.Helper()
 	m, err := New(testSettings(name, f.names[:min(3, len(f.names))], len(f.names)))
 	require.NoError(f.t, err)
-	m.SetBudget(budgetName, units, false)
+	m.SetBudget(budgetName, budgetUnits, false)
 	return m
 }
 
 // run advances the time by d. Each member demands a unit each step, so that the whole budget is in demand.
-func (f *fleet) run(d monotime.Micros) {
+func (f *fleet) run(duration monotime.Micros) {
 	f.t.Helper()
 	const step = second / 1000
-	for end := f.now + d; f.now < end; f.now += step {
+	for end := f.now + duration; f.now < end; f.now += step {
 		arrived := f.inFlight
 		f.inFlight = nil
 		for _, m := range arrived {
 			if m.arrivesAt > f.now {
 				f.inFlight = append(f.inFlight, m)
-			} else if !f.cut[m.to] {
+			} else if !f.isolated[m.to] {
 				f.members[m.to].Receive(f.now, m.from, m.message)
-				f.collect(m.to)
+				f.queueOutgoing(m.to)
 			}
 		}
 		allowed := 0
@@ -93,17 +93,17 @@
 			if f.now >= m.NextTick() {
 				m.Tick(f.now)
 			}
-			f.collect(name)
+			f.queueOutgoing(name)
 			allowed += m.Allowed(f.now, budgetName)
 		}
-		if allowed > units {
-			f.t.Fatalf("%d of %d units are allowed at %d", allowed, units, f.now)
+		if allowed > budgetUnits {
+			f.t.Fatalf("%d of %d units are allowed at %d", allowed, budgetUnits, f.now)
 		}
 	}
 }
 
 // collect puts a member's outgoing messages on the network.
-func (f *fleet) collect(from string) {
+func (f *fleet) queueOutgoing(from string) {
 	for _, o := range f.members[from].TakeOutgoing() {
 		f.inFlight = append(f.inFlight, inFlightMessage{from, o.To, f.now + second/1000, o.Message})
 	}
@@ -125,7 +125,7 @@
 }
 
 // allowed returns the sum of the units that all members may spend within a second.
-func (f *fleet) allowed() (sum int) {
+func (f *fleet) totalAllowed() (sum int) {
 	for _, m := range f.members {
 		sum += m.Allowed(f.now, budgetName)
 	}
@@ -146,8 +146,8 @@
 					t.Errorf("%s: %+v, not a lease from %s", name, v, allocator)
 				}
 			}
-			if n := f.allowed(); n < 9*units/10 {
-				t.Errorf("only %d of %d units are allowed, though all are in demand", n, units)
+			if allowed := f.totalAllowed(); allowed < 9*budgetUnits/10 {
+				t.Errorf("only %d of %d units are allowed, though all are in demand", allowed, budgetUnits)
 			}
 			if v := f.members[allocator].View(f.now); v.RecoveryRemaining != 0 || len(v.Leases) != len(names) {
 				t.Errorf("the allocator shows %+v", v)
@@ -159,31 +159,31 @@
 func TestLeavingAllocatorIsReplacedBeforeItsLeaseExpires(t *testing.T) {
 	f := startFleet(t, "a", "b", "c", "d")
 	f.run(convergenceTime)
-	first := f.allocator()
-	f.members[first].resign(f.now)
-	f.collect(first)
+	firstAllocator := f.allocator()
+	f.members[firstAllocator].resign(f.now)
+	f.queueOutgoing(firstAllocator)
 	f.run(3 * second / 4) // less than the lease's duration
-	if next := f.allocator(); next == "" || next == first {
-		t.Errorf("the allocator is %q after %s has left", next, first)
+	if newAllocator := f.allocator(); newAllocator == "" || newAllocator == firstAllocator {
+		t.Errorf("the allocator is %q after %s has left", newAllocator, firstAllocator)
 	}
 }
 
 func TestSilentAllocatorIsReplacedAndLeasesExpire(t *testing.T) {
 	f := startFleet(t, "a", "b", "c", "d")
 	f.run(convergenceTime)
-	first := f.allocator()
-	f.cut[first] = true
+	firstAllocator := f.allocator()
+	f.isolated[firstAllocator] = true
 	f.run(convergenceTime)
-	next := f.allocator()
-	if next == "" || next == first {
-		t.Errorf("the allocator is %q after %s is cut off", next, first)
+	newAllocator := f.allocator()
+	if newAllocator == "" || newAllocator == firstAllocator {
+		t.Errorf("the allocator is %q after %s is cut off", newAllocator, firstAllocator)
 	}
-	if v := f.members["d"].View(f.now); v.Allocator != next || v.LeaseRemaining <= 0 {
-		t.Errorf("d: %+v, not a lease from %s", v, next)
+	if v := f.members["d"].View(f.now); v.Allocator != newAllocator || v.LeaseRemaining <= 0 {
+		t.Errorf("d: %+v, not a lease from %s", v, newAllocator)
 	}
-	minimum := f.members[first].settings.Quota.Minimum(units)
-	if n := f.members[first].Allowed(f.now, budgetName); n != minimum {
-		t.Errorf("the one that is cut off may spend %d, not its minimum of %d", n, minimum)
+	minimum := f.members[firstAllocator].settings.Quota.Minimum(budgetUnits)
+	if allowed := f.members[firstAllocator].Allowed(f.now, budgetName); allowed != minimum {
+		t.Errorf("the one that is cut off may spend %d, not its minimum of %d", allowed, minimum)
 	}
 }
 
@@ -197,14 +197,14 @@
 		t.Error("the predecessor spends after it has handed over")
 	}
 	predecessor.Tick(f.now)
-	if out := predecessor.TakeOutgoing(); len(out) != 0 {
-		t.Errorf("the predecessor sends %v", out)
+	if outgoing := predecessor.TakeOutgoing(); len(outgoing) != 0 {
+		t.Errorf("the predecessor sends %v", outgoing)
 	}
 	successor := f.newMember("d")
 	successor.Restore(f.now, 0, 99, state)
 	f.members["d"] = successor
-	if n := successor.Allowed(f.now, budgetName); n != allowed {
-		t.Errorf("the successor may spend %d, its predecessor %d", n, allowed)
+	if successorAllowed := successor.Allowed(f.now, budgetName); successorAllowed != allowed {
+		t.Errorf("the successor may spend %d, its predecessor %d", successorAllowed, allowed)
 	}
 	f.run(second)
 	if v := successor.View(f.now); v.LeaseRemaining <= 0 {
@@ -219,17 +219,17 @@
 	}
 	f.run(convergenceTime)
 	d := f.members["d"]
-	all, changed := d.TakeAggregate(f.now)
-	if !changed || all.Reporters != len(f.names) {
-		t.Errorf("d has received %+v, changed %v", all, changed)
+	aggregate, changed := d.TakeAggregate(f.now)
+	if !changed || aggregate.Reporters != len(f.names) {
+		t.Errorf("d has received %+v, changed %v", aggregate, changed)
 	}
 	if _, changed := d.TakeAggregate(f.now); changed {
 		t.Error("an aggregate is returned as new twice")
 	}
-	f.cut["d"] = true
+	f.isolated["d"] = true
 	f.run(2 * aggregateLifetime * d.settings.Quota.RequestInterval)
-	if all, changed := d.TakeAggregate(f.now); !changed || all.Reporters != 0 {
-		t.Errorf("%+v, changed %v, after the aggregate has expired", all, changed)
+	if aggregate, changed := d.TakeAggregate(f.now); !changed || aggregate.Reporters != 0 {
+		t.Errorf("%+v, changed %v, after the aggregate has expired", aggregate, changed)
 	}
 	if _, changed := d.TakeAggregate(f.now); changed {
 		t.Error("an aggregate expires twice")
@@ -241,8 +241,8 @@
 	require.NoError(t, err)
 	m.Receive(0, "b", Message{Request: &quota.LeaseRequest{Incarnation: 1, Sequence: 1}})
 	m.Tick(second)
-	if out := m.TakeOutgoing(); len(out) != 0 || m.Active() {
-		t.Errorf("sends %v before it is started", out)
+	if outgoing := m.TakeOutgoing(); len(outgoing) != 0 || m.Active() {
+		t.Errorf("sends %v before it is started", outgoing)
 	}
 }
 
--- a/internal/decide/coordination/protocol.go
+++ b/internal/decide/coordination/protocol.go
@@ -71,22 +71,22 @@
 	}
 }
 
-// maxUnanswered is the time without a grant, in request intervals, after which requests go to all candidates.
-const maxUnanswered = 3
+// maxUnansweredIntervals is the time without a grant, in request intervals, after which requests go to all candidates.
+const maxUnansweredIntervals = 3
 
 // requestJitterDivisor gives the range of the time between two requests, as a part of the request interval, half of it
 // below the interval and half above. Without jitter the instances' requests would synchronize.
 const requestJitterDivisor = 8
 
 // sendRequest requests a quota lease from the allocator, or from all candidates if the allocator is not known or has
-// not replied for maxUnanswered request intervals. It sets the time of the next request.
+// not replied for maxUnansweredIntervals request intervals. It sets the time of the next request.
 func (m *Member) sendRequest(now monotime.Micros) {
 	interval := m.settings.Quota.RequestInterval
 	m.nextRequestAt = now + interval - interval/(2*requestJitterDivisor) + m.rng.Int64N(interval/requestJitterDivisor)
 	if len(m.settings.Candidates) == 0 {
 		return
 	}
-	if now-m.unansweredSince > maxUnanswered*interval {
+	if now-m.unansweredSince > maxUnansweredIntervals*interval {
 		m.lessee.ForgetAllocator()
 		m.unansweredSince = now
 	}
@@ -149,9 +149,9 @@
 	}
 	m.unansweredSince = now
 	if message.Aggregate != nil {
-		m.received = *message.Aggregate
-		m.receivedAt = now
-		m.receivedNew = true
+		m.receivedAggregate = *message.Aggregate
+		m.aggregateReceivedAt = now
+		m.aggregateUnread = true
 	}
 }
 
--- a/internal/decide/coordination/view.go
+++ b/internal/decide/coordination/view.go
@@ -32,7 +32,7 @@
 		Active:         m.Active(),
 		Allocator:      term.Holder,
 		SinceLastGrant: now - lastGrantAt,
-		Reporters:      m.received.Reporters,
+		Reporters:      m.receivedAggregate.Reporters,
 	}
 	if until, _, _, held := m.lessee.HeldLease(now); held {
 		v.LeaseRemaining = until - now
--- a/internal/decide/cordon/cordon.go
+++ b/internal/decide/cordon/cordon.go
@@ -33,8 +33,8 @@
 // Apply applies a record, and reports whether that cordons or uncordons the endpoint. Of two records of an endpoint the
 // later one wins; of two of the same instant, the one that cordons.
 func (s *Set) Apply(r Record) (changed bool) {
-	before, known := s.records[r.Name]
-	if known && (r.At < before.At || r.At == before.At && !r.Cordoned) {
+	previous, known := s.records[r.Name]
+	if known && (r.At < previous.At || r.At == previous.At && !r.Cordoned) {
 		return false
 	}
 	if s.records == nil {
@@ -46,7 +46,7 @@
 			delete(s.records, name)
 		}
 	}
-	return before.Cordoned != r.Cordoned
+	return previous.Cordoned != r.Cordoned
 }
 
 // Cordoned reports whether an endpoint is cordoned.
@@ -57,10 +57,10 @@
 
 // Records returns all records, sorted by name.
 func (s *Set) Records() []Record {
-	all := make([]Record, 0, len(s.records))
+	sortedRecords := make([]Record, 0, len(s.records))
 	for _, r := range s.records {
-		all = append(all, r)
+		sortedRecords = append(sortedRecords, r)
 	}
-	slices.SortFunc(all, func(a, b Record) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(sortedRecords, func(a, b Record) int { return cmp.Compare(a.Name, b.Name) })
+	return sortedRecords
 }
--- a/internal/decide/cordon/cordon_test.go
+++ b/internal/decide/cordon/cordon_test.go
@@ -21,8 +21,8 @@
 			for range 2 {
 				rng.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
 				for _, record := range records {
-					before := s.Cordoned(record.Name)
-					if changed := s.Apply(record); changed != (before != s.Cordoned(record.Name)) {
+					wasCordoned := s.Cordoned(record.Name)
+					if changed := s.Apply(record); changed != (wasCordoned != s.Cordoned(record.Name)) {
 						t.Fatalf("seed %d: %v changed %v", seed, record, changed)
 					}
 				}
@@ -48,8 +48,8 @@
 func latestRecords(records []Record) map[string]Record {
 	latest := map[string]Record{}
 	for _, record := range records {
-		before, known := latest[record.Name]
-		if !known || record.At > before.At || record.At == before.At && record.Cordoned {
+		previous, known := latest[record.Name]
+		if !known || record.At > previous.At || record.At == previous.At && record.Cordoned {
 			latest[record.Name] = record
 		}
 	}
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -47,7 +47,7 @@
 // connected partitions no voters: all messages pass.
 func connected(int, int) bool { return false }
 
-func newCluster(n int, seed uint64, drift float64) *cluster {
+func newCluster(voterCount int, seed uint64, drift float64) *cluster {
 	c := &cluster{
 		rng:         rand.New(rand.NewPCG(seed, 7)),
 		drift:       drift,
@@ -55,15 +55,15 @@
 		terms:       map[Term]bool{},
 		partitioned: connected,
 	}
-	for i := range n {
+	for i := range voterCount {
 		c.names = append(c.names, fmt.Sprint("v", i))
 	}
-	c.observedTerms = make([]Term, n)
-	c.voters = make([]*Voter, n)
-	c.clockRates = make([]float64, n)
-	c.clockOrigins = make([]float64, n)
-	c.stoppedUntil = make([]float64, n)
-	for i := range n {
+	c.observedTerms = make([]Term, voterCount)
+	c.voters = make([]*Voter, voterCount)
+	c.clockRates = make([]float64, voterCount)
+	c.clockOrigins = make([]float64, voterCount)
+	c.stoppedUntil = make([]float64, voterCount)
+	for i := range voterCount {
 		c.start(i)
 	}
 	return c
@@ -116,8 +116,8 @@
 }
 
 // step advances the time by d, and returns an error if two voters hold the lease.
-func (c *cluster) step(d float64) error {
-	c.now += d
+func (c *cluster) step(duration float64) error {
+	c.now += duration
 	due := c.inFlight
 	c.inFlight = nil
 	for _, f := range due {
@@ -163,19 +163,19 @@
 // observe records when a voter wins and loses the lease, as operations on a lock: winning takes from the requests to
 // the votes.
 func (c *cluster) observe(i int, v *Voter) {
-	t, _, _ := v.HeldTerm(c.clock(i))
-	before := c.observedTerms[i]
-	if before == t {
+	term, _, _ := v.HeldTerm(c.clock(i))
+	previous := c.observedTerms[i]
+	if previous == term {
 		return
 	}
-	if before != (Term{}) {
-		c.recordOperation(i, lockOperation{before, false}, c.now)
+	if previous != (Term{}) {
+		c.recordOperation(i, lockOperation{previous, false}, c.now)
 	}
-	if t != (Term{}) {
+	if term != (Term{}) {
 		requestedAt := float64(v.requestedAt)/c.clockRates[i] + c.clockOrigins[i]
-		c.recordOperation(i, lockOperation{t, true}, requestedAt)
+		c.recordOperation(i, lockOperation{term, true}, requestedAt)
 	}
-	c.observedTerms[i] = t
+	c.observedTerms[i] = term
 }
 
 // recordOperation records an operation of a voter that was called at an instant and returns now.
@@ -197,8 +197,8 @@
 	},
 }
 
-func (c *cluster) run(t interface{ Fatal(...any) }, d float64) {
-	for end := c.now + d; c.now < end; {
+func (c *cluster) run(t interface{ Fatal(...any) }, duration float64) {
+	for end := c.now + duration; c.now < end; {
 		if err := c.step(2000); err != nil {
 			t.Fatal(err)
 		}
@@ -208,25 +208,29 @@
 // Whatever the faults, two voters never hold the lease at once. After the faults one voter wins it soon and keeps it.
 func TestNeverTwoHoldersAndOneElectedOnceFaultsEnd(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		n := rapid.SampledFrom([]int{1, 3, 5}).Draw(r, "voters")
-		c := newCluster(n, rapid.Uint64().Draw(r, "seed"), rapid.SampledFrom([]float64{0, 0.01}).Draw(r, "drift"))
+		voterCount := rapid.SampledFrom([]int{1, 3, 5}).Draw(r, "voters")
+		c := newCluster(
+			voterCount,
+			rapid.Uint64().Draw(r, "seed"),
+			rapid.SampledFrom([]float64{0, 0.01}).Draw(r, "drift"),
+		)
 		c.loss = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(r, "loss")
 		c.maxExtraDelay = float64(3 * leaseDuration)
 		for range rapid.IntRange(0, 12).Draw(r, "faults") {
-			i := rapid.IntRange(0, n-1).Draw(r, "whom")
+			target := rapid.IntRange(0, voterCount-1).Draw(r, "whom")
 			switch rapid.SampledFrom([]string{"kill", "stop", "split", "one way", "heal", "all"}).Draw(r, "fault") {
 			case "kill":
-				c.start(i)
+				c.start(target)
 			case "all":
-				for j := range n {
+				for j := range voterCount {
 					c.start(j)
 				}
 			case "stop":
-				c.stoppedUntil[i] = c.now + c.rng.Float64()*float64(2*leaseDuration)
+				c.stoppedUntil[target] = c.now + c.rng.Float64()*float64(2*leaseDuration)
 			case "split":
-				c.partitioned = func(from, to int) bool { return (from <= i) != (to <= i) }
+				c.partitioned = func(from, to int) bool { return (from <= target) != (to <= target) }
 			case "one way":
-				c.partitioned = func(from, to int) bool { return from <= i && to > i }
+				c.partitioned = func(from, to int) bool { return from <= target && to > target }
 			case "heal":
 				c.partitioned = connected
 			}
@@ -238,9 +242,9 @@
 		if c.holder < 0 {
 			r.Fatal("there is no holder after 16 s without a fault")
 		}
-		terms := c.termCount
+		previousTermCount := c.termCount
 		c.run(r, float64(4*leaseDuration))
-		if c.termCount != terms {
+		if c.termCount != previousTermCount {
 			r.Fatal("the holder changed without a cause")
 		}
 		if !porcupine.CheckOperations(lockModel, c.operations) {
@@ -298,15 +302,15 @@
 
 // injectFault restarts a random voter, cuts it off, or ends a partition.
 func (p plantedError) injectFault(c *cluster) {
-	i := c.rng.IntN(3)
+	target := c.rng.IntN(3)
 	switch c.rng.IntN(3) {
 	case 0:
-		c.start(i)
+		c.start(target)
 		if p.atStart {
-			p.plant(c.voters[i])
+			p.plant(c.voters[target])
 		}
 	case 1:
-		c.partitioned = func(from, to int) bool { return (from == i) != (to == i) }
+		c.partitioned = func(from, to int) bool { return (from == target) != (to == target) }
 	case 2:
 		c.partitioned = connected
 	}
@@ -315,14 +319,14 @@
 func TestResignLetsAnotherVoterWinAtOnce(t *testing.T) {
 	c := newCluster(3, 1, 0)
 	c.run(t, float64(3*leaseDuration))
-	first := c.holder
+	firstHolder := c.holder
 	resignedAt := c.now
-	if first < 0 {
+	if firstHolder < 0 {
 		t.Fatal("there is no holder")
 	}
-	c.voters[first].Resign(c.clock(first))
-	c.send(first)
-	for c.holder < 0 || c.holder == first {
+	c.voters[firstHolder].Resign(c.clock(firstHolder))
+	c.send(firstHolder)
+	for c.holder < 0 || c.holder == firstHolder {
 		if err := c.step(1000); err != nil || c.now > resignedAt+float64(leaseDuration) {
 			t.Fatalf("%v; after %.0f us there is no other holder", err, c.now-resignedAt)
 		}
--- a/internal/decide/observations/aggregator.go
+++ b/internal/decide/observations/aggregator.go
@@ -31,7 +31,7 @@
 }
 
 // Receive stores a member's report in place of its previous one, and adds its requests to the totals, weighted so that
-// no member counts for more than maxMedianWeight times the median. Counts and levels that are out of range are dropped.
+// no member counts for more than maxMedianMultiple times the median. Counts and levels that are out of range are dropped.
 func (a *Aggregator) Receive(now monotime.Micros, member string, report Observations) {
 	report.Outcomes = slices.DeleteFunc(slices.Clone(report.Outcomes), func(c OutcomeCount) bool { return !c.valid() })
 	report.Levels = slices.DeleteFunc(slices.Clone(report.Levels), func(l OverloadLevel) bool { return !l.valid() })
@@ -42,7 +42,7 @@
 			a.totals[l.EndpointSet] = t
 		}
 		weight := 1.0
-		if limit := maxMedianWeight * a.medianRequests(l.EndpointSet); limit > 0 && l.Requests > limit {
+		if limit := maxMedianMultiple * a.medianRequests(l.EndpointSet); limit > 0 && l.Requests > limit {
 			weight = limit / l.Requests
 		}
 		t.requests += weight * l.Requests
@@ -83,13 +83,13 @@
 		names = append(names, name)
 	}
 	slices.Sort(names) // sums of floating-point numbers depend on their order
-	return Aggregate{Reporters: len(names), Levels: a.levels(names), Suspects: a.suspects(names)}
+	return Aggregate{Reporters: len(names), Levels: a.aggregatedLevels(names), Suspects: a.suspects(names)}
 }
 
 const (
-	// maxMedianWeight bounds a member's weight, in multiples of the median of the members' requests: a member that
+	// maxMedianMultiple bounds a member's weight, in multiples of the median of the members' requests: a member that
 	// reports far more requests than the others, rightly or not, must not decide for all.
-	maxMedianWeight = 4
+	maxMedianMultiple = 4
 	// minMembersForMedian is the smallest number of members whose median is used as a bound.
 	minMembersForMedian = 3
 )
@@ -113,7 +113,7 @@
 }
 
 // levels returns the aggregated levels by set of endpoints, and resets the totals of those returned.
-func (a *Aggregator) levels(members []string) (all []OverloadLevel) {
+func (a *Aggregator) aggregatedLevels(members []string) (aggregated []OverloadLevel) {
 	for endpointSet, t := range a.totals {
 		mean, known := a.meanLevel(endpointSet, members)
 		if !known {
@@ -121,11 +121,11 @@
 		}
 		mean.Requests = t.requests
 		mean.Failed = t.failed
-		all = append(all, mean)
+		aggregated = append(aggregated, mean)
 		*t = requestTotals{}
 	}
-	slices.SortFunc(all, func(x, y OverloadLevel) int { return cmp.Compare(x.EndpointSet, y.EndpointSet) })
-	return all
+	slices.SortFunc(aggregated, func(x, y OverloadLevel) int { return cmp.Compare(x.EndpointSet, y.EndpointSet) })
+	return aggregated
 }
 
 // meanLevel returns the mean of the members' levels and loads, weighted by their requests; known is false if no member
@@ -133,7 +133,7 @@
 func (a *Aggregator) meanLevel(endpointSet string, members []string) (mean OverloadLevel, known bool) {
 	mean.EndpointSet = endpointSet
 	var weights float64
-	limit := maxMedianWeight * a.medianRequests(endpointSet)
+	limit := maxMedianMultiple * a.medianRequests(endpointSet)
 	for _, name := range members {
 		for _, l := range a.reports[name].Levels {
 			if l.EndpointSet != endpointSet || l.Level <= 0 {
--- a/internal/decide/observations/local.go
+++ b/internal/decide/observations/local.go
@@ -69,36 +69,36 @@
 // OutcomesToReport returns the counts for the next report, at most limit. Where there are more, those with the most
 // failures come first, and those without failures take turns from call to call.
 func (l *Local) OutcomesToReport(now monotime.Micros, limit int) []OutcomeCount {
-	var all []OutcomeCount
+	var reportable []OutcomeCount
 	for key, c := range l.counts {
 		c.decay(now)
 		if c.succeeded+c.failed < negligibleCount {
 			delete(l.counts, key)
 			continue
 		}
-		all = append(all, OutcomeCount{key.endpoint, key.class, c.succeeded, c.failed})
+		reportable = append(reportable, OutcomeCount{key.endpoint, key.class, c.succeeded, c.failed})
 	}
-	slices.SortFunc(all, func(a, b OutcomeCount) int {
+	slices.SortFunc(reportable, func(a, b OutcomeCount) int {
 		return cmp.Or(cmp.Compare(a.Endpoint, b.Endpoint), cmp.Compare(a.Class, b.Class))
 	})
-	if len(all) <= limit {
-		return all
+	if len(reportable) <= limit {
+		return reportable
 	}
 	l.rotation++
-	slices.SortStableFunc(all, func(a, b OutcomeCount) int { return cmp.Compare(b.Failed, a.Failed) })
-	failing := 0
-	for failing < limit && all[failing].Failed >= negligibleCount {
-		failing++
+	slices.SortStableFunc(reportable, func(a, b OutcomeCount) int { return cmp.Compare(b.Failed, a.Failed) })
+	failingCount := 0
+	for failingCount < limit && reportable[failingCount].Failed >= negligibleCount {
+		failingCount++
 	}
-	rotate(all[failing:], limit-failing, l.rotation)
-	return all[:limit]
+	rotate(reportable[failingCount:], limit-failingCount, l.rotation)
+	return reportable[:limit]
 }
 
 // rotate moves n counts to the front, different ones for each rotation.
-func rotate(counts []OutcomeCount, n, rotation int) {
-	for i := range n {
+func rotate(counts []OutcomeCount, count, rotation int) {
+	for i := range count {
 		to := i % len(counts)
-		from := (rotation*n + i) % len(counts)
+		from := (rotation*count + i) % len(counts)
 		counts[to], counts[from] = counts[from], counts[to]
 	}
 }
--- a/internal/decide/observations/observations_test.go
+++ b/internal/decide/observations/observations_test.go
@@ -10,36 +10,38 @@
 // false failures makes no endpoint a suspect.
 func TestSuspectsAreFoundByManyAndNotByOne(t *testing.T) {
 	aggregator := NewAggregator()
-	for i := range 50 {
+	for memberIndex := range 50 {
 		var local Local
-		for k := range 12 {
-			succeeded := (k != 3 || i%4 == 0) && !(k == 5 && i == 9)
-			local.RecordOutcome(second, fmt.Sprint("e", k), 0, succeeded)
+		for endpointIndex := range 12 {
+			succeeded := (endpointIndex != 3 || memberIndex%4 == 0) && !(endpointIndex == 5 && memberIndex == 9)
+			local.RecordOutcome(second, fmt.Sprint("e", endpointIndex), 0, succeeded)
 		}
 		report := Observations{
 			Levels:   []OverloadLevel{{Level: 1, Requests: 1}},
 			Outcomes: local.OutcomesToReport(second, 40),
 		}
-		if i == 0 {
+		if memberIndex == 0 {
 			for j := range report.Outcomes {
 				report.Outcomes[j].Failed = 1e6 // a false report
 			}
 		}
-		aggregator.Receive(second, fmt.Sprint("m", i), report)
+		aggregator.Receive(second, fmt.Sprint("m", memberIndex), report)
 	}
 	aggregator.Receive(second, "out of range", Observations{
 		Levels:   []OverloadLevel{{Level: math.NaN()}},
 		Outcomes: []OutcomeCount{{"e1", 0, 0, math.Inf(1)}, {"e2", 0, -5, 1}},
 	})
-	all := aggregator.TakeAggregate(second)
-	if len(all.Suspects) != 1 || all.Suspects[0].Endpoint != "e3" || all.Suspects[0].AvoidProbability < 0.4 {
-		t.Errorf("suspects %v", all.Suspects)
+	aggregate := aggregator.TakeAggregate(second)
+	if len(aggregate.Suspects) != 1 || aggregate.Suspects[0].Endpoint != "e3" ||
+		aggregate.Suspects[0].AvoidProbability < 0.4 {
+		t.Errorf("suspects %v", aggregate.Suspects)
 	}
-	if len(all.Levels) != 1 || all.Levels[0].Level != 1 || all.Reporters != 51 {
-		t.Errorf("levels %v of %d", all.Levels, all.Reporters)
+	if len(aggregate.Levels) != 1 || aggregate.Levels[0].Level != 1 || aggregate.Reporters != 51 {
+		t.Errorf("levels %v of %d", aggregate.Levels, aggregate.Reporters)
 	}
-	if all := aggregator.TakeAggregate(second + reportLifetime + 1); all.Reporters != 0 || len(all.Suspects) != 0 {
-		t.Errorf("old reports count: %v", all)
+	if aggregate := aggregator.TakeAggregate(second + reportLifetime + 1); aggregate.Reporters != 0 ||
+		len(aggregate.Suspects) != 0 {
+		t.Errorf("old reports count: %v", aggregate)
 	}
 }
 
@@ -52,12 +54,13 @@
 		})
 	}
 	aggregator.Receive(0, "loud", Observations{Levels: []OverloadLevel{{"p", 1, 1, 1e6, 0}}})
-	all := aggregator.TakeAggregate(0)
-	if p := all.Levels[0]; p.Level > 0.65 || p.Failed/p.Requests < 0.35 || all.Levels[1].Level != 0.25 {
-		t.Errorf("levels %v", all.Levels)
+	aggregate := aggregator.TakeAggregate(0)
+	if level := aggregate.Levels[0]; level.Level > 0.65 || level.Failed/level.Requests < 0.35 ||
+		aggregate.Levels[1].Level != 0.25 {
+		t.Errorf("levels %v", aggregate.Levels)
 	}
-	if p := aggregator.TakeAggregate(0).Levels[0]; p.Requests != 0 {
-		t.Errorf("%v is summed twice", p)
+	if level := aggregator.TakeAggregate(0).Levels[0]; level.Requests != 0 {
+		t.Errorf("%v is summed twice", level)
 	}
 }
 
@@ -69,11 +72,11 @@
 	}
 	reported := map[string]bool{}
 	for range 30 {
-		all := local.OutcomesToReport(0, 10)
-		if len(all) != 10 || all[0].Endpoint != "e50" {
-			t.Fatalf("%v", all)
+		outcomes := local.OutcomesToReport(0, 10)
+		if len(outcomes) != 10 || outcomes[0].Endpoint != "e50" {
+			t.Fatalf("%v", outcomes)
 		}
-		for _, c := range all {
+		for _, c := range outcomes {
 			reported[c.Endpoint] = true
 		}
 	}
--- a/internal/decide/observations/suspects.go
+++ b/internal/decide/observations/suspects.go
@@ -7,29 +7,29 @@
 
 // outcomeTotal is the sum of all members' outcomes of a key.
 type outcomeTotal struct {
-	succeeded    float64
-	failed       float64
-	accusers     int     // members that report failures
-	topFailed    float64 // failures reported by the member that reports most
-	topSucceeded float64 // successes reported by the member that reports most failures
+	succeeded           float64
+	failed              float64
+	accusers            int     // members that report failures
+	topAccuserFailed    float64 // failures reported by the member that reports most
+	topAccuserSucceeded float64 // successes reported by the member that reports most failures
 }
 
 // attempts are outcomes without those of the member that reports most failures.
-type attempts struct {
-	count  float64
+type attemptCounts struct {
+	total  float64
 	failed float64
 }
 
 const (
-	// minOutcomes is the number of outcomes, without those of the top accuser, up to which an endpoint is no suspect.
+	// minOtherOutcomes is the number of outcomes, without those of the top accuser, up to which an endpoint is no suspect.
 	// Beyond it the probability grows with the part of the outcomes that is beyond it.
-	minOutcomes = 5.0
+	minOtherOutcomes = 5.0
 	// steepness is the probability of avoiding an endpoint per difference of failure ratios, between the endpoint and
 	// the others of the class: with many outcomes, a difference of 0.4 reaches maxAvoidProbability.
-	steepness = 2.4
-	// ignoredAccusers is the largest number of members that report failures of an endpoint without making it a suspect:
+	avoidanceSlope = 2.4
+	// maxIgnoredAccusers is the largest number of members that report failures of an endpoint without making it a suspect:
 	// among so few members one may be the cause itself.
-	ignoredAccusers = 2
+	maxIgnoredAccusers = 2
 	// maxAvoidProbability leaves a suspect some requests, by which its recovery is detected.
 	maxAvoidProbability = 0.95
 	// maxSuspects is the largest number of suspects in an aggregate. Where more endpoints fail, to avoid one would only
@@ -41,37 +41,38 @@
 // the outcomes that several members report, the most suspected first. The probability of avoiding an endpoint is the
 // difference of the two failure ratios times steepness, less where there are few outcomes. The outcomes of the member
 // that reports most failures of an endpoint do not count, so that no single member can make an endpoint a suspect.
-func (a *Aggregator) suspects(members []string) (all []Suspect) {
+func (a *Aggregator) suspects(members []string) (found []Suspect) {
 	totals, keys := a.outcomeTotals(members)
-	byClass := map[int]attempts{}
-	byKey := map[attemptKey]attempts{}
+	byClass := map[int]attemptCounts{}
+	byKey := map[attemptKey]attemptCounts{}
 	for _, key := range keys {
-		own := totals[key].withoutTopAccuser()
-		byKey[key] = own
-		class := byClass[key.class]
-		byClass[key.class] = attempts{class.count + own.count, class.failed + own.failed}
+		counts := totals[key].withoutTopAccuser()
+		byKey[key] = counts
+		classCounts := byClass[key.class]
+		byClass[key.class] = attemptCounts{classCounts.total + counts.total, classCounts.failed + counts.failed}
 	}
 	for _, key := range keys {
-		own := byKey[key]
-		class := byClass[key.class]
-		if totals[key].accusers <= ignoredAccusers || own.count <= minOutcomes {
+		counts := byKey[key]
+		classCounts := byClass[key.class]
+		if totals[key].accusers <= maxIgnoredAccusers || counts.total <= minOtherOutcomes {
 			continue
 		}
 		// One failure is added for the others: without outcomes of others, all are taken to fail.
-		othersFailure := (class.failed - own.failed + 1) / (class.count - own.count + 1)
-		p := steepness * (own.failed/own.count - othersFailure) * (own.count - minOutcomes) / own.count
-		if p > 0 {
-			all = append(all, Suspect{key.endpoint, key.class, min(p, maxAvoidProbability)})
+		othersFailure := (classCounts.failed - counts.failed + 1) / (classCounts.total - counts.total + 1)
+		probability := avoidanceSlope * (counts.failed/counts.total - othersFailure) *
+			(counts.total - minOtherOutcomes) / counts.total
+		if probability > 0 {
+			found = append(found, Suspect{key.endpoint, key.class, min(probability, maxAvoidProbability)})
 		}
 	}
-	slices.SortFunc(all, func(x, y Suspect) int {
+	slices.SortFunc(found, func(x, y Suspect) int {
 		return cmp.Or(
 			cmp.Compare(y.AvoidProbability, x.AvoidProbability),
 			cmp.Compare(x.Endpoint, y.Endpoint),
 			cmp.Compare(x.Class, y.Class),
 		)
 	})
-	return all[:min(len(all), maxSuspects)]
+	return found[:min(len(found), maxSuspects)]
 }
 
 // outcomeTotals returns the totals by key, and the keys in the order of the members' reports, on which the sums of
@@ -100,16 +101,16 @@
 	if c.Failed >= negligibleCount {
 		t.accusers++
 	}
-	if c.Failed > t.topFailed {
-		t.topFailed = c.Failed
-		t.topSucceeded = c.Succeeded
+	if c.Failed > t.topAccuserFailed {
+		t.topAccuserFailed = c.Failed
+		t.topAccuserSucceeded = c.Succeeded
 	}
 }
 
 // withoutTopAccuser returns the outcomes without those of the member that reports most failures.
-func (t *outcomeTotal) withoutTopAccuser() attempts {
-	return attempts{
-		count:  t.succeeded + t.failed - t.topFailed - t.topSucceeded,
-		failed: t.failed - t.topFailed,
+func (t *outcomeTotal) withoutTopAccuser() attemptCounts {
+	return attemptCounts{
+		total:  t.succeeded + t.failed - t.topAccuserFailed - t.topAccuserSucceeded,
+		failed: t.failed - t.topAccuserFailed,
 	}
 }
--- a/internal/decide/quota/allocator.go
+++ b/internal/decide/quota/allocator.go
@@ -106,7 +106,7 @@
 // commitmentEnd returns when a commitment made now expires: the lease has then expired by any clock, and so has the
 // second within which its last units were spent.
 func (a *Allocator) commitmentEnd(now monotime.Micros) monotime.Micros {
-	return now + a.settings.leaseLifetime() + a.settings.window()
+	return now + a.settings.leaseLifetime() + a.settings.countingWindow()
 }
 
 // divisionsPerInterval is how often budgets are divided anew in a request interval, at most: requests in between get
@@ -196,16 +196,16 @@
 
 // Leases returns the status of all leases and unmet demands, sorted by lessee and budget; nil if the allocator is not
 // active.
-func (a *Allocator) Leases(now monotime.Micros) (all []LeaseStatus) {
+func (a *Allocator) Leases(now monotime.Micros) (leases []LeaseStatus) {
 	if !a.active {
 		return nil
 	}
 	for _, lessee := range a.sortedLessees {
 		for _, name := range a.budgetNames {
 			if l := lessee.status(now, name); l.Units > 0 || l.Requested > 0 {
-				all = append(all, l)
+				leases = append(leases, l)
 			}
 		}
 	}
-	return all
+	return leases
 }
--- a/internal/decide/quota/commitment.go
+++ b/internal/decide/quota/commitment.go
@@ -65,7 +65,7 @@
 	}
 	for i := range lessee.commitments {
 		if c := &lessee.commitments[i]; c.serial < r.HeldSerial {
-			c.expiresAt = min(c.expiresAt, now+a.settings.window())
+			c.expiresAt = min(c.expiresAt, now+a.settings.countingWindow())
 		}
 	}
 }
@@ -90,51 +90,51 @@
 	expired := func(c commitment) bool { return now >= c.expiresAt }
 	a.sortedLessees = slices.DeleteFunc(a.sortedLessees, func(lessee *lesseeRecord) bool {
 		lessee.commitments = slices.DeleteFunc(lessee.commitments, expired)
-		gone := len(lessee.commitments) == 0 && now-lessee.lastRequestAt > a.settings.leaseLifetime()
-		if gone {
+		remove := len(lessee.commitments) == 0 && now-lessee.lastRequestAt > a.settings.leaseLifetime()
+		if remove {
 			a.recountCommitted(now, lessee)
 			delete(a.lessees, lessee.lesseeID)
 			a.dirty = true
 		}
-		return gone
+		return remove
 	})
 }
 
 // recountCommitted updates a lessee's part of budget.committed to the commitments that have not expired.
 func (a *Allocator) recountCommitted(now monotime.Micros, lessee *lesseeRecord) {
 	for _, name := range a.budgetNames {
-		n := lessee.committedUnits(now, name)
-		a.budgets[name].committed += n - lessee.committed[name]
-		lessee.committed[name] = n
+		units := lessee.committedUnits(now, name)
+		a.budgets[name].committed += units - lessee.committed[name]
+		lessee.committed[name] = units
 	}
 }
 
 // committedUnits returns the units of a budget that the lessee may spend within a second: the largest of its
 // commitments, since it spends from one lease at a time.
-func (x *lesseeRecord) committedUnits(now monotime.Micros, name string) (n int) {
-	for i := range x.commitments {
-		if c := &x.commitments[i]; now < c.expiresAt {
-			n = max(n, c.units[name])
+func (r *lesseeRecord) committedUnits(now monotime.Micros, name string) (maxUnits int) {
+	for i := range r.commitments {
+		if c := &r.commitments[i]; now < c.expiresAt {
+			maxUnits = max(maxUnits, c.units[name])
 		}
 	}
-	return n
+	return maxUnits
 }
 
 // status returns the lessee's status for one budget.
-func (x *lesseeRecord) status(now monotime.Micros, name string) LeaseStatus {
-	l := LeaseStatus{
-		Lessee:        x.name,
-		Incarnation:   x.incarnation,
+func (r *lesseeRecord) status(now monotime.Micros, name string) LeaseStatus {
+	leaseStatus := LeaseStatus{
+		Lessee:        r.name,
+		Incarnation:   r.incarnation,
 		Budget:        name,
-		Units:         x.committedUnits(now, name),
-		Target:        x.targets[name],
-		Requested:     x.demands[name].Requested,
-		LastRequestAt: x.lastRequestAt,
+		Units:         r.committedUnits(now, name),
+		Target:        r.targets[name],
+		Requested:     r.demands[name].Requested,
+		LastRequestAt: r.lastRequestAt,
 	}
-	for _, c := range x.commitments {
+	for _, c := range r.commitments {
 		if c.units[name] > 0 {
-			l.Until = max(l.Until, c.expiresAt)
+			leaseStatus.Until = max(leaseStatus.Until, c.expiresAt)
 		}
 	}
-	return l
+	return leaseStatus
 }
--- a/internal/decide/quota/divide.go
+++ b/internal/decide/quota/divide.go
@@ -44,29 +44,29 @@
 
 // sumContributions sets the units of a contributed budget to the sum of the active lessees' contributions, but at most
 // to its ceiling.
-func (x *budget) sumContributions(name string, active []*lesseeRecord) {
-	if !x.contributed {
+func (b *budget) sumContributions(budgetName string, active []*lesseeRecord) {
+	if !b.contributed {
 		return
 	}
-	x.units = 0
+	b.units = 0
 	for _, lessee := range active {
-		x.units += lessee.demands[name].Contributed
+		b.units += lessee.demands[budgetName].Contributed
 	}
-	x.units = min(x.units, x.ceiling)
+	b.units = min(b.units, b.ceiling)
 }
 
 // divideBudget sets the targets of one budget in three steps: fair parts of the claims, single units that the division
 // leaves, and spare units beyond all claims. The seed, a number of the budget, lets ranks differ between budgets.
-func (a *Allocator) divideBudget(now monotime.Micros, name string, seed uint64, active []*lesseeRecord) {
-	units := a.leasableUnits(name)
+func (a *Allocator) divideBudget(now monotime.Micros, budgetName string, seed uint64, active []*lesseeRecord) {
+	units := a.leasableUnits(budgetName)
 	if units <= 0 {
 		return
 	}
-	claims := newClaims(now, name, seed, active, units)
-	left := assignFairly(claims, name, units)
-	left = assignRemainder(claims, name, left)
-	if left > 0 {
-		assignSpare(claims, name, left)
+	claims := newClaims(now, budgetName, seed, active, units)
+	unassigned := assignFairly(claims, budgetName, units)
+	unassigned = assignRemainder(claims, budgetName, unassigned)
+	if unassigned > 0 {
+		assignSpare(claims, budgetName, unassigned)
 	}
 }
 
@@ -84,14 +84,14 @@
 // claim is the lessee's demand. Where the demands exceed the budget, the claim of a lessee that uses less than
 // minUtilization of its leased units is bounded by maxClaimPerUse times its use, or by an equal part of the budget if
 // that is more: a lessee that overstates its demand gets no more than an equal part.
-func newClaims(now monotime.Micros, name string, seed uint64, active []*lesseeRecord, units int) []claim {
+func newClaims(now monotime.Micros, budgetName string, seed uint64, active []*lesseeRecord, units int) []claim {
 	claims := make([]claim, len(active))
 	total := 0
 	for i, lessee := range active {
 		rotation := hash64.SplitMix(seed ^ uint64(now/rotationPeriod))
 		claims[i] = claim{
 			lessee: lessee,
-			units:  int(min(math.Ceil(lessee.demands[name].Requested), float64(units))),
+			units:  int(min(math.Ceil(lessee.demands[budgetName].Requested), float64(units))),
 			rank:   hash64.SplitMix(rotation ^ hash64.String(lessee.name)),
 		}
 		total += claims[i].units
@@ -101,7 +101,7 @@
 	}
 	fairShare := float64(units) / float64(len(active))
 	for i, lessee := range active {
-		if d := lessee.demands[name]; d.Used < minUtilization*float64(d.Held) {
+		if d := lessee.demands[budgetName]; d.Used < minUtilization*float64(d.Held) {
 			claims[i].units = min(claims[i].units, int(math.Ceil(math.Max(fairShare, maxClaimPerUse*d.Used))))
 		}
 	}
@@ -110,33 +110,33 @@
 
 // assignFairly sorts the claims, the smallest first, and sets the targets: each claim gets its units, but at most an
 // equal part of the units that the claims before it have left. It returns the units that are not assigned.
-func assignFairly(claims []claim, name string, units int) (left int) {
-	left = units
+func assignFairly(claims []claim, budgetName string, units int) (unassigned int) {
+	unassigned = units
 	slices.SortFunc(claims, func(a, b claim) int {
 		return cmp.Or(cmp.Compare(a.units, b.units), cmp.Compare(a.rank, b.rank))
 	})
 	for i, c := range claims {
-		n := min(c.units, left/(len(claims)-i))
-		c.lessee.targets[name] = n
-		left -= n
+		share := min(c.units, unassigned/(len(claims)-i))
+		c.lessee.targets[budgetName] = share
+		unassigned -= share
 	}
-	return left
+	return unassigned
 }
 
 // assignRemainder adds one unit to the target of each claim that is not met, in the order of claims, while units are
 // left. It returns the units that are not assigned.
-func assignRemainder(claims []claim, name string, units int) (left int) {
-	left = units
+func assignRemainder(claims []claim, budgetName string, units int) (unassigned int) {
+	unassigned = units
 	for _, c := range claims {
-		if left == 0 {
+		if unassigned == 0 {
 			return 0
 		}
-		if c.lessee.targets[name] < c.units {
-			c.lessee.targets[name]++
-			left--
+		if c.lessee.targets[budgetName] < c.units {
+			c.lessee.targets[budgetName]++
+			unassigned--
 		}
 	}
-	return left
+	return unassigned
 }
 
 // spareRetainedDivisor gives the part of the spare units that stays unassigned, for the next request of any lessee.
@@ -144,12 +144,12 @@
 
 // assignSpare divides the units beyond all claims equally, so that demand that arises before a lessee's next request
 // finds units leased.
-func assignSpare(claims []claim, name string, units int) {
+func assignSpare(claims []claim, budgetName string, units int) {
 	spare := units - units/spareRetainedDivisor
 	slices.SortFunc(claims, func(a, b claim) int { return cmp.Compare(a.rank, b.rank) })
 	for i, c := range claims {
-		n := spare / (len(claims) - i)
-		c.lessee.targets[name] += n
-		spare -= n
+		share := spare / (len(claims) - i)
+		c.lessee.targets[budgetName] += share
+		spare -= share
 	}
 }
--- a/internal/decide/quota/lessee.go
+++ b/internal/decide/quota/lessee.go
@@ -72,12 +72,12 @@
 // SetBudget sets the units a second that all instances together may spend of a budget, and adds the budget if it is
 // new. For a contributed budget, of which nothing is reserved, units must be 0.
 func (l *Lessee) SetBudget(name string, units float64) {
-	x := l.buckets[name]
-	if x == nil {
-		x = &bucket{}
-		l.buckets[name] = x
+	b := l.buckets[name]
+	if b == nil {
+		b = &bucket{}
+		l.buckets[name] = b
 	}
-	x.minimum = l.settings.Minimum(units)
+	b.minimum = l.settings.Minimum(units)
 }
 
 // RemoveBudget removes a budget, of which nothing may be spent from now on.
@@ -85,24 +85,24 @@
 
 // SetContribution sets the units a second that this instance adds to a contributed budget.
 func (l *Lessee) SetContribution(name string, units float64) {
-	if x := l.buckets[name]; x != nil {
-		x.contributed = units
+	if b := l.buckets[name]; b != nil {
+		b.contributed = units
 	}
 }
 
 // Allowed returns the units of a budget that may be spent within the second that ends at now: the minimum, except in
 // the process's first second, plus the units of the lease in force.
 func (l *Lessee) Allowed(now monotime.Micros, name string) int {
-	x := l.buckets[name]
-	if x == nil || !l.active {
+	b := l.buckets[name]
+	if b == nil || !l.active {
 		return 0
 	}
 	n := 0
-	if now >= l.startedAt+l.settings.window() {
-		n = x.minimum
+	if now >= l.startedAt+l.settings.countingWindow() {
+		n = b.minimum
 	}
 	if now < l.expiresAt {
-		n += x.leased
+		n += b.leased
 	}
 	return n
 }
@@ -110,18 +110,18 @@
 // Available returns the units of a budget that may be spent at now: those that are allowed, less those that were spent
 // within the last second.
 func (l *Lessee) Available(now monotime.Micros, name string) int {
-	x := l.buckets[name]
-	if x == nil {
+	b := l.buckets[name]
+	if b == nil {
 		return 0
 	}
-	x.dropSpentBefore(now - l.settings.window())
-	return max(0, l.Allowed(now, name)-len(x.spent))
+	b.dropSpentBefore(now - l.settings.countingWindow())
+	return max(0, l.Allowed(now, name)-len(b.spent))
 }
 
 // RecordDemand counts a unit that is needed, whether or not it is available.
 func (l *Lessee) RecordDemand(now monotime.Micros, name string) {
-	if x := l.buckets[name]; x != nil {
-		x.demand.add(now)
+	if b := l.buckets[name]; b != nil {
+		b.demand.add(now)
 	}
 }
 
@@ -130,26 +130,26 @@
 	if l.Available(now, name) == 0 {
 		return false
 	}
-	x := l.buckets[name]
-	x.spent = append(x.spent, now)
-	x.usage.add(now)
+	b := l.buckets[name]
+	b.spent = append(b.spent, now)
+	b.usage.add(now)
 	return true
 }
 
 // dropSpentBefore removes units that were spent at or before an instant.
-func (x *bucket) dropSpentBefore(instant monotime.Micros) {
+func (b *bucket) dropSpentBefore(instant monotime.Micros) {
 	n := 0
-	for n < len(x.spent) && x.spent[n] <= instant {
+	for n < len(b.spent) && b.spent[n] <= instant {
 		n++
 	}
 	if n > 0 {
-		x.spent = append(x.spent[:0], x.spent[n:]...)
+		b.spent = append(b.spent[:0], b.spent[n:]...)
 	}
 }
 
 // HeldLease returns when the lease in force ends, the term of the allocator that granted it and its serial. held is
 // false if there is none.
-func (l *Lessee) HeldLease(now monotime.Micros) (until monotime.Micros, by lease.Term, serial uint64, held bool) {
+func (l *Lessee) HeldLease(now monotime.Micros) (expiry monotime.Micros, term lease.Term, serial uint64, held bool) {
 	if !l.active || l.heldSerial == 0 || now >= l.expiresAt {
 		return 0, lease.Term{}, 0, false
 	}
@@ -171,19 +171,19 @@
 	l.sequence++
 	l.sent[l.sequence%maxSentRequests] = sentRequest{l.sequence, now}
 	r := LeaseRequest{Incarnation: l.incarnation, Sequence: l.sequence, Term: l.term}
-	if _, by, serial, held := l.HeldLease(now); held {
+	if _, grantedIn, serial, held := l.HeldLease(now); held {
 		r.HeldSerial = serial
-		r.HeldTerm = by
+		r.HeldTerm = grantedIn
 	}
-	for name, x := range l.buckets {
+	for name, bucket := range l.buckets {
 		d := Demand{
 			Budget:      name,
-			Requested:   x.demand.demandRate(now),
-			Used:        x.usage.recentRate(now),
-			Contributed: x.contributed,
+			Requested:   bucket.demand.demandRate(now),
+			Used:        bucket.usage.recentRate(now),
+			Contributed: bucket.contributed,
 		}
 		if r.HeldSerial != 0 {
-			d.Held = x.leased
+			d.Held = bucket.leased
 		}
 		r.Demands = append(r.Demands, d)
 	}
@@ -201,22 +201,22 @@
 		return false
 	}
 	if g.Serial == 0 {
-		return l.learnAllocator(g)
+		return l.updateAllocatorTerm(g)
 	}
-	until := request.sentAt + min(g.Duration, l.settings.LeaseDuration)
-	if !l.supersedes(g, until) || now >= until {
+	expiry := request.sentAt + min(g.Duration, l.settings.LeaseDuration)
+	if !l.supersedes(g, expiry) || now >= expiry {
 		return false
 	}
 	l.heldSerial = g.Serial
 	l.heldTerm = g.Term
-	l.expiresAt = until
+	l.expiresAt = expiry
 	l.lastGrantAt = now
 	return l.applyAllocations(g.Allocations)
 }
 
-// learnAllocator stores the term of an allocator that granted no lease, if the grant replies to the latest request. It
+// updateAllocatorTerm stores the term of an allocator that granted no lease, if the grant replies to the latest request. It
 // reports whether the term has changed.
-func (l *Lessee) learnAllocator(g Grant) bool {
+func (l *Lessee) updateAllocatorTerm(g Grant) bool {
 	if l.term == g.Term || g.Sequence != l.sequence {
 		return false
 	}
@@ -226,13 +226,13 @@
 
 // supersedes reports whether a lease that expires at until replaces the one in force. A lessee never returns to an
 // earlier lease, which the allocator may have granted to others in the meantime.
-func (l *Lessee) supersedes(g Grant, until monotime.Micros) bool {
+func (l *Lessee) supersedes(g Grant, expiry monotime.Micros) bool {
 	switch {
 	case g.Term != l.term:
 		return false // of an allocator whose term has ended, or that is not known
 	case g.Term == l.heldTerm && g.Serial <= l.heldSerial:
 		return false // an earlier lease
-	case l.heldSerial != 0 && until <= l.expiresAt:
+	case l.heldSerial != 0 && expiry <= l.expiresAt:
 		return false // the reply to an earlier request
 	}
 	return true
@@ -241,15 +241,15 @@
 // applyAllocations sets the leased units of each budget to those of the new lease, and reports whether any budget has
 // fewer than before.
 func (l *Lessee) applyAllocations(allocations []Allocation) (reduced bool) {
-	for name, x := range l.buckets {
-		before := x.leased
-		x.leased = 0
+	for name, bucket := range l.buckets {
+		previous := bucket.leased
+		bucket.leased = 0
 		for _, a := range allocations {
 			if a.Units > 0 && a.Budget == name {
-				x.leased = a.Units
+				bucket.leased = a.Units
 			}
 		}
-		reduced = reduced || x.leased < before
+		reduced = reduced || bucket.leased < previous
 	}
 	return reduced
 }
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -23,29 +23,30 @@
 // startedLessee returns a lessee of a budget of 100 units, started at 0.
 func startedLessee(tb testing.TB) *Lessee {
 	tb.Helper()
-	l, err := NewLessee(settings)
+	lessee, err := NewLessee(settings)
 	require.NoError(tb, err)
-	l.SetBudget("b", 100) // a minimum of 5 each
-	l.Start(0, 7)
-	return l
+	lessee.SetBudget("b", 100) // a minimum of 5 each
+	lessee.Start(0, 7)
+	return lessee
 }
 
 // grant lets a lessee receive a lease of units, as the reply to a request.
-func grant(l *Lessee, now monotime.Micros, r LeaseRequest, serial uint64, units int) {
-	l.HandleGrant(now, Grant{
-		Incarnation: r.Incarnation, Sequence: r.Sequence, Term: term, Serial: serial, Duration: settings.LeaseDuration,
+func grant(lessee *Lessee, now monotime.Micros, request LeaseRequest, serial uint64, units int) {
+	lessee.HandleGrant(now, Grant{
+		Incarnation: request.Incarnation, Sequence: request.Sequence,
+		Term: term, Serial: serial, Duration: settings.LeaseDuration,
 		Allocations: []Allocation{{"b", units}},
 	})
 }
 
 // newRequest returns a request of a lessee that knows the allocator's term.
-func newRequest(l *Lessee, now monotime.Micros) LeaseRequest {
-	r := l.NewRequest(now)
-	if r.Term != term {
-		l.HandleGrant(now, Grant{Incarnation: r.Incarnation, Sequence: r.Sequence, Term: term})
-		r = l.NewRequest(now)
+func newRequest(lessee *Lessee, now monotime.Micros) LeaseRequest {
+	request := lessee.NewRequest(now)
+	if request.Term != term {
+		lessee.HandleGrant(now, Grant{Incarnation: request.Incarnation, Sequence: request.Sequence, Term: term})
+		request = lessee.NewRequest(now)
 	}
-	return r
+	return request
 }
 
 // A lease counts from its request, whenever the grant arrives. A grant older than the lease in force is ignored.
@@ -55,20 +56,20 @@
 	secondRequest := newRequest(lessee, 2*second+100)
 	grant(lessee, 4*second, secondRequest, 2, 30)
 	grant(lessee, 4*second, firstRequest, 1, 50)
-	if n := lessee.Allowed(5*second, "b"); n != 35 {
-		t.Errorf("%d may be spent, not 5 and 30", n)
+	if allowed := lessee.Allowed(5*second, "b"); allowed != 35 {
+		t.Errorf("%d may be spent, not 5 and 30", allowed)
 	}
-	if n := lessee.Allowed(5*second+100, "b"); n != 5 {
-		t.Errorf("%d may be spent three seconds after the request", n)
+	if allowed := lessee.Allowed(5*second+100, "b"); allowed != 5 {
+		t.Errorf("%d may be spent three seconds after the request", allowed)
 	}
 	grant(lessee, 5*second+100, secondRequest, 3, 30) // duplicated, and expired
-	other := Grant{
+	otherProcessGrant := Grant{
 		Incarnation: 8, Sequence: secondRequest.Sequence, Term: term, Serial: 9, Duration: settings.LeaseDuration,
 		Allocations: []Allocation{{"b", 30}},
 	}
-	lessee.HandleGrant(5*second, other) // for another process
-	if n := lessee.Allowed(5*second+100, "b"); n != 5 {
-		t.Errorf("%d may be spent by an expired lease, or another process's", n)
+	lessee.HandleGrant(5*second, otherProcessGrant) // for another process
+	if allowed := lessee.Allowed(5*second+100, "b"); allowed != 5 {
+		t.Errorf("%d may be spent by an expired lease, or another process's", allowed)
 	}
 }
 
@@ -85,19 +86,19 @@
 			t.Fatal("12 of 15 cannot be spent")
 		}
 	}
-	s := lessee.HandOver(3 * second)
+	state := lessee.HandOver(3 * second)
 	if lessee.Spend(3*second, "b") {
 		t.Error("spends after handing over")
 	}
 	successor := startedLessee(t)
 	successor.active = false
-	successor.Restore(3*second+1000, 1000, s) // by the same clock
-	left := 0
+	successor.Restore(3*second+1000, 1000, state) // by the same clock
+	spent := 0
 	for successor.Spend(3*second+1000, "b") {
-		left++
+		spent++
 	}
-	if left != 3 {
-		t.Errorf("%d are left of 15 after 12", left)
+	if spent != 3 {
+		t.Errorf("%d are left of 15 after 12", spent)
 	}
 	if _, _, _, held := successor.HeldLease(5*second + 1); held {
 		t.Error("the lease is in force beyond its end")
@@ -107,38 +108,38 @@
 // Committed units stay within what can be leased, whatever lessees demand and show.
 func TestCommittedUnitsStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		b, err := NewAllocator(settings)
+		allocator, err := NewAllocator(settings)
 		require.NoError(t, err)
 		units := rapid.Float64Range(0, 300).Draw(r, "units")
-		b.SetBudget("b", units, false)
+		allocator.SetBudget("b", units, false)
 		now := monotime.Micros(0)
-		b.Start(now, term)
-		now = b.RecoveringUntil()
+		allocator.Start(now, term)
+		now = allocator.RecoveringUntil()
 		sequences := map[string]uint64{}
 		for range rapid.IntRange(1, 60).Draw(r, "steps") {
 			now += rapid.Int64Range(0, second).Draw(r, "later")
-			name := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(r, "who")
-			sequences[name]++
+			lesseeName := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(r, "who")
+			sequences[lesseeName]++
 			demand := Demand{Budget: "b", Requested: rapid.Float64Range(0, 1000).Draw(r, "want")}
-			request := LeaseRequest{Incarnation: 1, Sequence: sequences[name], Term: term, HeldTerm: term}
+			request := LeaseRequest{Incarnation: 1, Sequence: sequences[lesseeName], Term: term, HeldTerm: term}
 			request.HeldSerial = rapid.Uint64Range(0, 30).Draw(r, "of")
 			demand.Used = rapid.Float64Range(0, 1000).Draw(r, "used")
 			demand.Held = rapid.IntRange(0, 1000).Draw(r, "holds")
 			request.Demands = []Demand{demand}
-			g, ok := b.HandleRequest(now, name, request)
+			g, ok := allocator.HandleRequest(now, lesseeName, request)
 			if !ok || g.Serial == 0 {
 				r.Fatal("no lease")
 			}
 			if rapid.IntRange(0, 15).Draw(r, "change") == 0 {
-				b.RemoveBudget("b")
-				b.SetBudget("b", units, false)
+				allocator.RemoveBudget("b")
+				allocator.SetBudget("b", units, false)
 			}
-			sum := 0
-			for _, x := range b.sortedLessees {
-				sum += x.committedUnits(now, "b")
+			committed := 0
+			for _, record := range allocator.sortedLessees {
+				committed += record.committedUnits(now, "b")
 			}
-			if sum > settings.Leasable(units) {
-				r.Fatalf("%d units are committed of %d", sum, settings.Leasable(units))
+			if committed > settings.Leasable(units) {
+				r.Fatalf("%d units are committed of %d", committed, settings.Leasable(units))
 			}
 		}
 	})
@@ -157,22 +158,22 @@
 		{4, []float64{1, 1, 1}, []float64{1, 1, 1}, []int{1, 1, 1}},
 		{100, []float64{0, 0, 4}, []float64{0, 0, 4}, []int{5, 5, 9}},
 	} {
-		b, _ := NewAllocator(settings)
-		b.SetBudget("b", c.units, false)
-		b.Start(0, term)
-		now := b.RecoveringUntil()
+		allocator, _ := NewAllocator(settings)
+		allocator.SetBudget("b", c.units, false)
+		allocator.Start(0, term)
+		now := allocator.RecoveringUntil()
 		for i := range c.demands {
 			name := string(rune('a' + i))
-			b.HandleRequest(now, name, LeaseRequest{
+			allocator.HandleRequest(now, name, LeaseRequest{
 				Incarnation: 1, Sequence: 1, Term: term,
 				Demands: []Demand{{Budget: "b", Requested: c.demands[i], Used: c.used[i]}},
 			})
 		}
-		b.divide(now)
-		for i, x := range b.sortedLessees {
-			if x.targets["b"] < c.minTargets[i] {
+		allocator.divide(now)
+		for i, record := range allocator.sortedLessees {
+			if record.targets["b"] < c.minTargets[i] {
 				t.Errorf("%v units, demands %v: the target of %s is %d, less than %d",
-					c.units, c.demands, x.name, x.targets["b"], c.minTargets[i])
+					c.units, c.demands, record.name, record.targets["b"], c.minTargets[i])
 			}
 		}
 	}
@@ -180,34 +181,35 @@
 
 // A contributed budget is the sum of its lessees' contributions, but at most its ceiling.
 func TestContributedBudget(t *testing.T) {
-	b, _ := NewAllocator(settings)
-	b.SetBudget("e", 0, true)
-	b.Start(0, term)
-	now := b.RecoveringUntil()
-	request := func(name string, n uint64) (units int) {
-		g, _ := b.HandleRequest(now, name, LeaseRequest{
-			Incarnation: 1, Sequence: n, Term: term,
+	allocator, _ := NewAllocator(settings)
+	allocator.SetBudget("e", 0, true)
+	allocator.Start(0, term)
+	now := allocator.RecoveringUntil()
+	request := func(name string, sequence uint64) (units int) {
+		g, _ := allocator.HandleRequest(now, name, LeaseRequest{
+			Incarnation: 1, Sequence: sequence, Term: term,
 			Demands: []Demand{{Budget: "e", Requested: 1000, Used: 1000, Contributed: 20}},
 		})
-		for _, s := range g.Allocations {
-			units += s.Units
+		for _, allocation := range g.Allocations {
+			units += allocation.Units
 		}
 		return units
 	}
-	both := func(from, to uint64) (a, b int) {
-		for n := from; n <= to; n++ {
-			a = request("a", n)
-			b = request("b", n)
+	requestRepeatedly := func(first, last uint64) (unitsA, unitsB int) {
+		for sequence := first; sequence <= last; sequence++ {
+			unitsA = request("a", sequence)
+			unitsB = request("b", sequence)
 			now += second / 4
 		}
-		return a, b
+		return unitsA, unitsB
 	}
-	if a, b := both(1, 40); a != 16 || b != 16 { // half of 40 units less the reserve of 0.2
-		t.Errorf("%d and %d of 16", a, b)
+	// Each gets half of the 40 contributed units less the reserve of 0.2.
+	if unitsA, unitsB := requestRepeatedly(1, 40); unitsA != 16 || unitsB != 16 {
+		t.Errorf("%d and %d of 16", unitsA, unitsB)
 	}
-	b.SetCeiling("e", 20)
-	if a, b := both(41, 80); a != 8 || b != 8 {
-		t.Errorf("%d and %d of 8 under the ceiling", a, b)
+	allocator.SetCeiling("e", 20)
+	if unitsA, unitsB := requestRepeatedly(41, 80); unitsA != 8 || unitsB != 8 {
+		t.Errorf("%d and %d of 8 under the ceiling", unitsA, unitsB)
 	}
 }
 
--- a/internal/decide/quota/rate.go
+++ b/internal/decide/quota/rate.go
@@ -25,11 +25,11 @@
 }
 
 // add counts an event.
-func (c *rateEstimator) add(now monotime.Micros) {
-	c.advance(now)
-	c.tenths[c.latestTenth%tenthsPerSecond]++
-	c.decay(now)
-	c.decayedCount++
+func (e *rateEstimator) add(now monotime.Micros) {
+	e.advance(now)
+	e.tenths[e.latestTenth%tenthsPerSecond]++
+	e.decay(now)
+	e.decayedCount++
 }
 
 // The counts of Poisson arrivals vary by the square root of their expected value. A recent count that differs from the
@@ -38,7 +38,7 @@
 const (
 	risingDeviations  = 3.0 // standard deviations above the mean; a false alarm takes units from others
 	fallingDeviations = 2.0 // standard deviations below the mean
-	changeUnits       = 1.0 // units beyond the standard deviations, which are close to 0 at low rates
+	minRateChange     = 1.0 // units beyond the standard deviations, which are close to 0 at low rates
 )
 
 // fallingSpans are the spans within which falling demand is detected, in tenths of a second, the shortest first.
@@ -48,19 +48,19 @@
 // second with more events than the mean finds enough units leased. Where the recent rate shows a rise beyond chance,
 // the demand is the recent rate; where recent counts show a fall beyond chance, the long-term mean starts anew from
 // them.
-func (c *rateEstimator) demandRate(now monotime.Micros) float64 {
-	c.decay(now)
-	mean := c.decayedCount * float64(second) / float64(decayTime)
-	recent := c.recentRate(now)
-	if recent > mean+risingDeviations*math.Sqrt(mean)+changeUnits {
+func (e *rateEstimator) demandRate(now monotime.Micros) float64 {
+	e.decay(now)
+	mean := e.decayedCount * float64(second) / float64(decayTime)
+	recent := e.recentRate(now)
+	if recent > mean+risingDeviations*math.Sqrt(mean)+minRateChange {
 		return recent
 	}
 	for _, tenths := range fallingSpans {
 		expected := mean * float64(tenths) / tenthsPerSecond
-		counted := float64(c.countLatest(tenths))
-		if counted < expected-fallingDeviations*math.Sqrt(expected)-changeUnits {
+		counted := float64(e.countLatest(tenths))
+		if counted < expected-fallingDeviations*math.Sqrt(expected)-minRateChange {
 			mean = counted * tenthsPerSecond / float64(tenths) // the earlier rate no longer counts
-			c.decayedCount = mean * float64(decayTime) / float64(second)
+			e.decayedCount = mean * float64(decayTime) / float64(second)
 			break
 		}
 	}
@@ -78,37 +78,37 @@
 
 // recentRate returns the events a second within the last second, or within the last risingTenths where that rate is
 // higher: rising demand must be met before a whole second has passed.
-func (c *rateEstimator) recentRate(now monotime.Micros) float64 {
-	c.advance(now)
+func (e *rateEstimator) recentRate(now monotime.Micros) float64 {
+	e.advance(now)
 	elapsed := float64(now%tenth) / float64(tenth) // fraction of the present tenth
-	rising := float64(c.countLatest(risingTenths)) / (completeRisingTime + tenthTime*elapsed)
-	return math.Max(float64(c.countLatest(tenthsPerSecond)), rising)
+	rising := float64(e.countLatest(risingTenths)) / (completeRisingTime + tenthTime*elapsed)
+	return math.Max(float64(e.countLatest(tenthsPerSecond)), rising)
 }
 
 // countLatest returns the number of events within the given number of latest tenths of a second, including the present
 // tenth.
-func (c *rateEstimator) countLatest(tenths int) (n int) {
+func (e *rateEstimator) countLatest(tenths int) (events int) {
 	for i := range monotime.Micros(tenths) {
-		n += c.tenths[(c.latestTenth-i+tenthsPerSecond)%tenthsPerSecond]
+		events += e.tenths[(e.latestTenth-i+tenthsPerSecond)%tenthsPerSecond]
 	}
-	return n
+	return events
 }
 
 // advance clears the counts of tenths that have begun since its last call.
-func (c *rateEstimator) advance(now monotime.Micros) {
-	present := now / tenth
-	if present-c.latestTenth >= tenthsPerSecond {
-		clear(c.tenths[:])
-		c.latestTenth = present
+func (e *rateEstimator) advance(now monotime.Micros) {
+	current := now / tenth
+	if current-e.latestTenth >= tenthsPerSecond {
+		clear(e.tenths[:])
+		e.latestTenth = current
 	}
-	for c.latestTenth < present {
-		c.latestTenth++
-		c.tenths[c.latestTenth%tenthsPerSecond] = 0
+	for e.latestTenth < current {
+		e.latestTenth++
+		e.tenths[e.latestTenth%tenthsPerSecond] = 0
 	}
 }
 
 // decay brings the decayed count to now.
-func (c *rateEstimator) decay(now monotime.Micros) {
-	c.decayedCount *= math.Exp(-float64(now-c.decayedAt) / float64(decayTime))
-	c.decayedAt = now
+func (e *rateEstimator) decay(now monotime.Micros) {
+	e.decayedCount *= math.Exp(-float64(now-e.decayedAt) / float64(decayTime))
+	e.decayedAt = now
 }
--- a/internal/decide/quota/settings.go
+++ b/internal/decide/quota/settings.go
@@ -66,11 +66,11 @@
 // second: an equal part of the reserve, rounded down. In a static division the remainder of the rounding goes to the
 // instances of the lowest positions.
 func (s *Settings) Minimum(units float64) int {
-	n := int(s.Reserve * units / float64(s.MaxInstances))
-	if s.Reserve == 1 && s.Position < int(units)-n*s.MaxInstances {
-		n++
+	minimum := int(s.Reserve * units / float64(s.MaxInstances))
+	if s.Reserve == 1 && s.Position < int(units)-minimum*s.MaxInstances {
+		minimum++
 	}
-	return n
+	return minimum
 }
 
 // Leasable returns the units a second that can be leased to all lessees together, of a budget of the given units a
@@ -83,7 +83,9 @@
 }
 
 // window is the time after which a second has passed by any clock: a unit that was spent longer ago no longer counts.
-func (s *Settings) window() monotime.Micros { return monotime.ExtendForDrift(second, s.MaxClockDrift) }
+func (s *Settings) countingWindow() monotime.Micros {
+	return monotime.ExtendForDrift(second, s.MaxClockDrift)
+}
 
 // leaseLifetime is the time after which a lease that is granted now has expired by any clock.
 func (s *Settings) leaseLifetime() monotime.Micros {
--- a/internal/decide/quota/state.go
+++ b/internal/decide/quota/state.go
@@ -40,10 +40,10 @@
 		Remaining:   max(0, l.expiresAt-now),
 		Age:         now - l.startedAt,
 	}
-	for name, x := range l.buckets {
-		x.dropSpentBefore(now - l.settings.window())
-		b := BucketState{Budget: name, Leased: x.leased}
-		for _, at := range x.spent {
+	for name, bucket := range l.buckets {
+		bucket.dropSpentBefore(now - l.settings.countingWindow())
+		b := BucketState{Budget: name, Leased: bucket.leased}
+		for _, at := range bucket.spent {
 			b.Spent = append(b.Spent, now-at)
 		}
 		s.Buckets = append(s.Buckets, b)
@@ -72,14 +72,14 @@
 	l.expiresAt = now + s.Remaining - age
 	l.startedAt = now - age - s.Age
 	for _, b := range s.Buckets {
-		x := l.buckets[b.Budget]
-		if x == nil {
+		bucket := l.buckets[b.Budget]
+		if bucket == nil {
 			continue // not a budget of this process: its leased units are not spent
 		}
-		x.leased = b.Leased
-		x.spent = x.spent[:0]
+		bucket.leased = b.Leased
+		bucket.spent = bucket.spent[:0]
 		for _, ago := range b.Spent {
-			x.spent = append(x.spent, now-age-ago)
+			bucket.spent = append(bucket.spent, now-age-ago)
 		}
 	}
 }
--- a/internal/decide/subset/set.go
+++ b/internal/decide/subset/set.go
@@ -30,104 +30,107 @@
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	x := &Set{settings: s, rand: hash64.Source(hash64.SplitMix(s.Seed ^ seedSalt)), unhealthy: map[string]bool{}}
-	x.rand.Uint64() // earlier builds did not use the first number: with the same seed, steps come at the same times
-	return x, nil
+	set := &Set{settings: s, rand: hash64.Source(hash64.SplitMix(s.Seed ^ seedSalt)), unhealthy: map[string]bool{}}
+	set.rand.Uint64() // earlier builds did not use the first number: with the same seed, steps come at the same times
+	return set, nil
 }
 
 // SetEndpoints sets the endpoint list. Entries with an empty ID, and further entries of one ID, are ignored.
-func (x *Set) SetEndpoints(now monotime.Micros, endpoints []Endpoint) {
-	x.ring = x.ring[:0]
-	known := map[string]bool{}
+func (s *Set) SetEndpoints(now monotime.Micros, endpoints []Endpoint) {
+	s.ring = s.ring[:0]
+	listed := map[string]bool{}
 	for _, e := range endpoints {
-		if e.ID == "" || known[e.ID] {
+		if e.ID == "" || listed[e.ID] {
 			continue
 		}
-		known[e.ID] = true
+		listed[e.ID] = true
 		if !(e.Weight > 0) || math.IsInf(e.Weight, 0) {
 			e.Weight = 1
 		}
-		x.ring = append(x.ring, ringEntry{Endpoint: e})
+		s.ring = append(s.ring, ringEntry{Endpoint: e})
 	}
-	for id := range x.unhealthy {
-		if !known[id] {
-			delete(x.unhealthy, id)
+	for id := range s.unhealthy {
+		if !listed[id] {
+			delete(s.unhealthy, id)
 		}
 	}
-	x.buildRing()
-	x.update(now, false)
+	s.buildRing()
+	s.update(now, false)
 }
 
 // SetUnhealthy sets whether an endpoint is unhealthy: it fails, drains or is full, which the caller decides by
 // outcomes.
-func (x *Set) SetUnhealthy(now monotime.Micros, id string, unhealthy bool) {
-	if x.unhealthy[id] == unhealthy {
+func (s *Set) SetUnhealthy(now monotime.Micros, id string, unhealthy bool) {
+	if s.unhealthy[id] == unhealthy {
 		return
 	}
 	if unhealthy {
-		x.unhealthy[id] = true
+		s.unhealthy[id] = true
 	} else {
-		delete(x.unhealthy, id)
+		delete(s.unhealthy, id)
 	}
-	x.update(now, false)
+	s.update(now, false)
 }
 
 // SetLoad sets the number of its own requests that the instance has in flight, as a mean of some seconds. A negative or
 // infinite number and NaN are ignored.
-func (x *Set) SetLoad(now monotime.Micros, inFlight float64) {
+func (s *Set) SetLoad(now monotime.Micros, inFlight float64) {
 	if inFlight >= 0 && !math.IsInf(inFlight, 0) {
-		x.load = inFlight
-		x.update(now, false)
+		s.load = inFlight
+		s.update(now, false)
 	}
 }
 
 // NextStep returns the instant at which Advance must be called; ok is false if no step is due.
-func (x *Set) NextStep() (at monotime.Micros, ok bool) { return x.nextStepAt, x.nextStepAt > 0 }
+func (s *Set) NextStep() (at monotime.Micros, ok bool) { return s.nextStepAt, s.nextStepAt > 0 }
 
 // Advance widens or narrows the set if that is due. It reports whether the members changed.
-func (x *Set) Advance(now monotime.Micros) bool {
-	if x.nextStepAt == 0 || now < x.nextStepAt {
+func (s *Set) Advance(now monotime.Micros) bool {
+	if s.nextStepAt == 0 || now < s.nextStepAt {
 		return false
 	}
-	return x.update(now, true)
+	return s.update(now, true)
 }
 
 // update decides the width of the arc, and its members by that, and reports whether they changed. A step to the target
 // width is made if due is set, and otherwise scheduled, unless one in the same direction is already.
-func (x *Set) update(now monotime.Micros, due bool) bool {
-	previousDoublings := x.doublings
-	target := x.targetDoublings()
+func (s *Set) update(now monotime.Micros, due bool) bool {
+	previousDoublings := s.doublings
+	target := s.targetDoublings()
 	switch {
-	case target == x.doublings:
-		x.nextStepAt = 0
+	case target == s.doublings:
+		s.nextStepAt = 0
 	case due:
-		x.doublings = target
-		target = x.targetDoublings()
-		if target != x.doublings {
-			x.scheduleStep(now, target)
+		s.doublings = target
+		target = s.targetDoublings()
+		if target != s.doublings {
+			s.scheduleStep(now, target)
 		} else {
-			x.nextStepAt = 0
+			s.nextStepAt = 0
 		}
-	case x.nextStepAt == 0 || (target > x.doublings) != x.nextStepWidens:
-		x.scheduleStep(now, target)
+	case s.nextStepAt == 0 || (target > s.doublings) != s.nextStepWidens:
+		s.scheduleStep(now, target)
 	}
-	previousMembers := x.members
-	x.members = x.arcMembers(x.doublings)
-	return previousDoublings != x.doublings || !slices.Equal(previousMembers, x.members)
+	previousMembers := s.members
+	s.members = s.arcMembers(s.doublings)
+	return previousDoublings != s.doublings || !slices.Equal(previousMembers, s.members)
 }
 
 // Members returns the endpoints that this instance connects to, in the order of the ring. The caller must not change
 // them.
-func (x *Set) Members() []Member { return x.members }
+func (s *Set) Members() []Member { return s.members }
 
 // Doublings returns how often the arc is doubled at present; 0 is the width without unhealthy endpoints and load.
-func (x *Set) Doublings() int { return x.doublings }
+func (s *Set) Doublings() int { return s.doublings }
 
 // Budgets returns this instance's part of all endpoints' budgets: their sum over the number of instances.
-func (x *Set) Budgets() Budgets {
-	if x.settings.Instances == 0 {
+func (s *Set) Budgets() Budgets {
+	if s.settings.Instances == 0 {
 		return Budgets{}
 	}
-	part := float64(len(x.ring)) / float64(x.settings.Instances)
-	return Budgets{x.settings.EndpointIdleConnections * part, x.settings.EndpointProbes * part}
+	endpointsPerInstance := float64(len(s.ring)) / float64(s.settings.Instances)
+	return Budgets{
+		s.settings.EndpointIdleConnections * endpointsPerInstance,
+		s.settings.EndpointProbes * endpointsPerInstance,
+	}
 }
--- a/internal/decide/subset/width.go
+++ b/internal/decide/subset/width.go
@@ -14,21 +14,21 @@
 // targetDoublings decides how often the arc should be doubled. It is doubled as often as the instance's own load
 // requires; otherwise once more if too little of it is healthy, or once less if half of it is healthy enough and the
 // load allows it; otherwise it stays.
-func (x *Set) targetDoublings() int {
-	if x.overloaded(x.doublings) {
-		doublings := x.doublings + 1
-		for x.overloaded(doublings) {
+func (s *Set) targetDoublings() int {
+	if s.overloaded(s.doublings) {
+		doublings := s.doublings + 1
+		for s.overloaded(doublings) {
 			doublings++
 		}
 		return doublings
 	}
-	if x.healthyWeight(x.doublings) < widenBelowHealthy && !x.coversRing(x.doublings) {
-		return x.doublings + 1
+	if s.healthyWeight(s.doublings) < widenBelowHealthy && !s.coversRing(s.doublings) {
+		return s.doublings + 1
 	}
-	if x.doublings > 0 && x.healthyWeight(x.doublings-1) >= narrowAboveHealthy && x.underloaded() {
-		return x.doublings - 1
+	if s.doublings > 0 && s.healthyWeight(s.doublings-1) >= narrowAboveHealthy && s.underloaded() {
+		return s.doublings - 1
 	}
-	return x.doublings
+	return s.doublings
 }
 
 // The load band, in own requests in flight for each member: that of Finagle's aperture
@@ -40,25 +40,25 @@
 )
 
 // overloaded reports whether the arc has too few members for the instance's own load if it is doubled so often.
-func (x *Set) overloaded(doublings int) bool {
-	return x.load > maxLoadPerMember*float64(len(x.arcMembers(doublings))) && !x.coversRing(doublings)
+func (s *Set) overloaded(doublings int) bool {
+	return s.load > maxLoadPerMember*float64(len(s.arcMembers(doublings))) && !s.coversRing(doublings)
 }
 
 // underloaded reports whether the instance's own load allows fewer members.
-func (x *Set) underloaded() bool {
-	return x.load < minLoadPerMember*float64(len(x.members))
+func (s *Set) underloaded() bool {
+	return s.load < minLoadPerMember*float64(len(s.members))
 }
 
 // healthyWeight returns the weight of the healthy members, as a part of a single arc's weight, if the arc is doubled so
 // often. A long arc may have more than 1.
-func (x *Set) healthyWeight(doublings int) float64 {
+func (s *Set) healthyWeight(doublings int) float64 {
 	var sum float64
-	for _, m := range x.arcMembers(doublings) {
-		if !x.unhealthy[m.ID] {
+	for _, m := range s.arcMembers(doublings) {
+		if !s.unhealthy[m.ID] {
 			sum += m.Share
 		}
 	}
-	return sum * min(math.Pow(2, float64(doublings)), float64(x.arcCount()))
+	return sum * min(math.Pow(2, float64(doublings)), float64(s.arcCount()))
 }
 
 // The mean times to a step, by its cause.
@@ -70,14 +70,14 @@
 
 // scheduleStep sets the time of the next step: a half to one and a half of its mean time, at random, so that
 // instances with the same evidence do not step at once.
-func (x *Set) scheduleStep(now monotime.Micros, target int) {
-	x.nextStepWidens = target > x.doublings
+func (s *Set) scheduleStep(now monotime.Micros, target int) {
+	s.nextStepWidens = target > s.doublings
 	interval := widenInterval
 	switch {
-	case !x.nextStepWidens:
+	case !s.nextStepWidens:
 		interval = narrowInterval
-	case x.overloaded(x.doublings):
+	case s.overloaded(s.doublings):
 		interval = loadStepInterval
 	}
-	x.nextStepAt = now + max(1, interval/2+monotime.Micros(x.rand.Float64()*float64(interval)))
+	s.nextStepAt = now + max(1, interval/2+monotime.Micros(s.rand.Float64()*float64(interval)))
 }
