--- a/internal/decide/coordination/golden_test.go
+++ b/internal/decide/coordination/golden_test.go
@@ -7,8 +7,8 @@
 	"dunlinsail/internal/fake/golden"
 )
 
-// goldenView is the content of testdata/view.json. The file was written before the types had tags, and never changes:
-// operators' tools read this form.
+// goldenView returns the view that testdata/view.json encodes. The file was written before View had struct tags and
+// must never change, because operators' tools read this encoding.
 func goldenView() View {
 	return View{
 		Active:            true,
--- a/internal/decide/coordination/member.go
+++ b/internal/decide/coordination/member.go
@@ -11,35 +11,36 @@
 	"dunlinsail/internal/monotime"
 )
 
-// delayRandomStream is the number of the random stream of this package's delays: the lease's voter draws from the same seed.
+// delayRandomStream selects the random number stream of this package's delays. It keeps them independent of the lease
+// voter's delays, which use the same seed.
 const delayRandomStream = 3
 
-// Member is one instance of the fleet. Create one with New; it sends nothing, and spends nothing, before Start or
-// Restore. It is not safe for concurrent use.
+// Member represents this process's instance in the fleet. Create one with New. It sends no messages and spends no units
+// before Start or Restore. It is not safe for concurrent use.
 type Member struct {
 	settings Settings
 	rng      *rand.Rand
 	outgoing []Outgoing
 	voter    *lease.Voter // nil if this instance is not a candidate, or not active
 
-	// As a lessee.
+	// The state of this instance as a lessee.
 	lessee              *quota.Lessee
 	observe             func(now monotime.Micros) observations.Observations // may be nil
-	receivedAggregate   observations.Aggregate                              // the latest from the allocator
+	receivedAggregate   observations.Aggregate                              // latest aggregate from the allocator
 	aggregateReceivedAt monotime.Micros
-	aggregateUnread     bool // received has changed since TakeAggregate
-	nextRequestAt       monotime.Micros
-	unansweredSince     monotime.Micros // when the latest grant arrived, or the allocator was forgotten for lack of one
+	aggregateUnread     bool            // receivedAggregate has changed since the latest TakeAggregate
+	nextRequestAt       monotime.Micros // when to send the next lease request
+	unansweredSince     monotime.Micros // when the latest grant arrived, or the allocator was last forgotten
 
-	// As the allocator.
+	// The state of this instance as the allocator.
 	allocator    *quota.Allocator
 	aggregator   *observations.Aggregator
-	sharedLevels map[string]*overload.SharedLevel // the fleet's admission level, by set of endpoints
-	ownAggregate observations.Aggregate           // the aggregator's result of aggregatedAt
+	sharedLevels map[string]*overload.SharedLevel // the fleet's shared admission levels, keyed by endpoint set
+	ownAggregate observations.Aggregate           // the aggregate that was computed at aggregatedAt
 	aggregatedAt monotime.Micros
 }
 
-// New returns an instance that is not started, or a *setting.Error if a setting is out of range.
+// New returns a member that is not started. The error is a *setting.Error if a setting is out of range.
 func New(s Settings) (*Member, error) {
 	m := &Member{
 		settings:     s,
@@ -78,48 +79,49 @@
 	}
 }
 
-// SetObserver sets the function that returns this instance's observations. It is called before each lease request is
-// sent, and may call SetContribution and SetBudget.
+// SetObserver sets the function that returns this instance's observations. The member calls it before it sends a
+// lease request. The function may call SetContribution and SetBudget.
 func (m *Member) SetObserver(observe func(now monotime.Micros) observations.Observations) {
 	m.observe = observe
 }
 
-// Start starts an instance whose process has no predecessor. No process of its name may have had the incarnation.
+// Start starts an instance whose process has no predecessor. The incarnation must be different from the incarnations of
+// all earlier processes with the same name.
 func (m *Member) Start(now monotime.Micros, incarnation uint64) {
 	m.lessee.Start(now, incarnation)
 	m.activate(now, incarnation)
 }
 
-// Restore starts an instance whose process succeeds a predecessor, with the state that the predecessor handed over. age
-// is the time since the state was taken.
+// Restore starts an instance whose process is the successor of another, with the state that the predecessor handed
+// over. age is the time since that state was taken.
 func (m *Member) Restore(now, age monotime.Micros, incarnation uint64, s *quota.State) {
 	m.lessee.Restore(now, age, s)
 	m.activate(now, incarnation)
 }
 
-// activate starts sending, and as a candidate voting.
+// activate lets the instance send requests and, if it is a candidate, take part in elections.
 func (m *Member) activate(now monotime.Micros, incarnation uint64) {
 	m.outgoing = nil
 	m.unansweredSince = now
-	// All instances may start at the same time: their first requests are spread over an interval.
+	// All instances may start at the same time, so their first requests are spread over one request interval.
 	m.nextRequestAt = now + m.rng.Int64N(m.settings.Quota.RequestInterval)
 	if m.isCandidate() {
-		m.voter, _ = lease.New(now, m.leaseSettings(incarnation)) // New has validated the settings
+		m.voter, _ = lease.New(now, m.leaseSettings(incarnation)) // the function New has validated the settings
 	}
 }
 
-// Active reports whether the instance is started, and has not handed over.
+// Active reports whether the instance is started and has not handed over to a successor.
 func (m *Member) Active() bool { return m.lessee.Active() }
 
-// HandOver ends this process's part and returns the state for its successor.
+// HandOver deactivates this process and returns the state for its successor.
 func (m *Member) HandOver(now monotime.Micros) *quota.State {
 	s := m.lessee.HandOver(now)
 	m.resign(now)
 	return s
 }
 
-// resign gives up the allocator's lease, if it is held, because the process is about to end: another candidate can win
-// it before it expires.
+// resign ends the allocator's lease, if this process holds it, so that another candidate can win the lease before it
+// would expire. It is called before the process ends.
 func (m *Member) resign(now monotime.Micros) {
 	if m.voter != nil {
 		m.voter.Resign(now)
@@ -129,8 +131,8 @@
 	m.allocator.Stop()
 }
 
-// SetBudget sets the units a second that all instances together may spend of a budget, and adds the budget if it is
-// new. A contributed budget is the sum of the instances' contributions, and units is ignored.
+// SetBudget sets the units a second that all instances together may spend of a budget. It adds the budget if it is new.
+// For a contributed budget, units is ignored: its size is the sum of the instances' contributions.
 func (m *Member) SetBudget(name string, units float64, contributed bool) {
 	if contributed {
 		units = 0
@@ -139,20 +141,20 @@
 	m.allocator.SetBudget(name, units, contributed)
 }
 
-// RemoveBudget removes a budget, of which nothing may be spent from now on.
+// RemoveBudget removes a budget. None of its units may be spent from now on.
 func (m *Member) RemoveBudget(name string) {
 	m.lessee.RemoveBudget(name)
 	m.allocator.RemoveBudget(name)
 }
 
-// SetContribution sets the units a second that this instance adds to a contributed budget, and the upper bound, also in
-// units a second, that this instance applies to the whole budget while it is the allocator.
+// SetContribution sets the units a second that this instance adds to a contributed budget. ceiling is the upper bound
+// of the whole budget, in units a second, which has an effect only while this instance is the allocator.
 func (m *Member) SetContribution(name string, units, ceiling float64) {
 	m.lessee.SetContribution(name, units)
 	m.allocator.SetCeiling(name, ceiling)
 }
 
-// RecordDemand counts a unit of a budget that is needed, whether or not it is available.
+// RecordDemand counts one unit of demand for a budget, whether or not a unit is available.
 func (m *Member) RecordDemand(now monotime.Micros, name string) { m.lessee.RecordDemand(now, name) }
 
 // Spend spends a unit of a budget, and reports whether one was available.
@@ -169,8 +171,9 @@
 // aggregateLifetime is the time for which a received aggregate is valid, in request intervals.
 const aggregateLifetime = 6
 
-// TakeAggregate returns the latest aggregate of all instances' observations. changed is false if that was returned
-// before. An expired aggregate becomes the zero value, which is returned as changed once.
+// TakeAggregate returns the latest aggregate of all instances' observations. changed reports whether the aggregate
+// differs from the one that the previous call returned. When an aggregate expires, it is replaced by the zero value,
+// which is reported as changed once.
 func (m *Member) TakeAggregate(now monotime.Micros) (aggregate observations.Aggregate, changed bool) {
 	lifetime := aggregateLifetime * m.settings.Quota.RequestInterval
 	if !m.aggregateUnread && m.receivedAggregate.Reporters > 0 && now-m.aggregateReceivedAt > lifetime {
--- a/internal/decide/coordination/member_test.go
+++ b/internal/decide/coordination/member_test.go
@@ -16,11 +16,11 @@
 	budgetUnits = 100
 )
 
-// convergenceTime is the time after which a fleet without faults has an allocator that has recovered, and each member
-// has a lease.
+// convergenceTime is the time after which a fleet without faults has an allocator whose recovery has ended, and each
+// member has a quota lease.
 const convergenceTime = 10 * second
 
-// fleet runs members by one clock, over a network that delivers each message after a millisecond.
+// fleet simulates members that share one clock, over a network that delivers each message after a millisecond.
 type fleet struct {
 	t        *testing.T
 	now      monotime.Micros
@@ -52,7 +52,7 @@
 	}
 }
 
-// startFleet starts members, the first three of which are candidates.
+// startFleet starts a fleet with a member of each name. The first three members are candidates.
 func startFleet(t *testing.T, names ...string) *fleet {
 	t.Helper()
 	f := &fleet{t: t, names: names, members: map[string]*Member{}, isolated: map[string]bool{}}
@@ -71,7 +71,8 @@
 	return m
 }
 
-// run advances the time by d. Each member demands a unit each step, so that the whole budget is in demand.
+// run advances the time by duration in steps of a millisecond. At each step every member demands a unit, so that the
+// whole budget is in demand. run ends the test if the members may together spend more than the budget.
 func (f *fleet) run(duration monotime.Micros) {
 	f.t.Helper()
 	const step = second / 1000
@@ -102,14 +103,15 @@
 	}
 }
 
-// collect puts a member's outgoing messages on the network.
+// queueOutgoing puts the outgoing messages of a member on the network.
 func (f *fleet) queueOutgoing(from string) {
 	for _, o := range f.members[from].TakeOutgoing() {
 		f.inFlight = append(f.inFlight, inFlightMessage{from, o.To, f.now + second/1000, o.Message})
 	}
 }
 
-// allocator returns the name of the one member that grants leases; empty if there is none.
+// allocator returns the name of the member that grants quota leases, or an empty string if there is none. It ends the
+// test if there are two.
 func (f *fleet) allocator() (name string) {
 	f.t.Helper()
 	for _, candidate := range f.names {
@@ -124,7 +126,7 @@
 	return name
 }
 
-// allowed returns the sum of the units that all members may spend within a second.
+// totalAllowed returns the units that all members together may spend within a second.
 func (f *fleet) totalAllowed() (sum int) {
 	for _, m := range f.members {
 		sum += m.Allowed(f.now, budgetName)
--- a/internal/decide/coordination/messages.go
+++ b/internal/decide/coordination/messages.go
@@ -6,18 +6,19 @@
 	"dunlinsail/internal/decide/quota"
 )
 
-// Message is what instances send to each other: a vote (Lease), a request (Request and Observations), or the reply to
-// one (Grant and Aggregate). The other fields are nil. Its tags are the names on the wire, which all builds share.
+// Message is a message between two instances: a message of the lease's election (Lease), a lease request (Request and
+// Observations), or the reply to a lease request (Grant and Aggregate). All other fields are nil. The struct tags are
+// the names on the wire, which all builds share.
 type Message struct {
 	Lease        *lease.Message             `cbor:"Lease"`
 	Request      *quota.LeaseRequest        `cbor:"Ask"`
-	Observations *observations.Observations `cbor:"Seen"` // with Request; nil if the instance has no observer
+	Observations *observations.Observations `cbor:"Seen"` // sent with Request; nil if the instance has no observer
 	Grant        *quota.Grant               `cbor:"Grant"`
-	Aggregate    *observations.Aggregate    `cbor:"All"` // with Grant; nil if the grant has no lease
+	Aggregate    *observations.Aggregate    `cbor:"All"` // sent with Grant; nil if the grant contains no lease
 }
 
 // Outgoing is a message that the caller must send to an instance.
 type Outgoing struct {
-	To      string
+	To      string // name of the instance
 	Message Message
 }
--- a/internal/decide/coordination/protocol.go
+++ b/internal/decide/coordination/protocol.go
@@ -17,7 +17,7 @@
 	return at
 }
 
-// Tick does what is due at now: the voter's rounds, and the next lease request.
+// Tick performs the actions that are due at now: the voter's rounds, and sending the next lease request.
 func (m *Member) Tick(now monotime.Micros) {
 	if !m.Active() {
 		return
@@ -39,7 +39,7 @@
 	return taken
 }
 
-// send queues a message; one to the instance itself is handled at once.
+// send queues a message to another instance. A message to this instance itself is handled at once.
 func (m *Member) send(now monotime.Micros, to string, message Message) {
 	if to == m.settings.Self {
 		m.Receive(now, to, message)
@@ -48,15 +48,15 @@
 	m.outgoing = append(m.outgoing, Outgoing{to, message})
 }
 
-// queueLeaseMessages queues the voter's messages.
+// queueLeaseMessages moves the voter's outgoing messages to this member's queue.
 func (m *Member) queueLeaseMessages() {
 	for _, o := range m.voter.TakeOutgoing() {
 		m.outgoing = append(m.outgoing, Outgoing{o.To, Message{Lease: &o.Message}})
 	}
 }
 
-// followLease starts the allocator when this instance has won the lease, and stops it when the lease is lost or was won
-// anew in another term. An allocator starts with recovery, without observations.
+// followLease starts the allocator if this instance has won the lease. It stops the allocator if the lease was lost,
+// and restarts it if the lease was won in another term. A started allocator is in recovery and has no observations.
 func (m *Member) followLease(now monotime.Micros) {
 	held, _, holds := m.voter.HeldTerm(now)
 	if term, active := m.allocator.ActiveTerm(); active && (!holds || held != term) {
@@ -71,15 +71,17 @@
 	}
 }
 
-// maxUnansweredIntervals is the time without a grant, in request intervals, after which requests go to all candidates.
+// maxUnansweredIntervals is the time without a grant, in request intervals, after which a request is sent to all
+// candidates.
 const maxUnansweredIntervals = 3
 
-// requestJitterDivisor gives the range of the time between two requests, as a part of the request interval, half of it
-// below the interval and half above. Without jitter the instances' requests would synchronize.
+// requestJitterDivisor determines the jitter of the time between two requests: it varies over a range of this fraction
+// (one eighth) of the request interval, centered on the interval. Without jitter the instances' requests would
+// synchronize.
 const requestJitterDivisor = 8
 
-// sendRequest requests a quota lease from the allocator, or from all candidates if the allocator is not known or has
-// not replied for maxUnansweredIntervals request intervals. It sets the time of the next request.
+// sendRequest sends a lease request to the allocator, or to all candidates if the allocator is not known or has not
+// replied for maxUnansweredIntervals request intervals. It also sets the time of the next request.
 func (m *Member) sendRequest(now monotime.Micros) {
 	interval := m.settings.Quota.RequestInterval
 	m.nextRequestAt = now + interval - interval/(2*requestJitterDivisor) + m.rng.Int64N(interval/requestJitterDivisor)
@@ -105,8 +107,8 @@
 	}
 }
 
-// Receive handles a message of an instance. Before Start or Restore, and after HandOver, messages are ignored; only
-// candidates handle votes and requests.
+// Receive handles a message from an instance. Messages are ignored before Start or Restore, and after HandOver.
+// Election messages and lease requests are ignored unless this instance is a candidate.
 func (m *Member) Receive(now monotime.Micros, from string, message Message) {
 	switch {
 	case !m.Active():
@@ -121,7 +123,8 @@
 	}
 }
 
-// handleRequest replies to a lease request if this instance is the allocator, and passes on the observations in it.
+// handleRequest handles a lease request if this instance is the allocator: it passes the observations to the aggregator
+// and replies with a grant.
 func (m *Member) handleRequest(now monotime.Micros, from string, message Message) {
 	m.followLease(now)
 	grant, ok := m.allocator.HandleRequest(now, from, *message.Request)
@@ -133,13 +136,13 @@
 		m.aggregator.Receive(now, from, *message.Observations)
 	}
 	if grant.Serial != 0 {
-		aggregate := m.aggregate(now) // a copy: ownAggregate may change before the message is sent
+		aggregate := m.aggregate(now) // copied because ownAggregate may change before the message is sent
 		reply.Aggregate = &aggregate
 	}
 	m.send(now, from, reply)
 }
 
-// handleGrant handles the reply to a lease request. Its aggregate is used only if its lease was accepted.
+// handleGrant handles the reply to a lease request. The aggregate in the reply is used only if its lease was accepted.
 func (m *Member) handleGrant(now monotime.Micros, message Message) {
 	if m.lessee.HandleGrant(now, *message.Grant) {
 		m.nextRequestAt = now
@@ -155,12 +158,12 @@
 	}
 }
 
-// aggregationsPerInterval is how often the allocator computes the aggregate in a request interval, at most: replies in
-// between get the latest one.
+// aggregationsPerInterval limits how often the allocator computes the aggregate within a request interval. Replies
+// between two computations contain the earlier aggregate.
 const aggregationsPerInterval = 4
 
-// aggregate returns the aggregate of all instances' observations. In place of the instances' mean admission levels it
-// has the fleet's shared level for each set of endpoints (overload.SharedLevel).
+// aggregate returns the aggregate of all instances' observations. Its admission level for each endpoint set is the
+// fleet's shared level (overload.SharedLevel) instead of the mean of the instances' levels.
 func (m *Member) aggregate(now monotime.Micros) observations.Aggregate {
 	if now-m.aggregatedAt < m.settings.Quota.RequestInterval/aggregationsPerInterval {
 		return m.ownAggregate
--- a/internal/decide/coordination/view.go
+++ b/internal/decide/coordination/view.go
@@ -5,27 +5,27 @@
 	"dunlinsail/internal/monotime"
 )
 
-// View is an instance's view of its fleet, for operators. Its tags are the names in the JSON that operators' tools
-// read. Durations are in microseconds.
+// View is an instance's view of its fleet, for operators. The struct tags are the names in the JSON that operators'
+// tools read. Durations are in microseconds.
 type View struct {
 	Active            bool                `json:"Begun"`
-	Allocator         string              `json:"Book"`     // its name; empty if it is not known
-	SinceLastGrant    monotime.Micros     `json:"HeardAgo"` // since the allocator's latest lease was received
-	LeaseRemaining    monotime.Micros     `json:"Loan"`     // until the lease in force expires; 0 if there is none
-	Budgets           []BudgetStatus      `json:"Shares"`   // by name
-	Reporters         int                 `json:"Members"`  // instances whose observations the allocator has
-	RecoveryRemaining monotime.Micros     `json:"Learning"` // of the allocator: until its recovery ends; 0 if it has
-	Leases            []quota.LeaseStatus `json:"Loans"`    // if this instance is the allocator
+	Allocator         string              `json:"Book"`     // name of the allocator; empty if it is not known
+	SinceLastGrant    monotime.Micros     `json:"HeardAgo"` // time since the latest quota lease was received
+	LeaseRemaining    monotime.Micros     `json:"Loan"`     // time until the quota lease expires; 0 if there is none
+	Budgets           []BudgetStatus      `json:"Shares"`   // status of each budget, sorted by name
+	Reporters         int                 `json:"Members"`  // number of instances whose observations are aggregated
+	RecoveryRemaining monotime.Micros     `json:"Learning"` // time until recovery ends, if this is the allocator
+	Leases            []quota.LeaseStatus `json:"Loans"`    // all quota leases, if this is the allocator
 }
 
-// BudgetStatus is what an instance may spend and has spent of a budget.
+// BudgetStatus states how many units of a budget an instance may spend and has spent.
 type BudgetStatus struct {
 	Budget  string `json:"Budget"`
-	Allowed int    `json:"Allowed"` // units within the second that ends now
-	Spent   int    `json:"Spent"`   // units within the last second
+	Allowed int    `json:"Allowed"` // units that may be spent within the second that ends now
+	Spent   int    `json:"Spent"`   // units that were spent within the last second
 }
 
-// View returns the instance's view at now.
+// View returns the instance's view of its fleet at now.
 func (m *Member) View(now monotime.Micros) View {
 	term, lastGrantAt := m.lessee.KnownAllocator()
 	v := View{
--- a/internal/decide/cordon/cordon.go
+++ b/internal/decide/cordon/cordon.go
@@ -1,10 +1,11 @@
-// Package cordon decides which endpoints operators have cordoned: those that must get no new requests until they are
-// uncordoned. Package engine keeps a Set and applies it to the balancers of all pools.
+// Package cordon tracks which endpoints operators have cordoned. A cordoned endpoint must get no new requests until it
+// is uncordoned. Package engine keeps a Set and applies it to the balancers of all pools.
 //
-// A Set has the latest record of each endpoint name. Records of several sources, such as the two processes of a hot
-// restart, may arrive in any order and more than once. Sets that have received the same records agree.
+// A Set contains the latest record of each endpoint. Records from several sources, such as the two processes of a hot
+// restart, may arrive in any order and more than once. Sets that have received the same records agree on which
+// endpoints are cordoned.
 //
-// The package is a deterministic state machine without I/O or a clock, and must not know about endpoint lists or
+// The package is a deterministic state machine without I/O or a clock. It must not depend on endpoint lists or
 // balancers.
 package cordon
 
@@ -15,23 +16,25 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Record is an operator's call to cordon or uncordon an endpoint. Its tags are the names in takeover messages,
+// Record is an operator's call to cordon or uncordon an endpoint. The struct tags are the names in takeover messages,
 // snapshots and the stored file.
 type Record struct {
-	Name     string          `json:"Name"`
-	Cordoned bool            `json:"Out"` // false uncordons the endpoint
-	At       monotime.Micros `json:"At"`  // instant of the call, by the clock that all sources of records share
+	Name     string          `json:"Name"` // name of the endpoint
+	Cordoned bool            `json:"Out"`  // true for a call to cordon, false for a call to uncordon
+	At       monotime.Micros `json:"At"`   // time of the call, by a clock that all sources of records share
 }
 
-// Set is the latest record of each endpoint name. The zero value is empty. It is not safe for concurrent use.
+// Set contains the latest record of each endpoint. The zero value is empty. It is not safe for concurrent use.
 type Set struct{ records map[string]Record }
 
-// uncordonRetention is the time for which a record that uncordons an endpoint is kept. An older record that cordons the
-// endpoint may still arrive from another process; records are exchanged within a second.
+// uncordonRetention is the time for which a record of an uncordoned endpoint is kept. The record is needed because an
+// older record that cordons the endpoint may still arrive from another process. Processes exchange records within a
+// second.
 const uncordonRetention = 60 * monotime.Second
 
-// Apply applies a record, and reports whether that cordons or uncordons the endpoint. Of two records of an endpoint the
-// later one wins; of two of the same instant, the one that cordons.
+// Apply adds a record to the set, and reports whether the endpoint is now cordoned or uncordoned by it. The later of
+// two records of an endpoint takes precedence. Of two records with the same time, the record that cordons takes
+// precedence.
 func (s *Set) Apply(r Record) (changed bool) {
 	previous, known := s.records[r.Name]
 	if known && (r.At < previous.At || r.At == previous.At && !r.Cordoned) {
@@ -41,7 +44,7 @@
 		s.records = map[string]Record{}
 	}
 	s.records[r.Name] = r
-	for name, other := range s.records { // there are few: only endpoints that an operator has cordoned
+	for name, other := range s.records { // records are few: operators cordon only a few endpoints
 		if !other.Cordoned && r.At-other.At > uncordonRetention {
 			delete(s.records, name)
 		}
@@ -52,7 +55,8 @@
 // Cordoned reports whether an endpoint is cordoned.
 func (s *Set) Cordoned(name string) bool { return s.records[name].Cordoned }
 
-// LastChange returns the instant of an endpoint's latest record, 0 if there is none. The next record must be later.
+// LastChange returns the time of an endpoint's latest record, or 0 if there is none. The time of the endpoint's next
+// record must be later.
 func (s *Set) LastChange(name string) monotime.Micros { return s.records[name].At }
 
 // Records returns all records, sorted by name.
--- a/internal/decide/cordon/cordon_test.go
+++ b/internal/decide/cordon/cordon_test.go
@@ -9,8 +9,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Sets that have received the same records agree on the latest record of each name, whatever the order and number of
-// arrivals.
+// Sets that have received the same records in different orders, and more than once, contain the same latest records.
 func TestOrderOfRecordsDoesNotMatter(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -32,7 +31,7 @@
 	}
 }
 
-// randomRecords returns up to 20 records of four endpoints, some of the same instant.
+// randomRecords returns 1 to 20 records of up to four endpoints. Several records may have the same time.
 func randomRecords(rng *rand.Rand) (records []Record) {
 	for range 1 + rng.IntN(20) {
 		records = append(records, Record{
@@ -44,7 +43,7 @@
 	return records
 }
 
-// latestRecords returns the record of each name that wins by the rule of Set.Apply.
+// latestRecords returns the record of each endpoint that takes precedence by the rule of Set.Apply.
 func latestRecords(records []Record) map[string]Record {
 	latest := map[string]Record{}
 	for _, record := range records {
@@ -56,7 +55,7 @@
 	return latest
 }
 
-// requireRecords ends the test unless a set has exactly the wanted records.
+// requireRecords ends the test unless the set contains exactly the wanted records.
 func requireRecords(t *testing.T, seed uint64, s *Set, want map[string]Record) {
 	t.Helper()
 	if len(s.Records()) != len(want) {
@@ -69,7 +68,7 @@
 	}
 }
 
-// Records that uncordon are dropped after uncordonRetention, those that cordon never.
+// Records of uncordoned endpoints are dropped after uncordonRetention. Records of cordoned endpoints are kept forever.
 func TestUncordonsAreForgotten(t *testing.T) {
 	var s Set
 	s.Apply(Record{"s-1", true, 1})
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -1,31 +1,31 @@
-// Package lease elects the holder of a fleet's one lease by the votes of a majority, without a disk and without
+// Package lease elects the holder of a fleet's single lease by majority vote. It needs no persistent storage and no
 // synchronized clocks. Package coordination makes the holder the fleet's quota allocator.
 //
-// Safety comes first: at no instant do two processes hold the lease, whatever is lost, delayed, duplicated or
-// reordered, and whichever voter is killed, stopped or partitioned. Liveness comes second: once a majority of the
-// voters can communicate, one of them wins the lease and renews it.
+// Safety comes first: two processes never hold the lease at the same time, even if messages are lost, delayed,
+// duplicated or reordered, and if voters are killed, stopped or partitioned. Liveness comes second: once a majority of
+// the voters can communicate, one of them wins the lease and renews it.
 //
 // # Protocol
 //
 // Every voter is also a candidate. A candidate sends a VoteRequest with a new round number to all voters, itself
 // included. A voter replies with VoteGranted, or with VoteDenied and the name of the candidate that has its vote. A
-// majority of grants within half of the lease's duration wins the lease, or renews it. A candidate that fails sends
-// VoteReleased, so that other candidates need not wait until its votes expire.
+// candidate that receives a majority of grants within half of the lease's duration wins the lease, or renews it. A
+// candidate that does not sends VoteReleased, so that other candidates need not wait until its votes expire.
 //
-// # Why two never hold it
+// # Why two processes never hold the lease
 //
-//   - A voter's vote belongs to one candidate at a time, for Settings.Duration extended by the possible difference of
-//     two clocks' rates (monotime.ExtendForDrift), counted from when the vote is granted.
-//   - A holder counts its lease from before it sent the requests, for Settings.Duration. So while a lease is valid by
-//     its holder's clock, all votes that won it are valid by their voters' clocks.
-//   - Two majorities share a voter, and that voter has one vote.
-//   - A voter that starts does not know its earlier vote: it grants none until any earlier vote has expired.
-//   - A vote counts only for the round of its request, so a late vote is ignored.
+//   - A voter's vote belongs to one candidate at a time. It is valid for Settings.Duration, extended by the largest
+//     difference between the rates of two clocks (monotime.ExtendForDrift), from when the voter grants it.
+//   - A holder counts Settings.Duration from before it sent the vote requests. So while the lease is valid by its
+//     holder's clock, all votes that won it are valid by their voters' clocks.
+//   - Any two majorities have a voter in common, and that voter has one vote.
+//   - A voter that starts does not know how it voted before. It grants no vote until any earlier vote has expired.
+//   - A vote counts only for the round of its request. A vote that arrives after its round is ignored.
 //
-// Source: Trencseni, Gazso and Reinhardt, "PaxosLease: Diskless Paxos for Leases", 2012. With one decision to make and
-// nothing to remember beyond it, the paper's ballots are not needed.
+// The protocol is PaxosLease (Trencseni, Gazso and Reinhardt, "PaxosLease: Diskless Paxos for Leases", 2012) without
+// the paper's ballots, which are not needed because voters decide only who holds the lease and store nothing else.
 //
-// The package is a deterministic state machine without I/O or a clock: callers pass the time in and carry the messages
-// out, and the seed determines all random delays. Its types are not safe for concurrent use. It must not know about
-// sockets, members other than the voters, or what the lease is for.
+// The package is a deterministic state machine without I/O or a clock: callers pass in the time and received messages
+// and send the outgoing messages, and the seed determines all random delays. Its types are not safe for concurrent use.
+// The package must not depend on sockets, on members other than the voters, or on what the lease is used for.
 package lease
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -19,32 +19,32 @@
 type cluster struct {
 	rng           *rand.Rand
 	names         []string
-	drift         float64 // largest deviation of a clock rate, as a fraction
+	drift         float64 // largest deviation of a clock's rate from the true rate, as a fraction
 	now           float64 // true time, in microseconds
 	voters        []*Voter
-	clockRates    []float64
-	clockOrigins  []float64 // true time at which the local clock was 0
-	stoppedUntil  []float64 // true time
-	incarnations  uint64
-	inFlight      []inFlightMessage
-	partitioned   func(from, to int) bool
-	loss          float64
-	maxExtraDelay float64
+	clockRates    []float64               // clock rate of each voter, relative to the true rate
+	clockOrigins  []float64               // true time at which each voter's clock was 0
+	stoppedUntil  []float64               // true time until which each voter is stopped
+	incarnations  uint64                  // number of processes started
+	inFlight      []inFlightMessage       // messages sent but not yet delivered
+	partitioned   func(from, to int) bool // reports whether messages between two voters are dropped
+	loss          float64                 // probability that a message is lost, duplicated or delayed
+	maxExtraDelay float64                 // upper bound of the extra delay of a delayed message, in microseconds
 
-	holder        int // index of the holder as observed last; -1 is none
-	operations    []porcupine.Operation
-	observedTerms []Term // of each voter, as observed last
-	terms         map[Term]bool
-	termCount     int
+	holder        int                   // index of the latest observed holder; -1 if there is none
+	operations    []porcupine.Operation // history of lock operations, for the linearizability check
+	observedTerms []Term                // latest observed term of each voter; the zero value if it held no lease
+	terms         map[Term]bool         // all observed terms
+	termCount     int                   // number of observed terms
 }
 
 type inFlightMessage struct {
-	arrivesAt float64
-	from, to  int
+	arrivesAt float64 // true time of arrival, in microseconds
+	from, to  int     // indexes of the voters
 	message   Message
 }
 
-// connected partitions no voters: all messages pass.
+// connected is the value of cluster.partitioned for a network without partitions.
 func connected(int, int) bool { return false }
 
 func newCluster(voterCount int, seed uint64, drift float64) *cluster {
@@ -69,10 +69,10 @@
 	return c
 }
 
-// start starts a process anew, with a clock of its own.
+// start replaces voter i by a new process with a new clock.
 func (c *cluster) start(i int) {
 	c.incarnations++
-	if held := c.observedTerms[i]; held != (Term{}) { // a killed process no longer holds the lease
+	if held := c.observedTerms[i]; held != (Term{}) { // the replaced process no longer holds the lease
 		c.recordOperation(i, lockOperation{held, false}, c.now)
 		c.observedTerms[i] = Term{}
 	}
@@ -98,13 +98,13 @@
 	return monotime.Micros((c.now - c.clockOrigins[i]) * c.clockRates[i])
 }
 
-// send puts voter i's outgoing messages on the network.
+// send puts the outgoing messages of voter i on the network.
 func (c *cluster) send(i int) {
 	for _, o := range c.voters[i].TakeOutgoing() {
 		to := slices.Index(c.names, o.To)
 		for copies := 1; copies > 0 && c.rng.Float64() >= c.loss; copies-- {
 			if c.rng.Float64() < c.loss {
-				copies++ // it is duplicated
+				copies++ // the message is duplicated
 			}
 			delay := 200 + c.rng.ExpFloat64()*1000
 			if c.rng.Float64() < c.loss {
@@ -115,7 +115,7 @@
 	}
 }
 
-// step advances the time by d, and returns an error if two voters hold the lease.
+// step advances the true time by a duration in microseconds. It returns an error if two voters hold the lease.
 func (c *cluster) step(duration float64) error {
 	c.now += duration
 	due := c.inFlight
@@ -136,7 +136,7 @@
 			c.send(i)
 		}
 		c.observe(i, v)
-		if t, _, held := v.HeldTerm(c.clock(i)); held { // a stopped voter holds it, too: it may resume
+		if t, _, held := v.HeldTerm(c.clock(i)); held { // includes stopped voters, which may resume
 			holders++
 			if !c.terms[t] {
 				c.terms[t] = true
@@ -154,14 +154,14 @@
 	return nil
 }
 
-// lockOperation is a voter winning the lease, or losing it.
+// lockOperation is an operation of a voter that acquires (wins) or releases (loses) the lease.
 type lockOperation struct {
 	term     Term
-	acquired bool
+	acquired bool // true for winning the lease, false for losing it
 }
 
-// observe records when a voter wins and loses the lease, as operations on a lock: winning takes from the requests to
-// the votes.
+// observe records a voter's winning or losing of the lease as operations on a lock. Winning starts when the votes are
+// requested and ends when the voter is observed to hold the lease.
 func (c *cluster) observe(i int, v *Voter) {
 	term, _, _ := v.HeldTerm(c.clock(i))
 	previous := c.observedTerms[i]
@@ -178,14 +178,15 @@
 	c.observedTerms[i] = term
 }
 
-// recordOperation records an operation of a voter that was called at an instant and returns now.
+// recordOperation records an operation of voter i that was called at calledAt and returns now.
 func (c *cluster) recordOperation(i int, op lockOperation, calledAt float64) {
 	c.operations = append(c.operations, porcupine.Operation{
 		ClientId: i, Input: op, Call: int64(calledAt), Return: int64(c.now),
 	})
 }
 
-// lockModel is a lock that is acquired and released.
+// lockModel is the sequential specification of a lock: only the holder's term can be released, and the lock can be
+// acquired only while no term holds it.
 var lockModel = porcupine.Model{
 	Init: func() any { return Term{} },
 	Step: func(state, in, _ any) (bool, any) {
@@ -205,7 +206,8 @@
 	}
 }
 
-// Whatever the faults, two voters never hold the lease at once. After the faults one voter wins it soon and keeps it.
+// Two voters never hold the lease at the same time, under random message faults, partitions, stops and kills. After the
+// faults end, one voter wins the lease within 8 lease durations and keeps it.
 func TestNeverTwoHoldersAndOneElectedOnceFaultsEnd(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		voterCount := rapid.SampledFrom([]int{1, 3, 5}).Draw(r, "voters")
@@ -253,13 +255,14 @@
 	})
 }
 
-// plantedError breaks one of the rules that the safety argument rests on.
+// plantedError modifies a voter's state so that it violates one of the rules that safety depends on.
 type plantedError struct {
 	atStart bool // plant is called when a voter starts, rather than at random instants
 	plant   func(v *Voter)
 }
 
-// Without any one of the rules that the safety argument rests on, the checker finds two holders.
+// The simulation must detect two holders whenever a rule that safety depends on is violated. This guards against a
+// simulation that is too weak to find such an error.
 func TestCheckerDetectsPlantedErrors(t *testing.T) {
 	for name, planted := range map[string]plantedError{
 		"a voter that starts votes at once": {atStart: true, plant: func(v *Voter) {
@@ -281,7 +284,8 @@
 	}
 }
 
-// isDetected reports whether two voters hold the lease at some instant of a run with random faults and the error.
+// isDetected reports whether two voters hold the lease at some instant of a run with random faults and the planted
+// error.
 func (p plantedError) isDetected(seed uint64) (found bool) {
 	c := newCluster(3, seed, 0.01)
 	c.loss = 0.05
@@ -300,7 +304,7 @@
 	return found
 }
 
-// injectFault restarts a random voter, cuts it off, or ends a partition.
+// injectFault restarts a random voter, partitions it from the others, or ends the partition.
 func (p plantedError) injectFault(c *cluster) {
 	target := c.rng.IntN(3)
 	switch c.rng.IntN(3) {
--- a/internal/decide/lease/settings.go
+++ b/internal/decide/lease/settings.go
@@ -12,18 +12,18 @@
 type Settings struct {
 	// Self is this voter's name, which must be one of Voters.
 	Self string
-	// Incarnation numbers this process. No two processes of a name may have the same: a vote that was granted to an
-	// earlier process would count for this one.
+	// Incarnation identifies this process among the processes with the same name. It must never be reused, or a vote
+	// that was granted to an earlier process would count for this process.
 	Incarnation uint64
 	// Voters are the distinct names of all voters.
 	Voters []string
-	// Duration is the time for which a lease holds without renewal, by its holder's clock, at least minDuration. After
-	// a holder's crash there is no holder for up to this time and a random delay.
+	// Duration is the time for which a lease is valid without renewal, by its holder's clock. It must be at least
+	// minDuration. After the holder has crashed, there may be no holder for this time plus a random delay.
 	Duration monotime.Micros
 	// MaxClockDrift is the largest difference between the rate of a voter's clock and the true rate, as a fraction of
-	// the true rate, in 0..maxClockDrift. There is at most one holder only while all clocks are within it.
+	// the true rate, in 0..maxClockDrift. If a clock exceeds it, there may be two holders at the same time.
 	MaxClockDrift float64
-	// Seed determines the random delays.
+	// Seed determines the random delays before rounds.
 	Seed uint64
 }
 
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// voteDuration is how long a vote is valid by its voter's clock: no lease that it wins is valid for longer by any
-// clock.
+// voteDuration returns the time for which a vote is valid by its voter's clock. By any clock, a lease that is won with
+// the vote expires no later than the vote.
 func (s *Settings) voteDuration() monotime.Micros {
 	return monotime.ExtendForDrift(s.Duration, s.MaxClockDrift)
 }
--- a/internal/decide/lease/voter.go
+++ b/internal/decide/lease/voter.go
@@ -7,37 +7,38 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Voter grants its vote to candidates and is a candidate itself. Create one with New. The caller must call Tick when
-// NextTick is due, pass received messages to Receive and send those of TakeOutgoing. It is not safe for concurrent use.
+// Voter grants its vote to candidates and is a candidate itself. Create one with New. The caller must call Tick at the
+// time that NextTick returns, pass received messages to Receive, and send the messages that TakeOutgoing returns. A
+// Voter is not safe for concurrent use.
 type Voter struct {
 	settings Settings
 	rng      *rand.Rand
 	outgoing []Outgoing
 
-	// As a voter.
-	vote      vote
+	// The state of this process as a voter.
+	vote      vote            // latest vote that was granted
 	votesFrom monotime.Micros // the voter grants no vote before this instant
 
-	// As a candidate.
+	// The state of this process as a candidate.
 	round       uint64          // number of the latest round
 	requestedAt monotime.Micros // when the latest round started
 	roundOpen   bool            // the latest round is neither won nor ended without a majority
-	grantedBy   []string        // voters that have granted their votes in it
+	grantedBy   []string        // voters that have granted their votes in the latest round
 	nextRoundAt monotime.Micros // when to start the next round
-	heldUntil   monotime.Micros // when the lease that it holds expires
-	term        Term            // in which it holds the lease, or held it most recently
+	heldUntil   monotime.Micros // when the lease that was won last expires
+	term        Term            // term in which this process holds the lease, or held it most recently
 }
 
-// vote is a vote that was granted.
+// vote is a vote that was granted to a candidate.
 type vote struct {
-	holder      string
-	incarnation uint64
-	round       uint64
-	expiresAt   monotime.Micros
+	holder      string          // name of the candidate
+	incarnation uint64          // incarnation of the candidate's process
+	round       uint64          // the candidate's round
+	expiresAt   monotime.Micros // when the vote is free again
 }
 
-// New returns the voter of a process that has just started, or a *setting.Error. It grants no vote, and starts no
-// round, before any vote of an earlier process of its name has expired.
+// New returns the voter of a process that has just started. It grants no vote, and starts no round, until any vote of
+// an earlier process of the same name has expired. The error is a *setting.Error if a setting is out of range.
 func New(now monotime.Micros, s Settings) (*Voter, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -51,25 +52,27 @@
 	return v, nil
 }
 
-// Parts of a lease's duration, as divisors of Settings.Duration.
+// Times that are fractions of the lease's duration, as divisors of Settings.Duration.
 const (
-	// maxDelayDivisor gives the longest random delay before a round.
+	// maxDelayDivisor determines the longest random delay before a round: a quarter of the lease's duration.
 	maxDelayDivisor = 4
-	// roundTimeDivisor gives the time within which a round must win. It ends well before the lease that it renews.
+	// roundTimeDivisor determines the time within which a round must win a majority: half of the lease's duration, so
+	// that a renewal round ends before the lease expires.
 	roundTimeDivisor = 2
-	// renewalDivisor gives the time from the start of a won round to the start of the next, which renews the lease.
-	// Two rounds of full length fit into the lease after it.
+	// renewalDivisor determines the time from the start of a won round to the start of the next, which renews the
+	// lease: a quarter of the lease's duration. The remaining three quarters leave time to repeat a renewal round
+	// that has failed.
 	renewalDivisor = 4
 )
 
-// randomDelay returns a random time of up to a part of the lease's duration (maxDelayDivisor). Candidates that start
-// rounds at the same time would split the votes, as in Raft.
+// randomDelay returns a random delay before a round, bounded by maxDelayDivisor. As in Raft, random delays keep
+// candidates from starting rounds at the same time, which would split the votes.
 func (v *Voter) randomDelay() monotime.Micros {
 	return 1 + v.rng.Int64N(max(1, v.settings.Duration/maxDelayDivisor))
 }
 
-// HeldTerm returns the term in which this process holds the lease at now, and when the lease expires unless renewed.
-// held is false if it does not hold the lease.
+// HeldTerm returns the term in which this process holds the lease at now, and when the lease expires unless it is
+// renewed. held is false if this process does not hold the lease.
 func (v *Voter) HeldTerm(now monotime.Micros) (t Term, until monotime.Micros, held bool) {
 	if !v.holds(now) {
 		return Term{}, 0, false
@@ -88,7 +91,7 @@
 	return v.nextRoundAt
 }
 
-// roundDeadline returns when the open round ends without a majority.
+// roundDeadline returns when the open round is abandoned unless it has won a majority.
 func (v *Voter) roundDeadline() monotime.Micros {
 	return v.requestedAt + v.settings.Duration/roundTimeDivisor
 }
@@ -100,7 +103,8 @@
 	return taken
 }
 
-// Tick does what is due at now: it abandons a round that has reached its deadline, and starts the next round.
+// Tick performs the actions that are due at now: it abandons a round that has reached its deadline, and starts the next
+// round.
 func (v *Voter) Tick(now monotime.Micros) {
 	if v.roundOpen && now >= v.roundDeadline() {
 		v.abandonRound(now)
@@ -110,8 +114,8 @@
 	}
 }
 
-// Resign gives up the lease, if it is held, and releases its votes, because the process is about to end. It starts no
-// round for as long as a vote lasts.
+// Resign ends the lease, if this process holds it, and releases the votes. It is called before the process ends. The
+// voter starts no new round for the duration of a vote.
 func (v *Voter) Resign(now monotime.Micros) {
 	v.heldUntil = 0
 	v.roundOpen = false
@@ -119,7 +123,7 @@
 	v.releaseVotes(now)
 }
 
-// Receive handles a message of a voter; messages of others are ignored.
+// Receive handles a message from a voter. Messages from other senders are ignored.
 func (v *Voter) Receive(now monotime.Micros, from string, m Message) {
 	if !slices.Contains(v.settings.Voters, from) {
 		return
@@ -128,7 +132,8 @@
 	case VoteRequest:
 		v.handleVoteRequest(now, from, m)
 	case VoteReleased:
-		// A VoteReleased may overtake its VoteRequest. That is granted then, and the candidate ignores the grant.
+		// If a VoteReleased overtakes its VoteRequest, it has no effect: the vote is granted afterwards, the candidate
+		// ignores the grant, and the vote is free when it expires.
 		if v.vote.holder == from && v.vote.incarnation == m.Incarnation && v.vote.round == m.Round {
 			v.vote.expiresAt = 0
 		}
@@ -139,8 +144,8 @@
 	}
 }
 
-// startRound requests the votes of all voters. While this voter's own vote is another candidate's, which then most
-// likely holds the lease, it waits until that vote expires instead.
+// startRound starts a round, in which this process requests the votes of all voters. If this voter's own vote belongs
+// to another candidate, which then most likely holds the lease, it postpones the round until that vote has expired.
 func (v *Voter) startRound(now monotime.Micros) {
 	if !v.holds(now) && v.vote.expiresAt > now && v.vote.holder != v.settings.Self {
 		v.nextRoundAt = v.vote.expiresAt + v.randomDelay()
@@ -153,7 +158,8 @@
 	v.broadcast(now, VoteRequest)
 }
 
-// abandonRound ends a round without a majority. A holder keeps its votes: its lease is still in force.
+// abandonRound ends a round without a majority and releases its votes. A process that still holds the lease keeps the
+// votes.
 func (v *Voter) abandonRound(now monotime.Micros) {
 	v.roundOpen = false
 	v.nextRoundAt = now + v.randomDelay()
@@ -162,17 +168,17 @@
 	}
 }
 
-// releaseVotes frees the votes of the latest round, so that other candidates need not wait until they expire.
+// releaseVotes releases the votes of the latest round, so that other candidates need not wait until they expire.
 func (v *Voter) releaseVotes(now monotime.Micros) { v.broadcast(now, VoteReleased) }
 
-// broadcast sends a message of the latest round to all voters.
+// broadcast sends a message of the given kind, with the number of the latest round, to all voters.
 func (v *Voter) broadcast(now monotime.Micros, kind MessageKind) {
 	for _, name := range v.settings.Voters {
 		v.send(now, name, Message{Kind: kind, Incarnation: v.settings.Incarnation, Round: v.round})
 	}
 }
 
-// send queues a message; one to the voter itself is handled at once.
+// send queues a message to another voter. A message to this voter itself is handled at once.
 func (v *Voter) send(now monotime.Micros, to string, m Message) {
 	if to == v.settings.Self {
 		v.Receive(now, to, m)
@@ -181,14 +187,14 @@
 	v.outgoing = append(v.outgoing, Outgoing{to, m})
 }
 
-// handleVoteRequest grants the vote if it is free or the candidate's already, or replies with the candidate that has
-// it.
+// handleVoteRequest replies to a vote request. The vote is granted if it is free or already belongs to the requesting
+// candidate. Otherwise the request is denied, and the reply states which candidate has the vote.
 func (v *Voter) handleVoteRequest(now monotime.Micros, from string, m Message) {
 	reply := Message{Kind: VoteDenied, Incarnation: m.Incarnation, Round: m.Round}
 	hasVote := v.vote.holder == from && v.vote.incarnation == m.Incarnation
 	switch {
 	case hasVote && m.Round < v.vote.round:
-		return // a request of an earlier round, which has ended
+		return // the request is from an earlier round of the candidate, which has ended
 	case now < v.votesFrom:
 		reply.Remaining = v.votesFrom - now
 	case !hasVote && now < v.vote.expiresAt:
@@ -201,9 +207,9 @@
 	v.send(now, from, reply)
 }
 
-// handleVoteReply handles a reply in the open round. A majority of grants wins or renews the lease, for its duration
-// from when the round started. A majority that is complete only after that duration wins nothing, and a new round
-// starts.
+// handleVoteReply handles a reply to a vote request of the open round. A majority of grants wins or renews the lease,
+// whose duration is counted from the start of the round. If the majority is complete only after that duration, the
+// lease is not won and the next round is due at once.
 func (v *Voter) handleVoteReply(now monotime.Micros, from string, m Message) {
 	if m.Kind == VoteDenied {
 		v.handleVoteDenied(now, m)
@@ -228,8 +234,9 @@
 	v.nextRoundAt = max(now, v.requestedAt+v.settings.Duration/renewalDivisor)
 }
 
-// handleVoteDenied ends the round if another candidate has the vote: that one most likely wins or holds the lease, and
-// requests before the vote expires would fail. A holder that renews its lease goes on with the round.
+// handleVoteDenied ends the round if another candidate has the vote, because that candidate most likely wins or holds
+// the lease. The next round starts after the vote has expired, since earlier requests would be denied. A process that
+// holds the lease continues its renewal round.
 func (v *Voter) handleVoteDenied(now monotime.Micros, m Message) {
 	if v.holds(now) || m.Holder == "" || m.Holder == v.settings.Self {
 		return
--- a/internal/decide/observations/aggregator.go
+++ b/internal/decide/observations/aggregator.go
@@ -7,10 +7,11 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Aggregator adds up the members' reports. A member is an instance that reports. Create one with NewAggregator.
+// Aggregator computes the Aggregate from the reports of all members. A member is an instance that reports. Create one
+// with NewAggregator.
 type Aggregator struct {
-	reports map[string]*memberReport  // the latest of each member, by its name
-	totals  map[string]*requestTotals // by set of endpoints, since the previous aggregate
+	reports map[string]*memberReport  // latest report of each member, keyed by the member's name
+	totals  map[string]*requestTotals // requests since the previous aggregate, keyed by endpoint set
 }
 
 // memberReport is a member's latest report.
@@ -19,10 +20,10 @@
 	receivedAt monotime.Micros
 }
 
-// requestTotals are the weighted sums of OverloadLevel.Requests and Failed.
+// requestTotals contains sums over the reports of all members, weighted so that no member dominates them.
 type requestTotals struct {
-	requests float64
-	failed   float64
+	requests float64 // weighted sum of OverloadLevel.Requests
+	failed   float64 // weighted sum of OverloadLevel.Failed
 }
 
 // NewAggregator returns an aggregator without reports.
@@ -30,8 +31,9 @@
 	return &Aggregator{reports: map[string]*memberReport{}, totals: map[string]*requestTotals{}}
 }
 
-// Receive stores a member's report in place of its previous one, and adds its requests to the totals, weighted so that
-// no member counts for more than maxMedianMultiple times the median. Counts and levels that are out of range are dropped.
+// Receive replaces a member's previous report, and adds the requests of the new report to the totals. The requests are
+// weighted so that no member counts for more than maxMedianMultiple times the median member. Counts and levels that are
+// out of range are dropped.
 func (a *Aggregator) Receive(now monotime.Micros, member string, report Observations) {
 	report.Outcomes = slices.DeleteFunc(slices.Clone(report.Outcomes), func(c OutcomeCount) bool { return !c.valid() })
 	report.Levels = slices.DeleteFunc(slices.Clone(report.Levels), func(l OverloadLevel) bool { return !l.valid() })
@@ -51,28 +53,29 @@
 	a.reports[member] = &memberReport{report, now}
 }
 
-// maxCount is the largest valid count of attempts or requests in a report: no instance makes that many within the time
-// that a report covers.
+// maxCount is the largest valid count of attempts or requests in a report. No instance reaches it within the time that
+// a report covers.
 const maxCount = 1e7
 
-// inRange reports whether v is in 0..limit; NaN is not.
+// inRange reports whether v is in 0..limit. It returns false for NaN.
 func inRange(v, limit float64) bool { return v >= 0 && v <= limit }
 
-// valid reports whether the counts are in range.
+// valid reports whether both counts are in range.
 func (c *OutcomeCount) valid() bool {
 	return inRange(c.Succeeded, maxCount) && inRange(c.Failed, maxCount)
 }
 
-// valid reports whether level, load and counts are in range.
+// valid reports whether the level, the load and both counts are in range.
 func (l *OverloadLevel) valid() bool {
 	return inRange(l.Level, 1) && inRange(l.Load, 1) && inRange(l.Requests, maxCount) && inRange(l.Failed, l.Requests)
 }
 
-// reportLifetime is the time for which a member's report counts: an instance that has ended must not count for longer.
+// reportLifetime is the time for which a member's report is included in aggregates. It bounds how long the report of an
+// instance that no longer runs has an effect.
 const reportLifetime = 2 * second
 
-// TakeAggregate returns the aggregate of the reports that are younger than reportLifetime, and starts new totals of
-// requests.
+// TakeAggregate returns the aggregate of all reports that are no older than reportLifetime, and resets the request
+// totals that it contains.
 func (a *Aggregator) TakeAggregate(now monotime.Micros) Aggregate {
 	var names []string
 	for name, r := range a.reports {
@@ -82,20 +85,20 @@
 		}
 		names = append(names, name)
 	}
-	slices.Sort(names) // sums of floating-point numbers depend on their order
+	slices.Sort(names) // the order of the names determines the order of floating-point sums
 	return Aggregate{Reporters: len(names), Levels: a.aggregatedLevels(names), Suspects: a.suspects(names)}
 }
 
 const (
-	// maxMedianMultiple bounds a member's weight, in multiples of the median of the members' requests: a member that
-	// reports far more requests than the others, rightly or not, must not decide for all.
+	// maxMedianMultiple bounds a member's weight, as a multiple of the median of all members' requests. A member that
+	// reports far more requests than the others, correctly or not, must not determine the aggregate alone.
 	maxMedianMultiple = 4
-	// minMembersForMedian is the smallest number of members whose median is used as a bound.
+	// minMembersForMedian is the smallest number of members for which the median bounds a member's weight.
 	minMembersForMedian = 3
 )
 
-// medianRequests returns the median of the requests in the members' latest reports for a set of endpoints; 0, which is
-// no bound, for fewer than minMembersForMedian members.
+// medianRequests returns the median of the members' requests for an endpoint set, from their latest reports. It returns
+// 0, which means no bound, if fewer than minMembersForMedian members have reported on the endpoint set.
 func (a *Aggregator) medianRequests(endpointSet string) float64 {
 	var requests []float64
 	for _, r := range a.reports {
@@ -112,7 +115,8 @@
 	return requests[len(requests)/2]
 }
 
-// levels returns the aggregated levels by set of endpoints, and resets the totals of those returned.
+// aggregatedLevels returns the aggregated level of each endpoint set, sorted by endpoint set. It resets the totals of
+// the endpoint sets that it returns.
 func (a *Aggregator) aggregatedLevels(members []string) (aggregated []OverloadLevel) {
 	for endpointSet, t := range a.totals {
 		mean, known := a.meanLevel(endpointSet, members)
@@ -128,8 +132,8 @@
 	return aggregated
 }
 
-// meanLevel returns the mean of the members' levels and loads, weighted by their requests; known is false if no member
-// has a level.
+// meanLevel returns the means of the members' levels and loads for an endpoint set, weighted by their requests. known
+// is false if no member with requests has reported a level.
 func (a *Aggregator) meanLevel(endpointSet string, members []string) (mean OverloadLevel, known bool) {
 	mean.EndpointSet = endpointSet
 	var weights float64
--- a/internal/decide/observations/local.go
+++ b/internal/decide/observations/local.go
@@ -8,30 +8,31 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Local holds one instance's observations of endpoints. The zero value has none.
+// Local collects one instance's observations of attempt outcomes at endpoints. The zero value is empty.
 type Local struct {
 	counts   map[attemptKey]*decayingCount
-	rotation int // number of reports that were too small for all counts
+	rotation int // number of reports so far that could not contain all counts
 }
 
-// attemptKey is the key by which outcomes are counted.
+// attemptKey identifies an endpoint and a request class, for which outcomes are counted together.
 type attemptKey struct {
 	endpoint string
-	class    int
+	class    int // number of the request class
 }
 
-// outcomeDecayTime is the time constant of the decay of outcomes. It has to be long enough for a fleet whose instances
-// each send a request a second to see several attempts at each endpoint, and short enough to follow a recovery.
+// outcomeDecayTime is the time constant of the exponential decay of outcome counts. It is long enough that a fleet
+// whose instances each send one request a second observes several attempts at each endpoint, and short enough that
+// the counts follow an endpoint's recovery.
 const outcomeDecayTime = 5 * second
 
-// decayingCount is the number of outcomes of a key, decayed as of decayedAt.
+// decayingCount contains the numbers of successes and failures for one attemptKey, with exponential decay.
 type decayingCount struct {
 	succeeded float64
 	failed    float64
-	decayedAt monotime.Micros
+	decayedAt monotime.Micros // time as of which both counts are decayed
 }
 
-// decay brings the counts to now. An earlier instant changes nothing.
+// decay applies the exponential decay up to now to the counts. It does nothing if now is before decayedAt.
 func (c *decayingCount) decay(now monotime.Micros) {
 	elapsed := now - c.decayedAt
 	if elapsed <= 0 {
@@ -43,7 +44,7 @@
 	c.decayedAt = now
 }
 
-// RecordOutcome counts an attempt at an endpoint that has ended. class is the number of the request's class.
+// RecordOutcome counts the outcome of an attempt at an endpoint. class is the number of the request's class.
 func (l *Local) RecordOutcome(now monotime.Micros, endpoint string, class int, succeeded bool) {
 	if l.counts == nil {
 		l.counts = map[attemptKey]*decayingCount{}
@@ -62,12 +63,12 @@
 	}
 }
 
-// negligibleCount is the smallest decayed count of outcomes that is reported, and of failures that counts as an
-// accusation.
+// negligibleCount is the decayed count below which outcomes are not reported. It is also the count below which a
+// member's failures at an endpoint do not make the member an accuser.
 const negligibleCount = 0.05
 
-// OutcomesToReport returns the counts for the next report, at most limit. Where there are more, those with the most
-// failures come first, and those without failures take turns from call to call.
+// OutcomesToReport returns at most limit counts for the next report. If there are more, the counts with the most
+// failures are preferred, and counts without failures are reported in rotation from call to call.
 func (l *Local) OutcomesToReport(now monotime.Micros, limit int) []OutcomeCount {
 	var reportable []OutcomeCount
 	for key, c := range l.counts {
@@ -94,7 +95,7 @@
 	return reportable[:limit]
 }
 
-// rotate moves n counts to the front, different ones for each rotation.
+// rotate moves count elements of counts to the front, which are different elements for each rotation.
 func rotate(counts []OutcomeCount, count, rotation int) {
 	for i := range count {
 		to := i % len(counts)
--- a/internal/decide/observations/observations_test.go
+++ b/internal/decide/observations/observations_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Members that each have one or two failures at an endpoint make it a suspect together. A single member that reports
-// false failures makes no endpoint a suspect.
+// An endpoint at which many members observe a failure each becomes a suspect. A single member that reports false
+// failures of all endpoints makes no endpoint a suspect, and counts out of range are ignored.
 func TestSuspectsAreFoundByManyAndNotByOne(t *testing.T) {
 	aggregator := NewAggregator()
 	for memberIndex := range 50 {
@@ -22,7 +22,7 @@
 		}
 		if memberIndex == 0 {
 			for j := range report.Outcomes {
-				report.Outcomes[j].Failed = 1e6 // a false report
+				report.Outcomes[j].Failed = 1e6 // member 0 reports false failures
 			}
 		}
 		aggregator.Receive(second, fmt.Sprint("m", memberIndex), report)
@@ -45,7 +45,8 @@
 	}
 }
 
-// Levels are weighted by requests, within bounds: a member that claims most of the requests does not decide for all.
+// Levels are weighted by requests, but the weight is bounded: a member that reports most of the requests does not
+// determine the aggregated level alone.
 func TestLevelsAreWeightedWithinBounds(t *testing.T) {
 	aggregator := NewAggregator()
 	for i := range 10 {
@@ -64,7 +65,8 @@
 	}
 }
 
-// Of many endpoints, those with failures are reported each time, and the others in turn.
+// If a report cannot contain all endpoints, endpoints with failures are in every report and the others are reported in
+// rotation.
 func TestOutcomesRotate(t *testing.T) {
 	var local Local
 	for i := range 100 {
--- a/internal/decide/observations/suspects.go
+++ b/internal/decide/observations/suspects.go
@@ -5,42 +5,45 @@
 	"slices"
 )
 
-// outcomeTotal is the sum of all members' outcomes of a key.
+// outcomeTotal is the sum of all members' outcomes at an endpoint for a request class.
 type outcomeTotal struct {
 	succeeded           float64
 	failed              float64
-	accusers            int     // members that report failures
-	topAccuserFailed    float64 // failures reported by the member that reports most
-	topAccuserSucceeded float64 // successes reported by the member that reports most failures
+	accusers            int     // number of members that report failures
+	topAccuserFailed    float64 // failures reported by the member that reports the most failures
+	topAccuserSucceeded float64 // successes reported by the member that reports the most failures
 }
 
-// attempts are outcomes without those of the member that reports most failures.
+// attemptCounts contains the numbers of all attempts and of failed attempts, without the attempts of the member that
+// reports the most failures (the top accuser).
 type attemptCounts struct {
 	total  float64
 	failed float64
 }
 
 const (
-	// minOtherOutcomes is the number of outcomes, without those of the top accuser, up to which an endpoint is no suspect.
-	// Beyond it the probability grows with the part of the outcomes that is beyond it.
+	// minOtherOutcomes is the number of outcomes that members other than the top accuser must exceed for an endpoint to
+	// be a suspect. The probability of avoiding the endpoint is proportional to the fraction of these outcomes that is
+	// beyond this number.
 	minOtherOutcomes = 5.0
-	// steepness is the probability of avoiding an endpoint per difference of failure ratios, between the endpoint and
-	// the others of the class: with many outcomes, a difference of 0.4 reaches maxAvoidProbability.
+	// avoidanceSlope is the ratio of the probability of avoiding an endpoint to the difference between its failure
+	// ratio and that of the other endpoints. With many outcomes, a difference of 0.4 reaches maxAvoidProbability.
 	avoidanceSlope = 2.4
-	// maxIgnoredAccusers is the largest number of members that report failures of an endpoint without making it a suspect:
-	// among so few members one may be the cause itself.
+	// maxIgnoredAccusers is the largest number of members whose reported failures do not make an endpoint a suspect.
+	// Failures that so few members report may be caused by one of these members.
 	maxIgnoredAccusers = 2
-	// maxAvoidProbability leaves a suspect some requests, by which its recovery is detected.
+	// maxAvoidProbability is the largest probability of avoiding a suspect. It is less than 1 so that a suspect still
+	// gets some requests, from which its recovery is detected.
 	maxAvoidProbability = 0.95
-	// maxSuspects is the largest number of suspects in an aggregate. Where more endpoints fail, to avoid one would only
-	// move its requests to another.
+	// maxSuspects is the largest number of suspects in an aggregate. If more endpoints fail, avoiding one of them would
+	// only move its requests to another.
 	maxSuspects = 32
 )
 
-// suspects returns the endpoints that fail a much larger part of a class of requests than the other endpoints do, by
-// the outcomes that several members report, the most suspected first. The probability of avoiding an endpoint is the
-// difference of the two failure ratios times steepness, less where there are few outcomes. The outcomes of the member
-// that reports most failures of an endpoint do not count, so that no single member can make an endpoint a suspect.
+// suspects returns the endpoints that fail a much larger fraction of the requests of a class than the other endpoints
+// do, sorted by descending probability of avoiding them. The probability is the difference of the two failure ratios
+// times avoidanceSlope, and lower if there are few outcomes. The outcomes of the member that reports the most failures
+// of an endpoint are excluded, so that a single member cannot make an endpoint a suspect.
 func (a *Aggregator) suspects(members []string) (found []Suspect) {
 	totals, keys := a.outcomeTotals(members)
 	byClass := map[int]attemptCounts{}
@@ -57,7 +60,7 @@
 		if totals[key].accusers <= maxIgnoredAccusers || counts.total <= minOtherOutcomes {
 			continue
 		}
-		// One failure is added for the others: without outcomes of others, all are taken to fail.
+		// One failed attempt is added for the other endpoints, so that without outcomes their failure ratio is 1.
 		othersFailure := (classCounts.failed - counts.failed + 1) / (classCounts.total - counts.total + 1)
 		probability := avoidanceSlope * (counts.failed/counts.total - othersFailure) *
 			(counts.total - minOtherOutcomes) / counts.total
@@ -75,8 +78,8 @@
 	return found[:min(len(found), maxSuspects)]
 }
 
-// outcomeTotals returns the totals by key, and the keys in the order of the members' reports, on which the sums of
-// floating-point numbers depend.
+// outcomeTotals returns the sums of all members' outcomes by key. It also returns the keys in the order of the members'
+// reports, because results of floating-point sums depend on the order.
 func (a *Aggregator) outcomeTotals(members []string) (totals map[attemptKey]*outcomeTotal, keys []attemptKey) {
 	totals = map[attemptKey]*outcomeTotal{}
 	for _, name := range members {
@@ -94,7 +97,7 @@
 	return totals, keys
 }
 
-// add adds one member's outcomes.
+// add adds the outcomes that one member reports for the endpoint and request class of the total.
 func (t *outcomeTotal) add(c OutcomeCount) {
 	t.succeeded += c.Succeeded
 	t.failed += c.Failed
@@ -107,7 +110,7 @@
 	}
 }
 
-// withoutTopAccuser returns the outcomes without those of the member that reports most failures.
+// withoutTopAccuser returns the attempt counts of all members except the member that reports the most failures.
 func (t *outcomeTotal) withoutTopAccuser() attemptCounts {
 	return attemptCounts{
 		total:  t.succeeded + t.failed - t.topAccuserFailed - t.topAccuserSucceeded,
--- a/internal/decide/quota/allocator.go
+++ b/internal/decide/quota/allocator.go
@@ -8,32 +8,32 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Allocator grants leases of the fleet's budgets at the instance that holds the fleet's lease. Create one with
-// NewAllocator; it grants from Start to Stop. It is not safe for concurrent use.
+// Allocator grants quota leases. It runs at the instance that holds the fleet's lease (package lease). Create one with
+// NewAllocator. It grants leases after Start and until Stop. It is not safe for concurrent use.
 type Allocator struct {
 	settings    Settings
 	budgets     map[string]*budget
-	budgetNames []string // of budgets, sorted
+	budgetNames []string // sorted keys of the map budgets
 
 	term            lease.Term
 	active          bool
-	recoveringUntil monotime.Micros // until then it grants only what lessees show that they hold
-	serial          uint64          // of the latest lease
+	recoveringUntil monotime.Micros // end of recovery, during which only units that lessees already hold are granted
+	serial          uint64          // serial number of the latest lease
 	lessees         map[lesseeID]*lesseeRecord
-	sortedLessees   []*lesseeRecord // by name and incarnation
-	dividedAt       monotime.Micros
-	dirty           bool // budgets or lessees were added or removed since dividedAt
+	sortedLessees   []*lesseeRecord // all lessees, sorted by name and incarnation
+	dividedAt       monotime.Micros // time of the latest division of the budgets
+	dirty           bool            // budgets or lessees were added or removed since dividedAt
 }
 
 // budget is the allocator's record of one budget.
 type budget struct {
-	units       float64 // a second; of a contributed budget the sum of its lessees' contributions
-	contributed bool    // its units are the sum of Demand.Contributed
-	ceiling     float64 // upper bound of the units of a contributed budget; infinite is no bound
-	committed   int     // sum of lesseeRecord.committed; it may include expired commitments, and is never too low
+	units       float64 // size of the budget, in units a second
+	contributed bool    // units is the sum of the lessees' contributions (Demand.Contributed)
+	ceiling     float64 // upper bound of units if the budget is contributed; infinity means no bound
+	committed   int     // sum of lesseeRecord.committed; may include expired commitments, so it is never too low
 }
 
-// NewAllocator returns an allocator that is not started, or a *setting.Error.
+// NewAllocator returns an allocator that is not started. The error is a *setting.Error if a setting is out of range.
 func NewAllocator(s Settings) (*Allocator, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -45,8 +45,8 @@
 	}, nil
 }
 
-// SetBudget sets the units a second that all instances together may spend of a budget, and adds the budget if it is
-// new. A contributed budget is the sum of the lessees' contributions, and units is ignored.
+// SetBudget sets the units a second that all instances together may spend of a budget. It adds the budget if it is new.
+// For a contributed budget, units is ignored: its size is the sum of the lessees' contributions.
 func (a *Allocator) SetBudget(name string, units float64, contributed bool) {
 	b := a.budgets[name]
 	if b == nil {
@@ -69,18 +69,18 @@
 	}
 }
 
-// RemoveBudget removes a budget. Its leases end when they expire.
+// RemoveBudget removes a budget. Units of it that are already leased can be spent until their leases expire.
 func (a *Allocator) RemoveBudget(name string) {
 	delete(a.budgets, name)
 	for _, lessee := range a.sortedLessees {
-		delete(lessee.committed, name) // recountCommitted counts it anew if the budget is added again
+		delete(lessee.committed, name) // recountCommitted restores the count if the budget is added again
 	}
 	a.budgetNames = slices.DeleteFunc(a.budgetNames, func(n string) bool { return n == name })
 	a.dirty = true
 }
 
-// Start begins a term, with recovery: until the leases of an earlier allocator, which are not known here, must have
-// expired, the allocator grants only what lessees show that they hold.
+// Start starts a term with a recovery period, at the end of which all leases of earlier allocators have expired. This
+// allocator does not know those leases, so during recovery it grants only units that lessees report to hold already.
 func (a *Allocator) Start(now monotime.Micros, t lease.Term) {
 	a.term = t
 	a.active = true
@@ -94,35 +94,35 @@
 	a.dirty = true
 }
 
-// Stop ends the term: from now on nothing is granted.
+// Stop ends the term: the allocator grants no leases until the next Start.
 func (a *Allocator) Stop() { a.active = false }
 
-// ActiveTerm returns the term in which the allocator grants leases; active is false if it does not.
+// ActiveTerm returns the term in which the allocator grants leases. active is false before Start and after Stop.
 func (a *Allocator) ActiveTerm() (t lease.Term, active bool) { return a.term, a.active }
 
-// RecoveringUntil returns when the allocator begins to grant more than lessees show that they hold.
+// RecoveringUntil returns the end of the recovery period, in which only units that lessees already hold are granted.
 func (a *Allocator) RecoveringUntil() monotime.Micros { return a.recoveringUntil }
 
-// commitmentEnd returns when a commitment made now expires: the lease has then expired by any clock, and so has the
-// second within which its last units were spent.
+// commitmentEnd returns when a commitment made now expires: the lifetime of its lease plus one second, within which the
+// units that were spent last still count. Both times allow for the largest clock drift.
 func (a *Allocator) commitmentEnd(now monotime.Micros) monotime.Micros {
 	return now + a.settings.leaseLifetime() + a.settings.countingWindow()
 }
 
-// divisionsPerInterval is how often budgets are divided anew in a request interval, at most: requests in between get
-// parts of the latest division.
+// divisionsPerInterval limits how often the budgets are divided within a request interval. Requests between two
+// divisions are granted units from the earlier division.
 const divisionsPerInterval = 4
 
-// HandleRequest returns the reply to a lessee's request. ok is false if there is none: the allocator is not active, or
-// the request is not newer than an earlier request of the same lessee. A request of another term gets a grant without a
-// lease, by which the lessee learns the term.
+// HandleRequest returns the reply to a lessee's request. ok is false if there is no reply, because the allocator is not
+// active or has already handled this or a later request of the lessee. The reply to a request with another term is a
+// grant without a lease, which notifies the lessee of the current term.
 func (a *Allocator) HandleRequest(now monotime.Micros, from string, r LeaseRequest) (g Grant, ok bool) {
 	if !a.active {
 		return g, false
 	}
 	g = Grant{Incarnation: r.Incarnation, Sequence: r.Sequence, Term: a.term}
 	if r.Term != a.term {
-		return g, true // the lease that it shows may have been granted to others since
+		return g, true // the units that the lessee reports as held may have been granted to others since
 	}
 	lessee := a.lessee(lesseeID{from, r.Incarnation})
 	if r.Sequence <= lessee.lastSequence {
@@ -146,7 +146,8 @@
 	return g, true
 }
 
-// commit grants a lessee its units of each budget under the latest serial, and records them as a commitment.
+// commit returns the units of each budget that a lessee is granted, and records them as a commitment under the latest
+// serial.
 func (a *Allocator) commit(now monotime.Micros, lessee *lesseeRecord) (allocations []Allocation) {
 	units := map[string]int{}
 	for _, name := range a.budgetNames {
@@ -160,14 +161,14 @@
 	return allocations
 }
 
-// grantableUnits returns the units of a budget that a lessee is granted. During recovery these are the units that it
-// shows it holds. After that it is its target, but at most the leasable units less the commitments to all others: so
-// the sum of commitments stays within the budget.
+// grantableUnits returns the units of a budget that can be granted to a lessee. During recovery these are the units
+// that the lessee reports to hold. After recovery it is the lessee's target, but at most the leasable units less the
+// commitments to all other lessees, so that the sum of all commitments stays within the budget.
 func (a *Allocator) grantableUnits(now monotime.Micros, lessee *lesseeRecord, name string) int {
 	if now < a.recoveringUntil {
 		return min(lessee.committedUnits(now, name), lessee.demands[name].Held)
 	}
-	// The count of the others' commitments may include expired ones; it is never too low.
+	// The committed units of the other lessees may include expired commitments, so free is never too high.
 	free := a.leasableUnits(name) - (a.budgets[name].committed - lessee.committed[name])
 	return max(0, min(lessee.targets[name], free))
 }
@@ -181,21 +182,21 @@
 	return a.settings.Leasable(b.units)
 }
 
-// LeaseStatus is the allocator's record of one lessee and budget, for operators. Its tags are the names in the
-// JSON that operators' tools read.
+// LeaseStatus describes one lessee's lease of one budget, for operators. The struct tags are the names in the JSON that
+// operators' tools read.
 type LeaseStatus struct {
 	Lessee        string          `json:"Holder"`
 	Incarnation   uint64          `json:"Life"`
 	Budget        string          `json:"Budget"`
-	Units         int             `json:"Units"`  // committed, within any second
-	Target        int             `json:"Target"` // units that it gets when others have returned them
-	Requested     float64         `json:"Asked"`  // units a second
-	Until         monotime.Micros `json:"Until"`  // other lessees do not get the units before then
-	LastRequestAt monotime.Micros `json:"Heard"`  // by the allocator's clock
+	Units         int             `json:"Units"`  // committed units, which the lessee may spend within any second
+	Target        int             `json:"Target"` // units that it is granted once other lessees have returned them
+	Requested     float64         `json:"Asked"`  // demand, in units a second
+	Until         monotime.Micros `json:"Until"`  // when the commitment expires and others may be granted its units
+	LastRequestAt monotime.Micros `json:"Heard"`  // when the latest request arrived, by the allocator's clock
 }
 
-// Leases returns the status of all leases and unmet demands, sorted by lessee and budget; nil if the allocator is not
-// active.
+// Leases returns the status of each lessee and budget with leased units or demand, sorted by lessee and budget. It
+// returns nil if the allocator is not active.
 func (a *Allocator) Leases(now monotime.Micros) (leases []LeaseStatus) {
 	if !a.active {
 		return nil
--- a/internal/decide/quota/commitment.go
+++ b/internal/decide/quota/commitment.go
@@ -8,8 +8,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// lesseeID identifies a lessee's process. Another incarnation of a name is another lessee, since the leases of the
-// earlier one may still be in force.
+// lesseeID identifies a lessee's process. Two incarnations of the same name are different lessees, because leases of
+// the earlier incarnation may still be in force.
 type lesseeID struct {
 	name        string
 	incarnation uint64
@@ -18,24 +18,25 @@
 // lesseeRecord is the allocator's record of a lessee.
 type lesseeRecord struct {
 	lesseeID
-	lastSequence  uint64 // of its latest request
-	lastRequestAt monotime.Micros
-	demands       map[string]Demand // by budget, as of its latest request
-	targets       map[string]int    // by budget: units a second that it gets once others have returned them
-	committed     map[string]int    // by budget: its part of budget.committed, in units a second
+	lastSequence  uint64            // sequence number of the latest request
+	lastRequestAt monotime.Micros   // when the latest request arrived
+	demands       map[string]Demand // demand as of the latest request, keyed by budget
+	targets       map[string]int    // units a second to grant once others have returned them, keyed by budget
+	committed     map[string]int    // this lessee's share of budget.committed, in units a second, keyed by budget
 	commitments   []commitment
 }
 
-// commitment is the units of a lease, which count as spendable by the lessee until the commitment expires.
+// commitment records the units of a granted lease. Until it expires, the allocator assumes that the lessee may spend
+// them.
 type commitment struct {
-	serial    uint64         // of the lease; 0 is a lease of an earlier allocator
-	units     map[string]int // by budget, within any second
+	serial    uint64         // serial number of the lease; 0 if an earlier allocator granted it
+	units     map[string]int // units that may be spent within any second, keyed by budget
 	expiresAt monotime.Micros
 }
 
-// lessee returns the record of a lessee, and creates it at the lessee's first request. The order of lessees decides the
-// order of floating-point sums. It compares incarnations as float64, so incarnations that differ only in bits beyond
-// the 53 of a float64 are tied: to compare them as integers would change the order, and so results in the last bit.
+// lessee returns the record of a lessee, and creates it at the lessee's first request. The sort order of the lessees
+// determines the order of floating-point sums. Incarnations are compared as float64, so two that differ only beyond its
+// 53 bits are equal; comparing them as integers would change the order, and thereby the last bit of some sums.
 func (a *Allocator) lessee(id lesseeID) *lesseeRecord {
 	if record := a.lessees[id]; record != nil {
 		return record
@@ -53,11 +54,11 @@
 	return record
 }
 
-// applyHeldLease handles a request's statement of which lease is in force: the lessee spends nothing from earlier
-// leases any more, so their commitments end a window from now, when what was spent from them no longer counts.
+// applyHeldLease handles the part of a request that states which lease is in force. The lessee no longer spends units
+// from earlier leases, so their commitments end one countingWindow from now, when units spent earlier no longer count.
 func (a *Allocator) applyHeldLease(now monotime.Micros, lessee *lesseeRecord, r *LeaseRequest) {
 	if r.HeldSerial == 0 {
-		return // it may not have received its lease yet: all commitments stay until they expire
+		return // the lessee may not have received its lease yet: all commitments stay until they expire
 	}
 	if r.HeldTerm != a.term {
 		a.applyEarlierTerm(now, lessee)
@@ -70,8 +71,9 @@
 	}
 }
 
-// applyEarlierTerm commits the units that a lessee holds by a lease of an earlier allocator, during recovery. The lease
-// replaces one that the lessee stated before.
+// applyEarlierTerm commits the units of a lease that the lessee holds from an earlier allocator. It does so only during
+// recovery. The new commitment replaces the commitment for a lease of an earlier allocator that the lessee reported
+// before.
 func (a *Allocator) applyEarlierTerm(now monotime.Micros, lessee *lesseeRecord) {
 	if now >= a.recoveringUntil {
 		return // the lease expired before the request arrived
@@ -84,8 +86,8 @@
 	lessee.commitments = append(lessee.commitments, held)
 }
 
-// dropExpired removes expired commitments, and lessees that have no commitment and have sent no request within a
-// lease's lifetime.
+// dropExpired removes expired commitments. It also removes lessees that have no commitment and have sent no request
+// within the lifetime of a lease.
 func (a *Allocator) dropExpired(now monotime.Micros) {
 	expired := func(c commitment) bool { return now >= c.expiresAt }
 	a.sortedLessees = slices.DeleteFunc(a.sortedLessees, func(lessee *lesseeRecord) bool {
@@ -100,7 +102,8 @@
 	})
 }
 
-// recountCommitted updates a lessee's part of budget.committed to the commitments that have not expired.
+// recountCommitted updates a lessee's share of budget.committed, for all budgets, so that it includes only commitments
+// that have not expired.
 func (a *Allocator) recountCommitted(now monotime.Micros, lessee *lesseeRecord) {
 	for _, name := range a.budgetNames {
 		units := lessee.committedUnits(now, name)
@@ -109,8 +112,8 @@
 	}
 }
 
-// committedUnits returns the units of a budget that the lessee may spend within a second: the largest of its
-// commitments, since it spends from one lease at a time.
+// committedUnits returns the units of a budget that the lessee may spend within a second. It is the maximum over the
+// lessee's commitments, not their sum, because a lessee spends from one lease at a time.
 func (r *lesseeRecord) committedUnits(now monotime.Micros, name string) (maxUnits int) {
 	for i := range r.commitments {
 		if c := &r.commitments[i]; now < c.expiresAt {
@@ -120,7 +123,7 @@
 	return maxUnits
 }
 
-// status returns the lessee's status for one budget.
+// status returns the status of the lessee's lease of one budget, for operators.
 func (r *lesseeRecord) status(now monotime.Micros, name string) LeaseStatus {
 	leaseStatus := LeaseStatus{
 		Lessee:        r.name,
--- a/internal/decide/quota/divide.go
+++ b/internal/decide/quota/divide.go
@@ -9,20 +9,20 @@
 	"dunlinsail/internal/monotime"
 )
 
-// claim is the units that one lessee is considered for when a budget is divided.
+// claim is one lessee's claim to units of a budget while the budget is divided.
 type claim struct {
 	lessee *lesseeRecord
-	units  int    // units a second that the lessee gets if there are enough
-	rank   uint64 // order among equal claims, the lowest first; drawn anew for each rotationPeriod
+	units  int    // claimed units a second; the lessee is assigned no more, except spare units
+	rank   uint64 // order among equal claims, lowest first; a new pseudorandom number for each rotationPeriod
 }
 
-// silentIntervals is the number of request intervals without a request after which a lessee counts as one without
-// demand. Its leased units remain committed to it until the lease expires.
+// silentIntervals is the number of request intervals without a request after which a lessee is silent: it takes no part
+// in divisions. Units that it has leased remain committed to it until the lease expires.
 const silentIntervals = 3
 
-// divide sets the targets of all lessees, in units a second. It divides each budget by max-min fairness over the
-// demands (Bertsekas and Gallager, "Data Networks", 6.5.2), in whole units, among the lessees that are not silent. A
-// target is granted as far as the other lessees' commitments leave units free.
+// divide sets the targets of all lessees, in units a second. It divides the leasable units of each budget among the
+// lessees that are not silent, in whole units, by max-min fairness over their demands (Bertsekas and Gallager, "Data
+// Networks", 6.5.2). A later request is granted the target as far as the commitments to other lessees permit.
 func (a *Allocator) divide(now monotime.Micros) {
 	a.dividedAt = now
 	a.dirty = false
@@ -42,8 +42,8 @@
 	}
 }
 
-// sumContributions sets the units of a contributed budget to the sum of the active lessees' contributions, but at most
-// to its ceiling.
+// sumContributions sets the size of a contributed budget to the sum of the active lessees' contributions, bounded by
+// the budget's ceiling. It does not change other budgets.
 func (b *budget) sumContributions(budgetName string, active []*lesseeRecord) {
 	if !b.contributed {
 		return
@@ -55,8 +55,9 @@
 	b.units = min(b.units, b.ceiling)
 }
 
-// divideBudget sets the targets of one budget in three steps: fair parts of the claims, single units that the division
-// leaves, and spare units beyond all claims. The seed, a number of the budget, lets ranks differ between budgets.
+// divideBudget sets the lessees' targets for one budget. It assigns fair shares of the claims, then the units left over
+// by integer division, and finally most of the units beyond all claims. The seed is different for each budget, so that
+// lessees with equal claims are ranked differently in each.
 func (a *Allocator) divideBudget(now monotime.Micros, budgetName string, seed uint64, active []*lesseeRecord) {
 	units := a.leasableUnits(budgetName)
 	if units <= 0 {
@@ -71,19 +72,22 @@
 }
 
 const (
-	// rotationPeriod is the time for which the order of equal claims stays the same. After it, other lessees come first
-	// where a budget has less than one unit for each.
+	// rotationPeriod is the time for which the order of equal claims stays the same. Where a budget has less than one
+	// unit for each lessee, other lessees are assigned a unit in the next period.
 	rotationPeriod = 4 * second
-	// minUtilization is the fraction of its leased units that a lessee must use for its whole demand to be a claim.
+	// minUtilization is the fraction of its leased units that a lessee must use; below it, maxClaimPerUse bounds the
+	// lessee's claim if the demands exceed the budget.
 	minUtilization = 0.7
-	// maxClaimPerUse bounds the claim of a lessee below minUtilization, in multiples of the units that it uses.
+	// maxClaimPerUse bounds the claim of a lessee below minUtilization, as a multiple of the units that the lessee
+	// uses.
 	maxClaimPerUse = 2
 )
 
-// newClaims returns the lessees' claims to a budget of the given leasable units a second, in the order of lessees. A
-// claim is the lessee's demand. Where the demands exceed the budget, the claim of a lessee that uses less than
-// minUtilization of its leased units is bounded by maxClaimPerUse times its use, or by an equal part of the budget if
-// that is more: a lessee that overstates its demand gets no more than an equal part.
+// newClaims returns the claim of each active lessee, in the order of active, to a budget with the given leasable
+// units a second. A claim is the lessee's demand. If the demands exceed the budget, the claim of a lessee that uses
+// less than minUtilization of its leased units is bounded by the larger of an equal share of the budget and
+// maxClaimPerUse times the units that it uses. So a lessee that overstates its demand gains nothing beyond this
+// bound.
 func newClaims(now monotime.Micros, budgetName string, seed uint64, active []*lesseeRecord, units int) []claim {
 	claims := make([]claim, len(active))
 	total := 0
@@ -108,8 +112,9 @@
 	return claims
 }
 
-// assignFairly sorts the claims, the smallest first, and sets the targets: each claim gets its units, but at most an
-// equal part of the units that the claims before it have left. It returns the units that are not assigned.
+// assignFairly sets the targets by max-min fairness. In ascending order of the claims, it assigns each lessee the
+// claimed units, but at most an equal share of the units that are not yet assigned. It leaves claims sorted in this
+// order, and returns the units that remain unassigned.
 func assignFairly(claims []claim, budgetName string, units int) (unassigned int) {
 	unassigned = units
 	slices.SortFunc(claims, func(a, b claim) int {
@@ -123,8 +128,8 @@
 	return unassigned
 }
 
-// assignRemainder adds one unit to the target of each claim that is not met, in the order of claims, while units are
-// left. It returns the units that are not assigned.
+// assignRemainder adds one unit to the target of each lessee whose claim is not met, in the order of claims, until no
+// units are left. It returns the units that remain unassigned.
 func assignRemainder(claims []claim, budgetName string, units int) (unassigned int) {
 	unassigned = units
 	for _, c := range claims {
@@ -139,11 +144,12 @@
 	return unassigned
 }
 
-// spareRetainedDivisor gives the part of the spare units that stays unassigned, for the next request of any lessee.
+// spareRetainedDivisor determines how many units beyond all claims stay unassigned: one in this many, for the next
+// request of any lessee.
 const spareRetainedDivisor = 4
 
-// assignSpare divides the units beyond all claims equally, so that demand that arises before a lessee's next request
-// finds units leased.
+// assignSpare divides units beyond all claims equally among the lessees, except those that spareRetainedDivisor
+// retains. A lessee can then serve new demand from leased units before its next request.
 func assignSpare(claims []claim, budgetName string, units int) {
 	spare := units - units/spareRetainedDivisor
 	slices.SortFunc(claims, func(a, b claim) int { return cmp.Compare(a.rank, b.rank) })
--- a/internal/decide/quota/doc.go
+++ b/internal/decide/quota/doc.go
@@ -4,30 +4,32 @@
 // The allocator runs at the instance that holds the fleet's lease (package lease). Each instance has a lessee. Every
 // Settings.RequestInterval the lessee sends the allocator a LeaseRequest with its demand, and the allocator replies
 // with a Grant: the units of each budget that the lessee may spend within any second until the lease expires. In
-// addition each lessee has a minimum of each budget, which is reserved and needs no lease. Package coordination runs
-// both and exchanges the messages.
+// addition each lessee may spend a minimum of each budget, which is reserved and needs no lease. Package coordination
+// runs the allocator and the lessee, and exchanges the messages.
 //
-// Safety comes first: within each second the sum that is spent stays within the budget, whatever is lost, delayed,
-// duplicated or reordered, and whichever instance is killed, stopped, partitioned or overstates its demand. Using
-// the whole budget where there is demand for it comes second.
+// Safety comes first: the units that all instances spend within any second stay within the budget. This is true even if
+// messages are lost, delayed, duplicated or reordered, and if instances are killed, stopped, partitioned or overstate
+// their demand. Using the whole budget where there is demand for it comes second.
 //
-// # Why the sum holds
+// # Why spending stays within the budget
 //
-//  1. Before each unit a lessee counts what it spent within the second before. So in any second it spends no more than
-//     the most that it was allowed at an instant within it: its minimum, and the units of the lease in force.
-//  2. A lease is in force from when its Grant is received until its duration after its LeaseRequest was sent, by the
-//     lessee's clock. The allocator takes its units as committed from when it grants them until that duration and a
-//     second more have passed by any clock, or until a second after the lessee has shown that a later lease is in force
-//     in its place; a lessee never goes back to an earlier lease. So what is committed at an instant is at least what
-//     lessees can have spent in the second that ends there.
-//  3. The allocator grants no more than keeps the committed units of all lessees within the budget less all minimums.
-//  4. There is one allocator at a time. A new one recovers first: it grants nothing but what lessees show that they
-//     hold, until all leases of the allocator before it have expired. It takes only requests that were sent since it
-//     is the allocator (LeaseRequest.Term), so that what they show was not leased to others in
-//     the meantime.
+//  1. Before it spends a unit, a lessee counts the units that it spent within the last second. So within any second it
+//     spends no more than the largest number of units that it was allowed at an instant of that second. At each instant
+//     it is allowed its minimum and the units of the lease in force.
+//  2. A lease is in force from the arrival of its Grant until the lease's duration after its LeaseRequest was sent, by
+//     the lessee's clock. For the allocator the units of a lease are committed from the grant until that duration plus
+//     one second has passed by any clock. They are released earlier, one second after the lessee has reported that a
+//     later lease is in force, since a lessee never returns to an earlier lease. So the units committed at an instant
+//     are never fewer than the leased units that lessees can have spent within the second that ends at it.
+//  3. The allocator limits each grant so that the committed units of all lessees stay within the budget less the
+//     minimums of all instances.
+//  4. There is one allocator at a time. A new allocator starts with a recovery period, which lasts until all leases of
+//     its predecessor have expired. During recovery it grants only units that lessees report to hold. It accepts only
+//     requests that were sent in its own term (LeaseRequest.Term), so units that a request reports as held cannot
+//     have been leased to others in the meantime.
 //
-// docs/design/peers.md has the argument at length.
+// docs/design/peers.md has the full argument.
 //
 // Allocator and Lessee are deterministic state machines without I/O or a clock, and not safe for concurrent use. The
-// package must not know what a budget is for, sockets, or which instances are alive.
+// package must not depend on what a budget is used for, on sockets, or on which instances are alive.
 package quota
--- a/internal/decide/quota/golden_test.go
+++ b/internal/decide/quota/golden_test.go
@@ -8,8 +8,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// goldenState is the content of testdata/state.json. The file was written before the types had tags, and never changes:
-// a process hands this form to its successor, which may be of another build.
+// goldenState returns the state that testdata/state.json encodes. The file was written before State had struct tags and
+// must never change, because a process hands its state over in this encoding to a successor of any other build.
 func goldenState() *State {
 	return &State{
 		Incarnation: 0xfedcba9876543210,
@@ -30,7 +30,7 @@
 	golden.CheckJSON(t, golden.Read(t, "state.json"), goldenState())
 }
 
-// TestStateKeepsItsStoredForm does not check a field without a value.
+// Guards against a field without a value in goldenState: TestStateKeepsItsStoredForm would not check its encoding.
 func TestGoldenStateFillsEachField(t *testing.T) {
 	filled := goldenState()
 	filled.Buckets = filled.Buckets[1:] // the first bucket has no Spent
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -20,17 +20,17 @@
 
 var term = lease.Term{Holder: "a", Incarnation: 1, Round: 1}
 
-// startedLessee returns a lessee of a budget of 100 units, started at 0.
+// startedLessee returns a lessee that was started at time 0 and has a budget of 100 units.
 func startedLessee(tb testing.TB) *Lessee {
 	tb.Helper()
 	lessee, err := NewLessee(settings)
 	require.NoError(tb, err)
-	lessee.SetBudget("b", 100) // a minimum of 5 each
+	lessee.SetBudget("b", 100) // the minimum of each of the 4 instances is 5
 	lessee.Start(0, 7)
 	return lessee
 }
 
-// grant lets a lessee receive a lease of units, as the reply to a request.
+// grant passes the lessee a grant of units as the reply to its request.
 func grant(lessee *Lessee, now monotime.Micros, request LeaseRequest, serial uint64, units int) {
 	lessee.HandleGrant(now, Grant{
 		Incarnation: request.Incarnation, Sequence: request.Sequence,
@@ -39,7 +39,7 @@
 	})
 }
 
-// newRequest returns a request of a lessee that knows the allocator's term.
+// newRequest returns a request with the allocator's current term, of which it notifies the lessee first if necessary.
 func newRequest(lessee *Lessee, now monotime.Micros) LeaseRequest {
 	request := lessee.NewRequest(now)
 	if request.Term != term {
@@ -49,7 +49,8 @@
 	return request
 }
 
-// A lease counts from its request, whenever the grant arrives. A grant older than the lease in force is ignored.
+// The duration of a lease is counted from its request, even if the grant arrives late. Grants older than the lease in
+// force, duplicated after their lease expired, or for another process are ignored.
 func TestLateAndReorderedGrants(t *testing.T) {
 	lessee := startedLessee(t)
 	firstRequest := newRequest(lessee, 2*second)
@@ -62,19 +63,19 @@
 	if allowed := lessee.Allowed(5*second+100, "b"); allowed != 5 {
 		t.Errorf("%d may be spent three seconds after the request", allowed)
 	}
-	grant(lessee, 5*second+100, secondRequest, 3, 30) // duplicated, and expired
+	grant(lessee, 5*second+100, secondRequest, 3, 30) // the lease expired three seconds after its request
 	otherProcessGrant := Grant{
 		Incarnation: 8, Sequence: secondRequest.Sequence, Term: term, Serial: 9, Duration: settings.LeaseDuration,
 		Allocations: []Allocation{{"b", 30}},
 	}
-	lessee.HandleGrant(5*second, otherProcessGrant) // for another process
+	lessee.HandleGrant(5*second, otherProcessGrant)
 	if allowed := lessee.Allowed(5*second+100, "b"); allowed != 5 {
 		t.Errorf("%d may be spent by an expired lease, or another process's", allowed)
 	}
 }
 
-// A process that starts may spend nothing for a second. A successor continues with the lease of its predecessor, and
-// the units that this spent count.
+// A new process may not spend anything for one second after its start. A successor continues with its predecessor's
+// lease, and the units that the predecessor spent count against it.
 func TestStartAndRestore(t *testing.T) {
 	lessee := startedLessee(t)
 	if lessee.Spend(second, "b") {
@@ -92,7 +93,7 @@
 	}
 	successor := startedLessee(t)
 	successor.active = false
-	successor.Restore(3*second+1000, 1000, state) // by the same clock
+	successor.Restore(3*second+1000, 1000, state) // both processes use the same clock
 	spent := 0
 	for successor.Spend(3*second+1000, "b") {
 		spent++
@@ -105,7 +106,7 @@
 	}
 }
 
-// Committed units stay within what can be leased, whatever lessees demand and show.
+// The committed units of all lessees never exceed the leasable units, whatever the lessees demand and report to hold.
 func TestCommittedUnitsStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		allocator, err := NewAllocator(settings)
@@ -145,16 +146,16 @@
 	})
 }
 
-// Demand is met by max-min fairness, in whole units, and the whole budget is assigned.
+// A division meets the demands by max-min fairness in whole units, and assigns spare units beyond them.
 func TestDivide(t *testing.T) {
 	for _, c := range []struct {
 		units      float64
 		demands    []float64
 		used       []float64
-		minTargets []int // smallest target of each lessee
+		minTargets []int // lower bound of each lessee's target
 	}{
 		{100, []float64{10, 100, 100}, []float64{10, 40, 40}, []int{10, 35, 35}},
-		{100, []float64{10, 1e6, 30}, []float64{10, 5, 30}, []int{10, 27, 30}}, // the second uses little
+		{100, []float64{10, 1e6, 30}, []float64{10, 5, 30}, []int{10, 27, 30}}, // the second lessee uses few units
 		{4, []float64{1, 1, 1}, []float64{1, 1, 1}, []int{1, 1, 1}},
 		{100, []float64{0, 0, 4}, []float64{0, 0, 4}, []int{5, 5, 9}},
 	} {
@@ -179,7 +180,7 @@
 	}
 }
 
-// A contributed budget is the sum of its lessees' contributions, but at most its ceiling.
+// The size of a contributed budget is the sum of its lessees' contributions, bounded by its ceiling.
 func TestContributedBudget(t *testing.T) {
 	allocator, _ := NewAllocator(settings)
 	allocator.SetBudget("e", 0, true)
--- a/internal/decide/quota/state.go
+++ b/internal/decide/quota/state.go
@@ -8,28 +8,28 @@
 	"dunlinsail/internal/monotime"
 )
 
-// State is what a process hands over to its successor in a hot restart. It holds ages rather than instants, since the
-// clocks of the two may have different origins. Its tags are the names in the takeover snapshot, which all builds
-// share.
+// State is the state of a lessee that a process hands over to its successor in a hot restart. It contains ages and
+// durations rather than instants, because the clocks of the two processes may have different origins. The struct tags
+// are the names in the takeover snapshot, which all builds share.
 type State struct {
 	Incarnation uint64          `json:"Life"`
-	Sequence    uint64          `json:"Number"` // of the latest request
-	Term        lease.Term      `json:"Term"`   // latest known term of the allocator; the zero value is unknown
-	HeldSerial  uint64          `json:"Of"`     // of the lease in force; 0 is none
-	HeldTerm    lease.Term      `json:"OfTerm"` // of the allocator that granted it
-	Remaining   monotime.Micros `json:"Left"`   // of the lease in force
-	Age         monotime.Micros `json:"Age"`    // of the process
-	Buckets     []BucketState   `json:"Pots"`   // by budget
+	Sequence    uint64          `json:"Number"` // sequence number of the latest request
+	Term        lease.Term      `json:"Term"`   // latest known term of the allocator; the zero value means unknown
+	HeldSerial  uint64          `json:"Of"`     // serial number of the latest accepted lease; 0 if there was none
+	HeldTerm    lease.Term      `json:"OfTerm"` // term of the allocator that granted the latest accepted lease
+	Remaining   monotime.Micros `json:"Left"`   // time until the latest accepted lease expires; 0 if it has expired
+	Age         monotime.Micros `json:"Age"`    // time since the lessee was started
+	Buckets     []BucketState   `json:"Pots"`   // one entry for each budget, sorted by budget name
 }
 
-// BucketState is what was leased and spent of one budget.
+// BucketState describes how much of one budget is leased and was recently spent.
 type BucketState struct {
 	Budget string            `json:"Budget"`
-	Leased int               `json:"Lent"`
-	Spent  []monotime.Micros `json:"Spent"` // age of each unit that was spent within the last second
+	Leased int               `json:"Lent"`  // units of the latest accepted lease
+	Spent  []monotime.Micros `json:"Spent"` // time since each unit of the last second was spent
 }
 
-// State returns the lessee's state as of now.
+// State returns the lessee's state at now.
 func (l *Lessee) State(now monotime.Micros) *State {
 	s := &State{
 		Incarnation: l.incarnation,
@@ -53,14 +53,14 @@
 }
 
 // HandOver returns the state for a successor and deactivates the lessee, which spends nothing from now on. If no
-// successor takes over, Start activates the lessee again; it must get another incarnation.
+// successor takes over, the lessee can be activated again by Start with another incarnation.
 func (l *Lessee) HandOver(now monotime.Micros) *State {
 	s := l.State(now)
 	l.active = false
 	return s
 }
 
-// Restore activates the lessee with a predecessor's state. age is the time since the state was taken, in microseconds.
+// Restore activates the lessee with the state of its predecessor. age is the time since that state was taken.
 func (l *Lessee) Restore(now, age monotime.Micros, s *State) {
 	age = max(0, age)
 	l.active = true
@@ -74,7 +74,7 @@
 	for _, b := range s.Buckets {
 		bucket := l.buckets[b.Budget]
 		if bucket == nil {
-			continue // not a budget of this process: its leased units are not spent
+			continue // this process does not have the budget, and must not spend its leased units
 		}
 		bucket.leased = b.Leased
 		bucket.spent = bucket.spent[:0]
--- a/internal/decide/subset/ring.go
+++ b/internal/decide/subset/ring.go
@@ -11,14 +11,14 @@
 // ringEntry is an endpoint on the ring.
 type ringEntry struct {
 	Endpoint
-	hash    uint64  // of group and endpoint
-	sortKey float64 // by which the ring is sorted
-	start   float64 // where it begins on the ring, in weight
+	hash    uint64  // hash of the instance's group and the endpoint
+	sortKey float64 // position in its zone as a fraction of the zone's weight, by which the ring is sorted
+	start   float64 // start of the endpoint's section of the ring: the total weight of all entries before it
 }
 
-// arcCount decides how many arcs the ring is cut into: the greatest power of two with which each arc has at least
-// targetSize endpoints. By powers of two, a list that grows or shrinks by a few endpoints hardly ever changes it.
-// Each arc has targetSize to twice as many members.
+// arcCount returns the number of arcs that the ring is cut into: the greatest power of two for which each arc has at
+// least targetSize endpoints. Because it is a power of two, adding or removing a few endpoints rarely changes it. Each
+// arc has between targetSize and twice as many members.
 func (s *Set) arcCount() uint64 {
 	arcs := uint64(1)
 	for 2*arcs*uint64(s.targetSize()) <= uint64(len(s.ring)) {
@@ -27,8 +27,8 @@
 	return arcs
 }
 
-// targetSize returns the number of members that the instance should have at least: MinMembers, or its part of all
-// endpoints' idle connections if that is more.
+// targetSize returns the smallest number of members that the instance should have. It is the larger of
+// Settings.MinMembers and the instance's share of the idle connections of all endpoints.
 func (s *Set) targetSize() int {
 	if s.settings.EndpointIdleConnections == 0 {
 		return s.settings.MinMembers
@@ -37,8 +37,8 @@
 	return max(s.settings.MinMembers, int(connections/float64(s.settings.Instances)))
 }
 
-// buildRing places the endpoints on the ring of this instance's group: those of each zone in the order of their hashes,
-// spread evenly over the ring, so that any arc has its part of each zone.
+// buildRing places the endpoints on the ring of this instance's group. The endpoints of each zone are in the order of
+// their hashes and are spread evenly over the ring, so that every arc contains a proportional share of each zone.
 func (s *Set) buildRing() {
 	group := hash64.SplitMix(s.settings.Position / s.arcCount())
 	zoneWeights := map[int]float64{}
@@ -74,7 +74,8 @@
 	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.hash, b.hash), cmp.Compare(a.ID, b.ID))
 }
 
-// arcMembers returns the endpoints on the instance's arc if that is doubled so often. An arc grows at its end.
+// arcMembers returns the endpoints on the instance's arc if its length is doubled the given number of times. A doubled
+// arc has the same start and a later end.
 func (s *Set) arcMembers(doublings int) []Member {
 	if len(s.ring) == 0 {
 		return nil
@@ -90,12 +91,12 @@
 	return members
 }
 
-// minShareOnArc is the part of an arc below which an endpoint does not lie on it: by rounding, an endpoint may seem to end
-// behind the point at which the arc begins.
+// minShareOnArc is the smallest fraction of an arc that an endpoint must cover to be a member. Rounding errors can make
+// an endpoint that ends where the arc starts appear to overlap the arc.
 const minShareOnArc = 1e-9
 
-// appendSection appends the endpoints between two points of the ring, in weight, to an arc's members. length is that of
-// the whole arc, as a part of the ring.
+// appendSection appends the endpoints between two points of the ring to an arc's members. The points are measured in
+// weight from the start of the ring. length is the length of the whole arc, as a fraction of the ring.
 func (s *Set) appendSection(members []Member, from, to, length float64) []Member {
 	i, _ := slices.BinarySearchFunc(s.ring, from, func(entry ringEntry, at float64) int {
 		return cmp.Compare(entry.start+entry.Weight, at)
@@ -107,7 +108,7 @@
 			continue
 		}
 		if len(members) > 0 && members[0].ID == entry.ID {
-			members[0].Share += share // both ends of the arc lie on it
+			members[0].Share += share // both ends of the arc are within this endpoint's section
 		} else {
 			members = append(members, Member{entry.ID, share})
 		}
@@ -115,7 +116,7 @@
 	return members
 }
 
-// coversRing reports whether the arc is the whole ring if it is doubled so often.
+// coversRing reports whether the arc covers the whole ring if its length is doubled the given number of times.
 func (s *Set) coversRing(doublings int) bool {
 	return math.Pow(2, float64(doublings)) >= float64(s.arcCount())
 }
--- a/internal/decide/subset/settings.go
+++ b/internal/decide/subset/settings.go
@@ -12,22 +12,22 @@
 
 // Settings configure a Set.
 type Settings struct {
-	// Position is that of this instance in the fleet, from 0. A hash of its name may take its place; the load is less
-	// even then.
+	// Position is the number of this instance in the fleet, from 0. A hash of the instance's name can be used instead,
+	// but the endpoints are then loaded less evenly.
 	Position uint64
-	// Instances is the number of instances in the fleet, about; 0 is not known, and then no budgets are divided.
+	// Instances is the approximate number of instances in the fleet. 0 means that it is not known and that budgets are
+	// not divided.
 	Instances int
-	// MinMembers is the least number of members, if there are as many endpoints: with few members the balancer has no
-	// choice, and a retry no other endpoint.
+	// MinMembers is the smallest number of members, provided that there are as many endpoints. With few members the
+	// balancer has little choice, and a retry may find no other endpoint.
 	MinMembers int
-	Seed       uint64 // of the times at which the set widens and narrows
+	Seed       uint64 // seed of the random times at which the set widens and narrows
 
-	// The budgets of one endpoint for all instances together. 0 is no limit.
-	EndpointIdleConnections float64 // connections
-	EndpointProbes          float64 // probes a second
+	EndpointIdleConnections float64 // idle connections to one endpoint from all instances together; 0 means no limit
+	EndpointProbes          float64 // probes a second of one endpoint from all instances together; 0 means no limit
 }
 
-// invalidSetting returns the error of a setting.
+// invalidSetting returns the *setting.Error of an invalid setting.
 func invalidSetting(key, reason string) error {
 	return &setting.Error{Key: key, Reason: reason}
 }
@@ -60,19 +60,19 @@
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	ID     string // the same at every instance
-	Zone   int
-	Weight float64 // its capacity relative to the others'; 0, negative, infinite and NaN count as 1
+	ID     string  // identifier of the endpoint, the same at every instance
+	Zone   int     // number of the endpoint's zone
+	Weight float64 // capacity relative to other endpoints; if it is not positive and finite, 1 is used
 }
 
 // Member is an endpoint that this instance connects to.
 type Member struct {
 	ID    string
-	Share float64 // part of the instance's traffic that it should get, 0 to 1: the part of the arc that lies on it
+	Share float64 // fraction of the instance's traffic for the endpoint, and of the arc that it covers, in 0..1
 }
 
-// Budgets are this instance's part of all endpoints' budgets for the fleet. 0 is no limit.
+// Budgets is this instance's share of all endpoints' budgets for the fleet. A value of 0 means no limit.
 type Budgets struct {
-	IdleConnections float64 // over all members; below 1, one connection is kept for that part of the time
-	Probes          float64 // probes a second
+	IdleConnections float64 // idle connections to all members; below 1, the fraction of time that one is kept
+	Probes          float64 // probes a second of all members
 }
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -31,7 +31,7 @@
 	return set
 }
 
-// endpointLoads returns the load of each endpoint, by instances with a load of one each.
+// endpointLoads returns the load of each endpoint if every instance of the fleet has a load of one.
 func endpointLoads(fleet []*Set) map[string]float64 {
 	loads := map[string]float64{}
 	for _, set := range fleet {
@@ -56,7 +56,8 @@
 	}
 }
 
-// Any list, any group: shares add up to one, and a full group loads each endpoint by its weight exactly.
+// For any endpoint list and any group, the shares of an instance's members add up to one, and the instances of a full
+// group load each endpoint exactly in proportion to its weight.
 func TestLoadFollowsWeightExactly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		endpointCount := rapid.IntRange(1, 120).Draw(t, "endpoints")
@@ -91,7 +92,8 @@
 	})
 }
 
-// One endpoint that is removed changes few members: those in its place, and at the ends of arcs.
+// Removing one endpoint adds only a few new members to a subset: replacements of the endpoint, and endpoints at the
+// ends of the arc.
 func TestRemovedEndpointMovesFewMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		endpointCount := rapid.IntRange(20, 200).Draw(t, "endpoints")
@@ -107,7 +109,7 @@
 		removedIndex := rapid.IntRange(0, endpointCount-1).Draw(t, "gone")
 		set.SetEndpoints(0, append(append([]Endpoint{}, endpoints[:removedIndex]...), endpoints[removedIndex+1:]...))
 		if set.arcCount() != arcs {
-			return // the shorter list has fewer arcs
+			return // the shorter list is cut into fewer arcs, so that members are not comparable
 		}
 		newMembers := 0
 		for _, m := range set.Members() {
@@ -122,8 +124,8 @@
 	})
 }
 
-// How uneven the load is of a fleet that ends within a group, has lost half of its instances, or has no positions, by
-// simulation.
+// Bounds the ratio of the highest to the mean endpoint load for fleets that do not consist of full groups: with a
+// partial last group, with half of the instances lost, and with hashes of names as positions.
 func TestImbalanceOfPartialFleets(t *testing.T) {
 	endpoints := testEndpoints(200)
 	peakToMean := func(loads map[string]float64, mean float64) float64 {
@@ -156,7 +158,8 @@
 	}
 }
 
-// runSteps advances a fleet until an instant, and returns how many steps were made, and the maximum in any 100 ms.
+// runSteps advances a fleet from one instant to another in intervals of 100 ms. It returns the number of steps that the
+// sets made, and the largest number of steps within an interval.
 func runSteps(fleet []*Set, from, until monotime.Micros) (steps, maxBurst int) {
 	for now := from; now < until; now += 100_000 {
 		stepsNow := 0
@@ -175,8 +178,9 @@
 	return steps, maxBurst
 }
 
-// A fifth of the endpoints becomes unhealthy: subsets with mostly unhealthy members widen, not all at once and no more
-// than needed; when all are healthy again they narrow, and nothing oscillates.
+// When a fifth of the endpoints becomes unhealthy, subsets with mostly unhealthy members widen until each has a healthy
+// member. They do not all widen at the same time, and they do not oscillate. When all endpoints are healthy again, the
+// subsets narrow to their original width.
 func TestWidensWhileUnhealthyAndNarrowsAfter(t *testing.T) {
 	endpoints := testEndpoints(60)
 	var fleet []*Set
@@ -218,8 +222,8 @@
 	}
 }
 
-// A subset without healthy members widens until half of an arc's weight is healthy; if no endpoint is, it takes
-// the full list, and stops.
+// A subset without healthy members widens until half of a single arc's weight is healthy. If no endpoint is healthy, it
+// widens to the full endpoint list and then schedules no further step.
 func TestUnhealthySubsetWidens(t *testing.T) {
 	endpoints := testEndpoints(100)
 	set := newTestSet(t, 7, 4, endpoints)
@@ -245,7 +249,8 @@
 	}
 }
 
-// Few endpoints and many instances, many endpoints and few instances, none, and invalid entries.
+// Endpoint lists with unusual contents: fewer endpoints than MinMembers, many endpoints for few instances, an empty
+// list, and entries with invalid IDs and weights.
 func TestUnusualEndpointLists(t *testing.T) {
 	for _, c := range []struct{ endpoints, members int }{{0, 0}, {1, 1}, {3, 3}, {7, 7}} {
 		if set := newTestSet(t, 4999, 8, testEndpoints(c.endpoints)); len(set.Members()) != c.members {
@@ -273,8 +278,8 @@
 	}
 }
 
-// The part of an endpoint's budgets that the fleet uses is the same from 50 to 20,000 instances, and ten times too
-// high or too low if the number of instances is set too low or too high by a factor of ten.
+// The fleet uses the same fraction of an endpoint's budgets with 50 to 20,000 instances. The fraction is ten times too
+// high if Settings.Instances is ten times too low, and ten times too low if Settings.Instances is ten times too high.
 func TestEndpointBudgetsDoNotDependOnFleetSize(t *testing.T) {
 	for _, sizeError := range []float64{0.1, 1, 10} {
 		for _, instances := range []int{50, 500, 5000, 20000} {
@@ -302,7 +307,8 @@
 	}
 }
 
-// No window of any length gives more than its rate and the burst; no token is lost, however seldom Take is called.
+// Within a time window of any length, a bucket grants no more tokens than its rate and burst permit. No tokens are lost
+// to rounding if Take is called only when a token is due.
 func TestTokenBucketRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bucket := TokenBucket{
@@ -340,7 +346,8 @@
 	}
 }
 
-// checkTokenRate checks the rate and the burst over each stretch between two instants at which a token was taken.
+// checkTokenRate verifies that the bucket's rate and burst bound the tokens taken between any two of the given
+// instants, at each of which one token was taken.
 func checkTokenRate(t rapid.TB, bucket *TokenBucket, taken []monotime.Micros) {
 	t.Helper()
 	for i := range taken {
@@ -353,8 +360,9 @@
 	}
 }
 
-// setAlternatingLoad sets a load again and again, as an engine does, a fifth higher every other second, and returns the
-// instant of the last time. onStep, if it is not nil, is called after each.
+// setAlternatingLoad calls SetLoad and Advance once a second for the given number of seconds, as an engine does. Every
+// other second the load is a fifth higher. After each call of Advance it calls onStep, which may be nil. It returns the
+// time of the last call.
 func (s *Set) setAlternatingLoad(now monotime.Micros, load float64, seconds int, onStep func()) monotime.Micros {
 	for i := range seconds {
 		now += second
@@ -367,8 +375,9 @@
 	return now
 }
 
-// The arc follows the own load: within a second from a quiet instance to one that needs half of the list, no
-// wider than the load band requires, back when it is quiet again, and at any even load it becomes stable.
+// The width of the arc follows the instance's own load. When an idle instance becomes busy, the arc widens within a
+// second to the width that the load band requires, and it narrows to its original width when the instance is idle
+// again. With a load that varies by a fifth, the width becomes stable.
 func TestWidthFollowsOwnLoad(t *testing.T) {
 	endpoints := testEndpoints(64)
 	set := newTestSet(t, 5, 4, endpoints)
@@ -389,7 +398,7 @@
 		set := newTestSet(t, position, minMembers, testEndpoints(rapid.IntRange(1, 64).Draw(r, "nodes")))
 		load := rapid.Float64Range(0, 300).Draw(r, "load")
 		now := monotime.Micros(0)
-		for range 3 { // from wherever the load before has left it
+		for range 3 { // each load starts with the width that the load before it has led to
 			now = set.setAlternatingLoad(now, load, 150, nil)
 			stableDoublings := set.Doublings()
 			now = set.setAlternatingLoad(now, load, 40, func() {
--- a/internal/decide/subset/token_bucket.go
+++ b/internal/decide/subset/token_bucket.go
@@ -6,20 +6,20 @@
 	"dunlinsail/internal/monotime"
 )
 
-// TokenBucket is a token bucket on the caller's clock, as golang.org/x/time/rate has one on time.Time: with the
-// engine's instants a run in simulated time has the same results, and rates of a part of a token a minute lose
-// nothing to rounding. The zero value has no limit.
+// TokenBucket is a token bucket like that of golang.org/x/time/rate, but it uses the caller's clock instead of
+// time.Time. With the clock of the engine, runs in simulated time are reproducible. Rates of less than a token a
+// minute are not distorted by rounding. The zero value imposes no limit.
 type TokenBucket struct {
-	Rate       float64 // tokens a second; 0 is no limit
-	Burst      float64 // greatest number of tokens; less than 1 counts as 1, since there would never be a token
-	tokens     float64
+	Rate       float64 // tokens added a second; 0 means no limit
+	Burst      float64 // largest number of tokens; values less than 1 count as 1, or no token could ever be taken
+	tokens     float64 // number of tokens as of refilledAt
 	refilledAt monotime.Micros
-	started    bool
+	started    bool // Take has set the initial number of tokens
 }
 
-// Take takes one token, or returns the instant at which there may be one. The bucket starts with initial tokens, 0 to
-// 1, which the caller draws at random: otherwise instances that start together would all take their first token at
-// once.
+// Take takes one token if there is one. Otherwise it returns ok false and the earliest time at which there can be one.
+// The first call sets the number of tokens to initial, in 0..1. The caller draws it at random, because otherwise
+// instances that start together would all take their first token at the same time.
 func (b *TokenBucket) Take(now monotime.Micros, initial float64) (ok bool, next monotime.Micros) {
 	if b.Rate <= 0 {
 		return true, now
--- a/internal/decide/subset/width.go
+++ b/internal/decide/subset/width.go
@@ -6,14 +6,15 @@
 	"dunlinsail/internal/monotime"
 )
 
+// Thresholds of the weight of the healthy endpoints on an arc, as fractions of a single arc's weight.
 const (
-	widenBelowHealthy  = 0.5 // healthy part of the weight of a single arc below which the arc is doubled
-	narrowAboveHealthy = 0.8 // the same, at half the present length, from which on the arc may be halved
+	widenBelowHealthy  = 0.5 // the arc is doubled if its healthy weight is below this
+	narrowAboveHealthy = 0.8 // the arc is halved only if its healthy weight is at least this afterwards
 )
 
-// targetDoublings decides how often the arc should be doubled. It is doubled as often as the instance's own load
-// requires; otherwise once more if too little of it is healthy, or once less if half of it is healthy enough and the
-// load allows it; otherwise it stays.
+// targetDoublings returns the number of times that the arc's length should be doubled. If the instance is overloaded,
+// it is the smallest number that its own load requires. Otherwise it is one more than now if too little of the arc is
+// healthy, one less if enough of half the arc is healthy and the load allows it, and unchanged in all other cases.
 func (s *Set) targetDoublings() int {
 	if s.overloaded(s.doublings) {
 		doublings := s.doublings + 1
@@ -31,26 +32,27 @@
 	return s.doublings
 }
 
-// The load band, in own requests in flight for each member: that of Finagle's aperture
-// (com.twitter.finagle.loadbalancer.aperture, 0.5 to 2.0 by default). The members of half an arc have twice the load
-// each, so that one step does not cause the next.
+// The load band: bounds of the instance's own requests in flight for each member. They are the defaults of Finagle's
+// aperture (com.twitter.finagle.loadbalancer.aperture). Halving the arc doubles the load of each remaining member, so
+// the upper bound is more than twice the lower bound, or one step would cause the opposite step.
 const (
 	minLoadPerMember = 0.5
 	maxLoadPerMember = 2.0
 )
 
-// overloaded reports whether the arc has too few members for the instance's own load if it is doubled so often.
+// overloaded reports whether the arc has too few members for the instance's own load if its length is doubled the given
+// number of times. An arc that covers the whole ring is never overloaded.
 func (s *Set) overloaded(doublings int) bool {
 	return s.load > maxLoadPerMember*float64(len(s.arcMembers(doublings))) && !s.coversRing(doublings)
 }
 
-// underloaded reports whether the instance's own load allows fewer members.
+// underloaded reports whether the instance's own load is low enough for the arc to be halved.
 func (s *Set) underloaded() bool {
 	return s.load < minLoadPerMember*float64(len(s.members))
 }
 
-// healthyWeight returns the weight of the healthy members, as a part of a single arc's weight, if the arc is doubled so
-// often. A long arc may have more than 1.
+// healthyWeight returns the weight of the healthy endpoints on the arc if its length is doubled the given number of
+// times. The weight is a multiple of a single arc's weight, so it may exceed 1 for a doubled arc.
 func (s *Set) healthyWeight(doublings int) float64 {
 	var sum float64
 	for _, m := range s.arcMembers(doublings) {
@@ -61,15 +63,16 @@
 	return sum * min(math.Pow(2, float64(doublings)), float64(s.arcCount()))
 }
 
-// The mean times to a step, by its cause.
+// The mean times from the cause of a step to the step. The time is short for an instance's own load, because other
+// instances do not have the same cause at the same time.
 const (
-	widenInterval    = second      // to a widening for unhealthy members
-	narrowInterval   = 10 * second // to a narrowing: the members must be healthy for that long
-	loadStepInterval = second / 5  // to a widening by own load, a cause that no other instance has at the same time
+	widenInterval    = second      // mean time until the arc is widened because members are unhealthy
+	narrowInterval   = 10 * second // mean time until the arc is narrowed, for which the members must be healthy
+	loadStepInterval = second / 5  // mean time until the arc is widened because of the instance's own load
 )
 
-// scheduleStep sets the time of the next step: a half to one and a half of its mean time, at random, so that
-// instances with the same evidence do not step at once.
+// scheduleStep sets the time of the next step to a random time between half and one and a half times its mean time, so
+// that instances with the same cause do not all step at the same time.
 func (s *Set) scheduleStep(now monotime.Micros, target int) {
 	s.nextStepWidens = target > s.doublings
 	interval := widenInterval
