--- a/internal/decide/lease/settings.go
+++ b/internal/decide/lease/settings.go
@@ -43,15 +43,15 @@
 func (s *Settings) validate() error {
 	switch {
 	case !slices.Contains(s.Voters, s.Self):
-		return invalidSetting("self", "is none of the voters")
+		return invalidSetting("self", "must be the name of a voter")
 	case s.Duration < minDuration:
-		return invalidSetting("length", "must be a millisecond at least")
+		return invalidSetting("length", "must be at least 1 ms")
 	case !(s.MaxClockDrift >= 0 && s.MaxClockDrift <= maxClockDrift):
 		return invalidSetting("drift", "must be in 0..0.1")
 	}
 	for i, name := range s.Voters {
 		if slices.Contains(s.Voters[:i], name) {
-			return invalidSetting("voters", fmt.Sprintf("%q stands there twice", name))
+			return invalidSetting("voters", fmt.Sprintf("%q is listed more than once", name))
 		}
 	}
 	return nil
--- a/internal/decide/quota/settings.go
+++ b/internal/decide/quota/settings.go
@@ -54,9 +54,9 @@
 	case !(s.Reserve >= 0 && s.Reserve <= 1):
 		return invalidSetting("ready", "must be in 0..1")
 	case s.RequestInterval < minRequestInterval:
-		return invalidSetting("every", "must be a millisecond at least")
+		return invalidSetting("every", "must be at least 1 ms")
 	case s.LeaseDuration < minRequestsPerLease*s.RequestInterval:
-		return invalidSetting("length", "must be four times every at least, or a lost word ends a loan")
+		return invalidSetting("length", "must be at least four times every, or one lost message ends a lease")
 	case !(s.MaxClockDrift >= 0 && s.MaxClockDrift <= maxClockDrift):
 		return invalidSetting("drift", "must be in 0..0.1")
 	}
