--- a/internal/decide/coordination/member_test.go
+++ b/internal/decide/coordination/member_test.go
@@ -77,9 +77,9 @@
 	f.t.Helper()
 	const step = second / 1000
 	for end := f.now + duration; f.now < end; f.now += step {
-		arrived := f.inFlight
+		pending := f.inFlight
 		f.inFlight = nil
-		for _, m := range arrived {
+		for _, m := range pending {
 			if m.arrivesAt > f.now {
 				f.inFlight = append(f.inFlight, m)
 			} else if !f.isolated[m.to] {
--- a/internal/decide/coordination/protocol.go
+++ b/internal/decide/coordination/protocol.go
@@ -25,7 +25,7 @@
 	if m.voter != nil {
 		m.voter.Tick(now)
 		m.queueLeaseMessages()
-		m.followLease(now)
+		m.syncAllocatorWithLease(now)
 	}
 	if now >= m.nextRequestAt {
 		m.sendRequest(now)
@@ -55,9 +55,10 @@
 	}
 }
 
-// followLease starts the allocator if this instance has won the lease. It stops the allocator if the lease was lost,
-// and restarts it if the lease was won in another term. A started allocator is in recovery and has no observations.
-func (m *Member) followLease(now monotime.Micros) {
+// syncAllocatorWithLease starts the allocator if this instance has won the lease. It stops the allocator if the lease
+// was lost, and restarts it if the lease was won in another term. A started allocator is in recovery and has no
+// observations.
+func (m *Member) syncAllocatorWithLease(now monotime.Micros) {
 	held, _, holds := m.voter.HeldTerm(now)
 	if term, active := m.allocator.ActiveTerm(); active && (!holds || held != term) {
 		m.allocator.Stop()
@@ -115,7 +116,7 @@
 	case message.Lease != nil && m.voter != nil:
 		m.voter.Receive(now, from, *message.Lease)
 		m.queueLeaseMessages()
-		m.followLease(now)
+		m.syncAllocatorWithLease(now)
 	case message.Request != nil && m.voter != nil:
 		m.handleRequest(now, from, message)
 	case message.Grant != nil:
@@ -126,7 +127,7 @@
 // handleRequest handles a lease request if this instance is the allocator: it passes the observations to the aggregator
 // and replies with a grant.
 func (m *Member) handleRequest(now monotime.Micros, from string, message Message) {
-	m.followLease(now)
+	m.syncAllocatorWithLease(now)
 	grant, ok := m.allocator.HandleRequest(now, from, *message.Request)
 	if !ok {
 		return
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -44,8 +44,8 @@
 	message   Message
 }
 
-// connected is the value of cluster.partitioned for a network without partitions.
-func connected(int, int) bool { return false }
+// noPartition is the value of cluster.partitioned for a network without partitions.
+func noPartition(int, int) bool { return false }
 
 func newCluster(voterCount int, seed uint64, drift float64) *cluster {
 	c := &cluster{
@@ -53,7 +53,7 @@
 		drift:       drift,
 		holder:      -1,
 		terms:       map[Term]bool{},
-		partitioned: connected,
+		partitioned: noPartition,
 	}
 	for i := range voterCount {
 		c.names = append(c.names, fmt.Sprint("v", i))
@@ -64,22 +64,22 @@
 	c.clockOrigins = make([]float64, voterCount)
 	c.stoppedUntil = make([]float64, voterCount)
 	for i := range voterCount {
-		c.start(i)
+		c.startProcess(i)
 	}
 	return c
 }
 
-// start replaces voter i by a new process with a new clock.
-func (c *cluster) start(i int) {
+// startProcess replaces voter i by a new process with a new clock.
+func (c *cluster) startProcess(i int) {
 	c.incarnations++
-	if held := c.observedTerms[i]; held != (Term{}) { // the replaced process no longer holds the lease
-		c.recordOperation(i, lockOperation{held, false}, c.now)
+	if heldTerm := c.observedTerms[i]; heldTerm != (Term{}) { // the replaced process no longer holds the lease
+		c.recordOperation(i, lockOperation{heldTerm, false}, c.now)
 		c.observedTerms[i] = Term{}
 	}
 	c.clockRates[i] = 1 + c.drift*(2*c.rng.Float64()-1)
 	c.clockOrigins[i] = c.now - 1e6*c.rng.Float64()
 	c.stoppedUntil[i] = 0
-	v, err := New(c.clock(i), Settings{
+	v, err := New(c.localTime(i), Settings{
 		Self:          c.names[i],
 		Incarnation:   c.incarnations,
 		Voters:        c.names,
@@ -93,13 +93,13 @@
 	c.voters[i] = v
 }
 
-// clock returns the local time of voter i.
-func (c *cluster) clock(i int) monotime.Micros {
+// localTime returns the local time of voter i.
+func (c *cluster) localTime(i int) monotime.Micros {
 	return monotime.Micros((c.now - c.clockOrigins[i]) * c.clockRates[i])
 }
 
-// send puts the outgoing messages of voter i on the network.
-func (c *cluster) send(i int) {
+// sendOutgoing puts the outgoing messages of voter i on the network.
+func (c *cluster) sendOutgoing(i int) {
 	for _, o := range c.voters[i].TakeOutgoing() {
 		to := slices.Index(c.names, o.To)
 		for copies := 1; copies > 0 && c.rng.Float64() >= c.loss; copies-- {
@@ -118,25 +118,25 @@
 // step advances the true time by a duration in microseconds. It returns an error if two voters hold the lease.
 func (c *cluster) step(duration float64) error {
 	c.now += duration
-	due := c.inFlight
+	pending := c.inFlight
 	c.inFlight = nil
-	for _, f := range due {
+	for _, f := range pending {
 		switch {
 		case f.arrivesAt > c.now || c.stoppedUntil[f.to] > c.now:
 			c.inFlight = append(c.inFlight, f)
 		case !c.partitioned(f.from, f.to):
-			c.voters[f.to].Receive(c.clock(f.to), c.names[f.from], f.message)
-			c.send(f.to)
+			c.voters[f.to].Receive(c.localTime(f.to), c.names[f.from], f.message)
+			c.sendOutgoing(f.to)
 		}
 	}
 	holders := 0
 	for i, v := range c.voters {
-		if c.stoppedUntil[i] <= c.now && c.clock(i) >= v.NextTick() {
-			v.Tick(c.clock(i))
-			c.send(i)
+		if c.stoppedUntil[i] <= c.now && c.localTime(i) >= v.NextTick() {
+			v.Tick(c.localTime(i))
+			c.sendOutgoing(i)
 		}
-		c.observe(i, v)
-		if t, _, held := v.HeldTerm(c.clock(i)); held { // includes stopped voters, which may resume
+		c.recordTermChange(i, v)
+		if t, _, held := v.HeldTerm(c.localTime(i)); held { // includes stopped voters, which may resume
 			holders++
 			if !c.terms[t] {
 				c.terms[t] = true
@@ -160,10 +160,10 @@
 	acquired bool // true for winning the lease, false for losing it
 }
 
-// observe records a voter's winning or losing of the lease as operations on a lock. Winning starts when the votes are
-// requested and ends when the voter is observed to hold the lease.
-func (c *cluster) observe(i int, v *Voter) {
-	term, _, _ := v.HeldTerm(c.clock(i))
+// recordTermChange records a voter's winning or losing of the lease as operations on a lock. Winning starts when the
+// votes are requested and ends when the voter is observed to hold the lease.
+func (c *cluster) recordTermChange(i int, v *Voter) {
+	term, _, _ := v.HeldTerm(c.localTime(i))
 	previous := c.observedTerms[i]
 	if previous == term {
 		return
@@ -222,10 +222,10 @@
 			target := rapid.IntRange(0, voterCount-1).Draw(r, "whom")
 			switch rapid.SampledFrom([]string{"kill", "stop", "split", "one way", "heal", "all"}).Draw(r, "fault") {
 			case "kill":
-				c.start(target)
+				c.startProcess(target)
 			case "all":
 				for j := range voterCount {
-					c.start(j)
+					c.startProcess(j)
 				}
 			case "stop":
 				c.stoppedUntil[target] = c.now + c.rng.Float64()*float64(2*leaseDuration)
@@ -234,11 +234,11 @@
 			case "one way":
 				c.partitioned = func(from, to int) bool { return from <= target && to > target }
 			case "heal":
-				c.partitioned = connected
+				c.partitioned = noPartition
 			}
 			c.run(r, c.rng.Float64()*float64(2*leaseDuration))
 		}
-		c.partitioned = connected
+		c.partitioned = noPartition
 		c.loss = 0
 		c.run(r, float64(8*leaseDuration))
 		if c.holder < 0 {
@@ -309,14 +309,14 @@
 	target := c.rng.IntN(3)
 	switch c.rng.IntN(3) {
 	case 0:
-		c.start(target)
+		c.startProcess(target)
 		if p.atStart {
 			p.plant(c.voters[target])
 		}
 	case 1:
 		c.partitioned = func(from, to int) bool { return (from == target) != (to == target) }
 	case 2:
-		c.partitioned = connected
+		c.partitioned = noPartition
 	}
 }
 
@@ -328,8 +328,8 @@
 	if firstHolder < 0 {
 		t.Fatal("there is no holder")
 	}
-	c.voters[firstHolder].Resign(c.clock(firstHolder))
-	c.send(firstHolder)
+	c.voters[firstHolder].Resign(c.localTime(firstHolder))
+	c.sendOutgoing(firstHolder)
 	for c.holder < 0 || c.holder == firstHolder {
 		if err := c.step(1000); err != nil || c.now > resignedAt+float64(leaseDuration) {
 			t.Fatalf("%v; after %.0f us there is no other holder", err, c.now-resignedAt)
--- a/internal/decide/quota/allocator.go
+++ b/internal/decide/quota/allocator.go
@@ -124,7 +124,7 @@
 	if r.Term != a.term {
 		return g, true // the units that the lessee reports as held may have been granted to others since
 	}
-	lessee := a.lessee(lesseeID{from, r.Incarnation})
+	lessee := a.getOrCreateLessee(lesseeID{from, r.Incarnation})
 	if r.Sequence <= lessee.lastSequence {
 		return g, false
 	}
--- a/internal/decide/quota/commitment.go
+++ b/internal/decide/quota/commitment.go
@@ -34,10 +34,11 @@
 	expiresAt monotime.Micros
 }
 
-// lessee returns the record of a lessee, and creates it at the lessee's first request. The sort order of the lessees
-// determines the order of floating-point sums. Incarnations are compared as float64, so two that differ only beyond its
-// 53 bits are equal; comparing them as integers would change the order, and thereby the last bit of some sums.
-func (a *Allocator) lessee(id lesseeID) *lesseeRecord {
+// getOrCreateLessee returns the record of a lessee, and creates it at the lessee's first request. The sort order of
+// the lessees determines the order of floating-point sums. Incarnations are compared as float64, so two that differ
+// only beyond its 53 bits are equal; comparing them as integers would change the order, and thereby the last bit of
+// some sums.
+func (a *Allocator) getOrCreateLessee(id lesseeID) *lesseeRecord {
 	if record := a.lessees[id]; record != nil {
 		return record
 	}
@@ -61,7 +62,7 @@
 		return // the lessee may not have received its lease yet: all commitments stay until they expire
 	}
 	if r.HeldTerm != a.term {
-		a.applyEarlierTerm(now, lessee)
+		a.commitEarlierTermLease(now, lessee)
 		return
 	}
 	for i := range lessee.commitments {
@@ -71,10 +72,10 @@
 	}
 }
 
-// applyEarlierTerm commits the units of a lease that the lessee holds from an earlier allocator. It does so only during
-// recovery. The new commitment replaces the commitment for a lease of an earlier allocator that the lessee reported
-// before.
-func (a *Allocator) applyEarlierTerm(now monotime.Micros, lessee *lesseeRecord) {
+// commitEarlierTermLease commits the units of a lease that the lessee holds from an earlier allocator. It does so
+// only during recovery. The new commitment replaces the commitment for a lease of an earlier allocator that the
+// lessee reported before.
+func (a *Allocator) commitEarlierTermLease(now monotime.Micros, lessee *lesseeRecord) {
 	if now >= a.recoveringUntil {
 		return // the lease expired before the request arrived
 	}
--- a/internal/decide/quota/lessee.go
+++ b/internal/decide/quota/lessee.go
@@ -97,14 +97,14 @@
 	if b == nil || !l.active {
 		return 0
 	}
-	n := 0
+	units := 0
 	if now >= l.startedAt+l.settings.countingWindow() {
-		n = b.minimum
+		units = b.minimum
 	}
 	if now < l.expiresAt {
-		n += b.leased
+		units += b.leased
 	}
-	return n
+	return units
 }
 
 // Available returns the units of a budget that may be spent at now: the allowed units less the units that were spent
@@ -138,12 +138,12 @@
 
 // dropSpentBefore removes the records of units that were spent at or before an instant.
 func (b *bucket) dropSpentBefore(instant monotime.Micros) {
-	n := 0
-	for n < len(b.spent) && b.spent[n] <= instant {
-		n++
+	expired := 0
+	for expired < len(b.spent) && b.spent[expired] <= instant {
+		expired++
 	}
-	if n > 0 {
-		b.spent = append(b.spent[:0], b.spent[n:]...)
+	if expired > 0 {
+		b.spent = append(b.spent[:0], b.spent[expired:]...)
 	}
 }
 
--- a/internal/decide/subset/set.go
+++ b/internal/decide/subset/set.go
@@ -82,7 +82,7 @@
 }
 
 // NextStep returns when Advance must be called next. ok is false if no step is scheduled.
-func (s *Set) NextStep() (at monotime.Micros, ok bool) { return s.nextStepAt, s.nextStepAt > 0 }
+func (s *Set) NextStep() (stepAt monotime.Micros, ok bool) { return s.nextStepAt, s.nextStepAt > 0 }
 
 // Advance performs the scheduled step, which widens or narrows the set, if its time has come. It reports whether the
 // members or their shares changed.
