--- a/internal/decide/coordination/member.go
+++ b/internal/decide/coordination/member.go
@@ -25,7 +25,7 @@
 
 	// The state of this instance as a lessee.
 	lessee              *quota.Lessee
-	observe             func(now monotime.Micros) observations.Observations // may be nil
+	observe             func(now monotime.Micros) observations.Observations // observer of this instance; may be nil
 	receivedAggregate   observations.Aggregate                              // latest aggregate from the allocator
 	aggregateReceivedAt monotime.Micros
 	aggregateUnread     bool            // receivedAggregate has changed since the latest TakeAggregate
--- a/internal/decide/coordination/member_test.go
+++ b/internal/decide/coordination/member_test.go
@@ -164,7 +164,7 @@
 	firstAllocator := f.allocator()
 	f.members[firstAllocator].resign(f.now)
 	f.queueOutgoing(firstAllocator)
-	f.run(3 * second / 4) // less than the lease's duration
+	f.run(3 * second / 4) // wait for less than the lease's duration
 	if newAllocator := f.allocator(); newAllocator == "" || newAllocator == firstAllocator {
 		t.Errorf("the allocator is %q after %s has left", newAllocator, firstAllocator)
 	}
--- a/internal/decide/quota/golden_test.go
+++ b/internal/decide/quota/golden_test.go
@@ -33,6 +33,6 @@
 // Guards against a field without a value in goldenState: TestStateKeepsItsStoredForm would not check its encoding.
 func TestGoldenStateFillsEachField(t *testing.T) {
 	filled := goldenState()
-	filled.Buckets = filled.Buckets[1:] // the first bucket has no Spent
+	filled.Buckets = filled.Buckets[1:] // the first bucket has no spent units
 	golden.RequireFilled(t, "State", filled)
 }
--- a/internal/decide/quota/messages.go
+++ b/internal/decide/quota/messages.go
@@ -12,7 +12,7 @@
 // LeaseRequest is sent by a lessee to the allocator, or to all candidates if the lessee does not know the allocator.
 type LeaseRequest struct {
 	Incarnation uint64 `cbor:"Life"`   // incarnation of the lessee's process
-	Sequence    uint64 `cbor:"Number"` // increases with each request of the process
+	Sequence    uint64 `cbor:"Number"` // number of the request, which increases with each request of the process
 	// Term is the latest term of an allocator that the lessee knows; the zero value means unknown. An allocator grants
 	// no lease to a request with another term than its own.
 	Term       lease.Term `cbor:"Term"`
