--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -19,67 +19,67 @@
 type cluster struct {
 	rng           *rand.Rand
 	names         []string
-	drift         float64 // largest deviation of a clock rate, as a fraction
+	drift         float64 // largest deviation of a clock's rate from the true rate, as a fraction
 	now           float64 // true time, in microseconds
 	voters        []*Voter
-	clockRates    []float64
-	clockOrigins  []float64 // true time at which the local clock was 0
-	stoppedUntil  []float64 // true time
-	incarnations  uint64
-	inFlight      []inFlightMessage
-	partitioned   func(from, to int) bool
-	loss          float64
-	maxExtraDelay float64
+	clockRates    []float64               // clock rate of each voter, relative to the true rate
+	clockOrigins  []float64               // true time at which each voter's clock was 0
+	stoppedUntil  []float64               // true time until which each voter is stopped
+	incarnations  uint64                  // number of processes started
+	inFlight      []inFlightMessage       // messages sent but not yet delivered
+	partitioned   func(from, to int) bool // reports whether messages between two voters are dropped
+	loss          float64                 // probability that a message is lost, duplicated or delayed
+	maxExtraDelay float64                 // upper bound of the extra delay of a delayed message, in microseconds
 
-	holder        int // index of the holder as observed last; -1 is none
-	operations    []porcupine.Operation
-	observedTerms []Term // of each voter, as observed last
-	terms         map[Term]bool
-	termCount     int
+	holder        int                   // index of the latest observed holder; -1 if there is none
+	operations    []porcupine.Operation // history of lock operations, for the linearizability check
+	observedTerms []Term                // latest observed term of each voter; the zero value if it held no lease
+	terms         map[Term]bool         // all observed terms
+	termCount     int                   // number of observed terms
 }
 
 type inFlightMessage struct {
-	arrivesAt float64
-	from, to  int
+	arrivesAt float64 // true time of arrival, in microseconds
+	from, to  int     // indexes of the voters
 	message   Message
 }
 
-// connected partitions no voters: all messages pass.
-func connected(int, int) bool { return false }
+// noPartition is the value of cluster.partitioned for a network without partitions.
+func noPartition(int, int) bool { return false }
 
-func newCluster(n int, seed uint64, drift float64) *cluster {
+func newCluster(voterCount int, seed uint64, drift float64) *cluster {
 	c := &cluster{
 		rng:         rand.New(rand.NewPCG(seed, 7)),
 		drift:       drift,
 		holder:      -1,
 		terms:       map[Term]bool{},
-		partitioned: connected,
+		partitioned: noPartition,
 	}
-	for i := range n {
+	for i := range voterCount {
 		c.names = append(c.names, fmt.Sprint("v", i))
 	}
-	c.observedTerms = make([]Term, n)
-	c.voters = make([]*Voter, n)
-	c.clockRates = make([]float64, n)
-	c.clockOrigins = make([]float64, n)
-	c.stoppedUntil = make([]float64, n)
-	for i := range n {
-		c.start(i)
+	c.observedTerms = make([]Term, voterCount)
+	c.voters = make([]*Voter, voterCount)
+	c.clockRates = make([]float64, voterCount)
+	c.clockOrigins = make([]float64, voterCount)
+	c.stoppedUntil = make([]float64, voterCount)
+	for i := range voterCount {
+		c.startProcess(i)
 	}
 	return c
 }
 
-// start starts a process anew, with a clock of its own.
-func (c *cluster) start(i int) {
+// startProcess replaces voter i by a new process with a new clock.
+func (c *cluster) startProcess(i int) {
 	c.incarnations++
-	if held := c.observedTerms[i]; held != (Term{}) { // a killed process no longer holds the lease
-		c.recordOperation(i, lockOperation{held, false}, c.now)
+	if heldTerm := c.observedTerms[i]; heldTerm != (Term{}) { // the replaced process no longer holds the lease
+		c.recordOperation(i, lockOperation{heldTerm, false}, c.now)
 		c.observedTerms[i] = Term{}
 	}
 	c.clockRates[i] = 1 + c.drift*(2*c.rng.Float64()-1)
 	c.clockOrigins[i] = c.now - 1e6*c.rng.Float64()
 	c.stoppedUntil[i] = 0
-	v, err := New(c.clock(i), Settings{
+	v, err := New(c.localTime(i), Settings{
 		Self:          c.names[i],
 		Incarnation:   c.incarnations,
 		Voters:        c.names,
@@ -93,18 +93,18 @@
 	c.voters[i] = v
 }
 
-// clock returns the local time of voter i.
-func (c *cluster) clock(i int) monotime.Micros {
+// localTime returns the local time of voter i.
+func (c *cluster) localTime(i int) monotime.Micros {
 	return monotime.Micros((c.now - c.clockOrigins[i]) * c.clockRates[i])
 }
 
-// send puts voter i's outgoing messages on the network.
-func (c *cluster) send(i int) {
+// sendOutgoing puts the outgoing messages of voter i on the network.
+func (c *cluster) sendOutgoing(i int) {
 	for _, o := range c.voters[i].TakeOutgoing() {
 		to := slices.Index(c.names, o.To)
 		for copies := 1; copies > 0 && c.rng.Float64() >= c.loss; copies-- {
 			if c.rng.Float64() < c.loss {
-				copies++ // it is duplicated
+				copies++ // the message is duplicated
 			}
 			delay := 200 + c.rng.ExpFloat64()*1000
 			if c.rng.Float64() < c.loss {
@@ -115,28 +115,28 @@
 	}
 }
 
-// step advances the time by d, and returns an error if two voters hold the lease.
-func (c *cluster) step(d float64) error {
-	c.now += d
-	due := c.inFlight
+// step advances the true time by a duration in microseconds. It returns an error if two voters hold the lease.
+func (c *cluster) step(duration float64) error {
+	c.now += duration
+	pending := c.inFlight
 	c.inFlight = nil
-	for _, f := range due {
+	for _, f := range pending {
 		switch {
 		case f.arrivesAt > c.now || c.stoppedUntil[f.to] > c.now:
 			c.inFlight = append(c.inFlight, f)
 		case !c.partitioned(f.from, f.to):
-			c.voters[f.to].Receive(c.clock(f.to), c.names[f.from], f.message)
-			c.send(f.to)
+			c.voters[f.to].Receive(c.localTime(f.to), c.names[f.from], f.message)
+			c.sendOutgoing(f.to)
 		}
 	}
 	holders := 0
 	for i, v := range c.voters {
-		if c.stoppedUntil[i] <= c.now && c.clock(i) >= v.NextTick() {
-			v.Tick(c.clock(i))
-			c.send(i)
+		if c.stoppedUntil[i] <= c.now && c.localTime(i) >= v.NextTick() {
+			v.Tick(c.localTime(i))
+			c.sendOutgoing(i)
 		}
-		c.observe(i, v)
-		if t, _, held := v.HeldTerm(c.clock(i)); held { // a stopped voter holds it, too: it may resume
+		c.recordTermChange(i, v)
+		if t, _, held := v.HeldTerm(c.localTime(i)); held { // includes stopped voters, which may resume
 			holders++
 			if !c.terms[t] {
 				c.terms[t] = true
@@ -154,38 +154,39 @@
 	return nil
 }
 
-// lockOperation is a voter winning the lease, or losing it.
+// lockOperation is an operation of a voter that acquires (wins) or releases (loses) the lease.
 type lockOperation struct {
 	term     Term
-	acquired bool
+	acquired bool // true for winning the lease, false for losing it
 }
 
-// observe records when a voter wins and loses the lease, as operations on a lock: winning takes from the requests to
-// the votes.
-func (c *cluster) observe(i int, v *Voter) {
-	t, _, _ := v.HeldTerm(c.clock(i))
-	before := c.observedTerms[i]
-	if before == t {
+// recordTermChange records a voter's winning or losing of the lease as operations on a lock. Winning starts when the
+// votes are requested and ends when the voter is observed to hold the lease.
+func (c *cluster) recordTermChange(i int, v *Voter) {
+	term, _, _ := v.HeldTerm(c.localTime(i))
+	previous := c.observedTerms[i]
+	if previous == term {
 		return
 	}
-	if before != (Term{}) {
-		c.recordOperation(i, lockOperation{before, false}, c.now)
+	if previous != (Term{}) {
+		c.recordOperation(i, lockOperation{previous, false}, c.now)
 	}
-	if t != (Term{}) {
+	if term != (Term{}) {
 		requestedAt := float64(v.requestedAt)/c.clockRates[i] + c.clockOrigins[i]
-		c.recordOperation(i, lockOperation{t, true}, requestedAt)
+		c.recordOperation(i, lockOperation{term, true}, requestedAt)
 	}
-	c.observedTerms[i] = t
+	c.observedTerms[i] = term
 }
 
-// recordOperation records an operation of a voter that was called at an instant and returns now.
+// recordOperation records an operation of voter i that was called at calledAt and returns now.
 func (c *cluster) recordOperation(i int, op lockOperation, calledAt float64) {
 	c.operations = append(c.operations, porcupine.Operation{
 		ClientId: i, Input: op, Call: int64(calledAt), Return: int64(c.now),
 	})
 }
 
-// lockModel is a lock that is acquired and released.
+// lockModel is the sequential specification of a lock: only the holder's term can be released, and the lock can be
+// acquired only while no term holds it.
 var lockModel = porcupine.Model{
 	Init: func() any { return Term{} },
 	Step: func(state, in, _ any) (bool, any) {
@@ -197,50 +198,55 @@
 	},
 }
 
-func (c *cluster) run(t interface{ Fatal(...any) }, d float64) {
-	for end := c.now + d; c.now < end; {
+func (c *cluster) run(t interface{ Fatal(...any) }, duration float64) {
+	for end := c.now + duration; c.now < end; {
 		if err := c.step(2000); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// Whatever the faults, two voters never hold the lease at once. After the faults one voter wins it soon and keeps it.
+// Two voters never hold the lease at the same time, under random message faults, partitions, stops and kills. After the
+// faults end, one voter wins the lease within 8 lease durations and keeps it.
 func TestNeverTwoHoldersAndOneElectedOnceFaultsEnd(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		n := rapid.SampledFrom([]int{1, 3, 5}).Draw(r, "voters")
-		c := newCluster(n, rapid.Uint64().Draw(r, "seed"), rapid.SampledFrom([]float64{0, 0.01}).Draw(r, "drift"))
+		voterCount := rapid.SampledFrom([]int{1, 3, 5}).Draw(r, "voters")
+		c := newCluster(
+			voterCount,
+			rapid.Uint64().Draw(r, "seed"),
+			rapid.SampledFrom([]float64{0, 0.01}).Draw(r, "drift"),
+		)
 		c.loss = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(r, "loss")
 		c.maxExtraDelay = float64(3 * leaseDuration)
 		for range rapid.IntRange(0, 12).Draw(r, "faults") {
-			i := rapid.IntRange(0, n-1).Draw(r, "whom")
+			target := rapid.IntRange(0, voterCount-1).Draw(r, "whom")
 			switch rapid.SampledFrom([]string{"kill", "stop", "split", "one way", "heal", "all"}).Draw(r, "fault") {
 			case "kill":
-				c.start(i)
+				c.startProcess(target)
 			case "all":
-				for j := range n {
-					c.start(j)
+				for j := range voterCount {
+					c.startProcess(j)
 				}
 			case "stop":
-				c.stoppedUntil[i] = c.now + c.rng.Float64()*float64(2*leaseDuration)
+				c.stoppedUntil[target] = c.now + c.rng.Float64()*float64(2*leaseDuration)
 			case "split":
-				c.partitioned = func(from, to int) bool { return (from <= i) != (to <= i) }
+				c.partitioned = func(from, to int) bool { return (from <= target) != (to <= target) }
 			case "one way":
-				c.partitioned = func(from, to int) bool { return from <= i && to > i }
+				c.partitioned = func(from, to int) bool { return from <= target && to > target }
 			case "heal":
-				c.partitioned = connected
+				c.partitioned = noPartition
 			}
 			c.run(r, c.rng.Float64()*float64(2*leaseDuration))
 		}
-		c.partitioned = connected
+		c.partitioned = noPartition
 		c.loss = 0
 		c.run(r, float64(8*leaseDuration))
 		if c.holder < 0 {
 			r.Fatal("there is no holder after 16 s without a fault")
 		}
-		terms := c.termCount
+		previousTermCount := c.termCount
 		c.run(r, float64(4*leaseDuration))
-		if c.termCount != terms {
+		if c.termCount != previousTermCount {
 			r.Fatal("the holder changed without a cause")
 		}
 		if !porcupine.CheckOperations(lockModel, c.operations) {
@@ -249,13 +255,14 @@
 	})
 }
 
-// plantedError breaks one of the rules that the safety argument rests on.
+// plantedError modifies a voter's state so that it violates one of the rules that safety depends on.
 type plantedError struct {
 	atStart bool // plant is called when a voter starts, rather than at random instants
 	plant   func(v *Voter)
 }
 
-// Without any one of the rules that the safety argument rests on, the checker finds two holders.
+// The simulation must detect two holders whenever a rule that safety depends on is violated. This guards against a
+// simulation that is too weak to find such an error.
 func TestCheckerDetectsPlantedErrors(t *testing.T) {
 	for name, planted := range map[string]plantedError{
 		"a voter that starts votes at once": {atStart: true, plant: func(v *Voter) {
@@ -277,7 +284,8 @@
 	}
 }
 
-// isDetected reports whether two voters hold the lease at some instant of a run with random faults and the error.
+// isDetected reports whether two voters hold the lease at some instant of a run with random faults and the planted
+// error.
 func (p plantedError) isDetected(seed uint64) (found bool) {
 	c := newCluster(3, seed, 0.01)
 	c.loss = 0.05
@@ -296,33 +304,33 @@
 	return found
 }
 
-// injectFault restarts a random voter, cuts it off, or ends a partition.
+// injectFault restarts a random voter, partitions it from the others, or ends the partition.
 func (p plantedError) injectFault(c *cluster) {
-	i := c.rng.IntN(3)
+	target := c.rng.IntN(3)
 	switch c.rng.IntN(3) {
 	case 0:
-		c.start(i)
+		c.startProcess(target)
 		if p.atStart {
-			p.plant(c.voters[i])
+			p.plant(c.voters[target])
 		}
 	case 1:
-		c.partitioned = func(from, to int) bool { return (from == i) != (to == i) }
+		c.partitioned = func(from, to int) bool { return (from == target) != (to == target) }
 	case 2:
-		c.partitioned = connected
+		c.partitioned = noPartition
 	}
 }
 
 func TestResignLetsAnotherVoterWinAtOnce(t *testing.T) {
 	c := newCluster(3, 1, 0)
 	c.run(t, float64(3*leaseDuration))
-	first := c.holder
+	firstHolder := c.holder
 	resignedAt := c.now
-	if first < 0 {
+	if firstHolder < 0 {
 		t.Fatal("there is no holder")
 	}
-	c.voters[first].Resign(c.clock(first))
-	c.send(first)
-	for c.holder < 0 || c.holder == first {
+	c.voters[firstHolder].Resign(c.localTime(firstHolder))
+	c.sendOutgoing(firstHolder)
+	for c.holder < 0 || c.holder == firstHolder {
 		if err := c.step(1000); err != nil || c.now > resignedAt+float64(leaseDuration) {
 			t.Fatalf("%v; after %.0f us there is no other holder", err, c.now-resignedAt)
 		}
