--- a/internal/decide/canary/analysis.go
+++ b/internal/decide/canary/analysis.go
@@ -111,10 +111,10 @@
 // version show in no ratio of its requests.
 func (a *Analysis) lostClients() bool {
 	expected := a.baseline.requestRate() * float64(a.canary.duration)
-	fewer := expected >= lostMinExpected && a.canary.requests < lostMaxFraction*expected
+	tooFewRequests := expected >= lostMinExpected && a.canary.requests < lostMaxFraction*expected
 	harmful := 1-lostMaxFraction > a.settings.HarmMargin
 	longEnough := a.canary.duration >= max(lostMinDuration, a.settings.MinDuration)
-	if !fewer || !harmful || !longEnough {
+	if !tooFewRequests || !harmful || !longEnough {
 		return false
 	}
 	a.statistics.Metric = MetricDemand
@@ -145,14 +145,14 @@
 // Settings.MaxExtensions times. It is extended if the harm is beyond Settings.HarmMargin without being certain. It
 // starts anew if most of it was a surge of demand. harm is the larger difference of the two ratios.
 func (a *Analysis) concludeOrExtend(harm float64) {
-	surged := a.calmDuration < a.requiredDuration/minCalmDivisor
-	doubtful := a.baseline.requests > 0 && harm > a.settings.HarmMargin
+	mostlySurge := a.calmDuration < a.requiredDuration/minCalmDivisor
+	harmUncertain := a.baseline.requests > 0 && harm > a.settings.HarmMargin
 	switch {
-	case !surged && !doubtful:
+	case !mostlySurge && !harmUncertain:
 		a.verdict = Passed
 	case a.extensions >= a.settings.MaxExtensions:
 		a.verdict = Inconclusive
-	case surged: // the surge may end
+	case mostlySurge: // the surge may end
 		a.extensions++
 		a.canary = arm{}
 		a.calmDuration = 0
@@ -198,13 +198,13 @@
 	harm := sign * (tested.mean() - reference.mean())
 	// Slots without a failure have no variance, and yet prove little: the variance is never less than that of as many
 	// independent requests, with one failed and one successful request added.
-	requests := a.baseline.requests + a.canary.requests
-	pooled := (reference.mean()*a.baseline.requests + tested.mean()*a.canary.requests + 1) / (requests + 2)
-	pooled = min(max(pooled, 1/(requests+2)), 1-1/(requests+2))
+	totalRequests := a.baseline.requests + a.canary.requests
+	pooledRatio := (reference.mean()*a.baseline.requests + tested.mean()*a.canary.requests + 1) / (totalRequests + 2)
+	pooledRatio = min(max(pooledRatio, 1/(totalRequests+2)), 1-1/(totalRequests+2))
 	inflation := max(baseline.varianceInflation(), canary.varianceInflation())
 	slotVariance := func(side *arm, moments *ratioMoments) float64 {
-		independent := pooled * (1 - pooled) * moments.count / side.requests
-		return max(inflation*moments.variance(), independent)
+		independentVariance := pooledRatio * (1 - pooledRatio) * moments.count / side.requests
+		return max(inflation*moments.variance(), independentVariance)
 	}
 	testedVariance := slotVariance(&a.canary, tested)
 	referenceVariance := slotVariance(&a.baseline, reference)
--- a/internal/decide/canary/canary_test.go
+++ b/internal/decide/canary/canary_test.go
@@ -12,7 +12,7 @@
 )
 
 // slot is the duration of a sample, in microseconds.
-const slot = 250_000
+const slotDuration = 250_000
 
 var testSettings = Settings{Duration: 30_000_000, MinDuration: 2_000_000, HarmMargin: 0.01, Alpha: 0.01}
 
@@ -20,27 +20,27 @@
 // of several slots.
 type trafficSource struct {
 	rng              *rand.Rand
-	rate             float64 // a second
+	requestRate      float64 // a second
 	unservedFraction float64
-	variation        float64 // standard deviation of the logarithm of correlation
+	spellVariation   float64 // standard deviation of the logarithm of correlation
 	failedFraction   float64 // of the requests that are not served; the others are rejected
-	correlation      float64 // factor of unservedFraction in the present spell
-	slotsLeft        int     // of the present spell
+	spellFactor      float64 // factor of unservedFraction in the present spell
+	spellSlotsLeft   int     // of the present spell
 }
 
 // sample draws the sample of the next slot.
-func (x *trafficSource) sample() Sample {
-	s := Sample{Duration: slot}
-	n := int(x.rate*float64(slot)/1e6 + x.rng.Float64())
-	if x.slotsLeft--; x.slotsLeft <= 0 { // spells of a second or so
-		x.slotsLeft = 1 + x.rng.IntN(8)
-		x.correlation = math.Exp(x.variation*x.rng.NormFloat64() - x.variation*x.variation/2)
+func (x *trafficSource) nextSample() Sample {
+	s := Sample{Duration: slotDuration}
+	requestCount := int(x.requestRate*float64(slotDuration)/1e6 + x.rng.Float64())
+	if x.spellSlotsLeft--; x.spellSlotsLeft <= 0 { // spells of a second or so
+		x.spellSlotsLeft = 1 + x.rng.IntN(8)
+		x.spellFactor = math.Exp(x.spellVariation*x.rng.NormFloat64() - x.spellVariation*x.spellVariation/2)
 	}
-	for range n {
+	for range requestCount {
 		weight := []float64{1, 2, 3, 5}[x.rng.IntN(4)]
 		s.Requests++
 		s.OfferedWeight += weight
-		if x.rng.Float64() >= x.unservedFraction*x.correlation {
+		if x.rng.Float64() >= x.unservedFraction*x.spellFactor {
 			s.ServedWeight += weight
 		} else if x.rng.Float64() < x.failedFraction {
 			s.Failed++
@@ -50,18 +50,18 @@
 }
 
 // runToVerdict adds samples of the canary until there is a verdict.
-func runToVerdict(t *testing.T, s Settings, before, after *trafficSource) (Verdict, Statistics) {
+func runToVerdict(t *testing.T, settings Settings, baseline, canary *trafficSource) (Verdict, Statistics) {
 	t.Helper()
-	x, err := NewAnalysis(s)
+	analysis, err := NewAnalysis(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 240 {
-		x.AddBaseline(before.sample())
+		analysis.AddBaseline(baseline.nextSample())
 	}
 	for range 10_000 {
-		if v, f := x.AddCanary(after.sample()); v != Undecided {
-			return v, f
+		if verdict, statistics := analysis.AddCanary(canary.nextSample()); verdict != Undecided {
+			return verdict, statistics
 		}
 	}
 	t.Fatal("no verdict")
@@ -73,48 +73,52 @@
 func TestHarmIsFoundAndNoiseIsNot(t *testing.T) {
 	const trials = 400
 	for _, tc := range []struct {
-		name                string
-		rate, bad, unsteady float64
-		harm                float64         // added to bad
-		minFound, maxFound  float64         // fraction of trials found degraded
-		within              monotime.Micros // median time until found degraded
+		name                             string
+		requestRate, unserved, variation float64
+		harm                             float64         // added to bad
+		minDegraded, maxDegraded         float64         // fraction of trials found degraded
+		maxMedianTime                    monotime.Micros // median time until found degraded
 	}{
-		{name: "all goes well", rate: 100, bad: 0, maxFound: 0.02},
-		{name: "few fail", rate: 200, bad: 0.005, maxFound: 0.02},
-		{name: "some fail, in spells", rate: 200, bad: 0.02, unsteady: 1, maxFound: 0.03},
-		{name: "many fail, in spells", rate: 50, bad: 0.2, unsteady: 0.5, maxFound: 0.03},
-		{name: "hardly any traffic", rate: 3, bad: 0.02, maxFound: 0.02},
-		{name: "less than the margin", rate: 500, bad: 0.002, harm: 0.004, maxFound: 0.02},
-		{name: "all fails", rate: 100, bad: 0.001, harm: 0.9, minFound: 1, maxFound: 1, within: 1_500_000},
-		{name: "all fails, little traffic", rate: 10, bad: 0.001, harm: 0.9,
-			minFound: 1, maxFound: 1, within: 4_000_000},
-		{name: "a fifth fails", rate: 100, bad: 0.01, harm: 0.2, minFound: 1, maxFound: 1, within: 3_000_000},
-		{name: "a twentieth fails", rate: 100, bad: 0.005, harm: 0.05, minFound: 0.95, maxFound: 1, within: 15_000_000},
-		{name: "a twentieth fails, in spells", rate: 200, bad: 0.01, unsteady: 0.7, harm: 0.05,
-			minFound: 0.9, maxFound: 1, within: 20_000_000},
+		{name: "all goes well", requestRate: 100, unserved: 0, maxDegraded: 0.02},
+		{name: "few fail", requestRate: 200, unserved: 0.005, maxDegraded: 0.02},
+		{name: "some fail, in spells", requestRate: 200, unserved: 0.02, variation: 1, maxDegraded: 0.03},
+		{name: "many fail, in spells", requestRate: 50, unserved: 0.2, variation: 0.5, maxDegraded: 0.03},
+		{name: "hardly any traffic", requestRate: 3, unserved: 0.02, maxDegraded: 0.02},
+		{name: "less than the margin", requestRate: 500, unserved: 0.002, harm: 0.004, maxDegraded: 0.02},
+		{name: "all fails", requestRate: 100, unserved: 0.001, harm: 0.9,
+			minDegraded: 1, maxDegraded: 1, maxMedianTime: 1_500_000},
+		{name: "all fails, little traffic", requestRate: 10, unserved: 0.001, harm: 0.9,
+			minDegraded: 1, maxDegraded: 1, maxMedianTime: 4_000_000},
+		{name: "a fifth fails", requestRate: 100, unserved: 0.01, harm: 0.2,
+			minDegraded: 1, maxDegraded: 1, maxMedianTime: 3_000_000},
+		{name: "a twentieth fails", requestRate: 100, unserved: 0.005, harm: 0.05,
+			minDegraded: 0.95, maxDegraded: 1, maxMedianTime: 15_000_000},
+		{name: "a twentieth fails, in spells", requestRate: 200, unserved: 0.01, variation: 0.7, harm: 0.05,
+			minDegraded: 0.9, maxDegraded: 1, maxMedianTime: 20_000_000},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			found := 0
-			var times []float64
+			degradedCount := 0
+			var degradedAfter []float64
 			for seed := range uint64(trials) {
 				rng := rand.New(rand.NewPCG(seed, 1))
-				before := trafficSource{rng: rng, rate: tc.rate, unservedFraction: tc.bad}
-				before.variation = tc.unsteady
-				before.failedFraction = 0.5
-				after := before
-				after.unservedFraction += tc.harm
-				v, f := runToVerdict(t, testSettings, &before, &after)
-				if v == Degraded {
-					found++
-					times = append(times, float64(f.Duration))
+				baseline := trafficSource{rng: rng, requestRate: tc.requestRate, unservedFraction: tc.unserved}
+				baseline.spellVariation = tc.variation
+				baseline.failedFraction = 0.5
+				canary := baseline
+				canary.unservedFraction += tc.harm
+				verdict, statistics := runToVerdict(t, testSettings, &baseline, &canary)
+				if verdict == Degraded {
+					degradedCount++
+					degradedAfter = append(degradedAfter, float64(statistics.Duration))
 				}
 			}
-			part := float64(found) / trials
-			median := medianOf(times)
-			t.Logf("found worse: %.3f, median after %.2f s", part, median/1e6)
-			if part < tc.minFound || part > tc.maxFound || tc.within > 0 && median > float64(tc.within) {
+			degradedFraction := float64(degradedCount) / trials
+			median := medianOf(degradedAfter)
+			t.Logf("found worse: %.3f, median after %.2f s", degradedFraction, median/1e6)
+			if degradedFraction < tc.minDegraded || degradedFraction > tc.maxDegraded ||
+				tc.maxMedianTime > 0 && median > float64(tc.maxMedianTime) {
 				t.Errorf("found worse: %.3f, want %.3f..%.3f; median after %.2f s, want %.2f",
-					part, tc.minFound, tc.maxFound, median/1e6, float64(tc.within)/1e6)
+					degradedFraction, tc.minDegraded, tc.maxDegraded, median/1e6, float64(tc.maxMedianTime)/1e6)
 			}
 		})
 	}
@@ -131,62 +135,67 @@
 
 // During a surge of demand less service is no harm, and failures are. The analysis goes on until a surge ends.
 func TestSurgeOfDemand(t *testing.T) {
-	s := testSettings
-	s.MaxExtensions = 2
+	settings := testSettings
+	settings.MaxExtensions = 2
 	rng := rand.New(rand.NewPCG(1, 1))
-	before := &trafficSource{rng: rng, rate: 100, unservedFraction: 0.001}
-	if v, f := runToVerdict(t, s, before, &trafficSource{
+	baseline := &trafficSource{rng: rng, requestRate: 100, unservedFraction: 0.001}
+	if verdict, statistics := runToVerdict(t, settings, baseline, &trafficSource{
 		rng:              rng,
-		rate:             250,
+		requestRate:      250,
 		unservedFraction: 0.3,
-	}); v != Inconclusive || f.Service[1] > 0.8 {
-		t.Errorf("%v, %+v", v, f)
+	}); verdict != Inconclusive || statistics.Service[1] > 0.8 {
+		t.Errorf("%v, %+v", verdict, statistics)
 	}
-	if v, f := runToVerdict(t, s, before, &trafficSource{
+	if verdict, statistics := runToVerdict(t, settings, baseline, &trafficSource{
 		rng:              rng,
-		rate:             250,
+		requestRate:      250,
 		unservedFraction: 0.3,
 		failedFraction:   0.5,
-	}); v != Degraded || f.Metric != "failures" {
-		t.Errorf("%v, %+v", v, f)
+	}); verdict != Degraded || statistics.Metric != "failures" {
+		t.Errorf("%v, %+v", verdict, statistics)
 	}
-	x, _ := NewAnalysis(s)
+	analysis, _ := NewAnalysis(settings)
 	for range 120 {
-		x.AddBaseline(before.sample())
+		analysis.AddBaseline(baseline.nextSample())
 	}
-	surge := &trafficSource{rng: rng, rate: 300, unservedFraction: 0.2}
-	after := &trafficSource{rng: rng, rate: 100, unservedFraction: 0.001}
-	var v Verdict
-	for i := 0; v == Undecided; i++ {
-		from := surge
+	duringSurge := &trafficSource{rng: rng, requestRate: 300, unservedFraction: 0.2}
+	afterSurge := &trafficSource{rng: rng, requestRate: 100, unservedFraction: 0.001}
+	var verdict Verdict
+	for i := 0; verdict == Undecided; i++ {
+		source := duringSurge
 		if i >= 130 {
-			from = after
+			source = afterSurge
 		}
-		v, _ = x.AddCanary(from.sample())
+		verdict, _ = analysis.AddCanary(source.nextSample())
 	}
-	if v != Passed {
-		t.Errorf("after a surge that ended: %v", v)
+	if verdict != Passed {
+		t.Errorf("after a surge that ended: %v", verdict)
 	}
 }
 
 // Without a baseline no canary is degraded. A final verdict does not change.
 func TestWithoutBaseline(t *testing.T) {
-	x, err := NewAnalysis(testSettings)
+	analysis, err := NewAnalysis(testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	bad := &trafficSource{rng: rand.New(rand.NewPCG(1, 1)), rate: 100, unservedFraction: 0.9, failedFraction: 1}
-	v := Undecided
-	for v == Undecided {
-		v, _ = x.AddCanary(bad.sample())
+	failing := &trafficSource{
+		rng:              rand.New(rand.NewPCG(1, 1)),
+		requestRate:      100,
+		unservedFraction: 0.9,
+		failedFraction:   1,
 	}
-	if v != Passed {
-		t.Errorf("%v", v)
+	verdict := Undecided
+	for verdict == Undecided {
+		verdict, _ = analysis.AddCanary(failing.nextSample())
+	}
+	if verdict != Passed {
+		t.Errorf("%v", verdict)
 	}
 	for range 100 {
-		x.AddBaseline(Sample{Duration: slot, OfferedWeight: 1000, ServedWeight: 1000, Requests: 1000})
-		if v, _ := x.AddCanary(bad.sample()); v != Passed {
-			t.Fatalf("%v, after it had passed", v)
+		analysis.AddBaseline(Sample{Duration: slotDuration, OfferedWeight: 1000, ServedWeight: 1000, Requests: 1000})
+		if verdict, _ := analysis.AddCanary(failing.nextSample()); verdict != Passed {
+			t.Fatalf("%v, after it had passed", verdict)
 		}
 	}
 }
@@ -195,28 +204,29 @@
 // is beyond the margin, and a difference within the margin is never harm.
 func TestAnySamples(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Settings{
-			Duration:      rapid.Int64Range(slot, 20*slot).Draw(t, "duration"),
+		settings := Settings{
+			Duration:      rapid.Int64Range(slotDuration, 20*slotDuration).Draw(t, "duration"),
 			HarmMargin:    rapid.Float64Range(0, 0.5).Draw(t, "margin"),
 			Alpha:         rapid.Float64Range(0.001, 0.2).Draw(t, "alpha"),
 			MaxExtensions: rapid.IntRange(0, 2).Draw(t, "extensions"),
 		}
-		x, err := NewAnalysis(s)
+		analysis, err := NewAnalysis(settings)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sample := rapid.Custom(anySample)
+		sampleGenerator := rapid.Custom(drawSample)
 		for range rapid.IntRange(0, 30).Draw(t, "before") {
-			x.AddBaseline(sample.Draw(t, "reference"))
+			analysis.AddBaseline(sampleGenerator.Draw(t, "reference"))
 		}
-		maxSlots := (s.Duration+slot-1)/slot*int64(1+s.MaxExtensions) + 1
+		maxSlots := (settings.Duration+slotDuration-1)/slotDuration*int64(1+settings.MaxExtensions) + 1
 		for range maxSlots {
-			v, f := x.AddCanary(sample.Draw(t, "tried"))
-			requireNumbers(t, f)
-			if v == Degraded && (f.Harm <= s.HarmMargin || f.HarmLowerBound <= 0) {
-				t.Fatalf("worse by %v, surely %v, with a margin of %v", f.Harm, f.HarmLowerBound, s.HarmMargin)
+			verdict, statistics := analysis.AddCanary(sampleGenerator.Draw(t, "tried"))
+			requireFinite(t, statistics)
+			if verdict == Degraded && (statistics.Harm <= settings.HarmMargin || statistics.HarmLowerBound <= 0) {
+				t.Fatalf("worse by %v, surely %v, with a margin of %v",
+					statistics.Harm, statistics.HarmLowerBound, settings.HarmMargin)
 			}
-			if v != Undecided {
+			if verdict != Undecided {
 				return
 			}
 		}
@@ -224,119 +234,124 @@
 	})
 }
 
-// anySample draws a sample of one slot.
-func anySample(t *rapid.T) Sample {
-	n := rapid.Int64Range(0, 50).Draw(t, "requests")
-	offered := float64(n) * rapid.Float64Range(0, 5).Draw(t, "weight")
+// drawSample draws a sample of one slot.
+func drawSample(t *rapid.T) Sample {
+	requests := rapid.Int64Range(0, 50).Draw(t, "requests")
+	offered := float64(requests) * rapid.Float64Range(0, 5).Draw(t, "weight")
 	return Sample{
-		Duration:      slot,
-		Requests:      n,
-		Failed:        rapid.Int64Range(0, n).Draw(t, "failed"),
+		Duration:      slotDuration,
+		Requests:      requests,
+		Failed:        rapid.Int64Range(0, requests).Draw(t, "failed"),
 		OfferedWeight: offered,
 		ServedWeight:  offered * rapid.Float64Range(0, 1).Draw(t, "served"),
 	}
 }
 
-// requireNumbers ends the test if a statistic is infinite or not a number.
-func requireNumbers(t *rapid.T, f Statistics) {
+// requireFinite ends the test if a statistic is infinite or not a number.
+func requireFinite(t *rapid.T, statistics Statistics) {
 	t.Helper()
-	for _, n := range []float64{
-		f.Service[0],
-		f.Service[1],
-		f.Failures[0],
-		f.Failures[1],
-		f.Harm,
-		f.RequestRate[1],
+	for _, value := range []float64{
+		statistics.Service[0],
+		statistics.Service[1],
+		statistics.Failures[0],
+		statistics.Failures[1],
+		statistics.Harm,
+		statistics.RequestRate[1],
 	} {
-		if math.IsNaN(n) || math.IsInf(n, 0) {
-			t.Fatalf("%+v", f)
+		if math.IsNaN(value) || math.IsInf(value, 0) {
+			t.Fatalf("%+v", statistics)
 		}
 	}
 }
 
 func TestInvalidSettings(t *testing.T) {
-	for _, change := range []func(*Settings){
-		func(s *Settings) { s.Duration = 0 },
-		func(s *Settings) { s.MinDuration = s.Duration + 1 },
-		func(s *Settings) { s.HarmMargin = 1 },
-		func(s *Settings) { s.Alpha = 0 },
-		func(s *Settings) { s.Alpha = math.NaN() },
-		func(s *Settings) { s.MaxDemandRatio = 0.5 },
-		func(s *Settings) { s.MaxExtensions = -1 },
+	for _, invalidate := range []func(*Settings){
+		func(settings *Settings) { settings.Duration = 0 },
+		func(settings *Settings) { settings.MinDuration = settings.Duration + 1 },
+		func(settings *Settings) { settings.HarmMargin = 1 },
+		func(settings *Settings) { settings.Alpha = 0 },
+		func(settings *Settings) { settings.Alpha = math.NaN() },
+		func(settings *Settings) { settings.MaxDemandRatio = 0.5 },
+		func(settings *Settings) { settings.MaxExtensions = -1 },
 	} {
-		s := testSettings
-		change(&s)
-		if _, err := NewAnalysis(s); err == nil {
-			t.Errorf("%+v is accepted", s)
+		settings := testSettings
+		invalidate(&settings)
+		if _, err := NewAnalysis(settings); err == nil {
+			t.Errorf("%+v is accepted", settings)
 		}
 	}
 }
 
 // A canary that hardly gets any requests has lost its clients, which is harm. A single slot with few requests is not.
 func TestLostClients(t *testing.T) {
-	before := make([]Sample, 40)
-	for i := range before {
-		before[i] = Sample{Duration: 250_000, OfferedWeight: 25, ServedWeight: 25, Requests: 25}
+	baseline := make([]Sample, 40)
+	for i := range baseline {
+		baseline[i] = Sample{Duration: 250_000, OfferedWeight: 25, ServedWeight: 25, Requests: 25}
 	}
-	s := Settings{Duration: 10_000_000, MinDuration: 1_000_000, HarmMargin: 0.01, Alpha: 0.001, MaxExtensions: 3}
-	x, err := NewAnalysis(s, before...)
+	settings := Settings{Duration: 10_000_000, MinDuration: 1_000_000, HarmMargin: 0.01, Alpha: 0.001, MaxExtensions: 3}
+	analysis, err := NewAnalysis(settings, baseline...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	quiet := Sample{Duration: 250_000, OfferedWeight: 1, ServedWeight: 1, Requests: 1}
-	var v Verdict
-	n := 0
-	for ; v == Undecided && n < 100; n++ {
-		v, _ = x.AddCanary(quiet)
+	fewRequests := Sample{Duration: 250_000, OfferedWeight: 1, ServedWeight: 1, Requests: 1}
+	var verdict Verdict
+	slots := 0
+	for ; verdict == Undecided && slots < 100; slots++ {
+		verdict, _ = analysis.AddCanary(fewRequests)
 	}
-	if _, f := x.Result(); v != Degraded || f.Metric != "demand" || n != 4 {
-		t.Errorf("after %d slots %v by %q", n, v, f.Metric)
+	if _, statistics := analysis.Result(); verdict != Degraded || statistics.Metric != "demand" || slots != 4 {
+		t.Errorf("after %d slots %v by %q", slots, verdict, statistics.Metric)
 	}
-	x, _ = NewAnalysis(s, before...)
-	for n = 0; n < 40; n++ {
-		use := before[0]
-		if n%8 == 3 {
-			use = quiet
+	analysis, _ = NewAnalysis(settings, baseline...)
+	for slots = 0; slots < 40; slots++ {
+		sample := baseline[0]
+		if slots%8 == 3 {
+			sample = fewRequests
 		}
-		v, _ = x.AddCanary(use)
+		verdict, _ = analysis.AddCanary(sample)
 	}
-	if v != Passed {
-		t.Errorf("with quiet moments: %v", v)
+	if verdict != Passed {
+		t.Errorf("with quiet moments: %v", verdict)
 	}
 }
 
 // An analysis whose harm is not certain is extended: little traffic does not prove that a canary is as good.
 func TestLittleTrafficIsExtended(t *testing.T) {
-	before := make([]Sample, 40)
-	for i := range before {
-		before[i] = Sample{Duration: 250_000, OfferedWeight: 2, ServedWeight: 2, Requests: 2}
+	baseline := make([]Sample, 40)
+	for i := range baseline {
+		baseline[i] = Sample{Duration: 250_000, OfferedWeight: 2, ServedWeight: 2, Requests: 2}
 	}
 	for _, tc := range []struct {
-		part     float64 // served
-		verdict  Verdict
-		minSlots int // until the verdict
+		servedFraction  float64 // served
+		expectedVerdict Verdict
+		minSlots        int // until the verdict
 	}{{1, Passed, 8}, {0.5, Degraded, 4}, {0.99, Inconclusive, 32}} {
-		x, err := NewAnalysis(Settings{
+		analysis, err := NewAnalysis(Settings{
 			Duration:      2_000_000,
 			MinDuration:   500_000,
 			HarmMargin:    0.005,
 			Alpha:         0.001,
 			MaxExtensions: 3,
-		}, before...)
+		}, baseline...)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var v Verdict
-		n := 0
-		for ; v == Undecided && n < 1000; n++ {
-			served := 2.0
-			if tc.part < 1 && (tc.part == 0.5 || n == 1) {
-				served = 1
+		var verdict Verdict
+		slots := 0
+		for ; verdict == Undecided && slots < 1000; slots++ {
+			servedWeight := 2.0
+			if tc.servedFraction < 1 && (tc.servedFraction == 0.5 || slots == 1) {
+				servedWeight = 1
 			}
-			v, _ = x.AddCanary(Sample{Duration: 250_000, OfferedWeight: 2, ServedWeight: served, Requests: 2})
+			verdict, _ = analysis.AddCanary(Sample{
+				Duration:      250_000,
+				OfferedWeight: 2,
+				ServedWeight:  servedWeight,
+				Requests:      2,
+			})
 		}
-		if v != tc.verdict || n < tc.minSlots {
-			t.Errorf("served %v: %v after %d slots", tc.part, v, n)
+		if verdict != tc.expectedVerdict || slots < tc.minSlots {
+			t.Errorf("served %v: %v after %d slots", tc.servedFraction, verdict, slots)
 		}
 	}
 }
--- a/internal/decide/canary/ratio.go
+++ b/internal/decide/canary/ratio.go
@@ -95,10 +95,10 @@
 
 // confidenceHalfWidth returns the one-sided width of the confidence sequence with error probability alpha after n
 // slots, in standard deviations of one slot.
-func confidenceHalfWidth(n, alpha float64) float64 {
-	if n < 2 {
+func confidenceHalfWidth(slots, alpha float64) float64 {
+	if slots < 2 {
 		return math.Inf(1)
 	}
-	v := n*rho*rho + 1
-	return math.Sqrt(2 * v / (n * n * rho * rho) * math.Log(1+math.Sqrt(v)/(2*alpha)))
+	scaledSlots := slots*rho*rho + 1
+	return math.Sqrt(2 * scaledSlots / (slots * slots * rho * rho) * math.Log(1+math.Sqrt(scaledSlots)/(2*alpha)))
 }
--- a/internal/decide/decisions_page_test.go
+++ b/internal/decide/decisions_page_test.go
@@ -23,17 +23,17 @@
 const (
 	columnQuestion = iota + 1
 	columnRule
-	columnWhere // `file`: `function`, ...; several files are parted by semicolons
+	columnFunctions // `file`: `function`, ...; several files are parted by semicolons
 	columnInputs
 	columnConstants // constants and settings of the packages of these files
-	columnShownBy   // log messages and names of figures in backquotes
+	columnOutputs   // log messages and names of figures in backquotes
 	columnCount
 )
 
-var quoted = regexp.MustCompile("`([^`]+)`")
+var backquoted = regexp.MustCompile("`([^`]+)`")
 
-// sourceNames are the names that a Go package or file declares.
-type sourceNames struct {
+// declaredNames are the names that a Go package or file declares.
+type declaredNames struct {
 	functions map[string]bool // and methods, without their receivers
 	values    map[string]bool // constants, variables and struct fields
 }
@@ -58,20 +58,20 @@
 }
 
 // parseNames returns the names that some files declare.
-func parseNames(t *testing.T, files ...string) sourceNames {
+func parseNames(t *testing.T, files ...string) declaredNames {
 	t.Helper()
-	names := sourceNames{functions: map[string]bool{}, values: map[string]bool{}}
+	names := declaredNames{functions: map[string]bool{}, values: map[string]bool{}}
 	for _, path := range files {
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 		require.NoError(t, err)
 		ast.Inspect(file, func(node ast.Node) bool {
-			switch n := node.(type) {
+			switch declaration := node.(type) {
 			case *ast.FuncDecl:
-				names.functions[n.Name.Name] = true
+				names.functions[declaration.Name.Name] = true
 			case *ast.ValueSpec:
-				names.addValues(n.Names)
+				names.addValues(declaration.Names)
 			case *ast.Field:
-				names.addValues(n.Names)
+				names.addValues(declaration.Names)
 			}
 			return true
 		})
@@ -79,7 +79,7 @@
 	return names
 }
 
-func (n sourceNames) addValues(identifiers []*ast.Ident) {
+func (n declaredNames) addValues(identifiers []*ast.Ident) {
 	for _, identifier := range identifiers {
 		n.values[identifier.Name] = true
 	}
@@ -88,9 +88,9 @@
 // packageFiles returns the product files of a folder.
 func packageFiles(t *testing.T, folder string) (files []string) {
 	t.Helper()
-	all, err := filepath.Glob(folder + "/*.go")
+	paths, err := filepath.Glob(folder + "/*.go")
 	require.NoError(t, err)
-	for _, path := range all {
+	for _, path := range paths {
 		if !strings.HasSuffix(path, "_test.go") {
 			files = append(files, path)
 		}
@@ -99,25 +99,25 @@
 }
 
 // sourcePath returns a file of the page relative to this folder: pages leave out internal/.
-func sourcePath(name string) string {
-	path := filepath.Join(repositoryRoot, name)
+func sourcePath(pagePath string) string {
+	path := filepath.Join(repositoryRoot, pagePath)
 	if _, err := os.Stat(path); err == nil {
 		return path
 	}
-	return filepath.Join(repositoryRoot, "internal", name)
+	return filepath.Join(repositoryRoot, "internal", pagePath)
 }
 
 // Each function and constant that the page of decisions names exists in the file, or the packages, that it names.
 func TestDecisionsPageNamesExist(t *testing.T) {
 	for line, cells := range decisionRows(t) {
 		var files []string
-		for _, place := range strings.Split(cells[columnWhere], ";") {
-			if path := checkPlace(t, line, place); path != "" {
+		for _, reference := range strings.Split(cells[columnFunctions], ";") {
+			if path := checkFunctions(t, line, reference); path != "" {
 				files = append(files, packageFiles(t, filepath.Dir(path))...)
 			}
 		}
 		declared := parseNames(t, files...)
-		for _, name := range quoted.FindAllStringSubmatch(cells[columnConstants], -1) {
+		for _, name := range backquoted.FindAllStringSubmatch(cells[columnConstants], -1) {
 			if !declared.values[name[1]] {
 				t.Errorf("line %d: the packages of this row declare no constant or setting %s", line, name[1])
 			}
@@ -125,12 +125,12 @@
 	}
 }
 
-// checkPlace checks a file and its functions, and returns the file's path, "" if there is none.
-func checkPlace(t *testing.T, line int, place string) string {
+// checkFunctions checks a file and its functions, and returns the file's path, "" if there is none.
+func checkFunctions(t *testing.T, line int, reference string) string {
 	t.Helper()
-	names := quoted.FindAllStringSubmatch(place, -1)
+	names := backquoted.FindAllStringSubmatch(reference, -1)
 	if len(names) < 2 || !strings.HasSuffix(names[0][1], ".go") {
-		t.Errorf("line %d: %q is no file with functions", line, strings.TrimSpace(place))
+		t.Errorf("line %d: %q is no file with functions", line, strings.TrimSpace(reference))
 		return ""
 	}
 	path := sourcePath(names[0][1])
@@ -161,7 +161,7 @@
 		require.NoError(t, err)
 	}
 	for line, cells := range decisionRows(t) {
-		for _, name := range quoted.FindAllStringSubmatch(cells[columnShownBy], -1) {
+		for _, name := range backquoted.FindAllStringSubmatch(cells[columnOutputs], -1) {
 			if !literals[name[1]] {
 				t.Errorf("line %d: no program prints %q", line, name[1])
 			}
@@ -190,17 +190,17 @@
 func TestDecisionsPageCoversThePolicy(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(repositoryRoot, "deploy", "balancer.toml"))
 	require.NoError(t, err)
-	list := regexp.MustCompile(`(?s)\npolicy = \[(.*?)\]`).FindSubmatch(text)
-	if list == nil {
+	policyList := regexp.MustCompile(`(?s)\npolicy = \[(.*?)\]`).FindSubmatch(text)
+	if policyList == nil {
 		t.Fatal("the deploy file lists no policy files")
 	}
 	covered := map[string]bool{}
 	for _, cells := range decisionRows(t) {
-		for _, name := range quoted.FindAllStringSubmatch(cells[columnWhere], -1) {
+		for _, name := range backquoted.FindAllStringSubmatch(cells[columnFunctions], -1) {
 			covered[name[1]] = true
 		}
 	}
-	for _, file := range regexp.MustCompile(`"([^"]+\.go)"`).FindAllSubmatch(list[1], -1) {
+	for _, file := range regexp.MustCompile(`"([^"]+\.go)"`).FindAllSubmatch(policyList[1], -1) {
 		if !covered[string(file[1])] {
 			t.Errorf("no row names %s", file[1])
 		}
--- a/internal/decide/imports_test.go
+++ b/internal/decide/imports_test.go
@@ -21,7 +21,7 @@
 
 // pureImports are the packages that a decision package may import, beside other decision packages: the type of its
 // instants, and what of the standard library neither reads a clock nor does I/O of its own accord. Of math/rand/v2 only
-// seededNames may be used.
+// seededRandNames may be used.
 var pureImports = []string{
 	"dunlinsail/internal/monotime",
 	"bytes", "cmp", "container/heap", "container/list", "errors", "fmt", "iter", "maps", "math", "math/bits",
@@ -31,8 +31,8 @@
 // engineImports are the packages that the engine may import beside pureImports.
 var engineImports = []string{"hash/fnv", "sync/atomic", "dunlinsail/balancer", "dunlinsail/internal/siteconfig"}
 
-// seededNames are the names of math/rand/v2 that draw from a source with a seed.
-var seededNames = []string{"New", "NewPCG", "NewZipf", "PCG", "Rand", "Source", "Zipf"}
+// seededRandNames are the names of math/rand/v2 that draw from a source with a seed.
+var seededRandNames = []string{"New", "NewPCG", "NewZipf", "PCG", "Rand", "Source", "Zipf"}
 
 // listedPackage is a package as go list prints it.
 type listedPackage struct {
@@ -46,19 +46,19 @@
 // packages, nor the engine, nor the package of their instants can do I/O or read a clock.
 func TestDecisionsArePure(t *testing.T) {
 	packages := listPackages(t, "./...", "../engine", "../monotime")
-	for _, p := range packages {
+	for _, listed := range packages {
 		allowed := pureImports
-		if p.path == enginePath {
+		if listed.path == enginePath {
 			allowed = append(slices.Clone(pureImports), engineImports...)
 		}
-		for _, imported := range p.imports {
+		for _, imported := range listed.imports {
 			if !slices.Contains(allowed, imported) && !strings.HasPrefix(imported, decidePrefix) {
-				t.Errorf("%s imports %s", p.path, imported)
+				t.Errorf("%s imports %s", listed.path, imported)
 			}
 		}
-		for _, file := range p.files {
-			for _, name := range unseededNames(t, filepath.Join(p.dir, file)) {
-				t.Errorf("%s: %s uses rand.%s, which no seed determines", p.path, file, name)
+		for _, file := range listed.files {
+			for _, name := range unseededRandNames(t, filepath.Join(listed.dir, file)) {
+				t.Errorf("%s: %s uses rand.%s, which no seed determines", listed.path, file, name)
 			}
 		}
 	}
@@ -86,8 +86,8 @@
 	return packages
 }
 
-// unseededNames returns the names of math/rand/v2 in a file that are not in seededNames.
-func unseededNames(t *testing.T, path string) (names []string) {
+// unseededRandNames returns the names of math/rand/v2 in a file that are not in seededRandNames.
+func unseededRandNames(t *testing.T, path string) (names []string) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 	require.NoError(t, err)
@@ -97,7 +97,7 @@
 			return true
 		}
 		qualifier, ok := selector.X.(*ast.Ident)
-		if ok && qualifier.Name == "rand" && !slices.Contains(seededNames, selector.Sel.Name) {
+		if ok && qualifier.Name == "rand" && !slices.Contains(seededRandNames, selector.Sel.Name) {
 			names = append(names, selector.Sel.Name)
 		}
 		return true
--- a/internal/decide/rollout/apply.go
+++ b/internal/decide/rollout/apply.go
@@ -19,8 +19,8 @@
 	}
 	v := *m.candidate
 	endedProcesses := false
-	attempted := m.persistent.Unconfirmed
-	if reason == "" && attempted != nil && attempted.ID == v.ID && m.persistent.ApplyAttempts >= maxApplyAttempts {
+	unconfirmed := m.persistent.Unconfirmed
+	if reason == "" && unconfirmed != nil && unconfirmed.ID == v.ID && m.persistent.ApplyAttempts >= maxApplyAttempts {
 		reason = fmt.Sprintf("%d processes ended while they tried version %v", maxApplyAttempts, v.ID)
 		endedProcesses = true
 		m.persistent.recordAttempt(nil)
@@ -31,17 +31,18 @@
 	}
 	m.phase = PhaseApplying
 	m.persistent.recordAttempt(&v)
-	m.attemptUnstored = true
+	m.awaitsAttemptWrite = true
 	return m.persist()
 }
 
-// applyStored returns the command to apply the candidate, once its attempt is stored or could not be: an attempt that
-// is not on disk would not count if the process ended. During a pause it is not applied.
-func (m *StateMachine) applyStored() []Command {
-	if !m.attemptUnstored || m.paused || m.persisting {
+// applyCandidateOncePersisted returns the command to apply the candidate, once the write that records the attempt
+// has succeeded or failed: an attempt that is not on disk would not be counted if applying the candidate ended the
+// process. While paused it returns nil.
+func (m *StateMachine) applyCandidateOncePersisted() []Command {
+	if !m.awaitsAttemptWrite || m.paused || m.persisting {
 		return nil
 	}
-	m.attemptUnstored = false
+	m.awaitsAttemptWrite = false
 	v := *m.candidate
 	return []Command{{
 		Action:   ActionApply,
@@ -54,7 +55,7 @@
 // HandleApplied handles the result of ActionApply: reason is why the version could not be applied and nothing has
 // changed, empty if the version runs. An applied version is confirmed at once, or after its canary.
 func (m *StateMachine) HandleApplied(now monotime.Micros, reason string) []Command {
-	if m.phase != PhaseApplying || m.attemptUnstored {
+	if m.phase != PhaseApplying || m.awaitsAttemptWrite {
 		return nil
 	}
 	v := *m.candidate
--- a/internal/decide/rollout/machine.go
+++ b/internal/decide/rollout/machine.go
@@ -42,17 +42,17 @@
 	settings Settings
 	rng      *rand.Rand
 
-	phase            Phase
-	running          LayeredVersion // applied
-	unconfirmed      *Version       // the part of running that is not confirmed, nil if all of it is
-	rollbackRequired bool           // the canary of unconfirmed has failed
-	candidate        *Version       // being validated or applied
-	attemptUnstored  bool           // the attempt to apply candidate is neither stored nor has failed to be
-	pending          [2]*Version    // by source
-	paused           bool
-	nextValidationAt monotime.Micros // earliest instant of the next validation
-	rollbackAttempts int
-	rollbackRetryAt  monotime.Micros // 0 if none is due, or one is in progress
+	phase              Phase
+	running            LayeredVersion // applied
+	unconfirmed        *Version       // the part of running that is not confirmed, nil if all of it is
+	rollbackRequired   bool           // the canary of unconfirmed has failed
+	candidate          *Version       // being validated or applied
+	awaitsAttemptWrite bool           // the attempt to apply candidate is neither stored nor has failed to be
+	pending            [2]*Version    // by source
+	paused             bool
+	nextValidationAt   monotime.Micros // earliest instant of the next validation
+	rollbackAttempts   int
+	rollbackRetryAt    monotime.Micros // 0 if none is due, or one is in progress
 
 	persistent      PersistentState
 	persisting      bool            // the result of an ActionPersist is outstanding
@@ -148,5 +148,5 @@
 // for a hot restart or a shutdown.
 func (m *StateMachine) SetPaused(now monotime.Micros, paused bool) []Command {
 	m.paused = paused
-	return append(m.applyStored(), m.startNext(now)...)
+	return append(m.applyCandidateOncePersisted(), m.startNext(now)...)
 }
--- a/internal/decide/rollout/offer.go
+++ b/internal/decide/rollout/offer.go
@@ -21,11 +21,11 @@
 		return nil // it is being processed, and gets its reply then
 	}
 	var commands []Command
-	if old := m.pending[v.Source]; old != nil {
-		if old.ID == v.ID {
+	if superseded := m.pending[v.Source]; superseded != nil {
+		if superseded.ID == v.ID {
 			return nil
 		}
-		commands = append(commands, Command{Action: ActionSuperseded, Version: *old})
+		commands = append(commands, Command{Action: ActionSuperseded, Version: *superseded})
 	}
 	m.persistent.recordKnown(v)
 	m.pending[v.Source] = &v
--- a/internal/decide/rollout/persist.go
+++ b/internal/decide/rollout/persist.go
@@ -31,14 +31,14 @@
 	m.persistError = reason
 	if reason != "" {
 		m.persistFailures++
-		backoff := persistRetryDelay << min(m.persistFailures-1, maxPersistDoublings)
-		m.persistRetryAt = now + backoff/2 + m.rng.Int64N(backoff)
-		return m.applyStored()
+		meanBackoff := persistRetryDelay << min(m.persistFailures-1, maxPersistDoublings)
+		m.persistRetryAt = now + meanBackoff/2 + m.rng.Int64N(meanBackoff)
+		return m.applyCandidateOncePersisted()
 	}
 	m.persistFailures = 0
 	m.persistRetryAt = 0
 	if m.persistAgain {
 		return m.persist()
 	}
-	return m.applyStored()
+	return m.applyCandidateOncePersisted()
 }
--- a/internal/decide/rollout/random_test.go
+++ b/internal/decide/rollout/random_test.go
@@ -14,32 +14,32 @@
 // results that the drawn events give, and checks each against the rules.
 type simulatedHost struct {
 	*rapid.T
-	machine  *StateMachine
-	now      monotime.Micros
-	settings Settings
-	commands []Command // not executed yet
+	machine        *StateMachine
+	now            monotime.Micros
+	settings       Settings
+	queuedCommands []Command // not executed yet
 
-	stored        []byte // PersistentState, as stored last
-	persistFailed bool   // at least once: a restart may lose state
+	storedState      []byte // PersistentState, as stored last
+	anyPersistFailed bool   // at least once: a restart may lose state
 
-	fileReads uint64
-	file      Version
-	epoch     string            // of new versions
-	numbers   map[string]uint64 // the latest number, by epoch
-	offered   []Version
-	restarts  int
+	fileReads       uint64
+	fileVersion     Version
+	currentEpoch    string            // of new versions
+	latestNumbers   map[string]uint64 // the latest number, by epoch
+	offeredVersions []Version
+	restartCount    int
 
-	valid      map[string]bool // by digest: passes its validation
-	applicable map[string]bool // by digest: can be applied
-	harmful    map[string]bool // by digest: fails its canary
+	passesValidation map[string]bool // by digest: passes its validation
+	canBeApplied     map[string]bool // by digest: can be applied
+	failsCanary      map[string]bool // by digest: fails its canary
 
-	validated     *Version        // the latest version that passed its validation
-	applied       map[ID]string   // digests of all applied versions
-	rolledBack    map[string]bool // digests whose rollback is stored
-	lastKnownGood LayeredVersion  // by the rules
-	running       LayeredVersion
-	onCanary      bool
-	unanswered    map[ID]bool
+	lastValidated     *Version        // the latest version that passed its validation
+	appliedDigests    map[ID]string   // digests of all applied versions
+	rolledBackDigests map[string]bool // digests whose rollback is stored
+	lastKnownGood     LayeredVersion  // by the rules
+	running           LayeredVersion
+	onCanary          bool
+	awaitingReply     map[ID]bool
 }
 
 func newSimulatedHost(t *rapid.T) *simulatedHost {
@@ -49,17 +49,17 @@
 			CanaryEnabled:         rapid.Bool().Draw(t, "canary"),
 			MinValidationInterval: rapid.Int64Range(0, 3*second).Draw(t, "interval"),
 		},
-		now:        second,
-		epoch:      "a",
-		valid:      map[string]bool{},
-		applicable: map[string]bool{},
-		harmful:    map[string]bool{},
-		applied:    map[ID]string{},
-		rolledBack: map[string]bool{},
-		unanswered: map[ID]bool{},
-		numbers:    map[string]uint64{},
+		now:               second,
+		currentEpoch:      "a",
+		passesValidation:  map[string]bool{},
+		canBeApplied:      map[string]bool{},
+		failsCanary:       map[string]bool{},
+		appliedDigests:    map[ID]string{},
+		rolledBackDigests: map[string]bool{},
+		awaitingReply:     map[ID]bool{},
+		latestNumbers:     map[string]uint64{},
 	}
-	h.drawContent(&h.file, true)
+	h.drawContent(&h.fileVersion, true)
 	h.restart()
 	return h
 }
@@ -67,13 +67,13 @@
 // restart starts another process with the stored state.
 func (h *simulatedHost) restart() {
 	var persistent PersistentState
-	if h.stored != nil {
-		if err := json.Unmarshal(h.stored, &persistent); err != nil {
+	if h.storedState != nil {
+		if err := json.Unmarshal(h.storedState, &persistent); err != nil {
 			h.Fatal(err)
 		}
 	}
-	h.file = Version{ID: ID{SourceFile, "", 1}, Digest: h.file.Digest}
-	running := LayeredVersion{File: h.file}
+	h.fileVersion = Version{ID: ID{SourceFile, "", 1}, Digest: h.fileVersion.Digest}
+	running := LayeredVersion{File: h.fileVersion}
 	if persistent.LastKnownGood != nil {
 		running = *persistent.LastKnownGood
 	}
@@ -81,26 +81,28 @@
 	h.running = running
 	h.fileReads = max(1, running.File.Number)
 	h.onCanary = false
-	h.commands = nil
-	h.validated = nil
+	h.queuedCommands = nil
+	h.lastValidated = nil
 	h.machine = New(h.settings, running, persistent)
 }
 
 // enqueue adds commands to those to execute.
-func (h *simulatedHost) enqueue(commands []Command) { h.commands = append(h.commands, commands...) }
+func (h *simulatedHost) enqueue(commands []Command) {
+	h.queuedCommands = append(h.queuedCommands, commands...)
+}
 
-// result returns the reason that a command's result has: empty if it succeeds.
-func result(ok bool) string {
-	if ok {
+// resultReason returns the reason to pass to the state machine as the result of a command: empty for a success.
+func resultReason(success bool) string {
+	if success {
 		return ""
 	}
 	return "no"
 }
 
 // executeNext executes the next command. ok is whether a rollback or a write to disk succeeds.
-func (h *simulatedHost) executeNext(ok bool) {
-	command := h.commands[0]
-	h.commands = h.commands[1:]
+func (h *simulatedHost) executeNext(success bool) {
+	command := h.queuedCommands[0]
+	h.queuedCommands = h.queuedCommands[1:]
 	v := command.Version
 	switch command.Action {
 	case ActionValidate:
@@ -118,12 +120,12 @@
 		if command.Target.String() != h.lastKnownGood.String() {
 			h.Fatalf("roll back to %v, and %v is the last known good", command.Target, h.lastKnownGood)
 		}
-		if ok {
+		if success {
 			h.running = command.Target
 		}
-		h.enqueue(h.machine.HandleRolledBack(h.now, result(ok)))
+		h.enqueue(h.machine.HandleRolledBack(h.now, resultReason(success)))
 	case ActionPersist:
-		h.persist(ok)
+		h.persist(success)
 	case ActionAck:
 		if v.Source == SourceControlPlane && h.running.ControlPlane.ID != v.ID {
 			h.Fatalf("ack of %v, while %v runs", v.ID, h.running)
@@ -132,9 +134,9 @@
 			h.lastKnownGood = h.running
 			h.onCanary = false
 		}
-		delete(h.unanswered, v.ID)
+		delete(h.awaitingReply, v.ID)
 	case ActionNack, ActionSuperseded:
-		delete(h.unanswered, v.ID)
+		delete(h.awaitingReply, v.ID)
 	}
 }
 
@@ -143,17 +145,17 @@
 	if h.onCanary {
 		h.Fatalf("validate %v during a canary", v.ID)
 	}
-	h.validated = nil
-	if h.valid[v.Digest] {
-		h.validated = &v
+	h.lastValidated = nil
+	if h.passesValidation[v.Digest] {
+		h.lastValidated = &v
 	}
-	h.enqueue(h.machine.HandleValidated(h.now, result(h.valid[v.Digest])))
+	h.enqueue(h.machine.HandleValidated(h.now, resultReason(h.passesValidation[v.Digest])))
 }
 
 // apply executes ActionApply, and checks that the rules allow it.
 func (h *simulatedHost) apply(command Command) {
 	v := command.Version
-	if h.validated == nil || *h.validated != v {
+	if h.lastValidated == nil || *h.lastValidated != v {
 		h.Fatalf("apply %v, which was not validated", v)
 	}
 	expected := h.running.with(v)
@@ -163,54 +165,54 @@
 	if v.Source == SourceControlPlane {
 		h.checkAllowed(v)
 	}
-	h.validated = nil
-	if h.applicable[v.Digest] {
-		h.applied[v.ID] = v.Digest
+	h.lastValidated = nil
+	if h.canBeApplied[v.Digest] {
+		h.appliedDigests[v.ID] = v.Digest
 		h.running = command.Target
 	}
-	h.enqueue(h.machine.HandleApplied(h.now, result(h.applicable[v.Digest])))
+	h.enqueue(h.machine.HandleApplied(h.now, resultReason(h.canBeApplied[v.Digest])))
 }
 
 // checkAllowed checks that the rules allow to apply a version of the control plane.
 func (h *simulatedHost) checkAllowed(v Version) {
-	was := h.running.ControlPlane
-	if !v.Rollback && was != nil && was.Epoch == v.Epoch && v.Number < was.Number {
-		h.Fatalf("apply %v over %v", v.ID, was.ID)
+	current := h.running.ControlPlane
+	if !v.Rollback && current != nil && current.Epoch == v.Epoch && v.Number < current.Number {
+		h.Fatalf("apply %v over %v", v.ID, current.ID)
 	}
-	if digest, wasApplied := h.applied[v.ID]; wasApplied && digest != v.Digest && !h.persistFailed {
+	if digest, wasApplied := h.appliedDigests[v.ID]; wasApplied && digest != v.Digest && !h.anyPersistFailed {
 		h.Fatalf("apply %v with two contents", v.ID)
 	}
-	if h.rolledBack[v.Digest] {
+	if h.rolledBackDigests[v.Digest] {
 		h.Fatalf("apply %v, which was rolled back", v.ID)
 	}
 }
 
 // persist executes ActionPersist.
-func (h *simulatedHost) persist(ok bool) {
-	h.persistFailed = h.persistFailed || !ok
-	if ok {
-		h.store()
+func (h *simulatedHost) persist(success bool) {
+	h.anyPersistFailed = h.anyPersistFailed || !success
+	if success {
+		h.storeState()
 	}
-	h.enqueue(h.machine.HandlePersisted(h.now, result(ok)))
+	h.enqueue(h.machine.HandlePersisted(h.now, resultReason(success)))
 }
 
 // store encodes the state, and checks that it decodes to the same state.
-func (h *simulatedHost) store() {
-	text, err := json.Marshal(h.machine.PersistentState())
+func (h *simulatedHost) storeState() {
+	encoded, err := json.Marshal(h.machine.PersistentState())
 	if err != nil {
 		h.Fatal(err)
 	}
-	h.stored = text
+	h.storedState = encoded
 	var decoded PersistentState
-	if err := json.Unmarshal(text, &decoded); err != nil {
-		h.Fatalf("%v: %s", err, text)
+	if err := json.Unmarshal(encoded, &decoded); err != nil {
+		h.Fatalf("%v: %s", err, encoded)
 	}
 	if decoded.LastKnownGood.String() != h.machine.PersistentState().LastKnownGood.String() {
-		h.Fatalf("decoded to another state: %s", text)
+		h.Fatalf("decoded to another state: %s", encoded)
 	}
 	for _, rejection := range decoded.Rejected {
 		if rejection.RolledBack {
-			h.rolledBack[rejection.Digest] = true
+			h.rolledBackDigests[rejection.Digest] = true
 		}
 	}
 }
@@ -223,7 +225,7 @@
 	}
 	h.onCanary = false
 	reason := ""
-	if h.harmful[v.Digest] {
+	if h.failsCanary[v.Digest] {
 		reason = "harm"
 	} else if h.machine.phase == PhaseCanary { // in another phase the command that stops it is still queued
 		h.lastKnownGood = h.running
@@ -233,14 +235,14 @@
 
 // offer offers a version, whose reply is awaited from then on.
 func (h *simulatedHost) offer(v Version) {
-	h.unanswered[v.ID] = true
+	h.awaitingReply[v.ID] = true
 	h.enqueue(h.machine.Offer(h.now, v))
 }
 
 // newVersion draws a version that was not offered before.
 func (h *simulatedHost) newVersion(harmless bool) Version {
-	h.numbers[h.epoch]++
-	v := Version{ID: ID{SourceControlPlane, h.epoch, h.numbers[h.epoch]}}
+	h.latestNumbers[h.currentEpoch]++
+	v := Version{ID: ID{SourceControlPlane, h.currentEpoch, h.latestNumbers[h.currentEpoch]}}
 	h.drawContent(&v, harmless)
 	return v
 }
@@ -251,25 +253,25 @@
 func (h *simulatedHost) drawContent(v *Version, harmless bool) {
 	contentCount++
 	v.Digest = fmt.Sprint("c", contentCount)
-	h.valid[v.Digest] = harmless || rapid.IntRange(0, 4).Draw(h.T, "valid") > 0
-	h.applicable[v.Digest] = harmless || rapid.IntRange(0, 4).Draw(h.T, "applicable") > 0
-	h.harmful[v.Digest] = !harmless && rapid.IntRange(0, 3).Draw(h.T, "harmful") == 0
+	h.passesValidation[v.Digest] = harmless || rapid.IntRange(0, 4).Draw(h.T, "valid") > 0
+	h.canBeApplied[v.Digest] = harmless || rapid.IntRange(0, 4).Draw(h.T, "applicable") > 0
+	h.failsCanary[v.Digest] = !harmless && rapid.IntRange(0, 3).Draw(h.T, "harmful") == 0
 }
 
-// drawEvent lets one drawn event happen.
-func (h *simulatedHost) drawEvent() {
+// executeRandomEvent lets one drawn event happen.
+func (h *simulatedHost) executeRandomEvent() {
 	h.now += rapid.Int64Range(0, 2*second).Draw(h.T, "later")
 	switch rapid.IntRange(0, 13).Draw(h.T, "event") {
 	case 0, 1:
 		v := h.newVersion(false)
 		v.Rollback = rapid.IntRange(0, 5).Draw(h.T, "rollback") == 0
-		h.offered = append(h.offered, v)
+		h.offeredVersions = append(h.offeredVersions, v)
 		h.offer(v)
 	case 2, 3:
-		h.offerAgain()
+		h.reofferVersion()
 	case 4:
 		if rapid.IntRange(0, 3).Draw(h.T, "epoch") == 0 {
-			h.epoch += "a"
+			h.currentEpoch += "a"
 		}
 	case 5:
 		h.fileReads++
@@ -277,7 +279,7 @@
 		h.drawContent(&v, false)
 		h.offer(v)
 	case 6:
-		if h.restarts++; h.restarts < 6 {
+		if h.restartCount++; h.restartCount < 6 {
 			h.restart()
 		}
 	case 7:
@@ -290,19 +292,19 @@
 		}
 	default:
 		for range rapid.IntRange(1, 4).Draw(h.T, "commands") {
-			if len(h.commands) > 0 {
+			if len(h.queuedCommands) > 0 {
 				h.executeNext(rapid.IntRange(0, 9).Draw(h.T, "ok") > 0)
 			}
 		}
 	}
 }
 
-// offerAgain offers a version again: late, as a rollback, or with another content.
-func (h *simulatedHost) offerAgain() {
-	if len(h.offered) == 0 {
+// reofferVersion offers a version again: late, as a rollback, or with another content.
+func (h *simulatedHost) reofferVersion() {
+	if len(h.offeredVersions) == 0 {
 		return
 	}
-	v := h.offered[rapid.IntRange(0, len(h.offered)-1).Draw(h.T, "which")]
+	v := h.offeredVersions[rapid.IntRange(0, len(h.offeredVersions)-1).Draw(h.T, "which")]
 	v.Rollback = rapid.Bool().Draw(h.T, "rollback")
 	if rapid.IntRange(0, 9).Draw(h.T, "other") == 0 {
 		h.drawContent(&v, false)
@@ -315,7 +317,7 @@
 	for range 10_001 {
 		deadline := h.machine.Deadline()
 		switch {
-		case len(h.commands) > 0:
+		case len(h.queuedCommands) > 0:
 			h.executeNext(true)
 		case deadline > 0:
 			h.now = max(h.now, deadline)
@@ -326,21 +328,21 @@
 			return
 		}
 	}
-	h.Fatalf("not idle: %v, %v", h.machine.phase, h.commands)
+	h.Fatalf("not idle: %v, %v", h.machine.phase, h.queuedCommands)
 }
 
-// expectRunning checks that a version runs, confirmed and stored, and that all offers were answered.
-func (h *simulatedHost) expectRunning(last Version) {
+// expectConfirmedAndStored checks that a version runs, confirmed and stored, and that all offers were answered.
+func (h *simulatedHost) expectConfirmedAndStored(expected Version) {
 	running, onCanary := h.machine.Running()
 	lastKnownGood := h.machine.PersistentState().LastKnownGood
-	isRunning := running.ControlPlane != nil && *running.ControlPlane == last
-	isGood := lastKnownGood.ControlPlane != nil && lastKnownGood.ControlPlane.ID == last.ID
-	if onCanary || !isRunning || !isGood || len(h.unanswered) > 0 {
+	isRunning := running.ControlPlane != nil && *running.ControlPlane == expected
+	isGood := lastKnownGood.ControlPlane != nil && lastKnownGood.ControlPlane.ID == expected.ID
+	if onCanary || !isRunning || !isGood || len(h.awaitingReply) > 0 {
 		h.Fatalf("runs %v, canary %v, last known good %v, unanswered %v; the last harmless version is %v",
-			running, onCanary, lastKnownGood, h.unanswered, last.ID)
+			running, onCanary, lastKnownGood, h.awaitingReply, expected.ID)
 	}
 	h.restart()
-	if running, _ := h.machine.Running(); *running.ControlPlane != last {
+	if running, _ := h.machine.Running(); *running.ControlPlane != expected {
 		h.Fatalf("after a restart %v runs", running)
 	}
 }
@@ -351,16 +353,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		host := newSimulatedHost(t)
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
-			host.drawEvent()
+			host.executeRandomEvent()
 		}
 		// There are no failures from here on.
-		host.epoch += "z"
-		last := host.newVersion(true)
+		host.currentEpoch += "z"
+		harmless := host.newVersion(true)
 		host.enqueue(host.machine.SetPaused(host.now, false))
 		host.runUntilIdle()
-		host.unanswered = map[ID]bool{}
-		host.offer(last)
+		host.awaitingReply = map[ID]bool{}
+		host.offer(harmless)
 		host.runUntilIdle()
-		host.expectRunning(last)
+		host.expectConfirmedAndStored(harmless)
 	})
 }
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -10,52 +10,54 @@
 
 const second monotime.Micros = 1_000_000
 
-func fromControlPlane(epoch string, n uint64) Version {
-	return Version{ID: ID{SourceControlPlane, epoch, n}, Digest: fmt.Sprint(epoch, n)}
+func controlPlaneVersion(epoch string, number uint64) Version {
+	return Version{ID: ID{SourceControlPlane, epoch, number}, Digest: fmt.Sprint(epoch, number)}
 }
 
-func fromFile(n uint64) Version {
-	return Version{ID: ID{SourceFile, "", n}, Digest: fmt.Sprint("file", n)}
+func fileVersion(number uint64) Version {
+	return Version{ID: ID{SourceFile, "", number}, Digest: fmt.Sprint("file", number)}
 }
 
 // machineDriver drives a state machine: it logs each command as "action version", and returns its result at once.
 type machineDriver struct {
 	*testing.T
-	machine *StateMachine
-	now     monotime.Micros
-	log     []string
+	machine    *StateMachine
+	now        monotime.Micros
+	commandLog []string
 
-	answered map[Action]bool   // actions whose result the driver returns
-	failures map[string]string // reasons of failures, by "validate a/3", "apply a/3", "roll back a/3" or "persist"
+	automaticResults map[Action]bool // actions whose result the driver returns
+	// failureReasons makes commands fail. Keys are action and version, such as "validate a/3" or "roll back a/3", or
+	// "persist".
+	failureReasons map[string]string
 }
 
 // newDriver returns the driver of a machine that runs the local file's first version.
-func newDriver(t *testing.T, canary bool) *machineDriver {
+func newDriver(t *testing.T, canaryEnabled bool) *machineDriver {
 	t.Helper()
-	settings := Settings{CanaryEnabled: canary, MinValidationInterval: second}
+	settings := Settings{CanaryEnabled: canaryEnabled, MinValidationInterval: second}
 	return &machineDriver{
 		T:       t,
-		machine: New(settings, LayeredVersion{File: fromFile(1)}, PersistentState{}),
+		machine: New(settings, LayeredVersion{File: fileVersion(1)}, PersistentState{}),
 		now:     10 * second,
-		answered: map[Action]bool{
+		automaticResults: map[Action]bool{
 			ActionValidate: true,
 			ActionApply:    true,
 			ActionRollBack: true,
 			ActionPersist:  true,
 		},
-		failures: map[string]string{},
+		failureReasons: map[string]string{},
 	}
 }
 
-// execute logs commands, and returns the results of those in answered.
+// execute logs commands, and returns the results of those in automaticResults to the machine.
 func (d *machineDriver) execute(commands []Command) {
 	d.Helper()
 	for _, command := range commands {
 		if command.Action != ActionPersist {
-			d.log = append(d.log, describe(command))
+			d.commandLog = append(d.commandLog, describe(command))
 		}
-		if d.answered[command.Action] {
-			d.answer(command)
+		if d.automaticResults[command.Action] {
+			d.returnResult(command)
 		}
 	}
 }
@@ -75,10 +77,10 @@
 	return text
 }
 
-// answer returns the result of a command to the machine.
-func (d *machineDriver) answer(command Command) {
+// returnResult passes the result of a command to the machine.
+func (d *machineDriver) returnResult(command Command) {
 	d.Helper()
-	reason := d.failures[command.Action.String()+" "+command.Version.ID.String()]
+	reason := d.failureReasons[command.Action.String()+" "+command.Version.ID.String()]
 	switch command.Action {
 	case ActionValidate:
 		d.execute(d.machine.HandleValidated(d.now, reason))
@@ -87,7 +89,7 @@
 	case ActionRollBack:
 		d.execute(d.machine.HandleRolledBack(d.now, reason))
 	case ActionPersist:
-		d.execute(d.machine.HandlePersisted(d.now, d.failures["persist"]))
+		d.execute(d.machine.HandlePersisted(d.now, d.failureReasons["persist"]))
 	}
 }
 
@@ -99,13 +101,13 @@
 }
 
 // expect compares the log with the commands expected since the last call.
-func (d *machineDriver) expect(commands ...string) {
+func (d *machineDriver) expect(expectedCommands ...string) {
 	d.Helper()
-	got := strings.Join(d.log, "\n")
-	if expected := strings.Join(commands, "\n"); got != expected {
-		d.Errorf("got\n%s\n\nwant\n%s", got, expected)
+	got := strings.Join(d.commandLog, "\n")
+	if want := strings.Join(expectedCommands, "\n"); got != want {
+		d.Errorf("got\n%s\n\nwant\n%s", got, want)
 	}
-	d.log = nil
+	d.commandLog = nil
 }
 
 // expectRunning checks which version runs.
@@ -118,13 +120,13 @@
 
 func TestApplyAndConfirm(t *testing.T) {
 	d := newDriver(t, true)
-	d.offer(fromControlPlane("a", 1))
+	d.offer(controlPlaneVersion("a", 1))
 	d.expect("validate a/1", "apply a/1", "ack a/1", "start canary a/1")
 	state := d.machine.PersistentState()
 	if state.Unconfirmed == nil || state.Unconfirmed.Number != 1 || state.LastKnownGood.ControlPlane != nil {
 		t.Errorf("on canary %+v", state)
 	}
-	d.offer(fromControlPlane("a", 1)) // offered again
+	d.offer(controlPlaneVersion("a", 1)) // offered again
 	d.expect("ack a/1")
 	d.execute(d.machine.HandleCanaryResult(d.now, ""))
 	d.expect("ack a/1 finally")
@@ -141,75 +143,75 @@
 // A version is rejected with its reason at each stage, and again without being processed. The running version stays.
 func TestRejectionAtEachStage(t *testing.T) {
 	d := newDriver(t, true)
-	d.failures["validate a/1"], d.failures["apply a/2"] = "no sense", "no room"
-	d.offer(fromControlPlane("a", 1))
+	d.failureReasons["validate a/1"], d.failureReasons["apply a/2"] = "no sense", "no room"
+	d.offer(controlPlaneVersion("a", 1))
 	d.expect("validate a/1", "nack a/1: no sense")
-	d.offer(fromControlPlane("a", 1))
+	d.offer(controlPlaneVersion("a", 1))
 	d.expect("nack a/1: no sense")
-	d.offer(fromControlPlane("a", 2))
+	d.offer(controlPlaneVersion("a", 2))
 	d.expect("validate a/2", "apply a/2", "nack a/2: no room")
 	d.expectRunning("file 1")
-	d.offer(fromControlPlane("a", 3))
-	d.log = nil
+	d.offer(controlPlaneVersion("a", 3))
+	d.commandLog = nil
 	d.execute(d.machine.HandleCanaryResult(d.now, "slow"))
 	d.expect("nack a/3: slow", "roll back a/3")
 	d.expectRunning("file 1")
-	d.offer(fromControlPlane("a", 3))
+	d.offer(controlPlaneVersion("a", 3))
 	d.expect("nack a/3: slow")
-	d.execute(d.machine.RejectUnreadable(fromControlPlane("a", 4), "no text"))
-	d.offer(fromControlPlane("a", 4))
+	d.execute(d.machine.RejectUnreadable(controlPlaneVersion("a", 4), "no text"))
+	d.offer(controlPlaneVersion("a", 4))
 	d.expect("nack a/4: no text", "nack a/4: no text")
 	// Over another file a rejected version may be valid, except one that was rolled back.
-	d.offer(fromFile(2))
+	d.offer(fileVersion(2))
 	d.execute(d.machine.HandleCanaryResult(d.now, ""))
-	d.log = nil
-	d.offer(fromControlPlane("a", 3))
+	d.commandLog = nil
+	d.offer(controlPlaneVersion("a", 3))
 	d.expect("nack a/3: slow")
-	delete(d.failures, "validate a/1")
-	d.offer(fromControlPlane("a", 1))
+	delete(d.failureReasons, "validate a/1")
+	d.offer(controlPlaneVersion("a", 1))
 	d.expect("validate a/1", "apply a/1", "ack a/1", "start canary a/1")
 }
 
 // Versions out of order, with another content or of an abandoned epoch are rejected; a rollback is applied.
 func TestVersionOrder(t *testing.T) {
 	d := newDriver(t, false)
-	d.offer(fromControlPlane("a", 5))
+	d.offer(controlPlaneVersion("a", 5))
 	d.expect("validate a/5", "apply a/5", "ack a/5 finally")
-	d.offer(fromControlPlane("a", 4))
+	d.offer(controlPlaneVersion("a", 4))
 	d.expect("nack a/4: version a/4 is older than a/5")
-	other := fromControlPlane("a", 5)
-	other.Digest = "other"
-	d.offer(other)
+	conflicting := controlPlaneVersion("a", 5)
+	conflicting.Digest = "other"
+	d.offer(conflicting)
 	d.expect("nack a/5: version a/5 came with another content before")
-	d.offer(fromControlPlane("b", 1)) // numbers start again in a new epoch
+	d.offer(controlPlaneVersion("b", 1)) // numbers start again in a new epoch
 	d.expect("validate b/1", "apply b/1", "ack b/1 finally")
-	d.offer(fromControlPlane("a", 6))
+	d.offer(controlPlaneVersion("a", 6))
 	d.expect(`nack a/6: version a/6: epoch "a" was left for a newer one`)
-	rollback := fromControlPlane("a", 5)
+	rollback := controlPlaneVersion("a", 5)
 	rollback.Rollback = true
 	d.offer(rollback)
 	d.expect("validate a/5", "apply a/5", "ack a/5 finally")
 	d.expectRunning("a/5 over file 1")
-	d.offer(fromControlPlane("a", 6))
+	d.offer(controlPlaneVersion("a", 6))
 	d.expect("validate a/6", "apply a/6", "ack a/6 finally")
-	d.offer(fromControlPlane("b", 2))
+	d.offer(controlPlaneVersion("b", 2))
 	d.expect(`nack b/2: version b/2: epoch "b" was left for a newer one`)
 }
 
 // A burst of versions costs one validation each interval, and the newest one is applied.
 func TestBurstCostsOneValidation(t *testing.T) {
 	d := newDriver(t, false)
-	d.offer(fromControlPlane("a", 1))
-	d.log = nil
-	for n := uint64(2); n < 100; n++ {
-		d.execute(d.machine.Offer(d.now, fromControlPlane("a", n)))
+	d.offer(controlPlaneVersion("a", 1))
+	d.commandLog = nil
+	for number := uint64(2); number < 100; number++ {
+		d.execute(d.machine.Offer(d.now, controlPlaneVersion("a", number)))
 	}
-	if len(d.log) != 97 || d.log[0] != "superseded a/2" || d.log[96] != "superseded a/98" {
-		t.Errorf("%q", d.log)
+	if len(d.commandLog) != 97 || d.commandLog[0] != "superseded a/2" || d.commandLog[96] != "superseded a/98" {
+		t.Errorf("%q", d.commandLog)
 	}
-	d.log = nil
-	if at := d.machine.Deadline(); at != d.now+second {
-		t.Errorf("deadline %d, want %d", at, d.now+second)
+	d.commandLog = nil
+	if deadline := d.machine.Deadline(); deadline != d.now+second {
+		t.Errorf("deadline %d, want %d", deadline, d.now+second)
 	}
 	d.execute(d.machine.HandleDeadline(d.now + second - 1))
 	d.expect()
@@ -222,24 +224,24 @@
 // canary starts again.
 func TestOffersDuringCanary(t *testing.T) {
 	d := newDriver(t, true)
-	d.offer(fromControlPlane("a", 1))
+	d.offer(controlPlaneVersion("a", 1))
 	d.execute(d.machine.HandleCanaryResult(d.now, ""))
-	d.offer(fromControlPlane("a", 2))
-	d.log = nil
-	d.offer(fromControlPlane("a", 3))
-	d.offer(fromControlPlane("a", 4))
+	d.offer(controlPlaneVersion("a", 2))
+	d.commandLog = nil
+	d.offer(controlPlaneVersion("a", 3))
+	d.offer(controlPlaneVersion("a", 4))
 	d.expect("superseded a/3")
 	d.execute(d.machine.HandleCanaryResult(d.now, ""))
 	d.expect("ack a/2 finally", "validate a/4", "apply a/4", "ack a/4", "start canary a/4")
-	rollback := fromControlPlane("a", 2)
+	rollback := controlPlaneVersion("a", 2)
 	rollback.Rollback = true
-	d.failures["validate a/2"] = "not any more"
+	d.failureReasons["validate a/2"] = "not any more"
 	d.offer(rollback)
 	d.expect("stop canary", "validate a/2", "nack a/2: not any more", "start canary a/4")
-	d.offer(fromFile(2))
+	d.offer(fileVersion(2))
 	d.expect("stop canary", "validate file 2", "apply file 2", "ack file 2", "start canary file 2")
-	if g := d.machine.PersistentState().LastKnownGood; g.ControlPlane.Number != 2 || g.File.Number != 1 {
-		t.Errorf("good %v: neither part of what runs is confirmed", g)
+	if good := d.machine.PersistentState().LastKnownGood; good.ControlPlane.Number != 2 || good.File.Number != 1 {
+		t.Errorf("good %v: neither part of what runs is confirmed", good)
 	}
 	d.execute(d.machine.HandleCanaryResult(d.now, "worse"))
 	d.expect("nack file 2: worse", "roll back file 2")
@@ -249,32 +251,32 @@
 // A failed rollback is retried with exponential backoff, and a version that is offered in between goes first.
 func TestRollbackIsRetried(t *testing.T) {
 	d := newDriver(t, true)
-	d.failures["roll back a/1"] = "no process"
-	d.offer(fromControlPlane("a", 1))
+	d.failureReasons["roll back a/1"] = "no process"
+	d.offer(controlPlaneVersion("a", 1))
 	d.execute(d.machine.HandleCanaryResult(d.now, "worse"))
-	d.log = nil
-	var waits []monotime.Micros
+	d.commandLog = nil
+	var backoffs []monotime.Micros
 	for {
-		at := d.machine.Deadline()
-		if at == 0 {
+		deadline := d.machine.Deadline()
+		if deadline == 0 {
 			break
 		}
-		waits = append(waits, (at-d.now)/second)
-		d.now = at
+		backoffs = append(backoffs, (deadline-d.now)/second)
+		d.now = deadline
 		d.execute(d.machine.HandleDeadline(d.now))
 	}
-	if fmt.Sprint(waits) != "[1 2 4 8]" || len(d.log) != 4 {
-		t.Errorf("waits %v, %q", waits, d.log)
+	if fmt.Sprint(backoffs) != "[1 2 4 8]" || len(d.commandLog) != 4 {
+		t.Errorf("waits %v, %q", backoffs, d.commandLog)
 	}
-	d.log = nil
+	d.commandLog = nil
 	d.expectRunning("a/1 over file 1")
-	d.offer(fromControlPlane("a", 2))
+	d.offer(controlPlaneVersion("a", 2))
 	d.expect("validate a/2", "apply a/2", "ack a/2", "start canary a/2")
-	d.failures["roll back a/2"], d.failures["validate a/3"] = "no process", "bad"
+	d.failureReasons["roll back a/2"], d.failureReasons["validate a/3"] = "no process", "bad"
 	d.execute(d.machine.HandleCanaryResult(d.now, "worse"))
-	d.offer(fromControlPlane("a", 3))
+	d.offer(controlPlaneVersion("a", 3))
 	d.expect("nack a/2: worse", "roll back a/2", "validate a/3", "nack a/3: bad")
-	delete(d.failures, "roll back a/2")
+	delete(d.failureReasons, "roll back a/2")
 	d.now = d.machine.Deadline()
 	d.execute(d.machine.HandleDeadline(d.now))
 	d.expect("roll back a/2")
@@ -285,11 +287,11 @@
 func TestPausedStartsNothing(t *testing.T) {
 	d := newDriver(t, true)
 	d.execute(d.machine.SetPaused(d.now, true))
-	d.offer(fromControlPlane("a", 1))
+	d.offer(controlPlaneVersion("a", 1))
 	d.execute(d.machine.HandleDeadline(d.now + 100*second))
 	d.expect()
-	if at := d.machine.Deadline(); at != 0 {
-		t.Errorf("deadline %d", at)
+	if deadline := d.machine.Deadline(); deadline != 0 {
+		t.Errorf("deadline %d", deadline)
 	}
 	d.execute(d.machine.SetPaused(d.now, false))
 	d.expect("validate a/1", "apply a/1", "ack a/1", "start canary a/1")
@@ -300,14 +302,14 @@
 	stored := PersistentState{}
 	for range 2 {
 		d := newDriver(t, true)
-		d.machine = New(Settings{CanaryEnabled: true}, LayeredVersion{File: fromFile(1)}, stored)
-		d.offer(fromControlPlane("a", 1))
+		d.machine = New(Settings{CanaryEnabled: true}, LayeredVersion{File: fileVersion(1)}, stored)
+		d.offer(controlPlaneVersion("a", 1))
 		d.expect("validate a/1", "apply a/1", "ack a/1", "start canary a/1")
 		stored = *d.machine.PersistentState()
 	}
 	d := newDriver(t, true)
-	d.machine = New(Settings{CanaryEnabled: true}, LayeredVersion{File: fromFile(1)}, stored)
-	d.offer(fromControlPlane("a", 1))
+	d.machine = New(Settings{CanaryEnabled: true}, LayeredVersion{File: fileVersion(1)}, stored)
+	d.offer(controlPlaneVersion("a", 1))
 	d.expect("validate a/1", "nack a/1: 2 processes ended while they tried version a/1")
 }
 
@@ -315,9 +317,9 @@
 // after the write that has its attempt, also if an earlier write is in progress, and not during a pause.
 func TestAttemptIsStoredBeforeItIsMade(t *testing.T) {
 	d := newDriver(t, true)
-	d.answered[ActionPersist] = false
-	d.execute(d.machine.RejectUnreadable(fromControlPlane("a", 1), "no text"))
-	d.offer(fromControlPlane("a", 2))
+	d.automaticResults[ActionPersist] = false
+	d.execute(d.machine.RejectUnreadable(controlPlaneVersion("a", 1), "no text"))
+	d.offer(controlPlaneVersion("a", 2))
 	d.expect("nack a/1: no text", "validate a/2")
 	d.execute(d.machine.HandlePersisted(d.now, "")) // the write of the rejection
 	d.expect()
@@ -334,21 +336,21 @@
 // A failure to store the state is retried after a backoff, and no version waits for it.
 func TestPersistIsRetried(t *testing.T) {
 	d := newDriver(t, false)
-	d.failures["persist"] = "no space"
-	d.offer(fromControlPlane("a", 1))
+	d.failureReasons["persist"] = "no space"
+	d.offer(controlPlaneVersion("a", 1))
 	d.expect("validate a/1", "apply a/1", "ack a/1 finally")
 	if d.machine.PersistError() != "no space" {
 		t.Errorf("%q", d.machine.PersistError())
 	}
-	for i, last := 0, d.now; i < 10; i++ {
-		at := d.machine.Deadline()
-		if at <= last || at > last+96*second {
-			t.Fatalf("deadline %d after %d", at, last)
+	for i, previous := 0, d.now; i < 10; i++ {
+		deadline := d.machine.Deadline()
+		if deadline <= previous || deadline > previous+96*second {
+			t.Fatalf("deadline %d after %d", deadline, previous)
 		}
-		d.now, last = at, at
+		d.now, previous = deadline, deadline
 		d.execute(d.machine.HandleDeadline(d.now))
 	}
-	delete(d.failures, "persist")
+	delete(d.failureReasons, "persist")
 	d.now = d.machine.Deadline()
 	d.execute(d.machine.HandleDeadline(d.now))
 	if d.machine.PersistError() != "" || d.machine.Deadline() != 0 {
--- a/internal/decide/rollout/state.go
+++ b/internal/decide/rollout/state.go
@@ -45,7 +45,7 @@
 
 // recordRejection records a rejected version, in place of an earlier rejection of the same version.
 func (p *PersistentState) recordRejection(r Rejection) {
-	p.Rejected = slices.DeleteFunc(p.Rejected, func(old Rejection) bool { return old.ID == r.ID })
+	p.Rejected = slices.DeleteFunc(p.Rejected, func(existing Rejection) bool { return existing.ID == r.ID })
 	p.Rejected = append(p.Rejected, r)
 	if len(p.Rejected) > maxRejections {
 		p.Rejected = slices.Delete(p.Rejected, 0, 1)
--- a/internal/decide/takeover/event.go
+++ b/internal/decide/takeover/event.go
@@ -106,9 +106,9 @@
 }
 
 // send returns the step that sends a message.
-func send(message Event) Step { return Step{Action: Send, Message: message} }
+func sendMessage(message Event) Step { return Step{Action: Send, Message: message} }
 
-// rejectWith returns the steps that reject the hot restart and end the connection.
-func rejectWith(reason string) []Step {
+// rejectAndDisconnect returns the steps that reject the hot restart and end the connection.
+func rejectAndDisconnect(reason string) []Step {
 	return []Step{{Action: Send, Message: Rejected, Reason: reason}, {Action: Disconnect}}
 }
--- a/internal/decide/takeover/predecessor.go
+++ b/internal/decide/takeover/predecessor.go
@@ -42,30 +42,30 @@
 }
 
 // Step handles an event and returns the steps to carry out. Events that are not expected in a state are ignored.
-func (p *Predecessor) Step(now monotime.Micros, e Event) []Step {
-	if p.isStale(now, e) {
+func (p *Predecessor) Step(now monotime.Micros, event Event) []Step {
+	if p.isStale(now, event) {
 		return nil
 	}
 	switch p.state {
 	case serving:
-		return p.whileServing(now, e)
+		return p.whileServing(now, event)
 	case offered:
-		return p.whileOffered(now, e)
+		return p.whileOffered(now, event)
 	case paused:
-		return p.whilePaused(now, e)
+		return p.whilePaused(now, event)
 	case handingOver:
-		return p.whileHandingOver(now, e)
+		return p.whileHandingOver(now, event)
 	case draining:
-		return p.whileDraining(e)
+		return p.whileDraining(event)
 	}
 	return nil
 }
 
-func (p *Predecessor) whileServing(now monotime.Micros, e Event) []Step {
-	switch e {
+func (p *Predecessor) whileServing(now monotime.Micros, event Event) []Step {
+	switch event {
 	case Hello:
 		p.transition(offered, now+p.Times.Ready)
-		return []Step{send(Offer)}
+		return []Step{sendMessage(Offer)}
 	case Stop:
 		p.stopping = true
 		p.transition(draining, now+p.Times.Drain)
@@ -74,32 +74,32 @@
 	return nil
 }
 
-func (p *Predecessor) whileOffered(now monotime.Micros, e Event) []Step {
-	switch e {
+func (p *Predecessor) whileOffered(now monotime.Micros, event Event) []Step {
+	switch event {
 	case Ready:
 		p.transition(paused, now+p.Times.Answer)
-		return []Step{{Action: StopAccepting}, send(Handover)}
+		return []Step{{Action: StopAccepting}, sendMessage(Handover)}
 	case Stop:
 		// The successor has the sockets, so clients that connect wait for it. Its deadline to start stays the same.
 		p.stopping = true
 		p.transition(paused, p.deadline)
-		return []Step{{Action: StopAccepting}, send(Handover)}
+		return []Step{{Action: StopAccepting}, sendMessage(Handover)}
 	case ConnectionLost, Rejected:
 		p.transition(serving, 0)
 		return []Step{{Action: Disconnect}}
 	case DeadlineReached:
 		p.transition(serving, 0)
-		return rejectWith("not ready in time")
+		return rejectAndDisconnect("not ready in time")
 	}
 	return nil
 }
 
-func (p *Predecessor) whilePaused(now monotime.Micros, e Event) []Step {
-	switch e {
+func (p *Predecessor) whilePaused(now monotime.Micros, event Event) []Step {
+	switch event {
 	case Prepared:
 		p.successorHandedOver = false
 		p.transition(handingOver, now+p.Times.Drain)
-		return []Step{send(Activate), {Action: HandOverConnections}}
+		return []Step{sendMessage(Activate), {Action: HandOverConnections}}
 	case Stop:
 		p.stopping = true
 	case ConnectionLost, Rejected:
@@ -109,19 +109,19 @@
 			// The successor has the sockets and is the only process that will serve: it is not rejected.
 			return append([]Step{{Action: Disconnect}}, p.resume(now)...)
 		}
-		return append(rejectWith("no answer in time"), p.resume(now)...)
+		return append(rejectAndDisconnect("no answer in time"), p.resume(now)...)
 	}
 	return nil
 }
 
-func (p *Predecessor) whileHandingOver(now monotime.Micros, e Event) []Step {
-	switch e {
+func (p *Predecessor) whileHandingOver(now monotime.Micros, event Event) []Step {
+	switch event {
 	case Drained:
 		p.transition(exited, 0)
-		return []Step{send(Done), {Action: Disconnect}, {Action: Exit}}
+		return []Step{sendMessage(Done), {Action: Disconnect}, {Action: Exit}}
 	case DeadlineReached:
 		p.transition(exited, 0)
-		return []Step{{Action: CloseRemaining}, send(Done), {Action: Disconnect}, {Action: Exit}}
+		return []Step{{Action: CloseRemaining}, sendMessage(Done), {Action: Disconnect}, {Action: Exit}}
 	case Stop:
 		p.stopping = true
 	case Stopping:
@@ -143,8 +143,8 @@
 	return nil
 }
 
-func (p *Predecessor) whileDraining(e Event) []Step {
-	switch e {
+func (p *Predecessor) whileDraining(event Event) []Step {
+	switch event {
 	case Hello:
 		return []Step{{Action: Disconnect}} // there is nothing to take over: the new process starts alone
 	case Drained:
--- a/internal/decide/takeover/progress.go
+++ b/internal/decide/takeover/progress.go
@@ -20,16 +20,16 @@
 }
 
 // postpone moves a deadline that has passed, once in a state, and reports whether it did.
-func (p *progress[State]) postpone(now, by monotime.Micros) bool {
+func (p *progress[State]) postpone(now, extension monotime.Micros) bool {
 	if p.postponed || p.deadline == 0 || now < p.deadline {
 		return false
 	}
-	p.deadline = now + by
+	p.deadline = now + extension
 	p.postponed = true
 	return true
 }
 
 // isStale reports whether an event is a DeadlineReached for a deadline that no longer applies.
-func (p *progress[State]) isStale(now monotime.Micros, e Event) bool {
-	return e == DeadlineReached && (p.deadline == 0 || now < p.deadline)
+func (p *progress[State]) isStale(now monotime.Micros, event Event) bool {
+	return event == DeadlineReached && (p.deadline == 0 || now < p.deadline)
 }
--- a/internal/decide/takeover/successor.go
+++ b/internal/decide/takeover/successor.go
@@ -45,7 +45,7 @@
 // Connected returns the first steps, after the connection to a predecessor is made.
 func (s *Successor) Connected(now monotime.Micros) []Step {
 	s.transition(requesting, now+s.Times.Answer)
-	return []Step{send(Hello)}
+	return []Step{sendMessage(Hello)}
 }
 
 // ServeAlone records that there is no predecessor.
@@ -66,55 +66,55 @@
 
 // Step handles an event and returns the steps to carry out; reason is that of Rejected. Events that are not expected in
 // a state are ignored.
-func (s *Successor) Step(now monotime.Micros, e Event, reason string) []Step {
-	if s.isStale(now, e) {
+func (s *Successor) Step(now monotime.Micros, event Event, reason string) []Step {
+	if s.isStale(now, event) {
 		return nil
 	}
-	if e == Stop || e == Rejected || e == DeadlineReached {
-		return s.abort(e, reason)
+	if event == Stop || event == Rejected || event == DeadlineReached {
+		return s.abort(event, reason)
 	}
 	switch s.state {
 	case requesting:
-		return s.whileRequesting(now, e)
+		return s.whileRequesting(now, event)
 	case starting:
-		return s.whileStarting(now, e)
+		return s.whileStarting(now, event)
 	case ready:
-		return s.whileReady(now, e)
+		return s.whileReady(now, event)
 	case prepared:
-		return s.whilePrepared(e)
+		return s.whilePrepared(event)
 	case accepting:
-		return s.whileAccepting(e)
+		return s.whileAccepting(event)
 	}
 	return nil
 }
 
 // abort handles the events that end a hot restart before Activate: the process fails, or proceeds alone if it owns its
 // sockets and was not requested to shut down. After Activate only Stop has an effect.
-func (s *Successor) abort(e Event, reason string) []Step {
-	if e == Stop && s.state == accepting {
-		return []Step{send(Stopping)} // the predecessor still has connections, and must not serve again
+func (s *Successor) abort(event Event, reason string) []Step {
+	if event == Stop && s.state == accepting {
+		return []Step{sendMessage(Stopping)} // the predecessor still has connections, and must not serve again
 	}
 	if s.Serving() || s.state == failed {
 		return nil
 	}
-	if s.OwnsSockets && e != Stop {
+	if s.OwnsSockets && event != Stop {
 		return s.proceedAlone()
 	}
-	var why string
-	switch e {
+	var failReason string
+	switch event {
 	case Stop:
-		why = "told to stop"
+		failReason = "told to stop"
 	case Rejected:
-		why = "the serving process says no: " + reason
+		failReason = "the serving process says no: " + reason
 	case DeadlineReached:
-		why = fmt.Sprintf("no progress in time while %v", s)
+		failReason = fmt.Sprintf("no progress in time while %v", s)
 	}
 	s.transition(failed, 0)
-	return []Step{{Action: Disconnect}, {Action: Fail, Reason: why}}
+	return []Step{{Action: Disconnect}, {Action: Fail, Reason: failReason}}
 }
 
-func (s *Successor) whileRequesting(now monotime.Micros, e Event) []Step {
-	switch e {
+func (s *Successor) whileRequesting(now monotime.Micros, event Event) []Step {
+	switch event {
 	case Offer:
 		s.transition(starting, now+s.Times.Ready)
 		return []Step{{Action: StartWithOffer}}
@@ -125,8 +125,8 @@
 	return nil
 }
 
-func (s *Successor) whileStarting(now monotime.Micros, e Event) []Step {
-	switch e {
+func (s *Successor) whileStarting(now monotime.Micros, event Event) []Step {
+	switch event {
 	case Handover:
 		s.handoverReceived = true
 	case ConnectionLost:
@@ -141,13 +141,13 @@
 			return s.prepare(now)
 		}
 		s.transition(ready, now+s.Times.Answer)
-		return []Step{send(Ready)}
+		return []Step{sendMessage(Ready)}
 	}
 	return nil
 }
 
-func (s *Successor) whileReady(now monotime.Micros, e Event) []Step {
-	switch e {
+func (s *Successor) whileReady(now monotime.Micros, event Event) []Step {
+	switch event {
 	case Handover:
 		return s.prepare(now)
 	case ConnectionLost:
@@ -157,8 +157,8 @@
 	return nil
 }
 
-func (s *Successor) whilePrepared(e Event) []Step {
-	switch e {
+func (s *Successor) whilePrepared(event Event) []Step {
+	switch event {
 	case Activate:
 		s.transition(accepting, 0)
 		return []Step{{Action: StartServing}}
@@ -169,13 +169,13 @@
 	return nil
 }
 
-func (s *Successor) whileAccepting(e Event) []Step {
-	switch e {
+func (s *Successor) whileAccepting(event Event) []Step {
+	switch event {
 	case Done, ConnectionLost:
 		s.transition(alone, 0)
 		return []Step{{Action: Disconnect}}
 	case HandedOver, Resumed:
-		return []Step{send(e)}
+		return []Step{sendMessage(event)}
 	}
 	return nil
 }
@@ -202,5 +202,5 @@
 	if s.OwnsSockets {
 		s.transition(prepared, now+s.Times.Answer)
 	}
-	return []Step{{Action: RestoreState}, send(Prepared)}
+	return []Step{{Action: RestoreState}, sendMessage(Prepared)}
 }
--- a/internal/decide/takeover/takeover_test.go
+++ b/internal/decide/takeover/takeover_test.go
@@ -10,369 +10,376 @@
 	"dunlinsail/internal/monotime"
 )
 
-var times = Times{Ready: 10, Answer: 2, Drain: 5}
+var testTimes = Times{Ready: 10, Answer: 2, Drain: 5}
 
-// wire is one direction of the connection: the messages in flight, and whether the sender has disconnected after them.
-type wire struct {
+// messageStream is one direction of the connection between predecessor and successor: the messages in flight, and
+// whether the sender has closed the connection after them.
+type messageStream struct {
 	messages []Event
-	ended    bool
+	closed   bool
 }
 
-// side is one process.
-type side struct {
-	alive        bool
-	disconnected bool // it has ended its connection
-	stop         bool // it was requested to shut down
-	accept       bool
-	warmsUp      bool // it spends the warm-up budget
-	ended        bool
+// process is the simulated host of the predecessor or of the successor.
+type process struct {
+	alive              bool
+	disconnected       bool // it has ended its connection
+	stopRequested      bool // it was requested to shut down
+	accepting          bool
+	spendsWarmupBudget bool // it spends the warm-up budget
+	hasExited          bool
 }
 
 // send puts a message on the outgoing wire, unless the process has disconnected.
-func (x *side) send(out *wire, message Event) {
-	if !x.disconnected {
-		out.messages = append(out.messages, message)
+func (p *process) send(outgoing *messageStream, message Event) {
+	if !p.disconnected {
+		outgoing.messages = append(outgoing.messages, message)
 	}
 }
 
 // disconnect ends the connection.
-func (x *side) disconnect(out *wire) {
-	x.disconnected = true
-	out.ended = true
+func (p *process) disconnect(outgoing *messageStream) {
+	p.disconnected = true
+	outgoing.closed = true
 }
 
 // setServing starts or ends accepting, and spending the warm-up budget.
-func (x *side) setServing(serving bool) {
-	x.accept = serving
-	x.warmsUp = serving
+func (p *process) setServing(serving bool) {
+	p.accepting = serving
+	p.spendsWarmupBudget = serving
 }
 
 // exit ends the process by itself.
-func (x *side) exit(out *wire) {
-	x.ended = true
-	x.alive = false
-	x.disconnect(out)
+func (p *process) exit(outgoing *messageStream) {
+	p.hasExited = true
+	p.alive = false
+	p.disconnect(outgoing)
 }
 
 // kill ends the process from outside.
-func (x *side) kill(out *wire) {
-	x.alive = false
-	x.setServing(false)
-	x.disconnect(out)
-}
-
-// state is the state of both processes and their connection at an instant.
-type state struct {
-	predecessor                    Predecessor
-	successor                      Successor
-	predecessorSide, successorSide side
-	toPredecessor, toSuccessor     wire
-	started                        bool // the successor's host is able to serve
-	killed                         bool // one of the two was killed
-	timedOut                       bool // a deadline was reached
-	restored                       bool // the successor has the final snapshot
-	third                          bool // the successor has a successor of its own, which accepts
-	thirdLost                      bool // that one was lost, once
-	path                           string
+func (p *process) kill(outgoing *messageStream) {
+	p.alive = false
+	p.setServing(false)
+	p.disconnect(outgoing)
+}
+
+// systemState is the state of the predecessor, the successor and their connection at one point of an interleaving.
+type systemState struct {
+	predecessor                          Predecessor
+	successor                            Successor
+	predecessorProcess, successorProcess process
+	toPredecessor, toSuccessor           messageStream
+	successorStarted                     bool // the successor's host is able to serve
+	anyKilled                            bool // one of the two was killed
+	anyDeadlineReached                   bool // a deadline was reached
+	finalStateRestored                   bool // the successor has the final snapshot
+	nextSuccessorServes                  bool // the successor has a successor of its own, which accepts
+	nextSuccessorLost                    bool // that one was lost, once
+	eventPath                            string
 }
 
 // key identifies the state, apart from the way to it and the time.
-func (s state) key() string {
-	s.path = ""
+func (s systemState) key() string {
+	s.eventPath = ""
 	s.predecessor.deadline = min(1, s.predecessor.deadline) // any time may have passed
 	s.successor.deadline = min(1, s.successor.deadline)
 	return fmt.Sprintf("%+v", s)
 }
 
-func (s state) clone() state {
+func (s systemState) clone() systemState {
 	s.toPredecessor.messages = slices.Clone(s.toPredecessor.messages)
 	s.toSuccessor.messages = slices.Clone(s.toSuccessor.messages)
 	return s
 }
 
-func (s *state) stepPredecessor(now monotime.Micros, e Event) {
-	for _, x := range s.predecessor.Step(now, e) {
-		switch x.Action {
+func (s *systemState) stepPredecessor(now monotime.Micros, event Event) {
+	for _, step := range s.predecessor.Step(now, event) {
+		switch step.Action {
 		case Send:
-			s.predecessorSide.send(&s.toSuccessor, x.Message)
+			s.predecessorProcess.send(&s.toSuccessor, step.Message)
 		case Disconnect:
-			s.predecessorSide.disconnect(&s.toSuccessor)
+			s.predecessorProcess.disconnect(&s.toSuccessor)
 		case StopAccepting, Drain, DrainForSuccessor:
-			s.predecessorSide.setServing(false)
+			s.predecessorProcess.setServing(false)
 		case ResumeServing:
-			s.predecessorSide.setServing(true)
+			s.predecessorProcess.setServing(true)
 		case Exit:
-			s.predecessorSide.setServing(false)
-			s.predecessorSide.exit(&s.toSuccessor)
+			s.predecessorProcess.setServing(false)
+			s.predecessorProcess.exit(&s.toSuccessor)
 		}
 	}
 }
 
-func (s *state) stepSuccessor(now monotime.Micros, e Event) {
-	s.carryOutSuccessor(s.successor.Step(now, e, ""))
+func (s *systemState) stepSuccessor(now monotime.Micros, event Event) {
+	s.executeSuccessorSteps(s.successor.Step(now, event, ""))
 }
 
-func (s *state) carryOutSuccessor(steps []Step) {
-	for _, x := range steps {
-		switch x.Action {
+func (s *systemState) executeSuccessorSteps(steps []Step) {
+	for _, step := range steps {
+		switch step.Action {
 		case Send:
-			s.successorSide.send(&s.toPredecessor, x.Message)
+			s.successorProcess.send(&s.toPredecessor, step.Message)
 		case Disconnect:
-			s.successorSide.disconnect(&s.toPredecessor)
+			s.successorProcess.disconnect(&s.toPredecessor)
 		case RestoreState:
-			s.restored = true
+			s.finalStateRestored = true
 		case StartServing, StartAlone:
-			s.successorSide.setServing(true)
+			s.successorProcess.setServing(true)
 		case Fail:
-			s.successorSide.exit(&s.toPredecessor)
+			s.successorProcess.exit(&s.toPredecessor)
 		}
 	}
 }
 
-// addState adds a state that may follow; change makes it out of a copy of the present one.
-type addState func(name string, change func(*state))
+// addNextState adds the state after the event with the given name. change applies that event to a copy of the current
+// state.
+type addNextState func(name string, change func(*systemState))
 
-// next returns every state that may follow.
-func (s state) next() []state {
-	var all []state
-	add := func(name string, change func(*state)) {
-		n := s.clone()
-		change(&n)
-		n.path += " " + name
-		all = append(all, n)
+// nextStates returns the states after each event that can happen in s.
+func (s systemState) nextStates() []systemState {
+	var states []systemState
+	add := func(name string, change func(*systemState)) {
+		next := s.clone()
+		change(&next)
+		next.eventPath += " " + name
+		states = append(states, next)
 	}
-	if s.predecessorSide.alive {
+	if s.predecessorProcess.alive {
 		s.predecessorEvents(add)
 	}
-	if s.successorSide.alive {
+	if s.successorProcess.alive {
 		s.successorEvents(add)
 	}
-	return all
+	return states
 }
 
-// party gives access to one of the two processes of a state.
-type party struct {
+// processAccess gives access to either the predecessor or the successor of a systemState.
+type processAccess struct {
 	name     string
 	deadline monotime.Micros // at present
-	side     func(*state) *side
-	in       func(*state) *wire
-	out      func(*state) *wire
-	step     func(n *state, now monotime.Micros, e Event)
+	process  func(*systemState) *process
+	incoming func(*systemState) *messageStream
+	outgoing func(*systemState) *messageStream
+	step     func(next *systemState, now monotime.Micros, event Event)
 }
 
 // commonEvents adds the events that may happen at either process.
-func (s state) commonEvents(p party, add addState) {
-	switch own, in := p.side(&s), p.in(&s); {
-	case own.disconnected:
-	case len(in.messages) > 0:
-		add(p.name+"<"+in.messages[0].String(), func(n *state) {
-			in := p.in(n)
-			e := in.messages[0]
-			in.messages = in.messages[1:]
-			p.step(n, 0, e)
+func (s systemState) commonEvents(access processAccess, add addNextState) {
+	switch process, incoming := access.process(&s), access.incoming(&s); {
+	case process.disconnected:
+	case len(incoming.messages) > 0:
+		add(access.name+"<"+incoming.messages[0].String(), func(next *systemState) {
+			incoming := access.incoming(next)
+			message := incoming.messages[0]
+			incoming.messages = incoming.messages[1:]
+			access.step(next, 0, message)
 		})
-	case in.ended:
-		add(p.name+"<broken", func(n *state) { p.step(n, 0, ConnectionLost) })
+	case incoming.closed:
+		add(access.name+"<broken", func(next *systemState) { access.step(next, 0, ConnectionLost) })
 	}
-	if p.deadline != 0 {
-		add(p.name+":deadline", func(n *state) {
-			n.timedOut = true
-			p.step(n, p.deadline, DeadlineReached)
+	if access.deadline != 0 {
+		add(access.name+":deadline", func(next *systemState) {
+			next.anyDeadlineReached = true
+			access.step(next, access.deadline, DeadlineReached)
 		})
 	}
-	if !p.side(&s).stop {
-		add(p.name+":stop", func(n *state) {
-			p.side(n).stop = true
-			p.step(n, 0, Stop)
+	if !access.process(&s).stopRequested {
+		add(access.name+":stop", func(next *systemState) {
+			access.process(next).stopRequested = true
+			access.step(next, 0, Stop)
 		})
 	}
-	add(p.name+":killed", func(n *state) {
-		n.killed = true
-		p.side(n).kill(p.out(n))
+	add(access.name+":killed", func(next *systemState) {
+		next.anyKilled = true
+		access.process(next).kill(access.outgoing(next))
 	})
 }
 
 // predecessorEvents adds the events that may happen at the predecessor.
-func (s state) predecessorEvents(add addState) {
-	s.commonEvents(party{
+func (s systemState) predecessorEvents(add addNextState) {
+	s.commonEvents(processAccess{
 		name:     "p",
 		deadline: s.predecessor.Deadline(),
-		side:     func(n *state) *side { return &n.predecessorSide },
-		in:       func(n *state) *wire { return &n.toPredecessor },
-		out:      func(n *state) *wire { return &n.toSuccessor },
-		step:     (*state).stepPredecessor,
+		process:  func(next *systemState) *process { return &next.predecessorProcess },
+		incoming: func(next *systemState) *messageStream { return &next.toPredecessor },
+		outgoing: func(next *systemState) *messageStream { return &next.toSuccessor },
+		step:     (*systemState).stepPredecessor,
 	}, add)
 	if s.predecessor.state == handingOver || s.predecessor.state == draining {
-		add("p:drained", func(n *state) { n.stepPredecessor(0, Drained) })
+		add("p:drained", func(next *systemState) { next.stepPredecessor(0, Drained) })
 	}
 }
 
 // successorEvents adds the events that may happen at the successor.
-func (s state) successorEvents(add addState) {
-	s.commonEvents(party{
+func (s systemState) successorEvents(add addNextState) {
+	s.commonEvents(processAccess{
 		name:     "s",
 		deadline: s.successor.Deadline(),
-		side:     func(n *state) *side { return &n.successorSide },
-		in:       func(n *state) *wire { return &n.toSuccessor },
-		out:      func(n *state) *wire { return &n.toPredecessor },
-		step: func(n *state, now monotime.Micros, e Event) {
-			n.stepSuccessor(now, e)
-			if e == Stop {
-				n.successorSide.accept = false
+		process:  func(next *systemState) *process { return &next.successorProcess },
+		incoming: func(next *systemState) *messageStream { return &next.toSuccessor },
+		outgoing: func(next *systemState) *messageStream { return &next.toPredecessor },
+		step: func(next *systemState, now monotime.Micros, event Event) {
+			next.stepSuccessor(now, event)
+			if event == Stop {
+				next.successorProcess.accepting = false
 			}
 		},
 	}, add)
-	if s.successor.state == starting && !s.started {
-		add("s:started", func(n *state) {
-			n.started = true
-			n.stepSuccessor(0, Started)
+	if s.successor.state == starting && !s.successorStarted {
+		add("s:started", func(next *systemState) {
+			next.successorStarted = true
+			next.stepSuccessor(0, Started)
 		})
 	}
-	s.thirdEvents(add)
+	s.nextSuccessorEvents(add)
 }
 
-// thirdEvents adds the events that may happen between the successor and a successor of its own.
-func (s state) thirdEvents(add addState) {
-	if s.successorSide.accept && !s.successorSide.stop && !s.thirdLost {
-		add("s:hands-over", func(n *state) {
-			n.stepSuccessor(0, HandedOver)
-			n.successorSide.setServing(false)
-			n.third = true
+// nextSuccessorEvents adds the events that may happen between the successor and a successor of its own.
+func (s systemState) nextSuccessorEvents(add addNextState) {
+	if s.successorProcess.accepting && !s.successorProcess.stopRequested && !s.nextSuccessorLost {
+		add("s:hands-over", func(next *systemState) {
+			next.stepSuccessor(0, HandedOver)
+			next.successorProcess.setServing(false)
+			next.nextSuccessorServes = true
 		})
 	}
-	if !s.third {
+	if !s.nextSuccessorServes {
 		return
 	}
-	add("s:resumes", func(n *state) {
-		n.stepSuccessor(0, Resumed)
-		n.successorSide.setServing(!n.successorSide.stop)
-		n.third = false
-		n.thirdLost = true
+	add("s:resumes", func(next *systemState) {
+		next.stepSuccessor(0, Resumed)
+		next.successorProcess.setServing(!next.successorProcess.stopRequested)
+		next.nextSuccessorServes = false
+		next.nextSuccessorLost = true
 	})
-	add("s:ends", func(n *state) { n.successorSide.exit(&n.toPredecessor) })
+	add("s:ends", func(next *systemState) { next.successorProcess.exit(&next.toPredecessor) })
 }
 
-// faults are the events that do not happen by themselves.
-var faults = []string{"p:stop", "s:stop", "p:killed", "s:killed", "s:hands-over", "s:resumes", "s:ends"}
+// exceptionalEvents are the events that happen only if a process is killed or requested to shut down, or if the
+// successor itself is replaced.
+var exceptionalEvents = []string{"p:stop", "s:stop", "p:killed", "s:killed", "s:hands-over", "s:resumes", "s:ends"}
 
 // exploration visits all states that can be reached.
 type exploration struct {
 	*testing.T
-	seen  map[string]bool
-	queue []state
+	visited map[string]bool
+	queue   []systemState
 
-	ends     int // states in which nothing more happens without a fault or a deadline
-	handed   int // ends in which the successor serves in place of the predecessor
-	handedOn int // ends in which the successor's successor does
+	finalStates           int // states in which nothing more happens without a fault or a deadline
+	handedOver            int // ends in which the successor serves in place of the predecessor
+	handedToNextSuccessor int // ends in which the successor's successor does
 }
 
 // visit queues a state unless it was seen before.
-func (x *exploration) visit(s state) {
-	if key := s.key(); !x.seen[key] {
-		x.seen[key] = true
+func (x *exploration) visit(s systemState) {
+	if key := s.key(); !x.visited[key] {
+		x.visited[key] = true
 		x.queue = append(x.queue, s)
 	}
 }
 
 // expand visits the states that may follow. quiet reports that without a fault nothing more happens, still that only
 // deadlines do.
-func (x *exploration) expand(s state) (quiet, still bool) {
-	quiet = true
-	still = true
-	for _, n := range s.next() {
-		step := n.path[strings.LastIndexByte(n.path, ' ')+1:]
-		if !slices.Contains(faults, step) && n.key() != s.key() {
-			quiet = false
-			still = still && strings.HasSuffix(step, ":deadline")
+func (x *exploration) expand(s systemState) (terminal, onlyDeadlines bool) {
+	terminal = true
+	onlyDeadlines = true
+	for _, next := range s.nextStates() {
+		event := next.eventPath[strings.LastIndexByte(next.eventPath, ' ')+1:]
+		if !slices.Contains(exceptionalEvents, event) && next.key() != s.key() {
+			terminal = false
+			onlyDeadlines = onlyDeadlines && strings.HasSuffix(event, ":deadline")
 		}
-		x.visit(n)
+		x.visit(next)
 	}
-	return quiet, still
+	return terminal, onlyDeadlines
 }
 
 // requireExclusive ends the test if two processes accept, or spend the warm-up budget.
-func (x *exploration) requireExclusive(s *state) {
+func (x *exploration) requireExclusive(s *systemState) {
 	x.Helper()
-	if s.predecessorSide.accept && (s.successorSide.accept || s.third) {
-		x.Fatalf("two accept after:%s", s.path)
+	if s.predecessorProcess.accepting && (s.successorProcess.accepting || s.nextSuccessorServes) {
+		x.Fatalf("two accept after:%s", s.eventPath)
 	}
-	if s.predecessorSide.warmsUp && (s.successorSide.warmsUp || s.third) {
-		x.Fatalf("two spend the warm-up budget after:%s", s.path)
+	if s.predecessorProcess.spendsWarmupBudget && (s.successorProcess.spendsWarmupBudget || s.nextSuccessorServes) {
+		x.Fatalf("two spend the warm-up budget after:%s", s.eventPath)
 	}
 }
 
 // requireServing ends the test if no process serves in an end, unless all that could were stopped or killed.
-func (x *exploration) requireServing(s *state) {
+func (x *exploration) requireServing(s *systemState) {
 	x.Helper()
-	x.ends++
+	x.finalStates++
 	switch {
-	case s.successorSide.accept && s.restored && s.predecessorSide.ended:
-		x.handed++
-	case s.predecessorSide.accept || s.successorSide.accept || s.third:
-		if s.third && s.predecessorSide.ended {
-			x.handedOn++
+	case s.successorProcess.accepting && s.finalStateRestored && s.predecessorProcess.hasExited:
+		x.handedOver++
+	case s.predecessorProcess.accepting || s.successorProcess.accepting || s.nextSuccessorServes:
+		if s.nextSuccessorServes && s.predecessorProcess.hasExited {
+			x.handedToNextSuccessor++
 		}
-	case s.thirdLost && !s.successorSide.alive: // the last of three processes and the one before it have ended
-	case s.successorSide.stop: // as requested
-	case s.predecessorSide.stop && (s.killed || s.timedOut): // the only process left, or the last, was stopped
-	case !s.predecessorSide.alive && !s.successorSide.alive && s.killed: // no process is left
+	case s.nextSuccessorLost && !s.successorProcess.alive:
+		// The successor has ended, and so has its own successor.
+	case s.successorProcess.stopRequested: // as requested
+	case s.predecessorProcess.stopRequested && (s.anyKilled || s.anyDeadlineReached):
+		// The predecessor was requested to shut down, and a kill or a deadline ended the hot restart.
+	case !s.predecessorProcess.alive && !s.successorProcess.alive && s.anyKilled: // no process is left
 	default:
-		x.Fatalf("no process serves after:%s\n%+v", s.path, s)
+		x.Fatalf("no process serves after:%s\n%+v", s.eventPath, s)
 	}
 }
 
 // requireNotStuck ends the test if a process waits forever, or no longer serves though it should.
-func (x *exploration) requireNotStuck(s *state) {
+func (x *exploration) requireNotStuck(s *systemState) {
 	x.Helper()
-	predecessor := &s.predecessorSide
-	successor := &s.successorSide
+	predecessor := &s.predecessorProcess
+	successor := &s.successorProcess
 	if predecessor.alive && s.predecessor.HandingOver() {
-		x.Fatalf("the predecessor is stuck while %v after:%s", &s.predecessor, s.path)
+		x.Fatalf("the predecessor is stuck while %v after:%s", &s.predecessor, s.eventPath)
 	}
-	if successor.alive && !successor.accept && !successor.stop && !s.third {
-		x.Fatalf("the successor is stuck while %v after:%s", &s.successor, s.path)
+	if successor.alive && !successor.accepting && !successor.stopRequested && !s.nextSuccessorServes {
+		x.Fatalf("the successor is stuck while %v after:%s", &s.successor, s.eventPath)
 	}
-	mustServe := !successor.alive && !predecessor.stop && !successor.stop && !s.third && !s.thirdLost
-	if mustServe && predecessor.alive && !predecessor.accept {
-		x.Fatalf("the predecessor serves no more after:%s", s.path)
+	mustServe := !successor.alive && !predecessor.stopRequested && !successor.stopRequested &&
+		!s.nextSuccessorServes && !s.nextSuccessorLost
+	if mustServe && predecessor.alive && !predecessor.accepting {
+		x.Fatalf("the predecessor serves no more after:%s", s.eventPath)
 	}
 }
 
 // For any order of kills, stops, deadlines and losses: two processes never accept at once or spend the warm-up budget
 // at once, and in the end one serves, unless both have ended or one was requested to shut down.
 func TestEveryInterleaving(t *testing.T) {
-	first := state{
-		predecessor:     Predecessor{Times: times},
-		successor:       Successor{Times: times},
-		predecessorSide: side{alive: true, accept: true, warmsUp: true},
-		successorSide:   side{alive: true},
-	}
-	first.carryOutSuccessor(first.successor.Connected(0))
-	x := exploration{T: t, seen: map[string]bool{}}
-	x.visit(first)
+	initial := systemState{
+		predecessor:        Predecessor{Times: testTimes},
+		successor:          Successor{Times: testTimes},
+		predecessorProcess: process{alive: true, accepting: true, spendsWarmupBudget: true},
+		successorProcess:   process{alive: true},
+	}
+	initial.executeSuccessorSteps(initial.successor.Connected(0))
+	x := exploration{T: t, visited: map[string]bool{}}
+	x.visit(initial)
 	for len(x.queue) > 0 {
 		s := x.queue[0]
 		x.queue = x.queue[1:]
 		x.requireExclusive(&s)
-		quiet, still := x.expand(s)
-		if still {
+		terminal, onlyDeadlines := x.expand(s)
+		if onlyDeadlines {
 			x.requireServing(&s)
 		}
-		if quiet {
+		if terminal {
 			x.requireNotStuck(&s)
 		}
 	}
-	if len(x.seen) < 500 || x.ends < 20 || x.handed == 0 || x.handedOn == 0 {
-		t.Errorf("only %d states, %d ends, %d of them handed over: too little was tried", len(x.seen), x.ends, x.handed)
+	if len(x.visited) < 500 || x.finalStates < 20 || x.handedOver == 0 || x.handedToNextSuccessor == 0 {
+		t.Errorf("only %d states, %d ends, %d of them handed over: too little was tried",
+			len(x.visited), x.finalStates, x.handedOver)
 	}
-	t.Logf("%d states, %d ends", len(x.seen), x.ends)
+	t.Logf("%d states, %d ends", len(x.visited), x.finalStates)
 }
 
 // A hot restart without faults has these steps, in this order.
 func TestHotRestartWithoutFaults(t *testing.T) {
-	predecessor := Predecessor{Times: times}
-	successor := Successor{Times: times}
-	log := func(steps []Step) string {
+	predecessor := Predecessor{Times: testTimes}
+	successor := Successor{Times: testTimes}
+	describe := func(steps []Step) string {
 		var b strings.Builder
 		for _, s := range steps {
 			if s.Action == Send {
@@ -398,7 +405,7 @@
 		{predecessor.Step(7, Drained), "send done disconnect exit"},
 		{successor.Step(7, Done, ""), "disconnect"},
 	} {
-		if got := log(tc.got); got != tc.want {
+		if got := describe(tc.got); got != tc.want {
 			t.Errorf("%q, want %q", got, tc.want)
 		}
 	}
@@ -410,9 +417,9 @@
 // A successor that is requested to shut down while connections are still handed to it notifies the predecessor, which
 // must not serve again.
 func TestSuccessorStopsWhileConnectionsAreHandedOver(t *testing.T) {
-	predecessor := Predecessor{Times: times}
+	predecessor := Predecessor{Times: testTimes}
 	predecessor.transition(handingOver, 9)
-	successor := Successor{Times: times}
+	successor := Successor{Times: testTimes}
 	successor.transition(accepting, 0)
 	steps := successor.Step(1, Stop, "")
 	if len(steps) != 1 || steps[0].Message != Stopping {
@@ -429,7 +436,7 @@
 
 // A successor that hangs is rejected at its deadline and not before.
 func TestHungSuccessorIsRejectedAtItsDeadline(t *testing.T) {
-	predecessor := Predecessor{Times: times}
+	predecessor := Predecessor{Times: testTimes}
 	predecessor.Step(0, Hello)
 	if !predecessor.HandingOver() || predecessor.Deadline() != 10 {
 		t.Fatalf("%v until %d", &predecessor, predecessor.Deadline())
@@ -449,65 +456,65 @@
 
 // A successor that owns its sockets serves in time whatever the predecessor does, and fails only when it is stopped.
 func TestSuccessorThatOwnsSocketsServesInTime(t *testing.T) {
-	times := Times{Ready: 2_000_000, Answer: 1_000_000, Drain: 30_000_000}
+	realTimes := Times{Ready: 2_000_000, Answer: 1_000_000, Drain: 30_000_000}
 	for seed := range uint64(2000) {
-		runSocketOwner(t, seed, times)
+		checkSocketOwnerServes(t, seed, realTimes)
 	}
-	stopped := Successor{Times: times, OwnsSockets: true}
+	stopped := Successor{Times: realTimes, OwnsSockets: true}
 	stopped.Connected(0)
 	if steps := stopped.Step(1, Stop, ""); len(steps) == 0 || steps[len(steps)-1].Action != Fail {
 		t.Errorf("stopped before it began: %v", steps)
 	}
 }
 
-// runSocketOwner runs a successor that owns its sockets with random events of the predecessor, and checks that it
-// serves, once, within six seconds.
-func runSocketOwner(t *testing.T, seed uint64, times Times) {
+// checkSocketOwnerServes runs a successor that owns its sockets with random events from the predecessor. It checks that
+// the successor starts serving exactly once, within six seconds.
+func checkSocketOwnerServes(t *testing.T, seed uint64, times Times) {
 	t.Helper()
 	const timeLimit = 6_000_000
 	fromPredecessor := []Event{Offer, Handover, Activate, Done, Rejected, ConnectionLost, Hello, Prepared}
 	rng := rand.New(rand.NewPCG(seed, 3))
-	host := socketOwner{T: t, seed: seed, successor: Successor{Times: times, OwnsSockets: true}}
+	host := socketOwnerHost{T: t, seed: seed, successor: Successor{Times: times, OwnsSockets: true}}
 	successor := &host.successor
 	now := monotime.Micros(rng.IntN(1000))
 	startedAt := now
-	host.carryOut(successor.Connected(now))
+	host.executeSteps(successor.Connected(now))
 	for !successor.Serving() && now-startedAt < timeLimit {
 		now += monotime.Micros(rng.IntN(300_000))
 		switch {
 		case successor.Deadline() != 0 && now >= successor.Deadline():
-			host.carryOut(successor.Step(now, DeadlineReached, ""))
-		case host.started && rng.IntN(4) == 0:
-			host.carryOut(successor.Step(now, Started, ""))
+			host.executeSteps(successor.Step(now, DeadlineReached, ""))
+		case host.startRequested && rng.IntN(4) == 0:
+			host.executeSteps(successor.Step(now, Started, ""))
 		case !host.disconnected && rng.IntN(3) == 0:
-			host.carryOut(successor.Step(now, fromPredecessor[rng.IntN(len(fromPredecessor))], "no sense"))
+			host.executeSteps(successor.Step(now, fromPredecessor[rng.IntN(len(fromPredecessor))], "no sense"))
 		}
 	}
-	if !successor.Serving() || host.served != 1 {
-		t.Fatalf("seed %d: %v after %d ms, served %d times", seed, successor, (now-startedAt)/1000, host.served)
+	if !successor.Serving() || host.servingStarts != 1 {
+		t.Fatalf("seed %d: %v after %d ms, served %d times", seed, successor, (now-startedAt)/1000, host.servingStarts)
 	}
 }
 
-// socketOwner is the host of a successor that owns its sockets.
-type socketOwner struct {
+// socketOwnerHost is the host of a successor that owns its sockets.
+type socketOwnerHost struct {
 	*testing.T
-	seed         uint64
-	successor    Successor
-	started      bool // the start has begun
-	disconnected bool
-	served       int // number of steps that let it serve
+	seed           uint64
+	successor      Successor
+	startRequested bool // the start has begun
+	disconnected   bool
+	servingStarts  int // number of steps that let it serve
 }
 
-func (h *socketOwner) carryOut(steps []Step) {
+func (h *socketOwnerHost) executeSteps(steps []Step) {
 	h.Helper()
 	for _, s := range steps {
 		switch s.Action {
 		case StartWithOffer:
-			h.started = true
+			h.startRequested = true
 		case Disconnect:
 			h.disconnected = true
 		case StartServing, StartAlone:
-			h.served++
+			h.servingStarts++
 		case Fail:
 			h.Fatalf("seed %d: failed: %s", h.seed, s.Reason)
 		case Send:
