--- a/internal/decide/rollout/apply.go
+++ b/internal/decide/rollout/apply.go
@@ -6,13 +6,14 @@
 	"dunlinsail/internal/monotime"
 )
 
-// maxApplyAttempts is the number of processes that may end while a version is applied and not confirmed. A single one
-// may have ended for another reason; after that many the version is rejected as the cause.
+// maxApplyAttempts is the number of processes that may end while a version is being applied or is not yet confirmed. A
+// single process may have ended for another reason; after maxApplyAttempts processes the version is assumed to be the
+// cause and is rejected.
 const maxApplyAttempts = 2
 
 // HandleValidated handles the result of ActionValidate: reason is why the version is invalid, empty if it is valid. A
-// valid version is applied, unless maxApplyAttempts processes ended with it. Otherwise it is rejected, and the phase
-// before the validation is resumed.
+// valid version is applied, unless maxApplyAttempts processes have ended while it was unconfirmed. Any other version is
+// rejected, and the state machine returns to the phase before the validation.
 func (m *StateMachine) HandleValidated(now monotime.Micros, reason string) []Command {
 	if m.phase != PhaseValidating {
 		return nil
@@ -52,8 +53,9 @@
 	}}
 }
 
-// HandleApplied handles the result of ActionApply: reason is why the version could not be applied and nothing has
-// changed, empty if the version runs. An applied version is confirmed at once, or after its canary.
+// HandleApplied handles the result of ActionApply: reason is why the version could not be applied, empty if it is now
+// running. A failed ActionApply has changed nothing, and the version is rejected. An applied version is confirmed
+// immediately, or after its canary if Settings.CanaryEnabled is set.
 func (m *StateMachine) HandleApplied(now monotime.Micros, reason string) []Command {
 	if m.phase != PhaseApplying || m.awaitsAttemptWrite {
 		return nil
@@ -88,7 +90,7 @@
 	return append(commands, m.startNext(now)...)
 }
 
-// confirm makes the running version the last known good, and starts the next one.
+// confirm makes the running configuration the last known good one, and starts the next pending version.
 func (m *StateMachine) confirm(now monotime.Micros) []Command {
 	v := *m.unconfirmed
 	m.phase = PhaseIdle
@@ -103,13 +105,15 @@
 	return append(commands, m.startNext(now)...)
 }
 
-// reject records the rejection of a version and rejects it at its source. rolledBack is true if it was applied before.
+// reject records the rejection of a version and rejects it at its source. rolledBack is true if the version was applied
+// before, by this process or by an earlier one.
 func (m *StateMachine) reject(v Version, reason string, rolledBack bool) []Command {
 	m.persistent.recordRejection(Rejection{Version: v, Reason: reason, RolledBack: rolledBack})
 	return append(m.persist(), nack(v, reason))
 }
 
-// abandonCandidate drops a rejected candidate and resumes the phase before it: a failed rollback, a canary, or idle.
+// abandonCandidate drops a rejected candidate and returns to the phase before its validation: a rollback that is to be
+// retried, a canary, or idle.
 func (m *StateMachine) abandonCandidate(now monotime.Micros) []Command {
 	m.candidate = nil
 	var commands []Command
@@ -117,7 +121,7 @@
 	case m.rollbackRequired:
 		m.phase = PhaseRollingBack
 		m.rollbackRetryAt = now + m.rollbackBackoff()
-	case m.unconfirmed != nil: // its canary was stopped for the candidate, and starts anew
+	case m.unconfirmed != nil: // its canary was stopped for the candidate, and starts again
 		m.phase = PhaseCanary
 		commands = append(commands, Command{
 			Action:  ActionStartCanary,
--- a/internal/decide/rollout/command.go
+++ b/internal/decide/rollout/command.go
@@ -1,27 +1,29 @@
 package rollout
 
-// Action is what the host of a StateMachine must do.
+// Action is a kind of work that a StateMachine requests from its host.
 type Action uint8
 
-// The actions. For an action with a result the host calls the named method exactly once, with that result.
+// The actions. After an action that has a result, the host calls the method that is named as Result exactly once.
 const (
-	// ActionValidate: check that Version is valid in Target and can be applied. Result: HandleValidated.
+	// ActionValidate checks that Version is valid as a layer of Target and can be applied. Result: HandleValidated.
 	ActionValidate Action = iota
-	// ActionApply: apply Target in place of Previous. Result: HandleApplied.
+	// ActionApply applies Target in place of Previous. Result: HandleApplied.
 	ActionApply
-	// ActionStartCanary: compare Target, which is applied, with the version before it. Result: HandleCanaryResult.
+	// ActionStartCanary compares Target, which is applied, with the configuration that ran before it. Result:
+	// HandleCanaryResult.
 	ActionStartCanary
-	// ActionStopCanary: abort the comparison without a result.
+	// ActionStopCanary cancels the comparison of ActionStartCanary. The comparison then has no result.
 	ActionStopCanary
-	// ActionRollBack: apply Target, which ran before, in place of Previous. Result: HandleRolledBack.
+	// ActionRollBack applies Target, the last known good configuration, in place of Previous. Result: HandleRolledBack.
 	ActionRollBack
-	// ActionPersist: store PersistentState. Result: HandlePersisted.
+	// ActionPersist stores the PersistentState. Result: HandlePersisted.
 	ActionPersist
-	// ActionAck: acknowledge Version to its source. Confirmed is true if its canary has passed or there is none.
+	// ActionAck acknowledges Version to its source. Confirmed is false if Version is still on canary.
 	ActionAck
-	// ActionNack: reject Version at its source, with a Reason.
+	// ActionNack rejects Version at its source, with Reason.
 	ActionNack
-	// ActionSuperseded: Version was replaced by a newer one while it was pending; its source gets no reply.
+	// ActionSuperseded reports that a newer version has replaced Version while it was pending. Its source gets no
+	// reply.
 	ActionSuperseded
 )
 
@@ -29,10 +31,10 @@
 	"validate", "apply", "start canary", "stop canary", "roll back", "persist", "ack", "nack", "superseded",
 }
 
-// String returns the action's name for people.
+// String returns the human-readable name of the action.
 func (a Action) String() string { return actionNames[a] }
 
-// Command is one action with its operands. The other fields are set as the Action's comment names them.
+// Command is one action with its operands. Only the fields that the comment of the Action names are set.
 type Command struct {
 	Action    Action
 	Version   Version
--- a/internal/decide/rollout/machine.go
+++ b/internal/decide/rollout/machine.go
@@ -8,16 +8,16 @@
 
 // Settings configure a StateMachine.
 type Settings struct {
-	// CanaryEnabled keeps an applied version unconfirmed until HandleCanaryResult. Otherwise a version is confirmed as
-	// soon as it is applied.
+	// CanaryEnabled requires a canary for each applied version, which is unconfirmed until HandleCanaryResult. If it is
+	// not set, a version is confirmed as soon as it is applied.
 	CanaryEnabled bool
 	// MinValidationInterval is the shortest time from the start of one validation to the start of the next.
 	MinValidationInterval monotime.Micros
-	// Seed determines the jitter of retries.
+	// Seed seeds the random jitter of the retries of ActionPersist.
 	Seed uint64
 }
 
-// Phase is the state of a StateMachine.
+// Phase is the current processing step of a StateMachine.
 type Phase uint8
 
 // The phases.
@@ -31,39 +31,40 @@
 
 var phaseNames = [...]string{"idle", "validating", "applying", "canary", "rolling back"}
 
-// String returns the phase's name for people.
+// String returns the human-readable name of the phase.
 func (p Phase) String() string { return phaseNames[p] }
 
-// rngStream is the second half of the random generator's seed.
+// rngStream is the second word of the random generator's seed; the first word is Settings.Seed.
 const rngStream = 0x76
 
-// StateMachine is the rollout state of one instance. Create one with New. It is not safe for concurrent use.
+// StateMachine decides the rollout of configuration versions at one instance. Create one with New. It is not safe for
+// concurrent use.
 type StateMachine struct {
 	settings Settings
 	rng      *rand.Rand
 
 	phase              Phase
-	running            LayeredVersion // applied
-	unconfirmed        *Version       // the part of running that is not confirmed, nil if all of it is
-	rollbackRequired   bool           // the canary of unconfirmed has failed
-	candidate          *Version       // being validated or applied
-	awaitsAttemptWrite bool           // the attempt to apply candidate is neither stored nor has failed to be
-	pending            [2]*Version    // by source
+	running            LayeredVersion // configuration that is applied
+	unconfirmed        *Version       // the layer of running that is not confirmed, nil if both are confirmed
+	rollbackRequired   bool           // the canary of unconfirmed has failed, and the rollback has not ended
+	candidate          *Version       // version that is being validated or applied
+	awaitsAttemptWrite bool           // candidate is not applied yet: its attempt is not written, or paused is set
+	pending            [2]*Version    // pending versions, indexed by Source
 	paused             bool
 	nextValidationAt   monotime.Micros // earliest instant of the next validation
-	rollbackAttempts   int
-	rollbackRetryAt    monotime.Micros // 0 if none is due, or one is in progress
+	rollbackAttempts   int             // attempts of the current rollback
+	rollbackRetryAt    monotime.Micros // instant of the next attempt of a failed rollback, 0 for none
 
 	persistent      PersistentState
-	persisting      bool            // the result of an ActionPersist is outstanding
-	persistAgain    bool            // persistent has changed since that ActionPersist
+	persisting      bool            // an ActionPersist has no result yet
+	persistAgain    bool            // persistent has changed since the ActionPersist that has no result yet
 	persistFailures int             // consecutive failures to store the state
-	persistRetryAt  monotime.Micros // 0 if no retry is due
-	persistError    string          // of the latest attempt to store the state; empty if it succeeded
+	persistRetryAt  monotime.Micros // instant of the next retry to store the state, 0 for none
+	persistError    string          // why the latest attempt to store the state failed, empty if it succeeded
 }
 
-// New returns a state machine for a process that starts with running: the last known good version, or the local file if
-// there is none. persistent is the state that was stored last.
+// New returns a state machine for a process that starts with the configuration running: the last known good one, or the
+// local file if there is none. persistent is the latest stored state, or the zero value.
 func New(settings Settings, running LayeredVersion, persistent PersistentState) *StateMachine {
 	m := &StateMachine{
 		settings:   settings,
@@ -77,26 +78,26 @@
 	return m
 }
 
-// UpdateSettings replaces the settings except Seed. A canary in progress continues.
+// UpdateSettings replaces all settings except Seed. A canary in progress continues.
 func (m *StateMachine) UpdateSettings(settings Settings) {
 	settings.Seed = m.settings.Seed
 	m.settings = settings
 }
 
-// ForgiveLastAttempt subtracts one attempt to apply the unconfirmed version, because the process that made it ended for
-// another reason: a hot restart or a regular stop.
+// ForgiveLastAttempt subtracts one from the attempts to apply the unconfirmed version. The host calls it if the process
+// that made the last attempt did not end because of the version, but because of a hot restart or a regular stop.
 func (m *StateMachine) ForgiveLastAttempt() {
 	if m.persistent.ApplyAttempts > 0 {
 		m.persistent.ApplyAttempts--
 	}
 }
 
-// Running returns the version that is applied, and reports whether it is on canary.
+// Running returns the configuration that is applied, and reports whether it is on canary.
 func (m *StateMachine) Running() (version LayeredVersion, onCanary bool) {
 	return m.running, m.phase == PhaseCanary
 }
 
-// Phase returns the phase and the version that is processed in it, nil while idle.
+// Phase returns the current phase, and the version that is processed in that phase, nil while idle.
 func (m *StateMachine) Phase() (Phase, *Version) {
 	if m.candidate != nil {
 		return m.phase, m.candidate
@@ -104,16 +105,16 @@
 	return m.phase, m.unconfirmed
 }
 
-// Pending returns the version of a source that waits for its validation, nil for none.
+// Pending returns the version of a source that waits for its validation, nil if there is none.
 func (m *StateMachine) Pending(source Source) *Version { return m.pending[source] }
 
-// PersistentState returns the state to store. It belongs to the machine, and is valid only until the next event.
+// PersistentState returns the state to store. The caller must not change it, or use it after the next event.
 func (m *StateMachine) PersistentState() *PersistentState { return &m.persistent }
 
-// PersistError returns why the state could not be stored at the latest attempt, empty if it was stored.
+// PersistError returns why the latest attempt to store the state failed, empty if it succeeded.
 func (m *StateMachine) PersistError() string { return m.persistError }
 
-// Deadline returns the instant at which HandleDeadline is due, 0 for none.
+// Deadline returns the instant at which the host must call HandleDeadline, 0 if there is none.
 func (m *StateMachine) Deadline() monotime.Micros {
 	var deadline monotime.Micros
 	consider := func(instant monotime.Micros) {
@@ -133,19 +134,20 @@
 	return deadline
 }
 
-// HandleDeadline does what is due at now. It may be called early.
+// HandleDeadline returns the commands that are due at now: a retry to store the state, the start of a pending version,
+// or a retry of a rollback. A call before Deadline is harmless.
 func (m *StateMachine) HandleDeadline(now monotime.Micros) []Command {
 	var commands []Command
 	if !m.persisting && m.persistRetryAt > 0 && now >= m.persistRetryAt {
 		commands = m.persist()
 	}
-	// A pending version goes first: it may replace a version whose rollback fails.
+	// A pending version is started before a rollback is retried: it may replace the version whose rollback fails.
 	commands = append(commands, m.startNext(now)...)
 	return append(commands, m.retryRollback(now)...)
 }
 
-// SetPaused starts or ends a pause, during which no further version is started or applied, and no rollback is retried:
-// for a hot restart or a shutdown.
+// SetPaused starts or ends a pause, which the host uses for a hot restart or a shutdown. During a pause no validation
+// is started, no version is applied, and no rollback is retried.
 func (m *StateMachine) SetPaused(now monotime.Micros, paused bool) []Command {
 	m.paused = paused
 	return append(m.applyCandidateOncePersisted(), m.startNext(now)...)
--- a/internal/decide/rollout/offer.go
+++ b/internal/decide/rollout/offer.go
@@ -7,18 +7,18 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Offer handles a version that its source offers. It is rejected or acknowledged at once if precheck allows that, else
-// it is pending until the present phase ends and Settings.MinValidationInterval has passed.
+// Offer handles a version that its source offers. The version is rejected or acknowledged immediately if precheck can
+// decide that. Otherwise it is pending until the current phase ends and Settings.MinValidationInterval has passed.
 func (m *StateMachine) Offer(now monotime.Micros, v Version) []Command {
 	reason, isRunning := m.precheck(v)
 	switch {
 	case reason != "":
 		return []Command{nack(v, reason)}
-	case isRunning && !m.inTransition(): // in a transition it is pending: it may no longer run when that ends
+	case isRunning && !m.inTransition(): // in a transition, v may stop running
 		return []Command{m.ackRunning(v)}
 	}
 	if m.candidate != nil && m.candidate.ID == v.ID {
-		return nil // it is being processed, and gets its reply then
+		return nil // v is already being processed; the reply follows at the end
 	}
 	var commands []Command
 	if superseded := m.pending[v.Source]; superseded != nil {
@@ -32,19 +32,21 @@
 	return append(commands, m.startNext(now)...)
 }
 
-// RejectUnreadable handles a version whose content could not be decoded.
+// RejectUnreadable rejects a version whose content the host could not decode.
 func (m *StateMachine) RejectUnreadable(v Version, reason string) []Command {
 	m.persistent.recordKnown(v)
 	return m.reject(v, reason, false)
 }
 
-// inTransition reports whether the running version may change without another version being started.
+// inTransition reports whether a version is being validated, applied or rolled back. The running version may be another
+// one when that ends.
 func (m *StateMachine) inTransition() bool {
 	return m.phase == PhaseValidating || m.phase == PhaseApplying || m.phase == PhaseRollingBack
 }
 
-// canStartNext reports whether a pending version may be started: while idle, between two attempts of a rollback, and
-// during a canary for a version of the local file or with the Rollback flag. Never during a pause.
+// canStartNext reports whether the validation of a pending version may start. It may start while idle, between two
+// attempts of a rollback, and, if the version is of the local file or has the Rollback flag, during a canary. It may
+// not start while the state machine is paused.
 func (m *StateMachine) canStartNext() bool {
 	if m.paused {
 		return false
@@ -61,13 +63,13 @@
 	return false
 }
 
-// precheck decides what is known about a version without validating it: why it is rejected, empty if it is not, or that
-// it runs already. A version of the control plane is rejected if its number has another content, if it was rejected
-// before, or, without the Rollback flag, if its epoch is abandoned or a newer version of its epoch is pending,
-// processed or running.
+// precheck checks a version as far as that is possible without validating it. It returns the reason to reject the
+// version, empty for none, and whether the version is already running. A version of the control plane is rejected if
+// its ID was offered with another content, if it was rejected before, or, without the Rollback flag, if its epoch is
+// abandoned or a newer version of its epoch is pending, being processed or running.
 func (m *StateMachine) precheck(v Version) (reason string, isRunning bool) {
 	running := m.running.version(v.Source)
-	if v.Source == SourceFile { // its content counts, not its number
+	if v.Source == SourceFile { // versions of the file are compared by content, not by number
 		return "", v.Digest == running.Digest
 	}
 	if known := m.persistent.knownVersion(v.ID); known != nil && known.Digest != v.Digest {
@@ -93,13 +95,13 @@
 	return "", false
 }
 
-// isOlderThan reports whether other comes from the control plane, and has a higher number in the same epoch.
+// isOlderThan reports whether other is a version of the control plane with the same epoch as v and a higher number.
 func (v *Version) isOlderThan(other *Version) bool {
 	return other.Source == SourceControlPlane && other.Epoch == v.Epoch && v.Number < other.Number
 }
 
-// startNext starts the validation of a pending version if the phase allows it and Settings.MinValidationInterval has
-// passed.
+// startNext starts the validation of a pending version if canStartNext allows it and Settings.MinValidationInterval has
+// passed since the start of the previous validation.
 func (m *StateMachine) startNext(now monotime.Micros) []Command {
 	if !m.canStartNext() || now < m.nextValidationAt {
 		return nil
@@ -108,7 +110,7 @@
 	if v == nil {
 		return nil
 	}
-	// The running version may have changed since the offer.
+	// The precheck is repeated, because the running version may have changed since the offer.
 	if reason, isRunning := m.precheck(*v); reason != "" {
 		return append([]Command{nack(*v, reason)}, m.startNext(now)...)
 	} else if isRunning && !m.rollbackRequired {
@@ -125,8 +127,9 @@
 	return append(commands, Command{Action: ActionValidate, Version: *v, Target: m.running.with(*v)})
 }
 
-// takePending removes and returns the pending version to process next, nil for none: a rollback of the control plane
-// first, then the file, then the control plane.
+// takePending removes and returns the pending version to process next, nil if there is none. A version of the control
+// plane with the Rollback flag comes before a version of the local file, which comes before any other version of the
+// control plane.
 func (m *StateMachine) takePending() *Version {
 	source := SourceControlPlane
 	fromControlPlane := m.pending[SourceControlPlane]
@@ -138,7 +141,7 @@
 	return v
 }
 
-// ackRunning returns the acknowledgement of a version that is running.
+// ackRunning returns the command that acknowledges a version that is already running.
 func (m *StateMachine) ackRunning(v Version) Command {
 	return Command{Action: ActionAck, Version: v, Confirmed: m.unconfirmed == nil}
 }
--- a/internal/decide/rollout/persist.go
+++ b/internal/decide/rollout/persist.go
@@ -5,11 +5,12 @@
 const (
 	// persistRetryDelay is the mean backoff after the first failure to store the state. It doubles with each failure.
 	persistRetryDelay = monotime.Second
-	// maxPersistDoublings bounds the mean backoff to 2^maxPersistDoublings times persistRetryDelay, which is 64 s.
+	// maxPersistDoublings limits the mean backoff to persistRetryDelay times 2^maxPersistDoublings, which is 64 s.
 	maxPersistDoublings = 6
 )
 
-// persist requests that the state is stored, now or after the result of the request that is outstanding.
+// persist requests that the state is stored. If a previous ActionPersist has no result yet, the request follows that
+// result.
 func (m *StateMachine) persist() []Command {
 	if m.persisting {
 		m.persistAgain = true
@@ -22,7 +23,8 @@
 }
 
 // HandlePersisted handles the result of ActionPersist: reason is why the state was not stored, empty if it was. A
-// failure is retried after a backoff with jitter of half the mean up and down; no version waits for that.
+// failed write is retried after a random backoff between 0.5 and 1.5 times its mean. Versions do not wait for the
+// retry.
 func (m *StateMachine) HandlePersisted(now monotime.Micros, reason string) []Command {
 	if !m.persisting {
 		return nil
--- a/internal/decide/rollout/random_test.go
+++ b/internal/decide/rollout/random_test.go
@@ -10,36 +10,36 @@
 	"dunlinsail/internal/monotime"
 )
 
-// simulatedHost is a host with a simulated disk, control plane and contents. It executes commands in order, with the
-// results that the drawn events give, and checks each against the rules.
+// simulatedHost is the host of a StateMachine with a simulated disk, control plane and version contents. It executes
+// the commands in order, with random results, and checks that each command is allowed.
 type simulatedHost struct {
 	*rapid.T
 	machine        *StateMachine
 	now            monotime.Micros
 	settings       Settings
-	queuedCommands []Command // not executed yet
+	queuedCommands []Command // commands that are not executed yet
 
-	storedState      []byte // PersistentState, as stored last
-	anyPersistFailed bool   // at least once: a restart may lose state
+	storedState      []byte // latest stored PersistentState, encoded as JSON
+	anyPersistFailed bool   // a write has failed at least once: a restart may lose state
 
-	fileReads       uint64
+	fileReads       uint64 // number of the latest version of the local file
 	fileVersion     Version
-	currentEpoch    string            // of new versions
-	latestNumbers   map[string]uint64 // the latest number, by epoch
-	offeredVersions []Version
+	currentEpoch    string            // epoch of new versions of the control plane
+	latestNumbers   map[string]uint64 // latest version number of each epoch
+	offeredVersions []Version         // by the control plane; may be offered again
 	restartCount    int
 
-	passesValidation map[string]bool // by digest: passes its validation
-	canBeApplied     map[string]bool // by digest: can be applied
-	failsCanary      map[string]bool // by digest: fails its canary
+	passesValidation map[string]bool // by digest of the content: validation succeeds
+	canBeApplied     map[string]bool // by digest of the content: ActionApply succeeds
+	failsCanary      map[string]bool // by digest of the content: the canary fails
 
 	lastValidated     *Version        // the latest version that passed its validation
-	appliedDigests    map[ID]string   // digests of all applied versions
-	rolledBackDigests map[string]bool // digests whose rollback is stored
-	lastKnownGood     LayeredVersion  // by the rules
-	running           LayeredVersion
+	appliedDigests    map[ID]string   // digest of each applied version
+	rolledBackDigests map[string]bool // digests of versions whose rollback is stored
+	lastKnownGood     LayeredVersion  // configuration that ActionRollBack must restore
+	running           LayeredVersion  // configuration that the host has applied
 	onCanary          bool
-	awaitingReply     map[ID]bool
+	awaitingReply     map[ID]bool // offered versions without ack, NACK or superseded
 }
 
 func newSimulatedHost(t *rapid.T) *simulatedHost {
@@ -64,7 +64,7 @@
 	return h
 }
 
-// restart starts another process with the stored state.
+// restart simulates the end of the process and the start of a new one with the stored state.
 func (h *simulatedHost) restart() {
 	var persistent PersistentState
 	if h.storedState != nil {
@@ -86,7 +86,7 @@
 	h.machine = New(h.settings, running, persistent)
 }
 
-// enqueue adds commands to those to execute.
+// enqueue appends commands to queuedCommands.
 func (h *simulatedHost) enqueue(commands []Command) {
 	h.queuedCommands = append(h.queuedCommands, commands...)
 }
@@ -99,7 +99,7 @@
 	return "no"
 }
 
-// executeNext executes the next command. ok is whether a rollback or a write to disk succeeds.
+// executeNext executes the next queued command. success determines whether a rollback or a write to disk succeeds.
 func (h *simulatedHost) executeNext(success bool) {
 	command := h.queuedCommands[0]
 	h.queuedCommands = h.queuedCommands[1:]
@@ -140,7 +140,7 @@
 	}
 }
 
-// validate executes ActionValidate.
+// validate executes ActionValidate, and checks that no canary is in progress.
 func (h *simulatedHost) validate(v Version) {
 	if h.onCanary {
 		h.Fatalf("validate %v during a canary", v.ID)
@@ -152,7 +152,7 @@
 	h.enqueue(h.machine.HandleValidated(h.now, resultReason(h.passesValidation[v.Digest])))
 }
 
-// apply executes ActionApply, and checks that the rules allow it.
+// apply executes ActionApply, and checks that the version was validated and may replace the running one.
 func (h *simulatedHost) apply(command Command) {
 	v := command.Version
 	if h.lastValidated == nil || *h.lastValidated != v {
@@ -173,7 +173,8 @@
 	h.enqueue(h.machine.HandleApplied(h.now, resultReason(h.canBeApplied[v.Digest])))
 }
 
-// checkAllowed checks that the rules allow to apply a version of the control plane.
+// checkAllowed checks that a version of the control plane is not out of order, has only one content and was not rolled
+// back.
 func (h *simulatedHost) checkAllowed(v Version) {
 	current := h.running.ControlPlane
 	if !v.Rollback && current != nil && current.Epoch == v.Epoch && v.Number < current.Number {
@@ -187,7 +188,7 @@
 	}
 }
 
-// persist executes ActionPersist.
+// persist executes ActionPersist, whose write succeeds or fails.
 func (h *simulatedHost) persist(success bool) {
 	h.anyPersistFailed = h.anyPersistFailed || !success
 	if success {
@@ -196,7 +197,7 @@
 	h.enqueue(h.machine.HandlePersisted(h.now, resultReason(success)))
 }
 
-// store encodes the state, and checks that it decodes to the same state.
+// storeState stores the encoded state, and checks that it decodes to the same last known good configuration.
 func (h *simulatedHost) storeState() {
 	encoded, err := json.Marshal(h.machine.PersistentState())
 	if err != nil {
@@ -217,7 +218,7 @@
 	}
 }
 
-// evaluateCanary ends the canary in progress: it fails if the version is harmful.
+// evaluateCanary ends the canary in progress. The canary fails if failsCanary has the digest of its version.
 func (h *simulatedHost) evaluateCanary() {
 	v := h.machine.unconfirmed
 	if v == nil || !h.onCanary {
@@ -227,19 +228,20 @@
 	reason := ""
 	if h.failsCanary[v.Digest] {
 		reason = "harm"
-	} else if h.machine.phase == PhaseCanary { // in another phase the command that stops it is still queued
+	} else if h.machine.phase == PhaseCanary {
+		// In any other phase the machine has stopped this canary, and ActionStopCanary is still queued.
 		h.lastKnownGood = h.running
 	}
 	h.enqueue(h.machine.HandleCanaryResult(h.now, reason))
 }
 
-// offer offers a version, whose reply is awaited from then on.
+// offer offers a version and records that its reply is outstanding.
 func (h *simulatedHost) offer(v Version) {
 	h.awaitingReply[v.ID] = true
 	h.enqueue(h.machine.Offer(h.now, v))
 }
 
-// newVersion draws a version that was not offered before.
+// newVersion draws a version of the control plane with an unused number of the current epoch.
 func (h *simulatedHost) newVersion(harmless bool) Version {
 	h.latestNumbers[h.currentEpoch]++
 	v := Version{ID: ID{SourceControlPlane, h.currentEpoch, h.latestNumbers[h.currentEpoch]}}
@@ -249,7 +251,8 @@
 
 var contentCount int
 
-// drawContent gives a version a new content: a valid, applicable and harmless one if harmless is set, else any.
+// drawContent gives a version a new content. A harmless content passes validation, ActionApply and canary; any other
+// content may fail each of them at random.
 func (h *simulatedHost) drawContent(v *Version, harmless bool) {
 	contentCount++
 	v.Digest = fmt.Sprint("c", contentCount)
@@ -258,7 +261,7 @@
 	h.failsCanary[v.Digest] = !harmless && rapid.IntRange(0, 3).Draw(h.T, "harmful") == 0
 }
 
-// executeRandomEvent lets one drawn event happen.
+// executeRandomEvent draws one event and executes it.
 func (h *simulatedHost) executeRandomEvent() {
 	h.now += rapid.Int64Range(0, 2*second).Draw(h.T, "later")
 	switch rapid.IntRange(0, 13).Draw(h.T, "event") {
@@ -299,7 +302,8 @@
 	}
 }
 
-// reofferVersion offers a version again: late, as a rollback, or with another content.
+// reofferVersion offers an earlier version of the control plane again, with or without the Rollback flag, and sometimes
+// with another content.
 func (h *simulatedHost) reofferVersion() {
 	if len(h.offeredVersions) == 0 {
 		return
@@ -312,7 +316,7 @@
 	h.offer(v)
 }
 
-// runUntilIdle lets everything succeed until the machine is idle.
+// runUntilIdle executes all commands and deadlines successfully until the state machine is idle.
 func (h *simulatedHost) runUntilIdle() {
 	for range 10_001 {
 		deadline := h.machine.Deadline()
@@ -331,7 +335,7 @@
 	h.Fatalf("not idle: %v, %v", h.machine.phase, h.queuedCommands)
 }
 
-// expectConfirmedAndStored checks that a version runs, confirmed and stored, and that all offers were answered.
+// expectConfirmedAndStored checks that a version is running, confirmed and stored, and that all offers got a reply.
 func (h *simulatedHost) expectConfirmedAndStored(expected Version) {
 	running, onCanary := h.machine.Running()
 	lastKnownGood := h.machine.PersistentState().LastKnownGood
@@ -347,15 +351,15 @@
 	}
 }
 
-// Whatever the order of versions, duplicated, late or lost, whatever fails and whenever the process ends: the rules
-// hold at each step, and a harmless version that is offered after the last failure runs and is stored.
+// For any sequence of new, late and repeated versions, failures and restarts, each command is allowed, and a harmless
+// version that is offered after the last failure is confirmed and stored.
 func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		host := newSimulatedHost(t)
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
 			host.executeRandomEvent()
 		}
-		// There are no failures from here on.
+		// No command fails from here on.
 		host.currentEpoch += "z"
 		harmless := host.newVersion(true)
 		host.enqueue(host.machine.SetPaused(host.now, false))
--- a/internal/decide/rollout/rollback.go
+++ b/internal/decide/rollout/rollback.go
@@ -2,12 +2,12 @@
 
 import "dunlinsail/internal/monotime"
 
-// maxRollbackAttempts is the number of attempts of a rollback. After the last one the rejected version keeps running
-// until another one is applied.
+// maxRollbackAttempts limits the number of attempts of a rollback. If the last attempt fails, the rejected version
+// keeps running until another version is applied.
 const maxRollbackAttempts = 5
 
-// HandleCanaryResult handles the result of ActionStartCanary: reason is why the version is worse than the one before
-// it, empty if it is not. A version that is worse is rejected and rolled back, any other is confirmed.
+// HandleCanaryResult handles the result of ActionStartCanary: reason describes how the version is worse than the
+// previous one, empty if it is not worse. A worse version is rejected and rolled back, any other version is confirmed.
 func (m *StateMachine) HandleCanaryResult(now monotime.Micros, reason string) []Command {
 	if m.phase != PhaseCanary {
 		return nil
@@ -23,8 +23,9 @@
 	return append(m.reject(*m.unconfirmed, reason, true), m.rollBack())
 }
 
-// HandleRolledBack handles the result of ActionRollBack: reason is why the rejected version still runs, empty if the
-// last known good runs in its place. A failed rollback is retried up to maxRollbackAttempts.
+// HandleRolledBack handles the result of ActionRollBack: reason is why the rollback failed and the rejected version
+// still runs, empty if the last known good configuration runs in its place. A rollback is attempted up to
+// maxRollbackAttempts times.
 func (m *StateMachine) HandleRolledBack(now monotime.Micros, reason string) []Command {
 	if m.phase != PhaseRollingBack || m.rollbackRetryAt > 0 {
 		return nil
@@ -41,7 +42,7 @@
 	return m.startNext(now)
 }
 
-// endRollback ends the rollback, successful or not.
+// endRollback returns to the idle phase after a rollback has succeeded or its last attempt has failed.
 func (m *StateMachine) endRollback() {
 	m.phase = PhaseIdle
 	m.unconfirmed = nil
@@ -49,7 +50,7 @@
 	m.rollbackAttempts = 0
 }
 
-// retryRollback attempts a failed rollback again if that is due.
+// retryRollback starts the next attempt of a failed rollback if its backoff has passed.
 func (m *StateMachine) retryRollback(now monotime.Micros) []Command {
 	if m.phase != PhaseRollingBack || m.paused || m.rollbackRetryAt <= 0 || now < m.rollbackRetryAt {
 		return nil
@@ -59,7 +60,7 @@
 	return []Command{m.rollBack()}
 }
 
-// rollBack returns the command to apply the last known good in place of the unconfirmed version.
+// rollBack returns the command to apply the last known good configuration in place of the running one.
 func (m *StateMachine) rollBack() Command {
 	return Command{
 		Action:   ActionRollBack,
@@ -69,10 +70,10 @@
 	}
 }
 
-// minRollbackBackoff is the shortest backoff after the first failed attempt of a rollback.
+// minRollbackBackoff is the lower bound of the backoff after the first failed attempt of a rollback.
 const minRollbackBackoff = monotime.Second
 
-// rollbackBackoff returns the time until the next attempt of a rollback, which doubles with each attempt.
+// rollbackBackoff returns the backoff before the next attempt of a rollback. It doubles with each attempt.
 func (m *StateMachine) rollbackBackoff() monotime.Micros {
 	return max(m.settings.MinValidationInterval, minRollbackBackoff) << max(0, m.rollbackAttempts-1)
 }
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -18,20 +18,21 @@
 	return Version{ID: ID{SourceFile, "", number}, Digest: fmt.Sprint("file", number)}
 }
 
-// machineDriver drives a state machine: it logs each command as "action version", and returns its result at once.
+// machineDriver executes the commands of a StateMachine: it logs each command as "action version", and passes the
+// results of some actions to the machine immediately.
 type machineDriver struct {
 	*testing.T
 	machine    *StateMachine
 	now        monotime.Micros
 	commandLog []string
 
-	automaticResults map[Action]bool // actions whose result the driver returns
+	automaticResults map[Action]bool // actions whose results are passed to the machine immediately
 	// failureReasons makes commands fail. Keys are action and version, such as "validate a/3" or "roll back a/3", or
 	// "persist".
 	failureReasons map[string]string
 }
 
-// newDriver returns the driver of a machine that runs the local file's first version.
+// newDriver returns the driver of a state machine that runs the first version of the local file.
 func newDriver(t *testing.T, canaryEnabled bool) *machineDriver {
 	t.Helper()
 	settings := Settings{CanaryEnabled: canaryEnabled, MinValidationInterval: second}
@@ -49,7 +50,7 @@
 	}
 }
 
-// execute logs commands, and returns the results of those in automaticResults to the machine.
+// execute logs commands, and passes the results of those in automaticResults to the machine.
 func (d *machineDriver) execute(commands []Command) {
 	d.Helper()
 	for _, command := range commands {
@@ -62,7 +63,8 @@
 	}
 }
 
-// describe returns "action version", with the reason of a NACK.
+// describe returns a command as "action version". An acknowledgement after the confirmation is followed by "finally",
+// and a NACK by its reason.
 func describe(command Command) string {
 	text := command.Action.String()
 	if command.Action != ActionStopCanary {
@@ -93,14 +95,14 @@
 	}
 }
 
-// offer offers a version when the next validation is due.
+// offer offers a version after the minimum interval between two validations.
 func (d *machineDriver) offer(v Version) {
 	d.Helper()
 	d.now += 2 * second
 	d.execute(d.machine.Offer(d.now, v))
 }
 
-// expect compares the log with the commands expected since the last call.
+// expect compares the commands that were logged since the last call with expectedCommands.
 func (d *machineDriver) expect(expectedCommands ...string) {
 	d.Helper()
 	got := strings.Join(d.commandLog, "\n")
@@ -110,7 +112,7 @@
 	d.commandLog = nil
 }
 
-// expectRunning checks which version runs.
+// expectRunning checks which configuration is running.
 func (d *machineDriver) expectRunning(expected string) {
 	d.Helper()
 	if running, _ := d.machine.Running(); running.String() != expected {
@@ -126,7 +128,7 @@
 	if state.Unconfirmed == nil || state.Unconfirmed.Number != 1 || state.LastKnownGood.ControlPlane != nil {
 		t.Errorf("on canary %+v", state)
 	}
-	d.offer(controlPlaneVersion("a", 1)) // offered again
+	d.offer(controlPlaneVersion("a", 1)) // a second offer of the version on canary
 	d.expect("ack a/1")
 	d.execute(d.machine.HandleCanaryResult(d.now, ""))
 	d.expect("ack a/1 finally")
@@ -140,7 +142,8 @@
 	d.expect()
 }
 
-// A version is rejected with its reason at each stage, and again without being processed. The running version stays.
+// A version that cannot be decoded, validated or applied, or that fails its canary, is rejected with the reason of that
+// failure. Offered again, it is rejected without being processed. The running version does not change.
 func TestRejectionAtEachStage(t *testing.T) {
 	d := newDriver(t, true)
 	d.failureReasons["validate a/1"], d.failureReasons["apply a/2"] = "no sense", "no room"
@@ -161,7 +164,7 @@
 	d.execute(d.machine.RejectUnreadable(controlPlaneVersion("a", 4), "no text"))
 	d.offer(controlPlaneVersion("a", 4))
 	d.expect("nack a/4: no text", "nack a/4: no text")
-	// Over another file a rejected version may be valid, except one that was rolled back.
+	// A new version of the local file makes rejected versions eligible again, except those that were rolled back.
 	d.offer(fileVersion(2))
 	d.execute(d.machine.HandleCanaryResult(d.now, ""))
 	d.commandLog = nil
@@ -172,7 +175,8 @@
 	d.expect("validate a/1", "apply a/1", "ack a/1", "start canary a/1")
 }
 
-// Versions out of order, with another content or of an abandoned epoch are rejected; a rollback is applied.
+// A version is rejected if it is older than the running one, has another content than before, or is of an abandoned
+// epoch. A version with the Rollback flag is applied although it is older.
 func TestVersionOrder(t *testing.T) {
 	d := newDriver(t, false)
 	d.offer(controlPlaneVersion("a", 5))
@@ -198,7 +202,7 @@
 	d.expect(`nack b/2: version b/2: epoch "b" was left for a newer one`)
 }
 
-// A burst of versions costs one validation each interval, and the newest one is applied.
+// A burst of versions causes one validation per interval, and the newest version is applied.
 func TestBurstCostsOneValidation(t *testing.T) {
 	d := newDriver(t, false)
 	d.offer(controlPlaneVersion("a", 1))
@@ -220,8 +224,8 @@
 	d.expect("validate a/99", "apply a/99", "ack a/99 finally")
 }
 
-// During a canary a version is pending, unless it is a rollback or of the local file. If that one is rejected, the
-// canary starts again.
+// A version that is offered during a canary stays pending, unless it has the Rollback flag or is of the local file.
+// Such a version stops the canary; if it is rejected, the canary starts again.
 func TestOffersDuringCanary(t *testing.T) {
 	d := newDriver(t, true)
 	d.offer(controlPlaneVersion("a", 1))
@@ -248,7 +252,8 @@
 	d.expectRunning("a/2 over file 1")
 }
 
-// A failed rollback is retried with exponential backoff, and a version that is offered in between goes first.
+// A failed rollback is retried with exponential backoff. A version that is offered during the backoff is validated
+// before the next attempt.
 func TestRollbackIsRetried(t *testing.T) {
 	d := newDriver(t, true)
 	d.failureReasons["roll back a/1"] = "no process"
@@ -283,7 +288,7 @@
 	d.expectRunning("file 1")
 }
 
-// While paused, during a hot restart, no version is started.
+// While the state machine is paused for a hot restart, it does not start the validation of an offered version.
 func TestPausedStartsNothing(t *testing.T) {
 	d := newDriver(t, true)
 	d.execute(d.machine.SetPaused(d.now, true))
@@ -297,7 +302,7 @@
 	d.expect("validate a/1", "apply a/1", "ack a/1", "start canary a/1")
 }
 
-// A version is rejected after two processes ended before they confirmed it.
+// A version is rejected after two processes have ended between applying and confirming it.
 func TestVersionThatEndsProcessesIsRejected(t *testing.T) {
 	stored := PersistentState{}
 	for range 2 {
@@ -313,15 +318,16 @@
 	d.expect("validate a/1", "nack a/1: 2 processes ended while they tried version a/1")
 }
 
-// Guards against an attempt that is not counted because the process ended before it was on disk: a version is applied
-// after the write that has its attempt, also if an earlier write is in progress, and not during a pause.
+// Guards against an attempt that is not counted because the process ended before the attempt was on disk. A version is
+// applied only after the write that contains its attempt, even if an earlier write was in progress, and not during a
+// pause.
 func TestAttemptIsStoredBeforeItIsMade(t *testing.T) {
 	d := newDriver(t, true)
 	d.automaticResults[ActionPersist] = false
 	d.execute(d.machine.RejectUnreadable(controlPlaneVersion("a", 1), "no text"))
 	d.offer(controlPlaneVersion("a", 2))
 	d.expect("nack a/1: no text", "validate a/2")
-	d.execute(d.machine.HandlePersisted(d.now, "")) // the write of the rejection
+	d.execute(d.machine.HandlePersisted(d.now, "")) // result of the write of the rejection
 	d.expect()
 	d.execute(d.machine.SetPaused(d.now, true))
 	if d.machine.PersistentState().ApplyAttempts != 1 {
@@ -333,7 +339,7 @@
 	d.expect("apply a/2", "ack a/2", "start canary a/2")
 }
 
-// A failure to store the state is retried after a backoff, and no version waits for it.
+// A failed write of the state is retried after a backoff, and does not delay the rollout of a version.
 func TestPersistIsRetried(t *testing.T) {
 	d := newDriver(t, false)
 	d.failureReasons["persist"] = "no space"
--- a/internal/decide/rollout/state.go
+++ b/internal/decide/rollout/state.go
@@ -2,34 +2,35 @@
 
 import "slices"
 
-// Bounds of the lists in a PersistentState. The oldest entry is dropped for a new one.
+// Maximum lengths of the lists in a PersistentState. A full list drops its oldest entry for a new one.
 const (
-	maxRejections      = 64  // rejected versions; a dropped one is validated again when it is offered again
-	maxKnownVersions   = 256 // versions whose number is known to identify one content
-	maxAbandonedEpochs = 32  // epochs whose versions are rejected
+	maxRejections      = 64  // rejected versions; a dropped version is validated again at its next offer
+	maxKnownVersions   = 256 // versions of the control plane whose digests are remembered
+	maxAbandonedEpochs = 32  // abandoned epochs, whose versions are rejected
 )
 
-// Rejection is a version that was rejected.
+// Rejection records why a version was rejected.
 type Rejection struct {
 	Version
 	Reason     string `json:"reason"`
-	RolledBack bool   `json:"tried,omitempty"` // it was applied, and rolled back
+	RolledBack bool   `json:"tried,omitempty"` // rejected after it had been applied
 }
 
-// PersistentState is the part of the state that outlives a process. The host stores it at each ActionPersist, and
-// passes it to New after a restart. The names in its JSON are stored: they stay as they are.
+// PersistentState is the part of the state that survives a restart of the process. The host stores it at each
+// ActionPersist, and passes it to New after a restart. The JSON names are part of the stored format and must not
+// change.
 type PersistentState struct {
-	LastKnownGood *LayeredVersion `json:"good,omitempty"`   // confirmed last; a process starts with it
-	PreviousGood  *LayeredVersion `json:"before,omitempty"` // confirmed before LastKnownGood
-	Unconfirmed   *Version        `json:"trying,omitempty"` // being applied, or applied and not confirmed
-	ApplyAttempts int             `json:"tries,omitempty"`  // number of processes that applied Unconfirmed
+	LastKnownGood *LayeredVersion `json:"good,omitempty"`   // latest confirmed configuration; a process starts with it
+	PreviousGood  *LayeredVersion `json:"before,omitempty"` // configuration that was confirmed before LastKnownGood
+	Unconfirmed   *Version        `json:"trying,omitempty"` // version that is being applied, or applied and unconfirmed
+	ApplyAttempts int             `json:"tries,omitempty"`  // number of processes that attempted to apply Unconfirmed
 
 	Rejected        []Rejection `json:"refused,omitempty"`
 	AbandonedEpochs []string    `json:"left,omitempty"`
-	KnownVersions   []Version   `json:"seen,omitempty"` // detects a number with two contents
+	KnownVersions   []Version   `json:"seen,omitempty"` // first content of each known version; detects a reused number
 }
 
-// recordAttempt records that one more process applies v, or has it on canary; nil clears the record.
+// recordAttempt counts one more process that applies v or has v on canary. A nil v resets the count.
 func (p *PersistentState) recordAttempt(v *Version) {
 	switch {
 	case v == nil:
@@ -43,7 +44,7 @@
 	}
 }
 
-// recordRejection records a rejected version, in place of an earlier rejection of the same version.
+// recordRejection records the rejection of a version, and replaces an earlier rejection of the same version.
 func (p *PersistentState) recordRejection(r Rejection) {
 	p.Rejected = slices.DeleteFunc(p.Rejected, func(existing Rejection) bool { return existing.ID == r.ID })
 	p.Rejected = append(p.Rejected, r)
@@ -52,7 +53,7 @@
 	}
 }
 
-// rejection returns the rejection of a version with the same content, nil for none.
+// rejection returns the recorded rejection of a version with the same ID and content, nil if there is none.
 func (p *PersistentState) rejection(v Version) *Rejection {
 	for i := range p.Rejected {
 		if r := &p.Rejected[i]; r.ID == v.ID && r.Digest == v.Digest {
@@ -62,13 +63,13 @@
 	return nil
 }
 
-// forgetUnappliedRejections drops the rejections of versions that were never applied: they may be valid over another
-// version of the local file.
+// forgetUnappliedRejections drops the rejections of versions that were never applied. It is called when a new version
+// of the local file is applied, because a version that was invalid over the old file may be valid over the new one.
 func (p *PersistentState) forgetUnappliedRejections() {
 	p.Rejected = slices.DeleteFunc(p.Rejected, func(r Rejection) bool { return !r.RolledBack })
 }
 
-// knownVersion returns the version that was offered first under an ID, nil for none.
+// knownVersion returns the version that was first offered with the given ID, nil if the ID is not known.
 func (p *PersistentState) knownVersion(id ID) *Version {
 	for i := range p.KnownVersions {
 		if p.KnownVersions[i].ID == id {
@@ -78,7 +79,8 @@
 	return nil
 }
 
-// recordKnown records the content of a version of the control plane.
+// recordKnown remembers the digest of a version of the control plane, so that a later offer of another content under
+// the same ID is detected.
 func (p *PersistentState) recordKnown(v Version) {
 	if v.Source == SourceFile || p.knownVersion(v.ID) != nil {
 		return
@@ -89,8 +91,9 @@
 	}
 }
 
-// recordEpoch records that a version of an epoch has replaced another version, nil for none: the other's epoch is
-// abandoned, and the epoch itself no longer is.
+// recordEpoch records that a version of the given epoch was applied in place of replaced, which is nil if there was no
+// version of the control plane before. If their epochs differ, the epoch of replaced becomes abandoned. The given epoch
+// is no longer abandoned.
 func (p *PersistentState) recordEpoch(epoch string, replaced *Version) {
 	if replaced != nil && replaced.Epoch != epoch {
 		p.AbandonedEpochs = append(p.AbandonedEpochs, replaced.Epoch)
--- a/internal/decide/rollout/version.go
+++ b/internal/decide/rollout/version.go
@@ -5,27 +5,28 @@
 	"slices"
 )
 
-// Source is the origin of a version.
+// Source is the origin of a configuration version.
 type Source uint8
 
 // The sources of versions.
 const (
 	// SourceControlPlane is the xDS management server.
 	SourceControlPlane Source = iota
-	// SourceFile is the local file. Its epoch is empty, and its numbers count the times that the process has read it.
+	// SourceFile is the local configuration file. Its versions have an empty epoch, and the process numbers them by
+	// counting its reads of the file.
 	SourceFile
 )
 
-// sourceNames are the stored names, which never change.
+// sourceNames are the names of the sources in stored state. They must not change.
 var sourceNames = [...]string{"service", "file"}
 
-// String returns the source's stored name.
+// String returns the name of the source in stored state.
 func (s Source) String() string { return sourceNames[s] }
 
-// MarshalText returns the source's stored name.
+// MarshalText returns the name of the source in stored state.
 func (s Source) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText parses what MarshalText returns.
+// UnmarshalText parses a name that MarshalText has returned.
 func (s *Source) UnmarshalText(text []byte) error {
 	index := slices.Index(sourceNames[:], string(text))
 	if index < 0 {
@@ -35,14 +36,14 @@
 	return nil
 }
 
-// ID identifies a version.
+// ID identifies a configuration version.
 type ID struct {
 	Source Source `json:"source"`
-	Epoch  string `json:"epoch,omitempty"` // namespace of the number; the empty string is a valid one
+	Epoch  string `json:"epoch,omitempty"` // namespace of Number; the empty string is a valid epoch
 	Number uint64 `json:"number"`
 }
 
-// String returns "file 3", "17" or "epoch/17".
+// String returns "file 3" for a version of the local file, and "17" or "epoch/17" for one of the control plane.
 func (id ID) String() string {
 	switch {
 	case id.Source == SourceFile:
@@ -53,21 +54,21 @@
 	return fmt.Sprintf("%s/%d", id.Epoch, id.Number)
 }
 
-// Version is a version as its source offers it.
+// Version describes a configuration version that its source offers, without the content.
 type Version struct {
 	ID
-	Digest   string `json:"digest"`             // of its content
-	Rollback bool   `json:"rollback,omitempty"` // may be applied over a newer one
+	Digest   string `json:"digest"`             // digest of the content
+	Rollback bool   `json:"rollback,omitempty"` // may replace a version with a higher number
 }
 
-// LayeredVersion is the configuration that an instance runs: a version of the control plane, or none, over a version of
-// the local file.
+// LayeredVersion identifies a complete configuration: a version of the local file, overlaid by a version of the control
+// plane if there is one.
 type LayeredVersion struct {
 	ControlPlane *Version `json:"service,omitempty"`
 	File         Version  `json:"file"`
 }
 
-// with returns a copy in which v replaces the version of its source.
+// with returns a copy of l in which v replaces the version of the same source.
 func (l LayeredVersion) with(v Version) LayeredVersion {
 	if v.Source == SourceFile {
 		l.File = v
@@ -77,7 +78,7 @@
 	return l
 }
 
-// version returns the version of a source, nil for none.
+// version returns the layer of l that comes from the given source, nil if there is none.
 func (l LayeredVersion) version(source Source) *Version {
 	if source == SourceFile {
 		return &l.File
@@ -85,7 +86,7 @@
 	return l.ControlPlane
 }
 
-// String returns "epoch/17 over file 3", or "file 3".
+// String returns "epoch/17 over file 3", or "file 3" without a version of the control plane.
 func (l LayeredVersion) String() string {
 	if l.ControlPlane == nil {
 		return l.File.ID.String()
@@ -93,7 +94,7 @@
 	return l.ControlPlane.ID.String() + " over " + l.File.ID.String()
 }
 
-// sameContent reports whether both have the same content in each layer, by digest.
+// sameContent reports whether l and other have the same digest in each layer.
 func (l LayeredVersion) sameContent(other LayeredVersion) bool {
 	if l.File.Digest != other.File.Digest {
 		return false
