--- a/internal/decide/canary/analysis.go
+++ b/internal/decide/canary/analysis.go
@@ -13,16 +13,16 @@
 	baseline arm
 	canary   arm
 
-	calmDuration     monotime.Micros // of the canary's slots without a surge of demand
-	requiredDuration monotime.Micros // Settings.Duration and its extensions
+	calmDuration     monotime.Micros // total duration of the canary slots without a surge of demand
+	requiredDuration monotime.Micros // Settings.Duration plus all extensions
 	extensions       int             // number of extensions so far
 
 	verdict    Verdict
 	statistics Statistics
 }
 
-// NewAnalysis returns an analysis with samples of the baseline, to which AddBaseline may add more. It fails if
-// Settings.Validate does.
+// NewAnalysis returns an analysis with the given samples of the baseline. AddBaseline adds further samples. NewAnalysis
+// fails if Settings.Validate fails.
 func NewAnalysis(settings Settings, baseline ...Sample) (*Analysis, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, fmt.Errorf("canary: %w", err)
@@ -40,12 +40,12 @@
 // AddBaseline adds a sample of the baseline.
 func (a *Analysis) AddBaseline(sample Sample) { a.baseline.add(&sample, false) }
 
-// Result returns the present verdict and its statistics.
+// Result returns the current verdict and its statistics.
 func (a *Analysis) Result() (Verdict, Statistics) { return a.verdict, a.statistics }
 
-// AddCanary adds a sample of the canary, and returns the verdict with its statistics. The canary is degraded as soon as
-// it has lost its clients or is harmed. After the required duration it has passed, is inconclusive, or runs for longer.
-// A final verdict no longer changes.
+// AddCanary adds a sample of the canary, and returns the verdict and its statistics. The verdict is Degraded as soon as
+// the canary has lost its clients, or certainly performs worse than its baseline. After the required duration it is
+// Passed or Inconclusive, or the analysis is extended. A verdict other than Undecided no longer changes.
 func (a *Analysis) AddCanary(sample Sample) (Verdict, Statistics) {
 	if a.verdict != Undecided {
 		return a.verdict, a.statistics
@@ -73,10 +73,11 @@
 	return a.verdict, a.statistics
 }
 
-// microsecondsPerSecond converts rates a microsecond to rates a second.
+// microsecondsPerSecond converts rates per microsecond to rates per second.
 const microsecondsPerSecond = 1e6
 
-// updateStatistics sets the statistics to the present state, with the metric whose harm has the larger lower bound.
+// updateStatistics computes the statistics from all samples so far. Of the two metrics it reports the one whose harm
+// has the higher lower bound.
 func (a *Analysis) updateStatistics(service, failures comparison) {
 	a.statistics = Statistics{
 		Service:  [2]float64{a.baseline.service.perSlot.mean(), a.canary.service.perSlot.mean()},
@@ -98,17 +99,18 @@
 	}
 }
 
-// Bounds beyond which missing requests are no chance.
+// Bounds beyond which missing requests cannot be chance.
 const (
-	lostMinExpected = 50              // requests that the canary would have had at the baseline's rate
-	lostMaxFraction = 0.1             // of these requests; with a larger fraction the clients are not lost
-	lostMinDuration = monotime.Second // of the canary
+	lostMinExpected = 50              // minimum number of requests expected at the baseline's rate
+	lostMaxFraction = 0.1             // fraction of the expected requests below which the clients are lost
+	lostMinDuration = monotime.Second // minimum duration of the canary
 )
 
-// lostClients reports whether the canary has lost its clients, and puts that into the statistics. It has if it gets
-// less than lostMaxFraction of the requests that the baseline's rate would give it, provided that these are at least
-// lostMinExpected, and that it has run for lostMinDuration and Settings.MinDuration. Clients that no longer reach a
-// version show in no ratio of its requests.
+// lostClients reports whether the canary has lost its clients, and records that in the statistics. A canary has lost
+// its clients if it gets less than lostMaxFraction of the requests expected at the baseline's rate, provided that at
+// least lostMinExpected requests are expected and that the canary has run for lostMinDuration and
+// Settings.MinDuration. The check is necessary because requests that do not reach the canary change neither its
+// served nor its failed ratio.
 func (a *Analysis) lostClients() bool {
 	expected := a.baseline.requestRate() * float64(a.canary.duration)
 	tooFewRequests := expected >= lostMinExpected && a.canary.requests < lostMaxFraction*expected
@@ -123,10 +125,10 @@
 	return true
 }
 
-// Bounds of a severe harm, which needs no Settings.MinDuration.
+// Bounds of severe harm, which is reported even before Settings.MinDuration.
 const (
-	severeMinRequests = 20  // of the canary
-	severeHarm        = 0.5 // difference of the ratios
+	severeMinRequests = 20  // minimum number of requests of the canary
+	severeHarm        = 0.5 // difference of the ratios that must be exceeded
 )
 
 // harmed reports whether the harm in the statistics is certain and beyond Settings.HarmMargin. Before
@@ -138,12 +140,14 @@
 	return certain && (severe || a.canary.duration >= a.settings.MinDuration)
 }
 
-// minCalmDivisor gives the part of the required duration that must be without a surge for an analysis to conclude.
+// minCalmDivisor is the divisor of the required duration that gives the minimum time without a surge: an analysis with
+// less time without a surge is not concluded.
 const minCalmDivisor = 2
 
 // concludeOrExtend ends an analysis that has run for its required duration, or extends it by Settings.Duration, at most
-// Settings.MaxExtensions times. It is extended if the harm is beyond Settings.HarmMargin without being certain. It
-// starts anew if most of it was a surge of demand. harm is the larger difference of the two ratios.
+// Settings.MaxExtensions times. It is extended if the harm exceeds Settings.HarmMargin but is not certain. The samples
+// of the canary are discarded and collected again if most of the time was a surge of demand. harm is the larger harm of
+// the two metrics.
 func (a *Analysis) concludeOrExtend(harm float64) {
 	mostlySurge := a.calmDuration < a.requiredDuration/minCalmDivisor
 	harmUncertain := a.baseline.requests > 0 && harm > a.settings.HarmMargin
@@ -152,7 +156,7 @@
 		a.verdict = Passed
 	case a.extensions >= a.settings.MaxExtensions:
 		a.verdict = Inconclusive
-	case mostlySurge: // the surge may end
+	case mostlySurge: // collect new samples, since the surge may end
 		a.extensions++
 		a.canary = arm{}
 		a.calmDuration = 0
@@ -163,32 +167,33 @@
 	}
 }
 
-// surgeSlack is the number of standard deviations by which the recent requests must exceed their bound to be a surge.
+// surgeSlack is the number of standard deviations by which the recent requests must exceed their expected maximum to
+// count as a surge.
 const surgeSlack = 3.0
 
-// observeSurge adds the requests of a slot, and reports whether the canary's demand is a surge: whether the requests of
-// the latest slots exceed Settings.MaxDemandRatio times the baseline's rate by more than chance. During a surge less
-// service is expected and no harm.
+// observeSurge adds the requests of a slot of the canary, and reports whether its demand is a surge. A surge means that
+// the requests in the latest slots exceed Settings.MaxDemandRatio times the baseline's rate by more than chance
+// explains. A lower served ratio is expected during a surge, and is not harm.
 func (a *Analysis) observeSurge(sample *Sample) bool {
 	recent, slots := a.canary.observeRequests(sample.Requests)
 	bound := a.settings.MaxDemandRatio * a.baseline.requestRate() * float64(sample.Duration) * float64(slots)
 	return a.baseline.requests > 0 && recent > bound+surgeSlack*math.Sqrt(bound)
 }
 
-// The signs of a metric: whether a lower or a higher ratio of the canary is harm.
+// The sign of a metric states whether a lower or a higher ratio of the canary is harm.
 const (
 	lessIsWorse = -1
 	moreIsWorse = 1
 )
 
-// comparison is the harm of the canary in a metric.
+// comparison is the harm of the canary in one metric.
 type comparison struct {
-	harm       float64 // difference of the means; positive if the canary is worse
-	lowerBound float64 // of harm, at all times, with a probability of 1 - Settings.Alpha/2
+	harm       float64 // difference of the mean ratios; positive if the canary is worse
+	lowerBound float64 // lower confidence bound of harm; valid at all times with probability 1 - Settings.Alpha/2
 }
 
-// compare compares a metric of baseline and canary. Both metrics together have the error probability Settings.Alpha, so
-// each has half of it.
+// compare compares one metric of the canary with that of the baseline. The two metrics share the error probability
+// Settings.Alpha, so each comparison uses half of it. sign is lessIsWorse or moreIsWorse.
 func (a *Analysis) compare(baseline, canary *ratioSeries, sign float64) comparison {
 	reference := &baseline.perSlot
 	tested := &canary.perSlot
@@ -196,8 +201,8 @@
 		return comparison{}
 	}
 	harm := sign * (tested.mean() - reference.mean())
-	// Slots without a failure have no variance, and yet prove little: the variance is never less than that of as many
-	// independent requests, with one failed and one successful request added.
+	// Slots without any failure have no variance, but a small number of them proves little. The variance is therefore
+	// at least that of the same number of independent requests, with one failed and one successful request added.
 	totalRequests := a.baseline.requests + a.canary.requests
 	pooledRatio := (reference.mean()*a.baseline.requests + tested.mean()*a.canary.requests + 1) / (totalRequests + 2)
 	pooledRatio = min(max(pooledRatio, 1/(totalRequests+2)), 1-1/(totalRequests+2))
--- a/internal/decide/canary/canary_test.go
+++ b/internal/decide/canary/canary_test.go
@@ -11,28 +11,28 @@
 	"dunlinsail/internal/monotime"
 )
 
-// slot is the duration of a sample, in microseconds.
+// slotDuration is the duration of a sample, in microseconds.
 const slotDuration = 250_000
 
 var testSettings = Settings{Duration: 30_000_000, MinDuration: 2_000_000, HarmMargin: 0.01, Alpha: 0.01}
 
-// trafficSource draws samples with a request rate and a fraction of requests that is not served, which varies by spells
-// of several slots.
+// trafficSource draws random samples with a given request rate and a given fraction of requests that are not served.
+// That fraction varies between spells, each of several consecutive slots, so that failures are correlated.
 type trafficSource struct {
 	rng              *rand.Rand
-	requestRate      float64 // a second
-	unservedFraction float64
-	spellVariation   float64 // standard deviation of the logarithm of correlation
-	failedFraction   float64 // of the requests that are not served; the others are rejected
-	spellFactor      float64 // factor of unservedFraction in the present spell
-	spellSlotsLeft   int     // of the present spell
+	requestRate      float64 // requests per second
+	unservedFraction float64 // mean fraction of the requests that are not served
+	spellVariation   float64 // standard deviation of the logarithm of spellFactor
+	failedFraction   float64 // fraction of the unserved requests that fail; the others are rejected
+	spellFactor      float64 // factor of unservedFraction in the current spell
+	spellSlotsLeft   int     // slots that the current spell still lasts
 }
 
-// sample draws the sample of the next slot.
+// nextSample draws the sample of the next slot.
 func (x *trafficSource) nextSample() Sample {
 	s := Sample{Duration: slotDuration}
 	requestCount := int(x.requestRate*float64(slotDuration)/1e6 + x.rng.Float64())
-	if x.spellSlotsLeft--; x.spellSlotsLeft <= 0 { // spells of a second or so
+	if x.spellSlotsLeft--; x.spellSlotsLeft <= 0 { // a spell lasts 1..8 slots, about one second
 		x.spellSlotsLeft = 1 + x.rng.IntN(8)
 		x.spellFactor = math.Exp(x.spellVariation*x.rng.NormFloat64() - x.spellVariation*x.spellVariation/2)
 	}
@@ -49,7 +49,7 @@
 	return s
 }
 
-// runToVerdict adds samples of the canary until there is a verdict.
+// runToVerdict adds 240 samples of the baseline, and then samples of the canary until the verdict is final.
 func runToVerdict(t *testing.T, settings Settings, baseline, canary *trafficSource) (Verdict, Statistics) {
 	t.Helper()
 	analysis, err := NewAnalysis(settings)
@@ -68,16 +68,16 @@
 	panic("unreachable")
 }
 
-// A canary that is no worse is hardly ever found degraded, however much its service varies. A harm beyond the margin is
-// found, the larger the sooner.
+// A canary that is as good as its baseline is rarely found degraded, however much its served ratio varies. Harm beyond
+// the margin is found, and the sooner the larger it is.
 func TestHarmIsFoundAndNoiseIsNot(t *testing.T) {
 	const trials = 400
 	for _, tc := range []struct {
 		name                             string
 		requestRate, unserved, variation float64
-		harm                             float64         // added to bad
-		minDegraded, maxDegraded         float64         // fraction of trials found degraded
-		maxMedianTime                    monotime.Micros // median time until found degraded
+		harm                             float64         // added to the unserved fraction of the canary
+		minDegraded, maxDegraded         float64         // bounds of the fraction of trials found degraded
+		maxMedianTime                    monotime.Micros // maximum of the median time until found degraded
 	}{
 		{name: "all goes well", requestRate: 100, unserved: 0, maxDegraded: 0.02},
 		{name: "few fail", requestRate: 200, unserved: 0.005, maxDegraded: 0.02},
@@ -133,7 +133,8 @@
 	return values[len(values)/2]
 }
 
-// During a surge of demand less service is no harm, and failures are. The analysis goes on until a surge ends.
+// During a surge of demand, a lower served ratio is not harm, but failures are. The analysis is extended until the
+// surge ends.
 func TestSurgeOfDemand(t *testing.T) {
 	settings := testSettings
 	settings.MaxExtensions = 2
@@ -173,7 +174,7 @@
 	}
 }
 
-// Without a baseline no canary is degraded. A final verdict does not change.
+// A canary is never found degraded if there are no samples of the baseline. A final verdict does not change.
 func TestWithoutBaseline(t *testing.T) {
 	analysis, err := NewAnalysis(testSettings)
 	if err != nil {
@@ -200,8 +201,8 @@
 	}
 }
 
-// For any samples the statistics are numbers, there is a verdict after the duration and its extensions, a certain harm
-// is beyond the margin, and a difference within the margin is never harm.
+// For any samples, the statistics are finite, the verdict is final after the duration and its extensions, and a
+// canary is found degraded only if the harm exceeds the margin and its lower bound is positive.
 func TestAnySamples(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{
@@ -247,7 +248,7 @@
 	}
 }
 
-// requireFinite ends the test if a statistic is infinite or not a number.
+// requireFinite fails the test if one of the statistics is infinite or not a number.
 func requireFinite(t *rapid.T, statistics Statistics) {
 	t.Helper()
 	for _, value := range []float64{
@@ -282,7 +283,8 @@
 	}
 }
 
-// A canary that hardly gets any requests has lost its clients, which is harm. A single slot with few requests is not.
+// A canary that gets hardly any requests has lost its clients, and is found degraded. Single slots with few requests
+// are not harm.
 func TestLostClients(t *testing.T) {
 	baseline := make([]Sample, 40)
 	for i := range baseline {
@@ -315,16 +317,17 @@
 	}
 }
 
-// An analysis whose harm is not certain is extended: little traffic does not prove that a canary is as good.
+// An analysis with possible but uncertain harm is extended: little traffic does not prove that a canary is as good as
+// its baseline.
 func TestLittleTrafficIsExtended(t *testing.T) {
 	baseline := make([]Sample, 40)
 	for i := range baseline {
 		baseline[i] = Sample{Duration: 250_000, OfferedWeight: 2, ServedWeight: 2, Requests: 2}
 	}
 	for _, tc := range []struct {
-		servedFraction  float64 // served
+		servedFraction  float64 // fraction of the requests that the canary serves
 		expectedVerdict Verdict
-		minSlots        int // until the verdict
+		minSlots        int // minimum number of slots until the verdict
 	}{{1, Passed, 8}, {0.5, Degraded, 4}, {0.99, Inconclusive, 32}} {
 		analysis, err := NewAnalysis(Settings{
 			Duration:      2_000_000,
--- a/internal/decide/canary/ratio.go
+++ b/internal/decide/canary/ratio.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// batchSlots is the number of slots in a batch. Correlation between slots is detected within that span.
+// batchSlots is the number of slots in a batch. Correlation between slots is detected if it spans at most one batch.
 const batchSlots = 8
 
-// ratioSeries accumulates a ratio of two sums, slot by slot and batch by batch.
+// ratioSeries accumulates the numerator and denominator of a ratio, for each slot and for each batch of slots.
 type ratioSeries struct {
 	perSlot  ratioMoments
 	perBatch ratioMoments
 
-	batchNumerator   float64 // sum of the present batch
-	batchDenominator float64 // sum of the present batch
-	slotsInBatch     int     // slots in the present batch
+	batchNumerator   float64 // sum of the numerators in the current batch
+	batchDenominator float64 // sum of the denominators in the current batch
+	slotsInBatch     int     // number of slots added to the current batch
 }
 
-// add accumulates a slot. One with denominator 0 counts only as a part of its batch.
+// add accumulates a slot. A slot with denominator 0 counts only as a part of its batch.
 func (s *ratioSeries) add(numerator, denominator float64) {
 	if denominator > 0 {
 		s.perSlot.add(numerator, denominator)
@@ -34,11 +34,12 @@
 	s.slotsInBatch = 0
 }
 
-// minBatches is the smallest number of batches whose variance is used.
+// minBatches is the number of batches that varianceInflation needs for an estimate.
 const minBatches = 4
 
-// varianceInflation returns the ratio of the mean's variance to its variance if slots were independent, in
-// 1..batchSlots: that of batches to that of slots.
+// varianceInflation returns the factor by which correlation between slots increases the variance of the mean,
+// compared with independent slots. It is estimated as the variance of the mean computed from batches, divided by the
+// one computed from slots, and limited to 1..batchSlots.
 func (s *ratioSeries) varianceInflation() float64 {
 	slotVariance := s.perSlot.variance()
 	batchVariance := s.perBatch.variance()
@@ -49,14 +50,14 @@
 	return min(max(1, inflation), batchSlots)
 }
 
-// ratioMoments accumulates the moments of a ratio of two sums.
+// ratioMoments accumulates the moments of a ratio from observations of its numerator and denominator.
 type ratioMoments struct {
-	count         float64
-	numerator     float64 // sum
-	denominator   float64 // sum
-	numeratorSq   float64 // sum of squares
+	count         float64 // number of observations
+	numerator     float64 // sum of numerators
+	denominator   float64 // sum of denominators
+	numeratorSq   float64 // sum of squared numerators
 	product       float64 // sum of numerator times denominator
-	denominatorSq float64 // sum of squares
+	denominatorSq float64 // sum of squared denominators
 }
 
 // add accumulates an observation.
@@ -69,7 +70,7 @@
 	r.denominatorSq += denominator * denominator
 }
 
-// mean returns the ratio of the sums, 0 if there is none.
+// mean returns the sum of the numerators divided by the sum of the denominators, 0 if the latter is 0.
 func (r *ratioMoments) mean() float64 {
 	if r.denominator <= 0 {
 		return 0
@@ -77,8 +78,9 @@
 	return r.numerator / r.denominator
 }
 
-// variance returns the variance of one observation's ratio: that of the residuals numerator - mean·denominator,
-// divided by the square of the mean denominator (Cochran, "Sampling Techniques", 3rd ed., section 2.11).
+// variance returns the variance of the ratio of one observation. It is the variance of the residuals numerator -
+// mean·denominator, divided by the square of the mean denominator (Cochran, "Sampling Techniques", 3rd ed., section
+// 2.11).
 func (r *ratioMoments) variance() float64 {
 	if r.count < 2 || r.denominator <= 0 {
 		return 0
@@ -89,12 +91,12 @@
 	return max(0, residuals/(r.count-1)/(meanDenominator*meanDenominator))
 }
 
-// rho sets the number of slots at which the confidence sequence is tightest, which is
+// rho sets the number of slots at which the confidence sequence is tightest. That number is
 // (-log α² + log(-2 log α² + 1))/ρ² (Waudby-Smith et al., section B.2): about 135 for a Settings.Alpha of 0.01.
 const rho = 0.3
 
-// confidenceHalfWidth returns the one-sided width of the confidence sequence with error probability alpha after n
-// slots, in standard deviations of one slot.
+// confidenceHalfWidth returns the distance between the mean and the one-sided confidence bound with error probability
+// alpha after the given number of slots, in standard deviations of one slot.
 func confidenceHalfWidth(slots, alpha float64) float64 {
 	if slots < 2 {
 		return math.Inf(1)
--- a/internal/decide/canary/sample.go
+++ b/internal/decide/canary/sample.go
@@ -2,27 +2,27 @@
 
 import "dunlinsail/internal/monotime"
 
-// Sample is the sum of the requests that ended in one slot.
+// Sample summarizes the requests that ended in one time slot.
 type Sample struct {
-	Duration      monotime.Micros // of the slot
+	Duration      monotime.Micros // length of the slot
 	OfferedWeight float64         // sum of the requests' priority weights
-	ServedWeight  float64         // sum of the priority weights of those served within the latency objective
+	ServedWeight  float64         // sum of the priority weights of requests served within the latency objective
 	Requests      int64
-	Failed        int64 // requests that ended with an error or too late; rejected ones do not count
+	Failed        int64 // requests that ended with an error or too late, without rejected requests
 }
 
-// arm accumulates the samples of one side of the comparison.
+// arm accumulates the samples of one side of the comparison: of the baseline or of the canary.
 type arm struct {
 	duration       monotime.Micros
 	requests       float64
-	recentRequests [batchSlots]float64 // ring of the latest slots' requests
+	recentRequests [batchSlots]float64 // ring buffer: number of requests in each of the latest slots
 	slots          int                 // number of slots added to recentRequests
 
-	service  ratioSeries // of served weight to offered weight
-	failures ratioSeries // of failed requests to requests
+	service  ratioSeries // ratio of served weight to offered weight
+	failures ratioSeries // ratio of failed requests to all requests
 }
 
-// add accumulates a sample. During a surge of demand its service does not count.
+// add accumulates a sample. Its served and offered weights are ignored if its slot is part of a surge of demand.
 func (a *arm) add(sample *Sample, surge bool) {
 	a.duration += sample.Duration
 	a.requests += float64(sample.Requests)
@@ -32,7 +32,7 @@
 	}
 }
 
-// requestRate returns the mean request rate, in requests a microsecond.
+// requestRate returns the mean request rate, in requests per microsecond.
 func (a *arm) requestRate() float64 {
 	if a.duration <= 0 {
 		return 0
@@ -40,7 +40,8 @@
 	return a.requests / float64(a.duration)
 }
 
-// observeRequests adds a slot's requests to the ring, and returns the ring's sum and the number of slots in it.
+// observeRequests adds the number of requests in a slot to recentRequests. It returns the sum over recentRequests and
+// the number of slots that it covers.
 func (a *arm) observeRequests(requests int64) (sum float64, slots int) {
 	a.recentRequests[a.slots%batchSlots] = float64(requests)
 	a.slots++
--- a/internal/decide/canary/settings.go
+++ b/internal/decide/canary/settings.go
@@ -8,18 +8,20 @@
 
 // Settings configure an Analysis.
 type Settings struct {
-	// Duration is the time after which a canary that was not found degraded has passed. It must be positive.
+	// Duration is the time after which a canary passes if it was not found degraded. It must be positive.
 	Duration monotime.Micros
-	// MinDuration is the time before which a canary is found degraded only if the harm is severe, in 0..Duration.
+	// MinDuration is the initial time during which a canary is found degraded only if its harm is severe, in
+	// 0..Duration.
 	MinDuration monotime.Micros
-	// HarmMargin is the largest difference to the baseline's ratio that is no harm, however certain it is, in 0..1, and
-	// not 1.
+	// HarmMargin is the largest difference between the ratios of canary and baseline that is tolerated, even if it is
+	// certain. It must be at least 0 and less than 1.
 	HarmMargin float64
-	// Alpha is the probability with which a canary that is as good as its baseline is ever found degraded, between 0
-	// and 0.5.
+	// Alpha is the probability that a canary that is as good as its baseline is found degraded at any time. It must be
+	// between 0 and 0.5, exclusive.
 	Alpha float64
-	// MaxDemandRatio bounds the canary's request rate, in multiples of the baseline's: at a higher rate, less service
-	// is no harm. It must be at least 1; 0 is defaultMaxDemandRatio.
+	// MaxDemandRatio is the ratio of the canary's request rate to the baseline's rate above which the canary's demand
+	// is a surge. During a surge a lower served ratio is not counted as harm. It must be at least 1; 0 stands for
+	// defaultMaxDemandRatio.
 	MaxDemandRatio float64
 	// MaxExtensions is the number of times that an inconclusive analysis is extended by Duration, in
 	// 0..maxExtensionsLimit.
@@ -27,15 +29,15 @@
 }
 
 const (
-	// defaultMaxDemandRatio is the value of Settings.MaxDemandRatio if that is 0.
+	// defaultMaxDemandRatio is used if Settings.MaxDemandRatio is 0.
 	defaultMaxDemandRatio = 1.5
 	// maxExtensionsLimit is the largest value of Settings.MaxExtensions.
 	maxExtensionsLimit = 100
-	// alphaLimit is the value that Settings.Alpha must be less than: at 0.5 a coin would decide as well.
+	// alphaLimit is the exclusive upper bound of Settings.Alpha. With 0.5 a coin toss would decide as well.
 	alphaLimit = 0.5
 )
 
-// Validate returns an error that names the first setting out of its range.
+// Validate returns an error that names the first setting that is out of its range, nil if all are valid.
 func (s Settings) Validate() error {
 	switch {
 	case s.Duration <= 0:
--- a/internal/decide/canary/verdict.go
+++ b/internal/decide/canary/verdict.go
@@ -12,39 +12,39 @@
 // The verdicts. All except Undecided are final.
 const (
 	Undecided    Verdict = iota
-	Passed               // the canary has run for the required duration without a harm beyond the margin
+	Passed               // the canary has run for the required duration without harm beyond Settings.HarmMargin
 	Degraded             // the canary is worse than the baseline, or has lost its clients
-	Inconclusive         // after all extensions the harm is not certain, or demand was mostly a surge
+	Inconclusive         // after all extensions, harm is uncertain, or demand was mostly a surge
 )
 
 var verdictNames = [...]string{"undecided", "passed", "degraded", "inconclusive"}
 
-// String returns the verdict's name for people.
+// String returns the human-readable name of the verdict.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Metric is a quantity by which baseline and canary are compared.
+// Metric is a quantity that is compared between baseline and canary.
 type Metric string
 
 // The metrics.
 const (
 	MetricService  Metric = "service"  // ratio of served weight to offered weight
-	MetricFailures Metric = "failures" // ratio of failed requests to requests
-	MetricDemand   Metric = "demand"   // request rate
+	MetricFailures Metric = "failures" // ratio of failed requests to all requests
+	MetricDemand   Metric = "demand"   // request rate; reported if the canary has lost its clients
 )
 
-// Statistics are the basis of a verdict. Arrays have the baseline's value first, then the canary's.
+// Statistics are the numbers on which a verdict is based. In arrays, index 0 is the baseline and index 1 the canary.
 type Statistics struct {
 	Service        [2]float64      // ratio of served weight to offered weight
-	Failures       [2]float64      // ratio of failed requests to requests
-	RequestRate    [2]float64      // requests a second
-	Harm           float64         // difference in Metric; positive if the canary is worse
-	HarmLowerBound float64         // of Harm, at all times, with a probability of 1 - Settings.Alpha
-	Metric         Metric          // the one with the more certain harm
-	Duration       monotime.Micros // of the canary
-	Requests       int64           // of the canary
+	Failures       [2]float64      // ratio of failed requests to all requests
+	RequestRate    [2]float64      // requests per second
+	Harm           float64         // difference between canary and baseline in Metric; positive if the canary is worse
+	HarmLowerBound float64         // of Harm; valid at all times with probability 1 - Settings.Alpha
+	Metric         Metric          // the metric whose harm has the higher lower bound
+	Duration       monotime.Micros // time that the canary has run
+	Requests       int64           // number of requests of the canary
 }
 
-// Text returns the statistics as one line for people. It is part of NACKs, so its wording never changes.
+// Text returns the statistics as one human-readable line. The line is part of NACKs, so its wording must not change.
 func (s *Statistics) Text() string {
 	const format = "service %.4f before, %.4f in %.1f s of trial; failures %.4f before, %.4f; " +
 		"requests a second %.0f before, %.0f (%d in all)"
