--- a/internal/decide/canary/analysis.go
+++ b/internal/decide/canary/analysis.go
@@ -134,9 +134,9 @@
 // harmed reports whether the harm in the statistics is certain and beyond Settings.HarmMargin. Before
 // Settings.MinDuration it must also be severe.
 func (a *Analysis) harmed() bool {
-	s := &a.statistics
-	certain := s.HarmLowerBound > 0 && s.Harm > a.settings.HarmMargin
-	severe := a.canary.requests >= severeMinRequests && s.Harm > severeHarm
+	stats := &a.statistics
+	certain := stats.HarmLowerBound > 0 && stats.Harm > a.settings.HarmMargin
+	severe := a.canary.requests >= severeMinRequests && stats.Harm > severeHarm
 	return certain && (severe || a.canary.duration >= a.settings.MinDuration)
 }
 
--- a/internal/decide/canary/canary_test.go
+++ b/internal/decide/canary/canary_test.go
@@ -29,24 +29,25 @@
 }
 
 // nextSample draws the sample of the next slot.
-func (x *trafficSource) nextSample() Sample {
-	s := Sample{Duration: slotDuration}
-	requestCount := int(x.requestRate*float64(slotDuration)/1e6 + x.rng.Float64())
-	if x.spellSlotsLeft--; x.spellSlotsLeft <= 0 { // a spell lasts 1..8 slots, about one second
-		x.spellSlotsLeft = 1 + x.rng.IntN(8)
-		x.spellFactor = math.Exp(x.spellVariation*x.rng.NormFloat64() - x.spellVariation*x.spellVariation/2)
+func (source *trafficSource) nextSample() Sample {
+	sample := Sample{Duration: slotDuration}
+	requestCount := int(source.requestRate*float64(slotDuration)/1e6 + source.rng.Float64())
+	if source.spellSlotsLeft--; source.spellSlotsLeft <= 0 { // a spell lasts 1..8 slots, about one second
+		source.spellSlotsLeft = 1 + source.rng.IntN(8)
+		source.spellFactor = math.Exp(source.spellVariation*source.rng.NormFloat64() -
+			source.spellVariation*source.spellVariation/2)
 	}
 	for range requestCount {
-		weight := []float64{1, 2, 3, 5}[x.rng.IntN(4)]
-		s.Requests++
-		s.OfferedWeight += weight
-		if x.rng.Float64() >= x.unservedFraction*x.spellFactor {
-			s.ServedWeight += weight
-		} else if x.rng.Float64() < x.failedFraction {
-			s.Failed++
+		weight := []float64{1, 2, 3, 5}[source.rng.IntN(4)]
+		sample.Requests++
+		sample.OfferedWeight += weight
+		if source.rng.Float64() >= source.unservedFraction*source.spellFactor {
+			sample.ServedWeight += weight
+		} else if source.rng.Float64() < source.failedFraction {
+			sample.Failed++
 		}
 	}
-	return s
+	return sample
 }
 
 // runToVerdict adds 240 samples of the baseline, and then samples of the canary until the verdict is final.
--- a/internal/decide/canary/sample.go
+++ b/internal/decide/canary/sample.go
@@ -45,8 +45,8 @@
 func (a *arm) observeRequests(requests int64) (sum float64, slots int) {
 	a.recentRequests[a.slots%batchSlots] = float64(requests)
 	a.slots++
-	for _, n := range a.recentRequests {
-		sum += n
+	for _, slotRequests := range a.recentRequests {
+		sum += slotRequests
 	}
 	return sum, min(a.slots, batchSlots)
 }
--- a/internal/decide/takeover/event.go
+++ b/internal/decide/takeover/event.go
@@ -2,37 +2,39 @@
 
 import "dunlinsail/internal/monotime"
 
-// Version is the version of the messages. A successor with another version is rejected.
+// Version is the version of the messages between predecessor and successor. A successor with another version is
+// rejected.
 const Version = 1
 
-// Times bound the steps. A step that takes longer ends the hot restart with DeadlineReached.
+// Times limits the durations of the steps of a hot restart. A step that takes longer ends with DeadlineReached.
 type Times struct {
-	Ready  monotime.Micros // from Offer to Ready: the successor's start
-	Answer monotime.Micros // from a message to its reply, where that needs no work
-	Drain  monotime.Micros // from Activate to Done, and of a graceful shutdown: remaining connections are closed then
+	Ready  monotime.Micros // from Offer to Ready: the start of the successor
+	Answer monotime.Micros // from a message to its reply, for replies that need no work
+	Drain  monotime.Micros // from Activate to Done, or of a graceful shutdown; remaining connections are then closed
 }
 
-// Event is a message of the other side, or an event of the host. The numbers of the messages are part of the wire form.
+// Event is a message from the other process or an event of the host. The numeric values of the messages are part of the
+// wire format.
 type Event uint8
 
-// The events. An event that is a message has the message's name.
+// The events. An event that is a message has the name of that message.
 const (
 	Hello           Event = iota // the successor requests a hot restart
-	Offer                        // the listening sockets and a snapshot
+	Offer                        // the predecessor sends the listening sockets and a snapshot
 	Ready                        // the successor is able to serve
-	Handover                     // the predecessor has stopped accepting; the final snapshot
+	Handover                     // the predecessor has stopped accepting, and sends the final snapshot
 	Prepared                     // the successor has restored the final snapshot
-	Activate                     // the successor is to serve
+	Activate                     // the successor must start to accept
 	Done                         // the predecessor has no connections left
-	Stopping                     // the successor shuts down: the predecessor must not serve again
-	Rejected                     // the other side rejects the hot restart
-	ConnectionLost               // the connection to the other side has ended without Done or Rejected
-	DeadlineReached              // the instant of Deadline has passed
+	Stopping                     // the successor shuts down, and the predecessor must not serve again
+	Rejected                     // the other process rejects the hot restart
+	ConnectionLost               // the connection to the other process has ended without Done or Rejected
+	DeadlineReached              // the instant that Deadline returns has passed
 	Stop                         // the host was requested to shut down
 	Started                      // Successor: the host is able to serve
-	Drained                      // Predecessor: the host has no connection left, and will get none
+	Drained                      // Predecessor: the host has no connections left, and will get no new ones
 	HandedOver                   // Successor: the host has handed over to its own successor; also a message
-	Resumed                      // Successor: its own successor is lost and it accepts again; also a message
+	Resumed                      // Successor: the host has lost its own successor and accepts again; also a message
 )
 
 var eventNames = [...]string{
@@ -54,28 +56,28 @@
 	Resumed:         "resumed",
 }
 
-// String returns the event's name in logs.
+// String returns the name of the event in logs.
 func (e Event) String() string { return eventNames[e] }
 
-// Action is what a host must do.
+// Action is a kind of work that a Predecessor or Successor requests from its host.
 type Action uint8
 
-// The actions.
+// The actions. Comments that start with Predecessor or Successor are of actions that only that state machine requests.
 const (
-	Send                Action = iota // the message that Step names
-	Disconnect                        // close the connection to the other side
+	Send                Action = iota // send the message of the step
+	Disconnect                        // close the connection to the other process
 	StopAccepting                     // Predecessor: stop accepting, and leave the warm-up budget to the successor
 	ResumeServing                     // Predecessor: accept again, and take the warm-up budget back
-	HandOverConnections               // Predecessor: hand connections over as they become idle
+	HandOverConnections               // Predecessor: hand over client connections as they become idle
 	Drain                             // Predecessor: shut down gracefully, without a successor
-	DrainForSuccessor                 // Predecessor: as Drain, but another process accepts
-	CloseRemaining                    // Predecessor: close what is still open
+	DrainForSuccessor                 // Predecessor: shut down gracefully while another process accepts
+	CloseRemaining                    // Predecessor: close the connections that are still open
 	Exit                              // end the process
 	StartWithOffer                    // Successor: start with the sockets and the snapshot of Offer
 	RestoreState                      // Successor: restore the snapshot of Handover
-	StartServing                      // Successor: serve
+	StartServing                      // Successor: start to accept connections
 	StartAlone                        // Successor: start without a predecessor
-	Fail                              // Successor: end the process, which has taken nothing over
+	Fail                              // Successor: end the process, which has not taken over anything
 )
 
 var actionNames = [...]string{
@@ -95,20 +97,20 @@
 	Fail:                "fail",
 }
 
-// String returns the action's name in logs.
+// String returns the name of the action in logs.
 func (a Action) String() string { return actionNames[a] }
 
-// Step is one action.
+// Step is one action with its operands.
 type Step struct {
 	Action  Action
-	Message Event  // of Send
-	Reason  string // of Send Rejected and of Fail
+	Message Event  // message of a Send
+	Reason  string // reason of a Fail, or of a Send of Rejected
 }
 
-// send returns the step that sends a message.
+// sendMessage returns the step that sends a message to the other process.
 func sendMessage(message Event) Step { return Step{Action: Send, Message: message} }
 
-// rejectAndDisconnect returns the steps that reject the hot restart and end the connection.
+// rejectAndDisconnect returns the steps that reject the hot restart and close the connection.
 func rejectAndDisconnect(reason string) []Step {
 	return []Step{{Action: Send, Message: Rejected, Reason: reason}, {Action: Disconnect}}
 }
--- a/internal/decide/takeover/predecessor.go
+++ b/internal/decide/takeover/predecessor.go
@@ -7,41 +7,44 @@
 
 const (
 	serving     predecessorState = iota
-	offered                      // to a successor that is starting
+	offered                      // Offer is sent to a successor, which is starting
 	paused                       // no process accepts; the successor restores the final snapshot
-	handingOver                  // the successor accepts; connections are handed over
+	handingOver                  // the successor accepts; client connections are handed over to it
 	draining                     // graceful shutdown without a connection to a successor
 	exited
 )
 
 var predecessorStateNames = [...]string{"serving", "offered", "paused", "handing over", "draining", "exited"}
 
-// Predecessor is the process that serves. The zero value with Times set serves.
+// Predecessor is the state machine of the process that serves when a hot restart starts. A value with only Times set is
+// serving.
 type Predecessor struct {
 	Times Times
 
 	progress[predecessorState]
-	stopping            bool // after Stop: it does not serve again, whether or not the successor does
-	successorHandedOver bool // the successor has a successor of its own, which accepts
+	stopping            bool // Stop or Stopping was received: this process must not serve again
+	successorHandedOver bool // the successor has handed over to its own successor, which accepts
 }
 
-// String returns the state's name in logs.
+// String returns the name of the state in logs.
 func (p *Predecessor) String() string { return predecessorStateNames[p.state] }
 
-// HandingOver reports whether a hot restart or a shutdown is in progress: another successor is rejected.
+// HandingOver reports whether a hot restart or a shutdown is in progress. Another successor is then rejected.
 func (p *Predecessor) HandingOver() bool { return p.state != serving }
 
 // Draining reports whether a graceful shutdown without a connection to a successor is in progress.
 func (p *Predecessor) Draining() bool { return p.state == draining }
 
-// MessageAtHand takes into account that a message of the successor has arrived and is not handled yet. It reports
-// whether a deadline that has passed is postponed for it, once in a state: this process may have been stopped before.
+// MessageAtHand postpones a deadline that has passed, and reports whether it did, at most once per state. The host
+// calls it if a message from the successor has arrived and is not handled yet: the deadline may have passed only
+// because this process was suspended for a while.
 func (p *Predecessor) MessageAtHand(now monotime.Micros) bool {
 	awaitsMessage := p.state == offered || p.state == paused
 	return awaitsMessage && p.postpone(now, p.Times.Answer)
 }
 
-// Step handles an event and returns the steps to carry out. Events that are not expected in a state are ignored.
+// Step handles an event and returns the steps to execute. Events that are not expected in the current state are
+// ignored.
 func (p *Predecessor) Step(now monotime.Micros, event Event) []Step {
 	if p.isStale(now, event) {
 		return nil
@@ -80,7 +83,7 @@
 		p.transition(paused, now+p.Times.Answer)
 		return []Step{{Action: StopAccepting}, sendMessage(Handover)}
 	case Stop:
-		// The successor has the sockets, so clients that connect wait for it. Its deadline to start stays the same.
+		// The successor has the sockets, so new connections wait for it. The deadline for its start does not change.
 		p.stopping = true
 		p.transition(paused, p.deadline)
 		return []Step{{Action: StopAccepting}, sendMessage(Handover)}
@@ -106,7 +109,7 @@
 		return append([]Step{{Action: Disconnect}}, p.resume(now)...)
 	case DeadlineReached:
 		if p.stopping {
-			// The successor has the sockets and is the only process that will serve: it is not rejected.
+			// The successor is not rejected: it has the sockets and is the only process that will serve.
 			return append([]Step{{Action: Disconnect}}, p.resume(now)...)
 		}
 		return append(rejectAndDisconnect("no answer in time"), p.resume(now)...)
@@ -125,7 +128,7 @@
 	case Stop:
 		p.stopping = true
 	case Stopping:
-		// No process is to serve any more. The deadline of the connections here stays the same.
+		// Both processes shut down. The deadline for the remaining connections of this process does not change.
 		p.stopping = true
 		p.transition(draining, p.deadline)
 		return []Step{{Action: Disconnect}, {Action: Drain}}
@@ -146,7 +149,7 @@
 func (p *Predecessor) whileDraining(event Event) []Step {
 	switch event {
 	case Hello:
-		return []Step{{Action: Disconnect}} // there is nothing to take over: the new process starts alone
+		return []Step{{Action: Disconnect}} // nothing is left to take over, so the new process starts alone
 	case Drained:
 		p.transition(exited, 0)
 		return []Step{{Action: Exit}}
@@ -157,7 +160,7 @@
 	return nil
 }
 
-// resume serves again after the loss of a successor to which everything was left, or shuts down after a Stop.
+// resume makes this process serve again after it has lost its successor, or shut down if stopping is set.
 func (p *Predecessor) resume(now monotime.Micros) []Step {
 	if p.stopping {
 		p.transition(draining, now+p.Times.Drain)
--- a/internal/decide/takeover/successor.go
+++ b/internal/decide/takeover/successor.go
@@ -10,12 +10,12 @@
 type successorState uint8
 
 const (
-	requesting successorState = iota // Hello is sent
-	starting                         // the host starts with the offer
+	requesting successorState = iota // Hello is sent, Offer is awaited
+	starting                         // Offer is received, and the host is starting
 	ready                            // Ready is sent, Handover is awaited
 	prepared                         // Prepared is sent, Activate is awaited
-	accepting                        // it serves; the predecessor may still hand connections over
-	alone                            // it serves; there is no predecessor
+	accepting                        // the successor accepts; the predecessor may still hand over connections
+	alone                            // the successor accepts without a predecessor
 	failed
 )
 
@@ -23,15 +23,15 @@
 	"requesting", "starting", "ready", "prepared", "accepting", "alone", "failed",
 }
 
-// Successor is the process that takes over. The zero value with Times set has not started: call Connected, or
-// ServeAlone if there is no predecessor.
+// Successor is the state machine of the process that takes over. It must be started by Connected, or by ServeAlone if
+// there is no predecessor.
 type Successor struct {
 	Times Times
 
-	// OwnsSockets is set if the successor has its own listening sockets. It then does not fail if the predecessor
-	// rejects or misses a deadline, but continues with what it has received so far. A predecessor that hangs may
-	// recover and serve at the same time for a moment; the warm-up budget is then spent by both, unless the
-	// predecessor was requested to shut down.
+	// OwnsSockets is set if the successor has its own listening sockets. Such a successor does not fail if the
+	// predecessor rejects the hot restart or misses a deadline, but continues with what it has received so far. A
+	// predecessor that hangs may recover, so that both processes serve and spend the warm-up budget for a moment,
+	// unless the predecessor was requested to shut down.
 	OwnsSockets bool
 
 	progress[successorState]
@@ -39,33 +39,34 @@
 	predecessorLost  bool // the predecessor ended before the host was able to serve
 }
 
-// String returns the state's name in logs.
+// String returns the name of the state in logs.
 func (s *Successor) String() string { return successorStateNames[s.state] }
 
-// Connected returns the first steps, after the connection to a predecessor is made.
+// Connected starts a hot restart over a new connection to the predecessor, and returns the first steps.
 func (s *Successor) Connected(now monotime.Micros) []Step {
 	s.transition(requesting, now+s.Times.Answer)
 	return []Step{sendMessage(Hello)}
 }
 
-// ServeAlone records that there is no predecessor.
+// ServeAlone makes the successor accept without a hot restart, because there is no predecessor.
 func (s *Successor) ServeAlone() { s.transition(alone, 0) }
 
-// Serving reports whether the successor accepts.
+// Serving reports whether the successor accepts connections.
 func (s *Successor) Serving() bool { return s.state == accepting || s.state == alone }
 
-// ReceivesConnections reports whether the predecessor may still hand connections over.
+// ReceivesConnections reports whether the predecessor may still hand over connections.
 func (s *Successor) ReceivesConnections() bool { return s.state == accepting }
 
-// MessageAtHand takes into account that a message of the predecessor has arrived and is not handled yet. It reports
-// whether a deadline that has passed is postponed for it, once in a state: this process may have been stopped before.
+// MessageAtHand postpones a deadline that has passed, and reports whether it did, at most once per state. The host
+// calls it if a message from the predecessor has arrived and is not handled yet: the deadline may have passed only
+// because this process was suspended for a while.
 func (s *Successor) MessageAtHand(now monotime.Micros) bool {
 	awaitsMessage := s.state == requesting || s.state == ready || s.state == prepared
 	return awaitsMessage && s.postpone(now, s.Times.Answer)
 }
 
-// Step handles an event and returns the steps to carry out; reason is that of Rejected. Events that are not expected in
-// a state are ignored.
+// Step handles an event and returns the steps to execute. Events that are not expected in the current state are
+// ignored. reason is the reason of a Rejected event, and is not used for other events.
 func (s *Successor) Step(now monotime.Micros, event Event, reason string) []Step {
 	if s.isStale(now, event) {
 		return nil
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// abort handles the events that end a hot restart before Activate: the process fails, or proceeds alone if it owns its
-// sockets and was not requested to shut down. After Activate only Stop has an effect.
+// abort handles Stop, Rejected and DeadlineReached. Before Activate they end the hot restart: the process fails, or
+// proceeds alone if it owns its sockets and was not requested to shut down. After Activate only Stop has an effect.
 func (s *Successor) abort(event Event, reason string) []Step {
 	if event == Stop && s.state == accepting {
 		return []Step{sendMessage(Stopping)} // the predecessor still has connections, and must not serve again
@@ -119,7 +120,7 @@
 		s.transition(starting, now+s.Times.Ready)
 		return []Step{{Action: StartWithOffer}}
 	case ConnectionLost:
-		s.transition(alone, 0) // it ended before its Offer
+		s.transition(alone, 0) // the predecessor ended before it sent Offer
 		return []Step{{Action: Disconnect}, {Action: StartAlone}}
 	}
 	return nil
@@ -180,7 +181,7 @@
 	return nil
 }
 
-// proceedAlone continues without the predecessor, with what was received from it so far.
+// proceedAlone continues without the predecessor, using the sockets and snapshots that were received so far.
 func (s *Successor) proceedAlone() []Step {
 	switch s.state {
 	case requesting:
@@ -195,8 +196,8 @@
 	return []Step{{Action: Disconnect}, {Action: StartServing}}
 }
 
-// prepare restores the final snapshot and waits for Activate. Without OwnsSockets there is no deadline: only Activate
-// or the predecessor's end may let the successor accept.
+// prepare returns the steps that restore the final snapshot, and waits for Activate. Without OwnsSockets there is no
+// deadline: only Activate or the end of the predecessor lets the successor accept.
 func (s *Successor) prepare(now monotime.Micros) []Step {
 	s.transition(prepared, 0)
 	if s.OwnsSockets {
--- a/internal/decide/takeover/takeover_test.go
+++ b/internal/decide/takeover/takeover_test.go
@@ -22,40 +22,40 @@
 // process is the simulated host of the predecessor or of the successor.
 type process struct {
 	alive              bool
-	disconnected       bool // it has ended its connection
-	stopRequested      bool // it was requested to shut down
-	accepting          bool
+	disconnected       bool // it has closed its end of the connection
+	stopRequested      bool // Stop was passed to its state machine
+	accepting          bool // it accepts connections
 	spendsWarmupBudget bool // it spends the warm-up budget
-	hasExited          bool
+	hasExited          bool // it ended without being killed
 }
 
-// send puts a message on the outgoing wire, unless the process has disconnected.
+// send adds a message to the outgoing stream, unless the process has disconnected.
 func (p *process) send(outgoing *messageStream, message Event) {
 	if !p.disconnected {
 		outgoing.messages = append(outgoing.messages, message)
 	}
 }
 
-// disconnect ends the connection.
+// disconnect closes the connection.
 func (p *process) disconnect(outgoing *messageStream) {
 	p.disconnected = true
 	outgoing.closed = true
 }
 
-// setServing starts or ends accepting, and spending the warm-up budget.
+// setServing sets whether the process accepts connections and spends the warm-up budget.
 func (p *process) setServing(serving bool) {
 	p.accepting = serving
 	p.spendsWarmupBudget = serving
 }
 
-// exit ends the process by itself.
+// exit ends the process regularly.
 func (p *process) exit(outgoing *messageStream) {
 	p.hasExited = true
 	p.alive = false
 	p.disconnect(outgoing)
 }
 
-// kill ends the process from outside.
+// kill ends the process without a step of its state machine.
 func (p *process) kill(outgoing *messageStream) {
 	p.alive = false
 	p.setServing(false)
@@ -68,19 +68,19 @@
 	successor                            Successor
 	predecessorProcess, successorProcess process
 	toPredecessor, toSuccessor           messageStream
-	successorStarted                     bool // the successor's host is able to serve
-	anyKilled                            bool // one of the two was killed
-	anyDeadlineReached                   bool // a deadline was reached
-	finalStateRestored                   bool // the successor has the final snapshot
-	nextSuccessorServes                  bool // the successor has a successor of its own, which accepts
-	nextSuccessorLost                    bool // that one was lost, once
-	eventPath                            string
+	successorStarted                     bool   // the successor's host is able to serve
+	anyKilled                            bool   // predecessor or successor was killed
+	anyDeadlineReached                   bool   // DeadlineReached was passed to predecessor or successor
+	finalStateRestored                   bool   // the successor has restored the final snapshot
+	nextSuccessorServes                  bool   // a successor of the successor has taken over and accepts
+	nextSuccessorLost                    bool   // a successor of the successor was lost
+	eventPath                            string // names of the events that led to this state
 }
 
-// key identifies the state, apart from the way to it and the time.
+// key returns a string that identifies the state, without the events that led to it and without time.
 func (s systemState) key() string {
 	s.eventPath = ""
-	s.predecessor.deadline = min(1, s.predecessor.deadline) // any time may have passed
+	s.predecessor.deadline = min(1, s.predecessor.deadline) // only whether there is a deadline counts
 	s.successor.deadline = min(1, s.successor.deadline)
 	return fmt.Sprintf("%+v", s)
 }
@@ -155,14 +155,14 @@
 // processAccess gives access to either the predecessor or the successor of a systemState.
 type processAccess struct {
 	name     string
-	deadline monotime.Micros // at present
+	deadline monotime.Micros // current deadline, 0 for none
 	process  func(*systemState) *process
 	incoming func(*systemState) *messageStream
 	outgoing func(*systemState) *messageStream
 	step     func(next *systemState, now monotime.Micros, event Event)
 }
 
-// commonEvents adds the events that may happen at either process.
+// commonEvents adds the states after the events that may happen at predecessor and successor alike.
 func (s systemState) commonEvents(access processAccess, add addNextState) {
 	switch process, incoming := access.process(&s), access.incoming(&s); {
 	case process.disconnected:
@@ -194,7 +194,7 @@
 	})
 }
 
-// predecessorEvents adds the events that may happen at the predecessor.
+// predecessorEvents adds the states after the events that may happen at the predecessor.
 func (s systemState) predecessorEvents(add addNextState) {
 	s.commonEvents(processAccess{
 		name:     "p",
@@ -209,7 +209,7 @@
 	}
 }
 
-// successorEvents adds the events that may happen at the successor.
+// successorEvents adds the states after the events that may happen at the successor.
 func (s systemState) successorEvents(add addNextState) {
 	s.commonEvents(processAccess{
 		name:     "s",
@@ -233,7 +233,8 @@
 	s.nextSuccessorEvents(add)
 }
 
-// nextSuccessorEvents adds the events that may happen between the successor and a successor of its own.
+// nextSuccessorEvents adds the states after the events that may happen between the successor and a successor of its
+// own.
 func (s systemState) nextSuccessorEvents(add addNextState) {
 	if s.successorProcess.accepting && !s.successorProcess.stopRequested && !s.nextSuccessorLost {
 		add("s:hands-over", func(next *systemState) {
@@ -258,28 +259,28 @@
 // successor itself is replaced.
 var exceptionalEvents = []string{"p:stop", "s:stop", "p:killed", "s:killed", "s:hands-over", "s:resumes", "s:ends"}
 
-// exploration visits all states that can be reached.
+// exploration visits every systemState that the events can lead to, breadth first.
 type exploration struct {
 	*testing.T
 	visited map[string]bool
 	queue   []systemState
 
-	finalStates           int // states in which nothing more happens without a fault or a deadline
-	handedOver            int // ends in which the successor serves in place of the predecessor
-	handedToNextSuccessor int // ends in which the successor's successor does
+	settledStates         int // states in which only deadlines and exceptional events can happen
+	handedOver            int // settled states in which the successor serves in place of the predecessor
+	handedToNextSuccessor int // settled states in which the successor's own successor serves
 }
 
-// visit queues a state unless it was seen before.
-func (x *exploration) visit(s systemState) {
-	if key := s.key(); !x.visited[key] {
-		x.visited[key] = true
-		x.queue = append(x.queue, s)
+// visit queues a state unless it was visited before.
+func (search *exploration) visit(s systemState) {
+	if key := s.key(); !search.visited[key] {
+		search.visited[key] = true
+		search.queue = append(search.queue, s)
 	}
 }
 
-// expand visits the states that may follow. quiet reports that without a fault nothing more happens, still that only
-// deadlines do.
-func (x *exploration) expand(s systemState) (terminal, onlyDeadlines bool) {
+// expand visits the states after each event that can happen in s. Exceptional events aside, terminal reports that no
+// event changes the state, and onlyDeadlines that no event except a deadline changes it.
+func (search *exploration) expand(s systemState) (terminal, onlyDeadlines bool) {
 	terminal = true
 	onlyDeadlines = true
 	for _, next := range s.nextStates() {
@@ -288,64 +289,66 @@
 			terminal = false
 			onlyDeadlines = onlyDeadlines && strings.HasSuffix(event, ":deadline")
 		}
-		x.visit(next)
+		search.visit(next)
 	}
 	return terminal, onlyDeadlines
 }
 
-// requireExclusive ends the test if two processes accept, or spend the warm-up budget.
-func (x *exploration) requireExclusive(s *systemState) {
-	x.Helper()
+// requireExclusive fails the test if two processes accept, or if two processes spend the warm-up budget.
+func (search *exploration) requireExclusive(s *systemState) {
+	search.Helper()
 	if s.predecessorProcess.accepting && (s.successorProcess.accepting || s.nextSuccessorServes) {
-		x.Fatalf("two accept after:%s", s.eventPath)
+		search.Fatalf("two accept after:%s", s.eventPath)
 	}
 	if s.predecessorProcess.spendsWarmupBudget && (s.successorProcess.spendsWarmupBudget || s.nextSuccessorServes) {
-		x.Fatalf("two spend the warm-up budget after:%s", s.eventPath)
+		search.Fatalf("two spend the warm-up budget after:%s", s.eventPath)
 	}
 }
 
-// requireServing ends the test if no process serves in an end, unless all that could were stopped or killed.
-func (x *exploration) requireServing(s *systemState) {
-	x.Helper()
-	x.finalStates++
+// requireServing counts a settled state, and fails the test if no process serves in it, unless every process that could
+// serve was killed or requested to shut down.
+func (search *exploration) requireServing(s *systemState) {
+	search.Helper()
+	search.settledStates++
 	switch {
 	case s.successorProcess.accepting && s.finalStateRestored && s.predecessorProcess.hasExited:
-		x.handedOver++
+		search.handedOver++
 	case s.predecessorProcess.accepting || s.successorProcess.accepting || s.nextSuccessorServes:
 		if s.nextSuccessorServes && s.predecessorProcess.hasExited {
-			x.handedToNextSuccessor++
+			search.handedToNextSuccessor++
 		}
 	case s.nextSuccessorLost && !s.successorProcess.alive:
 		// The successor has ended, and so has its own successor.
-	case s.successorProcess.stopRequested: // as requested
+	case s.successorProcess.stopRequested: // no process serves, as requested
 	case s.predecessorProcess.stopRequested && (s.anyKilled || s.anyDeadlineReached):
 		// The predecessor was requested to shut down, and a kill or a deadline ended the hot restart.
 	case !s.predecessorProcess.alive && !s.successorProcess.alive && s.anyKilled: // no process is left
 	default:
-		x.Fatalf("no process serves after:%s\n%+v", s.eventPath, s)
+		search.Fatalf("no process serves after:%s\n%+v", s.eventPath, s)
 	}
 }
 
-// requireNotStuck ends the test if a process waits forever, or no longer serves though it should.
-func (x *exploration) requireNotStuck(s *systemState) {
-	x.Helper()
+// requireNotStuck fails the test if a process waits forever in a terminal state, or does not serve although it should.
+func (search *exploration) requireNotStuck(s *systemState) {
+	search.Helper()
 	predecessor := &s.predecessorProcess
 	successor := &s.successorProcess
 	if predecessor.alive && s.predecessor.HandingOver() {
-		x.Fatalf("the predecessor is stuck while %v after:%s", &s.predecessor, s.eventPath)
+		search.Fatalf("the predecessor is stuck while %v after:%s", &s.predecessor, s.eventPath)
 	}
 	if successor.alive && !successor.accepting && !successor.stopRequested && !s.nextSuccessorServes {
-		x.Fatalf("the successor is stuck while %v after:%s", &s.successor, s.eventPath)
+		search.Fatalf("the successor is stuck while %v after:%s", &s.successor, s.eventPath)
 	}
 	mustServe := !successor.alive && !predecessor.stopRequested && !successor.stopRequested &&
 		!s.nextSuccessorServes && !s.nextSuccessorLost
 	if mustServe && predecessor.alive && !predecessor.accepting {
-		x.Fatalf("the predecessor serves no more after:%s", s.eventPath)
+		search.Fatalf("the predecessor serves no more after:%s", s.eventPath)
 	}
 }
 
-// For any order of kills, stops, deadlines and losses: two processes never accept at once or spend the warm-up budget
-// at once, and in the end one serves, unless both have ended or one was requested to shut down.
+// For any interleaving of messages, kills, shutdown requests, deadlines and lost connections, two processes never
+// accept or spend the warm-up budget at the same time, and in the end a process serves, unless both have ended or one
+// was requested to shut down.
 func TestEveryInterleaving(t *testing.T) {
 	initial := systemState{
 		predecessor:        Predecessor{Times: testTimes},
@@ -354,38 +357,39 @@
 		successorProcess:   process{alive: true},
 	}
 	initial.executeSuccessorSteps(initial.successor.Connected(0))
-	x := exploration{T: t, visited: map[string]bool{}}
-	x.visit(initial)
-	for len(x.queue) > 0 {
-		s := x.queue[0]
-		x.queue = x.queue[1:]
-		x.requireExclusive(&s)
-		terminal, onlyDeadlines := x.expand(s)
+	search := exploration{T: t, visited: map[string]bool{}}
+	search.visit(initial)
+	for len(search.queue) > 0 {
+		s := search.queue[0]
+		search.queue = search.queue[1:]
+		search.requireExclusive(&s)
+		terminal, onlyDeadlines := search.expand(s)
 		if onlyDeadlines {
-			x.requireServing(&s)
+			search.requireServing(&s)
 		}
 		if terminal {
-			x.requireNotStuck(&s)
+			search.requireNotStuck(&s)
 		}
 	}
-	if len(x.visited) < 500 || x.finalStates < 20 || x.handedOver == 0 || x.handedToNextSuccessor == 0 {
+	if len(search.visited) < 500 || search.settledStates < 20 || search.handedOver == 0 ||
+		search.handedToNextSuccessor == 0 {
 		t.Errorf("only %d states, %d ends, %d of them handed over: too little was tried",
-			len(x.visited), x.finalStates, x.handedOver)
+			len(search.visited), search.settledStates, search.handedOver)
 	}
-	t.Logf("%d states, %d ends", len(x.visited), x.finalStates)
+	t.Logf("%d states, %d ends", len(search.visited), search.settledStates)
 }
 
-// A hot restart without faults has these steps, in this order.
+// A hot restart without faults consists of exactly the expected steps, in the expected order.
 func TestHotRestartWithoutFaults(t *testing.T) {
 	predecessor := Predecessor{Times: testTimes}
 	successor := Successor{Times: testTimes}
 	describe := func(steps []Step) string {
 		var b strings.Builder
-		for _, s := range steps {
-			if s.Action == Send {
-				fmt.Fprintf(&b, "send %v ", s.Message)
+		for _, step := range steps {
+			if step.Action == Send {
+				fmt.Fprintf(&b, "send %v ", step.Message)
 			} else {
-				fmt.Fprintf(&b, "%v ", s.Action)
+				fmt.Fprintf(&b, "%v ", step.Action)
 			}
 		}
 		return strings.TrimSpace(b.String())
@@ -414,8 +418,8 @@
 	}
 }
 
-// A successor that is requested to shut down while connections are still handed to it notifies the predecessor, which
-// must not serve again.
+// A successor that is requested to shut down while it still receives connections notifies the predecessor, which must
+// not serve again.
 func TestSuccessorStopsWhileConnectionsAreHandedOver(t *testing.T) {
 	predecessor := Predecessor{Times: testTimes}
 	predecessor.transition(handingOver, 9)
@@ -434,7 +438,7 @@
 	}
 }
 
-// A successor that hangs is rejected at its deadline and not before.
+// A successor that hangs is rejected at the deadline of the predecessor and not before.
 func TestHungSuccessorIsRejectedAtItsDeadline(t *testing.T) {
 	predecessor := Predecessor{Times: testTimes}
 	predecessor.Step(0, Hello)
@@ -448,13 +452,14 @@
 	if len(steps) != 2 || steps[0].Message != Rejected || steps[0].Reason == "" || predecessor.HandingOver() {
 		t.Errorf("at the time: %+v, then %v", steps, &predecessor)
 	}
-	// The next successor gets an offer.
+	// The predecessor serves again, and sends an Offer to the next successor.
 	if steps := predecessor.Step(11, Hello); len(steps) != 1 || steps[0].Message != Offer {
 		t.Errorf("the next: %+v", steps)
 	}
 }
 
-// A successor that owns its sockets serves in time whatever the predecessor does, and fails only when it is stopped.
+// A successor that owns its sockets serves in time for any behavior of the predecessor, and fails only if it is
+// requested to shut down.
 func TestSuccessorThatOwnsSocketsServesInTime(t *testing.T) {
 	realTimes := Times{Ready: 2_000_000, Answer: 1_000_000, Drain: 30_000_000}
 	for seed := range uint64(2000) {
@@ -500,15 +505,15 @@
 	*testing.T
 	seed           uint64
 	successor      Successor
-	startRequested bool // the start has begun
+	startRequested bool // StartWithOffer was executed
 	disconnected   bool
-	servingStarts  int // number of steps that let it serve
+	servingStarts  int // number of steps that made it start serving
 }
 
 func (h *socketOwnerHost) executeSteps(steps []Step) {
 	h.Helper()
-	for _, s := range steps {
-		switch s.Action {
+	for _, step := range steps {
+		switch step.Action {
 		case StartWithOffer:
 			h.startRequested = true
 		case Disconnect:
@@ -516,10 +521,10 @@
 		case StartServing, StartAlone:
 			h.servingStarts++
 		case Fail:
-			h.Fatalf("seed %d: failed: %s", h.seed, s.Reason)
+			h.Fatalf("seed %d: failed: %s", h.seed, step.Reason)
 		case Send:
 			if h.disconnected {
-				h.Fatalf("seed %d: sends %v to a predecessor it has disconnected from", h.seed, s.Message)
+				h.Fatalf("seed %d: sends %v to a predecessor it has disconnected from", h.seed, step.Message)
 			}
 		}
 	}
