--- a/internal/decide/decisions_page_test.go
+++ b/internal/decide/decisions_page_test.go
@@ -19,14 +19,14 @@
 	decisionsPage  = repositoryRoot + "/docs/DECISIONS.md"
 )
 
-// Columns of the page's tables.
+// Indexes of the cells in a table row of the decisions page.
 const (
 	columnQuestion = iota + 1
 	columnRule
-	columnFunctions // `file`: `function`, ...; several files are parted by semicolons
+	columnFunctions // `file`: `function`, ...; separated by semicolons if there are several files
 	columnInputs
-	columnConstants // constants and settings of the packages of these files
-	columnOutputs   // log messages and names of figures in backquotes
+	columnConstants // constants and settings that the packages of these files declare
+	columnOutputs   // log messages and metric names in backquotes
 	columnCount
 )
 
@@ -34,11 +34,11 @@
 
 // declaredNames are the names that a Go package or file declares.
 type declaredNames struct {
-	functions map[string]bool // and methods, without their receivers
+	functions map[string]bool // functions and methods, without receivers
 	values    map[string]bool // constants, variables and struct fields
 }
 
-// decisionRows returns the rows of the page's tables, by line number.
+// decisionRows returns the cells of each table row of the decisions page, by line number.
 func decisionRows(t *testing.T) map[int][]string {
 	t.Helper()
 	text, err := os.ReadFile(decisionsPage)
@@ -57,7 +57,7 @@
 	return rows
 }
 
-// parseNames returns the names that some files declare.
+// parseNames returns the names that the given Go files declare.
 func parseNames(t *testing.T, files ...string) declaredNames {
 	t.Helper()
 	names := declaredNames{functions: map[string]bool{}, values: map[string]bool{}}
@@ -85,7 +85,7 @@
 	}
 }
 
-// packageFiles returns the product files of a folder.
+// packageFiles returns the paths of the Go files of a folder, without tests.
 func packageFiles(t *testing.T, folder string) (files []string) {
 	t.Helper()
 	paths, err := filepath.Glob(folder + "/*.go")
@@ -98,7 +98,7 @@
 	return files
 }
 
-// sourcePath returns a file of the page relative to this folder: pages leave out internal/.
+// sourcePath returns the path, relative to this folder, of a file that the page names. Pages omit a leading internal/.
 func sourcePath(pagePath string) string {
 	path := filepath.Join(repositoryRoot, pagePath)
 	if _, err := os.Stat(path); err == nil {
@@ -107,7 +107,8 @@
 	return filepath.Join(repositoryRoot, "internal", pagePath)
 }
 
-// Each function and constant that the page of decisions names exists in the file, or the packages, that it names.
+// Each function that the decisions page names exists in the file that the page names for it. Each constant and setting
+// exists in the packages of the files of its row.
 func TestDecisionsPageNamesExist(t *testing.T) {
 	for line, cells := range decisionRows(t) {
 		var files []string
@@ -125,7 +126,8 @@
 	}
 }
 
-// checkFunctions checks a file and its functions, and returns the file's path, "" if there is none.
+// checkFunctions checks that the file in reference, "`file`: `function`, ...", exists and declares the functions. It
+// returns the path of the file, "" if it does not exist.
 func checkFunctions(t *testing.T, line int, reference string) string {
 	t.Helper()
 	names := backquoted.FindAllStringSubmatch(reference, -1)
@@ -147,7 +149,7 @@
 	return path
 }
 
-// Each log message and each name of a figure on the page is a string of the code.
+// Each log message and each metric name on the decisions page is a string literal in the code.
 func TestDecisionsPageFiguresExist(t *testing.T) {
 	literals := map[string]bool{}
 	for _, folder := range []string{"balancer", "internal", "cmd"} {
@@ -169,7 +171,7 @@
 	}
 }
 
-// addLiterals adds the string literals of a file.
+// addLiterals adds the string literals of a Go file to literals.
 func addLiterals(literals map[string]bool, path string) error {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -186,7 +188,7 @@
 	return nil
 }
 
-// Each file of decision logic that the deploy file lists has a rule on the page.
+// Each file of decision logic in the policy list of deploy/balancer.toml has a row on the decisions page.
 func TestDecisionsPageCoversThePolicy(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(repositoryRoot, "deploy", "balancer.toml"))
 	require.NoError(t, err)
--- a/internal/decide/imports_test.go
+++ b/internal/decide/imports_test.go
@@ -1,4 +1,4 @@
-// Package decide has no code of its own: each package below it takes the decisions of one matter, free of I/O.
+// Package decide has no code of its own: each package below it makes the decisions on one subject, without I/O.
 package decide
 
 import (
@@ -19,31 +19,32 @@
 	enginePath   = "dunlinsail/internal/engine"
 )
 
-// pureImports are the packages that a decision package may import, beside other decision packages: the type of its
-// instants, and what of the standard library neither reads a clock nor does I/O of its own accord. Of math/rand/v2 only
-// seededRandNames may be used.
+// pureImports are the packages that a decision package may import in addition to other decision packages: the package
+// of its instants, and packages of the standard library that neither read a clock nor start I/O themselves. Of
+// math/rand/v2, only seededRandNames may be used.
 var pureImports = []string{
 	"dunlinsail/internal/monotime",
 	"bytes", "cmp", "container/heap", "container/list", "errors", "fmt", "iter", "maps", "math", "math/bits",
 	"math/rand/v2", "slices", "sort", "strconv", "strings", "unicode/utf8",
 }
 
-// engineImports are the packages that the engine may import beside pureImports.
+// engineImports are the packages that the engine may import in addition to pureImports.
 var engineImports = []string{"hash/fnv", "sync/atomic", "dunlinsail/balancer", "dunlinsail/internal/siteconfig"}
 
-// seededRandNames are the names of math/rand/v2 that draw from a source with a seed.
+// seededRandNames are the names of math/rand/v2 that use an explicit, seeded source.
 var seededRandNames = []string{"New", "NewPCG", "NewZipf", "PCG", "Rand", "Source", "Zipf"}
 
-// listedPackage is a package as go list prints it.
+// listedPackage is a package as reported by go list.
 type listedPackage struct {
 	path    string
 	dir     string
-	files   []string // without tests
+	files   []string // names of the Go files, without tests
 	imports []string
 }
 
-// Time and randomness are parameters of a decision, and its caller carries it out: neither the decision
-// packages, nor the engine, nor the package of their instants can do I/O or read a clock.
+// Decision functions get time and randomness as parameters, and their callers execute the decisions. Therefore the
+// decision packages, the engine and the package of instants must import nothing that does I/O or reads a clock, and
+// must not use random numbers that no seed determines.
 func TestDecisionsArePure(t *testing.T) {
 	packages := listPackages(t, "./...", "../engine", "../monotime")
 	for _, listed := range packages {
@@ -64,7 +65,7 @@
 	}
 }
 
-// listPackages returns the packages of patterns that have files beside tests.
+// listPackages returns the packages that match the patterns, except packages that consist of tests only.
 func listPackages(t *testing.T, patterns ...string) []listedPackage {
 	t.Helper()
 	const format = `{{.ImportPath}} {{.Dir}} {{join .GoFiles ","}} {{join .Imports " "}}`
@@ -86,7 +87,7 @@
 	return packages
 }
 
-// unseededRandNames returns the names of math/rand/v2 in a file that are not in seededRandNames.
+// unseededRandNames returns the names of math/rand/v2 that a file uses and that are not in seededRandNames.
 func unseededRandNames(t *testing.T, path string) (names []string) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
