--- a/internal/decide/canary/settings.go
+++ b/internal/decide/canary/settings.go
@@ -43,11 +43,11 @@
 	case s.Duration <= 0:
 		return fmt.Errorf("duration %d: must be positive", s.Duration)
 	case s.MinDuration < 0 || s.MinDuration > s.Duration:
-		return fmt.Errorf("minimum duration %d: must be in 0..%d, the duration", s.MinDuration, s.Duration)
+		return fmt.Errorf("minimum duration %d: must be between 0 and the duration, %d", s.MinDuration, s.Duration)
 	case !(s.HarmMargin >= 0 && s.HarmMargin < 1):
-		return fmt.Errorf("harm margin %v: must be in 0..1, not 1", s.HarmMargin)
+		return fmt.Errorf("harm margin %v: must be at least 0 and less than 1", s.HarmMargin)
 	case !(s.Alpha > 0 && s.Alpha < alphaLimit):
-		return fmt.Errorf("alpha %v: must be over 0, under 0.5", s.Alpha)
+		return fmt.Errorf("alpha %v: must be greater than 0 and less than 0.5", s.Alpha)
 	case s.MaxDemandRatio != 0 && !(s.MaxDemandRatio >= 1):
 		return fmt.Errorf("maximum demand ratio %v: must be at least 1", s.MaxDemandRatio)
 	case s.MaxExtensions < 0 || s.MaxExtensions > maxExtensionsLimit:
--- a/internal/decide/rollout/version.go
+++ b/internal/decide/rollout/version.go
@@ -30,7 +30,7 @@
 func (s *Source) UnmarshalText(text []byte) error {
 	index := slices.Index(sourceNames[:], string(text))
 	if index < 0 {
-		return fmt.Errorf("%q is no source of versions", text)
+		return fmt.Errorf("unknown version source %q", text)
 	}
 	*s = Source(index)
 	return nil
--- a/internal/decide/takeover/successor.go
+++ b/internal/decide/takeover/successor.go
@@ -106,7 +106,7 @@
 	case Stop:
 		failReason = "told to stop"
 	case Rejected:
-		failReason = "the serving process says no: " + reason
+		failReason = "the serving process rejected the hot restart: " + reason
 	case DeadlineReached:
 		failReason = fmt.Sprintf("no progress in time while %v", s)
 	}
