--- a/internal/decide/canary/analysis.go
+++ b/internal/decide/canary/analysis.go
@@ -14,7 +14,7 @@
 	canary   arm
 
 	calmDuration     monotime.Micros // total duration of the canary slots without a surge of demand
-	requiredDuration monotime.Micros // Settings.Duration plus all extensions
+	requiredDuration monotime.Micros // Settings.Duration plus the extensions that kept the samples
 	extensions       int             // number of extensions so far
 
 	verdict    Verdict
@@ -101,9 +101,9 @@
 
 // Bounds beyond which missing requests cannot be chance.
 const (
-	lostMinExpected = 50              // minimum number of requests expected at the baseline's rate
+	lostMinExpected = 50              // expected requests below which the clients are not lost
 	lostMaxFraction = 0.1             // fraction of the expected requests below which the clients are lost
-	lostMinDuration = monotime.Second // minimum duration of the canary
+	lostMinDuration = monotime.Second // duration of the canary before which the clients are not lost
 )
 
 // lostClients reports whether the canary has lost its clients, and records that in the statistics. A canary has lost
@@ -127,8 +127,8 @@
 
 // Bounds of severe harm, which is reported even before Settings.MinDuration.
 const (
-	severeMinRequests = 20  // minimum number of requests of the canary
-	severeHarm        = 0.5 // difference of the ratios that must be exceeded
+	severeMinRequests = 20  // requests of the canary below which no harm is severe
+	severeHarm        = 0.5 // largest difference of the ratios that is not severe
 )
 
 // harmed reports whether the harm in the statistics is certain and beyond Settings.HarmMargin. Before
@@ -140,8 +140,8 @@
 	return certain && (severe || a.canary.duration >= a.settings.MinDuration)
 }
 
-// minCalmDivisor is the divisor of the required duration that gives the minimum time without a surge: an analysis with
-// less time without a surge is not concluded.
+// minCalmDivisor divides the required duration of an analysis. The quotient is the minimum time without a surge of
+// demand that a canary needs to pass.
 const minCalmDivisor = 2
 
 // concludeOrExtend ends an analysis that has run for its required duration, or extends it by Settings.Duration, at most
@@ -189,7 +189,7 @@
 // comparison is the harm of the canary in one metric.
 type comparison struct {
 	harm       float64 // difference of the mean ratios; positive if the canary is worse
-	lowerBound float64 // lower confidence bound of harm; valid at all times with probability 1 - Settings.Alpha/2
+	lowerBound float64 // lower bound of harm, at all times, with probability 1 - Settings.Alpha/2
 }
 
 // compare compares one metric of the canary with that of the baseline. The two metrics share the error probability
--- a/internal/decide/canary/ratio.go
+++ b/internal/decide/canary/ratio.go
@@ -60,7 +60,7 @@
 	denominatorSq float64 // sum of squared denominators
 }
 
-// add accumulates an observation.
+// add accumulates the numerator and the denominator of one observation.
 func (r *ratioMoments) add(numerator, denominator float64) {
 	r.count++
 	r.numerator += numerator
@@ -78,9 +78,9 @@
 	return r.numerator / r.denominator
 }
 
-// variance returns the variance of the ratio of one observation. It is the variance of the residuals numerator -
-// mean·denominator, divided by the square of the mean denominator (Cochran, "Sampling Techniques", 3rd ed., section
-// 2.11).
+// variance returns the variance of the ratio of one observation. It is the variance of the residuals
+// numerator - mean·denominator, divided by the square of the mean denominator (Cochran, "Sampling Techniques", 3rd ed.,
+// section 2.11).
 func (r *ratioMoments) variance() float64 {
 	if r.count < 2 || r.denominator <= 0 {
 		return 0
--- a/internal/decide/canary/verdict.go
+++ b/internal/decide/canary/verdict.go
@@ -9,7 +9,7 @@
 // Verdict is the result of an Analysis.
 type Verdict uint8
 
-// The verdicts. All except Undecided are final.
+// The verdicts of an Analysis. All except Undecided are final.
 const (
 	Undecided    Verdict = iota
 	Passed               // the canary has run for the required duration without harm beyond Settings.HarmMargin
@@ -25,7 +25,7 @@
 // Metric is a quantity that is compared between baseline and canary.
 type Metric string
 
-// The metrics.
+// The metrics of an Analysis.
 const (
 	MetricService  Metric = "service"  // ratio of served weight to offered weight
 	MetricFailures Metric = "failures" // ratio of failed requests to all requests
@@ -38,7 +38,7 @@
 	Failures       [2]float64      // ratio of failed requests to all requests
 	RequestRate    [2]float64      // requests per second
 	Harm           float64         // difference between canary and baseline in Metric; positive if the canary is worse
-	HarmLowerBound float64         // of Harm; valid at all times with probability 1 - Settings.Alpha
+	HarmLowerBound float64         // lower bound of Harm, at all times, with probability 1 - Settings.Alpha
 	Metric         Metric          // the metric whose harm has the higher lower bound
 	Duration       monotime.Micros // time that the canary has run
 	Requests       int64           // number of requests of the canary
--- a/internal/decide/rollout/apply.go
+++ b/internal/decide/rollout/apply.go
@@ -121,7 +121,7 @@
 	case m.rollbackRequired:
 		m.phase = PhaseRollingBack
 		m.rollbackRetryAt = now + m.rollbackBackoff()
-	case m.unconfirmed != nil: // its canary was stopped for the candidate, and starts again
+	case m.unconfirmed != nil: // the canary of unconfirmed was stopped for the candidate, and starts again
 		m.phase = PhaseCanary
 		commands = append(commands, Command{
 			Action:  ActionStartCanary,
--- a/internal/decide/rollout/machine.go
+++ b/internal/decide/rollout/machine.go
@@ -20,7 +20,7 @@
 // Phase is the current processing step of a StateMachine.
 type Phase uint8
 
-// The phases.
+// The phases of a StateMachine.
 const (
 	PhaseIdle Phase = iota
 	PhaseValidating
--- a/internal/decide/rollout/offer.go
+++ b/internal/decide/rollout/offer.go
@@ -14,7 +14,7 @@
 	switch {
 	case reason != "":
 		return []Command{nack(v, reason)}
-	case isRunning && !m.inTransition(): // in a transition, v may stop running
+	case isRunning && !m.inTransition(): // during a transition, v may be replaced
 		return []Command{m.ackRunning(v)}
 	}
 	if m.candidate != nil && m.candidate.ID == v.ID {
@@ -38,8 +38,8 @@
 	return m.reject(v, reason, false)
 }
 
-// inTransition reports whether a version is being validated, applied or rolled back. The running version may be another
-// one when that ends.
+// inTransition reports whether a version is being validated, applied or rolled back. Afterwards another version may be
+// running.
 func (m *StateMachine) inTransition() bool {
 	return m.phase == PhaseValidating || m.phase == PhaseApplying || m.phase == PhaseRollingBack
 }
--- a/internal/decide/takeover/event.go
+++ b/internal/decide/takeover/event.go
@@ -10,14 +10,15 @@
 type Times struct {
 	Ready  monotime.Micros // from Offer to Ready: the start of the successor
 	Answer monotime.Micros // from a message to its reply, for replies that need no work
-	Drain  monotime.Micros // from Activate to Done, or of a graceful shutdown; remaining connections are then closed
+	Drain  monotime.Micros // from Activate to Done, or a graceful shutdown; then remaining connections are closed
 }
 
 // Event is a message from the other process or an event of the host. The numeric values of the messages are part of the
 // wire format.
 type Event uint8
 
-// The events. An event that is a message has the name of that message.
+// The events. An event that is a message has the name of that message. Comments that start with Predecessor or
+// Successor are of events that only that state machine handles.
 const (
 	Hello           Event = iota // the successor requests a hot restart
 	Offer                        // the predecessor sends the listening sockets and a snapshot
@@ -33,8 +34,8 @@
 	Stop                         // the host was requested to shut down
 	Started                      // Successor: the host is able to serve
 	Drained                      // Predecessor: the host has no connections left, and will get no new ones
-	HandedOver                   // Successor: the host has handed over to its own successor; also a message
-	Resumed                      // Successor: the host has lost its own successor and accepts again; also a message
+	HandedOver                   // Successor: a successor of its own has taken over; also sent to the predecessor
+	Resumed                      // Successor: its own successor is lost and it accepts again; also sent to the predecessor
 )
 
 var eventNames = [...]string{
