--- a/internal/decide/takeover/event.go
+++ b/internal/decide/takeover/event.go
@@ -35,7 +35,7 @@
 	Started                      // Successor: the host is able to serve
 	Drained                      // Predecessor: the host has no connections left, and will get no new ones
 	HandedOver                   // Successor: a successor of its own has taken over; also sent to the predecessor
-	Resumed                      // Successor: its own successor is lost and it accepts again; also sent to the predecessor
+	Resumed                      // Successor: its successor is lost and it accepts again; also sent to the predecessor
 )
 
 var eventNames = [...]string{
