--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -10,19 +10,19 @@
 // rejected at once after its deadline, or beyond Limits.MaxOpenRequests. One of an unknown class is rejected
 // at once without a Retry-After, and is counted nowhere. One with the ID of a request that is open is
 // ignored.
-func (b *Balancer) HandleRequest(now monotime.Micros, in Request) {
-	if b.requests[in.ID] != nil {
+func (b *Balancer) HandleRequest(now monotime.Micros, incoming Request) {
+	if b.requests[incoming.ID] != nil {
 		return
 	}
-	if int(in.Class) >= len(b.classes) {
-		b.actions.Reject(in.ID, 0)
+	if int(incoming.Class) >= len(b.classes) {
+		b.actions.Reject(incoming.ID, 0)
 		return
 	}
-	r := b.newRequest(now, in)
+	r := b.newRequest(now, incoming)
 	b.countRequest(now, r)
 	b.estimateWork(r)
 	b.meanWork.add(r.work, slowWeight)
-	if now >= in.Deadline || b.openRequests > b.settings.Limits.MaxOpenRequests {
+	if now >= incoming.Deadline || b.openRequests > b.settings.Limits.MaxOpenRequests {
 		b.reject(r)
 		return
 	}
@@ -35,7 +35,7 @@
 // in the mean work of its class.
 func (b *Balancer) countRequest(now monotime.Micros, r *request) {
 	b.requestRate.add(now, 1)
-	b.earnRetry(now)
+	b.countRequestForRetries(now)
 	b.classes[r.Class].requestRate.add(now, 1)
 	if int(r.Tenant) < len(b.tenantRates) {
 		b.tenantRates[r.Tenant].add(now, 1)
@@ -61,7 +61,7 @@
 }
 
 // dispatch sends a new request or rejects it, and counts that in the rejected ratio. It does neither with a
-// request over the latency budget that waits for answers to its class (queueForAnswers).
+// request over the latency budget that waits for answers to its class (queueForResponses).
 func (b *Balancer) dispatch(now monotime.Micros, r *request) {
 	if !r.HasWorkHint {
 		r.work = b.classes[r.Class].meanWork.value // answers may have come while r waited
@@ -71,7 +71,7 @@
 		if !sent {
 			return
 		}
-		b.stopWaiting(r)
+		b.stopAwaitingResponses(r)
 	}
 	b.rejectedRatio.add(indicator(!sent), ratioWeight)
 	if !sent {
@@ -104,7 +104,7 @@
 // the attempt. A retry over budget is never admitted.
 //
 // What is not admitted is logged as rejected (logRejection), also a retry, whose request may then fail. A new
-// request may wait for answers to its class instead (queueForAnswers).
+// request may wait for answers to its class instead (queueForResponses).
 func (b *Balancer) admit(now monotime.Micros, r *request, e *endpoint, first bool) bool {
 	expected := b.predictLatency(now, e, r.work)
 	budget := b.latencyBudget(now, r, e)
@@ -116,7 +116,7 @@
 		b.initForcedAdmit(now, c)
 	}
 	if !first || now-c.lastForcedAdmit < b.forcedAdmitInterval(now, c) {
-		if !r.waiting && !(first && b.queueForAnswers(now, r)) {
+		if !r.waiting && !(first && b.queueForResponses(now, r)) {
 			b.logRejection(now, r, e, expected, budget)
 		}
 		return false
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -97,12 +97,12 @@
 
 // cancelAttempts cancels the attempts of r that are in flight, except one number (-1 for none), with
 // Limits.Cancel.
-func (b *Balancer) cancelAttempts(r *request, except int) {
+func (b *Balancer) cancelAttempts(r *request, exceptNumber int) {
 	if !b.settings.Limits.Cancel {
 		return
 	}
 	for i := range r.attempts {
-		if i != except && r.attempts[i].inflight {
+		if i != exceptNumber && r.attempts[i].inflight {
 			b.actions.Cancel(r.ID, i)
 		}
 	}
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -18,19 +18,19 @@
 // errorRejectChance returns the chance (0 to 1) of a rejection by the outcomes in the window: the part of the
 // requests beyond a multiple of the accepts. The multiple falls with the number of latest buckets in a row
 // that have failures and no accept.
-func (k *breaker) errorRejectChance(now monotime.Micros) float64 {
-	k.advance(now)
-	weight := maxAcceptWeight - (maxAcceptWeight-minAcceptWeight)*float64(k.failingBuckets())/breakerBuckets
+func (br *breaker) errorRejectChance(now monotime.Micros) float64 {
+	br.advance(now)
+	weight := maxAcceptWeight - (maxAcceptWeight-minAcceptWeight)*float64(br.failingBuckets())/breakerBuckets
 	weight = max(minAcceptWeight, weight)
-	total := float64(k.requests)
-	return max(0, (total-protectedRequests-weight*float64(k.accepts))/(total+1))
+	total := float64(br.requests)
+	return max(0, (total-protectedRequests-weight*float64(br.accepts))/(total+1))
 }
 
 // failingBuckets returns how many buckets have failures since the latest bucket with an accept.
-func (k *breaker) failingBuckets() int {
+func (br *breaker) failingBuckets() int {
 	failing := 0
-	for i := k.newest + 1; i <= k.newest+breakerBuckets; i++ { // from the oldest, in the ring
-		if bucket := &k.ring[i%breakerBuckets]; bucket.accepts > 0 {
+	for i := br.newest + 1; i <= br.newest+breakerBuckets; i++ { // from the oldest, in the ring
+		if bucket := &br.ring[i%breakerBuckets]; bucket.accepts > 0 {
 			failing = 0
 		} else if bucket.failures > 0 {
 			failing++
@@ -65,9 +65,9 @@
 		e.lastForcedPass = now
 		return true
 	}
-	x := b.random.float()
-	if x < chance {
+	draw := b.random.float()
+	if draw < chance {
 		e.breaker.record(now, 0, 0)
 	}
-	return x >= max(chance, suspicion)
+	return draw >= max(chance, suspicion)
 }
--- a/balancer/breakerwindow.go
+++ b/balancer/breakerwindow.go
@@ -21,31 +21,31 @@
 }
 
 // advance drops the buckets that have left the window, and returns the newest one.
-func (k *breaker) advance(now monotime.Micros) *bucket {
-	number := now / (breakerWindow / breakerBuckets)
-	if number-k.newest >= breakerBuckets {
-		k.ring = [breakerBuckets]bucket{}
-		k.requests = 0
-		k.accepts = 0
-		k.newest = number
+func (br *breaker) advance(now monotime.Micros) *bucket {
+	bucketNumber := now / (breakerWindow / breakerBuckets)
+	if bucketNumber-br.newest >= breakerBuckets {
+		br.ring = [breakerBuckets]bucket{}
+		br.requests = 0
+		br.accepts = 0
+		br.newest = bucketNumber
 	}
-	for k.newest < number {
-		k.newest++
-		old := &k.ring[k.newest%breakerBuckets]
-		k.requests -= old.requests
-		k.accepts -= old.accepts
-		*old = bucket{}
+	for br.newest < bucketNumber {
+		br.newest++
+		expired := &br.ring[br.newest%breakerBuckets]
+		br.requests -= expired.requests
+		br.accepts -= expired.accepts
+		*expired = bucket{}
 	}
-	return &k.ring[number%breakerBuckets]
+	return &br.ring[bucketNumber%breakerBuckets]
 }
 
 // record adds a request to the newest bucket, with an accept (1 or 0) and a failure (1 or 0). A request with
 // neither was rejected by the breaker.
-func (k *breaker) record(now monotime.Micros, accepts, failures int) {
-	newest := k.advance(now)
+func (br *breaker) record(now monotime.Micros, accepts, failures int) {
+	newest := br.advance(now)
 	newest.requests++
 	newest.accepts += accepts
 	newest.failures += failures
-	k.requests++
-	k.accepts += accepts
+	br.requests++
+	br.accepts += accepts
 }
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -8,7 +8,7 @@
 	b            *Balancer
 	now          monotime.Micros
 	request      *request
-	except       *endpoint // left out; nil for none
+	excluded     *endpoint // left out; nil for none
 	allowEjected bool
 	best         *endpoint // nil: none yet
 	bestCost     float64   // microseconds, of best
@@ -16,18 +16,18 @@
 
 // findCandidate returns an endpoint that r may be sent to, nil for none: the one of the lowest cost among the
 // pool of recent load reports, some warming endpoints, and random endpoints where the pool is too small. If
-// none of these may be used, it is the first of all others that may (scan).
-func (b *Balancer) findCandidate(now monotime.Micros, r *request, except *endpoint,
+// none of these may be used, it is the first of all others that may (considerAll).
+func (b *Balancer) findCandidate(now monotime.Micros, r *request, excluded *endpoint,
 	allowEjected bool) *endpoint {
-	oldest := now - b.reportLifetime(now)
+	minReportedAt := now - b.reportLifetime(now)
 	b.effectiveCapacity(now) // updates warmingEndpoints
-	s := candidateSearch{b: b, now: now, request: r, except: except, allowEjected: allowEjected}
-	pooled := s.considerPooled(oldest)
+	s := candidateSearch{b: b, now: now, request: r, excluded: excluded, allowEjected: allowEjected}
+	usablePooled := s.considerPooled(minReportedAt)
 	s.considerWarming()
-	if s.poolIsTooSmall(pooled) {
+	if s.poolIsTooSmall(usablePooled) {
 		s.considerRandom()
 	}
-	s.scan()
+	s.considerAll()
 	return s.best
 }
 
@@ -35,7 +35,7 @@
 // an endpoint that it was sent to before, nor, without allowEjected, to one that is ejected, nor against the
 // rules of maySend.
 func (s *candidateSearch) consider(e *endpoint) bool {
-	if e == s.except || s.request.hasAttempted(e) {
+	if e == s.excluded || s.request.hasAttempted(e) {
 		return false
 	}
 	if !s.allowEjected && s.b.isEjectedFor(s.now, e, s.request) {
@@ -53,9 +53,9 @@
 
 // considerPooled considers the endpoints of the pool whose load report was made at oldest or later, the
 // latest first, and returns how many of them may be used.
-func (s *candidateSearch) considerPooled(oldest monotime.Micros) int {
+func (s *candidateSearch) considerPooled(minReportedAt monotime.Micros) int {
 	usable := 0
-	for i := len(s.b.probePool) - 1; i >= 0 && s.b.probePool[i].reportedAt >= oldest; i-- {
+	for i := len(s.b.probePool) - 1; i >= 0 && s.b.probePool[i].reportedAt >= minReportedAt; i-- {
 		if s.consider(s.b.probePool[i]) {
 			usable++
 		}
@@ -87,9 +87,9 @@
 // number), since a small pool would get all requests. It does if there are fewer than randomDraws of them.
 // Where the list has at most probePoolSize endpoints, it also does if fewer than half of the list are usable
 // in the pool.
-func (s *candidateSearch) poolIsTooSmall(pooled int) bool {
+func (s *candidateSearch) poolIsTooSmall(usablePooled int) bool {
 	count := len(s.b.endpoints)
-	return pooled < randomDraws || count <= probePoolSize && poolCoverageDivisor*pooled < count
+	return usablePooled < randomDraws || count <= probePoolSize && poolCoverageDivisor*usablePooled < count
 }
 
 // considerRandom considers random endpoints until randomDraws of them may be used.
@@ -102,11 +102,12 @@
 	}
 }
 
-// scan considers all endpoints in turn, from a random one on, until one may be used: where few may, random
-// draws do not find them. In a list of maxRandomDraws endpoints at most it goes on while the best one is over
-// the latency budget: the draws may have found the same slow endpoint twice. In a long list that would have
-// many balancers follow the same averages. It draws the start in each search, also if there is a best one.
-func (s *candidateSearch) scan() {
+// considerAll considers all endpoints in turn, from a random one on, until one may be used: where few may,
+// random draws do not find them. In a list of maxRandomDraws endpoints at most it goes on while the best one
+// is over the latency budget: the draws may have found the same slow endpoint twice. In a long list that
+// would have many balancers follow the same averages. It draws the start in each search, also if there is a
+// best one.
+func (s *candidateSearch) considerAll() {
 	count := len(s.b.endpoints)
 	start := s.b.random.index(count)
 	isSmall := count <= maxRandomDraws
--- a/balancer/cordon.go
+++ b/balancer/cordon.go
@@ -19,10 +19,10 @@
 	if cordoned {
 		return
 	}
-	before := *e
+	old := *e
 	b.resetEndpoint(e)
-	e.lastSentAt = before.lastSentAt
-	e.silentSince = before.silentSince
+	e.lastSentAt = old.lastSentAt
+	e.silentSince = old.silentSince
 	b.startWarmup(now, e, now)
 }
 
--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -9,14 +9,14 @@
 // UpdateEndpoints handles an endpoint list, a change of it, or discovery's failure to send one. After a
 // failure the latest list stays in use and, with Settings.Subscribe, discovery is polled again. A cached list
 // does not count as the answer of a poll: polls go on until discovery sends a list.
-func (b *Balancer) UpdateEndpoints(now monotime.Micros, kind ListKind, entries []Endpoint) {
-	if kind == ListFailed {
+func (b *Balancer) UpdateEndpoints(now monotime.Micros, listKind ListKind, entries []Endpoint) {
+	if listKind == ListFailed {
 		b.subscribed = false
 		b.logDiscoveryFailure(now)
 		b.retryPoll(now)
 		return
 	}
-	if kind != ListCached && b.settings.Subscribe {
+	if listKind != ListCached && b.settings.Subscribe {
 		b.subscribed = true
 		b.pollBackoff = 0
 	}
@@ -24,16 +24,16 @@
 		e.listed = false
 	}
 	for i := range entries {
-		b.updateEndpoint(now, &entries[i], kind)
+		b.updateEndpoint(now, &entries[i], listKind)
 	}
-	b.removeUnlisted(kind)
+	b.removeUnlisted(listKind)
 	b.capacityExpiresAt = now
-	b.listReceived = b.listReceived || kind != ListCached || !b.settings.Subscribe
+	b.listReceived = b.listReceived || listKind != ListCached || !b.settings.Subscribe
 }
 
 // updateEndpoint applies one entry of a list. What was learned of an earlier process of the endpoint is
 // dropped, and an endpoint that has just started begins to warm up.
-func (b *Balancer) updateEndpoint(now monotime.Micros, entry *Endpoint, kind ListKind) {
+func (b *Balancer) updateEndpoint(now monotime.Micros, entry *Endpoint, listKind ListKind) {
 	e := b.endpointsByID[entry.ID]
 	added := e == nil
 	if added {
@@ -49,7 +49,7 @@
 	if !added && !restarted {
 		return
 	}
-	started := b.startTimeOf(now, entry, added, kind)
+	started := b.startTimeOf(now, entry, added, listKind)
 	if started != 0 && now-started < b.settings.Contract.WarmupTime {
 		b.startWarmup(now, e, min(started, now))
 	}
@@ -66,8 +66,8 @@
 // startTimeOf returns when the process of an entry started, 0 for long ago. An entry without a start time
 // that is added after the first list has just started. A cached list may be old, so what it adds has not.
 func (b *Balancer) startTimeOf(now monotime.Micros, entry *Endpoint, added bool,
-	kind ListKind) monotime.Micros {
-	if entry.StartTime == 0 && added && b.listReceived && kind != ListCached {
+	listKind ListKind) monotime.Micros {
+	if entry.StartTime == 0 && added && b.listReceived && listKind != ListCached {
 		return now
 	}
 	return entry.StartTime
@@ -75,18 +75,18 @@
 
 // removeUnlisted marks endpoints that a complete list leaves out as Gone, and forgets those that are Gone
 // once they have no attempt in flight. What is not eligible leaves the pool.
-func (b *Balancer) removeUnlisted(kind ListKind) {
+func (b *Balancer) removeUnlisted(listKind ListKind) {
 	b.endpoints = slices.DeleteFunc(b.endpoints, func(e *endpoint) bool {
-		if kind != ListDelta && !e.listed {
+		if listKind != ListDelta && !e.listed {
 			e.State = Gone
 		}
 		if !e.isEligible() {
 			b.removeFromPool(e)
 		}
-		forget := e.State == Gone && e.inflight == 0
-		if forget {
+		remove := e.State == Gone && e.inflight == 0
+		if remove {
 			delete(b.endpointsByID, e.ID)
 		}
-		return forget
+		return remove
 	})
 }
--- a/balancer/latencybudget.go
+++ b/balancer/latencybudget.go
@@ -14,14 +14,14 @@
 // part, so that they are rejected first. While load reports are late, all that remains may be spent on
 // queueing, whatever the weight. The time until the deadline is the upper bound.
 func (b *Balancer) latencyBudget(now monotime.Micros, r *request, e *endpoint) float64 {
-	idle := e.rtt.valueOr(0) + r.work*b.fleetSlowdown()*e.currentServiceTimeRatio(now, b)
+	idleLatency := e.rtt.valueOr(0) + r.work*b.fleetSlowdown()*e.currentServiceTimeRatio(now, b)
 	fraction := b.queueWaitFraction(now, r)
 	if b.reportsLate {
 		// The least loaded endpoint is not known, and averages must not reject what it would serve.
 		fraction = 1
 	}
-	remaining := float64(b.classOf(r).LatencyObjective) - float64(now-r.arrivedAt) - idle
-	return min(idle+fraction*remaining, float64(r.Deadline-now))
+	remaining := float64(b.classOf(r).LatencyObjective) - float64(now-r.arrivedAt) - idleLatency
+	return min(idleLatency+fraction*remaining, float64(r.Deadline-now))
 }
 
 // isOverBudget reports whether the latency that is predicted for r at e is over the latency budget.
@@ -33,11 +33,11 @@
 // in the host's queue. It is the part that latencyBudget allows for queueing at an endpoint while load
 // reports are in time; while they are late it stays the same here, and is 1 there. An unknown class gets the
 // least part.
-func (b *Balancer) QueueWaitFraction(now monotime.Micros, in Request) float64 {
-	if int(in.Class) >= len(b.classes) {
+func (b *Balancer) QueueWaitFraction(now monotime.Micros, incoming Request) float64 {
+	if int(incoming.Class) >= len(b.classes) {
 		return minQueueWaitFraction
 	}
-	return b.queueWaitFraction(now, &request{Request: in})
+	return b.queueWaitFraction(now, &request{Request: incoming})
 }
 
 // queueWaitFraction returns that part for a request of a known class: from the overload policy if there is
--- a/balancer/latencylearning.go
+++ b/balancer/latencylearning.go
@@ -9,46 +9,46 @@
 // serviceTimeWeight is the weight of one attempt in the service time ratio of its endpoint.
 const serviceTimeWeight = 0.03
 
-// learnLatency updates the predictions by the latency (microseconds) of an attempt. lowerBound is set for a
-// timeout: the attempt would have taken longer, so that it may only raise the endpoint's service time. It
-// counts as at most maxTrendStep times the known service time ratio, and has no effect if it is not above
-// that ratio.
+// updateLatencyEstimates updates the predictions by the latency (microseconds) of an attempt. lowerBound is
+// set for a timeout: the attempt would have taken longer, so that it may only raise the endpoint's service
+// time. It counts as at most maxTrendStep times the known service time ratio, and has no effect if it is not
+// above that ratio.
 //
 // An attempt that counts, by an answer or a timeout, also moves the latency trend of all endpoints
 // (updateLatencyTrend). Only an answer moves the trust in hints and, of a warm endpoint, what is known of the
 // fleet and the class.
-func (b *Balancer) learnLatency(now monotime.Micros, r *request, a *attempt, latency float64,
+func (b *Balancer) updateLatencyEstimates(now monotime.Micros, r *request, a *attempt, latency float64,
 	lowerBound bool) {
 	e := a.endpoint
-	known := e.currentServiceTimeRatio(now, b)
-	observed := max(0, latency-e.rtt.valueOr(0)) / a.workFactor
+	expectedRatio := e.currentServiceTimeRatio(now, b)
+	observedRatio := max(0, latency-e.rtt.valueOr(0)) / a.workFactor
 	if lowerBound {
 		// A timeout may have other causes: a single one must not make a fast endpoint seem out of reach.
-		observed = min(observed, maxTrendStep*known)
-		if observed <= known {
+		observedRatio = min(observedRatio, maxTrendStep*expectedRatio)
+		if observedRatio <= expectedRatio {
 			return
 		}
 	}
 	b.updateLatencyTrend(latency / a.expectedLatency)
-	if !lowerBound && r.logHintRatio != 0 && observed > 0 {
-		b.updateHintTrust(r, observed/known)
+	if !lowerBound && r.logHintRatio != 0 && observedRatio > 0 {
+		b.updateHintTrust(r, observedRatio/expectedRatio)
 	}
-	capacity := e.capacityFraction(now, b) // the ratio is recorded as that of the warm endpoint
-	e.serviceTimeRatio = ewma{value: known * capacity, samples: manySamples}
-	e.serviceTimeRatio.add(observed*capacity, serviceTimeWeight)
+	warmupFraction := e.capacityFraction(now, b) // the ratio is recorded as that of the warm endpoint
+	e.serviceTimeRatio = ewma{value: expectedRatio * warmupFraction, samples: manySamples}
+	e.serviceTimeRatio.add(observedRatio*warmupFraction, serviceTimeWeight)
 	e.serviceTimeObservedAt = now
 	if !lowerBound && !e.isWarmingUp {
-		b.updateFleetServiceTime(r, observed, known)
+		b.updateFleetServiceTime(r, observedRatio, expectedRatio)
 	}
 }
 
 // updateFleetServiceTime updates the fleet's service time ratio by one attempt. Without a work hint it
 // updates the mean work of the class instead: then work is the mean service time, and the fleet's ratio is 1.
-func (b *Balancer) updateFleetServiceTime(r *request, observed, known float64) {
+func (b *Balancer) updateFleetServiceTime(r *request, observedRatio, expectedRatio float64) {
 	if r.HasWorkHint {
-		b.fleetServiceTimeRatio.add(observed, slowWeight)
+		b.fleetServiceTimeRatio.add(observedRatio, slowWeight)
 	} else {
-		b.classes[r.Class].learnMeanWork(observed * r.work / known)
+		b.classes[r.Class].updateMeanWork(observedRatio * r.work / expectedRatio)
 	}
 }
 
--- a/balancer/latencyprediction.go
+++ b/balancer/latencyprediction.go
@@ -8,8 +8,8 @@
 // It is at least the time for which e has attempts in flight and has sent nothing: an endpoint that is stuck
 // shows by that long before its averages change.
 func (b *Balancer) predictLatency(now monotime.Micros, e *endpoint, work float64) float64 {
-	service := work * b.fleetSlowdown() * e.currentServiceTimeRatio(now, b)
-	expected := e.rtt.valueOr(0) + service*b.queueDelayFactor(now, e)
+	serviceTime := work * b.fleetSlowdown() * e.currentServiceTimeRatio(now, b)
+	expected := e.rtt.valueOr(0) + serviceTime*b.queueDelayFactor(now, e)
 	return max(expected, float64(now-e.silentSince)*indicator(e.inflight > e.streaming))
 }
 
@@ -36,10 +36,10 @@
 // while e warms up. What was observed at e counts less with time, down to the fleet's mean, so that an
 // endpoint that was slow once is used again.
 func (e *endpoint) currentServiceTimeRatio(now monotime.Micros, b *Balancer) float64 {
-	fleet := b.fleetServiceTimeRatio.valueOr(1)
-	trust := max(0, 1-float64(now-e.serviceTimeObservedAt)/float64(serviceTimeMemory))
-	trust *= indicator(e.serviceTimeRatio.samples > 0)
-	return (fleet + (e.serviceTimeRatio.value-fleet)*trust) / e.capacityFraction(now, b)
+	fleetRatio := b.fleetServiceTimeRatio.valueOr(1)
+	sampleWeight := max(0, 1-float64(now-e.serviceTimeObservedAt)/float64(serviceTimeMemory))
+	sampleWeight *= indicator(e.serviceTimeRatio.samples > 0)
+	return (fleetRatio + (e.serviceTimeRatio.value-fleetRatio)*sampleWeight) / e.capacityFraction(now, b)
 }
 
 // trendNoise is the latency trend up to which a slowdown may be chance, and its inverse that down to which a
--- a/balancer/lifecycle.go
+++ b/balancer/lifecycle.go
@@ -42,7 +42,7 @@
 func (b *Balancer) initClasses() {
 	for i := range b.classes {
 		work := float64(b.settings.Classes[i].LatencyObjective) / initialWorkDivisor
-		b.classes[i].meanWork = ewma{value: work, samples: initialWorkAnswers}
+		b.classes[i].meanWork = ewma{value: work, samples: initialWorkSamples}
 		b.classes[i].onTimeRatio = ewma{value: 1, samples: manySamples}
 		b.meanWork.add(work, 1/float64(i+1)) // the plain mean of the classes
 	}
@@ -73,7 +73,7 @@
 		b.recheckReport(now)
 	case token >= firstRequestToken:
 		if r := b.requestOfToken(token); r != nil && !r.finished && !r.streaming {
-			b.onRequestTimer(now, r)
+			b.handleRequestTimer(now, r)
 		}
 	}
 }
--- a/balancer/loadprediction.go
+++ b/balancer/loadprediction.go
@@ -21,15 +21,16 @@
 //
 // The older the report, the more the typical load counts instead. Only averages count while reports are late.
 func (b *Balancer) predictLoad(now monotime.Micros, e *endpoint) float64 {
-	typical := b.typicalLoadOf(now, e).value
-	own := e.activeAttempts()
+	typicalLoad := b.typicalLoadOf(now, e).value
+	ownAttempts := e.activeAttempts()
 	if b.reportsLate || !e.hasReport {
-		return typical + own
+		return typicalLoad + ownAttempts
 	}
 	age := float64(now-e.reportedAt) + b.reportInterval()/2 // a report is half an interval old on average
-	trust := math.Exp(-age / (loadMemoryWorks * b.meanWork.value))
-	herd := min(maxHerdFactor, float64(b.settings.Balancers-1)/2)
-	return typical + (e.othersLoad-typical)*trust + own + herd*max(0, own-e.ownLoadAtReport)
+	reportWeight := math.Exp(-age / (loadMemoryWorks * b.meanWork.value))
+	herdFactor := min(maxHerdFactor, float64(b.settings.Balancers-1)/2)
+	return typicalLoad + (e.othersLoad-typicalLoad)*reportWeight + ownAttempts +
+		herdFactor*max(0, ownAttempts-e.ownLoadAtReport)
 }
 
 // typicalLoadOf returns the mean load (requests) by other balancers of endpoints like e. Warming endpoints
--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -3,18 +3,18 @@
 import "dunlinsail/internal/monotime"
 
 const (
-	probePoolSize        = 24          // endpoints with load reports that are compared for a request
-	minReportLifetime    = second      // a report may be used for at least this time
-	reportLifetimeRounds = 3           // turns of the pool for which a report may be used
-	maxReportLifetime    = 30 * second // a report may be used for at most this time
+	probePoolSize           = 24          // endpoints with load reports that are compared for a request
+	minReportLifetime       = second      // a report may be used for at least this time
+	reportLifetimeRefreshes = 3           // turns of the pool for which a report may be used
+	maxReportLifetime       = 30 * second // a report may be used for at most this time
 )
 
-// reportLifetime returns how long (microseconds) a load report may be used for picks: reportLifetimeRounds
+// reportLifetime returns how long (microseconds) a load report may be used for picks: reportLifetimeRefreshes
 // turns of the pool, but at least minReportLifetime and at most maxReportLifetime. A turn is
 // min(probePoolSize, number of listed endpoints) over the probe rate (per second).
 func (b *Balancer) reportLifetime(now monotime.Micros) monotime.Micros {
-	turn := float64(min(probePoolSize, len(b.endpoints))) / b.probeRate(now) * float64(second)
-	return min(max(minReportLifetime, monotime.Micros(reportLifetimeRounds*turn)), maxReportLifetime)
+	refreshTime := float64(min(probePoolSize, len(b.endpoints))) / b.probeRate(now) * float64(second)
+	return min(max(minReportLifetime, monotime.Micros(reportLifetimeRefreshes*refreshTime)), maxReportLifetime)
 }
 
 // reportedServiceTimeWeight is the weight of one report in the mean reported service time, which is over
@@ -86,9 +86,9 @@
 func (b *Balancer) observeReportAge(now monotime.Micros, late bool) {
 	b.lateReportRatio.add(indicator(late), ratioWeight)
 	ratio := b.lateReportRatio.value
-	tooMany := ratio > maxLateReportRatio && !b.reportsLate
-	fewAgain := ratio < maxLateReportRatio/lateReportHysteresis && b.reportsLate
-	if tooMany || fewAgain {
+	becameLate := ratio > maxLateReportRatio && !b.reportsLate
+	becameTimely := ratio < maxLateReportRatio/lateReportHysteresis && b.reportsLate
+	if becameLate || becameTimely {
 		b.reportsLate = !b.reportsLate
 		b.logLateReports(now)
 	}
@@ -111,19 +111,19 @@
 // time (reportInterval). At first, some endpoints are probed a second time for it: a quiet balancer has no
 // attempts in flight by which it would notice a late report.
 func (b *Balancer) observeReportChanges(now monotime.Micros, e *endpoint, load []float32) {
-	var sum float32
-	for i, v := range load {
-		sum += v * float32(i+1)
+	var weightedSum float32
+	for i, figure := range load {
+		weightedSum += figure * float32(i+1)
 	}
 	gap := float64(now - e.reportedAt)
-	if e.hasReport && gap < maxRecheckGap*b.meanWork.value && (sum > 0 || e.reportSum > 0) {
+	if e.hasReport && gap < maxRecheckGap*b.meanWork.value && (weightedSum > 0 || e.reportSum > 0) {
 		b.reportWatchTime += gap
-		b.reportChanges += indicator(sum != e.reportSum)
+		b.reportChanges += indicator(weightedSum != e.reportSum)
 	}
-	e.reportSum = sum
-	if b.recheckCount < maxRechecks && sum > 0 && b.random.float() < recheckChance {
+	e.reportSum = weightedSum
+	if b.recheckCount < maxRechecks && weightedSum > 0 && b.random.float() < recheckChance {
 		b.recheckCount++
-		b.recheckedID = e.ID
+		b.recheckedEndpointID = e.ID
 		b.actions.SetTimer(1+monotime.Micros(recentWorks*b.meanWork.value/2), tokenRecheck)
 	}
 }
@@ -131,7 +131,7 @@
 // recheckReport handles the recheck timer: it probes the endpoint that was drawn last by
 // observeReportChanges.
 func (b *Balancer) recheckReport(now monotime.Micros) {
-	if e := b.endpointsByID[b.recheckedID]; e != nil {
+	if e := b.endpointsByID[b.recheckedEndpointID]; e != nil {
 		b.sendProbe(now, e)
 	}
 }
--- a/balancer/logging.go
+++ b/balancer/logging.go
@@ -14,7 +14,7 @@
 const logInterval = second
 
 // percent converts a ratio for a log line.
-const percent = 100
+const percentPerUnit = 100
 
 // log writes a line for on-call staff, at most one of each message per logInterval. args are alternating keys
 // and values.
@@ -33,27 +33,27 @@
 func (b *Balancer) logLateReports(now monotime.Micros) {
 	b.log(now, messageLateReports,
 		"late", b.reportsLate,
-		"late_percent", int(percent*b.lateReportRatio.value))
+		"late_percent", int(percentPerUnit*b.lateReportRatio.value))
 }
 
 // logRejection logs why a request is rejected: the best endpoint would answer later (expected, microseconds)
-// than the latency budget allows (microseconds). What the prediction rests on follows: the learned round trip,
-// by how many times requests there delay one another, and for how long the endpoint has sent nothing. The line
-// is made only when one is due, since there may be thousands of rejections per second.
+// than the latency budget allows (microseconds). What the prediction rests on follows: the learned round
+// trip, by how many times requests there delay one another, and for how long the endpoint has sent nothing.
+// The line is made only when one is due, since there may be thousands of rejections per second.
 func (b *Balancer) logRejection(now monotime.Micros, r *request, best *endpoint, expected, budget float64) {
 	if now-b.lastLogged[messageRejected] >= logInterval {
 		b.log(now, messageRejected,
-			"rejected_percent", int(percent*b.rejectedRatio.value),
+			"rejected_percent", int(percentPerUnit*b.rejectedRatio.value),
 			"best_endpoint", best.ID,
 			"expected_ms", int(expected/microsPerMilli),
 			"budget_ms", int(budget/microsPerMilli),
 			"class", int(r.Class),
 			"rtt_ms", int(best.rtt.valueOr(0)/microsPerMilli),
 			"work_ms", int(r.work/microsPerMilli),
-			"service_time_percent", int(percent*best.currentServiceTimeRatio(now, b)),
-			"latency_trend_percent", int(percent*b.latencyTrend),
+			"service_time_percent", int(percentPerUnit*best.currentServiceTimeRatio(now, b)),
+			"latency_trend_percent", int(percentPerUnit*b.latencyTrend),
 			"in_flight", best.inflight,
-			"queue_delay_percent", int(percent*b.queueDelayFactor(now, best)),
+			"queue_delay_percent", int(percentPerUnit*b.queueDelayFactor(now, best)),
 			"silent_ms", int(float64(now-best.silentSince)*indicator(best.inflight > 0)/microsPerMilli))
 	}
 }
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -16,7 +16,7 @@
 		return
 	}
 	r.inflight--
-	a.end(now)
+	a.markEnded(now)
 	if o.Status == Rejected || o.Status == ConnectFailed || o.Status == NotSent {
 		a.mayHaveRun = false
 	}
@@ -27,14 +27,14 @@
 	if o.Answered || o.Status == OK || r.finished {
 		class := r.Class
 		b.finishRequest(r)
-		b.dispatchWaiting(now, class)
+		b.dispatchAwaitingResponses(now, class)
 		return
 	}
 	if r.inflight > 0 {
 		return
 	}
 	if !o.NotReplayable && b.mayRetry(now) && b.attemptRequest(now, r, false) {
-		b.spendRetry(now)
+		b.countRetry(now)
 		return
 	}
 	b.reject(r)
@@ -56,7 +56,7 @@
 			e.outliers[part] = outlierStats{}
 		}
 		if latency, known := o.chargedLatency(a.expectedLatency); known {
-			b.learnLatency(now, r, a, latency, false)
+			b.updateLatencyEstimates(now, r, a, latency, false)
 		}
 	case Cancelled, NotSent:
 	default:
@@ -65,7 +65,7 @@
 			b.recordFailure(now, e, part)
 		}
 		if o.Status == Timeout {
-			b.learnLatency(now, r, a, float64(o.Latency-o.Stalled), true)
+			b.updateLatencyEstimates(now, r, a, float64(o.Latency-o.Stalled), true)
 		}
 	}
 }
@@ -79,14 +79,14 @@
 	}
 }
 
-// onRequestTimer handles a request that has waited long enough for probes, or that has reached its deadline.
-// In the first case all queued requests are dispatched, not only this one.
-func (b *Balancer) onRequestTimer(now monotime.Micros, r *request) {
+// handleRequestTimer handles a request that has waited long enough for probes, or that has reached its
+// deadline. In the first case all queued requests are dispatched, not only this one.
+func (b *Balancer) handleRequestTimer(now monotime.Micros, r *request) {
 	switch {
 	case r.queued:
 		b.dispatchQueued(now)
 	case r.waiting:
-		b.stopWaiting(r)
+		b.stopAwaitingResponses(r)
 		b.dispatch(now, r)
 	case now >= r.Deadline:
 		b.reject(r)
@@ -104,7 +104,7 @@
 			b.removeFromQueue(r)
 		}
 		if r.waiting {
-			b.stopWaiting(r)
+			b.stopAwaitingResponses(r)
 		}
 		b.cancelAttempts(r, -1)
 	}
--- a/balancer/overloadpolicy.go
+++ b/balancer/overloadpolicy.go
@@ -15,24 +15,24 @@
 // The policy's ratios (0 to 1) for the request's class, for requests over their tenant's quota and for
 // retries give the part that is admitted. A random rank number (0 to 1) per request decides, so that each
 // client gets its part: a request is admitted if its rank number is below the ratio.
-func (b *Balancer) ShouldReject(in Request) (retryAfter monotime.Micros, reject bool) {
-	if b.overload == nil || int(in.Class) >= len(b.classes) {
+func (b *Balancer) ShouldReject(incoming Request) (retryAfter monotime.Micros, reject bool) {
+	if b.overload == nil || int(incoming.Class) >= len(b.classes) {
 		return 0, false
 	}
-	admit := b.overload.AdmitRatio[in.Class]
-	random := b.requestRand(in.ID)
+	admitRatio := b.overload.AdmitRatio[incoming.Class]
+	random := b.requestRand(incoming.ID)
 	rank := random.float()
-	within := b.overload.WithinQuotaRatio
-	if tenant := int(in.Tenant); tenant < len(within) && random.float() >= within[tenant] {
-		admit = b.overload.OverQuotaAdmitRatio[in.Class]
+	withinQuota := b.overload.WithinQuotaRatio
+	if tenant := int(incoming.Tenant); tenant < len(withinQuota) && random.float() >= withinQuota[tenant] {
+		admitRatio = b.overload.OverQuotaAdmitRatio[incoming.Class]
 	}
-	if in.Retry {
-		admit *= b.overload.RetryAdmitRatio
+	if incoming.Retry {
+		admitRatio *= b.overload.RetryAdmitRatio
 	}
-	if rank < admit {
+	if rank < admitRatio {
 		return 0, false
 	}
-	return b.retryAfter(&b.settings.Classes[in.Class]), true
+	return b.retryAfter(&b.settings.Classes[incoming.Class]), true
 }
 
 // isInFloor reports whether a request is in OverloadPolicy.FloorRatio (part of the requests, 0 to 1): those
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -4,10 +4,10 @@
 
 // pickEndpoint returns the endpoint of the lowest cost among the candidates for r, nil for none. except is
 // left out (nil for none). Ejected endpoints are candidates only if there is no other.
-func (b *Balancer) pickEndpoint(now monotime.Micros, r *request, except *endpoint) *endpoint {
-	best := b.findCandidate(now, r, except, false)
+func (b *Balancer) pickEndpoint(now monotime.Micros, r *request, excluded *endpoint) *endpoint {
+	best := b.findCandidate(now, r, excluded, false)
 	if best == nil {
-		best = b.findCandidate(now, r, except, true)
+		best = b.findCandidate(now, r, excluded, true)
 	}
 	return best
 }
--- a/balancer/priorityweight.go
+++ b/balancer/priorityweight.go
@@ -11,9 +11,9 @@
 	// windows of time, and it is these windows that this part of the goal counts.
 	worstWindowGain = 4.0
 
-	// minClassPart is the least part of the work, 0 to 1, that a class counts as having: a class of few
+	// minClassWorkShare is the least part of the work, 0 to 1, that a class counts as having: a class of few
 	// requests would else gain without bound for Goal.WorstClass.
-	minClassPart = 0.05
+	minClassWorkShare = 0.05
 
 	// worstClassSpread is the difference of two on-time ratios at which a class gains less than the worst
 	// class by a factor of e, for Goal.WorstClass.
@@ -24,17 +24,17 @@
 // best class: by its class's weight, more for a class of which fewer requests are answered in time, and less
 // for a tenant over its quota (tenantWeight). It may be over 1 only with a Settings.OverQuotaWeight over 1.
 func (b *Balancer) priorityWeight(now monotime.Micros, r *request) float64 {
-	total := b.trafficTotals(now)
-	var top, own float64
+	totals := b.trafficTotals(now)
+	var maxGain, ownGain float64
 	for i := range b.classes {
-		gain := b.classGain(now, i, total)
-		top = max(top, gain)
-		own += gain * indicator(i == int(r.Class))
+		gain := b.classGain(now, i, totals)
+		maxGain = max(maxGain, gain)
+		ownGain += gain * indicator(i == int(r.Class))
 	}
-	if !(top > 0) {
+	if !(maxGain > 0) {
 		return 1 // the settings have no weights
 	}
-	return own / top * b.tenantWeight(now, r)
+	return ownGain / maxGain * b.tenantWeight(now, r)
 }
 
 // trafficTotals are sums over the classes.
@@ -46,27 +46,27 @@
 
 // trafficTotals adds up the classes' present work and weight.
 func (b *Balancer) trafficTotals(now monotime.Micros) trafficTotals {
-	total := trafficTotals{worstOnTimeRatio: 1}
+	totals := trafficTotals{worstOnTimeRatio: 1}
 	for i := range b.classes {
 		c := &b.classes[i]
 		rate := c.requestRate.rate(now)
-		total.work += rate * c.meanWork.value
-		total.weight += rate * b.classWeight(i)
-		total.worstOnTimeRatio = min(total.worstOnTimeRatio, c.onTimeRatio.valueOr(1))
+		totals.work += rate * c.meanWork.value
+		totals.weight += rate * b.classWeight(i)
+		totals.worstOnTimeRatio = min(totals.worstOnTimeRatio, c.onTimeRatio.valueOr(1))
 	}
-	return total
+	return totals
 }
 
 // classGain returns what the goal gains per unit of work of a class: for the overall and the worst-window
 // ratio by the class's weight, and for the worst-class ratio by how near the class is to the worst one.
-func (b *Balancer) classGain(now monotime.Micros, class int, total trafficTotals) float64 {
+func (b *Balancer) classGain(now monotime.Micros, class int, totals trafficTotals) float64 {
 	goal := &b.settings.Goal
 	c := &b.classes[class]
-	part := c.requestRate.rate(now) * c.meanWork.value / total.work
+	workShare := c.requestRate.rate(now) * c.meanWork.value / totals.work
 	gain := (goal.Overall + worstWindowGain*goal.WorstWindow) * b.classWeight(class) / c.meanWork.value
-	gain = gain * total.work / total.weight
-	lead := total.worstOnTimeRatio - c.onTimeRatio.valueOr(1) // not above 0
-	gain += goal.WorstClass / max(minClassPart, part) * math.Exp(lead/worstClassSpread)
+	gain = gain * totals.work / totals.weight
+	onTimeLead := totals.worstOnTimeRatio - c.onTimeRatio.valueOr(1) // not above 0
+	gain += goal.WorstClass / max(minClassWorkShare, workShare) * math.Exp(onTimeLead/worstClassSpread)
 	return gain
 }
 
@@ -78,9 +78,9 @@
 }
 
 const (
-	// minTenantMix is the least ratio of this balancer's requests to all quotas (both per second) at which
-	// tenants are compared: the mix of fewer requests is not that of the fleet.
-	minTenantMix = 0.05
+	// minTenantTrafficRatio is the least ratio of this balancer's requests to all quotas (both per second) at
+	// which tenants are compared: the mix of fewer requests is not that of the fleet.
+	minTenantTrafficRatio = 0.05
 
 	// tenantQuotaSlack multiplies what counts as within quota. It offsets a rejected ratio of up to a fifth,
 	// which does not show that the fleet's traffic exceeds the quotas.
@@ -97,17 +97,17 @@
 	if int(r.Tenant) >= len(b.tenantRates) {
 		return 1
 	}
-	var rate, quota float64
+	var rate, totalQuota float64
 	for i := range b.tenantRates {
 		rate += b.tenantRates[i].rate(now)
-		quota += b.settings.Tenants[i].Quota
+		totalQuota += b.settings.Tenants[i].Quota
 	}
-	if quota <= 0 || rate < minTenantMix*quota {
+	if totalQuota <= 0 || rate < minTenantTrafficRatio*totalQuota {
 		return 1
 	}
-	part := b.tenantRates[r.Tenant].rate(now) / rate
+	share := b.tenantRates[r.Tenant].rate(now) / rate
 	admittedRatio := 1 - b.rejectedRatio.value
-	within := b.settings.Tenants[r.Tenant].Quota / quota / part * admittedRatio * tenantQuotaSlack
-	within = min(1, within)
-	return within + (1-within)*b.settings.OverQuotaWeight
+	withinQuota := b.settings.Tenants[r.Tenant].Quota / totalQuota / share * admittedRatio * tenantQuotaSlack
+	withinQuota = min(1, withinQuota)
+	return withinQuota + (1-withinQuota)*b.settings.OverQuotaWeight
 }
--- a/balancer/probequeue.go
+++ b/balancer/probequeue.go
@@ -30,8 +30,8 @@
 //
 // It does not queue r where enough reports are recent (probesForQueued), or where no probe could be sent.
 func (b *Balancer) queueUntilProbed(now monotime.Micros, r *request) bool {
-	n := b.probesForQueued(now)
-	b.probeRandom(now, n-b.awaitedProbes, true)
+	needed := b.probesForQueued(now)
+	b.probeRandom(now, needed-b.awaitedProbes, true)
 	if b.awaitedProbes == 0 {
 		return false
 	}
@@ -49,21 +49,21 @@
 // makes a new report less than once in recentWorks mean works: then all balancers would see the same report
 // and follow it.
 func (b *Balancer) probesForQueued(now monotime.Micros) int {
-	probes := min(maxProbesPerQueued, queuedProbeBudget/max(minProbePrice, b.settings.Prices.Probe))
+	maxProbes := min(maxProbesPerQueued, queuedProbeBudget/max(minProbePrice, b.settings.Prices.Probe))
 	requestLimit := maxRecentRequests * float64(second) // requests per second, times microseconds
 	if b.overload != nil {
-		probes = min(probes, maxLimitedPerQueued)
+		maxProbes = min(maxProbes, maxLimitedPerQueued)
 		requestLimit = math.Inf(1)
 	}
-	n := min(int(probes+b.random.float()), len(b.endpoints))
-	span := recentWorks * b.meanWork.value
-	if b.reportInterval() > span || b.requestRate.rate(now)*span > requestLimit {
-		n = 0
+	needed := min(int(maxProbes+b.random.float()), len(b.endpoints))
+	maxAge := recentWorks * b.meanWork.value
+	if b.reportInterval() > maxAge || b.requestRate.rate(now)*maxAge > requestLimit {
+		needed = 0
 	}
-	for i := len(b.probePool) - 1; i >= 0 && n > 0 && float64(now-b.probePool[i].reportedAt) < span; i-- {
-		n--
+	for i := len(b.probePool) - 1; i >= 0 && needed > 0 && float64(now-b.probePool[i].reportedAt) < maxAge; i-- {
+		needed--
 	}
-	return n
+	return needed
 }
 
 // dispatchQueued dispatches all queued requests and ends the round: results of its probes that come later do
--- a/balancer/proberounds.go
+++ b/balancer/proberounds.go
@@ -26,22 +26,22 @@
 	rate := b.probeRate(now)
 	b.dueProbes = min(probeBatch, b.dueProbes+rate*float64(now-b.dueProbesAt)/float64(second))
 	b.dueProbesAt = now
-	if n := int(b.dueProbes); n > 0 {
-		b.probeRandom(now, n, false)
-		b.dueProbes -= float64(n)
+	if count := int(b.dueProbes); count > 0 {
+		b.probeRandom(now, count, false)
+		b.dueProbes -= float64(count)
 	}
-	batch := max(1, min(probeBatch, rate*float64(maxProbeInterval)/float64(second)))
-	factor := minPauseFactor + b.random.float()
-	wait := monotime.Micros(max(0, batch-b.dueProbes) / rate * factor * float64(second))
-	limit := probeRateRecheck/2 + b.random.durationBelow(probeRateRecheck)
-	b.actions.SetTimer(1+min(wait, limit), tokenProbe)
+	batchSize := max(1, min(probeBatch, rate*float64(maxProbeInterval)/float64(second)))
+	pauseFactor := minPauseFactor + b.random.float()
+	pause := monotime.Micros(max(0, batchSize-b.dueProbes) / rate * pauseFactor * float64(second))
+	maxPause := probeRateRecheck/2 + b.random.durationBelow(probeRateRecheck)
+	b.actions.SetTimer(1+min(pause, maxPause), tokenProbe)
 }
 
 // probeRandom sends up to n probes, to random eligible endpoints that have no probe in flight. awaited is set
 // for probes that queued requests wait for; those leave out ejected endpoints, whose reports would be of no
 // use.
-func (b *Balancer) probeRandom(now monotime.Micros, n int, awaited bool) {
-	for draws := 0; n > 0 && draws < maxProbeDraws && len(b.endpoints) > 0; draws++ {
+func (b *Balancer) probeRandom(now monotime.Micros, count int, awaited bool) {
+	for draws := 0; count > 0 && draws < maxProbeDraws && len(b.endpoints) > 0; draws++ {
 		e := b.endpoints[b.random.index(len(b.endpoints))]
 		if e.probing && now-e.probedAt > lostProbeAfter {
 			e.probing = false
@@ -54,7 +54,7 @@
 			e.awaitedInRound = b.queueRound
 			b.awaitedProbes++
 		}
-		n--
+		count--
 	}
 }
 
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -19,18 +19,18 @@
 // request is the record of a request and its attempts.
 type request struct {
 	Request
-	timerToken   uint32
-	arrivedAt    monotime.Micros // instant of its arrival at the host
-	work         float64         // microseconds, as estimated
-	logHintRatio float64         // logarithm of its hint over the mean work of its class; 0 without a hint
-	attempts     []attempt
-	inflight     int     // attempts without outcome
-	queued       bool    // waits for probes
-	waiting      bool    // waits for answers to its class (queueForAnswers)
-	hasWaited    bool    // it waits for answers only once
-	finished     bool    // has its final answer
-	streaming    bool    // an answer is being streamed: the client has that attempt
-	onTime       float64 // 1 once answered within the latency objective, else 0
+	timerToken          uint32
+	arrivedAt           monotime.Micros // instant of its arrival at the host
+	work                float64         // microseconds, as estimated
+	logHintRatio        float64         // logarithm of its hint over the mean work of its class; 0 without a hint
+	attempts            []attempt
+	inflight            int     // attempts without outcome
+	queued              bool    // waits for probes
+	waiting             bool    // waits for answers to its class (queueForResponses)
+	hasAwaitedResponses bool    // it waits for answers only once
+	finished            bool    // has its final answer
+	streaming           bool    // an answer is being streamed: the client has that attempt
+	onTime              float64 // 1 once answered within the latency objective, else 0
 }
 
 // attempt is one send of a request to an endpoint.
@@ -47,7 +47,7 @@
 }
 
 // newRequest returns a record for a request that is not open, and adds it to the open requests.
-func (b *Balancer) newRequest(now monotime.Micros, in Request) *request {
+func (b *Balancer) newRequest(now monotime.Micros, incoming Request) *request {
 	var r *request
 	if last := len(b.freeRequests) - 1; last >= 0 {
 		r = b.freeRequests[last]
@@ -57,12 +57,12 @@
 		b.timerSlots = append(b.timerSlots, r)
 	}
 	*r = request{
-		Request:    in,
+		Request:    incoming,
 		timerToken: r.timerToken + 1<<slotBits, // one more use: an old timer finds nothing
-		arrivedAt:  now - max(0, in.QueueTime),
+		arrivedAt:  now - max(0, incoming.QueueTime),
 		attempts:   r.attempts[:0],
 	}
-	b.requests[in.ID] = r
+	b.requests[incoming.ID] = r
 	b.openRequests++
 	return r
 }
@@ -113,8 +113,8 @@
 	}
 }
 
-// end notes that an attempt has its outcome. The endpoint is no longer silent.
-func (a *attempt) end(now monotime.Micros) {
+// markEnded notes that an attempt has its outcome. The endpoint is no longer silent.
+func (a *attempt) markEnded(now monotime.Micros) {
 	a.inflight = false
 	a.endpoint.inflight--
 	if a.streaming {
--- a/balancer/retrybudget.go
+++ b/balancer/retrybudget.go
@@ -25,14 +25,14 @@
 	b.recentRetries.ring = make([]int, retrySlots+1)
 }
 
-// earnRetry counts a request.
-func (b *Balancer) earnRetry(now monotime.Micros) {
+// countRequestForRetries counts a request.
+func (b *Balancer) countRequestForRetries(now monotime.Micros) {
 	b.retryCredit = min(retryBurst, b.retryCredit+b.settings.RetryRatio)
 	b.recentRequests.add(b.retrySlot(now))
 }
 
-// spendRetry counts a retry.
-func (b *Balancer) spendRetry(now monotime.Micros) {
+// countRetry counts a retry.
+func (b *Balancer) countRetry(now monotime.Micros) {
 	b.retryCredit--
 	b.recentRetries.add(b.retrySlot(now))
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -81,74 +81,74 @@
 
 // LearnedState returns what the balancer has learned up to an instant. Endpoints that are gone are left out.
 func (b *Balancer) LearnedState(now monotime.Micros) *LearnedState {
-	l := &LearnedState{
+	state := &LearnedState{
 		RequestRate:           b.requestRate.rate(now),
 		SentWorkRate:          b.sentWorkRate.rate(now),
 		RejectedRatio:         b.rejectedRatio.value,
-		MeanWork:              b.meanWork.learned(),
-		FleetServiceTimeRatio: b.fleetServiceTimeRatio.learned(),
+		MeanWork:              b.meanWork.snapshot(),
+		FleetServiceTimeRatio: b.fleetServiceTimeRatio.snapshot(),
 		LatencyTrend:          b.latencyTrend,
 		HintTrust:             b.hintTrust,
-		LateReportRatio:       b.lateReportRatio.learned(),
-		TypicalLoad:           b.typicalLoad.learned(),
-		TypicalWarmingLoad:    b.typicalWarmingLoad.learned(),
-		ServiceTime:           b.serviceTime.learned(),
+		LateReportRatio:       b.lateReportRatio.snapshot(),
+		TypicalLoad:           b.typicalLoad.snapshot(),
+		TypicalWarmingLoad:    b.typicalWarmingLoad.snapshot(),
+		ServiceTime:           b.serviceTime.snapshot(),
 		ReportsLate:           b.reportsLate,
 		ReportWatchTime:       b.reportWatchTime,
 		ReportChanges:         b.reportChanges,
 	}
 	for i := range b.classes {
 		c := &b.classes[i]
-		l.Classes = append(l.Classes,
-			LearnedClass{c.meanWork.learned(), c.requestRate.rate(now), c.onTimeRatio.learned()})
+		state.Classes = append(state.Classes,
+			LearnedClass{c.meanWork.snapshot(), c.requestRate.rate(now), c.onTimeRatio.snapshot()})
 	}
 	for i := range b.tenantRates {
-		l.TenantRates = append(l.TenantRates, b.tenantRates[i].rate(now))
+		state.TenantRates = append(state.TenantRates, b.tenantRates[i].rate(now))
 	}
 	for _, e := range b.endpoints {
 		if e.State != Gone {
-			l.Endpoints = append(l.Endpoints, b.learnedEndpoint(now, e))
+			state.Endpoints = append(state.Endpoints, b.snapshotEndpoint(now, e))
 		}
 	}
-	return l
+	return state
 }
 
-// learnedEndpoint returns what the balancer has learned of e, with the token buckets refilled if e warms up.
-func (b *Balancer) learnedEndpoint(now monotime.Micros, e *endpoint) LearnedEndpoint {
-	l := LearnedEndpoint{
+// snapshotEndpoint returns what the balancer has learned of e, with the token buckets refilled if e warms up.
+func (b *Balancer) snapshotEndpoint(now monotime.Micros, e *endpoint) LearnedEndpoint {
+	learned := LearnedEndpoint{
 		ID:               e.ID,
 		StartTime:        e.StartTime,
-		RTT:              e.rtt.learned(),
-		ServiceTimeRatio: e.serviceTimeRatio.learned(),
+		RTT:              e.rtt.snapshot(),
+		ServiceTimeRatio: e.serviceTimeRatio.snapshot(),
 		ServiceTimeAge:   now - e.serviceTimeObservedAt,
 		WarmingUp:        e.warmingUp(now, b),
-		Outlier:          e.outliers[allTraffic].learned(now),
+		Outlier:          e.outliers[allTraffic].snapshot(now),
 		BaseLatency:      e.breaker.baseLatency,
 		CurrentLatency:   e.breaker.currentLatency,
-		BreakerWindow:    e.breaker.learnedWindow(now),
+		BreakerWindow:    e.breaker.snapshotWindow(now),
 	}
-	if l.WarmingUp {
+	if learned.WarmingUp {
 		b.hasWarmupCapacity(now, e, b.meanWork.value) // refills the buckets
-		l.WarmupAge = now - e.warmupStart
-		l.WarmupTokens = e.warmupTokens
-		l.ServedTokens = e.servedTokens
+		learned.WarmupAge = now - e.warmupStart
+		learned.WarmupTokens = e.warmupTokens
+		learned.ServedTokens = e.servedTokens
 	}
 	for i := range e.outliers[1:] {
-		l.PartOutliers = append(l.PartOutliers, e.outliers[1+i].learned(now))
+		learned.PartOutliers = append(learned.PartOutliers, e.outliers[1+i].snapshot(now))
 	}
-	return l
+	return learned
 }
 
-// learnedWindow returns the buckets of the window, the oldest first, or nil without requests.
-func (k *breaker) learnedWindow(now monotime.Micros) [][3]int {
-	k.advance(now)
-	if k.requests <= 0 {
+// snapshotWindow returns the buckets of the window, the oldest first, or nil without requests.
+func (br *breaker) snapshotWindow(now monotime.Micros) [][3]int {
+	br.advance(now)
+	if br.requests <= 0 {
 		return nil
 	}
 	var window [][3]int
-	for i := k.newest - breakerBuckets + 1; i <= k.newest; i++ {
-		from := &k.ring[(i+breakerBuckets)%breakerBuckets]
-		window = append(window, [3]int{from.requests, from.accepts, from.failures})
+	for i := br.newest - breakerBuckets + 1; i <= br.newest; i++ {
+		oldBucket := &br.ring[(i+breakerBuckets)%breakerBuckets]
+		window = append(window, [3]int{oldBucket.requests, oldBucket.accepts, oldBucket.failures})
 	}
 	return window
 }
@@ -157,125 +157,125 @@
 // place of what this one knows. It is meant for a balancer without open requests. Endpoints are those of this
 // balancer's list, by ID and start time. Classes or tenants are skipped if their number is not that of the
 // settings, and so are figures that cannot have been learned.
-func (b *Balancer) Restore(now, age monotime.Micros, l *LearnedState) {
+func (b *Balancer) Restore(now, age monotime.Micros, state *LearnedState) {
 	age = max(0, age)
-	b.restoreRates(now, l)
-	b.restorePredictions(l)
-	b.restoreReports(l)
-	b.restoreEndpoints(now, age, l.Endpoints)
+	b.restoreRates(now, state)
+	b.restorePredictions(state)
+	b.restoreReports(state)
+	b.restoreEndpoints(now, age, state.Endpoints)
 	b.capacityExpiresAt = now
 }
 
 // restoreRates restores the rates, of all requests, by class and by tenant.
-func (b *Balancer) restoreRates(now monotime.Micros, l *LearnedState) {
-	b.requestRate.set(now, l.RequestRate)
-	b.sentWorkRate.set(now, l.SentWorkRate)
-	b.rejectedRatio = ewma{min(1, validFigure(l.RejectedRatio)), manySamples}
-	if len(l.Classes) == len(b.classes) {
-		for i := range l.Classes {
-			b.classes[i].restore(now, &l.Classes[i])
+func (b *Balancer) restoreRates(now monotime.Micros, state *LearnedState) {
+	b.requestRate.set(now, state.RequestRate)
+	b.sentWorkRate.set(now, state.SentWorkRate)
+	b.rejectedRatio = ewma{min(1, validFigure(state.RejectedRatio)), manySamples}
+	if len(state.Classes) == len(b.classes) {
+		for i := range state.Classes {
+			b.classes[i].restore(now, &state.Classes[i])
 		}
 	}
-	if len(l.TenantRates) == len(b.tenantRates) {
+	if len(state.TenantRates) == len(b.tenantRates) {
 		for i := range b.tenantRates {
-			b.tenantRates[i].set(now, l.TenantRates[i])
+			b.tenantRates[i].set(now, state.TenantRates[i])
 		}
 	}
 }
 
 // restorePredictions restores what latencies are predicted by.
-func (b *Balancer) restorePredictions(l *LearnedState) {
-	b.meanWork = l.MeanWork.restored()
-	b.fleetServiceTimeRatio = l.FleetServiceTimeRatio.restored()
-	b.latencyTrend = boundedTrend(validFigure(l.LatencyTrend))
-	b.hintTrust = min(1, validFigure(l.HintTrust))
-	b.typicalLoad = l.TypicalLoad.restored()
-	b.typicalWarmingLoad = l.TypicalWarmingLoad.restored()
-	b.serviceTime = l.ServiceTime.restored()
+func (b *Balancer) restorePredictions(state *LearnedState) {
+	b.meanWork = state.MeanWork.restored()
+	b.fleetServiceTimeRatio = state.FleetServiceTimeRatio.restored()
+	b.latencyTrend = boundedTrend(validFigure(state.LatencyTrend))
+	b.hintTrust = min(1, validFigure(state.HintTrust))
+	b.typicalLoad = state.TypicalLoad.restored()
+	b.typicalWarmingLoad = state.TypicalWarmingLoad.restored()
+	b.serviceTime = state.ServiceTime.restored()
 }
 
 // restoreReports restores how old load reports are.
-func (b *Balancer) restoreReports(l *LearnedState) {
-	b.lateReportRatio = l.LateReportRatio.restored()
-	b.reportsLate = l.ReportsLate
-	b.reportWatchTime = validFigure(l.ReportWatchTime)
-	b.reportChanges = validFigure(l.ReportChanges)
+func (b *Balancer) restoreReports(state *LearnedState) {
+	b.lateReportRatio = state.LateReportRatio.restored()
+	b.reportsLate = state.ReportsLate
+	b.reportWatchTime = validFigure(state.ReportWatchTime)
+	b.reportChanges = validFigure(state.ReportChanges)
 }
 
 // restoreEndpoints restores the endpoints that are listed with the same start time.
 func (b *Balancer) restoreEndpoints(now, age monotime.Micros, endpoints []LearnedEndpoint) {
 	for i := range endpoints {
-		l := &endpoints[i]
-		e := b.endpointsByID[l.ID]
-		if e == nil || e.StartTime != l.StartTime {
+		learned := &endpoints[i]
+		e := b.endpointsByID[learned.ID]
+		if e == nil || e.StartTime != learned.StartTime {
 			continue
 		}
-		e.restore(now, age, l)
+		e.restore(now, age, learned)
 		e.servedWorkAtRefill = b.servedWork
 	}
 }
 
 // restore restores a class, unless nothing was learned of it.
-func (c *classStats) restore(now monotime.Micros, l *LearnedClass) {
-	if l.MeanWork.Value > 0 {
-		c.meanWork = l.MeanWork.restored()
-		c.onTimeRatio = l.OnTimeRatio.restored()
-		c.requestRate.set(now, l.RequestRate)
+func (c *classStats) restore(now monotime.Micros, learned *LearnedClass) {
+	if learned.MeanWork.Value > 0 {
+		c.meanWork = learned.MeanWork.restored()
+		c.onTimeRatio = learned.OnTimeRatio.restored()
+		c.requestRate.set(now, learned.RequestRate)
 	}
 }
 
 // restore restores an endpoint from a snapshot that is of some age.
-func (e *endpoint) restore(now, age monotime.Micros, l *LearnedEndpoint) {
-	e.rtt = l.RTT.restored()
-	e.serviceTimeRatio = l.ServiceTimeRatio.restored()
-	e.serviceTimeObservedAt = now - l.ServiceTimeAge - age
-	e.outliers[allTraffic] = l.Outlier.restored(now, age)
-	if parts := e.outliers[1:]; len(l.PartOutliers) == len(parts) {
+func (e *endpoint) restore(now, age monotime.Micros, learned *LearnedEndpoint) {
+	e.rtt = learned.RTT.restored()
+	e.serviceTimeRatio = learned.ServiceTimeRatio.restored()
+	e.serviceTimeObservedAt = now - learned.ServiceTimeAge - age
+	e.outliers[allTraffic] = learned.Outlier.restored(now, age)
+	if parts := e.outliers[1:]; len(learned.PartOutliers) == len(parts) {
 		for i := range parts {
-			parts[i] = l.PartOutliers[i].restored(now, age)
+			parts[i] = learned.PartOutliers[i].restored(now, age)
 		}
 	}
-	if l.WarmingUp {
-		e.restoreWarmup(now, age, l)
+	if learned.WarmingUp {
+		e.restoreWarmup(now, age, learned)
 	}
 	e.breaker = breaker{
-		baseLatency:    validFigure(l.BaseLatency),
-		currentLatency: validFigure(l.CurrentLatency),
+		baseLatency:    validFigure(learned.BaseLatency),
+		currentLatency: validFigure(learned.CurrentLatency),
 	}
 	e.lastForcedPass = 0
-	if len(l.BreakerWindow) == breakerBuckets {
-		e.breaker.restore(now, age, l.BreakerWindow)
+	if len(learned.BreakerWindow) == breakerBuckets {
+		e.breaker.restore(now, age, learned.BreakerWindow)
 	}
 }
 
 // restoreWarmup resumes a warm-up with its token buckets, so that no token is given twice. If this balancer
 // knows of a later start, that counts.
-func (e *endpoint) restoreWarmup(now, age monotime.Micros, l *LearnedEndpoint) {
-	start := now - l.WarmupAge - age
+func (e *endpoint) restoreWarmup(now, age monotime.Micros, learned *LearnedEndpoint) {
+	start := now - learned.WarmupAge - age
 	if e.isWarmingUp {
 		start = max(start, e.warmupStart)
 	}
 	e.isWarmingUp = true
 	e.warmupStart = min(start, now)
-	e.warmupTokens = validFigure(l.WarmupTokens)
+	e.warmupTokens = validFigure(learned.WarmupTokens)
 	e.warmupRefilledAt = now
-	e.servedTokens = validFigure(l.ServedTokens)
+	e.servedTokens = validFigure(learned.ServedTokens)
 }
 
 // restore fills the window with the buckets of a snapshot that is of some age. Impossible counts are skipped.
-func (k *breaker) restore(now, age monotime.Micros, window [][3]int) {
-	k.advance(now)
+func (br *breaker) restore(now, age monotime.Micros, window [][3]int) {
+	br.advance(now)
 	const width = breakerWindow / breakerBuckets
 	for i, counts := range window {
-		from := bucket{requests: counts[0], accepts: counts[1], failures: counts[2]}
-		number := k.newest - int64(breakerBuckets-1-i) - age/width
-		if number <= k.newest-breakerBuckets || from.accepts < 0 || from.failures < 0 ||
-			from.requests < from.accepts+from.failures {
+		savedBucket := bucket{requests: counts[0], accepts: counts[1], failures: counts[2]}
+		bucketNumber := br.newest - int64(breakerBuckets-1-i) - age/width
+		if bucketNumber <= br.newest-breakerBuckets || savedBucket.accepts < 0 || savedBucket.failures < 0 ||
+			savedBucket.requests < savedBucket.accepts+savedBucket.failures {
 			continue
 		}
-		k.ring[(number+breakerBuckets)%breakerBuckets] = from
-		k.requests += from.requests
-		k.accepts += from.accepts
+		br.ring[(bucketNumber+breakerBuckets)%breakerBuckets] = savedBucket
+		br.requests += savedBucket.requests
+		br.accepts += savedBucket.accepts
 	}
 }
 
@@ -296,7 +296,7 @@
 }
 
 // learned returns the form of an average in a snapshot.
-func (a ewma) learned() Average { return Average{Value: a.value, Samples: a.samples} }
+func (a ewma) snapshot() Average { return Average{Value: a.value, Samples: a.samples} }
 
 // restored returns the average of a snapshot.
 func (a Average) restored() ewma { return ewma{validFigure(a.Value), validFigure(a.Samples)} }
@@ -308,7 +308,7 @@
 }
 
 // learned returns the form of an outlier's statistics in a snapshot.
-func (o *outlierStats) learned(now monotime.Micros) LearnedOutlier {
+func (o *outlierStats) snapshot(now monotime.Micros) LearnedOutlier {
 	return LearnedOutlier{
 		ConsecutiveFailures: o.consecutiveFailures,
 		EjectedFor:          max(0, o.ejectedUntil-now),
@@ -323,22 +323,22 @@
 
 // restored returns the statistics of a snapshot that is of some age. A pending trial is dropped: its outcome
 // goes to the balancer that sent it.
-func (l LearnedOutlier) restored(now, age monotime.Micros) outlierStats {
+func (learned LearnedOutlier) restored(now, age monotime.Micros) outlierStats {
 	o := outlierStats{
-		consecutiveFailures: max(0, l.ConsecutiveFailures),
-		ejectionTime:        min(max(0, l.EjectionTime), maxEjectionTime),
+		consecutiveFailures: max(0, learned.ConsecutiveFailures),
+		ejectionTime:        min(max(0, learned.EjectionTime), maxEjectionTime),
 	}
-	if left := min(l.EjectedFor, maxRestoredEjection) - age; left > 0 {
-		o.ejectedUntil = now + left
+	if remaining := min(learned.EjectedFor, maxRestoredEjection) - age; remaining > 0 {
+		o.ejectedUntil = now + remaining
 	}
 	return o
 }
 
 // validFigure returns a figure of a snapshot, or 0 for one that cannot have been learned: all are finite and
 // not negative.
-func validFigure(x float64) float64 {
-	if !(x >= 0) || math.IsInf(x, 0) {
+func validFigure(figure float64) float64 {
+	if !(figure >= 0) || math.IsInf(figure, 0) {
 		return 0
 	}
-	return x
+	return figure
 }
--- a/balancer/stall.go
+++ b/balancer/stall.go
@@ -5,10 +5,10 @@
 // HandleStall notes that the host's process did not run for a time that ends now. The host calls it before it
 // passes on anything that has happened meanwhile. Nothing was read from endpoints in that time, so that it
 // counts neither as their silence, nor as time that they had to receive an attempt (checkReportAge).
-func (b *Balancer) HandleStall(now, length monotime.Micros) {
+func (b *Balancer) HandleStall(now, duration monotime.Micros) {
 	for _, e := range b.endpoints {
-		e.silentSince = min(now, e.silentSince+length)
-		e.lastSentAt = min(now, e.lastSentAt+length)
+		e.silentSince = min(now, e.silentSince+duration)
+		e.lastSentAt = min(now, e.lastSentAt+duration)
 	}
 }
 
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -48,22 +48,22 @@
 	handedOver        bool            // another balancer sends to the warming endpoints (SetHandedOver)
 
 	// Probes and load reports.
-	probePool          []*endpoint     // endpoints with a load report, the latest last; at most probePoolSize
-	queued             []*request      // requests that wait for probes
-	awaitedProbes      int             // probes in flight that they wait for
-	queueRound         uint32          // number of the present queue
-	dueProbes          float64         // probes that have come due by the probe rate
-	dueProbesAt        monotime.Micros // instant up to which they are counted
-	withoutLoadReports bool            // probes do not return the load of endpoints
-	typicalLoad        ewma            // requests of other balancers at a warm endpoint
-	typicalWarmingLoad ewma            // requests of other balancers at a warming endpoint
-	serviceTime        ewma            // microseconds without waiting, as endpoints report it
-	lateReportRatio    ewma            // 0 to 1, of the reports that could be checked
-	reportsLate        bool            // loads are predicted from averages
-	reportWatchTime    float64         // microseconds between two compared reports, in sum
-	reportChanges      float64         // compared reports that differed
-	recheckCount       int             // endpoints that were probed twice to compare
-	recheckedID        uint32          // the latest of them
+	probePool           []*endpoint     // endpoints with a load report, the latest last; at most probePoolSize
+	queued              []*request      // requests that wait for probes
+	awaitedProbes       int             // probes in flight that they wait for
+	queueRound          uint32          // number of the present queue
+	dueProbes           float64         // probes that have come due by the probe rate
+	dueProbesAt         monotime.Micros // instant up to which they are counted
+	withoutLoadReports  bool            // probes do not return the load of endpoints
+	typicalLoad         ewma            // requests of other balancers at a warm endpoint
+	typicalWarmingLoad  ewma            // requests of other balancers at a warming endpoint
+	serviceTime         ewma            // microseconds without waiting, as endpoints report it
+	lateReportRatio     ewma            // 0 to 1, of the reports that could be checked
+	reportsLate         bool            // loads are predicted from averages
+	reportWatchTime     float64         // microseconds between two compared reports, in sum
+	reportChanges       float64         // compared reports that differed
+	recheckCount        int             // endpoints that were probed twice to compare
+	recheckedEndpointID uint32          // the latest of them
 
 	// Latency predictions.
 	fleetServiceTimeRatio ewma    // service time per work and queue delay factor, of all endpoints
@@ -74,8 +74,8 @@
 	recentRequests slidingCounter // requests in the retry window, up to a slot less
 	recentRetries  slidingCounter // retries in the retry window, up to a slot more
 
-	partsBuffer [maxTrafficParts]int
-	lastLogged  map[string]monotime.Micros // instant, by message
+	trafficPartsBuffer [maxTrafficParts]int
+	lastLogged         map[string]monotime.Micros // instant, by message
 }
 
 // classStats is what a balancer has observed of a class.
@@ -84,7 +84,7 @@
 	requestRate     rateMeter       // requests per second
 	onTimeRatio     ewma            // of the requests, answered within the latency objective, 0 to 1
 	lastForcedAdmit monotime.Micros // instant of the latest request that was sent although over budget
-	waiting         []*request      // those that wait for answers to the class (queueForAnswers)
+	waiting         []*request      // those that wait for answers to the class (queueForResponses)
 }
 
 const (
@@ -98,7 +98,7 @@
 // trafficParts returns the parts of the traffic that r belongs to, as indices of endpoint.outliers. The slice
 // is valid until the next call.
 func (b *Balancer) trafficParts(r *request) []int {
-	parts := append(b.partsBuffer[:0], allTraffic, 1+int(r.Class))
+	parts := append(b.trafficPartsBuffer[:0], allTraffic, 1+int(r.Class))
 	if tenant := int(r.Tenant); tenant < len(b.tenantRates) {
 		parts = append(parts, 1+len(b.classes)+tenant)
 	}
--- a/balancer/statistics.go
+++ b/balancer/statistics.go
@@ -30,9 +30,9 @@
 const manySamples = 1e9
 
 // add adds a sample with its weight, 0 to 1.
-func (a *ewma) add(x, weight float64) {
+func (a *ewma) add(sample, weight float64) {
 	a.samples++
-	a.value += (x - a.value) * max(weight, indicator(a.samples == 1))
+	a.value += (sample - a.value) * max(weight, indicator(a.samples == 1))
 }
 
 // valueOr returns the average, or a default before the first sample.
@@ -55,8 +55,8 @@
 const rateMeterSpan = 2 * second
 
 // add adds x at an instant.
-func (m *rateMeter) add(now monotime.Micros, x float64) {
-	m.sum = m.decayed(now) + x
+func (m *rateMeter) add(now monotime.Micros, amount float64) {
+	m.sum = m.decayed(now) + amount
 	m.updatedAt = now
 }
 
@@ -81,26 +81,26 @@
 }
 
 // advance drops the slots that have left the window by the given slot, and returns the sum.
-func (k *slidingCounter) advance(slot int64) int {
-	if slot-k.newest >= int64(len(k.ring)) {
-		clear(k.ring)
-		k.sum = 0
-		k.newest = slot
+func (c *slidingCounter) advance(slot int64) int {
+	if slot-c.newest >= int64(len(c.ring)) {
+		clear(c.ring)
+		c.sum = 0
+		c.newest = slot
 	}
-	for k.newest < slot {
-		k.newest++
-		old := &k.ring[k.newest%int64(len(k.ring))]
-		k.sum -= *old
-		*old = 0
+	for c.newest < slot {
+		c.newest++
+		expired := &c.ring[c.newest%int64(len(c.ring))]
+		c.sum -= *expired
+		*expired = 0
 	}
-	return k.sum
+	return c.sum
 }
 
 // add counts an event in a slot.
-func (k *slidingCounter) add(slot int64) {
-	k.advance(slot)
-	k.ring[slot%int64(len(k.ring))]++
-	k.sum++
+func (c *slidingCounter) add(slot int64) {
+	c.advance(slot)
+	c.ring[slot%int64(len(c.ring))]++
+	c.sum++
 }
 
 // indicator returns 1 for true and 0 for false, as a factor of a sum.
--- a/balancer/validate.go
+++ b/balancer/validate.go
@@ -17,18 +17,18 @@
 // Validate returns a *SettingError for the first setting that makes no sense, in the order of the checks.
 func (s *Settings) Validate() error {
 	var v validation
-	v.instance(s)
+	v.checkInstance(s)
 	for i := range s.Classes {
-		v.class(i, &s.Classes[i])
+		v.checkClass(i, &s.Classes[i])
 	}
 	for i, t := range s.Tenants {
-		notNegative(&v, fmt.Sprintf("Tenants[%d].Quota", i), t.Quota)
+		requireNotNegative(&v, fmt.Sprintf("Tenants[%d].Quota", i), t.Quota)
 	}
-	v.goal(&s.Goal)
-	v.weightsAndRetries(s)
-	v.limits(&s.Limits)
-	v.contract(&s.Contract)
-	v.prices(&s.Prices)
+	v.checkGoal(&s.Goal)
+	v.checkWeightsAndRetries(s)
+	v.checkLimits(&s.Limits)
+	v.checkContract(&s.Contract)
+	v.checkPrices(&s.Prices)
 	return v.err
 }
 
@@ -47,81 +47,81 @@
 	}
 }
 
-// atLeastOne requires a count of 1 or more.
-func (v *validation) atLeastOne(key string, value int) {
+// requireAtLeastOne requires a count of 1 or more.
+func (v *validation) requireAtLeastOne(key string, value int) {
 	v.require(value >= 1, key, value, "must be at least 1")
 }
 
-// notNegative requires a number or duration of 0 or more, which NaN is not.
-func notNegative[N int | int64 | float64](v *validation, key string, value N) {
+// requireNotNegative requires a number or duration of 0 or more, which NaN is not.
+func requireNotNegative[N int | int64 | float64](v *validation, key string, value N) {
 	v.require(value >= 0, key, value, "must not be negative")
 }
 
 // positive requires a number or duration over 0, which NaN is not.
-func positive[N int64 | float64](v *validation, key string, value N) {
+func requirePositive[N int64 | float64](v *validation, key string, value N) {
 	v.require(value > 0, key, value, "must be positive")
 }
 
 // instance checks what the settings say of the instance and its surroundings.
-func (v *validation) instance(s *Settings) {
-	v.atLeastOne("Balancers", s.Balancers)
-	notNegative(v, "Position", s.Position)
-	notNegative(v, "Zone", s.Zone)
+func (v *validation) checkInstance(s *Settings) {
+	v.requireAtLeastOne("Balancers", s.Balancers)
+	requireNotNegative(v, "Position", s.Position)
+	requireNotNegative(v, "Zone", s.Zone)
 	v.require(len(s.Classes) > 0, "Classes", "none", "at least one class is needed")
 }
 
 // class checks the class of an index.
-func (v *validation) class(index int, c *Class) {
+func (v *validation) checkClass(index int, c *Class) {
 	key := func(field string) string { return fmt.Sprintf("Classes[%d].%s", index, field) }
 	v.require(c.Idempotency <= NonIdempotent, key("Idempotency"), c.Idempotency, "not a known kind")
 	v.require(c.DedupScope <= DedupCell, key("DedupScope"), c.DedupScope, "not a known scope")
-	notNegative(v, key("DedupWindow"), c.DedupWindow)
-	positive(v, key("LatencyObjective"), c.LatencyObjective)
-	positive(v, key("ClientTimeout"), c.ClientTimeout)
-	notNegative(v, key("PriorityWeight"), c.PriorityWeight)
+	requireNotNegative(v, key("DedupWindow"), c.DedupWindow)
+	requirePositive(v, key("LatencyObjective"), c.LatencyObjective)
+	requirePositive(v, key("ClientTimeout"), c.ClientTimeout)
+	requireNotNegative(v, key("PriorityWeight"), c.PriorityWeight)
 	v.require(c.LateWeight >= 0 && c.LateWeight <= 1, key("LateWeight"), c.LateWeight, "must be in 0..1")
 }
 
 // goal checks the weights of the result.
-func (v *validation) goal(g *Goal) {
-	notNegative(v, "Goal", g.Overall)
-	notNegative(v, "Goal", g.WorstWindow)
-	notNegative(v, "Goal", g.WorstClass)
-	notNegative(v, "Goal", g.WorstTenant)
+func (v *validation) checkGoal(g *Goal) {
+	requireNotNegative(v, "Goal", g.Overall)
+	requireNotNegative(v, "Goal", g.WorstWindow)
+	requireNotNegative(v, "Goal", g.WorstClass)
+	requireNotNegative(v, "Goal", g.WorstTenant)
 }
 
-// weightsAndRetries checks the weight of requests over quota, and the retry budget.
-func (v *validation) weightsAndRetries(s *Settings) {
-	notNegative(v, "OverQuotaWeight", s.OverQuotaWeight)
+// checkWeightsAndRetries checks the weight of requests over quota, and the retry budget.
+func (v *validation) checkWeightsAndRetries(s *Settings) {
+	requireNotNegative(v, "OverQuotaWeight", s.OverQuotaWeight)
 	v.require(s.RetryRatio >= 0 && s.RetryRatio <= maxRetryRatio, "RetryRatio", s.RetryRatio, "must be in 0..10")
-	notNegative(v, "RetryWindow", s.RetryWindow)
+	requireNotNegative(v, "RetryWindow", s.RetryWindow)
 	v.require(s.MinRetryRate >= 0 && s.MinRetryRate <= maxMinRetryRate, "MinRetryRate", s.MinRetryRate,
 		"must be in 0..1000000")
 }
 
 // limits checks what the deployment permits.
-func (v *validation) limits(l *Limits) {
-	v.atLeastOne("Limits.MaxAttempts", l.MaxAttempts)
-	v.atLeastOne("Limits.MaxOpenRequests", l.MaxOpenRequests)
-	notNegative(v, "Limits.MaxRetryAfter", l.MaxRetryAfter)
-	notNegative(v, "Limits.DialTimeout", l.DialTimeout)
+func (v *validation) checkLimits(l *Limits) {
+	v.requireAtLeastOne("Limits.MaxAttempts", l.MaxAttempts)
+	v.requireAtLeastOne("Limits.MaxOpenRequests", l.MaxOpenRequests)
+	requireNotNegative(v, "Limits.MaxRetryAfter", l.MaxRetryAfter)
+	requireNotNegative(v, "Limits.DialTimeout", l.DialTimeout)
 }
 
 // contract checks how endpoints and discovery behave.
-func (v *validation) contract(c *Contract) {
-	notNegative(v, "Contract.DrainGrace", c.DrainGrace)
+func (v *validation) checkContract(c *Contract) {
+	requireNotNegative(v, "Contract.DrainGrace", c.DrainGrace)
 	start := c.WarmupStartCapacity
 	v.require(start > 0 && start <= 1, "Contract.WarmupStartCapacity", start, "must be in 0..1, not 0")
-	notNegative(v, "Contract.WarmupTime", c.WarmupTime)
-	positive(v, "Contract.CollapseMultiple", c.CollapseMultiple)
-	notNegative(v, "Contract.CollapseAfter", c.CollapseAfter)
-	notNegative(v, "Contract.PollInterval", c.PollInterval)
+	requireNotNegative(v, "Contract.WarmupTime", c.WarmupTime)
+	requirePositive(v, "Contract.CollapseMultiple", c.CollapseMultiple)
+	requireNotNegative(v, "Contract.CollapseAfter", c.CollapseAfter)
+	requireNotNegative(v, "Contract.PollInterval", c.PollInterval)
 }
 
 // prices checks what is taken off the result.
-func (v *validation) prices(p *Prices) {
-	notNegative(v, "Prices.CrossZone", p.CrossZone)
-	notNegative(v, "Prices.Probe", p.Probe)
-	notNegative(v, "Prices.Waste", p.Waste)
-	notNegative(v, "Prices.LateFail", p.LateFail)
+func (v *validation) checkPrices(p *Prices) {
+	requireNotNegative(v, "Prices.CrossZone", p.CrossZone)
+	requireNotNegative(v, "Prices.Probe", p.Probe)
+	requireNotNegative(v, "Prices.Waste", p.Waste)
+	requireNotNegative(v, "Prices.LateFail", p.LateFail)
 }
--- a/balancer/warmup.go
+++ b/balancer/warmup.go
@@ -21,9 +21,9 @@
 
 // startWarmup begins the warm-up of e, as from an instant. Both buckets start with a random part of one
 // request: many quiet balancers must not all send their first request at once.
-func (b *Balancer) startWarmup(now monotime.Micros, e *endpoint, from monotime.Micros) {
+func (b *Balancer) startWarmup(now monotime.Micros, e *endpoint, startedAt monotime.Micros) {
 	e.isWarmingUp = true
-	e.warmupStart = from
+	e.warmupStart = startedAt
 	e.warmupTokens = b.random.float() * b.meanWork.value * warmupCharge
 	e.warmupRefilledAt = now
 	e.servedTokens = e.warmupTokens / warmupCharge
@@ -73,8 +73,8 @@
 }
 
 const (
-	warmupServedShare   = 0.75 // of Contract.CollapseMultiple: the multiple of the served work
-	warmupSavedRequests = 4    // requests that the served bucket holds, at least
+	warmupServedShare       = 0.75 // of Contract.CollapseMultiple: the multiple of the served work
+	minServedBucketRequests = 4    // requests that the served bucket holds, at least
 
 	// warmupInitialShare is the part of an endpoint's present capacity that all balancers together fill while
 	// they have been served nothing: else none could begin.
@@ -87,12 +87,12 @@
 func (b *Balancer) refillServedBucket(now monotime.Micros, e *endpoint, work, minSize float64) {
 	contract := &b.settings.Contract
 	fraction := e.capacityFraction(now, b)
-	since := max(e.warmupRefilledAt, b.lastServedAt+contract.CollapseAfter)
-	initial := warmupInitialShare * fraction * assumedCores / float64(b.settings.Balancers)
-	initial *= float64(max(0, now-since))
-	multiple := warmupServedShare * contract.CollapseMultiple * fraction
-	e.servedTokens += multiple*(b.servedWork-e.servedWorkAtRefill) + initial
-	e.servedTokens = min(e.servedTokens, max(minSize, warmupSavedRequests*work*warmupCharge))
+	unservedSince := max(e.warmupRefilledAt, b.lastServedAt+contract.CollapseAfter)
+	initialTokens := warmupInitialShare * fraction * assumedCores / float64(b.settings.Balancers)
+	initialTokens *= float64(max(0, now-unservedSince))
+	servedMultiple := warmupServedShare * contract.CollapseMultiple * fraction
+	e.servedTokens += servedMultiple*(b.servedWork-e.servedWorkAtRefill) + initialTokens
+	e.servedTokens = min(e.servedTokens, max(minSize, minServedBucketRequests*work*warmupCharge))
 }
 
 const (
