--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -6,10 +6,10 @@
 	"dunlinsail/internal/monotime"
 )
 
-// HandleRequest handles a client's request: it is sent, queued until probes return, or rejected. A request is
-// rejected at once after its deadline, or beyond Limits.MaxOpenRequests. One of an unknown class is rejected
-// at once without a Retry-After, and is counted nowhere. One with the ID of a request that is open is
-// ignored.
+// HandleRequest handles a client's request: the request is sent to an endpoint, queued until probes return,
+// or rejected. A request that arrives after its deadline, or while more than Limits.MaxOpenRequests requests
+// are open, is rejected at once. A request of an unknown class is rejected at once without a Retry-After, and
+// enters no statistics. A request whose ID is that of an open request is ignored.
 func (b *Balancer) HandleRequest(now monotime.Micros, incoming Request) {
 	if b.requests[incoming.ID] != nil {
 		return
@@ -31,8 +31,8 @@
 	}
 }
 
-// countRequest counts a new request in the request rates and in the retry budget, and its hint (microseconds)
-// in the mean work of its class.
+// countRequest counts a new request in the request rates and in the retry budget. It adds the request's work
+// hint (microseconds), if there is one, to the mean work of its class.
 func (b *Balancer) countRequest(now monotime.Micros, r *request) {
 	b.requestRate.add(now, 1)
 	b.countRequestForRetries(now)
@@ -45,13 +45,14 @@
 	}
 }
 
-// initialHintTrust is the first hintTrust, 0 to 1: hints count half until answers show how far they are
-// right.
+// initialHintTrust is the initial value of Balancer.hintTrust, 0 to 1: work hints count half until responses
+// show how accurate they are.
 const initialHintTrust = 0.5
 
-// estimateWork sets the work (microseconds) that is expected of a request: the mean of its class, or its
-// hint, which counts by hintTrust (0: not at all; 1: as it is). Both are compared as logarithms, since hints
-// are wrong by factors.
+// estimateWork sets the expected work (microseconds) of a request. Without a work hint this is the mean work
+// of its class. A hint moves the estimate from that mean towards the hint in proportion to hintTrust (0: the
+// mean is used; 1: the hint is used). Both are compared as logarithms, since hints are usually wrong by a
+// factor.
 func (b *Balancer) estimateWork(r *request) {
 	r.work = b.classes[r.Class].meanWork.value
 	if r.HasWorkHint && r.WorkHint > 0 {
@@ -60,11 +61,11 @@
 	}
 }
 
-// dispatch sends a new request or rejects it, and counts that in the rejected ratio. It does neither with a
-// request over the latency budget that waits for answers to its class (queueForResponses).
+// dispatch sends a new request or rejects it, and updates the rejected ratio accordingly. A request over the
+// latency budget that waits for responses to its class (queueForResponses) is neither sent nor rejected yet.
 func (b *Balancer) dispatch(now monotime.Micros, r *request) {
 	if !r.HasWorkHint {
-		r.work = b.classes[r.Class].meanWork.value // answers may have come while r waited
+		r.work = b.classes[r.Class].meanWork.value // responses may have changed it while r waited
 	}
 	sent := b.attemptRequest(now, r, true)
 	if r.waiting {
@@ -79,9 +80,10 @@
 	}
 }
 
-// attemptRequest picks an endpoint and sends r there, and reports whether it did. first is set for the first
-// attempt of a request. Where the breaker of the picked endpoint rejects the attempt, one other endpoint is
-// picked. That one is not checked by admit: its predicted latency may be over the latency budget.
+// attemptRequest picks an endpoint, sends r to it, and reports whether r was sent. first is true for the
+// first attempt of a request. If the breaker of the picked endpoint rejects the attempt, one other endpoint
+// is picked. admit does not check that second endpoint, so its predicted latency may be over the latency
+// budget.
 func (b *Balancer) attemptRequest(now monotime.Micros, r *request, first bool) bool {
 	e := b.pickEndpoint(now, r, nil)
 	if e == nil || !b.admit(now, r, e, first) {
@@ -96,15 +98,16 @@
 	return b.sendAttempt(now, r, e)
 }
 
-// admit decides whether r may be sent to e, the best endpoint, by comparing the latency that is predicted
-// there (predictLatency, microseconds) with latencyBudget. A request over budget would be answered too late.
+// admit decides whether r may be sent to e, the candidate of the lowest cost. It compares the latency that is
+// predicted at e (predictLatency, microseconds) with the latency budget of r (latencyBudget): the response to
+// a request over budget would come too late.
 //
-// From time to time a first attempt is admitted although it is over budget (forced admission): its latency
-// corrects a prediction that is wrong. The forced admission counts as used, even if a breaker then rejects
-// the attempt. A retry over budget is never admitted.
+// From time to time a first attempt is admitted although it is over budget (forced admission), because its
+// latency corrects a prediction that is wrong. The forced admission counts as used even if a breaker then
+// rejects the attempt. A retry over budget is never admitted.
 //
-// What is not admitted is logged as rejected (logRejection), also a retry, whose request may then fail. A new
-// request may wait for answers to its class instead (queueForResponses).
+// An attempt that is not admitted is logged as a rejection (logRejection). This includes retries, whose
+// request may then fail. A new request may wait for responses to its class instead (queueForResponses).
 func (b *Balancer) admit(now monotime.Micros, r *request, e *endpoint, first bool) bool {
 	expected := b.predictLatency(now, e, r.work)
 	budget := b.latencyBudget(now, r, e)
@@ -126,27 +129,29 @@
 }
 
 const (
-	// defaultForcedAdmitInterval is the time between two forced admissions of a class without an overload
-	// policy: 1 s, the interval at which a breaker lets an attempt pass.
+	// defaultForcedAdmitInterval is the time between two forced admissions of a class if there is no overload
+	// policy: 1 s, the interval at which a rejecting breaker lets one attempt pass.
 	defaultForcedAdmitInterval = forcedPassInterval
 
 	// requestsPerForcedAdmit is the number of requests of a class per forced admission while endpoints report
-	// no load. Then only the requests that are admitted show latencies, and one per second would show them
-	// too late.
+	// no load. In that case latencies are known from admitted requests only, and one forced admission per
+	// second would show changes too late.
 	requestsPerForcedAdmit = 10.0
 )
 
-// initForcedAdmit sets, under an overload policy, the instant of a class's latest forced admission to a
-// random one within OverloadPolicy.ForcedAdmitInterval, if the class had none: balancers that start together
-// must not force admissions together.
+// initForcedAdmit sets the instant of a class's latest forced admission to a random instant within the past
+// OverloadPolicy.ForcedAdmitInterval, if the class had no forced admission and there is an overload policy.
+// Balancers that start together must not force admissions at the same time.
 func (b *Balancer) initForcedAdmit(now monotime.Micros, c *classStats) {
 	if b.overload != nil && c.lastForcedAdmit == 0 {
 		c.lastForcedAdmit = now - b.random.durationBelow(b.overload.ForcedAdmitInterval)
 	}
 }
 
-// forcedAdmitInterval returns the time between two forced admissions of a class: that of the overload policy,
-// else a constant, and less for a class of many requests (per second) while endpoints report no load.
+// forcedAdmitInterval returns the time between two forced admissions of a class. It is
+// OverloadPolicy.ForcedAdmitInterval under an overload policy, else defaultForcedAdmitInterval. Without a
+// policy, and while endpoints report no load, it is shorter for a class with many requests per second
+// (requestsPerForcedAdmit).
 func (b *Balancer) forcedAdmitInterval(now monotime.Micros, c *classStats) monotime.Micros {
 	if b.overload != nil {
 		return b.overload.ForcedAdmitInterval
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -2,138 +2,146 @@
 
 import "dunlinsail/internal/monotime"
 
-// EndpointState is the state of an endpoint, as discovery gives it.
+// EndpointState is the state of an endpoint as reported by discovery.
 type EndpointState uint8
 
 // The states of an endpoint.
 const (
-	Ready    EndpointState = iota
-	Draining               // gets no new attempts; attempts in flight go on
-	Gone                   // gets no new attempts, and is forgotten once it has none in flight
+	Ready    EndpointState = iota // gets new attempts
+	Draining                      // gets no new attempts; attempts in flight continue
+	Gone                          // gets no new attempts, and is removed once it has no attempt in flight
 )
 
 // Endpoint is one entry of an endpoint list.
 type Endpoint struct {
-	ID        uint32 // the host's number for it
-	Zone      uint8
-	Kind      uint8  // of machine. Not used by the balancer.
-	Cell      uint16 // part of its zone, with a deduplication scope of its own (DedupCell); unique over all zones
+	ID        uint32 // number that the host has assigned to the endpoint
+	Zone      uint8  // number of the endpoint's zone
+	Kind      uint8  // machine type. Not used by the balancer.
+	Cell      uint16 // cell within the zone (see DedupCell); cell numbers are unique over all zones
 	State     EndpointState
-	Share     float32         // of the service's capacity, 0 to 1. Not used by the balancer.
-	StartTime monotime.Micros // instant at which its present process started; 0 is unknown (startTimeOf)
+	Share     float32         // fraction of the service's capacity, 0 to 1. Not used by the balancer.
+	StartTime monotime.Micros // instant at which the endpoint's process started; 0 is unknown (startTimeOf)
 }
 
-// ListKind is the meaning of the entries of an endpoint list.
+// ListKind states which entries an endpoint list contains.
 type ListKind uint8
 
 // The kinds of endpoint list.
 const (
-	ListDelta  ListKind = iota // the entries that have changed
-	ListFull                   // all entries
-	ListCached                 // all entries, as of an earlier time
-	ListFailed                 // no entries: discovery failed
+	ListDelta  ListKind = iota // only the entries that have changed
+	ListFull                   // all current entries
+	ListCached                 // all entries as of an earlier time, from a cache
+	ListFailed                 // no entries, because discovery failed
 )
 
-// Request is a client's request. It gets one final answer: an outcome that answers it, a rejection or a
+// Request is a client's request. It gets one final response: the outcome of an attempt, a rejection or a
 // failure.
 type Request struct {
 	ID        uint64
-	ObjectKey uint64          // hash of the object that the request is about, 0 for none. Not used by the balancer.
-	Deadline  monotime.Micros // instant at which the client gives up
+	ObjectKey uint64          // hash of the requested object, 0 for none. Not used by the balancer.
+	Deadline  monotime.Micros // instant at which the client stops waiting
 
-	// QueueTime is the time that the request has waited in the host's queue. The latency objective counts
-	// from the arrival at the host.
+	// QueueTime is the time that the request has spent in the host's queue. The latency objective is measured
+	// from the request's arrival at the host.
 	QueueTime monotime.Micros
 
-	WorkHint    monotime.Micros // expected work, if HasWorkHint
+	WorkHint    monotime.Micros // expected work; valid if HasWorkHint is set
 	HasWorkHint bool
-	Retry       bool // the client marked it as its own retry; it is no retry by the balancer
-	MaxAttempts int  // within Limits.MaxAttempts; 0 for that number
-	Write       bool // it changes data. Not used by the balancer.
+	Retry       bool // the client marked the request as a retry; retries by the balancer are not meant
+	MaxAttempts int  // maximum number of attempts, if less than Limits.MaxAttempts; 0 is that limit
+	Write       bool // the request changes data. Not used by the balancer.
 
-	// Upload is set for a request whose body is sent while the endpoint reads it. Until its end the endpoint
-	// is not expected to answer, and the attempt has no timeout of its own.
+	// Upload is set for a request whose body is sent while the endpoint reads it. The endpoint is not
+	// expected to respond before the end of the body, and the attempt has no timeout of its own.
 	Upload bool
 
 	Tenant uint16 // index into Settings.Tenants
 	Class  uint8  // index into Settings.Classes
 }
 
-// Status is how an attempt or a probe ended.
+// Status is the result of an attempt or a probe.
 type Status uint8
 
-// The statuses of an attempt. Rejected, ConnectFailed and NotSent prove that the attempt never ran. After all
-// others, Cancelled included, it may have run, which limits retries and rejections of its request; after OK
-// it has run.
+// The statuses of an attempt. Rejected, ConnectFailed and NotSent prove that the attempt never ran. After OK
+// it has run. After any other status, including Cancelled, it may have run, which limits retries and
+// rejections of its request.
 const (
-	OK            Status = iota
-	Error                // an error of the endpoint
-	Rejected             // by the endpoint, before the attempt ran
-	Timeout              // no answer in time
-	ConnectFailed        // no connection in time
-	Reset                // the connection broke
-	Cancelled            // by Actions.Cancel
-	NotSent              // the host sent nothing
+	OK            Status = iota // the endpoint responded with success
+	Error                       // the endpoint responded with an error
+	Rejected                    // the endpoint rejected the attempt before it ran
+	Timeout                     // no response arrived in time
+	ConnectFailed               // no connection was established in time
+	Reset                       // the connection broke
+	Cancelled                   // Actions.Cancel ended the attempt
+	NotSent                     // the host sent nothing to the endpoint
 )
 
-// Outcome is the end of an attempt. Load is valid during the call only.
+// Outcome describes the end of an attempt. Load is valid during the call only.
 type Outcome struct {
-	ID            uint64 // of the request
-	Attempt       int    // number among the request's attempts, from 0, in the order of Actions.Send
-	Endpoint      uint32 // Not used by the balancer, which knows it by the attempt.
+	ID            uint64 // ID of the request
+	Attempt       int    // number of the attempt within the request, from 0, in the order of Actions.Send
+	Endpoint      uint32 // ID of the endpoint. Not used by the balancer, which knows it from the attempt.
 	Status        Status
-	Latency       monotime.Micros // from the send to the end
-	Stalled       monotime.Micros // of Latency, the part for which the host's process did not run
-	Answered      bool            // the request has its final answer
-	NotReplayable bool            // a part of its body was sent that cannot be sent again: no retry is possible
-	Load          []float32       // load report on the answer. Not used by the balancer.
+	Latency       monotime.Micros // time from the send to the end of the attempt
+	Stalled       monotime.Micros // time within Latency during which the host's process did not run
+	Answered      bool            // the client has received this outcome as its final response
+	NotReplayable bool            // sent body data cannot be sent again, so no retry is possible
+	Load          []float32       // load report in the response. Not used by the balancer.
 }
 
-// OverloadPolicy is what the fleet's overload control admits. All ratios are 0 to 1. The host may change the
-// slices between calls.
+// OverloadPolicy states which requests the fleet's overload control admits. All ratios and fractions are 0 to
+// 1. The host may change the contents of the slices between calls.
 type OverloadPolicy struct {
-	AdmitRatio          []float64 // by class: of its requests
-	OverQuotaAdmitRatio []float64 // by class: of its requests over their tenant's quota
-	WithinQuotaRatio    []float64 // by tenant: the part of its requests that is within its quota
-	RetryAdmitRatio     float64   // of the clients' retries (Request.Retry) that the ratios above admit
+	AdmitRatio          []float64 // fraction of a class's requests to admit, by class
+	OverQuotaAdmitRatio []float64 // fraction of a class's requests over their tenant's quota to admit, by class
+	WithinQuotaRatio    []float64 // fraction of a tenant's requests that is within its quota, by tenant
 
-	QueueWaitFraction      []float64 // by class: part of the rest of the latency objective that queueing may take
-	FloorQueueWaitFraction float64   // the same, at least, for the requests of FloorRatio, of any class
-	FloorRatio             float64   // of the requests: those of the lowest rank numbers, which are admitted first
+	// RetryAdmitRatio is the fraction to admit of the clients' retries (Request.Retry) that the ratios by
+	// class admit.
+	RetryAdmitRatio float64
+
+	QueueWaitFraction      []float64 // fraction of the remaining latency objective for queueing, by class
+	FloorQueueWaitFraction float64   // minimum of QueueWaitFraction for the requests within FloorRatio
+
+	// FloorRatio is the fraction of the requests, of any class, to which FloorQueueWaitFraction applies: the
+	// requests with the lowest rank numbers, which are admitted first (ShouldReject).
+	FloorRatio float64
 
 	ForcedAdmitInterval monotime.Micros // time between two forced admissions of a class
-	RetryAllowed        bool            // this instance may send one more retry, by its own budget or its leased quota
-	MaxProbeRate        float64         // probes per second of this instance
+	RetryAllowed        bool            // the instance's own budget or its leased quota allows one more retry
+	MaxProbeRate        float64         // maximum probes per second of this instance
 }
 
-// Actions is what a balancer requires of its host. Calls come from within event methods, in the order in
-// which they are to take effect. They must not call the balancer, and must not block.
+// Actions is the interface through which a balancer acts on its host. The balancer calls it from within event
+// methods, in the order in which the actions are to take effect. Implementations must not call the balancer
+// and must not block.
 type Actions interface {
-	// Send starts an attempt. Its end is passed to Balancer.HandleOutcome. After timeout the host gives it up
-	// with status Timeout; 0 is at the request's deadline.
+	// Send starts an attempt. The host passes the attempt's end to Balancer.HandleOutcome. After timeout the
+	// host abandons the attempt with status Timeout; a timeout of 0 means at the request's deadline.
 	Send(id uint64, endpoint uint32, timeout monotime.Micros)
 
-	// Reject gives the final answer "rejected", which promises that a retry is harmless. The client may retry
-	// after retryAfter; 0 gives no time.
+	// Reject sends the final response "rejected", which promises the client that a retry is harmless. The
+	// client may retry after retryAfter; 0 states no time.
 	Reject(id uint64, retryAfter monotime.Micros)
 
-	// Fail gives the final answer "failed", which promises nothing.
+	// Fail sends the final response "failed", which promises nothing about a retry.
 	Fail(id uint64)
 
-	// Cancel ends the wait for an attempt. Its outcome still comes, with any status.
+	// Cancel stops waiting for an attempt. The host still passes the attempt's outcome to the balancer, with
+	// any status.
 	Cancel(id uint64, attempt int)
 
-	// SetTimer calls Balancer.HandleTimer with token after a delay, which is positive. There may be several
-	// timers of a token.
+	// SetTimer makes the host call Balancer.HandleTimer with token after delay, which is positive. Several
+	// timers may have the same token.
 	SetTimer(delay monotime.Micros, token uint32)
 
-	// Probe requests a load report of an endpoint. Its end is passed to Balancer.HandleProbe.
+	// Probe requests a load report from an endpoint. The host passes the result to Balancer.HandleProbe.
 	Probe(endpoint uint32)
 
-	// Watch subscribes to discovery's endpoint list, or ends the subscription, which the balancer never does.
-	// Lists are passed to Balancer.UpdateEndpoints.
+	// Watch subscribes to discovery's endpoint list if on is true, and ends the subscription otherwise. The
+	// balancer never ends it. The host passes each list to Balancer.UpdateEndpoints.
 	Watch(on bool)
 
-	// Log writes a line for on-call staff. args are alternating keys and values, as in log/slog.
+	// Log writes a log line for on-call staff. args are alternating keys and values, as in log/slog.
 	Log(message string, args ...any)
 }
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -2,7 +2,7 @@
 
 import "dunlinsail/internal/monotime"
 
-// attemptsLeft reports whether r may have another attempt by Limits.MaxAttempts and Request.MaxAttempts.
+// attemptsLeft reports whether Limits.MaxAttempts and Request.MaxAttempts allow another attempt of r.
 func (b *Balancer) attemptsLeft(r *request) bool {
 	limit := b.settings.Limits.MaxAttempts
 	if r.MaxAttempts > 0 {
@@ -13,8 +13,9 @@
 
 // sendAttempt starts an attempt of r at e if the rules allow it (maySend), and reports whether it did.
 //
-// With the send it charges the token buckets of a warming endpoint (chargeWarmup), makes the attempt a trial
-// for each part of the traffic with an earlier ejection (startTrial), and sets the timer of the deadline.
+// For an attempt that is sent it also charges the token buckets of a warming endpoint (chargeWarmup), makes
+// the attempt a trial for each part of the traffic that was ejected and has had no success since
+// (startTrial), and sets the timer of the deadline.
 func (b *Balancer) sendAttempt(now monotime.Micros, r *request, e *endpoint) bool {
 	if !b.maySend(now, r, e) {
 		return false
@@ -50,21 +51,21 @@
 }
 
 const (
-	// timeoutFactor multiplies the expected latency. An attempt that takes longer has likely lost its
-	// connection.
+	// timeoutFactor multiplies the expected latency to give the timeout of an attempt. An attempt that takes
+	// longer has probably lost its connection.
 	timeoutFactor = 6.0
 
-	// minTimeoutDivisor divides the latency objective for the shortest timeout. An endpoint that is busy
-	// sends nothing for shorter times, however short the expected latency is.
+	// minTimeoutDivisor divides the latency objective to give the shortest timeout. A busy endpoint may send
+	// nothing for almost that long, however short the expected latency is.
 	minTimeoutDivisor = 10
 )
 
-// attemptTimeout returns after which time (microseconds) an attempt is given up, 0 for not before the
-// deadline.
+// attemptTimeout returns the time (microseconds) after which an attempt is abandoned, or 0 if it may take
+// until the deadline.
 //
-// Only an attempt that can be retried has a timeout: of an idempotent class, without an upload, with an
-// attempt and a retry left, and early enough for the retry to be answered within the latency objective.
-// expected is the latency (microseconds) that was predicted for the attempt.
+// An attempt has a timeout only if it can be retried: its class is idempotent, the request is not an upload,
+// an attempt and a retry are left, and the retry can be answered within the latency objective. expected is
+// the latency (microseconds) that was predicted for the attempt.
 func (b *Balancer) attemptTimeout(now monotime.Micros, r *request, expected float64) monotime.Micros {
 	c := b.classOf(r)
 	if c.Idempotency != Idempotent || r.Upload || !b.attemptsLeft(r) || !b.mayRetry(now) {
@@ -78,9 +79,9 @@
 	return monotime.Micros(timeout)
 }
 
-// HandleHeaders handles the start of a streamed answer of an attempt. From then on the request has neither a
-// deadline nor a retry, and with Limits.Cancel its other attempts are cancelled. latency, from the send to
-// the start, is not used by the balancer.
+// HandleHeaders handles the start of an attempt's streamed response. From then on the request has no deadline
+// and is not retried, and with Limits.Cancel its other attempts are cancelled. latency is the time from the
+// send of the attempt to the start of the response. The balancer does not use it.
 func (b *Balancer) HandleHeaders(now monotime.Micros, id uint64, number int, latency monotime.Micros) {
 	r, a := b.findAttempt(id, number)
 	if a == nil || r.finished {
@@ -95,8 +96,8 @@
 	b.cancelAttempts(r, number)
 }
 
-// cancelAttempts cancels the attempts of r that are in flight, except one number (-1 for none), with
-// Limits.Cancel.
+// cancelAttempts cancels the attempts of r in flight if Limits.Cancel is set. The attempt numbered
+// exceptNumber is not cancelled; -1 cancels all.
 func (b *Balancer) cancelAttempts(r *request, exceptNumber int) {
 	if !b.settings.Limits.Cancel {
 		return
--- a/balancer/breakerlatency.go
+++ b/balancer/breakerlatency.go
@@ -1,13 +1,14 @@
 package balancer
 
 const (
-	baseLatencyFallDivisor = 4   // of one answer's difference, for the usual latency if the answer is faster
-	baseLatencyRiseDivisor = 100 // of one answer's difference, for the usual latency if the answer is slower
-	currentLatencyDivisor  = 4   // of one answer's difference, for the present latency
+	baseLatencyFallDivisor = 4   // a faster response changes baseLatency by 1/4 of the difference
+	baseLatencyRiseDivisor = 100 // a slower response changes baseLatency by 1/100 of the difference
+	currentLatencyDivisor  = 4   // a response changes currentLatency by 1/4 of the difference
 )
 
-// recordLatency updates the usual and the present latency by that of an answer (microseconds). The usual one
-// falls fast and rises slowly, so that it stays the latency without congestion.
+// recordLatency updates the base latency and the current latency from the latency of a response
+// (microseconds). The base latency falls fast and rises slowly, so that it stays near the latency without
+// congestion.
 func (br *breaker) recordLatency(latency float64) {
 	if br.baseLatency <= 0 {
 		br.baseLatency = latency
@@ -23,14 +24,20 @@
 }
 
 const (
-	latencyActivationMultiplier = 3    // times the usual latency: the present one rejects from there on
-	latencyCeilingShare         = 0.95 // of the client timeout: there the chance is maxLatencyRejectChance
-	maxLatencyRejectChance      = 0.3  // chance of a rejection by latency, at most
+	// latencyActivationMultiplier is the multiple of the base latency above which the current latency causes
+	// rejections.
+	latencyActivationMultiplier = 3
+
+	// latencyCeilingShare is the fraction of the client timeout at which a current latency causes rejections
+	// with the chance maxLatencyRejectChance.
+	latencyCeilingShare = 0.95
+
+	maxLatencyRejectChance = 0.3 // maximum chance of a rejection because of latency
 )
 
-// latencyRejectChance returns the chance (0 to maxLatencyRejectChance) of a rejection by latency. It grows
-// linearly with the present latency, from latencyActivationMultiplier times the usual one to near the client
-// timeout (microseconds).
+// latencyRejectChance returns the chance (0 to maxLatencyRejectChance) of a rejection because of latency. It
+// grows linearly with the current latency, from latencyActivationMultiplier times the base latency to
+// latencyCeilingShare of the client timeout (microseconds).
 func (br *breaker) latencyRejectChance(timeout float64) float64 {
 	threshold := latencyActivationMultiplier * br.baseLatency
 	ceiling := latencyCeilingShare * timeout
--- a/balancer/breakerwindow.go
+++ b/balancer/breakerwindow.go
@@ -3,24 +3,24 @@
 import "dunlinsail/internal/monotime"
 
 // breaker holds the outcomes of an endpoint's attempts in a sliding window, and two averages of its latency.
-// Its decisions are in breaker.go, breakerlatency.go and suspicion.go.
+// The decisions that use them are in breaker.go, breakerlatency.go and suspicion.go.
 type breaker struct {
 	ring           [breakerBuckets]bucket
-	newest         int64   // number of the newest bucket, since the start of time
-	requests       int     // in the window: outcomes, and attempts that the breaker rejected
-	accepts        int     // in the window: successes
-	baseLatency    float64 // microseconds, the usual latency; 0 before the first answer
-	currentLatency float64 // microseconds, the present latency
+	newest         int64   // number of the newest bucket, counted from instant 0
+	requests       int     // outcomes and breaker rejections in the window
+	accepts        int     // successes in the window
+	baseLatency    float64 // latency without congestion, microseconds; 0 before the first response
+	currentLatency float64 // moving average of the latest latencies, microseconds
 }
 
-// bucket counts the outcomes of one part of the window.
+// bucket counts the outcomes within one of the breakerBuckets intervals of the window.
 type bucket struct {
 	requests int
 	accepts  int
 	failures int
 }
 
-// advance drops the buckets that have left the window, and returns the newest one.
+// advance removes the buckets that have left the window, and returns the newest bucket.
 func (br *breaker) advance(now monotime.Micros) *bucket {
 	bucketNumber := now / (breakerWindow / breakerBuckets)
 	if bucketNumber-br.newest >= breakerBuckets {
@@ -39,8 +39,8 @@
 	return &br.ring[bucketNumber%breakerBuckets]
 }
 
-// record adds a request to the newest bucket, with an accept (1 or 0) and a failure (1 or 0). A request with
-// neither was rejected by the breaker.
+// record adds a request to the newest bucket, with the given number (0 or 1) of accepts and failures. A
+// request with neither was rejected by the breaker.
 func (br *breaker) record(now monotime.Micros, accepts, failures int) {
 	newest := br.advance(now)
 	newest.requests++
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -2,25 +2,27 @@
 
 import "dunlinsail/internal/monotime"
 
-// candidateSearch looks for the endpoint of the lowest cost for a request. Its methods consider endpoints,
-// each in another way; findCandidate calls them in a fixed order, which fixes the order of random draws.
+// candidateSearch looks for the endpoint of the lowest cost for a request. Each consider method examines
+// endpoints from another source. findCandidate calls these methods in a fixed order, which also fixes the
+// order of random draws.
 type candidateSearch struct {
 	b            *Balancer
 	now          monotime.Micros
 	request      *request
-	excluded     *endpoint // left out; nil for none
+	excluded     *endpoint // never a candidate; nil excludes no endpoint
 	allowEjected bool
-	best         *endpoint // nil: none yet
-	bestCost     float64   // microseconds, of best
+	best         *endpoint // nil until a usable endpoint is found
+	bestCost     float64   // cost of best, microseconds
 }
 
-// findCandidate returns an endpoint that r may be sent to, nil for none: the one of the lowest cost among the
-// pool of recent load reports, some warming endpoints, and random endpoints where the pool is too small. If
-// none of these may be used, it is the first of all others that may (considerAll).
+// findCandidate returns an endpoint that r may be sent to, or nil if there is none. It is the endpoint of the
+// lowest cost among the pool of recent load reports, some warming endpoints and, where the pool is too small,
+// some random endpoints. If r may be sent to none of these, all endpoints are considered in turn until one is
+// usable (considerAll).
 func (b *Balancer) findCandidate(now monotime.Micros, r *request, excluded *endpoint,
 	allowEjected bool) *endpoint {
 	minReportedAt := now - b.reportLifetime(now)
-	b.effectiveCapacity(now) // updates warmingEndpoints
+	b.effectiveCapacity(now) // called because it updates warmingEndpoints
 	s := candidateSearch{b: b, now: now, request: r, excluded: excluded, allowEjected: allowEjected}
 	usablePooled := s.considerPooled(minReportedAt)
 	s.considerWarming()
@@ -31,9 +33,9 @@
 	return s.best
 }
 
-// consider compares e with the best endpoint so far, and reports whether r may be sent to e. It may not go to
-// an endpoint that it was sent to before, nor, without allowEjected, to one that is ejected, nor against the
-// rules of maySend.
+// consider compares the cost of e with that of the best endpoint so far, and reports whether r may be sent to
+// e. r is not sent to the excluded endpoint, to an endpoint of an earlier attempt, or where maySend forbids
+// it. Ejected endpoints are usable only with allowEjected.
 func (s *candidateSearch) consider(e *endpoint) bool {
 	if e == s.excluded || s.request.hasAttempted(e) {
 		return false
@@ -51,8 +53,8 @@
 	return true
 }
 
-// considerPooled considers the endpoints of the pool whose load report was made at oldest or later, the
-// latest first, and returns how many of them may be used.
+// considerPooled considers the endpoints of the pool whose load report was made at minReportedAt or later,
+// starting with the latest report. It returns how many of them are usable.
 func (s *candidateSearch) considerPooled(minReportedAt monotime.Micros) int {
 	usable := 0
 	for i := len(s.b.probePool) - 1; i >= 0 && s.b.probePool[i].reportedAt >= minReportedAt; i-- {
@@ -63,11 +65,12 @@
 	return usable
 }
 
-// warmingDraws is the number of random warming endpoints that are considered for each request. Few of the
-// pool's reports are from warming endpoints, and capacity that is not used is lost.
+// warmingDraws is the number of random warming endpoints that are considered for each request. They are drawn
+// separately because few reports of the pool come from warming endpoints, and because capacity that is not
+// used is lost.
 const warmingDraws = 2
 
-// considerWarming considers some random warming endpoints.
+// considerWarming considers up to warmingDraws random warming endpoints.
 func (s *candidateSearch) considerWarming() {
 	for i := 0; i < warmingDraws && len(s.b.warmingEndpoints) > 0; i++ {
 		s.consider(s.b.warmingEndpoints[s.b.random.index(len(s.b.warmingEndpoints))])
@@ -75,24 +78,25 @@
 }
 
 const (
-	randomDraws    = 2 // usable random endpoints that are looked for (power of two choices)
-	maxRandomDraws = 8 // random draws to find them
+	randomDraws    = 2 // number of usable random endpoints to find (power of two choices)
+	maxRandomDraws = 8 // maximum number of random draws to find randomDraws usable endpoints
 
-	// poolCoverageDivisor divides the number of listed endpoints, where it is at most probePoolSize: if fewer
-	// than the result are usable in the pool, random ones compete.
+	// poolCoverageDivisor applies to lists of at most probePoolSize endpoints: random endpoints are
+	// considered as well if fewer than 1/poolCoverageDivisor of the listed endpoints are usable in the pool.
 	poolCoverageDivisor = 2
 )
 
-// poolIsTooSmall reports whether random endpoints compete with the usable ones of the pool (pooled is their
-// number), since a small pool would get all requests. It does if there are fewer than randomDraws of them.
-// Where the list has at most probePoolSize endpoints, it also does if fewer than half of the list are usable
-// in the pool.
+// poolIsTooSmall reports whether random endpoints are considered beside the usablePooled usable endpoints of
+// the pool, since a small pool would get all requests. This is so if the pool has fewer than randomDraws
+// usable endpoints. If the list has at most probePoolSize endpoints, it is also so if less than half of the
+// list is usable in the pool.
 func (s *candidateSearch) poolIsTooSmall(usablePooled int) bool {
 	count := len(s.b.endpoints)
 	return usablePooled < randomDraws || count <= probePoolSize && poolCoverageDivisor*usablePooled < count
 }
 
-// considerRandom considers random endpoints until randomDraws of them may be used.
+// considerRandom considers random endpoints until randomDraws usable ones are found or maxRandomDraws draws
+// were made.
 func (s *candidateSearch) considerRandom() {
 	usable := 0
 	for i := 0; usable < randomDraws && i < maxRandomDraws && len(s.b.endpoints) > 0; i++ {
@@ -102,11 +106,14 @@
 	}
 }
 
-// considerAll considers all endpoints in turn, from a random one on, until one may be used: where few may,
-// random draws do not find them. In a list of maxRandomDraws endpoints at most it goes on while the best one
-// is over the latency budget: the draws may have found the same slow endpoint twice. In a long list that
-// would have many balancers follow the same averages. It draws the start in each search, also if there is a
-// best one.
+// considerAll considers all endpoints in turn, starting at a random one, until there is a usable endpoint. It
+// finds the few usable endpoints that random draws miss.
+//
+// In a list of at most maxRandomDraws endpoints it continues while the best endpoint is over the latency
+// budget, since the random draws may have found the same slow endpoint twice. In a longer list this would
+// make many balancers choose the same endpoints from the same averages.
+//
+// The random start is drawn in each search, even if there already is a best endpoint.
 func (s *candidateSearch) considerAll() {
 	count := len(s.b.endpoints)
 	start := s.b.random.index(count)
@@ -116,5 +123,6 @@
 	}
 }
 
-// bestIsOverBudget reports whether even the best endpoint so far is over the latency budget.
+// bestIsOverBudget reports whether the predicted latency at the best endpoint so far exceeds the latency
+// budget.
 func (s *candidateSearch) bestIsOverBudget() bool { return s.b.isOverBudget(s.now, s.request, s.best) }
--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -6,9 +6,9 @@
 	"dunlinsail/internal/monotime"
 )
 
-// UpdateEndpoints handles an endpoint list, a change of it, or discovery's failure to send one. After a
-// failure the latest list stays in use and, with Settings.Subscribe, discovery is polled again. A cached list
-// does not count as the answer of a poll: polls go on until discovery sends a list.
+// UpdateEndpoints handles an endpoint list, a change of the list, or discovery's failure to send a list.
+// After a failure the latest list stays in use and, with Settings.Subscribe, discovery is polled again. A
+// cached list does not count as the reply to a poll: polls continue until discovery sends a list.
 func (b *Balancer) UpdateEndpoints(now monotime.Micros, listKind ListKind, entries []Endpoint) {
 	if listKind == ListFailed {
 		b.subscribed = false
@@ -31,8 +31,8 @@
 	b.listReceived = b.listReceived || listKind != ListCached || !b.settings.Subscribe
 }
 
-// updateEndpoint applies one entry of a list. What was learned of an earlier process of the endpoint is
-// dropped, and an endpoint that has just started begins to warm up.
+// updateEndpoint applies one entry of a list. If the endpoint has restarted, the learned estimates of its
+// earlier process are dropped. An endpoint that has just started begins to warm up.
 func (b *Balancer) updateEndpoint(now monotime.Micros, entry *Endpoint, listKind ListKind) {
 	e := b.endpointsByID[entry.ID]
 	added := e == nil
@@ -55,7 +55,7 @@
 	}
 }
 
-// addEndpoint adds a record to the endpoints.
+// addEndpoint creates the record of an endpoint and adds it to the known endpoints.
 func (b *Balancer) addEndpoint(id uint32) *endpoint {
 	e := &endpoint{outliers: b.newOutliers()}
 	b.endpointsByID[id] = e
@@ -63,8 +63,9 @@
 	return e
 }
 
-// startTimeOf returns when the process of an entry started, 0 for long ago. An entry without a start time
-// that is added after the first list has just started. A cached list may be old, so what it adds has not.
+// startTimeOf returns the instant at which the process of a listed endpoint started, or 0 for long ago. An
+// entry without a start time that is added after the first list is assumed to have just started. This does
+// not apply to a cached list, since its entries may be old.
 func (b *Balancer) startTimeOf(now monotime.Micros, entry *Endpoint, added bool,
 	listKind ListKind) monotime.Micros {
 	if entry.StartTime == 0 && added && b.listReceived && listKind != ListCached {
@@ -73,8 +74,8 @@
 	return entry.StartTime
 }
 
-// removeUnlisted marks endpoints that a complete list leaves out as Gone, and forgets those that are Gone
-// once they have no attempt in flight. What is not eligible leaves the pool.
+// removeUnlisted sets endpoints that are missing from a complete list to Gone, and removes the records of
+// Gone endpoints without an attempt in flight. Endpoints that are not eligible are removed from the pool.
 func (b *Balancer) removeUnlisted(listKind ListKind) {
 	b.endpoints = slices.DeleteFunc(b.endpoints, func(e *endpoint) bool {
 		if listKind != ListDelta && !e.listed {
--- a/balancer/firstanswers.go
+++ b/balancer/firstanswers.go
@@ -7,30 +7,33 @@
 )
 
 const (
-	// initialWorkSamples is the number of answers for which the initial estimate of the work of a class counts.
+	// initialWorkSamples is the number of responses that the initial estimate of a class's work counts as.
 	initialWorkSamples = 10.0
 
-	// learnedWorkSamples is the number of answers, the initial estimate included, from which on the work of a
-	// class is known: each answer counts by slowWeight from then on.
+	// learnedWorkSamples is the number of responses, including those that the initial estimate counts as,
+	// after which the work of a class is considered known. From then on each response has the weight
+	// slowWeight.
 	learnedWorkSamples = 1 / slowWeight
 )
 
-// updateMeanWork updates the mean work of a class by that of one answer (microseconds). All answers count
-// alike, until slowWeight is more than the part of each: a new process would else need hundreds of answers to
-// correct its initial estimate.
+// updateMeanWork updates the mean work of a class from the work of one response (microseconds). All responses
+// have equal weights until that weight falls below slowWeight. With slowWeight from the start, a new process
+// would need hundreds of responses to correct its initial estimate.
 func (c *classStats) updateMeanWork(work float64) {
 	c.meanWork.add(work, max(slowWeight, 1/(c.meanWork.samples+1)))
 }
 
-// isWorkUncertain reports whether the work of r is known by few answers only.
+// isWorkUncertain reports whether the estimated work of r is based on few responses only (learnedWorkSamples)
+// and not on a work hint.
 func (b *Balancer) isWorkUncertain(r *request) bool {
 	return !r.HasWorkHint && b.classes[r.Class].meanWork.samples < learnedWorkSamples
 }
 
-// queueForResponses queues a new request that is over the latency budget while its class is learning, and
-// reports whether it did. An estimate that few answers support rejects nothing at once: r is tried again with
-// each answer to its class, for a tenth of its latency objective at most (maxQueueTimeDivisor), and not past
-// its deadline. r is not queued where no endpoint is warm: warming ones teach nothing of a class.
+// queueForResponses queues a new request that is over the latency budget while the work of its class is
+// uncertain (isWorkUncertain), and reports whether it did: an estimate from few responses must not reject
+// requests at once. r is dispatched again with each response to its class, for at most a tenth of its latency
+// objective (maxQueueTimeDivisor) and not past its deadline. r is not queued if no endpoint is warm, since
+// responses of warming endpoints do not update the mean work of a class.
 func (b *Balancer) queueForResponses(now monotime.Micros, r *request) bool {
 	if r.hasAwaitedResponses || !b.isWorkUncertain(r) || b.warmCount == 0 || now >= r.Deadline {
 		return false
@@ -44,8 +47,8 @@
 	return true
 }
 
-// dispatchAwaitingResponses dispatches the requests that wait for answers to a class, in their order, up to
-// the first one that is still over the latency budget.
+// dispatchAwaitingResponses dispatches the requests that wait for responses to a class, in the order of their
+// arrival, until a request is still over the latency budget.
 func (b *Balancer) dispatchAwaitingResponses(now monotime.Micros, class uint8) {
 	for len(b.classes[class].waiting) > 0 {
 		r := b.classes[class].waiting[0]
@@ -56,7 +59,7 @@
 	}
 }
 
-// stopAwaitingResponses removes r from the requests that wait for answers to its class.
+// stopAwaitingResponses removes r from the requests that wait for responses to its class.
 func (b *Balancer) stopAwaitingResponses(r *request) {
 	c := &b.classes[r.Class]
 	c.waiting = slices.DeleteFunc(c.waiting, func(other *request) bool { return other == r })
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -3,14 +3,14 @@
 import "dunlinsail/internal/monotime"
 
 // Attempts, rejections and failures go through sendAttempt, reject and failRequest, which enforce the rules
-// of this file: no request has a second effect, and no rejection promises wrongly that a retry is harmless.
+// of this file: no request takes effect twice, and no rejection wrongly promises that a retry is harmless.
 
-// maySend reports whether the rules allow an attempt of r at e now. They do not:
-//   - after the final answer or the deadline, once an answer is streamed, or without attemptsLeft;
+// maySend reports whether the rules allow an attempt of r at e now. An attempt is not allowed
+//   - after the final response or the deadline, once a response is streamed, or without attemptsLeft;
 //   - at an endpoint that is not ready, or that is cordoned or paused;
-//   - beside another attempt in flight, without Limits.Hedging (HandleOutcome starts none there in any case);
-//   - at a warming endpoint without capacity for r (hasWarmupCapacity), or after a handover (SetHandedOver);
-//   - where a second run of r would have a second effect (mayRunAgain).
+//   - while another attempt is in flight, unless Limits.Hedging is set (HandleOutcome never hedges);
+//   - at a warming endpoint without capacity for r (hasWarmupCapacity) or after a handover (SetHandedOver);
+//   - if a second run of r would take effect again (mayRunAgain).
 func (b *Balancer) maySend(now monotime.Micros, r *request, e *endpoint) bool {
 	if r.finished || r.streaming || now >= r.Deadline || !b.attemptsLeft(r) || !e.isEligible() {
 		return false
@@ -24,10 +24,11 @@
 	return b.mayRunAgain(now, r, e)
 }
 
-// mayRunAgain reports whether r may run at e although an earlier attempt may have run: if its class is
-// idempotent, or if e drops a second run with the same idempotency key. It does so within the class's
-// deduplication window from the first such attempt, and within that attempt's deduplication scope. The scope
-// DedupCell compares Endpoint.Cell without the zone, so cell numbers must be unique over all zones.
+// mayRunAgain reports whether r may run at e although an earlier attempt may have run. This is so if its
+// class is idempotent, or if e drops a second run with the same idempotency key. e drops it within the
+// class's deduplication window, which starts with the first attempt that may have run, and within that
+// attempt's deduplication scope. The scope DedupCell compares Endpoint.Cell but not the zone, so cell numbers
+// must be unique over all zones.
 func (b *Balancer) mayRunAgain(now monotime.Micros, r *request, e *endpoint) bool {
 	c := b.classOf(r)
 	first := r.firstMayHaveRun()
@@ -49,7 +50,8 @@
 }
 
 // FirstByteDeadline returns the instant up to which the first byte of a request's latest attempt may be sent,
-// 0 for none. It is the end of the deduplication window, where an earlier attempt may have run.
+// or 0 if there is no such limit. If an earlier attempt may have run, the limit is the end of the
+// deduplication window.
 func (b *Balancer) FirstByteDeadline(id uint64) monotime.Micros {
 	r := b.requests[id]
 	if r == nil || b.classOf(r).Idempotency != IdempotentByKey {
@@ -62,10 +64,10 @@
 	return first.sentAt + b.classOf(r).DedupWindow
 }
 
-// mayReject reports whether r may be rejected, which promises the client that a retry is harmless: if it has
-// not run, if its class is idempotent, or if all endpoints drop second runs with its idempotency key. The
-// last does not hold with Settings.StrictIdempotencyKeys, since the client may retry after the deduplication
-// window.
+// mayReject reports whether r may be rejected, which promises the client that a retry is harmless. A retry is
+// harmless if r has not run, if its class is idempotent, or if all endpoints drop second runs with its
+// idempotency key. The last case does not count with Settings.StrictIdempotencyKeys, since the client may
+// retry after the deduplication window.
 func (b *Balancer) mayReject(r *request) bool {
 	c := b.classOf(r)
 	if c.Idempotency == Idempotent || r.firstMayHaveRun() == nil {
--- a/balancer/latencybudget.go
+++ b/balancer/latencybudget.go
@@ -3,36 +3,43 @@
 import "dunlinsail/internal/monotime"
 
 const (
-	maxQueueWaitFraction = 0.6 // of the rest of the objective, at priority weight 1: the rest is for variation
-	minQueueWaitFraction = 0.2 // of the rest of the objective, at any priority weight
+	// maxQueueWaitFraction is the fraction of the remaining latency objective that a request of priority
+	// weight 1 may spend on queueing. The other 0.4 allows for variation of the latency.
+	maxQueueWaitFraction = 0.6
+
+	// minQueueWaitFraction is the fraction of the remaining latency objective that a request of any priority
+	// weight may spend on queueing.
+	minQueueWaitFraction = 0.2
 )
 
 // latencyBudget returns the longest predicted latency (microseconds) at which r is still sent to e.
 //
-// It is the latency with no other request there, and a part (queueWaitFraction) of what then remains of the
-// latency objective since the arrival, for queueing at e. Requests of less priority weight get a smaller
-// part, so that they are rejected first. While load reports are late, all that remains may be spent on
-// queueing, whatever the weight. The time until the deadline is the upper bound.
+// It is the latency that r would have if e had no other request, plus an allowance for queueing at e. The
+// allowance is a fraction (queueWaitFraction) of the latency objective that then remains, counted from the
+// arrival of r. Requests of a lower priority weight get a smaller fraction, so that they are rejected first.
+// While load reports are late, all of the remaining objective may be spent on queueing, whatever the weight.
+// The budget never exceeds the time until the deadline.
 func (b *Balancer) latencyBudget(now monotime.Micros, r *request, e *endpoint) float64 {
 	idleLatency := e.rtt.valueOr(0) + r.work*b.fleetSlowdown()*e.currentServiceTimeRatio(now, b)
 	fraction := b.queueWaitFraction(now, r)
 	if b.reportsLate {
-		// The least loaded endpoint is not known, and averages must not reject what it would serve.
+		// The least loaded endpoint is unknown while reports are late. Rejections based on average loads
+		// would include requests that this endpoint could serve in time.
 		fraction = 1
 	}
 	remaining := float64(b.classOf(r).LatencyObjective) - float64(now-r.arrivedAt) - idleLatency
 	return min(idleLatency+fraction*remaining, float64(r.Deadline-now))
 }
 
-// isOverBudget reports whether the latency that is predicted for r at e is over the latency budget.
+// isOverBudget reports whether the predicted latency of r at e exceeds its latency budget.
 func (b *Balancer) isOverBudget(now monotime.Micros, r *request, e *endpoint) bool {
 	return b.predictLatency(now, e, r.work) > b.latencyBudget(now, r, e)
 }
 
-// QueueWaitFraction returns which part (0 to 1) of what remains of its latency objective a request may wait
-// in the host's queue. It is the part that latencyBudget allows for queueing at an endpoint while load
-// reports are in time; while they are late it stays the same here, and is 1 there. An unknown class gets the
-// least part.
+// QueueWaitFraction returns the fraction (0 to 1) of the remaining latency objective that a request may wait
+// in the host's queue. It is the fraction that latencyBudget allows for queueing at an endpoint while load
+// reports arrive in time. Late load reports raise the fraction in latencyBudget to 1, but do not change it
+// here. A request of an unknown class gets minQueueWaitFraction.
 func (b *Balancer) QueueWaitFraction(now monotime.Micros, incoming Request) float64 {
 	if int(incoming.Class) >= len(b.classes) {
 		return minQueueWaitFraction
@@ -40,8 +47,9 @@
 	return b.queueWaitFraction(now, &request{Request: incoming})
 }
 
-// queueWaitFraction returns that part for a request of a known class: from the overload policy if there is
-// one, else in proportion to the priority weight (0 to 1).
+// queueWaitFraction returns the fraction (0 to 1) of the remaining latency objective that a request of a
+// known class may spend on queueing. It comes from the overload policy if there is one; otherwise it is
+// proportional to the priority weight (0 to 1).
 func (b *Balancer) queueWaitFraction(now monotime.Micros, r *request) float64 {
 	if b.overload == nil {
 		return max(minQueueWaitFraction, maxQueueWaitFraction*b.priorityWeight(now, r))
--- a/balancer/lifecycle.go
+++ b/balancer/lifecycle.go
@@ -2,8 +2,8 @@
 
 import "dunlinsail/internal/monotime"
 
-// New returns a balancer, or a *SettingError for settings that make no sense. Equal settings, seeds and
-// events give equal actions. Call Start before any event.
+// New returns a balancer, or a *SettingError for invalid settings. Equal settings, seeds and events give
+// equal actions. Start must be called before any event method.
 func New(settings Settings, seed uint64, actions Actions) (*Balancer, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -34,26 +34,26 @@
 	return b, nil
 }
 
-// initialWorkDivisor divides a class's latency objective for the first estimate of its work: a service whose
-// objective can be met answers a request well within it.
+// initialWorkDivisor divides a class's latency objective to give the initial estimate of its work. The work
+// is a small fraction because a service that can meet its objective responds well within it.
 const initialWorkDivisor = 5
 
-// initClasses sets the first estimates of each class: the mean work (microseconds) and the on-time ratio.
+// initClasses sets the initial estimates of each class: the mean work (microseconds) and the on-time ratio.
 func (b *Balancer) initClasses() {
 	for i := range b.classes {
 		work := float64(b.settings.Classes[i].LatencyObjective) / initialWorkDivisor
 		b.classes[i].meanWork = ewma{value: work, samples: initialWorkSamples}
 		b.classes[i].onTimeRatio = ewma{value: 1, samples: manySamples}
-		b.meanWork.add(work, 1/float64(i+1)) // the plain mean of the classes
+		b.meanWork.add(work, 1/float64(i+1)) // unweighted mean over the classes
 	}
 }
 
-// Start starts the timers of polls (only with Settings.Subscribe) and of probe rounds (only with
-// Limits.Probes), each at a random time: all instances of a fleet may start together. It also makes the
-// served buckets of warming endpoints gain their initial tokens from now on.
+// Start starts the timer of polls (with Settings.Subscribe) and the timer of probe rounds (with
+// Limits.Probes), each with a random delay, since all instances of a fleet may start together. From now on
+// the served buckets of warming endpoints gain their initial tokens.
 func (b *Balancer) Start(now monotime.Micros) {
 	b.dueProbesAt = now
-	// As if it were long ago, so that warming endpoints get initial tokens (refillServedBucket).
+	// The instant lies in the past, so that warming endpoints get initial tokens (refillServedBucket).
 	b.lastServedAt = now - b.settings.Contract.CollapseAfter
 	b.startPolling(now)
 	if b.settings.Limits.Probes {
@@ -61,8 +61,8 @@
 	}
 }
 
-// HandleTimer handles a token that was given to Actions.SetTimer. A token of a finished request has no
-// effect, nor has that of a request whose answer is being streamed.
+// HandleTimer handles the expiry of a timer that was set with Actions.SetTimer. The token of a request that
+// is finished or whose response is being streamed has no effect.
 func (b *Balancer) HandleTimer(now monotime.Micros, token uint32) {
 	switch {
 	case token == tokenProbe:
--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -3,25 +3,26 @@
 import "dunlinsail/internal/monotime"
 
 const (
-	probePoolSize           = 24          // endpoints with load reports that are compared for a request
-	minReportLifetime       = second      // a report may be used for at least this time
-	reportLifetimeRefreshes = 3           // turns of the pool for which a report may be used
-	maxReportLifetime       = 30 * second // a report may be used for at most this time
+	probePoolSize           = 24          // maximum number of endpoints with load reports in the pool
+	minReportLifetime       = second      // lower bound of reportLifetime
+	reportLifetimeRefreshes = 3           // number of pool refreshes during which a report may be used
+	maxReportLifetime       = 30 * second // upper bound of reportLifetime
 )
 
-// reportLifetime returns how long (microseconds) a load report may be used for picks: reportLifetimeRefreshes
-// turns of the pool, but at least minReportLifetime and at most maxReportLifetime. A turn is
-// min(probePoolSize, number of listed endpoints) over the probe rate (per second).
+// reportLifetime returns how long (microseconds) a load report may be used for picks: the time of
+// reportLifetimeRefreshes refreshes of the pool, but at least minReportLifetime and at most
+// maxReportLifetime. A refresh takes min(probePoolSize, number of listed endpoints) divided by the probe rate
+// (per second).
 func (b *Balancer) reportLifetime(now monotime.Micros) monotime.Micros {
 	refreshTime := float64(min(probePoolSize, len(b.endpoints))) / b.probeRate(now) * float64(second)
 	return min(max(minReportLifetime, monotime.Micros(reportLifetimeRefreshes*refreshTime)), maxReportLifetime)
 }
 
-// reportedServiceTimeWeight is the weight of one report in the mean reported service time, which is over
-// about a pool of reports.
+// reportedServiceTimeWeight is the weight of one report in the mean reported service time. The mean covers
+// about as many reports as the pool holds.
 const reportedServiceTimeWeight = 1.0 / probePoolSize
 
-// recordReport records the round trip (microseconds) and the load report of a probe of e.
+// recordReport records the round trip (microseconds) of a probe of e and the load report that it returned.
 func (b *Balancer) recordReport(now monotime.Micros, e *endpoint, latency monotime.Micros, load []float32) {
 	e.rtt.add(float64(latency), fastWeight)
 	report := parseLoadReport(b.settings.LoadMetrics, load)
@@ -37,12 +38,13 @@
 	}
 }
 
-// maxPlausibleLoadRatio bounds what one report adds to the typical load, as a multiple of it. An endpoint
-// that reports too much is avoided for that, but it must not raise the load assumed for all others.
+// maxPlausibleLoadRatio limits the load that one report contributes to the typical load, as a multiple of the
+// typical load. An endpoint that reports too high a load gets fewer requests itself, but must not raise the
+// load that is assumed for all others.
 const maxPlausibleLoadRatio = 2.0
 
-// recordLoad puts e into the pool with its reported load (requests), and updates the load of other balancers
-// that is typical for endpoints like e.
+// recordLoad adds e with its reported load (requests) to the pool, and updates the typical load by other
+// balancers of endpoints like e.
 func (b *Balancer) recordLoad(now monotime.Micros, e *endpoint, load float64) {
 	e.hasReport = true
 	e.reportedAt = now
@@ -55,17 +57,19 @@
 }
 
 const (
-	// deliveryRoundTrips is the number of round trips after a send by which the endpoint has received the
+	// deliveryRoundTrips is the number of round trips after a send within which the endpoint has received the
 	// attempt.
 	deliveryRoundTrips = 5.0
 
-	loadRounding = 0.5 // requests: a reported load that is less by more than this is less by a whole request
+	// loadRounding is the difference (requests) above which a reported load counts as lower than a number of
+	// attempts.
+	loadRounding = 0.5
 )
 
-// checkReportAge compares a reported load (requests) with this balancer's own attempts in flight at e. A
-// report of fewer was made before they arrived: it is late. Nothing is checked without an attempt in flight
-// at e, or within deliveryRoundTrips of the latest send to e. So a quiet balancer checks few reports or none,
-// and reportsLate stays as it was.
+// checkReportAge compares a reported load (requests) with the number of this balancer's attempts in flight at
+// e. A report of fewer requests was made before these attempts arrived and is therefore late. Nothing is
+// checked if there is no attempt in flight at e, or within deliveryRoundTrips of the latest send to e. A
+// balancer with little traffic therefore checks few or no reports, and its reportsLate does not change.
 func (b *Balancer) checkReportAge(now monotime.Micros, e *endpoint, load float64) {
 	if e.inflight > 0 && float64(now-e.lastSentAt) > deliveryRoundTrips*e.rtt.value {
 		b.observeReportAge(now, load+loadRounding < float64(e.inflight))
@@ -73,16 +77,17 @@
 }
 
 const (
-	maxLateReportRatio = 0.1 // of the compared reports are late: above it averages replace reports
+	maxLateReportRatio = 0.1 // ratio of late reports above which averages are used instead of reports
 
-	// lateReportHysteresis divides maxLateReportRatio: reports are used again below a third of that ratio, so
-	// that the state does not flap.
+	// lateReportHysteresis divides maxLateReportRatio: reports are used again once the ratio of late reports
+	// is below a third of that maximum. The difference prevents frequent changes between reports and
+	// averages.
 	lateReportHysteresis = 3
 )
 
-// observeReportAge counts a report as late or not, and decides from the ratio of late ones whether loads are
-// predicted from reports or from averages (reportsLate). With late reports the least loaded endpoint is not
-// known.
+// observeReportAge counts a report as late or in time. From the ratio of late reports it decides whether
+// loads are predicted from reports or from averages (reportsLate), since late reports do not show the least
+// loaded endpoint.
 func (b *Balancer) observeReportAge(now monotime.Micros, late bool) {
 	b.lateReportRatio.add(indicator(late), ratioWeight)
 	ratio := b.lateReportRatio.value
@@ -95,21 +100,21 @@
 }
 
 const (
-	// recentWorks is the age up to which a load report is recent, in mean works (microseconds each). Later,
-	// many of the requests that it counted have ended.
+	// recentWorks is the age up to which a load report is recent, in multiples of the mean work
+	// (microseconds). Many of the requests that an older report counted have ended.
 	recentWorks = 2.0
 
-	maxRechecks   = 6   // endpoints that are probed twice, to measure how often reports change
-	recheckChance = 0.5 // of a second probe after a report, until there were maxRechecks
+	maxRechecks   = 6   // number of second probes, which measure how often an endpoint's report changes
+	recheckChance = 0.5 // chance of a second probe after a report, until maxRechecks is reached
 
-	// maxRecheckGap is the longest time between two compared reports, in mean works. Reports that change
-	// often would seem to change once in a longer time.
+	// maxRecheckGap is the longest time between two reports that are compared, in multiples of the mean work.
+	// Over a longer time a report that changes often would be counted as changing only once.
 	maxRecheckGap = 2 * recentWorks
 )
 
-// observeReportChanges measures how often an endpoint makes a new report, by comparing two that are close in
-// time (reportInterval). At first, some endpoints are probed a second time for it: a quiet balancer has no
-// attempts in flight by which it would notice a late report.
+// observeReportChanges measures how often an endpoint makes a new report (reportInterval), by comparing two
+// reports that are close in time. At first, some endpoints are probed a second time for this purpose, since a
+// balancer with little traffic has no attempts in flight that would reveal a late report.
 func (b *Balancer) observeReportChanges(now monotime.Micros, e *endpoint, load []float32) {
 	var weightedSum float32
 	for i, figure := range load {
@@ -128,14 +133,13 @@
 	}
 }
 
-// recheckReport handles the recheck timer: it probes the endpoint that was drawn last by
-// observeReportChanges.
+// recheckReport handles the recheck timer: it probes the endpoint that observeReportChanges selected last.
 func (b *Balancer) recheckReport(now monotime.Micros) {
 	if e := b.endpointsByID[b.recheckedEndpointID]; e != nil {
 		b.sendProbe(now, e)
 	}
 }
 
-// reportInterval returns the mean time (microseconds) after which an endpoint makes a new report, 0 if
+// reportInterval returns the mean time (microseconds) between two new reports of an endpoint, or 0 if
 // unknown.
 func (b *Balancer) reportInterval() float64 { return b.reportWatchTime / max(1, b.reportChanges) }
--- a/balancer/logging.go
+++ b/balancer/logging.go
@@ -2,7 +2,7 @@
 
 import "dunlinsail/internal/monotime"
 
-// Messages of log lines. docs/operators/log-messages.md has what to do about each.
+// Messages of log lines. docs/operators/log-messages.md describes what to do about each message.
 const (
 	messageWatchFailed = "discovery failed, the last endpoint list is used"
 	messageLateReports = "load reports late"
@@ -10,13 +10,13 @@
 	messageEjected     = "endpoint ejected"
 )
 
-// logInterval is the least time between two log lines of a message.
+// logInterval is the minimum time between two log lines with the same message.
 const logInterval = second
 
-// percent converts a ratio for a log line.
+// percentPerUnit converts a ratio to percent for a log line.
 const percentPerUnit = 100
 
-// log writes a line for on-call staff, at most one of each message per logInterval. args are alternating keys
+// log writes a log line for on-call staff, at most one per message and logInterval. args are alternating keys
 // and values.
 func (b *Balancer) log(now monotime.Micros, message string, args ...any) {
 	if last, ok := b.lastLogged[message]; ok && now-last < logInterval {
@@ -26,20 +26,22 @@
 	b.actions.Log(message, args...)
 }
 
-// logDiscoveryFailure logs that discovery failed to send a list.
+// logDiscoveryFailure logs that discovery failed to send an endpoint list.
 func (b *Balancer) logDiscoveryFailure(now monotime.Micros) { b.log(now, messageWatchFailed) }
 
-// logLateReports logs that reports have become late, or are in time again, with the ratio of late ones.
+// logLateReports logs that load reports have become late or arrive in time again, with the ratio of late
+// reports.
 func (b *Balancer) logLateReports(now monotime.Micros) {
 	b.log(now, messageLateReports,
 		"late", b.reportsLate,
 		"late_percent", int(percentPerUnit*b.lateReportRatio.value))
 }
 
-// logRejection logs why a request is rejected: the best endpoint would answer later (expected, microseconds)
-// than the latency budget allows (microseconds). What the prediction rests on follows: the learned round
-// trip, by how many times requests there delay one another, and for how long the endpoint has sent nothing.
-// The line is made only when one is due, since there may be thousands of rejections per second.
+// logRejection logs the rejection of a request because the predicted latency at the best endpoint (expected,
+// microseconds) exceeds the latency budget (microseconds). It also logs the inputs of the prediction, such as
+// the round trip, the factor by which queueing delays requests at that endpoint, and the time for which the
+// endpoint has sent nothing. The arguments are built only if a line is due, since there may be thousands of
+// rejections per second.
 func (b *Balancer) logRejection(now monotime.Micros, r *request, best *endpoint, expected, budget float64) {
 	if now-b.lastLogged[messageRejected] >= logInterval {
 		b.log(now, messageRejected,
@@ -58,7 +60,8 @@
 	}
 }
 
-// logEjection logs for how long an endpoint is ejected, and for which class or tenant if not for all traffic.
+// logEjection logs the duration of an endpoint's ejection, and its class or tenant unless all traffic is
+// ejected.
 func (b *Balancer) logEjection(now monotime.Micros, e *endpoint, part int) {
 	o := &e.outliers[part]
 	args := []any{"endpoint", e.ID, "consecutive_failures", o.consecutiveFailures,
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -2,14 +2,15 @@
 
 import "dunlinsail/internal/monotime"
 
-// HandleOutcome handles the end of an attempt: its request is finished, retried, rejected or failed.
+// HandleOutcome handles the end of an attempt, after which its request is finished, retried, rejected or
+// failed.
 //
-// A request is retried if no other attempt of it is in flight, its body can be sent again, the retry budget
-// has one left (mayRetry), and attemptRequest finds an endpoint. Otherwise it is rejected where a retry by
-// the client would be harmless (mayReject), else failed. An outcome with Answered is the final answer,
-// whatever its status: it is never retried.
+// A request is retried if it has no other attempt in flight, its body can be sent again, the retry budget
+// allows a retry (mayRetry), and attemptRequest finds an endpoint. Otherwise it is rejected if a retry by the
+// client would be harmless (mayReject), else failed. An outcome with Answered is the final response, whatever
+// its status, and is never retried.
 //
-// The balancer does not hedge: another attempt starts only here, and only when no other is in flight.
+// The balancer does not hedge: it starts a further attempt only here, when no other attempt is in flight.
 func (b *Balancer) HandleOutcome(now monotime.Micros, o Outcome) {
 	r, a := b.findAttempt(o.ID, o.Attempt)
 	if a == nil || !a.inflight {
@@ -40,8 +41,8 @@
 	b.reject(r)
 }
 
-// recordOutcome records the end of an attempt in the served work, the breaker, the outlier detection and the
-// latency predictions. An attempt that was cancelled or not sent shows nothing of its endpoint.
+// recordOutcome updates the served work, the breaker, the outlier detection and the latency estimates from
+// the end of an attempt. An attempt that was cancelled or not sent gives no information about its endpoint.
 func (b *Balancer) recordOutcome(now monotime.Micros, r *request, a *attempt, o *Outcome) {
 	e := a.endpoint
 	switch o.Status {
@@ -70,17 +71,19 @@
 	}
 }
 
-// HandleClientGone handles a client that left before its final answer: its attempts are cancelled, with
-// Limits.Cancel. Without it they go on, and their outcomes count as usual. For its class the request counts
-// as not answered in time, unless a streamed answer began in time.
+// HandleClientGone handles a client that left before its final response. The attempts of its request are
+// cancelled if Limits.Cancel is set. Otherwise they continue, and their outcomes are recorded as usual. In
+// the on-time ratio of its class the request counts as not answered in time, unless a streamed response
+// started in time.
 func (b *Balancer) HandleClientGone(now monotime.Micros, id uint64) {
 	if r := b.requests[id]; r != nil {
 		b.finishRequest(r)
 	}
 }
 
-// handleRequestTimer handles a request that has waited long enough for probes, or that has reached its
-// deadline. In the first case all queued requests are dispatched, not only this one.
+// handleRequestTimer handles the timer of a request that waits for probes, that waits for responses to its
+// class, or that has reached its deadline. When a request has waited long enough for probes, all requests
+// that wait for probes are dispatched.
 func (b *Balancer) handleRequestTimer(now monotime.Micros, r *request) {
 	switch {
 	case r.queued:
@@ -93,8 +96,8 @@
 	}
 }
 
-// finishRequest records that a request has its final answer, and cancels its attempts in flight. The record
-// is dropped once no attempt is in flight.
+// finishRequest marks a request that has its final response as finished, and cancels its attempts in flight.
+// Its record is released once no attempt is in flight.
 func (b *Balancer) finishRequest(r *request) {
 	if !r.finished {
 		b.classes[r.Class].onTimeRatio.add(r.onTime, slowWeight)
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -2,32 +2,33 @@
 
 import "dunlinsail/internal/monotime"
 
-// Outlier detection (Envoy: outlier detection by consecutive failures; gRFC A50). An endpoint's failures are
-// counted for all traffic, and for each class and each tenant (trafficParts): an endpoint may fail one of
-// them only.
+// Outlier detection (Envoy: outlier detection by consecutive failures; gRFC A50). The consecutive failures of
+// an endpoint are counted for all traffic, and separately for each class and each tenant (trafficParts),
+// since an endpoint may fail the requests of one class or tenant only.
 
 const (
-	ejectAfter = 3 // consecutive failures of all traffic (Envoy: consecutive_5xx)
+	ejectAfter = 3 // consecutive failures before an ejection for all traffic (Envoy: consecutive_5xx)
 
-	// ejectPartAfter is the number of consecutive failures of a class or tenant. It is one more, so that an
-	// endpoint that fails all traffic is ejected for all of it first.
+	// ejectPartAfter is the number of consecutive failures before an ejection for one class or tenant. It is
+	// one more than ejectAfter, so that an endpoint that fails all traffic is ejected for all traffic first.
 	ejectPartAfter = ejectAfter + 1
 
-	// baseEjectionTime is the time of a first ejection, before jitter (Envoy: base_ejection_time). Each
-	// further one without a success between takes twice the time of the one before.
+	// baseEjectionTime is the duration of a first ejection, before jitter (Envoy: base_ejection_time). The
+	// duration doubles with each further ejection, until a success resets it.
 	baseEjectionTime = second
 
-	// maxEjectionTime is the longest time of an ejection, before jitter (Envoy: max_ejection_time): 10 s, as
-	// long as the breaker counts a failure.
+	// maxEjectionTime is the longest duration of an ejection, before jitter (Envoy: max_ejection_time): 10 s,
+	// the time for which the breaker counts a failure.
 	maxEjectionTime = breakerWindow
 )
 
-// recordFailure counts a failure of a part of the traffic, and ejects the endpoint for that part after some
-// in a row, for 0.5 to 1.5 of the ejection time: the balancers of a fleet must not all return together.
+// recordFailure counts a failure in a part of the traffic. After ejectAfter or ejectPartAfter consecutive
+// failures it ejects the endpoint for that part, for 0.5 to 1.5 of the ejection time: the balancers of a
+// fleet must not all return to the endpoint at once.
 //
-// Failures of attempts that were sent before the ejection do not lengthen it; that of the trial does. While a
-// trial is pending, the failure of any attempt counts as the trial's, also of one sent before the ejection.
-// An endpoint is not ejected if too few would be left (canEject).
+// A failure of an attempt that was sent before the ejection does not extend it; a failure of the trial does.
+// While a trial is pending, the failure of any attempt counts as the trial's failure, even if the attempt was
+// sent before the ejection. An endpoint is not ejected if too few others would remain in service (canEject).
 func (b *Balancer) recordFailure(now monotime.Micros, e *endpoint, part int) {
 	o := &e.outliers[part]
 	o.consecutiveFailures++
@@ -47,11 +48,11 @@
 	b.logEjection(now, e, part)
 }
 
-// startTrial makes an attempt that is sent now a trial, if its part of the traffic had an ejection since its
-// latest success: the ejection goes on for its time (ejectionTime, microseconds) from the send. A success
-// ends the ejection (recordOutcome), a failure begins a longer one (recordFailure). A trial that ends as
-// Cancelled or NotSent changes nothing: the endpoint stays ejected until the time is over, and the next
-// attempt is a trial.
+// startTrial makes an attempt that is sent now a trial, if its part of the traffic was ejected and has had no
+// success since. The ejection is extended to last at least ejectionTime (microseconds) from now. A success of
+// the trial ends the ejection (recordOutcome); a failure starts a longer one (recordFailure). A trial that
+// ends as Cancelled or NotSent changes nothing: the endpoint stays ejected until that time has passed, and
+// the next attempt is a trial.
 func (o *outlierStats) startTrial(now monotime.Micros) {
 	if o.ejectionTime > 0 {
 		o.ejectedUntil = max(o.ejectedUntil, now+o.ejectionTime)
@@ -70,15 +71,16 @@
 }
 
 const (
-	minInServiceDivisor     = 2 // of the endpoints: at least 1/2 stay in service for all traffic
-	minPartInServiceDivisor = 3 // of the endpoints: at least 1/3 stay in service for a class or tenant
+	minInServiceDivisor     = 2 // at least 1/2 of the endpoints stay in service for all traffic
+	minPartInServiceDivisor = 3 // at least 1/3 of the endpoints stay in service for each class and tenant
 )
 
 // canEject reports whether enough endpoints stay in service for a part of the traffic if e is ejected (Envoy:
-// max_ejection_percent): fewer would be overloaded. Cordoned and paused endpoints are out of service as well.
-// Draining ones, and gone ones with attempts in flight, count as in service.
+// max_ejection_percent). The limit prevents the remaining endpoints from being overloaded. Cordoned and
+// paused endpoints count as out of service. Draining endpoints count as in service, and so do Gone endpoints
+// with attempts in flight.
 func (b *Balancer) canEject(now monotime.Micros, e *endpoint, part int) bool {
-	outOfService := 1 // e
+	outOfService := 1 // e itself
 	for _, other := range b.endpoints {
 		if other != e && (other.isAvoided(now) || now < other.outliers[part].ejectedUntil) {
 			outOfService++
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -2,38 +2,40 @@
 
 import "dunlinsail/internal/monotime"
 
-// Discovery is polled only with Settings.Subscribe; else the host passes on each list that discovery pushes.
+// Discovery is polled only with Settings.Subscribe. Without it discovery pushes lists, and the host passes on
+// each of them.
 
 const (
-	pollCallTime = 50 * millisecond // that discovery is assumed to take for one call
+	pollCallTime = 50 * millisecond // time that discovery is assumed to need for one call
 
-	// minJitterDivisor and maxJitterDivisor divide Contract.PollInterval for the bounds of pollJitter.
+	// minJitterDivisor divides Contract.PollInterval to give the lower bound of pollJitter.
 	minJitterDivisor = 10
-	maxJitterDivisor = 2 // see minJitterDivisor
+	maxJitterDivisor = 2 // divides Contract.PollInterval to give the upper bound of pollJitter
 
-	initialBackoffDivisor = 2 // of pollJitter: the backoff after the first failure
+	initialBackoffDivisor = 2 // divides pollJitter to give the backoff after the first failure
 
-	// repollDivisor divides Contract.PollInterval for the longest backoff, and for the random part of the pause
-	// between polls. With the fixed half of the interval, each pause stays within the interval.
+	// repollDivisor divides Contract.PollInterval to give the longest backoff, and the random part of the
+	// pause between polls. The fixed part of that pause is half of the interval, so each pause stays within
+	// the interval.
 	repollDivisor = 4
 )
 
-// pollJitter returns the time over which the balancers of a fleet that start together spread their polls: one
-// pollCallTime for each balancer, since discovery answers so many calls per second, within 1/10 to 1/2 of
-// Contract.PollInterval.
+// pollJitter returns the time over which balancers of a fleet that start together spread their polls. It is
+// one pollCallTime for each balancer, since discovery can answer only so many calls per second, limited to
+// the range from 1/10 to 1/2 of Contract.PollInterval.
 func (b *Balancer) pollJitter() monotime.Micros {
 	interval := b.settings.Contract.PollInterval
 	callTime := monotime.Micros(b.settings.Balancers) * pollCallTime
 	return min(max(interval/minJitterDivisor, callTime), interval/maxJitterDivisor)
 }
 
-// schedulePoll sets the discovery timer.
+// schedulePoll schedules a poll after delay by setting the discovery timer.
 func (b *Balancer) schedulePoll(now, delay monotime.Micros) {
 	b.nextPollAt = now + delay
 	b.actions.SetTimer(delay, tokenDiscovery)
 }
 
-// startPolling schedules the first poll. It is spread at random, since all instances of a fleet may start at
+// startPolling schedules the first poll, with a random delay, since all instances of a fleet may start at
 // once.
 func (b *Balancer) startPolling(now monotime.Micros) {
 	if b.settings.Subscribe {
@@ -41,8 +43,8 @@
 	}
 }
 
-// poll handles the discovery timer: it subscribes unless the balancer is subscribed, and polls again after
-// 1/2 to 3/4 of Contract.PollInterval, since the answer may be lost.
+// poll handles the discovery timer. Unless the balancer is subscribed, it subscribes, and schedules another
+// poll after 1/2 to 3/4 of Contract.PollInterval, since discovery's reply may be lost.
 func (b *Balancer) poll(now monotime.Micros) {
 	if b.settings.Subscribe && !b.subscribed && now >= b.nextPollAt {
 		b.actions.Watch(true)
@@ -51,8 +53,8 @@
 	}
 }
 
-// retryPoll schedules a poll after a failure of discovery, with exponential backoff (doubled after each
-// failure) and jitter: after 0.5 to 1.5 of the backoff.
+// retryPoll schedules a poll after a failure of discovery. The delay is 0.5 to 1.5 of an exponential backoff,
+// which doubles with each failure.
 func (b *Balancer) retryPoll(now monotime.Micros) {
 	if !b.settings.Subscribe {
 		return
--- a/balancer/priorityweight.go
+++ b/balancer/priorityweight.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// worstWindowGain multiplies Goal.WorstWindow in the gain of a class. Requests are rejected in the worst
-	// windows of time, and it is these windows that this part of the goal counts.
+	// worstWindowGain multiplies Goal.WorstWindow in the gain of a class. This part of the goal counts more
+	// because requests are rejected mainly in the worst time windows.
 	worstWindowGain = 4.0
 
-	// minClassWorkShare is the least part of the work, 0 to 1, that a class counts as having: a class of few
-	// requests would else gain without bound for Goal.WorstClass.
+	// minClassWorkShare is the minimum share of the total work (0 to 1) that a class is assumed to have.
+	// Without it the gain of a class with few requests from Goal.WorstClass would be unbounded.
 	minClassWorkShare = 0.05
 
-	// worstClassSpread is the difference of two on-time ratios at which a class gains less than the worst
-	// class by a factor of e, for Goal.WorstClass.
+	// worstClassSpread is the difference between the on-time ratio of a class and that of the worst class at
+	// which the class's gain from Goal.WorstClass is lower by a factor of e.
 	worstClassSpread = 0.1
 )
 
-// priorityWeight ranks a request from 0 to 1, by what the goal gains per unit of its work relative to the
-// best class: by its class's weight, more for a class of which fewer requests are answered in time, and less
-// for a tenant over its quota (tenantWeight). It may be over 1 only with a Settings.OverQuotaWeight over 1.
+// priorityWeight returns the priority of a request, 0 to 1: what the goal gains per unit of the request's
+// work, relative to the class with the greatest gain. The weight depends on the weight of the class, is
+// higher for a class with fewer requests answered in time, and is lower for a tenant over its quota
+// (tenantWeight). It exceeds 1 only if Settings.OverQuotaWeight does.
 func (b *Balancer) priorityWeight(now monotime.Micros, r *request) float64 {
 	totals := b.trafficTotals(now)
 	var maxGain, ownGain float64
@@ -32,19 +33,19 @@
 		ownGain += gain * indicator(i == int(r.Class))
 	}
 	if !(maxGain > 0) {
-		return 1 // the settings have no weights
+		return 1 // all weights in the settings are 0
 	}
 	return ownGain / maxGain * b.tenantWeight(now, r)
 }
 
-// trafficTotals are sums over the classes.
+// trafficTotals holds figures over all classes.
 type trafficTotals struct {
-	work             float64 // microseconds of work per second
-	weight           float64 // priority weight per second
-	worstOnTimeRatio float64 // of the class with the least, 0 to 1
+	work             float64 // work of all requests, microseconds per second
+	weight           float64 // priority weight of all requests, per second
+	worstOnTimeRatio float64 // lowest on-time ratio of a class, 0 to 1
 }
 
-// trafficTotals adds up the classes' present work and weight.
+// trafficTotals returns the current work and weight of all classes together, and the lowest on-time ratio.
 func (b *Balancer) trafficTotals(now monotime.Micros) trafficTotals {
 	totals := trafficTotals{worstOnTimeRatio: 1}
 	for i := range b.classes {
@@ -57,42 +58,44 @@
 	return totals
 }
 
-// classGain returns what the goal gains per unit of work of a class: for the overall and the worst-window
-// ratio by the class's weight, and for the worst-class ratio by how near the class is to the worst one.
+// classGain returns what the goal gains per unit of work of a class. For the overall ratio and the
+// worst-window ratio the gain is proportional to the class's weight. For the worst-class ratio it depends on
+// how close the on-time ratio of the class is to that of the worst class.
 func (b *Balancer) classGain(now monotime.Micros, class int, totals trafficTotals) float64 {
 	goal := &b.settings.Goal
 	c := &b.classes[class]
 	workShare := c.requestRate.rate(now) * c.meanWork.value / totals.work
 	gain := (goal.Overall + worstWindowGain*goal.WorstWindow) * b.classWeight(class) / c.meanWork.value
 	gain = gain * totals.work / totals.weight
-	onTimeLead := totals.worstOnTimeRatio - c.onTimeRatio.valueOr(1) // not above 0
+	onTimeLead := totals.worstOnTimeRatio - c.onTimeRatio.valueOr(1) // 0 for the worst class, else negative
 	gain += goal.WorstClass / max(minClassWorkShare, workShare) * math.Exp(onTimeLead/worstClassSpread)
 	return gain
 }
 
-// classWeight returns the mean priority weight of a request of a class: that of its settings, which counts
-// per microsecond of mean work with Settings.WeightByWork.
+// classWeight returns the mean priority weight of a request of a class: the weight in the settings, which is
+// multiplied by the mean work (microseconds) with Settings.WeightByWork.
 func (b *Balancer) classWeight(class int) float64 {
 	extraWork := (b.classes[class].meanWork.value - 1) * indicator(b.settings.WeightByWork)
 	return b.settings.Classes[class].PriorityWeight * (1 + extraWork)
 }
 
 const (
-	// minTenantTrafficRatio is the least ratio of this balancer's requests to all quotas (both per second) at
-	// which tenants are compared: the mix of fewer requests is not that of the fleet.
+	// minTenantTrafficRatio is the minimum ratio of this balancer's request rate to the sum of all quotas
+	// (both per second) at which tenants are compared. With less traffic the tenants' shares of it are not
+	// those of the fleet.
 	minTenantTrafficRatio = 0.05
 
-	// tenantQuotaSlack multiplies what counts as within quota. It offsets a rejected ratio of up to a fifth,
-	// which does not show that the fleet's traffic exceeds the quotas.
+	// tenantQuotaSlack multiplies the traffic that counts as within quota. It compensates for a rejected
+	// ratio of up to a fifth, which does not yet show that the fleet's traffic exceeds the quotas.
 	tenantQuotaSlack = 1.25
 )
 
-// tenantWeight returns the mean weight of a request of r's tenant: 1 within the tenant's quota,
-// Settings.OverQuotaWeight over it, by the part of the tenant's traffic that is over. It is 0 to 1, unless
-// that setting is over 1.
+// tenantWeight returns the mean weight of a request of r's tenant. The weight is 1 for requests within the
+// tenant's quota and Settings.OverQuotaWeight for requests over it; the mean follows from the fraction of the
+// tenant's traffic that is over the quota. It is 0 to 1 unless Settings.OverQuotaWeight is over 1.
 //
-// A balancer knows its own traffic only. It assumes that the fleet's traffic exceeds the quotas (requests per
-// second) as much as its own traffic exceeds what it admits.
+// A balancer knows only its own traffic. It assumes that the fleet's traffic exceeds the quotas (requests per
+// second) by the same ratio by which its own traffic exceeds the traffic that it admits.
 func (b *Balancer) tenantWeight(now monotime.Micros, r *request) float64 {
 	if int(r.Tenant) >= len(b.tenantRates) {
 		return 1
--- a/balancer/probequeue.go
+++ b/balancer/probequeue.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// queuedProbeBudget is the greatest part of the goal's result, 0 to 1, that probes for queued requests
-	// may cost. Divided by Prices.Probe it gives probes per queued request.
+	// queuedProbeBudget is the maximum fraction of the goal's result, 0 to 1, that probes for queued requests
+	// may cost. Divided by Prices.Probe it gives the number of probes per queued request.
 	queuedProbeBudget = 0.015
 
-	maxProbesPerQueued  = 3.0 // probes per queued request, however cheap a probe is
-	maxLimitedPerQueued = 2.0 // probes per queued request, under an overload policy
+	maxProbesPerQueued  = 3.0 // maximum probes per queued request, however cheap a probe is
+	maxLimitedPerQueued = 2.0 // maximum probes per queued request under an overload policy
 
-	// maxQueueTimeDivisor divides the latency objective: a request waits for probes that part of it at most.
+	// maxQueueTimeDivisor divides the latency objective to give the maximum time that a request waits for
+	// probes or for responses to its class.
 	maxQueueTimeDivisor = 10
 
 	// maxRecentRequests is the number of requests within the time for which a report is recent, above which
-	// none is queued: the rounds of a busy balancer keep its reports recent. It does not hold under an
-	// overload policy, which leaves few probes to the rounds.
+	// no request is queued: the probe rounds of a balancer with that much traffic keep its reports recent. It
+	// does not apply under an overload policy, which leaves few probes for the rounds.
 	maxRecentRequests = 1.0
 )
 
-// queueUntilProbed queues r until probes have returned, and reports whether it did. A quiet balancer's
-// reports are too old to pick by. Probes that earlier queued requests wait for count; only the missing ones
-// are sent now. r waits for a tenth of its latency objective at most (maxQueueTimeDivisor), and not beyond
-// its deadline.
+// queueUntilProbed queues r until probes have returned, and reports whether it did. The reports of a balancer
+// with little traffic are too old to pick an endpoint by. Probes in flight that earlier queued requests wait
+// for are counted, and only the missing probes are sent. r waits for at most a tenth of its latency objective
+// (maxQueueTimeDivisor), and not beyond its deadline.
 //
-// It does not queue r where enough reports are recent (probesForQueued), or where no probe could be sent.
+// r is not queued if enough reports are recent (probesForQueued), or if no probe can be sent.
 func (b *Balancer) queueUntilProbed(now monotime.Micros, r *request) bool {
 	needed := b.probesForQueued(now)
 	b.probeRandom(now, needed-b.awaitedProbes, true)
@@ -42,15 +43,18 @@
 	return true
 }
 
-// probesForQueued returns how many more reports a request needs now, at most the number of endpoints.
+// probesForQueued returns the number of further reports that a request needs now, at most the number of
+// endpoints.
 //
-// The price of a probe bounds them; a fraction of a probe is sent at random. Reports that are younger than
-// recentWorks mean works count. It is 0 for a busy balancer without an overload policy, and where an endpoint
-// makes a new report less than once in recentWorks mean works: then all balancers would see the same report
-// and follow it.
+// The price of a probe limits the number; the fractional part of the limit is applied at random. Reports that
+// are younger than recentWorks mean works reduce the number.
+//
+// The result is 0 for a balancer with much traffic (maxRecentRequests) without an overload policy. It is also
+// 0 if an endpoint makes less than one new report in recentWorks mean works: all balancers would then see the
+// same report and choose the same endpoint.
 func (b *Balancer) probesForQueued(now monotime.Micros) int {
 	maxProbes := min(maxProbesPerQueued, queuedProbeBudget/max(minProbePrice, b.settings.Prices.Probe))
-	requestLimit := maxRecentRequests * float64(second) // requests per second, times microseconds
+	requestLimit := maxRecentRequests * float64(second) // in requests per second x microseconds
 	if b.overload != nil {
 		maxProbes = min(maxProbes, maxLimitedPerQueued)
 		requestLimit = math.Inf(1)
@@ -66,8 +70,8 @@
 	return needed
 }
 
-// dispatchQueued dispatches all queued requests and ends the round: results of its probes that come later do
-// not count for the next one.
+// dispatchQueued dispatches all queued requests and ends the queue round: probes of this round that return
+// later do not count for the next round.
 func (b *Balancer) dispatchQueued(now monotime.Micros) {
 	for _, r := range b.queued {
 		r.queued = false
--- a/balancer/proberounds.go
+++ b/balancer/proberounds.go
@@ -3,25 +3,25 @@
 import "dunlinsail/internal/monotime"
 
 const (
-	probeBatch       = 3           // endpoints per round, at most
-	maxProbeInterval = second / 10 // mean pause before a round of several probes, at most
-	minPauseFactor   = 0.5         // of the mean pause before a round: the pause is 0.5 to 1.5 of it, at random
+	probeBatch       = 3           // maximum number of endpoints that are probed in one round
+	maxProbeInterval = second / 10 // maximum mean pause before a round of several probes
+	minPauseFactor   = 0.5         // the random pause before a round is 0.5 to 1.5 of the mean pause
 
-	// probeRateRecheck bounds the pause between two rounds: the bound is drawn anew for each round, from 0.5
-	// to 1.5 of it. The probe rate is computed in each round. In a longer pause a balancer whose requests
-	// have just begun would go without reports.
+	// probeRateRecheck limits the pause between two rounds. The limit is drawn for each round from 0.5 to 1.5
+	// of probeRateRecheck. Each round computes the probe rate anew, so a longer pause would leave a balancer
+	// whose traffic has just started without reports.
 	probeRateRecheck = second / 2
 
-	// maxProbeDraws bounds the random draws for one batch of probes: where few endpoints may be probed, most
-	// draws find none.
+	// maxProbeDraws limits the number of random draws for one batch of probes: if few endpoints may be
+	// probed, most draws find an endpoint that may not.
 	maxProbeDraws = 4 * probeBatch
 
-	lostProbeAfter = 5 * second // without a result of a probe: its endpoint may be probed again
+	lostProbeAfter = 5 * second // time after which a probe without a result is considered lost
 )
 
-// probeRound handles the probe timer: it sends the probes that have come due by probeRate (per second), at
-// most probeBatch, and sets the timer of the next round. The pause is random, so that balancers do not probe
-// together.
+// probeRound handles the probe timer: it sends the probes that are due according to probeRate (per second),
+// at most probeBatch, and sets the timer of the next round. The pause is random, so that balancers do not
+// probe at the same time.
 func (b *Balancer) probeRound(now monotime.Micros) {
 	rate := b.probeRate(now)
 	b.dueProbes = min(probeBatch, b.dueProbes+rate*float64(now-b.dueProbesAt)/float64(second))
@@ -37,9 +37,9 @@
 	b.actions.SetTimer(1+min(pause, maxPause), tokenProbe)
 }
 
-// probeRandom sends up to n probes, to random eligible endpoints that have no probe in flight. awaited is set
-// for probes that queued requests wait for; those leave out ejected endpoints, whose reports would be of no
-// use.
+// probeRandom sends up to count probes to random eligible endpoints that have no probe in flight. awaited is
+// true for probes that queued requests wait for. These probes skip ejected endpoints, whose reports would be
+// of no use to the requests.
 func (b *Balancer) probeRandom(now monotime.Micros, count int, awaited bool) {
 	for draws := 0; count > 0 && draws < maxProbeDraws && len(b.endpoints) > 0; draws++ {
 		e := b.endpoints[b.random.index(len(b.endpoints))]
@@ -58,8 +58,9 @@
 	}
 }
 
-// sendProbe probes e, and reports whether it did. It does not without Limits.Probes, nor an endpoint that is
-// not eligible or has a probe in flight. A warming endpoint pays for the probe from its token bucket.
+// sendProbe probes e, and reports whether it did. It sends no probe without Limits.Probes, to an endpoint
+// that is not eligible, or to an endpoint with a probe in flight. A probe of a warming endpoint is charged to
+// the endpoint's demand bucket.
 func (b *Balancer) sendProbe(now monotime.Micros, e *endpoint) bool {
 	if !b.settings.Limits.Probes || !e.isEligible() || e.probing {
 		return false
@@ -71,9 +72,10 @@
 	return true
 }
 
-// HandleProbe handles the end of a probe after latency, with the load report that it returned. load is valid
-// during the call only; it counts for status OK. A probe that fails only brings no report: it neither ejects
-// the endpoint nor counts in its breaker, since a probe is no health check.
+// HandleProbe handles the end of a probe. latency is the time that the probe took, and load is the load
+// report that it returned, which is used only with status OK and valid only during the call. A failed probe
+// has no effect other than the missing report: it neither ejects the endpoint nor counts in its breaker,
+// since a probe is not a health check.
 func (b *Balancer) HandleProbe(now monotime.Micros, id uint32, status Status, latency monotime.Micros,
 	load []float32) {
 	e := b.endpointsByID[id]
--- a/balancer/rejection.go
+++ b/balancer/rejection.go
@@ -2,8 +2,8 @@
 
 import "dunlinsail/internal/monotime"
 
-// reject gives the final answer "rejected" with a Retry-After, or "failed" where a rejection would promise
-// wrongly that a retry is harmless (mayReject).
+// reject ends r with the final response "rejected" and a Retry-After. It ends r with "failed" instead if a
+// retry could be harmful, since a rejection promises that a retry is harmless (mayReject).
 func (b *Balancer) reject(r *request) {
 	if r.finished || !b.mayReject(r) {
 		b.failRequest(r)
@@ -13,7 +13,8 @@
 	b.finishRequest(r)
 }
 
-// failRequest gives the final answer "failed", which promises nothing, unless r has its final answer.
+// failRequest ends r with the final response "failed", which promises nothing about a retry. It does nothing
+// if r already has its final response.
 func (b *Balancer) failRequest(r *request) {
 	if !r.finished {
 		b.actions.Fail(r.ID)
@@ -22,13 +23,14 @@
 }
 
 const (
-	minRetryAfter    = 0.1 // of the latency objective: the shortest Retry-After
-	retryAfterSpread = 0.2 // of the latency objective: the random part that is added to it
+	minRetryAfter    = 0.1 // shortest Retry-After, as a fraction of the latency objective
+	retryAfterSpread = 0.2 // maximum random addition to it, as a fraction of the latency objective
 )
 
-// retryAfter returns the Retry-After of a rejection (microseconds), 0 for none without Limits.RetryAfter. It
-// is drawn from 0.1 to 0.3 of the class's latency objective, up to Limits.MaxRetryAfter: rejected clients do
-// not retry together, and an answer to the retry is still of use.
+// retryAfter returns the Retry-After of a rejection (microseconds), or 0 for none if Limits.RetryAfter is not
+// set. It is drawn at random from 0.1 to 0.3 of the class's latency objective, so that rejected clients do
+// not all retry at once and the response to the retry is still useful. Limits.MaxRetryAfter is the upper
+// bound.
 func (b *Balancer) retryAfter(c *Class) monotime.Micros {
 	if !b.settings.Limits.RetryAfter {
 		return 0
--- a/balancer/reportparsing.go
+++ b/balancer/reportparsing.go
@@ -5,23 +5,24 @@
 	"slices"
 )
 
-// loadReport is the parsed load report of an endpoint.
+// loadReport is the parsed form of an endpoint's load report.
 type loadReport struct {
-	hasLoad        bool
+	hasLoad        bool    // load is known
 	load           float64 // requests at the endpoint
-	countsInflight bool    // load is a reported count; else it is made up of the queue and assumedCores
-	serviceTime    float64 // microseconds, without waiting; -1 is unknown
+	countsInflight bool    // load was reported as a count, not estimated from the queue length
+	serviceTime    float64 // service time without waiting, microseconds; -1 is unknown
 }
 
-// reportsLoad reports whether load reports with these metrics contain the number of requests at an endpoint.
+// reportsLoad reports whether load reports with the given metrics contain or imply the number of requests at
+// an endpoint.
 func reportsLoad(metrics []LoadMetric) bool {
 	return slices.Contains(metrics, MetricInflight) || slices.Contains(metrics, MetricQueueLength)
 }
 
-const microsPerMilli = 1000 // microseconds in a millisecond
+const microsPerMilli = 1000 // microseconds per millisecond
 
-// parseLoadReport parses the figures of a load report, in the order of metrics. Negative and infinite figures
-// and NaN are skipped, as are figures beyond the metrics.
+// parseLoadReport parses the figures of a load report, which are in the order of metrics. Figures that are
+// negative, infinite or NaN are skipped, and so are figures for which there is no metric.
 func parseLoadReport(metrics []LoadMetric, figures []float32) loadReport {
 	report := loadReport{serviceTime: -1}
 	queue := -1.0
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -6,47 +6,49 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Timer tokens. Those below firstRequestToken are the balancer's own. Others are of requests: the low
-// slotBits hold the slot of the request's record, the high bits count the uses of the record.
+// Timer tokens. Tokens below firstRequestToken belong to the balancer's own timers. All others belong to
+// requests: the low slotBits bits hold the slot of the request's record, and the high bits count how often
+// the record has been used.
 const (
-	tokenProbe        = 0 // probe round
-	tokenDiscovery    = 1 // poll
-	tokenRecheck      = 2 // second probe of an endpoint (recheckReport)
-	firstRequestToken = 16
-	slotBits          = 20
+	tokenProbe        = 0  // timer of the next probe round
+	tokenDiscovery    = 1  // timer of the next poll of discovery
+	tokenRecheck      = 2  // timer of the second probe of an endpoint (recheckReport)
+	firstRequestToken = 16 // token of the first request record, before its uses are counted
+	slotBits          = 20 // number of low bits that hold the slot of a request record
 )
 
-// request is the record of a request and its attempts.
+// request holds a client's request, its attempts and its state.
 type request struct {
 	Request
 	timerToken          uint32
-	arrivedAt           monotime.Micros // instant of its arrival at the host
-	work                float64         // microseconds, as estimated
-	logHintRatio        float64         // logarithm of its hint over the mean work of its class; 0 without a hint
+	arrivedAt           monotime.Micros // instant at which the request arrived at the host
+	work                float64         // estimated work, microseconds
+	logHintRatio        float64         // logarithm of work hint / mean work of the class; 0 without a hint
 	attempts            []attempt
-	inflight            int     // attempts without outcome
-	queued              bool    // waits for probes
-	waiting             bool    // waits for answers to its class (queueForResponses)
-	hasAwaitedResponses bool    // it waits for answers only once
-	finished            bool    // has its final answer
-	streaming           bool    // an answer is being streamed: the client has that attempt
-	onTime              float64 // 1 once answered within the latency objective, else 0
+	inflight            int     // number of attempts in flight
+	queued              bool    // the request waits for probes
+	waiting             bool    // the request waits for responses to its class (queueForResponses)
+	hasAwaitedResponses bool    // the request has waited for responses and does not wait again
+	finished            bool    // the request has its final response
+	streaming           bool    // a response is being streamed to the client
+	onTime              float64 // 1 if a response came within the latency objective, else 0
 }
 
-// attempt is one send of a request to an endpoint.
+// attempt holds the state of one attempt, which sends a request to an endpoint.
 type attempt struct {
 	endpoint        *endpoint
-	zone            uint8           // of the endpoint when sent: it may move
-	cell            uint16          // of the endpoint when sent
-	sentAt          monotime.Micros // instant
-	expectedLatency float64         // microseconds, when sent
-	workFactor      float64         // microseconds: work times the queue delay factor when sent
-	inflight        bool            // no outcome yet
-	streaming       bool            // its request or answer is being streamed
-	mayHaveRun      bool            // it may have had its effect, or may still have it
+	zone            uint8           // zone of the endpoint when the attempt was sent; discovery may change it
+	cell            uint16          // cell of the endpoint when the attempt was sent
+	sentAt          monotime.Micros // instant of the send
+	expectedLatency float64         // predicted latency when the attempt was sent, microseconds
+	workFactor      float64         // work x queue delay factor when the attempt was sent, microseconds
+	inflight        bool            // the attempt has no outcome yet
+	streaming       bool            // the request or the response is being streamed
+	mayHaveRun      bool            // the attempt may have run, or may still run
 }
 
-// newRequest returns a record for a request that is not open, and adds it to the open requests.
+// newRequest returns a record for a request whose ID is not that of an open request, and adds it to the open
+// requests.
 func (b *Balancer) newRequest(now monotime.Micros, incoming Request) *request {
 	var r *request
 	if last := len(b.freeRequests) - 1; last >= 0 {
@@ -58,7 +60,7 @@
 	}
 	*r = request{
 		Request:    incoming,
-		timerToken: r.timerToken + 1<<slotBits, // one more use: an old timer finds nothing
+		timerToken: r.timerToken + 1<<slotBits, // counts one more use, so that timers of earlier uses are ignored
 		arrivedAt:  now - max(0, incoming.QueueTime),
 		attempts:   r.attempts[:0],
 	}
@@ -73,7 +75,7 @@
 	r.queued = false
 }
 
-// requestOfToken returns the request that a timer was set for, nil if its record has been used again since.
+// requestOfToken returns the request that a timer was set for, or nil if its record has been reused since.
 func (b *Balancer) requestOfToken(token uint32) *request {
 	slot := int(token&(1<<slotBits-1)) - firstRequestToken
 	if slot < 0 || slot >= len(b.timerSlots) || b.timerSlots[slot].timerToken != token {
@@ -82,7 +84,8 @@
 	return b.timerSlots[slot]
 }
 
-// findAttempt returns a request by its ID and an attempt by its number (Outcome.Attempt), nil for none.
+// findAttempt returns a request by its ID and one of its attempts by its number (Outcome.Attempt), or nil for
+// both if there is no such attempt.
 func (b *Balancer) findAttempt(id uint64, number int) (*request, *attempt) {
 	r := b.requests[id]
 	if r == nil || number < 0 || number >= len(r.attempts) {
@@ -91,7 +94,7 @@
 	return r, &r.attempts[number]
 }
 
-// firstMayHaveRun returns the first attempt that may have run, nil for none.
+// firstMayHaveRun returns the earliest attempt of r that may have run, or nil if there is none.
 func (r *request) firstMayHaveRun() *attempt {
 	if i := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun }); i >= 0 {
 		return &r.attempts[i]
@@ -99,13 +102,13 @@
 	return nil
 }
 
-// hasAttempted reports whether r was sent to e before.
+// hasAttempted reports whether r has had an attempt at e.
 func (r *request) hasAttempted(e *endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == e })
 }
 
-// markStreaming notes that an attempt's request or answer is being streamed: its endpoint is not silent,
-// however long that takes.
+// markStreaming records that an attempt's request or response is being streamed. The endpoint does not count
+// as silent during that time, however long it is.
 func (a *attempt) markStreaming() {
 	if a.inflight && !a.streaming {
 		a.streaming = true
@@ -113,7 +116,7 @@
 	}
 }
 
-// markEnded notes that an attempt has its outcome. The endpoint is no longer silent.
+// markEnded records that an attempt has its outcome, and that its endpoint is not silent.
 func (a *attempt) markEnded(now monotime.Micros) {
 	a.inflight = false
 	a.endpoint.inflight--
--- a/balancer/retrybudget.go
+++ b/balancer/retrybudget.go
@@ -3,47 +3,49 @@
 import "dunlinsail/internal/monotime"
 
 // The retry budget (Envoy: retry budget) limits retries to a ratio of the requests, so that retries do not
-// multiply the load of endpoints that fail. All retries count, those of attempts that never ran as well:
-// where most endpoints reject, free retries would be a storm.
+// multiply the load of failing endpoints. Retries of attempts that never ran count as well: if most endpoints
+// reject attempts, uncounted retries would cause a retry storm.
 //
-// There are three forms. Under an overload policy the fleet's budget counts (OverloadPolicy.RetryAllowed).
-// With Settings.RetryWindow, retries are a ratio of the requests in that window. Without one, each request
-// earns a part of a retry, and retries that are not used are saved up to retryBurst.
+// The budget has three forms. Under an overload policy the fleet's budget applies
+// (OverloadPolicy.RetryAllowed). With Settings.RetryWindow, retries are limited to a ratio of the requests in
+// that window. Without a window, each request adds a fraction of a retry to a credit, and unused retries
+// accumulate up to retryBurst.
 
 const (
-	retryBurst = 10.0 // retries that a budget without a window saves up at most, and starts with
+	retryBurst = 10.0 // initial and maximum credit of a budget without a window, in retries
 
-	// retrySlots is the number of slots of the retry window. Requests are counted over so many slots, retries
-	// over one more, so that the ratio holds in any stretch of the window's length.
+	// retrySlots is the number of slots of the retry window. Requests are counted over retrySlots slots and
+	// retries over one slot more, so that the ratio holds in each interval of the window's length.
 	retrySlots = 10
 )
 
-// initRetryBudget sets up the budget. It starts with retryBurst, where it has no window.
+// initRetryBudget initializes the retry budget. A budget without a window starts with a credit of retryBurst.
 func (b *Balancer) initRetryBudget() {
 	b.retryCredit = retryBurst
 	b.recentRequests.ring = make([]int, retrySlots)
 	b.recentRetries.ring = make([]int, retrySlots+1)
 }
 
-// countRequestForRetries counts a request.
+// countRequestForRetries counts a new request, which increases the retry budget.
 func (b *Balancer) countRequestForRetries(now monotime.Micros) {
 	b.retryCredit = min(retryBurst, b.retryCredit+b.settings.RetryRatio)
 	b.recentRequests.add(b.retrySlot(now))
 }
 
-// countRetry counts a retry.
+// countRetry counts a retry, which decreases the retry budget.
 func (b *Balancer) countRetry(now monotime.Micros) {
 	b.retryCredit--
 	b.recentRetries.add(b.retrySlot(now))
 }
 
-// mayRetry reports whether the retry budget has a retry left: by OverloadPolicy.RetryAllowed, if there is an
-// overload policy. Else, with Settings.RetryWindow, it has one if, of the counts in the window,
+// mayRetry reports whether the retry budget allows one more retry. Under an overload policy,
+// OverloadPolicy.RetryAllowed decides. With Settings.RetryWindow the budget allows it if the numbers of
+// retries and requests in the window satisfy
 //
 //	retries + 1 <= max(RetryRatio x requests, MinRetryRate x RetryWindow)
 //
-// The second term (MinRetryRate is per second) is for a quiet balancer, whose RetryRatio x requests is less
-// than one. Without a window it has one if retryCredit is at least 1.
+// MinRetryRate is per second. Its term is for a balancer with few requests, for which RetryRatio x requests
+// is less than one. Without a window the budget allows a retry if retryCredit is at least 1.
 func (b *Balancer) mayRetry(now monotime.Micros) bool {
 	if b.overload != nil {
 		return b.overload.RetryAllowed
@@ -56,7 +58,7 @@
 	return float64(b.recentRetries.advance(b.retrySlot(now))+1) <= max(minimum, earned)
 }
 
-// retrySlot returns the number of the retry window's slot at an instant.
+// retrySlot returns the number of the retry window's slot that contains the instant now.
 func (b *Balancer) retrySlot(now monotime.Micros) int64 {
 	return now / max(1, b.settings.RetryWindow/retrySlots)
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -2,14 +2,14 @@
 
 import "dunlinsail/internal/monotime"
 
-// Idempotency is what a second run of a request of a class does.
+// Idempotency states the effect of a second run of a request of a class.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // a second run has no effect
-	IdempotentByKey                    // endpoints drop second runs with the same idempotency key for some time
-	NonIdempotent                      // a second run has a second effect
+	IdempotentByKey                    // for some time, endpoints drop second runs with the same idempotency key
+	NonIdempotent                      // a second run takes effect again
 )
 
 // DedupScope is the set of endpoints that drop second runs with the same idempotency key.
@@ -18,160 +18,163 @@
 // The deduplication scopes.
 const (
 	DedupAll  DedupScope = iota // all endpoints
-	DedupZone                   // the endpoints of the zone of the first run
-	DedupCell                   // the endpoints of the cell of the first run (Endpoint.Cell)
+	DedupZone                   // the endpoints in the zone of the first run
+	DedupCell                   // the endpoints in the cell of the first run (Endpoint.Cell)
 )
 
-// LoadMetric is the meaning of one figure of a load report (compare ORCA load reports, gRFC A51).
+// LoadMetric is the meaning of one figure in a load report (compare ORCA load reports, gRFC A51).
 type LoadMetric uint8
 
-// The metrics of a load report. MetricUnknown is one that this version does not know; it is skipped.
+// The metrics of a load report. MetricUnknown stands for a metric that this version does not support; its
+// figures are skipped.
 const (
 	MetricUnknown     LoadMetric = iota
 	MetricInflight               // requests at the endpoint, running and waiting
-	MetricQueueLength            // requests that wait there
-	MetricUtilization            // part of its cores in use, 0 to 1
+	MetricQueueLength            // requests that wait at the endpoint
+	MetricUtilization            // fraction of the endpoint's cores in use, 0 to 1
 	MetricLatency                // recent service time in milliseconds, without waiting
 	MetricServedRate             // requests served per second
 	MetricErrorRate              // errors per second
 )
 
-// Class is the settings of a class of requests. Fields without a default must be set.
+// Class holds the settings of a class of requests. Fields without a default must be set.
 type Class struct {
 	Name        string      // Not used by the balancer.
 	Idempotency Idempotency // default Idempotent
-	DedupScope  DedupScope  // for IdempotentByKey; default DedupAll
+	DedupScope  DedupScope  // used with IdempotentByKey; default DedupAll
 
-	// DedupWindow is how long endpoints remember an idempotency key, for IdempotentByKey. Not negative;
-	// default 0, which allows no second run.
+	// DedupWindow is the time for which endpoints remember an idempotency key (with IdempotentByKey). Not
+	// negative; the default 0 allows no second run.
 	DedupWindow monotime.Micros
 
-	LatencyObjective monotime.Micros // an answer within this time counts with the full weight; positive
-	ClientTimeout    monotime.Micros // that a client waits over all attempts (Envoy: route timeout); positive
+	LatencyObjective monotime.Micros // a response within this time counts with its full weight; positive
+	ClientTimeout    monotime.Micros // time that a client waits over all attempts (Envoy: route timeout); positive
 
-	// PriorityWeight is the weight of one request, relative to other classes. Not negative. Requests of less
-	// weight are rejected first. Also with 0 a request may spend minQueueWaitFraction of the rest of its
-	// latency objective on queueing, so it is not always rejected; Goal.WorstClass raises the weight of the
-	// worst class.
+	// PriorityWeight is the weight of one request, relative to other classes. Not negative. Requests of a
+	// lower weight are rejected first. A weight of 0 does not reject all requests: they may still spend
+	// minQueueWaitFraction of their remaining latency objective on queueing, and Goal.WorstClass raises the
+	// weight of the worst class.
 	PriorityWeight float64
 
-	LateWeight float64 // of a late answer, as a part of the weight; 0 to 1. Not used by the balancer.
-	Streaming  bool    // answers are streamed; default false. Not used by the balancer.
+	LateWeight float64 // fraction of the weight that a late response counts, 0 to 1. Not used by the balancer.
+	Streaming  bool    // responses are streamed; default false. Not used by the balancer.
 }
 
-// Tenant is the settings of a tenant.
+// Tenant holds the settings of a tenant.
 type Tenant struct {
 	Name  string  // Not used by the balancer.
 	Quota float64 // requests per second over all balancers; not negative
-	Share float64 // of the service, 0 to 1. Not used by the balancer.
+	Share float64 // fraction of the service, 0 to 1. Not used by the balancer.
 }
 
-// Limits is what the deployment permits. The defaults of the permissions are false.
+// Limits states what the deployment permits. All permissions default to false.
 type Limits struct {
 	Cancel bool // attempts may be cancelled
 	Probes bool // endpoints may be probed
 
-	// Hedging permits several attempts of a request in flight (gRFC A6: hedging). It only permits: the balancer
-	// never starts a hedged request, since HandleOutcome waits until no attempt is in flight.
+	// Hedging permits several attempts of a request in flight at the same time (gRFC A6: hedging). The
+	// balancer does not make use of it: it never starts a hedged request, since HandleOutcome waits until no
+	// attempt is in flight.
 	Hedging bool
 
 	RetryAfter bool // rejections may have a Retry-After
 
-	MaxAttempts     int             // per request, the first included (gRFC A6: maxAttempts); at least 1
-	MaxOpenRequests int             // per balancer (Envoy: max_requests of circuit breakers); at least 1
-	MaxRetryAfter   monotime.Micros // the longest Retry-After that clients honour; not negative, 0 is none
+	MaxAttempts     int             // attempts per request, including the first (gRFC A6: maxAttempts); at least 1
+	MaxOpenRequests int             // open requests per balancer (Envoy: circuit breaker max_requests); at least 1
+	MaxRetryAfter   monotime.Micros // longest Retry-After that clients honour; not negative, 0 is none
 
 	// Not used by the balancer.
-	DialTimeout monotime.Micros // for a connection to an endpoint (Envoy: connect_timeout); not negative
+	DialTimeout monotime.Micros // timeout for connecting to an endpoint (Envoy: connect_timeout); not negative
 }
 
-// Contract is how endpoints and discovery are known to behave.
+// Contract states how endpoints and discovery are known to behave.
 type Contract struct {
-	// WarmupStartCapacity is the part of its capacity that an endpoint has at its start, at least (Envoy:
-	// slow start, min_weight_percent). Over 0, to 1.
+	// WarmupStartCapacity is the minimum fraction of its capacity that an endpoint has when it starts (Envoy:
+	// slow start, min_weight_percent). Greater than 0 and at most 1.
 	WarmupStartCapacity float64
 
 	// WarmupTime is the time after which an endpoint has its full capacity (Envoy: slow start,
 	// slow_start_window). Not negative; 0 is no warm-up.
 	WarmupTime monotime.Micros
 
-	// A warming endpoint collapses if it gets CollapseMultiple of its present capacity for CollapseAfter.
-	CollapseMultiple float64         // positive
-	CollapseAfter    monotime.Micros // not negative
+	// A warming endpoint collapses if it gets CollapseMultiple times its present capacity for CollapseAfter.
+	CollapseMultiple float64         // multiple of the present capacity; positive
+	CollapseAfter    monotime.Micros // duration of such a load; not negative
 
 	// PollInterval is the time within which a balancer that polls discovery must poll again
 	// (Settings.Subscribe). Not negative.
 	PollInterval monotime.Micros
 
 	// Not used by the balancer.
-	DrainGrace monotime.Micros // time that a draining endpoint goes on serving; not negative
+	DrainGrace monotime.Micros // time for which a draining endpoint continues to serve; not negative
 }
 
-// Prices are taken off the goal's result, each for a rate per request. None may be negative; 0 is free.
+// Prices are subtracted from the goal's result. Each price is multiplied by the number of its events per
+// request. Prices must not be negative; 0 means free.
 type Prices struct {
-	CrossZone float64 // per attempt in another zone: a higher price keeps more requests in the zone
-	Probe     float64 // per probe: a higher price means fewer probes
+	CrossZone float64 // price of an attempt in another zone: a higher price keeps more requests in the zone
+	Probe     float64 // price of a probe: a higher price means fewer probes
 
 	// Not used by the balancer.
-	Waste    float64 // per attempt whose answer is of no use
-	LateFail float64 // per request that fails late
+	Waste    float64 // price of an attempt whose response is not used
+	LateFail float64 // price of a request that fails late
 }
 
-// Goal is the weights of the parts of the result, which is the ratio of requests that are answered in time.
-// None may be negative.
+// Goal holds the weights of the parts of the result. The result is the ratio of requests that are answered in
+// time. Weights must not be negative.
 type Goal struct {
-	Overall     float64 // of the ratio over all requests
-	WorstWindow float64 // of the ratio in the worst window of time
-	WorstClass  float64 // of the ratio of the worst class
-	WorstTenant float64 // of the ratio of the worst tenant. Not used by the balancer.
+	Overall     float64 // weight of the ratio over all requests
+	WorstWindow float64 // weight of the ratio in the worst time window
+	WorstClass  float64 // weight of the ratio of the worst class
+	WorstTenant float64 // weight of the ratio of the worst tenant. Not used by the balancer.
 }
 
-// Settings is the settings of a balancer, which do not change.
+// Settings holds the settings of a balancer, which do not change after New.
 type Settings struct {
-	Balancers int // instances of this tier, this one included; at least 1
-	Zone      int // number of this instance's zone, as in Endpoint.Zone; not negative
+	Balancers int // number of instances in this tier, including this one; at least 1
+	Zone      int // zone of this instance, numbered as Endpoint.Zone; not negative
 
-	// Subscribe is set if discovery sends lists only to a balancer that polls it. By default lists are
-	// pushed.
+	// Subscribe is set if discovery sends lists only to balancers that poll it. By default discovery pushes
+	// lists.
 	Subscribe bool
 
-	Classes     []Class      // at least one
-	Tenants     []Tenant     // may be empty
-	LoadMetrics []LoadMetric // figures of a load report, in their order; may be empty
+	Classes     []Class      // settings by class; at least one class
+	Tenants     []Tenant     // settings by tenant; may be empty
+	LoadMetrics []LoadMetric // meanings of the figures in a load report, in order; may be empty
 
 	Limits   Limits
 	Contract Contract
 	Prices   Prices
 	Goal     Goal
 
-	// OverQuotaWeight is the weight of a request over its tenant's quota, as a part of its weight
-	// (tenantWeight). Not negative. Usually 0 to 1: over 1 it would put requests over the quota before those
-	// within.
+	// OverQuotaWeight is the factor for the weight of a request that is over its tenant's quota
+	// (tenantWeight). Not negative and usually 0 to 1: a factor over 1 would prefer requests over the quota
+	// to requests within it.
 	OverQuotaWeight float64
 
-	WeightByWork bool // a request's weight counts per microsecond of work; by default per request
+	WeightByWork bool // PriorityWeight is per microsecond of work instead of per request
 
 	// RetryRatio is the retry budget: retries per request (Envoy: retry budget, budget_percent). 0 to 10; 0
-	// is DefaultRetryRatio. MaxAttempts 1 turns retries off.
+	// means DefaultRetryRatio. Retries are disabled with MaxAttempts 1.
 	RetryRatio float64
 
-	// RetryWindow is the time in any stretch of which the retry budget holds. Not negative; 0 is no window:
-	// unused retries are saved up.
+	// RetryWindow is the duration of each interval in which the retry budget must be kept. Not negative. With
+	// 0 the budget has no window: unused retries accumulate.
 	RetryWindow monotime.Micros
 
-	// MinRetryRate is the number of retries per second that a budget with a window always allows, since the
-	// ratio of a quiet balancer's requests is less than one (Envoy: retry budget, min_retry_concurrency). 0
-	// to 1,000,000.
+	// MinRetryRate is the number of retries per second that a budget with a window always allows. It lets a
+	// balancer retry whose requests in the window are too few for RetryRatio to allow one retry (Envoy: retry
+	// budget, min_retry_concurrency). 0 to 1,000,000.
 	MinRetryRate float64
 
-	// StrictIdempotencyKeys makes a request with an idempotency key fail once it may have run, and never be
-	// rejected, even if all endpoints drop second runs: the client may retry when they have forgotten the
-	// key.
+	// StrictIdempotencyKeys makes a request with an idempotency key fail instead of being rejected once it
+	// may have run, even if all endpoints drop second runs. The client may retry after the endpoints have
+	// forgotten the key.
 	StrictIdempotencyKeys bool
 
 	// Not used by the balancer.
-	Position int // of this instance among Balancers, from 0
+	Position int // number of this instance within Balancers, from 0
 }
 
-// DefaultRetryRatio is the retry budget where the settings give none, in retries per request.
+// DefaultRetryRatio is the retry budget if Settings.RetryRatio is 0, in retries per request.
 const DefaultRetryRatio = 0.2
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -6,80 +6,81 @@
 	"dunlinsail/internal/monotime"
 )
 
-// LearnedState is what a balancer has learned, for the balancer that takes its place in a hot restart:
-// service times, breaker windows, ejections, the token buckets of warming endpoints. It holds ages instead of
-// instants, since the two balancers may count time from different origins. The one instant,
-// LearnedEndpoint.StartTime, comes from discovery and is only compared with that of the list.
+// LearnedState is the learned state of a balancer for its successor in a hot restart: service times, breaker
+// windows, ejections, and the token buckets of warming endpoints. It holds ages instead of instants, since
+// the two balancers may measure time from different origins. The only instant, LearnedEndpoint.StartTime,
+// comes from discovery and is only compared with the start time in the successor's list.
 //
-// Its JSON form is stored and read by other versions. The tags are fixed; golden_test.go holds files of that
-// form.
+// Its JSON form is stored and is read by other versions, so the tags must not change. golden_test.go compares
+// it with stored files.
 type LearnedState struct {
-	Classes   []LearnedClass    `json:"Classes"` // in the order of the settings
+	Classes   []LearnedClass    `json:"Classes"` // in the order of Settings.Classes
 	Endpoints []LearnedEndpoint `json:"Endpoints"`
 
-	RequestRate           float64   `json:"Demand"`      // requests per second
-	SentWorkRate          float64   `json:"SentWork"`    // microseconds of work per second
-	RejectedRatio         float64   `json:"Refused"`     // of new requests, 0 to 1
-	MeanWork              Average   `json:"Work"`        // microseconds per request
-	FleetServiceTimeRatio Average   `json:"Fleet"`       // service time per unit of work
-	LatencyTrend          float64   `json:"Trend"`       // latencies over the predicted ones
-	HintTrust             float64   `json:"Trust"`       // 0 to 1
-	LateReportRatio       Average   `json:"Lag"`         // 0 to 1
+	RequestRate           float64   `json:"Demand"`      // rate of all requests, per second
+	SentWorkRate          float64   `json:"SentWork"`    // rate of sent work, microseconds per second
+	RejectedRatio         float64   `json:"Refused"`     // fraction of new requests that are rejected, 0 to 1
+	MeanWork              Average   `json:"Work"`        // mean work of a request, microseconds
+	FleetServiceTimeRatio Average   `json:"Fleet"`       // service time per unit of work, over all endpoints
+	LatencyTrend          float64   `json:"Trend"`       // ratio of latencies to predicted latencies
+	HintTrust             float64   `json:"Trust"`       // trust in work hints, 0 to 1
+	LateReportRatio       Average   `json:"Lag"`         // fraction of load reports that are late, 0 to 1
 	TypicalLoad           Average   `json:"Usual"`       // requests of other balancers at a warm endpoint
-	ServiceTime           Average   `json:"Service"`     // microseconds, as endpoints report it
+	ServiceTime           Average   `json:"Service"`     // service time that endpoints report, microseconds
 	TypicalWarmingLoad    Average   `json:"UsualCold"`   // requests of other balancers at a warming endpoint
-	ReportsLate           bool      `json:"ReportsLate"` // loads are predicted from averages
-	ReportWatchTime       float64   `json:"Watched"`     // microseconds between two compared reports, in sum
-	ReportChanges         float64   `json:"Renewed"`     // compared reports that differed
-	TenantRates           []float64 `json:"Tenants"`     // requests per second, in the order of the settings
+	ReportsLate           bool      `json:"ReportsLate"` // load reports are late, so averages replace them
+	ReportWatchTime       float64   `json:"Watched"`     // total time between compared reports, microseconds
+	ReportChanges         float64   `json:"Renewed"`     // number of compared reports that differed
+	TenantRates           []float64 `json:"Tenants"`     // requests per second, in the order of Settings.Tenants
 }
 
-// LearnedClass is what a balancer has learned of a class.
+// LearnedClass holds the learned estimates of a class.
 type LearnedClass struct {
-	MeanWork    Average `json:"Work"`  // microseconds per request
-	RequestRate float64 `json:"Asked"` // requests per second
-	OnTimeRatio Average `json:"Good"`  // of the requests, 0 to 1
+	MeanWork    Average `json:"Work"`  // mean work of a request, microseconds
+	RequestRate float64 `json:"Asked"` // rate of requests, per second
+	OnTimeRatio Average `json:"Good"`  // fraction of requests answered in time, 0 to 1
 }
 
-// LearnedEndpoint is what a balancer has learned of an endpoint.
+// LearnedEndpoint holds the learned state of an endpoint.
 type LearnedEndpoint struct {
-	ID               uint32          `json:"ID"`      // as in Endpoint
-	StartTime        monotime.Micros `json:"Start"`   // instant, as in Endpoint, of the process that it was learned of
-	RTT              Average         `json:"RTT"`     // microseconds
+	ID               uint32          `json:"ID"`      // same as Endpoint.ID
+	StartTime        monotime.Micros `json:"Start"`   // Endpoint.StartTime of the process that was observed
+	RTT              Average         `json:"RTT"`     // round trip, microseconds
 	ServiceTimeRatio Average         `json:"Pace"`    // service time per unit of work
-	ServiceTimeAge   monotime.Micros `json:"PaceAge"` // of the latest sample of it
+	ServiceTimeAge   monotime.Micros `json:"PaceAge"` // age of the latest sample of ServiceTimeRatio
 
-	WarmingUp    bool            `json:"Cold"`
-	WarmupAge    monotime.Micros `json:"ColdAge"` // since the start of the warm-up
-	WarmupTokens float64         `json:"Room"`    // microseconds of work in the demand bucket
-	ServedTokens float64         `json:"Share"`   // microseconds of work in the served bucket
+	WarmingUp    bool            `json:"Cold"`    // the endpoint was warming up
+	WarmupAge    monotime.Micros `json:"ColdAge"` // time since the start of the warm-up
+	WarmupTokens float64         `json:"Room"`    // content of the demand bucket, microseconds of work
+	ServedTokens float64         `json:"Share"`   // content of the served bucket, microseconds of work
 
-	Outlier      LearnedOutlier   `json:"Whole"` // of all traffic
-	PartOutliers []LearnedOutlier `json:"Parts"` // of each class, then of each tenant
+	Outlier      LearnedOutlier   `json:"Whole"` // failures and ejection for all traffic
+	PartOutliers []LearnedOutlier `json:"Parts"` // the same by class, then by tenant
 
-	BaseLatency    float64 `json:"Base"`    // microseconds, the usual latency
-	CurrentLatency float64 `json:"Current"` // microseconds, the present latency
+	BaseLatency    float64 `json:"Base"`    // latency without congestion, microseconds
+	CurrentLatency float64 `json:"Current"` // average of the latest latencies, microseconds
 
-	// BreakerWindow is the breaker's buckets, the oldest first: requests, accepts, failures. It is empty
-	// without requests.
+	// BreakerWindow contains the breaker's buckets, oldest first, each as the numbers of requests, accepts
+	// and failures. It is empty if there were no requests.
 	BreakerWindow [][3]int `json:"Window"`
 }
 
-// Average is a moving average and its number of samples.
+// Average is the stored form of a moving average: its value and its number of samples.
 type Average struct {
 	Value   float64 `json:"V"`
 	Samples float64 `json:"N"`
 }
 
-// LearnedOutlier is the consecutive failures of a part of the traffic, and the ejection for them.
+// LearnedOutlier holds the consecutive failures of an endpoint in one part of the traffic, and the resulting
+// ejection.
 type LearnedOutlier struct {
 	ConsecutiveFailures int             `json:"Streak"`
-	EjectedFor          monotime.Micros `json:"Left"`  // time from the snapshot on; 0 is not ejected
-	EjectionTime        monotime.Micros `json:"For"`   // of the latest ejection, before jitter
-	TrialPending        bool            `json:"Trial"` // an attempt since the ejection has no outcome yet
+	EjectedFor          monotime.Micros `json:"Left"`  // remaining time of the ejection; 0 if not ejected
+	EjectionTime        monotime.Micros `json:"For"`   // duration of the latest ejection, before jitter
+	TrialPending        bool            `json:"Trial"` // an attempt sent after the ejection has no outcome yet
 }
 
-// LearnedState returns what the balancer has learned up to an instant. Endpoints that are gone are left out.
+// LearnedState returns a snapshot of the balancer's learned state. Endpoints in state Gone are excluded.
 func (b *Balancer) LearnedState(now monotime.Micros) *LearnedState {
 	state := &LearnedState{
 		RequestRate:           b.requestRate.rate(now),
@@ -113,7 +114,7 @@
 	return state
 }
 
-// snapshotEndpoint returns what the balancer has learned of e, with the token buckets refilled if e warms up.
+// snapshotEndpoint returns the learned state of e. If e is warming up, its token buckets are refilled first.
 func (b *Balancer) snapshotEndpoint(now monotime.Micros, e *endpoint) LearnedEndpoint {
 	learned := LearnedEndpoint{
 		ID:               e.ID,
@@ -139,7 +140,7 @@
 	return learned
 }
 
-// snapshotWindow returns the buckets of the window, the oldest first, or nil without requests.
+// snapshotWindow returns the buckets of the window, oldest first, or nil if there were no requests.
 func (br *breaker) snapshotWindow(now monotime.Micros) [][3]int {
 	br.advance(now)
 	if br.requests <= 0 {
@@ -153,10 +154,12 @@
 	return window
 }
 
-// Restore takes over what another balancer had learned when its snapshot was made, which is of some age, in
-// place of what this one knows. It is meant for a balancer without open requests. Endpoints are those of this
-// balancer's list, by ID and start time. Classes or tenants are skipped if their number is not that of the
-// settings, and so are figures that cannot have been learned.
+// Restore replaces the learned state of this balancer with the snapshot of another balancer. age is the time
+// since the snapshot was made. Restore is meant for a balancer without open requests.
+//
+// Only endpoints in this balancer's list with the same ID and start time are restored. Classes are skipped if
+// their number differs from that in the settings, and so are tenants. Figures that a balancer cannot have
+// learned are replaced by 0.
 func (b *Balancer) Restore(now, age monotime.Micros, state *LearnedState) {
 	age = max(0, age)
 	b.restoreRates(now, state)
@@ -166,7 +169,8 @@
 	b.capacityExpiresAt = now
 }
 
-// restoreRates restores the rates, of all requests, by class and by tenant.
+// restoreRates restores the rates of all requests, the rates and averages of classes, and the rates of
+// tenants.
 func (b *Balancer) restoreRates(now monotime.Micros, state *LearnedState) {
 	b.requestRate.set(now, state.RequestRate)
 	b.sentWorkRate.set(now, state.SentWorkRate)
@@ -183,7 +187,7 @@
 	}
 }
 
-// restorePredictions restores what latencies are predicted by.
+// restorePredictions restores the estimates from which latencies are predicted.
 func (b *Balancer) restorePredictions(state *LearnedState) {
 	b.meanWork = state.MeanWork.restored()
 	b.fleetServiceTimeRatio = state.FleetServiceTimeRatio.restored()
@@ -194,7 +198,7 @@
 	b.serviceTime = state.ServiceTime.restored()
 }
 
-// restoreReports restores how old load reports are.
+// restoreReports restores the estimates of how late load reports are and how often they change.
 func (b *Balancer) restoreReports(state *LearnedState) {
 	b.lateReportRatio = state.LateReportRatio.restored()
 	b.reportsLate = state.ReportsLate
@@ -202,7 +206,7 @@
 	b.reportChanges = validFigure(state.ReportChanges)
 }
 
-// restoreEndpoints restores the endpoints that are listed with the same start time.
+// restoreEndpoints restores the endpoints that this balancer lists with the same start time.
 func (b *Balancer) restoreEndpoints(now, age monotime.Micros, endpoints []LearnedEndpoint) {
 	for i := range endpoints {
 		learned := &endpoints[i]
@@ -215,7 +219,7 @@
 	}
 }
 
-// restore restores a class, unless nothing was learned of it.
+// restore restores the estimates of a class, unless the snapshot has no mean work for it.
 func (c *classStats) restore(now monotime.Micros, learned *LearnedClass) {
 	if learned.MeanWork.Value > 0 {
 		c.meanWork = learned.MeanWork.restored()
@@ -224,7 +228,7 @@
 	}
 }
 
-// restore restores an endpoint from a snapshot that is of some age.
+// restore restores the learned state of an endpoint from a snapshot of the given age.
 func (e *endpoint) restore(now, age monotime.Micros, learned *LearnedEndpoint) {
 	e.rtt = learned.RTT.restored()
 	e.serviceTimeRatio = learned.ServiceTimeRatio.restored()
@@ -248,8 +252,8 @@
 	}
 }
 
-// restoreWarmup resumes a warm-up with its token buckets, so that no token is given twice. If this balancer
-// knows of a later start, that counts.
+// restoreWarmup resumes a warm-up with the stored token buckets, so that no token is used twice. The later of
+// the two starts counts if this balancer knows of a warm-up as well.
 func (e *endpoint) restoreWarmup(now, age monotime.Micros, learned *LearnedEndpoint) {
 	start := now - learned.WarmupAge - age
 	if e.isWarmingUp {
@@ -262,7 +266,8 @@
 	e.servedTokens = validFigure(learned.ServedTokens)
 }
 
-// restore fills the window with the buckets of a snapshot that is of some age. Impossible counts are skipped.
+// restore fills the window with the buckets of a snapshot of the given age. Buckets with impossible counts
+// are skipped.
 func (br *breaker) restore(now, age monotime.Micros, window [][3]int) {
 	br.advance(now)
 	const width = breakerWindow / breakerBuckets
@@ -279,10 +284,10 @@
 	}
 }
 
-// SetHandedOver sets whether another balancer has taken over what this one has learned, and with it the
-// buckets of warming endpoints: this one sends them nothing more, or the two together could make one
-// collapse. Each call, also one that ends the handover, empties the buckets: the other balancer may have used
-// their tokens.
+// SetHandedOver sets whether another balancer has taken over the learned state of this balancer, including
+// the token buckets of warming endpoints. This balancer then sends nothing more to warming endpoints, since
+// both balancers together could make an endpoint collapse. Each call empties the buckets, even a call that
+// ends the handover, because the other balancer may have used their tokens.
 func (b *Balancer) SetHandedOver(now monotime.Micros, handedOver bool) {
 	b.handedOver = handedOver
 	for _, e := range b.endpoints {
@@ -295,19 +300,19 @@
 	}
 }
 
-// learned returns the form of an average in a snapshot.
+// snapshot returns the average in the form that is stored.
 func (a ewma) snapshot() Average { return Average{Value: a.value, Samples: a.samples} }
 
-// restored returns the average of a snapshot.
+// restored returns the moving average that a stored average describes.
 func (a Average) restored() ewma { return ewma{validFigure(a.Value), validFigure(a.Samples)} }
 
-// set sets the rate per second as of an instant.
+// set sets the meter to a rate per second at the instant now.
 func (m *rateMeter) set(now monotime.Micros, rate float64) {
 	m.sum = validFigure(rate) * float64(rateMeterSpan) / float64(second)
 	m.updatedAt = now
 }
 
-// learned returns the form of an outlier's statistics in a snapshot.
+// snapshot returns the outlier statistics in the form that is stored.
 func (o *outlierStats) snapshot(now monotime.Micros) LearnedOutlier {
 	return LearnedOutlier{
 		ConsecutiveFailures: o.consecutiveFailures,
@@ -317,12 +322,12 @@
 	}
 }
 
-// maxRestoredEjection bounds the rest of an ejection of a snapshot. The longest ejection with its jitter, 1.5
-// times maxEjectionTime, is within it.
+// maxRestoredEjection limits the remaining time of an ejection that is restored. It exceeds the longest
+// ejection with its jitter, which is 1.5 times maxEjectionTime.
 const maxRestoredEjection = 2 * maxEjectionTime
 
-// restored returns the statistics of a snapshot that is of some age. A pending trial is dropped: its outcome
-// goes to the balancer that sent it.
+// restored returns the outlier statistics that a snapshot of the given age contains. A pending trial is
+// dropped, since its outcome goes to the balancer that sent it.
 func (learned LearnedOutlier) restored(now, age monotime.Micros) outlierStats {
 	o := outlierStats{
 		consecutiveFailures: max(0, learned.ConsecutiveFailures),
@@ -334,8 +339,8 @@
 	return o
 }
 
-// validFigure returns a figure of a snapshot, or 0 for one that cannot have been learned: all are finite and
-// not negative.
+// validFigure returns a figure of a snapshot, or 0 if a balancer cannot have learned it because it is
+// negative, infinite or NaN.
 func validFigure(figure float64) float64 {
 	if !(figure >= 0) || math.IsInf(figure, 0) {
 		return 0
--- a/balancer/stall.go
+++ b/balancer/stall.go
@@ -2,9 +2,10 @@
 
 import "dunlinsail/internal/monotime"
 
-// HandleStall notes that the host's process did not run for a time that ends now. The host calls it before it
-// passes on anything that has happened meanwhile. Nothing was read from endpoints in that time, so that it
-// counts neither as their silence, nor as time that they had to receive an attempt (checkReportAge).
+// HandleStall handles a stall: the host's process did not run for the given duration, which ends now. The
+// host calls it before it passes on the events of that time. Since nothing was read from endpoints during the
+// stall, that time counts neither as their silence nor as time in which they could have received an attempt
+// (checkReportAge).
 func (b *Balancer) HandleStall(now, duration monotime.Micros) {
 	for _, e := range b.endpoints {
 		e.silentSince = min(now, e.silentSince+duration)
@@ -12,9 +13,10 @@
 	}
 }
 
-// chargedLatency returns which latency (microseconds) of an outcome counts, where expected is the one that
-// was predicted. known is false if the outcome says nothing of it: the endpoint may have answered at any time
-// of a stall, and the prediction is among the latencies that are possible. Else the closest of these counts.
+// chargedLatency returns the latency (microseconds) that an outcome contributes to an estimate whose expected
+// value is expected. During a stall the endpoint may have responded at any time, so the true latency is
+// between Latency-Stalled and Latency. If expected is within that range, the outcome gives no information and
+// known is false. Otherwise the bound that is closest to expected is returned.
 func (o *Outcome) chargedLatency(expected float64) (latency float64, known bool) {
 	longest := float64(o.Latency)
 	shortest := float64(o.Latency - o.Stalled)
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -2,101 +2,101 @@
 
 import "dunlinsail/internal/monotime"
 
-// Units of the constants of this package.
+// Units for the durations of this package.
 const (
-	millisecond = monotime.Millisecond // microseconds
-	second      = monotime.Second      // microseconds
+	millisecond = monotime.Millisecond // one millisecond in microseconds
+	second      = monotime.Second      // one second in microseconds
 )
 
-// Balancer takes the decisions of one sidecar. New returns one. It is not safe for concurrent use.
+// Balancer makes the decisions of one sidecar. It is created with New. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	actions  Actions
 	random   randomSource
-	seed     uint64 // of the requests' own random sources (requestRand)
+	seed     uint64 // seed of the random sources of single requests (requestRand)
 
 	// Requests.
-	requests      map[uint64]*request // those with an attempt in flight or without a final answer
-	timerSlots    []*request          // all records, by the slot in their timer tokens
-	freeRequests  []*request          // records to use again
-	openRequests  int                 // requests without a final answer
-	classes       []classStats        // in the order of Settings.Classes
+	requests      map[uint64]*request // requests with an attempt in flight or without a final response
+	timerSlots    []*request          // all request records, indexed by the slot in their timer tokens
+	freeRequests  []*request          // request records that can be reused
+	openRequests  int                 // number of requests without a final response
+	classes       []classStats        // statistics by class, in the order of Settings.Classes
 	tenantRates   []rateMeter         // requests per second, in the order of Settings.Tenants
-	requestRate   rateMeter           // requests per second
-	meanWork      ewma                // microseconds per request
-	hintTrust     float64             // 0 to 1: how far work hints count
-	rejectedRatio ewma                // of new requests, 0 to 1
-	overload      *OverloadPolicy     // nil: each request is admitted or rejected by predictions alone
+	requestRate   rateMeter           // rate of all requests, per second
+	meanWork      ewma                // mean work of a request, microseconds
+	hintTrust     float64             // weight of work hints in estimates of work, 0 to 1
+	rejectedRatio ewma                // fraction of new requests that are rejected, 0 to 1
+	overload      *OverloadPolicy     // nil if predictions alone decide on admission
 
 	// Endpoint list and discovery.
-	endpointsByID map[uint32]*endpoint
-	endpoints     []*endpoint     // in the order in which they were first listed
-	listReceived  bool            // discovery has sent a list since the start
-	subscribed    bool            // the latest poll was answered
-	nextPollAt    monotime.Micros // instant
-	pollBackoff   monotime.Micros // 0 before the first failure
-
-	// Capacity and warm-up. The first four are as of the latest count (effectiveCapacity).
-	readyCapacity     float64         // of the eligible endpoints, in warm ones
-	readyCount        float64         // eligible endpoints
-	warmCount         float64         // of these, those that do not warm up
-	warmingEndpoints  []*endpoint     // of these, those that do
-	capacityExpiresAt monotime.Micros // instant from which on they must be counted again
-	sentWorkRate      rateMeter       // microseconds of work per second
-	servedWork        float64         // microseconds of work answered since the start, per unit of warm capacity
+	endpointsByID map[uint32]*endpoint // known endpoints by ID
+	endpoints     []*endpoint          // known endpoints, in the order in which they were first listed
+	listReceived  bool                 // discovery has sent a list since the start
+	subscribed    bool                 // discovery has replied to the latest poll
+	nextPollAt    monotime.Micros      // instant of the next poll
+	pollBackoff   monotime.Micros      // backoff after the latest failure; 0 before the first failure
+
+	// Capacity and warm-up. The first four fields are computed by effectiveCapacity.
+	readyCapacity     float64         // capacity of the eligible endpoints, in units of one warm endpoint
+	readyCount        float64         // number of eligible endpoints
+	warmCount         float64         // number of eligible endpoints that are not warming up
+	warmingEndpoints  []*endpoint     // eligible endpoints that are warming up
+	capacityExpiresAt monotime.Micros // instant at which these four fields must be computed again
+	sentWorkRate      rateMeter       // rate of sent work, microseconds per second
+	servedWork        float64         // successful work since the start, microseconds per warm endpoint
 	lastServedAt      monotime.Micros // instant of the latest success
-	handedOver        bool            // another balancer sends to the warming endpoints (SetHandedOver)
+	handedOver        bool            // another balancer now sends to warming endpoints (SetHandedOver)
 
 	// Probes and load reports.
-	probePool           []*endpoint     // endpoints with a load report, the latest last; at most probePoolSize
+	probePool           []*endpoint     // endpoints with a load report, latest last; at most probePoolSize
 	queued              []*request      // requests that wait for probes
-	awaitedProbes       int             // probes in flight that they wait for
-	queueRound          uint32          // number of the present queue
-	dueProbes           float64         // probes that have come due by the probe rate
-	dueProbesAt         monotime.Micros // instant up to which they are counted
+	awaitedProbes       int             // number of probes in flight that queued requests wait for
+	queueRound          uint32          // number of the current round of queued requests
+	dueProbes           float64         // number of probes that are due according to the probe rate
+	dueProbesAt         monotime.Micros // instant up to which dueProbes is computed
 	withoutLoadReports  bool            // probes do not return the load of endpoints
 	typicalLoad         ewma            // requests of other balancers at a warm endpoint
 	typicalWarmingLoad  ewma            // requests of other balancers at a warming endpoint
-	serviceTime         ewma            // microseconds without waiting, as endpoints report it
-	lateReportRatio     ewma            // 0 to 1, of the reports that could be checked
-	reportsLate         bool            // loads are predicted from averages
-	reportWatchTime     float64         // microseconds between two compared reports, in sum
-	reportChanges       float64         // compared reports that differed
-	recheckCount        int             // endpoints that were probed twice to compare
-	recheckedEndpointID uint32          // the latest of them
+	serviceTime         ewma            // reported service time without waiting, microseconds
+	lateReportRatio     ewma            // fraction of the checked reports that were late, 0 to 1
+	reportsLate         bool            // load reports are late, so averages replace them
+	reportWatchTime     float64         // total time between compared reports, microseconds
+	reportChanges       float64         // number of compared reports that differed
+	recheckCount        int             // number of second probes so far (maxRechecks)
+	recheckedEndpointID uint32          // endpoint of the latest second probe
 
 	// Latency predictions.
-	fleetServiceTimeRatio ewma    // service time per work and queue delay factor, of all endpoints
-	latencyTrend          float64 // latencies over the predicted ones, for all endpoints together
+	fleetServiceTimeRatio ewma    // service time per work and queue delay factor, over all endpoints
+	latencyTrend          float64 // ratio of latencies to predicted latencies, over all endpoints
 
 	// Retry budget.
-	retryCredit    float64        // retries, for a budget without a window
-	recentRequests slidingCounter // requests in the retry window, up to a slot less
-	recentRetries  slidingCounter // retries in the retry window, up to a slot more
+	retryCredit    float64        // available retries of a budget without a window
+	recentRequests slidingCounter // requests in the retry window
+	recentRetries  slidingCounter // retries in the retry window and one slot more
 
-	trafficPartsBuffer [maxTrafficParts]int
-	lastLogged         map[string]monotime.Micros // instant, by message
+	trafficPartsBuffer [maxTrafficParts]int       // memory for the result of trafficParts
+	lastLogged         map[string]monotime.Micros // instant of the latest log line, by message
 }
 
-// classStats is what a balancer has observed of a class.
+// classStats holds the statistics and the waiting requests of a class.
 type classStats struct {
-	meanWork        ewma            // microseconds per request
-	requestRate     rateMeter       // requests per second
-	onTimeRatio     ewma            // of the requests, answered within the latency objective, 0 to 1
-	lastForcedAdmit monotime.Micros // instant of the latest request that was sent although over budget
-	waiting         []*request      // those that wait for answers to the class (queueForResponses)
+	meanWork        ewma            // mean work of a request, microseconds
+	requestRate     rateMeter       // rate of requests, per second
+	onTimeRatio     ewma            // fraction of requests answered within the latency objective
+	lastForcedAdmit monotime.Micros // instant of the latest forced admission (admit)
+	waiting         []*request      // requests that wait for responses to the class (queueForResponses)
 }
 
 const (
-	// allTraffic is the index of the part of the traffic that each request belongs to. The other parts are
-	// the classes and the tenants.
+	// allTraffic is the index of the part of the traffic that contains all requests. The other parts are the
+	// classes and the tenants.
 	allTraffic = 0
 
-	maxTrafficParts = 3 // parts that one request belongs to: all traffic, its class, its tenant
+	maxTrafficParts = 3 // maximum parts of a request: all traffic, its class, its tenant
 )
 
-// trafficParts returns the parts of the traffic that r belongs to, as indices of endpoint.outliers. The slice
-// is valid until the next call.
+// trafficParts returns the parts of the traffic that r belongs to, as indices into endpoint.outliers. The
+// slice is valid until the next call.
 func (b *Balancer) trafficParts(r *request) []int {
 	parts := append(b.trafficPartsBuffer[:0], allTraffic, 1+int(r.Class))
 	if tenant := int(r.Tenant); tenant < len(b.tenantRates) {
@@ -105,7 +105,7 @@
 	return parts
 }
 
-// newOutliers returns empty statistics, one for each part of the traffic.
+// newOutliers returns empty outlier statistics, one entry for each part of the traffic.
 func (b *Balancer) newOutliers() []outlierStats {
 	return make([]outlierStats, 1+len(b.classes)+len(b.tenantRates))
 }
--- a/balancer/validate.go
+++ b/balancer/validate.go
@@ -2,19 +2,20 @@
 
 import "fmt"
 
-// SettingError is the error for a setting that makes no sense.
+// SettingError is the error for an invalid setting.
 type SettingError struct {
-	Key    string // path of the setting's Go field, or the key where it was read
-	Value  string
-	Reason string // what the value must be
+	Key    string // path of the setting's Go field, or its key in the file that it was read from
+	Value  string // the invalid value
+	Reason string // requirement that the value does not meet
 }
 
-// Error returns which setting is wrong, and how.
+// Error returns a message with the key, the value and the requirement that it does not meet.
 func (e *SettingError) Error() string {
 	return fmt.Sprintf("setting %s=%s: %s", e.Key, e.Value, e.Reason)
 }
 
-// Validate returns a *SettingError for the first setting that makes no sense, in the order of the checks.
+// Validate returns a *SettingError for the first invalid setting, in the order of the checks, or nil if all
+// settings are valid.
 func (s *Settings) Validate() error {
 	var v validation
 	v.checkInstance(s)
@@ -33,36 +34,36 @@
 }
 
 const (
-	maxRetryRatio   = 10  // retries per request
-	maxMinRetryRate = 1e6 // retries per second
+	maxRetryRatio   = 10  // maximum of Settings.RetryRatio, retries per request
+	maxMinRetryRate = 1e6 // maximum of Settings.MinRetryRate, retries per second
 )
 
-// validation keeps the first error of some checks.
+// validation runs checks and keeps the error of the first check that fails.
 type validation struct{ err error }
 
-// require adds an error unless ok.
+// require sets the error to a *SettingError unless ok is true or an earlier check has failed.
 func (v *validation) require(ok bool, key string, value any, reason string) {
 	if !ok && v.err == nil {
 		v.err = &SettingError{Key: key, Value: fmt.Sprint(value), Reason: reason}
 	}
 }
 
-// requireAtLeastOne requires a count of 1 or more.
+// requireAtLeastOne requires a count of at least 1.
 func (v *validation) requireAtLeastOne(key string, value int) {
 	v.require(value >= 1, key, value, "must be at least 1")
 }
 
-// requireNotNegative requires a number or duration of 0 or more, which NaN is not.
+// requireNotNegative requires a number or duration of at least 0; NaN is invalid.
 func requireNotNegative[N int | int64 | float64](v *validation, key string, value N) {
 	v.require(value >= 0, key, value, "must not be negative")
 }
 
-// positive requires a number or duration over 0, which NaN is not.
+// requirePositive requires a number or duration greater than 0; NaN is invalid.
 func requirePositive[N int64 | float64](v *validation, key string, value N) {
 	v.require(value > 0, key, value, "must be positive")
 }
 
-// instance checks what the settings say of the instance and its surroundings.
+// checkInstance checks the settings of the instance and the number of classes.
 func (v *validation) checkInstance(s *Settings) {
 	v.requireAtLeastOne("Balancers", s.Balancers)
 	requireNotNegative(v, "Position", s.Position)
@@ -70,7 +71,7 @@
 	v.require(len(s.Classes) > 0, "Classes", "none", "at least one class is needed")
 }
 
-// class checks the class of an index.
+// checkClass checks the settings of the class with the given index.
 func (v *validation) checkClass(index int, c *Class) {
 	key := func(field string) string { return fmt.Sprintf("Classes[%d].%s", index, field) }
 	v.require(c.Idempotency <= NonIdempotent, key("Idempotency"), c.Idempotency, "not a known kind")
@@ -82,7 +83,7 @@
 	v.require(c.LateWeight >= 0 && c.LateWeight <= 1, key("LateWeight"), c.LateWeight, "must be in 0..1")
 }
 
-// goal checks the weights of the result.
+// checkGoal checks the weights of the goal.
 func (v *validation) checkGoal(g *Goal) {
 	requireNotNegative(v, "Goal", g.Overall)
 	requireNotNegative(v, "Goal", g.WorstWindow)
@@ -90,7 +91,7 @@
 	requireNotNegative(v, "Goal", g.WorstTenant)
 }
 
-// checkWeightsAndRetries checks the weight of requests over quota, and the retry budget.
+// checkWeightsAndRetries checks the weight of requests over quota and the retry budget.
 func (v *validation) checkWeightsAndRetries(s *Settings) {
 	requireNotNegative(v, "OverQuotaWeight", s.OverQuotaWeight)
 	v.require(s.RetryRatio >= 0 && s.RetryRatio <= maxRetryRatio, "RetryRatio", s.RetryRatio, "must be in 0..10")
@@ -99,7 +100,7 @@
 		"must be in 0..1000000")
 }
 
-// limits checks what the deployment permits.
+// checkLimits checks the limits of the deployment.
 func (v *validation) checkLimits(l *Limits) {
 	v.requireAtLeastOne("Limits.MaxAttempts", l.MaxAttempts)
 	v.requireAtLeastOne("Limits.MaxOpenRequests", l.MaxOpenRequests)
@@ -107,7 +108,7 @@
 	requireNotNegative(v, "Limits.DialTimeout", l.DialTimeout)
 }
 
-// contract checks how endpoints and discovery behave.
+// checkContract checks the contract with endpoints and discovery.
 func (v *validation) checkContract(c *Contract) {
 	requireNotNegative(v, "Contract.DrainGrace", c.DrainGrace)
 	start := c.WarmupStartCapacity
@@ -118,7 +119,7 @@
 	requireNotNegative(v, "Contract.PollInterval", c.PollInterval)
 }
 
-// prices checks what is taken off the result.
+// checkPrices checks the prices.
 func (v *validation) checkPrices(p *Prices) {
 	requireNotNegative(v, "Prices.CrossZone", p.CrossZone)
 	requireNotNegative(v, "Prices.Probe", p.Probe)
