--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -80,13 +80,13 @@
 	}
 }
 
-// attemptRequest picks an endpoint, sends r to it, and reports whether r was sent. first is true for the
+// attemptRequest picks an endpoint, sends r to it, and reports whether r was sent. isFirst is true for the
 // first attempt of a request. If the breaker of the picked endpoint rejects the attempt, one other endpoint
 // is picked. admit does not check that second endpoint, so its predicted latency may be over the latency
 // budget.
-func (b *Balancer) attemptRequest(now monotime.Micros, r *request, first bool) bool {
+func (b *Balancer) attemptRequest(now monotime.Micros, r *request, isFirst bool) bool {
 	e := b.pickEndpoint(now, r, nil)
-	if e == nil || !b.admit(now, r, e, first) {
+	if e == nil || !b.admit(now, r, e, isFirst) {
 		return false
 	}
 	if !b.breakerAllows(now, r, e) {
@@ -108,18 +108,18 @@
 //
 // An attempt that is not admitted is logged as a rejection (logRejection). This includes retries, whose
 // request may then fail. A new request may wait for responses to its class instead (queueForResponses).
-func (b *Balancer) admit(now monotime.Micros, r *request, e *endpoint, first bool) bool {
+func (b *Balancer) admit(now monotime.Micros, r *request, e *endpoint, isFirst bool) bool {
 	expected := b.predictLatency(now, e, r.work)
 	budget := b.latencyBudget(now, r, e)
 	if !(expected > budget) {
 		return true
 	}
 	c := &b.classes[r.Class]
-	if first {
+	if isFirst {
 		b.initForcedAdmit(now, c)
 	}
-	if !first || now-c.lastForcedAdmit < b.forcedAdmitInterval(now, c) {
-		if !r.waiting && !(first && b.queueForResponses(now, r)) {
+	if !isFirst || now-c.lastForcedAdmit < b.forcedAdmitInterval(now, c) {
+		if !r.waiting && !(isFirst && b.queueForResponses(now, r)) {
 			b.logRejection(now, r, e, expected, budget)
 		}
 		return false
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -82,8 +82,8 @@
 // HandleHeaders handles the start of an attempt's streamed response. From then on the request has no deadline
 // and is not retried, and with Limits.Cancel its other attempts are cancelled. latency is the time from the
 // send of the attempt to the start of the response. The balancer does not use it.
-func (b *Balancer) HandleHeaders(now monotime.Micros, id uint64, number int, latency monotime.Micros) {
-	r, a := b.findAttempt(id, number)
+func (b *Balancer) HandleHeaders(now monotime.Micros, id uint64, attemptNumber int, latency monotime.Micros) {
+	r, a := b.findAttempt(id, attemptNumber)
 	if a == nil || r.finished {
 		return
 	}
@@ -93,7 +93,7 @@
 		r.onTime = 1
 	}
 	a.markStreaming()
-	b.cancelAttempts(r, number)
+	b.cancelAttempts(r, attemptNumber)
 }
 
 // cancelAttempts cancels the attempts of r in flight if Limits.Cancel is set. The attempt numbered
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -117,8 +117,8 @@
 func (s *candidateSearch) considerAll() {
 	count := len(s.b.endpoints)
 	start := s.b.random.index(count)
-	isSmall := count <= maxRandomDraws
-	for i := 0; i < count && (s.best == nil || isSmall && s.bestIsOverBudget()); i++ {
+	isShortList := count <= maxRandomDraws
+	for i := 0; i < count && (s.best == nil || isShortList && s.bestIsOverBudget()); i++ {
 		s.consider(s.b.endpoints[(start+i)%count])
 	}
 }
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -42,8 +42,8 @@
 	serviceTimeRatio      ewma            // service time per work and queue delay factor, as if warm
 	serviceTimeObservedAt monotime.Micros // instant of the latest sample of serviceTimeRatio
 	outliers              []outlierStats  // indexed by part of the traffic (trafficParts)
-	breaker               breaker
-	suspicions            []float64 // chance 0 to 1 by class (SetSuspicion); nil if all are 0
+	breaker               breaker         // circuit breaker for attempts at the endpoint
+	suspicions            []float64       // chance 0 to 1 by class (SetSuspicion); nil if all are 0
 
 	// lastForcedPass is the instant of the latest attempt that passed regardless of the chances from breaker
 	// and suspicions (breakerAllows). The start of a suspicion sets it as well (SetSuspicion).
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -24,27 +24,27 @@
 	return b.mayRunAgain(now, r, e)
 }
 
-// mayRunAgain reports whether r may run at e although an earlier attempt may have run. This is so if its
-// class is idempotent, or if e drops a second run with the same idempotency key. e drops it within the
-// class's deduplication window, which starts with the first attempt that may have run, and within that
-// attempt's deduplication scope. The scope DedupCell compares Endpoint.Cell but not the zone, so cell numbers
-// must be unique over all zones.
+// mayRunAgain reports whether r may run at e even though an earlier attempt may have run. It is true if no
+// earlier attempt may have run, if the class of r is idempotent, or if e drops a second run with the same
+// idempotency key. e drops it within the class's deduplication window, which starts with the first attempt
+// that may have run, and within that attempt's deduplication scope. The scope DedupCell compares
+// Endpoint.Cell but not the zone, so cell numbers must be unique over all zones.
 func (b *Balancer) mayRunAgain(now monotime.Micros, r *request, e *endpoint) bool {
 	c := b.classOf(r)
-	first := r.firstMayHaveRun()
-	if first == nil || c.Idempotency == Idempotent {
+	firstRun := r.firstMayHaveRun()
+	if firstRun == nil || c.Idempotency == Idempotent {
 		return true
 	}
-	if c.Idempotency != IdempotentByKey || now >= first.sentAt+c.DedupWindow {
+	if c.Idempotency != IdempotentByKey || now >= firstRun.sentAt+c.DedupWindow {
 		return false
 	}
 	switch c.DedupScope {
 	case DedupAll:
 		return true
 	case DedupZone:
-		return e.Zone == first.zone
+		return e.Zone == firstRun.zone
 	case DedupCell:
-		return e.Cell == first.cell
+		return e.Cell == firstRun.cell
 	}
 	return false
 }
@@ -57,11 +57,11 @@
 	if r == nil || b.classOf(r).Idempotency != IdempotentByKey {
 		return 0
 	}
-	first := r.firstMayHaveRun()
-	if first == nil || first == &r.attempts[len(r.attempts)-1] {
+	firstRun := r.firstMayHaveRun()
+	if firstRun == nil || firstRun == &r.attempts[len(r.attempts)-1] {
 		return 0
 	}
-	return first.sentAt + b.classOf(r).DedupWindow
+	return firstRun.sentAt + b.classOf(r).DedupWindow
 }
 
 // mayReject reports whether r may be rejected, which promises the client that a retry is harmless. A retry is
--- a/balancer/latencybudget.go
+++ b/balancer/latencybudget.go
@@ -15,10 +15,11 @@
 // latencyBudget returns the longest predicted latency (microseconds) at which r is still sent to e.
 //
 // It is the latency that r would have if e had no other request, plus an allowance for queueing at e. The
-// allowance is a fraction (queueWaitFraction) of the latency objective that then remains, counted from the
-// arrival of r. Requests of a lower priority weight get a smaller fraction, so that they are rejected first.
-// While load reports are late, all of the remaining objective may be spent on queueing, whatever the weight.
-// The budget never exceeds the time until the deadline.
+// allowance is a fraction (queueWaitFraction) of the remaining latency objective: the objective less the time
+// since the arrival of r and less the latency without queueing. Requests of a lower priority weight get a
+// smaller fraction, so that they are rejected first. While load reports are late, all of the remaining
+// objective may be spent on queueing, whatever the weight. The budget never exceeds the time until the
+// deadline.
 func (b *Balancer) latencyBudget(now monotime.Micros, r *request, e *endpoint) float64 {
 	idleLatency := e.rtt.valueOr(0) + r.work*b.fleetSlowdown()*e.currentServiceTimeRatio(now, b)
 	fraction := b.queueWaitFraction(now, r)
@@ -31,7 +32,7 @@
 	return min(idleLatency+fraction*remaining, float64(r.Deadline-now))
 }
 
-// isOverBudget reports whether the predicted latency of r at e exceeds its latency budget.
+// isOverBudget reports whether the predicted latency of r at e exceeds the latency budget of r at e.
 func (b *Balancer) isOverBudget(now monotime.Micros, r *request, e *endpoint) bool {
 	return b.predictLatency(now, e, r.work) > b.latencyBudget(now, r, e)
 }
@@ -48,8 +49,8 @@
 }
 
 // queueWaitFraction returns the fraction (0 to 1) of the remaining latency objective that a request of a
-// known class may spend on queueing. It comes from the overload policy if there is one; otherwise it is
-// proportional to the priority weight (0 to 1).
+// known class may spend on queueing. It comes from the overload policy if there is one. Otherwise it is
+// proportional to the priority weight (0 to 1) and at least minQueueWaitFraction.
 func (b *Balancer) queueWaitFraction(now monotime.Micros, r *request) float64 {
 	if b.overload == nil {
 		return max(minQueueWaitFraction, maxQueueWaitFraction*b.priorityWeight(now, r))
--- a/balancer/lifecycle.go
+++ b/balancer/lifecycle.go
@@ -21,7 +21,7 @@
 		requests:           map[uint64]*request{},
 		endpointsByID:      map[uint32]*endpoint{},
 		queueRound:         1,
-		dueProbes:          1, // the first round sends a probe
+		dueProbes:          1, // makes the first probe round send a probe
 		lateReportRatio:    ewma{samples: manySamples},
 		rejectedRatio:      ewma{samples: manySamples},
 		withoutLoadReports: !settings.Limits.Probes || !reportsLoad(settings.LoadMetrics),
@@ -34,8 +34,8 @@
 	return b, nil
 }
 
-// initialWorkDivisor divides a class's latency objective to give the initial estimate of its work. The work
-// is a small fraction because a service that can meet its objective responds well within it.
+// initialWorkDivisor divides a class's latency objective to give the initial estimate of its work: a service
+// that can meet its objective responds well within it.
 const initialWorkDivisor = 5
 
 // initClasses sets the initial estimates of each class: the mean work (microseconds) and the on-time ratio.
--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -39,8 +39,8 @@
 }
 
 // maxPlausibleLoadRatio limits the load that one report contributes to the typical load, as a multiple of the
-// typical load. An endpoint that reports too high a load gets fewer requests itself, but must not raise the
-// load that is assumed for all others.
+// typical load. An endpoint that reports a load that is too high gets fewer requests itself, but must not
+// raise the load that is assumed for all others.
 const maxPlausibleLoadRatio = 2.0
 
 // recordLoad adds e with its reported load (requests) to the pool, and updates the typical load by other
@@ -57,8 +57,8 @@
 }
 
 const (
-	// deliveryRoundTrips is the number of round trips after a send within which the endpoint has received the
-	// attempt.
+	// deliveryRoundTrips is the number of round trips after a send by which the endpoint is assumed to have
+	// received the attempt.
 	deliveryRoundTrips = 5.0
 
 	// loadRounding is the difference (requests) above which a reported load counts as lower than a number of
@@ -85,11 +85,11 @@
 	lateReportHysteresis = 3
 )
 
-// observeReportAge counts a report as late or in time. From the ratio of late reports it decides whether
-// loads are predicted from reports or from averages (reportsLate), since late reports do not show the least
-// loaded endpoint.
-func (b *Balancer) observeReportAge(now monotime.Micros, late bool) {
-	b.lateReportRatio.add(indicator(late), ratioWeight)
+// observeReportAge counts a report as late (isLate) or in time. From the ratio of late reports it decides
+// whether loads are predicted from reports or from averages (reportsLate), since late reports do not show the
+// least loaded endpoint.
+func (b *Balancer) observeReportAge(now monotime.Micros, isLate bool) {
+	b.lateReportRatio.add(indicator(isLate), ratioWeight)
 	ratio := b.lateReportRatio.value
 	becameLate := ratio > maxLateReportRatio && !b.reportsLate
 	becameTimely := ratio < maxLateReportRatio/lateReportHysteresis && b.reportsLate
--- a/balancer/logging.go
+++ b/balancer/logging.go
@@ -62,16 +62,16 @@
 
 // logEjection logs the duration of an endpoint's ejection, and its class or tenant unless all traffic is
 // ejected.
-func (b *Balancer) logEjection(now monotime.Micros, e *endpoint, part int) {
-	o := &e.outliers[part]
+func (b *Balancer) logEjection(now monotime.Micros, e *endpoint, trafficPart int) {
+	o := &e.outliers[trafficPart]
 	args := []any{"endpoint", e.ID, "consecutive_failures", o.consecutiveFailures,
 		"for_ms", (o.ejectedUntil - now) / microsPerMilli}
 	switch {
-	case part == allTraffic:
-	case part <= len(b.classes):
-		args = append(args, "class", part-1)
+	case trafficPart == allTraffic:
+	case trafficPart <= len(b.classes):
+		args = append(args, "class", trafficPart-1)
 	default:
-		args = append(args, "tenant", part-1-len(b.classes))
+		args = append(args, "tenant", trafficPart-1-len(b.classes))
 	}
 	b.log(now, messageEjected, args...)
 }
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -23,29 +23,30 @@
 )
 
 // recordFailure counts a failure in a part of the traffic. After ejectAfter or ejectPartAfter consecutive
-// failures it ejects the endpoint for that part, for 0.5 to 1.5 of the ejection time: the balancers of a
-// fleet must not all return to the endpoint at once.
+// failures it ejects the endpoint for that part of the traffic. The ejection lasts 0.5 to 1.5 of the ejection
+// time, so that the balancers of a fleet do not all return to the endpoint at once.
 //
-// A failure of an attempt that was sent before the ejection does not extend it; a failure of the trial does.
-// While a trial is pending, the failure of any attempt counts as the trial's failure, even if the attempt was
-// sent before the ejection. An endpoint is not ejected if too few others would remain in service (canEject).
-func (b *Balancer) recordFailure(now monotime.Micros, e *endpoint, part int) {
-	o := &e.outliers[part]
+// A failure of an attempt that was sent before the ejection does not extend the ejection; a failure of the
+// trial does. While a trial is pending, the failure of any attempt counts as the trial's failure, even if the
+// attempt was sent before the ejection. An endpoint is not ejected if too few others would remain in service
+// (canEject).
+func (b *Balancer) recordFailure(now monotime.Micros, e *endpoint, trafficPart int) {
+	o := &e.outliers[trafficPart]
 	o.consecutiveFailures++
 	limit := ejectPartAfter
-	if part == allTraffic {
+	if trafficPart == allTraffic {
 		limit = ejectAfter
 	}
 	if o.consecutiveFailures < limit {
 		return
 	}
-	if now < o.ejectedUntil && !o.trialPending || !b.canEject(now, e, part) {
+	if now < o.ejectedUntil && !o.trialPending || !b.canEject(now, e, trafficPart) {
 		return
 	}
 	o.trialPending = false
 	o.ejectionTime = min(max(2*o.ejectionTime, baseEjectionTime), maxEjectionTime)
 	o.ejectedUntil = now + o.ejectionTime/2 + b.random.durationBelow(o.ejectionTime)
-	b.logEjection(now, e, part)
+	b.logEjection(now, e, trafficPart)
 }
 
 // startTrial makes an attempt that is sent now a trial, if its part of the traffic was ejected and has had no
@@ -79,15 +80,15 @@
 // max_ejection_percent). The limit prevents the remaining endpoints from being overloaded. Cordoned and
 // paused endpoints count as out of service. Draining endpoints count as in service, and so do Gone endpoints
 // with attempts in flight.
-func (b *Balancer) canEject(now monotime.Micros, e *endpoint, part int) bool {
+func (b *Balancer) canEject(now monotime.Micros, e *endpoint, trafficPart int) bool {
 	outOfService := 1 // e itself
 	for _, other := range b.endpoints {
-		if other != e && (other.isAvoided(now) || now < other.outliers[part].ejectedUntil) {
+		if other != e && (other.isAvoided(now) || now < other.outliers[trafficPart].ejectedUntil) {
 			outOfService++
 		}
 	}
 	divisor := minPartInServiceDivisor
-	if part == allTraffic {
+	if trafficPart == allTraffic {
 		divisor = minInServiceDivisor
 	}
 	return divisor*(len(b.endpoints)-outOfService) >= len(b.endpoints)
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -54,7 +54,7 @@
 }
 
 // retryPoll schedules a poll after a failure of discovery. The delay is 0.5 to 1.5 of an exponential backoff,
-// which doubles with each failure.
+// which doubles with each failure up to a quarter of Contract.PollInterval (repollDivisor).
 func (b *Balancer) retryPoll(now monotime.Micros) {
 	if !b.settings.Subscribe {
 		return
--- a/balancer/priorityweight.go
+++ b/balancer/priorityweight.go
@@ -81,8 +81,8 @@
 
 const (
 	// minTenantTrafficRatio is the minimum ratio of this balancer's request rate to the sum of all quotas
-	// (both per second) at which tenants are compared. With less traffic the tenants' shares of it are not
-	// those of the fleet.
+	// (both per second) at which tenants are compared. With less traffic, the tenants' shares at this
+	// balancer do not represent their shares in the fleet.
 	minTenantTrafficRatio = 0.05
 
 	// tenantQuotaSlack multiplies the traffic that counts as within quota. It compensates for a rejected
--- a/balancer/proberounds.go
+++ b/balancer/proberounds.go
@@ -12,8 +12,8 @@
 	// whose traffic has just started without reports.
 	probeRateRecheck = second / 2
 
-	// maxProbeDraws limits the number of random draws for one batch of probes: if few endpoints may be
-	// probed, most draws find an endpoint that may not.
+	// maxProbeDraws limits the number of random draws for one batch of probes: if only few endpoints may be
+	// probed, most draws find other endpoints.
 	maxProbeDraws = 4 * probeBatch
 
 	lostProbeAfter = 5 * second // time after which a probe without a result is considered lost
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -51,9 +51,9 @@
 // requests.
 func (b *Balancer) newRequest(now monotime.Micros, incoming Request) *request {
 	var r *request
-	if last := len(b.freeRequests) - 1; last >= 0 {
-		r = b.freeRequests[last]
-		b.freeRequests = b.freeRequests[:last]
+	if lastIndex := len(b.freeRequests) - 1; lastIndex >= 0 {
+		r = b.freeRequests[lastIndex]
+		b.freeRequests = b.freeRequests[:lastIndex]
 	} else {
 		r = &request{timerToken: uint32(len(b.timerSlots) + firstRequestToken)}
 		b.timerSlots = append(b.timerSlots, r)
@@ -86,12 +86,12 @@
 
 // findAttempt returns a request by its ID and one of its attempts by its number (Outcome.Attempt), or nil for
 // both if there is no such attempt.
-func (b *Balancer) findAttempt(id uint64, number int) (*request, *attempt) {
+func (b *Balancer) findAttempt(id uint64, attemptNumber int) (*request, *attempt) {
 	r := b.requests[id]
-	if r == nil || number < 0 || number >= len(r.attempts) {
+	if r == nil || attemptNumber < 0 || attemptNumber >= len(r.attempts) {
 		return nil, nil
 	}
-	return r, &r.attempts[number]
+	return r, &r.attempts[attemptNumber]
 }
 
 // firstMayHaveRun returns the earliest attempt of r that may have run, or nil if there is none.
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -7,7 +7,7 @@
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // a second run has no effect
+	Idempotent      Idempotency = iota // a second run has no further effect
 	IdempotentByKey                    // for some time, endpoints drop second runs with the same idempotency key
 	NonIdempotent                      // a second run takes effect again
 )
@@ -17,7 +17,7 @@
 
 // The deduplication scopes.
 const (
-	DedupAll  DedupScope = iota // all endpoints
+	DedupAll  DedupScope = iota // all endpoints of the service
 	DedupZone                   // the endpoints in the zone of the first run
 	DedupCell                   // the endpoints in the cell of the first run (Endpoint.Cell)
 )
@@ -39,7 +39,7 @@
 
 // Class holds the settings of a class of requests. Fields without a default must be set.
 type Class struct {
-	Name        string      // Not used by the balancer.
+	Name        string      // name of the class. Not used by the balancer.
 	Idempotency Idempotency // default Idempotent
 	DedupScope  DedupScope  // used with IdempotentByKey; default DedupAll
 
@@ -62,7 +62,7 @@
 
 // Tenant holds the settings of a tenant.
 type Tenant struct {
-	Name  string  // Not used by the balancer.
+	Name  string  // name of the tenant. Not used by the balancer.
 	Quota float64 // requests per second over all balancers; not negative
 	Share float64 // fraction of the service, 0 to 1. Not used by the balancer.
 }
@@ -83,7 +83,7 @@
 	MaxOpenRequests int             // open requests per balancer (Envoy: circuit breaker max_requests); at least 1
 	MaxRetryAfter   monotime.Micros // longest Retry-After that clients honour; not negative, 0 is none
 
-	// Not used by the balancer.
+	// The following field is not used by the balancer.
 	DialTimeout monotime.Micros // timeout for connecting to an endpoint (Envoy: connect_timeout); not negative
 }
 
@@ -105,7 +105,7 @@
 	// (Settings.Subscribe). Not negative.
 	PollInterval monotime.Micros
 
-	// Not used by the balancer.
+	// The following field is not used by the balancer.
 	DrainGrace monotime.Micros // time for which a draining endpoint continues to serve; not negative
 }
 
@@ -115,7 +115,7 @@
 	CrossZone float64 // price of an attempt in another zone: a higher price keeps more requests in the zone
 	Probe     float64 // price of a probe: a higher price means fewer probes
 
-	// Not used by the balancer.
+	// The following fields are not used by the balancer.
 	Waste    float64 // price of an attempt whose response is not used
 	LateFail float64 // price of a request that fails late
 }
@@ -172,7 +172,7 @@
 	// forgotten the key.
 	StrictIdempotencyKeys bool
 
-	// Not used by the balancer.
+	// The following field is not used by the balancer.
 	Position int // number of this instance within Balancers, from 0
 }
 
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -28,7 +28,7 @@
 	TypicalLoad           Average   `json:"Usual"`       // requests of other balancers at a warm endpoint
 	ServiceTime           Average   `json:"Service"`     // service time that endpoints report, microseconds
 	TypicalWarmingLoad    Average   `json:"UsualCold"`   // requests of other balancers at a warming endpoint
-	ReportsLate           bool      `json:"ReportsLate"` // load reports are late, so averages replace them
+	ReportsLate           bool      `json:"ReportsLate"` // load reports are late, loads are predicted from averages
 	ReportWatchTime       float64   `json:"Watched"`     // total time between compared reports, microseconds
 	ReportChanges         float64   `json:"Renewed"`     // number of compared reports that differed
 	TenantRates           []float64 `json:"Tenants"`     // requests per second, in the order of Settings.Tenants
@@ -129,7 +129,7 @@
 		BreakerWindow:    e.breaker.snapshotWindow(now),
 	}
 	if learned.WarmingUp {
-		b.hasWarmupCapacity(now, e, b.meanWork.value) // refills the buckets
+		b.hasWarmupCapacity(now, e, b.meanWork.value) // called because it refills the buckets
 		learned.WarmupAge = now - e.warmupStart
 		learned.WarmupTokens = e.warmupTokens
 		learned.ServedTokens = e.servedTokens
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -15,7 +15,7 @@
 	random   randomSource
 	seed     uint64 // seed of the random sources of single requests (requestRand)
 
-	// Requests.
+	// Open requests, and statistics of requests.
 	requests      map[uint64]*request // requests with an attempt in flight or without a final response
 	timerSlots    []*request          // all request records, indexed by the slot in their timer tokens
 	freeRequests  []*request          // request records that can be reused
@@ -36,15 +36,15 @@
 	nextPollAt    monotime.Micros      // instant of the next poll
 	pollBackoff   monotime.Micros      // backoff after the latest failure; 0 before the first failure
 
-	// Capacity and warm-up. The first four fields are computed by effectiveCapacity.
+	// Capacity and warm-up. effectiveCapacity computes the first four fields.
 	readyCapacity     float64         // capacity of the eligible endpoints, in units of one warm endpoint
 	readyCount        float64         // number of eligible endpoints
 	warmCount         float64         // number of eligible endpoints that are not warming up
 	warmingEndpoints  []*endpoint     // eligible endpoints that are warming up
-	capacityExpiresAt monotime.Micros // instant at which these four fields must be computed again
+	capacityExpiresAt monotime.Micros // instant at which effectiveCapacity must recompute the capacity
 	sentWorkRate      rateMeter       // rate of sent work, microseconds per second
 	servedWork        float64         // successful work since the start, microseconds per warm endpoint
-	lastServedAt      monotime.Micros // instant of the latest success
+	lastServedAt      monotime.Micros // instant of the latest outcome with status OK
 	handedOver        bool            // another balancer now sends to warming endpoints (SetHandedOver)
 
 	// Probes and load reports.
@@ -59,20 +59,20 @@
 	typicalWarmingLoad  ewma            // requests of other balancers at a warming endpoint
 	serviceTime         ewma            // reported service time without waiting, microseconds
 	lateReportRatio     ewma            // fraction of the checked reports that were late, 0 to 1
-	reportsLate         bool            // load reports are late, so averages replace them
+	reportsLate         bool            // load reports are late, so loads are predicted from averages
 	reportWatchTime     float64         // total time between compared reports, microseconds
 	reportChanges       float64         // number of compared reports that differed
 	recheckCount        int             // number of second probes so far (maxRechecks)
 	recheckedEndpointID uint32          // endpoint of the latest second probe
 
-	// Latency predictions.
+	// Estimates for latency predictions, over all endpoints.
 	fleetServiceTimeRatio ewma    // service time per work and queue delay factor, over all endpoints
 	latencyTrend          float64 // ratio of latencies to predicted latencies, over all endpoints
 
-	// Retry budget.
+	// Retry budget of this balancer, used without an overload policy.
 	retryCredit    float64        // available retries of a budget without a window
-	recentRequests slidingCounter // requests in the retry window
-	recentRetries  slidingCounter // retries in the retry window and one slot more
+	recentRequests slidingCounter // requests in the latest retrySlots slots of the retry window
+	recentRetries  slidingCounter // retries in the latest retrySlots+1 slots of the retry window
 
 	trafficPartsBuffer [maxTrafficParts]int       // memory for the result of trafficParts
 	lastLogged         map[string]monotime.Micros // instant of the latest log line, by message
--- a/balancer/validate.go
+++ b/balancer/validate.go
@@ -22,8 +22,8 @@
 	for i := range s.Classes {
 		v.checkClass(i, &s.Classes[i])
 	}
-	for i, t := range s.Tenants {
-		requireNotNegative(&v, fmt.Sprintf("Tenants[%d].Quota", i), t.Quota)
+	for i, tenant := range s.Tenants {
+		requireNotNegative(&v, fmt.Sprintf("Tenants[%d].Quota", i), tenant.Quota)
 	}
 	v.checkGoal(&s.Goal)
 	v.checkWeightsAndRetries(s)
@@ -84,11 +84,11 @@
 }
 
 // checkGoal checks the weights of the goal.
-func (v *validation) checkGoal(g *Goal) {
-	requireNotNegative(v, "Goal", g.Overall)
-	requireNotNegative(v, "Goal", g.WorstWindow)
-	requireNotNegative(v, "Goal", g.WorstClass)
-	requireNotNegative(v, "Goal", g.WorstTenant)
+func (v *validation) checkGoal(goal *Goal) {
+	requireNotNegative(v, "Goal", goal.Overall)
+	requireNotNegative(v, "Goal", goal.WorstWindow)
+	requireNotNegative(v, "Goal", goal.WorstClass)
+	requireNotNegative(v, "Goal", goal.WorstTenant)
 }
 
 // checkWeightsAndRetries checks the weight of requests over quota and the retry budget.
@@ -101,28 +101,29 @@
 }
 
 // checkLimits checks the limits of the deployment.
-func (v *validation) checkLimits(l *Limits) {
-	v.requireAtLeastOne("Limits.MaxAttempts", l.MaxAttempts)
-	v.requireAtLeastOne("Limits.MaxOpenRequests", l.MaxOpenRequests)
-	requireNotNegative(v, "Limits.MaxRetryAfter", l.MaxRetryAfter)
-	requireNotNegative(v, "Limits.DialTimeout", l.DialTimeout)
+func (v *validation) checkLimits(limits *Limits) {
+	v.requireAtLeastOne("Limits.MaxAttempts", limits.MaxAttempts)
+	v.requireAtLeastOne("Limits.MaxOpenRequests", limits.MaxOpenRequests)
+	requireNotNegative(v, "Limits.MaxRetryAfter", limits.MaxRetryAfter)
+	requireNotNegative(v, "Limits.DialTimeout", limits.DialTimeout)
 }
 
 // checkContract checks the contract with endpoints and discovery.
-func (v *validation) checkContract(c *Contract) {
-	requireNotNegative(v, "Contract.DrainGrace", c.DrainGrace)
-	start := c.WarmupStartCapacity
-	v.require(start > 0 && start <= 1, "Contract.WarmupStartCapacity", start, "must be in 0..1, not 0")
-	requireNotNegative(v, "Contract.WarmupTime", c.WarmupTime)
-	requirePositive(v, "Contract.CollapseMultiple", c.CollapseMultiple)
-	requireNotNegative(v, "Contract.CollapseAfter", c.CollapseAfter)
-	requireNotNegative(v, "Contract.PollInterval", c.PollInterval)
+func (v *validation) checkContract(contract *Contract) {
+	requireNotNegative(v, "Contract.DrainGrace", contract.DrainGrace)
+	startCapacity := contract.WarmupStartCapacity
+	v.require(startCapacity > 0 && startCapacity <= 1, "Contract.WarmupStartCapacity", startCapacity,
+		"must be in 0..1, not 0")
+	requireNotNegative(v, "Contract.WarmupTime", contract.WarmupTime)
+	requirePositive(v, "Contract.CollapseMultiple", contract.CollapseMultiple)
+	requireNotNegative(v, "Contract.CollapseAfter", contract.CollapseAfter)
+	requireNotNegative(v, "Contract.PollInterval", contract.PollInterval)
 }
 
 // checkPrices checks the prices.
-func (v *validation) checkPrices(p *Prices) {
-	requireNotNegative(v, "Prices.CrossZone", p.CrossZone)
-	requireNotNegative(v, "Prices.Probe", p.Probe)
-	requireNotNegative(v, "Prices.Waste", p.Waste)
-	requireNotNegative(v, "Prices.LateFail", p.LateFail)
+func (v *validation) checkPrices(prices *Prices) {
+	requireNotNegative(v, "Prices.CrossZone", prices.CrossZone)
+	requireNotNegative(v, "Prices.Probe", prices.Probe)
+	requireNotNegative(v, "Prices.Waste", prices.Waste)
+	requireNotNegative(v, "Prices.LateFail", prices.LateFail)
 }
--- a/balancer/warmup.go
+++ b/balancer/warmup.go
@@ -45,16 +45,16 @@
 // warming up, and not in a fleet of few balancers (servedBucketApplies).
 func (b *Balancer) hasWarmupCapacity(now monotime.Micros, e *endpoint, work float64) bool {
 	capacity := b.effectiveCapacity(now)
-	size := b.refillDemandBucket(now, e, work, capacity)
-	b.refillServedBucket(now, e, work, size)
+	demandBucketSize := b.refillDemandBucket(now, e, work, capacity)
+	b.refillServedBucket(now, e, work, demandBucketSize)
 	e.warmupRefilledAt = now
 	e.servedWorkAtRefill = b.servedWork
 	return e.warmupTokens >= work*warmupCharge &&
 		(!b.servedBucketApplies(work, capacity) || e.servedTokens >= work)
 }
 
-// warmupShare is the fraction of Contract.CollapseMultiple that gives the fill rate of the demand bucket,
-// relative to the work of a warm endpoint of the same capacity. The product is limited to 1.
+// warmupShare is the fraction of Contract.CollapseMultiple that determines the fill rate of the demand
+// bucket, as a multiple of the work of a warm endpoint of the same capacity. The multiple is limited to 1.
 const warmupShare = 0.4
 
 // refillDemandBucket refills e's demand bucket and returns the size of the bucket (microseconds of work): the
@@ -67,11 +67,11 @@
 		// The rate of sent work is limited by the buckets themselves, so only requests are counted.
 		demand = b.requestRate.rate(now) * work
 	}
-	share := min(1, warmupShare*contract.CollapseMultiple)
-	fillRate := share * e.capacityFraction(now, b) * demand / max(1, capacity) // tokens per second
-	size := max(fillRate*float64(contract.CollapseAfter)/float64(second)/2, work*warmupCharge)
-	e.warmupTokens = min(size, e.warmupTokens+fillRate*float64(now-e.warmupRefilledAt)/float64(second))
-	return size
+	rateShare := min(1, warmupShare*contract.CollapseMultiple)
+	fillRate := rateShare * e.capacityFraction(now, b) * demand / max(1, capacity) // tokens per second
+	bucketSize := max(fillRate*float64(contract.CollapseAfter)/float64(second)/2, work*warmupCharge)
+	e.warmupTokens = min(bucketSize, e.warmupTokens+fillRate*float64(now-e.warmupRefilledAt)/float64(second))
+	return bucketSize
 }
 
 const (
