--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -109,9 +109,9 @@
 // An attempt that is not admitted is logged as a rejection (logRejection). This includes retries, whose
 // request may then fail. A new request may wait for responses to its class instead (queueForResponses).
 func (b *Balancer) admit(now monotime.Micros, r *request, e *endpoint, isFirst bool) bool {
-	expected := b.predictLatency(now, e, r.work)
+	predictedLatency := b.predictLatency(now, e, r.work)
 	budget := b.latencyBudget(now, r, e)
-	if !(expected > budget) {
+	if !(predictedLatency > budget) {
 		return true
 	}
 	c := &b.classes[r.Class]
@@ -120,7 +120,7 @@
 	}
 	if !isFirst || now-c.lastForcedAdmit < b.forcedAdmitInterval(now, c) {
 		if !r.waiting && !(isFirst && b.queueForResponses(now, r)) {
-			b.logRejection(now, r, e, expected, budget)
+			b.logRejection(now, r, e, predictedLatency, budget)
 		}
 		return false
 	}
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -21,7 +21,7 @@
 		return false
 	}
 	b.chargeWarmup(now, r, e)
-	expected := b.predictLatency(now, e, r.work)
+	predictedLatency := b.predictLatency(now, e, r.work)
 	r.attempts = append(r.attempts, attempt{
 		endpoint:        e,
 		zone:            e.Zone,
@@ -29,7 +29,7 @@
 		sentAt:          now,
 		inflight:        true,
 		mayHaveRun:      true,
-		expectedLatency: expected,
+		expectedLatency: predictedLatency,
 		workFactor:      r.work * b.queueDelayFactor(now, e),
 	})
 	r.inflight++
@@ -45,7 +45,7 @@
 		e.outliers[part].startTrial(now)
 	}
 	b.sentWorkRate.add(now, r.work)
-	b.actions.Send(r.ID, e.ID, b.attemptTimeout(now, r, expected))
+	b.actions.Send(r.ID, e.ID, b.attemptTimeout(now, r, predictedLatency))
 	b.actions.SetTimer(max(1, r.Deadline-now), r.timerToken)
 	return true
 }
@@ -61,19 +61,18 @@
 )
 
 // attemptTimeout returns the time (microseconds) after which an attempt is abandoned, or 0 if it may take
-// until the deadline.
+// until the deadline. predictedLatency is the predicted latency of the attempt (microseconds).
 //
-// An attempt has a timeout only if it can be retried: its class is idempotent, the request is not an upload,
-// an attempt and a retry are left, and the retry can be answered within the latency objective. expected is
-// the latency (microseconds) that was predicted for the attempt.
-func (b *Balancer) attemptTimeout(now monotime.Micros, r *request, expected float64) monotime.Micros {
+// Only an attempt that can be retried has a timeout: its class is idempotent, the request is not an upload,
+// an attempt and a retry are left, and the retry can be answered within the latency objective.
+func (b *Balancer) attemptTimeout(now monotime.Micros, r *request, predictedLatency float64) monotime.Micros {
 	c := b.classOf(r)
 	if c.Idempotency != Idempotent || r.Upload || !b.attemptsLeft(r) || !b.mayRetry(now) {
 		return 0
 	}
 	objective := float64(c.LatencyObjective)
-	timeout := max(timeoutFactor*expected, objective/minTimeoutDivisor)
-	if float64(now-r.arrivedAt)+timeout+expected > objective {
+	timeout := max(timeoutFactor*predictedLatency, objective/minTimeoutDivisor)
+	if float64(now-r.arrivedAt)+timeout+predictedLatency > objective {
 		return 0
 	}
 	return monotime.Micros(timeout)
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -20,10 +20,11 @@
 // of buckets that have had failures since the latest accept.
 func (br *breaker) errorRejectChance(now monotime.Micros) float64 {
 	br.advance(now)
-	weight := maxAcceptWeight - (maxAcceptWeight-minAcceptWeight)*float64(br.failingBuckets())/breakerBuckets
-	weight = max(minAcceptWeight, weight)
-	total := float64(br.requests)
-	return max(0, (total-protectedRequests-weight*float64(br.accepts))/(total+1))
+	acceptWeight := maxAcceptWeight -
+		(maxAcceptWeight-minAcceptWeight)*float64(br.failingBuckets())/breakerBuckets
+	acceptWeight = max(minAcceptWeight, acceptWeight)
+	totalRequests := float64(br.requests)
+	return max(0, (totalRequests-protectedRequests-acceptWeight*float64(br.accepts))/(totalRequests+1))
 }
 
 // failingBuckets returns the number of buckets with failures since the latest bucket with an accept.
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -23,14 +23,14 @@
 	allowEjected bool) *endpoint {
 	minReportedAt := now - b.reportLifetime(now)
 	b.effectiveCapacity(now) // called because it updates warmingEndpoints
-	s := candidateSearch{b: b, now: now, request: r, excluded: excluded, allowEjected: allowEjected}
-	usablePooled := s.considerPooled(minReportedAt)
-	s.considerWarming()
-	if s.poolIsTooSmall(usablePooled) {
-		s.considerRandom()
+	search := candidateSearch{b: b, now: now, request: r, excluded: excluded, allowEjected: allowEjected}
+	usablePooled := search.considerPooled(minReportedAt)
+	search.considerWarming()
+	if search.poolIsTooSmall(usablePooled) {
+		search.considerRandom()
 	}
-	s.considerAll()
-	return s.best
+	search.considerAll()
+	return search.best
 }
 
 // consider compares the cost of e with that of the best endpoint so far, and reports whether r may be sent to
@@ -116,10 +116,10 @@
 // The random start is drawn in each search, even if there already is a best endpoint.
 func (s *candidateSearch) considerAll() {
 	count := len(s.b.endpoints)
-	start := s.b.random.index(count)
+	startIndex := s.b.random.index(count)
 	isShortList := count <= maxRandomDraws
 	for i := 0; i < count && (s.best == nil || isShortList && s.bestIsOverBudget()); i++ {
-		s.consider(s.b.endpoints[(start+i)%count])
+		s.consider(s.b.endpoints[(startIndex+i)%count])
 	}
 }
 
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -53,8 +53,8 @@
 	if !e.warmingUp(now, b) {
 		return 1
 	}
-	start := b.settings.Contract.WarmupStartCapacity
-	return start + (1-start)*float64(now-e.warmupStart)/float64(b.settings.Contract.WarmupTime)
+	startCapacity := b.settings.Contract.WarmupStartCapacity
+	return startCapacity + (1-startCapacity)*float64(now-e.warmupStart)/float64(b.settings.Contract.WarmupTime)
 }
 
 // warmingUp reports whether e is still warming up, and ends its warm-up after Contract.WarmupTime.
--- a/balancer/cordon.go
+++ b/balancer/cordon.go
@@ -20,10 +20,10 @@
 	if cordoned {
 		return
 	}
-	old := *e
+	previous := *e
 	b.resetEndpoint(e)
-	e.lastSentAt = old.lastSentAt
-	e.silentSince = old.silentSince
+	e.lastSentAt = previous.lastSentAt
+	e.silentSince = previous.silentSince
 	b.startWarmup(now, e, now)
 }
 
--- a/balancer/latencyprediction.go
+++ b/balancer/latencyprediction.go
@@ -9,8 +9,8 @@
 // reveals an endpoint that is stuck long before its averages change.
 func (b *Balancer) predictLatency(now monotime.Micros, e *endpoint, work float64) float64 {
 	serviceTime := work * b.fleetSlowdown() * e.currentServiceTimeRatio(now, b)
-	expected := e.rtt.valueOr(0) + serviceTime*b.queueDelayFactor(now, e)
-	return max(expected, float64(now-e.silentSince)*indicator(e.inflight > e.streaming))
+	predictedLatency := e.rtt.valueOr(0) + serviceTime*b.queueDelayFactor(now, e)
+	return max(predictedLatency, float64(now-e.silentSince)*indicator(e.inflight > e.streaming))
 }
 
 // queueDelayFactor returns the predicted service time of a request at e divided by its service time at an
--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -51,9 +51,9 @@
 	b.addToPool(e)
 	e.othersLoad = max(0, load-float64(e.inflight))
 	e.ownLoadAtReport = e.activeAttempts()
-	typical := b.typicalLoadOf(now, e)
-	plausible := min(e.othersLoad, maxPlausibleLoadRatio*(typical.value+assumedCores))
-	typical.add(plausible, 1/float64(min(probePoolSize, len(b.endpoints))))
+	typicalLoad := b.typicalLoadOf(now, e)
+	plausibleLoad := min(e.othersLoad, maxPlausibleLoadRatio*(typicalLoad.value+assumedCores))
+	typicalLoad.add(plausibleLoad, 1/float64(min(probePoolSize, len(b.endpoints))))
 }
 
 const (
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -40,6 +40,6 @@
 	}
 	work := b.classes[r.Class].meanWork.valueOr(0)
 	cost += queuedWorkWeight * work * e.currentServiceTimeRatio(now, b) * b.predictLoad(now, e)
-	otherZone := indicator(int(e.Zone) != b.settings.Zone)
-	return cost + crossZoneWeight*b.settings.Prices.CrossZone*objective*otherZone
+	crossZone := indicator(int(e.Zone) != b.settings.Zone)
+	return cost + crossZoneWeight*b.settings.Prices.CrossZone*objective*crossZone
 }
--- a/balancer/reportparsing.go
+++ b/balancer/reportparsing.go
@@ -25,7 +25,7 @@
 // negative, infinite or NaN are skipped, and so are figures for which there is no metric.
 func parseLoadReport(metrics []LoadMetric, figures []float32) loadReport {
 	report := loadReport{serviceTime: -1}
-	queue := -1.0
+	queueLength := -1.0
 	for i, metric := range metrics[:min(len(metrics), len(figures))] {
 		figure := float64(figures[i])
 		if !(figure >= 0) || math.IsInf(figure, 0) {
@@ -36,14 +36,14 @@
 			report.load = figure
 			report.countsInflight = true
 		case MetricQueueLength:
-			queue = figure
+			queueLength = figure
 		case MetricLatency:
 			report.serviceTime = microsPerMilli * figure
 		}
 	}
-	if !report.countsInflight && queue >= 0 {
-		report.load = queue + assumedCores*indicator(queue >= 1)
+	if !report.countsInflight && queueLength >= 0 {
+		report.load = queueLength + assumedCores*indicator(queueLength >= 1)
 	}
-	report.hasLoad = report.countsInflight || queue >= 0
+	report.hasLoad = report.countsInflight || queueLength >= 0
 	return report
 }
--- a/balancer/retrybudget.go
+++ b/balancer/retrybudget.go
@@ -53,9 +53,9 @@
 	if b.settings.RetryWindow == 0 {
 		return b.retryCredit >= 1
 	}
-	minimum := b.settings.MinRetryRate * float64(b.settings.RetryWindow) / float64(second)
-	earned := b.settings.RetryRatio * float64(b.recentRequests.advance(b.retrySlot(now)))
-	return float64(b.recentRetries.advance(b.retrySlot(now))+1) <= max(minimum, earned)
+	minRetries := b.settings.MinRetryRate * float64(b.settings.RetryWindow) / float64(second)
+	earnedRetries := b.settings.RetryRatio * float64(b.recentRequests.advance(b.retrySlot(now)))
+	return float64(b.recentRetries.advance(b.retrySlot(now))+1) <= max(minRetries, earnedRetries)
 }
 
 // retrySlot returns the number of the retry window's slot that contains the instant now.
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -255,12 +255,12 @@
 // restoreWarmup resumes a warm-up with the stored token buckets, so that no token is used twice. The later of
 // the two starts counts if this balancer knows of a warm-up as well.
 func (e *endpoint) restoreWarmup(now, age monotime.Micros, learned *LearnedEndpoint) {
-	start := now - learned.WarmupAge - age
+	startedAt := now - learned.WarmupAge - age
 	if e.isWarmingUp {
-		start = max(start, e.warmupStart)
+		startedAt = max(startedAt, e.warmupStart)
 	}
 	e.isWarmingUp = true
-	e.warmupStart = min(start, now)
+	e.warmupStart = min(startedAt, now)
 	e.warmupTokens = validFigure(learned.WarmupTokens)
 	e.warmupRefilledAt = now
 	e.servedTokens = validFigure(learned.ServedTokens)
--- a/balancer/stall.go
+++ b/balancer/stall.go
@@ -13,17 +13,18 @@
 	}
 }
 
-// chargedLatency returns the latency (microseconds) that an outcome contributes to an estimate whose expected
-// value is expected. During a stall the endpoint may have responded at any time, so the true latency is
-// between Latency-Stalled and Latency. If expected is within that range, the outcome gives no information and
-// known is false. Otherwise the bound that is closest to expected is returned.
-func (o *Outcome) chargedLatency(expected float64) (latency float64, known bool) {
+// chargedLatency returns the latency (microseconds) of an outcome that is used to update an estimate which
+// expected expectedLatency. During a stall the endpoint may have responded at any time, so the true latency
+// is between Latency-Stalled and Latency. If expectedLatency is within that range, the outcome gives no
+// information about the latency and known is false. Otherwise the bound that is closest to expectedLatency is
+// returned.
+func (o *Outcome) chargedLatency(expectedLatency float64) (latency float64, known bool) {
 	longest := float64(o.Latency)
 	shortest := float64(o.Latency - o.Stalled)
-	if expected > shortest && expected < longest {
+	if expectedLatency > shortest && expectedLatency < longest {
 		return 0, false
 	}
-	if expected <= shortest {
+	if expectedLatency <= shortest {
 		return shortest, true
 	}
 	return longest, true
--- a/balancer/warmup.go
+++ b/balancer/warmup.go
@@ -124,8 +124,8 @@
 // newly started endpoint collapse. work is in microseconds, capacity in units of one warm endpoint.
 func (b *Balancer) servedBucketApplies(work, capacity float64) bool {
 	contract := &b.settings.Contract
-	window := float64(contract.CollapseAfter)
-	collapseWork := contract.CollapseMultiple * contract.WarmupStartCapacity * assumedCores * window
+	collapseTime := float64(contract.CollapseAfter)
+	collapseWork := contract.CollapseMultiple * contract.WarmupStartCapacity * assumedCores * collapseTime
 	if fewBalancersDivisor*float64(b.settings.Balancers)*work <= collapseWork {
 		return false
 	}
