--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -2,7 +2,7 @@
 
 import "dunlinsail/internal/monotime"
 
-// attemptsLeft reports whether r may have another attempt by Limits.MaxAttempts and Request.MaxAttempts.
+// attemptsLeft reports whether Limits.MaxAttempts and Request.MaxAttempts allow another attempt of r.
 func (b *Balancer) attemptsLeft(r *request) bool {
 	limit := b.settings.Limits.MaxAttempts
 	if r.MaxAttempts > 0 {
@@ -13,14 +13,15 @@
 
 // sendAttempt starts an attempt of r at e if the rules allow it (maySend), and reports whether it did.
 //
-// With the send it charges the token buckets of a warming endpoint (chargeWarmup), makes the attempt a trial
-// for each part of the traffic with an earlier ejection (startTrial), and sets the timer of the deadline.
+// For an attempt that is sent it also charges the token buckets of a warming endpoint (chargeWarmup), makes
+// the attempt a trial for each part of the traffic that was ejected and has had no success since
+// (startTrial), and sets the timer of the deadline.
 func (b *Balancer) sendAttempt(now monotime.Micros, r *request, e *endpoint) bool {
 	if !b.maySend(now, r, e) {
 		return false
 	}
 	b.chargeWarmup(now, r, e)
-	expected := b.predictLatency(now, e, r.work)
+	predictedLatency := b.predictLatency(now, e, r.work)
 	r.attempts = append(r.attempts, attempt{
 		endpoint:        e,
 		zone:            e.Zone,
@@ -28,7 +29,7 @@
 		sentAt:          now,
 		inflight:        true,
 		mayHaveRun:      true,
-		expectedLatency: expected,
+		expectedLatency: predictedLatency,
 		workFactor:      r.work * b.queueDelayFactor(now, e),
 	})
 	r.inflight++
@@ -44,45 +45,44 @@
 		e.outliers[part].startTrial(now)
 	}
 	b.sentWorkRate.add(now, r.work)
-	b.actions.Send(r.ID, e.ID, b.attemptTimeout(now, r, expected))
+	b.actions.Send(r.ID, e.ID, b.attemptTimeout(now, r, predictedLatency))
 	b.actions.SetTimer(max(1, r.Deadline-now), r.timerToken)
 	return true
 }
 
 const (
-	// timeoutFactor multiplies the expected latency. An attempt that takes longer has likely lost its
-	// connection.
+	// timeoutFactor multiplies the expected latency to give the timeout of an attempt. An attempt that takes
+	// longer has probably lost its connection.
 	timeoutFactor = 6.0
 
-	// minTimeoutDivisor divides the latency objective for the shortest timeout. An endpoint that is busy
-	// sends nothing for shorter times, however short the expected latency is.
+	// minTimeoutDivisor divides the latency objective to give the shortest timeout. A busy endpoint may send
+	// nothing for almost that long, however short the expected latency is.
 	minTimeoutDivisor = 10
 )
 
-// attemptTimeout returns after which time (microseconds) an attempt is given up, 0 for not before the
-// deadline.
+// attemptTimeout returns the time (microseconds) after which an attempt is abandoned, or 0 if it may take
+// until the deadline. predictedLatency is the predicted latency of the attempt (microseconds).
 //
-// Only an attempt that can be retried has a timeout: of an idempotent class, without an upload, with an
-// attempt and a retry left, and early enough for the retry to be answered within the latency objective.
-// expected is the latency (microseconds) that was predicted for the attempt.
-func (b *Balancer) attemptTimeout(now monotime.Micros, r *request, expected float64) monotime.Micros {
+// Only an attempt that can be retried has a timeout: its class is idempotent, the request is not an upload,
+// an attempt and a retry are left, and the retry can be answered within the latency objective.
+func (b *Balancer) attemptTimeout(now monotime.Micros, r *request, predictedLatency float64) monotime.Micros {
 	c := b.classOf(r)
 	if c.Idempotency != Idempotent || r.Upload || !b.attemptsLeft(r) || !b.mayRetry(now) {
 		return 0
 	}
 	objective := float64(c.LatencyObjective)
-	timeout := max(timeoutFactor*expected, objective/minTimeoutDivisor)
-	if float64(now-r.arrivedAt)+timeout+expected > objective {
+	timeout := max(timeoutFactor*predictedLatency, objective/minTimeoutDivisor)
+	if float64(now-r.arrivedAt)+timeout+predictedLatency > objective {
 		return 0
 	}
 	return monotime.Micros(timeout)
 }
 
-// HandleHeaders handles the start of a streamed answer of an attempt. From then on the request has neither a
-// deadline nor a retry, and with Limits.Cancel its other attempts are cancelled. latency, from the send to
-// the start, is not used by the balancer.
-func (b *Balancer) HandleHeaders(now monotime.Micros, id uint64, number int, latency monotime.Micros) {
-	r, a := b.findAttempt(id, number)
+// HandleHeaders handles the start of an attempt's streamed response. From then on the request has no deadline
+// and is not retried, and with Limits.Cancel its other attempts are cancelled. latency is the time from the
+// send of the attempt to the start of the response. The balancer does not use it.
+func (b *Balancer) HandleHeaders(now monotime.Micros, id uint64, attemptNumber int, latency monotime.Micros) {
+	r, a := b.findAttempt(id, attemptNumber)
 	if a == nil || r.finished {
 		return
 	}
@@ -92,17 +92,17 @@
 		r.onTime = 1
 	}
 	a.markStreaming()
-	b.cancelAttempts(r, number)
+	b.cancelAttempts(r, attemptNumber)
 }
 
-// cancelAttempts cancels the attempts of r that are in flight, except one number (-1 for none), with
-// Limits.Cancel.
-func (b *Balancer) cancelAttempts(r *request, except int) {
+// cancelAttempts cancels the attempts of r in flight if Limits.Cancel is set. The attempt numbered
+// exceptNumber is not cancelled; -1 cancels all.
+func (b *Balancer) cancelAttempts(r *request, exceptNumber int) {
 	if !b.settings.Limits.Cancel {
 		return
 	}
 	for i := range r.attempts {
-		if i != except && r.attempts[i].inflight {
+		if i != exceptNumber && r.attempts[i].inflight {
 			b.actions.Cancel(r.ID, i)
 		}
 	}
--- a/balancer/breakerwindow.go
+++ b/balancer/breakerwindow.go
@@ -3,49 +3,49 @@
 import "dunlinsail/internal/monotime"
 
 // breaker holds the outcomes of an endpoint's attempts in a sliding window, and two averages of its latency.
-// Its decisions are in breaker.go, breakerlatency.go and suspicion.go.
+// The decisions that use them are in breaker.go, breakerlatency.go and suspicion.go.
 type breaker struct {
 	ring           [breakerBuckets]bucket
-	newest         int64   // number of the newest bucket, since the start of time
-	requests       int     // in the window: outcomes, and attempts that the breaker rejected
-	accepts        int     // in the window: successes
-	baseLatency    float64 // microseconds, the usual latency; 0 before the first answer
-	currentLatency float64 // microseconds, the present latency
+	newest         int64   // number of the newest bucket, counted from instant 0
+	requests       int     // outcomes and breaker rejections in the window
+	accepts        int     // successes in the window
+	baseLatency    float64 // latency without congestion, microseconds; 0 before the first response
+	currentLatency float64 // moving average of the latest latencies, microseconds
 }
 
-// bucket counts the outcomes of one part of the window.
+// bucket counts the outcomes within one of the breakerBuckets intervals of the window.
 type bucket struct {
 	requests int
 	accepts  int
 	failures int
 }
 
-// advance drops the buckets that have left the window, and returns the newest one.
-func (k *breaker) advance(now monotime.Micros) *bucket {
-	number := now / (breakerWindow / breakerBuckets)
-	if number-k.newest >= breakerBuckets {
-		k.ring = [breakerBuckets]bucket{}
-		k.requests = 0
-		k.accepts = 0
-		k.newest = number
+// advance removes the buckets that have left the window, and returns the newest bucket.
+func (br *breaker) advance(now monotime.Micros) *bucket {
+	bucketNumber := now / (breakerWindow / breakerBuckets)
+	if bucketNumber-br.newest >= breakerBuckets {
+		br.ring = [breakerBuckets]bucket{}
+		br.requests = 0
+		br.accepts = 0
+		br.newest = bucketNumber
 	}
-	for k.newest < number {
-		k.newest++
-		old := &k.ring[k.newest%breakerBuckets]
-		k.requests -= old.requests
-		k.accepts -= old.accepts
-		*old = bucket{}
+	for br.newest < bucketNumber {
+		br.newest++
+		expired := &br.ring[br.newest%breakerBuckets]
+		br.requests -= expired.requests
+		br.accepts -= expired.accepts
+		*expired = bucket{}
 	}
-	return &k.ring[number%breakerBuckets]
+	return &br.ring[bucketNumber%breakerBuckets]
 }
 
-// record adds a request to the newest bucket, with an accept (1 or 0) and a failure (1 or 0). A request with
-// neither was rejected by the breaker.
-func (k *breaker) record(now monotime.Micros, accepts, failures int) {
-	newest := k.advance(now)
+// record adds a request to the newest bucket, with the given number (0 or 1) of accepts and failures. A
+// request with neither was rejected by the breaker.
+func (br *breaker) record(now monotime.Micros, accepts, failures int) {
+	newest := br.advance(now)
 	newest.requests++
 	newest.accepts += accepts
 	newest.failures += failures
-	k.requests++
-	k.accepts += accepts
+	br.requests++
+	br.accepts += accepts
 }
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -2,21 +2,22 @@
 
 import "dunlinsail/internal/monotime"
 
-// HandleOutcome handles the end of an attempt: its request is finished, retried, rejected or failed.
+// HandleOutcome handles the end of an attempt, after which its request is finished, retried, rejected or
+// failed.
 //
-// A request is retried if no other attempt of it is in flight, its body can be sent again, the retry budget
-// has one left (mayRetry), and attemptRequest finds an endpoint. Otherwise it is rejected where a retry by
-// the client would be harmless (mayReject), else failed. An outcome with Answered is the final answer,
-// whatever its status: it is never retried.
+// A request is retried if it has no other attempt in flight, its body can be sent again, the retry budget
+// allows a retry (mayRetry), and attemptRequest finds an endpoint. Otherwise it is rejected if a retry by the
+// client would be harmless (mayReject), else failed. An outcome with Answered is the final response, whatever
+// its status, and is never retried.
 //
-// The balancer does not hedge: another attempt starts only here, and only when no other is in flight.
+// The balancer does not hedge: it starts a further attempt only here, when no other attempt is in flight.
 func (b *Balancer) HandleOutcome(now monotime.Micros, o Outcome) {
 	r, a := b.findAttempt(o.ID, o.Attempt)
 	if a == nil || !a.inflight {
 		return
 	}
 	r.inflight--
-	a.end(now)
+	a.markEnded(now)
 	if o.Status == Rejected || o.Status == ConnectFailed || o.Status == NotSent {
 		a.mayHaveRun = false
 	}
@@ -27,21 +28,21 @@
 	if o.Answered || o.Status == OK || r.finished {
 		class := r.Class
 		b.finishRequest(r)
-		b.dispatchWaiting(now, class)
+		b.dispatchAwaitingResponses(now, class)
 		return
 	}
 	if r.inflight > 0 {
 		return
 	}
 	if !o.NotReplayable && b.mayRetry(now) && b.attemptRequest(now, r, false) {
-		b.spendRetry(now)
+		b.countRetry(now)
 		return
 	}
 	b.reject(r)
 }
 
-// recordOutcome records the end of an attempt in the served work, the breaker, the outlier detection and the
-// latency predictions. An attempt that was cancelled or not sent shows nothing of its endpoint.
+// recordOutcome updates the served work, the breaker, the outlier detection and the latency estimates from
+// the end of an attempt. An attempt that was cancelled or not sent gives no information about its endpoint.
 func (b *Balancer) recordOutcome(now monotime.Micros, r *request, a *attempt, o *Outcome) {
 	e := a.endpoint
 	switch o.Status {
@@ -56,7 +57,7 @@
 			e.outliers[part] = outlierStats{}
 		}
 		if latency, known := o.chargedLatency(a.expectedLatency); known {
-			b.learnLatency(now, r, a, latency, false)
+			b.updateLatencyEstimates(now, r, a, latency, false)
 		}
 	case Cancelled, NotSent:
 	default:
@@ -65,36 +66,38 @@
 			b.recordFailure(now, e, part)
 		}
 		if o.Status == Timeout {
-			b.learnLatency(now, r, a, float64(o.Latency-o.Stalled), true)
+			b.updateLatencyEstimates(now, r, a, float64(o.Latency-o.Stalled), true)
 		}
 	}
 }
 
-// HandleClientGone handles a client that left before its final answer: its attempts are cancelled, with
-// Limits.Cancel. Without it they go on, and their outcomes count as usual. For its class the request counts
-// as not answered in time, unless a streamed answer began in time.
+// HandleClientGone handles a client that left before its final response. The attempts of its request are
+// cancelled if Limits.Cancel is set. Otherwise they continue, and their outcomes are recorded as usual. In
+// the on-time ratio of its class the request counts as not answered in time, unless a streamed response
+// started in time.
 func (b *Balancer) HandleClientGone(now monotime.Micros, id uint64) {
 	if r := b.requests[id]; r != nil {
 		b.finishRequest(r)
 	}
 }
 
-// onRequestTimer handles a request that has waited long enough for probes, or that has reached its deadline.
-// In the first case all queued requests are dispatched, not only this one.
-func (b *Balancer) onRequestTimer(now monotime.Micros, r *request) {
+// handleRequestTimer handles the timer of a request that waits for probes, that waits for responses to its
+// class, or that has reached its deadline. When a request has waited long enough for probes, all requests
+// that wait for probes are dispatched.
+func (b *Balancer) handleRequestTimer(now monotime.Micros, r *request) {
 	switch {
 	case r.queued:
 		b.dispatchQueued(now)
 	case r.waiting:
-		b.stopWaiting(r)
+		b.stopAwaitingResponses(r)
 		b.dispatch(now, r)
 	case now >= r.Deadline:
 		b.reject(r)
 	}
 }
 
-// finishRequest records that a request has its final answer, and cancels its attempts in flight. The record
-// is dropped once no attempt is in flight.
+// finishRequest marks a request that has its final response as finished, and cancels its attempts in flight.
+// Its record is released once no attempt is in flight.
 func (b *Balancer) finishRequest(r *request) {
 	if !r.finished {
 		b.classes[r.Class].onTimeRatio.add(r.onTime, slowWeight)
@@ -104,7 +107,7 @@
 			b.removeFromQueue(r)
 		}
 		if r.waiting {
-			b.stopWaiting(r)
+			b.stopAwaitingResponses(r)
 		}
 		b.cancelAttempts(r, -1)
 	}
--- a/balancer/validate.go
+++ b/balancer/validate.go
@@ -2,126 +2,128 @@
 
 import "fmt"
 
-// SettingError is the error for a setting that makes no sense.
+// SettingError is the error for an invalid setting.
 type SettingError struct {
-	Key    string // path of the setting's Go field, or the key where it was read
-	Value  string
-	Reason string // what the value must be
+	Key    string // path of the setting's Go field, or its key in the file that it was read from
+	Value  string // the invalid value
+	Reason string // requirement that the value does not meet
 }
 
-// Error returns which setting is wrong, and how.
+// Error returns a message with the key, the value and the requirement that it does not meet.
 func (e *SettingError) Error() string {
 	return fmt.Sprintf("setting %s=%s: %s", e.Key, e.Value, e.Reason)
 }
 
-// Validate returns a *SettingError for the first setting that makes no sense, in the order of the checks.
+// Validate returns a *SettingError for the first invalid setting, in the order of the checks, or nil if all
+// settings are valid.
 func (s *Settings) Validate() error {
 	var v validation
-	v.instance(s)
+	v.checkInstance(s)
 	for i := range s.Classes {
-		v.class(i, &s.Classes[i])
+		v.checkClass(i, &s.Classes[i])
 	}
-	for i, t := range s.Tenants {
-		notNegative(&v, fmt.Sprintf("Tenants[%d].Quota", i), t.Quota)
+	for i, tenant := range s.Tenants {
+		requireNotNegative(&v, fmt.Sprintf("Tenants[%d].Quota", i), tenant.Quota)
 	}
-	v.goal(&s.Goal)
-	v.weightsAndRetries(s)
-	v.limits(&s.Limits)
-	v.contract(&s.Contract)
-	v.prices(&s.Prices)
+	v.checkGoal(&s.Goal)
+	v.checkWeightsAndRetries(s)
+	v.checkLimits(&s.Limits)
+	v.checkContract(&s.Contract)
+	v.checkPrices(&s.Prices)
 	return v.err
 }
 
 const (
-	maxRetryRatio   = 10  // retries per request
-	maxMinRetryRate = 1e6 // retries per second
+	maxRetryRatio   = 10  // maximum of Settings.RetryRatio, retries per request
+	maxMinRetryRate = 1e6 // maximum of Settings.MinRetryRate, retries per second
 )
 
-// validation keeps the first error of some checks.
+// validation runs checks and keeps the error of the first check that fails.
 type validation struct{ err error }
 
-// require adds an error unless ok.
+// require sets the error to a *SettingError unless ok is true or an earlier check has failed.
 func (v *validation) require(ok bool, key string, value any, reason string) {
 	if !ok && v.err == nil {
 		v.err = &SettingError{Key: key, Value: fmt.Sprint(value), Reason: reason}
 	}
 }
 
-// atLeastOne requires a count of 1 or more.
-func (v *validation) atLeastOne(key string, value int) {
+// requireAtLeastOne requires a count of at least 1.
+func (v *validation) requireAtLeastOne(key string, value int) {
 	v.require(value >= 1, key, value, "must be at least 1")
 }
 
-// notNegative requires a number or duration of 0 or more, which NaN is not.
-func notNegative[N int | int64 | float64](v *validation, key string, value N) {
+// requireNotNegative requires a number or duration of at least 0; NaN is invalid.
+func requireNotNegative[N int | int64 | float64](v *validation, key string, value N) {
 	v.require(value >= 0, key, value, "must not be negative")
 }
 
-// positive requires a number or duration over 0, which NaN is not.
-func positive[N int64 | float64](v *validation, key string, value N) {
+// requirePositive requires a number or duration greater than 0; NaN is invalid.
+func requirePositive[N int64 | float64](v *validation, key string, value N) {
 	v.require(value > 0, key, value, "must be positive")
 }
 
-// instance checks what the settings say of the instance and its surroundings.
-func (v *validation) instance(s *Settings) {
-	v.atLeastOne("Balancers", s.Balancers)
-	notNegative(v, "Position", s.Position)
-	notNegative(v, "Zone", s.Zone)
+// checkInstance checks the settings of the instance and the number of classes.
+func (v *validation) checkInstance(s *Settings) {
+	v.requireAtLeastOne("Balancers", s.Balancers)
+	requireNotNegative(v, "Position", s.Position)
+	requireNotNegative(v, "Zone", s.Zone)
 	v.require(len(s.Classes) > 0, "Classes", "none", "at least one class is needed")
 }
 
-// class checks the class of an index.
-func (v *validation) class(index int, c *Class) {
+// checkClass checks the settings of the class with the given index.
+func (v *validation) checkClass(index int, c *Class) {
 	key := func(field string) string { return fmt.Sprintf("Classes[%d].%s", index, field) }
 	v.require(c.Idempotency <= NonIdempotent, key("Idempotency"), c.Idempotency, "not a known kind")
 	v.require(c.DedupScope <= DedupCell, key("DedupScope"), c.DedupScope, "not a known scope")
-	notNegative(v, key("DedupWindow"), c.DedupWindow)
-	positive(v, key("LatencyObjective"), c.LatencyObjective)
-	positive(v, key("ClientTimeout"), c.ClientTimeout)
-	notNegative(v, key("PriorityWeight"), c.PriorityWeight)
+	requireNotNegative(v, key("DedupWindow"), c.DedupWindow)
+	requirePositive(v, key("LatencyObjective"), c.LatencyObjective)
+	requirePositive(v, key("ClientTimeout"), c.ClientTimeout)
+	requireNotNegative(v, key("PriorityWeight"), c.PriorityWeight)
 	v.require(c.LateWeight >= 0 && c.LateWeight <= 1, key("LateWeight"), c.LateWeight, "must be in 0..1")
 }
 
-// goal checks the weights of the result.
-func (v *validation) goal(g *Goal) {
-	notNegative(v, "Goal", g.Overall)
-	notNegative(v, "Goal", g.WorstWindow)
-	notNegative(v, "Goal", g.WorstClass)
-	notNegative(v, "Goal", g.WorstTenant)
+// checkGoal checks the weights of the goal.
+func (v *validation) checkGoal(goal *Goal) {
+	requireNotNegative(v, "Goal", goal.Overall)
+	requireNotNegative(v, "Goal", goal.WorstWindow)
+	requireNotNegative(v, "Goal", goal.WorstClass)
+	requireNotNegative(v, "Goal", goal.WorstTenant)
 }
 
-// weightsAndRetries checks the weight of requests over quota, and the retry budget.
-func (v *validation) weightsAndRetries(s *Settings) {
-	notNegative(v, "OverQuotaWeight", s.OverQuotaWeight)
+// checkWeightsAndRetries checks the weight of requests over quota and the retry budget.
+func (v *validation) checkWeightsAndRetries(s *Settings) {
+	requireNotNegative(v, "OverQuotaWeight", s.OverQuotaWeight)
 	v.require(s.RetryRatio >= 0 && s.RetryRatio <= maxRetryRatio, "RetryRatio", s.RetryRatio, "must be in 0..10")
-	notNegative(v, "RetryWindow", s.RetryWindow)
+	requireNotNegative(v, "RetryWindow", s.RetryWindow)
 	v.require(s.MinRetryRate >= 0 && s.MinRetryRate <= maxMinRetryRate, "MinRetryRate", s.MinRetryRate,
 		"must be in 0..1000000")
 }
 
-// limits checks what the deployment permits.
-func (v *validation) limits(l *Limits) {
-	v.atLeastOne("Limits.MaxAttempts", l.MaxAttempts)
-	v.atLeastOne("Limits.MaxOpenRequests", l.MaxOpenRequests)
-	notNegative(v, "Limits.MaxRetryAfter", l.MaxRetryAfter)
-	notNegative(v, "Limits.DialTimeout", l.DialTimeout)
+// checkLimits checks the limits of the deployment.
+func (v *validation) checkLimits(limits *Limits) {
+	v.requireAtLeastOne("Limits.MaxAttempts", limits.MaxAttempts)
+	v.requireAtLeastOne("Limits.MaxOpenRequests", limits.MaxOpenRequests)
+	requireNotNegative(v, "Limits.MaxRetryAfter", limits.MaxRetryAfter)
+	requireNotNegative(v, "Limits.DialTimeout", limits.DialTimeout)
 }
 
-// contract checks how endpoints and discovery behave.
-func (v *validation) contract(c *Contract) {
-	notNegative(v, "Contract.DrainGrace", c.DrainGrace)
-	start := c.WarmupStartCapacity
-	v.require(start > 0 && start <= 1, "Contract.WarmupStartCapacity", start, "must be in 0..1, not 0")
-	notNegative(v, "Contract.WarmupTime", c.WarmupTime)
-	positive(v, "Contract.CollapseMultiple", c.CollapseMultiple)
-	notNegative(v, "Contract.CollapseAfter", c.CollapseAfter)
-	notNegative(v, "Contract.PollInterval", c.PollInterval)
+// checkContract checks the contract with endpoints and discovery.
+func (v *validation) checkContract(contract *Contract) {
+	requireNotNegative(v, "Contract.DrainGrace", contract.DrainGrace)
+	startCapacity := contract.WarmupStartCapacity
+	v.require(startCapacity > 0 && startCapacity <= 1, "Contract.WarmupStartCapacity", startCapacity,
+		"must be in 0..1, not 0")
+	requireNotNegative(v, "Contract.WarmupTime", contract.WarmupTime)
+	requirePositive(v, "Contract.CollapseMultiple", contract.CollapseMultiple)
+	requireNotNegative(v, "Contract.CollapseAfter", contract.CollapseAfter)
+	requireNotNegative(v, "Contract.PollInterval", contract.PollInterval)
 }
 
-// prices checks what is taken off the result.
-func (v *validation) prices(p *Prices) {
-	notNegative(v, "Prices.CrossZone", p.CrossZone)
-	notNegative(v, "Prices.Probe", p.Probe)
-	notNegative(v, "Prices.Waste", p.Waste)
-	notNegative(v, "Prices.LateFail", p.LateFail)
+// checkPrices checks the prices.
+func (v *validation) checkPrices(prices *Prices) {
+	requireNotNegative(v, "Prices.CrossZone", prices.CrossZone)
+	requireNotNegative(v, "Prices.Probe", prices.Probe)
+	requireNotNegative(v, "Prices.Waste", prices.Waste)
+	requireNotNegative(v, "Prices.LateFail", prices.LateFail)
 }
