--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -68,7 +68,7 @@
 		r.work = b.classes[r.Class].meanWork.value // responses may have changed it while r waited
 	}
 	sent := b.attemptRequest(now, r, true)
-	if r.waiting {
+	if r.awaitsResponses {
 		if !sent {
 			return
 		}
@@ -119,7 +119,7 @@
 		b.initForcedAdmit(now, c)
 	}
 	if !isFirst || now-c.lastForcedAdmit < b.forcedAdmitInterval(now, c) {
-		if !r.waiting && !(isFirst && b.queueForResponses(now, r)) {
+		if !r.awaitsResponses && !(isFirst && b.queueForResponses(now, r)) {
 			b.logRejection(now, r, e, predictedLatency, budget)
 		}
 		return false
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -30,7 +30,7 @@
 // failingBuckets returns the number of buckets with failures since the latest bucket with an accept.
 func (br *breaker) failingBuckets() int {
 	failing := 0
-	for i := br.newest + 1; i <= br.newest+breakerBuckets; i++ { // oldest bucket first
+	for i := br.newestBucketNumber + 1; i <= br.newestBucketNumber+breakerBuckets; i++ { // oldest bucket first
 		if bucket := &br.ring[i%breakerBuckets]; bucket.accepts > 0 {
 			failing = 0
 		} else if bucket.failures > 0 {
--- a/balancer/breakerwindow.go
+++ b/balancer/breakerwindow.go
@@ -5,12 +5,12 @@
 // breaker holds the outcomes of an endpoint's attempts in a sliding window, and two averages of its latency.
 // The decisions that use them are in breaker.go, breakerlatency.go and suspicion.go.
 type breaker struct {
-	ring           [breakerBuckets]bucket
-	newest         int64   // number of the newest bucket, counted from instant 0
-	requests       int     // outcomes and breaker rejections in the window
-	accepts        int     // successes in the window
-	baseLatency    float64 // latency without congestion, microseconds; 0 before the first response
-	currentLatency float64 // moving average of the latest latencies, microseconds
+	ring               [breakerBuckets]bucket
+	newestBucketNumber int64   // number of the newest bucket, counted from instant 0
+	requests           int     // outcomes and breaker rejections in the window
+	accepts            int     // successes in the window
+	baseLatency        float64 // latency without congestion, microseconds; 0 before the first response
+	currentLatency     float64 // moving average of the latest latencies, microseconds
 }
 
 // bucket counts the outcomes within one of the breakerBuckets intervals of the window.
@@ -23,15 +23,15 @@
 // advance removes the buckets that have left the window, and returns the newest bucket.
 func (br *breaker) advance(now monotime.Micros) *bucket {
 	bucketNumber := now / (breakerWindow / breakerBuckets)
-	if bucketNumber-br.newest >= breakerBuckets {
+	if bucketNumber-br.newestBucketNumber >= breakerBuckets {
 		br.ring = [breakerBuckets]bucket{}
 		br.requests = 0
 		br.accepts = 0
-		br.newest = bucketNumber
+		br.newestBucketNumber = bucketNumber
 	}
-	for br.newest < bucketNumber {
-		br.newest++
-		expired := &br.ring[br.newest%breakerBuckets]
+	for br.newestBucketNumber < bucketNumber {
+		br.newestBucketNumber++
+		expired := &br.ring[br.newestBucketNumber%breakerBuckets]
 		br.requests -= expired.requests
 		br.accepts -= expired.accepts
 		*expired = bucket{}
--- a/balancer/firstanswers.go
+++ b/balancer/firstanswers.go
@@ -38,10 +38,10 @@
 	if r.hasAwaitedResponses || !b.isWorkUncertain(r) || b.warmCount == 0 || now >= r.Deadline {
 		return false
 	}
-	r.waiting = true
+	r.awaitsResponses = true
 	r.hasAwaitedResponses = true
 	c := &b.classes[r.Class]
-	c.waiting = append(c.waiting, r)
+	c.awaitingResponses = append(c.awaitingResponses, r)
 	wait := min(b.classOf(r).LatencyObjective/maxQueueTimeDivisor, r.Deadline-now)
 	b.actions.SetTimer(max(1, wait), r.timerToken)
 	return true
@@ -50,10 +50,10 @@
 // dispatchAwaitingResponses dispatches the requests that wait for responses to a class, in the order of their
 // arrival, until a request is still over the latency budget.
 func (b *Balancer) dispatchAwaitingResponses(now monotime.Micros, class uint8) {
-	for len(b.classes[class].waiting) > 0 {
-		r := b.classes[class].waiting[0]
+	for len(b.classes[class].awaitingResponses) > 0 {
+		r := b.classes[class].awaitingResponses[0]
 		b.dispatch(now, r)
-		if r.waiting {
+		if r.awaitsResponses {
 			return
 		}
 	}
@@ -62,6 +62,6 @@
 // stopAwaitingResponses removes r from the requests that wait for responses to its class.
 func (b *Balancer) stopAwaitingResponses(r *request) {
 	c := &b.classes[r.Class]
-	c.waiting = slices.DeleteFunc(c.waiting, func(other *request) bool { return other == r })
-	r.waiting = false
+	c.awaitingResponses = slices.DeleteFunc(c.awaitingResponses, func(other *request) bool { return other == r })
+	r.awaitsResponses = false
 }
--- a/balancer/firstanswers_test.go
+++ b/balancer/firstanswers_test.go
@@ -47,8 +47,8 @@
 	if len(r.sends) != 150 || len(r.rejected) > 0 || end-now > 40_000 {
 		t.Errorf("%d of 150 requests sent, %d rejected, within %d us", len(r.sends), len(r.rejected), end-now)
 	}
-	if len(b.classes[0].waiting) > 0 {
-		t.Errorf("%d requests still wait for first responses", len(b.classes[0].waiting))
+	if len(b.classes[0].awaitingResponses) > 0 {
+		t.Errorf("%d requests still wait for first responses", len(b.classes[0].awaitingResponses))
 	}
 }
 
@@ -61,7 +61,7 @@
 	for id := range uint64(60) {
 		timersBefore := len(r.timerTokens)
 		b.HandleRequest(now, newTestRequest(id, 0, now))
-		if request := b.requests[id]; request != nil && request.waiting {
+		if request := b.requests[id]; request != nil && request.awaitsResponses {
 			delays = append(delays, r.timerDelays[len(r.timerDelays)-1])
 			if len(r.timerTokens) != timersBefore+1 || r.timerTokens[timersBefore] != request.timerToken {
 				t.Fatalf("request %d waits with the timer tokens %v, want one timer of its own",
@@ -78,13 +78,13 @@
 		}
 	}
 	now += 40_000
-	waiting := append([]*request(nil), b.classes[0].waiting...)
+	waiting := append([]*request(nil), b.classes[0].awaitingResponses...)
 	for _, request := range waiting {
 		b.HandleTimer(now, request.timerToken)
 	}
-	if len(r.rejected) != len(delays) || len(b.classes[0].waiting) != 0 {
+	if len(r.rejected) != len(delays) || len(b.classes[0].awaitingResponses) != 0 {
 		t.Errorf("%d requests rejected of %d that waited; %d still wait", len(r.rejected), len(delays),
-			len(b.classes[0].waiting))
+			len(b.classes[0].awaitingResponses))
 	}
 }
 
@@ -94,18 +94,18 @@
 	b, r := newBalancerWithoutResponses(t)
 	now := second
 	id := uint64(0)
-	for ; len(b.classes[0].waiting) == 0 && id < 100; id++ {
+	for ; len(b.classes[0].awaitingResponses) == 0 && id < 100; id++ {
 		b.HandleRequest(now, newTestRequest(id, 0, now))
 	}
-	abandoned := b.classes[0].waiting[0]
+	abandoned := b.classes[0].awaitingResponses[0]
 	b.HandleClientGone(now, abandoned.ID)
 	sendsBefore := len(r.sends)
 	respondToAll(b, r, now, 0, 3_000)
 	b.HandleTimer(now+40_000, abandoned.timerToken)
-	if len(r.sends) != sendsBefore || len(b.requests) != 0 || len(b.classes[0].waiting) != 0 {
+	if len(r.sends) != sendsBefore || len(b.requests) != 0 || len(b.classes[0].awaitingResponses) != 0 {
 		t.Errorf("after the client disconnected: %d attempts sent, %d requests open, %d waiting",
 			len(r.sends)-sendsBefore, len(b.requests),
-			len(b.classes[0].waiting))
+			len(b.classes[0].awaitingResponses))
 	}
 }
 
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -86,9 +86,9 @@
 // that wait for probes are dispatched.
 func (b *Balancer) handleRequestTimer(now monotime.Micros, r *request) {
 	switch {
-	case r.queued:
+	case r.awaitsProbes:
 		b.dispatchQueued(now)
-	case r.waiting:
+	case r.awaitsResponses:
 		b.stopAwaitingResponses(r)
 		b.dispatch(now, r)
 	case now >= r.Deadline:
@@ -103,10 +103,10 @@
 		b.classes[r.Class].onTimeRatio.add(r.onTime, slowWeight)
 		r.finished = true
 		b.openRequests--
-		if r.queued {
+		if r.awaitsProbes {
 			b.removeFromQueue(r)
 		}
-		if r.waiting {
+		if r.awaitsResponses {
 			b.stopAwaitingResponses(r)
 		}
 		b.cancelAttempts(r, -1)
--- a/balancer/probequeue.go
+++ b/balancer/probequeue.go
@@ -36,8 +36,8 @@
 	if b.awaitedProbes == 0 {
 		return false
 	}
-	r.queued = true
-	b.queued = append(b.queued, r)
+	r.awaitsProbes = true
+	b.awaitingProbes = append(b.awaitingProbes, r)
 	wait := min(b.classOf(r).LatencyObjective/maxQueueTimeDivisor, r.Deadline-now)
 	b.actions.SetTimer(max(1, wait), r.timerToken)
 	return true
@@ -73,11 +73,11 @@
 // dispatchQueued dispatches all queued requests and ends the queue round: probes of this round that return
 // later do not count for the next round.
 func (b *Balancer) dispatchQueued(now monotime.Micros) {
-	for _, r := range b.queued {
-		r.queued = false
+	for _, r := range b.awaitingProbes {
+		r.awaitsProbes = false
 		b.dispatch(now, r)
 	}
-	b.queued = b.queued[:0]
+	b.awaitingProbes = b.awaitingProbes[:0]
 	b.awaitedProbes = 0
 	b.queueRound++
 }
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -52,7 +52,7 @@
 				b.HandleProbe(2*second, e, ConnectFailed, 500, nil)
 			}
 		}
-		if b.requests[2] != nil && !b.requests[2].queued && b.awaitedProbes > 0 {
+		if b.requests[2] != nil && !b.requests[2].awaitsProbes && b.awaitedProbes > 0 {
 			t.Error("request dispatched because of probe results of an earlier round")
 		}
 	}
@@ -66,8 +66,8 @@
 	for _, e := range r.probes {
 		reportLoad(b, second+1000, e, 1)
 	}
-	if len(r.sends) != 0 || len(b.queued) != 0 || len(b.requests) != 0 {
-		t.Errorf("attempts %v, %d requests queued, want neither", r.sends, len(b.queued))
+	if len(r.sends) != 0 || len(b.awaitingProbes) != 0 || len(b.requests) != 0 {
+		t.Errorf("attempts %v, %d requests queued, want neither", r.sends, len(b.awaitingProbes))
 	}
 }
 
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -26,8 +26,8 @@
 	logHintRatio        float64         // logarithm of work hint / mean work of the class; 0 without a hint
 	attempts            []attempt
 	inflight            int     // number of attempts in flight
-	queued              bool    // the request waits for probes
-	waiting             bool    // the request waits for responses to its class (queueForResponses)
+	awaitsProbes        bool    // the request waits for probes
+	awaitsResponses     bool    // the request waits for responses to its class (queueForResponses)
 	hasAwaitedResponses bool    // the request has waited for responses and does not wait again
 	finished            bool    // the request has its final response
 	streaming           bool    // a response is being streamed to the client
@@ -71,8 +71,8 @@
 
 // removeFromQueue removes r from the requests that wait for probes.
 func (b *Balancer) removeFromQueue(r *request) {
-	b.queued = slices.DeleteFunc(b.queued, func(other *request) bool { return other == r })
-	r.queued = false
+	b.awaitingProbes = slices.DeleteFunc(b.awaitingProbes, func(other *request) bool { return other == r })
+	r.awaitsProbes = false
 }
 
 // requestOfToken returns the request that a timer was set for, or nil if its record has been reused since.
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -147,7 +147,7 @@
 		return nil
 	}
 	var window [][3]int
-	for i := br.newest - breakerBuckets + 1; i <= br.newest; i++ {
+	for i := br.newestBucketNumber - breakerBuckets + 1; i <= br.newestBucketNumber; i++ {
 		oldBucket := &br.ring[(i+breakerBuckets)%breakerBuckets]
 		window = append(window, [3]int{oldBucket.requests, oldBucket.accepts, oldBucket.failures})
 	}
@@ -273,8 +273,8 @@
 	const width = breakerWindow / breakerBuckets
 	for i, counts := range window {
 		savedBucket := bucket{requests: counts[0], accepts: counts[1], failures: counts[2]}
-		bucketNumber := br.newest - int64(breakerBuckets-1-i) - age/width
-		if bucketNumber <= br.newest-breakerBuckets || savedBucket.accepts < 0 || savedBucket.failures < 0 ||
+		bucketNumber := br.newestBucketNumber - int64(breakerBuckets-1-i) - age/width
+		if bucketNumber <= br.newestBucketNumber-breakerBuckets || savedBucket.accepts < 0 || savedBucket.failures < 0 ||
 			savedBucket.requests < savedBucket.accepts+savedBucket.failures {
 			continue
 		}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -49,7 +49,7 @@
 
 	// Probes and load reports.
 	probePool           []*endpoint     // endpoints with a load report, latest last; at most probePoolSize
-	queued              []*request      // requests that wait for probes
+	awaitingProbes      []*request      // requests that wait for probes
 	awaitedProbes       int             // number of probes in flight that queued requests wait for
 	queueRound          uint32          // number of the current round of queued requests
 	dueProbes           float64         // number of probes that are due according to the probe rate
@@ -80,11 +80,11 @@
 
 // classStats holds the statistics and the waiting requests of a class.
 type classStats struct {
-	meanWork        ewma            // mean work of a request, microseconds
-	requestRate     rateMeter       // rate of requests, per second
-	onTimeRatio     ewma            // fraction of requests answered within the latency objective
-	lastForcedAdmit monotime.Micros // instant of the latest forced admission (admit)
-	waiting         []*request      // requests that wait for responses to the class (queueForResponses)
+	meanWork          ewma            // mean work of a request, microseconds
+	requestRate       rateMeter       // rate of requests, per second
+	onTimeRatio       ewma            // fraction of requests answered within the latency objective
+	lastForcedAdmit   monotime.Micros // instant of the latest forced admission (admit)
+	awaitingResponses []*request      // requests that wait for responses to the class (queueForResponses)
 }
 
 const (
