--- a/internal/decide/maintenance/capacity.go
+++ b/internal/decide/maintenance/capacity.go
@@ -9,7 +9,7 @@
 // This file decides by the fleet's status whether another machine may be drained, and whether one is recalled.
 
 // index returns a machine's index in Machines, or -1.
-func (f *FleetStatus) index(name string) int {
+func (f *FleetStatus) machineIndex(name string) int {
 	return slices.IndexFunc(f.Machines, func(m MachineStatus) bool { return m.Name == name })
 }
 
@@ -22,99 +22,100 @@
 func (f *FleetStatus) demand() float64 { return max(f.Usage, f.PeakUsage) }
 
 // isHealthy reports whether the fleet's status has a machine as healthy.
-func (x *State) isHealthy(name string) bool {
-	i := x.Fleet.index(name)
-	return i >= 0 && x.Fleet.Machines[i].Healthy
+func (state *State) isHealthy(name string) bool {
+	i := state.Fleet.machineIndex(name)
+	return i >= 0 && state.Fleet.Machines[i].Healthy
 }
 
 // isOut reports whether a machine counts as out: it is drained or beyond by the plan, or it is unhealthy.
-func (x *State) isOut(status *MachineStatus) bool {
-	m := x.Machines[status.Name]
-	return !status.Healthy || m != nil && m.Phase >= Draining
+func (state *State) isOut(machineStatus *MachineStatus) bool {
+	planned := state.Machines[machineStatus.Name]
+	return !machineStatus.Healthy || planned != nil && planned.Phase >= Draining
 }
 
 // outage is the machines out of service, and the capacity in service, without one machine that may be drained.
 type outage struct {
-	total, sameZone, sameCell, sameKind int // machines out
-	healthyInCell                       int // machines in service in the machine's cell
-	remainingCapacity                   float64
-	aloneInCell                         bool // no other machine is in its cell
+	totalOut, outInZone, outInCell, outOfKind int // machines out
+	healthyInCell                             int // machines in service in the machine's cell
+	remainingCapacity                         float64
+	aloneInCell                               bool // no other machine is in its cell
 }
 
-// outageBeside returns the outage without the i-th machine, counted by that machine's zone, cell and kind.
-func (x *State) outageBeside(i int) (o outage) {
-	o.aloneInCell = true
-	status := &x.Fleet.Machines[i]
-	for j := range x.Fleet.Machines {
-		other := &x.Fleet.Machines[j]
-		if other.Cell == status.Cell && other.Name != status.Name {
-			o.aloneInCell = false
+// outageWithout returns the outage without the i-th machine, counted by that machine's zone, cell and kind.
+func (state *State) outageWithout(candidateIndex int) (others outage) {
+	others.aloneInCell = true
+	candidate := &state.Fleet.Machines[candidateIndex]
+	for j := range state.Fleet.Machines {
+		other := &state.Fleet.Machines[j]
+		if other.Cell == candidate.Cell && other.Name != candidate.Name {
+			others.aloneInCell = false
 		}
-		if j != i {
-			o.count(status, other, x.isOut(other))
+		if j != candidateIndex {
+			others.addMachine(candidate, other, state.isOut(other))
 		}
 	}
-	return o
+	return others
 }
 
 // count adds another machine to an outage.
-func (o *outage) count(status, other *MachineStatus, out bool) {
+func (o *outage) addMachine(candidate, counted *MachineStatus, out bool) {
 	if !out {
-		o.remainingCapacity += other.Capacity
-		if other.Cell == status.Cell {
+		o.remainingCapacity += counted.Capacity
+		if counted.Cell == candidate.Cell {
 			o.healthyInCell++
 		}
 		return
 	}
-	o.total++
-	if other.Zone == status.Zone {
-		o.sameZone++
+	o.totalOut++
+	if counted.Zone == candidate.Zone {
+		o.outInZone++
 	}
-	if other.Cell == status.Cell {
-		o.sameCell++
+	if counted.Cell == candidate.Cell {
+		o.outInCell++
 	}
-	if other.Kind == status.Kind {
-		o.sameKind++
+	if counted.Kind == candidate.Kind {
+		o.outOfKind++
 	}
 }
 
-// drainBlockedBy returns why a machine must not be drained now; empty if it may be. The reasons are, in this order: a
-// hold, a machine that is not in the fleet's status, a lost zone, and the bounds of boundReachedBy. The texts are
+// drainBlockReason returns why a machine must not be drained now; empty if it may be. The reasons are, in this order: a
+// hold, a machine that is not in the fleet's status, a lost zone, and the bounds of exceededBound. The texts are
 // replicated, and stay as they are.
-func (x *State) drainBlockedBy(m *Machine) string {
-	i := x.Fleet.index(m.Name)
+func (state *State) drainBlockReason(m *Machine) string {
+	i := state.Fleet.machineIndex(m.Name)
 	switch {
-	case x.OnHold:
+	case state.OnHold:
 		return "all is held"
-	case x.firstRequest(m).OnHold:
+	case state.firstRequest(m).OnHold:
 		return "it is held"
 	case i < 0:
 		return "it is in no list now"
 	}
-	if zone := x.lostZone(); zone != "" {
+	if zone := state.lostZone(); zone != "" {
 		return fmt.Sprintf("more than half of zone %s is out unplanned", zone)
 	}
-	return x.boundReachedBy(&x.Fleet.Machines[i], x.outageBeside(i))
+	return state.exceededBound(&state.Fleet.Machines[i], state.outageWithout(i))
 }
 
-// boundReachedBy returns which bound of the settings a machine's drain would break, given the machines that are out;
+// exceededBound returns which bound of the settings a machine's drain would break, given the machines that are out;
 // empty if none. After a drain the capacity in service, less Settings.Headroom, must cover the fleet's demand.
-func (x *State) boundReachedBy(status *MachineStatus, o outage) string {
-	s := &x.settings
-	spareable := o.remainingCapacity * (1 - s.Headroom)
+func (state *State) exceededBound(candidate *MachineStatus, others outage) string {
+	s := &state.settings
+	usableCapacity := others.remainingCapacity * (1 - s.Headroom)
 	switch {
-	case o.total >= s.MaxOut:
-		return fmt.Sprintf("%d are out, %d may be", o.total, s.MaxOut)
-	case s.MaxOutPerZone > 0 && o.sameZone >= s.MaxOutPerZone:
-		return fmt.Sprintf("%d of zone %s are out, %d may be", o.sameZone, status.Zone, s.MaxOutPerZone)
-	case s.MaxOutPerCell > 0 && o.sameCell >= s.MaxOutPerCell:
-		return fmt.Sprintf("%d of cell %d are out, %d may be", o.sameCell, status.Cell, s.MaxOutPerCell)
-	case o.healthyInCell == 0 && !o.aloneInCell:
-		return fmt.Sprintf("it is the last of cell %d", status.Cell)
-	case s.MaxOutPerKind > 0 && o.sameKind >= s.MaxOutPerKind:
-		return fmt.Sprintf("%d of type %s are out, %d may be", o.sameKind, status.Kind, s.MaxOutPerKind)
-	case spareable < x.Fleet.demand():
-		return fmt.Sprintf("what is left would not do for what is asked for: %.2f of %.2f", x.Fleet.demand(), spareable)
+	case others.totalOut >= s.MaxOut:
+		return fmt.Sprintf("%d are out, %d may be", others.totalOut, s.MaxOut)
+	case s.MaxOutPerZone > 0 && others.outInZone >= s.MaxOutPerZone:
+		return fmt.Sprintf("%d of zone %s are out, %d may be", others.outInZone, candidate.Zone, s.MaxOutPerZone)
+	case s.MaxOutPerCell > 0 && others.outInCell >= s.MaxOutPerCell:
+		return fmt.Sprintf("%d of cell %d are out, %d may be", others.outInCell, candidate.Cell, s.MaxOutPerCell)
+	case others.healthyInCell == 0 && !others.aloneInCell:
+		return fmt.Sprintf("it is the last of cell %d", candidate.Cell)
+	case s.MaxOutPerKind > 0 && others.outOfKind >= s.MaxOutPerKind:
+		return fmt.Sprintf("%d of type %s are out, %d may be", others.outOfKind, candidate.Kind, s.MaxOutPerKind)
+	case usableCapacity < state.Fleet.demand():
+		return fmt.Sprintf("what is left would not do for what is asked for: %.2f of %.2f",
+			state.Fleet.demand(), usableCapacity)
 	}
 	return ""
 }
@@ -122,40 +123,40 @@
 // lostZone returns the first zone, by name, of which more than half of the machines are unhealthy without being
 // drained; empty if there is none. While a zone is lost, its machines' capacity is needed elsewhere: nothing is
 // drained.
-func (x *State) lostZone() string {
-	total := map[string]int{}
-	unplanned := map[string]int{}
-	for i := range x.Fleet.Machines {
-		status := &x.Fleet.Machines[i]
-		total[status.Zone]++
-		m := x.Machines[status.Name]
-		if !status.Healthy && (m == nil || m.Phase < Draining) {
-			unplanned[status.Zone]++
+func (state *State) lostZone() string {
+	machineCount := map[string]int{}
+	unplannedOut := map[string]int{}
+	for i := range state.Fleet.Machines {
+		status := &state.Fleet.Machines[i]
+		machineCount[status.Zone]++
+		planned := state.Machines[status.Name]
+		if !status.Healthy && (planned == nil || planned.Phase < Draining) {
+			unplannedOut[status.Zone]++
 		}
 	}
-	for _, zone := range slices.Sorted(maps.Keys(total)) {
-		if 2*unplanned[zone] > total[zone] {
+	for _, zone := range slices.Sorted(maps.Keys(machineCount)) {
+		if 2*unplannedOut[zone] > machineCount[zone] {
 			return zone
 		}
 	}
 	return ""
 }
 
-// recallUnaffordable recalls machines while the capacity in service is too small (recallReason): a draining machine
+// updateRecalls recalls machines while the capacity in service is too small (recallReason): a draining machine
 // goes back into service, and one under maintenance is marked as needed back, until the reason no longer holds.
-func (x *State) recallUnaffordable() {
-	reason := x.recallReason()
-	for _, name := range slices.Sorted(maps.Keys(x.Machines)) {
-		m := x.Machines[name]
+func (state *State) updateRecalls() {
+	reason := state.recallReason()
+	for _, name := range slices.Sorted(maps.Keys(state.Machines)) {
+		m := state.Machines[name]
 		switch {
 		case m.Phase == Draining && reason != "":
-			x.setPhase(m, Acknowledged)
+			state.setPhase(m, Acknowledged)
 			m.WaitReason = reason
-			x.recordEvent("%s stays in: %s", name, reason)
+			state.recordEvent("%s stays in: %s", name, reason)
 		case m.Phase == UnderMaintenance && (reason != "") != (m.RecallReason != ""):
 			m.RecallReason = reason
 			if reason != "" {
-				x.recordEvent("%s is wanted back: %s", name, reason)
+				state.recordEvent("%s is wanted back: %s", name, reason)
 			}
 		}
 	}
@@ -164,19 +165,20 @@
 // recallReason returns why capacity that is out is needed back; empty if it is not: a zone is lost, or the capacity in
 // service is less than the fleet's demand. Settings.Headroom does not count here, so that a drain that was just allowed
 // is not undone by a small rise of the demand.
-func (x *State) recallReason() string {
-	if zone := x.lostZone(); zone != "" {
+func (state *State) recallReason() string {
+	if zone := state.lostZone(); zone != "" {
 		return "more than half of zone " + zone + " is out unplanned"
 	}
-	remaining := 0.0
-	for i := range x.Fleet.Machines {
-		status := &x.Fleet.Machines[i]
-		if !x.isOut(status) {
-			remaining += status.Capacity
+	remainingCapacity := 0.0
+	for i := range state.Fleet.Machines {
+		status := &state.Fleet.Machines[i]
+		if !state.isOut(status) {
+			remainingCapacity += status.Capacity
 		}
 	}
-	if len(x.Fleet.Machines) > 0 && remaining < x.Fleet.demand() {
-		return fmt.Sprintf("what is asked for is %.2f of the %.2f that are left", x.Fleet.demand(), remaining)
+	if len(state.Fleet.Machines) > 0 && remainingCapacity < state.Fleet.demand() {
+		return fmt.Sprintf("what is asked for is %.2f of the %.2f that are left",
+			state.Fleet.demand(), remainingCapacity)
 	}
 	return ""
 }
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -12,7 +12,7 @@
 // own, created with NewCoordinator; it is not stored.
 type Coordinator struct {
 	settings  Settings
-	since     monotime.Micros // start of the term
+	termStart monotime.Micros // start of the term
 	instances map[Instance]*instanceProgress
 }
 
@@ -28,7 +28,7 @@
 // NewCoordinator returns the coordinator of an instance that leads from now on. The leases that earlier leaders granted
 // are unknown; each expires within one lease's duration.
 func NewCoordinator(now monotime.Micros, s Settings) *Coordinator {
-	return &Coordinator{settings: s, since: now, instances: map[Instance]*instanceProgress{}}
+	return &Coordinator{settings: s, termStart: now, instances: map[Instance]*instanceProgress{}}
 }
 
 // RecordReport records an instance's report. It reports whether the report is newer than the last one of the same
@@ -52,7 +52,7 @@
 
 // earlierLeasesEnd returns when all leases of earlier leaders have expired by any clock.
 func (c *Coordinator) earlierLeasesEnd() monotime.Micros {
-	return c.since + c.settings.withDrift(c.settings.LeaseDuration)
+	return c.termStart + c.settings.withDrift(c.settings.LeaseDuration)
 }
 
 // Grant returns the reply to a report that was recorded, and records the lease in it.
@@ -76,18 +76,18 @@
 
 // Progress returns the machines of a state that may enter their next phase, sorted by name, and what the others wait
 // for.
-func (c *Coordinator) Progress(now monotime.Micros, x *State) Progress {
+func (c *Coordinator) Progress(now monotime.Micros, state *State) Progress {
 	progress := Progress{WaitReasons: map[string]string{}}
-	for _, name := range slices.Sorted(maps.Keys(x.Machines)) {
-		m := x.Machines[name]
+	for _, name := range slices.Sorted(maps.Keys(state.Machines)) {
+		m := state.Machines[name]
 		switch m.Phase {
 		case Announced:
-			progress.WaitReasons[name] = c.notAcknowledgedBy(x, m)
+			progress.WaitReasons[name] = c.acknowledgmentWaitReason(state, m)
 			if progress.WaitReasons[name] == "" {
 				progress.Acknowledged = append(progress.Acknowledged, name)
 			}
 		case Draining:
-			progress.WaitReasons[name] = c.stillInUseBy(now, x, m)
+			progress.WaitReasons[name] = c.drainWaitReason(now, state, m)
 			if progress.WaitReasons[name] == "" {
 				progress.Drained = append(progress.Drained, name)
 			}
@@ -96,10 +96,10 @@
 	return progress
 }
 
-// notAcknowledgedBy returns which instance may not have a plan that lists a machine as announced; empty if none.
-func (c *Coordinator) notAcknowledgedBy(x *State, m *Machine) string {
-	for _, name := range slices.Sorted(maps.Keys(x.Instances)) {
-		progress := c.instances[Instance{Name: name, Incarnation: x.Instances[name]}]
+// acknowledgmentWaitReason returns which instance may not have a plan that lists a machine as announced; empty if none.
+func (c *Coordinator) acknowledgmentWaitReason(state *State, m *Machine) string {
+	for _, name := range slices.Sorted(maps.Keys(state.Instances)) {
+		progress := c.instances[Instance{Name: name, Incarnation: state.Instances[name]}]
 		if progress == nil || progress.planVersion < m.PlanVersion {
 			return "instance " + name + " has not been told"
 		}
@@ -107,30 +107,30 @@
 	return ""
 }
 
-// stillInUseBy returns which instance may still send to a draining machine or have requests in flight there; empty if
+// drainWaitReason returns which instance may still send to a draining machine or have requests in flight there; empty if
 // none. An instance whose lease and grace time are over does neither, since its plan lists the machine as announced.
-func (c *Coordinator) stillInUseBy(now monotime.Micros, x *State, m *Machine) string {
-	if !c.ended(now, c.earlierLeasesEnd()) {
+func (c *Coordinator) drainWaitReason(now monotime.Micros, state *State, m *Machine) string {
+	if !c.gracePeriodOver(now, c.earlierLeasesEnd()) {
 		return "who led before may have told a process that is not heard yet"
 	}
-	for _, name := range slices.Sorted(maps.Keys(x.Instances)) {
-		progress := c.instances[Instance{Name: name, Incarnation: x.Instances[name]}]
+	for _, name := range slices.Sorted(maps.Keys(state.Instances)) {
+		progress := c.instances[Instance{Name: name, Incarnation: state.Instances[name]}]
 		switch {
-		case progress == nil || c.ended(now, progress.leaseEnd):
+		case progress == nil || c.gracePeriodOver(now, progress.leaseEnd):
 		case progress.planVersion < m.PlanVersion:
 			return "instance " + name + " has not been told to stop"
 		case progress.inFlight[m.Name] > 0:
 			return "instance " + name + " still has something open there"
 		}
 	}
-	return c.predecessorInUse(now, x)
+	return c.predecessorWaitReason(now, state)
 }
 
-// predecessorInUse returns which instance's earlier process may still have requests in flight; empty if none.
-func (c *Coordinator) predecessorInUse(now monotime.Micros, x *State) string {
+// predecessorWaitReason returns which instance's earlier process may still have requests in flight; empty if none.
+func (c *Coordinator) predecessorWaitReason(now monotime.Micros, state *State) string {
 	for _, instance := range c.sortedInstances() {
-		current := x.Instances[instance.Name] == instance.Incarnation
-		if !current && !c.ended(now, c.instances[instance].leaseEnd) {
+		isCurrent := state.Instances[instance.Name] == instance.Incarnation
+		if !isCurrent && !c.gracePeriodOver(now, c.instances[instance].leaseEnd) {
 			return "a former process of instance " + instance.Name + " may have something open"
 		}
 	}
@@ -138,7 +138,7 @@
 }
 
 // ended reports whether the grace time after a lease has passed by any clock.
-func (c *Coordinator) ended(now, leaseEnd monotime.Micros) bool {
+func (c *Coordinator) gracePeriodOver(now, leaseEnd monotime.Micros) bool {
 	return now >= leaseEnd+c.settings.withDrift(c.settings.InFlightGrace)
 }
 
@@ -151,15 +151,15 @@
 
 // SilentInstances returns the instances that have sent no report for a time, sorted by name. They prevent machines from
 // being acknowledged: such a process may have ended, or be cut off.
-func (c *Coordinator) SilentInstances(now monotime.Micros, x *State, after monotime.Micros) []Instance {
+func (c *Coordinator) SilentInstances(now monotime.Micros, state *State, timeout monotime.Micros) []Instance {
 	var silent []Instance
-	for _, name := range slices.Sorted(maps.Keys(x.Instances)) {
-		instance := Instance{Name: name, Incarnation: x.Instances[name]}
-		lastReport := c.since
+	for _, name := range slices.Sorted(maps.Keys(state.Instances)) {
+		instance := Instance{Name: name, Incarnation: state.Instances[name]}
+		lastReport := c.termStart
 		if progress := c.instances[instance]; progress != nil {
 			lastReport = progress.reportedAt
 		}
-		if now >= lastReport+after {
+		if now >= lastReport+timeout {
 			silent = append(silent, instance)
 		}
 	}
--- a/internal/decide/maintenance/encoding_test.go
+++ b/internal/decide/maintenance/encoding_test.go
@@ -20,7 +20,7 @@
 // be rewritten.
 
 // encoded returns an empty value of each type of this package that is stored or sent.
-func encoded() map[string]any {
+func emptyEncodedValues() map[string]any {
 	return map[string]any{
 		"state":   &State{},
 		"command": &Command{},
@@ -32,14 +32,14 @@
 // A stored or sent structure is encoded to the same bytes as by the build before its fields had tags, and each field is
 // decoded from those bytes.
 func TestEncodedFormIsThatOfTheBuildBefore(t *testing.T) {
-	for name, empty := range encoded() {
-		for _, form := range []string{"empty", "filled"} {
-			t.Run(name+"/"+form, func(t *testing.T) {
-				value := reflect.New(reflect.TypeOf(empty).Elem()).Interface()
-				if form == "filled" {
+	for name, emptyValue := range emptyEncodedValues() {
+		for _, variant := range []string{"empty", "filled"} {
+			t.Run(name+"/"+variant, func(t *testing.T) {
+				value := reflect.New(reflect.TypeOf(emptyValue).Elem()).Interface()
+				if variant == "filled" {
 					golden.Fill(t, value)
 				}
-				golden.CheckJSON(t, golden.ReadLine(t, "encoded", name+"."+form+".json"), value)
+				golden.CheckJSON(t, golden.ReadLine(t, "encoded", name+"."+variant+".json"), value)
 			})
 		}
 	}
@@ -57,19 +57,19 @@
 	require.NoError(t, err)
 	defer file.Close()
 	entries := 0
-	for lines := bufio.NewScanner(file); lines.Scan(); entries++ {
-		var c Command
-		golden.DecodeJSON(t, lines.Bytes(), &c)
-		again, err := json.Marshal(c)
+	for scanner := bufio.NewScanner(file); scanner.Scan(); entries++ {
+		var command Command
+		golden.DecodeJSON(t, scanner.Bytes(), &command)
+		reencoded, err := json.Marshal(command)
 		require.NoError(t, err)
-		if !bytes.Equal(again, lines.Bytes()) {
-			t.Errorf("entry %d is encoded as\n%s\nit was\n%s", entries, again, lines.Bytes())
+		if !bytes.Equal(reencoded, scanner.Bytes()) {
+			t.Errorf("entry %d is encoded as\n%s\nit was\n%s", entries, reencoded, scanner.Bytes())
 		}
-		answer, err := direct.Apply(c)
-		answerRestored, errRestored := restored.Apply(c)
-		if answer != answerRestored || fmt.Sprint(err) != fmt.Sprint(errRestored) {
+		reply, err := direct.Apply(command)
+		replyRestored, errRestored := restored.Apply(command)
+		if reply != replyRestored || fmt.Sprint(err) != fmt.Sprint(errRestored) {
 			t.Errorf("entry %d: %q, %v; stored and restored %q, %v",
-				entries, answer, err, answerRestored, errRestored)
+				entries, reply, err, replyRestored, errRestored)
 		}
 		stored, err := json.Marshal(restored)
 		require.NoError(t, err)
@@ -80,8 +80,8 @@
 	if entries == 0 {
 		t.Fatal("the log is empty")
 	}
-	for name, x := range map[string]*State{"applied at once": direct, "stored and restored": restored} {
-		got, err := json.Marshal(x)
+	for name, state := range map[string]*State{"applied at once": direct, "stored and restored": restored} {
+		got, err := json.Marshal(state)
 		require.NoError(t, err)
 		if !bytes.Equal(got, want) {
 			t.Errorf("%s: the state is\n%s\nby the build before it was\n%s", name, got, want)
--- a/internal/decide/maintenance/follower.go
+++ b/internal/decide/maintenance/follower.go
@@ -22,9 +22,9 @@
 	LeaseDuration monotime.Micros `json:"Lease"`
 }
 
-// rememberedReports is the number of latest reports whose time of sending is known: a grant for an older one is
+// trackedReports is the number of latest reports whose time of sending is known: a grant for an older one is
 // dropped.
-const rememberedReports = 8
+const trackedReports = 8
 
 // Follower is the plan that one instance has to apply, and its lease. Create one with NewFollower.
 type Follower struct {
@@ -33,7 +33,7 @@
 	plan         Plan
 	hasPlan      bool
 	leaseEnd     monotime.Micros
-	sentReports  [rememberedReports]sentReport // by sequence, as a ring
+	sentReports  [trackedReports]sentReport // by sequence, as a ring
 	lastSequence uint64
 }
 
@@ -66,7 +66,7 @@
 // are in flight at a machine.
 func (f *Follower) NextReport(now monotime.Micros, inFlight func(machine string) int) Report {
 	f.lastSequence++
-	*f.sentReport(f.lastSequence) = sentReport{sequence: f.lastSequence, sentAt: now}
+	*f.sentReportSlot(f.lastSequence) = sentReport{sequence: f.lastSequence, sentAt: now}
 	report := Report{Incarnation: f.incarnation, Sequence: f.lastSequence, InFlight: map[string]int{}}
 	if f.hasPlan {
 		report.PlanVersion = f.plan.Version
@@ -79,15 +79,15 @@
 	return report
 }
 
-// sentReport returns the place of a report in the ring.
-func (f *Follower) sentReport(sequence uint64) *sentReport {
-	return &f.sentReports[sequence%rememberedReports]
+// sentReportSlot returns the place of a report in the ring.
+func (f *Follower) sentReportSlot(sequence uint64) *sentReport {
+	return &f.sentReports[sequence%trackedReports]
 }
 
 // ApplyGrant applies a grant, and reports whether the plan or ExcludedMachines may have changed. It drops grants that
 // are late, duplicated, for another process, or of an older plan than the present one.
 func (f *Follower) ApplyGrant(now monotime.Micros, grant PlanGrant) (changed bool) {
-	report := *f.sentReport(grant.Sequence)
+	report := *f.sentReportSlot(grant.Sequence)
 	if grant.Incarnation != f.incarnation || report.sequence != grant.Sequence || grant.Sequence == 0 {
 		return false
 	}
--- a/internal/decide/maintenance/settings.go
+++ b/internal/decide/maintenance/settings.go
@@ -8,8 +8,8 @@
 const (
 	// minLeaseDuration is the smallest value of Settings.LeaseDuration.
 	minLeaseDuration = 10 * monotime.Millisecond
-	// largestDrift is the largest value of Settings.MaxClockDrift, as a fraction of the true rate.
-	largestDrift = 0.1
+	// maxAllowedClockDrift is the largest value of Settings.MaxClockDrift, as a fraction of the true rate.
+	maxAllowedClockDrift = 0.1
 )
 
 // Settings bound which machines may be out of service at the same time. All instances of a fleet have the same.
@@ -38,7 +38,7 @@
 	// Warmup is the time for which a machine that returns still counts as out.
 	Warmup monotime.Micros
 	// MaxClockDrift is the largest difference between the rate of an instance's clock and the true rate, as a fraction
-	// of the true rate, in 0..largestDrift. Machines are free of requests only while all clocks are within it.
+	// of the true rate, in 0..maxAllowedClockDrift. Machines are free of requests only while all clocks are within it.
 	MaxClockDrift float64
 }
 
@@ -63,7 +63,7 @@
 		return invalidSetting("room", "must be in 0..1, not 1")
 	case s.LeaseDuration < minLeaseDuration || s.InFlightGrace < 0 || s.Warmup < 0:
 		return invalidSetting("lease", "must be 10 ms at least, and no time negative")
-	case !(s.MaxClockDrift >= 0 && s.MaxClockDrift <= largestDrift):
+	case !(s.MaxClockDrift >= 0 && s.MaxClockDrift <= maxAllowedClockDrift):
 		return invalidSetting("drift", "must be in 0..0.1")
 	}
 	return nil
--- a/internal/decide/maintenance/state.go
+++ b/internal/decide/maintenance/state.go
@@ -43,61 +43,61 @@
 }
 
 // UseSettings sets the settings of a state that was decoded from a snapshot, which does not contain them.
-func (x *State) UseSettings(s Settings) { x.settings = s }
+func (state *State) UseSettings(s Settings) { state.settings = s }
 
 // Apply applies the log's next command, and then all phase changes that are due or possible. It returns the reply to
 // the operator whose command it is. An error is a reply as well, not a fault of the log: the reason why the operator's
 // command has no effect. All replicas return the same.
-func (x *State) Apply(c Command) (answer string, err error) {
-	x.Now = max(x.Now, c.Time)
-	x.CommandCount++
+func (state *State) Apply(c Command) (reply string, err error) {
+	state.Now = max(state.Now, c.Time)
+	state.CommandCount++
 	switch {
 	case c.Request != nil:
-		answer, err = x.addRequest(*c.Request)
+		reply, err = state.addRequest(*c.Request)
 	case c.CancelRequest != "":
-		answer, err = x.cancelRequest(c.CancelRequest)
+		reply, err = state.cancelRequest(c.CancelRequest)
 	case c.Complete != nil:
-		answer, err = x.completeRequest(*c.Complete)
+		reply, err = state.completeRequest(*c.Complete)
 	case c.Hold != nil:
-		answer, err = x.setHold(*c.Hold)
+		reply, err = state.setHold(*c.Hold)
 	case c.Join != nil:
-		x.Instances[c.Join.Name] = c.Join.Incarnation
+		state.Instances[c.Join.Name] = c.Join.Incarnation
 	case c.Forget != nil:
-		if x.Instances[c.Forget.Name] == c.Forget.Incarnation {
-			delete(x.Instances, c.Forget.Name)
+		if state.Instances[c.Forget.Name] == c.Forget.Incarnation {
+			delete(state.Instances, c.Forget.Name)
 		}
 	case c.FleetStatus != nil:
-		x.Fleet = *c.FleetStatus
+		state.Fleet = *c.FleetStatus
 	}
-	x.applyProgress(c.Acknowledged, c.Drained)
-	x.advance()
-	return answer, err
+	state.applyProgress(c.Acknowledged, c.Drained)
+	state.advance()
+	return reply, err
 }
 
 // applyProgress moves machines to the next phase that all instances have reached, by the leader's Progress.
-func (x *State) applyProgress(acknowledged, drained []string) {
+func (state *State) applyProgress(acknowledged, drained []string) {
 	for _, name := range acknowledged {
-		if m := x.Machines[name]; m != nil && m.Phase == Announced {
-			x.setPhase(m, Acknowledged)
+		if m := state.Machines[name]; m != nil && m.Phase == Announced {
+			state.setPhase(m, Acknowledged)
 		}
 	}
 	for _, name := range drained {
-		m := x.Machines[name]
+		m := state.Machines[name]
 		if m == nil || m.Phase != Draining {
 			continue
 		}
-		x.setPhase(m, UnderMaintenance)
-		m.DueAt = x.Now + x.longestDuration(m)
-		x.recordEvent("%s is free: nobody sends there and nothing is open; it is to be done in %d s",
-			name, (m.DueAt-x.Now)/monotime.Second)
+		state.setPhase(m, UnderMaintenance)
+		m.DueAt = state.Now + state.longestDuration(m)
+		state.recordEvent("%s is free: nobody sends there and nothing is open; it is to be done in %d s",
+			name, (m.DueAt-state.Now)/monotime.Second)
 	}
 }
 
 // Plan returns the plan that instances are to apply.
-func (x *State) Plan() Plan {
-	plan := Plan{Version: x.PlanVersion}
-	for _, name := range slices.Sorted(maps.Keys(x.Machines)) {
-		switch listOf(x.Machines[name].Phase) {
+func (state *State) Plan() Plan {
+	plan := Plan{Version: state.PlanVersion}
+	for _, name := range slices.Sorted(maps.Keys(state.Machines)) {
+		switch planListOf(state.Machines[name].Phase) {
 		case listAnnounced:
 			plan.Announced = append(plan.Announced, name)
 		case listExcluded:
@@ -116,8 +116,8 @@
 	listExcluded
 )
 
-// listOf returns the list of a Plan that contains a machine in a phase.
-func listOf(p Phase) planList {
+// planListOf returns the list of a Plan that contains a machine in a phase.
+func planListOf(p Phase) planList {
 	switch p {
 	case Announced, Acknowledged:
 		return listAnnounced
@@ -128,22 +128,22 @@
 }
 
 // setPhase moves a machine to a phase. If that moves it to another list of the plan, the plan gets a new version.
-func (x *State) setPhase(m *Machine, p Phase) {
-	if listOf(m.Phase) != listOf(p) {
-		x.PlanVersion++
-		m.PlanVersion = x.PlanVersion
+func (state *State) setPhase(m *Machine, p Phase) {
+	if planListOf(m.Phase) != planListOf(p) {
+		state.PlanVersion++
+		m.PlanVersion = state.PlanVersion
 	}
 	m.Phase = p
-	m.Since = x.Now
+	m.Since = state.Now
 	m.WaitReason = ""
 	m.RecallReason = ""
 	m.Overdue = false
 }
 
 // longestDuration returns the longest Request.Duration of a machine's requests.
-func (x *State) longestDuration(m *Machine) (longest monotime.Micros) {
+func (state *State) longestDuration(m *Machine) (longest monotime.Micros) {
 	for _, id := range m.Requests {
-		if request := x.Requests[id]; request != nil {
+		if request := state.Requests[id]; request != nil {
 			longest = max(longest, request.Duration)
 		}
 	}
@@ -151,9 +151,9 @@
 }
 
 // recordEvent adds an event, and drops the oldest beyond maxEvents.
-func (x *State) recordEvent(format string, args ...any) {
-	x.Events = append(x.Events, Event{Time: x.Now, Text: fmt.Sprintf(format, args...)})
-	if surplus := len(x.Events) - maxEvents; surplus > 0 {
-		x.Events = slices.Delete(x.Events, 0, surplus)
+func (state *State) recordEvent(format string, args ...any) {
+	state.Events = append(state.Events, Event{Time: state.Now, Text: fmt.Sprintf(format, args...)})
+	if surplus := len(state.Events) - maxEvents; surplus > 0 {
+		state.Events = slices.Delete(state.Events, 0, surplus)
 	}
 }
--- a/internal/decide/maintenance/state_test.go
+++ b/internal/decide/maintenance/state_test.go
@@ -32,43 +32,43 @@
 // stateWith returns a state to which a fleet's status and then requests have been applied, a microsecond apart.
 func stateWith(tb testing.TB, status *FleetStatus, requests ...Request) *State {
 	tb.Helper()
-	x, err := NewState(testSettings)
+	state, err := NewState(testSettings)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	apply(tb, x, Command{FleetStatus: status})
+	apply(tb, state, Command{FleetStatus: status})
 	for i := range requests {
 		if requests[i].Duration == 0 {
 			requests[i].Duration = 60 * monotime.Second
 		}
-		if _, err := x.Apply(Command{Time: monotime.Micros(i + 1), Request: &requests[i]}); err != nil {
+		if _, err := state.Apply(Command{Time: monotime.Micros(i + 1), Request: &requests[i]}); err != nil {
 			tb.Fatal(err)
 		}
 	}
-	return x
+	return state
 }
 
 // apply applies a command that must not be an error.
-func apply(tb testing.TB, x *State, c Command) {
+func apply(tb testing.TB, state *State, c Command) {
 	tb.Helper()
-	if _, err := x.Apply(c); err != nil {
+	if _, err := state.Apply(c); err != nil {
 		tb.Fatal(err)
 	}
 }
 
 // acknowledge acknowledges all announced machines, until the plan no longer changes.
-func acknowledge(tb testing.TB, x *State) {
+func acknowledge(tb testing.TB, state *State) {
 	tb.Helper()
-	for version := ^uint64(0); version != x.PlanVersion; {
-		version = x.PlanVersion
-		apply(tb, x, Command{Acknowledged: x.Plan().Announced})
+	for version := ^uint64(0); version != state.PlanVersion; {
+		version = state.PlanVersion
+		apply(tb, state, Command{Acknowledged: state.Plan().Announced})
 	}
 }
 
 // machinesIn returns the names of the machines in a phase, in order and joined.
-func machinesIn(x *State, phase Phase) string {
+func machinesIn(state *State, phase Phase) string {
 	var names []string
-	for _, m := range x.Machines {
+	for _, m := range state.Machines {
 		if m.Phase == phase {
 			names = append(names, m.Name)
 		}
@@ -79,8 +79,8 @@
 
 // Drains stay within each bound, and machines that wait have the reason.
 func TestDrainsAreWithinTheBounds(t *testing.T) {
-	all := []string{"m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7"}
-	for _, c := range []struct {
+	machineNames := []string{"m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7"}
+	for _, tc := range []struct {
 		name       string
 		change     func(status *FleetStatus)
 		drained    string // the machines that are drained first
@@ -116,20 +116,20 @@
 		},
 	} {
 		status := eightMachines(2)
-		c.change(status)
-		x := stateWith(t, status, Request{ID: "a", Machines: all, Requester: "ana"})
+		tc.change(status)
+		state := stateWith(t, status, Request{ID: "a", Machines: machineNames, Requester: "ana"})
 		for range 3 {
-			acknowledge(t, x)
+			acknowledge(t, state)
 		}
-		if got := machinesIn(x, Draining); got != c.drained {
-			t.Errorf("%s: %q are drained, not %q", c.name, got, c.drained)
+		if got := machinesIn(state, Draining); got != tc.drained {
+			t.Errorf("%s: %q are drained, not %q", tc.name, got, tc.drained)
 		}
 		found := false
-		for _, m := range x.Machines {
-			found = found || strings.Contains(m.WaitReason, c.waitReason)
+		for _, m := range state.Machines {
+			found = found || strings.Contains(m.WaitReason, tc.waitReason)
 		}
 		if !found {
-			t.Errorf("%s: no machine waits for %q: %v", c.name, c.waitReason, x.Machines["m1"])
+			t.Errorf("%s: no machine waits for %q: %v", tc.name, tc.waitReason, state.Machines["m1"])
 		}
 	}
 }
@@ -137,19 +137,19 @@
 // Urgent machines are drained first, then those of the requester with the fewest drains, then those of the oldest
 // request.
 func TestMachinesAreDrainedInQueueOrder(t *testing.T) {
-	x := stateWith(t, eightMachines(1),
+	state := stateWith(t, eightMachines(1),
 		Request{ID: "a", Machines: []string{"m0", "m2", "m4"}, Requester: "ana"},
 		Request{ID: "b", Machines: []string{"m6"}, Requester: "ben"},
 		Request{ID: "c", Machines: []string{"m5"}, Requester: "ana", Urgent: true})
-	x.settings.MaxOut = 1
+	state.settings.MaxOut = 1
 	var drained []string
-	for len(x.Machines) > 0 {
-		acknowledge(t, x)
-		name := machinesIn(x, Draining)
+	for len(state.Machines) > 0 {
+		acknowledge(t, state)
+		name := machinesIn(state, Draining)
 		drained = append(drained, name)
-		apply(t, x, Command{Drained: []string{name}})
-		apply(t, x, Command{Complete: &Completion{Request: x.Machines[name].Requests[0], Machine: name}})
-		apply(t, x, Command{Time: x.Now + 3*monotime.Second})
+		apply(t, state, Command{Drained: []string{name}})
+		apply(t, state, Command{Complete: &Completion{Request: state.Machines[name].Requests[0], Machine: name}})
+		apply(t, state, Command{Time: state.Now + 3*monotime.Second})
 	}
 	if fmt.Sprint(drained) != "[m5 m6 m0 m2 m4]" {
 		t.Errorf("%v", drained)
@@ -158,24 +158,24 @@
 
 // A machine of two requests is out until both are complete. A duplicated request counts once.
 func TestMachineOfTwoRequestsIsOutUntilBothAreComplete(t *testing.T) {
-	x := stateWith(t, eightMachines(1),
+	state := stateWith(t, eightMachines(1),
 		Request{ID: "a", Machines: []string{"m0"}, Requester: "ana"},
 		Request{ID: "b", Machines: []string{"m0"}, Requester: "ben", Duration: 90 * monotime.Second},
 		Request{ID: "a", Machines: []string{"m0", "m1"}, Requester: "ana"})
-	if len(x.Requests) != 2 || len(x.Machines) != 1 {
-		t.Fatalf("%d requests, %d machines", len(x.Requests), len(x.Machines))
+	if len(state.Requests) != 2 || len(state.Machines) != 1 {
+		t.Fatalf("%d requests, %d machines", len(state.Requests), len(state.Machines))
 	}
-	acknowledge(t, x)
-	apply(t, x, Command{Drained: []string{"m0"}})
-	if m := x.Machines["m0"]; m.Phase != UnderMaintenance || m.DueAt != x.Now+90*monotime.Second {
+	acknowledge(t, state)
+	apply(t, state, Command{Drained: []string{"m0"}})
+	if m := state.Machines["m0"]; m.Phase != UnderMaintenance || m.DueAt != state.Now+90*monotime.Second {
 		t.Fatalf("%+v", m)
 	}
-	apply(t, x, Command{Complete: &Completion{Request: "a"}})
-	if x.Machines["m0"].Phase != UnderMaintenance || x.Requests["a"] != nil {
+	apply(t, state, Command{Complete: &Completion{Request: "a"}})
+	if state.Machines["m0"].Phase != UnderMaintenance || state.Requests["a"] != nil {
 		t.Error("one of two requests is complete, and the machine returns")
 	}
-	apply(t, x, Command{Complete: &Completion{Request: "b"}})
-	if x.Machines["m0"].Phase != Returning {
+	apply(t, state, Command{Complete: &Completion{Request: "b"}})
+	if state.Machines["m0"].Phase != Returning {
 		t.Error("both requests are complete, and the machine does not return")
 	}
 }
@@ -184,69 +184,70 @@
 // and nothing of the request remains in the plan.
 func TestCancelInEachPhase(t *testing.T) {
 	for step := range 5 {
-		x := stateWith(t, eightMachines(1), Request{ID: "a", Machines: []string{"m0"}, Requester: "ana"})
+		state := stateWith(t, eightMachines(1), Request{ID: "a", Machines: []string{"m0"}, Requester: "ana"})
 		if step > 0 {
-			acknowledge(t, x)
+			acknowledge(t, state)
 		}
 		if step > 1 {
-			apply(t, x, Command{Drained: []string{"m0"}})
+			apply(t, state, Command{Drained: []string{"m0"}})
 		}
 		if step > 2 {
-			apply(t, x, Command{Time: x.Now + 2*60*monotime.Second})
-			if !x.Machines["m0"].Overdue {
+			apply(t, state, Command{Time: state.Now + 2*60*monotime.Second})
+			if !state.Machines["m0"].Overdue {
 				t.Error("its time is over, and it is not overdue")
 			}
 		}
-		apply(t, x, Command{CancelRequest: "a"})
-		if m := x.Machines["m0"]; (m != nil) != (step > 1) || m != nil && m.Phase != Returning {
+		apply(t, state, Command{CancelRequest: "a"})
+		if m := state.Machines["m0"]; (m != nil) != (step > 1) || m != nil && m.Phase != Returning {
 			t.Errorf("step %d: %+v", step, m)
 		}
 		if step > 3 {
-			checkUnhealthyMachineKeepsReturning(t, x)
+			checkUnhealthyMachineKeepsReturning(t, state)
 		}
-		apply(t, x, Command{Time: x.Now + 3*monotime.Second})
-		plan := x.Plan()
-		if len(x.Machines) != 0 || len(x.Requests) != 0 || len(plan.Excluded)+len(plan.Announced) != 0 {
-			t.Errorf("step %d: %d machines and %d requests are left", step, len(x.Machines), len(x.Requests))
+		apply(t, state, Command{Time: state.Now + 3*monotime.Second})
+		plan := state.Plan()
+		if len(state.Machines) != 0 || len(state.Requests) != 0 || len(plan.Excluded)+len(plan.Announced) != 0 {
+			t.Errorf("step %d: %d machines and %d requests are left", step, len(state.Machines), len(state.Requests))
 		}
 	}
 }
 
 // checkUnhealthyMachineKeepsReturning checks that m0, which returns, stays in the plan while it is not healthy.
-func checkUnhealthyMachineKeepsReturning(t *testing.T, x *State) {
+func checkUnhealthyMachineKeepsReturning(t *testing.T, state *State) {
 	t.Helper()
 	status := eightMachines(1)
 	status.Machines[0].Healthy = false
-	apply(t, x, Command{FleetStatus: status})
-	apply(t, x, Command{Time: x.Now + 10*monotime.Second})
-	if m := x.Machines["m0"]; m == nil || !strings.Contains(m.WaitReason, "not well") {
+	apply(t, state, Command{FleetStatus: status})
+	apply(t, state, Command{Time: state.Now + 10*monotime.Second})
+	if m := state.Machines["m0"]; m == nil || !strings.Contains(m.WaitReason, "not well") {
 		t.Errorf("%+v", m)
 	}
-	apply(t, x, Command{FleetStatus: eightMachines(1)})
+	apply(t, state, Command{FleetStatus: eightMachines(1)})
 }
 
 // Capacity that is needed back stays in service if it only drains, and is recalled if it is under maintenance.
 func TestCapacityThatIsNeededBackIsRecalled(t *testing.T) {
-	x := stateWith(t, eightMachines(1), Request{ID: "a", Machines: []string{"m0", "m2"}, Requester: "ana"})
-	acknowledge(t, x)
-	apply(t, x, Command{Drained: []string{"m0"}})
-	apply(t, x, Command{FleetStatus: eightMachines(7)})
-	if machinesIn(x, Draining) != "" || x.Machines["m2"].Phase != Acknowledged || x.Machines["m0"].RecallReason == "" {
-		t.Errorf("%+v %+v", x.Machines["m0"], x.Machines["m2"])
+	state := stateWith(t, eightMachines(1), Request{ID: "a", Machines: []string{"m0", "m2"}, Requester: "ana"})
+	acknowledge(t, state)
+	apply(t, state, Command{Drained: []string{"m0"}})
+	apply(t, state, Command{FleetStatus: eightMachines(7)})
+	if machinesIn(state, Draining) != "" || state.Machines["m2"].Phase != Acknowledged ||
+		state.Machines["m0"].RecallReason == "" {
+		t.Errorf("%+v %+v", state.Machines["m0"], state.Machines["m2"])
 	}
-	apply(t, x, Command{FleetStatus: eightMachines(1)})
-	if x.Machines["m0"].RecallReason != "" || x.Machines["m2"].Phase != Draining {
-		t.Errorf("%+v %+v", x.Machines["m0"], x.Machines["m2"])
+	apply(t, state, Command{FleetStatus: eightMachines(1)})
+	if state.Machines["m0"].RecallReason != "" || state.Machines["m2"].Phase != Draining {
+		t.Errorf("%+v %+v", state.Machines["m0"], state.Machines["m2"])
 	}
-	apply(t, x, Command{Hold: &Hold{On: true}})
-	apply(t, x, Command{Drained: []string{"m2"}})
-	later := Request{ID: "b", Machines: []string{"m4"}, Duration: monotime.Second, Requester: "ben"}
-	apply(t, x, Command{Request: &later})
-	apply(t, x, Command{Complete: &Completion{Request: "a"}})
-	apply(t, x, Command{Time: x.Now + 10*monotime.Second})
-	acknowledge(t, x)
-	if x.Machines["m4"].Phase != Acknowledged || x.Machines["m4"].WaitReason != "all is held" {
-		t.Errorf("%+v", x.Machines["m4"])
+	apply(t, state, Command{Hold: &Hold{On: true}})
+	apply(t, state, Command{Drained: []string{"m2"}})
+	laterRequest := Request{ID: "b", Machines: []string{"m4"}, Duration: monotime.Second, Requester: "ben"}
+	apply(t, state, Command{Request: &laterRequest})
+	apply(t, state, Command{Complete: &Completion{Request: "a"}})
+	apply(t, state, Command{Time: state.Now + 10*monotime.Second})
+	acknowledge(t, state)
+	if state.Machines["m4"].Phase != Acknowledged || state.Machines["m4"].WaitReason != "all is held" {
+		t.Errorf("%+v", state.Machines["m4"])
 	}
 }
 
@@ -256,62 +257,62 @@
 	rapid.Check(t, func(r *rapid.T) {
 		direct := stateWith(t, eightMachines(1))
 		restored := stateWith(t, eightMachines(1))
-		plans := map[uint64]string{} // by version
+		planContents := map[uint64]string{} // by version
 		var now monotime.Micros
 		for range rapid.IntRange(1, 60).Draw(r, "entries") {
 			now += rapid.Int64Range(0, 5*monotime.Second).Draw(r, "later")
-			c := anyCommand(r)
-			c.Time = now
-			answer, err := direct.Apply(c)
-			answerRestored, errRestored := restored.Apply(c)
-			if answer != answerRestored || fmt.Sprint(err) != fmt.Sprint(errRestored) {
-				r.Fatalf("%q, %v and stored and restored %q, %v", answer, err, answerRestored, errRestored)
+			command := drawCommand(r)
+			command.Time = now
+			reply, err := direct.Apply(command)
+			replyRestored, errRestored := restored.Apply(command)
+			if reply != replyRestored || fmt.Sprint(err) != fmt.Sprint(errRestored) {
+				r.Fatalf("%q, %v and stored and restored %q, %v", reply, err, replyRestored, errRestored)
 			}
 			restored = storeAndRestore(r, restored)
 			want := fmt.Sprint(direct.Plan(), direct.Events)
 			if got := fmt.Sprint(restored.Plan(), restored.Events); got != want {
 				r.Fatalf("%s\nand stored and restored\n%s", want, got)
 			}
-			checkPlan(r, direct, plans)
+			checkPlan(r, direct, planContents)
 		}
 	})
 }
 
-// anyCommand draws a command, without its time.
-func anyCommand(r *rapid.T) (c Command) {
-	name := rapid.SampledFrom([]string{"m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7"})
-	id := rapid.SampledFrom([]string{"a", "b", "c"})
+// drawCommand draws a command, without its time.
+func drawCommand(r *rapid.T) (command Command) {
+	machineNames := rapid.SampledFrom([]string{"m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7"})
+	requestIDs := rapid.SampledFrom([]string{"a", "b", "c"})
 	switch rapid.IntRange(0, 8).Draw(r, "command") {
 	case 0, 1:
-		c.Request = &Request{
-			ID:        id.Draw(r, "id"),
-			Machines:  rapid.SliceOfN(name, 1, 4).Draw(r, "machines"),
+		command.Request = &Request{
+			ID:        requestIDs.Draw(r, "id"),
+			Machines:  rapid.SliceOfN(machineNames, 1, 4).Draw(r, "machines"),
 			Duration:  monotime.Second,
 			Requester: "x",
 			Urgent:    rapid.Bool().Draw(r, "urgent"),
 		}
 	case 2:
-		c.CancelRequest = id.Draw(r, "id")
+		command.CancelRequest = requestIDs.Draw(r, "id")
 	case 3:
-		c.Complete = &Completion{Request: id.Draw(r, "id")}
+		command.Complete = &Completion{Request: requestIDs.Draw(r, "id")}
 	case 4:
-		c.FleetStatus = eightMachines(float64(rapid.IntRange(0, 8).Draw(r, "usage")))
+		command.FleetStatus = eightMachines(float64(rapid.IntRange(0, 8).Draw(r, "usage")))
 	case 5, 6:
-		c.Acknowledged = []string{name.Draw(r, "acknowledged")}
+		command.Acknowledged = []string{machineNames.Draw(r, "acknowledged")}
 	case 7:
-		c.Drained = []string{name.Draw(r, "drained")}
+		command.Drained = []string{machineNames.Draw(r, "drained")}
 	case 8:
-		c.Hold = &Hold{
+		command.Hold = &Hold{
 			Request: rapid.SampledFrom([]string{"", "a"}).Draw(r, "request"),
 			On:      rapid.Bool().Draw(r, "on"),
 		}
 	}
-	return c
+	return command
 }
 
 // storeAndRestore returns the state that is decoded from the JSON of x, as from a raft snapshot.
-func storeAndRestore(r *rapid.T, x *State) *State {
-	stored, err := json.Marshal(x)
+func storeAndRestore(r *rapid.T, state *State) *State {
+	stored, err := json.Marshal(state)
 	if err != nil {
 		r.Fatal(err)
 	}
@@ -328,20 +329,20 @@
 
 // checkPlan checks the bounds, and that a version of the plan has the same content each time. plans has the content
 // seen so far, by version.
-func checkPlan(r *rapid.T, x *State, plans map[uint64]string) {
-	plan := x.Plan()
+func checkPlan(r *rapid.T, state *State, contents map[uint64]string) {
+	plan := state.Plan()
 	content := fmt.Sprint(plan.Announced, plan.Excluded)
-	if earlier, ok := plans[plan.Version]; ok && earlier != content {
+	if earlier, ok := contents[plan.Version]; ok && earlier != content {
 		r.Fatalf("version %d is %s and %s", plan.Version, earlier, content)
 	}
-	plans[plan.Version] = content
+	contents[plan.Version] = content
 	if len(plan.Excluded) > testSettings.MaxOut || len(plan.Announced) > testSettings.MaxAnnounced {
 		r.Fatalf("%v", plan)
 	}
 	outOfZone := map[string]int{}
-	for _, m := range x.Machines {
+	for _, m := range state.Machines {
 		if m.Phase == Draining || m.Phase == UnderMaintenance {
-			outOfZone[x.Fleet.Machines[x.Fleet.index(m.Name)].Zone]++
+			outOfZone[state.Fleet.Machines[state.Fleet.machineIndex(m.Name)].Zone]++
 		}
 	}
 	for zone, count := range outOfZone {
--- a/internal/decide/route/match.go
+++ b/internal/decide/route/match.go
@@ -71,7 +71,7 @@
 			continue
 		}
 		if len(e.methods) == 0 || slices.Contains(e.methods, s.method) {
-			s.result = e.index
+			s.result = e.patternIndex
 			return true
 		}
 		s.result = NotAllowed
--- a/internal/decide/route/path.go
+++ b/internal/decide/route/path.go
@@ -47,8 +47,8 @@
 	if isNormal(path) {
 		return path, nil
 	}
-	out := make([]byte, 0, len(path)+extraPathCapacity)
-	decoded := make([]byte, 0, segmentCapacity) // the segment without escapes
+	normal := make([]byte, 0, len(path)+extraPathCapacity)
+	decodedSegment := make([]byte, 0, segmentCapacity) // the segment without escapes
 	rest := path[1:]
 	last := false
 	for !last {
@@ -57,49 +57,49 @@
 		if segment == "" {
 			continue
 		}
-		segmentStart := len(out)
-		out = append(out, '/')
-		decoded = decoded[:0]
+		segmentStart := len(normal)
+		normal = append(normal, '/')
+		decodedSegment = decodedSegment[:0]
 		var err error
-		if out, decoded, err = appendSegment(out, decoded, segment, slashes); err != nil {
+		if normal, decodedSegment, err = appendSegment(normal, decodedSegment, segment, slashes); err != nil {
 			return "", err
 		}
-		if out, err = resolveDotSegment(out, segmentStart, decoded, last); err != nil {
+		if normal, err = resolveDotSegment(normal, segmentStart, decodedSegment, last); err != nil {
 			return "", err
 		}
 	}
-	if path[len(path)-1] == '/' && (len(out) == 0 || out[len(out)-1] != '/') || len(out) == 0 {
-		out = append(out, '/')
+	if path[len(path)-1] == '/' && (len(normal) == 0 || normal[len(normal)-1] != '/') || len(normal) == 0 {
+		normal = append(normal, '/')
 	}
-	return string(out), nil
+	return string(normal), nil
 }
 
 // resolveDotSegment removes the segment at the end of out if it is a dot segment, together with the segment before it
 // if it is "..". Any other segment stays. last is true if it is the last segment of the path, which a slash replaces.
-func resolveDotSegment(out []byte, segmentStart int, decoded []byte, last bool) ([]byte, error) {
-	name, _, hasParameters := strings.Cut(string(decoded), ";")
+func resolveDotSegment(normal []byte, segmentStart int, decodedSegment []byte, last bool) ([]byte, error) {
+	name, _, hasParameters := strings.Cut(string(decodedSegment), ";")
 	if name != "." && name != ".." {
-		return out, nil
+		return normal, nil
 	}
 	if hasParameters {
 		return nil, ErrDotParameter // "/a/..;x/b": some servers drop the parameter first
 	}
-	out = out[:segmentStart]
+	normal = normal[:segmentStart]
 	if name == ".." {
-		i := bytes.LastIndexByte(out, '/')
+		i := bytes.LastIndexByte(normal, '/')
 		if i < 0 {
 			return nil, ErrAboveRoot
 		}
-		out = out[:i]
+		normal = normal[:i]
 	}
 	if last {
-		out = append(out, '/')
+		normal = append(normal, '/')
 	}
-	return out, nil
+	return normal, nil
 }
 
 // appendSegment appends a segment's normal form to out, and the segment without escapes to decoded.
-func appendSegment(out, decoded []byte, segment string, slashes EncodedSlashes) ([]byte, []byte, error) {
+func appendSegment(normal, decodedSegment []byte, segment string, slashes EncodedSlashes) ([]byte, []byte, error) {
 	for i := 0; i < len(segment); i++ {
 		c := segment[i]
 		escaped := c == '%'
@@ -112,28 +112,28 @@
 		}
 		switch {
 		case !escaped && isPathChar[c]: // most characters
-			out = append(out, c)
-		case c < ' ' || c == del:
+			normal = append(normal, c)
+		case c < ' ' || c == asciiDEL:
 			return nil, nil, ErrControl
 		case escaped && (c == '/' || c == '\\') && slashes == RejectEncodedSlashes:
 			return nil, nil, ErrEncodedSlash
 		case !escaped && c == '\\':
 			return nil, nil, ErrBackslash
 		case isUnreserved(c):
-			out = append(out, c)
+			normal = append(normal, c)
 		default:
-			out = appendEscaped(out, c)
+			normal = appendEscaped(normal, c)
 		}
-		decoded = append(decoded, c)
+		decodedSegment = append(decodedSegment, c)
 	}
-	if !utf8.Valid(decoded) {
+	if !utf8.Valid(decodedSegment) {
 		return nil, nil, ErrUTF8
 	}
-	return out, decoded, nil
+	return normal, decodedSegment, nil
 }
 
 // del is the control character DEL.
-const del = 0x7f
+const asciiDEL = 0x7f
 
 // unescape returns the byte of the percent-encoded triplet at the start of text; ok is false if it is invalid.
 func unescape(text string) (c byte, ok bool) {
@@ -194,9 +194,9 @@
 }
 
 // appendEscaped appends a byte as a percent-encoded triplet.
-func appendEscaped(out []byte, c byte) []byte {
-	const digits = "0123456789ABCDEF"
-	return append(out, '%', digits[c>>bitsPerHexDigit], digits[c&(1<<bitsPerHexDigit-1)])
+func appendEscaped(dst []byte, c byte) []byte {
+	const hexDigits = "0123456789ABCDEF"
+	return append(dst, '%', hexDigits[c>>bitsPerHexDigit], hexDigits[c&(1<<bitsPerHexDigit-1)])
 }
 
 // bitsPerHexDigit is the number of bits of a hexadecimal digit.
@@ -224,9 +224,9 @@
 }
 
 // isPathChar has the characters of pchar (RFC 3986, section 3.3) without escapes.
-var isPathChar = func() (is [256]bool) {
+var isPathChar = func() (isChar [256]bool) {
 	for c := range 256 {
-		is[c] = isUnreserved(byte(c)) || c != 0 && strings.IndexByte("!$&'()*+,;=:@", byte(c)) >= 0
+		isChar[c] = isUnreserved(byte(c)) || c != 0 && strings.IndexByte("!$&'()*+,;=:@", byte(c)) >= 0
 	}
-	return is
+	return isChar
 }()
--- a/internal/decide/route/pattern.go
+++ b/internal/decide/route/pattern.go
@@ -70,12 +70,12 @@
 
 // validateMethods returns why methods are invalid, empty if they are valid.
 func validateMethods(methods []string) (reason string) {
-	for i, m := range methods {
-		if m == "" || strings.ContainsFunc(m, func(r rune) bool { return r <= ' ' || r > '~' }) {
-			return fmt.Sprintf("%q is no method", m)
+	for i, method := range methods {
+		if method == "" || strings.ContainsFunc(method, func(r rune) bool { return r <= ' ' || r > '~' }) {
+			return fmt.Sprintf("%q is no method", method)
 		}
-		if slices.Contains(methods[:i], m) {
-			return fmt.Sprintf("%q is named twice", m)
+		if slices.Contains(methods[:i], method) {
+			return fmt.Sprintf("%q is named twice", method)
 		}
 	}
 	return ""
@@ -87,7 +87,7 @@
 		if h.Name == "" {
 			return "a name is missing"
 		}
-		if slices.ContainsFunc(headers[:i], func(other Header) bool { return other.Name == h.Name }) {
+		if slices.ContainsFunc(headers[:i], func(earlier Header) bool { return earlier.Name == h.Name }) {
 			return fmt.Sprintf("%q is named twice", h.Name)
 		}
 	}
@@ -97,19 +97,19 @@
 // validatePath returns why a pattern's path is invalid, empty if it is valid. Its literal segments must be in normal
 // form, since requests' paths are matched in normal form.
 func validatePath(path string) (reason string) {
-	path, prefix := strings.CutSuffix(path, "*")
-	if prefix && !strings.HasSuffix(path, "/") || path == "" || path[0] != '/' || strings.Contains(path, "*") {
+	path, isPrefix := strings.CutSuffix(path, "*")
+	if isPrefix && !strings.HasSuffix(path, "/") || path == "" || path[0] != '/' || strings.Contains(path, "*") {
 		return "must begin with /, and a * may only stand at its end, behind a /"
 	}
-	names := map[string]bool{}
+	seenNames := map[string]bool{}
 	var literals []string
 	for _, segment := range strings.Split(path[1:], "/") {
 		name, ok := parameterName(segment)
 		switch {
-		case ok && names[name]:
+		case ok && seenNames[name]:
 			return fmt.Sprintf("two parts are named {%s}", name)
 		case ok:
-			names[name] = true
+			seenNames[name] = true
 			literals = append(literals, "x")
 		case strings.ContainsAny(segment, "{}"):
 			return fmt.Sprintf("a named part is a whole segment, as {card}, not %q", segment)
--- a/internal/decide/route/route_test.go
+++ b/internal/decide/route/route_test.go
@@ -14,8 +14,8 @@
 
 func TestNormalizePath(t *testing.T) {
 	for _, tc := range []struct {
-		in, want string
-		err      error
+		path, want string
+		err        error
 	}{
 		{"/", "/", nil},
 		{"/look/1", "/look/1", nil},
@@ -51,8 +51,8 @@
 		{"*", "", ErrNoPath},
 		{"", "", ErrNoPath},
 	} {
-		if got, err := NormalizePath(tc.in, RejectEncodedSlashes); got != tc.want || !errors.Is(err, tc.err) {
-			t.Errorf("Normalize(%q) = %q, %v, want %q, %v", tc.in, got, err, tc.want, tc.err)
+		if got, err := NormalizePath(tc.path, RejectEncodedSlashes); got != tc.want || !errors.Is(err, tc.err) {
+			t.Errorf("Normalize(%q) = %q, %v, want %q, %v", tc.path, got, err, tc.want, tc.err)
 		}
 	}
 	if got, err := NormalizePath("/a%2fb", KeepEncodedSlashes); got != "/a%2Fb" || err != nil {
@@ -68,39 +68,40 @@
 	} {
 		f.Add(s, true)
 	}
-	f.Fuzz(func(t *testing.T, in string, keep bool) {
+	f.Fuzz(func(t *testing.T, input string, keepSlashes bool) {
 		slashes := RejectEncodedSlashes
-		if keep {
+		if keepSlashes {
 			slashes = KeepEncodedSlashes
 		}
-		out, err := NormalizePath(in, slashes)
+		normal, err := NormalizePath(input, slashes)
 		if err != nil {
-			if out != "" {
-				t.Errorf("%q: %q beside %v", in, out, err)
+			if normal != "" {
+				t.Errorf("%q: %q beside %v", input, normal, err)
 			}
 			return
 		}
-		checkNormalForm(t, in, out, slashes)
+		checkNormalForm(t, input, normal, slashes)
 	})
 }
 
 // checkNormalForm checks the normal form out of a path.
-func checkNormalForm(t *testing.T, in, out string, slashes EncodedSlashes) {
+func checkNormalForm(t *testing.T, input, normal string, slashes EncodedSlashes) {
 	t.Helper()
-	if again, err := NormalizePath(out, slashes); again != out || err != nil {
-		t.Errorf("%q became %q, and that %q, %v", in, out, again, err)
+	if renormalized, err := NormalizePath(normal, slashes); renormalized != normal || err != nil {
+		t.Errorf("%q became %q, and that %q, %v", input, normal, renormalized, err)
 	}
-	if clean := path.Clean(out); out[0] != '/' || clean != strings.TrimSuffix(out, "/") && clean != out {
-		t.Errorf("%q became %q, which is %q to others", in, out, clean)
+	if cleaned := path.Clean(normal); normal[0] != '/' ||
+		cleaned != strings.TrimSuffix(normal, "/") && cleaned != normal {
+		t.Errorf("%q became %q, which is %q to others", input, normal, cleaned)
 	}
-	decoded, err := url.PathUnescape(out)
+	decoded, err := url.PathUnescape(normal)
 	if err != nil {
-		t.Errorf("%q became %q: %v", in, out, err)
+		t.Errorf("%q became %q: %v", input, normal, err)
 	}
-	sameSlashes := strings.Count(decoded, "/") == strings.Count(out, "/")
+	sameSlashes := strings.Count(decoded, "/") == strings.Count(normal, "/")
 	isClean := path.Clean(decoded) == strings.TrimSuffix(decoded, "/") || decoded == "/"
 	if slashes == RejectEncodedSlashes && (!sameSlashes || !isClean) {
-		t.Errorf("%q became %q, decoded %q", in, out, decoded)
+		t.Errorf("%q became %q, decoded %q", input, normal, decoded)
 	}
 }
 
@@ -127,8 +128,8 @@
 		{Pattern{Headers: []Header{{Name: "X"}, {Name: "X"}}}, "header"},
 	} {
 		_, err := New([]Pattern{{Path: "/fine"}, tc.p})
-		var wrong *PatternError
-		if !errors.As(err, &wrong) || wrong.Index != 1 || wrong.Key != tc.key {
+		var patternErr *PatternError
+		if !errors.As(err, &patternErr) || patternErr.Index != 1 || patternErr.Key != tc.key {
 			t.Errorf("%+v: %v, want an error of %s", tc.p, err, tc.key)
 		}
 	}
@@ -136,7 +137,7 @@
 
 func TestSpecificPatternWins(t *testing.T) {
 	// Each pattern wins over those after it.
-	ranked := []Pattern{
+	byRank := []Pattern{
 		{Host: "a.example", Path: "/x/y", Headers: []Header{{"K", "1"}, {"L", ""}}, Methods: []string{"GET"}},
 		{Host: "a.example", Path: "/x/y", Headers: []Header{{"K", "1"}}, Methods: []string{"GET"}},
 		{Host: "a.example", Path: "/x/y", Headers: []Header{{"K", "1"}}},
@@ -154,10 +155,10 @@
 		{Path: "/x/y"},
 		{},
 	}
-	for first := range ranked {
+	for firstRank := range byRank {
 		// The order in the table does not matter.
 		for _, reverse := range []bool{false, true} {
-			patterns := slices.Clone(ranked[first:])
+			patterns := slices.Clone(byRank[firstRank:])
 			want := 0
 			if reverse {
 				slices.Reverse(patterns)
@@ -169,7 +170,7 @@
 			}
 			got := table.Match("a.example", "/x/y", "GET", map[string][]string{"K": {"1"}, "L": {"2"}})
 			if got != want {
-				t.Errorf("from %d on: %d wins, want %d: %+v", first, got, want, patterns)
+				t.Errorf("from %d on: %d wins, want %d: %+v", firstRank, got, want, patterns)
 			}
 		}
 	}
@@ -218,7 +219,7 @@
 }
 
 func TestConflicts(t *testing.T) {
-	get := []string{"GET"}
+	getOnly := []string{"GET"}
 	for _, tc := range []struct {
 		a, b Pattern
 		want bool
@@ -226,9 +227,9 @@
 		{Pattern{}, Pattern{Path: "/*"}, true},
 		{Pattern{Path: "/a/{x}"}, Pattern{Path: "/a/{y}"}, true},
 		{Pattern{Path: "/a/{x}"}, Pattern{Path: "/a/b"}, false},
-		{Pattern{Path: "/a", Methods: get}, Pattern{Path: "/a", Methods: []string{"POST"}}, false},
-		{Pattern{Path: "/a", Methods: get}, Pattern{Path: "/a", Methods: []string{"POST", "GET"}}, true},
-		{Pattern{Path: "/a", Methods: get}, Pattern{Path: "/a"}, false},
+		{Pattern{Path: "/a", Methods: getOnly}, Pattern{Path: "/a", Methods: []string{"POST"}}, false},
+		{Pattern{Path: "/a", Methods: getOnly}, Pattern{Path: "/a", Methods: []string{"POST", "GET"}}, true},
+		{Pattern{Path: "/a", Methods: getOnly}, Pattern{Path: "/a"}, false},
 		{Pattern{Headers: []Header{{"A", "1"}}}, Pattern{Headers: []Header{{"A", "2"}}}, false},
 		{Pattern{Headers: []Header{{"A", "1"}}}, Pattern{Headers: []Header{{"B", "1"}}}, true},
 		{Pattern{Headers: []Header{{"A", "1"}}}, Pattern{Headers: []Header{{"A", ""}}}, false},
@@ -248,26 +249,26 @@
 // package comment.
 func referenceMatch(patterns []Pattern, host, path, method string, headers map[string][]string) int {
 	best := NotFound
-	otherMethod := false
+	methodMismatch := false
 	var bestRank []int
 	for i, p := range patterns {
-		r, matches := referenceRank(p, host, path, headers)
+		rank, matches := referenceRank(p, host, path, headers)
 		if !matches {
 			continue
 		}
 		if len(p.Methods) > 0 {
 			if !slices.Contains(p.Methods, method) {
-				otherMethod = true
+				methodMismatch = true
 				continue
 			}
-			r = append(r, 1)
+			rank = append(rank, 1)
 		}
-		if best < 0 || slices.Compare(r, bestRank) > 0 {
+		if best < 0 || slices.Compare(rank, bestRank) > 0 {
 			best = i
-			bestRank = r
+			bestRank = rank
 		}
 	}
-	if best < 0 && otherMethod {
+	if best < 0 && methodMismatch {
 		return NotAllowed
 	}
 	return best
@@ -276,60 +277,60 @@
 // referenceRank returns the rank of a pattern by its host, path and headers, if it matches these; the higher is more
 // specific.
 func referenceRank(p Pattern, host, path string, headers map[string][]string) (rank []int, matches bool) {
-	below, wild := strings.CutPrefix(p.Host, "*.")
+	hostSuffix, isWildcard := strings.CutPrefix(p.Host, "*.")
 	switch {
 	case p.Host == "":
 		rank = append(rank, 0)
-	case wild && strings.HasSuffix(host, "."+below):
-		rank = append(rank, len(below))
-	case !wild && host == p.Host:
+	case isWildcard && strings.HasSuffix(host, "."+hostSuffix):
+		rank = append(rank, len(hostSuffix))
+	case !isWildcard && host == p.Host:
 		rank = append(rank, 1000)
 	default:
 		return nil, false
 	}
-	want, prefix := strings.CutSuffix(p.Path, "/*")
-	prefix = prefix || p.Path == ""
-	segments := strings.Split(want, "/")[1:]
-	have := strings.Split(path, "/")[1:]
-	if want == "" {
-		segments = nil
+	patternPath, isPrefix := strings.CutSuffix(p.Path, "/*")
+	isPrefix = isPrefix || p.Path == ""
+	patternSegments := strings.Split(patternPath, "/")[1:]
+	requestSegments := strings.Split(path, "/")[1:]
+	if patternPath == "" {
+		patternSegments = nil
 	}
-	if len(have) < len(segments) || !prefix && len(have) > len(segments) {
+	if len(requestSegments) < len(patternSegments) || !isPrefix && len(requestSegments) > len(patternSegments) {
 		return nil, false
 	}
-	shape := make([]int, 8) // literal 3, parameter 2, exact end 1, prefix 0
-	for i, s := range segments {
+	segmentRanks := make([]int, 8) // literal 3, parameter 2, exact end 1, prefix 0
+	for i, s := range patternSegments {
 		switch {
-		case s == have[i]:
-			shape[i] = 3
-		case strings.HasPrefix(s, "{") && have[i] != "":
-			shape[i] = 2
+		case s == requestSegments[i]:
+			segmentRanks[i] = 3
+		case strings.HasPrefix(s, "{") && requestSegments[i] != "":
+			segmentRanks[i] = 2
 		default:
 			return nil, false
 		}
 	}
-	if !prefix {
-		shape[len(segments)] = 1
+	if !isPrefix {
+		segmentRanks[len(patternSegments)] = 1
 	}
-	rank = append(rank, shape...)
-	values := 0
+	rank = append(rank, segmentRanks...)
+	exactValueHeaders := 0
 	for _, h := range p.Headers {
-		v := headers[h.Name]
-		if len(v) == 0 || h.Value != "" && v[0] != h.Value {
+		values := headers[h.Name]
+		if len(values) == 0 || h.Value != "" && values[0] != h.Value {
 			return nil, false
 		}
 		if h.Value != "" {
-			values++
+			exactValueHeaders++
 		}
 	}
-	return append(rank, values, len(p.Headers)), true
+	return append(rank, exactValueHeaders, len(p.Headers)), true
 }
 
 func TestTableAgainstReference(t *testing.T) {
-	pattern := rapid.Custom(anyPattern)
+	patternGenerator := rapid.Custom(drawPattern)
 	rapid.Check(t, func(t *rapid.T) {
 		var patterns []Pattern
-		for _, p := range rapid.SliceOfN(pattern, 1, 30).Draw(t, "patterns") {
+		for _, p := range rapid.SliceOfN(patternGenerator, 1, 30).Draw(t, "patterns") {
 			if _, err := New(append(slices.Clone(patterns), p)); err == nil {
 				patterns = append(patterns, p)
 			}
@@ -340,7 +341,7 @@
 		}
 		for range 50 {
 			host := rapid.SampledFrom([]string{"h.example", "x.h.example", "example", "other"}).Draw(t, "host")
-			path := anyPath(t)
+			path := drawPath(t)
 			method := rapid.SampledFrom([]string{"GET", "POST", "PUT"}).Draw(t, "method")
 			headers := map[string][]string{}
 			for _, name := range []string{"K", "L"} {
@@ -357,8 +358,8 @@
 	})
 }
 
-// anyPattern draws a valid pattern.
-func anyPattern(t *rapid.T) Pattern {
+// drawPattern draws a valid pattern.
+func drawPattern(t *rapid.T) Pattern {
 	hosts := []string{"", "", "h.example", "*.example", "*.h.example", "example"}
 	segment := rapid.SampledFrom([]string{"a", "b", "{p}"})
 	p := Pattern{Host: rapid.SampledFrom(hosts).Draw(t, "host")}
@@ -384,8 +385,8 @@
 	return p
 }
 
-// anyPath draws the path of a request, in normal form.
-func anyPath(t *rapid.T) string {
+// drawPath draws the path of a request, in normal form.
+func drawPath(t *rapid.T) string {
 	segments := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "a"}), 0, 4)
 	path := "/" + strings.Join(segments.Draw(t, "path"), "/")
 	if path != "/" && rapid.Bool().Draw(t, "slash") {
@@ -408,7 +409,7 @@
 }
 
 // patterns chooses patterns that do not conflict.
-func (c *fuzzChoices) patterns() []Pattern {
+func (c *fuzzChoices) choosePatterns() []Pattern {
 	var patterns []Pattern
 	for len(*c) > 24 && len(patterns) < 40 {
 		p := Pattern{Host: c.pick("", "h.example", "*.example", "*.h.example", "example")}
@@ -418,8 +419,8 @@
 		if p.Path += c.pick("", "/*"); p.Path == "" {
 			p.Path = "/*"
 		}
-		if m := c.pick("", "GET", "POST"); m != "" {
-			p.Methods = []string{m}
+		if method := c.pick("", "GET", "POST"); method != "" {
+			p.Methods = []string{method}
 		}
 		for _, name := range []string{"K", "L"} {
 			if v := c.pick("-", "-", "", "1"); v != "-" {
@@ -442,19 +443,19 @@
 		}
 		f.Add(seed)
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
-		choices := fuzzChoices(text)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		choices := fuzzChoices(input)
 		pick := choices.pick
-		patterns := choices.patterns()
+		patterns := choices.choosePatterns()
 		table, err := New(patterns)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 20 {
-			raw := "/" + pick("", "a", "b", "%c3%a9", "%61")
-			raw += pick("", "/", "/a", "/..", "/b/")
-			raw += pick("", "/a", "//b", "/.")
-			path, err := NormalizePath(raw, RejectEncodedSlashes)
+			rawPath := "/" + pick("", "a", "b", "%c3%a9", "%61")
+			rawPath += pick("", "/", "/a", "/..", "/b/")
+			rawPath += pick("", "/a", "//b", "/.")
+			path, err := NormalizePath(rawPath, RejectEncodedSlashes)
 			if err != nil {
 				continue
 			}
@@ -476,11 +477,11 @@
 	})
 }
 
-// bigTable returns a table of n routes, and a path that each of them matches.
-func bigTable(n int) (*Table, []string) {
+// tableOfRoutes returns a table of n routes, and a path that each of them matches.
+func tableOfRoutes(routeCount int) (*Table, []string) {
 	var patterns []Pattern
 	var paths []string
-	for i := range n {
+	for i := range routeCount {
 		path := fmt.Sprintf("/service-%d/{clinic}/cards/{card}", i)
 		patterns = append(patterns, Pattern{Path: path, Methods: []string{"GET"}})
 		paths = append(paths, fmt.Sprintf("/service-%d/sonrisa/cards/7", i))
@@ -493,30 +494,30 @@
 }
 
 func TestMatchAllocatesNothing(t *testing.T) {
-	table, paths := bigTable(1000)
-	i := 0
-	if n := testing.AllocsPerRun(1000, func() {
-		path, err := NormalizePath(paths[i%len(paths)], RejectEncodedSlashes)
-		if err != nil || table.Match(NormalizeHost("desk.example"), path, "GET", nil) != i%len(paths) {
+	table, paths := tableOfRoutes(1000)
+	calls := 0
+	if allocations := testing.AllocsPerRun(1000, func() {
+		path, err := NormalizePath(paths[calls%len(paths)], RejectEncodedSlashes)
+		if err != nil || table.Match(NormalizeHost("desk.example"), path, "GET", nil) != calls%len(paths) {
 			t.Fatal(path)
 		}
-		i++
-	}); n > 0 {
-		t.Errorf("%v allocations a match", n)
+		calls++
+	}); allocations > 0 {
+		t.Errorf("%v allocations a match", allocations)
 	}
 }
 
 func BenchmarkMatch(b *testing.B) {
-	for _, n := range []int{10, 1000, 100_000} {
-		b.Run(fmt.Sprint(n, " routes"), func(b *testing.B) {
-			table, paths := bigTable(n)
+	for _, routeCount := range []int{10, 1000, 100_000} {
+		b.Run(fmt.Sprint(routeCount, " routes"), func(b *testing.B) {
+			table, paths := tableOfRoutes(routeCount)
 			b.ReportAllocs()
-			i := 0
+			routeIndex := 0
 			for b.Loop() {
-				if table.Match("desk.example", paths[i], "GET", nil) != i {
+				if table.Match("desk.example", paths[routeIndex], "GET", nil) != routeIndex {
 					b.Fatal("wrong route")
 				}
-				i = (i + 7919) % len(paths)
+				routeIndex = (routeIndex + 7919) % len(paths)
 			}
 		})
 	}
--- a/internal/decide/route/table.go
+++ b/internal/decide/route/table.go
@@ -24,10 +24,10 @@
 
 // entry is a pattern without its host and path.
 type entry struct {
-	index         int // of the pattern
-	methods       []string
-	headers       []Header
-	valuedHeaders int // number of headers that must have a certain value
+	patternIndex      int // of the pattern
+	methods           []string
+	headers           []Header
+	exactValueHeaders int // number of headers that must have a certain value
 }
 
 // New returns a table of patterns. It fails with a *PatternError or a *ConflictError.
@@ -46,20 +46,20 @@
 }
 
 // insert adds a pattern to the table, and keeps the entries of its node in the order of specificity.
-func (t *Table) insert(index int, p *Pattern) error {
+func (t *Table) insert(patternIndex int, p *Pattern) error {
 	if key, reason := p.validate(); reason != "" {
-		return &PatternError{index, key, reason}
+		return &PatternError{patternIndex, key, reason}
 	}
-	end, prefix, parameters := t.hostNode(p.Host).insertPath(p.Path)
-	t.parameters[index] = parameters
-	added := entry{index: index, methods: slices.Clone(p.Methods), headers: slices.Clone(p.Headers)}
+	end, isPrefix, parameterSegments := t.hostNode(p.Host).insertPath(p.Path)
+	t.parameters[patternIndex] = parameterSegments
+	added := entry{patternIndex: patternIndex, methods: slices.Clone(p.Methods), headers: slices.Clone(p.Headers)}
 	for _, h := range added.headers {
 		if h.Value != "" {
-			added.valuedHeaders++
+			added.exactValueHeaders++
 		}
 	}
 	entries := &end.exactEntries
-	if prefix {
+	if isPrefix {
 		entries = &end.prefixEntries
 	}
 	position := len(*entries)
@@ -68,7 +68,7 @@
 		case added.moreSpecificThan(other):
 			position = min(position, i)
 		case !other.moreSpecificThan(&added) && added.overlaps(other):
-			return &ConflictError{other.index, index}
+			return &ConflictError{other.patternIndex, patternIndex}
 		}
 	}
 	*entries = slices.Insert(*entries, position, added)
@@ -96,30 +96,30 @@
 
 // insertPath returns the node at the end of a pattern's path, and creates the nodes that do not exist. It also reports
 // whether the path is a prefix, and returns the index of each parameter's segment.
-func (n *node) insertPath(path string) (end *node, prefix bool, parameters map[string]int) {
+func (n *node) insertPath(path string) (end *node, isPrefix bool, parameterSegments map[string]int) {
 	if path == "" {
 		return n, true, nil
 	}
-	path, prefix = strings.CutSuffix(path, "/*")
-	if prefix && path == "" {
+	path, isPrefix = strings.CutSuffix(path, "/*")
+	if isPrefix && path == "" {
 		return n, true, nil
 	}
-	for position, segment := range strings.Split(path[1:], "/") {
+	for segmentIndex, segment := range strings.Split(path[1:], "/") {
 		name, ok := parameterName(segment)
 		if !ok {
 			n = n.literalChild(segment)
 			continue
 		}
-		if parameters == nil {
-			parameters = map[string]int{}
+		if parameterSegments == nil {
+			parameterSegments = map[string]int{}
 		}
-		parameters[name] = position
+		parameterSegments[name] = segmentIndex
 		if n.parameter == nil {
 			n.parameter = &node{}
 		}
 		n = n.parameter
 	}
-	return n, prefix, parameters
+	return n, isPrefix, parameterSegments
 }
 
 // literalChild returns the child of a literal segment, and creates it if it does not exist.
@@ -135,8 +135,8 @@
 
 // moreSpecificThan reports whether an entry is more specific than another one of the same host and path.
 func (e *entry) moreSpecificThan(other *entry) bool {
-	if e.valuedHeaders != other.valuedHeaders {
-		return e.valuedHeaders > other.valuedHeaders
+	if e.exactValueHeaders != other.exactValueHeaders {
+		return e.exactValueHeaders > other.exactValueHeaders
 	}
 	if len(e.headers) != len(other.headers) {
 		return len(e.headers) > len(other.headers)
@@ -151,8 +151,8 @@
 		return false
 	}
 	for _, h := range e.headers {
-		for _, o := range other.headers {
-			if h.Name == o.Name && h.Value != "" && o.Value != "" && h.Value != o.Value {
+		for _, otherHeader := range other.headers {
+			if h.Name == otherHeader.Name && h.Value != "" && otherHeader.Value != "" && h.Value != otherHeader.Value {
 				return false
 			}
 		}
@@ -162,7 +162,7 @@
 
 // ParameterIndex returns the index, from 0, of a parameter's segment in a pattern's path, by which Segment returns its
 // value in a request's path. ok is false if the pattern has no such parameter.
-func (t *Table) ParameterIndex(index int, name string) (position int, ok bool) {
-	position, ok = t.parameters[index][name]
-	return position, ok
+func (t *Table) ParameterIndex(patternIndex int, name string) (segmentIndex int, ok bool) {
+	segmentIndex, ok = t.parameters[patternIndex][name]
+	return segmentIndex, ok
 }
--- a/internal/decide/zones/router.go
+++ b/internal/decide/zones/router.go
@@ -58,22 +58,22 @@
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	t := &Router{settings: s, rand: hash64.Source(s.Seed), zones: make([]zone, s.Zones)}
+	router := &Router{settings: s, rand: hash64.Source(s.Seed), zones: make([]zone, s.Zones)}
 	for _, weight := range s.ClassWeights {
-		t.classRanks = append(t.classRanks, classRank(s.ClassWeights, weight))
+		router.classRanks = append(router.classRanks, classRank(s.ClassWeights, weight))
 	}
-	for i := range t.zones {
+	for i := range router.zones {
 		limiter, err := newZoneLimiter(&s, i)
 		if err != nil {
 			return nil, err
 		}
-		z := &t.zones[i]
+		z := &router.zones[i]
 		z.limiter = limiter
 		z.nextDownTime = s.MinDownTime
 		z.readyEndpoints = 1
 		z.spillFactor = initialSpillFactor
 	}
-	return t, nil
+	return router, nil
 }
 
 // classRank returns the part of the classes with a priority weight higher than weight.
@@ -98,86 +98,86 @@
 )
 
 // newZoneLimiter returns the limiter of requests in flight to a zone.
-func newZoneLimiter(s *Settings, zone int) (*concurrency.Limiter, error) {
+func newZoneLimiter(s *Settings, zoneIndex int) (*concurrency.Limiter, error) {
 	return concurrency.New(concurrency.Settings{
 		Classes:         len(s.ClassWeights),
 		Min:             s.MinInFlight,
 		Max:             s.MaxInFlight,
 		Initial:         min(s.MaxInFlight, max(s.MinInFlight, initialFleetLimit/s.Instances)),
-		Seed:            s.Seed + uint64(zone),
+		Seed:            s.Seed + uint64(zoneIndex),
 		GrowThreshold:   growThreshold,
 		ShrinkThreshold: shrinkThreshold,
 	})
 }
 
 // Choose decides which zone a request goes to, or that it is rejected. A request with a required zone goes there
-// unless it is down. Another one goes to its first zone if that admits it (admitsOwn), and otherwise spills to the
+// unless it is down. Another one goes to its first zone if that admits it (admitsHomeRequest), and otherwise spills to the
 // first of the next zones that is up and has spare capacity for it (admitsSpill), within MaxSpillFraction of its
 // first zone's requests a second. If there is no other zone that is up, it goes to its first zone unless that is
 // down: the balancer then decides what is sent.
 //
 // The caller has the balancer pick an endpoint within the zone, and calls OnAttemptSent for each attempt that it sends
 // there, retries included.
-func (t *Router) Choose(now monotime.Micros, r Request) Decision {
+func (router *Router) Choose(now monotime.Micros, r Request) Decision {
 	if r.RequiredZone >= 0 {
-		return t.chooseRequired(now, r.RequiredZone)
+		return router.chooseRequired(now, r.RequiredZone)
 	}
-	preferences := t.settings.ZonePreferences[r.Group]
-	home := &t.zones[preferences[0]]
-	home.requests.add(now)
-	t.updateState(now, home)
-	if t.admitsOwn(home) {
+	preferences := router.settings.ZonePreferences[r.Group]
+	homeZone := &router.zones[preferences[0]]
+	homeZone.homeRequests.add(now)
+	router.updateState(now, homeZone)
+	if router.admitsHomeRequest(homeZone) {
 		return Decision{Zone: preferences[0]}
 	}
-	spillLimit := t.settings.MaxSpillFraction * home.requests.rate(now)
-	if home.spilled.rate(now) >= spillLimit && len(preferences) > 1 {
-		return t.reject(SpillLimitReached)
+	maxSpillRate := router.settings.MaxSpillFraction * homeZone.homeRequests.rate(now)
+	if homeZone.spilledRequests.rate(now) >= maxSpillRate && len(preferences) > 1 {
+		return router.reject(SpillLimitReached)
 	}
 	reason := NoZoneUp
-	for _, number := range preferences[1:] {
-		z := &t.zones[number]
-		t.updateState(now, z)
+	for _, zoneIndex := range preferences[1:] {
+		z := &router.zones[zoneIndex]
+		router.updateState(now, z)
 		if z.state != Up {
 			continue
 		}
-		if t.admitsSpill(z, r) {
-			home.spilled.add(now)
-			return Decision{Zone: number, Spill: true}
+		if router.admitsSpill(z, r) {
+			homeZone.spilledRequests.add(now)
+			return Decision{Zone: zoneIndex, Spill: true}
 		}
 		reason = NoSpareCapacity
 	}
-	if reason == NoZoneUp && home.state != Down {
+	if reason == NoZoneUp && homeZone.state != Down {
 		return Decision{Zone: preferences[0]}
 	}
-	return t.reject(reason)
+	return router.reject(reason)
 }
 
 // chooseRequired decides on a request that may go to one zone only.
-func (t *Router) chooseRequired(now monotime.Micros, number int) Decision {
-	t.updateState(now, &t.zones[number])
-	if t.zones[number].state == Down {
+func (router *Router) chooseRequired(now monotime.Micros, zoneIndex int) Decision {
+	router.updateState(now, &router.zones[zoneIndex])
+	if router.zones[zoneIndex].state == Down {
 		return Decision{Zone: -1, Reason: RequiredZoneDown}
 	}
-	return Decision{Zone: number}
+	return Decision{Zone: zoneIndex}
 }
 
 // meanRetryAfter is the mean Retry-After of a request that is rejected.
 const meanRetryAfter = second / 2
 
 // reject returns the decision to reject a request.
-func (t *Router) reject(reason Reason) Decision {
-	return Decision{Zone: -1, Reason: reason, RetryAfter: t.jittered(meanRetryAfter)}
+func (router *Router) reject(reason Reason) Decision {
+	return Decision{Zone: -1, Reason: reason, RetryAfter: router.jittered(meanRetryAfter)}
 }
 
-// ownOverLimit is the multiple of a zone's learned limit up to which its own requests are in flight before they
+// maxOwnLoadFactor is the multiple of a zone's learned limit up to which its own requests are in flight before they
 // spill. They may wait for one another a little: the learned limit also shrinks when spill fills the zone, and the
 // spill must give way first.
-const ownOverLimit = 3.0
+const maxOwnLoadFactor = 3.0
 
-// admitsOwn decides whether a zone takes one more of its own requests: up to ownOverLimit times its learned limit of
+// admitsHomeRequest decides whether a zone takes one more of its own requests: up to maxOwnLoadFactor times its learned limit of
 // requests in flight if it is up; none if it is down. While it recovers it takes its share of them, evenly, and never
 // has more in flight than that share of the limit.
-func (t *Router) admitsOwn(z *zone) bool {
+func (router *Router) admitsHomeRequest(z *zone) bool {
 	switch z.state {
 	case Down:
 		return false
@@ -190,12 +190,12 @@
 		z.recoveryCredit--
 		return true
 	}
-	return float64(z.inFlight) < ownOverLimit*float64(z.limiter.Limit())
+	return float64(z.inFlight) < maxOwnLoadFactor*float64(z.limiter.Limit())
 }
 
 // OnAttemptSent takes in an attempt that was sent to a zone. Retries count as first attempts do.
-func (t *Router) OnAttemptSent(now monotime.Micros, number int, spill bool) {
-	z := &t.zones[number]
+func (router *Router) OnAttemptSent(now monotime.Micros, zoneIndex int, spill bool) {
+	z := &router.zones[zoneIndex]
 	z.inFlight++
 	if spill {
 		z.spillInFlight++
@@ -217,8 +217,8 @@
 }
 
 // OnAttemptEnded takes in how an attempt ended.
-func (t *Router) OnAttemptEnded(now monotime.Micros, number int, o Outcome) {
-	z := &t.zones[number]
+func (router *Router) OnAttemptEnded(now monotime.Micros, zoneIndex int, o Outcome) {
+	z := &router.zones[zoneIndex]
 	z.inFlight--
 	if o.Spill {
 		z.spillInFlight--
@@ -240,16 +240,16 @@
 	if o.InTime {
 		z.outcomes.inTime++
 	}
-	t.updateState(now, z)
+	router.updateState(now, z)
 }
 
 // InFlight returns how many attempts are in flight in a zone.
-func (t *Router) InFlight(number int) int { return t.zones[number].inFlight }
+func (router *Router) InFlight(zoneIndex int) int { return router.zones[zoneIndex].inFlight }
 
 // jitter is the greatest part of a duration that is added or subtracted at random.
-const jitter = 0.25
+const maxJitterFraction = 0.25
 
 // jittered returns a random duration around d, so that instances with the same evidence do not act at once.
-func (t *Router) jittered(d monotime.Micros) monotime.Micros {
-	return monotime.Micros(float64(d) * (1 + jitter*(2*t.rand.Float64()-1)))
+func (router *Router) jittered(d monotime.Micros) monotime.Micros {
+	return monotime.Micros(float64(d) * (1 + maxJitterFraction*(2*router.rand.Float64()-1)))
 }
--- a/internal/decide/zones/spill.go
+++ b/internal/decide/zones/spill.go
@@ -13,18 +13,18 @@
 // MaxSpareFraction of the learned limit that its own requests leave, less what is reserved for classes with a higher
 // priority weight, times spillFactor. Requests over their tenant's quota rank behind all classes. Less than one
 // request is a chance for one.
-func (t *Router) admitsSpill(z *zone, r Request) bool {
-	free := math.Max(0, float64(z.limiter.Limit()-(z.inFlight-z.spillInFlight)))
-	spare := t.settings.MaxSpareFraction * free
-	rank := t.classRanks[r.Class]
+func (router *Router) admitsSpill(z *zone, r Request) bool {
+	freeCapacity := math.Max(0, float64(z.limiter.Limit()-(z.inFlight-z.spillInFlight)))
+	spillLimit := router.settings.MaxSpareFraction * freeCapacity
+	rank := router.classRanks[r.Class]
 	if r.OverQuota {
 		rank = 1
 	}
-	spare *= (1 - reservedFraction*rank) * z.spillFactor
-	if spare < 1 {
-		return z.spillInFlight == 0 && t.rand.Float64() < spare
+	spillLimit *= (1 - reservedFraction*rank) * z.spillFactor
+	if spillLimit < 1 {
+		return z.spillInFlight == 0 && router.rand.Float64() < spillLimit
 	}
-	return float64(z.spillInFlight) < spare
+	return float64(z.spillInFlight) < spillLimit
 }
 
 const (
--- a/internal/decide/zones/state.go
+++ b/internal/decide/zones/state.go
@@ -34,15 +34,15 @@
 	spillInTime      int
 	spillOutcomes    int
 
-	recoveryShare  float64         // while Recovering: part of its requests that it gets, 0 to 1
-	recoveryCredit float64         // requests of that share that it has not got yet
-	until          monotime.Micros // earliest end of Down, or of the present step of Recovering
-	nextDownTime   monotime.Micros // mean time for which it stays down the next time
-	upSince        monotime.Micros
-
-	requests rateMeter // requests whose first zone it is
-	spilled  rateMeter // those of them that went to other zones
-	outcomes outcomeWindow
+	recoveryShare    float64         // while Recovering: part of its requests that it gets, 0 to 1
+	recoveryCredit   float64         // requests of that share that it has not got yet
+	nextTransitionAt monotime.Micros // earliest end of Down, or of the present step of Recovering
+	nextDownTime     monotime.Micros // mean time for which it stays down the next time
+	upSince          monotime.Micros
+
+	homeRequests    rateMeter // requests whose first zone it is
+	spilledRequests rateMeter // those of them that went to other zones
+	outcomes        outcomeWindow
 }
 
 // outcomeWindow counts the outcomes of recent attempts.
@@ -54,18 +54,18 @@
 }
 
 // SetReadyEndpoints sets the number of a zone's endpoints that are ready. A zone without any goes down.
-func (t *Router) SetReadyEndpoints(now monotime.Micros, number, ready int) {
-	z := &t.zones[number]
+func (router *Router) SetReadyEndpoints(now monotime.Micros, zoneIndex, ready int) {
+	z := &router.zones[zoneIndex]
 	z.readyEndpoints = ready
 	if ready == 0 && z.state != Down {
-		t.markDown(now, z)
+		router.markDown(now, z)
 	}
 }
 
 // ZoneState returns a zone's state, the part of its requests that it gets, 0 to 1, and its learned limit of requests in
 // flight.
-func (t *Router) ZoneState(number int) (state State, share float64, limit int) {
-	z := &t.zones[number]
+func (router *Router) ZoneState(zoneIndex int) (state State, share float64, limit int) {
+	z := &router.zones[zoneIndex]
 	switch z.state {
 	case Down:
 		return Down, 0, 0
@@ -77,19 +77,19 @@
 
 const (
 	downTimeFactor = 2           // on the down time, each time the zone goes down
-	flapMemory     = 30 * second // time for which a zone must be up until MinDownTime holds again
+	flapResetTime  = 30 * second // time for which a zone must be up until MinDownTime holds again
 )
 
 // markDown takes a zone down, for nextDownTime on average. That is doubled each time, up to MaxDownTime.
-func (t *Router) markDown(now monotime.Micros, z *zone) {
-	if z.state == Up && now-z.upSince > flapMemory {
-		z.nextDownTime = t.settings.MinDownTime
+func (router *Router) markDown(now monotime.Micros, z *zone) {
+	if z.state == Up && now-z.upSince > flapResetTime {
+		z.nextDownTime = router.settings.MinDownTime
 	}
 	z.state = Down
 	z.recoveryShare = 0
 	z.recoveryCredit = 0
-	z.until = now + t.jittered(z.nextDownTime)
-	z.nextDownTime = min(downTimeFactor*z.nextDownTime, t.settings.MaxDownTime)
+	z.nextTransitionAt = now + router.jittered(z.nextDownTime)
+	z.nextDownTime = min(downTimeFactor*z.nextDownTime, router.settings.MaxDownTime)
 	z.outcomes = outcomeWindow{start: now}
 }
 
@@ -103,40 +103,40 @@
 // updateState decides on a zone's state at an instant. A zone that is cut off goes down, whatever endpoints discovery
 // lists. A zone that is down recovers once its down time is over and an endpoint is ready. For the others see
 // updateRecovering and updateUp.
-func (t *Router) updateState(now monotime.Micros, z *zone) {
+func (router *Router) updateState(now monotime.Micros, z *zone) {
 	outcomes := &z.outcomes
 	if z.state != Down && outcomes.silentSince > 0 && now-outcomes.silentSince > silenceTimeout {
-		t.markDown(now, z)
+		router.markDown(now, z)
 		return
 	}
 	switch z.state {
 	case Down:
-		if now >= z.until && z.readyEndpoints > 0 {
+		if now >= z.nextTransitionAt && z.readyEndpoints > 0 {
 			z.state = Recovering
-			z.recoveryShare = t.settings.InitialRecoveryShare
-			z.until = now + t.jittered(t.settings.RecoveryStep)
+			z.recoveryShare = router.settings.InitialRecoveryShare
+			z.nextTransitionAt = now + router.jittered(router.settings.RecoveryStep)
 			*outcomes = outcomeWindow{start: now}
 		}
 	case Recovering:
-		t.updateRecovering(now, z)
+		router.updateRecovering(now, z)
 	case Up:
-		t.updateUp(now, z)
+		router.updateUp(now, z)
 	}
 }
 
 const (
 	windowDuration    = second / 2         // duration of the window of a zone that is up
-	minJudgedTime     = windowDuration / 2 // age of the window from which on it can take the zone down
+	minWindowAge      = windowDuration / 2 // age of the window from which on it can take the zone down
 	minWindowOutcomes = 8                  // outcomes by which a zone is judged, or its spill
 	downThreshold     = 0.3                // part of the outcomes in time up to which a zone goes down
 )
 
 // updateUp decides whether a zone that is up goes down: by the part of its outcomes in time within a window.
-func (t *Router) updateUp(now monotime.Micros, z *zone) {
+func (router *Router) updateUp(now monotime.Micros, z *zone) {
 	outcomes := &z.outcomes
-	failing := float64(outcomes.inTime) <= downThreshold*float64(outcomes.total)
-	if outcomes.conclusive() && failing && now-outcomes.start >= minJudgedTime {
-		t.markDown(now, z)
+	mostlyLate := float64(outcomes.inTime) <= downThreshold*float64(outcomes.total)
+	if outcomes.conclusive() && mostlyLate && now-outcomes.start >= minWindowAge {
+		router.markDown(now, z)
 		return
 	}
 	if now-outcomes.start >= windowDuration {
@@ -158,17 +158,17 @@
 // updateRecovering decides on the next step of a recovery, by the part of the outcomes in time in the present one:
 // the zone goes down, gets a lower share of its requests, or a higher one once the step is over. With the whole share
 // it is up. A step without any answer goes on.
-func (t *Router) updateRecovering(now monotime.Micros, z *zone) {
+func (router *Router) updateRecovering(now monotime.Micros, z *zone) {
 	outcomes := &z.outcomes
 	inTimeFraction := float64(outcomes.inTime) / float64(max(1, outcomes.total))
-	stepOver := now >= z.until
+	stepOver := now >= z.nextTransitionAt
 	switch {
 	case outcomes.conclusive() && inTimeFraction <= downThreshold:
-		t.markDown(now, z)
+		router.markDown(now, z)
 	case outcomes.total > 0 && inTimeFraction < recoverThreshold && (outcomes.conclusive() || stepOver):
-		minShare := t.settings.InitialRecoveryShare / recoveryDecreaseDivisor
+		minShare := router.settings.InitialRecoveryShare / recoveryDecreaseDivisor
 		z.recoveryShare = max(minShare, z.recoveryShare/recoveryDecreaseDivisor)
-		z.until = now + t.jittered(t.settings.RecoveryStep)
+		z.nextTransitionAt = now + router.jittered(router.settings.RecoveryStep)
 		*outcomes = outcomeWindow{start: now}
 	case stepOver && outcomes.total > 0:
 		z.recoveryShare *= recoveryGrowth
@@ -176,7 +176,7 @@
 			z.state = Up
 			z.upSince = now
 		}
-		z.until = now + t.jittered(t.settings.RecoveryStep)
+		z.nextTransitionAt = now + router.jittered(router.settings.RecoveryStep)
 		*outcomes = outcomeWindow{start: now, silentSince: outcomes.silentSince}
 	}
 }
--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -33,84 +33,84 @@
 
 // simulation is three zones of servers and some instances that send to them, in simulated time.
 type simulation struct {
-	now     monotime.Micros
-	events  events
-	order   int
-	rng     *rand.Rand
-	zones   [3]*servers
-	routers []*Router
-
-	requests, served, rejected [3]int // by home zone, since the last count
-	spilled                    [3]int // spilled requests by the zone that got them, since the last count
-	late                       [3]int // requests by zone that it did not answer within the objective
+	clock      monotime.Micros
+	events     eventQueue
+	eventCount int
+	rng        *rand.Rand
+	zones      [3]*zoneServers
+	routers    []*Router
+
+	requests, servedInTime, rejected [3]int // by home zone, since the last count
+	spilled                          [3]int // spilled requests by the zone that got them, since the last count
+	notInTime                        [3]int // requests by zone that it did not answer within the objective
 }
 
 // servers are a zone's cores and their queue.
-type servers struct {
-	cores        int
-	busy         int
-	queue        []*attempt
-	stopped      bool
-	mute         bool
-	warmingSince monotime.Micros // 0 is long ago
-	slow         float64
+type zoneServers struct {
+	cores          int
+	busy           int
+	queue          []*sentAttempt
+	stopped        bool
+	unresponsive   bool
+	warmupStart    monotime.Micros // 0 is long ago
+	slowdownFactor float64
 }
 
-type attempt struct {
-	router     *Router
-	home, zone int
-	class      int
-	spill      bool
-	sentAt     monotime.Micros
-	inFlight   int
-	ended      bool
+type sentAttempt struct {
+	router           *Router
+	homeZone, zone   int
+	class            int
+	spill            bool
+	sentAt           monotime.Micros
+	inFlightWhenSent int
+	ended            bool
 }
 
-type event struct {
-	at    monotime.Micros
-	order int
-	do    func()
+type simEvent struct {
+	at       monotime.Micros
+	sequence int
+	action   func()
 }
-type events []event
+type eventQueue []simEvent
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	x := (*e)[len(*e)-1]
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(simEvent)) }
+func (e *eventQueue) Pop() any {
+	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
-	return x
+	return last
 }
 
-func (w *simulation) after(d monotime.Micros, do func()) {
-	w.order++
-	heap.Push(&w.events, event{w.now + d, w.order, do})
+func (sim *simulation) schedule(delay monotime.Micros, action func()) {
+	sim.eventCount++
+	heap.Push(&sim.events, simEvent{sim.clock + delay, sim.eventCount, action})
 }
 
-func (w *simulation) runUntil(at monotime.Micros) {
-	for len(w.events) > 0 && w.events[0].at <= at {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
-		e.do()
+func (sim *simulation) runUntil(at monotime.Micros) {
+	for len(sim.events) > 0 && sim.events[0].at <= at {
+		e := heap.Pop(&sim.events).(simEvent)
+		sim.clock = e.at
+		e.action()
 	}
-	w.now = at
+	sim.clock = at
 }
 
 const (
-	serviceTime   = 10 * ms
-	objective     = 100 * ms
-	clientTimeout = 300 * ms
-	warmupTime    = 10 * second
+	serviceTime      = 10 * ms
+	latencyObjective = 100 * ms
+	clientTimeout    = 300 * ms
+	warmupTime       = 10 * second
 )
 
 func newSimulation(tb testing.TB, instances, cores int, rate float64) *simulation {
 	tb.Helper()
-	w := &simulation{rng: rand.New(rand.NewPCG(1, uint64(instances)))}
-	for i := range w.zones {
-		w.zones[i] = &servers{cores: cores, slow: 1}
+	sim := &simulation{rng: rand.New(rand.NewPCG(1, uint64(instances)))}
+	for i := range sim.zones {
+		sim.zones[i] = &zoneServers{cores: cores, slowdownFactor: 1}
 	}
 	for i := range instances {
 		s := testSettings(instances)
@@ -119,163 +119,164 @@
 		if err != nil {
 			tb.Fatal(err)
 		}
-		w.routers = append(w.routers, router)
+		sim.routers = append(sim.routers, router)
 		home := i % 3
-		each := rate / float64(instances/3)
+		ratePerInstance := rate / float64(instances/3)
 		var arrive func()
 		arrive = func() {
-			w.request(router, home)
-			w.after(monotime.Micros(w.rng.ExpFloat64()/each*float64(second))+1, arrive)
+			sim.sendRequest(router, home)
+			sim.schedule(monotime.Micros(sim.rng.ExpFloat64()/ratePerInstance*float64(second))+1, arrive)
 		}
-		w.after(monotime.Micros(w.rng.Float64()*float64(second)), arrive)
+		sim.schedule(monotime.Micros(sim.rng.Float64()*float64(second)), arrive)
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) request(router *Router, home int) {
+func (sim *simulation) sendRequest(router *Router, home int) {
 	class := 0
-	if w.rng.IntN(5) == 0 {
+	if sim.rng.IntN(5) == 0 {
 		class = 1
 	}
-	w.requests[home]++
-	a := router.Choose(w.now, Request{Group: home, Class: class, RequiredZone: -1})
-	if a.Zone < 0 {
-		w.rejected[home]++
+	sim.requests[home]++
+	decision := router.Choose(sim.clock, Request{Group: home, Class: class, RequiredZone: -1})
+	if decision.Zone < 0 {
+		sim.rejected[home]++
 		return
 	}
-	router.OnAttemptSent(w.now, a.Zone, a.Spill)
-	if a.Spill {
-		w.spilled[a.Zone]++
+	router.OnAttemptSent(sim.clock, decision.Zone, decision.Spill)
+	if decision.Spill {
+		sim.spilled[decision.Zone]++
 	}
-	x := &attempt{
-		router:   router,
-		home:     home,
-		zone:     a.Zone,
-		class:    class,
-		spill:    a.Spill,
-		sentAt:   w.now,
-		inFlight: router.InFlight(a.Zone),
+	sent := &sentAttempt{
+		router:           router,
+		homeZone:         home,
+		zone:             decision.Zone,
+		class:            class,
+		spill:            decision.Spill,
+		sentAt:           sim.clock,
+		inFlightWhenSent: router.InFlight(decision.Zone),
 	}
-	z := w.zones[a.Zone]
+	servers := sim.zones[decision.Zone]
 	switch {
-	case z.stopped:
-		w.after(ms, func() { w.done(x, false) })
+	case servers.stopped:
+		sim.schedule(ms, func() { sim.endAttempt(sent, false) })
 		return
-	case z.mute:
-	case z.busy < z.cores:
-		w.serve(z, x)
+	case servers.unresponsive:
+	case servers.busy < servers.cores:
+		sim.serve(servers, sent)
 	default:
-		z.queue = append(z.queue, x)
+		servers.queue = append(servers.queue, sent)
 	}
-	w.after(clientTimeout, func() { w.done(x, false) })
+	sim.schedule(clientTimeout, func() { sim.endAttempt(sent, false) })
 }
 
-func (w *simulation) serve(z *servers, x *attempt) {
-	z.busy++
-	took := float64(serviceTime) * (0.7 + 0.6*w.rng.Float64()) * z.slow
-	if z.warmingSince > 0 {
-		took /= min(1, 0.2+0.8*float64(w.now-z.warmingSince)/float64(warmupTime))
+func (sim *simulation) serve(servers *zoneServers, sent *sentAttempt) {
+	servers.busy++
+	duration := float64(serviceTime) * (0.7 + 0.6*sim.rng.Float64()) * servers.slowdownFactor
+	if servers.warmupStart > 0 {
+		duration /= min(1, 0.2+0.8*float64(sim.clock-servers.warmupStart)/float64(warmupTime))
 	}
-	w.after(monotime.Micros(took), func() {
-		z.busy--
-		if !z.stopped {
-			w.done(x, true)
+	sim.schedule(monotime.Micros(duration), func() {
+		servers.busy--
+		if !servers.stopped {
+			sim.endAttempt(sent, true)
 		}
-		for len(z.queue) > 0 && z.busy < z.cores {
-			next := z.queue[0]
-			z.queue = z.queue[1:]
+		for len(servers.queue) > 0 && servers.busy < servers.cores {
+			next := servers.queue[0]
+			servers.queue = servers.queue[1:]
 			if !next.ended {
-				w.serve(z, next)
+				sim.serve(servers, next)
 			}
 		}
 	})
 }
 
-func (w *simulation) done(x *attempt, served bool) {
-	if x.ended {
+func (sim *simulation) endAttempt(sent *sentAttempt, served bool) {
+	if sent.ended {
 		return
 	}
-	x.ended = true
-	took := w.now - x.sentAt
-	good := served && took <= objective
-	if good {
-		w.served[x.home]++
+	sent.ended = true
+	duration := sim.clock - sent.sentAt
+	inTime := served && duration <= latencyObjective
+	if inTime {
+		sim.servedInTime[sent.homeZone]++
 	} else {
-		w.late[x.zone]++
+		sim.notInTime[sent.zone]++
 	}
-	x.router.OnAttemptEnded(w.now, x.zone, Outcome{
-		Class:    x.class,
-		Spill:    x.spill,
-		Duration: took,
-		InFlight: x.inFlight,
+	sent.router.OnAttemptEnded(sim.clock, sent.zone, Outcome{
+		Class:    sent.class,
+		Spill:    sent.spill,
+		Duration: duration,
+		InFlight: sent.inFlightWhenSent,
 		Served:   served,
-		InTime:   good,
+		InTime:   inTime,
 	})
 }
 
 // stopZone stops a zone: requests there are lost, and connections fail. Discovery reports it after a delay.
-func (w *simulation) stopZone(number int, discoveryDelay monotime.Micros) {
-	z := w.zones[number]
-	z.stopped = true
-	z.queue = nil
-	w.after(discoveryDelay, func() {
-		if z.stopped {
-			w.setReady(number, 0)
+func (sim *simulation) stopZone(zoneIndex int, discoveryDelay monotime.Micros) {
+	servers := sim.zones[zoneIndex]
+	servers.stopped = true
+	servers.queue = nil
+	sim.schedule(discoveryDelay, func() {
+		if servers.stopped {
+			sim.setReady(zoneIndex, 0)
 		}
 	})
 }
 
-func (w *simulation) restartZone(number int) {
-	z := w.zones[number]
-	z.stopped = false
-	z.mute = false
-	z.warmingSince = w.now
-	w.setReady(number, z.cores)
+func (sim *simulation) restartZone(zoneIndex int) {
+	servers := sim.zones[zoneIndex]
+	servers.stopped = false
+	servers.unresponsive = false
+	servers.warmupStart = sim.clock
+	sim.setReady(zoneIndex, servers.cores)
 }
 
-func (w *simulation) setReady(number, ready int) {
-	for _, router := range w.routers {
-		router.SetReadyEndpoints(w.now, number, ready)
+func (sim *simulation) setReady(zoneIndex, ready int) {
+	for _, router := range sim.routers {
+		router.SetReadyEndpoints(sim.clock, zoneIndex, ready)
 	}
 }
 
-// takeCounts returns which part of the requests was served in time, by home zone, since the last call.
-func (w *simulation) takeCounts() (part [3]float64, all float64) {
-	good, requests := 0, 0
-	for i := range part {
-		part[i] = float64(w.served[i]) / float64(max(1, w.requests[i]))
-		good += w.served[i]
-		requests += w.requests[i]
+// takeInTimeFractions returns which part of the requests was served in time, by home zone, since the last call.
+func (sim *simulation) takeInTimeFractions() (inTimeFractions [3]float64, overall float64) {
+	inTime, requests := 0, 0
+	for i := range inTimeFractions {
+		inTimeFractions[i] = float64(sim.servedInTime[i]) / float64(max(1, sim.requests[i]))
+		inTime += sim.servedInTime[i]
+		requests += sim.requests[i]
 	}
-	for _, counts := range []*[3]int{&w.requests, &w.served, &w.rejected, &w.spilled, &w.late} {
+	for _, counts := range []*[3]int{&sim.requests, &sim.servedInTime, &sim.rejected, &sim.spilled, &sim.notInTime} {
 		*counts = [3]int{}
 	}
-	return part, float64(good) / float64(max(1, requests))
+	return inTimeFractions, float64(inTime) / float64(max(1, requests))
 }
 
 const (
-	outageCores = 12    // of each zone
-	outageRate  = 750.0 // requests a second of each zone's clients, of 1,200 that it can serve
+	coresPerZone       = 12    // of each zone
+	requestRatePerZone = 750.0 // requests a second of each zone's clients, of 1,200 that it can serve
 )
 
 // checkOutage runs ten seconds in which zone 0 is down, and checks that the others serve all that they can, their own
 // clients as before, and that the spill does not oscillate.
-func (w *simulation) checkOutage(t *testing.T) {
+func (sim *simulation) checkOutage(t *testing.T) {
 	t.Helper()
 	minSpill := 1e9
 	maxSpill := 0.0
-	for s := range 10 {
-		w.runUntil(monotime.Micros(43+s) * second)
-		spilled := float64(w.spilled[1] + w.spilled[2])
+	for elapsedSeconds := range 10 {
+		sim.runUntil(monotime.Micros(43+elapsedSeconds) * second)
+		spilled := float64(sim.spilled[1] + sim.spilled[2])
 		minSpill = min(minSpill, spilled)
 		maxSpill = max(maxSpill, spilled)
-		part, all := w.takeCounts()
-		if part[1] < 0.95 || part[2] < 0.95 {
-			t.Errorf("second %d: the others' own clients %.3f", 43+s, part)
+		inTimeFractions, overall := sim.takeInTimeFractions()
+		if inTimeFractions[1] < 0.95 || inTimeFractions[2] < 0.95 {
+			t.Errorf("second %d: the others' own clients %.3f", 43+elapsedSeconds, inTimeFractions)
 		}
 		// 2,400 can be served of 2,250; 0.8 of the spare 900 is 720.
-		if want := 0.95 * (2*outageRate + 0.8*900*outageRate/900) / (3 * outageRate); all < want*0.95 {
-			t.Errorf("second %d: %.3f in all, want %.3f", 43+s, all, want)
+		if want := 0.95 * (2*requestRatePerZone + 0.8*900*requestRatePerZone/900) /
+			(3 * requestRatePerZone); overall < want*0.95 {
+			t.Errorf("second %d: %.3f in all, want %.3f", 43+elapsedSeconds, overall, want)
 		}
 	}
 	if maxSpill > 1.25*minSpill {
@@ -286,16 +287,17 @@
 
 // checkRecovery runs the thirty seconds after zone 0 has restarted, and checks that it is never sent more than it can
 // answer in time, and that the others' clients are served.
-func (w *simulation) checkRecovery(t *testing.T) {
+func (sim *simulation) checkRecovery(t *testing.T) {
 	t.Helper()
-	for half := range 60 {
-		w.runUntil(52*second + monotime.Micros(half+1)*second/2)
-		if sent := w.served[0] + w.late[0]; w.late[0] > 5 && w.late[0] > sent/10 {
-			t.Errorf("%.1f s after its restart %d of %d were not answered in time", float64(half+1)/2, w.late[0], sent)
+	for halfSeconds := range 60 {
+		sim.runUntil(52*second + monotime.Micros(halfSeconds+1)*second/2)
+		if sent := sim.servedInTime[0] + sim.notInTime[0]; sim.notInTime[0] > 5 && sim.notInTime[0] > sent/10 {
+			t.Errorf("%.1f s after its restart %d of %d were not answered in time",
+				float64(halfSeconds+1)/2, sim.notInTime[0], sent)
 		}
-		part, _ := w.takeCounts()
-		if part[1] < 0.9 || part[2] < 0.9 {
-			t.Errorf("%.1f s after its restart the others' clients %.3f", float64(half+1)/2, part)
+		inTimeFractions, _ := sim.takeInTimeFractions()
+		if inTimeFractions[1] < 0.9 || inTimeFractions[2] < 0.9 {
+			t.Errorf("%.1f s after its restart the others' clients %.3f", float64(halfSeconds+1)/2, inTimeFractions)
 		}
 	}
 }
@@ -305,28 +307,29 @@
 func TestZoneOutageAndRecovery(t *testing.T) {
 	for _, instances := range []int{3, 30, 300} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
-			w := newSimulation(t, instances, outageCores, outageRate)
-			w.runUntil(20 * second)
-			w.takeCounts()
-			w.runUntil(30 * second)
-			if part, all := w.takeCounts(); all < 0.99 {
-				t.Errorf("before the outage: %.3f, %.3f", all, part)
+			sim := newSimulation(t, instances, coresPerZone, requestRatePerZone)
+			sim.runUntil(20 * second)
+			sim.takeInTimeFractions()
+			sim.runUntil(30 * second)
+			if inTimeFractions, overall := sim.takeInTimeFractions(); overall < 0.99 {
+				t.Errorf("before the outage: %.3f, %.3f", overall, inTimeFractions)
 			}
-			w.stopZone(0, 2*second)
-			w.runUntil(42 * second) // until it is stable
-			w.takeCounts()
-			w.checkOutage(t)
-			w.restartZone(0)
-			w.takeCounts()
-			w.checkRecovery(t)
-			w.runUntil(100 * second)
-			w.takeCounts()
-			w.runUntil(110 * second)
-			if part, all := w.takeCounts(); all < 0.99 || w.spilled[1]+w.spilled[2] > 0 && part[0] < 0.98 {
-				t.Errorf("long after: %.3f, %.3f", all, part)
+			sim.stopZone(0, 2*second)
+			sim.runUntil(42 * second) // until it is stable
+			sim.takeInTimeFractions()
+			sim.checkOutage(t)
+			sim.restartZone(0)
+			sim.takeInTimeFractions()
+			sim.checkRecovery(t)
+			sim.runUntil(100 * second)
+			sim.takeInTimeFractions()
+			sim.runUntil(110 * second)
+			if inTimeFractions, overall := sim.takeInTimeFractions(); overall < 0.99 ||
+				sim.spilled[1]+sim.spilled[2] > 0 && inTimeFractions[0] < 0.98 {
+				t.Errorf("long after: %.3f, %.3f", overall, inTimeFractions)
 			}
-			if s, _, _ := w.routers[0].ZoneState(0); s != Up {
-				t.Errorf("the zone is %v", s)
+			if state, _, _ := sim.routers[0].ZoneState(0); state != Up {
+				t.Errorf("the zone is %v", state)
 			}
 		})
 	}
@@ -335,33 +338,34 @@
 // A zone that does not answer, whatever discovery lists, goes down; one without endpoints does so at once; with no zone
 // up requests are rejected at once, and all are served again afterwards.
 func TestZoneGoesDownWithoutAnswersOrEndpoints(t *testing.T) {
-	w := newSimulation(t, 3, 12, 600)
-	w.runUntil(10 * second)
-	w.zones[0].mute = true
-	w.runUntil(13 * second)
-	if s, share, _ := w.routers[0].ZoneState(0); s == Up || share > testSettings(1).InitialRecoveryShare {
-		t.Errorf("a zone that is cut off is %v, with %v of its requests", s, share)
-	}
-	w.setReady(0, 0)
-	w.setReady(1, 0)
-	w.setReady(2, 0)
-	for i, router := range w.routers {
-		a := router.Choose(w.now, Request{Group: i, RequiredZone: -1})
-		if a.Zone >= 0 || a.Reason != NoZoneUp || a.RetryAfter <= 0 {
-			t.Errorf("with no zone: %+v", a)
+	sim := newSimulation(t, 3, 12, 600)
+	sim.runUntil(10 * second)
+	sim.zones[0].unresponsive = true
+	sim.runUntil(13 * second)
+	if state, share, _ := sim.routers[0].ZoneState(0); state == Up || share > testSettings(1).InitialRecoveryShare {
+		t.Errorf("a zone that is cut off is %v, with %v of its requests", state, share)
+	}
+	sim.setReady(0, 0)
+	sim.setReady(1, 0)
+	sim.setReady(2, 0)
+	for i, router := range sim.routers {
+		decision := router.Choose(sim.clock, Request{Group: i, RequiredZone: -1})
+		if decision.Zone >= 0 || decision.Reason != NoZoneUp || decision.RetryAfter <= 0 {
+			t.Errorf("with no zone: %+v", decision)
 		}
 	}
-	if a := w.routers[0].Choose(w.now, Request{RequiredZone: 2}); a.Zone >= 0 || a.Reason != RequiredZoneDown {
-		t.Errorf("required zone is down: %+v", a)
+	if decision := sim.routers[0].Choose(sim.clock, Request{RequiredZone: 2}); decision.Zone >= 0 ||
+		decision.Reason != RequiredZoneDown {
+		t.Errorf("required zone is down: %+v", decision)
 	}
-	w.setReady(1, 12)
-	w.setReady(2, 12)
-	w.restartZone(0)
-	w.runUntil(60 * second)
-	w.takeCounts()
-	w.runUntil(70 * second)
-	if part, all := w.takeCounts(); all < 0.99 {
-		t.Errorf("afterwards: %.3f, %.3f", all, part)
+	sim.setReady(1, 12)
+	sim.setReady(2, 12)
+	sim.restartZone(0)
+	sim.runUntil(60 * second)
+	sim.takeInTimeFractions()
+	sim.runUntil(70 * second)
+	if inTimeFractions, overall := sim.takeInTimeFractions(); overall < 0.99 {
+		t.Errorf("afterwards: %.3f, %.3f", overall, inTimeFractions)
 	}
 }
 
@@ -372,7 +376,7 @@
 		t.Fatal(err)
 	}
 	now := monotime.Micros(0)
-	last := monotime.Micros(0)
+	lastDownTime := monotime.Micros(0)
 	for i := range 4 {
 		router.SetReadyEndpoints(now, 0, 0)
 		router.SetReadyEndpoints(now, 0, 5)
@@ -380,14 +384,14 @@
 		for {
 			now += 10 * ms
 			router.Choose(now, Request{RequiredZone: -1})
-			if s, _, _ := router.ZoneState(0); s == Recovering {
+			if state, _, _ := router.ZoneState(0); state == Recovering {
 				break
 			}
 		}
-		if downTime := now - downAt; i > 0 && downTime < last*5/4 {
-			t.Errorf("flap %d: down for %d ms after %d", i, downTime/ms, last/ms)
+		if downTime := now - downAt; i > 0 && downTime < lastDownTime*5/4 {
+			t.Errorf("flap %d: down for %d ms after %d", i, downTime/ms, lastDownTime/ms)
 		} else {
-			last = downTime
+			lastDownTime = downTime
 		}
 	}
 }
@@ -413,14 +417,14 @@
 func checkNothingInFlight(t *rapid.T, router *Router) {
 	t.Helper()
 	for i := range router.zones {
-		if z := &router.zones[i]; z.inFlight != 0 || z.spillInFlight != 0 {
-			t.Fatalf("zone %d has %d in flight, %d spilled", i, z.inFlight, z.spillInFlight)
+		if zone := &router.zones[i]; zone.inFlight != 0 || zone.spillInFlight != 0 {
+			t.Fatalf("zone %d has %d in flight, %d spilled", i, zone.inFlight, zone.spillInFlight)
 		}
 	}
 }
 
-// sentAttempt is an attempt that has not ended.
-type sentAttempt struct {
+// openAttempt is an attempt that has not ended.
+type openAttempt struct {
 	zone  int
 	spill bool
 }
@@ -437,50 +441,50 @@
 			t.Fatal(err)
 		}
 		rng := rand.New(rand.NewPCG(s.Seed, 9))
-		var inFlight []sentAttempt
+		var inFlight []openAttempt
 		now := monotime.Micros(0)
 		for range 3000 {
 			now += monotime.Micros(rng.IntN(3000))
-			switch k := rng.IntN(20); {
-			case k == 0:
+			switch action := rng.IntN(20); {
+			case action == 0:
 				router.SetReadyEndpoints(now, rng.IntN(3), rng.IntN(2)*5)
-			case k < 11:
+			case action < 11:
 				r := Request{
 					Group:        rng.IntN(3),
 					Class:        rng.IntN(2),
 					OverQuota:    rng.IntN(4) == 0,
 					RequiredZone: max(-1, rng.IntN(8)-5),
 				}
-				a := router.Choose(now, r)
-				checkDecision(t, &s, r, a)
-				if a.Zone < 0 {
+				decision := router.Choose(now, r)
+				checkDecision(t, &s, r, decision)
+				if decision.Zone < 0 {
 					continue
 				}
-				router.OnAttemptSent(now, a.Zone, a.Spill)
-				z := &router.zones[a.Zone]
-				maxSpill := max(1, s.MaxSpareFraction*float64(z.limiter.Limit())+1)
-				if a.Spill && float64(z.spillInFlight) > maxSpill {
-					t.Fatalf("%d spilled in flight of %d", z.spillInFlight, z.limiter.Limit())
+				router.OnAttemptSent(now, decision.Zone, decision.Spill)
+				zone := &router.zones[decision.Zone]
+				maxSpill := max(1, s.MaxSpareFraction*float64(zone.limiter.Limit())+1)
+				if decision.Spill && float64(zone.spillInFlight) > maxSpill {
+					t.Fatalf("%d spilled in flight of %d", zone.spillInFlight, zone.limiter.Limit())
 				}
-				inFlight = append(inFlight, sentAttempt{a.Zone, a.Spill})
+				inFlight = append(inFlight, openAttempt{decision.Zone, decision.Spill})
 			case len(inFlight) > 0:
 				i := rng.IntN(len(inFlight))
-				f := inFlight[i]
+				open := inFlight[i]
 				inFlight = append(inFlight[:i], inFlight[i+1:]...)
-				took := monotime.Micros(rng.IntN(200)) * ms
-				router.OnAttemptEnded(now, f.zone, Outcome{
+				duration := monotime.Micros(rng.IntN(200)) * ms
+				router.OnAttemptEnded(now, open.zone, Outcome{
 					Class:        rng.IntN(2),
-					Spill:        f.spill,
-					Duration:     took,
+					Spill:        open.spill,
+					Duration:     duration,
 					InFlight:     1 + rng.IntN(5),
 					Served:       rng.IntN(4) > 0,
-					InTime:       took < objective,
+					InTime:       duration < latencyObjective,
 					Inconclusive: rng.IntN(10) == 0,
 				})
 			}
 		}
-		for _, f := range inFlight {
-			router.OnAttemptEnded(now, f.zone, Outcome{Spill: f.spill, Inconclusive: true})
+		for _, open := range inFlight {
+			router.OnAttemptEnded(now, open.zone, Outcome{Spill: open.spill, Inconclusive: true})
 		}
 		checkNothingInFlight(t, router)
 	})
@@ -519,11 +523,11 @@
 	for range minSilentInFlight {
 		router.OnAttemptSent(second, 0, false)
 	}
-	if a := router.Choose(second+silenceTimeout/2, Request{RequiredZone: -1}); a.Zone != 0 {
-		t.Errorf("silent for a moment: %+v", a)
+	if decision := router.Choose(second+silenceTimeout/2, Request{RequiredZone: -1}); decision.Zone != 0 {
+		t.Errorf("silent for a moment: %+v", decision)
 	}
-	if a := router.Choose(second+silenceTimeout+ms, Request{RequiredZone: -1}); a.Zone == 0 {
-		t.Errorf("silent for long: %+v", a)
+	if decision := router.Choose(second+silenceTimeout+ms, Request{RequiredZone: -1}); decision.Zone == 0 {
+		t.Errorf("silent for long: %+v", decision)
 	}
 }
 
@@ -536,15 +540,17 @@
 	now := monotime.Micros(0)
 	router.SetReadyEndpoints(now, 0, 0)
 	router.SetReadyEndpoints(now, 0, 4)
-	run := func(d monotime.Micros, good func(i int) bool) (maxShare float64) {
-		n := 0
+	run := func(d monotime.Micros, inTime func(i int) bool) (maxShare float64) {
+		sentCount := 0
 		for end := now + d; now < end; now += 2 * ms {
-			if a := router.Choose(now, Request{RequiredZone: -1}); a.Zone == 0 {
+			if decision := router.Choose(now, Request{RequiredZone: -1}); decision.Zone == 0 {
 				router.OnAttemptSent(now, 0, false)
-				n++
-				router.OnAttemptEnded(now+ms, 0, Outcome{Duration: ms, InFlight: 1, Served: true, InTime: good(n)})
+				sentCount++
+				router.OnAttemptEnded(now+ms, 0, Outcome{
+					Duration: ms, InFlight: 1, Served: true, InTime: inTime(sentCount),
+				})
 			}
-			if s, share, _ := router.ZoneState(0); s != Down {
+			if state, share, _ := router.ZoneState(0); state != Down {
 				maxShare = max(maxShare, share)
 			}
 		}
@@ -555,7 +561,7 @@
 		t.Errorf("half healthy it got %v of its requests", maxShare)
 	}
 	run(30*second, func(int) bool { return true })
-	if s, _, _ := router.ZoneState(0); s != Up {
-		t.Errorf("once healthy it is %v", s)
+	if state, _, _ := router.ZoneState(0); state != Up {
+		t.Errorf("once healthy it is %v", state)
 	}
 }
