--- a/internal/decide/maintenance/capacity.go
+++ b/internal/decide/maintenance/capacity.go
@@ -6,42 +6,47 @@
 	"slices"
 )
 
-// This file decides by the fleet's status whether another machine may be drained, and whether one is recalled.
+// This file decides from the fleet's status whether another machine may be drained, and whether a machine is
+// recalled.
 
-// index returns a machine's index in Machines, or -1.
+// machineIndex returns the index in Machines of the machine with a name, or -1 if there is none.
 func (f *FleetStatus) machineIndex(name string) int {
 	return slices.IndexFunc(f.Machines, func(m MachineStatus) bool { return m.Name == name })
 }
 
-// Equal reports whether two statuses are the same, machine by machine.
+// Equal reports whether two statuses have the same usage and the same machines in the same order.
 func (f *FleetStatus) Equal(other FleetStatus) bool {
 	return f.Usage == other.Usage && f.PeakUsage == other.PeakUsage && slices.Equal(f.Machines, other.Machines)
 }
 
-// demand returns the capacity that the machines in service must have: the present or the expected usage, if higher.
+// demand returns the capacity that the machines in service must have: the larger of present and expected peak usage.
 func (f *FleetStatus) demand() float64 { return max(f.Usage, f.PeakUsage) }
 
-// isHealthy reports whether the fleet's status has a machine as healthy.
+// isHealthy reports whether a machine is listed as healthy in the fleet's status.
 func (state *State) isHealthy(name string) bool {
 	i := state.Fleet.machineIndex(name)
 	return i >= 0 && state.Fleet.Machines[i].Healthy
 }
 
-// isOut reports whether a machine counts as out: it is drained or beyond by the plan, or it is unhealthy.
+// isOut reports whether a machine counts as out: it is unhealthy, or it has reached phase Draining or a later one.
 func (state *State) isOut(machineStatus *MachineStatus) bool {
 	planned := state.Machines[machineStatus.Name]
 	return !machineStatus.Healthy || planned != nil && planned.Phase >= Draining
 }
 
-// outage is the machines out of service, and the capacity in service, without one machine that may be drained.
+// outage counts the machines that are out and the capacity in service, without the candidate: the machine that
+// might be drained next.
 type outage struct {
-	totalOut, outInZone, outInCell, outOfKind int // machines out
-	healthyInCell                             int // machines in service in the machine's cell
-	remainingCapacity                         float64
-	aloneInCell                               bool // no other machine is in its cell
+	// Numbers of machines that are out: in all, and in the zone, in the cell and of the kind of the candidate.
+	totalOut, outInZone, outInCell, outOfKind int
+
+	healthyInCell     int // number of machines in service in the candidate's cell
+	remainingCapacity float64
+	aloneInCell       bool // no other machine is in the candidate's cell
 }
 
-// outageWithout returns the outage without the i-th machine, counted by that machine's zone, cell and kind.
+// outageWithout returns the outage of all machines except the candidate, which is given by its index in
+// Fleet.Machines.
 func (state *State) outageWithout(candidateIndex int) (others outage) {
 	others.aloneInCell = true
 	candidate := &state.Fleet.Machines[candidateIndex]
@@ -57,7 +62,7 @@
 	return others
 }
 
-// count adds another machine to an outage.
+// addMachine adds a machine other than the candidate to the outage.
 func (o *outage) addMachine(candidate, counted *MachineStatus, out bool) {
 	if !out {
 		o.remainingCapacity += counted.Capacity
@@ -78,9 +83,9 @@
 	}
 }
 
-// drainBlockReason returns why a machine must not be drained now; empty if it may be. The reasons are, in this order: a
-// hold, a machine that is not in the fleet's status, a lost zone, and the bounds of exceededBound. The texts are
-// replicated, and stay as they are.
+// drainBlockReason returns why a machine must not be drained now; empty if it may be. It checks, in this order,
+// for a hold, for a machine that is not in the fleet's status, for a lost zone, and for the bounds of
+// exceededBound. The texts are replicated and must not change.
 func (state *State) drainBlockReason(m *Machine) string {
 	i := state.Fleet.machineIndex(m.Name)
 	switch {
@@ -97,8 +102,9 @@
 	return state.exceededBound(&state.Fleet.Machines[i], state.outageWithout(i))
 }
 
-// exceededBound returns which bound of the settings a machine's drain would break, given the machines that are out;
-// empty if none. After a drain the capacity in service, less Settings.Headroom, must cover the fleet's demand.
+// exceededBound describes the bound that the candidate's drain would exceed, given the outage of the other
+// machines; empty if there is none. After the drain the capacity in service, less Settings.Headroom, must cover
+// the fleet's demand.
 func (state *State) exceededBound(candidate *MachineStatus, others outage) string {
 	s := &state.settings
 	usableCapacity := others.remainingCapacity * (1 - s.Headroom)
@@ -120,9 +126,9 @@
 	return ""
 }
 
-// lostZone returns the first zone, by name, of which more than half of the machines are unhealthy without being
-// drained; empty if there is none. While a zone is lost, its machines' capacity is needed elsewhere: nothing is
-// drained.
+// lostZone returns the first zone by name in which more than half of the machines are unhealthy although the
+// plan has not drained them; empty if there is none. While a zone is lost no machine is drained, since the
+// other zones need their capacity to replace that of the lost zone.
 func (state *State) lostZone() string {
 	machineCount := map[string]int{}
 	unplannedOut := map[string]int{}
@@ -142,8 +148,8 @@
 	return ""
 }
 
-// updateRecalls recalls machines while the capacity in service is too small (recallReason): a draining machine
-// goes back into service, and one under maintenance is marked as needed back, until the reason no longer holds.
+// updateRecalls recalls machines while there is a recallReason: a draining machine goes back into service, and
+// a machine under maintenance is marked as needed back until the reason no longer applies.
 func (state *State) updateRecalls() {
 	reason := state.recallReason()
 	for _, name := range slices.Sorted(maps.Keys(state.Machines)) {
@@ -162,9 +168,9 @@
 	}
 }
 
-// recallReason returns why capacity that is out is needed back; empty if it is not: a zone is lost, or the capacity in
-// service is less than the fleet's demand. Settings.Headroom does not count here, so that a drain that was just allowed
-// is not undone by a small rise of the demand.
+// recallReason returns why the capacity of machines that are out is needed back: a zone is lost, or the capacity in
+// service is less than the fleet's demand. It is empty if the capacity is not needed. Settings.Headroom is not
+// subtracted here, so that a small increase in demand does not undo a drain that was just allowed.
 func (state *State) recallReason() string {
 	if zone := state.lostZone(); zone != "" {
 		return "more than half of zone " + zone + " is out unplanned"
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -8,31 +8,31 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Coordinator is the leader's record of each instance's progress in applying the plan. Each term of leadership has its
-// own, created with NewCoordinator; it is not stored.
+// Coordinator is the leader's record of each instance's progress in applying the plan. The leader creates a new
+// one with NewCoordinator in each term; it is not stored.
 type Coordinator struct {
 	settings  Settings
-	termStart monotime.Micros // start of the term
+	termStart monotime.Micros // start of the leader's term
 	instances map[Instance]*instanceProgress
 }
 
-// instanceProgress is a process's progress, by its latest report.
+// instanceProgress is the progress of one process in applying the plan, from its latest report.
 type instanceProgress struct {
-	sequence    uint64          // of the report
-	planVersion uint64          // of the plan that it applies
-	inFlight    map[string]int  // requests in flight, by excluded machine
-	leaseEnd    monotime.Micros // when its lease has expired by any clock
-	reportedAt  monotime.Micros
+	sequence    uint64          // sequence number of the report
+	planVersion uint64          // version of the plan that the process applies
+	inFlight    map[string]int  // number of requests in flight, by excluded machine
+	leaseEnd    monotime.Micros // time at which its lease has expired on every clock
+	reportedAt  monotime.Micros // time at which the report was received
 }
 
-// NewCoordinator returns the coordinator of an instance that leads from now on. The leases that earlier leaders granted
-// are unknown; each expires within one lease's duration.
+// NewCoordinator returns the coordinator of an instance that becomes leader at now. The leases that earlier leaders
+// granted are unknown to it; each expires within Settings.LeaseDuration.
 func NewCoordinator(now monotime.Micros, s Settings) *Coordinator {
 	return &Coordinator{settings: s, termStart: now, instances: map[Instance]*instanceProgress{}}
 }
 
-// RecordReport records an instance's report. It reports whether the report is newer than the last one of the same
-// process; an older one is ignored.
+// RecordReport records an instance's report. It returns false, and ignores the report, if it is not newer than
+// the last report of the same process.
 func (c *Coordinator) RecordReport(now monotime.Micros, name string, report Report) bool {
 	instance := Instance{Name: name, Incarnation: report.Incarnation}
 	progress := c.instances[instance]
@@ -50,12 +50,12 @@
 	return true
 }
 
-// earlierLeasesEnd returns when all leases of earlier leaders have expired by any clock.
+// earlierLeasesEnd returns the time at which all leases that earlier leaders granted have expired on every clock.
 func (c *Coordinator) earlierLeasesEnd() monotime.Micros {
 	return c.termStart + c.settings.withDrift(c.settings.LeaseDuration)
 }
 
-// Grant returns the reply to a report that was recorded, and records the lease in it.
+// Grant returns the reply to a report for which RecordReport returned true, and records the lease that it grants.
 func (c *Coordinator) Grant(now monotime.Micros, name string, report Report, plan Plan) PlanGrant {
 	progress := c.instances[Instance{Name: name, Incarnation: report.Incarnation}]
 	progress.leaseEnd = max(progress.leaseEnd, now+c.settings.withDrift(c.settings.LeaseDuration))
@@ -67,15 +67,16 @@
 	}
 }
 
-// Progress is the machines that may enter their next phase, by the instances' reports. The leader puts it into the log.
+// Progress lists the machines that may enter their next phase according to the instances' reports. The leader appends
+// it to the log.
 type Progress struct {
-	Acknowledged []string          // machines that all instances have a plan with, as announced
-	Drained      []string          // machines to which no instance sends, with nothing in flight there
-	WaitReasons  map[string]string // by machine: why it may not enter its next phase; empty if it may
+	Acknowledged []string          // machines that the plan of every instance lists as announced
+	Drained      []string          // machines without requests in flight, to which no instance sends
+	WaitReasons  map[string]string // why a machine may not enter its next phase, by machine; empty if it may
 }
 
-// Progress returns the machines of a state that may enter their next phase, sorted by name, and what the others wait
-// for.
+// Progress returns the announced and draining machines that may enter their next phase, sorted by name, and the
+// reasons why the others must wait.
 func (c *Coordinator) Progress(now monotime.Micros, state *State) Progress {
 	progress := Progress{WaitReasons: map[string]string{}}
 	for _, name := range slices.Sorted(maps.Keys(state.Machines)) {
@@ -96,7 +97,8 @@
 	return progress
 }
 
-// acknowledgmentWaitReason returns which instance may not have a plan that lists a machine as announced; empty if none.
+// acknowledgmentWaitReason names an instance that may not have a plan that lists the machine as announced; empty if
+// there is none.
 func (c *Coordinator) acknowledgmentWaitReason(state *State, m *Machine) string {
 	for _, name := range slices.Sorted(maps.Keys(state.Instances)) {
 		progress := c.instances[Instance{Name: name, Incarnation: state.Instances[name]}]
@@ -107,8 +109,9 @@
 	return ""
 }
 
-// drainWaitReason returns which instance may still send to a draining machine or have requests in flight there; empty if
-// none. An instance whose lease and grace time are over does neither, since its plan lists the machine as announced.
+// drainWaitReason names an instance that may still send to a draining machine or have requests in flight there;
+// empty if there is none. An instance whose lease and grace time are over does neither, since its plan lists
+// the machine as announced.
 func (c *Coordinator) drainWaitReason(now monotime.Micros, state *State, m *Machine) string {
 	if !c.gracePeriodOver(now, c.earlierLeasesEnd()) {
 		return "who led before may have told a process that is not heard yet"
@@ -126,7 +129,8 @@
 	return c.predecessorWaitReason(now, state)
 }
 
-// predecessorWaitReason returns which instance's earlier process may still have requests in flight; empty if none.
+// predecessorWaitReason names an instance whose earlier process may still have requests in flight; empty if there is
+// none.
 func (c *Coordinator) predecessorWaitReason(now monotime.Micros, state *State) string {
 	for _, instance := range c.sortedInstances() {
 		isCurrent := state.Instances[instance.Name] == instance.Incarnation
@@ -137,20 +141,20 @@
 	return ""
 }
 
-// ended reports whether the grace time after a lease has passed by any clock.
+// gracePeriodOver reports whether Settings.InFlightGrace has passed on every clock since a lease ended.
 func (c *Coordinator) gracePeriodOver(now, leaseEnd monotime.Micros) bool {
 	return now >= leaseEnd+c.settings.withDrift(c.settings.InFlightGrace)
 }
 
-// sortedInstances returns all processes that have reported in this term, by name and incarnation.
+// sortedInstances returns all processes that have reported in this term, sorted by name and incarnation.
 func (c *Coordinator) sortedInstances() []Instance {
 	return slices.SortedFunc(maps.Keys(c.instances), func(a, b Instance) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 }
 
-// SilentInstances returns the instances that have sent no report for a time, sorted by name. They prevent machines from
-// being acknowledged: such a process may have ended, or be cut off.
+// SilentInstances returns the instances that have sent no report for at least timeout, sorted by name. Such a
+// process may have ended or may be cut off. It keeps announced machines from being acknowledged.
 func (c *Coordinator) SilentInstances(now monotime.Micros, state *State, timeout monotime.Micros) []Instance {
 	var silent []Instance
 	for _, name := range slices.Sorted(maps.Keys(state.Instances)) {
--- a/internal/decide/maintenance/encoding_test.go
+++ b/internal/decide/maintenance/encoding_test.go
@@ -15,11 +15,11 @@
 	"dunlinsail/internal/monotime"
 )
 
-// The files under testdata/encoded and testdata/replay were written by the build of commit 870f4ac, before these
-// structures had tags. They have the form of raft logs on disk and of messages of voters of that build, and must never
-// be rewritten.
+// The files under testdata/encoded and testdata/replay were written by the build of commit 870f4ac, before the
+// types of this package had JSON tags. They have the format of that build's raft logs on disk and of its
+// messages between voters, and must never be rewritten.
 
-// encoded returns an empty value of each type of this package that is stored or sent.
+// emptyEncodedValues returns an empty value of each type that is stored or sent, by the name of its golden files.
 func emptyEncodedValues() map[string]any {
 	return map[string]any{
 		"state":   &State{},
@@ -29,8 +29,8 @@
 	}
 }
 
-// A stored or sent structure is encoded to the same bytes as by the build before its fields had tags, and each field is
-// decoded from those bytes.
+// TestEncodedFormIsThatOfTheBuildBefore verifies that each stored or sent type is encoded to the same bytes as by the
+// build before its fields had JSON tags, and that every field is decoded from these bytes.
 func TestEncodedFormIsThatOfTheBuildBefore(t *testing.T) {
 	for name, emptyValue := range emptyEncodedValues() {
 		for _, variant := range []string{"empty", "filled"} {
@@ -45,8 +45,8 @@
 	}
 }
 
-// A log of the earlier build leads to that build's state, byte for byte, also when the state is stored and restored
-// after each entry.
+// TestLogOfTheBuildBeforeGivesItsState verifies that a log written by the earlier build leads to the same state as in
+// that build, byte for byte, also if the state is stored and restored after each entry.
 func TestLogOfTheBuildBeforeGivesItsState(t *testing.T) {
 	want := golden.ReadLine(t, "replay", "state.json")
 	direct, err := NewState(replaySettings)
@@ -89,7 +89,7 @@
 	}
 }
 
-// replaySettings are the settings with which the stored log was applied.
+// replaySettings are the settings with which the earlier build applied the log in testdata/replay.
 var replaySettings = Settings{
 	MaxOut: 2, MaxOutPerZone: 1, MaxOutPerCell: 1, MaxAnnounced: 4, Headroom: 0.1,
 	LeaseDuration: monotime.Second, InFlightGrace: monotime.Second, Warmup: 2 * monotime.Second,
--- a/internal/decide/maintenance/follower.go
+++ b/internal/decide/maintenance/follower.go
@@ -6,45 +6,45 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Report is an instance's progress in applying the plan, and its request for the next grant.
+// Report is the message in which an instance reports its progress in applying the plan, and requests the next grant.
 type Report struct {
 	Incarnation uint64         `json:"Life"`
-	Sequence    uint64         `json:"Number"`  // increases with each report of a process, from 1
-	PlanVersion uint64         `json:"Version"` // of the plan that the instance applies; 0 is none yet
-	InFlight    map[string]int `json:"Open"`    // requests in flight, by excluded machine
+	Sequence    uint64         `json:"Number"`  // sequence number of the report, from 1 for a process's first report
+	PlanVersion uint64         `json:"Version"` // version of the plan that the instance applies; 0 if it has none yet
+	InFlight    map[string]int `json:"Open"`    // number of requests in flight, by excluded machine
 }
 
-// PlanGrant is the leader's reply to a Report: the plan, under a lease that starts when the report was sent.
+// PlanGrant is the leader's reply to a Report: the plan, with a lease that starts at the time the report was sent.
 type PlanGrant struct {
-	Incarnation   uint64          `json:"Life"`   // of the report
-	Sequence      uint64          `json:"Number"` // of the report
+	Incarnation   uint64          `json:"Life"`   // incarnation from the report
+	Sequence      uint64          `json:"Number"` // sequence number from the report
 	Plan          Plan            `json:"Order"`
 	LeaseDuration monotime.Micros `json:"Lease"`
 }
 
-// trackedReports is the number of latest reports whose time of sending is known: a grant for an older one is
-// dropped.
+// trackedReports is the number of latest reports whose sending times a Follower remembers. A grant for an older
+// report is dropped.
 const trackedReports = 8
 
-// Follower is the plan that one instance has to apply, and its lease. Create one with NewFollower.
+// Follower holds the plan that one instance has to apply, and the plan's lease. Create one with NewFollower.
 type Follower struct {
 	settings     Settings
 	incarnation  uint64
 	plan         Plan
 	hasPlan      bool
 	leaseEnd     monotime.Micros
-	sentReports  [trackedReports]sentReport // by sequence, as a ring
+	sentReports  [trackedReports]sentReport // ring buffer, indexed by the sequence number
 	lastSequence uint64
 }
 
-// sentReport is the time at which a report was sent.
+// sentReport records the time at which a report was sent.
 type sentReport struct {
 	sequence uint64
 	sentAt   monotime.Micros
 }
 
-// NewFollower returns the follower of a process that has received no plan yet, or a *setting.Error. Until HasPlan it
-// must send nothing to any machine.
+// NewFollower returns the follower of a process that has received no plan yet, or a *setting.Error. The process
+// must send no request to any machine until HasPlan returns true.
 func NewFollower(s Settings, incarnation uint64) (*Follower, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -52,18 +52,18 @@
 	return &Follower{settings: s, incarnation: incarnation}, nil
 }
 
-// HasPlan reports whether it has ever received a plan, or inherited one.
+// HasPlan reports whether the follower has received a plan from a leader or inherited one from a predecessor.
 func (f *Follower) HasPlan() bool { return f.hasPlan }
 
-// Inherit sets the plan of the predecessor in a hot restart, and the end of the predecessor's lease.
+// Inherit sets the plan and the end of the lease that the successor takes over from its predecessor in a hot restart.
 func (f *Follower) Inherit(plan Plan, leaseEnd monotime.Micros) {
 	f.plan = plan
 	f.hasPlan = true
 	f.leaseEnd = leaseEnd
 }
 
-// NextReport returns the next report, which the caller must send at now. inFlight returns the number of requests that
-// are in flight at a machine.
+// NextReport returns the next report, which the caller must send at once, since the lease starts at now.
+// inFlight returns the number of requests that are in flight at a machine.
 func (f *Follower) NextReport(now monotime.Micros, inFlight func(machine string) int) Report {
 	f.lastSequence++
 	*f.sentReportSlot(f.lastSequence) = sentReport{sequence: f.lastSequence, sentAt: now}
@@ -79,13 +79,13 @@
 	return report
 }
 
-// sentReportSlot returns the place of a report in the ring.
+// sentReportSlot returns the slot of a report in the ring buffer.
 func (f *Follower) sentReportSlot(sequence uint64) *sentReport {
 	return &f.sentReports[sequence%trackedReports]
 }
 
-// ApplyGrant applies a grant, and reports whether the plan or ExcludedMachines may have changed. It drops grants that
-// are late, duplicated, for another process, or of an older plan than the present one.
+// ApplyGrant applies a grant, and reports whether the plan or ExcludedMachines may have changed. It drops a
+// grant that is late, a duplicate, addressed to another process, or has an older plan than the present one.
 func (f *Follower) ApplyGrant(now monotime.Micros, grant PlanGrant) (changed bool) {
 	report := *f.sentReportSlot(grant.Sequence)
 	if grant.Incarnation != f.incarnation || report.sequence != grant.Sequence || grant.Sequence == 0 {
@@ -103,8 +103,8 @@
 	return changed
 }
 
-// ExcludedMachines returns the machines to which nothing new may be sent at now. After the end of the lease these
-// include the announced machines, since a newer plan may exclude them.
+// ExcludedMachines returns the machines to which no new request may be sent at now. After the end of the lease they
+// include the announced machines, since a newer plan may exclude these.
 func (f *Follower) ExcludedMachines(now monotime.Micros) []string {
 	excluded := slices.Clone(f.plan.Excluded)
 	if now >= f.leaseEnd {
@@ -114,14 +114,14 @@
 	return excluded
 }
 
-// MustEndInFlight reports whether the lease expired at least Settings.InFlightGrace ago, so that requests in flight at
-// excluded machines must be ended.
+// MustEndInFlight reports whether requests in flight at excluded machines must be ended, because the lease expired at
+// least Settings.InFlightGrace ago.
 func (f *Follower) MustEndInFlight(now monotime.Micros) bool {
 	return f.hasPlan && now >= f.leaseEnd+f.settings.InFlightGrace
 }
 
-// CurrentPlan returns the plan that was applied last, the end of its lease, and the instant at which the requests in
-// flight at its machines must be ended if the lease is not renewed.
+// CurrentPlan returns the plan that was applied last, the end of its lease, and the time at which the requests
+// in flight at the plan's machines must be ended if the lease is not renewed.
 func (f *Follower) CurrentPlan() (plan Plan, leaseEnd, inFlightEnd monotime.Micros) {
 	return f.plan, f.leaseEnd, f.leaseEnd + f.settings.InFlightGrace
 }
--- a/internal/decide/maintenance/requests.go
+++ b/internal/decide/maintenance/requests.go
@@ -7,17 +7,18 @@
 	"strings"
 )
 
-// This file applies operators' commands. An error is the reply to an operator whose command has no effect; all replicas
-// return the same.
+// This file applies operators' commands. An error is the reply to an operator whose command has no effect. All
+// replicas must return the same replies and errors, so the texts must not change.
 
 var errIncompleteRequest = errors.New("an id, a machine and a time are needed")
 
-// unknownRequest returns the error of a command for a request that does not exist. Its text predates the term request.
+// unknownRequest returns the error for a command that names a request that does not exist. The text is older than the
+// term request.
 func unknownRequest(id string) error { return fmt.Errorf("no job is named %q", id) }
 
-// addRequest adds a request and its machines to the plan. If a request of the same id exists, only that one's
-// description is returned. It fails if a field is missing, or if a machine is not in the fleet's status, where
-// that is known.
+// addRequest adds a request and its machines to the plan, and returns its description. If a request with the
+// same ID exists, it adds nothing and returns the description of the existing one. It fails if a required field
+// is missing, or if the fleet's status is known and does not list one of the machines.
 func (state *State) addRequest(request Request) (reply string, err error) {
 	if request.ID == "" || len(request.Machines) == 0 || request.Duration <= 0 {
 		return "", errIncompleteRequest
@@ -43,8 +44,8 @@
 	return state.describe(&request), nil
 }
 
-// requireMachine adds a request to those that need a machine out. One that is under maintenance stays so for at least
-// the request's duration; one that is returning starts anew.
+// requireMachine adds a request to the requests that need a machine out. If the machine is under maintenance, its due
+// time is extended to cover the request's duration. If it is returning, it goes back to phase Requested.
 func (state *State) requireMachine(name string, request *Request) {
 	m := state.Machines[name]
 	switch {
@@ -61,7 +62,7 @@
 	}
 }
 
-// describe returns the phase of each of a request's machines, and what blocks it.
+// describe returns a text with the phase of each machine of a request, and the reason why the machine waits, if any.
 func (state *State) describe(request *Request) string {
 	var parts []string
 	for _, name := range request.Machines {
@@ -78,8 +79,8 @@
 	return strings.Join(parts, "; ")
 }
 
-// cancelRequest withdraws a request: machines under maintenance return, and those that were not drained stay in
-// service.
+// cancelRequest removes a request from the plan. Machines that no other request needs return if they are under
+// maintenance, and otherwise stay in service.
 func (state *State) cancelRequest(id string) (reply string, err error) {
 	request := state.Requests[id]
 	if request == nil {
@@ -93,7 +94,8 @@
 	return "cancelled", nil
 }
 
-// completeRequest releases one machine of a request, or all, and removes the request once it needs no machine.
+// completeRequest releases the completed machine of a request, or all its machines, and removes the request once it
+// needs no machine any more.
 func (state *State) completeRequest(c Completion) (reply string, err error) {
 	request := state.Requests[c.Request]
 	if request == nil {
@@ -116,14 +118,14 @@
 	return reply, nil
 }
 
-// needs reports whether a request still needs a machine out.
+// requestNeeds reports whether a request still needs a machine to be out.
 func (state *State) requestNeeds(requestID, name string) bool {
 	m := state.Machines[name]
 	return m != nil && slices.Contains(m.Requests, requestID)
 }
 
-// releaseMachine removes a request from those that need a machine out. Without any left, a machine under maintenance
-// returns, and any other is removed from the plan.
+// releaseMachine removes a request from the requests that need a machine out. If no other request needs the
+// machine, it returns if it is under maintenance, and is removed from the plan otherwise.
 func (state *State) releaseMachine(name, requestID string) {
 	if !state.requestNeeds(requestID, name) {
 		return
@@ -136,7 +138,7 @@
 		state.setPhase(m, Returning)
 		state.recordEvent("%s returns, cold", name)
 	case m.Phase == Draining:
-		// No work on the machine has begun: it needs no warm-up.
+		// Work on the machine has not started, so it needs no warm-up.
 		state.PlanVersion++
 		delete(state.Machines, name)
 		state.recordEvent("%s stays in", name)
@@ -148,7 +150,7 @@
 	}
 }
 
-// setHold starts or ends a hold of one request, or of all.
+// setHold starts or ends a hold on one request, or on all requests.
 func (state *State) setHold(h Hold) (reply string, err error) {
 	if h.Request == "" {
 		state.OnHold = h.On
--- a/internal/decide/maintenance/schedule.go
+++ b/internal/decide/maintenance/schedule.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// This file decides which machine enters its next phase, and in which order.
+// This file decides which machines enter their next phase, and in which order.
 
-// advance makes all phase changes that have become due or possible: machines that are out first, then recalls, since
-// both change what may be announced and drained.
+// advance makes all phase changes that are due or possible. Machines that are out and recalls come first, since they
+// change how many machines may be announced and drained.
 func (state *State) advance() {
 	for _, name := range slices.Sorted(maps.Keys(state.Machines)) {
 		state.advanceMachine(state.Machines[name])
@@ -21,8 +21,8 @@
 	state.drain(queue)
 }
 
-// advanceMachine marks a machine under maintenance as overdue, or removes one from the plan that has returned, is warmed up
-// and healthy.
+// advanceMachine marks a machine under maintenance as overdue after its due time, and removes a returning
+// machine from the plan once it is warmed up and healthy.
 func (state *State) advanceMachine(m *Machine) {
 	warmedUp := m.Phase == Returning && state.Now >= m.Since+state.settings.Warmup
 	switch {
@@ -38,8 +38,8 @@
 	}
 }
 
-// announce announces the first machines of the queue, up to Settings.MaxAnnounced. An urgent machine takes the place of
-// an announced one that is not urgent.
+// announce announces the first machines of the queue, so that at most Settings.MaxAnnounced are announced. An urgent
+// machine replaces an announced machine that is not urgent.
 func (state *State) announce(queue []*Machine) {
 	announced := 0
 	for _, m := range state.Machines {
@@ -47,7 +47,8 @@
 			announced++
 		}
 	}
-	// A machine whose drain was undone is announced again, which may exceed the bound: the last of the queue yields.
+	// A recall puts a draining machine back among the announced ones, which may exceed the bound. The
+	// announcements of the last machines in the queue are then withdrawn.
 	for _, m := range slices.Backward(queue) {
 		if announced > state.settings.MaxAnnounced && planListOf(m.Phase) == listAnnounced {
 			state.setPhase(m, Requested)
@@ -70,7 +71,8 @@
 	}
 }
 
-// drain starts to drain the acknowledged machines, in the order of the queue, that drainBlockReason does not block.
+// drain starts to drain the acknowledged machines, in the order of the queue, unless drainBlockReason returns a
+// reason.
 func (state *State) drain(queue []*Machine) {
 	for _, m := range queue {
 		if m.Phase != Acknowledged {
@@ -86,8 +88,8 @@
 	}
 }
 
-// preemptFor withdraws the announcement of the last machine of the queue that is not urgent, if the given machine is
-// urgent. It reports whether it has withdrawn one.
+// preemptFor withdraws the announcement of the last announced machine in the queue that is not urgent, if the given
+// machine is urgent. It reports whether it has withdrawn an announcement.
 func (state *State) preemptFor(urgent *Machine, queue []*Machine) bool {
 	if !state.firstRequest(urgent).Urgent {
 		return false
@@ -101,12 +103,12 @@
 	return false
 }
 
-// firstRequest returns the oldest of the requests that need a machine out.
+// firstRequest returns the oldest request that needs a machine out.
 func (state *State) firstRequest(m *Machine) *Request { return state.Requests[m.Requests[0]] }
 
-// queue returns the machines that are not drained yet, in the order in which they are announced and drained: urgent
-// ones first, then those whose requester has had the fewest drains, so that one requester does not block others, then
-// those of the oldest request.
+// queue returns the machines that are not yet draining, in the order in which they are announced and drained. Urgent
+// machines come first, then machines whose requester has had the fewest drains, so that one requester does not block
+// others, and then machines of the oldest request.
 func (state *State) queue() []*Machine {
 	var queue []*Machine
 	for _, m := range state.Machines {
@@ -118,7 +120,8 @@
 	return queue
 }
 
-// compareInQueue compares two machines by their place in the queue.
+// compareInQueue returns a negative number if machine a comes before machine b in the queue, and a positive one
+// if after.
 func (state *State) compareInQueue(a, b *Machine) int {
 	requestA := state.firstRequest(a)
 	requestB := state.firstRequest(b)
@@ -130,7 +133,7 @@
 	)
 }
 
-// urgencyRank returns 0 for an urgent request and 1 for others.
+// urgencyRank returns 0 for an urgent request, and 1 for a request that is not urgent.
 func urgencyRank(request *Request) int {
 	if request.Urgent {
 		return 0
--- a/internal/decide/maintenance/settings.go
+++ b/internal/decide/maintenance/settings.go
@@ -12,45 +12,46 @@
 	maxAllowedClockDrift = 0.1
 )
 
-// Settings bound which machines may be out of service at the same time. All instances of a fleet have the same.
-// Machines out are those that are drained, under maintenance or returning, and those that are unhealthy.
+// Settings bound the machines that may be out of service at the same time. All instances of a fleet must have
+// the same settings. A machine is out if it is draining, under maintenance or returning, or if it is unhealthy.
 type Settings struct {
-	// MaxOut is the number of machines that may be out, at least 1.
+	// MaxOut is the maximum number of machines that may be out; at least 1.
 	MaxOut int
-	// MaxOutPerZone is the number of machines of a zone that may be out; 0 is no bound.
+	// MaxOutPerZone is the maximum number of machines of a zone that may be out; 0 means no bound.
 	MaxOutPerZone int
-	// MaxOutPerCell is the number of machines of a cell that may be out; 0 is no bound. The last healthy machine of a
-	// cell of several is never drained.
+	// MaxOutPerCell is the maximum number of machines of a cell that may be out; 0 means no bound. In a cell of
+	// several machines, the last one in service is never drained.
 	MaxOutPerCell int
-	// MaxOutPerKind is the number of machines of a machine type that may be out; 0 is no bound.
+	// MaxOutPerKind is the maximum number of machines of a machine type that may be out; 0 means no bound.
 	MaxOutPerKind int
-	// MaxAnnounced is the number of machines that may be announced and not yet drained, at least MaxOut. An instance
-	// that is cut off cannot use that many machines.
+	// MaxAnnounced is the maximum number of machines that may be announced and not yet draining; at least MaxOut. An
+	// instance that is cut off cannot use the announced machines.
 	MaxAnnounced int
-	// Headroom is the fraction of the remaining capacity that must stay unused after a drain, in 0..1, and not 1.
+	// Headroom is the fraction of the remaining capacity that must stay unused after a drain, from 0 to less than 1.
 	Headroom float64
-	// LeaseDuration is the time for which a plan holds at an instance, from when it sent its report, at least
-	// minLeaseDuration.
+	// LeaseDuration is the duration of the lease of a plan, which starts when the instance sends its report. It is at
+	// least minLeaseDuration.
 	LeaseDuration monotime.Micros
-	// InFlightGrace is the time after the end of its lease after which an instance ends the requests that are in flight
-	// at announced and excluded machines.
+	// InFlightGrace is the time from the end of an instance's lease until the instance ends the requests that are in
+	// flight at announced and excluded machines.
 	InFlightGrace monotime.Micros
-	// Warmup is the time for which a machine that returns still counts as out.
+	// Warmup is the time for which a returning machine still counts as out.
 	Warmup monotime.Micros
-	// MaxClockDrift is the largest difference between the rate of an instance's clock and the true rate, as a fraction
-	// of the true rate, in 0..maxAllowedClockDrift. Machines are free of requests only while all clocks are within it.
+	// MaxClockDrift is the largest difference between the rate of an instance's clock and the true rate, as a
+	// fraction of the true rate, from 0 to maxAllowedClockDrift. If a clock drifts more, an instance may still
+	// send requests to a machine under maintenance.
 	MaxClockDrift float64
 }
 
-// settingsComponent is the name of the maintenance settings in error messages, which predates the term maintenance.
+// settingsComponent names the maintenance settings in error messages. The name is older than the term maintenance.
 const settingsComponent = "work"
 
-// invalidSetting returns the *setting.Error of a setting that is out of range.
+// invalidSetting returns the *setting.Error for a setting that is out of range.
 func invalidSetting(key, reason string) error {
 	return &setting.Error{Component: settingsComponent, Key: key, Reason: reason}
 }
 
-// Validate returns a *setting.Error for the first setting that is out of its range.
+// Validate returns a *setting.Error for the first setting that is out of range, or nil.
 func (s *Settings) Validate() error {
 	switch {
 	case s.MaxOut < 1:
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// withDrift returns the time to wait by the local clock until d has passed by any other clock.
+// withDrift returns how long to wait on the local clock until d has passed on every clock within MaxClockDrift.
 func (s *Settings) withDrift(d monotime.Micros) monotime.Micros {
 	return monotime.ExtendForDrift(d, s.MaxClockDrift)
 }
--- a/internal/decide/maintenance/state.go
+++ b/internal/decide/maintenance/state.go
@@ -8,27 +8,27 @@
 	"dunlinsail/internal/monotime"
 )
 
-// maxEvents is the number of latest events in a State; older ones are dropped.
+// maxEvents is the maximum number of events in a State; the oldest events beyond it are dropped.
 const maxEvents = 200
 
-// State is the replicated plan of the machines that are out of service. Create one with NewState; Apply builds it from
-// the log. Its JSON is the content of a raft snapshot. The texts of events are part of it: replicas of two builds agree
-// only as long as they stay the same.
+// State is the replicated plan of the machines that are taken out of service. Create one with NewState; Apply
+// applies the entries of the log to it. Its JSON encoding is the content of a raft snapshot and includes the
+// texts of events, so replicas of different builds agree only if these texts stay the same.
 type State struct {
 	settings          Settings
 	Now               monotime.Micros     `json:"Now"`
-	PlanVersion       uint64              `json:"Version"`   // increases with each change of Plan's lists
-	Requests          map[string]*Request `json:"Jobs"`      // by id
-	Machines          map[string]*Machine `json:"Items"`     // by name
-	Instances         map[string]uint64   `json:"Instances"` // incarnations, by instance name
+	PlanVersion       uint64              `json:"Version"`   // version of the plan; increases when its lists change
+	Requests          map[string]*Request `json:"Jobs"`      // open requests, by ID
+	Machines          map[string]*Machine `json:"Items"`     // machines in the plan, by name
+	Instances         map[string]uint64   `json:"Instances"` // incarnation of each known instance, by instance name
 	Fleet             FleetStatus         `json:"Facts"`
-	OnHold            bool                `json:"Held"` // no further machine is drained
+	OnHold            bool                `json:"Held"` // an operator holds all drains
 	Events            []Event             `json:"Events"`
 	DrainsByRequester map[string]int      `json:"Taken"` // number of drains so far, by requester
 	CommandCount      uint64              `json:"Count"` // number of commands applied so far
 }
 
-// NewState returns a plan in which no machine is out, or a *setting.Error.
+// NewState returns a state without requests and machines, or a *setting.Error if the settings are invalid.
 func NewState(s Settings) (*State, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -42,12 +42,13 @@
 	}, nil
 }
 
-// UseSettings sets the settings of a state that was decoded from a snapshot, which does not contain them.
+// UseSettings sets the settings of a state that was decoded from a snapshot, since snapshots do not contain settings.
 func (state *State) UseSettings(s Settings) { state.settings = s }
 
-// Apply applies the log's next command, and then all phase changes that are due or possible. It returns the reply to
-// the operator whose command it is. An error is a reply as well, not a fault of the log: the reason why the operator's
-// command has no effect. All replicas return the same.
+// Apply applies the next command of the log, and then all phase changes that are due or possible. It returns
+// the reply to the operator who issued the command. An error is a reply as well: it gives the reason why the
+// command has no effect, and does not mean that the log is faulty. All replicas return the same reply and
+// error.
 func (state *State) Apply(c Command) (reply string, err error) {
 	state.Now = max(state.Now, c.Time)
 	state.CommandCount++
@@ -74,7 +75,8 @@
 	return reply, err
 }
 
-// applyProgress moves machines to the next phase that all instances have reached, by the leader's Progress.
+// applyProgress moves announced machines to Acknowledged and draining machines to UnderMaintenance, as listed in the
+// leader's Progress.
 func (state *State) applyProgress(acknowledged, drained []string) {
 	for _, name := range acknowledged {
 		if m := state.Machines[name]; m != nil && m.Phase == Announced {
@@ -93,7 +95,7 @@
 	}
 }
 
-// Plan returns the plan that instances are to apply.
+// Plan returns the plan that all instances have to apply.
 func (state *State) Plan() Plan {
 	plan := Plan{Version: state.PlanVersion}
 	for _, name := range slices.Sorted(maps.Keys(state.Machines)) {
@@ -107,7 +109,7 @@
 	return plan
 }
 
-// planList is the list of a Plan that contains a machine.
+// planList identifies the list of a Plan that contains a machine.
 type planList int
 
 const (
@@ -116,7 +118,7 @@
 	listExcluded
 )
 
-// planListOf returns the list of a Plan that contains a machine in a phase.
+// planListOf returns the list of a Plan that contains the machines in phase p.
 func planListOf(p Phase) planList {
 	switch p {
 	case Announced, Acknowledged:
@@ -127,7 +129,7 @@
 	return listNone
 }
 
-// setPhase moves a machine to a phase. If that moves it to another list of the plan, the plan gets a new version.
+// setPhase moves a machine to phase p. The plan gets a new version if the machine moves to another list of the plan.
 func (state *State) setPhase(m *Machine, p Phase) {
 	if planListOf(m.Phase) != planListOf(p) {
 		state.PlanVersion++
@@ -140,7 +142,7 @@
 	m.Overdue = false
 }
 
-// longestDuration returns the longest Request.Duration of a machine's requests.
+// longestDuration returns the longest Duration of the requests that need a machine out.
 func (state *State) longestDuration(m *Machine) (longest monotime.Micros) {
 	for _, id := range m.Requests {
 		if request := state.Requests[id]; request != nil {
@@ -150,7 +152,7 @@
 	return longest
 }
 
-// recordEvent adds an event, and drops the oldest beyond maxEvents.
+// recordEvent adds an event at the present time, and drops the oldest events beyond maxEvents.
 func (state *State) recordEvent(format string, args ...any) {
 	state.Events = append(state.Events, Event{Time: state.Now, Text: fmt.Sprintf(format, args...)})
 	if surplus := len(state.Events) - maxEvents; surplus > 0 {
--- a/internal/decide/maintenance/state_test.go
+++ b/internal/decide/maintenance/state_test.go
@@ -12,13 +12,14 @@
 	"dunlinsail/internal/monotime"
 )
 
+// testSettings are the settings of the states in these tests.
 var testSettings = Settings{
 	MaxOut: 2, MaxOutPerZone: 1, MaxOutPerCell: 1, MaxAnnounced: 4, Headroom: 0.1,
 	LeaseDuration: monotime.Second, InFlightGrace: monotime.Second, Warmup: 2 * monotime.Second,
 }
 
-// eightMachines returns the status of eight healthy machines in four zones, two to a cell, with the given
-// capacity in use.
+// eightMachines returns the status of a fleet of eight healthy machines of capacity 1, two in each of four
+// zones and two in each of four cells, with the given present and peak usage.
 func eightMachines(usage float64) *FleetStatus {
 	status := &FleetStatus{Usage: usage, PeakUsage: usage}
 	for i := range 8 {
@@ -29,7 +30,8 @@
 	return status
 }
 
-// stateWith returns a state to which a fleet's status and then requests have been applied, a microsecond apart.
+// stateWith returns a state to which a fleet's status and then the requests, one microsecond apart, have been
+// applied.
 func stateWith(tb testing.TB, status *FleetStatus, requests ...Request) *State {
 	tb.Helper()
 	state, err := NewState(testSettings)
@@ -48,7 +50,7 @@
 	return state
 }
 
-// apply applies a command that must not be an error.
+// apply applies a command, and fails the test if it returns an error.
 func apply(tb testing.TB, state *State, c Command) {
 	tb.Helper()
 	if _, err := state.Apply(c); err != nil {
@@ -56,7 +58,7 @@
 	}
 }
 
-// acknowledge acknowledges all announced machines, until the plan no longer changes.
+// acknowledge acknowledges all announced machines again and again until the plan no longer changes.
 func acknowledge(tb testing.TB, state *State) {
 	tb.Helper()
 	for version := ^uint64(0); version != state.PlanVersion; {
@@ -65,7 +67,7 @@
 	}
 }
 
-// machinesIn returns the names of the machines in a phase, in order and joined.
+// machinesIn returns the names of the machines in a phase, sorted and joined without a separator.
 func machinesIn(state *State, phase Phase) string {
 	var names []string
 	for _, m := range state.Machines {
@@ -77,14 +79,15 @@
 	return strings.Join(names, "")
 }
 
-// Drains stay within each bound, and machines that wait have the reason.
+// TestDrainsAreWithinTheBounds verifies that drains stay within each bound of the settings, and that a machine
+// that is not drained has the reason for it.
 func TestDrainsAreWithinTheBounds(t *testing.T) {
 	machineNames := []string{"m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7"}
 	for _, tc := range []struct {
 		name       string
 		change     func(status *FleetStatus)
-		drained    string // the machines that are drained first
-		waitReason string // of one that is not drained
+		drained    string // names of the machines that start to drain, joined
+		waitReason string // part of the wait reason of at least one machine
 	}{
 		{
 			name:    "two of eight, of zones and cells of their own",
@@ -134,8 +137,8 @@
 	}
 }
 
-// Urgent machines are drained first, then those of the requester with the fewest drains, then those of the oldest
-// request.
+// TestMachinesAreDrainedInQueueOrder verifies that urgent machines are drained first, then machines of the
+// requester with the fewest drains, and then machines of the oldest request.
 func TestMachinesAreDrainedInQueueOrder(t *testing.T) {
 	state := stateWith(t, eightMachines(1),
 		Request{ID: "a", Machines: []string{"m0", "m2", "m4"}, Requester: "ana"},
@@ -156,7 +159,8 @@
 	}
 }
 
-// A machine of two requests is out until both are complete. A duplicated request counts once.
+// TestMachineOfTwoRequestsIsOutUntilBothAreComplete verifies that a machine that two requests need stays out
+// until both are complete, and that a duplicate of a request is ignored.
 func TestMachineOfTwoRequestsIsOutUntilBothAreComplete(t *testing.T) {
 	state := stateWith(t, eightMachines(1),
 		Request{ID: "a", Machines: []string{"m0"}, Requester: "ana"},
@@ -180,8 +184,9 @@
 	}
 }
 
-// A request is cancelled in each phase: a machine under maintenance returns and warms up, any other stays in service,
-// and nothing of the request remains in the plan.
+// TestCancelInEachPhase cancels a request in each phase of its machine. A machine under maintenance must return
+// and warm up, a machine in another phase must stay in service, and the request must leave nothing behind in
+// the plan.
 func TestCancelInEachPhase(t *testing.T) {
 	for step := range 5 {
 		state := stateWith(t, eightMachines(1), Request{ID: "a", Machines: []string{"m0"}, Requester: "ana"})
@@ -212,7 +217,7 @@
 	}
 }
 
-// checkUnhealthyMachineKeepsReturning checks that m0, which returns, stays in the plan while it is not healthy.
+// checkUnhealthyMachineKeepsReturning checks that the returning machine m0 stays in the plan while it is unhealthy.
 func checkUnhealthyMachineKeepsReturning(t *testing.T, state *State) {
 	t.Helper()
 	status := eightMachines(1)
@@ -225,7 +230,8 @@
 	apply(t, state, Command{FleetStatus: eightMachines(1)})
 }
 
-// Capacity that is needed back stays in service if it only drains, and is recalled if it is under maintenance.
+// TestCapacityThatIsNeededBackIsRecalled verifies that, when capacity is needed back, a draining machine stays
+// in service and a machine under maintenance is recalled.
 func TestCapacityThatIsNeededBackIsRecalled(t *testing.T) {
 	state := stateWith(t, eightMachines(1), Request{ID: "a", Machines: []string{"m0", "m2"}, Requester: "ana"})
 	acknowledge(t, state)
@@ -251,13 +257,14 @@
 	}
 }
 
-// For any log the bounds hold, each version of the plan has one content, and a state that was stored and restored
-// behaves as one that was not.
+// TestInvariantsHoldForAnyLog verifies for random logs that the bounds of the settings are kept, that a version
+// of the plan always has the same content, and that a state that is stored and restored after each entry does
+// not differ from one that is not.
 func TestInvariantsHoldForAnyLog(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		direct := stateWith(t, eightMachines(1))
 		restored := stateWith(t, eightMachines(1))
-		planContents := map[uint64]string{} // by version
+		planContents := map[uint64]string{} // content of each plan seen so far, by version
 		var now monotime.Micros
 		for range rapid.IntRange(1, 60).Draw(r, "entries") {
 			now += rapid.Int64Range(0, 5*monotime.Second).Draw(r, "later")
@@ -278,7 +285,7 @@
 	})
 }
 
-// drawCommand draws a command, without its time.
+// drawCommand draws a random command, without its time.
 func drawCommand(r *rapid.T) (command Command) {
 	machineNames := rapid.SampledFrom([]string{"m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7"})
 	requestIDs := rapid.SampledFrom([]string{"a", "b", "c"})
@@ -310,7 +317,7 @@
 	return command
 }
 
-// storeAndRestore returns the state that is decoded from the JSON of x, as from a raft snapshot.
+// storeAndRestore returns the state that is decoded from the JSON encoding of a state, as from a raft snapshot.
 func storeAndRestore(r *rapid.T, state *State) *State {
 	stored, err := json.Marshal(state)
 	if err != nil {
@@ -327,8 +334,8 @@
 	return restored
 }
 
-// checkPlan checks the bounds, and that a version of the plan has the same content each time. plans has the content
-// seen so far, by version.
+// checkPlan checks that the plan is within the bounds of testSettings, and that its content is the same as in earlier
+// calls with the same version. contents holds the content seen so far, by version.
 func checkPlan(r *rapid.T, state *State, contents map[uint64]string) {
 	plan := state.Plan()
 	content := fmt.Sprint(plan.Announced, plan.Excluded)
--- a/internal/decide/maintenance/types.go
+++ b/internal/decide/maintenance/types.go
@@ -4,40 +4,40 @@
 	"dunlinsail/internal/monotime"
 )
 
-// The json tags of this package are the stored and sent names: in the raft log and its snapshots, in messages between
-// instances and in operators' calls. They are those of earlier builds and must not change.
+// The JSON tags of this package are the field names in the raft log and its snapshots, in messages between
+// instances and in operators' calls. Earlier builds use the same names, so the tags must not change.
 
-// MachineStatus is the leader's status of a machine that serves requests.
+// MachineStatus is what the leader knows about a machine that serves requests.
 type MachineStatus struct {
 	Name     string  `json:"Name"`
 	Zone     string  `json:"Zone"`
 	Kind     string  `json:"Kind"` // machine type
 	Cell     int     `json:"Cell"`
-	Capacity float64 `json:"Share"` // in a unit that is the same for all machines
-	Healthy  bool    `json:"Well"`  // ready, and neither cordoned nor ejected
+	Capacity float64 `json:"Share"` // capacity, in the same unit for all machines
+	Healthy  bool    `json:"Well"`  // the machine is ready, and neither cordoned nor ejected
 }
 
-// FleetStatus is the status of all machines, and the capacity in use.
+// FleetStatus is the status of all machines, and the present and the expected usage of their capacity.
 type FleetStatus struct {
 	Machines  []MachineStatus `json:"Machines"`
 	Usage     float64         `json:"Use"`  // present usage, in the unit of MachineStatus.Capacity
-	PeakUsage float64         `json:"Peak"` // expected largest usage in the time ahead, in the same unit
+	PeakUsage float64         `json:"Peak"` // expected peak usage, in the unit of MachineStatus.Capacity
 }
 
-// Phase is a machine's progress out of service and back.
+// Phase is the stage that a machine has reached on its way out of service and back.
 type Phase uint8
 
-// The phases, in their order. Their numbers are stored.
+// The phases, in the order in which a machine passes through them. Their numbers are stored.
 const (
-	Requested        Phase = iota // an operator has requested it
-	Announced                     // the plan lists it as announced; not all instances have that plan yet
-	Acknowledged                  // all instances have a plan that lists it as announced
-	Draining                      // the plan excludes it; instances may still have requests in flight there
-	UnderMaintenance              // no instance sends there or has requests in flight there: work may begin
-	Returning                     // requests may go there again; it is warming up
+	Requested        Phase = iota // an operator has requested maintenance of the machine
+	Announced                     // the plan lists the machine as announced; not all instances have that plan yet
+	Acknowledged                  // all instances have a plan that lists the machine as announced
+	Draining                      // the plan excludes the machine; requests may still be in flight there
+	UnderMaintenance              // no instance sends to the machine or has requests in flight there: work may start
+	Returning                     // the machine receives requests again and warms up
 )
 
-// phaseNames are the names that operators see, by phase. They are part of replicated answers and stay as they are.
+// phaseNames are the names that operators see, by phase. They are part of replicated replies and must not change.
 var phaseNames = [...]string{
 	Requested:        "asked",
 	Announced:        "ahead",
@@ -47,77 +47,81 @@
 	Returning:        "returning",
 }
 
-// String returns the name of the phase that operators see.
+// String returns the name that operators see for the phase.
 func (p Phase) String() string { return phaseNames[p] }
 
 // Request is an operator's request to take machines out of service.
 type Request struct {
-	ID          string          `json:"ID"` // idempotency key: of two in the plan the second is ignored
+	ID          string          `json:"ID"` // idempotency key: a second request with the same ID is ignored
 	Machines    []string        `json:"Machines"`
-	Duration    monotime.Micros `json:"For"` // of the work on each machine
+	Duration    monotime.Micros `json:"For"` // duration of the work on each machine
 	Reason      string          `json:"Why"`
 	Requester   string          `json:"By"`
 	Urgent      bool            `json:"Urgent"`
 	RequestedAt monotime.Micros `json:"At"`
-	OnHold      bool            `json:"Held"` // no machine is drained for it
+	OnHold      bool            `json:"Held"` // no machine is drained for this request
 }
 
-// Machine is a machine in the plan.
+// Machine is the state of a machine in the plan.
 type Machine struct {
 	Name         string          `json:"Machine"`
-	Requests     []string        `json:"Jobs"` // ids of the requests that need it out; it is out until all are complete
+	Requests     []string        `json:"Jobs"` // IDs of the open requests that need the machine out, the oldest first
 	Phase        Phase           `json:"Phase"`
-	Since        monotime.Micros `json:"Since"`   // when it entered its phase
-	DueAt        monotime.Micros `json:"Until"`   // under maintenance: when the work should be complete
-	PlanVersion  uint64          `json:"Version"` // of the first plan that has it in its present list
-	Overdue      bool            `json:"Overdue"` // under maintenance beyond DueAt
-	RecallReason string          `json:"Wanted"`  // under maintenance: why it is needed back; empty if it is not
-	WaitReason   string          `json:"Waits"`   // why it does not enter the next phase; for listed ones see Progress
+	Since        monotime.Micros `json:"Since"`   // time at which the machine entered its phase
+	DueAt        monotime.Micros `json:"Until"`   // time by which the work should be complete
+	PlanVersion  uint64          `json:"Version"` // version of the first plan that has the machine in its present list
+	Overdue      bool            `json:"Overdue"` // the machine is still under maintenance after DueAt
+	RecallReason string          `json:"Wanted"`  // why it is needed back during maintenance; empty if it is not
+
+	// WaitReason is why the machine cannot be announced, drained or put back into service. Progress.WaitReasons has
+	// the reasons for the other transitions.
+	WaitReason string `json:"Waits"`
 }
 
-// Event is an entry of the event list that operators see.
+// Event is an entry in the list of events that operators see.
 type Event struct {
 	Time monotime.Micros `json:"At"`
 	Text string          `json:"What"`
 }
 
-// Instance is a process that sends requests to machines.
+// Instance identifies a process that sends requests to machines.
 type Instance struct {
 	Name        string `json:"Name"`
-	Incarnation uint64 `json:"Life"` // different for any two processes of a name
+	Incarnation uint64 `json:"Life"` // differs between any two processes of the same name
 }
 
-// Command is an entry of the log. In addition to Time one field is set. An entry with Time only is a clock entry, which
-// advances the state's clock.
+// Command is an entry of the log. One field is set in addition to Time. An entry that has only Time advances
+// the state's clock.
 type Command struct {
-	Time          monotime.Micros `json:"At"` // on the state's clock, set by the leader; the clock never runs backwards
+	Time          monotime.Micros `json:"At"` // set by the leader; the state's clock never runs backwards
 	Request       *Request        `json:"Ask"`
-	CancelRequest string          `json:"Cancel"` // a request's id
+	CancelRequest string          `json:"Cancel"` // ID of the request to cancel
 	Complete      *Completion     `json:"Done"`
 	Hold          *Hold           `json:"Hold"`
-	Join          *Instance       `json:"Join"` // the instance is about to receive a plan
-	Forget        *Instance       `json:"Gone"` // the process has ended for certain and sends nothing
+	Join          *Instance       `json:"Join"` // instance that is about to receive a plan
+	Forget        *Instance       `json:"Gone"` // process that has certainly ended, and sends no more requests
 	FleetStatus   *FleetStatus    `json:"Facts"`
-	Acknowledged  []string        `json:"Known"` // machines that every instance has a plan with, as announced
-	Drained       []string        `json:"Free"`  // machines to which no instance sends, with nothing in flight there
+	Acknowledged  []string        `json:"Known"` // machines that the plan of every instance lists as announced
+	Drained       []string        `json:"Free"`  // machines without requests in flight, to which no instance sends
 }
 
-// Completion ends the work on a machine, or on all of a request's machines where Machine is empty.
+// Completion reports that the work of a request is complete on one machine, or on all its machines if Machine
+// is empty.
 type Completion struct {
 	Request string `json:"Job"`
 	Machine string `json:"Machine"`
 }
 
-// Hold starts or ends a hold. While it is on, no further machine is drained for a request, or for any request where
-// Request is empty.
+// Hold starts or ends a hold. During a hold no further machine is drained for the request, or for any request
+// if Request is empty.
 type Hold struct {
 	Request string `json:"Job"`
 	On      bool   `json:"On"`
 }
 
-// Plan is the part of the state that instances receive. Each change of its lists has a new version.
+// Plan is the part of the state that instances receive. Each change of its lists increases Version.
 type Plan struct {
 	Version   uint64   `json:"Version"`
-	Announced []string `json:"Ahead"` // machines that are about to be excluded
-	Excluded  []string `json:"Stop"`  // machines that no new request may go to
+	Announced []string `json:"Ahead"` // machines that a later plan is going to exclude
+	Excluded  []string `json:"Stop"`  // machines to which no new request may be sent
 }
--- a/internal/decide/route/match.go
+++ b/internal/decide/route/match.go
@@ -5,17 +5,18 @@
 	"strings"
 )
 
-// The results of Match for a request without a route.
+// The results of Match for a request that no pattern matches.
 const (
-	NotFound   = -1 // no pattern matches host, path and headers
-	NotAllowed = -2 // at least one pattern matches host, path and headers, but none the method
+	NotFound   = -1 // no pattern matches the host, path and headers
+	NotAllowed = -2 // a pattern matches the host, path and headers, but no such pattern allows the method
 )
 
-// Match returns the index of the most specific pattern that matches a request, NotFound or NotAllowed. The host and the
-// path must be in the form that NormalizeHost and NormalizePath return. The search goes from the exact host over its
-// suffixes, the longest first, to patterns without a host. It allocates nothing. The time is proportional to the number
-// of the path's segments and of the host's labels, and to the number of patterns that differ only in parameters,
-// methods or headers.
+// Match returns the index of the most specific pattern that matches a request, or NotFound or NotAllowed. The
+// host and the path must be in the form that NormalizeHost and NormalizePath return. Match searches the
+// patterns of the exact host first, then those of its suffixes, the longest first, and then the patterns
+// without a host. It allocates no memory. Its time is proportional to the number of segments in the path, to
+// the number of labels in the host, and to the number of patterns that differ only in parameters, methods or
+// headers.
 func (t *Table) Match(host, path, method string, headers map[string][]string) int {
 	s := search{method: method, headers: headers, result: NotFound}
 	rest := path[1:]
@@ -40,15 +41,15 @@
 	return s.result
 }
 
-// search is the state of a Match.
+// search is the state of one call of Match.
 type search struct {
 	method  string
 	headers map[string][]string
-	result  int // of Match, as far as is known
+	result  int // result of Match from the patterns tried so far
 }
 
-// walk searches the most specific entry at and below a node for the rest of the path, and reports whether there is one.
-// atEnd is true if no segment is left.
+// walk searches the subtree of a node for the most specific entry that matches the rest of the path, and
+// reports whether it found one. atEnd indicates that no segment of the path is left.
 func (s *search) walk(n *node, rest string, atEnd bool) bool {
 	if atEnd {
 		return s.matchEntries(n.exactEntries) || s.matchEntries(n.prefixEntries)
@@ -63,7 +64,8 @@
 	return s.matchEntries(n.prefixEntries)
 }
 
-// matchEntries sets the result to the first entry that matches headers and method, and reports whether there is one.
+// matchEntries sets the result to the first entry that matches the headers and the method, and reports whether
+// there is such an entry. If an entry matches the headers only, the result is NotAllowed.
 func (s *search) matchEntries(entries []entry) bool {
 	for i := range entries {
 		e := &entries[i]
@@ -79,7 +81,7 @@
 	return false
 }
 
-// matchHeaders reports whether the request meets all conditions on its headers.
+// matchHeaders reports whether the request's headers meet all conditions.
 func (s *search) matchHeaders(conditions []Header) bool {
 	for _, h := range conditions {
 		values := s.headers[h.Name]
--- a/internal/decide/route/path.go
+++ b/internal/decide/route/path.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// The errors of NormalizePath. A path with one of them could be read differently by two servers, or is invalid.
+// The errors of NormalizePath. They reject paths that are invalid, or that two servers could interpret differently.
 var (
 	ErrNoPath       = errors.New("the path does not begin with /")
 	ErrEscape       = errors.New("a % in the path is not followed by two hexadecimal digits")
@@ -19,26 +19,28 @@
 	ErrDotParameter = errors.New("a dot segment of the path has parameters")
 )
 
-// EncodedSlashes is the treatment of an encoded slash (%2F) or backslash (%5C) in a path.
+// EncodedSlashes is how NormalizePath treats an encoded slash (%2F) or backslash (%5C) in a path.
 type EncodedSlashes uint8
 
-// The treatments of encoded slashes. Some servers read one as a slash and some do not, so that the same path names two
-// resources: by default it is rejected. It is never decoded.
+// The treatments of encoded slashes. Some servers decode an encoded slash and others do not, so that the same
+// path names different resources. Therefore a path with an encoded slash is rejected by default, and the slash
+// is never decoded.
 const (
 	RejectEncodedSlashes EncodedSlashes = iota
 	KeepEncodedSlashes
 )
 
-// Capacities of the buffers of NormalizePath, in bytes. Longer paths grow them.
+// Initial capacities of the buffers of NormalizePath, in bytes. The buffers grow if the path needs more.
 const (
-	extraPathCapacity = 8  // beyond the length of the path, for characters that get escaped
-	segmentCapacity   = 64 // of a decoded segment
+	extraPathCapacity = 8  // capacity in addition to the length of the path, for characters that get escaped
+	segmentCapacity   = 64 // capacity for a decoded segment
 )
 
-// NormalizePath returns the normal form of a request's path, without its query, by which the request is matched and
-// forwarded. In it, unreserved characters are not escaped, and all others that need it are, with capital digits (RFC
-// 3986, section 6.2.2). Empty segments are removed, and then dot segments, escaped ones included, are resolved (section
-// 5.2.4). The result is its own normal form. NormalizePath allocates nothing if the path is in normal form and has no
+// NormalizePath returns the normal form of a request's path, which must not include the query. Requests are
+// matched and forwarded with the normal form. It has no escapes for unreserved characters, and upper-case
+// hexadecimal digits in the escapes of other characters (RFC 3986, section 6.2.2). Empty segments are removed
+// first, and then dot segments, including escaped ones, are resolved (section 5.2.4). The normal form of a
+// normal form is the same path. NormalizePath allocates no memory if the path is in normal form and has no
 // escapes.
 func NormalizePath(path string, slashes EncodedSlashes) (string, error) {
 	if path == "" || path[0] != '/' {
@@ -48,7 +50,7 @@
 		return path, nil
 	}
 	normal := make([]byte, 0, len(path)+extraPathCapacity)
-	decodedSegment := make([]byte, 0, segmentCapacity) // the segment without escapes
+	decodedSegment := make([]byte, 0, segmentCapacity) // present segment, with its escapes decoded
 	rest := path[1:]
 	last := false
 	for !last {
@@ -74,15 +76,16 @@
 	return string(normal), nil
 }
 
-// resolveDotSegment removes the segment at the end of out if it is a dot segment, together with the segment before it
-// if it is "..". Any other segment stays. last is true if it is the last segment of the path, which a slash replaces.
+// resolveDotSegment removes the segment that starts at segmentStart from the end of normal if it is a dot
+// segment, and for ".." also the segment before it. decodedSegment is the same segment with its escapes
+// decoded. last indicates the last segment of the path: if that is a dot segment, a slash replaces it.
 func resolveDotSegment(normal []byte, segmentStart int, decodedSegment []byte, last bool) ([]byte, error) {
 	name, _, hasParameters := strings.Cut(string(decodedSegment), ";")
 	if name != "." && name != ".." {
 		return normal, nil
 	}
 	if hasParameters {
-		return nil, ErrDotParameter // "/a/..;x/b": some servers drop the parameter first
+		return nil, ErrDotParameter // some servers drop the parameter of "/a/..;x/b" and then resolve ".."
 	}
 	normal = normal[:segmentStart]
 	if name == ".." {
@@ -98,7 +101,8 @@
 	return normal, nil
 }
 
-// appendSegment appends a segment's normal form to out, and the segment without escapes to decoded.
+// appendSegment appends the normal form of a segment to normal, and the segment with its escapes decoded to
+// decodedSegment.
 func appendSegment(normal, decodedSegment []byte, segment string, slashes EncodedSlashes) ([]byte, []byte, error) {
 	for i := 0; i < len(segment); i++ {
 		c := segment[i]
@@ -111,7 +115,7 @@
 			i += len("%41") - 1
 		}
 		switch {
-		case !escaped && isPathChar[c]: // most characters
+		case !escaped && isPathChar[c]: // fast path for most characters
 			normal = append(normal, c)
 		case c < ' ' || c == asciiDEL:
 			return nil, nil, ErrControl
@@ -132,10 +136,10 @@
 	return normal, decodedSegment, nil
 }
 
-// del is the control character DEL.
+// asciiDEL is the ASCII control character DEL.
 const asciiDEL = 0x7f
 
-// unescape returns the byte of the percent-encoded triplet at the start of text; ok is false if it is invalid.
+// unescape decodes the percent-encoded triplet at the start of text; ok is false if there is no valid triplet.
 func unescape(text string) (c byte, ok bool) {
 	if len(text) < len("%41") {
 		return 0, false
@@ -148,7 +152,8 @@
 	return high<<bitsPerHexDigit | low, true
 }
 
-// isNormal reports whether a path is certainly in normal form. It may be in normal form even if the result is false.
+// isNormal is a fast check whether a path is in normal form. It returns false for some paths in normal form, such as
+// paths with escapes.
 func isNormal(path string) bool {
 	for i := 0; i < len(path); i++ {
 		switch c := path[i]; {
@@ -163,7 +168,8 @@
 	return true
 }
 
-// cutSegment cuts the first segment off a path without its first slash, and reports whether it was the last.
+// cutSegment splits a path, given without its leading slash, into its first segment and the rest after the next
+// slash. last is true if there is no further segment.
 func cutSegment(path string) (segment, rest string, last bool) {
 	if i := strings.IndexByte(path, '/'); i >= 0 {
 		return path[:i], path[i+1:], false
@@ -171,7 +177,7 @@
 	return path, "", true
 }
 
-// Segment returns the n-th segment of a path in normal form, from 0, or "" if there are fewer.
+// Segment returns the n-th segment, counted from 0, of a path in normal form, or "" if the path has fewer segments.
 func Segment(path string, n int) string {
 	rest := strings.TrimPrefix(path, "/")
 	for last := false; !last; n-- {
@@ -184,8 +190,8 @@
 	return ""
 }
 
-// NormalizeHost returns the normal form of a Host header, by which the request is matched: without its port, in lower
-// case, without the dot of the root. It allocates nothing if the host is in normal form.
+// NormalizeHost returns the normal form of a Host header, with which requests are matched: in lower case, without the
+// port and without the trailing dot of the DNS root. It allocates no memory if the host is in normal form.
 func NormalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -193,7 +199,7 @@
 	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
 
-// appendEscaped appends a byte as a percent-encoded triplet.
+// appendEscaped appends a byte to dst as a percent-encoded triplet.
 func appendEscaped(dst []byte, c byte) []byte {
 	const hexDigits = "0123456789ABCDEF"
 	return append(dst, '%', hexDigits[c>>bitsPerHexDigit], hexDigits[c&(1<<bitsPerHexDigit-1)])
@@ -223,7 +229,7 @@
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || strings.IndexByte("-._~", c) >= 0
 }
 
-// isPathChar has the characters of pchar (RFC 3986, section 3.3) without escapes.
+// isPathChar indicates for each byte whether it is a character of pchar (RFC 3986, section 3.3), escapes excluded.
 var isPathChar = func() (isChar [256]bool) {
 	for c := range 256 {
 		isChar[c] = isUnreserved(byte(c)) || c != 0 && strings.IndexByte("!$&'()*+,;=:@", byte(c)) >= 0
--- a/internal/decide/route/pattern.go
+++ b/internal/decide/route/pattern.go
@@ -6,45 +6,46 @@
 	"strings"
 )
 
-// Pattern describes the requests that take a route. The zero Pattern matches all.
+// Pattern describes the requests that take a route. The zero Pattern matches all requests.
 type Pattern struct {
-	Host    string   // "name", "*.suffix" for all names below the suffix, or "" for any
-	Path    string   // "/exact", "/prefix/*" for it and all below, or "" for any; segments may be {parameters}
-	Methods []string // empty for any
-	Headers []Header // conditions that must all be met
+	Host    string   // "name", "*.suffix" for all names below the suffix, or "" for any host
+	Path    string   // "/exact", "/prefix/*" also for all paths below, or "" for any; segments may be {parameters}
+	Methods []string // allowed methods; empty for any method
+	Headers []Header // conditions on headers; a request must meet all
 }
 
-// Header is a condition on a request's header, of which the first value counts.
+// Header is a condition on the first value of a request's header.
 type Header struct {
-	Name  string // in canonical form
-	Value string // "" for any value: the header must be present
+	Name  string // header name in canonical form
+	Value string // required value; "" if the header must be present with any value
 }
 
-// PatternError is the error of New for an invalid pattern.
+// PatternError is the error that New returns for an invalid pattern.
 type PatternError struct {
-	Index  int    // of the pattern
-	Key    string // of the pattern: "host", "path", "method" or "header"
+	Index  int    // index of the invalid pattern
+	Key    string // invalid part of the pattern: "host", "path", "method" or "header"
 	Reason string
 }
 
-// Error returns the pattern's index, the key and the reason.
+// Error returns a text with the pattern's index, the key and the reason.
 func (e *PatternError) Error() string {
 	return fmt.Sprintf("route %d: %s: %s", e.Index, e.Key, e.Reason)
 }
 
-// ConflictError is the error of New for two patterns that could match the same request, neither of which is more
+// ConflictError is the error that New returns for two patterns that could match the same request, if neither is more
 // specific.
 type ConflictError struct {
 	First  int // index of the first of the two patterns
-	Second int // index of the second
+	Second int // index of the second pattern
 }
 
-// Error returns the indexes of both patterns.
+// Error returns a text with the indexes of both patterns.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("routes %d and %d can take the same request, and neither is more specific", e.First, e.Second)
 }
 
-// validate returns the first key of a pattern that is invalid by itself, and the reason; both are empty if it is valid.
+// validate checks a pattern without regard to other patterns. It returns the key and the reason of the first
+// fault; both are empty if the pattern is valid.
 func (p *Pattern) validate() (key, reason string) {
 	if p.Host != "" && !validHost(strings.TrimPrefix(p.Host, "*.")) {
 		return "host", fmt.Sprintf("%q is neither a name in small letters without a port nor \"*.suffix\"", p.Host)
@@ -68,7 +69,7 @@
 	return host != "" && host == NormalizeHost(host) && !strings.ContainsAny(host, "*/ ")
 }
 
-// validateMethods returns why methods are invalid, empty if they are valid.
+// validateMethods returns why the methods of a pattern are invalid; empty if they are valid.
 func validateMethods(methods []string) (reason string) {
 	for i, method := range methods {
 		if method == "" || strings.ContainsFunc(method, func(r rune) bool { return r <= ' ' || r > '~' }) {
@@ -81,7 +82,7 @@
 	return ""
 }
 
-// validateHeaders returns why conditions on headers are invalid, empty if they are valid.
+// validateHeaders returns why the header conditions of a pattern are invalid; empty if they are valid.
 func validateHeaders(headers []Header) (reason string) {
 	for i, h := range headers {
 		if h.Name == "" {
@@ -94,8 +95,8 @@
 	return ""
 }
 
-// validatePath returns why a pattern's path is invalid, empty if it is valid. Its literal segments must be in normal
-// form, since requests' paths are matched in normal form.
+// validatePath returns why the path of a pattern is invalid; empty if it is valid. Its literal segments must be
+// in normal form, since the paths of requests are normalized before they are matched.
 func validatePath(path string) (reason string) {
 	path, isPrefix := strings.CutSuffix(path, "*")
 	if isPrefix && !strings.HasSuffix(path, "/") || path == "" || path[0] != '/' || strings.Contains(path, "*") {
@@ -127,7 +128,7 @@
 	return ""
 }
 
-// parameterName returns the name of a {named} segment; ok is false for other segments.
+// parameterName returns the name of the parameter if a segment has the form {name}; ok is false for other segments.
 func parameterName(segment string) (name string, ok bool) {
 	if len(segment) < len("{x}") || segment[0] != '{' || segment[len(segment)-1] != '}' {
 		return "", false
--- a/internal/decide/route/route_test.go
+++ b/internal/decide/route/route_test.go
@@ -60,8 +60,9 @@
 	}
 }
 
-// The normal form names one resource to every server: it is its own normal form, has no dot segment or empty segment,
-// and a server that resolves or decodes it gets the same path.
+// FuzzNormalize verifies that all servers interpret a normal form in the same way: normalizing it again does
+// not change it, it has no dot segment and no empty segment, and a server that decodes it or resolves dot
+// segments gets the same path.
 func FuzzNormalize(f *testing.F) {
 	for _, s := range []string{
 		"/", "/a/../b", "/%2e%2e/x", "/a%2fb", "//", "/a/.;b/..", "/%c3%a9/\xff", "/a%252e/%2E.",
@@ -84,7 +85,7 @@
 	})
 }
 
-// checkNormalForm checks the normal form out of a path.
+// checkNormalForm checks the normal form that NormalizePath returned for the path input.
 func checkNormalForm(t *testing.T, input, normal string, slashes EncodedSlashes) {
 	t.Helper()
 	if renormalized, err := NormalizePath(normal, slashes); renormalized != normal || err != nil {
@@ -136,7 +137,7 @@
 }
 
 func TestSpecificPatternWins(t *testing.T) {
-	// Each pattern wins over those after it.
+	// All patterns match the request below, and each one is more specific than the patterns after it.
 	byRank := []Pattern{
 		{Host: "a.example", Path: "/x/y", Headers: []Header{{"K", "1"}, {"L", ""}}, Methods: []string{"GET"}},
 		{Host: "a.example", Path: "/x/y", Headers: []Header{{"K", "1"}}, Methods: []string{"GET"}},
@@ -156,7 +157,7 @@
 		{},
 	}
 	for firstRank := range byRank {
-		// The order in the table does not matter.
+		// The order of the patterns in the table must not matter.
 		for _, reverse := range []bool{false, true} {
 			patterns := slices.Clone(byRank[firstRank:])
 			want := 0
@@ -193,7 +194,7 @@
 	}{
 		{"x", "/cards/a/7", "GET", 0},
 		{"x", "/cards/a/7", "PUT", 1},
-		{"x", "/cards/a/", "GET", 1}, // a parameter's segment is not empty
+		{"x", "/cards/a/", "GET", 1}, // an empty segment does not match a parameter
 		{"x", "/cards", "GET", 1},
 		{"x", "/cards/a/7/8", "GET", 1},
 		{"x", "/cardsx", "GET", NotFound},
@@ -245,8 +246,8 @@
 	}
 }
 
-// referenceMatch is the reference for Table.Match: it checks every pattern, and compares ranks by the rules of the
-// package comment.
+// referenceMatch is the reference implementation of Table.Match: it checks every pattern, and compares the
+// patterns that match by the rules of the package comment.
 func referenceMatch(patterns []Pattern, host, path, method string, headers map[string][]string) int {
 	best := NotFound
 	methodMismatch := false
@@ -274,8 +275,8 @@
 	return best
 }
 
-// referenceRank returns the rank of a pattern by its host, path and headers, if it matches these; the higher is more
-// specific.
+// referenceRank reports whether a pattern matches a request's host, path and headers, and returns its rank if so. A
+// pattern with a higher rank, compared element by element, is more specific.
 func referenceRank(p Pattern, host, path string, headers map[string][]string) (rank []int, matches bool) {
 	hostSuffix, isWildcard := strings.CutPrefix(p.Host, "*.")
 	switch {
@@ -298,7 +299,7 @@
 	if len(requestSegments) < len(patternSegments) || !isPrefix && len(requestSegments) > len(patternSegments) {
 		return nil, false
 	}
-	segmentRanks := make([]int, 8) // literal 3, parameter 2, exact end 1, prefix 0
+	segmentRanks := make([]int, 8) // by segment: literal 3, parameter 2, end of an exact path 1, end of a prefix 0
 	for i, s := range patternSegments {
 		switch {
 		case s == requestSegments[i]:
@@ -358,7 +359,7 @@
 	})
 }
 
-// drawPattern draws a valid pattern.
+// drawPattern draws a random valid pattern.
 func drawPattern(t *rapid.T) Pattern {
 	hosts := []string{"", "", "h.example", "*.example", "*.h.example", "example"}
 	segment := rapid.SampledFrom([]string{"a", "b", "{p}"})
@@ -385,7 +386,7 @@
 	return p
 }
 
-// drawPath draws the path of a request, in normal form.
+// drawPath draws a random path of a request, in normal form.
 func drawPath(t *rapid.T) string {
 	segments := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "a"}), 0, 4)
 	path := "/" + strings.Join(segments.Draw(t, "path"), "/")
@@ -395,10 +396,10 @@
 	return path
 }
 
-// fuzzChoices are the input of a fuzz test: each byte makes a choice.
+// fuzzChoices is the remaining input of a fuzz test. Each byte decides one choice.
 type fuzzChoices []byte
 
-// pick chooses a text by the next byte, the first text if there is none.
+// pick returns the text that the next byte of the input selects, or the first text if no input is left.
 func (c *fuzzChoices) pick(texts ...string) string {
 	if len(*c) == 0 {
 		return texts[0]
@@ -408,7 +409,7 @@
 	return texts[int(next)%len(texts)]
 }
 
-// patterns chooses patterns that do not conflict.
+// choosePatterns returns patterns that the input selects. It skips patterns that conflict with earlier ones.
 func (c *fuzzChoices) choosePatterns() []Pattern {
 	var patterns []Pattern
 	for len(*c) > 24 && len(patterns) < 40 {
@@ -434,7 +435,7 @@
 	return patterns
 }
 
-// FuzzMatch compares the table with its reference, with patterns and requests that the input chooses.
+// FuzzMatch compares Table.Match with referenceMatch, for patterns and requests that the input selects.
 func FuzzMatch(f *testing.F) {
 	for i := range 8 {
 		seed := make([]byte, 64)
@@ -477,7 +478,7 @@
 	})
 }
 
-// tableOfRoutes returns a table of n routes, and a path that each of them matches.
+// tableOfRoutes returns a table of routeCount patterns, and for each pattern a path that it matches.
 func tableOfRoutes(routeCount int) (*Table, []string) {
 	var patterns []Pattern
 	var paths []string
--- a/internal/decide/route/table.go
+++ b/internal/decide/route/table.go
@@ -5,32 +5,32 @@
 	"strings"
 )
 
-// Table finds the route of a request, with a tree of path segments for each host. Create one with New. It is safe for
-// concurrent use.
+// Table finds the route of a request. It has a tree of path segments for each host of the patterns. Create one
+// with New; it is safe for concurrent use.
 type Table struct {
-	exactHosts   map[string]*node // by host
-	hostSuffixes map[string]*node // by the suffix after "*."
-	anyHost      *node            // of patterns without a host; nil if there are none
-	parameters   []map[string]int // by pattern: the index of each parameter's segment
+	exactHosts   map[string]*node // root nodes of patterns with an exact host, by host
+	hostSuffixes map[string]*node // root nodes of patterns with "*.suffix", by suffix
+	anyHost      *node            // root node of patterns without a host; nil if there are none
+	parameters   []map[string]int // by pattern index: the segment index of each parameter, by name
 }
 
-// node is a node of the tree: the end of a path of segments.
+// node is a node of a tree of path segments. Its path is the sequence of segments from the root to the node.
 type node struct {
-	literals      map[string]*node // children by literal segment
-	parameter     *node            // child of any segment that is not empty
-	exactEntries  []entry          // patterns whose path ends here, the most specific first
-	prefixEntries []entry          // patterns that match all paths from here on, the most specific first
+	literals      map[string]*node // children for literal segments, by segment
+	parameter     *node            // child for any segment that is not empty; nil if there is none
+	exactEntries  []entry          // patterns with exactly the path of the node, the most specific first
+	prefixEntries []entry          // patterns for the path of the node and all paths below it, the most specific first
 }
 
-// entry is a pattern without its host and path.
+// entry is the part of a pattern that its node does not determine: its methods and headers.
 type entry struct {
-	patternIndex      int // of the pattern
+	patternIndex      int // index of the pattern in the argument of New
 	methods           []string
 	headers           []Header
-	exactValueHeaders int // number of headers that must have a certain value
+	exactValueHeaders int // number of headers with a required value
 }
 
-// New returns a table of patterns. It fails with a *PatternError or a *ConflictError.
+// New returns a table of the patterns, or a *PatternError or a *ConflictError.
 func New(patterns []Pattern) (*Table, error) {
 	t := &Table{
 		exactHosts:   map[string]*node{},
@@ -45,7 +45,8 @@
 	return t, nil
 }
 
-// insert adds a pattern to the table, and keeps the entries of its node in the order of specificity.
+// insert adds a pattern to the table, so that the entries of its node stay sorted by specificity. It returns a
+// *PatternError or a *ConflictError if that is not possible.
 func (t *Table) insert(patternIndex int, p *Pattern) error {
 	if key, reason := p.validate(); reason != "" {
 		return &PatternError{patternIndex, key, reason}
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// hostNode returns the root of the tree of a pattern's host, and creates it if it does not exist.
+// hostNode returns the root node for the host of a pattern, and creates the node if it does not exist.
 func (t *Table) hostNode(host string) *node {
 	if host == "" {
 		if t.anyHost == nil {
@@ -94,8 +95,9 @@
 	return nodes[host]
 }
 
-// insertPath returns the node at the end of a pattern's path, and creates the nodes that do not exist. It also reports
-// whether the path is a prefix, and returns the index of each parameter's segment.
+// insertPath returns the node at the end of a pattern's path, and creates the nodes on the way that do not
+// exist. It also reports whether the path is a prefix, and returns the segment index of each parameter, by
+// name.
 func (n *node) insertPath(path string) (end *node, isPrefix bool, parameterSegments map[string]int) {
 	if path == "" {
 		return n, true, nil
@@ -122,7 +124,7 @@
 	return n, isPrefix, parameterSegments
 }
 
-// literalChild returns the child of a literal segment, and creates it if it does not exist.
+// literalChild returns the child for a literal segment, and creates it if it does not exist.
 func (n *node) literalChild(segment string) *node {
 	if n.literals == nil {
 		n.literals = map[string]*node{}
@@ -133,7 +135,7 @@
 	return n.literals[segment]
 }
 
-// moreSpecificThan reports whether an entry is more specific than another one of the same host and path.
+// moreSpecificThan reports whether an entry is more specific than another entry with the same host and path.
 func (e *entry) moreSpecificThan(other *entry) bool {
 	if e.exactValueHeaders != other.exactValueHeaders {
 		return e.exactValueHeaders > other.exactValueHeaders
@@ -144,7 +146,7 @@
 	return len(e.methods) > 0 && len(other.methods) == 0
 }
 
-// overlaps reports whether one request could match both entries.
+// overlaps reports whether the same request could match both entries.
 func (e *entry) overlaps(other *entry) bool {
 	sharesMethod := func(method string) bool { return slices.Contains(other.methods, method) }
 	if len(e.methods) > 0 && len(other.methods) > 0 && !slices.ContainsFunc(e.methods, sharesMethod) {
@@ -160,8 +162,9 @@
 	return true
 }
 
-// ParameterIndex returns the index, from 0, of a parameter's segment in a pattern's path, by which Segment returns its
-// value in a request's path. ok is false if the pattern has no such parameter.
+// ParameterIndex returns the index of the path segment that a parameter of a pattern stands for, counted from
+// 0. Segment returns the parameter's value in a request's path for that index. ok is false if the pattern has
+// no such parameter.
 func (t *Table) ParameterIndex(patternIndex int, name string) (segmentIndex int, ok bool) {
 	segmentIndex, ok = t.parameters[patternIndex][name]
 	return segmentIndex, ok
--- a/internal/decide/zones/doc.go
+++ b/internal/decide/zones/doc.go
@@ -1,15 +1,18 @@
-// Package zones decides which zone a request goes to: the first zone of its preferences as long as that has capacity,
-// the next ones for the excess and no more than they can spare, and a zone that recovers in steps. The inputs are the
-// attempts that were sent to each zone and their outcomes. It must not import endpoints, which the balancer picks
-// within the zone, nor sockets.
+// Package zones decides to which zone a request is sent. Each request has a list of zones in order of preference.
+// It is sent to the first one, its home zone, as long as that zone has capacity. Requests in excess of that
+// capacity spill to the next zones, within the spare capacity of these. A zone that recovers receives its requests
+// in increasing steps. The inputs of the decisions are the attempts that were sent to each zone and their outcomes.
+// The package must not import sockets, or endpoints, which the balancer picks within the zone.
 //
-// A zone's capacity is not taken from the number of its endpoints. It is learned as in package concurrency: how many
-// requests of this instance may be in flight there before further ones only wait. The part of that which the zone's own
-// requests leave is its spare capacity, of which traffic of other zones, the spill, may use a set part. Of that part, a
-// class may use the more the higher its priority weight (trunk reservation, as in telephone exchanges: Akinpelu, "The
-// Overload Performance of Engineered Networks with Nonhierarchical and Hierarchical Routing", BSTJ 1984): so the lowest
-// class is rejected first, without a forecast.
+// The capacity of a zone is not derived from the number of its endpoints. It is estimated as in package
+// concurrency: the number of requests of this instance that may be in flight in the zone before further
+// requests only wait. The spare capacity is the part that the zone's own requests leave unused. Spill, the
+// traffic of other zones, may use a configured fraction of it. Of that fraction, a class may use the more, the
+// higher its priority weight is (trunk reservation, as in telephone exchanges: Akinpelu, "The Overload
+// Performance of Engineered Networks with Nonhierarchical and Hierarchical Routing", BSTJ 1984). The lowest
+// class is therefore rejected first, without a forecast.
 //
-// router.go has the way of a request, spill.go the rules of spill, and state.go how a zone goes down and recovers. A
-// Router is a deterministic state machine for one goroutine at a time. No other package imports this one yet.
+// router.go chooses the zone of a request, spill.go limits spill, and state.go decides when a zone goes down
+// and how it recovers. A Router is a deterministic state machine and is not safe for concurrent use. No other
+// package imports this one yet.
 package zones
--- a/internal/decide/zones/rate_meter.go
+++ b/internal/decide/zones/rate_meter.go
@@ -2,14 +2,14 @@
 
 import "dunlinsail/internal/monotime"
 
-// rateMeter estimates the number of events in the last second.
+// rateMeter estimates the number of events in the last second, from counts of two successive seconds.
 type rateMeter struct {
 	secondStart monotime.Micros
-	current     float64 // events since secondStart
-	previous    float64 // events in the second before secondStart
+	current     float64 // number of events since secondStart
+	previous    float64 // number of events in the second before secondStart
 }
 
-// advance moves the meter to now.
+// advance starts a new second if the current one is over at now.
 func (m *rateMeter) advance(now monotime.Micros) {
 	switch elapsed := now - m.secondStart; {
 	case elapsed >= 2*second:
@@ -23,13 +23,14 @@
 	}
 }
 
-// add counts an event.
+// add counts an event at now.
 func (m *rateMeter) add(now monotime.Micros) {
 	m.advance(now)
 	m.current++
 }
 
-// rate returns the events of the last second. Those before secondStart are interpolated, as if they had come evenly.
+// rate returns the estimated number of events in the second before now. It assumes that the events before secondStart
+// were evenly spaced.
 func (m *rateMeter) rate(now monotime.Micros) float64 {
 	m.advance(now)
 	return m.current + m.previous*(1-float64(now-m.secondStart)/float64(second))
--- a/internal/decide/zones/router.go
+++ b/internal/decide/zones/router.go
@@ -6,24 +6,24 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Request is a request to be routed.
+// Request is a request for which Choose decides the zone.
 type Request struct {
 	Group        int  // index in Settings.ZonePreferences
 	Class        int  // index in Settings.ClassWeights
-	OverQuota    bool // it is over its tenant's quota
-	RequiredZone int  // the only zone that it may go to, since an attempt may have run there; -1 is none
+	OverQuota    bool // the request exceeds its tenant's quota
+	RequiredZone int  // only zone it may be sent to, since an attempt may have run there; -1 if none
 }
 
 // Reason is why a request is rejected.
 type Reason uint8
 
-// The reasons.
+// The reasons. None is the reason of a request that is not rejected.
 const (
 	None              Reason = iota
-	NoZoneUp                 // none of its zones is up
-	NoSpareCapacity          // the other zones that are up have no spare capacity for it
-	SpillLimitReached        // Settings.MaxSpillFraction of its zone's requests spill
-	RequiredZoneDown         // its required zone is down
+	NoZoneUp                 // no zone in the request's preferences is up
+	NoSpareCapacity          // the other zones that are up have no spare capacity for the request
+	SpillLimitReached        // Settings.MaxSpillFraction of its home zone's requests already spill
+	RequiredZoneDown         // the request's required zone is down
 )
 
 var reasonTexts = [...]string{
@@ -34,26 +34,26 @@
 	"the zone that may have run it is down",
 }
 
-// String returns the reason as text for people.
+// String returns a text that explains the reason to operators.
 func (r Reason) String() string { return reasonTexts[r] }
 
-// Decision is where a request goes.
+// Decision is the zone that a request is sent to, or its rejection.
 type Decision struct {
-	Zone       int             // -1 is none: it is rejected
-	Spill      bool            // the zone is not the first one of its preferences
-	Reason     Reason          // of a request that is rejected
-	RetryAfter monotime.Micros // of a request that is rejected; 0 is no advice
+	Zone       int             // -1 if the request is rejected
+	Spill      bool            // Zone is not the first zone in the request's preferences
+	Reason     Reason          // why the request is rejected, or None
+	RetryAfter monotime.Micros // Retry-After of a rejected request; 0 if the client gets none
 }
 
-// Router routes requests to zones. Make one with New; it is for one goroutine at a time.
+// Router routes requests to zones. Create one with New. It is not safe for concurrent use.
 type Router struct {
 	settings   Settings
 	rand       hash64.Source
-	classRanks []float64 // by class: part of the classes with a higher priority weight, 0 to 1
+	classRanks []float64 // by class: fraction of the classes that have a higher priority weight
 	zones      []zone
 }
 
-// New returns a router with all zones up, or an error if the settings are invalid.
+// New returns a router in which all zones are up, or an error if the settings are invalid.
 func New(s Settings) (*Router, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 	return router, nil
 }
 
-// classRank returns the part of the classes with a priority weight higher than weight.
+// classRank returns the fraction of the classes whose priority weight is higher than weight.
 func classRank(classWeights []float64, weight float64) float64 {
 	higher := 0
 	for _, other := range classWeights {
@@ -87,17 +87,17 @@
 	return float64(higher) / float64(len(classWeights))
 }
 
-// initialFleetLimit is the first limit of all instances together, in requests in flight to a zone.
+// initialFleetLimit is the initial limit of requests in flight to a zone, for all instances together.
 const initialFleetLimit = 16
 
-// The thresholds of a zone's limit, as parts of it (concurrency.Settings). They are tighter than the defaults: requests
-// must hardly wait in spare capacity.
+// The thresholds of a zone's limiter, as fractions of the limit; concurrency.Settings describes them. They are
+// tighter than the defaults, since requests must hardly wait in spare capacity.
 const (
 	growThreshold   = 1.0 / 16
 	shrinkThreshold = 1.0 / 8
 )
 
-// newZoneLimiter returns the limiter of requests in flight to a zone.
+// newZoneLimiter returns the limiter for this instance's requests in flight to a zone.
 func newZoneLimiter(s *Settings, zoneIndex int) (*concurrency.Limiter, error) {
 	return concurrency.New(concurrency.Settings{
 		Classes:         len(s.ClassWeights),
@@ -110,14 +110,15 @@
 	})
 }
 
-// Choose decides which zone a request goes to, or that it is rejected. A request with a required zone goes there
-// unless it is down. Another one goes to its first zone if that admits it (admitsHomeRequest), and otherwise spills to the
-// first of the next zones that is up and has spare capacity for it (admitsSpill), within MaxSpillFraction of its
-// first zone's requests a second. If there is no other zone that is up, it goes to its first zone unless that is
-// down: the balancer then decides what is sent.
+// Choose decides which zone a request is sent to, or that it is rejected. A request with a required zone is
+// sent there unless the zone is down. Any other request is sent to its home zone, the first of its preferences,
+// if admitsHomeRequest allows it. Otherwise it spills to the first of the next zones that is up and has spare
+// capacity for it (admitsSpill), as long as at most MaxSpillFraction of the home zone's requests spill. If no
+// other zone is up, the request is sent to its home zone unless that is down; the balancer then decides whether
+// to send it.
 //
-// The caller has the balancer pick an endpoint within the zone, and calls OnAttemptSent for each attempt that it sends
-// there, retries included.
+// The caller lets the balancer pick an endpoint within the zone, and calls OnAttemptSent for each attempt that
+// it sends to the zone, including retries.
 func (router *Router) Choose(now monotime.Micros, r Request) Decision {
 	if r.RequiredZone >= 0 {
 		return router.chooseRequired(now, r.RequiredZone)
@@ -152,7 +153,7 @@
 	return router.reject(reason)
 }
 
-// chooseRequired decides on a request that may go to one zone only.
+// chooseRequired decides whether a request is sent to its required zone or rejected.
 func (router *Router) chooseRequired(now monotime.Micros, zoneIndex int) Decision {
 	router.updateState(now, &router.zones[zoneIndex])
 	if router.zones[zoneIndex].state == Down {
@@ -161,22 +162,24 @@
 	return Decision{Zone: zoneIndex}
 }
 
-// meanRetryAfter is the mean Retry-After of a request that is rejected.
+// meanRetryAfter is the mean Retry-After of a rejected request; the actual one has jitter.
 const meanRetryAfter = second / 2
 
-// reject returns the decision to reject a request.
+// reject returns the decision to reject a request for a reason.
 func (router *Router) reject(reason Reason) Decision {
 	return Decision{Zone: -1, Reason: reason, RetryAfter: router.jittered(meanRetryAfter)}
 }
 
-// maxOwnLoadFactor is the multiple of a zone's learned limit up to which its own requests are in flight before they
-// spill. They may wait for one another a little: the learned limit also shrinks when spill fills the zone, and the
-// spill must give way first.
+// maxOwnLoadFactor limits a zone's requests in flight, as a multiple of the zone's learned limit. Above it, the
+// zone's own requests spill. It is greater than 1, so that they may queue a little: the learned limit also
+// shrinks when spill fills the zone, and spill must then decrease before the zone's own requests are sent
+// elsewhere.
 const maxOwnLoadFactor = 3.0
 
-// admitsHomeRequest decides whether a zone takes one more of its own requests: up to maxOwnLoadFactor times its learned limit of
-// requests in flight if it is up; none if it is down. While it recovers it takes its share of them, evenly, and never
-// has more in flight than that share of the limit.
+// admitsHomeRequest decides whether a zone admits one more of its own requests. A zone that is up admits
+// requests up to maxOwnLoadFactor times its learned limit of requests in flight. A zone that is down admits
+// none. A recovering zone admits its recovery share of the requests, evenly spaced, and has at most
+// that share of the limit, or one request, in flight.
 func (router *Router) admitsHomeRequest(z *zone) bool {
 	switch z.state {
 	case Down:
@@ -193,7 +196,7 @@
 	return float64(z.inFlight) < maxOwnLoadFactor*float64(z.limiter.Limit())
 }
 
-// OnAttemptSent takes in an attempt that was sent to a zone. Retries count as first attempts do.
+// OnAttemptSent records that an attempt was sent to a zone. It must be called for first attempts and retries alike.
 func (router *Router) OnAttemptSent(now monotime.Micros, zoneIndex int, spill bool) {
 	z := &router.zones[zoneIndex]
 	z.inFlight++
@@ -209,14 +212,14 @@
 type Outcome struct {
 	Class        int
 	Spill        bool
-	Duration     monotime.Micros // from when it was sent to its end
-	InFlight     int             // attempts in flight in the zone when it was sent, itself included
-	Served       bool            // it was answered
-	InTime       bool            // it was answered within its latency objective
-	Inconclusive bool            // it is no evidence of the zone's state: cancelled, or never sent
+	Duration     monotime.Micros // time from sending the attempt to its end
+	InFlight     int             // attempts in flight in the zone when it was sent, including itself
+	Served       bool            // a response was received
+	InTime       bool            // a response was received within the latency objective
+	Inconclusive bool            // no evidence of the zone's state: cancelled, or never sent
 }
 
-// OnAttemptEnded takes in how an attempt ended.
+// OnAttemptEnded records the outcome of an attempt, and updates the zone's state.
 func (router *Router) OnAttemptEnded(now monotime.Micros, zoneIndex int, o Outcome) {
 	z := &router.zones[zoneIndex]
 	z.inFlight--
@@ -243,13 +246,14 @@
 	router.updateState(now, z)
 }
 
-// InFlight returns how many attempts are in flight in a zone.
+// InFlight returns the number of this instance's attempts in flight in a zone.
 func (router *Router) InFlight(zoneIndex int) int { return router.zones[zoneIndex].inFlight }
 
-// jitter is the greatest part of a duration that is added or subtracted at random.
+// maxJitterFraction is the largest fraction of a duration that jittered adds or subtracts.
 const maxJitterFraction = 0.25
 
-// jittered returns a random duration around d, so that instances with the same evidence do not act at once.
+// jittered returns a random duration with mean d, so that instances with the same evidence do not act at the
+// same time.
 func (router *Router) jittered(d monotime.Micros) monotime.Micros {
 	return monotime.Micros(float64(d) * (1 + maxJitterFraction*(2*router.rand.Float64()-1)))
 }
--- a/internal/decide/zones/settings.go
+++ b/internal/decide/zones/settings.go
@@ -14,23 +14,23 @@
 // Settings configure a Router.
 type Settings struct {
 	Zones           int       // number of zones, 1 to maxZones
-	ClassWeights    []float64 // by class: priority weight of a request
-	ZonePreferences [][]int   // by group of clients: its zones, the preferred one first
+	ClassWeights    []float64 // by class: priority weight of its requests
+	ZonePreferences [][]int   // by group of clients: the indexes of its zones, the most preferred zone first
 
-	MaxSpareFraction     float64 // part of another zone's spare capacity that spill may use; greater than 0, up to 1
-	MaxSpillFraction     float64 // part of a zone's requests that may spill; greater than 0, up to 1
-	InitialRecoveryShare float64 // part of its requests that a recovering zone gets first; greater than 0, up to 1
+	MaxSpareFraction     float64 // largest fraction of spare capacity that spill may use; greater than 0, at most 1
+	MaxSpillFraction     float64 // largest fraction of a zone's requests that may spill; greater than 0, at most 1
+	InitialRecoveryShare float64 // share of its requests with which a zone starts to recover; greater than 0, at most 1
 
-	RecoveryStep monotime.Micros // mean duration of a step of the recovery
-	MinDownTime  monotime.Micros // mean time for which a zone stays down; doubled each time it flaps
-	MaxDownTime  monotime.Micros // greatest mean time for which a zone stays down
-	MinInFlight  int             // least learned limit of requests in flight to a zone
-	MaxInFlight  int             // greatest learned limit of requests in flight to a zone
-	Seed         uint64
-	Instances    int // number of instances that send to the zones, this one included
+	RecoveryStep monotime.Micros // mean duration of a recovery step
+	MinDownTime  monotime.Micros // mean time for which a zone stays down; doubled each time it goes down again soon
+	MaxDownTime  monotime.Micros // largest mean time for which a zone stays down
+	MinInFlight  int             // lower bound of the learned limit of requests in flight to a zone
+	MaxInFlight  int             // upper bound of the learned limit of requests in flight to a zone
+	Seed         uint64          // seed of the random numbers
+	Instances    int             // number of instances that send to the zones, including this one
 }
 
-// Validate returns an error that names the first invalid setting.
+// Validate returns an error that names the first invalid setting, or nil.
 func (s *Settings) Validate() error {
 	isFraction := func(v float64) bool { return v > 0 && v <= 1 }
 	switch {
@@ -57,7 +57,7 @@
 	return s.validatePreferences()
 }
 
-// validatePreferences returns an error that names the first group whose preferences are invalid.
+// validatePreferences returns an error that names the first group with invalid zone preferences, or nil.
 func (s *Settings) validatePreferences() error {
 	for group, preferences := range s.ZonePreferences {
 		seen := map[int]bool{}
--- a/internal/decide/zones/spill.go
+++ b/internal/decide/zones/spill.go
@@ -6,13 +6,15 @@
 	"dunlinsail/internal/monotime"
 )
 
-// reservedFraction is the part of the spare capacity that is reserved for higher classes, from the lowest class.
+// reservedFraction is the fraction of the spare capacity that requests of rank 1, the lowest, must leave to
+// requests of higher priority. For other ranks (Router.classRanks) the fraction is multiplied by the rank.
 const reservedFraction = 0.6
 
-// admitsSpill decides whether a zone that is up takes a request of another zone, by its spill in flight: less than
-// MaxSpareFraction of the learned limit that its own requests leave, less what is reserved for classes with a higher
-// priority weight, times spillFactor. Requests over their tenant's quota rank behind all classes. Less than one
-// request is a chance for one.
+// admitsSpill decides whether a zone that is up admits a request of another zone. Its spill in flight must be
+// less than a limit: the capacity that its own requests leave of the learned limit, times MaxSpareFraction,
+// times the fraction that is not reserved for classes with a higher priority weight, times spillFactor.
+// Requests over their tenant's quota rank behind all classes. A limit of less than 1 is the probability that
+// the request is admitted while no spill is in flight.
 func (router *Router) admitsSpill(z *zone, r Request) bool {
 	freeCapacity := math.Max(0, float64(z.limiter.Limit()-(z.inFlight-z.spillInFlight)))
 	spillLimit := router.settings.MaxSpareFraction * freeCapacity
@@ -28,16 +30,17 @@
 }
 
 const (
-	spillInTimeThreshold = 0.95 // part of the spilled requests in time from which on the spill factor grows
-	spillIncrease        = 0.05 // added to the spill factor
-	spillDecrease        = 0.6  // factor on the spill factor if fewer are in time
+	spillInTimeThreshold = 0.95 // fraction of spilled attempts in time at and above which the spill factor grows
+	spillIncrease        = 0.05 // increment of the spill factor if it grows
+	spillDecrease        = 0.6  // multiplier of the spill factor if too few attempts are in time
 	minSpillFactor       = 0.02
 	initialSpillFactor   = 0.3
 )
 
-// observeSpill takes in the outcome of a spilled request, and decides on the zone's spill factor after each window of
-// minWindowOutcomes of them, or of windowDuration. The requests of other instances take capacity that this instance
-// sees only by the outcomes of its spill.
+// observeSpill records the outcome of a spilled attempt, and adjusts the zone's spill factor at the end of each
+// window of minWindowOutcomes outcomes, or of windowDuration if that ends earlier. The spill factor is needed
+// because other instances also use the zone's capacity, and this instance notices that only from the outcomes
+// of its spill.
 func (z *zone) observeSpill(now monotime.Micros, inTime bool) {
 	z.spillOutcomes++
 	if inTime {
--- a/internal/decide/zones/state.go
+++ b/internal/decide/zones/state.go
@@ -5,14 +5,14 @@
 	"dunlinsail/internal/monotime"
 )
 
-// State is the state of a zone.
+// State is whether a zone is up, down or recovering.
 type State uint8
 
-// The states.
+// The states of a zone.
 const (
-	Up         State = iota
-	Down             // it gets no requests
-	Recovering       // it gets a share of its requests, and no spill
+	Up         State = iota // the zone receives its own requests and spill
+	Down                    // the zone receives no requests
+	Recovering              // the zone receives a share of its own requests, and no spill
 )
 
 var stateNames = [...]string{"up", "down", "recovering"}
@@ -20,40 +20,40 @@
 // String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// zone is the state of one zone.
+// zone is what the router knows about one zone.
 type zone struct {
 	state          State
 	readyEndpoints int
 	limiter        *concurrency.Limiter
-	inFlight       int // attempts, spill included
-	spillInFlight  int // attempts of other zones' traffic
+	inFlight       int // attempts in flight, including spill
+	spillInFlight  int // attempts in flight of requests that spilled from other zones
 
-	// spillFactor is the part of the spare capacity, 0 to 1, that spill may use by its outcomes (observeSpill).
+	// spillFactor, from minSpillFactor to 1, scales the spare capacity that spill may use. observeSpill adjusts it.
 	spillFactor      float64
 	spillWindowStart monotime.Micros
-	spillInTime      int
-	spillOutcomes    int
+	spillInTime      int // outcomes of spilled attempts in time, in the present window
+	spillOutcomes    int // all outcomes of spilled attempts in the present window
 
-	recoveryShare    float64         // while Recovering: part of its requests that it gets, 0 to 1
-	recoveryCredit   float64         // requests of that share that it has not got yet
-	nextTransitionAt monotime.Micros // earliest end of Down, or of the present step of Recovering
-	nextDownTime     monotime.Micros // mean time for which it stays down the next time
-	upSince          monotime.Micros
+	recoveryShare    float64         // while Recovering: fraction of its requests that it receives
+	recoveryCredit   float64         // while Recovering: requests of recoveryShare that it has not received yet
+	nextTransitionAt monotime.Micros // earliest end of the down time or of the present recovery step
+	nextDownTime     monotime.Micros // mean time for which the zone stays down the next time
+	upSince          monotime.Micros // time of the latest recovery
 
-	homeRequests    rateMeter // requests whose first zone it is
-	spilledRequests rateMeter // those of them that went to other zones
+	homeRequests    rateMeter // requests whose home zone it is
+	spilledRequests rateMeter // requests whose home zone it is, and that spilled to other zones
 	outcomes        outcomeWindow
 }
 
-// outcomeWindow counts the outcomes of recent attempts.
+// outcomeWindow counts the outcomes of attempts since start.
 type outcomeWindow struct {
 	start       monotime.Micros
-	inTime      int
-	total       int
-	silentSince monotime.Micros // since when there was no answer with minSilentInFlight in flight; 0 is not so
+	inTime      int             // outcomes in time
+	total       int             // all outcomes
+	silentSince monotime.Micros // no response since then, with minSilentInFlight or more in flight; 0 if not silent
 }
 
-// SetReadyEndpoints sets the number of a zone's endpoints that are ready. A zone without any goes down.
+// SetReadyEndpoints sets the number of endpoints of a zone that are ready. A zone without ready endpoints goes down.
 func (router *Router) SetReadyEndpoints(now monotime.Micros, zoneIndex, ready int) {
 	z := &router.zones[zoneIndex]
 	z.readyEndpoints = ready
@@ -62,8 +62,8 @@
 	}
 }
 
-// ZoneState returns a zone's state, the part of its requests that it gets, 0 to 1, and its learned limit of requests in
-// flight.
+// ZoneState returns a zone's state, the share of its own requests that it receives, from 0 to 1, and its
+// learned limit of requests in flight.
 func (router *Router) ZoneState(zoneIndex int) (state State, share float64, limit int) {
 	z := &router.zones[zoneIndex]
 	switch z.state {
@@ -76,11 +76,11 @@
 }
 
 const (
-	downTimeFactor = 2           // on the down time, each time the zone goes down
-	flapResetTime  = 30 * second // time for which a zone must be up until MinDownTime holds again
+	downTimeFactor = 2           // multiplier of the mean down time, each time the zone goes down
+	flapResetTime  = 30 * second // time in state Up after which the mean down time is MinDownTime again
 )
 
-// markDown takes a zone down, for nextDownTime on average. That is doubled each time, up to MaxDownTime.
+// markDown takes a zone down for nextDownTime on average. It then doubles nextDownTime, up to MaxDownTime.
 func (router *Router) markDown(now monotime.Micros, z *zone) {
 	if z.state == Up && now-z.upSince > flapResetTime {
 		z.nextDownTime = router.settings.MinDownTime
@@ -94,15 +94,15 @@
 }
 
 const (
-	// silenceTimeout is the time without an answer, with minSilentInFlight attempts in flight, after which a zone
-	// counts as cut off.
+	// silenceTimeout is the time without a response, while at least minSilentInFlight attempts are in flight, after
+	// which a zone counts as cut off.
 	silenceTimeout    = second
 	minSilentInFlight = 4
 )
 
-// updateState decides on a zone's state at an instant. A zone that is cut off goes down, whatever endpoints discovery
-// lists. A zone that is down recovers once its down time is over and an endpoint is ready. For the others see
-// updateRecovering and updateUp.
+// updateState makes the change of a zone's state that is due at now. A zone that is cut off goes down, even if
+// discovery lists ready endpoints. A zone that is down starts to recover once its down time is over and an
+// endpoint is ready. updateRecovering and updateUp decide on zones in the other states.
 func (router *Router) updateState(now monotime.Micros, z *zone) {
 	outcomes := &z.outcomes
 	if z.state != Down && outcomes.silentSince > 0 && now-outcomes.silentSince > silenceTimeout {
@@ -125,13 +125,13 @@
 }
 
 const (
-	windowDuration    = second / 2         // duration of the window of a zone that is up
-	minWindowAge      = windowDuration / 2 // age of the window from which on it can take the zone down
-	minWindowOutcomes = 8                  // outcomes by which a zone is judged, or its spill
-	downThreshold     = 0.3                // part of the outcomes in time up to which a zone goes down
+	windowDuration    = second / 2         // duration of the outcome window of a zone that is up
+	minWindowAge      = windowDuration / 2 // age at which an outcome window can first take the zone down
+	minWindowOutcomes = 8                  // outcomes that a decision about a zone, or its spill, needs
+	downThreshold     = 0.3                // fraction of outcomes in time at or below which a zone goes down
 )
 
-// updateUp decides whether a zone that is up goes down: by the part of its outcomes in time within a window.
+// updateUp takes a zone that is up down if too small a fraction of the outcomes in its window is in time.
 func (router *Router) updateUp(now monotime.Micros, z *zone) {
 	outcomes := &z.outcomes
 	mostlyLate := float64(outcomes.inTime) <= downThreshold*float64(outcomes.total)
@@ -144,20 +144,20 @@
 	}
 }
 
-// conclusive reports whether the window has enough outcomes to judge a zone.
+// conclusive reports whether the window has enough outcomes to decide about the zone's state.
 func (w *outcomeWindow) conclusive() bool { return w.total >= minWindowOutcomes }
 
 const (
-	recoverThreshold = 0.9 // part of the outcomes in time from which on a recovery goes on
-	recoveryGrowth   = 1.5 // factor on the share from one step to the next
-	// recoveryDecreaseDivisor is that of the share if too few outcomes are in time, and that of InitialRecoveryShare
-	// for the least share.
+	recoverThreshold = 0.9 // fraction of outcomes in time that a recovery needs to continue
+	recoveryGrowth   = 1.5 // multiplier of the recovery share from one step to the next
+	// recoveryDecreaseDivisor divides the recovery share if too few outcomes are in time. The smallest share is
+	// InitialRecoveryShare divided by it.
 	recoveryDecreaseDivisor = 2
 )
 
-// updateRecovering decides on the next step of a recovery, by the part of the outcomes in time in the present one:
-// the zone goes down, gets a lower share of its requests, or a higher one once the step is over. With the whole share
-// it is up. A step without any answer goes on.
+// updateRecovering decides on the next step of a recovery from the fraction of outcomes in time in the present
+// step. The zone goes down, receives a smaller share of its requests, or receives a larger share once the step
+// is over. It is up when the share reaches 1. A step without any outcome continues.
 func (router *Router) updateRecovering(now monotime.Micros, z *zone) {
 	outcomes := &z.outcomes
 	inTimeFraction := float64(outcomes.inTime) / float64(max(1, outcomes.total))
--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -13,6 +13,7 @@
 
 const ms = monotime.Millisecond
 
+// testSettings returns settings of three zones and two classes, for a fleet with the given number of instances.
 func testSettings(instances int) Settings {
 	return Settings{
 		Zones:                3,
@@ -31,7 +32,7 @@
 	}
 }
 
-// simulation is three zones of servers and some instances that send to them, in simulated time.
+// simulation simulates three zones of servers, and instances that send requests to them, in virtual time.
 type simulation struct {
 	clock      monotime.Micros
 	events     eventQueue
@@ -40,19 +41,19 @@
 	zones      [3]*zoneServers
 	routers    []*Router
 
-	requests, servedInTime, rejected [3]int // by home zone, since the last count
-	spilled                          [3]int // spilled requests by the zone that got them, since the last count
-	notInTime                        [3]int // requests by zone that it did not answer within the objective
+	requests, servedInTime, rejected [3]int // by home zone, since the last call of takeInTimeFractions
+	spilled                          [3]int // by the zone that received the spill, since the same call
+	notInTime                        [3]int // by the zone that received the attempt, since the same call
 }
 
-// servers are a zone's cores and their queue.
+// zoneServers simulates the servers of a zone as a number of cores with one queue.
 type zoneServers struct {
 	cores          int
 	busy           int
 	queue          []*sentAttempt
 	stopped        bool
 	unresponsive   bool
-	warmupStart    monotime.Micros // 0 is long ago
+	warmupStart    monotime.Micros // time of the latest restart; 0 if the servers never restarted
 	slowdownFactor float64
 }
 
@@ -213,7 +214,8 @@
 	})
 }
 
-// stopZone stops a zone: requests there are lost, and connections fail. Discovery reports it after a delay.
+// stopZone stops the servers of a zone: requests in progress are lost, new requests fail after 1 ms, and discovery
+// reports no ready endpoints after discoveryDelay.
 func (sim *simulation) stopZone(zoneIndex int, discoveryDelay monotime.Micros) {
 	servers := sim.zones[zoneIndex]
 	servers.stopped = true
@@ -239,7 +241,8 @@
 	}
 }
 
-// takeInTimeFractions returns which part of the requests was served in time, by home zone, since the last call.
+// takeInTimeFractions returns the fraction of requests that were served in time since its last call, by home
+// zone and overall, and resets the counts.
 func (sim *simulation) takeInTimeFractions() (inTimeFractions [3]float64, overall float64) {
 	inTime, requests := 0, 0
 	for i := range inTimeFractions {
@@ -254,12 +257,12 @@
 }
 
 const (
-	coresPerZone       = 12    // of each zone
-	requestRatePerZone = 750.0 // requests a second of each zone's clients, of 1,200 that it can serve
+	coresPerZone       = 12    // number of cores in each zone
+	requestRatePerZone = 750.0 // requests per second of each zone's clients; a zone can serve 1,200
 )
 
-// checkOutage runs ten seconds in which zone 0 is down, and checks that the others serve all that they can, their own
-// clients as before, and that the spill does not oscillate.
+// checkOutage simulates ten seconds in which zone 0 is down. It checks that the other zones serve their own
+// clients as before, that they serve as much spill as they can, and that the spill does not oscillate.
 func (sim *simulation) checkOutage(t *testing.T) {
 	t.Helper()
 	minSpill := 1e9
@@ -273,7 +276,8 @@
 		if inTimeFractions[1] < 0.95 || inTimeFractions[2] < 0.95 {
 			t.Errorf("second %d: the others' own clients %.3f", 43+elapsedSeconds, inTimeFractions)
 		}
-		// 2,400 can be served of 2,250; 0.8 of the spare 900 is 720.
+		// The two zones that are up can serve 2,400 requests per second, of 2,250 in all. Their own clients
+		// leave 900 of these unused, of which spill may use 0.8, that is 720.
 		if want := 0.95 * (2*requestRatePerZone + 0.8*900*requestRatePerZone/900) /
 			(3 * requestRatePerZone); overall < want*0.95 {
 			t.Errorf("second %d: %.3f in all, want %.3f", 43+elapsedSeconds, overall, want)
@@ -285,8 +289,8 @@
 	t.Logf("spill %v to %v a second", minSpill, maxSpill)
 }
 
-// checkRecovery runs the thirty seconds after zone 0 has restarted, and checks that it is never sent more than it can
-// answer in time, and that the others' clients are served.
+// checkRecovery simulates the thirty seconds after the restart of zone 0. It checks that the zone never receives more
+// requests than it can serve in time, and that the clients of the other zones are served.
 func (sim *simulation) checkRecovery(t *testing.T) {
 	t.Helper()
 	for halfSeconds := range 60 {
@@ -302,8 +306,9 @@
 	}
 }
 
-// A zone goes down and recovers. The others serve all that they can, their own clients as before; the spill does not
-// oscillate; and the zone that recovers is never sent more than it can answer in time.
+// TestZoneOutageAndRecovery stops and restarts a zone. The other zones must serve their own clients as before
+// and as much spill as they can, the spill must not oscillate, and the recovering zone must never receive more
+// requests than it can serve in time.
 func TestZoneOutageAndRecovery(t *testing.T) {
 	for _, instances := range []int{3, 30, 300} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
@@ -315,7 +320,7 @@
 				t.Errorf("before the outage: %.3f, %.3f", overall, inTimeFractions)
 			}
 			sim.stopZone(0, 2*second)
-			sim.runUntil(42 * second) // until it is stable
+			sim.runUntil(42 * second) // until the traffic is stable
 			sim.takeInTimeFractions()
 			sim.checkOutage(t)
 			sim.restartZone(0)
@@ -335,8 +340,9 @@
 	}
 }
 
-// A zone that does not answer, whatever discovery lists, goes down; one without endpoints does so at once; with no zone
-// up requests are rejected at once, and all are served again afterwards.
+// TestZoneGoesDownWithoutAnswersOrEndpoints verifies that a zone that does not respond goes down although
+// discovery lists its endpoints, that a zone without ready endpoints goes down at once, that requests are
+// rejected at once while no zone is up, and that requests are served again after the zones have recovered.
 func TestZoneGoesDownWithoutAnswersOrEndpoints(t *testing.T) {
 	sim := newSimulation(t, 3, 12, 600)
 	sim.runUntil(10 * second)
@@ -369,7 +375,7 @@
 	}
 }
 
-// A zone that flaps stays down longer each time.
+// TestFlappingZoneStaysDownLonger verifies that a zone that flaps stays down longer each time.
 func TestFlappingZoneStaysDownLonger(t *testing.T) {
 	router, err := New(testSettings(1))
 	if err != nil {
@@ -396,7 +402,8 @@
 	}
 }
 
-// checkDecision checks what must hold of any decision.
+// checkDecision checks the properties that every decision must have: a request with a required zone is sent to
+// no other zone, a rejection has a reason, and Spill is set only for a zone that is not the home zone.
 func checkDecision(t *rapid.T, s *Settings, r Request, d Decision) {
 	t.Helper()
 	if r.RequiredZone >= 0 && d.Zone >= 0 && (d.Zone != r.RequiredZone || d.Spill) {
@@ -413,7 +420,7 @@
 	}
 }
 
-// checkNothingInFlight checks that all attempts are counted back.
+// checkNothingInFlight checks that a router counts no attempt in flight in any zone after all attempts have ended.
 func checkNothingInFlight(t *rapid.T, router *Router) {
 	t.Helper()
 	for i := range router.zones {
@@ -423,14 +430,15 @@
 	}
 }
 
-// openAttempt is an attempt that has not ended.
+// openAttempt is an attempt in flight.
 type openAttempt struct {
 	zone  int
 	spill bool
 }
 
-// Whatever happens, spill never uses more than its part of a zone's capacity, each attempt is counted back, and a
-// request with a required zone goes to no other.
+// TestSpillStaysWithinLimits verifies for random requests and outcomes that spill never uses more than
+// MaxSpareFraction of a zone's capacity, that no attempt is counted as in flight after its end, and that a
+// request with a required zone is sent to no other zone.
 func TestSpillStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings(rapid.IntRange(1, 50).Draw(t, "instances"))
@@ -514,7 +522,8 @@
 	}
 }
 
-// A zone with attempts in flight that does not answer goes down after a while, before their timeouts.
+// TestSilentZoneGoesDown verifies that a zone that does not respond to attempts in flight goes down after
+// silenceTimeout, before the attempts time out.
 func TestSilentZoneGoesDown(t *testing.T) {
 	router, err := New(testSettings(1))
 	if err != nil {
@@ -531,7 +540,8 @@
 	}
 }
 
-// A zone that recovers half-healthy gets less, not more; once it is healthy it gets all.
+// TestHalfHealthyRecoveryIsHeldBack verifies that the share of a recovering zone does not grow while half of
+// its attempts are not in time, and that the zone is up again once all attempts are in time.
 func TestHalfHealthyRecoveryIsHeldBack(t *testing.T) {
 	router, err := New(testSettings(1))
 	if err != nil {
