--- a/internal/decide/maintenance/encoding_test.go
+++ b/internal/decide/maintenance/encoding_test.go
@@ -56,28 +56,28 @@
 	file, err := os.Open(filepath.Join("testdata", "replay", "log.jsonl"))
 	require.NoError(t, err)
 	defer file.Close()
-	entries := 0
-	for scanner := bufio.NewScanner(file); scanner.Scan(); entries++ {
+	entryCount := 0
+	for scanner := bufio.NewScanner(file); scanner.Scan(); entryCount++ {
 		var command Command
 		golden.DecodeJSON(t, scanner.Bytes(), &command)
 		reencoded, err := json.Marshal(command)
 		require.NoError(t, err)
 		if !bytes.Equal(reencoded, scanner.Bytes()) {
-			t.Errorf("entry %d is encoded as\n%s\nit was\n%s", entries, reencoded, scanner.Bytes())
+			t.Errorf("entry %d is encoded as\n%s\nit was\n%s", entryCount, reencoded, scanner.Bytes())
 		}
 		reply, err := direct.Apply(command)
 		replyRestored, errRestored := restored.Apply(command)
 		if reply != replyRestored || fmt.Sprint(err) != fmt.Sprint(errRestored) {
 			t.Errorf("entry %d: %q, %v; stored and restored %q, %v",
-				entries, reply, err, replyRestored, errRestored)
+				entryCount, reply, err, replyRestored, errRestored)
 		}
-		stored, err := json.Marshal(restored)
+		encodedState, err := json.Marshal(restored)
 		require.NoError(t, err)
 		restored = &State{}
-		golden.DecodeJSON(t, stored, restored)
+		golden.DecodeJSON(t, encodedState, restored)
 		restored.UseSettings(replaySettings)
 	}
-	if entries == 0 {
+	if entryCount == 0 {
 		t.Fatal("the log is empty")
 	}
 	for name, state := range map[string]*State{"applied at once": direct, "stored and restored": restored} {
--- a/internal/decide/maintenance/follower.go
+++ b/internal/decide/maintenance/follower.go
@@ -72,8 +72,8 @@
 		report.PlanVersion = f.plan.Version
 	}
 	for _, name := range f.ExcludedMachines(now) {
-		if count := inFlight(name); count > 0 {
-			report.InFlight[name] = count
+		if requestCount := inFlight(name); requestCount > 0 {
+			report.InFlight[name] = requestCount
 		}
 	}
 	return report
--- a/internal/decide/maintenance/requests.go
+++ b/internal/decide/maintenance/requests.go
@@ -64,19 +64,19 @@
 
 // describe returns a text with the phase of each machine of a request, and the reason why the machine waits, if any.
 func (state *State) describe(request *Request) string {
-	var parts []string
+	var machineTexts []string
 	for _, name := range request.Machines {
 		m := state.Machines[name]
 		switch {
 		case m == nil || !slices.Contains(m.Requests, request.ID):
-			parts = append(parts, name+" is back")
+			machineTexts = append(machineTexts, name+" is back")
 		case m.WaitReason != "":
-			parts = append(parts, fmt.Sprintf("%s is %v: %s", name, m.Phase, m.WaitReason))
+			machineTexts = append(machineTexts, fmt.Sprintf("%s is %v: %s", name, m.Phase, m.WaitReason))
 		default:
-			parts = append(parts, fmt.Sprintf("%s is %v", name, m.Phase))
+			machineTexts = append(machineTexts, fmt.Sprintf("%s is %v", name, m.Phase))
 		}
 	}
-	return strings.Join(parts, "; ")
+	return strings.Join(machineTexts, "; ")
 }
 
 // cancelRequest removes a request from the plan. Machines that no other request needs return if they are under
--- a/internal/decide/maintenance/state.go
+++ b/internal/decide/maintenance/state.go
@@ -155,7 +155,7 @@
 // recordEvent adds an event at the present time, and drops the oldest events beyond maxEvents.
 func (state *State) recordEvent(format string, args ...any) {
 	state.Events = append(state.Events, Event{Time: state.Now, Text: fmt.Sprintf(format, args...)})
-	if surplus := len(state.Events) - maxEvents; surplus > 0 {
-		state.Events = slices.Delete(state.Events, 0, surplus)
+	if excess := len(state.Events) - maxEvents; excess > 0 {
+		state.Events = slices.Delete(state.Events, 0, excess)
 	}
 }
--- a/internal/decide/maintenance/state_test.go
+++ b/internal/decide/maintenance/state_test.go
@@ -188,31 +188,32 @@
 // and warm up, a machine in another phase must stay in service, and the request must leave nothing behind in
 // the plan.
 func TestCancelInEachPhase(t *testing.T) {
-	for step := range 5 {
+	for phaseSteps := range 5 {
 		state := stateWith(t, eightMachines(1), Request{ID: "a", Machines: []string{"m0"}, Requester: "ana"})
-		if step > 0 {
+		if phaseSteps > 0 {
 			acknowledge(t, state)
 		}
-		if step > 1 {
+		if phaseSteps > 1 {
 			apply(t, state, Command{Drained: []string{"m0"}})
 		}
-		if step > 2 {
+		if phaseSteps > 2 {
 			apply(t, state, Command{Time: state.Now + 2*60*monotime.Second})
 			if !state.Machines["m0"].Overdue {
 				t.Error("its time is over, and it is not overdue")
 			}
 		}
 		apply(t, state, Command{CancelRequest: "a"})
-		if m := state.Machines["m0"]; (m != nil) != (step > 1) || m != nil && m.Phase != Returning {
-			t.Errorf("step %d: %+v", step, m)
+		if m := state.Machines["m0"]; (m != nil) != (phaseSteps > 1) || m != nil && m.Phase != Returning {
+			t.Errorf("step %d: %+v", phaseSteps, m)
 		}
-		if step > 3 {
+		if phaseSteps > 3 {
 			checkUnhealthyMachineKeepsReturning(t, state)
 		}
 		apply(t, state, Command{Time: state.Now + 3*monotime.Second})
 		plan := state.Plan()
 		if len(state.Machines) != 0 || len(state.Requests) != 0 || len(plan.Excluded)+len(plan.Announced) != 0 {
-			t.Errorf("step %d: %d machines and %d requests are left", step, len(state.Machines), len(state.Requests))
+			t.Errorf("step %d: %d machines and %d requests are left",
+				phaseSteps, len(state.Machines), len(state.Requests))
 		}
 	}
 }
@@ -276,9 +277,9 @@
 				r.Fatalf("%q, %v and stored and restored %q, %v", reply, err, replyRestored, errRestored)
 			}
 			restored = storeAndRestore(r, restored)
-			want := fmt.Sprint(direct.Plan(), direct.Events)
-			if got := fmt.Sprint(restored.Plan(), restored.Events); got != want {
-				r.Fatalf("%s\nand stored and restored\n%s", want, got)
+			directState := fmt.Sprint(direct.Plan(), direct.Events)
+			if got := fmt.Sprint(restored.Plan(), restored.Events); got != directState {
+				r.Fatalf("%s\nand stored and restored\n%s", directState, got)
 			}
 			checkPlan(r, direct, planContents)
 		}
@@ -319,7 +320,7 @@
 
 // storeAndRestore returns the state that is decoded from the JSON encoding of a state, as from a raft snapshot.
 func storeAndRestore(r *rapid.T, state *State) *State {
-	stored, err := json.Marshal(state)
+	encodedState, err := json.Marshal(state)
 	if err != nil {
 		r.Fatal(err)
 	}
@@ -327,7 +328,7 @@
 	if err != nil {
 		r.Fatal(err)
 	}
-	if err := json.Unmarshal(stored, restored); err != nil {
+	if err := json.Unmarshal(encodedState, restored); err != nil {
 		r.Fatal(err)
 	}
 	restored.UseSettings(testSettings)
@@ -346,13 +347,13 @@
 	if len(plan.Excluded) > testSettings.MaxOut || len(plan.Announced) > testSettings.MaxAnnounced {
 		r.Fatalf("%v", plan)
 	}
-	outOfZone := map[string]int{}
+	outByZone := map[string]int{}
 	for _, m := range state.Machines {
 		if m.Phase == Draining || m.Phase == UnderMaintenance {
-			outOfZone[state.Fleet.Machines[state.Fleet.machineIndex(m.Name)].Zone]++
+			outByZone[state.Fleet.Machines[state.Fleet.machineIndex(m.Name)].Zone]++
 		}
 	}
-	for zone, count := range outOfZone {
+	for zone, count := range outByZone {
 		if count > testSettings.MaxOutPerZone {
 			r.Fatalf("%d of zone %s", count, zone)
 		}
--- a/internal/decide/route/route_test.go
+++ b/internal/decide/route/route_test.go
@@ -108,8 +108,8 @@
 
 func TestInvalidPatternIsNamed(t *testing.T) {
 	for _, tc := range []struct {
-		p   Pattern
-		key string
+		pattern Pattern
+		key     string
 	}{
 		{Pattern{Host: "Clinic.example"}, "host"},
 		{Pattern{Host: "clinic.example:80"}, "host"},
@@ -128,17 +128,17 @@
 		{Pattern{Methods: []string{""}}, "method"},
 		{Pattern{Headers: []Header{{Name: "X"}, {Name: "X"}}}, "header"},
 	} {
-		_, err := New([]Pattern{{Path: "/fine"}, tc.p})
+		_, err := New([]Pattern{{Path: "/fine"}, tc.pattern})
 		var patternErr *PatternError
 		if !errors.As(err, &patternErr) || patternErr.Index != 1 || patternErr.Key != tc.key {
-			t.Errorf("%+v: %v, want an error of %s", tc.p, err, tc.key)
+			t.Errorf("%+v: %v, want an error of %s", tc.pattern, err, tc.key)
 		}
 	}
 }
 
 func TestSpecificPatternWins(t *testing.T) {
 	// All patterns match the request below, and each one is more specific than the patterns after it.
-	byRank := []Pattern{
+	mostSpecificFirst := []Pattern{
 		{Host: "a.example", Path: "/x/y", Headers: []Header{{"K", "1"}, {"L", ""}}, Methods: []string{"GET"}},
 		{Host: "a.example", Path: "/x/y", Headers: []Header{{"K", "1"}}, Methods: []string{"GET"}},
 		{Host: "a.example", Path: "/x/y", Headers: []Header{{"K", "1"}}},
@@ -156,10 +156,10 @@
 		{Path: "/x/y"},
 		{},
 	}
-	for firstRank := range byRank {
+	for firstIndex := range mostSpecificFirst {
 		// The order of the patterns in the table must not matter.
 		for _, reverse := range []bool{false, true} {
-			patterns := slices.Clone(byRank[firstRank:])
+			patterns := slices.Clone(mostSpecificFirst[firstIndex:])
 			want := 0
 			if reverse {
 				slices.Reverse(patterns)
@@ -171,7 +171,7 @@
 			}
 			got := table.Match("a.example", "/x/y", "GET", map[string][]string{"K": {"1"}, "L": {"2"}})
 			if got != want {
-				t.Errorf("from %d on: %d wins, want %d: %+v", firstRank, got, want, patterns)
+				t.Errorf("from %d on: %d wins, want %d: %+v", firstIndex, got, want, patterns)
 			}
 		}
 	}
@@ -222,8 +222,8 @@
 func TestConflicts(t *testing.T) {
 	getOnly := []string{"GET"}
 	for _, tc := range []struct {
-		a, b Pattern
-		want bool
+		first, second Pattern
+		want          bool
 	}{
 		{Pattern{}, Pattern{Path: "/*"}, true},
 		{Pattern{Path: "/a/{x}"}, Pattern{Path: "/a/{y}"}, true},
@@ -236,10 +236,10 @@
 		{Pattern{Headers: []Header{{"A", "1"}}}, Pattern{Headers: []Header{{"A", ""}}}, false},
 		{Pattern{Host: "a"}, Pattern{Host: "*.a"}, false},
 	} {
-		_, err := New([]Pattern{{Path: "/other"}, tc.a, tc.b})
+		_, err := New([]Pattern{{Path: "/other"}, tc.first, tc.second})
 		var conflict *ConflictError
 		if errors.As(err, &conflict) != tc.want {
-			t.Errorf("%+v and %+v: %v, want a conflict: %v", tc.a, tc.b, err, tc.want)
+			t.Errorf("%+v and %+v: %v, want a conflict: %v", tc.first, tc.second, err, tc.want)
 		} else if tc.want && (conflict.First != 1 || conflict.Second != 2) {
 			t.Errorf("%v, want 1 and 2", conflict)
 		}
@@ -404,9 +404,9 @@
 	if len(*c) == 0 {
 		return texts[0]
 	}
-	next := (*c)[0]
+	choice := (*c)[0]
 	*c = (*c)[1:]
-	return texts[int(next)%len(texts)]
+	return texts[int(choice)%len(texts)]
 }
 
 // choosePatterns returns patterns that the input selects. It skips patterns that conflict with earlier ones.
@@ -438,11 +438,11 @@
 // FuzzMatch compares Table.Match with referenceMatch, for patterns and requests that the input selects.
 func FuzzMatch(f *testing.F) {
 	for i := range 8 {
-		seed := make([]byte, 64)
-		for j := range seed {
-			seed[j] = byte(j*(i*37+11) + i)
+		input := make([]byte, 64)
+		for j := range input {
+			input[j] = byte(j*(i*37+11) + i)
 		}
-		f.Add(seed)
+		f.Add(input)
 	}
 	f.Fuzz(func(t *testing.T, input []byte) {
 		choices := fuzzChoices(input)
--- a/internal/decide/zones/router.go
+++ b/internal/decide/zones/router.go
@@ -132,7 +132,7 @@
 	}
 	maxSpillRate := router.settings.MaxSpillFraction * homeZone.homeRequests.rate(now)
 	if homeZone.spilledRequests.rate(now) >= maxSpillRate && len(preferences) > 1 {
-		return router.reject(SpillLimitReached)
+		return router.rejection(SpillLimitReached)
 	}
 	reason := NoZoneUp
 	for _, zoneIndex := range preferences[1:] {
@@ -150,7 +150,7 @@
 	if reason == NoZoneUp && homeZone.state != Down {
 		return Decision{Zone: preferences[0]}
 	}
-	return router.reject(reason)
+	return router.rejection(reason)
 }
 
 // chooseRequired decides whether a request is sent to its required zone or rejected.
@@ -165,8 +165,8 @@
 // meanRetryAfter is the mean Retry-After of a rejected request; the actual one has jitter.
 const meanRetryAfter = second / 2
 
-// reject returns the decision to reject a request for a reason.
-func (router *Router) reject(reason Reason) Decision {
+// rejection returns the decision to reject a request for a reason.
+func (router *Router) rejection(reason Reason) Decision {
 	return Decision{Zone: -1, Reason: reason, RetryAfter: router.jittered(meanRetryAfter)}
 }
 
--- a/internal/decide/zones/settings.go
+++ b/internal/decide/zones/settings.go
@@ -32,7 +32,7 @@
 
 // Validate returns an error that names the first invalid setting, or nil.
 func (s *Settings) Validate() error {
-	isFraction := func(v float64) bool { return v > 0 && v <= 1 }
+	isFraction := func(value float64) bool { return value > 0 && value <= 1 }
 	switch {
 	case s.Zones < 1 || s.Zones > maxZones:
 		return fmt.Errorf("zones %d: must be in 1..%d", s.Zones, maxZones)
@@ -61,11 +61,12 @@
 func (s *Settings) validatePreferences() error {
 	for group, preferences := range s.ZonePreferences {
 		seen := map[int]bool{}
-		for _, z := range preferences {
-			if z < 0 || z >= s.Zones || seen[z] {
-				return fmt.Errorf("zone preferences of group %d: zone %d does not exist, or stands twice", group, z)
+		for _, zoneIndex := range preferences {
+			if zoneIndex < 0 || zoneIndex >= s.Zones || seen[zoneIndex] {
+				return fmt.Errorf("zone preferences of group %d: zone %d does not exist, or stands twice",
+					group, zoneIndex)
 			}
-			seen[z] = true
+			seen[zoneIndex] = true
 		}
 		if len(preferences) == 0 {
 			return fmt.Errorf("zone preferences of group %d: are empty", group)
--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -49,7 +49,7 @@
 // zoneServers simulates the servers of a zone as a number of cores with one queue.
 type zoneServers struct {
 	cores          int
-	busy           int
+	busyCores      int
 	queue          []*sentAttempt
 	stopped        bool
 	unresponsive   bool
@@ -74,15 +74,15 @@
 }
 type eventQueue []simEvent
 
-func (e eventQueue) Len() int { return len(e) }
-func (e eventQueue) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
+func (queue eventQueue) Len() int { return len(queue) }
+func (queue eventQueue) Less(i, j int) bool {
+	return queue[i].at < queue[j].at || queue[i].at == queue[j].at && queue[i].sequence < queue[j].sequence
 }
-func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *eventQueue) Push(x any)   { *e = append(*e, x.(simEvent)) }
-func (e *eventQueue) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (queue eventQueue) Swap(i, j int) { queue[i], queue[j] = queue[j], queue[i] }
+func (queue *eventQueue) Push(x any)   { *queue = append(*queue, x.(simEvent)) }
+func (queue *eventQueue) Pop() any {
+	last := (*queue)[len(*queue)-1]
+	*queue = (*queue)[:len(*queue)-1]
 	return last
 }
 
@@ -91,13 +91,13 @@
 	heap.Push(&sim.events, simEvent{sim.clock + delay, sim.eventCount, action})
 }
 
-func (sim *simulation) runUntil(at monotime.Micros) {
-	for len(sim.events) > 0 && sim.events[0].at <= at {
-		e := heap.Pop(&sim.events).(simEvent)
-		sim.clock = e.at
-		e.action()
+func (sim *simulation) runUntil(end monotime.Micros) {
+	for len(sim.events) > 0 && sim.events[0].at <= end {
+		next := heap.Pop(&sim.events).(simEvent)
+		sim.clock = next.at
+		next.action()
 	}
-	sim.clock = at
+	sim.clock = end
 }
 
 const (
@@ -107,25 +107,25 @@
 	warmupTime       = 10 * second
 )
 
-func newSimulation(tb testing.TB, instances, cores int, rate float64) *simulation {
+func newSimulation(tb testing.TB, instances, cores int, ratePerZone float64) *simulation {
 	tb.Helper()
 	sim := &simulation{rng: rand.New(rand.NewPCG(1, uint64(instances)))}
 	for i := range sim.zones {
 		sim.zones[i] = &zoneServers{cores: cores, slowdownFactor: 1}
 	}
 	for i := range instances {
-		s := testSettings(instances)
-		s.Seed = uint64(i + 1)
-		router, err := New(s)
+		settings := testSettings(instances)
+		settings.Seed = uint64(i + 1)
+		router, err := New(settings)
 		if err != nil {
 			tb.Fatal(err)
 		}
 		sim.routers = append(sim.routers, router)
-		home := i % 3
-		ratePerInstance := rate / float64(instances/3)
+		homeZone := i % 3
+		ratePerInstance := ratePerZone / float64(instances/3)
 		var arrive func()
 		arrive = func() {
-			sim.sendRequest(router, home)
+			sim.sendRequest(router, homeZone)
 			sim.schedule(monotime.Micros(sim.rng.ExpFloat64()/ratePerInstance*float64(second))+1, arrive)
 		}
 		sim.schedule(monotime.Micros(sim.rng.Float64()*float64(second)), arrive)
@@ -133,15 +133,15 @@
 	return sim
 }
 
-func (sim *simulation) sendRequest(router *Router, home int) {
+func (sim *simulation) sendRequest(router *Router, homeZone int) {
 	class := 0
 	if sim.rng.IntN(5) == 0 {
 		class = 1
 	}
-	sim.requests[home]++
-	decision := router.Choose(sim.clock, Request{Group: home, Class: class, RequiredZone: -1})
+	sim.requests[homeZone]++
+	decision := router.Choose(sim.clock, Request{Group: homeZone, Class: class, RequiredZone: -1})
 	if decision.Zone < 0 {
-		sim.rejected[home]++
+		sim.rejected[homeZone]++
 		return
 	}
 	router.OnAttemptSent(sim.clock, decision.Zone, decision.Spill)
@@ -150,7 +150,7 @@
 	}
 	sent := &sentAttempt{
 		router:           router,
-		homeZone:         home,
+		homeZone:         homeZone,
 		zone:             decision.Zone,
 		class:            class,
 		spill:            decision.Spill,
@@ -163,7 +163,7 @@
 		sim.schedule(ms, func() { sim.endAttempt(sent, false) })
 		return
 	case servers.unresponsive:
-	case servers.busy < servers.cores:
+	case servers.busyCores < servers.cores:
 		sim.serve(servers, sent)
 	default:
 		servers.queue = append(servers.queue, sent)
@@ -172,17 +172,17 @@
 }
 
 func (sim *simulation) serve(servers *zoneServers, sent *sentAttempt) {
-	servers.busy++
+	servers.busyCores++
 	duration := float64(serviceTime) * (0.7 + 0.6*sim.rng.Float64()) * servers.slowdownFactor
 	if servers.warmupStart > 0 {
 		duration /= min(1, 0.2+0.8*float64(sim.clock-servers.warmupStart)/float64(warmupTime))
 	}
 	sim.schedule(monotime.Micros(duration), func() {
-		servers.busy--
+		servers.busyCores--
 		if !servers.stopped {
 			sim.endAttempt(sent, true)
 		}
-		for len(servers.queue) > 0 && servers.busy < servers.cores {
+		for len(servers.queue) > 0 && servers.busyCores < servers.cores {
 			next := servers.queue[0]
 			servers.queue = servers.queue[1:]
 			if !next.ended {
@@ -404,19 +404,19 @@
 
 // checkDecision checks the properties that every decision must have: a request with a required zone is sent to
 // no other zone, a rejection has a reason, and Spill is set only for a zone that is not the home zone.
-func checkDecision(t *rapid.T, s *Settings, r Request, d Decision) {
+func checkDecision(t *rapid.T, settings *Settings, request Request, decision Decision) {
 	t.Helper()
-	if r.RequiredZone >= 0 && d.Zone >= 0 && (d.Zone != r.RequiredZone || d.Spill) {
-		t.Fatalf("%+v went to %+v", r, d)
+	if request.RequiredZone >= 0 && decision.Zone >= 0 && (decision.Zone != request.RequiredZone || decision.Spill) {
+		t.Fatalf("%+v went to %+v", request, decision)
 	}
-	if d.Zone < 0 {
-		if d.Reason == None {
-			t.Fatalf("%+v: %+v", r, d)
+	if decision.Zone < 0 {
+		if decision.Reason == None {
+			t.Fatalf("%+v: %+v", request, decision)
 		}
 		return
 	}
-	if d.Spill != (r.RequiredZone < 0 && d.Zone != s.ZonePreferences[r.Group][0]) {
-		t.Fatalf("%+v: %+v", r, d)
+	if decision.Spill != (request.RequiredZone < 0 && decision.Zone != settings.ZonePreferences[request.Group][0]) {
+		t.Fatalf("%+v: %+v", request, decision)
 	}
 }
 
@@ -441,14 +441,14 @@
 // request with a required zone is sent to no other zone.
 func TestSpillStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := testSettings(rapid.IntRange(1, 50).Draw(t, "instances"))
-		s.MaxSpareFraction = rapid.Float64Range(0.1, 1).Draw(t, "spare")
-		s.Seed = rapid.Uint64().Draw(t, "seed")
-		router, err := New(s)
+		settings := testSettings(rapid.IntRange(1, 50).Draw(t, "instances"))
+		settings.MaxSpareFraction = rapid.Float64Range(0.1, 1).Draw(t, "spare")
+		settings.Seed = rapid.Uint64().Draw(t, "seed")
+		router, err := New(settings)
 		if err != nil {
 			t.Fatal(err)
 		}
-		rng := rand.New(rand.NewPCG(s.Seed, 9))
+		rng := rand.New(rand.NewPCG(settings.Seed, 9))
 		var inFlight []openAttempt
 		now := monotime.Micros(0)
 		for range 3000 {
@@ -457,20 +457,20 @@
 			case action == 0:
 				router.SetReadyEndpoints(now, rng.IntN(3), rng.IntN(2)*5)
 			case action < 11:
-				r := Request{
+				request := Request{
 					Group:        rng.IntN(3),
 					Class:        rng.IntN(2),
 					OverQuota:    rng.IntN(4) == 0,
 					RequiredZone: max(-1, rng.IntN(8)-5),
 				}
-				decision := router.Choose(now, r)
-				checkDecision(t, &s, r, decision)
+				decision := router.Choose(now, request)
+				checkDecision(t, &settings, request, decision)
 				if decision.Zone < 0 {
 					continue
 				}
 				router.OnAttemptSent(now, decision.Zone, decision.Spill)
 				zone := &router.zones[decision.Zone]
-				maxSpill := max(1, s.MaxSpareFraction*float64(zone.limiter.Limit())+1)
+				maxSpill := max(1, settings.MaxSpareFraction*float64(zone.limiter.Limit())+1)
 				if decision.Spill && float64(zone.spillInFlight) > maxSpill {
 					t.Fatalf("%d spilled in flight of %d", zone.spillInFlight, zone.limiter.Limit())
 				}
@@ -514,9 +514,9 @@
 		"in flight":   func(s *Settings) { s.MinInFlight = 0 },
 		"instances":   func(s *Settings) { s.Instances = 0 },
 	} {
-		s := testSettings(1)
-		invalidate(&s)
-		if _, err := New(s); err == nil {
+		settings := testSettings(1)
+		invalidate(&settings)
+		if _, err := New(settings); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
