--- a/internal/decide/maintenance/encoding_test.go
+++ b/internal/decide/maintenance/encoding_test.go
@@ -63,12 +63,13 @@
 		reencoded, err := json.Marshal(command)
 		require.NoError(t, err)
 		if !bytes.Equal(reencoded, scanner.Bytes()) {
-			t.Errorf("entry %d is encoded as\n%s\nit was\n%s", entryCount, reencoded, scanner.Bytes())
+			t.Errorf("entry %d is encoded as\n%s\nthe earlier build encoded it as\n%s",
+				entryCount, reencoded, scanner.Bytes())
 		}
 		reply, err := direct.Apply(command)
 		replyRestored, errRestored := restored.Apply(command)
 		if reply != replyRestored || fmt.Sprint(err) != fmt.Sprint(errRestored) {
-			t.Errorf("entry %d: %q, %v; stored and restored %q, %v",
+			t.Errorf("entry %d: reply %q, error %v; of the stored and restored state %q, %v",
 				entryCount, reply, err, replyRestored, errRestored)
 		}
 		encodedState, err := json.Marshal(restored)
@@ -84,7 +85,7 @@
 		got, err := json.Marshal(state)
 		require.NoError(t, err)
 		if !bytes.Equal(got, want) {
-			t.Errorf("%s: the state is\n%s\nby the build before it was\n%s", name, got, want)
+			t.Errorf("%s: the state is\n%s\nin the earlier build it was\n%s", name, got, want)
 		}
 	}
 }
--- a/internal/decide/maintenance/state_test.go
+++ b/internal/decide/maintenance/state_test.go
@@ -90,23 +90,23 @@
 		waitReason string // part of the wait reason of at least one machine
 	}{
 		{
-			name:    "two of eight, of zones and cells of their own",
+			name:    "eight healthy machines: two drain, in different zones and cells",
 			change:  func(*FleetStatus) {},
 			drained: "m0m2", waitReason: "2 are out, 2 may be",
 		}, {
-			name:    "one is down already",
+			name:    "one machine is already unhealthy",
 			change:  func(s *FleetStatus) { s.Machines[7].Healthy = false },
 			drained: "m0", waitReason: "are out",
 		}, {
-			name:    "the other of its cell is down",
+			name:    "the other machine in the cell of m1 is unhealthy",
 			change:  func(s *FleetStatus) { s.Machines[0].Healthy = false },
 			drained: "m0m2", waitReason: "2 are out",
 		}, {
-			name:    "the remaining capacity would not do",
+			name:    "the remaining capacity would be too small",
 			change:  func(s *FleetStatus) { s.Usage = 5.5 },
 			drained: "m0", waitReason: "would not do",
 		}, {
-			name:    "the hour ahead is busy",
+			name:    "the expected peak usage is high",
 			change:  func(s *FleetStatus) { s.PeakUsage = 7 },
 			drained: "", waitReason: "would not do",
 		}, {
@@ -125,14 +125,14 @@
 			acknowledge(t, state)
 		}
 		if got := machinesIn(state, Draining); got != tc.drained {
-			t.Errorf("%s: %q are drained, not %q", tc.name, got, tc.drained)
+			t.Errorf("%s: %q are draining, want %q", tc.name, got, tc.drained)
 		}
 		found := false
 		for _, m := range state.Machines {
 			found = found || strings.Contains(m.WaitReason, tc.waitReason)
 		}
 		if !found {
-			t.Errorf("%s: no machine waits for %q: %v", tc.name, tc.waitReason, state.Machines["m1"])
+			t.Errorf("%s: no machine has the wait reason %q; m1: %v", tc.name, tc.waitReason, state.Machines["m1"])
 		}
 	}
 }
@@ -155,7 +155,7 @@
 		apply(t, state, Command{Time: state.Now + 3*monotime.Second})
 	}
 	if fmt.Sprint(drained) != "[m5 m6 m0 m2 m4]" {
-		t.Errorf("%v", drained)
+		t.Errorf("machines are drained in the order %v", drained)
 	}
 }
 
@@ -167,7 +167,7 @@
 		Request{ID: "b", Machines: []string{"m0"}, Requester: "ben", Duration: 90 * monotime.Second},
 		Request{ID: "a", Machines: []string{"m0", "m1"}, Requester: "ana"})
 	if len(state.Requests) != 2 || len(state.Machines) != 1 {
-		t.Fatalf("%d requests, %d machines", len(state.Requests), len(state.Machines))
+		t.Fatalf("%d requests and %d machines in the plan, want 2 and 1", len(state.Requests), len(state.Machines))
 	}
 	acknowledge(t, state)
 	apply(t, state, Command{Drained: []string{"m0"}})
@@ -176,11 +176,11 @@
 	}
 	apply(t, state, Command{Complete: &Completion{Request: "a"}})
 	if state.Machines["m0"].Phase != UnderMaintenance || state.Requests["a"] != nil {
-		t.Error("one of two requests is complete, and the machine returns")
+		t.Error("the machine returns although one of two requests is not complete")
 	}
 	apply(t, state, Command{Complete: &Completion{Request: "b"}})
 	if state.Machines["m0"].Phase != Returning {
-		t.Error("both requests are complete, and the machine does not return")
+		t.Error("the machine does not return although both requests are complete")
 	}
 }
 
@@ -199,12 +199,12 @@
 		if phaseSteps > 2 {
 			apply(t, state, Command{Time: state.Now + 2*60*monotime.Second})
 			if !state.Machines["m0"].Overdue {
-				t.Error("its time is over, and it is not overdue")
+				t.Error("the machine is not overdue although its due time has passed")
 			}
 		}
 		apply(t, state, Command{CancelRequest: "a"})
 		if m := state.Machines["m0"]; (m != nil) != (phaseSteps > 1) || m != nil && m.Phase != Returning {
-			t.Errorf("step %d: %+v", phaseSteps, m)
+			t.Errorf("step %d: after the cancellation the machine is %+v", phaseSteps, m)
 		}
 		if phaseSteps > 3 {
 			checkUnhealthyMachineKeepsReturning(t, state)
@@ -274,12 +274,13 @@
 			reply, err := direct.Apply(command)
 			replyRestored, errRestored := restored.Apply(command)
 			if reply != replyRestored || fmt.Sprint(err) != fmt.Sprint(errRestored) {
-				r.Fatalf("%q, %v and stored and restored %q, %v", reply, err, replyRestored, errRestored)
+				r.Fatalf("reply %q, error %v; of the stored and restored state %q, %v",
+					reply, err, replyRestored, errRestored)
 			}
 			restored = storeAndRestore(r, restored)
 			directState := fmt.Sprint(direct.Plan(), direct.Events)
 			if got := fmt.Sprint(restored.Plan(), restored.Events); got != directState {
-				r.Fatalf("%s\nand stored and restored\n%s", directState, got)
+				r.Fatalf("plan and events\n%s\nof the stored and restored state\n%s", directState, got)
 			}
 			checkPlan(r, direct, planContents)
 		}
@@ -341,11 +342,11 @@
 	plan := state.Plan()
 	content := fmt.Sprint(plan.Announced, plan.Excluded)
 	if earlier, ok := contents[plan.Version]; ok && earlier != content {
-		r.Fatalf("version %d is %s and %s", plan.Version, earlier, content)
+		r.Fatalf("plan version %d has two contents: %s and %s", plan.Version, earlier, content)
 	}
 	contents[plan.Version] = content
 	if len(plan.Excluded) > testSettings.MaxOut || len(plan.Announced) > testSettings.MaxAnnounced {
-		r.Fatalf("%v", plan)
+		r.Fatalf("the plan exceeds the bounds: %v", plan)
 	}
 	outByZone := map[string]int{}
 	for _, m := range state.Machines {
@@ -355,7 +356,7 @@
 	}
 	for zone, count := range outByZone {
 		if count > testSettings.MaxOutPerZone {
-			r.Fatalf("%d of zone %s", count, zone)
+			r.Fatalf("%d machines of zone %s are out", count, zone)
 		}
 	}
 }
--- a/internal/decide/route/route_test.go
+++ b/internal/decide/route/route_test.go
@@ -52,11 +52,11 @@
 		{"", "", ErrNoPath},
 	} {
 		if got, err := NormalizePath(tc.path, RejectEncodedSlashes); got != tc.want || !errors.Is(err, tc.err) {
-			t.Errorf("Normalize(%q) = %q, %v, want %q, %v", tc.path, got, err, tc.want, tc.err)
+			t.Errorf("NormalizePath(%q) = %q, %v, want %q, %v", tc.path, got, err, tc.want, tc.err)
 		}
 	}
 	if got, err := NormalizePath("/a%2fb", KeepEncodedSlashes); got != "/a%2Fb" || err != nil {
-		t.Errorf("kept: %q, %v", got, err)
+		t.Errorf("path with a kept encoded slash: %q, %v", got, err)
 	}
 }
 
@@ -77,7 +77,7 @@
 		normal, err := NormalizePath(input, slashes)
 		if err != nil {
 			if normal != "" {
-				t.Errorf("%q: %q beside %v", input, normal, err)
+				t.Errorf("%q: result %q with error %v", input, normal, err)
 			}
 			return
 		}
@@ -89,20 +89,20 @@
 func checkNormalForm(t *testing.T, input, normal string, slashes EncodedSlashes) {
 	t.Helper()
 	if renormalized, err := NormalizePath(normal, slashes); renormalized != normal || err != nil {
-		t.Errorf("%q became %q, and that %q, %v", input, normal, renormalized, err)
+		t.Errorf("normal form of %q is %q, whose normal form is %q, %v", input, normal, renormalized, err)
 	}
 	if cleaned := path.Clean(normal); normal[0] != '/' ||
 		cleaned != strings.TrimSuffix(normal, "/") && cleaned != normal {
-		t.Errorf("%q became %q, which is %q to others", input, normal, cleaned)
+		t.Errorf("normal form of %q is %q, which path.Clean changes to %q", input, normal, cleaned)
 	}
 	decoded, err := url.PathUnescape(normal)
 	if err != nil {
-		t.Errorf("%q became %q: %v", input, normal, err)
+		t.Errorf("normal form of %q is %q, which cannot be decoded: %v", input, normal, err)
 	}
 	sameSlashes := strings.Count(decoded, "/") == strings.Count(normal, "/")
 	isClean := path.Clean(decoded) == strings.TrimSuffix(decoded, "/") || decoded == "/"
 	if slashes == RejectEncodedSlashes && (!sameSlashes || !isClean) {
-		t.Errorf("%q became %q, decoded %q", input, normal, decoded)
+		t.Errorf("normal form of %q is %q, whose decoded form %q has other segments", input, normal, decoded)
 	}
 }
 
@@ -171,7 +171,7 @@
 			}
 			got := table.Match("a.example", "/x/y", "GET", map[string][]string{"K": {"1"}, "L": {"2"}})
 			if got != want {
-				t.Errorf("from %d on: %d wins, want %d: %+v", firstIndex, got, want, patterns)
+				t.Errorf("patterns from %d on: pattern %d wins, want %d: %+v", firstIndex, got, want, patterns)
 			}
 		}
 	}
@@ -215,7 +215,7 @@
 		t.Errorf("card is segment %d, %v", index, ok)
 	}
 	if _, ok := table.ParameterIndex(1, "card"); ok {
-		t.Error("a pattern without the parameter has its index")
+		t.Error("ParameterIndex finds a parameter that the pattern does not have")
 	}
 }
 
@@ -241,7 +241,7 @@
 		if errors.As(err, &conflict) != tc.want {
 			t.Errorf("%+v and %+v: %v, want a conflict: %v", tc.first, tc.second, err, tc.want)
 		} else if tc.want && (conflict.First != 1 || conflict.Second != 2) {
-			t.Errorf("%v, want 1 and 2", conflict)
+			t.Errorf("%v, want a conflict of routes 1 and 2", conflict)
 		}
 	}
 }
@@ -504,7 +504,7 @@
 		}
 		calls++
 	}); allocations > 0 {
-		t.Errorf("%v allocations a match", allocations)
+		t.Errorf("%v allocations per match", allocations)
 	}
 }
 
--- a/internal/decide/zones/settings.go
+++ b/internal/decide/zones/settings.go
@@ -41,16 +41,16 @@
 	case len(s.ZonePreferences) < 1:
 		return fmt.Errorf("zone preferences: at least one group is needed")
 	case !isFraction(s.MaxSpareFraction):
-		return fmt.Errorf("spill of spare capacity %v: must be over 0, to 1", s.MaxSpareFraction)
+		return fmt.Errorf("spill of spare capacity %v: must be greater than 0 and at most 1", s.MaxSpareFraction)
 	case !isFraction(s.MaxSpillFraction):
-		return fmt.Errorf("spill of traffic %v: must be over 0, to 1", s.MaxSpillFraction)
+		return fmt.Errorf("spill of traffic %v: must be greater than 0 and at most 1", s.MaxSpillFraction)
 	case !isFraction(s.InitialRecoveryShare):
-		return fmt.Errorf("initial recovery share %v: must be over 0, to 1", s.InitialRecoveryShare)
+		return fmt.Errorf("initial recovery share %v: must be greater than 0 and at most 1", s.InitialRecoveryShare)
 	case s.RecoveryStep < 1 || s.MinDownTime < 1 || s.MaxDownTime < s.MinDownTime:
-		return fmt.Errorf("recovery step %d, down time %d..%d: must be positive, in order",
+		return fmt.Errorf("recovery step %d, down time %d..%d: must be positive, and the smaller down time first",
 			s.RecoveryStep, s.MinDownTime, s.MaxDownTime)
 	case s.MinInFlight < 1 || s.MaxInFlight < s.MinInFlight:
-		return fmt.Errorf("in flight %d..%d: must be a range from 1", s.MinInFlight, s.MaxInFlight)
+		return fmt.Errorf("in flight %d..%d: must be a range that starts at 1 or more", s.MinInFlight, s.MaxInFlight)
 	case s.Instances < 1:
 		return fmt.Errorf("instances %d: must be at least 1", s.Instances)
 	}
@@ -63,13 +63,13 @@
 		seen := map[int]bool{}
 		for _, zoneIndex := range preferences {
 			if zoneIndex < 0 || zoneIndex >= s.Zones || seen[zoneIndex] {
-				return fmt.Errorf("zone preferences of group %d: zone %d does not exist, or stands twice",
+				return fmt.Errorf("zone preferences of group %d: zone %d does not exist or is listed twice",
 					group, zoneIndex)
 			}
 			seen[zoneIndex] = true
 		}
 		if len(preferences) == 0 {
-			return fmt.Errorf("zone preferences of group %d: are empty", group)
+			return fmt.Errorf("zone preferences of group %d are empty", group)
 		}
 	}
 	return nil
--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -274,19 +274,21 @@
 		maxSpill = max(maxSpill, spilled)
 		inTimeFractions, overall := sim.takeInTimeFractions()
 		if inTimeFractions[1] < 0.95 || inTimeFractions[2] < 0.95 {
-			t.Errorf("second %d: the others' own clients %.3f", 43+elapsedSeconds, inTimeFractions)
+			t.Errorf("second %d: fractions of requests served in time, by home zone: %.3f",
+				43+elapsedSeconds, inTimeFractions)
 		}
 		// The two zones that are up can serve 2,400 requests per second, of 2,250 in all. Their own clients
 		// leave 900 of these unused, of which spill may use 0.8, that is 720.
 		if want := 0.95 * (2*requestRatePerZone + 0.8*900*requestRatePerZone/900) /
 			(3 * requestRatePerZone); overall < want*0.95 {
-			t.Errorf("second %d: %.3f in all, want %.3f", 43+elapsedSeconds, overall, want)
+			t.Errorf("second %d: fraction of all requests served in time is %.3f, want %.3f",
+				43+elapsedSeconds, overall, want)
 		}
 	}
 	if maxSpill > 1.25*minSpill {
-		t.Errorf("the spill oscillates from %v to %v a second", minSpill, maxSpill)
+		t.Errorf("the spill oscillates between %v and %v requests per second", minSpill, maxSpill)
 	}
-	t.Logf("spill %v to %v a second", minSpill, maxSpill)
+	t.Logf("spill between %v and %v requests per second", minSpill, maxSpill)
 }
 
 // checkRecovery simulates the thirty seconds after the restart of zone 0. It checks that the zone never receives more
@@ -296,12 +298,13 @@
 	for halfSeconds := range 60 {
 		sim.runUntil(52*second + monotime.Micros(halfSeconds+1)*second/2)
 		if sent := sim.servedInTime[0] + sim.notInTime[0]; sim.notInTime[0] > 5 && sim.notInTime[0] > sent/10 {
-			t.Errorf("%.1f s after its restart %d of %d were not answered in time",
+			t.Errorf("%.1f s after the zone's restart %d of %d attempts were not served in time",
 				float64(halfSeconds+1)/2, sim.notInTime[0], sent)
 		}
 		inTimeFractions, _ := sim.takeInTimeFractions()
 		if inTimeFractions[1] < 0.9 || inTimeFractions[2] < 0.9 {
-			t.Errorf("%.1f s after its restart the others' clients %.3f", float64(halfSeconds+1)/2, inTimeFractions)
+			t.Errorf("%.1f s after the restart: fractions of requests served in time, by home zone: %.3f",
+				float64(halfSeconds+1)/2, inTimeFractions)
 		}
 	}
 }
@@ -317,7 +320,7 @@
 			sim.takeInTimeFractions()
 			sim.runUntil(30 * second)
 			if inTimeFractions, overall := sim.takeInTimeFractions(); overall < 0.99 {
-				t.Errorf("before the outage: %.3f, %.3f", overall, inTimeFractions)
+				t.Errorf("before the outage: fraction served in time %.3f, by home zone %.3f", overall, inTimeFractions)
 			}
 			sim.stopZone(0, 2*second)
 			sim.runUntil(42 * second) // until the traffic is stable
@@ -331,10 +334,11 @@
 			sim.runUntil(110 * second)
 			if inTimeFractions, overall := sim.takeInTimeFractions(); overall < 0.99 ||
 				sim.spilled[1]+sim.spilled[2] > 0 && inTimeFractions[0] < 0.98 {
-				t.Errorf("long after: %.3f, %.3f", overall, inTimeFractions)
+				t.Errorf("long after the outage: fraction served in time %.3f, by home zone %.3f",
+					overall, inTimeFractions)
 			}
 			if state, _, _ := sim.routers[0].ZoneState(0); state != Up {
-				t.Errorf("the zone is %v", state)
+				t.Errorf("the zone is %v long after the outage", state)
 			}
 		})
 	}
@@ -349,7 +353,7 @@
 	sim.zones[0].unresponsive = true
 	sim.runUntil(13 * second)
 	if state, share, _ := sim.routers[0].ZoneState(0); state == Up || share > testSettings(1).InitialRecoveryShare {
-		t.Errorf("a zone that is cut off is %v, with %v of its requests", state, share)
+		t.Errorf("a zone that is cut off is %v and receives a share of %v of its requests", state, share)
 	}
 	sim.setReady(0, 0)
 	sim.setReady(1, 0)
@@ -357,12 +361,12 @@
 	for i, router := range sim.routers {
 		decision := router.Choose(sim.clock, Request{Group: i, RequiredZone: -1})
 		if decision.Zone >= 0 || decision.Reason != NoZoneUp || decision.RetryAfter <= 0 {
-			t.Errorf("with no zone: %+v", decision)
+			t.Errorf("decision while no zone is up: %+v", decision)
 		}
 	}
 	if decision := sim.routers[0].Choose(sim.clock, Request{RequiredZone: 2}); decision.Zone >= 0 ||
 		decision.Reason != RequiredZoneDown {
-		t.Errorf("required zone is down: %+v", decision)
+		t.Errorf("decision while the required zone is down: %+v", decision)
 	}
 	sim.setReady(1, 12)
 	sim.setReady(2, 12)
@@ -371,7 +375,7 @@
 	sim.takeInTimeFractions()
 	sim.runUntil(70 * second)
 	if inTimeFractions, overall := sim.takeInTimeFractions(); overall < 0.99 {
-		t.Errorf("afterwards: %.3f, %.3f", overall, inTimeFractions)
+		t.Errorf("after the recovery: fraction served in time %.3f, by home zone %.3f", overall, inTimeFractions)
 	}
 }
 
@@ -395,7 +399,7 @@
 			}
 		}
 		if downTime := now - downAt; i > 0 && downTime < lastDownTime*5/4 {
-			t.Errorf("flap %d: down for %d ms after %d", i, downTime/ms, lastDownTime/ms)
+			t.Errorf("flap %d: down for %d ms, the time before for %d ms", i, downTime/ms, lastDownTime/ms)
 		} else {
 			lastDownTime = downTime
 		}
@@ -407,16 +411,16 @@
 func checkDecision(t *rapid.T, settings *Settings, request Request, decision Decision) {
 	t.Helper()
 	if request.RequiredZone >= 0 && decision.Zone >= 0 && (decision.Zone != request.RequiredZone || decision.Spill) {
-		t.Fatalf("%+v went to %+v", request, decision)
+		t.Fatalf("request %+v with a required zone: decision %+v", request, decision)
 	}
 	if decision.Zone < 0 {
 		if decision.Reason == None {
-			t.Fatalf("%+v: %+v", request, decision)
+			t.Fatalf("request %+v is rejected without a reason: %+v", request, decision)
 		}
 		return
 	}
 	if decision.Spill != (request.RequiredZone < 0 && decision.Zone != settings.ZonePreferences[request.Group][0]) {
-		t.Fatalf("%+v: %+v", request, decision)
+		t.Fatalf("request %+v: Spill is wrong in decision %+v", request, decision)
 	}
 }
 
@@ -425,7 +429,7 @@
 	t.Helper()
 	for i := range router.zones {
 		if zone := &router.zones[i]; zone.inFlight != 0 || zone.spillInFlight != 0 {
-			t.Fatalf("zone %d has %d in flight, %d spilled", i, zone.inFlight, zone.spillInFlight)
+			t.Fatalf("zone %d still has %d attempts in flight, %d of them spill", i, zone.inFlight, zone.spillInFlight)
 		}
 	}
 }
@@ -472,7 +476,8 @@
 				zone := &router.zones[decision.Zone]
 				maxSpill := max(1, settings.MaxSpareFraction*float64(zone.limiter.Limit())+1)
 				if decision.Spill && float64(zone.spillInFlight) > maxSpill {
-					t.Fatalf("%d spilled in flight of %d", zone.spillInFlight, zone.limiter.Limit())
+					t.Fatalf("%d spilled attempts in flight, with a learned limit of %d",
+						zone.spillInFlight, zone.limiter.Limit())
 				}
 				inFlight = append(inFlight, openAttempt{decision.Zone, decision.Spill})
 			case len(inFlight) > 0:
@@ -517,7 +522,7 @@
 		settings := testSettings(1)
 		invalidate(&settings)
 		if _, err := New(settings); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("invalid setting %s is accepted", name)
 		}
 	}
 }
@@ -533,15 +538,16 @@
 		router.OnAttemptSent(second, 0, false)
 	}
 	if decision := router.Choose(second+silenceTimeout/2, Request{RequiredZone: -1}); decision.Zone != 0 {
-		t.Errorf("silent for a moment: %+v", decision)
+		t.Errorf("decision after half of the silence timeout: %+v", decision)
 	}
 	if decision := router.Choose(second+silenceTimeout+ms, Request{RequiredZone: -1}); decision.Zone == 0 {
-		t.Errorf("silent for long: %+v", decision)
+		t.Errorf("decision after the silence timeout: %+v", decision)
 	}
 }
 
-// TestHalfHealthyRecoveryIsHeldBack verifies that the share of a recovering zone does not grow while half of
-// its attempts are not in time, and that the zone is up again once all attempts are in time.
+// TestHalfHealthyRecoveryIsHeldBack verifies that the share of a recovering zone is at most twice
+// InitialRecoveryShare while half of its attempts are not in time, and that the zone is up again after all
+// attempts are in time.
 func TestHalfHealthyRecoveryIsHeldBack(t *testing.T) {
 	router, err := New(testSettings(1))
 	if err != nil {
@@ -568,10 +574,11 @@
 	}
 	maxShare := run(20*second, func(i int) bool { return i%2 == 0 })
 	if maxShare > 2*router.settings.InitialRecoveryShare {
-		t.Errorf("half healthy it got %v of its requests", maxShare)
+		t.Errorf("the recovering zone received a share of %v of its requests while half of its attempts were late",
+			maxShare)
 	}
 	run(30*second, func(int) bool { return true })
 	if state, _, _ := router.ZoneState(0); state != Up {
-		t.Errorf("once healthy it is %v", state)
+		t.Errorf("the zone is %v after all attempts were in time", state)
 	}
 }
