--- a/internal/decide/maintenance/encoding_test.go
+++ b/internal/decide/maintenance/encoding_test.go
@@ -15,12 +15,12 @@
 	"dunlinsail/internal/monotime"
 )
 
-// The files under testdata/encoded and testdata/replay were written by the build of commit 870f4ac, before these
-// structures had tags. They have the form of raft logs on disk and of messages of voters of that build, and must never
-// be rewritten.
+// The files under testdata/encoded and testdata/replay were written by the build of commit 870f4ac, before the
+// types of this package had JSON tags. They have the format of that build's raft logs on disk and of its
+// messages between voters, and must never be rewritten.
 
-// encoded returns an empty value of each type of this package that is stored or sent.
-func encoded() map[string]any {
+// emptyEncodedValues returns an empty value of each type that is stored or sent, by the name of its golden files.
+func emptyEncodedValues() map[string]any {
 	return map[string]any{
 		"state":   &State{},
 		"command": &Command{},
@@ -29,24 +29,24 @@
 	}
 }
 
-// A stored or sent structure is encoded to the same bytes as by the build before its fields had tags, and each field is
-// decoded from those bytes.
+// TestEncodedFormIsThatOfTheBuildBefore verifies that each stored or sent type is encoded to the same bytes as by the
+// build before its fields had JSON tags, and that every field is decoded from these bytes.
 func TestEncodedFormIsThatOfTheBuildBefore(t *testing.T) {
-	for name, empty := range encoded() {
-		for _, form := range []string{"empty", "filled"} {
-			t.Run(name+"/"+form, func(t *testing.T) {
-				value := reflect.New(reflect.TypeOf(empty).Elem()).Interface()
-				if form == "filled" {
+	for name, emptyValue := range emptyEncodedValues() {
+		for _, variant := range []string{"empty", "filled"} {
+			t.Run(name+"/"+variant, func(t *testing.T) {
+				value := reflect.New(reflect.TypeOf(emptyValue).Elem()).Interface()
+				if variant == "filled" {
 					golden.Fill(t, value)
 				}
-				golden.CheckJSON(t, golden.ReadLine(t, "encoded", name+"."+form+".json"), value)
+				golden.CheckJSON(t, golden.ReadLine(t, "encoded", name+"."+variant+".json"), value)
 			})
 		}
 	}
 }
 
-// A log of the earlier build leads to that build's state, byte for byte, also when the state is stored and restored
-// after each entry.
+// TestLogOfTheBuildBeforeGivesItsState verifies that a log written by the earlier build leads to the same state as in
+// that build, byte for byte, also if the state is stored and restored after each entry.
 func TestLogOfTheBuildBeforeGivesItsState(t *testing.T) {
 	want := golden.ReadLine(t, "replay", "state.json")
 	direct, err := NewState(replaySettings)
@@ -56,40 +56,41 @@
 	file, err := os.Open(filepath.Join("testdata", "replay", "log.jsonl"))
 	require.NoError(t, err)
 	defer file.Close()
-	entries := 0
-	for lines := bufio.NewScanner(file); lines.Scan(); entries++ {
-		var c Command
-		golden.DecodeJSON(t, lines.Bytes(), &c)
-		again, err := json.Marshal(c)
+	entryCount := 0
+	for scanner := bufio.NewScanner(file); scanner.Scan(); entryCount++ {
+		var command Command
+		golden.DecodeJSON(t, scanner.Bytes(), &command)
+		reencoded, err := json.Marshal(command)
 		require.NoError(t, err)
-		if !bytes.Equal(again, lines.Bytes()) {
-			t.Errorf("entry %d is encoded as\n%s\nit was\n%s", entries, again, lines.Bytes())
+		if !bytes.Equal(reencoded, scanner.Bytes()) {
+			t.Errorf("entry %d is encoded as\n%s\nthe earlier build encoded it as\n%s",
+				entryCount, reencoded, scanner.Bytes())
 		}
-		answer, err := direct.Apply(c)
-		answerRestored, errRestored := restored.Apply(c)
-		if answer != answerRestored || fmt.Sprint(err) != fmt.Sprint(errRestored) {
-			t.Errorf("entry %d: %q, %v; stored and restored %q, %v",
-				entries, answer, err, answerRestored, errRestored)
+		reply, err := direct.Apply(command)
+		replyRestored, errRestored := restored.Apply(command)
+		if reply != replyRestored || fmt.Sprint(err) != fmt.Sprint(errRestored) {
+			t.Errorf("entry %d: reply %q, error %v; of the stored and restored state %q, %v",
+				entryCount, reply, err, replyRestored, errRestored)
 		}
-		stored, err := json.Marshal(restored)
+		encodedState, err := json.Marshal(restored)
 		require.NoError(t, err)
 		restored = &State{}
-		golden.DecodeJSON(t, stored, restored)
+		golden.DecodeJSON(t, encodedState, restored)
 		restored.UseSettings(replaySettings)
 	}
-	if entries == 0 {
+	if entryCount == 0 {
 		t.Fatal("the log is empty")
 	}
-	for name, x := range map[string]*State{"applied at once": direct, "stored and restored": restored} {
-		got, err := json.Marshal(x)
+	for name, state := range map[string]*State{"applied at once": direct, "stored and restored": restored} {
+		got, err := json.Marshal(state)
 		require.NoError(t, err)
 		if !bytes.Equal(got, want) {
-			t.Errorf("%s: the state is\n%s\nby the build before it was\n%s", name, got, want)
+			t.Errorf("%s: the state is\n%s\nin the earlier build it was\n%s", name, got, want)
 		}
 	}
 }
 
-// replaySettings are the settings with which the stored log was applied.
+// replaySettings are the settings with which the earlier build applied the log in testdata/replay.
 var replaySettings = Settings{
 	MaxOut: 2, MaxOutPerZone: 1, MaxOutPerCell: 1, MaxAnnounced: 4, Headroom: 0.1,
 	LeaseDuration: monotime.Second, InFlightGrace: monotime.Second, Warmup: 2 * monotime.Second,
--- a/internal/decide/maintenance/state.go
+++ b/internal/decide/maintenance/state.go
@@ -8,27 +8,27 @@
 	"dunlinsail/internal/monotime"
 )
 
-// maxEvents is the number of latest events in a State; older ones are dropped.
+// maxEvents is the maximum number of events in a State; the oldest events beyond it are dropped.
 const maxEvents = 200
 
-// State is the replicated plan of the machines that are out of service. Create one with NewState; Apply builds it from
-// the log. Its JSON is the content of a raft snapshot. The texts of events are part of it: replicas of two builds agree
-// only as long as they stay the same.
+// State is the replicated plan of the machines that are taken out of service. Create one with NewState; Apply
+// applies the entries of the log to it. Its JSON encoding is the content of a raft snapshot and includes the
+// texts of events, so replicas of different builds agree only if these texts stay the same.
 type State struct {
 	settings          Settings
 	Now               monotime.Micros     `json:"Now"`
-	PlanVersion       uint64              `json:"Version"`   // increases with each change of Plan's lists
-	Requests          map[string]*Request `json:"Jobs"`      // by id
-	Machines          map[string]*Machine `json:"Items"`     // by name
-	Instances         map[string]uint64   `json:"Instances"` // incarnations, by instance name
+	PlanVersion       uint64              `json:"Version"`   // version of the plan; increases when its lists change
+	Requests          map[string]*Request `json:"Jobs"`      // open requests, by ID
+	Machines          map[string]*Machine `json:"Items"`     // machines in the plan, by name
+	Instances         map[string]uint64   `json:"Instances"` // incarnation of each known instance, by instance name
 	Fleet             FleetStatus         `json:"Facts"`
-	OnHold            bool                `json:"Held"` // no further machine is drained
+	OnHold            bool                `json:"Held"` // an operator holds all drains
 	Events            []Event             `json:"Events"`
 	DrainsByRequester map[string]int      `json:"Taken"` // number of drains so far, by requester
 	CommandCount      uint64              `json:"Count"` // number of commands applied so far
 }
 
-// NewState returns a plan in which no machine is out, or a *setting.Error.
+// NewState returns a state without requests and machines, or a *setting.Error if the settings are invalid.
 func NewState(s Settings) (*State, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -42,62 +42,64 @@
 	}, nil
 }
 
-// UseSettings sets the settings of a state that was decoded from a snapshot, which does not contain them.
-func (x *State) UseSettings(s Settings) { x.settings = s }
+// UseSettings sets the settings of a state that was decoded from a snapshot, since snapshots do not contain settings.
+func (state *State) UseSettings(s Settings) { state.settings = s }
 
-// Apply applies the log's next command, and then all phase changes that are due or possible. It returns the reply to
-// the operator whose command it is. An error is a reply as well, not a fault of the log: the reason why the operator's
-// command has no effect. All replicas return the same.
-func (x *State) Apply(c Command) (answer string, err error) {
-	x.Now = max(x.Now, c.Time)
-	x.CommandCount++
+// Apply applies the next command of the log, and then all phase changes that are due or possible. It returns
+// the reply to the operator who issued the command. An error is a reply as well: it gives the reason why the
+// command has no effect, and does not mean that the log is faulty. All replicas return the same reply and
+// error.
+func (state *State) Apply(c Command) (reply string, err error) {
+	state.Now = max(state.Now, c.Time)
+	state.CommandCount++
 	switch {
 	case c.Request != nil:
-		answer, err = x.addRequest(*c.Request)
+		reply, err = state.addRequest(*c.Request)
 	case c.CancelRequest != "":
-		answer, err = x.cancelRequest(c.CancelRequest)
+		reply, err = state.cancelRequest(c.CancelRequest)
 	case c.Complete != nil:
-		answer, err = x.completeRequest(*c.Complete)
+		reply, err = state.completeRequest(*c.Complete)
 	case c.Hold != nil:
-		answer, err = x.setHold(*c.Hold)
+		reply, err = state.setHold(*c.Hold)
 	case c.Join != nil:
-		x.Instances[c.Join.Name] = c.Join.Incarnation
+		state.Instances[c.Join.Name] = c.Join.Incarnation
 	case c.Forget != nil:
-		if x.Instances[c.Forget.Name] == c.Forget.Incarnation {
-			delete(x.Instances, c.Forget.Name)
+		if state.Instances[c.Forget.Name] == c.Forget.Incarnation {
+			delete(state.Instances, c.Forget.Name)
 		}
 	case c.FleetStatus != nil:
-		x.Fleet = *c.FleetStatus
+		state.Fleet = *c.FleetStatus
 	}
-	x.applyProgress(c.Acknowledged, c.Drained)
-	x.advance()
-	return answer, err
+	state.applyProgress(c.Acknowledged, c.Drained)
+	state.advance()
+	return reply, err
 }
 
-// applyProgress moves machines to the next phase that all instances have reached, by the leader's Progress.
-func (x *State) applyProgress(acknowledged, drained []string) {
+// applyProgress moves announced machines to Acknowledged and draining machines to UnderMaintenance, as listed in the
+// leader's Progress.
+func (state *State) applyProgress(acknowledged, drained []string) {
 	for _, name := range acknowledged {
-		if m := x.Machines[name]; m != nil && m.Phase == Announced {
-			x.setPhase(m, Acknowledged)
+		if m := state.Machines[name]; m != nil && m.Phase == Announced {
+			state.setPhase(m, Acknowledged)
 		}
 	}
 	for _, name := range drained {
-		m := x.Machines[name]
+		m := state.Machines[name]
 		if m == nil || m.Phase != Draining {
 			continue
 		}
-		x.setPhase(m, UnderMaintenance)
-		m.DueAt = x.Now + x.longestDuration(m)
-		x.recordEvent("%s is free: nobody sends there and nothing is open; it is to be done in %d s",
-			name, (m.DueAt-x.Now)/monotime.Second)
+		state.setPhase(m, UnderMaintenance)
+		m.DueAt = state.Now + state.longestDuration(m)
+		state.recordEvent("%s is free: nobody sends there and nothing is open; it is to be done in %d s",
+			name, (m.DueAt-state.Now)/monotime.Second)
 	}
 }
 
-// Plan returns the plan that instances are to apply.
-func (x *State) Plan() Plan {
-	plan := Plan{Version: x.PlanVersion}
-	for _, name := range slices.Sorted(maps.Keys(x.Machines)) {
-		switch listOf(x.Machines[name].Phase) {
+// Plan returns the plan that all instances have to apply.
+func (state *State) Plan() Plan {
+	plan := Plan{Version: state.PlanVersion}
+	for _, name := range slices.Sorted(maps.Keys(state.Machines)) {
+		switch planListOf(state.Machines[name].Phase) {
 		case listAnnounced:
 			plan.Announced = append(plan.Announced, name)
 		case listExcluded:
@@ -107,7 +109,7 @@
 	return plan
 }
 
-// planList is the list of a Plan that contains a machine.
+// planList identifies the list of a Plan that contains a machine.
 type planList int
 
 const (
@@ -116,8 +118,8 @@
 	listExcluded
 )
 
-// listOf returns the list of a Plan that contains a machine in a phase.
-func listOf(p Phase) planList {
+// planListOf returns the list of a Plan that contains the machines in phase p.
+func planListOf(p Phase) planList {
 	switch p {
 	case Announced, Acknowledged:
 		return listAnnounced
@@ -127,33 +129,33 @@
 	return listNone
 }
 
-// setPhase moves a machine to a phase. If that moves it to another list of the plan, the plan gets a new version.
-func (x *State) setPhase(m *Machine, p Phase) {
-	if listOf(m.Phase) != listOf(p) {
-		x.PlanVersion++
-		m.PlanVersion = x.PlanVersion
+// setPhase moves a machine to phase p. The plan gets a new version if the machine moves to another list of the plan.
+func (state *State) setPhase(m *Machine, p Phase) {
+	if planListOf(m.Phase) != planListOf(p) {
+		state.PlanVersion++
+		m.PlanVersion = state.PlanVersion
 	}
 	m.Phase = p
-	m.Since = x.Now
+	m.Since = state.Now
 	m.WaitReason = ""
 	m.RecallReason = ""
 	m.Overdue = false
 }
 
-// longestDuration returns the longest Request.Duration of a machine's requests.
-func (x *State) longestDuration(m *Machine) (longest monotime.Micros) {
+// longestDuration returns the longest Duration of the requests that need a machine out.
+func (state *State) longestDuration(m *Machine) (longest monotime.Micros) {
 	for _, id := range m.Requests {
-		if request := x.Requests[id]; request != nil {
+		if request := state.Requests[id]; request != nil {
 			longest = max(longest, request.Duration)
 		}
 	}
 	return longest
 }
 
-// recordEvent adds an event, and drops the oldest beyond maxEvents.
-func (x *State) recordEvent(format string, args ...any) {
-	x.Events = append(x.Events, Event{Time: x.Now, Text: fmt.Sprintf(format, args...)})
-	if surplus := len(x.Events) - maxEvents; surplus > 0 {
-		x.Events = slices.Delete(x.Events, 0, surplus)
+// recordEvent adds an event at the present time, and drops the oldest events beyond maxEvents.
+func (state *State) recordEvent(format string, args ...any) {
+	state.Events = append(state.Events, Event{Time: state.Now, Text: fmt.Sprintf(format, args...)})
+	if excess := len(state.Events) - maxEvents; excess > 0 {
+		state.Events = slices.Delete(state.Events, 0, excess)
 	}
 }
--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -13,6 +13,7 @@
 
 const ms = monotime.Millisecond
 
+// testSettings returns settings of three zones and two classes, for a fleet with the given number of instances.
 func testSettings(instances int) Settings {
 	return Settings{
 		Zones:                3,
@@ -31,348 +32,361 @@
 	}
 }
 
-// simulation is three zones of servers and some instances that send to them, in simulated time.
+// simulation simulates three zones of servers, and instances that send requests to them, in virtual time.
 type simulation struct {
-	now     monotime.Micros
-	events  events
-	order   int
-	rng     *rand.Rand
-	zones   [3]*servers
-	routers []*Router
-
-	requests, served, rejected [3]int // by home zone, since the last count
-	spilled                    [3]int // spilled requests by the zone that got them, since the last count
-	late                       [3]int // requests by zone that it did not answer within the objective
+	clock      monotime.Micros
+	events     eventQueue
+	eventCount int
+	rng        *rand.Rand
+	zones      [3]*zoneServers
+	routers    []*Router
+
+	requests, servedInTime, rejected [3]int // by home zone, since the last call of takeInTimeFractions
+	spilled                          [3]int // by the zone that received the spill, since the same call
+	notInTime                        [3]int // by the zone that received the attempt, since the same call
 }
 
-// servers are a zone's cores and their queue.
-type servers struct {
-	cores        int
-	busy         int
-	queue        []*attempt
-	stopped      bool
-	mute         bool
-	warmingSince monotime.Micros // 0 is long ago
-	slow         float64
+// zoneServers simulates the servers of a zone as a number of cores with one queue.
+type zoneServers struct {
+	cores          int
+	busyCores      int
+	queue          []*sentAttempt
+	stopped        bool
+	unresponsive   bool
+	warmupStart    monotime.Micros // time of the latest restart; 0 if the servers never restarted
+	slowdownFactor float64
 }
 
-type attempt struct {
-	router     *Router
-	home, zone int
-	class      int
-	spill      bool
-	sentAt     monotime.Micros
-	inFlight   int
-	ended      bool
+type sentAttempt struct {
+	router           *Router
+	homeZone, zone   int
+	class            int
+	spill            bool
+	sentAt           monotime.Micros
+	inFlightWhenSent int
+	ended            bool
 }
 
-type event struct {
-	at    monotime.Micros
-	order int
-	do    func()
+type simEvent struct {
+	at       monotime.Micros
+	sequence int
+	action   func()
 }
-type events []event
+type eventQueue []simEvent
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+func (queue eventQueue) Len() int { return len(queue) }
+func (queue eventQueue) Less(i, j int) bool {
+	return queue[i].at < queue[j].at || queue[i].at == queue[j].at && queue[i].sequence < queue[j].sequence
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	x := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
-	return x
+func (queue eventQueue) Swap(i, j int) { queue[i], queue[j] = queue[j], queue[i] }
+func (queue *eventQueue) Push(x any)   { *queue = append(*queue, x.(simEvent)) }
+func (queue *eventQueue) Pop() any {
+	last := (*queue)[len(*queue)-1]
+	*queue = (*queue)[:len(*queue)-1]
+	return last
 }
 
-func (w *simulation) after(d monotime.Micros, do func()) {
-	w.order++
-	heap.Push(&w.events, event{w.now + d, w.order, do})
+func (sim *simulation) schedule(delay monotime.Micros, action func()) {
+	sim.eventCount++
+	heap.Push(&sim.events, simEvent{sim.clock + delay, sim.eventCount, action})
 }
 
-func (w *simulation) runUntil(at monotime.Micros) {
-	for len(w.events) > 0 && w.events[0].at <= at {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
-		e.do()
+func (sim *simulation) runUntil(end monotime.Micros) {
+	for len(sim.events) > 0 && sim.events[0].at <= end {
+		next := heap.Pop(&sim.events).(simEvent)
+		sim.clock = next.at
+		next.action()
 	}
-	w.now = at
+	sim.clock = end
 }
 
 const (
-	serviceTime   = 10 * ms
-	objective     = 100 * ms
-	clientTimeout = 300 * ms
-	warmupTime    = 10 * second
+	serviceTime      = 10 * ms
+	latencyObjective = 100 * ms
+	clientTimeout    = 300 * ms
+	warmupTime       = 10 * second
 )
 
-func newSimulation(tb testing.TB, instances, cores int, rate float64) *simulation {
+func newSimulation(tb testing.TB, instances, cores int, ratePerZone float64) *simulation {
 	tb.Helper()
-	w := &simulation{rng: rand.New(rand.NewPCG(1, uint64(instances)))}
-	for i := range w.zones {
-		w.zones[i] = &servers{cores: cores, slow: 1}
+	sim := &simulation{rng: rand.New(rand.NewPCG(1, uint64(instances)))}
+	for i := range sim.zones {
+		sim.zones[i] = &zoneServers{cores: cores, slowdownFactor: 1}
 	}
 	for i := range instances {
-		s := testSettings(instances)
-		s.Seed = uint64(i + 1)
-		router, err := New(s)
+		settings := testSettings(instances)
+		settings.Seed = uint64(i + 1)
+		router, err := New(settings)
 		if err != nil {
 			tb.Fatal(err)
 		}
-		w.routers = append(w.routers, router)
-		home := i % 3
-		each := rate / float64(instances/3)
+		sim.routers = append(sim.routers, router)
+		homeZone := i % 3
+		ratePerInstance := ratePerZone / float64(instances/3)
 		var arrive func()
 		arrive = func() {
-			w.request(router, home)
-			w.after(monotime.Micros(w.rng.ExpFloat64()/each*float64(second))+1, arrive)
+			sim.sendRequest(router, homeZone)
+			sim.schedule(monotime.Micros(sim.rng.ExpFloat64()/ratePerInstance*float64(second))+1, arrive)
 		}
-		w.after(monotime.Micros(w.rng.Float64()*float64(second)), arrive)
+		sim.schedule(monotime.Micros(sim.rng.Float64()*float64(second)), arrive)
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) request(router *Router, home int) {
+func (sim *simulation) sendRequest(router *Router, homeZone int) {
 	class := 0
-	if w.rng.IntN(5) == 0 {
+	if sim.rng.IntN(5) == 0 {
 		class = 1
 	}
-	w.requests[home]++
-	a := router.Choose(w.now, Request{Group: home, Class: class, RequiredZone: -1})
-	if a.Zone < 0 {
-		w.rejected[home]++
+	sim.requests[homeZone]++
+	decision := router.Choose(sim.clock, Request{Group: homeZone, Class: class, RequiredZone: -1})
+	if decision.Zone < 0 {
+		sim.rejected[homeZone]++
 		return
 	}
-	router.OnAttemptSent(w.now, a.Zone, a.Spill)
-	if a.Spill {
-		w.spilled[a.Zone]++
+	router.OnAttemptSent(sim.clock, decision.Zone, decision.Spill)
+	if decision.Spill {
+		sim.spilled[decision.Zone]++
 	}
-	x := &attempt{
-		router:   router,
-		home:     home,
-		zone:     a.Zone,
-		class:    class,
-		spill:    a.Spill,
-		sentAt:   w.now,
-		inFlight: router.InFlight(a.Zone),
+	sent := &sentAttempt{
+		router:           router,
+		homeZone:         homeZone,
+		zone:             decision.Zone,
+		class:            class,
+		spill:            decision.Spill,
+		sentAt:           sim.clock,
+		inFlightWhenSent: router.InFlight(decision.Zone),
 	}
-	z := w.zones[a.Zone]
+	servers := sim.zones[decision.Zone]
 	switch {
-	case z.stopped:
-		w.after(ms, func() { w.done(x, false) })
+	case servers.stopped:
+		sim.schedule(ms, func() { sim.endAttempt(sent, false) })
 		return
-	case z.mute:
-	case z.busy < z.cores:
-		w.serve(z, x)
+	case servers.unresponsive:
+	case servers.busyCores < servers.cores:
+		sim.serve(servers, sent)
 	default:
-		z.queue = append(z.queue, x)
+		servers.queue = append(servers.queue, sent)
 	}
-	w.after(clientTimeout, func() { w.done(x, false) })
+	sim.schedule(clientTimeout, func() { sim.endAttempt(sent, false) })
 }
 
-func (w *simulation) serve(z *servers, x *attempt) {
-	z.busy++
-	took := float64(serviceTime) * (0.7 + 0.6*w.rng.Float64()) * z.slow
-	if z.warmingSince > 0 {
-		took /= min(1, 0.2+0.8*float64(w.now-z.warmingSince)/float64(warmupTime))
+func (sim *simulation) serve(servers *zoneServers, sent *sentAttempt) {
+	servers.busyCores++
+	duration := float64(serviceTime) * (0.7 + 0.6*sim.rng.Float64()) * servers.slowdownFactor
+	if servers.warmupStart > 0 {
+		duration /= min(1, 0.2+0.8*float64(sim.clock-servers.warmupStart)/float64(warmupTime))
 	}
-	w.after(monotime.Micros(took), func() {
-		z.busy--
-		if !z.stopped {
-			w.done(x, true)
+	sim.schedule(monotime.Micros(duration), func() {
+		servers.busyCores--
+		if !servers.stopped {
+			sim.endAttempt(sent, true)
 		}
-		for len(z.queue) > 0 && z.busy < z.cores {
-			next := z.queue[0]
-			z.queue = z.queue[1:]
+		for len(servers.queue) > 0 && servers.busyCores < servers.cores {
+			next := servers.queue[0]
+			servers.queue = servers.queue[1:]
 			if !next.ended {
-				w.serve(z, next)
+				sim.serve(servers, next)
 			}
 		}
 	})
 }
 
-func (w *simulation) done(x *attempt, served bool) {
-	if x.ended {
+func (sim *simulation) endAttempt(sent *sentAttempt, served bool) {
+	if sent.ended {
 		return
 	}
-	x.ended = true
-	took := w.now - x.sentAt
-	good := served && took <= objective
-	if good {
-		w.served[x.home]++
+	sent.ended = true
+	duration := sim.clock - sent.sentAt
+	inTime := served && duration <= latencyObjective
+	if inTime {
+		sim.servedInTime[sent.homeZone]++
 	} else {
-		w.late[x.zone]++
+		sim.notInTime[sent.zone]++
 	}
-	x.router.OnAttemptEnded(w.now, x.zone, Outcome{
-		Class:    x.class,
-		Spill:    x.spill,
-		Duration: took,
-		InFlight: x.inFlight,
+	sent.router.OnAttemptEnded(sim.clock, sent.zone, Outcome{
+		Class:    sent.class,
+		Spill:    sent.spill,
+		Duration: duration,
+		InFlight: sent.inFlightWhenSent,
 		Served:   served,
-		InTime:   good,
+		InTime:   inTime,
 	})
 }
 
-// stopZone stops a zone: requests there are lost, and connections fail. Discovery reports it after a delay.
-func (w *simulation) stopZone(number int, discoveryDelay monotime.Micros) {
-	z := w.zones[number]
-	z.stopped = true
-	z.queue = nil
-	w.after(discoveryDelay, func() {
-		if z.stopped {
-			w.setReady(number, 0)
+// stopZone stops the servers of a zone: requests in progress are lost, new requests fail after 1 ms, and discovery
+// reports no ready endpoints after discoveryDelay.
+func (sim *simulation) stopZone(zoneIndex int, discoveryDelay monotime.Micros) {
+	servers := sim.zones[zoneIndex]
+	servers.stopped = true
+	servers.queue = nil
+	sim.schedule(discoveryDelay, func() {
+		if servers.stopped {
+			sim.setReady(zoneIndex, 0)
 		}
 	})
 }
 
-func (w *simulation) restartZone(number int) {
-	z := w.zones[number]
-	z.stopped = false
-	z.mute = false
-	z.warmingSince = w.now
-	w.setReady(number, z.cores)
+func (sim *simulation) restartZone(zoneIndex int) {
+	servers := sim.zones[zoneIndex]
+	servers.stopped = false
+	servers.unresponsive = false
+	servers.warmupStart = sim.clock
+	sim.setReady(zoneIndex, servers.cores)
 }
 
-func (w *simulation) setReady(number, ready int) {
-	for _, router := range w.routers {
-		router.SetReadyEndpoints(w.now, number, ready)
+func (sim *simulation) setReady(zoneIndex, ready int) {
+	for _, router := range sim.routers {
+		router.SetReadyEndpoints(sim.clock, zoneIndex, ready)
 	}
 }
 
-// takeCounts returns which part of the requests was served in time, by home zone, since the last call.
-func (w *simulation) takeCounts() (part [3]float64, all float64) {
-	good, requests := 0, 0
-	for i := range part {
-		part[i] = float64(w.served[i]) / float64(max(1, w.requests[i]))
-		good += w.served[i]
-		requests += w.requests[i]
+// takeInTimeFractions returns the fraction of requests that were served in time since its last call, by home
+// zone and overall, and resets the counts.
+func (sim *simulation) takeInTimeFractions() (inTimeFractions [3]float64, overall float64) {
+	inTime, requests := 0, 0
+	for i := range inTimeFractions {
+		inTimeFractions[i] = float64(sim.servedInTime[i]) / float64(max(1, sim.requests[i]))
+		inTime += sim.servedInTime[i]
+		requests += sim.requests[i]
 	}
-	for _, counts := range []*[3]int{&w.requests, &w.served, &w.rejected, &w.spilled, &w.late} {
+	for _, counts := range []*[3]int{&sim.requests, &sim.servedInTime, &sim.rejected, &sim.spilled, &sim.notInTime} {
 		*counts = [3]int{}
 	}
-	return part, float64(good) / float64(max(1, requests))
+	return inTimeFractions, float64(inTime) / float64(max(1, requests))
 }
 
 const (
-	outageCores = 12    // of each zone
-	outageRate  = 750.0 // requests a second of each zone's clients, of 1,200 that it can serve
+	coresPerZone       = 12    // number of cores in each zone
+	requestRatePerZone = 750.0 // requests per second of each zone's clients; a zone can serve 1,200
 )
 
-// checkOutage runs ten seconds in which zone 0 is down, and checks that the others serve all that they can, their own
-// clients as before, and that the spill does not oscillate.
-func (w *simulation) checkOutage(t *testing.T) {
+// checkOutage simulates ten seconds in which zone 0 is down. It checks that the other zones serve their own
+// clients as before, that they serve as much spill as they can, and that the spill does not oscillate.
+func (sim *simulation) checkOutage(t *testing.T) {
 	t.Helper()
 	minSpill := 1e9
 	maxSpill := 0.0
-	for s := range 10 {
-		w.runUntil(monotime.Micros(43+s) * second)
-		spilled := float64(w.spilled[1] + w.spilled[2])
+	for elapsedSeconds := range 10 {
+		sim.runUntil(monotime.Micros(43+elapsedSeconds) * second)
+		spilled := float64(sim.spilled[1] + sim.spilled[2])
 		minSpill = min(minSpill, spilled)
 		maxSpill = max(maxSpill, spilled)
-		part, all := w.takeCounts()
-		if part[1] < 0.95 || part[2] < 0.95 {
-			t.Errorf("second %d: the others' own clients %.3f", 43+s, part)
+		inTimeFractions, overall := sim.takeInTimeFractions()
+		if inTimeFractions[1] < 0.95 || inTimeFractions[2] < 0.95 {
+			t.Errorf("second %d: fractions of requests served in time, by home zone: %.3f",
+				43+elapsedSeconds, inTimeFractions)
 		}
-		// 2,400 can be served of 2,250; 0.8 of the spare 900 is 720.
-		if want := 0.95 * (2*outageRate + 0.8*900*outageRate/900) / (3 * outageRate); all < want*0.95 {
-			t.Errorf("second %d: %.3f in all, want %.3f", 43+s, all, want)
+		// The two zones that are up can serve 2,400 requests per second, of 2,250 in all. Their own clients
+		// leave 900 of these unused, of which spill may use 0.8, that is 720.
+		if want := 0.95 * (2*requestRatePerZone + 0.8*900*requestRatePerZone/900) /
+			(3 * requestRatePerZone); overall < want*0.95 {
+			t.Errorf("second %d: fraction of all requests served in time is %.3f, want %.3f",
+				43+elapsedSeconds, overall, want)
 		}
 	}
 	if maxSpill > 1.25*minSpill {
-		t.Errorf("the spill oscillates from %v to %v a second", minSpill, maxSpill)
+		t.Errorf("the spill oscillates between %v and %v requests per second", minSpill, maxSpill)
 	}
-	t.Logf("spill %v to %v a second", minSpill, maxSpill)
+	t.Logf("spill between %v and %v requests per second", minSpill, maxSpill)
 }
 
-// checkRecovery runs the thirty seconds after zone 0 has restarted, and checks that it is never sent more than it can
-// answer in time, and that the others' clients are served.
-func (w *simulation) checkRecovery(t *testing.T) {
+// checkRecovery simulates the thirty seconds after the restart of zone 0. It checks that the zone never receives more
+// requests than it can serve in time, and that the clients of the other zones are served.
+func (sim *simulation) checkRecovery(t *testing.T) {
 	t.Helper()
-	for half := range 60 {
-		w.runUntil(52*second + monotime.Micros(half+1)*second/2)
-		if sent := w.served[0] + w.late[0]; w.late[0] > 5 && w.late[0] > sent/10 {
-			t.Errorf("%.1f s after its restart %d of %d were not answered in time", float64(half+1)/2, w.late[0], sent)
+	for halfSeconds := range 60 {
+		sim.runUntil(52*second + monotime.Micros(halfSeconds+1)*second/2)
+		if sent := sim.servedInTime[0] + sim.notInTime[0]; sim.notInTime[0] > 5 && sim.notInTime[0] > sent/10 {
+			t.Errorf("%.1f s after the zone's restart %d of %d attempts were not served in time",
+				float64(halfSeconds+1)/2, sim.notInTime[0], sent)
 		}
-		part, _ := w.takeCounts()
-		if part[1] < 0.9 || part[2] < 0.9 {
-			t.Errorf("%.1f s after its restart the others' clients %.3f", float64(half+1)/2, part)
+		inTimeFractions, _ := sim.takeInTimeFractions()
+		if inTimeFractions[1] < 0.9 || inTimeFractions[2] < 0.9 {
+			t.Errorf("%.1f s after the restart: fractions of requests served in time, by home zone: %.3f",
+				float64(halfSeconds+1)/2, inTimeFractions)
 		}
 	}
 }
 
-// A zone goes down and recovers. The others serve all that they can, their own clients as before; the spill does not
-// oscillate; and the zone that recovers is never sent more than it can answer in time.
+// TestZoneOutageAndRecovery stops and restarts a zone. The other zones must serve their own clients as before
+// and as much spill as they can, the spill must not oscillate, and the recovering zone must never receive more
+// requests than it can serve in time.
 func TestZoneOutageAndRecovery(t *testing.T) {
 	for _, instances := range []int{3, 30, 300} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
-			w := newSimulation(t, instances, outageCores, outageRate)
-			w.runUntil(20 * second)
-			w.takeCounts()
-			w.runUntil(30 * second)
-			if part, all := w.takeCounts(); all < 0.99 {
-				t.Errorf("before the outage: %.3f, %.3f", all, part)
+			sim := newSimulation(t, instances, coresPerZone, requestRatePerZone)
+			sim.runUntil(20 * second)
+			sim.takeInTimeFractions()
+			sim.runUntil(30 * second)
+			if inTimeFractions, overall := sim.takeInTimeFractions(); overall < 0.99 {
+				t.Errorf("before the outage: fraction served in time %.3f, by home zone %.3f", overall, inTimeFractions)
 			}
-			w.stopZone(0, 2*second)
-			w.runUntil(42 * second) // until it is stable
-			w.takeCounts()
-			w.checkOutage(t)
-			w.restartZone(0)
-			w.takeCounts()
-			w.checkRecovery(t)
-			w.runUntil(100 * second)
-			w.takeCounts()
-			w.runUntil(110 * second)
-			if part, all := w.takeCounts(); all < 0.99 || w.spilled[1]+w.spilled[2] > 0 && part[0] < 0.98 {
-				t.Errorf("long after: %.3f, %.3f", all, part)
+			sim.stopZone(0, 2*second)
+			sim.runUntil(42 * second) // until the traffic is stable
+			sim.takeInTimeFractions()
+			sim.checkOutage(t)
+			sim.restartZone(0)
+			sim.takeInTimeFractions()
+			sim.checkRecovery(t)
+			sim.runUntil(100 * second)
+			sim.takeInTimeFractions()
+			sim.runUntil(110 * second)
+			if inTimeFractions, overall := sim.takeInTimeFractions(); overall < 0.99 ||
+				sim.spilled[1]+sim.spilled[2] > 0 && inTimeFractions[0] < 0.98 {
+				t.Errorf("long after the outage: fraction served in time %.3f, by home zone %.3f",
+					overall, inTimeFractions)
 			}
-			if s, _, _ := w.routers[0].ZoneState(0); s != Up {
-				t.Errorf("the zone is %v", s)
+			if state, _, _ := sim.routers[0].ZoneState(0); state != Up {
+				t.Errorf("the zone is %v long after the outage", state)
 			}
 		})
 	}
 }
 
-// A zone that does not answer, whatever discovery lists, goes down; one without endpoints does so at once; with no zone
-// up requests are rejected at once, and all are served again afterwards.
+// TestZoneGoesDownWithoutAnswersOrEndpoints verifies that a zone that does not respond goes down although
+// discovery lists its endpoints, that a zone without ready endpoints goes down at once, that requests are
+// rejected at once while no zone is up, and that requests are served again after the zones have recovered.
 func TestZoneGoesDownWithoutAnswersOrEndpoints(t *testing.T) {
-	w := newSimulation(t, 3, 12, 600)
-	w.runUntil(10 * second)
-	w.zones[0].mute = true
-	w.runUntil(13 * second)
-	if s, share, _ := w.routers[0].ZoneState(0); s == Up || share > testSettings(1).InitialRecoveryShare {
-		t.Errorf("a zone that is cut off is %v, with %v of its requests", s, share)
-	}
-	w.setReady(0, 0)
-	w.setReady(1, 0)
-	w.setReady(2, 0)
-	for i, router := range w.routers {
-		a := router.Choose(w.now, Request{Group: i, RequiredZone: -1})
-		if a.Zone >= 0 || a.Reason != NoZoneUp || a.RetryAfter <= 0 {
-			t.Errorf("with no zone: %+v", a)
+	sim := newSimulation(t, 3, 12, 600)
+	sim.runUntil(10 * second)
+	sim.zones[0].unresponsive = true
+	sim.runUntil(13 * second)
+	if state, share, _ := sim.routers[0].ZoneState(0); state == Up || share > testSettings(1).InitialRecoveryShare {
+		t.Errorf("a zone that is cut off is %v and receives a share of %v of its requests", state, share)
+	}
+	sim.setReady(0, 0)
+	sim.setReady(1, 0)
+	sim.setReady(2, 0)
+	for i, router := range sim.routers {
+		decision := router.Choose(sim.clock, Request{Group: i, RequiredZone: -1})
+		if decision.Zone >= 0 || decision.Reason != NoZoneUp || decision.RetryAfter <= 0 {
+			t.Errorf("decision while no zone is up: %+v", decision)
 		}
 	}
-	if a := w.routers[0].Choose(w.now, Request{RequiredZone: 2}); a.Zone >= 0 || a.Reason != RequiredZoneDown {
-		t.Errorf("required zone is down: %+v", a)
+	if decision := sim.routers[0].Choose(sim.clock, Request{RequiredZone: 2}); decision.Zone >= 0 ||
+		decision.Reason != RequiredZoneDown {
+		t.Errorf("decision while the required zone is down: %+v", decision)
 	}
-	w.setReady(1, 12)
-	w.setReady(2, 12)
-	w.restartZone(0)
-	w.runUntil(60 * second)
-	w.takeCounts()
-	w.runUntil(70 * second)
-	if part, all := w.takeCounts(); all < 0.99 {
-		t.Errorf("afterwards: %.3f, %.3f", all, part)
+	sim.setReady(1, 12)
+	sim.setReady(2, 12)
+	sim.restartZone(0)
+	sim.runUntil(60 * second)
+	sim.takeInTimeFractions()
+	sim.runUntil(70 * second)
+	if inTimeFractions, overall := sim.takeInTimeFractions(); overall < 0.99 {
+		t.Errorf("after the recovery: fraction served in time %.3f, by home zone %.3f", overall, inTimeFractions)
 	}
 }
 
-// A zone that flaps stays down longer each time.
+// TestFlappingZoneStaysDownLonger verifies that a zone that flaps stays down longer each time.
 func TestFlappingZoneStaysDownLonger(t *testing.T) {
 	router, err := New(testSettings(1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := monotime.Micros(0)
-	last := monotime.Micros(0)
+	lastDownTime := monotime.Micros(0)
 	for i := range 4 {
 		router.SetReadyEndpoints(now, 0, 0)
 		router.SetReadyEndpoints(now, 0, 5)
@@ -380,107 +394,110 @@
 		for {
 			now += 10 * ms
 			router.Choose(now, Request{RequiredZone: -1})
-			if s, _, _ := router.ZoneState(0); s == Recovering {
+			if state, _, _ := router.ZoneState(0); state == Recovering {
 				break
 			}
 		}
-		if downTime := now - downAt; i > 0 && downTime < last*5/4 {
-			t.Errorf("flap %d: down for %d ms after %d", i, downTime/ms, last/ms)
+		if downTime := now - downAt; i > 0 && downTime < lastDownTime*5/4 {
+			t.Errorf("flap %d: down for %d ms, the time before for %d ms", i, downTime/ms, lastDownTime/ms)
 		} else {
-			last = downTime
+			lastDownTime = downTime
 		}
 	}
 }
 
-// checkDecision checks what must hold of any decision.
-func checkDecision(t *rapid.T, s *Settings, r Request, d Decision) {
+// checkDecision checks the properties that every decision must have: a request with a required zone is sent to
+// no other zone, a rejection has a reason, and Spill is set only for a zone that is not the home zone.
+func checkDecision(t *rapid.T, settings *Settings, request Request, decision Decision) {
 	t.Helper()
-	if r.RequiredZone >= 0 && d.Zone >= 0 && (d.Zone != r.RequiredZone || d.Spill) {
-		t.Fatalf("%+v went to %+v", r, d)
+	if request.RequiredZone >= 0 && decision.Zone >= 0 && (decision.Zone != request.RequiredZone || decision.Spill) {
+		t.Fatalf("request %+v with a required zone: decision %+v", request, decision)
 	}
-	if d.Zone < 0 {
-		if d.Reason == None {
-			t.Fatalf("%+v: %+v", r, d)
+	if decision.Zone < 0 {
+		if decision.Reason == None {
+			t.Fatalf("request %+v is rejected without a reason: %+v", request, decision)
 		}
 		return
 	}
-	if d.Spill != (r.RequiredZone < 0 && d.Zone != s.ZonePreferences[r.Group][0]) {
-		t.Fatalf("%+v: %+v", r, d)
+	if decision.Spill != (request.RequiredZone < 0 && decision.Zone != settings.ZonePreferences[request.Group][0]) {
+		t.Fatalf("request %+v: Spill is wrong in decision %+v", request, decision)
 	}
 }
 
-// checkNothingInFlight checks that all attempts are counted back.
+// checkNothingInFlight checks that a router counts no attempt in flight in any zone after all attempts have ended.
 func checkNothingInFlight(t *rapid.T, router *Router) {
 	t.Helper()
 	for i := range router.zones {
-		if z := &router.zones[i]; z.inFlight != 0 || z.spillInFlight != 0 {
-			t.Fatalf("zone %d has %d in flight, %d spilled", i, z.inFlight, z.spillInFlight)
+		if zone := &router.zones[i]; zone.inFlight != 0 || zone.spillInFlight != 0 {
+			t.Fatalf("zone %d still has %d attempts in flight, %d of them spill", i, zone.inFlight, zone.spillInFlight)
 		}
 	}
 }
 
-// sentAttempt is an attempt that has not ended.
-type sentAttempt struct {
+// openAttempt is an attempt in flight.
+type openAttempt struct {
 	zone  int
 	spill bool
 }
 
-// Whatever happens, spill never uses more than its part of a zone's capacity, each attempt is counted back, and a
-// request with a required zone goes to no other.
+// TestSpillStaysWithinLimits verifies for random requests and outcomes that spill never uses more than
+// MaxSpareFraction of a zone's capacity, that no attempt is counted as in flight after its end, and that a
+// request with a required zone is sent to no other zone.
 func TestSpillStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := testSettings(rapid.IntRange(1, 50).Draw(t, "instances"))
-		s.MaxSpareFraction = rapid.Float64Range(0.1, 1).Draw(t, "spare")
-		s.Seed = rapid.Uint64().Draw(t, "seed")
-		router, err := New(s)
+		settings := testSettings(rapid.IntRange(1, 50).Draw(t, "instances"))
+		settings.MaxSpareFraction = rapid.Float64Range(0.1, 1).Draw(t, "spare")
+		settings.Seed = rapid.Uint64().Draw(t, "seed")
+		router, err := New(settings)
 		if err != nil {
 			t.Fatal(err)
 		}
-		rng := rand.New(rand.NewPCG(s.Seed, 9))
-		var inFlight []sentAttempt
+		rng := rand.New(rand.NewPCG(settings.Seed, 9))
+		var inFlight []openAttempt
 		now := monotime.Micros(0)
 		for range 3000 {
 			now += monotime.Micros(rng.IntN(3000))
-			switch k := rng.IntN(20); {
-			case k == 0:
+			switch action := rng.IntN(20); {
+			case action == 0:
 				router.SetReadyEndpoints(now, rng.IntN(3), rng.IntN(2)*5)
-			case k < 11:
-				r := Request{
+			case action < 11:
+				request := Request{
 					Group:        rng.IntN(3),
 					Class:        rng.IntN(2),
 					OverQuota:    rng.IntN(4) == 0,
 					RequiredZone: max(-1, rng.IntN(8)-5),
 				}
-				a := router.Choose(now, r)
-				checkDecision(t, &s, r, a)
-				if a.Zone < 0 {
+				decision := router.Choose(now, request)
+				checkDecision(t, &settings, request, decision)
+				if decision.Zone < 0 {
 					continue
 				}
-				router.OnAttemptSent(now, a.Zone, a.Spill)
-				z := &router.zones[a.Zone]
-				maxSpill := max(1, s.MaxSpareFraction*float64(z.limiter.Limit())+1)
-				if a.Spill && float64(z.spillInFlight) > maxSpill {
-					t.Fatalf("%d spilled in flight of %d", z.spillInFlight, z.limiter.Limit())
+				router.OnAttemptSent(now, decision.Zone, decision.Spill)
+				zone := &router.zones[decision.Zone]
+				maxSpill := max(1, settings.MaxSpareFraction*float64(zone.limiter.Limit())+1)
+				if decision.Spill && float64(zone.spillInFlight) > maxSpill {
+					t.Fatalf("%d spilled attempts in flight, with a learned limit of %d",
+						zone.spillInFlight, zone.limiter.Limit())
 				}
-				inFlight = append(inFlight, sentAttempt{a.Zone, a.Spill})
+				inFlight = append(inFlight, openAttempt{decision.Zone, decision.Spill})
 			case len(inFlight) > 0:
 				i := rng.IntN(len(inFlight))
-				f := inFlight[i]
+				open := inFlight[i]
 				inFlight = append(inFlight[:i], inFlight[i+1:]...)
-				took := monotime.Micros(rng.IntN(200)) * ms
-				router.OnAttemptEnded(now, f.zone, Outcome{
+				duration := monotime.Micros(rng.IntN(200)) * ms
+				router.OnAttemptEnded(now, open.zone, Outcome{
 					Class:        rng.IntN(2),
-					Spill:        f.spill,
-					Duration:     took,
+					Spill:        open.spill,
+					Duration:     duration,
 					InFlight:     1 + rng.IntN(5),
 					Served:       rng.IntN(4) > 0,
-					InTime:       took < objective,
+					InTime:       duration < latencyObjective,
 					Inconclusive: rng.IntN(10) == 0,
 				})
 			}
 		}
-		for _, f := range inFlight {
-			router.OnAttemptEnded(now, f.zone, Outcome{Spill: f.spill, Inconclusive: true})
+		for _, open := range inFlight {
+			router.OnAttemptEnded(now, open.zone, Outcome{Spill: open.spill, Inconclusive: true})
 		}
 		checkNothingInFlight(t, router)
 	})
@@ -502,15 +519,16 @@
 		"in flight":   func(s *Settings) { s.MinInFlight = 0 },
 		"instances":   func(s *Settings) { s.Instances = 0 },
 	} {
-		s := testSettings(1)
-		invalidate(&s)
-		if _, err := New(s); err == nil {
-			t.Errorf("%s: accepted", name)
+		settings := testSettings(1)
+		invalidate(&settings)
+		if _, err := New(settings); err == nil {
+			t.Errorf("invalid setting %s is accepted", name)
 		}
 	}
 }
 
-// A zone with attempts in flight that does not answer goes down after a while, before their timeouts.
+// TestSilentZoneGoesDown verifies that a zone that does not respond to attempts in flight goes down after
+// silenceTimeout, before the attempts time out.
 func TestSilentZoneGoesDown(t *testing.T) {
 	router, err := New(testSettings(1))
 	if err != nil {
@@ -519,15 +537,17 @@
 	for range minSilentInFlight {
 		router.OnAttemptSent(second, 0, false)
 	}
-	if a := router.Choose(second+silenceTimeout/2, Request{RequiredZone: -1}); a.Zone != 0 {
-		t.Errorf("silent for a moment: %+v", a)
+	if decision := router.Choose(second+silenceTimeout/2, Request{RequiredZone: -1}); decision.Zone != 0 {
+		t.Errorf("decision after half of the silence timeout: %+v", decision)
 	}
-	if a := router.Choose(second+silenceTimeout+ms, Request{RequiredZone: -1}); a.Zone == 0 {
-		t.Errorf("silent for long: %+v", a)
+	if decision := router.Choose(second+silenceTimeout+ms, Request{RequiredZone: -1}); decision.Zone == 0 {
+		t.Errorf("decision after the silence timeout: %+v", decision)
 	}
 }
 
-// A zone that recovers half-healthy gets less, not more; once it is healthy it gets all.
+// TestHalfHealthyRecoveryIsHeldBack verifies that the share of a recovering zone is at most twice
+// InitialRecoveryShare while half of its attempts are not in time, and that the zone is up again after all
+// attempts are in time.
 func TestHalfHealthyRecoveryIsHeldBack(t *testing.T) {
 	router, err := New(testSettings(1))
 	if err != nil {
@@ -536,15 +556,17 @@
 	now := monotime.Micros(0)
 	router.SetReadyEndpoints(now, 0, 0)
 	router.SetReadyEndpoints(now, 0, 4)
-	run := func(d monotime.Micros, good func(i int) bool) (maxShare float64) {
-		n := 0
+	run := func(d monotime.Micros, inTime func(i int) bool) (maxShare float64) {
+		sentCount := 0
 		for end := now + d; now < end; now += 2 * ms {
-			if a := router.Choose(now, Request{RequiredZone: -1}); a.Zone == 0 {
+			if decision := router.Choose(now, Request{RequiredZone: -1}); decision.Zone == 0 {
 				router.OnAttemptSent(now, 0, false)
-				n++
-				router.OnAttemptEnded(now+ms, 0, Outcome{Duration: ms, InFlight: 1, Served: true, InTime: good(n)})
+				sentCount++
+				router.OnAttemptEnded(now+ms, 0, Outcome{
+					Duration: ms, InFlight: 1, Served: true, InTime: inTime(sentCount),
+				})
 			}
-			if s, share, _ := router.ZoneState(0); s != Down {
+			if state, share, _ := router.ZoneState(0); state != Down {
 				maxShare = max(maxShare, share)
 			}
 		}
@@ -552,10 +574,11 @@
 	}
 	maxShare := run(20*second, func(i int) bool { return i%2 == 0 })
 	if maxShare > 2*router.settings.InitialRecoveryShare {
-		t.Errorf("half healthy it got %v of its requests", maxShare)
+		t.Errorf("the recovering zone received a share of %v of its requests while half of its attempts were late",
+			maxShare)
 	}
 	run(30*second, func(int) bool { return true })
-	if s, _, _ := router.ZoneState(0); s != Up {
-		t.Errorf("once healthy it is %v", s)
+	if state, _, _ := router.ZoneState(0); state != Up {
+		t.Errorf("the zone is %v after all attempts were in time", state)
 	}
 }
