--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -20,14 +20,14 @@
 // initConcurrency makes the pool's fair queue and, with ConcurrencySettings.Adaptive, its learned concurrency limit.
 func (p *Pool) initConcurrency(s ConcurrencySettings, seed uint64) error {
 	classes := p.engine.config.Site.Settings.Classes
-	expected := make([]monotime.Micros, len(classes))
+	expectedTimes := make([]monotime.Micros, len(classes))
 	for i, class := range classes {
-		expected[i] = class.LatencyObjective / objectiveToServiceTime
+		expectedTimes[i] = class.LatencyObjective / objectiveToServiceTime
 	}
 	maxInFlight := s.MaxInFlight
 	if s.Adaptive != nil {
 		adaptive := *s.Adaptive
-		adaptive.Classes = len(expected)
+		adaptive.Classes = len(expectedTimes)
 		adaptive.Seed = seed
 		var err error
 		if p.concurrency, err = concurrency.New(adaptive); err != nil {
@@ -36,7 +36,7 @@
 		maxInFlight = p.concurrency.Limit()
 	}
 	p.queue = fairqueue.New(fairqueue.Settings{
-		InitialTimes: expected,
+		InitialTimes: expectedTimes,
 		MaxInFlight:  maxInFlight,
 		Shared:       p.engine.openTotal,
 	})
@@ -52,34 +52,34 @@
 		return
 	}
 	class := &p.engine.config.Site.Settings.Classes[c.Request.Class]
-	latestAnswer := c.Request.Deadline
+	usefulUntil := c.Request.Deadline
 	if class.LateWeight == 0 {
-		latestAnswer = min(latestAnswer, c.ArrivedAt+class.LatencyObjective)
+		usefulUntil = min(usefulUntil, c.ArrivedAt+class.LatencyObjective)
 	}
 	p.queue.Enqueue(now, c.Client.account, fairqueue.Request{
 		ID:              c.Request.ID,
 		Class:           int(c.Request.Class),
-		Deadline:        latestAnswer,
+		Deadline:        usefulUntil,
 		MaxWaitFraction: p.balancer.QueueWaitFraction(now, c.Request),
 	})
 	p.engine.markDirty(p)
 }
 
 // markDirty notes that decisions of a pool's queue may have become due.
-func (x *Engine) markDirty(p *Pool) {
+func (eng *Engine) markDirty(p *Pool) {
 	if !p.dirty {
 		p.dirty = true
-		x.dirtyPools = append(x.dirtyPools, p)
+		eng.dirtyPools = append(eng.dirtyPools, p)
 	}
 }
 
 // dispatchQueued carries out all decisions of queues that are due. It is called once at the end of each event, and
 // never from within one: a decision may free a slot, and with that make further decisions due.
-func (x *Engine) dispatchQueued(now monotime.Micros) {
-	for len(x.dirtyPools) > 0 {
-		last := len(x.dirtyPools) - 1
-		p := x.dirtyPools[last]
-		x.dirtyPools = x.dirtyPools[:last]
+func (eng *Engine) dispatchQueued(now monotime.Micros) {
+	for len(eng.dirtyPools) > 0 {
+		last := len(eng.dirtyPools) - 1
+		p := eng.dirtyPools[last]
+		eng.dirtyPools = eng.dirtyPools[:last]
 		p.dirty = false
 		p.dispatchQueued(now)
 	}
@@ -87,7 +87,7 @@
 
 // dispatchQueued carries out the due decisions of the pool's queue, at the concurrency limit in force.
 func (p *Pool) dispatchQueued(now monotime.Micros) {
-	x := p.engine
+	eng := p.engine
 	if p.concurrency != nil {
 		p.queue.SetMaxInFlight(p.concurrency.Limit())
 	}
@@ -96,9 +96,9 @@
 		if !ok {
 			break
 		}
-		c := x.calls[decision.ID]
+		c := eng.calls[decision.ID]
 		if decision.Action == fairqueue.Reject {
-			x.respond(c, x.rejection(decision))
+			eng.respond(c, eng.rejection(decision))
 			continue
 		}
 		p.admit(now, c)
@@ -122,16 +122,16 @@
 	if due == p.queueTimerDue {
 		return
 	}
-	x := p.engine
-	x.cancelTimer(p.queueTimer)
+	eng := p.engine
+	eng.cancelTimer(p.queueTimer)
 	p.queueTimer = nil
 	p.queueTimerDue = due
 	if due == 0 {
 		return
 	}
-	p.queueTimer = x.schedule(due, func(monotime.Micros) {
+	p.queueTimer = eng.schedule(due, func(monotime.Micros) {
 		p.queueTimerDue = 0
-		x.markDirty(p)
+		eng.markDirty(p)
 	})
 }
 
@@ -141,15 +141,15 @@
 
 // rejection returns the response to a request that the queue rejects. Its Retry-After is the queue's estimate of when
 // there is capacity, with jitter, and at most Limits.MaxRetryAfter.
-func (x *Engine) rejection(d fairqueue.Decision) Response {
-	r := Response{Verdict: Rejected, Reason: d.Reason.String()}
-	if d.Reason == fairqueue.ClientOverRate {
+func (eng *Engine) rejection(decision fairqueue.Decision) Response {
+	r := Response{Verdict: Rejected, Reason: decision.Reason.String()}
+	if decision.Reason == fairqueue.ClientOverRate {
 		r.Verdict = RateLimited
 	}
-	limits := &x.config.Site.Settings.Limits
-	if limits.RetryAfter && d.RetryAfter > 0 {
-		after := monotime.Micros(float64(d.RetryAfter) * (1 + x.rng.Float64()/retryAfterJitterDivisor))
-		r.RetryAfter = min(after, limits.MaxRetryAfter)
+	limits := &eng.config.Site.Settings.Limits
+	if limits.RetryAfter && decision.RetryAfter > 0 {
+		retryAfter := monotime.Micros(float64(decision.RetryAfter) * (1 + eng.rng.Float64()/retryAfterJitterDivisor))
+		r.RetryAfter = min(retryAfter, limits.MaxRetryAfter)
 	}
 	return r
 }
@@ -162,18 +162,18 @@
 // and the concurrency limiter whether the limit can grow. limited is set if the limit kept a request waiting
 // meanwhile. A time in which this process has stalled is not known, and is left out.
 func (p *Pool) observeServiceTime(now monotime.Micros, c *Call) {
-	took := now - c.admittedAt
+	serviceTime := now - c.admittedAt
 	if p.engine.stalls.Within(c.admittedAt, now) > 0 {
 		return
 	}
 	class := int(c.Request.Class)
-	p.queue.ObserveServiceTime(class, took)
+	p.queue.ObserveServiceTime(class, serviceTime)
 	if p.concurrency == nil {
 		return
 	}
 	queued, _ := p.queue.Counts()
-	limited := queued > 0 || c.admittedAt > c.ArrivedAt+minQueueTime
-	p.concurrency.AddSample(now, class, took, c.inFlightAtAdmission, limited)
+	limitReached := queued > 0 || c.admittedAt > c.ArrivedAt+minQueueTime
+	p.concurrency.AddSample(now, class, serviceTime, c.inFlightAtAdmission, limitReached)
 }
 
 // Counts returns how many of the pool's requests are queued and in flight, and the learned limit of those in flight,
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -6,27 +6,27 @@
 )
 
 // startDeadlineTimer has an attempt end at its deadline.
-func (x *Engine) startDeadlineTimer(a *Attempt) {
-	a.deadlineTimer = x.schedule(a.Deadline, func(now monotime.Micros) { x.expireAttempt(now, a) })
+func (eng *Engine) startDeadlineTimer(a *Attempt) {
+	a.deadlineTimer = eng.schedule(a.Deadline, func(now monotime.Micros) { eng.expireAttempt(now, a) })
 }
 
 // scheduleOutcome records an outcome as the next event of the present instant: not from within the balancer.
-func (x *Engine) scheduleOutcome(a *Attempt, status balancer.Status) {
-	x.schedule(x.now, func(now monotime.Micros) {
-		x.recordOutcome(now, a, AttemptResult{Status: status, ObservedAt: now})
+func (eng *Engine) scheduleOutcome(a *Attempt, status balancer.Status) {
+	eng.schedule(eng.now, func(now monotime.Micros) {
+		eng.recordOutcome(now, a, AttemptResult{Status: status, ObservedAt: now})
 	})
 }
 
 // recordOutcome passes the outcome of an attempt to all that learn from it, and to the balancer last, which may start
 // the next attempt. The first complete response of an endpoint is the client's. An attempt that has an outcome already
 // gets no other one.
-func (x *Engine) recordOutcome(now monotime.Micros, a *Attempt, r AttemptResult) {
+func (eng *Engine) recordOutcome(now monotime.Micros, a *Attempt, r AttemptResult) {
 	if a.done {
 		return
 	}
 	a.done = true
-	x.config.Host.AbortAttempt(a)
-	x.cancelTimer(a.deadlineTimer)
+	eng.config.Host.AbortAttempt(a)
+	eng.cancelTimer(a.deadlineTimer)
 	c := a.Call
 	c.openAttempts--
 	c.lastTimedOut = r.Status == balancer.Timeout
@@ -35,26 +35,26 @@
 	}
 	if !c.finished && r.Status == balancer.OK {
 		c.Pool.observeServiceTime(now, c)
-		x.respond(c, Response{Verdict: Served, Result: &r, Endpoint: a.Endpoint.Name})
+		eng.respond(c, Response{Verdict: Served, Result: &r, Endpoint: a.Endpoint.Name})
 	}
-	answered := c.finished
-	x.removeFinished(c)
+	responded := c.finished
+	eng.removeFinished(c)
 	latency := attemptLatency(a, &r)
-	stalled := x.stalls.Within(r.ObservedAt-latency, r.ObservedAt)
-	charged := r
-	charged.Status = chargedStatus(r.Status, latency, stalled)
-	c.Pool.observeOutcome(now, a, charged, latency-stalled)
-	if o := x.config.Observer; o != nil {
+	stalled := eng.stalls.Within(r.ObservedAt-latency, r.ObservedAt)
+	chargedResult := r
+	chargedResult.Status = chargedStatus(r.Status, latency, stalled)
+	c.Pool.observeOutcome(now, a, chargedResult, latency-stalled)
+	if o := eng.config.Observer; o != nil {
 		o.AttemptEnded(now, a.Endpoint.Name, r.Status, latency)
 	}
 	c.Pool.balancer.HandleOutcome(now, balancer.Outcome{
 		ID:            c.Request.ID,
 		Attempt:       a.Number,
 		Endpoint:      a.Endpoint.Number,
-		Status:        charged.Status,
+		Status:        chargedResult.Status,
 		Latency:       latency,
 		Stalled:       stalled,
-		Answered:      answered,
+		Answered:      responded,
 		NotReplayable: c.NotReplayable != nil && c.NotReplayable(),
 		Load:          r.Load,
 	})
@@ -63,7 +63,7 @@
 // observeOutcome passes the outcome of an attempt to all parts of the pool that learn from it, but for the balancer.
 func (p *Pool) observeOutcome(now monotime.Micros, a *Attempt, r AttemptResult, latency monotime.Micros) {
 	p.observeEndpointHealth(now, a.Endpoint, r.Status, latency)
-	p.observeLoad(now, -1)
+	p.observeOpenAttempts(now, -1)
 	p.observeUtilization(a.Endpoint, r.Load)
 	p.recordObservation(now, a, r.Status)
 	p.observeAttempt(now, a, r, latency)
@@ -77,82 +77,82 @@
 // expireAttempt decides on the outcome of an attempt whose deadline is over: Timeout if a part of it was written. If
 // nothing was, it is ConnectFailed after at least Limits.DialTimeout, and NotSent before, since a dial with less time
 // is no evidence against the endpoint.
-func (x *Engine) expireAttempt(now monotime.Micros, a *Attempt) {
+func (eng *Engine) expireAttempt(now monotime.Micros, a *Attempt) {
 	if a.done {
 		return
 	}
-	stalled := x.stalls.Within(a.StartedAt, now)
+	stalled := eng.stalls.Within(a.StartedAt, now)
 	status := balancer.Timeout
-	if x.config.Host.CancelUnsent(a) {
+	if eng.config.Host.CancelUnsent(a) {
 		status = balancer.NotSent
-		if now-a.StartedAt-stalled >= x.config.Site.Settings.Limits.DialTimeout {
+		if now-a.StartedAt-stalled >= eng.config.Site.Settings.Limits.DialTimeout {
 			status = balancer.ConnectFailed
 		}
 	} else if !isInconclusive(now-a.StartedAt, stalled) {
-		x.config.Host.AttemptTimedOut(a)
+		eng.config.Host.AttemptTimedOut(a)
 	}
-	x.recordOutcome(now, a, AttemptResult{Status: status, ObservedAt: now})
+	eng.recordOutcome(now, a, AttemptResult{Status: status, ObservedAt: now})
 }
 
 // startResponse gives a response that has started to the client, if the request has none yet, and reports whether it
 // did. The request no longer counts as in flight: the rest of the response is transfer, which takes no processor
 // time.
-func (x *Engine) startResponse(now monotime.Micros, a *Attempt, r AttemptResult) bool {
+func (eng *Engine) startResponse(now monotime.Micros, a *Attempt, r AttemptResult) bool {
 	c := a.Call
 	if a.done || c.finished {
 		return false
 	}
-	x.cancelTimer(a.deadlineTimer)
+	eng.cancelTimer(a.deadlineTimer)
 	p := c.Pool
 	p.balancer.HandleHeaders(now, c.Request.ID, a.Number, attemptLatency(a, &r)) // ends the other attempts
 	p.observeServiceTime(now, c)
-	x.respond(c, Response{Verdict: Served, Result: &r, Endpoint: a.Endpoint.Name})
+	eng.respond(c, Response{Verdict: Served, Result: &r, Endpoint: a.Endpoint.Name})
 	p.queue.Done(now, c.Request.ID)
-	x.markDirty(p)
+	eng.markDirty(p)
 	return true
 }
 
 // failRequest responds that a request failed, with the latest response that an endpoint gave.
-func (x *Engine) failRequest(c *Call) {
+func (eng *Engine) failRequest(c *Call) {
 	verdict := Failed
 	if c.lastTimedOut {
 		verdict = TimedOut
 	}
-	x.respond(c, Response{Verdict: verdict, Result: c.lastResult})
+	eng.respond(c, Response{Verdict: verdict, Result: c.lastResult})
 }
 
 // respond gives a request its one final response, after which no attempt of it is started.
-func (x *Engine) respond(c *Call, r Response) {
+func (eng *Engine) respond(c *Call, r Response) {
 	r.Attempts = len(c.attempts)
-	r.QueueTime = x.now - c.ArrivedAt
+	r.QueueTime = eng.now - c.ArrivedAt
 	if c.admittedAt > 0 {
 		r.QueueTime = c.admittedAt - c.ArrivedAt
 	}
-	x.config.Host.Respond(c, r)
-	x.finishRequest(c)
+	eng.config.Host.Respond(c, r)
+	eng.finishRequest(c)
 }
 
 // finishRequest marks a request as finished and cancels attempts of which nothing has been written, also where
 // Limits.Cancel is not set: that forbids only to cancel attempts that an endpoint may have received.
-func (x *Engine) finishRequest(c *Call) {
+func (eng *Engine) finishRequest(c *Call) {
 	c.finished = true
 	for _, a := range c.attempts {
-		if !a.done && x.config.Host.CancelUnsent(a) {
-			x.scheduleOutcome(a, balancer.NotSent)
+		if !a.done && eng.config.Host.CancelUnsent(a) {
+			eng.scheduleOutcome(a, balancer.NotSent)
 		}
 	}
-	x.removeFinished(c)
+	eng.removeFinished(c)
 }
 
 // removeFinished removes a finished request from the table once all its attempts have outcomes.
-func (x *Engine) removeFinished(c *Call) {
-	if !c.finished || c.openAttempts != 0 || x.calls[c.Request.ID] != c {
+func (eng *Engine) removeFinished(c *Call) {
+	if !c.finished || c.openAttempts != 0 || eng.calls[c.Request.ID] != c {
 		return
 	}
-	delete(x.calls, c.Request.ID)
+	delete(eng.calls, c.Request.ID)
 	delete(c.Client.openCalls, c.ID)
-	c.Pool.queue.Done(x.now, c.Request.ID)
-	x.markDirty(c.Pool)
+	c.Pool.queue.Done(eng.now, c.Request.ID)
+	eng.markDirty(c.Pool)
 	c.Pool.openCalls--
 	c.Pool.dissolveIfIdle()
 }
--- a/internal/engine/coordination.go
+++ b/internal/engine/coordination.go
@@ -50,19 +50,19 @@
 
 // JoinFleet has the engine decide together with its fleet once StartCoordination or a Restore has begun that. It
 // returns an error for invalid settings. It must be called before the first pool is made.
-func (x *Engine) JoinFleet(c Coordination) error {
+func (eng *Engine) JoinFleet(c Coordination) error {
 	member, err := coordination.New(c.Settings)
 	if err != nil {
 		return err
 	}
-	x.fleet = &fleetCoordinator{Coordination: c, member: member, suspicions: map[suspectKey]float64{}}
-	member.SetObserver(x.observe)
-	site := x.config.Site
-	x.fleet.tenantBudgets = make([]string, len(site.Tenants))
+	eng.fleet = &fleetCoordinator{Coordination: c, member: member, suspicions: map[suspectKey]float64{}}
+	member.SetObserver(eng.observe)
+	site := eng.config.Site
+	eng.fleet.tenantBudgets = make([]string, len(site.Tenants))
 	for i, limit := range site.TenantLimits {
 		if limit > 0 {
-			x.fleet.tenantBudgets[i] = tenantBudgetPrefix + site.Tenants[i]
-			member.SetBudget(x.fleet.tenantBudgets[i], limit, false)
+			eng.fleet.tenantBudgets[i] = tenantBudgetPrefix + site.Tenants[i]
+			member.SetBudget(eng.fleet.tenantBudgets[i], limit, false)
 		}
 	}
 	return nil
@@ -70,80 +70,80 @@
 
 // StartCoordination starts the engine's part in its fleet, as an instance without a predecessor. It does nothing if
 // that has started, or without a fleet and tenants' limits: those need it for their static division, too.
-func (x *Engine) StartCoordination(now monotime.Micros) {
-	f := x.fleet
+func (eng *Engine) StartCoordination(now monotime.Micros) {
+	f := eng.fleet
 	if f == nil || f.member.Active() {
 		return
 	}
-	x.now = now
+	eng.now = now
 	f.member.Start(now, f.NextIncarnation())
-	x.syncCoordinator(now)
+	eng.syncCoordinator(now)
 }
 
 // ReceiveFleetMessage handles a gossip message of another instance.
-func (x *Engine) ReceiveFleetMessage(now monotime.Micros, from string, message coordination.Message) {
-	f := x.fleet
+func (eng *Engine) ReceiveFleetMessage(now monotime.Micros, from string, message coordination.Message) {
+	f := eng.fleet
 	if f == nil {
 		return
 	}
-	x.now = now
+	eng.now = now
 	f.member.Receive(now, from, message)
-	x.syncCoordinator(now)
-	x.dispatchQueued(now)
+	eng.syncCoordinator(now)
+	eng.dispatchQueued(now)
 }
 
 // HandOverCoordination ends the engine's part in its fleet in favour of a successor, and returns the state for that;
 // nil if there is none to hand over.
-func (x *Engine) HandOverCoordination(now monotime.Micros) *quota.State {
-	f := x.fleet
+func (eng *Engine) HandOverCoordination(now monotime.Micros) *quota.State {
+	f := eng.fleet
 	if f == nil || !f.member.Active() {
 		return nil
 	}
-	x.now = now
+	eng.now = now
 	state := f.member.HandOver(now)
-	x.syncCoordinator(now)
+	eng.syncCoordinator(now)
 	return state
 }
 
 // RestoreCoordination takes over the part of a predecessor that handed it over an age ago. It does nothing if the
 // engine's own part has started.
-func (x *Engine) RestoreCoordination(now, age monotime.Micros, state *quota.State) {
-	f := x.fleet
+func (eng *Engine) RestoreCoordination(now, age monotime.Micros, state *quota.State) {
+	f := eng.fleet
 	if f == nil || state == nil || f.member.Active() {
 		return
 	}
-	x.now = now
+	eng.now = now
 	f.member.Restore(now, age, f.NextIncarnation(), state)
-	x.syncCoordinator(now)
+	eng.syncCoordinator(now)
 }
 
 // FleetView returns what is known of the fleet; ok is false without a fleet and without tenants' limits.
-func (x *Engine) FleetView(now monotime.Micros) (view coordination.View, ok bool) {
-	if x.fleet == nil {
+func (eng *Engine) FleetView(now monotime.Micros) (view coordination.View, ok bool) {
+	if eng.fleet == nil {
 		return view, false
 	}
-	return x.fleet.member.View(now), true
+	return eng.fleet.member.View(now), true
 }
 
 // syncCoordinator carries out what the fleet member has decided: it sends its messages, applies new observations and
 // sets the timer for its next tick. It is called after each event of the member.
-func (x *Engine) syncCoordinator(now monotime.Micros) {
-	f := x.fleet
-	for _, out := range f.member.TakeOutgoing() {
-		f.Send(out.To, out.Message)
+func (eng *Engine) syncCoordinator(now monotime.Micros) {
+	f := eng.fleet
+	for _, outgoing := range f.member.TakeOutgoing() {
+		f.Send(outgoing.To, outgoing.Message)
 	}
 	if aggregate, changed := f.member.TakeAggregate(now); changed {
-		x.applyObservations(now, &aggregate)
+		eng.applyObservations(now, &aggregate)
 	}
 	if !f.member.Active() {
-		x.cancelTimer(f.timer)
+		eng.cancelTimer(f.timer)
 		return
 	}
 	if due := f.member.NextTick(); !f.timer.pending() || due != f.timer.due {
-		x.cancelTimer(f.timer)
-		f.timer = x.schedule(max(due, now+1), func(now monotime.Micros) {
+		eng.cancelTimer(f.timer)
+		f.timer = eng.schedule(max(due, now+1), func(now monotime.Micros) {
 			f.member.Tick(now)
-			x.syncCoordinator(now)
+			eng.syncCoordinator(now)
 		})
 	}
 }
@@ -152,20 +152,20 @@
 const maxObservedCounts = 32
 
 // observe returns what this instance has observed, for the others, and updates the budgets that its requests earn.
-func (x *Engine) observe(now monotime.Micros) (local observations.Observations) {
-	f := x.fleet
-	for _, p := range x.pools {
+func (eng *Engine) observe(now monotime.Micros) (local observations.Observations) {
+	f := eng.fleet
+	for _, p := range eng.pools {
 		o := p.overload
 		if o == nil {
 			continue
 		}
-		earned, fleetMax := o.control.EarnedRetryRate(now)
-		f.member.SetContribution(p.budgetName(retryBudget), earned, fleetMax)
+		earnedRate, maxFleetRate := o.controller.EarnedRetryRate(now)
+		f.member.SetContribution(p.budgetName(retryBudget), earnedRate, maxFleetRate)
 		if f.Scope.Probes {
-			f.member.SetBudget(p.budgetName(probeBudget), o.control.MaxFleetProbeRate(), false)
+			f.member.SetBudget(p.budgetName(probeBudget), o.controller.MaxFleetProbeRate(), false)
 		}
 		if f.Scope.OverloadLevel {
-			level, load, requests, failed := o.control.TakeObservations()
+			level, load, requests, failed := o.controller.TakeObservations()
 			local.Levels = append(local.Levels, observations.OverloadLevel{
 				EndpointSet: p.name,
 				Level:       level,
@@ -184,13 +184,13 @@
 
 // applyObservations applies the observations of all instances: the overload level of each pool, and which endpoints are
 // suspected.
-func (x *Engine) applyObservations(now monotime.Micros, aggregate *observations.Aggregate) {
-	f := x.fleet
+func (eng *Engine) applyObservations(now monotime.Micros, aggregate *observations.Aggregate) {
+	f := eng.fleet
 	suspicions := map[suspectKey]float64{}
 	for _, s := range aggregate.Suspects {
 		suspicions[suspectKey{s.Endpoint, s.Class}] = s.AvoidProbability
 	}
-	for _, p := range x.pools {
+	for _, p := range eng.pools {
 		if p.overload != nil && f.Scope.OverloadLevel {
 			p.applyLevels(now, aggregate.Levels)
 		}
@@ -203,7 +203,7 @@
 func (p *Pool) applyLevels(now monotime.Micros, levels []observations.OverloadLevel) {
 	for _, level := range levels {
 		if level.EndpointSet == p.name {
-			p.overload.control.ApplySharedLevel(now, level.Level, level.Load)
+			p.overload.controller.ApplySharedLevel(now, level.Level, level.Load)
 		}
 	}
 	p.updateFleetShare(now)
--- a/internal/engine/cordon.go
+++ b/internal/engine/cordon.go
@@ -10,38 +10,38 @@
 // it: it starts a warm-up, unless the maintenance plan excludes it still. The instant at is on the clock of cordons,
 // which all processes that exchange them share. It returns the record of the change; known is false, and nothing is
 // changed, for a name that no pool lists and that is not cordoned.
-func (x *Engine) SetCordon(now monotime.Micros, name string, cordoned bool, at monotime.Micros) (
-	entry cordon.Record, known bool) {
-	for _, p := range x.pools {
+func (eng *Engine) SetCordon(now monotime.Micros, name string, cordoned bool, setAt monotime.Micros) (
+	record cordon.Record, known bool) {
+	for _, p := range eng.pools {
 		known = known || p.listsEndpoint(name)
 	}
-	if !known && !x.cordons.Cordoned(name) {
+	if !known && !eng.cordons.Cordoned(name) {
 		return cordon.Record{}, false
 	}
-	entry = cordon.Record{Name: name, Cordoned: cordoned, At: max(at, x.cordons.LastChange(name)+1)}
-	x.ReceiveCordon(now, entry)
-	return entry, true
+	record = cordon.Record{Name: name, Cordoned: cordoned, At: max(setAt, eng.cordons.LastChange(name)+1)}
+	eng.ReceiveCordon(now, record)
+	return record, true
 }
 
 // ReceiveCordon applies a record of a cordon that was set here or in another process. One that is not newer than the
 // latest of its endpoint changes nothing.
-func (x *Engine) ReceiveCordon(now monotime.Micros, entry cordon.Record) {
-	x.now = now
-	if !x.cordons.Apply(entry) {
+func (eng *Engine) ReceiveCordon(now monotime.Micros, record cordon.Record) {
+	eng.now = now
+	if !eng.cordons.Apply(record) {
 		return
 	}
-	x.config.Host.Log("endpoint cordon changed", "endpoint", entry.Name, "out", entry.Cordoned)
-	for _, p := range x.pools {
-		if e := p.byName[entry.Name]; e != nil {
-			p.applyExclusion(now, entry.Name, e)
+	eng.config.Host.Log("endpoint cordon changed", "endpoint", record.Name, "out", record.Cordoned)
+	for _, p := range eng.pools {
+		if e := p.byName[record.Name]; e != nil {
+			p.applyExclusion(now, record.Name, e)
 		}
 		p.updateEndpointCount()
 	}
-	x.dispatchQueued(now)
+	eng.dispatchQueued(now)
 }
 
 // Cordons returns all records of cordons, for another process that has to have the same.
-func (x *Engine) Cordons() []cordon.Record { return x.cordons.Records() }
+func (eng *Engine) Cordons() []cordon.Record { return eng.cordons.Records() }
 
 // setExcluded decides whether an endpoint gets new requests: the balancer picks an excluded one no more, and attempts
 // that wait for a connection to it are not sent (Endpoint.MaySend).
--- a/internal/engine/cordon_test.go
+++ b/internal/engine/cordon_test.go
@@ -14,24 +14,24 @@
 type cordonRun struct {
 	seed       uint64
 	rng        *rand.Rand
-	host       *answeringHost
+	host       *respondingHost
 	client     *Client
-	list       []EndpointInfo
+	endpoints  []EndpointInfo
 	now        monotime.Micros
 	generation int64
 	cordoned   map[string]bool
-	cordons    []cordon.Record // all that were set
+	records    []cordon.Record // all that were set
 }
 
 // updateList passes the endpoint list to the engine.
 func (r *cordonRun) updateList() {
 	r.generation++
-	update := EndpointUpdate{Kind: balancer.ListFull, Generation: r.generation, Endpoints: r.list}
+	update := EndpointUpdate{Kind: balancer.ListFull, Generation: r.generation, Endpoints: r.endpoints}
 	r.host.pool.UpdateEndpoints(r.now, update)
 }
 
-// setCordon cordons an endpoint, or lets it back in.
-func (r *cordonRun) setCordon(t *testing.T, name string) {
+// setRandomCordon cordons an endpoint, or lets it back in.
+func (r *cordonRun) setRandomCordon(t *testing.T, name string) {
 	t.Helper()
 	cordoned := r.rng.IntN(3) > 0
 	record, known := r.host.engine.SetCordon(r.now, name, cordoned, r.now)
@@ -39,7 +39,7 @@
 		t.Fatalf("seed %d: known %v; listed %v, cordoned %v", r.seed, known, listed, r.cordoned[name])
 	}
 	if known {
-		r.cordons = append(r.cordons, record)
+		r.records = append(r.records, record)
 		r.cordoned[name] = cordoned
 	}
 }
@@ -47,29 +47,29 @@
 // replaceEngine has another engine take over from a snapshot.
 func (r *cordonRun) replaceEngine(t *testing.T) {
 	t.Helper()
-	s := r.host.engine.Snapshot(r.now)
+	snapshot := r.host.engine.Snapshot(r.now)
 	r.host, r.client, _ = newInstance(t, nil)
 	r.host.run(r.client, r.now-monotime.Second, 0, 0)
 	r.host.pool.UpdateEndpoints(r.now, EndpointUpdate{Kind: balancer.ListFull, Generation: 0, Endpoints: nil})
-	r.host.engine.Restore(r.now, 0, s)
+	r.host.engine.Restore(r.now, 0, snapshot)
 }
 
 // step makes one change at random.
-func (r *cordonRun) step(t *testing.T) {
+func (r *cordonRun) changeAtRandom(t *testing.T) {
 	t.Helper()
-	i := r.rng.IntN(len(r.list))
-	switch name := r.list[i].Name; r.rng.IntN(6) {
+	i := r.rng.IntN(len(r.endpoints))
+	switch name := r.endpoints[i].Name; r.rng.IntN(6) {
 	case 0, 1:
-		r.setCordon(t, name)
+		r.setRandomCordon(t, name)
 	case 2:
-		r.list[i].State = balancer.EndpointState(r.rng.IntN(3))
+		r.endpoints[i].State = balancer.EndpointState(r.rng.IntN(3))
 		r.updateList()
 	case 3:
-		r.list[i].Addr = fmt.Sprintf("10.1.0.%d:80", r.rng.IntN(200))
-		r.list[i].State = balancer.Ready
+		r.endpoints[i].Addr = fmt.Sprintf("10.1.0.%d:80", r.rng.IntN(200))
+		r.endpoints[i].State = balancer.Ready
 		r.updateList()
 	case 4: // old cordons, once more
-		for _, record := range r.cordons {
+		for _, record := range r.records {
 			r.host.engine.ReceiveCordon(r.now, record)
 		}
 	case 5:
@@ -80,7 +80,7 @@
 }
 
 // check submits requests, and fails if one goes to a cordoned endpoint.
-func (r *cordonRun) check(t *testing.T) {
+func (r *cordonRun) checkNoAttempts(t *testing.T) {
 	t.Helper()
 	clear(r.host.attempts)
 	r.now = r.host.run(r.client, r.now, 6, monotime.Second/50)
@@ -108,15 +108,15 @@
 			rng:        rand.New(rand.NewPCG(seed, 7)),
 			host:       h,
 			client:     c,
-			list:       list[:6],
+			endpoints:  list[:6],
 			now:        1_000 * monotime.Second,
 			generation: 1,
 			cordoned:   map[string]bool{},
 		}
 		r.updateList()
 		for range 60 {
-			r.step(t)
-			r.check(t)
+			r.changeAtRandom(t)
+			r.checkNoAttempts(t)
 		}
 	}
 	h, _, _ := newInstance(t, nil)
@@ -133,7 +133,10 @@
 	h.engine.SetCordon(1_000*monotime.Second, "s-3", true, 2)
 	h.engine.SetCordon(1_000*monotime.Second, "s-4", true, 3)
 	h.engine.SetCordon(1_000*monotime.Second, "s-4", false, 4)
-	if s := h.engine.Statistics(1_000 * monotime.Second); s != (Statistics{ListedEndpoints: 60, AvoidedEndpoints: 1}) {
-		t.Errorf("%+v", s)
+	if stats := h.engine.Statistics(1_000 * monotime.Second); stats != (Statistics{
+		ListedEndpoints:  60,
+		AvoidedEndpoints: 1,
+	}) {
+		t.Errorf("%+v", stats)
 	}
 }
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -26,8 +26,8 @@
 // balancer has picked the endpoint before; a slow dial may have outlasted the drain grace since, or the endpoint may
 // have been excluded. It is safe for concurrent use.
 func (e *Endpoint) MaySend(now monotime.Micros) bool {
-	stop := e.stopSendingAt.Load()
-	return stop == 0 || now < stop
+	stopAt := e.stopSendingAt.Load()
+	return stopAt == 0 || now < stopAt
 }
 
 // EndpointInfo is an entry of an endpoint list, with names where the balancer has numbers.
@@ -122,7 +122,8 @@
 // updateEndpoint applies one entry and returns the balancer's form of it; ok is false for an unknown endpoint that is
 // gone. After a reset of generations an entry may be older than a drain that is known: an endpoint that drains and
 // has not restarted since then goes on draining.
-func (p *Pool) updateEndpoint(now monotime.Micros, info EndpointInfo, reset bool) (entry balancer.Endpoint, ok bool) {
+func (p *Pool) updateEndpoint(now monotime.Micros, info EndpointInfo, generationsReset bool) (
+	entry balancer.Endpoint, ok bool) {
 	site := p.engine.config.Site
 	e := p.byName[info.Name]
 	if e == nil {
@@ -144,7 +145,8 @@
 		e.Addr = info.Addr
 		e.Target = p.engine.config.Host.NewTarget(p.name, info.Addr)
 	}
-	if old := p.endpointList[info.Name]; reset && e.state == balancer.Draining && old.StartedAt == info.StartedAt {
+	if previous := p.endpointList[info.Name]; generationsReset && e.state == balancer.Draining &&
+		previous.StartedAt == info.StartedAt {
 		info.State = max(info.State, balancer.Draining)
 	}
 	p.endpointList[info.Name] = info
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -47,91 +47,91 @@
 
 // New returns an engine without pools.
 func New(c Config) *Engine {
-	x := &Engine{
+	eng := &Engine{
 		config:    c,
 		openTotal: &fairqueue.SharedLimit{Max: c.Concurrency.MaxOpen},
 		calls:     map[uint64]*Call{},
 		rng:       rand.New(rand.NewPCG(c.Seed, 1)),
 	}
-	x.divideLimitsStatically()
-	return x
+	eng.divideLimitsStatically()
+	return eng
 }
 
 // Calls returns how many calls are in the request table: without a final response, or with an attempt in flight.
-func (x *Engine) Calls() int { return len(x.calls) }
+func (eng *Engine) Calls() int { return len(eng.calls) }
 
 // Pools returns how many pools are not dissolved.
-func (x *Engine) Pools() int { return len(x.pools) }
+func (eng *Engine) Pools() int { return len(eng.pools) }
 
 // Submit accepts a client's request. Its final response comes by Host.Respond: at once if its ID is that of an open
 // request of its client (DuplicateID), if its pool is closed, if its tenant is over its limit, or if overload control
 // or the queue rejects it; otherwise in a later call.
-func (x *Engine) Submit(now monotime.Micros, c *Call) {
-	x.now = now
+func (eng *Engine) Submit(now monotime.Micros, c *Call) {
+	eng.now = now
 	switch {
 	case c.Client.openCalls[c.ID] != nil:
 		c.finished = true
-		x.config.Host.Respond(c, Response{Verdict: DuplicateID})
+		eng.config.Host.Respond(c, Response{Verdict: DuplicateID})
 	case c.Pool.closed:
 		c.finished = true
-		x.config.Host.Respond(c, Response{Verdict: Rejected, Reason: "its pool of endpoints has just gone"})
+		eng.config.Host.Respond(c, Response{Verdict: Rejected, Reason: "its pool of endpoints has just gone"})
 	default:
-		x.lastRequestID++
-		c.Request.ID = x.lastRequestID
-		x.calls[c.Request.ID] = c
+		eng.lastRequestID++
+		c.Request.ID = eng.lastRequestID
+		eng.calls[c.Request.ID] = c
 		c.Client.openCalls[c.ID] = c
 		c.Pool.openCalls++
 		c.Pool.enqueue(now, c)
 	}
-	x.dispatchQueued(now)
+	eng.dispatchQueued(now)
 }
 
 // ClientGone reports that the client of a request has gone. A request that has its response already may still have an
 // attempt that transfers it: that is aborted. Any other request ends without a response: its attempts of which nothing
 // was sent are cancelled, and the balancer decides on the others.
-func (x *Engine) ClientGone(now monotime.Micros, c *Call) {
-	x.now = now
+func (eng *Engine) ClientGone(now monotime.Micros, c *Call) {
+	eng.now = now
 	if c.finished {
 		for _, a := range c.attempts {
 			if !a.done {
-				x.config.Host.AbortAttempt(a)
+				eng.config.Host.AbortAttempt(a)
 			}
 		}
 		return
 	}
-	x.finishRequest(c)
+	eng.finishRequest(c)
 	if c.admittedAt > 0 {
 		c.Pool.balancer.HandleClientGone(now, c.Request.ID)
 	}
-	x.dispatchQueued(now)
+	eng.dispatchQueued(now)
 }
 
 // AttemptEnded reports the outcome of an attempt. It is ignored if the attempt has ended already, by its deadline or by
 // being cancelled.
-func (x *Engine) AttemptEnded(now monotime.Micros, a *Attempt, r AttemptResult) {
-	x.now = now
-	x.recordOutcome(now, a, r)
-	x.dispatchQueued(now)
+func (eng *Engine) AttemptEnded(now monotime.Micros, a *Attempt, r AttemptResult) {
+	eng.now = now
+	eng.recordOutcome(now, a, r)
+	eng.dispatchQueued(now)
 }
 
 // ResponseStarted reports that a response has started that is too large to be buffered; r.ObservedAt is the instant of
 // its start. If it returns true, the response is the client's, and no deadline applies to the attempt any more; the
 // host reports its end to AttemptEnded. If it returns false, the request has a response already, and this one is
 // dropped.
-func (x *Engine) ResponseStarted(now monotime.Micros, a *Attempt, r AttemptResult) bool {
-	x.now = now
-	accepted := x.startResponse(now, a, r)
-	x.dispatchQueued(now)
+func (eng *Engine) ResponseStarted(now monotime.Micros, a *Attempt, r AttemptResult) bool {
+	eng.now = now
+	accepted := eng.startResponse(now, a, r)
+	eng.dispatchQueued(now)
 	return accepted
 }
 
 // ResponseProgress reports that a response is arriving, if slowly. The attempt's own timeout no longer applies: it may
 // last until the request's deadline.
-func (x *Engine) ResponseProgress(now monotime.Micros, a *Attempt) {
-	x.now = now
+func (eng *Engine) ResponseProgress(now monotime.Micros, a *Attempt) {
+	eng.now = now
 	if c := a.Call; !a.done && !c.finished && a.Deadline < c.Request.Deadline {
-		x.cancelTimer(a.deadlineTimer)
+		eng.cancelTimer(a.deadlineTimer)
 		a.Deadline = c.Request.Deadline
-		x.startDeadlineTimer(a)
+		eng.startDeadlineTimer(a)
 	}
 }
--- a/internal/engine/fleetquota.go
+++ b/internal/engine/fleetquota.go
@@ -16,11 +16,11 @@
 )
 
 // budgetName is the name of the pool's budget of a kind.
-func (p *Pool) budgetName(kind string) string {
+func (p *Pool) budgetName(baseName string) string {
 	if p.name == "" {
-		return kind
+		return baseName
 	}
-	return kind + "/" + p.name
+	return baseName + "/" + p.name
 }
 
 // addFleetBudgets has the pool's retries and probes take their quota from the fleet. Retries have a contributed budget:
@@ -35,16 +35,16 @@
 		f.member.SetBudget(p.budgetName(retryBudget), 0, true)
 	}
 	if f.Scope.Probes {
-		f.member.SetBudget(p.budgetName(probeBudget), p.overload.control.MaxFleetProbeRate(), false)
+		f.member.SetBudget(p.budgetName(probeBudget), p.overload.controller.MaxFleetProbeRate(), false)
 	}
 	p.updateFleetShare(0)
 }
 
 // removeFleetBudgets removes the pool's budgets, unless another pool has the same name.
 func (p *Pool) removeFleetBudgets() {
-	sameName := func(o *Pool) bool { return o != p && o.name == p.name }
+	hasSameName := func(other *Pool) bool { return other != p && other.name == p.name }
 	f := p.engine.fleet
-	if f == nil || slices.ContainsFunc(p.engine.pools, sameName) {
+	if f == nil || slices.ContainsFunc(p.engine.pools, hasSameName) {
 		return
 	}
 	f.member.RemoveBudget(p.budgetName(retryBudget))
@@ -65,15 +65,15 @@
 		return 1
 	}
 	leasedProbes := float64(f.member.Allowed(now, p.budgetName(probeBudget)))
-	p.overload.control.SetLocalShares(localShare(f.Scope.Retries), localShare(f.Scope.Probes), leasedProbes)
+	p.overload.controller.SetLocalShares(localShare(f.Scope.Retries), localShare(f.Scope.Probes), leasedProbes)
 }
 
 // spendQuota takes one unit of this instance's quota of a fleet budget, and reports whether there was one.
-func (x *Engine) spendQuota(now monotime.Micros, budget string) bool {
-	if !x.fleet.member.Spend(now, budget) {
+func (eng *Engine) spendQuota(now monotime.Micros, budget string) bool {
+	if !eng.fleet.member.Spend(now, budget) {
 		return false
 	}
-	if notify := x.config.OnQuotaSpent; notify != nil {
+	if notify := eng.config.OnQuotaSpent; notify != nil {
 		notify(now, budget)
 	}
 	return true
@@ -95,17 +95,17 @@
 		p.chargeRetry(now, class)
 		return
 	}
-	p.overload.control.OnAttemptSent(now, class, true)
+	p.overload.controller.OnAttemptSent(now, class, true)
 }
 
 // chargeRetry charges a retry or hedged request to the pool's own retry budget, or to its fleet quota once that is used
 // up.
 func (p *Pool) chargeRetry(now monotime.Micros, class int) {
-	control := p.overload.control
-	if p.hasRetryQuota(now) && !control.RetryAllowed(now) && p.engine.spendQuota(now, p.budgetName(retryBudget)) {
+	controller := p.overload.controller
+	if p.hasRetryQuota(now) && !controller.RetryAllowed(now) && p.engine.spendQuota(now, p.budgetName(retryBudget)) {
 		return
 	}
-	control.OnAttemptSent(now, class, false)
+	controller.OnAttemptSent(now, class, false)
 }
 
 // requestRetryQuota records the demand for one retry after an attempt has failed whose request may have more attempts.
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -16,9 +16,9 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// answeringHost is a host whose endpoints answer all attempts and probes after a fixed time. Those in failing answer
+// respondingHost is a host whose endpoints answer all attempts and probes after a fixed time. Those in failing answer
 // with an error.
-type answeringHost struct {
+type respondingHost struct {
 	engine   *Engine
 	pool     *Pool
 	failing  map[string]bool
@@ -27,8 +27,8 @@
 	verdicts map[Verdict]int
 }
 
-func (h *answeringHost) NewTarget(string, string) Target { return unknownTarget{} }
-func (h *answeringHost) StartAttempt(a *Attempt) {
+func (h *respondingHost) NewTarget(string, string) Target { return unknownTarget{} }
+func (h *respondingHost) StartAttempt(a *Attempt) {
 	h.attempts[a.Endpoint.Name]++
 	status := balancer.OK
 	if h.failing[a.Endpoint.Name] {
@@ -38,34 +38,34 @@
 		h.engine.recordOutcome(now, a, AttemptResult{Status: status, ObservedAt: now})
 	})
 }
-func (h *answeringHost) CancelUnsent(*Attempt) bool { return false }
-func (h *answeringHost) AbortAttempt(*Attempt)      {}
-func (h *answeringHost) AttemptTimedOut(*Attempt)   {}
-func (h *answeringHost) StartProbe(p *Pool, e *Endpoint) {
+func (h *respondingHost) CancelUnsent(*Attempt) bool { return false }
+func (h *respondingHost) AbortAttempt(*Attempt)      {}
+func (h *respondingHost) AttemptTimedOut(*Attempt)   {}
+func (h *respondingHost) StartProbe(p *Pool, e *Endpoint) {
 	h.probes++
 	sentAt := h.engine.now
 	h.engine.schedule(sentAt+1000, func(now monotime.Micros) {
 		p.balancer.HandleProbe(now, e.Number, balancer.OK, now-sentAt, []float32{1})
 	})
 }
-func (h *answeringHost) Respond(_ *Call, r Response) { h.verdicts[r.Verdict]++ }
-func (h *answeringHost) EndpointReady()              {}
-func (h *answeringHost) Log(string, ...any)          {}
-func (h *answeringHost) Warn(string, ...any)         {}
+func (h *respondingHost) Respond(_ *Call, r Response) { h.verdicts[r.Verdict]++ }
+func (h *respondingHost) EndpointReady()              {}
+func (h *respondingHost) Log(string, ...any)          {}
+func (h *respondingHost) Warn(string, ...any)         {}
 
 // sentAttempts returns how many attempts were started at all endpoints.
-func (h *answeringHost) sentAttempts() int {
+func (h *respondingHost) sentAttempts() int {
 	sent := 0
-	for _, n := range h.attempts {
-		sent += n
+	for _, count := range h.attempts {
+		sent += count
 	}
 	return sent
 }
 
 // run submits so many requests, one after each gap, and returns when the last is over.
-func (h *answeringHost) run(c *Client, now monotime.Micros, requests int, gap monotime.Micros) monotime.Micros {
+func (h *respondingHost) run(c *Client, now monotime.Micros, requests int, interval monotime.Micros) monotime.Micros {
 	for i := range requests {
-		now += gap
+		now += interval
 		advanceTo(h.engine, now)
 		h.engine.Submit(now, &Call{Client: c, Pool: h.pool, ID: fmt.Sprint(now, i),
 			Request: balancer.Request{Deadline: now + 500_000}, ArrivedAt: now})
@@ -76,7 +76,7 @@
 }
 
 // startPool gives the host another pool.
-func (h *answeringHost) startPool(tb testing.TB, c PoolConfig, list []EndpointInfo) {
+func (h *respondingHost) startPool(tb testing.TB, c PoolConfig, list []EndpointInfo) {
 	tb.Helper()
 	c.InitialEndpoints = EndpointUpdate{Generation: 1, Endpoints: list}
 	c.SetWatch = func(bool) {}
@@ -87,30 +87,30 @@
 }
 
 // newQuietInstance returns an instance of a fleet of 5,000 that uses four of sixty endpoints.
-func newQuietInstance(tb testing.TB, probes float64) (*answeringHost, *Client, []EndpointInfo) {
+func newQuietInstance(tb testing.TB, probeRate float64) (*respondingHost, *Client, []EndpointInfo) {
 	tb.Helper()
-	return newInstance(tb, &subset.Settings{Position: 77, Instances: 5000, MinMembers: 4, EndpointProbes: probes})
+	return newInstance(tb, &subset.Settings{Position: 77, Instances: 5000, MinMembers: 4, EndpointProbes: probeRate})
 }
 
 // newInstance returns an instance that uses a subset of sixty endpoints, or all if that is nil.
-func newInstance(tb testing.TB, part *subset.Settings) (*answeringHost, *Client, []EndpointInfo) {
+func newInstance(tb testing.TB, subsetSettings *subset.Settings) (*respondingHost, *Client, []EndpointInfo) {
 	tb.Helper()
-	s := balancer.Settings{Balancers: 5000, LoadMetrics: []balancer.LoadMetric{balancer.MetricInflight},
+	settings := balancer.Settings{Balancers: 5000, LoadMetrics: []balancer.LoadMetric{balancer.MetricInflight},
 		Classes: []balancer.Class{{Name: "look", LatencyObjective: 200_000, ClientTimeout: 500_000, PriorityWeight: 1}},
 		Limits: balancer.Limits{Probes: true, Hedging: true, MaxAttempts: 3, MaxOpenRequests: 100,
 			DialTimeout: 100_000},
 		Contract: balancer.Contract{DrainGrace: 250_000, WarmupStartCapacity: 0.2, WarmupTime: 20 * monotime.Second,
 			CollapseMultiple: 2.5,
 			CollapseAfter:    2 * monotime.Second, PollInterval: 10 * monotime.Second}, Goal: balancer.Goal{Overall: 1}}
-	h := &answeringHost{failing: map[string]bool{}, attempts: map[string]int{}, verdicts: map[Verdict]int{}}
-	site := &siteconfig.Site{Settings: s, Classes: []string{"look"}, Zones: []string{"a"}}
+	h := &respondingHost{failing: map[string]bool{}, attempts: map[string]int{}, verdicts: map[Verdict]int{}}
+	site := &siteconfig.Site{Settings: settings, Classes: []string{"look"}, Zones: []string{"a"}}
 	h.engine = New(Config{Site: site, Seed: 5, Host: h})
 	var list []EndpointInfo
 	for i := range 60 {
 		list = append(list, EndpointInfo{Name: fmt.Sprintf("s-%d", i), Addr: fmt.Sprintf("10.0.0.%d:80", i),
 			Zone: "a", Weight: 1})
 	}
-	h.startPool(tb, PoolConfig{Subset: part}, list)
+	h.startPool(tb, PoolConfig{Subset: subsetSettings}, list)
 	c, err := NewClient(fairqueue.ClientSpec{Name: "c", Weight: 1})
 	require.NoError(tb, err)
 	return h, c, list
@@ -133,23 +133,23 @@
 func (h *recordingHost) EndpointReady()               {}
 func (h *recordingHost) Log(string, ...any)           {}
 func (h *recordingHost) Warn(string, ...any)          {}
-func (h *recordingHost) nextAttempt() (first *Attempt) {
-	first = h.started[0]
+func (h *recordingHost) nextAttempt() (attempt *Attempt) {
+	attempt = h.started[0]
 	h.started = slices.Delete(h.started, 0, 1)
-	return first
+	return attempt
 }
 
 // serveAll answers all attempts that have started, and returns how many that were, and how many of them at e1.
-func (h *recordingHost) serveAll(x *Engine, now monotime.Micros) (all, atE1 int) {
+func (h *recordingHost) serveAll(engine *Engine, now monotime.Micros) (total, atE1 int) {
 	for len(h.started) > 0 {
 		a := h.nextAttempt()
-		x.AttemptEnded(now, a, AttemptResult{Status: balancer.OK, ObservedAt: now})
-		all++
+		engine.AttemptEnded(now, a, AttemptResult{Status: balancer.OK, ObservedAt: now})
+		total++
 		if a.Endpoint.Name == "e1" {
 			atE1++
 		}
 	}
-	return all, atE1
+	return total, atE1
 }
 
 // tenantSite returns the settings of two classes and two tenants, of which the first has a limit.
@@ -180,8 +180,8 @@
 	}
 }
 
-// fleetOfOne returns what has an engine decide as the only instance of its fleet, which grants itself all quota.
-func fleetOfOne(scope CoordinationScope) Coordination {
+// singleInstanceFleet returns what has an engine decide as the only instance of its fleet, which grants itself all quota.
+func singleInstanceFleet(scope CoordinationScope) Coordination {
 	return Coordination{
 		Scope:           scope,
 		Send:            func(string, coordination.Message) {},
@@ -193,18 +193,18 @@
 }
 
 // newEngine returns an engine with three endpoints; with a scope it is the only instance of its fleet.
-func newEngine(tb testing.TB, s *siteconfig.Site, scope *CoordinationScope, o *overload.Settings) (
+func newEngine(tb testing.TB, site *siteconfig.Site, scope *CoordinationScope, overloadSettings *overload.Settings) (
 	*Engine, *Pool, *recordingHost) {
 	tb.Helper()
 	h := &recordingHost{responses: map[string]Response{}}
-	x := New(Config{Site: s, Seed: 1, Host: h, Concurrency: ConcurrencySettings{MaxOpen: 1000}})
+	engine := New(Config{Site: site, Seed: 1, Host: h, Concurrency: ConcurrencySettings{MaxOpen: 1000}})
 	if scope != nil {
-		require.NoError(tb, x.JoinFleet(fleetOfOne(*scope)))
+		require.NoError(tb, engine.JoinFleet(singleInstanceFleet(*scope)))
 	}
-	p, err := x.NewPool(PoolConfig{
+	p, err := engine.NewPool(PoolConfig{
 		InitialEndpoints: EndpointUpdate{Generation: -1},
 		SetWatch:         func(bool) {},
-		Overload:         o,
+		Overload:         overloadSettings,
 	})
 	require.NoError(tb, err)
 	p.Start(0)
@@ -214,16 +214,16 @@
 			State: balancer.Ready, Weight: 1})
 	}
 	p.UpdateEndpoints(0, EndpointUpdate{Kind: balancer.ListFull, Generation: 1, Endpoints: list})
-	x.StartCoordination(0)
-	return x, p, h
+	engine.StartCoordination(0)
+	return engine, p, h
 }
 
 // advanceTo fires all timers that are due by an instant, each at its own.
-func advanceTo(x *Engine, now monotime.Micros) {
-	for due, ok := x.Next(); ok && due <= now; due, ok = x.Next() {
-		x.Advance(due)
+func advanceTo(engine *Engine, now monotime.Micros) {
+	for due, ok := engine.Next(); ok && due <= now; due, ok = engine.Next() {
+		engine.Advance(due)
 	}
-	x.Advance(now)
+	engine.Advance(now)
 }
 
 // newCall returns a call of a client of its own.
@@ -235,15 +235,15 @@
 }
 
 // submit submits a request of a tenant.
-func submit(tb testing.TB, x *Engine, p *Pool, now monotime.Micros, id string, tenant uint16) {
+func submit(tb testing.TB, engine *Engine, p *Pool, now monotime.Micros, id string, tenant uint16) {
 	tb.Helper()
-	x.Submit(now, newCall(tb, p, now, id, balancer.Request{Tenant: tenant, Deadline: now + 500_000}))
+	engine.Submit(now, newCall(tb, p, now, id, balancer.Request{Tenant: tenant, Deadline: now + 500_000}))
 }
 
 // fleetView returns what an engine knows of its fleet.
-func fleetView(tb testing.TB, x *Engine, now monotime.Micros) coordination.View {
+func fleetView(tb testing.TB, engine *Engine, now monotime.Micros) coordination.View {
 	tb.Helper()
-	view, ok := x.FleetView(now)
+	view, ok := engine.FleetView(now)
 	if !ok {
 		tb.Fatal("no fleet")
 	}
--- a/internal/engine/machinestatus.go
+++ b/internal/engine/machinestatus.go
@@ -10,25 +10,25 @@
 )
 
 // OpenAttempts returns how many attempts are open at each of the given endpoints; those without any are left out.
-func (x *Engine) OpenAttempts(endpoints []string) map[string]int {
-	open := map[string]int{}
-	for _, c := range x.calls {
+func (eng *Engine) OpenAttempts(endpoints []string) map[string]int {
+	openAttempts := map[string]int{}
+	for _, c := range eng.calls {
 		for _, a := range c.attempts {
 			if !a.done && slices.Contains(endpoints, a.Endpoint.Name) {
-				open[a.Endpoint.Name]++
+				openAttempts[a.Endpoint.Name]++
 			}
 		}
 	}
-	return open
+	return openAttempts
 }
 
 // MaintenanceStatus returns the state of all machines as this instance observes them: the capacity of each is its
 // weight, and its usage that weight times its utilization. Without load reports that carry the utilization, the usage
 // is 0.
-func (x *Engine) MaintenanceStatus(now monotime.Micros) (status maintenance.FleetStatus) {
-	for _, p := range x.pools {
+func (eng *Engine) MaintenanceStatus(now monotime.Micros) (status maintenance.FleetStatus) {
+	for _, p := range eng.pools {
 		for name, info := range p.fullEndpointList() {
-			machine := x.machineStatus(now, p, info)
+			machine := eng.machineStatus(now, p, info)
 			status.Machines = append(status.Machines, machine)
 			if e := p.byName[name]; e != nil && machine.Healthy {
 				status.Usage += float64(info.Weight) * e.utilization
@@ -41,11 +41,11 @@
 
 // machineStatus returns the state of one machine. It is healthy if it is ready and neither cordoned nor ejected; that
 // the plan excludes it changes nothing.
-func (x *Engine) machineStatus(now monotime.Micros, p *Pool, info EndpointInfo) maintenance.MachineStatus {
+func (eng *Engine) machineStatus(now monotime.Micros, p *Pool, info EndpointInfo) maintenance.MachineStatus {
 	e := p.byName[info.Name]
 	ejected := e != nil && p.balancer.IsEjected(now, e.Number)
 	kind := info.Kind
-	if !slices.Contains(x.config.Site.Kinds, kind) {
+	if !slices.Contains(eng.config.Site.Kinds, kind) {
 		kind = ""
 	}
 	return maintenance.MachineStatus{
@@ -54,7 +54,7 @@
 		Kind:     kind,
 		Cell:     int(info.Cell),
 		Capacity: float64(info.Weight),
-		Healthy:  info.State == balancer.Ready && !x.cordons.Cordoned(info.Name) && !ejected,
+		Healthy:  info.State == balancer.Ready && !eng.cordons.Cordoned(info.Name) && !ejected,
 	}
 }
 
@@ -70,10 +70,10 @@
 const utilizationWeight = 0.1
 
 // observeUtilization takes in the utilization, 0 to 1, of an endpoint's load report, if it has one.
-func (p *Pool) observeUtilization(e *Endpoint, load []float32) {
+func (p *Pool) observeUtilization(e *Endpoint, loadReport []float32) {
 	i := slices.Index(p.engine.config.Site.Settings.LoadMetrics, balancer.MetricUtilization)
-	if i < 0 || i >= len(load) || !(load[i] >= 0 && load[i] <= 1) {
+	if i < 0 || i >= len(loadReport) || !(loadReport[i] >= 0 && loadReport[i] <= 1) {
 		return
 	}
-	e.utilization += (float64(load[i]) - e.utilization) * utilizationWeight
+	e.utilization += (float64(loadReport[i]) - e.utilization) * utilizationWeight
 }
--- a/internal/engine/maintenance.go
+++ b/internal/engine/maintenance.go
@@ -35,22 +35,22 @@
 }
 
 // ApplyMaintenancePlan replaces the plan that the engine follows.
-func (x *Engine) ApplyMaintenancePlan(now monotime.Micros, plan MaintenancePlan) {
-	x.now = now
-	x.cancelTimer(x.maintenance.leaseTimer)
-	x.cancelTimer(x.maintenance.drainTimer)
-	x.maintenance = maintenanceState{MaintenancePlan: plan}
-	x.applyExclusions(now)
+func (eng *Engine) ApplyMaintenancePlan(now monotime.Micros, plan MaintenancePlan) {
+	eng.now = now
+	eng.cancelTimer(eng.maintenance.leaseTimer)
+	eng.cancelTimer(eng.maintenance.drainTimer)
+	eng.maintenance = maintenanceState{MaintenancePlan: plan}
+	eng.applyExclusions(now)
 	if !plan.AwaitingPlan && len(plan.Announced)+len(plan.Excluded) > 0 {
-		x.maintenance.leaseTimer = x.schedule(max(now, plan.LeaseEnd), x.applyExclusions)
-		x.maintenance.drainTimer = x.schedule(max(now, plan.DrainDeadline), x.expireDrainedAttempts)
+		eng.maintenance.leaseTimer = eng.schedule(max(now, plan.LeaseEnd), eng.applyExclusions)
+		eng.maintenance.drainTimer = eng.schedule(max(now, plan.DrainDeadline), eng.expireDrainedAttempts)
 	}
-	x.dispatchQueued(now)
+	eng.dispatchQueued(now)
 }
 
 // applyExclusions applies cordons and the maintenance plan to all endpoints.
-func (x *Engine) applyExclusions(now monotime.Micros) {
-	for _, p := range x.pools {
+func (eng *Engine) applyExclusions(now monotime.Micros) {
+	for _, p := range eng.pools {
 		for _, name := range slices.Sorted(maps.Keys(p.byName)) { // sorted: random draws must not depend on map order
 			p.applyExclusion(now, name, p.byName[name])
 		}
@@ -81,11 +81,11 @@
 }
 
 // expireDrainedAttempts ends the attempts that are open at excluded and announced endpoints at the drain deadline.
-func (x *Engine) expireDrainedAttempts(now monotime.Micros) {
-	for _, id := range slices.Sorted(maps.Keys(x.calls)) {
-		for _, a := range slices.Clone(x.calls[id].attempts) {
-			if !a.done && x.maintenance.includes(a.Endpoint.Name) {
-				x.expireAttempt(now, a)
+func (eng *Engine) expireDrainedAttempts(now monotime.Micros) {
+	for _, id := range slices.Sorted(maps.Keys(eng.calls)) {
+		for _, a := range slices.Clone(eng.calls[id].attempts) {
+			if !a.done && eng.maintenance.includes(a.Endpoint.Name) {
+				eng.expireAttempt(now, a)
 			}
 		}
 	}
--- a/internal/engine/maintenance_test.go
+++ b/internal/engine/maintenance_test.go
@@ -17,14 +17,14 @@
 }
 
 // sent submits so many requests and returns how many attempts each endpoint got.
-func (r *maintenanceRun) sent(t *testing.T, requests int) map[string]int {
+func (r *maintenanceRun) attemptsByEndpoint(t *testing.T, requests int) map[string]int {
 	t.Helper()
-	all := map[string]int{}
+	attempts := map[string]int{}
 	for range requests {
 		submit(t, r.engine, r.pool, r.now, fmt.Sprint(r.now), 1)
 		for len(r.host.started) > 0 {
 			a := r.host.nextAttempt()
-			all[a.Endpoint.Name]++
+			attempts[a.Endpoint.Name]++
 			if !a.Endpoint.MaySend(r.now) {
 				t.Errorf("%s is picked, and may not be sent to", a.Endpoint.Name)
 			}
@@ -33,7 +33,7 @@
 		r.now += 50_000
 		advanceTo(r.engine, r.now)
 	}
-	return all
+	return attempts
 }
 
 // openAttemptAtE1 submits requests until one goes to e1, and leaves that open.
@@ -57,17 +57,17 @@
 // lease ends, which attempts that wait for a connection check last. Attempts that are open there at the drain deadline
 // are ended.
 func TestMaintenancePlan(t *testing.T) {
-	x, p, h := newEngine(t, tenantSite(0, 1, 0), nil, nil)
-	r := &maintenanceRun{engine: x, pool: p, host: h, now: 5 * monotime.Second}
-	advanceTo(x, r.now)
-	x.ApplyMaintenancePlan(r.now, MaintenancePlan{AwaitingPlan: true})
-	if got := r.sent(t, 20); len(got) != 0 {
+	engine, p, h := newEngine(t, tenantSite(0, 1, 0), nil, nil)
+	r := &maintenanceRun{engine: engine, pool: p, host: h, now: 5 * monotime.Second}
+	advanceTo(engine, r.now)
+	engine.ApplyMaintenancePlan(r.now, MaintenancePlan{AwaitingPlan: true})
+	if got := r.attemptsByEndpoint(t, 20); len(got) != 0 {
 		t.Errorf("before a plan is known: %v", got)
 	}
 	leaseEnd := r.now + 10*monotime.Second
-	x.ApplyMaintenancePlan(r.now, MaintenancePlan{Excluded: []string{"e0"}, Announced: []string{"e1"},
+	engine.ApplyMaintenancePlan(r.now, MaintenancePlan{Excluded: []string{"e0"}, Announced: []string{"e1"},
 		LeaseEnd: leaseEnd, DrainDeadline: leaseEnd + monotime.Second})
-	if got := r.sent(t, 60); got["e0"] != 0 || got["e1"]+got["e2"] < 50 {
+	if got := r.attemptsByEndpoint(t, 60); got["e0"] != 0 || got["e1"]+got["e2"] < 50 {
 		t.Errorf("with one excluded and one announced: %v", got)
 	}
 	// One that waits for its connection while the process is suspended must not be sent once it wakes.
@@ -76,15 +76,15 @@
 		t.Error("an announced endpoint may be sent to after the lease, or not before its end")
 	}
 	r.now = leaseEnd
-	advanceTo(x, r.now)
-	if got := r.sent(t, 60); got["e0"]+got["e1"] != 0 || got["e2"] == 0 {
+	advanceTo(engine, r.now)
+	if got := r.attemptsByEndpoint(t, 60); got["e0"]+got["e1"] != 0 || got["e2"] == 0 {
 		t.Errorf("after the lease: %v", got)
 	}
-	x.ApplyMaintenancePlan(r.now, MaintenancePlan{Announced: []string{"e1"},
+	engine.ApplyMaintenancePlan(r.now, MaintenancePlan{Announced: []string{"e1"},
 		LeaseEnd: r.now + 2*monotime.Second, DrainDeadline: r.now + 3*monotime.Second})
 	r.openAttemptAtE1(t)
-	advanceTo(x, r.now+4*monotime.Second)
-	if n := x.OpenAttempts([]string{"e1"})["e1"]; n != 0 {
-		t.Errorf("%d are open there after the drain deadline", n)
+	advanceTo(engine, r.now+4*monotime.Second)
+	if open := engine.OpenAttempts([]string{"e1"})["e1"]; open != 0 {
+		t.Errorf("%d are open there after the drain deadline", open)
 	}
 }
--- a/internal/engine/overload.go
+++ b/internal/engine/overload.go
@@ -6,21 +6,21 @@
 	"dunlinsail/internal/monotime"
 )
 
-// noField is the index of a figure that load reports do not carry.
-const noField = -1
+// noMetric is the index of a figure that load reports do not carry.
+const noMetric = -1
 
 // overloadState is the overload control of a pool (package overload): it bounds what the instance adds to the load of
 // endpoints that it shares with other instances.
 type overloadState struct {
-	control          *overload.Controller
+	controller       *overload.Controller
 	policy           balancer.OverloadPolicy // in force; the balancer reads it
 	bounds           overload.Bounds         // that policy was made from
 	loggedReason     overload.Reason         // of the latest log line about the bounds
 	loggedAt         monotime.Micros
 	shedRequests     uint64 // requests rejected by overload control so far
 	suppressedProbes uint64 // probes that its budget did not allow so far
-	inFlightField    int    // index of the requests in flight in a load report, or noField
-	servedField      int    // index of the served rate in a load report, or noField
+	inFlightIndex    int    // index of the requests in flight in a load report, or noMetric
+	servedRateIndex  int    // index of the served rate in a load report, or noMetric
 }
 
 // initOverload makes the pool's overload control. Its settings of classes, tenants and goal weights are the site's.
@@ -41,17 +41,17 @@
 	for i := range site.Tenants {
 		s.Tenants = append(s.Tenants, overload.Tenant{Quota: site.Tenants[i].Quota})
 	}
-	control, err := overload.New(s)
+	controller, err := overload.New(s)
 	if err != nil {
 		return err
 	}
-	p.overload = &overloadState{control: control, inFlightField: noField, servedField: noField}
-	for i, field := range site.LoadMetrics {
-		switch field {
+	p.overload = &overloadState{controller: controller, inFlightIndex: noMetric, servedRateIndex: noMetric}
+	for i, metric := range site.LoadMetrics {
+		switch metric {
 		case balancer.MetricInflight:
-			p.overload.inFlightField = i
+			p.overload.inFlightIndex = i
 		case balancer.MetricServedRate:
-			p.overload.servedField = i
+			p.overload.servedRateIndex = i
 		}
 	}
 	p.refreshBounds(0)
@@ -63,7 +63,7 @@
 // fleet's quota. It is called after each event that changes them.
 func (p *Pool) refreshBounds(now monotime.Micros) {
 	o := p.overload
-	b := o.control.Bounds(now)
+	b := o.controller.Bounds(now)
 	o.policy = balancer.OverloadPolicy{
 		AdmitRatio:             b.AdmitRatio,
 		OverQuotaAdmitRatio:    b.OverQuotaAdmitRatio,
@@ -106,14 +106,14 @@
 	if int(c.Request.Tenant) < len(p.engine.config.Site.Settings.Tenants) {
 		tenant = int(c.Request.Tenant)
 	}
-	o.control.OnRequest(now, int(c.Request.Class), tenant, c.Request.Retry)
+	o.controller.OnRequest(now, int(c.Request.Class), tenant, c.Request.Retry)
 	p.refreshBounds(now)
 	retryAfter, rejected := p.balancer.ShouldReject(c.Request)
 	if !rejected {
 		return false
 	}
 	o.shedRequests++
-	o.control.OnRejected(now, int(c.Request.Class), false)
+	o.controller.OnRejected(now, int(c.Request.Class), false)
 	p.observeRejection(now)
 	p.engine.respond(c, Response{
 		Verdict:    Rejected,
@@ -129,9 +129,9 @@
 	if o == nil {
 		return
 	}
-	first := a.Number == 0
-	o.control.OnAttemptEnded(now, int(a.Call.Request.Class), first, overloadOutcome(r.Status), latency)
-	o.observeLoad(now, r.Load)
+	isFirst := a.Number == 0
+	o.controller.OnAttemptEnded(now, int(a.Call.Request.Class), isFirst, overloadOutcome(r.Status), latency)
+	o.observeLoadReport(now, r.Load)
 	p.requestRetryQuota(now, a, r.Status)
 	p.refreshBounds(now)
 }
@@ -150,14 +150,15 @@
 	}
 }
 
-// observeLoad passes a load report to overload control, if it has the figures for that.
-func (o *overloadState) observeLoad(now monotime.Micros, load []float32) {
-	if o.inFlightField == noField || o.servedField == noField || max(o.inFlightField, o.servedField) >= len(load) {
+// observeOpenAttempts passes a load report to overload control, if it has the figures for that.
+func (o *overloadState) observeLoadReport(now monotime.Micros, loadReport []float32) {
+	if o.inFlightIndex == noMetric || o.servedRateIndex == noMetric ||
+		max(o.inFlightIndex, o.servedRateIndex) >= len(loadReport) {
 		return
 	}
-	o.control.OnLoadReport(now, overload.LoadReport{
-		InFlight:   float64(load[o.inFlightField]),
-		ServedRate: float64(load[o.servedField]),
+	o.controller.OnLoadReport(now, overload.LoadReport{
+		InFlight:   float64(loadReport[o.inFlightIndex]),
+		ServedRate: float64(loadReport[o.servedRateIndex]),
 	})
 }
 
@@ -181,5 +182,5 @@
 			}
 		}
 	}
-	p.overload.control.SetEndpointCount(count)
+	p.overload.controller.SetEndpointCount(count)
 }
--- a/internal/engine/overload_test.go
+++ b/internal/engine/overload_test.go
@@ -13,11 +13,11 @@
 // the endpoints serve again, so does the instance.
 func TestFailingEndpointsGetNoRetriesAndFewProbes(t *testing.T) {
 	h, c, list := newInstance(t, nil)
-	o := overload.DefaultSettings()
-	o.Instances = 60
-	h.startPool(t, PoolConfig{Name: "o", Overload: &o}, list)
-	for _, m := range list {
-		h.failing[m.Name] = true
+	settings := overload.DefaultSettings()
+	settings.Instances = 60
+	h.startPool(t, PoolConfig{Name: "o", Overload: &settings}, list)
+	for _, endpoint := range list {
+		h.failing[endpoint.Name] = true
 	}
 	now := h.run(c, 1_000*monotime.Second, 300, monotime.Second/50)
 	sent := h.sentAttempts()
@@ -25,14 +25,16 @@
 	if sent > 300 || h.probes > 14 {
 		t.Errorf("%d attempts for 300 requests, %d probes in 7 s", sent, h.probes)
 	}
-	if n := h.verdicts[Rejected] + h.verdicts[Failed] + h.verdicts[TimedOut]; n != 300 || h.engine.Calls() != 0 {
-		t.Errorf("%d of 300 are answered, %d are open: %v", n, h.engine.Calls(), h.verdicts)
+	if unserved := h.verdicts[Rejected] + h.verdicts[Failed] + h.verdicts[TimedOut]; unserved != 300 ||
+		h.engine.Calls() != 0 {
+		t.Errorf("%d of 300 are answered, %d are open: %v", unserved, h.engine.Calls(), h.verdicts)
 	}
-	if b := h.pool.overload.bounds; b.RetryAllowed || b.Reason == overload.None {
-		t.Errorf("bounds %+v", b)
+	if bounds := h.pool.overload.bounds; bounds.RetryAllowed || bounds.Reason == overload.None {
+		t.Errorf("bounds %+v", bounds)
 	}
-	if f := h.engine.Statistics(now); !f.OverloadControlled || f.SuppressedProbes == 0 || f.OverloadLevel > 1 {
-		t.Errorf("figures %+v", f)
+	if stats := h.engine.Statistics(now); !stats.OverloadControlled || stats.SuppressedProbes == 0 ||
+		stats.OverloadLevel > 1 {
+		t.Errorf("figures %+v", stats)
 	}
 	clear(h.failing)
 	clear(h.verdicts)
@@ -40,28 +42,28 @@
 	if h.verdicts[Served] < 900 {
 		t.Errorf("once endpoints serve again: %v", h.verdicts)
 	}
-	if b := h.pool.overload.bounds; b.Reason != overload.None || b.Level < 0.9 {
-		t.Errorf("bounds %+v", b)
+	if bounds := h.pool.overload.bounds; bounds.Reason != overload.None || bounds.Level < 0.9 {
+		t.Errorf("bounds %+v", bounds)
 	}
 }
 
 // An instance that takes over from another starts at its level, and with none of its budgets.
 func TestRestoredPoolStartsAtOverloadLevel(t *testing.T) {
 	h, c, list := newInstance(t, nil)
-	o := overload.DefaultSettings()
-	o.Instances = 60
-	h.startPool(t, PoolConfig{Name: "o", Overload: &o}, list)
+	settings := overload.DefaultSettings()
+	settings.Instances = 60
+	h.startPool(t, PoolConfig{Name: "o", Overload: &settings}, list)
 	now := h.run(c, 1_000*monotime.Second, 10, monotime.Second/50)
-	const had = 0.37
-	h.pool.overload.control.RestoreLevel(had)
-	s := h.engine.Snapshot(now)
+	const savedLevel = 0.37
+	h.pool.overload.controller.RestoreLevel(savedLevel)
+	snapshot := h.engine.Snapshot(now)
 	h.engine.pools = nil
-	h.startPool(t, PoolConfig{Name: "o", Overload: &o}, list)
-	h.engine.Restore(now, 0, s)
-	if level := h.pool.overload.control.Level(); level != had {
-		t.Errorf("the level was %v, and is %v after the takeover", had, level)
+	h.startPool(t, PoolConfig{Name: "o", Overload: &settings}, list)
+	h.engine.Restore(now, 0, snapshot)
+	if level := h.pool.overload.controller.Level(); level != savedLevel {
+		t.Errorf("the level was %v, and is %v after the takeover", savedLevel, level)
 	}
-	if b := h.pool.overload.control.Bounds(now); b.RetryAllowed {
+	if bounds := h.pool.overload.controller.Bounds(now); bounds.RetryAllowed {
 		t.Error("a retry is allowed before anything was accepted")
 	}
 }
@@ -69,21 +71,23 @@
 // The endpoints that the fleet shares are all that are listed and not cordoned, also where an instance uses four of
 // them.
 func TestOverloadCountsAllListedEndpoints(t *testing.T) {
-	for _, part := range []*subset.Settings{nil, {Position: 77, Instances: 5000, MinMembers: 4}} {
+	for _, subsetSettings := range []*subset.Settings{nil, {Position: 77, Instances: 5000, MinMembers: 4}} {
 		h, _, list := newInstance(t, nil)
-		o := overload.DefaultSettings()
-		o.Instances = 600
-		h.startPool(t, PoolConfig{Name: "o", Overload: &o, Subset: part, RetryRatio: 0.01}, list)
+		settings := overload.DefaultSettings()
+		settings.Instances = 600
+		h.startPool(t, PoolConfig{Name: "o", Overload: &settings, Subset: subsetSettings, RetryRatio: 0.01}, list)
 		// A probe a second at each of sixty, over six hundred instances, by one that is served nothing.
-		rate := func() float64 { return h.pool.overload.control.Bounds(1_000 * monotime.Second).MaxProbeRate }
-		if got := rate(); got < 0.099 || got > 0.101 {
-			t.Errorf("subset %v: %v probes a second", part != nil, got)
+		maxProbeRate := func() float64 {
+			return h.pool.overload.controller.Bounds(1_000 * monotime.Second).MaxProbeRate
+		}
+		if got := maxProbeRate(); got < 0.099 || got > 0.101 {
+			t.Errorf("subset %v: %v probes a second", subsetSettings != nil, got)
 		}
 		for i := range 30 {
 			h.engine.SetCordon(1_000*monotime.Second, list[i].Name, true, 1)
 		}
-		if got := rate(); got < 0.049 || got > 0.051 {
-			t.Errorf("subset %v, half cordoned: %v probes a second", part != nil, got)
+		if got := maxProbeRate(); got < 0.049 || got > 0.051 {
+			t.Errorf("subset %v, half cordoned: %v probes a second", subsetSettings != nil, got)
 		}
 	}
 }
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -78,9 +78,9 @@
 // NewPool returns a pool, or an error that names the invalid setting. The engine does not know it before Start: NewPool
 // may be called while the engine runs on another goroutine, unless the pool has a subset, which draws from the engine's
 // random numbers.
-func (x *Engine) NewPool(c PoolConfig) (*Pool, error) {
+func (eng *Engine) NewPool(c PoolConfig) (*Pool, error) {
 	p := &Pool{
-		engine:       x,
+		engine:       eng,
 		name:         c.Name,
 		config:       c,
 		source:       c.Source,
@@ -88,8 +88,8 @@
 		byNumber:     map[uint32]*Endpoint{},
 		endpointList: map[string]EndpointInfo{},
 	}
-	seed := x.config.Seed ^ poolSeed(c.Name)
-	if err := p.initConcurrency(x.config.Concurrency, seed); err != nil {
+	seed := eng.config.Seed ^ poolSeed(c.Name)
+	if err := p.initConcurrency(eng.config.Concurrency, seed); err != nil {
 		return nil, err
 	}
 	if c.Subset != nil {
@@ -97,24 +97,24 @@
 			return nil, err
 		}
 	}
-	settings := x.config.Site.Settings
+	settings := eng.config.Site.Settings
 	if c.RetryRatio > 0 {
 		settings.RetryRatio = c.RetryRatio
 	}
 	settings.RetryWindow = c.RetryWindow
 	settings.MinRetryRate = c.MinRetryRate
 	var err error
-	if p.balancer, err = balancer.New(settings, seed, actions{x, p}); err != nil {
+	if p.balancer, err = balancer.New(settings, seed, actions{eng, p}); err != nil {
 		return nil, err
 	}
 	if c.Overload != nil {
 		// Overload control grants no more retries than the pool has without it.
-		o := *c.Overload
+		overloadSettings := *c.Overload
 		if settings.RetryRatio > 0 {
-			o.RetryRatio = min(o.RetryRatio, settings.RetryRatio)
+			overloadSettings.RetryRatio = min(overloadSettings.RetryRatio, settings.RetryRatio)
 		}
-		o.OverloadedRetryRatio = min(o.OverloadedRetryRatio, o.RetryRatio)
-		if err := p.initOverload(o, seed); err != nil {
+		overloadSettings.OverloadedRetryRatio = min(overloadSettings.OverloadedRetryRatio, overloadSettings.RetryRatio)
+		if err := p.initOverload(overloadSettings, seed); err != nil {
 			return nil, err
 		}
 	}
@@ -126,27 +126,27 @@
 	if name == "" {
 		return 0
 	}
-	h := fnv.New64a()
-	h.Write([]byte(name))
-	return h.Sum64()
+	hash := fnv.New64a()
+	hash.Write([]byte(name))
+	return hash.Sum64()
 }
 
 // Start adds the pool to its engine, with its initial endpoint list.
 func (p *Pool) Start(now monotime.Micros) {
-	x := p.engine
-	x.now = now
-	x.pools = append(x.pools, p)
+	eng := p.engine
+	eng.now = now
+	eng.pools = append(eng.pools, p)
 	p.addFleetBudgets()
 	p.balancer.Start(now)
-	if initial := p.config.InitialEndpoints; initial.Generation >= 0 {
-		initial.Kind = balancer.ListCached
-		initial.NewSource = true
-		p.applyUpdate(now, initial)
+	if initialList := p.config.InitialEndpoints; initialList.Generation >= 0 {
+		initialList.Kind = balancer.ListCached
+		initialList.NewSource = true
+		p.applyUpdate(now, initialList)
 	} else {
 		// No list is known: the endpoints of the first one have not just started.
-		p.generation = initial.Generation
+		p.generation = initialList.Generation
 	}
-	x.dispatchQueued(now)
+	eng.dispatchQueued(now)
 }
 
 // Name returns the pool's name.
@@ -174,7 +174,7 @@
 	}
 	p.dissolved = true
 	p.removeFleetBudgets()
-	p.engine.pools = slices.DeleteFunc(p.engine.pools, func(o *Pool) bool { return o == p })
+	p.engine.pools = slices.DeleteFunc(p.engine.pools, func(other *Pool) bool { return other == p })
 	p.engine.cancelTimer(p.queueTimer)
 	if p.subset != nil {
 		p.engine.cancelTimer(p.subset.timer)
--- a/internal/engine/probes.go
+++ b/internal/engine/probes.go
@@ -6,10 +6,10 @@
 )
 
 // Probe requests a load report from an endpoint, if the probe budgets allow it.
-func (x actions) Probe(number uint32) {
-	if e := x.pool.byNumber[number]; e != nil && x.pool.allowProbe(x.now, number) {
-		x.openProbes++
-		x.config.Host.StartProbe(x.pool, e)
+func (act actions) Probe(number uint32) {
+	if e := act.pool.byNumber[number]; e != nil && act.pool.allowProbe(act.now, number) {
+		act.openProbes++
+		act.config.Host.StartProbe(act.pool, e)
 	}
 }
 
@@ -19,7 +19,7 @@
 // it.
 func (p *Pool) allowProbe(now monotime.Micros, number uint32) bool {
 	allowed := true
-	if o := p.overload; o != nil && !o.control.TakeProbe(now, p.probeQuota(now)) {
+	if o := p.overload; o != nil && !o.controller.TakeProbe(now, p.probeQuota(now)) {
 		allowed = false
 		o.suppressedProbes++
 	}
@@ -51,14 +51,14 @@
 }
 
 // ProbeEnded reports the outcome of a probe that was sent at an instant.
-func (x *Engine) ProbeEnded(now monotime.Micros, p *Pool, e *Endpoint, sentAt monotime.Micros, r AttemptResult) {
-	x.now = now
-	x.openProbes--
+func (eng *Engine) ProbeEnded(now monotime.Micros, p *Pool, e *Endpoint, sentAt monotime.Micros, r AttemptResult) {
+	eng.now = now
+	eng.openProbes--
 	latency := max(0, r.ObservedAt-sentAt)
-	if o := x.config.Observer; o != nil {
+	if o := eng.config.Observer; o != nil {
 		o.ProbeEnded(now, e.Name, r.Status, latency)
 	}
-	stalled := x.stalls.Within(sentAt, r.ObservedAt)
+	stalled := eng.stalls.Within(sentAt, r.ObservedAt)
 	if isInconclusive(latency, stalled) {
 		r.Status = balancer.NotSent // its load report is old by now
 		r.Load = nil
@@ -66,13 +66,13 @@
 	p.observeUtilization(e, r.Load)
 	p.observeProbe(now, &r)
 	p.balancer.HandleProbe(now, e.Number, r.Status, latency-stalled, r.Load)
-	x.dispatchQueued(now)
+	eng.dispatchQueued(now)
 }
 
 // observeProbe passes the answer of a probe to overload control.
 func (p *Pool) observeProbe(now monotime.Micros, r *AttemptResult) {
 	if p.overload != nil && r.Status == balancer.OK {
-		p.overload.observeLoad(now, r.Load)
+		p.overload.observeLoadReport(now, r.Load)
 		p.refreshBounds(now)
 	}
 }
--- a/internal/engine/restore.go
+++ b/internal/engine/restore.go
@@ -12,37 +12,37 @@
 // skipped. The engine should have no open requests. A pool takes over from the one of its name, if both have their
 // endpoint lists from the same source; the list itself is applied if it is not older than the pool's own, and never to
 // a pool whose list is static.
-func (x *Engine) Restore(now, age monotime.Micros, s *Snapshot) (skipped []string) {
-	x.now = now
-	x.RestoreCoordination(now, age, s.Fleet)
-	for _, entry := range s.Cordons {
-		x.ReceiveCordon(now, entry)
+func (eng *Engine) Restore(now, age monotime.Micros, snapshot *Snapshot) (skipped []string) {
+	eng.now = now
+	eng.RestoreCoordination(now, age, snapshot.Fleet)
+	for _, entry := range snapshot.Cordons {
+		eng.ReceiveCordon(now, entry)
 	}
-	for _, p := range x.pools {
-		from := s.Pool(p.name)
-		if p.closed || from == nil {
+	for _, p := range eng.pools {
+		poolSnapshot := snapshot.Pool(p.name)
+		if p.closed || poolSnapshot == nil {
 			continue
 		}
-		if from.Source != p.source {
+		if poolSnapshot.Source != p.source {
 			skipped = append(skipped,
-				fmt.Sprintf("pool %q: its list is that of %s, not of %s", p.name, from.Source, p.source))
+				fmt.Sprintf("pool %q: its list is that of %s, not of %s", p.name, poolSnapshot.Source, p.source))
 			continue
 		}
-		if from.Generation >= p.generation && !p.config.StaticList {
+		if poolSnapshot.Generation >= p.generation && !p.config.StaticList {
 			p.applyUpdate(now, EndpointUpdate{
 				Kind:       balancer.ListCached,
-				Generation: from.Generation,
-				Endpoints:  from.Endpoints,
+				Generation: poolSnapshot.Generation,
+				Endpoints:  poolSnapshot.Endpoints,
 			})
 		}
-		for _, part := range p.restore(now, age, from) {
+		for _, description := range p.restore(now, age, poolSnapshot) {
 			if p.name != "" {
-				part = fmt.Sprintf("pool %q: %s", p.name, part)
+				description = fmt.Sprintf("pool %q: %s", p.name, description)
 			}
-			skipped = append(skipped, part)
+			skipped = append(skipped, description)
 		}
 	}
-	x.dispatchQueued(now)
+	eng.dispatchQueued(now)
 	return skipped
 }
 
@@ -51,96 +51,97 @@
 
 // poolRestore is a snapshot on its way into a pool.
 type poolRestore struct {
-	pool *Pool
-	from *PoolSnapshot
+	pool     *Pool
+	snapshot *PoolSnapshot
 	// learned is the state that the balancer restores: the snapshot's, in the order of the pool's own classes,
 	// tenants and endpoints.
 	learned balancer.LearnedState
 	// indices are, for each of the pool's classes and then for each of its tenants, the index in the snapshot, or
 	// notFound. A tenant's index is offset by the number of the snapshot's classes, as in
 	// balancer.LearnedEndpoint.PartOutliers.
-	indices []int
-	skipped []string
+	snapshotIndices []int
+	skipped         []string
 }
 
 // restore takes over what a pool of another engine had learned, and returns descriptions of the parts that were
 // skipped.
-func (p *Pool) restore(now, age monotime.Micros, from *PoolSnapshot) (skipped []string) {
-	learned := from.Learned
-	if learned == nil || len(from.LearnedNames) != len(learned.Endpoints) || len(learned.Classes) != len(from.Classes) {
+func (p *Pool) restore(now, age monotime.Micros, snapshot *PoolSnapshot) (skipped []string) {
+	learned := snapshot.Learned
+	if learned == nil || len(snapshot.LearnedNames) != len(learned.Endpoints) ||
+		len(learned.Classes) != len(snapshot.Classes) {
 		return []string{"all that was learned"}
 	}
-	if p.overload != nil && from.OverloadLevel > 0 {
-		p.overload.control.RestoreLevel(from.OverloadLevel)
+	if p.overload != nil && snapshot.OverloadLevel > 0 {
+		p.overload.controller.RestoreLevel(snapshot.OverloadLevel)
 	}
-	r := &poolRestore{pool: p, from: from, learned: *learned}
+	r := &poolRestore{pool: p, snapshot: snapshot, learned: *learned}
 	r.learned.Classes = nil
 	r.learned.Endpoints = nil
 	r.learned.TenantRates = nil
-	r.classes()
-	r.tenants()
-	r.endpoints()
+	r.restoreClasses()
+	r.restoreTenants()
+	r.restoreEndpoints()
 	p.balancer.Restore(now, age, &r.learned)
 	if p.concurrency != nil {
-		p.concurrency.Restore(now, from.ConcurrencyLimit, r.unloadedLatency())
+		p.concurrency.Restore(now, snapshot.ConcurrencyLimit, r.unloadedLatency())
 	}
 	return r.skipped
 }
 
 // classes restores what was learned of classes with the same settings.
-func (r *poolRestore) classes() {
+func (r *poolRestore) restoreClasses() {
 	site := r.pool.engine.config.Site
 	for i, name := range site.Classes {
-		index := slices.IndexFunc(r.from.Classes, func(c LearnedClass) bool {
+		index := slices.IndexFunc(r.snapshot.Classes, func(c LearnedClass) bool {
 			return c.Name == name && c.Fingerprint == classFingerprint(&site.Settings.Classes[i])
 		})
-		r.indices = append(r.indices, index)
+		r.snapshotIndices = append(r.snapshotIndices, index)
 		if index == notFound {
 			r.skipped = append(r.skipped, "class "+name)
 			r.learned.Classes = append(r.learned.Classes, balancer.LearnedClass{})
 			continue
 		}
-		r.learned.Classes = append(r.learned.Classes, r.from.Learned.Classes[index])
-		r.pool.queue.RestoreServiceTime(i, r.from.Classes[index].ServiceTimes)
+		r.learned.Classes = append(r.learned.Classes, r.snapshot.Learned.Classes[index])
+		r.pool.queue.RestoreServiceTime(i, r.snapshot.Classes[index].ServiceTimes)
 	}
 }
 
 // tenants restores the rates of tenants with the same settings.
-func (r *poolRestore) tenants() {
+func (r *poolRestore) restoreTenants() {
 	site := r.pool.engine.config.Site
 	for i, name := range site.Tenants {
-		index := slices.IndexFunc(r.from.Tenants, func(t LearnedTenant) bool {
+		index := slices.IndexFunc(r.snapshot.Tenants, func(t LearnedTenant) bool {
 			return t.Name == name && t.Fingerprint == tenantFingerprint(&site.Settings.Tenants[i])
 		})
 		rate := 0.0
-		if index != notFound && index < len(r.from.Learned.TenantRates) {
-			rate = r.from.Learned.TenantRates[index]
+		if index != notFound && index < len(r.snapshot.Learned.TenantRates) {
+			rate = r.snapshot.Learned.TenantRates[index]
 		}
 		r.learned.TenantRates = append(r.learned.TenantRates, rate)
 		if index == notFound {
 			r.skipped = append(r.skipped, "tenant "+name)
 		} else {
-			index += len(r.from.Classes)
+			index += len(r.snapshot.Classes)
 		}
-		r.indices = append(r.indices, index)
+		r.snapshotIndices = append(r.snapshotIndices, index)
 	}
 }
 
 // endpoints restores what was learned of endpoints that are still listed.
-func (r *poolRestore) endpoints() {
-	for i, learned := range r.from.Learned.Endpoints {
-		e := r.pool.byName[r.from.LearnedNames[i]]
+func (r *poolRestore) restoreEndpoints() {
+	for i, learned := range r.snapshot.Learned.Endpoints {
+		e := r.pool.byName[r.snapshot.LearnedNames[i]]
 		if e == nil {
 			continue // gone since
 		}
 		learned.ID = e.Number
-		parts := make([]balancer.LearnedOutlier, len(r.indices))
-		for k, index := range r.indices {
+		outliers := make([]balancer.LearnedOutlier, len(r.snapshotIndices))
+		for part, index := range r.snapshotIndices {
 			if index != notFound && index < len(learned.PartOutliers) {
-				parts[k] = learned.PartOutliers[index]
+				outliers[part] = learned.PartOutliers[index]
 			}
 		}
-		learned.PartOutliers = parts
+		learned.PartOutliers = outliers
 		r.learned.Endpoints = append(r.learned.Endpoints, learned)
 	}
 }
@@ -148,11 +149,11 @@
 // unloadedLatency returns the latencies of the pool's classes, 0 for those that were skipped.
 func (r *poolRestore) unloadedLatency() []float64 {
 	names := r.pool.engine.config.Site.Classes
-	latency := make([]float64, len(names))
+	latencies := make([]float64, len(names))
 	for i, name := range names {
-		if r.indices[i] != notFound {
-			latency[i] = r.from.UnloadedLatency[name]
+		if r.snapshotIndices[i] != notFound {
+			latencies[i] = r.snapshot.UnloadedLatency[name]
 		}
 	}
-	return latency
+	return latencies
 }
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -88,9 +88,9 @@
 }
 
 // Snapshot returns the state of the engine, without Fleet and Maintenance, which its owner adds.
-func (x *Engine) Snapshot(now monotime.Micros) *Snapshot {
-	s := &Snapshot{Cordons: x.cordons.Records()}
-	for _, p := range x.pools {
+func (eng *Engine) Snapshot(now monotime.Micros) *Snapshot {
+	s := &Snapshot{Cordons: eng.cordons.Records()}
+	for _, p := range eng.pools {
 		if !p.closed {
 			s.Pools = append(s.Pools, *p.snapshot(now))
 		}
@@ -101,8 +101,8 @@
 // TransferWarmupBudget leaves the requests that endpoints that are warming up may still get to a successor, which
 // restores a snapshot of this instant. With transferred false the engine goes on without a successor: these requests
 // then count as sent.
-func (x *Engine) TransferWarmupBudget(now monotime.Micros, transferred bool) {
-	for _, p := range x.pools {
+func (eng *Engine) TransferWarmupBudget(now monotime.Micros, transferred bool) {
+	for _, p := range eng.pools {
 		p.balancer.SetHandedOver(now, transferred)
 	}
 }
@@ -128,7 +128,7 @@
 		s.LearnedNames = append(s.LearnedNames, names[e.ID])
 	}
 	if p.overload != nil {
-		s.OverloadLevel = p.overload.control.Level()
+		s.OverloadLevel = p.overload.controller.Level()
 	}
 	if p.concurrency != nil {
 		limit, unloaded := p.concurrency.Learned()
@@ -143,17 +143,17 @@
 
 // sortedEndpoints returns the full endpoint list: by number, or by name where not all of it have numbers.
 func (p *Pool) sortedEndpoints() []EndpointInfo {
-	var all []EndpointInfo
+	var endpoints []EndpointInfo
 	for _, info := range p.fullEndpointList() {
-		all = append(all, info)
+		endpoints = append(endpoints, info)
 	}
-	slices.SortFunc(all, func(a, b EndpointInfo) int {
+	slices.SortFunc(endpoints, func(a, b EndpointInfo) int {
 		if p.subset != nil {
 			return strings.Compare(a.Name, b.Name)
 		}
 		return int(p.byName[a.Name].Number) - int(p.byName[b.Name].Number)
 	})
-	return all
+	return endpoints
 }
 
 // addLearnedSettings adds the classes with what was learned of them, and the tenants.
--- a/internal/engine/snapshot_golden_test.go
+++ b/internal/engine/snapshot_golden_test.go
@@ -20,9 +20,9 @@
 
 // The files in testdata were written by the build of commit 870f4ac, before any stored name was written down as a tag.
 // A process of that build and one of this build may replace each other, so the files must never be written anew, but
-// for runFile, whose form is held by another.
+// for learnedRunFile, whose form is held by another.
 
-func golden(t *testing.T, name string) []byte {
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
 	require.NoError(t, err)
@@ -46,33 +46,33 @@
 }
 
 // fill gives every field reached from v a value of its own: numbers count up, and lists have two entries.
-func fill(t *testing.T, v reflect.Value, next *int) {
+func fillValue(t *testing.T, v reflect.Value, next *int) {
 	t.Helper()
 	*next++
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(t, v.Field(i), next)
+			fillValue(t, v.Field(i), next)
 		}
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(t, v.Elem(), next)
+		fillValue(t, v.Elem(), next)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			fill(t, v.Index(i), next)
+			fillValue(t, v.Index(i), next)
 		}
 	case reflect.Array:
 		for i := range v.Len() {
-			fill(t, v.Index(i), next)
+			fillValue(t, v.Index(i), next)
 		}
 	case reflect.Map:
 		v.Set(reflect.MakeMap(v.Type()))
 		for range 2 {
 			key := reflect.New(v.Type().Key()).Elem()
-			fill(t, key, next)
+			fillValue(t, key, next)
 			value := reflect.New(v.Type().Elem()).Elem()
-			fill(t, value, next)
+			fillValue(t, value, next)
 			v.SetMapIndex(key, value)
 		}
 	case reflect.String:
@@ -96,14 +96,14 @@
 	t.Helper()
 	s := &Snapshot{}
 	next := 0
-	fill(t, reflect.ValueOf(s).Elem(), &next)
+	fillValue(t, reflect.ValueOf(s).Elem(), &next)
 	return s
 }
 
 // A snapshot in which every field has a value is written, byte for byte, as the build before wrote it, and read in
 // full.
 func TestSnapshotEncodingIsStable(t *testing.T) {
-	want := golden(t, "snapshot-filled.json")
+	want := readGolden(t, "snapshot-filled.json")
 	s := filledSnapshot(t)
 	if got := encodeSnapshot(t, s); !bytes.Equal(got, want) {
 		t.Errorf("a snapshot is written as\n%s\nwant\n%s", got, want)
@@ -120,7 +120,7 @@
 // A snapshot without anything in it is written as the build before wrote it: what is left out when empty, and what is
 // null.
 func TestEmptySnapshotEncodingIsStable(t *testing.T) {
-	want := golden(t, "snapshot-empty.json")
+	want := readGolden(t, "snapshot-empty.json")
 	if got := encodeSnapshot(t, &Snapshot{Pools: []PoolSnapshot{{}}}); !bytes.Equal(got, want) {
 		t.Errorf("written as\n%s\nwant\n%s", got, want)
 	}
@@ -134,33 +134,33 @@
 func goldenEngine(t *testing.T) (*Engine, *Pool, *recordingHost) {
 	t.Helper()
 	h := &recordingHost{responses: map[string]Response{}}
-	s := tenantSite(10, 1, 0)
-	s.Settings.LoadMetrics = []balancer.LoadMetric{balancer.MetricInflight, balancer.MetricServedRate,
+	site := tenantSite(10, 1, 0)
+	site.Settings.LoadMetrics = []balancer.LoadMetric{balancer.MetricInflight, balancer.MetricServedRate,
 		balancer.MetricUtilization}
-	s.Settings.Contract.WarmupTime = 20 * monotime.Second
-	x := New(Config{Site: s, Seed: 3, Host: h, Concurrency: ConcurrencySettings{
+	site.Settings.Contract.WarmupTime = 20 * monotime.Second
+	engine := New(Config{Site: site, Seed: 3, Host: h, Concurrency: ConcurrencySettings{
 		MaxOpen:  1000,
 		Adaptive: &concurrency.Settings{Min: 1, Max: 200, Initial: 20},
 	}})
-	err := x.JoinFleet(fleetOfOne(CoordinationScope{Retries: true, Probes: true, TenantLimits: true,
+	err := engine.JoinFleet(singleInstanceFleet(CoordinationScope{Retries: true, Probes: true, TenantLimits: true,
 		OverloadLevel: true, SuspectedEndpoints: true}))
 	require.NoError(t, err)
-	o := overload.DefaultSettings()
-	o.Instances = 1
-	p, err := x.NewPool(PoolConfig{
+	overloadSettings := overload.DefaultSettings()
+	overloadSettings.Instances = 1
+	p, err := engine.NewPool(PoolConfig{
 		Name:             "front",
 		Source:           "test",
 		InitialEndpoints: EndpointUpdate{Generation: -1},
 		SetWatch:         func(bool) {},
-		Overload:         &o,
+		Overload:         &overloadSettings,
 	})
 	require.NoError(t, err)
 	p.Start(0)
-	return x, p, h
+	return engine, p, h
 }
 
-// goldenRun has the engine serve requests for a while, some of which fail, and returns when that is over.
-func goldenRun(t *testing.T, x *Engine, p *Pool, h *recordingHost) monotime.Micros {
+// serveGoldenRequests has the engine serve requests for a while, some of which fail, and returns when that is over.
+func serveGoldenRequests(t *testing.T, engine *Engine, p *Pool, h *recordingHost) monotime.Micros {
 	t.Helper()
 	var list []EndpointInfo
 	for i := range 4 {
@@ -168,18 +168,18 @@
 			Zone: "z", Kind: "k", Cell: uint16(i), Weight: 1})
 	}
 	p.UpdateEndpoints(0, EndpointUpdate{Kind: balancer.ListFull, Generation: 1, Endpoints: list})
-	x.StartCoordination(0)
+	engine.StartCoordination(0)
 	now := monotime.Micros(0)
 	for i := range 3000 {
 		now += monotime.Second / 100
-		advanceTo(x, now)
+		advanceTo(engine, now)
 		if i == 2900 { // one that is still warming up when the snapshot is taken
-			fresh := EndpointInfo{Name: "e4", Addr: "10.0.0.4:80", Zone: "z", Kind: "k", Weight: 1, StartedAt: now}
+			added := EndpointInfo{Name: "e4", Addr: "10.0.0.4:80", Zone: "z", Kind: "k", Weight: 1, StartedAt: now}
 			p.UpdateEndpoints(now, EndpointUpdate{Kind: balancer.ListDelta, Generation: 2,
-				Endpoints: []EndpointInfo{fresh}})
+				Endpoints: []EndpointInfo{added}})
 		}
 		request := balancer.Request{Class: uint8(i % 2), Tenant: uint16(i % 3 % 2), Deadline: now + 500_000}
-		x.Submit(now, newCall(t, p, now, fmt.Sprint(i), request))
+		engine.Submit(now, newCall(t, p, now, fmt.Sprint(i), request))
 		for len(h.started) > 0 {
 			a := h.nextAttempt()
 			result := AttemptResult{
@@ -190,12 +190,12 @@
 			if a.Endpoint.Name == "e1" && i%4 != 0 {
 				result.Status = balancer.Error
 			}
-			x.AttemptEnded(result.ObservedAt, a, result)
+			engine.AttemptEnded(result.ObservedAt, a, result)
 		}
 	}
 	now += monotime.Second / 100
-	advanceTo(x, now)
-	if _, known := x.SetCordon(now, "e3", true, now); !known {
+	advanceTo(engine, now)
+	if _, known := engine.SetCordon(now, "e3", true, now); !known {
 		t.Fatal("e3 is not known")
 	}
 	return now
@@ -203,10 +203,10 @@
 
 func goldenSnapshot(t *testing.T) (*Snapshot, monotime.Micros) {
 	t.Helper()
-	x, p, h := goldenEngine(t)
-	now := goldenRun(t, x, p, h)
-	s := x.Snapshot(now)
-	s.Fleet = x.HandOverCoordination(now)
+	engine, p, h := goldenEngine(t)
+	now := serveGoldenRequests(t, engine, p, h)
+	s := engine.Snapshot(now)
+	s.Fleet = engine.HandOverCoordination(now)
 	s.Maintenance = &MaintenancePlan{Excluded: []string{"e0"}, Announced: []string{"e1"},
 		LeaseEnd: now + monotime.Second, DrainDeadline: now + 2*monotime.Second}
 	return s, now
@@ -216,7 +216,7 @@
 func TestSnapshotOfRunHasFormOfEarlierBuild(t *testing.T) {
 	s, _ := goldenSnapshot(t)
 	got := jsonForm(t, encodeSnapshot(t, s))
-	want := jsonForm(t, golden(t, "snapshot-run.json"))
+	want := jsonForm(t, readGolden(t, "snapshot-run.json"))
 	if !maps.Equal(got, want) {
 		t.Errorf("form\n%v\nwant\n%v", got, want)
 	}
@@ -225,10 +225,10 @@
 // jsonForm returns the kind of each value of a JSON text by its path, in which all elements of a list are one.
 func jsonForm(t *testing.T, text []byte) map[string]string {
 	t.Helper()
-	var decoded any
-	require.NoError(t, json.Unmarshal(text, &decoded))
+	var value any
+	require.NoError(t, json.Unmarshal(text, &value))
 	form := map[string]string{}
-	addJSONForm(form, "", decoded)
+	addJSONForm(form, "", value)
 	return form
 }
 
@@ -247,13 +247,13 @@
 	}
 }
 
-// runFile is what this build learns of goldenRun. It is written anew by a change that means to learn something else.
-const runFile = "snapshot-run-learned.json"
+// learnedRunFile is what this build learns of serveGoldenRequests. It is written anew by a change that means to learn something else.
+const learnedRunFile = "snapshot-run-learned.json"
 
 // What an engine learns of a run is the same at each run and on each build, to the last digit.
 func TestSnapshotOfRunIsStable(t *testing.T) {
 	s, _ := goldenSnapshot(t)
-	if got, want := encodeSnapshot(t, s), golden(t, runFile); !bytes.Equal(got, want) {
+	if got, want := encodeSnapshot(t, s), readGolden(t, learnedRunFile); !bytes.Equal(got, want) {
 		t.Errorf("written as\n%s\nwant\n%s", got, want)
 	}
 }
@@ -261,16 +261,16 @@
 // What the build before wrote is taken over in full, and what the engine then holds is written as the build before
 // wrote it after the same takeover.
 func TestRestoresSnapshotOfEarlierBuild(t *testing.T) {
-	s := decodeSnapshot(t, golden(t, "snapshot-run.json"))
+	s := decodeSnapshot(t, readGolden(t, "snapshot-run.json"))
 	_, now := goldenSnapshot(t)
-	x, _, _ := goldenEngine(t)
-	if skipped := x.Restore(now+1000, 1000, s); len(skipped) != 0 {
+	engine, _, _ := goldenEngine(t)
+	if skipped := engine.Restore(now+1000, 1000, s); len(skipped) != 0 {
 		t.Errorf("skipped: %q", skipped)
 	}
-	again := x.Snapshot(now + 1000)
-	again.Fleet = x.HandOverCoordination(now + 1000)
-	again.Maintenance = s.Maintenance
-	if got, want := encodeSnapshot(t, again), golden(t, "snapshot-restored.json"); !bytes.Equal(got, want) {
+	restored := engine.Snapshot(now + 1000)
+	restored.Fleet = engine.HandOverCoordination(now + 1000)
+	restored.Maintenance = s.Maintenance
+	if got, want := encodeSnapshot(t, restored), readGolden(t, "snapshot-restored.json"); !bytes.Equal(got, want) {
 		t.Errorf("written as\n%s\nwant\n%s", got, want)
 	}
 }
@@ -326,8 +326,8 @@
 		classFingerprintFormat:  balancer.Class{},
 		tenantFingerprintFormat: balancer.Tenant{},
 	} {
-		if written, fields := strings.Count(format, "%v"), reflect.TypeOf(settings).NumField(); written != fields {
-			t.Errorf("%T: %d of %d fields are written", settings, written, fields)
+		if verbs, fields := strings.Count(format, "%v"), reflect.TypeOf(settings).NumField(); verbs != fields {
+			t.Errorf("%T: %d of %d fields are written", settings, verbs, fields)
 		}
 	}
 }
--- a/internal/engine/stall.go
+++ b/internal/engine/stall.go
@@ -11,33 +11,33 @@
 
 // Stalled reports that this process did not run for a time that ends now. The host calls it before it reports anything
 // that has happened meanwhile. No endpoint is charged with that time: not with silence, latency or timeouts.
-func (x *Engine) Stalled(now monotime.Micros, interval stall.Interval) {
-	x.now = now
-	x.stalls.Add(interval)
-	for _, p := range x.pools {
+func (eng *Engine) Stalled(now monotime.Micros, interval stall.Interval) {
+	eng.now = now
+	eng.stalls.Add(interval)
+	for _, p := range eng.pools {
 		p.balancer.HandleStall(now, interval.Length())
 	}
-	for _, id := range slices.Sorted(maps.Keys(x.calls)) {
-		for _, a := range x.calls[id].attempts {
-			x.extendTimeout(a, x.stalls.Within(a.StartedAt, now))
+	for _, id := range slices.Sorted(maps.Keys(eng.calls)) {
+		for _, a := range eng.calls[id].attempts {
+			eng.extendTimeout(a, eng.stalls.Within(a.StartedAt, now))
 		}
 	}
 }
 
 // Waiting reports whether an endpoint is expected to respond to an attempt or a probe. While it does, the host should
 // have its event loop run at least every stall.HeartbeatInterval, so that a stall is found in full.
-func (x *Engine) Waiting() bool { return len(x.calls) > 0 || x.openProbes > 0 }
+func (eng *Engine) Waiting() bool { return len(eng.calls) > 0 || eng.openProbes > 0 }
 
 // extendTimeout moves the end of an attempt's own timeout on by the time for which this process has not run, up to the
 // request's deadline.
-func (x *Engine) extendTimeout(a *Attempt, stalled monotime.Micros) {
+func (eng *Engine) extendTimeout(a *Attempt, stalled monotime.Micros) {
 	deadline := min(a.timeoutAt+stalled, a.Call.Request.Deadline)
 	if a.done || a.timeoutAt == 0 || deadline <= a.Deadline {
 		return
 	}
-	x.cancelTimer(a.deadlineTimer)
+	eng.cancelTimer(a.deadlineTimer)
 	a.Deadline = deadline
-	x.startDeadlineTimer(a)
+	eng.startDeadlineTimer(a)
 }
 
 // inconclusiveFraction is the part of a wait for an endpoint for which this process must not have run, so that it says
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -14,54 +14,54 @@
 	5 * monotime.Second}
 
 // newBusyEngine returns an engine that has learned that its endpoints answer within 3 ms.
-func newBusyEngine(t *testing.T) (x *Engine, p *Pool, h *recordingHost, now monotime.Micros) {
+func newBusyEngine(t *testing.T) (engine *Engine, p *Pool, h *recordingHost, now monotime.Micros) {
 	t.Helper()
 	site := tenantSite(0, 1, 0)
 	for i := range site.Settings.Classes {
 		site.Settings.Classes[i].Idempotency = balancer.Idempotent
 	}
-	x, p, h = newEngine(t, site, nil, nil)
+	engine, p, h = newEngine(t, site, nil, nil)
 	for i := range monotime.Micros(400) {
 		now = 100_000 + 10_000*i
-		advanceTo(x, now)
-		submit(t, x, p, now, fmt.Sprint("before", i), 1)
-		h.serveAll(x, now+3_000)
+		advanceTo(engine, now)
+		submit(t, engine, p, now, fmt.Sprint("before", i), 1)
+		h.serveAll(engine, now+3_000)
 	}
-	return x, p, h, now + 10_000
+	return engine, p, h, now + 10_000
 }
 
 // Responses that arrived while the process did not run are handled after it: they, and the requests that follow, are
 // decided as if there had been no stall.
 func TestRequestsAfterStallAreServed(t *testing.T) {
 	for _, length := range stallLengths {
-		x, p, h, now := newBusyEngine(t)
+		engine, p, h, now := newBusyEngine(t)
 		for i := range 6 {
-			submit(t, x, p, now, fmt.Sprint("during", i), 1)
+			submit(t, engine, p, now, fmt.Sprint("during", i), 1)
 		}
-		learned := p.balancer.LearnedState(now)
+		before := p.balancer.LearnedState(now)
 		now += length
-		x.Stalled(now, stall.Interval{From: now - length, To: now})
-		h.serveAll(x, now)
+		engine.Stalled(now, stall.Interval{From: now - length, To: now})
+		h.serveAll(engine, now)
 		for i := range 40 {
-			submit(t, x, p, now, fmt.Sprint("after", i), 1)
+			submit(t, engine, p, now, fmt.Sprint("after", i), 1)
 		}
-		h.serveAll(x, now+5_000)
+		h.serveAll(engine, now+5_000)
 		for id, r := range h.responses {
 			if r.Verdict != Served {
 				t.Errorf("stall of %d: %s ended as %v %s", length, id, r.Verdict, r.Reason)
 			}
 		}
 		after := p.balancer.LearnedState(now)
-		if after.LatencyTrend > 1.5*learned.LatencyTrend {
-			t.Errorf("stall of %d: latency trend %v, then %v", length, learned.LatencyTrend, after.LatencyTrend)
+		if after.LatencyTrend > 1.5*before.LatencyTrend {
+			t.Errorf("stall of %d: latency trend %v, then %v", length, before.LatencyTrend, after.LatencyTrend)
 		}
 	}
 }
 
 // An attempt's own timeout does not run while the process does not.
 func TestTimeoutDoesNotRunDuringStall(t *testing.T) {
-	x, p, h, now := newBusyEngine(t)
-	submit(t, x, p, now, "a", 1)
+	engine, p, h, now := newBusyEngine(t)
+	submit(t, engine, p, now, "a", 1)
 	a := h.started[0]
 	if a.timeoutAt == 0 || a.timeoutAt >= a.Call.Request.Deadline {
 		t.Fatalf("the attempt has no timeout of its own: %d", a.timeoutAt)
@@ -69,12 +69,12 @@
 	const length = 60_000
 	timeout := a.timeoutAt
 	now += 10_000
-	x.Stalled(now+length, stall.Interval{From: now, To: now + length})
-	advanceTo(x, timeout+length-1)
+	engine.Stalled(now+length, stall.Interval{From: now, To: now + length})
+	advanceTo(engine, timeout+length-1)
 	if a.done {
 		t.Error("the timeout ran during the stall")
 	}
-	advanceTo(x, timeout+length)
+	advanceTo(engine, timeout+length)
 	if !a.done {
 		t.Error("the attempt has not timed out after the stall")
 	}
@@ -82,21 +82,21 @@
 
 // An endpoint is not charged with timeouts and failed dials during which the process hardly ran.
 func TestChargedStatus(t *testing.T) {
-	const wait = 900_000
+	const elapsed = 900_000
 	for _, c := range []struct {
 		status  balancer.Status
 		stalled monotime.Micros
 		want    balancer.Status
 	}{
 		{balancer.Timeout, 0, balancer.Timeout},
-		{balancer.Timeout, wait / 2, balancer.Timeout},
-		{balancer.Timeout, wait/2 + 1, balancer.Cancelled},
-		{balancer.ConnectFailed, wait/2 + 1, balancer.NotSent},
-		{balancer.OK, wait, balancer.OK},
-		{balancer.Error, wait, balancer.Error},
+		{balancer.Timeout, elapsed / 2, balancer.Timeout},
+		{balancer.Timeout, elapsed/2 + 1, balancer.Cancelled},
+		{balancer.ConnectFailed, elapsed/2 + 1, balancer.NotSent},
+		{balancer.OK, elapsed, balancer.OK},
+		{balancer.Error, elapsed, balancer.Error},
 	} {
-		if got := chargedStatus(c.status, wait, c.stalled); got != c.want {
-			t.Errorf("%v with %d of %d stalled: %v, want %v", c.status, c.stalled, wait, got, c.want)
+		if got := chargedStatus(c.status, elapsed, c.stalled); got != c.want {
+			t.Errorf("%v with %d of %d stalled: %v, want %v", c.status, c.stalled, elapsed, got, c.want)
 		}
 	}
 }
@@ -104,22 +104,22 @@
 // A load report that came while the process did not run is old: it is not taken for a new one, and no round trip is
 // learned from it.
 func TestProbeDuringStallIsNoReport(t *testing.T) {
-	x, p, _, now := newBusyEngine(t)
+	engine, p, _, now := newBusyEngine(t)
 	e := p.byName["e1"]
-	x.openProbes++
-	x.ProbeEnded(now, p, e, now-500, AttemptResult{Status: balancer.OK, ObservedAt: now})
-	learned := p.balancer.LearnedState(now)
-	x.openProbes++
-	x.Stalled(now+600_000, stall.Interval{From: now, To: now + 600_000})
+	engine.openProbes++
+	engine.ProbeEnded(now, p, e, now-500, AttemptResult{Status: balancer.OK, ObservedAt: now})
+	before := p.balancer.LearnedState(now)
+	engine.openProbes++
+	engine.Stalled(now+600_000, stall.Interval{From: now, To: now + 600_000})
 	now += 600_000
-	x.ProbeEnded(now, p, e, now-600_100, AttemptResult{Status: balancer.OK, ObservedAt: now})
+	engine.ProbeEnded(now, p, e, now-600_100, AttemptResult{Status: balancer.OK, ObservedAt: now})
 	after := p.balancer.LearnedState(now)
-	for i := range learned.Endpoints {
-		if got, want := after.Endpoints[i].RTT, learned.Endpoints[i].RTT; got != want {
+	for i := range before.Endpoints {
+		if got, want := after.Endpoints[i].RTT, before.Endpoints[i].RTT; got != want {
 			t.Errorf("round trip %v, then %v", want, got)
 		}
 	}
-	if x.Waiting() {
+	if engine.Waiting() {
 		t.Error("the engine waits for endpoints")
 	}
 }
--- a/internal/engine/statistics.go
+++ b/internal/engine/statistics.go
@@ -25,14 +25,14 @@
 }
 
 // Statistics returns the figures of an instant.
-func (x *Engine) Statistics(now monotime.Micros) (s Statistics) {
-	if f := x.fleet; f != nil {
+func (eng *Engine) Statistics(now monotime.Micros) (s Statistics) {
+	if f := eng.fleet; f != nil {
 		s.HasTenantLimits = slices.ContainsFunc(f.tenantBudgets, func(budget string) bool { return budget != "" })
 		s.RequestsOverLimit = f.requestsOverLimit
 		s.SuspectedEndpoints = len(f.suspicions)
 		s.QuotaLeased = f.member.View(now).LeaseRemaining > 0
 	}
-	for _, p := range x.pools {
+	for _, p := range eng.pools {
 		p.addStatistics(now, &s)
 	}
 	return s
--- a/internal/engine/subset.go
+++ b/internal/engine/subset.go
@@ -27,16 +27,16 @@
 	onIdleConnections  func(n float64) // may be nil
 
 	openAttempts   int             // attempts without an outcome
-	meanInFlight   float64         // openAttempts as a mean over loadSpan, with rejected requests (observeRejection)
+	meanInFlight   float64         // openAttempts as a mean over loadTimeConstant, with rejected requests (observeRejection)
 	loadMeasuredAt monotime.Micros // instant that meanInFlight is of
 	loadReportedAt monotime.Micros // when the set was passed the load
 	meanLatency    float64         // of attempts that succeed, in microseconds, moving average; 0 is not known
 }
 
 // initSubset makes the pool's subset.
-func (p *Pool) initSubset(s subset.Settings, seed uint64) error {
-	s.Seed = seed
-	set, err := subset.New(s)
+func (p *Pool) initSubset(settings subset.Settings, seed uint64) error {
+	settings.Seed = seed
+	set, err := subset.New(settings)
 	if err != nil {
 		return err
 	}
@@ -59,30 +59,30 @@
 func (s *subsetState) applyUpdate(now monotime.Micros, update EndpointUpdate) EndpointUpdate {
 	s.updateFullList(now, update)
 	s.forgetUnlisted()
-	list := make([]subset.Endpoint, 0, len(s.endpoints))
+	candidates := make([]subset.Endpoint, 0, len(s.endpoints))
 	for _, info := range s.endpoints {
 		// All endpoints have the same weight here: weights may follow load, and subsets would move with them.
-		list = append(list, subset.Endpoint{ID: info.Name, Zone: int(hashString(info.Zone)), Weight: 1})
+		candidates = append(candidates, subset.Endpoint{ID: info.Name, Zone: int(hashString(info.Zone)), Weight: 1})
 	}
-	slices.SortFunc(list, func(a, b subset.Endpoint) int { return strings.Compare(a.ID, b.ID) })
-	s.set.SetEndpoints(now, list)
-	for _, e := range list { // sorted: random draws must not depend on map order
+	slices.SortFunc(candidates, func(a, b subset.Endpoint) int { return strings.Compare(a.ID, b.ID) })
+	s.set.SetEndpoints(now, candidates)
+	for _, e := range candidates { // sorted: random draws must not depend on map order
 		s.updateHealth(now, e.ID)
 	}
 	s.applyBudgets()
-	result := update
-	result.Endpoints = s.members()
-	if result.Kind == balancer.ListDelta {
-		result.Kind = balancer.ListFull
+	memberUpdate := update
+	memberUpdate.Endpoints = s.members()
+	if memberUpdate.Kind == balancer.ListDelta {
+		memberUpdate.Kind = balancer.ListFull
 	}
-	return result
+	return memberUpdate
 }
 
 // updateFullList applies an update to the full list.
 func (s *subsetState) updateFullList(now monotime.Micros, update EndpointUpdate) {
-	before := s.endpoints
+	previous := s.endpoints
 	if update.Kind == balancer.ListDelta {
-		before = maps.Clone(s.endpoints)
+		previous = maps.Clone(s.endpoints)
 	} else {
 		s.endpoints = map[string]EndpointInfo{}
 	}
@@ -92,7 +92,7 @@
 			continue
 		}
 		if info.StartedAt == 0 {
-			info.StartedAt = s.startTime(now, before, info.Name, update.Kind)
+			info.StartedAt = s.startTime(now, previous, info.Name, update.Kind)
 		}
 		s.endpoints[info.Name] = info
 	}
@@ -103,9 +103,9 @@
 // that was by the first list. Without a start time the balancer would take an endpoint that comes back into the
 // subset for one that has just started.
 func (s *subsetState) startTime(
-	now monotime.Micros, before map[string]EndpointInfo, name string, kind balancer.ListKind) monotime.Micros {
-	if old, known := before[name]; known {
-		return old.StartedAt
+	now monotime.Micros, previous map[string]EndpointInfo, name string, kind balancer.ListKind) monotime.Micros {
+	if previousInfo, known := previous[name]; known {
+		return previousInfo.StartedAt
 	}
 	if s.hasCurrentList && kind != balancer.ListCached {
 		return now
@@ -115,12 +115,12 @@
 
 // forgetUnlisted forgets the failures of endpoints that are not listed any more.
 func (s *subsetState) forgetUnlisted() {
-	maps.DeleteFunc(s.consecutiveFailures, func(name string, _ int) bool { return !s.lists(name) })
-	maps.DeleteFunc(s.unhealthyUntil, func(name string, _ monotime.Micros) bool { return !s.lists(name) })
+	maps.DeleteFunc(s.consecutiveFailures, func(name string, _ int) bool { return !s.isListed(name) })
+	maps.DeleteFunc(s.unhealthyUntil, func(name string, _ monotime.Micros) bool { return !s.isListed(name) })
 }
 
 // lists reports whether the full list has an endpoint.
-func (s *subsetState) lists(name string) bool { return s.endpoints[name].Name != "" }
+func (s *subsetState) isListed(name string) bool { return s.endpoints[name].Name != "" }
 
 // applyBudgets applies the instance's part of the endpoints' budgets: probes a second, and idle connections.
 func (s *subsetState) applyBudgets() {
@@ -134,11 +134,11 @@
 
 // members returns the entries of the endpoints in the subset.
 func (s *subsetState) members() []EndpointInfo {
-	var list []EndpointInfo
-	for _, m := range s.set.Members() {
-		list = append(list, s.endpoints[m.ID])
+	var infos []EndpointInfo
+	for _, member := range s.set.Members() {
+		infos = append(infos, s.endpoints[member.ID])
 	}
-	return list
+	return infos
 }
 
 // scheduleSubsetStep sets the timer for the next step of the subset: a step of the set itself, or the end of an
@@ -176,7 +176,7 @@
 
 // hashString is the 32-bit FNV-1a hash of a string.
 func hashString(s string) uint32 {
-	h := fnv.New32a()
-	h.Write([]byte(s))
-	return h.Sum32()
+	hash := fnv.New32a()
+	hash.Write([]byte(s))
+	return hash.Sum32()
 }
--- a/internal/engine/subset_health.go
+++ b/internal/engine/subset_health.go
@@ -23,7 +23,7 @@
 func (p *Pool) observeEndpointHealth(
 	now monotime.Micros, e *Endpoint, status balancer.Status, latency monotime.Micros) {
 	s := p.subset
-	if s == nil || !s.lists(e.Name) {
+	if s == nil || !s.isListed(e.Name) {
 		return
 	}
 	switch status {
--- a/internal/engine/subset_load.go
+++ b/internal/engine/subset_load.go
@@ -6,15 +6,15 @@
 	"dunlinsail/internal/monotime"
 )
 
-// loadSpan is the time constant of meanInFlight: shorter than the 5 s of Finagle's aperture, since an instance may
+// loadTimeConstant is the time constant of meanInFlight: shorter than the 5 s of Finagle's aperture, since an instance may
 // become busy within a second.
-const loadSpan = 2 * monotime.Second
+const loadTimeConstant = 2 * monotime.Second
 
 // observeOpenAttempts takes in that attempts have started, or have ended if the number is negative.
-func (s *subsetState) observeOpenAttempts(now monotime.Micros, attempts int) {
+func (s *subsetState) observeOpenAttempts(now monotime.Micros, delta int) {
 	s.meanInFlight += (float64(s.openAttempts) - s.meanInFlight) *
-		-math.Expm1(-float64(now-s.loadMeasuredAt)/float64(loadSpan))
-	s.openAttempts += attempts
+		-math.Expm1(-float64(now-s.loadMeasuredAt)/float64(loadTimeConstant))
+	s.openAttempts += delta
 	s.loadMeasuredAt = now
 }
 
@@ -34,22 +34,22 @@
 // never show that the instance needs more of them.
 func (p *Pool) observeRejection(now monotime.Micros) {
 	if s := p.subset; s != nil {
-		s.meanInFlight += s.meanLatency / float64(loadSpan)
-		p.observeLoad(now, 0)
+		s.meanInFlight += s.meanLatency / float64(loadTimeConstant)
+		p.observeOpenAttempts(now, 0)
 	}
 }
 
 // loadReportInterval is the minimum time between two updates of the set's load.
 const loadReportInterval = monotime.Second / 10
 
-// observeLoad takes in that attempts have started, or have ended if the number is negative, and passes the instance's
+// observeOpenAttempts takes in that attempts have started, or have ended if the number is negative, and passes the instance's
 // load to the set if loadReportInterval has passed.
-func (p *Pool) observeLoad(now monotime.Micros, attempts int) {
+func (p *Pool) observeOpenAttempts(now monotime.Micros, delta int) {
 	s := p.subset
 	if s == nil {
 		return
 	}
-	s.observeOpenAttempts(now, attempts)
+	s.observeOpenAttempts(now, delta)
 	if now-s.loadReportedAt < loadReportInterval {
 		return
 	}
--- a/internal/engine/subset_test.go
+++ b/internal/engine/subset_test.go
@@ -22,13 +22,13 @@
 func TestSubsetWidensWhenAllMembersFail(t *testing.T) {
 	h, c, _ := newQuietInstance(t, 0)
 	now := h.run(c, 1_000*monotime.Second, 100, monotime.Second/5)
-	own, _, _ := h.pool.subsetSize()
+	membersBefore, _, _ := h.pool.subsetSize()
 	for name := range h.pool.byName {
 		h.failing[name] = true
 	}
 	now = h.run(c, now, 100, monotime.Second/5)
 	members, listed, widened := h.pool.subsetSize()
-	if widened == 0 || members <= own || listed != 60 {
+	if widened == 0 || members <= membersBefore || listed != 60 {
 		t.Fatalf("%d of %d members, widened %d times", members, listed, widened)
 	}
 	h.verdicts = map[Verdict]int{}
@@ -41,9 +41,9 @@
 	if _, _, widened := h.pool.subsetSize(); widened != 0 {
 		t.Errorf("all serve again, and it stays widened %d times", widened)
 	}
-	for name, m := range h.pool.endpointList {
-		if m.StartedAt > 1 {
-			t.Errorf("%s counts as started at %d", name, m.StartedAt)
+	for name, info := range h.pool.endpointList {
+		if info.StartedAt > 1 {
+			t.Errorf("%s counts as started at %d", name, info.StartedAt)
 		}
 	}
 	h.verdicts = map[Verdict]int{}
@@ -57,8 +57,8 @@
 func TestProbesStayWithinSubsetBudget(t *testing.T) {
 	h, c, _ := newQuietInstance(t, 5) // 60 endpoints times five a second, for 5,000: 0.06 a second
 	h.run(c, 1_000*monotime.Second, 1000, monotime.Second/5)
-	if limit := 1 + 0.06*201; float64(h.probes) > limit || h.probes < 5 {
-		t.Errorf("%d probes in 201 s, %.0f at most", h.probes, limit)
+	if maxProbes := 1 + 0.06*201; float64(h.probes) > maxProbes || h.probes < 5 {
+		t.Errorf("%d probes in 201 s, %.0f at most", h.probes, maxProbes)
 	}
 	if h.verdicts[Served] != 1000 {
 		t.Errorf("%v", h.verdicts)
@@ -70,36 +70,37 @@
 func TestSubsetFollowsFullEndpointList(t *testing.T) {
 	h, c, list := newQuietInstance(t, 0)
 	now := h.run(c, 1_000*monotime.Second, 10, monotime.Second/5)
-	before, _, _ := h.pool.subsetSize()
-	var gone string
+	membersBefore, _, _ := h.pool.subsetSize()
+	var removed string
 	for name := range h.pool.byName {
-		gone = name
+		removed = name
 	}
-	fresh := EndpointInfo{Name: "s-new", Addr: "10.0.1.1:80", Zone: "a", Weight: 1}
-	leaves := EndpointInfo{Name: gone, State: balancer.Gone}
+	added := EndpointInfo{Name: "s-new", Addr: "10.0.1.1:80", Zone: "a", Weight: 1}
+	removal := EndpointInfo{Name: removed, State: balancer.Gone}
 	h.pool.UpdateEndpoints(now, EndpointUpdate{Kind: balancer.ListDelta, Generation: 2,
-		Endpoints: []EndpointInfo{leaves, fresh}})
-	after, listed, _ := h.pool.subsetSize()
-	if listed != 60 || h.pool.byName[gone] != nil || after < before-1 {
+		Endpoints: []EndpointInfo{removal, added}})
+	membersAfter, listed, _ := h.pool.subsetSize()
+	if listed != 60 || h.pool.byName[removed] != nil || membersAfter < membersBefore-1 {
 		t.Errorf("%d of %d members, %d before; the one that is gone is still a member: %v",
-			after, listed, before, h.pool.byName[gone] != nil)
+			membersAfter, listed, membersBefore, h.pool.byName[removed] != nil)
 	}
 	if got := h.pool.subset.endpoints["s-new"].StartedAt; got != now {
 		t.Errorf("what appeared counts as started at %d, want %d", got, now)
 	}
 	// Another full list does not make it older, and what was gone and comes back has just started.
-	full := append(append([]EndpointInfo{}, list...), fresh)
-	h.pool.UpdateEndpoints(now+monotime.Second, EndpointUpdate{Kind: balancer.ListFull, Generation: 3, Endpoints: full})
+	fullList := append(append([]EndpointInfo{}, list...), added)
+	h.pool.UpdateEndpoints(now+monotime.Second,
+		EndpointUpdate{Kind: balancer.ListFull, Generation: 3, Endpoints: fullList})
 	if got := h.pool.subset.endpoints["s-new"].StartedAt; got != now {
 		t.Errorf("after a full list it counts as started at %d, want %d", got, now)
 	}
-	if got := h.pool.subset.endpoints[gone].StartedAt; got != now+monotime.Second {
+	if got := h.pool.subset.endpoints[removed].StartedAt; got != now+monotime.Second {
 		t.Errorf("what came back counts as started at %d, want %d", got, now+monotime.Second)
 	}
 	h.pool.UpdateEndpoints(now+monotime.Second, EndpointUpdate{Kind: balancer.ListDelta, Generation: 4,
-		Endpoints: []EndpointInfo{leaves}})
-	if n := len(h.engine.Snapshot(now).Pools[0].Endpoints); n != len(list) {
-		t.Errorf("a snapshot with %d of the list", n)
+		Endpoints: []EndpointInfo{removal}})
+	if listLength := len(h.engine.Snapshot(now).Pools[0].Endpoints); listLength != len(list) {
+		t.Errorf("a snapshot with %d of the list", listLength)
 	}
 }
 
@@ -107,24 +108,24 @@
 func TestSubsetGrowsWithLoad(t *testing.T) {
 	h, c, _ := newQuietInstance(t, 0)
 	now := h.run(c, 1_000*monotime.Second, 50, monotime.Second/5)
-	before, _, _ := h.pool.subsetSize()
+	membersBefore, _, _ := h.pool.subsetSize()
 	h.attempts = map[string]int{}
 	now = h.run(c, now, 3000, monotime.Second/1500) // thirty in flight at 20 ms each
-	if members, _, _ := h.pool.subsetSize(); members < 2*before || len(h.attempts) < 2*before {
-		t.Errorf("%d members, %d endpoints used, %d members before", members, len(h.attempts), before)
+	if members, _, _ := h.pool.subsetSize(); members < 2*membersBefore || len(h.attempts) < 2*membersBefore {
+		t.Errorf("%d members, %d endpoints used, %d members before", members, len(h.attempts), membersBefore)
 	}
 	h.run(c, now, 300, monotime.Second/5)
-	if members, _, _ := h.pool.subsetSize(); members != before {
-		t.Errorf("%d members when it is quiet again, %d before", members, before)
+	if members, _, _ := h.pool.subsetSize(); members != membersBefore {
+		t.Errorf("%d members when it is quiet again, %d before", members, membersBefore)
 	}
 }
 
 // The engine's and the balancer's work for a request with a subset and without, at a thousand requests a second.
 func BenchmarkSubset(b *testing.B) {
-	four := &subset.Settings{Position: 77, Instances: 5000, MinMembers: 4, EndpointProbes: 2}
-	for name, part := range map[string]*subset.Settings{"all": nil, "four": four} {
+	fourMembers := &subset.Settings{Position: 77, Instances: 5000, MinMembers: 4, EndpointProbes: 2}
+	for name, subsetSettings := range map[string]*subset.Settings{"all": nil, "four": fourMembers} {
 		b.Run(name, func(b *testing.B) {
-			h, c, _ := newInstance(b, part)
+			h, c, _ := newInstance(b, subsetSettings)
 			now := h.run(c, 1_000*monotime.Second, 2000, 1000)
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/internal/engine/tenantlimits.go
+++ b/internal/engine/tenantlimits.go
@@ -10,8 +10,8 @@
 
 // SetTenantLimits changes the limits of tenants, by their index in the settings, in requests a second over all
 // instances. A tenant that had no limit at JoinFleet stays without.
-func (x *Engine) SetTenantLimits(limits []float64) {
-	f := x.fleet
+func (eng *Engine) SetTenantLimits(limits []float64) {
+	f := eng.fleet
 	if f == nil {
 		return
 	}
@@ -34,48 +34,48 @@
 // rejects the request if none is left. It reports whether it rejected the request. It comes before all other
 // admission decisions, so that a tenant over its limit takes no capacity from the others.
 func (p *Pool) rejectOverLimit(now monotime.Micros, c *Call) bool {
-	x := p.engine
-	f := x.fleet
+	eng := p.engine
+	f := eng.fleet
 	tenant := int(c.Request.Tenant)
 	if f == nil || tenant >= len(f.tenantBudgets) || f.tenantBudgets[tenant] == "" {
 		return false
 	}
 	budget := f.tenantBudgets[tenant]
 	f.member.RecordDemand(now, budget)
-	if x.spendQuota(now, budget) {
+	if eng.spendQuota(now, budget) {
 		return false
 	}
 	f.requestsOverLimit++
 	r := Response{Verdict: RateLimited, Reason: "its tenant asks for more than it may over all instances"}
-	if limits := &x.config.Site.Settings.Limits; limits.RetryAfter {
-		delay := minLimitRetryAfter + limitRetryAfterSpread*x.rng.Float64()
+	if limits := &eng.config.Site.Settings.Limits; limits.RetryAfter {
+		delay := minLimitRetryAfter + limitRetryAfterSpread*eng.rng.Float64()
 		r.RetryAfter = min(monotime.Micros(float64(monotime.Second)*delay), limits.MaxRetryAfter)
 	}
-	x.respond(c, r)
+	eng.respond(c, r)
 	return true
 }
 
 // Lease settings of the static division. No lease is requested; they only have to be valid.
 const (
 	staticLeaseInterval = monotime.Second
-	staticLeaseLength   = 4 * monotime.Second
+	staticLeaseDuration = 4 * monotime.Second
 )
 
 // divideLimitsStatically divides tenants' limits by the number of instances and the instance's position among them
 // (settings Balancers and Position) until a fleet is joined. The whole budget is reserve: each instance has its part of
 // it without a lease.
-func (x *Engine) divideLimitsStatically() {
-	if !slices.ContainsFunc(x.config.Site.TenantLimits, func(limit float64) bool { return limit > 0 }) {
+func (eng *Engine) divideLimitsStatically() {
+	if !slices.ContainsFunc(eng.config.Site.TenantLimits, func(limit float64) bool { return limit > 0 }) {
 		return
 	}
-	settings := &x.config.Site.Settings
-	err := x.JoinFleet(Coordination{
+	settings := &eng.config.Site.Settings
+	err := eng.JoinFleet(Coordination{
 		Settings: coordination.Settings{Quota: quota.Settings{
 			MaxInstances:    max(1, settings.Balancers),
 			Position:        settings.Position,
 			Reserve:         1,
 			RequestInterval: staticLeaseInterval,
-			LeaseDuration:   staticLeaseLength,
+			LeaseDuration:   staticLeaseDuration,
 		}},
 		Send:            func(string, coordination.Message) {},
 		NextIncarnation: func() uint64 { return 1 },
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -23,34 +23,34 @@
 func (t *timer) SetHeapIndex(index int) { t.heapIndex = index }
 
 // schedule has fire called once an instant has come.
-func (x *Engine) schedule(due monotime.Micros, fire func(now monotime.Micros)) *timer {
-	x.timerSequence++
-	t := &timer{due: due, sequence: x.timerSequence, fire: fire}
-	x.timers.Push(t)
+func (eng *Engine) schedule(due monotime.Micros, fire func(now monotime.Micros)) *timer {
+	eng.timerSequence++
+	t := &timer{due: due, sequence: eng.timerSequence, fire: fire}
+	eng.timers.Push(t)
 	return t
 }
 
 // cancelTimer removes a timer that is still pending, so that what it refers to can be freed. nil is allowed.
-func (x *Engine) cancelTimer(t *timer) {
+func (eng *Engine) cancelTimer(t *timer) {
 	if t.pending() {
-		x.timers.Remove(t.heapIndex)
+		eng.timers.Remove(t.heapIndex)
 	}
 }
 
 // Next returns the instant at which the next timer is due; ok is false if there is none.
-func (x *Engine) Next() (due monotime.Micros, ok bool) {
-	if x.timers.Len() == 0 {
+func (eng *Engine) Next() (due monotime.Micros, ok bool) {
+	if eng.timers.Len() == 0 {
 		return 0, false
 	}
-	return x.timers.First().due, true
+	return eng.timers.First().due, true
 }
 
 // Advance fires all timers that are due by an instant. The host calls it when the instant that Next returned has come,
 // and after each event.
-func (x *Engine) Advance(now monotime.Micros) {
-	x.now = now
-	for x.timers.Len() > 0 && x.timers.First().due <= now {
-		x.timers.Pop().fire(now)
+func (eng *Engine) Advance(now monotime.Micros) {
+	eng.now = now
+	for eng.timers.Len() > 0 && eng.timers.First().due <= now {
+		eng.timers.Pop().fire(now)
 	}
-	x.dispatchQueued(now)
+	eng.dispatchQueued(now)
 }
