--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -5,14 +5,15 @@
 	"dunlinsail/internal/monotime"
 )
 
-// actions carries out what the balancer of a pool decides (balancer.Actions).
+// actions implements balancer.Actions: it carries out the decisions of one pool's balancer.
 type actions struct {
 	*Engine
 	pool *Pool
 }
 
-// Send starts an attempt of a request at an endpoint. An attempt that must not be sent any more ends as NotSent: its
-// request has a response, its endpoint has gone, its deadline is over, or it has had all its attempts.
+// Send starts an attempt of a request at an endpoint. The attempt is not sent and ends as NotSent if the
+// endpoint is no longer listed, the request has its final response, the attempt's deadline has passed, or the
+// request has used up Limits.MaxAttempts. An unknown request ID is ignored.
 func (act actions) Send(id uint64, number uint32, timeout monotime.Micros) {
 	c := act.calls[id]
 	if c == nil {
@@ -38,7 +39,8 @@
 	act.config.Host.StartAttempt(a)
 }
 
-// newAttempt adds an attempt to a call. It ends by the request's deadline, and after a timeout unless that is 0.
+// newAttempt adds an attempt to a call. The attempt's deadline is the request's deadline or, with a positive
+// timeout, the end of that timeout if it is earlier.
 func (act actions) newAttempt(c *Call, e *Endpoint, timeout monotime.Micros) *Attempt {
 	a := &Attempt{
 		Call:      c,
@@ -57,7 +59,8 @@
 	return a
 }
 
-// Reject rejects a request: a retry by the client is harmless.
+// Reject responds to the client that its request is rejected, which means that retrying it is harmless. A
+// retryAfter of 0 gives no advice.
 func (act actions) Reject(id uint64, retryAfter monotime.Micros) {
 	c := act.calls[id]
 	if c == nil || c.finished {
@@ -72,14 +75,15 @@
 	act.respond(c, Response{Verdict: Rejected, RetryAfter: retryAfter, Result: c.lastResult})
 }
 
-// Fail responds to a client that its request failed.
+// Fail responds to the client that its request failed.
 func (act actions) Fail(id uint64) {
 	if c := act.calls[id]; c != nil && !c.finished {
 		act.failRequest(c)
 	}
 }
 
-// Cancel aborts an attempt. Its outcome is NotSent if nothing of it was written, and Cancelled otherwise.
+// Cancel aborts an attempt. The outcome is NotSent if no byte of the attempt was written, and Cancelled
+// otherwise.
 func (act actions) Cancel(id uint64, number int) {
 	c := act.calls[id]
 	if c == nil || number < 0 || number >= len(c.attempts) || c.attempts[number].done {
@@ -94,7 +98,7 @@
 	act.scheduleOutcome(a, status)
 }
 
-// SetTimer has the balancer's HandleTimer called with a token after a delay.
+// SetTimer schedules a call of the balancer's HandleTimer with a token after a delay.
 func (act actions) SetTimer(delay monotime.Micros, token uint32) {
 	act.schedule(act.now+delay, func(now monotime.Micros) {
 		if !act.pool.dissolved {
@@ -103,10 +107,10 @@
 	})
 }
 
-// Watch starts or stops the watch of the endpoint list.
+// Watch starts or stops the watch of the endpoint list at discovery.
 func (act actions) Watch(active bool) { act.pool.config.SetWatch(active) }
 
-// Log records a line for on-call staff.
+// Log records an informational message for on-call staff, with the name of the pool.
 func (act actions) Log(message string, args ...any) {
 	if act.pool.name != "" {
 		args = append(args, "pool", act.pool.name)
--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -6,18 +6,21 @@
 	"dunlinsail/internal/monotime"
 )
 
-// ConcurrencySettings bound how many requests may be open at once.
+// ConcurrencySettings limit the number of requests that may be open at once.
 type ConcurrencySettings struct {
-	MaxInFlight int                   // requests in flight in each pool; 0 is no bound. Not used with Adaptive
-	MaxOpen     int                   // requests in flight and queued, in all pools together; 0 is no bound
-	Adaptive    *concurrency.Settings // the bound of each pool is learned; the engine sets Classes and Seed
+	MaxInFlight int // limit of requests in flight in each pool; 0 is no limit. Ignored with Adaptive
+	MaxOpen     int // limit of requests queued and in flight in all pools together; 0 is no limit
+	// Adaptive makes each pool learn its limit of requests in flight; nil uses MaxInFlight. The engine sets
+	// Adaptive.Classes and Adaptive.Seed.
+	Adaptive *concurrency.Settings
 }
 
-// objectiveToServiceTime is the ratio of a class's latency objective to its expected service time until a request was
-// measured. The balancer's own initial estimate has the same ratio.
+// objectiveToServiceTime is the ratio of a class's latency objective to the service time that is assumed until
+// a request of the class has been measured. The balancer's own initial estimate uses the same ratio.
 const objectiveToServiceTime = 5
 
-// initConcurrency makes the pool's fair queue and, with ConcurrencySettings.Adaptive, its learned concurrency limit.
+// initConcurrency creates the pool's fair queue and, with ConcurrencySettings.Adaptive, its limiter that learns
+// the concurrency limit.
 func (p *Pool) initConcurrency(s ConcurrencySettings, seed uint64) error {
 	classes := p.engine.config.Site.Settings.Classes
 	expectedTimes := make([]monotime.Micros, len(classes))
@@ -43,10 +46,11 @@
 	return nil
 }
 
-// enqueue decides whether a new request is queued: not if its tenant is over its limit (rejectOverLimit), nor if
-// overload control sheds it (shed). The fair queue then rejects it, or admits it now or later (package fairqueue), by
-// the instant after which its answer is of no use: its deadline, or the end of its latency objective if its class
-// gives late answers no weight. dispatchQueued carries that decision out.
+// enqueue adds a new request to the pool's fair queue unless its tenant is over its limit (rejectOverLimit) or
+// overload control rejects it (shed). The queue (package fairqueue) admits it now or later, or rejects it if it
+// cannot be served before the instant from which its response is of no use: its deadline or, if late responses
+// have no weight in its class, the end of its latency objective. dispatchQueued carries out the queue's
+// decision.
 func (p *Pool) enqueue(now monotime.Micros, c *Call) {
 	if p.rejectOverLimit(now, c) || p.shed(now, c) {
 		return
@@ -65,7 +69,8 @@
 	p.engine.markDirty(p)
 }
 
-// markDirty notes that decisions of a pool's queue may have become due.
+// markDirty records that decisions of a pool's queue may have become due, so that dispatchQueued checks the
+// pool.
 func (eng *Engine) markDirty(p *Pool) {
 	if !p.dirty {
 		p.dirty = true
@@ -73,8 +78,9 @@
 	}
 }
 
-// dispatchQueued carries out all decisions of queues that are due. It is called once at the end of each event, and
-// never from within one: a decision may free a slot, and with that make further decisions due.
+// dispatchQueued carries out all due decisions of the queues of all pools. It is called once at the end of each
+// event, never while an event is being handled. It loops because a decision may free a slot, which can make
+// further decisions due.
 func (eng *Engine) dispatchQueued(now monotime.Micros) {
 	for len(eng.dirtyPools) > 0 {
 		last := len(eng.dirtyPools) - 1
@@ -85,7 +91,7 @@
 	}
 }
 
-// dispatchQueued carries out the due decisions of the pool's queue, at the concurrency limit in force.
+// dispatchQueued carries out the due decisions of the pool's queue, at the current concurrency limit.
 func (p *Pool) dispatchQueued(now monotime.Micros) {
 	eng := p.engine
 	if p.concurrency != nil {
@@ -115,8 +121,8 @@
 	p.balancer.HandleRequest(now, c.Request)
 }
 
-// scheduleQueue sets the timer for the instant from which a queued request cannot be answered in time any more, and
-// must be rejected.
+// scheduleQueue sets the timer for the earliest instant at which a queued request can no longer be served in
+// time and must be rejected.
 func (p *Pool) scheduleQueue() {
 	due := p.queue.NextExpiry()
 	if due == p.queueTimerDue {
@@ -135,12 +141,12 @@
 	})
 }
 
-// retryAfterJitterDivisor bounds the random part of a Retry-After: up to a half of it is added, so that clients that
+// retryAfterJitterDivisor limits the random addition to a Retry-After to one half of it, so that clients that
 // were rejected at the same time do not retry at the same time.
 const retryAfterJitterDivisor = 2
 
-// rejection returns the response to a request that the queue rejects. Its Retry-After is the queue's estimate of when
-// there is capacity, with jitter, and at most Limits.MaxRetryAfter.
+// rejection returns the response to a request that the queue rejects. Its Retry-After is the queue's estimate
+// of the time until capacity is available, with jitter, and at most Limits.MaxRetryAfter.
 func (eng *Engine) rejection(decision fairqueue.Decision) Response {
 	r := Response{Verdict: Rejected, Reason: decision.Reason.String()}
 	if decision.Reason == fairqueue.ClientOverRate {
@@ -154,13 +160,14 @@
 	return r
 }
 
-// minQueueTime is the time from a request's arrival to its admission from which it counts as queued. Less than that
-// passes between frontend and engine without any queue.
+// minQueueTime is the minimum time from a request's arrival to its admission that counts as queueing. A request
+// takes up to this time from the frontend to the engine even if the queue is empty.
 const minQueueTime = monotime.Millisecond
 
-// observeServiceTime learns from the time that a served request was in flight: the queue its class's service time,
-// and the concurrency limiter whether the limit can grow. limited is set if the limit kept a request waiting
-// meanwhile. A time in which this process has stalled is not known, and is left out.
+// observeServiceTime updates learned estimates from the time that a served request was in flight: the queue's
+// service time of its class, and the concurrency limit. limitReached is set if other requests are queued or
+// this one was, so that the limit may be too low. A request during which this process stalled is skipped, since
+// its service time is unknown.
 func (p *Pool) observeServiceTime(now monotime.Micros, c *Call) {
 	serviceTime := now - c.admittedAt
 	if p.engine.stalls.Within(c.admittedAt, now) > 0 {
@@ -176,8 +183,9 @@
 	p.concurrency.AddSample(now, class, serviceTime, c.inFlightAtAdmission, limitReached)
 }
 
-// Counts returns how many of the pool's requests are queued and in flight, and the learned limit of those in flight,
-// lowered while a measurement runs; 0 if the limit is not learned.
+// Counts returns the number of the pool's requests that are queued and in flight, and the learned limit of
+// requests in flight, which is lowered while the limiter runs a measurement. The limit is 0 if it is not
+// learned.
 func (p *Pool) Counts() (queued, inFlight, maxInFlight int) {
 	queued, inFlight = p.queue.Counts()
 	if p.concurrency != nil {
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -5,21 +5,22 @@
 	"dunlinsail/internal/monotime"
 )
 
-// startDeadlineTimer has an attempt end at its deadline.
+// startDeadlineTimer sets the timer that ends an attempt at its deadline.
 func (eng *Engine) startDeadlineTimer(a *Attempt) {
 	a.deadlineTimer = eng.schedule(a.Deadline, func(now monotime.Micros) { eng.expireAttempt(now, a) })
 }
 
-// scheduleOutcome records an outcome as the next event of the present instant: not from within the balancer.
+// scheduleOutcome records an outcome in a separate event at the current instant, because the balancer must not
+// receive an outcome while it is making a decision.
 func (eng *Engine) scheduleOutcome(a *Attempt, status balancer.Status) {
 	eng.schedule(eng.now, func(now monotime.Micros) {
 		eng.recordOutcome(now, a, AttemptResult{Status: status, ObservedAt: now})
 	})
 }
 
-// recordOutcome passes the outcome of an attempt to all that learn from it, and to the balancer last, which may start
-// the next attempt. The first complete response of an endpoint is the client's. An attempt that has an outcome already
-// gets no other one.
+// recordOutcome passes the outcome of an attempt to all parts of the pool that use it. The balancer gets it
+// last, since it may start the next attempt. The first successful response of an endpoint becomes the client's
+// final response. An outcome of an attempt that already has one is ignored.
 func (eng *Engine) recordOutcome(now monotime.Micros, a *Attempt, r AttemptResult) {
 	if a.done {
 		return
@@ -60,7 +61,8 @@
 	})
 }
 
-// observeOutcome passes the outcome of an attempt to all parts of the pool that learn from it, but for the balancer.
+// observeOutcome passes the outcome of an attempt to the parts of the pool that keep estimates from it, except
+// the balancer.
 func (p *Pool) observeOutcome(now monotime.Micros, a *Attempt, r AttemptResult, latency monotime.Micros) {
 	p.observeEndpointHealth(now, a.Endpoint, r.Status, latency)
 	p.observeOpenAttempts(now, -1)
@@ -69,14 +71,15 @@
 	p.observeAttempt(now, a, r, latency)
 }
 
-// attemptLatency returns the time from when the request was sent, or else from the attempt's start, to its result.
+// attemptLatency returns the time from when the request was sent, or from the attempt's start if that is
+// unknown, to the attempt's result.
 func attemptLatency(a *Attempt, r *AttemptResult) monotime.Micros {
 	return max(0, r.ObservedAt-max(a.StartedAt, r.SentAt))
 }
 
-// expireAttempt decides on the outcome of an attempt whose deadline is over: Timeout if a part of it was written. If
-// nothing was, it is ConnectFailed after at least Limits.DialTimeout, and NotSent before, since a dial with less time
-// is no evidence against the endpoint.
+// expireAttempt ends an attempt whose deadline has passed. The outcome is Timeout if any byte of the attempt
+// was written. Otherwise it is ConnectFailed if the attempt lasted at least Limits.DialTimeout, not counting
+// stalls, and NotSent if it was shorter, since a dial that had less time is no evidence against the endpoint.
 func (eng *Engine) expireAttempt(now monotime.Micros, a *Attempt) {
 	if a.done {
 		return
@@ -94,9 +97,9 @@
 	eng.recordOutcome(now, a, AttemptResult{Status: status, ObservedAt: now})
 }
 
-// startResponse gives a response that has started to the client, if the request has none yet, and reports whether it
-// did. The request no longer counts as in flight: the rest of the response is transfer, which takes no processor
-// time.
+// startResponse makes a response that has started the client's final response, unless the request already has
+// one, and reports whether it did. The request no longer counts as in flight: only the transfer of the response
+// is left, which takes no processor time.
 func (eng *Engine) startResponse(now monotime.Micros, a *Attempt, r AttemptResult) bool {
 	c := a.Call
 	if a.done || c.finished {
@@ -104,7 +107,7 @@
 	}
 	eng.cancelTimer(a.deadlineTimer)
 	p := c.Pool
-	p.balancer.HandleHeaders(now, c.Request.ID, a.Number, attemptLatency(a, &r)) // ends the other attempts
+	p.balancer.HandleHeaders(now, c.Request.ID, a.Number, attemptLatency(a, &r)) // cancels the other attempts
 	p.observeServiceTime(now, c)
 	eng.respond(c, Response{Verdict: Served, Result: &r, Endpoint: a.Endpoint.Name})
 	p.queue.Done(now, c.Request.ID)
@@ -112,7 +115,7 @@
 	return true
 }
 
-// failRequest responds that a request failed, with the latest response that an endpoint gave.
+// failRequest responds that a request failed or timed out, with the latest response that an endpoint gave.
 func (eng *Engine) failRequest(c *Call) {
 	verdict := Failed
 	if c.lastTimedOut {
@@ -121,7 +124,7 @@
 	eng.respond(c, Response{Verdict: verdict, Result: c.lastResult})
 }
 
-// respond gives a request its one final response, after which no attempt of it is started.
+// respond gives a request its final response. No attempt of the request starts after it.
 func (eng *Engine) respond(c *Call, r Response) {
 	r.Attempts = len(c.attempts)
 	r.QueueTime = eng.now - c.ArrivedAt
@@ -132,8 +135,9 @@
 	eng.finishRequest(c)
 }
 
-// finishRequest marks a request as finished and cancels attempts of which nothing has been written, also where
-// Limits.Cancel is not set: that forbids only to cancel attempts that an endpoint may have received.
+// finishRequest marks a request as finished and cancels its attempts of which nothing has been written. It does
+// so even if Limits.Cancel is not set, because that setting only forbids cancelling attempts that an endpoint
+// may have received.
 func (eng *Engine) finishRequest(c *Call) {
 	c.finished = true
 	for _, a := range c.attempts {
@@ -144,7 +148,7 @@
 	eng.removeFinished(c)
 }
 
-// removeFinished removes a finished request from the table once all its attempts have outcomes.
+// removeFinished removes a finished request from the request table once all its attempts have outcomes.
 func (eng *Engine) removeFinished(c *Call) {
 	if !c.finished || c.openAttempts != 0 || eng.calls[c.Request.ID] != c {
 		return
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -8,76 +8,83 @@
 // AttemptResult is the outcome of an attempt or a probe.
 type AttemptResult struct {
 	Status     balancer.Status
-	ObservedAt monotime.Micros // when the host knew it
-	SentAt     monotime.Micros // when the last byte of the request was written: latency counts from it; 0 is StartedAt
-	Load       []float32       // the endpoint's load report, in the order of the settings; nil is none
+	ObservedAt monotime.Micros // when the host observed the outcome
+	// SentAt is when the last byte of the request was written. Latency counts from SentAt, or from
+	// Attempt.StartedAt if SentAt is 0.
+	SentAt monotime.Micros
+	Load   []float32 // the endpoint's load report, in the order of Settings.LoadMetrics; nil if there is none
 
-	// Response is the host's form of what the endpoint answered. It may be nil where Status is not OK.
+	// Response is the endpoint's response in the host's representation. It may be nil if Status is not OK.
 	Response any
 }
 
-// Verdict is how a request ended for its client.
+// Verdict is the result of a request as its client sees it.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts of requests.
 const (
 	Served      Verdict = iota
-	Rejected            // a retry is harmless: nothing of it ran, or running it again has no second effect
-	RateLimited         // as Rejected, because its client or tenant is over its rate limit
-	Failed              // the request may have had an effect
-	TimedOut            // as Failed, and the last attempt timed out
-	DuplicateID         // not accepted: another request with this ID is open
+	Rejected            // a retry is harmless: no endpoint executed the request, or repeating it has no further effect
+	RateLimited         // rejected because its client or tenant is over its rate limit; a retry is harmless
+	Failed              // the request failed and may have had an effect
+	TimedOut            // the request failed with a timeout of its last attempt, and may have had an effect
+	DuplicateID         // not accepted: the client has another open request with this ID
 )
 
 // Response is the final response to a request.
 type Response struct {
 	Verdict    Verdict
-	RetryAfter monotime.Micros // of Rejected and RateLimited: after which to retry; 0 is no advice
-	Reason     string          // of Rejected and RateLimited, for people; may be empty
-	Result     *AttemptResult  // of Served; otherwise the latest that carried an endpoint's response, or nil
+	RetryAfter monotime.Micros // with Rejected and RateLimited: delay before a retry; 0 is no advice
+	Reason     string          // with Rejected and RateLimited: human-readable reason; may be empty
+	// Result is the result that is served with Served. With other verdicts it is the latest result that carries
+	// an endpoint's response, or nil.
+	Result *AttemptResult
 
-	Attempts  int             // how many were started
-	QueueTime monotime.Micros // time in the queue before the request went to the balancer
-	Endpoint  string          // the name of the endpoint that served it; empty is none
+	Attempts  int             // number of attempts started
+	QueueTime monotime.Micros // time in the queue before the request was admitted
+	Endpoint  string          // name of the endpoint that served the request; empty if none did
 }
 
-// Call is a client's request on its way through the engine. The exported fields are set before Engine.Submit.
+// Call is a client's request while the engine handles it. The exported fields are set before Engine.Submit.
 type Call struct {
 	Client    *Client
-	Pool      *Pool            // the pool of endpoints that may serve it
-	ID        string           // the client's ID of the request, unique among its open requests
-	Request   balancer.Request // the engine sets its ID and QueueTime
-	ArrivedAt monotime.Micros  // when the request was received completely
-	HostData  any              // for the host's use
+	Pool      *Pool            // pool of endpoints that may serve the request
+	ID        string           // request ID chosen by the client, unique among its open requests
+	Request   balancer.Request // the engine sets Request.ID and Request.QueueTime
+	ArrivedAt monotime.Micros  // when the request had been received completely
+	HostData  any              // reserved for the host; the engine does not use it
 
-	// NotReplayable reports whether a part of the request was sent that cannot be sent again: the request then gets no
-	// retry. nil is never.
+	// NotReplayable reports whether the host has already sent a part of the request that it cannot send again;
+	// the request then gets no retry. nil means that the request can always be sent again.
 	NotReplayable func() bool
 
-	admittedAt          monotime.Micros // when it went to the balancer; 0 before
-	inFlightAtAdmission int             // requests in flight then, itself included
+	admittedAt          monotime.Micros // when the queue admitted the request; 0 before that
+	inFlightAtAdmission int             // requests in flight in the pool at admission, including this one
 	attempts            []*Attempt
 	openAttempts        int            // attempts without an outcome
-	finished            bool           // it has its final response, or its client has gone
-	lastTimedOut        bool           // the latest outcome was a timeout
-	lastResult          *AttemptResult // the latest that carried an endpoint's response
+	finished            bool           // the request has its final response, or its client has disconnected
+	lastTimedOut        bool           // the latest outcome of an attempt was a timeout
+	lastResult          *AttemptResult // latest result that carried an endpoint's response; nil if none did
 }
 
-// Attempt is one send of a request to an endpoint. The balancer gets exactly one outcome of it, whatever the host
-// reports.
+// Attempt is one sending of a request to an endpoint. The balancer gets exactly one outcome for each attempt,
+// even if the host reports none or several.
 type Attempt struct {
 	Call       *Call
-	Number     int // among the call's attempts, from 0; those after the first are retries
+	Number     int // index among the call's attempts, from 0; later attempts are retries or hedged requests
 	Endpoint   *Endpoint
 	StartedAt  monotime.Micros
-	Deadline   monotime.Micros // the attempt is abandoned at this instant
-	SendBefore monotime.Micros // the first byte must be written before this instant; 0 is no such bound
-	HostData   any             // for the host's use
+	Deadline   monotime.Micros // instant at which the attempt is abandoned
+	SendBefore monotime.Micros // the first byte must be written before this instant; 0 is no limit
+	HostData   any             // reserved for the host; the engine does not use it
 
 	deadlineTimer *timer
-	timeoutAt     monotime.Micros // end of its own timeout, before any stall of this process; 0 is no timeout
-	done          bool            // the balancer has the outcome
+	// timeoutAt is the end of the attempt's own timeout, not extended by stalls of this process; 0 is no
+	// timeout.
+	timeoutAt monotime.Micros
+	done      bool // the outcome is recorded
 }
 
-// Done reports whether the balancer has the attempt's outcome: what the host still receives for it is dropped.
+// Done reports whether the attempt's outcome is recorded. The host drops any data that arrives for the attempt
+// afterwards.
 func (a *Attempt) Done() bool { return a.done }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -2,11 +2,11 @@
 
 import "dunlinsail/internal/decide/fairqueue"
 
-// Client is a source of requests. Its requests share one account of the fair queue, and their IDs must differ while
-// they are open. It belongs to one engine, and is not safe for concurrent use.
+// Client is a source of requests. Its requests share one account of the fair queue, and the IDs of its open
+// requests must be distinct. A client belongs to one engine, and is not safe for concurrent use.
 type Client struct {
 	account   *fairqueue.Client
-	openCalls map[string]*Call // by the client's request ID; owned by the engine
+	openCalls map[string]*Call // by the request ID that the client chose; maintained by the engine
 }
 
 // NewClient returns a client, or an error if the spec is invalid.
@@ -18,8 +18,9 @@
 	return &Client{account: account, openCalls: map[string]*Call{}}, nil
 }
 
-// OpenCalls returns how many of the client's calls are in the request table.
+// OpenCalls returns the number of the client's calls in the request table.
 func (c *Client) OpenCalls() int { return len(c.openCalls) }
 
-// SetSpec changes a client's spec, or returns an error if that is invalid. Open requests are not affected.
+// SetSpec changes the client's spec, or returns an error if the new spec is invalid. Open requests are not
+// affected.
 func (c *Client) SetSpec(spec fairqueue.ClientSpec) error { return c.account.Update(spec) }
--- a/internal/engine/coordination.go
+++ b/internal/engine/coordination.go
@@ -11,45 +11,49 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Coordination is what an engine needs to decide together with the other instances of its fleet.
+// Coordination configures how an engine coordinates its decisions with the other instances of its fleet.
 type Coordination struct {
 	Settings coordination.Settings
 	Scope    CoordinationScope
 
-	// Send sends a gossip message to an instance. It must not block, and must not call the engine.
+	// Send sends a gossip message to another instance. It must not block, and must not call the engine.
 	Send func(to string, message coordination.Message)
-	// NextIncarnation returns a number that no other process of the instance's name ever had, a new one at each call.
+	// NextIncarnation returns a new incarnation number at each call. No earlier process with the name of this
+	// instance may have had the same number.
 	NextIncarnation func() uint64
 }
 
-// CoordinationScope is what is decided together with the other instances.
+// CoordinationScope selects the decisions that are coordinated between the instances of a fleet.
 type CoordinationScope struct {
-	Retries            bool // retries beyond the instance's own reserve have a fleet budget. Needs overload control
-	Probes             bool // probes beyond the instance's own reserve have a fleet budget. Needs overload control
-	TenantLimits       bool // has no effect: tenants' limits are coordinated wherever the settings have them
-	OverloadLevel      bool // the admission level under overload
-	SuspectedEndpoints bool // which endpoints to avoid, by the failures that all instances have observed
+	Retries            bool // retries beyond the instance's own reserve use a fleet budget. Needs overload control
+	Probes             bool // probes beyond the instance's own reserve use a fleet budget. Needs overload control
+	TenantLimits       bool // has no effect: tenant limits are coordinated whenever they are configured
+	OverloadLevel      bool // instances share their overload levels, which determine the admitted share of requests
+	SuspectedEndpoints bool // endpoints are avoided because of failures observed across all instances
 }
 
-// fleetCoordinator is an engine's part in its fleet.
+// fleetCoordinator is the state with which an engine takes part in its fleet, or divides tenant limits
+// statically without a fleet.
 type fleetCoordinator struct {
 	Coordination
 	member            *coordination.Member
 	localObservations observations.Local
-	timer             *timer                 // for the member's next tick
-	suspicions        map[suspectKey]float64 // probability, 0 to 1, with which an endpoint is avoided for a class
-	tenantBudgets     []string               // budget names by tenant; empty is a tenant without a limit
-	requestsOverLimit uint64                 // requests rejected by their tenant's limit so far
+	timer             *timer                 // timer of the member's next tick
+	suspicions        map[suspectKey]float64 // probability, 0 to 1, with which requests of a class avoid an endpoint
+	tenantBudgets     []string               // budget name of each tenant; empty for a tenant without a limit
+	requestsOverLimit uint64                 // total number of requests rejected because of their tenant's limit
 }
 
-// suspectKey is a class of requests at an endpoint, by the endpoint's name among instances (Pool.observationKey).
+// suspectKey identifies an endpoint, by the name that instances use among one another (Pool.observationKey),
+// and a request class.
 type suspectKey struct {
 	endpoint string
 	class    int
 }
 
-// JoinFleet has the engine decide together with its fleet once StartCoordination or a Restore has begun that. It
-// returns an error for invalid settings. It must be called before the first pool is made.
+// JoinFleet configures the engine to coordinate with its fleet. Coordination itself starts with
+// StartCoordination or Restore. JoinFleet returns an error for invalid settings. It must be called before the
+// first pool is created.
 func (eng *Engine) JoinFleet(c Coordination) error {
 	member, err := coordination.New(c.Settings)
 	if err != nil {
@@ -68,8 +72,9 @@
 	return nil
 }
 
-// StartCoordination starts the engine's part in its fleet, as an instance without a predecessor. It does nothing if
-// that has started, or without a fleet and tenants' limits: those need it for their static division, too.
+// StartCoordination starts coordination for an instance without a predecessor. It does nothing if coordination
+// has already started, or if the engine has neither a fleet nor tenant limits. Tenant limits need it even
+// without a fleet, for their static division.
 func (eng *Engine) StartCoordination(now monotime.Micros) {
 	f := eng.fleet
 	if f == nil || f.member.Active() {
@@ -80,7 +85,7 @@
 	eng.syncCoordinator(now)
 }
 
-// ReceiveFleetMessage handles a gossip message of another instance.
+// ReceiveFleetMessage handles a gossip message from another instance.
 func (eng *Engine) ReceiveFleetMessage(now monotime.Micros, from string, message coordination.Message) {
 	f := eng.fleet
 	if f == nil {
@@ -92,8 +97,8 @@
 	eng.dispatchQueued(now)
 }
 
-// HandOverCoordination ends the engine's part in its fleet in favour of a successor, and returns the state for that;
-// nil if there is none to hand over.
+// HandOverCoordination ends the engine's coordination so that a successor can continue it, and returns the
+// state that the successor needs; nil if coordination is not active.
 func (eng *Engine) HandOverCoordination(now monotime.Micros) *quota.State {
 	f := eng.fleet
 	if f == nil || !f.member.Active() {
@@ -105,8 +110,9 @@
 	return state
 }
 
-// RestoreCoordination takes over the part of a predecessor that handed it over an age ago. It does nothing if the
-// engine's own part has started.
+// RestoreCoordination continues the coordination of a predecessor from the state that it handed over, where age
+// is the time since that handover. It does nothing if this engine's coordination has already started, or if
+// state is nil.
 func (eng *Engine) RestoreCoordination(now, age monotime.Micros, state *quota.State) {
 	f := eng.fleet
 	if f == nil || state == nil || f.member.Active() {
@@ -117,7 +123,8 @@
 	eng.syncCoordinator(now)
 }
 
-// FleetView returns what is known of the fleet; ok is false without a fleet and without tenants' limits.
+// FleetView returns what this instance knows of the fleet. ok is false if the engine has neither a fleet nor
+// tenant limits.
 func (eng *Engine) FleetView(now monotime.Micros) (view coordination.View, ok bool) {
 	if eng.fleet == nil {
 		return view, false
@@ -125,8 +132,9 @@
 	return eng.fleet.member.View(now), true
 }
 
-// syncCoordinator carries out what the fleet member has decided: it sends its messages, applies new observations and
-// sets the timer for its next tick. It is called after each event of the member.
+// syncCoordinator carries out what the fleet member has decided: it sends the outgoing messages, applies a
+// changed aggregate of observations and sets the timer for the next tick. It is called after each event of the
+// member.
 func (eng *Engine) syncCoordinator(now monotime.Micros) {
 	f := eng.fleet
 	for _, outgoing := range f.member.TakeOutgoing() {
@@ -148,10 +156,12 @@
 	}
 }
 
-// maxObservedCounts is the maximum of outcome counts in a gossip message, which must fit into one datagram.
+// maxObservedCounts is the maximum number of outcome counts in a gossip message. The message must fit into one
+// datagram.
 const maxObservedCounts = 32
 
-// observe returns what this instance has observed, for the others, and updates the budgets that its requests earn.
+// observe returns the observations of this instance that the other instances need, and updates the retry and
+// probe budgets of its pools.
 func (eng *Engine) observe(now monotime.Micros) (local observations.Observations) {
 	f := eng.fleet
 	for _, p := range eng.pools {
@@ -182,8 +192,8 @@
 	return local
 }
 
-// applyObservations applies the observations of all instances: the overload level of each pool, and which endpoints are
-// suspected.
+// applyObservations applies the aggregate of all instances' observations: the overload level of each pool, and
+// the suspected endpoints.
 func (eng *Engine) applyObservations(now monotime.Micros, aggregate *observations.Aggregate) {
 	f := eng.fleet
 	suspicions := map[suspectKey]float64{}
@@ -199,7 +209,8 @@
 	f.suspicions = suspicions
 }
 
-// applyLevels passes the overload levels of the other instances to the pool's overload control.
+// applyLevels passes the overload levels that the other instances reported for the pool to the pool's overload
+// control.
 func (p *Pool) applyLevels(now monotime.Micros, levels []observations.OverloadLevel) {
 	for _, level := range levels {
 		if level.EndpointSet == p.name {
@@ -210,11 +221,11 @@
 	p.refreshBounds(now)
 }
 
-// applySuspicions passes each suspicion that has changed to the balancer: the probability, 0 to 1, with which it leaves
-// an endpoint out for a class.
+// applySuspicions passes each suspicion whose probability has changed to the balancer. The probability, 0 to 1,
+// is that with which a request of the class excludes the endpoint.
 func (p *Pool) applySuspicions(now monotime.Micros, suspicions map[suspectKey]float64) {
 	f := p.engine.fleet
-	for _, name := range slices.Sorted(maps.Keys(p.byName)) { // sorted: random draws must not depend on map order
+	for _, name := range slices.Sorted(maps.Keys(p.byName)) { // sorted, so that random draws do not depend on map order
 		e := p.byName[name]
 		for class := range p.engine.config.Site.Settings.Classes {
 			key := suspectKey{p.observationKey(name), class}
@@ -225,7 +236,7 @@
 	}
 }
 
-// observationKey is the name that instances use among one another for an endpoint of the pool.
+// observationKey returns the name that instances use among one another for an endpoint of the pool.
 func (p *Pool) observationKey(endpoint string) string {
 	if p.name == "" {
 		return endpoint
@@ -233,8 +244,9 @@
 	return p.name + "/" + endpoint
 }
 
-// recordObservation counts the outcome of an attempt at an endpoint, for the other instances. An attempt that this
-// instance ended, or never sent, is no evidence.
+// recordObservation counts the outcome of an attempt at an endpoint, to be reported to the other instances. An
+// attempt that this instance cancelled or never sent is not counted, since it is no evidence about the
+// endpoint.
 func (p *Pool) recordObservation(now monotime.Micros, a *Attempt, status balancer.Status) {
 	f := p.engine.fleet
 	if f == nil || !f.Scope.SuspectedEndpoints {
--- a/internal/engine/coordination_test.go
+++ b/internal/engine/coordination_test.go
@@ -10,8 +10,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Without a fleet a tenant's limit is divided by number and position of instances. A request beyond it is rejected at
-// once, with a time to retry.
+// Without a fleet, a tenant's limit is divided according to the number of instances and the position of this
+// one. A request over the limit is rejected at once, with a Retry-After.
 func TestTenantLimitIsDividedStatically(t *testing.T) {
 	for position, want := range []int{4, 3, 3} {
 		engine, p, h := newEngine(t, tenantSite(10, 3, position), nil, nil)
@@ -40,7 +40,7 @@
 	}
 }
 
-// A tenant's quota is spent by its requests; once it is handed over, only the successor spends it.
+// A tenant's requests spend its quota. After a handover only the successor can spend it.
 func TestTenantQuotaIsSpentAndHandedOver(t *testing.T) {
 	engine, p, h := newEngine(t, tenantSite(10, 1, 0), &CoordinationScope{TenantLimits: true}, nil)
 	now := 20 * monotime.Second
@@ -71,12 +71,12 @@
 	}
 }
 
-// An endpoint that is suspected of failing a class is avoided for that class, and not for another, as long as it is in
-// the observations of all instances.
+// An endpoint that the aggregated observations report as suspected for one class is avoided for that class
+// only, and only as long as the observations report it.
 func TestSuspectedEndpointIsAvoidedForItsClass(t *testing.T) {
 	engine, p, h := newEngine(t, tenantSite(0, 100, 0), &CoordinationScope{SuspectedEndpoints: true}, nil)
 	now := 5 * monotime.Second
-	engine.HandOverCoordination(now) // it gets no observations but this test's
+	engine.HandOverCoordination(now) // the engine then gets only the observations of this test
 	advanceTo(engine, now)
 	shareOfE1 := func(class uint8) float64 {
 		total, atE1 := 0, 0
@@ -97,7 +97,8 @@
 		{Endpoint: "e1", Class: 1, AvoidProbability: 0.95},
 		{Endpoint: "gone", Class: 0, AvoidProbability: 1},
 	}})
-	// Without probes the endpoint that seems fastest gets most requests, whichever that is.
+	// Without probes, most requests go to one endpoint, the one whose estimated latency is lowest, which may be
+	// any.
 	if suspected, otherClass := shareOfE1(1), shareOfE1(0); suspected > 0.04 || otherClass < 0.06 {
 		t.Errorf("%.2f go to the suspected endpoint, %.2f before, %.2f of the other class",
 			suspected, before, otherClass)
@@ -108,7 +109,7 @@
 	}
 }
 
-// In a fleet, retries beyond the instance's own reserve spend its quota.
+// In a fleet, retries beyond the instance's own reserve spend the fleet's quota.
 func TestRetriesSpendFleetQuota(t *testing.T) {
 	overloadSettings := overload.DefaultSettings()
 	overloadSettings.Instances = 1
@@ -123,7 +124,7 @@
 				retries++
 			}
 			status := balancer.OK
-			if now/20_000%10 == 0 && a.Number == 0 { // one in ten fails once
+			if now/20_000%10 == 0 && a.Number == 0 { // the first attempt of one request in ten fails
 				status = balancer.Error
 			}
 			engine.AttemptEnded(now, a, AttemptResult{Status: status, ObservedAt: now})
@@ -138,7 +139,8 @@
 	}
 }
 
-// The engine's work for a request without and with a fleet. The process around it adds many times that.
+// Measures the time per request in the engine, without and with coordination in a fleet. The rest of the
+// process takes many times as long per request.
 func BenchmarkCoordination(b *testing.B) {
 	fullScope := CoordinationScope{Retries: true, Probes: true, TenantLimits: true, OverloadLevel: true,
 		SuspectedEndpoints: true}
--- a/internal/engine/cordon.go
+++ b/internal/engine/cordon.go
@@ -6,10 +6,11 @@
 	"dunlinsail/internal/monotime"
 )
 
-// SetCordon cordons an endpoint in all pools that list it: it gets no new requests. With cordoned false it uncordons
-// it: it starts a warm-up, unless the maintenance plan excludes it still. The instant at is on the clock of cordons,
-// which all processes that exchange them share. It returns the record of the change; known is false, and nothing is
-// changed, for a name that no pool lists and that is not cordoned.
+// SetCordon cordons an endpoint in all pools that list it, so that it gets no new requests, or uncordons it if
+// cordoned is false. An uncordoned endpoint starts a warm-up unless the maintenance plan still excludes it.
+// setAt is the instant of the change on the clock of cordon records, which all processes that exchange cordons
+// share. SetCordon returns the record of the change. known is false, and nothing changes, if no pool lists the
+// name and it is not cordoned.
 func (eng *Engine) SetCordon(now monotime.Micros, name string, cordoned bool, setAt monotime.Micros) (
 	record cordon.Record, known bool) {
 	for _, p := range eng.pools {
@@ -23,8 +24,8 @@
 	return record, true
 }
 
-// ReceiveCordon applies a record of a cordon that was set here or in another process. One that is not newer than the
-// latest of its endpoint changes nothing.
+// ReceiveCordon applies a cordon record of this process or of another one. A record that is not newer than the
+// latest record of the same endpoint is ignored.
 func (eng *Engine) ReceiveCordon(now monotime.Micros, record cordon.Record) {
 	eng.now = now
 	if !eng.cordons.Apply(record) {
@@ -40,11 +41,11 @@
 	eng.dispatchQueued(now)
 }
 
-// Cordons returns all records of cordons, for another process that has to have the same.
+// Cordons returns all cordon records, so that another process can apply them.
 func (eng *Engine) Cordons() []cordon.Record { return eng.cordons.Records() }
 
-// setExcluded decides whether an endpoint gets new requests: the balancer picks an excluded one no more, and attempts
-// that wait for a connection to it are not sent (Endpoint.MaySend).
+// setExcluded excludes an endpoint from new requests or admits it again. The balancer does not pick an excluded
+// endpoint, and attempts that still wait for a connection to it are not sent (Endpoint.MaySend).
 func (p *Pool) setExcluded(now monotime.Micros, e *Endpoint, excluded bool) {
 	if e.excluded == excluded {
 		return
@@ -58,7 +59,7 @@
 	p.balancer.SetCordon(now, e.Number, excluded)
 }
 
-// listsEndpoint reports whether the pool's endpoint list has a name.
+// listsEndpoint reports whether the pool's full endpoint list contains a name.
 func (p *Pool) listsEndpoint(name string) bool {
 	if p.subset != nil {
 		_, listed := p.subset.endpoints[name]
--- a/internal/engine/cordon_test.go
+++ b/internal/engine/cordon_test.go
@@ -10,7 +10,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// cordonRun is an instance whose endpoints are cordoned and changed at random.
+// cordonRun is a test run in which an instance's endpoints are cordoned and changed at random.
 type cordonRun struct {
 	seed       uint64
 	rng        *rand.Rand
@@ -20,17 +20,17 @@
 	now        monotime.Micros
 	generation int64
 	cordoned   map[string]bool
-	records    []cordon.Record // all that were set
+	records    []cordon.Record // all cordon records that SetCordon returned
 }
 
-// updateList passes the endpoint list to the engine.
+// updateList passes the current endpoint list to the engine, with the next generation.
 func (r *cordonRun) updateList() {
 	r.generation++
 	update := EndpointUpdate{Kind: balancer.ListFull, Generation: r.generation, Endpoints: r.endpoints}
 	r.host.pool.UpdateEndpoints(r.now, update)
 }
 
-// setRandomCordon cordons an endpoint, or lets it back in.
+// setRandomCordon cordons an endpoint with probability 2/3, and uncordons it otherwise.
 func (r *cordonRun) setRandomCordon(t *testing.T, name string) {
 	t.Helper()
 	cordoned := r.rng.IntN(3) > 0
@@ -44,7 +44,7 @@
 	}
 }
 
-// replaceEngine has another engine take over from a snapshot.
+// replaceEngine replaces the engine with a new one that restores a snapshot of it.
 func (r *cordonRun) replaceEngine(t *testing.T) {
 	t.Helper()
 	snapshot := r.host.engine.Snapshot(r.now)
@@ -54,7 +54,7 @@
 	r.host.engine.Restore(r.now, 0, snapshot)
 }
 
-// step makes one change at random.
+// changeAtRandom makes one random change to the cordons, the endpoint list or the engine.
 func (r *cordonRun) changeAtRandom(t *testing.T) {
 	t.Helper()
 	i := r.rng.IntN(len(r.endpoints))
@@ -68,7 +68,7 @@
 		r.endpoints[i].Addr = fmt.Sprintf("10.1.0.%d:80", r.rng.IntN(200))
 		r.endpoints[i].State = balancer.Ready
 		r.updateList()
-	case 4: // old cordons, once more
+	case 4: // deliver all cordon records again
 		for _, record := range r.records {
 			r.host.engine.ReceiveCordon(r.now, record)
 		}
@@ -79,7 +79,8 @@
 	}
 }
 
-// check submits requests, and fails if one goes to a cordoned endpoint.
+// checkNoAttempts submits requests, and fails the test if a cordoned endpoint gets an attempt or is not
+// excluded.
 func (r *cordonRun) checkNoAttempts(t *testing.T) {
 	t.Helper()
 	clear(r.host.attempts)
@@ -98,8 +99,8 @@
 	}
 }
 
-// A cordoned endpoint gets no request through list updates in which it drains, leaves, comes back or moves, cordons
-// that arrive again, and another engine that takes over.
+// A cordoned endpoint gets no requests, even if it drains, disappears, returns or changes its address in list
+// updates, if old cordon records are delivered again, or if another engine takes over.
 func TestCordonedEndpointGetsNoRequest(t *testing.T) {
 	for seed := range uint64(20) {
 		h, c, list := newInstance(t, nil)
@@ -126,7 +127,7 @@
 	}
 }
 
-// The statistics count the listed endpoints and those that are avoided.
+// Engine.Statistics counts the listed endpoints and the avoided ones.
 func TestStatisticsCountListedAndAvoidedEndpoints(t *testing.T) {
 	h, _, _ := newInstance(t, nil)
 	h.engine.SetCordon(1_000*monotime.Second, "s-3", true, 1)
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -1,11 +1,14 @@
-// Package engine is the decision core of one load balancer instance. It owns the balancers of all endpoint pools, the
-// queue of requests that wait for admission and the table of requests in flight, and combines their decisions.
+// Package engine is the decision core of one load balancer instance. It owns the balancers of all endpoint
+// pools, the queue of requests that wait for admission and the table of requests in flight, and combines their
+// decisions.
 //
-// An Engine is a deterministic state machine for one caller at a time. Its host passes events with their instants,
-// advances it to the instants at which a timer is due, and carries out what it requests through the Host interface. The
-// engine does no I/O, reads no clock and starts no goroutine: package core runs one engine in a process, and package
-// simulation runs thousands in simulated time. It must not import packages of protocols, sockets or files.
+// An Engine is a deterministic state machine that must be called by one goroutine at a time. Its host passes
+// each event with the instant of the event, advances the engine whenever a timer is due, and carries out the
+// actions that the engine requests through the Host interface. The engine does no I/O, reads no clock and
+// starts no goroutine: package core runs one engine in a process, and package simulation runs thousands in
+// simulated time. The package must not import packages for protocols, sockets or files.
 //
-// Over all pools of an engine hold the limit of open requests (MaxOpen), tenants' limits, cordons and the maintenance
-// plan. All else, the limits of requests in flight included, is decided per pool (Pool).
+// The limit of open requests (MaxOpen), the tenants' limits, the cordons and the maintenance plan apply to all
+// pools of an engine together. Everything else, including the limit of requests in flight, is decided per pool
+// (Pool).
 package engine
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -8,54 +8,54 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Endpoint is an endpoint that the balancer of a pool knows. It belongs to its engine; only MaySend may be called from
-// other goroutines.
+// Endpoint is an endpoint in the list of a pool's balancer. It belongs to its engine; only MaySend may be
+// called from other goroutines.
 type Endpoint struct {
-	Number uint32 // the balancer's ID of it
+	Number uint32 // ID that the balancer uses for the endpoint
 	Name   string
 	Addr   string
-	Target Target // for Addr
+	Target Target // the host's handle for Addr
 
 	state         balancer.EndpointState
 	excluded      bool         // cordoned, or excluded by the maintenance plan
-	utilization   float64      // moving average of the utilization that it reports, 0 to 1
-	stopSendingAt atomic.Int64 // no attempt is sent from this instant on, in microseconds; 0 is no such instant
+	utilization   float64      // moving average of the reported utilization, 0 to 1
+	stopSendingAt atomic.Int64 // instant in microseconds from which no attempt is sent; 0 is no limit
 }
 
-// MaySend decides, right before the first byte of an attempt is written, whether the endpoint may still get it. The
-// balancer has picked the endpoint before; a slow dial may have outlasted the drain grace since, or the endpoint may
-// have been excluded. It is safe for concurrent use.
+// MaySend reports whether an attempt may still be sent to the endpoint. The host calls it immediately before it
+// writes the first byte, because after the balancer picked the endpoint, the drain grace may have passed during
+// a slow dial, or the endpoint may have been excluded. MaySend is safe for concurrent use.
 func (e *Endpoint) MaySend(now monotime.Micros) bool {
 	stopAt := e.stopSendingAt.Load()
 	return stopAt == 0 || now < stopAt
 }
 
-// EndpointInfo is an entry of an endpoint list, with names where the balancer has numbers.
+// EndpointInfo is an entry of an endpoint list. It has names where balancer.Endpoint has numbers.
 type EndpointInfo struct {
 	Name      string                 `json:"Name"`
-	Addr      string                 `json:"Addr"` // may be empty with balancer.Gone
+	Addr      string                 `json:"Addr"` // may be empty if State is balancer.Gone
 	Zone      string                 `json:"Zone"`
 	Kind      string                 `json:"Kind"`
 	Cell      uint16                 `json:"Cell"`
 	State     balancer.EndpointState `json:"State"`
 	Weight    float32                `json:"Weight"`
-	StartedAt monotime.Micros        `json:"Started"` // Unix time of its latest start; 0 as in balancer.Endpoint
+	StartedAt monotime.Micros        `json:"Started"` // Unix time of the latest start; 0 as in balancer.Endpoint
 }
 
-// EndpointUpdate is an update of an endpoint list. The generations of one source only grow.
+// EndpointUpdate is an update of an endpoint list. Generations of one source never decrease.
 type EndpointUpdate struct {
 	Kind             balancer.ListKind
 	Generation       int64
-	NewSource        bool // it comes from another source, with generations of its own
-	GenerationsReset bool // with NewSource: it is the same source, which counts its generations anew
+	NewSource        bool // the update comes from another source, whose generations are independent
+	GenerationsReset bool // with NewSource: the same source has restarted its count of generations
 	Endpoints        []EndpointInfo
 }
 
-// unknownIndex stands for a zone or kind that the settings do not name.
+// unknownIndex is the index of a zone or kind that is not in the settings.
 const unknownIndex = 255
 
-// UpdateEndpoints applies an update of the endpoint list. One that is older than the current list is ignored, unless it
-// comes from a new source.
+// UpdateEndpoints applies an update of the endpoint list. An update older than the current list is ignored
+// unless it comes from a new source.
 func (p *Pool) UpdateEndpoints(now monotime.Micros, update EndpointUpdate) {
 	if p.dissolved {
 		return
@@ -65,8 +65,9 @@
 	p.engine.dispatchQueued(now)
 }
 
-// applyUpdate applies an update, unless its generation is older than that of the current list and it comes from the
-// same source: an old list would bring back endpoints that are known to be draining.
+// applyUpdate applies an update of the endpoint list. It ignores an update of the same source whose generation
+// is older than that of the current list, because an old list would bring back endpoints that are known to be
+// draining.
 func (p *Pool) applyUpdate(now monotime.Micros, update EndpointUpdate) {
 	if update.Kind == balancer.ListFailed {
 		p.balancer.UpdateEndpoints(now, update.Kind, nil)
@@ -89,7 +90,7 @@
 	p.scheduleSubsetStep()
 }
 
-// updateBalancer passes an update of the endpoints in use to the balancer.
+// updateBalancer passes an update of the endpoints that the instance uses to the balancer.
 func (p *Pool) updateBalancer(now monotime.Micros, update EndpointUpdate) {
 	entries := make([]balancer.Endpoint, 0, len(update.Endpoints))
 	listed := map[string]bool{}
@@ -112,16 +113,17 @@
 		}
 	}
 	p.balancer.UpdateEndpoints(now, update.Kind, entries)
-	for name, e := range p.byName { // in any order: only new endpoints change here, which have no requests yet
+	// Map order is harmless here: only new endpoints change, and they have no requests yet.
+	for name, e := range p.byName {
 		p.applyExclusion(now, name, e)
 	}
 	p.updateEndpointCount()
 	p.reportReady()
 }
 
-// updateEndpoint applies one entry and returns the balancer's form of it; ok is false for an unknown endpoint that is
-// gone. After a reset of generations an entry may be older than a drain that is known: an endpoint that drains and
-// has not restarted since then goes on draining.
+// updateEndpoint applies one entry of an update and returns the corresponding entry for the balancer. ok is
+// false for an endpoint that is gone and was not known. With generationsReset, the entry may be older than a
+// drain that is already known, so an endpoint that is draining and has not restarted since stays draining.
 func (p *Pool) updateEndpoint(now monotime.Micros, info EndpointInfo, generationsReset bool) (
 	entry balancer.Endpoint, ok bool) {
 	site := p.engine.config.Site
@@ -162,15 +164,16 @@
 	}, true
 }
 
-// drainGraceMargin is subtracted from Contract.DrainGrace: requests must have arrived within the grace, not only have
-// been sent.
+// drainGraceMargin is subtracted from Contract.DrainGrace, because requests must arrive at the endpoint within
+// the drain grace, not only be sent within it.
 const drainGraceMargin = 50 * monotime.Millisecond
 
-// setEndpointState notes an endpoint's state, and from when on attempts that wait for a connection to it may not be
-// sent: once it is no longer ready, after the drain grace less a margin. The balancer picks it no more at once.
+// setEndpointState records an endpoint's state. The balancer stops picking an endpoint as soon as it is not
+// ready; attempts that already wait for a connection to it may still be sent until the drain grace, less
+// drainGraceMargin, has passed.
 func (p *Pool) setEndpointState(now monotime.Micros, name string, e *Endpoint, state balancer.EndpointState) {
 	switch {
-	case e.excluded: // stopSendingAt stays as setExcluded has set it
+	case e.excluded: // keep the stopSendingAt that setExcluded set
 	case state == balancer.Ready:
 		e.stopSendingAt.Store(0)
 	case e.state == balancer.Ready:
@@ -186,7 +189,7 @@
 	}
 }
 
-// reportReady notifies the host once, when an endpoint of any pool is ready.
+// reportReady notifies the host when an endpoint of any pool is ready for the first time.
 func (p *Pool) reportReady() {
 	if p.engine.ready {
 		return
@@ -200,7 +203,7 @@
 	}
 }
 
-// indexOf returns the index of a name in the settings, or unknownIndex.
+// indexOf returns the index of a name in a list of the settings, or unknownIndex if the list does not have it.
 func indexOf(names []string, name string) uint8 {
 	if i := slices.Index(names, name); i >= 0 {
 		return uint8(i)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -11,41 +11,43 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// Config is what an Engine needs.
+// Config configures an Engine.
 type Config struct {
 	Site        *siteconfig.Site
-	Seed        uint64 // of all random draws: the same events then have the same decisions
+	Seed        uint64 // seed of all random draws: the same seed and events give the same decisions
 	Concurrency ConcurrencySettings
 	Host        Host
-	Observer    Observer // nil is none
+	Observer    Observer // nil disables observation
 
-	// OnQuotaSpent is called for each unit that is spent of a budget of the fleet, with the budget's name. It must not
-	// block. It may be nil.
+	// OnQuotaSpent is called with the budget's name for each unit of a fleet budget that the engine spends. It
+	// must not block. It may be nil.
 	OnQuotaSpent func(now monotime.Micros, budget string)
 }
 
-// Engine decides for one instance. Make one with New, and add pools. It is not safe for concurrent use.
+// Engine makes the load balancing decisions of one instance. Create it with New, then add pools with NewPool
+// and Pool.Start. It is not safe for concurrent use.
 type Engine struct {
 	config    Config
-	openTotal *fairqueue.SharedLimit // open requests over all pools
+	openTotal *fairqueue.SharedLimit // limit of open requests, shared by all pools
 	rng       *rand.Rand
 
-	now           monotime.Micros // the instant of the present event
-	pools         []*Pool         // not dissolved
+	now           monotime.Micros // instant of the current event
+	pools         []*Pool         // pools that are started and not yet dissolved
 	cordons       cordon.Set
-	fleet         *fleetCoordinator // nil without a fleet and without tenant limits
+	fleet         *fleetCoordinator // nil if the instance has neither a fleet nor tenant limits
 	maintenance   maintenanceState
 	lastRequestID uint64
-	calls         map[uint64]*Call // by the balancer's request ID
-	dirtyPools    []*Pool          // whose queues may have decisions due
+	calls         map[uint64]*Call // requests in the request table, by the balancer's request ID
+	dirtyPools    []*Pool          // pools whose queues may have decisions due
 	timers        indexedheap.Heap[*timer]
 	timerSequence uint64
-	openProbes    int       // started, without an outcome
-	stalls        stall.Log // times for which this process did not run
-	ready         bool      // an endpoint has been ready (Host.EndpointReady)
+	openProbes    int       // probes started whose outcome is not known yet
+	stalls        stall.Log // intervals in which this process did not run
+	ready         bool      // the first ready endpoint was reported (Host.EndpointReady)
 }
 
-// New returns an engine without pools.
+// New returns an engine without pools. Tenant limits are divided statically between the instances until
+// JoinFleet is called.
 func New(c Config) *Engine {
 	eng := &Engine{
 		config:    c,
@@ -57,15 +59,16 @@
 	return eng
 }
 
-// Calls returns how many calls are in the request table: without a final response, or with an attempt in flight.
+// Calls returns the number of calls in the request table: calls without a final response, and calls with an
+// attempt in flight.
 func (eng *Engine) Calls() int { return len(eng.calls) }
 
-// Pools returns how many pools are not dissolved.
+// Pools returns the number of pools that are started and not dissolved.
 func (eng *Engine) Pools() int { return len(eng.pools) }
 
-// Submit accepts a client's request. Its final response comes by Host.Respond: at once if its ID is that of an open
-// request of its client (DuplicateID), if its pool is closed, if its tenant is over its limit, or if overload control
-// or the queue rejects it; otherwise in a later call.
+// Submit accepts a client's request. The final response is given through Host.Respond. Submit gives it at once
+// if another request of the client with the same ID is open (DuplicateID), if the pool is closed, if the tenant
+// is over its limit, or if overload control or the queue rejects the request; otherwise a later event gives it.
 func (eng *Engine) Submit(now monotime.Micros, c *Call) {
 	eng.now = now
 	switch {
@@ -86,9 +89,10 @@
 	eng.dispatchQueued(now)
 }
 
-// ClientGone reports that the client of a request has gone. A request that has its response already may still have an
-// attempt that transfers it: that is aborted. Any other request ends without a response: its attempts of which nothing
-// was sent are cancelled, and the balancer decides on the others.
+// ClientGone reports that the client of a request has disconnected. If the request already has its final
+// response, the attempts that are still open, such as one that transfers that response, are aborted. Any other
+// request ends without a response: its attempts of which nothing has been sent are cancelled, and the balancer
+// decides whether the others are cancelled.
 func (eng *Engine) ClientGone(now monotime.Micros, c *Call) {
 	eng.now = now
 	if c.finished {
@@ -106,18 +110,18 @@
 	eng.dispatchQueued(now)
 }
 
-// AttemptEnded reports the outcome of an attempt. It is ignored if the attempt has ended already, by its deadline or by
-// being cancelled.
+// AttemptEnded reports the outcome of an attempt. The outcome is ignored if the attempt has already ended
+// because its deadline passed or because it was cancelled.
 func (eng *Engine) AttemptEnded(now monotime.Micros, a *Attempt, r AttemptResult) {
 	eng.now = now
 	eng.recordOutcome(now, a, r)
 	eng.dispatchQueued(now)
 }
 
-// ResponseStarted reports that a response has started that is too large to be buffered; r.ObservedAt is the instant of
-// its start. If it returns true, the response is the client's, and no deadline applies to the attempt any more; the
-// host reports its end to AttemptEnded. If it returns false, the request has a response already, and this one is
-// dropped.
+// ResponseStarted reports that an endpoint has started a response that is too large to be buffered;
+// r.ObservedAt is the instant at which it started. If ResponseStarted returns true, this response is the
+// client's final response and the attempt has no deadline any more; the host reports its end to AttemptEnded.
+// If it returns false, the request already has a response, and the host drops this one.
 func (eng *Engine) ResponseStarted(now monotime.Micros, a *Attempt, r AttemptResult) bool {
 	eng.now = now
 	accepted := eng.startResponse(now, a, r)
@@ -125,8 +129,8 @@
 	return accepted
 }
 
-// ResponseProgress reports that a response is arriving, if slowly. The attempt's own timeout no longer applies: it may
-// last until the request's deadline.
+// ResponseProgress reports that part of a response has arrived while the rest is still outstanding. The
+// attempt's own timeout no longer applies: the attempt may last until the request's deadline.
 func (eng *Engine) ResponseProgress(now monotime.Micros, a *Attempt) {
 	eng.now = now
 	if c := a.Call; !a.done && !c.finished && a.Deadline < c.Request.Deadline {
--- a/internal/engine/fleetquota.go
+++ b/internal/engine/fleetquota.go
@@ -7,15 +7,16 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Names of the fleet's budgets, as they stand in gossip messages and snapshots. A pool with a name appends "/" and its
-// name.
+// Names of the fleet's budgets in gossip messages and snapshots. A pool with a name appends "/" and its name to
+// its retry and probe budgets.
 const (
 	retryBudget        = "further"
 	probeBudget        = "probes"
-	tenantBudgetPrefix = "tenant/" // followed by the tenant's name
+	tenantBudgetPrefix = "tenant/" // the tenant's name follows
 )
 
-// budgetName is the name of the pool's budget of a kind.
+// budgetName returns the name of one of the pool's fleet budgets, from the base name retryBudget or
+// probeBudget.
 func (p *Pool) budgetName(baseName string) string {
 	if p.name == "" {
 		return baseName
@@ -23,8 +24,9 @@
 	return baseName + "/" + p.name
 }
 
-// addFleetBudgets has the pool's retries and probes take their quota from the fleet. Retries have a contributed budget:
-// its units are what the instances' accepted first attempts earn. Probes have a fixed one: what the endpoints bear.
+// addFleetBudgets adds the fleet budgets from which the pool's retries and probes take quota. The retry budget
+// consists of contributions: each instance contributes the retries that its accepted first attempts earn. The
+// probe budget is fixed: it is the probe rate that the endpoints can sustain.
 func (p *Pool) addFleetBudgets() {
 	f := p.engine.fleet
 	if f == nil || p.overload == nil {
@@ -40,7 +42,7 @@
 	p.updateFleetShare(0)
 }
 
-// removeFleetBudgets removes the pool's budgets, unless another pool has the same name.
+// removeFleetBudgets removes the pool's fleet budgets, unless another pool has the same name.
 func (p *Pool) removeFleetBudgets() {
 	hasSameName := func(other *Pool) bool { return other != p && other.name == p.name }
 	f := p.engine.fleet
@@ -51,8 +53,9 @@
 	f.member.RemoveBudget(p.budgetName(probeBudget))
 }
 
-// updateFleetShare passes the pool's overload control the part, 0 to 1, of its retry and probe budgets that it may use
-// without a lease, and the probes a second that it has leased beyond that.
+// updateFleetShare passes to the pool's overload control the share, 0 to 1, of its retry budget and of its
+// probe budget that it may use without a lease, and the rate of probes per second that it has leased in
+// addition.
 func (p *Pool) updateFleetShare(now monotime.Micros) {
 	f := p.engine.fleet
 	if !p.hasFleetBudgets || !f.Scope.Retries && !f.Scope.Probes {
@@ -68,7 +71,8 @@
 	p.overload.controller.SetLocalShares(localShare(f.Scope.Retries), localShare(f.Scope.Probes), leasedProbes)
 }
 
-// spendQuota takes one unit of this instance's quota of a fleet budget, and reports whether there was one.
+// spendQuota spends one unit of this instance's quota of a fleet budget, and reports whether a unit was
+// available.
 func (eng *Engine) spendQuota(now monotime.Micros, budget string) bool {
 	if !eng.fleet.member.Spend(now, budget) {
 		return false
@@ -79,13 +83,13 @@
 	return true
 }
 
-// hasRetryQuota reports whether the fleet's quota allows one more retry.
+// hasRetryQuota reports whether this instance's quota of the fleet's retry budget allows one more retry.
 func (p *Pool) hasRetryQuota(now monotime.Micros) bool {
 	f := p.engine.fleet
 	return p.hasFleetBudgets && f.Scope.Retries && f.member.Available(now, p.budgetName(retryBudget)) > 0
 }
 
-// countAttempt charges an attempt that the balancer sends to the budgets of overload control.
+// countAttempt charges an attempt that the balancer starts to the budgets of overload control.
 func (p *Pool) countAttempt(now monotime.Micros, a *Attempt) {
 	if p.overload == nil {
 		return
@@ -98,8 +102,8 @@
 	p.overload.controller.OnAttemptSent(now, class, true)
 }
 
-// chargeRetry charges a retry or hedged request to the pool's own retry budget, or to its fleet quota once that is used
-// up.
+// chargeRetry charges a retry or hedged request to the pool's own retry budget, or to its fleet quota if its
+// own budget is exhausted.
 func (p *Pool) chargeRetry(now monotime.Micros, class int) {
 	controller := p.overload.controller
 	if p.hasRetryQuota(now) && !controller.RetryAllowed(now) && p.engine.spendQuota(now, p.budgetName(retryBudget)) {
@@ -108,8 +112,8 @@
 	controller.OnAttemptSent(now, class, false)
 }
 
-// requestRetryQuota records the demand for one retry after an attempt has failed whose request may have more attempts.
-// The lessee requests quota by this demand, whether the balancer retries or not.
+// requestRetryQuota records a demand for one retry when an attempt fails and its request may have further
+// attempts. The lessee requests quota based on this demand, whether or not the balancer retries.
 func (p *Pool) requestRetryQuota(now monotime.Micros, a *Attempt, status balancer.Status) {
 	f := p.engine.fleet
 	maxAttempts := p.engine.config.Site.Settings.Limits.MaxAttempts
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -16,14 +16,14 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// respondingHost is a host whose endpoints answer all attempts and probes after a fixed time. Those in failing answer
-// with an error.
+// respondingHost is a Host whose endpoints respond to every attempt 20 ms, and to every probe 1 ms, after its
+// start. Attempts at the endpoints in failing get an error.
 type respondingHost struct {
 	engine   *Engine
 	pool     *Pool
 	failing  map[string]bool
-	attempts map[string]int // by endpoint
-	probes   int
+	attempts map[string]int // number of attempts started, by endpoint
+	probes   int            // number of probes started
 	verdicts map[Verdict]int
 }
 
@@ -53,7 +53,7 @@
 func (h *respondingHost) Log(string, ...any)          {}
 func (h *respondingHost) Warn(string, ...any)         {}
 
-// sentAttempts returns how many attempts were started at all endpoints.
+// sentAttempts returns the number of attempts started at all endpoints together.
 func (h *respondingHost) sentAttempts() int {
 	sent := 0
 	for _, count := range h.attempts {
@@ -62,7 +62,8 @@
 	return sent
 }
 
-// run submits so many requests, one after each gap, and returns when the last is over.
+// run submits a number of requests, one after each interval, and returns an instant one second after the last
+// one.
 func (h *respondingHost) run(c *Client, now monotime.Micros, requests int, interval monotime.Micros) monotime.Micros {
 	for i := range requests {
 		now += interval
@@ -75,7 +76,7 @@
 	return now
 }
 
-// startPool gives the host another pool.
+// startPool starts a new pool with an endpoint list, to which run then submits its requests.
 func (h *respondingHost) startPool(tb testing.TB, c PoolConfig, list []EndpointInfo) {
 	tb.Helper()
 	c.InitialEndpoints = EndpointUpdate{Generation: 1, Endpoints: list}
@@ -86,13 +87,15 @@
 	h.pool = pool
 }
 
-// newQuietInstance returns an instance of a fleet of 5,000 that uses four of sixty endpoints.
+// newQuietInstance returns an instance of a fleet of 5,000 that uses a subset of four of sixty endpoints. Each
+// endpoint allows the fleet probeRate probes per second.
 func newQuietInstance(tb testing.TB, probeRate float64) (*respondingHost, *Client, []EndpointInfo) {
 	tb.Helper()
 	return newInstance(tb, &subset.Settings{Position: 77, Instances: 5000, MinMembers: 4, EndpointProbes: probeRate})
 }
 
-// newInstance returns an instance that uses a subset of sixty endpoints, or all if that is nil.
+// newInstance returns an instance with sixty endpoints that uses a subset of them, or all of them if
+// subsetSettings is nil.
 func newInstance(tb testing.TB, subsetSettings *subset.Settings) (*respondingHost, *Client, []EndpointInfo) {
 	tb.Helper()
 	settings := balancer.Settings{Balancers: 5000, LoadMetrics: []balancer.LoadMetric{balancer.MetricInflight},
@@ -116,11 +119,12 @@
 	return h, c, list
 }
 
-// recordingHost is a host that answers nothing by itself, and records what it is to do.
+// recordingHost is a Host that records the attempts it should start and the responses it should deliver. Its
+// endpoints do not respond on their own.
 type recordingHost struct {
 	Host
 	started   []*Attempt
-	responses map[string]Response // by request ID
+	responses map[string]Response // final responses, by request ID
 }
 
 func (h *recordingHost) NewTarget(_, _ string) Target { return unknownTarget{} }
@@ -133,13 +137,15 @@
 func (h *recordingHost) EndpointReady()               {}
 func (h *recordingHost) Log(string, ...any)           {}
 func (h *recordingHost) Warn(string, ...any)          {}
+
+// nextAttempt removes the earliest started attempt from the record and returns it.
 func (h *recordingHost) nextAttempt() (attempt *Attempt) {
 	attempt = h.started[0]
 	h.started = slices.Delete(h.started, 0, 1)
 	return attempt
 }
 
-// serveAll answers all attempts that have started, and returns how many that were, and how many of them at e1.
+// serveAll ends all started attempts successfully, and returns how many there were in total and at e1.
 func (h *recordingHost) serveAll(engine *Engine, now monotime.Micros) (total, atE1 int) {
 	for len(h.started) > 0 {
 		a := h.nextAttempt()
@@ -152,7 +158,7 @@
 	return total, atE1
 }
 
-// tenantSite returns the settings of two classes and two tenants, of which the first has a limit.
+// tenantSite returns settings with two classes and two tenants. Only the first tenant has a limit.
 func tenantSite(limit float64, instances, position int) *siteconfig.Site {
 	return &siteconfig.Site{
 		Classes:      []string{"look", "book"},
@@ -180,7 +186,8 @@
 	}
 }
 
-// singleInstanceFleet returns what has an engine decide as the only instance of its fleet, which grants itself all quota.
+// singleInstanceFleet returns the coordination settings of an instance that is the only one in its fleet, and
+// therefore grants itself all quota.
 func singleInstanceFleet(scope CoordinationScope) Coordination {
 	return Coordination{
 		Scope:           scope,
@@ -192,7 +199,7 @@
 	}
 }
 
-// newEngine returns an engine with three endpoints; with a scope it is the only instance of its fleet.
+// newEngine returns an engine with three endpoints. With a scope, it is the only instance of its fleet.
 func newEngine(tb testing.TB, site *siteconfig.Site, scope *CoordinationScope, overloadSettings *overload.Settings) (
 	*Engine, *Pool, *recordingHost) {
 	tb.Helper()
@@ -218,7 +225,7 @@
 	return engine, p, h
 }
 
-// advanceTo fires all timers that are due by an instant, each at its own.
+// advanceTo fires all timers that are due at or before now, each at the instant at which it is due.
 func advanceTo(engine *Engine, now monotime.Micros) {
 	for due, ok := engine.Next(); ok && due <= now; due, ok = engine.Next() {
 		engine.Advance(due)
@@ -226,7 +233,7 @@
 	engine.Advance(now)
 }
 
-// newCall returns a call of a client of its own.
+// newCall returns a call of a new client, which has no other calls.
 func newCall(tb testing.TB, p *Pool, now monotime.Micros, id string, r balancer.Request) *Call {
 	tb.Helper()
 	c, err := NewClient(fairqueue.ClientSpec{Weight: 1})
@@ -234,13 +241,13 @@
 	return &Call{Client: c, Pool: p, ID: id, ArrivedAt: now, Request: r}
 }
 
-// submit submits a request of a tenant.
+// submit submits a request of a tenant, with a deadline after 500 ms.
 func submit(tb testing.TB, engine *Engine, p *Pool, now monotime.Micros, id string, tenant uint16) {
 	tb.Helper()
 	engine.Submit(now, newCall(tb, p, now, id, balancer.Request{Tenant: tenant, Deadline: now + 500_000}))
 }
 
-// fleetView returns what an engine knows of its fleet.
+// fleetView returns the engine's view of its fleet, and fails the test if there is no fleet.
 func fleetView(tb testing.TB, engine *Engine, now monotime.Micros) coordination.View {
 	tb.Helper()
 	view, ok := engine.FleetView(now)
@@ -250,8 +257,9 @@
 	return view
 }
 
-// subsetSize returns how many endpoints the instance uses, of how many that are listed, and how often the subset has
-// been widened. A pool that uses all of its list returns its length twice, and 0.
+// subsetSize returns the number of endpoints that the instance uses, the number of listed endpoints, and how
+// often the subset has been widened. For a pool without a subset, both numbers are the length of the list, and
+// widened is 0.
 func (p *Pool) subsetSize() (members, listed, widened int) {
 	if p.subset == nil {
 		return len(p.byName), len(p.byName), 0
--- a/internal/engine/machinestatus.go
+++ b/internal/engine/machinestatus.go
@@ -9,7 +9,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// OpenAttempts returns how many attempts are open at each of the given endpoints; those without any are left out.
+// OpenAttempts returns the number of open attempts at each of the given endpoints. Endpoints without open
+// attempts have no entry.
 func (eng *Engine) OpenAttempts(endpoints []string) map[string]int {
 	openAttempts := map[string]int{}
 	for _, c := range eng.calls {
@@ -22,9 +23,9 @@
 	return openAttempts
 }
 
-// MaintenanceStatus returns the state of all machines as this instance observes them: the capacity of each is its
-// weight, and its usage that weight times its utilization. Without load reports that carry the utilization, the usage
-// is 0.
+// MaintenanceStatus returns the state of all machines as this instance observes them. The capacity of a machine
+// is its weight in the endpoint list. The usage of the fleet is the sum of weight times utilization over its
+// healthy machines; it is 0 if load reports do not include the utilization.
 func (eng *Engine) MaintenanceStatus(now monotime.Micros) (status maintenance.FleetStatus) {
 	for _, p := range eng.pools {
 		for name, info := range p.fullEndpointList() {
@@ -39,8 +40,8 @@
 	return status
 }
 
-// machineStatus returns the state of one machine. It is healthy if it is ready and neither cordoned nor ejected; that
-// the plan excludes it changes nothing.
+// machineStatus returns the state of one machine. The machine is healthy if it is ready and neither cordoned
+// nor ejected; exclusion by the maintenance plan does not matter.
 func (eng *Engine) machineStatus(now monotime.Micros, p *Pool, info EndpointInfo) maintenance.MachineStatus {
 	e := p.byName[info.Name]
 	ejected := e != nil && p.balancer.IsEjected(now, e.Number)
@@ -58,7 +59,7 @@
 	}
 }
 
-// fullEndpointList returns the full endpoint list by name, also where the instance uses a subset of it.
+// fullEndpointList returns the full endpoint list by name, even if the instance uses only a subset of it.
 func (p *Pool) fullEndpointList() map[string]EndpointInfo {
 	if p.subset != nil {
 		return p.subset.endpoints
@@ -66,10 +67,11 @@
 	return p.endpointList
 }
 
-// utilizationWeight is the weight of one load report in the moving average of an endpoint's utilization.
+// utilizationWeight is the weight of a new load report in the moving average of an endpoint's utilization.
 const utilizationWeight = 0.1
 
-// observeUtilization takes in the utilization, 0 to 1, of an endpoint's load report, if it has one.
+// observeUtilization updates the moving average of an endpoint's utilization from a load report, if the report
+// includes a utilization from 0 to 1.
 func (p *Pool) observeUtilization(e *Endpoint, loadReport []float32) {
 	i := slices.Index(p.engine.config.Site.Settings.LoadMetrics, balancer.MetricUtilization)
 	if i < 0 || i >= len(loadReport) || !(loadReport[i] >= 0 && loadReport[i] <= 1) {
--- a/internal/engine/maintenance.go
+++ b/internal/engine/maintenance.go
@@ -8,33 +8,37 @@
 	"dunlinsail/internal/monotime"
 )
 
-// MaintenancePlan is the part of the fleet's maintenance plan (package maintenance) that one instance has to follow.
+// MaintenancePlan is the part of the fleet's maintenance plan (package maintenance) that one instance must
+// follow.
 type MaintenancePlan struct {
-	// AwaitingPlan is set as long as no plan is known: nothing is sent to any endpoint.
+	// AwaitingPlan is set while no plan is known. Nothing is sent to any endpoint in that time.
 	AwaitingPlan bool `json:"Wait"`
-	// Excluded are endpoints that get no new requests. One that is admitted again counts as restarted.
+	// Excluded lists endpoints that get no new requests. An endpoint that is admitted again counts as
+	// restarted.
 	Excluded []string `json:"Stop"`
-	// Announced are endpoints that are excluded next. They get no new requests from LeaseEnd on.
+	// Announced lists endpoints that will be excluded next. They get no new requests from LeaseEnd on.
 	Announced []string `json:"Ahead"`
-	// LeaseEnd is when this instance's lease of the plan ends, unless a newer plan is applied before.
+	// LeaseEnd is the instant at which this instance's lease of the plan ends, unless a newer plan is applied
+	// before.
 	LeaseEnd monotime.Micros `json:"Until"`
-	// DrainDeadline is when attempts that are still open at endpoints of both lists are ended.
+	// DrainDeadline is the instant at which attempts that are still open at excluded or announced endpoints are
+	// ended.
 	DrainDeadline monotime.Micros `json:"End"`
 }
 
-// includes reports whether an endpoint is excluded or announced.
+// includes reports whether the plan excludes or announces an endpoint.
 func (p *MaintenancePlan) includes(name string) bool {
 	return slices.Contains(p.Excluded, name) || slices.Contains(p.Announced, name)
 }
 
-// maintenanceState is the plan in force; the zero value is none.
+// maintenanceState is the maintenance plan in force and its timers. The zero value has no plan.
 type maintenanceState struct {
 	MaintenancePlan
 	leaseTimer *timer
 	drainTimer *timer
 }
 
-// ApplyMaintenancePlan replaces the plan that the engine follows.
+// ApplyMaintenancePlan replaces the maintenance plan that the engine follows.
 func (eng *Engine) ApplyMaintenancePlan(now monotime.Micros, plan MaintenancePlan) {
 	eng.now = now
 	eng.cancelTimer(eng.maintenance.leaseTimer)
@@ -48,28 +52,31 @@
 	eng.dispatchQueued(now)
 }
 
-// applyExclusions applies cordons and the maintenance plan to all endpoints.
+// applyExclusions applies cordons and the maintenance plan to the endpoints of all pools.
 func (eng *Engine) applyExclusions(now monotime.Micros) {
 	for _, p := range eng.pools {
-		for _, name := range slices.Sorted(maps.Keys(p.byName)) { // sorted: random draws must not depend on map order
+		// The names are sorted so that random draws do not depend on map order.
+		for _, name := range slices.Sorted(maps.Keys(p.byName)) {
 			p.applyExclusion(now, name, p.byName[name])
 		}
 		p.updateEndpointCount()
 	}
 }
 
-// applyExclusion decides whether one endpoint gets new requests. Excluded are endpoints that are cordoned, or that
-// the maintenance plan excludes. Paused are all endpoints while no plan is known, and announced ones once the lease
-// has ended: by then the others may take the endpoint out of service, whether this instance has the next plan or not.
+// applyExclusion applies cordons and the maintenance plan to one endpoint. The endpoint is excluded if it is
+// cordoned or the plan excludes it. It is paused while no plan is known and, if the plan announces it, once the
+// lease has ended: from then on the other instances may take the endpoint out of service, even if this instance
+// has not received the next plan.
 func (p *Pool) applyExclusion(now monotime.Micros, name string, e *Endpoint) {
 	plan := &p.engine.maintenance.MaintenancePlan
 	p.setExcluded(now, e, p.engine.cordons.Cordoned(name) || slices.Contains(plan.Excluded, name))
 	announced := slices.Contains(plan.Announced, name)
 	p.balancer.SetPaused(now, e.Number, plan.AwaitingPlan || announced && now >= plan.LeaseEnd)
 	if e.excluded || e.state != balancer.Ready {
-		return // nothing is sent there in any case
+		return // nothing is sent to the endpoint in either case
 	}
-	// Attempts check this last: one may have waited for its connection, or its process may have been suspended.
+	// Attempts check stopSendingAt immediately before they are sent, because they may have waited for a
+	// connection, or the process may have been suspended.
 	switch {
 	case plan.AwaitingPlan:
 		e.stopSendingAt.Store(max(1, now))
@@ -80,7 +87,8 @@
 	}
 }
 
-// expireDrainedAttempts ends the attempts that are open at excluded and announced endpoints at the drain deadline.
+// expireDrainedAttempts ends the attempts that are still open at excluded and announced endpoints when the
+// drain deadline is reached.
 func (eng *Engine) expireDrainedAttempts(now monotime.Micros) {
 	for _, id := range slices.Sorted(maps.Keys(eng.calls)) {
 		for _, a := range slices.Clone(eng.calls[id].attempts) {
--- a/internal/engine/maintenance_test.go
+++ b/internal/engine/maintenance_test.go
@@ -8,7 +8,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// maintenanceRun is an engine that follows a maintenance plan.
+// maintenanceRun is a test run of an engine that follows a maintenance plan.
 type maintenanceRun struct {
 	engine *Engine
 	pool   *Pool
@@ -16,7 +16,7 @@
 	now    monotime.Micros
 }
 
-// sent submits so many requests and returns how many attempts each endpoint got.
+// attemptsByEndpoint submits a number of requests and returns how many attempts each endpoint got.
 func (r *maintenanceRun) attemptsByEndpoint(t *testing.T, requests int) map[string]int {
 	t.Helper()
 	attempts := map[string]int{}
@@ -36,7 +36,7 @@
 	return attempts
 }
 
-// openAttemptAtE1 submits requests until one goes to e1, and leaves that open.
+// openAttemptAtE1 submits requests until one goes to e1, and leaves that attempt open.
 func (r *maintenanceRun) openAttemptAtE1(t *testing.T) {
 	t.Helper()
 	for range 200 {
@@ -53,9 +53,10 @@
 	}
 }
 
-// Without a plan nothing is sent. With one, nothing is sent to excluded endpoints, and to announced ones only until the
-// lease ends, which attempts that wait for a connection check last. Attempts that are open there at the drain deadline
-// are ended.
+// Without a plan no request is sent. With a plan, excluded endpoints get no requests, and announced endpoints
+// get requests only until the lease ends; attempts that wait for a connection check that end immediately before
+// they are sent. Attempts that are still open at excluded or announced endpoints at the drain deadline are
+// ended.
 func TestMaintenancePlan(t *testing.T) {
 	engine, p, h := newEngine(t, tenantSite(0, 1, 0), nil, nil)
 	r := &maintenanceRun{engine: engine, pool: p, host: h, now: 5 * monotime.Second}
@@ -70,7 +71,8 @@
 	if got := r.attemptsByEndpoint(t, 60); got["e0"] != 0 || got["e1"]+got["e2"] < 50 {
 		t.Errorf("with one excluded and one announced: %v", got)
 	}
-	// One that waits for its connection while the process is suspended must not be sent once it wakes.
+	// An attempt that waits for its connection while the process is suspended must not be sent if the lease has
+	// ended when the process resumes.
 	e1 := p.byName["e1"]
 	if !e1.MaySend(leaseEnd-1) || e1.MaySend(leaseEnd) {
 		t.Error("an announced endpoint may be sent to after the lease, or not before its end")
--- a/internal/engine/overload.go
+++ b/internal/engine/overload.go
@@ -6,24 +6,25 @@
 	"dunlinsail/internal/monotime"
 )
 
-// noMetric is the index of a figure that load reports do not carry.
+// noMetric is the index of a metric that load reports do not include.
 const noMetric = -1
 
-// overloadState is the overload control of a pool (package overload): it bounds what the instance adds to the load of
-// endpoints that it shares with other instances.
+// overloadState is the overload control of a pool (package overload). It limits the load that this instance
+// adds to endpoints that it shares with other instances.
 type overloadState struct {
 	controller       *overload.Controller
-	policy           balancer.OverloadPolicy // in force; the balancer reads it
-	bounds           overload.Bounds         // that policy was made from
-	loggedReason     overload.Reason         // of the latest log line about the bounds
-	loggedAt         monotime.Micros
-	shedRequests     uint64 // requests rejected by overload control so far
-	suppressedProbes uint64 // probes that its budget did not allow so far
-	inFlightIndex    int    // index of the requests in flight in a load report, or noMetric
-	servedRateIndex  int    // index of the served rate in a load report, or noMetric
+	policy           balancer.OverloadPolicy // policy in force, which the balancer reads
+	bounds           overload.Bounds         // bounds from which the policy was derived
+	loggedReason     overload.Reason         // reason in the latest log message about the bounds
+	loggedAt         monotime.Micros         // instant of the latest log message about the bounds
+	shedRequests     uint64                  // total number of requests rejected by overload control
+	suppressedProbes uint64                  // total number of probes suppressed by the probe budget
+	inFlightIndex    int                     // index of balancer.MetricInflight in a load report, or noMetric
+	servedRateIndex  int                     // index of balancer.MetricServedRate in a load report, or noMetric
 }
 
-// initOverload makes the pool's overload control. Its settings of classes, tenants and goal weights are the site's.
+// initOverload creates the pool's overload control. Classes, tenants, goal weights and the weight of requests
+// over quota are taken from the site's settings.
 func (p *Pool) initOverload(s overload.Settings, seed uint64) error {
 	site := &p.engine.config.Site.Settings
 	s.Seed = seed
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// refreshBounds puts the bounds of this instant in force (overload.Controller.Bounds). A retry is also allowed by the
-// fleet's quota. It is called after each event that changes them.
+// refreshBounds applies the current bounds (overload.Controller.Bounds). A retry is allowed by the bounds or by
+// the fleet's quota. refreshBounds is called after each event that changes the bounds or the quota.
 func (p *Pool) refreshBounds(now monotime.Micros) {
 	o := p.overload
 	b := o.controller.Bounds(now)
@@ -80,10 +81,10 @@
 	p.logBounds(now)
 }
 
-// overloadLogInterval is the minimum time between two log lines of a pool about its bounds.
+// overloadLogInterval is the minimum time between two log messages of a pool about its bounds.
 const overloadLogInterval = monotime.Second
 
-// logBounds logs a change of the reason for which work is bounded.
+// logBounds logs a change of the reason why overload control limits the pool's work.
 func (p *Pool) logBounds(now monotime.Micros) {
 	o := p.overload
 	b := &o.bounds
@@ -95,8 +96,9 @@
 	}
 }
 
-// shed decides whether overload control rejects a request before it is queued, and reports whether it did: by the
-// part of its class and tenant that the policy in force admits (balancer.ShouldReject, overload.Bounds).
+// shed lets overload control decide, before a request is queued, whether it is rejected, and reports whether it
+// was. The decision depends on the fraction of requests that the policy in force admits for the request's class
+// and tenant (balancer.ShouldReject, overload.Bounds).
 func (p *Pool) shed(now monotime.Micros, c *Call) bool {
 	o := p.overload
 	if o == nil {
@@ -136,7 +138,7 @@
 	p.refreshBounds(now)
 }
 
-// overloadOutcome returns what the status of an attempt shows of the load of its endpoint.
+// overloadOutcome returns what the status of an attempt indicates about the load of its endpoint.
 func overloadOutcome(status balancer.Status) overload.Outcome {
 	switch status {
 	case balancer.OK:
@@ -150,7 +152,8 @@
 	}
 }
 
-// observeOpenAttempts passes a load report to overload control, if it has the figures for that.
+// observeLoadReport passes a load report to overload control if it includes the requests in flight and the
+// served rate.
 func (o *overloadState) observeLoadReport(now monotime.Micros, loadReport []float32) {
 	if o.inFlightIndex == noMetric || o.servedRateIndex == noMetric ||
 		max(o.inFlightIndex, o.servedRateIndex) >= len(loadReport) {
@@ -162,8 +165,9 @@
 	})
 }
 
-// updateEndpointCount passes overload control the number of endpoints that the fleet shares: all that are listed, ready
-// and not excluded, also where this instance uses a subset of them.
+// updateEndpointCount passes overload control the number of endpoints that the fleet shares: all listed
+// endpoints that are ready and not excluded. With a subset, endpoints outside the subset count too, and only
+// cordons exclude.
 func (p *Pool) updateEndpointCount() {
 	if p.overload == nil {
 		return
--- a/internal/engine/overload_test.go
+++ b/internal/engine/overload_test.go
@@ -8,9 +8,9 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Where every endpoint fails from the first request on, an instance sends each request once, stays within its share of
-// the probes, and responds to all requests, although its balancer queues requests for probes that are suppressed. Once
-// the endpoints serve again, so does the instance.
+// If every endpoint fails from the first request on, the instance sends each request only once, stays within
+// its share of the probes, and responds to all requests, including those that its balancer queues for
+// suppressed probes. Once the endpoints recover, the instance serves requests again.
 func TestFailingEndpointsGetNoRetriesAndFewProbes(t *testing.T) {
 	h, c, list := newInstance(t, nil)
 	settings := overload.DefaultSettings()
@@ -21,7 +21,8 @@
 	}
 	now := h.run(c, 1_000*monotime.Second, 300, monotime.Second/50)
 	sent := h.sentAttempts()
-	// A probe a second at each of sixty endpoints, for sixty instances; what it begins with and saves up beside that.
+	// Each of the sixty endpoints allows one probe per second, shared by sixty instances; the instance may also
+	// send the probes it starts with and those it has saved up.
 	if sent > 300 || h.probes > 14 {
 		t.Errorf("%d attempts for 300 requests, %d probes in 7 s", sent, h.probes)
 	}
@@ -47,7 +48,7 @@
 	}
 }
 
-// An instance that takes over from another starts at its level, and with none of its budgets.
+// A pool that is restored from a snapshot starts at the overload level of its predecessor, with empty budgets.
 func TestRestoredPoolStartsAtOverloadLevel(t *testing.T) {
 	h, c, list := newInstance(t, nil)
 	settings := overload.DefaultSettings()
@@ -68,15 +69,16 @@
 	}
 }
 
-// The endpoints that the fleet shares are all that are listed and not cordoned, also where an instance uses four of
-// them.
+// Overload control counts all listed endpoints that are not cordoned as shared by the fleet, even if the
+// instance uses a subset of four.
 func TestOverloadCountsAllListedEndpoints(t *testing.T) {
 	for _, subsetSettings := range []*subset.Settings{nil, {Position: 77, Instances: 5000, MinMembers: 4}} {
 		h, _, list := newInstance(t, nil)
 		settings := overload.DefaultSettings()
 		settings.Instances = 600
 		h.startPool(t, PoolConfig{Name: "o", Overload: &settings, Subset: subsetSettings, RetryRatio: 0.01}, list)
-		// A probe a second at each of sixty, over six hundred instances, by one that is served nothing.
+		// Each of the sixty endpoints allows one probe per second, shared by six hundred instances. This
+		// instance has earned no further probes, since none of its requests has been served.
 		maxProbeRate := func() float64 {
 			return h.pool.overload.controller.Bounds(1_000 * monotime.Second).MaxProbeRate
 		}
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -12,42 +12,44 @@
 	"dunlinsail/internal/monotime"
 )
 
-// PoolConfig is what a pool needs.
+// PoolConfig configures a Pool.
 type PoolConfig struct {
 	Name string
-	// Source identifies where the endpoint list comes from. A snapshot of another engine's pool is restored if name and
-	// source are the same.
+	// Source identifies the origin of the endpoint list. A snapshot of another engine's pool is restored only
+	// if its name and source are those of this pool.
 	Source string
-	// StaticList is set if the endpoint list is a part of the configuration: that of a snapshot is not restored.
+	// StaticList is set if the endpoint list is part of the configuration. The list of a snapshot is then not
+	// restored.
 	StaticList bool
 
-	// InitialEndpoints is the list as last known, which may be old. Its Kind is ignored; a negative Generation is no
-	// list.
+	// InitialEndpoints is the last known endpoint list, which may be out of date. Its Kind is ignored. A
+	// negative Generation means that no list is known.
 	InitialEndpoints EndpointUpdate
 
-	// SetWatch starts or stops the watch of the endpoint list. It must not block.
+	// SetWatch starts or stops the watch of the endpoint list at discovery. It must not block.
 	SetWatch func(active bool)
 
-	// Subset has the instance use a subset of the endpoint list; nil is all of it.
+	// Subset makes the instance use a subset of the endpoint list; nil uses the whole list.
 	Subset *subset.Settings
-	// OnIdleConnections is called with how many idle connections the pool may hold, with Subset. It may be nil, and
-	// must not block.
+	// OnIdleConnections is called with the number of idle connections that the pool may keep, if Subset is set.
+	// It must not block. It may be nil.
 	OnIdleConnections func(n float64)
 
-	// Overload has requests shed, and retries and probes limited, by the load that the whole fleet puts on the
-	// endpoints; nil is no overload control. The engine sets the fields that the site's settings determine
-	// (initOverload).
+	// Overload enables overload control, which sheds requests and limits retries and probes, depending on the
+	// load that the whole fleet puts on the endpoints; nil disables it. The engine sets the fields that the
+	// site's settings determine (initOverload).
 	Overload *overload.Settings
 
-	// The retry budget. RetryRatio is the ratio of retries to the pool's requests, 0 for the site's; RetryWindow and
-	// MinRetryRate are as in balancer.Settings, and 0 is 0.
+	// RetryRatio, RetryWindow and MinRetryRate configure the retry budget. RetryRatio is the ratio of retries
+	// to the pool's requests; 0 uses the ratio of the site's settings. RetryWindow and MinRetryRate are passed
+	// unchanged to balancer.Settings.
 	RetryRatio   float64
 	RetryWindow  monotime.Micros
-	MinRetryRate float64 // retries a second
+	MinRetryRate float64 // retries per second
 }
 
-// Pool is a set of endpoints with its own balancer, queue and concurrency limit. It belongs to its engine; only Name
-// may be called from other goroutines.
+// Pool is a set of endpoints with its own balancer, queue and concurrency limit. It belongs to its engine; only
+// Name may be called from other goroutines.
 type Pool struct {
 	engine   *Engine
 	name     string
@@ -55,29 +57,29 @@
 	balancer *balancer.Balancer
 
 	queue         *fairqueue.Scheduler
-	concurrency   *concurrency.Limiter // nil where the limit is not learned
-	queueTimer    *timer
-	queueTimerDue monotime.Micros // 0 is no timer
-	dirty         bool            // in the engine's dirtyPools
-	source        string          // of the endpoint list
+	concurrency   *concurrency.Limiter // nil if the concurrency limit is not learned
+	queueTimer    *timer               // for the next expiry of a queued request; may be nil
+	queueTimerDue monotime.Micros      // instant at which queueTimer fires; 0 without a timer
+	dirty         bool                 // the pool is in Engine.dirtyPools
+	source        string               // origin of the endpoint list
 
 	byName          map[string]*Endpoint
 	byNumber        map[uint32]*Endpoint
 	lastNumber      uint32
-	endpointList    map[string]EndpointInfo // as passed to the balancer, by name
-	generation      int64                   // of the endpoint list
-	subset          *subsetState            // nil where all of the list is used
+	endpointList    map[string]EndpointInfo // endpoints passed to the balancer, by name
+	generation      int64                   // generation of the endpoint list
+	subset          *subsetState            // nil if the whole list is used
 	overload        *overloadState          // nil without overload control
-	hasFleetBudgets bool                    // its retries and probes may have budgets over the fleet
+	hasFleetBudgets bool                    // retries and probes may use fleet budgets
 
-	openCalls int  // in the request table
-	closed    bool // no request is accepted any more
-	dissolved bool // closed, without an open request, and no longer in the engine
+	openCalls int  // number of the pool's calls in the request table
+	closed    bool // no further requests are accepted
+	dissolved bool // closed, without open requests, and removed from the engine
 }
 
-// NewPool returns a pool, or an error that names the invalid setting. The engine does not know it before Start: NewPool
-// may be called while the engine runs on another goroutine, unless the pool has a subset, which draws from the engine's
-// random numbers.
+// NewPool returns a pool, or an error that names the invalid setting. The engine does not use the pool before
+// Pool.Start, so NewPool may be called while the engine runs on another goroutine, unless the pool has a
+// subset, which draws from the engine's random number generator.
 func (eng *Engine) NewPool(c PoolConfig) (*Pool, error) {
 	p := &Pool{
 		engine:       eng,
@@ -108,7 +110,7 @@
 		return nil, err
 	}
 	if c.Overload != nil {
-		// Overload control grants no more retries than the pool has without it.
+		// Overload control allows no more retries than the pool would have without it.
 		overloadSettings := *c.Overload
 		if settings.RetryRatio > 0 {
 			overloadSettings.RetryRatio = min(overloadSettings.RetryRatio, settings.RetryRatio)
@@ -121,7 +123,7 @@
 	return p, nil
 }
 
-// poolSeed returns the part of a pool's seed that depends on its name: 0 for the pool without a name.
+// poolSeed returns the part of a pool's seed that is derived from its name; 0 for a pool with an empty name.
 func poolSeed(name string) uint64 {
 	if name == "" {
 		return 0
@@ -131,7 +133,7 @@
 	return hash.Sum64()
 }
 
-// Start adds the pool to its engine, with its initial endpoint list.
+// Start adds the pool to its engine and applies its initial endpoint list.
 func (p *Pool) Start(now monotime.Micros) {
 	eng := p.engine
 	eng.now = now
@@ -143,7 +145,8 @@
 		initialList.NewSource = true
 		p.applyUpdate(now, initialList)
 	} else {
-		// No list is known: the endpoints of the first one have not just started.
+		// Without an initial list, the endpoints of the first list that arrives are not treated as recently
+		// started.
 		p.generation = initialList.Generation
 	}
 	eng.dispatchQueued(now)
@@ -152,13 +155,13 @@
 // Name returns the pool's name.
 func (p *Pool) Name() string { return p.name }
 
-// Dissolved reports whether the pool was closed and no request of it is left.
+// Dissolved reports whether the pool is closed and all its requests have ended.
 func (p *Pool) Dissolved() bool { return p.dissolved }
 
-// SetSource changes the name of the source of the endpoint list.
+// SetSource changes the name of the origin of the endpoint list.
 func (p *Pool) SetSource(source string) { p.source = source }
 
-// Close has the pool accept no more requests. Open ones go on at its endpoints until they end.
+// Close makes the pool stop accepting requests. Open requests continue at its endpoints until they end.
 func (p *Pool) Close(now monotime.Micros) {
 	p.engine.now = now
 	p.closed = true
@@ -167,7 +170,7 @@
 	p.engine.dispatchQueued(now)
 }
 
-// dissolveIfIdle frees the endpoints of a closed pool once it has no open request.
+// dissolveIfIdle removes a closed pool from the engine and drops its endpoints once it has no open requests.
 func (p *Pool) dissolveIfIdle() {
 	if !p.closed || p.dissolved || p.openCalls > 0 {
 		return
--- a/internal/engine/probes.go
+++ b/internal/engine/probes.go
@@ -5,7 +5,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Probe requests a load report from an endpoint, if the probe budgets allow it.
+// Probe requests a load report from an endpoint if the probe budgets allow it.
 func (act actions) Probe(number uint32) {
 	if e := act.pool.byNumber[number]; e != nil && act.pool.allowProbe(act.now, number) {
 		act.openProbes++
@@ -13,10 +13,10 @@
 	}
 }
 
-// allowProbe decides whether the balancer may send a probe: within the probe budget of overload control (in probes a
-// second, Controller.TakeProbe), and within this instance's part of the endpoints' probe budgets where it uses a
-// subset. The balancer gets the outcome NotSent of a suppressed probe as the next event, since requests may wait for
-// it.
+// allowProbe decides whether the balancer may send a probe. The probe must be within the probe budget of
+// overload control (Controller.TakeProbe) and, if the instance uses a subset, within its share of the
+// endpoints' probe budgets. For a suppressed probe the balancer gets the outcome NotSent in the next event,
+// since requests may be waiting for the probe.
 func (p *Pool) allowProbe(now monotime.Micros, number uint32) bool {
 	allowed := true
 	if o := p.overload; o != nil && !o.controller.TakeProbe(now, p.probeQuota(now)) {
@@ -36,8 +36,8 @@
 	return allowed
 }
 
-// probeQuota returns a function that takes a probe out of the quota that the fleet has leased to this instance, and
-// reports whether there was one; nil where probes have no fleet budget.
+// probeQuota returns a function that spends a unit of the probe quota that the fleet has leased to this
+// instance, and reports whether a unit was available. It returns nil if probes have no fleet budget.
 func (p *Pool) probeQuota(now monotime.Micros) func() bool {
 	f := p.engine.fleet
 	if f == nil || !f.Scope.Probes {
@@ -50,7 +50,7 @@
 	}
 }
 
-// ProbeEnded reports the outcome of a probe that was sent at an instant.
+// ProbeEnded reports the outcome of a probe that was sent at sentAt.
 func (eng *Engine) ProbeEnded(now monotime.Micros, p *Pool, e *Endpoint, sentAt monotime.Micros, r AttemptResult) {
 	eng.now = now
 	eng.openProbes--
@@ -60,7 +60,7 @@
 	}
 	stalled := eng.stalls.Within(sentAt, r.ObservedAt)
 	if isInconclusive(latency, stalled) {
-		r.Status = balancer.NotSent // its load report is old by now
+		r.Status = balancer.NotSent // its load report is out of date
 		r.Load = nil
 	}
 	p.observeUtilization(e, r.Load)
@@ -69,7 +69,7 @@
 	eng.dispatchQueued(now)
 }
 
-// observeProbe passes the answer of a probe to overload control.
+// observeProbe passes the load report of a successful probe to overload control.
 func (p *Pool) observeProbe(now monotime.Micros, r *AttemptResult) {
 	if p.overload != nil && r.Status == balancer.OK {
 		p.overload.observeLoadReport(now, r.Load)
--- a/internal/engine/restore.go
+++ b/internal/engine/restore.go
@@ -8,10 +8,10 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Restore takes over the snapshot that another engine made an age ago, and returns descriptions of the parts that were
-// skipped. The engine should have no open requests. A pool takes over from the one of its name, if both have their
-// endpoint lists from the same source; the list itself is applied if it is not older than the pool's own, and never to
-// a pool whose list is static.
+// Restore restores the snapshot of another engine, which was taken age before now, and returns descriptions of
+// the parts that were skipped. The engine should have no open requests. A pool is restored from the snapshot's
+// pool of the same name if both have the same list source. The endpoint list is applied only if it is not older
+// than the pool's own list and the pool's list is not static.
 func (eng *Engine) Restore(now, age monotime.Micros, snapshot *Snapshot) (skipped []string) {
 	eng.now = now
 	eng.RestoreCoordination(now, age, snapshot.Fleet)
@@ -46,25 +46,26 @@
 	return skipped
 }
 
-// notFound is the index of a class or tenant that a snapshot does not have, or has with other settings.
+// notFound is the index of a class or tenant that the snapshot does not contain, or contains with different
+// settings.
 const notFound = -1
 
-// poolRestore is a snapshot on its way into a pool.
+// poolRestore is the state of restoring one pool from a snapshot.
 type poolRestore struct {
 	pool     *Pool
 	snapshot *PoolSnapshot
-	// learned is the state that the balancer restores: the snapshot's, in the order of the pool's own classes,
-	// tenants and endpoints.
+	// learned is the state that the balancer restores: the snapshot's learned state, rearranged in the order of
+	// the pool's own classes, tenants and endpoints.
 	learned balancer.LearnedState
-	// indices are, for each of the pool's classes and then for each of its tenants, the index in the snapshot, or
-	// notFound. A tenant's index is offset by the number of the snapshot's classes, as in
+	// snapshotIndices has the index in the snapshot, or notFound, of each of the pool's classes, followed by
+	// each of its tenants. Indices of tenants are offset by the number of classes in the snapshot, as in
 	// balancer.LearnedEndpoint.PartOutliers.
 	snapshotIndices []int
 	skipped         []string
 }
 
-// restore takes over what a pool of another engine had learned, and returns descriptions of the parts that were
-// skipped.
+// restore restores the learned state of a pool of another engine, and returns descriptions of the parts that
+// were skipped.
 func (p *Pool) restore(now, age monotime.Micros, snapshot *PoolSnapshot) (skipped []string) {
 	learned := snapshot.Learned
 	if learned == nil || len(snapshot.LearnedNames) != len(learned.Endpoints) ||
@@ -88,7 +89,7 @@
 	return r.skipped
 }
 
-// classes restores what was learned of classes with the same settings.
+// restoreClasses restores the learned state of classes whose settings are unchanged.
 func (r *poolRestore) restoreClasses() {
 	site := r.pool.engine.config.Site
 	for i, name := range site.Classes {
@@ -106,7 +107,7 @@
 	}
 }
 
-// tenants restores the rates of tenants with the same settings.
+// restoreTenants restores the request rates of tenants whose settings are unchanged.
 func (r *poolRestore) restoreTenants() {
 	site := r.pool.engine.config.Site
 	for i, name := range site.Tenants {
@@ -127,12 +128,12 @@
 	}
 }
 
-// endpoints restores what was learned of endpoints that are still listed.
+// restoreEndpoints restores the learned state of endpoints that are still listed.
 func (r *poolRestore) restoreEndpoints() {
 	for i, learned := range r.snapshot.Learned.Endpoints {
 		e := r.pool.byName[r.snapshot.LearnedNames[i]]
 		if e == nil {
-			continue // gone since
+			continue // the endpoint is no longer listed
 		}
 		learned.ID = e.Number
 		outliers := make([]balancer.LearnedOutlier, len(r.snapshotIndices))
@@ -146,7 +147,8 @@
 	}
 }
 
-// unloadedLatency returns the latencies of the pool's classes, 0 for those that were skipped.
+// unloadedLatency returns the unloaded latency of each of the pool's classes, in microseconds; 0 for classes
+// that were skipped.
 func (r *poolRestore) unloadedLatency() []float64 {
 	names := r.pool.engine.config.Site.Classes
 	latencies := make([]float64, len(names))
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -12,22 +12,24 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Snapshot is the state of an engine that a successor needs: for each pool its endpoint list and what was learned. It
-// refers to endpoints, classes and tenants by name, since numbers differ between engines. A successor with other
-// settings skips the parts that do not fit.
+// Snapshot is the state that an engine passes to its successor: the endpoint list and learned state of each
+// pool, and the cordons. It refers to endpoints, classes and tenants by name, since their numbers differ
+// between engines. A successor with different settings skips the parts that do not match.
 //
-// Predecessor and successor may be different builds: the names in the tags are the stored form, and never change.
+// Predecessor and successor may be different builds, so the names in the struct tags, which are the stored
+// form, never change.
 type Snapshot struct {
 	Pools   []PoolSnapshot  `json:"Pools"`
 	Cordons []cordon.Record `json:"Words"`
 
-	// Fleet is what HandOverCoordination returned; nil is nothing.
+	// Fleet is the result of HandOverCoordination; nil if nothing is handed over.
 	Fleet *quota.State `json:"Fleet,omitempty"`
-	// Maintenance is the plan in force, with times relative to the instant of the snapshot; nil is none.
+	// Maintenance is the maintenance plan in force, with times relative to the instant of the snapshot; nil
+	// without a plan.
 	Maintenance *MaintenancePlan `json:"Order,omitempty"`
 }
 
-// Pool returns the snapshot of a pool by its name, or nil.
+// Pool returns the snapshot of the pool with a given name, or nil.
 func (s *Snapshot) Pool(name string) *PoolSnapshot {
 	for i := range s.Pools {
 		if s.Pools[i].Name == name {
@@ -37,57 +39,57 @@
 	return nil
 }
 
-// PoolSnapshot is the state of a pool.
+// PoolSnapshot is the state of a pool in a Snapshot.
 type PoolSnapshot struct {
 	Name       string         `json:"Name"`
-	Source     string         `json:"Source"` // of the endpoint list
+	Source     string         `json:"Source"` // origin of the endpoint list
 	Generation int64          `json:"Generation"`
-	Endpoints  []EndpointInfo `json:"Members"` // the full list
+	Endpoints  []EndpointInfo `json:"Members"` // full endpoint list, also with a subset
 
 	Classes      []LearnedClass         `json:"Classes"`
 	Tenants      []LearnedTenant        `json:"Tenants"`
-	LearnedNames []string               `json:"Names"` // of the endpoints in Learned, in its order
+	LearnedNames []string               `json:"Names"` // names of Learned.Endpoints, in the same order
 	Learned      *balancer.LearnedState `json:"Learned"`
 
-	OverloadLevel    float64            `json:"Level"` // of package overload; 0 without overload control
-	ConcurrencyLimit float64            `json:"Limit"` // requests in flight; 0 where it is not learned
-	UnloadedLatency  map[string]float64 `json:"Alone"` // by class, of requests with hardly any others, in microseconds
+	OverloadLevel    float64            `json:"Level"` // level of package overload; 0 without overload control
+	ConcurrencyLimit float64            `json:"Limit"` // learned limit of requests in flight; 0 if it is not learned
+	UnloadedLatency  map[string]float64 `json:"Alone"` // latency by class at very low load, in microseconds
 }
 
-// LearnedClass is what was learned of a class.
+// LearnedClass identifies a class and has the service times learned for it.
 type LearnedClass struct {
 	Name         string                `json:"Name"`
-	Fingerprint  string                `json:"Meaning"` // of its settings: learned state holds for equal ones only
+	Fingerprint  string                `json:"Meaning"` // learned state is valid only if it is equal
 	ServiceTimes fairqueue.ServiceTime `json:"Times"`
 }
 
-// LearnedTenant is a tenant that the learned rates belong to.
+// LearnedTenant identifies a tenant whose request rate is in PoolSnapshot.Learned.
 type LearnedTenant struct {
 	Name        string `json:"Name"`
-	Fingerprint string `json:"Meaning"` // of its settings
+	Fingerprint string `json:"Meaning"` // the rate is valid only if it is equal
 }
 
-// The stored forms of the settings of a class and of a tenant. Two builds compare them for equality, so the names in
-// them are those of the first build that wrote them, and never change.
+// Formats of the fingerprints of a class's and a tenant's settings. Two builds compare fingerprints for
+// equality, so the field names in the formats remain those of the first build that wrote them.
 const (
 	classFingerprintFormat = "{Name:%v Repeat:%v Group:%v Window:%v Aim:%v GiveUp:%v " +
 		"Worth:%v LateWorth:%v Stream:%v}"
 	tenantFingerprintFormat = "{Name:%v Allowance:%v Share:%v}"
 )
 
-// classFingerprint identifies the settings of a class.
+// classFingerprint returns a text that identifies the settings of a class.
 func classFingerprint(c *balancer.Class) string {
 	return fmt.Sprintf(classFingerprintFormat,
 		c.Name, c.Idempotency, c.DedupScope, c.DedupWindow, c.LatencyObjective, c.ClientTimeout,
 		c.PriorityWeight, c.LateWeight, c.Streaming)
 }
 
-// tenantFingerprint identifies the settings of a tenant.
+// tenantFingerprint returns a text that identifies the settings of a tenant.
 func tenantFingerprint(t *balancer.Tenant) string {
 	return fmt.Sprintf(tenantFingerprintFormat, t.Name, t.Quota, t.Share)
 }
 
-// Snapshot returns the state of the engine, without Fleet and Maintenance, which its owner adds.
+// Snapshot returns the state of the engine for a successor. The caller adds Fleet and Maintenance.
 func (eng *Engine) Snapshot(now monotime.Micros) *Snapshot {
 	s := &Snapshot{Cordons: eng.cordons.Records()}
 	for _, p := range eng.pools {
@@ -98,16 +100,17 @@
 	return s
 }
 
-// TransferWarmupBudget leaves the requests that endpoints that are warming up may still get to a successor, which
-// restores a snapshot of this instant. With transferred false the engine goes on without a successor: these requests
-// then count as sent.
+// TransferWarmupBudget transfers the remaining warm-up budget, the requests that may still be sent to endpoints
+// that are warming up, to a successor that restores a snapshot of the same instant. If transferred is false,
+// the engine continues without a successor, and these requests count as sent, since the successor may have sent
+// them.
 func (eng *Engine) TransferWarmupBudget(now monotime.Micros, transferred bool) {
 	for _, p := range eng.pools {
 		p.balancer.SetHandedOver(now, transferred)
 	}
 }
 
-// snapshot returns the state of the pool.
+// snapshot returns the pool's state for a successor.
 func (p *Pool) snapshot(now monotime.Micros) *PoolSnapshot {
 	s := &PoolSnapshot{
 		Name:       p.name,
@@ -141,7 +144,8 @@
 	return s
 }
 
-// sortedEndpoints returns the full endpoint list: by number, or by name where not all of it have numbers.
+// sortedEndpoints returns the full endpoint list, sorted by number or, with a subset, by name, since endpoints
+// outside the subset have no numbers.
 func (p *Pool) sortedEndpoints() []EndpointInfo {
 	var endpoints []EndpointInfo
 	for _, info := range p.fullEndpointList() {
@@ -156,7 +160,7 @@
 	return endpoints
 }
 
-// addLearnedSettings adds the classes with what was learned of them, and the tenants.
+// addLearnedSettings adds the classes with their learned service times, and the tenants.
 func (p *Pool) addLearnedSettings(s *PoolSnapshot) {
 	site := p.engine.config.Site
 	times := p.queue.ServiceTimes()
--- a/internal/engine/snapshot_golden_test.go
+++ b/internal/engine/snapshot_golden_test.go
@@ -18,10 +18,11 @@
 	"dunlinsail/internal/monotime"
 )
 
-// The files in testdata were written by the build of commit 870f4ac, before any stored name was written down as a tag.
-// A process of that build and one of this build may replace each other, so the files must never be written anew, but
-// for learnedRunFile, whose form is held by another.
+// The files in testdata were written by the build of commit 870f4ac, before the stored names were written as
+// struct tags. A process of that build and one of the current build may replace each other, so these files must
+// never be regenerated, except learnedRunFile, whose form TestSnapshotOfRunHasFormOfEarlierBuild verifies.
 
+// readGolden returns the content of a file in testdata.
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -29,13 +30,15 @@
 	return text
 }
 
+// encodeSnapshot returns the stored form of a snapshot.
 func encodeSnapshot(t *testing.T, s *Snapshot) []byte {
 	t.Helper()
-	text, err := json.Marshal(s) // as takeover.State does
+	text, err := json.Marshal(s) // the same encoding as takeover.State
 	require.NoError(t, err)
 	return text
 }
 
+// decodeSnapshot decodes the stored form of a snapshot, and fails the test if it has an unknown field.
 func decodeSnapshot(t *testing.T, text []byte) *Snapshot {
 	t.Helper()
 	s := &Snapshot{}
@@ -45,7 +48,8 @@
 	return s
 }
 
-// fill gives every field reached from v a value of its own: numbers count up, and lists have two entries.
+// fillValue sets v and every field within it to non-zero values. Numbers and strings are derived from a running
+// count, and lists and maps have two entries.
 func fillValue(t *testing.T, v reflect.Value, next *int) {
 	t.Helper()
 	*next++
@@ -92,6 +96,7 @@
 	}
 }
 
+// filledSnapshot returns a snapshot in which every field has a non-zero value.
 func filledSnapshot(t *testing.T) *Snapshot {
 	t.Helper()
 	s := &Snapshot{}
@@ -100,8 +105,8 @@
 	return s
 }
 
-// A snapshot in which every field has a value is written, byte for byte, as the build before wrote it, and read in
-// full.
+// A snapshot in which every field has a value is encoded byte for byte as the earlier build encoded it, and
+// decoded without loss.
 func TestSnapshotEncodingIsStable(t *testing.T) {
 	want := readGolden(t, "snapshot-filled.json")
 	s := filledSnapshot(t)
@@ -117,8 +122,8 @@
 	}
 }
 
-// A snapshot without anything in it is written as the build before wrote it: what is left out when empty, and what is
-// null.
+// An empty snapshot is encoded as the earlier build encoded it: the same fields are omitted, and the same
+// fields are null.
 func TestEmptySnapshotEncodingIsStable(t *testing.T) {
 	want := readGolden(t, "snapshot-empty.json")
 	if got := encodeSnapshot(t, &Snapshot{Pools: []PoolSnapshot{{}}}); !bytes.Equal(got, want) {
@@ -129,8 +134,8 @@
 	}
 }
 
-// goldenEngine is an engine with all that a snapshot holds: tenants, an overload level, a limit that is learned, a part
-// in a fleet.
+// goldenEngine returns an engine that uses everything a snapshot stores: tenants, overload control, a learned
+// concurrency limit and coordination with a fleet.
 func goldenEngine(t *testing.T) (*Engine, *Pool, *recordingHost) {
 	t.Helper()
 	h := &recordingHost{responses: map[string]Response{}}
@@ -159,7 +164,8 @@
 	return engine, p, h
 }
 
-// serveGoldenRequests has the engine serve requests for a while, some of which fail, and returns when that is over.
+// serveGoldenRequests makes the engine serve 3,000 requests in 30 s, some of which fail, then cordons e3 and
+// returns the instant at which the run ends.
 func serveGoldenRequests(t *testing.T, engine *Engine, p *Pool, h *recordingHost) monotime.Micros {
 	t.Helper()
 	var list []EndpointInfo
@@ -173,7 +179,7 @@
 	for i := range 3000 {
 		now += monotime.Second / 100
 		advanceTo(engine, now)
-		if i == 2900 { // one that is still warming up when the snapshot is taken
+		if i == 2900 { // add an endpoint that is still warming up when the snapshot is taken
 			added := EndpointInfo{Name: "e4", Addr: "10.0.0.4:80", Zone: "z", Kind: "k", Weight: 1, StartedAt: now}
 			p.UpdateEndpoints(now, EndpointUpdate{Kind: balancer.ListDelta, Generation: 2,
 				Endpoints: []EndpointInfo{added}})
@@ -201,6 +207,7 @@
 	return now
 }
 
+// goldenSnapshot returns the snapshot of an engine after serveGoldenRequests, and its instant.
 func goldenSnapshot(t *testing.T) (*Snapshot, monotime.Micros) {
 	t.Helper()
 	engine, p, h := goldenEngine(t)
@@ -212,7 +219,8 @@
 	return s, now
 }
 
-// What an engine has learned is written in the form of the build before: the same fields with values of the same kind.
+// A snapshot of learned state has the form that the earlier build wrote: the same fields with values of the
+// same JSON types.
 func TestSnapshotOfRunHasFormOfEarlierBuild(t *testing.T) {
 	s, _ := goldenSnapshot(t)
 	got := jsonForm(t, encodeSnapshot(t, s))
@@ -222,7 +230,7 @@
 	}
 }
 
-// jsonForm returns the kind of each value of a JSON text by its path, in which all elements of a list are one.
+// jsonForm returns the type of each value in a JSON text by its path. All elements of a list share one path.
 func jsonForm(t *testing.T, text []byte) map[string]string {
 	t.Helper()
 	var value any
@@ -232,7 +240,7 @@
 	return form
 }
 
-// addJSONForm adds a value and all within it to a form.
+// addJSONForm adds the types of a value and of all values within it to form.
 func addJSONForm(form map[string]string, path string, value any) {
 	form[path] = fmt.Sprintf("%T", value)
 	switch v := value.(type) {
@@ -247,10 +255,11 @@
 	}
 }
 
-// learnedRunFile is what this build learns of serveGoldenRequests. It is written anew by a change that means to learn something else.
+// learnedRunFile is the file with the snapshot that the current build takes after serveGoldenRequests. It is
+// regenerated only by a change that is meant to change the learned state.
 const learnedRunFile = "snapshot-run-learned.json"
 
-// What an engine learns of a run is the same at each run and on each build, to the last digit.
+// The learned state after the same run is identical, to the last digit, at each run and on each build.
 func TestSnapshotOfRunIsStable(t *testing.T) {
 	s, _ := goldenSnapshot(t)
 	if got, want := encodeSnapshot(t, s), readGolden(t, learnedRunFile); !bytes.Equal(got, want) {
@@ -258,8 +267,8 @@
 	}
 }
 
-// What the build before wrote is taken over in full, and what the engine then holds is written as the build before
-// wrote it after the same takeover.
+// A snapshot of the earlier build is restored in full, and a snapshot of the restored engine is the same as the
+// one that the earlier build wrote after the same restore.
 func TestRestoresSnapshotOfEarlierBuild(t *testing.T) {
 	s := decodeSnapshot(t, readGolden(t, "snapshot-run.json"))
 	_, now := goldenSnapshot(t)
@@ -275,7 +284,7 @@
 	}
 }
 
-// The stored form of a class, by which two builds compare its settings, was %+v in the build before.
+// The fingerprint of a class, by which two builds compare its settings, equals its %+v in the earlier build.
 func TestClassFingerprintIsStable(t *testing.T) {
 	for _, c := range []struct {
 		class balancer.Class
@@ -303,7 +312,7 @@
 	}
 }
 
-// The stored form of a tenant was %+v, too.
+// The fingerprint of a tenant equals its %+v in the earlier build.
 func TestTenantFingerprintIsStable(t *testing.T) {
 	for _, c := range []struct {
 		tenant balancer.Tenant
@@ -320,7 +329,7 @@
 	}
 }
 
-// A field that is added to a class or a tenant belongs into its stored form.
+// The fingerprints include every field of a class and of a tenant, so a new field must be added to the formats.
 func TestFingerprintsHaveAllFields(t *testing.T) {
 	for format, settings := range map[string]any{
 		classFingerprintFormat:  balancer.Class{},
--- a/internal/engine/stall.go
+++ b/internal/engine/stall.go
@@ -9,8 +9,9 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Stalled reports that this process did not run for a time that ends now. The host calls it before it reports anything
-// that has happened meanwhile. No endpoint is charged with that time: not with silence, latency or timeouts.
+// Stalled reports that this process did not run during an interval that ends now. The host must call it before
+// it reports events that occurred during the stall. The time of the stall is not counted against endpoints as
+// missing reports, latency or timeouts.
 func (eng *Engine) Stalled(now monotime.Micros, interval stall.Interval) {
 	eng.now = now
 	eng.stalls.Add(interval)
@@ -24,12 +25,13 @@
 	}
 }
 
-// Waiting reports whether an endpoint is expected to respond to an attempt or a probe. While it does, the host should
-// have its event loop run at least every stall.HeartbeatInterval, so that a stall is found in full.
+// Waiting reports whether an endpoint is expected to respond to an attempt or a probe. While it returns true,
+// the host should run its event loop at least every stall.HeartbeatInterval, so that stalls are detected in
+// full length.
 func (eng *Engine) Waiting() bool { return len(eng.calls) > 0 || eng.openProbes > 0 }
 
-// extendTimeout moves the end of an attempt's own timeout on by the time for which this process has not run, up to the
-// request's deadline.
+// extendTimeout extends an attempt's own timeout by the time during which this process did not run, but not
+// beyond the request's deadline.
 func (eng *Engine) extendTimeout(a *Attempt, stalled monotime.Micros) {
 	deadline := min(a.timeoutAt+stalled, a.Call.Request.Deadline)
 	if a.done || a.timeoutAt == 0 || deadline <= a.Deadline {
@@ -40,17 +42,17 @@
 	eng.startDeadlineTimer(a)
 }
 
-// inconclusiveFraction is the part of a wait for an endpoint for which this process must not have run, so that it says
-// nothing of the endpoint that there was no response.
+// inconclusiveFraction is the fraction of the time spent waiting for an endpoint above which a stall of this
+// process makes the lack of a response no evidence against the endpoint.
 const inconclusiveFraction = 0.5
 
-// isInconclusive reports whether this process did not run for most of a wait for an endpoint.
+// isInconclusive reports whether this process was stalled for most of the time spent waiting for an endpoint.
 func isInconclusive(elapsed, stalled monotime.Micros) bool {
 	return float64(stalled) > inconclusiveFraction*float64(elapsed)
 }
 
-// chargedStatus returns the status that counts for the endpoint of an attempt: a timeout and a failed dial are no
-// evidence against it if this process did not run for most of the time.
+// chargedStatus returns the status with which an attempt counts for its endpoint. A timeout or a failed dial is
+// no evidence against the endpoint if this process was stalled for most of the attempt.
 func chargedStatus(status balancer.Status, elapsed, stalled monotime.Micros) balancer.Status {
 	if !isInconclusive(elapsed, stalled) {
 		return status
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -9,11 +9,11 @@
 	"dunlinsail/internal/monotime"
 )
 
-// stallLengths are those of the operators' question: what does a stall of this process do?
+// stallLengths are the lengths of the stalls of this process that are tested.
 var stallLengths = []monotime.Micros{monotime.Second / 10, 6 * monotime.Second / 10, monotime.Second,
 	5 * monotime.Second}
 
-// newBusyEngine returns an engine that has learned that its endpoints answer within 3 ms.
+// newBusyEngine returns an engine that has learned from 400 requests that its endpoints respond within 3 ms.
 func newBusyEngine(t *testing.T) (engine *Engine, p *Pool, h *recordingHost, now monotime.Micros) {
 	t.Helper()
 	site := tenantSite(0, 1, 0)
@@ -30,8 +30,8 @@
 	return engine, p, h, now + 10_000
 }
 
-// Responses that arrived while the process did not run are handled after it: they, and the requests that follow, are
-// decided as if there had been no stall.
+// Responses that arrive while the process is stalled are handled after the stall. They and the following
+// requests are served as if there had been no stall.
 func TestRequestsAfterStallAreServed(t *testing.T) {
 	for _, length := range stallLengths {
 		engine, p, h, now := newBusyEngine(t)
@@ -58,7 +58,7 @@
 	}
 }
 
-// An attempt's own timeout does not run while the process does not.
+// An attempt's own timeout is extended by the time during which the process was stalled.
 func TestTimeoutDoesNotRunDuringStall(t *testing.T) {
 	engine, p, h, now := newBusyEngine(t)
 	submit(t, engine, p, now, "a", 1)
@@ -80,7 +80,8 @@
 	}
 }
 
-// An endpoint is not charged with timeouts and failed dials during which the process hardly ran.
+// An endpoint is not charged with a timeout or a failed dial if the process was stalled for more than half of
+// the attempt.
 func TestChargedStatus(t *testing.T) {
 	const elapsed = 900_000
 	for _, c := range []struct {
@@ -101,8 +102,8 @@
 	}
 }
 
-// A load report that came while the process did not run is old: it is not taken for a new one, and no round trip is
-// learned from it.
+// A load report that arrived while the process was stalled is out of date: it is not used as a current report,
+// and its round trip time is not learned.
 func TestProbeDuringStallIsNoReport(t *testing.T) {
 	engine, p, _, now := newBusyEngine(t)
 	e := p.byName["e1"]
--- a/internal/engine/statistics.go
+++ b/internal/engine/statistics.go
@@ -6,25 +6,25 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Statistics are figures of an engine at one instant.
+// Statistics contains figures about an engine at one instant.
 type Statistics struct {
-	ListedEndpoints  int // in the lists of all pools
-	AvoidedEndpoints int // of these, those that balancer.ShouldAvoid names: cordoned, paused or ejected
+	ListedEndpoints  int // number of entries in the endpoint lists of all pools
+	AvoidedEndpoints int // endpoints that balancer.ShouldAvoid reports: cordoned, paused or ejected
 
-	// Of overload control (package overload).
-	OverloadControlled bool    // a pool has it
-	OverloadLevel      float64 // admission level, 0 to 1: the lowest of all pools
-	ShedRequests       uint64  // requests rejected by overload control so far
-	SuppressedProbes   uint64  // probes that its budget did not allow so far
+	// Figures of overload control (package overload).
+	OverloadControlled bool    // at least one pool has overload control
+	OverloadLevel      float64 // lowest admission level, 0 to 1, of all pools
+	ShedRequests       uint64  // total number of requests rejected by overload control
+	SuppressedProbes   uint64  // total number of probes suppressed by the probe budget
 
-	// Of coordination with the other instances of the fleet.
-	HasTenantLimits    bool   // tenants have limits
-	RequestsOverLimit  uint64 // requests rejected by their tenant's limit so far
-	QuotaLeased        bool   // a quota lease is in force
-	SuspectedEndpoints int    // pairs of an endpoint and a class, suspected by what all instances observed
+	// Figures of the coordination with the other instances of the fleet.
+	HasTenantLimits    bool   // at least one tenant has a limit
+	RequestsOverLimit  uint64 // total number of requests rejected because of their tenant's limit
+	QuotaLeased        bool   // this instance has a valid quota lease
+	SuspectedEndpoints int    // number of suspected pairs of endpoint and class
 }
 
-// Statistics returns the figures of an instant.
+// Statistics returns the figures of the engine at now.
 func (eng *Engine) Statistics(now monotime.Micros) (s Statistics) {
 	if f := eng.fleet; f != nil {
 		s.HasTenantLimits = slices.ContainsFunc(f.tenantBudgets, func(budget string) bool { return budget != "" })
@@ -38,7 +38,7 @@
 	return s
 }
 
-// addStatistics adds a pool's figures.
+// addStatistics adds the pool's figures to those of the engine.
 func (p *Pool) addStatistics(now monotime.Micros, s *Statistics) {
 	s.ListedEndpoints += len(p.byName)
 	if p.subset != nil {
--- a/internal/engine/subset.go
+++ b/internal/engine/subset.go
@@ -11,29 +11,29 @@
 	"dunlinsail/internal/monotime"
 )
 
-// subsetState is the subset of a pool whose instance uses a part of its endpoint list only (package subset).
+// subsetState is the state of a pool that uses only a subset of its endpoint list (package subset).
 type subsetState struct {
 	set            *subset.Set
-	endpoints      map[string]EndpointInfo // the full list, by name
-	pollsDiscovery bool                    // Settings.Subscribe: the first list may be a cached, old one
-	hasCurrentList bool                    // the list is known not to be an old, cached one
-
-	consecutiveFailures map[string]int             // by name
-	unhealthyUntil      map[string]monotime.Micros // by name, of the endpoints that are unhealthy by their failures
-	timer               *timer                     // for the next step
-
-	probeBudget        subset.TokenBucket
-	initialProbeTokens float64         // part of a probe, 0 to 1, that the budget starts with
-	onIdleConnections  func(n float64) // may be nil
-
-	openAttempts   int             // attempts without an outcome
-	meanInFlight   float64         // openAttempts as a mean over loadTimeConstant, with rejected requests (observeRejection)
-	loadMeasuredAt monotime.Micros // instant that meanInFlight is of
-	loadReportedAt monotime.Micros // when the set was passed the load
-	meanLatency    float64         // of attempts that succeed, in microseconds, moving average; 0 is not known
+	endpoints      map[string]EndpointInfo // full endpoint list, by name
+	pollsDiscovery bool                    // Settings.Subscribe: the first list may be cached and out of date
+	hasCurrentList bool                    // the list is known not to be cached and out of date
+
+	consecutiveFailures map[string]int             // consecutive failures of each endpoint, by name
+	unhealthyUntil      map[string]monotime.Micros // end of the unhealthy time after too many failures, by name
+	timer               *timer                     // for the next step of the subset
+
+	probeBudget        subset.TokenBucket // this instance's share of the endpoints' probe budgets
+	initialProbeTokens float64            // fraction of a probe, 0 to 1, with which probeBudget starts
+	onIdleConnections  func(n float64)    // PoolConfig.OnIdleConnections; may be nil
+
+	openAttempts   int             // number of attempts without an outcome
+	meanInFlight   float64         // exponential mean of openAttempts, plus the load of rejected requests
+	loadMeasuredAt monotime.Micros // instant of the latest update of meanInFlight
+	loadReportedAt monotime.Micros // instant at which set last received the load
+	meanLatency    float64         // moving average of latency of successful attempts, in microseconds; 0 if unknown
 }
 
-// initSubset makes the pool's subset.
+// initSubset creates the pool's subset.
 func (p *Pool) initSubset(settings subset.Settings, seed uint64) error {
 	settings.Seed = seed
 	set, err := subset.New(settings)
@@ -52,21 +52,24 @@
 	return nil
 }
 
-// longAgo is the start time of an endpoint that was listed before its start could be observed.
+// longAgo is the start time given to an endpoint that may have started before this instance received its first
+// list.
 const longAgo monotime.Micros = 1
 
-// applyUpdate applies an update of the full list and returns the update of the subset that the balancer gets.
+// applyUpdate applies an update of the full endpoint list and returns the corresponding update of the subset
+// for the balancer.
 func (s *subsetState) applyUpdate(now monotime.Micros, update EndpointUpdate) EndpointUpdate {
 	s.updateFullList(now, update)
 	s.forgetUnlisted()
 	candidates := make([]subset.Endpoint, 0, len(s.endpoints))
 	for _, info := range s.endpoints {
-		// All endpoints have the same weight here: weights may follow load, and subsets would move with them.
+		// All endpoints have the same weight in the selection of the subset, because weights in the list may
+		// follow load and would then change the subsets.
 		candidates = append(candidates, subset.Endpoint{ID: info.Name, Zone: int(hashString(info.Zone)), Weight: 1})
 	}
 	slices.SortFunc(candidates, func(a, b subset.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	s.set.SetEndpoints(now, candidates)
-	for _, e := range candidates { // sorted: random draws must not depend on map order
+	for _, e := range candidates { // sorted, so that random draws do not depend on map order
 		s.updateHealth(now, e.ID)
 	}
 	s.applyBudgets()
@@ -78,7 +81,7 @@
 	return memberUpdate
 }
 
-// updateFullList applies an update to the full list.
+// updateFullList applies an update to the full endpoint list.
 func (s *subsetState) updateFullList(now monotime.Micros, update EndpointUpdate) {
 	previous := s.endpoints
 	if update.Kind == balancer.ListDelta {
@@ -99,9 +102,9 @@
 	s.hasCurrentList = s.hasCurrentList || update.Kind != balancer.ListCached || !s.pollsDiscovery
 }
 
-// startTime determines when an endpoint without a start time has started: when it was first listed, or long ago if
-// that was by the first list. Without a start time the balancer would take an endpoint that comes back into the
-// subset for one that has just started.
+// startTime returns the start time of an endpoint whose list entry has none: the instant at which it was first
+// listed, or longAgo if the first list already had it. Without a start time, the balancer would treat an
+// endpoint that returns to the subset as recently started.
 func (s *subsetState) startTime(
 	now monotime.Micros, previous map[string]EndpointInfo, name string, kind balancer.ListKind) monotime.Micros {
 	if previousInfo, known := previous[name]; known {
@@ -113,16 +116,17 @@
 	return longAgo
 }
 
-// forgetUnlisted forgets the failures of endpoints that are not listed any more.
+// forgetUnlisted removes the recorded failures of endpoints that are no longer listed.
 func (s *subsetState) forgetUnlisted() {
 	maps.DeleteFunc(s.consecutiveFailures, func(name string, _ int) bool { return !s.isListed(name) })
 	maps.DeleteFunc(s.unhealthyUntil, func(name string, _ monotime.Micros) bool { return !s.isListed(name) })
 }
 
-// lists reports whether the full list has an endpoint.
+// isListed reports whether the full endpoint list contains an endpoint.
 func (s *subsetState) isListed(name string) bool { return s.endpoints[name].Name != "" }
 
-// applyBudgets applies the instance's part of the endpoints' budgets: probes a second, and idle connections.
+// applyBudgets applies the instance's share of the endpoints' budgets: the probe rate and the number of idle
+// connections.
 func (s *subsetState) applyBudgets() {
 	budgets := s.set.Budgets()
 	s.probeBudget.Rate = budgets.Probes
@@ -132,7 +136,7 @@
 	}
 }
 
-// members returns the entries of the endpoints in the subset.
+// members returns the list entries of the endpoints in the subset.
 func (s *subsetState) members() []EndpointInfo {
 	var infos []EndpointInfo
 	for _, member := range s.set.Members() {
@@ -141,8 +145,8 @@
 	return infos
 }
 
-// scheduleSubsetStep sets the timer for the next step of the subset: a step of the set itself, or the end of an
-// endpoint's time as unhealthy.
+// scheduleSubsetStep sets the timer for the next step of the subset: the next step of the set or the end of an
+// endpoint's unhealthy time, whichever is earlier.
 func (p *Pool) scheduleSubsetStep() {
 	s := p.subset
 	p.engine.cancelTimer(s.timer)
@@ -159,7 +163,8 @@
 	}
 }
 
-// advanceSubset makes the steps of the subset that are due, and passes a change of its members to the balancer.
+// advanceSubset performs the steps of the subset that are due, and passes a change of its members to the
+// balancer.
 func (p *Pool) advanceSubset(now monotime.Micros) {
 	s := p.subset
 	s.timer = nil
@@ -174,7 +179,7 @@
 	p.scheduleSubsetStep()
 }
 
-// hashString is the 32-bit FNV-1a hash of a string.
+// hashString returns the 32-bit FNV-1a hash of a string.
 func hashString(s string) uint32 {
 	hash := fnv.New32a()
 	hash.Write([]byte(s))
--- a/internal/engine/subset_health.go
+++ b/internal/engine/subset_health.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// unhealthyAfterFailures is the number of consecutive failures from which on an endpoint is unhealthy for the
-	// subset: the same as that by which the balancer ejects it.
+	// unhealthyAfterFailures is the number of consecutive failures after which an endpoint is unhealthy for the
+	// subset. It is the same number as for an ejection by the balancer.
 	unhealthyAfterFailures = 3
-	// unhealthyDuration is the time after the latest failure during which an endpoint stays unhealthy. The balancer
-	// sends it hardly anything meanwhile, so that there is no newer evidence.
+	// unhealthyDuration is how long an endpoint stays unhealthy after its latest failure. The balancer sends it
+	// hardly any requests in this time, so newer evidence is not available.
 	unhealthyDuration = 30 * monotime.Second
 )
 
-// observeEndpointHealth decides by the outcome of an attempt whether its endpoint is healthy: it is unhealthy for
-// unhealthyDuration after unhealthyAfterFailures consecutive failures, and healthy again after one success. It also
-// takes in the latency of a success.
+// observeEndpointHealth updates the health of an endpoint from the outcome of an attempt. After
+// unhealthyAfterFailures consecutive failures the endpoint is unhealthy for unhealthyDuration; one success
+// makes it healthy again. The latency of a successful attempt updates the mean latency.
 func (p *Pool) observeEndpointHealth(
 	now monotime.Micros, e *Endpoint, status balancer.Status, latency monotime.Micros) {
 	s := p.subset
@@ -46,8 +46,8 @@
 	p.scheduleSubsetStep()
 }
 
-// expireUnhealthy makes endpoints healthy whose time as unhealthy is over. A single further failure makes such an
-// endpoint unhealthy again.
+// expireUnhealthy makes endpoints healthy again whose unhealthy time has passed. A single further failure makes
+// such an endpoint unhealthy again.
 func (s *subsetState) expireUnhealthy(now monotime.Micros) {
 	for _, name := range slices.Sorted(maps.Keys(s.unhealthyUntil)) {
 		if now >= s.unhealthyUntil[name] {
@@ -58,7 +58,8 @@
 	}
 }
 
-// updateHealth decides whether an endpoint is unhealthy for the subset: not ready, or by its failures.
+// updateHealth sets whether the subset treats an endpoint as unhealthy: not ready, or unhealthy because of its
+// failures.
 func (s *subsetState) updateHealth(now monotime.Micros, name string) {
 	s.set.SetUnhealthy(now, name, s.endpoints[name].State != balancer.Ready || s.unhealthyUntil[name] > now)
 }
--- a/internal/engine/subset_load.go
+++ b/internal/engine/subset_load.go
@@ -6,11 +6,12 @@
 	"dunlinsail/internal/monotime"
 )
 
-// loadTimeConstant is the time constant of meanInFlight: shorter than the 5 s of Finagle's aperture, since an instance may
-// become busy within a second.
+// loadTimeConstant is the time constant of meanInFlight. It is shorter than the 5 s of Finagle's aperture,
+// since an instance may become busy within a second.
 const loadTimeConstant = 2 * monotime.Second
 
-// observeOpenAttempts takes in that attempts have started, or have ended if the number is negative.
+// observeOpenAttempts updates meanInFlight up to now and then adds delta to the number of open attempts:
+// positive for attempts that have started, negative for attempts that have ended.
 func (s *subsetState) observeOpenAttempts(now monotime.Micros, delta int) {
 	s.meanInFlight += (float64(s.openAttempts) - s.meanInFlight) *
 		-math.Expm1(-float64(now-s.loadMeasuredAt)/float64(loadTimeConstant))
@@ -18,10 +19,10 @@
 	s.loadMeasuredAt = now
 }
 
-// latencyWeight is the weight of one attempt in the moving average of latency.
+// latencyWeight is the weight of a new sample in the moving average of latency.
 const latencyWeight = 0.05
 
-// observeLatency takes in the latency of an attempt that succeeded.
+// observeLatency updates the mean latency with the latency of a successful attempt.
 func (s *subsetState) observeLatency(latency monotime.Micros) {
 	if s.meanLatency == 0 {
 		s.meanLatency = float64(latency)
@@ -29,9 +30,9 @@
 	s.meanLatency += (float64(latency) - s.meanLatency) * latencyWeight
 }
 
-// observeRejection adds a request that was rejected before any attempt to the load, as if it had been in flight for the
-// mean latency (Little's law). Without that the load would be bounded by the capacity of the present members, and would
-// never show that the instance needs more of them.
+// observeRejection adds a request that was rejected before any attempt to the load, as if it had been in flight
+// for the mean latency (Little's law). Otherwise the capacity of the current members would limit the load,
+// which would then never show that the instance needs more members.
 func (p *Pool) observeRejection(now monotime.Micros) {
 	if s := p.subset; s != nil {
 		s.meanInFlight += s.meanLatency / float64(loadTimeConstant)
@@ -39,11 +40,11 @@
 	}
 }
 
-// loadReportInterval is the minimum time between two updates of the set's load.
+// loadReportInterval is the minimum time between two updates of the load that the subset receives.
 const loadReportInterval = monotime.Second / 10
 
-// observeOpenAttempts takes in that attempts have started, or have ended if the number is negative, and passes the instance's
-// load to the set if loadReportInterval has passed.
+// observeOpenAttempts updates the number of open attempts by delta, and passes the instance's load to the
+// subset if at least loadReportInterval has passed since the last time.
 func (p *Pool) observeOpenAttempts(now monotime.Micros, delta int) {
 	s := p.subset
 	if s == nil {
--- a/internal/engine/subset_test.go
+++ b/internal/engine/subset_test.go
@@ -8,7 +8,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// A quiet instance uses few endpoints.
+// An instance with few requests uses few endpoints.
 func TestQuietInstanceUsesFewEndpoints(t *testing.T) {
 	h, c, _ := newQuietInstance(t, 0)
 	h.run(c, 1_000*monotime.Second, 400, monotime.Second/5)
@@ -17,8 +17,9 @@
 	}
 }
 
-// All members of the subset fail: the subset widens, and others serve within a few seconds. An endpoint that comes back
-// in when it narrows was up all the time, and is not taken for one that has just started.
+// If all members of the subset fail, the subset widens, and other endpoints serve requests within a few
+// seconds. An endpoint that returns to the subset is not treated as recently started, because it was running
+// all the time.
 func TestSubsetWidensWhenAllMembersFail(t *testing.T) {
 	h, c, _ := newQuietInstance(t, 0)
 	now := h.run(c, 1_000*monotime.Second, 100, monotime.Second/5)
@@ -53,9 +54,10 @@
 	}
 }
 
-// Probes stay within what endpoints grant the fleet, and requests that would wait for a probe go on at once.
+// Probes stay within the instance's share of the endpoints' probe budgets. Requests that would wait for a
+// suppressed probe are sent at once.
 func TestProbesStayWithinSubsetBudget(t *testing.T) {
-	h, c, _ := newQuietInstance(t, 5) // 60 endpoints times five a second, for 5,000: 0.06 a second
+	h, c, _ := newQuietInstance(t, 5) // 60 endpoints * 5 probes/s, shared by 5,000 instances: 0.06 probes/s
 	h.run(c, 1_000*monotime.Second, 1000, monotime.Second/5)
 	if maxProbes := 1 + 0.06*201; float64(h.probes) > maxProbes || h.probes < 5 {
 		t.Errorf("%d probes in 201 s, %.0f at most", h.probes, maxProbes)
@@ -65,8 +67,8 @@
 	}
 }
 
-// Deltas of the full list: a member that leaves is replaced, one that appears later has just started, and a snapshot
-// has the full list.
+// When deltas change the full list, a removed member is replaced, an added endpoint counts as recently started,
+// and a snapshot contains the full list.
 func TestSubsetFollowsFullEndpointList(t *testing.T) {
 	h, c, list := newQuietInstance(t, 0)
 	now := h.run(c, 1_000*monotime.Second, 10, monotime.Second/5)
@@ -87,7 +89,8 @@
 	if got := h.pool.subset.endpoints["s-new"].StartedAt; got != now {
 		t.Errorf("what appeared counts as started at %d, want %d", got, now)
 	}
-	// Another full list does not make it older, and what was gone and comes back has just started.
+	// A further full list does not change the start time of a listed endpoint. An endpoint that was removed and
+	// returns counts as recently started.
 	fullList := append(append([]EndpointInfo{}, list...), added)
 	h.pool.UpdateEndpoints(now+monotime.Second,
 		EndpointUpdate{Kind: balancer.ListFull, Generation: 3, Endpoints: fullList})
@@ -104,13 +107,13 @@
 	}
 }
 
-// A quiet instance becomes busy within a second: the subset grows, and shrinks again once it is quiet.
+// The subset grows when the request rate of a quiet instance suddenly rises, and shrinks again when it falls.
 func TestSubsetGrowsWithLoad(t *testing.T) {
 	h, c, _ := newQuietInstance(t, 0)
 	now := h.run(c, 1_000*monotime.Second, 50, monotime.Second/5)
 	membersBefore, _, _ := h.pool.subsetSize()
 	h.attempts = map[string]int{}
-	now = h.run(c, now, 3000, monotime.Second/1500) // thirty in flight at 20 ms each
+	now = h.run(c, now, 3000, monotime.Second/1500) // 1,500 requests/s at 20 ms each: 30 in flight
 	if members, _, _ := h.pool.subsetSize(); members < 2*membersBefore || len(h.attempts) < 2*membersBefore {
 		t.Errorf("%d members, %d endpoints used, %d members before", members, len(h.attempts), membersBefore)
 	}
@@ -120,7 +123,8 @@
 	}
 }
 
-// The engine's and the balancer's work for a request with a subset and without, at a thousand requests a second.
+// Measures the time per request in the engine and balancer at a thousand requests per second, with a subset and
+// without.
 func BenchmarkSubset(b *testing.B) {
 	fourMembers := &subset.Settings{Position: 77, Instances: 5000, MinMembers: 4, EndpointProbes: 2}
 	for name, subsetSettings := range map[string]*subset.Settings{"all": nil, "four": fourMembers} {
--- a/internal/engine/tenantlimits.go
+++ b/internal/engine/tenantlimits.go
@@ -8,8 +8,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// SetTenantLimits changes the limits of tenants, by their index in the settings, in requests a second over all
-// instances. A tenant that had no limit at JoinFleet stays without.
+// SetTenantLimits changes the limits of tenants, in requests per second over all instances. limits is indexed
+// as the tenants in the settings. A tenant that had no limit when JoinFleet was called remains without a limit.
 func (eng *Engine) SetTenantLimits(limits []float64) {
 	f := eng.fleet
 	if f == nil {
@@ -22,17 +22,18 @@
 	}
 }
 
-// The Retry-After of a request over its tenant's limit. Quota that is spent is available again within a second; the
-// delay is random, so that clients that were rejected at the same time do not retry at the same time.
+// Range of the Retry-After of a request over its tenant's limit. Spent quota becomes available again within a
+// second. The delay is random, so that clients that were rejected at the same time do not retry at the same
+// time.
 const (
-	minLimitRetryAfter    = 0.25 // seconds
-	limitRetryAfterSpread = 0.75 // seconds that are added at most, evenly distributed
+	minLimitRetryAfter    = 0.25 // minimum delay in seconds
+	limitRetryAfterSpread = 0.75 // maximum random addition in seconds, uniformly distributed
 )
 
-// rejectOverLimit decides whether a request is within its tenant's limit, in requests a second over all instances. It
-// spends one unit of that limit's quota, which is the instance's reserve and what the fleet has leased to it, and
-// rejects the request if none is left. It reports whether it rejected the request. It comes before all other
-// admission decisions, so that a tenant over its limit takes no capacity from the others.
+// rejectOverLimit rejects a request that exceeds its tenant's limit, in requests per second over all instances,
+// and reports whether it did. A request within the limit spends one unit of the limit's quota, which consists
+// of the instance's reserve and the quota that the fleet has leased to it. The check precedes all other
+// admission decisions, so that a tenant over its limit takes no capacity from other tenants.
 func (p *Pool) rejectOverLimit(now monotime.Micros, c *Call) bool {
 	eng := p.engine
 	f := eng.fleet
@@ -55,15 +56,16 @@
 	return true
 }
 
-// Lease settings of the static division. No lease is requested; they only have to be valid.
+// Lease settings for the static division of tenant limits. No lease is ever requested there; the settings only
+// have to be valid.
 const (
 	staticLeaseInterval = monotime.Second
 	staticLeaseDuration = 4 * monotime.Second
 )
 
-// divideLimitsStatically divides tenants' limits by the number of instances and the instance's position among them
-// (settings Balancers and Position) until a fleet is joined. The whole budget is reserve: each instance has its part of
-// it without a lease.
+// divideLimitsStatically divides the tenants' limits between the instances until the engine joins a fleet,
+// using the number of instances and this instance's position (settings Balancers and Position). The whole
+// budget is reserve, so each instance has its share without a lease.
 func (eng *Engine) divideLimitsStatically() {
 	if !slices.ContainsFunc(eng.config.Site.TenantLimits, func(limit float64) bool { return limit > 0 }) {
 		return
@@ -81,6 +83,6 @@
 		NextIncarnation: func() uint64 { return 1 },
 	})
 	if err != nil {
-		panic(err) // these settings are valid
+		panic(err) // cannot occur: these settings are always valid
 	}
 }
