--- a/internal/engine/coordination_test.go
+++ b/internal/engine/coordination_test.go
@@ -31,11 +31,12 @@
 				continue
 			}
 			if r.Verdict != RateLimited || r.RetryAfter <= 0 || r.RetryAfter > 400_000 || id[0] == 'f' {
-				t.Errorf("%s: %+v", id, r)
+				t.Errorf("request %s: response %+v, want RateLimited, Retry-After up to 400 ms, tenant t only",
+					id, r)
 			}
 		}
 		if admitted != want {
-			t.Errorf("position %d: %d are admitted, want %d", position, admitted, want)
+			t.Errorf("position %d: %d requests admitted, want %d", position, admitted, want)
 		}
 	}
 }
@@ -48,13 +49,13 @@
 	for i := range 6 {
 		submit(t, engine, p, now, fmt.Sprint(i), 0)
 		if n, _ := h.serveAll(engine, now+1000); n != 1 {
-			t.Fatalf("request %d is rejected, of 10 a second: %+v", i+1, fleetView(t, engine, now))
+			t.Fatalf("request %d was rejected under a limit of 10 per second: %+v", i+1, fleetView(t, engine, now))
 		}
 	}
 	state := engine.HandOverCoordination(now)
 	submit(t, engine, p, now, "handed over", 0)
 	if h.responses["handed over"].Verdict != RateLimited {
-		t.Error("a request is admitted by quota that was handed over")
+		t.Error("a request was admitted after the quota had been handed over")
 	}
 	successor, pool, host := newEngine(t, tenantSite(10, 1, 0), &CoordinationScope{TenantLimits: true}, nil)
 	successor.HandOverCoordination(0)
@@ -67,7 +68,7 @@
 		}
 	}
 	if allowed := fleetView(t, successor, now+1000).Budgets[0].Allowed; allowed < 7 || limited != 10-(allowed-6) {
-		t.Errorf("%d of 10 are beyond the limit where 6 of %d were spent a moment ago", limited, allowed)
+		t.Errorf("%d of 10 requests exceed the limit after the predecessor spent 6 of %d units", limited, allowed)
 	}
 }
 
@@ -100,12 +101,12 @@
 	// Without probes, most requests go to one endpoint, the one whose estimated latency is lowest, which may be
 	// any.
 	if suspected, otherClass := shareOfE1(1), shareOfE1(0); suspected > 0.04 || otherClass < 0.06 {
-		t.Errorf("%.2f go to the suspected endpoint, %.2f before, %.2f of the other class",
+		t.Errorf("requests to the suspected endpoint: share %.2f, before %.2f, in the other class %.2f",
 			suspected, before, otherClass)
 	}
 	engine.applyObservations(now, &observations.Aggregate{})
 	if share := shareOfE1(1); share < 0.06 {
-		t.Errorf("%.2f go there once it is not suspected any more, %.2f before", share, before)
+		t.Errorf("share of requests to the endpoint after the suspicion: %.2f, before it %.2f", share, before)
 	}
 }
 
@@ -131,11 +132,11 @@
 		}
 	}
 	if retries < 80 {
-		t.Errorf("%d of 100 failures are retried, of a budget of a fifth of all", retries)
+		t.Errorf("%d of 100 failures were retried, want at least 80: the budget is a fifth of all requests", retries)
 	}
 	view := fleetView(t, engine, 30*monotime.Second)
 	if view.LeaseRemaining == 0 || view.Budgets[0].Budget != "further" || view.Budgets[0].Allowed == 0 {
-		t.Errorf("%+v", view)
+		t.Errorf("fleet view without a lease or retry quota: %+v", view)
 	}
 }
 
--- a/internal/engine/cordon_test.go
+++ b/internal/engine/cordon_test.go
@@ -123,7 +123,7 @@
 	h, _, _ := newInstance(t, nil)
 	_, known := h.engine.SetCordon(1_000*monotime.Second, "s-nobody", true, 1)
 	if known || len(h.engine.Cordons()) != 0 {
-		t.Errorf("an endpoint that is not listed: known %v, cordons %v", known, h.engine.Cordons())
+		t.Errorf("cordon of an unlisted endpoint: known %v, cordons %v, want false and none", known, h.engine.Cordons())
 	}
 }
 
@@ -138,6 +138,6 @@
 		ListedEndpoints:  60,
 		AvoidedEndpoints: 1,
 	}) {
-		t.Errorf("%+v", stats)
+		t.Errorf("statistics %+v", stats)
 	}
 }
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -252,7 +252,7 @@
 	tb.Helper()
 	view, ok := engine.FleetView(now)
 	if !ok {
-		tb.Fatal("no fleet")
+		tb.Fatal("the engine has no fleet")
 	}
 	return view
 }
--- a/internal/engine/maintenance_test.go
+++ b/internal/engine/maintenance_test.go
@@ -26,7 +26,7 @@
 			a := r.host.nextAttempt()
 			attempts[a.Endpoint.Name]++
 			if !a.Endpoint.MaySend(r.now) {
-				t.Errorf("%s is picked, and may not be sent to", a.Endpoint.Name)
+				t.Errorf("endpoint %s was picked although MaySend is false", a.Endpoint.Name)
 			}
 			r.engine.AttemptEnded(r.now+20_000, a, AttemptResult{Status: balancer.OK, ObservedAt: r.now + 20_000})
 		}
@@ -49,7 +49,7 @@
 		r.now += 5_000
 	}
 	if r.engine.OpenAttempts([]string{"e1"})["e1"] != 1 {
-		t.Fatalf("nothing is open at e1: %v", r.engine.OpenAttempts([]string{"e0", "e1", "e2"}))
+		t.Fatalf("no attempt is open at e1: open attempts %v", r.engine.OpenAttempts([]string{"e0", "e1", "e2"}))
 	}
 }
 
@@ -63,30 +63,30 @@
 	advanceTo(engine, r.now)
 	engine.ApplyMaintenancePlan(r.now, MaintenancePlan{AwaitingPlan: true})
 	if got := r.attemptsByEndpoint(t, 20); len(got) != 0 {
-		t.Errorf("before a plan is known: %v", got)
+		t.Errorf("attempts before a plan is known: %v, want none", got)
 	}
 	leaseEnd := r.now + 10*monotime.Second
 	engine.ApplyMaintenancePlan(r.now, MaintenancePlan{Excluded: []string{"e0"}, Announced: []string{"e1"},
 		LeaseEnd: leaseEnd, DrainDeadline: leaseEnd + monotime.Second})
 	if got := r.attemptsByEndpoint(t, 60); got["e0"] != 0 || got["e1"]+got["e2"] < 50 {
-		t.Errorf("with one excluded and one announced: %v", got)
+		t.Errorf("attempts with e0 excluded and e1 announced: %v", got)
 	}
 	// An attempt that waits for its connection while the process is suspended must not be sent if the lease has
 	// ended when the process resumes.
 	e1 := p.byName["e1"]
 	if !e1.MaySend(leaseEnd-1) || e1.MaySend(leaseEnd) {
-		t.Error("an announced endpoint may be sent to after the lease, or not before its end")
+		t.Error("MaySend of an announced endpoint is false before the lease ends, or true after it")
 	}
 	r.now = leaseEnd
 	advanceTo(engine, r.now)
 	if got := r.attemptsByEndpoint(t, 60); got["e0"]+got["e1"] != 0 || got["e2"] == 0 {
-		t.Errorf("after the lease: %v", got)
+		t.Errorf("attempts after the lease has ended: %v, want some at e2 only", got)
 	}
 	engine.ApplyMaintenancePlan(r.now, MaintenancePlan{Announced: []string{"e1"},
 		LeaseEnd: r.now + 2*monotime.Second, DrainDeadline: r.now + 3*monotime.Second})
 	r.openAttemptAtE1(t)
 	advanceTo(engine, r.now+4*monotime.Second)
 	if open := engine.OpenAttempts([]string{"e1"})["e1"]; open != 0 {
-		t.Errorf("%d are open there after the drain deadline", open)
+		t.Errorf("%d attempts are open at e1 after the drain deadline", open)
 	}
 }
--- a/internal/engine/overload_test.go
+++ b/internal/engine/overload_test.go
@@ -28,23 +28,24 @@
 	}
 	if unserved := h.verdicts[Rejected] + h.verdicts[Failed] + h.verdicts[TimedOut]; unserved != 300 ||
 		h.engine.Calls() != 0 {
-		t.Errorf("%d of 300 are answered, %d are open: %v", unserved, h.engine.Calls(), h.verdicts)
+		t.Errorf("%d of 300 requests ended unserved, %d calls are open: verdicts %v",
+			unserved, h.engine.Calls(), h.verdicts)
 	}
 	if bounds := h.pool.overload.bounds; bounds.RetryAllowed || bounds.Reason == overload.None {
-		t.Errorf("bounds %+v", bounds)
+		t.Errorf("bounds while all endpoints fail: %+v", bounds)
 	}
 	if stats := h.engine.Statistics(now); !stats.OverloadControlled || stats.SuppressedProbes == 0 ||
 		stats.OverloadLevel > 1 {
-		t.Errorf("figures %+v", stats)
+		t.Errorf("statistics %+v", stats)
 	}
 	clear(h.failing)
 	clear(h.verdicts)
 	h.run(c, now, 1000, monotime.Second/50)
 	if h.verdicts[Served] < 900 {
-		t.Errorf("once endpoints serve again: %v", h.verdicts)
+		t.Errorf("verdicts after the endpoints have recovered: %v, want at least 900 served", h.verdicts)
 	}
 	if bounds := h.pool.overload.bounds; bounds.Reason != overload.None || bounds.Level < 0.9 {
-		t.Errorf("bounds %+v", bounds)
+		t.Errorf("bounds after the endpoints have recovered: %+v", bounds)
 	}
 }
 
@@ -62,10 +63,10 @@
 	h.startPool(t, PoolConfig{Name: "o", Overload: &settings}, list)
 	h.engine.Restore(now, 0, snapshot)
 	if level := h.pool.overload.controller.Level(); level != savedLevel {
-		t.Errorf("the level was %v, and is %v after the takeover", savedLevel, level)
+		t.Errorf("the overload level was %v in the snapshot, and is %v after the restore", savedLevel, level)
 	}
 	if bounds := h.pool.overload.controller.Bounds(now); bounds.RetryAllowed {
-		t.Error("a retry is allowed before anything was accepted")
+		t.Error("a retry is allowed before any request was accepted")
 	}
 }
 
@@ -83,13 +84,14 @@
 			return h.pool.overload.controller.Bounds(1_000 * monotime.Second).MaxProbeRate
 		}
 		if got := maxProbeRate(); got < 0.099 || got > 0.101 {
-			t.Errorf("subset %v: %v probes a second", subsetSettings != nil, got)
+			t.Errorf("subset in use: %v; probe rate %v per second, want 0.1", subsetSettings != nil, got)
 		}
 		for i := range 30 {
 			h.engine.SetCordon(1_000*monotime.Second, list[i].Name, true, 1)
 		}
 		if got := maxProbeRate(); got < 0.049 || got > 0.051 {
-			t.Errorf("subset %v, half cordoned: %v probes a second", subsetSettings != nil, got)
+			t.Errorf("subset in use: %v, half of the endpoints cordoned; probe rate %v per second, want 0.05",
+				subsetSettings != nil, got)
 		}
 	}
 }
--- a/internal/engine/restore.go
+++ b/internal/engine/restore.go
@@ -25,7 +25,8 @@
 		}
 		if poolSnapshot.Source != p.source {
 			skipped = append(skipped,
-				fmt.Sprintf("pool %q: its list is that of %s, not of %s", p.name, poolSnapshot.Source, p.source))
+				fmt.Sprintf("pool %q: its endpoint list came from source %s, not from %s",
+					p.name, poolSnapshot.Source, p.source))
 			continue
 		}
 		if poolSnapshot.Generation >= p.generation && !p.config.StaticList {
@@ -70,7 +71,7 @@
 	learned := snapshot.Learned
 	if learned == nil || len(snapshot.LearnedNames) != len(learned.Endpoints) ||
 		len(learned.Classes) != len(snapshot.Classes) {
-		return []string{"all that was learned"}
+		return []string{"all learned state"}
 	}
 	if p.overload != nil && snapshot.OverloadLevel > 0 {
 		p.overload.controller.RestoreLevel(snapshot.OverloadLevel)
--- a/internal/engine/snapshot_golden_test.go
+++ b/internal/engine/snapshot_golden_test.go
@@ -92,7 +92,7 @@
 	case reflect.Float32, reflect.Float64:
 		v.SetFloat(float64(*next) + 0.5)
 	default:
-		t.Fatalf("no value for %s", v.Type())
+		t.Fatalf("fillValue does not support type %s", v.Type())
 	}
 }
 
@@ -111,14 +111,14 @@
 	want := readGolden(t, "snapshot-filled.json")
 	s := filledSnapshot(t)
 	if got := encodeSnapshot(t, s); !bytes.Equal(got, want) {
-		t.Errorf("a snapshot is written as\n%s\nwant\n%s", got, want)
+		t.Errorf("snapshot encoded as\n%s\nwant\n%s", got, want)
 	}
 	decoded := decodeSnapshot(t, want)
 	if !reflect.DeepEqual(decoded, s) {
-		t.Errorf("read as\n%+v\nwant\n%+v", decoded, s)
+		t.Errorf("snapshot decoded as\n%+v\nwant\n%+v", decoded, s)
 	}
 	if got := encodeSnapshot(t, decoded); !bytes.Equal(got, want) {
-		t.Errorf("read and written again as\n%s\nwant\n%s", got, want)
+		t.Errorf("snapshot decoded and encoded again as\n%s\nwant\n%s", got, want)
 	}
 }
 
@@ -127,10 +127,10 @@
 func TestEmptySnapshotEncodingIsStable(t *testing.T) {
 	want := readGolden(t, "snapshot-empty.json")
 	if got := encodeSnapshot(t, &Snapshot{Pools: []PoolSnapshot{{}}}); !bytes.Equal(got, want) {
-		t.Errorf("written as\n%s\nwant\n%s", got, want)
+		t.Errorf("snapshot encoded as\n%s\nwant\n%s", got, want)
 	}
 	if got := encodeSnapshot(t, decodeSnapshot(t, want)); !bytes.Equal(got, want) {
-		t.Errorf("read and written again as\n%s\nwant\n%s", got, want)
+		t.Errorf("snapshot decoded and encoded again as\n%s\nwant\n%s", got, want)
 	}
 }
 
@@ -202,7 +202,7 @@
 	now += monotime.Second / 100
 	advanceTo(engine, now)
 	if _, known := engine.SetCordon(now, "e3", true, now); !known {
-		t.Fatal("e3 is not known")
+		t.Fatal("SetCordon does not know endpoint e3")
 	}
 	return now
 }
@@ -226,7 +226,7 @@
 	got := jsonForm(t, encodeSnapshot(t, s))
 	want := jsonForm(t, readGolden(t, "snapshot-run.json"))
 	if !maps.Equal(got, want) {
-		t.Errorf("form\n%v\nwant\n%v", got, want)
+		t.Errorf("form of the snapshot\n%v\nwant\n%v", got, want)
 	}
 }
 
@@ -263,7 +263,7 @@
 func TestSnapshotOfRunIsStable(t *testing.T) {
 	s, _ := goldenSnapshot(t)
 	if got, want := encodeSnapshot(t, s), readGolden(t, learnedRunFile); !bytes.Equal(got, want) {
-		t.Errorf("written as\n%s\nwant\n%s", got, want)
+		t.Errorf("snapshot encoded as\n%s\nwant\n%s", got, want)
 	}
 }
 
@@ -274,13 +274,13 @@
 	_, now := goldenSnapshot(t)
 	engine, _, _ := goldenEngine(t)
 	if skipped := engine.Restore(now+1000, 1000, s); len(skipped) != 0 {
-		t.Errorf("skipped: %q", skipped)
+		t.Errorf("Restore skipped %q, want nothing", skipped)
 	}
 	restored := engine.Snapshot(now + 1000)
 	restored.Fleet = engine.HandOverCoordination(now + 1000)
 	restored.Maintenance = s.Maintenance
 	if got, want := encodeSnapshot(t, restored), readGolden(t, "snapshot-restored.json"); !bytes.Equal(got, want) {
-		t.Errorf("written as\n%s\nwant\n%s", got, want)
+		t.Errorf("snapshot encoded as\n%s\nwant\n%s", got, want)
 	}
 }
 
@@ -307,7 +307,7 @@
 			"{Name:{\n%v Repeat:0 Group:0 Window:0 Aim:0 GiveUp:0 Worth:1e+20 LateWorth:0.0001 Stream:false}"},
 	} {
 		if got := classFingerprint(&c.class); got != c.want {
-			t.Errorf("%q, want %q", got, c.want)
+			t.Errorf("fingerprint %q, want %q", got, c.want)
 		}
 	}
 }
@@ -324,7 +324,7 @@
 			"{Name:two words Allowance:1e+21 Share:0.3333333333333333}"},
 	} {
 		if got := tenantFingerprint(&c.tenant); got != c.want {
-			t.Errorf("%q, want %q", got, c.want)
+			t.Errorf("fingerprint %q, want %q", got, c.want)
 		}
 	}
 }
@@ -336,7 +336,7 @@
 		tenantFingerprintFormat: balancer.Tenant{},
 	} {
 		if verbs, fields := strings.Count(format, "%v"), reflect.TypeOf(settings).NumField(); verbs != fields {
-			t.Errorf("%T: %d of %d fields are written", settings, verbs, fields)
+			t.Errorf("%T: the fingerprint has %d of %d fields", settings, verbs, fields)
 		}
 	}
 }
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -48,12 +48,13 @@
 		h.serveAll(engine, now+5_000)
 		for id, r := range h.responses {
 			if r.Verdict != Served {
-				t.Errorf("stall of %d: %s ended as %v %s", length, id, r.Verdict, r.Reason)
+				t.Errorf("stall of %d us: request %s ended with verdict %v %s", length, id, r.Verdict, r.Reason)
 			}
 		}
 		after := p.balancer.LearnedState(now)
 		if after.LatencyTrend > 1.5*before.LatencyTrend {
-			t.Errorf("stall of %d: latency trend %v, then %v", length, before.LatencyTrend, after.LatencyTrend)
+			t.Errorf("stall of %d us: latency trend %v before and %v after",
+				length, before.LatencyTrend, after.LatencyTrend)
 		}
 	}
 }
@@ -64,7 +65,7 @@
 	submit(t, engine, p, now, "a", 1)
 	a := h.started[0]
 	if a.timeoutAt == 0 || a.timeoutAt >= a.Call.Request.Deadline {
-		t.Fatalf("the attempt has no timeout of its own: %d", a.timeoutAt)
+		t.Fatalf("the attempt has no timeout before its deadline: timeoutAt %d", a.timeoutAt)
 	}
 	const length = 60_000
 	timeout := a.timeoutAt
@@ -72,7 +73,7 @@
 	engine.Stalled(now+length, stall.Interval{From: now, To: now + length})
 	advanceTo(engine, timeout+length-1)
 	if a.done {
-		t.Error("the timeout ran during the stall")
+		t.Error("the attempt timed out without an extension by the stall")
 	}
 	advanceTo(engine, timeout+length)
 	if !a.done {
@@ -97,7 +98,8 @@
 		{balancer.Error, elapsed, balancer.Error},
 	} {
 		if got := chargedStatus(c.status, elapsed, c.stalled); got != c.want {
-			t.Errorf("%v with %d of %d stalled: %v, want %v", c.status, c.stalled, elapsed, got, c.want)
+			t.Errorf("%v with %d of %d us stalled: charged status %v, want %v",
+				c.status, c.stalled, elapsed, got, c.want)
 		}
 	}
 }
@@ -117,10 +119,10 @@
 	after := p.balancer.LearnedState(now)
 	for i := range before.Endpoints {
 		if got, want := after.Endpoints[i].RTT, before.Endpoints[i].RTT; got != want {
-			t.Errorf("round trip %v, then %v", want, got)
+			t.Errorf("learned round trip time %v before and %v after the stall", want, got)
 		}
 	}
 	if engine.Waiting() {
-		t.Error("the engine waits for endpoints")
+		t.Error("Waiting is true without an open attempt or probe")
 	}
 }
--- a/internal/engine/subset_test.go
+++ b/internal/engine/subset_test.go
@@ -13,7 +13,7 @@
 	h, c, _ := newQuietInstance(t, 0)
 	h.run(c, 1_000*monotime.Second, 400, monotime.Second/5)
 	if len(h.attempts) < 3 || len(h.attempts) > 9 || h.verdicts[Served] != 400 {
-		t.Errorf("%d endpoints used, answers %v", len(h.attempts), h.verdicts)
+		t.Errorf("%d endpoints used, verdicts %v", len(h.attempts), h.verdicts)
 	}
 }
 
@@ -30,27 +30,27 @@
 	now = h.run(c, now, 100, monotime.Second/5)
 	members, listed, widened := h.pool.subsetSize()
 	if widened == 0 || members <= membersBefore || listed != 60 {
-		t.Fatalf("%d of %d members, widened %d times", members, listed, widened)
+		t.Fatalf("subset of %d of %d endpoints, widened %d times", members, listed, widened)
 	}
 	h.verdicts = map[Verdict]int{}
 	now = h.run(c, now, 100, monotime.Second/5)
 	if h.verdicts[Served] < 90 {
-		t.Errorf("after widening: %v", h.verdicts)
+		t.Errorf("verdicts after widening: %v, want at least 90 served", h.verdicts)
 	}
 	h.failing = map[string]bool{}
 	now = h.run(c, now, 1500, monotime.Second/5)
 	if _, _, widened := h.pool.subsetSize(); widened != 0 {
-		t.Errorf("all serve again, and it stays widened %d times", widened)
+		t.Errorf("all endpoints serve again, but the subset remains widened %d times", widened)
 	}
 	for name, info := range h.pool.endpointList {
 		if info.StartedAt > 1 {
-			t.Errorf("%s counts as started at %d", name, info.StartedAt)
+			t.Errorf("endpoint %s has start time %d, want at most 1", name, info.StartedAt)
 		}
 	}
 	h.verdicts = map[Verdict]int{}
 	h.run(c, now, 100, monotime.Second/5)
 	if h.verdicts[Served] != 100 {
-		t.Errorf("narrow again: %v", h.verdicts)
+		t.Errorf("verdicts after narrowing: %v, want 100 served", h.verdicts)
 	}
 }
 
@@ -60,10 +60,10 @@
 	h, c, _ := newQuietInstance(t, 5) // 60 endpoints * 5 probes/s, shared by 5,000 instances: 0.06 probes/s
 	h.run(c, 1_000*monotime.Second, 1000, monotime.Second/5)
 	if maxProbes := 1 + 0.06*201; float64(h.probes) > maxProbes || h.probes < 5 {
-		t.Errorf("%d probes in 201 s, %.0f at most", h.probes, maxProbes)
+		t.Errorf("%d probes in 201 s, want 5 to %.0f", h.probes, maxProbes)
 	}
 	if h.verdicts[Served] != 1000 {
-		t.Errorf("%v", h.verdicts)
+		t.Errorf("verdicts %v, want 1000 served", h.verdicts)
 	}
 }
 
@@ -83,11 +83,11 @@
 		Endpoints: []EndpointInfo{removal, added}})
 	membersAfter, listed, _ := h.pool.subsetSize()
 	if listed != 60 || h.pool.byName[removed] != nil || membersAfter < membersBefore-1 {
-		t.Errorf("%d of %d members, %d before; the one that is gone is still a member: %v",
+		t.Errorf("subset of %d of %d endpoints, %d members before; removed endpoint is still a member: %v",
 			membersAfter, listed, membersBefore, h.pool.byName[removed] != nil)
 	}
 	if got := h.pool.subset.endpoints["s-new"].StartedAt; got != now {
-		t.Errorf("what appeared counts as started at %d, want %d", got, now)
+		t.Errorf("added endpoint has start time %d, want %d", got, now)
 	}
 	// A further full list does not change the start time of a listed endpoint. An endpoint that was removed and
 	// returns counts as recently started.
@@ -95,15 +95,15 @@
 	h.pool.UpdateEndpoints(now+monotime.Second,
 		EndpointUpdate{Kind: balancer.ListFull, Generation: 3, Endpoints: fullList})
 	if got := h.pool.subset.endpoints["s-new"].StartedAt; got != now {
-		t.Errorf("after a full list it counts as started at %d, want %d", got, now)
+		t.Errorf("added endpoint has start time %d after a full list, want %d", got, now)
 	}
 	if got := h.pool.subset.endpoints[removed].StartedAt; got != now+monotime.Second {
-		t.Errorf("what came back counts as started at %d, want %d", got, now+monotime.Second)
+		t.Errorf("returned endpoint has start time %d, want %d", got, now+monotime.Second)
 	}
 	h.pool.UpdateEndpoints(now+monotime.Second, EndpointUpdate{Kind: balancer.ListDelta, Generation: 4,
 		Endpoints: []EndpointInfo{removal}})
 	if listLength := len(h.engine.Snapshot(now).Pools[0].Endpoints); listLength != len(list) {
-		t.Errorf("a snapshot with %d of the list", listLength)
+		t.Errorf("the snapshot has %d endpoints, want the full list", listLength)
 	}
 }
 
@@ -115,11 +115,12 @@
 	h.attempts = map[string]int{}
 	now = h.run(c, now, 3000, monotime.Second/1500) // 1,500 requests/s at 20 ms each: 30 in flight
 	if members, _, _ := h.pool.subsetSize(); members < 2*membersBefore || len(h.attempts) < 2*membersBefore {
-		t.Errorf("%d members, %d endpoints used, %d members before", members, len(h.attempts), membersBefore)
+		t.Errorf("%d members and %d endpoints used under load, %d members before",
+			members, len(h.attempts), membersBefore)
 	}
 	h.run(c, now, 300, monotime.Second/5)
 	if members, _, _ := h.pool.subsetSize(); members != membersBefore {
-		t.Errorf("%d members when it is quiet again, %d before", members, membersBefore)
+		t.Errorf("%d members after the rate has fallen, %d before it rose", members, membersBefore)
 	}
 }
 
