--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -29,9 +29,9 @@
 	// of an engine, for the first ready endpoint.
 	EndpointReady()
 	// Log records an informational message for on-call staff.
-	Log(line string, args ...any)
+	Log(message string, args ...any)
 	// Warn records a message that needs attention.
-	Warn(line string, args ...any)
+	Warn(message string, args ...any)
 }
 
 // Target is the host's handle for the address of an endpoint. Requests for the endpoint must not reach a
@@ -53,9 +53,9 @@
 	// AttemptStarted is called for each attempt that starts at an endpoint.
 	AttemptStarted(now monotime.Micros, endpoint string)
 	// AttemptEnded is called with the outcome of each attempt.
-	AttemptEnded(now monotime.Micros, endpoint string, s balancer.Status, latency monotime.Micros)
+	AttemptEnded(now monotime.Micros, endpoint string, status balancer.Status, latency monotime.Micros)
 	// ProbeEnded is called with the outcome of each probe.
-	ProbeEnded(now monotime.Micros, endpoint string, s balancer.Status, latency monotime.Micros)
+	ProbeEnded(now monotime.Micros, endpoint string, status balancer.Status, latency monotime.Micros)
 	// EndpointsUpdated is called with each endpoint list update that the engine applies.
 	EndpointsUpdated(now monotime.Micros, update EndpointUpdate)
 }
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -33,7 +33,7 @@
 	Subset *subset.Settings
 	// OnIdleConnections is called with the number of idle connections that the pool may keep, if Subset is set.
 	// It must not block. It may be nil.
-	OnIdleConnections func(n float64)
+	OnIdleConnections func(connections float64)
 
 	// Overload enables overload control, which sheds requests and limits retries and probes, depending on the
 	// load that the whole fleet puts on the endpoints; nil disables it. The engine sets the fields that the
--- a/internal/engine/subset.go
+++ b/internal/engine/subset.go
@@ -22,9 +22,9 @@
 	unhealthyUntil      map[string]monotime.Micros // end of the unhealthy time after too many failures, by name
 	timer               *timer                     // for the next step of the subset
 
-	probeBudget        subset.TokenBucket // this instance's share of the endpoints' probe budgets
-	initialProbeTokens float64            // fraction of a probe, 0 to 1, with which probeBudget starts
-	onIdleConnections  func(n float64)    // PoolConfig.OnIdleConnections; may be nil
+	probeBudget        subset.TokenBucket        // this instance's share of the endpoints' probe budgets
+	initialProbeTokens float64                   // fraction of a probe, 0 to 1, with which probeBudget starts
+	onIdleConnections  func(connections float64) // PoolConfig.OnIdleConnections; may be nil
 
 	openAttempts   int             // number of attempts without an outcome
 	meanInFlight   float64         // exponential mean of openAttempts, plus the load of rejected requests
