--- a/internal/engine/cordon_test.go
+++ b/internal/engine/cordon_test.go
@@ -10,28 +10,28 @@
 	"dunlinsail/internal/monotime"
 )
 
-// cordonRun is an instance whose endpoints are cordoned and changed at random.
+// cordonRun is a test run in which an instance's endpoints are cordoned and changed at random.
 type cordonRun struct {
 	seed       uint64
 	rng        *rand.Rand
-	host       *answeringHost
+	host       *respondingHost
 	client     *Client
-	list       []EndpointInfo
+	endpoints  []EndpointInfo
 	now        monotime.Micros
 	generation int64
 	cordoned   map[string]bool
-	cordons    []cordon.Record // all that were set
+	records    []cordon.Record // all cordon records that SetCordon returned
 }
 
-// updateList passes the endpoint list to the engine.
+// updateList passes the current endpoint list to the engine, with the next generation.
 func (r *cordonRun) updateList() {
 	r.generation++
-	update := EndpointUpdate{Kind: balancer.ListFull, Generation: r.generation, Endpoints: r.list}
+	update := EndpointUpdate{Kind: balancer.ListFull, Generation: r.generation, Endpoints: r.endpoints}
 	r.host.pool.UpdateEndpoints(r.now, update)
 }
 
-// setCordon cordons an endpoint, or lets it back in.
-func (r *cordonRun) setCordon(t *testing.T, name string) {
+// setRandomCordon cordons an endpoint with probability 2/3, and uncordons it otherwise.
+func (r *cordonRun) setRandomCordon(t *testing.T, name string) {
 	t.Helper()
 	cordoned := r.rng.IntN(3) > 0
 	record, known := r.host.engine.SetCordon(r.now, name, cordoned, r.now)
@@ -39,37 +39,37 @@
 		t.Fatalf("seed %d: known %v; listed %v, cordoned %v", r.seed, known, listed, r.cordoned[name])
 	}
 	if known {
-		r.cordons = append(r.cordons, record)
+		r.records = append(r.records, record)
 		r.cordoned[name] = cordoned
 	}
 }
 
-// replaceEngine has another engine take over from a snapshot.
+// replaceEngine replaces the engine with a new one that restores a snapshot of it.
 func (r *cordonRun) replaceEngine(t *testing.T) {
 	t.Helper()
-	s := r.host.engine.Snapshot(r.now)
+	snapshot := r.host.engine.Snapshot(r.now)
 	r.host, r.client, _ = newInstance(t, nil)
 	r.host.run(r.client, r.now-monotime.Second, 0, 0)
 	r.host.pool.UpdateEndpoints(r.now, EndpointUpdate{Kind: balancer.ListFull, Generation: 0, Endpoints: nil})
-	r.host.engine.Restore(r.now, 0, s)
+	r.host.engine.Restore(r.now, 0, snapshot)
 }
 
-// step makes one change at random.
-func (r *cordonRun) step(t *testing.T) {
+// changeAtRandom makes one random change to the cordons, the endpoint list or the engine.
+func (r *cordonRun) changeAtRandom(t *testing.T) {
 	t.Helper()
-	i := r.rng.IntN(len(r.list))
-	switch name := r.list[i].Name; r.rng.IntN(6) {
+	i := r.rng.IntN(len(r.endpoints))
+	switch name := r.endpoints[i].Name; r.rng.IntN(6) {
 	case 0, 1:
-		r.setCordon(t, name)
+		r.setRandomCordon(t, name)
 	case 2:
-		r.list[i].State = balancer.EndpointState(r.rng.IntN(3))
+		r.endpoints[i].State = balancer.EndpointState(r.rng.IntN(3))
 		r.updateList()
 	case 3:
-		r.list[i].Addr = fmt.Sprintf("10.1.0.%d:80", r.rng.IntN(200))
-		r.list[i].State = balancer.Ready
+		r.endpoints[i].Addr = fmt.Sprintf("10.1.0.%d:80", r.rng.IntN(200))
+		r.endpoints[i].State = balancer.Ready
 		r.updateList()
-	case 4: // old cordons, once more
-		for _, record := range r.cordons {
+	case 4: // deliver all cordon records again
+		for _, record := range r.records {
 			r.host.engine.ReceiveCordon(r.now, record)
 		}
 	case 5:
@@ -79,8 +79,9 @@
 	}
 }
 
-// check submits requests, and fails if one goes to a cordoned endpoint.
-func (r *cordonRun) check(t *testing.T) {
+// checkNoAttempts submits requests, and fails the test if a cordoned endpoint gets an attempt or is not
+// excluded.
+func (r *cordonRun) checkNoAttempts(t *testing.T) {
 	t.Helper()
 	clear(r.host.attempts)
 	r.now = r.host.run(r.client, r.now, 6, monotime.Second/50)
@@ -98,8 +99,8 @@
 	}
 }
 
-// A cordoned endpoint gets no request through list updates in which it drains, leaves, comes back or moves, cordons
-// that arrive again, and another engine that takes over.
+// A cordoned endpoint gets no requests, even if it drains, disappears, returns or changes its address in list
+// updates, if old cordon records are delivered again, or if another engine takes over.
 func TestCordonedEndpointGetsNoRequest(t *testing.T) {
 	for seed := range uint64(20) {
 		h, c, list := newInstance(t, nil)
@@ -108,32 +109,35 @@
 			rng:        rand.New(rand.NewPCG(seed, 7)),
 			host:       h,
 			client:     c,
-			list:       list[:6],
+			endpoints:  list[:6],
 			now:        1_000 * monotime.Second,
 			generation: 1,
 			cordoned:   map[string]bool{},
 		}
 		r.updateList()
 		for range 60 {
-			r.step(t)
-			r.check(t)
+			r.changeAtRandom(t)
+			r.checkNoAttempts(t)
 		}
 	}
 	h, _, _ := newInstance(t, nil)
 	_, known := h.engine.SetCordon(1_000*monotime.Second, "s-nobody", true, 1)
 	if known || len(h.engine.Cordons()) != 0 {
-		t.Errorf("an endpoint that is not listed: known %v, cordons %v", known, h.engine.Cordons())
+		t.Errorf("cordon of an unlisted endpoint: known %v, cordons %v, want false and none", known, h.engine.Cordons())
 	}
 }
 
-// The statistics count the listed endpoints and those that are avoided.
+// Engine.Statistics counts the listed endpoints and the avoided ones.
 func TestStatisticsCountListedAndAvoidedEndpoints(t *testing.T) {
 	h, _, _ := newInstance(t, nil)
 	h.engine.SetCordon(1_000*monotime.Second, "s-3", true, 1)
 	h.engine.SetCordon(1_000*monotime.Second, "s-3", true, 2)
 	h.engine.SetCordon(1_000*monotime.Second, "s-4", true, 3)
 	h.engine.SetCordon(1_000*monotime.Second, "s-4", false, 4)
-	if s := h.engine.Statistics(1_000 * monotime.Second); s != (Statistics{ListedEndpoints: 60, AvoidedEndpoints: 1}) {
-		t.Errorf("%+v", s)
+	if stats := h.engine.Statistics(1_000 * monotime.Second); stats != (Statistics{
+		ListedEndpoints:  60,
+		AvoidedEndpoints: 1,
+	}) {
+		t.Errorf("statistics %+v", stats)
 	}
 }
--- a/internal/engine/fleetquota.go
+++ b/internal/engine/fleetquota.go
@@ -7,24 +7,26 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Names of the fleet's budgets, as they stand in gossip messages and snapshots. A pool with a name appends "/" and its
-// name.
+// Names of the fleet's budgets in gossip messages and snapshots. A pool with a name appends "/" and its name to
+// its retry and probe budgets.
 const (
 	retryBudget        = "further"
 	probeBudget        = "probes"
-	tenantBudgetPrefix = "tenant/" // followed by the tenant's name
+	tenantBudgetPrefix = "tenant/" // the tenant's name follows
 )
 
-// budgetName is the name of the pool's budget of a kind.
-func (p *Pool) budgetName(kind string) string {
+// budgetName returns the name of one of the pool's fleet budgets, from the base name retryBudget or
+// probeBudget.
+func (p *Pool) budgetName(baseName string) string {
 	if p.name == "" {
-		return kind
+		return baseName
 	}
-	return kind + "/" + p.name
+	return baseName + "/" + p.name
 }
 
-// addFleetBudgets has the pool's retries and probes take their quota from the fleet. Retries have a contributed budget:
-// its units are what the instances' accepted first attempts earn. Probes have a fixed one: what the endpoints bear.
+// addFleetBudgets adds the fleet budgets from which the pool's retries and probes take quota. The retry budget
+// consists of contributions: each instance contributes the retries that its accepted first attempts earn. The
+// probe budget is fixed: it is the probe rate that the endpoints can sustain.
 func (p *Pool) addFleetBudgets() {
 	f := p.engine.fleet
 	if f == nil || p.overload == nil {
@@ -35,24 +37,25 @@
 		f.member.SetBudget(p.budgetName(retryBudget), 0, true)
 	}
 	if f.Scope.Probes {
-		f.member.SetBudget(p.budgetName(probeBudget), p.overload.control.MaxFleetProbeRate(), false)
+		f.member.SetBudget(p.budgetName(probeBudget), p.overload.controller.MaxFleetProbeRate(), false)
 	}
 	p.updateFleetShare(0)
 }
 
-// removeFleetBudgets removes the pool's budgets, unless another pool has the same name.
+// removeFleetBudgets removes the pool's fleet budgets, unless another pool has the same name.
 func (p *Pool) removeFleetBudgets() {
-	sameName := func(o *Pool) bool { return o != p && o.name == p.name }
+	hasSameName := func(other *Pool) bool { return other != p && other.name == p.name }
 	f := p.engine.fleet
-	if f == nil || slices.ContainsFunc(p.engine.pools, sameName) {
+	if f == nil || slices.ContainsFunc(p.engine.pools, hasSameName) {
 		return
 	}
 	f.member.RemoveBudget(p.budgetName(retryBudget))
 	f.member.RemoveBudget(p.budgetName(probeBudget))
 }
 
-// updateFleetShare passes the pool's overload control the part, 0 to 1, of its retry and probe budgets that it may use
-// without a lease, and the probes a second that it has leased beyond that.
+// updateFleetShare passes to the pool's overload control the share, 0 to 1, of its retry budget and of its
+// probe budget that it may use without a lease, and the rate of probes per second that it has leased in
+// addition.
 func (p *Pool) updateFleetShare(now monotime.Micros) {
 	f := p.engine.fleet
 	if !p.hasFleetBudgets || !f.Scope.Retries && !f.Scope.Probes {
@@ -65,27 +68,28 @@
 		return 1
 	}
 	leasedProbes := float64(f.member.Allowed(now, p.budgetName(probeBudget)))
-	p.overload.control.SetLocalShares(localShare(f.Scope.Retries), localShare(f.Scope.Probes), leasedProbes)
+	p.overload.controller.SetLocalShares(localShare(f.Scope.Retries), localShare(f.Scope.Probes), leasedProbes)
 }
 
-// spendQuota takes one unit of this instance's quota of a fleet budget, and reports whether there was one.
-func (x *Engine) spendQuota(now monotime.Micros, budget string) bool {
-	if !x.fleet.member.Spend(now, budget) {
+// spendQuota spends one unit of this instance's quota of a fleet budget, and reports whether a unit was
+// available.
+func (eng *Engine) spendQuota(now monotime.Micros, budget string) bool {
+	if !eng.fleet.member.Spend(now, budget) {
 		return false
 	}
-	if notify := x.config.OnQuotaSpent; notify != nil {
+	if notify := eng.config.OnQuotaSpent; notify != nil {
 		notify(now, budget)
 	}
 	return true
 }
 
-// hasRetryQuota reports whether the fleet's quota allows one more retry.
+// hasRetryQuota reports whether this instance's quota of the fleet's retry budget allows one more retry.
 func (p *Pool) hasRetryQuota(now monotime.Micros) bool {
 	f := p.engine.fleet
 	return p.hasFleetBudgets && f.Scope.Retries && f.member.Available(now, p.budgetName(retryBudget)) > 0
 }
 
-// countAttempt charges an attempt that the balancer sends to the budgets of overload control.
+// countAttempt charges an attempt that the balancer starts to the budgets of overload control.
 func (p *Pool) countAttempt(now monotime.Micros, a *Attempt) {
 	if p.overload == nil {
 		return
@@ -95,21 +99,21 @@
 		p.chargeRetry(now, class)
 		return
 	}
-	p.overload.control.OnAttemptSent(now, class, true)
+	p.overload.controller.OnAttemptSent(now, class, true)
 }
 
-// chargeRetry charges a retry or hedged request to the pool's own retry budget, or to its fleet quota once that is used
-// up.
+// chargeRetry charges a retry or hedged request to the pool's own retry budget, or to its fleet quota if its
+// own budget is exhausted.
 func (p *Pool) chargeRetry(now monotime.Micros, class int) {
-	control := p.overload.control
-	if p.hasRetryQuota(now) && !control.RetryAllowed(now) && p.engine.spendQuota(now, p.budgetName(retryBudget)) {
+	controller := p.overload.controller
+	if p.hasRetryQuota(now) && !controller.RetryAllowed(now) && p.engine.spendQuota(now, p.budgetName(retryBudget)) {
 		return
 	}
-	control.OnAttemptSent(now, class, false)
+	controller.OnAttemptSent(now, class, false)
 }
 
-// requestRetryQuota records the demand for one retry after an attempt has failed whose request may have more attempts.
-// The lessee requests quota by this demand, whether the balancer retries or not.
+// requestRetryQuota records a demand for one retry when an attempt fails and its request may have further
+// attempts. The lessee requests quota based on this demand, whether or not the balancer retries.
 func (p *Pool) requestRetryQuota(now monotime.Micros, a *Attempt, status balancer.Status) {
 	f := p.engine.fleet
 	maxAttempts := p.engine.config.Site.Settings.Limits.MaxAttempts
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -16,19 +16,19 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// answeringHost is a host whose endpoints answer all attempts and probes after a fixed time. Those in failing answer
-// with an error.
-type answeringHost struct {
+// respondingHost is a Host whose endpoints respond to every attempt 20 ms, and to every probe 1 ms, after its
+// start. Attempts at the endpoints in failing get an error.
+type respondingHost struct {
 	engine   *Engine
 	pool     *Pool
 	failing  map[string]bool
-	attempts map[string]int // by endpoint
-	probes   int
+	attempts map[string]int // number of attempts started, by endpoint
+	probes   int            // number of probes started
 	verdicts map[Verdict]int
 }
 
-func (h *answeringHost) NewTarget(string, string) Target { return unknownTarget{} }
-func (h *answeringHost) StartAttempt(a *Attempt) {
+func (h *respondingHost) NewTarget(string, string) Target { return unknownTarget{} }
+func (h *respondingHost) StartAttempt(a *Attempt) {
 	h.attempts[a.Endpoint.Name]++
 	status := balancer.OK
 	if h.failing[a.Endpoint.Name] {
@@ -38,34 +38,35 @@
 		h.engine.recordOutcome(now, a, AttemptResult{Status: status, ObservedAt: now})
 	})
 }
-func (h *answeringHost) CancelUnsent(*Attempt) bool { return false }
-func (h *answeringHost) AbortAttempt(*Attempt)      {}
-func (h *answeringHost) AttemptTimedOut(*Attempt)   {}
-func (h *answeringHost) StartProbe(p *Pool, e *Endpoint) {
+func (h *respondingHost) CancelUnsent(*Attempt) bool { return false }
+func (h *respondingHost) AbortAttempt(*Attempt)      {}
+func (h *respondingHost) AttemptTimedOut(*Attempt)   {}
+func (h *respondingHost) StartProbe(p *Pool, e *Endpoint) {
 	h.probes++
 	sentAt := h.engine.now
 	h.engine.schedule(sentAt+1000, func(now monotime.Micros) {
 		p.balancer.HandleProbe(now, e.Number, balancer.OK, now-sentAt, []float32{1})
 	})
 }
-func (h *answeringHost) Respond(_ *Call, r Response) { h.verdicts[r.Verdict]++ }
-func (h *answeringHost) EndpointReady()              {}
-func (h *answeringHost) Log(string, ...any)          {}
-func (h *answeringHost) Warn(string, ...any)         {}
+func (h *respondingHost) Respond(_ *Call, r Response) { h.verdicts[r.Verdict]++ }
+func (h *respondingHost) EndpointReady()              {}
+func (h *respondingHost) Log(string, ...any)          {}
+func (h *respondingHost) Warn(string, ...any)         {}
 
-// sentAttempts returns how many attempts were started at all endpoints.
-func (h *answeringHost) sentAttempts() int {
+// sentAttempts returns the number of attempts started at all endpoints together.
+func (h *respondingHost) sentAttempts() int {
 	sent := 0
-	for _, n := range h.attempts {
-		sent += n
+	for _, count := range h.attempts {
+		sent += count
 	}
 	return sent
 }
 
-// run submits so many requests, one after each gap, and returns when the last is over.
-func (h *answeringHost) run(c *Client, now monotime.Micros, requests int, gap monotime.Micros) monotime.Micros {
+// run submits a number of requests, one after each interval, and returns an instant one second after the last
+// one.
+func (h *respondingHost) run(c *Client, now monotime.Micros, requests int, interval monotime.Micros) monotime.Micros {
 	for i := range requests {
-		now += gap
+		now += interval
 		advanceTo(h.engine, now)
 		h.engine.Submit(now, &Call{Client: c, Pool: h.pool, ID: fmt.Sprint(now, i),
 			Request: balancer.Request{Deadline: now + 500_000}, ArrivedAt: now})
@@ -75,8 +76,8 @@
 	return now
 }
 
-// startPool gives the host another pool.
-func (h *answeringHost) startPool(tb testing.TB, c PoolConfig, list []EndpointInfo) {
+// startPool starts a new pool with an endpoint list, to which run then submits its requests.
+func (h *respondingHost) startPool(tb testing.TB, c PoolConfig, list []EndpointInfo) {
 	tb.Helper()
 	c.InitialEndpoints = EndpointUpdate{Generation: 1, Endpoints: list}
 	c.SetWatch = func(bool) {}
@@ -86,41 +87,44 @@
 	h.pool = pool
 }
 
-// newQuietInstance returns an instance of a fleet of 5,000 that uses four of sixty endpoints.
-func newQuietInstance(tb testing.TB, probes float64) (*answeringHost, *Client, []EndpointInfo) {
+// newQuietInstance returns an instance of a fleet of 5,000 that uses a subset of four of sixty endpoints. Each
+// endpoint allows the fleet probeRate probes per second.
+func newQuietInstance(tb testing.TB, probeRate float64) (*respondingHost, *Client, []EndpointInfo) {
 	tb.Helper()
-	return newInstance(tb, &subset.Settings{Position: 77, Instances: 5000, MinMembers: 4, EndpointProbes: probes})
+	return newInstance(tb, &subset.Settings{Position: 77, Instances: 5000, MinMembers: 4, EndpointProbes: probeRate})
 }
 
-// newInstance returns an instance that uses a subset of sixty endpoints, or all if that is nil.
-func newInstance(tb testing.TB, part *subset.Settings) (*answeringHost, *Client, []EndpointInfo) {
+// newInstance returns an instance with sixty endpoints that uses a subset of them, or all of them if
+// subsetSettings is nil.
+func newInstance(tb testing.TB, subsetSettings *subset.Settings) (*respondingHost, *Client, []EndpointInfo) {
 	tb.Helper()
-	s := balancer.Settings{Balancers: 5000, LoadMetrics: []balancer.LoadMetric{balancer.MetricInflight},
+	settings := balancer.Settings{Balancers: 5000, LoadMetrics: []balancer.LoadMetric{balancer.MetricInflight},
 		Classes: []balancer.Class{{Name: "look", LatencyObjective: 200_000, ClientTimeout: 500_000, PriorityWeight: 1}},
 		Limits: balancer.Limits{Probes: true, Hedging: true, MaxAttempts: 3, MaxOpenRequests: 100,
 			DialTimeout: 100_000},
 		Contract: balancer.Contract{DrainGrace: 250_000, WarmupStartCapacity: 0.2, WarmupTime: 20 * monotime.Second,
 			CollapseMultiple: 2.5,
 			CollapseAfter:    2 * monotime.Second, PollInterval: 10 * monotime.Second}, Goal: balancer.Goal{Overall: 1}}
-	h := &answeringHost{failing: map[string]bool{}, attempts: map[string]int{}, verdicts: map[Verdict]int{}}
-	site := &siteconfig.Site{Settings: s, Classes: []string{"look"}, Zones: []string{"a"}}
+	h := &respondingHost{failing: map[string]bool{}, attempts: map[string]int{}, verdicts: map[Verdict]int{}}
+	site := &siteconfig.Site{Settings: settings, Classes: []string{"look"}, Zones: []string{"a"}}
 	h.engine = New(Config{Site: site, Seed: 5, Host: h})
 	var list []EndpointInfo
 	for i := range 60 {
 		list = append(list, EndpointInfo{Name: fmt.Sprintf("s-%d", i), Addr: fmt.Sprintf("10.0.0.%d:80", i),
 			Zone: "a", Weight: 1})
 	}
-	h.startPool(tb, PoolConfig{Subset: part}, list)
+	h.startPool(tb, PoolConfig{Subset: subsetSettings}, list)
 	c, err := NewClient(fairqueue.ClientSpec{Name: "c", Weight: 1})
 	require.NoError(tb, err)
 	return h, c, list
 }
 
-// recordingHost is a host that answers nothing by itself, and records what it is to do.
+// recordingHost is a Host that records the attempts it should start and the responses it should deliver. Its
+// endpoints do not respond on their own.
 type recordingHost struct {
 	Host
 	started   []*Attempt
-	responses map[string]Response // by request ID
+	responses map[string]Response // final responses, by request ID
 }
 
 func (h *recordingHost) NewTarget(_, _ string) Target { return unknownTarget{} }
@@ -133,26 +137,28 @@
 func (h *recordingHost) EndpointReady()               {}
 func (h *recordingHost) Log(string, ...any)           {}
 func (h *recordingHost) Warn(string, ...any)          {}
-func (h *recordingHost) nextAttempt() (first *Attempt) {
-	first = h.started[0]
+
+// nextAttempt removes the earliest started attempt from the record and returns it.
+func (h *recordingHost) nextAttempt() (attempt *Attempt) {
+	attempt = h.started[0]
 	h.started = slices.Delete(h.started, 0, 1)
-	return first
+	return attempt
 }
 
-// serveAll answers all attempts that have started, and returns how many that were, and how many of them at e1.
-func (h *recordingHost) serveAll(x *Engine, now monotime.Micros) (all, atE1 int) {
+// serveAll ends all started attempts successfully, and returns how many there were in total and at e1.
+func (h *recordingHost) serveAll(engine *Engine, now monotime.Micros) (total, atE1 int) {
 	for len(h.started) > 0 {
 		a := h.nextAttempt()
-		x.AttemptEnded(now, a, AttemptResult{Status: balancer.OK, ObservedAt: now})
-		all++
+		engine.AttemptEnded(now, a, AttemptResult{Status: balancer.OK, ObservedAt: now})
+		total++
 		if a.Endpoint.Name == "e1" {
 			atE1++
 		}
 	}
-	return all, atE1
+	return total, atE1
 }
 
-// tenantSite returns the settings of two classes and two tenants, of which the first has a limit.
+// tenantSite returns settings with two classes and two tenants. Only the first tenant has a limit.
 func tenantSite(limit float64, instances, position int) *siteconfig.Site {
 	return &siteconfig.Site{
 		Classes:      []string{"look", "book"},
@@ -180,8 +186,9 @@
 	}
 }
 
-// fleetOfOne returns what has an engine decide as the only instance of its fleet, which grants itself all quota.
-func fleetOfOne(scope CoordinationScope) Coordination {
+// singleInstanceFleet returns the coordination settings of an instance that is the only one in its fleet, and
+// therefore grants itself all quota.
+func singleInstanceFleet(scope CoordinationScope) Coordination {
 	return Coordination{
 		Scope:           scope,
 		Send:            func(string, coordination.Message) {},
@@ -192,19 +199,19 @@
 	}
 }
 
-// newEngine returns an engine with three endpoints; with a scope it is the only instance of its fleet.
-func newEngine(tb testing.TB, s *siteconfig.Site, scope *CoordinationScope, o *overload.Settings) (
+// newEngine returns an engine with three endpoints. With a scope, it is the only instance of its fleet.
+func newEngine(tb testing.TB, site *siteconfig.Site, scope *CoordinationScope, overloadSettings *overload.Settings) (
 	*Engine, *Pool, *recordingHost) {
 	tb.Helper()
 	h := &recordingHost{responses: map[string]Response{}}
-	x := New(Config{Site: s, Seed: 1, Host: h, Concurrency: ConcurrencySettings{MaxOpen: 1000}})
+	engine := New(Config{Site: site, Seed: 1, Host: h, Concurrency: ConcurrencySettings{MaxOpen: 1000}})
 	if scope != nil {
-		require.NoError(tb, x.JoinFleet(fleetOfOne(*scope)))
+		require.NoError(tb, engine.JoinFleet(singleInstanceFleet(*scope)))
 	}
-	p, err := x.NewPool(PoolConfig{
+	p, err := engine.NewPool(PoolConfig{
 		InitialEndpoints: EndpointUpdate{Generation: -1},
 		SetWatch:         func(bool) {},
-		Overload:         o,
+		Overload:         overloadSettings,
 	})
 	require.NoError(tb, err)
 	p.Start(0)
@@ -214,19 +221,19 @@
 			State: balancer.Ready, Weight: 1})
 	}
 	p.UpdateEndpoints(0, EndpointUpdate{Kind: balancer.ListFull, Generation: 1, Endpoints: list})
-	x.StartCoordination(0)
-	return x, p, h
+	engine.StartCoordination(0)
+	return engine, p, h
 }
 
-// advanceTo fires all timers that are due by an instant, each at its own.
-func advanceTo(x *Engine, now monotime.Micros) {
-	for due, ok := x.Next(); ok && due <= now; due, ok = x.Next() {
-		x.Advance(due)
+// advanceTo fires all timers that are due at or before now, each at the instant at which it is due.
+func advanceTo(engine *Engine, now monotime.Micros) {
+	for due, ok := engine.Next(); ok && due <= now; due, ok = engine.Next() {
+		engine.Advance(due)
 	}
-	x.Advance(now)
+	engine.Advance(now)
 }
 
-// newCall returns a call of a client of its own.
+// newCall returns a call of a new client, which has no other calls.
 func newCall(tb testing.TB, p *Pool, now monotime.Micros, id string, r balancer.Request) *Call {
 	tb.Helper()
 	c, err := NewClient(fairqueue.ClientSpec{Weight: 1})
@@ -234,24 +241,25 @@
 	return &Call{Client: c, Pool: p, ID: id, ArrivedAt: now, Request: r}
 }
 
-// submit submits a request of a tenant.
-func submit(tb testing.TB, x *Engine, p *Pool, now monotime.Micros, id string, tenant uint16) {
+// submit submits a request of a tenant, with a deadline after 500 ms.
+func submit(tb testing.TB, engine *Engine, p *Pool, now monotime.Micros, id string, tenant uint16) {
 	tb.Helper()
-	x.Submit(now, newCall(tb, p, now, id, balancer.Request{Tenant: tenant, Deadline: now + 500_000}))
+	engine.Submit(now, newCall(tb, p, now, id, balancer.Request{Tenant: tenant, Deadline: now + 500_000}))
 }
 
-// fleetView returns what an engine knows of its fleet.
-func fleetView(tb testing.TB, x *Engine, now monotime.Micros) coordination.View {
+// fleetView returns the engine's view of its fleet, and fails the test if there is no fleet.
+func fleetView(tb testing.TB, engine *Engine, now monotime.Micros) coordination.View {
 	tb.Helper()
-	view, ok := x.FleetView(now)
+	view, ok := engine.FleetView(now)
 	if !ok {
-		tb.Fatal("no fleet")
+		tb.Fatal("the engine has no fleet")
 	}
 	return view
 }
 
-// subsetSize returns how many endpoints the instance uses, of how many that are listed, and how often the subset has
-// been widened. A pool that uses all of its list returns its length twice, and 0.
+// subsetSize returns the number of endpoints that the instance uses, the number of listed endpoints, and how
+// often the subset has been widened. For a pool without a subset, both numbers are the length of the list, and
+// widened is 0.
 func (p *Pool) subsetSize() (members, listed, widened int) {
 	if p.subset == nil {
 		return len(p.byName), len(p.byName), 0
--- a/internal/engine/maintenance_test.go
+++ b/internal/engine/maintenance_test.go
@@ -8,7 +8,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// maintenanceRun is an engine that follows a maintenance plan.
+// maintenanceRun is a test run of an engine that follows a maintenance plan.
 type maintenanceRun struct {
 	engine *Engine
 	pool   *Pool
@@ -16,27 +16,27 @@
 	now    monotime.Micros
 }
 
-// sent submits so many requests and returns how many attempts each endpoint got.
-func (r *maintenanceRun) sent(t *testing.T, requests int) map[string]int {
+// attemptsByEndpoint submits a number of requests and returns how many attempts each endpoint got.
+func (r *maintenanceRun) attemptsByEndpoint(t *testing.T, requests int) map[string]int {
 	t.Helper()
-	all := map[string]int{}
+	attempts := map[string]int{}
 	for range requests {
 		submit(t, r.engine, r.pool, r.now, fmt.Sprint(r.now), 1)
 		for len(r.host.started) > 0 {
 			a := r.host.nextAttempt()
-			all[a.Endpoint.Name]++
+			attempts[a.Endpoint.Name]++
 			if !a.Endpoint.MaySend(r.now) {
-				t.Errorf("%s is picked, and may not be sent to", a.Endpoint.Name)
+				t.Errorf("endpoint %s was picked although MaySend is false", a.Endpoint.Name)
 			}
 			r.engine.AttemptEnded(r.now+20_000, a, AttemptResult{Status: balancer.OK, ObservedAt: r.now + 20_000})
 		}
 		r.now += 50_000
 		advanceTo(r.engine, r.now)
 	}
-	return all
+	return attempts
 }
 
-// openAttemptAtE1 submits requests until one goes to e1, and leaves that open.
+// openAttemptAtE1 submits requests until one goes to e1, and leaves that attempt open.
 func (r *maintenanceRun) openAttemptAtE1(t *testing.T) {
 	t.Helper()
 	for range 200 {
@@ -49,42 +49,44 @@
 		r.now += 5_000
 	}
 	if r.engine.OpenAttempts([]string{"e1"})["e1"] != 1 {
-		t.Fatalf("nothing is open at e1: %v", r.engine.OpenAttempts([]string{"e0", "e1", "e2"}))
+		t.Fatalf("no attempt is open at e1: open attempts %v", r.engine.OpenAttempts([]string{"e0", "e1", "e2"}))
 	}
 }
 
-// Without a plan nothing is sent. With one, nothing is sent to excluded endpoints, and to announced ones only until the
-// lease ends, which attempts that wait for a connection check last. Attempts that are open there at the drain deadline
-// are ended.
+// Without a plan no request is sent. With a plan, excluded endpoints get no requests, and announced endpoints
+// get requests only until the lease ends; attempts that wait for a connection check that end immediately before
+// they are sent. Attempts that are still open at excluded or announced endpoints at the drain deadline are
+// ended.
 func TestMaintenancePlan(t *testing.T) {
-	x, p, h := newEngine(t, tenantSite(0, 1, 0), nil, nil)
-	r := &maintenanceRun{engine: x, pool: p, host: h, now: 5 * monotime.Second}
-	advanceTo(x, r.now)
-	x.ApplyMaintenancePlan(r.now, MaintenancePlan{AwaitingPlan: true})
-	if got := r.sent(t, 20); len(got) != 0 {
-		t.Errorf("before a plan is known: %v", got)
+	engine, p, h := newEngine(t, tenantSite(0, 1, 0), nil, nil)
+	r := &maintenanceRun{engine: engine, pool: p, host: h, now: 5 * monotime.Second}
+	advanceTo(engine, r.now)
+	engine.ApplyMaintenancePlan(r.now, MaintenancePlan{AwaitingPlan: true})
+	if got := r.attemptsByEndpoint(t, 20); len(got) != 0 {
+		t.Errorf("attempts before a plan is known: %v, want none", got)
 	}
 	leaseEnd := r.now + 10*monotime.Second
-	x.ApplyMaintenancePlan(r.now, MaintenancePlan{Excluded: []string{"e0"}, Announced: []string{"e1"},
+	engine.ApplyMaintenancePlan(r.now, MaintenancePlan{Excluded: []string{"e0"}, Announced: []string{"e1"},
 		LeaseEnd: leaseEnd, DrainDeadline: leaseEnd + monotime.Second})
-	if got := r.sent(t, 60); got["e0"] != 0 || got["e1"]+got["e2"] < 50 {
-		t.Errorf("with one excluded and one announced: %v", got)
+	if got := r.attemptsByEndpoint(t, 60); got["e0"] != 0 || got["e1"]+got["e2"] < 50 {
+		t.Errorf("attempts with e0 excluded and e1 announced: %v", got)
 	}
-	// One that waits for its connection while the process is suspended must not be sent once it wakes.
+	// An attempt that waits for its connection while the process is suspended must not be sent if the lease has
+	// ended when the process resumes.
 	e1 := p.byName["e1"]
 	if !e1.MaySend(leaseEnd-1) || e1.MaySend(leaseEnd) {
-		t.Error("an announced endpoint may be sent to after the lease, or not before its end")
+		t.Error("MaySend of an announced endpoint is false before the lease ends, or true after it")
 	}
 	r.now = leaseEnd
-	advanceTo(x, r.now)
-	if got := r.sent(t, 60); got["e0"]+got["e1"] != 0 || got["e2"] == 0 {
-		t.Errorf("after the lease: %v", got)
+	advanceTo(engine, r.now)
+	if got := r.attemptsByEndpoint(t, 60); got["e0"]+got["e1"] != 0 || got["e2"] == 0 {
+		t.Errorf("attempts after the lease has ended: %v, want some at e2 only", got)
 	}
-	x.ApplyMaintenancePlan(r.now, MaintenancePlan{Announced: []string{"e1"},
+	engine.ApplyMaintenancePlan(r.now, MaintenancePlan{Announced: []string{"e1"},
 		LeaseEnd: r.now + 2*monotime.Second, DrainDeadline: r.now + 3*monotime.Second})
 	r.openAttemptAtE1(t)
-	advanceTo(x, r.now+4*monotime.Second)
-	if n := x.OpenAttempts([]string{"e1"})["e1"]; n != 0 {
-		t.Errorf("%d are open there after the drain deadline", n)
+	advanceTo(engine, r.now+4*monotime.Second)
+	if open := engine.OpenAttempts([]string{"e1"})["e1"]; open != 0 {
+		t.Errorf("%d attempts are open at e1 after the drain deadline", open)
 	}
 }
--- a/internal/engine/overload.go
+++ b/internal/engine/overload.go
@@ -6,24 +6,25 @@
 	"dunlinsail/internal/monotime"
 )
 
-// noField is the index of a figure that load reports do not carry.
-const noField = -1
+// noMetric is the index of a metric that load reports do not include.
+const noMetric = -1
 
-// overloadState is the overload control of a pool (package overload): it bounds what the instance adds to the load of
-// endpoints that it shares with other instances.
+// overloadState is the overload control of a pool (package overload). It limits the load that this instance
+// adds to endpoints that it shares with other instances.
 type overloadState struct {
-	control          *overload.Controller
-	policy           balancer.OverloadPolicy // in force; the balancer reads it
-	bounds           overload.Bounds         // that policy was made from
-	loggedReason     overload.Reason         // of the latest log line about the bounds
-	loggedAt         monotime.Micros
-	shedRequests     uint64 // requests rejected by overload control so far
-	suppressedProbes uint64 // probes that its budget did not allow so far
-	inFlightField    int    // index of the requests in flight in a load report, or noField
-	servedField      int    // index of the served rate in a load report, or noField
+	controller       *overload.Controller
+	policy           balancer.OverloadPolicy // policy in force, which the balancer reads
+	bounds           overload.Bounds         // bounds from which the policy was derived
+	loggedReason     overload.Reason         // reason in the latest log message about the bounds
+	loggedAt         monotime.Micros         // instant of the latest log message about the bounds
+	shedRequests     uint64                  // total number of requests rejected by overload control
+	suppressedProbes uint64                  // total number of probes suppressed by the probe budget
+	inFlightIndex    int                     // index of balancer.MetricInflight in a load report, or noMetric
+	servedRateIndex  int                     // index of balancer.MetricServedRate in a load report, or noMetric
 }
 
-// initOverload makes the pool's overload control. Its settings of classes, tenants and goal weights are the site's.
+// initOverload creates the pool's overload control. Classes, tenants, goal weights and the weight of requests
+// over quota are taken from the site's settings.
 func (p *Pool) initOverload(s overload.Settings, seed uint64) error {
 	site := &p.engine.config.Site.Settings
 	s.Seed = seed
@@ -41,17 +42,17 @@
 	for i := range site.Tenants {
 		s.Tenants = append(s.Tenants, overload.Tenant{Quota: site.Tenants[i].Quota})
 	}
-	control, err := overload.New(s)
+	controller, err := overload.New(s)
 	if err != nil {
 		return err
 	}
-	p.overload = &overloadState{control: control, inFlightField: noField, servedField: noField}
-	for i, field := range site.LoadMetrics {
-		switch field {
+	p.overload = &overloadState{controller: controller, inFlightIndex: noMetric, servedRateIndex: noMetric}
+	for i, metric := range site.LoadMetrics {
+		switch metric {
 		case balancer.MetricInflight:
-			p.overload.inFlightField = i
+			p.overload.inFlightIndex = i
 		case balancer.MetricServedRate:
-			p.overload.servedField = i
+			p.overload.servedRateIndex = i
 		}
 	}
 	p.refreshBounds(0)
@@ -59,11 +60,11 @@
 	return nil
 }
 
-// refreshBounds puts the bounds of this instant in force (overload.Controller.Bounds). A retry is also allowed by the
-// fleet's quota. It is called after each event that changes them.
+// refreshBounds applies the current bounds (overload.Controller.Bounds). A retry is allowed by the bounds or by
+// the fleet's quota. refreshBounds is called after each event that changes the bounds or the quota.
 func (p *Pool) refreshBounds(now monotime.Micros) {
 	o := p.overload
-	b := o.control.Bounds(now)
+	b := o.controller.Bounds(now)
 	o.policy = balancer.OverloadPolicy{
 		AdmitRatio:             b.AdmitRatio,
 		OverQuotaAdmitRatio:    b.OverQuotaAdmitRatio,
@@ -80,10 +81,10 @@
 	p.logBounds(now)
 }
 
-// overloadLogInterval is the minimum time between two log lines of a pool about its bounds.
+// overloadLogInterval is the minimum time between two log messages of a pool about its bounds.
 const overloadLogInterval = monotime.Second
 
-// logBounds logs a change of the reason for which work is bounded.
+// logBounds logs a change of the reason why overload control limits the pool's work.
 func (p *Pool) logBounds(now monotime.Micros) {
 	o := p.overload
 	b := &o.bounds
@@ -95,8 +96,9 @@
 	}
 }
 
-// shed decides whether overload control rejects a request before it is queued, and reports whether it did: by the
-// part of its class and tenant that the policy in force admits (balancer.ShouldReject, overload.Bounds).
+// shed lets overload control decide, before a request is queued, whether it is rejected, and reports whether it
+// was. The decision depends on the fraction of requests that the policy in force admits for the request's class
+// and tenant (balancer.ShouldReject, overload.Bounds).
 func (p *Pool) shed(now monotime.Micros, c *Call) bool {
 	o := p.overload
 	if o == nil {
@@ -106,14 +108,14 @@
 	if int(c.Request.Tenant) < len(p.engine.config.Site.Settings.Tenants) {
 		tenant = int(c.Request.Tenant)
 	}
-	o.control.OnRequest(now, int(c.Request.Class), tenant, c.Request.Retry)
+	o.controller.OnRequest(now, int(c.Request.Class), tenant, c.Request.Retry)
 	p.refreshBounds(now)
 	retryAfter, rejected := p.balancer.ShouldReject(c.Request)
 	if !rejected {
 		return false
 	}
 	o.shedRequests++
-	o.control.OnRejected(now, int(c.Request.Class), false)
+	o.controller.OnRejected(now, int(c.Request.Class), false)
 	p.observeRejection(now)
 	p.engine.respond(c, Response{
 		Verdict:    Rejected,
@@ -129,14 +131,14 @@
 	if o == nil {
 		return
 	}
-	first := a.Number == 0
-	o.control.OnAttemptEnded(now, int(a.Call.Request.Class), first, overloadOutcome(r.Status), latency)
-	o.observeLoad(now, r.Load)
+	isFirst := a.Number == 0
+	o.controller.OnAttemptEnded(now, int(a.Call.Request.Class), isFirst, overloadOutcome(r.Status), latency)
+	o.observeLoadReport(now, r.Load)
 	p.requestRetryQuota(now, a, r.Status)
 	p.refreshBounds(now)
 }
 
-// overloadOutcome returns what the status of an attempt shows of the load of its endpoint.
+// overloadOutcome returns what the status of an attempt indicates about the load of its endpoint.
 func overloadOutcome(status balancer.Status) overload.Outcome {
 	switch status {
 	case balancer.OK:
@@ -150,19 +152,22 @@
 	}
 }
 
-// observeLoad passes a load report to overload control, if it has the figures for that.
-func (o *overloadState) observeLoad(now monotime.Micros, load []float32) {
-	if o.inFlightField == noField || o.servedField == noField || max(o.inFlightField, o.servedField) >= len(load) {
+// observeLoadReport passes a load report to overload control if it includes the requests in flight and the
+// served rate.
+func (o *overloadState) observeLoadReport(now monotime.Micros, loadReport []float32) {
+	if o.inFlightIndex == noMetric || o.servedRateIndex == noMetric ||
+		max(o.inFlightIndex, o.servedRateIndex) >= len(loadReport) {
 		return
 	}
-	o.control.OnLoadReport(now, overload.LoadReport{
-		InFlight:   float64(load[o.inFlightField]),
-		ServedRate: float64(load[o.servedField]),
+	o.controller.OnLoadReport(now, overload.LoadReport{
+		InFlight:   float64(loadReport[o.inFlightIndex]),
+		ServedRate: float64(loadReport[o.servedRateIndex]),
 	})
 }
 
-// updateEndpointCount passes overload control the number of endpoints that the fleet shares: all that are listed, ready
-// and not excluded, also where this instance uses a subset of them.
+// updateEndpointCount passes overload control the number of endpoints that the fleet shares: all listed
+// endpoints that are ready and not excluded. With a subset, endpoints outside the subset count too, and only
+// cordons exclude.
 func (p *Pool) updateEndpointCount() {
 	if p.overload == nil {
 		return
@@ -181,5 +186,5 @@
 			}
 		}
 	}
-	p.overload.control.SetEndpointCount(count)
+	p.overload.controller.SetEndpointCount(count)
 }
--- a/internal/engine/snapshot_golden_test.go
+++ b/internal/engine/snapshot_golden_test.go
@@ -18,24 +18,27 @@
 	"dunlinsail/internal/monotime"
 )
 
-// The files in testdata were written by the build of commit 870f4ac, before any stored name was written down as a tag.
-// A process of that build and one of this build may replace each other, so the files must never be written anew, but
-// for runFile, whose form is held by another.
+// The files in testdata were written by the build of commit 870f4ac, before the stored names were written as
+// struct tags. A process of that build and one of the current build may replace each other, so these files must
+// never be regenerated, except learnedRunFile, whose form TestSnapshotOfRunHasFormOfEarlierBuild verifies.
 
-func golden(t *testing.T, name string) []byte {
+// readGolden returns the content of a file in testdata.
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
 	require.NoError(t, err)
 	return text
 }
 
+// encodeSnapshot returns the stored form of a snapshot.
 func encodeSnapshot(t *testing.T, s *Snapshot) []byte {
 	t.Helper()
-	text, err := json.Marshal(s) // as takeover.State does
+	text, err := json.Marshal(s) // the same encoding as takeover.State
 	require.NoError(t, err)
 	return text
 }
 
+// decodeSnapshot decodes the stored form of a snapshot, and fails the test if it has an unknown field.
 func decodeSnapshot(t *testing.T, text []byte) *Snapshot {
 	t.Helper()
 	s := &Snapshot{}
@@ -45,34 +48,35 @@
 	return s
 }
 
-// fill gives every field reached from v a value of its own: numbers count up, and lists have two entries.
-func fill(t *testing.T, v reflect.Value, next *int) {
+// fillValue sets v and every field within it to non-zero values. Numbers and strings are derived from a running
+// count, and lists and maps have two entries.
+func fillValue(t *testing.T, v reflect.Value, next *int) {
 	t.Helper()
 	*next++
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(t, v.Field(i), next)
+			fillValue(t, v.Field(i), next)
 		}
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(t, v.Elem(), next)
+		fillValue(t, v.Elem(), next)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			fill(t, v.Index(i), next)
+			fillValue(t, v.Index(i), next)
 		}
 	case reflect.Array:
 		for i := range v.Len() {
-			fill(t, v.Index(i), next)
+			fillValue(t, v.Index(i), next)
 		}
 	case reflect.Map:
 		v.Set(reflect.MakeMap(v.Type()))
 		for range 2 {
 			key := reflect.New(v.Type().Key()).Elem()
-			fill(t, key, next)
+			fillValue(t, key, next)
 			value := reflect.New(v.Type().Elem()).Elem()
-			fill(t, value, next)
+			fillValue(t, value, next)
 			v.SetMapIndex(key, value)
 		}
 	case reflect.String:
@@ -88,79 +92,81 @@
 	case reflect.Float32, reflect.Float64:
 		v.SetFloat(float64(*next) + 0.5)
 	default:
-		t.Fatalf("no value for %s", v.Type())
+		t.Fatalf("fillValue does not support type %s", v.Type())
 	}
 }
 
+// filledSnapshot returns a snapshot in which every field has a non-zero value.
 func filledSnapshot(t *testing.T) *Snapshot {
 	t.Helper()
 	s := &Snapshot{}
 	next := 0
-	fill(t, reflect.ValueOf(s).Elem(), &next)
+	fillValue(t, reflect.ValueOf(s).Elem(), &next)
 	return s
 }
 
-// A snapshot in which every field has a value is written, byte for byte, as the build before wrote it, and read in
-// full.
+// A snapshot in which every field has a value is encoded byte for byte as the earlier build encoded it, and
+// decoded without loss.
 func TestSnapshotEncodingIsStable(t *testing.T) {
-	want := golden(t, "snapshot-filled.json")
+	want := readGolden(t, "snapshot-filled.json")
 	s := filledSnapshot(t)
 	if got := encodeSnapshot(t, s); !bytes.Equal(got, want) {
-		t.Errorf("a snapshot is written as\n%s\nwant\n%s", got, want)
+		t.Errorf("snapshot encoded as\n%s\nwant\n%s", got, want)
 	}
 	decoded := decodeSnapshot(t, want)
 	if !reflect.DeepEqual(decoded, s) {
-		t.Errorf("read as\n%+v\nwant\n%+v", decoded, s)
+		t.Errorf("snapshot decoded as\n%+v\nwant\n%+v", decoded, s)
 	}
 	if got := encodeSnapshot(t, decoded); !bytes.Equal(got, want) {
-		t.Errorf("read and written again as\n%s\nwant\n%s", got, want)
+		t.Errorf("snapshot decoded and encoded again as\n%s\nwant\n%s", got, want)
 	}
 }
 
-// A snapshot without anything in it is written as the build before wrote it: what is left out when empty, and what is
-// null.
+// An empty snapshot is encoded as the earlier build encoded it: the same fields are omitted, and the same
+// fields are null.
 func TestEmptySnapshotEncodingIsStable(t *testing.T) {
-	want := golden(t, "snapshot-empty.json")
+	want := readGolden(t, "snapshot-empty.json")
 	if got := encodeSnapshot(t, &Snapshot{Pools: []PoolSnapshot{{}}}); !bytes.Equal(got, want) {
-		t.Errorf("written as\n%s\nwant\n%s", got, want)
+		t.Errorf("snapshot encoded as\n%s\nwant\n%s", got, want)
 	}
 	if got := encodeSnapshot(t, decodeSnapshot(t, want)); !bytes.Equal(got, want) {
-		t.Errorf("read and written again as\n%s\nwant\n%s", got, want)
+		t.Errorf("snapshot decoded and encoded again as\n%s\nwant\n%s", got, want)
 	}
 }
 
-// goldenEngine is an engine with all that a snapshot holds: tenants, an overload level, a limit that is learned, a part
-// in a fleet.
+// goldenEngine returns an engine that uses everything a snapshot stores: tenants, overload control, a learned
+// concurrency limit and coordination with a fleet.
 func goldenEngine(t *testing.T) (*Engine, *Pool, *recordingHost) {
 	t.Helper()
 	h := &recordingHost{responses: map[string]Response{}}
-	s := tenantSite(10, 1, 0)
-	s.Settings.LoadMetrics = []balancer.LoadMetric{balancer.MetricInflight, balancer.MetricServedRate,
+	site := tenantSite(10, 1, 0)
+	site.Settings.LoadMetrics = []balancer.LoadMetric{balancer.MetricInflight, balancer.MetricServedRate,
 		balancer.MetricUtilization}
-	s.Settings.Contract.WarmupTime = 20 * monotime.Second
-	x := New(Config{Site: s, Seed: 3, Host: h, Concurrency: ConcurrencySettings{
+	site.Settings.Contract.WarmupTime = 20 * monotime.Second
+	engine := New(Config{Site: site, Seed: 3, Host: h, Concurrency: ConcurrencySettings{
 		MaxOpen:  1000,
 		Adaptive: &concurrency.Settings{Min: 1, Max: 200, Initial: 20},
 	}})
-	err := x.JoinFleet(fleetOfOne(CoordinationScope{Retries: true, Probes: true, TenantLimits: true,
+	err := engine.JoinFleet(singleInstanceFleet(CoordinationScope{Retries: true, Probes: true, TenantLimits: true,
 		OverloadLevel: true, SuspectedEndpoints: true}))
 	require.NoError(t, err)
-	o := overload.DefaultSettings()
-	o.Instances = 1
-	p, err := x.NewPool(PoolConfig{
+	overloadSettings := overload.DefaultSettings()
+	overloadSettings.Instances = 1
+	p, err := engine.NewPool(PoolConfig{
 		Name:             "front",
 		Source:           "test",
 		InitialEndpoints: EndpointUpdate{Generation: -1},
 		SetWatch:         func(bool) {},
-		Overload:         &o,
+		Overload:         &overloadSettings,
 	})
 	require.NoError(t, err)
 	p.Start(0)
-	return x, p, h
+	return engine, p, h
 }
 
-// goldenRun has the engine serve requests for a while, some of which fail, and returns when that is over.
-func goldenRun(t *testing.T, x *Engine, p *Pool, h *recordingHost) monotime.Micros {
+// serveGoldenRequests makes the engine serve 3,000 requests in 30 s, some of which fail, then cordons e3 and
+// returns the instant at which the run ends.
+func serveGoldenRequests(t *testing.T, engine *Engine, p *Pool, h *recordingHost) monotime.Micros {
 	t.Helper()
 	var list []EndpointInfo
 	for i := range 4 {
@@ -168,18 +174,18 @@
 			Zone: "z", Kind: "k", Cell: uint16(i), Weight: 1})
 	}
 	p.UpdateEndpoints(0, EndpointUpdate{Kind: balancer.ListFull, Generation: 1, Endpoints: list})
-	x.StartCoordination(0)
+	engine.StartCoordination(0)
 	now := monotime.Micros(0)
 	for i := range 3000 {
 		now += monotime.Second / 100
-		advanceTo(x, now)
-		if i == 2900 { // one that is still warming up when the snapshot is taken
-			fresh := EndpointInfo{Name: "e4", Addr: "10.0.0.4:80", Zone: "z", Kind: "k", Weight: 1, StartedAt: now}
+		advanceTo(engine, now)
+		if i == 2900 { // add an endpoint that is still warming up when the snapshot is taken
+			added := EndpointInfo{Name: "e4", Addr: "10.0.0.4:80", Zone: "z", Kind: "k", Weight: 1, StartedAt: now}
 			p.UpdateEndpoints(now, EndpointUpdate{Kind: balancer.ListDelta, Generation: 2,
-				Endpoints: []EndpointInfo{fresh}})
+				Endpoints: []EndpointInfo{added}})
 		}
 		request := balancer.Request{Class: uint8(i % 2), Tenant: uint16(i % 3 % 2), Deadline: now + 500_000}
-		x.Submit(now, newCall(t, p, now, fmt.Sprint(i), request))
+		engine.Submit(now, newCall(t, p, now, fmt.Sprint(i), request))
 		for len(h.started) > 0 {
 			a := h.nextAttempt()
 			result := AttemptResult{
@@ -190,49 +196,51 @@
 			if a.Endpoint.Name == "e1" && i%4 != 0 {
 				result.Status = balancer.Error
 			}
-			x.AttemptEnded(result.ObservedAt, a, result)
+			engine.AttemptEnded(result.ObservedAt, a, result)
 		}
 	}
 	now += monotime.Second / 100
-	advanceTo(x, now)
-	if _, known := x.SetCordon(now, "e3", true, now); !known {
-		t.Fatal("e3 is not known")
+	advanceTo(engine, now)
+	if _, known := engine.SetCordon(now, "e3", true, now); !known {
+		t.Fatal("SetCordon does not know endpoint e3")
 	}
 	return now
 }
 
+// goldenSnapshot returns the snapshot of an engine after serveGoldenRequests, and its instant.
 func goldenSnapshot(t *testing.T) (*Snapshot, monotime.Micros) {
 	t.Helper()
-	x, p, h := goldenEngine(t)
-	now := goldenRun(t, x, p, h)
-	s := x.Snapshot(now)
-	s.Fleet = x.HandOverCoordination(now)
+	engine, p, h := goldenEngine(t)
+	now := serveGoldenRequests(t, engine, p, h)
+	s := engine.Snapshot(now)
+	s.Fleet = engine.HandOverCoordination(now)
 	s.Maintenance = &MaintenancePlan{Excluded: []string{"e0"}, Announced: []string{"e1"},
 		LeaseEnd: now + monotime.Second, DrainDeadline: now + 2*monotime.Second}
 	return s, now
 }
 
-// What an engine has learned is written in the form of the build before: the same fields with values of the same kind.
+// A snapshot of learned state has the form that the earlier build wrote: the same fields with values of the
+// same JSON types.
 func TestSnapshotOfRunHasFormOfEarlierBuild(t *testing.T) {
 	s, _ := goldenSnapshot(t)
 	got := jsonForm(t, encodeSnapshot(t, s))
-	want := jsonForm(t, golden(t, "snapshot-run.json"))
+	want := jsonForm(t, readGolden(t, "snapshot-run.json"))
 	if !maps.Equal(got, want) {
-		t.Errorf("form\n%v\nwant\n%v", got, want)
+		t.Errorf("form of the snapshot\n%v\nwant\n%v", got, want)
 	}
 }
 
-// jsonForm returns the kind of each value of a JSON text by its path, in which all elements of a list are one.
+// jsonForm returns the type of each value in a JSON text by its path. All elements of a list share one path.
 func jsonForm(t *testing.T, text []byte) map[string]string {
 	t.Helper()
-	var decoded any
-	require.NoError(t, json.Unmarshal(text, &decoded))
+	var value any
+	require.NoError(t, json.Unmarshal(text, &value))
 	form := map[string]string{}
-	addJSONForm(form, "", decoded)
+	addJSONForm(form, "", value)
 	return form
 }
 
-// addJSONForm adds a value and all within it to a form.
+// addJSONForm adds the types of a value and of all values within it to form.
 func addJSONForm(form map[string]string, path string, value any) {
 	form[path] = fmt.Sprintf("%T", value)
 	switch v := value.(type) {
@@ -247,35 +255,36 @@
 	}
 }
 
-// runFile is what this build learns of goldenRun. It is written anew by a change that means to learn something else.
-const runFile = "snapshot-run-learned.json"
+// learnedRunFile is the file with the snapshot that the current build takes after serveGoldenRequests. It is
+// regenerated only by a change that is meant to change the learned state.
+const learnedRunFile = "snapshot-run-learned.json"
 
-// What an engine learns of a run is the same at each run and on each build, to the last digit.
+// The learned state after the same run is identical, to the last digit, at each run and on each build.
 func TestSnapshotOfRunIsStable(t *testing.T) {
 	s, _ := goldenSnapshot(t)
-	if got, want := encodeSnapshot(t, s), golden(t, runFile); !bytes.Equal(got, want) {
-		t.Errorf("written as\n%s\nwant\n%s", got, want)
+	if got, want := encodeSnapshot(t, s), readGolden(t, learnedRunFile); !bytes.Equal(got, want) {
+		t.Errorf("snapshot encoded as\n%s\nwant\n%s", got, want)
 	}
 }
 
-// What the build before wrote is taken over in full, and what the engine then holds is written as the build before
-// wrote it after the same takeover.
+// A snapshot of the earlier build is restored in full, and a snapshot of the restored engine is the same as the
+// one that the earlier build wrote after the same restore.
 func TestRestoresSnapshotOfEarlierBuild(t *testing.T) {
-	s := decodeSnapshot(t, golden(t, "snapshot-run.json"))
+	s := decodeSnapshot(t, readGolden(t, "snapshot-run.json"))
 	_, now := goldenSnapshot(t)
-	x, _, _ := goldenEngine(t)
-	if skipped := x.Restore(now+1000, 1000, s); len(skipped) != 0 {
-		t.Errorf("skipped: %q", skipped)
+	engine, _, _ := goldenEngine(t)
+	if skipped := engine.Restore(now+1000, 1000, s); len(skipped) != 0 {
+		t.Errorf("Restore skipped %q, want nothing", skipped)
 	}
-	again := x.Snapshot(now + 1000)
-	again.Fleet = x.HandOverCoordination(now + 1000)
-	again.Maintenance = s.Maintenance
-	if got, want := encodeSnapshot(t, again), golden(t, "snapshot-restored.json"); !bytes.Equal(got, want) {
-		t.Errorf("written as\n%s\nwant\n%s", got, want)
+	restored := engine.Snapshot(now + 1000)
+	restored.Fleet = engine.HandOverCoordination(now + 1000)
+	restored.Maintenance = s.Maintenance
+	if got, want := encodeSnapshot(t, restored), readGolden(t, "snapshot-restored.json"); !bytes.Equal(got, want) {
+		t.Errorf("snapshot encoded as\n%s\nwant\n%s", got, want)
 	}
 }
 
-// The stored form of a class, by which two builds compare its settings, was %+v in the build before.
+// The fingerprint of a class, by which two builds compare its settings, equals its %+v in the earlier build.
 func TestClassFingerprintIsStable(t *testing.T) {
 	for _, c := range []struct {
 		class balancer.Class
@@ -298,12 +307,12 @@
 			"{Name:{\n%v Repeat:0 Group:0 Window:0 Aim:0 GiveUp:0 Worth:1e+20 LateWorth:0.0001 Stream:false}"},
 	} {
 		if got := classFingerprint(&c.class); got != c.want {
-			t.Errorf("%q, want %q", got, c.want)
+			t.Errorf("fingerprint %q, want %q", got, c.want)
 		}
 	}
 }
 
-// The stored form of a tenant was %+v, too.
+// The fingerprint of a tenant equals its %+v in the earlier build.
 func TestTenantFingerprintIsStable(t *testing.T) {
 	for _, c := range []struct {
 		tenant balancer.Tenant
@@ -315,19 +324,19 @@
 			"{Name:two words Allowance:1e+21 Share:0.3333333333333333}"},
 	} {
 		if got := tenantFingerprint(&c.tenant); got != c.want {
-			t.Errorf("%q, want %q", got, c.want)
+			t.Errorf("fingerprint %q, want %q", got, c.want)
 		}
 	}
 }
 
-// A field that is added to a class or a tenant belongs into its stored form.
+// The fingerprints include every field of a class and of a tenant, so a new field must be added to the formats.
 func TestFingerprintsHaveAllFields(t *testing.T) {
 	for format, settings := range map[string]any{
 		classFingerprintFormat:  balancer.Class{},
 		tenantFingerprintFormat: balancer.Tenant{},
 	} {
-		if written, fields := strings.Count(format, "%v"), reflect.TypeOf(settings).NumField(); written != fields {
-			t.Errorf("%T: %d of %d fields are written", settings, written, fields)
+		if verbs, fields := strings.Count(format, "%v"), reflect.TypeOf(settings).NumField(); verbs != fields {
+			t.Errorf("%T: the fingerprint has %d of %d fields", settings, verbs, fields)
 		}
 	}
 }
--- a/internal/engine/stall.go
+++ b/internal/engine/stall.go
@@ -9,48 +9,50 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Stalled reports that this process did not run for a time that ends now. The host calls it before it reports anything
-// that has happened meanwhile. No endpoint is charged with that time: not with silence, latency or timeouts.
-func (x *Engine) Stalled(now monotime.Micros, interval stall.Interval) {
-	x.now = now
-	x.stalls.Add(interval)
-	for _, p := range x.pools {
+// Stalled reports that this process did not run during an interval that ends now. The host must call it before
+// it reports events that occurred during the stall. The time of the stall is not counted against endpoints as
+// missing reports, latency or timeouts.
+func (eng *Engine) Stalled(now monotime.Micros, interval stall.Interval) {
+	eng.now = now
+	eng.stalls.Add(interval)
+	for _, p := range eng.pools {
 		p.balancer.HandleStall(now, interval.Length())
 	}
-	for _, id := range slices.Sorted(maps.Keys(x.calls)) {
-		for _, a := range x.calls[id].attempts {
-			x.extendTimeout(a, x.stalls.Within(a.StartedAt, now))
+	for _, id := range slices.Sorted(maps.Keys(eng.calls)) {
+		for _, a := range eng.calls[id].attempts {
+			eng.extendTimeout(a, eng.stalls.Within(a.StartedAt, now))
 		}
 	}
 }
 
-// Waiting reports whether an endpoint is expected to respond to an attempt or a probe. While it does, the host should
-// have its event loop run at least every stall.HeartbeatInterval, so that a stall is found in full.
-func (x *Engine) Waiting() bool { return len(x.calls) > 0 || x.openProbes > 0 }
+// Waiting reports whether an endpoint is expected to respond to an attempt or a probe. While it returns true,
+// the host should run its event loop at least every stall.HeartbeatInterval, so that stalls are detected in
+// full length.
+func (eng *Engine) Waiting() bool { return len(eng.calls) > 0 || eng.openProbes > 0 }
 
-// extendTimeout moves the end of an attempt's own timeout on by the time for which this process has not run, up to the
-// request's deadline.
-func (x *Engine) extendTimeout(a *Attempt, stalled monotime.Micros) {
+// extendTimeout extends an attempt's own timeout by the time during which this process did not run, but not
+// beyond the request's deadline.
+func (eng *Engine) extendTimeout(a *Attempt, stalled monotime.Micros) {
 	deadline := min(a.timeoutAt+stalled, a.Call.Request.Deadline)
 	if a.done || a.timeoutAt == 0 || deadline <= a.Deadline {
 		return
 	}
-	x.cancelTimer(a.deadlineTimer)
+	eng.cancelTimer(a.deadlineTimer)
 	a.Deadline = deadline
-	x.startDeadlineTimer(a)
+	eng.startDeadlineTimer(a)
 }
 
-// inconclusiveFraction is the part of a wait for an endpoint for which this process must not have run, so that it says
-// nothing of the endpoint that there was no response.
+// inconclusiveFraction is the fraction of the time spent waiting for an endpoint above which a stall of this
+// process makes the lack of a response no evidence against the endpoint.
 const inconclusiveFraction = 0.5
 
-// isInconclusive reports whether this process did not run for most of a wait for an endpoint.
+// isInconclusive reports whether this process was stalled for most of the time spent waiting for an endpoint.
 func isInconclusive(elapsed, stalled monotime.Micros) bool {
 	return float64(stalled) > inconclusiveFraction*float64(elapsed)
 }
 
-// chargedStatus returns the status that counts for the endpoint of an attempt: a timeout and a failed dial are no
-// evidence against it if this process did not run for most of the time.
+// chargedStatus returns the status with which an attempt counts for its endpoint. A timeout or a failed dial is
+// no evidence against the endpoint if this process was stalled for most of the attempt.
 func chargedStatus(status balancer.Status, elapsed, stalled monotime.Micros) balancer.Status {
 	if !isInconclusive(elapsed, stalled) {
 		return status
--- a/internal/engine/subset_test.go
+++ b/internal/engine/subset_test.go
@@ -8,123 +8,129 @@
 	"dunlinsail/internal/monotime"
 )
 
-// A quiet instance uses few endpoints.
+// An instance with few requests uses few endpoints.
 func TestQuietInstanceUsesFewEndpoints(t *testing.T) {
 	h, c, _ := newQuietInstance(t, 0)
 	h.run(c, 1_000*monotime.Second, 400, monotime.Second/5)
 	if len(h.attempts) < 3 || len(h.attempts) > 9 || h.verdicts[Served] != 400 {
-		t.Errorf("%d endpoints used, answers %v", len(h.attempts), h.verdicts)
+		t.Errorf("%d endpoints used, verdicts %v", len(h.attempts), h.verdicts)
 	}
 }
 
-// All members of the subset fail: the subset widens, and others serve within a few seconds. An endpoint that comes back
-// in when it narrows was up all the time, and is not taken for one that has just started.
+// If all members of the subset fail, the subset widens, and other endpoints serve requests within a few
+// seconds. An endpoint that returns to the subset is not treated as recently started, because it was running
+// all the time.
 func TestSubsetWidensWhenAllMembersFail(t *testing.T) {
 	h, c, _ := newQuietInstance(t, 0)
 	now := h.run(c, 1_000*monotime.Second, 100, monotime.Second/5)
-	own, _, _ := h.pool.subsetSize()
+	membersBefore, _, _ := h.pool.subsetSize()
 	for name := range h.pool.byName {
 		h.failing[name] = true
 	}
 	now = h.run(c, now, 100, monotime.Second/5)
 	members, listed, widened := h.pool.subsetSize()
-	if widened == 0 || members <= own || listed != 60 {
-		t.Fatalf("%d of %d members, widened %d times", members, listed, widened)
+	if widened == 0 || members <= membersBefore || listed != 60 {
+		t.Fatalf("subset of %d of %d endpoints, widened %d times", members, listed, widened)
 	}
 	h.verdicts = map[Verdict]int{}
 	now = h.run(c, now, 100, monotime.Second/5)
 	if h.verdicts[Served] < 90 {
-		t.Errorf("after widening: %v", h.verdicts)
+		t.Errorf("verdicts after widening: %v, want at least 90 served", h.verdicts)
 	}
 	h.failing = map[string]bool{}
 	now = h.run(c, now, 1500, monotime.Second/5)
 	if _, _, widened := h.pool.subsetSize(); widened != 0 {
-		t.Errorf("all serve again, and it stays widened %d times", widened)
+		t.Errorf("all endpoints serve again, but the subset remains widened %d times", widened)
 	}
-	for name, m := range h.pool.endpointList {
-		if m.StartedAt > 1 {
-			t.Errorf("%s counts as started at %d", name, m.StartedAt)
+	for name, info := range h.pool.endpointList {
+		if info.StartedAt > 1 {
+			t.Errorf("endpoint %s has start time %d, want at most 1", name, info.StartedAt)
 		}
 	}
 	h.verdicts = map[Verdict]int{}
 	h.run(c, now, 100, monotime.Second/5)
 	if h.verdicts[Served] != 100 {
-		t.Errorf("narrow again: %v", h.verdicts)
+		t.Errorf("verdicts after narrowing: %v, want 100 served", h.verdicts)
 	}
 }
 
-// Probes stay within what endpoints grant the fleet, and requests that would wait for a probe go on at once.
+// Probes stay within the instance's share of the endpoints' probe budgets. Requests that would wait for a
+// suppressed probe are sent at once.
 func TestProbesStayWithinSubsetBudget(t *testing.T) {
-	h, c, _ := newQuietInstance(t, 5) // 60 endpoints times five a second, for 5,000: 0.06 a second
+	h, c, _ := newQuietInstance(t, 5) // 60 endpoints * 5 probes/s, shared by 5,000 instances: 0.06 probes/s
 	h.run(c, 1_000*monotime.Second, 1000, monotime.Second/5)
-	if limit := 1 + 0.06*201; float64(h.probes) > limit || h.probes < 5 {
-		t.Errorf("%d probes in 201 s, %.0f at most", h.probes, limit)
+	if maxProbes := 1 + 0.06*201; float64(h.probes) > maxProbes || h.probes < 5 {
+		t.Errorf("%d probes in 201 s, want 5 to %.0f", h.probes, maxProbes)
 	}
 	if h.verdicts[Served] != 1000 {
-		t.Errorf("%v", h.verdicts)
+		t.Errorf("verdicts %v, want 1000 served", h.verdicts)
 	}
 }
 
-// Deltas of the full list: a member that leaves is replaced, one that appears later has just started, and a snapshot
-// has the full list.
+// When deltas change the full list, a removed member is replaced, an added endpoint counts as recently started,
+// and a snapshot contains the full list.
 func TestSubsetFollowsFullEndpointList(t *testing.T) {
 	h, c, list := newQuietInstance(t, 0)
 	now := h.run(c, 1_000*monotime.Second, 10, monotime.Second/5)
-	before, _, _ := h.pool.subsetSize()
-	var gone string
+	membersBefore, _, _ := h.pool.subsetSize()
+	var removed string
 	for name := range h.pool.byName {
-		gone = name
+		removed = name
 	}
-	fresh := EndpointInfo{Name: "s-new", Addr: "10.0.1.1:80", Zone: "a", Weight: 1}
-	leaves := EndpointInfo{Name: gone, State: balancer.Gone}
+	added := EndpointInfo{Name: "s-new", Addr: "10.0.1.1:80", Zone: "a", Weight: 1}
+	removal := EndpointInfo{Name: removed, State: balancer.Gone}
 	h.pool.UpdateEndpoints(now, EndpointUpdate{Kind: balancer.ListDelta, Generation: 2,
-		Endpoints: []EndpointInfo{leaves, fresh}})
-	after, listed, _ := h.pool.subsetSize()
-	if listed != 60 || h.pool.byName[gone] != nil || after < before-1 {
-		t.Errorf("%d of %d members, %d before; the one that is gone is still a member: %v",
-			after, listed, before, h.pool.byName[gone] != nil)
+		Endpoints: []EndpointInfo{removal, added}})
+	membersAfter, listed, _ := h.pool.subsetSize()
+	if listed != 60 || h.pool.byName[removed] != nil || membersAfter < membersBefore-1 {
+		t.Errorf("subset of %d of %d endpoints, %d members before; removed endpoint is still a member: %v",
+			membersAfter, listed, membersBefore, h.pool.byName[removed] != nil)
 	}
 	if got := h.pool.subset.endpoints["s-new"].StartedAt; got != now {
-		t.Errorf("what appeared counts as started at %d, want %d", got, now)
+		t.Errorf("added endpoint has start time %d, want %d", got, now)
 	}
-	// Another full list does not make it older, and what was gone and comes back has just started.
-	full := append(append([]EndpointInfo{}, list...), fresh)
-	h.pool.UpdateEndpoints(now+monotime.Second, EndpointUpdate{Kind: balancer.ListFull, Generation: 3, Endpoints: full})
+	// A further full list does not change the start time of a listed endpoint. An endpoint that was removed and
+	// returns counts as recently started.
+	fullList := append(append([]EndpointInfo{}, list...), added)
+	h.pool.UpdateEndpoints(now+monotime.Second,
+		EndpointUpdate{Kind: balancer.ListFull, Generation: 3, Endpoints: fullList})
 	if got := h.pool.subset.endpoints["s-new"].StartedAt; got != now {
-		t.Errorf("after a full list it counts as started at %d, want %d", got, now)
+		t.Errorf("added endpoint has start time %d after a full list, want %d", got, now)
 	}
-	if got := h.pool.subset.endpoints[gone].StartedAt; got != now+monotime.Second {
-		t.Errorf("what came back counts as started at %d, want %d", got, now+monotime.Second)
+	if got := h.pool.subset.endpoints[removed].StartedAt; got != now+monotime.Second {
+		t.Errorf("returned endpoint has start time %d, want %d", got, now+monotime.Second)
 	}
 	h.pool.UpdateEndpoints(now+monotime.Second, EndpointUpdate{Kind: balancer.ListDelta, Generation: 4,
-		Endpoints: []EndpointInfo{leaves}})
-	if n := len(h.engine.Snapshot(now).Pools[0].Endpoints); n != len(list) {
-		t.Errorf("a snapshot with %d of the list", n)
+		Endpoints: []EndpointInfo{removal}})
+	if listLength := len(h.engine.Snapshot(now).Pools[0].Endpoints); listLength != len(list) {
+		t.Errorf("the snapshot has %d endpoints, want the full list", listLength)
 	}
 }
 
-// A quiet instance becomes busy within a second: the subset grows, and shrinks again once it is quiet.
+// The subset grows when the request rate of a quiet instance suddenly rises, and shrinks again when it falls.
 func TestSubsetGrowsWithLoad(t *testing.T) {
 	h, c, _ := newQuietInstance(t, 0)
 	now := h.run(c, 1_000*monotime.Second, 50, monotime.Second/5)
-	before, _, _ := h.pool.subsetSize()
+	membersBefore, _, _ := h.pool.subsetSize()
 	h.attempts = map[string]int{}
-	now = h.run(c, now, 3000, monotime.Second/1500) // thirty in flight at 20 ms each
-	if members, _, _ := h.pool.subsetSize(); members < 2*before || len(h.attempts) < 2*before {
-		t.Errorf("%d members, %d endpoints used, %d members before", members, len(h.attempts), before)
+	now = h.run(c, now, 3000, monotime.Second/1500) // 1,500 requests/s at 20 ms each: 30 in flight
+	if members, _, _ := h.pool.subsetSize(); members < 2*membersBefore || len(h.attempts) < 2*membersBefore {
+		t.Errorf("%d members and %d endpoints used under load, %d members before",
+			members, len(h.attempts), membersBefore)
 	}
 	h.run(c, now, 300, monotime.Second/5)
-	if members, _, _ := h.pool.subsetSize(); members != before {
-		t.Errorf("%d members when it is quiet again, %d before", members, before)
+	if members, _, _ := h.pool.subsetSize(); members != membersBefore {
+		t.Errorf("%d members after the rate has fallen, %d before it rose", members, membersBefore)
 	}
 }
 
-// The engine's and the balancer's work for a request with a subset and without, at a thousand requests a second.
+// Measures the time per request in the engine and balancer at a thousand requests per second, with a subset and
+// without.
 func BenchmarkSubset(b *testing.B) {
-	four := &subset.Settings{Position: 77, Instances: 5000, MinMembers: 4, EndpointProbes: 2}
-	for name, part := range map[string]*subset.Settings{"all": nil, "four": four} {
+	fourMembers := &subset.Settings{Position: 77, Instances: 5000, MinMembers: 4, EndpointProbes: 2}
+	for name, subsetSettings := range map[string]*subset.Settings{"all": nil, "four": fourMembers} {
 		b.Run(name, func(b *testing.B) {
-			h, c, _ := newInstance(b, part)
+			h, c, _ := newInstance(b, subsetSettings)
 			now := h.run(c, 1_000*monotime.Second, 2000, 1000)
 			b.ReportAllocs()
 			b.ResetTimer()
