--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -52,33 +52,33 @@
 	// NotReplayable is as in engine.Call.
 	NotReplayable func() bool
 
-	call engine.Call
+	engineCall engine.Call
 }
 
 // Submit accepts a client's request. Its final response comes on c.Response.
-func (x *Core) Submit(c *Call) {
-	c.call = engine.Call{
+func (core *Core) Submit(c *Call) {
+	c.engineCall = engine.Call{
 		Client:        c.Client,
-		Pool:          c.Pool.pool,
+		Pool:          c.Pool.enginePool,
 		ID:            c.ID,
 		Request:       c.Request,
 		ArrivedAt:     c.ArrivedAt,
 		HostData:      c,
 		NotReplayable: c.NotReplayable,
 	}
-	x.postDeferrable(func(now monotime.Micros) { x.engine.Submit(now, &c.call) })
+	core.postDeferrable(func(now monotime.Micros) { core.engine.Submit(now, &c.engineCall) })
 }
 
 // ClientGone reports that the client of a request has gone (engine.Engine.ClientGone).
-func (x *Core) ClientGone(c *Call) {
-	x.postDeferrable(func(now monotime.Micros) { x.engine.ClientGone(now, &c.call) })
+func (core *Core) ClientGone(c *Call) {
+	core.postDeferrable(func(now monotime.Micros) { core.engine.ClientGone(now, &c.engineCall) })
 }
 
 // SetClientSpec changes a client's spec, or returns an error if that is invalid. Open requests are not affected.
-func (x *Core) SetClientSpec(c *engine.Client, spec fairqueue.ClientSpec) error {
+func (core *Core) SetClientSpec(c *engine.Client, spec fairqueue.ClientSpec) error {
 	if err := spec.Validate(); err != nil {
 		return err
 	}
-	x.post(func(monotime.Micros) { _ = c.SetSpec(spec) }) // its only error is that of Validate
+	core.post(func(monotime.Micros) { _ = c.SetSpec(spec) }) // its only error is that of Validate
 	return nil
 }
--- a/internal/core/catchup.go
+++ b/internal/core/catchup.go
@@ -19,23 +19,23 @@
 // is handled first, while new requests are deferred and no timer fires. Otherwise requests would be decided by attempts
 // in flight that have long been answered.
 type catchUp struct {
-	until    monotime.Micros // instant at which it ends
-	limit    monotime.Micros // instant up to which until may be extended
-	deferred []queuedEvent
+	endsAt    monotime.Micros // instant at which it ends
+	latestEnd monotime.Micros // instant up to which until may be extended
+	deferred  []queuedEvent
 }
 
 // start begins to catch up at the end of a stall.
-func (c *catchUp) start(stalled stall.Interval) {
-	c.limit = stalled.To + min(maxCatchUpTime, stalled.Length()/catchUpDivisor)
-	c.until = min(c.limit, stalled.To+quietTime)
+func (c *catchUp) start(interval stall.Interval) {
+	c.latestEnd = interval.To + min(maxCatchUpTime, interval.Length()/catchUpDivisor)
+	c.endsAt = min(c.latestEnd, interval.To+quietTime)
 }
 
 // active reports whether the core catches up at an instant.
-func (c *catchUp) active(now monotime.Micros) bool { return now < c.until }
+func (c *catchUp) active(now monotime.Micros) bool { return now < c.endsAt }
 
 // extend notes that an event has come at an instant.
 func (c *catchUp) extend(now monotime.Micros) {
 	if c.active(now) {
-		c.until = min(c.limit, now+quietTime)
+		c.endsAt = min(c.latestEnd, now+quietTime)
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -58,8 +58,8 @@
 }
 
 // queue returns an event as it is sent to the core.
-func (x *Core) queue(e event) queuedEvent {
-	return queuedEvent{handle: e, postedAt: x.config.Clock.Now()}
+func (core *Core) newQueuedEvent(e event) queuedEvent {
+	return queuedEvent{handle: e, postedAt: core.config.Clock.Now()}
 }
 
 // Core runs an engine. Make one with New, add pools, and call Run. The engine belongs to the goroutine of Run: all
@@ -74,40 +74,40 @@
 	readySignal  chan struct{}   // closed once ready is set
 	awaitingPlan atomic.Bool     // no maintenance plan is known yet: nothing is sent to any endpoint
 
-	mu            sync.Mutex
-	pendingStarts []event // of new pools, handled before any event that is posted later
+	mu                sync.Mutex
+	pendingPoolStarts []event // of new pools, handled before any event that is posted later
 }
 
 // New returns a core without pools.
 func New(c Config) *Core {
-	x := &Core{
+	core := &Core{
 		config:      c,
 		events:      make(chan queuedEvent, eventQueueLength),
 		stopped:     make(chan struct{}),
 		readySignal: make(chan struct{}),
 	}
-	x.engine = engine.New(engine.Config{
+	core.engine = engine.New(engine.Config{
 		Site:         c.Site,
 		Seed:         c.Seed,
 		Concurrency:  c.Concurrency,
-		Host:         (*host)(x),
+		Host:         (*host)(core),
 		Observer:     c.Observer,
 		OnQuotaSpent: c.OnQuotaSpent,
 	})
-	return x
+	return core
 }
 
 // Ready reports whether requests can be served: an endpoint has been ready, and the core does not wait for its first
 // maintenance plan.
-func (x *Core) Ready() bool { return x.ready.Load() && !x.awaitingPlan.Load() }
+func (core *Core) Ready() bool { return core.ready.Load() && !core.awaitingPlan.Load() }
 
 // WaitReady waits until an endpoint is ready. It returns the cause of ctx if that ends first, and context.Canceled if
 // the core stops first.
-func (x *Core) WaitReady(ctx context.Context) error {
+func (core *Core) WaitReady(ctx context.Context) error {
 	select {
-	case <-x.readySignal:
+	case <-core.readySignal:
 		return nil
-	case <-x.stopped:
+	case <-core.stopped:
 		return context.Canceled
 	case <-ctx.Done():
 		return context.Cause(ctx)
@@ -115,42 +115,42 @@
 }
 
 // post passes an event to the core. Once the core has stopped, the event is dropped.
-func (x *Core) post(e event) { x.postQueued(x.queue(e)) }
+func (core *Core) post(e event) { core.postQueued(core.newQueuedEvent(e)) }
 
 // postDeferrable is post for what clients do: it waits until the core has caught up after a stall. All such events keep
 // their order.
-func (x *Core) postDeferrable(e event) {
-	queued := x.queue(e)
+func (core *Core) postDeferrable(e event) {
+	queued := core.newQueuedEvent(e)
 	queued.deferrable = true
-	x.postQueued(queued)
+	core.postQueued(queued)
 }
 
 // postQueued passes a queued event to the core, unless that has stopped.
-func (x *Core) postQueued(queued queuedEvent) {
+func (core *Core) postQueued(queued queuedEvent) {
 	select {
-	case x.events <- queued:
-	case <-x.stopped:
+	case core.events <- queued:
+	case <-core.stopped:
 	}
 }
 
 // query calls read as an event and returns its result; the zero value once the core has stopped.
-func query[T any](x *Core, read func(now monotime.Micros) T) (v T) {
+func query[T any](core *Core, read func(now monotime.Micros) T) (v T) {
 	result := make(chan T, 1)
-	x.post(func(now monotime.Micros) { result <- read(now) })
+	core.post(func(now monotime.Micros) { result <- read(now) })
 	select {
 	case v = <-result:
-	case <-x.stopped:
+	case <-core.stopped:
 	}
 	return v
 }
 
 // queryContext is query for callers with a context. It returns the cause of ctx if that ends first, and
 // context.Canceled if the core has stopped.
-func queryContext[T any](ctx context.Context, x *Core, read func(now monotime.Micros) T) (v T, err error) {
+func queryContext[T any](ctx context.Context, core *Core, read func(now monotime.Micros) T) (v T, err error) {
 	result := make(chan T, 1)
 	select {
-	case x.events <- x.queue(func(now monotime.Micros) { result <- read(now) }):
-	case <-x.stopped:
+	case core.events <- core.newQueuedEvent(func(now monotime.Micros) { result <- read(now) }):
+	case <-core.stopped:
 		return v, context.Canceled
 	case <-ctx.Done():
 		return v, context.Cause(ctx)
@@ -158,7 +158,7 @@
 	select {
 	case v = <-result:
 		return v, nil
-	case <-x.stopped:
+	case <-core.stopped:
 		return v, context.Canceled
 	case <-ctx.Done():
 		return v, context.Cause(ctx)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -16,17 +16,19 @@
 )
 
 // upstreams is an Upstream that records the addresses of its targets, which do nothing.
-type upstreams struct{ made chan string }
+type recordingUpstream struct{ addrs chan string }
 
-type target struct{}
+type inertTarget struct{}
 
-func (target) Probe() engine.AttemptResult { return engine.AttemptResult{Status: balancer.NotSent} }
-func (target) AttemptTimedOut(time.Time)   {}
-func (target) Drop()                       {}
+func (inertTarget) Probe() engine.AttemptResult {
+	return engine.AttemptResult{Status: balancer.NotSent}
+}
+func (inertTarget) AttemptTimedOut(time.Time) {}
+func (inertTarget) Drop()                     {}
 
-func (u upstreams) Target(_, addr string) Target {
-	u.made <- addr
-	return target{}
+func (u recordingUpstream) Target(_, addr string) Target {
+	u.addrs <- addr
+	return inertTarget{}
 }
 
 func testSite() *siteconfig.Site {
@@ -40,23 +42,23 @@
 }
 
 // startCore runs a core until the test ends.
-func startCore(t *testing.T, known ...engine.EndpointInfo) (*Pool, upstreams) {
+func startCore(t *testing.T, endpoints ...engine.EndpointInfo) (*Pool, recordingUpstream) {
 	t.Helper()
-	u := upstreams{made: make(chan string, 16)}
-	x := New(Config{Clock: clock.New(), Site: testSite(), Seed: 1, Upstream: u, Log: scriptedpeer.DiscardLog})
-	p := addPool(t, x, "", known...)
+	upstream := recordingUpstream{addrs: make(chan string, 16)}
+	core := New(Config{Clock: clock.New(), Site: testSite(), Seed: 1, Upstream: upstream, Log: scriptedpeer.DiscardLog})
+	p := addPool(t, core, "", endpoints...)
 	ctx, cancel := context.WithCancel(context.Background())
-	go x.Run(ctx)
-	t.Cleanup(func() { cancel(); <-x.stopped })
-	return p, u
+	go core.Run(ctx)
+	t.Cleanup(func() { cancel(); <-core.stopped })
+	return p, upstream
 }
 
 // addPool adds a pool to a core.
-func addPool(t *testing.T, x *Core, name string, known ...engine.EndpointInfo) *Pool {
+func addPool(t *testing.T, core *Core, name string, endpoints ...engine.EndpointInfo) *Pool {
 	t.Helper()
-	p, err := x.NewPool(engine.PoolConfig{
+	p, err := core.NewPool(engine.PoolConfig{
 		Name:             name,
-		InitialEndpoints: engine.EndpointUpdate{Generation: 7, Endpoints: known},
+		InitialEndpoints: engine.EndpointUpdate{Generation: 7, Endpoints: endpoints},
 		SetWatch:         func(bool) {},
 	})
 	if err != nil {
@@ -66,64 +68,65 @@
 }
 
 // sync waits until all events so far have been handled.
-func (x *Core) sync(t *testing.T) {
+func (core *Core) sync(t *testing.T) {
 	t.Helper()
 	done := make(chan struct{})
-	x.post(func(monotime.Micros) { close(done) })
+	core.post(func(monotime.Micros) { close(done) })
 	scriptedpeer.Receive(t, done, "event")
 }
 
 // Without any endpoint a core is not ready; with one it is.
 func TestReadyOnceAnEndpointIsReady(t *testing.T) {
 	p, _ := startCore(t)
-	x := p.core
-	x.sync(t)
-	if x.Ready() {
+	core := p.core
+	core.sync(t)
+	if core.Ready() {
 		t.Error("ready without an endpoint")
 	}
 	p.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListDelta, Generation: 8,
 		Endpoints: []engine.EndpointInfo{{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"}}})
-	x.sync(t)
-	if !x.Ready() {
+	core.sync(t)
+	if !core.Ready() {
 		t.Error("not ready with an endpoint")
 	}
 }
 
 // A list that is older than the current one is ignored, unless it comes from another source.
 func TestStaleListIsIgnored(t *testing.T) {
-	p, u := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a", State: balancer.Draining})
-	x := p.core
-	up := []engine.EndpointInfo{{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"}}
+	p, upstream := startCore(t,
+		engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a", State: balancer.Draining})
+	core := p.core
+	readyEndpoints := []engine.EndpointInfo{{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"}}
 	p.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFull, Generation: 6,
-		Endpoints: up})
-	x.sync(t)
-	if x.Ready() {
+		Endpoints: readyEndpoints})
+	core.sync(t)
+	if core.Ready() {
 		t.Error("an old list brought a draining endpoint back")
 	}
 	p.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFull, Generation: 3,
-		NewSource: true, GenerationsReset: true, Endpoints: up})
-	x.sync(t)
-	if x.Ready() {
+		NewSource: true, GenerationsReset: true, Endpoints: readyEndpoints})
+	core.sync(t)
+	if core.Ready() {
 		t.Error("a list whose generations were reset brought back an endpoint that is known to drain")
 	}
 	p.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFull, Generation: 1,
-		NewSource: true, Endpoints: up})
-	x.sync(t)
-	if !x.Ready() || len(u.made) != 1 {
+		NewSource: true, Endpoints: readyEndpoints})
+	core.sync(t)
+	if !core.Ready() || len(upstream.addrs) != 1 {
 		t.Error("the list of another source was ignored")
 	}
 }
 
 // An update that comes after the end of its watch is ignored: it may be older than what the next watch has given.
 func TestUpdateOfEndedWatchIsIgnored(t *testing.T) {
-	p, u := startCore(t)
-	x := p.core
+	p, upstream := startCore(t)
+	core := p.core
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	p.UpdateEndpoints(ctx, engine.EndpointUpdate{Kind: balancer.ListFull, Generation: 8,
 		Endpoints: []engine.EndpointInfo{{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"}}})
-	x.sync(t)
-	if x.Ready() || len(u.made) != 0 {
+	core.sync(t)
+	if core.Ready() || len(upstream.addrs) != 0 {
 		t.Error("an update of an ended watch was applied")
 	}
 }
@@ -131,47 +134,49 @@
 // A request gets one response, whatever its attempts do, and once it has ended nothing of it is left.
 func TestEachRequestGetsOneResponse(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
-	x := p.core
+	core := p.core
 	release := make(chan struct{})
-	in := balancer.Request{Deadline: x.config.Clock.Now() + 1_000_000}
+	request := balancer.Request{Deadline: core.config.Clock.Now() + 1_000_000}
 	client, err := engine.NewClient(fairqueue.ClientSpec{Name: "c", Weight: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &Call{Client: client, Pool: p, ArrivedAt: x.config.Clock.Now(), ID: "1",
-		Response: make(chan engine.Response, 1), Request: in,
+	c := &Call{Client: client, Pool: p, ArrivedAt: core.config.Clock.Now(), ID: "1",
+		Response: make(chan engine.Response, 1), Request: request,
 		Attempt: func(_ context.Context, attempt *AttemptContext) engine.AttemptResult {
-			if !attempt.ClaimSend(x.config.Clock.Now()) {
+			if !attempt.ClaimSend(core.config.Clock.Now()) {
 				return engine.AttemptResult{Status: balancer.NotSent}
 			}
 			<-release
-			return engine.AttemptResult{Status: balancer.OK, ObservedAt: x.config.Clock.Now(), Response: "yes"}
+			return engine.AttemptResult{Status: balancer.OK, ObservedAt: core.config.Clock.Now(), Response: "yes"}
 		}}
-	x.Submit(c)
-	again := &Call{Client: client, Pool: p, ID: "1", Response: make(chan engine.Response, 1), Request: in}
-	x.Submit(again)
-	if a := scriptedpeer.Receive(t, again.Response, "answer to an open id"); a.Verdict != engine.DuplicateID {
-		t.Errorf("the same id once more: verdict %v", a.Verdict)
+	core.Submit(c)
+	duplicate := &Call{Client: client, Pool: p, ID: "1", Response: make(chan engine.Response, 1), Request: request}
+	core.Submit(duplicate)
+	if response := scriptedpeer.Receive(t, duplicate.Response,
+		"answer to an open id"); response.Verdict != engine.DuplicateID {
+		t.Errorf("the same id once more: verdict %v", response.Verdict)
 	}
 	close(release)
-	if a := scriptedpeer.Receive(t, c.Response, "answer"); a.Verdict != engine.Served || a.Result.Response != "yes" {
-		t.Errorf("answer %+v", a)
-	}
-	x.ClientGone(c) // after the response: no effect
-	open := make(chan [2]int, 1)
-	x.post(func(monotime.Micros) { open <- [2]int{x.engine.Calls(), client.OpenCalls()} })
-	if n := scriptedpeer.Receive(t, open, "counts"); n != [2]int{} {
+	if response := scriptedpeer.Receive(t, c.Response, "answer"); response.Verdict != engine.Served ||
+		response.Result.Response != "yes" {
+		t.Errorf("answer %+v", response)
+	}
+	core.ClientGone(c) // after the response: no effect
+	counts := make(chan [2]int, 1)
+	core.post(func(monotime.Micros) { counts <- [2]int{core.engine.Calls(), client.OpenCalls()} })
+	if n := scriptedpeer.Receive(t, counts, "counts"); n != [2]int{} {
 		t.Errorf("left behind: %d calls, %d ids", n[0], n[1])
 	}
 	select {
-	case a := <-c.Response:
-		t.Errorf("a second answer: %+v", a)
+	case response := <-c.Response:
+		t.Errorf("a second answer: %+v", response)
 	case <-time.After(time.Millisecond):
 	}
 }
 
 // call returns a call whose attempts wait for release.
-func (p *Pool) call(client *engine.Client, id string, release <-chan struct{}) *Call {
+func (p *Pool) newCall(client *engine.Client, id string, release <-chan struct{}) *Call {
 	now := p.core.config.Clock.Now()
 	return &Call{Client: client, Pool: p, ArrivedAt: now, ID: id,
 		Response: make(chan engine.Response, 1), Request: balancer.Request{Deadline: now + 1_000_000},
@@ -181,104 +186,105 @@
 			}
 			<-release
 			return engine.AttemptResult{Status: balancer.OK, ObservedAt: p.core.config.Clock.Now(),
-				Response: p.pool.Name()}
+				Response: p.enginePool.Name()}
 		}}
 }
 
 // Each pool has its own endpoints. A pool that is closed with a request open finishes it, and accepts nothing new.
 func TestClosedPoolDissolvesOnceIdle(t *testing.T) {
-	first, u := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
-	x := first.core
-	second := addPool(t, x, "second", engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:2", Zone: "a"})
+	firstPool, upstream := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
+	core := firstPool.core
+	secondPool := addPool(t, core, "second", engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:2", Zone: "a"})
 	client, err := engine.NewClient(fairqueue.ClientSpec{Name: "c", Weight: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	release := make(chan struct{})
-	a := first.call(client, "1", release)
-	b := second.call(client, "2", release)
-	x.Submit(a)
-	x.Submit(b)
-	x.sync(t)
-	if got := []string{<-u.made, <-u.made}; got[0] != "127.0.0.1:1" || got[1] != "127.0.0.1:2" {
+	firstCall := firstPool.newCall(client, "1", release)
+	secondCall := secondPool.newCall(client, "2", release)
+	core.Submit(firstCall)
+	core.Submit(secondCall)
+	core.sync(t)
+	if got := []string{<-upstream.addrs, <-upstream.addrs}; got[0] != "127.0.0.1:1" || got[1] != "127.0.0.1:2" {
 		t.Errorf("targets %v", got)
 	}
-	s := x.Snapshot()
-	if len(s.Pools) != 2 || s.Pool("second") == nil || s.Pool("second").Endpoints[0].Addr != "127.0.0.1:2" {
-		t.Errorf("snapshot %+v", s)
+	snapshot := core.Snapshot()
+	if len(snapshot.Pools) != 2 || snapshot.Pool("second") == nil ||
+		snapshot.Pool("second").Endpoints[0].Addr != "127.0.0.1:2" {
+		t.Errorf("snapshot %+v", snapshot)
 	}
-	second.Close()
-	late := second.call(client, "3", release)
-	x.Submit(late)
-	if got := scriptedpeer.Receive(t, late.Response, "answer of a closed pool"); got.Verdict != engine.Rejected {
+	secondPool.Close()
+	lateCall := secondPool.newCall(client, "3", release)
+	core.Submit(lateCall)
+	if got := scriptedpeer.Receive(t, lateCall.Response, "answer of a closed pool"); got.Verdict != engine.Rejected {
 		t.Errorf("a closed pool took a request: %+v", got)
 	}
 	dissolved := make(chan bool, 1)
-	x.post(func(monotime.Micros) { dissolved <- second.pool.Dissolved() })
+	core.post(func(monotime.Micros) { dissolved <- secondPool.enginePool.Dissolved() })
 	if <-dissolved {
 		t.Error("a pool was dissolved with a request open")
 	}
 	close(release)
-	for _, c := range []*Call{a, b} {
+	for _, c := range []*Call{firstCall, secondCall} {
 		got := scriptedpeer.Receive(t, c.Response, "response")
-		if got.Verdict != engine.Served || got.Result.Response != c.Pool.pool.Name() {
+		if got.Verdict != engine.Served || got.Result.Response != c.Pool.enginePool.Name() {
 			t.Errorf("response %+v", got)
 		}
 	}
-	x.post(func(monotime.Micros) {
-		dissolved <- second.pool.Dissolved() && x.engine.Pools() == 1 && !first.pool.Dissolved()
+	core.post(func(monotime.Micros) {
+		dissolved <- secondPool.enginePool.Dissolved() && core.engine.Pools() == 1 && !firstPool.enginePool.Dissolved()
 	})
 	if !<-dissolved {
 		t.Error("a closed pool without requests is not dissolved")
 	}
 	// An update after the pool has dissolved changes nothing.
-	second.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFull, Generation: 9})
-	x.sync(t)
+	secondPool.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFull, Generation: 9})
+	core.sync(t)
 }
 
 // A response that has started is the client's: neither the deadline nor the rest of the attempt changes that.
 func TestStartedResponseOutlivesDeadline(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
-	x := p.core
+	core := p.core
 	client, err := engine.NewClient(fairqueue.ClientSpec{Name: "c", Weight: 1, MaxOpen: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	release := make(chan struct{})
-	ended := make(chan bool, 1)
-	c := p.call(client, "1", nil)
+	contextActive := make(chan bool, 1)
+	c := p.newCall(client, "1", nil)
 	c.Request.Deadline = c.ArrivedAt + 50_000
 	c.Attempt = func(ctx context.Context, attempt *AttemptContext) engine.AttemptResult {
-		now := x.config.Clock.Now()
+		now := core.config.Clock.Now()
 		started := engine.AttemptResult{Status: balancer.OK, ObservedAt: now, Response: "started"}
 		if !attempt.ClaimSend(now) || !attempt.ResponseStarted(started) {
 			return engine.AttemptResult{Status: balancer.NotSent}
 		}
 		<-release
-		ended <- ctx.Err() == nil
+		contextActive <- ctx.Err() == nil
 		return engine.AttemptResult{Status: balancer.Reset, ObservedAt: now}
 	}
-	x.Submit(c)
+	core.Submit(c)
 	got := scriptedpeer.Receive(t, c.Response, "answer")
 	if got.Verdict != engine.Served || got.Result.Response != "started" {
 		t.Fatalf("answer %+v", got)
 	}
-	over := make(chan struct{})
-	untilDeadline := clock.Duration(c.Request.Deadline + 20_000 - x.config.Clock.Now())
-	defer time.AfterFunc(untilDeadline, func() { close(over) }).Stop()
-	scriptedpeer.Receive(t, over, "the deadline")
+	deadlinePassed := make(chan struct{})
+	untilDeadline := clock.Duration(c.Request.Deadline + 20_000 - core.config.Clock.Now())
+	defer time.AfterFunc(untilDeadline, func() { close(deadlinePassed) }).Stop()
+	scriptedpeer.Receive(t, deadlinePassed, "the deadline")
 	if n := p.Counts(); n.Queued != 0 || n.InFlight != 0 || n.OpenCalls != 1 {
 		t.Errorf("while it streams: %+v", n)
 	}
 	close(release)
-	if !scriptedpeer.Receive(t, ended, "the end of the attempt") {
+	if !scriptedpeer.Receive(t, contextActive, "the end of the attempt") {
 		t.Error("the deadline ended a response that had started")
 	}
-	for end := time.Now().Add(scriptedpeer.WaitTimeout); ; {
+	for waitDeadline := time.Now().Add(scriptedpeer.WaitTimeout); ; {
 		if p.Counts().OpenCalls == 0 {
 			break
 		}
-		if time.Now().After(end) {
+		if time.Now().After(waitDeadline) {
 			t.Fatal("the call stays in the request table")
 		}
 	}
@@ -287,26 +293,26 @@
 // If a client goes just as its response starts, the attempt is aborted: it would wait for its reader.
 func TestClientGoneAsResponseStartsAbortsAttempt(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
-	x := p.core
+	core := p.core
 	client, err := engine.NewClient(fairqueue.ClientSpec{Name: "c", Weight: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan struct{})
-	c := p.call(client, "1", nil)
+	attemptEnded := make(chan struct{})
+	c := p.newCall(client, "1", nil)
 	c.Attempt = func(ctx context.Context, attempt *AttemptContext) engine.AttemptResult {
-		now := x.config.Clock.Now()
+		now := core.config.Clock.Now()
 		started := engine.AttemptResult{Status: balancer.OK, ObservedAt: now}
 		if attempt.ClaimSend(now) && attempt.ResponseStarted(started) {
 			<-ctx.Done()
-			close(ended)
+			close(attemptEnded)
 		}
 		return engine.AttemptResult{Status: balancer.Cancelled, ObservedAt: now}
 	}
-	x.Submit(c)
+	core.Submit(c)
 	scriptedpeer.Receive(t, c.Response, "answer")
-	x.ClientGone(c)
-	scriptedpeer.Receive(t, ended, "the end of the attempt")
+	core.ClientGone(c)
+	scriptedpeer.Receive(t, attemptEnded, "the end of the attempt")
 }
 
 // A request that cannot be sent again is not retried, whatever its class allows. The balancer decides whether it is
@@ -314,27 +320,27 @@
 func TestRequestNotReplayableIsNotRetried(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"},
 		engine.EndpointInfo{Name: "s-2", Addr: "127.0.0.1:2", Zone: "a"})
-	x := p.core
+	core := p.core
 	client, err := engine.NewClient(fairqueue.ClientSpec{Name: "c", Weight: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, notReplayable := range []bool{true, false} {
 		attempts := make(chan struct{}, 10)
-		c := p.call(client, "1", nil)
+		c := p.newCall(client, "1", nil)
 		c.NotReplayable = func() bool { return notReplayable }
 		c.Attempt = func(_ context.Context, attempt *AttemptContext) engine.AttemptResult {
-			attempt.ClaimSend(x.config.Clock.Now())
+			attempt.ClaimSend(core.config.Clock.Now())
 			attempts <- struct{}{}
-			return engine.AttemptResult{Status: balancer.Error, ObservedAt: x.config.Clock.Now(), Response: "said"}
+			return engine.AttemptResult{Status: balancer.Error, ObservedAt: core.config.Clock.Now(), Response: "said"}
 		}
-		x.Submit(c)
+		core.Submit(c)
 		got := scriptedpeer.Receive(t, c.Response, "answer")
 		if got.Result == nil || got.Result.Response != "said" || notReplayable != (len(attempts) == 1) ||
 			notReplayable && got.Verdict != engine.Rejected {
 			t.Errorf("not replayable %v: %+v after %d attempts", notReplayable, got, len(attempts))
 		}
-		x.sync(t)
+		core.sync(t)
 	}
 }
 
@@ -342,29 +348,29 @@
 // attempts are in flight where two are not allowed.
 func TestAbortEndsSendingBeforeNextEvent(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
-	x := p.core
+	core := p.core
 	client, err := engine.NewClient(fairqueue.ClientSpec{Name: "c", Weight: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var ended atomic.Bool
+	var aborted atomic.Bool
 	sent := make(chan struct{})
 	testOver := make(chan struct{})
 	defer close(testOver)
-	c := p.call(client, "1", nil)
-	c.Request.Deadline = x.config.Clock.Now() + 2*scriptedpeer.WaitTimeout.Microseconds()
+	c := p.newCall(client, "1", nil)
+	c.Request.Deadline = core.config.Clock.Now() + 2*scriptedpeer.WaitTimeout.Microseconds()
 	c.Attempt = func(ctx context.Context, attempt *AttemptContext) engine.AttemptResult {
-		if attempt.OnAbort(func() { ended.Store(true) }) && attempt.ClaimSend(x.config.Clock.Now()) {
+		if attempt.OnAbort(func() { aborted.Store(true) }) && attempt.ClaimSend(core.config.Clock.Now()) {
 			close(sent)
 		}
 		<-testOver // it does not notice the abort
-		return engine.AttemptResult{Status: balancer.Reset, ObservedAt: x.config.Clock.Now()}
+		return engine.AttemptResult{Status: balancer.Reset, ObservedAt: core.config.Clock.Now()}
 	}
-	x.Submit(c)
+	core.Submit(c)
 	scriptedpeer.Receive(t, sent, "the attempt")
-	x.ClientGone(c)
-	x.sync(t)
-	if !ended.Load() {
+	core.ClientGone(c)
+	core.sync(t)
+	if !aborted.Load() {
 		t.Error("the next event finds the attempt still being sent")
 	}
 }
@@ -372,20 +378,20 @@
 // Either the attempt or an abort gets the connection: a sending that is detached is not ended, and one that was ended
 // is not detached.
 func TestSendGuardEndsSendingOnce(t *testing.T) {
-	var detached sendGuard
-	if !detached.attach(func() { t.Error("ended after it was detached") }) || !detached.detach() {
+	var detachedGuard sendGuard
+	if !detachedGuard.attach(func() { t.Error("ended after it was detached") }) || !detachedGuard.detach() {
 		t.Error("not attached, or not detached")
 	}
-	detached.abort()
-	if detached.attach(func() {}) {
+	detachedGuard.abort()
+	if detachedGuard.attach(func() {}) {
 		t.Error("attached after the abort")
 	}
-	ends := 0
-	var aborted sendGuard
-	aborted.attach(func() { ends++ })
-	aborted.abort()
-	aborted.abort()
-	if aborted.detach() || ends != 1 {
-		t.Errorf("detached after the abort, or ended %d times", ends)
+	abortCalls := 0
+	var abortedGuard sendGuard
+	abortedGuard.attach(func() { abortCalls++ })
+	abortedGuard.abort()
+	abortedGuard.abort()
+	if abortedGuard.detach() || abortCalls != 1 {
+		t.Errorf("detached after the abort, or ended %d times", abortCalls)
 	}
 }
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -11,8 +11,8 @@
 // host carries out what the engine requests (engine.Host), on goroutines that report by posting events.
 type host Core
 
-// inFlightSend is the host's part of an attempt (engine.Attempt.HostData).
-type inFlightSend struct {
+// attemptState is the host's part of an attempt (engine.Attempt.HostData).
+type attemptState struct {
 	startedAt time.Time
 	gate      sendGate
 	guard     sendGuard
@@ -27,21 +27,21 @@
 // StartAttempt makes an attempt on a goroutine of its own, which ends with the attempt's function; AbortAttempt makes
 // that return.
 func (h *host) StartAttempt(a *engine.Attempt) {
-	x := (*Core)(h)
+	core := (*Core)(h)
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &inFlightSend{startedAt: time.Now(), cancel: cancel}
-	a.HostData = s
+	state := &attemptState{startedAt: time.Now(), cancel: cancel}
+	a.HostData = state
 	c := a.Call.HostData.(*Call)
-	attempt := x.attemptContext(a, s)
+	attempt := core.attemptContext(a, state)
 	go func() {
 		r := c.Attempt(ctx, attempt)
-		x.post(func(now monotime.Micros) { x.engine.AttemptEnded(now, a, r) })
+		core.post(func(now monotime.Micros) { core.engine.AttemptEnded(now, a, r) })
 	}()
 }
 
 // attemptContext returns the AttemptContext of an attempt. It copies the attempt's fields, which the engine may change
 // later.
-func (x *Core) attemptContext(a *engine.Attempt, s *inFlightSend) *AttemptContext {
+func (core *Core) attemptContext(a *engine.Attempt, state *attemptState) *AttemptContext {
 	endpoint := a.Endpoint
 	deadline := a.Deadline
 	sendBefore := a.SendBefore
@@ -50,15 +50,16 @@
 		Deadline: deadline,
 		ClaimSend: func(now monotime.Micros) bool {
 			// A slow dial may have outlasted the drain grace, the deadline, or the dedup window of an idempotency key.
-			return endpoint.MaySend(now) && now < deadline && (sendBefore == 0 || now < sendBefore) && s.gate.claim()
+			return endpoint.MaySend(now) && now < deadline && (sendBefore == 0 || now < sendBefore) &&
+				state.gate.claim()
 		},
-		OnAbort:     s.guard.attach,
-		ReleaseConn: s.guard.detach,
+		OnAbort:     state.guard.attach,
+		ReleaseConn: state.guard.detach,
 		ResponseStarted: func(r engine.AttemptResult) bool {
-			return query(x, func(now monotime.Micros) bool { return x.engine.ResponseStarted(now, a, r) })
+			return query(core, func(now monotime.Micros) bool { return core.engine.ResponseStarted(now, a, r) })
 		},
 		ResponseProgress: func() {
-			x.post(func(now monotime.Micros) { x.engine.ResponseProgress(now, a) })
+			core.post(func(now monotime.Micros) { core.engine.ResponseProgress(now, a) })
 		},
 	}
 }
@@ -66,31 +67,31 @@
 // CancelUnsent cancels an attempt of which nothing has been written, and reports whether that was so. It is so of an
 // attempt that was never started.
 func (h *host) CancelUnsent(a *engine.Attempt) bool {
-	s, started := a.HostData.(*inFlightSend)
-	return !started || s.gate.closeUnsent()
+	state, started := a.HostData.(*attemptState)
+	return !started || state.gate.closeUnsent()
 }
 
 // AbortAttempt ends an attempt: its sending at once, its function by the end of its context.
 func (h *host) AbortAttempt(a *engine.Attempt) {
-	if s, started := a.HostData.(*inFlightSend); started {
-		s.guard.abort()
-		s.cancel()
+	if state, started := a.HostData.(*attemptState); started {
+		state.guard.abort()
+		state.cancel()
 	}
 }
 
 // AttemptTimedOut notifies the attempt's target.
 func (h *host) AttemptTimedOut(a *engine.Attempt) {
-	a.Endpoint.Target.(Target).AttemptTimedOut(a.HostData.(*inFlightSend).startedAt)
+	a.Endpoint.Target.(Target).AttemptTimedOut(a.HostData.(*attemptState).startedAt)
 }
 
 // StartProbe probes an endpoint on a goroutine of its own, which ends once Target.Probe returns.
 func (h *host) StartProbe(p *engine.Pool, e *engine.Endpoint) {
-	x := (*Core)(h)
+	core := (*Core)(h)
 	sentAt := h.config.Clock.Now()
 	target := e.Target.(Target)
 	go func() {
 		r := target.Probe()
-		x.post(func(now monotime.Micros) { x.engine.ProbeEnded(now, p, e, sentAt, r) })
+		core.post(func(now monotime.Micros) { core.engine.ProbeEnded(now, p, e, sentAt, r) })
 	}()
 }
 
@@ -107,9 +108,9 @@
 
 // Log writes an informational line to the log, with the time for which the event that led to it has waited for the
 // core: a process that is paused takes its own delay for that of endpoints.
-func (h *host) Log(line string, args ...any) {
-	h.config.Log.Info(line, append(args, "event_wait_ms", h.eventWait/monotime.Millisecond)...)
+func (h *host) Log(message string, args ...any) {
+	h.config.Log.Info(message, append(args, "event_wait_ms", h.eventWait/monotime.Millisecond)...)
 }
 
 // Warn writes a warning to the log.
-func (h *host) Warn(line string, args ...any) { h.config.Log.Warn(line, args...) }
+func (h *host) Warn(message string, args ...any) { h.config.Log.Warn(message, args...) }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -20,9 +20,9 @@
 
 // Run handles events and fires the engine's timers until ctx ends. It does not wait for attempts and probes that are in
 // flight then; what they report is dropped.
-func (x *Core) Run(ctx context.Context) {
-	defer close(x.stopped)
-	l := &loop{Core: x, timer: time.NewTimer(0)}
+func (core *Core) Run(ctx context.Context) {
+	defer close(core.stopped)
+	l := &loop{Core: core, timer: time.NewTimer(0)}
 	defer l.timer.Stop()
 	for l.step(ctx) {
 	}
@@ -31,13 +31,13 @@
 // step fires what is due and handles the next event, if one comes before the next timer. It returns false once ctx has
 // ended.
 func (l *loop) step(ctx context.Context) bool {
-	now := l.now()
-	l.runPendingStarts(now)
+	now := l.advanceClock()
+	l.startPendingPools(now)
 	if !l.catchUp.active(now) {
 		l.handleDeferred(now)
 		l.engine.Advance(now)
 	}
-	l.waitUntil(now, l.nextWakeup(now))
+	l.armTimer(now, l.nextWakeup(now))
 	select {
 	case queued := <-l.events:
 		l.handle(queued)
@@ -50,12 +50,12 @@
 
 // now returns the present instant. If the process has stalled, the engine is notified before anything else, and the
 // loop begins to catch up.
-func (l *loop) now() monotime.Micros {
+func (l *loop) advanceClock() monotime.Micros {
 	now := l.config.Clock.Now()
-	if stalled, found := l.detector.Run(now); found {
-		l.engine.Stalled(now, stalled)
-		l.catchUp.start(stalled)
-		l.logStall(stalled)
+	if interval, found := l.detector.Run(now); found {
+		l.engine.Stalled(now, interval)
+		l.catchUp.start(interval)
+		l.logStall(interval)
 	}
 	return now
 }
@@ -64,16 +64,16 @@
 const minLoggedStall = 100 * monotime.Millisecond
 
 // logStall logs a long stall.
-func (l *loop) logStall(stalled stall.Interval) {
-	if stalled.Length() >= minLoggedStall {
-		l.config.Log.Warn("process stalled", "for_ms", stalled.Length()/monotime.Millisecond)
+func (l *loop) logStall(interval stall.Interval) {
+	if interval.Length() >= minLoggedStall {
+		l.config.Log.Warn("process stalled", "for_ms", interval.Length()/monotime.Millisecond)
 	}
 }
 
 // nextWakeup returns the instant at which the loop has to run even if no event comes.
 func (l *loop) nextWakeup(now monotime.Micros) monotime.Micros {
 	if l.catchUp.active(now) {
-		return l.catchUp.until
+		return l.catchUp.endsAt
 	}
 	wakeup := monotime.Micros(math.MaxInt64)
 	if due, ok := l.engine.Next(); ok {
@@ -85,19 +85,19 @@
 	return wakeup
 }
 
-// waitUntil sets the timer to an instant.
-func (l *loop) waitUntil(now, instant monotime.Micros) {
-	l.detector.WaitUntil(instant)
-	if instant < math.MaxInt64 {
-		l.timer.Reset(clock.Duration(instant - now))
+// armTimer sets the timer to an instant.
+func (l *loop) armTimer(now, wakeup monotime.Micros) {
+	l.detector.WaitUntil(wakeup)
+	if wakeup < math.MaxInt64 {
+		l.timer.Reset(clock.Duration(wakeup - now))
 	}
 }
 
 // handle handles an event, or defers it until the loop has caught up.
 func (l *loop) handle(queued queuedEvent) {
-	now := l.now()
+	now := l.advanceClock()
 	l.catchUp.extend(now)
-	l.runPendingStarts(now)
+	l.startPendingPools(now)
 	if queued.deferrable && l.catchUp.active(now) {
 		l.catchUp.deferred = append(l.catchUp.deferred, queued)
 		return
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -18,18 +18,18 @@
 	}
 	c.start(stall.Interval{From: 400 * ms, To: 1000 * ms})
 	if !c.active(1001*ms) || c.active(1002*ms) {
-		t.Errorf("without events it lasts until %d", c.until)
+		t.Errorf("without events it lasts until %d", c.endsAt)
 	}
 	for now := 1001 * ms; now < 1100*ms; now += ms {
 		c.extend(now)
 	}
-	if c.until != 1020*ms {
-		t.Errorf("with events all the time it lasts until %d", c.until)
+	if c.endsAt != 1020*ms {
+		t.Errorf("with events all the time it lasts until %d", c.endsAt)
 	}
 	c.start(stall.Interval{From: 2000 * ms, To: 2012 * ms})
 	c.extend(2013 * ms)
-	if c.until != 2015*ms {
-		t.Errorf("after a short stall it lasts until %d", c.until)
+	if c.endsAt != 2015*ms {
+		t.Errorf("after a short stall it lasts until %d", c.endsAt)
 	}
 }
 
@@ -37,26 +37,26 @@
 // their order.
 func TestOutcomesAreHandledBeforeRequestsAfterStall(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
-	x := p.core
+	core := p.core
 	stalling := make(chan struct{})
 	release := make(chan struct{})
 	var handled []string // of the core's goroutine
-	note := func(what string) event {
-		return func(monotime.Micros) { handled = append(handled, what) }
+	recordEvent := func(name string) event {
+		return func(monotime.Micros) { handled = append(handled, name) }
 	}
-	x.post(func(now monotime.Micros) {
+	core.post(func(now monotime.Micros) {
 		close(stalling)
 		<-release
-		for x.config.Clock.Now() < now+100*ms { // a stall of at least that length
+		for core.config.Clock.Now() < now+100*ms { // a stall of at least that length
 		}
 	})
 	scriptedpeer.Receive(t, stalling, "the stall")
-	x.postDeferrable(note("request 1"))
-	x.postDeferrable(note("request 2"))
-	x.post(note("response"))
+	core.postDeferrable(recordEvent("request 1"))
+	core.postDeferrable(recordEvent("request 2"))
+	core.post(recordEvent("response"))
 	close(release)
 	for {
-		got := query(x, func(monotime.Micros) []string { return handled })
+		got := query(core, func(monotime.Micros) []string { return handled })
 		if len(got) < 3 {
 			continue
 		}
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -8,24 +8,24 @@
 
 // ApplyMaintenancePlan replaces the plan that the core follows (engine.Engine.ApplyMaintenancePlan), and returns once
 // the new one is in force.
-func (x *Core) ApplyMaintenancePlan(plan engine.MaintenancePlan) {
-	x.awaitingPlan.Store(plan.AwaitingPlan)
-	query(x, func(now monotime.Micros) bool {
-		x.engine.ApplyMaintenancePlan(now, plan)
+func (core *Core) ApplyMaintenancePlan(plan engine.MaintenancePlan) {
+	core.awaitingPlan.Store(plan.AwaitingPlan)
+	query(core, func(now monotime.Micros) bool {
+		core.engine.ApplyMaintenancePlan(now, plan)
 		return true
 	})
 }
 
 // MaintenanceStatus returns the state of all machines (engine.Engine.MaintenanceStatus), and how many attempts are
 // open at each of the given endpoints.
-func (x *Core) MaintenanceStatus(endpoints []string) (status maintenance.FleetStatus, open map[string]int) {
+func (core *Core) MaintenanceStatus(endpoints []string) (status maintenance.FleetStatus, open map[string]int) {
 	type result struct {
 		status maintenance.FleetStatus
 		open   map[string]int
 	}
-	r := query(x, func(now monotime.Micros) (r result) {
-		r.open = x.engine.OpenAttempts(endpoints)
-		r.status = x.engine.MaintenanceStatus(now)
+	r := query(core, func(now monotime.Micros) (r result) {
+		r.open = core.engine.OpenAttempts(endpoints)
+		r.status = core.engine.MaintenanceStatus(now)
 		return r
 	})
 	return r.status, r.open
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -9,38 +9,38 @@
 
 // Pool is a pool of a core. Its methods are safe for concurrent use.
 type Pool struct {
-	core *Core
-	pool *engine.Pool
+	core       *Core
+	enginePool *engine.Pool
 }
 
 // NewPool adds a pool, or returns the *balancer.SettingError of invalid settings. It may be called before Run.
-func (x *Core) NewPool(c engine.PoolConfig) (*Pool, error) {
-	p, err := x.engine.NewPool(c)
+func (core *Core) NewPool(c engine.PoolConfig) (*Pool, error) {
+	p, err := core.engine.NewPool(c)
 	if err != nil {
 		return nil, err
 	}
-	x.startPool(p.Start)
-	return &Pool{x, p}, nil
+	core.startPool(p.Start)
+	return &Pool{core, p}, nil
 }
 
 // startPool has a pool start before any event that is posted from now on. It never blocks, since Run may not have been
 // called yet.
-func (x *Core) startPool(start event) {
-	x.mu.Lock()
-	x.pendingStarts = append(x.pendingStarts, start)
-	x.mu.Unlock()
+func (core *Core) startPool(start event) {
+	core.mu.Lock()
+	core.pendingPoolStarts = append(core.pendingPoolStarts, start)
+	core.mu.Unlock()
 	select {
-	case x.events <- x.queue(func(monotime.Micros) {}): // wakes the core
+	case core.events <- core.newQueuedEvent(func(monotime.Micros) {}): // wakes the core
 	default: // the queue is full: its events wake the core
 	}
 }
 
-// runPendingStarts starts the pools that were added.
-func (x *Core) runPendingStarts(now monotime.Micros) {
-	x.mu.Lock()
-	starts := x.pendingStarts
-	x.pendingStarts = nil
-	x.mu.Unlock()
+// startPendingPools starts the pools that were added.
+func (core *Core) startPendingPools(now monotime.Micros) {
+	core.mu.Lock()
+	starts := core.pendingPoolStarts
+	core.pendingPoolStarts = nil
+	core.mu.Unlock()
 	for _, start := range starts {
 		start(now)
 	}
@@ -48,7 +48,7 @@
 
 // SetSource changes the name of the source of the endpoint list.
 func (p *Pool) SetSource(source string) {
-	p.core.post(func(monotime.Micros) { p.pool.SetSource(source) })
+	p.core.post(func(monotime.Micros) { p.enginePool.SetSource(source) })
 }
 
 // UpdateEndpoints applies an update of the endpoint list, unless ctx, that of its watch, has ended by the time the
@@ -56,13 +56,13 @@
 func (p *Pool) UpdateEndpoints(ctx context.Context, update engine.EndpointUpdate) {
 	p.core.post(func(now monotime.Micros) {
 		if ctx.Err() == nil {
-			p.pool.UpdateEndpoints(now, update)
+			p.enginePool.UpdateEndpoints(now, update)
 		}
 	})
 }
 
 // Close has the pool accept no more requests. Open ones go on at its endpoints until they end.
-func (p *Pool) Close() { p.core.post(p.pool.Close) }
+func (p *Pool) Close() { p.core.post(p.enginePool.Close) }
 
 // PoolCounts are the numbers of requests at one instant.
 type PoolCounts struct {
@@ -75,7 +75,7 @@
 // Counts returns the pool's numbers of requests.
 func (p *Pool) Counts() PoolCounts {
 	return query(p.core, func(monotime.Micros) PoolCounts {
-		queued, inFlight, maxInFlight := p.pool.Counts()
+		queued, inFlight, maxInFlight := p.enginePool.Counts()
 		return PoolCounts{
 			Queued:      queued,
 			InFlight:    inFlight,
--- a/internal/monotime/drift_test.go
+++ b/internal/monotime/drift_test.go
@@ -21,8 +21,8 @@
 		}
 		localRate := 1 + c.drift
 		otherRate := 1 - c.drift
-		if shown := float64(got) / localRate * otherRate; shown < float64(c.d)-1e-6 {
-			t.Errorf("%d with a drift of %v: the slowest other clock shows %v", c.d, c.drift, shown)
+		if otherElapsed := float64(got) / localRate * otherRate; otherElapsed < float64(c.d)-1e-6 {
+			t.Errorf("%d with a drift of %v: the slowest other clock shows %v", c.d, c.drift, otherElapsed)
 		}
 	}
 }
--- a/internal/takeover/conn.go
+++ b/internal/takeover/conn.go
@@ -21,32 +21,33 @@
 	Files   []*os.File // received with the message
 }
 
-// firstOwnKind is the kind of this package's first message. The kinds below are events of package decide/takeover.
-const firstOwnKind decide.Event = 100
+// firstAdditionalKind is the kind of this package's first message. The kinds below are events of package
+// decide/takeover.
+const firstAdditionalKind decide.Event = 100
 
 // Kinds of messages in addition to those of package decide/takeover. Their numbers are part of the wire form.
 const (
-	ConnectionHandedOver = firstOwnKind + iota // an idle connection, from predecessor to successor
-	chunk                                      // a part of the next message's payload
-	Cordons                                    // the cordons that an operator has set at the sender
+	ConnectionHandedOver = firstAdditionalKind + iota // an idle connection, from predecessor to successor
+	chunk                                             // a part of the next message's payload
+	Cordons                                           // the cordons that an operator has set at the sender
 )
 
 const (
-	maxChunk     = 32 << 10        // bytes of payload in one packet
-	maxPayload   = 64 << 20        // bytes of payload of one message, in all its packets
-	maxFiles     = 250             // open files with one message; the kernel allows 253 (SCM_MAX_FD)
-	writeTimeout = 2 * time.Second // of one message
-	dialTimeout  = time.Second     // of the check whether a process listens at a socket
-
-	socketMode      = 0o600 // only the process's user may connect
-	descriptorBytes = 4     // of an open file in a control message
+	maxChunkBytes      = 32 << 10        // bytes of payload in one packet
+	maxPayloadBytes    = 64 << 20        // bytes of payload of one message, in all its packets
+	maxFilesPerMessage = 250             // open files with one message; the kernel allows 253 (SCM_MAX_FD)
+	writeTimeout       = 2 * time.Second // of one message
+	dialTimeout        = time.Second     // of the check whether a process listens at a socket
+
+	socketMode          = 0o600 // only the process's user may connect
+	fileDescriptorBytes = 4     // of an open file in a control message
 )
 
 // Conn is a connection to the other process. Any goroutine may write; only one may read.
 type Conn struct {
 	unixConn  *net.UnixConn
-	writing   sync.Mutex // one message is written at a time
-	receiving sync.Mutex // held by Loop.Read from before a message is read until the loop has it
+	writeMu   sync.Mutex // one message is written at a time
+	receiveMu sync.Mutex // held by Loop.Read from before a message is read until the loop has it
 }
 
 // Dial connects to the predecessor that listens at a path. An error that wraps syscall.ENOENT or syscall.ECONNREFUSED
@@ -61,8 +62,8 @@
 
 // ConnPair returns both ends of a connection between a predecessor and a successor in one process.
 func ConnPair() (predecessor, successor *Conn, err error) {
-	const kind = syscall.SOCK_SEQPACKET | syscall.SOCK_CLOEXEC | syscall.SOCK_NONBLOCK
-	fds, err := syscall.Socketpair(syscall.AF_UNIX, kind, 0)
+	const socketType = syscall.SOCK_SEQPACKET | syscall.SOCK_CLOEXEC | syscall.SOCK_NONBLOCK
+	fds, err := syscall.Socketpair(syscall.AF_UNIX, socketType, 0)
 	if err != nil {
 		return nil, nil, fmt.Errorf("socketpair: %w", err)
 	}
@@ -130,19 +131,19 @@
 // ListenReplacing listens for successors at a path, and atomically replaces the process that listens there. The path
 // stays when the listener is closed, since another process may have replaced it by then.
 func ListenReplacing(path string) (*Listener, error) {
-	own := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(own) // an ended process of the same id may have left it
-	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: own, Net: "unixpacket"})
+	temporaryPath := fmt.Sprintf("%s.%d", path, os.Getpid())
+	os.Remove(temporaryPath) // an ended process of the same id may have left it
+	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: temporaryPath, Net: "unixpacket"})
 	if err != nil {
 		return nil, err
 	}
 	ln.SetUnlinkOnClose(false)
-	if err = os.Chmod(own, socketMode); err == nil {
-		err = os.Rename(own, path)
+	if err = os.Chmod(temporaryPath, socketMode); err == nil {
+		err = os.Rename(temporaryPath, path)
 	}
 	if err != nil {
 		ln.Close()
-		os.Remove(own)
+		os.Remove(temporaryPath)
 		return nil, err
 	}
 	return &Listener{ln}, nil
@@ -154,12 +155,12 @@
 	if err != nil {
 		return nil, err
 	}
-	u, ok := ln.(*net.UnixListener)
+	unixListener, ok := ln.(*net.UnixListener)
 	if !ok {
 		ln.Close()
 		return nil, fmt.Errorf("not a unix socket")
 	}
-	return &Listener{u}, nil
+	return &Listener{unixListener}, nil
 }
 
 // Path returns the listener's path.
@@ -199,45 +200,45 @@
 
 // Write sends a message, within writeTimeout. Its sockets stay open in this process.
 func (c *Conn) Write(m Message) error {
-	if len(m.Sockets) > maxFiles {
+	if len(m.Sockets) > maxFilesPerMessage {
 		return fmt.Errorf("%d open files are too many for one message", len(m.Sockets))
 	}
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.unixConn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	for len(m.Payload) > maxChunk {
-		if err := c.writePacket(chunk, m.Payload[:maxChunk], nil); err != nil {
+	for len(m.Payload) > maxChunkBytes {
+		if err := c.writePacket(chunk, m.Payload[:maxChunkBytes], nil); err != nil {
 			return err
 		}
-		m.Payload = m.Payload[maxChunk:]
+		m.Payload = m.Payload[maxChunkBytes:]
 	}
 	return withDescriptors(m.Sockets, nil, func(fds []int) error { return c.writePacket(m.Kind, m.Payload, fds) })
 }
 
 // withDescriptors calls f with the sockets' descriptors, which stay open during the call. The method File of a
 // connection is no alternative: it makes the descriptor blocking in both processes.
-func withDescriptors(socks []syscall.Conn, fds []int, f func([]int) error) error {
-	if len(socks) == 0 {
-		return f(fds)
+func withDescriptors(sockets []syscall.Conn, fds []int, call func([]int) error) error {
+	if len(sockets) == 0 {
+		return call(fds)
 	}
-	raw, err := socks[0].SyscallConn()
+	raw, err := sockets[0].SyscallConn()
 	if err != nil {
 		return err
 	}
-	failed := raw.Control(func(fd uintptr) { err = withDescriptors(socks[1:], append(fds, int(fd)), f) })
-	if failed != nil {
-		return failed
+	controlErr := raw.Control(func(fd uintptr) { err = withDescriptors(sockets[1:], append(fds, int(fd)), call) })
+	if controlErr != nil {
+		return controlErr
 	}
 	return err
 }
 
 // writePacket writes a packet with a message's kind, a part of its payload, and descriptors.
-func (c *Conn) writePacket(kind decide.Event, text []byte, fds []int) error {
+func (c *Conn) writePacket(kind decide.Event, payload []byte, fds []int) error {
 	var rights []byte
 	if len(fds) > 0 {
 		rights = syscall.UnixRights(fds...)
 	}
-	_, _, err := c.unixConn.WriteMsgUnix(append([]byte{byte(kind)}, text...), rights, nil)
+	_, _, err := c.unixConn.WriteMsgUnix(append([]byte{byte(kind)}, payload...), rights, nil)
 	return err
 }
 
@@ -247,27 +248,27 @@
 	if err != nil {
 		return err
 	}
-	return raw.Read(hasArrived)
+	return raw.Read(isReadable)
 }
 
-// isMessageAtHand reports whether a message, or the end of the connection, has arrived that Loop.Read has not passed to
-// the loop yet. It does not wait.
-func (c *Conn) isMessageAtHand() bool {
-	if !c.receiving.TryLock() {
+// hasPendingMessage reports whether a message, or the end of the connection, has arrived that Loop.Read has not passed
+// to the loop yet. It does not wait.
+func (c *Conn) hasPendingMessage() bool {
+	if !c.receiveMu.TryLock() {
 		return true
 	}
-	defer c.receiving.Unlock()
+	defer c.receiveMu.Unlock()
 	raw, err := c.unixConn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	arrived := false
-	err = raw.Control(func(fd uintptr) { arrived = hasArrived(fd) })
+	err = raw.Control(func(fd uintptr) { arrived = isReadable(fd) })
 	return err == nil && arrived
 }
 
-// hasArrived reports whether a read of a socket would not wait.
-func hasArrived(fd uintptr) bool {
+// isReadable reports whether a read of a socket would not wait.
+func isReadable(fd uintptr) bool {
 	_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
@@ -283,14 +284,14 @@
 // connection.
 func (c *Conn) Read() (Message, error) {
 	var m Message
-	buf := make([]byte, 1+maxChunk)
-	oob := make([]byte, syscall.CmsgSpace(descriptorBytes*maxFiles))
+	buf := make([]byte, 1+maxChunkBytes)
+	controlData := make([]byte, syscall.CmsgSpace(fileDescriptorBytes*maxFilesPerMessage))
 	for {
-		n, oobn, flags, _, err := c.unixConn.ReadMsgUnix(buf, oob)
+		n, oobn, flags, _, err := c.unixConn.ReadMsgUnix(buf, controlData)
 		if err != nil {
 			return m, err
 		}
-		files, err := receivedFiles(oob[:oobn])
+		files, err := receivedFiles(controlData[:oobn])
 		m.Files = append(m.Files, files...)
 		switch {
 		case err != nil:
@@ -298,7 +299,7 @@
 			err = errors.New("a message was cut off")
 		case n == 0:
 			err = errConnectionClosed
-		case len(m.Payload)+n > maxPayload:
+		case len(m.Payload)+n > maxPayloadBytes:
 			err = errors.New("a message is too large")
 		}
 		if err != nil {
@@ -325,14 +326,14 @@
 }
 
 // receivedFiles returns the open files in a packet's control messages.
-func receivedFiles(oob []byte) ([]*os.File, error) {
+func receivedFiles(controlData []byte) ([]*os.File, error) {
 	var files []*os.File
-	messages, err := syscall.ParseSocketControlMessage(oob)
+	controlMessages, err := syscall.ParseSocketControlMessage(controlData)
 	if err != nil {
 		return nil, err
 	}
-	for i := range messages {
-		fds, err := syscall.ParseUnixRights(&messages[i])
+	for i := range controlMessages {
+		fds, err := syscall.ParseUnixRights(&controlMessages[i])
 		if err != nil {
 			continue // a control message of another type
 		}
@@ -345,10 +346,10 @@
 }
 
 // HandOver sends an idle connection to the successor. The caller must close it in this process.
-func (c *Conn) HandOver(nc net.Conn) error {
-	sock, ok := nc.(syscall.Conn)
+func (c *Conn) HandOver(conn net.Conn) error {
+	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return errors.New("no socket")
 	}
-	return c.Write(Message{Kind: ConnectionHandedOver, Sockets: []syscall.Conn{sock}})
+	return c.Write(Message{Kind: ConnectionHandedOver, Sockets: []syscall.Conn{socket}})
 }
--- a/internal/takeover/golden_test.go
+++ b/internal/takeover/golden_test.go
@@ -64,12 +64,12 @@
 // goldenPackets returns the packets of the earlier build by their names.
 func goldenPackets(t *testing.T) map[string][]byte {
 	t.Helper()
-	file, err := os.ReadFile("testdata/messages.golden")
+	content, err := os.ReadFile("testdata/messages.golden")
 	require.NoError(t, err)
 	golden := map[string][]byte{}
-	for line := range strings.Lines(string(file)) {
-		name, text, _ := strings.Cut(strings.TrimSpace(line), " ")
-		if golden[name], err = hex.DecodeString(text); err != nil {
+	for line := range strings.Lines(string(content)) {
+		name, encodedPacket, _ := strings.Cut(strings.TrimSpace(line), " ")
+		if golden[name], err = hex.DecodeString(encodedPacket); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -79,7 +79,7 @@
 // checkWritten checks that a message is written as the wanted packet.
 func checkWritten(t *testing.T, m Message, want []byte) {
 	t.Helper()
-	sender, receiver := pair(t)
+	sender, receiver := newConnPair(t)
 	require.NoError(t, sender.Write(m))
 	if got := readPacket(t, receiver); !bytes.Equal(got, want) {
 		t.Errorf("written as %x, want %x", got, want)
@@ -89,7 +89,7 @@
 // checkRead checks that a packet is read as the wanted message.
 func checkRead(t *testing.T, packet []byte, want Message) {
 	t.Helper()
-	sender, receiver := pair(t)
+	sender, receiver := newConnPair(t)
 	if _, err := sender.unixConn.Write(packet); err != nil {
 		t.Fatal(err)
 	}
@@ -108,36 +108,36 @@
 // TestLongMessageOfEarlierBuild checks how a long message is divided into packets, and which of them has its open
 // files.
 func TestLongMessageOfEarlierBuild(t *testing.T) {
-	sender, receiver := pair(t)
-	text := bytes.Repeat([]byte("0123456789abcdef"), 4096+1)
-	offer := Message{Kind: decide.Offer, Payload: text, Sockets: []syscall.Conn{sender.unixConn}}
+	sender, receiver := newConnPair(t)
+	payload := bytes.Repeat([]byte("0123456789abcdef"), 4096+1)
+	offer := Message{Kind: decide.Offer, Payload: payload, Sockets: []syscall.Conn{sender.unixConn}}
 	require.NoError(t, sender.Write(offer))
 	for i, want := range []struct {
-		kind  byte
-		text  []byte
-		files int
+		kind    byte
+		payload []byte
+		files   int
 	}{
-		{kind: 101, text: text[:32<<10]},
-		{kind: 101, text: text[32<<10 : 64<<10]},
-		{kind: 1, text: text[64<<10:], files: 1},
+		{kind: 101, payload: payload[:32<<10]},
+		{kind: 101, payload: payload[32<<10 : 64<<10]},
+		{kind: 1, payload: payload[64<<10:], files: 1},
 	} {
 		buf := make([]byte, 1<<17)
-		oob := make([]byte, 1024)
-		n, oobn, _, _, err := receiver.unixConn.ReadMsgUnix(buf, oob)
+		controlData := make([]byte, 1024)
+		n, oobn, _, _, err := receiver.unixConn.ReadMsgUnix(buf, controlData)
 		require.NoError(t, err)
-		files, err := receivedFiles(oob[:oobn])
+		files, err := receivedFiles(controlData[:oobn])
 		require.NoError(t, err)
 		for _, f := range files {
 			f.Close()
 		}
-		if buf[0] != want.kind || !bytes.Equal(buf[1:n], want.text) || len(files) != want.files {
+		if buf[0] != want.kind || !bytes.Equal(buf[1:n], want.payload) || len(files) != want.files {
 			t.Errorf("packet %d: kind %d, %d bytes, %d files", i, buf[0], n, len(files))
 		}
 	}
 }
 
 // pair returns both ends of a connection, which are closed at the end of the test.
-func pair(t *testing.T) (sender, receiver *Conn) {
+func newConnPair(t *testing.T) (sender, receiver *Conn) {
 	t.Helper()
 	sender, receiver, err := ConnPair()
 	require.NoError(t, err)
--- a/internal/takeover/lifecycle.go
+++ b/internal/takeover/lifecycle.go
@@ -27,10 +27,11 @@
 	frontend Frontend
 	log      *slog.Logger
 
-	snapshot     []byte             // of the handover, received from the predecessor or to be sent to the successor
-	drainedEarly bool               // no connection is served, but the predecessor may still hand some over
-	handingOver  bool               // the latest value that Host.HandingOver was called with
-	cancelWait   context.CancelFunc // of the latest wait; nil before the first
+	// snapshot is that of the handover, received from the predecessor or to be sent to the successor.
+	snapshot                 []byte
+	drainedBeforePredecessor bool               // no connection is served, but the predecessor may still hand some over
+	handingOver              bool               // the latest value that Host.HandingOver was called with
+	cancelWait               context.CancelFunc // of the latest wait; nil before the first
 
 	ended  bool
 	result error // valid if ended
@@ -82,32 +83,32 @@
 // onDeadline steps both state machines, which ignore a deadline that is not theirs. A message that has arrived is
 // handled first: if this process did not run for a while, the other one has not missed the deadline.
 func (l *Lifecycle) onDeadline() {
-	if !isMessageAtHand(l.PredecessorConn) || !l.Successor.MessageAtHand(now()) {
+	if !hasPendingMessage(l.PredecessorConn) || !l.Successor.MessageAtHand(now()) {
 		l.stepSuccessorAtDeadline()
 	}
-	if !isMessageAtHand(l.SuccessorConn) || !l.Predecessor.MessageAtHand(now()) {
+	if !hasPendingMessage(l.SuccessorConn) || !l.Predecessor.MessageAtHand(now()) {
 		l.StepPredecessor(decide.DeadlineReached)
 	}
 }
 
-// isMessageAtHand is that of a connection, if there is one.
-func isMessageAtHand(conn *Conn) bool { return conn != nil && conn.isMessageAtHand() }
+// hasPendingMessage is that of a connection, if there is one.
+func hasPendingMessage(conn *Conn) bool { return conn != nil && conn.hasPendingMessage() }
 
 // stepSuccessorAtDeadline steps the successor's state machine, and logs the state in which the deadline was missed.
 func (l *Lifecycle) stepSuccessorAtDeadline() {
-	before := l.Successor.String()
+	stateBefore := l.Successor.String()
 	l.StepSuccessor(decide.DeadlineReached, "")
-	if after := l.Successor.String(); after != before {
-		l.log.Warn("hot restart not completed in time", "while", before, "now", after)
+	if stateAfter := l.Successor.String(); stateAfter != stateBefore {
+		l.log.Warn("hot restart not completed in time", "while", stateBefore, "now", stateAfter)
 	}
 }
 
 // WaitUntilDrained starts to wait until no connection is served, and then steps the predecessor's state machine, unless
 // this process's own predecessor may still hand connections over.
 func (l *Lifecycle) WaitUntilDrained() {
-	l.wait(l.frontend.WaitDrained, func() {
-		l.drainedEarly = l.Successor.ReceivesConnections()
-		if !l.drainedEarly {
+	l.postWhenDone(l.frontend.WaitDrained, func() {
+		l.drainedBeforePredecessor = l.Successor.ReceivesConnections()
+		if !l.drainedBeforePredecessor {
 			l.StepPredecessor(decide.Drained)
 		}
 	})
@@ -122,7 +123,7 @@
 
 // wait posts an event once a condition holds. The condition runs on a goroutine of its own, which ends with it or after
 // CancelWait. The wait outlives the event that starts it, so its context has no parent.
-func (l *Lifecycle) wait(condition func(context.Context) error, event func()) {
+func (l *Lifecycle) postWhenDone(condition func(context.Context) error, event func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l.cancelWait = cancel
 	l.Loop.Goroutines.Go(func() {
@@ -158,11 +159,11 @@
 }
 
 // disconnect closes the connection to another process, if there is one. leaving is called before.
-func disconnect(conn **Conn, leaving func(*Conn)) {
+func disconnect(conn **Conn, beforeClose func(*Conn)) {
 	if *conn == nil {
 		return
 	}
-	leaving(*conn)
+	beforeClose(*conn)
 	(*conn).Close()
 	*conn = nil
 }
--- a/internal/takeover/lifecycle_test.go
+++ b/internal/takeover/lifecycle_test.go
@@ -16,9 +16,9 @@
 )
 
 // stubHost is a host that is never ready, and records the calls of its methods.
-type stubHost struct{ calls []string }
+type stubHost struct{ recordedCalls []string }
 
-func (h *stubHost) record(call string) { h.calls = append(h.calls, call) }
+func (h *stubHost) record(call string) { h.recordedCalls = append(h.recordedCalls, call) }
 
 func (h *stubHost) ReceiveOffer(Message) { h.record("ReceiveOffer") }
 
@@ -86,9 +86,9 @@
 	}
 }
 
-// startingWithoutPredecessor returns the lifecycle of a successor whose predecessor was lost after its offer, while the
+// newStartingLifecycle returns the lifecycle of a successor whose predecessor was lost after its offer, while the
 // host was starting. The deadline to become ready has passed.
-func startingWithoutPredecessor(t *testing.T, host *stubHost, ownsSockets bool) *Lifecycle {
+func newStartingLifecycle(t *testing.T, host *stubHost, ownsSockets bool) *Lifecycle {
 	t.Helper()
 	times := decide.Times{Ready: 1, Answer: 1, Drain: 1}
 	l := NewLifecycle(host, nil, times, slog.New(slog.DiscardHandler))
@@ -98,7 +98,7 @@
 		l.CloseConns()
 		l.Loop.Goroutines.Wait()
 	})
-	predecessor, successor := pair(t)
+	predecessor, successor := newConnPair(t)
 	l.Connect(successor)
 	if m, err := predecessor.Read(); err != nil || m.Kind != decide.Hello { // unread, it would end the connection early
 		t.Fatalf("first message %v, %v", m.Kind, err)
@@ -116,7 +116,7 @@
 // A predecessor that is lost while its successor starts is disconnected once. Later events of the start find no
 // connection.
 func TestPredecessorLostWhileStarting(t *testing.T) {
-	lost := []string{"ReceiveOffer", "StartWithOffer", "PredecessorLeaving"}
+	callsUntilLost := []string{"ReceiveOffer", "StartWithOffer", "PredecessorLeaving"}
 	for _, tc := range []struct {
 		name        string
 		ownsSockets bool
@@ -130,10 +130,10 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			host := &stubHost{}
-			l := startingWithoutPredecessor(t, host, tc.ownsSockets)
+			l := newStartingLifecycle(t, host, tc.ownsSockets)
 			l.StepSuccessor(tc.event, "")
-			if !slices.Equal(host.calls, lost) {
-				t.Errorf("calls %q, want %q", host.calls, lost)
+			if !slices.Equal(host.recordedCalls, callsUntilLost) {
+				t.Errorf("calls %q, want %q", host.recordedCalls, callsUntilLost)
 			}
 			if tc.result != "" {
 				if err := l.Result(); !l.Ended() || err == nil || err.Error() != tc.result {
@@ -142,8 +142,9 @@
 				return
 			}
 			l.StepSuccessor(decide.Started, "")
-			if want := append(slices.Clip(lost), "StartServing"); l.Ended() || !slices.Equal(host.calls, want) {
-				t.Errorf("ended %v, calls once it could serve %q, want %q", l.Ended(), host.calls, want)
+			if want := append(slices.Clip(callsUntilLost), "StartServing"); l.Ended() ||
+				!slices.Equal(host.recordedCalls, want) {
+				t.Errorf("ended %v, calls once it could serve %q, want %q", l.Ended(), host.recordedCalls, want)
 			}
 		})
 	}
@@ -164,24 +165,24 @@
 				l.CloseConns()
 				l.Loop.Goroutines.Wait()
 			})
-			predecessor, successor := pair(t)
+			predecessor, successor := newConnPair(t)
 			require.NoError(t, predecessor.writePacket(decide.Event(offer[0]), offer[1:], nil))
 			l.Connect(successor)
 			scriptedpeer.Eventually(t, "deadline", func() bool { return now() >= l.Successor.Deadline() })
 			l.onDeadline()
-			if len(host.calls) != 0 {
-				t.Fatalf("the deadline was handled before the message: %q", host.calls)
+			if len(host.recordedCalls) != 0 {
+				t.Fatalf("the deadline was handled before the message: %q", host.recordedCalls)
 			}
 			want := []string{"ReceiveOffer", "StartWithOffer"}
 			if name != "offer" {
 				want = []string{"PredecessorLeaving", "StartAlone"}
 			}
-			for len(host.calls) < len(want) {
+			for len(host.recordedCalls) < len(want) {
 				l.Arm()
 				runEvent(t, l)
 			}
-			if !slices.Equal(host.calls, want) {
-				t.Errorf("calls %q, want %q", host.calls, want)
+			if !slices.Equal(host.recordedCalls, want) {
+				t.Errorf("calls %q, want %q", host.recordedCalls, want)
 			}
 		})
 	}
@@ -195,7 +196,7 @@
 		l.CloseConns()
 		l.Loop.Goroutines.Wait()
 	})
-	predecessor, successor := pair(t)
+	predecessor, successor := newConnPair(t)
 	l.onHello(predecessor, HelloMessage())
 	require.NoError(t, successor.Write(Message{Kind: decide.Ready}))
 	scriptedpeer.Eventually(t, "deadline", func() bool { return now() >= l.Predecessor.Deadline() })
--- a/internal/takeover/loop.go
+++ b/internal/takeover/loop.go
@@ -20,13 +20,13 @@
 	timer *time.Timer   // of the next deadline
 }
 
-// unarmedTime is the time until a loop's timer expires if no deadline is armed. The state machines ignore that.
-const unarmedTime = time.Hour
+// unarmedTimeout is the time until a loop's timer expires if no deadline is armed. The state machines ignore that.
+const unarmedTimeout = time.Hour
 
 // NewLoop returns a loop that posts onDeadline whenever the armed deadline has passed.
 func NewLoop(onDeadline func()) *Loop {
 	l := &Loop{Events: make(chan func()), done: make(chan struct{})}
-	l.timer = time.AfterFunc(unarmedTime, func() { l.Post(onDeadline) })
+	l.timer = time.AfterFunc(unarmedTimeout, func() { l.Post(onDeadline) })
 	return l
 }
 
@@ -76,24 +76,24 @@
 
 // Read posts a call of received for each message of a connection, on a goroutine of its own. The end of the connection
 // is a last message of kind ConnectionLost.
-func (l *Loop) Read(c *Conn, received func(c *Conn, m Message)) {
+func (l *Loop) Read(c *Conn, onMessage func(c *Conn, m Message)) {
 	l.Goroutines.Go(func() {
-		for l.readMessage(c, received) {
+		for l.readMessage(c, onMessage) {
 		}
 	})
 }
 
 // readMessage posts a call of received for the next message of a connection, and reports whether others may follow. It
 // holds c.receiving from before the message leaves the socket until the loop has it.
-func (l *Loop) readMessage(c *Conn, received func(c *Conn, m Message)) (more bool) {
+func (l *Loop) readMessage(c *Conn, onMessage func(c *Conn, m Message)) (connOpen bool) {
 	_ = c.awaitMessage() // Read returns the same error
-	c.receiving.Lock()
-	defer c.receiving.Unlock()
+	c.receiveMu.Lock()
+	defer c.receiveMu.Unlock()
 	m, err := c.Read()
 	if err != nil {
 		m = Message{Kind: decide.ConnectionLost, Payload: []byte(err.Error())}
 	}
-	if !l.Post(func() { received(c, m) }) {
+	if !l.Post(func() { onMessage(c, m) }) {
 		m.CloseFiles()
 	}
 	return err == nil
@@ -101,9 +101,9 @@
 
 // PostConnectionLost posts a message of kind ConnectionLost for a connection that cannot be written to, as Read does at
 // its end.
-func (l *Loop) PostConnectionLost(c *Conn, why error, received func(c *Conn, m Message)) {
+func (l *Loop) PostConnectionLost(c *Conn, cause error, onMessage func(c *Conn, m Message)) {
 	l.Goroutines.Go(func() {
-		l.Post(func() { received(c, Message{Kind: decide.ConnectionLost, Payload: []byte(why.Error())}) })
+		l.Post(func() { onMessage(c, Message{Kind: decide.ConnectionLost, Payload: []byte(cause.Error())}) })
 	})
 }
 
@@ -112,8 +112,8 @@
 	return Message{Kind: decide.Hello, Payload: fmt.Append(nil, decide.Version)}
 }
 
-// HelloProblem returns why a process is rejected by its first message, empty if it is not.
-func HelloProblem(m Message) string {
+// HelloRejectReason returns why a process is rejected by its first message, empty if it is not.
+func HelloRejectReason(m Message) string {
 	switch {
 	case m.Kind != decide.Hello:
 		return "that is no takeover"
--- a/internal/takeover/predecessor.go
+++ b/internal/takeover/predecessor.go
@@ -24,9 +24,9 @@
 // message, the timeout or ctx. It may be called by any goroutine.
 func (l *Lifecycle) ReadHello(ctx context.Context, conn *Conn, timeout time.Duration) {
 	l.Loop.Goroutines.Go(func() {
-		release := context.AfterFunc(ctx, func() { conn.Close() })
+		stopCloseOnEnd := context.AfterFunc(ctx, func() { conn.Close() })
 		m, err := conn.ReadWithin(timeout)
-		release()
+		stopCloseOnEnd()
 		m.CloseFiles()
 		if err != nil || !l.Loop.Post(func() { l.onHello(conn, m) }) {
 			conn.Close()
@@ -37,13 +37,13 @@
 // onHello starts a hot restart as the predecessor of a process that has connected, or rejects that process if another
 // one is in progress or its first message is invalid.
 func (l *Lifecycle) onHello(conn *Conn, m Message) {
-	problem := HelloProblem(m)
-	if problem == "" && l.SuccessorConn != nil {
-		problem = "another takeover is under way"
+	reason := HelloRejectReason(m)
+	if reason == "" && l.SuccessorConn != nil {
+		reason = "another takeover is under way"
 	}
-	if problem != "" {
-		l.log.Warn("successor rejected", "reason", problem)
-		conn.Reject(problem)
+	if reason != "" {
+		l.log.Warn("successor rejected", "reason", reason)
+		conn.Reject(reason)
 		return
 	}
 	l.SuccessorConn = conn
@@ -92,7 +92,7 @@
 	case decide.ResumeServing:
 		l.log.Info("successor lost, serving again")
 		l.StepSuccessor(decide.Resumed, "")
-		l.drainedEarly = false
+		l.drainedBeforePredecessor = false
 		l.host.ResumeServing()
 	case decide.HandOverConnections:
 		l.host.HandOverConnections(l.SuccessorConn)
--- a/internal/takeover/runloop_test.go
+++ b/internal/takeover/runloop_test.go
@@ -13,14 +13,14 @@
 func TestRunLoopReturnsResult(t *testing.T) {
 	l := NewLifecycle(nil, nil, decide.Times{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer l.CloseLoop()
-	ended := errors.New("ended")
+	wantErr := errors.New("ended")
 	events := 0
 	go func() {
 		l.Loop.Post(func() { events++ })
-		l.Loop.Post(func() { l.End(ended) })
+		l.Loop.Post(func() { l.End(wantErr) })
 	}()
-	if err := l.RunLoop(nil, func() { t.Error("stopped without a stop") }); !errors.Is(err, ended) || events != 1 {
-		t.Errorf("ended with %v after %d events, want %v after 1", err, events, ended)
+	if err := l.RunLoop(nil, func() { t.Error("stopped without a stop") }); !errors.Is(err, wantErr) || events != 1 {
+		t.Errorf("ended with %v after %d events, want %v after 1", err, events, wantErr)
 	}
 }
 
--- a/internal/takeover/snapshot.go
+++ b/internal/takeover/snapshot.go
@@ -36,52 +36,53 @@
 	headerSize     = 20
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrState is wrapped by all errors of DecodeState.
-var ErrState = errors.New("what the other process learned is refused")
+// ErrInvalidState is wrapped by all errors of DecodeState.
+var ErrInvalidState = errors.New("what the other process learned is refused")
 
 // Encode returns the encoded state: a header, and the JSON.
 func (s *State) Encode() ([]byte, error) {
-	text, err := json.Marshal(s)
+	encodedState, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
-	var b bytes.Buffer
-	b.Grow(headerSize + len(text))
-	b.Write(magic[:])
-	b.Write(binary.BigEndian.AppendUint32(nil, FormatVersion))
-	b.Write(binary.BigEndian.AppendUint64(nil, uint64(len(text))))
-	b.Write(binary.BigEndian.AppendUint32(nil, crc32.Checksum(text, castagnoli)))
-	b.Write(text)
-	return b.Bytes(), nil
+	var buf bytes.Buffer
+	buf.Grow(headerSize + len(encodedState))
+	buf.Write(magic[:])
+	buf.Write(binary.BigEndian.AppendUint32(nil, FormatVersion))
+	buf.Write(binary.BigEndian.AppendUint64(nil, uint64(len(encodedState))))
+	buf.Write(binary.BigEndian.AppendUint32(nil, crc32.Checksum(encodedState, castagnoliTable)))
+	buf.Write(encodedState)
+	return buf.Bytes(), nil
 }
 
-// DecodeState decodes a state. It fails with an error that wraps ErrState unless the state is complete and of this
-// version.
-func DecodeState(b []byte) (*State, error) {
+// DecodeState decodes a state. It fails with an error that wraps ErrInvalidState unless the state is complete and of
+// this version.
+func DecodeState(encoded []byte) (*State, error) {
 	reject := func(format string, args ...any) (*State, error) {
-		return nil, fmt.Errorf("%w: %s", ErrState, fmt.Sprintf(format, args...))
+		return nil, fmt.Errorf("%w: %s", ErrInvalidState, fmt.Sprintf(format, args...))
 	}
-	if len(b) < headerSize || !bytes.Equal(b[:versionOffset], magic[:]) {
+	if len(encoded) < headerSize || !bytes.Equal(encoded[:versionOffset], magic[:]) {
 		return reject("it is none")
 	}
-	if v := binary.BigEndian.Uint32(b[versionOffset:]); v != FormatVersion {
-		return reject("version %d, not %d", v, FormatVersion)
+	if version := binary.BigEndian.Uint32(encoded[versionOffset:]); version != FormatVersion {
+		return reject("version %d, not %d", version, FormatVersion)
 	}
-	text := b[headerSize:]
-	if n := binary.BigEndian.Uint64(b[lengthOffset:]); n != uint64(len(text)) {
-		return reject("%d of %d bytes", len(text), n)
+	encodedState := encoded[headerSize:]
+	if length := binary.BigEndian.Uint64(encoded[lengthOffset:]); length != uint64(len(encodedState)) {
+		return reject("%d of %d bytes", len(encodedState), length)
 	}
-	if sum := crc32.Checksum(text, castagnoli); sum != binary.BigEndian.Uint32(b[checksumOffset:]) {
+	if checksum := crc32.Checksum(encodedState, castagnoliTable); checksum !=
+		binary.BigEndian.Uint32(encoded[checksumOffset:]) {
 		return reject("its checksum is wrong")
 	}
-	s := &State{}
-	if err := json.Unmarshal(text, s); err != nil {
+	state := &State{}
+	if err := json.Unmarshal(encodedState, state); err != nil {
 		return reject("%v", err)
 	}
-	if s.Snapshot == nil {
+	if state.Snapshot == nil {
 		return reject("nothing is in it")
 	}
-	return s, nil
+	return state, nil
 }
--- a/internal/takeover/successor.go
+++ b/internal/takeover/successor.go
@@ -32,8 +32,8 @@
 	}
 	m.CloseFiles()
 	l.StepSuccessor(m.Kind, string(m.Payload))
-	if l.drainedEarly && !l.Successor.ReceivesConnections() {
-		l.drainedEarly = false
+	if l.drainedBeforePredecessor && !l.Successor.ReceivesConnections() {
+		l.drainedBeforePredecessor = false
 		l.WaitUntilDrained()
 	}
 }
@@ -88,5 +88,5 @@
 		l.End(err)
 		return
 	}
-	l.wait(l.host.WaitReady, func() { l.StepSuccessor(decide.Started, "") })
+	l.postWhenDone(l.host.WaitReady, func() { l.StepSuccessor(decide.Started, "") })
 }
