--- a/internal/core/admin.go
+++ b/internal/core/admin.go
@@ -8,8 +8,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// SetCordon cordons or uncordons an endpoint (engine.Engine.SetCordon). It returns once that is in force, or an error
-// if ctx ends or the core stops before.
+// SetCordon cordons or uncordons the named endpoint (engine.Engine.SetCordon) and waits until the change is in
+// force. It returns an error if ctx ends or the core stops first.
 func (core *Core) SetCordon(ctx context.Context, name string, cordoned bool, setAt monotime.Micros) (
 	record cordon.Record, known bool, err error) {
 	type result struct {
@@ -23,7 +23,7 @@
 	return r.record, r.known, err
 }
 
-// ReceiveCordons applies records of cordons that were set in other processes.
+// ReceiveCordons applies cordon records that were set in other processes.
 func (core *Core) ReceiveCordons(records ...cordon.Record) {
 	core.post(func(now monotime.Micros) {
 		for _, record := range records {
@@ -32,13 +32,13 @@
 	})
 }
 
-// Cordons returns all records of cordons, or an error if ctx ends or the core stops before.
+// Cordons returns all cordon records. It returns an error if ctx ends or the core stops first.
 func (core *Core) Cordons(ctx context.Context) ([]cordon.Record, error) {
 	return queryContext(ctx, core, func(monotime.Micros) []cordon.Record { return core.engine.Cordons() })
 }
 
-// Statistics returns the engine's figures, and calls collect at the same instant on the core's goroutine. It returns an
-// error if ctx ends or the core stops before.
+// Statistics returns the engine's statistics. It calls collect on the core's goroutine at the instant of the
+// statistics, so that both describe the same state. It returns an error if ctx ends or the core stops first.
 func (core *Core) Statistics(ctx context.Context, collect func()) (engine.Statistics, error) {
 	return queryContext(ctx, core, func(now monotime.Micros) engine.Statistics {
 		collect()
--- a/internal/core/catchup.go
+++ b/internal/core/catchup.go
@@ -6,34 +6,38 @@
 )
 
 const (
-	// maxCatchUpTime bounds the time after a stall for which the core catches up. A stall delays requests by up to a
-	// catchUpDivisor of its length more.
+	// maxCatchUpTime and catchUpDivisor bound how long the core catches up after a stall: at most
+	// maxCatchUpTime, and at most the length of the stall divided by catchUpDivisor. Catching up delays new
+	// requests by up to that time.
 	maxCatchUpTime = 20 * monotime.Millisecond
 	catchUpDivisor = 4
 
-	// quietTime is the time without any event after which the core has caught up.
+	// quietTime is the time without any event after which the core ends its catch-up.
 	quietTime = 2 * monotime.Millisecond
 )
 
-// catchUp is the time right after a stall. What endpoints sent meanwhile is still in this process's socket buffers: it
-// is handled first, while new requests are deferred and no timer fires. Otherwise requests would be decided by attempts
-// in flight that have long been answered.
+// catchUp is the period directly after a stall. Responses that endpoints sent during the stall are still in
+// this process's socket buffers. They are handled first, while new requests are deferred and no timer fires.
+// Otherwise the core would decide on new requests as if attempts were in flight whose responses arrived long
+// ago.
 type catchUp struct {
-	endsAt    monotime.Micros // instant at which it ends
-	latestEnd monotime.Micros // instant up to which until may be extended
-	deferred  []queuedEvent
+	endsAt    monotime.Micros // instant at which the catch-up ends
+	latestEnd monotime.Micros // latest instant to which endsAt may be extended
+	// deferred holds the events that wait for the end of the catch-up, in order.
+	deferred []queuedEvent
 }
 
-// start begins to catch up at the end of a stall.
+// start starts the catch-up at the end of a stall.
 func (c *catchUp) start(interval stall.Interval) {
 	c.latestEnd = interval.To + min(maxCatchUpTime, interval.Length()/catchUpDivisor)
 	c.endsAt = min(c.latestEnd, interval.To+quietTime)
 }
 
-// active reports whether the core catches up at an instant.
+// active reports whether the core is catching up at the instant now.
 func (c *catchUp) active(now monotime.Micros) bool { return now < c.endsAt }
 
-// extend notes that an event has come at an instant.
+// extend records that an event was received at the instant now. An active catch-up is extended to now plus
+// quietTime, but not beyond latestEnd.
 func (c *catchUp) extend(now monotime.Micros) {
 	if c.active(now) {
 		c.endsAt = min(c.latestEnd, now+quietTime)
--- a/internal/core/coordination.go
+++ b/internal/core/coordination.go
@@ -9,28 +9,28 @@
 	"dunlinsail/internal/monotime"
 )
 
-// JoinFleet has the core decide together with the other instances of its fleet (engine.Engine.JoinFleet). It returns
-// an error for invalid settings. It must be called before the first pool is made. The functions of c are called on
-// the core's goroutine, and must not block.
+// JoinFleet makes the core coordinate its decisions with the other instances of its fleet
+// (engine.Engine.JoinFleet). It returns an error if c is invalid. It must be called before the first call of
+// NewPool. The functions of c are called on the core's goroutine and must not block.
 func (core *Core) JoinFleet(c engine.Coordination) error { return core.engine.JoinFleet(c) }
 
-// StartCoordination starts the core's part in its fleet, for a process without a predecessor.
+// StartCoordination starts the core's participation in its fleet, for a process without a predecessor.
 func (core *Core) StartCoordination() { core.post(core.engine.StartCoordination) }
 
-// ReceiveFleetMessage handles a gossip message of another instance.
+// ReceiveFleetMessage handles a gossip message from another instance.
 func (core *Core) ReceiveFleetMessage(from string, message coordination.Message) {
 	core.post(func(now monotime.Micros) { core.engine.ReceiveFleetMessage(now, from, message) })
 }
 
-// HandOverCoordination ends the core's part in its fleet: it spends no quota any more, and the others need not wait
-// until its lease expires. It returns the state for a successor; nil if there is none to hand over. If the successor
-// fails, StartCoordination begins a new part.
+// HandOverCoordination ends the core's participation in its fleet and returns the state for a successor, or nil
+// if there is no state to hand over. The core spends no more quota after that, and the other instances do not
+// need to wait until its lease expires. If the successor fails, StartCoordination starts a new participation.
 func (core *Core) HandOverCoordination() *quota.State {
 	return query(core, core.engine.HandOverCoordination)
 }
 
-// FleetView returns what is known of the fleet; ok is false without one. It returns an error if ctx ends or the core
-// stops before.
+// FleetView returns this instance's view of the fleet; ok is false if there is neither a fleet nor a tenant
+// limit. It returns an error if ctx ends or the core stops first.
 func (core *Core) FleetView(ctx context.Context) (view coordination.View, ok bool, err error) {
 	type result struct {
 		view coordination.View
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -13,69 +13,74 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// Upstream makes targets for addresses. Its methods must not block.
+// Upstream creates targets for endpoint addresses. Its methods must not block.
 type Upstream interface {
-	// Target returns the target for the address of an endpoint of a pool. It is called on the core's goroutine.
+	// Target returns the target for the address of an endpoint of the named pool. It is called on the core's
+	// goroutine.
 	Target(pool, addr string) Target
 }
 
-// Target is the address of one endpoint: the handle of the package that sends requests to endpoints.
+// Target represents the address of one endpoint. The package that sends requests to endpoints implements it.
 type Target interface {
 	engine.Target
 
-	// Probe requests the endpoint's load report and waits for it. It must return within a bounded time.
+	// Probe requests the endpoint's load report and waits for the response. It must return within a bounded
+	// time.
 	Probe() engine.AttemptResult
-	// AttemptTimedOut reports that an attempt that started at an instant was not answered before its deadline. It must
-	// not block.
+	// AttemptTimedOut reports that an attempt that was started at startedAt got no response before its
+	// deadline. It must not block.
 	AttemptTimedOut(startedAt time.Time)
 }
 
-// Config is what a Core needs.
+// Config holds the settings and dependencies of a Core.
 type Config struct {
 	Clock       clock.Clock
 	Site        *siteconfig.Site
-	Seed        uint64 // of all random draws
+	Seed        uint64 // seed of all random draws
 	Concurrency engine.ConcurrencySettings
 	Upstream    Upstream
 	Log         *slog.Logger
-	Observer    engine.Observer // nil is none
+	Observer    engine.Observer // nil disables observation
 
-	// OnQuotaSpent is as in engine.Config.
+	// OnQuotaSpent is called for each unit that is spent of a quota budget of the fleet, with the name of the
+	// budget. It must not block. It may be nil.
 	OnQuotaSpent func(now monotime.Micros, budget string)
 }
 
-// eventQueueLength is the number of events that may wait for the core before posting another one blocks.
+// eventQueueLength is the capacity of the event queue. Posting an event blocks while the queue is full.
 const eventQueueLength = 256
 
-// event is a change of the engine's state. Only the goroutine of Run calls it.
+// event changes or reads the state of the engine. Only the goroutine of Core.Run calls events.
 type event func(now monotime.Micros)
 
-// queuedEvent is an event that waits for the core.
+// queuedEvent is an event in the event queue.
 type queuedEvent struct {
 	handle     event
 	postedAt   monotime.Micros
-	deferrable bool // it may wait until the core has caught up after a stall
+	deferrable bool // the event may be delayed until the core has caught up after a stall
 }
 
-// queue returns an event as it is sent to the core.
+// newQueuedEvent returns an event for the queue, with the present instant as postedAt.
 func (core *Core) newQueuedEvent(e event) queuedEvent {
 	return queuedEvent{handle: e, postedAt: core.config.Clock.Now()}
 }
 
-// Core runs an engine. Make one with New, add pools, and call Run. The engine belongs to the goroutine of Run: all
-// methods pass it events, and are safe for concurrent use unless they say otherwise.
+// Core runs an engine. Create a core with New, add pools, and call Run. Only the goroutine of Run accesses the
+// engine: the methods of Core post events to that goroutine, and are safe for concurrent use unless their
+// comments state otherwise.
 type Core struct {
 	config       Config
 	engine       *engine.Engine
 	events       chan queuedEvent
-	eventWait    monotime.Micros // of the event that is handled now; only the goroutine of Run uses it
-	stopped      chan struct{}   // closed once no event is handled any more
-	ready        atomic.Bool     // an endpoint has been ready
-	readySignal  chan struct{}   // closed once ready is set
-	awaitingPlan atomic.Bool     // no maintenance plan is known yet: nothing is sent to any endpoint
+	eventWait    monotime.Micros // queue time of the event being handled; only the goroutine of Run uses it
+	stopped      chan struct{}   // closed once Run handles no more events
+	ready        atomic.Bool     // set once the first endpoint is ready
+	readySignal  chan struct{}   // closed when ready is set
+	awaitingPlan atomic.Bool     // no maintenance plan is known yet; nothing is sent to endpoints
 
+	// mu guards pendingPoolStarts.
 	mu                sync.Mutex
-	pendingPoolStarts []event // of new pools, handled before any event that is posted later
+	pendingPoolStarts []event // starts of new pools, handled before any event that is posted later
 }
 
 // New returns a core without pools.
@@ -97,12 +102,12 @@
 	return core
 }
 
-// Ready reports whether requests can be served: an endpoint has been ready, and the core does not wait for its first
-// maintenance plan.
+// Ready reports whether the core can serve requests: at least one endpoint has become ready, and the core is
+// not waiting for its first maintenance plan.
 func (core *Core) Ready() bool { return core.ready.Load() && !core.awaitingPlan.Load() }
 
-// WaitReady waits until an endpoint is ready. It returns the cause of ctx if that ends first, and context.Canceled if
-// the core stops first.
+// WaitReady waits until an endpoint is ready. It returns the cause of ctx if ctx ends first, and
+// context.Canceled if the core stops first.
 func (core *Core) WaitReady(ctx context.Context) error {
 	select {
 	case <-core.readySignal:
@@ -114,18 +119,18 @@
 	}
 }
 
-// post passes an event to the core. Once the core has stopped, the event is dropped.
+// post adds an event to the queue. It drops the event if the core has stopped.
 func (core *Core) post(e event) { core.postQueued(core.newQueuedEvent(e)) }
 
-// postDeferrable is post for what clients do: it waits until the core has caught up after a stall. All such events keep
-// their order.
+// postDeferrable adds an event that is caused by a client to the queue. Such an event is handled only after the
+// core has caught up after a stall. All deferrable events are handled in the order in which they were posted.
 func (core *Core) postDeferrable(e event) {
 	queued := core.newQueuedEvent(e)
 	queued.deferrable = true
 	core.postQueued(queued)
 }
 
-// postQueued passes a queued event to the core, unless that has stopped.
+// postQueued adds a queued event to the queue, or drops it if the core has stopped.
 func (core *Core) postQueued(queued queuedEvent) {
 	select {
 	case core.events <- queued:
@@ -133,7 +138,7 @@
 	}
 }
 
-// query calls read as an event and returns its result; the zero value once the core has stopped.
+// query calls read as an event and returns its result, or the zero value if the core has stopped.
 func query[T any](core *Core, read func(now monotime.Micros) T) (v T) {
 	result := make(chan T, 1)
 	core.post(func(now monotime.Micros) { result <- read(now) })
@@ -144,8 +149,8 @@
 	return v
 }
 
-// queryContext is query for callers with a context. It returns the cause of ctx if that ends first, and
-// context.Canceled if the core has stopped.
+// queryContext calls read as an event and returns its result. It returns the cause of ctx if ctx ends first,
+// and context.Canceled if the core has stopped.
 func queryContext[T any](ctx context.Context, core *Core, read func(now monotime.Micros) T) (v T, err error) {
 	result := make(chan T, 1)
 	select {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -15,9 +15,10 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// upstreams is an Upstream that records the addresses of its targets, which do nothing.
+// recordingUpstream is an Upstream that records the addresses for which it creates targets.
 type recordingUpstream struct{ addrs chan string }
 
+// inertTarget is a target that sends nothing.
 type inertTarget struct{}
 
 func (inertTarget) Probe() engine.AttemptResult {
@@ -31,6 +32,7 @@
 	return inertTarget{}
 }
 
+// testSite returns a site with one request class and one zone.
 func testSite() *siteconfig.Site {
 	return &siteconfig.Site{Classes: []string{"look"}, Zones: []string{"a"}, Settings: balancer.Settings{Balancers: 1,
 		Classes: []balancer.Class{{Name: "look", Idempotency: balancer.Idempotent, LatencyObjective: 400_000,
@@ -41,7 +43,8 @@
 			CollapseAfter:    1_000_000, PollInterval: 1_000_000}}}
 }
 
-// startCore runs a core until the test ends.
+// startCore runs a core until the test ends. The core has one pool, with the given endpoints in its initial
+// list.
 func startCore(t *testing.T, endpoints ...engine.EndpointInfo) (*Pool, recordingUpstream) {
 	t.Helper()
 	upstream := recordingUpstream{addrs: make(chan string, 16)}
@@ -53,7 +56,7 @@
 	return p, upstream
 }
 
-// addPool adds a pool to a core.
+// addPool adds a pool to a core, with the given endpoints in its initial list.
 func addPool(t *testing.T, core *Core, name string, endpoints ...engine.EndpointInfo) *Pool {
 	t.Helper()
 	p, err := core.NewPool(engine.PoolConfig{
@@ -67,7 +70,7 @@
 	return p
 }
 
-// sync waits until all events so far have been handled.
+// sync waits until all events that were posted before it have been handled.
 func (core *Core) sync(t *testing.T) {
 	t.Helper()
 	done := make(chan struct{})
@@ -75,7 +78,7 @@
 	scriptedpeer.Receive(t, done, "event")
 }
 
-// Without any endpoint a core is not ready; with one it is.
+// A core without endpoints is not ready; it is ready once its list has an endpoint.
 func TestReadyOnceAnEndpointIsReady(t *testing.T) {
 	p, _ := startCore(t)
 	core := p.core
@@ -91,7 +94,8 @@
 	}
 }
 
-// A list that is older than the current one is ignored, unless it comes from another source.
+// An endpoint list that is older than the current one is ignored, unless it comes from another source. A list
+// whose generations were reset does not make a draining endpoint ready again.
 func TestStaleListIsIgnored(t *testing.T) {
 	p, upstream := startCore(t,
 		engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a", State: balancer.Draining})
@@ -117,7 +121,8 @@
 	}
 }
 
-// An update that comes after the end of its watch is ignored: it may be older than what the next watch has given.
+// An update that arrives after its watch has ended is ignored, because it may be older than the updates of the
+// next watch.
 func TestUpdateOfEndedWatchIsIgnored(t *testing.T) {
 	p, upstream := startCore(t)
 	core := p.core
@@ -131,7 +136,8 @@
 	}
 }
 
-// A request gets one response, whatever its attempts do, and once it has ended nothing of it is left.
+// A request gets one response, even if a second request with the same ID is submitted or the client goes away
+// after the response. When the request has ended, the core keeps no state of it.
 func TestEachRequestGetsOneResponse(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
 	core := p.core
@@ -162,7 +168,7 @@
 		response.Result.Response != "yes" {
 		t.Errorf("answer %+v", response)
 	}
-	core.ClientGone(c) // after the response: no effect
+	core.ClientGone(c) // has no effect after the response
 	counts := make(chan [2]int, 1)
 	core.post(func(monotime.Micros) { counts <- [2]int{core.engine.Calls(), client.OpenCalls()} })
 	if n := scriptedpeer.Receive(t, counts, "counts"); n != [2]int{} {
@@ -175,7 +181,7 @@
 	}
 }
 
-// call returns a call whose attempts wait for release.
+// newCall returns a call whose attempts respond once release is closed.
 func (p *Pool) newCall(client *engine.Client, id string, release <-chan struct{}) *Call {
 	now := p.core.config.Clock.Now()
 	return &Call{Client: client, Pool: p, ArrivedAt: now, ID: id,
@@ -190,7 +196,8 @@
 		}}
 }
 
-// Each pool has its own endpoints. A pool that is closed with a request open finishes it, and accepts nothing new.
+// Each pool has its own endpoints. A pool that is closed while a request is open finishes that request and
+// rejects new ones.
 func TestClosedPoolDissolvesOnceIdle(t *testing.T) {
 	firstPool, upstream := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
 	core := firstPool.core
@@ -237,12 +244,13 @@
 	if !<-dissolved {
 		t.Error("a closed pool without requests is not dissolved")
 	}
-	// An update after the pool has dissolved changes nothing.
+	// An update after the pool has dissolved has no effect.
 	secondPool.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFull, Generation: 9})
 	core.sync(t)
 }
 
-// A response that has started is the client's: neither the deadline nor the rest of the attempt changes that.
+// Once a response has started, the client gets it: neither the deadline nor a later failure of the attempt ends
+// the request.
 func TestStartedResponseOutlivesDeadline(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
 	core := p.core
@@ -290,7 +298,8 @@
 	}
 }
 
-// If a client goes just as its response starts, the attempt is aborted: it would wait for its reader.
+// If a client goes away just as its response starts, the attempt is aborted. Otherwise the attempt would wait
+// for a reader that never comes.
 func TestClientGoneAsResponseStartsAbortsAttempt(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
 	core := p.core
@@ -315,8 +324,8 @@
 	scriptedpeer.Receive(t, attemptEnded, "the end of the attempt")
 }
 
-// A request that cannot be sent again is not retried, whatever its class allows. The balancer decides whether it is
-// rejected or failed, as for any other: the class is idempotent.
+// A request that cannot be sent again is not retried, even though its class is idempotent. The balancer decides
+// whether the request is rejected or fails, as for any other request.
 func TestRequestNotReplayableIsNotRetried(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"},
 		engine.EndpointInfo{Name: "s-2", Addr: "127.0.0.1:2", Zone: "a"})
@@ -344,8 +353,8 @@
 	}
 }
 
-// The sending of an aborted attempt has ended before any other event, however long its function takes to notice: no two
-// attempts are in flight where two are not allowed.
+// The sending of an aborted attempt stops before the next event is handled, even if the AttemptFunc notices the
+// abort late. Otherwise two attempts could be in flight where only one is allowed.
 func TestAbortEndsSendingBeforeNextEvent(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
 	core := p.core
@@ -363,7 +372,7 @@
 		if attempt.OnAbort(func() { aborted.Store(true) }) && attempt.ClaimSend(core.config.Clock.Now()) {
 			close(sent)
 		}
-		<-testOver // it does not notice the abort
+		<-testOver // ignores the abort
 		return engine.AttemptResult{Status: balancer.Reset, ObservedAt: core.config.Clock.Now()}
 	}
 	core.Submit(c)
@@ -375,8 +384,8 @@
 	}
 }
 
-// Either the attempt or an abort gets the connection: a sending that is detached is not ended, and one that was ended
-// is not detached.
+// Either the attempt or an abort gets the connection: an abort does not stop a detached sending, and a sending
+// that was aborted cannot be detached.
 func TestSendGuardEndsSendingOnce(t *testing.T) {
 	var detachedGuard sendGuard
 	if !detachedGuard.attach(func() { t.Error("ended after it was detached") }) || !detachedGuard.detach() {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -5,12 +5,12 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Snapshot returns the state of the engine (engine.Engine.Snapshot); nil once the core has stopped.
+// Snapshot returns a snapshot of the engine's state (engine.Engine.Snapshot), or nil if the core has stopped.
 func (core *Core) Snapshot() *engine.Snapshot { return query(core, core.engine.Snapshot) }
 
-// SnapshotForHandover returns a snapshot for a successor, and from that instant on leaves to the successor the
-// requests that endpoints that are warming up may still get (engine.Engine.TransferWarmupBudget). It returns nil once
-// the core has stopped.
+// SnapshotForHandover returns a snapshot for a successor, and transfers the remaining warm-up budget, the
+// requests that endpoints in warm-up may still get, to the successor (engine.Engine.TransferWarmupBudget). It
+// returns nil if the core has stopped.
 func (core *Core) SnapshotForHandover() *engine.Snapshot {
 	return query(core, func(now monotime.Micros) *engine.Snapshot {
 		s := core.engine.Snapshot(now)
@@ -19,14 +19,14 @@
 	})
 }
 
-// CancelHandover ends the handover that SnapshotForHandover began, if there is no successor after all. The requests
-// that were left to it count as sent.
+// CancelHandover cancels the handover that SnapshotForHandover started, if the successor does not take over.
+// The requests of the transferred warm-up budget count as sent.
 func (core *Core) CancelHandover() {
 	core.post(func(now monotime.Micros) { core.engine.TransferWarmupBudget(now, false) })
 }
 
-// Restore takes over the snapshot that another core made an age ago (engine.Engine.Restore), and returns once that is
-// done, with descriptions of the parts that were skipped.
+// Restore restores a snapshot that another core took; age is the time since then (engine.Engine.Restore). It
+// waits until the snapshot is restored, and returns descriptions of the parts that were skipped.
 func (core *Core) Restore(s *engine.Snapshot, age monotime.Micros) (skipped []string) {
 	return query(core, func(now monotime.Micros) []string { return core.engine.Restore(now, age, s) })
 }
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -8,10 +8,11 @@
 	"dunlinsail/internal/monotime"
 )
 
-// host carries out what the engine requests (engine.Host), on goroutines that report by posting events.
+// host implements engine.Host: it makes attempts and probes on separate goroutines, which post their outcomes
+// as events.
 type host Core
 
-// attemptState is the host's part of an attempt (engine.Attempt.HostData).
+// attemptState is the state that the host keeps for an attempt (engine.Attempt.HostData).
 type attemptState struct {
 	startedAt time.Time
 	gate      sendGate
@@ -19,13 +20,13 @@
 	cancel    context.CancelFunc
 }
 
-// NewTarget returns the target for the address of an endpoint of a pool.
+// NewTarget returns the target for the address of an endpoint of the named pool.
 func (h *host) NewTarget(pool, addr string) engine.Target {
 	return h.config.Upstream.Target(pool, addr)
 }
 
-// StartAttempt makes an attempt on a goroutine of its own, which ends with the attempt's function; AbortAttempt makes
-// that return.
+// StartAttempt makes an attempt on a separate goroutine, which ends when the call's AttemptFunc returns.
+// AbortAttempt causes the AttemptFunc to return.
 func (h *host) StartAttempt(a *engine.Attempt) {
 	core := (*Core)(h)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -39,8 +40,8 @@
 	}()
 }
 
-// attemptContext returns the AttemptContext of an attempt. It copies the attempt's fields, which the engine may change
-// later.
+// attemptContext returns the AttemptContext of an attempt. It copies the fields of the attempt, since the
+// engine may change them later.
 func (core *Core) attemptContext(a *engine.Attempt, state *attemptState) *AttemptContext {
 	endpoint := a.Endpoint
 	deadline := a.Deadline
@@ -49,7 +50,8 @@
 		Target:   endpoint.Target.(Target),
 		Deadline: deadline,
 		ClaimSend: func(now monotime.Micros) bool {
-			// A slow dial may have outlasted the drain grace, the deadline, or the dedup window of an idempotency key.
+			// During a slow dial, the drain grace, the deadline, or the dedup window of an idempotency key may
+			// have ended.
 			return endpoint.MaySend(now) && now < deadline && (sendBefore == 0 || now < sendBefore) &&
 				state.gate.claim()
 		},
@@ -64,14 +66,15 @@
 	}
 }
 
-// CancelUnsent cancels an attempt of which nothing has been written, and reports whether that was so. It is so of an
-// attempt that was never started.
+// CancelUnsent cancels an attempt if none of its bytes has been written, and reports whether it did. It always
+// cancels an attempt that was never started.
 func (h *host) CancelUnsent(a *engine.Attempt) bool {
 	state, started := a.HostData.(*attemptState)
 	return !started || state.gate.closeUnsent()
 }
 
-// AbortAttempt ends an attempt: its sending at once, its function by the end of its context.
+// AbortAttempt aborts an attempt: it stops the sending immediately, and ends the context of the AttemptFunc so
+// that the function returns.
 func (h *host) AbortAttempt(a *engine.Attempt) {
 	if state, started := a.HostData.(*attemptState); started {
 		state.guard.abort()
@@ -79,12 +82,12 @@
 	}
 }
 
-// AttemptTimedOut notifies the attempt's target.
+// AttemptTimedOut notifies the attempt's target that the attempt got no response before its deadline.
 func (h *host) AttemptTimedOut(a *engine.Attempt) {
 	a.Endpoint.Target.(Target).AttemptTimedOut(a.HostData.(*attemptState).startedAt)
 }
 
-// StartProbe probes an endpoint on a goroutine of its own, which ends once Target.Probe returns.
+// StartProbe probes an endpoint on a separate goroutine, which ends once Target.Probe returns.
 func (h *host) StartProbe(p *engine.Pool, e *engine.Endpoint) {
 	core := (*Core)(h)
 	sentAt := h.config.Clock.Now()
@@ -95,19 +98,20 @@
 	}()
 }
 
-// Respond passes the response to the frontend.
+// Respond passes the final response of a request to the frontend.
 func (h *host) Respond(c *engine.Call, r engine.Response) {
-	c.HostData.(*Call).Response <- r // never blocks: it has a buffer of one, and the engine responds once
+	c.HostData.(*Call).Response <- r // never blocks: the channel has a buffer of one, and the engine responds once
 }
 
-// EndpointReady notes that an endpoint is ready.
+// EndpointReady records that an endpoint is ready. The engine calls it once, for the first endpoint that
+// becomes ready.
 func (h *host) EndpointReady() {
 	h.ready.Store(true)
 	close(h.readySignal)
 }
 
-// Log writes an informational line to the log, with the time for which the event that led to it has waited for the
-// core: a process that is paused takes its own delay for that of endpoints.
+// Log writes an informational message to the log. It adds the time that the event behind the message waited in
+// the queue, because a process that was paused mistakes its own delay for a delay of its endpoints.
 func (h *host) Log(message string, args ...any) {
 	h.config.Log.Info(message, append(args, "event_wait_ms", h.eventWait/monotime.Millisecond)...)
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -18,8 +18,8 @@
 	catchUp  catchUp
 }
 
-// Run handles events and fires the engine's timers until ctx ends. It does not wait for attempts and probes that are in
-// flight then; what they report is dropped.
+// Run handles events and fires the engine's timers until ctx ends. It does not wait for attempts and probes
+// that are in flight at that time; their outcomes are dropped.
 func (core *Core) Run(ctx context.Context) {
 	defer close(core.stopped)
 	l := &loop{Core: core, timer: time.NewTimer(0)}
@@ -28,8 +28,8 @@
 	}
 }
 
-// step fires what is due and handles the next event, if one comes before the next timer. It returns false once ctx has
-// ended.
+// step fires the engine's timers that are due, and then handles the next event unless the next timer expires
+// first. It returns false once ctx has ended.
 func (l *loop) step(ctx context.Context) bool {
 	now := l.advanceClock()
 	l.startPendingPools(now)
@@ -48,8 +48,8 @@
 	return true
 }
 
-// now returns the present instant. If the process has stalled, the engine is notified before anything else, and the
-// loop begins to catch up.
+// advanceClock returns the present instant. If the process has stalled, it notifies the engine before any other
+// event is handled, and starts the catch-up.
 func (l *loop) advanceClock() monotime.Micros {
 	now := l.config.Clock.Now()
 	if interval, found := l.detector.Run(now); found {
@@ -60,17 +60,17 @@
 	return now
 }
 
-// minLoggedStall is the length from which on a stall is logged.
+// minLoggedStall is the shortest stall that is logged.
 const minLoggedStall = 100 * monotime.Millisecond
 
-// logStall logs a long stall.
+// logStall logs a stall of at least minLoggedStall.
 func (l *loop) logStall(interval stall.Interval) {
 	if interval.Length() >= minLoggedStall {
 		l.config.Log.Warn("process stalled", "for_ms", interval.Length()/monotime.Millisecond)
 	}
 }
 
-// nextWakeup returns the instant at which the loop has to run even if no event comes.
+// nextWakeup returns the instant at which the loop must run even if no event arrives.
 func (l *loop) nextWakeup(now monotime.Micros) monotime.Micros {
 	if l.catchUp.active(now) {
 		return l.catchUp.endsAt
@@ -85,7 +85,7 @@
 	return wakeup
 }
 
-// armTimer sets the timer to an instant.
+// armTimer sets the timer to the instant wakeup, unless that is math.MaxInt64, which means no wakeup.
 func (l *loop) armTimer(now, wakeup monotime.Micros) {
 	l.detector.WaitUntil(wakeup)
 	if wakeup < math.MaxInt64 {
@@ -93,7 +93,7 @@
 	}
 }
 
-// handle handles an event, or defers it until the loop has caught up.
+// handle handles an event. While the loop is catching up, it defers the event if the event is deferrable.
 func (l *loop) handle(queued queuedEvent) {
 	now := l.advanceClock()
 	l.catchUp.extend(now)
@@ -105,13 +105,13 @@
 	l.handleNow(now, queued)
 }
 
-// handleNow handles an event.
+// handleNow handles an event without deferring it.
 func (l *loop) handleNow(now monotime.Micros, queued queuedEvent) {
 	l.eventWait = now - queued.postedAt
 	queued.handle(now)
 }
 
-// handleDeferred handles the events that were deferred, in their order.
+// handleDeferred handles the deferred events in the order in which they were posted.
 func (l *loop) handleDeferred(now monotime.Micros) {
 	deferred := l.catchUp.deferred
 	l.catchUp.deferred = nil
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -9,8 +9,10 @@
 	"dunlinsail/internal/monotime"
 )
 
+// ms is one millisecond.
 const ms = monotime.Millisecond
 
+// A catch-up ends after quietTime without events, and at its latest end if events keep arriving.
 func TestCatchUpEndsOnceQuiet(t *testing.T) {
 	var c catchUp
 	if c.active(0) {
@@ -33,21 +35,21 @@
 	}
 }
 
-// A core that has stalled handles what has come from endpoints before it decides on new requests, and the requests keep
-// their order.
+// After a stall, a core handles responses from endpoints before new requests, and the requests keep their
+// order.
 func TestOutcomesAreHandledBeforeRequestsAfterStall(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
 	core := p.core
 	stalling := make(chan struct{})
 	release := make(chan struct{})
-	var handled []string // of the core's goroutine
+	var handled []string // accessed only on the core's goroutine
 	recordEvent := func(name string) event {
 		return func(monotime.Micros) { handled = append(handled, name) }
 	}
 	core.post(func(now monotime.Micros) {
 		close(stalling)
 		<-release
-		for core.config.Clock.Now() < now+100*ms { // a stall of at least that length
+		for core.config.Clock.Now() < now+100*ms { // stalls for at least 100 ms
 		}
 	})
 	scriptedpeer.Receive(t, stalling, "the stall")
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -6,8 +6,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// ApplyMaintenancePlan replaces the plan that the core follows (engine.Engine.ApplyMaintenancePlan), and returns once
-// the new one is in force.
+// ApplyMaintenancePlan replaces the maintenance plan that the core follows
+// (engine.Engine.ApplyMaintenancePlan). It waits until the new plan is in force.
 func (core *Core) ApplyMaintenancePlan(plan engine.MaintenancePlan) {
 	core.awaitingPlan.Store(plan.AwaitingPlan)
 	query(core, func(now monotime.Micros) bool {
@@ -16,8 +16,8 @@
 	})
 }
 
-// MaintenanceStatus returns the state of all machines (engine.Engine.MaintenanceStatus), and how many attempts are
-// open at each of the given endpoints.
+// MaintenanceStatus returns the maintenance state of all machines (engine.Engine.MaintenanceStatus), and the
+// number of open attempts at each of the given endpoints.
 func (core *Core) MaintenanceStatus(endpoints []string) (status maintenance.FleetStatus, open map[string]int) {
 	type result struct {
 		status maintenance.FleetStatus
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -7,13 +7,14 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Pool is a pool of a core. Its methods are safe for concurrent use.
+// Pool is a pool of endpoints of a core. Its methods are safe for concurrent use.
 type Pool struct {
 	core       *Core
 	enginePool *engine.Pool
 }
 
-// NewPool adds a pool, or returns the *balancer.SettingError of invalid settings. It may be called before Run.
+// NewPool adds a pool to the core. It returns a *balancer.SettingError for invalid settings. It may be called
+// before Run.
 func (core *Core) NewPool(c engine.PoolConfig) (*Pool, error) {
 	p, err := core.engine.NewPool(c)
 	if err != nil {
@@ -23,19 +24,19 @@
 	return &Pool{core, p}, nil
 }
 
-// startPool has a pool start before any event that is posted from now on. It never blocks, since Run may not have been
-// called yet.
+// startPool queues the start of a pool, which is handled before any event that is posted later. It never
+// blocks, because Run may not have been called yet.
 func (core *Core) startPool(start event) {
 	core.mu.Lock()
 	core.pendingPoolStarts = append(core.pendingPoolStarts, start)
 	core.mu.Unlock()
 	select {
-	case core.events <- core.newQueuedEvent(func(monotime.Micros) {}): // wakes the core
-	default: // the queue is full: its events wake the core
+	case core.events <- core.newQueuedEvent(func(monotime.Micros) {}): // an event without effect wakes the core
+	default: // the queue is full, and its events wake the core
 	}
 }
 
-// startPendingPools starts the pools that were added.
+// startPendingPools starts the pools that were added since its last call.
 func (core *Core) startPendingPools(now monotime.Micros) {
 	core.mu.Lock()
 	starts := core.pendingPoolStarts
@@ -46,13 +47,13 @@
 	}
 }
 
-// SetSource changes the name of the source of the endpoint list.
+// SetSource changes the name of the source from which the pool gets its endpoint list.
 func (p *Pool) SetSource(source string) {
 	p.core.post(func(monotime.Micros) { p.enginePool.SetSource(source) })
 }
 
-// UpdateEndpoints applies an update of the endpoint list, unless ctx, that of its watch, has ended by the time the
-// update is handled.
+// UpdateEndpoints applies an update of the endpoint list. ctx is the context of the watch that produced the
+// update. The update is dropped if ctx has ended by the time the update is handled.
 func (p *Pool) UpdateEndpoints(ctx context.Context, update engine.EndpointUpdate) {
 	p.core.post(func(now monotime.Micros) {
 		if ctx.Err() == nil {
@@ -61,18 +62,19 @@
 	})
 }
 
-// Close has the pool accept no more requests. Open ones go on at its endpoints until they end.
+// Close makes the pool reject new requests. Requests that are open continue at the pool's endpoints until they
+// end.
 func (p *Pool) Close() { p.core.post(p.enginePool.Close) }
 
-// PoolCounts are the numbers of requests at one instant.
+// PoolCounts holds numbers of requests at one instant.
 type PoolCounts struct {
-	Queued      int // in the pool's queue
-	InFlight    int // of the pool
-	MaxInFlight int // learned bound of InFlight; 0 if the bound is not learned
-	OpenCalls   int // in the request table, of all pools
+	Queued      int // requests in the pool's queue
+	InFlight    int // requests of the pool in flight
+	MaxInFlight int // estimated bound of InFlight; 0 if the bound is not estimated
+	OpenCalls   int // requests of all pools in the request table
 }
 
-// Counts returns the pool's numbers of requests.
+// Counts returns the pool's request counts, and the number of open requests of all pools.
 func (p *Pool) Counts() PoolCounts {
 	return query(p.core, func(monotime.Micros) PoolCounts {
 		queued, inFlight, maxInFlight := p.enginePool.Counts()
--- a/internal/core/sendguard.go
+++ b/internal/core/sendguard.go
@@ -5,17 +5,17 @@
 	"sync/atomic"
 )
 
-// sendGuard protects the connection of an attempt. An abort ends the sending before anything else is sent
-// for the request, so that no two attempts are in flight where two are not allowed. Once the attempt has detached, an
-// abort no longer touches the connection. It is safe for concurrent use.
+// sendGuard coordinates the goroutine of an attempt with an abort. An abort stops the sending before the
+// request is sent anywhere else, so that two attempts are never in flight where only one is allowed. Once the
+// attempt has detached its connection, an abort no longer touches it. A sendGuard is safe for concurrent use.
 type sendGuard struct {
 	mu        sync.Mutex
-	abortFunc func() // nil before attach and after detach
+	abortFunc func() // stops the sending; nil before attach and after detach
 	aborted   bool
 }
 
-// attach sets the function that ends the sending, which must not block. It returns false if the attempt was aborted
-// already.
+// attach sets the function that stops the sending; it must not block. attach returns false if the attempt has
+// already been aborted.
 func (g *sendGuard) attach(abort func()) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -23,7 +23,7 @@
 	return !g.aborted
 }
 
-// detach notes that the sending is over, and reports whether it was not aborted.
+// detach records that the sending has ended. It returns false if the attempt was aborted.
 func (g *sendGuard) detach() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -31,7 +31,7 @@
 	return !g.aborted
 }
 
-// abort ends the sending if it is attached. An attempt that attaches later is notified by the result of attach.
+// abort stops the sending if a function is attached. If an attempt attaches later, attach returns false.
 func (g *sendGuard) abort() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -42,20 +42,21 @@
 	}
 }
 
-// sendGate decides once whether an attempt's first byte is written. It is safe for concurrent use.
+// sendGate decides once whether the first byte of an attempt may be written. It is safe for concurrent use.
 type sendGate struct{ state atomic.Int32 }
 
-// The states of a sendGate. The last two are final.
+// States of a sendGate. gateClaimed and gateClosed are final.
 const (
 	gateOpen int32 = iota
 	gateClaimed
 	gateClosed
 )
 
-// claim reports whether the first byte may be written.
+// claim reports whether the first byte may be written. If so, the attempt can no longer be closed unsent.
 func (g *sendGate) claim() bool { return g.state.CompareAndSwap(gateOpen, gateClaimed) }
 
-// closeUnsent keeps the first byte from being written, and reports whether that was in time.
+// closeUnsent closes the gate, so that the first byte is never written. It returns false if the gate was
+// claimed first.
 func (g *sendGate) closeUnsent() bool {
 	g.state.CompareAndSwap(gateOpen, gateClosed)
 	return g.state.Load() == gateClosed
--- a/internal/monotime/drift_test.go
+++ b/internal/monotime/drift_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// By then d has passed by the slowest other clock, and no duration is shortened by rounding.
+// The extended duration covers d on the slowest other clock, and rounding never shortens a duration.
 func TestExtendForDriftCoversTheSlowestClock(t *testing.T) {
 	for _, c := range []struct {
 		d     Micros
--- a/internal/takeover/conn.go
+++ b/internal/takeover/conn.go
@@ -12,46 +12,50 @@
 	decide "dunlinsail/internal/decide/takeover"
 )
 
-// Message is one message between the two processes. Its fields depend on its kind.
+// Message is a message between predecessor and successor. Which fields are set depends on Kind.
 type Message struct {
-	Kind    decide.Event
-	Payload []byte // Hello: the version; Offer: the host's offer; Handover: the snapshot; Rejected: the reason
-	// Sockets are sent with the message. Offer: the listening sockets; ConnectionHandedOver: one connection.
+	Kind decide.Event
+	// Payload is the protocol version in Hello, the host's offer in Offer, the encoded snapshot in Handover,
+	// and the reason in Rejected.
+	Payload []byte
+	// Sockets are sent with the message: the listening sockets with Offer, and one client connection with
+	// ConnectionHandedOver.
 	Sockets []syscall.Conn
-	Files   []*os.File // received with the message
+	Files   []*os.File // open files that were received with the message
 }
 
-// firstAdditionalKind is the kind of this package's first message. The kinds below are events of package
+// firstAdditionalKind is the first kind that this package defines. Lower kinds are events of package
 // decide/takeover.
 const firstAdditionalKind decide.Event = 100
 
-// Kinds of messages in addition to those of package decide/takeover. Their numbers are part of the wire form.
+// Kinds of messages in addition to those of package decide/takeover. The numbers are part of the wire format.
 const (
-	ConnectionHandedOver = firstAdditionalKind + iota // an idle connection, from predecessor to successor
-	chunk                                             // a part of the next message's payload
-	Cordons                                           // the cordons that an operator has set at the sender
+	ConnectionHandedOver = firstAdditionalKind + iota // an idle client connection, from predecessor to successor
+	chunk                                             // a part of the payload, before the last packet
+	Cordons                                           // the cordons that an operator has set at the sending process
 )
 
 const (
-	maxChunkBytes      = 32 << 10        // bytes of payload in one packet
-	maxPayloadBytes    = 64 << 20        // bytes of payload of one message, in all its packets
-	maxFilesPerMessage = 250             // open files with one message; the kernel allows 253 (SCM_MAX_FD)
-	writeTimeout       = 2 * time.Second // of one message
-	dialTimeout        = time.Second     // of the check whether a process listens at a socket
-
-	socketMode          = 0o600 // only the process's user may connect
-	fileDescriptorBytes = 4     // of an open file in a control message
+	maxChunkBytes      = 32 << 10        // maximum payload bytes in one packet
+	maxPayloadBytes    = 64 << 20        // maximum payload bytes of a message, over all its packets
+	maxFilesPerMessage = 250             // maximum open files of a message; the kernel allows 253 (SCM_MAX_FD)
+	writeTimeout       = 2 * time.Second // bounds the time to write a message
+	dialTimeout        = time.Second     // bounds the check whether a process listens at a socket
+
+	socketMode          = 0o600 // only the user that runs the process may connect
+	fileDescriptorBytes = 4     // size of one file descriptor in a control message
 )
 
-// Conn is a connection to the other process. Any goroutine may write; only one may read.
+// Conn is a connection between predecessor and successor. Any number of goroutines may write, but only one may
+// read.
 type Conn struct {
 	unixConn  *net.UnixConn
-	writeMu   sync.Mutex // one message is written at a time
-	receiveMu sync.Mutex // held by Loop.Read from before a message is read until the loop has it
+	writeMu   sync.Mutex // held while a message is written
+	receiveMu sync.Mutex // held by Loop.Read from before it reads a message until the loop has received it
 }
 
-// Dial connects to the predecessor that listens at a path. An error that wraps syscall.ENOENT or syscall.ECONNREFUSED
-// means that there is none.
+// Dial connects to the predecessor that listens at path. An error that wraps syscall.ENOENT or
+// syscall.ECONNREFUSED means that there is no predecessor.
 func Dial(path string) (*Conn, error) {
 	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
@@ -60,7 +64,8 @@
 	return &Conn{unixConn: c}, nil
 }
 
-// ConnPair returns both ends of a connection between a predecessor and a successor in one process.
+// ConnPair returns both ends of a connection between a predecessor and a successor that run in the same
+// process.
 func ConnPair() (predecessor, successor *Conn, err error) {
 	const socketType = syscall.SOCK_SEQPACKET | syscall.SOCK_CLOEXEC | syscall.SOCK_NONBLOCK
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, socketType, 0)
@@ -74,7 +79,7 @@
 		f.Close()
 		if err != nil {
 			if i == 0 {
-				_ = syscall.Close(fds[1]) // it has no Conn yet
+				_ = syscall.Close(fds[1]) // the second descriptor has no Conn yet
 			} else {
 				ends[0].Close()
 			}
@@ -85,11 +90,11 @@
 	return ends[0], ends[1], nil
 }
 
-// Listener accepts successors.
+// Listener accepts connections from successors.
 type Listener struct{ socket *net.UnixListener }
 
-// Listen listens for successors at a path. A socket that an ended process has left there is replaced. Only the
-// process's user may connect.
+// Listen listens for successors at path. It replaces a socket that was left at path by a process that has
+// ended. Only the user that runs the process may connect.
 func Listen(path string) (*Listener, error) {
 	if err := RemoveStale("unixpacket", path); err != nil {
 		return nil, err
@@ -105,8 +110,8 @@
 	return &Listener{ln}, nil
 }
 
-// RemoveStale removes a unix socket at which no process listens any more. It fails if the path is not a socket, or if a
-// process listens there; that error wraps syscall.EADDRINUSE.
+// RemoveStale removes the unix socket at path if no process listens at it any more. It returns an error if path
+// is not a socket, or if a process listens there; in the latter case the error wraps syscall.EADDRINUSE.
 func RemoveStale(network, path string) error {
 	info, err := os.Lstat(path)
 	switch {
@@ -128,11 +133,12 @@
 	return os.Remove(path)
 }
 
-// ListenReplacing listens for successors at a path, and atomically replaces the process that listens there. The path
-// stays when the listener is closed, since another process may have replaced it by then.
+// ListenReplacing listens for successors at path, and atomically replaces the socket of a process that listens
+// there. Closing the listener does not remove path, because another process may have replaced the socket by
+// then.
 func ListenReplacing(path string) (*Listener, error) {
 	temporaryPath := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(temporaryPath) // an ended process of the same id may have left it
+	os.Remove(temporaryPath) // a process with the same process ID may have left this socket
 	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: temporaryPath, Net: "unixpacket"})
 	if err != nil {
 		return nil, err
@@ -149,7 +155,7 @@
 	return &Listener{ln}, nil
 }
 
-// ListenerFromFile returns the listener of an inherited socket. The file may be closed afterwards.
+// ListenerFromFile returns the listener for an inherited socket. The caller may close f afterwards.
 func ListenerFromFile(f *os.File) (*Listener, error) {
 	ln, err := net.FileListener(f)
 	if err != nil {
@@ -163,19 +169,22 @@
 	return &Listener{unixListener}, nil
 }
 
-// Path returns the listener's path.
+// Path returns the path of the listener's socket.
 func (l *Listener) Path() string { return l.socket.Addr().String() }
 
-// Socket returns the listening socket, to be sent to a successor.
+// Socket returns the listening socket, so that it can be sent to a successor.
 func (l *Listener) Socket() syscall.Conn { return l.socket }
 
-// KeepPath sets whether the socket's path stays when the listener is closed, because another process may listen at it.
+// KeepPath sets whether the path of the socket remains when the listener is closed. It must remain if another
+// process may listen there.
 func (l *Listener) KeepPath(keep bool) { l.socket.SetUnlinkOnClose(!keep) }
 
-// SetPaused starts or ends a pause, during which Accept returns os.ErrDeadlineExceeded and processes that connect wait.
+// SetPaused starts or ends a pause. During a pause, Accept returns os.ErrDeadlineExceeded, and processes that
+// connect wait.
 func (l *Listener) SetPaused(paused bool) { l.socket.SetDeadline(pauseDeadline(paused)) }
 
-// pauseDeadline returns a deadline that has passed during a pause, and none otherwise.
+// pauseDeadline returns a deadline in the past if paused is true, and the zero time, which means no deadline,
+// otherwise.
 func pauseDeadline(paused bool) time.Time {
 	if paused {
 		return time.Unix(1, 0)
@@ -183,7 +192,7 @@
 	return time.Time{}
 }
 
-// Accept waits for a successor.
+// Accept waits for a successor to connect.
 func (l *Listener) Accept() (*Conn, error) {
 	c, err := l.socket.AcceptUnix()
 	if err != nil {
@@ -198,7 +207,7 @@
 // Close closes the connection.
 func (c *Conn) Close() error { return c.unixConn.Close() }
 
-// Write sends a message, within writeTimeout. Its sockets stay open in this process.
+// Write sends a message within writeTimeout. The sockets of the message stay open in this process.
 func (c *Conn) Write(m Message) error {
 	if len(m.Sockets) > maxFilesPerMessage {
 		return fmt.Errorf("%d open files are too many for one message", len(m.Sockets))
@@ -215,8 +224,9 @@
 	return withDescriptors(m.Sockets, nil, func(fds []int) error { return c.writePacket(m.Kind, m.Payload, fds) })
 }
 
-// withDescriptors calls f with the sockets' descriptors, which stay open during the call. The method File of a
-// connection is no alternative: it makes the descriptor blocking in both processes.
+// withDescriptors calls call with fds followed by the file descriptors of sockets, which stay open during the
+// call. The File method of a connection cannot be used instead, since it makes the descriptor blocking in both
+// processes.
 func withDescriptors(sockets []syscall.Conn, fds []int, call func([]int) error) error {
 	if len(sockets) == 0 {
 		return call(fds)
@@ -232,7 +242,7 @@
 	return err
 }
 
-// writePacket writes a packet with a message's kind, a part of its payload, and descriptors.
+// writePacket writes one packet with a message kind, a part of the payload, and file descriptors.
 func (c *Conn) writePacket(kind decide.Event, payload []byte, fds []int) error {
 	var rights []byte
 	if len(fds) > 0 {
@@ -242,7 +252,7 @@
 	return err
 }
 
-// awaitMessage waits until a message, or the end of the connection, has arrived, and reads nothing.
+// awaitMessage waits until a message or the end of the connection has arrived. It reads nothing.
 func (c *Conn) awaitMessage() error {
 	raw, err := c.unixConn.SyscallConn()
 	if err != nil {
@@ -251,8 +261,8 @@
 	return raw.Read(isReadable)
 }
 
-// hasPendingMessage reports whether a message, or the end of the connection, has arrived that Loop.Read has not passed
-// to the loop yet. It does not wait.
+// hasPendingMessage reports whether a message or the end of the connection has arrived that Loop.Read has not
+// yet passed to the loop. It does not block.
 func (c *Conn) hasPendingMessage() bool {
 	if !c.receiveMu.TryLock() {
 		return true
@@ -267,21 +277,21 @@
 	return err == nil && arrived
 }
 
-// isReadable reports whether a read of a socket would not wait.
+// isReadable reports whether a read of the socket fd would return without waiting.
 func isReadable(fd uintptr) bool {
 	_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
-// ReadWithin reads a message, and fails if it does not arrive within d.
+// ReadWithin reads a message. It returns an error if the message does not arrive within d.
 func (c *Conn) ReadWithin(d time.Duration) (Message, error) {
 	c.unixConn.SetReadDeadline(time.Now().Add(d))
 	defer c.unixConn.SetReadDeadline(time.Time{})
 	return c.Read()
 }
 
-// Read waits for a message. The caller must close its files. It fails for a malformed message and at the end of the
-// connection.
+// Read waits for a message and returns it. The caller must close the files of the message. Read returns an
+// error for a malformed message and at the end of the connection.
 func (c *Conn) Read() (Message, error) {
 	var m Message
 	buf := make([]byte, 1+maxChunkBytes)
@@ -314,10 +324,10 @@
 	}
 }
 
-// errConnectionClosed is the error of Read at the end of the connection.
+// errConnectionClosed is the error that Read returns at the end of the connection.
 var errConnectionClosed = errors.New("the other side has ended the connection")
 
-// CloseFiles closes the message's files.
+// CloseFiles closes the files that were received with the message.
 func (m *Message) CloseFiles() {
 	for _, f := range m.Files {
 		f.Close()
@@ -325,7 +335,7 @@
 	m.Files = nil
 }
 
-// receivedFiles returns the open files in a packet's control messages.
+// receivedFiles returns the open files in the control messages of a packet.
 func receivedFiles(controlData []byte) ([]*os.File, error) {
 	var files []*os.File
 	controlMessages, err := syscall.ParseSocketControlMessage(controlData)
@@ -335,7 +345,7 @@
 	for i := range controlMessages {
 		fds, err := syscall.ParseUnixRights(&controlMessages[i])
 		if err != nil {
-			continue // a control message of another type
+			continue // a control message without file descriptors
 		}
 		for _, fd := range fds {
 			syscall.CloseOnExec(fd)
@@ -345,7 +355,8 @@
 	return files, nil
 }
 
-// HandOver sends an idle connection to the successor. The caller must close it in this process.
+// HandOver sends an idle client connection to the successor. The caller must close the connection in this
+// process.
 func (c *Conn) HandOver(conn net.Conn) error {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/takeover/golden_test.go
+++ b/internal/takeover/golden_test.go
@@ -12,10 +12,11 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// The golden files were written by the build of commit 870f4ac. They are never changed: both processes of a hot
-// restart may be of different builds.
+// The golden files were written by the build of commit 870f4ac. They must never be changed, because the two
+// processes of a hot restart may be of different builds.
 
-// TestStateOfEarlierBuild reads a snapshot in which every field is set, and encodes it to the same bytes.
+// TestStateOfEarlierBuild decodes a state of an earlier build in which every field is set, and checks that
+// encoding it again yields the same bytes.
 func TestStateOfEarlierBuild(t *testing.T) {
 	golden, err := os.ReadFile("testdata/state.golden")
 	require.NoError(t, err)
@@ -28,7 +29,8 @@
 	}
 }
 
-// TestMessagesOfEarlierBuild checks the packet of each kind of message, in both directions.
+// TestMessagesOfEarlierBuild checks that each kind of message is written as the packet of the earlier build,
+// and that this packet is read as the same message.
 func TestMessagesOfEarlierBuild(t *testing.T) {
 	golden := goldenPackets(t)
 	messages := map[string]Message{
@@ -61,7 +63,7 @@
 	}
 }
 
-// goldenPackets returns the packets of the earlier build by their names.
+// goldenPackets returns the packets of the earlier build by the names of their messages.
 func goldenPackets(t *testing.T) map[string][]byte {
 	t.Helper()
 	content, err := os.ReadFile("testdata/messages.golden")
@@ -76,7 +78,7 @@
 	return golden
 }
 
-// checkWritten checks that a message is written as the wanted packet.
+// checkWritten checks that message m is written as the packet want.
 func checkWritten(t *testing.T, m Message, want []byte) {
 	t.Helper()
 	sender, receiver := newConnPair(t)
@@ -86,14 +88,14 @@
 	}
 }
 
-// checkRead checks that a packet is read as the wanted message.
+// checkRead checks that a packet is read as the message want.
 func checkRead(t *testing.T, packet []byte, want Message) {
 	t.Helper()
 	sender, receiver := newConnPair(t)
 	if _, err := sender.unixConn.Write(packet); err != nil {
 		t.Fatal(err)
 	}
-	if want.Kind == chunk { // a chunk is the beginning of the message that follows
+	if want.Kind == chunk { // a chunk is the first part of the message that follows
 		require.NoError(t, sender.Write(Message{Kind: decide.Ready}))
 		want.Kind = decide.Ready
 	}
@@ -105,8 +107,8 @@
 	}
 }
 
-// TestLongMessageOfEarlierBuild checks how a long message is divided into packets, and which of them has its open
-// files.
+// TestLongMessageOfEarlierBuild checks how a long message is divided into packets, and that the last packet
+// carries the open files.
 func TestLongMessageOfEarlierBuild(t *testing.T) {
 	sender, receiver := newConnPair(t)
 	payload := bytes.Repeat([]byte("0123456789abcdef"), 4096+1)
@@ -136,7 +138,7 @@
 	}
 }
 
-// pair returns both ends of a connection, which are closed at the end of the test.
+// newConnPair returns both ends of a connection, which are closed at the end of the test.
 func newConnPair(t *testing.T) (sender, receiver *Conn) {
 	t.Helper()
 	sender, receiver, err := ConnPair()
@@ -148,7 +150,7 @@
 	return sender, receiver
 }
 
-// readPacket returns the next packet of a connection.
+// readPacket reads the next packet of a connection.
 func readPacket(t *testing.T, c *Conn) []byte {
 	t.Helper()
 	buf := make([]byte, 1<<17)
--- a/internal/takeover/lifecycle.go
+++ b/internal/takeover/lifecycle.go
@@ -10,16 +10,18 @@
 	"dunlinsail/internal/engine"
 )
 
-// Lifecycle carries out the hot restarts of one process: first as successor, if another process serves, and then as
-// predecessor of the next one. It exchanges the messages, steps both state machines of package decide/takeover, and
-// carries out their steps with its Host. Its fields and methods belong to the goroutine that runs the events of Loop,
-// except where a comment allows others.
+// Lifecycle carries out the hot restarts of one process: first as the successor, if another process is serving,
+// and later as the predecessor of the next process. It exchanges messages with the other process, passes events
+// to both state machines of package decide/takeover, and carries out the resulting steps with its Host. Only
+// the goroutine that runs the events of Loop may use the fields and methods, unless their comments state
+// otherwise.
 type Lifecycle struct {
 	Loop        *Loop
 	Successor   decide.Successor
 	Predecessor decide.Predecessor
 
-	// PredecessorConn and SuccessorConn are the connections to the other processes; nil while there is none.
+	// PredecessorConn and SuccessorConn are the connections to the other processes; nil if there is no
+	// connection.
 	PredecessorConn *Conn
 	SuccessorConn   *Conn
 
@@ -27,18 +29,21 @@
 	frontend Frontend
 	log      *slog.Logger
 
-	// snapshot is that of the handover, received from the predecessor or to be sent to the successor.
-	snapshot                 []byte
-	drainedBeforePredecessor bool               // no connection is served, but the predecessor may still hand some over
-	handingOver              bool               // the latest value that Host.HandingOver was called with
-	cancelWait               context.CancelFunc // of the latest wait; nil before the first
+	// snapshot is the encoded snapshot of a handover, received from the predecessor or to be sent to the
+	// successor.
+	snapshot []byte
+	// drainedBeforePredecessor is set when this process has drained its connections while its own predecessor
+	// may still hand connections over.
+	drainedBeforePredecessor bool
+	handingOver              bool               // argument of the latest call of Host.HandingOver
+	cancelWait               context.CancelFunc // cancels the latest wait; nil before the first wait
 
 	ended  bool
 	result error // valid if ended
 }
 
-// NewLifecycle returns the lifecycle of a host's process. Both state machines are in their first state; OwnsSockets of
-// the successor may be set before the lifecycle is used.
+// NewLifecycle returns the lifecycle of the process that host represents. Both state machines are in their
+// initial state. Successor.OwnsSockets may be set before the lifecycle is used.
 func NewLifecycle(host Host, frontend Frontend, times decide.Times, log *slog.Logger) *Lifecycle {
 	l := &Lifecycle{host: host, frontend: frontend, log: log}
 	l.Successor.Times = times
@@ -47,10 +52,10 @@
 	return l
 }
 
-// Arm sets the loop's timer to the earlier deadline of both state machines.
+// Arm sets the loop's timer to the earlier of the deadlines of both state machines.
 func (l *Lifecycle) Arm() { l.Loop.Arm(l.Successor.Deadline(), l.Predecessor.Deadline()) }
 
-// End records the result with which RunLoop returns. Only the first call has an effect.
+// End records the result that RunLoop returns. Only the first call has an effect.
 func (l *Lifecycle) End(result error) {
 	if l.ended {
 		return
@@ -62,10 +67,10 @@
 // Ended reports whether End was called.
 func (l *Lifecycle) Ended() bool { return l.ended }
 
-// Result returns the result of the process, nil before its end.
+// Result returns the error with which the process ends. It is nil before the end.
 func (l *Lifecycle) Result() error { return l.result }
 
-// CloseLoop closes the loop, which runs no further event, and cancels the latest wait.
+// CloseLoop closes the loop, which then runs no more events, and cancels the latest wait.
 func (l *Lifecycle) CloseLoop() {
 	l.Loop.Close()
 	l.CancelWait()
@@ -80,8 +85,10 @@
 	}
 }
 
-// onDeadline steps both state machines, which ignore a deadline that is not theirs. A message that has arrived is
-// handled first: if this process did not run for a while, the other one has not missed the deadline.
+// onDeadline passes DeadlineReached to both state machines; a state machine whose own deadline has not passed
+// ignores it. If a message from the other process has already arrived, the state machine may postpone its
+// deadline so that the message is handled first: after a stall of this process, the other process has not
+// missed the deadline.
 func (l *Lifecycle) onDeadline() {
 	if !hasPendingMessage(l.PredecessorConn) || !l.Successor.MessageAtHand(now()) {
 		l.stepSuccessorAtDeadline()
@@ -91,10 +98,11 @@
 	}
 }
 
-// hasPendingMessage is that of a connection, if there is one.
+// hasPendingMessage reports whether conn is not nil and has a pending message (Conn.hasPendingMessage).
 func hasPendingMessage(conn *Conn) bool { return conn != nil && conn.hasPendingMessage() }
 
-// stepSuccessorAtDeadline steps the successor's state machine, and logs the state in which the deadline was missed.
+// stepSuccessorAtDeadline passes DeadlineReached to the successor's state machine. If that changes the state,
+// it logs the state in which the deadline was missed.
 func (l *Lifecycle) stepSuccessorAtDeadline() {
 	stateBefore := l.Successor.String()
 	l.StepSuccessor(decide.DeadlineReached, "")
@@ -103,8 +111,8 @@
 	}
 }
 
-// WaitUntilDrained starts to wait until no connection is served, and then steps the predecessor's state machine, unless
-// this process's own predecessor may still hand connections over.
+// WaitUntilDrained starts a wait on a separate goroutine until no connection is served. The predecessor's state
+// machine then gets the event Drained, unless this process's own predecessor may still hand connections over.
 func (l *Lifecycle) WaitUntilDrained() {
 	l.postWhenDone(l.frontend.WaitDrained, func() {
 		l.drainedBeforePredecessor = l.Successor.ReceivesConnections()
@@ -121,8 +129,8 @@
 	}
 }
 
-// wait posts an event once a condition holds. The condition runs on a goroutine of its own, which ends with it or after
-// CancelWait. The wait outlives the event that starts it, so its context has no parent.
+// postWhenDone calls condition on a separate goroutine, and posts event if it returns nil. CancelWait ends the
+// context of condition. That context has no parent, because the wait outlives the event that starts it.
 func (l *Lifecycle) postWhenDone(condition func(context.Context) error, event func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l.cancelWait = cancel
@@ -133,8 +141,8 @@
 	})
 }
 
-// EncodeSnapshot returns the encoded form of a snapshot, with the evidence on the reuse of connections to endpoints. It
-// is nil if the encoding fails; the successor then starts without what was learned.
+// EncodeSnapshot returns the encoded form of a snapshot, together with the evidence on reusing connections to
+// endpoints. It returns nil if the encoding fails; the successor then starts without learned state.
 func (l *Lifecycle) EncodeSnapshot(s *engine.Snapshot, evidence *reuse.Snapshot) []byte {
 	state := State{TakenAt: now(), Snapshot: s, Reuse: evidence}
 	encoded, err := state.Encode()
@@ -145,7 +153,8 @@
 	return encoded
 }
 
-// adoptConnections passes the connections of a message to the host, and closes the message's files.
+// adoptConnections passes the client connections that were received with a message to the host, and closes the
+// files of the message.
 func (l *Lifecycle) adoptConnections(m Message) {
 	for _, file := range m.Files {
 		conn, err := net.FileConn(file)
@@ -158,7 +167,7 @@
 	}
 }
 
-// disconnect closes the connection to another process, if there is one. leaving is called before.
+// disconnect closes the connection *conn, if there is one, and sets it to nil. It calls beforeClose first.
 func disconnect(conn **Conn, beforeClose func(*Conn)) {
 	if *conn == nil {
 		return
--- a/internal/takeover/lifecycle_test.go
+++ b/internal/takeover/lifecycle_test.go
@@ -15,7 +15,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// stubHost is a host that is never ready, and records the calls of its methods.
+// stubHost is a Host that never becomes ready, and records the calls of some of its methods.
 type stubHost struct{ recordedCalls []string }
 
 func (h *stubHost) record(call string) { h.recordedCalls = append(h.recordedCalls, call) }
@@ -86,8 +86,8 @@
 	}
 }
 
-// newStartingLifecycle returns the lifecycle of a successor whose predecessor was lost after its offer, while the
-// host was starting. The deadline to become ready has passed.
+// newStartingLifecycle returns the lifecycle of a successor whose predecessor was lost after it sent its offer,
+// while the host was starting. The deadline for the host to become ready has passed.
 func newStartingLifecycle(t *testing.T, host *stubHost, ownsSockets bool) *Lifecycle {
 	t.Helper()
 	times := decide.Times{Ready: 1, Answer: 1, Drain: 1}
@@ -100,7 +100,8 @@
 	})
 	predecessor, successor := newConnPair(t)
 	l.Connect(successor)
-	if m, err := predecessor.Read(); err != nil || m.Kind != decide.Hello { // unread, it would end the connection early
+	// Closing a connection with an unread message would end it before the offer is received.
+	if m, err := predecessor.Read(); err != nil || m.Kind != decide.Hello {
 		t.Fatalf("first message %v, %v", m.Kind, err)
 	}
 	if err := predecessor.Write(Message{Kind: decide.Offer}); err != nil {
@@ -113,15 +114,15 @@
 	return l
 }
 
-// A predecessor that is lost while its successor starts is disconnected once. Later events of the start find no
-// connection.
+// If a predecessor is lost while its successor starts, the successor disconnects from it exactly once. Later
+// events of the start find no connection.
 func TestPredecessorLostWhileStarting(t *testing.T) {
 	callsUntilLost := []string{"ReceiveOffer", "StartWithOffer", "PredecessorLeaving"}
 	for _, tc := range []struct {
 		name        string
 		ownsSockets bool
 		event       decide.Event
-		result      string // empty if the lifecycle continues
+		result      string // expected error text; empty if the lifecycle continues
 	}{
 		{"stop", false, decide.Stop, "told to stop"},
 		{"stop, own sockets", true, decide.Stop, "told to stop"},
@@ -150,9 +151,9 @@
 	}
 }
 
-// Guards against a process that charges its own stall to its predecessor: both the predecessor's offer and the deadline
-// for it have come while this process did not run. The offer is handled first, once; a message that does not become
-// complete ends the wait for it at the postponed deadline.
+// Guards against a process that blames its predecessor for its own stall: while this process did not run, both
+// the predecessor's offer arrived and the deadline for it passed. The offer is handled first, and once. If a
+// message stays incomplete, the wait for it ends at the postponed deadline.
 func TestOfferAtHandAtItsDeadline(t *testing.T) {
 	for name, offer := range map[string][]byte{"offer": {byte(decide.Offer)}, "part of an offer": {byte(chunk), 1}} {
 		t.Run(name, func(t *testing.T) {
@@ -188,7 +189,8 @@
 	}
 }
 
-// Guards against a process that charges its own stall to its successor, whose answer has come meanwhile.
+// Guards against a process that blames its successor for its own stall: the Ready message of the successor
+// arrived while this process did not run.
 func TestReadyAtHandAtItsDeadline(t *testing.T) {
 	l := NewLifecycle(&stubHost{}, nil, decide.Times{Ready: 1, Answer: monotime.Second}, slog.New(slog.DiscardHandler))
 	t.Cleanup(func() {
--- a/internal/takeover/loop.go
+++ b/internal/takeover/loop.go
@@ -10,17 +10,19 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Loop posts the events of a hot restart to the one goroutine that runs them: messages, deadlines, and any other event
-// of its owner. Create one with NewLoop, receive from Events, and run each received event, until Close.
+// Loop passes the events of a hot restart to the one goroutine that runs them. Events are messages, deadlines,
+// and any other event that the owner of the loop posts. Create a loop with NewLoop, and run each event that is
+// received from Events until Close.
 type Loop struct {
 	Events     chan func()
-	Goroutines sync.WaitGroup // goroutines that post events; they end after Close
+	Goroutines sync.WaitGroup // goroutines that post events; each ends after Close at the latest
 
 	done  chan struct{} // closed by Close
-	timer *time.Timer   // of the next deadline
+	timer *time.Timer   // expires at the earliest armed deadline
 }
 
-// unarmedTimeout is the time until a loop's timer expires if no deadline is armed. The state machines ignore that.
+// unarmedTimeout is the time until the timer of a new loop expires if no deadline is armed. The state machines
+// ignore the resulting event.
 const unarmedTimeout = time.Hour
 
 // NewLoop returns a loop that posts onDeadline whenever the armed deadline has passed.
@@ -30,8 +32,8 @@
 	return l
 }
 
-// Post passes an event to the receiver of Events, and blocks until it is received or the loop is closed. It reports
-// whether the event was received. It may be called by any goroutine except the receiver.
+// Post passes an event to the receiver of Events. It blocks until the event is received or the loop is closed,
+// and reports whether the event was received. Any goroutine except the receiver may call it.
 func (l *Loop) Post(event func()) bool {
 	select {
 	case l.Events <- event:
@@ -41,16 +43,17 @@
 	}
 }
 
-// Done returns a channel that is closed by Close.
+// Done returns a channel that is closed when the loop is closed.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// Close closes the loop, which receives no further event. The caller must wait for Goroutines after it.
+// Close closes the loop; later events are dropped. The caller must wait for Goroutines afterwards.
 func (l *Loop) Close() {
 	close(l.done)
 	l.timer.Stop()
 }
 
-// Arm sets the timer to the earliest of the deadlines; 0 is none. Without any the timer stays as it is.
+// Arm sets the timer to the earliest of the deadlines. A deadline of 0 means no deadline. If there is no
+// deadline, the timer is not changed.
 func (l *Loop) Arm(deadlines ...monotime.Micros) {
 	var next monotime.Micros
 	for _, d := range deadlines {
@@ -63,7 +66,7 @@
 	}
 }
 
-// After posts an event after a time, unless the loop is closed before.
+// After posts an event after the time d, unless the loop is closed before.
 func (l *Loop) After(d time.Duration, event func()) {
 	l.Goroutines.Go(func() {
 		select {
@@ -74,8 +77,8 @@
 	})
 }
 
-// Read posts a call of received for each message of a connection, on a goroutine of its own. The end of the connection
-// is a last message of kind ConnectionLost.
+// Read reads the messages of a connection on a separate goroutine, and posts a call of onMessage for each. At
+// the end of the connection it posts a last message of kind ConnectionLost.
 func (l *Loop) Read(c *Conn, onMessage func(c *Conn, m Message)) {
 	l.Goroutines.Go(func() {
 		for l.readMessage(c, onMessage) {
@@ -83,10 +86,11 @@
 	})
 }
 
-// readMessage posts a call of received for the next message of a connection, and reports whether others may follow. It
-// holds c.receiving from before the message leaves the socket until the loop has it.
+// readMessage posts a call of onMessage for the next message of a connection. It returns false at the end of
+// the connection. It holds c.receiveMu from before the message is read from the socket until the loop has
+// received it.
 func (l *Loop) readMessage(c *Conn, onMessage func(c *Conn, m Message)) (connOpen bool) {
-	_ = c.awaitMessage() // Read returns the same error
+	_ = c.awaitMessage() // c.Read below returns the same error
 	c.receiveMu.Lock()
 	defer c.receiveMu.Unlock()
 	m, err := c.Read()
@@ -99,20 +103,21 @@
 	return err == nil
 }
 
-// PostConnectionLost posts a message of kind ConnectionLost for a connection that cannot be written to, as Read does at
-// its end.
+// PostConnectionLost posts a message of kind ConnectionLost for a connection to which a write has failed, as
+// Read does at the end of a connection.
 func (l *Loop) PostConnectionLost(c *Conn, cause error, onMessage func(c *Conn, m Message)) {
 	l.Goroutines.Go(func() {
 		l.Post(func() { onMessage(c, Message{Kind: decide.ConnectionLost, Payload: []byte(cause.Error())}) })
 	})
 }
 
-// HelloMessage returns the first message of a successor.
+// HelloMessage returns the Hello message, which a successor sends first.
 func HelloMessage() Message {
 	return Message{Kind: decide.Hello, Payload: fmt.Append(nil, decide.Version)}
 }
 
-// HelloRejectReason returns why a process is rejected by its first message, empty if it is not.
+// HelloRejectReason returns the reason why a process is rejected because of its first message, or an empty
+// string if the message is a valid Hello.
 func HelloRejectReason(m Message) string {
 	switch {
 	case m.Kind != decide.Hello:
@@ -123,7 +128,7 @@
 	return ""
 }
 
-// Reject sends the other process that it is rejected, and closes the connection.
+// Reject sends Rejected with the reason to the other process, and closes the connection.
 func (c *Conn) Reject(reason string) {
 	_ = c.Write(Message{Kind: decide.Rejected, Payload: []byte(reason)})
 	c.Close()
--- a/internal/takeover/predecessor.go
+++ b/internal/takeover/predecessor.go
@@ -7,9 +7,10 @@
 	decide "dunlinsail/internal/decide/takeover"
 )
 
-// AcceptSuccessors accepts processes that request a hot restart, until the listener is paused or closed. Each must send
-// Hello within helloTimeout, and does not block others until then. It may run on any goroutine; connections that have
-// sent nothing are closed when ctx ends.
+// AcceptSuccessors accepts connections from processes that request a hot restart, until the listener is paused
+// or closed. Each process must send Hello within helloTimeout, and does not block other processes until then.
+// AcceptSuccessors may run on any goroutine. When ctx ends, connections on which no Hello has arrived are
+// closed.
 func (l *Lifecycle) AcceptSuccessors(ctx context.Context, listener *Listener, helloTimeout time.Duration) {
 	for {
 		conn, err := listener.Accept()
@@ -20,8 +21,8 @@
 	}
 }
 
-// ReadHello reads the first message of a process that has connected, on a goroutine of its own, which ends with the
-// message, the timeout or ctx. It may be called by any goroutine.
+// ReadHello reads the first message of a connection on a separate goroutine. The goroutine ends when the
+// message is received, at the timeout, or when ctx ends. Any goroutine may call ReadHello.
 func (l *Lifecycle) ReadHello(ctx context.Context, conn *Conn, timeout time.Duration) {
 	l.Loop.Goroutines.Go(func() {
 		stopCloseOnEnd := context.AfterFunc(ctx, func() { conn.Close() })
@@ -34,8 +35,8 @@
 	})
 }
 
-// onHello starts a hot restart as the predecessor of a process that has connected, or rejects that process if another
-// one is in progress or its first message is invalid.
+// onHello starts a hot restart as the predecessor of a process that has connected. It rejects that process if
+// another hot restart is in progress or if the first message is invalid.
 func (l *Lifecycle) onHello(conn *Conn, m Message) {
 	reason := HelloRejectReason(m)
 	if reason == "" && l.SuccessorConn != nil {
@@ -51,7 +52,7 @@
 	l.StepPredecessor(decide.Hello)
 }
 
-// onSuccessorMessage handles a message of the successor. Messages of an earlier connection are ignored.
+// onSuccessorMessage handles a message from the successor. It ignores messages from an earlier connection.
 func (l *Lifecycle) onSuccessorMessage(conn *Conn, m Message) {
 	m.CloseFiles()
 	if conn != l.SuccessorConn {
@@ -68,7 +69,7 @@
 	l.StepPredecessor(m.Kind)
 }
 
-// StepPredecessor passes an event to the predecessor's state machine and carries out its steps.
+// StepPredecessor passes an event to the predecessor's state machine, and carries out the resulting steps.
 func (l *Lifecycle) StepPredecessor(e decide.Event) {
 	for _, step := range l.Predecessor.Step(now(), e) {
 		l.log.Debug("takeover", "event", e.String(), "action", step.Action.String(), "message", step.Message.String())
@@ -80,7 +81,7 @@
 	}
 }
 
-// carryOutPredecessor carries out a step of the predecessor's state machine.
+// carryOutPredecessor carries out one step of the predecessor's state machine.
 func (l *Lifecycle) carryOutPredecessor(step decide.Step) {
 	switch step.Action {
 	case decide.Send:
@@ -110,7 +111,8 @@
 	}
 }
 
-// sendToSuccessor sends a step's message. A failure ends the hot restart as a lost connection.
+// sendToSuccessor sends the message of a step to the successor. If the write fails, the hot restart ends as if
+// the connection was lost.
 func (l *Lifecycle) sendToSuccessor(step decide.Step) {
 	if l.SuccessorConn == nil {
 		return
@@ -124,7 +126,7 @@
 		m.Payload = l.snapshot
 		l.snapshot = nil
 	case decide.Activate:
-		l.StepSuccessor(decide.HandedOver, "") // before the successor accepts
+		l.StepSuccessor(decide.HandedOver, "") // recorded before the successor starts to accept
 		l.host.Activating()
 		l.log.Info("handed over", "waiting for", "open requests and connections")
 	}
--- a/internal/takeover/runloop_test.go
+++ b/internal/takeover/runloop_test.go
@@ -9,7 +9,7 @@
 	decide "dunlinsail/internal/decide/takeover"
 )
 
-// RunLoop runs posted events until one of them ends the lifecycle, and returns that result.
+// RunLoop runs posted events until one of them ends the lifecycle, and returns the result of the lifecycle.
 func TestRunLoopReturnsResult(t *testing.T) {
 	l := NewLifecycle(nil, nil, decide.Times{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer l.CloseLoop()
@@ -24,7 +24,7 @@
 	}
 }
 
-// RunLoop calls onStop once, however long stop is closed.
+// RunLoop calls onStop only once, although stop stays closed.
 func TestRunLoopStopsOnce(t *testing.T) {
 	l := NewLifecycle(nil, nil, decide.Times{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer l.CloseLoop()
@@ -34,7 +34,7 @@
 	onStop := func() {
 		stops++
 		go func() {
-			for range 10 { // events after the stop, each of which would find stop closed
+			for range 10 { // stop is still closed when each of these events is received
 				l.Loop.Post(func() {})
 			}
 			l.Loop.Post(func() { l.End(nil) })
--- a/internal/takeover/snapshot.go
+++ b/internal/takeover/snapshot.go
@@ -12,36 +12,37 @@
 	"dunlinsail/internal/engine"
 )
 
-// State is the snapshot that a predecessor sends to its successor, with its time.
+// State is the learned state that a predecessor sends to its successor, with the time of its snapshot.
 type State struct {
-	// TakenAt is the time of the snapshot by Monotonic, which is the same for both processes.
+	// TakenAt is the time of the snapshot in microseconds on the clock of Monotonic, which is the same in both
+	// processes.
 	TakenAt  int64            `json:"Taken"`
 	Snapshot *engine.Snapshot `json:"Core"`
-	// Reuse is the evidence on which connections to endpoints are reused; nil is none.
+	// Reuse is the evidence on the reuse of connections to endpoints; nil if there is none.
 	Reuse *reuse.Snapshot `json:"Reuse,omitempty"`
 }
 
-// FormatVersion is the version of a State's encoding. A successor rejects a state of another version, and starts
-// without what was learned.
+// FormatVersion is the version of the encoding of a State. A successor rejects a state with another version,
+// and starts without learned state.
 const FormatVersion = 2
 
-// magic is the start of an encoded state.
+// magic contains the first bytes of an encoded state.
 var magic = [4]byte{'D', 'L', 'S', 'S'}
 
-// Offsets of the fields of an encoded state's header, in bytes. Numbers are in big endian.
+// Offsets and size of the header of an encoded state, in bytes. Numbers are big-endian.
 const (
-	versionOffset  = 4  // after magic; 4 bytes
-	lengthOffset   = 8  // of the JSON; 8 bytes
-	checksumOffset = 16 // CRC-32C of the JSON; 4 bytes
+	versionOffset  = 4  // format version, 4 bytes
+	lengthOffset   = 8  // length of the JSON, 8 bytes
+	checksumOffset = 16 // CRC-32C of the JSON, 4 bytes
 	headerSize     = 20
 )
 
 var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrInvalidState is wrapped by all errors of DecodeState.
+// ErrInvalidState is wrapped by all errors that DecodeState returns.
 var ErrInvalidState = errors.New("what the other process learned is refused")
 
-// Encode returns the encoded state: a header, and the JSON.
+// Encode returns the encoded state: a header followed by the JSON.
 func (s *State) Encode() ([]byte, error) {
 	encodedState, err := json.Marshal(s)
 	if err != nil {
@@ -57,8 +58,8 @@
 	return buf.Bytes(), nil
 }
 
-// DecodeState decodes a state. It fails with an error that wraps ErrInvalidState unless the state is complete and of
-// this version.
+// DecodeState decodes a state. It returns an error that wraps ErrInvalidState if the state is incomplete,
+// damaged, or of another version than FormatVersion.
 func DecodeState(encoded []byte) (*State, error) {
 	reject := func(format string, args ...any) (*State, error) {
 		return nil, fmt.Errorf("%w: %s", ErrInvalidState, fmt.Sprintf(format, args...))
--- a/internal/takeover/successor.go
+++ b/internal/takeover/successor.go
@@ -4,14 +4,15 @@
 	decide "dunlinsail/internal/decide/takeover"
 )
 
-// Connect starts a hot restart as the successor of the process at the other end of a connection.
+// Connect starts a hot restart with this process as the successor. predecessor is the connection to the
+// predecessor.
 func (l *Lifecycle) Connect(predecessor *Conn) {
 	l.PredecessorConn = predecessor
 	l.Loop.Read(predecessor, l.onPredecessorMessage)
 	l.carryOutSuccessor(l.Successor.Connected(now()))
 }
 
-// onPredecessorMessage handles a message of the predecessor. Messages of an earlier connection are ignored.
+// onPredecessorMessage handles a message from the predecessor. It ignores messages from an earlier connection.
 func (l *Lifecycle) onPredecessorMessage(conn *Conn, m Message) {
 	if conn != l.PredecessorConn {
 		m.CloseFiles()
@@ -38,12 +39,14 @@
 	}
 }
 
-// StepSuccessor passes an event to the successor's state machine and carries out its steps. reason is that of Rejected.
+// StepSuccessor passes an event to the successor's state machine, and carries out the resulting steps. reason
+// is the reason of the event Rejected, and empty for other events.
 func (l *Lifecycle) StepSuccessor(e decide.Event, reason string) {
 	l.carryOutSuccessor(l.Successor.Step(now(), e, reason))
 }
 
-// carryOutSuccessor carries out steps of the successor's state machine, until the process has ended.
+// carryOutSuccessor carries out steps of the successor's state machine. It stops early if a step ends the
+// process.
 func (l *Lifecycle) carryOutSuccessor(steps []decide.Step) {
 	for _, step := range steps {
 		if l.ended {
@@ -53,7 +56,7 @@
 		case decide.Send:
 			l.sendToPredecessor(step)
 		case decide.Disconnect:
-			disconnect(&l.PredecessorConn, l.host.PredecessorLeaving) // it may be lost already
+			disconnect(&l.PredecessorConn, l.host.PredecessorLeaving) // the connection may be closed already
 		case decide.StartWithOffer:
 			l.startWithOffer()
 		case decide.RestoreState:
@@ -72,7 +75,8 @@
 	}
 }
 
-// sendToPredecessor sends a step's message. A failure is detected as the end of the connection.
+// sendToPredecessor sends the message of a step to the predecessor. A failed write is ignored, because the end
+// of the connection is reported to onPredecessorMessage.
 func (l *Lifecycle) sendToPredecessor(step decide.Step) {
 	m := Message{Kind: step.Message, Payload: []byte(step.Reason)}
 	if step.Message == decide.Hello {
@@ -81,7 +85,9 @@
 	_ = l.PredecessorConn.Write(m)
 }
 
-// startWithOffer starts the host, and steps the successor's state machine once requests can be served.
+// startWithOffer starts the host with the predecessor's offer. Once the host is ready, it passes the event
+// Started to the successor's state machine. If the start fails, it sends Rejected to the predecessor and ends
+// the process.
 func (l *Lifecycle) startWithOffer() {
 	if err := l.host.StartWithOffer(); err != nil {
 		_ = l.PredecessorConn.Write(Message{Kind: decide.Rejected, Payload: []byte(err.Error())})
