--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -105,13 +105,13 @@
 		Endpoints: readyEndpoints})
 	core.sync(t)
 	if core.Ready() {
-		t.Error("an old list brought a draining endpoint back")
+		t.Error("an old list made a draining endpoint ready")
 	}
 	p.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFull, Generation: 3,
 		NewSource: true, GenerationsReset: true, Endpoints: readyEndpoints})
 	core.sync(t)
 	if core.Ready() {
-		t.Error("a list whose generations were reset brought back an endpoint that is known to drain")
+		t.Error("a list whose generations were reset made a draining endpoint ready")
 	}
 	p.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFull, Generation: 1,
 		NewSource: true, Endpoints: readyEndpoints})
@@ -160,23 +160,23 @@
 	duplicate := &Call{Client: client, Pool: p, ID: "1", Response: make(chan engine.Response, 1), Request: request}
 	core.Submit(duplicate)
 	if response := scriptedpeer.Receive(t, duplicate.Response,
-		"answer to an open id"); response.Verdict != engine.DuplicateID {
-		t.Errorf("the same id once more: verdict %v", response.Verdict)
+		"response to a duplicate request"); response.Verdict != engine.DuplicateID {
+		t.Errorf("duplicate request: verdict %v", response.Verdict)
 	}
 	close(release)
-	if response := scriptedpeer.Receive(t, c.Response, "answer"); response.Verdict != engine.Served ||
+	if response := scriptedpeer.Receive(t, c.Response, "response"); response.Verdict != engine.Served ||
 		response.Result.Response != "yes" {
-		t.Errorf("answer %+v", response)
+		t.Errorf("response %+v", response)
 	}
 	core.ClientGone(c) // has no effect after the response
 	counts := make(chan [2]int, 1)
 	core.post(func(monotime.Micros) { counts <- [2]int{core.engine.Calls(), client.OpenCalls()} })
 	if n := scriptedpeer.Receive(t, counts, "counts"); n != [2]int{} {
-		t.Errorf("left behind: %d calls, %d ids", n[0], n[1])
+		t.Errorf("after the end: %d calls and %d request IDs left", n[0], n[1])
 	}
 	select {
 	case response := <-c.Response:
-		t.Errorf("a second answer: %+v", response)
+		t.Errorf("a second response: %+v", response)
 	case <-time.After(time.Millisecond):
 	}
 }
@@ -223,8 +223,8 @@
 	secondPool.Close()
 	lateCall := secondPool.newCall(client, "3", release)
 	core.Submit(lateCall)
-	if got := scriptedpeer.Receive(t, lateCall.Response, "answer of a closed pool"); got.Verdict != engine.Rejected {
-		t.Errorf("a closed pool took a request: %+v", got)
+	if got := scriptedpeer.Receive(t, lateCall.Response, "response of a closed pool"); got.Verdict != engine.Rejected {
+		t.Errorf("a closed pool accepted a request: %+v", got)
 	}
 	dissolved := make(chan bool, 1)
 	core.post(func(monotime.Micros) { dissolved <- secondPool.enginePool.Dissolved() })
@@ -273,16 +273,16 @@
 		return engine.AttemptResult{Status: balancer.Reset, ObservedAt: now}
 	}
 	core.Submit(c)
-	got := scriptedpeer.Receive(t, c.Response, "answer")
+	got := scriptedpeer.Receive(t, c.Response, "response")
 	if got.Verdict != engine.Served || got.Result.Response != "started" {
-		t.Fatalf("answer %+v", got)
+		t.Fatalf("response %+v", got)
 	}
 	deadlinePassed := make(chan struct{})
 	untilDeadline := clock.Duration(c.Request.Deadline + 20_000 - core.config.Clock.Now())
 	defer time.AfterFunc(untilDeadline, func() { close(deadlinePassed) }).Stop()
 	scriptedpeer.Receive(t, deadlinePassed, "the deadline")
 	if n := p.Counts(); n.Queued != 0 || n.InFlight != 0 || n.OpenCalls != 1 {
-		t.Errorf("while it streams: %+v", n)
+		t.Errorf("counts while the response is streamed: %+v", n)
 	}
 	close(release)
 	if !scriptedpeer.Receive(t, contextActive, "the end of the attempt") {
@@ -319,7 +319,7 @@
 		return engine.AttemptResult{Status: balancer.Cancelled, ObservedAt: now}
 	}
 	core.Submit(c)
-	scriptedpeer.Receive(t, c.Response, "answer")
+	scriptedpeer.Receive(t, c.Response, "response")
 	core.ClientGone(c)
 	scriptedpeer.Receive(t, attemptEnded, "the end of the attempt")
 }
@@ -344,7 +344,7 @@
 			return engine.AttemptResult{Status: balancer.Error, ObservedAt: core.config.Clock.Now(), Response: "said"}
 		}
 		core.Submit(c)
-		got := scriptedpeer.Receive(t, c.Response, "answer")
+		got := scriptedpeer.Receive(t, c.Response, "response")
 		if got.Result == nil || got.Result.Response != "said" || notReplayable != (len(attempts) == 1) ||
 			notReplayable && got.Verdict != engine.Rejected {
 			t.Errorf("not replayable %v: %+v after %d attempts", notReplayable, got, len(attempts))
@@ -380,7 +380,7 @@
 	core.ClientGone(c)
 	core.sync(t)
 	if !aborted.Load() {
-		t.Error("the next event finds the attempt still being sent")
+		t.Error("the attempt is still being sent when the next event is handled")
 	}
 }
 
@@ -388,7 +388,7 @@
 // that was aborted cannot be detached.
 func TestSendGuardEndsSendingOnce(t *testing.T) {
 	var detachedGuard sendGuard
-	if !detachedGuard.attach(func() { t.Error("ended after it was detached") }) || !detachedGuard.detach() {
+	if !detachedGuard.attach(func() { t.Error("sending stopped after it was detached") }) || !detachedGuard.detach() {
 		t.Error("not attached, or not detached")
 	}
 	detachedGuard.abort()
@@ -401,6 +401,6 @@
 	abortedGuard.abort()
 	abortedGuard.abort()
 	if abortedGuard.detach() || abortCalls != 1 {
-		t.Errorf("detached after the abort, or ended %d times", abortCalls)
+		t.Errorf("detached after the abort, or stopped %d times, want 1", abortCalls)
 	}
 }
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -20,18 +20,18 @@
 	}
 	c.start(stall.Interval{From: 400 * ms, To: 1000 * ms})
 	if !c.active(1001*ms) || c.active(1002*ms) {
-		t.Errorf("without events it lasts until %d", c.endsAt)
+		t.Errorf("without events the catch-up lasts until %d", c.endsAt)
 	}
 	for now := 1001 * ms; now < 1100*ms; now += ms {
 		c.extend(now)
 	}
 	if c.endsAt != 1020*ms {
-		t.Errorf("with events all the time it lasts until %d", c.endsAt)
+		t.Errorf("with continuous events the catch-up lasts until %d", c.endsAt)
 	}
 	c.start(stall.Interval{From: 2000 * ms, To: 2012 * ms})
 	c.extend(2013 * ms)
 	if c.endsAt != 2015*ms {
-		t.Errorf("after a short stall it lasts until %d", c.endsAt)
+		t.Errorf("after a short stall the catch-up lasts until %d", c.endsAt)
 	}
 }
 
--- a/internal/monotime/drift_test.go
+++ b/internal/monotime/drift_test.go
@@ -17,7 +17,7 @@
 	} {
 		got := ExtendForDrift(c.d, c.drift)
 		if got != c.want {
-			t.Errorf("%d with a drift of %v is %d, want %d", c.d, c.drift, got, c.want)
+			t.Errorf("ExtendForDrift(%d, %v) = %d, want %d", c.d, c.drift, got, c.want)
 		}
 		localRate := 1 + c.drift
 		otherRate := 1 - c.drift
--- a/internal/takeover/conn.go
+++ b/internal/takeover/conn.go
@@ -120,7 +120,7 @@
 	case err != nil:
 		return err
 	case info.Mode()&os.ModeSocket == 0:
-		return fmt.Errorf("%s is no socket: it is left alone", path)
+		return fmt.Errorf("%s is no socket: the file is not removed", path)
 	}
 	c, err := net.DialTimeout(network, path, dialTimeout)
 	if err == nil {
@@ -210,7 +210,7 @@
 // Write sends a message within writeTimeout. The sockets of the message stay open in this process.
 func (c *Conn) Write(m Message) error {
 	if len(m.Sockets) > maxFilesPerMessage {
-		return fmt.Errorf("%d open files are too many for one message", len(m.Sockets))
+		return fmt.Errorf("%d open files exceed the limit of one message", len(m.Sockets))
 	}
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -306,11 +306,11 @@
 		switch {
 		case err != nil:
 		case flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0:
-			err = errors.New("a message was cut off")
+			err = errors.New("message truncated")
 		case n == 0:
 			err = errConnectionClosed
 		case len(m.Payload)+n > maxPayloadBytes:
-			err = errors.New("a message is too large")
+			err = errors.New("message too large")
 		}
 		if err != nil {
 			m.CloseFiles()
@@ -325,7 +325,7 @@
 }
 
 // errConnectionClosed is the error that Read returns at the end of the connection.
-var errConnectionClosed = errors.New("the other side has ended the connection")
+var errConnectionClosed = errors.New("connection closed by the other process")
 
 // CloseFiles closes the files that were received with the message.
 func (m *Message) CloseFiles() {
@@ -360,7 +360,7 @@
 func (c *Conn) HandOver(conn net.Conn) error {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
-		return errors.New("no socket")
+		return errors.New("client connection is not a socket")
 	}
 	return c.Write(Message{Kind: ConnectionHandedOver, Sockets: []syscall.Conn{socket}})
 }
--- a/internal/takeover/lifecycle_test.go
+++ b/internal/takeover/lifecycle_test.go
@@ -205,7 +205,7 @@
 	l.onDeadline()
 	for l.Predecessor.String() != "paused" {
 		if !l.Predecessor.HandingOver() {
-			t.Fatal("the successor was rejected although its answer had come")
+			t.Fatal("the successor was rejected although its Ready message had arrived")
 		}
 		l.Arm()
 		runEvent(t, l)
--- a/internal/takeover/runloop_test.go
+++ b/internal/takeover/runloop_test.go
@@ -19,7 +19,8 @@
 		l.Loop.Post(func() { events++ })
 		l.Loop.Post(func() { l.End(wantErr) })
 	}()
-	if err := l.RunLoop(nil, func() { t.Error("stopped without a stop") }); !errors.Is(err, wantErr) || events != 1 {
+	if err := l.RunLoop(nil, func() { t.Error("onStop called without a stop") }); !errors.Is(err, wantErr) ||
+		events != 1 {
 		t.Errorf("ended with %v after %d events, want %v after 1", err, events, wantErr)
 	}
 }
--- a/internal/takeover/snapshot.go
+++ b/internal/takeover/snapshot.go
@@ -40,7 +40,7 @@
 var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
 // ErrInvalidState is wrapped by all errors that DecodeState returns.
-var ErrInvalidState = errors.New("what the other process learned is refused")
+var ErrInvalidState = errors.New("invalid state of the other process")
 
 // Encode returns the encoded state: a header followed by the JSON.
 func (s *State) Encode() ([]byte, error) {
@@ -65,25 +65,25 @@
 		return nil, fmt.Errorf("%w: %s", ErrInvalidState, fmt.Sprintf(format, args...))
 	}
 	if len(encoded) < headerSize || !bytes.Equal(encoded[:versionOffset], magic[:]) {
-		return reject("it is none")
+		return reject("its header is missing or incomplete")
 	}
 	if version := binary.BigEndian.Uint32(encoded[versionOffset:]); version != FormatVersion {
-		return reject("version %d, not %d", version, FormatVersion)
+		return reject("its version is %d, want %d", version, FormatVersion)
 	}
 	encodedState := encoded[headerSize:]
 	if length := binary.BigEndian.Uint64(encoded[lengthOffset:]); length != uint64(len(encodedState)) {
-		return reject("%d of %d bytes", len(encodedState), length)
+		return reject("its JSON has %d bytes, want %d", len(encodedState), length)
 	}
 	if checksum := crc32.Checksum(encodedState, castagnoliTable); checksum !=
 		binary.BigEndian.Uint32(encoded[checksumOffset:]) {
-		return reject("its checksum is wrong")
+		return reject("its checksum does not match")
 	}
 	state := &State{}
 	if err := json.Unmarshal(encodedState, state); err != nil {
 		return reject("%v", err)
 	}
 	if state.Snapshot == nil {
-		return reject("nothing is in it")
+		return reject("it contains no engine snapshot")
 	}
 	return state, nil
 }
