--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -11,7 +11,7 @@
 
 // AttemptFunc makes one attempt of a request and returns its result. It is called on a separate goroutine. When
 // ctx ends, it must abort the attempt and return.
-type AttemptFunc func(ctx context.Context, a *AttemptContext) engine.AttemptResult
+type AttemptFunc func(ctx context.Context, attempt *AttemptContext) engine.AttemptResult
 
 // AttemptContext provides an AttemptFunc with the target of its attempt and the functions that report progress
 // to the core.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -139,33 +139,33 @@
 }
 
 // query calls read as an event and returns its result, or the zero value if the core has stopped.
-func query[T any](core *Core, read func(now monotime.Micros) T) (v T) {
+func query[T any](core *Core, read func(now monotime.Micros) T) (value T) {
 	result := make(chan T, 1)
 	core.post(func(now monotime.Micros) { result <- read(now) })
 	select {
-	case v = <-result:
+	case value = <-result:
 	case <-core.stopped:
 	}
-	return v
+	return value
 }
 
 // queryContext calls read as an event and returns its result. It returns the cause of ctx if ctx ends first,
 // and context.Canceled if the core has stopped.
-func queryContext[T any](ctx context.Context, core *Core, read func(now monotime.Micros) T) (v T, err error) {
+func queryContext[T any](ctx context.Context, core *Core, read func(now monotime.Micros) T) (value T, err error) {
 	result := make(chan T, 1)
 	select {
 	case core.events <- core.newQueuedEvent(func(now monotime.Micros) { result <- read(now) }):
 	case <-core.stopped:
-		return v, context.Canceled
+		return value, context.Canceled
 	case <-ctx.Done():
-		return v, context.Cause(ctx)
+		return value, context.Cause(ctx)
 	}
 	select {
-	case v = <-result:
-		return v, nil
+	case value = <-result:
+		return value, nil
 	case <-core.stopped:
-		return v, context.Canceled
+		return value, context.Canceled
 	case <-ctx.Done():
-		return v, context.Cause(ctx)
+		return value, context.Cause(ctx)
 	}
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -13,9 +13,9 @@
 // returns nil if the core has stopped.
 func (core *Core) SnapshotForHandover() *engine.Snapshot {
 	return query(core, func(now monotime.Micros) *engine.Snapshot {
-		s := core.engine.Snapshot(now)
+		snapshot := core.engine.Snapshot(now)
 		core.engine.TransferWarmupBudget(now, true)
-		return s
+		return snapshot
 	})
 }
 
@@ -27,6 +27,6 @@
 
 // Restore restores a snapshot that another core took; age is the time since then (engine.Engine.Restore). It
 // waits until the snapshot is restored, and returns descriptions of the parts that were skipped.
-func (core *Core) Restore(s *engine.Snapshot, age monotime.Micros) (skipped []string) {
-	return query(core, func(now monotime.Micros) []string { return core.engine.Restore(now, age, s) })
+func (core *Core) Restore(snapshot *engine.Snapshot, age monotime.Micros) (skipped []string) {
+	return query(core, func(now monotime.Micros) []string { return core.engine.Restore(now, age, snapshot) })
 }
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -88,13 +88,13 @@
 }
 
 // StartProbe probes an endpoint on a separate goroutine, which ends once Target.Probe returns.
-func (h *host) StartProbe(p *engine.Pool, e *engine.Endpoint) {
+func (h *host) StartProbe(pool *engine.Pool, endpoint *engine.Endpoint) {
 	core := (*Core)(h)
 	sentAt := h.config.Clock.Now()
-	target := e.Target.(Target)
+	target := endpoint.Target.(Target)
 	go func() {
 		r := target.Probe()
-		core.post(func(now monotime.Micros) { core.engine.ProbeEnded(now, p, e, sentAt, r) })
+		core.post(func(now monotime.Micros) { core.engine.ProbeEnded(now, pool, endpoint, sentAt, r) })
 	}()
 }
 
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -31,7 +31,7 @@
 // step fires the engine's timers that are due, and then handles the next event unless the next timer expires
 // first. It returns false once ctx has ended.
 func (l *loop) step(ctx context.Context) bool {
-	now := l.advanceClock()
+	now := l.readClock()
 	l.startPendingPools(now)
 	if !l.catchUp.active(now) {
 		l.handleDeferred(now)
@@ -48,9 +48,9 @@
 	return true
 }
 
-// advanceClock returns the present instant. If the process has stalled, it notifies the engine before any other
+// readClock returns the present instant. If the process has stalled, it notifies the engine before any other
 // event is handled, and starts the catch-up.
-func (l *loop) advanceClock() monotime.Micros {
+func (l *loop) readClock() monotime.Micros {
 	now := l.config.Clock.Now()
 	if interval, found := l.detector.Run(now); found {
 		l.engine.Stalled(now, interval)
@@ -95,7 +95,7 @@
 
 // handle handles an event. While the loop is catching up, it defers the event if the event is deferrable.
 func (l *loop) handle(queued queuedEvent) {
-	now := l.advanceClock()
+	now := l.readClock()
 	l.catchUp.extend(now)
 	l.startPendingPools(now)
 	if queued.deferrable && l.catchUp.active(now) {
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -40,19 +40,19 @@
 func TestOutcomesAreHandledBeforeRequestsAfterStall(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
 	core := p.core
-	stalling := make(chan struct{})
+	stallStarted := make(chan struct{})
 	release := make(chan struct{})
 	var handled []string // accessed only on the core's goroutine
 	recordEvent := func(name string) event {
 		return func(monotime.Micros) { handled = append(handled, name) }
 	}
 	core.post(func(now monotime.Micros) {
-		close(stalling)
+		close(stallStarted)
 		<-release
 		for core.config.Clock.Now() < now+100*ms { // stalls for at least 100 ms
 		}
 	})
-	scriptedpeer.Receive(t, stalling, "the stall")
+	scriptedpeer.Receive(t, stallStarted, "the stall")
 	core.postDeferrable(recordEvent("request 1"))
 	core.postDeferrable(recordEvent("request 2"))
 	core.post(recordEvent("response"))
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -18,15 +18,15 @@
 
 // MaintenanceStatus returns the maintenance state of all machines (engine.Engine.MaintenanceStatus), and the
 // number of open attempts at each of the given endpoints.
-func (core *Core) MaintenanceStatus(endpoints []string) (status maintenance.FleetStatus, open map[string]int) {
+func (core *Core) MaintenanceStatus(endpoints []string) (status maintenance.FleetStatus, openAttempts map[string]int) {
 	type result struct {
-		status maintenance.FleetStatus
-		open   map[string]int
+		status       maintenance.FleetStatus
+		openAttempts map[string]int
 	}
 	r := query(core, func(now monotime.Micros) (r result) {
-		r.open = core.engine.OpenAttempts(endpoints)
+		r.openAttempts = core.engine.OpenAttempts(endpoints)
 		r.status = core.engine.MaintenanceStatus(now)
 		return r
 	})
-	return r.status, r.open
+	return r.status, r.openAttempts
 }
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -16,12 +16,12 @@
 // NewPool adds a pool to the core. It returns a *balancer.SettingError for invalid settings. It may be called
 // before Run.
 func (core *Core) NewPool(c engine.PoolConfig) (*Pool, error) {
-	p, err := core.engine.NewPool(c)
+	pool, err := core.engine.NewPool(c)
 	if err != nil {
 		return nil, err
 	}
-	core.startPool(p.Start)
-	return &Pool{core, p}, nil
+	core.startPool(pool.Start)
+	return &Pool{core, pool}, nil
 }
 
 // startPool queues the start of a pool, which is handled before any event that is posted later. It never
--- a/internal/monotime/drift_test.go
+++ b/internal/monotime/drift_test.go
@@ -4,7 +4,7 @@
 
 // The extended duration covers d on the slowest other clock, and rounding never shortens a duration.
 func TestExtendForDriftCoversTheSlowestClock(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		d     Micros
 		drift float64
 		want  Micros
@@ -15,14 +15,14 @@
 		{2 * Second, 0.1, 2_444_445},
 		{1, 0.005, 2},
 	} {
-		got := ExtendForDrift(c.d, c.drift)
-		if got != c.want {
-			t.Errorf("ExtendForDrift(%d, %v) = %d, want %d", c.d, c.drift, got, c.want)
+		got := ExtendForDrift(tc.d, tc.drift)
+		if got != tc.want {
+			t.Errorf("ExtendForDrift(%d, %v) = %d, want %d", tc.d, tc.drift, got, tc.want)
 		}
-		localRate := 1 + c.drift
-		otherRate := 1 - c.drift
-		if otherElapsed := float64(got) / localRate * otherRate; otherElapsed < float64(c.d)-1e-6 {
-			t.Errorf("%d with a drift of %v: the slowest other clock shows %v", c.d, c.drift, otherElapsed)
+		localRate := 1 + tc.drift
+		otherRate := 1 - tc.drift
+		if otherElapsed := float64(got) / localRate * otherRate; otherElapsed < float64(tc.d)-1e-6 {
+			t.Errorf("%d with a drift of %v: the slowest other clock shows %v", tc.d, tc.drift, otherElapsed)
 		}
 	}
 }
--- a/internal/takeover/conn.go
+++ b/internal/takeover/conn.go
@@ -283,9 +283,9 @@
 	return !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
-// ReadWithin reads a message. It returns an error if the message does not arrive within d.
-func (c *Conn) ReadWithin(d time.Duration) (Message, error) {
-	c.unixConn.SetReadDeadline(time.Now().Add(d))
+// ReadWithin reads a message. It returns an error if the message does not arrive within timeout.
+func (c *Conn) ReadWithin(timeout time.Duration) (Message, error) {
+	c.unixConn.SetReadDeadline(time.Now().Add(timeout))
 	defer c.unixConn.SetReadDeadline(time.Time{})
 	return c.Read()
 }
--- a/internal/takeover/golden_test.go
+++ b/internal/takeover/golden_test.go
@@ -20,9 +20,9 @@
 func TestStateOfEarlierBuild(t *testing.T) {
 	golden, err := os.ReadFile("testdata/state.golden")
 	require.NoError(t, err)
-	s, err := DecodeState(golden)
+	state, err := DecodeState(golden)
 	require.NoError(t, err)
-	encoded, err := s.Encode()
+	encoded, err := state.Encode()
 	require.NoError(t, err)
 	if !bytes.Equal(encoded, golden) {
 		t.Errorf("encoded again:\n%s\nwant:\n%s", encoded[headerSize:], golden[headerSize:])
--- a/internal/takeover/lifecycle.go
+++ b/internal/takeover/lifecycle.go
@@ -39,7 +39,7 @@
 	cancelWait               context.CancelFunc // cancels the latest wait; nil before the first wait
 
 	ended  bool
-	result error // valid if ended
+	result error // result of the process; valid if ended is true
 }
 
 // NewLifecycle returns the lifecycle of the process that host represents. Both state machines are in their
@@ -76,7 +76,7 @@
 	l.CancelWait()
 }
 
-// CloseConns closes the connections to the other processes.
+// CloseConns closes the connections to the predecessor and to the successor.
 func (l *Lifecycle) CloseConns() {
 	for _, conn := range []*Conn{l.PredecessorConn, l.SuccessorConn} {
 		if conn != nil {
@@ -143,8 +143,8 @@
 
 // EncodeSnapshot returns the encoded form of a snapshot, together with the evidence on reusing connections to
 // endpoints. It returns nil if the encoding fails; the successor then starts without learned state.
-func (l *Lifecycle) EncodeSnapshot(s *engine.Snapshot, evidence *reuse.Snapshot) []byte {
-	state := State{TakenAt: now(), Snapshot: s, Reuse: evidence}
+func (l *Lifecycle) EncodeSnapshot(snapshot *engine.Snapshot, evidence *reuse.Snapshot) []byte {
+	state := State{TakenAt: now(), Snapshot: snapshot, Reuse: evidence}
 	encoded, err := state.Encode()
 	if err != nil {
 		l.log.Error("snapshot not encoded", "error", err)
--- a/internal/takeover/loop.go
+++ b/internal/takeover/loop.go
@@ -56,9 +56,9 @@
 // deadline, the timer is not changed.
 func (l *Loop) Arm(deadlines ...monotime.Micros) {
 	var next monotime.Micros
-	for _, d := range deadlines {
-		if d != 0 && (next == 0 || d < next) {
-			next = d
+	for _, deadline := range deadlines {
+		if deadline != 0 && (next == 0 || deadline < next) {
+			next = deadline
 		}
 	}
 	if next != 0 {
@@ -66,11 +66,11 @@
 	}
 }
 
-// After posts an event after the time d, unless the loop is closed before.
-func (l *Loop) After(d time.Duration, event func()) {
+// After posts event after delay, unless the loop is closed before.
+func (l *Loop) After(delay time.Duration, event func()) {
 	l.Goroutines.Go(func() {
 		select {
-		case <-time.After(d):
+		case <-time.After(delay):
 			l.Post(event)
 		case <-l.done:
 		}
--- a/internal/takeover/predecessor.go
+++ b/internal/takeover/predecessor.go
@@ -70,9 +70,10 @@
 }
 
 // StepPredecessor passes an event to the predecessor's state machine, and carries out the resulting steps.
-func (l *Lifecycle) StepPredecessor(e decide.Event) {
-	for _, step := range l.Predecessor.Step(now(), e) {
-		l.log.Debug("takeover", "event", e.String(), "action", step.Action.String(), "message", step.Message.String())
+func (l *Lifecycle) StepPredecessor(event decide.Event) {
+	for _, step := range l.Predecessor.Step(now(), event) {
+		l.log.Debug("takeover", "event", event.String(), "action", step.Action.String(),
+			"message", step.Message.String())
 		l.carryOutPredecessor(step)
 	}
 	if active := l.Predecessor.HandingOver(); active != l.handingOver {
--- a/internal/takeover/snapshot.go
+++ b/internal/takeover/snapshot.go
@@ -43,8 +43,8 @@
 var ErrInvalidState = errors.New("invalid state of the other process")
 
 // Encode returns the encoded state: a header followed by the JSON.
-func (s *State) Encode() ([]byte, error) {
-	encodedState, err := json.Marshal(s)
+func (state *State) Encode() ([]byte, error) {
+	encodedState, err := json.Marshal(state)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/takeover/successor.go
+++ b/internal/takeover/successor.go
@@ -41,8 +41,8 @@
 
 // StepSuccessor passes an event to the successor's state machine, and carries out the resulting steps. reason
 // is the reason of the event Rejected, and empty for other events.
-func (l *Lifecycle) StepSuccessor(e decide.Event, reason string) {
-	l.carryOutSuccessor(l.Successor.Step(now(), e, reason))
+func (l *Lifecycle) StepSuccessor(event decide.Event, reason string) {
+	l.carryOutSuccessor(l.Successor.Step(now(), event, reason))
 }
 
 // carryOutSuccessor carries out steps of the successor's state machine. It stops early if a step ends the
