--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -9,8 +9,10 @@
 	"dunlinsail/internal/monotime"
 )
 
+// ms is one millisecond.
 const ms = monotime.Millisecond
 
+// A catch-up ends after quietTime without events, and at its latest end if events keep arriving.
 func TestCatchUpEndsOnceQuiet(t *testing.T) {
 	var c catchUp
 	if c.active(0) {
@@ -18,45 +20,45 @@
 	}
 	c.start(stall.Interval{From: 400 * ms, To: 1000 * ms})
 	if !c.active(1001*ms) || c.active(1002*ms) {
-		t.Errorf("without events it lasts until %d", c.until)
+		t.Errorf("without events the catch-up lasts until %d", c.endsAt)
 	}
 	for now := 1001 * ms; now < 1100*ms; now += ms {
 		c.extend(now)
 	}
-	if c.until != 1020*ms {
-		t.Errorf("with events all the time it lasts until %d", c.until)
+	if c.endsAt != 1020*ms {
+		t.Errorf("with continuous events the catch-up lasts until %d", c.endsAt)
 	}
 	c.start(stall.Interval{From: 2000 * ms, To: 2012 * ms})
 	c.extend(2013 * ms)
-	if c.until != 2015*ms {
-		t.Errorf("after a short stall it lasts until %d", c.until)
+	if c.endsAt != 2015*ms {
+		t.Errorf("after a short stall the catch-up lasts until %d", c.endsAt)
 	}
 }
 
-// A core that has stalled handles what has come from endpoints before it decides on new requests, and the requests keep
-// their order.
+// After a stall, a core handles responses from endpoints before new requests, and the requests keep their
+// order.
 func TestOutcomesAreHandledBeforeRequestsAfterStall(t *testing.T) {
 	p, _ := startCore(t, engine.EndpointInfo{Name: "s-1", Addr: "127.0.0.1:1", Zone: "a"})
-	x := p.core
-	stalling := make(chan struct{})
+	core := p.core
+	stallStarted := make(chan struct{})
 	release := make(chan struct{})
-	var handled []string // of the core's goroutine
-	note := func(what string) event {
-		return func(monotime.Micros) { handled = append(handled, what) }
+	var handled []string // accessed only on the core's goroutine
+	recordEvent := func(name string) event {
+		return func(monotime.Micros) { handled = append(handled, name) }
 	}
-	x.post(func(now monotime.Micros) {
-		close(stalling)
+	core.post(func(now monotime.Micros) {
+		close(stallStarted)
 		<-release
-		for x.config.Clock.Now() < now+100*ms { // a stall of at least that length
+		for core.config.Clock.Now() < now+100*ms { // stalls for at least 100 ms
 		}
 	})
-	scriptedpeer.Receive(t, stalling, "the stall")
-	x.postDeferrable(note("request 1"))
-	x.postDeferrable(note("request 2"))
-	x.post(note("response"))
+	scriptedpeer.Receive(t, stallStarted, "the stall")
+	core.postDeferrable(recordEvent("request 1"))
+	core.postDeferrable(recordEvent("request 2"))
+	core.post(recordEvent("response"))
 	close(release)
 	for {
-		got := query(x, func(monotime.Micros) []string { return handled })
+		got := query(core, func(monotime.Micros) []string { return handled })
 		if len(got) < 3 {
 			continue
 		}
--- a/internal/takeover/golden_test.go
+++ b/internal/takeover/golden_test.go
@@ -12,23 +12,25 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// The golden files were written by the build of commit 870f4ac. They are never changed: both processes of a hot
-// restart may be of different builds.
+// The golden files were written by the build of commit 870f4ac. They must never be changed, because the two
+// processes of a hot restart may be of different builds.
 
-// TestStateOfEarlierBuild reads a snapshot in which every field is set, and encodes it to the same bytes.
+// TestStateOfEarlierBuild decodes a state of an earlier build in which every field is set, and checks that
+// encoding it again yields the same bytes.
 func TestStateOfEarlierBuild(t *testing.T) {
 	golden, err := os.ReadFile("testdata/state.golden")
 	require.NoError(t, err)
-	s, err := DecodeState(golden)
+	state, err := DecodeState(golden)
 	require.NoError(t, err)
-	encoded, err := s.Encode()
+	encoded, err := state.Encode()
 	require.NoError(t, err)
 	if !bytes.Equal(encoded, golden) {
 		t.Errorf("encoded again:\n%s\nwant:\n%s", encoded[headerSize:], golden[headerSize:])
 	}
 }
 
-// TestMessagesOfEarlierBuild checks the packet of each kind of message, in both directions.
+// TestMessagesOfEarlierBuild checks that each kind of message is written as the packet of the earlier build,
+// and that this packet is read as the same message.
 func TestMessagesOfEarlierBuild(t *testing.T) {
 	golden := goldenPackets(t)
 	messages := map[string]Message{
@@ -61,39 +63,39 @@
 	}
 }
 
-// goldenPackets returns the packets of the earlier build by their names.
+// goldenPackets returns the packets of the earlier build by the names of their messages.
 func goldenPackets(t *testing.T) map[string][]byte {
 	t.Helper()
-	file, err := os.ReadFile("testdata/messages.golden")
+	content, err := os.ReadFile("testdata/messages.golden")
 	require.NoError(t, err)
 	golden := map[string][]byte{}
-	for line := range strings.Lines(string(file)) {
-		name, text, _ := strings.Cut(strings.TrimSpace(line), " ")
-		if golden[name], err = hex.DecodeString(text); err != nil {
+	for line := range strings.Lines(string(content)) {
+		name, encodedPacket, _ := strings.Cut(strings.TrimSpace(line), " ")
+		if golden[name], err = hex.DecodeString(encodedPacket); err != nil {
 			t.Fatal(err)
 		}
 	}
 	return golden
 }
 
-// checkWritten checks that a message is written as the wanted packet.
+// checkWritten checks that message m is written as the packet want.
 func checkWritten(t *testing.T, m Message, want []byte) {
 	t.Helper()
-	sender, receiver := pair(t)
+	sender, receiver := newConnPair(t)
 	require.NoError(t, sender.Write(m))
 	if got := readPacket(t, receiver); !bytes.Equal(got, want) {
 		t.Errorf("written as %x, want %x", got, want)
 	}
 }
 
-// checkRead checks that a packet is read as the wanted message.
+// checkRead checks that a packet is read as the message want.
 func checkRead(t *testing.T, packet []byte, want Message) {
 	t.Helper()
-	sender, receiver := pair(t)
+	sender, receiver := newConnPair(t)
 	if _, err := sender.unixConn.Write(packet); err != nil {
 		t.Fatal(err)
 	}
-	if want.Kind == chunk { // a chunk is the beginning of the message that follows
+	if want.Kind == chunk { // a chunk is the first part of the message that follows
 		require.NoError(t, sender.Write(Message{Kind: decide.Ready}))
 		want.Kind = decide.Ready
 	}
@@ -105,39 +107,39 @@
 	}
 }
 
-// TestLongMessageOfEarlierBuild checks how a long message is divided into packets, and which of them has its open
-// files.
+// TestLongMessageOfEarlierBuild checks how a long message is divided into packets, and that the last packet
+// carries the open files.
 func TestLongMessageOfEarlierBuild(t *testing.T) {
-	sender, receiver := pair(t)
-	text := bytes.Repeat([]byte("0123456789abcdef"), 4096+1)
-	offer := Message{Kind: decide.Offer, Payload: text, Sockets: []syscall.Conn{sender.unixConn}}
+	sender, receiver := newConnPair(t)
+	payload := bytes.Repeat([]byte("0123456789abcdef"), 4096+1)
+	offer := Message{Kind: decide.Offer, Payload: payload, Sockets: []syscall.Conn{sender.unixConn}}
 	require.NoError(t, sender.Write(offer))
 	for i, want := range []struct {
-		kind  byte
-		text  []byte
-		files int
+		kind    byte
+		payload []byte
+		files   int
 	}{
-		{kind: 101, text: text[:32<<10]},
-		{kind: 101, text: text[32<<10 : 64<<10]},
-		{kind: 1, text: text[64<<10:], files: 1},
+		{kind: 101, payload: payload[:32<<10]},
+		{kind: 101, payload: payload[32<<10 : 64<<10]},
+		{kind: 1, payload: payload[64<<10:], files: 1},
 	} {
 		buf := make([]byte, 1<<17)
-		oob := make([]byte, 1024)
-		n, oobn, _, _, err := receiver.unixConn.ReadMsgUnix(buf, oob)
+		controlData := make([]byte, 1024)
+		n, oobn, _, _, err := receiver.unixConn.ReadMsgUnix(buf, controlData)
 		require.NoError(t, err)
-		files, err := receivedFiles(oob[:oobn])
+		files, err := receivedFiles(controlData[:oobn])
 		require.NoError(t, err)
 		for _, f := range files {
 			f.Close()
 		}
-		if buf[0] != want.kind || !bytes.Equal(buf[1:n], want.text) || len(files) != want.files {
+		if buf[0] != want.kind || !bytes.Equal(buf[1:n], want.payload) || len(files) != want.files {
 			t.Errorf("packet %d: kind %d, %d bytes, %d files", i, buf[0], n, len(files))
 		}
 	}
 }
 
-// pair returns both ends of a connection, which are closed at the end of the test.
-func pair(t *testing.T) (sender, receiver *Conn) {
+// newConnPair returns both ends of a connection, which are closed at the end of the test.
+func newConnPair(t *testing.T) (sender, receiver *Conn) {
 	t.Helper()
 	sender, receiver, err := ConnPair()
 	require.NoError(t, err)
@@ -148,7 +150,7 @@
 	return sender, receiver
 }
 
-// readPacket returns the next packet of a connection.
+// readPacket reads the next packet of a connection.
 func readPacket(t *testing.T, c *Conn) []byte {
 	t.Helper()
 	buf := make([]byte, 1<<17)
--- a/internal/takeover/lifecycle_test.go
+++ b/internal/takeover/lifecycle_test.go
@@ -15,10 +15,10 @@
 	"dunlinsail/internal/monotime"
 )
 
-// stubHost is a host that is never ready, and records the calls of its methods.
-type stubHost struct{ calls []string }
+// stubHost is a Host that never becomes ready, and records the calls of some of its methods.
+type stubHost struct{ recordedCalls []string }
 
-func (h *stubHost) record(call string) { h.calls = append(h.calls, call) }
+func (h *stubHost) record(call string) { h.recordedCalls = append(h.recordedCalls, call) }
 
 func (h *stubHost) ReceiveOffer(Message) { h.record("ReceiveOffer") }
 
@@ -86,9 +86,9 @@
 	}
 }
 
-// startingWithoutPredecessor returns the lifecycle of a successor whose predecessor was lost after its offer, while the
-// host was starting. The deadline to become ready has passed.
-func startingWithoutPredecessor(t *testing.T, host *stubHost, ownsSockets bool) *Lifecycle {
+// newStartingLifecycle returns the lifecycle of a successor whose predecessor was lost after it sent its offer,
+// while the host was starting. The deadline for the host to become ready has passed.
+func newStartingLifecycle(t *testing.T, host *stubHost, ownsSockets bool) *Lifecycle {
 	t.Helper()
 	times := decide.Times{Ready: 1, Answer: 1, Drain: 1}
 	l := NewLifecycle(host, nil, times, slog.New(slog.DiscardHandler))
@@ -98,9 +98,10 @@
 		l.CloseConns()
 		l.Loop.Goroutines.Wait()
 	})
-	predecessor, successor := pair(t)
+	predecessor, successor := newConnPair(t)
 	l.Connect(successor)
-	if m, err := predecessor.Read(); err != nil || m.Kind != decide.Hello { // unread, it would end the connection early
+	// Closing a connection with an unread message would end it before the offer is received.
+	if m, err := predecessor.Read(); err != nil || m.Kind != decide.Hello {
 		t.Fatalf("first message %v, %v", m.Kind, err)
 	}
 	if err := predecessor.Write(Message{Kind: decide.Offer}); err != nil {
@@ -113,15 +114,15 @@
 	return l
 }
 
-// A predecessor that is lost while its successor starts is disconnected once. Later events of the start find no
-// connection.
+// If a predecessor is lost while its successor starts, the successor disconnects from it exactly once. Later
+// events of the start find no connection.
 func TestPredecessorLostWhileStarting(t *testing.T) {
-	lost := []string{"ReceiveOffer", "StartWithOffer", "PredecessorLeaving"}
+	callsUntilLost := []string{"ReceiveOffer", "StartWithOffer", "PredecessorLeaving"}
 	for _, tc := range []struct {
 		name        string
 		ownsSockets bool
 		event       decide.Event
-		result      string // empty if the lifecycle continues
+		result      string // expected error text; empty if the lifecycle continues
 	}{
 		{"stop", false, decide.Stop, "told to stop"},
 		{"stop, own sockets", true, decide.Stop, "told to stop"},
@@ -130,10 +131,10 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			host := &stubHost{}
-			l := startingWithoutPredecessor(t, host, tc.ownsSockets)
+			l := newStartingLifecycle(t, host, tc.ownsSockets)
 			l.StepSuccessor(tc.event, "")
-			if !slices.Equal(host.calls, lost) {
-				t.Errorf("calls %q, want %q", host.calls, lost)
+			if !slices.Equal(host.recordedCalls, callsUntilLost) {
+				t.Errorf("calls %q, want %q", host.recordedCalls, callsUntilLost)
 			}
 			if tc.result != "" {
 				if err := l.Result(); !l.Ended() || err == nil || err.Error() != tc.result {
@@ -142,16 +143,17 @@
 				return
 			}
 			l.StepSuccessor(decide.Started, "")
-			if want := append(slices.Clip(lost), "StartServing"); l.Ended() || !slices.Equal(host.calls, want) {
-				t.Errorf("ended %v, calls once it could serve %q, want %q", l.Ended(), host.calls, want)
+			if want := append(slices.Clip(callsUntilLost), "StartServing"); l.Ended() ||
+				!slices.Equal(host.recordedCalls, want) {
+				t.Errorf("ended %v, calls once it could serve %q, want %q", l.Ended(), host.recordedCalls, want)
 			}
 		})
 	}
 }
 
-// Guards against a process that charges its own stall to its predecessor: both the predecessor's offer and the deadline
-// for it have come while this process did not run. The offer is handled first, once; a message that does not become
-// complete ends the wait for it at the postponed deadline.
+// Guards against a process that blames its predecessor for its own stall: while this process did not run, both
+// the predecessor's offer arrived and the deadline for it passed. The offer is handled first, and once. If a
+// message stays incomplete, the wait for it ends at the postponed deadline.
 func TestOfferAtHandAtItsDeadline(t *testing.T) {
 	for name, offer := range map[string][]byte{"offer": {byte(decide.Offer)}, "part of an offer": {byte(chunk), 1}} {
 		t.Run(name, func(t *testing.T) {
@@ -164,30 +166,31 @@
 				l.CloseConns()
 				l.Loop.Goroutines.Wait()
 			})
-			predecessor, successor := pair(t)
+			predecessor, successor := newConnPair(t)
 			require.NoError(t, predecessor.writePacket(decide.Event(offer[0]), offer[1:], nil))
 			l.Connect(successor)
 			scriptedpeer.Eventually(t, "deadline", func() bool { return now() >= l.Successor.Deadline() })
 			l.onDeadline()
-			if len(host.calls) != 0 {
-				t.Fatalf("the deadline was handled before the message: %q", host.calls)
+			if len(host.recordedCalls) != 0 {
+				t.Fatalf("the deadline was handled before the message: %q", host.recordedCalls)
 			}
 			want := []string{"ReceiveOffer", "StartWithOffer"}
 			if name != "offer" {
 				want = []string{"PredecessorLeaving", "StartAlone"}
 			}
-			for len(host.calls) < len(want) {
+			for len(host.recordedCalls) < len(want) {
 				l.Arm()
 				runEvent(t, l)
 			}
-			if !slices.Equal(host.calls, want) {
-				t.Errorf("calls %q, want %q", host.calls, want)
+			if !slices.Equal(host.recordedCalls, want) {
+				t.Errorf("calls %q, want %q", host.recordedCalls, want)
 			}
 		})
 	}
 }
 
-// Guards against a process that charges its own stall to its successor, whose answer has come meanwhile.
+// Guards against a process that blames its successor for its own stall: the Ready message of the successor
+// arrived while this process did not run.
 func TestReadyAtHandAtItsDeadline(t *testing.T) {
 	l := NewLifecycle(&stubHost{}, nil, decide.Times{Ready: 1, Answer: monotime.Second}, slog.New(slog.DiscardHandler))
 	t.Cleanup(func() {
@@ -195,14 +198,14 @@
 		l.CloseConns()
 		l.Loop.Goroutines.Wait()
 	})
-	predecessor, successor := pair(t)
+	predecessor, successor := newConnPair(t)
 	l.onHello(predecessor, HelloMessage())
 	require.NoError(t, successor.Write(Message{Kind: decide.Ready}))
 	scriptedpeer.Eventually(t, "deadline", func() bool { return now() >= l.Predecessor.Deadline() })
 	l.onDeadline()
 	for l.Predecessor.String() != "paused" {
 		if !l.Predecessor.HandingOver() {
-			t.Fatal("the successor was rejected although its answer had come")
+			t.Fatal("the successor was rejected although its Ready message had arrived")
 		}
 		l.Arm()
 		runEvent(t, l)
--- a/internal/takeover/runloop_test.go
+++ b/internal/takeover/runloop_test.go
@@ -9,22 +9,23 @@
 	decide "dunlinsail/internal/decide/takeover"
 )
 
-// RunLoop runs posted events until one of them ends the lifecycle, and returns that result.
+// RunLoop runs posted events until one of them ends the lifecycle, and returns the result of the lifecycle.
 func TestRunLoopReturnsResult(t *testing.T) {
 	l := NewLifecycle(nil, nil, decide.Times{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer l.CloseLoop()
-	ended := errors.New("ended")
+	wantErr := errors.New("ended")
 	events := 0
 	go func() {
 		l.Loop.Post(func() { events++ })
-		l.Loop.Post(func() { l.End(ended) })
+		l.Loop.Post(func() { l.End(wantErr) })
 	}()
-	if err := l.RunLoop(nil, func() { t.Error("stopped without a stop") }); !errors.Is(err, ended) || events != 1 {
-		t.Errorf("ended with %v after %d events, want %v after 1", err, events, ended)
+	if err := l.RunLoop(nil, func() { t.Error("onStop called without a stop") }); !errors.Is(err, wantErr) ||
+		events != 1 {
+		t.Errorf("ended with %v after %d events, want %v after 1", err, events, wantErr)
 	}
 }
 
-// RunLoop calls onStop once, however long stop is closed.
+// RunLoop calls onStop only once, although stop stays closed.
 func TestRunLoopStopsOnce(t *testing.T) {
 	l := NewLifecycle(nil, nil, decide.Times{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer l.CloseLoop()
@@ -34,7 +35,7 @@
 	onStop := func() {
 		stops++
 		go func() {
-			for range 10 { // events after the stop, each of which would find stop closed
+			for range 10 { // stop is still closed when each of these events is received
 				l.Loop.Post(func() {})
 			}
 			l.Loop.Post(func() { l.End(nil) })
