--- a/internal/admin/connlimiter.go
+++ b/internal/admin/connlimiter.go
@@ -18,7 +18,7 @@
 
 	mu         sync.Mutex
 	connClosed sync.Cond  // a connection has closed
-	waiting    []net.Conn // those without a complete call, oldest first
+	incomplete []net.Conn // those without a complete call, oldest first
 	active     []net.Conn // those with a call being served
 }
 
@@ -41,11 +41,11 @@
 			for len(l.active) >= maxConns {
 				l.connClosed.Wait()
 			}
-			if len(l.waiting)+len(l.active) >= maxConns {
-				l.waiting[0].Close()
-				l.waiting = l.waiting[1:]
+			if len(l.incomplete)+len(l.active) >= maxConns {
+				l.incomplete[0].Close()
+				l.incomplete = l.incomplete[1:]
 			}
-			l.waiting = append(l.waiting, c)
+			l.incomplete = append(l.incomplete, c)
 			return c, nil
 		}
 		if errors.Is(err, net.ErrClosed) {
@@ -55,35 +55,35 @@
 	}
 }
 
-// trackState removes closed connections (http.Server.ConnState).
-func (l *connLimiter) trackState(c net.Conn, s http.ConnState) {
-	if s == http.StateClosed {
+// forgetClosed removes closed connections (http.Server.ConnState).
+func (l *connLimiter) forgetClosed(c net.Conn, state http.ConnState) {
+	if state == http.StateClosed {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.waiting = removeConn(l.waiting, c)
+		l.incomplete = removeConn(l.incomplete, c)
 		l.active = removeConn(l.active, c)
 		l.connClosed.Signal()
 	}
 }
 
-type connKey struct{}
+type connContextKey struct{}
 
 // connContext stores the connection of a call (http.Server.ConnContext).
 func (l *connLimiter) connContext(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+	return context.WithValue(ctx, connContextKey{}, c)
 }
 
 // markActive notes that a call has arrived completely: its connection is not closed for another.
 func (l *connLimiter) markActive(ctx context.Context) {
-	c, _ := ctx.Value(connKey{}).(net.Conn)
+	c, _ := ctx.Value(connContextKey{}).(net.Conn)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if slices.Contains(l.waiting, c) { // otherwise it has been closed for another
-		l.waiting = removeConn(l.waiting, c)
+	if slices.Contains(l.incomplete, c) { // otherwise it has been closed for another
+		l.incomplete = removeConn(l.incomplete, c)
 		l.active = append(l.active, c)
 	}
 }
 
-func removeConn(all []net.Conn, c net.Conn) []net.Conn {
-	return slices.DeleteFunc(all, func(o net.Conn) bool { return o == c })
+func removeConn(conns []net.Conn, c net.Conn) []net.Conn {
+	return slices.DeleteFunc(conns, func(other net.Conn) bool { return other == c })
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -75,7 +75,7 @@
 		ReadTimeout:    requestTimeout,
 		WriteTimeout:   requestTimeout,
 		MaxHeaderBytes: maxHeaderBytes,
-		ConnState:      s.conns.trackState,
+		ConnState:      s.conns.forgetClosed,
 		ConnContext:    s.conns.connContext,
 		ErrorLog:       slog.NewLogLogger(backend.Log.Handler(), slog.LevelDebug),
 	}
@@ -105,8 +105,8 @@
 		s.handleJSON(PathMembers, s.backend.Members)
 	}
 	if s.backend.Maintenance != nil {
-		state := func(ctx context.Context) ([]byte, error) { return s.backend.Maintenance(ctx, nil) }
-		s.handleJSON(PathMaintenance, state)
+		maintenanceState := func(ctx context.Context) ([]byte, error) { return s.backend.Maintenance(ctx, nil) }
+		s.handleJSON(PathMaintenance, maintenanceState)
 		s.handle(http.MethodPost, PathMaintenanceCommand, s.serveMaintenance)
 	}
 	for path, cordoned := range map[string]bool{PathCordon: true, PathUncordon: false} {
@@ -209,11 +209,11 @@
 	var call struct {
 		Target *string `json:"target"`
 	}
-	d := json.NewDecoder(bytes.NewReader(text))
-	switch err := d.Decode(&call); {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	switch err := decoder.Decode(&call); {
 	case err != nil:
 		return "", fmt.Errorf(`the body is not {"target":"ID"}: %w`, err)
-	case d.More():
+	case decoder.More():
 		return "", errors.New(`the body is not {"target":"ID"}: something follows it`)
 	case call.Target == nil || *call.Target == "":
 		return "", errors.New("target is missing")
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -22,7 +22,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var mu sync.Mutex
-	var all []string
+	var cordonCalls []string
 	if backend.SetCordon == nil {
 		backend.SetCordon = func(_ context.Context, endpoint string, cordoned bool) error {
 			if endpoint == "s-nobody" {
@@ -30,7 +30,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, fmt.Sprint(endpoint, " ", cordoned))
+			cordonCalls = append(cordonCalls, fmt.Sprint(endpoint, " ", cordoned))
 			return nil
 		}
 	}
@@ -39,18 +39,18 @@
 	}
 	backend.Metrics = func(context.Context) ([]byte, error) { return []byte("open_requests=3\n"), nil }
 	backend.Log = slog.New(slog.DiscardHandler)
-	ended := make(chan error, 1)
-	go func() { ended <- Serve(ln, backend) }()
+	serveResult := make(chan error, 1)
+	go func() { serveResult <- Serve(ln, backend) }()
 	t.Cleanup(func() {
 		ln.Close()
-		if err := <-ended; err != nil {
+		if err := <-serveResult; err != nil {
 			t.Error(err)
 		}
 	})
 	return ln.Addr().String(), func() []string {
 		mu.Lock()
 		defer mu.Unlock()
-		return all
+		return cordonCalls
 	}
 }
 
@@ -66,11 +66,11 @@
 	if err != nil {
 		t.Fatalf("%.60q: %v", text, err)
 	}
-	all, err := io.ReadAll(r.Body)
+	responseBody, err := io.ReadAll(r.Body)
 	if err != nil || !r.Close {
 		t.Errorf("%.60q: %v, closes %v", text, err, r.Close)
 	}
-	return r.StatusCode, r.Header.Get("Allow"), string(all)
+	return r.StatusCode, r.Header.Get("Allow"), string(responseBody)
 }
 
 func postRequest(path, body string) string {
@@ -81,7 +81,7 @@
 
 func TestRequests(t *testing.T) {
 	addr, cordons := startServer(t, Backend{})
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		text  string
 		code  int
 		allow string
@@ -111,9 +111,9 @@
 		{getRequest("/nothing"), 404, "", "/metrics"},
 		{"GET /ready\r\n\r\n", 400, "", ""},
 	} {
-		code, allow, body := roundTrip(t, addr, c.text)
-		if code != c.code || allow != c.allow || !strings.Contains(body, c.want) {
-			t.Errorf("%.60q: %d %q %q", c.text, code, allow, body)
+		code, allow, body := roundTrip(t, addr, tc.text)
+		if code != tc.code || allow != tc.allow || !strings.Contains(body, tc.want) {
+			t.Errorf("%.60q: %d %q %q", tc.text, code, allow, body)
 		}
 	}
 	if got, want := fmt.Sprint(cordons()), "[s-1 true s-1 false s-2 false]"; got != want {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -22,114 +22,114 @@
 
 // startWatching starts a watcher that has generation 7, and returns its updates.
 func startWatching(
-	t *testing.T, b *scripteddiscovery.Server, silenceTimeout time.Duration,
+	t *testing.T, server *scripteddiscovery.Server, silenceTimeout time.Duration,
 ) <-chan engine.EndpointUpdate {
 	t.Helper()
 	updates := make(chan engine.EndpointUpdate, 16)
 	onUpdate := func(_ context.Context, update engine.EndpointUpdate) { updates <- update }
-	w := discovery.NewWatcher(b.Addr, 7, 16, onUpdate, scriptedpeer.DiscardLog)
-	w.SilenceTimeout = silenceTimeout
-	w.ResponseTimeout = scriptedpeer.WaitTimeout // so that a busy machine does not count as silence
-	s := discovery.NewContinuousSource(w)
-	s.SetWatching(true)
-	t.Cleanup(s.Close)
+	watcher := discovery.NewWatcher(server.Addr, 7, 16, onUpdate, scriptedpeer.DiscardLog)
+	watcher.SilenceTimeout = silenceTimeout
+	watcher.ResponseTimeout = scriptedpeer.WaitTimeout // so that a busy machine does not count as silence
+	source := discovery.NewContinuousSource(watcher)
+	source.SetWatching(true)
+	t.Cleanup(source.Close)
 	return updates
 }
 
 // expectRequest waits for the next call of discovery, which is to have the values of watch and after in want.
-func expectRequest(t *testing.T, b *scripteddiscovery.Server, want string) {
+func expectRequest(t *testing.T, server *scripteddiscovery.Server, want string) {
 	t.Helper()
-	if got := scriptedpeer.Receive(t, b.Requests, "call"); got != want {
+	if got := scriptedpeer.Receive(t, server.Requests, "call"); got != want {
 		t.Errorf("call with %q, want %q", got, want)
 	}
 }
 
 // A watch that ends or is malformed is opened again, after the latest list. Stale lists are ignored.
 func TestWatch(t *testing.T) {
-	b := scripteddiscovery.New(t)
-	updates := startWatching(t, b, scriptedpeer.WaitTimeout)
+	server := scripteddiscovery.New(t)
+	updates := startWatching(t, server, scriptedpeer.WaitTimeout)
 	expectUpdate := func(want int64) {
 		t.Helper()
 		if got := scriptedpeer.Receive(t, updates, "list").Generation; got != want {
 			t.Errorf("generation %d, want %d", got, want)
 		}
 	}
-	expectRequest(t, b, "1 7")
-	b.Lines <- scripteddiscovery.Line(8, true, scripteddiscovery.Up("s-1", "127.0.0.1:1"))
+	expectRequest(t, server, "1 7")
+	server.Lines <- scripteddiscovery.Line(8, true, scripteddiscovery.Up("s-1", "127.0.0.1:1"))
 	expectUpdate(8)
-	b.Lines <- " "
-	b.Lines <- scripteddiscovery.Line(5, true) // stale
-	b.Lines <- scripteddiscovery.Line(9, false)
+	server.Lines <- " "
+	server.Lines <- scripteddiscovery.Line(5, true) // stale
+	server.Lines <- scripteddiscovery.Line(9, false)
 	expectUpdate(9)
-	b.Lines <- ""
-	expectRequest(t, b, "1 9")
-	b.Lines <- scripteddiscovery.Line(10, false)
+	server.Lines <- ""
+	expectRequest(t, server, "1 9")
+	server.Lines <- scripteddiscovery.Line(10, false)
 	expectUpdate(10)
-	b.Lines <- `{"generation":11,"instances":[{]}`
-	expectRequest(t, b, "1 10")
-	b.Lines <- scripteddiscovery.Line(11, false)
+	server.Lines <- `{"generation":11,"instances":[{]}`
+	expectRequest(t, server, "1 10")
+	server.Lines <- scripteddiscovery.Line(11, false)
 	expectUpdate(11)
 }
 
 // A watch on which nothing arrives, as from a machine that is cut off, is opened again.
-func TestMuteWatch(t *testing.T) {
-	b := scripteddiscovery.New(t)
-	startWatching(t, b, 50*time.Millisecond)
-	scriptedpeer.Receive(t, b.Requests, "first watch")
-	expectRequest(t, b, "1 7")
+func TestSilentWatchIsReopened(t *testing.T) {
+	server := scripteddiscovery.New(t)
+	startWatching(t, server, 50*time.Millisecond)
+	scriptedpeer.Receive(t, server.Requests, "first watch")
+	expectRequest(t, server, "1 7")
 }
 
 // A list may be indented, over many lines and in any pieces, also behind blank lines. One that exceeds the limit of its
 // size ends the watch.
 func TestIndentedLists(t *testing.T) {
-	b := scripteddiscovery.New(t)
-	updates := startWatching(t, b, scriptedpeer.WaitTimeout)
-	scriptedpeer.Receive(t, b.Requests, "watch")
+	server := scripteddiscovery.New(t)
+	updates := startWatching(t, server, scriptedpeer.WaitTimeout)
+	scriptedpeer.Receive(t, server.Requests, "watch")
 	compact := scripteddiscovery.Line(8, true, scripteddiscovery.Up("s-1", "127.0.0.1:1"))
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, []byte(compact), "", "  "); err != nil {
 		t.Fatal(err)
 	}
-	b.Lines <- " "
+	server.Lines <- " "
 	// Each line is sent as a piece of its own, with another line end.
 	for _, line := range strings.SplitAfter(indented.String(), "\n") {
-		b.Lines <- line
+		server.Lines <- line
 	}
 	got := scriptedpeer.Receive(t, updates, "indented list")
 	if got.Generation != 8 || len(got.Endpoints) != 1 || got.Endpoints[0].Name != "s-1" {
 		t.Errorf("update %+v", got)
 	}
-	b.Lines <- scripteddiscovery.Line(9, false) + scripteddiscovery.Line(10, false)
+	server.Lines <- scripteddiscovery.Line(9, false) + scripteddiscovery.Line(10, false)
 	for want := int64(9); want <= 10; want++ {
 		if got := scriptedpeer.Receive(t, updates, "list of two on a line"); got.Generation != want {
 			t.Errorf("generation %d, want %d", got.Generation, want)
 		}
 	}
 	for range 18 { // 64 KiB each: a list may take 1 MiB of the 16 MiB of the program
-		b.Lines <- `{"generation":11,"reset":true,"instances":[` + strings.Repeat(" ", 64<<10)
+		server.Lines <- `{"generation":11,"reset":true,"instances":[` + strings.Repeat(" ", 64<<10)
 	}
-	expectRequest(t, b, "1 10")
+	expectRequest(t, server, "1 10")
 }
 
 // handler is discovery's side of one connection.
-type handler func(c *net.TCPConn, r *bufio.Reader)
+type connHandler func(c *net.TCPConn, r *bufio.Reader)
 
-// startScripted starts a discovery whose connections are handled in turn, and stay open until the test ends. It returns
-// its address.
-func startScripted(t *testing.T, handlers ...handler) string {
+// startScriptedDiscovery starts a fake discovery and returns its address. The n-th connection is handled by the n-th
+// handler, and every connection stays open until the test ends.
+func startScriptedDiscovery(t *testing.T, handlers ...connHandler) string {
 	t.Helper()
-	var calls atomic.Int32
-	ended := make(chan struct{})
-	t.Cleanup(func() { close(ended) })
+	var connections atomic.Int32
+	testEnded := make(chan struct{})
+	t.Cleanup(func() { close(testEnded) })
 	return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
-		if i := int(calls.Add(1)) - 1; i < len(handlers) {
+		if i := int(connections.Add(1)) - 1; i < len(handlers) {
 			handlers[i](c, r)
 		}
-		<-ended
+		<-testEnded
 	})
 }
 
-const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+const watchResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
@@ -137,54 +137,56 @@
 // case it falls silent right after it has sent a list, the next watch is open and sends nothing after its head, or
 // gets no response, and only the third sends a list. The 6 s include the grace that a drain has.
 func TestSilentWatchesInARow(t *testing.T) {
-	list := scripteddiscovery.Line(9, true, scripteddiscovery.Up("s-1", "127.0.0.1:1"))
-	silences := map[string]handler{
+	listLine := scripteddiscovery.Line(9, true, scripteddiscovery.Up("s-1", "127.0.0.1:1"))
+	silentHandlers := map[string]connHandler{
 		"after its head": func(c *net.TCPConn, r *bufio.Reader) {
 			scriptedpeer.ReadRequest(r)
-			io.WriteString(c, watchHead)
+			io.WriteString(c, watchResponseHead)
 		},
 		"in a list": func(c *net.TCPConn, r *bufio.Reader) {
 			scriptedpeer.ReadRequest(r)
-			io.WriteString(c, watchHead+chunk(list[:20]))
+			io.WriteString(c, watchResponseHead+chunk(listLine[:20]))
 		},
 		"never answered": func(c *net.TCPConn, r *bufio.Reader) { scriptedpeer.ReadRequest(r) },
 	}
 	sendList := func(c *net.TCPConn, r *bufio.Reader) {
 		scriptedpeer.ReadRequest(r)
-		io.WriteString(c, watchHead+chunk(list))
+		io.WriteString(c, watchResponseHead+chunk(listLine))
 	}
-	for name, silence := range silences {
+	for name, silentHandler := range silentHandlers {
 		t.Run(name+", continuous", func(t *testing.T) {
 			t.Parallel()
-			testSilentWatch(t, discovery.NewContinuousSource, silence, sendList)
+			testSilentWatch(t, discovery.NewContinuousSource, silentHandler, sendList)
 		})
 	}
 	// Of the failures of the second watch this is the only one after which a polled source calls again by itself.
 	t.Run("after its head, polled", func(t *testing.T) {
 		t.Parallel()
-		polled := func(w *discovery.Watcher) *discovery.Source { return discovery.NewPolledSource(w, func() {}) }
-		testSilentWatch(t, polled, sendList)
+		newPolledSource := func(w *discovery.Watcher) *discovery.Source {
+			return discovery.NewPolledSource(w, func() {})
+		}
+		testSilentWatch(t, newPolledSource, sendList)
 	})
 }
 
 // testSilentWatch makes the first watch fall silent after a list, has later ones handled in order, and expects the list
 // of generation 9 within 6 s.
-func testSilentWatch(t *testing.T, newSource func(*discovery.Watcher) *discovery.Source, later ...handler) {
+func testSilentWatch(t *testing.T, newSource func(*discovery.Watcher) *discovery.Source, laterHandlers ...connHandler) {
 	t.Helper()
 	updates := make(chan engine.EndpointUpdate, 4)
-	silent := make(chan time.Time, 1)
+	fellSilentAt := make(chan time.Time, 1)
 	sendListThenNothing := func(c *net.TCPConn, r *bufio.Reader) {
 		scriptedpeer.ReadRequest(r)
-		io.WriteString(c, watchHead+chunk(scripteddiscovery.Line(8, true)))
-		silent <- time.Now()
+		io.WriteString(c, watchResponseHead+chunk(scripteddiscovery.Line(8, true)))
+		fellSilentAt <- time.Now()
 	}
 	onUpdate := func(_ context.Context, update engine.EndpointUpdate) { updates <- update }
-	address := startScripted(t, append([]handler{sendListThenNothing}, later...)...)
-	s := newSource(discovery.NewWatcher(address, 7, 16, onUpdate, scriptedpeer.DiscardLog))
-	s.SetWatching(true)
-	t.Cleanup(s.Close)
+	address := startScriptedDiscovery(t, append([]connHandler{sendListThenNothing}, laterHandlers...)...)
+	source := newSource(discovery.NewWatcher(address, 7, 16, onUpdate, scriptedpeer.DiscardLog))
+	source.SetWatching(true)
+	t.Cleanup(source.Close)
 	scriptedpeer.Receive(t, updates, "first list")
-	silentSince := <-silent
+	silentSince := <-fellSilentAt
 	if got := scriptedpeer.Receive(t, updates, "list of the watch that answers"); got.Generation != 9 {
 		t.Errorf("generation %d", got.Generation)
 	}
@@ -196,30 +198,30 @@
 // A discovery that restarts with lower generations is followed once its complete list has a lower generation, too. A
 // stale list on an open watch is ignored: it would make endpoints ready again that are known to be draining.
 func TestGenerationsRestart(t *testing.T) {
-	b := scripteddiscovery.New(t)
-	updates := startWatching(t, b, scriptedpeer.WaitTimeout)
-	expectRequest(t, b, "1 7")
-	b.Lines <- scripteddiscovery.Line(41, true)
+	server := scripteddiscovery.New(t)
+	updates := startWatching(t, server, scriptedpeer.WaitTimeout)
+	expectRequest(t, server, "1 7")
+	server.Lines <- scripteddiscovery.Line(41, true)
 	scriptedpeer.Receive(t, updates, "list before")
-	b.Lines <- scripteddiscovery.Line(3, true) // stale: the watch has sent a later one
-	b.Lines <- ""
-	expectRequest(t, b, "1 41")
-	b.Lines <- scripteddiscovery.Line(3, true, scripteddiscovery.Up("s-1", "127.0.0.1:1"))
-	expectRequest(t, b, " ") // the complete list
-	b.Lines <- scripteddiscovery.Line(3, true, scripteddiscovery.Up("s-1", "127.0.0.1:1"))
+	server.Lines <- scripteddiscovery.Line(3, true) // stale: the watch has sent a later one
+	server.Lines <- ""
+	expectRequest(t, server, "1 41")
+	server.Lines <- scripteddiscovery.Line(3, true, scripteddiscovery.Up("s-1", "127.0.0.1:1"))
+	expectRequest(t, server, " ") // the complete list
+	server.Lines <- scripteddiscovery.Line(3, true, scripteddiscovery.Up("s-1", "127.0.0.1:1"))
 	got := scriptedpeer.Receive(t, updates, "list of the new history")
 	if got.Generation != 3 || !got.NewSource || !got.GenerationsReset || got.Kind != balancer.ListFull {
 		t.Errorf("update %+v", got)
 	}
-	expectRequest(t, b, "1 3")
-	b.Lines <- scripteddiscovery.Line(4, false)
+	expectRequest(t, server, "1 3")
+	server.Lines <- scripteddiscovery.Line(4, false)
 	if got := scriptedpeer.Receive(t, updates, "what follows"); got.Generation != 4 || got.NewSource {
 		t.Errorf("update %+v", got)
 	}
 }
 
 // A first list that is older than the call requested does not reset the generations if the complete list is newer.
-func TestLateFirstAnswer(t *testing.T) {
+func TestOlderFirstListDoesNotResetGenerations(t *testing.T) {
 	b := scripteddiscovery.New(t)
 	updates := startWatching(t, b, scriptedpeer.WaitTimeout)
 	scriptedpeer.Receive(t, b.Requests, "watch")
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -24,7 +24,7 @@
 	StartedMs int64   `json:"startedAtMs"` // Unix milliseconds
 }
 
-const microsInMillisecond = 1000
+const microsPerMillisecond = 1000
 
 // Values of Instance.Lifecycle.
 const (
@@ -70,6 +70,6 @@
 		Cell:      i.Cell,
 		State:     state,
 		Weight:    i.Weight,
-		StartedAt: i.StartedMs * microsInMillisecond,
+		StartedAt: i.StartedMs * microsPerMillisecond,
 	}
 }
--- a/internal/discovery/listreader.go
+++ b/internal/discovery/listreader.go
@@ -12,18 +12,18 @@
 // arrives restarts the timer that ends a silent watch.
 type listReader struct {
 	body           io.Reader
-	silence        *time.Timer
+	silenceTimer   *time.Timer
 	silenceTimeout time.Duration
 	maxListBytes   int64
 	bytesRead      int64
-	listStart      int64 // offset in bytes at which the list before ended
+	listOffset     int64 // offset in bytes at which the list before ended
 	decoder        *json.Decoder
 }
 
-func (w *Watcher) newListReader(body io.Reader, silence *time.Timer) *listReader {
+func (w *Watcher) newListReader(body io.Reader, silenceTimer *time.Timer) *listReader {
 	reader := &listReader{
 		body:           body,
-		silence:        silence,
+		silenceTimer:   silenceTimer,
 		silenceTimeout: w.SilenceTimeout,
 		maxListBytes:   int64(w.maxListBytes),
 	}
@@ -34,12 +34,12 @@
 // Read reads for the decoder. Bytes between two lists count towards the limit of the next one. Blank lines reach it
 // after months, and the watch is then opened again.
 func (l *listReader) Read(buffer []byte) (int, error) {
-	if l.bytesRead-l.listStart > l.maxListBytes {
+	if l.bytesRead-l.listOffset > l.maxListBytes {
 		return 0, fmt.Errorf("a list of over %d bytes", l.maxListBytes)
 	}
 	n, err := l.body.Read(buffer)
 	if n > 0 {
-		l.silence.Reset(l.silenceTimeout)
+		l.silenceTimer.Reset(l.silenceTimeout)
 		l.bytesRead += int64(n)
 	}
 	return n, err
@@ -47,7 +47,7 @@
 
 // next returns the next list. The end of the response is io.ErrUnexpectedEOF, since a watch does not end by itself.
 func (l *listReader) next() (*List, error) {
-	l.listStart = l.decoder.InputOffset()
+	l.listOffset = l.decoder.InputOffset()
 	list := &List{}
 	err := l.decoder.Decode(list)
 	switch {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -16,15 +16,15 @@
 )
 
 // Timeouts of a watch. By PROTOCOL an open watch sends something every 2 s, and a change counts as notified at the
-// latest 6 s after the watch that should have carried it fell silent. So the sum of silenceTimeout, reconnectJitter,
+// latest 6 s after the watch that should have carried it fell silent. So the sum of silenceTimeout, maxReconnectDelay,
 // the responseTimeout of a second watch that is silent after its head, and the response to a third is below 6 s.
 const (
-	silenceTimeout  = 2600 * time.Millisecond // Watcher.SilenceTimeout
-	responseTimeout = 2500 * time.Millisecond // Watcher.ResponseTimeout; discovery may delay a polled call by 2 s
-	reconnectJitter = 800 * time.Millisecond  // over which a fleet whose watches fell silent together reconnects
-	minBackoff      = 50 * time.Millisecond   // after the first failed call
-	maxBackoff      = time.Second             // Watcher.MaxBackoff
-	dialTimeout     = time.Second             // of the connection to discovery
+	silenceTimeout    = 2600 * time.Millisecond // Watcher.SilenceTimeout
+	responseTimeout   = 2500 * time.Millisecond // Watcher.ResponseTimeout; discovery may delay a polled call by 2 s
+	maxReconnectDelay = 800 * time.Millisecond  // over which a fleet whose watches fell silent together reconnects
+	minBackoff        = 50 * time.Millisecond   // after the first failed call
+	maxBackoff        = time.Second             // Watcher.MaxBackoff
+	dialTimeout       = time.Second             // of the connection to discovery
 )
 
 // The names of the protocol.
@@ -51,13 +51,13 @@
 
 	OnRequest func(err error) // called after each call with its error; may be nil
 
-	address             string
-	client              *http.Client
-	generation          int64 // of the latest list of this discovery, or NoGeneration
-	generationsWentBack bool  // its latest list was older than generation: the complete list is fetched next
-	maxListBytes        int
-	onUpdate            UpdateFunc
-	log                 *slog.Logger
+	address           string
+	client            *http.Client
+	generation        int64 // of the latest list of this discovery, or NoGeneration
+	receivedOlderList bool  // its latest list was older than generation: the complete list is fetched next
+	maxListBytes      int
+	onUpdate          UpdateFunc
+	log               *slog.Logger
 }
 
 // NewWatcher returns a watcher of the discovery at address (host:port) that passes on lists after a generation.
@@ -91,7 +91,7 @@
 // exponential backoff whose jitter keeps sidecars out of step.
 func (w *Watcher) watchForever(ctx context.Context) {
 	backoff := minBackoff
-	logged := false
+	outageLogged := false
 	for ctx.Err() == nil {
 		received, err := w.watch(ctx)
 		if ctx.Err() != nil {
@@ -99,12 +99,12 @@
 		}
 		if received {
 			backoff = minBackoff
-			logged = false
+			outageLogged = false
 		}
-		if !logged { // one line for an outage, not one for each attempt
+		if !outageLogged { // one line for an outage, not one for each attempt
 			w.log.Warn("discovery watch failed", "error", err)
 		}
-		logged = true
+		outageLogged = true
 		sleep(ctx, backoff/2+rand.N(backoff))
 		backoff = min(2*backoff, max(minBackoff, w.MaxBackoff))
 	}
@@ -123,14 +123,14 @@
 		if !received || !errors.Is(err, errSilent) {
 			return
 		}
-		sleep(ctx, rand.N(reconnectJitter))
+		sleep(ctx, rand.N(maxReconnectDelay))
 	}
 }
 
-func sleep(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, delay time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(d):
+	case <-time.After(delay):
 	}
 }
 
@@ -140,25 +140,25 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	// A machine that is cut off leaves the connection open and silent, so a timer of this process ends it.
-	silence := time.AfterFunc(w.ResponseTimeout, func() { cancel(errSilent) })
-	defer silence.Stop()
-	if w.generation == NoGeneration || w.generationsWentBack {
+	silenceTimer := time.AfterFunc(w.ResponseTimeout, func() { cancel(errSilent) })
+	defer silenceTimer.Stop()
+	if w.generation == NoGeneration || w.receivedOlderList {
 		// Only a complete list removes the endpoints of another discovery, or of the one before its restart.
-		if err := w.fetchFullList(ctx, silence); err != nil {
+		if err := w.fetchFullList(ctx, silenceTimer); err != nil {
 			return false, cmp.Or(context.Cause(ctx), err)
 		}
 		received = true
-		silence.Reset(w.ResponseTimeout)
+		silenceTimer.Reset(w.ResponseTimeout)
 	}
-	response, err := w.get(ctx, watchQuery+strconv.FormatInt(w.generation, 10))
+	response, err := w.callDiscovery(ctx, watchQuery+strconv.FormatInt(w.generation, 10))
 	if err != nil {
 		return received, cmp.Or(context.Cause(ctx), err)
 	}
 	defer response.Body.Close()
-	silence.Reset(w.SilenceTimeout)
-	lists := w.newListReader(response.Body, silence)
-	anyReceived, err := w.receive(ctx, lists)
-	received = received || anyReceived
+	silenceTimer.Reset(w.SilenceTimeout)
+	lists := w.newListReader(response.Body, silenceTimer)
+	listReceived, err := w.receive(ctx, lists)
+	received = received || listReceived
 	if errors.Is(err, errSilent) && lists.bytesRead > 0 {
 		received = true
 	}
@@ -167,15 +167,15 @@
 
 // receive passes on the lists of a watch until it fails, and reports whether there was one.
 func (w *Watcher) receive(ctx context.Context, lists *listReader) (received bool, err error) {
-	for first := true; ; first = false {
+	for isFirstList := true; ; isFirstList = false {
 		list, err := lists.next()
 		if err != nil {
 			return received, cmp.Or(context.Cause(ctx), err)
 		}
-		if list.Generation < w.generation && first {
+		if list.Generation < w.generation && isFirstList {
 			// The call was for lists after w.generation, so this one is not late: discovery may have restarted with
 			// lower generations. Its complete list shows whether it has.
-			w.generationsWentBack = true
+			w.receivedOlderList = true
 			return received, fmt.Errorf("discovery answered with generation %d after %d: fetching the complete list",
 				list.Generation, w.generation)
 		}
@@ -191,14 +191,14 @@
 }
 
 // fetchFullList fetches the complete list and passes it on.
-func (w *Watcher) fetchFullList(ctx context.Context, silence *time.Timer) error {
-	response, err := w.get(ctx, "")
+func (w *Watcher) fetchFullList(ctx context.Context, silenceTimer *time.Timer) error {
+	response, err := w.callDiscovery(ctx, "")
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	silence.Reset(w.SilenceTimeout)
-	list, err := w.newListReader(response.Body, silence).next()
+	silenceTimer.Reset(w.SilenceTimeout)
+	list, err := w.newListReader(response.Body, silenceTimer).next()
 	if err != nil {
 		return err
 	}
@@ -211,21 +211,21 @@
 		w.log.Warn("discovery generations restarted", "generation", list.Generation, "had", w.generation)
 	}
 	w.generation = list.Generation
-	w.generationsWentBack = false
+	w.receivedOlderList = false
 	w.onUpdate(ctx, update)
 	return nil
 }
 
 // get makes a call to discovery, and reports its error or success to OnRequest.
-func (w *Watcher) get(ctx context.Context, query string) (*http.Response, error) {
-	response, err := w.request(ctx, query)
+func (w *Watcher) callDiscovery(ctx context.Context, query string) (*http.Response, error) {
+	response, err := w.sendRequest(ctx, query)
 	if w.OnRequest != nil {
 		w.OnRequest(err)
 	}
 	return response, err
 }
 
-func (w *Watcher) request(ctx context.Context, query string) (*http.Response, error) {
+func (w *Watcher) sendRequest(ctx context.Context, query string) (*http.Response, error) {
 	url := "http://" + w.address + listPath + query
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/endpointsource/endpointsource_test.go
+++ b/internal/endpointsource/endpointsource_test.go
@@ -17,11 +17,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func entry(id, lifecycle string) string {
+func entryJSON(id, lifecycle string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.1:1","lifecycle":%q,"weight":1}`, id, lifecycle)
 }
 
-func list(entries ...string) string {
+func listJSON(entries ...string) string {
 	return `{"generation":9,"instances":[` + strings.Join(entries, ",") + `]}`
 }
 
@@ -33,7 +33,7 @@
 	onUpdate := func(_ context.Context, update engine.EndpointUpdate) { updates <- update }
 	f := WatchFile(path, time.Millisecond, onUpdate, scriptedpeer.DiscardLog)
 	defer f.Close()
-	write := func(text string) {
+	replaceFile := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -42,42 +42,43 @@
 			t.Fatal(err)
 		}
 	}
-	names := func(update engine.EndpointUpdate) (names []string) {
+	endpointNames := func(update engine.EndpointUpdate) (endpointNames []string) {
 		for _, endpoint := range update.Endpoints {
-			names = append(names, endpoint.Name)
+			endpointNames = append(endpointNames, endpoint.Name)
 		}
-		return names
+		return endpointNames
 	}
-	last := int64(0)
+	lastGeneration := int64(0)
 	for _, tc := range []struct {
 		invalid []string // written first, each for a few reads
 		text    string
 		want    []string
 	}{
-		{nil, list(entry("a", "up"), entry("b", "draining")), []string{"a", "b"}},
+		{nil, listJSON(entryJSON("a", "up"), entryJSON("b", "draining")), []string{"a", "b"}},
 		{[]string{
 			"", "{", `{"generation":1}`,
-			list(entry("", "up")),
-			list(entry("a", "up"), entry("a", "up")),
-			list(entry("a", "gone")),
-		}, list(entry("b", "up")), []string{"b"}},
-		{nil, list(), nil},
-		{[]string{list(entry("a", "up"))[:20]}, list(entry("a", "up")), []string{"a"}},
+			listJSON(entryJSON("", "up")),
+			listJSON(entryJSON("a", "up"), entryJSON("a", "up")),
+			listJSON(entryJSON("a", "gone")),
+		}, listJSON(entryJSON("b", "up")), []string{"b"}},
+		{nil, listJSON(), nil},
+		{[]string{listJSON(entryJSON("a", "up"))[:20]}, listJSON(entryJSON("a", "up")), []string{"a"}},
 	} {
 		for _, text := range tc.invalid {
-			write(text)
+			replaceFile(text)
 			select {
 			case got := <-updates:
 				t.Errorf("%q was passed on: %v", text, got)
 			case <-time.After(5 * time.Millisecond):
 			}
 		}
-		write(tc.text)
+		replaceFile(tc.text)
 		got := scriptedpeer.Receive(t, updates, "a list")
-		if fmt.Sprint(names(got)) != fmt.Sprint(tc.want) || got.Generation <= last {
-			t.Errorf("%v of generation %d, want %v after %d", names(got), got.Generation, tc.want, last)
+		if fmt.Sprint(endpointNames(got)) != fmt.Sprint(tc.want) || got.Generation <= lastGeneration {
+			t.Errorf("%v of generation %d, want %v after %d",
+				endpointNames(got), got.Generation, tc.want, lastGeneration)
 		}
-		last = got.Generation
+		lastGeneration = got.Generation
 	}
 	os.Remove(path)
 	select {
--- a/internal/endpointsource/file.go
+++ b/internal/endpointsource/file.go
@@ -33,8 +33,8 @@
 	generation int64
 	lastError  string // the error that was logged last; "" after a valid list
 
-	cancel  context.CancelFunc
-	running sync.WaitGroup
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
 // WatchFile reads a file at once and then at each interval until Close, in a goroutine that Close ends. A file that
@@ -45,14 +45,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
 	f.reload(ctx)
-	f.running.Go(func() { f.poll(ctx) })
+	f.goroutines.Go(func() { f.poll(ctx) })
 	return f
 }
 
 // Close ends the watch and waits for its goroutine. No update is passed on after it returns.
 func (f *File) Close() {
 	f.cancel()
-	f.running.Wait()
+	f.goroutines.Wait()
 }
 
 func (f *File) poll(ctx context.Context) {
@@ -71,7 +71,7 @@
 // reload passes on the file's list if its content has changed. The content is compared, and not the time of
 // modification, whose resolution may be too coarse for two changes in succession.
 func (f *File) reload(ctx context.Context) {
-	content, err := f.read()
+	content, err := f.readFile()
 	if err == nil && f.content != nil && bytes.Equal(content, f.content) {
 		return
 	}
@@ -100,7 +100,7 @@
 	f.log.Warn("endpoint file rejected", "file", f.path, "error", err)
 }
 
-func (f *File) read() ([]byte, error) {
+func (f *File) readFile() ([]byte, error) {
 	file, err := os.Open(f.path)
 	if err != nil {
 		return nil, err
--- a/internal/frontend/http1/accept.go
+++ b/internal/frontend/http1/accept.go
@@ -39,7 +39,7 @@
 				m.log.Warn("accept failed", "error", err)
 			}
 			m.mu.Lock()
-			m.closeForLocked(m.table.Evictable(), closedEvicted)
+			m.closeWithReasonLocked(m.table.Evictable(), closedEvicted)
 			m.mu.Unlock()
 			time.Sleep(backoff)
 			backoff = min(2*backoff, maxAcceptBackoff)
@@ -51,12 +51,12 @@
 // them, with what their clients have sent. Nothing else may accept on ln meanwhile. It returns
 // after maxQueueDrainTime at the latest.
 func (m *connManager) acceptQueued(ln net.Listener, identify Identify) {
-	bounded, ok := ln.(interface{ SetDeadline(time.Time) error })
+	deadlineListener, ok := ln.(interface{ SetDeadline(time.Time) error })
 	if !ok {
 		return
 	}
-	for end := time.Now().Add(maxQueueDrainTime); time.Now().Before(end); {
-		_ = bounded.SetDeadline(time.Now().Add(queuePollTimeout)) // a queued connection is accepted at once
+	for drainDeadline := time.Now().Add(maxQueueDrainTime); time.Now().Before(drainDeadline); {
+		_ = deadlineListener.SetDeadline(time.Now().Add(queuePollTimeout)) // a queued connection is accepted at once
 		netConn, err := ln.Accept()
 		switch {
 		case err == nil:
@@ -70,16 +70,16 @@
 
 // hasQueued reports whether a connection is in ln's queue.
 func hasQueued(ln net.Listener) bool {
-	sc, ok := ln.(syscall.Conn)
+	syscallConn, ok := ln.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := sc.SyscallConn()
+	rawConn, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	pending := false
-	if err := raw.Control(func(fd uintptr) { pending = pollEvents(fd, pollIn) != 0 }); err != nil {
+	if err := rawConn.Control(func(fd uintptr) { pending = pollEvents(fd, pollIn) != 0 }); err != nil {
 		return false // closed
 	}
 	return pending
--- a/internal/frontend/http1/class_requests.go
+++ b/internal/frontend/http1/class_requests.go
@@ -74,7 +74,7 @@
 	x.byClass = true
 	parsed, err := s.parseClassRequest(c, req)
 	if err == nil {
-		err = x.bufferBody(parsed.route, parsed.out, parsed.framing)
+		err = x.bufferBody(parsed.route, parsed.outbound, parsed.framing)
 	}
 	if err != nil {
 		response := rejectionResponse(err)
@@ -89,10 +89,10 @@
 
 // parsedRequest is a request in the forms for the core (call) and for an endpoint (out).
 type parsedRequest struct {
-	route   *Route
-	call    *core.Call
-	out     *upstream.Request
-	framing http1msg.Framing
+	route    *Route
+	call     *core.Call
+	outbound *upstream.Request
+	framing  http1msg.Framing
 }
 
 // visibleFields are the fields whose values, if they are present, must consist of visible characters.
@@ -140,8 +140,8 @@
 		}
 	}
 	parsed.call = s.newClassCall(c, req, uint8(class), timeout)
-	parsed.out = newClassOutbound(req, uri, parsed.route.SafePolicy)
-	parsed.out.ResponseTimeout = time.Duration(parsed.call.Request.Deadline) * time.Microsecond
+	parsed.outbound = newClassUpstreamRequest(req, uri, parsed.route.SafePolicy)
+	parsed.outbound.ResponseTimeout = time.Duration(parsed.call.Request.Deadline) * time.Microsecond
 	return parsed, nil
 }
 
@@ -151,8 +151,8 @@
 		return requestErrorf(http.StatusBadRequest, "Host makes no sense")
 	}
 	for _, name := range visibleFields {
-		v := req.Header[name] // http1msg.CheckHead has verified that it occurs once
-		if len(v) > 0 && !isVisibleASCII(v[0]) {
+		values := req.Header[name] // http1msg.CheckHead has verified that it occurs once
+		if len(values) > 0 && !isVisibleASCII(values[0]) {
 			return requestErrorf(http.StatusBadRequest, "%s makes no sense", name)
 		}
 	}
@@ -199,11 +199,11 @@
 
 // shortenTimeout returns the shorter of a timeout and the milliseconds that a request's header names.
 func shortenTimeout(timeout monotime.Micros, text, header string) (monotime.Micros, error) {
-	ms, err := strconv.ParseUint(text, 10, 63)
+	milliseconds, err := strconv.ParseUint(text, 10, 63)
 	if err != nil {
 		return 0, requestErrorf(http.StatusBadRequest, "%s is not a whole number of milliseconds", header)
 	}
-	return min(timeout, int64(min(ms, math.MaxInt32))*1000), nil
+	return min(timeout, int64(min(milliseconds, math.MaxInt32))*1000), nil
 }
 
 // newClassCall returns a request for the core. Its deadline is relative to its arrival.
@@ -228,8 +228,8 @@
 	return call
 }
 
-// newClassOutbound returns a request for an endpoint, without its body.
-func newClassOutbound(req *http.Request, uri string, policy *upstream.ResponsePolicy) *upstream.Request {
+// newClassUpstreamRequest returns a request for an endpoint, without its body.
+func newClassUpstreamRequest(req *http.Request, uri string, policy *upstream.ResponsePolicy) *upstream.Request {
 	out := &upstream.Request{
 		Method: req.Method,
 		URI:    uri,
@@ -253,9 +253,9 @@
 // pipelinedMethods are what a request that follows another on its connection may start with.
 var pipelinedMethods = [][]byte{[]byte("GET "), []byte("POST "), []byte("HEAD ")}
 
-// mayStartRequest reports whether the bytes behind a request can be the start of the next one. Otherwise the client has
+// canStartRequest reports whether the bytes behind a request can be the start of the next one. Otherwise the client has
 // stated a wrong length, and must not be served with the response to a part of its request.
-func mayStartRequest(b []byte) bool {
+func canStartRequest(b []byte) bool {
 	return slices.ContainsFunc(pipelinedMethods, func(method []byte) bool {
 		n := min(len(b), len(method))
 		return bytes.Equal(b[:n], method[:n])
--- a/internal/frontend/http1/client_watch.go
+++ b/internal/frontend/http1/client_watch.go
@@ -18,18 +18,18 @@
 // that. Where no more can be read, since the buffer is full or the current request's body is still to be read, the
 // socket is polled. The goroutine of a watch runs from start to stop.
 type clientWatch struct {
-	gone         chan error    // receives an error once the client has closed its connection
+	disconnected chan error    // receives an error once the client has closed its connection
 	inputArrived chan struct{} // receives a value once pipelined is set
 
 	conn       *conn
 	readsInput bool
 	pipelined  []byte // the first bytes that arrived behind the request
 	stopping   chan struct{}
-	done       chan struct{} // closed once the goroutine has ended; nil before start
+	ended      chan struct{} // closed once the goroutine has ended; nil before start
 }
 
-// errClientGone is sent to clientWatch.gone where the end of a connection is detected behind unread bytes.
-var errClientGone = errors.New("the client has left")
+// errClientDisconnected is sent to clientWatch.gone where the end of a connection is detected behind unread bytes.
+var errClientDisconnected = errors.New("the client has left")
 
 // newClientWatch returns a watch that is not started. With readsInput it reads the connection, and nothing else may
 // read it until stop returns.
@@ -37,49 +37,49 @@
 	return &clientWatch{
 		conn:         c,
 		readsInput:   readsInput,
-		gone:         make(chan error, 1),
+		disconnected: make(chan error, 1),
 		inputArrived: make(chan struct{}, 1),
 		stopping:     make(chan struct{}),
 	}
 }
 
-// clientGone reports, without waiting, whether the client closed its connection before the watch was started.
-func (w *clientWatch) clientGone() bool {
+// clientDisconnected reports, without waiting, whether the client closed its connection before the watch was started.
+func (w *clientWatch) clientDisconnected() bool {
 	return (!w.readsInput || w.conn.buffer.Buffered() == 0) && w.conn.input.peerClosed()
 }
 
 // start starts the watch's goroutine.
 func (w *clientWatch) start() {
-	w.done = make(chan struct{})
+	w.ended = make(chan struct{})
 	w.conn.SetReadDeadline(time.Time{})
 	if w.readsInput {
 		w.conn.readLimit.N = MaxHeaderBytes
 	}
 	go func() {
-		defer close(w.done)
+		defer close(w.ended)
 		err := w.readInput()
 		if err == nil {
 			err = w.pollSocket()
 		}
 		if err != nil {
-			w.gone <- err
+			w.disconnected <- err
 		}
 	}()
 }
 
 // readInput reads until nothing more can be read.
 func (w *clientWatch) readInput() error {
-	first := true
+	noneReceived := true
 	for w.readsInput {
-		n := w.conn.buffer.Buffered()
-		_, err := w.conn.buffer.Peek(n + 1)
-		more := w.conn.buffer.Buffered()
-		if first && n == 0 && more > 0 {
-			b, _ := w.conn.buffer.Peek(more)
+		bufferedBefore := w.conn.buffer.Buffered()
+		_, err := w.conn.buffer.Peek(bufferedBefore + 1)
+		buffered := w.conn.buffer.Buffered()
+		if noneReceived && bufferedBefore == 0 && buffered > 0 {
+			b, _ := w.conn.buffer.Peek(buffered)
 			w.pipelined = bytes.Clone(b) // later reads move them
 			w.inputArrived <- struct{}{}
 		}
-		first = first && more == 0
+		noneReceived = noneReceived && buffered == 0
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull), errors.Is(err, io.EOF) && w.conn.readLimit.N <= 0:
 			return nil // no more can be read
@@ -101,7 +101,7 @@
 		select {
 		case <-tick.C:
 			if w.conn.input.peerClosed() {
-				return errClientGone
+				return errClientDisconnected
 			}
 		case <-w.stopping:
 			return nil
@@ -115,7 +115,7 @@
 	if w.readsInput {
 		w.conn.SetReadDeadline(expiredDeadline)
 	}
-	<-w.done
+	<-w.ended
 }
 
 // peerClosed reports, without waiting, whether the client has closed the connection, whatever has arrived before that.
--- a/internal/frontend/http1/clients.go
+++ b/internal/frontend/http1/clients.go
@@ -53,9 +53,9 @@
 
 // ClientUsage returns how many connections a client has, how many of them have an open request, and how many bytes are
 // reserved for it.
-func (s *Server) ClientUsage(c *Client) (all, busy int, bytes int64) {
+func (s *Server) ClientUsage(c *Client) (open, busy int, reservedBytes int64) {
 	s.conns.mu.Lock()
 	defer s.conns.mu.Unlock()
-	all, busy = c.connOwner.Connections()
-	return all, busy, c.connOwner.ReservedBytes()
+	open, busy = c.connOwner.Connections()
+	return open, busy, c.connOwner.ReservedBytes()
 }
--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -19,11 +19,11 @@
 	buffer    *bufio.Reader    // nil while nothing is being read: an idle connection holds no buffer
 
 	// Guarded by connManager.mu.
-	entry           *connlimit.Conn[*conn]
-	awaitingRequest bool // the connection waits for the first byte of a request
-	requestStarted  bool // a request has started to arrive that is not marked busy yet
-	interrupted     bool // setHandoff has interrupted that wait, to offer the connection
-	lastHandoff     int  // value of connManager.handoffs when it was last offered
+	entry            *connlimit.Conn[*conn]
+	awaitingRequest  bool // the connection waits for the first byte of a request
+	requestStarted   bool // a request has started to arrive that is not marked busy yet
+	waitInterrupted  bool // setHandoff has interrupted that wait, to offer the connection
+	lastHandoffRound int  // value of connManager.handoffs when it was last offered
 }
 
 // expiredDeadline is a deadline that ends a read at once.
--- a/internal/frontend/http1/connclose.go
+++ b/internal/frontend/http1/connclose.go
@@ -16,10 +16,10 @@
 	closedDraining                      // this process stops serving
 	closedIncomplete                    // the same, and only a part of a request had arrived
 	closedRejected                      // it was new, and the limits did not allow it
-	closeReasons                        // number of reasons
+	numCloseReasons                     // number of reasons
 )
 
-var closeReasonNames = [closeReasons]string{"expired", "evicted", "draining", "incomplete", "rejected"}
+var closeReasonNames = [numCloseReasons]string{"expired", "evicted", "draining", "incomplete", "rejected"}
 
 func (r closeReason) String() string { return closeReasonNames[r] }
 
@@ -39,19 +39,19 @@
 func (s *Server) ClosedConnections() []ClosedConnections {
 	s.conns.mu.Lock()
 	defer s.conns.mu.Unlock()
-	var all []ClosedConnections
-	for reason, n := range s.conns.closed {
-		all = append(all, ClosedConnections{closeReason(reason).String(), n})
+	var counts []ClosedConnections
+	for reason, n := range s.conns.closedByReason {
+		counts = append(counts, ClosedConnections{closeReason(reason).String(), n})
 	}
-	return all
+	return counts
 }
 
-// closeForLocked closes a connection for a reason, and counts it; nil is none.
-func (m *connManager) closeForLocked(entry *connlimit.Conn[*conn], reason closeReason) {
+// closeWithReasonLocked closes a connection for a reason, and counts it; nil is none.
+func (m *connManager) closeWithReasonLocked(entry *connlimit.Conn[*conn], reason closeReason) {
 	if entry == nil {
 		return
 	}
-	m.closed[reason]++
+	m.closedByReason[reason]++
 	if reason == closedExpired || reason == closedEvicted {
 		m.logEarlyCloseLocked(entry, reason)
 	}
@@ -68,9 +68,10 @@
 	}
 	m.nextEarlyCloseLog = now + monotime.Micros(earlyCloseLogInterval/time.Microsecond)
 	client := entry.Value.client
-	all, busy := m.table.Counts()
-	ofClient, busyOfClient := client.connOwner.Connections()
+	totalOpen, totalBusy := m.table.Counts()
+	clientOpen, clientBusy := client.connOwner.Connections()
 	// In a goroutine, because a slow reader of the log must not hold the mutex.
 	go m.log.Info("idle client connection closed early", "client", client.Name, "reason", reason.String(),
-		"idle_ms", idle/monotime.Millisecond, "idle_of_client", ofClient-busyOfClient, "idle_of_all", all-busy)
+		"idle_ms", idle/monotime.Millisecond,
+		"idle_of_client", clientOpen-clientBusy, "idle_of_all", totalOpen-totalBusy)
 }
--- a/internal/frontend/http1/connmanager.go
+++ b/internal/frontend/http1/connmanager.go
@@ -19,19 +19,19 @@
 	serve func(*conn) // returns once the connection is to be closed
 	log   *slog.Logger
 
-	mu          sync.Mutex
-	table       *connlimit.Table[*conn]
-	expiryTimer *time.Timer // closes connections that have been idle for too long
-	closing     bool
-	serving     int             // connections that are being served
-	drained     []chan struct{} // those of waitDrained, closed once serving is 0
-
-	closed            [closeReasons]uint64 // connections closed between requests, by reason
-	nextEarlyCloseLog monotime.Micros      // before that, no early close is logged
-	maxIdleTime       monotime.Micros      // Limits.MaxIdleTime
-
-	handoff  func(net.Conn) bool // hands an idle connection over (Server.SetHandoff); nil while none are
-	handoffs int                 // number of setHandoff calls that started handing over
+	mu           sync.Mutex
+	table        *connlimit.Table[*conn]
+	expiryTimer  *time.Timer // closes connections that have been idle for too long
+	closing      bool
+	servingCount int             // connections that are being served
+	drainWaiters []chan struct{} // those of waitDrained, closed once serving is 0
+
+	closedByReason    [numCloseReasons]uint64 // connections closed between requests, by reason
+	nextEarlyCloseLog monotime.Micros         // before that, no early close is logged
+	maxIdleTime       monotime.Micros         // Limits.MaxIdleTime
+
+	handoff      func(net.Conn) bool // hands an idle connection over (Server.SetHandoff); nil while none are
+	handoffRound int                 // number of setHandoff calls that started handing over
 }
 
 // newConnManager returns a manager that calls serve in a goroutine for each connection. It fails if limits are invalid.
@@ -63,16 +63,16 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	entry, evicted := m.table.Add(m.clock.Now(), client.connOwner, c)
-	m.closeForLocked(evicted, closedEvicted)
+	m.closeWithReasonLocked(evicted, closedEvicted)
 	if entry == nil {
-		m.closed[closedRejected]++
+		m.closedByReason[closedRejected]++
 		netConn.Close() // no other can be evicted: all have open requests
 		onClose()
 		return
 	}
 	c.entry = entry
 	m.closeExpiredLocked()
-	m.serving++
+	m.servingCount++
 	go func() {
 		m.serve(c)
 		c.releaseBuffer()
@@ -86,12 +86,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.closeLocked(c.entry)
-	m.serving--
-	if m.serving == 0 {
-		for _, drained := range m.drained {
+	m.servingCount--
+	if m.servingCount == 0 {
+		for _, drained := range m.drainWaiters {
 			close(drained)
 		}
-		m.drained = nil
+		m.drainWaiters = nil
 	}
 }
 
@@ -99,10 +99,10 @@
 func (m *connManager) waitDrained(ctx context.Context) error {
 	m.mu.Lock()
 	drained := make(chan struct{})
-	if m.serving == 0 {
+	if m.servingCount == 0 {
 		close(drained)
 	} else {
-		m.drained = append(m.drained, drained)
+		m.drainWaiters = append(m.drainWaiters, drained)
 	}
 	m.mu.Unlock()
 	select {
@@ -132,14 +132,14 @@
 func (m *connManager) closeExpiredLocked() {
 	now := m.clock.Now()
 	for {
-		c, next := m.table.RemoveExpired(now)
-		if c == nil {
-			if next > 0 {
-				m.expiryTimer.Reset(clock.Duration(next - now))
+		entry, nextExpiry := m.table.RemoveExpired(now)
+		if entry == nil {
+			if nextExpiry > 0 {
+				m.expiryTimer.Reset(clock.Duration(nextExpiry - now))
 			}
 			return
 		}
-		m.closeForLocked(c, closedExpired)
+		m.closeWithReasonLocked(entry, closedExpired)
 	}
 }
 
@@ -165,7 +165,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c.input.setUnexamined(c.hasBuffered())
-	m.closeForLocked(m.table.MarkIdle(m.clock.Now(), c.entry), closedEvicted)
+	m.closeWithReasonLocked(m.table.MarkIdle(m.clock.Now(), c.entry), closedEvicted)
 	m.closeExpiredLocked()
 	return !m.closing || !c.input.isDrained()
 }
@@ -175,7 +175,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.closing = true
-	m.table.Each(func(c *connlimit.Conn[*conn]) { c.Value.Close() })
+	m.table.Each(func(entry *connlimit.Conn[*conn]) { entry.Value.Close() })
 }
 
 // quiesce closes the connections without an open request. Those with one, or of which a part has arrived, close after
@@ -184,22 +184,22 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.closing = true
-	for c := m.table.Evictable(); c != nil; c = m.table.Evictable() {
-		m.closeForLocked(c, closedDraining)
+	for entry := m.table.Evictable(); entry != nil; entry = m.table.Evictable() {
+		m.closeWithReasonLocked(entry, closedDraining)
 	}
 }
 
 // closePartialRequests closes the connections on which only a part of a request has arrived, and returns how many.
-func (m *connManager) closePartialRequests() (n int) {
+func (m *connManager) closePartialRequests() (closed int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.table.Each(func(entry *connlimit.Conn[*conn]) {
 		if c := entry.Value; c.requestStarted && c.input.isDrained() {
-			m.closeForLocked(entry, closedIncomplete)
-			n++
+			m.closeWithReasonLocked(entry, closedIncomplete)
+			closed++
 		}
 	})
-	return n
+	return closed
 }
 
 // isEvictable reports whether a connection can be closed without losing a request: no bytes on it are unexamined. One
--- a/internal/frontend/http1/connmanager_test.go
+++ b/internal/frontend/http1/connmanager_test.go
@@ -62,8 +62,8 @@
 	return client, server
 }
 
-// serveBytes sends each byte that starts a request, and closes the channel at the connection's end.
-func serveBytes(received chan<- byte) func(*connManager, *conn) {
+// sendReceivedBytes sends each byte that starts a request, and closes the channel at the connection's end.
+func sendReceivedBytes(received chan<- byte) func(*connManager, *conn) {
 	return func(m *connManager, c *conn) {
 		defer close(received)
 		for m.awaitRequest(c, time.Time{}) {
@@ -77,33 +77,33 @@
 	}
 }
 
-func (ct *connTest) awaitingRequests() int {
+func (ct *connTest) countAwaitingRequest() int {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
-	n := 0
+	count := 0
 	ct.table.EachIdle(func(entry *connlimit.Conn[*conn]) {
 		if entry.Value.awaitingRequest {
-			n++
+			count++
 		}
 	})
-	return n
+	return count
 }
 
 // An idle connection that is interrupted to be handed over stays open if the handing over ends before it was offered.
 func TestHandoffEndedAtOnceKeepsTheConnection(t *testing.T) {
 	received := make(chan byte, 1)
 	limits := connlimit.Limits{MaxConnections: 2, MaxIdle: 2, MaxIdleTime: 1e9}
-	ct := newConnTest(t, limits, serveBytes(received))
+	ct := newConnTest(t, limits, sendReceivedBytes(received))
 	go func() { _ = ct.accept(ct.listener, ct.identify) }()
 	client := dial(t, ct.listener)
-	for round := byte('a'); round < 'e'; round++ {
-		if _, err := client.Write([]byte{round}); err != nil {
+	for sentByte := byte('a'); sentByte < 'e'; sentByte++ {
+		if _, err := client.Write([]byte{sentByte}); err != nil {
 			t.Fatal(err)
 		}
-		if got := scriptedpeer.Receive(t, received, "a byte"); got != round {
-			t.Fatalf("%q, want %q", got, round)
+		if got := scriptedpeer.Receive(t, received, "a byte"); got != sentByte {
+			t.Fatalf("%q, want %q", got, sentByte)
 		}
-		scriptedpeer.Eventually(t, "the idle connection", func() bool { return ct.awaitingRequests() == 1 })
+		scriptedpeer.Eventually(t, "the idle connection", func() bool { return ct.countAwaitingRequest() == 1 })
 		ct.mu.Lock() // whatever the connection does, it does after both
 		ct.setHandoffLocked(func(net.Conn) bool { t.Error("handed over"); return true })
 		ct.setHandoffLocked(nil)
@@ -120,8 +120,8 @@
 func TestConnectionWithUnexaminedInputIsNotEvicted(t *testing.T) {
 	for name, tc := range map[string]evictionCase{
 		"in the kernel":  {input: "GET / HTTP/1.1\r\n\r\n", survives: true},
-		"read":           {input: "GET / HTTP/1.1\r\n\r\n", read: true, survives: true},
-		"does not go on": {input: "GET / HT", read: true, readAgain: true},
+		"read":           {input: "GET / HTTP/1.1\r\n\r\n", serverReads: true, survives: true},
+		"does not go on": {input: "GET / HT", serverReads: true, serverReadsAgain: true},
 		"sends nothing":  {},
 	} {
 		t.Run(name, tc.run)
@@ -130,41 +130,41 @@
 
 // evictionCase is what has arrived on an idle connection when another one is accepted beyond the limit.
 type evictionCase struct {
-	input     string
-	read      bool // the server reads the input
-	readAgain bool // it then waits for more, which does not arrive
-	survives  bool // the connection is not evicted
+	input            string
+	serverReads      bool // the server reads the input
+	serverReadsAgain bool // it then waits for more, which does not arrive
+	survives         bool // the connection is not evicted
 }
 
 func (tc evictionCase) run(t *testing.T) {
 	served := make(chan *conn, 2)
-	over := make(chan struct{})
+	testEnded := make(chan struct{})
 	limits := connlimit.Limits{MaxConnections: 4, MaxIdle: 1, MaxIdleTime: 1e9, MinIdleTime: 1e9}
 	ct := newConnTest(t, limits, func(_ *connManager, c *conn) {
-		if tc.read {
+		if tc.serverReads {
 			if _, err := c.input.Read(make([]byte, 100)); err != nil {
 				return // the second connection, at the end
 			}
 		}
 		served <- c
-		if tc.readAgain {
+		if tc.serverReadsAgain {
 			_, _ = c.input.Read(make([]byte, 1)) // until the client has closed the connection
 		}
-		<-over
+		<-testEnded
 	})
-	defer close(over)
-	first := ct.connect(t)
-	io.WriteString(first, tc.input)
-	c := scriptedpeer.Receive(t, served, "the server's read")
+	defer close(testEnded)
+	client := ct.connect(t)
+	io.WriteString(client, tc.input)
+	firstConn := scriptedpeer.Receive(t, served, "the server's read")
 	switch {
-	case tc.readAgain: // until it waits for more
-		scriptedpeer.Eventually(t, "the server's second read", c.input.isDrained)
-	case tc.input != "" && !tc.read:
-		scriptedpeer.Eventually(t, "bytes in the kernel", func() bool { return !c.input.isDrained() })
+	case tc.serverReadsAgain: // until it waits for more
+		scriptedpeer.Eventually(t, "the server's second read", firstConn.input.isDrained)
+	case tc.input != "" && !tc.serverReads:
+		scriptedpeer.Eventually(t, "bytes in the kernel", func() bool { return !firstConn.input.isDrained() })
 	}
 	ct.connect(t)
 	ct.mu.Lock()
-	closed := !ct.table.MarkBusy(c.entry)
+	closed := !ct.table.MarkBusy(firstConn.entry)
 	ct.mu.Unlock()
 	if closed == tc.survives {
 		t.Errorf("closed: %v", closed)
--- a/internal/frontend/http1/exchange.go
+++ b/internal/frontend/http1/exchange.go
@@ -41,7 +41,7 @@
 	server := x.server
 	rt := parsed.route
 	call := parsed.call
-	out := parsed.out
+	out := parsed.outbound
 	if !server.conns.markBusy(x.conn) {
 		return false
 	}
@@ -69,10 +69,10 @@
 	switch {
 	case r.framing.Kind == http1msg.FixedLength:
 		return r.framing.Length
-	case r.out.Stream != nil:
+	case r.outbound.Stream != nil:
 		return -1
 	}
-	return int64(len(r.out.Body))
+	return int64(len(r.outbound.Body))
 }
 
 // submit submits the request to the core, waits for its response and writes it.
@@ -80,7 +80,7 @@
 	stream := out.Stream
 	x.stream = stream
 	watch := x.conn.newClientWatch(stream == nil)
-	if watch.clientGone() { // while the request waited to be read: it is not forwarded
+	if watch.clientDisconnected() { // while the request waited to be read: it is not forwarded
 		x.server.finishExchange(x.record, call.Request.Class, nil, 0, 0)
 		return false
 	}
@@ -97,16 +97,16 @@
 		x.stream = nil
 		x.closeAfter = true // the unread rest of the body precedes any next request
 	}
-	keep := x.respond(response)
+	keepOpen := x.respond(response)
 	x.server.finishExchange(x.record, call.Request.Class, &response, x.status, x.bodyLength)
 	if attempted {
 		<-stream.Done() // the attempt reads from the client until it ends
-		keep = keep && stream.Body.Done()
+		keepOpen = keepOpen && stream.Body.Done()
 	}
-	if stream != nil && !keep {
+	if stream != nil && !keepOpen {
 		x.conn.linger()
 	}
-	return keep
+	return keepOpen
 }
 
 // awaitResponse waits for the core's response. ok is false if the request has been abandoned: the client has closed its
@@ -118,13 +118,13 @@
 			return response, true
 		case <-watch.inputArrived:
 			// The client has sent the start of its next request, as it may (RFC 9112 section 9.3.2).
-			if x.byClass && !mayStartRequest(watch.pipelined) {
-				x.abandon(call, watch)
-				x.conn.reject(newLocalResponse(http.StatusBadRequest, surplusBytes))
+			if x.byClass && !canStartRequest(watch.pipelined) {
+				x.abandonRequest(call, watch)
+				x.conn.reject(newLocalResponse(http.StatusBadRequest, surplusBytesReason))
 				return engine.Response{}, false
 			}
-		case <-watch.gone:
-			x.abandon(call, watch)
+		case <-watch.disconnected:
+			x.abandonRequest(call, watch)
 			if x.stream != nil && !x.stream.Claim() {
 				<-x.stream.Done() // the attempt reads from the client until it ends
 			}
@@ -134,7 +134,7 @@
 }
 
 // abandon ends the request without a response: the client has closed its connection, or is rejected.
-func (x *exchange) abandon(call *core.Call, watch *clientWatch) {
+func (x *exchange) abandonRequest(call *core.Call, watch *clientWatch) {
 	x.server.finishExchange(x.record, call.Request.Class, nil, 0, 0)
 	x.server.options.Core.ClientGone(call)
 	watch.stop()
--- a/internal/frontend/http1/handoff.go
+++ b/internal/frontend/http1/handoff.go
@@ -26,10 +26,10 @@
 	if handoff == nil {
 		return
 	}
-	m.handoffs++
+	m.handoffRound++
 	m.table.EachIdle(func(entry *connlimit.Conn[*conn]) {
 		if c := entry.Value; c.awaitingRequest {
-			c.interrupted = true
+			c.waitInterrupted = true
 			c.SetReadDeadline(expiredDeadline)
 		}
 	})
@@ -46,7 +46,7 @@
 		return true // it has been read already
 	}
 	for {
-		if handoff := m.startAwait(c, deadline); handoff != nil {
+		if handoff := m.startWaitOrHandoff(c, deadline); handoff != nil {
 			if handoff(c.Conn) {
 				return false
 			}
@@ -56,24 +56,26 @@
 		m.mu.Lock()
 		// If the handing over has ended since it interrupted the wait, the connection waits again.
 		timedOut := errors.Is(err, os.ErrDeadlineExceeded)
-		again := c.interrupted && timedOut
+		waitAgain := c.waitInterrupted && timedOut
 		arrived := err == nil || timedOut && !c.input.isDrained() // it arrived at the deadline
 		c.awaitingRequest = false
-		c.interrupted = false
-		c.requestStarted = arrived && !again
+		c.waitInterrupted = false
+		c.requestStarted = arrived && !waitAgain
 		m.mu.Unlock()
-		if !again {
+		if !waitAgain {
 			return arrived
 		}
 	}
 }
 
-// startAwait notes that a connection waits for a request, or returns the function that it is to be offered to first.
-func (m *connManager) startAwait(c *conn, deadline time.Time) (handoff func(net.Conn) bool) {
+// startWaitOrHandoff marks a connection as waiting for a request and sets its read deadline. If the connection has not
+// been offered in the current handoff round, it returns the handoff function instead; the caller offers the connection
+// to it and calls startWaitOrHandoff again if it is not accepted.
+func (m *connManager) startWaitOrHandoff(c *conn, deadline time.Time) (handoff func(net.Conn) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.handoff != nil && c.lastHandoff != m.handoffs {
-		c.lastHandoff = m.handoffs
+	if m.handoff != nil && c.lastHandoffRound != m.handoffRound {
+		c.lastHandoffRound = m.handoffRound
 		c.SetReadDeadline(time.Time{})
 		return m.handoff
 	}
--- a/internal/frontend/http1/head.go
+++ b/internal/frontend/http1/head.go
@@ -31,14 +31,14 @@
 // connection's buffer.
 func (c *conn) readHead() ([]byte, error) {
 	r := c.ensureBuffer()
-	seen := 0
+	scanned := 0
 	for {
 		b, _ := r.Peek(r.Buffered())
-		n, next, err := http1msg.FindHeadEnd(b, seen)
-		if n > 0 || err != nil {
-			return b[:n], err
+		headLength, nextScanned, err := http1msg.FindHeadEnd(b, scanned)
+		if headLength > 0 || err != nil {
+			return b[:headLength], err
 		}
-		if seen = next; len(b) == r.Size() {
+		if scanned = nextScanned; len(b) == r.Size() {
 			r = c.enlargeBuffer()
 		}
 		if _, err := r.Peek(len(b) + 1); err != nil && r.Buffered() <= len(b) {
--- a/internal/frontend/http1/head_test.go
+++ b/internal/frontend/http1/head_test.go
@@ -12,15 +12,15 @@
 	"testing/iotest"
 )
 
-// connReading returns a connection that reads r.
-func connReading(r io.Reader) *conn {
+// newConnReading returns a connection that reads r.
+func newConnReading(r io.Reader) *conn {
 	c := &conn{}
 	c.readLimit.R = r
 	c.readLimit.N = MaxHeaderBytes
 	return c
 }
 
-var heads = []string{
+var headSeeds = []string{
 	"GET / HTTP/1.1\r\nHost: a\r\n\r\n",
 	"POST /a?b=c HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\nX-A:\tb \r\n\r\nxxGET",
 	"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -42,32 +42,32 @@
 // A head is accepted or rejected regardless of the pieces in which it arrives. net/http reads an accepted head in the
 // same way, and it is unambiguous to every reader of RFC 9112.
 func FuzzHead(f *testing.F) {
-	for _, h := range heads {
-		f.Add([]byte(h))
+	for _, head := range headSeeds {
+		f.Add([]byte(head))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		r, err := connReading(bytes.NewReader(text)).readRequest(nil)
-		slow, slowErr := connReading(iotest.OneByteReader(bytes.NewReader(text))).readRequest(nil)
-		if (err == nil) != (slowErr == nil) ||
-			err != nil && len(text) < MaxHeaderBytes && err.Error() != slowErr.Error() {
-			t.Fatalf("%q: %v at once, %v byte by byte", text, err, slowErr)
+		request, err := newConnReading(bytes.NewReader(text)).readRequest(nil)
+		byteByByte, byteByByteErr := newConnReading(iotest.OneByteReader(bytes.NewReader(text))).readRequest(nil)
+		if (err == nil) != (byteByByteErr == nil) ||
+			err != nil && len(text) < MaxHeaderBytes && err.Error() != byteByByteErr.Error() {
+			t.Fatalf("%q: %v at once, %v byte by byte", text, err, byteByByteErr)
 		}
 		if err != nil {
 			return
 		}
-		std, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(text)))
+		stdlibRequest, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(text)))
 		if err != nil {
 			t.Fatalf("%q was accepted; net/http returns %v", text, err)
 		}
-		if len(std.TransferEncoding) > 0 {
-			std.Header["Transfer-Encoding"] = std.TransferEncoding
+		if len(stdlibRequest.TransferEncoding) > 0 {
+			stdlibRequest.Header["Transfer-Encoding"] = stdlibRequest.TransferEncoding
 		}
-		for _, other := range []*http.Request{slow, std} {
-			if !equalRequests(r, other) {
-				t.Errorf("%q: %+v and %+v", text, r, other)
+		for _, other := range []*http.Request{byteByByte, stdlibRequest} {
+			if !equalRequests(request, other) {
+				t.Errorf("%q: %+v and %+v", text, request, other)
 			}
 		}
-		if isAmbiguous(text, r) {
+		if isAmbiguous(text, request) {
 			t.Errorf("%q was accepted", text)
 		}
 	})
@@ -95,7 +95,7 @@
 		MaxHeaderBytes - 100, MaxHeaderBytes - 40, MaxHeaderBytes,
 	} {
 		text := "GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("y", size) + "\r\n\r\n"
-		c := connReading(strings.NewReader(text))
+		c := newConnReading(strings.NewReader(text))
 		r, err := c.readRequest(nil)
 		if len(text) > MaxHeaderBytes {
 			if err == nil || c.readLimit.N > 0 {
@@ -111,7 +111,7 @@
 			t.Errorf("%d bytes: the buffer is not released", len(text))
 		}
 	}
-	_, err := connReading(strings.NewReader(strings.Repeat("x", 10))).readRequest(nil)
+	_, err := newConnReading(strings.NewReader(strings.Repeat("x", 10))).readRequest(nil)
 	if !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("half a head: %v", err)
 	}
--- a/internal/frontend/http1/local_response.go
+++ b/internal/frontend/http1/local_response.go
@@ -31,13 +31,13 @@
 	return r
 }
 
-// localHeadSize is how many bytes are allocated for the head of a response of this process: more than any has.
-const localHeadSize = 256
+// localHeadCapacity is how many bytes are allocated for the head of a response of this process: more than any has.
+const localHeadCapacity = 256
 
 // writeResponse writes a response in one piece. It reports whether that succeeded within writeTimeout.
 func (c *conn) writeResponse(response *localResponse, closeAfter bool) bool {
 	var buf bytes.Buffer
-	buf.Grow(localHeadSize + len(response.body))
+	buf.Grow(localHeadCapacity + len(response.body))
 	buf.WriteString("HTTP/1.1 " + strconv.Itoa(response.status) + " " + http.StatusText(response.status) + "\r\n")
 	_ = response.header.Write(&buf) // writing to memory does not fail
 	buf.WriteString("Content-Length: " + strconv.Itoa(len(response.body)) + "\r\n")
--- a/internal/frontend/http1/outcomes.go
+++ b/internal/frontend/http1/outcomes.go
@@ -15,21 +15,21 @@
 // outcomeCounter counts final responses by class.
 type outcomeCounter struct {
 	mu      sync.Mutex
-	classes []OutcomeCounts
+	byClass []OutcomeCounts
 }
 
 func newOutcomeCounter(classes int) outcomeCounter {
-	return outcomeCounter{classes: make([]OutcomeCounts, classes)}
+	return outcomeCounter{byClass: make([]OutcomeCounts, classes)}
 }
 
 // record counts a final response by its status; 0 is no response, to a client that has closed its connection.
 func (c *outcomeCounter) record(class uint8, status int) {
-	if status == 0 || int(class) >= len(c.classes) {
+	if status == 0 || int(class) >= len(c.byClass) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch counts := &c.classes[class]; {
+	switch counts := &c.byClass[class]; {
 	case status == http.StatusTooManyRequests, status == http.StatusServiceUnavailable:
 		counts.Throttled++
 	case status >= 200 && status < 400:
@@ -43,7 +43,7 @@
 // open.
 func (s *Server) RequestStats() (classes []OutcomeCounts, open int) {
 	s.outcomes.mu.Lock()
-	classes = append(classes, s.outcomes.classes...)
+	classes = append(classes, s.outcomes.byClass...)
 	s.outcomes.mu.Unlock()
 	_, open = s.ConnectionCounts()
 	return classes, open
--- a/internal/frontend/http1/peekable.go
+++ b/internal/frontend/http1/peekable.go
@@ -11,8 +11,8 @@
 // peekableConn reads a connection, and knows at each instant whether bytes have arrived that its caller has not
 // examined, in the kernel or here: closing the connection then may lose a complete request.
 type peekableConn struct {
-	rawConn  syscall.RawConn // nil if it is not a socket
-	fallback io.Reader       // read in that case
+	rawConn        syscall.RawConn // nil if it is not a socket
+	fallbackReader io.Reader       // read in that case
 
 	mu         sync.Mutex
 	unexamined bool // the bytes of the last read may be a complete request
@@ -25,7 +25,7 @@
 }
 
 func newPeekableConn(netConn net.Conn) *peekableConn {
-	p := &peekableConn{fallback: netConn}
+	p := &peekableConn{fallbackReader: netConn}
 	if sc, ok := netConn.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
 			p.rawConn = raw
@@ -39,7 +39,7 @@
 func (p *peekableConn) Read(b []byte) (int, error) {
 	if p.rawConn == nil {
 		p.setUnexamined(false)
-		n, err := p.fallback.Read(b)
+		n, err := p.fallbackReader.Read(b)
 		p.setUnexamined(n > 0)
 		return n, err
 	}
--- a/internal/frontend/http1/request_body.go
+++ b/internal/frontend/http1/request_body.go
@@ -21,7 +21,7 @@
 	if framing.Kind == http1msg.FixedLength && rt.MaxBodyBytes > 0 && framing.Length > rt.MaxBodyBytes {
 		return rt.bodyTooLarge()
 	}
-	if !x.server.conns.reserveBytes(x.conn, rt.reservedBytes(framing), false) {
+	if !x.server.conns.reserveBytes(x.conn, rt.bytesToReserve(framing), false) {
 		return &requestError{
 			status:     http.StatusServiceUnavailable,
 			reason:     "refused: too many bytes of this client's requests are held",
@@ -33,14 +33,14 @@
 		return err
 	}
 	pipelined, _ := x.conn.buffer.Peek(x.conn.buffer.Buffered())
-	if x.byClass && out.Stream == nil && !mayStartRequest(pipelined) {
-		return requestErrorf(http.StatusBadRequest, surplusBytes)
+	if x.byClass && out.Stream == nil && !canStartRequest(pipelined) {
+		return requestErrorf(http.StatusBadRequest, surplusBytesReason)
 	}
 	return nil
 }
 
-// reservedBytes returns how many bytes of a request's body are buffered at most.
-func (rt *Route) reservedBytes(framing http1msg.Framing) int64 {
+// bytesToReserve returns how many bytes of a request's body are buffered at most.
+func (rt *Route) bytesToReserve(framing http1msg.Framing) int64 {
 	switch {
 	case framing.Kind == http1msg.NoBody:
 		return 0
@@ -59,7 +59,7 @@
 // readBody reads the part of the body that is buffered, and prepares the streaming of the rest. A 100 (Continue) is
 // sent as soon as the request has been routed and its client is within its limits; no endpoint takes part.
 func (x *exchange) readBody(rt *Route, out *upstream.Request, framing http1msg.Framing) error {
-	if err := x.answerExpect(framing); err != nil {
+	if err := x.handleExpect(framing); err != nil {
 		return err
 	}
 	out.ExplicitLength = x.request.Header.Get("Content-Length") != ""
@@ -81,8 +81,8 @@
 	return x.streamRequestBody(rt, out, body, length)
 }
 
-// answerExpect sends the interim response that an Expect field requires (RFC 9110 section 10.1.1).
-func (x *exchange) answerExpect(framing http1msg.Framing) error {
+// handleExpect sends the interim response that an Expect field requires (RFC 9110 section 10.1.1).
+func (x *exchange) handleExpect(framing http1msg.Framing) error {
 	expect := x.request.Header.Get("Expect")
 	if strings.EqualFold(expect, "100-continue") {
 		if framing.Kind != http1msg.NoBody && x.request.ProtoAtLeast(1, 1) {
@@ -102,12 +102,12 @@
 	deadline := time.Now().Add(RequestTimeout)
 	switch {
 	case x.byClass: // an endpoint starts with the last byte: streaming a part gains nothing
-		deadline = deadline.Add(time.Duration(rt.reservedBytes(framing)) * time.Second / minBodyBytesPerSecond)
+		deadline = deadline.Add(time.Duration(rt.bytesToReserve(framing)) * time.Second / minBodyBytesPerSecond)
 	case length < 0:
 		deadline = time.Now().Add(bodyBufferTimeout)
 	}
 	x.conn.SetReadDeadline(deadline)
-	out.Body, err = readUpTo(body, length, rt.MaxBufferedBytes)
+	out.Body, err = readBodyUpTo(body, length, rt.MaxBufferedBytes)
 	if errors.Is(err, io.EOF) {
 		out.Trailer = body.Trailer()
 		if rt.MaxBodyBytes > 0 && int64(len(out.Body)) > rt.MaxBodyBytes {
@@ -133,15 +133,15 @@
 	c := x.conn
 	idleTimeout := rt.UnsafePolicy.IdleTimeout
 	deadline := time.Now().Add(rt.StreamTimeout)
-	extendDeadline := func() {
+	extendReadDeadline := func() {
 		readDeadline := time.Now().Add(idleTimeout)
 		if deadline.Before(readDeadline) {
 			readDeadline = deadline
 		}
 		c.SetReadDeadline(readDeadline)
 	}
-	interrupt := func() { c.SetReadDeadline(expiredDeadline) }
-	out.Stream = upstream.NewRequestStream(body, length, extendDeadline, interrupt)
+	interruptRead := func() { c.SetReadDeadline(expiredDeadline) }
+	out.Stream = upstream.NewRequestStream(body, length, extendReadDeadline, interruptRead)
 	out.Stream.MaxBytes = maxBytes
 	return nil
 }
@@ -149,9 +149,10 @@
 // initialBodyBuffer is the size in bytes at which the buffer of a body of unknown length starts.
 const initialBodyBuffer = 4 << 10
 
-// readUpTo reads a body of the given length, -1 if it is not known, up to maxBytes. Its error is io.EOF at the end of
-// the body, and nil where the bound was reached first.
-func readUpTo(body *http1msg.Body, length, maxBytes int64) ([]byte, error) {
+// readBodyUpTo reads a body into memory. length is the body's length in bytes, or -1 if it is not known; a body of
+// unknown length is read up to maxBytes. The error is io.EOF if the body is complete, and nil if maxBytes was reached
+// first.
+func readBodyUpTo(body *http1msg.Body, length, maxBytes int64) ([]byte, error) {
 	size := min(maxBytes, initialBodyBuffer)
 	if length >= 0 {
 		size = length
--- a/internal/frontend/http1/request_errors.go
+++ b/internal/frontend/http1/request_errors.go
@@ -14,8 +14,8 @@
 	"dunlinsail/internal/upstream"
 )
 
-// surplusBytes is the reason for rejecting a request that bytes follow which cannot start another request.
-const surplusBytes = "more was sent than the request's length tells"
+// surplusBytesReason is the reason for rejecting a request that bytes follow which cannot start another request.
+const surplusBytesReason = "more was sent than the request's length tells"
 
 // Error types of Proxy-Status (RFC 9209 section 2.3).
 const (
@@ -28,15 +28,15 @@
 	proxyErrIncomplete      = "http_response_incomplete"
 )
 
-// unreadableResponse returns the response to input that is not a request, nil if the client sent nothing or has
+// unreadableRequestResponse returns the response to input that is not a request, nil if the client sent nothing or has
 // closed the connection.
-func (s *Server) unreadableResponse(c *conn, err error) *localResponse {
-	var timeout net.Error
+func (s *Server) unreadableRequestResponse(c *conn, err error) *localResponse {
+	var netErr net.Error
 	status := http.StatusBadRequest
 	switch {
 	case errors.As(err, new(*http1msg.HeadError)):
 		return rejectionResponse(err)
-	case errors.As(err, &timeout) && timeout.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		if c.readLimit.N == MaxHeaderBytes && (c.buffer == nil || c.buffer.Buffered() == 0) {
 			return nil
 		}
--- a/internal/frontend/http1/response.go
+++ b/internal/frontend/http1/response.go
@@ -19,8 +19,9 @@
 const (
 	// copyBufferSize is the size in bytes of the buffer that a streamed response body is copied through.
 	copyBufferSize = 48 << 10
-	// forwardedHeadSize is how many bytes of a response's buffer are allocated for its head. A larger head grows it.
-	forwardedHeadSize = 1024
+	// forwardedHeadCapacity is the number of bytes that are allocated for the head of a forwarded response. A larger
+	// head grows the buffer.
+	forwardedHeadCapacity = 1024
 )
 
 var copyBufferPool = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
@@ -91,8 +92,8 @@
 	if reqErr := (*requestError)(nil); errors.As(err, &reqErr) && reqErr.proxyError != "" {
 		proxyError = reqErr.proxyError
 	}
-	framing, frameErr := http1msg.RequestFraming(x.request.Header)
-	if frameErr == nil && framing.Kind == http1msg.NoBody { // no unread body precedes the next request
+	framing, framingErr := http1msg.RequestFraming(x.request.Header)
+	if framingErr == nil && framing.Kind == http1msg.NoBody { // no unread body precedes the next request
 		return x.server.conns.markBusy(x.conn) && x.writeLocal(response, proxyError)
 	}
 	x.setProxyStatus(response, proxyError, err.Error())
@@ -106,16 +107,16 @@
 	chunked bool
 }
 
-// framingFor returns how the end of an endpoint's response body is marked. Where only the end of the connection can
-// mark it, the connection is closed afterwards.
-func (x *exchange) framingFor(response *upstream.Response) outgoingFraming {
-	http10 := !x.request.ProtoAtLeast(1, 1)
+// responseFraming returns how the client can detect the end of a forwarded response body. If only the end of the
+// connection can mark it, closeAfter is set.
+func (x *exchange) responseFraming(response *upstream.Response) outgoingFraming {
+	isHTTP10 := !x.request.ProtoAtLeast(1, 1)
 	unknownLength := response.Stream != nil && response.Framing.Kind != http1msg.FixedLength
 	framing := outgoingFraming{
 		noBody: x.request.Method == http.MethodHead || response.StatusCode == http.StatusNoContent ||
 			response.StatusCode == http.StatusNotModified,
 	}
-	framing.chunked = !framing.noBody && !http10 && (len(response.Trailer) > 0 || unknownLength)
+	framing.chunked = !framing.noBody && !isHTTP10 && (len(response.Trailer) > 0 || unknownLength)
 	if !framing.noBody && !framing.chunked && unknownLength {
 		x.closeAfter = true
 	}
@@ -124,29 +125,29 @@
 
 // forwardResponse writes an endpoint's response. It reports whether the connection may serve another request.
 func (x *exchange) forwardResponse(response *upstream.Response) bool {
-	buffered := response.Stream == nil
+	isBuffered := response.Stream == nil
 	x.status = response.StatusCode
 	x.bodyLength = int64(len(response.Buffered))
-	if !buffered {
+	if !isBuffered {
 		x.bodyLength = -1
 	}
 	x.closeAfter = x.closeAfter || x.server.isLastResponse(x.conn)
-	if buffered {
+	if isBuffered {
 		x.server.conns.reserveBytes(x.conn, int64(len(response.Buffered)), true)
 	} else {
 		defer response.Stream.Finish()
 	}
 	connection := response.Header["Connection"] // before the edits, which may remove it
 	x.responseEdits.apply(response.Header)
-	framing := x.framingFor(response)
-	buf := make([]byte, 0, forwardedHeadSize+len(response.Buffered))
+	framing := x.responseFraming(response)
+	buf := make([]byte, 0, forwardedHeadCapacity+len(response.Buffered))
 	buf = x.appendForwardedHead(buf, response, connection, framing)
 	buf = appendBufferedBody(buf, response, framing)
 	x.conn.SetWriteDeadline(time.Now().Add(x.idleTimeout))
 	if _, err := x.conn.Write(buf); err != nil {
 		return false
 	}
-	if !buffered && !x.streamRest(response.Stream, framing.chunked) {
+	if !isBuffered && !x.streamRest(response.Stream, framing.chunked) {
 		return false
 	}
 	return x.server.conns.finishRequest(x.conn) && !x.closeAfter
@@ -229,8 +230,8 @@
 		if n > 0 && chunked {
 			piece = http1msg.FrameChunk(buf[:], n)
 		}
-		ended := errors.Is(err, io.EOF)
-		if ended && chunked {
+		bodyEnded := errors.Is(err, io.EOF)
+		if bodyEnded && chunked {
 			piece = http1msg.AppendLastChunk(piece, rest.Trailer())
 		}
 		if len(piece) > 0 {
@@ -239,7 +240,7 @@
 				return errClientWrite
 			}
 		}
-		if ended {
+		if bodyEnded {
 			return nil
 		}
 		if err != nil {
@@ -253,9 +254,9 @@
 func readAvailable(rest *upstream.ResponseStream, b []byte) (n int, err error) {
 	n, err = rest.Read(b)
 	for err == nil && n < len(b) && rest.Buffered() > 0 {
-		var more int
-		more, err = rest.Read(b[n:])
-		n += more
+		var count int
+		count, err = rest.Read(b[n:])
+		n += count
 	}
 	return n, err
 }
--- a/internal/frontend/http1/routed_requests.go
+++ b/internal/frontend/http1/routed_requests.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return x.reject(err)
 	}
-	if err := x.bufferBody(parsed.route, parsed.out, parsed.framing); err != nil {
+	if err := x.bufferBody(parsed.route, parsed.outbound, parsed.framing); err != nil {
 		return x.reject(err)
 	}
 	return x.forward(&parsed, path)
@@ -56,7 +56,7 @@
 	if parsed.route, err = routes.match(req, host, path); err != nil {
 		return parsed, "", err
 	}
-	if parsed.call, parsed.out, err = s.newRoutedCall(c, req, parsed.route, host, path, query); err != nil {
+	if parsed.call, parsed.outbound, err = s.newRoutedCall(c, req, parsed.route, host, path, query); err != nil {
 		return parsed, "", err
 	}
 	parsed.framing, err = http1msg.RequestFraming(req.Header)
@@ -64,34 +64,36 @@
 }
 
 // isSafeMethod reports whether a method is safe (RFC 9110 section 9.2.1).
-func isSafeMethod(m string) bool {
-	return m == http.MethodGet || m == http.MethodHead || m == http.MethodOptions || m == http.MethodTrace
+func isSafeMethod(method string) bool {
+	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions ||
+		method == http.MethodTrace
 }
 
 // splitTarget returns the parts of a request's target: its host, its normalized path, and its query with the question
 // mark.
 func (r *Routes) splitTarget(req *http.Request) (host, path, query string, err error) {
-	rest := req.RequestURI
+	pathAndQuery := req.RequestURI
 	host = req.Host
-	if !strings.HasPrefix(rest, "/") {
-		u, parseErr := url.Parse(rest)
-		if parseErr != nil || u.Host == "" || u.User != nil || u.Scheme != "http" && u.Scheme != "https" {
+	if !strings.HasPrefix(pathAndQuery, "/") {
+		target, parseErr := url.Parse(pathAndQuery)
+		if parseErr != nil || target.Host == "" || target.User != nil ||
+			target.Scheme != "http" && target.Scheme != "https" {
 			return "", "", "", requestErrorf(http.StatusBadRequest, "the target is neither a path nor an http address")
 		}
-		host = u.Host // the Host header names the same (http1msg.CheckHead)
-		rest = pathOfAbsolute(rest)
+		host = target.Host // the Host header names the same (http1msg.CheckHead)
+		pathAndQuery = pathOfAbsolute(pathAndQuery)
 	}
 	if !isVisibleASCII(host) && (req.ProtoAtLeast(1, 1) || host != "") {
 		return "", "", "", requestErrorf(http.StatusBadRequest, "Host makes no sense")
 	}
-	if i := strings.IndexByte(rest, '#'); i >= 0 {
+	if i := strings.IndexByte(pathAndQuery, '#'); i >= 0 {
 		return "", "", "", requestErrorf(http.StatusBadRequest, "the target has a fragment")
 	}
-	if i := strings.IndexByte(rest, '?'); i >= 0 {
-		query = rest[i:]
-		rest = rest[:i]
+	if i := strings.IndexByte(pathAndQuery, '?'); i >= 0 {
+		query = pathAndQuery[i:]
+		pathAndQuery = pathAndQuery[:i]
 	}
-	if path, err = route.NormalizePath(rest, r.EncodedSlashes); err != nil {
+	if path, err = route.NormalizePath(pathAndQuery, r.EncodedSlashes); err != nil {
 		return "", "", "", requestErrorf(http.StatusBadRequest, "%v", err)
 	}
 	return host, path, query, nil
@@ -99,28 +101,28 @@
 
 // pathOfAbsolute returns the path and query of a target in absolute form.
 func pathOfAbsolute(target string) string {
-	rest := target[strings.Index(target, "//")+2:]
-	i := strings.IndexAny(rest, "/?")
+	afterScheme := target[strings.Index(target, "//")+2:]
+	i := strings.IndexAny(afterScheme, "/?")
 	if i < 0 {
 		return "/"
 	}
-	rest = rest[i:]
-	if rest[0] == '?' {
-		return "/" + rest
+	afterScheme = afterScheme[i:]
+	if afterScheme[0] == '?' {
+		return "/" + afterScheme
 	}
-	return rest
+	return afterScheme
 }
 
 // match returns the route of a request, or a *requestError where it has none.
 func (r *Routes) match(req *http.Request, host, path string) (*Route, error) {
-	switch i := r.Table.Match(route.NormalizeHost(host), path, req.Method, req.Header); i {
+	switch routeIndex := r.Table.Match(route.NormalizeHost(host), path, req.Method, req.Header); routeIndex {
 	case route.NotFound:
 		return nil, &requestError{status: http.StatusNotFound, reason: "no route", proxyError: proxyErrNotFound}
 	case route.NotAllowed:
 		reason := "no route takes " + req.Method + " here"
 		return nil, &requestError{status: http.StatusMethodNotAllowed, reason: reason, proxyError: proxyErrDenied}
 	default:
-		return &r.Routes[i], nil
+		return &r.Routes[routeIndex], nil
 	}
 }
 
@@ -199,13 +201,13 @@
 	return id
 }
 
-// addedFields is the number of fields for which space is allocated beyond those of the client: about as many as a
-// route's edits add.
-const addedFields = 4
+// spareHeaderCapacity is the number of header fields for which space is allocated in addition to the client's fields. A
+// route's edits add about as many.
+const spareHeaderCapacity = 4
 
 // endToEndHeader returns the fields of a request that are forwarded.
 func endToEndHeader(req *http.Request) http.Header {
-	header := make(http.Header, len(req.Header)+addedFields)
+	header := make(http.Header, len(req.Header)+spareHeaderCapacity)
 	connection := req.Header["Connection"]
 	for name, values := range req.Header {
 		if !http1msg.IsHopByHop(name, connection) && name != "Expect" && name != "Host" {
@@ -236,10 +238,10 @@
 	if rt.ForwardedMode == ForwardedUnchanged {
 		return
 	}
-	earlier := map[string][]string{}
+	earlierHops := map[string][]string{}
 	for _, name := range forwardedFields {
 		if rt.TrustForwarded {
-			earlier[name] = header[name]
+			earlierHops[name] = header[name]
 		}
 		delete(header, name)
 	}
@@ -248,10 +250,10 @@
 		address = addr.IP.String()
 	}
 	appendTo := func(name, v string) {
-		header[name] = []string{strings.Join(append(slices.Clone(earlier[name]), v), ", ")}
+		header[name] = []string{strings.Join(append(slices.Clone(earlierHops[name]), v), ", ")}
 	}
 	setIfAbsent := func(name, v string) {
-		if header[name] = earlier[name]; len(header[name]) == 0 {
+		if header[name] = earlierHops[name]; len(header[name]) == 0 {
 			header[name] = []string{v}
 		}
 	}
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -84,7 +84,7 @@
 }
 
 // ConnectionCounts returns how many connections there are, and how many of them have an open request.
-func (s *Server) ConnectionCounts() (all, busy int) {
+func (s *Server) ConnectionCounts() (open, busy int) {
 	s.conns.mu.Lock()
 	defer s.conns.mu.Unlock()
 	return s.conns.table.Counts()
@@ -164,7 +164,7 @@
 	if deadline.IsZero() {
 		deadline = time.Now().Add(RequestTimeout)
 	}
-	c.SetReadDeadline(s.beforeProcessEnd(deadline))
+	c.SetReadDeadline(s.boundByProcessEnd(deadline))
 	routes := s.routes.Load()
 	var singletons map[string]bool
 	if routes != nil {
@@ -172,7 +172,7 @@
 	}
 	req, err := c.readRequest(singletons)
 	if err != nil {
-		if response := s.unreadableResponse(c, err); response != nil {
+		if response := s.unreadableRequestResponse(c, err); response != nil {
 			c.reject(response)
 		}
 		return false
@@ -186,9 +186,9 @@
 	return s.serveByClass(c, req)
 }
 
-// beforeProcessEnd returns a deadline, or the instant at which the process ends if that is earlier: a request that is
+// boundByProcessEnd returns a deadline, or the instant at which the process ends if that is earlier: a request that is
 // incomplete by then has no time left.
-func (s *Server) beforeProcessEnd(deadline time.Time) time.Time {
+func (s *Server) boundByProcessEnd(deadline time.Time) time.Time {
 	responseDeadline := s.responseDeadline.Load()
 	if responseDeadline <= 0 {
 		return deadline
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -147,7 +147,7 @@
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
-		return nil, &ConfigError{cmp.Or(wrongTypeField(err), "file"), err}
+		return nil, &ConfigError{cmp.Or(keyOfTypeError(err), "file"), err}
 	}
 	c := &Config{
 		Name:          file.Name,
@@ -158,7 +158,7 @@
 		MemoryMB:      defaultMemoryMB,
 		Sockets:       defaultSockets,
 	}
-	if err := c.applyEnvironment(getenv); err != nil {
+	if err := c.applyVariables(getenv); err != nil {
 		return nil, err
 	}
 	if err := c.checkAddresses(); err != nil {
@@ -183,16 +183,16 @@
 	return c, c.parseSettings(file.Settings)
 }
 
-// wrongTypeField returns the key whose value has a wrong type of JSON; "" for another error, or the complete text.
-func wrongTypeField(err error) string {
-	if wrong := (*json.UnmarshalTypeError)(nil); errors.As(err, &wrong) {
-		return wrong.Field
+// keyOfTypeError returns the key whose value has a wrong type of JSON; "" for another error, or the complete text.
+func keyOfTypeError(err error) string {
+	if typeErr := (*json.UnmarshalTypeError)(nil); errors.As(err, &typeErr) {
+		return typeErr.Field
 	}
 	return ""
 }
 
-// applyEnvironment applies the variables.
-func (c *Config) applyEnvironment(getenv func(string) string) error {
+// applyVariables applies the variables.
+func (c *Config) applyVariables(getenv func(string) string) error {
 	for name, value := range map[string]*string{
 		varName:      &c.Name,
 		varListen:    &c.Listen,
@@ -211,19 +211,19 @@
 		c.InheritedFD = fd
 		c.SharedDir = getenv(varSharedDir)
 	}
-	events, err := parseSwitch(getenv, varEvents)
+	events, err := parseOnOff(getenv, varEvents)
 	if err != nil {
 		return err
 	}
 	if events {
 		c.Events = os.Stderr
 	}
-	c.OverloadControl, err = parseSwitch(getenv, varOverload)
+	c.OverloadControl, err = parseOnOff(getenv, varOverload)
 	return err
 }
 
-// parseSwitch returns the value of a variable that is "1" for on, and "0" or not set for off.
-func parseSwitch(getenv func(string) string, name string) (bool, error) {
+// parseOnOff returns the value of a variable that is "1" for on, and "0" or not set for off.
+func parseOnOff(getenv func(string) string, name string) (bool, error) {
 	switch v := getenv(name); v {
 	case "", "0":
 		return false, nil
@@ -266,8 +266,8 @@
 	return nil
 }
 
-// siteNames is the part of the settings that package wire does not read: names, and what only the sockets need.
-type siteNames struct {
+// settingsNames is the part of the settings that package wire does not read: names, and what only the sockets need.
+type settingsNames struct {
 	Zones   []string `json:"areas"`
 	Kinds   []string `json:"skus"`
 	Classes []struct {
@@ -288,10 +288,10 @@
 // parseSettings reads the settings twice: as the simulator's text, by the parser of package wire, and for the names
 // that only the sockets need.
 func (c *Config) parseSettings(raw json.RawMessage) error {
-	var names siteNames
+	var names settingsNames
 	if err := json.Unmarshal(raw, &names); err != nil {
 		key := "settings"
-		if field := wrongTypeField(err); field != "" {
+		if field := keyOfTypeError(err); field != "" {
 			key += "." + field
 		}
 		return &ConfigError{key, err}
@@ -312,7 +312,7 @@
 }
 
 // setNames sets the site's names. Each class must have one.
-func (c *Config) setNames(names *siteNames) error {
+func (c *Config) setNames(names *settingsNames) error {
 	site := &c.Site
 	site.Zones = names.Zones
 	site.Kinds = names.Kinds
@@ -339,25 +339,25 @@
 // settingsText converts the settings to the simulator's text: a line key=value for each plain value or list of them,
 // and a line key.count for each list of objects.
 func settingsText(raw json.RawMessage) (string, error) {
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.UseNumber()
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber()
 	var tree map[string]any
-	if err := d.Decode(&tree); err != nil && !errors.Is(err, io.EOF) {
+	if err := decoder.Decode(&tree); err != nil && !errors.Is(err, io.EOF) {
 		return "", err
 	}
-	var text textSettings
+	var lines settingsLines
 	for key, v := range tree {
-		text.add(key, v)
+		lines.add(key, v)
 	}
-	sort.Strings(text)
-	return strings.Join(text, "\n"), nil
+	sort.Strings(lines)
+	return strings.Join(lines, "\n"), nil
 }
 
-// textSettings are the lines of the settings in the simulator's text.
-type textSettings []string
+// settingsLines are the lines of the settings in the simulator's text.
+type settingsLines []string
 
 // add adds the lines of a value and all below it.
-func (s *textSettings) add(key string, v any) {
+func (s *settingsLines) add(key string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, item := range v {
@@ -372,7 +372,7 @@
 }
 
 // addList adds the lines of a list: of objects, if the first item is one, or of plain values.
-func (s *textSettings) addList(key string, list []any) {
+func (s *settingsLines) addList(key string, list []any) {
 	if len(list) > 0 {
 		if _, isObject := list[0].(map[string]any); isObject {
 			*s = append(*s, fmt.Sprintf("%s.count=%d", key, len(list)))
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -11,7 +11,7 @@
 )
 
 // settings are those of a small site.
-const settings = `{"peers-total":1,"areas":["a","b"],"skus":["m1"],"discovery":"automatic",
+const smallSiteSettings = `{"peers-total":1,"areas":["a","b"],"skus":["m1"],"discovery":"automatic",
 	"classes":[
 	{"name":"look","repeat":"pure","target":500000,"give-up":1000000,"credit":1.0},
 	{"name":"book","repeat":"token","group":"cell","window":400000,"target":500000,"give-up":1000000,"credit":5.0},
@@ -19,15 +19,15 @@
 	"contract":{"drain-grace":250000}}`
 
 // env returns a lookup of variables, for Parse.
-func env(variables map[string]string) func(string) string {
+func getenvFrom(variables map[string]string) func(string) string {
 	return func(name string) string { return variables[name] }
 }
 
 // The error of an invalid value names its key or variable, and valid values and variables are applied.
 func TestConfigErrors(t *testing.T) {
-	good := func() map[string]any {
+	validFile := func() map[string]any {
 		return map[string]any{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
-			"limits": map[string]any{}, "settings": json.RawMessage(settings)}
+			"limits": map[string]any{}, "settings": json.RawMessage(smallSiteSettings)}
 	}
 	for _, tc := range []struct {
 		key   string
@@ -46,21 +46,21 @@
 			"repeat": "pure"}}}, "classes.0.target"},
 		{"settings", map[string]any{"areas": "a"}, "settings.areas"},
 	} {
-		file := good()
+		file := validFile()
 		file[tc.key] = tc.value
 		text, err := json.Marshal(file)
 		require.NoError(t, err)
-		if _, err := Parse(text, env(nil)); err == nil || !strings.Contains(err.Error(), tc.want) {
+		if _, err := Parse(text, getenvFrom(nil)); err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%s = %v: error %v, want one that names %s", tc.key, tc.value, err, tc.want)
 		}
 	}
-	text, err := json.Marshal(good())
+	text, err := json.Marshal(validFile())
 	require.NoError(t, err)
-	_, err = Parse(text, env(map[string]string{"ROUTER_EVENTS": "yes"}))
+	_, err = Parse(text, getenvFrom(map[string]string{"ROUTER_EVENTS": "yes"}))
 	if err == nil || !strings.Contains(err.Error(), "ROUTER_EVENTS") {
 		t.Errorf("ROUTER_EVENTS=yes: error %v, want one that names it", err)
 	}
-	c, err := Parse(text, env(map[string]string{"ROUTER_NAME": "n9", "ROUTER_LISTEN": "127.0.0.9:1"}))
+	c, err := Parse(text, getenvFrom(map[string]string{"ROUTER_NAME": "n9", "ROUTER_LISTEN": "127.0.0.9:1"}))
 	require.NoError(t, err)
 	got := fmt.Sprint(c.Name, c.Listen, c.Discovery, c.Seed, c.Site.Classes, c.Site.Settings.Contract.DrainGrace)
 	if got != "n9127.0.0.9:1127.0.0.1:131 [look book pay] 250000" {
@@ -76,8 +76,8 @@
 		`"known":{"generation":4,"instances":[]},`: 4,
 	} {
 		text := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",` + known +
-			`"settings":` + settings + `}`
-		c, err := Parse([]byte(text), env(nil))
+			`"settings":` + smallSiteSettings + `}`
+		c, err := Parse([]byte(text), getenvFrom(nil))
 		if err != nil || c.Known.Generation != want {
 			t.Errorf("known %q: %+v, %v; want generation %d", known, c, err, want)
 		}
--- a/internal/platform/service_test.go
+++ b/internal/platform/service_test.go
@@ -8,8 +8,8 @@
 // The address and the variables for hot restarts are validated, and an error names its key or variable.
 func TestServiceVariables(t *testing.T) {
 	const text = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1f","operator":"127.0.0.1:9901"}`
-	wrongKey := func(name, value string) string {
-		_, err := Parse([]byte(text), env(map[string]string{name: value}))
+	invalidKey := func(name, value string) string {
+		_, err := Parse([]byte(text), getenvFrom(map[string]string{name: value}))
 		var configErr *ConfigError
 		if errors.As(err, &configErr) && configErr.Key != "settings" { // which are missing, and are read last
 			return configErr.Key
@@ -23,7 +23,7 @@
 		{"ROUTER_INHERITED_FD", "5", ""},
 		{"ROUTER_OPERATOR", "127.0.0.1:7", ""},
 	} {
-		if key := wrongKey(tc.name, tc.value); key != tc.key {
+		if key := invalidKey(tc.name, tc.value); key != tc.key {
 			t.Errorf("%s=%s: %q, want %q", tc.name, tc.value, key, tc.key)
 		}
 	}
