--- a/internal/admin/connlimiter.go
+++ b/internal/admin/connlimiter.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// connLimiter limits the connections to maxConns. For a new one, the connection that has been open for longest
-// without a complete call is closed. While all connections have calls being served, the next one stays in the listen
-// queue.
+// connLimiter is a listener that limits the number of open connections to maxConns. If a new connection exceeds
+// the limit, the connection that has been open for the longest time without a complete call is closed. While all
+// connections have calls in progress, new connections are not accepted.
 type connLimiter struct {
 	net.Listener
 
 	mu         sync.Mutex
-	connClosed sync.Cond  // a connection has closed
-	incomplete []net.Conn // those without a complete call, oldest first
-	active     []net.Conn // those with a call being served
+	connClosed sync.Cond  // signaled when a connection has been closed
+	incomplete []net.Conn // connections on which no complete call has arrived, oldest first
+	active     []net.Conn // connections with a call in progress
 }
 
 func newConnLimiter(ln net.Listener) *connLimiter {
@@ -28,10 +28,11 @@
 	return l
 }
 
-// acceptRetryDelay is the pause after a failure to accept, as when no descriptor is left for a moment.
+// acceptRetryDelay is the pause after a failed accept, for example because the process has run out of descriptors
+// for a moment.
 const acceptRetryDelay = 5 * time.Millisecond
 
-// Accept accepts a connection, and closes a waiting one if there are too many.
+// Accept accepts a connection. If there are too many, it closes the oldest connection without a complete call.
 func (l *connLimiter) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -55,7 +56,7 @@
 	}
 }
 
-// forgetClosed removes closed connections (http.Server.ConnState).
+// forgetClosed is the http.Server.ConnState callback. It stops counting a connection that has been closed.
 func (l *connLimiter) forgetClosed(c net.Conn, state http.ConnState) {
 	if state == http.StateClosed {
 		l.mu.Lock()
@@ -68,17 +69,18 @@
 
 type connContextKey struct{}
 
-// connContext stores the connection of a call (http.Server.ConnContext).
+// connContext is the http.Server.ConnContext callback. It stores the connection in the context of its calls.
 func (l *connLimiter) connContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connContextKey{}, c)
 }
 
-// markActive notes that a call has arrived completely: its connection is not closed for another.
+// markActive marks the connection of a call that has arrived completely, so that it is not closed in favor of a
+// new connection.
 func (l *connLimiter) markActive(ctx context.Context) {
 	c, _ := ctx.Value(connContextKey{}).(net.Conn)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if slices.Contains(l.incomplete, c) { // otherwise it has been closed for another
+	if slices.Contains(l.incomplete, c) { // if not, it has been closed in favor of a new connection
 		l.incomplete = removeConn(l.incomplete, c)
 		l.active = append(l.active, c)
 	}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
-// Package admin serves the HTTP calls of on-call staff: readiness, metrics, cordons, members and maintenance. It has no
-// state of its own and must not import the engines or the servers of clients: a Backend executes the calls. Each call
-// has a response in time, however busy the process is.
+// Package admin serves the HTTP calls of operators: readiness, metrics, cordons, members and maintenance. A
+// Backend executes the calls; the package has no state of its own and must not import the engines or the servers
+// for clients. A call gets a response within a bounded time, even if the process is busy.
 package admin
 
 import (
@@ -17,20 +17,20 @@
 	"time"
 )
 
-// Sockets is the largest number of descriptors that the server uses: the listener, the connections, and one being
-// accepted.
+// Sockets is the largest number of descriptors that the server uses: the listener, maxConns connections, and one
+// connection that is being accepted.
 const Sockets = maxConns + 2
 
 const (
-	maxConns       = 8                      // at once; the next one replaces one without a complete call
-	requestTimeout = 2 * time.Second        // for a call to arrive completely, and for its response to be written
+	maxConns       = 8                      // open at the same time; a further one replaces one without a complete call
+	requestTimeout = 2 * time.Second        // for reading a call completely, and for writing its response
 	backendTimeout = 700 * time.Millisecond // for the backend to execute a call
-	maxBodyBytes   = 4 << 10                // of a call
-	maxHeaderBytes = 4 << 10                // of a call
-	maxTargetBytes = 256                    // of an endpoint's ID
+	maxBodyBytes   = 4 << 10                // of the body of a call
+	maxHeaderBytes = 4 << 10                // of the head of a call
+	maxTargetBytes = 256                    // of the endpoint ID in a call
 )
 
-// Paths of the calls. The names are the operators' protocol; the terms are those of Backend.
+// Paths of the calls. The operators' protocol defines the paths; the constants use the terms of Backend.
 const (
 	PathReady              = "/ready"
 	PathMetrics            = "/metrics"
@@ -41,32 +41,32 @@
 	PathUncordon           = "/endpoints/enable"
 )
 
-// ErrUnknownEndpoint means that no endpoint has the ID that a call names.
+// ErrUnknownEndpoint is returned by Backend.SetCordon if no endpoint has the ID.
 var ErrUnknownEndpoint = errors.New("no endpoint has this id")
 
-// Backend executes the calls in its process. Its functions are called concurrently and must return when ctx ends.
+// Backend executes the calls. Its functions are called concurrently and must return when ctx ends.
 type Backend struct {
-	// Ready reports whether the process is ready, and why not.
+	// Ready reports whether the process is ready; if it is not, reason states why.
 	Ready func() (ready bool, reason string)
 
-	// Metrics returns the metrics: lines name=value.
+	// Metrics returns the metrics as lines of the form name=value.
 	Metrics func(ctx context.Context) (text []byte, err error)
 
-	// SetCordon cordons or uncordons the endpoint with an ID, and returns once that is in effect. Its error is
-	// ErrUnknownEndpoint if there is none.
+	// SetCordon cordons or uncordons the endpoint with an ID, and returns once the change is in effect. It returns
+	// ErrUnknownEndpoint if no endpoint has the ID.
 	SetCordon func(ctx context.Context, endpoint string, cordoned bool) error
 
-	// Members returns the known members of the fleet as JSON; nil if the call is not served.
+	// Members returns the known members of the fleet as JSON. If it is nil, the call is not available.
 	Members func(ctx context.Context) (text []byte, err error)
 
-	// Maintenance executes a command about machines under maintenance, or without a body returns their state, as JSON;
-	// nil if the calls are not served.
+	// Maintenance executes the command in body, which concerns machines under maintenance. If body is nil, it
+	// returns the state of the maintenance as JSON. If Maintenance is nil, the calls are not available.
 	Maintenance func(ctx context.Context, body []byte) (text []byte, err error)
 
 	Log *slog.Logger
 }
 
-// Serve serves the calls until ln is closed.
+// Serve serves calls on ln until ln is closed.
 func Serve(ln net.Listener, backend Backend) error {
 	s := &server{backend: backend, mux: http.NewServeMux(), conns: newConnLimiter(ln)}
 	s.registerRoutes()
@@ -79,7 +79,7 @@
 		ConnContext:    s.conns.connContext,
 		ErrorLog:       slog.NewLogLogger(backend.Log.Handler(), slog.LevelDebug),
 	}
-	httpServer.SetKeepAlivesEnabled(false) // one call on each connection
+	httpServer.SetKeepAlivesEnabled(false) // each connection serves a single call
 	err := httpServer.Serve(s.conns)
 	httpServer.Close()
 	if errors.Is(err, net.ErrClosed) {
@@ -88,14 +88,14 @@
 	return err
 }
 
-// server routes the calls to a backend.
+// server routes calls to a backend.
 type server struct {
 	backend Backend
 	mux     *http.ServeMux
 	conns   *connLimiter
 }
 
-// handlerFunc serves a call whose body has been read completely.
+// handlerFunc serves a call. body is the complete body of the call.
 type handlerFunc func(ctx context.Context, w http.ResponseWriter, body []byte)
 
 func (s *server) registerRoutes() {
@@ -120,8 +120,8 @@
 	})
 }
 
-// handle registers a handler for one method of a path. serve is called with the complete body, and a context that ends
-// after backendTimeout.
+// handle registers a handler for a path; calls with another method are rejected. serve is called with a context
+// that ends after backendTimeout, and the complete body.
 func (s *server) handle(method, path string, serve handlerFunc) {
 	s.mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != method {
@@ -145,7 +145,7 @@
 	})
 }
 
-// handleJSON registers a GET whose response is a JSON text of the backend.
+// handleJSON registers a handler for GET calls whose response is the JSON text that source returns.
 func (s *server) handleJSON(path string, source func(ctx context.Context) ([]byte, error)) {
 	s.handle(http.MethodGet, path, func(ctx context.Context, w http.ResponseWriter, _ []byte) {
 		text, err := source(ctx)
@@ -204,7 +204,7 @@
 	}
 }
 
-// parseTarget returns the endpoint's ID, which is the only field of a call's body that is used.
+// parseTarget returns the endpoint ID in the body of a cordon call. Other fields of the body are ignored.
 func parseTarget(text []byte) (string, error) {
 	var call struct {
 		Target *string `json:"target"`
@@ -231,8 +231,9 @@
 	fmt.Fprintf(w, format+"\n", args...)
 }
 
-// Call calls an admin path of a process, with body as JSON if it is not nil, and returns the text of the response. A
-// response other than 200 is returned as an error with its text.
+// Call sends a call to the admin server at addr and returns the text of the response. If body is nil, the call is
+// a GET, otherwise a POST with body as JSON. If the status of the response is not 200, the error contains the
+// text.
 func Call(ctx context.Context, addr, path string, body any) ([]byte, error) {
 	method := http.MethodGet
 	var requestBody io.Reader
@@ -260,5 +261,5 @@
 	return text, err
 }
 
-// maxResponseBytes is the size in bytes to which Call reads a response.
+// maxResponseBytes is the largest number of bytes of a response that Call reads.
 const maxResponseBytes = 64 << 20
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -16,7 +16,8 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// startServer serves calls until the test ends. cordons returns the calls of SetCordon that succeeded.
+// startServer starts a server that serves calls until the test ends. cordons returns the endpoint and value of
+// each successful SetCordon call.
 func startServer(t *testing.T, backend Backend) (addr string, cordons func() []string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +55,7 @@
 	}
 }
 
-// roundTrip sends the text of a call and returns its response.
+// roundTrip sends the text of an HTTP request and returns the status, the Allow header and the body of the response.
 func roundTrip(t *testing.T, addr, text string) (code int, allow, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -121,8 +122,8 @@
 	}
 }
 
-// Three times as many connections as may be open send nothing, or a part of a call. A complete call gets its
-// response at once nevertheless.
+// Connections that send nothing or only a part of a call must not delay other calls, even if there are three
+// times as many of them as may be open.
 func TestSilentConnectionsDoNotBlockOthers(t *testing.T) {
 	addr, _ := startServer(t, Backend{})
 	for i := range 3 * maxConns {
@@ -144,7 +145,7 @@
 	}
 }
 
-// The response to a call that a busy process does not execute in time is an error, in time.
+// If the backend does not execute a call within its timeout, the client gets an error response, and gets it in time.
 func TestSlowBackendIsReportedInTime(t *testing.T) {
 	addr, _ := startServer(t, Backend{
 		Ready: func() (bool, string) { return false, "no endpoint" },
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -20,7 +20,7 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// startWatching starts a watcher that has generation 7, and returns its updates.
+// startWatching starts a continuous watch after generation 7 at server, and returns the channel of its updates.
 func startWatching(
 	t *testing.T, server *scripteddiscovery.Server, silenceTimeout time.Duration,
 ) <-chan engine.EndpointUpdate {
@@ -29,14 +29,15 @@
 	onUpdate := func(_ context.Context, update engine.EndpointUpdate) { updates <- update }
 	watcher := discovery.NewWatcher(server.Addr, 7, 16, onUpdate, scriptedpeer.DiscardLog)
 	watcher.SilenceTimeout = silenceTimeout
-	watcher.ResponseTimeout = scriptedpeer.WaitTimeout // so that a busy machine does not count as silence
+	watcher.ResponseTimeout = scriptedpeer.WaitTimeout // long, so that a slow machine does not cause a timeout
 	source := discovery.NewContinuousSource(watcher)
 	source.SetWatching(true)
 	t.Cleanup(source.Close)
 	return updates
 }
 
-// expectRequest waits for the next call of discovery, which is to have the values of watch and after in want.
+// expectRequest waits for the next request to discovery, and verifies that its values of watch and after are
+// those in want.
 func expectRequest(t *testing.T, server *scripteddiscovery.Server, want string) {
 	t.Helper()
 	if got := scriptedpeer.Receive(t, server.Requests, "call"); got != want {
@@ -44,7 +45,8 @@
 	}
 }
 
-// A watch that ends or is malformed is opened again, after the latest list. Stale lists are ignored.
+// A watch that ends or sends a malformed list is opened again after the generation of the latest list. Stale
+// lists are ignored.
 func TestWatch(t *testing.T) {
 	server := scripteddiscovery.New(t)
 	updates := startWatching(t, server, scriptedpeer.WaitTimeout)
@@ -71,7 +73,7 @@
 	expectUpdate(11)
 }
 
-// A watch on which nothing arrives, as from a machine that is cut off, is opened again.
+// A watch on which nothing arrives, for example because the machine is unreachable, is opened again.
 func TestSilentWatchIsReopened(t *testing.T) {
 	server := scripteddiscovery.New(t)
 	startWatching(t, server, 50*time.Millisecond)
@@ -79,8 +81,8 @@
 	expectRequest(t, server, "1 7")
 }
 
-// A list may be indented, over many lines and in any pieces, also behind blank lines. One that exceeds the limit of its
-// size ends the watch.
+// A list may be indented, span many lines, arrive in any number of pieces, and follow blank lines. A list that
+// exceeds the size limit ends the watch.
 func TestIndentedLists(t *testing.T) {
 	server := scripteddiscovery.New(t)
 	updates := startWatching(t, server, scriptedpeer.WaitTimeout)
@@ -91,7 +93,7 @@
 		t.Fatal(err)
 	}
 	server.Lines <- " "
-	// Each line is sent as a piece of its own, with another line end.
+	// Each line is sent in a piece of its own, followed by an additional line end.
 	for _, line := range strings.SplitAfter(indented.String(), "\n") {
 		server.Lines <- line
 	}
@@ -105,13 +107,13 @@
 			t.Errorf("generation %d, want %d", got.Generation, want)
 		}
 	}
-	for range 18 { // 64 KiB each: a list may take 1 MiB of the 16 MiB of the program
+	for range 18 { // 18 pieces of 64 KiB exceed the limit of 1 MiB, 1/16 of the memory limit
 		server.Lines <- `{"generation":11,"reset":true,"instances":[` + strings.Repeat(" ", 64<<10)
 	}
 	expectRequest(t, server, "1 10")
 }
 
-// handler is discovery's side of one connection.
+// connHandler handles one connection on the side of discovery.
 type connHandler func(c *net.TCPConn, r *bufio.Reader)
 
 // startScriptedDiscovery starts a fake discovery and returns its address. The n-th connection is handled by the n-th
@@ -133,9 +135,10 @@
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// A watch that falls silent is replaced, and the list that it missed arrives, within 6 s (PROTOCOL). In the worst
-// case it falls silent right after it has sent a list, the next watch is open and sends nothing after its head, or
-// gets no response, and only the third sends a list. The 6 s include the grace that a drain has.
+// A watch that falls silent is replaced, and the list that it did not deliver arrives within 6 s (page PROTOCOL).
+// In the worst case the watch falls silent right after it has sent a list, the second watch sends nothing after
+// its head or gets no response at all, and only the third watch sends a list. The 6 s include the grace period of
+// a drain.
 func TestSilentWatchesInARow(t *testing.T) {
 	listLine := scripteddiscovery.Line(9, true, scripteddiscovery.Up("s-1", "127.0.0.1:1"))
 	silentHandlers := map[string]connHandler{
@@ -159,7 +162,7 @@
 			testSilentWatch(t, discovery.NewContinuousSource, silentHandler, sendList)
 		})
 	}
-	// Of the failures of the second watch this is the only one after which a polled source calls again by itself.
+	// After the other failures of the second watch a polled source does not open a third one by itself.
 	t.Run("after its head, polled", func(t *testing.T) {
 		t.Parallel()
 		newPolledSource := func(w *discovery.Watcher) *discovery.Source {
@@ -169,8 +172,8 @@
 	})
 }
 
-// testSilentWatch makes the first watch fall silent after a list, has later ones handled in order, and expects the list
-// of generation 9 within 6 s.
+// testSilentWatch lets the first watch fall silent after a list, handles later connections with laterHandlers in
+// order, and verifies that the list of generation 9 arrives within 6 s of the silence.
 func testSilentWatch(t *testing.T, newSource func(*discovery.Watcher) *discovery.Source, laterHandlers ...connHandler) {
 	t.Helper()
 	updates := make(chan engine.EndpointUpdate, 4)
@@ -195,19 +198,20 @@
 	}
 }
 
-// A discovery that restarts with lower generations is followed once its complete list has a lower generation, too. A
-// stale list on an open watch is ignored: it would make endpoints ready again that are known to be draining.
+// If discovery restarts with lower generations, the watcher follows them once the complete list has a lower
+// generation, too. A stale list on an open watch is ignored, because it could mark endpoints as ready that are
+// known to be draining.
 func TestGenerationsRestart(t *testing.T) {
 	server := scripteddiscovery.New(t)
 	updates := startWatching(t, server, scriptedpeer.WaitTimeout)
 	expectRequest(t, server, "1 7")
 	server.Lines <- scripteddiscovery.Line(41, true)
 	scriptedpeer.Receive(t, updates, "list before")
-	server.Lines <- scripteddiscovery.Line(3, true) // stale: the watch has sent a later one
+	server.Lines <- scripteddiscovery.Line(3, true) // stale: the watch has already sent a later list
 	server.Lines <- ""
 	expectRequest(t, server, "1 41")
 	server.Lines <- scripteddiscovery.Line(3, true, scripteddiscovery.Up("s-1", "127.0.0.1:1"))
-	expectRequest(t, server, " ") // the complete list
+	expectRequest(t, server, " ") // a request for the complete list
 	server.Lines <- scripteddiscovery.Line(3, true, scripteddiscovery.Up("s-1", "127.0.0.1:1"))
 	got := scriptedpeer.Receive(t, updates, "list of the new history")
 	if got.Generation != 3 || !got.NewSource || !got.GenerationsReset || got.Kind != balancer.ListFull {
@@ -220,13 +224,13 @@
 	}
 }
 
-// A first list that is older than the call requested does not reset the generations if the complete list is newer.
+// A first list that is older than requested does not reset the generations if the complete list is newer.
 func TestOlderFirstListDoesNotResetGenerations(t *testing.T) {
 	b := scripteddiscovery.New(t)
 	updates := startWatching(t, b, scriptedpeer.WaitTimeout)
 	scriptedpeer.Receive(t, b.Requests, "watch")
-	b.Lines <- scripteddiscovery.Line(5, true) // the call was for lists after 7
-	expectRequest(t, b, " ")                   // the complete list
+	b.Lines <- scripteddiscovery.Line(5, true) // the watch requested lists after generation 7
+	expectRequest(t, b, " ")                   // a request for the complete list
 	b.Lines <- scripteddiscovery.Line(8, true)
 	if got := scriptedpeer.Receive(t, updates, "list"); got.Generation != 8 || got.NewSource {
 		t.Errorf("update %+v", got)
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,8 +1,7 @@
-// Package discovery is a client of the discovery service of the operators' page PROTOCOL.
+// Package discovery is a client of the discovery service that the operators' page PROTOCOL describes.
 //
-// A Watcher holds a watch (an HTTP response that stays open and carries JSON lists) and passes on each list as an
-// engine.EndpointUpdate; a Source owns the goroutine in which the current watcher runs. What an update does to the
-// endpoints is decided by package engine and the balancer.
-//
-// The names of the service's protocol stand in list.go (the fields of a list) and in watcher.go (its path and query).
+// A Watcher keeps a watch open (an HTTP response that does not end and carries JSON lists) and passes on each
+// list as an engine.EndpointUpdate. A Source owns the goroutine in which the current watcher runs. Package engine
+// and the balancer decide how an update changes the endpoints. The names of the protocol are defined in list.go
+// (the fields of a list) and in watcher.go (the path and the query).
 package discovery
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -5,14 +5,15 @@
 	"dunlinsail/internal/engine"
 )
 
-// List is discovery's form of the endpoint list, or of a change to it. Its fields' tags are the names of the protocol.
+// List is the endpoint list, or a change to it, in the format of the discovery protocol. The tags are the
+// protocol's field names.
 type List struct {
 	Generation int64      `json:"generation"`
-	Reset      bool       `json:"reset"` // the list is complete: an endpoint that is not in it has gone
+	Reset      bool       `json:"reset"` // the list is complete: an endpoint that is not in it has been removed
 	Instances  []Instance `json:"instances"`
 }
 
-// Instance is an entry of a List.
+// Instance is one endpoint in a List.
 type Instance struct {
 	ID        string  `json:"instanceId"`
 	Address   string  `json:"hostPort"`
@@ -21,26 +22,27 @@
 	Cell      uint16  `json:"cell"`
 	Lifecycle string  `json:"lifecycle"`
 	Weight    float32 `json:"weight"`
-	StartedMs int64   `json:"startedAtMs"` // Unix milliseconds
+	StartedMs int64   `json:"startedAtMs"` // start of the endpoint, Unix time in milliseconds
 }
 
 const microsPerMillisecond = 1000
 
-// Values of Instance.Lifecycle.
+// Values of Instance.Lifecycle, with the endpoint state that each one maps to.
 const (
 	LifecycleUp       = "up"       // balancer.Ready
 	LifecycleDraining = "draining" // balancer.Draining
 	LifecycleRemoved  = "removed"  // balancer.Gone
 )
 
-// lifecycleStates maps lifecycles to states. An unknown one counts as draining: the endpoint gets no new requests.
+// lifecycleStates maps lifecycles to endpoint states. An endpoint with an unknown lifecycle is treated as
+// draining, so that it gets no new requests.
 var lifecycleStates = map[string]balancer.EndpointState{
 	LifecycleUp:       balancer.Ready,
 	LifecycleDraining: balancer.Draining,
 	LifecycleRemoved:  balancer.Gone,
 }
 
-// EndpointUpdate returns the list as the engine takes it.
+// EndpointUpdate converts the list to an update for the engine.
 func (l *List) EndpointUpdate() engine.EndpointUpdate {
 	kind := balancer.ListDelta
 	if l.Reset {
--- a/internal/discovery/listreader.go
+++ b/internal/discovery/listreader.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// listReader reads the lists of a response as they arrive, each of which may have any number of lines. Every byte that
-// arrives restarts the timer that ends a silent watch.
+// listReader decodes the lists of a response as they arrive. A list may span any number of lines. Each read that
+// returns bytes restarts the timer that ends a silent watch.
 type listReader struct {
 	body           io.Reader
 	silenceTimer   *time.Timer
 	silenceTimeout time.Duration
 	maxListBytes   int64
 	bytesRead      int64
-	listOffset     int64 // offset in bytes at which the list before ended
+	listOffset     int64 // offset in the response, in bytes, at which the previous list ended
 	decoder        *json.Decoder
 }
 
@@ -31,8 +31,9 @@
 	return reader
 }
 
-// Read reads for the decoder. Bytes between two lists count towards the limit of the next one. Blank lines reach it
-// after months, and the watch is then opened again.
+// Read reads from the response, for the decoder. It returns an error if a list exceeds maxListBytes. Bytes
+// between two lists count towards the limit of the next one; blank lines that keep a watch alive reach the limit
+// only after months, and the watch is then opened again.
 func (l *listReader) Read(buffer []byte) (int, error) {
 	if l.bytesRead-l.listOffset > l.maxListBytes {
 		return 0, fmt.Errorf("a list of over %d bytes", l.maxListBytes)
@@ -45,7 +46,8 @@
 	return n, err
 }
 
-// next returns the next list. The end of the response is io.ErrUnexpectedEOF, since a watch does not end by itself.
+// next returns the next list. It returns io.ErrUnexpectedEOF at the end of the response, because discovery must
+// not end a watch.
 func (l *listReader) next() (*List, error) {
 	l.listOffset = l.decoder.InputOffset()
 	list := &List{}
@@ -54,7 +56,8 @@
 	case errors.Is(err, io.EOF):
 		return nil, io.ErrUnexpectedEOF
 	case errors.As(err, new(*json.SyntaxError)), errors.As(err, new(*json.UnmarshalTypeError)):
-		// The changes in it are lost. The next watch starts after the last valid list and repeats them.
+		// The changes in a malformed list are lost. The next watch starts after the last valid list and receives
+		// them again.
 		return nil, fmt.Errorf("malformed list: %w", err)
 	}
 	return list, err
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -15,53 +15,54 @@
 	"dunlinsail/internal/engine"
 )
 
-// Timeouts of a watch. By PROTOCOL an open watch sends something every 2 s, and a change counts as notified at the
-// latest 6 s after the watch that should have carried it fell silent. So the sum of silenceTimeout, maxReconnectDelay,
-// the responseTimeout of a second watch that is silent after its head, and the response to a third is below 6 s.
+// Timeouts of a watch. According to page PROTOCOL an open watch sends data at least every 2 s, and a change has
+// to arrive within 6 s after the watch that should have carried it fell silent. Therefore the sum of
+// silenceTimeout, maxReconnectDelay, the responseTimeout of a second watch that is silent after its head, and the
+// time of the response to a third watch must be below 6 s.
 const (
-	silenceTimeout    = 2600 * time.Millisecond // Watcher.SilenceTimeout
-	responseTimeout   = 2500 * time.Millisecond // Watcher.ResponseTimeout; discovery may delay a polled call by 2 s
-	maxReconnectDelay = 800 * time.Millisecond  // over which a fleet whose watches fell silent together reconnects
-	minBackoff        = 50 * time.Millisecond   // after the first failed call
-	maxBackoff        = time.Second             // Watcher.MaxBackoff
-	dialTimeout       = time.Second             // of the connection to discovery
+	silenceTimeout    = 2600 * time.Millisecond // default of Watcher.SilenceTimeout
+	responseTimeout   = 2500 * time.Millisecond // default of Watcher.ResponseTimeout; a polled call may take 2 s
+	maxReconnectDelay = 800 * time.Millisecond  // spreads the reconnects of a fleet whose watches fell silent together
+	minBackoff        = 50 * time.Millisecond   // mean pause after the first failed call
+	maxBackoff        = time.Second             // default of Watcher.MaxBackoff
+	dialTimeout       = time.Second             // for connecting to discovery
 )
 
-// The names of the protocol.
+// Path and query of the discovery protocol.
 const (
 	listPath   = "/api/targets"
-	watchQuery = "?watch=1&after=" // and a generation: changes since that list, on a response that stays open
+	watchQuery = "?watch=1&after=" // followed by a generation: requests a watch for changes since then
 )
 
-// listMemoryDivisor is the part of the program's memory limit that one list may take: a sixteenth.
+// listMemoryDivisor bounds the size of one list to the program's memory limit divided by it.
 const listMemoryDivisor = 16
 
-// NoGeneration is the generation of a watcher that has no list of its discovery yet.
+// NoGeneration is the generation of a watcher that has not received a list from its discovery.
 const NoGeneration = -1
 
-// UpdateFunc receives each list. An update for which ctx has ended must have no effect.
+// UpdateFunc is called with each received list. If ctx has ended, the update must have no effect.
 type UpdateFunc func(ctx context.Context, update engine.EndpointUpdate)
 
-// Watcher holds a watch at one discovery and passes on each list. It is used by one goroutine at a time; its exported
-// fields are set before the first watch.
+// Watcher keeps a watch open at one discovery and passes on each list. It must be used by one goroutine at a
+// time, and its exported fields must be set before the first watch.
 type Watcher struct {
-	SilenceTimeout  time.Duration // a watch on which nothing arrives for so long is opened again
-	ResponseTimeout time.Duration // a watch whose response does not start within this is opened again
-	MaxBackoff      time.Duration // the longest pause between calls that return no list
+	SilenceTimeout  time.Duration // a watch on which nothing arrives for this time is opened again
+	ResponseTimeout time.Duration // a watch whose response does not start within this time is opened again
+	MaxBackoff      time.Duration // bounds the pause between calls that return no list
 
-	OnRequest func(err error) // called after each call with its error; may be nil
+	OnRequest func(err error) // called after each call to discovery with the error of the call; may be nil
 
 	address           string
 	client            *http.Client
-	generation        int64 // of the latest list of this discovery, or NoGeneration
-	receivedOlderList bool  // its latest list was older than generation: the complete list is fetched next
+	generation        int64 // generation of the latest list of this discovery, or NoGeneration
+	receivedOlderList bool  // a watch started with a list older than generation: the complete list is fetched next
 	maxListBytes      int
 	onUpdate          UpdateFunc
 	log               *slog.Logger
 }
 
-// NewWatcher returns a watcher of the discovery at address (host:port) that passes on lists after a generation.
-// memoryMB is the program's memory limit in MiB, of which a list may take 1/listMemoryDivisor.
+// NewWatcher returns a watcher of the discovery at address (host:port). It passes on lists that are later than
+// generation. memoryMB is the program's memory limit in MiB; one list may take 1/listMemoryDivisor of it.
 func NewWatcher(address string, generation int64, memoryMB int, onUpdate UpdateFunc, log *slog.Logger) *Watcher {
 	transport := &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -81,14 +82,16 @@
 	}
 }
 
-// StartAfter sets the generation after which the first watch starts. It must be called before that watch.
+// StartAfter sets the generation after which the first watch requests lists. It must be called before the first
+// watch.
 func (w *Watcher) StartAfter(generation int64) { w.generation = generation }
 
-// errSilent is the cause of the end of a watch that has fallen silent, or of a call without a response in time.
+// errSilent is the error of a watch on which nothing arrives within SilenceTimeout, or of a call without a
+// response within ResponseTimeout.
 var errSilent = errors.New("discovery is silent")
 
-// watchForever watches until ctx ends. A watch that fails is opened again from the latest generation on, with an
-// exponential backoff whose jitter keeps sidecars out of step.
+// watchForever keeps a watch open until ctx ends. A watch that fails is opened again after the latest generation,
+// with an exponential backoff. Its jitter keeps sidecars from reconnecting at the same time.
 func (w *Watcher) watchForever(ctx context.Context) {
 	backoff := minBackoff
 	outageLogged := false
@@ -101,7 +104,7 @@
 			backoff = minBackoff
 			outageLogged = false
 		}
-		if !outageLogged { // one line for an outage, not one for each attempt
+		if !outageLogged { // one log line for each outage, not for each failed call
 			w.log.Warn("discovery watch failed", "error", err)
 		}
 		outageLogged = true
@@ -110,9 +113,9 @@
 	}
 }
 
-// watchOnce holds one watch, for a balancer that polls. One that fell silent after something had arrived on it is
-// opened again here: the balancer's backoff is made for an overloaded discovery, and is longer than the time within
-// which a silent watch has to be replaced.
+// watchOnce opens one watch for a balancer that polls, and returns when it has ended. A watch that falls silent
+// after data has arrived on it is opened again here. The balancer's backoff is meant for an overloaded discovery,
+// and is longer than the time within which a silent watch has to be replaced.
 func (w *Watcher) watchOnce(ctx context.Context) {
 	for {
 		received, err := w.watch(ctx)
@@ -134,16 +137,17 @@
 	}
 }
 
-// watch holds one watch until it ends, and returns why. received reports whether a list arrived, or the watch was open
-// when it fell silent.
+// watch opens one watch and returns its error when it ends. received reports whether a list has arrived, or the
+// watch fell silent after at least one byte had arrived.
 func (w *Watcher) watch(ctx context.Context) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	// A machine that is cut off leaves the connection open and silent, so a timer of this process ends it.
+	// The connection to an unreachable machine stays open without data, so a timer in this process ends the watch.
 	silenceTimer := time.AfterFunc(w.ResponseTimeout, func() { cancel(errSilent) })
 	defer silenceTimer.Stop()
 	if w.generation == NoGeneration || w.receivedOlderList {
-		// Only a complete list removes the endpoints of another discovery, or of the one before its restart.
+		// Only a complete list removes the endpoints of a previous discovery, or of this discovery before its
+		// restart.
 		if err := w.fetchFullList(ctx, silenceTimer); err != nil {
 			return false, cmp.Or(context.Cause(ctx), err)
 		}
@@ -165,7 +169,7 @@
 	return received, err
 }
 
-// receive passes on the lists of a watch until it fails, and reports whether there was one.
+// receive passes on the lists of a watch until the watch fails, and reports whether it passed on any list.
 func (w *Watcher) receive(ctx context.Context, lists *listReader) (received bool, err error) {
 	for isFirstList := true; ; isFirstList = false {
 		list, err := lists.next()
@@ -173,14 +177,14 @@
 			return received, cmp.Or(context.Cause(ctx), err)
 		}
 		if list.Generation < w.generation && isFirstList {
-			// The call was for lists after w.generation, so this one is not late: discovery may have restarted with
-			// lower generations. Its complete list shows whether it has.
+			// The call requested lists after w.generation, so discovery may have restarted with lower
+			// generations. The generation of its complete list shows whether it has.
 			w.receivedOlderList = true
 			return received, fmt.Errorf("discovery answered with generation %d after %d: fetching the complete list",
 				list.Generation, w.generation)
 		}
 		if list.Generation < w.generation {
-			// An older list would make endpoints ready again that are known to be draining.
+			// An older list could mark endpoints as ready that are known to be draining.
 			w.log.Warn("stale endpoint list ignored", "generation", list.Generation, "have", w.generation)
 			continue
 		}
@@ -190,7 +194,8 @@
 	}
 }
 
-// fetchFullList fetches the complete list and passes it on.
+// fetchFullList fetches the complete list and passes it on. If its generation is lower than w.generation,
+// discovery has restarted, and its generations are followed from there on.
 func (w *Watcher) fetchFullList(ctx context.Context, silenceTimer *time.Timer) error {
 	response, err := w.callDiscovery(ctx, "")
 	if err != nil {
@@ -204,7 +209,8 @@
 	}
 	list.Reset = true
 	update := list.EndpointUpdate()
-	// The second list in succession that is older than w.generation: discovery has restarted with lower generations.
+	// This is the second list in succession that is older than w.generation, so discovery has restarted with
+	// lower generations.
 	update.GenerationsReset = w.generation != NoGeneration && list.Generation < w.generation
 	update.NewSource = w.generation == NoGeneration || update.GenerationsReset
 	if update.GenerationsReset {
@@ -216,7 +222,7 @@
 	return nil
 }
 
-// get makes a call to discovery, and reports its error or success to OnRequest.
+// callDiscovery sends a request to discovery, and passes its error, or nil, to OnRequest.
 func (w *Watcher) callDiscovery(ctx context.Context, query string) (*http.Response, error) {
 	response, err := w.sendRequest(ctx, query)
 	if w.OnRequest != nil {
--- a/internal/endpointsource/endpointsource_test.go
+++ b/internal/endpointsource/endpointsource_test.go
@@ -25,8 +25,8 @@
 	return `{"generation":9,"instances":[` + strings.Join(entries, ",") + `]}`
 }
 
-// Each valid change of the file is passed on as a complete list with a generation of its own. An invalid or missing
-// file changes nothing.
+// Each valid change of the file is passed on as a complete list with a higher generation. An invalid or missing file
+// causes no update.
 func TestFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "pool.json")
 	updates := make(chan engine.EndpointUpdate, 1)
@@ -50,7 +50,7 @@
 	}
 	lastGeneration := int64(0)
 	for _, tc := range []struct {
-		invalid []string // written first, each for a few reads
+		invalid []string // contents that are written first, each of them long enough to be read several times
 		text    string
 		want    []string
 	}{
--- a/internal/endpointsource/file.go
+++ b/internal/endpointsource/file.go
@@ -15,31 +15,32 @@
 	"dunlinsail/internal/discovery"
 )
 
-// DefaultFileInterval is the pause between two reads of a file.
+// DefaultFileInterval is the default interval between two reads of an endpoint file.
 const DefaultFileInterval = time.Second
 
-// maxFileBytes is the largest accepted size of a file.
+// maxFileBytes is the largest accepted size of an endpoint file in bytes.
 const maxFileBytes = 64 << 20
 
-// File watches a file that holds a list in discovery's form. The list's own generation and reset are not used: the file
-// always holds the complete list, and each change of it is a new generation.
+// File watches a file that contains an endpoint list in the format of the discovery protocol. The generation and
+// reset fields of the list are ignored: the file always contains the complete list, and each change of it is a
+// new generation.
 type File struct {
 	path     string
 	interval time.Duration
 	onUpdate discovery.UpdateFunc
 	log      *slog.Logger
 
-	content    []byte // of the latest list; nil before the first
+	content    []byte // content of the file with the latest valid list; nil before the first one
 	generation int64
-	lastError  string // the error that was logged last; "" after a valid list
+	lastError  string // text of the error that was logged last; "" after a valid list
 
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 }
 
-// WatchFile reads a file at once and then at each interval until Close, in a goroutine that Close ends. A file that
-// cannot be read or is invalid, as while an editor writes it, leaves the list before it in effect. Its error is logged
-// once, until it changes.
+// WatchFile reads a file immediately, and then once in each interval in a goroutine, until Close. If the file
+// cannot be read or is invalid, for example while an editor writes it, the previous list stays in effect, and the
+// error is logged. The same error is not logged again on the next reads.
 func WatchFile(path string, interval time.Duration, onUpdate discovery.UpdateFunc, log *slog.Logger) *File {
 	f := &File{path: path, interval: interval, onUpdate: onUpdate, log: log}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -49,7 +50,7 @@
 	return f
 }
 
-// Close ends the watch and waits for its goroutine. No update is passed on after it returns.
+// Close ends the watch and waits for its goroutine. No update is passed on after Close returns.
 func (f *File) Close() {
 	f.cancel()
 	f.goroutines.Wait()
@@ -68,8 +69,8 @@
 	}
 }
 
-// reload passes on the file's list if its content has changed. The content is compared, and not the time of
-// modification, whose resolution may be too coarse for two changes in succession.
+// reload reads the file and passes on its list if the content has changed. It compares the content instead of the
+// modification time, whose resolution may be too coarse for two changes in quick succession.
 func (f *File) reload(ctx context.Context) {
 	content, err := f.readFile()
 	if err == nil && f.content != nil && bytes.Equal(content, f.content) {
@@ -121,8 +122,8 @@
 	return list, validate(list)
 }
 
-// validate returns the first error in a list. One invalid entry rejects the complete file, whose author can mend it;
-// discovery's lists are accepted entry by entry.
+// validate returns the first error in a list. One invalid entry rejects the complete file, because its author can
+// correct it. In lists from discovery, each entry is accepted or rejected on its own.
 func validate(list *discovery.List) error {
 	if list.Instances == nil {
 		return errors.New(`no "instances"`)
--- a/internal/endpointsource/staticlist.go
+++ b/internal/endpointsource/staticlist.go
@@ -5,7 +5,8 @@
 	"dunlinsail/internal/engine"
 )
 
-// StaticList returns a complete list of endpoints at addresses (host:port), which are also their names.
+// StaticList returns an update with a complete list of endpoints. Each address (host:port) is also the name of
+// its endpoint.
 func StaticList(addresses []string, zone string, generation int64) engine.EndpointUpdate {
 	update := engine.EndpointUpdate{Kind: balancer.ListFull, Generation: generation}
 	for _, address := range addresses {
--- a/internal/frontend/http1/accept.go
+++ b/internal/frontend/http1/accept.go
@@ -9,20 +9,21 @@
 )
 
 const (
-	// Bounds of the pause after an error of accept.
+	// After a failed accept the server pauses between minAcceptBackoff and maxAcceptBackoff. The pause doubles
+	// with each failure in succession.
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = time.Second
-	// queuePollTimeout is how long acceptQueued waits for one connection, and maxQueueDrainTime for all of a full
-	// queue, which are accepted in far less time.
+	// queuePollTimeout bounds how long acceptQueued waits for one connection. maxQueueDrainTime bounds the whole
+	// call; a full listen queue is accepted in far less time.
 	queuePollTimeout  = 5 * time.Millisecond
 	maxQueueDrainTime = 100 * time.Millisecond
 )
 
-// Identify returns the client that a connection belongs to, or an error if its peer may not connect.
-// onClose is called once the connection has ended; it may be nil.
+// Identify returns the client that a connection belongs to, or an error if the peer is not allowed to connect.
+// onClose, which may be nil, is called when the connection has ended.
 type Identify func(net.Conn) (c *Client, onClose func(), err error)
 
-// accept serves connections until ln is closed or its deadline passes.
+// accept accepts and serves the connections of ln until ln is closed or its deadline passes.
 func (m *connManager) accept(ln net.Listener, identify Identify) error {
 	backoff := minAcceptBackoff
 	for {
@@ -34,7 +35,7 @@
 		case errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrDeadlineExceeded):
 			return nil
 		default:
-			// Perhaps no descriptor is left: an idle connection is closed to free one.
+			// The process may have run out of descriptors: closing an idle connection frees one.
 			if backoff == minAcceptBackoff {
 				m.log.Warn("accept failed", "error", err)
 			}
@@ -47,28 +48,28 @@
 	}
 }
 
-// acceptQueued serves the connections that are in ln's queue, and returns once it is empty: closing ln would reset
-// them, with what their clients have sent. Nothing else may accept on ln meanwhile. It returns
-// after maxQueueDrainTime at the latest.
+// acceptQueued accepts and serves the connections in ln's listen queue. It returns once the queue is empty, and
+// after maxQueueDrainTime at the latest. Closing ln without it would reset the queued connections and lose the
+// requests that their clients have sent. No other goroutine may accept on ln at the same time.
 func (m *connManager) acceptQueued(ln net.Listener, identify Identify) {
 	deadlineListener, ok := ln.(interface{ SetDeadline(time.Time) error })
 	if !ok {
 		return
 	}
 	for drainDeadline := time.Now().Add(maxQueueDrainTime); time.Now().Before(drainDeadline); {
-		_ = deadlineListener.SetDeadline(time.Now().Add(queuePollTimeout)) // a queued connection is accepted at once
+		_ = deadlineListener.SetDeadline(time.Now().Add(queuePollTimeout)) // a queued connection needs no wait
 		netConn, err := ln.Accept()
 		switch {
 		case err == nil:
 			m.add(netConn, identify)
 		case !errors.Is(err, os.ErrDeadlineExceeded) || !hasQueued(ln):
-			return // otherwise the deadline passed before a queued connection was accepted
+			return // if the queue is not empty, the deadline passed too early, and the loop tries again
 		}
 	}
 	m.log.Warn("listen queue not drained, remaining connections are reset")
 }
 
-// hasQueued reports whether a connection is in ln's queue.
+// hasQueued reports whether ln's listen queue contains a connection. It returns false if ln cannot be polled.
 func hasQueued(ln net.Listener) bool {
 	syscallConn, ok := ln.(syscall.Conn)
 	if !ok {
@@ -80,7 +81,7 @@
 	}
 	pending := false
 	if err := rawConn.Control(func(fd uintptr) { pending = pollEvents(fd, pollIn) != 0 }); err != nil {
-		return false // closed
+		return false // ln is closed
 	}
 	return pending
 }
--- a/internal/frontend/http1/class_requests.go
+++ b/internal/frontend/http1/class_requests.go
@@ -18,26 +18,29 @@
 	"dunlinsail/internal/upstream"
 )
 
-// This file interprets requests where there are no routes: by their class, as PROTOCOL describes them. What follows,
-// buffering, forwarding and responding, is the same as for routed requests (exchange.go).
+// This file parses the requests of a server without configured routes: the class that a request names selects how
+// it is handled (page PROTOCOL). Buffering, forwarding and responding are the same as for routed requests
+// (exchange.go).
 
 const (
-	// classBodyBuffer is how many bytes of a body are buffered in either direction. The time of a message up to this
-	// size is that of its last byte, and of a larger one that of its first (DAYS): buffering more would delay it.
+	// classBodyBuffer is how many bytes of a request or response body are buffered. A message up to this size is
+	// timed at its last byte, and a larger one at its first (page DAYS): buffering more would delay a larger
+	// message.
 	classBodyBuffer = siteconfig.MaxBodyBytes
-	// classIdleTimeout is how long a streamed message may pause. Peers write in pieces and slowly, clients at 64 kB a
-	// second or more; one that pauses for longer than the longest request has failed.
+	// classIdleTimeout is how long a streamed message may pause. Peers write slowly and in pieces, clients at 64
+	// kB a second or more; a peer that pauses for longer than the longest request takes has failed.
 	classIdleTimeout = 10 * time.Second
-	// maxClassBody is the largest streamed body, twice the largest one in use (DAYS): a larger one could not arrive
-	// within classStreamTimeout.
+	// maxClassBody is the largest streamed body in bytes. It is twice the largest body in use (page DAYS); a body
+	// larger than this could not arrive within classStreamTimeout.
 	maxClassBody = 64 << 20
-	// classStreamTimeout is how long a streamed body may take: 32 MB arrive in 512 s at 64 kB a second.
+	// classStreamTimeout is how long a streamed body may take: at 64 kB a second 32 MB arrive in 512 s.
 	classStreamTimeout = 10 * time.Minute
-	// minBodyBytesPerSecond is the slowest rate at which a buffered body may arrive.
+	// minBodyBytesPerSecond is the lowest average rate at which a buffered body may arrive.
 	minBodyBytesPerSecond = 32 << 10
 )
 
-// newClassRoutes returns how the requests of each class are handled.
+// newClassRoutes returns the routes of a server without configured routes: one for each class, in the order of the
+// settings.
 func (s *Server) newClassRoutes() []Route {
 	policy := &upstream.ResponsePolicy{
 		MaxBuffered:         classBodyBuffer,
@@ -68,7 +71,8 @@
 	return routes
 }
 
-// serveByClass serves a request as PROTOCOL describes it. It reports whether the connection may serve another.
+// serveByClass serves a request by its class (page PROTOCOL). It reports whether the connection may serve another
+// request.
 func (s *Server) serveByClass(c *conn, req *http.Request) bool {
 	x := s.newExchange(c, req, "dunlinsail")
 	x.byClass = true
@@ -87,7 +91,8 @@
 	return x.forward(&parsed, "")
 }
 
-// parsedRequest is a request in the forms for the core (call) and for an endpoint (out).
+// parsedRequest is a parsed client request: the call that is submitted to the core, and the request that is sent
+// to an endpoint (outbound).
 type parsedRequest struct {
 	route    *Route
 	call     *core.Call
@@ -95,7 +100,7 @@
 	framing  http1msg.Framing
 }
 
-// visibleFields are the fields whose values, if they are present, must consist of visible characters.
+// visibleFields are the header fields whose values must consist of visible ASCII characters if they are present.
 var visibleFields = []string{
 	http1msg.FieldRequestID,
 	http1msg.FieldClass,
@@ -103,7 +108,8 @@
 	http1msg.FieldIdempotencyKey,
 }
 
-// parseClassRequest interprets a request, or returns why it is rejected; route is nil where its class is not known.
+// parseClassRequest parses a request, or returns the error with which it is rejected. parsed.route is nil if the
+// class of a rejected request is not known.
 func (s *Server) parseClassRequest(c *conn, req *http.Request) (parsed parsedRequest, err error) {
 	if parsed.framing, err = http1msg.RequestFraming(req.Header); err != nil {
 		return parsed, err
@@ -145,13 +151,14 @@
 	return parsed, nil
 }
 
-// checkVisibleFields returns an error for a Host or a field in visibleFields with other than visible characters.
+// checkVisibleFields returns an error if Host or a field in visibleFields contains anything but visible ASCII
+// characters.
 func checkVisibleFields(req *http.Request) error {
 	if !isVisibleASCII(req.Host) && req.ProtoAtLeast(1, 1) {
 		return requestErrorf(http.StatusBadRequest, "Host makes no sense")
 	}
 	for _, name := range visibleFields {
-		values := req.Header[name] // http1msg.CheckHead has verified that it occurs once
+		values := req.Header[name] // http1msg.CheckHead has verified that there is at most one value
 		if len(values) > 0 && !isVisibleASCII(values[0]) {
 			return requestErrorf(http.StatusBadRequest, "%s makes no sense", name)
 		}
@@ -159,20 +166,20 @@
 	return nil
 }
 
-// originForm returns a request's target as a path and query.
+// originForm returns a request's target in origin form: path and query (RFC 9112 section 3.2.1).
 func originForm(req *http.Request) (string, error) {
 	if strings.HasPrefix(req.RequestURI, "/") {
 		return req.RequestURI, nil
 	}
-	// The absolute form; http1msg.CheckHead has verified that Host names the same host.
+	// The target is in absolute form; http1msg.CheckHead has verified that Host names the same host.
 	if req.URL.Host == "" || req.URL.User != nil || req.URL.Scheme != "http" {
 		return "", requestErrorf(http.StatusBadRequest, "the target must be a path")
 	}
 	return req.URL.RequestURI(), nil
 }
 
-// checkClassRequest returns an error if a request lacks what its class requires: an ID, the method, an idempotency key,
-// no body for GET.
+// checkClassRequest returns an error if a request does not meet the requirements of its class: a request ID, the
+// method of the class, an idempotency key for classes idempotent by key, and no body in a GET or HEAD request.
 func checkClassRequest(
 	req *http.Request, class string, idempotency balancer.Idempotency, framing http1msg.Framing,
 ) error {
@@ -191,13 +198,14 @@
 		return requestErrorf(http.StatusBadRequest, "class %q takes no body", class)
 	}
 	if idempotency == balancer.IdempotentByKey && req.Header.Get(http1msg.FieldIdempotencyKey) == "" {
-		// A repetition could not be recognized.
+		// Without the key an endpoint could not recognize a repeated request.
 		return requestErrorf(http.StatusBadRequest, http1msg.FieldIdempotencyKey+" is missing")
 	}
 	return nil
 }
 
-// shortenTimeout returns the shorter of a timeout and the milliseconds that a request's header names.
+// shortenTimeout returns the smaller of timeout and text, a number of milliseconds. header is the name of the
+// header that text comes from, for the error.
 func shortenTimeout(timeout monotime.Micros, text, header string) (monotime.Micros, error) {
 	milliseconds, err := strconv.ParseUint(text, 10, 63)
 	if err != nil {
@@ -206,7 +214,8 @@
 	return min(timeout, int64(min(milliseconds, math.MaxInt32))*1000), nil
 }
 
-// newClassCall returns a request for the core. Its deadline is relative to its arrival.
+// newClassCall returns the call that is submitted to the core for a request. Its deadline is relative to the
+// arrival of the request; forward makes it absolute.
 func (s *Server) newClassCall(c *conn, req *http.Request, class uint8, timeout monotime.Micros) *core.Call {
 	call := &core.Call{
 		Client:   c.client.engineClient,
@@ -228,7 +237,8 @@
 	return call
 }
 
-// newClassUpstreamRequest returns a request for an endpoint, without its body.
+// newClassUpstreamRequest returns the request that is sent to an endpoint, without its body. Hop-by-hop fields
+// and the fields that each attempt sets itself are not copied.
 func newClassUpstreamRequest(req *http.Request, uri string, policy *upstream.ResponsePolicy) *upstream.Request {
 	out := &upstream.Request{
 		Method: req.Method,
@@ -250,11 +260,12 @@
 	return out
 }
 
-// pipelinedMethods are what a request that follows another on its connection may start with.
+// pipelinedMethods are the prefixes with which a pipelined request may start.
 var pipelinedMethods = [][]byte{[]byte("GET "), []byte("POST "), []byte("HEAD ")}
 
-// canStartRequest reports whether the bytes behind a request can be the start of the next one. Otherwise the client has
-// stated a wrong length, and must not be served with the response to a part of its request.
+// canStartRequest reports whether the bytes that follow a request can be the start of the next one. If not, the
+// client has stated a wrong body length, and the request must be rejected: only a part of its body would be
+// forwarded.
 func canStartRequest(b []byte) bool {
 	return slices.ContainsFunc(pipelinedMethods, func(method []byte) bool {
 		n := min(len(b), len(method))
--- a/internal/frontend/http1/client_watch.go
+++ b/internal/frontend/http1/client_watch.go
@@ -9,30 +9,32 @@
 	"time"
 )
 
-// clientPollInterval is how often the socket is polled for the client having closed its connection, while the
-// connection cannot be read.
+// clientPollInterval is the interval between polls that check whether the client has closed its connection, while
+// clientWatch cannot read from it.
 const clientPollInterval = 50 * time.Millisecond
 
-// clientWatch detects that a client closes its connection while its request is in flight. What it sends meanwhile,
-// perhaps the start of its next request, is read into the connection's buffer: the end of the connection is behind
-// that. Where no more can be read, since the buffer is full or the current request's body is still to be read, the
-// socket is polled. The goroutine of a watch runs from start to stop.
+// clientWatch detects that a client closes its connection while its request is in flight. Bytes that the client
+// sends in the meantime, such as the start of its next request, are read into the connection's buffer, because
+// the end of the connection is only visible after them. If no more can be read, because the buffer is full or the
+// body of the current request has not been read, the socket is polled instead. The watch's goroutine runs from
+// start to stop.
 type clientWatch struct {
 	disconnected chan error    // receives an error once the client has closed its connection
 	inputArrived chan struct{} // receives a value once pipelined is set
 
 	conn       *conn
 	readsInput bool
-	pipelined  []byte // the first bytes that arrived behind the request
+	pipelined  []byte // the first bytes that arrived after the request
 	stopping   chan struct{}
 	ended      chan struct{} // closed once the goroutine has ended; nil before start
 }
 
-// errClientDisconnected is sent to clientWatch.gone where the end of a connection is detected behind unread bytes.
+// errClientDisconnected is sent to clientWatch.disconnected if polling the socket finds that the client has
+// closed the connection.
 var errClientDisconnected = errors.New("the client has left")
 
-// newClientWatch returns a watch that is not started. With readsInput it reads the connection, and nothing else may
-// read it until stop returns.
+// newClientWatch returns a watch that is not started. With readsInput the watch reads from the connection, and
+// nothing else may read from it between start and the return of stop.
 func (c *conn) newClientWatch(readsInput bool) *clientWatch {
 	return &clientWatch{
 		conn:         c,
@@ -43,7 +45,8 @@
 	}
 }
 
-// clientDisconnected reports, without waiting, whether the client closed its connection before the watch was started.
+// clientDisconnected reports, without waiting, whether the client closed its connection before the watch was
+// started.
 func (w *clientWatch) clientDisconnected() bool {
 	return (!w.readsInput || w.conn.buffer.Buffered() == 0) && w.conn.input.peerClosed()
 }
@@ -67,7 +70,8 @@
 	}()
 }
 
-// readInput reads until nothing more can be read.
+// readInput reads what the client sends into the connection's buffer until the buffer is full or the read limit is
+// reached (nil), or a read fails. It returns nil at once if the watch does not read input.
 func (w *clientWatch) readInput() error {
 	noneReceived := true
 	for w.readsInput {
@@ -76,7 +80,7 @@
 		buffered := w.conn.buffer.Buffered()
 		if noneReceived && bufferedBefore == 0 && buffered > 0 {
 			b, _ := w.conn.buffer.Peek(buffered)
-			w.pipelined = bytes.Clone(b) // later reads move them
+			w.pipelined = bytes.Clone(b) // later reads may move the buffered bytes
 			w.inputArrived <- struct{}{}
 		}
 		noneReceived = noneReceived && buffered == 0
@@ -109,7 +113,7 @@
 	}
 }
 
-// stop ends the watch and waits for its goroutine. The connection can be read again after it returns.
+// stop ends the watch and waits for its goroutine. Other goroutines may read from the connection after it returns.
 func (w *clientWatch) stop() {
 	close(w.stopping)
 	if w.readsInput {
@@ -118,13 +122,14 @@
 	<-w.ended
 }
 
-// peerClosed reports, without waiting, whether the client has closed the connection, whatever has arrived before that.
+// peerClosed reports, without waiting, whether the client has closed the connection, even if unread bytes precede
+// its end.
 func (p *peekableConn) peerClosed() bool {
 	if p.rawConn == nil {
 		return false
 	}
 	closed := false
-	// The callback is not called where this side has closed the connection already.
+	// Control fails without calling the callback if this process has already closed the connection.
 	_ = p.rawConn.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -134,7 +139,7 @@
 			closed = true
 		case n == 0:
 			closed = true
-		default: // the end may be behind unread bytes
+		default: // the end may follow unread bytes
 			closed = pollEvents(fd, pollRDHup) != 0
 		}
 	})
--- a/internal/frontend/http1/clients.go
+++ b/internal/frontend/http1/clients.go
@@ -6,18 +6,18 @@
 	"dunlinsail/internal/engine"
 )
 
-// Client is a client of the server: its connections are limited, and its requests scheduled, as one.
+// Client is a client of the server. Limits and scheduling apply to all its connections and requests together.
 type Client struct {
 	Name         string
 	engineClient *engine.Client
 	connOwner    *connlimit.Owner[*conn] // guarded by connManager.mu
 }
 
-// ClientSettings are the limits of a client. A limit of 0 is none of its own.
+// ClientSettings are the settings of a client. A limit of 0 means that the client has no limit of its own.
 type ClientSettings struct {
 	fairqueue.ClientSpec
 	MaxConnections   int
-	MaxBufferedBytes int64 // buffered for its requests and their responses
+	MaxBufferedBytes int64 // limit of the bytes that are buffered for its requests and their responses
 }
 
 // NewClient returns a client, or an error if the settings are invalid.
@@ -33,7 +33,7 @@
 	return c, nil
 }
 
-// UpdateClient changes a client's settings. Its open connections and requests are not affected.
+// UpdateClient changes a client's settings. Open connections and requests of the client are not affected.
 func (s *Server) UpdateClient(c *Client, settings ClientSettings) error {
 	if err := s.options.Core.SetClientSpec(c.engineClient, settings.ClientSpec); err != nil {
 		return err
@@ -51,8 +51,8 @@
 	return s.options.Limits.MaxConnections
 }
 
-// ClientUsage returns how many connections a client has, how many of them have an open request, and how many bytes are
-// reserved for it.
+// ClientUsage returns the number of a client's open connections, how many of them have a request in flight
+// (busy), and the number of bytes that are reserved for its buffers.
 func (s *Server) ClientUsage(c *Client) (open, busy int, reservedBytes int64) {
 	s.conns.mu.Lock()
 	defer s.conns.mu.Unlock()
--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -10,35 +10,36 @@
 	"dunlinsail/internal/decide/connlimit"
 )
 
-// conn is a client's connection. Unless noted it is used by the goroutine that serves it only.
+// conn is a client's connection. Unless a field's comment says otherwise, only the goroutine that serves the
+// connection uses it.
 type conn struct {
 	net.Conn
 	client    *Client
 	input     *peekableConn
-	readLimit io.LimitedReader // what may still be read from input for the current request
-	buffer    *bufio.Reader    // nil while nothing is being read: an idle connection holds no buffer
+	readLimit io.LimitedReader // limits how many bytes are still read from input for the current request
+	buffer    *bufio.Reader    // nil while nothing is being read, so that idle connections use no buffer
 
 	// Guarded by connManager.mu.
 	entry            *connlimit.Conn[*conn]
 	awaitingRequest  bool // the connection waits for the first byte of a request
-	requestStarted   bool // a request has started to arrive that is not marked busy yet
-	waitInterrupted  bool // setHandoff has interrupted that wait, to offer the connection
-	lastHandoffRound int  // value of connManager.handoffs when it was last offered
+	requestStarted   bool // a request has started to arrive, and the connection is not marked busy yet
+	waitInterrupted  bool // setHandoff has interrupted the wait for a request, to offer the connection
+	lastHandoffRound int  // connManager.handoffRound when the connection was last offered
 }
 
-// expiredDeadline is a deadline that ends a read at once.
+// expiredDeadline is a deadline in the past: setting it ends a pending read at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// readBufferSize is the size of a read buffer. Most heads are smaller.
+// readBufferSize is the size of a read buffer in bytes. Most request heads are smaller.
 const readBufferSize = 4 << 10
 
-// readerPool has the read buffers that no connection uses.
+// readerPool contains the read buffers that no connection uses.
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferSize) }}
 
-// hasBuffered reports whether bytes have been read that are not used yet.
+// hasBuffered reports whether the connection's buffer contains bytes that have not been consumed.
 func (c *conn) hasBuffered() bool { return c.buffer != nil && c.buffer.Buffered() > 0 }
 
-// ensureBuffer returns the connection's buffer, an empty one from the pool if it has none.
+// ensureBuffer returns the connection's buffer. If the connection has none, it takes an empty one from the pool.
 func (c *conn) ensureBuffer() *bufio.Reader {
 	if c.buffer == nil {
 		c.buffer = readerPool.Get().(*bufio.Reader)
@@ -58,38 +59,40 @@
 	}
 }
 
-// waitReadable waits until something can be read or the connection has ended. On a socket it holds no buffer meanwhile.
+// waitReadable waits until bytes can be read or the connection has ended. On a socket it uses no buffer while it
+// waits.
 func (c *conn) waitReadable() error {
 	if c.input.rawConn == nil {
-		_, err := c.ensureBuffer().Peek(1) // not a socket
+		_, err := c.ensureBuffer().Peek(1) // without a socket the only way to wait is to read
 		return err
 	}
 	return c.input.waitReadable()
 }
 
 const (
-	writeTimeout   = time.Second            // for a response of this process to be written
-	lingerTimeout  = 200 * time.Millisecond // for which linger reads
-	maxLingerBytes = 64 << 10               // that linger reads at most
+	writeTimeout   = time.Second            // for writing a response that this process generated
+	lingerTimeout  = 200 * time.Millisecond // how long linger reads
+	maxLingerBytes = 64 << 10               // how many bytes linger reads at most
 )
 
-// reject writes the last response on the connection, to a request that may not have been read completely.
+// reject writes the last response on the connection. The request may not have been read completely.
 func (c *conn) reject(response *localResponse) {
 	c.writeResponse(response, true)
 	c.linger()
 }
 
-// linger ends the use of a connection on which the client may still be sending. It reads for a little longer: closing
-// with unread bytes would reset the connection before the client has read the response (RFC 9112 section 9.6).
+// linger shuts down the sending side of a connection on which the client may still be sending, and discards input
+// for up to lingerTimeout. Closing a connection with unread bytes would reset it before the client has read the
+// response (RFC 9112 section 9.6).
 func (c *conn) linger() {
 	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		_ = halfCloser.CloseWrite() // it may be closed already
+		_ = halfCloser.CloseWrite() // fails if the connection is closed already
 	}
 	c.SetReadDeadline(time.Now().Add(lingerTimeout))
-	_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes) // until its end, or the deadline
+	_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes) // until the end of the connection or the deadline
 }
 
-// abort resets the connection, so that its client does not take the end of it for the end of a response.
+// abort resets the connection, so that the client does not mistake its end for the end of the response.
 func (c *conn) abort() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/internal/frontend/http1/connclose.go
+++ b/internal/frontend/http1/connclose.go
@@ -7,15 +7,15 @@
 	"dunlinsail/internal/monotime"
 )
 
-// closeReason is why this process closed a client's connection between requests.
+// closeReason is the reason for which this process closed a client's connection between requests.
 type closeReason uint8
 
 const (
-	closedExpired    closeReason = iota // it was idle for too long
-	closedEvicted                       // for another connection, or for lack of descriptors
-	closedDraining                      // this process stops serving
-	closedIncomplete                    // the same, and only a part of a request had arrived
-	closedRejected                      // it was new, and the limits did not allow it
+	closedExpired    closeReason = iota // the connection was idle for too long
+	closedEvicted                       // another connection or a descriptor needed its place
+	closedDraining                      // this process is shutting down
+	closedIncomplete                    // this process is shutting down, and only a part of a request had arrived
+	closedRejected                      // the limits did not allow a new connection
 	numCloseReasons                     // number of reasons
 )
 
@@ -23,19 +23,20 @@
 
 func (r closeReason) String() string { return closeReasonNames[r] }
 
-// earlyCloseDivisor: a connection is closed early if it was idle for less than this part of the longest idle time.
+// earlyCloseDivisor defines an early close: the connection was idle for less than maxIdleTime / earlyCloseDivisor.
 const earlyCloseDivisor = 2
 
-// earlyCloseLogInterval is how long after an early close has been logged another one is not.
+// earlyCloseLogInterval is the shortest interval between two log lines about early closes.
 const earlyCloseLogInterval = time.Second
 
-// ClosedConnections is how many connections this process has closed between requests for one reason.
+// ClosedConnections is the number of connections that this process has closed between requests for one reason.
 type ClosedConnections struct {
 	Reason string
 	Count  uint64
 }
 
-// ClosedConnections returns how many connections this process has closed between requests, by reason.
+// ClosedConnections returns, for each reason, the number of connections that this process has closed between
+// requests.
 func (s *Server) ClosedConnections() []ClosedConnections {
 	s.conns.mu.Lock()
 	defer s.conns.mu.Unlock()
@@ -46,7 +47,7 @@
 	return counts
 }
 
-// closeWithReasonLocked closes a connection for a reason, and counts it; nil is none.
+// closeWithReasonLocked closes the connection of entry and counts it under reason. It does nothing if entry is nil.
 func (m *connManager) closeWithReasonLocked(entry *connlimit.Conn[*conn], reason closeReason) {
 	if entry == nil {
 		return
@@ -58,8 +59,8 @@
 	m.closeLocked(entry)
 }
 
-// logEarlyCloseLocked logs, once in earlyCloseLogInterval at most, that an idle connection is closed long before the
-// longest idle time, because there are many.
+// logEarlyCloseLocked logs, at most once in earlyCloseLogInterval, that an idle connection is closed long before
+// maxIdleTime, because too many connections are open.
 func (m *connManager) logEarlyCloseLocked(entry *connlimit.Conn[*conn], reason closeReason) {
 	now := m.clock.Now()
 	idle := entry.IdleTime(now)
--- a/internal/frontend/http1/connmanager.go
+++ b/internal/frontend/http1/connmanager.go
@@ -12,29 +12,31 @@
 	"dunlinsail/internal/monotime"
 )
 
-// connManager accepts clients' connections and limits their number. http.Server is not used: it does not expose
-// what has arrived on a connection behind a request, nor which connection can be closed without losing a request.
+// connManager accepts clients' connections and limits their number. http.Server is not used because it exposes
+// neither the bytes that have arrived after a request nor which connections can be closed without losing a
+// request.
 type connManager struct {
 	clock clock.Clock
-	serve func(*conn) // returns once the connection is to be closed
+	serve func(*conn) // serves a connection, and returns when it is to be closed
 	log   *slog.Logger
 
 	mu           sync.Mutex
 	table        *connlimit.Table[*conn]
 	expiryTimer  *time.Timer // closes connections that have been idle for too long
 	closing      bool
-	servingCount int             // connections that are being served
-	drainWaiters []chan struct{} // those of waitDrained, closed once serving is 0
+	servingCount int             // number of connections that are being served
+	drainWaiters []chan struct{} // channels of waitDrained calls, closed when servingCount reaches 0
 
-	closedByReason    [numCloseReasons]uint64 // connections closed between requests, by reason
-	nextEarlyCloseLog monotime.Micros         // before that, no early close is logged
+	closedByReason    [numCloseReasons]uint64 // number of connections closed between requests, by reason
+	nextEarlyCloseLog monotime.Micros         // time before which no early close is logged
 	maxIdleTime       monotime.Micros         // Limits.MaxIdleTime
 
-	handoff      func(net.Conn) bool // hands an idle connection over (Server.SetHandoff); nil while none are
-	handoffRound int                 // number of setHandoff calls that started handing over
+	handoff      func(net.Conn) bool // hands over one idle connection (SetHandoff); nil while handing over is off
+	handoffRound int                 // number of setHandoff calls so far that turned handing over on
 }
 
-// newConnManager returns a manager that calls serve in a goroutine for each connection. It fails if limits are invalid.
+// newConnManager returns a manager that calls serve for each connection, in a goroutine of its own. It returns an
+// error if limits are invalid.
 func newConnManager(
 	limits connlimit.Limits, clk clock.Clock, serve func(*conn), log *slog.Logger,
 ) (*connManager, error) {
@@ -47,7 +49,7 @@
 	return m, nil
 }
 
-// add serves a connection in a goroutine of its own, or closes it if identify or the limits reject it.
+// add starts a goroutine that serves a connection, or closes the connection if identify or the limits reject it.
 func (m *connManager) add(netConn net.Conn, identify Identify) {
 	client, onClose, err := identify(netConn)
 	if err != nil {
@@ -66,7 +68,7 @@
 	m.closeWithReasonLocked(evicted, closedEvicted)
 	if entry == nil {
 		m.closedByReason[closedRejected]++
-		netConn.Close() // no other can be evicted: all have open requests
+		netConn.Close() // no other connection can be evicted for it: all have requests in flight
 		onClose()
 		return
 	}
@@ -81,7 +83,8 @@
 	}()
 }
 
-// remove closes a connection that is not served any more.
+// remove closes a connection and removes it from the table once serve has returned. The last connection wakes the
+// waitDrained calls.
 func (m *connManager) remove(c *conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,7 +98,7 @@
 	}
 }
 
-// waitDrained returns nil once no connection is served, or the error of ctx once that ends.
+// waitDrained waits until no connection is being served. It returns the error of ctx if ctx ends first.
 func (m *connManager) waitDrained(ctx context.Context) error {
 	m.mu.Lock()
 	drained := make(chan struct{})
@@ -113,7 +116,7 @@
 	}
 }
 
-// closeLocked closes a connection and removes it from the table; nil is none.
+// closeLocked closes the connection of entry and removes it from the table. It does nothing if entry is nil.
 func (m *connManager) closeLocked(entry *connlimit.Conn[*conn]) {
 	if entry != nil {
 		m.table.Remove(entry)
@@ -128,7 +131,8 @@
 	m.closeExpiredLocked()
 }
 
-// closeExpiredLocked is closeExpired, and sets the timer for the next connection that expires.
+// closeExpiredLocked closes the connections that have been idle for too long, and sets expiryTimer for the next
+// connection that will expire. m.mu is held.
 func (m *connManager) closeExpiredLocked() {
 	now := m.clock.Now()
 	for {
@@ -143,7 +147,8 @@
 	}
 }
 
-// markBusy notes that a connection has an open request. It reports false if the connection has been closed meanwhile.
+// markBusy marks a connection as having a request in flight. It returns false if the connection has already been
+// closed.
 func (m *connManager) markBusy(c *conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -151,16 +156,16 @@
 	return m.table.MarkBusy(c.entry)
 }
 
-// reserveBytes counts n more buffered bytes for a connection, and reports whether its client's limit allows them. With
-// force they are counted whatever the limit.
+// reserveBytes reserves n more bytes of buffers for a connection, and reports whether the client's limit allows
+// it. With force the bytes are reserved even beyond the limit.
 func (m *connManager) reserveBytes(c *conn, n int64, force bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.ReserveBytes(c.entry, n, force)
 }
 
-// finishRequest notes that a request has its response, and reports whether the connection may stay open. While the
-// manager is closing it may only for a next request that has started to arrive.
+// finishRequest marks a connection as idle after the response to its request, and reports whether it may stay open.
+// While the manager is closing, a connection stays open only if the next request has started to arrive on it.
 func (m *connManager) finishRequest(c *conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -170,7 +175,7 @@
 	return !m.closing || !c.input.isDrained()
 }
 
-// closeAll closes all connections, including those with open requests.
+// closeAll closes all connections, including those with a request in flight.
 func (m *connManager) closeAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -178,8 +183,8 @@
 	m.table.Each(func(entry *connlimit.Conn[*conn]) { entry.Value.Close() })
 }
 
-// quiesce closes the connections without an open request. Those with one, or of which a part has arrived, close after
-// their responses.
+// quiesce closes the idle connections. A connection with a request in flight, or on which a part of a request has
+// arrived, is closed after its response.
 func (m *connManager) quiesce() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -189,7 +194,8 @@
 	}
 }
 
-// closePartialRequests closes the connections on which only a part of a request has arrived, and returns how many.
+// closePartialRequests closes the connections on which only a part of a request has arrived, and returns their
+// number.
 func (m *connManager) closePartialRequests() (closed int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -202,9 +208,10 @@
 	return closed
 }
 
-// isEvictable reports whether a connection can be closed without losing a request: no bytes on it are unexamined. One
-// on which a part of a request has arrived may be evicted for others, but not merely because the manager is closing:
-// its client, to which the connection was not idle, would not send the request again.
+// isEvictable reports whether a connection can be closed without losing a request, because no unexamined bytes
+// have arrived on it. A connection on which a part of a request has arrived may be evicted in favor of another
+// connection, but not while the manager is closing: for its client the connection was not idle, so the client
+// would not send the request again.
 func (m *connManager) isEvictable(c *conn) bool {
 	return c.input.isDrained() && !(m.closing && c.requestStarted)
 }
--- a/internal/frontend/http1/connmanager_test.go
+++ b/internal/frontend/http1/connmanager_test.go
@@ -12,7 +12,7 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// connTest is a connManager with one client, and a listener.
+// connTest is a test fixture: a connManager with one client, and a listener for the client's connections.
 type connTest struct {
 	*connManager
 	client   *Client
@@ -30,7 +30,7 @@
 
 func (ct *connTest) identify(net.Conn) (*Client, func(), error) { return ct.client, nil, nil }
 
-// connect returns the client's end of a new connection that the manager serves.
+// connect opens a connection that the manager serves, and returns the client's end of it.
 func (ct *connTest) connect(t *testing.T) net.Conn {
 	t.Helper()
 	client, server := connectedPair(t, ct.listener)
@@ -62,12 +62,13 @@
 	return client, server
 }
 
-// sendReceivedBytes sends each byte that starts a request, and closes the channel at the connection's end.
+// sendReceivedBytes returns a serve function that treats each byte from the client as a request and sends it to
+// received. It closes received at the end of the connection.
 func sendReceivedBytes(received chan<- byte) func(*connManager, *conn) {
 	return func(m *connManager, c *conn) {
 		defer close(received)
 		for m.awaitRequest(c, time.Time{}) {
-			c.SetReadDeadline(time.Time{}) // as serveRequest does, the deadline that ended the wait is replaced
+			c.SetReadDeadline(time.Time{}) // as in serveRequest: the deadline that may have ended the wait is removed
 			var b [1]byte
 			if _, err := c.Read(b[:]); err != nil {
 				return
@@ -89,7 +90,8 @@
 	return count
 }
 
-// An idle connection that is interrupted to be handed over stays open if the handing over ends before it was offered.
+// A handoff that is turned on and off again at once must not close idle connections: turning it on interrupts
+// their wait for a request, and turning it off happens before they have been offered.
 func TestHandoffEndedAtOnceKeepsTheConnection(t *testing.T) {
 	received := make(chan byte, 1)
 	limits := connlimit.Limits{MaxConnections: 2, MaxIdle: 2, MaxIdleTime: 1e9}
@@ -104,7 +106,7 @@
 			t.Fatalf("%q, want %q", got, sentByte)
 		}
 		scriptedpeer.Eventually(t, "the idle connection", func() bool { return ct.countAwaitingRequest() == 1 })
-		ct.mu.Lock() // whatever the connection does, it does after both
+		ct.mu.Lock() // so that the connection's goroutine proceeds only after both calls
 		ct.setHandoffLocked(func(net.Conn) bool { t.Error("handed over"); return true })
 		ct.setHandoffLocked(nil)
 		ct.mu.Unlock()
@@ -115,8 +117,8 @@
 	}
 }
 
-// A connection is not evicted while a request has arrived on it, whether that is in the kernel or has just been read.
-// It is evicted if a request has started to arrive and does not go on.
+// A connection on which a request has arrived is not evicted, whether the bytes are still in the kernel or have just
+// been read. A connection is evicted if only a part of a request has arrived and the server waits for the rest.
 func TestConnectionWithUnexaminedInputIsNotEvicted(t *testing.T) {
 	for name, tc := range map[string]evictionCase{
 		"in the kernel":  {input: "GET / HTTP/1.1\r\n\r\n", survives: true},
@@ -128,12 +130,12 @@
 	}
 }
 
-// evictionCase is what has arrived on an idle connection when another one is accepted beyond the limit.
+// evictionCase describes the state of an idle connection when another connection exceeds the limit.
 type evictionCase struct {
 	input            string
-	serverReads      bool // the server reads the input
-	serverReadsAgain bool // it then waits for more, which does not arrive
-	survives         bool // the connection is not evicted
+	serverReads      bool // the server has read the input
+	serverReadsAgain bool // the server then waits for more input, which does not arrive
+	survives         bool // whether the connection must not be evicted
 }
 
 func (tc evictionCase) run(t *testing.T) {
@@ -143,7 +145,7 @@
 	ct := newConnTest(t, limits, func(_ *connManager, c *conn) {
 		if tc.serverReads {
 			if _, err := c.input.Read(make([]byte, 100)); err != nil {
-				return // the second connection, at the end
+				return // the second connection, when the test ends
 			}
 		}
 		served <- c
@@ -157,7 +159,7 @@
 	io.WriteString(client, tc.input)
 	firstConn := scriptedpeer.Receive(t, served, "the server's read")
 	switch {
-	case tc.serverReadsAgain: // until it waits for more
+	case tc.serverReadsAgain: // isDrained is true once the server waits for more
 		scriptedpeer.Eventually(t, "the server's second read", firstConn.input.isDrained)
 	case tc.input != "" && !tc.serverReads:
 		scriptedpeer.Eventually(t, "bytes in the kernel", func() bool { return !firstConn.input.isDrained() })
@@ -171,8 +173,9 @@
 	}
 }
 
-// While the server is closing, a response is the last on its connection unless more has arrived behind its request.
-// What was read of the request itself does not count, also where the response is written before the server reads again.
+// While the server is closing, a response is the last one on its connection unless bytes of a next request have
+// arrived. Bytes of the current request must not count as a next request, even if the server has not read again
+// since.
 func TestLastResponseUnlessNextRequestArrived(t *testing.T) {
 	client, server := connectedPair(t, listen(t))
 	defer server.Close()
--- a/internal/frontend/http1/exchange.go
+++ b/internal/frontend/http1/exchange.go
@@ -12,22 +12,22 @@
 	"dunlinsail/internal/upstream"
 )
 
-// exchange is one request of a client and its response.
+// exchange is one request of a client together with its response.
 type exchange struct {
 	server     *Server
 	conn       *conn
 	request    *http.Request
 	proxyName  string // this instance's name in Proxy-Status
 	closeAfter bool   // the connection is closed after the response
-	byClass    bool   // routed by class (PROTOCOL): only successful responses of endpoints are forwarded
+	byClass    bool   // the server has no routes (page PROTOCOL): only successful responses of endpoints are forwarded
 
-	stream        *upstream.RequestStream // body of the request, once an attempt reads it; else nil
-	responseEdits *HeaderEdits            // of an endpoint's response
-	idleTimeout   time.Duration           // for which a client may read nothing of the response
+	stream        *upstream.RequestStream // streamed body of the request; nil if buffered or not read by any attempt
+	responseEdits *HeaderEdits            // applied to the headers of an endpoint's response
+	idleTimeout   time.Duration           // how long a write of the response may wait for the client to read
 
-	record     *ExchangeRecord // nil where nothing is recorded
-	status     int             // of the response
-	bodyLength int64           // of the response; -1 is not known
+	record     *ExchangeRecord // nil if nothing is recorded
+	status     int             // HTTP status of the response
+	bodyLength int64           // length of the response's body in bytes; -1 if not known
 }
 
 func (s *Server) newExchange(c *conn, req *http.Request, proxyName string) *exchange {
@@ -35,8 +35,9 @@
 	return &exchange{server: s, conn: c, request: req, proxyName: proxyName, closeAfter: closeAfter}
 }
 
-// forward forwards a request whose body is buffered or prepared for streaming; path is the normalized path of a routed
-// one. It reports whether the connection may serve another request.
+// forward submits a request to the core and writes its response. The body of the request has been buffered or
+// prepared for streaming. path is the normalized path, or "" on a server without routes. forward reports whether
+// the connection may serve another request.
 func (x *exchange) forward(parsed *parsedRequest, path string) bool {
 	server := x.server
 	rt := parsed.route
@@ -64,7 +65,7 @@
 	return x.submit(call, out)
 }
 
-// bodyLength returns the length of the request's body in bytes; -1 is not known.
+// bodyLength returns the length of the request's body in bytes, or -1 if it is not known.
 func (r *parsedRequest) bodyLength() int64 {
 	switch {
 	case r.framing.Kind == http1msg.FixedLength:
@@ -75,12 +76,13 @@
 	return int64(len(r.outbound.Body))
 }
 
-// submit submits the request to the core, waits for its response and writes it.
+// submit submits the request to the core, waits for the response and writes it. It reports whether the connection
+// may serve another request.
 func (x *exchange) submit(call *core.Call, out *upstream.Request) bool {
 	stream := out.Stream
 	x.stream = stream
 	watch := x.conn.newClientWatch(stream == nil)
-	if watch.clientDisconnected() { // while the request waited to be read: it is not forwarded
+	if watch.clientDisconnected() { // the client left before its request was read: the request is not forwarded
 		x.server.finishExchange(x.record, call.Request.Class, nil, 0, 0)
 		return false
 	}
@@ -91,16 +93,17 @@
 		return false
 	}
 	watch.stop()
-	// From here on no attempt may start to read from the client: one that has been canceled might be about to.
+	// Claiming the body prevents an attempt that has been canceled from starting to read from the client after
+	// this point.
 	attempted := stream != nil && !stream.Claim()
 	if stream != nil && !attempted {
 		x.stream = nil
-		x.closeAfter = true // the unread rest of the body precedes any next request
+		x.closeAfter = true // the unread rest of the body precedes the next request
 	}
 	keepOpen := x.respond(response)
 	x.server.finishExchange(x.record, call.Request.Class, &response, x.status, x.bodyLength)
 	if attempted {
-		<-stream.Done() // the attempt reads from the client until it ends
+		<-stream.Done() // the attempt may read from the client until it has ended
 		keepOpen = keepOpen && stream.Body.Done()
 	}
 	if stream != nil && !keepOpen {
@@ -109,15 +112,15 @@
 	return keepOpen
 }
 
-// awaitResponse waits for the core's response. ok is false if the request has been abandoned: the client has closed its
-// connection, or has sent bytes behind the request that cannot start another one.
+// awaitResponse waits for the core's response. ok is false if the request was abandoned because the client closed
+// its connection, or sent bytes after the request that cannot be the start of another request.
 func (x *exchange) awaitResponse(call *core.Call, watch *clientWatch) (response engine.Response, ok bool) {
 	for {
 		select {
 		case response = <-call.Response:
 			return response, true
 		case <-watch.inputArrived:
-			// The client has sent the start of its next request, as it may (RFC 9112 section 9.3.2).
+			// A client may send its next request before the response (RFC 9112 section 9.3.2).
 			if x.byClass && !canStartRequest(watch.pipelined) {
 				x.abandonRequest(call, watch)
 				x.conn.reject(newLocalResponse(http.StatusBadRequest, surplusBytesReason))
@@ -126,28 +129,29 @@
 		case <-watch.disconnected:
 			x.abandonRequest(call, watch)
 			if x.stream != nil && !x.stream.Claim() {
-				<-x.stream.Done() // the attempt reads from the client until it ends
+				<-x.stream.Done() // the attempt may read from the client until it has ended
 			}
 			return engine.Response{}, false
 		}
 	}
 }
 
-// abandon ends the request without a response: the client has closed its connection, or is rejected.
+// abandonRequest ends the request without a response from the core, because the client has closed its connection
+// or is rejected. It records the exchange, cancels the request in the core and stops the watch.
 func (x *exchange) abandonRequest(call *core.Call, watch *clientWatch) {
 	x.server.finishExchange(x.record, call.Request.Class, nil, 0, 0)
 	x.server.options.Core.ClientGone(call)
 	watch.stop()
 }
 
-// attemptFunc returns the function that makes an attempt of a request.
+// attemptFunc returns the function with which the core makes an attempt of the request out.
 func (s *Server) attemptFunc(out *upstream.Request) core.AttemptFunc {
 	return func(ctx context.Context, attempt *core.AttemptContext) engine.AttemptResult {
 		return s.options.SendAttempt(ctx, attempt, out)
 	}
 }
 
-// tenantIndex returns a tenant's index in the settings, or math.MaxUint16 for one that is not there.
+// tenantIndex returns a tenant's index in the settings, or math.MaxUint16 if the settings do not contain the tenant.
 func (s *Server) tenantIndex(name string) uint16 {
 	for i, tenant := range s.options.Site.Tenants {
 		if tenant == name {
--- a/internal/frontend/http1/exchange_record.go
+++ b/internal/frontend/http1/exchange_record.go
@@ -6,28 +6,29 @@
 	"dunlinsail/internal/monotime"
 )
 
-// ExchangeRecord describes a client's request that is over (Options.RecordExchange).
+// ExchangeRecord describes a completed request of a client and its response (Options.RecordExchange).
 type ExchangeRecord struct {
 	ArrivedAt      monotime.Micros
 	EndedAt        monotime.Micros
-	ClientTimeout  monotime.Micros // how long the client waits from ArrivedAt
+	ClientTimeout  monotime.Micros // how long the client waits for the response, from ArrivedAt
 	ClientName     string
 	RouteName      string
 	Class          uint8
 	Tenant         uint16
 	IdempotencyKey string // as the client sent it
 	Object         string // as the client sent it
-	Retry          bool   // the client marked the request as a repetition
-	RequestBytes   int64  // of the request's body; -1 is not known
-	ResponseBytes  int64  // of the response's body as far as it was buffered; -1 is not known
+	Retry          bool   // the client marked the request as a retry
+	RequestBytes   int64  // length of the request's body; -1 if not known
+	ResponseBytes  int64  // length of the response's body; -1 if it was streamed
 
-	// ClientGone is set if the client closed its connection before the response. The fields below are not set then.
+	// ClientGone is set if the client closed its connection before the response was written. Response and Status
+	// are not set in that case.
 	ClientGone bool
-	Response   engine.Response // its Result must not be used any more
+	Response   engine.Response // Response.Result must no longer be used
 	Status     int             // HTTP status that the client received
 }
 
-// newExchangeRecord returns the record of a request that starts now, nil if nothing is recorded.
+// newExchangeRecord returns the record of a request that is about to be submitted, or nil if nothing is recorded.
 func (s *Server) newExchangeRecord(
 	c *conn, call *core.Call, route, key, object string, requestBytes int64,
 ) *ExchangeRecord {
@@ -48,7 +49,8 @@
 	}
 }
 
-// finishExchange counts and records a request that is over. response is nil if the client has closed its connection.
+// finishExchange counts and records a completed request. response is nil if the client closed its connection or
+// was rejected before there was a response.
 func (s *Server) finishExchange(
 	record *ExchangeRecord, class uint8, response *engine.Response, status int, responseBytes int64,
 ) {
--- a/internal/frontend/http1/handoff.go
+++ b/internal/frontend/http1/handoff.go
@@ -9,18 +9,19 @@
 	"dunlinsail/internal/decide/connlimit"
 )
 
-// This file hands idle connections over to another process (hot restart). That process can serve a connection without
-// an open request, and of whose next request no byte has been read, without its client noticing. A connection with an
-// open request follows after its response.
+// This file hands idle connections over to another process (hot restart). If no request is in flight on a
+// connection and no byte of its next request has been read, the other process can serve it without the client
+// noticing. A connection with a request in flight is offered after the response.
 
-// setHandoff starts or ends the handing over of idle connections: see Server.SetHandoff.
+// setHandoff turns handing over idle connections on, or off if handoff is nil (Server.SetHandoff).
 func (m *connManager) setHandoff(handoff func(net.Conn) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.setHandoffLocked(handoff)
 }
 
-// setHandoffLocked interrupts the connections that wait for a request, so that they are offered to handoff.
+// setHandoffLocked sets the handoff function. If it is not nil, connections that are waiting for a request are
+// interrupted, so that they are offered to it.
 func (m *connManager) setHandoffLocked(handoff func(net.Conn) bool) {
 	m.handoff = handoff
 	if handoff == nil {
@@ -35,15 +36,16 @@
 	})
 }
 
-// awaitRequest waits for the first byte of a request until a deadline, zero for as long as the connection may be idle,
-// and reports whether it has arrived. A connection that is handed over meanwhile must not be used any more.
+// awaitRequest waits for the first byte of a request, and reports whether it has arrived. A zero deadline means
+// no limit other than the idle time of the connection. If the result is false, the connection may have been
+// handed over and must not be used again.
 func (m *connManager) awaitRequest(c *conn, deadline time.Time) bool {
 	c.releaseBuffer()
 	if c.buffer != nil {
 		m.mu.Lock()
 		c.requestStarted = true
 		m.mu.Unlock()
-		return true // it has been read already
+		return true // bytes of the next request have already been read
 	}
 	for {
 		if handoff := m.startWaitOrHandoff(c, deadline); handoff != nil {
@@ -54,10 +56,11 @@
 		}
 		err := c.waitReadable()
 		m.mu.Lock()
-		// If the handing over has ended since it interrupted the wait, the connection waits again.
+		// An interrupted connection goes back to the loop: it is offered there, or waits again if handing over
+		// has ended.
 		timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 		waitAgain := c.waitInterrupted && timedOut
-		arrived := err == nil || timedOut && !c.input.isDrained() // it arrived at the deadline
+		arrived := err == nil || timedOut && !c.input.isDrained() // the first byte may have arrived at the deadline
 		c.awaitingRequest = false
 		c.waitInterrupted = false
 		c.requestStarted = arrived && !waitAgain
@@ -68,9 +71,9 @@
 	}
 }
 
-// startWaitOrHandoff marks a connection as waiting for a request and sets its read deadline. If the connection has not
-// been offered in the current handoff round, it returns the handoff function instead; the caller offers the connection
-// to it and calls startWaitOrHandoff again if it is not accepted.
+// startWaitOrHandoff marks a connection as waiting for a request and sets its read deadline. If the connection
+// has not been offered in the current handoff round, it returns the handoff function instead; the caller offers
+// the connection to it and calls startWaitOrHandoff again if it is not accepted.
 func (m *connManager) startWaitOrHandoff(c *conn, deadline time.Time) (handoff func(net.Conn) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/frontend/http1/head.go
+++ b/internal/frontend/http1/head.go
@@ -10,8 +10,9 @@
 	"dunlinsail/internal/http1msg"
 )
 
-// readRequest reads a request's head, strictly. singletons are fields that may occur once at most and must be end to
-// end, in addition to http1msg.SingletonHeaders. Its error is an *http1msg.HeadError where the head is malformed.
+// readRequest reads the head of a request with strict checks. singletons are header fields that, like
+// http1msg.SingletonHeaders, may occur at most once and must be end-to-end fields. The error is an
+// *http1msg.HeadError if the head is malformed.
 func (c *conn) readRequest(singletons map[string]bool) (*http.Request, error) {
 	head, err := c.readHead()
 	if err != nil {
@@ -22,13 +23,13 @@
 	}
 	r, err := http.ReadRequest(c.buffer)
 	if err == nil && len(r.TransferEncoding) > 0 {
-		r.Header["Transfer-Encoding"] = r.TransferEncoding // where package http1msg looks for it
+		r.Header["Transfer-Encoding"] = r.TransferEncoding // package http1msg looks for it in the header
 	}
 	return r, err
 }
 
-// readHead waits for a request's head and returns it, its empty line included, without consuming it from the
-// connection's buffer.
+// readHead waits for the complete head of a request and returns it, including its final empty line. The head is not
+// consumed from the connection's buffer.
 func (c *conn) readHead() ([]byte, error) {
 	r := c.ensureBuffer()
 	scanned := 0
@@ -50,7 +51,8 @@
 	}
 }
 
-// enlargeBuffer replaces the connection's buffer by one that holds the largest head, until the connection is idle.
+// enlargeBuffer replaces the connection's buffer with a buffer large enough for the largest head. It is kept
+// until the connection is idle.
 func (c *conn) enlargeBuffer() *bufio.Reader {
 	b, _ := c.buffer.Peek(c.buffer.Buffered())
 	received := bytes.NewReader(bytes.Clone(b))
@@ -59,6 +61,6 @@
 		readerPool.Put(c.buffer)
 	}
 	c.buffer = bufio.NewReaderSize(io.MultiReader(received, &c.readLimit), MaxHeaderBytes)
-	_, _ = c.buffer.Peek(received.Len()) // it is all there
+	_, _ = c.buffer.Peek(received.Len()) // fills the new buffer with the bytes already received
 	return c.buffer
 }
--- a/internal/frontend/http1/head_test.go
+++ b/internal/frontend/http1/head_test.go
@@ -12,7 +12,7 @@
 	"testing/iotest"
 )
 
-// newConnReading returns a connection that reads r.
+// newConnReading returns a connection whose input is r.
 func newConnReading(r io.Reader) *conn {
 	c := &conn{}
 	c.readLimit.R = r
@@ -39,8 +39,8 @@
 	"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +5\r\n\r\n",
 }
 
-// A head is accepted or rejected regardless of the pieces in which it arrives. net/http reads an accepted head in the
-// same way, and it is unambiguous to every reader of RFC 9112.
+// Whether a head is accepted does not depend on the pieces in which it arrives. An accepted head is parsed
+// identically by net/http, and cannot be read in two ways under RFC 9112.
 func FuzzHead(f *testing.F) {
 	for _, head := range headSeeds {
 		f.Add([]byte(head))
@@ -73,14 +73,15 @@
 	})
 }
 
-// equalRequests reports whether two readers have read the same head.
+// equalRequests reports whether two parsed heads are equal.
 func equalRequests(a, b *http.Request) bool {
 	return a.Method == b.Method && a.RequestURI == b.RequestURI && a.Host == b.Host &&
 		a.ContentLength == b.ContentLength &&
 		reflect.DeepEqual(a.Header, b.Header) && reflect.DeepEqual(a.TransferEncoding, b.TransferEncoding)
 }
 
-// isAmbiguous reports whether a head that was read as r has a lone line end, a folded field, or a length in two ways.
+// isAmbiguous reports whether an accepted head can be read in two ways: it has a line end other than CRLF, a
+// folded field, or two body lengths. r is the parsed head.
 func isAmbiguous(text []byte, r *http.Request) bool {
 	head, _, _ := bytes.Cut(text, []byte("\r\n\r\n"))
 	return bytes.Count(head, []byte("\n")) != bytes.Count(head, []byte("\r\n")) ||
@@ -88,7 +89,7 @@
 		len(r.Header["Content-Length"]) > 1 || len(r.TransferEncoding) > 0 && r.Header.Get("Content-Length") != ""
 }
 
-// A head of whatever size leaves the connection without a buffer.
+// After a head of any size the connection can release its buffer, so that an idle connection keeps none.
 func TestHeadOfAnySizeReleasesItsBuffer(t *testing.T) {
 	for _, size := range []int{
 		1, readBufferSize - 1, readBufferSize, readBufferSize + 1,
--- a/internal/frontend/http1/local_response.go
+++ b/internal/frontend/http1/local_response.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// localResponse is a final response of this process, not of an endpoint.
+// localResponse is a final response that this process generates instead of forwarding an endpoint's response.
 type localResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// newLocalResponse returns a plain-text response.
+// newLocalResponse returns a plain-text response whose body is text and a line end.
 func newLocalResponse(status int, text string) *localResponse {
 	return &localResponse{
 		status: status,
@@ -23,7 +23,7 @@
 	}
 }
 
-// setRetryAfter sets Retry-After, in seconds with three decimals, unless d is 0. It returns r.
+// setRetryAfter sets the Retry-After header, in seconds with three decimals, if d is positive. It returns r.
 func (r *localResponse) setRetryAfter(d time.Duration) *localResponse {
 	if d > 0 {
 		r.header.Set("Retry-After", strconv.FormatFloat(d.Seconds(), 'f', 3, 64))
@@ -31,15 +31,16 @@
 	return r
 }
 
-// localHeadCapacity is how many bytes are allocated for the head of a response of this process: more than any has.
+// localHeadCapacity is the number of bytes that are allocated for the head of a localResponse. Every such head is
+// smaller.
 const localHeadCapacity = 256
 
-// writeResponse writes a response in one piece. It reports whether that succeeded within writeTimeout.
+// writeResponse writes a response with a single write. It reports whether the write succeeded within writeTimeout.
 func (c *conn) writeResponse(response *localResponse, closeAfter bool) bool {
 	var buf bytes.Buffer
 	buf.Grow(localHeadCapacity + len(response.body))
 	buf.WriteString("HTTP/1.1 " + strconv.Itoa(response.status) + " " + http.StatusText(response.status) + "\r\n")
-	_ = response.header.Write(&buf) // writing to memory does not fail
+	_ = response.header.Write(&buf) // writing to a bytes.Buffer does not fail
 	buf.WriteString("Content-Length: " + strconv.Itoa(len(response.body)) + "\r\n")
 	if closeAfter {
 		buf.WriteString("Connection: close\r\n")
@@ -51,7 +52,8 @@
 	return err == nil
 }
 
-// writeHeadOnly is writeResponse for HEAD requests: without the body.
+// writeHeadOnly writes the response to a HEAD request: the head without the body. It reports whether the write
+// succeeded within writeTimeout.
 func (c *conn) writeHeadOnly(response *localResponse, closeAfter bool) bool {
 	buf := appendResponseHead(nil, response.status, response.header, nil)
 	buf = append(buf, "Content-Length: "+strconv.Itoa(len(response.body))+"\r\n"...)
--- a/internal/frontend/http1/outcomes.go
+++ b/internal/frontend/http1/outcomes.go
@@ -5,14 +5,14 @@
 	"sync"
 )
 
-// OutcomeCounts are the numbers of requests of one class by the status of their final response.
+// OutcomeCounts are the numbers of requests of one class, by the HTTP status of the final response.
 type OutcomeCounts struct {
 	Fulfilled uint64 // status 200 to 399
 	Throttled uint64 // status 429 or 503
-	Faulted   uint64 // any other
+	Faulted   uint64 // any other status
 }
 
-// outcomeCounter counts final responses by class.
+// outcomeCounter counts final responses by class and status.
 type outcomeCounter struct {
 	mu      sync.Mutex
 	byClass []OutcomeCounts
@@ -22,7 +22,7 @@
 	return outcomeCounter{byClass: make([]OutcomeCounts, classes)}
 }
 
-// record counts a final response by its status; 0 is no response, to a client that has closed its connection.
+// record counts a final response with a status. Status 0 means that there was no response, and is not counted.
 func (c *outcomeCounter) record(class uint8, status int) {
 	if status == 0 || int(class) >= len(c.byClass) {
 		return
@@ -39,8 +39,8 @@
 	}
 }
 
-// RequestStats returns how requests ended since the start, by class in the order of the settings, and how many are
-// open.
+// RequestStats returns the outcomes of requests since the server started, by class in the order of the settings,
+// and the number of requests in flight.
 func (s *Server) RequestStats() (classes []OutcomeCounts, open int) {
 	s.outcomes.mu.Lock()
 	classes = append(classes, s.outcomes.byClass...)
--- a/internal/frontend/http1/peekable.go
+++ b/internal/frontend/http1/peekable.go
@@ -8,16 +8,18 @@
 	"syscall"
 )
 
-// peekableConn reads a connection, and knows at each instant whether bytes have arrived that its caller has not
-// examined, in the kernel or here: closing the connection then may lose a complete request.
+// peekableConn reads from a connection, and can report at any time whether bytes have arrived that its caller has
+// not examined. The bytes may still be in the kernel or may have been read. Closing a connection with such bytes
+// may lose a complete request.
 type peekableConn struct {
-	rawConn        syscall.RawConn // nil if it is not a socket
-	fallbackReader io.Reader       // read in that case
+	rawConn        syscall.RawConn // nil if the connection is not a socket
+	fallbackReader io.Reader       // the connection itself, which is read if rawConn is nil
 
 	mu         sync.Mutex
 	unexamined bool // the bytes of the last read may be a complete request
 
-	// Arguments and results of the current read. The callback is made once, since each would allocate.
+	// Arguments and results of the current read. The callback is created once, because creating it for each read
+	// would allocate.
 	readBuffer   []byte
 	readCount    int
 	readErr      error
@@ -35,7 +37,8 @@
 	return p
 }
 
-// Read reads what has arrived. A caller that calls again has examined the bytes of the call before.
+// Read reads the bytes that have arrived. A call implies that the caller has examined the bytes of the previous
+// call.
 func (p *peekableConn) Read(b []byte) (int, error) {
 	if p.rawConn == nil {
 		p.setUnexamined(false)
@@ -60,8 +63,8 @@
 	return p.readCount, nil
 }
 
-// receive makes one attempt to read, and reports whether the read is over. Under the mutex bytes leave the kernel and
-// become unexamined in one step.
+// receive makes one attempt to read, and reports whether the read is complete. It holds the mutex, so that isDrained
+// always sees the bytes either in the kernel or marked as unexamined.
 func (p *peekableConn) receive(fd uintptr) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,13 +78,13 @@
 	return !errors.Is(p.readErr, syscall.EAGAIN)
 }
 
-// waitReadable waits until something can be read, or the connection has ended.
+// waitReadable waits until bytes can be read or the connection has ended. rawConn must not be nil.
 func (p *peekableConn) waitReadable() error {
 	p.setUnexamined(false)
 	return p.rawConn.Read(func(fd uintptr) bool { return !errors.Is(pendingErrno(fd), syscall.EAGAIN) })
 }
 
-// pendingErrno returns the error that a read would: syscall.EAGAIN where nothing has arrived.
+// pendingErrno returns the error that a read would return now: syscall.EAGAIN if nothing has arrived.
 func pendingErrno(fd uintptr) error {
 	for {
 		var b [1]byte
@@ -92,14 +95,15 @@
 	}
 }
 
-// setUnexamined sets whether the caller's buffer has bytes that it has not examined.
+// setUnexamined sets whether the caller's buffer contains bytes that the caller has not examined.
 func (p *peekableConn) setUnexamined(unexamined bool) {
 	p.mu.Lock()
 	p.unexamined = unexamined
 	p.mu.Unlock()
 }
 
-// isDrained reports whether no unexamined bytes have arrived. The end of a connection does not count as one.
+// isDrained reports whether the caller has examined all bytes that have arrived. The end of the connection does
+// not count as a byte.
 func (p *peekableConn) isDrained() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/frontend/http1/pollevents.go
+++ b/internal/frontend/http1/pollevents.go
@@ -5,13 +5,14 @@
 	"unsafe"
 )
 
-// Events of poll(2), which package syscall does not define.
+// Event flags of poll(2), which package syscall does not define.
 const (
 	pollIn    = 0x1
 	pollRDHup = 0x2000 // the peer has shut down its sending side
 )
 
-// pollEvents returns, without waiting, which of the given events a descriptor has; none if it cannot be polled.
+// pollEvents returns, without waiting, which of the given events are pending on a descriptor. It returns 0 if the
+// descriptor cannot be polled.
 func pollEvents(fd uintptr, events int16) int16 {
 	pollFD := struct {
 		fd              int32
--- a/internal/frontend/http1/request_body.go
+++ b/internal/frontend/http1/request_body.go
@@ -13,10 +13,12 @@
 	"dunlinsail/internal/upstream"
 )
 
-// bodyBufferTimeout is how long a body of unknown length is buffered. One that has not ended by then is streamed.
+// bodyBufferTimeout is how long a body of unknown length is buffered. A body that is not complete by then is
+// streamed.
 const bodyBufferTimeout = 20 * time.Millisecond
 
-// bufferBody reserves bytes for the request's body, and reads the part of it that is buffered (readBody).
+// bufferBody reserves bytes of the client's buffer limit for the request's body, and reads the part of the body
+// that is buffered (readBody). It returns the error with which the request is rejected.
 func (x *exchange) bufferBody(rt *Route, out *upstream.Request, framing http1msg.Framing) error {
 	if framing.Kind == http1msg.FixedLength && rt.MaxBodyBytes > 0 && framing.Length > rt.MaxBodyBytes {
 		return rt.bodyTooLarge()
@@ -39,7 +41,7 @@
 	return nil
 }
 
-// bytesToReserve returns how many bytes of a request's body are buffered at most.
+// bytesToReserve returns the largest number of bytes of a request's body that may be buffered.
 func (rt *Route) bytesToReserve(framing http1msg.Framing) int64 {
 	switch {
 	case framing.Kind == http1msg.NoBody:
@@ -56,8 +58,9 @@
 	return requestErrorf(http.StatusRequestEntityTooLarge, "the body is over %d bytes", rt.MaxBodyBytes)
 }
 
-// readBody reads the part of the body that is buffered, and prepares the streaming of the rest. A 100 (Continue) is
-// sent as soon as the request has been routed and its client is within its limits; no endpoint takes part.
+// readBody reads the part of the body that is buffered, and prepares streaming the rest. A client that expects
+// 100 (Continue) gets it from this process, without waiting for an endpoint: the request has been routed and the
+// client is within its limits.
 func (x *exchange) readBody(rt *Route, out *upstream.Request, framing http1msg.Framing) error {
 	if err := x.handleExpect(framing); err != nil {
 		return err
@@ -81,12 +84,13 @@
 	return x.streamRequestBody(rt, out, body, length)
 }
 
-// handleExpect sends the interim response that an Expect field requires (RFC 9110 section 10.1.1).
+// handleExpect sends the 100 (Continue) response that an Expect field requests (RFC 9110 section 10.1.1). It
+// returns an error for any other expectation.
 func (x *exchange) handleExpect(framing http1msg.Framing) error {
 	expect := x.request.Header.Get("Expect")
 	if strings.EqualFold(expect, "100-continue") {
 		if framing.Kind != http1msg.NoBody && x.request.ProtoAtLeast(1, 1) {
-			_, _ = io.WriteString(x.conn, "HTTP/1.1 100 Continue\r\n\r\n") // a failure shows when the body is read
+			_, _ = io.WriteString(x.conn, "HTTP/1.1 100 Continue\r\n\r\n") // if it fails, reading the body fails
 		}
 	} else if expect != "" {
 		return requestErrorf(http.StatusExpectationFailed, "Expect makes no sense")
@@ -94,14 +98,14 @@
 	return nil
 }
 
-// readBuffered reads the body up to the route's bound for buffering. It reports whether that is all of it; length is -1
-// where it is not known.
+// readBuffered reads the body into out.Body, up to the route's MaxBufferedBytes. It reports whether the body is
+// complete. length is the body's length in bytes, or -1 if it is not known.
 func (x *exchange) readBuffered(
 	rt *Route, out *upstream.Request, body *http1msg.Body, framing http1msg.Framing, length int64,
 ) (complete bool, err error) {
 	deadline := time.Now().Add(RequestTimeout)
 	switch {
-	case x.byClass: // an endpoint starts with the last byte: streaming a part gains nothing
+	case x.byClass: // an endpoint starts work at the last byte, so streaming gains nothing
 		deadline = deadline.Add(time.Duration(rt.bytesToReserve(framing)) * time.Second / minBodyBytesPerSecond)
 	case length < 0:
 		deadline = time.Now().Add(bodyBufferTimeout)
@@ -121,7 +125,7 @@
 	return false, nil
 }
 
-// streamRequestBody has the rest of the body read from the connection by the attempt that sends it.
+// streamRequestBody sets out.Stream, from which the attempt that sends the request reads the rest of the body.
 func (x *exchange) streamRequestBody(rt *Route, out *upstream.Request, body *http1msg.Body, length int64) error {
 	maxBytes := int64(-1)
 	if rt.MaxBodyBytes > 0 {
@@ -146,12 +150,12 @@
 	return nil
 }
 
-// initialBodyBuffer is the size in bytes at which the buffer of a body of unknown length starts.
+// initialBodyBuffer is the initial size in bytes of the buffer for a body of unknown length.
 const initialBodyBuffer = 4 << 10
 
-// readBodyUpTo reads a body into memory. length is the body's length in bytes, or -1 if it is not known; a body of
-// unknown length is read up to maxBytes. The error is io.EOF if the body is complete, and nil if maxBytes was reached
-// first.
+// readBodyUpTo reads a body into memory. length is the body's length in bytes, or -1 if it is not known; a body
+// of unknown length is read up to maxBytes. The error is io.EOF if the body is complete, and nil if maxBytes was
+// reached first.
 func readBodyUpTo(body *http1msg.Body, length, maxBytes int64) ([]byte, error) {
 	size := min(maxBytes, initialBodyBuffer)
 	if length >= 0 {
@@ -176,8 +180,8 @@
 	}
 }
 
-// growBodyBuffer returns a larger copy of a full buffer: by one byte for the end of a body of known length, and by as
-// much again, maxBytes at most, for one of unknown length (-1).
+// growBodyBuffer returns a larger copy of a full buffer. For a body of known length it adds one byte, which is
+// needed to detect the end of the body. For a body of unknown length (-1) it doubles the buffer, up to maxBytes.
 func growBodyBuffer(buffer []byte, length, maxBytes int64) []byte {
 	size := max(1, min(2*int64(cap(buffer)), maxBytes))
 	if length >= 0 {
--- a/internal/frontend/http1/request_errors.go
+++ b/internal/frontend/http1/request_errors.go
@@ -14,10 +14,11 @@
 	"dunlinsail/internal/upstream"
 )
 
-// surplusBytesReason is the reason for rejecting a request that bytes follow which cannot start another request.
+// surplusBytesReason is the text of the response to a request that is followed by bytes that cannot start another
+// request.
 const surplusBytesReason = "more was sent than the request's length tells"
 
-// Error types of Proxy-Status (RFC 9209 section 2.3).
+// Error types of the Proxy-Status header (RFC 9209 section 2.3).
 const (
 	proxyErrRequest         = "http_request_error"
 	proxyErrDenied          = "http_request_denied"
@@ -28,8 +29,8 @@
 	proxyErrIncomplete      = "http_response_incomplete"
 )
 
-// unreadableRequestResponse returns the response to input that is not a request, nil if the client sent nothing or has
-// closed the connection.
+// unreadableRequestResponse returns the response to a request whose head could not be read because of err. It
+// returns nil if the client sent nothing or has closed the connection.
 func (s *Server) unreadableRequestResponse(c *conn, err error) *localResponse {
 	var netErr net.Error
 	status := http.StatusBadRequest
@@ -49,7 +50,8 @@
 	return newLocalResponse(status, http.StatusText(status))
 }
 
-// rejectionResponse returns the response to a request that is not forwarded because of err.
+// rejectionResponse returns the response to a request that is rejected with err. The status is that of a
+// *requestError or *http1msg.HeadError, otherwise 400.
 func rejectionResponse(err error) *localResponse {
 	response := newLocalResponse(http.StatusBadRequest, err.Error())
 	if reqErr := (*requestError)(nil); errors.As(err, &reqErr) {
@@ -62,12 +64,12 @@
 	return response
 }
 
-// requestError is why a request is rejected, and how that is reported to the client.
+// requestError is the reason for rejecting a request, and how the rejection is reported to the client.
 type requestError struct {
 	status     int           // HTTP status
 	reason     string        // text of the response
-	retryAfter time.Duration // 0 for no Retry-After header
-	proxyError string        // error type of Proxy-Status; "" is proxyErrRequest
+	retryAfter time.Duration // value of Retry-After; 0 for no such header
+	proxyError string        // error type of Proxy-Status; "" means proxyErrRequest
 }
 
 func (e *requestError) Error() string { return e.reason }
@@ -76,7 +78,7 @@
 	return &requestError{status: status, reason: fmt.Sprintf(format, args...)}
 }
 
-// bodyReadError returns the error to reject a request with whose body could not be read.
+// bodyReadError returns the error with which a request is rejected if reading its body failed with err.
 func bodyReadError(err error) error {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
--- a/internal/frontend/http1/response.go
+++ b/internal/frontend/http1/response.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// copyBufferSize is the size in bytes of the buffer that a streamed response body is copied through.
+	// copyBufferSize is the size in bytes of the buffers with which streamed response bodies are copied.
 	copyBufferSize = 48 << 10
 	// forwardedHeadCapacity is the number of bytes that are allocated for the head of a forwarded response. A larger
 	// head grows the buffer.
@@ -26,17 +26,17 @@
 
 var copyBufferPool = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// Why a response body that was streamed is not complete.
+// Errors of a streamed response body that was not forwarded completely.
 var (
 	errClientWrite       = errors.New("the client does not read the response")
 	errUpstreamTruncated = errors.New("the endpoint's response body is truncated")
 )
 
-// respond writes the final response. It reports whether the connection may serve another request.
+// respond writes the final response to the client. It reports whether the connection may serve another request.
 func (x *exchange) respond(response engine.Response) bool {
 	if response.Verdict != engine.Served && x.stream != nil {
 		<-x.stream.Done()
-		if err := x.stream.Err(); err != nil { // the client's own body failed
+		if err := x.stream.Err(); err != nil { // reading the request's body from the client failed
 			x.closeAfter = true
 			return x.writeLocal(rejectionResponse(bodyReadError(err)), proxyErrRequest)
 		}
@@ -47,8 +47,8 @@
 	return x.writeLocal(verdictResponse(&response))
 }
 
-// verdictResponse returns the response to a request without a response of an endpoint, and its error type of
-// Proxy-Status.
+// verdictResponse returns the response to a request for which there is no endpoint response to forward, and the
+// error type for its Proxy-Status header.
 func verdictResponse(response *engine.Response) (local *localResponse, proxyError string) {
 	retryAfter := clock.Duration(response.RetryAfter)
 	switch response.Verdict {
@@ -66,8 +66,9 @@
 	return newLocalResponse(http.StatusBadGateway, "failed"), proxyErrIncomplete
 }
 
-// writeLocal writes a response of this process. Proxy-Status (RFC 9209) distinguishes it from an endpoint's and gives
-// its error type; "" leaves that header out. It reports whether the connection may serve another request.
+// writeLocal writes a response that this process generated. The Proxy-Status header (RFC 9209) distinguishes it
+// from an endpoint's response and states proxyError; with "" the header is omitted. writeLocal reports whether
+// the connection may serve another request.
 func (x *exchange) writeLocal(response *localResponse, proxyError string) bool {
 	x.status = response.status
 	if proxyError != "" {
@@ -80,12 +81,13 @@
 	return x.conn.writeResponse(response, x.closeAfter) && x.server.conns.finishRequest(x.conn) && !x.closeAfter
 }
 
-// setProxyStatus sets Proxy-Status (RFC 9209 section 2).
+// setProxyStatus sets the Proxy-Status header (RFC 9209 section 2).
 func (x *exchange) setProxyStatus(response *localResponse, proxyError, details string) {
 	response.header.Set("Proxy-Status", x.proxyName+"; error="+proxyError+"; details="+strconv.Quote(details))
 }
 
-// reject responds to a request that is not forwarded. It reports whether the connection may serve another request.
+// reject writes the response to a request that is rejected with err. It reports whether the connection may serve
+// another request.
 func (x *exchange) reject(err error) bool {
 	response := rejectionResponse(err)
 	proxyError := proxyErrRequest
@@ -93,7 +95,7 @@
 		proxyError = reqErr.proxyError
 	}
 	framing, framingErr := http1msg.RequestFraming(x.request.Header)
-	if framingErr == nil && framing.Kind == http1msg.NoBody { // no unread body precedes the next request
+	if framingErr == nil && framing.Kind == http1msg.NoBody { // without a body nothing unread precedes the next request
 		return x.server.conns.markBusy(x.conn) && x.writeLocal(response, proxyError)
 	}
 	x.setProxyStatus(response, proxyError, err.Error())
@@ -101,9 +103,9 @@
 	return false
 }
 
-// outgoingFraming is how the end of a response body is marked for the client.
+// outgoingFraming describes how the end of a response body is marked for the client.
 type outgoingFraming struct {
-	noBody  bool // the response has no body, whatever its header says
+	noBody  bool // the response has no body, even if its header states a length
 	chunked bool
 }
 
@@ -123,7 +125,8 @@
 	return framing
 }
 
-// forwardResponse writes an endpoint's response. It reports whether the connection may serve another request.
+// forwardResponse writes an endpoint's response to the client. It reports whether the connection may serve
+// another request.
 func (x *exchange) forwardResponse(response *upstream.Response) bool {
 	isBuffered := response.Stream == nil
 	x.status = response.StatusCode
@@ -137,7 +140,7 @@
 	} else {
 		defer response.Stream.Finish()
 	}
-	connection := response.Header["Connection"] // before the edits, which may remove it
+	connection := response.Header["Connection"] // read before the edits, which may remove it
 	x.responseEdits.apply(response.Header)
 	framing := x.responseFraming(response)
 	buf := make([]byte, 0, forwardedHeadCapacity+len(response.Buffered))
@@ -153,7 +156,8 @@
 	return x.server.conns.finishRequest(x.conn) && !x.closeAfter
 }
 
-// appendBufferedBody appends the buffered part of a response's body, and the end of a chunked one that is complete.
+// appendBufferedBody appends the buffered part of a response's body. If the body is chunked and complete, it also
+// appends the last chunk.
 func appendBufferedBody(buf []byte, response *upstream.Response, framing outgoingFraming) []byte {
 	switch {
 	case framing.noBody:
@@ -172,8 +176,8 @@
 	return buf
 }
 
-// appendForwardedHead appends the interim responses and the head of an endpoint's response, its empty line included.
-// connection is the Connection field of the response as the endpoint sent it.
+// appendForwardedHead appends the interim responses and the head of an endpoint's response, including its final
+// empty line. connection is the Connection field as the endpoint sent it.
 func (x *exchange) appendForwardedHead(
 	buf []byte, response *upstream.Response, connection []string, framing outgoingFraming,
 ) []byte {
@@ -192,7 +196,7 @@
 		}
 	case framing.noBody:
 		if n := response.Header["Content-Length"]; len(n) == 1 && response.StatusCode != http.StatusNoContent {
-			buf = append(buf, "Content-Length: "+n[0]+"\r\n"...) // the length that a GET would receive
+			buf = append(buf, "Content-Length: "+n[0]+"\r\n"...) // the length of the body that a GET would receive
 		}
 	case response.Stream == nil:
 		buf = append(buf, "Content-Length: "+strconv.Itoa(len(response.Buffered))+"\r\n"...)
@@ -205,22 +209,23 @@
 	return append(buf, "\r\n"...)
 }
 
-// streamRest copies the part of a response body that is not buffered. It reports whether the body is complete;
-// otherwise the connection has been aborted.
+// streamRest forwards the part of a response body that is not buffered. It reports whether the body was forwarded
+// completely; if not, the client's connection has been reset.
 func (x *exchange) streamRest(rest *upstream.ResponseStream, chunked bool) bool {
 	err := x.streamBody(rest, chunked)
 	if err == nil {
 		return true
 	}
 	if errors.Is(err, errUpstreamTruncated) {
-		x.status = http.StatusBadGateway // for the record; the client sees the abort
+		x.status = http.StatusBadGateway // for the exchange record; the client sees a reset connection
 	}
 	x.conn.abort()
 	return false
 }
 
-// streamBody copies the rest of a response body as it arrives, or returns errClientWrite or errUpstreamTruncated. The
-// client's reading limits the endpoint's sending: nothing is read ahead of a write.
+// streamBody copies the rest of a response body to the client as it arrives. It returns errClientWrite or
+// errUpstreamTruncated if that fails. A slow client slows down the endpoint, because the next bytes are read from
+// the endpoint only after the write to the client.
 func (x *exchange) streamBody(rest *upstream.ResponseStream, chunked bool) error {
 	buf := copyBufferPool.Get().(*[copyBufferSize]byte)
 	defer copyBufferPool.Put(buf)
@@ -249,8 +254,8 @@
 	}
 }
 
-// readAvailable waits for the next bytes of a response body and reads all that have arrived, for one write to the
-// client. Like a Read it may return bytes together with an error.
+// readAvailable waits for the next bytes of a response body and reads all bytes that have arrived into b, so that
+// they are written to the client at once. Like io.Reader it may return bytes together with an error.
 func readAvailable(rest *upstream.ResponseStream, b []byte) (n int, err error) {
 	n, err = rest.Read(b)
 	for err == nil && n < len(b) && rest.Buffered() > 0 {
@@ -261,7 +266,7 @@
 	return n, err
 }
 
-// appendResponseHead appends a status line and the end-to-end fields of a response, without the empty line.
+// appendResponseHead appends the status line and the end-to-end fields of a response, without the final empty line.
 func appendResponseHead(b []byte, status int, header http.Header, connection []string) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
--- a/internal/frontend/http1/routed_requests.go
+++ b/internal/frontend/http1/routed_requests.go
@@ -21,10 +21,12 @@
 	"dunlinsail/internal/upstream"
 )
 
-// serveByRoute serves a request by the routes. It reports whether the connection may serve another.
+// serveByRoute serves a request with the configured routes. It reports whether the connection may serve another
+// request.
 func (s *Server) serveByRoute(c *conn, req *http.Request, routes *Routes) bool {
 	x := s.newExchange(c, req, routes.ProxyName)
-	if req.RequestURI == "*" && req.Method == http.MethodOptions { // RFC 9110 section 9.3.7: any request is forwarded
+	if req.RequestURI == "*" && req.Method == http.MethodOptions {
+		// OPTIONS * asks about the server, not about a resource (RFC 9110 section 9.3.7).
 		return s.conns.markBusy(c) && x.writeLocal(newLocalResponse(http.StatusOK, "any"), "")
 	}
 	parsed, path, err := s.parseRoutedRequest(c, req, routes)
@@ -37,8 +39,8 @@
 	return x.forward(&parsed, path)
 }
 
-// parseRoutedRequest finds a request's route and interprets the request by it, or returns why it is rejected. path is
-// its normalized path.
+// parseRoutedRequest finds the route of a request and parses the request as the route configures it, or returns
+// the error with which the request is rejected. path is the normalized path.
 func (s *Server) parseRoutedRequest(
 	c *conn, req *http.Request, routes *Routes,
 ) (parsed parsedRequest, path string, err error) {
@@ -69,8 +71,8 @@
 		method == http.MethodTrace
 }
 
-// splitTarget returns the parts of a request's target: its host, its normalized path, and its query with the question
-// mark.
+// splitTarget returns the host, the normalized path and the query of a request's target. The query includes the
+// question mark, and is "" if there is none.
 func (r *Routes) splitTarget(req *http.Request) (host, path, query string, err error) {
 	pathAndQuery := req.RequestURI
 	host = req.Host
@@ -80,7 +82,7 @@
 			target.Scheme != "http" && target.Scheme != "https" {
 			return "", "", "", requestErrorf(http.StatusBadRequest, "the target is neither a path nor an http address")
 		}
-		host = target.Host // the Host header names the same (http1msg.CheckHead)
+		host = target.Host // http1msg.CheckHead has verified that the Host header is equal
 		pathAndQuery = pathOfAbsolute(pathAndQuery)
 	}
 	if !isVisibleASCII(host) && (req.ProtoAtLeast(1, 1) || host != "") {
@@ -99,7 +101,7 @@
 	return host, path, query, nil
 }
 
-// pathOfAbsolute returns the path and query of a target in absolute form.
+// pathOfAbsolute returns the path and query of a request target in absolute form (RFC 9112 section 3.2.2).
 func pathOfAbsolute(target string) string {
 	afterScheme := target[strings.Index(target, "//")+2:]
 	i := strings.IndexAny(afterScheme, "/?")
@@ -113,7 +115,7 @@
 	return afterScheme
 }
 
-// match returns the route of a request, or a *requestError where it has none.
+// match returns the route of a request, or a *requestError if no route matches.
 func (r *Routes) match(req *http.Request, host, path string) (*Route, error) {
 	switch routeIndex := r.Table.Match(route.NormalizeHost(host), path, req.Method, req.Header); routeIndex {
 	case route.NotFound:
@@ -126,8 +128,9 @@
 	}
 }
 
-// newRoutedCall returns a routed request for the core, with its deadline relative to its arrival, and the one for an
-// endpoint, without its body.
+// newRoutedCall returns the call that is submitted to the core for a routed request, and the request that is sent
+// to an endpoint, without its body. The call's deadline is relative to the arrival of the request; forward makes
+// it absolute.
 func (s *Server) newRoutedCall(
 	c *conn, req *http.Request, rt *Route, host, path, query string,
 ) (*core.Call, *upstream.Request, error) {
@@ -139,7 +142,7 @@
 	}
 	settings := &s.options.Site.Settings.Classes[class]
 	if settings.Idempotency == balancer.IdempotentByKey && rt.IdempotencyKey.value(c, req, path) == "" {
-		// A repetition could not be recognized.
+		// Without the key an endpoint could not recognize a repeated request.
 		return nil, nil, requestErrorf(http.StatusBadRequest, "%s is missing", rt.IdempotencyKey.Name)
 	}
 	out := &upstream.Request{
@@ -154,7 +157,7 @@
 		return nil, nil, err
 	}
 	if rt.Deadline.Kind == FromHeader {
-		delete(out.Header, rt.Deadline.Name) // each attempt states the time that is left then
+		delete(out.Header, rt.Deadline.Name) // each attempt sets the field to the time left
 	}
 	id := rt.ensureRequestID(c, req, path, out.Header)
 	rt.setForwarded(c, req, out.Header)
@@ -175,8 +178,8 @@
 	return call, out, nil
 }
 
-// clientTimeout returns how long the client waits for its response: as long as the class's timeout, or as the request
-// states if that is shorter.
+// clientTimeout returns how long the client waits for its response: the timeout of the class, or the timeout that
+// the request states if that is shorter.
 func (rt *Route) clientTimeout(
 	c *conn, req *http.Request, path string, classTimeout monotime.Micros,
 ) (monotime.Micros, error) {
@@ -187,8 +190,8 @@
 	return shortenTimeout(classTimeout, text, rt.Deadline.Name)
 }
 
-// ensureRequestID returns the ID of a request. One that is missing is generated, and added to the header that is
-// forwarded if the route reads it from there.
+// ensureRequestID returns the ID of a request. If the request has none, an ID is generated; if the route reads
+// the ID from a header, the generated ID is also set in the forwarded header.
 func (rt *Route) ensureRequestID(c *conn, req *http.Request, path string, forwarded http.Header) string {
 	id := rt.RequestID.value(c, req, path)
 	if id != "" {
@@ -201,11 +204,11 @@
 	return id
 }
 
-// spareHeaderCapacity is the number of header fields for which space is allocated in addition to the client's fields. A
-// route's edits add about as many.
+// spareHeaderCapacity is the number of header fields for which space is allocated in addition to the client's
+// fields. A route's edits add about as many.
 const spareHeaderCapacity = 4
 
-// endToEndHeader returns the fields of a request that are forwarded.
+// endToEndHeader returns the header fields of a request that are forwarded to an endpoint.
 func endToEndHeader(req *http.Request) http.Header {
 	header := make(http.Header, len(req.Header)+spareHeaderCapacity)
 	connection := req.Header["Connection"]
@@ -215,12 +218,12 @@
 		}
 	}
 	if te := req.Header["Te"]; len(te) == 1 && strings.EqualFold(te[0], "trailers") {
-		header["Te"] = te // trailers are forwarded
+		header["Te"] = te // this server forwards trailers
 	}
 	return header
 }
 
-// rewritePath returns the path that is forwarded for one that the route matches.
+// rewritePath returns the path that is sent to the endpoint: path without StripPrefix and with AddPrefix.
 func (rt *Route) rewritePath(path string) string {
 	if rt.StripPrefix != "" {
 		if path = strings.TrimPrefix(path, rt.StripPrefix); path == "" {
@@ -230,10 +233,11 @@
 	return rt.AddPrefix + path
 }
 
-// forwardedFields are the headers that name earlier hops.
+// forwardedFields are the headers that describe the client and earlier proxies.
 var forwardedFields = []string{"Forwarded", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto"}
 
-// setForwarded sets the headers that name the client to the endpoint.
+// setForwarded sets the headers that tell the endpoint the client's address, host and scheme, according to
+// ForwardedMode.
 func (rt *Route) setForwarded(c *conn, req *http.Request, header http.Header) {
 	if rt.ForwardedMode == ForwardedUnchanged {
 		return
@@ -245,7 +249,7 @@
 		}
 		delete(header, name)
 	}
-	address := "unknown" // RFC 7239 section 6.2: on a unix socket there is no address
+	address := "unknown" // RFC 7239 section 6.2; a client on a Unix socket has no address
 	if addr, ok := c.RemoteAddr().(*net.TCPAddr); ok {
 		address = addr.IP.String()
 	}
--- a/internal/frontend/http1/routes.go
+++ b/internal/frontend/http1/routes.go
@@ -11,51 +11,51 @@
 	"dunlinsail/internal/upstream"
 )
 
-// Routes determine where a server forwards requests to. They are immutable once set (Server.SetRoutes).
+// Routes is the routing configuration of a server. It is immutable once set (Server.SetRoutes).
 type Routes struct {
 	Table          *route.Table
-	Routes         []Route // in the order of Table
+	Routes         []Route // in the order of the patterns in Table
 	EncodedSlashes route.EncodedSlashes
 	ProxyName      string // this instance's name in Proxy-Status
 
-	// SingletonHeaders are the headers that some route reads a value from. Like http1msg.SingletonHeaders they may
-	// occur once at most, and Connection must not name them.
+	// SingletonHeaders are the headers from which any route reads a value. Like http1msg.SingletonHeaders they
+	// may occur at most once, and Connection must not name them.
 	SingletonHeaders map[string]bool
 }
 
-// Route is how the requests that match a pattern are handled.
+// Route configures how the requests that match one pattern are handled.
 type Route struct {
 	Name string
 	Pool *core.Pool
 
 	SafeClass    uint8                    // class of requests with a safe method (RFC 9110 section 9.2.1)
-	UnsafeClass  uint8                    // class of all others
+	UnsafeClass  uint8                    // class of requests with any other method
 	SafePolicy   *upstream.ResponsePolicy // how responses to requests of SafeClass are handled
 	UnsafePolicy *upstream.ResponsePolicy // how responses to requests of UnsafeClass are handled
 
 	Tenant         ValueSource
-	Object         ValueSource // what the request is about; recorded, not used by the balancer
-	IdempotencyKey ValueSource // required for classes with an idempotency key; forwarded in its header
-	RequestID      ValueSource // generated if missing; a second request with the ID of an open one is rejected
-	Deadline       ValueSource // milliseconds that are left; the class's client timeout is an upper bound
+	Object         ValueSource // the object that the request is about; it is recorded but not used by the balancer
+	IdempotencyKey ValueSource // required for classes that are idempotent by key; forwarded in its header
+	RequestID      ValueSource // generated if missing; a request with the ID of a request in flight is rejected
+	Deadline       ValueSource // milliseconds that the client still waits; bounded by the class's client timeout
 
-	MaxAttempts      int           // 0 is as many as the instance allows
-	MaxBodyBytes     int64         // requests with larger bodies are rejected; 0 is no bound
+	MaxAttempts      int           // 0 means the limit of the instance
+	MaxBodyBytes     int64         // requests with larger bodies are rejected; 0 means no limit
 	MaxBufferedBytes int64         // larger request bodies are streamed
-	StreamTimeout    time.Duration // for a streamed body and the start of its response
+	StreamTimeout    time.Duration // limit for a streamed request body and the start of its response
 
 	HostOverride string // replaces the request's host; "" leaves it unchanged
-	StripPrefix  string // of the path, in complete segments; each matching path has it
+	StripPrefix  string // removed from the path; complete segments, which every matching path has
 	AddPrefix    string // added to the path after StripPrefix is removed
 
 	ForwardedMode  ForwardedMode
-	TrustForwarded bool // the entries for earlier hops that clients send are forwarded
+	TrustForwarded bool // forwards the entries for earlier hops that clients send
 
 	RequestEdits  HeaderEdits
 	ResponseEdits HeaderEdits
 }
 
-// HeaderEdits are changes of headers, by canonical names: first Remove, then Set, then Add.
+// HeaderEdits are changes to header fields, by canonical name. Remove is applied first, then Set, then Add.
 type HeaderEdits struct {
 	Remove []string
 	Set    map[string]string
@@ -74,37 +74,37 @@
 	}
 }
 
-// ForwardedMode is which headers name the client to endpoints.
+// ForwardedMode selects the headers that tell endpoints the client's address, host and scheme.
 type ForwardedMode uint8
 
-// The modes, in the order of the configuration's values.
+// The modes are in the order of the values in the configuration.
 const (
-	ForwardedUnchanged ForwardedMode = iota // those that the client sent
-	ForwardedNone                           // none
+	ForwardedUnchanged ForwardedMode = iota // the client's headers are forwarded unchanged
+	ForwardedNone                           // no such header is sent
 	ForwardedXHeaders                       // X-Forwarded-For, -Host and -Proto
 	ForwardedStandard                       // Forwarded, RFC 7239
 )
 
-// SourceKind is where a value of a request is read from.
+// SourceKind is the kind of place from which a value of a request is read.
 type SourceKind uint8
 
-// The kinds of source.
+// Kinds of value source.
 const (
 	NoSource SourceKind = iota
 	FromHeader
 	FromPathSegment
-	FromClientName // Client.Name of the connection
+	FromClientName // Client.Name of the client that owns the connection
 	FixedValue
 )
 
-// ValueSource determines a value of a request.
+// ValueSource determines where a value of a request, such as its tenant, comes from.
 type ValueSource struct {
 	Kind    SourceKind
 	Name    string // canonical name of the header, or the fixed value
 	Segment int    // index of the path segment
 }
 
-// value returns the value that a request has, "" for none; path is its normalized path.
+// value returns the value of a request, or "" if it has none. path is the normalized path of the request.
 func (s *ValueSource) value(c *conn, r *http.Request, path string) string {
 	switch s.Kind {
 	case FromHeader:
@@ -123,6 +123,6 @@
 	return ""
 }
 
-// SetRoutes sets the routes of later requests; nil routes them by class. Requests that have been routed are not
-// affected.
+// SetRoutes sets the routes for later requests. With nil, requests are served by class. Requests that have
+// already been routed are not affected.
 func (s *Server) SetRoutes(r *Routes) { s.routes.Store(r) }
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -1,10 +1,12 @@
-// Package http1 is the HTTP/1.1 server for clients: it accepts their connections, reads their requests (by class, as
-// PROTOCOL describes, or by configured routes), submits them to the core and writes exactly one final response to each.
+// Package http1 is the HTTP/1.1 server for clients. It accepts their connections, parses their requests (by
+// class, as page PROTOCOL describes, or by configured routes), submits them to the core, and writes exactly one
+// final response to each request.
 //
 // Packages core and engine decide which endpoint a request is sent to, decide/connlimit how many connections may be
-// open, and decide/route which route matches; this package must not make such decisions.
+// open, and decide/route which route matches. This package must not make such decisions.
 //
-// A request's way is serveConn, serveRequest, serveByRoute or serveByClass, exchange.forward, submit and respond.
+// A request passes through serveConn, serveRequest, serveByRoute or serveByClass, exchange.forward, submit and
+// respond.
 package http1
 
 import (
@@ -28,19 +30,19 @@
 	"dunlinsail/internal/upstream"
 )
 
-// readinessPath is the path of readiness probes (PROTOCOL).
+// readinessPath is the path of readiness probes (page PROTOCOL).
 const readinessPath = "/-/ready"
 
-// byteLimitRetryAfter is the Retry-After for a client at its limit of buffered bytes: about the duration of one or two
-// requests.
+// byteLimitRetryAfter is the Retry-After value for a client that has reached its limit of buffered bytes. It is
+// about the duration of one or two requests.
 const byteLimitRetryAfter = 100 * time.Millisecond
 
-// Limits of a request's head.
+// Limits for the head of a request.
 const (
-	// MaxHeaderBytes is the largest size of a request's head.
+	// MaxHeaderBytes is the largest size of a request's head in bytes.
 	MaxHeaderBytes = 16 << 10
-	// RequestTimeout is how long a head may take to arrive completely, from its first byte or from the start of the
-	// connection: 2 s for the client (DAYS), and 500 ms for the network.
+	// RequestTimeout is how long a head may take to arrive completely, from its first byte or, for the first
+	// request, from the start of the connection: 2 s for the client (page DAYS) and 500 ms for the network.
 	RequestTimeout = 2500 * time.Millisecond
 )
 
@@ -49,17 +51,17 @@
 	Clock  clock.Clock
 	Site   *siteconfig.Site
 	Core   *core.Core
-	Limits connlimit.Limits // of the clients' connections
+	Limits connlimit.Limits // limits of the clients' connections
 	Log    *slog.Logger
 
-	// Pool is the pool of all requests while there are no routes.
+	// Pool is the pool that serves all requests while no routes are set.
 	Pool *core.Pool
 
-	// SendAttempt makes an attempt of a request at an endpoint.
+	// SendAttempt sends one attempt of a request to an endpoint and returns its result.
 	SendAttempt func(context.Context, *core.AttemptContext, *upstream.Request) engine.AttemptResult
 
-	// RecordExchange is called once for each forwarded request that is over, concurrently. It must not block. nil
-	// records nothing.
+	// RecordExchange is called once for each forwarded request when it has completed. It may be called
+	// concurrently and must not block. If it is nil, nothing is recorded.
 	RecordExchange func(*ExchangeRecord)
 }
 
@@ -68,13 +70,13 @@
 	options          Options
 	conns            *connManager
 	closing          atomic.Bool
-	responseDeadline atomic.Int64           // monotime.Micros; 0 for none beyond the requests' own deadlines
-	routes           atomic.Pointer[Routes] // nil: requests are routed by class
+	responseDeadline atomic.Int64           // monotime.Micros; 0 if only the requests' own deadlines apply
+	routes           atomic.Pointer[Routes] // nil if requests are served by class
 	outcomes         outcomeCounter
-	classRoutes      []Route // by class, for requests without routes
+	classRoutes      []Route // by class; used while no routes are set
 }
 
-// New returns a server, or an error if the limits of connections are invalid.
+// New returns a server, or an error if options.Limits are invalid.
 func New(options Options) (*Server, error) {
 	s := &Server{options: options, outcomes: newOutcomeCounter(len(options.Site.Classes))}
 	s.classRoutes = s.newClassRoutes()
@@ -83,69 +85,74 @@
 	return s, err
 }
 
-// ConnectionCounts returns how many connections there are, and how many of them have an open request.
+// ConnectionCounts returns the number of open client connections, and how many of them have a request in flight
+// (busy).
 func (s *Server) ConnectionCounts() (open, busy int) {
 	s.conns.mu.Lock()
 	defer s.conns.mu.Unlock()
 	return s.conns.table.Counts()
 }
 
-// Accept serves connections until ln is closed, or until a deadline that was set on it.
+// Accept accepts and serves the connections of ln until ln is closed or its deadline passes.
 func (s *Server) Accept(ln net.Listener, identify Identify) error {
 	return s.conns.accept(ln, identify)
 }
 
-// AcceptQueued serves the connections that are in ln's queue. Accept must have returned before.
+// AcceptQueued accepts and serves the connections that are in ln's listen queue. Accept must have returned before
+// the call.
 func (s *Server) AcceptQueued(ln net.Listener, identify Identify) { s.conns.acceptQueued(ln, identify) }
 
-// Adopt serves a connection that another process has handed over.
+// Adopt serves a connection that another process has handed over to this one.
 func (s *Server) Adopt(netConn net.Conn, identify Identify) { s.conns.add(netConn, identify) }
 
-// SetHandoff starts to hand each connection over to another process as soon as it is idle (hot restart). handoff is
-// called concurrently, once for each connection, and reports whether the other process accepted it: this process then
-// closes its end, and otherwise continues to serve it. nil ends the handing over.
+// SetHandoff starts handing connections over to another process (hot restart): each connection is passed to
+// handoff once, as soon as it is idle. handoff is called concurrently, and reports whether the other process
+// accepted the connection. If so, this process closes its descriptor, otherwise it continues to serve the
+// connection. A nil handoff ends handing over.
 func (s *Server) SetHandoff(handoff func(net.Conn) bool) { s.conns.setHandoff(handoff) }
 
-// Quiesce starts a graceful shutdown: it closes the connections without an open request, and each later response closes
-// its connection. It may be called again, for connections that were accepted since.
+// Quiesce starts a graceful shutdown: it closes the idle connections, and every other connection is closed after
+// its next response. Quiesce may be called again, to close connections that were accepted after the first call.
 func (s *Server) Quiesce() {
 	s.closing.Store(true)
 	s.conns.quiesce()
 }
 
-// ClosePartialRequests closes the connections on which only a part of a request has arrived, and returns how many.
+// ClosePartialRequests closes the connections on which only a part of a request has arrived, and returns their
+// number.
 func (s *Server) ClosePartialRequests() int { return s.conns.closePartialRequests() }
 
-// SetResponseDeadline bounds the deadlines of requests from now on by the instant at which the process ends.
+// SetResponseDeadline sets the time at which the process ends. The deadlines of later requests are not later than
+// it.
 func (s *Server) SetResponseDeadline(deadline monotime.Micros) { s.responseDeadline.Store(deadline) }
 
-// isLastResponse reports whether a response that is to be written now is the last on its connection. While the server
-// is closing, a client that has started to send a next request gets one more response, as long as there is time for it:
-// a complete request must not be lost.
+// isLastResponse reports whether the response that is about to be written is the last one on its connection.
+// While the server is closing, a client that has started to send another request still gets a response to it,
+// unless the response deadline has passed: a complete request must not be lost.
 func (s *Server) isLastResponse(c *conn) bool {
 	if !s.closing.Load() {
 		return false
 	}
 	deadline := s.responseDeadline.Load()
-	c.input.setUnexamined(c.hasBuffered()) // bytes of the current request are not a next one
+	c.input.setUnexamined(c.hasBuffered()) // bytes of the current request do not count as another request
 	return c.input.isDrained() || deadline > 0 && s.options.Clock.Now() >= deadline
 }
 
-// WaitDrained returns nil once no connection is served, or the error of ctx once that ends.
+// WaitDrained waits until no connection is being served. It returns the error of ctx if ctx ends first.
 func (s *Server) WaitDrained(ctx context.Context) error { return s.conns.waitDrained(ctx) }
 
-// CloseAll closes all connections, including those with open requests.
+// CloseAll closes all connections, including those with a request in flight.
 func (s *Server) CloseAll() {
 	s.closing.Store(true)
 	s.conns.closeAll()
 }
 
-// serveConn serves a connection, one request at a time.
+// serveConn serves the requests on a connection, one at a time, until the connection is to be closed.
 func (s *Server) serveConn(c *conn) {
 	deadline := time.Now().Add(RequestTimeout)
 	for s.conns.awaitRequest(c, deadline) {
 		if !deadline.IsZero() && !time.Now().Before(deadline) {
-			deadline = time.Time{} // the first byte arrived in time
+			deadline = time.Time{} // the first byte arrived in time: the head gets a timeout of its own
 		}
 		if !s.serveRequest(c, deadline) {
 			break
@@ -153,12 +160,12 @@
 		deadline = time.Time{}
 	}
 	if s.closing.Load() && !c.input.isDrained() {
-		c.linger() // more arrived while the last response was written
+		c.linger() // more bytes arrived while the last response was written
 	}
 }
 
-// serveRequest reads one request, which must be complete by deadline or, if that is zero, within RequestTimeout, and
-// responds to it. It reports whether the connection may serve another.
+// serveRequest reads one request and writes the response to it. The head must be complete by deadline, or within
+// RequestTimeout if deadline is zero. serveRequest reports whether the connection may serve another request.
 func (s *Server) serveRequest(c *conn, deadline time.Time) bool {
 	c.readLimit.N = MaxHeaderBytes
 	if deadline.IsZero() {
@@ -186,8 +193,8 @@
 	return s.serveByClass(c, req)
 }
 
-// boundByProcessEnd returns a deadline, or the instant at which the process ends if that is earlier: a request that is
-// incomplete by then has no time left.
+// boundByProcessEnd returns the earlier of deadline and the time at which the process ends (SetResponseDeadline). A
+// request that is incomplete at that time cannot be served.
 func (s *Server) boundByProcessEnd(deadline time.Time) time.Time {
 	responseDeadline := s.responseDeadline.Load()
 	if responseDeadline <= 0 {
@@ -200,12 +207,13 @@
 	return deadline
 }
 
-// isReadinessProbe reports whether a request is a readiness probe of this process.
+// isReadinessProbe reports whether a request is a readiness probe for this process.
 func isReadinessProbe(req *http.Request) bool {
 	return req.URL.Path == readinessPath && req.ContentLength == 0 && len(req.TransferEncoding) == 0
 }
 
-// serveReadiness responds to a readiness probe. It reports whether the connection may serve another request.
+// serveReadiness writes the response to a readiness probe. It reports whether the connection may serve another
+// request.
 func (s *Server) serveReadiness(c *conn, req *http.Request) bool {
 	response := newLocalResponse(http.StatusOK, "ready")
 	if s.closing.Load() || !s.options.Core.Ready() {
@@ -220,8 +228,8 @@
 	return v != "" && !strings.ContainsFunc(v, func(c rune) bool { return c <= ' ' || c > '~' })
 }
 
-// objectKey returns the number that identifies an object: its value as a hexadecimal number, else its FNV-1a hash; 0
-// for none.
+// objectKey returns the number that identifies an object: its name parsed as a hexadecimal number, or the FNV-1a
+// hash of the name if that fails. It returns 0 if there is no object.
 func objectKey(object string) uint64 {
 	if object == "" {
 		return 0
@@ -230,6 +238,6 @@
 		return v
 	}
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, object) // a hash does not fail
+	_, _ = io.WriteString(h, object) // writing to a hash does not fail
 	return h.Sum64()
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,8 +1,8 @@
-// Package platform reads the configuration that the platform gives a sidecar (DEPLOY): JSON in the file that
-// ROUTER_CONFIG names, and ROUTER_ variables, which take precedence over it.
-//
-// The names of keys and variables are the platform's. Those of the file are tags here, and those of the variables are
-// constants; the settings' keys are mapped to package balancer in package wire, whose text form they are converted to.
+// Package platform reads the configuration that the platform provides for a sidecar (page DEPLOY): JSON in the
+// file that ROUTER_CONFIG names, and environment variables with the prefix ROUTER_, which take precedence over
+// the file. The platform defines the names of keys and variables. The keys of the file are struct tags in this
+// package, and the variables are constants. The keys under settings are converted to the simulator's text format,
+// which package wire maps to the settings of package balancer.
 package platform
 
 import (
@@ -27,59 +27,60 @@
 
 // Config is a sidecar's configuration.
 type Config struct {
-	// Name identifies the sidecar: key name, ROUTER_NAME. Default "".
+	// Name identifies the sidecar: key name, ROUTER_NAME. The default is "".
 	Name string
 
-	// Listen is host:port where clients connect: key listen, ROUTER_LISTEN. It is required.
+	// Listen is the address (host:port) to which clients connect: key listen, ROUTER_LISTEN. It is required.
 	Listen string
 
-	// Discovery is host:port of the discovery service: key discovery, ROUTER_DISCOVERY. It is required. FileDiscovery
-	// is that of the file alone.
+	// Discovery is the address (host:port) of the discovery service: key discovery, ROUTER_DISCOVERY. It is
+	// required. FileDiscovery is the value of the key, even if the variable is set.
 	Discovery     string
 	FileDiscovery string
 
-	// AdminAddress is host:port of the operators' calls: key operator, ROUTER_OPERATOR; "", the default, turns them
-	// off.
+	// AdminAddress is the address (host:port) of the admin server: key operator, ROUTER_OPERATOR. The default,
+	// "", turns the admin server off.
 	AdminAddress string
 
-	// InheritedFD is the descriptor, 3 at least, of the clients' listening socket where the platform holds it:
-	// ROUTER_INHERITED_FD; 0, the default, is none.
+	// InheritedFD is the descriptor, at least 3, of a listening socket for clients that the platform has opened:
+	// ROUTER_INHERITED_FD. The default, 0, means that there is none.
 	InheritedFD int
 
-	// SharedDir is a folder that a new process of this sidecar shares with its predecessor: TMPDIR, with InheritedFD
-	// only; "" is none.
+	// SharedDir is a directory that a new process of this sidecar shares with its predecessor: TMPDIR. It is set
+	// only together with InheritedFD; "" means that there is none.
 	SharedDir string
 
-	// OverloadControl turns overload control for the whole fleet on: ROUTER_OVERLOAD, "1" or "0", the default.
+	// OverloadControl turns on fleet-wide overload control: ROUTER_OVERLOAD, "1" or "0". The default is "0".
 	OverloadControl bool
 
-	// Seed is the seed of random draws: key seed, hexadecimal. It is required.
+	// Seed is the seed of the random number generators: key seed, hexadecimal. It is required.
 	Seed uint64
 
-	// MemoryMB is the memory limit in MiB: key limits.memory_mb, default 192, positive.
+	// MemoryMB is the memory limit in MiB: key limits.memory_mb, positive. The default is 192.
 	MemoryMB int
 
-	// Sockets is the limit of file descriptors: key limits.sockets, default 1024, at least MinSockets.
+	// Sockets is the limit of file descriptors: key limits.sockets, at least MinSockets. The default is 1024.
 	Sockets int
 
-	// Known is the endpoint list at the start: key known; without it the generation is discovery.NoGeneration.
+	// Known is the endpoint list at the start of the process: key known. Without the key its generation is
+	// discovery.NoGeneration.
 	Known discovery.List
 
-	// Site holds the settings of the decision packages: key settings. It is required.
+	// Site contains the settings of the decision packages: key settings. It is required.
 	Site siteconfig.Site
 
-	// Events receives the events of calls to endpoints and discovery (package eventlog): standard error with
-	// ROUTER_EVENTS "1"; nil with "0", the default, turns them off.
+	// Events receives the log of calls to endpoints and discovery (package eventlog): ROUTER_EVENTS. It is
+	// standard error with "1", and nil, which turns the log off, with "0", the default.
 	Events io.Writer
 }
 
-// ConfigError is an invalid value of the configuration.
+// ConfigError reports an invalid or missing value of the configuration.
 type ConfigError struct {
-	Key string // of the file, dotted, or the name of a variable
+	Key string // dotted key in the file, or name of a variable
 	Err error
 }
 
-// Error returns the key and the reason.
+// Error returns the key and the text of Err.
 func (e *ConfigError) Error() string { return "configuration: " + e.Key + ": " + e.Err.Error() }
 
 // Unwrap returns Err.
@@ -91,10 +92,10 @@
 	defaultKeepAlive = 15 * time.Second
 )
 
-// MinSockets is the least value of Config.Sockets.
+// MinSockets is the smallest valid value of Config.Sockets.
 const MinSockets = 64
 
-// The names of the platform's variables.
+// Names of the environment variables that the platform sets.
 const (
 	varConfig      = "ROUTER_CONFIG"
 	varName        = "ROUTER_NAME"
@@ -107,11 +108,11 @@
 	varSharedDir   = "TMPDIR"
 )
 
-// firstInheritedFD is the first descriptor behind the standard streams.
+// firstInheritedFD is the first descriptor after the standard streams.
 const firstInheritedFD = 3
 
-// Read reads the file named by ROUTER_CONFIG and applies the variables. getenv returns the value of a variable, "" for
-// none.
+// Read reads the configuration file that ROUTER_CONFIG names, and applies the environment variables. getenv
+// returns the value of a variable, or "" if it is not set.
 func Read(getenv func(string) string) (*Config, error) {
 	path := getenv(varConfig)
 	if path == "" {
@@ -128,7 +129,7 @@
 	return c, nil
 }
 
-// configFile is the form of the file.
+// configFile is the structure of the configuration file.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -143,7 +144,7 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Parse parses the text of a file and applies the variables. Its error is a *ConfigError.
+// Parse parses the text of a configuration file and applies the environment variables. Its error is a *ConfigError.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -171,8 +172,8 @@
 	if err := c.applyLimits(&file); err != nil {
 		return nil, err
 	}
-	// Without a list in the file, the endpoints of the first list from discovery count as started long ago. With an
-	// empty one they would count as just started, and warm up.
+	// If the file contains no list, the endpoints of the first list from discovery count as started long ago.
+	// After an empty list they would count as just started and would go through warm-up.
 	c.Known = discovery.List{Generation: discovery.NoGeneration}
 	if file.Known != nil {
 		c.Known = *file.Known
@@ -183,7 +184,8 @@
 	return c, c.parseSettings(file.Settings)
 }
 
-// keyOfTypeError returns the key whose value has a wrong type of JSON; "" for another error, or the complete text.
+// keyOfTypeError returns the dotted key whose value has the wrong JSON type. It returns "" for any other error,
+// or if the type of the top-level value is wrong.
 func keyOfTypeError(err error) string {
 	if typeErr := (*json.UnmarshalTypeError)(nil); errors.As(err, &typeErr) {
 		return typeErr.Field
@@ -191,7 +193,7 @@
 	return ""
 }
 
-// applyVariables applies the variables.
+// applyVariables sets the fields for which environment variables are set.
 func (c *Config) applyVariables(getenv func(string) string) error {
 	for name, value := range map[string]*string{
 		varName:      &c.Name,
@@ -222,7 +224,7 @@
 	return err
 }
 
-// parseOnOff returns the value of a variable that is "1" for on, and "0" or not set for off.
+// parseOnOff returns the value of a variable that is "1" for true, and "0" or not set for false.
 func parseOnOff(getenv func(string) string, name string) (bool, error) {
 	switch v := getenv(name); v {
 	case "", "0":
@@ -234,7 +236,7 @@
 	}
 }
 
-// checkAddresses checks that each address has a host and a port.
+// checkAddresses returns an error if an address does not have the form host:port.
 func (c *Config) checkAddresses() error {
 	for _, a := range []struct{ key, address string }{
 		{"listen", c.Listen},
@@ -249,7 +251,7 @@
 	return nil
 }
 
-// applyLimits applies the file's limits of memory and descriptors.
+// applyLimits sets MemoryMB and Sockets from the file, if it contains them.
 func (c *Config) applyLimits(file *configFile) error {
 	if v := file.Limits.MemoryMB; v != nil {
 		c.MemoryMB = *v
@@ -266,7 +268,8 @@
 	return nil
 }
 
-// settingsNames is the part of the settings that package wire does not read: names, and what only the sockets need.
+// settingsNames is the part of the settings that package wire does not read: names, and the settings that only
+// the network code needs.
 type settingsNames struct {
 	Zones   []string `json:"areas"`
 	Kinds   []string `json:"skus"`
@@ -278,15 +281,15 @@
 	} `json:"tenants"`
 	LoadReports struct {
 		Fields []string `json:"fields"`
-		Source string   `json:"how"` // wire.NoReports, ReportsOnProbes or ReportsOnRequests
+		Source string   `json:"how"` // wire.NoReports, wire.ReportsOnProbes or wire.ReportsOnRequests
 	} `json:"reporting"`
 	Limits struct {
 		KeepAlive monotime.Micros `json:"keepalive"`
 	} `json:"limits"`
 }
 
-// parseSettings reads the settings twice: as the simulator's text, by the parser of package wire, and for the names
-// that only the sockets need.
+// parseSettings sets Site from the settings. They are parsed twice: as JSON for settingsNames, and converted to the
+// simulator's text format for the parser of package wire.
 func (c *Config) parseSettings(raw json.RawMessage) error {
 	var names settingsNames
 	if err := json.Unmarshal(raw, &names); err != nil {
@@ -305,13 +308,13 @@
 		err = settings.Validate()
 	}
 	if err != nil {
-		return &ConfigError{"settings", err} // its message names the key
+		return &ConfigError{"settings", err} // the text of err names the key
 	}
 	c.Site.Settings = settings
 	return c.setNames(&names)
 }
 
-// setNames sets the site's names. Each class must have one.
+// setNames sets the fields of Site that package wire does not read. It returns an error if a class has no name.
 func (c *Config) setNames(names *settingsNames) error {
 	site := &c.Site
 	site.Zones = names.Zones
@@ -336,8 +339,8 @@
 	return nil
 }
 
-// settingsText converts the settings to the simulator's text: a line key=value for each plain value or list of them,
-// and a line key.count for each list of objects.
+// settingsText converts the settings from JSON to the simulator's text format: a line key=value for each plain
+// value or list of plain values, and a line key.count=N for each list of N objects.
 func settingsText(raw json.RawMessage) (string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -353,10 +356,10 @@
 	return strings.Join(lines, "\n"), nil
 }
 
-// settingsLines are the lines of the settings in the simulator's text.
+// settingsLines are lines of settings in the simulator's text format.
 type settingsLines []string
 
-// add adds the lines of a value and all below it.
+// add appends the lines of a value and of all values that it contains.
 func (s *settingsLines) add(key string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -371,7 +374,8 @@
 	}
 }
 
-// addList adds the lines of a list: of objects, if the first item is one, or of plain values.
+// addList appends the lines of a list. The items are objects if the first item is an object, and otherwise plain
+// values.
 func (s *settingsLines) addList(key string, list []any) {
 	if len(list) > 0 {
 		if _, isObject := list[0].(map[string]any); isObject {
@@ -389,7 +393,8 @@
 	*s = append(*s, key+"="+strings.Join(values, ","))
 }
 
-// settingsValue returns a value in the simulator's text, in which commas and line ends separate values.
+// settingsValue returns a plain value in the simulator's text format. Spaces, commas and line ends, some of which
+// separate values in that format, are replaced by underscores.
 func settingsValue(v any) string {
 	return strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_").Replace(fmt.Sprint(v))
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -10,7 +10,7 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// settings are those of a small site.
+// smallSiteSettings are valid settings of a small site.
 const smallSiteSettings = `{"peers-total":1,"areas":["a","b"],"skus":["m1"],"discovery":"automatic",
 	"classes":[
 	{"name":"look","repeat":"pure","target":500000,"give-up":1000000,"credit":1.0},
@@ -18,12 +18,12 @@
 	{"name":"pay","repeat":"side_effect","target":500000,"give-up":1000000,"credit":5.0}],
 	"contract":{"drain-grace":250000}}`
 
-// env returns a lookup of variables, for Parse.
+// getenvFrom returns a getenv function for Parse that looks variables up in a map.
 func getenvFrom(variables map[string]string) func(string) string {
 	return func(name string) string { return variables[name] }
 }
 
-// The error of an invalid value names its key or variable, and valid values and variables are applied.
+// The error for an invalid value names its key or variable, and valid values of keys and variables are applied.
 func TestConfigErrors(t *testing.T) {
 	validFile := func() map[string]any {
 		return map[string]any{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
@@ -68,8 +68,8 @@
 	}
 }
 
-// Without a list in its file a sidecar has none. With an empty one the endpoints of the first list would count as just
-// started.
+// Without a list in its file a sidecar starts with NoGeneration. If it started with an empty list instead, the
+// endpoints of the first list from discovery would count as just started.
 func TestNoListKnown(t *testing.T) {
 	for known, want := range map[string]int64{
 		"": discovery.NoGeneration,
--- a/internal/platform/service_test.go
+++ b/internal/platform/service_test.go
@@ -5,13 +5,15 @@
 	"testing"
 )
 
-// The address and the variables for hot restarts are validated, and an error names its key or variable.
+// The admin address and the inherited descriptor for hot restarts are validated, and an error names the key or
+// variable.
 func TestServiceVariables(t *testing.T) {
 	const text = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1f","operator":"127.0.0.1:9901"}`
 	invalidKey := func(name, value string) string {
 		_, err := Parse([]byte(text), getenvFrom(map[string]string{name: value}))
 		var configErr *ConfigError
-		if errors.As(err, &configErr) && configErr.Key != "settings" { // which are missing, and are read last
+		// The text has no settings, which is the last error that Parse checks.
+		if errors.As(err, &configErr) && configErr.Key != "settings" {
 			return configErr.Key
 		}
 		return ""
