--- a/internal/admin/connlimiter.go
+++ b/internal/admin/connlimiter.go
@@ -77,12 +77,12 @@
 // markActive marks the connection of a call that has arrived completely, so that it is not closed in favor of a
 // new connection.
 func (l *connLimiter) markActive(ctx context.Context) {
-	c, _ := ctx.Value(connContextKey{}).(net.Conn)
+	conn, _ := ctx.Value(connContextKey{}).(net.Conn)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if slices.Contains(l.incomplete, c) { // if not, it has been closed in favor of a new connection
-		l.incomplete = removeConn(l.incomplete, c)
-		l.active = append(l.active, c)
+	if slices.Contains(l.incomplete, conn) { // if not, it has been closed in favor of a new connection
+		l.incomplete = removeConn(l.incomplete, conn)
+		l.active = append(l.active, conn)
 	}
 }
 
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -63,15 +63,15 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	io.WriteString(c, text)
-	r, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatalf("%.60q: %v", text, err)
 	}
-	responseBody, err := io.ReadAll(r.Body)
-	if err != nil || !r.Close {
-		t.Errorf("%.60q: %v, closes %v", text, err, r.Close)
+	responseBody, err := io.ReadAll(response.Body)
+	if err != nil || !response.Close {
+		t.Errorf("%.60q: %v, closes %v", text, err, response.Close)
 	}
-	return r.StatusCode, r.Header.Get("Allow"), string(responseBody)
+	return response.StatusCode, response.Header.Get("Allow"), string(responseBody)
 }
 
 func postRequest(path, body string) string {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -226,12 +226,12 @@
 
 // A first list that is older than requested does not reset the generations if the complete list is newer.
 func TestOlderFirstListDoesNotResetGenerations(t *testing.T) {
-	b := scripteddiscovery.New(t)
-	updates := startWatching(t, b, scriptedpeer.WaitTimeout)
-	scriptedpeer.Receive(t, b.Requests, "watch")
-	b.Lines <- scripteddiscovery.Line(5, true) // the watch requested lists after generation 7
-	expectRequest(t, b, " ")                   // a request for the complete list
-	b.Lines <- scripteddiscovery.Line(8, true)
+	server := scripteddiscovery.New(t)
+	updates := startWatching(t, server, scriptedpeer.WaitTimeout)
+	scriptedpeer.Receive(t, server.Requests, "watch")
+	server.Lines <- scripteddiscovery.Line(5, true) // the watch requested lists after generation 7
+	expectRequest(t, server, " ")                   // a request for the complete list
+	server.Lines <- scripteddiscovery.Line(8, true)
 	if got := scriptedpeer.Receive(t, updates, "list"); got.Generation != 8 || got.NewSource {
 		t.Errorf("update %+v", got)
 	}
--- a/internal/endpointsource/file.go
+++ b/internal/endpointsource/file.go
@@ -128,17 +128,17 @@
 	if list.Instances == nil {
 		return errors.New(`no "instances"`)
 	}
-	seen := map[string]bool{}
+	seenIDs := map[string]bool{}
 	for i, instance := range list.Instances {
 		switch {
 		case instance.ID == "" || instance.Address == "":
 			return fmt.Errorf("instance %d has no instanceId or no hostPort", i)
-		case seen[instance.ID]:
+		case seenIDs[instance.ID]:
 			return fmt.Errorf("instanceId %q stands twice", instance.ID)
 		case instance.Lifecycle != discovery.LifecycleUp && instance.Lifecycle != discovery.LifecycleDraining:
 			return fmt.Errorf("%s: lifecycle %q is neither up nor draining", instance.ID, instance.Lifecycle)
 		}
-		seen[instance.ID] = true
+		seenIDs[instance.ID] = true
 	}
 	return nil
 }
--- a/internal/frontend/http1/class_requests.go
+++ b/internal/frontend/http1/class_requests.go
@@ -95,7 +95,7 @@
 // to an endpoint (outbound).
 type parsedRequest struct {
 	route    *Route
-	call     *core.Call
+	coreCall *core.Call
 	outbound *upstream.Request
 	framing  http1msg.Framing
 }
@@ -122,32 +122,32 @@
 		return parsed, err
 	}
 	pathClass, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
-	name := req.Header.Get(http1msg.FieldClass)
-	if name == "" {
-		name = pathClass
+	className := req.Header.Get(http1msg.FieldClass)
+	if className == "" {
+		className = pathClass
 	}
-	class := slices.Index(s.options.Site.Classes, name)
+	class := slices.Index(s.options.Site.Classes, className)
 	if class < 0 {
-		return parsed, requestErrorf(http.StatusNotFound, "unknown class %q", name)
+		return parsed, requestErrorf(http.StatusNotFound, "unknown class %q", className)
 	}
 	parsed.route = &s.classRoutes[class]
-	if name != pathClass {
+	if className != pathClass {
 		return parsed, requestErrorf(http.StatusBadRequest, http1msg.FieldClass+" %q is not the first part of the path",
-			name)
+			className)
 	}
 	settings := &s.options.Site.Settings.Classes[class]
-	if err := checkClassRequest(req, name, settings.Idempotency, parsed.framing); err != nil {
+	if err := checkClassRequest(req, className, settings.Idempotency, parsed.framing); err != nil {
 		return parsed, err
 	}
 	timeout := settings.ClientTimeout
-	if text := req.Header.Get(http1msg.FieldDeadline); text != "" {
-		if timeout, err = shortenTimeout(timeout, text, http1msg.FieldDeadline); err != nil {
+	if deadlineText := req.Header.Get(http1msg.FieldDeadline); deadlineText != "" {
+		if timeout, err = shortenTimeout(timeout, deadlineText, http1msg.FieldDeadline); err != nil {
 			return parsed, err
 		}
 	}
-	parsed.call = s.newClassCall(c, req, uint8(class), timeout)
+	parsed.coreCall = s.newClassCall(c, req, uint8(class), timeout)
 	parsed.outbound = newClassUpstreamRequest(req, uri, parsed.route.SafePolicy)
-	parsed.outbound.ResponseTimeout = time.Duration(parsed.call.Request.Deadline) * time.Microsecond
+	parsed.outbound.ResponseTimeout = time.Duration(parsed.coreCall.Request.Deadline) * time.Microsecond
 	return parsed, nil
 }
 
@@ -230,8 +230,8 @@
 			Deadline:  timeout - siteconfig.ResponseMargin.Microseconds(),
 		},
 	}
-	if hint, err := strconv.ParseInt(req.Header.Get(http1msg.FieldWorkHint), 10, 64); err == nil && hint > 0 {
-		call.Request.WorkHint = hint
+	if workHint, err := strconv.ParseInt(req.Header.Get(http1msg.FieldWorkHint), 10, 64); err == nil && workHint > 0 {
+		call.Request.WorkHint = workHint
 		call.Request.HasWorkHint = true
 	}
 	return call
@@ -266,9 +266,9 @@
 // canStartRequest reports whether the bytes that follow a request can be the start of the next one. If not, the
 // client has stated a wrong body length, and the request must be rejected: only a part of its body would be
 // forwarded.
-func canStartRequest(b []byte) bool {
+func canStartRequest(following []byte) bool {
 	return slices.ContainsFunc(pipelinedMethods, func(method []byte) bool {
-		n := min(len(b), len(method))
-		return bytes.Equal(b[:n], method[:n])
+		n := min(len(following), len(method))
+		return bytes.Equal(following[:n], method[:n])
 	})
 }
--- a/internal/frontend/http1/client_watch.go
+++ b/internal/frontend/http1/client_watch.go
@@ -79,8 +79,8 @@
 		_, err := w.conn.buffer.Peek(bufferedBefore + 1)
 		buffered := w.conn.buffer.Buffered()
 		if noneReceived && bufferedBefore == 0 && buffered > 0 {
-			b, _ := w.conn.buffer.Peek(buffered)
-			w.pipelined = bytes.Clone(b) // later reads may move the buffered bytes
+			received, _ := w.conn.buffer.Peek(buffered)
+			w.pipelined = bytes.Clone(received) // later reads may move the buffered bytes
 			w.inputArrived <- struct{}{}
 		}
 		noneReceived = noneReceived && buffered == 0
--- a/internal/frontend/http1/connclose.go
+++ b/internal/frontend/http1/connclose.go
@@ -12,7 +12,7 @@
 
 const (
 	closedExpired    closeReason = iota // the connection was idle for too long
-	closedEvicted                       // another connection or a descriptor needed its place
+	closedEvicted                       // it was closed to make room for another connection or to free a descriptor
 	closedDraining                      // this process is shutting down
 	closedIncomplete                    // this process is shutting down, and only a part of a request had arrived
 	closedRejected                      // the limits did not allow a new connection
@@ -41,8 +41,8 @@
 	s.conns.mu.Lock()
 	defer s.conns.mu.Unlock()
 	var counts []ClosedConnections
-	for reason, n := range s.conns.closedByReason {
-		counts = append(counts, ClosedConnections{closeReason(reason).String(), n})
+	for reason, count := range s.conns.closedByReason {
+		counts = append(counts, ClosedConnections{closeReason(reason).String(), count})
 	}
 	return counts
 }
--- a/internal/frontend/http1/connmanager.go
+++ b/internal/frontend/http1/connmanager.go
@@ -158,10 +158,10 @@
 
 // reserveBytes reserves n more bytes of buffers for a connection, and reports whether the client's limit allows
 // it. With force the bytes are reserved even beyond the limit.
-func (m *connManager) reserveBytes(c *conn, n int64, force bool) bool {
+func (m *connManager) reserveBytes(c *conn, byteCount int64, force bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.ReserveBytes(c.entry, n, force)
+	return m.table.ReserveBytes(c.entry, byteCount, force)
 }
 
 // finishRequest marks a connection as idle after the response to its request, and reports whether it may stay open.
--- a/internal/frontend/http1/exchange.go
+++ b/internal/frontend/http1/exchange.go
@@ -41,7 +41,7 @@
 func (x *exchange) forward(parsed *parsedRequest, path string) bool {
 	server := x.server
 	rt := parsed.route
-	call := parsed.call
+	call := parsed.coreCall
 	out := parsed.outbound
 	if !server.conns.markBusy(x.conn) {
 		return false
@@ -59,9 +59,9 @@
 	if deadline := server.responseDeadline.Load(); deadline > 0 {
 		call.Request.Deadline = min(call.Request.Deadline, deadline)
 	}
-	key := rt.IdempotencyKey.value(x.conn, x.request, path)
+	idempotencyKey := rt.IdempotencyKey.value(x.conn, x.request, path)
 	object := rt.Object.value(x.conn, x.request, path)
-	x.record = server.newExchangeRecord(x.conn, call, rt.Name, key, object, parsed.bodyLength())
+	x.record = server.newExchangeRecord(x.conn, call, rt.Name, idempotencyKey, object, parsed.bodyLength())
 	return x.submit(call, out)
 }
 
--- a/internal/frontend/http1/exchange_record.go
+++ b/internal/frontend/http1/exchange_record.go
@@ -30,7 +30,7 @@
 
 // newExchangeRecord returns the record of a request that is about to be submitted, or nil if nothing is recorded.
 func (s *Server) newExchangeRecord(
-	c *conn, call *core.Call, route, key, object string, requestBytes int64,
+	c *conn, call *core.Call, routeName, idempotencyKey, object string, requestBytes int64,
 ) *ExchangeRecord {
 	if s.options.RecordExchange == nil {
 		return nil
@@ -39,10 +39,10 @@
 		ArrivedAt:      call.ArrivedAt,
 		ClientTimeout:  call.Request.Deadline - call.ArrivedAt,
 		ClientName:     c.client.Name,
-		RouteName:      route,
+		RouteName:      routeName,
 		Class:          call.Request.Class,
 		Tenant:         call.Request.Tenant,
-		IdempotencyKey: key,
+		IdempotencyKey: idempotencyKey,
 		Object:         object,
 		Retry:          call.Request.Retry,
 		RequestBytes:   requestBytes,
--- a/internal/frontend/http1/head.go
+++ b/internal/frontend/http1/head.go
@@ -21,29 +21,29 @@
 	if err := http1msg.CheckHead(head, singletons); err != nil {
 		return nil, err
 	}
-	r, err := http.ReadRequest(c.buffer)
-	if err == nil && len(r.TransferEncoding) > 0 {
-		r.Header["Transfer-Encoding"] = r.TransferEncoding // package http1msg looks for it in the header
+	req, err := http.ReadRequest(c.buffer)
+	if err == nil && len(req.TransferEncoding) > 0 {
+		req.Header["Transfer-Encoding"] = req.TransferEncoding // package http1msg looks for it in the header
 	}
-	return r, err
+	return req, err
 }
 
 // readHead waits for the complete head of a request and returns it, including its final empty line. The head is not
 // consumed from the connection's buffer.
 func (c *conn) readHead() ([]byte, error) {
-	r := c.ensureBuffer()
+	reader := c.ensureBuffer()
 	scanned := 0
 	for {
-		b, _ := r.Peek(r.Buffered())
-		headLength, nextScanned, err := http1msg.FindHeadEnd(b, scanned)
+		received, _ := reader.Peek(reader.Buffered())
+		headLength, nextScanned, err := http1msg.FindHeadEnd(received, scanned)
 		if headLength > 0 || err != nil {
-			return b[:headLength], err
+			return received[:headLength], err
 		}
-		if scanned = nextScanned; len(b) == r.Size() {
-			r = c.enlargeBuffer()
+		if scanned = nextScanned; len(received) == reader.Size() {
+			reader = c.enlargeBuffer()
 		}
-		if _, err := r.Peek(len(b) + 1); err != nil && r.Buffered() <= len(b) {
-			if errors.Is(err, io.EOF) && len(b) > 0 {
+		if _, err := reader.Peek(len(received) + 1); err != nil && reader.Buffered() <= len(received) {
+			if errors.Is(err, io.EOF) && len(received) > 0 {
 				err = io.ErrUnexpectedEOF
 			}
 			return nil, err
@@ -54,8 +54,8 @@
 // enlargeBuffer replaces the connection's buffer with a buffer large enough for the largest head. It is kept
 // until the connection is idle.
 func (c *conn) enlargeBuffer() *bufio.Reader {
-	b, _ := c.buffer.Peek(c.buffer.Buffered())
-	received := bytes.NewReader(bytes.Clone(b))
+	buffered, _ := c.buffer.Peek(c.buffer.Buffered())
+	received := bytes.NewReader(bytes.Clone(buffered))
 	if c.buffer.Size() == readBufferSize {
 		c.buffer.Reset(nil)
 		readerPool.Put(c.buffer)
--- a/internal/frontend/http1/head_test.go
+++ b/internal/frontend/http1/head_test.go
@@ -81,12 +81,14 @@
 }
 
 // isAmbiguous reports whether an accepted head can be read in two ways: it has a line end other than CRLF, a
-// folded field, or two body lengths. r is the parsed head.
-func isAmbiguous(text []byte, r *http.Request) bool {
+// folded field, or two body lengths. parsed is the head as this
+// package reads it.
+func isAmbiguous(text []byte, parsed *http.Request) bool {
 	head, _, _ := bytes.Cut(text, []byte("\r\n\r\n"))
 	return bytes.Count(head, []byte("\n")) != bytes.Count(head, []byte("\r\n")) ||
 		bytes.Contains(head, []byte("\n ")) || bytes.Contains(head, []byte("\n\t")) ||
-		len(r.Header["Content-Length"]) > 1 || len(r.TransferEncoding) > 0 && r.Header.Get("Content-Length") != ""
+		len(parsed.Header["Content-Length"]) > 1 ||
+		len(parsed.TransferEncoding) > 0 && parsed.Header.Get("Content-Length") != ""
 }
 
 // After a head of any size the connection can release its buffer, so that an idle connection keeps none.
@@ -97,14 +99,14 @@
 	} {
 		text := "GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("y", size) + "\r\n\r\n"
 		c := newConnReading(strings.NewReader(text))
-		r, err := c.readRequest(nil)
+		request, err := c.readRequest(nil)
 		if len(text) > MaxHeaderBytes {
 			if err == nil || c.readLimit.N > 0 {
 				t.Errorf("%d bytes: %v, want an end at %d", len(text), err, MaxHeaderBytes)
 			}
 			continue
 		}
-		if err != nil || len(r.Header.Get("X")) != size {
+		if err != nil || len(request.Header.Get("X")) != size {
 			t.Errorf("%d bytes: %v", len(text), err)
 		}
 		c.releaseBuffer()
--- a/internal/frontend/http1/local_response.go
+++ b/internal/frontend/http1/local_response.go
@@ -24,9 +24,9 @@
 }
 
 // setRetryAfter sets the Retry-After header, in seconds with three decimals, if d is positive. It returns r.
-func (r *localResponse) setRetryAfter(d time.Duration) *localResponse {
-	if d > 0 {
-		r.header.Set("Retry-After", strconv.FormatFloat(d.Seconds(), 'f', 3, 64))
+func (r *localResponse) setRetryAfter(delay time.Duration) *localResponse {
+	if delay > 0 {
+		r.header.Set("Retry-After", strconv.FormatFloat(delay.Seconds(), 'f', 3, 64))
 	}
 	return r
 }
--- a/internal/frontend/http1/outcomes.go
+++ b/internal/frontend/http1/outcomes.go
@@ -18,8 +18,8 @@
 	byClass []OutcomeCounts
 }
 
-func newOutcomeCounter(classes int) outcomeCounter {
-	return outcomeCounter{byClass: make([]OutcomeCounts, classes)}
+func newOutcomeCounter(classCount int) outcomeCounter {
+	return outcomeCounter{byClass: make([]OutcomeCounts, classCount)}
 }
 
 // record counts a final response with a status. Status 0 means that there was no response, and is not counted.
--- a/internal/frontend/http1/request_errors.go
+++ b/internal/frontend/http1/request_errors.go
@@ -58,8 +58,8 @@
 		response.status = reqErr.status
 		response.setRetryAfter(reqErr.retryAfter)
 	}
-	if reqErr := (*http1msg.HeadError)(nil); errors.As(err, &reqErr) {
-		response.status = reqErr.Status
+	if headErr := (*http1msg.HeadError)(nil); errors.As(err, &headErr) {
+		response.status = headErr.Status
 	}
 	return response
 }
--- a/internal/frontend/http1/response.go
+++ b/internal/frontend/http1/response.go
@@ -195,8 +195,9 @@
 			buf = append(buf, "Trailer: "+strings.Join(names, ", ")+"\r\n"...)
 		}
 	case framing.noBody:
-		if n := response.Header["Content-Length"]; len(n) == 1 && response.StatusCode != http.StatusNoContent {
-			buf = append(buf, "Content-Length: "+n[0]+"\r\n"...) // the length of the body that a GET would receive
+		if lengths := response.Header["Content-Length"]; len(lengths) == 1 &&
+			response.StatusCode != http.StatusNoContent {
+			buf = append(buf, "Content-Length: "+lengths[0]+"\r\n"...) // length of the body that a GET would receive
 		}
 	case response.Stream == nil:
 		buf = append(buf, "Content-Length: "+strconv.Itoa(len(response.Buffered))+"\r\n"...)
@@ -231,17 +232,17 @@
 	defer copyBufferPool.Put(buf)
 	for {
 		n, err := readAvailable(rest, http1msg.ChunkData(buf[:]))
-		piece := http1msg.ChunkData(buf[:])[:n]
+		output := http1msg.ChunkData(buf[:])[:n]
 		if n > 0 && chunked {
-			piece = http1msg.FrameChunk(buf[:], n)
+			output = http1msg.FrameChunk(buf[:], n)
 		}
 		bodyEnded := errors.Is(err, io.EOF)
 		if bodyEnded && chunked {
-			piece = http1msg.AppendLastChunk(piece, rest.Trailer())
+			output = http1msg.AppendLastChunk(output, rest.Trailer())
 		}
-		if len(piece) > 0 {
+		if len(output) > 0 {
 			x.conn.SetWriteDeadline(time.Now().Add(x.idleTimeout))
-			if _, writeErr := x.conn.Write(piece); writeErr != nil {
+			if _, writeErr := x.conn.Write(output); writeErr != nil {
 				return errClientWrite
 			}
 		}
--- a/internal/frontend/http1/routed_requests.go
+++ b/internal/frontend/http1/routed_requests.go
@@ -58,7 +58,7 @@
 	if parsed.route, err = routes.match(req, host, path); err != nil {
 		return parsed, "", err
 	}
-	if parsed.call, parsed.outbound, err = s.newRoutedCall(c, req, parsed.route, host, path, query); err != nil {
+	if parsed.coreCall, parsed.outbound, err = s.newRoutedCall(c, req, parsed.route, host, path, query); err != nil {
 		return parsed, "", err
 	}
 	parsed.framing, err = http1msg.RequestFraming(req.Header)
@@ -217,8 +217,8 @@
 			header[name] = values
 		}
 	}
-	if te := req.Header["Te"]; len(te) == 1 && strings.EqualFold(te[0], "trailers") {
-		header["Te"] = te // this server forwards trailers
+	if teValues := req.Header["Te"]; len(teValues) == 1 && strings.EqualFold(teValues[0], "trailers") {
+		header["Te"] = teValues // this server forwards trailers
 	}
 	return header
 }
@@ -253,23 +253,23 @@
 	if addr, ok := c.RemoteAddr().(*net.TCPAddr); ok {
 		address = addr.IP.String()
 	}
-	appendTo := func(name, v string) {
-		header[name] = []string{strings.Join(append(slices.Clone(earlierHops[name]), v), ", ")}
+	appendToHeader := func(name, value string) {
+		header[name] = []string{strings.Join(append(slices.Clone(earlierHops[name]), value), ", ")}
 	}
-	setIfAbsent := func(name, v string) {
+	setIfAbsent := func(name, value string) {
 		if header[name] = earlierHops[name]; len(header[name]) == 0 {
-			header[name] = []string{v}
+			header[name] = []string{value}
 		}
 	}
 	switch rt.ForwardedMode {
 	case ForwardedXHeaders:
-		appendTo("X-Forwarded-For", address)
+		appendToHeader("X-Forwarded-For", address)
 		setIfAbsent("X-Forwarded-Host", req.Host)
 		setIfAbsent("X-Forwarded-Proto", "http")
 	case ForwardedStandard:
 		if strings.Contains(address, ":") {
 			address = `"[` + address + `]"`
 		}
-		appendTo("Forwarded", "for="+address+";host="+strconv.Quote(req.Host)+";proto=http")
+		appendToHeader("Forwarded", "for="+address+";host="+strconv.Quote(req.Host)+";proto=http")
 	}
 }
--- a/internal/frontend/http1/routes.go
+++ b/internal/frontend/http1/routes.go
@@ -62,15 +62,15 @@
 	Add    map[string]string
 }
 
-func (e *HeaderEdits) apply(h http.Header) {
+func (e *HeaderEdits) apply(header http.Header) {
 	for _, name := range e.Remove {
-		delete(h, name)
+		delete(header, name)
 	}
 	for name, v := range e.Set {
-		h[name] = []string{v}
+		header[name] = []string{v}
 	}
 	for name, v := range e.Add {
-		h[name] = append(slices.Clip(h[name]), v)
+		header[name] = append(slices.Clip(header[name]), v)
 	}
 }
 
@@ -105,16 +105,16 @@
 }
 
 // value returns the value of a request, or "" if it has none. path is the normalized path of the request.
-func (s *ValueSource) value(c *conn, r *http.Request, path string) string {
+func (s *ValueSource) value(c *conn, req *http.Request, path string) string {
 	switch s.Kind {
 	case FromHeader:
-		return r.Header.Get(s.Name)
+		return req.Header.Get(s.Name)
 	case FromPathSegment:
-		v, err := url.PathUnescape(route.Segment(path, s.Segment))
+		segment, err := url.PathUnescape(route.Segment(path, s.Segment))
 		if err != nil {
 			return ""
 		}
-		return v
+		return segment
 	case FromClientName:
 		return c.client.Name
 	case FixedValue:
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -224,8 +224,8 @@
 }
 
 // isVisibleASCII reports whether a header's value is not empty and consists of visible ASCII characters.
-func isVisibleASCII(v string) bool {
-	return v != "" && !strings.ContainsFunc(v, func(c rune) bool { return c <= ' ' || c > '~' })
+func isVisibleASCII(value string) bool {
+	return value != "" && !strings.ContainsFunc(value, func(c rune) bool { return c <= ' ' || c > '~' })
 }
 
 // objectKey returns the number that identifies an object: its name parsed as a hexadecimal number, or the FNV-1a
@@ -237,7 +237,7 @@
 	if v, err := strconv.ParseUint(object, 16, 64); err == nil {
 		return v
 	}
-	h := fnv.New64a()
-	_, _ = io.WriteString(h, object) // writing to a hash does not fail
-	return h.Sum64()
+	hash := fnv.New64a()
+	_, _ = io.WriteString(hash, object) // writing to a hash does not fail
+	return hash.Sum64()
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,8 +1,10 @@
 // Package platform reads the configuration that the platform provides for a sidecar (page DEPLOY): JSON in the
 // file that ROUTER_CONFIG names, and environment variables with the prefix ROUTER_, which take precedence over
-// the file. The platform defines the names of keys and variables. The keys of the file are struct tags in this
-// package, and the variables are constants. The keys under settings are converted to the simulator's text format,
-// which package wire maps to the settings of package balancer.
+// the file.
+//
+// The platform defines the names of keys and variables. The keys of the file are struct tags in this package, and
+// the variables are constants. The keys under settings are converted to the simulator's text format, which
+// package wire maps to the settings of package balancer.
 package platform
 
 import (
@@ -195,13 +197,13 @@
 
 // applyVariables sets the fields for which environment variables are set.
 func (c *Config) applyVariables(getenv func(string) string) error {
-	for name, value := range map[string]*string{
+	for variable, value := range map[string]*string{
 		varName:      &c.Name,
 		varListen:    &c.Listen,
 		varDiscovery: &c.Discovery,
 		varAdmin:     &c.AdminAddress,
 	} {
-		if v := getenv(name); v != "" {
+		if v := getenv(variable); v != "" {
 			*value = v
 		}
 	}
@@ -238,14 +240,14 @@
 
 // checkAddresses returns an error if an address does not have the form host:port.
 func (c *Config) checkAddresses() error {
-	for _, a := range []struct{ key, address string }{
+	for _, setting := range []struct{ key, address string }{
 		{"listen", c.Listen},
 		{"discovery", c.Discovery},
 		{"discovery", cmp.Or(c.FileDiscovery, c.Discovery)},
 		{"operator", cmp.Or(c.AdminAddress, c.Listen)},
 	} {
-		if _, _, err := net.SplitHostPort(a.address); err != nil {
-			return &ConfigError{a.key, err}
+		if _, _, err := net.SplitHostPort(setting.address); err != nil {
+			return &ConfigError{setting.key, err}
 		}
 	}
 	return nil
@@ -315,24 +317,24 @@
 }
 
 // setNames sets the fields of Site that package wire does not read. It returns an error if a class has no name.
-func (c *Config) setNames(names *settingsNames) error {
+func (c *Config) setNames(settings *settingsNames) error {
 	site := &c.Site
-	site.Zones = names.Zones
-	site.Kinds = names.Kinds
-	for i, class := range names.Classes {
+	site.Zones = settings.Zones
+	site.Kinds = settings.Kinds
+	for i, class := range settings.Classes {
 		if class.Name == "" {
 			return &ConfigError{fmt.Sprintf("settings.classes.%d.name", i), errors.New("is missing")}
 		}
 		site.Classes = append(site.Classes, class.Name)
 	}
-	for _, tenant := range names.Tenants {
+	for _, tenant := range settings.Tenants {
 		site.Tenants = append(site.Tenants, tenant.Name)
 	}
-	if names.LoadReports.Source != wire.NoReports {
-		site.LoadReportFields = names.LoadReports.Fields
+	if settings.LoadReports.Source != wire.NoReports {
+		site.LoadReportFields = settings.LoadReports.Fields
 	}
-	site.ReportsOnResponses = names.LoadReports.Source == wire.ReportsOnRequests
-	site.KeepAlive = time.Duration(names.Limits.KeepAlive) * time.Microsecond
+	site.ReportsOnResponses = settings.LoadReports.Source == wire.ReportsOnRequests
+	site.KeepAlive = time.Duration(settings.Limits.KeepAlive) * time.Microsecond
 	if site.KeepAlive <= 0 {
 		site.KeepAlive = defaultKeepAlive
 	}
