--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -69,7 +69,7 @@
 	}
 	responseBody, err := io.ReadAll(response.Body)
 	if err != nil || !response.Close {
-		t.Errorf("%.60q: %v, closes %v", text, err, response.Close)
+		t.Errorf("%.60q: error %v, connection closed: %v", text, err, response.Close)
 	}
 	return response.StatusCode, response.Header.Get("Allow"), string(responseBody)
 }
@@ -118,7 +118,7 @@
 		}
 	}
 	if got, want := fmt.Sprint(cordons()), "[s-1 true s-1 false s-2 false]"; got != want {
-		t.Errorf("executed: %s, want %s", got, want)
+		t.Errorf("SetCordon calls: %s, want %s", got, want)
 	}
 }
 
@@ -137,10 +137,10 @@
 	for range 2 * maxConns {
 		start := time.Now()
 		if code, _, _ := roundTrip(t, addr, getRequest("/ready")); code != 200 {
-			t.Errorf("answered %d", code)
+			t.Errorf("response status %d", code)
 		}
 		if took := time.Since(start); took > time.Second {
-			t.Errorf("answered after %v", took)
+			t.Errorf("response after %v", took)
 		}
 	}
 }
@@ -160,7 +160,7 @@
 		t.Errorf("%d %q", code, body)
 	}
 	if took := time.Since(start); took > backendTimeout+time.Second {
-		t.Errorf("answered after %v", took)
+		t.Errorf("response after %v", took)
 	}
 	code, _, body = roundTrip(t, addr, getRequest("/ready"))
 	if code != 503 || !strings.Contains(body, "no endpoint") {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -40,8 +40,8 @@
 // those in want.
 func expectRequest(t *testing.T, server *scripteddiscovery.Server, want string) {
 	t.Helper()
-	if got := scriptedpeer.Receive(t, server.Requests, "call"); got != want {
-		t.Errorf("call with %q, want %q", got, want)
+	if got := scriptedpeer.Receive(t, server.Requests, "request"); got != want {
+		t.Errorf("request with %q, want %q", got, want)
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 	server.Lines <- scripteddiscovery.Line(9, false) + scripteddiscovery.Line(10, false)
 	for want := int64(9); want <= 10; want++ {
-		if got := scriptedpeer.Receive(t, updates, "list of two on a line"); got.Generation != want {
+		if got := scriptedpeer.Receive(t, updates, "one of two lists on one line"); got.Generation != want {
 			t.Errorf("generation %d, want %d", got.Generation, want)
 		}
 	}
@@ -190,7 +190,7 @@
 	t.Cleanup(source.Close)
 	scriptedpeer.Receive(t, updates, "first list")
 	silentSince := <-fellSilentAt
-	if got := scriptedpeer.Receive(t, updates, "list of the watch that answers"); got.Generation != 9 {
+	if got := scriptedpeer.Receive(t, updates, "list of generation 9"); got.Generation != 9 {
 		t.Errorf("generation %d", got.Generation)
 	}
 	if took := time.Since(silentSince); took > 6*time.Second {
@@ -206,20 +206,20 @@
 	updates := startWatching(t, server, scriptedpeer.WaitTimeout)
 	expectRequest(t, server, "1 7")
 	server.Lines <- scripteddiscovery.Line(41, true)
-	scriptedpeer.Receive(t, updates, "list before")
+	scriptedpeer.Receive(t, updates, "list before the restart")
 	server.Lines <- scripteddiscovery.Line(3, true) // stale: the watch has already sent a later list
 	server.Lines <- ""
 	expectRequest(t, server, "1 41")
 	server.Lines <- scripteddiscovery.Line(3, true, scripteddiscovery.Up("s-1", "127.0.0.1:1"))
 	expectRequest(t, server, " ") // a request for the complete list
 	server.Lines <- scripteddiscovery.Line(3, true, scripteddiscovery.Up("s-1", "127.0.0.1:1"))
-	got := scriptedpeer.Receive(t, updates, "list of the new history")
+	got := scriptedpeer.Receive(t, updates, "complete list after the restart")
 	if got.Generation != 3 || !got.NewSource || !got.GenerationsReset || got.Kind != balancer.ListFull {
 		t.Errorf("update %+v", got)
 	}
 	expectRequest(t, server, "1 3")
 	server.Lines <- scripteddiscovery.Line(4, false)
-	if got := scriptedpeer.Receive(t, updates, "what follows"); got.Generation != 4 || got.NewSource {
+	if got := scriptedpeer.Receive(t, updates, "next list after the restart"); got.Generation != 4 || got.NewSource {
 		t.Errorf("update %+v", got)
 	}
 }
--- a/internal/discovery/listreader.go
+++ b/internal/discovery/listreader.go
@@ -36,7 +36,7 @@
 // only after months, and the watch is then opened again.
 func (l *listReader) Read(buffer []byte) (int, error) {
 	if l.bytesRead-l.listOffset > l.maxListBytes {
-		return 0, fmt.Errorf("a list of over %d bytes", l.maxListBytes)
+		return 0, fmt.Errorf("list exceeds %d bytes", l.maxListBytes)
 	}
 	n, err := l.body.Read(buffer)
 	if n > 0 {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -180,7 +180,7 @@
 			// The call requested lists after w.generation, so discovery may have restarted with lower
 			// generations. The generation of its complete list shows whether it has.
 			w.receivedOlderList = true
-			return received, fmt.Errorf("discovery answered with generation %d after %d: fetching the complete list",
+			return received, fmt.Errorf("discovery sent generation %d, older than %d: fetching the complete list",
 				list.Generation, w.generation)
 		}
 		if list.Generation < w.generation {
@@ -243,7 +243,7 @@
 	}
 	if response.StatusCode != http.StatusOK {
 		_ = response.Body.Close()
-		return nil, fmt.Errorf("discovery answered %s", response.Status)
+		return nil, fmt.Errorf("discovery responded with status %s", response.Status)
 	}
 	return response, nil
 }
--- a/internal/endpointsource/file.go
+++ b/internal/endpointsource/file.go
@@ -109,7 +109,7 @@
 	defer file.Close()
 	content, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	if err == nil && len(content) > maxFileBytes {
-		err = fmt.Errorf("over %d bytes", maxFileBytes)
+		err = fmt.Errorf("file exceeds %d bytes", maxFileBytes)
 	}
 	return content, err
 }
@@ -126,7 +126,7 @@
 // correct it. In lists from discovery, each entry is accepted or rejected on its own.
 func validate(list *discovery.List) error {
 	if list.Instances == nil {
-		return errors.New(`no "instances"`)
+		return errors.New(`"instances" is missing`)
 	}
 	seenIDs := map[string]bool{}
 	for i, instance := range list.Instances {
@@ -134,7 +134,7 @@
 		case instance.ID == "" || instance.Address == "":
 			return fmt.Errorf("instance %d has no instanceId or no hostPort", i)
 		case seenIDs[instance.ID]:
-			return fmt.Errorf("instanceId %q stands twice", instance.ID)
+			return fmt.Errorf("instanceId %q occurs more than once", instance.ID)
 		case instance.Lifecycle != discovery.LifecycleUp && instance.Lifecycle != discovery.LifecycleDraining:
 			return fmt.Errorf("%s: lifecycle %q is neither up nor draining", instance.ID, instance.Lifecycle)
 		}
--- a/internal/frontend/http1/client_watch.go
+++ b/internal/frontend/http1/client_watch.go
@@ -31,7 +31,7 @@
 
 // errClientDisconnected is sent to clientWatch.disconnected if polling the socket finds that the client has
 // closed the connection.
-var errClientDisconnected = errors.New("the client has left")
+var errClientDisconnected = errors.New("the client has closed its connection")
 
 // newClientWatch returns a watch that is not started. With readsInput the watch reads from the connection, and
 // nothing else may read from it between start and the return of stop.
--- a/internal/frontend/http1/connmanager_test.go
+++ b/internal/frontend/http1/connmanager_test.go
@@ -113,7 +113,7 @@
 	}
 	io.WriteString(client, "z")
 	if got := scriptedpeer.Receive(t, received, "a byte"); got != 'z' {
-		t.Fatal("closed")
+		t.Fatal("the connection was closed")
 	}
 }
 
@@ -169,7 +169,7 @@
 	closed := !ct.table.MarkBusy(firstConn.entry)
 	ct.mu.Unlock()
 	if closed == tc.survives {
-		t.Errorf("closed: %v", closed)
+		t.Errorf("evicted: %v", closed)
 	}
 }
 
--- a/internal/frontend/http1/head_test.go
+++ b/internal/frontend/http1/head_test.go
@@ -64,11 +64,11 @@
 		}
 		for _, other := range []*http.Request{byteByByte, stdlibRequest} {
 			if !equalRequests(request, other) {
-				t.Errorf("%q: %+v and %+v", text, request, other)
+				t.Errorf("%q: parsed as %+v and as %+v", text, request, other)
 			}
 		}
 		if isAmbiguous(text, request) {
-			t.Errorf("%q was accepted", text)
+			t.Errorf("ambiguous head %q was accepted", text)
 		}
 	})
 }
@@ -81,8 +81,7 @@
 }
 
 // isAmbiguous reports whether an accepted head can be read in two ways: it has a line end other than CRLF, a
-// folded field, or two body lengths. parsed is the head as this
-// package reads it.
+// folded field, or two body lengths. text is the input, and parsed is the request read from it.
 func isAmbiguous(text []byte, parsed *http.Request) bool {
 	head, _, _ := bytes.Cut(text, []byte("\r\n\r\n"))
 	return bytes.Count(head, []byte("\n")) != bytes.Count(head, []byte("\r\n")) ||
@@ -102,7 +101,7 @@
 		request, err := c.readRequest(nil)
 		if len(text) > MaxHeaderBytes {
 			if err == nil || c.readLimit.N > 0 {
-				t.Errorf("%d bytes: %v, want an end at %d", len(text), err, MaxHeaderBytes)
+				t.Errorf("%d bytes: error %v, want an error at %d bytes", len(text), err, MaxHeaderBytes)
 			}
 			continue
 		}
@@ -116,6 +115,6 @@
 	}
 	_, err := newConnReading(strings.NewReader(strings.Repeat("x", 10))).readRequest(nil)
 	if !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("half a head: %v", err)
+		t.Errorf("incomplete head: error %v, want io.ErrUnexpectedEOF", err)
 	}
 }
--- a/internal/frontend/http1/response.go
+++ b/internal/frontend/http1/response.go
@@ -28,7 +28,7 @@
 
 // Errors of a streamed response body that was not forwarded completely.
 var (
-	errClientWrite       = errors.New("the client does not read the response")
+	errClientWrite       = errors.New("writing the response to the client failed")
 	errUpstreamTruncated = errors.New("the endpoint's response body is truncated")
 )
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -210,7 +210,7 @@
 	if v := getenv(varInheritedFD); v != "" {
 		fd, err := strconv.Atoi(v)
 		if err != nil || fd < firstInheritedFD {
-			return &ConfigError{varInheritedFD, fmt.Errorf("%q is no descriptor from 3 on", v)}
+			return &ConfigError{varInheritedFD, fmt.Errorf("%q is not a descriptor of at least 3", v)}
 		}
 		c.InheritedFD = fd
 		c.SharedDir = getenv(varSharedDir)
@@ -264,7 +264,7 @@
 	if v := file.Limits.Sockets; v != nil {
 		c.Sockets = *v
 		if *v < MinSockets {
-			return &ConfigError{"limits.sockets", fmt.Errorf("%d is under %d", *v, MinSockets)}
+			return &ConfigError{"limits.sockets", fmt.Errorf("%d is less than %d", *v, MinSockets)}
 		}
 	}
 	return nil
