--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -24,7 +24,7 @@
 const (
 	maxConns       = 8                      // open at the same time; a further one replaces one without a complete call
 	requestTimeout = 2 * time.Second        // for reading a call completely, and for writing its response
-	backendTimeout = 700 * time.Millisecond // for the backend to execute a call
+	backendTimeout = 700 * time.Millisecond // timeout of the context with which the backend executes a call
 	maxBodyBytes   = 4 << 10                // of the body of a call
 	maxHeaderBytes = 4 << 10                // of the head of a call
 	maxTargetBytes = 256                    // of the endpoint ID in a call
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -60,7 +60,7 @@
 	server.Lines <- scripteddiscovery.Line(8, true, scripteddiscovery.Up("s-1", "127.0.0.1:1"))
 	expectUpdate(8)
 	server.Lines <- " "
-	server.Lines <- scripteddiscovery.Line(5, true) // stale
+	server.Lines <- scripteddiscovery.Line(5, true) // stale: older than generation 8
 	server.Lines <- scripteddiscovery.Line(9, false)
 	expectUpdate(9)
 	server.Lines <- ""
--- a/internal/frontend/http1/client_watch.go
+++ b/internal/frontend/http1/client_watch.go
@@ -86,7 +86,7 @@
 		noneReceived = noneReceived && buffered == 0
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull), errors.Is(err, io.EOF) && w.conn.readLimit.N <= 0:
-			return nil // no more can be read
+			return nil // the buffer is full, or the read limit is reached
 		case err != nil:
 			return err
 		}
@@ -97,7 +97,7 @@
 // pollSocket polls the socket until the client has closed its connection or the watch is stopped.
 func (w *clientWatch) pollSocket() error {
 	if w.conn.input.rawConn == nil {
-		return nil // not a socket
+		return nil // only a socket can be polled
 	}
 	tick := time.NewTicker(clientPollInterval)
 	defer tick.Stop()
--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -20,7 +20,7 @@
 	buffer    *bufio.Reader    // nil while nothing is being read, so that idle connections use no buffer
 
 	// Guarded by connManager.mu.
-	entry            *connlimit.Conn[*conn]
+	tableEntry       *connlimit.Conn[*conn]
 	awaitingRequest  bool // the connection waits for the first byte of a request
 	requestStarted   bool // a request has started to arrive, and the connection is not marked busy yet
 	waitInterrupted  bool // setHandoff has interrupted the wait for a request, to offer the connection
--- a/internal/frontend/http1/connclose.go
+++ b/internal/frontend/http1/connclose.go
@@ -12,11 +12,11 @@
 
 const (
 	closedExpired    closeReason = iota // the connection was idle for too long
-	closedEvicted                       // it was closed to make room for another connection or to free a descriptor
+	closedEvicted                       // closed to make room for another connection or to free a descriptor
 	closedDraining                      // this process is shutting down
 	closedIncomplete                    // this process is shutting down, and only a part of a request had arrived
 	closedRejected                      // the limits did not allow a new connection
-	numCloseReasons                     // number of reasons
+	numCloseReasons                     // number of close reasons
 )
 
 var closeReasonNames = [numCloseReasons]string{"expired", "evicted", "draining", "incomplete", "rejected"}
@@ -71,7 +71,7 @@
 	client := entry.Value.client
 	totalOpen, totalBusy := m.table.Counts()
 	clientOpen, clientBusy := client.connOwner.Connections()
-	// In a goroutine, because a slow reader of the log must not hold the mutex.
+	// The line is logged in a goroutine, so that a slow reader of the log does not block the mutex.
 	go m.log.Info("idle client connection closed early", "client", client.Name, "reason", reason.String(),
 		"idle_ms", idle/monotime.Millisecond,
 		"idle_of_client", clientOpen-clientBusy, "idle_of_all", totalOpen-totalBusy)
--- a/internal/frontend/http1/connmanager.go
+++ b/internal/frontend/http1/connmanager.go
@@ -72,7 +72,7 @@
 		onClose()
 		return
 	}
-	c.entry = entry
+	c.tableEntry = entry
 	m.closeExpiredLocked()
 	m.servingCount++
 	go func() {
@@ -88,7 +88,7 @@
 func (m *connManager) remove(c *conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.closeLocked(c.entry)
+	m.closeLocked(c.tableEntry)
 	m.servingCount--
 	if m.servingCount == 0 {
 		for _, drained := range m.drainWaiters {
@@ -153,7 +153,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c.requestStarted = false
-	return m.table.MarkBusy(c.entry)
+	return m.table.MarkBusy(c.tableEntry)
 }
 
 // reserveBytes reserves n more bytes of buffers for a connection, and reports whether the client's limit allows
@@ -161,7 +161,7 @@
 func (m *connManager) reserveBytes(c *conn, byteCount int64, force bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.ReserveBytes(c.entry, byteCount, force)
+	return m.table.ReserveBytes(c.tableEntry, byteCount, force)
 }
 
 // finishRequest marks a connection as idle after the response to its request, and reports whether it may stay open.
@@ -170,9 +170,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c.input.setUnexamined(c.hasBuffered())
-	m.closeWithReasonLocked(m.table.MarkIdle(m.clock.Now(), c.entry), closedEvicted)
+	m.closeWithReasonLocked(m.table.MarkIdle(m.clock.Now(), c.tableEntry), closedEvicted)
 	m.closeExpiredLocked()
-	return !m.closing || !c.input.isDrained()
+	return !m.closing || !c.input.allBytesExamined()
 }
 
 // closeAll closes all connections, including those with a request in flight.
@@ -200,7 +200,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.table.Each(func(entry *connlimit.Conn[*conn]) {
-		if c := entry.Value; c.requestStarted && c.input.isDrained() {
+		if c := entry.Value; c.requestStarted && c.input.allBytesExamined() {
 			m.closeWithReasonLocked(entry, closedIncomplete)
 			closed++
 		}
@@ -213,5 +213,5 @@
 // connection, but not while the manager is closing: for its client the connection was not idle, so the client
 // would not send the request again.
 func (m *connManager) isEvictable(c *conn) bool {
-	return c.input.isDrained() && !(m.closing && c.requestStarted)
+	return c.input.allBytesExamined() && !(m.closing && c.requestStarted)
 }
--- a/internal/frontend/http1/connmanager_test.go
+++ b/internal/frontend/http1/connmanager_test.go
@@ -12,26 +12,26 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// connTest is a test fixture: a connManager with one client, and a listener for the client's connections.
-type connTest struct {
+// managerFixture is a test fixture: a connManager with one client, and a listener for the client's connections.
+type managerFixture struct {
 	*connManager
 	client   *Client
 	listener net.Listener
 }
 
-func newConnTest(t *testing.T, limits connlimit.Limits, serve func(*connManager, *conn)) *connTest {
+func newManagerFixture(t *testing.T, limits connlimit.Limits, serve func(*connManager, *conn)) *managerFixture {
 	t.Helper()
 	var m *connManager
 	m, err := newConnManager(limits, clock.New(), func(c *conn) { serve(m, c) }, scriptedpeer.DiscardLog)
 	require.NoError(t, err)
 	client := &Client{connOwner: m.table.NewOwner(1, limits.MaxConnections, 0)}
-	return &connTest{connManager: m, client: client, listener: listen(t)}
+	return &managerFixture{connManager: m, client: client, listener: listen(t)}
 }
 
-func (ct *connTest) identify(net.Conn) (*Client, func(), error) { return ct.client, nil, nil }
+func (ct *managerFixture) identify(net.Conn) (*Client, func(), error) { return ct.client, nil, nil }
 
 // connect opens a connection that the manager serves, and returns the client's end of it.
-func (ct *connTest) connect(t *testing.T) net.Conn {
+func (ct *managerFixture) connect(t *testing.T) net.Conn {
 	t.Helper()
 	client, server := connectedPair(t, ct.listener)
 	ct.add(server, ct.identify)
@@ -78,7 +78,7 @@
 	}
 }
 
-func (ct *connTest) countAwaitingRequest() int {
+func (ct *managerFixture) countAwaitingRequest() int {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	count := 0
@@ -95,7 +95,7 @@
 func TestHandoffEndedAtOnceKeepsTheConnection(t *testing.T) {
 	received := make(chan byte, 1)
 	limits := connlimit.Limits{MaxConnections: 2, MaxIdle: 2, MaxIdleTime: 1e9}
-	ct := newConnTest(t, limits, sendReceivedBytes(received))
+	ct := newManagerFixture(t, limits, sendReceivedBytes(received))
 	go func() { _ = ct.accept(ct.listener, ct.identify) }()
 	client := dial(t, ct.listener)
 	for sentByte := byte('a'); sentByte < 'e'; sentByte++ {
@@ -121,8 +121,8 @@
 // been read. A connection is evicted if only a part of a request has arrived and the server waits for the rest.
 func TestConnectionWithUnexaminedInputIsNotEvicted(t *testing.T) {
 	for name, tc := range map[string]evictionCase{
-		"in the kernel":  {input: "GET / HTTP/1.1\r\n\r\n", survives: true},
-		"read":           {input: "GET / HTTP/1.1\r\n\r\n", serverReads: true, survives: true},
+		"in the kernel":  {input: "GET / HTTP/1.1\r\n\r\n", mustSurvive: true},
+		"read":           {input: "GET / HTTP/1.1\r\n\r\n", serverReads: true, mustSurvive: true},
 		"does not go on": {input: "GET / HT", serverReads: true, serverReadsAgain: true},
 		"sends nothing":  {},
 	} {
@@ -135,14 +135,14 @@
 	input            string
 	serverReads      bool // the server has read the input
 	serverReadsAgain bool // the server then waits for more input, which does not arrive
-	survives         bool // whether the connection must not be evicted
+	mustSurvive      bool // whether the connection must not be evicted
 }
 
 func (tc evictionCase) run(t *testing.T) {
 	served := make(chan *conn, 2)
 	testEnded := make(chan struct{})
 	limits := connlimit.Limits{MaxConnections: 4, MaxIdle: 1, MaxIdleTime: 1e9, MinIdleTime: 1e9}
-	ct := newConnTest(t, limits, func(_ *connManager, c *conn) {
+	ct := newManagerFixture(t, limits, func(_ *connManager, c *conn) {
 		if tc.serverReads {
 			if _, err := c.input.Read(make([]byte, 100)); err != nil {
 				return // the second connection, when the test ends
@@ -159,16 +159,16 @@
 	io.WriteString(client, tc.input)
 	firstConn := scriptedpeer.Receive(t, served, "the server's read")
 	switch {
-	case tc.serverReadsAgain: // isDrained is true once the server waits for more
-		scriptedpeer.Eventually(t, "the server's second read", firstConn.input.isDrained)
+	case tc.serverReadsAgain: // allBytesExamined is true once the server waits for more
+		scriptedpeer.Eventually(t, "the server's second read", firstConn.input.allBytesExamined)
 	case tc.input != "" && !tc.serverReads:
-		scriptedpeer.Eventually(t, "bytes in the kernel", func() bool { return !firstConn.input.isDrained() })
+		scriptedpeer.Eventually(t, "bytes in the kernel", func() bool { return !firstConn.input.allBytesExamined() })
 	}
 	ct.connect(t)
 	ct.mu.Lock()
-	closed := !ct.table.MarkBusy(firstConn.entry)
+	closed := !ct.table.MarkBusy(firstConn.tableEntry)
 	ct.mu.Unlock()
-	if closed == tc.survives {
+	if closed == tc.mustSurvive {
 		t.Errorf("evicted: %v", closed)
 	}
 }
--- a/internal/frontend/http1/exchange_record.go
+++ b/internal/frontend/http1/exchange_record.go
@@ -25,7 +25,7 @@
 	// are not set in that case.
 	ClientGone bool
 	Response   engine.Response // Response.Result must no longer be used
-	Status     int             // HTTP status that the client received
+	Status     int             // HTTP status of the response to the client
 }
 
 // newExchangeRecord returns the record of a request that is about to be submitted, or nil if nothing is recorded.
--- a/internal/frontend/http1/handoff.go
+++ b/internal/frontend/http1/handoff.go
@@ -60,7 +60,7 @@
 		// has ended.
 		timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 		waitAgain := c.waitInterrupted && timedOut
-		arrived := err == nil || timedOut && !c.input.isDrained() // the first byte may have arrived at the deadline
+		arrived := err == nil || timedOut && !c.input.allBytesExamined() // a byte may arrive at the deadline
 		c.awaitingRequest = false
 		c.waitInterrupted = false
 		c.requestStarted = arrived && !waitAgain
--- a/internal/frontend/http1/peekable.go
+++ b/internal/frontend/http1/peekable.go
@@ -63,8 +63,8 @@
 	return p.readCount, nil
 }
 
-// receive makes one attempt to read, and reports whether the read is complete. It holds the mutex, so that isDrained
-// always sees the bytes either in the kernel or marked as unexamined.
+// receive makes one attempt to read, and reports whether the read is complete. It holds the mutex, so that
+// allBytesExamined always sees the bytes either in the kernel or marked as unexamined.
 func (p *peekableConn) receive(fd uintptr) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,9 +102,9 @@
 	p.mu.Unlock()
 }
 
-// isDrained reports whether the caller has examined all bytes that have arrived. The end of the connection does
-// not count as a byte.
-func (p *peekableConn) isDrained() bool {
+// allBytesExamined reports whether the caller has examined all bytes that have arrived. The end of the connection
+// does not count as a byte.
+func (p *peekableConn) allBytesExamined() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.unexamined {
--- a/internal/frontend/http1/routes.go
+++ b/internal/frontend/http1/routes.go
@@ -81,7 +81,7 @@
 const (
 	ForwardedUnchanged ForwardedMode = iota // the client's headers are forwarded unchanged
 	ForwardedNone                           // no such header is sent
-	ForwardedXHeaders                       // X-Forwarded-For, -Host and -Proto
+	ForwardedXHeaders                       // X-Forwarded-For, X-Forwarded-Host and X-Forwarded-Proto
 	ForwardedStandard                       // Forwarded, RFC 7239
 )
 
@@ -100,8 +100,8 @@
 // ValueSource determines where a value of a request, such as its tenant, comes from.
 type ValueSource struct {
 	Kind    SourceKind
-	Name    string // canonical name of the header, or the fixed value
-	Segment int    // index of the path segment
+	Name    string // canonical name of the header for FromHeader; the value for FixedValue
+	Segment int    // index of the path segment, for FromPathSegment
 }
 
 // value returns the value of a request, or "" if it has none. path is the normalized path of the request.
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -135,7 +135,7 @@
 	}
 	deadline := s.responseDeadline.Load()
 	c.input.setUnexamined(c.hasBuffered()) // bytes of the current request do not count as another request
-	return c.input.isDrained() || deadline > 0 && s.options.Clock.Now() >= deadline
+	return c.input.allBytesExamined() || deadline > 0 && s.options.Clock.Now() >= deadline
 }
 
 // WaitDrained waits until no connection is being served. It returns the error of ctx if ctx ends first.
@@ -159,7 +159,7 @@
 		}
 		deadline = time.Time{}
 	}
-	if s.closing.Load() && !c.input.isDrained() {
+	if s.closing.Load() && !c.input.allBytesExamined() {
 		c.linger() // more bytes arrived while the last response was written
 	}
 }
