--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -16,13 +16,14 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// startServer serves calls until the test ends. cordons returns the calls of SetCordon that succeeded.
+// startServer starts a server that serves calls until the test ends. cordons returns the endpoint and value of
+// each successful SetCordon call.
 func startServer(t *testing.T, backend Backend) (addr string, cordons func() []string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var mu sync.Mutex
-	var all []string
+	var cordonCalls []string
 	if backend.SetCordon == nil {
 		backend.SetCordon = func(_ context.Context, endpoint string, cordoned bool) error {
 			if endpoint == "s-nobody" {
@@ -30,7 +31,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, fmt.Sprint(endpoint, " ", cordoned))
+			cordonCalls = append(cordonCalls, fmt.Sprint(endpoint, " ", cordoned))
 			return nil
 		}
 	}
@@ -39,22 +40,22 @@
 	}
 	backend.Metrics = func(context.Context) ([]byte, error) { return []byte("open_requests=3\n"), nil }
 	backend.Log = slog.New(slog.DiscardHandler)
-	ended := make(chan error, 1)
-	go func() { ended <- Serve(ln, backend) }()
+	serveResult := make(chan error, 1)
+	go func() { serveResult <- Serve(ln, backend) }()
 	t.Cleanup(func() {
 		ln.Close()
-		if err := <-ended; err != nil {
+		if err := <-serveResult; err != nil {
 			t.Error(err)
 		}
 	})
 	return ln.Addr().String(), func() []string {
 		mu.Lock()
 		defer mu.Unlock()
-		return all
+		return cordonCalls
 	}
 }
 
-// roundTrip sends the text of a call and returns its response.
+// roundTrip sends the text of an HTTP request and returns the status, the Allow header and the body of the response.
 func roundTrip(t *testing.T, addr, text string) (code int, allow, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -62,15 +63,15 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	io.WriteString(c, text)
-	r, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatalf("%.60q: %v", text, err)
 	}
-	all, err := io.ReadAll(r.Body)
-	if err != nil || !r.Close {
-		t.Errorf("%.60q: %v, closes %v", text, err, r.Close)
+	responseBody, err := io.ReadAll(response.Body)
+	if err != nil || !response.Close {
+		t.Errorf("%.60q: error %v, connection closed: %v", text, err, response.Close)
 	}
-	return r.StatusCode, r.Header.Get("Allow"), string(all)
+	return response.StatusCode, response.Header.Get("Allow"), string(responseBody)
 }
 
 func postRequest(path, body string) string {
@@ -81,7 +82,7 @@
 
 func TestRequests(t *testing.T) {
 	addr, cordons := startServer(t, Backend{})
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		text  string
 		code  int
 		allow string
@@ -111,18 +112,18 @@
 		{getRequest("/nothing"), 404, "", "/metrics"},
 		{"GET /ready\r\n\r\n", 400, "", ""},
 	} {
-		code, allow, body := roundTrip(t, addr, c.text)
-		if code != c.code || allow != c.allow || !strings.Contains(body, c.want) {
-			t.Errorf("%.60q: %d %q %q", c.text, code, allow, body)
+		code, allow, body := roundTrip(t, addr, tc.text)
+		if code != tc.code || allow != tc.allow || !strings.Contains(body, tc.want) {
+			t.Errorf("%.60q: %d %q %q", tc.text, code, allow, body)
 		}
 	}
 	if got, want := fmt.Sprint(cordons()), "[s-1 true s-1 false s-2 false]"; got != want {
-		t.Errorf("executed: %s, want %s", got, want)
+		t.Errorf("SetCordon calls: %s, want %s", got, want)
 	}
 }
 
-// Three times as many connections as may be open send nothing, or a part of a call. A complete call gets its
-// response at once nevertheless.
+// Connections that send nothing or only a part of a call must not delay other calls, even if there are three
+// times as many of them as may be open.
 func TestSilentConnectionsDoNotBlockOthers(t *testing.T) {
 	addr, _ := startServer(t, Backend{})
 	for i := range 3 * maxConns {
@@ -136,15 +137,15 @@
 	for range 2 * maxConns {
 		start := time.Now()
 		if code, _, _ := roundTrip(t, addr, getRequest("/ready")); code != 200 {
-			t.Errorf("answered %d", code)
+			t.Errorf("response status %d", code)
 		}
 		if took := time.Since(start); took > time.Second {
-			t.Errorf("answered after %v", took)
+			t.Errorf("response after %v", took)
 		}
 	}
 }
 
-// The response to a call that a busy process does not execute in time is an error, in time.
+// If the backend does not execute a call within its timeout, the client gets an error response, and gets it in time.
 func TestSlowBackendIsReportedInTime(t *testing.T) {
 	addr, _ := startServer(t, Backend{
 		Ready: func() (bool, string) { return false, "no endpoint" },
@@ -159,7 +160,7 @@
 		t.Errorf("%d %q", code, body)
 	}
 	if took := time.Since(start); took > backendTimeout+time.Second {
-		t.Errorf("answered after %v", took)
+		t.Errorf("response after %v", took)
 	}
 	code, _, body = roundTrip(t, addr, getRequest("/ready"))
 	if code != 503 || !strings.Contains(body, "no endpoint") {
--- a/internal/endpointsource/file.go
+++ b/internal/endpointsource/file.go
@@ -15,44 +15,45 @@
 	"dunlinsail/internal/discovery"
 )
 
-// DefaultFileInterval is the pause between two reads of a file.
+// DefaultFileInterval is the default interval between two reads of an endpoint file.
 const DefaultFileInterval = time.Second
 
-// maxFileBytes is the largest accepted size of a file.
+// maxFileBytes is the largest accepted size of an endpoint file in bytes.
 const maxFileBytes = 64 << 20
 
-// File watches a file that holds a list in discovery's form. The list's own generation and reset are not used: the file
-// always holds the complete list, and each change of it is a new generation.
+// File watches a file that contains an endpoint list in the format of the discovery protocol. The generation and
+// reset fields of the list are ignored: the file always contains the complete list, and each change of it is a
+// new generation.
 type File struct {
 	path     string
 	interval time.Duration
 	onUpdate discovery.UpdateFunc
 	log      *slog.Logger
 
-	content    []byte // of the latest list; nil before the first
+	content    []byte // content of the file with the latest valid list; nil before the first one
 	generation int64
-	lastError  string // the error that was logged last; "" after a valid list
+	lastError  string // text of the error that was logged last; "" after a valid list
 
-	cancel  context.CancelFunc
-	running sync.WaitGroup
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
-// WatchFile reads a file at once and then at each interval until Close, in a goroutine that Close ends. A file that
-// cannot be read or is invalid, as while an editor writes it, leaves the list before it in effect. Its error is logged
-// once, until it changes.
+// WatchFile reads a file immediately, and then once in each interval in a goroutine, until Close. If the file
+// cannot be read or is invalid, for example while an editor writes it, the previous list stays in effect, and the
+// error is logged. The same error is not logged again on the next reads.
 func WatchFile(path string, interval time.Duration, onUpdate discovery.UpdateFunc, log *slog.Logger) *File {
 	f := &File{path: path, interval: interval, onUpdate: onUpdate, log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
 	f.reload(ctx)
-	f.running.Go(func() { f.poll(ctx) })
+	f.goroutines.Go(func() { f.poll(ctx) })
 	return f
 }
 
-// Close ends the watch and waits for its goroutine. No update is passed on after it returns.
+// Close ends the watch and waits for its goroutine. No update is passed on after Close returns.
 func (f *File) Close() {
 	f.cancel()
-	f.running.Wait()
+	f.goroutines.Wait()
 }
 
 func (f *File) poll(ctx context.Context) {
@@ -68,10 +69,10 @@
 	}
 }
 
-// reload passes on the file's list if its content has changed. The content is compared, and not the time of
-// modification, whose resolution may be too coarse for two changes in succession.
+// reload reads the file and passes on its list if the content has changed. It compares the content instead of the
+// modification time, whose resolution may be too coarse for two changes in quick succession.
 func (f *File) reload(ctx context.Context) {
-	content, err := f.read()
+	content, err := f.readFile()
 	if err == nil && f.content != nil && bytes.Equal(content, f.content) {
 		return
 	}
@@ -100,7 +101,7 @@
 	f.log.Warn("endpoint file rejected", "file", f.path, "error", err)
 }
 
-func (f *File) read() ([]byte, error) {
+func (f *File) readFile() ([]byte, error) {
 	file, err := os.Open(f.path)
 	if err != nil {
 		return nil, err
@@ -108,7 +109,7 @@
 	defer file.Close()
 	content, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	if err == nil && len(content) > maxFileBytes {
-		err = fmt.Errorf("over %d bytes", maxFileBytes)
+		err = fmt.Errorf("file exceeds %d bytes", maxFileBytes)
 	}
 	return content, err
 }
@@ -121,23 +122,23 @@
 	return list, validate(list)
 }
 
-// validate returns the first error in a list. One invalid entry rejects the complete file, whose author can mend it;
-// discovery's lists are accepted entry by entry.
+// validate returns the first error in a list. One invalid entry rejects the complete file, because its author can
+// correct it. In lists from discovery, each entry is accepted or rejected on its own.
 func validate(list *discovery.List) error {
 	if list.Instances == nil {
-		return errors.New(`no "instances"`)
+		return errors.New(`"instances" is missing`)
 	}
-	seen := map[string]bool{}
+	seenIDs := map[string]bool{}
 	for i, instance := range list.Instances {
 		switch {
 		case instance.ID == "" || instance.Address == "":
 			return fmt.Errorf("instance %d has no instanceId or no hostPort", i)
-		case seen[instance.ID]:
-			return fmt.Errorf("instanceId %q stands twice", instance.ID)
+		case seenIDs[instance.ID]:
+			return fmt.Errorf("instanceId %q occurs more than once", instance.ID)
 		case instance.Lifecycle != discovery.LifecycleUp && instance.Lifecycle != discovery.LifecycleDraining:
 			return fmt.Errorf("%s: lifecycle %q is neither up nor draining", instance.ID, instance.Lifecycle)
 		}
-		seen[instance.ID] = true
+		seenIDs[instance.ID] = true
 	}
 	return nil
 }
--- a/internal/frontend/http1/client_watch.go
+++ b/internal/frontend/http1/client_watch.go
@@ -9,80 +9,84 @@
 	"time"
 )
 
-// clientPollInterval is how often the socket is polled for the client having closed its connection, while the
-// connection cannot be read.
+// clientPollInterval is the interval between polls that check whether the client has closed its connection, while
+// clientWatch cannot read from it.
 const clientPollInterval = 50 * time.Millisecond
 
-// clientWatch detects that a client closes its connection while its request is in flight. What it sends meanwhile,
-// perhaps the start of its next request, is read into the connection's buffer: the end of the connection is behind
-// that. Where no more can be read, since the buffer is full or the current request's body is still to be read, the
-// socket is polled. The goroutine of a watch runs from start to stop.
+// clientWatch detects that a client closes its connection while its request is in flight. Bytes that the client
+// sends in the meantime, such as the start of its next request, are read into the connection's buffer, because
+// the end of the connection is only visible after them. If no more can be read, because the buffer is full or the
+// body of the current request has not been read, the socket is polled instead. The watch's goroutine runs from
+// start to stop.
 type clientWatch struct {
-	gone         chan error    // receives an error once the client has closed its connection
+	disconnected chan error    // receives an error once the client has closed its connection
 	inputArrived chan struct{} // receives a value once pipelined is set
 
 	conn       *conn
 	readsInput bool
-	pipelined  []byte // the first bytes that arrived behind the request
+	pipelined  []byte // the first bytes that arrived after the request
 	stopping   chan struct{}
-	done       chan struct{} // closed once the goroutine has ended; nil before start
+	ended      chan struct{} // closed once the goroutine has ended; nil before start
 }
 
-// errClientGone is sent to clientWatch.gone where the end of a connection is detected behind unread bytes.
-var errClientGone = errors.New("the client has left")
+// errClientDisconnected is sent to clientWatch.disconnected if polling the socket finds that the client has
+// closed the connection.
+var errClientDisconnected = errors.New("the client has closed its connection")
 
-// newClientWatch returns a watch that is not started. With readsInput it reads the connection, and nothing else may
-// read it until stop returns.
+// newClientWatch returns a watch that is not started. With readsInput the watch reads from the connection, and
+// nothing else may read from it between start and the return of stop.
 func (c *conn) newClientWatch(readsInput bool) *clientWatch {
 	return &clientWatch{
 		conn:         c,
 		readsInput:   readsInput,
-		gone:         make(chan error, 1),
+		disconnected: make(chan error, 1),
 		inputArrived: make(chan struct{}, 1),
 		stopping:     make(chan struct{}),
 	}
 }
 
-// clientGone reports, without waiting, whether the client closed its connection before the watch was started.
-func (w *clientWatch) clientGone() bool {
+// clientDisconnected reports, without waiting, whether the client closed its connection before the watch was
+// started.
+func (w *clientWatch) clientDisconnected() bool {
 	return (!w.readsInput || w.conn.buffer.Buffered() == 0) && w.conn.input.peerClosed()
 }
 
 // start starts the watch's goroutine.
 func (w *clientWatch) start() {
-	w.done = make(chan struct{})
+	w.ended = make(chan struct{})
 	w.conn.SetReadDeadline(time.Time{})
 	if w.readsInput {
 		w.conn.readLimit.N = MaxHeaderBytes
 	}
 	go func() {
-		defer close(w.done)
+		defer close(w.ended)
 		err := w.readInput()
 		if err == nil {
 			err = w.pollSocket()
 		}
 		if err != nil {
-			w.gone <- err
+			w.disconnected <- err
 		}
 	}()
 }
 
-// readInput reads until nothing more can be read.
+// readInput reads what the client sends into the connection's buffer until the buffer is full or the read limit is
+// reached (nil), or a read fails. It returns nil at once if the watch does not read input.
 func (w *clientWatch) readInput() error {
-	first := true
+	noneReceived := true
 	for w.readsInput {
-		n := w.conn.buffer.Buffered()
-		_, err := w.conn.buffer.Peek(n + 1)
-		more := w.conn.buffer.Buffered()
-		if first && n == 0 && more > 0 {
-			b, _ := w.conn.buffer.Peek(more)
-			w.pipelined = bytes.Clone(b) // later reads move them
+		bufferedBefore := w.conn.buffer.Buffered()
+		_, err := w.conn.buffer.Peek(bufferedBefore + 1)
+		buffered := w.conn.buffer.Buffered()
+		if noneReceived && bufferedBefore == 0 && buffered > 0 {
+			received, _ := w.conn.buffer.Peek(buffered)
+			w.pipelined = bytes.Clone(received) // later reads may move the buffered bytes
 			w.inputArrived <- struct{}{}
 		}
-		first = first && more == 0
+		noneReceived = noneReceived && buffered == 0
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull), errors.Is(err, io.EOF) && w.conn.readLimit.N <= 0:
-			return nil // no more can be read
+			return nil // the buffer is full, or the read limit is reached
 		case err != nil:
 			return err
 		}
@@ -93,7 +97,7 @@
 // pollSocket polls the socket until the client has closed its connection or the watch is stopped.
 func (w *clientWatch) pollSocket() error {
 	if w.conn.input.rawConn == nil {
-		return nil // not a socket
+		return nil // only a socket can be polled
 	}
 	tick := time.NewTicker(clientPollInterval)
 	defer tick.Stop()
@@ -101,7 +105,7 @@
 		select {
 		case <-tick.C:
 			if w.conn.input.peerClosed() {
-				return errClientGone
+				return errClientDisconnected
 			}
 		case <-w.stopping:
 			return nil
@@ -109,22 +113,23 @@
 	}
 }
 
-// stop ends the watch and waits for its goroutine. The connection can be read again after it returns.
+// stop ends the watch and waits for its goroutine. Other goroutines may read from the connection after it returns.
 func (w *clientWatch) stop() {
 	close(w.stopping)
 	if w.readsInput {
 		w.conn.SetReadDeadline(expiredDeadline)
 	}
-	<-w.done
+	<-w.ended
 }
 
-// peerClosed reports, without waiting, whether the client has closed the connection, whatever has arrived before that.
+// peerClosed reports, without waiting, whether the client has closed the connection, even if unread bytes precede
+// its end.
 func (p *peekableConn) peerClosed() bool {
 	if p.rawConn == nil {
 		return false
 	}
 	closed := false
-	// The callback is not called where this side has closed the connection already.
+	// Control fails without calling the callback if this process has already closed the connection.
 	_ = p.rawConn.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -134,7 +139,7 @@
 			closed = true
 		case n == 0:
 			closed = true
-		default: // the end may be behind unread bytes
+		default: // the end may follow unread bytes
 			closed = pollEvents(fd, pollRDHup) != 0
 		}
 	})
--- a/internal/frontend/http1/connclose.go
+++ b/internal/frontend/http1/connclose.go
@@ -7,59 +7,60 @@
 	"dunlinsail/internal/monotime"
 )
 
-// closeReason is why this process closed a client's connection between requests.
+// closeReason is the reason for which this process closed a client's connection between requests.
 type closeReason uint8
 
 const (
-	closedExpired    closeReason = iota // it was idle for too long
-	closedEvicted                       // for another connection, or for lack of descriptors
-	closedDraining                      // this process stops serving
-	closedIncomplete                    // the same, and only a part of a request had arrived
-	closedRejected                      // it was new, and the limits did not allow it
-	closeReasons                        // number of reasons
+	closedExpired    closeReason = iota // the connection was idle for too long
+	closedEvicted                       // closed to make room for another connection or to free a descriptor
+	closedDraining                      // this process is shutting down
+	closedIncomplete                    // this process is shutting down, and only a part of a request had arrived
+	closedRejected                      // the limits did not allow a new connection
+	numCloseReasons                     // number of close reasons
 )
 
-var closeReasonNames = [closeReasons]string{"expired", "evicted", "draining", "incomplete", "rejected"}
+var closeReasonNames = [numCloseReasons]string{"expired", "evicted", "draining", "incomplete", "rejected"}
 
 func (r closeReason) String() string { return closeReasonNames[r] }
 
-// earlyCloseDivisor: a connection is closed early if it was idle for less than this part of the longest idle time.
+// earlyCloseDivisor defines an early close: the connection was idle for less than maxIdleTime / earlyCloseDivisor.
 const earlyCloseDivisor = 2
 
-// earlyCloseLogInterval is how long after an early close has been logged another one is not.
+// earlyCloseLogInterval is the shortest interval between two log lines about early closes.
 const earlyCloseLogInterval = time.Second
 
-// ClosedConnections is how many connections this process has closed between requests for one reason.
+// ClosedConnections is the number of connections that this process has closed between requests for one reason.
 type ClosedConnections struct {
 	Reason string
 	Count  uint64
 }
 
-// ClosedConnections returns how many connections this process has closed between requests, by reason.
+// ClosedConnections returns, for each reason, the number of connections that this process has closed between
+// requests.
 func (s *Server) ClosedConnections() []ClosedConnections {
 	s.conns.mu.Lock()
 	defer s.conns.mu.Unlock()
-	var all []ClosedConnections
-	for reason, n := range s.conns.closed {
-		all = append(all, ClosedConnections{closeReason(reason).String(), n})
+	var counts []ClosedConnections
+	for reason, count := range s.conns.closedByReason {
+		counts = append(counts, ClosedConnections{closeReason(reason).String(), count})
 	}
-	return all
+	return counts
 }
 
-// closeForLocked closes a connection for a reason, and counts it; nil is none.
-func (m *connManager) closeForLocked(entry *connlimit.Conn[*conn], reason closeReason) {
+// closeWithReasonLocked closes the connection of entry and counts it under reason. It does nothing if entry is nil.
+func (m *connManager) closeWithReasonLocked(entry *connlimit.Conn[*conn], reason closeReason) {
 	if entry == nil {
 		return
 	}
-	m.closed[reason]++
+	m.closedByReason[reason]++
 	if reason == closedExpired || reason == closedEvicted {
 		m.logEarlyCloseLocked(entry, reason)
 	}
 	m.closeLocked(entry)
 }
 
-// logEarlyCloseLocked logs, once in earlyCloseLogInterval at most, that an idle connection is closed long before the
-// longest idle time, because there are many.
+// logEarlyCloseLocked logs, at most once in earlyCloseLogInterval, that an idle connection is closed long before
+// maxIdleTime, because too many connections are open.
 func (m *connManager) logEarlyCloseLocked(entry *connlimit.Conn[*conn], reason closeReason) {
 	now := m.clock.Now()
 	idle := entry.IdleTime(now)
@@ -68,9 +69,10 @@
 	}
 	m.nextEarlyCloseLog = now + monotime.Micros(earlyCloseLogInterval/time.Microsecond)
 	client := entry.Value.client
-	all, busy := m.table.Counts()
-	ofClient, busyOfClient := client.connOwner.Connections()
-	// In a goroutine, because a slow reader of the log must not hold the mutex.
+	totalOpen, totalBusy := m.table.Counts()
+	clientOpen, clientBusy := client.connOwner.Connections()
+	// The line is logged in a goroutine, so that a slow reader of the log does not block the mutex.
 	go m.log.Info("idle client connection closed early", "client", client.Name, "reason", reason.String(),
-		"idle_ms", idle/monotime.Millisecond, "idle_of_client", ofClient-busyOfClient, "idle_of_all", all-busy)
+		"idle_ms", idle/monotime.Millisecond,
+		"idle_of_client", clientOpen-clientBusy, "idle_of_all", totalOpen-totalBusy)
 }
--- a/internal/frontend/http1/connmanager_test.go
+++ b/internal/frontend/http1/connmanager_test.go
@@ -12,26 +12,26 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// connTest is a connManager with one client, and a listener.
-type connTest struct {
+// managerFixture is a test fixture: a connManager with one client, and a listener for the client's connections.
+type managerFixture struct {
 	*connManager
 	client   *Client
 	listener net.Listener
 }
 
-func newConnTest(t *testing.T, limits connlimit.Limits, serve func(*connManager, *conn)) *connTest {
+func newManagerFixture(t *testing.T, limits connlimit.Limits, serve func(*connManager, *conn)) *managerFixture {
 	t.Helper()
 	var m *connManager
 	m, err := newConnManager(limits, clock.New(), func(c *conn) { serve(m, c) }, scriptedpeer.DiscardLog)
 	require.NoError(t, err)
 	client := &Client{connOwner: m.table.NewOwner(1, limits.MaxConnections, 0)}
-	return &connTest{connManager: m, client: client, listener: listen(t)}
+	return &managerFixture{connManager: m, client: client, listener: listen(t)}
 }
 
-func (ct *connTest) identify(net.Conn) (*Client, func(), error) { return ct.client, nil, nil }
+func (ct *managerFixture) identify(net.Conn) (*Client, func(), error) { return ct.client, nil, nil }
 
-// connect returns the client's end of a new connection that the manager serves.
-func (ct *connTest) connect(t *testing.T) net.Conn {
+// connect opens a connection that the manager serves, and returns the client's end of it.
+func (ct *managerFixture) connect(t *testing.T) net.Conn {
 	t.Helper()
 	client, server := connectedPair(t, ct.listener)
 	ct.add(server, ct.identify)
@@ -62,12 +62,13 @@
 	return client, server
 }
 
-// serveBytes sends each byte that starts a request, and closes the channel at the connection's end.
-func serveBytes(received chan<- byte) func(*connManager, *conn) {
+// sendReceivedBytes returns a serve function that treats each byte from the client as a request and sends it to
+// received. It closes received at the end of the connection.
+func sendReceivedBytes(received chan<- byte) func(*connManager, *conn) {
 	return func(m *connManager, c *conn) {
 		defer close(received)
 		for m.awaitRequest(c, time.Time{}) {
-			c.SetReadDeadline(time.Time{}) // as serveRequest does, the deadline that ended the wait is replaced
+			c.SetReadDeadline(time.Time{}) // as in serveRequest: the deadline that may have ended the wait is removed
 			var b [1]byte
 			if _, err := c.Read(b[:]); err != nil {
 				return
@@ -77,102 +78,104 @@
 	}
 }
 
-func (ct *connTest) awaitingRequests() int {
+func (ct *managerFixture) countAwaitingRequest() int {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
-	n := 0
+	count := 0
 	ct.table.EachIdle(func(entry *connlimit.Conn[*conn]) {
 		if entry.Value.awaitingRequest {
-			n++
+			count++
 		}
 	})
-	return n
+	return count
 }
 
-// An idle connection that is interrupted to be handed over stays open if the handing over ends before it was offered.
+// A handoff that is turned on and off again at once must not close idle connections: turning it on interrupts
+// their wait for a request, and turning it off happens before they have been offered.
 func TestHandoffEndedAtOnceKeepsTheConnection(t *testing.T) {
 	received := make(chan byte, 1)
 	limits := connlimit.Limits{MaxConnections: 2, MaxIdle: 2, MaxIdleTime: 1e9}
-	ct := newConnTest(t, limits, serveBytes(received))
+	ct := newManagerFixture(t, limits, sendReceivedBytes(received))
 	go func() { _ = ct.accept(ct.listener, ct.identify) }()
 	client := dial(t, ct.listener)
-	for round := byte('a'); round < 'e'; round++ {
-		if _, err := client.Write([]byte{round}); err != nil {
+	for sentByte := byte('a'); sentByte < 'e'; sentByte++ {
+		if _, err := client.Write([]byte{sentByte}); err != nil {
 			t.Fatal(err)
 		}
-		if got := scriptedpeer.Receive(t, received, "a byte"); got != round {
-			t.Fatalf("%q, want %q", got, round)
+		if got := scriptedpeer.Receive(t, received, "a byte"); got != sentByte {
+			t.Fatalf("%q, want %q", got, sentByte)
 		}
-		scriptedpeer.Eventually(t, "the idle connection", func() bool { return ct.awaitingRequests() == 1 })
-		ct.mu.Lock() // whatever the connection does, it does after both
+		scriptedpeer.Eventually(t, "the idle connection", func() bool { return ct.countAwaitingRequest() == 1 })
+		ct.mu.Lock() // so that the connection's goroutine proceeds only after both calls
 		ct.setHandoffLocked(func(net.Conn) bool { t.Error("handed over"); return true })
 		ct.setHandoffLocked(nil)
 		ct.mu.Unlock()
 	}
 	io.WriteString(client, "z")
 	if got := scriptedpeer.Receive(t, received, "a byte"); got != 'z' {
-		t.Fatal("closed")
+		t.Fatal("the connection was closed")
 	}
 }
 
-// A connection is not evicted while a request has arrived on it, whether that is in the kernel or has just been read.
-// It is evicted if a request has started to arrive and does not go on.
+// A connection on which a request has arrived is not evicted, whether the bytes are still in the kernel or have just
+// been read. A connection is evicted if only a part of a request has arrived and the server waits for the rest.
 func TestConnectionWithUnexaminedInputIsNotEvicted(t *testing.T) {
 	for name, tc := range map[string]evictionCase{
-		"in the kernel":  {input: "GET / HTTP/1.1\r\n\r\n", survives: true},
-		"read":           {input: "GET / HTTP/1.1\r\n\r\n", read: true, survives: true},
-		"does not go on": {input: "GET / HT", read: true, readAgain: true},
+		"in the kernel":  {input: "GET / HTTP/1.1\r\n\r\n", mustSurvive: true},
+		"read":           {input: "GET / HTTP/1.1\r\n\r\n", serverReads: true, mustSurvive: true},
+		"does not go on": {input: "GET / HT", serverReads: true, serverReadsAgain: true},
 		"sends nothing":  {},
 	} {
 		t.Run(name, tc.run)
 	}
 }
 
-// evictionCase is what has arrived on an idle connection when another one is accepted beyond the limit.
+// evictionCase describes the state of an idle connection when another connection exceeds the limit.
 type evictionCase struct {
-	input     string
-	read      bool // the server reads the input
-	readAgain bool // it then waits for more, which does not arrive
-	survives  bool // the connection is not evicted
+	input            string
+	serverReads      bool // the server has read the input
+	serverReadsAgain bool // the server then waits for more input, which does not arrive
+	mustSurvive      bool // whether the connection must not be evicted
 }
 
 func (tc evictionCase) run(t *testing.T) {
 	served := make(chan *conn, 2)
-	over := make(chan struct{})
+	testEnded := make(chan struct{})
 	limits := connlimit.Limits{MaxConnections: 4, MaxIdle: 1, MaxIdleTime: 1e9, MinIdleTime: 1e9}
-	ct := newConnTest(t, limits, func(_ *connManager, c *conn) {
-		if tc.read {
+	ct := newManagerFixture(t, limits, func(_ *connManager, c *conn) {
+		if tc.serverReads {
 			if _, err := c.input.Read(make([]byte, 100)); err != nil {
-				return // the second connection, at the end
+				return // the second connection, when the test ends
 			}
 		}
 		served <- c
-		if tc.readAgain {
+		if tc.serverReadsAgain {
 			_, _ = c.input.Read(make([]byte, 1)) // until the client has closed the connection
 		}
-		<-over
+		<-testEnded
 	})
-	defer close(over)
-	first := ct.connect(t)
-	io.WriteString(first, tc.input)
-	c := scriptedpeer.Receive(t, served, "the server's read")
+	defer close(testEnded)
+	client := ct.connect(t)
+	io.WriteString(client, tc.input)
+	firstConn := scriptedpeer.Receive(t, served, "the server's read")
 	switch {
-	case tc.readAgain: // until it waits for more
-		scriptedpeer.Eventually(t, "the server's second read", c.input.isDrained)
-	case tc.input != "" && !tc.read:
-		scriptedpeer.Eventually(t, "bytes in the kernel", func() bool { return !c.input.isDrained() })
+	case tc.serverReadsAgain: // allBytesExamined is true once the server waits for more
+		scriptedpeer.Eventually(t, "the server's second read", firstConn.input.allBytesExamined)
+	case tc.input != "" && !tc.serverReads:
+		scriptedpeer.Eventually(t, "bytes in the kernel", func() bool { return !firstConn.input.allBytesExamined() })
 	}
 	ct.connect(t)
 	ct.mu.Lock()
-	closed := !ct.table.MarkBusy(c.entry)
+	closed := !ct.table.MarkBusy(firstConn.tableEntry)
 	ct.mu.Unlock()
-	if closed == tc.survives {
-		t.Errorf("closed: %v", closed)
+	if closed == tc.mustSurvive {
+		t.Errorf("evicted: %v", closed)
 	}
 }
 
-// While the server is closing, a response is the last on its connection unless more has arrived behind its request.
-// What was read of the request itself does not count, also where the response is written before the server reads again.
+// While the server is closing, a response is the last one on its connection unless bytes of a next request have
+// arrived. Bytes of the current request must not count as a next request, even if the server has not read again
+// since.
 func TestLastResponseUnlessNextRequestArrived(t *testing.T) {
 	client, server := connectedPair(t, listen(t))
 	defer server.Close()
--- a/internal/frontend/http1/head.go
+++ b/internal/frontend/http1/head.go
@@ -10,8 +10,9 @@
 	"dunlinsail/internal/http1msg"
 )
 
-// readRequest reads a request's head, strictly. singletons are fields that may occur once at most and must be end to
-// end, in addition to http1msg.SingletonHeaders. Its error is an *http1msg.HeadError where the head is malformed.
+// readRequest reads the head of a request with strict checks. singletons are header fields that, like
+// http1msg.SingletonHeaders, may occur at most once and must be end-to-end fields. The error is an
+// *http1msg.HeadError if the head is malformed.
 func (c *conn) readRequest(singletons map[string]bool) (*http.Request, error) {
 	head, err := c.readHead()
 	if err != nil {
@@ -20,29 +21,29 @@
 	if err := http1msg.CheckHead(head, singletons); err != nil {
 		return nil, err
 	}
-	r, err := http.ReadRequest(c.buffer)
-	if err == nil && len(r.TransferEncoding) > 0 {
-		r.Header["Transfer-Encoding"] = r.TransferEncoding // where package http1msg looks for it
+	req, err := http.ReadRequest(c.buffer)
+	if err == nil && len(req.TransferEncoding) > 0 {
+		req.Header["Transfer-Encoding"] = req.TransferEncoding // package http1msg looks for it in the header
 	}
-	return r, err
+	return req, err
 }
 
-// readHead waits for a request's head and returns it, its empty line included, without consuming it from the
-// connection's buffer.
+// readHead waits for the complete head of a request and returns it, including its final empty line. The head is not
+// consumed from the connection's buffer.
 func (c *conn) readHead() ([]byte, error) {
-	r := c.ensureBuffer()
-	seen := 0
+	reader := c.ensureBuffer()
+	scanned := 0
 	for {
-		b, _ := r.Peek(r.Buffered())
-		n, next, err := http1msg.FindHeadEnd(b, seen)
-		if n > 0 || err != nil {
-			return b[:n], err
+		received, _ := reader.Peek(reader.Buffered())
+		headLength, nextScanned, err := http1msg.FindHeadEnd(received, scanned)
+		if headLength > 0 || err != nil {
+			return received[:headLength], err
 		}
-		if seen = next; len(b) == r.Size() {
-			r = c.enlargeBuffer()
+		if scanned = nextScanned; len(received) == reader.Size() {
+			reader = c.enlargeBuffer()
 		}
-		if _, err := r.Peek(len(b) + 1); err != nil && r.Buffered() <= len(b) {
-			if errors.Is(err, io.EOF) && len(b) > 0 {
+		if _, err := reader.Peek(len(received) + 1); err != nil && reader.Buffered() <= len(received) {
+			if errors.Is(err, io.EOF) && len(received) > 0 {
 				err = io.ErrUnexpectedEOF
 			}
 			return nil, err
@@ -50,15 +51,16 @@
 	}
 }
 
-// enlargeBuffer replaces the connection's buffer by one that holds the largest head, until the connection is idle.
+// enlargeBuffer replaces the connection's buffer with a buffer large enough for the largest head. It is kept
+// until the connection is idle.
 func (c *conn) enlargeBuffer() *bufio.Reader {
-	b, _ := c.buffer.Peek(c.buffer.Buffered())
-	received := bytes.NewReader(bytes.Clone(b))
+	buffered, _ := c.buffer.Peek(c.buffer.Buffered())
+	received := bytes.NewReader(bytes.Clone(buffered))
 	if c.buffer.Size() == readBufferSize {
 		c.buffer.Reset(nil)
 		readerPool.Put(c.buffer)
 	}
 	c.buffer = bufio.NewReaderSize(io.MultiReader(received, &c.readLimit), MaxHeaderBytes)
-	_, _ = c.buffer.Peek(received.Len()) // it is all there
+	_, _ = c.buffer.Peek(received.Len()) // fills the new buffer with the bytes already received
 	return c.buffer
 }
--- a/internal/frontend/http1/head_test.go
+++ b/internal/frontend/http1/head_test.go
@@ -12,15 +12,15 @@
 	"testing/iotest"
 )
 
-// connReading returns a connection that reads r.
-func connReading(r io.Reader) *conn {
+// newConnReading returns a connection whose input is r.
+func newConnReading(r io.Reader) *conn {
 	c := &conn{}
 	c.readLimit.R = r
 	c.readLimit.N = MaxHeaderBytes
 	return c
 }
 
-var heads = []string{
+var headSeeds = []string{
 	"GET / HTTP/1.1\r\nHost: a\r\n\r\n",
 	"POST /a?b=c HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\nX-A:\tb \r\n\r\nxxGET",
 	"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -39,71 +39,73 @@
 	"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +5\r\n\r\n",
 }
 
-// A head is accepted or rejected regardless of the pieces in which it arrives. net/http reads an accepted head in the
-// same way, and it is unambiguous to every reader of RFC 9112.
+// Whether a head is accepted does not depend on the pieces in which it arrives. An accepted head is parsed
+// identically by net/http, and cannot be read in two ways under RFC 9112.
 func FuzzHead(f *testing.F) {
-	for _, h := range heads {
-		f.Add([]byte(h))
+	for _, head := range headSeeds {
+		f.Add([]byte(head))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		r, err := connReading(bytes.NewReader(text)).readRequest(nil)
-		slow, slowErr := connReading(iotest.OneByteReader(bytes.NewReader(text))).readRequest(nil)
-		if (err == nil) != (slowErr == nil) ||
-			err != nil && len(text) < MaxHeaderBytes && err.Error() != slowErr.Error() {
-			t.Fatalf("%q: %v at once, %v byte by byte", text, err, slowErr)
+		request, err := newConnReading(bytes.NewReader(text)).readRequest(nil)
+		byteByByte, byteByByteErr := newConnReading(iotest.OneByteReader(bytes.NewReader(text))).readRequest(nil)
+		if (err == nil) != (byteByByteErr == nil) ||
+			err != nil && len(text) < MaxHeaderBytes && err.Error() != byteByByteErr.Error() {
+			t.Fatalf("%q: %v at once, %v byte by byte", text, err, byteByByteErr)
 		}
 		if err != nil {
 			return
 		}
-		std, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(text)))
+		stdlibRequest, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(text)))
 		if err != nil {
 			t.Fatalf("%q was accepted; net/http returns %v", text, err)
 		}
-		if len(std.TransferEncoding) > 0 {
-			std.Header["Transfer-Encoding"] = std.TransferEncoding
+		if len(stdlibRequest.TransferEncoding) > 0 {
+			stdlibRequest.Header["Transfer-Encoding"] = stdlibRequest.TransferEncoding
 		}
-		for _, other := range []*http.Request{slow, std} {
-			if !equalRequests(r, other) {
-				t.Errorf("%q: %+v and %+v", text, r, other)
+		for _, other := range []*http.Request{byteByByte, stdlibRequest} {
+			if !equalRequests(request, other) {
+				t.Errorf("%q: parsed as %+v and as %+v", text, request, other)
 			}
 		}
-		if isAmbiguous(text, r) {
-			t.Errorf("%q was accepted", text)
+		if isAmbiguous(text, request) {
+			t.Errorf("ambiguous head %q was accepted", text)
 		}
 	})
 }
 
-// equalRequests reports whether two readers have read the same head.
+// equalRequests reports whether two parsed heads are equal.
 func equalRequests(a, b *http.Request) bool {
 	return a.Method == b.Method && a.RequestURI == b.RequestURI && a.Host == b.Host &&
 		a.ContentLength == b.ContentLength &&
 		reflect.DeepEqual(a.Header, b.Header) && reflect.DeepEqual(a.TransferEncoding, b.TransferEncoding)
 }
 
-// isAmbiguous reports whether a head that was read as r has a lone line end, a folded field, or a length in two ways.
-func isAmbiguous(text []byte, r *http.Request) bool {
+// isAmbiguous reports whether an accepted head can be read in two ways: it has a line end other than CRLF, a
+// folded field, or two body lengths. text is the input, and parsed is the request read from it.
+func isAmbiguous(text []byte, parsed *http.Request) bool {
 	head, _, _ := bytes.Cut(text, []byte("\r\n\r\n"))
 	return bytes.Count(head, []byte("\n")) != bytes.Count(head, []byte("\r\n")) ||
 		bytes.Contains(head, []byte("\n ")) || bytes.Contains(head, []byte("\n\t")) ||
-		len(r.Header["Content-Length"]) > 1 || len(r.TransferEncoding) > 0 && r.Header.Get("Content-Length") != ""
+		len(parsed.Header["Content-Length"]) > 1 ||
+		len(parsed.TransferEncoding) > 0 && parsed.Header.Get("Content-Length") != ""
 }
 
-// A head of whatever size leaves the connection without a buffer.
+// After a head of any size the connection can release its buffer, so that an idle connection keeps none.
 func TestHeadOfAnySizeReleasesItsBuffer(t *testing.T) {
 	for _, size := range []int{
 		1, readBufferSize - 1, readBufferSize, readBufferSize + 1,
 		MaxHeaderBytes - 100, MaxHeaderBytes - 40, MaxHeaderBytes,
 	} {
 		text := "GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("y", size) + "\r\n\r\n"
-		c := connReading(strings.NewReader(text))
-		r, err := c.readRequest(nil)
+		c := newConnReading(strings.NewReader(text))
+		request, err := c.readRequest(nil)
 		if len(text) > MaxHeaderBytes {
 			if err == nil || c.readLimit.N > 0 {
-				t.Errorf("%d bytes: %v, want an end at %d", len(text), err, MaxHeaderBytes)
+				t.Errorf("%d bytes: error %v, want an error at %d bytes", len(text), err, MaxHeaderBytes)
 			}
 			continue
 		}
-		if err != nil || len(r.Header.Get("X")) != size {
+		if err != nil || len(request.Header.Get("X")) != size {
 			t.Errorf("%d bytes: %v", len(text), err)
 		}
 		c.releaseBuffer()
@@ -111,8 +113,8 @@
 			t.Errorf("%d bytes: the buffer is not released", len(text))
 		}
 	}
-	_, err := connReading(strings.NewReader(strings.Repeat("x", 10))).readRequest(nil)
+	_, err := newConnReading(strings.NewReader(strings.Repeat("x", 10))).readRequest(nil)
 	if !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("half a head: %v", err)
+		t.Errorf("incomplete head: error %v, want io.ErrUnexpectedEOF", err)
 	}
 }
--- a/internal/frontend/http1/response.go
+++ b/internal/frontend/http1/response.go
@@ -17,25 +17,26 @@
 )
 
 const (
-	// copyBufferSize is the size in bytes of the buffer that a streamed response body is copied through.
+	// copyBufferSize is the size in bytes of the buffers with which streamed response bodies are copied.
 	copyBufferSize = 48 << 10
-	// forwardedHeadSize is how many bytes of a response's buffer are allocated for its head. A larger head grows it.
-	forwardedHeadSize = 1024
+	// forwardedHeadCapacity is the number of bytes that are allocated for the head of a forwarded response. A larger
+	// head grows the buffer.
+	forwardedHeadCapacity = 1024
 )
 
 var copyBufferPool = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// Why a response body that was streamed is not complete.
+// Errors of a streamed response body that was not forwarded completely.
 var (
-	errClientWrite       = errors.New("the client does not read the response")
+	errClientWrite       = errors.New("writing the response to the client failed")
 	errUpstreamTruncated = errors.New("the endpoint's response body is truncated")
 )
 
-// respond writes the final response. It reports whether the connection may serve another request.
+// respond writes the final response to the client. It reports whether the connection may serve another request.
 func (x *exchange) respond(response engine.Response) bool {
 	if response.Verdict != engine.Served && x.stream != nil {
 		<-x.stream.Done()
-		if err := x.stream.Err(); err != nil { // the client's own body failed
+		if err := x.stream.Err(); err != nil { // reading the request's body from the client failed
 			x.closeAfter = true
 			return x.writeLocal(rejectionResponse(bodyReadError(err)), proxyErrRequest)
 		}
@@ -46,8 +47,8 @@
 	return x.writeLocal(verdictResponse(&response))
 }
 
-// verdictResponse returns the response to a request without a response of an endpoint, and its error type of
-// Proxy-Status.
+// verdictResponse returns the response to a request for which there is no endpoint response to forward, and the
+// error type for its Proxy-Status header.
 func verdictResponse(response *engine.Response) (local *localResponse, proxyError string) {
 	retryAfter := clock.Duration(response.RetryAfter)
 	switch response.Verdict {
@@ -65,8 +66,9 @@
 	return newLocalResponse(http.StatusBadGateway, "failed"), proxyErrIncomplete
 }
 
-// writeLocal writes a response of this process. Proxy-Status (RFC 9209) distinguishes it from an endpoint's and gives
-// its error type; "" leaves that header out. It reports whether the connection may serve another request.
+// writeLocal writes a response that this process generated. The Proxy-Status header (RFC 9209) distinguishes it
+// from an endpoint's response and states proxyError; with "" the header is omitted. writeLocal reports whether
+// the connection may serve another request.
 func (x *exchange) writeLocal(response *localResponse, proxyError string) bool {
 	x.status = response.status
 	if proxyError != "" {
@@ -79,20 +81,21 @@
 	return x.conn.writeResponse(response, x.closeAfter) && x.server.conns.finishRequest(x.conn) && !x.closeAfter
 }
 
-// setProxyStatus sets Proxy-Status (RFC 9209 section 2).
+// setProxyStatus sets the Proxy-Status header (RFC 9209 section 2).
 func (x *exchange) setProxyStatus(response *localResponse, proxyError, details string) {
 	response.header.Set("Proxy-Status", x.proxyName+"; error="+proxyError+"; details="+strconv.Quote(details))
 }
 
-// reject responds to a request that is not forwarded. It reports whether the connection may serve another request.
+// reject writes the response to a request that is rejected with err. It reports whether the connection may serve
+// another request.
 func (x *exchange) reject(err error) bool {
 	response := rejectionResponse(err)
 	proxyError := proxyErrRequest
 	if reqErr := (*requestError)(nil); errors.As(err, &reqErr) && reqErr.proxyError != "" {
 		proxyError = reqErr.proxyError
 	}
-	framing, frameErr := http1msg.RequestFraming(x.request.Header)
-	if frameErr == nil && framing.Kind == http1msg.NoBody { // no unread body precedes the next request
+	framing, framingErr := http1msg.RequestFraming(x.request.Header)
+	if framingErr == nil && framing.Kind == http1msg.NoBody { // without a body nothing unread precedes the next request
 		return x.server.conns.markBusy(x.conn) && x.writeLocal(response, proxyError)
 	}
 	x.setProxyStatus(response, proxyError, err.Error())
@@ -100,59 +103,61 @@
 	return false
 }
 
-// outgoingFraming is how the end of a response body is marked for the client.
+// outgoingFraming describes how the end of a response body is marked for the client.
 type outgoingFraming struct {
-	noBody  bool // the response has no body, whatever its header says
+	noBody  bool // the response has no body, even if its header states a length
 	chunked bool
 }
 
-// framingFor returns how the end of an endpoint's response body is marked. Where only the end of the connection can
-// mark it, the connection is closed afterwards.
-func (x *exchange) framingFor(response *upstream.Response) outgoingFraming {
-	http10 := !x.request.ProtoAtLeast(1, 1)
+// responseFraming returns how the client can detect the end of a forwarded response body. If only the end of the
+// connection can mark it, closeAfter is set.
+func (x *exchange) responseFraming(response *upstream.Response) outgoingFraming {
+	isHTTP10 := !x.request.ProtoAtLeast(1, 1)
 	unknownLength := response.Stream != nil && response.Framing.Kind != http1msg.FixedLength
 	framing := outgoingFraming{
 		noBody: x.request.Method == http.MethodHead || response.StatusCode == http.StatusNoContent ||
 			response.StatusCode == http.StatusNotModified,
 	}
-	framing.chunked = !framing.noBody && !http10 && (len(response.Trailer) > 0 || unknownLength)
+	framing.chunked = !framing.noBody && !isHTTP10 && (len(response.Trailer) > 0 || unknownLength)
 	if !framing.noBody && !framing.chunked && unknownLength {
 		x.closeAfter = true
 	}
 	return framing
 }
 
-// forwardResponse writes an endpoint's response. It reports whether the connection may serve another request.
+// forwardResponse writes an endpoint's response to the client. It reports whether the connection may serve
+// another request.
 func (x *exchange) forwardResponse(response *upstream.Response) bool {
-	buffered := response.Stream == nil
+	isBuffered := response.Stream == nil
 	x.status = response.StatusCode
 	x.bodyLength = int64(len(response.Buffered))
-	if !buffered {
+	if !isBuffered {
 		x.bodyLength = -1
 	}
 	x.closeAfter = x.closeAfter || x.server.isLastResponse(x.conn)
-	if buffered {
+	if isBuffered {
 		x.server.conns.reserveBytes(x.conn, int64(len(response.Buffered)), true)
 	} else {
 		defer response.Stream.Finish()
 	}
-	connection := response.Header["Connection"] // before the edits, which may remove it
+	connection := response.Header["Connection"] // read before the edits, which may remove it
 	x.responseEdits.apply(response.Header)
-	framing := x.framingFor(response)
-	buf := make([]byte, 0, forwardedHeadSize+len(response.Buffered))
+	framing := x.responseFraming(response)
+	buf := make([]byte, 0, forwardedHeadCapacity+len(response.Buffered))
 	buf = x.appendForwardedHead(buf, response, connection, framing)
 	buf = appendBufferedBody(buf, response, framing)
 	x.conn.SetWriteDeadline(time.Now().Add(x.idleTimeout))
 	if _, err := x.conn.Write(buf); err != nil {
 		return false
 	}
-	if !buffered && !x.streamRest(response.Stream, framing.chunked) {
+	if !isBuffered && !x.streamRest(response.Stream, framing.chunked) {
 		return false
 	}
 	return x.server.conns.finishRequest(x.conn) && !x.closeAfter
 }
 
-// appendBufferedBody appends the buffered part of a response's body, and the end of a chunked one that is complete.
+// appendBufferedBody appends the buffered part of a response's body. If the body is chunked and complete, it also
+// appends the last chunk.
 func appendBufferedBody(buf []byte, response *upstream.Response, framing outgoingFraming) []byte {
 	switch {
 	case framing.noBody:
@@ -171,8 +176,8 @@
 	return buf
 }
 
-// appendForwardedHead appends the interim responses and the head of an endpoint's response, its empty line included.
-// connection is the Connection field of the response as the endpoint sent it.
+// appendForwardedHead appends the interim responses and the head of an endpoint's response, including its final
+// empty line. connection is the Connection field as the endpoint sent it.
 func (x *exchange) appendForwardedHead(
 	buf []byte, response *upstream.Response, connection []string, framing outgoingFraming,
 ) []byte {
@@ -190,8 +195,9 @@
 			buf = append(buf, "Trailer: "+strings.Join(names, ", ")+"\r\n"...)
 		}
 	case framing.noBody:
-		if n := response.Header["Content-Length"]; len(n) == 1 && response.StatusCode != http.StatusNoContent {
-			buf = append(buf, "Content-Length: "+n[0]+"\r\n"...) // the length that a GET would receive
+		if lengths := response.Header["Content-Length"]; len(lengths) == 1 &&
+			response.StatusCode != http.StatusNoContent {
+			buf = append(buf, "Content-Length: "+lengths[0]+"\r\n"...) // length of the body that a GET would receive
 		}
 	case response.Stream == nil:
 		buf = append(buf, "Content-Length: "+strconv.Itoa(len(response.Buffered))+"\r\n"...)
@@ -204,42 +210,43 @@
 	return append(buf, "\r\n"...)
 }
 
-// streamRest copies the part of a response body that is not buffered. It reports whether the body is complete;
-// otherwise the connection has been aborted.
+// streamRest forwards the part of a response body that is not buffered. It reports whether the body was forwarded
+// completely; if not, the client's connection has been reset.
 func (x *exchange) streamRest(rest *upstream.ResponseStream, chunked bool) bool {
 	err := x.streamBody(rest, chunked)
 	if err == nil {
 		return true
 	}
 	if errors.Is(err, errUpstreamTruncated) {
-		x.status = http.StatusBadGateway // for the record; the client sees the abort
+		x.status = http.StatusBadGateway // for the exchange record; the client sees a reset connection
 	}
 	x.conn.abort()
 	return false
 }
 
-// streamBody copies the rest of a response body as it arrives, or returns errClientWrite or errUpstreamTruncated. The
-// client's reading limits the endpoint's sending: nothing is read ahead of a write.
+// streamBody copies the rest of a response body to the client as it arrives. It returns errClientWrite or
+// errUpstreamTruncated if that fails. A slow client slows down the endpoint, because the next bytes are read from
+// the endpoint only after the write to the client.
 func (x *exchange) streamBody(rest *upstream.ResponseStream, chunked bool) error {
 	buf := copyBufferPool.Get().(*[copyBufferSize]byte)
 	defer copyBufferPool.Put(buf)
 	for {
 		n, err := readAvailable(rest, http1msg.ChunkData(buf[:]))
-		piece := http1msg.ChunkData(buf[:])[:n]
+		output := http1msg.ChunkData(buf[:])[:n]
 		if n > 0 && chunked {
-			piece = http1msg.FrameChunk(buf[:], n)
+			output = http1msg.FrameChunk(buf[:], n)
 		}
-		ended := errors.Is(err, io.EOF)
-		if ended && chunked {
-			piece = http1msg.AppendLastChunk(piece, rest.Trailer())
+		bodyEnded := errors.Is(err, io.EOF)
+		if bodyEnded && chunked {
+			output = http1msg.AppendLastChunk(output, rest.Trailer())
 		}
-		if len(piece) > 0 {
+		if len(output) > 0 {
 			x.conn.SetWriteDeadline(time.Now().Add(x.idleTimeout))
-			if _, writeErr := x.conn.Write(piece); writeErr != nil {
+			if _, writeErr := x.conn.Write(output); writeErr != nil {
 				return errClientWrite
 			}
 		}
-		if ended {
+		if bodyEnded {
 			return nil
 		}
 		if err != nil {
@@ -248,19 +255,19 @@
 	}
 }
 
-// readAvailable waits for the next bytes of a response body and reads all that have arrived, for one write to the
-// client. Like a Read it may return bytes together with an error.
+// readAvailable waits for the next bytes of a response body and reads all bytes that have arrived into b, so that
+// they are written to the client at once. Like io.Reader it may return bytes together with an error.
 func readAvailable(rest *upstream.ResponseStream, b []byte) (n int, err error) {
 	n, err = rest.Read(b)
 	for err == nil && n < len(b) && rest.Buffered() > 0 {
-		var more int
-		more, err = rest.Read(b[n:])
-		n += more
+		var count int
+		count, err = rest.Read(b[n:])
+		n += count
 	}
 	return n, err
 }
 
-// appendResponseHead appends a status line and the end-to-end fields of a response, without the empty line.
+// appendResponseHead appends the status line and the end-to-end fields of a response, without the final empty line.
 func appendResponseHead(b []byte, status int, header http.Header, connection []string) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
