--- a/internal/http1msg/body.go
+++ b/internal/http1msg/body.go
@@ -89,13 +89,13 @@
 // such as a deadline, and accepts only chunks that end as RFC 9112 requires. Read returns io.EOF only at the end that
 // the framing defines, and io.ErrUnexpectedEOF where the connection ends before. It is not safe for concurrent use.
 type Body struct {
-	reader    *bufio.Reader
-	kind      FramingKind
-	remaining int64 // bytes of the length, or of the current chunk
-	state     chunkState
-	overhead  int // bytes of chunk extensions, or of trailers, so far
-	trailer   http.Header
-	done      bool
+	reader        *bufio.Reader
+	kind          FramingKind
+	remaining     int64 // bytes of the length, or of the current chunk
+	state         chunkState
+	overheadBytes int // bytes of chunk extensions, or of trailers, so far
+	trailer       http.Header
+	done          bool
 }
 
 // chunkState is the part of a chunked body that is read next.
@@ -194,7 +194,7 @@
 		if err != nil {
 			return err
 		}
-		if err := b.takeLine(line); err != nil {
+		if err := b.processLine(line); err != nil {
 			return err
 		}
 		_, _ = b.reader.Discard(len(line) + len(crlf)) // nextLine has them in the buffer
@@ -205,8 +205,8 @@
 	return nil
 }
 
-// takeLine interprets a line of the framing by the state, which it advances.
-func (b *Body) takeLine(line []byte) error {
+// processLine interprets a line of the framing by the state, which it advances.
+func (b *Body) processLine(line []byte) error {
 	switch b.state {
 	case chunkEnd:
 		if len(line) > 0 {
@@ -214,13 +214,13 @@
 		}
 		b.state = chunkHeader
 	case chunkHeader:
-		return b.takeChunkHeader(line)
+		return b.processChunkHeader(line)
 	case chunkTrailer:
 		if len(line) == 0 {
 			b.done = true
 			return nil
 		}
-		if b.overhead += len(line); b.overhead > MaxTrailerBytes {
+		if b.overheadBytes += len(line); b.overheadBytes > MaxTrailerBytes {
 			return ErrMalformedTrailer
 		}
 		return b.addTrailer(line)
@@ -228,18 +228,18 @@
 	return nil
 }
 
-// takeChunkHeader interprets the line with a chunk's size. An empty chunk is followed by the trailers.
-func (b *Body) takeChunkHeader(line []byte) (err error) {
+// processChunkHeader interprets the line with a chunk's size. An empty chunk is followed by the trailers.
+func (b *Body) processChunkHeader(line []byte) (err error) {
 	if b.remaining, err = chunkSize(line); err != nil {
 		return err
 	}
-	if b.overhead += max(0, len(line)-chunkSizeDigits); b.overhead > maxExtensionBytes {
+	if b.overheadBytes += max(0, len(line)-chunkSizeDigits); b.overheadBytes > maxExtensionBytes {
 		return ErrMalformedChunk
 	}
 	b.state = chunkData
 	if b.remaining == 0 {
 		b.state = chunkTrailer
-		b.overhead = 0
+		b.overheadBytes = 0
 	}
 	return nil
 }
--- a/internal/http1msg/body_test.go
+++ b/internal/http1msg/body_test.go
@@ -103,13 +103,13 @@
 		if f, err := ResponseFraming("GET", 200, tc.header); f != tc.response || !errors.Is(err, tc.err) {
 			t.Errorf("response with %v: %v, %v", tc.header, f, err)
 		}
-		for _, none := range []struct {
+		for _, noBody := range []struct {
 			method string
 			code   int
 		}{{"HEAD", 200}, {"GET", 204}, {"GET", 304}, {"GET", 103}} {
-			f, err := ResponseFraming(none.method, none.code, tc.header)
+			f, err := ResponseFraming(noBody.method, noBody.code, tc.header)
 			if f.Kind != NoBody || !errors.Is(err, tc.err) {
-				t.Errorf("%v with %v: %v, %v", none, tc.header, f, err)
+				t.Errorf("%v with %v: %v, %v", noBody, tc.header, f, err)
 			}
 		}
 	}
@@ -121,17 +121,17 @@
 	reader := &temporarilyFailingReader{r: iotest.OneByteReader(strings.NewReader(text))}
 	b := NewBody(bufio.NewReader(reader), Framing{Kind: Chunked})
 	var got []byte
-	for passed := 0; ; {
+	for deadlinesPassed := 0; ; {
 		p := make([]byte, 7)
 		n, err := b.Read(p)
 		got = append(got, p[:n]...)
 		if errors.Is(err, errTemporary) {
-			passed++
+			deadlinesPassed++
 			continue
 		}
 		if errors.Is(err, io.EOF) {
-			if passed < len(text)/2 {
-				t.Errorf("only %d deadlines passed", passed)
+			if deadlinesPassed < len(text)/2 {
+				t.Errorf("only %d deadlines passed", deadlinesPassed)
 			}
 			break
 		}
@@ -182,14 +182,14 @@
 		if err != nil || !bytes.Equal(std, got) {
 			t.Fatalf("%q: %q; net/http reads %q, %v", text, got, std, err)
 		}
-		var again []byte
+		var reencoded []byte
 		if len(got) > 0 {
-			again = append(append(AppendChunkHeader(nil, len(got)), got...), crlf...)
+			reencoded = append(append(AppendChunkHeader(nil, len(got)), got...), crlf...)
 		}
-		again = AppendLastChunk(again, b.Trailer())
-		got2, b2, err := read(string(again), Framing{Kind: Chunked})
-		if err != nil || !bytes.Equal(got2, got) || len(b2.Trailer()) != len(b.Trailer()) {
-			t.Errorf("%q written again: %q, %v", again, got2, err)
+		reencoded = AppendLastChunk(reencoded, b.Trailer())
+		gotAgain, bodyAgain, err := read(string(reencoded), Framing{Kind: Chunked})
+		if err != nil || !bytes.Equal(gotAgain, got) || len(bodyAgain.Trailer()) != len(b.Trailer()) {
+			t.Errorf("%q written again: %q, %v", reencoded, gotAgain, err)
 		}
 	})
 }
--- a/internal/http1msg/head.go
+++ b/internal/http1msg/head.go
@@ -44,19 +44,19 @@
 
 // FindHeadEnd returns the length of the head that b starts with, its empty line included, or 0 while it is
 // incomplete. The bytes before from have been scanned by an earlier call; next is from for the next call.
-func FindHeadEnd(b []byte, from int) (n, next int, err error) {
+func FindHeadEnd(b []byte, scanned int) (n, next int, err error) {
 	for {
-		i := bytes.IndexByte(b[from:], '\n')
+		i := bytes.IndexByte(b[scanned:], '\n')
 		if i < 0 {
 			return 0, len(b), nil
 		}
-		from += i
-		if from == 0 || b[from-1] != '\r' {
-			return 0, from, ErrLineEnd
+		scanned += i
+		if scanned == 0 || b[scanned-1] != '\r' {
+			return 0, scanned, ErrLineEnd
 		}
-		from++
-		if from >= 4 && b[from-3] == '\n' || from == 2 {
-			return from, from, nil
+		scanned++
+		if scanned >= 4 && b[scanned-3] == '\n' || scanned == 2 {
+			return scanned, scanned, nil
 		}
 	}
 }
@@ -225,8 +225,8 @@
 // listContains reports whether a comma-separated list, over several fields, has an option.
 func listContains(fields []string, option string) bool {
 	for _, v := range fields {
-		for named := range strings.SplitSeq(v, ",") {
-			if equalFold(strings.Trim(named, " \t"), option) {
+		for listed := range strings.SplitSeq(v, ",") {
+			if equalFold(strings.Trim(listed, " \t"), option) {
 				return true
 			}
 		}
@@ -239,7 +239,7 @@
 // isToken reports whether b is a token (RFC 9110 section 5.6.2).
 func isToken(b []byte) bool {
 	for _, c := range b {
-		if !tokenChar[c] {
+		if !isTokenChar[c] {
 			return false
 		}
 	}
@@ -252,19 +252,19 @@
 // IsToken reports whether s is a token (RFC 9110 section 5.6.2), as methods and names of fields are.
 func IsToken(s string) bool { return isToken([]byte(s)) }
 
-// tokenChar is which bytes are a tchar of RFC 9110 section 5.6.2.
-var tokenChar = func() (is [256]bool) {
+// isTokenChar is which bytes are a tchar of RFC 9110 section 5.6.2.
+var isTokenChar = func() (isChar [256]bool) {
 	for c := '0'; c <= '9'; c++ {
-		is[c] = true
+		isChar[c] = true
 	}
 	for c := 'a'; c <= 'z'; c++ {
-		is[c] = true
-		is[c-'a'+'A'] = true
+		isChar[c] = true
+		isChar[c-'a'+'A'] = true
 	}
 	for _, c := range "!#$%&'*+-.^_`|~" {
-		is[c] = true
+		isChar[c] = true
 	}
-	return is
+	return isChar
 }()
 
 // isControl reports whether a field's value must not contain a character: all of CTL but the tab.
--- a/internal/upstream/arrivals.go
+++ b/internal/upstream/arrivals.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	var watchErr error
-	err := c.control(func(fd int) {
+	err := c.withDescriptor(func(fd int) {
 		event := syscall.EpollEvent{Events: arrivalEvents, Fd: int32(fd)}
 		watchErr = syscall.EpollCtl(a.fd, syscall.EPOLL_CTL_ADD, fd, &event)
 		if watchErr == nil {
@@ -70,8 +70,8 @@
 
 // all yields the connections on which something has arrived, is unread, and has not been reported yet. It does not
 // wait.
-func (a *arrivals) all(yield func(*Conn) bool) {
-	for more := len(a.conns) > 0; more; {
+func (a *arrivals) pending(yield func(*Conn) bool) {
+	for mayHaveMore := len(a.conns) > 0; mayHaveMore; {
 		n, err := syscall.EpollWait(a.fd, a.events[:], 0)
 		if errors.Is(err, syscall.EINTR) {
 			continue
@@ -84,7 +84,7 @@
 				return
 			}
 		}
-		more = n == len(a.events)
+		mayHaveMore = n == len(a.events)
 	}
 }
 
--- a/internal/upstream/buffered.go
+++ b/internal/upstream/buffered.go
@@ -41,20 +41,21 @@
 // SendBuffered makes one attempt (core.AttemptFunc, but for the request). The Response of its result is a
 // *BufferedResponse. Only tests and package bench/quietfleet call it: clients' requests are forwarded by Send.
 func (p *Pool) SendBuffered(
-	ctx context.Context, attempt *core.AttemptContext, m *BufferedRequest,
+	ctx context.Context, attempt *core.AttemptContext, request *BufferedRequest,
 ) engine.AttemptResult {
-	c, leftMs, status := p.acquire(ctx, attempt)
+	c, remainingMs, status := p.acquire(ctx, attempt)
 	if c == nil {
-		return p.result(status)
+		return p.newResult(status)
 	}
-	return p.roundTrip(ctx, c, m.encode(leftMs), &p.forwarded, func(keep bool) { p.release(c, attempt, keep) })
+	return p.roundTrip(ctx, c, request.encode(remainingMs), &p.forwarded,
+		func(keepConn bool) { p.release(c, attempt, keepConn) })
 }
 
 // acquire returns a connection for an attempt that may be sent now, and the milliseconds that are left for it; or no
 // connection, and the status of the attempt.
 func (p *Pool) acquire(
 	ctx context.Context, attempt *core.AttemptContext,
-) (c *Conn, leftMs int64, status balancer.Status) {
+) (c *Conn, remainingMs int64, status balancer.Status) {
 	c, err := p.Get(ctx, attempt.Target.(*Target))
 	if err != nil {
 		return nil, 0, p.noConnStatus(ctx, err)
@@ -64,21 +65,21 @@
 		return nil, 0, balancer.NotSent
 	}
 	now := p.options.Clock.Now()
-	leftMs = (attempt.Deadline - now) / 1000
-	if leftMs < 1 || !attempt.ClaimSend(now) {
+	remainingMs = (attempt.Deadline - now) / 1000
+	if remainingMs < 1 || !attempt.ClaimSend(now) {
 		p.releaseUnused(c, attempt)
 		return nil, 0, balancer.NotSent
 	}
-	return c, leftMs, balancer.OK
+	return c, remainingMs, balancer.OK
 }
 
 // release ends an attempt's use of a connection. It is returned to the pool if keep is set, since the exchange on it is
 // complete, and the attempt was not aborted; otherwise it is closed.
-func (p *Pool) release(c *Conn, attempt *core.AttemptContext, keep bool) {
+func (p *Pool) release(c *Conn, attempt *core.AttemptContext, keepConn bool) {
 	if attempt.ReleaseConn != nil && !attempt.ReleaseConn() {
-		keep = false
+		keepConn = false
 	}
-	if keep {
+	if keepConn {
 		p.Put(c)
 	} else {
 		p.Discard(c)
@@ -102,61 +103,61 @@
 )
 
 // Probe makes a health check: it requests a load report, or the health path where there are no load reports.
-func (to *Target) Probe() engine.AttemptResult {
-	p := to.pool
+func (target *Target) Probe() engine.AttemptResult {
+	p := target.pool
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	c, err := p.getForProbe(ctx, to)
+	c, err := p.getForProbe(ctx, target)
 	if err != nil {
-		return p.result(p.noConnStatus(ctx, err))
+		return p.newResult(p.noConnStatus(ctx, err))
 	}
-	m := BufferedRequest{Method: http.MethodGet, URI: healthPath, Host: to.endpoint.Address}
+	request := BufferedRequest{Method: http.MethodGet, URI: healthPath, Host: target.endpoint.Address}
 	if len(p.options.LoadFields) > 0 {
-		m.URI = loadReportPath
+		request.URI = loadReportPath
 	}
-	keep := false
-	result := p.roundTrip(ctx, c, m.encode(0), nil, func(reusable bool) { keep = reusable })
+	keepConn := false
+	result := p.roundTrip(ctx, c, request.encode(0), nil, func(reusable bool) { keepConn = reusable })
 	expectsReport := len(p.options.LoadFields) > 0
 	if result.Status == balancer.OK && expectsReport {
 		result.Load = parseLoad(p.options.LoadFields, string(result.Response.(*BufferedResponse).Body))
 	}
-	mayBeAnother := result.Status == balancer.OK && expectsReport && result.Load == nil
+	mayBeSecondResponse := result.Status == balancer.OK && expectsReport && result.Load == nil
 	switch {
-	case keep && !mayBeAnother:
+	case keepConn && !mayBeSecondResponse:
 		p.putAfterProbe(c, result.Load != nil)
-	case mayBeAnother:
-		p.discardAfterOther(c)
+	case mayBeSecondResponse:
+		p.discardAfterMissingReport(c)
 	default:
 		p.Discard(c)
 	}
 	return result
 }
 
-func (p *Pool) result(status balancer.Status) engine.AttemptResult {
+func (p *Pool) newResult(status balancer.Status) engine.AttemptResult {
 	return engine.AttemptResult{Status: status, ObservedAt: p.options.Clock.Now()}
 }
 
 // roundTrip writes a request and reads its response. The connection is released, and kept if both are complete. A
 // request that is written completely is counted in written.
-func (p *Pool) roundTrip(ctx context.Context, c *Conn, text []byte, written *atomic.Uint64,
-	release func(keep bool)) engine.AttemptResult {
-	stop := context.AfterFunc(ctx, func() { c.Conn.Close() })
+func (p *Pool) roundTrip(ctx context.Context, c *Conn, encodedRequest []byte, writtenCount *atomic.Uint64,
+	release func(keepConn bool)) engine.AttemptResult {
+	stopCloseOnCancel := context.AfterFunc(ctx, func() { c.Conn.Close() })
 	c.readLimit.N = maxResponseBytes
-	n, err := c.write(text)
+	n, err := c.inspectAndWrite(encodedRequest)
 	if err != nil {
-		stop()
+		stopCloseOnCancel()
 		release(false)
-		if n < len(text) {
-			return p.result(balancer.ConnectFailed) // its last byte was not written, so it never ran
+		if n < len(encodedRequest) {
+			return p.newResult(balancer.ConnectFailed) // its last byte was not written, so it never ran
 		}
-		return p.result(balancer.Reset)
+		return p.newResult(balancer.Reset)
 	}
-	if written != nil {
-		written.Add(1)
+	if writtenCount != nil {
+		writtenCount.Add(1)
 	}
-	response, keep, err := p.readOwnResponse(c)
-	result := p.result(balancer.Reset)
-	release(stop() && keep && p.nothingFollows(c))
+	response, reusable, err := p.readOwnResponse(c)
+	result := p.newResult(balancer.Reset)
+	release(stopCloseOnCancel() && reusable && p.nothingFollows(c))
 	if err != nil {
 		return result
 	}
@@ -186,7 +187,7 @@
 	}
 	digest := digestHead(response.statusCode, response.Header) + digestBody(response.Body)
 	if c.isSecondResponse(digest) {
-		p.noteRepeated(c)
+		p.recordRepeatedResponse(c)
 		c.readLimit.N = maxResponseBytes
 		response, err = c.readResponse()
 		return response, false, err
@@ -200,24 +201,24 @@
 
 // encodeHead encodes the start of a request, up to the fields that frame its body, with the time that is left for it
 // in a header, if any.
-func (m *BufferedRequest) encodeHead(deadline string, leftMs int64) *bytes.Buffer {
+func (r *BufferedRequest) encodeHead(deadlineField string, remainingMs int64) *bytes.Buffer {
 	b := &bytes.Buffer{}
-	b.Grow(requestHeadSize + len(m.Body))
-	b.WriteString(m.Method + " " + m.URI + " HTTP/1.1\r\nHost: " + m.Host + "\r\n")
-	_ = m.Header.Write(b) // writing to memory does not fail
-	if leftMs > 0 && deadline != "" {
-		b.WriteString(deadline + ": " + strconv.FormatInt(leftMs, 10) + "\r\n")
+	b.Grow(requestHeadSize + len(r.Body))
+	b.WriteString(r.Method + " " + r.URI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
+	_ = r.Header.Write(b) // writing to memory does not fail
+	if remainingMs > 0 && deadlineField != "" {
+		b.WriteString(deadlineField + ": " + strconv.FormatInt(remainingMs, 10) + "\r\n")
 	}
 	return b
 }
 
 // encode encodes the request in one piece, with the time that is left for it in milliseconds, if any.
-func (m *BufferedRequest) encode(leftMs int64) []byte {
-	b := m.encodeHead(http1msg.FieldDeadline, leftMs)
-	if len(m.Body) > 0 || m.Method != http.MethodGet {
-		b.WriteString("Content-Length: " + strconv.Itoa(len(m.Body)) + "\r\n")
+func (r *BufferedRequest) encode(remainingMs int64) []byte {
+	b := r.encodeHead(http1msg.FieldDeadline, remainingMs)
+	if len(r.Body) > 0 || r.Method != http.MethodGet {
+		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
 	b.WriteString("\r\n")
-	b.Write(m.Body)
+	b.Write(r.Body)
 	return b.Bytes()
 }
--- a/internal/upstream/buffered_test.go
+++ b/internal/upstream/buffered_test.go
@@ -38,15 +38,15 @@
 // A request is written once, also where an http.Transport would write it again: on a reused connection that breaks
 // after the endpoint has read the request.
 func TestBrokenIdleConnectionIsNotResent(t *testing.T) {
-	for name, m := range map[string]*BufferedRequest{"get": plainGet(), "idempotency key": idempotentPost("x")} {
+	for name, request := range map[string]*BufferedRequest{"get": plainGet(), "idempotency key": idempotentPost("x")} {
 		t.Run(name, func(t *testing.T) {
 			var received atomic.Int32
 			pool := newPool()
-			to := pool.newTarget(scriptedpeer.StartTCP(t, respondOnce(&received)))
-			if r := pool.sendOnce(m, to); r.Status != balancer.OK {
+			target := pool.newTarget(scriptedpeer.StartTCP(t, respondOnce(&received)))
+			if r := pool.sendOnce(request, target); r.Status != balancer.OK {
 				t.Fatalf("first: status %v", r.Status)
 			}
-			if r := pool.sendOnce(m, to); r.Status != balancer.Reset {
+			if r := pool.sendOnce(request, target); r.Status != balancer.Reset {
 				t.Errorf("second: status %v, want Reset", r.Status)
 			}
 			if n := received.Load(); n != 2 {
@@ -73,13 +73,13 @@
 // truncatingConn is a connection whose writes fail before their last bytes, or after them.
 type truncatingConn struct {
 	net.Conn
-	missing int  // bytes that are not written
-	after   bool // a complete write fails, too
+	unwrittenBytes  int  // bytes that are not written
+	failsAfterWrite bool // a complete write fails, too
 }
 
 func (s truncatingConn) Write(p []byte) (int, error) {
-	n, err := s.Conn.Write(p[:max(0, len(p)-s.missing)])
-	if s.missing > 0 || s.after {
+	n, err := s.Conn.Write(p[:max(0, len(p)-s.unwrittenBytes)])
+	if s.unwrittenBytes > 0 || s.failsAfterWrite {
 		err = net.ErrClosed
 	}
 	return n, err
@@ -91,12 +91,12 @@
 		scriptedpeer.ReadRequest(r)
 		c.SetLinger(0) // breaks with a reset
 	})
-	m := idempotentPost(strings.Repeat("x", 1000))
+	request := idempotentPost(strings.Repeat("x", 1000))
 	for _, tc := range []struct {
-		name    string
-		missing int
-		after   bool
-		want    balancer.Status
+		name           string
+		unwrittenBytes int
+		after          bool
+		want           balancer.Status
 	}{
 		{"all but one byte", 1, false, balancer.ConnectFailed},
 		{"no byte", 1 << 20, false, balancer.ConnectFailed},
@@ -108,15 +108,15 @@
 			dial := pool.options.Dial
 			pool.options.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := dial(ctx, network, addr)
-				return truncatingConn{c, tc.missing, tc.after}, err
+				return truncatingConn{c, tc.unwrittenBytes, tc.after}, err
 			}
-			if r := pool.sendOnce(m, pool.newTarget(addr)); r.Status != tc.want {
+			if r := pool.sendOnce(request, pool.newTarget(addr)); r.Status != tc.want {
 				t.Errorf("status %v, want %v", r.Status, tc.want)
 			}
 		})
 	}
 	pool := newPool()
-	if r := pool.sendOnce(m, pool.newTarget(scriptedpeer.ClosedAddress(t))); r.Status != balancer.ConnectFailed {
+	if r := pool.sendOnce(request, pool.newTarget(scriptedpeer.ClosedAddress(t))); r.Status != balancer.ConnectFailed {
 		t.Errorf("closed port: status %v, want ConnectFailed", r.Status)
 	}
 }
@@ -230,11 +230,11 @@
 		}
 	})
 	pool := newPool()
-	to := pool.newTarget(addr)
+	target := pool.newTarget(addr)
 	for i := range 4 {
-		m := plainGet()
-		m.Header.Set("X-Trace-Id", fmt.Sprint(i))
-		r := pool.sendOnce(m, to)
+		request := plainGet()
+		request.Header.Set("X-Trace-Id", fmt.Sprint(i))
+		r := pool.sendOnce(request, target)
 		response, _ := r.Response.(*BufferedResponse)
 		if r.Status != balancer.OK || string(response.Body) != fmt.Sprint(i) {
 			t.Errorf("request %d: status %v, response %v", i, r.Status, response)
@@ -262,12 +262,12 @@
 		t.Errorf("probe without reports: status %v, load %v", r.Status, r.Load)
 	}
 	ended := make(chan error, 1)
-	mute := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+	silentAddr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		scriptedpeer.ReadRequest(r)
 		_, err := r.ReadByte()
 		ended <- err
 	})
-	if r := newPool().newTarget(mute).Probe(); r.Status == balancer.OK {
+	if r := newPool().newTarget(silentAddr).Probe(); r.Status == balancer.OK {
 		t.Error("a probe without a response is ok")
 	}
 	if err := scriptedpeer.Receive(t, ended, "end of a mute probe"); err == nil {
--- a/internal/upstream/connections_test.go
+++ b/internal/upstream/connections_test.go
@@ -24,7 +24,7 @@
 	violations []string
 }
 
-func (l *requestLedger) report(format string, args ...any) {
+func (l *requestLedger) addViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.violations = append(l.violations, fmt.Sprintf(format, args...))
@@ -83,8 +83,8 @@
 
 // attempt makes one attempt, and reports what broke a rule: a response to another request, a request that was received
 // twice, or one that was received although its status means that it never ran.
-func (l *requestLedger) attempt(ctx context.Context, pool *Pool, to *Target, id, behavior string) {
-	r := pool.Send(ctx, pool.newAttempt(to), &Request{
+func (l *requestLedger) attempt(ctx context.Context, pool *Pool, target *Target, id, behavior string) {
+	r := pool.Send(ctx, pool.newAttempt(target), &Request{
 		Method: "GET",
 		URI:    "/" + behavior,
 		Host:   "origin.svc",
@@ -93,14 +93,14 @@
 	})
 	response, _ := r.Response.(*Response)
 	if r.Status == balancer.OK && string(response.Buffered) != id {
-		l.report("%s (%s) was served with %q", id, behavior, response.Buffered)
+		l.addViolation("%s (%s) was served with %q", id, behavior, response.Buffered)
 	}
 	l.mu.Lock()
 	n := l.received[id]
 	l.mu.Unlock()
 	neverRan := r.Status == balancer.ConnectFailed || r.Status == balancer.NotSent
 	if n > 1 || neverRan && n > 0 {
-		l.report("%s (%s): status %v, received %d times", id, behavior, r.Status, n)
+		l.addViolation("%s (%s): status %v, received %d times", id, behavior, r.Status, n)
 	}
 }
 
@@ -144,10 +144,10 @@
 	if e.rng.IntN(3) == 0 || behavior == "never" {
 		time.AfterFunc(time.Duration(e.rng.IntN(3000))*time.Microsecond, cancel)
 	}
-	to := e.target
+	target := e.target
 	e.attempts.Go(func() {
 		defer cancel()
-		e.ledger.attempt(ctx, e.pool, to, id, behavior)
+		e.ledger.attempt(ctx, e.pool, target, id, behavior)
 	})
 }
 
@@ -176,30 +176,30 @@
 	pool := e.pool
 	pool.mu.Lock()
 	if idle := len(e.target.idle); pool.openConns != idle || pool.idleConns != idle {
-		e.ledger.report("%d connections open, %d counted as idle, %d idle", pool.openConns, pool.idleConns, idle)
+		e.ledger.addViolation("%d connections open, %d counted as idle, %d idle", pool.openConns, pool.idleConns, idle)
 	}
 	pool.mu.Unlock()
-	for _, to := range append(e.dropped, e.target) {
-		to.Drop()
+	for _, target := range append(e.dropped, e.target) {
+		target.Drop()
 	}
 	if pool.openConns != 0 || len(pool.idleTargets) != 0 {
-		e.ledger.report("%d connections left", pool.openConns)
+		e.ledger.addViolation("%d connections left", pool.openConns)
 	}
 }
 
 // misdeliver has a response arrive on a connection after the next request was written to it. Without a reuse delay, the
 // request is served with that response. It returns both requests' IDs.
-func (e *randomEvents) misdeliver(t *testing.T, seed uint64) (late, next string) {
+func (e *randomEvents) misdeliver(t *testing.T, seed uint64) (lateID, nextID string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), scriptedpeer.WaitTimeout)
 	defer cancel()
 	e.pool.SetKeepIdle(false) // no other connection is idle then
 	e.pool.SetKeepIdle(true)
-	late = fmt.Sprintf("%d-late", seed)
-	next = fmt.Sprintf("%d-next", seed)
-	e.ledger.attempt(ctx, e.pool, e.target, late, "late")
-	e.ledger.attempt(ctx, e.pool, e.target, next, "never")
-	return late, next
+	lateID = fmt.Sprintf("%d-late", seed)
+	nextID = fmt.Sprintf("%d-next", seed)
+	e.ledger.attempt(ctx, e.pool, e.target, lateID, "late")
+	e.ledger.attempt(ctx, e.pool, e.target, nextID, "never")
+	return lateID, nextID
 }
 
 // In whatever order events happen on connections to an endpoint, each request is written once at most, none is
@@ -220,9 +220,9 @@
 func TestMisdeliveryAmongRandomEvents(t *testing.T) {
 	for seed := range uint64(12) {
 		events := runRandomEvents(t, seed, 0)
-		late, next := events.misdeliver(t, seed)
+		lateID, nextID := events.misdeliver(t, seed)
 		events.checkConnections()
-		want := fmt.Sprintf("%s (never) was served with %q", next, late)
+		want := fmt.Sprintf("%s (never) was served with %q", nextID, lateID)
 		if !slices.Contains(events.ledger.violations, want) {
 			t.Errorf("seed %d: not detected: %s", seed, want)
 		}
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -28,28 +28,28 @@
 
 // Send makes one attempt (core.AttemptFunc, but for the request). The Response of its result is a *Response.
 func (p *Pool) Send(ctx context.Context, attempt *core.AttemptContext, request *Request) engine.AttemptResult {
-	c, leftMs, status := p.acquire(ctx, attempt)
+	c, remainingMs, status := p.acquire(ctx, attempt)
 	if c == nil {
-		return p.result(status)
+		return p.newResult(status)
 	}
 	stream := request.Stream
 	if stream != nil && !stream.Claim() {
 		p.releaseUnused(c, attempt)
-		return p.result(balancer.NotSent)
+		return p.newResult(balancer.NotSent)
 	}
-	stop := context.AfterFunc(ctx, func() { c.Conn.Close() })
+	stopCloseOnCancel := context.AfterFunc(ctx, func() { c.Conn.Close() })
 	e := &exchange{pool: p, conn: c, request: request, attempt: attempt}
 	if stream != nil && request.ResponseTimeout > 0 {
-		leftMs = min(leftMs, request.ResponseTimeout.Milliseconds())
+		remainingMs = min(remainingMs, request.ResponseTimeout.Milliseconds())
 	}
-	result, keep := e.run(ctx, request.encode(leftMs))
+	result, reusable := e.run(ctx, request.encode(remainingMs))
 	result.SentAt = max(e.sentAt.Load(), c.availableAt)
 	if stream != nil {
 		stream.finish(e)
-		keep = keep && e.sentAt.Load() != 0 // otherwise the next request would be taken for the rest of the body
+		reusable = reusable && e.sentAt.Load() != 0 // otherwise the next request would be taken for the rest of the body
 	}
 	c.SetReadDeadline(time.Time{}) // that of the last wait for a part of the response
-	p.release(c, attempt, stop() && keep && p.nothingFollows(c))
+	p.release(c, attempt, stopCloseOnCancel() && reusable && p.nothingFollows(c))
 	return result
 }
 
@@ -58,8 +58,8 @@
 	if c.reader.Buffered() == 0 {
 		return true
 	}
-	if start, _ := c.reader.Peek(min(c.reader.Buffered(), len(requestTimeoutPrefix))); isSurplusResponse(start) {
-		p.noteSurplusBehind(c)
+	if unread, _ := c.reader.Peek(min(c.reader.Buffered(), len(requestTimeoutPrefix))); isSurplusResponse(unread) {
+		p.recordSurplusBehindResponse(c)
 	}
 	return false
 }
@@ -73,8 +73,8 @@
 	bodyWritten chan struct{} // closed once forwardBody has written the streaming body or failed; nil for other bodies
 	sentAt      atomic.Int64  // monotime.Micros: when its last byte was written; 0 is not yet
 
-	mu        sync.Mutex
-	responded bool // the response's head has been read, or could not be
+	mu            sync.Mutex
+	headReadEnded bool // the response's head has been read, or could not be
 
 	isBuffered bool           // the last response read is complete, and nothing of it has been handed on
 	digest     responseDigest // of the last response read, if it was read to its end
@@ -82,14 +82,14 @@
 
 // run writes the request, whose first piece is text, and reads its response. It reports whether the connection may be
 // used again.
-func (e *exchange) run(ctx context.Context, text []byte) (result engine.AttemptResult, reusable bool) {
-	if status := e.writeRequest(text); status != balancer.OK {
-		return e.pool.result(status), false
+func (e *exchange) run(ctx context.Context, firstPiece []byte) (result engine.AttemptResult, reusable bool) {
+	if status := e.writeRequest(firstPiece); status != balancer.OK {
+		return e.pool.newResult(status), false
 	}
 	result, reusable = e.readResponse(ctx)
 	if e.isBuffered && e.conn.isSecondResponse(e.digest) {
-		e.pool.noteRepeated(e.conn)
-		e.awaitNextHead()
+		e.pool.recordRepeatedResponse(e.conn)
+		e.prepareForNextHead()
 		result, _ = e.readResponse(ctx)
 		return result, false
 	}
@@ -100,9 +100,9 @@
 // readResponse reads a response. It reports whether the connection may be used again.
 func (e *exchange) readResponse(ctx context.Context) (result engine.AttemptResult, reusable bool) {
 	response, closeAfter, err := e.awaitHead()
-	result = e.pool.result(balancer.Reset)
+	result = e.pool.newResult(balancer.Reset)
 	if err != nil {
-		result.Status = e.readFailure(err)
+		result.Status = e.readFailureStatus(err)
 		return result, false
 	}
 	policy := e.request.Policy
@@ -124,7 +124,7 @@
 		result.Response = nil
 		return result, e.isBuffered && !closeAfter
 	case err != nil:
-		return e.pool.result(balancer.Reset), false
+		return e.pool.newResult(balancer.Reset), false
 	case !complete:
 		return e.streamResponse(ctx, result, response, body, closeAfter)
 	}
@@ -138,20 +138,20 @@
 func (e *exchange) awaitHead() (response *Response, closeAfter bool, err error) {
 	response, closeAfter, err = e.readHead()
 	e.mu.Lock()
-	e.responded = true
+	e.headReadEnded = true
 	e.mu.Unlock()
 	return response, closeAfter, err
 }
 
 // writeRequest writes the first piece of the request, and starts to forward a streaming body. It returns OK, or the
 // status of an attempt that could not be written.
-func (e *exchange) writeRequest(text []byte) balancer.Status {
+func (e *exchange) writeRequest(firstPiece []byte) balancer.Status {
 	stream := e.request.Stream
 	e.conn.readLimit.N = maxResponseHeadBytes
 	e.conn.SetDeadline(time.Time{})
-	n, err := e.conn.write(text)
+	n, err := e.conn.inspectAndWrite(firstPiece)
 	switch {
-	case errors.Is(err, errUnusable), err != nil && n < len(text) && stream == nil:
+	case errors.Is(err, errUnusable), err != nil && n < len(firstPiece) && stream == nil:
 		return balancer.ConnectFailed // its last byte was not written, so it never ran
 	case err != nil:
 		return balancer.Reset // an endpoint may start to work with half a body
@@ -165,8 +165,8 @@
 	return balancer.OK
 }
 
-// readFailure returns the status of an attempt whose response could not be read.
-func (e *exchange) readFailure(err error) balancer.Status {
+// readFailureStatus returns the status of an attempt whose response could not be read.
+func (e *exchange) readFailureStatus(err error) balancer.Status {
 	stream := e.request.Stream
 	switch {
 	case stream != nil && stream.clientFailed(e.bodyWritten):
@@ -198,22 +198,22 @@
 	}
 	stream.digest.body.Write(response.Buffered)
 	response.Stream = stream
-	classified := result.Status
+	classifiedStatus := result.Status
 	result.Status = balancer.OK
 	if !e.attempt.ResponseStarted(result) {
-		return e.pool.result(balancer.Cancelled), false
+		return e.pool.newResult(balancer.Cancelled), false
 	}
 	result.Response = nil // it belongs to the client's side now
 	var err error
 	select {
 	case err = <-stream.ended:
 	case <-ctx.Done(): // the client closed its connection before the response was forwarded
-		return e.pool.result(balancer.Cancelled), false
+		return e.pool.newResult(balancer.Cancelled), false
 	}
 	switch {
 	case body.Done():
 		e.digest = stream.digest.sum()
-		result.Status = classified
+		result.Status = classifiedStatus
 		return result, !closeAfter
 	case err == nil:
 		result.Status = balancer.Cancelled // the client left
@@ -227,18 +227,18 @@
 
 // startResponseTimeoutLocked starts the response's timeout, unless its head has been read.
 func (e *exchange) startResponseTimeoutLocked() {
-	if timeout := e.request.responseTimeout(); !e.responded && timeout > 0 {
+	if timeout := e.request.responseTimeout(); !e.headReadEnded && timeout > 0 {
 		e.conn.SetReadDeadline(time.Now().Add(timeout))
 	}
 }
 
-// awaitNextHead prepares for the head of another response, after that of a second response to the request before.
-func (e *exchange) awaitNextHead() {
+// prepareForNextHead prepares for the head of another response, after that of a second response to the request before.
+func (e *exchange) prepareForNextHead() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.conn.readLimit.N = maxResponseHeadBytes
 	e.conn.SetReadDeadline(time.Time{})
-	e.responded = false
+	e.headReadEnded = false
 	if e.sentAt.Load() != 0 {
 		e.startResponseTimeoutLocked()
 	}
@@ -285,11 +285,11 @@
 	if fixedLength && response.Framing.Length > policy.MaxBuffered {
 		return false, nil
 	}
-	size := int64(initialBodyBuffer)
+	initialSize := int64(initialBodyBuffer)
 	if fixedLength {
-		size = response.Framing.Length
+		initialSize = response.Framing.Length
 	}
-	response.Buffered = make([]byte, 0, min(size, policy.MaxBuffered)+1)
+	response.Buffered = make([]byte, 0, min(initialSize, policy.MaxBuffered)+1)
 	deadline := time.Now().Add(bufferWindow)
 	for int64(len(response.Buffered)) <= policy.MaxBuffered {
 		response.ensureSpace(policy.MaxBuffered)
--- a/internal/upstream/inspect.go
+++ b/internal/upstream/inspect.go
@@ -35,30 +35,30 @@
 )
 
 // isSurplusResponse reports whether bytes that belong to no request start a response, as far as they have arrived.
-func isSurplusResponse(start []byte) bool {
-	if len(start) < len(responsePrefix) {
-		return len(start) > 0 && bytes.HasPrefix(responsePrefix, start)
+func isSurplusResponse(firstBytes []byte) bool {
+	if len(firstBytes) < len(responsePrefix) {
+		return len(firstBytes) > 0 && bytes.HasPrefix(responsePrefix, firstBytes)
 	}
-	return bytes.HasPrefix(start, responsePrefix) && !isRequestTimeout(start)
+	return bytes.HasPrefix(firstBytes, responsePrefix) && !isRequestTimeout(firstBytes)
 }
 
 // isRequestTimeout reports whether bytes start with requestTimeoutPrefix, in any minor version.
-func isRequestTimeout(start []byte) bool {
+func isRequestTimeout(firstBytes []byte) bool {
 	minorVersion := len(responsePrefix)
-	return len(start) >= len(requestTimeoutPrefix) &&
-		bytes.HasPrefix(start[minorVersion+1:], requestTimeoutPrefix[minorVersion+1:])
+	return len(firstBytes) >= len(requestTimeoutPrefix) &&
+		bytes.HasPrefix(firstBytes[minorVersion+1:], requestTimeoutPrefix[minorVersion+1:])
 }
 
 // inspect returns the state of a connection on which no request is in flight, without waiting.
 func (c *Conn) inspect() connState {
 	state := connUnusable
-	err := c.control(func(fd int) {
-		start := make([]byte, len(requestTimeoutPrefix))
-		n, _, err := syscall.Recvfrom(fd, start, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	err := c.withDescriptor(func(fd int) {
+		firstBytes := make([]byte, len(requestTimeoutPrefix))
+		n, _, err := syscall.Recvfrom(fd, firstBytes, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EAGAIN):
 			state = connQuiet
-		case err == nil && isSurplusResponse(start[:n]):
+		case err == nil && isSurplusResponse(firstBytes[:n]):
 			state = connSurplus
 		}
 	})
@@ -72,18 +72,18 @@
 }
 
 // control calls a function with the descriptor of the connection, while that cannot be closed.
-func (c *Conn) control(do func(fd int)) error {
+func (c *Conn) withDescriptor(use func(fd int)) error {
 	if c.raw == nil {
 		return errors.ErrUnsupported
 	}
-	return c.raw.Control(func(fd uintptr) { do(int(fd)) })
+	return c.raw.Control(func(fd uintptr) { use(int(fd)) })
 }
 
 // lastArrival returns when bytes arrived last, to some milliseconds; the present instant if that is not known.
 func (c *Conn) lastArrival() time.Time {
 	now := time.Now()
 	arrival := now
-	err := c.control(func(fd int) {
+	err := c.withDescriptor(func(fd int) {
 		var info syscall.TCPInfo
 		size := uint32(syscall.SizeofTCPInfo)
 		_, _, errno := syscall.Syscall6(syscall.SYS_GETSOCKOPT, uintptr(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO,
@@ -103,22 +103,22 @@
 
 // write writes the first piece of a request, and returns how much of it. It inspects the connection right before that:
 // a response may have arrived since the connection was selected, or opened.
-func (c *Conn) write(text []byte) (int, error) {
+func (c *Conn) inspectAndWrite(data []byte) (int, error) {
 	state := c.inspect()
 	if state == connSurplus {
-		c.target.pool.noteSurplus(c)
+		c.target.pool.recordSurplus(c)
 	}
 	if state == connSurplus || state == connUnusable {
 		return 0, errUnusable
 	}
-	return c.Write(text)
+	return c.Write(data)
 }
 
 // inspectLocked returns the state of a connection on which no request is in flight, and notes a second response.
 func (p *Pool) inspectLocked(c *Conn) connState {
 	state := c.inspect()
 	if state == connSurplus {
-		p.noteSurplusLocked(c, c.lastArrival())
+		p.recordSurplusLocked(c, c.lastArrival())
 	}
 	return state
 }
@@ -127,9 +127,9 @@
 // is evidence for all connections of its pool: it must be known before one of them is selected. What has arrived on a
 // connection in use is its response, or will be looked for when that is idle again.
 func (p *Pool) inspectArrivalsLocked() {
-	for c := range p.arrivals.all {
+	for c := range p.arrivals.pending {
 		if !c.isIdle {
-			c.wasReported = true
+			c.arrivedInUse = true
 			continue
 		}
 		if p.inspectLocked(c) != connQuiet {
@@ -144,25 +144,25 @@
 	if p.arrivals.watch(c) != nil {
 		return false
 	}
-	hasArrived := c.wasReported && c.inspect() != connQuiet
-	c.wasReported = false
+	hasArrived := c.arrivedInUse && c.inspect() != connQuiet
+	c.arrivedInUse = false
 	return !hasArrived
 }
 
-// restingConn is a connection that observeResting observes.
-type restingConn struct {
+// delayedConn is a connection that observeReuseDelays observes.
+type delayedConn struct {
 	conn         *Conn
 	lastResponse time.Time // of the connection, when it began to rest
 	nextCheck    time.Time
 }
 
-// observeLocked has an idle connection observed while it rests. A second response is detected on it then even if no
+// observeReuseDelayLocked has an idle connection observed while it rests. A second response is detected on it then even if no
 // other request would use it, and the delays of this process are noticed meanwhile.
-func (p *Pool) observeLocked(c *Conn) {
-	if p.options.ReuseDelay <= 0 || !c.isIdle || p.restLeftLocked(c) <= 0 {
+func (p *Pool) observeReuseDelayLocked(c *Conn) {
+	if p.options.ReuseDelay <= 0 || !c.isIdle || p.remainingReuseDelayLocked(c) <= 0 {
 		return
 	}
-	p.resting = append(p.resting, restingConn{
+	p.delayedConns = append(p.delayedConns, delayedConn{
 		conn:         c,
 		lastResponse: c.lastResponse,
 		nextCheck:    time.Now().Add(observationInterval),
@@ -170,56 +170,56 @@
 	p.startObservingLocked()
 }
 
-// startObservingLocked starts observeResting if it does not run.
+// startObservingLocked starts observeReuseDelays if it does not run.
 func (p *Pool) startObservingLocked() {
 	if !p.observing {
 		p.observing = true
 		p.nextObservation = time.Now().Add(observationInterval)
-		go p.observeResting()
+		go p.observeReuseDelays()
 	}
 }
 
-// observeResting inspects idle connections until none rests any more, and no attempt waits for one.
-func (p *Pool) observeResting() {
-	for more := true; more; {
+// observeReuseDelays inspects idle connections until none rests any more, and no attempt waits for one.
+func (p *Pool) observeReuseDelays() {
+	for shouldContinue := true; shouldContinue; {
 		time.Sleep(observationInterval)
 		used := p.processorTimes.sinceLastRead(time.Now())
 		p.mu.Lock()
-		p.rests.ObserveProcessorTime(p.options.Clock.Now(), used.ran, used.waited)
-		p.noteDelayLocked()
+		p.reuseDelays.ObserveProcessorTime(p.options.Clock.Now(), used.ran, used.waited)
+		p.recordDelayLocked()
 		p.inspectArrivalsLocked()
-		p.dropRestedLocked()
+		p.dropReusableLocked()
 		p.nextObservation = time.Now().Add(observationInterval)
-		more = len(p.resting) > 0 || p.awaiting > 0
-		p.observing = more
+		shouldContinue = len(p.delayedConns) > 0 || p.waitingAttempts > 0
+		p.observing = shouldContinue
 		p.mu.Unlock()
 	}
 }
 
-// noteDelayLocked notes how late observeResting is. The time until now does not count again.
-func (p *Pool) noteDelayLocked() {
+// recordDelayLocked notes how late observeReuseDelays is. The time until now does not count again.
+func (p *Pool) recordDelayLocked() {
 	delay := time.Since(p.nextObservation)
 	if p.observing && delay >= 0 {
-		p.rests.ObserveDelay(p.options.Clock.Now(), clock.Micros(delay))
+		p.reuseDelays.ObserveDelay(p.options.Clock.Now(), clock.Micros(delay))
 		p.nextObservation = p.nextObservation.Add(delay)
 	}
 }
 
-// dropRestedLocked drops the connections from those at rest that rest no more.
-func (p *Pool) dropRestedLocked() {
+// dropReusableLocked drops the connections from those at rest that rest no more.
+func (p *Pool) dropReusableLocked() {
 	now := time.Now()
-	stillResting := p.resting[:0]
-	for _, r := range p.resting {
-		if p.isStillResting(&r, now) {
+	stillResting := p.delayedConns[:0]
+	for _, r := range p.delayedConns {
+		if p.isStillDelayed(&r, now) {
 			stillResting = append(stillResting, r)
 		}
 	}
-	clear(p.resting[len(stillResting):])
-	p.resting = stillResting
+	clear(p.delayedConns[len(stillResting):])
+	p.delayedConns = stillResting
 }
 
-// isStillResting reports whether a connection goes on to rest, as far as it is due to be checked.
-func (p *Pool) isStillResting(r *restingConn, now time.Time) bool {
+// isStillDelayed reports whether a connection goes on to rest, as far as it is due to be checked.
+func (p *Pool) isStillDelayed(r *delayedConn, now time.Time) bool {
 	c := r.conn
 	if !c.isIdle || c.lastResponse != r.lastResponse {
 		return false
@@ -228,5 +228,5 @@
 		return true
 	}
 	r.nextCheck = now.Add(now.Sub(r.lastResponse))
-	return p.restLeftLocked(c) > 0
+	return p.remainingReuseDelayLocked(c) > 0
 }
--- a/internal/upstream/parse.go
+++ b/internal/upstream/parse.go
@@ -62,19 +62,19 @@
 
 // readHead reads a status line and headers.
 func readHead(r *bufio.Reader) (*parsedResponse, error) {
-	text := textproto.NewReader(r)
-	line, err := text.ReadLine()
+	reader := textproto.NewReader(r)
+	line, err := reader.ReadLine()
 	if err != nil {
 		return nil, err
 	}
-	version, rest, _ := strings.Cut(line, " ")
-	code, _, _ := strings.Cut(rest, " ")
+	version, afterVersion, _ := strings.Cut(line, " ")
+	code, _, _ := strings.Cut(afterVersion, " ")
 	response := &parsedResponse{}
 	if response.statusCode, err = strconv.Atoi(code); err != nil || len(code) != 3 || response.statusCode < 100 ||
 		version != "HTTP/1.1" && version != "HTTP/1.0" {
 		return nil, errMalformedResponse
 	}
-	header, err := text.ReadMIMEHeader()
+	header, err := reader.ReadMIMEHeader()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/upstream/partial_body_test.go
+++ b/internal/upstream/partial_body_test.go
@@ -59,7 +59,7 @@
 // startHeadReader starts an endpoint that announces the first request once it has read the head.
 func (s *secondResponseTest) startHeadReader() <-chan *net.TCPConn {
 	received := make(chan *net.TCPConn, 1)
-	s.to = s.pool.newTarget(scriptedpeer.StartTCP(s, func(c *net.TCPConn, r *bufio.Reader) {
+	s.target = s.pool.newTarget(scriptedpeer.StartTCP(s, func(c *net.TCPConn, r *bufio.Reader) {
 		for line := ""; line != "\r\n"; {
 			var err error
 			if line, err = r.ReadString('\n'); err != nil {
@@ -78,7 +78,7 @@
 	body := http1msg.NewBody(bufio.NewReader(strings.NewReader("12345678")), framing)
 	post := tracedRequest("POST", "1")
 	post.Stream = NewRequestStream(body, length, func() {}, func() {})
-	return s.start(s.pool.newAttempt(s.to), post)
+	return s.start(s.pool.newAttempt(s.target), post)
 }
 
 // Guards against reuse after a response before the end of the request body: the next request would pass for the rest.
--- a/internal/upstream/paused_client_test.go
+++ b/internal/upstream/paused_client_test.go
@@ -33,9 +33,9 @@
 func runPausedClient(addr string, optional bool) {
 	pool := newPool(withReuseDelay(DefaultReuseDelay, optional))
 	go pool.Run(context.Background())
-	to := pool.newTarget(addr)
+	target := pool.newTarget(addr)
 	for ids := bufio.NewScanner(os.Stdin); ids.Scan(); {
-		r := pool.Send(context.Background(), pool.newAttempt(to), tracedRequest("GET", ids.Text()))
+		r := pool.Send(context.Background(), pool.newAttempt(target), tracedRequest("GET", ids.Text()))
 		fmt.Printf("%d %s\n", r.Status, bodyOf(r))
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -75,13 +75,13 @@
 	lastShortageLog time.Time            // when a shortage of connections was last logged
 	discardIdle     bool                 // idle connections are closed
 
-	rests           *reuse.Decider // decides how long connections rest
+	reuseDelays     *reuse.Decider // decides how long connections rest
 	arrivals        arrivals       // on connections that have been idle
-	resting         []restingConn  // in the order in which they began to rest
-	observing       bool           // observeResting runs
-	awaiting        int            // attempts that wait for a connection to have rested
-	nextObservation time.Time      // when observeResting is due, if it runs
-	processorTimes  processorTimes // of observeResting
+	delayedConns    []delayedConn  // in the order in which they began to rest
+	observing       bool           // observeReuseDelays runs
+	waitingAttempts int            // attempts that wait for a connection to have rested
+	nextObservation time.Time      // when observeReuseDelays is due, if it runs
+	processorTimes  processorTimes // of observeReuseDelays
 	surplus         surplusCounts
 
 	idleLimits map[string]float64 // idle connections allowed, by owner; empty is no bound
@@ -107,7 +107,7 @@
 		options:     o,
 		maxIdleTime: o.maxIdleTime(),
 		idleTargets: map[*Target]struct{}{},
-		rests: reuse.New(reuse.Settings{
+		reuseDelays: reuse.New(reuse.Settings{
 			Rest:           clock.Micros(o.ReuseDelay),
 			DistrustedRest: clock.Micros(o.DistrustedReuseDelay),
 		}),
@@ -115,7 +115,7 @@
 		processorTimes: processorTimes{directory: o.threadsDirectory},
 	}
 	used := p.processorTimes.sinceLastRead(time.Now())
-	p.rests.ObserveProcessorTime(o.Clock.Now(), used.ran, used.waited)
+	p.reuseDelays.ObserveProcessorTime(o.Clock.Now(), used.ran, used.waited)
 	return p
 }
 
@@ -135,9 +135,9 @@
 	endpoint reuse.Endpoint
 
 	// Guarded by Pool.mu.
-	idle         []*Conn
-	dropped      bool // no attempt is made any more
-	sendsReports bool // a health check has got a load report
+	idle             []*Conn
+	dropped          bool // no attempt is made any more
+	sendsLoadReports bool // a health check has got a load report
 }
 
 // Target returns a new target for the address of an endpoint of a pool of endpoints (core.Pool), which is given by its
@@ -149,16 +149,16 @@
 // Conn is a connection to an endpoint.
 type Conn struct {
 	net.Conn
-	raw       syscall.RawConn  // nil: the connection has no descriptor
-	readLimit io.LimitedReader // bytes that may still be read
-	reader    *bufio.Reader
-	target    *Target
-	idleSince time.Time // since when it is idle
-	isIdle    bool      // it is among the idle connections of its target
-	isProbed  bool      // its last exchange was a health check
+	raw             syscall.RawConn  // nil: the connection has no descriptor
+	readLimit       io.LimitedReader // bytes that may still be read
+	reader          *bufio.Reader
+	target          *Target
+	idleSince       time.Time // since when it is idle
+	isIdle          bool      // it is among the idle connections of its target
+	lastUsedByProbe bool      // its last exchange was a health check
 
-	watchedFD   int32 // its descriptor, if arrivals watches it
-	wasReported bool  // an arrival on it was reported while it was in use
+	watchedFD    int32 // its descriptor, if arrivals watches it
+	arrivedInUse bool  // an arrival on it was reported while it was in use
 
 	lastResponse     time.Time       // after which a second response may follow; zero: there was none
 	previousResponse time.Time       // the one before lastResponse; zero: there was none
@@ -166,12 +166,12 @@
 	availableAt      monotime.Micros // when its rest ended, if an attempt waited for that; else 0
 }
 
-func newConn(nc net.Conn, to *Target) *Conn {
-	c := &Conn{Conn: nc, target: to}
-	if sc, ok := nc.(syscall.Conn); ok {
+func newConn(netConn net.Conn, target *Target) *Conn {
+	c := &Conn{Conn: netConn, target: target}
+	if sc, ok := netConn.(syscall.Conn); ok {
 		c.raw, _ = sc.SyscallConn() // its error is that of a closed connection, which has no descriptor either
 	}
-	c.readLimit.R = nc
+	c.readLimit.R = netConn
 	c.reader = bufio.NewReaderSize(&c.readLimit, connReadBufferSize)
 	return c
 }
@@ -203,12 +203,12 @@
 // logShortage logs, once in shortageLogInterval at most, that this process has no connection for an attempt.
 func (p *Pool) logShortage(err error) {
 	p.mu.Lock()
-	due := time.Since(p.lastShortageLog) > shortageLogInterval
-	if due {
+	isDue := time.Since(p.lastShortageLog) > shortageLogInterval
+	if isDue {
 		p.lastShortageLog = time.Now()
 	}
 	p.mu.Unlock()
-	if due {
+	if isDue {
 		p.options.Log.Warn("no connection for an attempt", "error", err)
 	}
 }
@@ -250,7 +250,7 @@
 func (p *Pool) Put(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.isProbed = false
+	c.lastUsedByProbe = false
 	p.putLocked(c)
 }
 
@@ -260,7 +260,7 @@
 	c.lastResponse = time.Now()
 	c.idleSince = c.lastResponse
 	p.insertIdleLocked(c)
-	p.observeLocked(c)
+	p.observeReuseDelayLocked(c)
 }
 
 // putUnused returns a connection that was not used. Its idle time continues, since the endpoint counts from its last
@@ -272,7 +272,7 @@
 		c.idleSince = time.Now() // it has just been opened
 	}
 	p.insertIdleLocked(c)
-	p.observeLocked(c)
+	p.observeReuseDelayLocked(c)
 }
 
 // insertIdleLocked adds an idle connection to its target, in the order in which they were last used. One on
@@ -283,11 +283,11 @@
 		p.closeLocked(c)
 		return
 	}
-	at := len(c.target.idle)
-	for at > 0 && c.target.idle[at-1].idleSince.After(c.idleSince) {
-		at--
+	index := len(c.target.idle)
+	for index > 0 && c.target.idle[index-1].idleSince.After(c.idleSince) {
+		index--
 	}
-	c.target.idle = slices.Insert(c.target.idle, at, c)
+	c.target.idle = slices.Insert(c.target.idle, index, c)
 	c.isIdle = true
 	p.idleTargets[c.target] = struct{}{}
 	p.idleConns++
@@ -309,19 +309,19 @@
 
 // closeIdleLocked closes an idle connection of a target. Whether a second response has arrived on it is evidence for
 // the others.
-func (p *Pool) closeIdleLocked(to *Target, i int) {
-	c := p.removeIdleLocked(to, i)
+func (p *Pool) closeIdleLocked(target *Target, i int) {
+	c := p.removeIdleLocked(target, i)
 	p.inspectLocked(c)
 	p.closeLocked(c)
 }
 
 // removeIdleLocked removes an idle connection from its target.
-func (p *Pool) removeIdleLocked(to *Target, i int) *Conn {
-	c := to.idle[i]
+func (p *Pool) removeIdleLocked(target *Target, i int) *Conn {
+	c := target.idle[i]
 	c.isIdle = false
 	p.idleConns--
-	if to.idle = slices.Delete(to.idle, i, i+1); len(to.idle) == 0 {
-		delete(p.idleTargets, to)
+	if target.idle = slices.Delete(target.idle, i, i+1); len(target.idle) == 0 {
+		delete(p.idleTargets, target)
 	}
 	return c
 }
@@ -334,9 +334,9 @@
 // evictOldestLocked closes the connection that has been idle for longest.
 func (p *Pool) evictOldestLocked() bool {
 	var oldest *Target
-	for to := range p.idleTargets {
-		if oldest == nil || to.idle[0].idleSince.Before(oldest.idle[0].idleSince) {
-			oldest = to
+	for target := range p.idleTargets {
+		if oldest == nil || target.idle[0].idleSince.Before(oldest.idle[0].idleSince) {
+			oldest = target
 		}
 	}
 	if oldest == nil {
@@ -347,25 +347,25 @@
 }
 
 // Drop ends the use of a target. Attempts in flight go on.
-func (to *Target) Drop() {
-	p := to.pool
+func (target *Target) Drop() {
+	p := target.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	to.dropped = true
-	for len(to.idle) > 0 {
-		p.closeIdleLocked(to, 0)
+	target.dropped = true
+	for len(target.idle) > 0 {
+		p.closeIdleLocked(target, 0)
 	}
 }
 
 // AttemptTimedOut closes the idle connections to an endpoint that were last used before an instant. An attempt that was
 // sent then has had no response, and the network path of the other connections may be broken, too.
-func (to *Target) AttemptTimedOut(since time.Time) {
-	p := to.pool
+func (target *Target) AttemptTimedOut(since time.Time) {
+	p := target.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i := len(to.idle) - 1; i >= 0; i-- {
-		if to.idle[i].idleSince.Before(since) {
-			p.closeIdleLocked(to, i)
+	for i := len(target.idle) - 1; i >= 0; i-- {
+		if target.idle[i].idleSince.Before(since) {
+			p.closeIdleLocked(target, i)
 		}
 	}
 }
@@ -375,10 +375,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.inspectArrivalsLocked()
-	for to := range p.idleTargets {
-		for i := len(to.idle) - 1; i >= 0; i-- {
-			if p.hasExpiredLocked(to.idle[i]) {
-				p.closeIdleLocked(to, i)
+	for target := range p.idleTargets {
+		for i := len(target.idle) - 1; i >= 0; i-- {
+			if p.hasExpiredLocked(target.idle[i]) {
+				p.closeIdleLocked(target, i)
 			}
 		}
 	}
@@ -406,14 +406,14 @@
 			p.reportSurplus()
 		case <-ctx.Done():
 			p.SetKeepIdle(false)
-			p.endWatch()
+			p.stopWatching()
 			return
 		}
 	}
 }
 
-// endWatch ends the watch of idle connections, of which there are none any more.
-func (p *Pool) endWatch() {
+// stopWatching ends the watch of idle connections, of which there are none any more.
+func (p *Pool) stopWatching() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.arrivals.close()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -41,19 +41,19 @@
 func (p *Pool) newTarget(addr string) *Target { return p.Target("", addr).(*Target) }
 
 // newAttempt returns an attempt with a second of time, which may be sent.
-func (p *Pool) newAttempt(to core.Target) *core.AttemptContext {
+func (p *Pool) newAttempt(target core.Target) *core.AttemptContext {
 	return &core.AttemptContext{
-		Target:    to,
+		Target:    target,
 		Deadline:  p.options.Clock.Now() + monotime.Second,
 		ClaimSend: func(monotime.Micros) bool { return true },
 	}
 }
 
 // sendOnce makes one attempt with a second of time.
-func (p *Pool) sendOnce(m *BufferedRequest, to core.Target) engine.AttemptResult {
+func (p *Pool) sendOnce(request *BufferedRequest, target core.Target) engine.AttemptResult {
 	ctx, cancel := context.WithTimeout(context.Background(), scriptedpeer.WaitTimeout)
 	defer cancel()
-	return p.SendBuffered(ctx, p.newAttempt(to), m)
+	return p.SendBuffered(ctx, p.newAttempt(target), request)
 }
 
 func idempotentPost(body string) *BufferedRequest {
@@ -82,32 +82,32 @@
 	var dials atomic.Int32
 	addr := startAnsweringEndpoint(t, &dials)
 	pool := newPool()
-	old := pool.newTarget(addr)
-	next := pool.newTarget(addr)
+	oldTarget := pool.newTarget(addr)
+	newTarget := pool.newTarget(addr)
 	ctx := context.Background()
-	pool.sendOnce(plainGet(), old)
-	if pool.sendOnce(plainGet(), next); dials.Load() != 2 {
+	pool.sendOnce(plainGet(), oldTarget)
+	if pool.sendOnce(plainGet(), newTarget); dials.Load() != 2 {
 		t.Errorf("%d connections to two endpoints at one address, want 2", dials.Load())
 	}
-	inFlight, err := pool.Get(ctx, old)
+	inFlight, err := pool.Get(ctx, oldTarget)
 	if err != nil {
 		t.Fatal(err)
 	}
-	old.Drop()
+	oldTarget.Drop()
 	pool.Put(inFlight)
-	if pool.openConns != 1 || len(old.idle) != 0 {
-		t.Errorf("%d connections open, %d idle to a dropped target, want 1 and 0", pool.openConns, len(old.idle))
+	if pool.openConns != 1 || len(oldTarget.idle) != 0 {
+		t.Errorf("%d connections open, %d idle to a dropped target, want 1 and 0", pool.openConns, len(oldTarget.idle))
 	}
-	if r := pool.sendOnce(plainGet(), old); r.Status != balancer.NotSent {
+	if r := pool.sendOnce(plainGet(), oldTarget); r.Status != balancer.NotSent {
 		t.Errorf("status %v for a dropped target, want NotSent", r.Status)
 	}
-	late := pool.newTarget(addr)
+	droppedInDial := pool.newTarget(addr)
 	dial := pool.options.Dial
 	pool.options.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		late.Drop()
+		droppedInDial.Drop()
 		return dial(ctx, network, addr)
 	}
-	if r := pool.sendOnce(plainGet(), late); r.Status != balancer.NotSent || pool.openConns != 1 {
+	if r := pool.sendOnce(plainGet(), droppedInDial); r.Status != balancer.NotSent || pool.openConns != 1 {
 		t.Errorf("target dropped in the dial: status %v, %d connections, want NotSent and 1", r.Status, pool.openConns)
 	}
 }
@@ -115,9 +115,9 @@
 // A shortage in this process does not count as a failure of the endpoint.
 func TestShortageIsNoFault(t *testing.T) {
 	pool := newPool()
-	to := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
+	target := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
 	pool.options.MaxConns = 0
-	if r := pool.sendOnce(plainGet(), to); r.Status != balancer.NotSent {
+	if r := pool.sendOnce(plainGet(), target); r.Status != balancer.NotSent {
 		t.Errorf("all connections in use: status %v, want NotSent", r.Status)
 	}
 	pool.options.MaxConns = 1
@@ -125,7 +125,7 @@
 		pool.options.Dial = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", e)}
 		}
-		if r := pool.sendOnce(plainGet(), to); r.Status != balancer.NotSent {
+		if r := pool.sendOnce(plainGet(), target); r.Status != balancer.NotSent {
 			t.Errorf("%v: status %v, want NotSent", e, r.Status)
 		}
 	}
@@ -134,7 +134,7 @@
 		cancel()
 		return nil, ctx.Err()
 	}
-	r := pool.SendBuffered(ctx, pool.newAttempt(to), plainGet())
+	r := pool.SendBuffered(ctx, pool.newAttempt(target), plainGet())
 	if r.Status != balancer.NotSent {
 		t.Errorf("a canceled dial: status %v, want NotSent", r.Status)
 	}
@@ -151,9 +151,9 @@
 		closed <- struct{}{}
 	})
 	pool := newPool()
-	to := pool.newTarget(addr)
+	target := pool.newTarget(addr)
 	for i := range 3 {
-		if r := pool.sendOnce(plainGet(), to); r.Status != balancer.OK {
+		if r := pool.sendOnce(plainGet(), target); r.Status != balancer.OK {
 			t.Fatalf("request %d: status %v", i, r.Status)
 		}
 		scriptedpeer.Receive(t, closed, "close")
@@ -180,35 +180,35 @@
 	var dials atomic.Int32
 	addr := startAnsweringEndpoint(t, &dials)
 	pool := newPool()
-	to := pool.newTarget(addr)
+	target := pool.newTarget(addr)
 	if limit := 12 * time.Second; pool.maxIdleTime > limit {
 		t.Errorf("idle for %v where the endpoint closes after 15 s", pool.maxIdleTime)
 	}
-	age := func() {
-		for _, c := range to.idle {
+	expireIdleConns := func() {
+		for _, c := range target.idle {
 			c.idleSince = c.idleSince.Add(-pool.maxIdleTime)
 		}
 	}
-	pool.sendOnce(plainGet(), to)
-	pool.sendOnce(plainGet(), to)
+	pool.sendOnce(plainGet(), target)
+	pool.sendOnce(plainGet(), target)
 	if n := dials.Load(); n != 1 {
 		t.Fatalf("%d connections for two requests in turn, want 1", n)
 	}
-	age()
-	pool.sendOnce(plainGet(), to)
+	expireIdleConns()
+	pool.sendOnce(plainGet(), target)
 	if n := dials.Load(); n != 2 {
 		t.Errorf("%d connections after one grew old, want 2", n)
 	}
-	age()
+	expireIdleConns()
 	if pool.sweep(); pool.openConns != 0 {
 		t.Errorf("%d connections open after the sweep, want 0", pool.openConns)
 	}
 }
 
 // mustGet returns a connection from the pool.
-func (p *Pool) mustGet(t *testing.T, to *Target) *Conn {
+func (p *Pool) mustGet(t *testing.T, target *Target) *Conn {
 	t.Helper()
-	c, err := p.Get(context.Background(), to)
+	c, err := p.Get(context.Background(), target)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -221,27 +221,27 @@
 	var dials atomic.Int32
 	addr := startAnsweringEndpoint(t, &dials)
 	pool := newPool()
-	to := pool.newTarget(addr)
-	pool.sendOnce(plainGet(), to)
-	to.idle[0].idleSince = to.idle[0].idleSince.Add(-pool.maxIdleTime * 3 / 4)
-	used := to.idle[0].idleSince
-	withdrawn := pool.newAttempt(to)
-	withdrawn.ClaimSend = func(monotime.Micros) bool { return false }
-	r := pool.SendBuffered(context.Background(), withdrawn, plainGet())
-	if r.Status != balancer.NotSent || len(to.idle) != 1 || !to.idle[0].idleSince.Equal(used) {
-		t.Fatalf("status %v; idle since %v, last used at %v", r.Status, to.idle[0].idleSince, used)
-	}
-	old := pool.mustGet(t, to)
-	fresh := pool.mustGet(t, to)
+	target := pool.newTarget(addr)
+	pool.sendOnce(plainGet(), target)
+	target.idle[0].idleSince = target.idle[0].idleSince.Add(-pool.maxIdleTime * 3 / 4)
+	lastUsed := target.idle[0].idleSince
+	canceled := pool.newAttempt(target)
+	canceled.ClaimSend = func(monotime.Micros) bool { return false }
+	r := pool.SendBuffered(context.Background(), canceled, plainGet())
+	if r.Status != balancer.NotSent || len(target.idle) != 1 || !target.idle[0].idleSince.Equal(lastUsed) {
+		t.Fatalf("status %v; idle since %v, last used at %v", r.Status, target.idle[0].idleSince, lastUsed)
+	}
+	old := pool.mustGet(t, target)
+	fresh := pool.mustGet(t, target)
 	pool.Put(fresh)
 	pool.putUnused(old)
-	if pool.mustGet(t, to) != fresh {
+	if pool.mustGet(t, target) != fresh {
 		t.Error("one put back unused went before one used later")
 	}
 	pool.Put(fresh)
 	old.idleSince = old.idleSince.Add(-pool.maxIdleTime / 2)
-	if pool.sweep(); len(to.idle) != 1 || to.idle[0] != fresh {
-		t.Errorf("%d idle connections after the old one's time", len(to.idle))
+	if pool.sweep(); len(target.idle) != 1 || target.idle[0] != fresh {
+		t.Errorf("%d idle connections after the old one's time", len(target.idle))
 	}
 }
 
@@ -249,12 +249,12 @@
 func TestLatestConnectionFirst(t *testing.T) {
 	addr := scriptedpeer.StartTCP(t, readOneRequest)
 	pool := newPool()
-	to := pool.newTarget(addr)
-	first := pool.mustGet(t, to)
-	second := pool.mustGet(t, to)
+	target := pool.newTarget(addr)
+	first := pool.mustGet(t, target)
+	second := pool.mustGet(t, target)
 	pool.Put(first)
 	pool.Put(second)
-	if pool.mustGet(t, to) != second {
+	if pool.mustGet(t, target) != second {
 		t.Error("the connection used last was not used next")
 	}
 }
@@ -263,22 +263,22 @@
 // closed for a new one.
 func TestConnectionsAreBounded(t *testing.T) {
 	pool := newPool()
-	one := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
-	two := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
+	firstTarget := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
+	secondTarget := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
 	pool.options.MaxConns = 2
 	ctx := context.Background()
-	first, err := pool.Get(ctx, one)
+	first, err := pool.Get(ctx, firstTarget)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := pool.Get(ctx, one); err != nil {
+	if _, err := pool.Get(ctx, firstTarget); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := pool.Get(ctx, two); !errors.Is(err, errConnLimit) {
+	if _, err := pool.Get(ctx, secondTarget); !errors.Is(err, errConnLimit) {
 		t.Fatalf("third connection: error %v, want %v", err, errConnLimit)
 	}
 	pool.Put(first)
-	if _, err := pool.Get(ctx, two); err != nil {
+	if _, err := pool.Get(ctx, secondTarget); err != nil {
 		t.Errorf("third connection with one idle: %v", err)
 	}
 	if pool.openConns != 2 {
@@ -328,9 +328,10 @@
 	if got, err := pool.Get(ctx, conns[4].target); err != nil || got != conns[4] || pool.idleConns != 0 {
 		t.Errorf("the one left is not used again (error %v, %d idle)", err, pool.idleConns)
 	}
-	unlimited := newPool().maxIdleTime
-	if pool.LimitIdle("a", 0.25); pool.maxIdleTime != unlimited/4 || pool.maxIdle != 1 {
-		t.Errorf("a quarter of a connection: %d for %v, want one for %v", pool.maxIdle, pool.maxIdleTime, unlimited/4)
+	unlimitedIdleTime := newPool().maxIdleTime
+	if pool.LimitIdle("a", 0.25); pool.maxIdleTime != unlimitedIdleTime/4 || pool.maxIdle != 1 {
+		t.Errorf("a quarter of a connection: %d for %v, want one for %v", pool.maxIdle, pool.maxIdleTime,
+			unlimitedIdleTime/4)
 	}
 }
 
@@ -338,17 +339,17 @@
 // be served with the second response. So a connection is not used again before its reuse delay has passed, and never
 // once a second response has arrived. Both ways of reading responses are tested.
 func TestLateSecondAnswer(t *testing.T) {
-	for name, send := range map[string]func(pool *Pool, to core.Target) (balancer.Status, string){
-		"SendBuffered": func(pool *Pool, to core.Target) (balancer.Status, string) {
-			r := pool.sendOnce(plainGet(), to)
+	for name, send := range map[string]func(pool *Pool, target core.Target) (balancer.Status, string){
+		"SendBuffered": func(pool *Pool, target core.Target) (balancer.Status, string) {
+			r := pool.sendOnce(plainGet(), target)
 			response, _ := r.Response.(*BufferedResponse)
 			if response == nil {
 				return r.Status, ""
 			}
 			return r.Status, string(response.Body)
 		},
-		"Send": func(pool *Pool, to core.Target) (balancer.Status, string) {
-			r := pool.Send(context.Background(), pool.newAttempt(to), plainStreamedGet())
+		"Send": func(pool *Pool, target core.Target) (balancer.Status, string) {
+			r := pool.Send(context.Background(), pool.newAttempt(target), plainStreamedGet())
 			response, _ := r.Response.(*Response)
 			if response == nil {
 				return r.Status, ""
@@ -362,28 +363,28 @@
 
 // testLateSecondResponse makes three attempts by send, which returns the status and the body of the response: the
 // connection's number. A second response arrives on connection 1 alone.
-func testLateSecondResponse(t *testing.T, send func(pool *Pool, to core.Target) (balancer.Status, string)) {
+func testLateSecondResponse(t *testing.T, send func(pool *Pool, target core.Target) (balancer.Status, string)) {
 	t.Helper()
 	const reuseDelay = 300 * time.Millisecond // much longer than a usual pause of the machine
 	pool := newPool(func(o *Options) { o.ReuseDelay = reuseDelay })
 	var conns atomic.Int32
-	to := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+	target := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		respondTwiceOnFirst(c, r, conns.Add(1), reuseDelay/3)
 	}))
 	// The second attempt waits for connection 1, on which a second response arrives meanwhile, and uses another.
 	for i, want := range []string{"1", "2"} {
-		if status, got := send(pool, to); status != balancer.OK || got != want {
+		if status, got := send(pool, target); status != balancer.OK || got != want {
 			t.Fatalf("request %d: status %v, %q, want %q", i, status, got, want)
 		}
 	}
 	time.Sleep(reuseDelay) // connection 2 can be used again
-	if status, got := send(pool, to); status != balancer.OK || got != "2" {
+	if status, got := send(pool, target); status != balancer.OK || got != "2" {
 		t.Errorf("then: status %v, %q, want the connection without a second response", status, got)
 	}
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	if pool.openConns != len(to.idle) {
-		t.Errorf("%d connections open, %d idle", pool.openConns, len(to.idle))
+	if pool.openConns != len(target.idle) {
+		t.Errorf("%d connections open, %d idle", pool.openConns, len(target.idle))
 	}
 }
 
@@ -416,9 +417,9 @@
 			return (&net.Dialer{}).DialContext(ctx, network, addr)
 		}
 	})
-	to := pool.newTarget(startAnsweringEndpoint(t, &atomic.Int32{}))
+	target := pool.newTarget(startAnsweringEndpoint(t, &atomic.Int32{}))
 	send := func(ctx context.Context) engine.AttemptResult {
-		return pool.Send(ctx, pool.newAttempt(to), plainStreamedGet())
+		return pool.Send(ctx, pool.newAttempt(target), plainStreamedGet())
 	}
 	for i := range 4 {
 		start := time.Now()
--- a/internal/upstream/processortime_test.go
+++ b/internal/upstream/processortime_test.go
@@ -60,6 +60,6 @@
 	writeThread(t, directory, "1", "100000000 3800000000 600\n")
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false), withThreads(directory))
 	s.complete("1")
-	s.rest(100 * time.Millisecond)
+	s.ageResponses(100 * time.Millisecond)
 	s.mustBeServedRightly("2")
 }
--- a/internal/upstream/repeated.go
+++ b/internal/upstream/repeated.go
@@ -22,8 +22,8 @@
 // fieldDigestFactor keeps a field's name and values apart in its digest.
 const fieldDigestFactor = 31
 
-// isPerTransmission reports whether a field may differ between two transmissions of the same response.
-func isPerTransmission(field string) bool {
+// variesPerTransmission reports whether a field may differ between two transmissions of the same response.
+func variesPerTransmission(field string) bool {
 	switch field {
 	case "Age", "Connection", "Date", "Keep-Alive", http1msg.FieldLoadReport:
 		return true
@@ -35,7 +35,7 @@
 func digestHead(statusCode int, header http.Header) responseDigest {
 	digest := uint64(statusCode)
 	for name, values := range header {
-		if isPerTransmission(name) {
+		if variesPerTransmission(name) {
 			continue
 		}
 		field := maphash.String(digestSeed, name)
@@ -71,23 +71,23 @@
 // the endpoint repeats its response to the request in flight instead, and both requests have the same response, that
 // next one has the same content, too.
 func (c *Conn) isSecondResponse(digest responseDigest) bool {
-	return digest != 0 && digest == c.lastDigest && c.isResponseAtHand()
+	return digest != 0 && digest == c.lastDigest && c.isResponsePending()
 }
 
-// isResponseAtHand reports whether a response that may be that to the request in flight has begun to arrive behind the
+// isResponsePending reports whether a response that may be that to the request in flight has begun to arrive behind the
 // one that has been read. It does not wait.
-func (c *Conn) isResponseAtHand() bool {
+func (c *Conn) isResponsePending() bool {
 	if c.reader.Buffered() == 0 && c.inspect() == connSurplus {
 		c.SetReadDeadline(time.Time{})
 		_, _ = c.reader.Peek(1) // an error leaves the buffer empty
 	}
-	start, _ := c.reader.Peek(c.reader.Buffered())
-	return isSurplusResponse(start) && !isClosingError(start)
+	pendingBytes, _ := c.reader.Peek(c.reader.Buffered())
+	return isSurplusResponse(pendingBytes) && !isClosingError(pendingBytes)
 }
 
 // isClosingError reports whether bytes start with the head of an error after which the endpoint closes the connection.
 // Endpoints send such a one if they take bytes behind a request for another request.
-func isClosingError(start []byte) bool {
-	head, err := readHead(bufio.NewReader(bytes.NewReader(start)))
+func isClosingError(firstBytes []byte) bool {
+	head, err := readHead(bufio.NewReader(bytes.NewReader(firstBytes)))
 	return err == nil && head.closeAfter && head.statusCode >= http.StatusBadRequest
 }
--- a/internal/upstream/repeated_test.go
+++ b/internal/upstream/repeated_test.go
@@ -16,32 +16,32 @@
 // The tests in this file are on two responses that are at hand at once on a used connection. Each has a first request
 // whose response is served, and a second one on the same connection, to which the endpoint sends two.
 
-// restedFor is longer than any rest without evidence, and short enough for a second response to be suspected.
-const restedFor = 500 * time.Millisecond
+// ageBeyondReuseDelay is longer than any rest without evidence, and short enough for a second response to be suspected.
+const ageBeyondReuseDelay = 500 * time.Millisecond
 
-// newRepeatedTest returns a test whose request 1 was served on a connection that may be used again.
-func newRepeatedTest(t *testing.T, first string) *secondResponseTest {
+// newRepeatedResponseTest returns a test whose request 1 was served on a connection that may be used again.
+func newRepeatedResponseTest(t *testing.T, first string) *secondResponseTest {
 	t.Helper()
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-	s.exchange("1", first)
-	s.rest(restedFor)
+	s.exchangeBytes("1", first)
+	s.ageResponses(ageBeyondReuseDelay)
 	return s
 }
 
 // exchange makes a request that buffers large responses and replaces status 500, and to which the endpoint sends bytes.
-func (s *secondResponseTest) exchange(id, sent string) engine.AttemptResult {
+func (s *secondResponseTest) exchangeBytes(id, sent string) engine.AttemptResult {
 	s.Helper()
 	request := tracedRequest("GET", id)
 	request.Policy.MaxBuffered = 1 << 20
 	request.Policy.ReplaceErrors = true
 	request.Policy.FailureStatus[http.StatusInternalServerError] = true
-	result := s.start(s.pool.newAttempt(s.to), request)
+	result := s.start(s.pool.newAttempt(s.target), request)
 	io.WriteString(scriptedpeer.Receive(s, s.endpoint.received, "request "+id).conn, sent)
 	return scriptedpeer.Receive(s, result, "result of request "+id)
 }
 
-// responseWith returns a response with a line of its head and a body.
-func responseWith(status, field, body string) string {
+// responseWithField returns a response with a line of its head and a body.
+func responseWithField(status, field, body string) string {
 	return "HTTP/1.1 " + status + "\r\n" + field + "\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
@@ -56,31 +56,33 @@
 		wantSurplus   uint64
 		wantSuspect   uint64
 	}{
-		"the first repeated, sent later": {responseWith("200 OK", dated+"1 GMT", "1"),
-			responseWith("200 OK", dated+"2 GMT", "1") + responseFor("2"), "2", 1, 0},
+		"the first repeated, sent later": {responseWithField("200 OK", dated+"1 GMT", "1"),
+			responseWithField("200 OK", dated+"2 GMT", "1") + responseFor("2"), "2", 1, 0},
 		"the first repeated, larger than the read buffer": {responseFor(large),
 			responseFor(large) + responseFor(large+"2"), large + "2", 1, 0},
-		"the first repeated, an error that is replaced": {responseWith("500 Internal Server Error", "Server: a", "1"),
-			responseWith("500 Internal Server Error", "Server: a", "1") + responseFor("2"), "2", 1, 0},
+		"the first repeated, an error that is replaced": {
+			responseWithField("500 Internal Server Error", "Server: a", "1"),
+			responseWithField("500 Internal Server Error", "Server: a", "1") + responseFor("2"), "2", 1, 0,
+		},
 		"the first repeated, behind an interim response": {responseFor("1"),
 			"HTTP/1.1 103 Early Hints\r\nLink: </1>\r\n\r\n" + responseFor("1") + responseFor("2"), "2", 1, 0},
 		"the first repeated, both repeated": {responseFor("1"),
 			responseFor("1") + responseFor("2") + responseFor("2"), "2", 1, 0},
 		"the second repeated": {responseFor("1"), responseFor("2") + responseFor("2"), "2", 1, 1},
 		"all equal":           {responseFor("1"), responseFor("1") + responseFor("1"), "1", 1, 0},
-		"other status than the first": {responseWith("201 Created", "Server: a", "1"),
-			responseWith("200 OK", "Server: a", "1") + responseFor("2"), "1", 1, 1},
-		"other field than the first": {responseWith("200 OK", "Server: a", "1"),
-			responseWith("200 OK", "Server: b", "1") + responseFor("2"), "1", 1, 1},
+		"other status than the first": {responseWithField("201 Created", "Server: a", "1"),
+			responseWithField("200 OK", "Server: a", "1") + responseFor("2"), "1", 1, 1},
+		"other field than the first": {responseWithField("200 OK", "Server: a", "1"),
+			responseWithField("200 OK", "Server: b", "1") + responseFor("2"), "1", 1, 1},
 		"equal, before an error that closes": {responseFor("1"),
-			responseFor("1") + responseWith("400 Bad Request", "Connection: close", ""), "1", 1, 1},
+			responseFor("1") + responseWithField("400 Bad Request", "Connection: close", ""), "1", 1, 1},
 		"equal, before an announced close": {responseFor("1"),
-			responseFor("1") + responseWith("408 Request Timeout", "Connection: close", ""), "1", 0, 0},
+			responseFor("1") + responseWithField("408 Request Timeout", "Connection: close", ""), "1", 0, 0},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := newRepeatedTest(t, tc.first)
-			r := s.exchange("2", tc.second)
+			s := newRepeatedResponseTest(t, tc.first)
+			r := s.exchangeBytes("2", tc.second)
 			if bodyOf(r) != tc.wantBody || r.Status != balancer.OK {
 				t.Errorf("status %v, body %.10q, want %.10q", r.Status, bodyOf(r), tc.wantBody)
 			}
@@ -101,11 +103,11 @@
 func TestSecondResponseWithStartOfTheNext(t *testing.T) {
 	for name, completed := range map[string]bool{"completed": true, "stalled": false} {
 		t.Run(name, func(t *testing.T) {
-			s := newRepeatedTest(t, responseFor("1"))
+			s := newRepeatedResponseTest(t, responseFor("1"))
 			request := tracedRequest("POST", "2")
 			request.Stream = streamedBody()
 			request.ResponseTimeout = maxAttemptTime / 4
-			result := s.start(s.pool.newAttempt(s.to), request)
+			result := s.start(s.pool.newAttempt(s.target), request)
 			req := scriptedpeer.Receive(t, s.endpoint.received, "request 2")
 			statusLine, rest, _ := strings.Cut(responseFor("2"), "\n")
 			io.WriteString(req.conn, responseFor("1")+statusLine+"\n")
@@ -128,7 +130,7 @@
 func TestSecondResponseToStreamedOne(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-	attempt := s.pool.newAttempt(s.to)
+	attempt := s.pool.newAttempt(s.target)
 	started := make(chan *ResponseStream, 1)
 	attempt.ResponseStarted = func(r engine.AttemptResult) bool {
 		started <- r.Response.(*Response).Stream
@@ -142,8 +144,8 @@
 	io.Copy(io.Discard, stream)
 	stream.Finish()
 	scriptedpeer.Receive(t, result, "result of request 1")
-	s.rest(restedFor)
-	if r := s.exchange("2", head+"11"+responseFor("2")); bodyOf(r) != "2" {
+	s.ageResponses(ageBeyondReuseDelay)
+	if r := s.exchangeBytes("2", head+"11"+responseFor("2")); bodyOf(r) != "2" {
 		t.Errorf("request 2: status %v, body %q", r.Status, bodyOf(r))
 	}
 }
@@ -151,15 +153,15 @@
 // Guards against a second response to a health check that is served to a client, and one to a client that is read in
 // place of a load report.
 func TestSecondResponsesAroundHealthCheck(t *testing.T) {
-	s := newRepeatedTest(t, responseFor("1"))
-	r := s.probe(responseFor("1") + responseFor(loadReport))
+	s := newRepeatedResponseTest(t, responseFor("1"))
+	r := s.probeWith(responseFor("1") + responseFor(loadReport))
 	if r.Load == nil {
 		t.Errorf("health check: status %v without a report", r.Status)
 	}
 	s.checkSurplus(1)
-	s.probe(responseFor(loadReport)) // on a new connection
-	s.rest(2 * time.Hour)
-	r = s.exchange("2", responseFor(loadReport)+responseFor("2"))
+	s.probeWith(responseFor(loadReport)) // on a new connection
+	s.ageResponses(2 * time.Hour)
+	r = s.exchangeBytes("2", responseFor(loadReport)+responseFor("2"))
 	if bodyOf(r) != "2" {
 		t.Errorf("request 2: status %v, body %q", r.Status, bodyOf(r))
 	}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -31,9 +31,9 @@
 }
 
 // encode returns the head and the buffered part of the body, which are written in one piece.
-func (r *Request) encode(leftMs int64) []byte {
-	m := BufferedRequest{Method: r.Method, URI: r.URI, Host: r.Host, Header: r.Header, Body: r.Body}
-	b := m.encodeHead(r.Policy.DeadlineHeader, leftMs)
+func (r *Request) encode(remainingMs int64) []byte {
+	buffered := BufferedRequest{Method: r.Method, URI: r.URI, Host: r.Host, Header: r.Header, Body: r.Body}
+	b := buffered.encodeHead(r.Policy.DeadlineHeader, remainingMs)
 	stream := r.Stream
 	switch {
 	case stream != nil && stream.Length >= 0:
@@ -127,9 +127,9 @@
 }
 
 // clientFailed reports whether reading the body from the client failed. written is exchange.bodyWritten.
-func (s *RequestStream) clientFailed(written <-chan struct{}) bool {
+func (s *RequestStream) clientFailed(bodyWritten <-chan struct{}) bool {
 	select {
-	case <-written:
+	case <-bodyWritten:
 		return s.err != nil
 	default:
 		return false
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -33,15 +33,15 @@
 	}
 }
 
-// longPause is longer than the rest of newLongRestTest.
+// longPause is longer than the rest of newLongReuseDelayTest.
 const longPause = 2 * time.Hour
 
-func newLongRestTest(t *testing.T) *secondResponseTest {
+func newLongReuseDelayTest(t *testing.T) *secondResponseTest {
 	t.Helper()
 	return newSecondResponseTest(t, withReuseDelay(time.Hour, false))
 }
 
-// pause models a pause of the machine at an instant at which a connection rests and observeResting sleeps.
+// pause models a pause of the machine at an instant at which a connection rests and observeReuseDelays sleeps.
 func (s *secondResponseTest) pause(c *Conn, d time.Duration) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -49,25 +49,25 @@
 	s.pool.nextObservation = s.pool.nextObservation.Add(-d)
 }
 
-// awaitObservation waits until observeResting has run once more, or has ended.
+// awaitObservation waits until observeReuseDelays has run once more, or has ended.
 func (s *secondResponseTest) awaitObservation() {
 	s.Helper()
-	next := func() (time.Time, bool) {
+	observationState := func() (time.Time, bool) {
 		s.pool.mu.Lock()
 		defer s.pool.mu.Unlock()
 		return s.pool.nextObservation, s.pool.observing
 	}
-	before, _ := next()
+	lastDue, _ := observationState()
 	scriptedpeer.Eventually(s, "observation", func() bool {
-		now, observing := next()
-		return now != before || !observing
+		nextDue, observing := observationState()
+		return nextDue != lastDue || !observing
 	})
 }
 
-// takeResting returns the connection used last, which rests, as to an attempt that waits for it.
-func (s *secondResponseTest) takeResting() *Conn {
+// takeDelayed returns the connection used last, which rests, as to an attempt that waits for it.
+func (s *secondResponseTest) takeDelayed() *Conn {
 	s.Helper()
-	c, wait, err := s.pool.takeOrOpen(s.Context(), s.to, true)
+	c, wait, err := s.pool.takeOrOpen(s.Context(), s.target, true)
 	if err != nil || wait <= 0 {
 		s.Fatalf("a connection to wait for %v, error %v", wait, err)
 	}
@@ -77,40 +77,40 @@
 
 // Guards against a pause that is not noticed, and taken for rest, while an attempt waits for the connection.
 func TestPauseWhileRestIsAwaited(t *testing.T) {
-	s := newLongRestTest(t)
+	s := newLongReuseDelayTest(t)
 	s.complete("1")
-	c := s.takeResting()
+	c := s.takeDelayed()
 	s.pause(c, longPause)
-	if usable, err := s.pool.awaitRest(t.Context(), c, 0); usable || err != nil {
+	if usable, err := s.pool.awaitReuseDelay(t.Context(), c, 0); usable || err != nil {
 		t.Errorf("the connection is usable after a pause: %v, error %v", usable, err)
 	}
 }
 
 // Guards against a pause that is not noticed, and taken for rest, once the attempt that waited has been cancelled.
 func TestPauseAfterAwaitedRestIsCancelled(t *testing.T) {
-	s := newLongRestTest(t)
+	s := newLongReuseDelayTest(t)
 	s.complete("1")
-	c := s.takeResting()
+	c := s.takeDelayed()
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := s.pool.awaitRest(cancelled, c, longPause); !errors.Is(err, context.Canceled) {
+	if _, err := s.pool.awaitReuseDelay(cancelled, c, longPause); !errors.Is(err, context.Canceled) {
 		t.Fatalf("error %v, want %v", err, context.Canceled)
 	}
 	s.awaitObservation()
 	s.pause(c, longPause)
-	if again := s.takeResting(); again != c {
+	if again := s.takeDelayed(); again != c {
 		t.Error("the connection was not put back")
 	}
 }
 
 // Guards against a health check that takes the second response to the health check before it for its own.
 func TestSecondResponseToHealthCheckBefore(t *testing.T) {
-	s := newLongRestTest(t)
-	s.probe(responseFor(loadReport))
+	s := newLongReuseDelayTest(t)
+	s.probeWith(responseFor(loadReport))
 	probed := make(chan []float32, 1)
-	go func() { probed <- s.to.Probe().Load }()
+	go func() { probed <- s.target.Probe().Load }()
 	second := scriptedpeer.Receive(t, s.endpoint.received, "health check 2")
-	for used, response := range s.sent {
+	for used, response := range s.lastSent {
 		io.WriteString(used, response)
 	}
 	io.WriteString(second.conn, responseFor("TEXT busy_reqs=9"))
@@ -121,11 +121,11 @@
 
 // Guards against a response to a health check that is taken for a second response where there are no load reports.
 func TestHealthCheckWithoutReportIsNoSecondResponse(t *testing.T) {
-	s := newLongRestTest(t)
+	s := newLongReuseDelayTest(t)
 	s.complete("1")
-	s.probe(responseFor("hello"))
-	if len(s.sent) != 1 {
-		t.Fatalf("%d connections used, want 1", len(s.sent))
+	s.probeWith(responseFor("hello"))
+	if len(s.lastSent) != 1 {
+		t.Fatalf("%d connections used, want 1", len(s.lastSent))
 	}
 	s.checkSurplus(0)
 }
@@ -134,7 +134,7 @@
 func TestRequestTimeoutIsNoSecondResponse(t *testing.T) {
 	for _, version := range []string{"HTTP/1.0", "HTTP/1.1"} {
 		t.Run(version, func(t *testing.T) {
-			s := newLongRestTest(t)
+			s := newLongReuseDelayTest(t)
 			endpointConn := s.complete("1")
 			c := s.onlyIdle()
 			io.WriteString(endpointConn, version+" 408 Request Time-out\r\nConnection: close\r\n\r\n")
@@ -150,17 +150,17 @@
 func TestSecondResponseReadByHealthCheckAfterRest(t *testing.T) {
 	const lateness = 300 * time.Millisecond // longer than any rest without evidence
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-	if r := s.probe(responseFor(loadReport)); r.Load == nil {
+	if r := s.probeWith(responseFor(loadReport)); r.Load == nil {
 		t.Fatalf("health check: status %v without a report", r.Status)
 	}
-	s.rest(2 * time.Hour)
+	s.ageResponses(2 * time.Hour)
 	s.complete("1")
-	s.rest(lateness)
-	s.probe(responseFor("1"))
+	s.ageResponses(lateness)
+	s.probeWith(responseFor("1"))
 	s.checkSurplus(1)
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	if rest := clock.Duration(s.pool.rests.Rest(s.pool.options.Clock.Now(), s.to.endpoint)); rest < lateness {
+	if rest := clock.Duration(s.pool.reuseDelays.Rest(s.pool.options.Clock.Now(), s.target.endpoint)); rest < lateness {
 		t.Errorf("rest %v, want %v or more", rest, lateness)
 	}
 }
@@ -168,13 +168,13 @@
 // Guards against reuse while an unread second response at another endpoint shows what the pool's endpoints do.
 func TestSecondResponseAtAnotherEndpoint(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-	elsewhere := s.complete("1")
+	firstEndpointConn := s.complete("1")
 	c := s.onlyIdle()
-	s.rest(150 * time.Millisecond)
+	s.ageResponses(150 * time.Millisecond)
 	s.useNewEndpoint()
 	endpointConn := s.complete("2")
-	s.rest(3 * DefaultReuseDelay)
-	io.WriteString(elsewhere, responseFor("1"))
+	s.ageResponses(3 * DefaultReuseDelay)
+	io.WriteString(firstEndpointConn, responseFor("1"))
 	s.awaitBytes(c.Conn)
 	s.mustOutwaitSecondResponse(endpointConn, "3")
 }
@@ -182,13 +182,13 @@
 // Guards against arrivals that are not found since more connections have some than one system call reports.
 func TestSecondResponsesOnManyConnections(t *testing.T) {
 	const connections = maxArrivalEvents + 1
-	s := newLongRestTest(t)
+	s := newLongReuseDelayTest(t)
 	endpointConns := s.completeAtOnce(connections)
 	s.pool.mu.Lock()
 	for _, endpointConn := range endpointConns {
-		io.WriteString(endpointConn, s.sent[endpointConn])
+		io.WriteString(endpointConn, s.lastSent[endpointConn])
 	}
-	for _, c := range s.to.idle {
+	for _, c := range s.target.idle {
 		s.awaitBytes(c.Conn)
 	}
 	s.pool.inspectArrivalsLocked()
@@ -200,10 +200,10 @@
 func TestSecondResponseReportedWhileInUse(t *testing.T) {
 	// Of such a body, the part beyond the read buffer is read from the connection without a byte more.
 	response := "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 9000)
-	s := newLongRestTest(t)
+	s := newLongReuseDelayTest(t)
 	used := s.complete("0")
-	s.rest(2 * time.Hour)
-	attempt := s.pool.newAttempt(s.to)
+	s.ageResponses(2 * time.Hour)
+	attempt := s.pool.newAttempt(s.target)
 	attempt.ResponseStarted = func(r engine.AttemptResult) bool {
 		stream := r.Response.(*Response).Stream
 		s.pool.mu.Lock()
--- a/internal/upstream/reuse_test.go
+++ b/internal/upstream/reuse_test.go
@@ -19,7 +19,7 @@
 func TestSecondResponseMakesReuseLate(t *testing.T) {
 	var dials atomic.Int32
 	pool := newPool(func(o *Options) { o.DistrustedReuseDelay = time.Hour })
-	to := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+	target := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		first := dials.Add(1) == 1
 		for {
 			if _, err := scriptedpeer.ReadRequest(r); err != nil {
@@ -34,7 +34,7 @@
 	}))
 	send := func(wantDials int32) {
 		t.Helper()
-		r := pool.Send(context.Background(), pool.newAttempt(to), plainStreamedGet())
+		r := pool.Send(context.Background(), pool.newAttempt(target), plainStreamedGet())
 		if n := dials.Load(); r.Status != balancer.OK || n != wantDials {
 			t.Fatalf("status %v on %d connections, want %v on %d", r.Status, n, balancer.OK, wantDials)
 		}
@@ -45,7 +45,7 @@
 	}
 	send(2)
 	send(3)
-	for _, c := range to.idle {
+	for _, c := range target.idle {
 		c.lastResponse = c.lastResponse.Add(-2 * time.Hour)
 	}
 	send(3)
@@ -58,7 +58,7 @@
 	respondAgain := make(chan struct{})
 	respondedAgain := make(chan struct{})
 	pool := newPool()
-	to := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+	target := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
 			if _, err := scriptedpeer.ReadRequest(r); err != nil {
 				return
@@ -70,10 +70,10 @@
 			close(respondedAgain)
 		}
 	}))
-	if r := pool.Send(context.Background(), pool.newAttempt(to), plainStreamedGet()); r.Status != balancer.OK {
+	if r := pool.Send(context.Background(), pool.newAttempt(target), plainStreamedGet()); r.Status != balancer.OK {
 		t.Fatalf("first request: status %v", r.Status)
 	}
-	paused := pool.newAttempt(to)
+	paused := pool.newAttempt(target)
 	paused.ClaimSend = func(monotime.Micros) bool {
 		close(respondAgain)
 		<-respondedAgain
@@ -93,10 +93,10 @@
 		o.ReuseDelay = time.Hour
 		o.ReuseDelayOptional = true
 	})
-	to := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
+	target := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
 	used := map[*Conn]bool{}
 	for i := range connections {
-		c := pool.mustGet(t, to)
+		c := pool.mustGet(t, target)
 		if used[c] {
 			t.Fatalf("with %d connections at rest one of them was used", i)
 		}
@@ -104,13 +104,13 @@
 		pool.Put(c)
 	}
 	pool.mu.Lock()
-	rested := to.idle[2]
-	rested.lastResponse = rested.lastResponse.Add(-2 * time.Hour)
+	reusable := target.idle[2]
+	reusable.lastResponse = reusable.lastResponse.Add(-2 * time.Hour)
 	pool.mu.Unlock()
-	c := pool.mustGet(t, to)
+	c := pool.mustGet(t, target)
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	if c != rested || pool.openConns != connections {
+	if c != reusable || pool.openConns != connections {
 		t.Error("one within its rest was used, or a new one, before one that has rested")
 	}
 }
@@ -123,9 +123,9 @@
 		o.ReuseDelay = DefaultReuseDelay
 		o.ReuseDelayOptional = true
 	})
-	to := pool.newTarget(addr)
+	target := pool.newTarget(addr)
 	for b.Loop() {
-		if r := pool.Send(context.Background(), pool.newAttempt(to), plainStreamedGet()); r.Status != balancer.OK {
+		if r := pool.Send(context.Background(), pool.newAttempt(target), plainStreamedGet()); r.Status != balancer.OK {
 			b.Fatal(r.Status)
 		}
 	}
--- a/internal/upstream/second_response_test.go
+++ b/internal/upstream/second_response_test.go
@@ -58,15 +58,15 @@
 	*testing.T
 	pool     *Pool
 	endpoint *manualEndpoint
-	to       *Target
-	sent     map[*net.TCPConn]string // the last response on each connection
+	target   *Target
+	lastSent map[*net.TCPConn]string // the last response on each connection
 }
 
 func newSecondResponseTest(t *testing.T, edits ...func(*Options)) *secondResponseTest {
 	t.Helper()
 	noThreads := withThreads(t.TempDir()) // the machine's load would hide what makes connections rest longer
 	pool := newPool(slices.Insert(edits, 0, noThreads)...)
-	s := &secondResponseTest{T: t, pool: pool, sent: map[*net.TCPConn]string{}}
+	s := &secondResponseTest{T: t, pool: pool, lastSent: map[*net.TCPConn]string{}}
 	s.useNewEndpoint()
 	return s
 }
@@ -75,7 +75,7 @@
 func (s *secondResponseTest) useNewEndpoint() {
 	s.Helper()
 	s.endpoint = startManualEndpoint(s.T)
-	s.to = s.pool.newTarget(s.endpoint.addr)
+	s.target = s.pool.newTarget(s.endpoint.addr)
 }
 
 // withReuseDelay sets the reuse delay, and whether it is optional as in the daemon.
@@ -113,13 +113,13 @@
 
 // startGet starts an attempt of a GET request.
 func (s *secondResponseTest) startGet(id string) <-chan engine.AttemptResult {
-	return s.start(s.pool.newAttempt(s.to), tracedRequest("GET", id))
+	return s.start(s.pool.newAttempt(s.target), tracedRequest("GET", id))
 }
 
 // respond sends the response to a request.
 func (s *secondResponseTest) respond(req receivedRequest) {
-	s.sent[req.conn] = responseFor(req.id)
-	io.WriteString(req.conn, s.sent[req.conn])
+	s.lastSent[req.conn] = responseFor(req.id)
+	io.WriteString(req.conn, s.lastSent[req.conn])
 }
 
 // complete makes a request that is served properly, and returns its connection at the endpoint.
@@ -164,17 +164,17 @@
 	result := s.startGet(id)
 	select {
 	case req := <-s.endpoint.received:
-		second := s.sent[req.conn]
-		if second == "" {
+		secondResponse := s.lastSent[req.conn]
+		if secondResponse == "" {
 			s.respond(req)
-			return s.isOther(id, scriptedpeer.Receive(s, result, "result"))
+			return s.isOtherResponse(id, scriptedpeer.Receive(s, result, "result"))
 		}
-		io.WriteString(req.conn, second)
+		io.WriteString(req.conn, secondResponse)
 		r := scriptedpeer.Receive(s, result, "result")
 		s.respond(req)
-		return s.isOther(id, r)
+		return s.isOtherResponse(id, r)
 	case r := <-result: // without a connection
-		return s.isOther(id, r)
+		return s.isOtherResponse(id, r)
 	}
 }
 
@@ -199,21 +199,21 @@
 	case req = <-s.endpoint.received:
 	case <-time.After(secondResponseDelay):
 	}
-	io.WriteString(used, s.sent[used])
+	io.WriteString(used, s.lastSent[used])
 	if req.conn == nil {
 		req = scriptedpeer.Receive(s, s.endpoint.received, "request")
 	}
 	if req.conn != used {
 		s.respond(req)
-		return s.isOther(id, scriptedpeer.Receive(s, result, "result"))
+		return s.isOtherResponse(id, scriptedpeer.Receive(s, result, "result"))
 	}
 	r := scriptedpeer.Receive(s, result, "result")
 	s.respond(req)
-	return s.isOther(id, r)
+	return s.isOtherResponse(id, r)
 }
 
-// isOther reports whether a result is the response to another request than id.
-func (s *secondResponseTest) isOther(id string, r engine.AttemptResult) bool {
+// isOtherResponse reports whether a result is the response to another request than id.
+func (s *secondResponseTest) isOtherResponse(id string, r engine.AttemptResult) bool {
 	s.Helper()
 	s.Logf("request %s: status %v, body %q", id, r.Status, bodyOf(r))
 	return r.Response != nil && bodyOf(r) != id
@@ -245,17 +245,17 @@
 	s.Helper()
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	if len(s.to.idle) != 1 {
-		s.Fatalf("%d idle connections, want 1", len(s.to.idle))
+	if len(s.target.idle) != 1 {
+		s.Fatalf("%d idle connections, want 1", len(s.target.idle))
 	}
-	return s.to.idle[0]
+	return s.target.idle[0]
 }
 
 // rest makes the last responses on the idle connections to the target older.
-func (s *secondResponseTest) rest(d time.Duration) {
+func (s *secondResponseTest) ageResponses(d time.Duration) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	for _, c := range s.to.idle {
+	for _, c := range s.target.idle {
 		c.lastResponse = c.lastResponse.Add(-d)
 	}
 }
@@ -283,7 +283,7 @@
 func (s *secondResponseTest) awaitBytesOnIdle() {
 	s.Helper()
 	s.pool.mu.Lock()
-	idle := slices.Clone(s.to.idle)
+	idle := slices.Clone(s.target.idle)
 	s.pool.mu.Unlock()
 	for _, c := range idle {
 		s.awaitBytes(c.Conn)
@@ -352,16 +352,16 @@
 func TestSecondResponseBetweenInspectionAndWrite(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 	endpointConn := s.complete("1")
-	s.rest(2 * time.Hour)
+	s.ageResponses(2 * time.Hour)
 	c := s.onlyIdle()
-	attempt := s.pool.newAttempt(s.to)
+	attempt := s.pool.newAttempt(s.target)
 	attempt.ClaimSend = func(monotime.Micros) bool {
 		io.WriteString(endpointConn, responseFor("1"))
 		s.awaitBytes(c.Conn)
 		return true
 	}
 	r := scriptedpeer.Receive(t, s.start(attempt, tracedRequest("GET", "2")), "result")
-	if s.isOther("2", r) || !neverRan(r.Status) {
+	if s.isOtherResponse("2", r) || !neverRan(r.Status) {
 		t.Errorf("status %v, body %q, want a request that was not written", r.Status, bodyOf(r))
 	}
 	s.checkSurplus(1)
@@ -372,11 +372,11 @@
 func TestSecondResponseWithTheNextBehindIt(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 	s.complete("1")
-	s.rest(2 * time.Hour)
+	s.ageResponses(2 * time.Hour)
 	result := s.startGet("2")
 	req := scriptedpeer.Receive(t, s.endpoint.received, "request")
-	io.WriteString(req.conn, s.sent[req.conn]+responseFor("2"))
-	if s.isOther("2", scriptedpeer.Receive(t, result, "result")) {
+	io.WriteString(req.conn, s.lastSent[req.conn]+responseFor("2"))
+	if s.isOtherResponse("2", scriptedpeer.Receive(t, result, "result")) {
 		t.Error("request 2 was served with the response to request 1 although its own was at hand")
 	}
 }
@@ -384,7 +384,7 @@
 // Guards against a response that arrives on a new connection before its first request: it cannot be that request's.
 func TestResponseBeforeFirstRequest(t *testing.T) {
 	s := newSecondResponseTest(t)
-	s.to = s.pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+	s.target = s.pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		io.WriteString(c, responseFor("other"))
 		scriptedpeer.ReadRequest(r)
 	}))
@@ -396,7 +396,7 @@
 		}
 		return c, err
 	}
-	if s.isOther("1", scriptedpeer.Receive(t, s.startGet("1"), "result")) {
+	if s.isOtherResponse("1", scriptedpeer.Receive(t, s.startGet("1"), "result")) {
 		t.Error("request 1 was served with a response that was sent before it")
 	}
 }
@@ -405,40 +405,40 @@
 func TestSecondResponseAfterStallOfEndpoint(t *testing.T) {
 	const lateness = 150 * time.Millisecond
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-	wrong := 0
+	wrongResponses := 0
 	for i := range 4 {
 		s.useNewEndpoint()
 		endpointConn := s.complete(fmt.Sprint(i, "-first"))
-		s.rest(lateness)
+		s.ageResponses(lateness)
 		if s.isServedTooEarly(endpointConn, fmt.Sprint(i, "-second")) {
-			wrong++
+			wrongResponses++
 			s.awaitBytesOnIdle() // its own response
 			s.complete(fmt.Sprint(i, "-third"))
 		}
 	}
-	if wrong > 1 {
-		t.Errorf("%d of 4 endpoints that stall the same had a wrong response, want 1 at most", wrong)
+	if wrongResponses > 1 {
+		t.Errorf("%d of 4 endpoints that stall the same had a wrong response, want 1 at most", wrongResponses)
 	}
 }
 
 // Guards against a rest that is shorter than the lateness already seen of a second response: at the same endpoint, and
 // at another one of the pool.
 func TestLatenessOfSecondResponsesIsLearned(t *testing.T) {
-	for name, elsewhere := range map[string]bool{"same endpoint": false, "another endpoint": true} {
+	for name, anotherEndpoint := range map[string]bool{"same endpoint": false, "another endpoint": true} {
 		t.Run(name, func(t *testing.T) {
 			s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 			endpointConn := s.complete("1")
-			s.rest(150 * time.Millisecond)
+			s.ageResponses(150 * time.Millisecond)
 			c := s.onlyIdle()
 			io.WriteString(endpointConn, responseFor("1"))
 			s.awaitBytes(c.Conn)
 			endpointConn = s.complete("2") // on another connection
 			s.checkSurplus(1)
-			if elsewhere {
+			if anotherEndpoint {
 				s.useNewEndpoint()
 				endpointConn = s.complete("3")
 			}
-			s.rest(120 * time.Millisecond)
+			s.ageResponses(120 * time.Millisecond)
 			s.mustOutwaitSecondResponse(endpointConn, "4")
 		})
 	}
@@ -455,7 +455,7 @@
 	scriptedpeer.Receive(t, held, "result") // its connection is the one used last
 	io.WriteString(endpointConn, responseFor("2"))
 	s.awaitBytes(c.Conn)
-	s.rest(2 * DefaultReuseDelay)
+	s.ageResponses(2 * DefaultReuseDelay)
 	s.mustOutwaitSecondResponse(heldRequest.conn, "3")
 }
 
@@ -471,9 +471,9 @@
 	"304":      {"GET", "HTTP/1.1 304 Not Modified\r\n\r\n"},
 }
 
-// startReader starts an attempt of request 1 whose response is read to its end if it is streamed.
-func (s *secondResponseTest) startReader(method string) <-chan engine.AttemptResult {
-	attempt := s.pool.newAttempt(s.to)
+// startReadingAttempt starts an attempt of request 1 whose response is read to its end if it is streamed.
+func (s *secondResponseTest) startReadingAttempt(method string) <-chan engine.AttemptResult {
+	attempt := s.pool.newAttempt(s.target)
 	attempt.ResponseStarted = func(r engine.AttemptResult) bool {
 		stream := r.Response.(*Response).Stream
 		go func() {
@@ -490,7 +490,7 @@
 	for name, kind := range responseKinds {
 		t.Run(name+" in one write", func(t *testing.T) {
 			s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-			result := s.startReader(kind.method)
+			result := s.startReadingAttempt(kind.method)
 			req := scriptedpeer.Receive(t, s.endpoint.received, "request")
 			io.WriteString(req.conn, kind.response+kind.response)
 			if r := scriptedpeer.Receive(t, result, "result"); r.Status != balancer.OK {
@@ -501,14 +501,14 @@
 		})
 		t.Run(name+" while idle", func(t *testing.T) {
 			s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-			result := s.startReader(kind.method)
+			result := s.startReadingAttempt(kind.method)
 			req := scriptedpeer.Receive(t, s.endpoint.received, "request")
 			io.WriteString(req.conn, kind.response)
 			if r := scriptedpeer.Receive(t, result, "result"); r.Status != balancer.OK {
 				t.Errorf("request 1: status %v", r.Status)
 			}
 			c := s.onlyIdle()
-			s.rest(2 * time.Hour)
+			s.ageResponses(2 * time.Hour)
 			io.WriteString(req.conn, kind.response)
 			s.awaitBytes(c.Conn)
 			s.complete("2")
@@ -524,7 +524,7 @@
 	s.complete("1")
 	result := s.startGet("2")
 	req := scriptedpeer.Receive(t, s.endpoint.received, "request")
-	if s.sent[req.conn] != "" {
+	if s.lastSent[req.conn] != "" {
 		io.WriteString(req.conn, "HTTP/1.1 103 Early Hints\r\nLink: </1>\r\n\r\n")
 	}
 	s.respond(req)
@@ -537,13 +537,13 @@
 const loadReport = "TEXT busy_reqs=7, served_ps=2, cpu_share=0.5"
 
 // probe makes a health check that receives a response.
-func (s *secondResponseTest) probe(response string) engine.AttemptResult {
+func (s *secondResponseTest) probeWith(response string) engine.AttemptResult {
 	s.Helper()
 	probed := make(chan engine.AttemptResult, 1)
-	to := s.to
-	go func() { probed <- to.Probe() }()
+	target := s.target
+	go func() { probed <- target.Probe() }()
 	req := scriptedpeer.Receive(s, s.endpoint.received, "health check")
-	s.sent[req.conn] = response
+	s.lastSent[req.conn] = response
 	io.WriteString(req.conn, response)
 	return scriptedpeer.Receive(s, probed, "result of the health check")
 }
@@ -555,9 +555,9 @@
 			s := newSecondResponseTest(t, withReuseDelay(time.Hour, true))
 			if usedBefore {
 				s.complete("1")
-				s.rest(2 * time.Hour)
+				s.ageResponses(2 * time.Hour)
 			}
-			if r := s.probe(responseFor(loadReport)); r.Load == nil {
+			if r := s.probeWith(responseFor(loadReport)); r.Load == nil {
 				t.Fatalf("health check: status %v without a report", r.Status)
 			}
 			s.mustBeServedRightly("2")
@@ -569,12 +569,12 @@
 // at an endpoint that sends load reports.
 func TestSecondResponseReadByHealthCheck(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-	if r := s.probe(responseFor(loadReport)); r.Load == nil {
+	if r := s.probeWith(responseFor(loadReport)); r.Load == nil {
 		t.Fatalf("health check: status %v without a report", r.Status)
 	}
-	s.rest(2 * time.Hour)
+	s.ageResponses(2 * time.Hour)
 	s.complete("1")
-	if r := s.probe(responseFor("1")); r.Load != nil {
+	if r := s.probeWith(responseFor("1")); r.Load != nil {
 		t.Fatalf("health check: status %v, load %v", r.Status, r.Load)
 	}
 	s.checkSurplus(1)
@@ -588,7 +588,7 @@
 			s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 			endpointConn := s.complete("1")
 			c := s.onlyIdle()
-			s.rest(2 * time.Hour)
+			s.ageResponses(2 * time.Hour)
 			io.WriteString(endpointConn, responseFor("1")[:length])
 			s.awaitBytes(c.Conn)
 			s.mustBeServedRightly("2")
@@ -618,10 +618,10 @@
 			io.WriteString(req.conn, responseFor("1")+responseFor("1"))
 			scriptedpeer.Receive(t, result, "result")
 			s.checkSurplus(1)
-			s.to.Drop()
-			s.to = s.pool.newTarget(s.endpoint.addr)
+			s.target.Drop()
+			s.target = s.pool.newTarget(s.endpoint.addr)
 			endpointConn := s.complete("2")
-			s.rest(2 * DefaultReuseDelay)
+			s.ageResponses(2 * DefaultReuseDelay)
 			s.mustOutwaitSecondResponse(endpointConn, "3")
 		})
 	}
@@ -642,28 +642,28 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 			endpointConn := s.complete("1")
-			s.rest(2 * time.Hour)
+			s.ageResponses(2 * time.Hour)
 			c := s.onlyIdle()
-			paused := s.pool.newAttempt(s.to)
+			paused := s.pool.newAttempt(s.target)
 			paused.ClaimSend = func(monotime.Micros) bool {
 				io.WriteString(endpointConn, responseFor("1"))
 				s.awaitBytes(c.Conn)
 				time.Sleep(5 * time.Millisecond) // the pause
 				return true
 			}
-			keyed := tracedRequest("POST", "2")
-			keyed.Header.Set("Idempotency-Key", "2")
+			keyedRequest := tracedRequest("POST", "2")
+			keyedRequest.Header.Set("Idempotency-Key", "2")
 			if streams {
-				keyed.Stream = streamedBody()
+				keyedRequest.Stream = streamedBody()
 			}
-			r := scriptedpeer.Receive(t, s.start(paused, keyed), "result")
+			r := scriptedpeer.Receive(t, s.start(paused, keyedRequest), "result")
 			if !neverRan(r.Status) || len(s.endpoint.received) != 0 {
 				t.Fatalf("status %v, %d received, want one that never ran", r.Status, len(s.endpoint.received))
 			}
 			if streams {
 				return // whether it can be sent again is for who has the rest of the body
 			}
-			retried := s.start(s.pool.newAttempt(s.to), keyed)
+			retried := s.start(s.pool.newAttempt(s.target), keyedRequest)
 			s.respond(scriptedpeer.Receive(t, s.endpoint.received, "retry"))
 			if r := scriptedpeer.Receive(t, retried, "result"); bodyOf(r) != "2" || len(s.endpoint.received) != 0 {
 				t.Errorf("retry: status %v, body %q, %d more received", r.Status, bodyOf(r), len(s.endpoint.received))
@@ -693,24 +693,24 @@
 	"selection of an expired one": func(s *secondResponseTest) {
 		c := s.onlyIdle()
 		c.idleSince = c.idleSince.Add(-time.Hour)
-		s.rest(2 * time.Hour)
+		s.ageResponses(2 * time.Hour)
 		s.complete("2")
 	},
-	"Drop":                func(s *secondResponseTest) { s.to.Drop() },
-	"AttemptTimedOut":     func(s *secondResponseTest) { s.to.AttemptTimedOut(time.Now()) },
+	"Drop":                func(s *secondResponseTest) { s.target.Drop() },
+	"AttemptTimedOut":     func(s *secondResponseTest) { s.target.AttemptTimedOut(time.Now()) },
 	"SetKeepIdle":         func(s *secondResponseTest) { s.pool.SetKeepIdle(false) },
-	"Put after Drop":      func(s *secondResponseTest) { c := s.take(); s.to.Drop(); s.pool.Put(c) },
-	"Put after not keep":  func(s *secondResponseTest) { c := s.take(); s.pool.SetKeepIdle(false); s.pool.Put(c) },
+	"Put after Drop":      func(s *secondResponseTest) { c := s.takeIdle(); s.target.Drop(); s.pool.Put(c) },
+	"Put after not keep":  func(s *secondResponseTest) { c := s.takeIdle(); s.pool.SetKeepIdle(false); s.pool.Put(c) },
 	"end of the pool Run": func(s *secondResponseTest) { s.endRun() },
 }
 
 // take removes the idle connection from the pool, as if an attempt used it.
-func (s *secondResponseTest) take() *Conn {
+func (s *secondResponseTest) takeIdle() *Conn {
 	s.Helper()
 	s.onlyIdle()
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	return s.pool.removeIdleLocked(s.to, 0)
+	return s.pool.removeIdleLocked(s.target, 0)
 }
 
 // endRun runs the pool until it ends.
@@ -740,7 +740,7 @@
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n"
 	body := strings.Repeat("x", connReadBufferSize-len(head)) + strings.Repeat(responseFor("1"), 100)
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-	attempt := s.pool.newAttempt(s.to)
+	attempt := s.pool.newAttempt(s.target)
 	attempt.ResponseStarted = func(r engine.AttemptResult) bool {
 		s.awaitBytes(r.Response.(*Response).Stream.conn.Conn)
 		r.Response.(*Response).Stream.Finish()
--- a/internal/upstream/surplus.go
+++ b/internal/upstream/surplus.go
@@ -18,55 +18,55 @@
 	detected uint64
 	suspect  uint64 // responses that may have been delivered to the wrong request
 
-	logged     map[reuse.Endpoint]struct{} // distrusted endpoints that are in the log
-	unlogged   map[reuse.Endpoint]struct{} // those that are not yet
-	newSuspect map[reuse.Endpoint]uint64   // the part of suspect that is not in the log yet
+	loggedEndpoints   map[reuse.Endpoint]struct{} // distrusted endpoints that are in the log
+	unloggedEndpoints map[reuse.Endpoint]struct{} // those that are not yet
+	unloggedSuspects  map[reuse.Endpoint]uint64   // the part of suspect that is not in the log yet
 }
 
 func newSurplusCounts() surplusCounts {
 	return surplusCounts{
-		logged:     map[reuse.Endpoint]struct{}{},
-		unlogged:   map[reuse.Endpoint]struct{}{},
-		newSuspect: map[reuse.Endpoint]uint64{},
+		loggedEndpoints:   map[reuse.Endpoint]struct{}{},
+		unloggedEndpoints: map[reuse.Endpoint]struct{}{},
+		unloggedSuspects:  map[reuse.Endpoint]uint64{},
 	}
 }
 
-// noteSurplusLocked notes a response that belongs to no request, and that arrived on a connection at an instant.
-func (p *Pool) noteSurplusLocked(c *Conn, arrival time.Time) {
+// recordSurplusLocked notes a response that belongs to no request, and that arrived on a connection at an instant.
+func (p *Pool) recordSurplusLocked(c *Conn, arrival time.Time) {
 	p.addSurplusLocked(c, arrival, c.lastResponse, c.previousResponse)
 }
 
-// noteSurplus is noteSurplusLocked for callers without the lock.
-func (p *Pool) noteSurplus(c *Conn) {
+// recordSurplus is recordSurplusLocked for callers without the lock.
+func (p *Pool) recordSurplus(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.noteSurplusLocked(c, c.lastArrival())
+	p.recordSurplusLocked(c, c.lastArrival())
 }
 
-// noteSurplusBehind notes a response that belongs to no request, and that arrived together with the response before it,
+// recordSurplusBehindResponse notes a response that belongs to no request, and that arrived together with the response before it,
 // which has just been read.
-func (p *Pool) noteSurplusBehind(c *Conn) {
+func (p *Pool) recordSurplusBehindResponse(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	p.addSurplusLocked(c, now, now, c.lastResponse)
 }
 
-// noteRepeated notes a second response to the request before the one in flight, which was read in place of the response
+// recordRepeatedResponse notes a second response to the request before the one in flight, which was read in place of the response
 // to that one. Its content says which request it belongs to, so that the response before it is not in doubt.
-func (p *Pool) noteRepeated(c *Conn) {
+func (p *Pool) recordRepeatedResponse(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.addSurplusLocked(c, time.Now(), c.lastResponse, time.Time{})
 }
 
-// discardAfterOther closes a connection on which a health check got a response without a load report. From an endpoint
+// discardAfterMissingReport closes a connection on which a health check got a response without a load report. From an endpoint
 // that sends them, that is a second response to an earlier request.
-func (p *Pool) discardAfterOther(c *Conn) {
+func (p *Pool) discardAfterMissingReport(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.target.sendsReports && !c.lastResponse.IsZero() {
-		p.noteSurplusLocked(c, time.Now())
+	if c.target.sendsLoadReports && !c.lastResponse.IsZero() {
+		p.recordSurplusLocked(c, time.Now())
 	}
 	p.closeLocked(c)
 }
@@ -89,12 +89,12 @@
 	if !previous.IsZero() {
 		observed.Interval = max(1, clock.Micros(last.Sub(previous)))
 	}
-	if _, known := p.surplus.logged[observed.Endpoint]; !known {
-		p.surplus.unlogged[observed.Endpoint] = struct{}{}
+	if _, known := p.surplus.loggedEndpoints[observed.Endpoint]; !known {
+		p.surplus.unloggedEndpoints[observed.Endpoint] = struct{}{}
 	}
-	if p.rests.ObserveSecondResponse(p.options.Clock.Now(), observed) {
+	if p.reuseDelays.ObserveSecondResponse(p.options.Clock.Now(), observed) {
 		p.surplus.suspect++
-		p.surplus.newSuspect[observed.Endpoint]++
+		p.surplus.unloggedSuspects[observed.Endpoint]++
 	}
 }
 
@@ -117,14 +117,14 @@
 func (p *Pool) Evidence() *reuse.Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.rests.Snapshot(p.options.Clock.Now())
+	return p.reuseDelays.Snapshot(p.options.Clock.Now())
 }
 
 // RestoreEvidence adds what another process has observed, some time ago. A nil snapshot is nothing.
 func (p *Pool) RestoreEvidence(s *reuse.Snapshot, age monotime.Micros) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.rests.Restore(p.options.Clock.Now(), s, age)
+	p.reuseDelays.Restore(p.options.Clock.Now(), s, age)
 }
 
 // surplusReport is what reportSurplus logs.
@@ -137,8 +137,9 @@
 // responses may have been delivered to the wrong request.
 func (p *Pool) reportSurplus() {
 	report := p.takeSurplusReport()
-	for endpoint, rest := range report.distrusted {
-		p.options.Log.Warn("surplus response, connections reused late", "endpoint", endpoint.Address, "delay", rest)
+	for endpoint, reuseDelay := range report.distrusted {
+		p.options.Log.Warn("surplus response, connections reused late", "endpoint", endpoint.Address,
+			"delay", reuseDelay)
 	}
 	for endpoint, count := range report.suspect {
 		p.options.Log.Warn("response may belong to another request", "endpoint", endpoint.Address, "count", count)
@@ -150,18 +151,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.options.Clock.Now()
-	p.rests.Expire(now)
-	for endpoint := range p.surplus.logged {
-		if !p.rests.IsDistrusted(now, endpoint.Address) {
-			delete(p.surplus.logged, endpoint)
+	p.reuseDelays.Expire(now)
+	for endpoint := range p.surplus.loggedEndpoints {
+		if !p.reuseDelays.IsDistrusted(now, endpoint.Address) {
+			delete(p.surplus.loggedEndpoints, endpoint)
 		}
 	}
-	report := surplusReport{distrusted: map[reuse.Endpoint]time.Duration{}, suspect: p.surplus.newSuspect}
-	for endpoint := range p.surplus.unlogged {
-		report.distrusted[endpoint] = clock.Duration(p.rests.Rest(now, endpoint))
-		p.surplus.logged[endpoint] = struct{}{}
+	report := surplusReport{distrusted: map[reuse.Endpoint]time.Duration{}, suspect: p.surplus.unloggedSuspects}
+	for endpoint := range p.surplus.unloggedEndpoints {
+		report.distrusted[endpoint] = clock.Duration(p.reuseDelays.Rest(now, endpoint))
+		p.surplus.loggedEndpoints[endpoint] = struct{}{}
 	}
-	clear(p.surplus.unlogged)
-	p.surplus.newSuspect = map[reuse.Endpoint]uint64{}
+	clear(p.surplus.unloggedEndpoints)
+	p.surplus.unloggedSuspects = map[reuse.Endpoint]uint64{}
 	return report
 }
