--- a/internal/http1msg/body.go
+++ b/internal/http1msg/body.go
@@ -15,19 +15,19 @@
 
 // The kinds of framing (RFC 9112 section 6.3).
 const (
-	NoBody      FramingKind = iota // there is no body
-	FixedLength                    // it has Length bytes
-	Chunked                        // it ends with an empty chunk, and trailers
-	UntilClose                     // it ends with the connection: responses only
+	NoBody      FramingKind = iota // the message has no body
+	FixedLength                    // the body has Framing.Length bytes
+	Chunked                        // the body consists of chunks, and ends with an empty chunk and trailer fields
+	UntilClose                     // the body ends when the connection is closed; only in responses
 )
 
-// Framing is where a message's body ends.
+// Framing determines where a message's body ends.
 type Framing struct {
 	Kind   FramingKind
-	Length int64 // of FixedLength
+	Length int64 // number of bytes if Kind is FixedLength
 }
 
-// Errors of framing. Two readers could disagree on where a message with one of them ends.
+// Framing errors. Two recipients could disagree on where a message with such an error ends.
 var (
 	ErrContentLength     = errors.New("Content-Length makes no sense")
 	ErrTransferEncoding  = errors.New("Transfer-Encoding is not chunked")
@@ -45,21 +45,22 @@
 	return Framing{}, nil
 }
 
-// ResponseFraming returns the framing of a response's body, by the request's method, the response's status and header.
+// ResponseFraming returns the framing of a response's body. method is the method of the request; code and h are
+// the status code and header of the response.
 func ResponseFraming(method string, code int, h http.Header) (Framing, error) {
 	f, known, err := declaredFraming(h)
 	switch {
 	case err != nil:
 		return f, err
 	case method == http.MethodHead || code < 200 || code == http.StatusNoContent || code == http.StatusNotModified:
-		return Framing{}, nil // whatever the header says
+		return Framing{}, nil // regardless of the header
 	case !known:
 		return Framing{Kind: UntilClose}, nil
 	}
 	return f, nil
 }
 
-// declaredFraming returns the framing that a header declares, if it does.
+// declaredFraming returns the framing that a header declares. known is false if the header declares no framing.
 func declaredFraming(h http.Header) (f Framing, known bool, err error) {
 	lengths := h["Content-Length"]
 	encodings := h["Transfer-Encoding"]
@@ -85,15 +86,16 @@
 	return f, false, nil
 }
 
-// Body reads a message's body. Unlike that of net/http it can be read on after a temporary error of the connection,
-// such as a deadline, and accepts only chunks that end as RFC 9112 requires. Read returns io.EOF only at the end that
-// the framing defines, and io.ErrUnexpectedEOF where the connection ends before. It is not safe for concurrent use.
+// Body reads a message's body. Unlike a body of net/http, it can be read further after a temporary error of the
+// connection, such as a deadline, and it accepts only chunks that end as RFC 9112 requires. Read returns io.EOF
+// only at the end that the framing defines, and io.ErrUnexpectedEOF if the connection ends earlier. Body is not
+// safe for concurrent use.
 type Body struct {
 	reader        *bufio.Reader
 	kind          FramingKind
-	remaining     int64 // bytes of the length, or of the current chunk
+	remaining     int64 // bytes left of the body, or of the current chunk
 	state         chunkState
-	overheadBytes int // bytes of chunk extensions, or of trailers, so far
+	overheadBytes int // size of all chunk extensions, or of all trailer fields, so far
 	trailer       http.Header
 	done          bool
 }
@@ -102,26 +104,28 @@
 type chunkState uint8
 
 const (
-	chunkHeader  chunkState = iota // the line with a chunk's size
-	chunkData                      // a chunk's bytes
-	chunkEnd                       // CR LF behind them
-	chunkTrailer                   // a trailer, or the empty line behind them
+	chunkHeader  chunkState = iota // the line with the size of a chunk
+	chunkData                      // the data of a chunk
+	chunkEnd                       // CR LF after the data of a chunk
+	chunkTrailer                   // a trailer field, or the empty line after all of them
 )
 
 const (
-	// maxLineBytes is the longest line of a chunk's header or of a trailer. It must fit into the reader's buffer.
+	// maxLineBytes is the maximum length of a chunk header or a trailer field line. It must be less than the
+	// size of the reader's buffer.
 	maxLineBytes = 2 << 10
-	// MaxTrailerBytes is the largest size of the trailers of a message.
+	// MaxTrailerBytes is the maximum total size of the trailer fields of a message.
 	MaxTrailerBytes = 8 << 10
-	// maxExtensionBytes is the largest size of the extensions of all chunks of a message, beyond chunkSizeDigits each.
+	// maxExtensionBytes is the maximum total size of the chunk extensions of a message. Of each chunk header,
+	// only the bytes beyond chunkSizeDigits count.
 	maxExtensionBytes = 8 << 10
-	// chunkSizeDigits is the largest number of digits of a chunk's size.
+	// chunkSizeDigits is the maximum number of digits of a chunk size.
 	chunkSizeDigits = 16
-	// chunkSizeBase is the base in which a chunk's size is written.
+	// chunkSizeBase is the base of the number that states a chunk size.
 	chunkSizeBase = 16
 )
 
-// NewBody returns the body that follows in r, whose buffer must hold 4 KiB at least.
+// NewBody returns a Body that reads from r with framing f. The buffer of r must have 4 KiB at least.
 func NewBody(r *bufio.Reader, f Framing) *Body {
 	return &Body{reader: r, kind: f.Kind, remaining: f.Length, done: f.Kind == NoBody}
 }
@@ -129,7 +133,7 @@
 // Done reports whether the body has been read to its end.
 func (b *Body) Done() bool { return b.done }
 
-// Trailer returns the trailers of a chunked body that has been read to its end.
+// Trailer returns the trailer fields of a chunked body that has been read to its end.
 func (b *Body) Trailer() http.Header { return b.trailer }
 
 // Buffered returns how many bytes of data can be read without waiting, as far as that is known.
@@ -144,7 +148,7 @@
 	return n
 }
 
-// Read reads a part of the body, as io.Reader describes.
+// Read reads part of the body, as io.Reader describes.
 func (b *Body) Read(p []byte) (int, error) {
 	switch {
 	case b.done:
@@ -173,13 +177,13 @@
 			b.state = chunkEnd
 		}
 		if errors.Is(err, io.EOF) {
-			err = nil // the next read returns it if more is expected
+			err = nil // the next read returns the error if more bytes are expected
 		}
 	}
 	return n, unexpectedEOF(err)
 }
 
-// unexpectedEOF returns err, io.ErrUnexpectedEOF in place of io.EOF.
+// unexpectedEOF returns io.ErrUnexpectedEOF if err is io.EOF, and err otherwise.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -187,7 +191,7 @@
 	return err
 }
 
-// advanceToData reads up to the next data of a chunk, or to the end of the body.
+// advanceToData reads framing up to the data of the next chunk, or to the end of the body.
 func (b *Body) advanceToData() error {
 	for b.state != chunkData {
 		line, err := b.nextLine()
@@ -197,7 +201,7 @@
 		if err := b.processLine(line); err != nil {
 			return err
 		}
-		_, _ = b.reader.Discard(len(line) + len(crlf)) // nextLine has them in the buffer
+		_, _ = b.reader.Discard(len(line) + len(crlf)) // cannot fail, since nextLine has buffered these bytes
 		if b.done {
 			return nil
 		}
@@ -205,7 +209,7 @@
 	return nil
 }
 
-// processLine interprets a line of the framing by the state, which it advances.
+// processLine interprets a line of the framing according to the state, and advances the state.
 func (b *Body) processLine(line []byte) error {
 	switch b.state {
 	case chunkEnd:
@@ -228,7 +232,7 @@
 	return nil
 }
 
-// processChunkHeader interprets the line with a chunk's size. An empty chunk is followed by the trailers.
+// processChunkHeader interprets the line with the size of a chunk. The trailer fields follow an empty chunk.
 func (b *Body) processChunkHeader(line []byte) (err error) {
 	if b.remaining, err = chunkSize(line); err != nil {
 		return err
@@ -244,7 +248,7 @@
 	return nil
 }
 
-// nextLine returns the next line without its end, and leaves it in the buffer.
+// nextLine returns the next line without its CR LF. It does not consume the line.
 func (b *Body) nextLine() ([]byte, error) {
 	for {
 		buffered, _ := b.reader.Peek(b.reader.Buffered())
@@ -263,8 +267,8 @@
 	}
 }
 
-// chunkSize parses a chunk's header (RFC 9112 section 7.1): its size in hexadecimal digits, and extensions, which are
-// ignored.
+// chunkSize returns the size that a chunk header states (RFC 9112 section 7.1). The header is a hexadecimal
+// number, followed by chunk extensions, which are ignored.
 func chunkSize(line []byte) (int64, error) {
 	digits, extension, _ := bytes.Cut(line, []byte(";"))
 	if bytes.ContainsFunc(extension, isControl) {
@@ -281,8 +285,8 @@
 	return int64(n), nil
 }
 
-// addTrailer parses a trailer. Fields that determine where a message ends or how it is routed must not follow the body,
-// when that has been decided (RFC 9110 section 6.5.1).
+// addTrailer parses a trailer field line. It rejects fields that determine where the message ends or how it is
+// routed, since both have been decided before the body was read (RFC 9110 section 6.5.1).
 func (b *Body) addTrailer(line []byte) error {
 	name, value, found := bytes.Cut(line, colon)
 	if !found || !isToken(name) || bytes.ContainsFunc(value, isControl) {
@@ -299,19 +303,22 @@
 	return nil
 }
 
-// AppendChunkHeader appends the header of a chunk of n bytes, 1 at least, to b. CR LF must follow the bytes.
+// AppendChunkHeader appends the header of a chunk with n bytes of data to b. n must be at least 1. The caller
+// must append the data and then CR LF.
 func AppendChunkHeader(b []byte, n int) []byte {
 	return append(strconv.AppendInt(b, int64(n), chunkSizeBase), crlf...)
 }
 
-// chunkHeaderSpace is the space in bytes for the header of a chunk at the start of a buffer (ChunkData).
+// chunkHeaderSpace is the number of bytes that ChunkData reserves at the start of a buffer for the chunk
+// header.
 const chunkHeaderSpace = 16
 
-// ChunkData returns the part of a buffer into which the data of a chunk is read, so that FrameChunk can frame it in
-// place. The buffer must be larger than 18 bytes.
+// ChunkData returns the part of a buffer into which the data of a chunk is read, so that FrameChunk can add the
+// header and the end of the chunk without copying the data. The buffer must be larger than 18 bytes.
 func ChunkData(buf []byte) []byte { return buf[chunkHeaderSpace : len(buf)-len(crlf)] }
 
-// FrameChunk returns the chunk whose data are the first n bytes, 1 at least, of ChunkData(buf). It is a part of buf.
+// FrameChunk returns the chunk whose data is the first n bytes of ChunkData(buf). n must be at least 1. The
+// result is a slice of buf.
 func FrameChunk(buf []byte, n int) []byte {
 	header := AppendChunkHeader(nil, n)
 	start := chunkHeaderSpace - len(header)
@@ -319,7 +326,8 @@
 	return append(buf[start:chunkHeaderSpace+n], crlf...)
 }
 
-// AppendLastChunk appends the end of a chunked body, with its trailers, to b.
+// AppendLastChunk appends the end of a chunked body to b: the empty chunk, the trailer fields and an empty
+// line.
 func AppendLastChunk(b []byte, trailer http.Header) []byte {
 	b = append(b, "0\r\n"...)
 	if len(trailer) > 0 {
--- a/internal/http1msg/head.go
+++ b/internal/http1msg/head.go
@@ -1,7 +1,7 @@
-// Package http1msg implements the framing of HTTP/1.1 messages (RFC 9112), strictly: it checks heads, determines
-// where a body ends, reads and writes chunked bodies, and knows which fields concern a single connection. It is used
-// by servers and clients alike; it must not import packages that know clients, endpoints or routes, nor decide what a
-// message means.
+// Package http1msg implements the framing of HTTP/1.1 messages (RFC 9112) strictly. It checks message heads,
+// determines where a body ends, reads and writes chunked bodies, and knows which header fields are hop-by-hop.
+// Servers and clients use it alike. It must not import packages that know clients, endpoints or routes, nor
+// decide what a message means.
 package http1msg
 
 import (
@@ -11,39 +11,42 @@
 	"strings"
 )
 
-// MaxHeaderFields is the largest number of fields in a request's head. Each costs an endpoint work, and most servers
-// have a limit of their own not far above: a request that is rejected here costs no attempt.
+// MaxHeaderFields is the maximum number of header fields of a request. Each field costs an endpoint work, and
+// most servers have a limit of their own that is not much higher: a request that is rejected here does not cost
+// an attempt.
 const MaxHeaderFields = 100
 
-// SingletonHeaders are the fields that identify the sender, the target, the idempotency key, the deadline and the end
-// of a message. Each may occur once at most in a head, and Connection must not name it (RFC 9110 section 7.6.1): it
-// would be removed on the way to the endpoint, which could then not recognize a repetition. Names are in canonical
-// form.
+// SingletonHeaders are the header fields that identify the sender, the target, the idempotency key, the
+// deadline or the end of a message. Each of them may occur at most once in a head. The Connection field must
+// not name them (RFC 9110 section 7.6.1): a field that it names is removed on the way to the endpoint, which
+// could then not recognize a retry, for example. The names are in canonical form.
 var SingletonHeaders = map[string]bool{
 	"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Authorization": true, "Traceparent": true,
 	FieldIdempotencyKey: true, FieldRequestID: true, FieldClass: true, FieldTenant: true, FieldObject: true,
 	FieldDeadline: true, FieldRetry: true, FieldWorkHint: true, "X-Props": true,
 }
 
-// HeadError is why a request's head is rejected.
+// HeadError is the error for a request that is rejected because of its head.
 type HeadError struct {
-	Status int // HTTP status of the response
+	Status int // status code of the response
 	Reason string
 }
 
 // Error returns the reason.
 func (e *HeadError) Error() string { return e.Reason }
 
+// errorf returns a *HeadError with a formatted reason.
 func errorf(status int, format string, args ...any) error {
 	return &HeadError{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
-// ErrLineEnd is returned for a head with a line that does not end with CR LF. A lone LF ends a line for some readers
-// and not for others, which then see different requests.
+// ErrLineEnd is the error for a head with a line that does not end with CR LF. Some recipients take a lone LF
+// for the end of a line and others do not, so that they see different requests.
 var ErrLineEnd = &HeadError{http.StatusBadRequest, "a line of the head does not end with CR LF"}
 
-// FindHeadEnd returns the length of the head that b starts with, its empty line included, or 0 while it is
-// incomplete. The bytes before from have been scanned by an earlier call; next is from for the next call.
+// FindHeadEnd returns the length of the head at the start of b, including its empty line, or 0 if the head is
+// incomplete. An earlier call has examined the first scanned bytes of b. next is the value of scanned for the
+// next call.
 func FindHeadEnd(b []byte, scanned int) (n, next int, err error) {
 	for {
 		i := bytes.IndexByte(b[scanned:], '\n')
@@ -61,9 +64,10 @@
 	}
 }
 
-// CheckHead returns the first error in a request's head, whose lines end with CR LF, as a *HeadError. It is stricter
-// than http.ReadRequest, which enforces the rest of RFC 9112: a head that two readers could interpret differently is
-// rejected. extraSingletons are fields that are handled like SingletonHeaders.
+// CheckHead returns the first error in a request's head as a *HeadError. The lines of the head must end with CR
+// LF. CheckHead is stricter than http.ReadRequest, which enforces the rest of RFC 9112: it rejects heads that
+// two recipients could interpret differently. extraSingletons are fields that are handled like
+// SingletonHeaders.
 func CheckHead(head []byte, extraSingletons map[string]bool) error {
 	line, rest, _ := bytes.Cut(head, crlf)
 	method, target, version := splitRequestLine(line)
@@ -86,7 +90,8 @@
 	case version == "HTTP/1.1" && !fields.seen["Host"]:
 		return errorf(http.StatusBadRequest, "Host is missing")
 	case fields.seen["Host"] && target[0] != '/' && !targetMatchesHost(target, fields.host):
-		// RFC 9112 section 3.2.2 prefers the target; a server that prefers Host would serve another site.
+		// According to RFC 9112 section 3.2.2 the target takes precedence. A server that prefers Host would
+		// serve another site.
 		return errorf(http.StatusBadRequest, "the target and Host name two hosts")
 	case fields.hasEncoding && version == "HTTP/1.0":
 		return errorf(http.StatusBadRequest, "HTTP/1.0 has no Transfer-Encoding")
@@ -94,7 +99,7 @@
 	return nil
 }
 
-// checkRequestLine returns the first error in the parts of a request line.
+// checkRequestLine returns the first error in the method, target or version of a request line.
 func checkRequestLine(method, target []byte, version string) error {
 	isInvisible := func(r rune) bool { return r <= ' ' || r > '~' }
 	switch {
@@ -110,20 +115,22 @@
 	return errorf(http.StatusBadRequest, "that is no HTTP")
 }
 
-// headFields are the fields of a head that CheckHead needs together.
+// headFields is the state of CheckHead: which header fields have occurred so far.
 type headFields struct {
 	extraSingletons map[string]bool
-	seen            map[string]bool // the singletons among the fields so far; nil until there is one
-	host            []byte          // value of Host
-	hasLength       bool            // there is a Content-Length
-	hasEncoding     bool            // there is a Transfer-Encoding
+	seen            map[string]bool // singleton fields that have occurred; nil until the first one
+	host            []byte          // value of the Host field
+	hasLength       bool            // Content-Length has occurred
+	hasEncoding     bool            // Transfer-Encoding has occurred
 }
 
+// isSingleton reports whether a field may occur at most once, by its canonical name.
 func (f *headFields) isSingleton(key string) bool {
 	return SingletonHeaders[key] || f.extraSingletons[key]
 }
 
-// add adds a field line, or returns an error if it is invalid by itself or beside the fields before.
+// add adds a field line. It returns an error if the line is invalid, or conflicts with the field lines before
+// it.
 func (f *headFields) add(line []byte) error {
 	name, value, found := bytes.Cut(line, colon)
 	switch {
@@ -165,7 +172,7 @@
 	return nil
 }
 
-// checkConnection returns an error if a Connection field names a singleton.
+// checkConnection returns an error if the value of a Connection field names a singleton field.
 func (f *headFields) checkConnection(value []byte) error {
 	for option := range bytes.SplitSeq(value, comma) {
 		key := http.CanonicalHeaderKey(string(bytes.Trim(option, " \t")))
@@ -176,6 +183,7 @@
 	return nil
 }
 
+// isDigits reports whether b is a non-empty sequence of decimal digits.
 func isDigits(b []byte) bool {
 	return len(b) > 0 && !bytes.ContainsFunc(b, func(r rune) bool { return r < '0' || r > '9' })
 }
@@ -186,7 +194,8 @@
 	comma = []byte(",")
 )
 
-// splitRequestLine returns the parts of a request line, which are separated by one space each.
+// splitRequestLine splits a request line at its first and last space. If it has fewer than two spaces, method
+// is the line.
 func splitRequestLine(line []byte) (method, target []byte, version string) {
 	first := bytes.IndexByte(line, ' ')
 	last := bytes.LastIndexByte(line, ' ')
@@ -196,7 +205,8 @@
 	return line[:first], line[first+1 : last], string(line[last+1:])
 }
 
-// targetMatchesHost reports whether a target names a host. A target that is not in absolute form matches any.
+// targetMatchesHost reports whether a request target names the given host. A target that is not in absolute
+// form matches any host.
 func targetMatchesHost(target, host []byte) bool {
 	_, rest, found := bytes.Cut(target, []byte("://"))
 	if !found {
@@ -208,8 +218,8 @@
 	return bytes.EqualFold(rest, host)
 }
 
-// IsHopByHop reports whether a field concerns a single connection only (RFC 9110 section 7.6.1), by its canonical
-// name and the values of the Connection field.
+// IsHopByHop reports whether a header field concerns a single connection only (RFC 9110 section 7.6.1). name is
+// its canonical name, and connection has the values of the Connection field.
 func IsHopByHop(name string, connection []string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
@@ -219,10 +229,11 @@
 	return listContains(connection, name)
 }
 
-// HasClose reports whether the Connection field has the option close.
+// HasClose reports whether the values of the Connection field contain the option close.
 func HasClose(connection []string) bool { return listContains(connection, "close") }
 
-// listContains reports whether a comma-separated list, over several fields, has an option.
+// listContains reports whether a comma-separated list, which may be spread over several values, contains an
+// option.
 func listContains(fields []string, option string) bool {
 	for _, v := range fields {
 		for listed := range strings.SplitSeq(v, ",") {
@@ -234,6 +245,7 @@
 	return false
 }
 
+// equalFold reports whether a and b are equal, ignoring case.
 func equalFold(a, b string) bool { return strings.EqualFold(a, b) }
 
 // isToken reports whether b is a token (RFC 9110 section 5.6.2).
@@ -246,13 +258,13 @@
 	return len(b) > 0
 }
 
-// IsFieldValue reports whether s may be a field's value (RFC 9110 section 5.5).
+// IsFieldValue reports whether s is valid as the value of a header field (RFC 9110 section 5.5).
 func IsFieldValue(s string) bool { return !strings.ContainsFunc(s, isControl) }
 
-// IsToken reports whether s is a token (RFC 9110 section 5.6.2), as methods and names of fields are.
+// IsToken reports whether s is a token (RFC 9110 section 5.6.2). Methods and field names are tokens.
 func IsToken(s string) bool { return isToken([]byte(s)) }
 
-// isTokenChar is which bytes are a tchar of RFC 9110 section 5.6.2.
+// isTokenChar has true at the bytes that a token may contain: tchar of RFC 9110 section 5.6.2.
 var isTokenChar = func() (isChar [256]bool) {
 	for c := '0'; c <= '9'; c++ {
 		isChar[c] = true
@@ -267,5 +279,6 @@
 	return isChar
 }()
 
-// isControl reports whether a field's value must not contain a character: all of CTL but the tab.
+// isControl reports whether r is a character that a field value must not contain: a control character other
+// than tab.
 func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
--- a/internal/upstream/arrivals.go
+++ b/internal/upstream/arrivals.go
@@ -6,26 +6,28 @@
 	"syscall"
 )
 
-// arrivals finds the connections on which something has arrived, or that were closed by their endpoints, with one
-// system call for all of them (epoll). Its methods must not be called concurrently. The zero arrivals watches nothing.
+// arrivals finds the connections that have unread bytes or were closed by their endpoints, with one system call
+// for all of them (epoll). Its methods must not be called concurrently. The zero arrivals watches no
+// connections.
 type arrivals struct {
-	epoll  *os.File        // owns fd; nil until a connection is watched
-	fd     int             // of epoll
-	conns  map[int32]*Conn // by descriptor: the connections that have been watched
+	epoll  *os.File        // owns fd; nil until the first connection is watched
+	fd     int             // descriptor of the epoll instance
+	conns  map[int32]*Conn // watched connections, keyed by their descriptors
 	events [maxArrivalEvents]syscall.EpollEvent
 }
 
-// maxArrivalEvents is how many events one system call returns at most.
+// maxArrivalEvents is the maximum number of events that one system call returns.
 const maxArrivalEvents = 64
 
-// arrivalEvents are the events of interest, each reported once (edge-triggered).
+// arrivalEvents are the epoll events that a connection is watched for. They are edge-triggered: each arrival is
+// reported once.
 const arrivalEvents = syscall.EPOLLIN | syscall.EPOLLRDHUP | epollEdgeTriggered
 
-// epollEdgeTriggered is EPOLLET, which package syscall has as a negative number.
+// epollEdgeTriggered is EPOLLET as a positive number. Package syscall declares EPOLLET as a negative one.
 const epollEdgeTriggered = 1 << 31
 
-// watch has a connection reported, until it is closed, if something has arrived on it, and each time something arrives.
-// An error means that it is not.
+// watch watches a connection until the connection is closed. pending yields it if it has unread bytes now, and
+// again each time that bytes arrive. If watch returns an error, the connection is not watched.
 func (a *arrivals) watch(c *Conn) error {
 	if a.conns[c.watchedFD] == c {
 		return nil
@@ -45,7 +47,7 @@
 	return errors.Join(err, watchErr)
 }
 
-// open opens the epoll instance, unless it is open.
+// open creates the epoll instance, unless it exists already.
 func (a *arrivals) open() error {
 	if a.epoll != nil {
 		return nil
@@ -60,16 +62,16 @@
 	return nil
 }
 
-// forget ends the watch of a connection that has been closed, by which the epoll instance has removed it. Another
-// connection may have got its descriptor since.
+// forget removes a closed connection from conns. Closing the connection has already removed it from the epoll
+// instance. Its descriptor may have been reassigned to another watched connection, which stays.
 func (a *arrivals) forget(c *Conn) {
 	if a.conns[c.watchedFD] == c {
 		delete(a.conns, c.watchedFD)
 	}
 }
 
-// all yields the connections on which something has arrived, is unread, and has not been reported yet. It does not
-// wait.
+// pending yields the connections that have received bytes, or were closed by their endpoints, since they were
+// last yielded. It does not wait.
 func (a *arrivals) pending(yield func(*Conn) bool) {
 	for mayHaveMore := len(a.conns) > 0; mayHaveMore; {
 		n, err := syscall.EpollWait(a.fd, a.events[:], 0)
@@ -88,7 +90,7 @@
 	}
 }
 
-// close ends all watches.
+// close stops watching all connections.
 func (a *arrivals) close() {
 	if a.epoll != nil {
 		a.epoll.Close()
--- a/internal/upstream/buffered.go
+++ b/internal/upstream/buffered.go
@@ -16,14 +16,16 @@
 )
 
 const (
-	maxResponseBytes = siteconfig.MaxBodyBytes + 64<<10 // of a response, its head and framing included
-	probeTimeout     = 250 * time.Millisecond           // of a health check, from its connection to its response
+	maxResponseBytes = siteconfig.MaxBodyBytes + 64<<10 // limit for a response, its head and framing included
+	probeTimeout     = 250 * time.Millisecond           // limit for a health check, including opening a connection
 )
 
-// This file makes exchanges whose request and response are read completely, with a 200 response as the only success.
-// The product uses them for health checks; SendBuffered serves tests and package bench/quietfleet.
+// This file makes exchanges whose request and response are buffered completely, and in which only a 200
+// response is a success. The product uses them for health checks. SendBuffered is for tests and package
+// bench/quietfleet.
 
-// BufferedRequest is a small request to an endpoint. SendBuffered adds the header of its remaining time.
+// BufferedRequest is a small request to an endpoint. SendBuffered adds the header field with the time that is
+// left for the request.
 type BufferedRequest struct {
 	Method string
 	URI    string
@@ -32,14 +34,15 @@
 	Body   []byte
 }
 
-// BufferedResponse is a 200 response of an endpoint.
+// BufferedResponse is a 200 response of an endpoint, with its complete body.
 type BufferedResponse struct {
 	Header http.Header
 	Body   []byte
 }
 
-// SendBuffered makes one attempt (core.AttemptFunc, but for the request). The Response of its result is a
-// *BufferedResponse. Only tests and package bench/quietfleet call it: clients' requests are forwarded by Send.
+// SendBuffered makes one attempt, as core.AttemptFunc describes, and takes the request as an additional
+// argument. The Response of its result is a *BufferedResponse. Only tests and package bench/quietfleet call it;
+// requests of clients are sent by Send.
 func (p *Pool) SendBuffered(
 	ctx context.Context, attempt *core.AttemptContext, request *BufferedRequest,
 ) engine.AttemptResult {
@@ -51,8 +54,8 @@
 		func(keepConn bool) { p.release(c, attempt, keepConn) })
 }
 
-// acquire returns a connection for an attempt that may be sent now, and the milliseconds that are left for it; or no
-// connection, and the status of the attempt.
+// acquire returns a connection on which an attempt may be written now, and the milliseconds that are left for
+// the attempt. If there is no such connection, c is nil, and status is the status of the attempt.
 func (p *Pool) acquire(
 	ctx context.Context, attempt *core.AttemptContext,
 ) (c *Conn, remainingMs int64, status balancer.Status) {
@@ -73,8 +76,9 @@
 	return c, remainingMs, balancer.OK
 }
 
-// release ends an attempt's use of a connection. It is returned to the pool if keep is set, since the exchange on it is
-// complete, and the attempt was not aborted; otherwise it is closed.
+// release ends an attempt's use of a connection. The connection returns to the pool if keepConn is set, which
+// means that the exchange on it is complete, and the attempt was not aborted. Otherwise release closes the
+// connection.
 func (p *Pool) release(c *Conn, attempt *core.AttemptContext, keepConn bool) {
 	if attempt.ReleaseConn != nil && !attempt.ReleaseConn() {
 		keepConn = false
@@ -86,7 +90,7 @@
 	}
 }
 
-// releaseUnused ends an attempt's use of a connection on which nothing was written.
+// releaseUnused ends an attempt's use of a connection to which the attempt has written nothing.
 func (p *Pool) releaseUnused(c *Conn, attempt *core.AttemptContext) {
 	if attempt.ReleaseConn != nil && !attempt.ReleaseConn() {
 		p.Discard(c)
@@ -95,14 +99,15 @@
 	p.putUnused(c)
 }
 
-// Names of the health check in PROTOCOL.
+// Paths and texts of health checks, as the document PROTOCOL specifies them.
 const (
 	healthPath       = "/-/healthy"
 	loadReportPath   = "/-/load"
-	loadReportPrefix = "TEXT " // of a load report, before its pairs name=value
+	loadReportPrefix = "TEXT " // starts a load report, and is followed by pairs name=value
 )
 
-// Probe makes a health check: it requests a load report, or the health path where there are no load reports.
+// Probe makes a health check. It requests a load report if the pool expects load reports, and the health path
+// otherwise.
 func (target *Target) Probe() engine.AttemptResult {
 	p := target.pool
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
@@ -133,12 +138,14 @@
 	return result
 }
 
+// newResult returns an attempt result with a status, observed now.
 func (p *Pool) newResult(status balancer.Status) engine.AttemptResult {
 	return engine.AttemptResult{Status: status, ObservedAt: p.options.Clock.Now()}
 }
 
-// roundTrip writes a request and reads its response. The connection is released, and kept if both are complete. A
-// request that is written completely is counted in written.
+// roundTrip writes a request and reads its response. It calls release once, with keepConn set if the request
+// and the response are complete and the connection can carry another request. It increments writtenCount,
+// unless that is nil, once the request is written completely.
 func (p *Pool) roundTrip(ctx context.Context, c *Conn, encodedRequest []byte, writtenCount *atomic.Uint64,
 	release func(keepConn bool)) engine.AttemptResult {
 	stopCloseOnCancel := context.AfterFunc(ctx, func() { c.Conn.Close() })
@@ -148,7 +155,7 @@
 		stopCloseOnCancel()
 		release(false)
 		if n < len(encodedRequest) {
-			return p.newResult(balancer.ConnectFailed) // its last byte was not written, so it never ran
+			return p.newResult(balancer.ConnectFailed) // its last byte was not written, so the endpoint did not run it
 		}
 		return p.newResult(balancer.Reset)
 	}
@@ -178,8 +185,8 @@
 	return result
 }
 
-// readOwnResponse reads the response to the request in flight, behind a second response to the request before it. It
-// reports whether the connection may be used again.
+// readOwnResponse reads the response to the request in flight. It discards a second response to the previous
+// request if that arrives first. It reports whether the connection may be used again.
 func (p *Pool) readOwnResponse(c *Conn) (response *parsedResponse, reusable bool, err error) {
 	response, err = c.readResponse()
 	if err != nil {
@@ -196,11 +203,12 @@
 	return response, !response.closeAfter, nil
 }
 
-// requestHeadSize is how many bytes are allocated for the head of a request. A larger head grows the buffer.
+// requestHeadSize is the initial size in bytes of the buffer for a request head. The buffer grows for larger
+// heads.
 const requestHeadSize = 512
 
-// encodeHead encodes the start of a request, up to the fields that frame its body, with the time that is left for it
-// in a header, if any.
+// encodeHead encodes the start of a request, up to the header fields that frame its body. If deadlineField is
+// not empty and remainingMs is positive, the head contains that field with remainingMs as its value.
 func (r *BufferedRequest) encodeHead(deadlineField string, remainingMs int64) *bytes.Buffer {
 	b := &bytes.Buffer{}
 	b.Grow(requestHeadSize + len(r.Body))
@@ -212,7 +220,8 @@
 	return b
 }
 
-// encode encodes the request in one piece, with the time that is left for it in milliseconds, if any.
+// encode encodes the request in one piece. The head states remainingMs, the milliseconds that are left for the
+// request, unless that is 0.
 func (r *BufferedRequest) encode(remainingMs int64) []byte {
 	b := r.encodeHead(http1msg.FieldDeadline, remainingMs)
 	if len(r.Body) > 0 || r.Method != http.MethodGet {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -17,16 +17,18 @@
 	"dunlinsail/internal/http1msg"
 )
 
-// bufferWindow is how long the body of a response is buffered. One that has not ended by then is streamed.
+// bufferWindow is how long the body of a response is buffered. A body that has not ended by then is streamed.
 const bufferWindow = 20 * time.Millisecond
 
-// initialBodyBuffer is the size in bytes at which the buffer of a response body of unknown length starts.
+// initialBodyBuffer is the initial size in bytes of the buffer for a response body of unknown length.
 const initialBodyBuffer = 512
 
-// maxResponseHeadBytes bounds the heads of one response, those of interim (1xx) responses included.
+// maxResponseHeadBytes is the maximum size in bytes of the head of a response together with the interim (1xx)
+// responses before it.
 const maxResponseHeadBytes = 64 << 10
 
-// Send makes one attempt (core.AttemptFunc, but for the request). The Response of its result is a *Response.
+// Send makes one attempt, as core.AttemptFunc describes, and takes the request as an additional argument. The
+// Response of its result is a *Response.
 func (p *Pool) Send(ctx context.Context, attempt *core.AttemptContext, request *Request) engine.AttemptResult {
 	c, remainingMs, status := p.acquire(ctx, attempt)
 	if c == nil {
@@ -46,14 +48,15 @@
 	result.SentAt = max(e.sentAt.Load(), c.availableAt)
 	if stream != nil {
 		stream.finish(e)
-		reusable = reusable && e.sentAt.Load() != 0 // otherwise the next request would be taken for the rest of the body
+		reusable = reusable && e.sentAt.Load() != 0 // else the next request would be read as the rest of the body
 	}
-	c.SetReadDeadline(time.Time{}) // that of the last wait for a part of the response
+	c.SetReadDeadline(time.Time{}) // clears the deadline of the last read
 	p.release(c, attempt, stopCloseOnCancel() && reusable && p.nothingFollows(c))
 	return result
 }
 
-// nothingFollows reports whether nothing was read after the response that ends an exchange.
+// nothingFollows reports whether the read buffer is empty after the response that ends an exchange. It records
+// a response in the buffer as a surplus response.
 func (p *Pool) nothingFollows(c *Conn) bool {
 	if c.reader.Buffered() == 0 {
 		return true
@@ -64,24 +67,24 @@
 	return false
 }
 
-// exchange is one attempt: a request written to a connection, and the response read from it.
+// exchange is one attempt: a request that is written to a connection, and the response that is read from it.
 type exchange struct {
 	pool        *Pool
 	conn        *Conn
 	request     *Request
 	attempt     *core.AttemptContext
-	bodyWritten chan struct{} // closed once forwardBody has written the streaming body or failed; nil for other bodies
-	sentAt      atomic.Int64  // monotime.Micros: when its last byte was written; 0 is not yet
+	bodyWritten chan struct{} // closed once forwardBody has ended; nil if the body is not streamed
+	sentAt      atomic.Int64  // monotime.Micros at which the last byte of the request was written; 0: not yet
 
 	mu            sync.Mutex
-	headReadEnded bool // the response's head has been read, or could not be
+	headReadEnded bool // the head of the response has been read, or reading it has failed
 
-	isBuffered bool           // the last response read is complete, and nothing of it has been handed on
-	digest     responseDigest // of the last response read, if it was read to its end
+	isBuffered bool           // the last response read is complete, and no part of it has been passed to the client
+	digest     responseDigest // digest of the last response read; covers the body only if that was read to its end
 }
 
-// run writes the request, whose first piece is text, and reads its response. It reports whether the connection may be
-// used again.
+// run writes the request, which starts with firstPiece, and reads its response. It reports whether the
+// connection may be used again.
 func (e *exchange) run(ctx context.Context, firstPiece []byte) (result engine.AttemptResult, reusable bool) {
 	if status := e.writeRequest(firstPiece); status != balancer.OK {
 		return e.pool.newResult(status), false
@@ -97,7 +100,7 @@
 	return result, reusable
 }
 
-// readResponse reads a response. It reports whether the connection may be used again.
+// readResponse reads one response, and reports whether the connection may be used again.
 func (e *exchange) readResponse(ctx context.Context) (result engine.AttemptResult, reusable bool) {
 	response, closeAfter, err := e.awaitHead()
 	result = e.pool.newResult(balancer.Reset)
@@ -134,7 +137,7 @@
 	return result, !closeAfter
 }
 
-// awaitHead reads the head of the final response, after which writeBody sets no deadline for it any more.
+// awaitHead reads the head of the final response. Afterwards bodySent sets no read deadline any more.
 func (e *exchange) awaitHead() (response *Response, closeAfter bool, err error) {
 	response, closeAfter, err = e.readHead()
 	e.mu.Lock()
@@ -143,8 +146,8 @@
 	return response, closeAfter, err
 }
 
-// writeRequest writes the first piece of the request, and starts to forward a streaming body. It returns OK, or the
-// status of an attempt that could not be written.
+// writeRequest writes the first piece of the request, and starts forwarding a streaming body. It returns OK, or
+// the status of the attempt if the request could not be written.
 func (e *exchange) writeRequest(firstPiece []byte) balancer.Status {
 	stream := e.request.Stream
 	e.conn.readLimit.N = maxResponseHeadBytes
@@ -152,9 +155,9 @@
 	n, err := e.conn.inspectAndWrite(firstPiece)
 	switch {
 	case errors.Is(err, errUnusable), err != nil && n < len(firstPiece) && stream == nil:
-		return balancer.ConnectFailed // its last byte was not written, so it never ran
+		return balancer.ConnectFailed // its last byte was not written, so the endpoint did not run it
 	case err != nil:
-		return balancer.Reset // an endpoint may start to work with half a body
+		return balancer.Reset // the endpoint may have started to process part of the body
 	}
 	if stream == nil {
 		e.pool.forwarded.Add(1)
@@ -165,7 +168,7 @@
 	return balancer.OK
 }
 
-// readFailureStatus returns the status of an attempt whose response could not be read.
+// readFailureStatus returns the status of an attempt whose response could not be read because of err.
 func (e *exchange) readFailureStatus(err error) balancer.Status {
 	stream := e.request.Stream
 	switch {
@@ -177,8 +180,9 @@
 	return balancer.Reset
 }
 
-// streamResponse hands a response that is not buffered to the client's side, and waits until that has read it. Such a
-// response is final, also if it is an error: nothing of it could be sent any more if a retry failed too.
+// streamResponse passes a response that is not buffered completely to the frontend, and waits until the
+// frontend has forwarded it to the client. The client receives such a response even if it is an error: a retry
+// is no longer possible once part of a response has been forwarded.
 func (e *exchange) streamResponse(ctx context.Context, result engine.AttemptResult, response *Response,
 	body *http1msg.Body, closeAfter bool) (_ engine.AttemptResult, reusable bool) {
 	policy := e.request.Policy
@@ -203,7 +207,7 @@
 	if !e.attempt.ResponseStarted(result) {
 		return e.pool.newResult(balancer.Cancelled), false
 	}
-	result.Response = nil // it belongs to the client's side now
+	result.Response = nil // owned by the frontend from now on
 	var err error
 	select {
 	case err = <-stream.ended:
@@ -216,7 +220,7 @@
 		result.Status = classifiedStatus
 		return result, !closeAfter
 	case err == nil:
-		result.Status = balancer.Cancelled // the client left
+		result.Status = balancer.Cancelled // the client closed its connection
 	case errors.Is(err, ErrResponseTooLong):
 		result.Status = balancer.Error
 	default:
@@ -225,14 +229,15 @@
 	return result, false
 }
 
-// startResponseTimeoutLocked starts the response's timeout, unless its head has been read.
+// startResponseTimeoutLocked starts the timeout for the response, unless its head has been read already.
 func (e *exchange) startResponseTimeoutLocked() {
 	if timeout := e.request.responseTimeout(); !e.headReadEnded && timeout > 0 {
 		e.conn.SetReadDeadline(time.Now().Add(timeout))
 	}
 }
 
-// prepareForNextHead prepares for the head of another response, after that of a second response to the request before.
+// prepareForNextHead resets the limits for reading a head. It is called after a second response to the previous
+// request was read, and before the response to the request in flight is.
 func (e *exchange) prepareForNextHead() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -244,8 +249,8 @@
 	}
 }
 
-// readHead reads up to the head of the final response, and reports whether the endpoint closes the connection after
-// it.
+// readHead reads the interim responses and the head of the final response. It reports whether the endpoint
+// closes the connection after the final response.
 func (e *exchange) readHead() (*Response, bool, error) {
 	response := &Response{}
 	for len(response.Interim) <= maxInterimResponses {
@@ -261,7 +266,7 @@
 			return nil, false, errMalformedResponse
 		}
 		if isInterim(head.statusCode) {
-			if head.statusCode != http.StatusContinue { // that is between this hop and the endpoint
+			if head.statusCode != http.StatusContinue { // 100 (Continue) concerns only the connection to the endpoint
 				response.Interim = append(response.Interim, InterimResponse{head.statusCode, head.Header})
 			}
 			continue
@@ -274,8 +279,9 @@
 	return nil, false, errResponseTooLarge
 }
 
-// bufferBody reads as much of a response body as is buffered, and reports whether it is complete. With waitForAll, a
-// body of known length is waited for until the time of the attempt ends.
+// bufferBody reads a response body into response.Buffered, up to the policy's MaxBuffered bytes and for
+// bufferWindow at most, and reports whether the body is complete. With waitForAll, it reads a body of known
+// length for as long as the attempt lasts.
 func (e *exchange) bufferBody(response *Response, body *http1msg.Body, waitForAll bool) (bool, error) {
 	if body.Done() {
 		return true, nil
@@ -302,11 +308,11 @@
 		case errors.Is(err, io.EOF):
 			return true, nil
 		case isTimeout(err) && waitForAll && fixedLength && len(response.Buffered) > 0:
-			e.attempt.ResponseProgress() // it is slow, but not silent
+			e.attempt.ResponseProgress() // the response is slow, but still arriving
 			deadline = time.Time{}
 		case isTimeout(err) && waitForAll && fixedLength:
-			// A head alone is not forwarded: the rest may never come, where a retry may still succeed. The time of
-			// the attempt bounds this.
+			// A head without any body bytes is not forwarded: the body may never arrive, while a retry may
+			// still succeed. The deadline of the attempt bounds this wait.
 			deadline = time.Now().Add(bufferWindow)
 		case isTimeout(err):
 			return false, nil
@@ -317,7 +323,8 @@
 	return false, nil
 }
 
-// ensureSpace enlarges a full buffer of a response's body, up to maxBuffered bytes and one for the end of the body.
+// ensureSpace doubles the size of the response's body buffer if it is full, up to maxBuffered bytes and one
+// more, which is needed to detect the end of the body.
 func (r *Response) ensureSpace(maxBuffered int64) {
 	if len(r.Buffered) < cap(r.Buffered) {
 		return
@@ -329,7 +336,8 @@
 
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// takeLoadReport returns the load report in a response, and removes it from the header.
+// takeLoadReport removes the load report from the header of a response. It returns the report if the pool reads
+// load reports from responses.
 func (e *exchange) takeLoadReport(response *Response) (load []float32) {
 	if text := response.Header[http1msg.FieldLoadReport]; len(text) > 0 {
 		if e.pool.options.LoadInResponses {
--- a/internal/upstream/forwardbody.go
+++ b/internal/upstream/forwardbody.go
@@ -8,18 +8,19 @@
 	"dunlinsail/internal/http1msg"
 )
 
-// This file forwards the streaming body of a request.
+// This file forwards request bodies that are streamed.
 
 // forwardBody forwards the streaming body, and then closes bodyWritten.
 func (e *exchange) forwardBody() {
 	complete := e.writeBody()
-	close(e.bodyWritten) // first: the reader of the response must see which side failed
+	close(e.bodyWritten) // before closing the connection: the reader of the response must see which side failed
 	if !complete {
-		e.conn.Conn.Close() // the endpoint must not take a part of the body for all of it
+		e.conn.Conn.Close() // so that the endpoint does not take part of the body for the complete body
 	}
 }
 
-// writeBody forwards the streaming body as it arrives. It returns false if the client has not sent all of it.
+// writeBody forwards the streaming body as it arrives. It returns false if reading the body from the client
+// failed.
 func (e *exchange) writeBody() bool {
 	stream := e.request.Stream
 	buf := streamBuffers.Get().(*[streamBufferSize]byte)
@@ -42,7 +43,7 @@
 			piece = http1msg.FrameChunk(buf[:], n)
 		}
 		if n > 0 && !e.writeBodyPiece(piece) {
-			return true // the endpoint may have responded already; otherwise reading the response fails, too
+			return true // the endpoint may have responded early; if not, reading the response fails as well
 		}
 		switch {
 		case errors.Is(err, io.EOF):
@@ -57,14 +58,16 @@
 	}
 }
 
-// writeBodyPiece writes a piece of the streaming body, and reports whether that succeeded within the idle timeout.
+// writeBodyPiece writes a piece of the streaming body, and reports whether the write succeeded within the idle
+// timeout of the policy.
 func (e *exchange) writeBodyPiece(piece []byte) bool {
 	e.conn.SetWriteDeadline(time.Now().Add(e.request.Policy.IdleTimeout))
 	_, err := e.conn.Write(piece)
 	return err == nil
 }
 
-// bodySent notes that the last byte of the streaming body has been written. The response's timeout runs from then.
+// bodySent records that the last byte of the streaming body has been written, and starts the timeout for the
+// response.
 func (e *exchange) bodySent() {
 	e.pool.forwarded.Add(1)
 	e.mu.Lock()
--- a/internal/upstream/inspect.go
+++ b/internal/upstream/inspect.go
@@ -10,31 +10,36 @@
 	"dunlinsail/internal/clock"
 )
 
-// This file looks at connections on which no request is in flight. HTTP/1.1 does not name the request that a response
-// belongs to: a second response to one request passes for the response to the next request on the same connection, if
-// it arrives after that has been written. Other bytes that belong to no request cannot pass for a response.
+// This file inspects connections on which no request is in flight. HTTP/1.1 does not state which request a
+// response belongs to: a second response to a request is taken for the response to the next request on the same
+// connection if it arrives after the next request was written. Other bytes that belong to no request cannot be
+// taken for a response.
 
-// observationInterval is how often idle connections are inspected while one of them rests.
+// observationInterval is how often idle connections are inspected while the reuse delay of at least one is
+// running.
 const observationInterval = 10 * time.Millisecond
 
-// responsePrefix starts every HTTP/1 response.
+// responsePrefix is the start of every HTTP/1 response.
 var responsePrefix = []byte("HTTP/1.")
 
-// requestTimeoutPrefix starts the response with which some servers announce that they close an idle connection. It is
-// no second response to a request.
+// requestTimeoutPrefix is the start of the 408 response that some servers send before they close an idle
+// connection. Such a response is not a second response to a request. The x stands for any minor version.
 var requestTimeoutPrefix = []byte("HTTP/1.x 408")
 
-// connState is what can be seen of an idle connection without reading from it.
+// connState is the state of an idle connection, as far as it can be determined without reading from the
+// connection.
 type connState uint8
 
 const (
-	connQuiet    connState = iota // open, and nothing has arrived
-	connUnusable                  // closed by the endpoint, broken, about to be closed, or bytes have arrived
-	connSurplus                   // a response has arrived that belongs to no request
-	connUnknown                   // the connection has no descriptor to inspect
+	connQuiet    connState = iota // open, without unread bytes
+	connUnusable                  // closed by the endpoint, broken, or with unread bytes that are not a second response
+	connSurplus                   // has an unread response that belongs to no request
+	connUnknown                   // cannot be inspected, since it has no descriptor
 )
 
-// isSurplusResponse reports whether bytes that belong to no request start a response, as far as they have arrived.
+// isSurplusResponse reports whether unread bytes that belong to no request are the start of a surplus response.
+// firstBytes are the first of these bytes. If they are shorter than responsePrefix, they only have to match its
+// start. A 408 response that announces the close of the connection is not a surplus response.
 func isSurplusResponse(firstBytes []byte) bool {
 	if len(firstBytes) < len(responsePrefix) {
 		return len(firstBytes) > 0 && bytes.HasPrefix(responsePrefix, firstBytes)
@@ -42,14 +47,14 @@
 	return bytes.HasPrefix(firstBytes, responsePrefix) && !isRequestTimeout(firstBytes)
 }
 
-// isRequestTimeout reports whether bytes start with requestTimeoutPrefix, in any minor version.
+// isRequestTimeout reports whether firstBytes start with requestTimeoutPrefix, in any minor version.
 func isRequestTimeout(firstBytes []byte) bool {
 	minorVersion := len(responsePrefix)
 	return len(firstBytes) >= len(requestTimeoutPrefix) &&
 		bytes.HasPrefix(firstBytes[minorVersion+1:], requestTimeoutPrefix[minorVersion+1:])
 }
 
-// inspect returns the state of a connection on which no request is in flight, without waiting.
+// inspect returns the state of a connection on which no request is in flight. It does not wait.
 func (c *Conn) inspect() connState {
 	state := connUnusable
 	err := c.withDescriptor(func(fd int) {
@@ -71,7 +76,8 @@
 	return state
 }
 
-// control calls a function with the descriptor of the connection, while that cannot be closed.
+// withDescriptor calls a function with the descriptor of the connection. The descriptor is not closed during
+// the call.
 func (c *Conn) withDescriptor(use func(fd int)) error {
 	if c.raw == nil {
 		return errors.ErrUnsupported
@@ -79,7 +85,8 @@
 	return c.raw.Control(func(fd uintptr) { use(int(fd)) })
 }
 
-// lastArrival returns when bytes arrived last, to some milliseconds; the present instant if that is not known.
+// lastArrival returns when bytes last arrived, with a precision of some milliseconds, or the current time if
+// that is not known.
 func (c *Conn) lastArrival() time.Time {
 	now := time.Now()
 	arrival := now
@@ -98,11 +105,13 @@
 	return arrival
 }
 
-// errUnusable means that an endpoint has closed a connection, or sent something on it, since that was selected.
+// errUnusable means that the endpoint closed a connection, or sent bytes on it, after the connection was
+// selected for a request and before the request was written.
 var errUnusable = errors.New("the connection was closed or written to before the request was written")
 
-// write writes the first piece of a request, and returns how much of it. It inspects the connection right before that:
-// a response may have arrived since the connection was selected, or opened.
+// inspectAndWrite writes the first piece of a request, and returns how many bytes it wrote. It inspects the
+// connection immediately before the write, since a response may have arrived after the connection was selected
+// or opened.
 func (c *Conn) inspectAndWrite(data []byte) (int, error) {
 	state := c.inspect()
 	if state == connSurplus {
@@ -114,7 +123,8 @@
 	return c.Write(data)
 }
 
-// inspectLocked returns the state of a connection on which no request is in flight, and notes a second response.
+// inspectLocked returns the state of a connection on which no request is in flight, and records a surplus
+// response on it.
 func (p *Pool) inspectLocked(c *Conn) connState {
 	state := c.inspect()
 	if state == connSurplus {
@@ -123,9 +133,9 @@
 	return state
 }
 
-// inspectArrivalsLocked closes the idle connections, of all targets, on which something has arrived. A second response
-// is evidence for all connections of its pool: it must be known before one of them is selected. What has arrived on a
-// connection in use is its response, or will be looked for when that is idle again.
+// inspectArrivalsLocked closes the idle connections of all targets that have unread bytes. A second response is
+// evidence about all connections of its pool, and must be recorded before one of them is selected. Unread bytes
+// on a connection in use belong to its response, or are inspected when the connection becomes idle.
 func (p *Pool) inspectArrivalsLocked() {
 	for c := range p.arrivals.pending {
 		if !c.isIdle {
@@ -138,8 +148,9 @@
 	}
 }
 
-// watchLocked has arrivals on a connection found that becomes idle, and reports whether it may be kept. What arrived
-// while it was in use may have been reported then, and is not reported again.
+// watchLocked starts watching a connection that becomes idle, and reports whether the connection may be kept.
+// It inspects a connection whose arrivals were reported while it was in use, since those are not reported
+// again.
 func (p *Pool) watchLocked(c *Conn) bool {
 	if p.arrivals.watch(c) != nil {
 		return false
@@ -149,15 +160,16 @@
 	return !hasArrived
 }
 
-// delayedConn is a connection that observeReuseDelays observes.
+// delayedConn is a connection whose reuse delay observeReuseDelays observes.
 type delayedConn struct {
 	conn         *Conn
-	lastResponse time.Time // of the connection, when it began to rest
+	lastResponse time.Time // Conn.lastResponse when the observation started; a different value ends it
 	nextCheck    time.Time
 }
 
-// observeReuseDelayLocked has an idle connection observed while it rests. A second response is detected on it then even if no
-// other request would use it, and the delays of this process are noticed meanwhile.
+// observeReuseDelayLocked has an idle connection observed during its reuse delay. This detects a second
+// response on the connection even if no other request would use it. Meanwhile observeReuseDelays also measures
+// how late this process runs.
 func (p *Pool) observeReuseDelayLocked(c *Conn) {
 	if p.options.ReuseDelay <= 0 || !c.isIdle || p.remainingReuseDelayLocked(c) <= 0 {
 		return
@@ -170,7 +182,7 @@
 	p.startObservingLocked()
 }
 
-// startObservingLocked starts observeReuseDelays if it does not run.
+// startObservingLocked starts observeReuseDelays, unless it is running.
 func (p *Pool) startObservingLocked() {
 	if !p.observing {
 		p.observing = true
@@ -179,7 +191,8 @@
 	}
 }
 
-// observeReuseDelays inspects idle connections until none rests any more, and no attempt waits for one.
+// observeReuseDelays inspects idle connections until no connection is in its reuse delay, and no attempt waits
+// for one to pass.
 func (p *Pool) observeReuseDelays() {
 	for shouldContinue := true; shouldContinue; {
 		time.Sleep(observationInterval)
@@ -196,7 +209,8 @@
 	}
 }
 
-// recordDelayLocked notes how late observeReuseDelays is. The time until now does not count again.
+// recordDelayLocked records by how much observeReuseDelays is overdue, as a delay of this process. It moves
+// nextObservation to the current time, so that the next call does not count the same delay again.
 func (p *Pool) recordDelayLocked() {
 	delay := time.Since(p.nextObservation)
 	if p.observing && delay >= 0 {
@@ -205,20 +219,22 @@
 	}
 }
 
-// dropReusableLocked drops the connections from those at rest that rest no more.
+// dropReusableLocked removes the connections from delayedConns whose reuse delay has passed, or that are in
+// use.
 func (p *Pool) dropReusableLocked() {
 	now := time.Now()
-	stillResting := p.delayedConns[:0]
+	stillDelayed := p.delayedConns[:0]
 	for _, r := range p.delayedConns {
 		if p.isStillDelayed(&r, now) {
-			stillResting = append(stillResting, r)
+			stillDelayed = append(stillDelayed, r)
 		}
 	}
-	clear(p.delayedConns[len(stillResting):])
-	p.delayedConns = stillResting
+	clear(p.delayedConns[len(stillDelayed):])
+	p.delayedConns = stillDelayed
 }
 
-// isStillDelayed reports whether a connection goes on to rest, as far as it is due to be checked.
+// isStillDelayed reports whether a connection stays in delayedConns. It checks the remaining reuse delay only
+// once nextCheck is due, and then moves nextCheck on by the time since the last response.
 func (p *Pool) isStillDelayed(r *delayedConn, now time.Time) bool {
 	c := r.conn
 	if !c.isIdle || c.lastResponse != r.lastResponse {
--- a/internal/upstream/parse.go
+++ b/internal/upstream/parse.go
@@ -19,8 +19,8 @@
 // This file parses responses of endpoints, and load reports.
 
 const (
-	maxInterimResponses = 8                      // 1xx responses before the final one
-	maxResponseStall    = 100 * time.Millisecond // from the first byte of a response to its last
+	maxInterimResponses = 8                      // maximum number of interim (1xx) responses before the final response
+	maxResponseStall    = 100 * time.Millisecond // maximum time from the first byte of a response to its last
 )
 
 var (
@@ -29,16 +29,17 @@
 	errMalformedResponse = errors.New("the answer is no HTTP/1")
 )
 
-// parsedResponse is a response whose body is complete, or has not been read yet.
+// parsedResponse is a response with a complete head. Its body is either complete or has not been read yet.
 type parsedResponse struct {
 	BufferedResponse
 	statusCode int
-	closeAfter bool // the endpoint closes the connection after it
+	closeAfter bool // the endpoint closes the connection after this response
 }
 
-// readResponse reads a complete response. One that ends early, whose length is given in two ways, or that only the
-// end of the connection ends, is an error, since it might not be the response to the request. http.ReadResponse would
-// hide that it had both a length and chunks.
+// readResponse reads a complete response. It returns an error if the response ends early, if its length is
+// given in two ways, or if only the end of the connection marks its end: such a response might not be the
+// response to the request. readResponse does not use http.ReadResponse, which does not report that a response
+// had both a Content-Length and chunks.
 func (c *Conn) readResponse() (*parsedResponse, error) {
 	for range maxInterimResponses {
 		c.SetReadDeadline(time.Time{})
@@ -60,7 +61,7 @@
 	return nil, errResponseTooLarge
 }
 
-// readHead reads a status line and headers.
+// readHead reads the status line and the header of a response.
 func readHead(r *bufio.Reader) (*parsedResponse, error) {
 	reader := textproto.NewReader(r)
 	line, err := reader.ReadLine()
@@ -86,7 +87,7 @@
 	return response, nil
 }
 
-// readBody reads the body that the head announces.
+// readBody reads the complete body of a response, framed as its header declares.
 func (c *Conn) readBody(response *parsedResponse) ([]byte, error) {
 	lengths := response.Header["Content-Length"]
 	encodings := response.Header["Transfer-Encoding"]
@@ -118,10 +119,11 @@
 	return nil, errAmbiguousLength
 }
 
-// isInterim reports whether a status is that of an informational (1xx) response, which is not the final one.
+// isInterim reports whether a status code is that of an interim (1xx) response, which the final response
+// follows.
 func isInterim(statusCode int) bool { return statusCode < http.StatusOK }
 
-// isValidHeader reports whether all names and values are valid in a head (RFC 9110, section 5).
+// isValidHeader reports whether all field names and values are valid in a message head (RFC 9110, section 5).
 func isValidHeader(h http.Header) bool {
 	for name, values := range h {
 		if !http1msg.IsToken(name) {
@@ -136,9 +138,9 @@
 	return true
 }
 
-// parseLoad parses a load report, which is TEXT and then pairs name=value with commas between them, and returns the
-// values in the order of fields. A value that is missing or invalid is NaN, never zero, which would be an idle
-// endpoint; a report without any valid value is nil.
+// parseLoad parses a load report, which is the word TEXT followed by comma-separated pairs name=value. It
+// returns the values in the order of fields. A missing or invalid value is NaN, never zero, which would mean an
+// idle endpoint. If the report has no valid value, parseLoad returns nil.
 func parseLoad(fields []string, text string) []float32 {
 	text = strings.TrimPrefix(strings.TrimSpace(text), loadReportPrefix)
 	load := make([]float32, len(fields))
--- a/internal/upstream/policy.go
+++ b/internal/upstream/policy.go
@@ -8,24 +8,24 @@
 	"dunlinsail/internal/http1msg"
 )
 
-// ResponsePolicy determines how responses of endpoints are classified, buffered and bounded. It must not change
-// while it is used.
+// ResponsePolicy determines how responses of endpoints are classified, buffered and bounded. It must not be
+// changed while requests use it.
 type ResponsePolicy struct {
 	FailureStatus  [600]bool // by status code: the response counts as an error of the endpoint
-	RejectedStatus [600]bool // by status code: the response, if it has Retry-After, counts as rejected before it ran
-	ReplaceErrors  bool      // the client receives a local response in place of an error, whose body is not read
-	NonIdempotent  bool      // requests must not be retried once they may have run: RejectedStatus counts as an error
+	RejectedStatus [600]bool // by status code: a response with Retry-After means that the request did not run
+	ReplaceErrors  bool      // an error response is replaced by a local response, and its body is not forwarded
+	NonIdempotent  bool      // a request that may have run must not be retried; RejectedStatus counts as an error
 
-	MaxBuffered         int64         // bytes: a larger response, or one that arrives slowly, is streamed
-	BufferSlowResponses bool          // a slow response of known length up to MaxBuffered is buffered nevertheless
-	MaxBytes            int64         // a larger response is aborted; 0 is no bound
-	IdleTimeout         time.Duration // between bytes of a streaming request or response
-	BodyTimeout         time.Duration // for the rest of a streaming response; 0 is no bound
-	DeadlineHeader      string        // header with the remaining milliseconds; "" is none
-	ResponseTimeout     time.Duration // for a response, after the last byte of a streaming body
+	MaxBuffered         int64         // in bytes; larger responses, and responses that arrive slowly, are streamed
+	BufferSlowResponses bool          // slow responses of known length up to MaxBuffered are buffered nevertheless
+	MaxBytes            int64         // larger responses are aborted; 0: no limit
+	IdleTimeout         time.Duration // maximum time between two bytes of a streaming request or response
+	BodyTimeout         time.Duration // maximum time for the streamed rest of a response body; 0: no limit
+	DeadlineHeader      string        // request header field with the remaining milliseconds; "": not sent
+	ResponseTimeout     time.Duration // maximum time from the last byte of a streaming body to the response head
 }
 
-// classify returns the status of an attempt by its response.
+// classify returns the status of an attempt that received a response.
 func (p *ResponsePolicy) classify(response *Response) balancer.Status {
 	code := min(response.StatusCode, len(p.FailureStatus)-1)
 	unavailable := code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout
@@ -35,7 +35,7 @@
 		return balancer.Rejected
 	case p.RejectedStatus[code] && response.Header.Get("Retry-After") != "":
 		if p.NonIdempotent {
-			return balancer.Error // by convention it did not run, but this is not guaranteed
+			return balancer.Error // by convention the request did not run, but this is not guaranteed
 		}
 		return balancer.Rejected
 	case p.FailureStatus[code]:
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,11 +1,12 @@
-// Package upstream holds the connections to endpoints and makes attempts and health checks on them over HTTP/1.1
-// (RFC 9112). It does not choose endpoints, and must not import the packages that serve clients. pool.go keeps the
-// connections, and reuse.go selects the one that an attempt uses; arrivals.go finds the idle connections on which
-// something has arrived, inspect.go looks at them, surplus.go counts the responses found there, and processortime.go
-// reads how scarce processors are. exchange.go makes
-// the attempts of clients' requests, with forwardbody.go for bodies that stream; buffered.go makes health checks, and
-// small exchanges that are read completely. parse.go parses responses, and repeated.go recognizes those that repeat
-// the response to an earlier request.
+// Package upstream holds the connections to endpoints, and makes attempts and health checks on them over
+// HTTP/1.1 (RFC 9112). It does not choose endpoints, and must not import the packages that serve clients.
+//
+// pool.go manages the connections, and reuse.go selects the connection for an attempt. arrivals.go finds idle
+// connections with unread bytes, inspect.go inspects them, surplus.go counts the surplus responses found there,
+// and processortime.go measures how scarce processors are. exchange.go makes the attempts of clients' requests,
+// with forwardbody.go for streaming bodies. buffered.go makes health checks and other small exchanges that are
+// buffered completely. parse.go parses responses, and repeated.go recognizes a second response to an earlier
+// request by its content.
 package upstream
 
 import (
@@ -31,10 +32,11 @@
 // sweepInterval is how often Run closes idle connections that have expired or that their endpoint has closed.
 const sweepInterval = time.Second
 
-// connReadBufferSize is the size in bytes of a connection's read buffer, the least that http1msg.NewBody takes.
+// connReadBufferSize is the size in bytes of a connection's read buffer, the minimum that http1msg.NewBody
+// accepts.
 const connReadBufferSize = 4 << 10
 
-// shortageLogInterval is how long after a shortage of connections has been logged another one is not.
+// shortageLogInterval is the minimum time between two log messages about a shortage of connections.
 const shortageLogInterval = time.Second
 
 // Options configure a Pool.
@@ -42,54 +44,56 @@
 	Clock       clock.Clock
 	Log         *slog.Logger
 	DialTimeout time.Duration // 0 means probeTimeout
-	KeepAlive   time.Duration // after which an endpoint closes an idle connection
-	MaxConns    int           // connections open or being opened
-	ReuseDelay  time.Duration // before a connection is used again (DefaultReuseDelay); 0 is none
-	// ReuseDelayOptional has an attempt never wait for a ReuseDelay (Pool.Get).
+	KeepAlive   time.Duration // the endpoints close a connection that has been idle for this long
+	MaxConns    int           // maximum number of connections that are open or being opened
+	ReuseDelay  time.Duration // time from a response until its connection is reused (DefaultReuseDelay); 0: none
+	// ReuseDelayOptional has attempts open a new connection rather than wait for a reuse delay to pass
+	// (Pool.Get).
 	ReuseDelayOptional bool
-	// DistrustedReuseDelay is the reuse delay of an address that has sent a response to no request. 0 means
-	// DefaultDistrustedReuseDelay if there is a ReuseDelay, and none otherwise.
+	// DistrustedReuseDelay is the reuse delay at an address that has sent a second response recently. 0 means
+	// DefaultDistrustedReuseDelay if ReuseDelay is positive, and no delay otherwise.
 	DistrustedReuseDelay time.Duration
-	LoadFields           []string // fields of a load report, in the order of their values
-	LoadInResponses      bool     // load reports are also read from responses
+	LoadFields           []string // names of the fields of a load report, in the order in which values are returned
+	LoadInResponses      bool     // load reports are also read from the headers of responses
 
-	// Dial opens a connection; nil is that of package net.
+	// Dial opens a connection. If it is nil, a net.Dialer is used.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	// threadsDirectory has the statistics of threads. "" is that of this process, or none with ReuseDelayOptional: a
-	// new connection for each request would cost a machine without processors to spare more than it has.
+	// threadsDirectory has the scheduler statistics of threads, in the layout of ownThreadsDirectory. "" means
+	// ownThreadsDirectory, or no statistics if ReuseDelayOptional is set: with it, a longer reuse delay means
+	// more new connections, which cost more than a machine with scarce processors can spare.
 	threadsDirectory string
 }
 
-// Pool is a pool of connections. Its methods may be called concurrently. It is not an http.Transport, which resends
-// some requests by itself when a reused connection breaks, and does not report whether the last byte was written.
-// Here an attempt is written once at most.
+// Pool is a pool of connections to endpoints. Its methods may be called concurrently. It writes an attempt once
+// at most, and reports whether the last byte was written. http.Transport does neither: it resends some requests
+// by itself when a reused connection breaks.
 type Pool struct {
 	options     Options
-	maxIdleTime time.Duration // of a connection
-	forwarded   atomic.Uint64 // attempts written completely
+	maxIdleTime time.Duration // an idle connection expires after this time
+	forwarded   atomic.Uint64 // number of attempts of which the last byte was written
 
 	mu              sync.Mutex
-	openConns       int                  // open or being opened
-	idleTargets     map[*Target]struct{} // those with idle connections
+	openConns       int                  // number of connections that are open or being opened
+	idleTargets     map[*Target]struct{} // targets with idle connections
 	lastShortageLog time.Time            // when a shortage of connections was last logged
-	discardIdle     bool                 // idle connections are closed
-
-	reuseDelays     *reuse.Decider // decides how long connections rest
-	arrivals        arrivals       // on connections that have been idle
-	delayedConns    []delayedConn  // in the order in which they began to rest
-	observing       bool           // observeReuseDelays runs
-	waitingAttempts int            // attempts that wait for a connection to have rested
-	nextObservation time.Time      // when observeReuseDelays is due, if it runs
-	processorTimes  processorTimes // of observeReuseDelays
+	discardIdle     bool                 // connections are closed when they become idle
+
+	reuseDelays     *reuse.Decider // decides on reuse delays
+	arrivals        arrivals       // watches the connections that are or have been idle
+	delayedConns    []delayedConn  // connections observed by observeReuseDelays, in the order in which they became idle
+	observing       bool           // observeReuseDelays is running
+	waitingAttempts int            // number of attempts that wait for a reuse delay to pass
+	nextObservation time.Time      // when observeReuseDelays is due, if it is running
+	processorTimes  processorTimes // after New, only observeReuseDelays reads it
 	surplus         surplusCounts
 
-	idleLimits map[string]float64 // idle connections allowed, by owner; empty is no bound
-	maxIdle    int                // the sum of idleLimits; 0 is no bound
-	idleConns  int                // idle at present
+	idleLimits map[string]float64 // maximum number of idle connections, by owner; empty: no limit
+	maxIdle    int                // sum of idleLimits, rounded down, but at least 1; 0: no limit
+	idleConns  int                // current number of idle connections
 }
 
-// New returns an empty pool. The caller runs Run.
+// New returns an empty pool. The caller must call Run, which closes expired connections.
 func New(o Options) *Pool {
 	if o.DialTimeout <= 0 {
 		o.DialTimeout = probeTimeout
@@ -119,29 +123,31 @@
 	return p
 }
 
-// maxIdleTime returns how long a connection may be idle: two thirds of the time after which the endpoint closes it,
-// since a request that crosses the endpoint's close is lost.
+// maxIdleTime returns how long a connection may be idle. This is two thirds of the time after which the
+// endpoint closes the connection, since a request that is sent while the endpoint closes the connection is
+// lost.
 func (o *Options) maxIdleTime() time.Duration {
 	return o.KeepAlive * 2 / 3
 }
 
-// Forwarded returns how many attempts have been written to endpoints, their last byte included.
+// Forwarded returns the number of attempts that were written to endpoints completely.
 func (p *Pool) Forwarded() uint64 { return p.forwarded.Load() }
 
-// Target is the address of one endpoint, with the connections to it. Targets with the same address do not share them:
-// a new endpoint may listen at the address of one that has gone, whose requests must not reach it.
+// Target is the address of one endpoint, with the idle connections to it. Targets with the same address do not
+// share connections: a new endpoint may listen at the address of a previous one, and must not receive requests
+// that are meant for the previous one.
 type Target struct {
 	pool     *Pool
 	endpoint reuse.Endpoint
 
 	// Guarded by Pool.mu.
 	idle             []*Conn
-	dropped          bool // no attempt is made any more
-	sendsLoadReports bool // a health check has got a load report
+	dropped          bool // the endpoint is gone, and no more attempts are made
+	sendsLoadReports bool // a health check has received a load report
 }
 
-// Target returns a new target for the address of an endpoint of a pool of endpoints (core.Pool), which is given by its
-// name.
+// Target returns a new target for an endpoint. pool is the name of the endpoint's pool (core.Pool), and addr is
+// its address.
 func (p *Pool) Target(pool, addr string) core.Target {
 	return &Target{pool: p, endpoint: reuse.Endpoint{Pool: pool, Address: addr}}
 }
@@ -149,27 +155,28 @@
 // Conn is a connection to an endpoint.
 type Conn struct {
 	net.Conn
-	raw             syscall.RawConn  // nil: the connection has no descriptor
-	readLimit       io.LimitedReader // bytes that may still be read
+	raw             syscall.RawConn  // nil if the connection has no descriptor
+	readLimit       io.LimitedReader // reads from Conn; N is the number of bytes that may still be read
 	reader          *bufio.Reader
 	target          *Target
-	idleSince       time.Time // since when it is idle
-	isIdle          bool      // it is among the idle connections of its target
-	lastUsedByProbe bool      // its last exchange was a health check
+	idleSince       time.Time // when the connection was last used, or opened
+	isIdle          bool      // is among the idle connections of target
+	lastUsedByProbe bool      // the last exchange was a health check
 
-	watchedFD    int32 // its descriptor, if arrivals watches it
-	arrivedInUse bool  // an arrival on it was reported while it was in use
+	watchedFD    int32 // descriptor of the connection, if it is watched by arrivals
+	arrivedInUse bool  // an arrival was reported while the connection was in use
 
-	lastResponse     time.Time       // after which a second response may follow; zero: there was none
-	previousResponse time.Time       // the one before lastResponse; zero: there was none
-	lastDigest       responseDigest  // of the last response
-	availableAt      monotime.Micros // when its rest ended, if an attempt waited for that; else 0
+	lastResponse     time.Time       // when the last response ended; zero if there was none
+	previousResponse time.Time       // when the response before the last one ended; zero if there was none
+	lastDigest       responseDigest  // digest of the last response
+	availableAt      monotime.Micros // when the reuse delay passed, if an attempt waited for it; otherwise 0
 }
 
+// newConn wraps an open network connection to a target.
 func newConn(netConn net.Conn, target *Target) *Conn {
 	c := &Conn{Conn: netConn, target: target}
 	if sc, ok := netConn.(syscall.Conn); ok {
-		c.raw, _ = sc.SyscallConn() // its error is that of a closed connection, which has no descriptor either
+		c.raw, _ = sc.SyscallConn() // fails only for a closed connection, which has no descriptor either
 	}
 	c.readLimit.R = netConn
 	c.reader = bufio.NewReaderSize(&c.readLimit, connReadBufferSize)
@@ -181,8 +188,9 @@
 	errEndpointGone = errors.New("the endpoint is gone")
 )
 
-// noConnStatus returns the status of an attempt for which there is no connection, which never ran. A shortage in this
-// process does not count as a failure of the endpoint, which would be ejected for it.
+// noConnStatus returns the status of an attempt that got no connection because of err. The request was not
+// sent. A shortage in this process does not count as a failure of the endpoint, which would be ejected because
+// of it.
 func (p *Pool) noConnStatus(ctx context.Context, err error) balancer.Status {
 	shortage := isShortage(err)
 	if shortage {
@@ -194,13 +202,13 @@
 	return balancer.ConnectFailed
 }
 
-// isShortage reports whether a connection could not be opened for lack of descriptors or ports in this process.
+// isShortage reports whether err means that this process lacks connections, descriptors or ports.
 func isShortage(err error) bool {
 	return errors.Is(err, errConnLimit) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
-// logShortage logs, once in shortageLogInterval at most, that this process has no connection for an attempt.
+// logShortage logs that this process has no connection for an attempt, once per shortageLogInterval at most.
 func (p *Pool) logShortage(err error) {
 	p.mu.Lock()
 	isDue := time.Since(p.lastShortageLog) > shortageLogInterval
@@ -213,9 +221,10 @@
 	}
 }
 
-// LimitIdle bounds the idle connections on behalf of one owner of endpoints; the bounds of all owners add up. With a
-// sum below 1 one connection stays idle for that part of the idle time, which over many instances has the same mean.
-// The connection that has been idle for longest is closed first. A limit of 0 removes the bound of the owner.
+// LimitIdle limits the number of idle connections on behalf of one owner of endpoints. The limits of all owners
+// add up. If the sum is below 1, one connection may be idle, for that fraction of the usual idle time, so that
+// the mean over many instances is the sum. The connection that has been idle for longest is closed first. A
+// limit of 0 removes the limit of the owner.
 func (p *Pool) LimitIdle(owner string, limit float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -240,13 +249,13 @@
 	p.trimIdleLocked()
 }
 
-// trimIdleLocked closes idle connections beyond their bound.
+// trimIdleLocked closes the oldest idle connections while there are more than maxIdle.
 func (p *Pool) trimIdleLocked() {
 	for p.maxIdle > 0 && p.idleConns > p.maxIdle && p.evictOldestLocked() {
 	}
 }
 
-// Put returns a connection on which a response to an attempt has ended.
+// Put returns a connection to the pool after a complete response to an attempt.
 func (p *Pool) Put(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -254,7 +263,7 @@
 	p.putLocked(c)
 }
 
-// putLocked returns a connection on which a response has ended.
+// putLocked returns a connection to the pool after a complete response to an attempt or a health check.
 func (p *Pool) putLocked(c *Conn) {
 	c.previousResponse = c.lastResponse
 	c.lastResponse = time.Now()
@@ -263,20 +272,20 @@
 	p.observeReuseDelayLocked(c)
 }
 
-// putUnused returns a connection that was not used. Its idle time continues, since the endpoint counts from its last
-// use.
+// putUnused returns a connection to the pool to which nothing was written. It does not reset the idle time,
+// since the endpoint measures it from the last use.
 func (p *Pool) putUnused(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.idleSince.IsZero() {
-		c.idleSince = time.Now() // it has just been opened
+		c.idleSince = time.Now() // opened just now
 	}
 	p.insertIdleLocked(c)
 	p.observeReuseDelayLocked(c)
 }
 
-// insertIdleLocked adds an idle connection to its target, in the order in which they were last used. One on
-// which something has arrived, or that cannot be watched for that, is closed.
+// insertIdleLocked inserts a connection into the idle connections of its target, which are ordered by their
+// last use. It closes the connection instead if it has unread bytes, cannot be watched, or is no longer needed.
 func (p *Pool) insertIdleLocked(c *Conn) {
 	if c.target.dropped || p.discardIdle || !p.watchLocked(c) {
 		p.inspectLocked(c)
@@ -301,21 +310,22 @@
 	p.closeLocked(c)
 }
 
+// closeLocked closes a connection that is not among the idle ones.
 func (p *Pool) closeLocked(c *Conn) {
 	c.Conn.Close()
 	p.arrivals.forget(c)
 	p.openConns--
 }
 
-// closeIdleLocked closes an idle connection of a target. Whether a second response has arrived on it is evidence for
-// the others.
+// closeIdleLocked closes idle connection i of a target. It first inspects the connection, since a second
+// response on it is evidence about other connections.
 func (p *Pool) closeIdleLocked(target *Target, i int) {
 	c := p.removeIdleLocked(target, i)
 	p.inspectLocked(c)
 	p.closeLocked(c)
 }
 
-// removeIdleLocked removes an idle connection from its target.
+// removeIdleLocked removes and returns idle connection i of a target.
 func (p *Pool) removeIdleLocked(target *Target, i int) *Conn {
 	c := target.idle[i]
 	c.isIdle = false
@@ -326,12 +336,13 @@
 	return c
 }
 
-// removeConnLocked removes a connection that is idle from its target.
+// removeConnLocked removes an idle connection from its target, and returns it.
 func (p *Pool) removeConnLocked(c *Conn) *Conn {
 	return p.removeIdleLocked(c.target, slices.Index(c.target.idle, c))
 }
 
-// evictOldestLocked closes the connection that has been idle for longest.
+// evictOldestLocked closes the connection that has been idle for longest, of all targets. It returns false if
+// no connection is idle.
 func (p *Pool) evictOldestLocked() bool {
 	var oldest *Target
 	for target := range p.idleTargets {
@@ -346,7 +357,8 @@
 	return true
 }
 
-// Drop ends the use of a target. Attempts in flight go on.
+// Drop closes the idle connections to an endpoint that is gone, and prevents further attempts. Attempts in
+// flight continue.
 func (target *Target) Drop() {
 	p := target.pool
 	p.mu.Lock()
@@ -357,8 +369,8 @@
 	}
 }
 
-// AttemptTimedOut closes the idle connections to an endpoint that were last used before an instant. An attempt that was
-// sent then has had no response, and the network path of the other connections may be broken, too.
+// AttemptTimedOut closes the idle connections to an endpoint that were last used before since, when an attempt
+// was sent that got no response: the network path of those connections may be broken, too.
 func (target *Target) AttemptTimedOut(since time.Time) {
 	p := target.pool
 	p.mu.Lock()
@@ -370,7 +382,7 @@
 	}
 }
 
-// sweep closes connections that have been idle for too long or that the endpoint has closed.
+// sweep closes idle connections that have expired, have unread bytes, or were closed by their endpoints.
 func (p *Pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -384,8 +396,8 @@
 	}
 }
 
-// SetKeepIdle sets whether connections stay open while they are idle. They do not while another process may need the
-// descriptors (hot restart).
+// SetKeepIdle sets whether connections stay open while they are idle. During a hot restart they do not, since
+// the other process may need the descriptors.
 func (p *Pool) SetKeepIdle(keep bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -395,7 +407,7 @@
 	}
 }
 
-// Run sweeps idle connections until ctx ends, and then closes them all.
+// Run sweeps idle connections periodically until ctx ends, and then closes all idle connections.
 func (p *Pool) Run(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -412,7 +424,7 @@
 	}
 }
 
-// stopWatching ends the watch of idle connections, of which there are none any more.
+// stopWatching closes the epoll instance. It is called when no idle connections are left.
 func (p *Pool) stopWatching() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/processortime.go
+++ b/internal/upstream/processortime.go
@@ -11,28 +11,31 @@
 	"dunlinsail/internal/monotime"
 )
 
-// processorTimeInterval is how often the processor times of the threads are read while connections rest.
+// processorTimeInterval is the minimum time between two reads of the processor times of threads, which are read
+// while connections are in their reuse delays.
 const processorTimeInterval = 250 * time.Millisecond
 
-// ownThreadsDirectory has a directory for each thread of this process, with the scheduler's statistics of the thread.
+// ownThreadsDirectory has a subdirectory for each thread of this process, with the scheduler statistics of the
+// thread in the file schedstat.
 const ownThreadsDirectory = "/proc/self/task"
 
-// processorTime is for how long threads have run, and have waited for a processor.
+// processorTime is how long threads have run, and how long they have been runnable and waited for a processor.
 type processorTime struct {
 	ran    monotime.Micros
 	waited monotime.Micros
 }
 
-// processorTimes reads the processor times of the threads of this process. Its methods must not be called concurrently.
+// processorTimes measures the processor time of the threads of this process. Its methods must not be called
+// concurrently.
 type processorTimes struct {
-	directory string                   // like ownThreadsDirectory; "" is none
-	threads   map[string]processorTime // as read last, by the thread's ID
+	directory string                   // in the layout of ownThreadsDirectory; "": no statistics are read
+	threads   map[string]processorTime // as read last, by thread ID
 	readAt    time.Time
 }
 
-// sinceLastRead returns the processor time of all threads since the last call, or none if that was less than
-// processorTimeInterval ago. That is all since the start of the process at the first call, and none where the operating
-// system keeps no such statistics.
+// sinceLastRead returns the processor time of all threads since the last read. The first call returns the time
+// since the start of the process. sinceLastRead returns zero without a read if the last read was less than
+// processorTimeInterval ago, and zero where the operating system has no such statistics.
 func (p *processorTimes) sinceLastRead(now time.Time) (total processorTime) {
 	if p.directory == "" || now.Sub(p.readAt) < processorTimeInterval {
 		return total
@@ -47,7 +50,7 @@
 		thread := entry.Name()
 		used, found := readProcessorTime(filepath.Join(p.directory, thread, "schedstat"))
 		if !found {
-			continue // it has ended
+			continue // the thread has ended
 		}
 		threads[thread] = used
 		total.ran += used.ran - p.threads[thread].ran
@@ -57,8 +60,8 @@
 	return total
 }
 
-// readProcessorTime reads the statistics of a thread: for how long it has run and waited, in nanoseconds, and how often
-// it was run.
+// readProcessorTime reads the scheduler statistics of a thread from a file. The file contains the nanoseconds
+// for which the thread has run, those for which it has waited, and how often it was scheduled.
 func readProcessorTime(path string) (used processorTime, found bool) {
 	text, err := os.ReadFile(path)
 	fields := strings.Fields(string(text))
--- a/internal/upstream/repeated.go
+++ b/internal/upstream/repeated.go
@@ -10,19 +10,22 @@
 	"dunlinsail/internal/http1msg"
 )
 
-// This file recognizes a second response to the request before the one in flight, if the response to that one has
-// arrived behind it: it repeats the content of the connection's last response.
+// This file recognizes a second response to the previous request, in front of the response to the request in
+// flight. A second response has the same content as the last response on the connection.
 
-// responseDigest identifies the content of a complete response: its status, body and end-to-end fields. Responses of
-// equal content have equal digests, others hardly ever. 0 is unknown.
+// responseDigest identifies the content of a complete response: its status, end-to-end header fields and body.
+// Responses with equal content have equal digests, and other responses almost never do. 0 means unknown.
 type responseDigest uint64
 
+// digestSeed is the hash seed of all digests in this process.
 var digestSeed = maphash.MakeSeed()
 
-// fieldDigestFactor keeps a field's name and values apart in its digest.
+// fieldDigestFactor multiplies the digest of a field before the digest of its next value is added, so that the
+// order of name and values matters.
 const fieldDigestFactor = 31
 
-// variesPerTransmission reports whether a field may differ between two transmissions of the same response.
+// variesPerTransmission reports whether a header field may differ between two transmissions of the same
+// response.
 func variesPerTransmission(field string) bool {
 	switch field {
 	case "Age", "Connection", "Date", "Keep-Alive", http1msg.FieldLoadReport:
@@ -31,7 +34,8 @@
 	return false
 }
 
-// digestHead returns the part of a response's digest that is of its status and fields. That of the body is added to it.
+// digestHead returns the contribution of the status and the header fields to the digest of a response. The
+// digest is the sum of it and digestBody.
 func digestHead(statusCode int, header http.Header) responseDigest {
 	digest := uint64(statusCode)
 	for name, values := range header {
@@ -42,51 +46,54 @@
 		for _, v := range values {
 			field = field*fieldDigestFactor + maphash.String(digestSeed, v)
 		}
-		digest += field // fields come in any order
+		digest += field // a sum, since the order of different fields is not significant
 	}
 	return responseDigest(digest)
 }
 
-// digestBody returns the part of a response's digest that is of its body.
+// digestBody returns the contribution of the body to the digest of a response.
 func digestBody(body []byte) responseDigest { return responseDigest(maphash.Bytes(digestSeed, body)) }
 
-// streamDigest is the digest of a response whose body is written to it in pieces.
+// streamDigest computes the digest of a response whose body is written to it in pieces.
 type streamDigest struct {
 	head responseDigest
 	body maphash.Hash
 }
 
-// newStreamDigest returns the digest of a response whose status and fields have the digest head.
+// newStreamDigest returns the streamDigest of a response for which digestHead returned head.
 func newStreamDigest(head responseDigest) *streamDigest {
 	d := &streamDigest{head: head}
 	d.body.SetSeed(digestSeed)
 	return d
 }
 
-// sum returns the digest of the response, whose body is complete.
+// sum returns the digest of the response. The body must be complete.
 func (d *streamDigest) sum() responseDigest { return d.head + responseDigest(d.body.Sum64()) }
 
-// isSecondResponse reports whether the response that has just been read completely is a second response to the request
-// before the one in flight: it has the content of the connection's last response, and another response is at hand. If
-// the endpoint repeats its response to the request in flight instead, and both requests have the same response, that
-// next one has the same content, too.
+// isSecondResponse reports whether the response that has just been read completely is a second response to the
+// previous request. This is so if it has the content of the connection's last response and another response is
+// pending behind it. If the endpoint sends two responses to the request in flight instead, and the responses to
+// both requests are equal, the result is also true; it does no harm, since the pending response has the same
+// content.
 func (c *Conn) isSecondResponse(digest responseDigest) bool {
 	return digest != 0 && digest == c.lastDigest && c.isResponsePending()
 }
 
-// isResponsePending reports whether a response that may be that to the request in flight has begun to arrive behind the
-// one that has been read. It does not wait.
+// isResponsePending reports whether the first bytes of another response have arrived behind the response that
+// has just been read. It ignores responses that cannot be the response to the request in flight. It does not
+// wait.
 func (c *Conn) isResponsePending() bool {
 	if c.reader.Buffered() == 0 && c.inspect() == connSurplus {
 		c.SetReadDeadline(time.Time{})
-		_, _ = c.reader.Peek(1) // an error leaves the buffer empty
+		_, _ = c.reader.Peek(1) // after an error, the buffer stays empty
 	}
 	pendingBytes, _ := c.reader.Peek(c.reader.Buffered())
 	return isSurplusResponse(pendingBytes) && !isClosingError(pendingBytes)
 }
 
-// isClosingError reports whether bytes start with the head of an error after which the endpoint closes the connection.
-// Endpoints send such a one if they take bytes behind a request for another request.
+// isClosingError reports whether firstBytes start with the complete head of an error response after which the
+// endpoint closes the connection. Endpoints send such a response if they take bytes behind a request for
+// another request.
 func isClosingError(firstBytes []byte) bool {
 	head, err := readHead(bufio.NewReader(bytes.NewReader(firstBytes)))
 	return err == nil && head.closeAfter && head.statusCode >= http.StatusBadRequest
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -12,25 +12,26 @@
 	"dunlinsail/internal/http1msg"
 )
 
-// Request is an HTTP/1.1 request of any form, as it is forwarded to an endpoint. It may be sent in several attempts,
-// unless its body streams.
+// Request is an HTTP/1.1 request that is forwarded to an endpoint. It may be sent in several attempts, unless
+// its body is streamed.
 type Request struct {
 	Method, URI, Host string
-	Header            http.Header    // end-to-end headers
-	Body              []byte         // complete, or the buffered part of one that streams
-	Trailer           http.Header    // of a complete body that came in chunks
-	ExplicitLength    bool           // Content-Length is sent even without a body
-	Stream            *RequestStream // the rest of the body; nil is none
+	Header            http.Header    // end-to-end header fields
+	Body              []byte         // the complete body, or the buffered part of a streaming body
+	Trailer           http.Header    // trailer fields of a complete body that arrived in chunks
+	ExplicitLength    bool           // Content-Length is sent even if there is no body
+	Stream            *RequestStream // the part of the body that follows Body; nil if Body is complete
 	Policy            *ResponsePolicy
-	ResponseTimeout   time.Duration // after the last byte of a streaming body; 0 is that of Policy
+	ResponseTimeout   time.Duration // after the last byte of a streaming body; 0: ResponseTimeout of Policy
 }
 
-// responseTimeout is how long the response is waited for once a streaming body has been sent.
+// responseTimeout returns the maximum time from the last byte of a streaming body to the response head.
 func (r *Request) responseTimeout() time.Duration {
 	return cmp.Or(r.ResponseTimeout, r.Policy.ResponseTimeout)
 }
 
-// encode returns the head and the buffered part of the body, which are written in one piece.
+// encode encodes the head and the buffered part of the body, which are written in one piece. The head states
+// remainingMs, the milliseconds that are left for the request.
 func (r *Request) encode(remainingMs int64) []byte {
 	buffered := BufferedRequest{Method: r.Method, URI: r.URI, Host: r.Host, Header: r.Header, Body: r.Body}
 	b := buffered.encodeHead(r.Policy.DeadlineHeader, remainingMs)
@@ -59,33 +60,33 @@
 	return b.Bytes()
 }
 
-// streamBufferSize is the size in bytes of the buffer of one direction of a stream.
+// streamBufferSize is the size in bytes of the buffer for one direction of a stream.
 const streamBufferSize = 16 << 10
 
 var streamBuffers = sync.Pool{New: func() any { return new([streamBufferSize]byte) }}
 
-// ErrRequestBodyTooLong means that a request body is larger than RequestStream.MaxBytes.
+// ErrRequestBodyTooLong means that a request body is larger than RequestStream.MaxBytes allows.
 var ErrRequestBodyTooLong = errors.New("the body is larger than it may be")
 
-// RequestStream is a request body that is forwarded as it arrives. The first attempt that claims it owns it for good:
-// it cannot be sent again.
+// RequestStream is a request body that is forwarded while it arrives. The first attempt that claims the body
+// owns it permanently, since the body cannot be sent a second time.
 type RequestStream struct {
 	Body     *http1msg.Body
-	Length   int64 // of the complete body, Request.Body included; -1 is unknown
-	MaxBytes int64 // that may follow Request.Body; -1 is no bound
-	// BeforeRead is called before each read, to set its deadline.
+	Length   int64 // of the complete body, including Request.Body; -1: unknown
+	MaxBytes int64 // maximum number of bytes after Request.Body; -1: no limit
+	// BeforeRead is called before each read of Body, and sets the read deadline.
 	BeforeRead func()
-	// Abort ends a read that waits for the client.
+	// Abort interrupts a read of Body that waits for the client.
 	Abort func()
 
 	claimed atomic.Bool
-	aborted atomic.Bool   // by finish: the rest of the body is not needed
-	done    chan struct{} // closed once nothing reads Body any more, if it was claimed
-	err     error         // that ended reading, other than io.EOF; set before done is closed
+	aborted atomic.Bool   // set by finish when the rest of the body is not needed
+	done    chan struct{} // closed once a claimed body is no longer read
+	err     error         // error other than io.EOF that ended reading; set before done is closed
 }
 
-// NewRequestStream returns a stream of a body of length bytes (-1: unknown). beforeRead is called before each read,
-// and abort ends a read that waits for the client.
+// NewRequestStream returns a stream that reads a body of length bytes (-1: unknown) from b. beforeRead is
+// called before each read, and abort interrupts a read that waits for the client.
 func NewRequestStream(b *http1msg.Body, length int64, beforeRead, abort func()) *RequestStream {
 	return &RequestStream{
 		Body:       b,
@@ -100,17 +101,18 @@
 // Claimed reports whether the body has been claimed.
 func (s *RequestStream) Claimed() bool { return s.claimed.Load() }
 
-// Claim claims the body, for an attempt, or for no attempt to read it any more. It reports whether this call did.
+// Claim claims the body, either for an attempt or to prevent that an attempt reads it. It reports whether this
+// call claimed the body, which only the first call does.
 func (s *RequestStream) Claim() bool { return s.claimed.CompareAndSwap(false, true) }
 
-// Done returns a channel that is closed once a claimed body is not read any more.
+// Done returns a channel that is closed once a claimed body is no longer read.
 func (s *RequestStream) Done() <-chan struct{} { return s.done }
 
-// Err returns the error that ended reading from the client. It is valid once Done is closed; nil is the end of the
-// body, or that no more of it was needed.
+// Err returns the error that ended reading from the client. It is valid once Done is closed. nil means that the
+// body was read to its end, or that the rest of it was not needed.
 func (s *RequestStream) Err() error { return s.err }
 
-// finish waits until nothing reads from the client any more.
+// finish aborts forwarding of the body, if it has not ended, and waits until the body is no longer read.
 func (s *RequestStream) finish(e *exchange) {
 	if e.bodyWritten != nil {
 		select {
@@ -120,13 +122,14 @@
 			e.conn.SetWriteDeadline(time.Unix(1, 0))
 			s.Abort()
 			<-e.bodyWritten
-			s.err = nil // not the client's failure: Abort ended the read
+			s.err = nil // the read was ended by Abort, not by the client
 		}
 	}
 	close(s.done)
 }
 
-// clientFailed reports whether reading the body from the client failed. written is exchange.bodyWritten.
+// clientFailed reports whether reading the body from the client failed. bodyWritten is that of the exchange;
+// the result is false until it is closed.
 func (s *RequestStream) clientFailed(bodyWritten <-chan struct{}) bool {
 	select {
 	case <-bodyWritten:
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -12,39 +12,40 @@
 // ErrResponseTooLong means that a response is larger than ResponsePolicy.MaxBytes.
 var ErrResponseTooLong = errors.New("the answer is larger, or takes longer, than it may")
 
-// Response is the response of an endpoint with a complete head. Its body is in Buffered, followed by Stream if that is
-// not nil.
+// Response is a response of an endpoint whose head is complete. Its body is Buffered, followed by the bytes of
+// Stream if that is not nil.
 type Response struct {
 	StatusCode int
-	Interim    []InterimResponse // that preceded it
+	Interim    []InterimResponse // interim responses before this one
 	Header     http.Header
 	Framing    http1msg.Framing
 	Buffered   []byte
-	Trailer    http.Header // of a buffered body
+	Trailer    http.Header // trailer fields of a completely buffered body
 	Stream     *ResponseStream
 }
 
-// InterimResponse is an informational (1xx) response (RFC 9110, section 15.2).
+// InterimResponse is an interim (1xx) response (RFC 9110, section 15.2).
 type InterimResponse struct {
 	StatusCode int
 	Header     http.Header
 }
 
-// ResponseStream is the remainder of a response body that is streamed. One goroutine reads it to its end, or calls
-// Finish.
+// ResponseStream is the part of a response body that is streamed. A single goroutine reads it, and calls Finish
+// when it does not need more of it.
 type ResponseStream struct {
 	conn      *Conn
 	body      *http1msg.Body
-	digest    *streamDigest // of what has been read
+	digest    *streamDigest // digest of the response, as far as it has been read
 	policy    *ResponsePolicy
-	deadline  time.Time // zero is no bound
-	remaining int64     // bytes allowed
+	deadline  time.Time // when BodyTimeout expires; zero: no limit
+	remaining int64     // number of bytes that may still be read
 	err       error
 	ended     chan error
 	once      sync.Once
 }
 
-// Read reads what has arrived, and waits for some of it within the idle and body timeouts of the policy.
+// Read reads bytes that have arrived, and otherwise waits for them within the idle and body timeouts of the
+// policy.
 func (r *ResponseStream) Read(p []byte) (int, error) {
 	if r.err != nil {
 		return 0, r.err
@@ -67,13 +68,14 @@
 	return n, err
 }
 
-// Buffered returns how many bytes can be read without waiting.
+// Buffered returns the number of bytes that can be read without waiting.
 func (r *ResponseStream) Buffered() int { return r.body.Buffered() }
 
-// Trailer returns the trailers, once Read has returned io.EOF.
+// Trailer returns the trailer fields. It is valid once Read has returned io.EOF.
 func (r *ResponseStream) Trailer() http.Header { return r.body.Trailer() }
 
-// Finish ends the reading, of a complete response or for a client that has closed its connection.
+// Finish ends reading, either after the complete response or because the client has closed its connection. Only
+// the first call has an effect.
 func (r *ResponseStream) Finish() {
 	r.once.Do(func() { r.ended <- r.err })
 }
--- a/internal/upstream/reuse.go
+++ b/internal/upstream/reuse.go
@@ -7,21 +7,27 @@
 	"dunlinsail/internal/clock"
 )
 
-// This file selects the connection that an attempt uses: an idle one that may be used again, or a new one. How long
-// connections rest before is decided by package decide/reuse.
+// This file selects the connection for an attempt: an idle connection whose reuse delay has passed, or a new
+// one. Package decide/reuse decides how long the reuse delay is.
 
-// DefaultReuseDelay is the usual Options.ReuseDelay. An endpoint may send a second response some milliseconds after the
-// first, which would pass for the response to the next request. If it arrives while the connection rests, that is
-// closed.
+// DefaultReuseDelay is the usual Options.ReuseDelay. An endpoint may send a second response some milliseconds
+// after the first, which would be taken for the response to the next request. If the second response arrives
+// during the reuse delay of the connection, the connection is closed.
 const DefaultReuseDelay = 20 * time.Millisecond
 
-// maxWaitFactor is how many times Options.ReuseDelay an attempt waits at most until a connection has rested. A longer wait
-// would use up the time of an attempt.
+// maxWaitFactor is the maximum time that an attempt waits for a reuse delay to pass, as a multiple of
+// Options.ReuseDelay. A longer wait would use up the time of the attempt.
 const maxWaitFactor = 2
 
-// Get returns the idle connection used last of those that have rested, since the others may then expire; else the first
-// to have rested, if that is within maxWaitFactor, since a new one costs more; else a new one. With
-// Options.ReuseDelayOptional it waits only if no connection can be opened. None is used before it has rested.
+// Get returns a connection to a target. It prefers, in this order:
+//   - the most recently used idle connection whose reuse delay has passed, so that connections that are not
+//     needed expire;
+//   - the idle connection whose reuse delay passes first, if that is within maxWaitFactor, since a new connection
+//     costs more;
+//   - a new connection.
+//
+// With Options.ReuseDelayOptional, Get waits for a reuse delay only if no connection can be opened. It never
+// returns a connection before its reuse delay has passed.
 func (p *Pool) Get(ctx context.Context, target *Target) (*Conn, error) {
 	mayWait := !p.options.ReuseDelayOptional
 	for {
@@ -39,8 +45,9 @@
 	}
 }
 
-// getForProbe returns a connection for a health check. With load reports its response is recognized, and so it may use
-// a connection that rests, unless another load report may still arrive on it.
+// getForProbe returns a connection for a health check. If the pool expects load reports, the response to the
+// health check can be recognized. Then the connection may be in its reuse delay, unless its last exchange was a
+// health check, whose load report might still be repeated.
 func (p *Pool) getForProbe(ctx context.Context, target *Target) (*Conn, error) {
 	if len(p.options.LoadFields) == 0 {
 		return p.Get(ctx, target)
@@ -54,8 +61,8 @@
 	return p.openConn(ctx, target)
 }
 
-// takeForProbeOrReserveLocked returns an idle connection for a health check. It returns no connection and no error
-// where a new one is to be opened, which it has counted then.
+// takeForProbeOrReserveLocked returns an idle connection for a health check. If it returns neither a connection
+// nor an error, it has counted a new connection, which the caller must open.
 func (p *Pool) takeForProbeOrReserveLocked(target *Target) (*Conn, error) {
 	p.inspectArrivalsLocked()
 	mayUse := func(c *Conn) bool { return !c.lastUsedByProbe || p.remainingReuseDelayLocked(c) <= 0 }
@@ -65,7 +72,8 @@
 	return nil, p.reserveLocked(target)
 }
 
-// putAfterProbe returns a connection after a health check, with or without a load report.
+// putAfterProbe returns a connection to the pool after a health check. hasLoadReport is set if the response was
+// a load report.
 func (p *Pool) putAfterProbe(c *Conn, hasLoadReport bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,8 +82,9 @@
 	p.putLocked(c)
 }
 
-// awaitReuseDelay waits for what is left of a connection's rest, and reports whether it may be used then. If not, the pool
-// has it back, or has closed it. An error is that of ctx, or means that the endpoint is gone.
+// awaitReuseDelay waits until the rest of a connection's reuse delay has passed, and reports whether the
+// connection may then be used. If not, it has returned the connection to the pool, or closed it. An error is
+// that of ctx, or means that the endpoint is gone.
 func (p *Pool) awaitReuseDelay(ctx context.Context, c *Conn, wait time.Duration) (usable bool, err error) {
 	select {
 	case <-time.After(wait):
@@ -84,7 +93,7 @@
 		p.putUnused(c)
 		return false, ctx.Err()
 	}
-	c.availableAt = p.options.Clock.Now() // the wait is no latency of the endpoint
+	c.availableAt = p.options.Clock.Now() // so that the wait does not count as latency of the endpoint
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.recordDelayLocked()
@@ -98,7 +107,7 @@
 	case !p.isUsableLocked(c):
 		p.closeLocked(c)
 		return false, nil
-	case p.remainingReuseDelayLocked(c) > 0: // there is new evidence
+	case p.remainingReuseDelayLocked(c) > 0: // new evidence has prolonged the reuse delay
 		p.insertIdleLocked(c)
 		p.observeReuseDelayLocked(c)
 		return false, nil
@@ -106,15 +115,16 @@
 	return true, nil
 }
 
-// endWait notes that an attempt does not wait any more.
+// endWait records that an attempt no longer waits for a reuse delay to pass.
 func (p *Pool) endWait() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.waitingAttempts--
 }
 
-// takeOrOpen returns an idle connection that has rested, or a new one. With mayWait, and where none can be opened, it
-// may return one that rests, and how long it has to.
+// takeOrOpen returns an idle connection whose reuse delay has passed, or a new connection. With mayWait, or if
+// no connection can be opened, it may return a connection in its reuse delay, and the time until the delay has
+// passed.
 func (p *Pool) takeOrOpen(ctx context.Context, target *Target, mayWait bool) (*Conn, time.Duration, error) {
 	p.mu.Lock()
 	c, wait := p.takeReusableLocked(target, mayWait)
@@ -133,10 +143,11 @@
 	return c, 0, err
 }
 
-// takeReusableLocked removes and returns an idle connection that has rested; with mayWait else one that rests, and how
-// long it has to. It returns nil if a connection is to be opened.
+// takeReusableLocked removes and returns an idle connection whose reuse delay has passed. If there is no such
+// connection and mayWait is set, it may return a connection in its reuse delay, and the time until the delay
+// has passed. It returns nil if a new connection is to be opened.
 func (p *Pool) takeReusableLocked(target *Target, mayWait bool) (*Conn, time.Duration) {
-	p.recordDelayLocked() // what delays this process may not have let observeReuseDelays run yet
+	p.recordDelayLocked() // while this process is delayed, observeReuseDelays may not have run either
 	p.inspectArrivalsLocked()
 	isReusable := func(c *Conn) bool { return p.remainingReuseDelayLocked(c) <= 0 }
 	if c := p.takeUsableLocked(target, isReusable); c != nil {
@@ -148,8 +159,9 @@
 	return p.takeEarliestReusableLocked(target)
 }
 
-// takeAtShortage returns a connection although none can be opened for lack of descriptors or ports: one that rests and
-// soon has, or a new one in place of another idle one. shortage is the error of the attempt to open one.
+// takeAtShortage returns a connection although this process lacks descriptors or ports to open one: a
+// connection whose reuse delay will pass soon, or a new connection after another idle one was closed. shortage
+// is the error of the failed dial, which takeAtShortage returns if it finds no connection.
 func (p *Pool) takeAtShortage(ctx context.Context, target *Target, shortage error) (*Conn, time.Duration, error) {
 	p.mu.Lock()
 	c, wait := p.takeReusableLocked(target, true)
@@ -165,7 +177,8 @@
 	return nil, 0, shortage
 }
 
-// reserveLocked counts a connection that is to be opened. If all are open, an idle one of any target is evicted.
+// reserveLocked counts a connection that the caller is about to open. At Options.MaxConns it closes the oldest
+// idle connection of any target.
 func (p *Pool) reserveLocked(target *Target) error {
 	if target.dropped {
 		return errEndpointGone
@@ -177,8 +190,9 @@
 	return nil
 }
 
-// takeUsableLocked removes and returns the idle connection used last of those for which a condition holds, nil if there
-// is none. It closes those of them that have expired. The caller has inspected arrivals.
+// takeUsableLocked removes and returns the most recently used idle connection that mayUse accepts, or nil if
+// there is no such connection. It closes accepted connections that have expired. The caller must have called
+// inspectArrivalsLocked.
 func (p *Pool) takeUsableLocked(target *Target, mayUse func(*Conn) bool) *Conn {
 	for i := len(target.idle) - 1; i >= 0; i-- {
 		if !mayUse(target.idle[i]) {
@@ -195,8 +209,9 @@
 	return nil
 }
 
-// takeEarliestReusableLocked removes and returns the idle connection that is the first to have rested, and how long it has to,
-// if that is within maxWaitFactor. Otherwise it returns nil. An attempt that gets one waits for it (awaitReuseDelay).
+// takeEarliestReusableLocked removes and returns the idle connection whose reuse delay passes first, and the
+// time until then. It returns nil if that time exceeds maxWaitFactor. The caller must wait with
+// awaitReuseDelay.
 func (p *Pool) takeEarliestReusableLocked(target *Target) (*Conn, time.Duration) {
 	if len(target.idle) == 0 {
 		return nil, 0
@@ -227,13 +242,13 @@
 	}
 	c := newConn(netConn, target)
 	if target.dropped {
-		p.closeLocked(c) // another endpoint may listen at the address by now
+		p.closeLocked(c) // another endpoint may listen at the address now
 		return nil, errEndpointGone
 	}
 	return c, nil
 }
 
-// remainingReuseDelayLocked returns how long a connection still has to rest.
+// remainingReuseDelayLocked returns the time until the reuse delay of a connection has passed.
 func (p *Pool) remainingReuseDelayLocked(c *Conn) time.Duration {
 	if c.lastResponse.IsZero() {
 		return 0
@@ -242,9 +257,9 @@
 	return clock.Duration(p.reuseDelays.Left(p.options.Clock.Now(), c.target.endpoint, elapsed))
 }
 
-// isUsableLocked reports whether a connection that was waited for has neither expired nor been closed, or written to,
-// by its endpoint. A request written to another connection would be lost and might have run, or receive another
-// request's response.
+// isUsableLocked reports whether a connection is still open, has no unread bytes, and has not expired. A
+// request on any other connection would be lost, although it might have run, or would receive the response to
+// another request.
 func (p *Pool) isUsableLocked(c *Conn) bool {
 	return p.inspectLocked(c) == connQuiet && !p.hasExpiredLocked(c)
 }
--- a/internal/upstream/surplus.go
+++ b/internal/upstream/surplus.go
@@ -8,21 +8,22 @@
 	"dunlinsail/internal/monotime"
 )
 
-// This file counts and reports responses of endpoints that belong to no request.
+// This file counts and reports surplus responses: responses of endpoints that belong to no request.
 
 // DefaultDistrustedReuseDelay is the usual Options.DistrustedReuseDelay.
 const DefaultDistrustedReuseDelay = 40 * time.Millisecond
 
-// surplusCounts counts the responses of endpoints that belonged to no request.
+// surplusCounts counts surplus responses, and records what of them has been logged.
 type surplusCounts struct {
-	detected uint64
-	suspect  uint64 // responses that may have been delivered to the wrong request
+	detected uint64 // number of surplus responses
+	suspect  uint64 // number of responses that may have been delivered to the wrong request
 
-	loggedEndpoints   map[reuse.Endpoint]struct{} // distrusted endpoints that are in the log
-	unloggedEndpoints map[reuse.Endpoint]struct{} // those that are not yet
-	unloggedSuspects  map[reuse.Endpoint]uint64   // the part of suspect that is not in the log yet
+	loggedEndpoints   map[reuse.Endpoint]struct{} // distrusted endpoints that have been logged
+	unloggedEndpoints map[reuse.Endpoint]struct{} // distrusted endpoints that have not been logged
+	unloggedSuspects  map[reuse.Endpoint]uint64   // part of suspect that has not been logged, by endpoint
 }
 
+// newSurplusCounts returns counts of 0.
 func newSurplusCounts() surplusCounts {
 	return surplusCounts{
 		loggedEndpoints:   map[reuse.Endpoint]struct{}{},
@@ -31,20 +32,20 @@
 	}
 }
 
-// recordSurplusLocked notes a response that belongs to no request, and that arrived on a connection at an instant.
+// recordSurplusLocked records a surplus response, and when it arrived on a connection.
 func (p *Pool) recordSurplusLocked(c *Conn, arrival time.Time) {
 	p.addSurplusLocked(c, arrival, c.lastResponse, c.previousResponse)
 }
 
-// recordSurplus is recordSurplusLocked for callers without the lock.
+// recordSurplus is recordSurplusLocked for callers that do not hold Pool.mu.
 func (p *Pool) recordSurplus(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.recordSurplusLocked(c, c.lastArrival())
 }
 
-// recordSurplusBehindResponse notes a response that belongs to no request, and that arrived together with the response before it,
-// which has just been read.
+// recordSurplusBehindResponse records a surplus response that arrived together with the response before it. The
+// response before it has just been read, and putLocked has not updated lastResponse yet.
 func (p *Pool) recordSurplusBehindResponse(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,16 +53,17 @@
 	p.addSurplusLocked(c, now, now, c.lastResponse)
 }
 
-// recordRepeatedResponse notes a second response to the request before the one in flight, which was read in place of the response
-// to that one. Its content says which request it belongs to, so that the response before it is not in doubt.
+// recordRepeatedResponse records a second response to the previous request that was read before the response to
+// the request in flight. Its content shows which request it belongs to, so that the last response on the
+// connection was delivered correctly.
 func (p *Pool) recordRepeatedResponse(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.addSurplusLocked(c, time.Now(), c.lastResponse, time.Time{})
 }
 
-// discardAfterMissingReport closes a connection on which a health check got a response without a load report. From an endpoint
-// that sends them, that is a second response to an earlier request.
+// discardAfterMissingReport closes a connection on which a health check received a response without a load
+// report. If the endpoint sends load reports, that was a second response to an earlier request.
 func (p *Pool) discardAfterMissingReport(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,16 +73,17 @@
 	p.closeLocked(c)
 }
 
-// addSurplusLocked counts a response that belongs to no request, with the instants of its arrival and of the two
-// responses before it on its connection. Zero: there was none.
+// addSurplusLocked counts a surplus response on a connection. arrival is when it arrived. last and previous are
+// when the two responses before it were received on that connection; a zero time means that there was no such
+// response.
 func (p *Pool) addSurplusLocked(c *Conn, arrival, last, previous time.Time) {
 	p.surplus.detected++
 	if last.IsZero() {
-		return // it came before any request, and is no second response
+		return // a response before the first request is not a second response
 	}
 	lateness := clock.Micros(arrival.Sub(last))
 	if arrival != last {
-		lateness = max(1, lateness) // the arrival is known to some milliseconds only
+		lateness = max(1, lateness) // arrival has a precision of some milliseconds only
 	}
 	observed := reuse.SecondResponse{
 		Endpoint: c.target.endpoint,
@@ -98,43 +101,44 @@
 	}
 }
 
-// SurplusResponses returns how many responses of endpoints belonged to no request, as far as that was detected.
+// SurplusResponses returns the number of surplus responses that were detected.
 func (p *Pool) SurplusResponses() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.surplus.detected
 }
 
-// SuspectResponses returns how many responses may have been delivered to the wrong request: another response came
-// behind them on their connection, and they were not the first one on it.
+// SuspectResponses returns the number of responses that may have been delivered to the wrong request: responses
+// that were not the first on their connection, and behind which another response arrived.
 func (p *Pool) SuspectResponses() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.surplus.suspect
 }
 
-// Evidence returns what was observed of second responses, for a process that takes over from this one.
+// Evidence returns the evidence on second responses, for a process that takes over from this one.
 func (p *Pool) Evidence() *reuse.Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reuseDelays.Snapshot(p.options.Clock.Now())
 }
 
-// RestoreEvidence adds what another process has observed, some time ago. A nil snapshot is nothing.
+// RestoreEvidence adds the evidence of another process, of which a snapshot was taken age ago. A nil snapshot
+// has no effect.
 func (p *Pool) RestoreEvidence(s *reuse.Snapshot, age monotime.Micros) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reuseDelays.Restore(p.options.Clock.Now(), s, age)
 }
 
-// surplusReport is what reportSurplus logs.
+// surplusReport is the content of the messages that reportSurplus logs.
 type surplusReport struct {
-	distrusted map[reuse.Endpoint]time.Duration // endpoints that are distrusted now, with the rest of their connections
-	suspect    map[reuse.Endpoint]uint64        // responses that may have been delivered to the wrong request
+	distrusted map[reuse.Endpoint]time.Duration // newly distrusted endpoints, with the reuse delay of their connections
+	suspect    map[reuse.Endpoint]uint64        // number of responses that may have been delivered to the wrong request
 }
 
-// reportSurplus forgets old evidence, and logs the endpoints that are distrusted since the last call, and those whose
-// responses may have been delivered to the wrong request.
+// reportSurplus discards old evidence. It logs the endpoints that became distrusted since the last call, and
+// the endpoints of which responses may have been delivered to the wrong request since.
 func (p *Pool) reportSurplus() {
 	report := p.takeSurplusReport()
 	for endpoint, reuseDelay := range report.distrusted {
@@ -146,7 +150,7 @@
 	}
 }
 
-// takeSurplusReport forgets old evidence, and returns what is to be logged since the last call.
+// takeSurplusReport discards old evidence, and returns what reportSurplus has to log since the last call.
 func (p *Pool) takeSurplusReport() surplusReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
