--- a/internal/upstream/buffered_test.go
+++ b/internal/upstream/buffered_test.go
@@ -38,11 +38,14 @@
 // A request is written once, also where an http.Transport would write it again: on a reused connection that breaks
 // after the endpoint has read the request.
 func TestBrokenIdleConnectionIsNotResent(t *testing.T) {
-	for name, request := range map[string]*BufferedRequest{"get": plainGet(), "idempotency key": idempotentPost("x")} {
+	for name, request := range map[string]*BufferedRequest{
+		"get":             newPlainGet(),
+		"idempotency key": newIdempotentPost("x"),
+	} {
 		t.Run(name, func(t *testing.T) {
 			var received atomic.Int32
 			pool := newPool()
-			target := pool.newTarget(scriptedpeer.StartTCP(t, respondOnce(&received)))
+			target := pool.newTarget(scriptedpeer.StartTCP(t, respondToFirstRequest(&received)))
 			if r := pool.sendOnce(request, target); r.Status != balancer.OK {
 				t.Fatalf("first: status %v", r.Status)
 			}
@@ -56,8 +59,8 @@
 	}
 }
 
-// respondOnce serves connections that break after their second request has been read, and counts the requests.
-func respondOnce(received *atomic.Int32) func(c *net.TCPConn, r *bufio.Reader) {
+// respondToFirstRequest serves connections that break after their second request has been read, and counts the requests.
+func respondToFirstRequest(received *atomic.Int32) func(c *net.TCPConn, r *bufio.Reader) {
 	return func(c *net.TCPConn, r *bufio.Reader) {
 		for i := range 2 {
 			if _, err := scriptedpeer.ReadRequest(r); err != nil {
@@ -91,7 +94,7 @@
 		scriptedpeer.ReadRequest(r)
 		c.SetLinger(0) // breaks with a reset
 	})
-	request := idempotentPost(strings.Repeat("x", 1000))
+	request := newIdempotentPost(strings.Repeat("x", 1000))
 	for _, tc := range []struct {
 		name           string
 		unwrittenBytes int
@@ -123,7 +126,7 @@
 
 // The status of an attempt by the endpoint's response. Only a marked 503 or 504 proves that the request never ran, and
 // only a complete 200 is a success.
-func TestAnswers(t *testing.T) {
+func TestStatusOfResponses(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		response string
@@ -165,7 +168,7 @@
 				io.WriteString(c, tc.response)
 			})
 			pool := newPool()
-			r := pool.sendOnce(idempotentPost("x"), pool.newTarget(addr))
+			r := pool.sendOnce(newIdempotentPost("x"), pool.newTarget(addr))
 			if r.Status != tc.want {
 				t.Errorf("status %v, want %v", r.Status, tc.want)
 			}
@@ -178,7 +181,7 @@
 
 // A response that does not end, or has a length that is not accepted, fails at once, although its connection stays
 // open: the attempt would otherwise last until its deadline.
-func TestAnswerWithoutEnd(t *testing.T) {
+func TestResponseWithoutEnd(t *testing.T) {
 	for _, response := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
 		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok",
@@ -192,7 +195,7 @@
 		})
 		pool := newPool()
 		start := time.Now()
-		r := pool.sendOnce(idempotentPost("x"), pool.newTarget(addr))
+		r := pool.sendOnce(newIdempotentPost("x"), pool.newTarget(addr))
 		if took := time.Since(start); r.Status != balancer.Reset || took > 5*maxResponseStall {
 			t.Errorf("%q: status %v after %v, want Reset at once", response, r.Status, took)
 		}
@@ -211,13 +214,13 @@
 		io.WriteString(c, okResponse)
 	})
 	pool := newPool()
-	if r := pool.sendOnce(idempotentPost("x"), pool.newTarget(addr)); r.Status != balancer.OK {
+	if r := pool.sendOnce(newIdempotentPost("x"), pool.newTarget(addr)); r.Status != balancer.OK {
 		t.Errorf("status %v, want OK", r.Status)
 	}
 }
 
 // A response with more bytes behind it succeeds, and these bytes are the response to no request.
-func TestMoreBehindAnswer(t *testing.T) {
+func TestBytesBehindResponse(t *testing.T) {
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
 			req, err := scriptedpeer.ReadRequest(r)
@@ -232,7 +235,7 @@
 	pool := newPool()
 	target := pool.newTarget(addr)
 	for i := range 4 {
-		request := plainGet()
+		request := newPlainGet()
 		request.Header.Set("X-Trace-Id", fmt.Sprint(i))
 		r := pool.sendOnce(request, target)
 		response, _ := r.Response.(*BufferedResponse)
--- a/internal/upstream/connections_test.go
+++ b/internal/upstream/connections_test.go
@@ -31,7 +31,7 @@
 }
 
 // behaviors are what an endpoint may do with a request, by the path. Each reports whether the connection stays open.
-var behaviors = map[string]func(c *net.TCPConn, id string) (keepOpen bool){
+var endpointBehaviors = map[string]func(c *net.TCPConn, id string) (keepOpen bool){
 	"ok": func(c *net.TCPConn, id string) bool { io.WriteString(c, responseFor(id)); return true },
 	"twice": func(c *net.TCPConn, id string) bool {
 		io.WriteString(c, responseFor(id))
@@ -48,8 +48,8 @@
 	"late":    func(c *net.TCPConn, id string) bool { io.WriteString(c, responseFor(id)); return true }, // see serve
 }
 
-// drawnBehaviors are the behaviors in the frequencies in which they are drawn.
-var drawnBehaviors = []string{
+// weightedBehaviors are the behaviors in the frequencies in which they are drawn.
+var weightedBehaviors = []string{
 	"ok", "ok", "ok", "twice", "twice", "surplus", "close", "reset", "half", "noise", "never",
 }
 
@@ -75,7 +75,7 @@
 		l.mu.Lock()
 		l.received[id]++
 		l.mu.Unlock()
-		if !behaviors[req.URL.Path[1:]](c, id) {
+		if !endpointBehaviors[req.URL.Path[1:]](c, id) {
 			return
 		}
 	}
@@ -106,13 +106,13 @@
 
 // randomEvents makes attempts, cancellations, drops and other events happen in an order drawn from a seed.
 type randomEvents struct {
-	ledger   *requestLedger
-	pool     *Pool
-	addr     string
-	rng      *rand.Rand
-	target   *Target   // of the attempts
-	dropped  []*Target // the targets before it
-	attempts sync.WaitGroup
+	ledger           *requestLedger
+	pool             *Pool
+	addr             string
+	rng              *rand.Rand
+	target           *Target   // of the attempts
+	droppedTargets   []*Target // the targets before it
+	attemptsInFlight sync.WaitGroup
 }
 
 // runRandomEvents makes the events of a seed happen, at an endpoint and in a pool of their own.
@@ -131,32 +131,32 @@
 	e.target = e.pool.newTarget(e.addr)
 	for i := range 60 {
 		e.startAttempt(fmt.Sprintf("%d-%d", seed, i))
-		e.interfere()
+		e.triggerRandomEvent()
 	}
-	e.attempts.Wait()
+	e.attemptsInFlight.Wait()
 	return e
 }
 
 // startAttempt starts an attempt of a drawn behavior, and may cancel it at a drawn instant.
 func (e *randomEvents) startAttempt(id string) {
-	behavior := drawnBehaviors[e.rng.IntN(len(drawnBehaviors))]
+	behavior := weightedBehaviors[e.rng.IntN(len(weightedBehaviors))]
 	ctx, cancel := context.WithCancel(context.Background())
 	if e.rng.IntN(3) == 0 || behavior == "never" {
 		time.AfterFunc(time.Duration(e.rng.IntN(3000))*time.Microsecond, cancel)
 	}
 	target := e.target
-	e.attempts.Go(func() {
+	e.attemptsInFlight.Go(func() {
 		defer cancel()
 		e.ledger.attempt(ctx, e.pool, target, id, behavior)
 	})
 }
 
 // interfere makes one drawn event happen beside the attempts, or none.
-func (e *randomEvents) interfere() {
+func (e *randomEvents) triggerRandomEvent() {
 	switch e.rng.IntN(12) {
 	case 0:
 		e.target.Drop()
-		e.dropped = append(e.dropped, e.target)
+		e.droppedTargets = append(e.droppedTargets, e.target)
 		e.target = e.pool.newTarget(e.addr)
 	case 1:
 		e.pool.SetKeepIdle(false)
@@ -166,7 +166,7 @@
 	case 3:
 		e.pool.sweep()
 	case 4, 5:
-		e.attempts.Wait()
+		e.attemptsInFlight.Wait()
 	}
 }
 
@@ -179,7 +179,7 @@
 		e.ledger.addViolation("%d connections open, %d counted as idle, %d idle", pool.openConns, pool.idleConns, idle)
 	}
 	pool.mu.Unlock()
-	for _, target := range append(e.dropped, e.target) {
+	for _, target := range append(e.droppedTargets, e.target) {
 		target.Drop()
 	}
 	if pool.openConns != 0 || len(pool.idleTargets) != 0 {
--- a/internal/upstream/partial_body_test.go
+++ b/internal/upstream/partial_body_test.go
@@ -20,13 +20,13 @@
 // stalledConn is a connection on which one write stalls: half of it gets through, and the rest not before its deadline.
 type stalledConn struct {
 	*net.TCPConn
-	writesBefore int
-	stalled      chan struct{} // closed once half has been written
-	expired      chan struct{} // closed by a write deadline in the past
+	writesBeforeStall int
+	stalled           chan struct{} // closed once half has been written
+	expired           chan struct{} // closed by a write deadline in the past
 }
 
 func (c *stalledConn) Write(b []byte) (int, error) {
-	if c.writesBefore--; c.writesBefore >= 0 {
+	if c.writesBeforeStall--; c.writesBeforeStall >= 0 {
 		return c.TCPConn.Write(b)
 	}
 	n, err := c.TCPConn.Write(b[:len(b)/2])
@@ -44,7 +44,7 @@
 
 // useStalledConn has the pool open its connection as a stalledConn.
 func (s *secondResponseTest) useStalledConn(writesBefore int) *stalledConn {
-	stalled := &stalledConn{writesBefore: writesBefore, stalled: make(chan struct{}), expired: make(chan struct{})}
+	stalled := &stalledConn{writesBeforeStall: writesBefore, stalled: make(chan struct{}), expired: make(chan struct{})}
 	s.pool.options.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		if err != nil {
@@ -83,7 +83,7 @@
 
 // Guards against reuse after a response before the end of the request body: the next request would pass for the rest.
 func TestNoReuseAfterPartialRequestBody(t *testing.T) {
-	for name, body := range map[string]struct {
+	for name, tc := range map[string]struct {
 		length       int64
 		writesBefore int
 	}{
@@ -93,8 +93,8 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 			received := s.startHeadReader()
-			conn := s.useStalledConn(body.writesBefore)
-			result := s.startPost(body.length)
+			conn := s.useStalledConn(tc.writesBefore)
+			result := s.startPost(tc.length)
 			endpointConn := scriptedpeer.Receive(t, received, "head")
 			scriptedpeer.Receive(t, conn.stalled, "stall of a write")
 			io.WriteString(endpointConn, okResponse)
--- a/internal/upstream/paused_client_test.go
+++ b/internal/upstream/paused_client_test.go
@@ -30,8 +30,8 @@
 }
 
 // runPausedClient makes a request for each ID on standard input, and prints its status and response.
-func runPausedClient(addr string, optional bool) {
-	pool := newPool(withReuseDelay(DefaultReuseDelay, optional))
+func runPausedClient(addr string, reuseDelayOptional bool) {
+	pool := newPool(withReuseDelay(DefaultReuseDelay, reuseDelayOptional))
 	go pool.Run(context.Background())
 	target := pool.newTarget(addr)
 	for ids := bufio.NewScanner(os.Stdin); ids.Scan(); {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -56,23 +56,23 @@
 	return p.SendBuffered(ctx, p.newAttempt(target), request)
 }
 
-func idempotentPost(body string) *BufferedRequest {
+func newIdempotentPost(body string) *BufferedRequest {
 	return &BufferedRequest{Method: "POST", URI: "/book", Host: "origin.svc", Body: []byte(body),
 		Header: http.Header{"X-Trace-Id": {"1"}, "Idempotency-Key": {"k"}}}
 }
 
-func plainGet() *BufferedRequest {
+func newPlainGet() *BufferedRequest {
 	return &BufferedRequest{Method: "GET", URI: "/look", Host: "origin.svc", Header: http.Header{"X-Trace-Id": {"1"}}}
 }
 
-// plainStreamedGet is plainGet for Send.
-func plainStreamedGet() *Request {
+// newForwardedGet is newPlainGet for Send.
+func newForwardedGet() *Request {
 	policy := &ResponsePolicy{MaxBuffered: 1 << 10}
 	return &Request{Method: "GET", URI: "/look", Host: "origin.svc", Header: http.Header{}, Policy: policy}
 }
 
-// readOneRequest is an endpoint that reads one request and closes the connection.
-func readOneRequest(_ *net.TCPConn, r *bufio.Reader) { scriptedpeer.ReadRequest(r) }
+// readOneRequestAndClose is an endpoint that reads one request and closes the connection.
+func readOneRequestAndClose(_ *net.TCPConn, r *bufio.Reader) { scriptedpeer.ReadRequest(r) }
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
@@ -80,13 +80,13 @@
 // endpoint that has gone stays open.
 func TestGoneEndpointsConnections(t *testing.T) {
 	var dials atomic.Int32
-	addr := startAnsweringEndpoint(t, &dials)
+	addr := startRespondingEndpoint(t, &dials)
 	pool := newPool()
 	oldTarget := pool.newTarget(addr)
 	newTarget := pool.newTarget(addr)
 	ctx := context.Background()
-	pool.sendOnce(plainGet(), oldTarget)
-	if pool.sendOnce(plainGet(), newTarget); dials.Load() != 2 {
+	pool.sendOnce(newPlainGet(), oldTarget)
+	if pool.sendOnce(newPlainGet(), newTarget); dials.Load() != 2 {
 		t.Errorf("%d connections to two endpoints at one address, want 2", dials.Load())
 	}
 	inFlight, err := pool.Get(ctx, oldTarget)
@@ -98,7 +98,7 @@
 	if pool.openConns != 1 || len(oldTarget.idle) != 0 {
 		t.Errorf("%d connections open, %d idle to a dropped target, want 1 and 0", pool.openConns, len(oldTarget.idle))
 	}
-	if r := pool.sendOnce(plainGet(), oldTarget); r.Status != balancer.NotSent {
+	if r := pool.sendOnce(newPlainGet(), oldTarget); r.Status != balancer.NotSent {
 		t.Errorf("status %v for a dropped target, want NotSent", r.Status)
 	}
 	droppedInDial := pool.newTarget(addr)
@@ -107,7 +107,7 @@
 		droppedInDial.Drop()
 		return dial(ctx, network, addr)
 	}
-	if r := pool.sendOnce(plainGet(), droppedInDial); r.Status != balancer.NotSent || pool.openConns != 1 {
+	if r := pool.sendOnce(newPlainGet(), droppedInDial); r.Status != balancer.NotSent || pool.openConns != 1 {
 		t.Errorf("target dropped in the dial: status %v, %d connections, want NotSent and 1", r.Status, pool.openConns)
 	}
 }
@@ -115,9 +115,9 @@
 // A shortage in this process does not count as a failure of the endpoint.
 func TestShortageIsNoFault(t *testing.T) {
 	pool := newPool()
-	target := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
+	target := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequestAndClose))
 	pool.options.MaxConns = 0
-	if r := pool.sendOnce(plainGet(), target); r.Status != balancer.NotSent {
+	if r := pool.sendOnce(newPlainGet(), target); r.Status != balancer.NotSent {
 		t.Errorf("all connections in use: status %v, want NotSent", r.Status)
 	}
 	pool.options.MaxConns = 1
@@ -125,7 +125,7 @@
 		pool.options.Dial = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", e)}
 		}
-		if r := pool.sendOnce(plainGet(), target); r.Status != balancer.NotSent {
+		if r := pool.sendOnce(newPlainGet(), target); r.Status != balancer.NotSent {
 			t.Errorf("%v: status %v, want NotSent", e, r.Status)
 		}
 	}
@@ -134,7 +134,7 @@
 		cancel()
 		return nil, ctx.Err()
 	}
-	r := pool.SendBuffered(ctx, pool.newAttempt(target), plainGet())
+	r := pool.SendBuffered(ctx, pool.newAttempt(target), newPlainGet())
 	if r.Status != balancer.NotSent {
 		t.Errorf("a canceled dial: status %v, want NotSent", r.Status)
 	}
@@ -153,16 +153,16 @@
 	pool := newPool()
 	target := pool.newTarget(addr)
 	for i := range 3 {
-		if r := pool.sendOnce(plainGet(), target); r.Status != balancer.OK {
+		if r := pool.sendOnce(newPlainGet(), target); r.Status != balancer.OK {
 			t.Fatalf("request %d: status %v", i, r.Status)
 		}
 		scriptedpeer.Receive(t, closed, "close")
 	}
 }
 
-// startAnsweringEndpoint starts an endpoint that responds to every request, and counts its connections. It returns its
+// startRespondingEndpoint starts an endpoint that responds to every request, and counts its connections. It returns its
 // address.
-func startAnsweringEndpoint(t testing.TB, dials *atomic.Int32) string {
+func startRespondingEndpoint(t testing.TB, dials *atomic.Int32) string {
 	t.Helper()
 	return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		dials.Add(1)
@@ -178,7 +178,7 @@
 // An idle connection expires well before the endpoint would close it: it is not used then, and the sweep closes it.
 func TestIdleConnectionIsRetired(t *testing.T) {
 	var dials atomic.Int32
-	addr := startAnsweringEndpoint(t, &dials)
+	addr := startRespondingEndpoint(t, &dials)
 	pool := newPool()
 	target := pool.newTarget(addr)
 	if limit := 12 * time.Second; pool.maxIdleTime > limit {
@@ -189,13 +189,13 @@
 			c.idleSince = c.idleSince.Add(-pool.maxIdleTime)
 		}
 	}
-	pool.sendOnce(plainGet(), target)
-	pool.sendOnce(plainGet(), target)
+	pool.sendOnce(newPlainGet(), target)
+	pool.sendOnce(newPlainGet(), target)
 	if n := dials.Load(); n != 1 {
 		t.Fatalf("%d connections for two requests in turn, want 1", n)
 	}
 	expireIdleConns()
-	pool.sendOnce(plainGet(), target)
+	pool.sendOnce(newPlainGet(), target)
 	if n := dials.Load(); n != 2 {
 		t.Errorf("%d connections after one grew old, want 2", n)
 	}
@@ -219,15 +219,15 @@
 // all the time: the connection expires as if it had stayed in the pool, and one that was used later is preferred.
 func TestUnusedConnectionKeepsItsAge(t *testing.T) {
 	var dials atomic.Int32
-	addr := startAnsweringEndpoint(t, &dials)
+	addr := startRespondingEndpoint(t, &dials)
 	pool := newPool()
 	target := pool.newTarget(addr)
-	pool.sendOnce(plainGet(), target)
+	pool.sendOnce(newPlainGet(), target)
 	target.idle[0].idleSince = target.idle[0].idleSince.Add(-pool.maxIdleTime * 3 / 4)
 	lastUsed := target.idle[0].idleSince
 	canceled := pool.newAttempt(target)
 	canceled.ClaimSend = func(monotime.Micros) bool { return false }
-	r := pool.SendBuffered(context.Background(), canceled, plainGet())
+	r := pool.SendBuffered(context.Background(), canceled, newPlainGet())
 	if r.Status != balancer.NotSent || len(target.idle) != 1 || !target.idle[0].idleSince.Equal(lastUsed) {
 		t.Fatalf("status %v; idle since %v, last used at %v", r.Status, target.idle[0].idleSince, lastUsed)
 	}
@@ -247,7 +247,7 @@
 
 // The connection used last is used next, so that those that are not needed expire.
 func TestLatestConnectionFirst(t *testing.T) {
-	addr := scriptedpeer.StartTCP(t, readOneRequest)
+	addr := scriptedpeer.StartTCP(t, readOneRequestAndClose)
 	pool := newPool()
 	target := pool.newTarget(addr)
 	first := pool.mustGet(t, target)
@@ -263,8 +263,8 @@
 // closed for a new one.
 func TestConnectionsAreBounded(t *testing.T) {
 	pool := newPool()
-	firstTarget := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
-	secondTarget := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
+	firstTarget := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequestAndClose))
+	secondTarget := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequestAndClose))
 	pool.options.MaxConns = 2
 	ctx := context.Background()
 	first, err := pool.Get(ctx, firstTarget)
@@ -296,12 +296,12 @@
 
 // The number of idle connections is bounded by the sum of all owners' limits. The one that has been idle for longest is
 // closed first, and a limit below 1 shortens the idle time of one connection.
-func TestRestingConnectionsAreBounded(t *testing.T) {
+func TestIdleConnectionsAreBounded(t *testing.T) {
 	pool := newPool()
 	ctx := context.Background()
 	var conns []*Conn
 	for range 5 {
-		addr := scriptedpeer.StartTCP(t, readOneRequest)
+		addr := scriptedpeer.StartTCP(t, readOneRequestAndClose)
 		c, err := pool.Get(ctx, pool.newTarget(addr))
 		if err != nil {
 			t.Fatal(err)
@@ -338,10 +338,10 @@
 // An endpoint may respond twice, some milliseconds apart. A request that is written to the connection in between would
 // be served with the second response. So a connection is not used again before its reuse delay has passed, and never
 // once a second response has arrived. Both ways of reading responses are tested.
-func TestLateSecondAnswer(t *testing.T) {
+func TestLateSecondResponse(t *testing.T) {
 	for name, send := range map[string]func(pool *Pool, target core.Target) (balancer.Status, string){
 		"SendBuffered": func(pool *Pool, target core.Target) (balancer.Status, string) {
-			r := pool.sendOnce(plainGet(), target)
+			r := pool.sendOnce(newPlainGet(), target)
 			response, _ := r.Response.(*BufferedResponse)
 			if response == nil {
 				return r.Status, ""
@@ -349,7 +349,7 @@
 			return r.Status, string(response.Body)
 		},
 		"Send": func(pool *Pool, target core.Target) (balancer.Status, string) {
-			r := pool.Send(context.Background(), pool.newAttempt(target), plainStreamedGet())
+			r := pool.Send(context.Background(), pool.newAttempt(target), newForwardedGet())
 			response, _ := r.Response.(*Response)
 			if response == nil {
 				return r.Status, ""
@@ -369,7 +369,7 @@
 	pool := newPool(func(o *Options) { o.ReuseDelay = reuseDelay })
 	var conns atomic.Int32
 	target := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
-		respondTwiceOnFirst(c, r, conns.Add(1), reuseDelay/3)
+		respondTwiceOnFirstConn(c, r, conns.Add(1), reuseDelay/3)
 	}))
 	// The second attempt waits for connection 1, on which a second response arrives meanwhile, and uses another.
 	for i, want := range []string{"1", "2"} {
@@ -388,9 +388,9 @@
 	}
 }
 
-// respondTwiceOnFirst serves connection number conn of an endpoint with that number as the body of each response. On
+// respondTwiceOnFirstConn serves connection number conn of an endpoint with that number as the body of each response. On
 // connection 1 a second copy of the first response follows after a delay, or as soon as the next request arrives.
-func respondTwiceOnFirst(c *net.TCPConn, r *bufio.Reader, conn int32, delay time.Duration) {
+func respondTwiceOnFirstConn(c *net.TCPConn, r *bufio.Reader, conn int32, delay time.Duration) {
 	for first := true; ; first = false {
 		if _, err := scriptedpeer.ReadRequest(r); err != nil {
 			return
@@ -407,19 +407,19 @@
 
 // An attempt waits for a connection in its reuse delay, since a new one costs more. The wait does not count as
 // latency of the endpoint, and an attempt that is canceled meanwhile leaves the connection unused.
-func TestRestingIsWaitedFor(t *testing.T) {
+func TestReuseDelayIsWaitedFor(t *testing.T) {
 	var dials atomic.Int32
 	const reuseDelay = 100 * time.Millisecond
-	pool := newPool(withThreads(t.TempDir()), func(o *Options) {
+	pool := newPool(withThreadsDirectory(t.TempDir()), func(o *Options) {
 		o.ReuseDelay = reuseDelay
 		o.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			dials.Add(1)
 			return (&net.Dialer{}).DialContext(ctx, network, addr)
 		}
 	})
-	target := pool.newTarget(startAnsweringEndpoint(t, &atomic.Int32{}))
+	target := pool.newTarget(startRespondingEndpoint(t, &atomic.Int32{}))
 	send := func(ctx context.Context) engine.AttemptResult {
-		return pool.Send(ctx, pool.newAttempt(target), plainStreamedGet())
+		return pool.Send(ctx, pool.newAttempt(target), newForwardedGet())
 	}
 	for i := range 4 {
 		start := time.Now()
--- a/internal/upstream/processortime_test.go
+++ b/internal/upstream/processortime_test.go
@@ -10,15 +10,15 @@
 	"dunlinsail/internal/monotime"
 )
 
-// writeThread writes the scheduler's statistics of a thread into a directory that stands for ownThreadsDirectory.
-func writeThread(t *testing.T, directory, thread, statistics string) {
+// writeThreadStatistics writes the scheduler's statistics of a thread into a directory that stands for ownThreadsDirectory.
+func writeThreadStatistics(t *testing.T, directory, thread, statistics string) {
 	t.Helper()
 	require.NoError(t, os.MkdirAll(filepath.Join(directory, thread), 0o700))
 	require.NoError(t, os.WriteFile(filepath.Join(directory, thread, "schedstat"), []byte(statistics), 0o600))
 }
 
-// withThreads has the statistics of threads read from a directory.
-func withThreads(directory string) func(*Options) {
+// withThreadsDirectory has the statistics of threads read from a directory.
+func withThreadsDirectory(directory string) func(*Options) {
 	return func(o *Options) { o.threadsDirectory = directory }
 }
 
@@ -35,16 +35,16 @@
 			t.Errorf("since the last read %v, want %v", got, want)
 		}
 	}
-	writeThread(t, directory, "1", "5000000 7000000 12\n")
-	writeThread(t, directory, "2", "1000000 2000000 3\n")
-	writeThread(t, directory, "3", "no figures\n")
-	writeThread(t, directory, "4", "")
+	writeThreadStatistics(t, directory, "1", "5000000 7000000 12\n")
+	writeThreadStatistics(t, directory, "2", "1000000 2000000 3\n")
+	writeThreadStatistics(t, directory, "3", "no figures\n")
+	writeThreadStatistics(t, directory, "4", "")
 	check(6000, 9000)
 	check(0, 0)
-	writeThread(t, directory, "1", "5000000 57000000 13\n")
+	writeThreadStatistics(t, directory, "1", "5000000 57000000 13\n")
 	require.NoError(t, os.RemoveAll(filepath.Join(directory, "2")))
 	check(0, 50000)
-	writeThread(t, directory, "1", "6000000 57000000 14\n")
+	writeThreadStatistics(t, directory, "1", "6000000 57000000 14\n")
 	if early := p.sinceLastRead(now.Add(processorTimeInterval - 1)); early != (processorTime{}) {
 		t.Errorf("within processorTimeInterval %v, want none", early)
 	}
@@ -57,9 +57,9 @@
 // after its first response sends the second one some 100 ms later, while this process itself is hardly late.
 func TestSecondResponseWhereProcessorsAreScarce(t *testing.T) {
 	directory := t.TempDir()
-	writeThread(t, directory, "1", "100000000 3800000000 600\n")
-	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false), withThreads(directory))
+	writeThreadStatistics(t, directory, "1", "100000000 3800000000 600\n")
+	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false), withThreadsDirectory(directory))
 	s.complete("1")
 	s.ageResponses(100 * time.Millisecond)
-	s.mustBeServedRightly("2")
+	s.mustBeServedCorrectly("2")
 }
--- a/internal/upstream/repeated_test.go
+++ b/internal/upstream/repeated_test.go
@@ -47,7 +47,7 @@
 
 // Guards against a wrong response where two have been read at once, and against a right one that is lost for it: the
 // first of them is passed over only if it repeats the connection's last response.
-func TestTwoResponsesAtHand(t *testing.T) {
+func TestTwoPendingResponses(t *testing.T) {
 	const dated = "Date: Thu, 03 Dec 2026 20:00:0"
 	large := strings.Repeat("x", 2*connReadBufferSize)
 	tests := map[string]struct {
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -64,8 +64,8 @@
 	})
 }
 
-// takeDelayed returns the connection used last, which rests, as to an attempt that waits for it.
-func (s *secondResponseTest) takeDelayed() *Conn {
+// takeConnInReuseDelay returns the connection used last, which rests, as to an attempt that waits for it.
+func (s *secondResponseTest) takeConnInReuseDelay() *Conn {
 	s.Helper()
 	c, wait, err := s.pool.takeOrOpen(s.Context(), s.target, true)
 	if err != nil || wait <= 0 {
@@ -76,10 +76,10 @@
 }
 
 // Guards against a pause that is not noticed, and taken for rest, while an attempt waits for the connection.
-func TestPauseWhileRestIsAwaited(t *testing.T) {
+func TestPauseWhileReuseDelayIsAwaited(t *testing.T) {
 	s := newLongReuseDelayTest(t)
 	s.complete("1")
-	c := s.takeDelayed()
+	c := s.takeConnInReuseDelay()
 	s.pause(c, longPause)
 	if usable, err := s.pool.awaitReuseDelay(t.Context(), c, 0); usable || err != nil {
 		t.Errorf("the connection is usable after a pause: %v, error %v", usable, err)
@@ -87,10 +87,10 @@
 }
 
 // Guards against a pause that is not noticed, and taken for rest, once the attempt that waited has been cancelled.
-func TestPauseAfterAwaitedRestIsCancelled(t *testing.T) {
+func TestPauseAfterAwaitedReuseDelayIsCancelled(t *testing.T) {
 	s := newLongReuseDelayTest(t)
 	s.complete("1")
-	c := s.takeDelayed()
+	c := s.takeConnInReuseDelay()
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := s.pool.awaitReuseDelay(cancelled, c, longPause); !errors.Is(err, context.Canceled) {
@@ -98,7 +98,7 @@
 	}
 	s.awaitObservation()
 	s.pause(c, longPause)
-	if again := s.takeDelayed(); again != c {
+	if again := s.takeConnInReuseDelay(); again != c {
 		t.Error("the connection was not put back")
 	}
 }
@@ -147,7 +147,7 @@
 }
 
 // Guards against a second response that is no evidence since a health check reads it after the rest.
-func TestSecondResponseReadByHealthCheckAfterRest(t *testing.T) {
+func TestSecondResponseReadByHealthCheckAfterReuseDelay(t *testing.T) {
 	const lateness = 300 * time.Millisecond // longer than any rest without evidence
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 	if r := s.probeWith(responseFor(loadReport)); r.Load == nil {
--- a/internal/upstream/reuse_test.go
+++ b/internal/upstream/reuse_test.go
@@ -34,7 +34,7 @@
 	}))
 	send := func(wantDials int32) {
 		t.Helper()
-		r := pool.Send(context.Background(), pool.newAttempt(target), plainStreamedGet())
+		r := pool.Send(context.Background(), pool.newAttempt(target), newForwardedGet())
 		if n := dials.Load(); r.Status != balancer.OK || n != wantDials {
 			t.Fatalf("status %v on %d connections, want %v on %d", r.Status, n, balancer.OK, wantDials)
 		}
@@ -70,16 +70,16 @@
 			close(respondedAgain)
 		}
 	}))
-	if r := pool.Send(context.Background(), pool.newAttempt(target), plainStreamedGet()); r.Status != balancer.OK {
+	if r := pool.Send(context.Background(), pool.newAttempt(target), newForwardedGet()); r.Status != balancer.OK {
 		t.Fatalf("first request: status %v", r.Status)
 	}
-	paused := pool.newAttempt(target)
-	paused.ClaimSend = func(monotime.Micros) bool {
+	pausedAttempt := pool.newAttempt(target)
+	pausedAttempt.ClaimSend = func(monotime.Micros) bool {
 		close(respondAgain)
 		<-respondedAgain
 		return true
 	}
-	r := pool.Send(context.Background(), paused, plainStreamedGet())
+	r := pool.Send(context.Background(), pausedAttempt, newForwardedGet())
 	if n := received.Load(); r.Status != balancer.ConnectFailed || n != 1 {
 		t.Errorf("status %v after %d requests, want %v after 1", r.Status, n, balancer.ConnectFailed)
 	}
@@ -93,7 +93,7 @@
 		o.ReuseDelay = time.Hour
 		o.ReuseDelayOptional = true
 	})
-	target := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
+	target := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequestAndClose))
 	used := map[*Conn]bool{}
 	for i := range connections {
 		c := pool.mustGet(t, target)
@@ -118,14 +118,14 @@
 // BenchmarkConnectionsOpened reports the connections that are opened for requests to an endpoint that responds once.
 func BenchmarkConnectionsOpened(b *testing.B) {
 	var dials atomic.Int32
-	addr := startAnsweringEndpoint(b, &dials)
+	addr := startRespondingEndpoint(b, &dials)
 	pool := newPool(func(o *Options) {
 		o.ReuseDelay = DefaultReuseDelay
 		o.ReuseDelayOptional = true
 	})
 	target := pool.newTarget(addr)
 	for b.Loop() {
-		if r := pool.Send(context.Background(), pool.newAttempt(target), plainStreamedGet()); r.Status != balancer.OK {
+		if r := pool.Send(context.Background(), pool.newAttempt(target), newForwardedGet()); r.Status != balancer.OK {
 			b.Fatal(r.Status)
 		}
 	}
--- a/internal/upstream/second_response_test.go
+++ b/internal/upstream/second_response_test.go
@@ -64,8 +64,9 @@
 
 func newSecondResponseTest(t *testing.T, edits ...func(*Options)) *secondResponseTest {
 	t.Helper()
-	noThreads := withThreads(t.TempDir()) // the machine's load would hide what makes connections rest longer
-	pool := newPool(slices.Insert(edits, 0, noThreads)...)
+	// The scheduler statistics of a loaded machine would lengthen the reuse delays.
+	withoutStatistics := withThreadsDirectory(t.TempDir())
+	pool := newPool(slices.Insert(edits, 0, withoutStatistics)...)
 	s := &secondResponseTest{T: t, pool: pool, lastSent: map[*net.TCPConn]string{}}
 	s.useNewEndpoint()
 	return s
@@ -79,10 +80,10 @@
 }
 
 // withReuseDelay sets the reuse delay, and whether it is optional as in the daemon.
-func withReuseDelay(delay time.Duration, optional bool) func(*Options) {
+func withReuseDelay(delay time.Duration, delayOptional bool) func(*Options) {
 	return func(o *Options) {
 		o.ReuseDelay = delay
-		o.ReuseDelayOptional = optional
+		o.ReuseDelayOptional = delayOptional
 	}
 }
 
@@ -135,14 +136,14 @@
 }
 
 // completeAtOnce makes requests at once that are served properly, and returns their connections at the endpoint.
-func (s *secondResponseTest) completeAtOnce(requests int) (conns []*net.TCPConn) {
+func (s *secondResponseTest) completeAtOnce(requestCount int) (conns []*net.TCPConn) {
 	s.Helper()
 	var results []<-chan engine.AttemptResult
-	for i := range requests {
+	for i := range requestCount {
 		results = append(results, s.startGet(fmt.Sprint("before-", i)))
 	}
 	var received []receivedRequest
-	for range requests {
+	for range requestCount {
 		received = append(received, scriptedpeer.Receive(s, s.endpoint.received, "request"))
 	}
 	for _, req := range received {
@@ -219,8 +220,8 @@
 	return r.Response != nil && bodyOf(r) != id
 }
 
-// mustBeServedRightly is isServedWrongly for requests that must not be.
-func (s *secondResponseTest) mustBeServedRightly(id string) {
+// mustBeServedCorrectly is isServedWrongly for requests that must not be.
+func (s *secondResponseTest) mustBeServedCorrectly(id string) {
 	s.Helper()
 	if s.isServedWrongly(id) {
 		s.Errorf("request %s was served with the second response to another one", id)
@@ -303,34 +304,34 @@
 	s := newSecondResponseTest(t, withReuseDelay(time.Hour, true))
 	s.pool.LimitIdle("owner", 8)
 	s.complete("1")
-	s.mustBeServedRightly("2")
+	s.mustBeServedCorrectly("2")
 }
 
 // Guards against reuse without a rest where no further connection may be opened.
 func TestSecondResponseAtMaxConns(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(time.Hour, true), func(o *Options) { o.MaxConns = 1 })
 	s.complete("1")
-	s.mustBeServedRightly("2")
+	s.mustBeServedCorrectly("2")
 }
 
 // Guards against reuse without a rest where no further connection may be opened since another one is in use.
 func TestSecondResponseAtMaxConnsBesideAnother(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(time.Hour, true), func(o *Options) { o.MaxConns = 2 })
-	held := s.startGet("1")
+	heldResult := s.startGet("1")
 	heldRequest := scriptedpeer.Receive(t, s.endpoint.received, "request 1")
 	s.complete("2")
-	s.mustBeServedRightly("3")
+	s.mustBeServedCorrectly("3")
 	s.respond(heldRequest)
-	if r := scriptedpeer.Receive(t, held, "result"); bodyOf(r) != "1" {
+	if r := scriptedpeer.Receive(t, heldResult, "result"); bodyOf(r) != "1" {
 		t.Errorf("request 1: status %v, body %q", r.Status, bodyOf(r))
 	}
 }
 
 // Guards against reuse without a rest where many connections to an endpoint are within theirs.
-func TestSecondResponseBesideManyResting(t *testing.T) {
+func TestSecondResponseBesideManyDelayed(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(time.Hour, true))
 	s.completeAtOnce(64)
-	s.mustBeServedRightly("2")
+	s.mustBeServedCorrectly("2")
 }
 
 // Guards against reuse without a rest where this process has no descriptor for another connection.
@@ -342,7 +343,7 @@
 			s.pool.options.Dial = func(context.Context, string, string) (net.Conn, error) {
 				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 			}
-			s.mustBeServedRightly("2")
+			s.mustBeServedCorrectly("2")
 		})
 	}
 }
@@ -447,12 +448,12 @@
 // Guards against reuse while an unread second response on another idle connection shows what the endpoint does.
 func TestSecondResponseOnAnotherConnection(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-	held := s.startGet("1")
+	heldResult := s.startGet("1")
 	heldRequest := scriptedpeer.Receive(t, s.endpoint.received, "request 1")
 	endpointConn := s.complete("2")
 	c := s.onlyIdle()
 	s.respond(heldRequest)
-	scriptedpeer.Receive(t, held, "result") // its connection is the one used last
+	scriptedpeer.Receive(t, heldResult, "result") // its connection is the one used last
 	io.WriteString(endpointConn, responseFor("2"))
 	s.awaitBytes(c.Conn)
 	s.ageResponses(2 * DefaultReuseDelay)
@@ -560,7 +561,7 @@
 			if r := s.probeWith(responseFor(loadReport)); r.Load == nil {
 				t.Fatalf("health check: status %v without a report", r.Status)
 			}
-			s.mustBeServedRightly("2")
+			s.mustBeServedCorrectly("2")
 		})
 	}
 }
@@ -578,7 +579,7 @@
 		t.Fatalf("health check: status %v, load %v", r.Status, r.Load)
 	}
 	s.checkSurplus(1)
-	s.mustBeServedRightly("2")
+	s.mustBeServedCorrectly("2")
 }
 
 // Guards against a second response that is not recognized because only its first bytes have arrived.
@@ -591,7 +592,7 @@
 			s.ageResponses(2 * time.Hour)
 			io.WriteString(endpointConn, responseFor("1")[:length])
 			s.awaitBytes(c.Conn)
-			s.mustBeServedRightly("2")
+			s.mustBeServedCorrectly("2")
 			s.checkSurplus(1)
 		})
 		t.Run(fmt.Sprint(length, " bytes in one write"), func(t *testing.T) {
@@ -602,7 +603,7 @@
 			if r := scriptedpeer.Receive(t, result, "result"); bodyOf(r) != "1" {
 				t.Errorf("request 1: status %v, body %q", r.Status, bodyOf(r))
 			}
-			s.mustBeServedRightly("2")
+			s.mustBeServedCorrectly("2")
 			s.checkSurplus(1)
 		})
 	}
@@ -638,14 +639,14 @@
 
 // Guards against a request that is lost, sent twice or served wrongly, since a second response came before its write.
 func TestRetryAfterSecondResponseBeforeWrite(t *testing.T) {
-	for name, streams := range map[string]bool{"buffered body": false, "streaming body": true} {
+	for name, streamsBody := range map[string]bool{"buffered body": false, "streaming body": true} {
 		t.Run(name, func(t *testing.T) {
 			s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 			endpointConn := s.complete("1")
 			s.ageResponses(2 * time.Hour)
 			c := s.onlyIdle()
-			paused := s.pool.newAttempt(s.target)
-			paused.ClaimSend = func(monotime.Micros) bool {
+			pausedAttempt := s.pool.newAttempt(s.target)
+			pausedAttempt.ClaimSend = func(monotime.Micros) bool {
 				io.WriteString(endpointConn, responseFor("1"))
 				s.awaitBytes(c.Conn)
 				time.Sleep(5 * time.Millisecond) // the pause
@@ -653,14 +654,14 @@
 			}
 			keyedRequest := tracedRequest("POST", "2")
 			keyedRequest.Header.Set("Idempotency-Key", "2")
-			if streams {
+			if streamsBody {
 				keyedRequest.Stream = streamedBody()
 			}
-			r := scriptedpeer.Receive(t, s.start(paused, keyedRequest), "result")
+			r := scriptedpeer.Receive(t, s.start(pausedAttempt, keyedRequest), "result")
 			if !neverRan(r.Status) || len(s.endpoint.received) != 0 {
 				t.Fatalf("status %v, %d received, want one that never ran", r.Status, len(s.endpoint.received))
 			}
-			if streams {
+			if streamsBody {
 				return // whether it can be sent again is for who has the rest of the body
 			}
 			retried := s.start(s.pool.newAttempt(s.target), keyedRequest)
@@ -673,7 +674,7 @@
 }
 
 // closings are the ways in which a pool closes the idle connection of a test.
-var closings = map[string]func(s *secondResponseTest){
+var waysToCloseConn = map[string]func(s *secondResponseTest){
 	"eviction at MaxConns": func(s *secondResponseTest) {
 		s.pool.options.MaxConns = 1
 		s.useNewEndpoint()
@@ -722,7 +723,7 @@
 
 // Guards against a second response that the pool does not learn from, since it closes the connection without a look.
 func TestSecondResponseOnClosedConnection(t *testing.T) {
-	for name, closeIt := range closings {
+	for name, closeIt := range waysToCloseConn {
 		t.Run(name, func(t *testing.T) {
 			s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 			endpointConn := s.complete("1")
