--- a/internal/http1msg/body_test.go
+++ b/internal/http1msg/body_test.go
@@ -13,13 +13,14 @@
 	"testing/iotest"
 )
 
-// read reads a body from text to its end or to its first error.
+// read reads a body with framing f from text, to its end or to its first error. It also returns the Body.
 func read(text string, f Framing) ([]byte, *Body, error) {
 	b := NewBody(bufio.NewReader(strings.NewReader(text)), f)
 	got, err := io.ReadAll(b)
 	return got, b, err
 }
 
+// Body reads valid chunked bodies, and rejects malformed, oversized and truncated ones with the matching error.
 func TestBodyReadsChunks(t *testing.T) {
 	for _, tc := range []struct {
 		text, want string
@@ -68,6 +69,8 @@
 	}
 }
 
+// RequestFraming and ResponseFraming return the framing of a header, or the same error. Responses to HEAD, and
+// with status 1xx, 204 and 304, have no body.
 func TestFraming(t *testing.T) {
 	header := func(pairs ...string) http.Header {
 		h := http.Header{}
@@ -115,7 +118,7 @@
 	}
 }
 
-// A deadline that passes anywhere in a body loses none of it.
+// No byte may be lost when a read deadline passes at any place in a body.
 func TestBodyContinuesAfterDeadlines(t *testing.T) {
 	text := "3;x=y\r\nabc\r\n10\r\n0123456789abcdef\r\n0\r\nX-Sum: 7\r\n\r\n"
 	reader := &temporarilyFailingReader{r: iotest.OneByteReader(strings.NewReader(text))}
@@ -144,9 +147,10 @@
 	}
 }
 
+// errTemporary is the error of a read whose deadline has passed.
 var errTemporary = errors.New("a deadline")
 
-// temporarilyFailingReader fails with errTemporary before each read that succeeds.
+// temporarilyFailingReader fails with errTemporary before each successful read.
 type temporarilyFailingReader struct {
 	r    io.Reader
 	fail bool
@@ -159,8 +163,8 @@
 	return f.r.Read(p)
 }
 
-// net/http reads an accepted chunked body with the same bytes, the pieces in which a body arrives make no
-// difference, and a body that is written is read with the same bytes and trailers.
+// For each accepted chunked body: net/http reads the same bytes, the result does not depend on the pieces in
+// which the body arrives, and the body is read unchanged, with its trailer fields, after it was encoded again.
 func FuzzChunks(f *testing.F) {
 	for _, s := range []string{
 		"0\r\n\r\n", "3\r\nabc\r\n0\r\nA: b\r\n\r\n", "3;x\r\nabc\r\n00\r\n\r\nnext",
@@ -173,7 +177,8 @@
 		slow := NewBody(bufio.NewReader(iotest.OneByteReader(bytes.NewReader(text))), Framing{Kind: Chunked})
 		gotSlow, errSlow := io.ReadAll(slow)
 		if !bytes.Equal(got, gotSlow) || !errors.Is(errSlow, err) {
-			t.Fatalf("%q: %q, %v at once, %q, %v byte by byte", text, got, err, gotSlow, errSlow)
+			t.Fatalf("%q: %q, %v at once, %q, %v byte by byte",
+				text, got, err, gotSlow, errSlow)
 		}
 		if err != nil {
 			return
--- a/internal/upstream/buffered_test.go
+++ b/internal/upstream/buffered_test.go
@@ -17,7 +17,7 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// A value of a load report that is missing or invalid is not that of an idle endpoint.
+// A missing or invalid value of a load report must be NaN and not 0, the value of an idle endpoint.
 func TestParseLoad(t *testing.T) {
 	fields := []string{"busy_reqs", "served_ps", "cpu_share"}
 	for _, tc := range []struct{ text, want string }{
@@ -35,8 +35,8 @@
 	}
 }
 
-// A request is written once, also where an http.Transport would write it again: on a reused connection that breaks
-// after the endpoint has read the request.
+// A request must be written only once, even on a reused connection that breaks after the endpoint has read the
+// request. An http.Transport would write it again.
 func TestBrokenIdleConnectionIsNotResent(t *testing.T) {
 	for name, request := range map[string]*BufferedRequest{
 		"get":             newPlainGet(),
@@ -59,7 +59,8 @@
 	}
 }
 
-// respondToFirstRequest serves connections that break after their second request has been read, and counts the requests.
+// respondToFirstRequest returns an endpoint that responds to the first request on a connection and closes the
+// connection when it has read the second. It counts the requests in received.
 func respondToFirstRequest(received *atomic.Int32) func(c *net.TCPConn, r *bufio.Reader) {
 	return func(c *net.TCPConn, r *bufio.Reader) {
 		for i := range 2 {
@@ -73,11 +74,11 @@
 	}
 }
 
-// truncatingConn is a connection whose writes fail before their last bytes, or after them.
+// truncatingConn is a connection whose writes fail before their last bytes are written, or afterwards.
 type truncatingConn struct {
 	net.Conn
-	unwrittenBytes  int  // bytes that are not written
-	failsAfterWrite bool // a complete write fails, too
+	unwrittenBytes  int  // number of bytes at the end of a write that are not written
+	failsAfterWrite bool // writes fail although all bytes are written
 }
 
 func (s truncatingConn) Write(p []byte) (int, error) {
@@ -88,11 +89,12 @@
 	return n, err
 }
 
-// A request may have run if its last byte was written, and has not otherwise.
+// An attempt has the status ConnectFailed, which means that it never ran, unless the last byte of the request
+// was written.
 func TestLastByteDecides(t *testing.T) {
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		scriptedpeer.ReadRequest(r)
-		c.SetLinger(0) // breaks with a reset
+		c.SetLinger(0) // closing the connection resets it
 	})
 	request := newIdempotentPost(strings.Repeat("x", 1000))
 	for _, tc := range []struct {
@@ -124,8 +126,8 @@
 	}
 }
 
-// The status of an attempt by the endpoint's response. Only a marked 503 or 504 proves that the request never ran, and
-// only a complete 200 is a success.
+// The status of an attempt follows from the response. Only a 503 or 504 with X-Never-Ran proves that the
+// request never ran, and only a complete 200 is a success.
 func TestStatusOfResponses(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -179,8 +181,8 @@
 	}
 }
 
-// A response that does not end, or has a length that is not accepted, fails at once, although its connection stays
-// open: the attempt would otherwise last until its deadline.
+// A response that stalls before its end, or has an unacceptable length, must fail within maxResponseStall even
+// if the connection stays open. Otherwise the attempt would last until its deadline.
 func TestResponseWithoutEnd(t *testing.T) {
 	for _, response := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
@@ -205,12 +207,12 @@
 	}
 }
 
-// A response may follow an interim (1xx) response after more than maxResponseStall.
+// The final response may arrive more than maxResponseStall after an interim (1xx) response.
 func TestSlowAfterInterim(t *testing.T) {
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		scriptedpeer.ReadRequest(r)
 		io.WriteString(c, "HTTP/1.1 102 Wait\r\n\r\n")
-		time.Sleep(2 * maxResponseStall) // the endpoint works
+		time.Sleep(2 * maxResponseStall) // the endpoint processes the request
 		io.WriteString(c, okResponse)
 	})
 	pool := newPool()
@@ -219,7 +221,8 @@
 	}
 }
 
-// A response with more bytes behind it succeeds, and these bytes are the response to no request.
+// An attempt must succeed if more bytes follow its response, and these bytes must not be taken for the response
+// to the next request.
 func TestBytesBehindResponse(t *testing.T) {
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
@@ -245,7 +248,8 @@
 	}
 }
 
-// A health check requests a load report where there are any, and the health path elsewhere. It ends after probeTimeout.
+// A health check requests a load report if the pool has load fields, and the health path otherwise. It fails if
+// there is no response within probeTimeout.
 func TestProbe(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
--- a/internal/upstream/connections_test.go
+++ b/internal/upstream/connections_test.go
@@ -17,20 +17,23 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// requestLedger records how often an endpoint received each request, by its ID, and which rules were broken.
+// requestLedger records how often an endpoint received each request, by request ID, and the violations found so
+// far.
 type requestLedger struct {
 	mu         sync.Mutex
 	received   map[string]int
 	violations []string
 }
 
+// addViolation records a formatted violation.
 func (l *requestLedger) addViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
-// behaviors are what an endpoint may do with a request, by the path. Each reports whether the connection stays open.
+// endpointBehaviors are the possible reactions of an endpoint to a request, by the path of the request. Each
+// function reports whether the connection stays open.
 var endpointBehaviors = map[string]func(c *net.TCPConn, id string) (keepOpen bool){
 	"ok": func(c *net.TCPConn, id string) bool { io.WriteString(c, responseFor(id)); return true },
 	"twice": func(c *net.TCPConn, id string) bool {
@@ -48,17 +51,19 @@
 	"late":    func(c *net.TCPConn, id string) bool { io.WriteString(c, responseFor(id)); return true }, // see serve
 }
 
-// weightedBehaviors are the behaviors in the frequencies in which they are drawn.
+// weightedBehaviors are the behaviors that attempts are assigned at random, repeated according to their
+// weights.
 var weightedBehaviors = []string{
 	"ok", "ok", "ok", "twice", "twice", "surplus", "close", "reset", "half", "noise", "never",
 }
 
+// responseFor returns a 200 response with id as its body.
 func responseFor(id string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 }
 
-// serve is the endpoint's side of a connection. It sends the second response to a request "late" when it has received
-// the next request on the connection.
+// serve serves a connection of the endpoint. It sends a late response to a request with path /late once it has
+// received the next request on the connection.
 func (l *requestLedger) serve(c *net.TCPConn, r *bufio.Reader) {
 	var lateResponse string
 	for {
@@ -81,8 +86,8 @@
 	}
 }
 
-// attempt makes one attempt, and reports what broke a rule: a response to another request, a request that was received
-// twice, or one that was received although its status means that it never ran.
+// attempt makes one attempt and records violations: a response to another request, a request that was received
+// more than once, or a request that was received although the status means that it never ran.
 func (l *requestLedger) attempt(ctx context.Context, pool *Pool, target *Target, id, behavior string) {
 	r := pool.Send(ctx, pool.newAttempt(target), &Request{
 		Method: "GET",
@@ -104,18 +109,19 @@
 	}
 }
 
-// randomEvents makes attempts, cancellations, drops and other events happen in an order drawn from a seed.
+// randomEvents starts attempts, and triggers cancellations, drops and other events in an order drawn from a
+// seed.
 type randomEvents struct {
 	ledger           *requestLedger
 	pool             *Pool
 	addr             string
 	rng              *rand.Rand
-	target           *Target   // of the attempts
-	droppedTargets   []*Target // the targets before it
+	target           *Target   // target of new attempts
+	droppedTargets   []*Target // previous targets
 	attemptsInFlight sync.WaitGroup
 }
 
-// runRandomEvents makes the events of a seed happen, at an endpoint and in a pool of their own.
+// runRandomEvents runs the events of a seed with a new endpoint and a new pool.
 func runRandomEvents(t *testing.T, seed uint64, reuseDelay time.Duration) *randomEvents {
 	t.Helper()
 	ledger := &requestLedger{received: map[string]int{}}
@@ -137,7 +143,7 @@
 	return e
 }
 
-// startAttempt starts an attempt of a drawn behavior, and may cancel it at a drawn instant.
+// startAttempt starts an attempt with a random behavior. It may cancel the attempt after a random time.
 func (e *randomEvents) startAttempt(id string) {
 	behavior := weightedBehaviors[e.rng.IntN(len(weightedBehaviors))]
 	ctx, cancel := context.WithCancel(context.Background())
@@ -151,7 +157,7 @@
 	})
 }
 
-// interfere makes one drawn event happen beside the attempts, or none.
+// triggerRandomEvent triggers one random event, or none, while attempts are in flight.
 func (e *randomEvents) triggerRandomEvent() {
 	switch e.rng.IntN(12) {
 	case 0:
@@ -170,13 +176,14 @@
 	}
 }
 
-// checkConnections reports connections that are counted wrongly, or stay open after all targets are dropped. No attempt
-// may be in flight.
+// checkConnections records connections that are counted wrongly, or stay open after all targets have been
+// dropped. No attempt may be in flight.
 func (e *randomEvents) checkConnections() {
 	pool := e.pool
 	pool.mu.Lock()
 	if idle := len(e.target.idle); pool.openConns != idle || pool.idleConns != idle {
-		e.ledger.addViolation("%d connections open, %d counted as idle, %d idle", pool.openConns, pool.idleConns, idle)
+		e.ledger.addViolation("%d connections open, %d counted as idle, %d idle",
+			pool.openConns, pool.idleConns, idle)
 	}
 	pool.mu.Unlock()
 	for _, target := range append(e.droppedTargets, e.target) {
@@ -187,13 +194,13 @@
 	}
 }
 
-// misdeliver has a response arrive on a connection after the next request was written to it. Without a reuse delay, the
-// request is served with that response. It returns both requests' IDs.
+// misdeliver makes a response arrive on a connection after the next request was written to it. Without a reuse
+// delay, that response is served for the next request. misdeliver returns the IDs of both requests.
 func (e *randomEvents) misdeliver(t *testing.T, seed uint64) (lateID, nextID string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), scriptedpeer.WaitTimeout)
 	defer cancel()
-	e.pool.SetKeepIdle(false) // no other connection is idle then
+	e.pool.SetKeepIdle(false) // closes all other idle connections
 	e.pool.SetKeepIdle(true)
 	lateID = fmt.Sprintf("%d-late", seed)
 	nextID = fmt.Sprintf("%d-next", seed)
@@ -202,9 +209,9 @@
 	return lateID, nextID
 }
 
-// In whatever order events happen on connections to an endpoint, each request is written once at most, none is
-// served with the response to another, none whose status means that it never ran was received, and no connection is
-// leaked. TestMisdeliveryAmongRandomEvents shows that the check detects a fault.
+// For any order of events: each request is written at most once, no request is served with the response to
+// another request, no request is received whose status means that it never ran, and no connection is leaked.
+// TestMisdeliveryAmongRandomEvents shows that these checks detect a violation.
 func TestConnectionsUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(12) {
 		events := runRandomEvents(t, seed, DefaultReuseDelay)
@@ -215,8 +222,8 @@
 	}
 }
 
-// The check of TestConnectionsUnderRandomEvents detects a response that is delivered to another request, where
-// connections are reused without a delay.
+// Verifies that the checks of TestConnectionsUnderRandomEvents detect a response that is delivered to another
+// request. For this, connections are reused without a delay.
 func TestMisdeliveryAmongRandomEvents(t *testing.T) {
 	for seed := range uint64(12) {
 		events := runRandomEvents(t, seed, 0)
--- a/internal/upstream/partial_body_test.go
+++ b/internal/upstream/partial_body_test.go
@@ -17,12 +17,13 @@
 	"dunlinsail/internal/http1msg"
 )
 
-// stalledConn is a connection on which one write stalls: half of it gets through, and the rest not before its deadline.
+// stalledConn is a connection on which one write stalls: it writes the first half of its bytes, and fails once
+// a write deadline in the past is set.
 type stalledConn struct {
 	*net.TCPConn
 	writesBeforeStall int
-	stalled           chan struct{} // closed once half has been written
-	expired           chan struct{} // closed by a write deadline in the past
+	stalled           chan struct{} // closed once the first half has been written
+	expired           chan struct{} // closed once a write deadline in the past is set
 }
 
 func (c *stalledConn) Write(b []byte) (int, error) {
@@ -42,7 +43,7 @@
 	return c.TCPConn.SetWriteDeadline(deadline)
 }
 
-// useStalledConn has the pool open its connection as a stalledConn.
+// useStalledConn makes the pool open its connection as a stalledConn, which it returns.
 func (s *secondResponseTest) useStalledConn(writesBefore int) *stalledConn {
 	stalled := &stalledConn{writesBeforeStall: writesBefore, stalled: make(chan struct{}), expired: make(chan struct{})}
 	s.pool.options.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -56,7 +57,8 @@
 	return stalled
 }
 
-// startHeadReader starts an endpoint that announces the first request once it has read the head.
+// startHeadReader starts an endpoint that sends its connection to the returned channel once it has read a
+// request head.
 func (s *secondResponseTest) startHeadReader() <-chan *net.TCPConn {
 	received := make(chan *net.TCPConn, 1)
 	s.target = s.pool.newTarget(scriptedpeer.StartTCP(s, func(c *net.TCPConn, r *bufio.Reader) {
@@ -72,7 +74,8 @@
 	return received
 }
 
-// startPost starts an attempt of a request with a streaming body of 8 bytes, whose length is announced as 8 or -1.
+// startPost starts an attempt of a request with a streaming body of 8 bytes. length is the announced length, 8
+// or -1, which means chunks.
 func (s *secondResponseTest) startPost(length int64) <-chan engine.AttemptResult {
 	framing := http1msg.Framing{Kind: http1msg.FixedLength, Length: 8}
 	body := http1msg.NewBody(bufio.NewReader(strings.NewReader("12345678")), framing)
@@ -81,13 +84,14 @@
 	return s.start(s.pool.newAttempt(s.target), post)
 }
 
-// Guards against reuse after a response before the end of the request body: the next request would pass for the rest.
+// Guards against reuse of a connection after a response that ended before the request body was written. The
+// endpoint would read the next request as the rest of the body.
 func TestNoReuseAfterPartialRequestBody(t *testing.T) {
 	for name, tc := range map[string]struct {
 		length       int64
 		writesBefore int
 	}{
-		"last piece": {8, 1}, // after the head
+		"last piece": {8, 1}, // the first write is the head
 		"last chunk": {-1, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/upstream/paused_client_test.go
+++ b/internal/upstream/paused_client_test.go
@@ -16,11 +16,13 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// The tests in this file pause a client process of a pool between a response and the next request.
+// The tests in this file pause a client process, which has a pool, between a response and the next request.
 
-// pausedClientEnv has the test binary run as a client process of a pool. Its value is the endpoint's address and mode.
+// pausedClientEnv is the environment variable that makes the test binary run as a client process. Its value is
+// the address of the endpoint and the mode, sidecar or daemon.
 const pausedClientEnv = "DUNLINSAIL_TEST_PAUSED_CLIENT"
 
+// TestMain runs the tests, or the client process if pausedClientEnv is set.
 func TestMain(m *testing.M) {
 	if addr, mode, found := strings.Cut(os.Getenv(pausedClientEnv), " "); found {
 		runPausedClient(addr, mode == "daemon")
@@ -29,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-// runPausedClient makes a request for each ID on standard input, and prints its status and response.
+// runPausedClient sends a request for each ID on standard input, and prints the status and the response body.
 func runPausedClient(addr string, reuseDelayOptional bool) {
 	pool := newPool(withReuseDelay(DefaultReuseDelay, reuseDelayOptional))
 	go pool.Run(context.Background())
@@ -40,13 +42,15 @@
 	}
 }
 
-// pausedClient is a client process of a pool that a test can pause.
+// pausedClient is a client process that a test can pause.
 type pausedClient struct {
 	*exec.Cmd
 	ids    io.Writer
 	output *bufio.Reader
 }
 
+// startPausedClient starts a client process that sends requests to addr. The process is killed when the test
+// ends.
 func startPausedClient(t *testing.T, addr, mode string) *pausedClient {
 	t.Helper()
 	p := &pausedClient{Cmd: exec.CommandContext(t.Context(), os.Args[0])}
@@ -61,12 +65,12 @@
 	p.output = bufio.NewReader(output)
 	t.Cleanup(func() {
 		p.Process.Kill()
-		_ = p.Wait() // the error is the kill
+		_ = p.Wait() // Wait reports the kill as an error
 	})
 	return p
 }
 
-// signal sends a signal, and waits until the process has stopped or continued by it.
+// signal sends a signal to the client process, and waits until the process has stopped or continued.
 func (p *pausedClient) signal(t *testing.T, signal syscall.Signal) {
 	t.Helper()
 	if err := p.Process.Signal(signal); err != nil {
@@ -81,14 +85,17 @@
 	}
 }
 
-// Guards against a rest in which this process and the endpoint did not run: a second response that was due within
-// milliseconds then comes right after the pause.
+// Guards against a pause of the machine that is counted as part of the reuse delay. Neither this process nor
+// the endpoint runs during such a pause, and a second response that was due within milliseconds arrives
+// immediately afterwards.
 func TestSecondResponseAfterPauseOfTheMachine(t *testing.T) {
 	for _, mode := range []string{"sidecar", "daemon"} {
 		t.Run(mode, func(t *testing.T) { testSecondResponseAfterPause(t, mode, 10*DefaultReuseDelay) })
 	}
 }
 
+// testSecondResponseAfterPause pauses the client process between a response and the next request. Immediately
+// after the pause, the endpoint sends a second response to request 1, which must not be delivered to request 2.
 func testSecondResponseAfterPause(t *testing.T, mode string, pause time.Duration) {
 	t.Helper()
 	endpoint := startManualEndpoint(t)
@@ -101,7 +108,7 @@
 	}
 	client.signal(t, syscall.SIGSTOP)
 	fmt.Fprintln(client.ids, "2")
-	time.Sleep(pause) // also of the endpoint
+	time.Sleep(pause) // the endpoint sends no bytes either
 	client.signal(t, syscall.SIGCONT)
 	var second receivedRequest
 	select {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -22,7 +22,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// newPool returns a pool with edits to its usual options.
+// newPool returns a pool with usual options, which edits may change.
 func newPool(edits ...func(*Options)) *Pool {
 	o := Options{
 		Clock:       clock.New(),
@@ -38,9 +38,10 @@
 	return New(o)
 }
 
+// newTarget returns a target for an endpoint at addr, in a pool of endpoints without a name.
 func (p *Pool) newTarget(addr string) *Target { return p.Target("", addr).(*Target) }
 
-// newAttempt returns an attempt with a second of time, which may be sent.
+// newAttempt returns an attempt that may be sent, with a deadline in one second.
 func (p *Pool) newAttempt(target core.Target) *core.AttemptContext {
 	return &core.AttemptContext{
 		Target:    target,
@@ -49,35 +50,38 @@
 	}
 }
 
-// sendOnce makes one attempt with a second of time.
+// sendOnce makes one attempt with a deadline in one second.
 func (p *Pool) sendOnce(request *BufferedRequest, target core.Target) engine.AttemptResult {
 	ctx, cancel := context.WithTimeout(context.Background(), scriptedpeer.WaitTimeout)
 	defer cancel()
 	return p.SendBuffered(ctx, p.newAttempt(target), request)
 }
 
+// newIdempotentPost returns a POST request with an idempotency key.
 func newIdempotentPost(body string) *BufferedRequest {
 	return &BufferedRequest{Method: "POST", URI: "/book", Host: "origin.svc", Body: []byte(body),
 		Header: http.Header{"X-Trace-Id": {"1"}, "Idempotency-Key": {"k"}}}
 }
 
+// newPlainGet returns a GET request for SendBuffered.
 func newPlainGet() *BufferedRequest {
 	return &BufferedRequest{Method: "GET", URI: "/look", Host: "origin.svc", Header: http.Header{"X-Trace-Id": {"1"}}}
 }
 
-// newForwardedGet is newPlainGet for Send.
+// newForwardedGet returns a GET request for Send.
 func newForwardedGet() *Request {
 	policy := &ResponsePolicy{MaxBuffered: 1 << 10}
 	return &Request{Method: "GET", URI: "/look", Host: "origin.svc", Header: http.Header{}, Policy: policy}
 }
 
-// readOneRequestAndClose is an endpoint that reads one request and closes the connection.
+// readOneRequestAndClose is an endpoint that reads one request and closes the connection without a response.
 func readOneRequestAndClose(_ *net.TCPConn, r *bufio.Reader) { scriptedpeer.ReadRequest(r) }
 
+// okResponse is a complete response with status 200.
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// A request to an endpoint does not reach another one that listens at its address later, and no connection to an
-// endpoint that has gone stays open.
+// A request to an endpoint must not reach another endpoint that listens at the same address later, and no
+// connection to an endpoint that has gone may stay open.
 func TestGoneEndpointsConnections(t *testing.T) {
 	var dials atomic.Int32
 	addr := startRespondingEndpoint(t, &dials)
@@ -112,7 +116,7 @@
 	}
 }
 
-// A shortage in this process does not count as a failure of the endpoint.
+// A shortage of connections, descriptors or ports in this process must not count as a failure of the endpoint.
 func TestShortageIsNoFault(t *testing.T) {
 	pool := newPool()
 	target := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequestAndClose))
@@ -140,8 +144,8 @@
 	}
 }
 
-// A connection that the endpoint has closed while it was idle is not used: the request would be lost, and it would be
-// unknown whether it ran.
+// An idle connection that the endpoint has closed must not be used. The request would be lost, and it would not
+// be known whether it ran.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -160,8 +164,8 @@
 	}
 }
 
-// startRespondingEndpoint starts an endpoint that responds to every request, and counts its connections. It returns its
-// address.
+// startRespondingEndpoint starts an endpoint that responds to every request and counts its connections in
+// dials. It returns the address of the endpoint.
 func startRespondingEndpoint(t testing.TB, dials *atomic.Int32) string {
 	t.Helper()
 	return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -175,7 +179,8 @@
 	})
 }
 
-// An idle connection expires well before the endpoint would close it: it is not used then, and the sweep closes it.
+// An idle connection must expire well before the endpoint closes it: an expired connection is not used, and the
+// sweep closes it.
 func TestIdleConnectionIsRetired(t *testing.T) {
 	var dials atomic.Int32
 	addr := startRespondingEndpoint(t, &dials)
@@ -205,7 +210,7 @@
 	}
 }
 
-// mustGet returns a connection from the pool.
+// mustGet returns a connection from the pool, or ends the test if there is none.
 func (p *Pool) mustGet(t *testing.T, target *Target) *Conn {
 	t.Helper()
 	c, err := p.Get(context.Background(), target)
@@ -215,8 +220,9 @@
 	return c
 }
 
-// An attempt that is withdrawn before its first byte has not used its connection, which has been idle for the endpoint
-// all the time: the connection expires as if it had stayed in the pool, and one that was used later is preferred.
+// An attempt that is canceled before its first byte is written has not used its connection. The idle time of
+// the connection continues, since the endpoint has received nothing: the connection expires as if it had stayed
+// in the pool, and a connection that was used later is preferred.
 func TestUnusedConnectionKeepsItsAge(t *testing.T) {
 	var dials atomic.Int32
 	addr := startRespondingEndpoint(t, &dials)
@@ -245,7 +251,7 @@
 	}
 }
 
-// The connection used last is used next, so that those that are not needed expire.
+// The most recently used connection must be used next, so that connections that are not needed expire.
 func TestLatestConnectionFirst(t *testing.T) {
 	addr := scriptedpeer.StartTCP(t, readOneRequestAndClose)
 	pool := newPool()
@@ -259,8 +265,8 @@
 	}
 }
 
-// The number of connections is bounded, since each needs a descriptor. At the bound an idle one to another endpoint is
-// closed for a new one.
+// The number of connections is limited, since each needs a descriptor. At the limit, an idle connection to
+// another endpoint is closed to open a new one.
 func TestConnectionsAreBounded(t *testing.T) {
 	pool := newPool()
 	firstTarget := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequestAndClose))
@@ -284,7 +290,7 @@
 	if pool.openConns != 2 {
 		t.Errorf("%d connections counted, want 2", pool.openConns)
 	}
-	// A failed dial is not counted as a connection.
+	// A failed dial must not be counted as a connection.
 	pool.options.MaxConns = 3
 	if _, err := pool.Get(ctx, pool.newTarget(scriptedpeer.ClosedAddress(t))); err == nil {
 		t.Error("a connection to a closed port")
@@ -294,8 +300,8 @@
 	}
 }
 
-// The number of idle connections is bounded by the sum of all owners' limits. The one that has been idle for longest is
-// closed first, and a limit below 1 shortens the idle time of one connection.
+// The number of idle connections is limited to the sum of the limits of all owners. The connection that has
+// been idle for longest is closed first. A limit below 1 shortens the idle time of one connection.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	pool := newPool()
 	ctx := context.Background()
@@ -323,7 +329,8 @@
 	}
 	pool.LimitIdle("b", 0)
 	if pool.openConns != 1 || pool.idleConns != 1 {
-		t.Errorf("%d open, %d idle after a tighter bound, want 1", pool.openConns, pool.idleConns)
+		t.Errorf("%d open, %d idle after a tighter bound, want 1",
+			pool.openConns, pool.idleConns)
 	}
 	if got, err := pool.Get(ctx, conns[4].target); err != nil || got != conns[4] || pool.idleConns != 0 {
 		t.Errorf("the one left is not used again (error %v, %d idle)", err, pool.idleConns)
@@ -335,9 +342,10 @@
 	}
 }
 
-// An endpoint may respond twice, some milliseconds apart. A request that is written to the connection in between would
-// be served with the second response. So a connection is not used again before its reuse delay has passed, and never
-// once a second response has arrived. Both ways of reading responses are tested.
+// An endpoint may send two responses to a request, some milliseconds apart. A request that is written to the
+// connection in between would be served with the second response. So a connection must not be reused before its
+// reuse delay has passed, nor after a second response has arrived. The test covers both ways of reading
+// responses.
 func TestLateSecondResponse(t *testing.T) {
 	for name, send := range map[string]func(pool *Pool, target core.Target) (balancer.Status, string){
 		"SendBuffered": func(pool *Pool, target core.Target) (balancer.Status, string) {
@@ -361,8 +369,8 @@
 	}
 }
 
-// testLateSecondResponse makes three attempts by send, which returns the status and the body of the response: the
-// connection's number. A second response arrives on connection 1 alone.
+// testLateSecondResponse makes three attempts with send, which returns the status and the response body. The
+// body is the number of the connection. A second response arrives on connection 1 only.
 func testLateSecondResponse(t *testing.T, send func(pool *Pool, target core.Target) (balancer.Status, string)) {
 	t.Helper()
 	const reuseDelay = 300 * time.Millisecond // much longer than a usual pause of the machine
@@ -371,7 +379,8 @@
 	target := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		respondTwiceOnFirstConn(c, r, conns.Add(1), reuseDelay/3)
 	}))
-	// The second attempt waits for connection 1, on which a second response arrives meanwhile, and uses another.
+	// The second attempt waits for connection 1. A second response arrives on it meanwhile, so that the attempt
+	// uses connection 2.
 	for i, want := range []string{"1", "2"} {
 		if status, got := send(pool, target); status != balancer.OK || got != want {
 			t.Fatalf("request %d: status %v, %q, want %q", i, status, got, want)
@@ -388,8 +397,9 @@
 	}
 }
 
-// respondTwiceOnFirstConn serves connection number conn of an endpoint with that number as the body of each response. On
-// connection 1 a second copy of the first response follows after a delay, or as soon as the next request arrives.
+// respondTwiceOnFirstConn serves connection number conn of an endpoint. The body of each response is that
+// number. On connection 1, a second response to the first request follows after a delay, or as soon as the next
+// request arrives.
 func respondTwiceOnFirstConn(c *net.TCPConn, r *bufio.Reader, conn int32, delay time.Duration) {
 	for first := true; ; first = false {
 		if _, err := scriptedpeer.ReadRequest(r); err != nil {
@@ -405,8 +415,9 @@
 	}
 }
 
-// An attempt waits for a connection in its reuse delay, since a new one costs more. The wait does not count as
-// latency of the endpoint, and an attempt that is canceled meanwhile leaves the connection unused.
+// An attempt waits until the reuse delay of a connection has passed, since a new connection costs more. The
+// wait must not count as latency of the endpoint. An attempt that is canceled during the wait must leave the
+// connection unused.
 func TestReuseDelayIsWaitedFor(t *testing.T) {
 	var dials atomic.Int32
 	const reuseDelay = 100 * time.Millisecond
@@ -428,7 +439,8 @@
 			t.Fatalf("request %d: status %v", i, r.Status)
 		}
 		if took := time.Since(start); i > 0 && (took < reuseDelay/2 || r.ObservedAt-r.SentAt > took.Microseconds()/2) {
-			t.Errorf("request %d: after %v, of which %d µs are the endpoint's", i, took, r.ObservedAt-r.SentAt)
+			t.Errorf("request %d: after %v, of which %d µs are the endpoint's",
+				i, took, r.ObservedAt-r.SentAt)
 		}
 	}
 	canceled, cancel := context.WithCancel(context.Background())
--- a/internal/upstream/processortime_test.go
+++ b/internal/upstream/processortime_test.go
@@ -10,20 +10,21 @@
 	"dunlinsail/internal/monotime"
 )
 
-// writeThreadStatistics writes the scheduler's statistics of a thread into a directory that stands for ownThreadsDirectory.
+// writeThreadStatistics writes the scheduler statistics of a thread into a directory that has the layout of
+// ownThreadsDirectory.
 func writeThreadStatistics(t *testing.T, directory, thread, statistics string) {
 	t.Helper()
 	require.NoError(t, os.MkdirAll(filepath.Join(directory, thread), 0o700))
 	require.NoError(t, os.WriteFile(filepath.Join(directory, thread, "schedstat"), []byte(statistics), 0o600))
 }
 
-// withThreadsDirectory has the statistics of threads read from a directory.
+// withThreadsDirectory makes a pool read the scheduler statistics of threads from a directory.
 func withThreadsDirectory(directory string) func(*Options) {
 	return func(o *Options) { o.threadsDirectory = directory }
 }
 
-// The processor time is that of all threads since the last read: threads that have ended, or whose statistics cannot be
-// read, add nothing.
+// The processor time is the total of all threads since the last read. Threads that have ended, or whose
+// statistics cannot be read, add nothing.
 func TestProcessorTimesSinceLastRead(t *testing.T) {
 	directory := t.TempDir()
 	p := processorTimes{directory: directory}
@@ -53,8 +54,9 @@
 	check(0, 0)
 }
 
-// Guards against a rest that is too short where processors are scarce: a thread of an endpoint that was preempted right
-// after its first response sends the second one some 100 ms later, while this process itself is hardly late.
+// Guards against a reuse delay that is too short while processors are scarce. An endpoint thread that is
+// preempted immediately after its first response sends the second response some 100 ms later, while this
+// process itself is hardly delayed.
 func TestSecondResponseWhereProcessorsAreScarce(t *testing.T) {
 	directory := t.TempDir()
 	writeThreadStatistics(t, directory, "1", "100000000 3800000000 600\n")
--- a/internal/upstream/repeated_test.go
+++ b/internal/upstream/repeated_test.go
@@ -13,13 +13,15 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// The tests in this file are on two responses that are at hand at once on a used connection. Each has a first request
-// whose response is served, and a second one on the same connection, to which the endpoint sends two.
+// In the tests of this file, two responses are pending at once on a used connection. The response to request 1
+// is served. The endpoint then sends two responses after request 2 on the same connection.
 
-// ageBeyondReuseDelay is longer than any rest without evidence, and short enough for a second response to be suspected.
+// ageBeyondReuseDelay is the age of the last response from which a connection is reusable. It is longer than
+// any reuse delay without evidence, and short enough for a second response to count as evidence.
 const ageBeyondReuseDelay = 500 * time.Millisecond
 
-// newRepeatedResponseTest returns a test whose request 1 was served on a connection that may be used again.
+// newRepeatedResponseTest returns a test in which request 1 received the response first, and the reuse delay of
+// its connection has passed.
 func newRepeatedResponseTest(t *testing.T, first string) *secondResponseTest {
 	t.Helper()
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
@@ -28,7 +30,8 @@
 	return s
 }
 
-// exchange makes a request that buffers large responses and replaces status 500, and to which the endpoint sends bytes.
+// exchangeBytes makes a request to which the endpoint responds with the given bytes. Its policy buffers large
+// responses and replaces responses with status 500.
 func (s *secondResponseTest) exchangeBytes(id, sent string) engine.AttemptResult {
 	s.Helper()
 	request := tracedRequest("GET", id)
@@ -40,13 +43,13 @@
 	return scriptedpeer.Receive(s, result, "result of request "+id)
 }
 
-// responseWithField returns a response with a line of its head and a body.
+// responseWithField returns a response with a status line, one header field line and a body.
 func responseWithField(status, field, body string) string {
 	return "HTTP/1.1 " + status + "\r\n" + field + "\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// Guards against a wrong response where two have been read at once, and against a right one that is lost for it: the
-// first of them is passed over only if it repeats the connection's last response.
+// Guards against a wrong response if two responses were read at once, and against losing the right one. The
+// first of the two is discarded only if it repeats the last response on the connection.
 func TestTwoPendingResponses(t *testing.T) {
 	const dated = "Date: Thu, 03 Dec 2026 20:00:0"
 	large := strings.Repeat("x", 2*connReadBufferSize)
@@ -98,8 +101,8 @@
 	}
 }
 
-// Guards against a wrong response where only the start of the right one is at hand, and against an attempt that waits
-// for the rest of that for ever.
+// Guards against a wrong response if only the start of the right response has arrived behind a second response,
+// and against an attempt that waits forever for the remaining bytes.
 func TestSecondResponseWithStartOfTheNext(t *testing.T) {
 	for name, completed := range map[string]bool{"completed": true, "stalled": false} {
 		t.Run(name, func(t *testing.T) {
@@ -126,7 +129,7 @@
 	}
 }
 
-// Guards against a wrong response that repeats one which was streamed, since it arrived slowly.
+// Guards against a second response to a request whose first response arrived slowly and was therefore streamed.
 func TestSecondResponseToStreamedOne(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
@@ -150,8 +153,8 @@
 	}
 }
 
-// Guards against a second response to a health check that is served to a client, and one to a client that is read in
-// place of a load report.
+// Guards against a second response to a health check that is served to a client, and against a second response
+// to a client's request that is taken for a load report.
 func TestSecondResponsesAroundHealthCheck(t *testing.T) {
 	s := newRepeatedResponseTest(t, responseFor("1"))
 	r := s.probeWith(responseFor("1") + responseFor(loadReport))
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -14,9 +14,10 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// The tests in this file are on what ends a connection's rest too early, or is wrongly taken for a second response.
+// The tests in this file guard against causes of reuse before the reuse delay has passed, and against events
+// that are wrongly taken for a second response.
 
-// checkOpen checks how many connections are open.
+// checkOpen checks the number of open connections.
 func (s *secondResponseTest) checkOpen(want int) {
 	s.Helper()
 	s.pool.mu.Lock()
@@ -26,22 +27,24 @@
 	}
 }
 
-// Guards against a pause of the machine that is taken for rest since it is longer than any rest.
+// Guards against a pause of the machine that is longer than any reuse delay and is counted as part of it.
 func TestSecondResponseAfterLongPause(t *testing.T) {
 	for _, mode := range []string{"sidecar", "daemon"} {
 		t.Run(mode, func(t *testing.T) { testSecondResponseAfterPause(t, mode, time.Second) })
 	}
 }
 
-// longPause is longer than the rest of newLongReuseDelayTest.
+// longPause is longer than the reuse delay of newLongReuseDelayTest.
 const longPause = 2 * time.Hour
 
+// newLongReuseDelayTest returns a test with a reuse delay of one hour.
 func newLongReuseDelayTest(t *testing.T) *secondResponseTest {
 	t.Helper()
 	return newSecondResponseTest(t, withReuseDelay(time.Hour, false))
 }
 
-// pause models a pause of the machine at an instant at which a connection rests and observeReuseDelays sleeps.
+// pause simulates a pause of the machine while a connection is in its reuse delay and observeReuseDelays is
+// sleeping.
 func (s *secondResponseTest) pause(c *Conn, d time.Duration) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -49,7 +52,7 @@
 	s.pool.nextObservation = s.pool.nextObservation.Add(-d)
 }
 
-// awaitObservation waits until observeReuseDelays has run once more, or has ended.
+// awaitObservation waits until observeReuseDelays has observed once more, or has ended.
 func (s *secondResponseTest) awaitObservation() {
 	s.Helper()
 	observationState := func() (time.Time, bool) {
@@ -64,18 +67,20 @@
 	})
 }
 
-// takeConnInReuseDelay returns the connection used last, which rests, as to an attempt that waits for it.
+// takeConnInReuseDelay returns the only idle connection, which is in its reuse delay, as an attempt that waits
+// for the delay gets it.
 func (s *secondResponseTest) takeConnInReuseDelay() *Conn {
 	s.Helper()
 	c, wait, err := s.pool.takeOrOpen(s.Context(), s.target, true)
 	if err != nil || wait <= 0 {
 		s.Fatalf("a connection to wait for %v, error %v", wait, err)
 	}
-	s.awaitObservation() // what began before has ended then
+	s.awaitObservation() // so that no observation from before is in progress
 	return c
 }
 
-// Guards against a pause that is not noticed, and taken for rest, while an attempt waits for the connection.
+// Guards against a pause that is not noticed while an attempt waits for a reuse delay to pass, and is counted
+// as part of the delay.
 func TestPauseWhileReuseDelayIsAwaited(t *testing.T) {
 	s := newLongReuseDelayTest(t)
 	s.complete("1")
@@ -86,7 +91,8 @@
 	}
 }
 
-// Guards against a pause that is not noticed, and taken for rest, once the attempt that waited has been cancelled.
+// Guards against a pause that is not noticed after an attempt that waited for a reuse delay was canceled, and
+// is counted as part of the delay.
 func TestPauseAfterAwaitedReuseDelayIsCancelled(t *testing.T) {
 	s := newLongReuseDelayTest(t)
 	s.complete("1")
@@ -103,7 +109,7 @@
 	}
 }
 
-// Guards against a health check that takes the second response to the health check before it for its own.
+// Guards against a health check that takes a second response to the previous health check for its own response.
 func TestSecondResponseToHealthCheckBefore(t *testing.T) {
 	s := newLongReuseDelayTest(t)
 	s.probeWith(responseFor(loadReport))
@@ -119,7 +125,8 @@
 	}
 }
 
-// Guards against a response to a health check that is taken for a second response where there are no load reports.
+// Guards against the response to a health check that is taken for a second response if the endpoint sends no
+// load reports.
 func TestHealthCheckWithoutReportIsNoSecondResponse(t *testing.T) {
 	s := newLongReuseDelayTest(t)
 	s.complete("1")
@@ -130,7 +137,8 @@
 	s.checkSurplus(0)
 }
 
-// Guards against the announced close of an idle connection that is taken for a second response.
+// Guards against a 408 response, which announces that an idle connection is closed, being taken for a second
+// response.
 func TestRequestTimeoutIsNoSecondResponse(t *testing.T) {
 	for _, version := range []string{"HTTP/1.0", "HTTP/1.1"} {
 		t.Run(version, func(t *testing.T) {
@@ -146,9 +154,10 @@
 	}
 }
 
-// Guards against a second response that is no evidence since a health check reads it after the rest.
+// Guards against losing the lateness of a second response that a health check reads after the reuse delay has
+// passed.
 func TestSecondResponseReadByHealthCheckAfterReuseDelay(t *testing.T) {
-	const lateness = 300 * time.Millisecond // longer than any rest without evidence
+	const lateness = 300 * time.Millisecond // longer than any reuse delay without evidence
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 	if r := s.probeWith(responseFor(loadReport)); r.Load == nil {
 		t.Fatalf("health check: status %v without a report", r.Status)
@@ -165,7 +174,8 @@
 	}
 }
 
-// Guards against reuse while an unread second response at another endpoint shows what the pool's endpoints do.
+// Guards against reuse of a connection although an unread second response from another endpoint of the same
+// pool is evidence that the endpoints of this pool send late second responses.
 func TestSecondResponseAtAnotherEndpoint(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 	firstEndpointConn := s.complete("1")
@@ -179,7 +189,8 @@
 	s.mustOutwaitSecondResponse(endpointConn, "3")
 }
 
-// Guards against arrivals that are not found since more connections have some than one system call reports.
+// Guards against arrivals that are not found because more connections have unread bytes than one system call
+// reports.
 func TestSecondResponsesOnManyConnections(t *testing.T) {
 	const connections = maxArrivalEvents + 1
 	s := newLongReuseDelayTest(t)
@@ -196,9 +207,11 @@
 	s.checkSurplus(connections)
 }
 
-// Guards against a second response that is not found since its connection was still in use when it was reported.
+// Guards against a second response that is not found because its arrival was reported while the connection was
+// still in use.
 func TestSecondResponseReportedWhileInUse(t *testing.T) {
-	// Of such a body, the part beyond the read buffer is read from the connection without a byte more.
+	// The part of this body that exceeds the read buffer is read directly from the connection, and no byte
+	// after the body is read.
 	response := "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 9000)
 	s := newLongReuseDelayTest(t)
 	used := s.complete("0")
--- a/internal/upstream/reuse_test.go
+++ b/internal/upstream/reuse_test.go
@@ -14,8 +14,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Guards against a late second response that is served to the next request: an endpoint that has sent one is not sent a
-// request on a connection that was used shortly before, and the connection is usable again later.
+// Guards against a late second response that is served for the next request. After an endpoint has sent a
+// second response, its connections are reused only after DistrustedReuseDelay.
 func TestSecondResponseMakesReuseLate(t *testing.T) {
 	var dials atomic.Int32
 	pool := newPool(func(o *Options) { o.DistrustedReuseDelay = time.Hour })
@@ -51,8 +51,8 @@
 	send(3)
 }
 
-// Guards against a second response that arrives while this process is paused between the inspection of a connection and
-// the write: the request is not written, so that it can be sent again.
+// Guards against a second response that arrives while this process is paused between the inspection of a
+// connection and the write. The request must not be written, so that it can be sent again.
 func TestSecondResponseBeforeTheWrite(t *testing.T) {
 	var received atomic.Int32
 	respondAgain := make(chan struct{})
@@ -85,8 +85,9 @@
 	}
 }
 
-// Guards against a connection that is used before it has rested because many others rest, too: a second response may
-// follow. Nothing is waited for, and one that has rested is used before a new one is opened.
+// Guards against reuse of a connection before its reuse delay has passed because many other connections are in
+// theirs: a second response may follow. With ReuseDelayOptional, an attempt opens a new connection rather than
+// wait, and prefers an idle connection whose reuse delay has passed to a new one.
 func TestOptionalReuseDelay(t *testing.T) {
 	const connections = 40
 	pool := newPool(func(o *Options) {
@@ -115,7 +116,8 @@
 	}
 }
 
-// BenchmarkConnectionsOpened reports the connections that are opened for requests to an endpoint that responds once.
+// BenchmarkConnectionsOpened reports how many connections are opened per request to an endpoint that sends each
+// response once.
 func BenchmarkConnectionsOpened(b *testing.B) {
 	var dials atomic.Int32
 	addr := startRespondingEndpoint(b, &dials)
--- a/internal/upstream/second_response_test.go
+++ b/internal/upstream/second_response_test.go
@@ -23,10 +23,12 @@
 	"dunlinsail/internal/monotime"
 )
 
-// The tests in this file force the order of events around a second response to one request: the endpoint sends each
-// response when the test says so. All of them demand that no request is served with the response to another.
+// The tests in this file control the order of events around a second response to a request: the endpoint sends
+// each response when the test requests it. All tests verify that no request is served with the response to
+// another request.
 
-// manualEndpoint is an endpoint that announces the requests it has read, and responds to none by itself.
+// manualEndpoint is an endpoint that sends the requests it has read to a channel, and does not respond by
+// itself.
 type manualEndpoint struct {
 	addr     string
 	received chan receivedRequest
@@ -34,10 +36,11 @@
 
 // receivedRequest is a request that an endpoint has read.
 type receivedRequest struct {
-	id   string // "" is a health check
+	id   string // X-Trace-Id; "" for a health check
 	conn *net.TCPConn
 }
 
+// startManualEndpoint starts a manualEndpoint, which runs until the test ends.
 func startManualEndpoint(t *testing.T) *manualEndpoint {
 	t.Helper()
 	e := &manualEndpoint{received: make(chan receivedRequest, 100)}
@@ -53,15 +56,16 @@
 	return e
 }
 
-// secondResponseTest has a pool with a target at a manual endpoint.
+// secondResponseTest has a pool, and a target in the pool for a manualEndpoint.
 type secondResponseTest struct {
 	*testing.T
 	pool     *Pool
 	endpoint *manualEndpoint
 	target   *Target
-	lastSent map[*net.TCPConn]string // the last response on each connection
+	lastSent map[*net.TCPConn]string // last response that the endpoint sent on each connection
 }
 
+// newSecondResponseTest returns a test with a new endpoint, and a pool with edits to its usual options.
 func newSecondResponseTest(t *testing.T, edits ...func(*Options)) *secondResponseTest {
 	t.Helper()
 	// The scheduler statistics of a loaded machine would lengthen the reuse delays.
@@ -72,14 +76,14 @@
 	return s
 }
 
-// useNewEndpoint starts another endpoint of the same pool, to which the next requests go.
+// useNewEndpoint starts another endpoint of the same pool of endpoints, to which subsequent requests are sent.
 func (s *secondResponseTest) useNewEndpoint() {
 	s.Helper()
 	s.endpoint = startManualEndpoint(s.T)
 	s.target = s.pool.newTarget(s.endpoint.addr)
 }
 
-// withReuseDelay sets the reuse delay, and whether it is optional as in the daemon.
+// withReuseDelay sets the reuse delay of a pool, and whether it is optional, as it is in the daemon.
 func withReuseDelay(delay time.Duration, delayOptional bool) func(*Options) {
 	return func(o *Options) {
 		o.ReuseDelay = delay
@@ -87,7 +91,7 @@
 	}
 }
 
-// tracedRequest returns a request with an ID.
+// tracedRequest returns a request with an ID in the field X-Trace-Id.
 func tracedRequest(method, id string) *Request {
 	return &Request{
 		Method: method,
@@ -98,10 +102,10 @@
 	}
 }
 
-// maxAttemptTime bounds an attempt that waits for its connection.
+// maxAttemptTime is the maximum duration of an attempt, including its wait for a connection.
 const maxAttemptTime = time.Second
 
-// start starts an attempt, and returns the channel of its result.
+// start starts an attempt, and returns a channel that receives its result.
 func (s *secondResponseTest) start(attempt *core.AttemptContext, request *Request) <-chan engine.AttemptResult {
 	result := make(chan engine.AttemptResult, 1)
 	go func() {
@@ -112,7 +116,7 @@
 	return result
 }
 
-// startGet starts an attempt of a GET request.
+// startGet starts an attempt of a GET request, and returns a channel that receives its result.
 func (s *secondResponseTest) startGet(id string) <-chan engine.AttemptResult {
 	return s.start(s.pool.newAttempt(s.target), tracedRequest("GET", id))
 }
@@ -123,7 +127,8 @@
 	io.WriteString(req.conn, s.lastSent[req.conn])
 }
 
-// complete makes a request that is served properly, and returns its connection at the endpoint.
+// complete makes a request that must be served with its own response, and returns the connection at the
+// endpoint.
 func (s *secondResponseTest) complete(id string) *net.TCPConn {
 	s.Helper()
 	result := s.startGet(id)
@@ -135,7 +140,7 @@
 	return req.conn
 }
 
-// completeAtOnce makes requests at once that are served properly, and returns their connections at the endpoint.
+// completeAtOnce makes concurrent requests that must succeed, and returns their connections at the endpoint.
 func (s *secondResponseTest) completeAtOnce(requestCount int) (conns []*net.TCPConn) {
 	s.Helper()
 	var results []<-chan engine.AttemptResult
@@ -158,8 +163,9 @@
 	return conns
 }
 
-// isServedWrongly makes a request. If it comes on a used connection, the endpoint first responds to the request before
-// it once more, as late as possible, and then to this one. It reports whether a wrong response was served.
+// isServedWrongly makes a request, and reports whether it was served with a response to another request. If the
+// request arrives on a used connection, the endpoint first sends a second response to the previous request, and
+// responds to this request only once the attempt has ended. This is the latest time for a second response.
 func (s *secondResponseTest) isServedWrongly(id string) bool {
 	s.Helper()
 	result := s.startGet(id)
@@ -174,16 +180,18 @@
 		r := scriptedpeer.Receive(s, result, "result")
 		s.respond(req)
 		return s.isOtherResponse(id, r)
-	case r := <-result: // without a connection
+	case r := <-result: // the attempt got no connection
 		return s.isOtherResponse(id, r)
 	}
 }
 
-// secondResponseDelay is how long after the start of the next request an endpoint sends a second response at most.
+// secondResponseDelay is the maximum time from the start of the next request until an endpoint sends a second
+// response.
 const secondResponseDelay = 5 * time.Millisecond
 
-// mustOutwaitSecondResponse makes a request. The endpoint responds again to the last request on a used connection as
-// soon as this one comes there, or after secondResponseDelay: a pool that waits for longer sees it.
+// mustOutwaitSecondResponse makes a request that must not be served with a second response to the last request
+// on the connection used. The endpoint sends the second response as soon as the new request arrives on that
+// connection, or after secondResponseDelay. A pool that waits for longer detects it.
 func (s *secondResponseTest) mustOutwaitSecondResponse(used *net.TCPConn, id string) {
 	s.Helper()
 	if s.isServedTooEarly(used, id) {
@@ -191,7 +199,8 @@
 	}
 }
 
-// isServedTooEarly is mustOutwaitSecondResponse that reports whether a wrong response was served.
+// isServedTooEarly makes a request like mustOutwaitSecondResponse, and reports whether it was served with a
+// response to another request.
 func (s *secondResponseTest) isServedTooEarly(used *net.TCPConn, id string) bool {
 	s.Helper()
 	result := s.startGet(id)
@@ -213,14 +222,15 @@
 	return s.isOtherResponse(id, r)
 }
 
-// isOtherResponse reports whether a result is the response to another request than id.
+// isOtherResponse reports whether a result has the response to a request other than id.
 func (s *secondResponseTest) isOtherResponse(id string, r engine.AttemptResult) bool {
 	s.Helper()
 	s.Logf("request %s: status %v, body %q", id, r.Status, bodyOf(r))
 	return r.Response != nil && bodyOf(r) != id
 }
 
-// mustBeServedCorrectly is isServedWrongly for requests that must not be.
+// mustBeServedCorrectly makes a request like isServedWrongly, and fails if it is served with a response to
+// another request.
 func (s *secondResponseTest) mustBeServedCorrectly(id string) {
 	s.Helper()
 	if s.isServedWrongly(id) {
@@ -228,7 +238,7 @@
 	}
 }
 
-// bodyOf returns the buffered body of the response to an attempt.
+// bodyOf returns the buffered body of the response in a result, or "" if there is no response.
 func bodyOf(r engine.AttemptResult) string {
 	if response, _ := r.Response.(*Response); response != nil {
 		return string(response.Buffered)
@@ -236,12 +246,12 @@
 	return ""
 }
 
-// neverRan reports whether a status says that the endpoint did not receive the request.
+// neverRan reports whether a status proves that the endpoint did not receive the request.
 func neverRan(status balancer.Status) bool {
 	return status == balancer.ConnectFailed || status == balancer.NotSent
 }
 
-// onlyIdle returns the one idle connection to the target.
+// onlyIdle returns the only idle connection to the target.
 func (s *secondResponseTest) onlyIdle() *Conn {
 	s.Helper()
 	s.pool.mu.Lock()
@@ -252,7 +262,8 @@
 	return s.target.idle[0]
 }
 
-// rest makes the last responses on the idle connections to the target older.
+// ageResponses makes the last responses on the idle connections to the target older by d, as if their reuse
+// delays had been running for d longer.
 func (s *secondResponseTest) ageResponses(d time.Duration) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -261,7 +272,7 @@
 	}
 }
 
-// awaitBytes waits until unread bytes have arrived on a connection.
+// awaitBytes waits until a connection has unread bytes.
 func (s *secondResponseTest) awaitBytes(c net.Conn) {
 	s.Helper()
 	raw, err := c.(syscall.Conn).SyscallConn()
@@ -280,7 +291,7 @@
 	c.SetReadDeadline(time.Time{})
 }
 
-// awaitBytesOnIdle waits until unread bytes have arrived on the idle connections to the target.
+// awaitBytesOnIdle waits until all idle connections to the target have unread bytes.
 func (s *secondResponseTest) awaitBytesOnIdle() {
 	s.Helper()
 	s.pool.mu.Lock()
@@ -291,7 +302,7 @@
 	}
 }
 
-// checkSurplus checks how many surplus responses were counted.
+// checkSurplus checks the number of surplus responses that were counted.
 func (s *secondResponseTest) checkSurplus(want uint64) {
 	s.Helper()
 	if n := s.pool.SurplusResponses(); n != want {
@@ -299,7 +310,7 @@
 	}
 }
 
-// Guards against reuse without a rest where the number of idle connections is bounded.
+// Guards against reuse before the reuse delay has passed when the number of idle connections is limited.
 func TestSecondResponseUnderIdleBound(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(time.Hour, true))
 	s.pool.LimitIdle("owner", 8)
@@ -307,14 +318,15 @@
 	s.mustBeServedCorrectly("2")
 }
 
-// Guards against reuse without a rest where no further connection may be opened.
+// Guards against reuse before the reuse delay has passed when MaxConns prevents opening another connection.
 func TestSecondResponseAtMaxConns(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(time.Hour, true), func(o *Options) { o.MaxConns = 1 })
 	s.complete("1")
 	s.mustBeServedCorrectly("2")
 }
 
-// Guards against reuse without a rest where no further connection may be opened since another one is in use.
+// Guards against reuse before the reuse delay has passed when another connection in use prevents, because of
+// MaxConns, opening a third one.
 func TestSecondResponseAtMaxConnsBesideAnother(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(time.Hour, true), func(o *Options) { o.MaxConns = 2 })
 	heldResult := s.startGet("1")
@@ -327,14 +339,16 @@
 	}
 }
 
-// Guards against reuse without a rest where many connections to an endpoint are within theirs.
+// Guards against reuse before the reuse delay has passed when many connections to the same endpoint are in
+// their reuse delays.
 func TestSecondResponseBesideManyDelayed(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(time.Hour, true))
 	s.completeAtOnce(64)
 	s.mustBeServedCorrectly("2")
 }
 
-// Guards against reuse without a rest where this process has no descriptor for another connection.
+// Guards against reuse before the reuse delay has passed when this process has no descriptor for another
+// connection.
 func TestSecondResponseWithoutDescriptors(t *testing.T) {
 	for name, optional := range map[string]bool{"sidecar": false, "daemon": true} {
 		t.Run(name, func(t *testing.T) {
@@ -348,8 +362,8 @@
 	}
 }
 
-// Guards against a second response that arrives between the inspection of a connection and the write, without a pause
-// that would show: the request is not written.
+// Guards against a second response that arrives after a connection was selected and before the write, without a
+// pause that the pool could notice. The request must not be written.
 func TestSecondResponseBetweenInspectionAndWrite(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 	endpointConn := s.complete("1")
@@ -368,8 +382,8 @@
 	s.checkSurplus(1)
 }
 
-// Guards against a wrong response where the connection's next response has already been read behind it: a caller must
-// not get the first of two responses to one request on a used connection.
+// Guards against a wrong response when a second response and the right response have been read at once: on a
+// used connection, an attempt must not get the second response to the previous request.
 func TestSecondResponseWithTheNextBehindIt(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 	s.complete("1")
@@ -382,7 +396,8 @@
 	}
 }
 
-// Guards against a response that arrives on a new connection before its first request: it cannot be that request's.
+// Guards against a response that arrives on a new connection before its first request. It cannot be the
+// response to that request.
 func TestResponseBeforeFirstRequest(t *testing.T) {
 	s := newSecondResponseTest(t)
 	s.target = s.pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -402,7 +417,8 @@
 	}
 }
 
-// Guards against endpoints that all stall for as long before a second response: only the first of them may be unknown.
+// Guards against repeated wrong responses when all endpoints of a pool stall equally long before a second
+// response. At most the first endpoint may cause a wrong response, since its lateness is not yet known.
 func TestSecondResponseAfterStallOfEndpoint(t *testing.T) {
 	const lateness = 150 * time.Millisecond
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
@@ -413,7 +429,7 @@
 		s.ageResponses(lateness)
 		if s.isServedTooEarly(endpointConn, fmt.Sprint(i, "-second")) {
 			wrongResponses++
-			s.awaitBytesOnIdle() // its own response
+			s.awaitBytesOnIdle() // the response to the second request
 			s.complete(fmt.Sprint(i, "-third"))
 		}
 	}
@@ -422,8 +438,8 @@
 	}
 }
 
-// Guards against a rest that is shorter than the lateness already seen of a second response: at the same endpoint, and
-// at another one of the pool.
+// Guards against a reuse delay that is shorter than the observed lateness of second responses, at the same
+// endpoint and at another endpoint of the pool.
 func TestLatenessOfSecondResponsesIsLearned(t *testing.T) {
 	for name, anotherEndpoint := range map[string]bool{"same endpoint": false, "another endpoint": true} {
 		t.Run(name, func(t *testing.T) {
@@ -445,7 +461,8 @@
 	}
 }
 
-// Guards against reuse while an unread second response on another idle connection shows what the endpoint does.
+// Guards against reuse of a connection although an unread second response on another idle connection is
+// evidence that the endpoint sends late second responses.
 func TestSecondResponseOnAnotherConnection(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 	heldResult := s.startGet("1")
@@ -453,14 +470,14 @@
 	endpointConn := s.complete("2")
 	c := s.onlyIdle()
 	s.respond(heldRequest)
-	scriptedpeer.Receive(t, heldResult, "result") // its connection is the one used last
+	scriptedpeer.Receive(t, heldResult, "result") // its connection is now the most recently used one
 	io.WriteString(endpointConn, responseFor("2"))
 	s.awaitBytes(c.Conn)
 	s.ageResponses(2 * DefaultReuseDelay)
 	s.mustOutwaitSecondResponse(heldRequest.conn, "3")
 }
 
-// responseKinds are responses to request 1, and its method.
+// responseKinds are kinds of responses to request 1, each with the method of the request.
 var responseKinds = map[string]struct{ method, response string }{
 	"plain":    {"GET", responseFor("1")},
 	"streamed": {"GET", "HTTP/1.1 200 OK\r\nContent-Length: 4096\r\n\r\n" + strings.Repeat("x", 4096)},
@@ -472,7 +489,7 @@
 	"304":      {"GET", "HTTP/1.1 304 Not Modified\r\n\r\n"},
 }
 
-// startReadingAttempt starts an attempt of request 1 whose response is read to its end if it is streamed.
+// startReadingAttempt starts an attempt of request 1, and reads the response to its end if it is streamed.
 func (s *secondResponseTest) startReadingAttempt(method string) <-chan engine.AttemptResult {
 	attempt := s.pool.newAttempt(s.target)
 	attempt.ResponseStarted = func(r engine.AttemptResult) bool {
@@ -486,7 +503,8 @@
 	return s.start(attempt, tracedRequest(method, "1"))
 }
 
-// Guards against a second response of any kind that is overlooked right behind the first, or on an idle connection.
+// Guards against second responses of any kind that are not detected immediately behind the first response, or
+// on an idle connection.
 func TestSecondResponseBehindAnyResponse(t *testing.T) {
 	for name, kind := range responseKinds {
 		t.Run(name+" in one write", func(t *testing.T) {
@@ -518,7 +536,8 @@
 	}
 }
 
-// Guards against hints for one request that are served to the next, as the start of a second response.
+// Guards against an interim response (103 Early Hints) that is the start of a second response to one request
+// and is served to the next.
 func TestInterimOfSecondResponse(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(time.Hour, true))
 	s.pool.LimitIdle("owner", 8)
@@ -535,9 +554,10 @@
 	}
 }
 
+// loadReport is a valid load report for the load fields of newPool.
 const loadReport = "TEXT busy_reqs=7, served_ps=2, cpu_share=0.5"
 
-// probe makes a health check that receives a response.
+// probeWith makes a health check that receives the given response.
 func (s *secondResponseTest) probeWith(response string) engine.AttemptResult {
 	s.Helper()
 	probed := make(chan engine.AttemptResult, 1)
@@ -566,8 +586,8 @@
 	}
 }
 
-// Guards against a second response that the pool does not learn from, since a health check reads it in place of its own
-// at an endpoint that sends load reports.
+// Guards against a second response that is not counted as evidence because a health check reads it in place of
+// its own response, at an endpoint that sends load reports.
 func TestSecondResponseReadByHealthCheck(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 	if r := s.probeWith(responseFor(loadReport)); r.Load == nil {
@@ -609,7 +629,7 @@
 	}
 }
 
-// Guards against evidence on an address that is lost when its target is dropped and added again.
+// Guards against loss of the evidence on an address when its target is dropped and added again.
 func TestEvidenceOutlivesTarget(t *testing.T) {
 	for name, optional := range map[string]bool{"sidecar": false, "daemon": true} {
 		t.Run(name, func(t *testing.T) {
@@ -628,7 +648,7 @@
 	}
 }
 
-// streamedBody returns the rest of a body of one byte, which is there at once.
+// streamedBody returns a request stream with a body of one byte, which can be read immediately.
 func streamedBody() *RequestStream {
 	body := http1msg.NewBody(bufio.NewReader(strings.NewReader("x")), http1msg.Framing{
 		Kind:   http1msg.FixedLength,
@@ -637,7 +657,8 @@
 	return NewRequestStream(body, 1, func() {}, func() {})
 }
 
-// Guards against a request that is lost, sent twice or served wrongly, since a second response came before its write.
+// Guards against a request that is lost, sent twice or served with a wrong response because a second response
+// arrived before the request was written.
 func TestRetryAfterSecondResponseBeforeWrite(t *testing.T) {
 	for name, streamsBody := range map[string]bool{"buffered body": false, "streaming body": true} {
 		t.Run(name, func(t *testing.T) {
@@ -649,7 +670,7 @@
 			pausedAttempt.ClaimSend = func(monotime.Micros) bool {
 				io.WriteString(endpointConn, responseFor("1"))
 				s.awaitBytes(c.Conn)
-				time.Sleep(5 * time.Millisecond) // the pause
+				time.Sleep(5 * time.Millisecond) // simulates a pause of this process
 				return true
 			}
 			keyedRequest := tracedRequest("POST", "2")
@@ -659,10 +680,11 @@
 			}
 			r := scriptedpeer.Receive(t, s.start(pausedAttempt, keyedRequest), "result")
 			if !neverRan(r.Status) || len(s.endpoint.received) != 0 {
-				t.Fatalf("status %v, %d received, want one that never ran", r.Status, len(s.endpoint.received))
+				t.Fatalf("status %v, %d received, want one that never ran",
+					r.Status, len(s.endpoint.received))
 			}
 			if streamsBody {
-				return // whether it can be sent again is for who has the rest of the body
+				return // the caller, which has the rest of the body, decides whether to send it again
 			}
 			retried := s.start(s.pool.newAttempt(s.target), keyedRequest)
 			s.respond(scriptedpeer.Receive(t, s.endpoint.received, "retry"))
@@ -673,7 +695,7 @@
 	}
 }
 
-// closings are the ways in which a pool closes the idle connection of a test.
+// waysToCloseConn are the ways in which a pool closes the idle connection of a test, by name.
 var waysToCloseConn = map[string]func(s *secondResponseTest){
 	"eviction at MaxConns": func(s *secondResponseTest) {
 		s.pool.options.MaxConns = 1
@@ -705,7 +727,7 @@
 	"end of the pool Run": func(s *secondResponseTest) { s.endRun() },
 }
 
-// take removes the idle connection from the pool, as if an attempt used it.
+// takeIdle removes the only idle connection from the pool, as if an attempt used it.
 func (s *secondResponseTest) takeIdle() *Conn {
 	s.Helper()
 	s.onlyIdle()
@@ -714,14 +736,15 @@
 	return s.pool.removeIdleLocked(s.target, 0)
 }
 
-// endRun runs the pool until it ends.
+// endRun calls Run of the pool with a context that has ended.
 func (s *secondResponseTest) endRun() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	s.pool.Run(ctx)
 }
 
-// Guards against a second response that the pool does not learn from, since it closes the connection without a look.
+// Guards against a second response that is not counted as evidence because the pool closes its connection
+// without inspecting it.
 func TestSecondResponseOnClosedConnection(t *testing.T) {
 	for name, closeIt := range waysToCloseConn {
 		t.Run(name, func(t *testing.T) {
@@ -736,7 +759,7 @@
 	}
 }
 
-// Guards against a body that a client did not read to its end and that is counted as a second response.
+// Guards against counting the rest of a response body, which the client did not read, as a second response.
 func TestUnreadBodyIsNoSecondResponse(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n"
 	body := strings.Repeat("x", connReadBufferSize-len(head)) + strings.Repeat(responseFor("1"), 100)
