--- a/internal/http1msg/body_test.go
+++ b/internal/http1msg/body_test.go
@@ -60,12 +60,12 @@
 	} {
 		got, b, err := read(tc.text, Framing{Kind: Chunked})
 		if string(got) != tc.want || !errors.Is(err, tc.err) || (err == nil) != b.Done() {
-			t.Errorf("%.60q: %q, %v, want %q, %v", tc.text, got, err, tc.want, tc.err)
+			t.Errorf("%.60q: body %q, error %v, want %q, %v", tc.text, got, err, tc.want, tc.err)
 		}
 	}
 	if _, b, err := read("0\r\nX-Sum:\t7 \r\nx-sum: 8\r\n\r\n", Framing{Kind: Chunked}); err != nil ||
 		!reflect.DeepEqual(b.Trailer(), http.Header{"X-Sum": {"7", "8"}}) {
-		t.Errorf("trailer %v, %v", b.Trailer(), err)
+		t.Errorf("trailer %v, error %v", b.Trailer(), err)
 	}
 }
 
@@ -101,10 +101,10 @@
 		{header("Content-Length", "9223372036854775808"), Framing{}, Framing{}, ErrContentLength},
 	} {
 		if f, err := RequestFraming(tc.header); f != tc.request || !errors.Is(err, tc.err) {
-			t.Errorf("request with %v: %v, %v", tc.header, f, err)
+			t.Errorf("request with header %v: framing %v, error %v", tc.header, f, err)
 		}
 		if f, err := ResponseFraming("GET", 200, tc.header); f != tc.response || !errors.Is(err, tc.err) {
-			t.Errorf("response with %v: %v, %v", tc.header, f, err)
+			t.Errorf("response with header %v: framing %v, error %v", tc.header, f, err)
 		}
 		for _, noBody := range []struct {
 			method string
@@ -112,7 +112,7 @@
 		}{{"HEAD", 200}, {"GET", 204}, {"GET", 304}, {"GET", 103}} {
 			f, err := ResponseFraming(noBody.method, noBody.code, tc.header)
 			if f.Kind != NoBody || !errors.Is(err, tc.err) {
-				t.Errorf("%v with %v: %v, %v", noBody, tc.header, f, err)
+				t.Errorf("response to %v with header %v: framing %v, error %v", noBody, tc.header, f, err)
 			}
 		}
 	}
@@ -134,7 +134,7 @@
 		}
 		if errors.Is(err, io.EOF) {
 			if deadlinesPassed < len(text)/2 {
-				t.Errorf("only %d deadlines passed", deadlinesPassed)
+				t.Errorf("only %d deadlines passed while the body was read", deadlinesPassed)
 			}
 			break
 		}
@@ -143,7 +143,7 @@
 		}
 	}
 	if string(got) != "abc0123456789abcdef" || b.Trailer().Get("X-Sum") != "7" {
-		t.Errorf("%q, %v", got, b.Trailer())
+		t.Errorf("body %q, trailer %v", got, b.Trailer())
 	}
 }
 
@@ -177,7 +177,7 @@
 		slow := NewBody(bufio.NewReader(iotest.OneByteReader(bytes.NewReader(text))), Framing{Kind: Chunked})
 		gotSlow, errSlow := io.ReadAll(slow)
 		if !bytes.Equal(got, gotSlow) || !errors.Is(errSlow, err) {
-			t.Fatalf("%q: %q, %v at once, %q, %v byte by byte",
+			t.Fatalf("%q: body %q, error %v if read at once; body %q, error %v byte by byte",
 				text, got, err, gotSlow, errSlow)
 		}
 		if err != nil {
@@ -185,7 +185,7 @@
 		}
 		std, err := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(text)))
 		if err != nil || !bytes.Equal(std, got) {
-			t.Fatalf("%q: %q; net/http reads %q, %v", text, got, std, err)
+			t.Fatalf("%q: body %q; net/http reads %q, error %v", text, got, std, err)
 		}
 		var reencoded []byte
 		if len(got) > 0 {
@@ -194,7 +194,7 @@
 		reencoded = AppendLastChunk(reencoded, b.Trailer())
 		gotAgain, bodyAgain, err := read(string(reencoded), Framing{Kind: Chunked})
 		if err != nil || !bytes.Equal(gotAgain, got) || len(bodyAgain.Trailer()) != len(b.Trailer()) {
-			t.Errorf("%q written again: %q, %v", reencoded, gotAgain, err)
+			t.Errorf("re-encoded body %q: body %q, error %v", reencoded, gotAgain, err)
 		}
 	})
 }
--- a/internal/upstream/buffered_test.go
+++ b/internal/upstream/buffered_test.go
@@ -47,10 +47,10 @@
 			pool := newPool()
 			target := pool.newTarget(scriptedpeer.StartTCP(t, respondToFirstRequest(&received)))
 			if r := pool.sendOnce(request, target); r.Status != balancer.OK {
-				t.Fatalf("first: status %v", r.Status)
+				t.Fatalf("request 1: status %v, want OK", r.Status)
 			}
 			if r := pool.sendOnce(request, target); r.Status != balancer.Reset {
-				t.Errorf("second: status %v, want Reset", r.Status)
+				t.Errorf("request 2: status %v, want Reset", r.Status)
 			}
 			if n := received.Load(); n != 2 {
 				t.Errorf("the endpoint received %d requests, want 2", n)
@@ -202,7 +202,7 @@
 			t.Errorf("%q: status %v after %v, want Reset at once", response, r.Status, took)
 		}
 		if pool.openConns != 0 {
-			t.Errorf("%q: its connection is open", response)
+			t.Errorf("response %q: its connection is still open", response)
 		}
 	}
 }
@@ -275,9 +275,9 @@
 		ended <- err
 	})
 	if r := newPool().newTarget(silentAddr).Probe(); r.Status == balancer.OK {
-		t.Error("a probe without a response is ok")
+		t.Error("a probe without a response has status OK")
 	}
-	if err := scriptedpeer.Receive(t, ended, "end of a mute probe"); err == nil {
-		t.Error("more was written to a mute probe")
+	if err := scriptedpeer.Receive(t, ended, "end of the unanswered probe"); err == nil {
+		t.Error("bytes were written after the unanswered probe")
 	}
 }
--- a/internal/upstream/connections_test.go
+++ b/internal/upstream/connections_test.go
@@ -182,7 +182,7 @@
 	pool := e.pool
 	pool.mu.Lock()
 	if idle := len(e.target.idle); pool.openConns != idle || pool.idleConns != idle {
-		e.ledger.addViolation("%d connections open, %d counted as idle, %d idle",
+		e.ledger.addViolation("%d connections open, %d counted as idle, want both to be %d",
 			pool.openConns, pool.idleConns, idle)
 	}
 	pool.mu.Unlock()
@@ -190,7 +190,7 @@
 		target.Drop()
 	}
 	if pool.openConns != 0 || len(pool.idleTargets) != 0 {
-		e.ledger.addViolation("%d connections left", pool.openConns)
+		e.ledger.addViolation("%d connections are still counted after all targets were dropped", pool.openConns)
 	}
 }
 
@@ -231,7 +231,7 @@
 		events.checkConnections()
 		want := fmt.Sprintf("%s (never) was served with %q", nextID, lateID)
 		if !slices.Contains(events.ledger.violations, want) {
-			t.Errorf("seed %d: not detected: %s", seed, want)
+			t.Errorf("seed %d: violation not detected: %s", seed, want)
 		}
 	}
 }
--- a/internal/upstream/parse.go
+++ b/internal/upstream/parse.go
@@ -24,9 +24,9 @@
 )
 
 var (
-	errAmbiguousLength   = errors.New("nothing tells for sure where the answer ends")
-	errResponseTooLarge  = errors.New("the answer is too large")
-	errMalformedResponse = errors.New("the answer is no HTTP/1")
+	errAmbiguousLength   = errors.New("the end of the response is ambiguous")
+	errResponseTooLarge  = errors.New("the response is too large")
+	errMalformedResponse = errors.New("the response is not valid HTTP/1")
 )
 
 // parsedResponse is a response with a complete head. Its body is either complete or has not been read yet.
--- a/internal/upstream/paused_client_test.go
+++ b/internal/upstream/paused_client_test.go
@@ -104,7 +104,7 @@
 	first := scriptedpeer.Receive(t, endpoint.received, "request 1")
 	io.WriteString(first.conn, responseFor("1"))
 	if line, err := client.output.ReadString('\n'); line != "0 1\n" {
-		t.Fatalf("request 1: %q, error %v", line, err)
+		t.Fatalf("request 1: output %q, error %v", line, err)
 	}
 	client.signal(t, syscall.SIGSTOP)
 	fmt.Fprintln(client.ids, "2")
@@ -121,6 +121,6 @@
 	}
 	io.WriteString(second.conn, responseFor("2"))
 	if line, err := client.output.ReadString('\n'); line != "0 2\n" {
-		t.Errorf("request 2: %q, error %v", line, err)
+		t.Errorf("request 2: output %q, error %v", line, err)
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -187,7 +187,7 @@
 	pool := newPool()
 	target := pool.newTarget(addr)
 	if limit := 12 * time.Second; pool.maxIdleTime > limit {
-		t.Errorf("idle for %v where the endpoint closes after 15 s", pool.maxIdleTime)
+		t.Errorf("maximum idle time %v, want at most 12 s for an endpoint that closes after 15 s", pool.maxIdleTime)
 	}
 	expireIdleConns := func() {
 		for _, c := range target.idle {
@@ -197,12 +197,12 @@
 	pool.sendOnce(newPlainGet(), target)
 	pool.sendOnce(newPlainGet(), target)
 	if n := dials.Load(); n != 1 {
-		t.Fatalf("%d connections for two requests in turn, want 1", n)
+		t.Fatalf("%d connections for two successive requests, want 1", n)
 	}
 	expireIdleConns()
 	pool.sendOnce(newPlainGet(), target)
 	if n := dials.Load(); n != 2 {
-		t.Errorf("%d connections after one grew old, want 2", n)
+		t.Errorf("%d connections after the first one expired, want 2", n)
 	}
 	expireIdleConns()
 	if pool.sweep(); pool.openConns != 0 {
@@ -242,12 +242,12 @@
 	pool.Put(fresh)
 	pool.putUnused(old)
 	if pool.mustGet(t, target) != fresh {
-		t.Error("one put back unused went before one used later")
+		t.Error("a connection that was returned unused was preferred to one used later")
 	}
 	pool.Put(fresh)
 	old.idleSince = old.idleSince.Add(-pool.maxIdleTime / 2)
 	if pool.sweep(); len(target.idle) != 1 || target.idle[0] != fresh {
-		t.Errorf("%d idle connections after the old one's time", len(target.idle))
+		t.Errorf("%d idle connections after the older one expired, want only the newer one", len(target.idle))
 	}
 }
 
@@ -285,7 +285,7 @@
 	}
 	pool.Put(first)
 	if _, err := pool.Get(ctx, secondTarget); err != nil {
-		t.Errorf("third connection with one idle: %v", err)
+		t.Errorf("third connection while another one is idle: %v", err)
 	}
 	if pool.openConns != 2 {
 		t.Errorf("%d connections counted, want 2", pool.openConns)
@@ -293,7 +293,7 @@
 	// A failed dial must not be counted as a connection.
 	pool.options.MaxConns = 3
 	if _, err := pool.Get(ctx, pool.newTarget(scriptedpeer.ClosedAddress(t))); err == nil {
-		t.Error("a connection to a closed port")
+		t.Error("connecting to a closed port succeeded")
 	}
 	if pool.openConns != 2 {
 		t.Errorf("%d connections counted after a failed dial, want 2", pool.openConns)
@@ -320,24 +320,24 @@
 		pool.Put(c)
 	}
 	if pool.openConns != 3 || pool.idleConns != 3 {
-		t.Errorf("%d open, %d idle, want 3", pool.openConns, pool.idleConns)
+		t.Errorf("%d connections open, %d idle, want 3 of each", pool.openConns, pool.idleConns)
 	}
 	for i, c := range conns {
 		if idle := len(c.target.idle) == 1; idle != (i >= 2) {
-			t.Errorf("connection %d is idle: %v", i, idle)
+			t.Errorf("connection %d: idle is %v", i, idle)
 		}
 	}
 	pool.LimitIdle("b", 0)
 	if pool.openConns != 1 || pool.idleConns != 1 {
-		t.Errorf("%d open, %d idle after a tighter bound, want 1",
+		t.Errorf("%d connections open, %d idle after the limit was lowered, want 1 of each",
 			pool.openConns, pool.idleConns)
 	}
 	if got, err := pool.Get(ctx, conns[4].target); err != nil || got != conns[4] || pool.idleConns != 0 {
-		t.Errorf("the one left is not used again (error %v, %d idle)", err, pool.idleConns)
+		t.Errorf("the remaining idle connection is not used again (error %v, %d idle)", err, pool.idleConns)
 	}
 	unlimitedIdleTime := newPool().maxIdleTime
 	if pool.LimitIdle("a", 0.25); pool.maxIdleTime != unlimitedIdleTime/4 || pool.maxIdle != 1 {
-		t.Errorf("a quarter of a connection: %d for %v, want one for %v", pool.maxIdle, pool.maxIdleTime,
+		t.Errorf("limit of 0.25: %d idle connections for %v, want 1 for %v", pool.maxIdle, pool.maxIdleTime,
 			unlimitedIdleTime/4)
 	}
 }
@@ -388,7 +388,7 @@
 	}
 	time.Sleep(reuseDelay) // connection 2 can be used again
 	if status, got := send(pool, target); status != balancer.OK || got != "2" {
-		t.Errorf("then: status %v, %q, want the connection without a second response", status, got)
+		t.Errorf("last request: status %v, body %q, want a response on connection 2", status, got)
 	}
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -439,17 +439,17 @@
 			t.Fatalf("request %d: status %v", i, r.Status)
 		}
 		if took := time.Since(start); i > 0 && (took < reuseDelay/2 || r.ObservedAt-r.SentAt > took.Microseconds()/2) {
-			t.Errorf("request %d: after %v, of which %d µs are the endpoint's",
+			t.Errorf("request %d: took %v, of which %d µs count as latency of the endpoint",
 				i, took, r.ObservedAt-r.SentAt)
 		}
 	}
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
 	if r := send(canceled); r.Status != balancer.NotSent {
-		t.Errorf("canceled: status %v", r.Status)
+		t.Errorf("canceled attempt: status %v, want NotSent", r.Status)
 	}
 	if r := send(context.Background()); r.Status != balancer.OK {
-		t.Errorf("after it: status %v", r.Status)
+		t.Errorf("attempt after the canceled one: status %v, want OK", r.Status)
 	}
 	if n := dials.Load(); n != 1 {
 		t.Errorf("%d dials, want 1", n)
--- a/internal/upstream/processortime_test.go
+++ b/internal/upstream/processortime_test.go
@@ -33,7 +33,7 @@
 		t.Helper()
 		now = now.Add(processorTimeInterval)
 		if got, want := p.sinceLastRead(now), (processorTime{ran, waited}); got != want {
-			t.Errorf("since the last read %v, want %v", got, want)
+			t.Errorf("processor time since the last read %v, want %v", got, want)
 		}
 	}
 	writeThreadStatistics(t, directory, "1", "5000000 7000000 12\n")
@@ -47,7 +47,7 @@
 	check(0, 50000)
 	writeThreadStatistics(t, directory, "1", "6000000 57000000 14\n")
 	if early := p.sinceLastRead(now.Add(processorTimeInterval - 1)); early != (processorTime{}) {
-		t.Errorf("within processorTimeInterval %v, want none", early)
+		t.Errorf("processor time within processorTimeInterval %v, want 0", early)
 	}
 	check(1000, 0)
 	require.NoError(t, os.RemoveAll(directory))
--- a/internal/upstream/repeated_test.go
+++ b/internal/upstream/repeated_test.go
@@ -90,7 +90,7 @@
 				t.Errorf("status %v, body %.10q, want %.10q", r.Status, bodyOf(r), tc.wantBody)
 			}
 			if response, _ := r.Response.(*Response); response != nil && len(response.Interim) > 0 {
-				t.Error("request 2 got the interim response to request 1")
+				t.Error("request 2 received the interim response to request 1")
 			}
 			s.checkSurplus(tc.wantSurplus)
 			if n := s.pool.SuspectResponses(); n != tc.wantSuspect {
@@ -159,7 +159,7 @@
 	s := newRepeatedResponseTest(t, responseFor("1"))
 	r := s.probeWith(responseFor("1") + responseFor(loadReport))
 	if r.Load == nil {
-		t.Errorf("health check: status %v without a report", r.Status)
+		t.Errorf("health check: status %v, want a load report", r.Status)
 	}
 	s.checkSurplus(1)
 	s.probeWith(responseFor(loadReport)) // on a new connection
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -66,7 +66,7 @@
 var streamBuffers = sync.Pool{New: func() any { return new([streamBufferSize]byte) }}
 
 // ErrRequestBodyTooLong means that a request body is larger than RequestStream.MaxBytes allows.
-var ErrRequestBodyTooLong = errors.New("the body is larger than it may be")
+var ErrRequestBodyTooLong = errors.New("the request body is larger than allowed")
 
 // RequestStream is a request body that is forwarded while it arrives. The first attempt that claims the body
 // owns it permanently, since the body cannot be sent a second time.
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -10,7 +10,7 @@
 )
 
 // ErrResponseTooLong means that a response is larger than ResponsePolicy.MaxBytes.
-var ErrResponseTooLong = errors.New("the answer is larger, or takes longer, than it may")
+var ErrResponseTooLong = errors.New("the response is larger than allowed")
 
 // Response is a response of an endpoint whose head is complete. Its body is Buffered, followed by the bytes of
 // Stream if that is not nil.
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -73,7 +73,7 @@
 	s.Helper()
 	c, wait, err := s.pool.takeOrOpen(s.Context(), s.target, true)
 	if err != nil || wait <= 0 {
-		s.Fatalf("a connection to wait for %v, error %v", wait, err)
+		s.Fatalf("wait %v, error %v, want a connection in its reuse delay", wait, err)
 	}
 	s.awaitObservation() // so that no observation from before is in progress
 	return c
@@ -87,7 +87,7 @@
 	c := s.takeConnInReuseDelay()
 	s.pause(c, longPause)
 	if usable, err := s.pool.awaitReuseDelay(t.Context(), c, 0); usable || err != nil {
-		t.Errorf("the connection is usable after a pause: %v, error %v", usable, err)
+		t.Errorf("usable %v, error %v after a pause, want false and no error", usable, err)
 	}
 }
 
@@ -105,7 +105,7 @@
 	s.awaitObservation()
 	s.pause(c, longPause)
 	if again := s.takeConnInReuseDelay(); again != c {
-		t.Error("the connection was not put back")
+		t.Error("the connection was not returned to the pool")
 	}
 }
 
@@ -121,7 +121,7 @@
 	}
 	io.WriteString(second.conn, responseFor("TEXT busy_reqs=9"))
 	if load := scriptedpeer.Receive(t, probed, "report"); len(load) == 0 || load[0] != 9 {
-		t.Errorf("load report %v, want one of 9 busy requests", load)
+		t.Errorf("load report %v, want 9 busy requests", load)
 	}
 }
 
@@ -160,7 +160,7 @@
 	const lateness = 300 * time.Millisecond // longer than any reuse delay without evidence
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 	if r := s.probeWith(responseFor(loadReport)); r.Load == nil {
-		t.Fatalf("health check: status %v without a report", r.Status)
+		t.Fatalf("health check: status %v, want a load report", r.Status)
 	}
 	s.ageResponses(2 * time.Hour)
 	s.complete("1")
@@ -170,7 +170,7 @@
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	if rest := clock.Duration(s.pool.reuseDelays.Rest(s.pool.options.Clock.Now(), s.target.endpoint)); rest < lateness {
-		t.Errorf("rest %v, want %v or more", rest, lateness)
+		t.Errorf("reuse delay %v, want %v or more", rest, lateness)
 	}
 }
 
--- a/internal/upstream/reuse_test.go
+++ b/internal/upstream/reuse_test.go
@@ -99,7 +99,7 @@
 	for i := range connections {
 		c := pool.mustGet(t, target)
 		if used[c] {
-			t.Fatalf("with %d connections at rest one of them was used", i)
+			t.Fatalf("one of %d connections in their reuse delays was used", i)
 		}
 		used[c] = true
 		pool.Put(c)
@@ -112,7 +112,7 @@
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	if c != reusable || pool.openConns != connections {
-		t.Error("one within its rest was used, or a new one, before one that has rested")
+		t.Error("got another connection than the idle one whose reuse delay has passed")
 	}
 }
 
--- a/internal/upstream/second_response_test.go
+++ b/internal/upstream/second_response_test.go
@@ -195,7 +195,7 @@
 func (s *secondResponseTest) mustOutwaitSecondResponse(used *net.TCPConn, id string) {
 	s.Helper()
 	if s.isServedTooEarly(used, id) {
-		s.Errorf("request %s was served with the second response to another one", id)
+		s.Errorf("request %s was served with a response to another request", id)
 	}
 }
 
@@ -234,7 +234,7 @@
 func (s *secondResponseTest) mustBeServedCorrectly(id string) {
 	s.Helper()
 	if s.isServedWrongly(id) {
-		s.Errorf("request %s was served with the second response to another one", id)
+		s.Errorf("request %s was served with a response to another request", id)
 	}
 }
 
@@ -392,7 +392,7 @@
 	req := scriptedpeer.Receive(t, s.endpoint.received, "request")
 	io.WriteString(req.conn, s.lastSent[req.conn]+responseFor("2"))
 	if s.isOtherResponse("2", scriptedpeer.Receive(t, result, "result")) {
-		t.Error("request 2 was served with the response to request 1 although its own was at hand")
+		t.Error("request 2 was served with the response to request 1 although its own response had arrived")
 	}
 }
 
@@ -413,7 +413,7 @@
 		return c, err
 	}
 	if s.isOtherResponse("1", scriptedpeer.Receive(t, s.startGet("1"), "result")) {
-		t.Error("request 1 was served with a response that was sent before it")
+		t.Error("request 1 was served with a response that was sent before the request")
 	}
 }
 
@@ -434,7 +434,7 @@
 		}
 	}
 	if wrongResponses > 1 {
-		t.Errorf("%d of 4 endpoints that stall the same had a wrong response, want 1 at most", wrongResponses)
+		t.Errorf("%d of 4 endpoints with equal stalls caused a wrong response, want at most 1", wrongResponses)
 	}
 }
 
@@ -550,7 +550,7 @@
 	s.respond(req)
 	r := scriptedpeer.Receive(t, result, "result")
 	if response, _ := r.Response.(*Response); response == nil || len(response.Interim) > 0 {
-		t.Errorf("status %v, response %+v, want one without the hints of request 1", r.Status, response)
+		t.Errorf("status %v, response %+v, want a response without the hints of request 1", r.Status, response)
 	}
 }
 
@@ -579,7 +579,7 @@
 				s.ageResponses(2 * time.Hour)
 			}
 			if r := s.probeWith(responseFor(loadReport)); r.Load == nil {
-				t.Fatalf("health check: status %v without a report", r.Status)
+				t.Fatalf("health check: status %v, want a load report", r.Status)
 			}
 			s.mustBeServedCorrectly("2")
 		})
@@ -591,12 +591,12 @@
 func TestSecondResponseReadByHealthCheck(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 	if r := s.probeWith(responseFor(loadReport)); r.Load == nil {
-		t.Fatalf("health check: status %v without a report", r.Status)
+		t.Fatalf("health check: status %v, want a load report", r.Status)
 	}
 	s.ageResponses(2 * time.Hour)
 	s.complete("1")
 	if r := s.probeWith(responseFor("1")); r.Load != nil {
-		t.Fatalf("health check: status %v, load %v", r.Status, r.Load)
+		t.Fatalf("health check: status %v, load %v, want no load", r.Status, r.Load)
 	}
 	s.checkSurplus(1)
 	s.mustBeServedCorrectly("2")
@@ -680,7 +680,7 @@
 			}
 			r := scriptedpeer.Receive(t, s.start(pausedAttempt, keyedRequest), "result")
 			if !neverRan(r.Status) || len(s.endpoint.received) != 0 {
-				t.Fatalf("status %v, %d received, want one that never ran",
+				t.Fatalf("status %v, %d requests received, want a status that proves that the request never ran",
 					r.Status, len(s.endpoint.received))
 			}
 			if streamsBody {
