--- a/internal/decide/maintenance/follower.go
+++ b/internal/decide/maintenance/follower.go
@@ -62,7 +62,7 @@
 	f.leaseEnd = leaseEnd
 }
 
-// NextReport returns the next report, which the caller must send at now. inFlight returns the number of requests that
+// NextReport returns the next report, which the caller must send at now. connInFlight returns the number of requests that
 // are in flight at a machine.
 func (f *Follower) NextReport(now monotime.Micros, inFlight func(machine string) int) Report {
 	f.lastSequence++
--- a/internal/simulation/operation.go
+++ b/internal/simulation/operation.go
@@ -93,7 +93,7 @@
 	response      engine.Response
 	responded     bool // the instance has sent its response
 	submitted     bool // the engine has it
-	inFlightIndex int  // in its instance's inFlight
+	inFlightIndex int  // in its instance's connInFlight
 	effects       int  // executions that had an effect
 }
 
--- a/internal/upstream/buffered.go
+++ b/internal/upstream/buffered.go
@@ -149,7 +149,7 @@
 func (p *Pool) roundTrip(ctx context.Context, c *Conn, encodedRequest []byte, writtenCount *atomic.Uint64,
 	release func(keepConn bool)) engine.AttemptResult {
 	stopCloseOnCancel := context.AfterFunc(ctx, func() { c.Conn.Close() })
-	c.readLimit.N = maxResponseBytes
+	c.limitedReader.N = maxResponseBytes
 	n, err := c.inspectAndWrite(encodedRequest)
 	if err != nil {
 		stopCloseOnCancel()
@@ -195,7 +195,7 @@
 	digest := digestHead(response.statusCode, response.Header) + digestBody(response.Body)
 	if c.isSecondResponse(digest) {
 		p.recordRepeatedResponse(c)
-		c.readLimit.N = maxResponseBytes
+		c.limitedReader.N = maxResponseBytes
 		response, err = c.readResponse()
 		return response, false, err
 	}
--- a/internal/upstream/buffered_test.go
+++ b/internal/upstream/buffered_test.go
@@ -98,10 +98,10 @@
 	})
 	request := newIdempotentPost(strings.Repeat("x", 1000))
 	for _, tc := range []struct {
-		name           string
-		unwrittenBytes int
-		after          bool
-		want           balancer.Status
+		name            string
+		unwrittenBytes  int
+		failsAfterWrite bool
+		want            balancer.Status
 	}{
 		{"all but one byte", 1, false, balancer.ConnectFailed},
 		{"no byte", 1 << 20, false, balancer.ConnectFailed},
@@ -113,7 +113,7 @@
 			dial := pool.options.Dial
 			pool.options.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := dial(ctx, network, addr)
-				return truncatingConn{c, tc.unwrittenBytes, tc.after}, err
+				return truncatingConn{c, tc.unwrittenBytes, tc.failsAfterWrite}, err
 			}
 			if r := pool.sendOnce(request, pool.newTarget(addr)); r.Status != tc.want {
 				t.Errorf("status %v, want %v", r.Status, tc.want)
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -109,7 +109,7 @@
 		return result, false
 	}
 	policy := e.request.Policy
-	e.conn.readLimit.N = math.MaxInt64
+	e.conn.limitedReader.N = math.MaxInt64
 	result.Status = policy.classify(response)
 	result.Load = e.takeLoadReport(response)
 	result.Response = response
@@ -150,7 +150,7 @@
 // the status of the attempt if the request could not be written.
 func (e *exchange) writeRequest(firstPiece []byte) balancer.Status {
 	stream := e.request.Stream
-	e.conn.readLimit.N = maxResponseHeadBytes
+	e.conn.limitedReader.N = maxResponseHeadBytes
 	e.conn.SetDeadline(time.Time{})
 	n, err := e.conn.inspectAndWrite(firstPiece)
 	switch {
@@ -192,7 +192,7 @@
 		digest:    newStreamDigest(e.digest),
 		policy:    policy,
 		remaining: math.MaxInt64,
-		ended:     make(chan error, 1),
+		finished:  make(chan error, 1),
 	}
 	if policy.MaxBytes > 0 {
 		stream.remaining = policy.MaxBytes - int64(len(response.Buffered))
@@ -210,7 +210,7 @@
 	result.Response = nil // owned by the frontend from now on
 	var err error
 	select {
-	case err = <-stream.ended:
+	case err = <-stream.finished:
 	case <-ctx.Done(): // the client closed its connection before the response was forwarded
 		return e.pool.newResult(balancer.Cancelled), false
 	}
@@ -241,7 +241,7 @@
 func (e *exchange) prepareForNextHead() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.conn.readLimit.N = maxResponseHeadBytes
+	e.conn.limitedReader.N = maxResponseHeadBytes
 	e.conn.SetReadDeadline(time.Time{})
 	e.headReadEnded = false
 	if e.sentAt.Load() != 0 {
--- a/internal/upstream/inspect.go
+++ b/internal/upstream/inspect.go
@@ -196,9 +196,9 @@
 func (p *Pool) observeReuseDelays() {
 	for shouldContinue := true; shouldContinue; {
 		time.Sleep(observationInterval)
-		used := p.processorTimes.sinceLastRead(time.Now())
+		threadTimes := p.processorTimes.sinceLastRead(time.Now())
 		p.mu.Lock()
-		p.reuseDelays.ObserveProcessorTime(p.options.Clock.Now(), used.ran, used.waited)
+		p.reuseDelays.ObserveProcessorTime(p.options.Clock.Now(), threadTimes.ran, threadTimes.waited)
 		p.recordDelayLocked()
 		p.inspectArrivalsLocked()
 		p.dropReusableLocked()
--- a/internal/upstream/paused_client_test.go
+++ b/internal/upstream/paused_client_test.go
@@ -101,8 +101,8 @@
 	endpoint := startManualEndpoint(t)
 	client := startPausedClient(t, endpoint.addr, mode)
 	fmt.Fprintln(client.ids, "1")
-	first := scriptedpeer.Receive(t, endpoint.received, "request 1")
-	io.WriteString(first.conn, responseFor("1"))
+	firstRequest := scriptedpeer.Receive(t, endpoint.received, "request 1")
+	io.WriteString(firstRequest.conn, responseFor("1"))
 	if line, err := client.output.ReadString('\n'); line != "0 1\n" {
 		t.Fatalf("request 1: output %q, error %v", line, err)
 	}
@@ -110,16 +110,16 @@
 	fmt.Fprintln(client.ids, "2")
 	time.Sleep(pause) // the endpoint sends no bytes either
 	client.signal(t, syscall.SIGCONT)
-	var second receivedRequest
+	var secondRequest receivedRequest
 	select {
-	case second = <-endpoint.received:
+	case secondRequest = <-endpoint.received:
 	case <-time.After(secondResponseDelay):
 	}
-	io.WriteString(first.conn, responseFor("1"))
-	if second.conn == nil {
-		second = scriptedpeer.Receive(t, endpoint.received, "request 2")
+	io.WriteString(firstRequest.conn, responseFor("1"))
+	if secondRequest.conn == nil {
+		secondRequest = scriptedpeer.Receive(t, endpoint.received, "request 2")
 	}
-	io.WriteString(second.conn, responseFor("2"))
+	io.WriteString(secondRequest.conn, responseFor("2"))
 	if line, err := client.output.ReadString('\n'); line != "0 2\n" {
 		t.Errorf("request 2: output %q, error %v", line, err)
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -118,8 +118,8 @@
 		surplus:        newSurplusCounts(),
 		processorTimes: processorTimes{directory: o.threadsDirectory},
 	}
-	used := p.processorTimes.sinceLastRead(time.Now())
-	p.reuseDelays.ObserveProcessorTime(o.Clock.Now(), used.ran, used.waited)
+	threadTimes := p.processorTimes.sinceLastRead(time.Now())
+	p.reuseDelays.ObserveProcessorTime(o.Clock.Now(), threadTimes.ran, threadTimes.waited)
 	return p
 }
 
@@ -156,7 +156,7 @@
 type Conn struct {
 	net.Conn
 	raw             syscall.RawConn  // nil if the connection has no descriptor
-	readLimit       io.LimitedReader // reads from Conn; N is the number of bytes that may still be read
+	limitedReader   io.LimitedReader // reads from Conn; N is the number of bytes that may still be read
 	reader          *bufio.Reader
 	target          *Target
 	idleSince       time.Time // when the connection was last used, or opened
@@ -178,8 +178,8 @@
 	if sc, ok := netConn.(syscall.Conn); ok {
 		c.raw, _ = sc.SyscallConn() // fails only for a closed connection, which has no descriptor either
 	}
-	c.readLimit.R = netConn
-	c.reader = bufio.NewReaderSize(&c.readLimit, connReadBufferSize)
+	c.limitedReader.R = netConn
+	c.reader = bufio.NewReaderSize(&c.limitedReader, connReadBufferSize)
 	return c
 }
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -93,12 +93,12 @@
 	if pool.sendOnce(newPlainGet(), newTarget); dials.Load() != 2 {
 		t.Errorf("%d connections to two endpoints at one address, want 2", dials.Load())
 	}
-	inFlight, err := pool.Get(ctx, oldTarget)
+	connInFlight, err := pool.Get(ctx, oldTarget)
 	if err != nil {
 		t.Fatal(err)
 	}
 	oldTarget.Drop()
-	pool.Put(inFlight)
+	pool.Put(connInFlight)
 	if pool.openConns != 1 || len(oldTarget.idle) != 0 {
 		t.Errorf("%d connections open, %d idle to a dropped target, want 1 and 0", pool.openConns, len(oldTarget.idle))
 	}
@@ -237,16 +237,16 @@
 	if r.Status != balancer.NotSent || len(target.idle) != 1 || !target.idle[0].idleSince.Equal(lastUsed) {
 		t.Fatalf("status %v; idle since %v, last used at %v", r.Status, target.idle[0].idleSince, lastUsed)
 	}
-	old := pool.mustGet(t, target)
-	fresh := pool.mustGet(t, target)
-	pool.Put(fresh)
-	pool.putUnused(old)
-	if pool.mustGet(t, target) != fresh {
+	olderConn := pool.mustGet(t, target)
+	newerConn := pool.mustGet(t, target)
+	pool.Put(newerConn)
+	pool.putUnused(olderConn)
+	if pool.mustGet(t, target) != newerConn {
 		t.Error("a connection that was returned unused was preferred to one used later")
 	}
-	pool.Put(fresh)
-	old.idleSince = old.idleSince.Add(-pool.maxIdleTime / 2)
-	if pool.sweep(); len(target.idle) != 1 || target.idle[0] != fresh {
+	pool.Put(newerConn)
+	olderConn.idleSince = olderConn.idleSince.Add(-pool.maxIdleTime / 2)
+	if pool.sweep(); len(target.idle) != 1 || target.idle[0] != newerConn {
 		t.Errorf("%d idle connections after the older one expired, want only the newer one", len(target.idle))
 	}
 }
@@ -443,9 +443,9 @@
 				i, took, r.ObservedAt-r.SentAt)
 		}
 	}
-	canceled, cancel := context.WithCancel(context.Background())
+	canceledCtx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if r := send(canceled); r.Status != balancer.NotSent {
+	if r := send(canceledCtx); r.Status != balancer.NotSent {
 		t.Errorf("canceled attempt: status %v, want NotSent", r.Status)
 	}
 	if r := send(context.Background()); r.Status != balancer.OK {
--- a/internal/upstream/repeated_test.go
+++ b/internal/upstream/repeated_test.go
@@ -112,13 +112,13 @@
 			request.ResponseTimeout = maxAttemptTime / 4
 			result := s.start(s.pool.newAttempt(s.target), request)
 			req := scriptedpeer.Receive(t, s.endpoint.received, "request 2")
-			statusLine, rest, _ := strings.Cut(responseFor("2"), "\n")
+			statusLine, remainder, _ := strings.Cut(responseFor("2"), "\n")
 			io.WriteString(req.conn, responseFor("1")+statusLine+"\n")
 			scriptedpeer.Eventually(t, "second response", func() bool { return s.pool.SurplusResponses() == 1 })
 			status := balancer.Timeout
 			body := ""
 			if completed {
-				io.WriteString(req.conn, rest)
+				io.WriteString(req.conn, remainder)
 				status = balancer.OK
 				body = "2"
 			}
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -33,15 +33,15 @@
 // ResponseStream is the part of a response body that is streamed. A single goroutine reads it, and calls Finish
 // when it does not need more of it.
 type ResponseStream struct {
-	conn      *Conn
-	body      *http1msg.Body
-	digest    *streamDigest // digest of the response, as far as it has been read
-	policy    *ResponsePolicy
-	deadline  time.Time // when BodyTimeout expires; zero: no limit
-	remaining int64     // number of bytes that may still be read
-	err       error
-	ended     chan error
-	once      sync.Once
+	conn       *Conn
+	body       *http1msg.Body
+	digest     *streamDigest // digest of the response, as far as it has been read
+	policy     *ResponsePolicy
+	deadline   time.Time // when BodyTimeout expires; zero: no limit
+	remaining  int64     // number of bytes that may still be read
+	err        error
+	finished   chan error
+	finishOnce sync.Once
 }
 
 // Read reads bytes that have arrived, and otherwise waits for them within the idle and body timeouts of the
@@ -77,5 +77,5 @@
 // Finish ends reading, either after the complete response or because the client has closed its connection. Only
 // the first call has an effect.
 func (r *ResponseStream) Finish() {
-	r.once.Do(func() { r.ended <- r.err })
+	r.finishOnce.Do(func() { r.finished <- r.err })
 }
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -97,9 +97,9 @@
 	s := newLongReuseDelayTest(t)
 	s.complete("1")
 	c := s.takeConnInReuseDelay()
-	cancelled, cancel := context.WithCancel(t.Context())
+	canceledCtx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := s.pool.awaitReuseDelay(cancelled, c, longPause); !errors.Is(err, context.Canceled) {
+	if _, err := s.pool.awaitReuseDelay(canceledCtx, c, longPause); !errors.Is(err, context.Canceled) {
 		t.Fatalf("error %v, want %v", err, context.Canceled)
 	}
 	s.awaitObservation()
@@ -116,8 +116,8 @@
 	probed := make(chan []float32, 1)
 	go func() { probed <- s.target.Probe().Load }()
 	second := scriptedpeer.Receive(t, s.endpoint.received, "health check 2")
-	for used, response := range s.lastSent {
-		io.WriteString(used, response)
+	for usedConn, response := range s.lastSent {
+		io.WriteString(usedConn, response)
 	}
 	io.WriteString(second.conn, responseFor("TEXT busy_reqs=9"))
 	if load := scriptedpeer.Receive(t, probed, "report"); len(load) == 0 || load[0] != 9 {
@@ -169,8 +169,10 @@
 	s.checkSurplus(1)
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	if rest := clock.Duration(s.pool.reuseDelays.Rest(s.pool.options.Clock.Now(), s.target.endpoint)); rest < lateness {
-		t.Errorf("reuse delay %v, want %v or more", rest, lateness)
+	if reuseDelay := clock.Duration(
+		s.pool.reuseDelays.Rest(s.pool.options.Clock.Now(), s.target.endpoint),
+	); reuseDelay < lateness {
+		t.Errorf("reuse delay %v, want %v or more", reuseDelay, lateness)
 	}
 }
 
@@ -214,7 +216,7 @@
 	// after the body is read.
 	response := "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 9000)
 	s := newLongReuseDelayTest(t)
-	used := s.complete("0")
+	usedConn := s.complete("0")
 	s.ageResponses(2 * time.Hour)
 	attempt := s.pool.newAttempt(s.target)
 	attempt.ResponseStarted = func(r engine.AttemptResult) bool {
@@ -230,7 +232,7 @@
 	}
 	result := s.start(attempt, tracedRequest("GET", "1"))
 	req := scriptedpeer.Receive(t, s.endpoint.received, "request")
-	if req.conn != used {
+	if req.conn != usedConn {
 		t.Fatal("the request came on another connection")
 	}
 	io.WriteString(req.conn, response+response)
--- a/internal/upstream/second_response_test.go
+++ b/internal/upstream/second_response_test.go
@@ -192,16 +192,16 @@
 // mustOutwaitSecondResponse makes a request that must not be served with a second response to the last request
 // on the connection used. The endpoint sends the second response as soon as the new request arrives on that
 // connection, or after secondResponseDelay. A pool that waits for longer detects it.
-func (s *secondResponseTest) mustOutwaitSecondResponse(used *net.TCPConn, id string) {
+func (s *secondResponseTest) mustOutwaitSecondResponse(usedConn *net.TCPConn, id string) {
 	s.Helper()
-	if s.isServedTooEarly(used, id) {
+	if s.isServedTooEarly(usedConn, id) {
 		s.Errorf("request %s was served with a response to another request", id)
 	}
 }
 
 // isServedTooEarly makes a request like mustOutwaitSecondResponse, and reports whether it was served with a
 // response to another request.
-func (s *secondResponseTest) isServedTooEarly(used *net.TCPConn, id string) bool {
+func (s *secondResponseTest) isServedTooEarly(usedConn *net.TCPConn, id string) bool {
 	s.Helper()
 	result := s.startGet(id)
 	var req receivedRequest
@@ -209,11 +209,11 @@
 	case req = <-s.endpoint.received:
 	case <-time.After(secondResponseDelay):
 	}
-	io.WriteString(used, s.lastSent[used])
+	io.WriteString(usedConn, s.lastSent[usedConn])
 	if req.conn == nil {
 		req = scriptedpeer.Receive(s, s.endpoint.received, "request")
 	}
-	if req.conn != used {
+	if req.conn != usedConn {
 		s.respond(req)
 		return s.isOtherResponse(id, scriptedpeer.Receive(s, result, "result"))
 	}
--- a/internal/upstream/surplus.go
+++ b/internal/upstream/surplus.go
@@ -16,7 +16,7 @@
 // surplusCounts counts surplus responses, and records what of them has been logged.
 type surplusCounts struct {
 	detected uint64 // number of surplus responses
-	suspect  uint64 // number of responses that may have been delivered to the wrong request
+	suspects uint64 // number of responses that may have been delivered to the wrong request
 
 	loggedEndpoints   map[reuse.Endpoint]struct{} // distrusted endpoints that have been logged
 	unloggedEndpoints map[reuse.Endpoint]struct{} // distrusted endpoints that have not been logged
@@ -85,19 +85,19 @@
 	if arrival != last {
 		lateness = max(1, lateness) // arrival has a precision of some milliseconds only
 	}
-	observed := reuse.SecondResponse{
+	secondResponse := reuse.SecondResponse{
 		Endpoint: c.target.endpoint,
 		Lateness: lateness,
 	}
 	if !previous.IsZero() {
-		observed.Interval = max(1, clock.Micros(last.Sub(previous)))
+		secondResponse.Interval = max(1, clock.Micros(last.Sub(previous)))
 	}
-	if _, known := p.surplus.loggedEndpoints[observed.Endpoint]; !known {
-		p.surplus.unloggedEndpoints[observed.Endpoint] = struct{}{}
+	if _, known := p.surplus.loggedEndpoints[secondResponse.Endpoint]; !known {
+		p.surplus.unloggedEndpoints[secondResponse.Endpoint] = struct{}{}
 	}
-	if p.reuseDelays.ObserveSecondResponse(p.options.Clock.Now(), observed) {
-		p.surplus.suspect++
-		p.surplus.unloggedSuspects[observed.Endpoint]++
+	if p.reuseDelays.ObserveSecondResponse(p.options.Clock.Now(), secondResponse) {
+		p.surplus.suspects++
+		p.surplus.unloggedSuspects[secondResponse.Endpoint]++
 	}
 }
 
@@ -113,7 +113,7 @@
 func (p *Pool) SuspectResponses() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.surplus.suspect
+	return p.surplus.suspects
 }
 
 // Evidence returns the evidence on second responses, for a process that takes over from this one.
@@ -134,7 +134,7 @@
 // surplusReport is the content of the messages that reportSurplus logs.
 type surplusReport struct {
 	distrusted map[reuse.Endpoint]time.Duration // newly distrusted endpoints, with the reuse delay of their connections
-	suspect    map[reuse.Endpoint]uint64        // number of responses that may have been delivered to the wrong request
+	suspects   map[reuse.Endpoint]uint64        // number of responses that may have been delivered to the wrong request
 }
 
 // reportSurplus discards old evidence. It logs the endpoints that became distrusted since the last call, and
@@ -145,7 +145,7 @@
 		p.options.Log.Warn("surplus response, connections reused late", "endpoint", endpoint.Address,
 			"delay", reuseDelay)
 	}
-	for endpoint, count := range report.suspect {
+	for endpoint, count := range report.suspects {
 		p.options.Log.Warn("response may belong to another request", "endpoint", endpoint.Address, "count", count)
 	}
 }
@@ -161,7 +161,7 @@
 			delete(p.surplus.loggedEndpoints, endpoint)
 		}
 	}
-	report := surplusReport{distrusted: map[reuse.Endpoint]time.Duration{}, suspect: p.surplus.unloggedSuspects}
+	report := surplusReport{distrusted: map[reuse.Endpoint]time.Duration{}, suspects: p.surplus.unloggedSuspects}
 	for endpoint := range p.surplus.unloggedEndpoints {
 		report.distrusted[endpoint] = clock.Duration(p.reuseDelays.Rest(now, endpoint))
 		p.surplus.loggedEndpoints[endpoint] = struct{}{}
