--- a/internal/http1msg/body.go
+++ b/internal/http1msg/body.go
@@ -278,7 +278,7 @@
 	if len(digits) == 0 || len(digits) > chunkSizeDigits {
 		return 0, ErrMalformedChunk
 	}
-	n, err := strconv.ParseUint(string(digits), chunkSizeBase, 64) // accepts neither a sign nor a prefix
+	n, err := strconv.ParseUint(string(digits), chunkSizeBase, 64) // ParseUint accepts neither a sign nor a prefix
 	if err != nil || n > math.MaxInt64 || bytes.IndexByte(digits, '_') >= 0 {
 		return 0, ErrMalformedChunk
 	}
--- a/internal/http1msg/head.go
+++ b/internal/http1msg/head.go
@@ -32,7 +32,7 @@
 	Reason string
 }
 
-// Error returns the reason.
+// Error returns why the head was rejected.
 func (e *HeadError) Error() string { return e.Reason }
 
 // errorf returns a *HeadError with a formatted reason.
--- a/internal/upstream/inspect.go
+++ b/internal/upstream/inspect.go
@@ -164,7 +164,7 @@
 type delayedConn struct {
 	conn         *Conn
 	lastResponse time.Time // Conn.lastResponse when the observation started; a different value ends it
-	nextCheck    time.Time
+	nextCheck    time.Time // when the remaining reuse delay is checked next
 }
 
 // observeReuseDelayLocked has an idle connection observed during its reuse delay. This detects a second
--- a/internal/upstream/parse.go
+++ b/internal/upstream/parse.go
@@ -109,7 +109,7 @@
 			err = errResponseTooLarge
 		}
 		if err == nil {
-			_, err = textproto.NewReader(c.reader).ReadMIMEHeader() // the trailer
+			_, err = textproto.NewReader(c.reader).ReadMIMEHeader() // reads the trailer fields
 		}
 		return body, err
 	case len(lengths) == 0 && len(encodings) == 0 &&
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -39,11 +39,11 @@
 // shortageLogInterval is the minimum time between two log messages about a shortage of connections.
 const shortageLogInterval = time.Second
 
-// Options configure a Pool.
+// Options are the settings of a Pool.
 type Options struct {
 	Clock       clock.Clock
 	Log         *slog.Logger
-	DialTimeout time.Duration // 0 means probeTimeout
+	DialTimeout time.Duration // maximum time for opening a connection; 0: probeTimeout
 	KeepAlive   time.Duration // the endpoints close a connection that has been idle for this long
 	MaxConns    int           // maximum number of connections that are open or being opened
 	ReuseDelay  time.Duration // time from a response until its connection is reused (DefaultReuseDelay); 0: none
--- a/internal/upstream/repeated_test.go
+++ b/internal/upstream/repeated_test.go
@@ -16,8 +16,9 @@
 // In the tests of this file, two responses are pending at once on a used connection. The response to request 1
 // is served. The endpoint then sends two responses after request 2 on the same connection.
 
-// ageBeyondReuseDelay is the age of the last response from which a connection is reusable. It is longer than
-// any reuse delay without evidence, and short enough for a second response to count as evidence.
+// ageBeyondReuseDelay is an age of the last response at which a connection is reusable. It is longer than any
+// reuse delay without evidence, and short enough for SuspectResponses to count a response behind which another
+// one arrives.
 const ageBeyondReuseDelay = 500 * time.Millisecond
 
 // newRepeatedResponseTest returns a test in which request 1 received the response first, and the reuse delay of
@@ -54,8 +55,8 @@
 	const dated = "Date: Thu, 03 Dec 2026 20:00:0"
 	large := strings.Repeat("x", 2*connReadBufferSize)
 	tests := map[string]struct {
-		first, second string // what the endpoint sends to requests 1 and 2
-		wantBody      string // of the response to request 2
+		first, second string // bytes that the endpoint sends after requests 1 and 2
+		wantBody      string // body of the response to request 2
 		wantSurplus   uint64
 		wantSuspect   uint64
 	}{
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -40,7 +40,7 @@
 	deadline   time.Time // when BodyTimeout expires; zero: no limit
 	remaining  int64     // number of bytes that may still be read
 	err        error
-	finished   chan error
+	finished   chan error // receives the error that ended reading, or nil, from Finish
 	finishOnce sync.Once
 }
 
--- a/internal/upstream/reuse.go
+++ b/internal/upstream/reuse.go
@@ -82,7 +82,7 @@
 	p.putLocked(c)
 }
 
-// awaitReuseDelay waits until the rest of a connection's reuse delay has passed, and reports whether the
+// awaitReuseDelay waits for wait, the remainder of a connection's reuse delay, and reports whether the
 // connection may then be used. If not, it has returned the connection to the pool, or closed it. An error is
 // that of ctx, or means that the endpoint is gone.
 func (p *Pool) awaitReuseDelay(ctx context.Context, c *Conn, wait time.Duration) (usable bool, err error) {
@@ -159,9 +159,9 @@
 	return p.takeEarliestReusableLocked(target)
 }
 
-// takeAtShortage returns a connection although this process lacks descriptors or ports to open one: a
-// connection whose reuse delay will pass soon, or a new connection after another idle one was closed. shortage
-// is the error of the failed dial, which takeAtShortage returns if it finds no connection.
+// takeAtShortage returns a connection although this process lacks descriptors or ports to open one. It returns
+// a connection whose reuse delay will pass soon, or closes an idle connection and opens a new one. If neither
+// is possible, it returns shortage, the error of the failed dial.
 func (p *Pool) takeAtShortage(ctx context.Context, target *Target, shortage error) (*Conn, time.Duration, error) {
 	p.mu.Lock()
 	c, wait := p.takeReusableLocked(target, true)
--- a/internal/upstream/second_response_test.go
+++ b/internal/upstream/second_response_test.go
@@ -190,8 +190,8 @@
 const secondResponseDelay = 5 * time.Millisecond
 
 // mustOutwaitSecondResponse makes a request that must not be served with a second response to the last request
-// on the connection used. The endpoint sends the second response as soon as the new request arrives on that
-// connection, or after secondResponseDelay. A pool that waits for longer detects it.
+// on usedConn. The endpoint sends the second response as soon as the new request arrives on usedConn, or after
+// secondResponseDelay. A pool that waits for longer detects it.
 func (s *secondResponseTest) mustOutwaitSecondResponse(usedConn *net.TCPConn, id string) {
 	s.Helper()
 	if s.isServedTooEarly(usedConn, id) {
@@ -449,7 +449,7 @@
 			c := s.onlyIdle()
 			io.WriteString(endpointConn, responseFor("1"))
 			s.awaitBytes(c.Conn)
-			endpointConn = s.complete("2") // on another connection
+			endpointConn = s.complete("2") // on a new connection, since the first one has unread bytes
 			s.checkSurplus(1)
 			if anotherEndpoint {
 				s.useNewEndpoint()
--- a/internal/upstream/surplus.go
+++ b/internal/upstream/surplus.go
@@ -13,7 +13,7 @@
 // DefaultDistrustedReuseDelay is the usual Options.DistrustedReuseDelay.
 const DefaultDistrustedReuseDelay = 40 * time.Millisecond
 
-// surplusCounts counts surplus responses, and records what of them has been logged.
+// surplusCounts counts surplus responses, and tracks which of them have been logged.
 type surplusCounts struct {
 	detected uint64 // number of surplus responses
 	suspects uint64 // number of responses that may have been delivered to the wrong request
@@ -23,7 +23,7 @@
 	unloggedSuspects  map[reuse.Endpoint]uint64   // part of suspect that has not been logged, by endpoint
 }
 
-// newSurplusCounts returns counts of 0.
+// newSurplusCounts returns surplusCounts without any responses.
 func newSurplusCounts() surplusCounts {
 	return surplusCounts{
 		loggedEndpoints:   map[reuse.Endpoint]struct{}{},
