--- a/internal/http1msg/body_test.go
+++ b/internal/http1msg/body_test.go
@@ -13,13 +13,14 @@
 	"testing/iotest"
 )
 
-// read reads a body from text to its end or to its first error.
+// read reads a body with framing f from text, to its end or to its first error. It also returns the Body.
 func read(text string, f Framing) ([]byte, *Body, error) {
 	b := NewBody(bufio.NewReader(strings.NewReader(text)), f)
 	got, err := io.ReadAll(b)
 	return got, b, err
 }
 
+// Body reads valid chunked bodies, and rejects malformed, oversized and truncated ones with the matching error.
 func TestBodyReadsChunks(t *testing.T) {
 	for _, tc := range []struct {
 		text, want string
@@ -59,15 +60,17 @@
 	} {
 		got, b, err := read(tc.text, Framing{Kind: Chunked})
 		if string(got) != tc.want || !errors.Is(err, tc.err) || (err == nil) != b.Done() {
-			t.Errorf("%.60q: %q, %v, want %q, %v", tc.text, got, err, tc.want, tc.err)
+			t.Errorf("%.60q: body %q, error %v, want %q, %v", tc.text, got, err, tc.want, tc.err)
 		}
 	}
 	if _, b, err := read("0\r\nX-Sum:\t7 \r\nx-sum: 8\r\n\r\n", Framing{Kind: Chunked}); err != nil ||
 		!reflect.DeepEqual(b.Trailer(), http.Header{"X-Sum": {"7", "8"}}) {
-		t.Errorf("trailer %v, %v", b.Trailer(), err)
+		t.Errorf("trailer %v, error %v", b.Trailer(), err)
 	}
 }
 
+// RequestFraming and ResponseFraming return the framing of a header, or the same error. Responses to HEAD, and
+// with status 1xx, 204 and 304, have no body.
 func TestFraming(t *testing.T) {
 	header := func(pairs ...string) http.Header {
 		h := http.Header{}
@@ -98,40 +101,40 @@
 		{header("Content-Length", "9223372036854775808"), Framing{}, Framing{}, ErrContentLength},
 	} {
 		if f, err := RequestFraming(tc.header); f != tc.request || !errors.Is(err, tc.err) {
-			t.Errorf("request with %v: %v, %v", tc.header, f, err)
+			t.Errorf("request with header %v: framing %v, error %v", tc.header, f, err)
 		}
 		if f, err := ResponseFraming("GET", 200, tc.header); f != tc.response || !errors.Is(err, tc.err) {
-			t.Errorf("response with %v: %v, %v", tc.header, f, err)
+			t.Errorf("response with header %v: framing %v, error %v", tc.header, f, err)
 		}
-		for _, none := range []struct {
+		for _, noBody := range []struct {
 			method string
 			code   int
 		}{{"HEAD", 200}, {"GET", 204}, {"GET", 304}, {"GET", 103}} {
-			f, err := ResponseFraming(none.method, none.code, tc.header)
+			f, err := ResponseFraming(noBody.method, noBody.code, tc.header)
 			if f.Kind != NoBody || !errors.Is(err, tc.err) {
-				t.Errorf("%v with %v: %v, %v", none, tc.header, f, err)
+				t.Errorf("response to %v with header %v: framing %v, error %v", noBody, tc.header, f, err)
 			}
 		}
 	}
 }
 
-// A deadline that passes anywhere in a body loses none of it.
+// No byte may be lost when a read deadline passes at any place in a body.
 func TestBodyContinuesAfterDeadlines(t *testing.T) {
 	text := "3;x=y\r\nabc\r\n10\r\n0123456789abcdef\r\n0\r\nX-Sum: 7\r\n\r\n"
 	reader := &temporarilyFailingReader{r: iotest.OneByteReader(strings.NewReader(text))}
 	b := NewBody(bufio.NewReader(reader), Framing{Kind: Chunked})
 	var got []byte
-	for passed := 0; ; {
+	for deadlinesPassed := 0; ; {
 		p := make([]byte, 7)
 		n, err := b.Read(p)
 		got = append(got, p[:n]...)
 		if errors.Is(err, errTemporary) {
-			passed++
+			deadlinesPassed++
 			continue
 		}
 		if errors.Is(err, io.EOF) {
-			if passed < len(text)/2 {
-				t.Errorf("only %d deadlines passed", passed)
+			if deadlinesPassed < len(text)/2 {
+				t.Errorf("only %d deadlines passed while the body was read", deadlinesPassed)
 			}
 			break
 		}
@@ -140,13 +143,14 @@
 		}
 	}
 	if string(got) != "abc0123456789abcdef" || b.Trailer().Get("X-Sum") != "7" {
-		t.Errorf("%q, %v", got, b.Trailer())
+		t.Errorf("body %q, trailer %v", got, b.Trailer())
 	}
 }
 
+// errTemporary is the error of a read whose deadline has passed.
 var errTemporary = errors.New("a deadline")
 
-// temporarilyFailingReader fails with errTemporary before each read that succeeds.
+// temporarilyFailingReader fails with errTemporary before each successful read.
 type temporarilyFailingReader struct {
 	r    io.Reader
 	fail bool
@@ -159,8 +163,8 @@
 	return f.r.Read(p)
 }
 
-// net/http reads an accepted chunked body with the same bytes, the pieces in which a body arrives make no
-// difference, and a body that is written is read with the same bytes and trailers.
+// For each accepted chunked body: net/http reads the same bytes, the result does not depend on the pieces in
+// which the body arrives, and the body is read unchanged, with its trailer fields, after it was encoded again.
 func FuzzChunks(f *testing.F) {
 	for _, s := range []string{
 		"0\r\n\r\n", "3\r\nabc\r\n0\r\nA: b\r\n\r\n", "3;x\r\nabc\r\n00\r\n\r\nnext",
@@ -173,23 +177,24 @@
 		slow := NewBody(bufio.NewReader(iotest.OneByteReader(bytes.NewReader(text))), Framing{Kind: Chunked})
 		gotSlow, errSlow := io.ReadAll(slow)
 		if !bytes.Equal(got, gotSlow) || !errors.Is(errSlow, err) {
-			t.Fatalf("%q: %q, %v at once, %q, %v byte by byte", text, got, err, gotSlow, errSlow)
+			t.Fatalf("%q: body %q, error %v if read at once; body %q, error %v byte by byte",
+				text, got, err, gotSlow, errSlow)
 		}
 		if err != nil {
 			return
 		}
 		std, err := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(text)))
 		if err != nil || !bytes.Equal(std, got) {
-			t.Fatalf("%q: %q; net/http reads %q, %v", text, got, std, err)
+			t.Fatalf("%q: body %q; net/http reads %q, error %v", text, got, std, err)
 		}
-		var again []byte
+		var reencoded []byte
 		if len(got) > 0 {
-			again = append(append(AppendChunkHeader(nil, len(got)), got...), crlf...)
+			reencoded = append(append(AppendChunkHeader(nil, len(got)), got...), crlf...)
 		}
-		again = AppendLastChunk(again, b.Trailer())
-		got2, b2, err := read(string(again), Framing{Kind: Chunked})
-		if err != nil || !bytes.Equal(got2, got) || len(b2.Trailer()) != len(b.Trailer()) {
-			t.Errorf("%q written again: %q, %v", again, got2, err)
+		reencoded = AppendLastChunk(reencoded, b.Trailer())
+		gotAgain, bodyAgain, err := read(string(reencoded), Framing{Kind: Chunked})
+		if err != nil || !bytes.Equal(gotAgain, got) || len(bodyAgain.Trailer()) != len(b.Trailer()) {
+			t.Errorf("re-encoded body %q: body %q, error %v", reencoded, gotAgain, err)
 		}
 	})
 }
--- a/internal/upstream/buffered_test.go
+++ b/internal/upstream/buffered_test.go
@@ -17,7 +17,7 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// A value of a load report that is missing or invalid is not that of an idle endpoint.
+// A missing or invalid value of a load report must be NaN and not 0, the value of an idle endpoint.
 func TestParseLoad(t *testing.T) {
 	fields := []string{"busy_reqs", "served_ps", "cpu_share"}
 	for _, tc := range []struct{ text, want string }{
@@ -35,19 +35,22 @@
 	}
 }
 
-// A request is written once, also where an http.Transport would write it again: on a reused connection that breaks
-// after the endpoint has read the request.
+// A request must be written only once, even on a reused connection that breaks after the endpoint has read the
+// request. An http.Transport would write it again.
 func TestBrokenIdleConnectionIsNotResent(t *testing.T) {
-	for name, m := range map[string]*BufferedRequest{"get": plainGet(), "idempotency key": idempotentPost("x")} {
+	for name, request := range map[string]*BufferedRequest{
+		"get":             newPlainGet(),
+		"idempotency key": newIdempotentPost("x"),
+	} {
 		t.Run(name, func(t *testing.T) {
 			var received atomic.Int32
 			pool := newPool()
-			to := pool.newTarget(scriptedpeer.StartTCP(t, respondOnce(&received)))
-			if r := pool.sendOnce(m, to); r.Status != balancer.OK {
-				t.Fatalf("first: status %v", r.Status)
+			target := pool.newTarget(scriptedpeer.StartTCP(t, respondToFirstRequest(&received)))
+			if r := pool.sendOnce(request, target); r.Status != balancer.OK {
+				t.Fatalf("request 1: status %v, want OK", r.Status)
 			}
-			if r := pool.sendOnce(m, to); r.Status != balancer.Reset {
-				t.Errorf("second: status %v, want Reset", r.Status)
+			if r := pool.sendOnce(request, target); r.Status != balancer.Reset {
+				t.Errorf("request 2: status %v, want Reset", r.Status)
 			}
 			if n := received.Load(); n != 2 {
 				t.Errorf("the endpoint received %d requests, want 2", n)
@@ -56,8 +59,9 @@
 	}
 }
 
-// respondOnce serves connections that break after their second request has been read, and counts the requests.
-func respondOnce(received *atomic.Int32) func(c *net.TCPConn, r *bufio.Reader) {
+// respondToFirstRequest returns an endpoint that responds to the first request on a connection and closes the
+// connection when it has read the second. It counts the requests in received.
+func respondToFirstRequest(received *atomic.Int32) func(c *net.TCPConn, r *bufio.Reader) {
 	return func(c *net.TCPConn, r *bufio.Reader) {
 		for i := range 2 {
 			if _, err := scriptedpeer.ReadRequest(r); err != nil {
@@ -70,33 +74,34 @@
 	}
 }
 
-// truncatingConn is a connection whose writes fail before their last bytes, or after them.
+// truncatingConn is a connection whose writes fail before their last bytes are written, or afterwards.
 type truncatingConn struct {
 	net.Conn
-	missing int  // bytes that are not written
-	after   bool // a complete write fails, too
+	unwrittenBytes  int  // number of bytes at the end of a write that are not written
+	failsAfterWrite bool // writes fail although all bytes are written
 }
 
 func (s truncatingConn) Write(p []byte) (int, error) {
-	n, err := s.Conn.Write(p[:max(0, len(p)-s.missing)])
-	if s.missing > 0 || s.after {
+	n, err := s.Conn.Write(p[:max(0, len(p)-s.unwrittenBytes)])
+	if s.unwrittenBytes > 0 || s.failsAfterWrite {
 		err = net.ErrClosed
 	}
 	return n, err
 }
 
-// A request may have run if its last byte was written, and has not otherwise.
+// An attempt has the status ConnectFailed, which means that it never ran, unless the last byte of the request
+// was written.
 func TestLastByteDecides(t *testing.T) {
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		scriptedpeer.ReadRequest(r)
-		c.SetLinger(0) // breaks with a reset
+		c.SetLinger(0) // closing the connection resets it
 	})
-	m := idempotentPost(strings.Repeat("x", 1000))
+	request := newIdempotentPost(strings.Repeat("x", 1000))
 	for _, tc := range []struct {
-		name    string
-		missing int
-		after   bool
-		want    balancer.Status
+		name            string
+		unwrittenBytes  int
+		failsAfterWrite bool
+		want            balancer.Status
 	}{
 		{"all but one byte", 1, false, balancer.ConnectFailed},
 		{"no byte", 1 << 20, false, balancer.ConnectFailed},
@@ -108,22 +113,22 @@
 			dial := pool.options.Dial
 			pool.options.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := dial(ctx, network, addr)
-				return truncatingConn{c, tc.missing, tc.after}, err
+				return truncatingConn{c, tc.unwrittenBytes, tc.failsAfterWrite}, err
 			}
-			if r := pool.sendOnce(m, pool.newTarget(addr)); r.Status != tc.want {
+			if r := pool.sendOnce(request, pool.newTarget(addr)); r.Status != tc.want {
 				t.Errorf("status %v, want %v", r.Status, tc.want)
 			}
 		})
 	}
 	pool := newPool()
-	if r := pool.sendOnce(m, pool.newTarget(scriptedpeer.ClosedAddress(t))); r.Status != balancer.ConnectFailed {
+	if r := pool.sendOnce(request, pool.newTarget(scriptedpeer.ClosedAddress(t))); r.Status != balancer.ConnectFailed {
 		t.Errorf("closed port: status %v, want ConnectFailed", r.Status)
 	}
 }
 
-// The status of an attempt by the endpoint's response. Only a marked 503 or 504 proves that the request never ran, and
-// only a complete 200 is a success.
-func TestAnswers(t *testing.T) {
+// The status of an attempt follows from the response. Only a 503 or 504 with X-Never-Ran proves that the
+// request never ran, and only a complete 200 is a success.
+func TestStatusOfResponses(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		response string
@@ -165,7 +170,7 @@
 				io.WriteString(c, tc.response)
 			})
 			pool := newPool()
-			r := pool.sendOnce(idempotentPost("x"), pool.newTarget(addr))
+			r := pool.sendOnce(newIdempotentPost("x"), pool.newTarget(addr))
 			if r.Status != tc.want {
 				t.Errorf("status %v, want %v", r.Status, tc.want)
 			}
@@ -176,9 +181,9 @@
 	}
 }
 
-// A response that does not end, or has a length that is not accepted, fails at once, although its connection stays
-// open: the attempt would otherwise last until its deadline.
-func TestAnswerWithoutEnd(t *testing.T) {
+// A response that stalls before its end, or has an unacceptable length, must fail within maxResponseStall even
+// if the connection stays open. Otherwise the attempt would last until its deadline.
+func TestResponseWithoutEnd(t *testing.T) {
 	for _, response := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
 		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok",
@@ -192,32 +197,33 @@
 		})
 		pool := newPool()
 		start := time.Now()
-		r := pool.sendOnce(idempotentPost("x"), pool.newTarget(addr))
+		r := pool.sendOnce(newIdempotentPost("x"), pool.newTarget(addr))
 		if took := time.Since(start); r.Status != balancer.Reset || took > 5*maxResponseStall {
 			t.Errorf("%q: status %v after %v, want Reset at once", response, r.Status, took)
 		}
 		if pool.openConns != 0 {
-			t.Errorf("%q: its connection is open", response)
+			t.Errorf("response %q: its connection is still open", response)
 		}
 	}
 }
 
-// A response may follow an interim (1xx) response after more than maxResponseStall.
+// The final response may arrive more than maxResponseStall after an interim (1xx) response.
 func TestSlowAfterInterim(t *testing.T) {
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		scriptedpeer.ReadRequest(r)
 		io.WriteString(c, "HTTP/1.1 102 Wait\r\n\r\n")
-		time.Sleep(2 * maxResponseStall) // the endpoint works
+		time.Sleep(2 * maxResponseStall) // the endpoint processes the request
 		io.WriteString(c, okResponse)
 	})
 	pool := newPool()
-	if r := pool.sendOnce(idempotentPost("x"), pool.newTarget(addr)); r.Status != balancer.OK {
+	if r := pool.sendOnce(newIdempotentPost("x"), pool.newTarget(addr)); r.Status != balancer.OK {
 		t.Errorf("status %v, want OK", r.Status)
 	}
 }
 
-// A response with more bytes behind it succeeds, and these bytes are the response to no request.
-func TestMoreBehindAnswer(t *testing.T) {
+// An attempt must succeed if more bytes follow its response, and these bytes must not be taken for the response
+// to the next request.
+func TestBytesBehindResponse(t *testing.T) {
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
 			req, err := scriptedpeer.ReadRequest(r)
@@ -230,11 +236,11 @@
 		}
 	})
 	pool := newPool()
-	to := pool.newTarget(addr)
+	target := pool.newTarget(addr)
 	for i := range 4 {
-		m := plainGet()
-		m.Header.Set("X-Trace-Id", fmt.Sprint(i))
-		r := pool.sendOnce(m, to)
+		request := newPlainGet()
+		request.Header.Set("X-Trace-Id", fmt.Sprint(i))
+		r := pool.sendOnce(request, target)
 		response, _ := r.Response.(*BufferedResponse)
 		if r.Status != balancer.OK || string(response.Body) != fmt.Sprint(i) {
 			t.Errorf("request %d: status %v, response %v", i, r.Status, response)
@@ -242,7 +248,8 @@
 	}
 }
 
-// A health check requests a load report where there are any, and the health path elsewhere. It ends after probeTimeout.
+// A health check requests a load report if the pool has load fields, and the health path otherwise. It fails if
+// there is no response within probeTimeout.
 func TestProbe(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -262,15 +269,15 @@
 		t.Errorf("probe without reports: status %v, load %v", r.Status, r.Load)
 	}
 	ended := make(chan error, 1)
-	mute := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+	silentAddr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		scriptedpeer.ReadRequest(r)
 		_, err := r.ReadByte()
 		ended <- err
 	})
-	if r := newPool().newTarget(mute).Probe(); r.Status == balancer.OK {
-		t.Error("a probe without a response is ok")
+	if r := newPool().newTarget(silentAddr).Probe(); r.Status == balancer.OK {
+		t.Error("a probe without a response has status OK")
 	}
-	if err := scriptedpeer.Receive(t, ended, "end of a mute probe"); err == nil {
-		t.Error("more was written to a mute probe")
+	if err := scriptedpeer.Receive(t, ended, "end of the unanswered probe"); err == nil {
+		t.Error("bytes were written after the unanswered probe")
 	}
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -17,79 +17,82 @@
 	"dunlinsail/internal/http1msg"
 )
 
-// bufferWindow is how long the body of a response is buffered. One that has not ended by then is streamed.
+// bufferWindow is how long the body of a response is buffered. A body that has not ended by then is streamed.
 const bufferWindow = 20 * time.Millisecond
 
-// initialBodyBuffer is the size in bytes at which the buffer of a response body of unknown length starts.
+// initialBodyBuffer is the initial size in bytes of the buffer for a response body of unknown length.
 const initialBodyBuffer = 512
 
-// maxResponseHeadBytes bounds the heads of one response, those of interim (1xx) responses included.
+// maxResponseHeadBytes is the maximum size in bytes of the head of a response together with the interim (1xx)
+// responses before it.
 const maxResponseHeadBytes = 64 << 10
 
-// Send makes one attempt (core.AttemptFunc, but for the request). The Response of its result is a *Response.
+// Send makes one attempt, as core.AttemptFunc describes, and takes the request as an additional argument. The
+// Response of its result is a *Response.
 func (p *Pool) Send(ctx context.Context, attempt *core.AttemptContext, request *Request) engine.AttemptResult {
-	c, leftMs, status := p.acquire(ctx, attempt)
+	c, remainingMs, status := p.acquire(ctx, attempt)
 	if c == nil {
-		return p.result(status)
+		return p.newResult(status)
 	}
 	stream := request.Stream
 	if stream != nil && !stream.Claim() {
 		p.releaseUnused(c, attempt)
-		return p.result(balancer.NotSent)
+		return p.newResult(balancer.NotSent)
 	}
-	stop := context.AfterFunc(ctx, func() { c.Conn.Close() })
+	stopCloseOnCancel := context.AfterFunc(ctx, func() { c.Conn.Close() })
 	e := &exchange{pool: p, conn: c, request: request, attempt: attempt}
 	if stream != nil && request.ResponseTimeout > 0 {
-		leftMs = min(leftMs, request.ResponseTimeout.Milliseconds())
+		remainingMs = min(remainingMs, request.ResponseTimeout.Milliseconds())
 	}
-	result, keep := e.run(ctx, request.encode(leftMs))
+	result, reusable := e.run(ctx, request.encode(remainingMs))
 	result.SentAt = max(e.sentAt.Load(), c.availableAt)
 	if stream != nil {
 		stream.finish(e)
-		keep = keep && e.sentAt.Load() != 0 // otherwise the next request would be taken for the rest of the body
+		reusable = reusable && e.sentAt.Load() != 0 // else the next request would be read as the rest of the body
 	}
-	c.SetReadDeadline(time.Time{}) // that of the last wait for a part of the response
-	p.release(c, attempt, stop() && keep && p.nothingFollows(c))
+	c.SetReadDeadline(time.Time{}) // clears the deadline of the last read
+	p.release(c, attempt, stopCloseOnCancel() && reusable && p.nothingFollows(c))
 	return result
 }
 
-// nothingFollows reports whether nothing was read after the response that ends an exchange.
+// nothingFollows reports whether the read buffer is empty after the response that ends an exchange. It records
+// a response in the buffer as a surplus response.
 func (p *Pool) nothingFollows(c *Conn) bool {
 	if c.reader.Buffered() == 0 {
 		return true
 	}
-	if start, _ := c.reader.Peek(min(c.reader.Buffered(), len(requestTimeoutPrefix))); isSurplusResponse(start) {
-		p.noteSurplusBehind(c)
+	if unread, _ := c.reader.Peek(min(c.reader.Buffered(), len(requestTimeoutPrefix))); isSurplusResponse(unread) {
+		p.recordSurplusBehindResponse(c)
 	}
 	return false
 }
 
-// exchange is one attempt: a request written to a connection, and the response read from it.
+// exchange is one attempt: a request that is written to a connection, and the response that is read from it.
 type exchange struct {
 	pool        *Pool
 	conn        *Conn
 	request     *Request
 	attempt     *core.AttemptContext
-	bodyWritten chan struct{} // closed once forwardBody has written the streaming body or failed; nil for other bodies
-	sentAt      atomic.Int64  // monotime.Micros: when its last byte was written; 0 is not yet
+	bodyWritten chan struct{} // closed once forwardBody has ended; nil if the body is not streamed
+	sentAt      atomic.Int64  // monotime.Micros at which the last byte of the request was written; 0: not yet
 
-	mu        sync.Mutex
-	responded bool // the response's head has been read, or could not be
+	mu            sync.Mutex
+	headReadEnded bool // the head of the response has been read, or reading it has failed
 
-	isBuffered bool           // the last response read is complete, and nothing of it has been handed on
-	digest     responseDigest // of the last response read, if it was read to its end
+	isBuffered bool           // the last response read is complete, and no part of it has been passed to the client
+	digest     responseDigest // digest of the last response read; covers the body only if that was read to its end
 }
 
-// run writes the request, whose first piece is text, and reads its response. It reports whether the connection may be
-// used again.
-func (e *exchange) run(ctx context.Context, text []byte) (result engine.AttemptResult, reusable bool) {
-	if status := e.writeRequest(text); status != balancer.OK {
-		return e.pool.result(status), false
+// run writes the request, which starts with firstPiece, and reads its response. It reports whether the
+// connection may be used again.
+func (e *exchange) run(ctx context.Context, firstPiece []byte) (result engine.AttemptResult, reusable bool) {
+	if status := e.writeRequest(firstPiece); status != balancer.OK {
+		return e.pool.newResult(status), false
 	}
 	result, reusable = e.readResponse(ctx)
 	if e.isBuffered && e.conn.isSecondResponse(e.digest) {
-		e.pool.noteRepeated(e.conn)
-		e.awaitNextHead()
+		e.pool.recordRepeatedResponse(e.conn)
+		e.prepareForNextHead()
 		result, _ = e.readResponse(ctx)
 		return result, false
 	}
@@ -97,16 +100,16 @@
 	return result, reusable
 }
 
-// readResponse reads a response. It reports whether the connection may be used again.
+// readResponse reads one response, and reports whether the connection may be used again.
 func (e *exchange) readResponse(ctx context.Context) (result engine.AttemptResult, reusable bool) {
 	response, closeAfter, err := e.awaitHead()
-	result = e.pool.result(balancer.Reset)
+	result = e.pool.newResult(balancer.Reset)
 	if err != nil {
-		result.Status = e.readFailure(err)
+		result.Status = e.readFailureStatus(err)
 		return result, false
 	}
 	policy := e.request.Policy
-	e.conn.readLimit.N = math.MaxInt64
+	e.conn.limitedReader.N = math.MaxInt64
 	result.Status = policy.classify(response)
 	result.Load = e.takeLoadReport(response)
 	result.Response = response
@@ -124,7 +127,7 @@
 		result.Response = nil
 		return result, e.isBuffered && !closeAfter
 	case err != nil:
-		return e.pool.result(balancer.Reset), false
+		return e.pool.newResult(balancer.Reset), false
 	case !complete:
 		return e.streamResponse(ctx, result, response, body, closeAfter)
 	}
@@ -134,27 +137,27 @@
 	return result, !closeAfter
 }
 
-// awaitHead reads the head of the final response, after which writeBody sets no deadline for it any more.
+// awaitHead reads the head of the final response. Afterwards bodySent sets no read deadline any more.
 func (e *exchange) awaitHead() (response *Response, closeAfter bool, err error) {
 	response, closeAfter, err = e.readHead()
 	e.mu.Lock()
-	e.responded = true
+	e.headReadEnded = true
 	e.mu.Unlock()
 	return response, closeAfter, err
 }
 
-// writeRequest writes the first piece of the request, and starts to forward a streaming body. It returns OK, or the
-// status of an attempt that could not be written.
-func (e *exchange) writeRequest(text []byte) balancer.Status {
+// writeRequest writes the first piece of the request, and starts forwarding a streaming body. It returns OK, or
+// the status of the attempt if the request could not be written.
+func (e *exchange) writeRequest(firstPiece []byte) balancer.Status {
 	stream := e.request.Stream
-	e.conn.readLimit.N = maxResponseHeadBytes
+	e.conn.limitedReader.N = maxResponseHeadBytes
 	e.conn.SetDeadline(time.Time{})
-	n, err := e.conn.write(text)
+	n, err := e.conn.inspectAndWrite(firstPiece)
 	switch {
-	case errors.Is(err, errUnusable), err != nil && n < len(text) && stream == nil:
-		return balancer.ConnectFailed // its last byte was not written, so it never ran
+	case errors.Is(err, errUnusable), err != nil && n < len(firstPiece) && stream == nil:
+		return balancer.ConnectFailed // its last byte was not written, so the endpoint did not run it
 	case err != nil:
-		return balancer.Reset // an endpoint may start to work with half a body
+		return balancer.Reset // the endpoint may have started to process part of the body
 	}
 	if stream == nil {
 		e.pool.forwarded.Add(1)
@@ -165,8 +168,8 @@
 	return balancer.OK
 }
 
-// readFailure returns the status of an attempt whose response could not be read.
-func (e *exchange) readFailure(err error) balancer.Status {
+// readFailureStatus returns the status of an attempt whose response could not be read because of err.
+func (e *exchange) readFailureStatus(err error) balancer.Status {
 	stream := e.request.Stream
 	switch {
 	case stream != nil && stream.clientFailed(e.bodyWritten):
@@ -177,8 +180,9 @@
 	return balancer.Reset
 }
 
-// streamResponse hands a response that is not buffered to the client's side, and waits until that has read it. Such a
-// response is final, also if it is an error: nothing of it could be sent any more if a retry failed too.
+// streamResponse passes a response that is not buffered completely to the frontend, and waits until the
+// frontend has forwarded it to the client. The client receives such a response even if it is an error: a retry
+// is no longer possible once part of a response has been forwarded.
 func (e *exchange) streamResponse(ctx context.Context, result engine.AttemptResult, response *Response,
 	body *http1msg.Body, closeAfter bool) (_ engine.AttemptResult, reusable bool) {
 	policy := e.request.Policy
@@ -188,7 +192,7 @@
 		digest:    newStreamDigest(e.digest),
 		policy:    policy,
 		remaining: math.MaxInt64,
-		ended:     make(chan error, 1),
+		finished:  make(chan error, 1),
 	}
 	if policy.MaxBytes > 0 {
 		stream.remaining = policy.MaxBytes - int64(len(response.Buffered))
@@ -198,25 +202,25 @@
 	}
 	stream.digest.body.Write(response.Buffered)
 	response.Stream = stream
-	classified := result.Status
+	classifiedStatus := result.Status
 	result.Status = balancer.OK
 	if !e.attempt.ResponseStarted(result) {
-		return e.pool.result(balancer.Cancelled), false
+		return e.pool.newResult(balancer.Cancelled), false
 	}
-	result.Response = nil // it belongs to the client's side now
+	result.Response = nil // owned by the frontend from now on
 	var err error
 	select {
-	case err = <-stream.ended:
+	case err = <-stream.finished:
 	case <-ctx.Done(): // the client closed its connection before the response was forwarded
-		return e.pool.result(balancer.Cancelled), false
+		return e.pool.newResult(balancer.Cancelled), false
 	}
 	switch {
 	case body.Done():
 		e.digest = stream.digest.sum()
-		result.Status = classified
+		result.Status = classifiedStatus
 		return result, !closeAfter
 	case err == nil:
-		result.Status = balancer.Cancelled // the client left
+		result.Status = balancer.Cancelled // the client closed its connection
 	case errors.Is(err, ErrResponseTooLong):
 		result.Status = balancer.Error
 	default:
@@ -225,27 +229,28 @@
 	return result, false
 }
 
-// startResponseTimeoutLocked starts the response's timeout, unless its head has been read.
+// startResponseTimeoutLocked starts the timeout for the response, unless its head has been read already.
 func (e *exchange) startResponseTimeoutLocked() {
-	if timeout := e.request.responseTimeout(); !e.responded && timeout > 0 {
+	if timeout := e.request.responseTimeout(); !e.headReadEnded && timeout > 0 {
 		e.conn.SetReadDeadline(time.Now().Add(timeout))
 	}
 }
 
-// awaitNextHead prepares for the head of another response, after that of a second response to the request before.
-func (e *exchange) awaitNextHead() {
+// prepareForNextHead resets the limits for reading a head. It is called after a second response to the previous
+// request was read, and before the response to the request in flight is.
+func (e *exchange) prepareForNextHead() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.conn.readLimit.N = maxResponseHeadBytes
+	e.conn.limitedReader.N = maxResponseHeadBytes
 	e.conn.SetReadDeadline(time.Time{})
-	e.responded = false
+	e.headReadEnded = false
 	if e.sentAt.Load() != 0 {
 		e.startResponseTimeoutLocked()
 	}
 }
 
-// readHead reads up to the head of the final response, and reports whether the endpoint closes the connection after
-// it.
+// readHead reads the interim responses and the head of the final response. It reports whether the endpoint
+// closes the connection after the final response.
 func (e *exchange) readHead() (*Response, bool, error) {
 	response := &Response{}
 	for len(response.Interim) <= maxInterimResponses {
@@ -261,7 +266,7 @@
 			return nil, false, errMalformedResponse
 		}
 		if isInterim(head.statusCode) {
-			if head.statusCode != http.StatusContinue { // that is between this hop and the endpoint
+			if head.statusCode != http.StatusContinue { // 100 (Continue) concerns only the connection to the endpoint
 				response.Interim = append(response.Interim, InterimResponse{head.statusCode, head.Header})
 			}
 			continue
@@ -274,8 +279,9 @@
 	return nil, false, errResponseTooLarge
 }
 
-// bufferBody reads as much of a response body as is buffered, and reports whether it is complete. With waitForAll, a
-// body of known length is waited for until the time of the attempt ends.
+// bufferBody reads a response body into response.Buffered, up to the policy's MaxBuffered bytes and for
+// bufferWindow at most, and reports whether the body is complete. With waitForAll, it reads a body of known
+// length for as long as the attempt lasts.
 func (e *exchange) bufferBody(response *Response, body *http1msg.Body, waitForAll bool) (bool, error) {
 	if body.Done() {
 		return true, nil
@@ -285,11 +291,11 @@
 	if fixedLength && response.Framing.Length > policy.MaxBuffered {
 		return false, nil
 	}
-	size := int64(initialBodyBuffer)
+	initialSize := int64(initialBodyBuffer)
 	if fixedLength {
-		size = response.Framing.Length
+		initialSize = response.Framing.Length
 	}
-	response.Buffered = make([]byte, 0, min(size, policy.MaxBuffered)+1)
+	response.Buffered = make([]byte, 0, min(initialSize, policy.MaxBuffered)+1)
 	deadline := time.Now().Add(bufferWindow)
 	for int64(len(response.Buffered)) <= policy.MaxBuffered {
 		response.ensureSpace(policy.MaxBuffered)
@@ -302,11 +308,11 @@
 		case errors.Is(err, io.EOF):
 			return true, nil
 		case isTimeout(err) && waitForAll && fixedLength && len(response.Buffered) > 0:
-			e.attempt.ResponseProgress() // it is slow, but not silent
+			e.attempt.ResponseProgress() // the response is slow, but still arriving
 			deadline = time.Time{}
 		case isTimeout(err) && waitForAll && fixedLength:
-			// A head alone is not forwarded: the rest may never come, where a retry may still succeed. The time of
-			// the attempt bounds this.
+			// A head without any body bytes is not forwarded: the body may never arrive, while a retry may
+			// still succeed. The deadline of the attempt bounds this wait.
 			deadline = time.Now().Add(bufferWindow)
 		case isTimeout(err):
 			return false, nil
@@ -317,7 +323,8 @@
 	return false, nil
 }
 
-// ensureSpace enlarges a full buffer of a response's body, up to maxBuffered bytes and one for the end of the body.
+// ensureSpace doubles the size of the response's body buffer if it is full, up to maxBuffered bytes and one
+// more, which is needed to detect the end of the body.
 func (r *Response) ensureSpace(maxBuffered int64) {
 	if len(r.Buffered) < cap(r.Buffered) {
 		return
@@ -329,7 +336,8 @@
 
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// takeLoadReport returns the load report in a response, and removes it from the header.
+// takeLoadReport removes the load report from the header of a response. It returns the report if the pool reads
+// load reports from responses.
 func (e *exchange) takeLoadReport(response *Response) (load []float32) {
 	if text := response.Header[http1msg.FieldLoadReport]; len(text) > 0 {
 		if e.pool.options.LoadInResponses {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -22,7 +22,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// newPool returns a pool with edits to its usual options.
+// newPool returns a pool with usual options, which edits may change.
 func newPool(edits ...func(*Options)) *Pool {
 	o := Options{
 		Clock:       clock.New(),
@@ -38,86 +38,90 @@
 	return New(o)
 }
 
+// newTarget returns a target for an endpoint at addr, in a pool of endpoints without a name.
 func (p *Pool) newTarget(addr string) *Target { return p.Target("", addr).(*Target) }
 
-// newAttempt returns an attempt with a second of time, which may be sent.
-func (p *Pool) newAttempt(to core.Target) *core.AttemptContext {
+// newAttempt returns an attempt that may be sent, with a deadline in one second.
+func (p *Pool) newAttempt(target core.Target) *core.AttemptContext {
 	return &core.AttemptContext{
-		Target:    to,
+		Target:    target,
 		Deadline:  p.options.Clock.Now() + monotime.Second,
 		ClaimSend: func(monotime.Micros) bool { return true },
 	}
 }
 
-// sendOnce makes one attempt with a second of time.
-func (p *Pool) sendOnce(m *BufferedRequest, to core.Target) engine.AttemptResult {
+// sendOnce makes one attempt with a deadline in one second.
+func (p *Pool) sendOnce(request *BufferedRequest, target core.Target) engine.AttemptResult {
 	ctx, cancel := context.WithTimeout(context.Background(), scriptedpeer.WaitTimeout)
 	defer cancel()
-	return p.SendBuffered(ctx, p.newAttempt(to), m)
+	return p.SendBuffered(ctx, p.newAttempt(target), request)
 }
 
-func idempotentPost(body string) *BufferedRequest {
+// newIdempotentPost returns a POST request with an idempotency key.
+func newIdempotentPost(body string) *BufferedRequest {
 	return &BufferedRequest{Method: "POST", URI: "/book", Host: "origin.svc", Body: []byte(body),
 		Header: http.Header{"X-Trace-Id": {"1"}, "Idempotency-Key": {"k"}}}
 }
 
-func plainGet() *BufferedRequest {
+// newPlainGet returns a GET request for SendBuffered.
+func newPlainGet() *BufferedRequest {
 	return &BufferedRequest{Method: "GET", URI: "/look", Host: "origin.svc", Header: http.Header{"X-Trace-Id": {"1"}}}
 }
 
-// plainStreamedGet is plainGet for Send.
-func plainStreamedGet() *Request {
+// newForwardedGet returns a GET request for Send.
+func newForwardedGet() *Request {
 	policy := &ResponsePolicy{MaxBuffered: 1 << 10}
 	return &Request{Method: "GET", URI: "/look", Host: "origin.svc", Header: http.Header{}, Policy: policy}
 }
 
-// readOneRequest is an endpoint that reads one request and closes the connection.
-func readOneRequest(_ *net.TCPConn, r *bufio.Reader) { scriptedpeer.ReadRequest(r) }
+// readOneRequestAndClose is an endpoint that reads one request and closes the connection without a response.
+func readOneRequestAndClose(_ *net.TCPConn, r *bufio.Reader) { scriptedpeer.ReadRequest(r) }
 
+// okResponse is a complete response with status 200.
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// A request to an endpoint does not reach another one that listens at its address later, and no connection to an
-// endpoint that has gone stays open.
+// A request to an endpoint must not reach another endpoint that listens at the same address later, and no
+// connection to an endpoint that has gone may stay open.
 func TestGoneEndpointsConnections(t *testing.T) {
 	var dials atomic.Int32
-	addr := startAnsweringEndpoint(t, &dials)
+	addr := startRespondingEndpoint(t, &dials)
 	pool := newPool()
-	old := pool.newTarget(addr)
-	next := pool.newTarget(addr)
+	oldTarget := pool.newTarget(addr)
+	newTarget := pool.newTarget(addr)
 	ctx := context.Background()
-	pool.sendOnce(plainGet(), old)
-	if pool.sendOnce(plainGet(), next); dials.Load() != 2 {
+	pool.sendOnce(newPlainGet(), oldTarget)
+	if pool.sendOnce(newPlainGet(), newTarget); dials.Load() != 2 {
 		t.Errorf("%d connections to two endpoints at one address, want 2", dials.Load())
 	}
-	inFlight, err := pool.Get(ctx, old)
+	connInFlight, err := pool.Get(ctx, oldTarget)
 	if err != nil {
 		t.Fatal(err)
 	}
-	old.Drop()
-	pool.Put(inFlight)
-	if pool.openConns != 1 || len(old.idle) != 0 {
-		t.Errorf("%d connections open, %d idle to a dropped target, want 1 and 0", pool.openConns, len(old.idle))
+	oldTarget.Drop()
+	pool.Put(connInFlight)
+	if pool.openConns != 1 || len(oldTarget.idle) != 0 {
+		t.Errorf("%d connections open, %d idle to a dropped target, want 1 and 0", pool.openConns, len(oldTarget.idle))
 	}
-	if r := pool.sendOnce(plainGet(), old); r.Status != balancer.NotSent {
+	if r := pool.sendOnce(newPlainGet(), oldTarget); r.Status != balancer.NotSent {
 		t.Errorf("status %v for a dropped target, want NotSent", r.Status)
 	}
-	late := pool.newTarget(addr)
+	droppedInDial := pool.newTarget(addr)
 	dial := pool.options.Dial
 	pool.options.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		late.Drop()
+		droppedInDial.Drop()
 		return dial(ctx, network, addr)
 	}
-	if r := pool.sendOnce(plainGet(), late); r.Status != balancer.NotSent || pool.openConns != 1 {
+	if r := pool.sendOnce(newPlainGet(), droppedInDial); r.Status != balancer.NotSent || pool.openConns != 1 {
 		t.Errorf("target dropped in the dial: status %v, %d connections, want NotSent and 1", r.Status, pool.openConns)
 	}
 }
 
-// A shortage in this process does not count as a failure of the endpoint.
+// A shortage of connections, descriptors or ports in this process must not count as a failure of the endpoint.
 func TestShortageIsNoFault(t *testing.T) {
 	pool := newPool()
-	to := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
+	target := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequestAndClose))
 	pool.options.MaxConns = 0
-	if r := pool.sendOnce(plainGet(), to); r.Status != balancer.NotSent {
+	if r := pool.sendOnce(newPlainGet(), target); r.Status != balancer.NotSent {
 		t.Errorf("all connections in use: status %v, want NotSent", r.Status)
 	}
 	pool.options.MaxConns = 1
@@ -125,7 +129,7 @@
 		pool.options.Dial = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", e)}
 		}
-		if r := pool.sendOnce(plainGet(), to); r.Status != balancer.NotSent {
+		if r := pool.sendOnce(newPlainGet(), target); r.Status != balancer.NotSent {
 			t.Errorf("%v: status %v, want NotSent", e, r.Status)
 		}
 	}
@@ -134,14 +138,14 @@
 		cancel()
 		return nil, ctx.Err()
 	}
-	r := pool.SendBuffered(ctx, pool.newAttempt(to), plainGet())
+	r := pool.SendBuffered(ctx, pool.newAttempt(target), newPlainGet())
 	if r.Status != balancer.NotSent {
 		t.Errorf("a canceled dial: status %v, want NotSent", r.Status)
 	}
 }
 
-// A connection that the endpoint has closed while it was idle is not used: the request would be lost, and it would be
-// unknown whether it ran.
+// An idle connection that the endpoint has closed must not be used. The request would be lost, and it would not
+// be known whether it ran.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -151,18 +155,18 @@
 		closed <- struct{}{}
 	})
 	pool := newPool()
-	to := pool.newTarget(addr)
+	target := pool.newTarget(addr)
 	for i := range 3 {
-		if r := pool.sendOnce(plainGet(), to); r.Status != balancer.OK {
+		if r := pool.sendOnce(newPlainGet(), target); r.Status != balancer.OK {
 			t.Fatalf("request %d: status %v", i, r.Status)
 		}
 		scriptedpeer.Receive(t, closed, "close")
 	}
 }
 
-// startAnsweringEndpoint starts an endpoint that responds to every request, and counts its connections. It returns its
-// address.
-func startAnsweringEndpoint(t testing.TB, dials *atomic.Int32) string {
+// startRespondingEndpoint starts an endpoint that responds to every request and counts its connections in
+// dials. It returns the address of the endpoint.
+func startRespondingEndpoint(t testing.TB, dials *atomic.Int32) string {
 	t.Helper()
 	return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		dials.Add(1)
@@ -175,133 +179,135 @@
 	})
 }
 
-// An idle connection expires well before the endpoint would close it: it is not used then, and the sweep closes it.
+// An idle connection must expire well before the endpoint closes it: an expired connection is not used, and the
+// sweep closes it.
 func TestIdleConnectionIsRetired(t *testing.T) {
 	var dials atomic.Int32
-	addr := startAnsweringEndpoint(t, &dials)
+	addr := startRespondingEndpoint(t, &dials)
 	pool := newPool()
-	to := pool.newTarget(addr)
+	target := pool.newTarget(addr)
 	if limit := 12 * time.Second; pool.maxIdleTime > limit {
-		t.Errorf("idle for %v where the endpoint closes after 15 s", pool.maxIdleTime)
+		t.Errorf("maximum idle time %v, want at most 12 s for an endpoint that closes after 15 s", pool.maxIdleTime)
 	}
-	age := func() {
-		for _, c := range to.idle {
+	expireIdleConns := func() {
+		for _, c := range target.idle {
 			c.idleSince = c.idleSince.Add(-pool.maxIdleTime)
 		}
 	}
-	pool.sendOnce(plainGet(), to)
-	pool.sendOnce(plainGet(), to)
+	pool.sendOnce(newPlainGet(), target)
+	pool.sendOnce(newPlainGet(), target)
 	if n := dials.Load(); n != 1 {
-		t.Fatalf("%d connections for two requests in turn, want 1", n)
+		t.Fatalf("%d connections for two successive requests, want 1", n)
 	}
-	age()
-	pool.sendOnce(plainGet(), to)
+	expireIdleConns()
+	pool.sendOnce(newPlainGet(), target)
 	if n := dials.Load(); n != 2 {
-		t.Errorf("%d connections after one grew old, want 2", n)
+		t.Errorf("%d connections after the first one expired, want 2", n)
 	}
-	age()
+	expireIdleConns()
 	if pool.sweep(); pool.openConns != 0 {
 		t.Errorf("%d connections open after the sweep, want 0", pool.openConns)
 	}
 }
 
-// mustGet returns a connection from the pool.
-func (p *Pool) mustGet(t *testing.T, to *Target) *Conn {
+// mustGet returns a connection from the pool, or ends the test if there is none.
+func (p *Pool) mustGet(t *testing.T, target *Target) *Conn {
 	t.Helper()
-	c, err := p.Get(context.Background(), to)
+	c, err := p.Get(context.Background(), target)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// An attempt that is withdrawn before its first byte has not used its connection, which has been idle for the endpoint
-// all the time: the connection expires as if it had stayed in the pool, and one that was used later is preferred.
+// An attempt that is canceled before its first byte is written has not used its connection. The idle time of
+// the connection continues, since the endpoint has received nothing: the connection expires as if it had stayed
+// in the pool, and a connection that was used later is preferred.
 func TestUnusedConnectionKeepsItsAge(t *testing.T) {
 	var dials atomic.Int32
-	addr := startAnsweringEndpoint(t, &dials)
+	addr := startRespondingEndpoint(t, &dials)
 	pool := newPool()
-	to := pool.newTarget(addr)
-	pool.sendOnce(plainGet(), to)
-	to.idle[0].idleSince = to.idle[0].idleSince.Add(-pool.maxIdleTime * 3 / 4)
-	used := to.idle[0].idleSince
-	withdrawn := pool.newAttempt(to)
-	withdrawn.ClaimSend = func(monotime.Micros) bool { return false }
-	r := pool.SendBuffered(context.Background(), withdrawn, plainGet())
-	if r.Status != balancer.NotSent || len(to.idle) != 1 || !to.idle[0].idleSince.Equal(used) {
-		t.Fatalf("status %v; idle since %v, last used at %v", r.Status, to.idle[0].idleSince, used)
-	}
-	old := pool.mustGet(t, to)
-	fresh := pool.mustGet(t, to)
-	pool.Put(fresh)
-	pool.putUnused(old)
-	if pool.mustGet(t, to) != fresh {
-		t.Error("one put back unused went before one used later")
-	}
-	pool.Put(fresh)
-	old.idleSince = old.idleSince.Add(-pool.maxIdleTime / 2)
-	if pool.sweep(); len(to.idle) != 1 || to.idle[0] != fresh {
-		t.Errorf("%d idle connections after the old one's time", len(to.idle))
+	target := pool.newTarget(addr)
+	pool.sendOnce(newPlainGet(), target)
+	target.idle[0].idleSince = target.idle[0].idleSince.Add(-pool.maxIdleTime * 3 / 4)
+	lastUsed := target.idle[0].idleSince
+	canceled := pool.newAttempt(target)
+	canceled.ClaimSend = func(monotime.Micros) bool { return false }
+	r := pool.SendBuffered(context.Background(), canceled, newPlainGet())
+	if r.Status != balancer.NotSent || len(target.idle) != 1 || !target.idle[0].idleSince.Equal(lastUsed) {
+		t.Fatalf("status %v; idle since %v, last used at %v", r.Status, target.idle[0].idleSince, lastUsed)
+	}
+	olderConn := pool.mustGet(t, target)
+	newerConn := pool.mustGet(t, target)
+	pool.Put(newerConn)
+	pool.putUnused(olderConn)
+	if pool.mustGet(t, target) != newerConn {
+		t.Error("a connection that was returned unused was preferred to one used later")
+	}
+	pool.Put(newerConn)
+	olderConn.idleSince = olderConn.idleSince.Add(-pool.maxIdleTime / 2)
+	if pool.sweep(); len(target.idle) != 1 || target.idle[0] != newerConn {
+		t.Errorf("%d idle connections after the older one expired, want only the newer one", len(target.idle))
 	}
 }
 
-// The connection used last is used next, so that those that are not needed expire.
+// The most recently used connection must be used next, so that connections that are not needed expire.
 func TestLatestConnectionFirst(t *testing.T) {
-	addr := scriptedpeer.StartTCP(t, readOneRequest)
+	addr := scriptedpeer.StartTCP(t, readOneRequestAndClose)
 	pool := newPool()
-	to := pool.newTarget(addr)
-	first := pool.mustGet(t, to)
-	second := pool.mustGet(t, to)
+	target := pool.newTarget(addr)
+	first := pool.mustGet(t, target)
+	second := pool.mustGet(t, target)
 	pool.Put(first)
 	pool.Put(second)
-	if pool.mustGet(t, to) != second {
+	if pool.mustGet(t, target) != second {
 		t.Error("the connection used last was not used next")
 	}
 }
 
-// The number of connections is bounded, since each needs a descriptor. At the bound an idle one to another endpoint is
-// closed for a new one.
+// The number of connections is limited, since each needs a descriptor. At the limit, an idle connection to
+// another endpoint is closed to open a new one.
 func TestConnectionsAreBounded(t *testing.T) {
 	pool := newPool()
-	one := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
-	two := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
+	firstTarget := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequestAndClose))
+	secondTarget := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequestAndClose))
 	pool.options.MaxConns = 2
 	ctx := context.Background()
-	first, err := pool.Get(ctx, one)
+	first, err := pool.Get(ctx, firstTarget)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := pool.Get(ctx, one); err != nil {
+	if _, err := pool.Get(ctx, firstTarget); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := pool.Get(ctx, two); !errors.Is(err, errConnLimit) {
+	if _, err := pool.Get(ctx, secondTarget); !errors.Is(err, errConnLimit) {
 		t.Fatalf("third connection: error %v, want %v", err, errConnLimit)
 	}
 	pool.Put(first)
-	if _, err := pool.Get(ctx, two); err != nil {
-		t.Errorf("third connection with one idle: %v", err)
+	if _, err := pool.Get(ctx, secondTarget); err != nil {
+		t.Errorf("third connection while another one is idle: %v", err)
 	}
 	if pool.openConns != 2 {
 		t.Errorf("%d connections counted, want 2", pool.openConns)
 	}
-	// A failed dial is not counted as a connection.
+	// A failed dial must not be counted as a connection.
 	pool.options.MaxConns = 3
 	if _, err := pool.Get(ctx, pool.newTarget(scriptedpeer.ClosedAddress(t))); err == nil {
-		t.Error("a connection to a closed port")
+		t.Error("connecting to a closed port succeeded")
 	}
 	if pool.openConns != 2 {
 		t.Errorf("%d connections counted after a failed dial, want 2", pool.openConns)
 	}
 }
 
-// The number of idle connections is bounded by the sum of all owners' limits. The one that has been idle for longest is
-// closed first, and a limit below 1 shortens the idle time of one connection.
-func TestRestingConnectionsAreBounded(t *testing.T) {
+// The number of idle connections is limited to the sum of the limits of all owners. The connection that has
+// been idle for longest is closed first. A limit below 1 shortens the idle time of one connection.
+func TestIdleConnectionsAreBounded(t *testing.T) {
 	pool := newPool()
 	ctx := context.Background()
 	var conns []*Conn
 	for range 5 {
-		addr := scriptedpeer.StartTCP(t, readOneRequest)
+		addr := scriptedpeer.StartTCP(t, readOneRequestAndClose)
 		c, err := pool.Get(ctx, pool.newTarget(addr))
 		if err != nil {
 			t.Fatal(err)
@@ -314,41 +320,44 @@
 		pool.Put(c)
 	}
 	if pool.openConns != 3 || pool.idleConns != 3 {
-		t.Errorf("%d open, %d idle, want 3", pool.openConns, pool.idleConns)
+		t.Errorf("%d connections open, %d idle, want 3 of each", pool.openConns, pool.idleConns)
 	}
 	for i, c := range conns {
 		if idle := len(c.target.idle) == 1; idle != (i >= 2) {
-			t.Errorf("connection %d is idle: %v", i, idle)
+			t.Errorf("connection %d: idle is %v", i, idle)
 		}
 	}
 	pool.LimitIdle("b", 0)
 	if pool.openConns != 1 || pool.idleConns != 1 {
-		t.Errorf("%d open, %d idle after a tighter bound, want 1", pool.openConns, pool.idleConns)
+		t.Errorf("%d connections open, %d idle after the limit was lowered, want 1 of each",
+			pool.openConns, pool.idleConns)
 	}
 	if got, err := pool.Get(ctx, conns[4].target); err != nil || got != conns[4] || pool.idleConns != 0 {
-		t.Errorf("the one left is not used again (error %v, %d idle)", err, pool.idleConns)
+		t.Errorf("the remaining idle connection is not used again (error %v, %d idle)", err, pool.idleConns)
 	}
-	unlimited := newPool().maxIdleTime
-	if pool.LimitIdle("a", 0.25); pool.maxIdleTime != unlimited/4 || pool.maxIdle != 1 {
-		t.Errorf("a quarter of a connection: %d for %v, want one for %v", pool.maxIdle, pool.maxIdleTime, unlimited/4)
+	unlimitedIdleTime := newPool().maxIdleTime
+	if pool.LimitIdle("a", 0.25); pool.maxIdleTime != unlimitedIdleTime/4 || pool.maxIdle != 1 {
+		t.Errorf("limit of 0.25: %d idle connections for %v, want 1 for %v", pool.maxIdle, pool.maxIdleTime,
+			unlimitedIdleTime/4)
 	}
 }
 
-// An endpoint may respond twice, some milliseconds apart. A request that is written to the connection in between would
-// be served with the second response. So a connection is not used again before its reuse delay has passed, and never
-// once a second response has arrived. Both ways of reading responses are tested.
-func TestLateSecondAnswer(t *testing.T) {
-	for name, send := range map[string]func(pool *Pool, to core.Target) (balancer.Status, string){
-		"SendBuffered": func(pool *Pool, to core.Target) (balancer.Status, string) {
-			r := pool.sendOnce(plainGet(), to)
+// An endpoint may send two responses to a request, some milliseconds apart. A request that is written to the
+// connection in between would be served with the second response. So a connection must not be reused before its
+// reuse delay has passed, nor after a second response has arrived. The test covers both ways of reading
+// responses.
+func TestLateSecondResponse(t *testing.T) {
+	for name, send := range map[string]func(pool *Pool, target core.Target) (balancer.Status, string){
+		"SendBuffered": func(pool *Pool, target core.Target) (balancer.Status, string) {
+			r := pool.sendOnce(newPlainGet(), target)
 			response, _ := r.Response.(*BufferedResponse)
 			if response == nil {
 				return r.Status, ""
 			}
 			return r.Status, string(response.Body)
 		},
-		"Send": func(pool *Pool, to core.Target) (balancer.Status, string) {
-			r := pool.Send(context.Background(), pool.newAttempt(to), plainStreamedGet())
+		"Send": func(pool *Pool, target core.Target) (balancer.Status, string) {
+			r := pool.Send(context.Background(), pool.newAttempt(target), newForwardedGet())
 			response, _ := r.Response.(*Response)
 			if response == nil {
 				return r.Status, ""
@@ -360,36 +369,38 @@
 	}
 }
 
-// testLateSecondResponse makes three attempts by send, which returns the status and the body of the response: the
-// connection's number. A second response arrives on connection 1 alone.
-func testLateSecondResponse(t *testing.T, send func(pool *Pool, to core.Target) (balancer.Status, string)) {
+// testLateSecondResponse makes three attempts with send, which returns the status and the response body. The
+// body is the number of the connection. A second response arrives on connection 1 only.
+func testLateSecondResponse(t *testing.T, send func(pool *Pool, target core.Target) (balancer.Status, string)) {
 	t.Helper()
 	const reuseDelay = 300 * time.Millisecond // much longer than a usual pause of the machine
 	pool := newPool(func(o *Options) { o.ReuseDelay = reuseDelay })
 	var conns atomic.Int32
-	to := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
-		respondTwiceOnFirst(c, r, conns.Add(1), reuseDelay/3)
+	target := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+		respondTwiceOnFirstConn(c, r, conns.Add(1), reuseDelay/3)
 	}))
-	// The second attempt waits for connection 1, on which a second response arrives meanwhile, and uses another.
+	// The second attempt waits for connection 1. A second response arrives on it meanwhile, so that the attempt
+	// uses connection 2.
 	for i, want := range []string{"1", "2"} {
-		if status, got := send(pool, to); status != balancer.OK || got != want {
+		if status, got := send(pool, target); status != balancer.OK || got != want {
 			t.Fatalf("request %d: status %v, %q, want %q", i, status, got, want)
 		}
 	}
 	time.Sleep(reuseDelay) // connection 2 can be used again
-	if status, got := send(pool, to); status != balancer.OK || got != "2" {
-		t.Errorf("then: status %v, %q, want the connection without a second response", status, got)
+	if status, got := send(pool, target); status != balancer.OK || got != "2" {
+		t.Errorf("last request: status %v, body %q, want a response on connection 2", status, got)
 	}
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	if pool.openConns != len(to.idle) {
-		t.Errorf("%d connections open, %d idle", pool.openConns, len(to.idle))
+	if pool.openConns != len(target.idle) {
+		t.Errorf("%d connections open, %d idle", pool.openConns, len(target.idle))
 	}
 }
 
-// respondTwiceOnFirst serves connection number conn of an endpoint with that number as the body of each response. On
-// connection 1 a second copy of the first response follows after a delay, or as soon as the next request arrives.
-func respondTwiceOnFirst(c *net.TCPConn, r *bufio.Reader, conn int32, delay time.Duration) {
+// respondTwiceOnFirstConn serves connection number conn of an endpoint. The body of each response is that
+// number. On connection 1, a second response to the first request follows after a delay, or as soon as the next
+// request arrives.
+func respondTwiceOnFirstConn(c *net.TCPConn, r *bufio.Reader, conn int32, delay time.Duration) {
 	for first := true; ; first = false {
 		if _, err := scriptedpeer.ReadRequest(r); err != nil {
 			return
@@ -404,21 +415,22 @@
 	}
 }
 
-// An attempt waits for a connection in its reuse delay, since a new one costs more. The wait does not count as
-// latency of the endpoint, and an attempt that is canceled meanwhile leaves the connection unused.
-func TestRestingIsWaitedFor(t *testing.T) {
+// An attempt waits until the reuse delay of a connection has passed, since a new connection costs more. The
+// wait must not count as latency of the endpoint. An attempt that is canceled during the wait must leave the
+// connection unused.
+func TestReuseDelayIsWaitedFor(t *testing.T) {
 	var dials atomic.Int32
 	const reuseDelay = 100 * time.Millisecond
-	pool := newPool(withThreads(t.TempDir()), func(o *Options) {
+	pool := newPool(withThreadsDirectory(t.TempDir()), func(o *Options) {
 		o.ReuseDelay = reuseDelay
 		o.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			dials.Add(1)
 			return (&net.Dialer{}).DialContext(ctx, network, addr)
 		}
 	})
-	to := pool.newTarget(startAnsweringEndpoint(t, &atomic.Int32{}))
+	target := pool.newTarget(startRespondingEndpoint(t, &atomic.Int32{}))
 	send := func(ctx context.Context) engine.AttemptResult {
-		return pool.Send(ctx, pool.newAttempt(to), plainStreamedGet())
+		return pool.Send(ctx, pool.newAttempt(target), newForwardedGet())
 	}
 	for i := range 4 {
 		start := time.Now()
@@ -427,16 +439,17 @@
 			t.Fatalf("request %d: status %v", i, r.Status)
 		}
 		if took := time.Since(start); i > 0 && (took < reuseDelay/2 || r.ObservedAt-r.SentAt > took.Microseconds()/2) {
-			t.Errorf("request %d: after %v, of which %d µs are the endpoint's", i, took, r.ObservedAt-r.SentAt)
+			t.Errorf("request %d: took %v, of which %d µs count as latency of the endpoint",
+				i, took, r.ObservedAt-r.SentAt)
 		}
 	}
-	canceled, cancel := context.WithCancel(context.Background())
+	canceledCtx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if r := send(canceled); r.Status != balancer.NotSent {
-		t.Errorf("canceled: status %v", r.Status)
+	if r := send(canceledCtx); r.Status != balancer.NotSent {
+		t.Errorf("canceled attempt: status %v, want NotSent", r.Status)
 	}
 	if r := send(context.Background()); r.Status != balancer.OK {
-		t.Errorf("after it: status %v", r.Status)
+		t.Errorf("attempt after the canceled one: status %v, want OK", r.Status)
 	}
 	if n := dials.Load(); n != 1 {
 		t.Errorf("%d dials, want 1", n)
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -14,9 +14,10 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// The tests in this file are on what ends a connection's rest too early, or is wrongly taken for a second response.
+// The tests in this file guard against causes of reuse before the reuse delay has passed, and against events
+// that are wrongly taken for a second response.
 
-// checkOpen checks how many connections are open.
+// checkOpen checks the number of open connections.
 func (s *secondResponseTest) checkOpen(want int) {
 	s.Helper()
 	s.pool.mu.Lock()
@@ -26,22 +27,24 @@
 	}
 }
 
-// Guards against a pause of the machine that is taken for rest since it is longer than any rest.
+// Guards against a pause of the machine that is longer than any reuse delay and is counted as part of it.
 func TestSecondResponseAfterLongPause(t *testing.T) {
 	for _, mode := range []string{"sidecar", "daemon"} {
 		t.Run(mode, func(t *testing.T) { testSecondResponseAfterPause(t, mode, time.Second) })
 	}
 }
 
-// longPause is longer than the rest of newLongRestTest.
+// longPause is longer than the reuse delay of newLongReuseDelayTest.
 const longPause = 2 * time.Hour
 
-func newLongRestTest(t *testing.T) *secondResponseTest {
+// newLongReuseDelayTest returns a test with a reuse delay of one hour.
+func newLongReuseDelayTest(t *testing.T) *secondResponseTest {
 	t.Helper()
 	return newSecondResponseTest(t, withReuseDelay(time.Hour, false))
 }
 
-// pause models a pause of the machine at an instant at which a connection rests and observeResting sleeps.
+// pause simulates a pause of the machine while a connection is in its reuse delay and observeReuseDelays is
+// sleeping.
 func (s *secondResponseTest) pause(c *Conn, d time.Duration) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -49,92 +52,97 @@
 	s.pool.nextObservation = s.pool.nextObservation.Add(-d)
 }
 
-// awaitObservation waits until observeResting has run once more, or has ended.
+// awaitObservation waits until observeReuseDelays has observed once more, or has ended.
 func (s *secondResponseTest) awaitObservation() {
 	s.Helper()
-	next := func() (time.Time, bool) {
+	observationState := func() (time.Time, bool) {
 		s.pool.mu.Lock()
 		defer s.pool.mu.Unlock()
 		return s.pool.nextObservation, s.pool.observing
 	}
-	before, _ := next()
+	lastDue, _ := observationState()
 	scriptedpeer.Eventually(s, "observation", func() bool {
-		now, observing := next()
-		return now != before || !observing
+		nextDue, observing := observationState()
+		return nextDue != lastDue || !observing
 	})
 }
 
-// takeResting returns the connection used last, which rests, as to an attempt that waits for it.
-func (s *secondResponseTest) takeResting() *Conn {
+// takeConnInReuseDelay returns the only idle connection, which is in its reuse delay, as an attempt that waits
+// for the delay gets it.
+func (s *secondResponseTest) takeConnInReuseDelay() *Conn {
 	s.Helper()
-	c, wait, err := s.pool.takeOrOpen(s.Context(), s.to, true)
+	c, wait, err := s.pool.takeOrOpen(s.Context(), s.target, true)
 	if err != nil || wait <= 0 {
-		s.Fatalf("a connection to wait for %v, error %v", wait, err)
+		s.Fatalf("wait %v, error %v, want a connection in its reuse delay", wait, err)
 	}
-	s.awaitObservation() // what began before has ended then
+	s.awaitObservation() // so that no observation from before is in progress
 	return c
 }
 
-// Guards against a pause that is not noticed, and taken for rest, while an attempt waits for the connection.
-func TestPauseWhileRestIsAwaited(t *testing.T) {
-	s := newLongRestTest(t)
+// Guards against a pause that is not noticed while an attempt waits for a reuse delay to pass, and is counted
+// as part of the delay.
+func TestPauseWhileReuseDelayIsAwaited(t *testing.T) {
+	s := newLongReuseDelayTest(t)
 	s.complete("1")
-	c := s.takeResting()
+	c := s.takeConnInReuseDelay()
 	s.pause(c, longPause)
-	if usable, err := s.pool.awaitRest(t.Context(), c, 0); usable || err != nil {
-		t.Errorf("the connection is usable after a pause: %v, error %v", usable, err)
+	if usable, err := s.pool.awaitReuseDelay(t.Context(), c, 0); usable || err != nil {
+		t.Errorf("usable %v, error %v after a pause, want false and no error", usable, err)
 	}
 }
 
-// Guards against a pause that is not noticed, and taken for rest, once the attempt that waited has been cancelled.
-func TestPauseAfterAwaitedRestIsCancelled(t *testing.T) {
-	s := newLongRestTest(t)
+// Guards against a pause that is not noticed after an attempt that waited for a reuse delay was canceled, and
+// is counted as part of the delay.
+func TestPauseAfterAwaitedReuseDelayIsCancelled(t *testing.T) {
+	s := newLongReuseDelayTest(t)
 	s.complete("1")
-	c := s.takeResting()
-	cancelled, cancel := context.WithCancel(t.Context())
+	c := s.takeConnInReuseDelay()
+	canceledCtx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := s.pool.awaitRest(cancelled, c, longPause); !errors.Is(err, context.Canceled) {
+	if _, err := s.pool.awaitReuseDelay(canceledCtx, c, longPause); !errors.Is(err, context.Canceled) {
 		t.Fatalf("error %v, want %v", err, context.Canceled)
 	}
 	s.awaitObservation()
 	s.pause(c, longPause)
-	if again := s.takeResting(); again != c {
-		t.Error("the connection was not put back")
+	if again := s.takeConnInReuseDelay(); again != c {
+		t.Error("the connection was not returned to the pool")
 	}
 }
 
-// Guards against a health check that takes the second response to the health check before it for its own.
+// Guards against a health check that takes a second response to the previous health check for its own response.
 func TestSecondResponseToHealthCheckBefore(t *testing.T) {
-	s := newLongRestTest(t)
-	s.probe(responseFor(loadReport))
+	s := newLongReuseDelayTest(t)
+	s.probeWith(responseFor(loadReport))
 	probed := make(chan []float32, 1)
-	go func() { probed <- s.to.Probe().Load }()
+	go func() { probed <- s.target.Probe().Load }()
 	second := scriptedpeer.Receive(t, s.endpoint.received, "health check 2")
-	for used, response := range s.sent {
-		io.WriteString(used, response)
+	for usedConn, response := range s.lastSent {
+		io.WriteString(usedConn, response)
 	}
 	io.WriteString(second.conn, responseFor("TEXT busy_reqs=9"))
 	if load := scriptedpeer.Receive(t, probed, "report"); len(load) == 0 || load[0] != 9 {
-		t.Errorf("load report %v, want one of 9 busy requests", load)
+		t.Errorf("load report %v, want 9 busy requests", load)
 	}
 }
 
-// Guards against a response to a health check that is taken for a second response where there are no load reports.
+// Guards against the response to a health check that is taken for a second response if the endpoint sends no
+// load reports.
 func TestHealthCheckWithoutReportIsNoSecondResponse(t *testing.T) {
-	s := newLongRestTest(t)
+	s := newLongReuseDelayTest(t)
 	s.complete("1")
-	s.probe(responseFor("hello"))
-	if len(s.sent) != 1 {
-		t.Fatalf("%d connections used, want 1", len(s.sent))
+	s.probeWith(responseFor("hello"))
+	if len(s.lastSent) != 1 {
+		t.Fatalf("%d connections used, want 1", len(s.lastSent))
 	}
 	s.checkSurplus(0)
 }
 
-// Guards against the announced close of an idle connection that is taken for a second response.
+// Guards against a 408 response, which announces that an idle connection is closed, being taken for a second
+// response.
 func TestRequestTimeoutIsNoSecondResponse(t *testing.T) {
 	for _, version := range []string{"HTTP/1.0", "HTTP/1.1"} {
 		t.Run(version, func(t *testing.T) {
-			s := newLongRestTest(t)
+			s := newLongReuseDelayTest(t)
 			endpointConn := s.complete("1")
 			c := s.onlyIdle()
 			io.WriteString(endpointConn, version+" 408 Request Time-out\r\nConnection: close\r\n\r\n")
@@ -146,49 +154,54 @@
 	}
 }
 
-// Guards against a second response that is no evidence since a health check reads it after the rest.
-func TestSecondResponseReadByHealthCheckAfterRest(t *testing.T) {
-	const lateness = 300 * time.Millisecond // longer than any rest without evidence
+// Guards against losing the lateness of a second response that a health check reads after the reuse delay has
+// passed.
+func TestSecondResponseReadByHealthCheckAfterReuseDelay(t *testing.T) {
+	const lateness = 300 * time.Millisecond // longer than any reuse delay without evidence
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-	if r := s.probe(responseFor(loadReport)); r.Load == nil {
-		t.Fatalf("health check: status %v without a report", r.Status)
+	if r := s.probeWith(responseFor(loadReport)); r.Load == nil {
+		t.Fatalf("health check: status %v, want a load report", r.Status)
 	}
-	s.rest(2 * time.Hour)
+	s.ageResponses(2 * time.Hour)
 	s.complete("1")
-	s.rest(lateness)
-	s.probe(responseFor("1"))
+	s.ageResponses(lateness)
+	s.probeWith(responseFor("1"))
 	s.checkSurplus(1)
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	if rest := clock.Duration(s.pool.rests.Rest(s.pool.options.Clock.Now(), s.to.endpoint)); rest < lateness {
-		t.Errorf("rest %v, want %v or more", rest, lateness)
+	if reuseDelay := clock.Duration(
+		s.pool.reuseDelays.Rest(s.pool.options.Clock.Now(), s.target.endpoint),
+	); reuseDelay < lateness {
+		t.Errorf("reuse delay %v, want %v or more", reuseDelay, lateness)
 	}
 }
 
-// Guards against reuse while an unread second response at another endpoint shows what the pool's endpoints do.
+// Guards against reuse of a connection although an unread second response from another endpoint of the same
+// pool is evidence that the endpoints of this pool send late second responses.
 func TestSecondResponseAtAnotherEndpoint(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-	elsewhere := s.complete("1")
+	firstEndpointConn := s.complete("1")
 	c := s.onlyIdle()
-	s.rest(150 * time.Millisecond)
+	s.ageResponses(150 * time.Millisecond)
 	s.useNewEndpoint()
 	endpointConn := s.complete("2")
-	s.rest(3 * DefaultReuseDelay)
-	io.WriteString(elsewhere, responseFor("1"))
+	s.ageResponses(3 * DefaultReuseDelay)
+	io.WriteString(firstEndpointConn, responseFor("1"))
 	s.awaitBytes(c.Conn)
 	s.mustOutwaitSecondResponse(endpointConn, "3")
 }
 
-// Guards against arrivals that are not found since more connections have some than one system call reports.
+// Guards against arrivals that are not found because more connections have unread bytes than one system call
+// reports.
 func TestSecondResponsesOnManyConnections(t *testing.T) {
 	const connections = maxArrivalEvents + 1
-	s := newLongRestTest(t)
+	s := newLongReuseDelayTest(t)
 	endpointConns := s.completeAtOnce(connections)
 	s.pool.mu.Lock()
 	for _, endpointConn := range endpointConns {
-		io.WriteString(endpointConn, s.sent[endpointConn])
+		io.WriteString(endpointConn, s.lastSent[endpointConn])
 	}
-	for _, c := range s.to.idle {
+	for _, c := range s.target.idle {
 		s.awaitBytes(c.Conn)
 	}
 	s.pool.inspectArrivalsLocked()
@@ -196,14 +209,16 @@
 	s.checkSurplus(connections)
 }
 
-// Guards against a second response that is not found since its connection was still in use when it was reported.
+// Guards against a second response that is not found because its arrival was reported while the connection was
+// still in use.
 func TestSecondResponseReportedWhileInUse(t *testing.T) {
-	// Of such a body, the part beyond the read buffer is read from the connection without a byte more.
+	// The part of this body that exceeds the read buffer is read directly from the connection, and no byte
+	// after the body is read.
 	response := "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 9000)
-	s := newLongRestTest(t)
-	used := s.complete("0")
-	s.rest(2 * time.Hour)
-	attempt := s.pool.newAttempt(s.to)
+	s := newLongReuseDelayTest(t)
+	usedConn := s.complete("0")
+	s.ageResponses(2 * time.Hour)
+	attempt := s.pool.newAttempt(s.target)
 	attempt.ResponseStarted = func(r engine.AttemptResult) bool {
 		stream := r.Response.(*Response).Stream
 		s.pool.mu.Lock()
@@ -217,7 +232,7 @@
 	}
 	result := s.start(attempt, tracedRequest("GET", "1"))
 	req := scriptedpeer.Receive(t, s.endpoint.received, "request")
-	if req.conn != used {
+	if req.conn != usedConn {
 		t.Fatal("the request came on another connection")
 	}
 	io.WriteString(req.conn, response+response)
--- a/internal/upstream/reuse_test.go
+++ b/internal/upstream/reuse_test.go
@@ -14,12 +14,12 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Guards against a late second response that is served to the next request: an endpoint that has sent one is not sent a
-// request on a connection that was used shortly before, and the connection is usable again later.
+// Guards against a late second response that is served for the next request. After an endpoint has sent a
+// second response, its connections are reused only after DistrustedReuseDelay.
 func TestSecondResponseMakesReuseLate(t *testing.T) {
 	var dials atomic.Int32
 	pool := newPool(func(o *Options) { o.DistrustedReuseDelay = time.Hour })
-	to := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+	target := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		first := dials.Add(1) == 1
 		for {
 			if _, err := scriptedpeer.ReadRequest(r); err != nil {
@@ -34,7 +34,7 @@
 	}))
 	send := func(wantDials int32) {
 		t.Helper()
-		r := pool.Send(context.Background(), pool.newAttempt(to), plainStreamedGet())
+		r := pool.Send(context.Background(), pool.newAttempt(target), newForwardedGet())
 		if n := dials.Load(); r.Status != balancer.OK || n != wantDials {
 			t.Fatalf("status %v on %d connections, want %v on %d", r.Status, n, balancer.OK, wantDials)
 		}
@@ -45,20 +45,20 @@
 	}
 	send(2)
 	send(3)
-	for _, c := range to.idle {
+	for _, c := range target.idle {
 		c.lastResponse = c.lastResponse.Add(-2 * time.Hour)
 	}
 	send(3)
 }
 
-// Guards against a second response that arrives while this process is paused between the inspection of a connection and
-// the write: the request is not written, so that it can be sent again.
+// Guards against a second response that arrives while this process is paused between the inspection of a
+// connection and the write. The request must not be written, so that it can be sent again.
 func TestSecondResponseBeforeTheWrite(t *testing.T) {
 	var received atomic.Int32
 	respondAgain := make(chan struct{})
 	respondedAgain := make(chan struct{})
 	pool := newPool()
-	to := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+	target := pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
 			if _, err := scriptedpeer.ReadRequest(r); err != nil {
 				return
@@ -70,62 +70,64 @@
 			close(respondedAgain)
 		}
 	}))
-	if r := pool.Send(context.Background(), pool.newAttempt(to), plainStreamedGet()); r.Status != balancer.OK {
+	if r := pool.Send(context.Background(), pool.newAttempt(target), newForwardedGet()); r.Status != balancer.OK {
 		t.Fatalf("first request: status %v", r.Status)
 	}
-	paused := pool.newAttempt(to)
-	paused.ClaimSend = func(monotime.Micros) bool {
+	pausedAttempt := pool.newAttempt(target)
+	pausedAttempt.ClaimSend = func(monotime.Micros) bool {
 		close(respondAgain)
 		<-respondedAgain
 		return true
 	}
-	r := pool.Send(context.Background(), paused, plainStreamedGet())
+	r := pool.Send(context.Background(), pausedAttempt, newForwardedGet())
 	if n := received.Load(); r.Status != balancer.ConnectFailed || n != 1 {
 		t.Errorf("status %v after %d requests, want %v after 1", r.Status, n, balancer.ConnectFailed)
 	}
 }
 
-// Guards against a connection that is used before it has rested because many others rest, too: a second response may
-// follow. Nothing is waited for, and one that has rested is used before a new one is opened.
+// Guards against reuse of a connection before its reuse delay has passed because many other connections are in
+// theirs: a second response may follow. With ReuseDelayOptional, an attempt opens a new connection rather than
+// wait, and prefers an idle connection whose reuse delay has passed to a new one.
 func TestOptionalReuseDelay(t *testing.T) {
 	const connections = 40
 	pool := newPool(func(o *Options) {
 		o.ReuseDelay = time.Hour
 		o.ReuseDelayOptional = true
 	})
-	to := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequest))
+	target := pool.newTarget(scriptedpeer.StartTCP(t, readOneRequestAndClose))
 	used := map[*Conn]bool{}
 	for i := range connections {
-		c := pool.mustGet(t, to)
+		c := pool.mustGet(t, target)
 		if used[c] {
-			t.Fatalf("with %d connections at rest one of them was used", i)
+			t.Fatalf("one of %d connections in their reuse delays was used", i)
 		}
 		used[c] = true
 		pool.Put(c)
 	}
 	pool.mu.Lock()
-	rested := to.idle[2]
-	rested.lastResponse = rested.lastResponse.Add(-2 * time.Hour)
+	reusable := target.idle[2]
+	reusable.lastResponse = reusable.lastResponse.Add(-2 * time.Hour)
 	pool.mu.Unlock()
-	c := pool.mustGet(t, to)
+	c := pool.mustGet(t, target)
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	if c != rested || pool.openConns != connections {
-		t.Error("one within its rest was used, or a new one, before one that has rested")
+	if c != reusable || pool.openConns != connections {
+		t.Error("got another connection than the idle one whose reuse delay has passed")
 	}
 }
 
-// BenchmarkConnectionsOpened reports the connections that are opened for requests to an endpoint that responds once.
+// BenchmarkConnectionsOpened reports how many connections are opened per request to an endpoint that sends each
+// response once.
 func BenchmarkConnectionsOpened(b *testing.B) {
 	var dials atomic.Int32
-	addr := startAnsweringEndpoint(b, &dials)
+	addr := startRespondingEndpoint(b, &dials)
 	pool := newPool(func(o *Options) {
 		o.ReuseDelay = DefaultReuseDelay
 		o.ReuseDelayOptional = true
 	})
-	to := pool.newTarget(addr)
+	target := pool.newTarget(addr)
 	for b.Loop() {
-		if r := pool.Send(context.Background(), pool.newAttempt(to), plainStreamedGet()); r.Status != balancer.OK {
+		if r := pool.Send(context.Background(), pool.newAttempt(target), newForwardedGet()); r.Status != balancer.OK {
 			b.Fatal(r.Status)
 		}
 	}
--- a/internal/upstream/second_response_test.go
+++ b/internal/upstream/second_response_test.go
@@ -23,10 +23,12 @@
 	"dunlinsail/internal/monotime"
 )
 
-// The tests in this file force the order of events around a second response to one request: the endpoint sends each
-// response when the test says so. All of them demand that no request is served with the response to another.
+// The tests in this file control the order of events around a second response to a request: the endpoint sends
+// each response when the test requests it. All tests verify that no request is served with the response to
+// another request.
 
-// manualEndpoint is an endpoint that announces the requests it has read, and responds to none by itself.
+// manualEndpoint is an endpoint that sends the requests it has read to a channel, and does not respond by
+// itself.
 type manualEndpoint struct {
 	addr     string
 	received chan receivedRequest
@@ -34,10 +36,11 @@
 
 // receivedRequest is a request that an endpoint has read.
 type receivedRequest struct {
-	id   string // "" is a health check
+	id   string // X-Trace-Id; "" for a health check
 	conn *net.TCPConn
 }
 
+// startManualEndpoint starts a manualEndpoint, which runs until the test ends.
 func startManualEndpoint(t *testing.T) *manualEndpoint {
 	t.Helper()
 	e := &manualEndpoint{received: make(chan receivedRequest, 100)}
@@ -53,40 +56,42 @@
 	return e
 }
 
-// secondResponseTest has a pool with a target at a manual endpoint.
+// secondResponseTest has a pool, and a target in the pool for a manualEndpoint.
 type secondResponseTest struct {
 	*testing.T
 	pool     *Pool
 	endpoint *manualEndpoint
-	to       *Target
-	sent     map[*net.TCPConn]string // the last response on each connection
+	target   *Target
+	lastSent map[*net.TCPConn]string // last response that the endpoint sent on each connection
 }
 
+// newSecondResponseTest returns a test with a new endpoint, and a pool with edits to its usual options.
 func newSecondResponseTest(t *testing.T, edits ...func(*Options)) *secondResponseTest {
 	t.Helper()
-	noThreads := withThreads(t.TempDir()) // the machine's load would hide what makes connections rest longer
-	pool := newPool(slices.Insert(edits, 0, noThreads)...)
-	s := &secondResponseTest{T: t, pool: pool, sent: map[*net.TCPConn]string{}}
+	// The scheduler statistics of a loaded machine would lengthen the reuse delays.
+	withoutStatistics := withThreadsDirectory(t.TempDir())
+	pool := newPool(slices.Insert(edits, 0, withoutStatistics)...)
+	s := &secondResponseTest{T: t, pool: pool, lastSent: map[*net.TCPConn]string{}}
 	s.useNewEndpoint()
 	return s
 }
 
-// useNewEndpoint starts another endpoint of the same pool, to which the next requests go.
+// useNewEndpoint starts another endpoint of the same pool of endpoints, to which subsequent requests are sent.
 func (s *secondResponseTest) useNewEndpoint() {
 	s.Helper()
 	s.endpoint = startManualEndpoint(s.T)
-	s.to = s.pool.newTarget(s.endpoint.addr)
+	s.target = s.pool.newTarget(s.endpoint.addr)
 }
 
-// withReuseDelay sets the reuse delay, and whether it is optional as in the daemon.
-func withReuseDelay(delay time.Duration, optional bool) func(*Options) {
+// withReuseDelay sets the reuse delay of a pool, and whether it is optional, as it is in the daemon.
+func withReuseDelay(delay time.Duration, delayOptional bool) func(*Options) {
 	return func(o *Options) {
 		o.ReuseDelay = delay
-		o.ReuseDelayOptional = optional
+		o.ReuseDelayOptional = delayOptional
 	}
 }
 
-// tracedRequest returns a request with an ID.
+// tracedRequest returns a request with an ID in the field X-Trace-Id.
 func tracedRequest(method, id string) *Request {
 	return &Request{
 		Method: method,
@@ -97,10 +102,10 @@
 	}
 }
 
-// maxAttemptTime bounds an attempt that waits for its connection.
+// maxAttemptTime is the maximum duration of an attempt, including its wait for a connection.
 const maxAttemptTime = time.Second
 
-// start starts an attempt, and returns the channel of its result.
+// start starts an attempt, and returns a channel that receives its result.
 func (s *secondResponseTest) start(attempt *core.AttemptContext, request *Request) <-chan engine.AttemptResult {
 	result := make(chan engine.AttemptResult, 1)
 	go func() {
@@ -111,18 +116,19 @@
 	return result
 }
 
-// startGet starts an attempt of a GET request.
+// startGet starts an attempt of a GET request, and returns a channel that receives its result.
 func (s *secondResponseTest) startGet(id string) <-chan engine.AttemptResult {
-	return s.start(s.pool.newAttempt(s.to), tracedRequest("GET", id))
+	return s.start(s.pool.newAttempt(s.target), tracedRequest("GET", id))
 }
 
 // respond sends the response to a request.
 func (s *secondResponseTest) respond(req receivedRequest) {
-	s.sent[req.conn] = responseFor(req.id)
-	io.WriteString(req.conn, s.sent[req.conn])
+	s.lastSent[req.conn] = responseFor(req.id)
+	io.WriteString(req.conn, s.lastSent[req.conn])
 }
 
-// complete makes a request that is served properly, and returns its connection at the endpoint.
+// complete makes a request that must be served with its own response, and returns the connection at the
+// endpoint.
 func (s *secondResponseTest) complete(id string) *net.TCPConn {
 	s.Helper()
 	result := s.startGet(id)
@@ -134,15 +140,15 @@
 	return req.conn
 }
 
-// completeAtOnce makes requests at once that are served properly, and returns their connections at the endpoint.
-func (s *secondResponseTest) completeAtOnce(requests int) (conns []*net.TCPConn) {
+// completeAtOnce makes concurrent requests that must succeed, and returns their connections at the endpoint.
+func (s *secondResponseTest) completeAtOnce(requestCount int) (conns []*net.TCPConn) {
 	s.Helper()
 	var results []<-chan engine.AttemptResult
-	for i := range requests {
+	for i := range requestCount {
 		results = append(results, s.startGet(fmt.Sprint("before-", i)))
 	}
 	var received []receivedRequest
-	for range requests {
+	for range requestCount {
 		received = append(received, scriptedpeer.Receive(s, s.endpoint.received, "request"))
 	}
 	for _, req := range received {
@@ -157,41 +163,45 @@
 	return conns
 }
 
-// isServedWrongly makes a request. If it comes on a used connection, the endpoint first responds to the request before
-// it once more, as late as possible, and then to this one. It reports whether a wrong response was served.
+// isServedWrongly makes a request, and reports whether it was served with a response to another request. If the
+// request arrives on a used connection, the endpoint first sends a second response to the previous request, and
+// responds to this request only once the attempt has ended. This is the latest time for a second response.
 func (s *secondResponseTest) isServedWrongly(id string) bool {
 	s.Helper()
 	result := s.startGet(id)
 	select {
 	case req := <-s.endpoint.received:
-		second := s.sent[req.conn]
-		if second == "" {
+		secondResponse := s.lastSent[req.conn]
+		if secondResponse == "" {
 			s.respond(req)
-			return s.isOther(id, scriptedpeer.Receive(s, result, "result"))
+			return s.isOtherResponse(id, scriptedpeer.Receive(s, result, "result"))
 		}
-		io.WriteString(req.conn, second)
+		io.WriteString(req.conn, secondResponse)
 		r := scriptedpeer.Receive(s, result, "result")
 		s.respond(req)
-		return s.isOther(id, r)
-	case r := <-result: // without a connection
-		return s.isOther(id, r)
+		return s.isOtherResponse(id, r)
+	case r := <-result: // the attempt got no connection
+		return s.isOtherResponse(id, r)
 	}
 }
 
-// secondResponseDelay is how long after the start of the next request an endpoint sends a second response at most.
+// secondResponseDelay is the maximum time from the start of the next request until an endpoint sends a second
+// response.
 const secondResponseDelay = 5 * time.Millisecond
 
-// mustOutwaitSecondResponse makes a request. The endpoint responds again to the last request on a used connection as
-// soon as this one comes there, or after secondResponseDelay: a pool that waits for longer sees it.
-func (s *secondResponseTest) mustOutwaitSecondResponse(used *net.TCPConn, id string) {
+// mustOutwaitSecondResponse makes a request that must not be served with a second response to the last request
+// on usedConn. The endpoint sends the second response as soon as the new request arrives on usedConn, or after
+// secondResponseDelay. A pool that waits for longer detects it.
+func (s *secondResponseTest) mustOutwaitSecondResponse(usedConn *net.TCPConn, id string) {
 	s.Helper()
-	if s.isServedTooEarly(used, id) {
-		s.Errorf("request %s was served with the second response to another one", id)
+	if s.isServedTooEarly(usedConn, id) {
+		s.Errorf("request %s was served with a response to another request", id)
 	}
 }
 
-// isServedTooEarly is mustOutwaitSecondResponse that reports whether a wrong response was served.
-func (s *secondResponseTest) isServedTooEarly(used *net.TCPConn, id string) bool {
+// isServedTooEarly makes a request like mustOutwaitSecondResponse, and reports whether it was served with a
+// response to another request.
+func (s *secondResponseTest) isServedTooEarly(usedConn *net.TCPConn, id string) bool {
 	s.Helper()
 	result := s.startGet(id)
 	var req receivedRequest
@@ -199,35 +209,36 @@
 	case req = <-s.endpoint.received:
 	case <-time.After(secondResponseDelay):
 	}
-	io.WriteString(used, s.sent[used])
+	io.WriteString(usedConn, s.lastSent[usedConn])
 	if req.conn == nil {
 		req = scriptedpeer.Receive(s, s.endpoint.received, "request")
 	}
-	if req.conn != used {
+	if req.conn != usedConn {
 		s.respond(req)
-		return s.isOther(id, scriptedpeer.Receive(s, result, "result"))
+		return s.isOtherResponse(id, scriptedpeer.Receive(s, result, "result"))
 	}
 	r := scriptedpeer.Receive(s, result, "result")
 	s.respond(req)
-	return s.isOther(id, r)
+	return s.isOtherResponse(id, r)
 }
 
-// isOther reports whether a result is the response to another request than id.
-func (s *secondResponseTest) isOther(id string, r engine.AttemptResult) bool {
+// isOtherResponse reports whether a result has the response to a request other than id.
+func (s *secondResponseTest) isOtherResponse(id string, r engine.AttemptResult) bool {
 	s.Helper()
 	s.Logf("request %s: status %v, body %q", id, r.Status, bodyOf(r))
 	return r.Response != nil && bodyOf(r) != id
 }
 
-// mustBeServedRightly is isServedWrongly for requests that must not be.
-func (s *secondResponseTest) mustBeServedRightly(id string) {
+// mustBeServedCorrectly makes a request like isServedWrongly, and fails if it is served with a response to
+// another request.
+func (s *secondResponseTest) mustBeServedCorrectly(id string) {
 	s.Helper()
 	if s.isServedWrongly(id) {
-		s.Errorf("request %s was served with the second response to another one", id)
+		s.Errorf("request %s was served with a response to another request", id)
 	}
 }
 
-// bodyOf returns the buffered body of the response to an attempt.
+// bodyOf returns the buffered body of the response in a result, or "" if there is no response.
 func bodyOf(r engine.AttemptResult) string {
 	if response, _ := r.Response.(*Response); response != nil {
 		return string(response.Buffered)
@@ -235,32 +246,33 @@
 	return ""
 }
 
-// neverRan reports whether a status says that the endpoint did not receive the request.
+// neverRan reports whether a status proves that the endpoint did not receive the request.
 func neverRan(status balancer.Status) bool {
 	return status == balancer.ConnectFailed || status == balancer.NotSent
 }
 
-// onlyIdle returns the one idle connection to the target.
+// onlyIdle returns the only idle connection to the target.
 func (s *secondResponseTest) onlyIdle() *Conn {
 	s.Helper()
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	if len(s.to.idle) != 1 {
-		s.Fatalf("%d idle connections, want 1", len(s.to.idle))
+	if len(s.target.idle) != 1 {
+		s.Fatalf("%d idle connections, want 1", len(s.target.idle))
 	}
-	return s.to.idle[0]
+	return s.target.idle[0]
 }
 
-// rest makes the last responses on the idle connections to the target older.
-func (s *secondResponseTest) rest(d time.Duration) {
+// ageResponses makes the last responses on the idle connections to the target older by d, as if their reuse
+// delays had been running for d longer.
+func (s *secondResponseTest) ageResponses(d time.Duration) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	for _, c := range s.to.idle {
+	for _, c := range s.target.idle {
 		c.lastResponse = c.lastResponse.Add(-d)
 	}
 }
 
-// awaitBytes waits until unread bytes have arrived on a connection.
+// awaitBytes waits until a connection has unread bytes.
 func (s *secondResponseTest) awaitBytes(c net.Conn) {
 	s.Helper()
 	raw, err := c.(syscall.Conn).SyscallConn()
@@ -279,18 +291,18 @@
 	c.SetReadDeadline(time.Time{})
 }
 
-// awaitBytesOnIdle waits until unread bytes have arrived on the idle connections to the target.
+// awaitBytesOnIdle waits until all idle connections to the target have unread bytes.
 func (s *secondResponseTest) awaitBytesOnIdle() {
 	s.Helper()
 	s.pool.mu.Lock()
-	idle := slices.Clone(s.to.idle)
+	idle := slices.Clone(s.target.idle)
 	s.pool.mu.Unlock()
 	for _, c := range idle {
 		s.awaitBytes(c.Conn)
 	}
 }
 
-// checkSurplus checks how many surplus responses were counted.
+// checkSurplus checks the number of surplus responses that were counted.
 func (s *secondResponseTest) checkSurplus(want uint64) {
 	s.Helper()
 	if n := s.pool.SurplusResponses(); n != want {
@@ -298,42 +310,45 @@
 	}
 }
 
-// Guards against reuse without a rest where the number of idle connections is bounded.
+// Guards against reuse before the reuse delay has passed when the number of idle connections is limited.
 func TestSecondResponseUnderIdleBound(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(time.Hour, true))
 	s.pool.LimitIdle("owner", 8)
 	s.complete("1")
-	s.mustBeServedRightly("2")
+	s.mustBeServedCorrectly("2")
 }
 
-// Guards against reuse without a rest where no further connection may be opened.
+// Guards against reuse before the reuse delay has passed when MaxConns prevents opening another connection.
 func TestSecondResponseAtMaxConns(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(time.Hour, true), func(o *Options) { o.MaxConns = 1 })
 	s.complete("1")
-	s.mustBeServedRightly("2")
+	s.mustBeServedCorrectly("2")
 }
 
-// Guards against reuse without a rest where no further connection may be opened since another one is in use.
+// Guards against reuse before the reuse delay has passed when another connection in use prevents, because of
+// MaxConns, opening a third one.
 func TestSecondResponseAtMaxConnsBesideAnother(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(time.Hour, true), func(o *Options) { o.MaxConns = 2 })
-	held := s.startGet("1")
+	heldResult := s.startGet("1")
 	heldRequest := scriptedpeer.Receive(t, s.endpoint.received, "request 1")
 	s.complete("2")
-	s.mustBeServedRightly("3")
+	s.mustBeServedCorrectly("3")
 	s.respond(heldRequest)
-	if r := scriptedpeer.Receive(t, held, "result"); bodyOf(r) != "1" {
+	if r := scriptedpeer.Receive(t, heldResult, "result"); bodyOf(r) != "1" {
 		t.Errorf("request 1: status %v, body %q", r.Status, bodyOf(r))
 	}
 }
 
-// Guards against reuse without a rest where many connections to an endpoint are within theirs.
-func TestSecondResponseBesideManyResting(t *testing.T) {
+// Guards against reuse before the reuse delay has passed when many connections to the same endpoint are in
+// their reuse delays.
+func TestSecondResponseBesideManyDelayed(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(time.Hour, true))
 	s.completeAtOnce(64)
-	s.mustBeServedRightly("2")
+	s.mustBeServedCorrectly("2")
 }
 
-// Guards against reuse without a rest where this process has no descriptor for another connection.
+// Guards against reuse before the reuse delay has passed when this process has no descriptor for another
+// connection.
 func TestSecondResponseWithoutDescriptors(t *testing.T) {
 	for name, optional := range map[string]bool{"sidecar": false, "daemon": true} {
 		t.Run(name, func(t *testing.T) {
@@ -342,49 +357,50 @@
 			s.pool.options.Dial = func(context.Context, string, string) (net.Conn, error) {
 				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 			}
-			s.mustBeServedRightly("2")
+			s.mustBeServedCorrectly("2")
 		})
 	}
 }
 
-// Guards against a second response that arrives between the inspection of a connection and the write, without a pause
-// that would show: the request is not written.
+// Guards against a second response that arrives after a connection was selected and before the write, without a
+// pause that the pool could notice. The request must not be written.
 func TestSecondResponseBetweenInspectionAndWrite(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 	endpointConn := s.complete("1")
-	s.rest(2 * time.Hour)
+	s.ageResponses(2 * time.Hour)
 	c := s.onlyIdle()
-	attempt := s.pool.newAttempt(s.to)
+	attempt := s.pool.newAttempt(s.target)
 	attempt.ClaimSend = func(monotime.Micros) bool {
 		io.WriteString(endpointConn, responseFor("1"))
 		s.awaitBytes(c.Conn)
 		return true
 	}
 	r := scriptedpeer.Receive(t, s.start(attempt, tracedRequest("GET", "2")), "result")
-	if s.isOther("2", r) || !neverRan(r.Status) {
+	if s.isOtherResponse("2", r) || !neverRan(r.Status) {
 		t.Errorf("status %v, body %q, want a request that was not written", r.Status, bodyOf(r))
 	}
 	s.checkSurplus(1)
 }
 
-// Guards against a wrong response where the connection's next response has already been read behind it: a caller must
-// not get the first of two responses to one request on a used connection.
+// Guards against a wrong response when a second response and the right response have been read at once: on a
+// used connection, an attempt must not get the second response to the previous request.
 func TestSecondResponseWithTheNextBehindIt(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 	s.complete("1")
-	s.rest(2 * time.Hour)
+	s.ageResponses(2 * time.Hour)
 	result := s.startGet("2")
 	req := scriptedpeer.Receive(t, s.endpoint.received, "request")
-	io.WriteString(req.conn, s.sent[req.conn]+responseFor("2"))
-	if s.isOther("2", scriptedpeer.Receive(t, result, "result")) {
-		t.Error("request 2 was served with the response to request 1 although its own was at hand")
+	io.WriteString(req.conn, s.lastSent[req.conn]+responseFor("2"))
+	if s.isOtherResponse("2", scriptedpeer.Receive(t, result, "result")) {
+		t.Error("request 2 was served with the response to request 1 although its own response had arrived")
 	}
 }
 
-// Guards against a response that arrives on a new connection before its first request: it cannot be that request's.
+// Guards against a response that arrives on a new connection before its first request. It cannot be the
+// response to that request.
 func TestResponseBeforeFirstRequest(t *testing.T) {
 	s := newSecondResponseTest(t)
-	s.to = s.pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+	s.target = s.pool.newTarget(scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		io.WriteString(c, responseFor("other"))
 		scriptedpeer.ReadRequest(r)
 	}))
@@ -396,70 +412,72 @@
 		}
 		return c, err
 	}
-	if s.isOther("1", scriptedpeer.Receive(t, s.startGet("1"), "result")) {
-		t.Error("request 1 was served with a response that was sent before it")
+	if s.isOtherResponse("1", scriptedpeer.Receive(t, s.startGet("1"), "result")) {
+		t.Error("request 1 was served with a response that was sent before the request")
 	}
 }
 
-// Guards against endpoints that all stall for as long before a second response: only the first of them may be unknown.
+// Guards against repeated wrong responses when all endpoints of a pool stall equally long before a second
+// response. At most the first endpoint may cause a wrong response, since its lateness is not yet known.
 func TestSecondResponseAfterStallOfEndpoint(t *testing.T) {
 	const lateness = 150 * time.Millisecond
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-	wrong := 0
+	wrongResponses := 0
 	for i := range 4 {
 		s.useNewEndpoint()
 		endpointConn := s.complete(fmt.Sprint(i, "-first"))
-		s.rest(lateness)
+		s.ageResponses(lateness)
 		if s.isServedTooEarly(endpointConn, fmt.Sprint(i, "-second")) {
-			wrong++
-			s.awaitBytesOnIdle() // its own response
+			wrongResponses++
+			s.awaitBytesOnIdle() // the response to the second request
 			s.complete(fmt.Sprint(i, "-third"))
 		}
 	}
-	if wrong > 1 {
-		t.Errorf("%d of 4 endpoints that stall the same had a wrong response, want 1 at most", wrong)
+	if wrongResponses > 1 {
+		t.Errorf("%d of 4 endpoints with equal stalls caused a wrong response, want at most 1", wrongResponses)
 	}
 }
 
-// Guards against a rest that is shorter than the lateness already seen of a second response: at the same endpoint, and
-// at another one of the pool.
+// Guards against a reuse delay that is shorter than the observed lateness of second responses, at the same
+// endpoint and at another endpoint of the pool.
 func TestLatenessOfSecondResponsesIsLearned(t *testing.T) {
-	for name, elsewhere := range map[string]bool{"same endpoint": false, "another endpoint": true} {
+	for name, anotherEndpoint := range map[string]bool{"same endpoint": false, "another endpoint": true} {
 		t.Run(name, func(t *testing.T) {
 			s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 			endpointConn := s.complete("1")
-			s.rest(150 * time.Millisecond)
+			s.ageResponses(150 * time.Millisecond)
 			c := s.onlyIdle()
 			io.WriteString(endpointConn, responseFor("1"))
 			s.awaitBytes(c.Conn)
-			endpointConn = s.complete("2") // on another connection
+			endpointConn = s.complete("2") // on a new connection, since the first one has unread bytes
 			s.checkSurplus(1)
-			if elsewhere {
+			if anotherEndpoint {
 				s.useNewEndpoint()
 				endpointConn = s.complete("3")
 			}
-			s.rest(120 * time.Millisecond)
+			s.ageResponses(120 * time.Millisecond)
 			s.mustOutwaitSecondResponse(endpointConn, "4")
 		})
 	}
 }
 
-// Guards against reuse while an unread second response on another idle connection shows what the endpoint does.
+// Guards against reuse of a connection although an unread second response on another idle connection is
+// evidence that the endpoint sends late second responses.
 func TestSecondResponseOnAnotherConnection(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-	held := s.startGet("1")
+	heldResult := s.startGet("1")
 	heldRequest := scriptedpeer.Receive(t, s.endpoint.received, "request 1")
 	endpointConn := s.complete("2")
 	c := s.onlyIdle()
 	s.respond(heldRequest)
-	scriptedpeer.Receive(t, held, "result") // its connection is the one used last
+	scriptedpeer.Receive(t, heldResult, "result") // its connection is now the most recently used one
 	io.WriteString(endpointConn, responseFor("2"))
 	s.awaitBytes(c.Conn)
-	s.rest(2 * DefaultReuseDelay)
+	s.ageResponses(2 * DefaultReuseDelay)
 	s.mustOutwaitSecondResponse(heldRequest.conn, "3")
 }
 
-// responseKinds are responses to request 1, and its method.
+// responseKinds are kinds of responses to request 1, each with the method of the request.
 var responseKinds = map[string]struct{ method, response string }{
 	"plain":    {"GET", responseFor("1")},
 	"streamed": {"GET", "HTTP/1.1 200 OK\r\nContent-Length: 4096\r\n\r\n" + strings.Repeat("x", 4096)},
@@ -471,9 +489,9 @@
 	"304":      {"GET", "HTTP/1.1 304 Not Modified\r\n\r\n"},
 }
 
-// startReader starts an attempt of request 1 whose response is read to its end if it is streamed.
-func (s *secondResponseTest) startReader(method string) <-chan engine.AttemptResult {
-	attempt := s.pool.newAttempt(s.to)
+// startReadingAttempt starts an attempt of request 1, and reads the response to its end if it is streamed.
+func (s *secondResponseTest) startReadingAttempt(method string) <-chan engine.AttemptResult {
+	attempt := s.pool.newAttempt(s.target)
 	attempt.ResponseStarted = func(r engine.AttemptResult) bool {
 		stream := r.Response.(*Response).Stream
 		go func() {
@@ -485,12 +503,13 @@
 	return s.start(attempt, tracedRequest(method, "1"))
 }
 
-// Guards against a second response of any kind that is overlooked right behind the first, or on an idle connection.
+// Guards against second responses of any kind that are not detected immediately behind the first response, or
+// on an idle connection.
 func TestSecondResponseBehindAnyResponse(t *testing.T) {
 	for name, kind := range responseKinds {
 		t.Run(name+" in one write", func(t *testing.T) {
 			s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-			result := s.startReader(kind.method)
+			result := s.startReadingAttempt(kind.method)
 			req := scriptedpeer.Receive(t, s.endpoint.received, "request")
 			io.WriteString(req.conn, kind.response+kind.response)
 			if r := scriptedpeer.Receive(t, result, "result"); r.Status != balancer.OK {
@@ -501,14 +520,14 @@
 		})
 		t.Run(name+" while idle", func(t *testing.T) {
 			s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-			result := s.startReader(kind.method)
+			result := s.startReadingAttempt(kind.method)
 			req := scriptedpeer.Receive(t, s.endpoint.received, "request")
 			io.WriteString(req.conn, kind.response)
 			if r := scriptedpeer.Receive(t, result, "result"); r.Status != balancer.OK {
 				t.Errorf("request 1: status %v", r.Status)
 			}
 			c := s.onlyIdle()
-			s.rest(2 * time.Hour)
+			s.ageResponses(2 * time.Hour)
 			io.WriteString(req.conn, kind.response)
 			s.awaitBytes(c.Conn)
 			s.complete("2")
@@ -517,33 +536,35 @@
 	}
 }
 
-// Guards against hints for one request that are served to the next, as the start of a second response.
+// Guards against an interim response (103 Early Hints) that is the start of a second response to one request
+// and is served to the next.
 func TestInterimOfSecondResponse(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(time.Hour, true))
 	s.pool.LimitIdle("owner", 8)
 	s.complete("1")
 	result := s.startGet("2")
 	req := scriptedpeer.Receive(t, s.endpoint.received, "request")
-	if s.sent[req.conn] != "" {
+	if s.lastSent[req.conn] != "" {
 		io.WriteString(req.conn, "HTTP/1.1 103 Early Hints\r\nLink: </1>\r\n\r\n")
 	}
 	s.respond(req)
 	r := scriptedpeer.Receive(t, result, "result")
 	if response, _ := r.Response.(*Response); response == nil || len(response.Interim) > 0 {
-		t.Errorf("status %v, response %+v, want one without the hints of request 1", r.Status, response)
+		t.Errorf("status %v, response %+v, want a response without the hints of request 1", r.Status, response)
 	}
 }
 
+// loadReport is a valid load report for the load fields of newPool.
 const loadReport = "TEXT busy_reqs=7, served_ps=2, cpu_share=0.5"
 
-// probe makes a health check that receives a response.
-func (s *secondResponseTest) probe(response string) engine.AttemptResult {
+// probeWith makes a health check that receives the given response.
+func (s *secondResponseTest) probeWith(response string) engine.AttemptResult {
 	s.Helper()
 	probed := make(chan engine.AttemptResult, 1)
-	to := s.to
-	go func() { probed <- to.Probe() }()
+	target := s.target
+	go func() { probed <- target.Probe() }()
 	req := scriptedpeer.Receive(s, s.endpoint.received, "health check")
-	s.sent[req.conn] = response
+	s.lastSent[req.conn] = response
 	io.WriteString(req.conn, response)
 	return scriptedpeer.Receive(s, probed, "result of the health check")
 }
@@ -555,30 +576,30 @@
 			s := newSecondResponseTest(t, withReuseDelay(time.Hour, true))
 			if usedBefore {
 				s.complete("1")
-				s.rest(2 * time.Hour)
+				s.ageResponses(2 * time.Hour)
 			}
-			if r := s.probe(responseFor(loadReport)); r.Load == nil {
-				t.Fatalf("health check: status %v without a report", r.Status)
+			if r := s.probeWith(responseFor(loadReport)); r.Load == nil {
+				t.Fatalf("health check: status %v, want a load report", r.Status)
 			}
-			s.mustBeServedRightly("2")
+			s.mustBeServedCorrectly("2")
 		})
 	}
 }
 
-// Guards against a second response that the pool does not learn from, since a health check reads it in place of its own
-// at an endpoint that sends load reports.
+// Guards against a second response that is not counted as evidence because a health check reads it in place of
+// its own response, at an endpoint that sends load reports.
 func TestSecondResponseReadByHealthCheck(t *testing.T) {
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-	if r := s.probe(responseFor(loadReport)); r.Load == nil {
-		t.Fatalf("health check: status %v without a report", r.Status)
+	if r := s.probeWith(responseFor(loadReport)); r.Load == nil {
+		t.Fatalf("health check: status %v, want a load report", r.Status)
 	}
-	s.rest(2 * time.Hour)
+	s.ageResponses(2 * time.Hour)
 	s.complete("1")
-	if r := s.probe(responseFor("1")); r.Load != nil {
-		t.Fatalf("health check: status %v, load %v", r.Status, r.Load)
+	if r := s.probeWith(responseFor("1")); r.Load != nil {
+		t.Fatalf("health check: status %v, load %v, want no load", r.Status, r.Load)
 	}
 	s.checkSurplus(1)
-	s.mustBeServedRightly("2")
+	s.mustBeServedCorrectly("2")
 }
 
 // Guards against a second response that is not recognized because only its first bytes have arrived.
@@ -588,10 +609,10 @@
 			s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 			endpointConn := s.complete("1")
 			c := s.onlyIdle()
-			s.rest(2 * time.Hour)
+			s.ageResponses(2 * time.Hour)
 			io.WriteString(endpointConn, responseFor("1")[:length])
 			s.awaitBytes(c.Conn)
-			s.mustBeServedRightly("2")
+			s.mustBeServedCorrectly("2")
 			s.checkSurplus(1)
 		})
 		t.Run(fmt.Sprint(length, " bytes in one write"), func(t *testing.T) {
@@ -602,13 +623,13 @@
 			if r := scriptedpeer.Receive(t, result, "result"); bodyOf(r) != "1" {
 				t.Errorf("request 1: status %v, body %q", r.Status, bodyOf(r))
 			}
-			s.mustBeServedRightly("2")
+			s.mustBeServedCorrectly("2")
 			s.checkSurplus(1)
 		})
 	}
 }
 
-// Guards against evidence on an address that is lost when its target is dropped and added again.
+// Guards against loss of the evidence on an address when its target is dropped and added again.
 func TestEvidenceOutlivesTarget(t *testing.T) {
 	for name, optional := range map[string]bool{"sidecar": false, "daemon": true} {
 		t.Run(name, func(t *testing.T) {
@@ -618,16 +639,16 @@
 			io.WriteString(req.conn, responseFor("1")+responseFor("1"))
 			scriptedpeer.Receive(t, result, "result")
 			s.checkSurplus(1)
-			s.to.Drop()
-			s.to = s.pool.newTarget(s.endpoint.addr)
+			s.target.Drop()
+			s.target = s.pool.newTarget(s.endpoint.addr)
 			endpointConn := s.complete("2")
-			s.rest(2 * DefaultReuseDelay)
+			s.ageResponses(2 * DefaultReuseDelay)
 			s.mustOutwaitSecondResponse(endpointConn, "3")
 		})
 	}
 }
 
-// streamedBody returns the rest of a body of one byte, which is there at once.
+// streamedBody returns a request stream with a body of one byte, which can be read immediately.
 func streamedBody() *RequestStream {
 	body := http1msg.NewBody(bufio.NewReader(strings.NewReader("x")), http1msg.Framing{
 		Kind:   http1msg.FixedLength,
@@ -636,34 +657,36 @@
 	return NewRequestStream(body, 1, func() {}, func() {})
 }
 
-// Guards against a request that is lost, sent twice or served wrongly, since a second response came before its write.
+// Guards against a request that is lost, sent twice or served with a wrong response because a second response
+// arrived before the request was written.
 func TestRetryAfterSecondResponseBeforeWrite(t *testing.T) {
-	for name, streams := range map[string]bool{"buffered body": false, "streaming body": true} {
+	for name, streamsBody := range map[string]bool{"buffered body": false, "streaming body": true} {
 		t.Run(name, func(t *testing.T) {
 			s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 			endpointConn := s.complete("1")
-			s.rest(2 * time.Hour)
+			s.ageResponses(2 * time.Hour)
 			c := s.onlyIdle()
-			paused := s.pool.newAttempt(s.to)
-			paused.ClaimSend = func(monotime.Micros) bool {
+			pausedAttempt := s.pool.newAttempt(s.target)
+			pausedAttempt.ClaimSend = func(monotime.Micros) bool {
 				io.WriteString(endpointConn, responseFor("1"))
 				s.awaitBytes(c.Conn)
-				time.Sleep(5 * time.Millisecond) // the pause
+				time.Sleep(5 * time.Millisecond) // simulates a pause of this process
 				return true
 			}
-			keyed := tracedRequest("POST", "2")
-			keyed.Header.Set("Idempotency-Key", "2")
-			if streams {
-				keyed.Stream = streamedBody()
+			keyedRequest := tracedRequest("POST", "2")
+			keyedRequest.Header.Set("Idempotency-Key", "2")
+			if streamsBody {
+				keyedRequest.Stream = streamedBody()
 			}
-			r := scriptedpeer.Receive(t, s.start(paused, keyed), "result")
+			r := scriptedpeer.Receive(t, s.start(pausedAttempt, keyedRequest), "result")
 			if !neverRan(r.Status) || len(s.endpoint.received) != 0 {
-				t.Fatalf("status %v, %d received, want one that never ran", r.Status, len(s.endpoint.received))
+				t.Fatalf("status %v, %d requests received, want a status that proves that the request never ran",
+					r.Status, len(s.endpoint.received))
 			}
-			if streams {
-				return // whether it can be sent again is for who has the rest of the body
+			if streamsBody {
+				return // the caller, which has the rest of the body, decides whether to send it again
 			}
-			retried := s.start(s.pool.newAttempt(s.to), keyed)
+			retried := s.start(s.pool.newAttempt(s.target), keyedRequest)
 			s.respond(scriptedpeer.Receive(t, s.endpoint.received, "retry"))
 			if r := scriptedpeer.Receive(t, retried, "result"); bodyOf(r) != "2" || len(s.endpoint.received) != 0 {
 				t.Errorf("retry: status %v, body %q, %d more received", r.Status, bodyOf(r), len(s.endpoint.received))
@@ -672,8 +695,8 @@
 	}
 }
 
-// closings are the ways in which a pool closes the idle connection of a test.
-var closings = map[string]func(s *secondResponseTest){
+// waysToCloseConn are the ways in which a pool closes the idle connection of a test, by name.
+var waysToCloseConn = map[string]func(s *secondResponseTest){
 	"eviction at MaxConns": func(s *secondResponseTest) {
 		s.pool.options.MaxConns = 1
 		s.useNewEndpoint()
@@ -693,36 +716,37 @@
 	"selection of an expired one": func(s *secondResponseTest) {
 		c := s.onlyIdle()
 		c.idleSince = c.idleSince.Add(-time.Hour)
-		s.rest(2 * time.Hour)
+		s.ageResponses(2 * time.Hour)
 		s.complete("2")
 	},
-	"Drop":                func(s *secondResponseTest) { s.to.Drop() },
-	"AttemptTimedOut":     func(s *secondResponseTest) { s.to.AttemptTimedOut(time.Now()) },
+	"Drop":                func(s *secondResponseTest) { s.target.Drop() },
+	"AttemptTimedOut":     func(s *secondResponseTest) { s.target.AttemptTimedOut(time.Now()) },
 	"SetKeepIdle":         func(s *secondResponseTest) { s.pool.SetKeepIdle(false) },
-	"Put after Drop":      func(s *secondResponseTest) { c := s.take(); s.to.Drop(); s.pool.Put(c) },
-	"Put after not keep":  func(s *secondResponseTest) { c := s.take(); s.pool.SetKeepIdle(false); s.pool.Put(c) },
+	"Put after Drop":      func(s *secondResponseTest) { c := s.takeIdle(); s.target.Drop(); s.pool.Put(c) },
+	"Put after not keep":  func(s *secondResponseTest) { c := s.takeIdle(); s.pool.SetKeepIdle(false); s.pool.Put(c) },
 	"end of the pool Run": func(s *secondResponseTest) { s.endRun() },
 }
 
-// take removes the idle connection from the pool, as if an attempt used it.
-func (s *secondResponseTest) take() *Conn {
+// takeIdle removes the only idle connection from the pool, as if an attempt used it.
+func (s *secondResponseTest) takeIdle() *Conn {
 	s.Helper()
 	s.onlyIdle()
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	return s.pool.removeIdleLocked(s.to, 0)
+	return s.pool.removeIdleLocked(s.target, 0)
 }
 
-// endRun runs the pool until it ends.
+// endRun calls Run of the pool with a context that has ended.
 func (s *secondResponseTest) endRun() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	s.pool.Run(ctx)
 }
 
-// Guards against a second response that the pool does not learn from, since it closes the connection without a look.
+// Guards against a second response that is not counted as evidence because the pool closes its connection
+// without inspecting it.
 func TestSecondResponseOnClosedConnection(t *testing.T) {
-	for name, closeIt := range closings {
+	for name, closeIt := range waysToCloseConn {
 		t.Run(name, func(t *testing.T) {
 			s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
 			endpointConn := s.complete("1")
@@ -735,12 +759,12 @@
 	}
 }
 
-// Guards against a body that a client did not read to its end and that is counted as a second response.
+// Guards against counting the rest of a response body, which the client did not read, as a second response.
 func TestUnreadBodyIsNoSecondResponse(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n"
 	body := strings.Repeat("x", connReadBufferSize-len(head)) + strings.Repeat(responseFor("1"), 100)
 	s := newSecondResponseTest(t, withReuseDelay(DefaultReuseDelay, false))
-	attempt := s.pool.newAttempt(s.to)
+	attempt := s.pool.newAttempt(s.target)
 	attempt.ResponseStarted = func(r engine.AttemptResult) bool {
 		s.awaitBytes(r.Response.(*Response).Stream.conn.Conn)
 		r.Response.(*Response).Stream.Finish()
