--- a/cmd/dunlinsail/host_test.go
+++ b/cmd/dunlinsail/host_test.go
@@ -124,7 +124,7 @@
 	return resp.StatusCode, string(text)
 }
 
-// setRandomCordon makes an operator's call that disables or enables an endpoint.
+// setCordon makes an operator's call that disables or enables an endpoint.
 func (p *process) setCordon(action, target string) {
 	p.h.t.Helper()
 	if code, text := p.call("POST", "/endpoints/"+action, `{"target":"`+target+`"}`); code != 200 {
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// setRandomCordon cordons an endpoint, given by name or address, or lifts its cordon. A cordon is in effect at this instance
+// setCordon cordons an endpoint, given by name or address, or lifts its cordon. A cordon is in effect at this instance
 // only, and is part of its snapshot. An endpoint that is in no list is admin.ErrUnknownEndpoint.
 func (d *generation) setCordon(ctx context.Context, target string, cordoned bool) error {
 	_, known, err := d.core.SetCordon(ctx, target, cordoned, takeover.Monotonic())
--- a/internal/sidecar/cordons.go
+++ b/internal/sidecar/cordons.go
@@ -24,7 +24,7 @@
 	cordonsFileMode = 0o600   // the sidecar's user only
 )
 
-// setRandomCordon cordons an endpoint, given by name or address, or lifts its cordon. An endpoint that is not in the list is
+// setCordon cordons an endpoint, given by name or address, or lifts its cordon. An endpoint that is not in the list is
 // admin.ErrUnknownEndpoint.
 func (s *sidecar) setCordon(ctx context.Context, target string, cordoned bool) error {
 	set, known, err := s.core.SetCordon(ctx, target, cordoned, takeover.Monotonic())
