--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -274,7 +274,8 @@
 	for i, counts := range window {
 		savedBucket := bucket{requests: counts[0], accepts: counts[1], failures: counts[2]}
 		bucketNumber := br.newestBucketNumber - int64(breakerBuckets-1-i) - age/width
-		if bucketNumber <= br.newestBucketNumber-breakerBuckets || savedBucket.accepts < 0 || savedBucket.failures < 0 ||
+		if bucketNumber <= br.newestBucketNumber-breakerBuckets ||
+			savedBucket.accepts < 0 || savedBucket.failures < 0 ||
 			savedBucket.requests < savedBucket.accepts+savedBucket.failures {
 			continue
 		}
