--- a/internal/decide/canary/canary_test.go
+++ b/internal/decide/canary/canary_test.go
@@ -140,15 +140,15 @@
 	settings := testSettings
 	settings.MaxExtensions = 2
 	rng := rand.New(rand.NewPCG(1, 1))
-	baseline := &trafficSource{rng: rng, requestRate: 100, unservedFraction: 0.001}
-	if verdict, statistics := runToVerdict(t, settings, baseline, &trafficSource{
+	baselineSource := &trafficSource{rng: rng, requestRate: 100, unservedFraction: 0.001}
+	if verdict, statistics := runToVerdict(t, settings, baselineSource, &trafficSource{
 		rng:              rng,
 		requestRate:      250,
 		unservedFraction: 0.3,
 	}); verdict != Inconclusive || statistics.Service[1] > 0.8 {
 		t.Errorf("%v, %+v", verdict, statistics)
 	}
-	if verdict, statistics := runToVerdict(t, settings, baseline, &trafficSource{
+	if verdict, statistics := runToVerdict(t, settings, baselineSource, &trafficSource{
 		rng:              rng,
 		requestRate:      250,
 		unservedFraction: 0.3,
@@ -158,7 +158,7 @@
 	}
 	analysis, _ := NewAnalysis(settings)
 	for range 120 {
-		analysis.AddBaseline(baseline.nextSample())
+		analysis.AddBaseline(baselineSource.nextSample())
 	}
 	duringSurge := &trafficSource{rng: rng, requestRate: 300, unservedFraction: 0.2}
 	afterSurge := &trafficSource{rng: rng, requestRate: 100, unservedFraction: 0.001}
@@ -181,7 +181,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	failing := &trafficSource{
+	failingCanary := &trafficSource{
 		rng:              rand.New(rand.NewPCG(1, 1)),
 		requestRate:      100,
 		unservedFraction: 0.9,
@@ -189,14 +189,14 @@
 	}
 	verdict := Undecided
 	for verdict == Undecided {
-		verdict, _ = analysis.AddCanary(failing.nextSample())
+		verdict, _ = analysis.AddCanary(failingCanary.nextSample())
 	}
 	if verdict != Passed {
 		t.Errorf("%v", verdict)
 	}
 	for range 100 {
 		analysis.AddBaseline(Sample{Duration: slotDuration, OfferedWeight: 1000, ServedWeight: 1000, Requests: 1000})
-		if verdict, _ := analysis.AddCanary(failing.nextSample()); verdict != Passed {
+		if verdict, _ := analysis.AddCanary(failingCanary.nextSample()); verdict != Passed {
 			t.Fatalf("%v, after it had passed", verdict)
 		}
 	}
--- a/internal/decide/maintenance/capacity.go
+++ b/internal/decide/maintenance/capacity.go
@@ -40,7 +40,7 @@
 	// Numbers of machines that are out: in all, and in the zone, in the cell and of the kind of the candidate.
 	totalOut, outInZone, outInCell, outOfKind int
 
-	healthyInCell     int // number of machines in service in the candidate's cell
+	inServiceInCell   int // number of machines in service in the candidate's cell
 	remainingCapacity float64
 	aloneInCell       bool // no other machine is in the candidate's cell
 }
@@ -63,22 +63,22 @@
 }
 
 // addMachine adds a machine other than the candidate to the outage.
-func (o *outage) addMachine(candidate, counted *MachineStatus, out bool) {
+func (o *outage) addMachine(candidate, other *MachineStatus, out bool) {
 	if !out {
-		o.remainingCapacity += counted.Capacity
-		if counted.Cell == candidate.Cell {
-			o.healthyInCell++
+		o.remainingCapacity += other.Capacity
+		if other.Cell == candidate.Cell {
+			o.inServiceInCell++
 		}
 		return
 	}
 	o.totalOut++
-	if counted.Zone == candidate.Zone {
+	if other.Zone == candidate.Zone {
 		o.outInZone++
 	}
-	if counted.Cell == candidate.Cell {
+	if other.Cell == candidate.Cell {
 		o.outInCell++
 	}
-	if counted.Kind == candidate.Kind {
+	if other.Kind == candidate.Kind {
 		o.outOfKind++
 	}
 }
@@ -91,7 +91,7 @@
 	switch {
 	case state.OnHold:
 		return "all is held"
-	case state.firstRequest(m).OnHold:
+	case state.oldestRequest(m).OnHold:
 		return "it is held"
 	case i < 0:
 		return "it is in no list now"
@@ -115,7 +115,7 @@
 		return fmt.Sprintf("%d of zone %s are out, %d may be", others.outInZone, candidate.Zone, s.MaxOutPerZone)
 	case s.MaxOutPerCell > 0 && others.outInCell >= s.MaxOutPerCell:
 		return fmt.Sprintf("%d of cell %d are out, %d may be", others.outInCell, candidate.Cell, s.MaxOutPerCell)
-	case others.healthyInCell == 0 && !others.aloneInCell:
+	case others.inServiceInCell == 0 && !others.aloneInCell:
 		return fmt.Sprintf("it is the last of cell %d", candidate.Cell)
 	case s.MaxOutPerKind > 0 && others.outOfKind >= s.MaxOutPerKind:
 		return fmt.Sprintf("%d of type %s are out, %d may be", others.outOfKind, candidate.Kind, s.MaxOutPerKind)
--- a/internal/decide/maintenance/schedule.go
+++ b/internal/decide/maintenance/schedule.go
@@ -82,7 +82,7 @@
 		if m.WaitReason != "" {
 			continue
 		}
-		state.DrainsByRequester[state.firstRequest(m).Requester]++
+		state.DrainsByRequester[state.oldestRequest(m).Requester]++
 		state.setPhase(m, Draining)
 		state.recordEvent("%s is drained", m.Name)
 	}
@@ -91,11 +91,11 @@
 // preemptFor withdraws the announcement of the last announced machine in the queue that is not urgent, if the given
 // machine is urgent. It reports whether it has withdrawn an announcement.
 func (state *State) preemptFor(urgent *Machine, queue []*Machine) bool {
-	if !state.firstRequest(urgent).Urgent {
+	if !state.oldestRequest(urgent).Urgent {
 		return false
 	}
 	for _, m := range slices.Backward(queue) {
-		if planListOf(m.Phase) == listAnnounced && !state.firstRequest(m).Urgent {
+		if planListOf(m.Phase) == listAnnounced && !state.oldestRequest(m).Urgent {
 			state.setPhase(m, Requested)
 			return true
 		}
@@ -103,8 +103,8 @@
 	return false
 }
 
-// firstRequest returns the oldest request that needs a machine out.
-func (state *State) firstRequest(m *Machine) *Request { return state.Requests[m.Requests[0]] }
+// oldestRequest returns the oldest request that needs a machine out.
+func (state *State) oldestRequest(m *Machine) *Request { return state.Requests[m.Requests[0]] }
 
 // queue returns the machines that are not yet draining, in the order in which they are announced and drained. Urgent
 // machines come first, then machines whose requester has had the fewest drains, so that one requester does not block
@@ -123,8 +123,8 @@
 // compareInQueue returns a negative number if machine a comes before machine b in the queue, and a positive one
 // if after.
 func (state *State) compareInQueue(a, b *Machine) int {
-	requestA := state.firstRequest(a)
-	requestB := state.firstRequest(b)
+	requestA := state.oldestRequest(a)
+	requestB := state.oldestRequest(b)
 	return cmp.Or(
 		cmp.Compare(urgencyRank(requestA), urgencyRank(requestB)),
 		cmp.Compare(state.DrainsByRequester[requestA.Requester], state.DrainsByRequester[requestB.Requester]),
--- a/internal/decide/maintenance/state.go
+++ b/internal/decide/maintenance/state.go
@@ -143,13 +143,13 @@
 }
 
 // longestDuration returns the longest Duration of the requests that need a machine out.
-func (state *State) longestDuration(m *Machine) (longest monotime.Micros) {
+func (state *State) longestDuration(m *Machine) (maxDuration monotime.Micros) {
 	for _, id := range m.Requests {
 		if request := state.Requests[id]; request != nil {
-			longest = max(longest, request.Duration)
+			maxDuration = max(maxDuration, request.Duration)
 		}
 	}
-	return longest
+	return maxDuration
 }
 
 // recordEvent adds an event at the present time, and drops the oldest events beyond maxEvents.
--- a/internal/decide/maintenance/state_test.go
+++ b/internal/decide/maintenance/state_test.go
@@ -188,32 +188,32 @@
 // and warm up, a machine in another phase must stay in service, and the request must leave nothing behind in
 // the plan.
 func TestCancelInEachPhase(t *testing.T) {
-	for phaseSteps := range 5 {
+	for stepCount := range 5 {
 		state := stateWith(t, eightMachines(1), Request{ID: "a", Machines: []string{"m0"}, Requester: "ana"})
-		if phaseSteps > 0 {
+		if stepCount > 0 {
 			acknowledge(t, state)
 		}
-		if phaseSteps > 1 {
+		if stepCount > 1 {
 			apply(t, state, Command{Drained: []string{"m0"}})
 		}
-		if phaseSteps > 2 {
+		if stepCount > 2 {
 			apply(t, state, Command{Time: state.Now + 2*60*monotime.Second})
 			if !state.Machines["m0"].Overdue {
 				t.Error("the machine is not overdue although its due time has passed")
 			}
 		}
 		apply(t, state, Command{CancelRequest: "a"})
-		if m := state.Machines["m0"]; (m != nil) != (phaseSteps > 1) || m != nil && m.Phase != Returning {
-			t.Errorf("step %d: after the cancellation the machine is %+v", phaseSteps, m)
+		if m := state.Machines["m0"]; (m != nil) != (stepCount > 1) || m != nil && m.Phase != Returning {
+			t.Errorf("step %d: after the cancellation the machine is %+v", stepCount, m)
 		}
-		if phaseSteps > 3 {
+		if stepCount > 3 {
 			checkUnhealthyMachineKeepsReturning(t, state)
 		}
 		apply(t, state, Command{Time: state.Now + 3*monotime.Second})
 		plan := state.Plan()
 		if len(state.Machines) != 0 || len(state.Requests) != 0 || len(plan.Excluded)+len(plan.Announced) != 0 {
 			t.Errorf("step %d: %d machines and %d requests are left",
-				phaseSteps, len(state.Machines), len(state.Requests))
+				stepCount, len(state.Machines), len(state.Requests))
 		}
 	}
 }
--- a/internal/decide/rollout/apply.go
+++ b/internal/decide/rollout/apply.go
@@ -33,7 +33,7 @@
 	m.phase = PhaseApplying
 	m.persistent.recordAttempt(&v)
 	m.awaitsAttemptWrite = true
-	return m.persist()
+	return m.requestPersist()
 }
 
 // applyCandidateOncePersisted returns the command to apply the candidate, once the write that records the attempt
@@ -48,7 +48,7 @@
 	return []Command{{
 		Action:   ActionApply,
 		Version:  v,
-		Target:   m.running.with(v),
+		Target:   m.running.withVersion(v),
 		Previous: m.running,
 	}}
 }
@@ -74,7 +74,7 @@
 	} else {
 		m.persistent.forgetUnappliedRejections()
 	}
-	m.running = m.running.with(v)
+	m.running = m.running.withVersion(v)
 	m.unconfirmed = &v
 	m.rollbackRequired = false
 	m.candidate = nil
@@ -101,7 +101,7 @@
 	lastKnownGood := m.running
 	m.persistent.LastKnownGood = &lastKnownGood
 	m.persistent.recordAttempt(nil)
-	commands := append(m.persist(), Command{Action: ActionAck, Version: v, Confirmed: true})
+	commands := append(m.requestPersist(), Command{Action: ActionAck, Version: v, Confirmed: true})
 	return append(commands, m.startNext(now)...)
 }
 
@@ -109,7 +109,7 @@
 // before, by this process or by an earlier one.
 func (m *StateMachine) reject(v Version, reason string, rolledBack bool) []Command {
 	m.persistent.recordRejection(Rejection{Version: v, Reason: reason, RolledBack: rolledBack})
-	return append(m.persist(), nack(v, reason))
+	return append(m.requestPersist(), nack(v, reason))
 }
 
 // abandonCandidate drops a rejected candidate and returns to the phase before its validation: a rollback that is to be
--- a/internal/decide/rollout/machine.go
+++ b/internal/decide/rollout/machine.go
@@ -117,19 +117,19 @@
 // Deadline returns the instant at which the host must call HandleDeadline, 0 if there is none.
 func (m *StateMachine) Deadline() monotime.Micros {
 	var deadline monotime.Micros
-	consider := func(instant monotime.Micros) {
+	keepEarlier := func(instant monotime.Micros) {
 		if instant > 0 && (deadline == 0 || instant < deadline) {
 			deadline = instant
 		}
 	}
 	if m.canStartNext() && (m.pending[SourceControlPlane] != nil || m.pending[SourceFile] != nil) {
-		consider(m.nextValidationAt)
+		keepEarlier(m.nextValidationAt)
 	}
 	if m.phase == PhaseRollingBack && !m.paused {
-		consider(m.rollbackRetryAt)
+		keepEarlier(m.rollbackRetryAt)
 	}
 	if !m.persisting {
-		consider(m.persistRetryAt)
+		keepEarlier(m.persistRetryAt)
 	}
 	return deadline
 }
@@ -139,7 +139,7 @@
 func (m *StateMachine) HandleDeadline(now monotime.Micros) []Command {
 	var commands []Command
 	if !m.persisting && m.persistRetryAt > 0 && now >= m.persistRetryAt {
-		commands = m.persist()
+		commands = m.requestPersist()
 	}
 	// A pending version is started before a rollback is retried: it may replace the version whose rollback fails.
 	commands = append(commands, m.startNext(now)...)
--- a/internal/decide/rollout/offer.go
+++ b/internal/decide/rollout/offer.go
@@ -68,7 +68,7 @@
 // its ID was offered with another content, if it was rejected before, or, without the Rollback flag, if its epoch is
 // abandoned or a newer version of its epoch is pending, being processed or running.
 func (m *StateMachine) precheck(v Version) (reason string, isRunning bool) {
-	running := m.running.version(v.Source)
+	running := m.running.versionFrom(v.Source)
 	if v.Source == SourceFile { // versions of the file are compared by content, not by number
 		return "", v.Digest == running.Digest
 	}
@@ -124,7 +124,7 @@
 	m.candidate = v
 	m.rollbackRetryAt = 0
 	m.nextValidationAt = now + m.settings.MinValidationInterval
-	return append(commands, Command{Action: ActionValidate, Version: *v, Target: m.running.with(*v)})
+	return append(commands, Command{Action: ActionValidate, Version: *v, Target: m.running.withVersion(*v)})
 }
 
 // takePending removes and returns the pending version to process next, nil if there is none. A version of the control
--- a/internal/decide/rollout/persist.go
+++ b/internal/decide/rollout/persist.go
@@ -11,7 +11,7 @@
 
 // persist requests that the state is stored. If a previous ActionPersist has no result yet, the request follows that
 // result.
-func (m *StateMachine) persist() []Command {
+func (m *StateMachine) requestPersist() []Command {
 	if m.persisting {
 		m.persistAgain = true
 		return nil
@@ -40,7 +40,7 @@
 	m.persistFailures = 0
 	m.persistRetryAt = 0
 	if m.persistAgain {
-		return m.persist()
+		return m.requestPersist()
 	}
 	return m.applyCandidateOncePersisted()
 }
--- a/internal/decide/rollout/random_test.go
+++ b/internal/decide/rollout/random_test.go
@@ -22,12 +22,12 @@
 	storedState      []byte // latest stored PersistentState, encoded as JSON
 	anyPersistFailed bool   // a write has failed at least once: a restart may lose state
 
-	fileReads       uint64 // number of the latest version of the local file
-	fileVersion     Version
-	currentEpoch    string            // epoch of new versions of the control plane
-	latestNumbers   map[string]uint64 // latest version number of each epoch
-	offeredVersions []Version         // by the control plane; may be offered again
-	restartCount    int
+	latestFileNumber uint64 // number of the latest version of the local file
+	fileVersion      Version
+	currentEpoch     string            // epoch of new versions of the control plane
+	latestNumbers    map[string]uint64 // latest version number of each epoch
+	offeredVersions  []Version         // by the control plane; may be offered again
+	restartCount     int
 
 	passesValidation map[string]bool // by digest of the content: validation succeeds
 	canBeApplied     map[string]bool // by digest of the content: ActionApply succeeds
@@ -79,7 +79,7 @@
 	}
 	h.lastKnownGood = running
 	h.running = running
-	h.fileReads = max(1, running.File.Number)
+	h.latestFileNumber = max(1, running.File.Number)
 	h.onCanary = false
 	h.queuedCommands = nil
 	h.lastValidated = nil
@@ -158,7 +158,7 @@
 	if h.lastValidated == nil || *h.lastValidated != v {
 		h.Fatalf("apply %v, which was not validated", v)
 	}
-	expected := h.running.with(v)
+	expected := h.running.withVersion(v)
 	if command.Previous.String() != h.running.String() || command.Target.String() != expected.String() {
 		h.Fatalf("apply %v from %v, while %v runs", command.Target, command.Previous, h.running)
 	}
@@ -277,8 +277,8 @@
 			h.currentEpoch += "a"
 		}
 	case 5:
-		h.fileReads++
-		v := Version{ID: ID{SourceFile, "", h.fileReads}}
+		h.latestFileNumber++
+		v := Version{ID: ID{SourceFile, "", h.latestFileNumber}}
 		h.drawContent(&v, false)
 		h.offer(v)
 	case 6:
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -103,7 +103,7 @@
 }
 
 // expect compares the commands that were logged since the last call with expectedCommands.
-func (d *machineDriver) expect(expectedCommands ...string) {
+func (d *machineDriver) expectCommands(expectedCommands ...string) {
 	d.Helper()
 	got := strings.Join(d.commandLog, "\n")
 	if want := strings.Join(expectedCommands, "\n"); got != want {
@@ -123,15 +123,15 @@
 func TestApplyAndConfirm(t *testing.T) {
 	d := newDriver(t, true)
 	d.offer(controlPlaneVersion("a", 1))
-	d.expect("validate a/1", "apply a/1", "ack a/1", "start canary a/1")
+	d.expectCommands("validate a/1", "apply a/1", "ack a/1", "start canary a/1")
 	state := d.machine.PersistentState()
 	if state.Unconfirmed == nil || state.Unconfirmed.Number != 1 || state.LastKnownGood.ControlPlane != nil {
 		t.Errorf("on canary %+v", state)
 	}
 	d.offer(controlPlaneVersion("a", 1)) // a second offer of the version on canary
-	d.expect("ack a/1")
+	d.expectCommands("ack a/1")
 	d.execute(d.machine.HandleCanaryResult(d.now, ""))
-	d.expect("ack a/1 finally")
+	d.expectCommands("ack a/1 finally")
 	d.expectRunning("a/1 over file 1")
 	state = d.machine.PersistentState()
 	if state.Unconfirmed != nil || state.LastKnownGood.ControlPlane.Number != 1 ||
@@ -139,7 +139,7 @@
 		t.Errorf("confirmed %+v", state)
 	}
 	d.execute(d.machine.HandleCanaryResult(d.now, "late"))
-	d.expect()
+	d.expectCommands()
 }
 
 // A version that cannot be decoded, validated or applied, or that fails its canary, is rejected with the reason of that
@@ -148,31 +148,31 @@
 	d := newDriver(t, true)
 	d.failureReasons["validate a/1"], d.failureReasons["apply a/2"] = "no sense", "no room"
 	d.offer(controlPlaneVersion("a", 1))
-	d.expect("validate a/1", "nack a/1: no sense")
+	d.expectCommands("validate a/1", "nack a/1: no sense")
 	d.offer(controlPlaneVersion("a", 1))
-	d.expect("nack a/1: no sense")
+	d.expectCommands("nack a/1: no sense")
 	d.offer(controlPlaneVersion("a", 2))
-	d.expect("validate a/2", "apply a/2", "nack a/2: no room")
+	d.expectCommands("validate a/2", "apply a/2", "nack a/2: no room")
 	d.expectRunning("file 1")
 	d.offer(controlPlaneVersion("a", 3))
 	d.commandLog = nil
 	d.execute(d.machine.HandleCanaryResult(d.now, "slow"))
-	d.expect("nack a/3: slow", "roll back a/3")
+	d.expectCommands("nack a/3: slow", "roll back a/3")
 	d.expectRunning("file 1")
 	d.offer(controlPlaneVersion("a", 3))
-	d.expect("nack a/3: slow")
+	d.expectCommands("nack a/3: slow")
 	d.execute(d.machine.RejectUnreadable(controlPlaneVersion("a", 4), "no text"))
 	d.offer(controlPlaneVersion("a", 4))
-	d.expect("nack a/4: no text", "nack a/4: no text")
+	d.expectCommands("nack a/4: no text", "nack a/4: no text")
 	// A new version of the local file makes rejected versions eligible again, except those that were rolled back.
 	d.offer(fileVersion(2))
 	d.execute(d.machine.HandleCanaryResult(d.now, ""))
 	d.commandLog = nil
 	d.offer(controlPlaneVersion("a", 3))
-	d.expect("nack a/3: slow")
+	d.expectCommands("nack a/3: slow")
 	delete(d.failureReasons, "validate a/1")
 	d.offer(controlPlaneVersion("a", 1))
-	d.expect("validate a/1", "apply a/1", "ack a/1", "start canary a/1")
+	d.expectCommands("validate a/1", "apply a/1", "ack a/1", "start canary a/1")
 }
 
 // A version is rejected if it is older than the running one, has another content than before, or is of an abandoned
@@ -180,26 +180,26 @@
 func TestVersionOrder(t *testing.T) {
 	d := newDriver(t, false)
 	d.offer(controlPlaneVersion("a", 5))
-	d.expect("validate a/5", "apply a/5", "ack a/5 finally")
+	d.expectCommands("validate a/5", "apply a/5", "ack a/5 finally")
 	d.offer(controlPlaneVersion("a", 4))
-	d.expect("nack a/4: version a/4 is older than a/5")
+	d.expectCommands("nack a/4: version a/4 is older than a/5")
 	conflicting := controlPlaneVersion("a", 5)
 	conflicting.Digest = "other"
 	d.offer(conflicting)
-	d.expect("nack a/5: version a/5 came with another content before")
+	d.expectCommands("nack a/5: version a/5 came with another content before")
 	d.offer(controlPlaneVersion("b", 1)) // numbers start again in a new epoch
-	d.expect("validate b/1", "apply b/1", "ack b/1 finally")
+	d.expectCommands("validate b/1", "apply b/1", "ack b/1 finally")
 	d.offer(controlPlaneVersion("a", 6))
-	d.expect(`nack a/6: version a/6: epoch "a" was left for a newer one`)
+	d.expectCommands(`nack a/6: version a/6: epoch "a" was left for a newer one`)
 	rollback := controlPlaneVersion("a", 5)
 	rollback.Rollback = true
 	d.offer(rollback)
-	d.expect("validate a/5", "apply a/5", "ack a/5 finally")
+	d.expectCommands("validate a/5", "apply a/5", "ack a/5 finally")
 	d.expectRunning("a/5 over file 1")
 	d.offer(controlPlaneVersion("a", 6))
-	d.expect("validate a/6", "apply a/6", "ack a/6 finally")
+	d.expectCommands("validate a/6", "apply a/6", "ack a/6 finally")
 	d.offer(controlPlaneVersion("b", 2))
-	d.expect(`nack b/2: version b/2: epoch "b" was left for a newer one`)
+	d.expectCommands(`nack b/2: version b/2: epoch "b" was left for a newer one`)
 }
 
 // A burst of versions causes one validation per interval, and the newest version is applied.
@@ -218,10 +218,10 @@
 		t.Errorf("deadline %d, want %d", deadline, d.now+second)
 	}
 	d.execute(d.machine.HandleDeadline(d.now + second - 1))
-	d.expect()
+	d.expectCommands()
 	d.now += second
 	d.execute(d.machine.HandleDeadline(d.now))
-	d.expect("validate a/99", "apply a/99", "ack a/99 finally")
+	d.expectCommands("validate a/99", "apply a/99", "ack a/99 finally")
 }
 
 // A version that is offered during a canary stays pending, unless it has the Rollback flag or is of the local file.
@@ -234,21 +234,22 @@
 	d.commandLog = nil
 	d.offer(controlPlaneVersion("a", 3))
 	d.offer(controlPlaneVersion("a", 4))
-	d.expect("superseded a/3")
+	d.expectCommands("superseded a/3")
 	d.execute(d.machine.HandleCanaryResult(d.now, ""))
-	d.expect("ack a/2 finally", "validate a/4", "apply a/4", "ack a/4", "start canary a/4")
+	d.expectCommands("ack a/2 finally", "validate a/4", "apply a/4", "ack a/4", "start canary a/4")
 	rollback := controlPlaneVersion("a", 2)
 	rollback.Rollback = true
 	d.failureReasons["validate a/2"] = "not any more"
 	d.offer(rollback)
-	d.expect("stop canary", "validate a/2", "nack a/2: not any more", "start canary a/4")
+	d.expectCommands("stop canary", "validate a/2", "nack a/2: not any more", "start canary a/4")
 	d.offer(fileVersion(2))
-	d.expect("stop canary", "validate file 2", "apply file 2", "ack file 2", "start canary file 2")
-	if good := d.machine.PersistentState().LastKnownGood; good.ControlPlane.Number != 2 || good.File.Number != 1 {
-		t.Errorf("good %v: neither part of what runs is confirmed", good)
+	d.expectCommands("stop canary", "validate file 2", "apply file 2", "ack file 2", "start canary file 2")
+	if lastKnownGood := d.machine.PersistentState().LastKnownGood; lastKnownGood.ControlPlane.Number != 2 ||
+		lastKnownGood.File.Number != 1 {
+		t.Errorf("good %v: neither part of what runs is confirmed", lastKnownGood)
 	}
 	d.execute(d.machine.HandleCanaryResult(d.now, "worse"))
-	d.expect("nack file 2: worse", "roll back file 2")
+	d.expectCommands("nack file 2: worse", "roll back file 2")
 	d.expectRunning("a/2 over file 1")
 }
 
@@ -276,15 +277,15 @@
 	d.commandLog = nil
 	d.expectRunning("a/1 over file 1")
 	d.offer(controlPlaneVersion("a", 2))
-	d.expect("validate a/2", "apply a/2", "ack a/2", "start canary a/2")
+	d.expectCommands("validate a/2", "apply a/2", "ack a/2", "start canary a/2")
 	d.failureReasons["roll back a/2"], d.failureReasons["validate a/3"] = "no process", "bad"
 	d.execute(d.machine.HandleCanaryResult(d.now, "worse"))
 	d.offer(controlPlaneVersion("a", 3))
-	d.expect("nack a/2: worse", "roll back a/2", "validate a/3", "nack a/3: bad")
+	d.expectCommands("nack a/2: worse", "roll back a/2", "validate a/3", "nack a/3: bad")
 	delete(d.failureReasons, "roll back a/2")
 	d.now = d.machine.Deadline()
 	d.execute(d.machine.HandleDeadline(d.now))
-	d.expect("roll back a/2")
+	d.expectCommands("roll back a/2")
 	d.expectRunning("file 1")
 }
 
@@ -294,28 +295,28 @@
 	d.execute(d.machine.SetPaused(d.now, true))
 	d.offer(controlPlaneVersion("a", 1))
 	d.execute(d.machine.HandleDeadline(d.now + 100*second))
-	d.expect()
+	d.expectCommands()
 	if deadline := d.machine.Deadline(); deadline != 0 {
 		t.Errorf("deadline %d", deadline)
 	}
 	d.execute(d.machine.SetPaused(d.now, false))
-	d.expect("validate a/1", "apply a/1", "ack a/1", "start canary a/1")
+	d.expectCommands("validate a/1", "apply a/1", "ack a/1", "start canary a/1")
 }
 
 // A version is rejected after two processes have ended between applying and confirming it.
 func TestVersionThatEndsProcessesIsRejected(t *testing.T) {
-	stored := PersistentState{}
+	storedState := PersistentState{}
 	for range 2 {
 		d := newDriver(t, true)
-		d.machine = New(Settings{CanaryEnabled: true}, LayeredVersion{File: fileVersion(1)}, stored)
+		d.machine = New(Settings{CanaryEnabled: true}, LayeredVersion{File: fileVersion(1)}, storedState)
 		d.offer(controlPlaneVersion("a", 1))
-		d.expect("validate a/1", "apply a/1", "ack a/1", "start canary a/1")
-		stored = *d.machine.PersistentState()
+		d.expectCommands("validate a/1", "apply a/1", "ack a/1", "start canary a/1")
+		storedState = *d.machine.PersistentState()
 	}
 	d := newDriver(t, true)
-	d.machine = New(Settings{CanaryEnabled: true}, LayeredVersion{File: fileVersion(1)}, stored)
+	d.machine = New(Settings{CanaryEnabled: true}, LayeredVersion{File: fileVersion(1)}, storedState)
 	d.offer(controlPlaneVersion("a", 1))
-	d.expect("validate a/1", "nack a/1: 2 processes ended while they tried version a/1")
+	d.expectCommands("validate a/1", "nack a/1: 2 processes ended while they tried version a/1")
 }
 
 // Guards against an attempt that is not counted because the process ended before the attempt was on disk. A version is
@@ -326,17 +327,17 @@
 	d.automaticResults[ActionPersist] = false
 	d.execute(d.machine.RejectUnreadable(controlPlaneVersion("a", 1), "no text"))
 	d.offer(controlPlaneVersion("a", 2))
-	d.expect("nack a/1: no text", "validate a/2")
+	d.expectCommands("nack a/1: no text", "validate a/2")
 	d.execute(d.machine.HandlePersisted(d.now, "")) // result of the write of the rejection
-	d.expect()
+	d.expectCommands()
 	d.execute(d.machine.SetPaused(d.now, true))
 	if d.machine.PersistentState().ApplyAttempts != 1 {
 		t.Error("the write in progress does not have the attempt")
 	}
 	d.execute(d.machine.HandlePersisted(d.now, ""))
-	d.expect()
+	d.expectCommands()
 	d.execute(d.machine.SetPaused(d.now, false))
-	d.expect("apply a/2", "ack a/2", "start canary a/2")
+	d.expectCommands("apply a/2", "ack a/2", "start canary a/2")
 }
 
 // A failed write of the state is retried after a backoff, and does not delay the rollout of a version.
@@ -344,7 +345,7 @@
 	d := newDriver(t, false)
 	d.failureReasons["persist"] = "no space"
 	d.offer(controlPlaneVersion("a", 1))
-	d.expect("validate a/1", "apply a/1", "ack a/1 finally")
+	d.expectCommands("validate a/1", "apply a/1", "ack a/1 finally")
 	if d.machine.PersistError() != "no space" {
 		t.Errorf("%q", d.machine.PersistError())
 	}
--- a/internal/decide/rollout/version.go
+++ b/internal/decide/rollout/version.go
@@ -69,7 +69,7 @@
 }
 
 // with returns a copy of l in which v replaces the version of the same source.
-func (l LayeredVersion) with(v Version) LayeredVersion {
+func (l LayeredVersion) withVersion(v Version) LayeredVersion {
 	if v.Source == SourceFile {
 		l.File = v
 	} else {
@@ -79,7 +79,7 @@
 }
 
 // version returns the layer of l that comes from the given source, nil if there is none.
-func (l LayeredVersion) version(source Source) *Version {
+func (l LayeredVersion) versionFrom(source Source) *Version {
 	if source == SourceFile {
 		return &l.File
 	}
--- a/internal/decide/takeover/predecessor.go
+++ b/internal/decide/takeover/predecessor.go
@@ -46,25 +46,25 @@
 // Step handles an event and returns the steps to execute. Events that are not expected in the current state are
 // ignored.
 func (p *Predecessor) Step(now monotime.Micros, event Event) []Step {
-	if p.isStale(now, event) {
+	if p.isPrematureDeadline(now, event) {
 		return nil
 	}
 	switch p.state {
 	case serving:
-		return p.whileServing(now, event)
+		return p.stepWhileServing(now, event)
 	case offered:
-		return p.whileOffered(now, event)
+		return p.stepWhileOffered(now, event)
 	case paused:
-		return p.whilePaused(now, event)
+		return p.stepWhilePaused(now, event)
 	case handingOver:
-		return p.whileHandingOver(now, event)
+		return p.stepWhileHandingOver(now, event)
 	case draining:
-		return p.whileDraining(event)
+		return p.stepWhileDraining(event)
 	}
 	return nil
 }
 
-func (p *Predecessor) whileServing(now monotime.Micros, event Event) []Step {
+func (p *Predecessor) stepWhileServing(now monotime.Micros, event Event) []Step {
 	switch event {
 	case Hello:
 		p.transition(offered, now+p.Times.Ready)
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func (p *Predecessor) whileOffered(now monotime.Micros, event Event) []Step {
+func (p *Predecessor) stepWhileOffered(now monotime.Micros, event Event) []Step {
 	switch event {
 	case Ready:
 		p.transition(paused, now+p.Times.Answer)
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func (p *Predecessor) whilePaused(now monotime.Micros, event Event) []Step {
+func (p *Predecessor) stepWhilePaused(now monotime.Micros, event Event) []Step {
 	switch event {
 	case Prepared:
 		p.successorHandedOver = false
@@ -117,7 +117,7 @@
 	return nil
 }
 
-func (p *Predecessor) whileHandingOver(now monotime.Micros, event Event) []Step {
+func (p *Predecessor) stepWhileHandingOver(now monotime.Micros, event Event) []Step {
 	switch event {
 	case Drained:
 		p.transition(exited, 0)
@@ -146,7 +146,7 @@
 	return nil
 }
 
-func (p *Predecessor) whileDraining(event Event) []Step {
+func (p *Predecessor) stepWhileDraining(event Event) []Step {
 	switch event {
 	case Hello:
 		return []Step{{Action: Disconnect}} // nothing is left to take over, so the new process starts alone
--- a/internal/decide/takeover/progress.go
+++ b/internal/decide/takeover/progress.go
@@ -29,7 +29,7 @@
 	return true
 }
 
-// isStale reports whether an event is a DeadlineReached although the current state has no deadline or a later one.
-func (p *progress[State]) isStale(now monotime.Micros, event Event) bool {
+// isPrematureDeadline reports whether an event is a DeadlineReached although the current state has no deadline or a later one.
+func (p *progress[State]) isPrematureDeadline(now monotime.Micros, event Event) bool {
 	return event == DeadlineReached && (p.deadline == 0 || now < p.deadline)
 }
--- a/internal/decide/takeover/successor.go
+++ b/internal/decide/takeover/successor.go
@@ -68,7 +68,7 @@
 // Step handles an event and returns the steps to execute. Events that are not expected in the current state are
 // ignored. reason is the reason of a Rejected event, and is not used for other events.
 func (s *Successor) Step(now monotime.Micros, event Event, reason string) []Step {
-	if s.isStale(now, event) {
+	if s.isPrematureDeadline(now, event) {
 		return nil
 	}
 	if event == Stop || event == Rejected || event == DeadlineReached {
@@ -76,15 +76,15 @@
 	}
 	switch s.state {
 	case requesting:
-		return s.whileRequesting(now, event)
+		return s.stepWhileRequesting(now, event)
 	case starting:
-		return s.whileStarting(now, event)
+		return s.stepWhileStarting(now, event)
 	case ready:
-		return s.whileReady(now, event)
+		return s.stepWhileReady(now, event)
 	case prepared:
-		return s.whilePrepared(event)
+		return s.stepWhilePrepared(event)
 	case accepting:
-		return s.whileAccepting(event)
+		return s.stepWhileAccepting(event)
 	}
 	return nil
 }
@@ -114,7 +114,7 @@
 	return []Step{{Action: Disconnect}, {Action: Fail, Reason: failReason}}
 }
 
-func (s *Successor) whileRequesting(now monotime.Micros, event Event) []Step {
+func (s *Successor) stepWhileRequesting(now monotime.Micros, event Event) []Step {
 	switch event {
 	case Offer:
 		s.transition(starting, now+s.Times.Ready)
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (s *Successor) whileStarting(now monotime.Micros, event Event) []Step {
+func (s *Successor) stepWhileStarting(now monotime.Micros, event Event) []Step {
 	switch event {
 	case Handover:
 		s.handoverReceived = true
@@ -147,7 +147,7 @@
 	return nil
 }
 
-func (s *Successor) whileReady(now monotime.Micros, event Event) []Step {
+func (s *Successor) stepWhileReady(now monotime.Micros, event Event) []Step {
 	switch event {
 	case Handover:
 		return s.prepare(now)
@@ -158,7 +158,7 @@
 	return nil
 }
 
-func (s *Successor) whilePrepared(event Event) []Step {
+func (s *Successor) stepWhilePrepared(event Event) []Step {
 	switch event {
 	case Activate:
 		s.transition(accepting, 0)
@@ -170,7 +170,7 @@
 	return nil
 }
 
-func (s *Successor) whileAccepting(event Event) []Step {
+func (s *Successor) stepWhileAccepting(event Event) []Step {
 	switch event {
 	case Done, ConnectionLost:
 		s.transition(alone, 0)
--- a/internal/decide/takeover/takeover_test.go
+++ b/internal/decide/takeover/takeover_test.go
@@ -144,10 +144,10 @@
 		states = append(states, next)
 	}
 	if s.predecessorProcess.alive {
-		s.predecessorEvents(add)
+		s.addPredecessorTransitions(add)
 	}
 	if s.successorProcess.alive {
-		s.successorEvents(add)
+		s.addSuccessorTransitions(add)
 	}
 	return states
 }
@@ -162,8 +162,8 @@
 	step     func(next *systemState, now monotime.Micros, event Event)
 }
 
-// commonEvents adds the states after the events that may happen at predecessor and successor alike.
-func (s systemState) commonEvents(access processAccess, add addNextState) {
+// addCommonTransitions adds the states after the events that may happen at predecessor and successor alike.
+func (s systemState) addCommonTransitions(access processAccess, add addNextState) {
 	switch process, incoming := access.process(&s), access.incoming(&s); {
 	case process.disconnected:
 	case len(incoming.messages) > 0:
@@ -194,9 +194,9 @@
 	})
 }
 
-// predecessorEvents adds the states after the events that may happen at the predecessor.
-func (s systemState) predecessorEvents(add addNextState) {
-	s.commonEvents(processAccess{
+// addPredecessorTransitions adds the states after the events that may happen at the predecessor.
+func (s systemState) addPredecessorTransitions(add addNextState) {
+	s.addCommonTransitions(processAccess{
 		name:     "p",
 		deadline: s.predecessor.Deadline(),
 		process:  func(next *systemState) *process { return &next.predecessorProcess },
@@ -209,9 +209,9 @@
 	}
 }
 
-// successorEvents adds the states after the events that may happen at the successor.
-func (s systemState) successorEvents(add addNextState) {
-	s.commonEvents(processAccess{
+// addSuccessorTransitions adds the states after the events that may happen at the successor.
+func (s systemState) addSuccessorTransitions(add addNextState) {
+	s.addCommonTransitions(processAccess{
 		name:     "s",
 		deadline: s.successor.Deadline(),
 		process:  func(next *systemState) *process { return &next.successorProcess },
@@ -230,12 +230,12 @@
 			next.stepSuccessor(0, Started)
 		})
 	}
-	s.nextSuccessorEvents(add)
+	s.addNextSuccessorTransitions(add)
 }
 
-// nextSuccessorEvents adds the states after the events that may happen between the successor and a successor of its
+// addNextSuccessorTransitions adds the states after the events that may happen between the successor and a successor of its
 // own.
-func (s systemState) nextSuccessorEvents(add addNextState) {
+func (s systemState) addNextSuccessorTransitions(add addNextState) {
 	if s.successorProcess.accepting && !s.successorProcess.stopRequested && !s.nextSuccessorLost {
 		add("s:hands-over", func(next *systemState) {
 			next.stepSuccessor(0, HandedOver)
@@ -265,13 +265,13 @@
 	visited map[string]bool
 	queue   []systemState
 
-	settledStates         int // states in which only deadlines and exceptional events can happen
-	handedOver            int // settled states in which the successor serves in place of the predecessor
-	handedToNextSuccessor int // settled states in which the successor's own successor serves
+	settledStates       int // states in which only deadlines and exceptional events can happen
+	handedOverStates    int // settled states in which the successor serves in place of the predecessor
+	nextSuccessorStates int // settled states in which the successor's own successor serves
 }
 
 // visit queues a state unless it was visited before.
-func (search *exploration) visit(s systemState) {
+func (search *exploration) enqueueIfNew(s systemState) {
 	if key := s.key(); !search.visited[key] {
 		search.visited[key] = true
 		search.queue = append(search.queue, s)
@@ -289,7 +289,7 @@
 			terminal = false
 			onlyDeadlines = onlyDeadlines && strings.HasSuffix(event, ":deadline")
 		}
-		search.visit(next)
+		search.enqueueIfNew(next)
 	}
 	return terminal, onlyDeadlines
 }
@@ -312,10 +312,10 @@
 	search.settledStates++
 	switch {
 	case s.successorProcess.accepting && s.finalStateRestored && s.predecessorProcess.hasExited:
-		search.handedOver++
+		search.handedOverStates++
 	case s.predecessorProcess.accepting || s.successorProcess.accepting || s.nextSuccessorServes:
 		if s.nextSuccessorServes && s.predecessorProcess.hasExited {
-			search.handedToNextSuccessor++
+			search.nextSuccessorStates++
 		}
 	case s.nextSuccessorLost && !s.successorProcess.alive:
 		// The successor has ended, and so has its own successor.
@@ -358,7 +358,7 @@
 	}
 	initial.executeSuccessorSteps(initial.successor.Connected(0))
 	search := exploration{T: t, visited: map[string]bool{}}
-	search.visit(initial)
+	search.enqueueIfNew(initial)
 	for len(search.queue) > 0 {
 		s := search.queue[0]
 		search.queue = search.queue[1:]
@@ -371,10 +371,10 @@
 			search.requireNotStuck(&s)
 		}
 	}
-	if len(search.visited) < 500 || search.settledStates < 20 || search.handedOver == 0 ||
-		search.handedToNextSuccessor == 0 {
+	if len(search.visited) < 500 || search.settledStates < 20 || search.handedOverStates == 0 ||
+		search.nextSuccessorStates == 0 {
 		t.Errorf("only %d states, %d ends, %d of them handed over: too little was tried",
-			len(search.visited), search.settledStates, search.handedOver)
+			len(search.visited), search.settledStates, search.handedOverStates)
 	}
 	t.Logf("%d states, %d ends", len(search.visited), search.settledStates)
 }
@@ -465,9 +465,9 @@
 	for seed := range uint64(2000) {
 		checkSocketOwnerServes(t, seed, realTimes)
 	}
-	stopped := Successor{Times: realTimes, OwnsSockets: true}
-	stopped.Connected(0)
-	if steps := stopped.Step(1, Stop, ""); len(steps) == 0 || steps[len(steps)-1].Action != Fail {
+	stoppedSuccessor := Successor{Times: realTimes, OwnsSockets: true}
+	stoppedSuccessor.Connected(0)
+	if steps := stoppedSuccessor.Step(1, Stop, ""); len(steps) == 0 || steps[len(steps)-1].Action != Fail {
 		t.Errorf("stopped before it began: %v", steps)
 	}
 }
@@ -477,7 +477,7 @@
 func checkSocketOwnerServes(t *testing.T, seed uint64, times Times) {
 	t.Helper()
 	const timeLimit = 6_000_000
-	fromPredecessor := []Event{Offer, Handover, Activate, Done, Rejected, ConnectionLost, Hello, Prepared}
+	possibleEvents := []Event{Offer, Handover, Activate, Done, Rejected, ConnectionLost, Hello, Prepared}
 	rng := rand.New(rand.NewPCG(seed, 3))
 	host := socketOwnerHost{T: t, seed: seed, successor: Successor{Times: times, OwnsSockets: true}}
 	successor := &host.successor
@@ -492,7 +492,7 @@
 		case host.startRequested && rng.IntN(4) == 0:
 			host.executeSteps(successor.Step(now, Started, ""))
 		case !host.disconnected && rng.IntN(3) == 0:
-			host.executeSteps(successor.Step(now, fromPredecessor[rng.IntN(len(fromPredecessor))], "no sense"))
+			host.executeSteps(successor.Step(now, possibleEvents[rng.IntN(len(possibleEvents))], "no sense"))
 		}
 	}
 	if !successor.Serving() || host.servingStarts != 1 {
--- a/internal/decide/zones/state.go
+++ b/internal/decide/zones/state.go
@@ -135,7 +135,7 @@
 func (router *Router) updateUp(now monotime.Micros, z *zone) {
 	outcomes := &z.outcomes
 	mostlyLate := float64(outcomes.inTime) <= downThreshold*float64(outcomes.total)
-	if outcomes.conclusive() && mostlyLate && now-outcomes.start >= minWindowAge {
+	if outcomes.hasEnoughOutcomes() && mostlyLate && now-outcomes.start >= minWindowAge {
 		router.markDown(now, z)
 		return
 	}
@@ -145,7 +145,7 @@
 }
 
 // conclusive reports whether the window has enough outcomes to decide about the zone's state.
-func (w *outcomeWindow) conclusive() bool { return w.total >= minWindowOutcomes }
+func (w *outcomeWindow) hasEnoughOutcomes() bool { return w.total >= minWindowOutcomes }
 
 const (
 	recoverThreshold = 0.9 // fraction of outcomes in time that a recovery needs to continue
@@ -163,9 +163,9 @@
 	inTimeFraction := float64(outcomes.inTime) / float64(max(1, outcomes.total))
 	stepOver := now >= z.nextTransitionAt
 	switch {
-	case outcomes.conclusive() && inTimeFraction <= downThreshold:
+	case outcomes.hasEnoughOutcomes() && inTimeFraction <= downThreshold:
 		router.markDown(now, z)
-	case outcomes.total > 0 && inTimeFraction < recoverThreshold && (outcomes.conclusive() || stepOver):
+	case outcomes.total > 0 && inTimeFraction < recoverThreshold && (outcomes.hasEnoughOutcomes() || stepOver):
 		minShare := router.settings.InitialRecoveryShare / recoveryDecreaseDivisor
 		z.recoveryShare = max(minShare, z.recoveryShare/recoveryDecreaseDivisor)
 		z.nextTransitionAt = now + router.jittered(router.settings.RecoveryStep)
--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -482,12 +482,12 @@
 				inFlight = append(inFlight, openAttempt{decision.Zone, decision.Spill})
 			case len(inFlight) > 0:
 				i := rng.IntN(len(inFlight))
-				open := inFlight[i]
+				attempt := inFlight[i]
 				inFlight = append(inFlight[:i], inFlight[i+1:]...)
 				duration := monotime.Micros(rng.IntN(200)) * ms
-				router.OnAttemptEnded(now, open.zone, Outcome{
+				router.OnAttemptEnded(now, attempt.zone, Outcome{
 					Class:        rng.IntN(2),
-					Spill:        open.spill,
+					Spill:        attempt.spill,
 					Duration:     duration,
 					InFlight:     1 + rng.IntN(5),
 					Served:       rng.IntN(4) > 0,
@@ -496,8 +496,8 @@
 				})
 			}
 		}
-		for _, open := range inFlight {
-			router.OnAttemptEnded(now, open.zone, Outcome{Spill: open.spill, Inconclusive: true})
+		for _, attempt := range inFlight {
+			router.OnAttemptEnded(now, attempt.zone, Outcome{Spill: attempt.spill, Inconclusive: true})
 		}
 		checkNothingInFlight(t, router)
 	})
@@ -556,7 +556,7 @@
 	now := monotime.Micros(0)
 	router.SetReadyEndpoints(now, 0, 0)
 	router.SetReadyEndpoints(now, 0, 4)
-	run := func(d monotime.Micros, inTime func(i int) bool) (maxShare float64) {
+	sendRequestsFor := func(d monotime.Micros, inTime func(i int) bool) (maxShare float64) {
 		sentCount := 0
 		for end := now + d; now < end; now += 2 * ms {
 			if decision := router.Choose(now, Request{RequiredZone: -1}); decision.Zone == 0 {
@@ -572,12 +572,12 @@
 		}
 		return maxShare
 	}
-	maxShare := run(20*second, func(i int) bool { return i%2 == 0 })
+	maxShare := sendRequestsFor(20*second, func(i int) bool { return i%2 == 0 })
 	if maxShare > 2*router.settings.InitialRecoveryShare {
 		t.Errorf("the recovering zone received a share of %v of its requests while half of its attempts were late",
 			maxShare)
 	}
-	run(30*second, func(int) bool { return true })
+	sendRequestsFor(30*second, func(int) bool { return true })
 	if state, _, _ := router.ZoneState(0); state != Up {
 		t.Errorf("the zone is %v after all attempts were in time", state)
 	}
