--- a/internal/decide/canary/analysis.go
+++ b/internal/decide/canary/analysis.go
@@ -13,16 +13,16 @@
 	baseline arm
 	canary   arm
 
-	calmDuration     monotime.Micros // total duration of the canary slots without a surge of demand
-	requiredDuration monotime.Micros // Settings.Duration plus the extensions that kept the samples
+	calmDuration     monotime.Micros // total duration of the canary's slots without a surge of demand
+	requiredDuration monotime.Micros // Settings.Duration, plus extensions in which the samples were kept
 	extensions       int             // number of extensions so far
 
 	verdict    Verdict
 	statistics Statistics
 }
 
-// NewAnalysis returns an analysis with the given samples of the baseline. AddBaseline adds further samples. NewAnalysis
-// fails if Settings.Validate fails.
+// NewAnalysis returns an analysis whose baseline has the given samples. AddBaseline adds further samples of the
+// baseline. NewAnalysis fails if Settings.Validate fails.
 func NewAnalysis(settings Settings, baseline ...Sample) (*Analysis, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, fmt.Errorf("canary: %w", err)
@@ -44,8 +44,9 @@
 func (a *Analysis) Result() (Verdict, Statistics) { return a.verdict, a.statistics }
 
 // AddCanary adds a sample of the canary, and returns the verdict and its statistics. The verdict is Degraded as soon as
-// the canary has lost its clients, or certainly performs worse than its baseline. After the required duration it is
-// Passed or Inconclusive, or the analysis is extended. A verdict other than Undecided no longer changes.
+// the canary has lost its clients, or certainly performs worse than its baseline. After the required duration the
+// verdict is Passed or Inconclusive, or the analysis is extended. Once the verdict is not Undecided, it no longer
+// changes.
 func (a *Analysis) AddCanary(sample Sample) (Verdict, Statistics) {
 	if a.verdict != Undecided {
 		return a.verdict, a.statistics
@@ -76,8 +77,8 @@
 // microsecondsPerSecond converts rates per microsecond to rates per second.
 const microsecondsPerSecond = 1e6
 
-// updateStatistics computes the statistics from all samples so far. Of the two metrics it reports the one whose harm
-// has the higher lower bound.
+// updateStatistics computes the statistics from all samples so far. It reports the harm of the metric whose harm has
+// the higher lower bound, of the two metrics served ratio and failed ratio.
 func (a *Analysis) updateStatistics(service, failures comparison) {
 	a.statistics = Statistics{
 		Service:  [2]float64{a.baseline.service.perSlot.mean(), a.canary.service.perSlot.mean()},
@@ -99,11 +100,11 @@
 	}
 }
 
-// Bounds beyond which missing requests cannot be chance.
+// Thresholds of lostClients. Beyond them, a lack of requests cannot be due to chance.
 const (
-	lostMinExpected = 50              // expected requests below which the clients are not lost
-	lostMaxFraction = 0.1             // fraction of the expected requests below which the clients are lost
-	lostMinDuration = monotime.Second // duration of the canary before which the clients are not lost
+	lostMinExpected = 50              // minimum of the expected requests for clients to count as lost
+	lostMaxFraction = 0.1             // fraction of the expected requests below which clients count as lost
+	lostMinDuration = monotime.Second // minimum duration of the canary for clients to count as lost
 )
 
 // lostClients reports whether the canary has lost its clients, and records that in the statistics. A canary has lost
@@ -125,14 +126,14 @@
 	return true
 }
 
-// Bounds of severe harm, which is reported even before Settings.MinDuration.
+// Thresholds of severe harm. A canary with severe harm is found degraded even before Settings.MinDuration.
 const (
-	severeMinRequests = 20  // requests of the canary below which no harm is severe
-	severeHarm        = 0.5 // largest difference of the ratios that is not severe
+	severeMinRequests = 20  // minimum number of requests of the canary for harm to be severe
+	severeHarm        = 0.5 // difference of the ratios above which harm is severe
 )
 
-// harmed reports whether the harm in the statistics is certain and beyond Settings.HarmMargin. Before
-// Settings.MinDuration it must also be severe.
+// harmed reports whether the harm in the statistics is certain and exceeds Settings.HarmMargin. Before
+// Settings.MinDuration the harm must also be severe.
 func (a *Analysis) harmed() bool {
 	stats := &a.statistics
 	certain := stats.HarmLowerBound > 0 && stats.Harm > a.settings.HarmMargin
@@ -145,9 +146,9 @@
 const minCalmDivisor = 2
 
 // concludeOrExtend ends an analysis that has run for its required duration, or extends it by Settings.Duration, at most
-// Settings.MaxExtensions times. It is extended if the harm exceeds Settings.HarmMargin but is not certain. The samples
-// of the canary are discarded and collected again if most of the time was a surge of demand. harm is the larger harm of
-// the two metrics.
+// Settings.MaxExtensions times. It is extended if the harm exceeds Settings.HarmMargin but is not certain, or if demand
+// was a surge most of the time. After such a surge the samples of the canary are discarded and collected again. harm is
+// the larger harm of the two metrics.
 func (a *Analysis) concludeOrExtend(harm float64) {
 	mostlySurge := a.calmDuration < a.requiredDuration/minCalmDivisor
 	harmUncertain := a.baseline.requests > 0 && harm > a.settings.HarmMargin
@@ -156,7 +157,7 @@
 		a.verdict = Passed
 	case a.extensions >= a.settings.MaxExtensions:
 		a.verdict = Inconclusive
-	case mostlySurge: // collect new samples, since the surge may end
+	case mostlySurge: // collect new samples, because the surge may end
 		a.extensions++
 		a.canary = arm{}
 		a.calmDuration = 0
@@ -171,16 +172,16 @@
 // count as a surge.
 const surgeSlack = 3.0
 
-// observeSurge adds the requests of a slot of the canary, and reports whether its demand is a surge. A surge means that
-// the requests in the latest slots exceed Settings.MaxDemandRatio times the baseline's rate by more than chance
-// explains. A lower served ratio is expected during a surge, and is not harm.
+// observeSurge records the number of requests in a slot of the canary, and reports whether the canary's demand is a
+// surge. A surge means that the requests in the latest slots exceed Settings.MaxDemandRatio times the baseline's rate
+// by more than chance explains. During a surge a lower served ratio is expected, and does not count as harm.
 func (a *Analysis) observeSurge(sample *Sample) bool {
 	recent, slots := a.canary.observeRequests(sample.Requests)
 	bound := a.settings.MaxDemandRatio * a.baseline.requestRate() * float64(sample.Duration) * float64(slots)
 	return a.baseline.requests > 0 && recent > bound+surgeSlack*math.Sqrt(bound)
 }
 
-// The sign of a metric states whether a lower or a higher ratio of the canary is harm.
+// Values of the sign parameter of compare, which states whether a lower or a higher ratio of the canary is harm.
 const (
 	lessIsWorse = -1
 	moreIsWorse = 1
@@ -189,11 +190,11 @@
 // comparison is the harm of the canary in one metric.
 type comparison struct {
 	harm       float64 // difference of the mean ratios; positive if the canary is worse
-	lowerBound float64 // lower bound of harm, at all times, with probability 1 - Settings.Alpha/2
+	lowerBound float64 // bound that harm exceeds at all times with probability 1 - Settings.Alpha/2
 }
 
-// compare compares one metric of the canary with that of the baseline. The two metrics share the error probability
-// Settings.Alpha, so each comparison uses half of it. sign is lessIsWorse or moreIsWorse.
+// compare compares the ratios of canary and baseline in one metric. Two metrics are compared, and they share the error
+// probability Settings.Alpha, so each comparison uses half of it. sign is lessIsWorse or moreIsWorse.
 func (a *Analysis) compare(baseline, canary *ratioSeries, sign float64) comparison {
 	reference := &baseline.perSlot
 	tested := &canary.perSlot
--- a/internal/decide/canary/canary_test.go
+++ b/internal/decide/canary/canary_test.go
@@ -16,16 +16,17 @@
 
 var testSettings = Settings{Duration: 30_000_000, MinDuration: 2_000_000, HarmMargin: 0.01, Alpha: 0.01}
 
-// trafficSource draws random samples with a given request rate and a given fraction of requests that are not served.
-// That fraction varies between spells, each of several consecutive slots, so that failures are correlated.
+// trafficSource draws random samples with a given request rate and a given mean fraction of requests that are not
+// served. The fraction is constant during a spell of several consecutive slots and differs between spells, so that
+// failures are correlated.
 type trafficSource struct {
 	rng              *rand.Rand
 	requestRate      float64 // requests per second
 	unservedFraction float64 // mean fraction of the requests that are not served
 	spellVariation   float64 // standard deviation of the logarithm of spellFactor
 	failedFraction   float64 // fraction of the unserved requests that fail; the others are rejected
-	spellFactor      float64 // factor of unservedFraction in the current spell
-	spellSlotsLeft   int     // slots that the current spell still lasts
+	spellFactor      float64 // multiplier of unservedFraction in the current spell
+	spellSlotsLeft   int     // number of slots left in the current spell
 }
 
 // nextSample draws the sample of the next slot.
@@ -70,7 +71,7 @@
 }
 
 // A canary that is as good as its baseline is rarely found degraded, however much its served ratio varies. Harm beyond
-// the margin is found, and the sooner the larger it is.
+// the margin is found, and larger harm is found sooner.
 func TestHarmIsFoundAndNoiseIsNot(t *testing.T) {
 	const trials = 400
 	for _, tc := range []struct {
@@ -134,8 +135,8 @@
 	return values[len(values)/2]
 }
 
-// During a surge of demand, a lower served ratio is not harm, but failures are. The analysis is extended until the
-// surge ends.
+// During a surge of demand, a lower served ratio is not harm, but more failures are. The analysis is extended, and
+// passes if the surge ends.
 func TestSurgeOfDemand(t *testing.T) {
 	settings := testSettings
 	settings.MaxExtensions = 2
@@ -175,7 +176,7 @@
 	}
 }
 
-// A canary is never found degraded if there are no samples of the baseline. A final verdict does not change.
+// A canary passes if there are no samples of the baseline. Later samples do not change that verdict.
 func TestWithoutBaseline(t *testing.T) {
 	analysis, err := NewAnalysis(testSettings)
 	if err != nil {
@@ -284,8 +285,8 @@
 	}
 }
 
-// A canary that gets hardly any requests has lost its clients, and is found degraded. Single slots with few requests
-// are not harm.
+// A canary that gets hardly any requests has lost its clients, and is found degraded. A canary with few requests in
+// single slots passes.
 func TestLostClients(t *testing.T) {
 	baseline := make([]Sample, 40)
 	for i := range baseline {
@@ -318,8 +319,8 @@
 	}
 }
 
-// An analysis with possible but uncertain harm is extended: little traffic does not prove that a canary is as good as
-// its baseline.
+// An analysis is extended while harm is possible but uncertain, because little traffic does not prove that a canary is
+// as good as its baseline.
 func TestLittleTrafficIsExtended(t *testing.T) {
 	baseline := make([]Sample, 40)
 	for i := range baseline {
--- a/internal/decide/canary/ratio.go
+++ b/internal/decide/canary/ratio.go
@@ -15,7 +15,7 @@
 	slotsInBatch     int     // number of slots added to the current batch
 }
 
-// add accumulates a slot. A slot with denominator 0 counts only as a part of its batch.
+// add accumulates a slot. A slot whose denominator is 0 is added to its batch only.
 func (s *ratioSeries) add(numerator, denominator float64) {
 	if denominator > 0 {
 		s.perSlot.add(numerator, denominator)
@@ -37,9 +37,9 @@
 // minBatches is the number of batches that varianceInflation needs for an estimate.
 const minBatches = 4
 
-// varianceInflation returns the factor by which correlation between slots increases the variance of the mean,
-// compared with independent slots. It is estimated as the variance of the mean computed from batches, divided by the
-// one computed from slots, and limited to 1..batchSlots.
+// varianceInflation returns the factor by which correlation between slots increases the variance of the mean, compared
+// with independent slots. The factor is the variance of the mean estimated from batches, divided by the variance of the
+// mean estimated from slots, and limited to 1..batchSlots.
 func (s *ratioSeries) varianceInflation() float64 {
 	slotVariance := s.perSlot.variance()
 	batchVariance := s.perBatch.variance()
--- a/internal/decide/canary/sample.go
+++ b/internal/decide/canary/sample.go
@@ -8,10 +8,10 @@
 	OfferedWeight float64         // sum of the requests' priority weights
 	ServedWeight  float64         // sum of the priority weights of requests served within the latency objective
 	Requests      int64
-	Failed        int64 // requests that ended with an error or too late, without rejected requests
+	Failed        int64 // requests that failed or ended too late; rejected requests are not counted
 }
 
-// arm accumulates the samples of one side of the comparison: of the baseline or of the canary.
+// arm accumulates the samples of the baseline or of the canary.
 type arm struct {
 	duration       monotime.Micros
 	requests       float64
--- a/internal/decide/canary/settings.go
+++ b/internal/decide/canary/settings.go
@@ -8,13 +8,13 @@
 
 // Settings configure an Analysis.
 type Settings struct {
-	// Duration is the time after which a canary passes if it was not found degraded. It must be positive.
+	// Duration is the time after which a canary passes if it has not been found degraded. It must be positive.
 	Duration monotime.Micros
-	// MinDuration is the initial time during which a canary is found degraded only if its harm is severe, in
-	// 0..Duration.
+	// MinDuration is the time from the start during which a canary is found degraded only if its harm is severe. It
+	// must be in 0..Duration.
 	MinDuration monotime.Micros
-	// HarmMargin is the largest difference between the ratios of canary and baseline that is tolerated, even if it is
-	// certain. It must be at least 0 and less than 1.
+	// HarmMargin is the largest tolerated difference between the ratios of canary and baseline. A smaller difference is
+	// tolerated even if it is certain. It must be at least 0 and less than 1.
 	HarmMargin float64
 	// Alpha is the probability that a canary that is as good as its baseline is found degraded at any time. It must be
 	// between 0 and 0.5, exclusive.
@@ -33,7 +33,7 @@
 	defaultMaxDemandRatio = 1.5
 	// maxExtensionsLimit is the largest value of Settings.MaxExtensions.
 	maxExtensionsLimit = 100
-	// alphaLimit is the exclusive upper bound of Settings.Alpha. With 0.5 a coin toss would decide as well.
+	// alphaLimit is the exclusive upper bound of Settings.Alpha. With 0.5 a verdict would be no better than chance.
 	alphaLimit = 0.5
 )
 
--- a/internal/decide/canary/verdict.go
+++ b/internal/decide/canary/verdict.go
@@ -14,7 +14,7 @@
 	Undecided    Verdict = iota
 	Passed               // the canary has run for the required duration without harm beyond Settings.HarmMargin
 	Degraded             // the canary is worse than the baseline, or has lost its clients
-	Inconclusive         // after all extensions, harm is uncertain, or demand was mostly a surge
+	Inconclusive         // after all extensions, harm is uncertain or demand was a surge most of the time
 )
 
 var verdictNames = [...]string{"undecided", "passed", "degraded", "inconclusive"}
@@ -38,8 +38,8 @@
 	Failures       [2]float64      // ratio of failed requests to all requests
 	RequestRate    [2]float64      // requests per second
 	Harm           float64         // difference between canary and baseline in Metric; positive if the canary is worse
-	HarmLowerBound float64         // lower bound of Harm, at all times, with probability 1 - Settings.Alpha
-	Metric         Metric          // the metric whose harm has the higher lower bound
+	HarmLowerBound float64         // bound that Harm exceeds at all times with probability 1 - Settings.Alpha
+	Metric         Metric          // metric of Harm; the metric with the highest HarmLowerBound is reported
 	Duration       monotime.Micros // time that the canary has run
 	Requests       int64           // number of requests of the canary
 }
--- a/internal/decide/maintenance/capacity.go
+++ b/internal/decide/maintenance/capacity.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// This file decides from the fleet's status whether another machine may be drained, and whether a machine is
-// recalled.
+// This file decides from the fleet's status whether another machine may be drained, and whether machines that are out
+// are needed back.
 
-// machineIndex returns the index in Machines of the machine with a name, or -1 if there is none.
+// machineIndex returns the index in Machines of the machine with the given name, or -1 if there is none.
 func (f *FleetStatus) machineIndex(name string) int {
 	return slices.IndexFunc(f.Machines, func(m MachineStatus) bool { return m.Name == name })
 }
@@ -19,30 +19,31 @@
 	return f.Usage == other.Usage && f.PeakUsage == other.PeakUsage && slices.Equal(f.Machines, other.Machines)
 }
 
-// demand returns the capacity that the machines in service must have: the larger of present and expected peak usage.
+// demand returns the capacity that must stay in service: the larger of the present and the expected peak usage.
 func (f *FleetStatus) demand() float64 { return max(f.Usage, f.PeakUsage) }
 
-// isHealthy reports whether a machine is listed as healthy in the fleet's status.
+// isHealthy reports whether the fleet's status lists a machine as healthy.
 func (state *State) isHealthy(name string) bool {
 	i := state.Fleet.machineIndex(name)
 	return i >= 0 && state.Fleet.Machines[i].Healthy
 }
 
-// isOut reports whether a machine counts as out: it is unhealthy, or it has reached phase Draining or a later one.
+// isOut reports whether a machine is out of service: it is unhealthy, or it has reached phase Draining or a later one.
 func (state *State) isOut(machineStatus *MachineStatus) bool {
 	planned := state.Machines[machineStatus.Name]
 	return !machineStatus.Healthy || planned != nil && planned.Phase >= Draining
 }
 
-// outage counts the machines that are out and the capacity in service, without the candidate: the machine that
-// might be drained next.
+// outage counts the machines that are out and adds up the capacity that is in service. It does not include the
+// candidate, which is the machine that may be drained next.
 type outage struct {
-	// Numbers of machines that are out: in all, and in the zone, in the cell and of the kind of the candidate.
+	// Numbers of machines that are out: of all machines, of those in the candidate's zone, of those in the candidate's
+	// cell, and of those of the candidate's kind.
 	totalOut, outInZone, outInCell, outOfKind int
 
-	inServiceInCell   int // number of machines in service in the candidate's cell
-	remainingCapacity float64
-	aloneInCell       bool // no other machine is in the candidate's cell
+	inServiceInCell   int     // number of machines in service in the candidate's cell
+	remainingCapacity float64 // capacity of the machines in service
+	aloneInCell       bool    // the candidate is the only machine of its cell
 }
 
 // outageWithout returns the outage of all machines except the candidate, which is given by its index in
@@ -62,7 +63,7 @@
 	return others
 }
 
-// addMachine adds a machine other than the candidate to the outage.
+// addMachine adds a machine to the outage. The machine must not be the candidate.
 func (o *outage) addMachine(candidate, other *MachineStatus, out bool) {
 	if !out {
 		o.remainingCapacity += other.Capacity
@@ -83,9 +84,9 @@
 	}
 }
 
-// drainBlockReason returns why a machine must not be drained now; empty if it may be. It checks, in this order,
-// for a hold, for a machine that is not in the fleet's status, for a lost zone, and for the bounds of
-// exceededBound. The texts are replicated and must not change.
+// drainBlockReason returns why a machine must not be drained now; empty if it may be. It checks in this order whether
+// drains are on hold, whether the machine is missing in the fleet's status, whether a zone is lost, and whether the
+// drain would exceed a bound. The texts are replicated and must not change.
 func (state *State) drainBlockReason(m *Machine) string {
 	i := state.Fleet.machineIndex(m.Name)
 	switch {
@@ -126,9 +127,9 @@
 	return ""
 }
 
-// lostZone returns the first zone by name in which more than half of the machines are unhealthy although the
-// plan has not drained them; empty if there is none. While a zone is lost no machine is drained, since the
-// other zones need their capacity to replace that of the lost zone.
+// lostZone returns the first zone by name in which more than half of the machines are unhealthy although the plan has
+// not taken them out; empty if there is none. While a zone is lost no machine is drained, because the other zones need
+// their capacity to replace that of the lost zone.
 func (state *State) lostZone() string {
 	machineCount := map[string]int{}
 	unplannedOut := map[string]int{}
@@ -148,8 +149,8 @@
 	return ""
 }
 
-// updateRecalls recalls machines while there is a recallReason: a draining machine goes back into service, and
-// a machine under maintenance is marked as needed back until the reason no longer applies.
+// updateRecalls recalls machines while recallReason returns a reason: a draining machine goes back into service, and a
+// machine under maintenance is marked as needed back until there is no reason any more.
 func (state *State) updateRecalls() {
 	reason := state.recallReason()
 	for _, name := range slices.Sorted(maps.Keys(state.Machines)) {
@@ -168,9 +169,9 @@
 	}
 }
 
-// recallReason returns why the capacity of machines that are out is needed back: a zone is lost, or the capacity in
-// service is less than the fleet's demand. It is empty if the capacity is not needed. Settings.Headroom is not
-// subtracted here, so that a small increase in demand does not undo a drain that was just allowed.
+// recallReason returns why machines that are out are needed back: a zone is lost, or the capacity in service is less
+// than the fleet's demand. It is empty if they are not needed. Settings.Headroom is not subtracted here, so that a
+// small increase in demand does not undo a drain that was just allowed.
 func (state *State) recallReason() string {
 	if zone := state.lostZone(); zone != "" {
 		return "more than half of zone " + zone + " is out unplanned"
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -8,8 +8,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Coordinator is the leader's record of each instance's progress in applying the plan. The leader creates a new
-// one with NewCoordinator in each term; it is not stored.
+// Coordinator is the leader's record of each instance's progress in applying the plan. It is not stored: the leader
+// creates one with NewCoordinator at the start of each term.
 type Coordinator struct {
 	settings  Settings
 	termStart monotime.Micros // start of the leader's term
@@ -21,7 +21,7 @@
 	sequence    uint64          // sequence number of the report
 	planVersion uint64          // version of the plan that the process applies
 	inFlight    map[string]int  // number of requests in flight, by excluded machine
-	leaseEnd    monotime.Micros // time at which its lease has expired on every clock
+	leaseEnd    monotime.Micros // time at which the process's lease has expired on every clock
 	reportedAt  monotime.Micros // time at which the report was received
 }
 
@@ -72,11 +72,11 @@
 type Progress struct {
 	Acknowledged []string          // machines that the plan of every instance lists as announced
 	Drained      []string          // machines without requests in flight, to which no instance sends
-	WaitReasons  map[string]string // why a machine may not enter its next phase, by machine; empty if it may
+	WaitReasons  map[string]string // why each machine must wait, by machine name; empty if it need not wait
 }
 
-// Progress returns the announced and draining machines that may enter their next phase, sorted by name, and the
-// reasons why the others must wait.
+// Progress returns which announced and draining machines may enter their next phase, sorted by name, and why the others
+// must wait.
 func (c *Coordinator) Progress(now monotime.Micros, state *State) Progress {
 	progress := Progress{WaitReasons: map[string]string{}}
 	for _, name := range slices.Sorted(maps.Keys(state.Machines)) {
@@ -97,8 +97,8 @@
 	return progress
 }
 
-// acknowledgmentWaitReason names an instance that may not have a plan that lists the machine as announced; empty if
-// there is none.
+// acknowledgmentWaitReason returns why an announced machine must not enter phase Acknowledged: an instance may not have
+// a plan that lists the machine as announced. It is empty if every instance has one.
 func (c *Coordinator) acknowledgmentWaitReason(state *State, m *Machine) string {
 	for _, name := range slices.Sorted(maps.Keys(state.Instances)) {
 		progress := c.instances[Instance{Name: name, Incarnation: state.Instances[name]}]
@@ -109,9 +109,9 @@
 	return ""
 }
 
-// drainWaitReason names an instance that may still send to a draining machine or have requests in flight there;
-// empty if there is none. An instance whose lease and grace time are over does neither, since its plan lists
-// the machine as announced.
+// drainWaitReason returns why a draining machine does not count as drained: an instance may still send requests to it,
+// or has requests in flight there. It is empty if the machine is drained. An instance whose lease and grace period are
+// over does neither, because its plan lists the machine as announced.
 func (c *Coordinator) drainWaitReason(now monotime.Micros, state *State, m *Machine) string {
 	if !c.gracePeriodOver(now, c.earlierLeasesEnd()) {
 		return "who led before may have told a process that is not heard yet"
@@ -129,8 +129,8 @@
 	return c.predecessorWaitReason(now, state)
 }
 
-// predecessorWaitReason names an instance whose earlier process may still have requests in flight; empty if there is
-// none.
+// predecessorWaitReason returns why a draining machine does not count as drained: an earlier process of an instance may
+// still have requests in flight. It is empty if there is no such process.
 func (c *Coordinator) predecessorWaitReason(now monotime.Micros, state *State) string {
 	for _, instance := range c.sortedInstances() {
 		isCurrent := state.Instances[instance.Name] == instance.Incarnation
@@ -141,7 +141,7 @@
 	return ""
 }
 
-// gracePeriodOver reports whether Settings.InFlightGrace has passed on every clock since a lease ended.
+// gracePeriodOver reports whether the time Settings.InFlightGrace since the end of a lease has passed on every clock.
 func (c *Coordinator) gracePeriodOver(now, leaseEnd monotime.Micros) bool {
 	return now >= leaseEnd+c.settings.withDrift(c.settings.InFlightGrace)
 }
@@ -153,8 +153,8 @@
 	})
 }
 
-// SilentInstances returns the instances that have sent no report for at least timeout, sorted by name. Such a
-// process may have ended or may be cut off. It keeps announced machines from being acknowledged.
+// SilentInstances returns the instances that have sent no report for at least timeout, sorted by name. The process of
+// such an instance may have ended or may be cut off. Machines may stay announced until it reports again.
 func (c *Coordinator) SilentInstances(now monotime.Micros, state *State, timeout monotime.Micros) []Instance {
 	var silent []Instance
 	for _, name := range slices.Sorted(maps.Keys(state.Instances)) {
--- a/internal/decide/maintenance/encoding_test.go
+++ b/internal/decide/maintenance/encoding_test.go
@@ -19,7 +19,8 @@
 // types of this package had JSON tags. They have the format of that build's raft logs on disk and of its
 // messages between voters, and must never be rewritten.
 
-// emptyEncodedValues returns an empty value of each type that is stored or sent, by the name of its golden files.
+// emptyEncodedValues returns an empty value of each type that is stored or sent. The keys are the names of the types in
+// the names of golden files.
 func emptyEncodedValues() map[string]any {
 	return map[string]any{
 		"state":   &State{},
@@ -29,8 +30,8 @@
 	}
 }
 
-// TestEncodedFormIsThatOfTheBuildBefore verifies that each stored or sent type is encoded to the same bytes as by the
-// build before its fields had JSON tags, and that every field is decoded from these bytes.
+// TestEncodedFormIsThatOfTheBuildBefore verifies that each type that is stored or sent is encoded to the same bytes as
+// in the build before the types had JSON tags, and that every field is decoded from these bytes.
 func TestEncodedFormIsThatOfTheBuildBefore(t *testing.T) {
 	for name, emptyValue := range emptyEncodedValues() {
 		for _, variant := range []string{"empty", "filled"} {
@@ -45,8 +46,9 @@
 	}
 }
 
-// TestLogOfTheBuildBeforeGivesItsState verifies that a log written by the earlier build leads to the same state as in
-// that build, byte for byte, also if the state is stored and restored after each entry.
+// TestLogOfTheBuildBeforeGivesItsState verifies that a log written by the build before the types had JSON tags leads to
+// the same state as in that build, byte for byte. The same must be true if the state is stored and restored after each
+// entry.
 func TestLogOfTheBuildBeforeGivesItsState(t *testing.T) {
 	want := golden.ReadLine(t, "replay", "state.json")
 	direct, err := NewState(replaySettings)
@@ -90,7 +92,7 @@
 	}
 }
 
-// replaySettings are the settings with which the earlier build applied the log in testdata/replay.
+// replaySettings are the settings with which the build that wrote testdata/replay applied its log.
 var replaySettings = Settings{
 	MaxOut: 2, MaxOutPerZone: 1, MaxOutPerCell: 1, MaxAnnounced: 4, Headroom: 0.1,
 	LeaseDuration: monotime.Second, InFlightGrace: monotime.Second, Warmup: 2 * monotime.Second,
--- a/internal/decide/maintenance/follower.go
+++ b/internal/decide/maintenance/follower.go
@@ -22,8 +22,8 @@
 	LeaseDuration monotime.Micros `json:"Lease"`
 }
 
-// trackedReports is the number of latest reports whose sending times a Follower remembers. A grant for an older
-// report is dropped.
+// trackedReports is the number of reports whose sending times a Follower remembers. A grant for an older report is
+// dropped.
 const trackedReports = 8
 
 // Follower holds the plan that one instance has to apply, and the plan's lease. Create one with NewFollower.
@@ -33,7 +33,7 @@
 	plan         Plan
 	hasPlan      bool
 	leaseEnd     monotime.Micros
-	sentReports  [trackedReports]sentReport // ring buffer, indexed by the sequence number
+	sentReports  [trackedReports]sentReport // ring buffer, indexed by sequence number modulo its length
 	lastSequence uint64
 }
 
@@ -62,8 +62,8 @@
 	f.leaseEnd = leaseEnd
 }
 
-// NextReport returns the next report, which the caller must send at once, since the lease starts at now.
-// inFlight returns the number of requests that are in flight at a machine.
+// NextReport returns the next report. The caller must send it at once, because the lease that is granted for it starts
+// at now. inFlight returns the number of requests in flight at a machine.
 func (f *Follower) NextReport(now monotime.Micros, inFlight func(machine string) int) Report {
 	f.lastSequence++
 	*f.sentReportSlot(f.lastSequence) = sentReport{sequence: f.lastSequence, sentAt: now}
@@ -79,13 +79,13 @@
 	return report
 }
 
-// sentReportSlot returns the slot of a report in the ring buffer.
+// sentReportSlot returns the slot in the ring buffer for the report with a sequence number.
 func (f *Follower) sentReportSlot(sequence uint64) *sentReport {
 	return &f.sentReports[sequence%trackedReports]
 }
 
-// ApplyGrant applies a grant, and reports whether the plan or ExcludedMachines may have changed. It drops a
-// grant that is late, a duplicate, addressed to another process, or has an older plan than the present one.
+// ApplyGrant applies a grant, and reports whether the plan or the result of ExcludedMachines may have changed. It drops
+// a grant that is late or a duplicate, that is for another process, or whose plan is older than the present one.
 func (f *Follower) ApplyGrant(now monotime.Micros, grant PlanGrant) (changed bool) {
 	report := *f.sentReportSlot(grant.Sequence)
 	if grant.Incarnation != f.incarnation || report.sequence != grant.Sequence || grant.Sequence == 0 {
@@ -103,8 +103,8 @@
 	return changed
 }
 
-// ExcludedMachines returns the machines to which no new request may be sent at now. After the end of the lease they
-// include the announced machines, since a newer plan may exclude these.
+// ExcludedMachines returns the machines to which no new request may be sent at now. After the end of the lease it also
+// returns the announced machines, because a newer plan may exclude them.
 func (f *Follower) ExcludedMachines(now monotime.Micros) []string {
 	excluded := slices.Clone(f.plan.Excluded)
 	if now >= f.leaseEnd {
@@ -120,8 +120,8 @@
 	return f.hasPlan && now >= f.leaseEnd+f.settings.InFlightGrace
 }
 
-// CurrentPlan returns the plan that was applied last, the end of its lease, and the time at which the requests
-// in flight at the plan's machines must be ended if the lease is not renewed.
+// CurrentPlan returns the plan that was applied last, the end of its lease, and the time at which requests in flight at
+// the machines of the plan must be ended if the lease is not renewed.
 func (f *Follower) CurrentPlan() (plan Plan, leaseEnd, inFlightEnd monotime.Micros) {
 	return f.plan, f.leaseEnd, f.leaseEnd + f.settings.InFlightGrace
 }
--- a/internal/decide/maintenance/requests.go
+++ b/internal/decide/maintenance/requests.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// This file applies operators' commands. An error is the reply to an operator whose command has no effect. All
+// This file applies operators' commands. If a command has no effect, the reply to the operator is an error. All
 // replicas must return the same replies and errors, so the texts must not change.
 
 var errIncompleteRequest = errors.New("an id, a machine and a time are needed")
@@ -44,8 +44,8 @@
 	return state.describe(&request), nil
 }
 
-// requireMachine adds a request to the requests that need a machine out. If the machine is under maintenance, its due
-// time is extended to cover the request's duration. If it is returning, it goes back to phase Requested.
+// requireMachine records that a request needs a machine to be out. If the machine is under maintenance, its due time is
+// extended to cover the request's duration. If it is returning, it goes back to phase Requested.
 func (state *State) requireMachine(name string, request *Request) {
 	m := state.Machines[name]
 	switch {
@@ -62,7 +62,8 @@
 	}
 }
 
-// describe returns a text with the phase of each machine of a request, and the reason why the machine waits, if any.
+// describe returns a text with the phase of each machine of a request, and with the machine's wait reason if it has
+// one.
 func (state *State) describe(request *Request) string {
 	var machineTexts []string
 	for _, name := range request.Machines {
@@ -79,8 +80,8 @@
 	return strings.Join(machineTexts, "; ")
 }
 
-// cancelRequest removes a request from the plan. Machines that no other request needs return if they are under
-// maintenance, and otherwise stay in service.
+// cancelRequest removes a request from the plan. A machine that no other request needs to be out returns if it is under
+// maintenance, and stays in service otherwise.
 func (state *State) cancelRequest(id string) (reply string, err error) {
 	request := state.Requests[id]
 	if request == nil {
@@ -94,8 +95,8 @@
 	return "cancelled", nil
 }
 
-// completeRequest releases the completed machine of a request, or all its machines, and removes the request once it
-// needs no machine any more.
+// completeRequest releases one machine of a request, or all its machines. It removes the request once the request needs
+// no machine to be out.
 func (state *State) completeRequest(c Completion) (reply string, err error) {
 	request := state.Requests[c.Request]
 	if request == nil {
@@ -124,8 +125,8 @@
 	return m != nil && slices.Contains(m.Requests, requestID)
 }
 
-// releaseMachine removes a request from the requests that need a machine out. If no other request needs the
-// machine, it returns if it is under maintenance, and is removed from the plan otherwise.
+// releaseMachine records that a request no longer needs a machine to be out. If no other request needs it to be out,
+// the machine returns if it is under maintenance, and is removed from the plan otherwise.
 func (state *State) releaseMachine(name, requestID string) {
 	if !state.requestNeeds(requestID, name) {
 		return
@@ -138,7 +139,7 @@
 		state.setPhase(m, Returning)
 		state.recordEvent("%s returns, cold", name)
 	case m.Phase == Draining:
-		// Work on the machine has not started, so it needs no warm-up.
+		// A draining machine needs no warm-up, because work on it has not started.
 		state.PlanVersion++
 		delete(state.Machines, name)
 		state.recordEvent("%s stays in", name)
--- a/internal/decide/maintenance/schedule.go
+++ b/internal/decide/maintenance/schedule.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// This file decides which machines enter their next phase, and in which order.
+// This file decides which machines enter their next phase, and in which order they do.
 
-// advance makes all phase changes that are due or possible. Machines that are out and recalls come first, since they
-// change how many machines may be announced and drained.
+// advance makes all phase changes that are due or possible. Machines that are out are advanced and recalled first,
+// because that changes how many machines may be announced and drained.
 func (state *State) advance() {
 	for _, name := range slices.Sorted(maps.Keys(state.Machines)) {
 		state.advanceMachine(state.Machines[name])
@@ -38,8 +38,8 @@
 	}
 }
 
-// announce announces the first machines of the queue, so that at most Settings.MaxAnnounced are announced. An urgent
-// machine replaces an announced machine that is not urgent.
+// announce announces machines in the order of the queue, up to Settings.MaxAnnounced. An urgent machine replaces an
+// announced machine that is not urgent.
 func (state *State) announce(queue []*Machine) {
 	announced := 0
 	for _, m := range state.Machines {
@@ -47,8 +47,8 @@
 			announced++
 		}
 	}
-	// A recall puts a draining machine back among the announced ones, which may exceed the bound. The
-	// announcements of the last machines in the queue are then withdrawn.
+	// A recall makes a draining machine an announced one again, which may exceed MaxAnnounced. The announcements of the
+	// last machines in the queue are then canceled.
 	for _, m := range slices.Backward(queue) {
 		if announced > state.settings.MaxAnnounced && planListOf(m.Phase) == listAnnounced {
 			state.setPhase(m, Requested)
@@ -71,8 +71,8 @@
 	}
 }
 
-// drain starts to drain the acknowledged machines, in the order of the queue, unless drainBlockReason returns a
-// reason.
+// drain starts to drain acknowledged machines in the order of the queue. A machine for which drainBlockReason returns a
+// reason is skipped.
 func (state *State) drain(queue []*Machine) {
 	for _, m := range queue {
 		if m.Phase != Acknowledged {
@@ -88,8 +88,8 @@
 	}
 }
 
-// preemptFor withdraws the announcement of the last announced machine in the queue that is not urgent, if the given
-// machine is urgent. It reports whether it has withdrawn an announcement.
+// preemptFor cancels the announcement of the last announced machine in the queue that is not urgent, if the given
+// machine is urgent. It reports whether it has canceled an announcement.
 func (state *State) preemptFor(urgent *Machine, queue []*Machine) bool {
 	if !state.oldestRequest(urgent).Urgent {
 		return false
@@ -103,12 +103,12 @@
 	return false
 }
 
-// oldestRequest returns the oldest request that needs a machine out.
+// oldestRequest returns the oldest of the requests that need a machine to be out.
 func (state *State) oldestRequest(m *Machine) *Request { return state.Requests[m.Requests[0]] }
 
-// queue returns the machines that are not yet draining, in the order in which they are announced and drained. Urgent
-// machines come first, then machines whose requester has had the fewest drains, so that one requester does not block
-// others, and then machines of the oldest request.
+// queue returns the machines that are not draining yet, in the order in which they are to be announced and drained.
+// Urgent machines come first, then machines whose requester has had the fewest drains, so that one requester does not
+// block others, and then machines of the oldest request.
 func (state *State) queue() []*Machine {
 	var queue []*Machine
 	for _, m := range state.Machines {
@@ -120,8 +120,8 @@
 	return queue
 }
 
-// compareInQueue returns a negative number if machine a comes before machine b in the queue, and a positive one
-// if after.
+// compareInQueue returns a negative number if machine a comes before machine b in the queue, and a positive number if
+// it comes after b.
 func (state *State) compareInQueue(a, b *Machine) int {
 	requestA := state.oldestRequest(a)
 	requestB := state.oldestRequest(b)
--- a/internal/decide/maintenance/settings.go
+++ b/internal/decide/maintenance/settings.go
@@ -27,10 +27,10 @@
 	// MaxAnnounced is the maximum number of machines that may be announced and not yet draining; at least MaxOut. An
 	// instance that is cut off cannot use the announced machines.
 	MaxAnnounced int
-	// Headroom is the fraction of the remaining capacity that must stay unused after a drain, from 0 to less than 1.
+	// Headroom is the fraction of the capacity in service that must be unused after a drain, from 0 to less than 1.
 	Headroom float64
-	// LeaseDuration is the duration of the lease of a plan, which starts when the instance sends its report. It is at
-	// least minLeaseDuration.
+	// LeaseDuration is the duration of the lease of a plan, from the time at which the instance sends its report. It is
+	// at least minLeaseDuration.
 	LeaseDuration monotime.Micros
 	// InFlightGrace is the time from the end of an instance's lease until the instance ends the requests that are in
 	// flight at announced and excluded machines.
@@ -70,7 +70,8 @@
 	return nil
 }
 
-// withDrift returns how long to wait on the local clock until d has passed on every clock within MaxClockDrift.
+// withDrift returns the time to wait on the local clock until d has passed on every clock that drifts by at most
+// MaxClockDrift.
 func (s *Settings) withDrift(d monotime.Micros) monotime.Micros {
 	return monotime.ExtendForDrift(d, s.MaxClockDrift)
 }
--- a/internal/decide/maintenance/state.go
+++ b/internal/decide/maintenance/state.go
@@ -11,18 +11,18 @@
 // maxEvents is the maximum number of events in a State; the oldest events beyond it are dropped.
 const maxEvents = 200
 
-// State is the replicated plan of the machines that are taken out of service. Create one with NewState; Apply
-// applies the entries of the log to it. Its JSON encoding is the content of a raft snapshot and includes the
-// texts of events, so replicas of different builds agree only if these texts stay the same.
+// State is the replicated plan of the machines that are taken out of service. Create one with NewState; Apply applies
+// the commands of the log to it. Its JSON encoding is the content of a raft snapshot and includes the texts of events,
+// so replicas of different builds agree only if these texts stay the same.
 type State struct {
 	settings          Settings
-	Now               monotime.Micros     `json:"Now"`
+	Now               monotime.Micros     `json:"Now"`       // latest Command.Time that was applied
 	PlanVersion       uint64              `json:"Version"`   // version of the plan; increases when its lists change
 	Requests          map[string]*Request `json:"Jobs"`      // open requests, by ID
 	Machines          map[string]*Machine `json:"Items"`     // machines in the plan, by name
 	Instances         map[string]uint64   `json:"Instances"` // incarnation of each known instance, by instance name
 	Fleet             FleetStatus         `json:"Facts"`
-	OnHold            bool                `json:"Held"` // an operator holds all drains
+	OnHold            bool                `json:"Held"` // an operator has put all drains on hold
 	Events            []Event             `json:"Events"`
 	DrainsByRequester map[string]int      `json:"Taken"` // number of drains so far, by requester
 	CommandCount      uint64              `json:"Count"` // number of commands applied so far
@@ -45,10 +45,9 @@
 // UseSettings sets the settings of a state that was decoded from a snapshot, since snapshots do not contain settings.
 func (state *State) UseSettings(s Settings) { state.settings = s }
 
-// Apply applies the next command of the log, and then all phase changes that are due or possible. It returns
-// the reply to the operator who issued the command. An error is a reply as well: it gives the reason why the
-// command has no effect, and does not mean that the log is faulty. All replicas return the same reply and
-// error.
+// Apply applies the next command of the log, and then makes all phase changes that are due or possible. It returns the
+// reply to the operator who issued the command. An error is a reply as well: it states why the command has no effect,
+// and does not mean that the log is faulty. All replicas return the same reply and error.
 func (state *State) Apply(c Command) (reply string, err error) {
 	state.Now = max(state.Now, c.Time)
 	state.CommandCount++
@@ -118,7 +117,7 @@
 	listExcluded
 )
 
-// planListOf returns the list of a Plan that contains the machines in phase p.
+// planListOf returns which list of a Plan contains the machines in phase p.
 func planListOf(p Phase) planList {
 	switch p {
 	case Announced, Acknowledged:
@@ -129,7 +128,8 @@
 	return listNone
 }
 
-// setPhase moves a machine to phase p. The plan gets a new version if the machine moves to another list of the plan.
+// setPhase moves a machine to phase p. The plan gets a new version if that moves the machine to another list of the
+// plan.
 func (state *State) setPhase(m *Machine, p Phase) {
 	if planListOf(m.Phase) != planListOf(p) {
 		state.PlanVersion++
@@ -142,7 +142,7 @@
 	m.Overdue = false
 }
 
-// longestDuration returns the longest Duration of the requests that need a machine out.
+// longestDuration returns the longest duration of the requests that need a machine to be out.
 func (state *State) longestDuration(m *Machine) (maxDuration monotime.Micros) {
 	for _, id := range m.Requests {
 		if request := state.Requests[id]; request != nil {
--- a/internal/decide/maintenance/state_test.go
+++ b/internal/decide/maintenance/state_test.go
@@ -12,7 +12,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// testSettings are the settings of the states in these tests.
+// testSettings are the settings of the states in the tests of this file.
 var testSettings = Settings{
 	MaxOut: 2, MaxOutPerZone: 1, MaxOutPerCell: 1, MaxAnnounced: 4, Headroom: 0.1,
 	LeaseDuration: monotime.Second, InFlightGrace: monotime.Second, Warmup: 2 * monotime.Second,
@@ -30,8 +30,8 @@
 	return status
 }
 
-// stateWith returns a state to which a fleet's status and then the requests, one microsecond apart, have been
-// applied.
+// stateWith returns a state to which a fleet's status was applied, and then each of the requests, one microsecond
+// apart.
 func stateWith(tb testing.TB, status *FleetStatus, requests ...Request) *State {
 	tb.Helper()
 	state, err := NewState(testSettings)
@@ -58,7 +58,7 @@
 	}
 }
 
-// acknowledge acknowledges all announced machines again and again until the plan no longer changes.
+// acknowledge repeatedly acknowledges all announced machines until the plan no longer changes.
 func acknowledge(tb testing.TB, state *State) {
 	tb.Helper()
 	for version := ^uint64(0); version != state.PlanVersion; {
@@ -79,8 +79,8 @@
 	return strings.Join(names, "")
 }
 
-// TestDrainsAreWithinTheBounds verifies that drains stay within each bound of the settings, and that a machine
-// that is not drained has the reason for it.
+// TestDrainsAreWithinTheBounds verifies that drains stay within each bound of the settings, and that a machine that
+// must not be drained has a wait reason.
 func TestDrainsAreWithinTheBounds(t *testing.T) {
 	machineNames := []string{"m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7"}
 	for _, tc := range []struct {
@@ -184,9 +184,8 @@
 	}
 }
 
-// TestCancelInEachPhase cancels a request in each phase of its machine. A machine under maintenance must return
-// and warm up, a machine in another phase must stay in service, and the request must leave nothing behind in
-// the plan.
+// TestCancelInEachPhase cancels a request in each phase of its machine. A machine under maintenance must return and
+// warm up, a machine in another phase must stay in service, and nothing of the request must be left in the plan.
 func TestCancelInEachPhase(t *testing.T) {
 	for stepCount := range 5 {
 		state := stateWith(t, eightMachines(1), Request{ID: "a", Machines: []string{"m0"}, Requester: "ana"})
@@ -231,8 +230,8 @@
 	apply(t, state, Command{FleetStatus: eightMachines(1)})
 }
 
-// TestCapacityThatIsNeededBackIsRecalled verifies that, when capacity is needed back, a draining machine stays
-// in service and a machine under maintenance is recalled.
+// TestCapacityThatIsNeededBackIsRecalled verifies that, if capacity is needed back, a draining machine goes back into
+// service and a machine under maintenance is recalled.
 func TestCapacityThatIsNeededBackIsRecalled(t *testing.T) {
 	state := stateWith(t, eightMachines(1), Request{ID: "a", Machines: []string{"m0", "m2"}, Requester: "ana"})
 	acknowledge(t, state)
@@ -258,9 +257,9 @@
 	}
 }
 
-// TestInvariantsHoldForAnyLog verifies for random logs that the bounds of the settings are kept, that a version
-// of the plan always has the same content, and that a state that is stored and restored after each entry does
-// not differ from one that is not.
+// TestInvariantsHoldForAnyLog verifies for random logs that the bounds of the settings are kept, and that two plans of
+// the same version have the same content. A state that is stored and restored after each entry must not differ from a
+// state that is not.
 func TestInvariantsHoldForAnyLog(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		direct := stateWith(t, eightMachines(1))
@@ -336,8 +335,8 @@
 	return restored
 }
 
-// checkPlan checks that the plan is within the bounds of testSettings, and that its content is the same as in earlier
-// calls with the same version. contents holds the content seen so far, by version.
+// checkPlan checks that the plan is within the bounds of testSettings, and that plans of the same version have the same
+// content. contents has the content of each plan in earlier calls, by version.
 func checkPlan(r *rapid.T, state *State, contents map[uint64]string) {
 	plan := state.Plan()
 	content := fmt.Sprint(plan.Announced, plan.Excluded)
--- a/internal/decide/maintenance/types.go
+++ b/internal/decide/maintenance/types.go
@@ -24,7 +24,7 @@
 	PeakUsage float64         `json:"Peak"` // expected peak usage, in the unit of MachineStatus.Capacity
 }
 
-// Phase is the stage that a machine has reached on its way out of service and back.
+// Phase is the stage of a machine on its way out of service and back.
 type Phase uint8
 
 // The phases, in the order in which a machine passes through them. Their numbers are stored.
@@ -59,22 +59,22 @@
 	Requester   string          `json:"By"`
 	Urgent      bool            `json:"Urgent"`
 	RequestedAt monotime.Micros `json:"At"`
-	OnHold      bool            `json:"Held"` // no machine is drained for this request
+	OnHold      bool            `json:"Held"` // an operator has put the drains for this request on hold
 }
 
 // Machine is the state of a machine in the plan.
 type Machine struct {
 	Name         string          `json:"Machine"`
-	Requests     []string        `json:"Jobs"` // IDs of the open requests that need the machine out, the oldest first
+	Requests     []string        `json:"Jobs"` // IDs of the open requests for the machine, the oldest first
 	Phase        Phase           `json:"Phase"`
 	Since        monotime.Micros `json:"Since"`   // time at which the machine entered its phase
 	DueAt        monotime.Micros `json:"Until"`   // time by which the work should be complete
-	PlanVersion  uint64          `json:"Version"` // version of the first plan that has the machine in its present list
+	PlanVersion  uint64          `json:"Version"` // version of the plan in which the machine last changed its list
 	Overdue      bool            `json:"Overdue"` // the machine is still under maintenance after DueAt
-	RecallReason string          `json:"Wanted"`  // why it is needed back during maintenance; empty if it is not
+	RecallReason string          `json:"Wanted"`  // why the machine is needed back during maintenance; empty if not
 
-	// WaitReason is why the machine cannot be announced, drained or put back into service. Progress.WaitReasons has
-	// the reasons for the other transitions.
+	// WaitReason is why the machine cannot be announced, drained or put back into service; empty if there is no reason.
+	// The reasons why it cannot be acknowledged or count as drained are in Progress.WaitReasons.
 	WaitReason string `json:"Waits"`
 }
 
@@ -90,10 +90,10 @@
 	Incarnation uint64 `json:"Life"` // differs between any two processes of the same name
 }
 
-// Command is an entry of the log. One field is set in addition to Time. An entry that has only Time advances
-// the state's clock.
+// Command is an entry of the log. One field is set in addition to Time. An entry in which only Time is set advances the
+// state's clock.
 type Command struct {
-	Time          monotime.Micros `json:"At"` // set by the leader; the state's clock never runs backwards
+	Time          monotime.Micros `json:"At"` // set by the leader; an earlier time does not set the state's clock back
 	Request       *Request        `json:"Ask"`
 	CancelRequest string          `json:"Cancel"` // ID of the request to cancel
 	Complete      *Completion     `json:"Done"`
--- a/internal/decide/rollout/apply.go
+++ b/internal/decide/rollout/apply.go
@@ -6,14 +6,14 @@
 	"dunlinsail/internal/monotime"
 )
 
-// maxApplyAttempts is the number of processes that may end while a version is being applied or is not yet confirmed. A
-// single process may have ended for another reason; after maxApplyAttempts processes the version is assumed to be the
-// cause and is rejected.
+// maxApplyAttempts is the number of processes that may end while they apply a version or run it unconfirmed. A single
+// process may have ended for another reason. After maxApplyAttempts processes the version is assumed to be the cause,
+// and is rejected.
 const maxApplyAttempts = 2
 
 // HandleValidated handles the result of ActionValidate: reason is why the version is invalid, empty if it is valid. A
-// valid version is applied, unless maxApplyAttempts processes have ended while it was unconfirmed. Any other version is
-// rejected, and the state machine returns to the phase before the validation.
+// valid version is applied, unless maxApplyAttempts processes have ended while they applied it or ran it unconfirmed.
+// Any other version is rejected, and the state machine returns to the phase before the validation.
 func (m *StateMachine) HandleValidated(now monotime.Micros, reason string) []Command {
 	if m.phase != PhaseValidating {
 		return nil
@@ -36,9 +36,9 @@
 	return m.requestPersist()
 }
 
-// applyCandidateOncePersisted returns the command to apply the candidate, once the write that records the attempt
-// has succeeded or failed: an attempt that is not on disk would not be counted if applying the candidate ended the
-// process. While paused it returns nil.
+// applyCandidateOncePersisted returns the command to apply the candidate. It returns nil while the state machine is
+// paused, or while the write that records the attempt is in progress: if applying the candidate ended the process, an
+// attempt that is not on disk would not be counted. If that write fails, the candidate is applied nevertheless.
 func (m *StateMachine) applyCandidateOncePersisted() []Command {
 	if !m.awaitsAttemptWrite || m.paused || m.persisting {
 		return nil
@@ -54,8 +54,8 @@
 }
 
 // HandleApplied handles the result of ActionApply: reason is why the version could not be applied, empty if it is now
-// running. A failed ActionApply has changed nothing, and the version is rejected. An applied version is confirmed
-// immediately, or after its canary if Settings.CanaryEnabled is set.
+// running. If it could not be applied, the running configuration is unchanged, and the version is rejected. An applied
+// version is confirmed immediately, or after its canary if Settings.CanaryEnabled is set.
 func (m *StateMachine) HandleApplied(now monotime.Micros, reason string) []Command {
 	if m.phase != PhaseApplying || m.awaitsAttemptWrite {
 		return nil
@@ -90,7 +90,7 @@
 	return append(commands, m.startNext(now)...)
 }
 
-// confirm makes the running configuration the last known good one, and starts the next pending version.
+// confirm makes the running configuration the last known good one, and starts the validation of a pending version.
 func (m *StateMachine) confirm(now monotime.Micros) []Command {
 	v := *m.unconfirmed
 	m.phase = PhaseIdle
@@ -105,15 +105,15 @@
 	return append(commands, m.startNext(now)...)
 }
 
-// reject records the rejection of a version and rejects it at its source. rolledBack is true if the version was applied
-// before, by this process or by an earlier one.
+// reject records the rejection of a version, and rejects the version at its source. rolledBack is true if this process
+// or an earlier one had applied the version.
 func (m *StateMachine) reject(v Version, reason string, rolledBack bool) []Command {
 	m.persistent.recordRejection(Rejection{Version: v, Reason: reason, RolledBack: rolledBack})
 	return append(m.requestPersist(), nack(v, reason))
 }
 
-// abandonCandidate drops a rejected candidate and returns to the phase before its validation: a rollback that is to be
-// retried, a canary, or idle.
+// abandonCandidate drops a rejected candidate and returns to the phase before its validation: the backoff of a
+// rollback, a canary, or idle.
 func (m *StateMachine) abandonCandidate(now monotime.Micros) []Command {
 	m.candidate = nil
 	var commands []Command
@@ -121,7 +121,7 @@
 	case m.rollbackRequired:
 		m.phase = PhaseRollingBack
 		m.rollbackRetryAt = now + m.rollbackBackoff()
-	case m.unconfirmed != nil: // the canary of unconfirmed was stopped for the candidate, and starts again
+	case m.unconfirmed != nil: // its canary was stopped to validate the candidate, and starts again
 		m.phase = PhaseCanary
 		commands = append(commands, Command{
 			Action:  ActionStartCanary,
--- a/internal/decide/rollout/machine.go
+++ b/internal/decide/rollout/machine.go
@@ -45,26 +45,27 @@
 
 	phase              Phase
 	running            LayeredVersion // configuration that is applied
-	unconfirmed        *Version       // the layer of running that is not confirmed, nil if both are confirmed
-	rollbackRequired   bool           // the canary of unconfirmed has failed, and the rollback has not ended
+	unconfirmed        *Version       // version in running that is not confirmed, nil if all are confirmed
+	rollbackRequired   bool           // the canary of unconfirmed has failed, and its rollback has not ended
 	candidate          *Version       // version that is being validated or applied
-	awaitsAttemptWrite bool           // candidate is not applied yet: its attempt is not written, or paused is set
+	awaitsAttemptWrite bool           // candidate waits for the write of its attempt or for the end of a pause
 	pending            [2]*Version    // pending versions, indexed by Source
 	paused             bool
 	nextValidationAt   monotime.Micros // earliest instant of the next validation
-	rollbackAttempts   int             // attempts of the current rollback
+	rollbackAttempts   int             // number of attempts of the current rollback
 	rollbackRetryAt    monotime.Micros // instant of the next attempt of a failed rollback, 0 for none
 
 	persistent      PersistentState
-	persisting      bool            // an ActionPersist has no result yet
-	persistAgain    bool            // persistent has changed since the ActionPersist that has no result yet
+	persisting      bool            // an ActionPersist is in progress
+	persistAgain    bool            // persistent has changed since the ActionPersist in progress
 	persistFailures int             // consecutive failures to store the state
 	persistRetryAt  monotime.Micros // instant of the next retry to store the state, 0 for none
 	persistError    string          // why the latest attempt to store the state failed, empty if it succeeded
 }
 
-// New returns a state machine for a process that starts with the configuration running: the last known good one, or the
-// local file if there is none. persistent is the latest stored state, or the zero value.
+// New returns the state machine of a process that starts with the configuration running. That is the last known good
+// configuration, or the local file if there is none. persistent is the latest stored state, or the zero value if no
+// state was stored.
 func New(settings Settings, running LayeredVersion, persistent PersistentState) *StateMachine {
 	m := &StateMachine{
 		settings:   settings,
@@ -84,20 +85,21 @@
 	m.settings = settings
 }
 
-// ForgiveLastAttempt subtracts one from the attempts to apply the unconfirmed version. The host calls it if the process
-// that made the last attempt did not end because of the version, but because of a hot restart or a regular stop.
+// ForgiveLastAttempt subtracts one from the number of processes that attempted to apply the unconfirmed version. The
+// host calls it if the process of the last attempt ended because of a hot restart or a regular stop, and not because of
+// the version.
 func (m *StateMachine) ForgiveLastAttempt() {
 	if m.persistent.ApplyAttempts > 0 {
 		m.persistent.ApplyAttempts--
 	}
 }
 
-// Running returns the configuration that is applied, and reports whether it is on canary.
+// Running returns the configuration that is running, and reports whether it is on canary.
 func (m *StateMachine) Running() (version LayeredVersion, onCanary bool) {
 	return m.running, m.phase == PhaseCanary
 }
 
-// Phase returns the current phase, and the version that is processed in that phase, nil while idle.
+// Phase returns the current phase and the version that is processed in it. The version is nil while idle.
 func (m *StateMachine) Phase() (Phase, *Version) {
 	if m.candidate != nil {
 		return m.phase, m.candidate
@@ -134,8 +136,8 @@
 	return deadline
 }
 
-// HandleDeadline returns the commands that are due at now: a retry to store the state, the start of a pending version,
-// or a retry of a rollback. A call before Deadline is harmless.
+// HandleDeadline returns the commands that are due at now: a retry to store the state, the validation of a pending
+// version, or a retry of a rollback. It may be called before Deadline.
 func (m *StateMachine) HandleDeadline(now monotime.Micros) []Command {
 	var commands []Command
 	if !m.persisting && m.persistRetryAt > 0 && now >= m.persistRetryAt {
--- a/internal/decide/rollout/offer.go
+++ b/internal/decide/rollout/offer.go
@@ -7,18 +7,19 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Offer handles a version that its source offers. The version is rejected or acknowledged immediately if precheck can
-// decide that. Otherwise it is pending until the current phase ends and Settings.MinValidationInterval has passed.
+// Offer handles a version that its source offers. If precheck finds a reason to reject the version, or that it is
+// running, the source gets the reply immediately. Otherwise the version is pending until the current phase ends and
+// Settings.MinValidationInterval has passed.
 func (m *StateMachine) Offer(now monotime.Micros, v Version) []Command {
 	reason, isRunning := m.precheck(v)
 	switch {
 	case reason != "":
 		return []Command{nack(v, reason)}
-	case isRunning && !m.inTransition(): // during a transition, v may be replaced
+	case isRunning && !m.inTransition(): // during a transition, v may soon be replaced
 		return []Command{m.ackRunning(v)}
 	}
 	if m.candidate != nil && m.candidate.ID == v.ID {
-		return nil // v is already being processed; the reply follows at the end
+		return nil // v is already being processed, and is acknowledged or rejected when that ends
 	}
 	var commands []Command
 	if superseded := m.pending[v.Source]; superseded != nil {
@@ -44,9 +45,9 @@
 	return m.phase == PhaseValidating || m.phase == PhaseApplying || m.phase == PhaseRollingBack
 }
 
-// canStartNext reports whether the validation of a pending version may start. It may start while idle, between two
-// attempts of a rollback, and, if the version is of the local file or has the Rollback flag, during a canary. It may
-// not start while the state machine is paused.
+// canStartNext reports whether the validation of a pending version may start. It may start while idle and during the
+// backoff of a failed rollback. During a canary it may start only for a version of the local file or one with the
+// Rollback flag. It may not start while the state machine is paused.
 func (m *StateMachine) canStartNext() bool {
 	if m.paused {
 		return false
@@ -63,10 +64,11 @@
 	return false
 }
 
-// precheck checks a version as far as that is possible without validating it. It returns the reason to reject the
-// version, empty for none, and whether the version is already running. A version of the control plane is rejected if
-// its ID was offered with another content, if it was rejected before, or, without the Rollback flag, if its epoch is
-// abandoned or a newer version of its epoch is pending, being processed or running.
+// precheck decides whether a version can be rejected or acknowledged without validation. It returns the reason to
+// reject the version, empty for none, and whether the version is already running. A version of the control plane is
+// rejected if its ID was offered with another content before, or if it was rejected before. Without the Rollback flag
+// it is also rejected if its epoch is abandoned, or if a newer version of its epoch is pending, being processed or
+// running.
 func (m *StateMachine) precheck(v Version) (reason string, isRunning bool) {
 	running := m.running.versionFrom(v.Source)
 	if v.Source == SourceFile { // versions of the file are compared by content, not by number
--- a/internal/decide/rollout/persist.go
+++ b/internal/decide/rollout/persist.go
@@ -9,8 +9,8 @@
 	maxPersistDoublings = 6
 )
 
-// persist requests that the state is stored. If a previous ActionPersist has no result yet, the request follows that
-// result.
+// requestPersist returns the command to store the state. If an earlier ActionPersist is still in progress, it returns
+// no command, and the state is stored again after that one.
 func (m *StateMachine) requestPersist() []Command {
 	if m.persisting {
 		m.persistAgain = true
@@ -22,9 +22,9 @@
 	return []Command{{Action: ActionPersist}}
 }
 
-// HandlePersisted handles the result of ActionPersist: reason is why the state was not stored, empty if it was. A
-// failed write is retried after a random backoff between 0.5 and 1.5 times its mean. Versions do not wait for the
-// retry.
+// HandlePersisted handles the result of ActionPersist: reason is why the state was not stored, empty if it was stored.
+// A failed write is retried after a random backoff between 0.5 and 1.5 times the mean backoff. A candidate that waits
+// for the write is applied without waiting for the retry.
 func (m *StateMachine) HandlePersisted(now monotime.Micros, reason string) []Command {
 	if !m.persisting {
 		return nil
--- a/internal/decide/rollout/random_test.go
+++ b/internal/decide/rollout/random_test.go
@@ -10,8 +10,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// simulatedHost is the host of a StateMachine with a simulated disk, control plane and version contents. It executes
-// the commands in order, with random results, and checks that each command is allowed.
+// simulatedHost is a host of a StateMachine with a simulated disk, control plane and local file. It executes the
+// commands in order, with random results, and checks that the state machine may request each of them.
 type simulatedHost struct {
 	*rapid.T
 	machine        *StateMachine
@@ -20,26 +20,26 @@
 	queuedCommands []Command // commands that are not executed yet
 
 	storedState      []byte // latest stored PersistentState, encoded as JSON
-	anyPersistFailed bool   // a write has failed at least once: a restart may lose state
+	anyPersistFailed bool   // a write has failed, so that a restart may lose state
 
 	latestFileNumber uint64 // number of the latest version of the local file
 	fileVersion      Version
 	currentEpoch     string            // epoch of new versions of the control plane
 	latestNumbers    map[string]uint64 // latest version number of each epoch
-	offeredVersions  []Version         // by the control plane; may be offered again
+	offeredVersions  []Version         // versions that the control plane has offered, and may offer again
 	restartCount     int
 
-	passesValidation map[string]bool // by digest of the content: validation succeeds
-	canBeApplied     map[string]bool // by digest of the content: ActionApply succeeds
-	failsCanary      map[string]bool // by digest of the content: the canary fails
+	passesValidation map[string]bool // whether the validation succeeds, by digest of the content
+	canBeApplied     map[string]bool // whether ActionApply succeeds, by digest of the content
+	failsCanary      map[string]bool // whether the canary fails, by digest of the content
 
-	lastValidated     *Version        // the latest version that passed its validation
+	lastValidated     *Version        // version that passed the latest validation and is not applied yet; nil if none
 	appliedDigests    map[ID]string   // digest of each applied version
 	rolledBackDigests map[string]bool // digests of versions whose rollback is stored
 	lastKnownGood     LayeredVersion  // configuration that ActionRollBack must restore
 	running           LayeredVersion  // configuration that the host has applied
 	onCanary          bool
-	awaitingReply     map[ID]bool // offered versions without ack, NACK or superseded
+	awaitingReply     map[ID]bool // offered versions that have got no ack, NACK or superseded yet
 }
 
 func newSimulatedHost(t *rapid.T) *simulatedHost {
@@ -99,7 +99,8 @@
 	return "no"
 }
 
-// executeNext executes the next queued command. success determines whether a rollback or a write to disk succeeds.
+// executeNext executes the first queued command. If it is a rollback or a write to disk, success determines whether it
+// succeeds.
 func (h *simulatedHost) executeNext(success bool) {
 	command := h.queuedCommands[0]
 	h.queuedCommands = h.queuedCommands[1:]
@@ -173,8 +174,9 @@
 	h.enqueue(h.machine.HandleApplied(h.now, resultReason(h.canBeApplied[v.Digest])))
 }
 
-// checkAllowed checks that a version of the control plane is not out of order, has only one content and was not rolled
-// back.
+// checkAllowed checks that a version of the control plane may be applied. Without the Rollback flag it must not be
+// older than the running version; its ID must not have been applied with another content; and its content must not have
+// been rolled back.
 func (h *simulatedHost) checkAllowed(v Version) {
 	current := h.running.ControlPlane
 	if !v.Rollback && current != nil && current.Epoch == v.Epoch && v.Number < current.Number {
@@ -188,7 +190,7 @@
 	}
 }
 
-// persist executes ActionPersist, whose write succeeds or fails.
+// persist executes ActionPersist. success determines whether the write succeeds.
 func (h *simulatedHost) persist(success bool) {
 	h.anyPersistFailed = h.anyPersistFailed || !success
 	if success {
@@ -197,7 +199,7 @@
 	h.enqueue(h.machine.HandlePersisted(h.now, resultReason(success)))
 }
 
-// storeState stores the encoded state, and checks that it decodes to the same last known good configuration.
+// storeState stores the encoded state, and checks that the decoded state has the same last known good configuration.
 func (h *simulatedHost) storeState() {
 	encoded, err := json.Marshal(h.machine.PersistentState())
 	if err != nil {
@@ -218,7 +220,7 @@
 	}
 }
 
-// evaluateCanary ends the canary in progress. The canary fails if failsCanary has the digest of its version.
+// evaluateCanary ends the canary in progress, if any. It fails if failsCanary is set for the content of its version.
 func (h *simulatedHost) evaluateCanary() {
 	v := h.machine.unconfirmed
 	if v == nil || !h.onCanary {
@@ -241,7 +243,7 @@
 	h.enqueue(h.machine.Offer(h.now, v))
 }
 
-// newVersion draws a version of the control plane with an unused number of the current epoch.
+// newVersion returns a version of the control plane with the next number of the current epoch and a new content.
 func (h *simulatedHost) newVersion(harmless bool) Version {
 	h.latestNumbers[h.currentEpoch]++
 	v := Version{ID: ID{SourceControlPlane, h.currentEpoch, h.latestNumbers[h.currentEpoch]}}
@@ -251,8 +253,8 @@
 
 var contentCount int
 
-// drawContent gives a version a new content. A harmless content passes validation, ActionApply and canary; any other
-// content may fail each of them at random.
+// drawContent gives a version a new content. If harmless is set, validation, ActionApply and canary of that content
+// succeed; otherwise each of them may fail at random.
 func (h *simulatedHost) drawContent(v *Version, harmless bool) {
 	contentCount++
 	v.Digest = fmt.Sprint("c", contentCount)
@@ -316,7 +318,8 @@
 	h.offer(v)
 }
 
-// runUntilIdle executes all commands and deadlines successfully until the state machine is idle.
+// runUntilIdle executes commands, deadlines and canaries until none is left. All commands succeed if their content
+// allows it.
 func (h *simulatedHost) runUntilIdle() {
 	for range 10_001 {
 		deadline := h.machine.Deadline()
@@ -335,7 +338,8 @@
 	h.Fatalf("not idle: %v, %v", h.machine.phase, h.queuedCommands)
 }
 
-// expectConfirmedAndStored checks that a version is running, confirmed and stored, and that all offers got a reply.
+// expectConfirmedAndStored checks that a version is running, confirmed and stored, and that each offered version got an
+// ack, a NACK or superseded.
 func (h *simulatedHost) expectConfirmedAndStored(expected Version) {
 	running, onCanary := h.machine.Running()
 	lastKnownGood := h.machine.PersistentState().LastKnownGood
@@ -351,15 +355,15 @@
 	}
 }
 
-// For any sequence of new, late and repeated versions, failures and restarts, each command is allowed, and a harmless
-// version that is offered after the last failure is confirmed and stored.
+// TestRandomEvents runs random sequences of new, late and repeated versions, failures and restarts. Each command must
+// be allowed, and a harmless version that is offered after the last failure must be confirmed and stored.
 func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		host := newSimulatedHost(t)
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
 			host.executeRandomEvent()
 		}
-		// No command fails from here on.
+		// From here on, no command fails because of the host.
 		host.currentEpoch += "z"
 		harmless := host.newVersion(true)
 		host.enqueue(host.machine.SetPaused(host.now, false))
--- a/internal/decide/rollout/rollback.go
+++ b/internal/decide/rollout/rollback.go
@@ -7,7 +7,8 @@
 const maxRollbackAttempts = 5
 
 // HandleCanaryResult handles the result of ActionStartCanary: reason describes how the version is worse than the
-// previous one, empty if it is not worse. A worse version is rejected and rolled back, any other version is confirmed.
+// previous one, empty if it is not worse. A version that is worse is rejected and rolled back; any other version is
+// confirmed.
 func (m *StateMachine) HandleCanaryResult(now monotime.Micros, reason string) []Command {
 	if m.phase != PhaseCanary {
 		return nil
@@ -23,9 +24,9 @@
 	return append(m.reject(*m.unconfirmed, reason, true), m.rollBack())
 }
 
-// HandleRolledBack handles the result of ActionRollBack: reason is why the rollback failed and the rejected version
-// still runs, empty if the last known good configuration runs in its place. A rollback is attempted up to
-// maxRollbackAttempts times.
+// HandleRolledBack handles the result of ActionRollBack: reason is why the rollback failed, empty if it succeeded.
+// After a failure the rejected version still runs, and the rollback is attempted again, up to maxRollbackAttempts times
+// in all. After a success the last known good configuration runs.
 func (m *StateMachine) HandleRolledBack(now monotime.Micros, reason string) []Command {
 	if m.phase != PhaseRollingBack || m.rollbackRetryAt > 0 {
 		return nil
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -27,12 +27,12 @@
 	commandLog []string
 
 	automaticResults map[Action]bool // actions whose results are passed to the machine immediately
-	// failureReasons makes commands fail. Keys are action and version, such as "validate a/3" or "roll back a/3", or
-	// "persist".
+	// failureReasons has the reasons with which commands fail, by action and version, such as "validate a/3" or
+	// "roll back a/3". The reason under the key "persist" makes all writes fail.
 	failureReasons map[string]string
 }
 
-// newDriver returns the driver of a state machine that runs the first version of the local file.
+// newDriver returns a driver of a state machine that runs version 1 of the local file.
 func newDriver(t *testing.T, canaryEnabled bool) *machineDriver {
 	t.Helper()
 	settings := Settings{CanaryEnabled: canaryEnabled, MinValidationInterval: second}
@@ -63,8 +63,8 @@
 	}
 }
 
-// describe returns a command as "action version". An acknowledgement after the confirmation is followed by "finally",
-// and a NACK by its reason.
+// describe returns a command as "action version". "finally" follows if the command acknowledges a confirmed version,
+// and the reason if it is a NACK.
 func describe(command Command) string {
 	text := command.Action.String()
 	if command.Action != ActionStopCanary {
@@ -95,14 +95,14 @@
 	}
 }
 
-// offer offers a version after the minimum interval between two validations.
+// offer advances the time by more than MinValidationInterval, and then offers a version.
 func (d *machineDriver) offer(v Version) {
 	d.Helper()
 	d.now += 2 * second
 	d.execute(d.machine.Offer(d.now, v))
 }
 
-// expect compares the commands that were logged since the last call with expectedCommands.
+// expectCommands checks that the commands logged since its last call are expectedCommands.
 func (d *machineDriver) expectCommands(expectedCommands ...string) {
 	d.Helper()
 	got := strings.Join(d.commandLog, "\n")
@@ -112,7 +112,7 @@
 	d.commandLog = nil
 }
 
-// expectRunning checks which configuration is running.
+// expectRunning checks the text of the running configuration.
 func (d *machineDriver) expectRunning(expected string) {
 	d.Helper()
 	if running, _ := d.machine.Running(); running.String() != expected {
@@ -128,7 +128,7 @@
 	if state.Unconfirmed == nil || state.Unconfirmed.Number != 1 || state.LastKnownGood.ControlPlane != nil {
 		t.Errorf("on canary %+v", state)
 	}
-	d.offer(controlPlaneVersion("a", 1)) // a second offer of the version on canary
+	d.offer(controlPlaneVersion("a", 1)) // the version on canary is offered again
 	d.expectCommands("ack a/1")
 	d.execute(d.machine.HandleCanaryResult(d.now, ""))
 	d.expectCommands("ack a/1 finally")
@@ -143,7 +143,8 @@
 }
 
 // A version that cannot be decoded, validated or applied, or that fails its canary, is rejected with the reason of that
-// failure. Offered again, it is rejected without being processed. The running version does not change.
+// failure. If it is offered again, it is rejected without being processed. The configuration that runs afterwards is
+// the one before the version.
 func TestRejectionAtEachStage(t *testing.T) {
 	d := newDriver(t, true)
 	d.failureReasons["validate a/1"], d.failureReasons["apply a/2"] = "no sense", "no room"
@@ -224,8 +225,8 @@
 	d.expectCommands("validate a/99", "apply a/99", "ack a/99 finally")
 }
 
-// A version that is offered during a canary stays pending, unless it has the Rollback flag or is of the local file.
-// Such a version stops the canary; if it is rejected, the canary starts again.
+// A version that is offered during a canary stays pending, unless it has the Rollback flag or comes from the local
+// file. In these two cases the canary is stopped; if the offered version is rejected, the canary starts again.
 func TestOffersDuringCanary(t *testing.T) {
 	d := newDriver(t, true)
 	d.offer(controlPlaneVersion("a", 1))
@@ -303,7 +304,7 @@
 	d.expectCommands("validate a/1", "apply a/1", "ack a/1", "start canary a/1")
 }
 
-// A version is rejected after two processes have ended between applying and confirming it.
+// A version is rejected after two processes have ended after applying it and before confirming it.
 func TestVersionThatEndsProcessesIsRejected(t *testing.T) {
 	storedState := PersistentState{}
 	for range 2 {
@@ -319,9 +320,8 @@
 	d.expectCommands("validate a/1", "nack a/1: 2 processes ended while they tried version a/1")
 }
 
-// Guards against an attempt that is not counted because the process ended before the attempt was on disk. A version is
-// applied only after the write that contains its attempt, even if an earlier write was in progress, and not during a
-// pause.
+// A version is applied only after the write that records its attempt, even if an earlier write was in progress, and not
+// during a pause. Otherwise an attempt would not be counted if the process ended before the attempt was on disk.
 func TestAttemptIsStoredBeforeItIsMade(t *testing.T) {
 	d := newDriver(t, true)
 	d.automaticResults[ActionPersist] = false
--- a/internal/decide/rollout/state.go
+++ b/internal/decide/rollout/state.go
@@ -4,7 +4,7 @@
 
 // Maximum lengths of the lists in a PersistentState. A full list drops its oldest entry for a new one.
 const (
-	maxRejections      = 64  // rejected versions; a dropped version is validated again at its next offer
+	maxRejections      = 64  // rejected versions; a version that is dropped is validated again when it is offered again
 	maxKnownVersions   = 256 // versions of the control plane whose digests are remembered
 	maxAbandonedEpochs = 32  // abandoned epochs, whose versions are rejected
 )
@@ -13,7 +13,7 @@
 type Rejection struct {
 	Version
 	Reason     string `json:"reason"`
-	RolledBack bool   `json:"tried,omitempty"` // rejected after it had been applied
+	RolledBack bool   `json:"tried,omitempty"` // the version was rejected after it had been applied
 }
 
 // PersistentState is the part of the state that survives a restart of the process. The host stores it at each
@@ -27,10 +27,11 @@
 
 	Rejected        []Rejection `json:"refused,omitempty"`
 	AbandonedEpochs []string    `json:"left,omitempty"`
-	KnownVersions   []Version   `json:"seen,omitempty"` // first content of each known version; detects a reused number
+	KnownVersions   []Version   `json:"seen,omitempty"` // versions as first offered, to detect a reused number
 }
 
-// recordAttempt counts one more process that applies v or has v on canary. A nil v resets the count.
+// recordAttempt counts one more process that applies v or runs it on canary. A nil v resets the count, because no
+// version is unconfirmed any more.
 func (p *PersistentState) recordAttempt(v *Version) {
 	switch {
 	case v == nil:
--- a/internal/decide/rollout/version.go
+++ b/internal/decide/rollout/version.go
@@ -26,7 +26,7 @@
 // MarshalText returns the name of the source in stored state.
 func (s Source) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText parses a name that MarshalText has returned.
+// UnmarshalText sets the source from the name that MarshalText returns for it.
 func (s *Source) UnmarshalText(text []byte) error {
 	index := slices.Index(sourceNames[:], string(text))
 	if index < 0 {
@@ -58,7 +58,7 @@
 type Version struct {
 	ID
 	Digest   string `json:"digest"`             // digest of the content
-	Rollback bool   `json:"rollback,omitempty"` // may replace a version with a higher number
+	Rollback bool   `json:"rollback,omitempty"` // the version may replace one with a higher number
 }
 
 // LayeredVersion identifies a complete configuration: a version of the local file, overlaid by a version of the control
@@ -68,7 +68,7 @@
 	File         Version  `json:"file"`
 }
 
-// with returns a copy of l in which v replaces the version of the same source.
+// withVersion returns a copy of l in which v replaces the version of the same source.
 func (l LayeredVersion) withVersion(v Version) LayeredVersion {
 	if v.Source == SourceFile {
 		l.File = v
@@ -78,7 +78,7 @@
 	return l
 }
 
-// version returns the layer of l that comes from the given source, nil if there is none.
+// versionFrom returns the version in l that comes from the given source, nil if there is none.
 func (l LayeredVersion) versionFrom(source Source) *Version {
 	if source == SourceFile {
 		return &l.File
@@ -86,7 +86,7 @@
 	return l.ControlPlane
 }
 
-// String returns "epoch/17 over file 3", or "file 3" without a version of the control plane.
+// String returns a text such as "epoch/17 over file 3", or "file 3" if there is no version of the control plane.
 func (l LayeredVersion) String() string {
 	if l.ControlPlane == nil {
 		return l.File.ID.String()
@@ -94,7 +94,7 @@
 	return l.ControlPlane.ID.String() + " over " + l.File.ID.String()
 }
 
-// sameContent reports whether l and other have the same digest in each layer.
+// sameContent reports whether the versions in l and other have the same digests.
 func (l LayeredVersion) sameContent(other LayeredVersion) bool {
 	if l.File.Digest != other.File.Digest {
 		return false
--- a/internal/decide/route/match.go
+++ b/internal/decide/route/match.go
@@ -45,11 +45,11 @@
 type search struct {
 	method  string
 	headers map[string][]string
-	result  int // result of Match from the patterns tried so far
+	result  int // result of Match for the patterns that were tried so far
 }
 
-// walk searches the subtree of a node for the most specific entry that matches the rest of the path, and
-// reports whether it found one. atEnd indicates that no segment of the path is left.
+// walk searches the subtree of a node for the most specific entry that matches the rest of the path, and reports
+// whether there is one. atEnd is true if no segment of the path is left.
 func (s *search) walk(n *node, rest string, atEnd bool) bool {
 	if atEnd {
 		return s.matchEntries(n.exactEntries) || s.matchEntries(n.prefixEntries)
@@ -81,7 +81,7 @@
 	return false
 }
 
-// matchHeaders reports whether the request's headers meet all conditions.
+// matchHeaders reports whether the headers of the request meet all conditions.
 func (s *search) matchHeaders(conditions []Header) bool {
 	for _, h := range conditions {
 		values := s.headers[h.Name]
--- a/internal/decide/route/path.go
+++ b/internal/decide/route/path.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// The errors of NormalizePath. They reject paths that are invalid, or that two servers could interpret differently.
+// The errors of NormalizePath. They reject a path that is invalid, or that two servers could interpret differently.
 var (
 	ErrNoPath       = errors.New("the path does not begin with /")
 	ErrEscape       = errors.New("a % in the path is not followed by two hexadecimal digits")
@@ -36,12 +36,11 @@
 	segmentCapacity   = 64 // capacity for a decoded segment
 )
 
-// NormalizePath returns the normal form of a request's path, which must not include the query. Requests are
-// matched and forwarded with the normal form. It has no escapes for unreserved characters, and upper-case
-// hexadecimal digits in the escapes of other characters (RFC 3986, section 6.2.2). Empty segments are removed
-// first, and then dot segments, including escaped ones, are resolved (section 5.2.4). The normal form of a
-// normal form is the same path. NormalizePath allocates no memory if the path is in normal form and has no
-// escapes.
+// NormalizePath returns the normal form of a request's path, which must not include the query. Requests are matched and
+// forwarded with the normal form. It has no escapes for unreserved characters, and the escapes of other characters have
+// upper-case hexadecimal digits (RFC 3986, section 6.2.2). Empty segments are removed first, and then dot segments,
+// including escaped ones, are resolved (section 5.2.4). Normalizing a normal form does not change it. NormalizePath
+// allocates no memory if the path is in normal form and has no escapes.
 func NormalizePath(path string, slashes EncodedSlashes) (string, error) {
 	if path == "" || path[0] != '/' {
 		return "", ErrNoPath
@@ -115,7 +114,7 @@
 			i += len("%41") - 1
 		}
 		switch {
-		case !escaped && isPathChar[c]: // fast path for most characters
+		case !escaped && isPathChar[c]: // checked first, because most characters take this case
 			normal = append(normal, c)
 		case c < ' ' || c == asciiDEL:
 			return nil, nil, ErrControl
@@ -152,8 +151,8 @@
 	return high<<bitsPerHexDigit | low, true
 }
 
-// isNormal is a fast check whether a path is in normal form. It returns false for some paths in normal form, such as
-// paths with escapes.
+// isNormal reports whether a fast check finds that a path is in normal form. It returns false for some paths in normal
+// form, such as paths with escapes.
 func isNormal(path string) bool {
 	for i := 0; i < len(path); i++ {
 		switch c := path[i]; {
@@ -199,7 +198,7 @@
 	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
 
-// appendEscaped appends a byte to dst as a percent-encoded triplet.
+// appendEscaped appends the percent-encoded triplet of a byte to dst.
 func appendEscaped(dst []byte, c byte) []byte {
 	const hexDigits = "0123456789ABCDEF"
 	return append(dst, '%', hexDigits[c>>bitsPerHexDigit], hexDigits[c&(1<<bitsPerHexDigit-1)])
@@ -229,7 +228,8 @@
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || strings.IndexByte("-._~", c) >= 0
 }
 
-// isPathChar indicates for each byte whether it is a character of pchar (RFC 3986, section 3.3), escapes excluded.
+// isPathChar indicates for each byte whether it may occur unescaped in a segment of a path (pchar in RFC 3986, section
+// 3.3).
 var isPathChar = func() (isChar [256]bool) {
 	for c := range 256 {
 		isChar[c] = isUnreserved(byte(c)) || c != 0 && strings.IndexByte("!$&'()*+,;=:@", byte(c)) >= 0
--- a/internal/decide/route/pattern.go
+++ b/internal/decide/route/pattern.go
@@ -9,9 +9,9 @@
 // Pattern describes the requests that take a route. The zero Pattern matches all requests.
 type Pattern struct {
 	Host    string   // "name", "*.suffix" for all names below the suffix, or "" for any host
-	Path    string   // "/exact", "/prefix/*" also for all paths below, or "" for any; segments may be {parameters}
+	Path    string   // "/exact", "/prefix/*" for it and all paths below, or "" for any; segments may be {parameters}
 	Methods []string // allowed methods; empty for any method
-	Headers []Header // conditions on headers; a request must meet all
+	Headers []Header // conditions on headers; a request must meet all of them
 }
 
 // Header is a condition on the first value of a request's header.
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("route %d: %s: %s", e.Index, e.Key, e.Reason)
 }
 
-// ConflictError is the error that New returns for two patterns that could match the same request, if neither is more
+// ConflictError is the error that New returns if two patterns could match the same request and neither of them is more
 // specific.
 type ConflictError struct {
 	First  int // index of the first of the two patterns
@@ -44,8 +44,8 @@
 	return fmt.Sprintf("routes %d and %d can take the same request, and neither is more specific", e.First, e.Second)
 }
 
-// validate checks a pattern without regard to other patterns. It returns the key and the reason of the first
-// fault; both are empty if the pattern is valid.
+// validate checks a pattern without regard to other patterns. It returns the key of the first part that is invalid, and
+// the reason; both are empty if the pattern is valid.
 func (p *Pattern) validate() (key, reason string) {
 	if p.Host != "" && !validHost(strings.TrimPrefix(p.Host, "*.")) {
 		return "host", fmt.Sprintf("%q is neither a name in small letters without a port nor \"*.suffix\"", p.Host)
@@ -95,8 +95,8 @@
 	return ""
 }
 
-// validatePath returns why the path of a pattern is invalid; empty if it is valid. Its literal segments must be
-// in normal form, since the paths of requests are normalized before they are matched.
+// validatePath returns why the path of a pattern is invalid; empty if it is valid. The literal segments of the path
+// must be in normal form, because the paths of requests are normalized before they are matched.
 func validatePath(path string) (reason string) {
 	path, isPrefix := strings.CutSuffix(path, "*")
 	if isPrefix && !strings.HasSuffix(path, "/") || path == "" || path[0] != '/' || strings.Contains(path, "*") {
--- a/internal/decide/route/route_test.go
+++ b/internal/decide/route/route_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// FuzzNormalize verifies that all servers interpret a normal form in the same way: normalizing it again does
-// not change it, it has no dot segment and no empty segment, and a server that decodes it or resolves dot
-// segments gets the same path.
+// FuzzNormalize verifies that all servers interpret a normal form in the same way: normalizing it again does not change
+// it, it has no dot segments and no empty segments, and a server that decodes it or resolves dot segments gets the same
+// path.
 func FuzzNormalize(f *testing.F) {
 	for _, s := range []string{
 		"/", "/a/../b", "/%2e%2e/x", "/a%2fb", "//", "/a/.;b/..", "/%c3%a9/\xff", "/a%252e/%2E.",
@@ -85,7 +85,7 @@
 	})
 }
 
-// checkNormalForm checks the normal form that NormalizePath returned for the path input.
+// checkNormalForm checks the properties of normal, which NormalizePath returned for the path input.
 func checkNormalForm(t *testing.T, input, normal string, slashes EncodedSlashes) {
 	t.Helper()
 	if renormalized, err := NormalizePath(normal, slashes); renormalized != normal || err != nil {
@@ -246,8 +246,8 @@
 	}
 }
 
-// referenceMatch is the reference implementation of Table.Match: it checks every pattern, and compares the
-// patterns that match by the rules of the package comment.
+// referenceMatch is the reference implementation of Table.Match: it tries every pattern, and ranks the patterns that
+// match by the rules in the package comment.
 func referenceMatch(patterns []Pattern, host, path, method string, headers map[string][]string) int {
 	best := NotFound
 	methodMismatch := false
@@ -396,10 +396,10 @@
 	return path
 }
 
-// fuzzChoices is the remaining input of a fuzz test. Each byte decides one choice.
+// fuzzChoices is the part of a fuzz test's input that is not used yet. Each byte decides one choice.
 type fuzzChoices []byte
 
-// pick returns the text that the next byte of the input selects, or the first text if no input is left.
+// pick uses the next byte of the input to select one of the texts. It returns the first text if no input is left.
 func (c *fuzzChoices) pick(texts ...string) string {
 	if len(*c) == 0 {
 		return texts[0]
@@ -409,7 +409,7 @@
 	return texts[int(choice)%len(texts)]
 }
 
-// choosePatterns returns patterns that the input selects. It skips patterns that conflict with earlier ones.
+// choosePatterns uses the input to select a list of patterns. It skips patterns that conflict with earlier ones.
 func (c *fuzzChoices) choosePatterns() []Pattern {
 	var patterns []Pattern
 	for len(*c) > 24 && len(patterns) < 40 {
@@ -435,7 +435,7 @@
 	return patterns
 }
 
-// FuzzMatch compares Table.Match with referenceMatch, for patterns and requests that the input selects.
+// FuzzMatch compares the results of Table.Match and referenceMatch for patterns and requests that the input selects.
 func FuzzMatch(f *testing.F) {
 	for i := range 8 {
 		input := make([]byte, 64)
@@ -478,7 +478,7 @@
 	})
 }
 
-// tableOfRoutes returns a table of routeCount patterns, and for each pattern a path that it matches.
+// tableOfRoutes returns a table of routeCount patterns, and a matching path for each pattern, in the same order.
 func tableOfRoutes(routeCount int) (*Table, []string) {
 	var patterns []Pattern
 	var paths []string
--- a/internal/decide/route/table.go
+++ b/internal/decide/route/table.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Table finds the route of a request. It has a tree of path segments for each host of the patterns. Create one
-// with New; it is safe for concurrent use.
+// Table finds the route of a request. For each host of the patterns it has a tree of path segments. Create one with
+// New. A Table is safe for concurrent use.
 type Table struct {
 	exactHosts   map[string]*node // root nodes of patterns with an exact host, by host
 	hostSuffixes map[string]*node // root nodes of patterns with "*.suffix", by suffix
@@ -18,16 +18,17 @@
 type node struct {
 	literals      map[string]*node // children for literal segments, by segment
 	parameter     *node            // child for any segment that is not empty; nil if there is none
-	exactEntries  []entry          // patterns with exactly the path of the node, the most specific first
+	exactEntries  []entry          // patterns for exactly the path of the node, the most specific first
 	prefixEntries []entry          // patterns for the path of the node and all paths below it, the most specific first
 }
 
-// entry is the part of a pattern that its node does not determine: its methods and headers.
+// entry is a pattern at the node for its host and path. It has the parts of the pattern that the node does not
+// determine: methods and headers.
 type entry struct {
 	patternIndex      int // index of the pattern in the argument of New
 	methods           []string
 	headers           []Header
-	exactValueHeaders int // number of headers with a required value
+	exactValueHeaders int // number of headers for which a value is required
 }
 
 // New returns a table of the patterns, or a *PatternError or a *ConflictError.
@@ -45,8 +46,8 @@
 	return t, nil
 }
 
-// insert adds a pattern to the table, so that the entries of its node stay sorted by specificity. It returns a
-// *PatternError or a *ConflictError if that is not possible.
+// insert adds a pattern to the table. The entries of the pattern's node stay sorted, the most specific first. insert
+// returns a *PatternError for an invalid pattern, and a *ConflictError for a conflict with an earlier pattern.
 func (t *Table) insert(patternIndex int, p *Pattern) error {
 	if key, reason := p.validate(); reason != "" {
 		return &PatternError{patternIndex, key, reason}
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// hostNode returns the root node for the host of a pattern, and creates the node if it does not exist.
+// hostNode returns the root node for the host of a pattern. It creates the node if it does not exist.
 func (t *Table) hostNode(host string) *node {
 	if host == "" {
 		if t.anyHost == nil {
@@ -95,9 +96,8 @@
 	return nodes[host]
 }
 
-// insertPath returns the node at the end of a pattern's path, and creates the nodes on the way that do not
-// exist. It also reports whether the path is a prefix, and returns the segment index of each parameter, by
-// name.
+// insertPath returns the node for a pattern's path, and creates the nodes on the way to it that do not exist. It also
+// reports whether the path is a prefix, and returns the segment index of each parameter, by name.
 func (n *node) insertPath(path string) (end *node, isPrefix bool, parameterSegments map[string]int) {
 	if path == "" {
 		return n, true, nil
@@ -162,9 +162,9 @@
 	return true
 }
 
-// ParameterIndex returns the index of the path segment that a parameter of a pattern stands for, counted from
-// 0. Segment returns the parameter's value in a request's path for that index. ok is false if the pattern has
-// no such parameter.
+// ParameterIndex returns the index, counted from 0, of the path segment that matches a parameter of a pattern. Segment
+// returns the value of the parameter for that index and a request's path. ok is false if the pattern has no such
+// parameter.
 func (t *Table) ParameterIndex(patternIndex int, name string) (segmentIndex int, ok bool) {
 	segmentIndex, ok = t.parameters[patternIndex][name]
 	return segmentIndex, ok
--- a/internal/decide/takeover/doc.go
+++ b/internal/decide/takeover/doc.go
@@ -21,7 +21,7 @@
 //	offered: Ready, Stop -> paused; ConnectionLost, Rejected, DeadlineReached -> serving
 //	paused: Prepared -> handingOver; ConnectionLost, Rejected, DeadlineReached -> serving, or draining after a Stop
 //	handingOver: Drained, DeadlineReached -> exited; Stopping -> draining;
-//	    ConnectionLost, Rejected -> serving, or draining after a Stop or if the successor has handed over
+//	    ConnectionLost, Rejected -> serving, or draining after a Stop or while the next successor serves
 //	draining: Drained, DeadlineReached -> exited
 //
 // The transitions of the successor:
@@ -34,9 +34,9 @@
 //	each state before accepting: Stop -> failed; Rejected, DeadlineReached -> failed, or proceed without the
 //	    predecessor if the successor owns its sockets
 //
-// A successor may hand over to a successor of its own before its predecessor is done. It then sends HandedOver to its
-// predecessor. If their connection ends afterwards, the predecessor must not serve again, because a third process
-// serves.
+// A process that has taken over may hand over to the next successor before its own predecessor has sent Done. It then
+// sends HandedOver to its predecessor. If their connection ends afterwards, the predecessor must not serve again,
+// because the next successor serves.
 //
 // Between Handover and Activate no process accepts, and new client connections wait in the accept queues of the sockets
 // while two messages are exchanged on one machine. Until Activate the predecessor can resume serving without any loss,
--- a/internal/decide/takeover/event.go
+++ b/internal/decide/takeover/event.go
@@ -6,19 +6,20 @@
 // rejected.
 const Version = 1
 
-// Times limits the durations of the steps of a hot restart. A step that takes longer ends with DeadlineReached.
+// Times limits the durations of the steps of a hot restart. A step that exceeds its limit ends with the event
+// DeadlineReached.
 type Times struct {
-	Ready  monotime.Micros // from Offer to Ready: the start of the successor
-	Answer monotime.Micros // from a message to its reply, for replies that need no work
-	Drain  monotime.Micros // from Activate to Done, or a graceful shutdown; then remaining connections are closed
+	Ready  monotime.Micros // from Offer to Ready, which is the time in which the successor starts
+	Answer monotime.Micros // from a message to its reply, if the other process needs no long work for the reply
+	Drain  monotime.Micros // from Activate to Done, or of a graceful shutdown; remaining connections are then closed
 }
 
 // Event is a message from the other process or an event of the host. The numeric values of the messages are part of the
 // wire format.
 type Event uint8
 
-// The events. An event that is a message has the name of that message. Comments that start with Predecessor or
-// Successor are of events that only that state machine handles.
+// The events. An event that is a message has the name of that message. If a comment below starts with "Successor:" or
+// "Predecessor:", only the state machine of that name handles the event; both handle the other events.
 const (
 	Hello           Event = iota // the successor requests a hot restart
 	Offer                        // the predecessor sends the listening sockets and a snapshot
@@ -33,9 +34,9 @@
 	DeadlineReached              // the instant that Deadline returns has passed
 	Stop                         // the host was requested to shut down
 	Started                      // Successor: the host is able to serve
-	Drained                      // Predecessor: the host has no connections left, and will get no new ones
-	HandedOver                   // Successor: a successor of its own has taken over; also sent to the predecessor
-	Resumed                      // Successor: its successor is lost and it accepts again; also sent to the predecessor
+	Drained                      // Predecessor: the host has no connections left and receives no new ones
+	HandedOver                   // Successor: the next successor has taken over from it; also sent to the predecessor
+	Resumed                      // Successor: it accepts again without the next successor; also sent to the predecessor
 )
 
 var eventNames = [...]string{
@@ -63,9 +64,10 @@
 // Action is a kind of work that a Predecessor or Successor requests from its host.
 type Action uint8
 
-// The actions. Comments that start with Predecessor or Successor are of actions that only that state machine requests.
+// The actions. If a comment below starts with "Predecessor:" or "Successor:", only the state machine of that name
+// requests the action; both request the other actions.
 const (
-	Send                Action = iota // send the message of the step
+	Send                Action = iota // send Step.Message to the other process
 	Disconnect                        // close the connection to the other process
 	StopAccepting                     // Predecessor: stop accepting, and leave the warm-up budget to the successor
 	ResumeServing                     // Predecessor: accept again, and take the warm-up budget back
@@ -78,7 +80,7 @@
 	RestoreState                      // Successor: restore the snapshot of Handover
 	StartServing                      // Successor: start to accept connections
 	StartAlone                        // Successor: start without a predecessor
-	Fail                              // Successor: end the process, which has not taken over anything
+	Fail                              // Successor: end the process without having served
 )
 
 var actionNames = [...]string{
@@ -101,11 +103,11 @@
 // String returns the name of the action in logs.
 func (a Action) String() string { return actionNames[a] }
 
-// Step is one action with its operands.
+// Step is one action that the host must execute, with its operands.
 type Step struct {
 	Action  Action
-	Message Event  // message of a Send
-	Reason  string // reason of a Fail, or of a Send of Rejected
+	Message Event  // message to send if Action is Send
+	Reason  string // why the process fails or rejects, if Action is Fail or Message is Rejected
 }
 
 // sendMessage returns the step that sends a message to the other process.
--- a/internal/decide/takeover/predecessor.go
+++ b/internal/decide/takeover/predecessor.go
@@ -16,14 +16,14 @@
 
 var predecessorStateNames = [...]string{"serving", "offered", "paused", "handing over", "draining", "exited"}
 
-// Predecessor is the state machine of the process that serves when a hot restart starts. A value with only Times set is
-// serving.
+// Predecessor is the state machine of the process that serves when a hot restart starts. A Predecessor in which only
+// Times is set is in state serving.
 type Predecessor struct {
 	Times Times
 
 	progress[predecessorState]
 	stopping            bool // Stop or Stopping was received: this process must not serve again
-	successorHandedOver bool // the successor has handed over to its own successor, which accepts
+	successorHandedOver bool // the successor has handed over to the next successor, which accepts
 }
 
 // String returns the name of the state in logs.
@@ -35,9 +35,9 @@
 // Draining reports whether a graceful shutdown without a connection to a successor is in progress.
 func (p *Predecessor) Draining() bool { return p.state == draining }
 
-// MessageAtHand postpones a deadline that has passed, and reports whether it did, at most once per state. The host
-// calls it if a message from the successor has arrived and is not handled yet: the deadline may have passed only
-// because this process was suspended for a while.
+// MessageAtHand postpones the deadline of the current state if it has passed, at most once per state, and reports
+// whether it was postponed. The host calls it if a message from the successor has arrived and is not handled yet: the
+// deadline may have passed only because this process was suspended for a while.
 func (p *Predecessor) MessageAtHand(now monotime.Micros) bool {
 	awaitsMessage := p.state == offered || p.state == paused
 	return awaitsMessage && p.postpone(now, p.Times.Answer)
@@ -83,7 +83,8 @@
 		p.transition(paused, now+p.Times.Answer)
 		return []Step{{Action: StopAccepting}, sendMessage(Handover)}
 	case Stop:
-		// The successor has the sockets, so new connections wait for it. The deadline for its start does not change.
+		// The successor already has the sockets, so new connections wait in their accept queues until it accepts them.
+		// The deadline for its start does not change.
 		p.stopping = true
 		p.transition(paused, p.deadline)
 		return []Step{{Action: StopAccepting}, sendMessage(Handover)}
@@ -149,7 +150,7 @@
 func (p *Predecessor) stepWhileDraining(event Event) []Step {
 	switch event {
 	case Hello:
-		return []Step{{Action: Disconnect}} // nothing is left to take over, so the new process starts alone
+		return []Step{{Action: Disconnect}} // the draining process cannot hand over, so the new process starts alone
 	case Drained:
 		p.transition(exited, 0)
 		return []Step{{Action: Exit}}
--- a/internal/decide/takeover/progress.go
+++ b/internal/decide/takeover/progress.go
@@ -2,11 +2,11 @@
 
 import "dunlinsail/internal/monotime"
 
-// progress is the part that Predecessor and Successor have in common: the current state and its deadline.
+// progress holds the current state and its deadline. Predecessor and Successor both embed it.
 type progress[State any] struct {
 	state     State
-	deadline  monotime.Micros // latest end of the current state, 0 for none
-	postponed bool            // the deadline of the current state was postponed
+	deadline  monotime.Micros // time at which the current state ends at the latest, 0 for no limit
+	postponed bool            // whether the deadline of the current state was postponed
 }
 
 // Deadline returns the instant at which the host must pass DeadlineReached to Step, 0 if there is none.
@@ -19,7 +19,8 @@
 	p.postponed = false
 }
 
-// postpone moves a deadline that has passed to now + extension, at most once per state. It reports whether it did.
+// postpone moves the deadline to now + extension if it has passed, at most once per state. It reports whether the
+// deadline was moved.
 func (p *progress[State]) postpone(now, extension monotime.Micros) bool {
 	if p.postponed || p.deadline == 0 || now < p.deadline {
 		return false
@@ -29,7 +30,8 @@
 	return true
 }
 
-// isPrematureDeadline reports whether an event is a DeadlineReached although the current state has no deadline or a later one.
+// isPrematureDeadline reports whether an event is a DeadlineReached that the current state must ignore, because it has
+// no deadline or its deadline has not passed.
 func (p *progress[State]) isPrematureDeadline(now monotime.Micros, event Event) bool {
 	return event == DeadlineReached && (p.deadline == 0 || now < p.deadline)
 }
--- a/internal/decide/takeover/successor.go
+++ b/internal/decide/takeover/successor.go
@@ -28,9 +28,9 @@
 type Successor struct {
 	Times Times
 
-	// OwnsSockets is set if the successor has its own listening sockets. Such a successor does not fail if the
-	// predecessor rejects the hot restart or misses a deadline, but continues with what it has received so far. A
-	// predecessor that hangs may recover, so that both processes serve and spend the warm-up budget for a moment,
+	// OwnsSockets is set if the successor has opened its own listening sockets. If the predecessor rejects the hot
+	// restart or misses a deadline, such a successor does not fail but serves with what it has received so far. If the
+	// predecessor has only hung and recovers, both processes then serve and spend the warm-up budget for a moment,
 	// unless the predecessor was requested to shut down.
 	OwnsSockets bool
 
@@ -57,9 +57,9 @@
 // ReceivesConnections reports whether the predecessor may still hand over connections.
 func (s *Successor) ReceivesConnections() bool { return s.state == accepting }
 
-// MessageAtHand postpones a deadline that has passed, and reports whether it did, at most once per state. The host
-// calls it if a message from the predecessor has arrived and is not handled yet: the deadline may have passed only
-// because this process was suspended for a while.
+// MessageAtHand postpones the deadline of the current state if it has passed, at most once per state, and reports
+// whether it was postponed. The host calls it if a message from the predecessor has arrived and is not handled yet: the
+// deadline may have passed only because this process was suspended for a while.
 func (s *Successor) MessageAtHand(now monotime.Micros) bool {
 	awaitsMessage := s.state == requesting || s.state == ready || s.state == prepared
 	return awaitsMessage && s.postpone(now, s.Times.Answer)
--- a/internal/decide/takeover/takeover_test.go
+++ b/internal/decide/takeover/takeover_test.go
@@ -22,11 +22,11 @@
 // process is the simulated host of the predecessor or of the successor.
 type process struct {
 	alive              bool
-	disconnected       bool // it has closed its end of the connection
+	disconnected       bool // the process has closed its end of the connection
 	stopRequested      bool // Stop was passed to its state machine
-	accepting          bool // it accepts connections
-	spendsWarmupBudget bool // it spends the warm-up budget
-	hasExited          bool // it ended without being killed
+	accepting          bool // the process accepts connections
+	spendsWarmupBudget bool // the process spends the warm-up budget
+	hasExited          bool // the process has ended without being killed
 }
 
 // send adds a message to the outgoing stream, unless the process has disconnected.
@@ -36,7 +36,7 @@
 	}
 }
 
-// disconnect closes the connection.
+// disconnect closes the process's end of the connection.
 func (p *process) disconnect(outgoing *messageStream) {
 	p.disconnected = true
 	outgoing.closed = true
@@ -48,14 +48,14 @@
 	p.spendsWarmupBudget = serving
 }
 
-// exit ends the process regularly.
+// exit ends the process as requested by its state machine.
 func (p *process) exit(outgoing *messageStream) {
 	p.hasExited = true
 	p.alive = false
 	p.disconnect(outgoing)
 }
 
-// kill ends the process without a step of its state machine.
+// kill ends the process at any time, as a crash would, without a request of its state machine.
 func (p *process) kill(outgoing *messageStream) {
 	p.alive = false
 	p.setServing(false)
@@ -72,15 +72,16 @@
 	anyKilled                            bool   // predecessor or successor was killed
 	anyDeadlineReached                   bool   // DeadlineReached was passed to predecessor or successor
 	finalStateRestored                   bool   // the successor has restored the final snapshot
-	nextSuccessorServes                  bool   // a successor of the successor has taken over and accepts
-	nextSuccessorLost                    bool   // a successor of the successor was lost
+	nextSuccessorServes                  bool   // the next successor has taken over from the successor and accepts
+	nextSuccessorLost                    bool   // the next successor was lost
 	eventPath                            string // names of the events that led to this state
 }
 
 // key returns a string that identifies the state, without the events that led to it and without time.
 func (s systemState) key() string {
 	s.eventPath = ""
-	s.predecessor.deadline = min(1, s.predecessor.deadline) // only whether there is a deadline counts
+	// States are equal if their deadlines differ, unless only one of them has a deadline.
+	s.predecessor.deadline = min(1, s.predecessor.deadline)
 	s.successor.deadline = min(1, s.successor.deadline)
 	return fmt.Sprintf("%+v", s)
 }
@@ -130,11 +131,11 @@
 	}
 }
 
-// addNextState adds the state after the event with the given name. change applies that event to a copy of the current
-// state.
+// addNextState adds a state that may follow the current one. The added state is a copy of the current state, to which
+// change applies an event. name is the name of that event.
 type addNextState func(name string, change func(*systemState))
 
-// nextStates returns the states after each event that can happen in s.
+// nextStates returns, for each event that can happen in state s, the state after that event.
 func (s systemState) nextStates() []systemState {
 	var states []systemState
 	add := func(name string, change func(*systemState)) {
@@ -162,7 +163,8 @@
 	step     func(next *systemState, now monotime.Micros, event Event)
 }
 
-// addCommonTransitions adds the states after the events that may happen at predecessor and successor alike.
+// addCommonTransitions adds the next states for the events that can happen to the predecessor and to the successor: a
+// message, a lost connection, a deadline, a shutdown request, and a kill. access selects one of the two processes.
 func (s systemState) addCommonTransitions(access processAccess, add addNextState) {
 	switch process, incoming := access.process(&s), access.incoming(&s); {
 	case process.disconnected:
@@ -194,7 +196,7 @@
 	})
 }
 
-// addPredecessorTransitions adds the states after the events that may happen at the predecessor.
+// addPredecessorTransitions adds the next states for all events that can happen to the predecessor.
 func (s systemState) addPredecessorTransitions(add addNextState) {
 	s.addCommonTransitions(processAccess{
 		name:     "p",
@@ -209,7 +211,7 @@
 	}
 }
 
-// addSuccessorTransitions adds the states after the events that may happen at the successor.
+// addSuccessorTransitions adds the next states for all events that can happen to the successor.
 func (s systemState) addSuccessorTransitions(add addNextState) {
 	s.addCommonTransitions(processAccess{
 		name:     "s",
@@ -233,8 +235,8 @@
 	s.addNextSuccessorTransitions(add)
 }
 
-// addNextSuccessorTransitions adds the states after the events that may happen between the successor and a successor of its
-// own.
+// addNextSuccessorTransitions adds the next states for the events between the successor and the next successor, which
+// takes over from it.
 func (s systemState) addNextSuccessorTransitions(add addNextState) {
 	if s.successorProcess.accepting && !s.successorProcess.stopRequested && !s.nextSuccessorLost {
 		add("s:hands-over", func(next *systemState) {
@@ -255,11 +257,11 @@
 	add("s:ends", func(next *systemState) { next.successorProcess.exit(&next.toPredecessor) })
 }
 
-// exceptionalEvents are the events that happen only if a process is killed or requested to shut down, or if the
-// successor itself is replaced.
+// exceptionalEvents are the events that happen only if a process is killed or requested to shut down, or if the next
+// successor takes over from the successor.
 var exceptionalEvents = []string{"p:stop", "s:stop", "p:killed", "s:killed", "s:hands-over", "s:resumes", "s:ends"}
 
-// exploration visits every systemState that the events can lead to, breadth first.
+// exploration visits every systemState that can be reached, breadth first.
 type exploration struct {
 	*testing.T
 	visited map[string]bool
@@ -267,10 +269,10 @@
 
 	settledStates       int // states in which only deadlines and exceptional events can happen
 	handedOverStates    int // settled states in which the successor serves in place of the predecessor
-	nextSuccessorStates int // settled states in which the successor's own successor serves
+	nextSuccessorStates int // settled states in which the next successor serves
 }
 
-// visit queues a state unless it was visited before.
+// enqueueIfNew adds a state to the queue unless it was added before.
 func (search *exploration) enqueueIfNew(s systemState) {
 	if key := s.key(); !search.visited[key] {
 		search.visited[key] = true
@@ -278,8 +280,8 @@
 	}
 }
 
-// expand visits the states after each event that can happen in s. Exceptional events aside, terminal reports that no
-// event changes the state, and onlyDeadlines that no event except a deadline changes it.
+// expand adds the states that may follow s to the queue. terminal reports that no event except an exceptional one
+// changes s, and onlyDeadlines that no event except a deadline or an exceptional one changes it.
 func (search *exploration) expand(s systemState) (terminal, onlyDeadlines bool) {
 	terminal = true
 	onlyDeadlines = true
@@ -305,8 +307,8 @@
 	}
 }
 
-// requireServing counts a settled state, and fails the test if no process serves in it, unless every process that could
-// serve was killed or requested to shut down.
+// requireServing counts s as a settled state, and fails the test if no process serves in s although a process that
+// could serve was neither killed nor requested to shut down.
 func (search *exploration) requireServing(s *systemState) {
 	search.Helper()
 	search.settledStates++
@@ -318,8 +320,8 @@
 			search.nextSuccessorStates++
 		}
 	case s.nextSuccessorLost && !s.successorProcess.alive:
-		// The successor has ended, and so has its own successor.
-	case s.successorProcess.stopRequested: // no process serves, as requested
+		// The successor has ended after the next successor, which had taken over from it, was lost.
+	case s.successorProcess.stopRequested: // the successor was requested to shut down
 	case s.predecessorProcess.stopRequested && (s.anyKilled || s.anyDeadlineReached):
 		// The predecessor was requested to shut down, and a kill or a deadline ended the hot restart.
 	case !s.predecessorProcess.alive && !s.successorProcess.alive && s.anyKilled: // no process is left
@@ -328,7 +330,8 @@
 	}
 }
 
-// requireNotStuck fails the test if a process waits forever in a terminal state, or does not serve although it should.
+// requireNotStuck fails the test if a process in a terminal state waits for an event that cannot happen, or does not
+// serve although it should.
 func (search *exploration) requireNotStuck(s *systemState) {
 	search.Helper()
 	predecessor := &s.predecessorProcess
@@ -346,9 +349,9 @@
 	}
 }
 
-// For any interleaving of messages, kills, shutdown requests, deadlines and lost connections, two processes never
-// accept or spend the warm-up budget at the same time, and in the end a process serves, unless both have ended or one
-// was requested to shut down.
+// TestEveryInterleaving explores every interleaving of messages, kills, shutdown requests, deadlines and lost
+// connections. Two processes must never accept or spend the warm-up budget at the same time. In the end a process must
+// serve, unless both have ended or one was requested to shut down.
 func TestEveryInterleaving(t *testing.T) {
 	initial := systemState{
 		predecessor:        Predecessor{Times: testTimes},
@@ -452,14 +455,14 @@
 	if len(steps) != 2 || steps[0].Message != Rejected || steps[0].Reason == "" || predecessor.HandingOver() {
 		t.Errorf("at the time: %+v, then %v", steps, &predecessor)
 	}
-	// The predecessor serves again, and sends an Offer to the next successor.
+	// After the rejection the predecessor serves again, and replies to the next Hello with Offer.
 	if steps := predecessor.Step(11, Hello); len(steps) != 1 || steps[0].Message != Offer {
 		t.Errorf("the next: %+v", steps)
 	}
 }
 
-// A successor that owns its sockets serves in time for any behavior of the predecessor, and fails only if it is
-// requested to shut down.
+// A successor that owns its sockets starts serving within six seconds, whatever the predecessor does. It fails only if
+// it is requested to shut down.
 func TestSuccessorThatOwnsSocketsServesInTime(t *testing.T) {
 	realTimes := Times{Ready: 2_000_000, Answer: 1_000_000, Drain: 30_000_000}
 	for seed := range uint64(2000) {
@@ -507,7 +510,7 @@
 	successor      Successor
 	startRequested bool // StartWithOffer was executed
 	disconnected   bool
-	servingStarts  int // number of steps that made it start serving
+	servingStarts  int // number of executed StartServing and StartAlone steps
 }
 
 func (h *socketOwnerHost) executeSteps(steps []Step) {
--- a/internal/decide/zones/rate_meter.go
+++ b/internal/decide/zones/rate_meter.go
@@ -2,11 +2,11 @@
 
 import "dunlinsail/internal/monotime"
 
-// rateMeter estimates the number of events in the last second, from counts of two successive seconds.
+// rateMeter estimates the number of events in the last second from the counts of two successive one-second intervals.
 type rateMeter struct {
 	secondStart monotime.Micros
 	current     float64 // number of events since secondStart
-	previous    float64 // number of events in the second before secondStart
+	previous    float64 // number of events in the one second before secondStart
 }
 
 // advance starts a new second if the current one is over at now.
--- a/internal/decide/zones/router.go
+++ b/internal/decide/zones/router.go
@@ -11,18 +11,18 @@
 	Group        int  // index in Settings.ZonePreferences
 	Class        int  // index in Settings.ClassWeights
 	OverQuota    bool // the request exceeds its tenant's quota
-	RequiredZone int  // only zone it may be sent to, since an attempt may have run there; -1 if none
+	RequiredZone int  // the only zone it may be sent to, because an attempt may have run there; -1 if none
 }
 
-// Reason is why a request is rejected.
+// Reason is the reason why a request is rejected.
 type Reason uint8
 
 // The reasons. None is the reason of a request that is not rejected.
 const (
 	None              Reason = iota
-	NoZoneUp                 // no zone in the request's preferences is up
+	NoZoneUp                 // no zone of the request's preferences is up
 	NoSpareCapacity          // the other zones that are up have no spare capacity for the request
-	SpillLimitReached        // Settings.MaxSpillFraction of its home zone's requests already spill
+	SpillLimitReached        // the fraction MaxSpillFraction of its home zone's requests already spills
 	RequiredZoneDown         // the request's required zone is down
 )
 
@@ -37,10 +37,10 @@
 // String returns a text that explains the reason to operators.
 func (r Reason) String() string { return reasonTexts[r] }
 
-// Decision is the zone that a request is sent to, or its rejection.
+// Decision is the zone to which a request is sent, or the rejection of the request.
 type Decision struct {
 	Zone       int             // -1 if the request is rejected
-	Spill      bool            // Zone is not the first zone in the request's preferences
+	Spill      bool            // the request is sent to another zone than its home zone
 	Reason     Reason          // why the request is rejected, or None
 	RetryAfter monotime.Micros // Retry-After of a rejected request; 0 if the client gets none
 }
@@ -87,11 +87,11 @@
 	return float64(higher) / float64(len(classWeights))
 }
 
-// initialFleetLimit is the initial limit of requests in flight to a zone, for all instances together.
+// initialFleetLimit is the initial limit of the requests in flight to a zone from all instances together.
 const initialFleetLimit = 16
 
-// The thresholds of a zone's limiter, as fractions of the limit; concurrency.Settings describes them. They are
-// tighter than the defaults, since requests must hardly wait in spare capacity.
+// The thresholds of a zone's limiter, as fractions of the limit; concurrency.Settings describes them. They are tighter
+// than the defaults, because requests that use spare capacity must hardly wait.
 const (
 	growThreshold   = 1.0 / 16
 	shrinkThreshold = 1.0 / 8
@@ -110,15 +110,15 @@
 	})
 }
 
-// Choose decides which zone a request is sent to, or that it is rejected. A request with a required zone is
-// sent there unless the zone is down. Any other request is sent to its home zone, the first of its preferences,
-// if admitsHomeRequest allows it. Otherwise it spills to the first of the next zones that is up and has spare
-// capacity for it (admitsSpill), as long as at most MaxSpillFraction of the home zone's requests spill. If no
-// other zone is up, the request is sent to its home zone unless that is down; the balancer then decides whether
-// to send it.
+// Choose decides which zone a request is sent to, or that it is rejected. A request with a required zone is sent there
+// unless the zone is down. Any other request is sent to its home zone, the first zone of its preferences, if
+// admitsHomeRequest allows that. Otherwise it spills to the first of the next zones that is up and has spare capacity
+// for it (admitsSpill), as long as at most the fraction MaxSpillFraction of the home zone's requests spills. If no
+// other zone is up, the request is sent to its home zone unless that is down; the balancer then decides whether to send
+// it.
 //
-// The caller lets the balancer pick an endpoint within the zone, and calls OnAttemptSent for each attempt that
-// it sends to the zone, including retries.
+// The caller lets the balancer pick an endpoint within the zone, and calls OnAttemptSent for each attempt that it sends
+// to the zone, including retries.
 func (router *Router) Choose(now monotime.Micros, r Request) Decision {
 	if r.RequiredZone >= 0 {
 		return router.chooseRequired(now, r.RequiredZone)
@@ -170,16 +170,15 @@
 	return Decision{Zone: -1, Reason: reason, RetryAfter: router.jittered(meanRetryAfter)}
 }
 
-// maxOwnLoadFactor limits a zone's requests in flight, as a multiple of the zone's learned limit. Above it, the
-// zone's own requests spill. It is greater than 1, so that they may queue a little: the learned limit also
-// shrinks when spill fills the zone, and spill must then decrease before the zone's own requests are sent
-// elsewhere.
+// maxOwnLoadFactor limits the requests in flight in a zone, as a multiple of the zone's learned limit. Above it, the
+// zone's own requests spill. It is greater than 1, so that these may queue a little: the learned limit also shrinks
+// when spill fills the zone, and then the spill must decrease before the zone's own requests are sent elsewhere.
 const maxOwnLoadFactor = 3.0
 
-// admitsHomeRequest decides whether a zone admits one more of its own requests. A zone that is up admits
-// requests up to maxOwnLoadFactor times its learned limit of requests in flight. A zone that is down admits
-// none. A recovering zone admits its recovery share of the requests, evenly spaced, and has at most
-// that share of the limit, or one request, in flight.
+// admitsHomeRequest decides whether a zone admits one more of its own requests. A zone that is up admits requests until
+// maxOwnLoadFactor times its learned limit are in flight. A zone that is down admits none. A recovering zone admits its
+// recovery share of the requests, evenly spaced, and only while less than that share of its learned limit, or less than
+// one request, is in flight.
 func (router *Router) admitsHomeRequest(z *zone) bool {
 	switch z.state {
 	case Down:
@@ -212,11 +211,11 @@
 type Outcome struct {
 	Class        int
 	Spill        bool
-	Duration     monotime.Micros // time from sending the attempt to its end
+	Duration     monotime.Micros // time from the sending of the attempt to its end
 	InFlight     int             // attempts in flight in the zone when it was sent, including itself
 	Served       bool            // a response was received
 	InTime       bool            // a response was received within the latency objective
-	Inconclusive bool            // no evidence of the zone's state: cancelled, or never sent
+	Inconclusive bool            // the attempt was cancelled or never sent: no evidence of the zone's state
 }
 
 // OnAttemptEnded records the outcome of an attempt, and updates the zone's state.
--- a/internal/decide/zones/settings.go
+++ b/internal/decide/zones/settings.go
@@ -15,15 +15,15 @@
 type Settings struct {
 	Zones           int       // number of zones, 1 to maxZones
 	ClassWeights    []float64 // by class: priority weight of its requests
-	ZonePreferences [][]int   // by group of clients: the indexes of its zones, the most preferred zone first
+	ZonePreferences [][]int   // by group of clients: indexes of zones, the most preferred zone first
 
 	MaxSpareFraction     float64 // largest fraction of spare capacity that spill may use; greater than 0, at most 1
 	MaxSpillFraction     float64 // largest fraction of a zone's requests that may spill; greater than 0, at most 1
-	InitialRecoveryShare float64 // share of its requests with which a zone starts to recover; greater than 0, at most 1
+	InitialRecoveryShare float64 // share of a zone's requests in its first recovery step; greater than 0, at most 1
 
 	RecoveryStep monotime.Micros // mean duration of a recovery step
-	MinDownTime  monotime.Micros // mean time for which a zone stays down; doubled each time it goes down again soon
-	MaxDownTime  monotime.Micros // largest mean time for which a zone stays down
+	MinDownTime  monotime.Micros // mean down time of a zone; doubled each time the zone soon goes down again
+	MaxDownTime  monotime.Micros // upper bound of the mean down time
 	MinInFlight  int             // lower bound of the learned limit of requests in flight to a zone
 	MaxInFlight  int             // upper bound of the learned limit of requests in flight to a zone
 	Seed         uint64          // seed of the random numbers
--- a/internal/decide/zones/state.go
+++ b/internal/decide/zones/state.go
@@ -20,7 +20,7 @@
 // String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// zone is what the router knows about one zone.
+// zone is the router's state of one zone.
 type zone struct {
 	state          State
 	readyEndpoints int
@@ -31,26 +31,26 @@
 	// spillFactor, from minSpillFactor to 1, scales the spare capacity that spill may use. observeSpill adjusts it.
 	spillFactor      float64
 	spillWindowStart monotime.Micros
-	spillInTime      int // outcomes of spilled attempts in time, in the present window
-	spillOutcomes    int // all outcomes of spilled attempts in the present window
+	spillInTime      int // number of spilled attempts in time, in the present window
+	spillOutcomes    int // number of spilled attempts that ended in the present window
 
-	recoveryShare    float64         // while Recovering: fraction of its requests that it receives
-	recoveryCredit   float64         // while Recovering: requests of recoveryShare that it has not received yet
-	nextTransitionAt monotime.Micros // earliest end of the down time or of the present recovery step
-	nextDownTime     monotime.Micros // mean time for which the zone stays down the next time
+	recoveryShare    float64         // while Recovering: fraction of its own requests that the zone receives
+	recoveryCredit   float64         // while Recovering: grows by recoveryShare per request, and 1 admits a request
+	nextTransitionAt monotime.Micros // earliest end of the down time, or of the present recovery step
+	nextDownTime     monotime.Micros // mean duration of the next time that the zone is down
 	upSince          monotime.Micros // time of the latest recovery
 
 	homeRequests    rateMeter // requests whose home zone it is
-	spilledRequests rateMeter // requests whose home zone it is, and that spilled to other zones
+	spilledRequests rateMeter // requests whose home zone it is and that spilled to other zones
 	outcomes        outcomeWindow
 }
 
-// outcomeWindow counts the outcomes of attempts since start.
+// outcomeWindow counts the outcomes of attempts in a zone since start. Inconclusive outcomes are not counted.
 type outcomeWindow struct {
 	start       monotime.Micros
-	inTime      int             // outcomes in time
-	total       int             // all outcomes
-	silentSince monotime.Micros // no response since then, with minSilentInFlight or more in flight; 0 if not silent
+	inTime      int             // number of attempts in time
+	total       int             // number of attempts that ended
+	silentSince monotime.Micros // start of the time without response, with enough in flight; 0 if none
 }
 
 // SetReadyEndpoints sets the number of endpoints of a zone that are ready. A zone without ready endpoints goes down.
@@ -76,11 +76,11 @@
 }
 
 const (
-	downTimeFactor = 2           // multiplier of the mean down time, each time the zone goes down
-	flapResetTime  = 30 * second // time in state Up after which the mean down time is MinDownTime again
+	downTimeFactor = 2           // multiplier of the mean down time each time the zone goes down
+	flapResetTime  = 30 * second // time in state Up after which the mean down time is reset to MinDownTime
 )
 
-// markDown takes a zone down for nextDownTime on average. It then doubles nextDownTime, up to MaxDownTime.
+// markDown puts a zone into state Down, for nextDownTime on average. It then doubles nextDownTime, up to MaxDownTime.
 func (router *Router) markDown(now monotime.Micros, z *zone) {
 	if z.state == Up && now-z.upSince > flapResetTime {
 		z.nextDownTime = router.settings.MinDownTime
@@ -94,15 +94,15 @@
 }
 
 const (
-	// silenceTimeout is the time without a response, while at least minSilentInFlight attempts are in flight, after
-	// which a zone counts as cut off.
+	// silenceTimeout is the time after which a zone counts as cut off, if there is no response while at least
+	// minSilentInFlight attempts are in flight.
 	silenceTimeout    = second
 	minSilentInFlight = 4
 )
 
-// updateState makes the change of a zone's state that is due at now. A zone that is cut off goes down, even if
-// discovery lists ready endpoints. A zone that is down starts to recover once its down time is over and an
-// endpoint is ready. updateRecovering and updateUp decide on zones in the other states.
+// updateState changes a zone's state if a change is due at now. A zone that is cut off goes down, even if discovery
+// lists ready endpoints. A zone that is down starts to recover once its down time is over and an endpoint is ready.
+// updateRecovering and updateUp update zones in the other states.
 func (router *Router) updateState(now monotime.Micros, z *zone) {
 	outcomes := &z.outcomes
 	if z.state != Down && outcomes.silentSince > 0 && now-outcomes.silentSince > silenceTimeout {
@@ -126,12 +126,14 @@
 
 const (
 	windowDuration    = second / 2         // duration of the outcome window of a zone that is up
-	minWindowAge      = windowDuration / 2 // age at which an outcome window can first take the zone down
-	minWindowOutcomes = 8                  // outcomes that a decision about a zone, or its spill, needs
-	downThreshold     = 0.3                // fraction of outcomes in time at or below which a zone goes down
+	minWindowAge      = windowDuration / 2 // minimum age of an outcome window that takes the zone down
+	minWindowOutcomes = 8                  // number of outcomes that are enough to decide on a zone's state or spill
+	downThreshold     = 0.3                // a zone goes down if at most this fraction of its outcomes is in time
 )
 
-// updateUp takes a zone that is up down if too small a fraction of the outcomes in its window is in time.
+// updateUp decides whether a zone in state Up goes down. It goes down if its outcome window is old enough and has
+// enough outcomes, and at most downThreshold of these are in time. A window that has lasted windowDuration is replaced
+// by a new one.
 func (router *Router) updateUp(now monotime.Micros, z *zone) {
 	outcomes := &z.outcomes
 	mostlyLate := float64(outcomes.inTime) <= downThreshold*float64(outcomes.total)
@@ -144,20 +146,21 @@
 	}
 }
 
-// conclusive reports whether the window has enough outcomes to decide about the zone's state.
+// hasEnoughOutcomes reports whether the window has enough outcomes to decide on the zone's state.
 func (w *outcomeWindow) hasEnoughOutcomes() bool { return w.total >= minWindowOutcomes }
 
 const (
-	recoverThreshold = 0.9 // fraction of outcomes in time that a recovery needs to continue
+	recoverThreshold = 0.9 // minimum fraction of outcomes in time for a recovery to continue
 	recoveryGrowth   = 1.5 // multiplier of the recovery share from one step to the next
-	// recoveryDecreaseDivisor divides the recovery share if too few outcomes are in time. The smallest share is
-	// InitialRecoveryShare divided by it.
+	// recoveryDecreaseDivisor divides the recovery share when too few outcomes are in time. The smallest recovery share
+	// is InitialRecoveryShare divided by it.
 	recoveryDecreaseDivisor = 2
 )
 
-// updateRecovering decides on the next step of a recovery from the fraction of outcomes in time in the present
-// step. The zone goes down, receives a smaller share of its requests, or receives a larger share once the step
-// is over. It is up when the share reaches 1. A step without any outcome continues.
+// updateRecovering decides on the next step of a recovery, from the fraction of the outcomes of the present step that
+// are in time. If it is too small, the zone goes down or receives a smaller share of its requests. Otherwise the zone
+// receives a larger share once the step is over, and is up when the share reaches 1. A step without any outcome
+// continues.
 func (router *Router) updateRecovering(now monotime.Micros, z *zone) {
 	outcomes := &z.outcomes
 	inTimeFraction := float64(outcomes.inTime) / float64(max(1, outcomes.total))
--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// simulation simulates three zones of servers, and instances that send requests to them, in virtual time.
+// simulation simulates, in virtual time, three zones of servers and instances that send requests to them.
 type simulation struct {
 	clock      monotime.Micros
 	events     eventQueue
@@ -41,19 +41,20 @@
 	zones      [3]*zoneServers
 	routers    []*Router
 
-	requests, servedInTime, rejected [3]int // by home zone, since the last call of takeInTimeFractions
-	spilled                          [3]int // by the zone that received the spill, since the same call
-	notInTime                        [3]int // by the zone that received the attempt, since the same call
+	// Counts since the last call of takeInTimeFractions.
+	requests, servedInTime, rejected [3]int // numbers of requests, by home zone
+	spilled                          [3]int // number of spilled requests, by the zone that received them
+	notInTime                        [3]int // number of attempts not served in time, by the zone that received them
 }
 
-// zoneServers simulates the servers of a zone as a number of cores with one queue.
+// zoneServers simulates the servers of a zone as a number of cores that share one queue.
 type zoneServers struct {
 	cores          int
 	busyCores      int
 	queue          []*sentAttempt
 	stopped        bool
 	unresponsive   bool
-	warmupStart    monotime.Micros // time of the latest restart; 0 if the servers never restarted
+	warmupStart    monotime.Micros // time of the latest restart; 0 if the servers were never restarted
 	slowdownFactor float64
 }
 
@@ -241,8 +242,8 @@
 	}
 }
 
-// takeInTimeFractions returns the fraction of requests that were served in time since its last call, by home
-// zone and overall, and resets the counts.
+// takeInTimeFractions returns the fraction of the requests since its last call that were served in time, by home zone
+// and overall. It then resets the counts of the simulation.
 func (sim *simulation) takeInTimeFractions() (inTimeFractions [3]float64, overall float64) {
 	inTime, requests := 0, 0
 	for i := range inTimeFractions {
@@ -277,8 +278,8 @@
 			t.Errorf("second %d: fractions of requests served in time, by home zone: %.3f",
 				43+elapsedSeconds, inTimeFractions)
 		}
-		// The two zones that are up can serve 2,400 requests per second, of 2,250 in all. Their own clients
-		// leave 900 of these unused, of which spill may use 0.8, that is 720.
+		// The clients of all zones send 2,250 requests per second. The two zones that are up can serve 2,400, and their
+		// own clients leave 900 of these unused. Spill may use 0.8 of the 900, which is 720.
 		if want := 0.95 * (2*requestRatePerZone + 0.8*900*requestRatePerZone/900) /
 			(3 * requestRatePerZone); overall < want*0.95 {
 			t.Errorf("second %d: fraction of all requests served in time is %.3f, want %.3f",
@@ -309,8 +310,8 @@
 	}
 }
 
-// TestZoneOutageAndRecovery stops and restarts a zone. The other zones must serve their own clients as before
-// and as much spill as they can, the spill must not oscillate, and the recovering zone must never receive more
+// TestZoneOutageAndRecovery stops and restarts the servers of a zone. The other zones must serve their own clients as
+// before and as much spill as they can, the spill must not oscillate, and the recovering zone must never receive more
 // requests than it can serve in time.
 func TestZoneOutageAndRecovery(t *testing.T) {
 	for _, instances := range []int{3, 30, 300} {
@@ -379,7 +380,8 @@
 	}
 }
 
-// TestFlappingZoneStaysDownLonger verifies that a zone that flaps stays down longer each time.
+// TestFlappingZoneStaysDownLonger verifies that a zone that repeatedly goes down and recovers stays down longer each
+// time.
 func TestFlappingZoneStaysDownLonger(t *testing.T) {
 	router, err := New(testSettings(1))
 	if err != nil {
@@ -406,8 +408,9 @@
 	}
 }
 
-// checkDecision checks the properties that every decision must have: a request with a required zone is sent to
-// no other zone, a rejection has a reason, and Spill is set only for a zone that is not the home zone.
+// checkDecision checks the properties that every decision must have: a request with a required zone is sent to no other
+// zone, a rejection has a reason, and Spill is set only for a request that has no required zone and is sent to another
+// zone than its home zone.
 func checkDecision(t *rapid.T, settings *Settings, request Request, decision Decision) {
 	t.Helper()
 	if request.RequiredZone >= 0 && decision.Zone >= 0 && (decision.Zone != request.RequiredZone || decision.Spill) {
@@ -424,7 +427,8 @@
 	}
 }
 
-// checkNothingInFlight checks that a router counts no attempt in flight in any zone after all attempts have ended.
+// checkNothingInFlight checks that the router counts no attempts in flight in any zone. It is called after all attempts
+// have ended.
 func checkNothingInFlight(t *rapid.T, router *Router) {
 	t.Helper()
 	for i := range router.zones {
