--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -273,7 +273,7 @@
 		d.execute(d.machine.HandleDeadline(d.now))
 	}
 	if fmt.Sprint(backoffs) != "[1 2 4 8]" || len(d.commandLog) != 4 {
-		t.Errorf("waits %v, %q", backoffs, d.commandLog)
+		t.Errorf("backoffs %v, commands %q", backoffs, d.commandLog)
 	}
 	d.commandLog = nil
 	d.expectRunning("a/1 over file 1")
--- a/internal/decide/takeover/takeover_test.go
+++ b/internal/decide/takeover/takeover_test.go
@@ -430,14 +430,14 @@
 	successor.transition(accepting, 0)
 	steps := successor.Step(1, Stop, "")
 	if len(steps) != 1 || steps[0].Message != Stopping {
-		t.Fatalf("the successor: %+v", steps)
+		t.Fatalf("steps of the successor: %+v", steps)
 	}
 	steps = predecessor.Step(1, Stopping)
 	if len(steps) != 2 || steps[1].Action != Drain || predecessor.Deadline() != 9 {
-		t.Errorf("the predecessor: %+v until %d", steps, predecessor.Deadline())
+		t.Errorf("steps of the predecessor: %+v, deadline %d", steps, predecessor.Deadline())
 	}
 	if steps = predecessor.Step(2, ConnectionLost); steps != nil {
-		t.Errorf("then: %+v", steps)
+		t.Errorf("steps after the lost connection: %+v", steps)
 	}
 }
 
@@ -446,18 +446,18 @@
 	predecessor := Predecessor{Times: testTimes}
 	predecessor.Step(0, Hello)
 	if !predecessor.HandingOver() || predecessor.Deadline() != 10 {
-		t.Fatalf("%v until %d", &predecessor, predecessor.Deadline())
+		t.Fatalf("state %v, deadline %d", &predecessor, predecessor.Deadline())
 	}
 	if steps := predecessor.Step(9, DeadlineReached); steps != nil {
-		t.Errorf("before the time: %v", steps)
+		t.Errorf("steps before the deadline: %v", steps)
 	}
 	steps := predecessor.Step(10, DeadlineReached)
 	if len(steps) != 2 || steps[0].Message != Rejected || steps[0].Reason == "" || predecessor.HandingOver() {
-		t.Errorf("at the time: %+v, then %v", steps, &predecessor)
+		t.Errorf("steps at the deadline: %+v, then state %v", steps, &predecessor)
 	}
 	// After the rejection the predecessor serves again, and replies to the next Hello with Offer.
 	if steps := predecessor.Step(11, Hello); len(steps) != 1 || steps[0].Message != Offer {
-		t.Errorf("the next: %+v", steps)
+		t.Errorf("steps after the next Hello: %+v", steps)
 	}
 }
 
@@ -471,7 +471,7 @@
 	stoppedSuccessor := Successor{Times: realTimes, OwnsSockets: true}
 	stoppedSuccessor.Connected(0)
 	if steps := stoppedSuccessor.Step(1, Stop, ""); len(steps) == 0 || steps[len(steps)-1].Action != Fail {
-		t.Errorf("stopped before it began: %v", steps)
+		t.Errorf("steps after a shutdown request before Offer: %v", steps)
 	}
 }
 
