--- a/internal/decide/canary/analysis.go
+++ b/internal/decide/canary/analysis.go
@@ -113,15 +113,15 @@
 // Settings.MinDuration. The check is necessary because requests that do not reach the canary change neither its
 // served nor its failed ratio.
 func (a *Analysis) lostClients() bool {
-	expected := a.baseline.requestRate() * float64(a.canary.duration)
-	tooFewRequests := expected >= lostMinExpected && a.canary.requests < lostMaxFraction*expected
-	harmful := 1-lostMaxFraction > a.settings.HarmMargin
+	expectedRequests := a.baseline.requestRate() * float64(a.canary.duration)
+	tooFewRequests := expectedRequests >= lostMinExpected && a.canary.requests < lostMaxFraction*expectedRequests
+	exceedsMargin := 1-lostMaxFraction > a.settings.HarmMargin
 	longEnough := a.canary.duration >= max(lostMinDuration, a.settings.MinDuration)
-	if !tooFewRequests || !harmful || !longEnough {
+	if !tooFewRequests || !exceedsMargin || !longEnough {
 		return false
 	}
 	a.statistics.Metric = MetricDemand
-	a.statistics.Harm = 1 - a.canary.requests/expected
+	a.statistics.Harm = 1 - a.canary.requests/expectedRequests
 	a.statistics.HarmLowerBound = a.statistics.Harm
 	return true
 }
@@ -176,9 +176,10 @@
 // surge. A surge means that the requests in the latest slots exceed Settings.MaxDemandRatio times the baseline's rate
 // by more than chance explains. During a surge a lower served ratio is expected, and does not count as harm.
 func (a *Analysis) observeSurge(sample *Sample) bool {
-	recent, slots := a.canary.observeRequests(sample.Requests)
-	bound := a.settings.MaxDemandRatio * a.baseline.requestRate() * float64(sample.Duration) * float64(slots)
-	return a.baseline.requests > 0 && recent > bound+surgeSlack*math.Sqrt(bound)
+	recentRequests, slotCount := a.canary.observeRequests(sample.Requests)
+	maxExpectedRequests := a.settings.MaxDemandRatio * a.baseline.requestRate() *
+		float64(sample.Duration) * float64(slotCount)
+	return a.baseline.requests > 0 && recentRequests > maxExpectedRequests+surgeSlack*math.Sqrt(maxExpectedRequests)
 }
 
 // Values of the sign parameter of compare, which states whether a lower or a higher ratio of the canary is harm.
@@ -196,24 +197,28 @@
 // compare compares the ratios of canary and baseline in one metric. Two metrics are compared, and they share the error
 // probability Settings.Alpha, so each comparison uses half of it. sign is lessIsWorse or moreIsWorse.
 func (a *Analysis) compare(baseline, canary *ratioSeries, sign float64) comparison {
-	reference := &baseline.perSlot
-	tested := &canary.perSlot
-	if reference.denominator <= 0 || tested.denominator <= 0 {
+	baselineMoments := &baseline.perSlot
+	canaryMoments := &canary.perSlot
+	if baselineMoments.denominator <= 0 || canaryMoments.denominator <= 0 {
 		return comparison{}
 	}
-	harm := sign * (tested.mean() - reference.mean())
+	harm := sign * (canaryMoments.mean() - baselineMoments.mean())
 	// Slots without any failure have no variance, but a small number of them proves little. The variance is therefore
 	// at least that of the same number of independent requests, with one failed and one successful request added.
 	totalRequests := a.baseline.requests + a.canary.requests
-	pooledRatio := (reference.mean()*a.baseline.requests + tested.mean()*a.canary.requests + 1) / (totalRequests + 2)
+	pooledRatio := (baselineMoments.mean()*a.baseline.requests + canaryMoments.mean()*a.canary.requests + 1) /
+		(totalRequests + 2)
 	pooledRatio = min(max(pooledRatio, 1/(totalRequests+2)), 1-1/(totalRequests+2))
-	inflation := max(baseline.varianceInflation(), canary.varianceInflation())
+	varianceFactor := max(baseline.varianceInflation(), canary.varianceInflation())
 	slotVariance := func(side *arm, moments *ratioMoments) float64 {
 		independentVariance := pooledRatio * (1 - pooledRatio) * moments.count / side.requests
-		return max(inflation*moments.variance(), independentVariance)
+		return max(varianceFactor*moments.variance(), independentVariance)
+	}
+	canaryVariance := slotVariance(&a.canary, canaryMoments)
+	baselineVariance := slotVariance(&a.baseline, baselineMoments)
+	standardDeviation := math.Sqrt(canaryVariance + baselineVariance*canaryMoments.count/baselineMoments.count)
+	return comparison{
+		harm:       harm,
+		lowerBound: harm - standardDeviation*confidenceHalfWidth(canaryMoments.count, a.settings.Alpha/2),
 	}
-	testedVariance := slotVariance(&a.canary, tested)
-	referenceVariance := slotVariance(&a.baseline, reference)
-	deviation := math.Sqrt(testedVariance + referenceVariance*tested.count/reference.count)
-	return comparison{harm: harm, lowerBound: harm - deviation*confidenceHalfWidth(tested.count, a.settings.Alpha/2)}
 }
--- a/internal/decide/canary/ratio.go
+++ b/internal/decide/canary/ratio.go
@@ -87,8 +87,8 @@
 	}
 	ratio := r.mean()
 	meanDenominator := r.denominator / r.count
-	residuals := r.numeratorSq - 2*ratio*r.product + ratio*ratio*r.denominatorSq
-	return max(0, residuals/(r.count-1)/(meanDenominator*meanDenominator))
+	sumSquaredResiduals := r.numeratorSq - 2*ratio*r.product + ratio*ratio*r.denominatorSq
+	return max(0, sumSquaredResiduals/(r.count-1)/(meanDenominator*meanDenominator))
 }
 
 // rho sets the number of slots at which the confidence sequence is tightest. That number is
--- a/internal/decide/maintenance/capacity.go
+++ b/internal/decide/maintenance/capacity.go
@@ -30,8 +30,8 @@
 
 // isOut reports whether a machine is out of service: it is unhealthy, or it has reached phase Draining or a later one.
 func (state *State) isOut(machineStatus *MachineStatus) bool {
-	planned := state.Machines[machineStatus.Name]
-	return !machineStatus.Healthy || planned != nil && planned.Phase >= Draining
+	plannedMachine := state.Machines[machineStatus.Name]
+	return !machineStatus.Healthy || plannedMachine != nil && plannedMachine.Phase >= Draining
 }
 
 // outage counts the machines that are out and adds up the capacity that is in service. It does not include the
@@ -136,8 +136,8 @@
 	for i := range state.Fleet.Machines {
 		status := &state.Fleet.Machines[i]
 		machineCount[status.Zone]++
-		planned := state.Machines[status.Name]
-		if !status.Healthy && (planned == nil || planned.Phase < Draining) {
+		plannedMachine := state.Machines[status.Name]
+		if !status.Healthy && (plannedMachine == nil || plannedMachine.Phase < Draining) {
 			unplannedOut[status.Zone]++
 		}
 	}
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -156,7 +156,7 @@
 // SilentInstances returns the instances that have sent no report for at least timeout, sorted by name. The process of
 // such an instance may have ended or may be cut off. Machines may stay announced until it reports again.
 func (c *Coordinator) SilentInstances(now monotime.Micros, state *State, timeout monotime.Micros) []Instance {
-	var silent []Instance
+	var silentInstances []Instance
 	for _, name := range slices.Sorted(maps.Keys(state.Instances)) {
 		instance := Instance{Name: name, Incarnation: state.Instances[name]}
 		lastReport := c.termStart
@@ -164,8 +164,8 @@
 			lastReport = progress.reportedAt
 		}
 		if now >= lastReport+timeout {
-			silent = append(silent, instance)
+			silentInstances = append(silentInstances, instance)
 		}
 	}
-	return silent
+	return silentInstances
 }
--- a/internal/decide/maintenance/requests.go
+++ b/internal/decide/maintenance/requests.go
@@ -23,8 +23,8 @@
 	if request.ID == "" || len(request.Machines) == 0 || request.Duration <= 0 {
 		return "", errIncompleteRequest
 	}
-	if earlier := state.Requests[request.ID]; earlier != nil {
-		return state.describe(earlier), nil
+	if existing := state.Requests[request.ID]; existing != nil {
+		return state.describe(existing), nil
 	}
 	request.Machines = slices.Clone(request.Machines)
 	slices.Sort(request.Machines)
--- a/internal/decide/maintenance/schedule.go
+++ b/internal/decide/maintenance/schedule.go
@@ -41,32 +41,32 @@
 // announce announces machines in the order of the queue, up to Settings.MaxAnnounced. An urgent machine replaces an
 // announced machine that is not urgent.
 func (state *State) announce(queue []*Machine) {
-	announced := 0
+	announcedCount := 0
 	for _, m := range state.Machines {
 		if planListOf(m.Phase) == listAnnounced {
-			announced++
+			announcedCount++
 		}
 	}
 	// A recall makes a draining machine an announced one again, which may exceed MaxAnnounced. The announcements of the
 	// last machines in the queue are then canceled.
 	for _, m := range slices.Backward(queue) {
-		if announced > state.settings.MaxAnnounced && planListOf(m.Phase) == listAnnounced {
+		if announcedCount > state.settings.MaxAnnounced && planListOf(m.Phase) == listAnnounced {
 			state.setPhase(m, Requested)
-			announced--
+			announcedCount--
 		}
 	}
 	for _, m := range queue {
 		if m.Phase != Requested {
 			continue
 		}
-		if announced >= state.settings.MaxAnnounced && state.preemptFor(m, queue) {
-			announced--
+		if announcedCount >= state.settings.MaxAnnounced && state.preemptFor(m, queue) {
+			announcedCount--
 		}
-		if announced < state.settings.MaxAnnounced {
+		if announcedCount < state.settings.MaxAnnounced {
 			state.setPhase(m, Announced)
-			announced++
+			announcedCount++
 		} else {
-			m.WaitReason = fmt.Sprintf("%d are next in line before it", announced)
+			m.WaitReason = fmt.Sprintf("%d are next in line before it", announcedCount)
 		}
 	}
 }
--- a/internal/decide/maintenance/state_test.go
+++ b/internal/decide/maintenance/state_test.go
@@ -288,27 +288,27 @@
 
 // drawCommand draws a random command, without its time.
 func drawCommand(r *rapid.T) (command Command) {
-	machineNames := rapid.SampledFrom([]string{"m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7"})
-	requestIDs := rapid.SampledFrom([]string{"a", "b", "c"})
+	machineNameGenerator := rapid.SampledFrom([]string{"m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7"})
+	requestIDGenerator := rapid.SampledFrom([]string{"a", "b", "c"})
 	switch rapid.IntRange(0, 8).Draw(r, "command") {
 	case 0, 1:
 		command.Request = &Request{
-			ID:        requestIDs.Draw(r, "id"),
-			Machines:  rapid.SliceOfN(machineNames, 1, 4).Draw(r, "machines"),
+			ID:        requestIDGenerator.Draw(r, "id"),
+			Machines:  rapid.SliceOfN(machineNameGenerator, 1, 4).Draw(r, "machines"),
 			Duration:  monotime.Second,
 			Requester: "x",
 			Urgent:    rapid.Bool().Draw(r, "urgent"),
 		}
 	case 2:
-		command.CancelRequest = requestIDs.Draw(r, "id")
+		command.CancelRequest = requestIDGenerator.Draw(r, "id")
 	case 3:
-		command.Complete = &Completion{Request: requestIDs.Draw(r, "id")}
+		command.Complete = &Completion{Request: requestIDGenerator.Draw(r, "id")}
 	case 4:
 		command.FleetStatus = eightMachines(float64(rapid.IntRange(0, 8).Draw(r, "usage")))
 	case 5, 6:
-		command.Acknowledged = []string{machineNames.Draw(r, "acknowledged")}
+		command.Acknowledged = []string{machineNameGenerator.Draw(r, "acknowledged")}
 	case 7:
-		command.Drained = []string{machineNames.Draw(r, "drained")}
+		command.Drained = []string{machineNameGenerator.Draw(r, "drained")}
 	case 8:
 		command.Hold = &Hold{
 			Request: rapid.SampledFrom([]string{"", "a"}).Draw(r, "request"),
--- a/internal/decide/rollout/apply.go
+++ b/internal/decide/rollout/apply.go
@@ -19,15 +19,15 @@
 		return nil
 	}
 	v := *m.candidate
-	endedProcesses := false
+	endsProcesses := false
 	unconfirmed := m.persistent.Unconfirmed
 	if reason == "" && unconfirmed != nil && unconfirmed.ID == v.ID && m.persistent.ApplyAttempts >= maxApplyAttempts {
 		reason = fmt.Sprintf("%d processes ended while they tried version %v", maxApplyAttempts, v.ID)
-		endedProcesses = true
+		endsProcesses = true
 		m.persistent.recordAttempt(nil)
 	}
 	if reason != "" {
-		commands := m.reject(v, reason, endedProcesses)
+		commands := m.reject(v, reason, endsProcesses)
 		return append(commands, m.abandonCandidate(now)...)
 	}
 	m.phase = PhaseApplying
--- a/internal/decide/rollout/random_test.go
+++ b/internal/decide/rollout/random_test.go
@@ -344,8 +344,8 @@
 	running, onCanary := h.machine.Running()
 	lastKnownGood := h.machine.PersistentState().LastKnownGood
 	isRunning := running.ControlPlane != nil && *running.ControlPlane == expected
-	isGood := lastKnownGood.ControlPlane != nil && lastKnownGood.ControlPlane.ID == expected.ID
-	if onCanary || !isRunning || !isGood || len(h.awaitingReply) > 0 {
+	isLastKnownGood := lastKnownGood.ControlPlane != nil && lastKnownGood.ControlPlane.ID == expected.ID
+	if onCanary || !isRunning || !isLastKnownGood || len(h.awaitingReply) > 0 {
 		h.Fatalf("runs %v, canary %v, last known good %v, unanswered %v; the last harmless version is %v",
 			running, onCanary, lastKnownGood, h.awaitingReply, expected.ID)
 	}
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -192,9 +192,9 @@
 	d.expectCommands("validate b/1", "apply b/1", "ack b/1 finally")
 	d.offer(controlPlaneVersion("a", 6))
 	d.expectCommands(`nack a/6: version a/6: epoch "a" was left for a newer one`)
-	rollback := controlPlaneVersion("a", 5)
-	rollback.Rollback = true
-	d.offer(rollback)
+	rollbackVersion := controlPlaneVersion("a", 5)
+	rollbackVersion.Rollback = true
+	d.offer(rollbackVersion)
 	d.expectCommands("validate a/5", "apply a/5", "ack a/5 finally")
 	d.expectRunning("a/5 over file 1")
 	d.offer(controlPlaneVersion("a", 6))
@@ -238,10 +238,10 @@
 	d.expectCommands("superseded a/3")
 	d.execute(d.machine.HandleCanaryResult(d.now, ""))
 	d.expectCommands("ack a/2 finally", "validate a/4", "apply a/4", "ack a/4", "start canary a/4")
-	rollback := controlPlaneVersion("a", 2)
-	rollback.Rollback = true
+	rollbackVersion := controlPlaneVersion("a", 2)
+	rollbackVersion.Rollback = true
 	d.failureReasons["validate a/2"] = "not any more"
-	d.offer(rollback)
+	d.offer(rollbackVersion)
 	d.expectCommands("stop canary", "validate a/2", "nack a/2: not any more", "start canary a/4")
 	d.offer(fileVersion(2))
 	d.expectCommands("stop canary", "validate file 2", "apply file 2", "ack file 2", "start canary file 2")
--- a/internal/decide/route/route_test.go
+++ b/internal/decide/route/route_test.go
@@ -362,10 +362,10 @@
 // drawPattern draws a random valid pattern.
 func drawPattern(t *rapid.T) Pattern {
 	hosts := []string{"", "", "h.example", "*.example", "*.h.example", "example"}
-	segment := rapid.SampledFrom([]string{"a", "b", "{p}"})
+	segmentGenerator := rapid.SampledFrom([]string{"a", "b", "{p}"})
 	p := Pattern{Host: rapid.SampledFrom(hosts).Draw(t, "host")}
 	for i := range rapid.IntRange(0, 3).Draw(t, "segments") {
-		s := segment.Draw(t, "segment")
+		s := segmentGenerator.Draw(t, "segment")
 		if s == "{p}" {
 			s = fmt.Sprintf("{p%d}", i)
 		}
@@ -388,8 +388,8 @@
 
 // drawPath draws a random path of a request, in normal form.
 func drawPath(t *rapid.T) string {
-	segments := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "a"}), 0, 4)
-	path := "/" + strings.Join(segments.Draw(t, "path"), "/")
+	segmentsGenerator := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "a"}), 0, 4)
+	path := "/" + strings.Join(segmentsGenerator.Draw(t, "path"), "/")
 	if path != "/" && rapid.Bool().Draw(t, "slash") {
 		path += "/"
 	}
@@ -496,13 +496,13 @@
 
 func TestMatchAllocatesNothing(t *testing.T) {
 	table, paths := tableOfRoutes(1000)
-	calls := 0
+	callCount := 0
 	if allocations := testing.AllocsPerRun(1000, func() {
-		path, err := NormalizePath(paths[calls%len(paths)], RejectEncodedSlashes)
-		if err != nil || table.Match(NormalizeHost("desk.example"), path, "GET", nil) != calls%len(paths) {
+		path, err := NormalizePath(paths[callCount%len(paths)], RejectEncodedSlashes)
+		if err != nil || table.Match(NormalizeHost("desk.example"), path, "GET", nil) != callCount%len(paths) {
 			t.Fatal(path)
 		}
-		calls++
+		callCount++
 	}); allocations > 0 {
 		t.Errorf("%v allocations per match", allocations)
 	}
--- a/internal/decide/zones/router.go
+++ b/internal/decide/zones/router.go
@@ -78,13 +78,13 @@
 
 // classRank returns the fraction of the classes whose priority weight is higher than weight.
 func classRank(classWeights []float64, weight float64) float64 {
-	higher := 0
-	for _, other := range classWeights {
-		if other > weight {
-			higher++
+	higherCount := 0
+	for _, otherWeight := range classWeights {
+		if otherWeight > weight {
+			higherCount++
 		}
 	}
-	return float64(higher) / float64(len(classWeights))
+	return float64(higherCount) / float64(len(classWeights))
 }
 
 // initialFleetLimit is the initial limit of the requests in flight to a zone from all instances together.
--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -388,7 +388,7 @@
 		t.Fatal(err)
 	}
 	now := monotime.Micros(0)
-	lastDownTime := monotime.Micros(0)
+	previousDownTime := monotime.Micros(0)
 	for i := range 4 {
 		router.SetReadyEndpoints(now, 0, 0)
 		router.SetReadyEndpoints(now, 0, 5)
@@ -400,10 +400,10 @@
 				break
 			}
 		}
-		if downTime := now - downAt; i > 0 && downTime < lastDownTime*5/4 {
-			t.Errorf("flap %d: down for %d ms, the time before for %d ms", i, downTime/ms, lastDownTime/ms)
+		if downTime := now - downAt; i > 0 && downTime < previousDownTime*5/4 {
+			t.Errorf("flap %d: down for %d ms, the time before for %d ms", i, downTime/ms, previousDownTime/ms)
 		} else {
-			lastDownTime = downTime
+			previousDownTime = downTime
 		}
 	}
 }
@@ -560,9 +560,9 @@
 	now := monotime.Micros(0)
 	router.SetReadyEndpoints(now, 0, 0)
 	router.SetReadyEndpoints(now, 0, 4)
-	sendRequestsFor := func(d monotime.Micros, inTime func(i int) bool) (maxShare float64) {
+	sendRequestsFor := func(duration monotime.Micros, inTime func(i int) bool) (maxShare float64) {
 		sentCount := 0
-		for end := now + d; now < end; now += 2 * ms {
+		for end := now + duration; now < end; now += 2 * ms {
 			if decision := router.Choose(now, Request{RequiredZone: -1}); decision.Zone == 0 {
 				router.OnAttemptSent(now, 0, false)
 				sentCount++
