--- a/internal/decide/maintenance/capacity.go
+++ b/internal/decide/maintenance/capacity.go
@@ -37,8 +37,8 @@
 // outage counts the machines that are out and adds up the capacity that is in service. It does not include the
 // candidate, which is the machine that may be drained next.
 type outage struct {
-	// Numbers of machines that are out: of all machines, of those in the candidate's zone, of those in the candidate's
-	// cell, and of those of the candidate's kind.
+	// Numbers of machines that are out: in all, in the candidate's zone, in the candidate's cell, and of the
+	// candidate's kind.
 	totalOut, outInZone, outInCell, outOfKind int
 
 	inServiceInCell   int     // number of machines in service in the candidate's cell
--- a/internal/decide/rollout/random_test.go
+++ b/internal/decide/rollout/random_test.go
@@ -35,7 +35,7 @@
 
 	lastValidated     *Version        // version that passed the latest validation and is not applied yet; nil if none
 	appliedDigests    map[ID]string   // digest of each applied version
-	rolledBackDigests map[string]bool // digests of versions whose rollback is stored
+	rolledBackDigests map[string]bool // digests of versions that the stored state lists as rolled back
 	lastKnownGood     LayeredVersion  // configuration that ActionRollBack must restore
 	running           LayeredVersion  // configuration that the host has applied
 	onCanary          bool
--- a/internal/decide/rollout/rollback.go
+++ b/internal/decide/rollout/rollback.go
@@ -43,7 +43,7 @@
 	return m.startNext(now)
 }
 
-// endRollback returns to the idle phase after a rollback has succeeded or its last attempt has failed.
+// endRollback ends a rollback that has succeeded, or whose last attempt has failed, and returns to the idle phase.
 func (m *StateMachine) endRollback() {
 	m.phase = PhaseIdle
 	m.unconfirmed = nil
--- a/internal/decide/rollout/state.go
+++ b/internal/decide/rollout/state.go
@@ -30,8 +30,8 @@
 	KnownVersions   []Version   `json:"seen,omitempty"` // versions as first offered, to detect a reused number
 }
 
-// recordAttempt counts one more process that applies v or runs it on canary. A nil v resets the count, because no
-// version is unconfirmed any more.
+// recordAttempt counts one more process that applies v or runs it on canary. If v is nil, no version is unconfirmed any
+// more, and the count is reset.
 func (p *PersistentState) recordAttempt(v *Version) {
 	switch {
 	case v == nil:
--- a/internal/decide/takeover/event.go
+++ b/internal/decide/takeover/event.go
@@ -10,7 +10,7 @@
 // DeadlineReached.
 type Times struct {
 	Ready  monotime.Micros // from Offer to Ready, which is the time in which the successor starts
-	Answer monotime.Micros // from a message to its reply, if the other process needs no long work for the reply
+	Answer monotime.Micros // from a message to its reply, if the other process can reply at once
 	Drain  monotime.Micros // from Activate to Done, or of a graceful shutdown; remaining connections are then closed
 }
 
--- a/internal/decide/takeover/successor.go
+++ b/internal/decide/takeover/successor.go
@@ -15,7 +15,7 @@
 	ready                            // Ready is sent, Handover is awaited
 	prepared                         // Prepared is sent, Activate is awaited
 	accepting                        // the successor accepts; the predecessor may still hand over connections
-	alone                            // the successor accepts without a predecessor
+	alone                            // the successor accepts, and there is no predecessor or it is lost or done
 	failed
 )
 
--- a/internal/decide/zones/router.go
+++ b/internal/decide/zones/router.go
@@ -40,7 +40,7 @@
 // Decision is the zone to which a request is sent, or the rejection of the request.
 type Decision struct {
 	Zone       int             // -1 if the request is rejected
-	Spill      bool            // the request is sent to another zone than its home zone
+	Spill      bool            // the request has no required zone, and is not sent to its home zone
 	Reason     Reason          // why the request is rejected, or None
 	RetryAfter monotime.Micros // Retry-After of a rejected request; 0 if the client gets none
 }
--- a/internal/decide/zones/state.go
+++ b/internal/decide/zones/state.go
@@ -131,9 +131,9 @@
 	downThreshold     = 0.3                // a zone goes down if at most this fraction of its outcomes is in time
 )
 
-// updateUp decides whether a zone in state Up goes down. It goes down if its outcome window is old enough and has
-// enough outcomes, and at most downThreshold of these are in time. A window that has lasted windowDuration is replaced
-// by a new one.
+// updateUp decides whether a zone in state Up goes down. The zone goes down if its outcome window is old enough and has
+// enough outcomes, and at most the fraction downThreshold of these is in time. A window that has lasted for
+// windowDuration is replaced by a new one.
 func (router *Router) updateUp(now monotime.Micros, z *zone) {
 	outcomes := &z.outcomes
 	mostlyLate := float64(outcomes.inTime) <= downThreshold*float64(outcomes.total)
