--- a/internal/decide/canary/canary_test.go
+++ b/internal/decide/canary/canary_test.go
@@ -16,16 +16,17 @@
 
 var testSettings = Settings{Duration: 30_000_000, MinDuration: 2_000_000, HarmMargin: 0.01, Alpha: 0.01}
 
-// trafficSource draws random samples with a given request rate and a given fraction of requests that are not served.
-// That fraction varies between spells, each of several consecutive slots, so that failures are correlated.
+// trafficSource draws random samples with a given request rate and a given mean fraction of requests that are not
+// served. The fraction is constant during a spell of several consecutive slots and differs between spells, so that
+// failures are correlated.
 type trafficSource struct {
 	rng              *rand.Rand
 	requestRate      float64 // requests per second
 	unservedFraction float64 // mean fraction of the requests that are not served
 	spellVariation   float64 // standard deviation of the logarithm of spellFactor
 	failedFraction   float64 // fraction of the unserved requests that fail; the others are rejected
-	spellFactor      float64 // factor of unservedFraction in the current spell
-	spellSlotsLeft   int     // slots that the current spell still lasts
+	spellFactor      float64 // multiplier of unservedFraction in the current spell
+	spellSlotsLeft   int     // number of slots left in the current spell
 }
 
 // nextSample draws the sample of the next slot.
@@ -70,7 +71,7 @@
 }
 
 // A canary that is as good as its baseline is rarely found degraded, however much its served ratio varies. Harm beyond
-// the margin is found, and the sooner the larger it is.
+// the margin is found, and larger harm is found sooner.
 func TestHarmIsFoundAndNoiseIsNot(t *testing.T) {
 	const trials = 400
 	for _, tc := range []struct {
@@ -134,21 +135,21 @@
 	return values[len(values)/2]
 }
 
-// During a surge of demand, a lower served ratio is not harm, but failures are. The analysis is extended until the
-// surge ends.
+// During a surge of demand, a lower served ratio is not harm, but more failures are. The analysis is extended, and
+// passes if the surge ends.
 func TestSurgeOfDemand(t *testing.T) {
 	settings := testSettings
 	settings.MaxExtensions = 2
 	rng := rand.New(rand.NewPCG(1, 1))
-	baseline := &trafficSource{rng: rng, requestRate: 100, unservedFraction: 0.001}
-	if verdict, statistics := runToVerdict(t, settings, baseline, &trafficSource{
+	baselineSource := &trafficSource{rng: rng, requestRate: 100, unservedFraction: 0.001}
+	if verdict, statistics := runToVerdict(t, settings, baselineSource, &trafficSource{
 		rng:              rng,
 		requestRate:      250,
 		unservedFraction: 0.3,
 	}); verdict != Inconclusive || statistics.Service[1] > 0.8 {
 		t.Errorf("%v, %+v", verdict, statistics)
 	}
-	if verdict, statistics := runToVerdict(t, settings, baseline, &trafficSource{
+	if verdict, statistics := runToVerdict(t, settings, baselineSource, &trafficSource{
 		rng:              rng,
 		requestRate:      250,
 		unservedFraction: 0.3,
@@ -158,7 +159,7 @@
 	}
 	analysis, _ := NewAnalysis(settings)
 	for range 120 {
-		analysis.AddBaseline(baseline.nextSample())
+		analysis.AddBaseline(baselineSource.nextSample())
 	}
 	duringSurge := &trafficSource{rng: rng, requestRate: 300, unservedFraction: 0.2}
 	afterSurge := &trafficSource{rng: rng, requestRate: 100, unservedFraction: 0.001}
@@ -175,13 +176,13 @@
 	}
 }
 
-// A canary is never found degraded if there are no samples of the baseline. A final verdict does not change.
+// A canary passes if there are no samples of the baseline. Later samples do not change that verdict.
 func TestWithoutBaseline(t *testing.T) {
 	analysis, err := NewAnalysis(testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	failing := &trafficSource{
+	failingCanary := &trafficSource{
 		rng:              rand.New(rand.NewPCG(1, 1)),
 		requestRate:      100,
 		unservedFraction: 0.9,
@@ -189,14 +190,14 @@
 	}
 	verdict := Undecided
 	for verdict == Undecided {
-		verdict, _ = analysis.AddCanary(failing.nextSample())
+		verdict, _ = analysis.AddCanary(failingCanary.nextSample())
 	}
 	if verdict != Passed {
 		t.Errorf("%v", verdict)
 	}
 	for range 100 {
 		analysis.AddBaseline(Sample{Duration: slotDuration, OfferedWeight: 1000, ServedWeight: 1000, Requests: 1000})
-		if verdict, _ := analysis.AddCanary(failing.nextSample()); verdict != Passed {
+		if verdict, _ := analysis.AddCanary(failingCanary.nextSample()); verdict != Passed {
 			t.Fatalf("%v, after it had passed", verdict)
 		}
 	}
@@ -284,8 +285,8 @@
 	}
 }
 
-// A canary that gets hardly any requests has lost its clients, and is found degraded. Single slots with few requests
-// are not harm.
+// A canary that gets hardly any requests has lost its clients, and is found degraded. A canary with few requests in
+// single slots passes.
 func TestLostClients(t *testing.T) {
 	baseline := make([]Sample, 40)
 	for i := range baseline {
@@ -318,8 +319,8 @@
 	}
 }
 
-// An analysis with possible but uncertain harm is extended: little traffic does not prove that a canary is as good as
-// its baseline.
+// An analysis is extended while harm is possible but uncertain, because little traffic does not prove that a canary is
+// as good as its baseline.
 func TestLittleTrafficIsExtended(t *testing.T) {
 	baseline := make([]Sample, 40)
 	for i := range baseline {
--- a/internal/decide/rollout/persist.go
+++ b/internal/decide/rollout/persist.go
@@ -9,9 +9,9 @@
 	maxPersistDoublings = 6
 )
 
-// persist requests that the state is stored. If a previous ActionPersist has no result yet, the request follows that
-// result.
-func (m *StateMachine) persist() []Command {
+// requestPersist returns the command to store the state. If an earlier ActionPersist is still in progress, it returns
+// no command, and the state is stored again after that one.
+func (m *StateMachine) requestPersist() []Command {
 	if m.persisting {
 		m.persistAgain = true
 		return nil
@@ -22,9 +22,9 @@
 	return []Command{{Action: ActionPersist}}
 }
 
-// HandlePersisted handles the result of ActionPersist: reason is why the state was not stored, empty if it was. A
-// failed write is retried after a random backoff between 0.5 and 1.5 times its mean. Versions do not wait for the
-// retry.
+// HandlePersisted handles the result of ActionPersist: reason is why the state was not stored, empty if it was stored.
+// A failed write is retried after a random backoff between 0.5 and 1.5 times the mean backoff. A candidate that waits
+// for the write is applied without waiting for the retry.
 func (m *StateMachine) HandlePersisted(now monotime.Micros, reason string) []Command {
 	if !m.persisting {
 		return nil
@@ -40,7 +40,7 @@
 	m.persistFailures = 0
 	m.persistRetryAt = 0
 	if m.persistAgain {
-		return m.persist()
+		return m.requestPersist()
 	}
 	return m.applyCandidateOncePersisted()
 }
--- a/internal/decide/takeover/successor.go
+++ b/internal/decide/takeover/successor.go
@@ -15,7 +15,7 @@
 	ready                            // Ready is sent, Handover is awaited
 	prepared                         // Prepared is sent, Activate is awaited
 	accepting                        // the successor accepts; the predecessor may still hand over connections
-	alone                            // the successor accepts without a predecessor
+	alone                            // the successor accepts, and there is no predecessor or it is lost or done
 	failed
 )
 
@@ -28,9 +28,9 @@
 type Successor struct {
 	Times Times
 
-	// OwnsSockets is set if the successor has its own listening sockets. Such a successor does not fail if the
-	// predecessor rejects the hot restart or misses a deadline, but continues with what it has received so far. A
-	// predecessor that hangs may recover, so that both processes serve and spend the warm-up budget for a moment,
+	// OwnsSockets is set if the successor has opened its own listening sockets. If the predecessor rejects the hot
+	// restart or misses a deadline, such a successor does not fail but serves with what it has received so far. If the
+	// predecessor has only hung and recovers, both processes then serve and spend the warm-up budget for a moment,
 	// unless the predecessor was requested to shut down.
 	OwnsSockets bool
 
@@ -57,9 +57,9 @@
 // ReceivesConnections reports whether the predecessor may still hand over connections.
 func (s *Successor) ReceivesConnections() bool { return s.state == accepting }
 
-// MessageAtHand postpones a deadline that has passed, and reports whether it did, at most once per state. The host
-// calls it if a message from the predecessor has arrived and is not handled yet: the deadline may have passed only
-// because this process was suspended for a while.
+// MessageAtHand postpones the deadline of the current state if it has passed, at most once per state, and reports
+// whether it was postponed. The host calls it if a message from the predecessor has arrived and is not handled yet: the
+// deadline may have passed only because this process was suspended for a while.
 func (s *Successor) MessageAtHand(now monotime.Micros) bool {
 	awaitsMessage := s.state == requesting || s.state == ready || s.state == prepared
 	return awaitsMessage && s.postpone(now, s.Times.Answer)
@@ -68,7 +68,7 @@
 // Step handles an event and returns the steps to execute. Events that are not expected in the current state are
 // ignored. reason is the reason of a Rejected event, and is not used for other events.
 func (s *Successor) Step(now monotime.Micros, event Event, reason string) []Step {
-	if s.isStale(now, event) {
+	if s.isPrematureDeadline(now, event) {
 		return nil
 	}
 	if event == Stop || event == Rejected || event == DeadlineReached {
@@ -76,15 +76,15 @@
 	}
 	switch s.state {
 	case requesting:
-		return s.whileRequesting(now, event)
+		return s.stepWhileRequesting(now, event)
 	case starting:
-		return s.whileStarting(now, event)
+		return s.stepWhileStarting(now, event)
 	case ready:
-		return s.whileReady(now, event)
+		return s.stepWhileReady(now, event)
 	case prepared:
-		return s.whilePrepared(event)
+		return s.stepWhilePrepared(event)
 	case accepting:
-		return s.whileAccepting(event)
+		return s.stepWhileAccepting(event)
 	}
 	return nil
 }
@@ -114,7 +114,7 @@
 	return []Step{{Action: Disconnect}, {Action: Fail, Reason: failReason}}
 }
 
-func (s *Successor) whileRequesting(now monotime.Micros, event Event) []Step {
+func (s *Successor) stepWhileRequesting(now monotime.Micros, event Event) []Step {
 	switch event {
 	case Offer:
 		s.transition(starting, now+s.Times.Ready)
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (s *Successor) whileStarting(now monotime.Micros, event Event) []Step {
+func (s *Successor) stepWhileStarting(now monotime.Micros, event Event) []Step {
 	switch event {
 	case Handover:
 		s.handoverReceived = true
@@ -147,7 +147,7 @@
 	return nil
 }
 
-func (s *Successor) whileReady(now monotime.Micros, event Event) []Step {
+func (s *Successor) stepWhileReady(now monotime.Micros, event Event) []Step {
 	switch event {
 	case Handover:
 		return s.prepare(now)
@@ -158,7 +158,7 @@
 	return nil
 }
 
-func (s *Successor) whilePrepared(event Event) []Step {
+func (s *Successor) stepWhilePrepared(event Event) []Step {
 	switch event {
 	case Activate:
 		s.transition(accepting, 0)
@@ -170,7 +170,7 @@
 	return nil
 }
 
-func (s *Successor) whileAccepting(event Event) []Step {
+func (s *Successor) stepWhileAccepting(event Event) []Step {
 	switch event {
 	case Done, ConnectionLost:
 		s.transition(alone, 0)
--- a/internal/decide/takeover/takeover_test.go
+++ b/internal/decide/takeover/takeover_test.go
@@ -22,11 +22,11 @@
 // process is the simulated host of the predecessor or of the successor.
 type process struct {
 	alive              bool
-	disconnected       bool // it has closed its end of the connection
+	disconnected       bool // the process has closed its end of the connection
 	stopRequested      bool // Stop was passed to its state machine
-	accepting          bool // it accepts connections
-	spendsWarmupBudget bool // it spends the warm-up budget
-	hasExited          bool // it ended without being killed
+	accepting          bool // the process accepts connections
+	spendsWarmupBudget bool // the process spends the warm-up budget
+	hasExited          bool // the process has ended without being killed
 }
 
 // send adds a message to the outgoing stream, unless the process has disconnected.
@@ -36,7 +36,7 @@
 	}
 }
 
-// disconnect closes the connection.
+// disconnect closes the process's end of the connection.
 func (p *process) disconnect(outgoing *messageStream) {
 	p.disconnected = true
 	outgoing.closed = true
@@ -48,14 +48,14 @@
 	p.spendsWarmupBudget = serving
 }
 
-// exit ends the process regularly.
+// exit ends the process as requested by its state machine.
 func (p *process) exit(outgoing *messageStream) {
 	p.hasExited = true
 	p.alive = false
 	p.disconnect(outgoing)
 }
 
-// kill ends the process without a step of its state machine.
+// kill ends the process at any time, as a crash would, without a request of its state machine.
 func (p *process) kill(outgoing *messageStream) {
 	p.alive = false
 	p.setServing(false)
@@ -72,15 +72,16 @@
 	anyKilled                            bool   // predecessor or successor was killed
 	anyDeadlineReached                   bool   // DeadlineReached was passed to predecessor or successor
 	finalStateRestored                   bool   // the successor has restored the final snapshot
-	nextSuccessorServes                  bool   // a successor of the successor has taken over and accepts
-	nextSuccessorLost                    bool   // a successor of the successor was lost
+	nextSuccessorServes                  bool   // the next successor has taken over from the successor and accepts
+	nextSuccessorLost                    bool   // the next successor was lost
 	eventPath                            string // names of the events that led to this state
 }
 
 // key returns a string that identifies the state, without the events that led to it and without time.
 func (s systemState) key() string {
 	s.eventPath = ""
-	s.predecessor.deadline = min(1, s.predecessor.deadline) // only whether there is a deadline counts
+	// States are equal if their deadlines differ, unless only one of them has a deadline.
+	s.predecessor.deadline = min(1, s.predecessor.deadline)
 	s.successor.deadline = min(1, s.successor.deadline)
 	return fmt.Sprintf("%+v", s)
 }
@@ -130,11 +131,11 @@
 	}
 }
 
-// addNextState adds the state after the event with the given name. change applies that event to a copy of the current
-// state.
+// addNextState adds a state that may follow the current one. The added state is a copy of the current state, to which
+// change applies an event. name is the name of that event.
 type addNextState func(name string, change func(*systemState))
 
-// nextStates returns the states after each event that can happen in s.
+// nextStates returns, for each event that can happen in state s, the state after that event.
 func (s systemState) nextStates() []systemState {
 	var states []systemState
 	add := func(name string, change func(*systemState)) {
@@ -144,10 +145,10 @@
 		states = append(states, next)
 	}
 	if s.predecessorProcess.alive {
-		s.predecessorEvents(add)
+		s.addPredecessorTransitions(add)
 	}
 	if s.successorProcess.alive {
-		s.successorEvents(add)
+		s.addSuccessorTransitions(add)
 	}
 	return states
 }
@@ -162,8 +163,9 @@
 	step     func(next *systemState, now monotime.Micros, event Event)
 }
 
-// commonEvents adds the states after the events that may happen at predecessor and successor alike.
-func (s systemState) commonEvents(access processAccess, add addNextState) {
+// addCommonTransitions adds the next states for the events that can happen to the predecessor and to the successor: a
+// message, a lost connection, a deadline, a shutdown request, and a kill. access selects one of the two processes.
+func (s systemState) addCommonTransitions(access processAccess, add addNextState) {
 	switch process, incoming := access.process(&s), access.incoming(&s); {
 	case process.disconnected:
 	case len(incoming.messages) > 0:
@@ -194,9 +196,9 @@
 	})
 }
 
-// predecessorEvents adds the states after the events that may happen at the predecessor.
-func (s systemState) predecessorEvents(add addNextState) {
-	s.commonEvents(processAccess{
+// addPredecessorTransitions adds the next states for all events that can happen to the predecessor.
+func (s systemState) addPredecessorTransitions(add addNextState) {
+	s.addCommonTransitions(processAccess{
 		name:     "p",
 		deadline: s.predecessor.Deadline(),
 		process:  func(next *systemState) *process { return &next.predecessorProcess },
@@ -209,9 +211,9 @@
 	}
 }
 
-// successorEvents adds the states after the events that may happen at the successor.
-func (s systemState) successorEvents(add addNextState) {
-	s.commonEvents(processAccess{
+// addSuccessorTransitions adds the next states for all events that can happen to the successor.
+func (s systemState) addSuccessorTransitions(add addNextState) {
+	s.addCommonTransitions(processAccess{
 		name:     "s",
 		deadline: s.successor.Deadline(),
 		process:  func(next *systemState) *process { return &next.successorProcess },
@@ -230,12 +232,12 @@
 			next.stepSuccessor(0, Started)
 		})
 	}
-	s.nextSuccessorEvents(add)
+	s.addNextSuccessorTransitions(add)
 }
 
-// nextSuccessorEvents adds the states after the events that may happen between the successor and a successor of its
-// own.
-func (s systemState) nextSuccessorEvents(add addNextState) {
+// addNextSuccessorTransitions adds the next states for the events between the successor and the next successor, which
+// takes over from it.
+func (s systemState) addNextSuccessorTransitions(add addNextState) {
 	if s.successorProcess.accepting && !s.successorProcess.stopRequested && !s.nextSuccessorLost {
 		add("s:hands-over", func(next *systemState) {
 			next.stepSuccessor(0, HandedOver)
@@ -255,31 +257,31 @@
 	add("s:ends", func(next *systemState) { next.successorProcess.exit(&next.toPredecessor) })
 }
 
-// exceptionalEvents are the events that happen only if a process is killed or requested to shut down, or if the
-// successor itself is replaced.
+// exceptionalEvents are the events that happen only if a process is killed or requested to shut down, or if the next
+// successor takes over from the successor.
 var exceptionalEvents = []string{"p:stop", "s:stop", "p:killed", "s:killed", "s:hands-over", "s:resumes", "s:ends"}
 
-// exploration visits every systemState that the events can lead to, breadth first.
+// exploration visits every systemState that can be reached, breadth first.
 type exploration struct {
 	*testing.T
 	visited map[string]bool
 	queue   []systemState
 
-	settledStates         int // states in which only deadlines and exceptional events can happen
-	handedOver            int // settled states in which the successor serves in place of the predecessor
-	handedToNextSuccessor int // settled states in which the successor's own successor serves
+	settledStates       int // states in which only deadlines and exceptional events can happen
+	handedOverStates    int // settled states in which the successor serves in place of the predecessor
+	nextSuccessorStates int // settled states in which the next successor serves
 }
 
-// visit queues a state unless it was visited before.
-func (search *exploration) visit(s systemState) {
+// enqueueIfNew adds a state to the queue unless it was added before.
+func (search *exploration) enqueueIfNew(s systemState) {
 	if key := s.key(); !search.visited[key] {
 		search.visited[key] = true
 		search.queue = append(search.queue, s)
 	}
 }
 
-// expand visits the states after each event that can happen in s. Exceptional events aside, terminal reports that no
-// event changes the state, and onlyDeadlines that no event except a deadline changes it.
+// expand adds the states that may follow s to the queue. terminal reports that no event except an exceptional one
+// changes s, and onlyDeadlines that no event except a deadline or an exceptional one changes it.
 func (search *exploration) expand(s systemState) (terminal, onlyDeadlines bool) {
 	terminal = true
 	onlyDeadlines = true
@@ -289,7 +291,7 @@
 			terminal = false
 			onlyDeadlines = onlyDeadlines && strings.HasSuffix(event, ":deadline")
 		}
-		search.visit(next)
+		search.enqueueIfNew(next)
 	}
 	return terminal, onlyDeadlines
 }
@@ -305,21 +307,21 @@
 	}
 }
 
-// requireServing counts a settled state, and fails the test if no process serves in it, unless every process that could
-// serve was killed or requested to shut down.
+// requireServing counts s as a settled state, and fails the test if no process serves in s although a process that
+// could serve was neither killed nor requested to shut down.
 func (search *exploration) requireServing(s *systemState) {
 	search.Helper()
 	search.settledStates++
 	switch {
 	case s.successorProcess.accepting && s.finalStateRestored && s.predecessorProcess.hasExited:
-		search.handedOver++
+		search.handedOverStates++
 	case s.predecessorProcess.accepting || s.successorProcess.accepting || s.nextSuccessorServes:
 		if s.nextSuccessorServes && s.predecessorProcess.hasExited {
-			search.handedToNextSuccessor++
+			search.nextSuccessorStates++
 		}
 	case s.nextSuccessorLost && !s.successorProcess.alive:
-		// The successor has ended, and so has its own successor.
-	case s.successorProcess.stopRequested: // no process serves, as requested
+		// The successor has ended after the next successor, which had taken over from it, was lost.
+	case s.successorProcess.stopRequested: // the successor was requested to shut down
 	case s.predecessorProcess.stopRequested && (s.anyKilled || s.anyDeadlineReached):
 		// The predecessor was requested to shut down, and a kill or a deadline ended the hot restart.
 	case !s.predecessorProcess.alive && !s.successorProcess.alive && s.anyKilled: // no process is left
@@ -328,7 +330,8 @@
 	}
 }
 
-// requireNotStuck fails the test if a process waits forever in a terminal state, or does not serve although it should.
+// requireNotStuck fails the test if a process in a terminal state waits for an event that cannot happen, or does not
+// serve although it should.
 func (search *exploration) requireNotStuck(s *systemState) {
 	search.Helper()
 	predecessor := &s.predecessorProcess
@@ -346,9 +349,9 @@
 	}
 }
 
-// For any interleaving of messages, kills, shutdown requests, deadlines and lost connections, two processes never
-// accept or spend the warm-up budget at the same time, and in the end a process serves, unless both have ended or one
-// was requested to shut down.
+// TestEveryInterleaving explores every interleaving of messages, kills, shutdown requests, deadlines and lost
+// connections. Two processes must never accept or spend the warm-up budget at the same time. In the end a process must
+// serve, unless both have ended or one was requested to shut down.
 func TestEveryInterleaving(t *testing.T) {
 	initial := systemState{
 		predecessor:        Predecessor{Times: testTimes},
@@ -358,7 +361,7 @@
 	}
 	initial.executeSuccessorSteps(initial.successor.Connected(0))
 	search := exploration{T: t, visited: map[string]bool{}}
-	search.visit(initial)
+	search.enqueueIfNew(initial)
 	for len(search.queue) > 0 {
 		s := search.queue[0]
 		search.queue = search.queue[1:]
@@ -371,10 +374,10 @@
 			search.requireNotStuck(&s)
 		}
 	}
-	if len(search.visited) < 500 || search.settledStates < 20 || search.handedOver == 0 ||
-		search.handedToNextSuccessor == 0 {
+	if len(search.visited) < 500 || search.settledStates < 20 || search.handedOverStates == 0 ||
+		search.nextSuccessorStates == 0 {
 		t.Errorf("only %d states, %d ends, %d of them handed over: too little was tried",
-			len(search.visited), search.settledStates, search.handedOver)
+			len(search.visited), search.settledStates, search.handedOverStates)
 	}
 	t.Logf("%d states, %d ends", len(search.visited), search.settledStates)
 }
@@ -427,14 +430,14 @@
 	successor.transition(accepting, 0)
 	steps := successor.Step(1, Stop, "")
 	if len(steps) != 1 || steps[0].Message != Stopping {
-		t.Fatalf("the successor: %+v", steps)
+		t.Fatalf("steps of the successor: %+v", steps)
 	}
 	steps = predecessor.Step(1, Stopping)
 	if len(steps) != 2 || steps[1].Action != Drain || predecessor.Deadline() != 9 {
-		t.Errorf("the predecessor: %+v until %d", steps, predecessor.Deadline())
+		t.Errorf("steps of the predecessor: %+v, deadline %d", steps, predecessor.Deadline())
 	}
 	if steps = predecessor.Step(2, ConnectionLost); steps != nil {
-		t.Errorf("then: %+v", steps)
+		t.Errorf("steps after the lost connection: %+v", steps)
 	}
 }
 
@@ -443,32 +446,32 @@
 	predecessor := Predecessor{Times: testTimes}
 	predecessor.Step(0, Hello)
 	if !predecessor.HandingOver() || predecessor.Deadline() != 10 {
-		t.Fatalf("%v until %d", &predecessor, predecessor.Deadline())
+		t.Fatalf("state %v, deadline %d", &predecessor, predecessor.Deadline())
 	}
 	if steps := predecessor.Step(9, DeadlineReached); steps != nil {
-		t.Errorf("before the time: %v", steps)
+		t.Errorf("steps before the deadline: %v", steps)
 	}
 	steps := predecessor.Step(10, DeadlineReached)
 	if len(steps) != 2 || steps[0].Message != Rejected || steps[0].Reason == "" || predecessor.HandingOver() {
-		t.Errorf("at the time: %+v, then %v", steps, &predecessor)
+		t.Errorf("steps at the deadline: %+v, then state %v", steps, &predecessor)
 	}
-	// The predecessor serves again, and sends an Offer to the next successor.
+	// After the rejection the predecessor serves again, and replies to the next Hello with Offer.
 	if steps := predecessor.Step(11, Hello); len(steps) != 1 || steps[0].Message != Offer {
-		t.Errorf("the next: %+v", steps)
+		t.Errorf("steps after the next Hello: %+v", steps)
 	}
 }
 
-// A successor that owns its sockets serves in time for any behavior of the predecessor, and fails only if it is
-// requested to shut down.
+// A successor that owns its sockets starts serving within six seconds, whatever the predecessor does. It fails only if
+// it is requested to shut down.
 func TestSuccessorThatOwnsSocketsServesInTime(t *testing.T) {
 	realTimes := Times{Ready: 2_000_000, Answer: 1_000_000, Drain: 30_000_000}
 	for seed := range uint64(2000) {
 		checkSocketOwnerServes(t, seed, realTimes)
 	}
-	stopped := Successor{Times: realTimes, OwnsSockets: true}
-	stopped.Connected(0)
-	if steps := stopped.Step(1, Stop, ""); len(steps) == 0 || steps[len(steps)-1].Action != Fail {
-		t.Errorf("stopped before it began: %v", steps)
+	stoppedSuccessor := Successor{Times: realTimes, OwnsSockets: true}
+	stoppedSuccessor.Connected(0)
+	if steps := stoppedSuccessor.Step(1, Stop, ""); len(steps) == 0 || steps[len(steps)-1].Action != Fail {
+		t.Errorf("steps after a shutdown request before Offer: %v", steps)
 	}
 }
 
@@ -477,7 +480,7 @@
 func checkSocketOwnerServes(t *testing.T, seed uint64, times Times) {
 	t.Helper()
 	const timeLimit = 6_000_000
-	fromPredecessor := []Event{Offer, Handover, Activate, Done, Rejected, ConnectionLost, Hello, Prepared}
+	possibleEvents := []Event{Offer, Handover, Activate, Done, Rejected, ConnectionLost, Hello, Prepared}
 	rng := rand.New(rand.NewPCG(seed, 3))
 	host := socketOwnerHost{T: t, seed: seed, successor: Successor{Times: times, OwnsSockets: true}}
 	successor := &host.successor
@@ -492,7 +495,7 @@
 		case host.startRequested && rng.IntN(4) == 0:
 			host.executeSteps(successor.Step(now, Started, ""))
 		case !host.disconnected && rng.IntN(3) == 0:
-			host.executeSteps(successor.Step(now, fromPredecessor[rng.IntN(len(fromPredecessor))], "no sense"))
+			host.executeSteps(successor.Step(now, possibleEvents[rng.IntN(len(possibleEvents))], "no sense"))
 		}
 	}
 	if !successor.Serving() || host.servingStarts != 1 {
@@ -507,7 +510,7 @@
 	successor      Successor
 	startRequested bool // StartWithOffer was executed
 	disconnected   bool
-	servingStarts  int // number of steps that made it start serving
+	servingStarts  int // number of executed StartServing and StartAlone steps
 }
 
 func (h *socketOwnerHost) executeSteps(steps []Step) {
