--- a/internal/daemon/accesslog.go
+++ b/internal/daemon/accesslog.go
@@ -9,23 +9,23 @@
 )
 
 // openAccessLog starts the access log if the configuration has a folder for it. stopBackground closes it.
-func (d *generation) openAccessLog() error {
-	c := &d.options.Config.AccessLog
-	if c.Dir == "" {
+func (g *generation) openAccessLog() error {
+	settings := &g.options.Config.AccessLog
+	if settings.Dir == "" {
 		return nil
 	}
 	var err error
-	if d.keyHasher, err = accesslog.NewHasher(c.SecretFile); err != nil {
+	if g.keyHasher, err = accesslog.NewHasher(settings.SecretFile); err != nil {
 		return fmt.Errorf("access record: %w", err)
 	}
-	d.recorder, err = accesslog.NewWriter(accesslog.Options{
-		Dir:      c.Dir,
-		Instance: d.options.Config.Name,
-		Sample:   c.SampleRate,
-		Rows:     c.SegmentRows,
-		Age:      c.SegmentAge.Duration,
-		Keep:     c.MaxBytes.Bytes,
-		Log:      d.log,
+	g.accessLog, err = accesslog.NewWriter(accesslog.Options{
+		Dir:      settings.Dir,
+		Instance: g.options.Config.Name,
+		Sample:   settings.SampleRate,
+		Rows:     settings.SegmentRows,
+		Age:      settings.SegmentAge.Duration,
+		Keep:     settings.MaxBytes.Bytes,
+		Log:      g.log,
 	})
 	if err != nil {
 		return fmt.Errorf("access record: %w", err)
@@ -34,50 +34,50 @@
 }
 
 // recordExchange adds a finished request to the canary tally and the access log.
-func (d *generation) recordExchange(x *http1.ExchangeRecord) {
-	if d.tally != nil {
-		d.tally.add(x)
+func (g *generation) recordExchange(exchange *http1.ExchangeRecord) {
+	if g.tally != nil {
+		g.tally.addExchange(exchange)
 	}
-	if d.recorder != nil {
-		d.recorder.Add(d.accessLogRow(x))
+	if g.accessLog != nil {
+		g.accessLog.Add(g.accessLogRow(exchange))
 	}
 }
 
 // accessLogRow returns the row of the access log for a request.
-func (d *generation) accessLogRow(x *http1.ExchangeRecord) accesslog.Row {
-	site := &d.options.Config.Site
-	h := d.keyHasher
-	r := accesslog.Row{
-		Arrived:       x.ArrivedAt,
-		Duration:      x.EndedAt - x.ArrivedAt,
-		QueueTime:     x.Response.QueueTime,
-		ClientTimeout: x.ClientTimeout,
-		Client:        x.ClientName,
-		Route:         x.RouteName,
-		Class:         site.Classes[x.Class],
-		Endpoint:      x.Response.Endpoint,
-		Status:        int32(x.Status),
-		Attempts:      int32(x.Response.Attempts),
-		KeyHash:       h.Hash("key", x.IdempotencyKey),
-		ObjectHash:    h.Hash("object", x.Object),
-		BytesIn:       x.RequestBytes,
-		BytesOut:      x.ResponseBytes,
-		Retry:         x.Retry,
+func (g *generation) accessLogRow(exchange *http1.ExchangeRecord) accesslog.Row {
+	site := &g.options.Config.Site
+	hasher := g.keyHasher
+	row := accesslog.Row{
+		Arrived:       exchange.ArrivedAt,
+		Duration:      exchange.EndedAt - exchange.ArrivedAt,
+		QueueTime:     exchange.Response.QueueTime,
+		ClientTimeout: exchange.ClientTimeout,
+		Client:        exchange.ClientName,
+		Route:         exchange.RouteName,
+		Class:         site.Classes[exchange.Class],
+		Endpoint:      exchange.Response.Endpoint,
+		Status:        int32(exchange.Status),
+		Attempts:      int32(exchange.Response.Attempts),
+		KeyHash:       hasher.Hash("key", exchange.IdempotencyKey),
+		ObjectHash:    hasher.Hash("object", exchange.Object),
+		BytesIn:       exchange.RequestBytes,
+		BytesOut:      exchange.ResponseBytes,
+		Retry:         exchange.Retry,
 	}
-	if int(x.Tenant) < len(site.Tenants) {
-		r.Tenant = site.Tenants[x.Tenant]
+	if int(exchange.Tenant) < len(site.Tenants) {
+		row.Tenant = site.Tenants[exchange.Tenant]
 	}
 	switch {
-	case x.ClientGone:
-		r.Verdict = accesslog.Cancelled
-	case x.Response.Verdict == engine.Served:
-		r.Verdict = accesslog.Served
-	case x.Response.Verdict == engine.Rejected, x.Response.Verdict == engine.RateLimited:
-		r.Verdict = accesslog.Rejected
-	case x.Response.Verdict == engine.TimedOut:
-		r.Verdict = accesslog.TimedOut
+	case exchange.ClientGone:
+		row.Verdict = accesslog.Cancelled
+	case exchange.Response.Verdict == engine.Served:
+		row.Verdict = accesslog.Served
+	case exchange.Response.Verdict == engine.Rejected, exchange.Response.Verdict == engine.RateLimited:
+		row.Verdict = accesslog.Rejected
+	case exchange.Response.Verdict == engine.TimedOut:
+		row.Verdict = accesslog.TimedOut
 	default:
-		r.Verdict = accesslog.Failed
+		row.Verdict = accesslog.Failed
 	}
-	return r
+	return row
 }
--- a/internal/daemon/canary.go
+++ b/internal/daemon/canary.go
@@ -12,66 +12,67 @@
 	maxSampleAge        = 10 * sampleInterval    // a longer sample is dropped: the process stood still
 	maxBaselineSamples  = 240                    // latest samples of good configurations, the baseline of a canary
 	maxCanaryExtensions = 3                      // of an inconclusive canary analysis, each by its duration
-	// A verdict of harm that is not severe needs this part of the canary's duration, but maxMinDuration at most.
-	minDurationDivisor = 4
-	maxMinDuration     = 5_000_000 // microseconds
+	// A verdict of harm that is not severe needs this part of the canary's duration, but maxMinCanaryDuration at most.
+	minCanaryDurationDivisor = 4
+	maxMinCanaryDuration     = 5_000_000 // microseconds
 )
 
 // startCanary starts the canary analysis of the running configuration against the last known good one.
 func (p *process) startCanary() {
-	c := &p.control
-	s := canary.Settings{
-		Duration:      c.CanaryDuration.Micros(),
-		HarmMargin:    c.HarmMargin,
-		Alpha:         c.Alpha,
+	controlPlane := &p.controlPlane
+	settings := canary.Settings{
+		Duration:      controlPlane.CanaryDuration.Micros(),
+		HarmMargin:    controlPlane.HarmMargin,
+		Alpha:         controlPlane.Alpha,
 		MaxExtensions: maxCanaryExtensions,
 	}
-	s.MinDuration = min(s.Duration/minDurationDivisor, maxMinDuration)
+	settings.MinDuration = min(settings.Duration/minCanaryDurationDivisor, maxMinCanaryDuration)
 	var err error
-	if p.canary, err = canary.NewAnalysis(s, p.baselineSamples...); err != nil {
+	if p.canaryAnalysis, err = canary.NewAnalysis(settings, p.baselineSamples...); err != nil {
 		p.log.Error("canary not started", "error", err) // not expected: package config has checked the settings
-		p.carryOut(p.machine.HandleCanaryResult(now(), ""))
+		p.executeCommands(p.machine.HandleCanaryResult(now(), ""))
 		return
 	}
 	p.canarySamples = nil
-	t := p.serving.tally
-	if t == nil {
+	tally := p.serving.tally
+	if tally == nil {
 		return
 	}
-	if good, err := p.configOf(*p.machine.PersistentState().LastKnownGood); err == nil {
-		t.setObjectives(p.serving.options.Config.Site.Settings.Classes, good.Site.Settings.Classes)
+	if goodConfig, err := p.configOf(*p.machine.PersistentState().LastKnownGood); err == nil {
+		tally.setObjectives(p.serving.options.Config.Site.Settings.Classes, goodConfig.Site.Settings.Classes)
 	}
-	t.take() // drops the outcomes under the configuration before
+	tally.takeAndReset() // drops the outcomes under the configuration before
 }
 
-// takeSample adds the outcomes of requests since the last sample to the canary analysis, or to its baseline while none
+// takeCanarySample adds the outcomes of requests since the last sample to the canary analysis, or to its baseline while none
 // runs, and carries out the analysis's verdict.
-func (p *process) takeSample() {
-	at := time.Now()
-	length := at.Sub(p.lastSample)
-	p.lastSample = at
-	t := p.serving.tally
-	if t == nil || length > maxSampleAge {
+func (p *process) takeCanarySample() {
+	sampleEnd := time.Now()
+	sampleLength := sampleEnd.Sub(p.lastSampleEnd)
+	p.lastSampleEnd = sampleEnd
+	tally := p.serving.tally
+	if tally == nil || sampleLength > maxSampleAge {
 		return
 	}
-	s := t.take()
-	s.Duration = length.Microseconds()
-	if p.canary == nil {
-		p.addToBaseline(s)
+	sample := tally.takeAndReset()
+	sample.Duration = sampleLength.Microseconds()
+	if p.canaryAnalysis == nil {
+		p.addToBaseline(sample)
 		return
 	}
-	p.canarySamples = append(p.canarySamples, s)
-	switch verdict, figures := p.canary.AddCanary(s); verdict {
+	p.canarySamples = append(p.canarySamples, sample)
+	switch verdict, figures := p.canaryAnalysis.AddCanary(sample); verdict {
 	case canary.Undecided:
 	case canary.Degraded:
-		p.canary = nil
-		p.carryOut(p.machine.HandleCanaryResult(now(), fmt.Sprintf("worse by %s: %s", figures.Metric, figures.Text())))
+		p.canaryAnalysis = nil
+		p.executeCommands(p.machine.HandleCanaryResult(
+			now(), fmt.Sprintf("worse by %s: %s", figures.Metric, figures.Text())))
 	default:
-		p.canary = nil
+		p.canaryAnalysis = nil
 		p.log.Info("canary ended", "verdict", verdict.String(), "figures", figures.Text())
 		p.addToBaseline(p.canarySamples...)
-		t.setObjectives(p.serving.options.Config.Site.Settings.Classes, nil)
-		p.carryOut(p.machine.HandleCanaryResult(now(), ""))
+		tally.setObjectives(p.serving.options.Config.Site.Settings.Classes, nil)
+		p.executeCommands(p.machine.HandleCanaryResult(now(), ""))
 	}
 }
 
--- a/internal/daemon/canary_tally.go
+++ b/internal/daemon/canary_tally.go
@@ -20,12 +20,12 @@
 
 // setObjectives sets the objectives and weights by which outcomes are measured from now on. A class of the generation
 // (own) is measured by the class of the same name in reference, or by its own values if there is none.
-func (t *canaryTally) setObjectives(own, reference []balancer.Class) {
-	objectives := append([]balancer.Class(nil), own...)
+func (t *canaryTally) setObjectives(ownClasses, referenceClasses []balancer.Class) {
+	objectives := append([]balancer.Class(nil), ownClasses...)
 	for i := range objectives {
-		for j := range reference {
-			if reference[j].Name == objectives[i].Name {
-				objectives[i] = reference[j]
+		for j := range referenceClasses {
+			if referenceClasses[j].Name == objectives[i].Name {
+				objectives[i] = referenceClasses[j]
 			}
 		}
 	}
@@ -35,36 +35,36 @@
 }
 
 // add counts a finished request. A request whose client left before its deadline is not counted.
-func (t *canaryTally) add(x *http1.ExchangeRecord) {
+func (t *canaryTally) addExchange(exchange *http1.ExchangeRecord) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if int(x.Class) >= len(t.objectives) {
+	if int(exchange.Class) >= len(t.objectives) {
 		return
 	}
-	c := &t.objectives[x.Class]
-	took := x.EndedAt - x.ArrivedAt
-	if x.ClientGone && took < x.ClientTimeout {
+	class := &t.objectives[exchange.Class]
+	responseTime := exchange.EndedAt - exchange.ArrivedAt
+	if exchange.ClientGone && responseTime < exchange.ClientTimeout {
 		return
 	}
 	t.sample.Requests++
-	t.sample.OfferedWeight += c.PriorityWeight
+	t.sample.OfferedWeight += class.PriorityWeight
 	switch {
-	case x.ClientGone:
+	case exchange.ClientGone:
 		t.sample.Failed++
-	case x.Response.Verdict == engine.Served && took <= c.LatencyObjective:
-		t.sample.ServedWeight += c.PriorityWeight
-	case x.Response.Verdict == engine.Served:
-		t.sample.ServedWeight += c.PriorityWeight * c.LateWeight
-	case x.Response.Verdict == engine.Failed || x.Response.Verdict == engine.TimedOut:
+	case exchange.Response.Verdict == engine.Served && responseTime <= class.LatencyObjective:
+		t.sample.ServedWeight += class.PriorityWeight
+	case exchange.Response.Verdict == engine.Served:
+		t.sample.ServedWeight += class.PriorityWeight * class.LateWeight
+	case exchange.Response.Verdict == engine.Failed || exchange.Response.Verdict == engine.TimedOut:
 		t.sample.Failed++
 	}
 }
 
 // take returns the outcomes since the last call, without a duration.
-func (t *canaryTally) take() canary.Sample {
+func (t *canaryTally) takeAndReset() canary.Sample {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.sample
+	sample := t.sample
 	t.sample = canary.Sample{}
-	return s
+	return sample
 }
--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -23,17 +23,17 @@
 	config        *config.Config
 	byName        map[string]*http1.Client
 	defaultClient *http1.Client // of connections without a configured client; nil if these are rejected
-	processes     map[clientProcess]*processClient
+	processes     map[processKey]*processState
 }
 
-// clientProcess identifies a process of a client that is configured with limits for each process.
-type clientProcess struct {
+// processKey identifies a process of a client that is configured with limits for each process.
+type processKey struct {
 	client string
 	pid    int32
 }
 
-// processClient is the state of one client process.
-type processClient struct {
+// processState is the state of one client process.
+type processState struct {
 	client      *http1.Client
 	connections int
 	idleSince   time.Time // the end of its last connection; only valid without connections
@@ -48,9 +48,9 @@
 
 // newClients returns the clients of a configuration.
 func newClients(front *http1.Server, c *config.Config) (*clients, error) {
-	k := &clients{front: front, byName: map[string]*http1.Client{}, processes: map[clientProcess]*processClient{}}
-	_, err := k.applyConfig(c)
-	return k, err
+	cs := &clients{front: front, byName: map[string]*http1.Client{}, processes: map[processKey]*processState{}}
+	_, err := cs.applyConfig(c)
+	return cs, err
 }
 
 // clientSettings returns the settings of a client as the frontend takes them.
@@ -65,63 +65,63 @@
 // applyConfig applies the clients of a configuration, and returns how many are new or have other limits. Connections
 // keep the client that they have. After an error the configuration before stays in effect, but the limits of some
 // clients may have changed.
-func (k *clients) applyConfig(c *config.Config) (changed int, err error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	limitsBefore := map[string]config.ClientLimits{}
-	if k.config != nil {
-		for _, client := range k.config.Clients {
-			limitsBefore[client.Name] = client.ClientLimits
+func (cs *clients) applyConfig(c *config.Config) (changed int, err error) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	previousLimitsByName := map[string]config.ClientLimits{}
+	if cs.config != nil {
+		for _, client := range cs.config.Clients {
+			previousLimitsByName[client.Name] = client.ClientLimits
 		}
 	}
 	byName := map[string]*http1.Client{}
 	for i := range c.Clients {
 		name := c.Clients[i].Name
 		limits := &c.Clients[i].ClientLimits
-		byName[name] = k.byName[name]
-		if before, known := limitsBefore[name]; known && before == *limits {
+		byName[name] = cs.byName[name]
+		if previousLimits, known := previousLimitsByName[name]; known && previousLimits == *limits {
 			continue
 		}
 		changed++
-		if byName[name], err = k.setClientLocked(k.byName[name], clientSettings(name, limits)); err != nil {
+		if byName[name], err = cs.setClientLocked(cs.byName[name], clientSettings(name, limits)); err != nil {
 			return changed, err
 		}
-		if err := k.updateProcessesLocked(name, limits); err != nil {
+		if err := cs.updateProcessesLocked(name, limits); err != nil {
 			return changed, err
 		}
 	}
-	defaultClient := k.defaultClient
+	defaultClient := cs.defaultClient
 	switch {
 	case c.OtherClients == nil:
 		defaultClient = nil
-	case k.config == nil || k.config.OtherClients == nil || *k.config.OtherClients != *c.OtherClients:
+	case cs.config == nil || cs.config.OtherClients == nil || *cs.config.OtherClients != *c.OtherClients:
 		changed++
 		settings := clientSettings(defaultClientName, c.OtherClients)
-		if defaultClient, err = k.setClientLocked(defaultClient, settings); err != nil {
+		if defaultClient, err = cs.setClientLocked(defaultClient, settings); err != nil {
 			return changed, err
 		}
 	}
-	k.config = c
-	k.byName = byName
-	k.defaultClient = defaultClient
+	cs.config = c
+	cs.byName = byName
+	cs.defaultClient = defaultClient
 	return changed, nil
 }
 
 // setClientLocked updates a client of the frontend, or makes one if client is nil, and returns it.
-func (k *clients) setClientLocked(client *http1.Client, settings http1.ClientSettings) (*http1.Client, error) {
+func (cs *clients) setClientLocked(client *http1.Client, settings http1.ClientSettings) (*http1.Client, error) {
 	if client == nil {
-		return k.front.NewClient(settings)
+		return cs.front.NewClient(settings)
 	}
-	return client, k.front.UpdateClient(client, settings)
+	return client, cs.front.UpdateClient(client, settings)
 }
 
 // updateProcessesLocked sets the limits of the known processes of a client.
-func (k *clients) updateProcessesLocked(name string, limits *config.ClientLimits) error {
-	for process, state := range k.processes {
+func (cs *clients) updateProcessesLocked(name string, limits *config.ClientLimits) error {
+	for process, state := range cs.processes {
 		if process.client != name {
 			continue
 		}
-		if err := k.front.UpdateClient(state.client, clientSettings(state.client.Name, limits)); err != nil {
+		if err := cs.front.UpdateClient(state.client, clientSettings(state.client.Name, limits)); err != nil {
 			return err
 		}
 	}
@@ -130,51 +130,52 @@
 
 // identify returns the function that identifies the client of a listener's connections. An error rejects the
 // connection.
-func (k *clients) identify(l *config.Listener) http1.Identify {
-	return func(nc net.Conn) (*http1.Client, func(), error) {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		rule, pid, err := k.ruleLocked(l, nc)
+func (cs *clients) identify(listenerConfig *config.Listener) http1.Identify {
+	return func(conn net.Conn) (*http1.Client, func(), error) {
+		cs.mu.Lock()
+		defer cs.mu.Unlock()
+		configured, pid, err := cs.configuredClientLocked(listenerConfig, conn)
 		switch {
 		case err != nil:
 			return nil, nil, err
-		case rule == nil && k.defaultClient == nil:
+		case configured == nil && cs.defaultClient == nil:
 			return nil, nil, errUnknownClient
-		case rule == nil:
-			return k.defaultClient, nil, nil
-		case !rule.PerProcess || pid == 0:
-			return k.byName[rule.Name], nil, nil
+		case configured == nil:
+			return cs.defaultClient, nil, nil
+		case !configured.PerProcess || pid == 0:
+			return cs.byName[configured.Name], nil, nil
 		}
-		return k.processClientLocked(rule, pid)
+		return cs.processClientLocked(configured, pid)
 	}
 }
 
 var errUnknownClient = errors.New("no client of the configuration, and there is no table others")
 
-// ruleLocked returns the configured client of a connection, nil if there is none, and the id of the process that
+// configuredClientLocked returns the configured client of a connection, nil if there is none, and the id of the process that
 // connected, 0 if the connection is not on a unix socket.
-func (k *clients) ruleLocked(l *config.Listener, nc net.Conn) (*config.Client, int32, error) {
+func (cs *clients) configuredClientLocked(listenerConfig *config.Listener, conn net.Conn) (
+	*config.Client, int32, error) {
 	var pid int32
-	if network, _ := l.Network(); network == "unix" {
-		peer, err := peerOf(nc)
+	if network, _ := listenerConfig.Network(); network == "unix" {
+		credentials, err := peerCredentials(conn)
 		if err != nil {
 			return nil, 0, fmt.Errorf("who connects is not known: %w", err)
 		}
-		pid = peer.Pid
-		for i := range k.config.Clients {
-			if cl := &k.config.Clients[i]; slices.Contains(cl.UIDs, peer.Uid) {
-				return cl, pid, nil
+		pid = credentials.Pid
+		for i := range cs.config.Clients {
+			if client := &cs.config.Clients[i]; slices.Contains(client.UIDs, credentials.Uid) {
+				return client, pid, nil
 			}
 		}
-		for i := range k.config.Clients {
-			if cl := &k.config.Clients[i]; slices.Contains(cl.GIDs, peer.Gid) {
-				return cl, pid, nil
+		for i := range cs.config.Clients {
+			if client := &cs.config.Clients[i]; slices.Contains(client.GIDs, credentials.Gid) {
+				return client, pid, nil
 			}
 		}
 	}
-	for i := range k.config.Clients {
-		if cl := &k.config.Clients[i]; cl.Name == l.Client {
-			return cl, pid, nil
+	for i := range cs.config.Clients {
+		if client := &cs.config.Clients[i]; client.Name == listenerConfig.Client {
+			return client, pid, nil
 		}
 	}
 	return nil, pid, nil
@@ -182,48 +183,49 @@
 
 // processClientLocked returns the client of one process for a new connection, and the function to call at the
 // connection's end.
-func (k *clients) processClientLocked(rule *config.Client, pid int32) (*http1.Client, func(), error) {
-	for process, state := range k.processes {
+func (cs *clients) processClientLocked(configured *config.Client, pid int32) (*http1.Client, func(), error) {
+	for process, state := range cs.processes {
 		if state.connections == 0 && time.Since(state.idleSince) > processClientTTL {
-			delete(k.processes, process)
+			delete(cs.processes, process)
 		}
 	}
-	process := clientProcess{rule.Name, pid}
-	state := k.processes[process]
+	process := processKey{configured.Name, pid}
+	state := cs.processes[process]
 	if state == nil {
-		client, err := k.front.NewClient(clientSettings(fmt.Sprintf("%s/%d", rule.Name, pid), &rule.ClientLimits))
+		client, err := cs.front.NewClient(
+			clientSettings(fmt.Sprintf("%s/%d", configured.Name, pid), &configured.ClientLimits))
 		if err != nil {
 			return nil, nil, err
 		}
-		state = &processClient{client: client}
-		k.processes[process] = state
+		state = &processState{client: client}
+		cs.processes[process] = state
 	}
 	state.connections++
 	return state.client, func() {
-		k.mu.Lock()
-		defer k.mu.Unlock()
+		cs.mu.Lock()
+		defer cs.mu.Unlock()
 		state.connections--
 		state.idleSince = time.Now()
 	}, nil
 }
 
-// peerOf returns the kernel's credentials of the process that connected.
-func peerOf(nc net.Conn) (*syscall.Ucred, error) {
-	sc, ok := nc.(syscall.Conn)
+// peerCredentials returns the kernel's credentials of the process that connected.
+func peerCredentials(conn net.Conn) (*syscall.Ucred, error) {
+	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil, errors.New("no socket")
 	}
-	raw, err := sc.SyscallConn()
+	rawConn, err := socket.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	var peer *syscall.Ucred
-	if broken := raw.Control(func(fd uintptr) {
-		peer, err = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
-	}); broken != nil {
-		return nil, broken
+	var credentials *syscall.Ucred
+	if controlErr := rawConn.Control(func(fd uintptr) {
+		credentials, err = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
+	}); controlErr != nil {
+		return nil, controlErr
 	}
-	return peer, err
+	return credentials, err
 }
 
 // ClientUsage is what one client uses of its limits.
@@ -235,28 +237,28 @@
 }
 
 // usage returns what each client uses of its limits, sorted by name.
-func (k *clients) usage() []ClientUsage {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	var all []ClientUsage
+func (cs *clients) usage() []ClientUsage {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	var usages []ClientUsage
 	add := func(c *http1.Client) {
-		conns, open, bytes := k.front.ClientUsage(c)
-		all = append(all, ClientUsage{c.Name, conns, open, bytes})
+		connections, openRequests, bufferedBytes := cs.front.ClientUsage(c)
+		usages = append(usages, ClientUsage{c.Name, connections, openRequests, bufferedBytes})
 	}
-	for _, c := range k.byName {
+	for _, c := range cs.byName {
 		add(c)
 	}
-	if k.defaultClient != nil {
-		add(k.defaultClient)
+	if cs.defaultClient != nil {
+		add(cs.defaultClient)
 	}
-	for _, state := range k.processes {
+	for _, state := range cs.processes {
 		add(state.client)
 	}
-	slices.SortFunc(all, func(a, b ClientUsage) int {
+	slices.SortFunc(usages, func(a, b ClientUsage) int {
 		if a.Client < b.Client {
 			return -1
 		}
 		return 1
 	})
-	return all
+	return usages
 }
--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -30,14 +30,14 @@
 	front     *http1.Server
 	clients   *clients
 
-	gossip        atomic.Pointer[peers.Peers] // nil while this instance is not part of a fleet
-	spentLog      *spentLog                   // nil without a file for it
-	consensus     *consensusMember            // nil while this instance takes no part in the consensus
-	inheritedPlan *engine.MaintenancePlan     // the predecessor's; nil without one
-	clock         clock.Clock
-	stopAdmin     func() // stops the admin server; nil while none runs
+	gossip           atomic.Pointer[peers.Peers] // nil while this instance is not part of a fleet
+	spentLog         *spentLog                   // nil without a file for it
+	consensus        *consensusMember            // nil while this instance takes no part in the consensus
+	inheritedPlan    *engine.MaintenancePlan     // the predecessor's; nil without one
+	clock            clock.Clock
+	closeAdminServer func() // stops the admin server; nil while none runs
 
-	recorder  *accesslog.Writer // nil without an access log
+	accessLog *accesslog.Writer // nil without an access log
 	keyHasher *accesslog.Hasher // of the access log
 	tally     *canaryTally      // nil without canaries
 
@@ -49,20 +49,20 @@
 }
 
 // assemble makes a generation without starting it.
-func assemble(o Options) (*generation, error) {
-	c := o.Config
-	if o.Seed == 0 {
-		o.Seed = rand.Uint64()
+func assemble(options Options) (*generation, error) {
+	c := options.Config
+	if options.Seed == 0 {
+		options.Seed = rand.Uint64()
 	}
-	d := &generation{options: o, config: c, log: o.Log, pools: pools{}}
+	g := &generation{options: options, config: c, log: options.Log, pools: pools{}}
 	clk := clock.New()
 	if c.Peers.On {
 		clk = clock.NewBootClock() // it counts the time while the host sleeps, in which leases end, too
 	}
-	d.clock = clk
-	d.upstreams = upstream.New(upstream.Options{
+	g.clock = clk
+	g.upstreams = upstream.New(upstream.Options{
 		Clock:              clk,
-		Log:                o.Log,
+		Log:                options.Log,
 		MaxConns:           c.Connections.MaxEndpoints,
 		DialTimeout:        c.Attempts.DialTimeout.Duration,
 		KeepAlive:          c.Site.KeepAlive,
@@ -71,139 +71,139 @@
 		LoadFields:         c.Site.LoadReportFields,
 		LoadInResponses:    c.Site.ReportsOnResponses,
 	})
-	if err := d.newCore(); err != nil {
+	if err := g.newCore(); err != nil {
 		return nil, err
 	}
 	for _, conf := range configuredPools(c) {
-		p, err := d.newPool(conf, c.Site.Settings.Subscribe)
+		p, err := g.newPool(conf, c.Site.Settings.Subscribe)
 		if err != nil {
 			return nil, err
 		}
-		d.pools[conf.Name] = p
+		g.pools[conf.Name] = p
 	}
-	if err := d.newFrontend(); err != nil {
+	if err := g.newFrontend(); err != nil {
 		return nil, err
 	}
-	d.setRoutes(c)
+	g.setRoutes(c)
 	var err error
-	if d.clients, err = newClients(d.front, c); err != nil {
+	if g.clients, err = newClients(g.front, c); err != nil {
 		return nil, err
 	}
-	return d, d.openAccessLog() // last, because it starts a goroutine
+	return g, g.openAccessLog() // last, because it starts a goroutine
 }
 
 // newCore makes the core, with coordination in a fleet if the configuration has one.
-func (d *generation) newCore() error {
-	o := &d.options
-	c := d.config
+func (g *generation) newCore() error {
+	options := &g.options
+	c := g.config
 	conf := core.Config{
-		Clock:       d.clock,
+		Clock:       g.clock,
 		Site:        &c.Site,
-		Seed:        o.Seed,
+		Seed:        options.Seed,
 		Concurrency: c.ConcurrencySettings(),
-		Upstream:    d.upstreams,
-		Log:         o.Log,
+		Upstream:    g.upstreams,
+		Log:         options.Log,
 	}
 	if path := c.Peers.SpentLog; path != "" {
 		var err error
-		if d.spentLog, err = openSpentLog(path, o.Log); err != nil {
+		if g.spentLog, err = openSpentLog(path, options.Log); err != nil {
 			return fmt.Errorf("peers.spent: %w", err)
 		}
-		conf.OnQuotaSpent = d.spentLog.record
+		conf.OnQuotaSpent = g.spentLog.record
 	}
-	d.core = core.New(conf)
-	return d.joinCoordination()
+	g.core = core.New(conf)
+	return g.joinCoordination()
 }
 
 // newFrontend makes the frontend, and the canary tally that it records requests in.
-func (d *generation) newFrontend() error {
-	c := d.config
-	front := http1.Options{
-		Clock:       d.clock,
+func (g *generation) newFrontend() error {
+	c := g.config
+	frontOptions := http1.Options{
+		Clock:       g.clock,
 		Site:        &c.Site,
-		Core:        d.core,
-		SendAttempt: d.upstreams.Send,
-		Log:         d.log,
+		Core:        g.core,
+		SendAttempt: g.upstreams.Send,
+		Log:         g.log,
 		Limits:      c.ConnectionLimits(),
 	}
-	if p := d.pools[""]; p != nil {
-		front.Pool = p.endpoints
+	if p := g.pools[""]; p != nil {
+		frontOptions.Pool = p.endpoints
 	}
 	if c.ControlPlane.CanaryEnabled() {
-		d.tally = &canaryTally{}
-		d.tally.setObjectives(c.Site.Settings.Classes, nil)
+		g.tally = &canaryTally{}
+		g.tally.setObjectives(c.Site.Settings.Classes, nil)
 	}
-	if c.AccessLog.Dir != "" || d.tally != nil {
-		front.RecordExchange = d.recordExchange
+	if c.AccessLog.Dir != "" || g.tally != nil {
+		frontOptions.RecordExchange = g.recordExchange
 	}
 	var err error
-	d.front, err = http1.New(front)
+	g.front, err = http1.New(frontOptions)
 	return err
 }
 
 // startBackground starts core, connections to endpoints and the sources of endpoint lists. stopBackground ends them.
-func (d *generation) startBackground() {
-	d.ctx, d.cancel = context.WithCancel(context.Background())
-	d.goroutines.Go(func() { d.core.Run(d.ctx) })
-	d.goroutines.Go(func() { d.upstreams.Run(d.ctx) })
-	for _, p := range d.pools {
-		d.startSource(p)
+func (g *generation) startBackground() {
+	g.ctx, g.cancel = context.WithCancel(context.Background())
+	g.goroutines.Go(func() { g.core.Run(g.ctx) })
+	g.goroutines.Go(func() { g.upstreams.Run(g.ctx) })
+	for _, p := range g.pools {
+		g.startSource(p)
 	}
 }
 
 // stopBackground ends everything that the generation has started, listeners and connections included. It may be called
 // without startBackground.
-func (d *generation) stopBackground() {
-	for _, l := range d.listeners {
+func (g *generation) stopBackground() {
+	for _, l := range g.listeners {
 		l.close()
 	}
-	d.stopServingAdmin()
-	d.stopConsensus()
-	if d.cancel != nil {
-		d.stopGossip(true)
+	g.stopAdminServer()
+	g.stopConsensus()
+	if g.cancel != nil {
+		g.stopGossip(true)
 	}
-	for _, p := range d.pools {
+	for _, p := range g.pools {
 		p.stopSource()
 	}
-	if d.cancel != nil {
-		d.cancel()
+	if g.cancel != nil {
+		g.cancel()
 	}
-	d.front.CloseAll() // there are connections only if the start failed
-	d.goroutines.Wait()
-	if d.recorder != nil {
-		d.recorder.Close()
+	g.front.CloseAll() // there are connections only if the start failed
+	g.goroutines.Wait()
+	if g.accessLog != nil {
+		g.accessLog.Close()
 	}
-	d.spentLog.close()
+	g.spentLog.close()
 }
 
-// changesLive reports whether a configuration can be applied while serving, and returns the tables that prevent it.
+// canApplyLive reports whether a configuration can be applied while serving, and returns the tables that prevent it.
 // These are compared with the configuration that the generation was assembled from, not with the one in effect.
-func (d *generation) changesLive(next *config.Config) (tables []string, live bool) {
-	tables = d.options.Config.TablesNeedingRestart(next)
+func (g *generation) canApplyLive(next *config.Config) (tables []string, live bool) {
+	tables = g.options.Config.TablesNeedingRestart(next)
 	return tables, len(tables) == 0
 }
 
-// applyConfig applies a configuration for which changesLive is true, on the lifecycle's goroutine.
-func (d *generation) applyConfig(next *config.Config) error {
-	changed, err := d.clients.applyConfig(next)
+// applyConfig applies a configuration for which canApplyLive is true, on the lifecycle's goroutine.
+func (g *generation) applyConfig(next *config.Config) error {
+	changed, err := g.clients.applyConfig(next)
 	if err != nil {
 		return fmt.Errorf("clients: %w", err)
 	}
-	added, removed, err := d.changePools(next)
+	added, removed, err := g.changePools(next)
 	if err != nil {
 		return fmt.Errorf("pools and routes: %w", err)
 	}
-	d.config = next
-	d.log.Info("configuration changed while serving", "clients", changed, "pools", d.pools.names(), "new", added,
+	g.config = next
+	g.log.Info("configuration changed while serving", "clients", changed, "pools", g.pools.names(), "new", added,
 		"gone", removed, "routes", len(next.Routes))
 	return nil
 }
 
 // addresses returns the address of each listener by its name.
-func (d *generation) addresses() map[string]string {
-	all := map[string]string{}
-	for _, l := range d.listeners {
-		all[l.config.Name] = l.socket.Addr().String()
+func (g *generation) addresses() map[string]string {
+	addresses := map[string]string{}
+	for _, l := range g.listeners {
+		addresses[l.config.Name] = l.socket.Addr().String()
 	}
-	return all
+	return addresses
 }
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -13,18 +13,18 @@
 
 // joinCoordination has the core coordinate with the other instances of the fleet, if the configuration has one.
 // Messages are sent by gossip, and dropped while it does not run: before startGossip, and after a handover.
-func (d *generation) joinCoordination() error {
-	t := d.config.Coordination(d.options.Seed)
-	if t == nil {
+func (g *generation) joinCoordination() error {
+	settings := g.config.Coordination(g.options.Seed)
+	if settings == nil {
 		return nil
 	}
-	t.NextIncarnation = rand.Uint64
-	t.Send = func(to string, m coordination.Message) {
-		if p := d.gossip.Load(); p != nil {
-			p.Send(to, m)
+	settings.NextIncarnation = rand.Uint64
+	settings.Send = func(to string, message coordination.Message) {
+		if gossip := g.gossip.Load(); gossip != nil {
+			gossip.Send(to, message)
 		}
 	}
-	return d.core.JoinFleet(*t)
+	return g.core.JoinFleet(*settings)
 }
 
 // bindRetryInterval is the time between two attempts to bind an address that the predecessor may still have.
@@ -32,48 +32,48 @@
 
 // startGossip joins the other instances by gossip. Only a generation that serves may call it, because an instance must
 // not be in the fleet twice.
-func (d *generation) startGossip() error {
-	c := &d.config.Peers
-	if !c.On || d.gossip.Load() != nil {
+func (g *generation) startGossip() error {
+	settings := &g.config.Peers
+	if !settings.On || g.gossip.Load() != nil {
 		return nil
 	}
-	o := peers.Options{
-		Name:          d.config.Name,
-		Fleet:         c.Fleet,
-		Address:       c.Address,
-		Join:          c.Join,
-		DialVia:       c.AddressOverrides(),
-		Log:           d.log,
-		HandleMessage: d.core.ReceiveFleetMessage,
+	options := peers.Options{
+		Name:          g.config.Name,
+		Fleet:         settings.Fleet,
+		Address:       settings.Address,
+		Join:          settings.Join,
+		DialVia:       settings.AddressOverrides(),
+		Log:           g.log,
+		HandleMessage: g.core.ReceiveFleetMessage,
 	}
-	if x := d.consensus; x != nil {
-		o.HandleConsensus = x.receive
+	if member := g.consensus; member != nil {
+		options.HandleConsensus = member.receiveMessage
 	}
-	var p *peers.Peers
+	var gossip *peers.Peers
 	var err error
-	for end := time.Now().Add(bindTimeout); ; time.Sleep(bindRetryInterval) {
-		if p, err = peers.Start(o); err == nil || time.Now().After(end) {
+	for deadline := time.Now().Add(bindTimeout); ; time.Sleep(bindRetryInterval) {
+		if gossip, err = peers.Start(options); err == nil || time.Now().After(deadline) {
 			break
 		}
 	}
 	if err != nil {
 		return err
 	}
-	d.gossip.Store(p)
+	g.gossip.Store(gossip)
 	return nil
 }
 
 // stopGossip leaves the fleet. With announce the other instances are notified; without, a successor takes this
 // instance's place.
-func (d *generation) stopGossip(announce bool) {
-	p := d.gossip.Swap(nil)
-	if p == nil {
+func (g *generation) stopGossip(announce bool) {
+	gossip := g.gossip.Swap(nil)
+	if gossip == nil {
 		return
 	}
 	if announce {
-		d.core.HandOverCoordination()
+		g.core.HandOverCoordination()
 	}
-	p.Close(announce)
+	gossip.Close(announce)
 }
 
 // View is an instance's view of its fleet, as the admin server sends it.
@@ -85,14 +85,14 @@
 }
 
 // fleetView returns the view of the fleet as JSON.
-func (d *generation) fleetView(ctx context.Context) ([]byte, error) {
-	p := d.gossip.Load()
-	if p == nil {
+func (g *generation) fleetView(ctx context.Context) ([]byte, error) {
+	gossip := g.gossip.Load()
+	if gossip == nil {
 		return nil, fmt.Errorf("this instance is among no others: peers.on is false, or it does not serve")
 	}
-	v, _, err := d.core.FleetView(ctx)
+	fleet, _, err := g.core.FleetView(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("what is known is not to be had in time: %w", err)
 	}
-	return json.Marshal(View{d.config.Name, p.Members(), v, p.Stats()})
+	return json.Marshal(View{g.config.Name, gossip.Members(), fleet, gossip.Stats()})
 }
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -15,8 +15,8 @@
 	"dunlinsail/internal/takeover"
 )
 
-// answerTimeout bounds the steps of a hot restart in which a process only answers.
-const answerTimeout = 5 * time.Second
+// replyTimeout bounds the steps of a hot restart in which a process only answers.
+const replyTimeout = 5 * time.Second
 
 // lifecycle is the lifecycle of a generation from its start to its end: successor, if another generation serves, then
 // serving, then predecessor of the next, in another process or in this one.
@@ -25,19 +25,19 @@
 type lifecycle struct {
 	*generation
 	*takeover.Lifecycle
-	stop      context.Context // of the process; kept because the methods of takeover.Host have no context
-	inProcess bool            // the predecessor is in this process: this generation takes over from it, or ends
-	serving   bool
+	stopContext context.Context // of the process; kept because the methods of takeover.Host have no context
+	inProcess   bool            // the predecessor is in this process: this generation takes over from it, or ends
+	serving     bool
 
 	onServing        func()            // called once it accepts
 	onHandoverChange func(active bool) // called at the start and at the end of a handover to a successor
 
-	offer            offer
+	receivedOffer    offer
 	offeredListeners []net.Listener // in the offer's order; nil for one that cannot be used
 	earlyConns       []net.Conn     // connections handed over before this generation accepts
 
-	successorListener *takeover.Listener
-	accepting         sync.WaitGroup // the accept loop of successorListener
+	successorListener   *takeover.Listener
+	successorAcceptLoop sync.WaitGroup // the accept loop of successorListener
 }
 
 // offer is what a predecessor offers with its listening sockets.
@@ -49,16 +49,16 @@
 
 // newLifecycle returns the lifecycle of a generation. A non-nil predecessor is in this process, and the generation
 // takes over from no other.
-func newLifecycle(stop context.Context, g *generation, predecessor *takeover.Conn) *lifecycle {
+func newLifecycle(stopContext context.Context, g *generation, predecessor *takeover.Conn) *lifecycle {
 	settings := g.options.Config.Takeover
 	times := decide.Times{
 		Ready:  clock.Micros(settings.ReadyWithin.Duration),
-		Answer: clock.Micros(answerTimeout),
+		Answer: clock.Micros(replyTimeout),
 		Drain:  clock.Micros(settings.DrainWithin.Duration),
 	}
 	l := &lifecycle{
 		generation:       g,
-		stop:             stop,
+		stopContext:      stopContext,
 		inProcess:        predecessor != nil,
 		onServing:        func() {},
 		onHandoverChange: func(bool) {},
@@ -71,10 +71,10 @@
 // run takes over or starts alone, serves, and returns once every request is answered or handed over.
 func (l *lifecycle) run() error {
 	defer l.close()
-	if err := l.connect(); err != nil {
+	if err := l.startOrTakeOver(); err != nil {
 		return err
 	}
-	return l.RunLoop(l.stop.Done(), l.onStop)
+	return l.RunLoop(l.stopContext.Done(), l.onStop)
 }
 
 // close releases every socket and connection, and waits for the goroutines of this lifecycle. It may be called after
@@ -83,7 +83,7 @@
 	l.CloseLoop()
 	if l.successorListener != nil {
 		l.successorListener.Close()
-		l.accepting.Wait()
+		l.successorAcceptLoop.Wait()
 	}
 	l.CloseConns()
 	for _, listener := range l.offeredListeners {
@@ -112,7 +112,7 @@
 }
 
 // connect starts as the successor of the process that serves, or alone.
-func (l *lifecycle) connect() error {
+func (l *lifecycle) startOrTakeOver() error {
 	if l.inProcess {
 		l.log.Info("hot restart started in this process")
 		l.Connect(l.PredecessorConn)
@@ -139,7 +139,7 @@
 // are rejected.
 func (l *lifecycle) serveAlone() error {
 	l.Successor.ServeAlone()
-	if err := l.listen(l.stop, nil, nil, bindTimeout); err != nil {
+	if err := l.openListeners(l.stopContext, nil, nil, bindTimeout); err != nil {
 		return err
 	}
 	l.generation.startBackground()
@@ -156,7 +156,7 @@
 		l.log.Error("gossip not started", "error", err)
 	}
 	l.core.StartCoordination()
-	if err := l.serveAdmin(); err != nil {
+	if err := l.startAdminServer(); err != nil {
 		l.log.Error("admin server not started", "error", err)
 	}
 }
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -35,30 +35,36 @@
 // listen opens the listeners of the configuration. It takes an offered socket whose name (as in the predecessor's file)
 // or address is the listener's, and sets it to nil in offered. For an address in use it waits, but not longer than
 // wait. The listeners that were opened before an error are closed with the generation.
-func (d *generation) listen(stop context.Context, offered []net.Listener, names []string, wait time.Duration) error {
-	for i := range d.options.Config.Listeners {
-		conf := &d.options.Config.Listeners[i]
-		l := &listener{config: conf, identify: d.clients.identify(conf), socket: takeOffered(conf, offered, names)}
+func (g *generation) openListeners(
+	stop context.Context, offeredSockets []net.Listener, offeredNames []string, maxWait time.Duration,
+) error {
+	for i := range g.options.Config.Listeners {
+		conf := &g.options.Config.Listeners[i]
+		l := &listener{
+			config:   conf,
+			identify: g.clients.identify(conf),
+			socket:   takeOffered(conf, offeredSockets, offeredNames),
+		}
 		if l.socket != nil {
-			l.keepPath(true) // the path is still the predecessor's, should this start fail
+			l.setKeepPath(true) // the path is still the predecessor's, should this start fail
 		} else {
-			socket, err := openListener(stop, conf, wait)
+			socket, err := openListener(stop, conf, maxWait)
 			if err != nil {
 				return fmt.Errorf("listener %q: %w", conf.Name, err)
 			}
 			l.socket = socket
 		}
-		d.listeners = append(d.listeners, l)
+		g.listeners = append(g.listeners, l)
 	}
 	return nil
 }
 
 // takeOffered returns the offered socket of a listener, which it sets to nil in offered; nil if there is none.
-func takeOffered(conf *config.Listener, offered []net.Listener, names []string) net.Listener {
-	for i, name := range names {
-		socket := offered[i]
+func takeOffered(conf *config.Listener, offeredSockets []net.Listener, offeredNames []string) net.Listener {
+	for i, name := range offeredNames {
+		socket := offeredSockets[i]
 		if socket != nil && (name == conf.Address || socket.Addr().String() == conf.Address) {
-			offered[i] = nil
+			offeredSockets[i] = nil
 			return socket
 		}
 	}
@@ -66,12 +72,12 @@
 }
 
 // openListener opens one listener. It retries an address in use until the time of wait is over or stop ends.
-func openListener(stop context.Context, conf *config.Listener, wait time.Duration) (net.Listener, error) {
+func openListener(stop context.Context, conf *config.Listener, maxWait time.Duration) (net.Listener, error) {
 	network, address := conf.Network()
-	for end := time.Now().Add(wait); ; {
-		ln, err := openListenerOnce(network, address, conf.Mode.Bits)
-		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(end) {
-			return ln, err
+	for deadline := time.Now().Add(maxWait); ; {
+		socket, err := bindListener(network, address, conf.Mode.Bits)
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
+			return socket, err
 		}
 		select {
 		case <-time.After(bindRetryInterval):
@@ -81,9 +87,9 @@
 	}
 }
 
-// openListenerOnce opens one listener. mode is the permissions of a unix socket; a socket at its path on which no
+// bindListener opens one listener. mode is the permissions of a unix socket; a socket at its path on which no
 // process listens is replaced.
-func openListenerOnce(network, address string, mode os.FileMode) (net.Listener, error) {
+func bindListener(network, address string, mode os.FileMode) (net.Listener, error) {
 	if network != "unix" {
 		return net.Listen(network, address)
 	}
@@ -91,9 +97,9 @@
 		return nil, err
 	}
 	// Without the umask other users could connect before Chmod.
-	umask := syscall.Umask(socketUmask)
+	previousUmask := syscall.Umask(socketUmask)
 	socket, err := net.Listen(network, address)
-	syscall.Umask(umask)
+	syscall.Umask(previousUmask)
 	if err != nil {
 		return nil, err
 	}
@@ -106,31 +112,31 @@
 
 // accept starts the goroutine that serves the listener's connections until pause or close. It does nothing while one
 // runs.
-func (l *listener) accept(front *http1.Server) {
+func (l *listener) startAccepting(frontend *http1.Server) {
 	if l.accepting {
 		return
 	}
 	l.accepting = true
-	l.setDeadline(time.Time{})
-	l.acceptLoop.Go(func() { _ = front.Accept(l.socket, l.identify) })
+	l.setAcceptDeadline(time.Time{})
+	l.acceptLoop.Go(func() { _ = frontend.Accept(l.socket, l.identify) })
 }
 
 // pause ends accept. Clients that connect from then on wait in the socket's queue.
-func (l *listener) pause() {
-	l.setDeadline(time.Unix(1, 0))
+func (l *listener) pauseAccepting() {
+	l.setAcceptDeadline(time.Unix(1, 0))
 	l.acceptLoop.Wait()
 	l.accepting = false
 }
 
-// setDeadline sets the instant at which a waiting Accept returns; the zero time is never.
-func (l *listener) setDeadline(t time.Time) {
+// setAcceptDeadline sets the instant at which a waiting Accept returns; the zero time is never.
+func (l *listener) setAcceptDeadline(deadline time.Time) {
 	if s, ok := l.socket.(interface{ SetDeadline(time.Time) error }); ok {
-		_ = s.SetDeadline(t) // it fails only on a closed listener
+		_ = s.SetDeadline(deadline) // it fails only on a closed listener
 	}
 }
 
-// keepPath sets whether closing a unix socket leaves its path, because another process may listen there.
-func (l *listener) keepPath(keep bool) {
+// setKeepPath sets whether closing a unix socket leaves its path, because another process may listen there.
+func (l *listener) setKeepPath(keep bool) {
 	if u, ok := l.socket.(*net.UnixListener); ok {
 		u.SetUnlinkOnClose(!keep)
 	}
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -17,12 +17,12 @@
 
 // pool is a pool of the configuration with the source of its endpoint list.
 type pool struct {
-	config         config.Pool
-	endpoints      *core.Pool
-	source         *discovery.Source    // nil for a list that is not from discovery
-	firstWatcher   *discovery.Watcher   // the one that source starts with
-	file           *endpointsource.File // nil for a list that is not from a file
-	listGeneration int64                // generation of a list in the configuration itself
+	config          config.Pool
+	endpoints       *core.Pool
+	discoverySource *discovery.Source    // nil for a list that is not from discovery
+	firstWatcher    *discovery.Watcher   // the one that source starts with
+	fileSource      *endpointsource.File // nil for a list that is not from a file
+	listGeneration  int64                // generation of a list in the configuration itself
 }
 
 // pools are the pools that routes lead to, by name. Without routes there is one, named "", whose list is from
@@ -30,73 +30,74 @@
 type pools map[string]*pool
 
 // newPool adds a pool to the core. startSource starts the source of its list.
-func (d *generation) newPool(conf config.Pool, subscribe bool) (*pool, error) {
+func (g *generation) newPool(conf config.Pool, subscribe bool) (*pool, error) {
 	p := &pool{config: conf}
-	c := engine.PoolConfig{
+	poolConfig := engine.PoolConfig{
 		Name:              conf.Name,
 		Source:            conf.Source(),
 		InitialEndpoints:  engine.EndpointUpdate{Generation: discovery.NoGeneration},
 		RetryRatio:        conf.RetryBudget,
 		MinRetryRate:      conf.EffectiveMinRetryRate(),
 		RetryWindow:       clock.Micros(conf.RetryWindow()),
-		Overload:          d.config.Overload.Settings(d.config.Fleet.Instances),
-		Subset:            d.config.Fleet.SubsetSettings(),
-		OnIdleConnections: func(n float64) { d.upstreams.LimitIdle(conf.Name, n) },
+		Overload:          g.config.Overload.Settings(g.config.Fleet.Instances),
+		Subset:            g.config.Fleet.SubsetSettings(),
+		OnIdleConnections: func(n float64) { g.upstreams.LimitIdle(conf.Name, n) },
 		SetWatch:          func(bool) {},
 	}
 	switch {
 	case conf.Endpoints != nil:
-		c.StaticList = true
-		c.InitialEndpoints = endpointsource.StaticList(*conf.Endpoints, d.config.Fleet.Zone, 0)
+		poolConfig.StaticList = true
+		poolConfig.InitialEndpoints = endpointsource.StaticList(*conf.Endpoints, g.config.Fleet.Zone, 0)
 	case conf.File != "":
-		c.StaticList = true
+		poolConfig.StaticList = true
 	default:
-		p.firstWatcher = d.watcher(p, conf.Discovery)
+		p.firstWatcher = g.newWatcher(p, conf.Discovery)
 		if subscribe {
-			p.source = discovery.NewPolledSource(p.firstWatcher, func() {
+			p.discoverySource = discovery.NewPolledSource(p.firstWatcher, func() {
 				p.endpoints.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFailed})
 			})
 		} else {
-			p.source = discovery.NewContinuousSource(p.firstWatcher)
+			p.discoverySource = discovery.NewContinuousSource(p.firstWatcher)
 		}
-		c.SetWatch = p.source.SetWatching
+		poolConfig.SetWatch = p.discoverySource.SetWatching
 	}
 	var err error
-	p.endpoints, err = d.core.NewPool(c)
+	p.endpoints, err = g.core.NewPool(poolConfig)
 	return p, err
 }
 
 // watcher returns a discovery watcher that updates a pool. It requests the complete list first.
-func (d *generation) watcher(p *pool, addr string) *discovery.Watcher {
-	return discovery.NewWatcher(addr, discovery.NoGeneration, int(d.options.Config.Process.Memory.Bytes/bytesPerMB),
-		p.update, d.log)
+func (g *generation) newWatcher(p *pool, addr string) *discovery.Watcher {
+	return discovery.NewWatcher(addr, discovery.NoGeneration, int(g.options.Config.Process.Memory.Bytes/bytesPerMB),
+		p.updateEndpoints, g.log)
 }
 
 // bytesPerMB is the unit of memory sizes as discovery takes them.
 const bytesPerMB = 1 << 20
 
 // update passes an update of the endpoint list to the pool.
-func (p *pool) update(ctx context.Context, update engine.EndpointUpdate) {
+func (p *pool) updateEndpoints(ctx context.Context, update engine.EndpointUpdate) {
 	p.endpoints.UpdateEndpoints(ctx, update)
 }
 
 // startSource starts the source of a pool's list.
-func (d *generation) startSource(p *pool) {
+func (g *generation) startSource(p *pool) {
 	switch {
 	case p.config.File != "":
-		p.file = endpointsource.WatchFile(p.config.File, endpointsource.DefaultFileInterval, p.update, d.log)
-	case p.source != nil && !d.options.Config.Site.Settings.Subscribe:
-		p.source.SetWatching(true)
+		p.fileSource = endpointsource.WatchFile(
+			p.config.File, endpointsource.DefaultFileInterval, p.updateEndpoints, g.log)
+	case p.discoverySource != nil && !g.options.Config.Site.Settings.Subscribe:
+		p.discoverySource.SetWatching(true)
 	}
 }
 
 // stopSource stops the source of a pool's list.
 func (p *pool) stopSource() {
-	if p.source != nil {
-		p.source.Close()
+	if p.discoverySource != nil {
+		p.discoverySource.Close()
 	}
-	if p.file != nil {
-		p.file.Close()
+	if p.fileSource != nil {
+		p.fileSource.Close()
 	}
 }
 
@@ -110,45 +111,45 @@
 
 // changePools applies the pools and routes of a configuration, and returns the names of pools that are new or gone.
 // Open requests end in the pool that they are in. After an error nothing has changed.
-func (d *generation) changePools(next *config.Config) (added, removed []string, err error) {
-	after := pools{}
-	fresh := pools{}
+func (g *generation) changePools(next *config.Config) (added, removed []string, err error) {
+	nextPools := pools{}
+	addedPools := pools{}
 	for _, conf := range configuredPools(next) {
-		if p := d.pools[conf.Name]; p != nil && p.canBecome(&conf) {
-			after[conf.Name] = p
+		if p := g.pools[conf.Name]; p != nil && p.canReconfigure(&conf) {
+			nextPools[conf.Name] = p
 			continue
 		}
-		p, err := d.newPool(conf, d.options.Config.Site.Settings.Subscribe)
+		p, err := g.newPool(conf, g.options.Config.Site.Settings.Subscribe)
 		if err != nil {
-			for _, p := range fresh {
+			for _, p := range addedPools {
 				p.endpoints.Close()
 			}
 			return nil, nil, err
 		}
-		after[conf.Name] = p
-		fresh[conf.Name] = p
+		nextPools[conf.Name] = p
+		addedPools[conf.Name] = p
 		added = append(added, conf.Name)
 	}
 	for _, conf := range configuredPools(next) {
-		switch p := after[conf.Name]; {
-		case fresh[conf.Name] != nil:
-			d.startSource(p)
+		switch p := nextPools[conf.Name]; {
+		case addedPools[conf.Name] != nil:
+			g.startSource(p)
 		case reflect.DeepEqual(p.config, conf):
 		case conf.Endpoints != nil:
 			p.listGeneration++
-			list := endpointsource.StaticList(*conf.Endpoints, d.config.Fleet.Zone, p.listGeneration)
-			p.endpoints.UpdateEndpoints(context.Background(), list)
+			endpointList := endpointsource.StaticList(*conf.Endpoints, g.config.Fleet.Zone, p.listGeneration)
+			p.endpoints.UpdateEndpoints(context.Background(), endpointList)
 		default:
-			p.source.SwitchTo(d.watcher(p, conf.Discovery))
+			p.discoverySource.SwitchTo(g.newWatcher(p, conf.Discovery))
 			p.endpoints.SetSource(conf.Source())
 		}
-		after[conf.Name].config = conf
+		nextPools[conf.Name].config = conf
 	}
-	before := d.pools
-	d.pools = after
-	d.setRoutes(next)
-	for name, p := range before {
-		if after[name] != p {
+	previousPools := g.pools
+	g.pools = nextPools
+	g.setRoutes(next)
+	for name, p := range previousPools {
+		if nextPools[name] != p {
 			p.endpoints.Close()
 			p.stopSource()
 			removed = append(removed, name)
@@ -158,9 +159,9 @@
 	return added, removed, nil
 }
 
-// canBecome reports whether a pool can be changed into one of another configuration without losing its learned state.
+// canReconfigure reports whether a pool can be changed into one of another configuration without losing its learned state.
 // The list or the discovery address may differ, but not the kind of source.
-func (p *pool) canBecome(conf *config.Pool) bool {
+func (p *pool) canReconfigure(conf *config.Pool) bool {
 	if p.config.RetryBudget != conf.RetryBudget {
 		return false
 	}
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -37,22 +37,22 @@
 // returns the encoded snapshot for the handover.
 func (l *lifecycle) StopAccepting() []byte {
 	for _, listener := range l.listeners {
-		listener.pause()
+		listener.pauseAccepting()
 	}
 	if l.successorListener != nil {
 		l.successorListener.SetPaused(true)
-		l.accepting.Wait()
+		l.successorAcceptLoop.Wait()
 	}
 	snapshot := l.core.SnapshotForHandover()
 	if snapshot != nil {
 		snapshot.Fleet = l.core.HandOverCoordination()
 	}
-	l.stopServingAdmin() // before gossip and consensus, which it reads
+	l.stopAdminServer() // before gossip and consensus, which it reads
 	if plan := l.stopConsensus(); plan != nil && snapshot != nil {
-		remaining := *plan // with times from now on, since the successor's clock is another
-		remaining.LeaseEnd = plan.LeaseEnd - l.clock.Now()
-		remaining.DrainDeadline = plan.DrainDeadline - l.clock.Now()
-		snapshot.Maintenance = &remaining
+		relativePlan := *plan // with times from now on, since the successor's clock is another
+		relativePlan.LeaseEnd = plan.LeaseEnd - l.clock.Now()
+		relativePlan.DrainDeadline = plan.DrainDeadline - l.clock.Now()
+		snapshot.Maintenance = &relativePlan
 	}
 	l.stopGossip(false)
 	return l.EncodeSnapshot(snapshot, l.upstreams.Evidence())
@@ -61,7 +61,7 @@
 // Activating leaves the paths of unix sockets to the successor.
 func (l *lifecycle) Activating() {
 	for _, listener := range l.listeners {
-		listener.keepPath(true)
+		listener.setKeepPath(true)
 	}
 	if l.successorListener != nil {
 		l.successorListener.KeepPath(true)
@@ -81,8 +81,8 @@
 	l.joinFleet()
 	l.CancelWait()
 	for _, listener := range l.listeners {
-		listener.keepPath(false)
-		listener.accept(l.front)
+		listener.setKeepPath(false)
+		listener.startAccepting(l.front)
 	}
 	if l.successorListener != nil {
 		l.successorListener.KeepPath(false)
@@ -101,7 +101,7 @@
 		l.successorListener.Close()
 	}
 	for _, listener := range l.listeners {
-		listener.accept(l.front) // it may be paused for a successor that was lost
+		listener.startAccepting(l.front) // it may be paused for a successor that was lost
 	}
 	l.Loop.After(stopAcceptDelay, func() {
 		for _, listener := range l.listeners {
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -18,17 +18,17 @@
 //
 // Its fields belong to the goroutine of run; other goroutines post events.
 type process struct {
-	options     Options
-	log         *slog.Logger
-	stopContext context.Context // ends the process; kept because events, which have no context, start generations
-	events      chan func()
-	closed      chan struct{} // closed once no event is taken any more
-	timer       *time.Timer
-
-	serving   *lifecycle // the generation that serves, or the first one before it does
-	successor *lifecycle // the generation that is to take over from it; nil while there is none
-	running   int        // lifecycles that have not ended
-	result    error      // of the last serving generation
+	options      Options
+	log          *slog.Logger
+	stopContext  context.Context // ends the process; kept because events, which have no context, start generations
+	events       chan func()
+	eventsClosed chan struct{} // closed once no event is taken any more
+	timer        *time.Timer
+
+	serving      *lifecycle // the generation that serves, or the first one before it does
+	successor    *lifecycle // the generation that is to take over from it; nil while there is none
+	running      int        // lifecycles that have not ended
+	servingError error      // of the last serving generation
 
 	versioning
 }
@@ -37,27 +37,27 @@
 // never waits for a lifecycle.
 const eventsBuffer = 64
 
-func newProcess(stop context.Context, o Options) *process {
-	if o.Seed == 0 {
-		o.Seed = rand.Uint64()
+func newProcess(stop context.Context, options Options) *process {
+	if options.Seed == 0 {
+		options.Seed = rand.Uint64()
 	}
 	p := &process{
-		options:     o,
-		log:         o.Log,
-		stopContext: stop,
-		events:      make(chan func(), eventsBuffer),
-		closed:      make(chan struct{}),
+		options:      options,
+		log:          options.Log,
+		stopContext:  stop,
+		events:       make(chan func(), eventsBuffer),
+		eventsClosed: make(chan struct{}),
 	}
-	p.restoreVersions()
+	p.selectFirstConfig()
 	return p
 }
 
 // assembleFirst assembles the first generation.
 func (p *process) assembleFirst() error {
-	if err := p.prepareProcess(p.first); err != nil {
+	if err := p.prepareProcess(p.firstConfig); err != nil {
 		return err
 	}
-	g, err := p.assemble(p.first)
+	g, err := p.assemble(p.firstConfig)
 	if err != nil {
 		return err
 	}
@@ -67,12 +67,14 @@
 
 // run serves by the first configuration and those that follow, until the last generation has ended.
 func (p *process) run() error {
-	defer p.following.Wait()
-	defer close(p.closed) // post does not block any more, so that the clients of control planes can end
-	p.timer = time.AfterFunc(time.Hour, func() { p.post(func() { p.carryOut(p.machine.HandleDeadline(now())) }) })
+	defer p.clientGoroutines.Wait()
+	defer close(p.eventsClosed) // post does not block any more, so that the clients of control planes can end
+	p.timer = time.AfterFunc(time.Hour, func() {
+		p.post(func() { p.executeCommands(p.machine.HandleDeadline(now())) })
+	})
 	defer p.timer.Stop()
-	samples := time.NewTicker(sampleInterval)
-	defer samples.Stop()
+	sampleTicker := time.NewTicker(sampleInterval)
+	defer sampleTicker.Stop()
 	p.startLifecycle(p.serving)
 	for p.running > 0 {
 		p.armTimer()
@@ -80,27 +82,27 @@
 		case event := <-p.events:
 			event()
 		case <-p.options.Reload:
-			p.readFile()
-		case <-samples.C:
-			p.takeSample()
+			p.reloadFile()
+		case <-sampleTicker.C:
+			p.takeCanarySample()
 		}
 	}
 	p.stopVersioning()
-	return p.result
+	return p.servingError
 }
 
 // post hands an event to run. After the end of run it is dropped.
 func (p *process) post(event func()) {
 	select {
 	case p.events <- event:
-	case <-p.closed:
+	case <-p.eventsClosed:
 	}
 }
 
 // armTimer sets the timer to the machine's next deadline.
 func (p *process) armTimer() {
-	if at := p.machine.Deadline(); at != 0 {
-		p.timer.Reset(max(0, clock.Duration(at-now())))
+	if deadline := p.machine.Deadline(); deadline != 0 {
+		p.timer.Reset(max(0, clock.Duration(deadline-now())))
 	}
 }
 
@@ -123,7 +125,7 @@
 	l.onHandoverChange = func(active bool) {
 		p.post(func() {
 			if l == p.serving {
-				p.carryOut(p.machine.SetPaused(now(), active))
+				p.executeCommands(p.machine.SetPaused(now(), active))
 			}
 		})
 	}
@@ -154,7 +156,7 @@
 	p.serving = l
 	p.successor = nil
 	p.onApplied(nil)
-	p.carryOut(p.machine.SetPaused(now(), false)) // the predecessor's handover had paused the rollout
+	p.executeCommands(p.machine.SetPaused(now(), false)) // the predecessor's handover had paused the rollout
 }
 
 // onEnded handles the end of a generation.
@@ -162,7 +164,7 @@
 	p.running--
 	switch l {
 	case p.serving:
-		p.result = err
+		p.servingError = err
 	case p.successor:
 		p.successor = nil
 		if err == nil {
@@ -188,7 +190,7 @@
 	p.startLifecycle(p.successor)
 	serving := p.serving
 	go func() { // ends once the serving generation takes the event, or takes none any more
-		if !serving.Loop.Post(func() { serving.ReadHello(serving.ctx, toSuccessor, answerTimeout) }) {
+		if !serving.Loop.Post(func() { serving.ReadHello(serving.ctx, toSuccessor, replyTimeout) }) {
 			toSuccessor.Close()
 		}
 	}()
--- a/internal/daemon/rollout.go
+++ b/internal/daemon/rollout.go
@@ -20,74 +20,74 @@
 // machine that decides between them, their cache, and the canary analysis. Its fields belong to the process's
 // goroutine.
 type versioning struct {
-	machine *rollout.StateMachine
-	first   *config.Config // the configuration that the process starts with
-	// onAppliedStep is the machine's step for the end of the change that is being applied; nil while none is.
-	onAppliedStep func(now monotime.Micros, reason string) []rollout.Command
-
-	fileReads uint64                       // how often the file was read, which numbers its versions
-	files     map[string]*config.Config    // contents of the file that the machine may name, by digest
-	resources map[string][]config.Resource // contents of the control plane's versions that it may name, by digest
-	cache     *configcache.Cache           // nil without a folder for it
-	saving    sync.WaitGroup               // the goroutines that write the cache
-
-	control       config.ControlPlane // the control plane that is followed
-	client        *xdsclient.Client   // nil while none is followed
-	stopFollowing context.CancelFunc  // ends the client's goroutine; never nil
-	following     sync.WaitGroup      // the clients' goroutines
-
-	canary          *canary.Analysis // nil while none runs
+	machine     *rollout.StateMachine
+	firstConfig *config.Config // the configuration that the process starts with
+	// handleChangeResult is the machine's step for the end of the change that is being applied; nil while none is.
+	handleChangeResult func(now monotime.Micros, reason string) []rollout.Command
+
+	fileReadCount         uint64                       // how often the file was read, which numbers its versions
+	fileConfigs           map[string]*config.Config    // contents of the file that the machine may name, by digest
+	controlPlaneResources map[string][]config.Resource // contents of the control plane's versions that it may name, by digest
+	cache                 *configcache.Cache           // nil without a folder for it
+	saveGoroutines        sync.WaitGroup               // the goroutines that write the cache
+
+	controlPlane       config.ControlPlane // the control plane that is followed
+	controlPlaneClient *xdsclient.Client   // nil while none is followed
+	stopFollowing      context.CancelFunc  // ends the client's goroutine; never nil
+	clientGoroutines   sync.WaitGroup      // the clients' goroutines
+
+	canaryAnalysis  *canary.Analysis // nil while none runs
 	canarySamples   []canary.Sample  // of the analysis that runs
 	baselineSamples []canary.Sample  // under good configurations, the latest last
-	lastSample      time.Time        // the end of the last sample
+	lastSampleEnd   time.Time        // the end of the last sample
 }
 
 // minFileValidationInterval is the least time between two validations of the file without a control service.
 const minFileValidationInterval = 100 * time.Millisecond
 
-// machineSettings returns the settings of the rollout's state machine.
-func machineSettings(c *config.ControlPlane, seed uint64) rollout.Settings {
-	s := rollout.Settings{
+// rolloutSettings returns the settings of the rollout's state machine.
+func rolloutSettings(c *config.ControlPlane, seed uint64) rollout.Settings {
+	settings := rollout.Settings{
 		CanaryEnabled:         c.CanaryEnabled(),
 		MinValidationInterval: clock.Micros(minFileValidationInterval),
 		Seed:                  seed,
 	}
 	if c.Address != "" {
-		s.MinValidationInterval = c.MinValidationInterval.Micros()
+		settings.MinValidationInterval = c.MinValidationInterval.Micros()
 	}
-	return s
+	return settings
 }
 
-// carryOut carries out the commands of the rollout's state machine, and those that follow from their results.
-func (p *process) carryOut(commands []rollout.Command) {
-	for _, c := range commands {
-		switch c.Action {
+// executeCommands carries out the commands of the rollout's state machine, and those that follow from their results.
+func (p *process) executeCommands(commands []rollout.Command) {
+	for _, command := range commands {
+		switch command.Action {
 		case rollout.ActionValidate:
-			p.carryOut(p.machine.HandleValidated(now(), p.validate(&c)))
+			p.executeCommands(p.machine.HandleValidated(now(), p.validationError(&command)))
 		case rollout.ActionApply, rollout.ActionRollBack:
-			p.applyVersion(&c)
+			p.applyVersion(&command)
 		case rollout.ActionStartCanary:
 			p.startCanary()
 		case rollout.ActionStopCanary:
-			p.canary = nil
+			p.canaryAnalysis = nil
 		case rollout.ActionPersist:
-			p.saveState()
+			p.saveRolloutState()
 		case rollout.ActionAck, rollout.ActionNack:
-			p.answerSource(&c)
+			p.reportDecision(&command)
 		}
 	}
 }
 
 // configOf returns the configuration of a layered version: the control plane's resources over the file.
 func (p *process) configOf(version rollout.LayeredVersion) (*config.Config, error) {
-	file := p.files[version.File.Digest]
+	file := p.fileConfigs[version.File.Digest]
 	if file == nil {
 		return nil, fmt.Errorf("the content of %v is not held any more", version.File.ID)
 	}
 	if version.ControlPlane == nil {
 		return file, nil
 	}
-	resources := p.resources[version.ControlPlane.Digest]
+	resources := p.controlPlaneResources[version.ControlPlane.Digest]
 	if resources == nil {
 		return nil, fmt.Errorf("the content of version %v is not held any more", version.ControlPlane.ID)
 	}
@@ -95,7 +95,7 @@
 }
 
 // validate returns why a version cannot be applied, "" if it can.
-func (p *process) validate(command *rollout.Command) string {
+func (p *process) validationError(command *rollout.Command) string {
 	if _, err := p.configOf(command.Target); err != nil {
 		return err.Error()
 	}
@@ -105,9 +105,9 @@
 // applyVersion starts to apply the version of a command, or to roll back to it. A change that the serving generation
 // cannot make while serving is made by a new generation that takes over from it. onApplied is called at the end.
 func (p *process) applyVersion(command *rollout.Command) {
-	p.onAppliedStep = p.machine.HandleApplied
+	p.handleChangeResult = p.machine.HandleApplied
 	if command.Action == rollout.ActionRollBack {
-		p.onAppliedStep = p.machine.HandleRolledBack
+		p.handleChangeResult = p.machine.HandleRolledBack
 	}
 	c, err := p.configOf(command.Target)
 	if err == nil {
@@ -117,9 +117,10 @@
 		p.onApplied(err)
 		return
 	}
-	tables, live := p.serving.changesLive(c)
-	p.log.Info("configuration change", "version", command.Target.String(), "while serving", live, "tables", tables)
-	if !live {
+	tables, canApplyLive := p.serving.canApplyLive(c)
+	p.log.Info("configuration change", "version", command.Target.String(), "while serving", canApplyLive,
+		"tables", tables)
+	if !canApplyLive {
 		if err := p.startSuccessor(c); err != nil {
 			p.onApplied(err)
 		}
@@ -152,16 +153,16 @@
 		reason = err.Error()
 		_ = p.prepareProcess(p.serving.options.Config) // the settings before the change, which were applied once
 	}
-	step := p.onAppliedStep
-	p.onAppliedStep = nil
-	p.carryOut(step(now(), reason))
-	if c, err := p.configOf(first(p.machine.Running())); err == nil {
-		p.machine.UpdateSettings(machineSettings(&c.ControlPlane, 0))
+	handleResult := p.handleChangeResult
+	p.handleChangeResult = nil
+	p.executeCommands(handleResult(now(), reason))
+	if c, err := p.configOf(firstOf(p.machine.Running())); err == nil {
+		p.machine.UpdateSettings(rolloutSettings(&c.ControlPlane, 0))
 		p.followControlPlane(c)
 	}
 }
 
-func first[A, B any](a A, _ B) A { return a }
+func firstOf[A, B any](value A, _ B) A { return value }
 
 // prepareProcess applies the settings of the whole process, such as its limits.
 func (p *process) prepareProcess(c *config.Config) error {
@@ -171,8 +172,8 @@
 	return p.options.Prepare(&c.Process)
 }
 
-// answerSource acknowledges or rejects a version: in the log, and at the control plane if it came from there.
-func (p *process) answerSource(command *rollout.Command) {
+// reportDecision acknowledges or rejects a version: in the log, and at the control plane if it came from there.
+func (p *process) reportDecision(command *rollout.Command) {
 	id := command.Version.ID.String()
 	switch {
 	case command.Action == rollout.ActionNack:
@@ -180,16 +181,16 @@
 	case command.Confirmed:
 		p.log.Info("configuration applied", "version", id)
 	default:
-		p.log.Info("configuration applied, on trial", "version", id, "for", p.control.CanaryDuration.Duration)
+		p.log.Info("configuration applied, on trial", "version", id, "for", p.controlPlane.CanaryDuration.Duration)
 	}
-	if command.Version.Source == rollout.SourceControlPlane && p.client != nil {
+	if command.Version.Source == rollout.SourceControlPlane && p.controlPlaneClient != nil {
 		if command.Action == rollout.ActionNack {
-			p.client.Nack(command.Version.ID, command.Reason, p.runningControlPlaneVersion())
+			p.controlPlaneClient.Nack(command.Version.ID, command.Reason, p.runningControlPlaneVersion())
 		} else {
-			p.client.Ack(command.Version.ID, command.Confirmed)
+			p.controlPlaneClient.Ack(command.Version.ID, command.Confirmed)
 		}
 	}
-	p.dropUnused()
+	p.dropUnusedContents()
 	if p.options.Answered != nil {
 		p.options.Answered(*command)
 	}
--- a/internal/daemon/rollout_source.go
+++ b/internal/daemon/rollout_source.go
@@ -9,34 +9,37 @@
 	"dunlinsail/internal/xdsclient"
 )
 
-// readFile reads the file again and offers its version to the rollout's machine. A file that cannot be read is logged.
-func (p *process) readFile() {
+// reloadFile reads the file again and offers its version to the rollout's machine. A file that cannot be read is logged.
+func (p *process) reloadFile() {
 	c, err := p.options.Read()
 	if err != nil {
 		p.log.Error("configuration not reloaded", "error", err)
 		return
 	}
-	p.carryOut(p.machine.Offer(now(), p.fileVersion(c)))
+	p.executeCommands(p.machine.Offer(now(), p.fileVersion(c)))
 }
 
 // fileVersion keeps a content of the file and returns its version.
 func (p *process) fileVersion(c *config.Config) rollout.Version {
-	p.fileReads++
-	v := rollout.Version{ID: rollout.ID{Source: rollout.SourceFile, Number: p.fileReads}, Digest: digest(c.Text)}
-	p.files[v.Digest] = c
-	return v
+	p.fileReadCount++
+	version := rollout.Version{
+		ID:     rollout.ID{Source: rollout.SourceFile, Number: p.fileReadCount},
+		Digest: fileDigest(c.Text),
+	}
+	p.fileConfigs[version.Digest] = c
+	return version
 }
 
 // followControlPlane follows the control plane of a configuration, if its settings have changed. The client's goroutine
 // ends with stopFollowing.
 func (p *process) followControlPlane(c *config.Config) {
-	if reflect.DeepEqual(p.control, c.ControlPlane) {
+	if reflect.DeepEqual(p.controlPlane, c.ControlPlane) {
 		return
 	}
 	p.stopFollowing()
 	p.stopFollowing = func() {}
-	p.client = nil
-	p.control = c.ControlPlane
+	p.controlPlaneClient = nil
+	p.controlPlane = c.ControlPlane
 	if c.ControlPlane.Address == "" {
 		return
 	}
@@ -47,10 +50,10 @@
 		Zone:         c.Fleet.Zone,
 		Applied:      p.runningControlPlaneVersion(),
 		Log:          p.log,
-		OnUpdate: func(u xdsclient.Update) {
+		OnUpdate: func(update xdsclient.Update) {
 			p.post(func() {
-				if p.client == client {
-					p.onUpdate(u)
+				if p.controlPlaneClient == client {
+					p.onControlPlaneUpdate(update)
 				}
 			})
 		},
@@ -61,8 +64,8 @@
 	}
 	var ctx context.Context
 	ctx, p.stopFollowing = context.WithCancel(context.Background())
-	p.client = client
-	p.following.Go(func() { client.Run(ctx) })
+	p.controlPlaneClient = client
+	p.clientGoroutines.Go(func() { client.Run(ctx) })
 	p.log.Info("following control service", "service", c.ControlPlane.Address)
 }
 
@@ -79,15 +82,15 @@
 	return &version.ControlPlane.ID
 }
 
-// onUpdate offers a version that the control plane sent to the rollout's machine.
-func (p *process) onUpdate(u xdsclient.Update) {
-	if u.DecodeError != "" {
-		p.carryOut(p.machine.RejectUnreadable(u.Version, u.DecodeError))
+// onControlPlaneUpdate offers a version that the control plane sent to the rollout's machine.
+func (p *process) onControlPlaneUpdate(update xdsclient.Update) {
+	if update.DecodeError != "" {
+		p.executeCommands(p.machine.RejectUnreadable(update.Version, update.DecodeError))
 		return
 	}
-	if p.resources[u.Version.Digest] == nil {
-		p.resources[u.Version.Digest] = u.Resources
+	if p.controlPlaneResources[update.Version.Digest] == nil {
+		p.controlPlaneResources[update.Version.Digest] = update.Resources
 	}
-	p.carryOut(p.machine.Offer(now(), u.Version))
-	p.dropUnused()
+	p.executeCommands(p.machine.Offer(now(), update.Version))
+	p.dropUnusedContents()
 }
--- a/internal/daemon/routes.go
+++ b/internal/daemon/routes.go
@@ -13,51 +13,52 @@
 )
 
 // setRoutes sets the frontend's routes from a configuration.
-func (d *generation) setRoutes(c *config.Config) {
+func (g *generation) setRoutes(c *config.Config) {
 	if len(c.Routes) == 0 {
-		d.front.SetRoutes(nil)
+		g.front.SetRoutes(nil)
 		return
 	}
-	all := &http1.Routes{Table: c.Table, ProxyName: proxyName(c.Name), SingletonHeaders: map[string]bool{}}
+	routes := &http1.Routes{Table: c.Table, ProxyName: proxyName(c.Name), SingletonHeaders: map[string]bool{}}
 	if c.Paths.EncodedSlash == "keep" {
-		all.EncodedSlashes = route.KeepEncodedSlashes
+		routes.EncodedSlashes = route.KeepEncodedSlashes
 	}
 	for i := range c.Routes {
-		all.Routes = append(all.Routes, d.routeOf(c, i, all.SingletonHeaders))
+		routes.Routes = append(routes.Routes, g.newRoute(c, i, routes.SingletonHeaders))
 	}
-	d.front.SetRoutes(all)
+	g.front.SetRoutes(routes)
 }
 
 // proxyName returns the instance's name in Proxy-Status, which is a token there (RFC 9651). A name that is not a token
 // of ASCII letters, digits, "-", "_" and "." is replaced by "dunlinsaild".
 func proxyName(name string) string {
-	if name != "" && !strings.ContainsFunc(name, func(r rune) bool {
-		return !('a' <= r && r <= 'z' || 'A' <= r && r <= 'Z' || '0' <= r && r <= '9' || strings.ContainsRune("-_.", r))
+	if name != "" && !strings.ContainsFunc(name, func(char rune) bool {
+		return !('a' <= char && char <= 'z' || 'A' <= char && char <= 'Z' || '0' <= char && char <= '9' ||
+			strings.ContainsRune("-_.", char))
 	}) && (name[0] < '0' || name[0] > '9') {
 		return name
 	}
 	return "dunlinsaild"
 }
 
-// routeOf returns the configuration's i-th route as the frontend takes it. It adds the headers that the route matches
+// newRoute returns the configuration's i-th route as the frontend takes it. It adds the headers that the route matches
 // or takes values from to singleton: a request may have each of them once.
-func (d *generation) routeOf(c *config.Config, i int, singleton map[string]bool) http1.Route {
+func (g *generation) newRoute(c *config.Config, i int, singletonHeaders map[string]bool) http1.Route {
 	conf := &c.Routes[i]
-	classOf := func(name string) uint8 {
+	classIndex := func(className string) uint8 {
 		if conf.Class != "" {
-			name = conf.Class
+			className = conf.Class
 		}
-		return uint8(slices.Index(c.Site.Classes, name))
+		return uint8(slices.Index(c.Site.Classes, className))
 	}
-	source := func(text string) http1.ValueSource {
-		kind, name, _ := strings.Cut(text, ":")
+	valueSource := func(text string) http1.ValueSource {
+		sourceKind, name, _ := strings.Cut(text, ":")
 		switch {
 		case text == "":
-		case kind == "header":
+		case sourceKind == "header":
 			name = http.CanonicalHeaderKey(name)
-			singleton[name] = true
+			singletonHeaders[name] = true
 			return http1.ValueSource{Kind: http1.FromHeader, Name: name}
-		case kind == "path":
+		case sourceKind == "path":
 			segment, _ := c.Table.ParameterIndex(i, name)
 			return http1.ValueSource{Kind: http1.FromPathSegment, Segment: segment}
 		case text == "client":
@@ -67,16 +68,16 @@
 		}
 		return http1.ValueSource{}
 	}
-	r := http1.Route{
+	frontendRoute := http1.Route{
 		Name:             conf.Name,
-		Pool:             d.pools[conf.Pool].endpoints,
-		SafeClass:        classOf(config.ReadClass),
-		UnsafeClass:      classOf(config.WriteClass),
-		Tenant:           source(conf.Tenant),
-		Object:           source(conf.Object),
-		IdempotencyKey:   source(conf.Key),
-		RequestID:        source(conf.ID),
-		Deadline:         source(conf.Deadline),
+		Pool:             g.pools[conf.Pool].endpoints,
+		SafeClass:        classIndex(config.ReadClass),
+		UnsafeClass:      classIndex(config.WriteClass),
+		Tenant:           valueSource(conf.Tenant),
+		Object:           valueSource(conf.Object),
+		IdempotencyKey:   valueSource(conf.Key),
+		RequestID:        valueSource(conf.ID),
+		Deadline:         valueSource(conf.Deadline),
 		MaxAttempts:      conf.MaxAttempts,
 		MaxBodyBytes:     conf.MaxBody.Bytes,
 		MaxBufferedBytes: conf.MaxBufferedBody.Bytes,
@@ -86,20 +87,20 @@
 		AddPrefix:        conf.AddPrefix,
 		TrustForwarded:   conf.Trusted,
 		ForwardedMode:    http1.ForwardedMode(slices.Index(config.ForwardedModes, conf.Forwarded)),
-		RequestEdits:     headerEdits(&conf.Request),
-		ResponseEdits:    headerEdits(&conf.Response),
+		RequestEdits:     newHeaderEdits(&conf.Request),
+		ResponseEdits:    newHeaderEdits(&conf.Response),
 	}
 	for name := range conf.Headers {
-		singleton[http.CanonicalHeaderKey(name)] = true
+		singletonHeaders[http.CanonicalHeaderKey(name)] = true
 	}
-	r.SafePolicy = responsePolicy(c, conf, r.SafeClass, r.Deadline)
-	r.UnsafePolicy = responsePolicy(c, conf, r.UnsafeClass, r.Deadline)
-	return r
+	frontendRoute.SafePolicy = newResponsePolicy(c, conf, frontendRoute.SafeClass, frontendRoute.Deadline)
+	frontendRoute.UnsafePolicy = newResponsePolicy(c, conf, frontendRoute.UnsafeClass, frontendRoute.Deadline)
+	return frontendRoute
 }
 
-// responsePolicy returns the limits of a route's requests of a class, and the statuses that count as failure or
+// newResponsePolicy returns the limits of a route's requests of a class, and the statuses that count as failure or
 // rejection.
-func responsePolicy(
+func newResponsePolicy(
 	c *config.Config, conf *config.Route, class uint8, deadline http1.ValueSource,
 ) *upstream.ResponsePolicy {
 	settings := &c.Site.Settings.Classes[class]
@@ -123,17 +124,17 @@
 	return policy
 }
 
-// headerEdits returns the configuration's edits of headers as the frontend takes them, with canonical names.
-func headerEdits(e *config.HeaderEdits) http1.HeaderEdits {
-	canonical := func(values map[string]string) map[string]string {
-		all := map[string]string{}
+// newHeaderEdits returns the configuration's edits of headers as the frontend takes them, with canonical names.
+func newHeaderEdits(configured *config.HeaderEdits) http1.HeaderEdits {
+	canonicalNames := func(values map[string]string) map[string]string {
+		canonicalized := map[string]string{}
 		for name, value := range values {
-			all[http.CanonicalHeaderKey(name)] = value
+			canonicalized[http.CanonicalHeaderKey(name)] = value
 		}
-		return all
+		return canonicalized
 	}
-	edits := http1.HeaderEdits{Set: canonical(e.Set), Add: canonical(e.Add)}
-	for _, name := range e.Remove {
+	edits := http1.HeaderEdits{Set: canonicalNames(configured.Set), Add: canonicalNames(configured.Add)}
+	for _, name := range configured.Remove {
 		edits.Remove = append(edits.Remove, http.CanonicalHeaderKey(name))
 	}
 	return edits
--- a/internal/daemon/spentlog.go
+++ b/internal/daemon/spentlog.go
@@ -13,9 +13,9 @@
 // spentLog writes a line for each unit that is spent of a budget: the time since the host's boot in microseconds, which
 // all its processes read alike, and the budget's name.
 type spentLog struct {
-	lines   chan string
-	done    chan struct{} // closed once the writer's goroutine has ended
-	dropped bool          // reports whether lines were dropped since the last line that says so
+	pendingLines chan string
+	writerDone   chan struct{} // closed once the writer's goroutine has ended
+	dropped      bool          // reports whether lines were dropped since the last line that says so
 }
 
 const (
@@ -25,50 +25,50 @@
 
 // openSpentLog opens the log at a path for appending, and starts its writer, which ends with close.
 func openSpentLog(path string, log *slog.Logger) (*spentLog, error) {
-	f, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, spentLogMode)
+	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, spentLogMode)
 	if err != nil {
 		return nil, err
 	}
-	s := &spentLog{lines: make(chan string, spentLogBuffer), done: make(chan struct{})}
+	spent := &spentLog{pendingLines: make(chan string, spentLogBuffer), writerDone: make(chan struct{})}
 	go func() {
-		defer close(s.done)
-		defer f.Close()
-		w := bufio.NewWriter(f)
-		for line := range s.lines {
-			_, _ = w.WriteString(line)                // Flush returns its error
-			if len(s.lines) > 0 || w.Flush() == nil { // flushed whenever no line waits, for a process that is killed
+		defer close(spent.writerDone)
+		defer file.Close()
+		writer := bufio.NewWriter(file)
+		for line := range spent.pendingLines {
+			_, _ = writer.WriteString(line)                           // Flush returns its error
+			if len(spent.pendingLines) > 0 || writer.Flush() == nil { // flushed whenever no line waits, for a process that is killed
 				continue
 			}
 			// The disk may be full. The budgets are enforced without this log, so that the rest is discarded.
 			log.Error("spent log failed", "file", path)
-			for range s.lines {
+			for range spent.pendingLines {
 			}
 			return
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			log.Error("spent log failed", "file", path, "error", err)
 		}
 	}()
-	return s, nil
+	return spent, nil
 }
 
 // record writes the line of one unit. It never waits for the disk.
-func (s *spentLog) record(_ monotime.Micros, budget string) {
-	if s.dropped && len(s.lines) < spentLogBuffer/2 {
-		s.dropped = false
-		s.lines <- "# some are missing\n"
+func (spent *spentLog) record(_ monotime.Micros, budget string) {
+	if spent.dropped && len(spent.pendingLines) < spentLogBuffer/2 {
+		spent.dropped = false
+		spent.pendingLines <- "# some are missing\n"
 	}
 	select {
-	case s.lines <- strconv.FormatInt(clock.BootTime(), 10) + " " + budget + "\n":
+	case spent.pendingLines <- strconv.FormatInt(clock.BootTime(), 10) + " " + budget + "\n":
 	default:
-		s.dropped = true
+		spent.dropped = true
 	}
 }
 
 // close writes the waiting lines and closes the file. It does nothing on a nil log.
-func (s *spentLog) close() {
-	if s != nil {
-		close(s.lines)
-		<-s.done
+func (spent *spentLog) close() {
+	if spent != nil {
+		close(spent.pendingLines)
+		<-spent.writerDone
 	}
 }
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -18,12 +18,12 @@
 // ReceiveOffer keeps the offered snapshot and adopts the offered sockets. One that cannot be adopted is logged, and
 // this generation opens its own.
 func (l *lifecycle) ReceiveOffer(m takeover.Message) {
-	if err := json.Unmarshal(m.Payload, &l.offer); err != nil {
+	if err := json.Unmarshal(m.Payload, &l.receivedOffer); err != nil {
 		l.log.Warn("offer rejected", "error", err)
-		l.offer = offer{}
+		l.receivedOffer = offer{}
 	}
 	for i, file := range m.Files {
-		if l.offer.Takeover && i == len(m.Files)-1 {
+		if l.receivedOffer.Takeover && i == len(m.Files)-1 {
 			listener, err := takeover.ListenerFromFile(file)
 			if err != nil {
 				l.log.Warn("successor socket not adopted", "error", err)
@@ -38,27 +38,27 @@
 		}
 		l.offeredListeners = append(l.offeredListeners, listener)
 	}
-	l.offer.Listeners = l.offer.Listeners[:min(len(l.offer.Listeners), len(l.offeredListeners))]
+	l.receivedOffer.Listeners = l.receivedOffer.Listeners[:min(len(l.receivedOffer.Listeners), len(l.offeredListeners))]
 }
 
 // StartWithOffer starts everything except accepting, with the offered sockets and snapshot.
 func (l *lifecycle) StartWithOffer() error {
 	var names []string
-	for i, name := range l.offer.Listeners {
+	for i, name := range l.receivedOffer.Listeners {
 		if l.offeredListeners[i] == nil {
 			name = "" // no listener of the configuration has this name
 		}
 		names = append(names, name)
 	}
-	if err := l.listen(l.stop, l.offeredListeners, names, 0); err != nil {
+	if err := l.openListeners(l.stopContext, l.offeredListeners, names, 0); err != nil {
 		return err
 	}
-	state := l.decodeState(l.offer.State, "at the start")
+	state := l.decodeState(l.receivedOffer.State, "at the start")
 	if state != nil {
 		l.resumeWatches(state.Snapshot)
 	}
 	l.generation.startBackground()
-	l.restore(state, "at the start")
+	l.restoreState(state, "at the start")
 	return nil
 }
 
@@ -66,9 +66,9 @@
 // older than the updates that the predecessor has received.
 func (l *lifecycle) resumeWatches(snapshot *engine.Snapshot) {
 	for name, p := range l.pools {
-		from := snapshot.Pool(name)
-		if from != nil && p.firstWatcher != nil && from.Source == p.config.Source() {
-			p.firstWatcher.StartAfter(from.Generation)
+		poolSnapshot := snapshot.Pool(name)
+		if poolSnapshot != nil && p.firstWatcher != nil && poolSnapshot.Source == p.config.Source() {
+			p.firstWatcher.StartAfter(poolSnapshot.Generation)
 		}
 	}
 }
@@ -78,22 +78,22 @@
 
 // RestoreHandover restores the snapshot that came with the handover.
 func (l *lifecycle) RestoreHandover(snapshot []byte) {
-	l.restore(l.decodeState(snapshot, "at the handover"), "at the handover")
+	l.restoreState(l.decodeState(snapshot, "at the handover"), "at the handover")
 }
 
 // decodeState decodes a snapshot. One that cannot be decoded is logged and returned as nil, and this generation starts
 // without it.
-func (l *lifecycle) decodeState(encoded []byte, when string) *takeover.State {
+func (l *lifecycle) decodeState(encoded []byte, phase string) *takeover.State {
 	state, err := takeover.DecodeState(encoded)
 	if err != nil {
-		l.log.Warn("snapshot rejected", "when", when, "error", err)
+		l.log.Warn("snapshot rejected", "when", phase, "error", err)
 		return nil
 	}
 	return state
 }
 
 // restore restores the state that the predecessor learned. A nil state is none.
-func (l *lifecycle) restore(state *takeover.State, when string) {
+func (l *lifecycle) restoreState(state *takeover.State, phase string) {
 	if state == nil {
 		return
 	}
@@ -101,16 +101,16 @@
 	l.upstreams.RestoreEvidence(state.Reuse, age)
 	skipped := l.core.Restore(state.Snapshot, age)
 	if plan := state.Snapshot.Maintenance; plan != nil {
-		from := l.clock.Now() - age
+		takenAt := l.clock.Now() - age
 		l.inheritedPlan = &engine.MaintenancePlan{
 			Excluded:      plan.Excluded,
 			Announced:     plan.Announced,
-			LeaseEnd:      from + plan.LeaseEnd,
-			DrainDeadline: from + plan.DrainDeadline,
+			LeaseEnd:      takenAt + plan.LeaseEnd,
+			DrainDeadline: takenAt + plan.DrainDeadline,
 		}
 		l.core.ApplyMaintenancePlan(*l.inheritedPlan)
 	}
-	l.log.Info("snapshot restored", "when", when, "pools", len(state.Snapshot.Pools), "skipped", skipped)
+	l.log.Info("snapshot restored", "when", phase, "pools", len(state.Snapshot.Pools), "skipped", skipped)
 }
 
 // StartAlone starts without a predecessor. It is an error for a generation that was to take over in this process.
@@ -123,7 +123,7 @@
 
 // StartError returns the error of a generation that ends before it serves; nil after an order to stop.
 func (l *lifecycle) StartError(reason string) error {
-	if l.stop.Err() != nil {
+	if l.stopContext.Err() != nil {
 		return nil
 	}
 	return fmt.Errorf("takeover: %s", reason)
@@ -135,12 +135,12 @@
 	l.joinFleet()
 	l.listenForSuccessors() // first: a process that starts once clients are served must find this one
 	for _, listener := range l.listeners {
-		listener.keepPath(false)
-		listener.accept(l.front)
+		listener.setKeepPath(false)
+		listener.startAccepting(l.front)
 	}
 	l.closeUnusedListeners()
 	for _, conn := range l.earlyConns {
-		l.adopt(conn)
+		l.serveHandedOver(conn)
 	}
 	l.earlyConns = nil
 	l.log.Info("serving", "name", l.options.Config.Name, "listeners", l.addresses(), "pid", os.Getpid())
@@ -187,7 +187,7 @@
 func (l *lifecycle) acceptSuccessors() {
 	listener := l.successorListener
 	listener.SetPaused(false)
-	l.accepting.Go(func() { l.AcceptSuccessors(l.ctx, listener, answerTimeout) })
+	l.successorAcceptLoop.Go(func() { l.AcceptSuccessors(l.ctx, listener, replyTimeout) })
 }
 
 // AdoptConnection serves a connection that the predecessor handed over, now or once this generation serves.
@@ -196,12 +196,12 @@
 		l.earlyConns = append(l.earlyConns, conn)
 		return
 	}
-	l.adopt(conn)
+	l.serveHandedOver(conn)
 }
 
 // adopt serves a connection that was accepted at the address of one of this generation's listeners, and closes any
 // other.
-func (l *lifecycle) adopt(conn net.Conn) {
+func (l *lifecycle) serveHandedOver(conn net.Conn) {
 	local := conn.LocalAddr()
 	for _, listener := range l.listeners {
 		addr := listener.socket.Addr()
