--- a/internal/daemon/accesslog.go
+++ b/internal/daemon/accesslog.go
@@ -8,7 +8,7 @@
 	"dunlinsail/internal/frontend/http1"
 )
 
-// openAccessLog starts the access log if the configuration has a folder for it. stopBackground closes it.
+// openAccessLog opens the access log if the configuration has a folder for it. stopBackground closes the log.
 func (g *generation) openAccessLog() error {
 	settings := &g.options.Config.AccessLog
 	if settings.Dir == "" {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// recordExchange adds a finished request to the canary tally and the access log.
+// recordExchange adds a finished request to the canary tally and to the access log.
 func (g *generation) recordExchange(exchange *http1.ExchangeRecord) {
 	if g.tally != nil {
 		g.tally.addExchange(exchange)
@@ -43,7 +43,7 @@
 	}
 }
 
-// accessLogRow returns the row of the access log for a request.
+// accessLogRow returns the access log row for a finished request.
 func (g *generation) accessLogRow(exchange *http1.ExchangeRecord) accesslog.Row {
 	site := &g.options.Config.Site
 	hasher := g.keyHasher
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -11,8 +11,8 @@
 	"dunlinsail/internal/takeover"
 )
 
-// startAdminServer serves operators' calls at the configured address; an empty one turns the admin server off. It retries
-// for bindTimeout, because the predecessor may still have the address.
+// startAdminServer serves operators' calls at the configured address. An empty address disables the admin
+// server. It retries for bindTimeout, because the predecessor may still use the address.
 func (g *generation) startAdminServer() error {
 	addr := g.config.Admin.Address
 	if addr == "" || g.closeAdminServer != nil {
@@ -42,7 +42,8 @@
 	return nil
 }
 
-// stopAdminServer closes the admin server and returns once its goroutine has ended. Without a server it does nothing.
+// stopAdminServer closes the admin server and returns once its goroutine has ended. It does nothing if no
+// server runs.
 func (g *generation) stopAdminServer() {
 	if g.closeAdminServer != nil {
 		g.closeAdminServer()
@@ -55,7 +56,7 @@
 	return g.core.Ready(), "no endpoint is known to serve"
 }
 
-// adminBackend returns what the admin server calls to answer operators.
+// adminBackend returns the functions and the log with which the admin server handles operators' calls.
 func (g *generation) adminBackend() admin.Backend {
 	return admin.Backend{
 		Ready:       g.readiness,
@@ -67,8 +68,9 @@
 	}
 }
 
-// setCordon cordons an endpoint, given by name or address, or lifts its cordon. A cordon is in effect at this instance
-// only, and is part of its snapshot. An endpoint that is in no list is admin.ErrUnknownEndpoint.
+// setCordon sets the cordon of an endpoint, which is identified by its name or address, or removes it. The
+// cordon applies to this instance only and is part of its snapshot. The error is admin.ErrUnknownEndpoint if
+// the endpoint is in no endpoint list.
 func (g *generation) setCordon(ctx context.Context, target string, cordoned bool) error {
 	_, known, err := g.core.SetCordon(ctx, target, cordoned, takeover.Monotonic())
 	if err == nil && !known {
@@ -77,7 +79,8 @@
 	return err
 }
 
-// metrics returns the metrics, all read at one moment, as one line "name=value" each.
+// metrics returns the metrics as lines of the form "name=value". The metrics of the core are all read at the
+// same time.
 func (g *generation) metrics(ctx context.Context) ([]byte, error) {
 	stats, err := g.core.Statistics(ctx, func() {})
 	if err != nil {
--- a/internal/daemon/canary.go
+++ b/internal/daemon/canary.go
@@ -8,16 +8,26 @@
 )
 
 const (
-	sampleInterval      = 250 * time.Millisecond // length of a sample of outcomes
-	maxSampleAge        = 10 * sampleInterval    // a longer sample is dropped: the process stood still
-	maxBaselineSamples  = 240                    // latest samples of good configurations, the baseline of a canary
-	maxCanaryExtensions = 3                      // of an inconclusive canary analysis, each by its duration
-	// A verdict of harm that is not severe needs this part of the canary's duration, but maxMinCanaryDuration at most.
+	// sampleInterval is the time over which one sample counts the outcomes of requests.
+	sampleInterval = 250 * time.Millisecond
+	// maxSampleAge is the longest time that a sample may cover. The process was stalled during a longer sample,
+	// which is dropped.
+	maxSampleAge = 10 * sampleInterval
+	// maxBaselineSamples is the number of latest samples under good configurations that form the baseline of a
+	// canary.
+	maxBaselineSamples = 240
+	// maxCanaryExtensions is how often an inconclusive canary analysis is extended, each time by its configured
+	// duration.
+	maxCanaryExtensions = 3
+	// minCanaryDurationDivisor and maxMinCanaryDuration set the minimum duration of a canary before an analysis
+	// finds a harm that is not severe: the duration of the canary divided by minCanaryDurationDivisor, but at
+	// most maxMinCanaryDuration.
 	minCanaryDurationDivisor = 4
 	maxMinCanaryDuration     = 5_000_000 // microseconds
 )
 
-// startCanary starts the canary analysis of the running configuration against the last known good one.
+// startCanary starts the analysis that compares the running configuration (the canary) with the last known good
+// configuration.
 func (p *process) startCanary() {
 	controlPlane := &p.controlPlane
 	settings := canary.Settings{
@@ -29,7 +39,7 @@
 	settings.MinDuration = min(settings.Duration/minCanaryDurationDivisor, maxMinCanaryDuration)
 	var err error
 	if p.canaryAnalysis, err = canary.NewAnalysis(settings, p.baselineSamples...); err != nil {
-		p.log.Error("canary not started", "error", err) // not expected: package config has checked the settings
+		p.log.Error("canary not started", "error", err) // not expected: package config has validated the settings
 		p.executeCommands(p.machine.HandleCanaryResult(now(), ""))
 		return
 	}
@@ -41,11 +51,11 @@
 	if goodConfig, err := p.configOf(*p.machine.PersistentState().LastKnownGood); err == nil {
 		tally.setObjectives(p.serving.options.Config.Site.Settings.Classes, goodConfig.Site.Settings.Classes)
 	}
-	tally.takeAndReset() // drops the outcomes under the configuration before
+	tally.takeAndReset() // discards the outcomes under the previous configuration
 }
 
-// takeCanarySample adds the outcomes of requests since the last sample to the canary analysis, or to its baseline while none
-// runs, and carries out the analysis's verdict.
+// takeCanarySample adds the outcomes of the requests since the last sample to the canary analysis, and carries
+// out the verdict of the analysis. While no analysis runs, it adds the outcomes to the baseline.
 func (p *process) takeCanarySample() {
 	sampleEnd := time.Now()
 	sampleLength := sampleEnd.Sub(p.lastSampleEnd)
@@ -76,7 +86,8 @@
 	}
 }
 
-// addToBaseline adds samples under a good configuration, and keeps the last maxBaselineSamples.
+// addToBaseline adds samples under a good configuration to the baseline, which keeps the latest
+// maxBaselineSamples.
 func (p *process) addToBaseline(samples ...canary.Sample) {
 	p.baselineSamples = append(p.baselineSamples, samples...)
 	p.baselineSamples = p.baselineSamples[max(0, len(p.baselineSamples)-maxBaselineSamples):]
--- a/internal/daemon/canary_tally.go
+++ b/internal/daemon/canary_tally.go
@@ -9,17 +9,18 @@
 	"dunlinsail/internal/frontend/http1"
 )
 
-// canaryTally sums up the outcomes of a generation's requests, so that one configuration can be compared with another.
-// Both are measured by the same objectives and weights; otherwise a configuration with lower objectives would look
-// better. Its methods may be called from any goroutine.
+// canaryTally sums the outcomes of a generation's requests, so that two configurations can be compared. Both
+// are measured with the same objectives and weights; otherwise a configuration with less strict objectives
+// would look better. The methods may be called from any goroutine.
 type canaryTally struct {
 	mu         sync.Mutex
-	objectives []balancer.Class // by class index of the generation
-	sample     canary.Sample
+	objectives []balancer.Class // by the generation's class index
+	sample     canary.Sample    // the outcomes since the last call of takeAndReset
 }
 
-// setObjectives sets the objectives and weights by which outcomes are measured from now on. A class of the generation
-// (own) is measured by the class of the same name in reference, or by its own values if there is none.
+// setObjectives sets the objectives and weights that measure outcomes from now on. They are taken from the
+// class of the same name in referenceClasses, and from ownClasses, the classes of the generation, if there is
+// no such class.
 func (t *canaryTally) setObjectives(ownClasses, referenceClasses []balancer.Class) {
 	objectives := append([]balancer.Class(nil), ownClasses...)
 	for i := range objectives {
@@ -34,7 +35,8 @@
 	t.mu.Unlock()
 }
 
-// add counts a finished request. A request whose client left before its deadline is not counted.
+// addExchange counts a finished request. It ignores a request that the client abandoned before the client's
+// timeout.
 func (t *canaryTally) addExchange(exchange *http1.ExchangeRecord) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -60,7 +62,7 @@
 	}
 }
 
-// take returns the outcomes since the last call, without a duration.
+// takeAndReset returns the outcomes since the last call. The duration of the returned sample is not set.
 func (t *canaryTally) takeAndReset() canary.Sample {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -13,37 +13,37 @@
 	"dunlinsail/internal/frontend/http1"
 )
 
-// clients identifies the client of each connection: by the listener that it uses and, on a unix socket, by the
-// kernel's credentials of the process that connected (SO_PEERCRED, unix(7)). A successor identifies a connection that
-// is handed over in the same way. Its methods may be called from any goroutine.
+// clients identifies the client of each connection from the listener that accepted it and, on a unix socket,
+// from the kernel's credentials of the process that connected (SO_PEERCRED, unix(7)). A successor identifies a
+// connection that was handed over in the same way. The methods may be called from any goroutine.
 type clients struct {
 	front *http1.Server
 
 	mu            sync.Mutex
-	config        *config.Config
-	byName        map[string]*http1.Client
-	defaultClient *http1.Client // of connections without a configured client; nil if these are rejected
-	processes     map[processKey]*processState
+	config        *config.Config               // the configuration in effect
+	byName        map[string]*http1.Client     // configured clients
+	defaultClient *http1.Client                // for connections without a configured client; nil to reject them
+	processes     map[processKey]*processState // the known processes of clients that have limits for each process
 }
 
 // processKey identifies a process of a client that is configured with limits for each process.
 type processKey struct {
-	client string
+	client string // name of the configured client
 	pid    int32
 }
 
-// processState is the state of one client process.
+// processState holds the limits and connections of one client process.
 type processState struct {
 	client      *http1.Client
-	connections int
-	idleSince   time.Time // the end of its last connection; only valid without connections
+	connections int       // open connections
+	idleSince   time.Time // when the last connection closed; valid only without open connections
 }
 
-// processClientTTL is how long a client process without connections is remembered, so that its rate limit does not
-// start anew with each connection.
+// processClientTTL is how long a client process without connections is remembered. A process that was forgotten
+// would start with a new rate limit at each connection.
 const processClientTTL = 10 * time.Second
 
-// defaultClientName is the name of the default client in usage and logs.
+// defaultClientName is the name of the default client in usage reports and logs.
 const defaultClientName = "others"
 
 // newClients returns the clients of a configuration.
@@ -53,7 +53,7 @@
 	return cs, err
 }
 
-// clientSettings returns the settings of a client as the frontend takes them.
+// clientSettings returns the settings of a client in the form that the frontend takes.
 func clientSettings(name string, limits *config.ClientLimits) http1.ClientSettings {
 	return http1.ClientSettings{
 		ClientSpec:       limits.ClientSpec(name),
@@ -62,9 +62,9 @@
 	}
 }
 
-// applyConfig applies the clients of a configuration, and returns how many are new or have other limits. Connections
-// keep the client that they have. After an error the configuration before stays in effect, but the limits of some
-// clients may have changed.
+// applyConfig applies the clients of a configuration, and returns how many clients are new or have other
+// limits. Open connections keep their client. After an error the previous configuration stays in effect, but
+// the limits of some clients may have changed.
 func (cs *clients) applyConfig(c *config.Config) (changed int, err error) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -107,7 +107,7 @@
 	return changed, nil
 }
 
-// setClientLocked updates a client of the frontend, or makes one if client is nil, and returns it.
+// setClientLocked updates a client of the frontend, or creates the client if it is nil, and returns it.
 func (cs *clients) setClientLocked(client *http1.Client, settings http1.ClientSettings) (*http1.Client, error) {
 	if client == nil {
 		return cs.front.NewClient(settings)
@@ -115,7 +115,7 @@
 	return client, cs.front.UpdateClient(client, settings)
 }
 
-// updateProcessesLocked sets the limits of the known processes of a client.
+// updateProcessesLocked sets the limits of all known processes of a client.
 func (cs *clients) updateProcessesLocked(name string, limits *config.ClientLimits) error {
 	for process, state := range cs.processes {
 		if process.client != name {
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// identify returns the function that identifies the client of a listener's connections. An error rejects the
-// connection.
+// identify returns the function that identifies the client of each connection to a listener. If that function
+// returns an error, the frontend rejects the connection.
 func (cs *clients) identify(listenerConfig *config.Listener) http1.Identify {
 	return func(conn net.Conn) (*http1.Client, func(), error) {
 		cs.mu.Lock()
@@ -149,10 +149,11 @@
 	}
 }
 
+// errUnknownClient rejects a connection that has no configured client if there is no default client either.
 var errUnknownClient = errors.New("no client of the configuration, and there is no table others")
 
-// configuredClientLocked returns the configured client of a connection, nil if there is none, and the id of the process that
-// connected, 0 if the connection is not on a unix socket.
+// configuredClientLocked returns the configured client of a connection, or nil if there is none, and the id of
+// the process that connected, or 0 if the connection is not on a unix socket.
 func (cs *clients) configuredClientLocked(listenerConfig *config.Listener, conn net.Conn) (
 	*config.Client, int32, error) {
 	var pid int32
@@ -181,8 +182,8 @@
 	return nil, pid, nil
 }
 
-// processClientLocked returns the client of one process for a new connection, and the function to call at the
-// connection's end.
+// processClientLocked returns the client of one process for a new connection, and the function to call when the
+// connection is closed.
 func (cs *clients) processClientLocked(configured *config.Client, pid int32) (*http1.Client, func(), error) {
 	for process, state := range cs.processes {
 		if state.connections == 0 && time.Since(state.idleSince) > processClientTTL {
@@ -228,15 +229,15 @@
 	return credentials, err
 }
 
-// ClientUsage is what one client uses of its limits.
+// ClientUsage reports how much of its limits one client uses.
 type ClientUsage struct {
-	Client      string // its name; "name/pid" for a process with limits of its own
+	Client      string // name of the client; "name/pid" for a process with limits of its own
 	Connections int    // open connections
 	Open        int    // open requests
 	Bytes       int64  // buffered bytes of requests and responses
 }
 
-// usage returns what each client uses of its limits, sorted by name.
+// usage returns the usage of each client, sorted by client name.
 func (cs *clients) usage() []ClientUsage {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/daemon/consensus.go
+++ b/internal/daemon/consensus.go
@@ -16,37 +16,46 @@
 	"dunlinsail/internal/monotime"
 )
 
-// consensusMember is a generation's member of the consensus on the maintenance plan. It passes the plan to the core.
-// Its goroutine is that of run, from startConsensus to stopConsensus, because the node writes a log to disk, which
-// requests must not wait for. The fields below done belong to that goroutine.
+// consensusMember is a generation's member in the consensus on the maintenance plan. It passes the plan to the
+// core. The method run has a goroutine of its own, from startConsensus to stopConsensus, because the consensus
+// node writes a log to disk and requests must not wait for that. The fields from lastStatus on belong to that
+// goroutine.
 type consensusMember struct {
 	generation *generation
 	node       *consensus.Node
 	logStore   *consensus.BoltStore // nil for a member that is not a voter
-	events     chan func()
+	events     chan func()          // events for the goroutine of run
 	cancel     context.CancelFunc
 	runEnded   chan struct{} // closed once run has returned
 
-	lastStatus        maintenance.FleetStatus // as last observed
-	statusTime        monotime.Micros
-	peakUsage         float64 // highest usage since peakTime, in the unit of MachineStatus.Capacity
-	peakTime          monotime.Micros
-	inFlightByMachine map[string]int // requests in flight at excluded and announced machines, by name
-	appliedPlan       engine.MaintenancePlan
-	pendingReplies    map[uint64]chan consensus.OperatorReply // of operators who wait, by the node's request number
-	voteLossLogged    bool
+	lastStatus        maintenance.FleetStatus                 // status of the fleet at statusTime
+	statusTime        monotime.Micros                         // when the machines were last observed
+	peakUsage         float64                                 // highest since peakTime, in the unit of MachineStatus.Capacity
+	peakTime          monotime.Micros                         // when peakUsage was measured
+	inFlightByMachine map[string]int                          // requests in flight at excluded and announced machines
+	appliedPlan       engine.MaintenancePlan                  // the plan that was last passed to the core
+	pendingReplies    map[uint64]chan consensus.OperatorReply // for waiting operators, by the node's request number
+	voteLossLogged    bool                                    // reports whether the loss of the vote was logged
 }
 
 const (
-	consensusEventsBuffer = 1024        // messages and operators' requests that wait for run; further messages are lost
-	minObserveInterval    = 500_000     // microseconds between two observations of all machines
-	peakUsageWindow       = 900_000_000 // microseconds for which a peak of the fleet's usage counts
-	usageStepsPerUnit     = 20          // per unit of usage, which is rounded because each change is logged on disk
+	// consensusEventsBuffer is the number of messages and operators' requests that can wait for run. Further
+	// messages are lost.
+	consensusEventsBuffer = 1024
+	// minObserveInterval is the minimum time in microseconds between two observations while the plan names no
+	// machine.
+	minObserveInterval = 500_000
+	// peakUsageWindow is the time in microseconds for which a peak of the fleet's usage is kept.
+	peakUsageWindow = 900_000_000
+	// Usage is rounded to multiples of 1/usageStepsPerUnit, because each change of it is logged on disk.
+	usageStepsPerUnit = 20
+	// consensusTickInterval is the interval at which run checks whether the consensus node has a tick due.
 	consensusTickInterval = 10 * time.Millisecond
 )
 
-// startConsensus starts the consensus member, if the configuration has one and none runs. From then on no request is
-// sent before a plan has been received. A member that cannot open its log follows without a vote.
+// startConsensus starts the consensus member if the configuration has one and none runs. From then on no
+// request is sent until a maintenance plan has been received. A member that cannot open its log follows the
+// consensus without a vote.
 func (g *generation) startConsensus() error {
 	settings := g.config.Consensus()
 	if settings == nil || g.consensus != nil {
@@ -90,8 +99,8 @@
 	return nil
 }
 
-// stopConsensus stops the consensus member and returns the plan that is applied, nil if there is none. The core goes on
-// applying it until its lease ends.
+// stopConsensus stops the consensus member and returns the plan that is applied, or nil if there is none. The
+// core continues to apply the plan until its lease expires.
 func (g *generation) stopConsensus() *engine.MaintenancePlan {
 	member := g.consensus
 	if member == nil {
@@ -100,17 +109,18 @@
 	member.cancel()
 	<-member.runEnded
 	if member.logStore != nil {
-		_ = member.logStore.Close() // each entry was synced before it was acknowledged
+		_ = member.logStore.Close() // the error can be ignored: each entry was synced before it was acknowledged
 	}
 	g.consensus = nil
 	if member.appliedPlan.AwaitingPlan {
 		return nil
 	}
-	g.inheritedPlan = &member.appliedPlan // for startConsensus, should the successor be lost
+	g.inheritedPlan = &member.appliedPlan // for startConsensus, if the successor is lost
 	return &member.appliedPlan
 }
 
-// receive passes a message to the node. It never waits: a message that does not fit the buffer is lost.
+// receiveMessage passes a message to the node. It never waits: a message is dropped if the buffer of events is
+// full.
 func (member *consensusMember) receiveMessage(from string, message consensus.Message) {
 	select {
 	case member.events <- func() { member.node.Receive(member.generation.clock.Now(), from, message) }:
@@ -118,7 +128,7 @@
 	}
 }
 
-// run is the member's goroutine. It ends with ctx.
+// run handles events and ticks on the member's goroutine until ctx ends.
 func (member *consensusMember) run(ctx context.Context) {
 	defer close(member.runEnded)
 	ticker := time.NewTicker(consensusTickInterval)
@@ -139,8 +149,8 @@
 	}
 }
 
-// observeMachines reads the requests in flight at excluded and announced machines, and the status of the fleet. Without
-// such machines it does so every minObserveInterval only.
+// observeMachines reads the number of requests in flight at excluded and announced machines, and the status of
+// the fleet. If the plan names no such machine, it does so at most once every minObserveInterval.
 func (member *consensusMember) observeMachines(now monotime.Micros) {
 	plan, _, _ := member.node.PlanFollower().CurrentPlan()
 	names := append(append([]string(nil), plan.Excluded...), plan.Announced...)
@@ -159,13 +169,16 @@
 	member.lastStatus = status
 }
 
+// roundUsage rounds a usage to the nearest multiple of 1/usageStepsPerUnit.
 func roundUsage(usage float64) float64 {
 	return math.Round(usage*usageStepsPerUnit) / usageStepsPerUnit
 }
 
+// fleetStatus returns the last observed status of the fleet, for the consensus node.
 func (member *consensusMember) fleetStatus() maintenance.FleetStatus { return member.lastStatus }
 
-// publish sends messages, passes the plan to the core, answers operators who wait, and logs the loss of the vote.
+// publishUpdates sends the outgoing messages, passes the plan to the core, replies to waiting operators, and
+// logs the loss of the vote.
 func (member *consensusMember) publishUpdates() {
 	gossip := member.generation.gossip.Load()
 	for _, outgoing := range member.node.TakeOutgoing() {
@@ -183,7 +196,7 @@
 	member.logVoteLoss()
 }
 
-// publishPlan passes the plan to the core if it has changed.
+// publishPlan passes the plan to the core if the plan has changed.
 func (member *consensusMember) publishPlan() {
 	currentPlan, leaseEnd, drainDeadline := member.node.PlanFollower().CurrentPlan()
 	plan := engine.MaintenancePlan{
@@ -203,7 +216,7 @@
 	member.generation.core.ApplyMaintenancePlan(plan)
 }
 
-// logVoteLoss logs once that this member has no vote any more.
+// logVoteLoss logs that this member has lost its vote. It logs this only once.
 func (member *consensusMember) logVoteLoss() {
 	if member.node.LogMissing() && member.node.PlanFollower().HasPlan() && !member.voteLossLogged {
 		member.voteLossLogged = true
@@ -215,12 +228,13 @@
 	}
 }
 
-// errNoLeader is the error of an operator's request that was not answered in time, as while the consensus has no
-// leader.
+// errNoLeader is the error of an operator's request that got no reply in time, for example because the
+// consensus had no leader.
 var errNoLeader = errors.New("nobody leads in settling the order just now; say it again")
 
-// propose has submit hand a request to the node, which returns its number, and waits for the reply to it. A reply with
-// an error is returned with that error; errNoLeader is the error once ctx or the member ends.
+// propose submits an operator's request to the node and waits for the reply. submit passes the request to the
+// node and returns its request number. A reply that contains an error is returned together with that error. The
+// error is errNoLeader if ctx or the member ends before the reply.
 func (member *consensusMember) propose(ctx context.Context, submit func(now monotime.Micros) uint64) (
 	consensus.OperatorReply, error) {
 	replyChannel := make(chan consensus.OperatorReply, 1)
@@ -249,7 +263,8 @@
 	return consensus.OperatorReply{}, errNoLeader
 }
 
-// maintenance answers an operator's call: a command in JSON, or with an empty body a request for the leader's view.
+// maintenance handles an operator's call. The body is a maintenance command in JSON; an empty body requests the
+// leader's view of the maintenance.
 func (g *generation) maintenance(ctx context.Context, body []byte) ([]byte, error) {
 	member := g.consensus
 	if member == nil {
@@ -266,7 +281,7 @@
 	if err := json.Unmarshal(body, &operatorCommand); err != nil {
 		return nil, fmt.Errorf("the body makes no sense: %w", err)
 	}
-	command := maintenance.Command{ // only the fields that an operator may set
+	command := maintenance.Command{ // copies only the fields that an operator may set
 		Request:       operatorCommand.Request,
 		CancelRequest: operatorCommand.CancelRequest,
 		Complete:      operatorCommand.Complete,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,11 +1,12 @@
-// Package daemon assembles the fleet daemon: listeners for the client processes of a host, one core and balancer for
-// all of them, the pools of connections to endpoints, the watches at discovery, and the hot restart by the next
-// process. It starts these parts, changes them as its configuration changes, and stops them in order. It makes no
-// balancing decisions: the packages below decide do.
+// Package daemon assembles the fleet daemon: the listeners for the client processes of a host, one core and one
+// balancer for all of these processes, the pools of connections to endpoints, the discovery watches, and the
+// hot restart by which the next process takes over. It starts these parts, changes them when the configuration
+// changes, and stops them in order. It makes no balancing decisions: the packages under internal/decide make
+// them.
 //
-// A process (process.go, rollout.go) runs over all its configurations. A generation (generation.go) is the parts that
-// serve by one configuration, and its lifecycle (lifecycle.go, successor.go, predecessor.go) takes it from its start to
-// its end.
+// A process (process.go, rollout.go) lasts for all configurations that the daemon runs with. A generation
+// (generation.go) holds the parts that serve with one configuration. The lifecycle of a generation
+// (lifecycle.go, successor.go, predecessor.go) starts it, lets it take over and hand over, and ends it.
 package daemon
 
 import (
@@ -18,28 +19,30 @@
 	"dunlinsail/internal/decide/rollout"
 )
 
-// stopAcceptDelay is how long a daemon that stops goes on accepting, for clients that have just resolved its address.
+// stopAcceptDelay is how long a stopping daemon continues to accept connections, for clients that resolved its
+// address just before.
 const stopAcceptDelay = 300 * time.Millisecond
 
-// Options are the options of Run.
+// Options holds the initial configuration of the daemon and the callbacks of its caller.
 type Options struct {
 	Config *config.Config
 	Log    *slog.Logger
 
-	Reload  <-chan os.Signal               // Read is called at each signal; nil is never
+	Reload  <-chan os.Signal               // the configuration file is read again at each signal; nil disables this
 	Read    func() (*config.Config, error) // reads the configuration file again
-	Prepare func(*config.Process) error    // applies the settings of the whole process; nil does nothing
-	Seed    uint64                         // of random numbers; 0 is a random seed
+	Prepare func(*config.Process) error    // applies process-wide settings such as limits; nil skips them
+	Seed    uint64                         // seed of the random numbers; 0 selects a random seed
 
-	// Serving is called once the daemon accepts, with the address of each listener by name, and again after a new
-	// generation has taken over; nil is not called.
+	// Serving is called with the address of each listener, by listener name, once the daemon accepts
+	// connections, and again whenever a new generation has taken over. It may be nil.
 	Serving func(addresses map[string]string)
-	// Answered is called for each version of the configuration that is acknowledged or rejected; nil is not called.
+	// Answered is called for each version of the configuration that is acknowledged or rejected. It may be nil.
 	Answered func(rollout.Command)
 }
 
-// Run serves until stop ends or another process has taken over, and returns once every request is answered or handed
-// over. An error means that the first configuration could not be started, or why the last generation ended.
+// Run serves until stop is canceled or another process has taken over. It returns once every request has its
+// final response or its connection has been handed over. It returns an error if the first configuration could
+// not be started or if the last generation ended with an error.
 func Run(stop context.Context, o Options) error {
 	p := newProcess(stop, o)
 	if err := p.assembleFirst(); err != nil {
--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -18,37 +18,37 @@
 	"dunlinsail/internal/upstream"
 )
 
-// generation holds the parts that serve by one configuration. A configuration that the running generation cannot apply
-// while serving has a generation of its own, which takes over from the one before it (lifecycle).
+// generation holds the parts that serve with one configuration. A configuration that the running generation
+// cannot apply while serving gets a new generation, which takes over from the running one (lifecycle).
 type generation struct {
-	options   Options
-	config    *config.Config // in effect now; options.Config is the one that it was assembled from
+	options   Options        // the options with which this generation was assembled
+	config    *config.Config // the configuration in effect; options.Config is the initial one
 	log       *slog.Logger
 	upstreams *upstream.Pool // connections to endpoints
 	core      *core.Core
-	pools     pools
-	front     *http1.Server
+	pools     pools         // by pool name
+	front     *http1.Server // serves the connections of clients
 	clients   *clients
 
-	gossip           atomic.Pointer[peers.Peers] // nil while this instance is not part of a fleet
-	spentLog         *spentLog                   // nil without a file for it
+	gossip           atomic.Pointer[peers.Peers] // nil while this instance has not joined a fleet
+	spentLog         *spentLog                   // nil unless the configuration has a file for this log
 	consensus        *consensusMember            // nil while this instance takes no part in the consensus
-	inheritedPlan    *engine.MaintenancePlan     // the predecessor's; nil without one
+	inheritedPlan    *engine.MaintenancePlan     // the maintenance plan of the predecessor; nil if there is none
 	clock            clock.Clock
-	closeAdminServer func() // stops the admin server; nil while none runs
+	closeAdminServer func() // stops the admin server; nil while it does not run
 
-	accessLog *accesslog.Writer // nil without an access log
-	keyHasher *accesslog.Hasher // of the access log
-	tally     *canaryTally      // nil without canaries
+	accessLog *accesslog.Writer // nil if the configuration has no access log
+	keyHasher *accesslog.Hasher // hashes the keys and objects in the access log
+	tally     *canaryTally      // nil if canaries are disabled
 
 	listeners []*listener
 
-	ctx        context.Context // of the goroutines below; nil before startBackground
+	ctx        context.Context // context of the goroutines; nil before startBackground
 	cancel     context.CancelFunc
-	goroutines sync.WaitGroup // of core and upstreams, from startBackground to stopBackground
+	goroutines sync.WaitGroup // the goroutines that run core and upstreams
 }
 
-// assemble makes a generation without starting it.
+// assemble returns a generation for the configuration in options, without starting it.
 func assemble(options Options) (*generation, error) {
 	c := options.Config
 	if options.Seed == 0 {
@@ -57,17 +57,21 @@
 	g := &generation{options: options, config: c, log: options.Log, pools: pools{}}
 	clk := clock.New()
 	if c.Peers.On {
-		clk = clock.NewBootClock() // it counts the time while the host sleeps, in which leases end, too
+		// The boot clock also counts the time in which the host sleeps, because leases expire during that time,
+		// too.
+		clk = clock.NewBootClock()
 	}
 	g.clock = clk
 	g.upstreams = upstream.New(upstream.Options{
-		Clock:              clk,
-		Log:                options.Log,
-		MaxConns:           c.Connections.MaxEndpoints,
-		DialTimeout:        c.Attempts.DialTimeout.Duration,
-		KeepAlive:          c.Site.KeepAlive,
-		ReuseDelay:         upstream.DefaultReuseDelay,
-		ReuseDelayOptional: true, // a host's clients would wait for it at their usual rates
+		Clock:       clk,
+		Log:         options.Log,
+		MaxConns:    c.Connections.MaxEndpoints,
+		DialTimeout: c.Attempts.DialTimeout.Duration,
+		KeepAlive:   c.Site.KeepAlive,
+		ReuseDelay:  upstream.DefaultReuseDelay,
+		// Otherwise attempts would have to wait for the reuse delay at the usual request rates of a host's
+		// clients.
+		ReuseDelayOptional: true,
 		LoadFields:         c.Site.LoadReportFields,
 		LoadInResponses:    c.Site.ReportsOnResponses,
 	})
@@ -89,10 +93,10 @@
 	if g.clients, err = newClients(g.front, c); err != nil {
 		return nil, err
 	}
-	return g, g.openAccessLog() // last, because it starts a goroutine
+	return g, g.openAccessLog() // called last, because it starts a goroutine
 }
 
-// newCore makes the core, with coordination in a fleet if the configuration has one.
+// newCore creates the core, and joins it to the coordination of the fleet if the configuration has a fleet.
 func (g *generation) newCore() error {
 	options := &g.options
 	c := g.config
@@ -115,7 +119,7 @@
 	return g.joinCoordination()
 }
 
-// newFrontend makes the frontend, and the canary tally that it records requests in.
+// newFrontend creates the frontend, and the canary tally if canaries are enabled.
 func (g *generation) newFrontend() error {
 	c := g.config
 	frontOptions := http1.Options{
@@ -141,7 +145,8 @@
 	return err
 }
 
-// startBackground starts core, connections to endpoints and the sources of endpoint lists. stopBackground ends them.
+// startBackground starts the core, the connections to endpoints and the sources of endpoint lists.
+// stopBackground stops them.
 func (g *generation) startBackground() {
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	g.goroutines.Go(func() { g.core.Run(g.ctx) })
@@ -151,8 +156,8 @@
 	}
 }
 
-// stopBackground ends everything that the generation has started, listeners and connections included. It may be called
-// without startBackground.
+// stopBackground stops everything that the generation has started, including listeners and connections. It may
+// be called without a preceding startBackground.
 func (g *generation) stopBackground() {
 	for _, l := range g.listeners {
 		l.close()
@@ -168,7 +173,7 @@
 	if g.cancel != nil {
 		g.cancel()
 	}
-	g.front.CloseAll() // there are connections only if the start failed
+	g.front.CloseAll() // connections are still open only if the start failed
 	g.goroutines.Wait()
 	if g.accessLog != nil {
 		g.accessLog.Close()
@@ -176,14 +181,16 @@
 	g.spentLog.close()
 }
 
-// canApplyLive reports whether a configuration can be applied while serving, and returns the tables that prevent it.
-// These are compared with the configuration that the generation was assembled from, not with the one in effect.
+// canApplyLive reports whether the generation can apply a configuration while serving, and returns the
+// configuration tables that prevent it. It compares with the configuration that the generation was assembled
+// from, not with the configuration in effect.
 func (g *generation) canApplyLive(next *config.Config) (tables []string, live bool) {
 	tables = g.options.Config.TablesNeedingRestart(next)
 	return tables, len(tables) == 0
 }
 
-// applyConfig applies a configuration for which canApplyLive is true, on the lifecycle's goroutine.
+// applyConfig applies a configuration for which canApplyLive reports true. It runs on the lifecycle's
+// goroutine.
 func (g *generation) applyConfig(next *config.Config) error {
 	changed, err := g.clients.applyConfig(next)
 	if err != nil {
@@ -199,7 +206,7 @@
 	return nil
 }
 
-// addresses returns the address of each listener by its name.
+// addresses returns the address of each listener, by listener name.
 func (g *generation) addresses() map[string]string {
 	addresses := map[string]string{}
 	for _, l := range g.listeners {
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -11,8 +11,9 @@
 	"dunlinsail/internal/peers"
 )
 
-// joinCoordination has the core coordinate with the other instances of the fleet, if the configuration has one.
-// Messages are sent by gossip, and dropped while it does not run: before startGossip, and after a handover.
+// joinCoordination lets the core coordinate with the other instances of the fleet, if the configuration has a
+// fleet. Messages are sent by gossip. They are dropped while gossip does not run, which is before startGossip
+// and after a handover.
 func (g *generation) joinCoordination() error {
 	settings := g.config.Coordination(g.options.Seed)
 	if settings == nil {
@@ -27,11 +28,11 @@
 	return g.core.JoinFleet(*settings)
 }
 
-// bindRetryInterval is the time between two attempts to bind an address that the predecessor may still have.
+// bindRetryInterval is the time between two attempts to bind an address that the predecessor may still use.
 const bindRetryInterval = 20 * time.Millisecond
 
-// startGossip joins the other instances by gossip. Only a generation that serves may call it, because an instance must
-// not be in the fleet twice.
+// startGossip joins the other instances by gossip. Only a generation that serves may call it, because an
+// instance must not be in the fleet twice.
 func (g *generation) startGossip() error {
 	settings := &g.config.Peers
 	if !settings.On || g.gossip.Load() != nil {
@@ -63,8 +64,8 @@
 	return nil
 }
 
-// stopGossip leaves the fleet. With announce the other instances are notified; without, a successor takes this
-// instance's place.
+// stopGossip stops the gossip of this instance. If announce is true, the other instances are notified that it
+// leaves the fleet. Otherwise a successor takes the place of this instance.
 func (g *generation) stopGossip(announce bool) {
 	gossip := g.gossip.Swap(nil)
 	if gossip == nil {
@@ -76,7 +77,7 @@
 	gossip.Close(announce)
 }
 
-// View is an instance's view of its fleet, as the admin server sends it.
+// View is an instance's view of its fleet, in the form in which the admin server sends it.
 type View struct {
 	Name    string            `json:"Name"`
 	Members []peers.Member    `json:"Members"`
@@ -84,7 +85,7 @@
 	Gossip  peers.Stats       `json:"Words"`
 }
 
-// fleetView returns the view of the fleet as JSON.
+// fleetView returns this instance's view of the fleet as JSON.
 func (g *generation) fleetView(ctx context.Context) ([]byte, error) {
 	gossip := g.gossip.Load()
 	if gossip == nil {
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -15,40 +15,42 @@
 	"dunlinsail/internal/takeover"
 )
 
-// replyTimeout bounds the steps of a hot restart in which a process only answers.
+// replyTimeout bounds each step of a hot restart in which a process only has to reply.
 const replyTimeout = 5 * time.Second
 
-// lifecycle is the lifecycle of a generation from its start to its end: successor, if another generation serves, then
-// serving, then predecessor of the next, in another process or in this one.
+// lifecycle takes a generation from its start to its end: it is the successor of another generation if one
+// serves, then serves, and then is the predecessor of the next generation, which is in another process or in
+// this one.
 //
-// Its fields belong to the goroutine of run; other goroutines post events to Loop.
+// The fields belong to the goroutine of run. Other goroutines post events to Loop.
 type lifecycle struct {
 	*generation
 	*takeover.Lifecycle
-	stopContext context.Context // of the process; kept because the methods of takeover.Host have no context
-	inProcess   bool            // the predecessor is in this process: this generation takes over from it, or ends
-	serving     bool
+	stopContext context.Context // ends the process; a field because the methods of takeover.Host have no context
+	// inProcess reports whether the predecessor is in this process. If it is lost, this generation ends.
+	inProcess bool
+	serving   bool // reports whether this generation has started to serve
 
-	onServing        func()            // called once it accepts
-	onHandoverChange func(active bool) // called at the start and at the end of a handover to a successor
+	onServing        func()            // called once this generation accepts connections
+	onHandoverChange func(active bool) // called when a handover to a successor starts (active) and when it ends
 
-	receivedOffer    offer
-	offeredListeners []net.Listener // in the offer's order; nil for one that cannot be used
-	earlyConns       []net.Conn     // connections handed over before this generation accepts
+	receivedOffer    offer          // the predecessor's offer
+	offeredListeners []net.Listener // sockets in the order of the offer; nil for a socket that cannot be used
+	earlyConns       []net.Conn     // connections that were handed over before this generation serves
 
-	successorListener   *takeover.Listener
-	successorAcceptLoop sync.WaitGroup // the accept loop of successorListener
+	successorListener   *takeover.Listener // accepts connections of successors; nil if there is none
+	successorAcceptLoop sync.WaitGroup     // the accept loop of successorListener
 }
 
-// offer is what a predecessor offers with its listening sockets.
+// offer is the message that a predecessor sends along with its listening sockets.
 type offer struct {
-	Listeners []string `json:"Listeners"` // addresses as in the predecessor's file, in the order of the sockets
-	Takeover  bool     `json:"Takeover"`  // the last socket is the one at which successors connect
+	Listeners []string `json:"Listeners"` // addresses in the predecessor's file, in the order of the sockets
+	Takeover  bool     `json:"Takeover"`  // reports whether the last socket is the one to which successors connect
 	State     []byte   `json:"State"`     // the encoded snapshot
 }
 
-// newLifecycle returns the lifecycle of a generation. A non-nil predecessor is in this process, and the generation
-// takes over from no other.
+// newLifecycle returns the lifecycle of a generation. If predecessor is not nil, it is a connection to a
+// generation in this process, and the new generation takes over from that one only.
 func newLifecycle(stopContext context.Context, g *generation, predecessor *takeover.Conn) *lifecycle {
 	settings := g.options.Config.Takeover
 	times := decide.Times{
@@ -68,7 +70,8 @@
 	return l
 }
 
-// run takes over or starts alone, serves, and returns once every request is answered or handed over.
+// run starts the generation, as a successor or alone, and serves. It returns once every request has its final
+// response or its connection has been handed over.
 func (l *lifecycle) run() error {
 	defer l.close()
 	if err := l.startOrTakeOver(); err != nil {
@@ -77,8 +80,8 @@
 	return l.RunLoop(l.stopContext.Done(), l.onStop)
 }
 
-// close releases every socket and connection, and waits for the goroutines of this lifecycle. It may be called after
-// a start that failed at any step.
+// close releases every socket and connection, and waits for the goroutines of this lifecycle. It may be called
+// after a start that failed at any step.
 func (l *lifecycle) close() {
 	l.CloseLoop()
 	if l.successorListener != nil {
@@ -98,10 +101,10 @@
 	l.Loop.Goroutines.Wait()
 }
 
-// now returns the host's monotonic time, which all its processes read alike.
+// now returns the host's monotonic time, which is the same for all its processes.
 func now() monotime.Micros { return takeover.Monotonic() }
 
-// onStop handles the order to stop. A generation that does not serve yet ends at once.
+// onStop handles the request to stop the process. A generation that does not serve yet ends at once.
 func (l *lifecycle) onStop() {
 	l.StepSuccessor(decide.Stop, "")
 	if l.serving {
@@ -111,7 +114,8 @@
 	l.End(nil)
 }
 
-// connect starts as the successor of the process that serves, or alone.
+// startOrTakeOver starts the generation as the successor of the process or generation that serves, or alone if
+// none does.
 func (l *lifecycle) startOrTakeOver() error {
 	if l.inProcess {
 		l.log.Info("hot restart started in this process")
@@ -135,8 +139,8 @@
 	return nil
 }
 
-// serveAlone starts without a predecessor: it listens, and serves at once. Until an endpoint list has come, requests
-// are rejected.
+// serveAlone starts the generation without a predecessor: it opens its listeners and serves at once. Requests
+// are rejected until an endpoint list has been received.
 func (l *lifecycle) serveAlone() error {
 	l.Successor.ServeAlone()
 	if err := l.openListeners(l.stopContext, nil, nil, bindTimeout); err != nil {
@@ -147,7 +151,8 @@
 	return nil
 }
 
-// joinFleet joins the fleet and starts the admin server. Failures are logged, and the instance serves on its own.
+// joinFleet joins the fleet and starts the admin server. Failures are logged, and the instance serves without
+// these parts.
 func (l *lifecycle) joinFleet() {
 	if err := l.startConsensus(); err != nil {
 		l.log.Error("consensus not started", "error", err)
@@ -161,5 +166,5 @@
 	}
 }
 
-// ReceiveCordons does nothing: a generation sends its cordons with the snapshot only.
+// ReceiveCordons ignores its argument: a generation sends its cordons only as part of the snapshot.
 func (l *lifecycle) ReceiveCordons([]byte) {}
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -15,26 +15,27 @@
 	"dunlinsail/internal/takeover"
 )
 
-// listener accepts the connections of clients at one address.
+// listener accepts the connections of clients at one configured address.
 type listener struct {
 	config   *config.Listener
 	socket   net.Listener
-	identify http1.Identify
+	identify http1.Identify // identifies the client of a new connection
 
-	accepting  bool
-	acceptLoop sync.WaitGroup // the goroutine of accept
+	accepting  bool           // reports whether the accept loop was started and not paused
+	acceptLoop sync.WaitGroup // the goroutine that startAccepting starts
 }
 
-// bindTimeout is how long a start without a predecessor waits for an address that another process holds. A process that
-// was stopped just before goes on accepting for stopAcceptDelay.
+// bindTimeout is how long a daemon that starts without a predecessor waits for an address that another process
+// still uses. A process that was just stopped continues to accept connections for stopAcceptDelay.
 const bindTimeout = 3 * time.Second
 
-// socketUmask makes a new unix socket accessible to the daemon's user only.
+// socketUmask is the umask with which only the daemon's user can access a new unix socket.
 const socketUmask = 0o177
 
-// listen opens the listeners of the configuration. It takes an offered socket whose name (as in the predecessor's file)
-// or address is the listener's, and sets it to nil in offered. For an address in use it waits, but not longer than
-// wait. The listeners that were opened before an error are closed with the generation.
+// openListeners opens the configured listeners. For each listener it adopts the offered socket whose name (the
+// address in the predecessor's configuration file) or bound address is the listener's address, and sets that
+// socket to nil in offeredSockets. It waits up to maxWait for an address in use. After an error, stopBackground
+// closes the listeners that were opened.
 func (g *generation) openListeners(
 	stop context.Context, offeredSockets []net.Listener, offeredNames []string, maxWait time.Duration,
 ) error {
@@ -46,7 +47,7 @@
 			socket:   takeOffered(conf, offeredSockets, offeredNames),
 		}
 		if l.socket != nil {
-			l.setKeepPath(true) // the path is still the predecessor's, should this start fail
+			l.setKeepPath(true) // the path belongs to the predecessor if this start fails
 		} else {
 			socket, err := openListener(stop, conf, maxWait)
 			if err != nil {
@@ -59,7 +60,8 @@
 	return nil
 }
 
-// takeOffered returns the offered socket of a listener, which it sets to nil in offered; nil if there is none.
+// takeOffered returns the offered socket of a listener and sets it to nil in offeredSockets. It returns nil if
+// no offered socket has the name or the address of the listener.
 func takeOffered(conf *config.Listener, offeredSockets []net.Listener, offeredNames []string) net.Listener {
 	for i, name := range offeredNames {
 		socket := offeredSockets[i]
@@ -71,7 +73,8 @@
 	return nil
 }
 
-// openListener opens one listener. It retries an address in use until the time of wait is over or stop ends.
+// openListener opens one listener. While the address is in use it retries until maxWait has passed or stop is
+// canceled.
 func openListener(stop context.Context, conf *config.Listener, maxWait time.Duration) (net.Listener, error) {
 	network, address := conf.Network()
 	for deadline := time.Now().Add(maxWait); ; {
@@ -87,8 +90,8 @@
 	}
 }
 
-// bindListener opens one listener. mode is the permissions of a unix socket; a socket at its path on which no
-// process listens is replaced.
+// bindListener opens one listener without retrying. mode holds the permissions of a unix socket. A unix socket
+// at the same path on which no process listens is replaced.
 func bindListener(network, address string, mode os.FileMode) (net.Listener, error) {
 	if network != "unix" {
 		return net.Listen(network, address)
@@ -96,7 +99,7 @@
 	if err := takeover.RemoveStale(network, address); err != nil {
 		return nil, err
 	}
-	// Without the umask other users could connect before Chmod.
+	// The umask prevents other users from connecting between Listen and Chmod.
 	previousUmask := syscall.Umask(socketUmask)
 	socket, err := net.Listen(network, address)
 	syscall.Umask(previousUmask)
@@ -110,8 +113,8 @@
 	return socket, nil
 }
 
-// accept starts the goroutine that serves the listener's connections until pause or close. It does nothing while one
-// runs.
+// startAccepting starts the goroutine that accepts connections and serves them until pauseAccepting or close.
+// It does nothing if that goroutine already runs.
 func (l *listener) startAccepting(frontend *http1.Server) {
 	if l.accepting {
 		return
@@ -121,28 +124,29 @@
 	l.acceptLoop.Go(func() { _ = frontend.Accept(l.socket, l.identify) })
 }
 
-// pause ends accept. Clients that connect from then on wait in the socket's queue.
+// pauseAccepting stops accepting. Clients that connect from then on wait in the socket's queue.
 func (l *listener) pauseAccepting() {
 	l.setAcceptDeadline(time.Unix(1, 0))
 	l.acceptLoop.Wait()
 	l.accepting = false
 }
 
-// setAcceptDeadline sets the instant at which a waiting Accept returns; the zero time is never.
+// setAcceptDeadline sets the time at which a blocked Accept returns. The zero time removes the deadline.
 func (l *listener) setAcceptDeadline(deadline time.Time) {
 	if s, ok := l.socket.(interface{ SetDeadline(time.Time) error }); ok {
-		_ = s.SetDeadline(deadline) // it fails only on a closed listener
+		_ = s.SetDeadline(deadline) // SetDeadline fails only on a closed listener
 	}
 }
 
-// setKeepPath sets whether closing a unix socket leaves its path, because another process may listen there.
+// setKeepPath sets whether the path of a unix socket remains when the socket is closed. It must remain while
+// another process may listen there.
 func (l *listener) setKeepPath(keep bool) {
 	if u, ok := l.socket.(*net.UnixListener); ok {
 		u.SetUnlinkOnClose(!keep)
 	}
 }
 
-// close closes the socket and returns once accept has ended.
+// close closes the socket and returns once the accept loop has ended.
 func (l *listener) close() {
 	l.socket.Close()
 	l.acceptLoop.Wait()
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -15,21 +15,21 @@
 	"dunlinsail/internal/engine"
 )
 
-// pool is a pool of the configuration with the source of its endpoint list.
+// pool is a configured pool, with the source of its endpoint list.
 type pool struct {
 	config          config.Pool
 	endpoints       *core.Pool
-	discoverySource *discovery.Source    // nil for a list that is not from discovery
-	firstWatcher    *discovery.Watcher   // the one that source starts with
-	fileSource      *endpointsource.File // nil for a list that is not from a file
-	listGeneration  int64                // generation of a list in the configuration itself
+	discoverySource *discovery.Source    // nil if the list does not come from discovery
+	firstWatcher    *discovery.Watcher   // the watcher with which discoverySource starts
+	fileSource      *endpointsource.File // nil if the list does not come from a file
+	listGeneration  int64                // generation of an endpoint list that is part of the configuration
 }
 
-// pools are the pools that routes lead to, by name. Without routes there is one, named "", whose list is from
-// discovery.
+// pools holds the pools to which routes lead, by name. A configuration without routes has a single pool, named
+// "", whose endpoint list comes from discovery.
 type pools map[string]*pool
 
-// newPool adds a pool to the core. startSource starts the source of its list.
+// newPool adds a pool to the core. startSource starts the source of the pool's endpoint list.
 func (g *generation) newPool(conf config.Pool, subscribe bool) (*pool, error) {
 	p := &pool{config: conf}
 	poolConfig := engine.PoolConfig{
@@ -66,21 +66,22 @@
 	return p, err
 }
 
-// watcher returns a discovery watcher that updates a pool. It requests the complete list first.
+// newWatcher returns a discovery watcher that updates a pool. The watcher requests the complete endpoint list
+// first.
 func (g *generation) newWatcher(p *pool, addr string) *discovery.Watcher {
 	return discovery.NewWatcher(addr, discovery.NoGeneration, int(g.options.Config.Process.Memory.Bytes/bytesPerMB),
 		p.updateEndpoints, g.log)
 }
 
-// bytesPerMB is the unit of memory sizes as discovery takes them.
+// bytesPerMB converts bytes to the megabytes in which package discovery takes memory sizes.
 const bytesPerMB = 1 << 20
 
-// update passes an update of the endpoint list to the pool.
+// updateEndpoints passes an update of the endpoint list to the pool.
 func (p *pool) updateEndpoints(ctx context.Context, update engine.EndpointUpdate) {
 	p.endpoints.UpdateEndpoints(ctx, update)
 }
 
-// startSource starts the source of a pool's list.
+// startSource starts the source of a pool's endpoint list.
 func (g *generation) startSource(p *pool) {
 	switch {
 	case p.config.File != "":
@@ -91,7 +92,7 @@
 	}
 }
 
-// stopSource stops the source of a pool's list.
+// stopSource stops the source of a pool's endpoint list.
 func (p *pool) stopSource() {
 	if p.discoverySource != nil {
 		p.discoverySource.Close()
@@ -101,7 +102,8 @@
 	}
 }
 
-// configuredPools returns the pools that a configuration has.
+// configuredPools returns the pools of a configuration. A configuration without routes has one unnamed pool
+// with the endpoint list of the discovery address.
 func configuredPools(c *config.Config) []config.Pool {
 	if len(c.Routes) == 0 {
 		return []config.Pool{{Discovery: c.Discovery.Address}}
@@ -109,8 +111,9 @@
 	return c.Pools
 }
 
-// changePools applies the pools and routes of a configuration, and returns the names of pools that are new or gone.
-// Open requests end in the pool that they are in. After an error nothing has changed.
+// changePools applies the pools and routes of a configuration, and returns the names of the pools that were
+// added and removed. Open requests finish in the pool in which they started. After an error nothing has
+// changed.
 func (g *generation) changePools(next *config.Config) (added, removed []string, err error) {
 	nextPools := pools{}
 	addedPools := pools{}
@@ -159,8 +162,8 @@
 	return added, removed, nil
 }
 
-// canReconfigure reports whether a pool can be changed into one of another configuration without losing its learned state.
-// The list or the discovery address may differ, but not the kind of source.
+// canReconfigure reports whether a pool can get another configuration without losing its learned state. The
+// endpoint list or the discovery address may differ; the kind of the source and the retry budget must not.
 func (p *pool) canReconfigure(conf *config.Pool) bool {
 	if p.config.RetryBudget != conf.RetryBudget {
 		return false
@@ -170,5 +173,5 @@
 		p.config.Discovery != "" && conf.Discovery != ""
 }
 
-// names returns the pools' names, sorted.
+// names returns the names of the pools, sorted.
 func (p pools) names() []string { return slices.Sorted(maps.Keys(p)) }
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -9,10 +9,11 @@
 	"dunlinsail/internal/takeover"
 )
 
-// The methods of this file implement takeover.PredecessorHost: they carry out the commands of the predecessor's state
-// machine.
+// The methods of this file implement takeover.PredecessorHost. They carry out the commands of the predecessor's
+// state machine.
 
-// Offer returns the message with the listening sockets and the snapshot of the learned state.
+// Offer returns the message that offers the listening sockets and the snapshot of the learned state to the
+// successor.
 func (l *lifecycle) Offer(*takeover.Conn) takeover.Message {
 	offered := offer{
 		Takeover: l.successorListener != nil,
@@ -33,8 +34,8 @@
 	return takeover.Message{Kind: decide.Offer, Payload: payload, Sockets: sockets}
 }
 
-// StopAccepting stops accepting, leaves gossip and consensus so that the successor can take this instance's place, and
-// returns the encoded snapshot for the handover.
+// StopAccepting stops accepting connections, and leaves gossip and consensus so that the successor can take the
+// place of this instance. It returns the encoded snapshot for the handover.
 func (l *lifecycle) StopAccepting() []byte {
 	for _, listener := range l.listeners {
 		listener.pauseAccepting()
@@ -47,9 +48,9 @@
 	if snapshot != nil {
 		snapshot.Fleet = l.core.HandOverCoordination()
 	}
-	l.stopAdminServer() // before gossip and consensus, which it reads
+	l.stopAdminServer() // stopped before gossip and consensus, which the admin server reads
 	if plan := l.stopConsensus(); plan != nil && snapshot != nil {
-		relativePlan := *plan // with times from now on, since the successor's clock is another
+		relativePlan := *plan // its times are relative to now, because the successor has another clock
 		relativePlan.LeaseEnd = plan.LeaseEnd - l.clock.Now()
 		relativePlan.DrainDeadline = plan.DrainDeadline - l.clock.Now()
 		snapshot.Maintenance = &relativePlan
@@ -58,7 +59,7 @@
 	return l.EncodeSnapshot(snapshot, l.upstreams.Evidence())
 }
 
-// Activating leaves the paths of unix sockets to the successor.
+// Activating leaves the paths of unix sockets in place for the successor.
 func (l *lifecycle) Activating() {
 	for _, listener := range l.listeners {
 		listener.setKeepPath(true)
@@ -68,13 +69,13 @@
 	}
 }
 
-// HandOverConnections hands idle client connections to the successor as they come.
+// HandOverConnections hands each client connection over to the successor once the connection is idle.
 func (l *lifecycle) HandOverConnections(successor *takeover.Conn) {
 	l.front.SetHandoff(func(conn net.Conn) bool { return successor.HandOver(conn) == nil })
 	l.WaitUntilDrained()
 }
 
-// ResumeServing accepts clients and joins the fleet again after the successor was lost.
+// ResumeServing accepts connections and joins the fleet again after the successor was lost.
 func (l *lifecycle) ResumeServing() {
 	l.front.SetHandoff(nil)
 	l.core.CancelHandover()
@@ -90,18 +91,19 @@
 	}
 }
 
-// Drain starts the graceful shutdown without a successor. The process accepts for stopAcceptDelay and serves these
-// requests, too; each response closes its connection, and endpoints that are warming up get no more requests.
+// Drain starts the graceful shutdown without a successor. The process continues to accept connections for
+// stopAcceptDelay and serves their requests. Each response closes its connection, and endpoints that are
+// warming up get no more requests.
 func (l *lifecycle) Drain() {
 	l.log.Info("draining")
 	l.front.SetHandoff(nil)
 	l.front.Quiesce()
-	l.core.SnapshotForHandover() // for its effect on warming up endpoints
+	l.core.SnapshotForHandover() // called only because it stops requests to endpoints that are warming up
 	if l.successorListener != nil {
 		l.successorListener.Close()
 	}
 	for _, listener := range l.listeners {
-		listener.startAccepting(l.front) // it may be paused for a successor that was lost
+		listener.startAccepting(l.front) // the listener may be paused for a successor that was lost
 	}
 	l.Loop.After(stopAcceptDelay, func() {
 		for _, listener := range l.listeners {
@@ -112,17 +114,18 @@
 	})
 }
 
-// CloseRemaining closes the connections that are still open after the time of the setting takeover.drain_within.
+// CloseRemaining closes the connections that are still open after the duration of the setting
+// takeover.drain_within.
 func (l *lifecycle) CloseRemaining() {
 	l.log.Warn("drain timeout, connections closed")
 	l.front.CloseAll()
 }
 
-// SendFailed logs that a message could not be written to the successor.
+// SendFailed logs that a message could not be sent to the successor.
 func (l *lifecycle) SendFailed(err error) { l.log.Warn("takeover", "error", err) }
 
 // SuccessorLeaving does nothing: the daemon keeps no state of the connection to the successor.
 func (l *lifecycle) SuccessorLeaving(*takeover.Conn) {}
 
-// HandingOver notifies the process of the start and the end of a handover.
+// HandingOver notifies the process when a handover starts and when it ends.
 func (l *lifecycle) HandingOver(active bool) { l.onHandoverChange(active) }
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -12,31 +12,33 @@
 	"dunlinsail/internal/takeover"
 )
 
-// process is a daemon's process over all its configurations. Package decide/rollout decides which version is applied. A
-// change that can be made while serving is made in the serving generation; for any other, a new generation takes over
-// from it within the process, as another process would.
+// process is a daemon's process, which lasts for all its configurations. Package decide/rollout decides which
+// version of the configuration is applied. The serving generation applies a change itself if that is possible
+// while it serves. For any other change a new generation takes over within the process, in the same way as
+// another process would.
 //
-// Its fields belong to the goroutine of run; other goroutines post events.
+// The fields belong to the goroutine of run. Other goroutines post events to it.
 type process struct {
 	options      Options
 	log          *slog.Logger
-	stopContext  context.Context // ends the process; kept because events, which have no context, start generations
-	events       chan func()
-	eventsClosed chan struct{} // closed once no event is taken any more
-	timer        *time.Timer
+	stopContext  context.Context // ends the process; a field because events, which have no context, start generations
+	events       chan func()     // events for the goroutine of run
+	eventsClosed chan struct{}   // closed once run takes no more events
+	timer        *time.Timer     // fires at the next deadline of the rollout's state machine
 
-	serving      *lifecycle // the generation that serves, or the first one before it does
-	successor    *lifecycle // the generation that is to take over from it; nil while there is none
-	running      int        // lifecycles that have not ended
-	servingError error      // of the last serving generation
+	serving      *lifecycle // the generation that serves, or the first generation until it serves
+	successor    *lifecycle // the generation that is to take over from the serving one; nil if there is none
+	running      int        // number of lifecycles that were started and have not ended
+	servingError error      // the error with which the last serving generation ended
 
 	versioning
 }
 
-// eventsBuffer is the number of events that can wait for run before post blocks. Lifecycles post few events, and run
-// never waits for a lifecycle.
+// eventsBuffer is the number of events that can wait for run before post blocks. Lifecycles post few events,
+// and run never waits for a lifecycle, so a blocked post cannot cause a deadlock.
 const eventsBuffer = 64
 
+// newProcess returns a process that has selected its first configuration but started nothing.
 func newProcess(stop context.Context, options Options) *process {
 	if options.Seed == 0 {
 		options.Seed = rand.Uint64()
@@ -52,7 +54,7 @@
 	return p
 }
 
-// assembleFirst assembles the first generation.
+// assembleFirst assembles the generation of the first configuration, without starting it.
 func (p *process) assembleFirst() error {
 	if err := p.prepareProcess(p.firstConfig); err != nil {
 		return err
@@ -65,10 +67,11 @@
 	return nil
 }
 
-// run serves by the first configuration and those that follow, until the last generation has ended.
+// run starts the first generation and handles events, file reloads and canary samples until the last generation
+// has ended. It returns the error of the last serving generation.
 func (p *process) run() error {
 	defer p.clientGoroutines.Wait()
-	defer close(p.eventsClosed) // post does not block any more, so that the clients of control planes can end
+	defer close(p.eventsClosed) // from here on post does not block, so that the control plane clients can end
 	p.timer = time.AfterFunc(time.Hour, func() {
 		p.post(func() { p.executeCommands(p.machine.HandleDeadline(now())) })
 	})
@@ -91,7 +94,7 @@
 	return p.servingError
 }
 
-// post hands an event to run. After the end of run it is dropped.
+// post queues an event for run. An event that is posted after the end of run is dropped.
 func (p *process) post(event func()) {
 	select {
 	case p.events <- event:
@@ -99,22 +102,21 @@
 	}
 }
 
-// armTimer sets the timer to the machine's next deadline.
+// armTimer sets the timer to the next deadline of the rollout's state machine.
 func (p *process) armTimer() {
 	if deadline := p.machine.Deadline(); deadline != 0 {
 		p.timer.Reset(max(0, clock.Duration(deadline-now())))
 	}
 }
 
-// ---- Generations ------------------------------------------------------------
-
-// assemble makes a generation of a configuration, without starting it.
+// assemble returns a generation for a configuration, without starting it.
 func (p *process) assemble(c *config.Config) (*generation, error) {
 	return assemble(Options{Config: c, Log: p.log, Seed: p.options.Seed})
 }
 
-// newLifecycle returns the lifecycle of a generation, which notifies the process of its changes. A non-nil predecessor
-// is a connection to the serving generation of this process.
+// newLifecycle returns the lifecycle of a generation. The lifecycle notifies the process when the generation
+// serves and when a handover starts or ends. A non-nil predecessor is a connection to the serving generation of
+// this process.
 func (p *process) newLifecycle(g *generation, predecessor *takeover.Conn) *lifecycle {
 	l := newLifecycle(p.stopContext, g, predecessor)
 	l.onServing = func() {
@@ -132,7 +134,8 @@
 	return l
 }
 
-// startLifecycle runs a lifecycle in a goroutine of its own. run waits for onEnded of each.
+// startLifecycle runs a lifecycle in a goroutine of its own, which calls onEnded at its end. The method run
+// returns only once onEnded was called for each lifecycle.
 func (p *process) startLifecycle(l *lifecycle) {
 	p.running++
 	go func() {
@@ -141,7 +144,8 @@
 	}()
 }
 
-// onServing handles that a generation serves. tookOver reports whether it took over from another process or generation.
+// onServing handles the event that a generation has started to serve. tookOver reports whether the generation
+// took over from another process or generation.
 func (p *process) onServing(l *lifecycle, addresses map[string]string, tookOver bool) {
 	if p.options.Serving != nil {
 		p.options.Serving(addresses)
@@ -156,10 +160,11 @@
 	p.serving = l
 	p.successor = nil
 	p.onApplied(nil)
-	p.executeCommands(p.machine.SetPaused(now(), false)) // the predecessor's handover had paused the rollout
+	p.executeCommands(p.machine.SetPaused(now(), false)) // the predecessor's handover paused the rollout
 }
 
-// onEnded handles the end of a generation.
+// onEnded handles the end of a generation. If the successor ended before it served, the change that it was
+// started for has failed.
 func (p *process) onEnded(l *lifecycle, err error) {
 	p.running--
 	switch l {
@@ -174,8 +179,9 @@
 	}
 }
 
-// startSuccessor has a generation of another configuration take over from the serving one. An error means that it could
-// not be assembled; onServing or onEnded follows otherwise.
+// startSuccessor starts a generation with another configuration, which takes over from the serving generation.
+// It returns an error if the new generation could not be assembled. Otherwise onServing or onEnded is called
+// for that generation.
 func (p *process) startSuccessor(c *config.Config) error {
 	g, err := p.assemble(c)
 	if err != nil {
@@ -189,7 +195,7 @@
 	p.successor = p.newLifecycle(g, toPredecessor)
 	p.startLifecycle(p.successor)
 	serving := p.serving
-	go func() { // ends once the serving generation takes the event, or takes none any more
+	go func() { // ends once the serving generation has taken the event, or takes no more events
 		if !serving.Loop.Post(func() { serving.ReadHello(serving.ctx, toSuccessor, replyTimeout) }) {
 			toSuccessor.Close()
 		}
--- a/internal/daemon/rollout.go
+++ b/internal/daemon/rollout.go
@@ -16,33 +16,37 @@
 	"dunlinsail/internal/xdsclient"
 )
 
-// versioning is the part of a process that selects the configuration it runs: the sources of versions, the state
-// machine that decides between them, their cache, and the canary analysis. Its fields belong to the process's
-// goroutine.
+// versioning is the part of a process that selects the running configuration: the sources of configuration
+// versions, the state machine that decides between the versions, the cache of versions, and the canary
+// analysis. The fields belong to the process's goroutine.
 type versioning struct {
-	machine     *rollout.StateMachine
-	firstConfig *config.Config // the configuration that the process starts with
-	// handleChangeResult is the machine's step for the end of the change that is being applied; nil while none is.
+	machine     *rollout.StateMachine // decides which version is applied
+	firstConfig *config.Config        // the configuration with which the process starts
+	// handleChangeResult is the method of the state machine that takes the result of the change that is being
+	// applied. It is nil while no change is being applied.
 	handleChangeResult func(now monotime.Micros, reason string) []rollout.Command
 
-	fileReadCount         uint64                       // how often the file was read, which numbers its versions
-	fileConfigs           map[string]*config.Config    // contents of the file that the machine may name, by digest
-	controlPlaneResources map[string][]config.Resource // contents of the control plane's versions that it may name, by digest
-	cache                 *configcache.Cache           // nil without a folder for it
-	saveGoroutines        sync.WaitGroup               // the goroutines that write the cache
-
-	controlPlane       config.ControlPlane // the control plane that is followed
-	controlPlaneClient *xdsclient.Client   // nil while none is followed
-	stopFollowing      context.CancelFunc  // ends the client's goroutine; never nil
-	clientGoroutines   sync.WaitGroup      // the clients' goroutines
-
-	canaryAnalysis  *canary.Analysis // nil while none runs
-	canarySamples   []canary.Sample  // of the analysis that runs
-	baselineSamples []canary.Sample  // under good configurations, the latest last
-	lastSampleEnd   time.Time        // the end of the last sample
+	fileReadCount uint64                    // number of reads of the configuration file; it numbers the file's versions
+	fileConfigs   map[string]*config.Config // contents of the file that the state machine may refer to, by digest
+	// controlPlaneResources holds the contents of the control plane versions that the state machine may refer
+	// to, by digest.
+	controlPlaneResources map[string][]config.Resource
+	cache                 *configcache.Cache // nil if there is no folder for it or the folder cannot be used
+	saveGoroutines        sync.WaitGroup     // the goroutines that write to the cache
+
+	controlPlane       config.ControlPlane // settings of the control plane that is followed
+	controlPlaneClient *xdsclient.Client   // nil while no control plane is followed
+	stopFollowing      context.CancelFunc  // ends the goroutine of controlPlaneClient; never nil
+	clientGoroutines   sync.WaitGroup      // the goroutines of the current and of earlier control plane clients
+
+	canaryAnalysis  *canary.Analysis // nil while no analysis runs
+	canarySamples   []canary.Sample  // samples of the current analysis
+	baselineSamples []canary.Sample  // samples under good configurations, oldest first
+	lastSampleEnd   time.Time        // the time at which the last sample ended
 }
 
-// minFileValidationInterval is the least time between two validations of the file without a control service.
+// minFileValidationInterval is the minimum time between two validations of the file if there is no control
+// plane.
 const minFileValidationInterval = 100 * time.Millisecond
 
 // rolloutSettings returns the settings of the rollout's state machine.
@@ -58,7 +62,8 @@
 	return settings
 }
 
-// executeCommands carries out the commands of the rollout's state machine, and those that follow from their results.
+// executeCommands carries out commands of the rollout's state machine, and the commands that follow from their
+// results.
 func (p *process) executeCommands(commands []rollout.Command) {
 	for _, command := range commands {
 		switch command.Action {
@@ -78,7 +83,8 @@
 	}
 }
 
-// configOf returns the configuration of a layered version: the control plane's resources over the file.
+// configOf returns the configuration of a layered version: the file, overridden by the control plane's
+// resources.
 func (p *process) configOf(version rollout.LayeredVersion) (*config.Config, error) {
 	file := p.fileConfigs[version.File.Digest]
 	if file == nil {
@@ -94,7 +100,7 @@
 	return config.Combine(file, resources)
 }
 
-// validate returns why a version cannot be applied, "" if it can.
+// validationError returns the reason why a version cannot be applied, or "" if it can be applied.
 func (p *process) validationError(command *rollout.Command) string {
 	if _, err := p.configOf(command.Target); err != nil {
 		return err.Error()
@@ -102,8 +108,9 @@
 	return ""
 }
 
-// applyVersion starts to apply the version of a command, or to roll back to it. A change that the serving generation
-// cannot make while serving is made by a new generation that takes over from it. onApplied is called at the end.
+// applyVersion starts to apply the version of a command, or to roll back to it. If the serving generation
+// cannot make the change while serving, a new generation is started that takes over from it. onApplied is
+// called when the change has succeeded or failed.
 func (p *process) applyVersion(command *rollout.Command) {
 	p.handleChangeResult = p.machine.HandleApplied
 	if command.Action == rollout.ActionRollBack {
@@ -129,8 +136,9 @@
 	p.applyWhileServing(c)
 }
 
-// applyWhileServing has the serving generation apply a configuration on its own goroutine. The goroutine started here
-// ends once that is done, or once the generation takes no events any more.
+// applyWhileServing lets the serving generation apply a configuration on the generation's own goroutine. The
+// goroutine that applyWhileServing starts ends once the change is applied, or once the generation takes no more
+// events.
 func (p *process) applyWhileServing(c *config.Config) {
 	serving := p.serving
 	go func() {
@@ -143,15 +151,18 @@
 	}()
 }
 
-// onApplied steps the machine with the end of a change: err is nil, or why the configuration before it is kept.
+// onApplied passes the result of a change to the state machine. A non-nil err is the reason why the previous
+// configuration stays in effect.
 func (p *process) onApplied(err error) {
 	if err != nil && p.stopContext.Err() != nil {
-		return // the change may have failed because the process ends, so it is not counted (stopVersioning)
+		// The change may have failed because the process stops, so the attempt is not counted (stopVersioning).
+		return
 	}
 	reason := ""
 	if err != nil {
 		reason = err.Error()
-		_ = p.prepareProcess(p.serving.options.Config) // the settings before the change, which were applied once
+		// Restore the previous process-wide settings. They were applied successfully before.
+		_ = p.prepareProcess(p.serving.options.Config)
 	}
 	handleResult := p.handleChangeResult
 	p.handleChangeResult = nil
@@ -162,9 +173,10 @@
 	}
 }
 
+// firstOf returns the first of two values, such as the results of a call.
 func firstOf[A, B any](value A, _ B) A { return value }
 
-// prepareProcess applies the settings of the whole process, such as its limits.
+// prepareProcess applies the process-wide settings of a configuration, such as resource limits.
 func (p *process) prepareProcess(c *config.Config) error {
 	if p.options.Prepare == nil {
 		return nil
@@ -172,7 +184,8 @@
 	return p.options.Prepare(&c.Process)
 }
 
-// reportDecision acknowledges or rejects a version: in the log, and at the control plane if it came from there.
+// reportDecision reports that a version was acknowledged or rejected: in the log, and to the control plane if
+// the version came from there.
 func (p *process) reportDecision(command *rollout.Command) {
 	id := command.Version.ID.String()
 	switch {
--- a/internal/daemon/rollout_source.go
+++ b/internal/daemon/rollout_source.go
@@ -9,7 +9,8 @@
 	"dunlinsail/internal/xdsclient"
 )
 
-// reloadFile reads the file again and offers its version to the rollout's machine. A file that cannot be read is logged.
+// reloadFile reads the configuration file again and offers its version to the rollout's state machine. If the
+// file cannot be read, this is logged and the running configuration stays.
 func (p *process) reloadFile() {
 	c, err := p.options.Read()
 	if err != nil {
@@ -19,7 +20,7 @@
 	p.executeCommands(p.machine.Offer(now(), p.fileVersion(c)))
 }
 
-// fileVersion keeps a content of the file and returns its version.
+// fileVersion stores the content of the configuration file and returns a new version for it.
 func (p *process) fileVersion(c *config.Config) rollout.Version {
 	p.fileReadCount++
 	version := rollout.Version{
@@ -30,8 +31,8 @@
 	return version
 }
 
-// followControlPlane follows the control plane of a configuration, if its settings have changed. The client's goroutine
-// ends with stopFollowing.
+// followControlPlane follows the control plane of a configuration if its settings differ from those of the
+// control plane that is followed now. stopFollowing ends the goroutine of the new client.
 func (p *process) followControlPlane(c *config.Config) {
 	if reflect.DeepEqual(p.controlPlane, c.ControlPlane) {
 		return
@@ -69,8 +70,8 @@
 	p.log.Info("following control service", "service", c.ControlPlane.Address)
 }
 
-// runningControlPlaneVersion returns the control plane's version that runs, or that is being rolled back to; nil for
-// none.
+// runningControlPlaneVersion returns the id of the control plane version that is running or, during a rollback,
+// to which the process rolls back. It returns nil if that configuration has no control plane version.
 func (p *process) runningControlPlaneVersion() *rollout.ID {
 	version, _ := p.machine.Running()
 	if phase, _ := p.machine.Phase(); phase == rollout.PhaseRollingBack {
@@ -82,7 +83,7 @@
 	return &version.ControlPlane.ID
 }
 
-// onControlPlaneUpdate offers a version that the control plane sent to the rollout's machine.
+// onControlPlaneUpdate offers a version that the control plane sent to the rollout's state machine.
 func (p *process) onControlPlaneUpdate(update xdsclient.Update) {
 	if update.DecodeError != "" {
 		p.executeCommands(p.machine.RejectUnreadable(update.Version, update.DecodeError))
--- a/internal/daemon/rollout_state.go
+++ b/internal/daemon/rollout_state.go
@@ -10,8 +10,9 @@
 	"dunlinsail/internal/decide/rollout"
 )
 
-// selectFirstConfig selects the configuration to start with: the last known good version of the control plane over the
-// file, or the file alone if there is no such version that is valid with it.
+// selectFirstConfig selects the configuration with which the process starts. This is the last known good
+// control plane version combined with the file, or only the file if there is no such version or it is not valid
+// with the file.
 func (p *process) selectFirstConfig() {
 	p.fileConfigs = map[string]*config.Config{}
 	p.controlPlaneResources = map[string][]config.Resource{}
@@ -40,7 +41,7 @@
 		}
 	}
 	if savedState.LastKnownGood != nil && !sameDigests(savedState.LastKnownGood, &running) {
-		// A start with another file is a change by the operator, so that its configuration counts as good.
+		// A start with another file is a change by the operator, so the new configuration counts as good.
 		savedState.PreviousGood = savedState.LastKnownGood
 		savedState.LastKnownGood = &running
 	}
@@ -55,8 +56,8 @@
 	return first.ControlPlane == nil || *first.ControlPlane == *second.ControlPlane
 }
 
-// loadRolloutState returns the rollout state that an earlier process saved, nil if there is none. Of an incomplete state it
-// returns what could be read.
+// loadRolloutState returns the rollout state that an earlier process saved, or nil if there is none. If the
+// saved state is incomplete, it returns the part that could be read.
 func (p *process) loadRolloutState() *rollout.PersistentState {
 	loaded, source, err := p.cache.Load()
 	if err != nil {
@@ -78,8 +79,8 @@
 	return loaded
 }
 
-// configFromCache returns the configuration of a cached control plane version over a file. A content that does not match
-// the version's digest is configcache.ErrCorrupt.
+// configFromCache returns the configuration that combines a file with a cached control plane version. The error
+// is configcache.ErrCorrupt if the cached content does not match the digest of the version.
 func (p *process) configFromCache(version *rollout.Version, fileConfig *config.Config) (*config.Config, error) {
 	text, err := p.cache.Content(version.Digest)
 	if err != nil {
@@ -96,14 +97,14 @@
 	return config.Combine(fileConfig, resources)
 }
 
-// digest returns the digest of a file's content, a SHA-256 in hexadecimal digits.
+// fileDigest returns the digest of a file's content: its SHA-256 sum in hexadecimal digits.
 func fileDigest(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
-// saveRolloutState writes the machine's persistent state in a goroutine of its own, which stopVersioning waits for, and steps
-// the machine with the result.
+// saveRolloutState saves the persistent state of the state machine in a goroutine of its own, and passes the
+// result to the state machine. stopVersioning waits for that goroutine.
 func (p *process) saveRolloutState() {
 	if p.cache == nil {
 		p.executeCommands(p.machine.HandlePersisted(now(), ""))
@@ -128,7 +129,8 @@
 	})
 }
 
-// rolloutStateToSave returns a copy of the persistent state, and the contents of all versions by digest.
+// rolloutStateToSave returns a copy of the state machine's persistent state, and the contents of all stored
+// versions by digest.
 func (p *process) rolloutStateToSave() (*rollout.PersistentState, map[string][]byte, error) {
 	text, err := json.Marshal(p.machine.PersistentState())
 	if err != nil {
@@ -150,7 +152,7 @@
 	return stateCopy, contents, nil
 }
 
-// dropUnusedContents drops the contents of versions that the machine does not name any more.
+// dropUnusedContents drops the contents of versions that the state machine no longer refers to.
 func (p *process) dropUnusedContents() {
 	usedDigests := map[string]bool{}
 	markUsed := func(version *rollout.Version) {
@@ -182,8 +184,9 @@
 	}
 }
 
-// stopVersioning ends the versioning with the process. A process that was stopped did not end because of the version
-// that is not confirmed yet, so that this attempt to apply it is not counted.
+// stopVersioning stops following the control plane and waits for the rollout state to be saved. If the process
+// was stopped while a version was not confirmed yet, the stop was not caused by that version, so the attempt to
+// apply it is not counted.
 func (p *process) stopVersioning() {
 	p.stopFollowing()
 	p.saveGoroutines.Wait()
--- a/internal/daemon/routes.go
+++ b/internal/daemon/routes.go
@@ -12,7 +12,7 @@
 	"dunlinsail/internal/upstream"
 )
 
-// setRoutes sets the frontend's routes from a configuration.
+// setRoutes sets the routes of the frontend from a configuration.
 func (g *generation) setRoutes(c *config.Config) {
 	if len(c.Routes) == 0 {
 		g.front.SetRoutes(nil)
@@ -28,8 +28,9 @@
 	g.front.SetRoutes(routes)
 }
 
-// proxyName returns the instance's name in Proxy-Status, which is a token there (RFC 9651). A name that is not a token
-// of ASCII letters, digits, "-", "_" and "." is replaced by "dunlinsaild".
+// proxyName returns the name of the instance for the Proxy-Status header, where it is a token (RFC 9651). It
+// returns "dunlinsaild" for a name that does not consist of ASCII letters, digits, "-", "_" and ".", and for an
+// empty name or one that starts with a digit.
 func proxyName(name string) string {
 	if name != "" && !strings.ContainsFunc(name, func(char rune) bool {
 		return !('a' <= char && char <= 'z' || 'A' <= char && char <= 'Z' || '0' <= char && char <= '9' ||
@@ -40,8 +41,9 @@
 	return "dunlinsaild"
 }
 
-// newRoute returns the configuration's i-th route as the frontend takes it. It adds the headers that the route matches
-// or takes values from to singleton: a request may have each of them once.
+// newRoute returns the i-th route of the configuration in the form that the frontend takes. It adds to
+// singletonHeaders the headers that the route matches or takes values from: a request must not repeat any of
+// them.
 func (g *generation) newRoute(c *config.Config, i int, singletonHeaders map[string]bool) http1.Route {
 	conf := &c.Routes[i]
 	classIndex := func(className string) uint8 {
@@ -98,8 +100,8 @@
 	return frontendRoute
 }
 
-// newResponsePolicy returns the limits of a route's requests of a class, and the statuses that count as failure or
-// rejection.
+// newResponsePolicy returns the limits for the responses to a route's requests of one class, and the response
+// statuses that count as failures or rejections.
 func newResponsePolicy(
 	c *config.Config, conf *config.Route, class uint8, deadline http1.ValueSource,
 ) *upstream.ResponsePolicy {
@@ -124,7 +126,8 @@
 	return policy
 }
 
-// newHeaderEdits returns the configuration's edits of headers as the frontend takes them, with canonical names.
+// newHeaderEdits returns configured header edits in the form that the frontend takes, with canonical header
+// names.
 func newHeaderEdits(configured *config.HeaderEdits) http1.HeaderEdits {
 	canonicalNames := func(values map[string]string) map[string]string {
 		canonicalized := map[string]string{}
--- a/internal/daemon/spentlog.go
+++ b/internal/daemon/spentlog.go
@@ -10,20 +10,23 @@
 	"dunlinsail/internal/monotime"
 )
 
-// spentLog writes a line for each unit that is spent of a budget: the time since the host's boot in microseconds, which
-// all its processes read alike, and the budget's name.
+// spentLog writes a line for each unit that is spent from a budget. The line holds the time since the host's
+// boot in microseconds, which is the same for all processes of the host, and the name of the budget.
 type spentLog struct {
-	pendingLines chan string
+	pendingLines chan string   // lines that the writer has not taken yet
 	writerDone   chan struct{} // closed once the writer's goroutine has ended
-	dropped      bool          // reports whether lines were dropped since the last line that says so
+	dropped      bool          // reports whether lines were dropped since the log last noted a gap
 }
 
 const (
-	spentLogBuffer = 1 << 14 // lines that wait for a slow disk; further lines are dropped, and one line says so
-	spentLogMode   = 0o600   // the daemon's user only
+	// spentLogBuffer is the number of lines that can wait for a slow disk. Further lines are dropped, and one
+	// line in the log notes the gap.
+	spentLogBuffer = 1 << 14
+	spentLogMode   = 0o600 // access for the daemon's user only
 )
 
-// openSpentLog opens the log at a path for appending, and starts its writer, which ends with close.
+// openSpentLog opens the log file at a path for appending, and starts the goroutine that writes to it. close
+// ends that goroutine.
 func openSpentLog(path string, log *slog.Logger) (*spentLog, error) {
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, spentLogMode)
 	if err != nil {
@@ -35,11 +38,14 @@
 		defer file.Close()
 		writer := bufio.NewWriter(file)
 		for line := range spent.pendingLines {
-			_, _ = writer.WriteString(line)                           // Flush returns its error
-			if len(spent.pendingLines) > 0 || writer.Flush() == nil { // flushed whenever no line waits, for a process that is killed
+			_, _ = writer.WriteString(line) // the error is returned by Flush
+			// The buffer is flushed whenever no line is pending, so that these lines are kept if the process is
+			// killed.
+			if len(spent.pendingLines) > 0 || writer.Flush() == nil {
 				continue
 			}
-			// The disk may be full. The budgets are enforced without this log, so that the rest is discarded.
+			// The disk may be full. The budgets are enforced without this log, so all later lines are
+			// discarded.
 			log.Error("spent log failed", "file", path)
 			for range spent.pendingLines {
 			}
@@ -52,7 +58,7 @@
 	return spent, nil
 }
 
-// record writes the line of one unit. It never waits for the disk.
+// record queues the line for one spent unit. It never waits for the disk.
 func (spent *spentLog) record(_ monotime.Micros, budget string) {
 	if spent.dropped && len(spent.pendingLines) < spentLogBuffer/2 {
 		spent.dropped = false
@@ -65,7 +71,7 @@
 	}
 }
 
-// close writes the waiting lines and closes the file. It does nothing on a nil log.
+// close writes the pending lines and closes the file. It does nothing on a nil log.
 func (spent *spentLog) close() {
 	if spent != nil {
 		close(spent.pendingLines)
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -12,11 +12,11 @@
 	"dunlinsail/internal/takeover"
 )
 
-// The methods of this file implement takeover.SuccessorHost: they carry out the commands of the successor's state
-// machine.
+// The methods of this file implement takeover.SuccessorHost. They carry out the commands of the successor's
+// state machine.
 
-// ReceiveOffer keeps the offered snapshot and adopts the offered sockets. One that cannot be adopted is logged, and
-// this generation opens its own.
+// ReceiveOffer stores the offered snapshot and adopts the offered sockets. If a socket cannot be adopted, this
+// is logged and the generation opens a socket of its own.
 func (l *lifecycle) ReceiveOffer(m takeover.Message) {
 	if err := json.Unmarshal(m.Payload, &l.receivedOffer); err != nil {
 		l.log.Warn("offer rejected", "error", err)
@@ -41,12 +41,13 @@
 	l.receivedOffer.Listeners = l.receivedOffer.Listeners[:min(len(l.receivedOffer.Listeners), len(l.offeredListeners))]
 }
 
-// StartWithOffer starts everything except accepting, with the offered sockets and snapshot.
+// StartWithOffer starts everything except accepting connections, with the offered sockets and the offered
+// snapshot.
 func (l *lifecycle) StartWithOffer() error {
 	var names []string
 	for i, name := range l.receivedOffer.Listeners {
 		if l.offeredListeners[i] == nil {
-			name = "" // no listener of the configuration has this name
+			name = "" // an empty name matches no configured listener
 		}
 		names = append(names, name)
 	}
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// resumeWatches has the endpoint watches continue from the predecessor's generations, because a complete list might be
-// older than the updates that the predecessor has received.
+// resumeWatches lets the discovery watches continue from the predecessor's generations of the endpoint lists. A
+// complete list might be older than the updates that the predecessor has already received.
 func (l *lifecycle) resumeWatches(snapshot *engine.Snapshot) {
 	for name, p := range l.pools {
 		poolSnapshot := snapshot.Pool(name)
@@ -73,16 +74,16 @@
 	}
 }
 
-// WaitReady returns nil once an endpoint can serve, or an error once ctx ends.
+// WaitReady returns nil once an endpoint can serve requests, or an error once ctx ends.
 func (l *lifecycle) WaitReady(ctx context.Context) error { return l.core.WaitReady(ctx) }
 
-// RestoreHandover restores the snapshot that came with the handover.
+// RestoreHandover restores the snapshot that the predecessor sent with the handover.
 func (l *lifecycle) RestoreHandover(snapshot []byte) {
 	l.restoreState(l.decodeState(snapshot, "at the handover"), "at the handover")
 }
 
-// decodeState decodes a snapshot. One that cannot be decoded is logged and returned as nil, and this generation starts
-// without it.
+// decodeState decodes a snapshot. It logs a snapshot that cannot be decoded and returns nil, and the generation
+// then runs without the predecessor's learned state.
 func (l *lifecycle) decodeState(encoded []byte, phase string) *takeover.State {
 	state, err := takeover.DecodeState(encoded)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return state
 }
 
-// restore restores the state that the predecessor learned. A nil state is none.
+// restoreState restores the predecessor's learned state and maintenance plan. It does nothing if state is nil.
 func (l *lifecycle) restoreState(state *takeover.State, phase string) {
 	if state == nil {
 		return
@@ -113,7 +114,8 @@
 	l.log.Info("snapshot restored", "when", phase, "pools", len(state.Snapshot.Pools), "skipped", skipped)
 }
 
-// StartAlone starts without a predecessor. It is an error for a generation that was to take over in this process.
+// StartAlone starts the generation without a predecessor. It returns an error if the generation was to take
+// over from another generation in this process.
 func (l *lifecycle) StartAlone() error {
 	if l.inProcess {
 		return errors.New("what served in this process has ended")
@@ -121,7 +123,7 @@
 	return l.serveAlone()
 }
 
-// StartError returns the error of a generation that ends before it serves; nil after an order to stop.
+// StartError returns the error of a generation that ends before it serves, or nil if the process was stopped.
 func (l *lifecycle) StartError(reason string) error {
 	if l.stopContext.Err() != nil {
 		return nil
@@ -129,11 +131,12 @@
 	return fmt.Errorf("takeover: %s", reason)
 }
 
-// StartServing joins the fleet, and accepts clients, and successors if the configuration has a socket for them.
+// StartServing joins the fleet, accepts connections of clients, and accepts connections of successors if the
+// configuration has a socket for them.
 func (l *lifecycle) StartServing() {
 	l.serving = true
 	l.joinFleet()
-	l.listenForSuccessors() // first: a process that starts once clients are served must find this one
+	l.listenForSuccessors() // called first: a process that starts once clients are served must find this one
 	for _, listener := range l.listeners {
 		listener.setKeepPath(false)
 		listener.startAccepting(l.front)
@@ -147,7 +150,7 @@
 	l.onServing()
 }
 
-// closeUnusedListeners closes the offered sockets that are not in this generation's configuration.
+// closeUnusedListeners closes the offered sockets that no listener of this generation's configuration uses.
 func (l *lifecycle) closeUnusedListeners() {
 	for i, listener := range l.offeredListeners {
 		if listener == nil {
@@ -161,7 +164,8 @@
 	}
 }
 
-// listenForSuccessors accepts successors at the configured path, on the predecessor's socket if that has the same path.
+// listenForSuccessors accepts successors at the configured path. It uses the predecessor's socket if that has
+// the same path.
 func (l *lifecycle) listenForSuccessors() {
 	path := l.options.Config.Takeover.Socket
 	if l.successorListener != nil && l.successorListener.Path() != path {
@@ -183,14 +187,16 @@
 	}
 }
 
-// acceptSuccessors starts the accept loop for successors. Its goroutine ends when the listener is paused or closed.
+// acceptSuccessors starts the accept loop for successors. The goroutine of the loop ends when the listener is
+// paused or closed.
 func (l *lifecycle) acceptSuccessors() {
 	listener := l.successorListener
 	listener.SetPaused(false)
 	l.successorAcceptLoop.Go(func() { l.AcceptSuccessors(l.ctx, listener, replyTimeout) })
 }
 
-// AdoptConnection serves a connection that the predecessor handed over, now or once this generation serves.
+// AdoptConnection serves a connection that the predecessor handed over: at once, or as soon as this generation
+// serves.
 func (l *lifecycle) AdoptConnection(conn net.Conn) {
 	if !l.serving {
 		l.earlyConns = append(l.earlyConns, conn)
@@ -199,8 +205,8 @@
 	l.serveHandedOver(conn)
 }
 
-// adopt serves a connection that was accepted at the address of one of this generation's listeners, and closes any
-// other.
+// serveHandedOver serves a connection that was accepted at the address of one of this generation's listeners.
+// It closes a connection that was accepted at any other address.
 func (l *lifecycle) serveHandedOver(conn net.Conn) {
 	local := conn.LocalAddr()
 	for _, listener := range l.listeners {
