--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -150,7 +150,7 @@
 }
 
 // errUnknownClient rejects a connection that has no configured client if there is no default client either.
-var errUnknownClient = errors.New("no client of the configuration, and there is no table others")
+var errUnknownClient = errors.New("no configured client matches, and the configuration has no table others")
 
 // configuredClientLocked returns the configured client of a connection, or nil if there is none, and the id of
 // the process that connected, or 0 if the connection is not on a unix socket.
@@ -160,7 +160,7 @@
 	if network, _ := listenerConfig.Network(); network == "unix" {
 		credentials, err := peerCredentials(conn)
 		if err != nil {
-			return nil, 0, fmt.Errorf("who connects is not known: %w", err)
+			return nil, 0, fmt.Errorf("credentials of the connecting process: %w", err)
 		}
 		pid = credentials.Pid
 		for i := range cs.config.Clients {
@@ -214,7 +214,7 @@
 func peerCredentials(conn net.Conn) (*syscall.Ucred, error) {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
-		return nil, errors.New("no socket")
+		return nil, errors.New("the connection is not a socket")
 	}
 	rawConn, err := socket.SyscallConn()
 	if err != nil {
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -26,7 +26,7 @@
 	}
 	payload, err := json.Marshal(offered)
 	if err != nil {
-		l.log.Error("offer", "error", err)
+		l.log.Error("offer not encoded", "error", err)
 	}
 	if l.successorListener != nil {
 		sockets = append(sockets, l.successorListener.Socket())
@@ -122,7 +122,7 @@
 }
 
 // SendFailed logs that a message could not be sent to the successor.
-func (l *lifecycle) SendFailed(err error) { l.log.Warn("takeover", "error", err) }
+func (l *lifecycle) SendFailed(err error) { l.log.Warn("message to successor not sent", "error", err) }
 
 // SuccessorLeaving does nothing: the daemon keeps no state of the connection to the successor.
 func (l *lifecycle) SuccessorLeaving(*takeover.Conn) {}
