--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -104,14 +104,14 @@
 		writeMetric("tenants_over_limit", stats.RequestsOverLimit)
 	}
 	if gossip := g.gossip.Load(); gossip != nil {
-		alive := 0
+		aliveMembers := 0
 		for _, member := range gossip.Members() {
 			if member.Alive {
-				alive++
+				aliveMembers++
 			}
 		}
 		gossipStats := gossip.Stats()
-		writeMetric("peers_alive", uint64(alive))
+		writeMetric("peers_alive", uint64(aliveMembers))
 		writeMetric("peers_lent", map[bool]uint64{true: 1}[stats.QuotaLeased])
 		writeMetric("peers_suspects", uint64(stats.SuspectedEndpoints))
 		writeMetric("peers_words_sent", gossipStats.Sent)
--- a/internal/daemon/canary.go
+++ b/internal/daemon/canary.go
@@ -71,15 +71,15 @@
 		return
 	}
 	p.canarySamples = append(p.canarySamples, sample)
-	switch verdict, figures := p.canaryAnalysis.AddCanary(sample); verdict {
+	switch verdict, statistics := p.canaryAnalysis.AddCanary(sample); verdict {
 	case canary.Undecided:
 	case canary.Degraded:
 		p.canaryAnalysis = nil
 		p.executeCommands(p.machine.HandleCanaryResult(
-			now(), fmt.Sprintf("worse by %s: %s", figures.Metric, figures.Text())))
+			now(), fmt.Sprintf("worse by %s: %s", statistics.Metric, statistics.Text())))
 	default:
 		p.canaryAnalysis = nil
-		p.log.Info("canary ended", "verdict", verdict.String(), "figures", figures.Text())
+		p.log.Info("canary ended", "verdict", verdict.String(), "figures", statistics.Text())
 		p.addToBaseline(p.canarySamples...)
 		tally.setObjectives(p.serving.options.Config.Site.Settings.Classes, nil)
 		p.executeCommands(p.machine.HandleCanaryResult(now(), ""))
--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -17,11 +17,11 @@
 // from the kernel's credentials of the process that connected (SO_PEERCRED, unix(7)). A successor identifies a
 // connection that was handed over in the same way. The methods may be called from any goroutine.
 type clients struct {
-	front *http1.Server
+	frontend *http1.Server
 
 	mu            sync.Mutex
 	config        *config.Config               // the configuration in effect
-	byName        map[string]*http1.Client     // configured clients
+	clientsByName map[string]*http1.Client     // configured clients
 	defaultClient *http1.Client                // for connections without a configured client; nil to reject them
 	processes     map[processKey]*processState // the known processes of clients that have limits for each process
 }
@@ -47,8 +47,12 @@
 const defaultClientName = "others"
 
 // newClients returns the clients of a configuration.
-func newClients(front *http1.Server, c *config.Config) (*clients, error) {
-	cs := &clients{front: front, byName: map[string]*http1.Client{}, processes: map[processKey]*processState{}}
+func newClients(frontend *http1.Server, c *config.Config) (*clients, error) {
+	cs := &clients{
+		frontend:      frontend,
+		clientsByName: map[string]*http1.Client{},
+		processes:     map[processKey]*processState{},
+	}
 	_, err := cs.applyConfig(c)
 	return cs, err
 }
@@ -78,12 +82,12 @@
 	for i := range c.Clients {
 		name := c.Clients[i].Name
 		limits := &c.Clients[i].ClientLimits
-		byName[name] = cs.byName[name]
+		byName[name] = cs.clientsByName[name]
 		if previousLimits, known := previousLimitsByName[name]; known && previousLimits == *limits {
 			continue
 		}
 		changed++
-		if byName[name], err = cs.setClientLocked(cs.byName[name], clientSettings(name, limits)); err != nil {
+		if byName[name], err = cs.setClientLocked(cs.clientsByName[name], clientSettings(name, limits)); err != nil {
 			return changed, err
 		}
 		if err := cs.updateProcessesLocked(name, limits); err != nil {
@@ -102,7 +106,7 @@
 		}
 	}
 	cs.config = c
-	cs.byName = byName
+	cs.clientsByName = byName
 	cs.defaultClient = defaultClient
 	return changed, nil
 }
@@ -110,9 +114,9 @@
 // setClientLocked updates a client of the frontend, or creates the client if it is nil, and returns it.
 func (cs *clients) setClientLocked(client *http1.Client, settings http1.ClientSettings) (*http1.Client, error) {
 	if client == nil {
-		return cs.front.NewClient(settings)
+		return cs.frontend.NewClient(settings)
 	}
-	return client, cs.front.UpdateClient(client, settings)
+	return client, cs.frontend.UpdateClient(client, settings)
 }
 
 // updateProcessesLocked sets the limits of all known processes of a client.
@@ -121,7 +125,7 @@
 		if process.client != name {
 			continue
 		}
-		if err := cs.front.UpdateClient(state.client, clientSettings(state.client.Name, limits)); err != nil {
+		if err := cs.frontend.UpdateClient(state.client, clientSettings(state.client.Name, limits)); err != nil {
 			return err
 		}
 	}
@@ -143,7 +147,7 @@
 		case configured == nil:
 			return cs.defaultClient, nil, nil
 		case !configured.PerProcess || pid == 0:
-			return cs.byName[configured.Name], nil, nil
+			return cs.clientsByName[configured.Name], nil, nil
 		}
 		return cs.processClientLocked(configured, pid)
 	}
@@ -193,7 +197,7 @@
 	process := processKey{configured.Name, pid}
 	state := cs.processes[process]
 	if state == nil {
-		client, err := cs.front.NewClient(
+		client, err := cs.frontend.NewClient(
 			clientSettings(fmt.Sprintf("%s/%d", configured.Name, pid), &configured.ClientLimits))
 		if err != nil {
 			return nil, nil, err
@@ -243,10 +247,10 @@
 	defer cs.mu.Unlock()
 	var usages []ClientUsage
 	add := func(c *http1.Client) {
-		connections, openRequests, bufferedBytes := cs.front.ClientUsage(c)
+		connections, openRequests, bufferedBytes := cs.frontend.ClientUsage(c)
 		usages = append(usages, ClientUsage{c.Name, connections, openRequests, bufferedBytes})
 	}
-	for _, c := range cs.byName {
+	for _, c := range cs.clientsByName {
 		add(c)
 	}
 	if cs.defaultClient != nil {
--- a/internal/daemon/consensus.go
+++ b/internal/daemon/consensus.go
@@ -28,9 +28,10 @@
 	cancel     context.CancelFunc
 	runEnded   chan struct{} // closed once run has returned
 
-	lastStatus        maintenance.FleetStatus                 // status of the fleet at statusTime
-	statusTime        monotime.Micros                         // when the machines were last observed
-	peakUsage         float64                                 // highest since peakTime, in the unit of MachineStatus.Capacity
+	lastStatus maintenance.FleetStatus // status of the fleet at statusTime
+	statusTime monotime.Micros         // when the machines were last observed
+	// peakUsage is the highest usage since peakTime, in the unit of MachineStatus.Capacity.
+	peakUsage         float64
 	peakTime          monotime.Micros                         // when peakUsage was measured
 	inFlightByMachine map[string]int                          // requests in flight at excluded and announced machines
 	appliedPlan       engine.MaintenancePlan                  // the plan that was last passed to the core
@@ -39,9 +40,9 @@
 }
 
 const (
-	// consensusEventsBuffer is the number of messages and operators' requests that can wait for run. Further
+	// consensusEventsBufferSize is the number of messages and operators' requests that can wait for run. Further
 	// messages are lost.
-	consensusEventsBuffer = 1024
+	consensusEventsBufferSize = 1024
 	// minObserveInterval is the minimum time in microseconds between two observations while the plan names no
 	// machine.
 	minObserveInterval = 500_000
@@ -63,7 +64,7 @@
 	}
 	member := &consensusMember{
 		generation:        g,
-		events:            make(chan func(), consensusEventsBuffer),
+		events:            make(chan func(), consensusEventsBufferSize),
 		runEnded:          make(chan struct{}),
 		inFlightByMachine: map[string]int{},
 		pendingReplies:    map[uint64]chan consensus.OperatorReply{},
--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -100,7 +100,7 @@
 func (g *generation) newCore() error {
 	options := &g.options
 	c := g.config
-	conf := core.Config{
+	coreConfig := core.Config{
 		Clock:       g.clock,
 		Site:        &c.Site,
 		Seed:        options.Seed,
@@ -113,9 +113,9 @@
 		if g.spentLog, err = openSpentLog(path, options.Log); err != nil {
 			return fmt.Errorf("peers.spent: %w", err)
 		}
-		conf.OnQuotaSpent = g.spentLog.record
+		coreConfig.OnQuotaSpent = g.spentLog.record
 	}
-	g.core = core.New(conf)
+	g.core = core.New(coreConfig)
 	return g.joinCoordination()
 }
 
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -52,11 +52,11 @@
 // newLifecycle returns the lifecycle of a generation. If predecessor is not nil, it is a connection to a
 // generation in this process, and the new generation takes over from that one only.
 func newLifecycle(stopContext context.Context, g *generation, predecessor *takeover.Conn) *lifecycle {
-	settings := g.options.Config.Takeover
-	times := decide.Times{
-		Ready:  clock.Micros(settings.ReadyWithin.Duration),
+	takeoverSettings := g.options.Config.Takeover
+	timeouts := decide.Times{
+		Ready:  clock.Micros(takeoverSettings.ReadyWithin.Duration),
 		Answer: clock.Micros(replyTimeout),
-		Drain:  clock.Micros(settings.DrainWithin.Duration),
+		Drain:  clock.Micros(takeoverSettings.DrainWithin.Duration),
 	}
 	l := &lifecycle{
 		generation:       g,
@@ -65,7 +65,7 @@
 		onServing:        func() {},
 		onHandoverChange: func(bool) {},
 	}
-	l.Lifecycle = takeover.NewLifecycle(l, g.front, times, g.log)
+	l.Lifecycle = takeover.NewLifecycle(l, g.front, timeouts, g.log)
 	l.PredecessorConn = predecessor
 	return l
 }
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -63,9 +63,9 @@
 // takeOffered returns the offered socket of a listener and sets it to nil in offeredSockets. It returns nil if
 // no offered socket has the name or the address of the listener.
 func takeOffered(conf *config.Listener, offeredSockets []net.Listener, offeredNames []string) net.Listener {
-	for i, name := range offeredNames {
+	for i, offeredName := range offeredNames {
 		socket := offeredSockets[i]
-		if socket != nil && (name == conf.Address || socket.Addr().String() == conf.Address) {
+		if socket != nil && (offeredName == conf.Address || socket.Addr().String() == conf.Address) {
 			offeredSockets[i] = nil
 			return socket
 		}
@@ -133,16 +133,16 @@
 
 // setAcceptDeadline sets the time at which a blocked Accept returns. The zero time removes the deadline.
 func (l *listener) setAcceptDeadline(deadline time.Time) {
-	if s, ok := l.socket.(interface{ SetDeadline(time.Time) error }); ok {
-		_ = s.SetDeadline(deadline) // SetDeadline fails only on a closed listener
+	if socket, ok := l.socket.(interface{ SetDeadline(time.Time) error }); ok {
+		_ = socket.SetDeadline(deadline) // SetDeadline fails only on a closed listener
 	}
 }
 
 // setKeepPath sets whether the path of a unix socket remains when the socket is closed. It must remain while
 // another process may listen there.
 func (l *listener) setKeepPath(keep bool) {
-	if u, ok := l.socket.(*net.UnixListener); ok {
-		u.SetUnlinkOnClose(!keep)
+	if unixSocket, ok := l.socket.(*net.UnixListener); ok {
+		unixSocket.SetUnlinkOnClose(!keep)
 	}
 }
 
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -15,16 +15,16 @@
 // Offer returns the message that offers the listening sockets and the snapshot of the learned state to the
 // successor.
 func (l *lifecycle) Offer(*takeover.Conn) takeover.Message {
-	offered := offer{
+	offerMessage := offer{
 		Takeover: l.successorListener != nil,
 		State:    l.EncodeSnapshot(l.core.Snapshot(), l.upstreams.Evidence()),
 	}
 	var sockets []syscall.Conn
 	for _, listener := range l.listeners {
-		offered.Listeners = append(offered.Listeners, listener.config.Address)
+		offerMessage.Listeners = append(offerMessage.Listeners, listener.config.Address)
 		sockets = append(sockets, listener.socket.(syscall.Conn))
 	}
-	payload, err := json.Marshal(offered)
+	payload, err := json.Marshal(offerMessage)
 	if err != nil {
 		l.log.Error("offer not encoded", "error", err)
 	}
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -34,9 +34,9 @@
 	versioning
 }
 
-// eventsBuffer is the number of events that can wait for run before post blocks. Lifecycles post few events,
+// eventsBufferSize is the number of events that can wait for run before post blocks. Lifecycles post few events,
 // and run never waits for a lifecycle, so a blocked post cannot cause a deadlock.
-const eventsBuffer = 64
+const eventsBufferSize = 64
 
 // newProcess returns a process that has selected its first configuration but started nothing.
 func newProcess(stop context.Context, options Options) *process {
@@ -47,7 +47,7 @@
 		options:      options,
 		log:          options.Log,
 		stopContext:  stop,
-		events:       make(chan func(), eventsBuffer),
+		events:       make(chan func(), eventsBufferSize),
 		eventsClosed: make(chan struct{}),
 	}
 	p.selectFirstConfig()
--- a/internal/daemon/rollout.go
+++ b/internal/daemon/rollout.go
@@ -86,18 +86,18 @@
 // configOf returns the configuration of a layered version: the file, overridden by the control plane's
 // resources.
 func (p *process) configOf(version rollout.LayeredVersion) (*config.Config, error) {
-	file := p.fileConfigs[version.File.Digest]
-	if file == nil {
+	fileConfig := p.fileConfigs[version.File.Digest]
+	if fileConfig == nil {
 		return nil, fmt.Errorf("the content of %v is not held any more", version.File.ID)
 	}
 	if version.ControlPlane == nil {
-		return file, nil
+		return fileConfig, nil
 	}
 	resources := p.controlPlaneResources[version.ControlPlane.Digest]
 	if resources == nil {
 		return nil, fmt.Errorf("the content of version %v is not held any more", version.ControlPlane.ID)
 	}
-	return config.Combine(file, resources)
+	return config.Combine(fileConfig, resources)
 }
 
 // validationError returns the reason why a version cannot be applied, or "" if it can be applied.
@@ -187,14 +187,15 @@
 // reportDecision reports that a version was acknowledged or rejected: in the log, and to the control plane if
 // the version came from there.
 func (p *process) reportDecision(command *rollout.Command) {
-	id := command.Version.ID.String()
+	versionID := command.Version.ID.String()
 	switch {
 	case command.Action == rollout.ActionNack:
-		p.log.Error("configuration rejected", "version", id, "reason", command.Reason)
+		p.log.Error("configuration rejected", "version", versionID, "reason", command.Reason)
 	case command.Confirmed:
-		p.log.Info("configuration applied", "version", id)
+		p.log.Info("configuration applied", "version", versionID)
 	default:
-		p.log.Info("configuration applied, on trial", "version", id, "for", p.controlPlane.CanaryDuration.Duration)
+		p.log.Info("configuration applied, on trial", "version", versionID,
+			"for", p.controlPlane.CanaryDuration.Duration)
 	}
 	if command.Version.Source == rollout.SourceControlPlane && p.controlPlaneClient != nil {
 		if command.Action == rollout.ActionNack {
--- a/internal/daemon/rollout_state.go
+++ b/internal/daemon/rollout_state.go
@@ -70,8 +70,9 @@
 		if version == nil {
 			continue
 		}
-		if text, err := p.cache.Content(version.File.Digest); err == nil && fileDigest(text) == version.File.Digest {
-			if c, err := config.Parse(text); err == nil {
+		if content, err := p.cache.Content(version.File.Digest); err == nil &&
+			fileDigest(content) == version.File.Digest {
+			if c, err := config.Parse(content); err == nil {
 				p.fileConfigs[version.File.Digest] = c
 			}
 		}
@@ -82,12 +83,12 @@
 // configFromCache returns the configuration that combines a file with a cached control plane version. The error
 // is configcache.ErrCorrupt if the cached content does not match the digest of the version.
 func (p *process) configFromCache(version *rollout.Version, fileConfig *config.Config) (*config.Config, error) {
-	text, err := p.cache.Content(version.Digest)
+	content, err := p.cache.Content(version.Digest)
 	if err != nil {
 		return nil, err
 	}
 	var resources []config.Resource
-	if err := json.Unmarshal(text, &resources); err != nil {
+	if err := json.Unmarshal(content, &resources); err != nil {
 		return nil, err
 	}
 	if config.Digest(resources) != version.Digest {
@@ -98,8 +99,8 @@
 }
 
 // fileDigest returns the digest of a file's content: its SHA-256 sum in hexadecimal digits.
-func fileDigest(text []byte) string {
-	sum := sha256.Sum256(text)
+func fileDigest(content []byte) string {
+	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:])
 }
 
@@ -132,12 +133,12 @@
 // rolloutStateToSave returns a copy of the state machine's persistent state, and the contents of all stored
 // versions by digest.
 func (p *process) rolloutStateToSave() (*rollout.PersistentState, map[string][]byte, error) {
-	text, err := json.Marshal(p.machine.PersistentState())
+	content, err := json.Marshal(p.machine.PersistentState())
 	if err != nil {
 		return nil, nil, err
 	}
 	stateCopy := &rollout.PersistentState{}
-	if err := json.Unmarshal(text, stateCopy); err != nil {
+	if err := json.Unmarshal(content, stateCopy); err != nil {
 		return nil, nil, err
 	}
 	contents := map[string][]byte{}
--- a/internal/daemon/routes.go
+++ b/internal/daemon/routes.go
@@ -105,9 +105,9 @@
 func newResponsePolicy(
 	c *config.Config, conf *config.Route, class uint8, deadline http1.ValueSource,
 ) *upstream.ResponsePolicy {
-	settings := &c.Site.Settings.Classes[class]
+	classSettings := &c.Site.Settings.Classes[class]
 	policy := &upstream.ResponsePolicy{
-		NonIdempotent:   settings.Idempotency == balancer.NonIdempotent,
+		NonIdempotent:   classSettings.Idempotency == balancer.NonIdempotent,
 		MaxBuffered:     conf.MaxBufferedResponse.Bytes,
 		MaxBytes:        conf.MaxResponse.Bytes,
 		IdleTimeout:     conf.IdleTimeout.Duration,
@@ -117,11 +117,11 @@
 	if deadline.Kind == http1.FromHeader {
 		policy.DeadlineHeader = deadline.Name
 	}
-	for _, code := range conf.ErrorStatuses {
-		policy.FailureStatus[code] = true
+	for _, status := range conf.ErrorStatuses {
+		policy.FailureStatus[status] = true
 	}
-	for _, code := range conf.RejectionStatuses {
-		policy.RejectedStatus[code] = true
+	for _, status := range conf.RejectionStatuses {
+		policy.RejectedStatus[status] = true
 	}
 	return policy
 }
--- a/internal/daemon/spentlog.go
+++ b/internal/daemon/spentlog.go
@@ -19,10 +19,10 @@
 }
 
 const (
-	// spentLogBuffer is the number of lines that can wait for a slow disk. Further lines are dropped, and one
+	// spentLogBufferLines is the number of lines that can wait for a slow disk. Further lines are dropped, and one
 	// line in the log notes the gap.
-	spentLogBuffer = 1 << 14
-	spentLogMode   = 0o600 // access for the daemon's user only
+	spentLogBufferLines = 1 << 14
+	spentLogMode        = 0o600 // access for the daemon's user only
 )
 
 // openSpentLog opens the log file at a path for appending, and starts the goroutine that writes to it. close
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	spent := &spentLog{pendingLines: make(chan string, spentLogBuffer), writerDone: make(chan struct{})}
+	spent := &spentLog{pendingLines: make(chan string, spentLogBufferLines), writerDone: make(chan struct{})}
 	go func() {
 		defer close(spent.writerDone)
 		defer file.Close()
@@ -60,7 +60,7 @@
 
 // record queues the line for one spent unit. It never waits for the disk.
 func (spent *spentLog) record(_ monotime.Micros, budget string) {
-	if spent.dropped && len(spent.pendingLines) < spentLogBuffer/2 {
+	if spent.dropped && len(spent.pendingLines) < spentLogBufferLines/2 {
 		spent.dropped = false
 		spent.pendingLines <- "# some are missing\n"
 	}
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -44,14 +44,14 @@
 // StartWithOffer starts everything except accepting connections, with the offered sockets and the offered
 // snapshot.
 func (l *lifecycle) StartWithOffer() error {
-	var names []string
+	var offeredNames []string
 	for i, name := range l.receivedOffer.Listeners {
 		if l.offeredListeners[i] == nil {
 			name = "" // an empty name matches no configured listener
 		}
-		names = append(names, name)
+		offeredNames = append(offeredNames, name)
 	}
-	if err := l.openListeners(l.stopContext, l.offeredListeners, names, 0); err != nil {
+	if err := l.openListeners(l.stopContext, l.offeredListeners, offeredNames, 0); err != nil {
 		return err
 	}
 	state := l.decodeState(l.receivedOffer.State, "at the start")
@@ -98,11 +98,11 @@
 	if state == nil {
 		return
 	}
-	age := max(0, takeover.Monotonic()-state.TakenAt)
-	l.upstreams.RestoreEvidence(state.Reuse, age)
-	skipped := l.core.Restore(state.Snapshot, age)
+	snapshotAge := max(0, takeover.Monotonic()-state.TakenAt)
+	l.upstreams.RestoreEvidence(state.Reuse, snapshotAge)
+	skipped := l.core.Restore(state.Snapshot, snapshotAge)
 	if plan := state.Snapshot.Maintenance; plan != nil {
-		takenAt := l.clock.Now() - age
+		takenAt := l.clock.Now() - snapshotAge
 		l.inheritedPlan = &engine.MaintenancePlan{
 			Excluded:      plan.Excluded,
 			Announced:     plan.Announced,
@@ -156,8 +156,8 @@
 		if listener == nil {
 			continue
 		}
-		if unix, ok := listener.(*net.UnixListener); ok {
-			unix.SetUnlinkOnClose(true)
+		if unixListener, ok := listener.(*net.UnixListener); ok {
+			unixListener.SetUnlinkOnClose(true)
 		}
 		listener.Close()
 		l.offeredListeners[i] = nil
@@ -208,15 +208,15 @@
 // serveHandedOver serves a connection that was accepted at the address of one of this generation's listeners.
 // It closes a connection that was accepted at any other address.
 func (l *lifecycle) serveHandedOver(conn net.Conn) {
-	local := conn.LocalAddr()
+	localAddr := conn.LocalAddr()
 	for _, listener := range l.listeners {
 		addr := listener.socket.Addr()
-		if addr.Network() == local.Network() && addr.String() == local.String() {
+		if addr.Network() == localAddr.Network() && addr.String() == localAddr.String() {
 			l.front.Adopt(conn, listener.identify)
 			return
 		}
 	}
-	l.log.Warn("connection of a removed listener closed", "listener", local.String())
+	l.log.Warn("connection of a removed listener closed", "listener", localAddr.String())
 	conn.Close()
 }
 
