--- a/internal/daemon/canary_tally.go
+++ b/internal/daemon/canary_tally.go
@@ -9,23 +9,24 @@
 	"dunlinsail/internal/frontend/http1"
 )
 
-// canaryTally sums up the outcomes of a generation's requests, so that one configuration can be compared with another.
-// Both are measured by the same objectives and weights; otherwise a configuration with lower objectives would look
-// better. Its methods may be called from any goroutine.
+// canaryTally sums the outcomes of a generation's requests, so that two configurations can be compared. Both
+// are measured with the same objectives and weights; otherwise a configuration with less strict objectives
+// would look better. The methods may be called from any goroutine.
 type canaryTally struct {
 	mu         sync.Mutex
-	objectives []balancer.Class // by class index of the generation
-	sample     canary.Sample
+	objectives []balancer.Class // by the generation's class index
+	sample     canary.Sample    // the outcomes since the last call of takeAndReset
 }
 
-// setObjectives sets the objectives and weights by which outcomes are measured from now on. A class of the generation
-// (own) is measured by the class of the same name in reference, or by its own values if there is none.
-func (t *canaryTally) setObjectives(own, reference []balancer.Class) {
-	objectives := append([]balancer.Class(nil), own...)
+// setObjectives sets the objectives and weights that measure outcomes from now on. They are taken from the
+// class of the same name in referenceClasses, and from ownClasses, the classes of the generation, if there is
+// no such class.
+func (t *canaryTally) setObjectives(ownClasses, referenceClasses []balancer.Class) {
+	objectives := append([]balancer.Class(nil), ownClasses...)
 	for i := range objectives {
-		for j := range reference {
-			if reference[j].Name == objectives[i].Name {
-				objectives[i] = reference[j]
+		for j := range referenceClasses {
+			if referenceClasses[j].Name == objectives[i].Name {
+				objectives[i] = referenceClasses[j]
 			}
 		}
 	}
@@ -34,37 +35,38 @@
 	t.mu.Unlock()
 }
 
-// add counts a finished request. A request whose client left before its deadline is not counted.
-func (t *canaryTally) add(x *http1.ExchangeRecord) {
+// addExchange counts a finished request. It ignores a request that the client abandoned before the client's
+// timeout.
+func (t *canaryTally) addExchange(exchange *http1.ExchangeRecord) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if int(x.Class) >= len(t.objectives) {
+	if int(exchange.Class) >= len(t.objectives) {
 		return
 	}
-	c := &t.objectives[x.Class]
-	took := x.EndedAt - x.ArrivedAt
-	if x.ClientGone && took < x.ClientTimeout {
+	class := &t.objectives[exchange.Class]
+	responseTime := exchange.EndedAt - exchange.ArrivedAt
+	if exchange.ClientGone && responseTime < exchange.ClientTimeout {
 		return
 	}
 	t.sample.Requests++
-	t.sample.OfferedWeight += c.PriorityWeight
+	t.sample.OfferedWeight += class.PriorityWeight
 	switch {
-	case x.ClientGone:
+	case exchange.ClientGone:
 		t.sample.Failed++
-	case x.Response.Verdict == engine.Served && took <= c.LatencyObjective:
-		t.sample.ServedWeight += c.PriorityWeight
-	case x.Response.Verdict == engine.Served:
-		t.sample.ServedWeight += c.PriorityWeight * c.LateWeight
-	case x.Response.Verdict == engine.Failed || x.Response.Verdict == engine.TimedOut:
+	case exchange.Response.Verdict == engine.Served && responseTime <= class.LatencyObjective:
+		t.sample.ServedWeight += class.PriorityWeight
+	case exchange.Response.Verdict == engine.Served:
+		t.sample.ServedWeight += class.PriorityWeight * class.LateWeight
+	case exchange.Response.Verdict == engine.Failed || exchange.Response.Verdict == engine.TimedOut:
 		t.sample.Failed++
 	}
 }
 
-// take returns the outcomes since the last call, without a duration.
-func (t *canaryTally) take() canary.Sample {
+// takeAndReset returns the outcomes since the last call. The duration of the returned sample is not set.
+func (t *canaryTally) takeAndReset() canary.Sample {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.sample
+	sample := t.sample
 	t.sample = canary.Sample{}
-	return s
+	return sample
 }
--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -13,47 +13,51 @@
 	"dunlinsail/internal/frontend/http1"
 )
 
-// clients identifies the client of each connection: by the listener that it uses and, on a unix socket, by the
-// kernel's credentials of the process that connected (SO_PEERCRED, unix(7)). A successor identifies a connection that
-// is handed over in the same way. Its methods may be called from any goroutine.
+// clients identifies the client of each connection from the listener that accepted it and, on a unix socket,
+// from the kernel's credentials of the process that connected (SO_PEERCRED, unix(7)). A successor identifies a
+// connection that was handed over in the same way. The methods may be called from any goroutine.
 type clients struct {
-	front *http1.Server
+	frontend *http1.Server
 
 	mu            sync.Mutex
-	config        *config.Config
-	byName        map[string]*http1.Client
-	defaultClient *http1.Client // of connections without a configured client; nil if these are rejected
-	processes     map[clientProcess]*processClient
+	config        *config.Config               // the configuration in effect
+	clientsByName map[string]*http1.Client     // configured clients
+	defaultClient *http1.Client                // for connections without a configured client; nil to reject them
+	processes     map[processKey]*processState // the known processes of clients that have limits for each process
 }
 
-// clientProcess identifies a process of a client that is configured with limits for each process.
-type clientProcess struct {
-	client string
+// processKey identifies a process of a client that is configured with limits for each process.
+type processKey struct {
+	client string // name of the configured client
 	pid    int32
 }
 
-// processClient is the state of one client process.
-type processClient struct {
+// processState holds the limits and connections of one client process.
+type processState struct {
 	client      *http1.Client
-	connections int
-	idleSince   time.Time // the end of its last connection; only valid without connections
+	connections int       // open connections
+	idleSince   time.Time // when the last connection closed; valid only without open connections
 }
 
-// processClientTTL is how long a client process without connections is remembered, so that its rate limit does not
-// start anew with each connection.
+// processClientTTL is how long a client process without connections is remembered. A process that was forgotten
+// would start with a new rate limit at each connection.
 const processClientTTL = 10 * time.Second
 
-// defaultClientName is the name of the default client in usage and logs.
+// defaultClientName is the name of the default client in usage reports and logs.
 const defaultClientName = "others"
 
 // newClients returns the clients of a configuration.
-func newClients(front *http1.Server, c *config.Config) (*clients, error) {
-	k := &clients{front: front, byName: map[string]*http1.Client{}, processes: map[clientProcess]*processClient{}}
-	_, err := k.applyConfig(c)
-	return k, err
+func newClients(frontend *http1.Server, c *config.Config) (*clients, error) {
+	cs := &clients{
+		frontend:      frontend,
+		clientsByName: map[string]*http1.Client{},
+		processes:     map[processKey]*processState{},
+	}
+	_, err := cs.applyConfig(c)
+	return cs, err
 }
 
-// clientSettings returns the settings of a client as the frontend takes them.
+// clientSettings returns the settings of a client in the form that the frontend takes.
 func clientSettings(name string, limits *config.ClientLimits) http1.ClientSettings {
 	return http1.ClientSettings{
 		ClientSpec:       limits.ClientSpec(name),
@@ -62,201 +66,204 @@
 	}
 }
 
-// applyConfig applies the clients of a configuration, and returns how many are new or have other limits. Connections
-// keep the client that they have. After an error the configuration before stays in effect, but the limits of some
-// clients may have changed.
-func (k *clients) applyConfig(c *config.Config) (changed int, err error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	limitsBefore := map[string]config.ClientLimits{}
-	if k.config != nil {
-		for _, client := range k.config.Clients {
-			limitsBefore[client.Name] = client.ClientLimits
+// applyConfig applies the clients of a configuration, and returns how many clients are new or have other
+// limits. Open connections keep their client. After an error the previous configuration stays in effect, but
+// the limits of some clients may have changed.
+func (cs *clients) applyConfig(c *config.Config) (changed int, err error) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	previousLimitsByName := map[string]config.ClientLimits{}
+	if cs.config != nil {
+		for _, client := range cs.config.Clients {
+			previousLimitsByName[client.Name] = client.ClientLimits
 		}
 	}
 	byName := map[string]*http1.Client{}
 	for i := range c.Clients {
 		name := c.Clients[i].Name
 		limits := &c.Clients[i].ClientLimits
-		byName[name] = k.byName[name]
-		if before, known := limitsBefore[name]; known && before == *limits {
+		byName[name] = cs.clientsByName[name]
+		if previousLimits, known := previousLimitsByName[name]; known && previousLimits == *limits {
 			continue
 		}
 		changed++
-		if byName[name], err = k.setClientLocked(k.byName[name], clientSettings(name, limits)); err != nil {
+		if byName[name], err = cs.setClientLocked(cs.clientsByName[name], clientSettings(name, limits)); err != nil {
 			return changed, err
 		}
-		if err := k.updateProcessesLocked(name, limits); err != nil {
+		if err := cs.updateProcessesLocked(name, limits); err != nil {
 			return changed, err
 		}
 	}
-	defaultClient := k.defaultClient
+	defaultClient := cs.defaultClient
 	switch {
 	case c.OtherClients == nil:
 		defaultClient = nil
-	case k.config == nil || k.config.OtherClients == nil || *k.config.OtherClients != *c.OtherClients:
+	case cs.config == nil || cs.config.OtherClients == nil || *cs.config.OtherClients != *c.OtherClients:
 		changed++
 		settings := clientSettings(defaultClientName, c.OtherClients)
-		if defaultClient, err = k.setClientLocked(defaultClient, settings); err != nil {
+		if defaultClient, err = cs.setClientLocked(defaultClient, settings); err != nil {
 			return changed, err
 		}
 	}
-	k.config = c
-	k.byName = byName
-	k.defaultClient = defaultClient
+	cs.config = c
+	cs.clientsByName = byName
+	cs.defaultClient = defaultClient
 	return changed, nil
 }
 
-// setClientLocked updates a client of the frontend, or makes one if client is nil, and returns it.
-func (k *clients) setClientLocked(client *http1.Client, settings http1.ClientSettings) (*http1.Client, error) {
+// setClientLocked updates a client of the frontend, or creates the client if it is nil, and returns it.
+func (cs *clients) setClientLocked(client *http1.Client, settings http1.ClientSettings) (*http1.Client, error) {
 	if client == nil {
-		return k.front.NewClient(settings)
+		return cs.frontend.NewClient(settings)
 	}
-	return client, k.front.UpdateClient(client, settings)
+	return client, cs.frontend.UpdateClient(client, settings)
 }
 
-// updateProcessesLocked sets the limits of the known processes of a client.
-func (k *clients) updateProcessesLocked(name string, limits *config.ClientLimits) error {
-	for process, state := range k.processes {
+// updateProcessesLocked sets the limits of all known processes of a client.
+func (cs *clients) updateProcessesLocked(name string, limits *config.ClientLimits) error {
+	for process, state := range cs.processes {
 		if process.client != name {
 			continue
 		}
-		if err := k.front.UpdateClient(state.client, clientSettings(state.client.Name, limits)); err != nil {
+		if err := cs.frontend.UpdateClient(state.client, clientSettings(state.client.Name, limits)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// identify returns the function that identifies the client of a listener's connections. An error rejects the
-// connection.
-func (k *clients) identify(l *config.Listener) http1.Identify {
-	return func(nc net.Conn) (*http1.Client, func(), error) {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		rule, pid, err := k.ruleLocked(l, nc)
+// identify returns the function that identifies the client of each connection to a listener. If that function
+// returns an error, the frontend rejects the connection.
+func (cs *clients) identify(listenerConfig *config.Listener) http1.Identify {
+	return func(conn net.Conn) (*http1.Client, func(), error) {
+		cs.mu.Lock()
+		defer cs.mu.Unlock()
+		configured, pid, err := cs.configuredClientLocked(listenerConfig, conn)
 		switch {
 		case err != nil:
 			return nil, nil, err
-		case rule == nil && k.defaultClient == nil:
+		case configured == nil && cs.defaultClient == nil:
 			return nil, nil, errUnknownClient
-		case rule == nil:
-			return k.defaultClient, nil, nil
-		case !rule.PerProcess || pid == 0:
-			return k.byName[rule.Name], nil, nil
+		case configured == nil:
+			return cs.defaultClient, nil, nil
+		case !configured.PerProcess || pid == 0:
+			return cs.clientsByName[configured.Name], nil, nil
 		}
-		return k.processClientLocked(rule, pid)
+		return cs.processClientLocked(configured, pid)
 	}
 }
 
-var errUnknownClient = errors.New("no client of the configuration, and there is no table others")
+// errUnknownClient rejects a connection that has no configured client if there is no default client either.
+var errUnknownClient = errors.New("no configured client matches, and the configuration has no table others")
 
-// ruleLocked returns the configured client of a connection, nil if there is none, and the id of the process that
-// connected, 0 if the connection is not on a unix socket.
-func (k *clients) ruleLocked(l *config.Listener, nc net.Conn) (*config.Client, int32, error) {
+// configuredClientLocked returns the configured client of a connection, or nil if there is none, and the id of
+// the process that connected, or 0 if the connection is not on a unix socket.
+func (cs *clients) configuredClientLocked(listenerConfig *config.Listener, conn net.Conn) (
+	*config.Client, int32, error) {
 	var pid int32
-	if network, _ := l.Network(); network == "unix" {
-		peer, err := peerOf(nc)
+	if network, _ := listenerConfig.Network(); network == "unix" {
+		credentials, err := peerCredentials(conn)
 		if err != nil {
-			return nil, 0, fmt.Errorf("who connects is not known: %w", err)
+			return nil, 0, fmt.Errorf("credentials of the connecting process: %w", err)
 		}
-		pid = peer.Pid
-		for i := range k.config.Clients {
-			if cl := &k.config.Clients[i]; slices.Contains(cl.UIDs, peer.Uid) {
-				return cl, pid, nil
+		pid = credentials.Pid
+		for i := range cs.config.Clients {
+			if client := &cs.config.Clients[i]; slices.Contains(client.UIDs, credentials.Uid) {
+				return client, pid, nil
 			}
 		}
-		for i := range k.config.Clients {
-			if cl := &k.config.Clients[i]; slices.Contains(cl.GIDs, peer.Gid) {
-				return cl, pid, nil
+		for i := range cs.config.Clients {
+			if client := &cs.config.Clients[i]; slices.Contains(client.GIDs, credentials.Gid) {
+				return client, pid, nil
 			}
 		}
 	}
-	for i := range k.config.Clients {
-		if cl := &k.config.Clients[i]; cl.Name == l.Client {
-			return cl, pid, nil
+	for i := range cs.config.Clients {
+		if client := &cs.config.Clients[i]; client.Name == listenerConfig.Client {
+			return client, pid, nil
 		}
 	}
 	return nil, pid, nil
 }
 
-// processClientLocked returns the client of one process for a new connection, and the function to call at the
-// connection's end.
-func (k *clients) processClientLocked(rule *config.Client, pid int32) (*http1.Client, func(), error) {
-	for process, state := range k.processes {
+// processClientLocked returns the client of one process for a new connection, and the function to call when the
+// connection is closed.
+func (cs *clients) processClientLocked(configured *config.Client, pid int32) (*http1.Client, func(), error) {
+	for process, state := range cs.processes {
 		if state.connections == 0 && time.Since(state.idleSince) > processClientTTL {
-			delete(k.processes, process)
+			delete(cs.processes, process)
 		}
 	}
-	process := clientProcess{rule.Name, pid}
-	state := k.processes[process]
+	process := processKey{configured.Name, pid}
+	state := cs.processes[process]
 	if state == nil {
-		client, err := k.front.NewClient(clientSettings(fmt.Sprintf("%s/%d", rule.Name, pid), &rule.ClientLimits))
+		client, err := cs.frontend.NewClient(
+			clientSettings(fmt.Sprintf("%s/%d", configured.Name, pid), &configured.ClientLimits))
 		if err != nil {
 			return nil, nil, err
 		}
-		state = &processClient{client: client}
-		k.processes[process] = state
+		state = &processState{client: client}
+		cs.processes[process] = state
 	}
 	state.connections++
 	return state.client, func() {
-		k.mu.Lock()
-		defer k.mu.Unlock()
+		cs.mu.Lock()
+		defer cs.mu.Unlock()
 		state.connections--
 		state.idleSince = time.Now()
 	}, nil
 }
 
-// peerOf returns the kernel's credentials of the process that connected.
-func peerOf(nc net.Conn) (*syscall.Ucred, error) {
-	sc, ok := nc.(syscall.Conn)
+// peerCredentials returns the kernel's credentials of the process that connected.
+func peerCredentials(conn net.Conn) (*syscall.Ucred, error) {
+	socket, ok := conn.(syscall.Conn)
 	if !ok {
-		return nil, errors.New("no socket")
+		return nil, errors.New("the connection is not a socket")
 	}
-	raw, err := sc.SyscallConn()
+	rawConn, err := socket.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	var peer *syscall.Ucred
-	if broken := raw.Control(func(fd uintptr) {
-		peer, err = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
-	}); broken != nil {
-		return nil, broken
+	var credentials *syscall.Ucred
+	if controlErr := rawConn.Control(func(fd uintptr) {
+		credentials, err = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
+	}); controlErr != nil {
+		return nil, controlErr
 	}
-	return peer, err
+	return credentials, err
 }
 
-// ClientUsage is what one client uses of its limits.
+// ClientUsage reports how much of its limits one client uses.
 type ClientUsage struct {
-	Client      string // its name; "name/pid" for a process with limits of its own
+	Client      string // name of the client; "name/pid" for a process with limits of its own
 	Connections int    // open connections
 	Open        int    // open requests
 	Bytes       int64  // buffered bytes of requests and responses
 }
 
-// usage returns what each client uses of its limits, sorted by name.
-func (k *clients) usage() []ClientUsage {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	var all []ClientUsage
+// usage returns the usage of each client, sorted by client name.
+func (cs *clients) usage() []ClientUsage {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	var usages []ClientUsage
 	add := func(c *http1.Client) {
-		conns, open, bytes := k.front.ClientUsage(c)
-		all = append(all, ClientUsage{c.Name, conns, open, bytes})
+		connections, openRequests, bufferedBytes := cs.frontend.ClientUsage(c)
+		usages = append(usages, ClientUsage{c.Name, connections, openRequests, bufferedBytes})
 	}
-	for _, c := range k.byName {
+	for _, c := range cs.clientsByName {
 		add(c)
 	}
-	if k.defaultClient != nil {
-		add(k.defaultClient)
+	if cs.defaultClient != nil {
+		add(cs.defaultClient)
 	}
-	for _, state := range k.processes {
+	for _, state := range cs.processes {
 		add(state.client)
 	}
-	slices.SortFunc(all, func(a, b ClientUsage) int {
+	slices.SortFunc(usages, func(a, b ClientUsage) int {
 		if a.Client < b.Client {
 			return -1
 		}
 		return 1
 	})
-	return all
+	return usages
 }
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -15,63 +15,72 @@
 	"dunlinsail/internal/takeover"
 )
 
-// listener accepts the connections of clients at one address.
+// listener accepts the connections of clients at one configured address.
 type listener struct {
 	config   *config.Listener
 	socket   net.Listener
-	identify http1.Identify
+	identify http1.Identify // identifies the client of a new connection
 
-	accepting  bool
-	acceptLoop sync.WaitGroup // the goroutine of accept
+	accepting  bool           // reports whether the accept loop was started and not paused
+	acceptLoop sync.WaitGroup // the goroutine that startAccepting starts
 }
 
-// bindTimeout is how long a start without a predecessor waits for an address that another process holds. A process that
-// was stopped just before goes on accepting for stopAcceptDelay.
+// bindTimeout is how long a daemon that starts without a predecessor waits for an address that another process
+// still uses. A process that was just stopped continues to accept connections for stopAcceptDelay.
 const bindTimeout = 3 * time.Second
 
-// socketUmask makes a new unix socket accessible to the daemon's user only.
+// socketUmask is the umask with which only the daemon's user can access a new unix socket.
 const socketUmask = 0o177
 
-// listen opens the listeners of the configuration. It takes an offered socket whose name (as in the predecessor's file)
-// or address is the listener's, and sets it to nil in offered. For an address in use it waits, but not longer than
-// wait. The listeners that were opened before an error are closed with the generation.
-func (d *generation) listen(stop context.Context, offered []net.Listener, names []string, wait time.Duration) error {
-	for i := range d.options.Config.Listeners {
-		conf := &d.options.Config.Listeners[i]
-		l := &listener{config: conf, identify: d.clients.identify(conf), socket: takeOffered(conf, offered, names)}
+// openListeners opens the configured listeners. For each listener it adopts the offered socket whose name (the
+// address in the predecessor's configuration file) or bound address is the listener's address, and sets that
+// socket to nil in offeredSockets. It waits up to maxWait for an address in use. After an error, stopBackground
+// closes the listeners that were opened.
+func (g *generation) openListeners(
+	stop context.Context, offeredSockets []net.Listener, offeredNames []string, maxWait time.Duration,
+) error {
+	for i := range g.options.Config.Listeners {
+		conf := &g.options.Config.Listeners[i]
+		l := &listener{
+			config:   conf,
+			identify: g.clients.identify(conf),
+			socket:   takeOffered(conf, offeredSockets, offeredNames),
+		}
 		if l.socket != nil {
-			l.keepPath(true) // the path is still the predecessor's, should this start fail
+			l.setKeepPath(true) // the path belongs to the predecessor if this start fails
 		} else {
-			socket, err := openListener(stop, conf, wait)
+			socket, err := openListener(stop, conf, maxWait)
 			if err != nil {
 				return fmt.Errorf("listener %q: %w", conf.Name, err)
 			}
 			l.socket = socket
 		}
-		d.listeners = append(d.listeners, l)
+		g.listeners = append(g.listeners, l)
 	}
 	return nil
 }
 
-// takeOffered returns the offered socket of a listener, which it sets to nil in offered; nil if there is none.
-func takeOffered(conf *config.Listener, offered []net.Listener, names []string) net.Listener {
-	for i, name := range names {
-		socket := offered[i]
-		if socket != nil && (name == conf.Address || socket.Addr().String() == conf.Address) {
-			offered[i] = nil
+// takeOffered returns the offered socket of a listener and sets it to nil in offeredSockets. It returns nil if
+// no offered socket has the name or the address of the listener.
+func takeOffered(conf *config.Listener, offeredSockets []net.Listener, offeredNames []string) net.Listener {
+	for i, offeredName := range offeredNames {
+		socket := offeredSockets[i]
+		if socket != nil && (offeredName == conf.Address || socket.Addr().String() == conf.Address) {
+			offeredSockets[i] = nil
 			return socket
 		}
 	}
 	return nil
 }
 
-// openListener opens one listener. It retries an address in use until the time of wait is over or stop ends.
-func openListener(stop context.Context, conf *config.Listener, wait time.Duration) (net.Listener, error) {
+// openListener opens one listener. While the address is in use it retries until maxWait has passed or stop is
+// canceled.
+func openListener(stop context.Context, conf *config.Listener, maxWait time.Duration) (net.Listener, error) {
 	network, address := conf.Network()
-	for end := time.Now().Add(wait); ; {
-		ln, err := openListenerOnce(network, address, conf.Mode.Bits)
-		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(end) {
-			return ln, err
+	for deadline := time.Now().Add(maxWait); ; {
+		socket, err := bindListener(network, address, conf.Mode.Bits)
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
+			return socket, err
 		}
 		select {
 		case <-time.After(bindRetryInterval):
@@ -81,19 +90,19 @@
 	}
 }
 
-// openListenerOnce opens one listener. mode is the permissions of a unix socket; a socket at its path on which no
-// process listens is replaced.
-func openListenerOnce(network, address string, mode os.FileMode) (net.Listener, error) {
+// bindListener opens one listener without retrying. mode holds the permissions of a unix socket. A unix socket
+// at the same path on which no process listens is replaced.
+func bindListener(network, address string, mode os.FileMode) (net.Listener, error) {
 	if network != "unix" {
 		return net.Listen(network, address)
 	}
 	if err := takeover.RemoveStale(network, address); err != nil {
 		return nil, err
 	}
-	// Without the umask other users could connect before Chmod.
-	umask := syscall.Umask(socketUmask)
+	// The umask prevents other users from connecting between Listen and Chmod.
+	previousUmask := syscall.Umask(socketUmask)
 	socket, err := net.Listen(network, address)
-	syscall.Umask(umask)
+	syscall.Umask(previousUmask)
 	if err != nil {
 		return nil, err
 	}
@@ -104,39 +113,40 @@
 	return socket, nil
 }
 
-// accept starts the goroutine that serves the listener's connections until pause or close. It does nothing while one
-// runs.
-func (l *listener) accept(front *http1.Server) {
+// startAccepting starts the goroutine that accepts connections and serves them until pauseAccepting or close.
+// It does nothing if that goroutine already runs.
+func (l *listener) startAccepting(frontend *http1.Server) {
 	if l.accepting {
 		return
 	}
 	l.accepting = true
-	l.setDeadline(time.Time{})
-	l.acceptLoop.Go(func() { _ = front.Accept(l.socket, l.identify) })
+	l.setAcceptDeadline(time.Time{})
+	l.acceptLoop.Go(func() { _ = frontend.Accept(l.socket, l.identify) })
 }
 
-// pause ends accept. Clients that connect from then on wait in the socket's queue.
-func (l *listener) pause() {
-	l.setDeadline(time.Unix(1, 0))
+// pauseAccepting stops accepting. Clients that connect from then on wait in the socket's queue.
+func (l *listener) pauseAccepting() {
+	l.setAcceptDeadline(time.Unix(1, 0))
 	l.acceptLoop.Wait()
 	l.accepting = false
 }
 
-// setDeadline sets the instant at which a waiting Accept returns; the zero time is never.
-func (l *listener) setDeadline(t time.Time) {
-	if s, ok := l.socket.(interface{ SetDeadline(time.Time) error }); ok {
-		_ = s.SetDeadline(t) // it fails only on a closed listener
+// setAcceptDeadline sets the time at which a blocked Accept returns. The zero time removes the deadline.
+func (l *listener) setAcceptDeadline(deadline time.Time) {
+	if socket, ok := l.socket.(interface{ SetDeadline(time.Time) error }); ok {
+		_ = socket.SetDeadline(deadline) // SetDeadline fails only on a closed listener
 	}
 }
 
-// keepPath sets whether closing a unix socket leaves its path, because another process may listen there.
-func (l *listener) keepPath(keep bool) {
-	if u, ok := l.socket.(*net.UnixListener); ok {
-		u.SetUnlinkOnClose(!keep)
+// setKeepPath sets whether the path of a unix socket remains when the socket is closed. It must remain while
+// another process may listen there.
+func (l *listener) setKeepPath(keep bool) {
+	if unixSocket, ok := l.socket.(*net.UnixListener); ok {
+		unixSocket.SetUnlinkOnClose(!keep)
 	}
 }
 
-// close closes the socket and returns once accept has ended.
+// close closes the socket and returns once the accept loop has ended.
 func (l *listener) close() {
 	l.socket.Close()
 	l.acceptLoop.Wait()
--- a/internal/daemon/rollout.go
+++ b/internal/daemon/rollout.go
@@ -16,98 +16,105 @@
 	"dunlinsail/internal/xdsclient"
 )
 
-// versioning is the part of a process that selects the configuration it runs: the sources of versions, the state
-// machine that decides between them, their cache, and the canary analysis. Its fields belong to the process's
-// goroutine.
+// versioning is the part of a process that selects the running configuration: the sources of configuration
+// versions, the state machine that decides between the versions, the cache of versions, and the canary
+// analysis. The fields belong to the process's goroutine.
 type versioning struct {
-	machine *rollout.StateMachine
-	first   *config.Config // the configuration that the process starts with
-	// onAppliedStep is the machine's step for the end of the change that is being applied; nil while none is.
-	onAppliedStep func(now monotime.Micros, reason string) []rollout.Command
-
-	fileReads uint64                       // how often the file was read, which numbers its versions
-	files     map[string]*config.Config    // contents of the file that the machine may name, by digest
-	resources map[string][]config.Resource // contents of the control plane's versions that it may name, by digest
-	cache     *configcache.Cache           // nil without a folder for it
-	saving    sync.WaitGroup               // the goroutines that write the cache
-
-	control       config.ControlPlane // the control plane that is followed
-	client        *xdsclient.Client   // nil while none is followed
-	stopFollowing context.CancelFunc  // ends the client's goroutine; never nil
-	following     sync.WaitGroup      // the clients' goroutines
-
-	canary          *canary.Analysis // nil while none runs
-	canarySamples   []canary.Sample  // of the analysis that runs
-	baselineSamples []canary.Sample  // under good configurations, the latest last
-	lastSample      time.Time        // the end of the last sample
+	machine     *rollout.StateMachine // decides which version is applied
+	firstConfig *config.Config        // the configuration with which the process starts
+	// handleChangeResult is the method of the state machine that takes the result of the change that is being
+	// applied. It is nil while no change is being applied.
+	handleChangeResult func(now monotime.Micros, reason string) []rollout.Command
+
+	fileReadCount uint64                    // number of reads of the configuration file; it numbers the file's versions
+	fileConfigs   map[string]*config.Config // contents of the file that the state machine may refer to, by digest
+	// controlPlaneResources holds the contents of the control plane versions that the state machine may refer
+	// to, by digest.
+	controlPlaneResources map[string][]config.Resource
+	cache                 *configcache.Cache // nil if there is no folder for it or the folder cannot be used
+	saveGoroutines        sync.WaitGroup     // the goroutines that write to the cache
+
+	controlPlane       config.ControlPlane // settings of the control plane that is followed
+	controlPlaneClient *xdsclient.Client   // nil while no control plane is followed
+	stopFollowing      context.CancelFunc  // ends the goroutine of controlPlaneClient; never nil
+	clientGoroutines   sync.WaitGroup      // the goroutines of the current and of earlier control plane clients
+
+	canaryAnalysis  *canary.Analysis // nil while no analysis runs
+	canarySamples   []canary.Sample  // samples of the current analysis
+	baselineSamples []canary.Sample  // samples under good configurations, oldest first
+	lastSampleEnd   time.Time        // the time at which the last sample ended
 }
 
-// minFileValidationInterval is the least time between two validations of the file without a control service.
+// minFileValidationInterval is the minimum time between two validations of the file if there is no control
+// plane.
 const minFileValidationInterval = 100 * time.Millisecond
 
-// machineSettings returns the settings of the rollout's state machine.
-func machineSettings(c *config.ControlPlane, seed uint64) rollout.Settings {
-	s := rollout.Settings{
+// rolloutSettings returns the settings of the rollout's state machine.
+func rolloutSettings(c *config.ControlPlane, seed uint64) rollout.Settings {
+	settings := rollout.Settings{
 		CanaryEnabled:         c.CanaryEnabled(),
 		MinValidationInterval: clock.Micros(minFileValidationInterval),
 		Seed:                  seed,
 	}
 	if c.Address != "" {
-		s.MinValidationInterval = c.MinValidationInterval.Micros()
+		settings.MinValidationInterval = c.MinValidationInterval.Micros()
 	}
-	return s
+	return settings
 }
 
-// carryOut carries out the commands of the rollout's state machine, and those that follow from their results.
-func (p *process) carryOut(commands []rollout.Command) {
-	for _, c := range commands {
-		switch c.Action {
+// executeCommands carries out commands of the rollout's state machine, and the commands that follow from their
+// results.
+func (p *process) executeCommands(commands []rollout.Command) {
+	for _, command := range commands {
+		switch command.Action {
 		case rollout.ActionValidate:
-			p.carryOut(p.machine.HandleValidated(now(), p.validate(&c)))
+			p.executeCommands(p.machine.HandleValidated(now(), p.validationError(&command)))
 		case rollout.ActionApply, rollout.ActionRollBack:
-			p.applyVersion(&c)
+			p.applyVersion(&command)
 		case rollout.ActionStartCanary:
 			p.startCanary()
 		case rollout.ActionStopCanary:
-			p.canary = nil
+			p.canaryAnalysis = nil
 		case rollout.ActionPersist:
-			p.saveState()
+			p.saveRolloutState()
 		case rollout.ActionAck, rollout.ActionNack:
-			p.answerSource(&c)
+			p.reportDecision(&command)
 		}
 	}
 }
 
-// configOf returns the configuration of a layered version: the control plane's resources over the file.
+// configOf returns the configuration of a layered version: the file, overridden by the control plane's
+// resources.
 func (p *process) configOf(version rollout.LayeredVersion) (*config.Config, error) {
-	file := p.files[version.File.Digest]
-	if file == nil {
+	fileConfig := p.fileConfigs[version.File.Digest]
+	if fileConfig == nil {
 		return nil, fmt.Errorf("the content of %v is not held any more", version.File.ID)
 	}
 	if version.ControlPlane == nil {
-		return file, nil
+		return fileConfig, nil
 	}
-	resources := p.resources[version.ControlPlane.Digest]
+	resources := p.controlPlaneResources[version.ControlPlane.Digest]
 	if resources == nil {
 		return nil, fmt.Errorf("the content of version %v is not held any more", version.ControlPlane.ID)
 	}
-	return config.Combine(file, resources)
+	return config.Combine(fileConfig, resources)
 }
 
-// validate returns why a version cannot be applied, "" if it can.
-func (p *process) validate(command *rollout.Command) string {
+// validationError returns the reason why a version cannot be applied, or "" if it can be applied.
+func (p *process) validationError(command *rollout.Command) string {
 	if _, err := p.configOf(command.Target); err != nil {
 		return err.Error()
 	}
 	return ""
 }
 
-// applyVersion starts to apply the version of a command, or to roll back to it. A change that the serving generation
-// cannot make while serving is made by a new generation that takes over from it. onApplied is called at the end.
+// applyVersion starts to apply the version of a command, or to roll back to it. If the serving generation
+// cannot make the change while serving, a new generation is started that takes over from it. onApplied is
+// called when the change has succeeded or failed.
 func (p *process) applyVersion(command *rollout.Command) {
-	p.onAppliedStep = p.machine.HandleApplied
+	p.handleChangeResult = p.machine.HandleApplied
 	if command.Action == rollout.ActionRollBack {
-		p.onAppliedStep = p.machine.HandleRolledBack
+		p.handleChangeResult = p.machine.HandleRolledBack
 	}
 	c, err := p.configOf(command.Target)
 	if err == nil {
@@ -117,9 +124,10 @@
 		p.onApplied(err)
 		return
 	}
-	tables, live := p.serving.changesLive(c)
-	p.log.Info("configuration change", "version", command.Target.String(), "while serving", live, "tables", tables)
-	if !live {
+	tables, canApplyLive := p.serving.canApplyLive(c)
+	p.log.Info("configuration change", "version", command.Target.String(), "while serving", canApplyLive,
+		"tables", tables)
+	if !canApplyLive {
 		if err := p.startSuccessor(c); err != nil {
 			p.onApplied(err)
 		}
@@ -128,8 +136,9 @@
 	p.applyWhileServing(c)
 }
 
-// applyWhileServing has the serving generation apply a configuration on its own goroutine. The goroutine started here
-// ends once that is done, or once the generation takes no events any more.
+// applyWhileServing lets the serving generation apply a configuration on the generation's own goroutine. The
+// goroutine that applyWhileServing starts ends once the change is applied, or once the generation takes no more
+// events.
 func (p *process) applyWhileServing(c *config.Config) {
 	serving := p.serving
 	go func() {
@@ -142,28 +151,32 @@
 	}()
 }
 
-// onApplied steps the machine with the end of a change: err is nil, or why the configuration before it is kept.
+// onApplied passes the result of a change to the state machine. A non-nil err is the reason why the previous
+// configuration stays in effect.
 func (p *process) onApplied(err error) {
 	if err != nil && p.stopContext.Err() != nil {
-		return // the change may have failed because the process ends, so it is not counted (stopVersioning)
+		// The change may have failed because the process stops, so the attempt is not counted (stopVersioning).
+		return
 	}
 	reason := ""
 	if err != nil {
 		reason = err.Error()
-		_ = p.prepareProcess(p.serving.options.Config) // the settings before the change, which were applied once
-	}
-	step := p.onAppliedStep
-	p.onAppliedStep = nil
-	p.carryOut(step(now(), reason))
-	if c, err := p.configOf(first(p.machine.Running())); err == nil {
-		p.machine.UpdateSettings(machineSettings(&c.ControlPlane, 0))
+		// Restore the previous process-wide settings. They were applied successfully before.
+		_ = p.prepareProcess(p.serving.options.Config)
+	}
+	handleResult := p.handleChangeResult
+	p.handleChangeResult = nil
+	p.executeCommands(handleResult(now(), reason))
+	if c, err := p.configOf(firstOf(p.machine.Running())); err == nil {
+		p.machine.UpdateSettings(rolloutSettings(&c.ControlPlane, 0))
 		p.followControlPlane(c)
 	}
 }
 
-func first[A, B any](a A, _ B) A { return a }
+// firstOf returns the first of two values, such as the results of a call.
+func firstOf[A, B any](value A, _ B) A { return value }
 
-// prepareProcess applies the settings of the whole process, such as its limits.
+// prepareProcess applies the process-wide settings of a configuration, such as resource limits.
 func (p *process) prepareProcess(c *config.Config) error {
 	if p.options.Prepare == nil {
 		return nil
@@ -171,25 +184,27 @@
 	return p.options.Prepare(&c.Process)
 }
 
-// answerSource acknowledges or rejects a version: in the log, and at the control plane if it came from there.
-func (p *process) answerSource(command *rollout.Command) {
-	id := command.Version.ID.String()
+// reportDecision reports that a version was acknowledged or rejected: in the log, and to the control plane if
+// the version came from there.
+func (p *process) reportDecision(command *rollout.Command) {
+	versionID := command.Version.ID.String()
 	switch {
 	case command.Action == rollout.ActionNack:
-		p.log.Error("configuration rejected", "version", id, "reason", command.Reason)
+		p.log.Error("configuration rejected", "version", versionID, "reason", command.Reason)
 	case command.Confirmed:
-		p.log.Info("configuration applied", "version", id)
+		p.log.Info("configuration applied", "version", versionID)
 	default:
-		p.log.Info("configuration applied, on trial", "version", id, "for", p.control.CanaryDuration.Duration)
+		p.log.Info("configuration applied, on trial", "version", versionID,
+			"for", p.controlPlane.CanaryDuration.Duration)
 	}
-	if command.Version.Source == rollout.SourceControlPlane && p.client != nil {
+	if command.Version.Source == rollout.SourceControlPlane && p.controlPlaneClient != nil {
 		if command.Action == rollout.ActionNack {
-			p.client.Nack(command.Version.ID, command.Reason, p.runningControlPlaneVersion())
+			p.controlPlaneClient.Nack(command.Version.ID, command.Reason, p.runningControlPlaneVersion())
 		} else {
-			p.client.Ack(command.Version.ID, command.Confirmed)
+			p.controlPlaneClient.Ack(command.Version.ID, command.Confirmed)
 		}
 	}
-	p.dropUnused()
+	p.dropUnusedContents()
 	if p.options.Answered != nil {
 		p.options.Answered(*command)
 	}
--- a/internal/daemon/spentlog.go
+++ b/internal/daemon/spentlog.go
@@ -10,65 +10,71 @@
 	"dunlinsail/internal/monotime"
 )
 
-// spentLog writes a line for each unit that is spent of a budget: the time since the host's boot in microseconds, which
-// all its processes read alike, and the budget's name.
+// spentLog writes a line for each unit that is spent from a budget. The line holds the time since the host's
+// boot in microseconds, which is the same for all processes of the host, and the name of the budget.
 type spentLog struct {
-	lines   chan string
-	done    chan struct{} // closed once the writer's goroutine has ended
-	dropped bool          // reports whether lines were dropped since the last line that says so
+	pendingLines chan string   // lines that the writer has not taken yet
+	writerDone   chan struct{} // closed once the writer's goroutine has ended
+	dropped      bool          // reports whether lines were dropped since the log last noted a gap
 }
 
 const (
-	spentLogBuffer = 1 << 14 // lines that wait for a slow disk; further lines are dropped, and one line says so
-	spentLogMode   = 0o600   // the daemon's user only
+	// spentLogBufferLines is the number of lines that can wait for a slow disk. Further lines are dropped, and one
+	// line in the log notes the gap.
+	spentLogBufferLines = 1 << 14
+	spentLogMode        = 0o600 // access for the daemon's user only
 )
 
-// openSpentLog opens the log at a path for appending, and starts its writer, which ends with close.
+// openSpentLog opens the log file at a path for appending, and starts the goroutine that writes to it. close
+// ends that goroutine.
 func openSpentLog(path string, log *slog.Logger) (*spentLog, error) {
-	f, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, spentLogMode)
+	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, spentLogMode)
 	if err != nil {
 		return nil, err
 	}
-	s := &spentLog{lines: make(chan string, spentLogBuffer), done: make(chan struct{})}
+	spent := &spentLog{pendingLines: make(chan string, spentLogBufferLines), writerDone: make(chan struct{})}
 	go func() {
-		defer close(s.done)
-		defer f.Close()
-		w := bufio.NewWriter(f)
-		for line := range s.lines {
-			_, _ = w.WriteString(line)                // Flush returns its error
-			if len(s.lines) > 0 || w.Flush() == nil { // flushed whenever no line waits, for a process that is killed
+		defer close(spent.writerDone)
+		defer file.Close()
+		writer := bufio.NewWriter(file)
+		for line := range spent.pendingLines {
+			_, _ = writer.WriteString(line) // the error is returned by Flush
+			// The buffer is flushed whenever no line is pending, so that these lines are kept if the process is
+			// killed.
+			if len(spent.pendingLines) > 0 || writer.Flush() == nil {
 				continue
 			}
-			// The disk may be full. The budgets are enforced without this log, so that the rest is discarded.
+			// The disk may be full. The budgets are enforced without this log, so all later lines are
+			// discarded.
 			log.Error("spent log failed", "file", path)
-			for range s.lines {
+			for range spent.pendingLines {
 			}
 			return
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			log.Error("spent log failed", "file", path, "error", err)
 		}
 	}()
-	return s, nil
+	return spent, nil
 }
 
-// record writes the line of one unit. It never waits for the disk.
-func (s *spentLog) record(_ monotime.Micros, budget string) {
-	if s.dropped && len(s.lines) < spentLogBuffer/2 {
-		s.dropped = false
-		s.lines <- "# some are missing\n"
+// record queues the line for one spent unit. It never waits for the disk.
+func (spent *spentLog) record(_ monotime.Micros, budget string) {
+	if spent.dropped && len(spent.pendingLines) < spentLogBufferLines/2 {
+		spent.dropped = false
+		spent.pendingLines <- "# some are missing\n"
 	}
 	select {
-	case s.lines <- strconv.FormatInt(clock.BootTime(), 10) + " " + budget + "\n":
+	case spent.pendingLines <- strconv.FormatInt(clock.BootTime(), 10) + " " + budget + "\n":
 	default:
-		s.dropped = true
+		spent.dropped = true
 	}
 }
 
-// close writes the waiting lines and closes the file. It does nothing on a nil log.
-func (s *spentLog) close() {
-	if s != nil {
-		close(s.lines)
-		<-s.done
+// close writes the pending lines and closes the file. It does nothing on a nil log.
+func (spent *spentLog) close() {
+	if spent != nil {
+		close(spent.pendingLines)
+		<-spent.writerDone
 	}
 }
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -12,18 +12,18 @@
 	"dunlinsail/internal/takeover"
 )
 
-// The methods of this file implement takeover.SuccessorHost: they carry out the commands of the successor's state
-// machine.
+// The methods of this file implement takeover.SuccessorHost. They carry out the commands of the successor's
+// state machine.
 
-// ReceiveOffer keeps the offered snapshot and adopts the offered sockets. One that cannot be adopted is logged, and
-// this generation opens its own.
+// ReceiveOffer stores the offered snapshot and adopts the offered sockets. If a socket cannot be adopted, this
+// is logged and the generation opens a socket of its own.
 func (l *lifecycle) ReceiveOffer(m takeover.Message) {
-	if err := json.Unmarshal(m.Payload, &l.offer); err != nil {
+	if err := json.Unmarshal(m.Payload, &l.receivedOffer); err != nil {
 		l.log.Warn("offer rejected", "error", err)
-		l.offer = offer{}
+		l.receivedOffer = offer{}
 	}
 	for i, file := range m.Files {
-		if l.offer.Takeover && i == len(m.Files)-1 {
+		if l.receivedOffer.Takeover && i == len(m.Files)-1 {
 			listener, err := takeover.ListenerFromFile(file)
 			if err != nil {
 				l.log.Warn("successor socket not adopted", "error", err)
@@ -38,82 +38,84 @@
 		}
 		l.offeredListeners = append(l.offeredListeners, listener)
 	}
-	l.offer.Listeners = l.offer.Listeners[:min(len(l.offer.Listeners), len(l.offeredListeners))]
+	l.receivedOffer.Listeners = l.receivedOffer.Listeners[:min(len(l.receivedOffer.Listeners), len(l.offeredListeners))]
 }
 
-// StartWithOffer starts everything except accepting, with the offered sockets and snapshot.
+// StartWithOffer starts everything except accepting connections, with the offered sockets and the offered
+// snapshot.
 func (l *lifecycle) StartWithOffer() error {
-	var names []string
-	for i, name := range l.offer.Listeners {
+	var offeredNames []string
+	for i, name := range l.receivedOffer.Listeners {
 		if l.offeredListeners[i] == nil {
-			name = "" // no listener of the configuration has this name
+			name = "" // an empty name matches no configured listener
 		}
-		names = append(names, name)
+		offeredNames = append(offeredNames, name)
 	}
-	if err := l.listen(l.stop, l.offeredListeners, names, 0); err != nil {
+	if err := l.openListeners(l.stopContext, l.offeredListeners, offeredNames, 0); err != nil {
 		return err
 	}
-	state := l.decodeState(l.offer.State, "at the start")
+	state := l.decodeState(l.receivedOffer.State, "at the start")
 	if state != nil {
 		l.resumeWatches(state.Snapshot)
 	}
 	l.generation.startBackground()
-	l.restore(state, "at the start")
+	l.restoreState(state, "at the start")
 	return nil
 }
 
-// resumeWatches has the endpoint watches continue from the predecessor's generations, because a complete list might be
-// older than the updates that the predecessor has received.
+// resumeWatches lets the discovery watches continue from the predecessor's generations of the endpoint lists. A
+// complete list might be older than the updates that the predecessor has already received.
 func (l *lifecycle) resumeWatches(snapshot *engine.Snapshot) {
 	for name, p := range l.pools {
-		from := snapshot.Pool(name)
-		if from != nil && p.firstWatcher != nil && from.Source == p.config.Source() {
-			p.firstWatcher.StartAfter(from.Generation)
+		poolSnapshot := snapshot.Pool(name)
+		if poolSnapshot != nil && p.firstWatcher != nil && poolSnapshot.Source == p.config.Source() {
+			p.firstWatcher.StartAfter(poolSnapshot.Generation)
 		}
 	}
 }
 
-// WaitReady returns nil once an endpoint can serve, or an error once ctx ends.
+// WaitReady returns nil once an endpoint can serve requests, or an error once ctx ends.
 func (l *lifecycle) WaitReady(ctx context.Context) error { return l.core.WaitReady(ctx) }
 
-// RestoreHandover restores the snapshot that came with the handover.
+// RestoreHandover restores the snapshot that the predecessor sent with the handover.
 func (l *lifecycle) RestoreHandover(snapshot []byte) {
-	l.restore(l.decodeState(snapshot, "at the handover"), "at the handover")
+	l.restoreState(l.decodeState(snapshot, "at the handover"), "at the handover")
 }
 
-// decodeState decodes a snapshot. One that cannot be decoded is logged and returned as nil, and this generation starts
-// without it.
-func (l *lifecycle) decodeState(encoded []byte, when string) *takeover.State {
+// decodeState decodes a snapshot. It logs a snapshot that cannot be decoded and returns nil, and the generation
+// then runs without the predecessor's learned state.
+func (l *lifecycle) decodeState(encoded []byte, phase string) *takeover.State {
 	state, err := takeover.DecodeState(encoded)
 	if err != nil {
-		l.log.Warn("snapshot rejected", "when", when, "error", err)
+		l.log.Warn("snapshot rejected", "when", phase, "error", err)
 		return nil
 	}
 	return state
 }
 
-// restore restores the state that the predecessor learned. A nil state is none.
-func (l *lifecycle) restore(state *takeover.State, when string) {
+// restoreState restores the predecessor's learned state and maintenance plan. It does nothing if state is nil.
+func (l *lifecycle) restoreState(state *takeover.State, phase string) {
 	if state == nil {
 		return
 	}
-	age := max(0, takeover.Monotonic()-state.TakenAt)
-	l.upstreams.RestoreEvidence(state.Reuse, age)
-	skipped := l.core.Restore(state.Snapshot, age)
+	snapshotAge := max(0, takeover.Monotonic()-state.TakenAt)
+	l.upstreams.RestoreEvidence(state.Reuse, snapshotAge)
+	skipped := l.core.Restore(state.Snapshot, snapshotAge)
 	if plan := state.Snapshot.Maintenance; plan != nil {
-		from := l.clock.Now() - age
+		takenAt := l.clock.Now() - snapshotAge
 		l.inheritedPlan = &engine.MaintenancePlan{
 			Excluded:      plan.Excluded,
 			Announced:     plan.Announced,
-			LeaseEnd:      from + plan.LeaseEnd,
-			DrainDeadline: from + plan.DrainDeadline,
+			LeaseEnd:      takenAt + plan.LeaseEnd,
+			DrainDeadline: takenAt + plan.DrainDeadline,
 		}
 		l.core.ApplyMaintenancePlan(*l.inheritedPlan)
 	}
-	l.log.Info("snapshot restored", "when", when, "pools", len(state.Snapshot.Pools), "skipped", skipped)
+	l.log.Info("snapshot restored", "when", phase, "pools", len(state.Snapshot.Pools), "skipped", skipped)
 }
 
-// StartAlone starts without a predecessor. It is an error for a generation that was to take over in this process.
+// StartAlone starts the generation without a predecessor. It returns an error if the generation was to take
+// over from another generation in this process.
 func (l *lifecycle) StartAlone() error {
 	if l.inProcess {
 		return errors.New("what served in this process has ended")
@@ -121,47 +123,49 @@
 	return l.serveAlone()
 }
 
-// StartError returns the error of a generation that ends before it serves; nil after an order to stop.
+// StartError returns the error of a generation that ends before it serves, or nil if the process was stopped.
 func (l *lifecycle) StartError(reason string) error {
-	if l.stop.Err() != nil {
+	if l.stopContext.Err() != nil {
 		return nil
 	}
 	return fmt.Errorf("takeover: %s", reason)
 }
 
-// StartServing joins the fleet, and accepts clients, and successors if the configuration has a socket for them.
+// StartServing joins the fleet, accepts connections of clients, and accepts connections of successors if the
+// configuration has a socket for them.
 func (l *lifecycle) StartServing() {
 	l.serving = true
 	l.joinFleet()
-	l.listenForSuccessors() // first: a process that starts once clients are served must find this one
+	l.listenForSuccessors() // called first: a process that starts once clients are served must find this one
 	for _, listener := range l.listeners {
-		listener.keepPath(false)
-		listener.accept(l.front)
+		listener.setKeepPath(false)
+		listener.startAccepting(l.front)
 	}
 	l.closeUnusedListeners()
 	for _, conn := range l.earlyConns {
-		l.adopt(conn)
+		l.serveHandedOver(conn)
 	}
 	l.earlyConns = nil
 	l.log.Info("serving", "name", l.options.Config.Name, "listeners", l.addresses(), "pid", os.Getpid())
 	l.onServing()
 }
 
-// closeUnusedListeners closes the offered sockets that are not in this generation's configuration.
+// closeUnusedListeners closes the offered sockets that no listener of this generation's configuration uses.
 func (l *lifecycle) closeUnusedListeners() {
 	for i, listener := range l.offeredListeners {
 		if listener == nil {
 			continue
 		}
-		if unix, ok := listener.(*net.UnixListener); ok {
-			unix.SetUnlinkOnClose(true)
+		if unixListener, ok := listener.(*net.UnixListener); ok {
+			unixListener.SetUnlinkOnClose(true)
 		}
 		listener.Close()
 		l.offeredListeners[i] = nil
 	}
 }
 
-// listenForSuccessors accepts successors at the configured path, on the predecessor's socket if that has the same path.
+// listenForSuccessors accepts successors at the configured path. It uses the predecessor's socket if that has
+// the same path.
 func (l *lifecycle) listenForSuccessors() {
 	path := l.options.Config.Takeover.Socket
 	if l.successorListener != nil && l.successorListener.Path() != path {
@@ -183,34 +187,36 @@
 	}
 }
 
-// acceptSuccessors starts the accept loop for successors. Its goroutine ends when the listener is paused or closed.
+// acceptSuccessors starts the accept loop for successors. The goroutine of the loop ends when the listener is
+// paused or closed.
 func (l *lifecycle) acceptSuccessors() {
 	listener := l.successorListener
 	listener.SetPaused(false)
-	l.accepting.Go(func() { l.AcceptSuccessors(l.ctx, listener, answerTimeout) })
+	l.successorAcceptLoop.Go(func() { l.AcceptSuccessors(l.ctx, listener, replyTimeout) })
 }
 
-// AdoptConnection serves a connection that the predecessor handed over, now or once this generation serves.
+// AdoptConnection serves a connection that the predecessor handed over: at once, or as soon as this generation
+// serves.
 func (l *lifecycle) AdoptConnection(conn net.Conn) {
 	if !l.serving {
 		l.earlyConns = append(l.earlyConns, conn)
 		return
 	}
-	l.adopt(conn)
+	l.serveHandedOver(conn)
 }
 
-// adopt serves a connection that was accepted at the address of one of this generation's listeners, and closes any
-// other.
-func (l *lifecycle) adopt(conn net.Conn) {
-	local := conn.LocalAddr()
+// serveHandedOver serves a connection that was accepted at the address of one of this generation's listeners.
+// It closes a connection that was accepted at any other address.
+func (l *lifecycle) serveHandedOver(conn net.Conn) {
+	localAddr := conn.LocalAddr()
 	for _, listener := range l.listeners {
 		addr := listener.socket.Addr()
-		if addr.Network() == local.Network() && addr.String() == local.String() {
+		if addr.Network() == localAddr.Network() && addr.String() == localAddr.String() {
 			l.front.Adopt(conn, listener.identify)
 			return
 		}
 	}
-	l.log.Warn("connection of a removed listener closed", "listener", local.String())
+	l.log.Warn("connection of a removed listener closed", "listener", localAddr.String())
 	conn.Close()
 }
 
