--- a/internal/daemon/accesslog_test.go
+++ b/internal/daemon/accesslog_test.go
@@ -16,10 +16,10 @@
 )
 
 // recording edits a file so that a record is kept, and returns its folder.
-func recording(t *testing.T, w *testFleet) (dir, was, is string) {
+func accessLogEdit(t *testing.T, fleet *testFleet) (dir, oldText, newText string) {
 	t.Helper()
-	dir = filepath.Join(w.dir, "record")
-	secret := filepath.Join(w.dir, "secret")
+	dir = filepath.Join(fleet.dir, "record")
+	secret := filepath.Join(fleet.dir, "secret")
 	require.NoError(t, os.WriteFile(secret, []byte("0123456789abcdef"), 0o600))
 	record := "[record]\ndir = \"" + dir + "\"\nsecret = \"" + secret + "\"\nsegment_rows = 100\n"
 	return dir, "[process]", record + "[process]"
@@ -28,31 +28,31 @@
 // A daemon records each request once, with its outcome and without personal data: of an idempotency key there is a
 // hash, the same for all attempts with it.
 func TestAccessRecord(t *testing.T) {
-	w := newTestFleet(t, 2, endpoint.Options{})
-	dir, was, is := recording(t, w)
-	d := start(t, w.config(t, was, is))
+	fleet := newTestFleet(t, 2, endpoint.Options{})
+	dir, oldText, newText := accessLogEdit(t, fleet)
+	d := startDaemon(t, fleet.config(t, oldText, newText))
 	addr := d.addrs["desk"]
 	r := steadyClient(addr, 300, time.Second, nil).Run(context.Background())
 	c := client.New(client.Options{Name: "again", Network: "tcp", Addr: addr, Tenant: "acme"})
 	booking := client.Class{Name: "book", Method: http.MethodPost, SendIdempotencyKey: true, BodySize: 10,
 		Timeout: time.Second}
 	pay := client.Class{Name: "pay", Method: http.MethodPost, Timeout: time.Second}
-	hurried := client.Class{Name: "pay", Method: http.MethodPost, Timeout: 50 * time.Millisecond}
+	shortTimeout := client.Class{Name: "pay", Method: http.MethodPost, Timeout: 50 * time.Millisecond}
 	for _, id := range []string{"one", "two"} {
 		if got := c.Send(booking, id, "patient-4711"); got.Verdict != client.Served {
 			t.Fatalf("%+v", got)
 		}
 	}
-	for _, s := range w.endpoints {
+	for _, s := range fleet.endpoints {
 		s.SetFaults(func(*http.Request) endpoint.Fault { return endpoint.InternalError })
 	}
 	if got := c.Send(pay, "three", ""); got.Verdict != client.Failed {
 		t.Fatalf("%+v", got)
 	}
-	for _, s := range w.endpoints {
+	for _, s := range fleet.endpoints {
 		s.SetFaults(func(*http.Request) endpoint.Fault { return endpoint.NoResponse })
 	}
-	if got := c.Send(hurried, "four", ""); got.Verdict != client.TimedOut && got.Verdict != client.Failed {
+	if got := c.Send(shortTimeout, "four", ""); got.Verdict != client.TimedOut && got.Verdict != client.Failed {
 		t.Fatalf("%+v", got)
 	}
 	c.Close()
@@ -94,30 +94,30 @@
 			t.Errorf("%+v", q)
 		}
 	}
-	twice := 0
+	keysUsedTwice := 0
 	for _, n := range byKey {
 		if n == 2 {
-			twice++
+			keysUsedTwice++
 		}
 	}
 	unserved := verdicts["pay failed"] + verdicts["pay left"] + verdicts["pay late"]
-	if twice != 1 || unserved != 2 || verdicts["pay failed"] < 1 {
-		t.Errorf("%d keys twice; verdicts %v", twice, verdicts)
+	if keysUsedTwice != 1 || unserved != 2 || verdicts["pay failed"] < 1 {
+		t.Errorf("%d keys twice; verdicts %v", keysUsedTwice, verdicts)
 	}
 }
 
 // A daemon that is killed loses the rows in its memory and no others. The next one removes the incomplete segment, and
 // writes further ones.
 func TestRecordAfterKill(t *testing.T) {
-	w := newTestFleet(t, 1, endpoint.Options{})
-	dir, was, is := recording(t, w)
-	text := w.file(was, is, "127.0.0.1:0", freeAddr(t))
-	p := spawn(t, "daemon", text)
-	<-p.lines
+	fleet := newTestFleet(t, 1, endpoint.Options{})
+	dir, oldText, newText := accessLogEdit(t, fleet)
+	text := fleet.configText(oldText, newText, "127.0.0.1:0", freeAddr(t))
+	first := spawnRole(t, "daemon", text)
+	<-first.lines
 	addr := strings.Split(strings.Split(text, "address = \"127.0.0.1:")[2], "\"")[0]
 	steadyClient("127.0.0.1:"+addr, 400, time.Second, nil).Run(context.Background())
-	p.Process.Kill()
-	<-p.ended
+	first.Process.Kill()
+	<-first.ended
 	rec := must(accesslog.Read(dir))
 	if n := len(rec.Requests); n < 100 || len(rec.Problems) > 0 {
 		t.Errorf("%d requests are left, problems %q", n, rec.Problems)
@@ -127,29 +127,29 @@
 			t.Errorf("within what is there %d are missing", r.Missing)
 		}
 	}
-	before := len(rec.Requests)
-	q := spawn(t, "daemon", text)
-	<-q.lines
+	requestsBefore := len(rec.Requests)
+	second := spawnRole(t, "daemon", text)
+	<-second.lines
 	steadyClient("127.0.0.1:"+addr, 400, time.Second, nil).Run(context.Background())
-	q.Process.Kill()
-	<-q.ended
-	if rec = must(accesslog.Read(dir)); len(rec.Requests) < before+100 || len(rec.Runs) != 2 {
+	second.Process.Kill()
+	<-second.ended
+	if rec = must(accesslog.Read(dir)); len(rec.Requests) < requestsBefore+100 || len(rec.Runs) != 2 {
 		t.Errorf("%d requests of %d runs after the second", len(rec.Requests), len(rec.Runs))
 	}
 }
 
 // Without a secret, or with a folder that cannot be made, a daemon does not start.
 func TestRecordThatCannotBe(t *testing.T) {
-	w := newTestFleet(t, 1, endpoint.Options{})
-	dir, was, is := recording(t, w)
-	c := w.config(t, was, is)
-	c.AccessLog.SecretFile = filepath.Join(w.dir, "none")
+	fleet := newTestFleet(t, 1, endpoint.Options{})
+	dir, oldText, newText := accessLogEdit(t, fleet)
+	c := fleet.config(t, oldText, newText)
+	c.AccessLog.SecretFile = filepath.Join(fleet.dir, "none")
 	err := Run(context.Background(), Options{Config: c, Log: testLog()})
 	if err == nil || !strings.Contains(err.Error(), "access record") {
 		t.Errorf("without its secret: %v", err)
 	}
 	require.NoError(t, os.WriteFile(dir, nil, 0o600))
-	err = Run(context.Background(), Options{Config: w.config(t, was, is), Log: testLog()})
+	err = Run(context.Background(), Options{Config: fleet.config(t, oldText, newText), Log: testLog()})
 	if err == nil || !strings.Contains(err.Error(), "access record") {
 		t.Errorf("with a file in place of the folder: %v", err)
 	}
--- a/internal/daemon/client_processes_test.go
+++ b/internal/daemon/client_processes_test.go
@@ -20,12 +20,12 @@
 )
 
 // victims are client processes that are killed while an endpoint holds a request of theirs.
-type victims struct {
+type killedClients struct {
 	mu   sync.Mutex
 	held map[string]chan struct{} // by name; closed once a request of it is held
 }
 
-func (v *victims) fault(r *http.Request) endpoint.Fault {
+func (v *killedClients) fault(r *http.Request) endpoint.Fault {
 	name, _, _ := strings.Cut(r.Header.Get("X-Trace-Id"), "-")
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -65,25 +65,25 @@
 }
 
 // spawnClients starts client processes.
-func spawnClients(t *testing.T, c *config.Config, n int) []*program {
+func spawnClients(t *testing.T, c *config.Config, n int) []*childProcess {
 	t.Helper()
-	var all []*program
+	var processes []*childProcess
 	for i := range n {
 		options, err := json.Marshal(mixedLoad(c, i))
 		require.NoError(t, err)
-		all = append(all, spawn(t, "client", string(options)))
+		processes = append(processes, spawnRole(t, "client", string(options)))
 	}
-	return all
+	return processes
 }
 
 // collectResults reads the results of client processes to their ends, of which the first ones were killed. It returns
 // them by request id, and counts those of the others by verdict.
-func collectResults(t *testing.T, all []*program, killed int) (
+func collectResults(t *testing.T, processes []*childProcess, killed int) (
 	results map[string]client.Result, byVerdict map[client.Verdict]int) {
 	t.Helper()
 	results = map[string]client.Result{}
 	byVerdict = map[client.Verdict]int{}
-	for i, p := range all {
+	for i, p := range processes {
 		for line := range p.lines {
 			var r client.Result
 			if err := json.Unmarshal([]byte(line), &r); err != nil {
@@ -124,63 +124,65 @@
 // endpoint drains and one dies. The clients' results are compared with what the endpoints ran.
 func TestTwentyClientProcesses(t *testing.T) {
 	const clients, killed = 20, 3
-	w := newTestFleet(t, 6, endpoint.Options{
+	fleet := newTestFleet(t, 6, endpoint.Options{
 		ServiceTime: map[string]time.Duration{"": 4 * time.Millisecond, "book": 8 * time.Millisecond},
 		Spread:      0.5,
 		Cores:       4,
 	})
-	v := &victims{held: map[string]chan struct{}{}}
+	v := &killedClients{held: map[string]chan struct{}{}}
 	for i := range killed {
 		v.held[fmt.Sprint("c", i)] = make(chan struct{})
 	}
-	for _, e := range w.endpoints {
+	for _, e := range fleet.endpoints {
 		e.SetFaults(v.fault)
 	}
-	text := w.file("127.0.0.1:0", freeAddr(t))
-	first := spawn(t, "daemon", text)
+	text := fleet.configText("127.0.0.1:0", freeAddr(t))
+	first := spawnRole(t, "daemon", text)
 	scriptedpeer.Receive(t, first.lines, "the first daemon")
-	c := w.config(t, "127.0.0.1:0", deskAddress(text))
+	c := fleet.config(t, "127.0.0.1:0", deskAddress(text))
 	waitReady(t, c.Listeners[0].Address)
-	all := spawnClients(t, c, clients)
+	processes := spawnClients(t, c, clients)
 	for i := range killed {
 		scriptedpeer.Receive(t, v.held[fmt.Sprint("c", i)], "a request of a client that is to be killed")
-		all[i].Process.Kill()
+		processes[i].Process.Kill()
 	}
-	second := spawn(t, "daemon", text)
+	second := spawnRole(t, "daemon", text)
 	scriptedpeer.Receive(t, second.lines, "the second daemon")
 	checkEnded(t, first.ended, "end of the first daemon")
-	drained := w.entry(5)
-	drained.Lifecycle = "draining"
-	w.discovery.Set(drained)
+	draining := fleet.listEntry(5)
+	draining.Lifecycle = "draining"
+	fleet.discovery.Set(draining)
 	drainListed := time.Now()
-	w.endpoints[4].Close() // dies, which discovery does not know yet
-	gone := w.entry(4)
-	third := start(t, c)
+	fleet.endpoints[4].Close() // dies, which discovery does not know yet
+	removed := fleet.listEntry(4)
+	third := startDaemon(t, c)
 	checkEnded(t, second.ended, "end of the second daemon")
-	gone.Lifecycle = "removed"
-	w.discovery.Set(gone)
+	removed.Lifecycle = "removed"
+	fleet.discovery.Set(removed)
 
-	results, byVerdict := collectResults(t, all, killed)
-	join(t, results, w.ledger.Runs(), func(id string) bool {
+	results, byVerdict := collectResults(t, processes, killed)
+	checkResultsMatchRuns(t, results, fleet.ledger.Runs(), func(id string) bool {
 		name, _, _ := strings.Cut(id, "-")
 		_, killed := v.held[name]
 		return killed
 	})
 	requests := checkVerdicts(t, results, byVerdict, (clients-killed)*100)
-	for _, run := range w.ledger.Runs() {
-		late := run.StartedAt.Sub(drainListed) - c.Rules.DrainGrace.Duration
-		if run.Endpoint == "s-5" && late > 0 {
-			t.Errorf("the draining endpoint got %s %v past the grace", run.TraceID, late)
+	for _, run := range fleet.ledger.Runs() {
+		sinceGrace := run.StartedAt.Sub(drainListed) - c.Rules.DrainGrace.Duration
+		if run.Endpoint == "s-5" && sinceGrace > 0 {
+			t.Errorf("the draining endpoint got %s %v past the grace", run.TraceID, sinceGrace)
 		}
 	}
 	third.checkNothingOpen(t)
 	t.Logf("%d requests of %d clients, by verdict %v; %d runs",
-		requests, clients-killed, byVerdict, len(w.ledger.Runs()))
+		requests, clients-killed, byVerdict, len(fleet.ledger.Runs()))
 }
 
 // checkVerdicts checks that at least so many requests ended, that 97 % of them were served, and that none ended but by
 // a response. It returns their number.
-func checkVerdicts(t *testing.T, results map[string]client.Result, byVerdict map[client.Verdict]int, least int) int {
+func checkVerdicts(
+	t *testing.T, results map[string]client.Result, byVerdict map[client.Verdict]int, minRequests int,
+) int {
 	t.Helper()
 	requests := 0
 	for verdict, n := range byVerdict {
@@ -194,14 +196,14 @@
 			}
 		}
 	}
-	if requests < least || byVerdict[client.Served] < requests*97/100 {
+	if requests < minRequests || byVerdict[client.Served] < requests*97/100 {
 		t.Errorf("%d requests ended, by verdict %v", requests, byVerdict)
 	}
 	return requests
 }
 
 // checkNothingOpen waits until no connection and no request is open, and checks that no client uses anything.
-func (r *running) checkNothingOpen(t *testing.T) {
+func (r *runningDaemon) checkNothingOpen(t *testing.T) {
 	t.Helper()
 	scriptedpeer.Eventually(t, "nothing open", func() bool {
 		conns, busy := r.front.ConnectionCounts()
@@ -216,34 +218,36 @@
 }
 
 // join compares the clients' results with what endpoints ran. lost reports whether the client of a request was killed.
-func join(t *testing.T, got map[string]client.Result, runs []endpoint.Run, lost func(id string) bool) {
+func checkResultsMatchRuns(
+	t *testing.T, results map[string]client.Result, runs []endpoint.Run, wasKilled func(id string) bool,
+) {
 	t.Helper()
-	ran, effects := map[string]int{}, map[string]int{}
+	runCounts, effectCounts := map[string]int{}, map[string]int{}
 	for _, r := range runs {
-		if _, known := got[r.TraceID]; !known && !lost(r.TraceID) {
+		if _, known := results[r.TraceID]; !known && !wasKilled(r.TraceID) {
 			t.Errorf("an endpoint ran %s, which no client asked for", r.TraceID)
 		}
-		ran[r.TraceID]++
+		runCounts[r.TraceID]++
 		if r.TookEffect {
-			effects[r.TraceID]++
+			effectCounts[r.TraceID]++
 		}
 	}
-	for id, n := range effects {
-		class := got[id].Class
+	for id, n := range effectCounts {
+		class := results[id].Class
 		if n > 1 && class != "look" && class != "" {
 			t.Errorf("%s %s took effect %d times", class, id, n)
 		}
 	}
-	for id, n := range ran {
-		if n > 1 && got[id].Class == "pay" {
+	for id, n := range runCounts {
+		if n > 1 && results[id].Class == "pay" {
 			t.Errorf("pay %s ran %d times", id, n)
 		}
 	}
-	for id, r := range got {
+	for id, r := range results {
 		switch {
-		case r.Verdict == client.Served && ran[id] == 0:
+		case r.Verdict == client.Served && runCounts[id] == 0:
 			t.Errorf("%s was served, and no endpoint ran it", id)
-		case r.Verdict == client.Rejected && r.Class != "look" && ran[id] > 0:
+		case r.Verdict == client.Rejected && r.Class != "look" && runCounts[id] > 0:
 			t.Errorf("%s %s was refused, as if a repeat were harmless, and it ran", r.Class, id)
 		}
 	}
@@ -251,54 +255,54 @@
 
 // Everything that a killed client process used is freed: descriptors, connections, requests, buffers, memory.
 func TestKilledClientGivesAllBack(t *testing.T) {
-	w := newTestFleet(t, 3, endpoint.Options{MinResponseSize: 60 << 10})
-	open := make(chan struct{}, 64)
-	for _, e := range w.endpoints {
+	fleet := newTestFleet(t, 3, endpoint.Options{MinResponseSize: 60 << 10})
+	held := make(chan struct{}, 64)
+	for _, e := range fleet.endpoints {
 		e.SetFaults(func(r *http.Request) endpoint.Fault {
 			if r.URL.Path == "/pay/1" {
-				open <- struct{}{}
+				held <- struct{}{}
 				return endpoint.NoResponse
 			}
 			return endpoint.NoFault
 		})
 	}
-	d := start(t, w.config(t, `give_up = "1s"`, `give_up = "20s"`))
-	local := strings.TrimPrefix(d.options.Config.Listeners[1].Address, "unix:")
-	warm := dial(t, "tcp", d.addrs["desk"])
+	d := startDaemon(t, fleet.config(t, `give_up = "1s"`, `give_up = "20s"`))
+	socketPath := strings.TrimPrefix(d.options.Config.Listeners[1].Address, "unix:")
+	otherConn := dial(t, "tcp", d.addrs["desk"])
 	for range 50 {
-		warm.request(t, request("look", 900, ""))
+		otherConn.roundTrip(t, requestText("look", 900, ""))
 	}
-	d.killClients(t, local, open)
-	before, heap := openFiles(t), heapBytes()
+	d.killClients(t, socketPath, held)
+	filesBefore, heapBefore := openFiles(t), heapBytes()
 	for range 3 {
-		d.killClients(t, local, open)
+		d.killClients(t, socketPath, held)
 	}
-	scriptedpeer.Eventually(t, "descriptors", func() bool { return openFiles(t) <= before+2 })
-	if after := heapBytes(); after > heap+1<<20 {
-		t.Errorf("%d bytes of heap before, %d after", heap, after)
+	scriptedpeer.Eventually(t, "descriptors", func() bool { return openFiles(t) <= filesBefore+2 })
+	if heapAfter := heapBytes(); heapAfter > heapBefore+1<<20 {
+		t.Errorf("%d bytes of heap before, %d after", heapBefore, heapAfter)
 	}
-	warm.checkServed(t, "another client")
+	otherConn.checkServed(t, "another client")
 }
 
 // killClients starts client processes that each stop at another point of a request, and kills them once one request is
 // open at an endpoint. It returns once everything that they used is freed.
-func (r *running) killClients(t *testing.T, local string, open <-chan struct{}) {
+func (r *runningDaemon) killClients(t *testing.T, socketPath string, held <-chan struct{}) {
 	t.Helper()
-	var all []*program
+	var processes []*childProcess
 	for _, message := range []string{
 		"", // connects and sends nothing
 		"POST /pay/1 HT",
-		strings.TrimSuffix(request("pay", 9000, strings.Repeat("x", 1000)), "xxx"), // all but the last bytes
-		request("pay", 9000, "x"),    // an open request
-		request("look", 900, ""),     // a response that it never reads
-		request("look", 900, "")[9:], // no request at all
+		strings.TrimSuffix(requestText("pay", 9000, strings.Repeat("x", 1000)), "xxx"), // all but the last bytes
+		requestText("pay", 9000, "x"),    // an open request
+		requestText("look", 900, ""),     // a response that it never reads
+		requestText("look", 900, "")[9:], // no request at all
 	} {
-		p := spawn(t, "talker", "unix "+local+" "+message)
+		p := spawnRole(t, "talker", "unix "+socketPath+" "+message)
 		scriptedpeer.Receive(t, p.lines, "a client process")
-		all = append(all, p)
+		processes = append(processes, p)
 	}
-	scriptedpeer.Receive(t, open, "an open request")
-	for _, p := range all {
+	scriptedpeer.Receive(t, held, "an open request")
+	for _, p := range processes {
 		p.Process.Signal(syscall.SIGKILL)
 		for range p.lines {
 		}
@@ -307,8 +311,8 @@
 	scriptedpeer.Eventually(t, "all given back", func() bool {
 		conns, busy := r.front.ConnectionCounts()
 		counts := r.pools[""].endpoints.Counts()
-		for _, h := range r.clients.usage() {
-			if h.Client != "desk" && h != (ClientUsage{Client: h.Client}) {
+		for _, usage := range r.clients.usage() {
+			if usage.Client != "desk" && usage != (ClientUsage{Client: usage.Client}) {
 				return false
 			}
 		}
@@ -319,11 +323,11 @@
 // openFiles returns the number of this process's descriptors.
 func openFiles(t *testing.T) int {
 	t.Helper()
-	all, err := os.ReadDir("/proc/self/fd")
+	descriptors, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Skip("no /proc")
 	}
-	return len(all)
+	return len(descriptors)
 }
 
 // heapBytes returns the bytes of live objects on the heap.
--- a/internal/daemon/helper_test.go
+++ b/internal/daemon/helper_test.go
@@ -39,7 +39,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv("DUNLINSAILD_TEST_ROLE") != "" {
-		role()
+		runRole()
 		return
 	}
 	goleak.VerifyTestMain(m)
@@ -57,41 +57,41 @@
 // newTestFleet starts n endpoints of one cell, and a discovery server that lists them as up for long.
 func newTestFleet(t *testing.T, n int, o endpoint.Options) *testFleet {
 	t.Helper()
-	w := &testFleet{ledger: &endpoint.Ledger{}, dir: t.TempDir()}
-	o.Ledger, o.IdempotencyWindow = w.ledger, 400*time.Millisecond
+	f := &testFleet{ledger: &endpoint.Ledger{}, dir: t.TempDir()}
+	o.Ledger, o.IdempotencyWindow = f.ledger, 400*time.Millisecond
 	var entries []discovery.Instance
 	for i := range n {
 		o.Name = fmt.Sprint("s-", i)
 		s, err := endpoint.Start(o)
 		require.NoError(t, err)
 		t.Cleanup(s.Close)
-		w.endpoints = append(w.endpoints, s)
-		entries = append(entries, w.entry(i))
+		f.endpoints = append(f.endpoints, s)
+		entries = append(entries, f.listEntry(i))
 	}
 	var err error
-	if w.discovery, err = discoveryserver.Start(entries...); err != nil {
+	if f.discovery, err = discoveryserver.Start(entries...); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.discovery.Close)
-	return w
+	t.Cleanup(f.discovery.Close)
+	return f
 }
 
 // entry returns the i-th endpoint's entry in the list.
-func (w *testFleet) entry(i int) discovery.Instance {
-	return scripteddiscovery.Up(fmt.Sprint("s-", i), w.endpoints[i].Addr)
+func (f *testFleet) listEntry(i int) discovery.Instance {
+	return scripteddiscovery.Up(fmt.Sprint("s-", i), f.endpoints[i].Addr)
 }
 
 // file returns a daemon's file: a TCP listener for the client desk, a unix socket where each process is a client,
 // and a site of three classes. Edits are pairs of old and new text.
-func (w *testFleet) file(edits ...string) string {
+func (f *testFleet) configText(edits ...string) string {
 	text := `
 name = "under test"
 [process]
 descriptors = 512
 [discovery]
-address = "` + w.discovery.Addr + `"
+address = "` + f.discovery.Addr + `"
 [takeover]
-socket = "` + w.dir + `/takeover.sock"
+socket = "` + f.dir + `/takeover.sock"
 ready_within = "5s"
 drain_within = "3s"
 [connections]
@@ -103,19 +103,19 @@
 client = "desk"
 [[listener]]
 name = "local"
-address = "unix:` + w.dir + `/clients.sock"
+address = "unix:` + f.dir + `/clients.sock"
 client = "each"
 [[client]]
 name = "desk"
 [[client]]
 name = "each"
 per_process = true
-` + siteTables
+` + siteConfig
 	return strings.NewReplacer(edits...).Replace(text)
 }
 
-// siteTables is the part of the file with the site: its classes, tenants and health checks.
-const siteTables = `[fleet]
+// siteConfig is the part of the file with the site: its classes, tenants and health checks.
+const siteConfig = `[fleet]
 zone = "a"
 zones = ["a", "b"]
 machines = ["m1"]
@@ -157,25 +157,25 @@
 	return address
 }
 
-// deskLimits returns the edit of a file that sets limits of the client desk.
-func deskLimits(lines ...string) (old, edited string) {
+// deskLimitsEdit returns the edit of a file that sets limits of the client desk.
+func deskLimitsEdit(lines ...string) (oldText, newText string) {
 	return "name = \"desk\"\n[[client]]", "name = \"desk\"\n" + strings.Join(lines, "\n") + "\n[[client]]"
 }
 
-// moreListener returns the edit of a file that adds a listener named more.
-func moreListener(address string) (old, edited string) {
-	old = "[[client]]\nname = \"desk\""
-	return old, "[[listener]]\nname = \"more\"\naddress = \"" + address + "\"\nclient = \"desk\"\n" + old
+// extraListenerEdit returns the edit of a file that adds a listener named more.
+func extraListenerEdit(address string) (oldText, newText string) {
+	oldText = "[[client]]\nname = \"desk\""
+	return oldText, "[[listener]]\nname = \"more\"\naddress = \"" + address + "\"\nclient = \"desk\"\n" + oldText
 }
 
 // holdRequests has the endpoints report requests for a path on held, and answer them once hold is closed. An empty path
 // is every path.
-func (w *testFleet) holdRequests(path string, held chan<- struct{}, hold <-chan struct{}) {
-	for _, e := range w.endpoints {
+func (f *testFleet) holdRequests(path string, held chan<- struct{}, release <-chan struct{}) {
+	for _, e := range f.endpoints {
 		e.SetFaults(func(r *http.Request) endpoint.Fault {
 			if path == "" || r.URL.Path == path {
 				held <- struct{}{}
-				<-hold
+				<-release
 			}
 			return endpoint.NoFault
 		})
@@ -183,35 +183,36 @@
 }
 
 // config returns the configuration of the fleet's file with edits.
-func (w *testFleet) config(t *testing.T, edits ...string) *config.Config {
+func (f *testFleet) config(t *testing.T, edits ...string) *config.Config {
 	t.Helper()
-	c, err := config.Parse([]byte(w.file(edits...)))
+	c, err := config.Parse([]byte(f.configText(edits...)))
 	require.NoError(t, err)
 	return c
 }
 
 // running is a daemon under test, in this process, and its first generation.
-type running struct {
+type runningDaemon struct {
 	*generation
-	process  *process
-	stop     context.CancelFunc
-	ended    chan error
-	addrs    map[string]string
-	reload   chan os.Signal
-	next     chan *config.Config  // what is read at a reload; nil is an error
-	answered chan rollout.Command // what became of it
+	process       *process
+	stop          context.CancelFunc
+	ended         chan error
+	addrs         map[string]string
+	reload        chan os.Signal
+	nextConfigs   chan *config.Config  // what is read at a reload; nil is an error
+	reloadResults chan rollout.Command // what became of it
 }
 
 // launch starts a daemon; serving waits until it accepts.
-func launch(t *testing.T, c *config.Config, log *slog.Logger) (r *running, serving <-chan map[string]string) {
+func launchDaemon(t *testing.T, c *config.Config, log *slog.Logger) (
+	r *runningDaemon, serving <-chan map[string]string) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	r = &running{
-		stop:     stop,
-		ended:    make(chan error, 1),
-		reload:   make(chan os.Signal, 1),
-		next:     make(chan *config.Config, 1),
-		answered: make(chan rollout.Command, 16),
+	r = &runningDaemon{
+		stop:          stop,
+		ended:         make(chan error, 1),
+		reload:        make(chan os.Signal, 1),
+		nextConfigs:   make(chan *config.Config, 1),
+		reloadResults: make(chan rollout.Command, 16),
 	}
 	up := make(chan map[string]string, 16)
 	r.process = newProcess(ctx, Options{
@@ -220,9 +221,9 @@
 		Reload:   r.reload,
 		Seed:     7,
 		Serving:  func(a map[string]string) { up <- a },
-		Answered: func(s rollout.Command) { r.answered <- s },
+		Answered: func(s rollout.Command) { r.reloadResults <- s },
 		Read: func() (*config.Config, error) {
-			if c := <-r.next; c != nil {
+			if c := <-r.nextConfigs; c != nil {
 				return c, nil
 			}
 			return nil, errors.New("unreadable")
@@ -242,17 +243,17 @@
 }
 
 // change has a running daemon read another file, and returns the answer to its version.
-func (r *running) change(t *testing.T, c *config.Config) rollout.Command {
+func (r *runningDaemon) reloadConfig(t *testing.T, c *config.Config) rollout.Command {
 	t.Helper()
 	r.reload <- syscall.SIGHUP
-	r.next <- c
-	return scriptedpeer.Receive(t, r.answered, "answer to the new file")
+	r.nextConfigs <- c
+	return scriptedpeer.Receive(t, r.reloadResults, "answer to the new file")
 }
 
 // changed is change for a file that must be applied. It returns the generation that serves by it.
-func (r *running) changed(t *testing.T, c *config.Config) *generation {
+func (r *runningDaemon) applyConfig(t *testing.T, c *config.Config) *generation {
 	t.Helper()
-	if s := r.change(t, c); s.Action != rollout.ActionAck || !s.Confirmed {
+	if s := r.reloadConfig(t, c); s.Action != rollout.ActionAck || !s.Confirmed {
 		t.Fatalf("%v: %s", s.Action, s.Reason)
 	}
 	now := make(chan *generation, 1)
@@ -261,9 +262,9 @@
 }
 
 // start starts a daemon and waits until it is ready.
-func start(t *testing.T, c *config.Config) *running {
+func startDaemon(t *testing.T, c *config.Config) *runningDaemon {
 	t.Helper()
-	r, serving := launch(t, c, testLog())
+	r, serving := launchDaemon(t, c, testLog())
 	r.addrs = scriptedpeer.Receive(t, serving, "a daemon that serves")
 	ctx, cancel := context.WithTimeout(context.Background(), scriptedpeer.WaitTimeout)
 	defer cancel()
@@ -274,7 +275,7 @@
 }
 
 // options are what the processes of a hot restart are started with.
-type options struct{ config *config.Config }
+type restartOptions struct{ config *config.Config }
 
 // freeAddr returns an address on which nothing listens: the second process must name the same as the first.
 func freeAddr(t *testing.T) string {
@@ -282,7 +283,7 @@
 	return scriptedpeer.ClosedAddress(t)
 }
 
-func base64(b []byte) string { return b64.StdEncoding.EncodeToString(b) }
+func encodeBase64(b []byte) string { return b64.StdEncoding.EncodeToString(b) }
 
 func testLog() *slog.Logger {
 	if os.Getenv("DUNLINSAILD_TEST_LOG") != "" {
@@ -291,11 +292,11 @@
 	return scriptedpeer.DiscardLog
 }
 
-var lastID atomic.Uint64
+var lastTraceID atomic.Uint64
 
 // request returns the text of a request of a class.
-func request(class string, ms int, body string) string {
-	id := fmt.Sprintf("t%08x", lastID.Add(1))
+func requestText(class string, ms int, body string) string {
+	id := fmt.Sprintf("t%08x", lastTraceID.Add(1))
 	headers := fmt.Sprintf("Host: h\r\nX-Trace-Id: %s\r\nX-Customer: acme\r\nX-Expires-In-Ms: %d\r\n", id, ms)
 	if class == "look" {
 		return "GET /look/1 HTTP/1.1\r\n" + headers + "\r\n"
@@ -307,7 +308,7 @@
 // clientConn is a client's connection in this process.
 type clientConn struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
 // dial connects as a client. The connection is closed with the test.
@@ -320,24 +321,24 @@
 }
 
 // send sends a text without waiting for a response.
-func (k *clientConn) send(t *testing.T, text string) {
+func (conn *clientConn) send(t *testing.T, text string) {
 	t.Helper()
-	if _, err := io.WriteString(k, text); err != nil {
+	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // request sends a request and returns the complete response.
-func (k *clientConn) request(t *testing.T, text string) (*http.Response, string) {
+func (conn *clientConn) roundTrip(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
-	k.send(t, text)
-	return k.answer(t)
+	conn.send(t, text)
+	return conn.readResponse(t)
 }
 
 // answer reads the next response completely.
-func (k *clientConn) answer(t *testing.T) (*http.Response, string) {
+func (conn *clientConn) readResponse(t *testing.T) (*http.Response, string) {
 	t.Helper()
-	resp := k.readHead(t)
+	resp := conn.readHead(t)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatalf("the answer is not complete: %v", err)
@@ -346,10 +347,10 @@
 }
 
 // readHead reads the head of the next response. The response's body is left to the caller.
-func (k *clientConn) readHead(t *testing.T) *http.Response {
+func (conn *clientConn) readHead(t *testing.T) *http.Response {
 	t.Helper()
-	k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-	resp, err := http.ReadResponse(k.r, nil)
+	conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
 	}
@@ -364,7 +365,7 @@
 }
 
 // role runs a part of a test in a process of its own: this binary, started again.
-func role() {
+func runRole() {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
 	text := os.Getenv("DUNLINSAILD_TEST_WITH")
@@ -406,14 +407,14 @@
 }
 
 // program is a part of a test in a process of its own.
-type program struct {
+type childProcess struct {
 	*exec.Cmd
 	lines chan string // of its standard output; closed at its end
 	ended chan error  // its end, once; then closed
 }
 
 // spawn starts a program in a role of this test binary, with the text that the role takes.
-func spawn(t *testing.T, role, with string) *program {
+func spawnRole(t *testing.T, role, with string) *childProcess {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "DUNLINSAILD_TEST_ROLE="+role, "DUNLINSAILD_TEST_WITH="+with)
@@ -422,7 +423,7 @@
 	out, err := cmd.StdoutPipe()
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
-	p := &program{cmd, make(chan string, 1<<10), make(chan error, 1)}
+	p := &childProcess{cmd, make(chan string, 1<<10), make(chan error, 1)}
 	go func() {
 		in := bufio.NewScanner(out)
 		for in.Scan() {
@@ -445,7 +446,7 @@
 func quietLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
 // waitIdle waits until no request is open.
-func (r *running) waitIdle(t *testing.T) {
+func (r *runningDaemon) waitIdle(t *testing.T) {
 	t.Helper()
 	scriptedpeer.Eventually(t, "nothing open", func() bool {
 		for _, p := range r.pools {
@@ -453,8 +454,8 @@
 				return false
 			}
 		}
-		for _, h := range r.clients.usage() {
-			if h.Open != 0 || h.Bytes != 0 {
+		for _, usage := range r.clients.usage() {
+			if usage.Open != 0 || usage.Bytes != 0 {
 				return false
 			}
 		}
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -34,10 +34,10 @@
 
 // outcome is how a request ended for its client.
 type outcome struct {
-	kind          string // "safe", "keyed" or "unsafe"
+	class         string // "safe", "keyed" or "unsafe"
 	status        int
-	own           bool // the response is the instance's, not an application's
-	planned       int  // the status that an application was to send
+	ownResponse   bool // the response is the instance's, not an application's
+	plannedStatus int  // the status that an application was to send
 	broken        bool // the response broke off, and the client saw it
 	plannedLength bool // the response had the planned length
 }
@@ -73,23 +73,23 @@
 }
 
 // problems compares both sides and returns what must not have happened.
-func (h *history) problems() (all []string) {
+func (h *history) problems() (found []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	problem := func(format string, args ...any) { all = append(all, fmt.Sprintf(format, args...)) }
+	problem := func(format string, args ...any) { found = append(found, fmt.Sprintf(format, args...)) }
 	for id, o := range h.outcomes {
 		n := h.runs[id]
 		switch {
 		case o.broken:
-		case o.own && (o.status == 503 || o.status == 429) && o.kind != "safe" && n > 0:
-			problem("%s %s was rejected, as if a retry were harmless, and ran %d times", o.kind, id, n)
-		case !o.own && n == 0:
-			problem("%s %s was answered %d, and no application ran it", o.kind, id, o.status)
-		case !o.own && (o.status != o.planned || !o.plannedLength):
+		case o.ownResponse && (o.status == 503 || o.status == 429) && o.class != "safe" && n > 0:
+			problem("%s %s was rejected, as if a retry were harmless, and ran %d times", o.class, id, n)
+		case !o.ownResponse && n == 0:
+			problem("%s %s was answered %d, and no application ran it", o.class, id, o.status)
+		case !o.ownResponse && (o.status != o.plannedStatus || !o.plannedLength):
 			problem("%s %s was answered %d, of the planned length %v, and was to be %d",
-				o.kind, id, o.status, o.plannedLength, o.planned)
+				o.class, id, o.status, o.plannedLength, o.plannedStatus)
 		}
-		if o.kind == "unsafe" && n > 1 {
+		if o.class == "unsafe" && n > 1 {
 			problem("unsafe %s ran %d times", id, n)
 		}
 	}
@@ -103,10 +103,10 @@
 			problem("%s ran, and no client sent it", id)
 		}
 	}
-	return all
+	return found
 }
 
-const historyFile = `
+const historyConfig = `
 [[listener]]
 address = "127.0.0.1:0"
 [[pool]]
@@ -166,7 +166,7 @@
 
 // play has clients send requests through a daemon while applications reset connections and answer 4xx and 5xx, and
 // bodies stream. mangle is what a hop does to the headers of a request before its application receives it.
-func play(t *testing.T, mangle func(http.Header)) *history {
+func runHistory(t *testing.T, editHeader func(http.Header)) *history {
 	t.Helper()
 	h := newHistory()
 	random := &lockedRand{rng: rand.New(rand.NewPCG(3, 4))}
@@ -174,7 +174,7 @@
 	for i := range 5 {
 		a := newApp(t, h.addRun)
 		a.SetFault(func(r *http.Request) bool {
-			mangle(r.Header)
+			editHeader(r.Header)
 			if strings.HasPrefix(r.URL.Path, "/keyed/") {
 				h.addEffect(r.Header.Get("X-Id"), r.Header.Get("Idempotency-Key"))
 			}
@@ -182,10 +182,10 @@
 		})
 		pools[i/3] = append(pools[i/3], a)
 	}
-	d, addr := routed(t, historyFile, "DESK", addrs(pools[0]...), "FILES", addrs(pools[1]...))
+	d, addr := startRoutedDaemon(t, historyConfig, "DESK", quotedAddrs(pools[0]...), "FILES", quotedAddrs(pools[1]...))
 	var clients sync.WaitGroup
-	for c := range 8 {
-		clients.Go(func() { h.sendRequests(t, addr, c) })
+	for clientIndex := range 8 {
+		clients.Go(func() { h.sendRequests(t, addr, clientIndex) })
 	}
 	clients.Wait()
 	d.waitIdle(t)
@@ -193,13 +193,13 @@
 }
 
 // sendRequests sends 60 requests of one client, drawn from a seed of its number, one after another.
-func (h *history) sendRequests(t *testing.T, addr string, c int) {
+func (h *history) sendRequests(t *testing.T, addr string, clientIndex int) {
 	t.Helper()
-	rng := rand.New(rand.NewPCG(uint64(c), 5))
+	rng := rand.New(rand.NewPCG(uint64(clientIndex), 5))
 	transport := &http.Transport{DisableCompression: true, ResponseHeaderTimeout: 5 * time.Second}
 	defer transport.CloseIdleConnections()
 	for i := range 60 {
-		id := fmt.Sprintf("c%d-%d", c, i)
+		id := fmt.Sprintf("c%d-%d", clientIndex, i)
 		q, o, plan, err := drawRequest(rng, addr, id)
 		if err != nil {
 			t.Error(err)
@@ -208,12 +208,12 @@
 		resp, err := transport.RoundTrip(q)
 		if err != nil {
 			o.broken = true // without any part of a response, which must not happen
-			t.Errorf("%s %s has no answer: %v", o.kind, id, err)
+			t.Errorf("%s %s has no answer: %v", o.class, id, err)
 		} else {
 			n, err := io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 			o.status = resp.StatusCode
-			o.own = resp.Header.Get("Proxy-Status") != ""
+			o.ownResponse = resp.Header.Get("Proxy-Status") != ""
 			o.broken = err != nil
 			o.plannedLength = int(n) == plan.BodySize
 		}
@@ -225,11 +225,11 @@
 
 // drawRequest returns a request, its outcome as far as it is planned, and the plan for its application.
 func drawRequest(rng *rand.Rand, addr, id string) (*http.Request, outcome, webapp.Plan, error) {
-	o := outcome{kind: []string{"safe", "keyed", "unsafe"}[rng.IntN(3)]}
-	o.planned = []int{200, 200, 404, 409, 422, 301}[rng.IntN(6)]
-	path := o.kind
+	o := outcome{class: []string{"safe", "keyed", "unsafe"}[rng.IntN(3)]}
+	o.plannedStatus = []int{200, 200, 404, 409, 422, 301}[rng.IntN(6)]
+	path := o.class
 	size := rng.IntN(2000)
-	plan := webapp.Plan{Status: o.planned, BodySize: rng.IntN(3000)}
+	plan := webapp.Plan{Status: o.plannedStatus, BodySize: rng.IntN(3000)}
 	switch rng.IntN(5) {
 	case 0:
 		size = 150_000 + rng.IntN(200_000)
@@ -237,11 +237,11 @@
 		plan.BodySize = 150_000 + rng.IntN(200_000)
 	case 2:
 		path = "files"
-		o.kind = "unsafe"
+		o.class = "unsafe"
 	}
 	var body io.Reader
 	method := http.MethodGet
-	if o.kind != "safe" {
+	if o.class != "safe" {
 		method = http.MethodPost
 		body = io.LimitReader(&endlessReader{}, int64(size))
 	}
@@ -249,12 +249,12 @@
 	if err != nil {
 		return nil, o, plan, err
 	}
-	if rng.IntN(2) == 0 && o.kind != "safe" {
+	if rng.IntN(2) == 0 && o.class != "safe" {
 		q.ContentLength = int64(size)
 	}
 	q.Header.Set("X-Id", id)
 	q.Header.Set(webapp.PlanHeader, plan.JSON())
-	if o.kind == "keyed" {
+	if o.class == "keyed" {
 		q.Header.Set("Idempotency-Key", "k"+id)
 	}
 	return q, o, plan, nil
@@ -273,14 +273,14 @@
 // Every request has exactly one final answer. An unsafe one takes effect once at most, whatever breaks; one that ran is
 // not rejected; and an application's 4xx response is forwarded unchanged.
 func TestJoinedHistories(t *testing.T) {
-	h := play(t, func(http.Header) {})
+	h := runHistory(t, func(http.Header) {})
 	byStatus := map[string]int{}
 	for _, o := range h.outcomes {
-		from := "application"
-		if o.own {
-			from = "own"
+		sender := "application"
+		if o.ownResponse {
+			sender = "own"
 		}
-		byStatus[fmt.Sprint(from, " ", o.status)]++
+		byStatus[fmt.Sprint(sender, " ", o.status)]++
 	}
 	for _, p := range h.problems() {
 		t.Error(p)
@@ -293,7 +293,7 @@
 
 // An idempotency key that does not reach the endpoint is a problem that the comparison finds.
 func TestJoinedHistoriesSeeALostKey(t *testing.T) {
-	h := play(t, func(h http.Header) { h.Del("Idempotency-Key") })
+	h := runHistory(t, func(h http.Header) { h.Del("Idempotency-Key") })
 	for _, p := range h.problems() {
 		if strings.HasPrefix(p, "key ") {
 			return
--- a/internal/daemon/pool_changes_test.go
+++ b/internal/daemon/pool_changes_test.go
@@ -16,7 +16,7 @@
 	"dunlinsail/internal/fake/webapp"
 )
 
-const twoPools = `
+const twoPoolsConfig = `
 [[listener]]
 address = "127.0.0.1:0"
 [[pool]]
@@ -36,37 +36,37 @@
 
 // Requests that stream while their route is removed end completely in their pool, and the next ones use the new route.
 func TestRouteTakenAwayWhileItStreams(t *testing.T) {
-	more := make(chan struct{})
-	old := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+	release := make(chan struct{})
+	streaming := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := scriptedpeer.ReadRequest(r); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"+strings.Repeat("x", 100_000))
-			<-more
+			<-release
 			io.WriteString(c, strings.Repeat("y", 100_000))
 			r.Peek(1)
 		}
 	})
 	b := newApp(t, nil)
-	text := strings.Replace(twoPools, "BUDGET", "", 1)
-	d, addr := routed(t, text, "ONE", `"`+old+`"`, "TWO", addrs(b))
-	k := dial(t, "tcp", addr)
-	io.WriteString(k, "GET /one/1 HTTP/1.1\r\nHost: h\r\n\r\n")
-	resp := k.readHead(t)
-	was := d.pools["one"]
-	next := strings.Replace(text, "path = \"/one/*\"\npool = \"one\"", "path = \"/one/*\"\npool = \"two\"", 1)
-	next = strings.Replace(next, "[[pool]]\nname = \"one\"\nendpoints = [ONE]", "", 1)
-	d.changed(t, parse(t, next, "TWO", addrs(b)))
-	afterChange, _ := dial(t, "tcp", addr).request(t, "GET /one/2 HTTP/1.1\r\nHost: h\r\n\r\n")
+	text := strings.Replace(twoPoolsConfig, "BUDGET", "", 1)
+	d, addr := startRoutedDaemon(t, text, "ONE", `"`+streaming+`"`, "TWO", quotedAddrs(b))
+	conn := dial(t, "tcp", addr)
+	io.WriteString(conn, "GET /one/1 HTTP/1.1\r\nHost: h\r\n\r\n")
+	resp := conn.readHead(t)
+	removedPool := d.pools["one"]
+	changedText := strings.Replace(text, "path = \"/one/*\"\npool = \"one\"", "path = \"/one/*\"\npool = \"two\"", 1)
+	changedText = strings.Replace(changedText, "[[pool]]\nname = \"one\"\nendpoints = [ONE]", "", 1)
+	d.applyConfig(t, parseConfig(t, changedText, "TWO", quotedAddrs(b)))
+	afterChange, _ := dial(t, "tcp", addr).roundTrip(t, "GET /one/2 HTTP/1.1\r\nHost: h\r\n\r\n")
 	if afterChange.StatusCode != 200 || b.RequestCount() != 1 {
 		t.Errorf("after the change: %s, %d requests there", afterChange.Status, b.RequestCount())
 	}
-	if counts := was.endpoints.Counts(); counts.OpenCalls != 1 {
+	if counts := removedPool.endpoints.Counts(); counts.OpenCalls != 1 {
 		t.Errorf("%d calls are open", counts.OpenCalls)
 	}
-	close(more)
+	close(release)
 	if got, err := io.ReadAll(resp.Body); err != nil || len(got) != 200_000 {
 		t.Errorf("what streamed: %d bytes, %v", len(got), err)
 	}
-	sameConn, _ := k.request(t, "GET /one/3 HTTP/1.1\r\nHost: h\r\n\r\n")
+	sameConn, _ := conn.roundTrip(t, "GET /one/3 HTTP/1.1\r\nHost: h\r\n\r\n")
 	if sameConn.StatusCode != 200 || b.RequestCount() != 2 {
 		t.Errorf("the same connection afterwards: %s", sameConn.Status)
 	}
@@ -77,52 +77,52 @@
 // request that was served has run, and one that was rejected has not.
 func TestPoolEmptiedAndRefilled(t *testing.T) {
 	var ran sync.Map
-	a := newApp(t, func(id string, whole bool) { ran.Store(id, whole) })
-	d, addr := routed(t, appFile, "ADDRS", addrs(a))
+	a := newApp(t, func(id string, complete bool) { ran.Store(id, complete) })
+	d, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var served, rejected, other atomic.Int64
+	var served, rejected, unexpected atomic.Int64
 	var clients sync.WaitGroup
 	for i := range 4 {
 		clients.Go(func() {
-			tr := &http.Transport{}
-			defer tr.CloseIdleConnections()
+			transport := &http.Transport{}
+			defer transport.CloseIdleConnections()
 			for n := 0; ctx.Err() == nil; n++ {
 				q, _ := http.NewRequest("POST", "http://"+addr+"/", strings.NewReader("x"))
 				id := fmt.Sprint(i, "-", n)
 				q.Header.Set("X-Id", id)
-				resp, err := tr.RoundTrip(q)
+				resp, err := transport.RoundTrip(q)
 				if err != nil {
-					other.Add(1)
+					unexpected.Add(1)
 					continue
 				}
 				io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
-				_, did := ran.Load(id)
+				_, hasRun := ran.Load(id)
 				switch {
-				case resp.StatusCode == 200 && did:
+				case resp.StatusCode == 200 && hasRun:
 					served.Add(1)
-				case resp.StatusCode == 503 && !did &&
+				case resp.StatusCode == 503 && !hasRun &&
 					resp.Header.Get("Retry-After") != "" && resp.Header.Get("Proxy-Status") != "":
 					rejected.Add(1)
 				default:
-					other.Add(1)
+					unexpected.Add(1)
 				}
 			}
 		})
 	}
 	for range 3 {
-		s, r := served.Load(), rejected.Load()
-		scriptedpeer.Eventually(t, "requests served", func() bool { return served.Load() > s+50 })
-		d.changed(t, parse(t, appFile, "ADDRS", ""))
-		scriptedpeer.Eventually(t, "requests rejected", func() bool { return rejected.Load() > r+50 })
-		d.changed(t, parse(t, appFile, "ADDRS", addrs(a)))
+		servedBefore, rejectedBefore := served.Load(), rejected.Load()
+		scriptedpeer.Eventually(t, "requests served", func() bool { return served.Load() > servedBefore+50 })
+		d.applyConfig(t, parseConfig(t, onePoolConfig, "ADDRS", ""))
+		scriptedpeer.Eventually(t, "requests rejected", func() bool { return rejected.Load() > rejectedBefore+50 })
+		d.applyConfig(t, parseConfig(t, onePoolConfig, "ADDRS", quotedAddrs(a)))
 	}
-	s := served.Load()
-	scriptedpeer.Eventually(t, "requests served", func() bool { return served.Load() > s+50 })
+	servedBefore := served.Load()
+	scriptedpeer.Eventually(t, "requests served", func() bool { return served.Load() > servedBefore+50 })
 	cancel()
 	clients.Wait()
-	if n := other.Load(); n > 0 {
+	if n := unexpected.Load(); n > 0 {
 		t.Errorf("%d of %d were neither served nor truly rejected", n, served.Load()+rejected.Load()+n)
 	}
 	d.waitIdle(t)
@@ -133,38 +133,40 @@
 func TestRetryBudget(t *testing.T) {
 	const requests = 100
 	arrivals := func(budget string) (n int64) {
-		good := newApp(t, nil)
-		var bad []*webapp.App
+		healthy := newApp(t, nil)
+		var failing []*webapp.App
 		for range 20 { // the breaker of each admits some requests before it opens
-			bad = append(bad, newApp(t, nil))
-			bad[len(bad)-1].SetStatus(500)
+			failing = append(failing, newApp(t, nil))
+			failing[len(failing)-1].SetStatus(500)
 		}
-		d, addr := routed(t, twoPools, "ONE", addrs(bad...), "TWO", addrs(good), "BUDGET", budget)
-		k, beside := dial(t, "tcp", addr), dial(t, "tcp", addr)
+		d, addr := startRoutedDaemon(t, twoPoolsConfig,
+			"ONE", quotedAddrs(failing...), "TWO", quotedAddrs(healthy), "BUDGET", budget)
+		conn, otherConn := dial(t, "tcp", addr), dial(t, "tcp", addr)
 		for i := range requests {
 			// The breaker's rejections have a Proxy-Status, and the endpoints' own responses have none.
-			resp, _ := k.request(t, "GET /one/1 HTTP/1.1\r\nHost: h\r\n\r\n")
+			resp, _ := conn.roundTrip(t, "GET /one/1 HTTP/1.1\r\nHost: h\r\n\r\n")
 			if resp.StatusCode != 500 && resp.StatusCode != 503 ||
 				(resp.StatusCode == 500) != (resp.Header.Get("Proxy-Status") == "") {
 				t.Fatalf("%s, %v", resp.Status, resp.Header)
 			}
 			if i%10 == 0 {
-				if resp, _ := beside.request(t, "GET /two/1 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
+				if resp, _ := otherConn.roundTrip(t, "GET /two/1 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
 					t.Fatalf("the other pool: %s", resp.Status)
 				}
 			}
 		}
 		d.waitIdle(t)
-		for _, a := range bad {
+		for _, a := range failing {
 			n += a.RequestCount()
 		}
 		return n
 	}
-	with, without := arrivals("retry_budget = 0.1\nretry_least = 0.0"), arrivals("retry_budget = 10.0")
-	if with > requests+requests/10 {
-		t.Errorf("%d requests arrived as %d with a budget of a tenth", requests, with)
+	arrivedWithBudget, arrivedWithoutBudget :=
+		arrivals("retry_budget = 0.1\nretry_least = 0.0"), arrivals("retry_budget = 10.0")
+	if arrivedWithBudget > requests+requests/10 {
+		t.Errorf("%d requests arrived as %d with a budget of a tenth", requests, arrivedWithBudget)
 	}
-	if without < with+requests/10 {
-		t.Errorf("%d arrived without a budget, %d with one", without, with)
+	if arrivedWithoutBudget < arrivedWithBudget+requests/10 {
+		t.Errorf("%d arrived without a budget, %d with one", arrivedWithoutBudget, arrivedWithBudget)
 	}
 }
--- a/internal/daemon/requests_test.go
+++ b/internal/daemon/requests_test.go
@@ -16,25 +16,25 @@
 // Pipelined requests are answered in order, whatever their bodies.
 func TestPipelinedRequests(t *testing.T) {
 	a := newApp(t, nil)
-	d, addr := routed(t, appFile, "ADDRS", addrs(a))
-	k := dial(t, "tcp", addr)
+	d, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a))
+	conn := dial(t, "tcp", addr)
 	big := strings.Repeat("x", 100_000)
 	plan := func(body int, work time.Duration) string {
 		return webapp.PlanHeader + ": " + webapp.Plan{BodySize: body, Delay: work}.JSON() + "\r\n"
 	}
-	all := "GET /1 HTTP/1.1\r\nHost: h\r\n" + plan(1, 30*time.Millisecond) + "\r\n" +
+	requests := "GET /1 HTTP/1.1\r\nHost: h\r\n" + plan(1, 30*time.Millisecond) + "\r\n" +
 		"POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n" + plan(2, 0) + "\r\nabc" +
 		"POST /3 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n" + plan(3, 0) + "\r\n3\r\nabc\r\n0\r\n\r\n" +
 		fmt.Sprintf("POST /4 HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n", len(big)) +
 		plan(100_004, 0) + "\r\n" + big +
 		"GET /none HTTP/1.1\r\nHost: h\r\nX-A : b\r\n\r\n"
-	go io.WriteString(k, all)
+	go io.WriteString(conn, requests)
 	for _, want := range []int{1, 2, 3, 100_004} {
-		if resp, body := k.answer(t); resp.StatusCode != 200 || len(body) != want {
+		if resp, body := conn.readResponse(t); resp.StatusCode != 200 || len(body) != want {
 			t.Fatalf("%s with %d bytes, want %d", resp.Status, len(body), want)
 		}
 	}
-	if resp, _ := k.answer(t); resp.StatusCode != 400 {
+	if resp, _ := conn.readResponse(t); resp.StatusCode != 400 {
 		t.Errorf("a malformed head behind others: %s", resp.Status)
 	}
 	d.waitIdle(t)
@@ -43,10 +43,11 @@
 // Requests of all forms are forwarded, or get this instance's own response with a reason in Proxy-Status.
 func TestFormsOfRequests(t *testing.T) {
 	a := newApp(t, nil)
-	_, addr := routed(t, appFile+"path = \"/a/*\"\nmethods = [\"GET\", \"HEAD\", \"PUT\"]\n", "ADDRS", addrs(a))
+	_, addr := startRoutedDaemon(t,
+		onePoolConfig+"path = \"/a/*\"\nmethods = [\"GET\", \"HEAD\", \"PUT\"]\n", "ADDRS", quotedAddrs(a))
 	for _, tc := range []struct {
-		text, want, proxyStatus string
-		last                    bool
+		text, wantStatus, wantProxyStatus string
+		wantClose                         bool
 	}{
 		{"GET /a/1 HTTP/1.1\r\nHost: h\r\n\r\n", "200", "", false},
 		{"GET http://h/a/1 HTTP/1.1\r\nHost: h\r\n\r\n", "200", "", false},
@@ -68,23 +69,23 @@
 		{"GET /a/1 HTTP/1.1\r\nHost: h\r\nExpect: wonders\r\n\r\n", "417", "http_request_error", false},
 		{"PRI * HTTP/2.0\r\n\r\n", "505", "", true},
 	} {
-		k := dial(t, "tcp", addr)
+		conn := dial(t, "tcp", addr)
 		method, _, _ := strings.Cut(tc.text, " ")
-		io.WriteString(k, tc.text)
-		k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-		resp, err := http.ReadResponse(k.r, &http.Request{Method: method})
+		io.WriteString(conn, tc.text)
+		conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+		resp, err := http.ReadResponse(conn.reader, &http.Request{Method: method})
 		if err != nil {
 			t.Errorf("%q: %v", tc.text, err)
 			continue
 		}
 		body, err := io.ReadAll(resp.Body)
 		proxyStatus := resp.Header.Get("Proxy-Status")
-		if err != nil || !strings.HasPrefix(resp.Status, tc.want) || resp.Close != tc.last ||
-			(tc.proxyStatus == "") != (proxyStatus == "") || !strings.Contains(proxyStatus, tc.proxyStatus) {
+		if err != nil || !strings.HasPrefix(resp.Status, tc.wantStatus) || resp.Close != tc.wantClose ||
+			(tc.wantProxyStatus == "") != (proxyStatus == "") || !strings.Contains(proxyStatus, tc.wantProxyStatus) {
 			t.Errorf("%q: %s, %q, close %v, %q, %v", tc.text, resp.Status, proxyStatus, resp.Close, body, err)
 		}
-		if !tc.last { // it serves another
-			if resp, _ := k.request(t, "GET /a/2 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
+		if !tc.wantClose { // it serves another
+			if resp, _ := conn.roundTrip(t, "GET /a/2 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
 				t.Errorf("%q: the next is answered %s", tc.text, resp.Status)
 			}
 		}
@@ -95,7 +96,7 @@
 // it is sent to an endpoint.
 func TestSmuggling(t *testing.T) {
 	a := newApp(t, nil)
-	_, addr := routed(t, appFile, "ADDRS", addrs(a))
+	_, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a))
 	const (
 		host = "Host: h\r\n"
 		post = "POST / HTTP/1.1\r\n" + host
@@ -158,19 +159,19 @@
 // the connection.
 func checkRejected(t *testing.T, addr, name, text string, cut int) {
 	t.Helper()
-	k := dial(t, "tcp", addr)
-	defer k.Close()
-	io.WriteString(k, text[:cut])
+	conn := dial(t, "tcp", addr)
+	defer conn.Close()
+	io.WriteString(conn, text[:cut])
 	if cut < len(text) {
-		k.SetReadDeadline(time.Now().Add(time.Microsecond)) // a moment for the first part
-		k.r.Peek(1)
-		io.WriteString(k, text[cut:])
+		conn.SetReadDeadline(time.Now().Add(time.Microsecond)) // a moment for the first part
+		conn.reader.Peek(1)
+		io.WriteString(conn, text[cut:])
 	}
-	k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-	resp, err := http.ReadResponse(k.r, nil)
+	conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
-		ended := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
-		if !ended && !strings.Contains(err.Error(), "reset") {
+		atEOF := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
+		if !atEOF && !strings.Contains(err.Error(), "reset") {
 			t.Errorf("%s, cut at %d: %v", name, cut, err)
 		}
 		return
--- a/internal/daemon/rollout_fleet_test.go
+++ b/internal/daemon/rollout_fleet_test.go
@@ -23,23 +23,23 @@
 // runFleet has twenty instances serve under load while changes runs, which may send versions by the control plane.
 func runFleet(t *testing.T, changes func(s *xdsserver.Server, nodes []string)) fleetResult {
 	t.Helper()
-	w := newTestFleet(t, 6, endpoint.Options{
+	fleet := newTestFleet(t, 6, endpoint.Options{
 		ServiceTime: map[string]time.Duration{"": 2 * time.Millisecond},
 		Spread:      0.5,
 	})
-	s := w.withControlPlane(t)
+	s := fleet.startControlPlane(t)
 	var nodes []string
-	var all []*running
+	var daemons []*runningDaemon
 	var ends []func() client.Report
 	for i := range 20 {
 		node := fmt.Sprintf("i-%02d", i)
 		nodes = append(nodes, node)
 		addr := freeAddr(t)
-		edits := append(w.managed(addr, node, `trial = "1s"`, `trial = "3s"`),
+		edits := append(fleet.controlPlaneEdits(addr, node, `trial = "1s"`, `trial = "3s"`),
 			"takeover.sock", node+"-takeover.sock", "clients.sock", node+"-clients.sock",
 			"[fleet]", fmt.Sprintf("[fleet]\ninstances = 20\nposition = %d", i))
-		all = append(all, start(t, w.config(t, edits...)))
-		ends = append(ends, steady(t, node, addr, 12))
+		daemons = append(daemons, startDaemon(t, fleet.config(t, edits...)))
+		ends = append(ends, startSteadyClient(t, node, addr, 12))
 	}
 	scriptedpeer.Eventually(t, "the streams", func() bool { return s.OpenStreams() == 20 })
 	changes(s, nodes)
@@ -51,8 +51,8 @@
 		result.failed += r.ByVerdict[client.Failed]
 		result.longestGap = max(result.longestGap, r.LongestGap)
 	}
-	checkRuns(t, w.ledger.Runs())
-	for _, d := range all {
+	checkRuns(t, fleet.ledger.Runs())
+	for _, d := range daemons {
 		d.stop()
 	}
 	return result
@@ -78,7 +78,7 @@
 
 // harmfulVersion is a valid version under which most requests are rejected.
 var harmfulVersion = append(maxAttemptsResource(3),
-	table("requests", map[string]any{"open": 1.0, "in_flight": 1.0}),
+	unnamedResource("requests", map[string]any{"open": 1.0, "in_flight": 1.0}),
 	clientResource("each", map[string]any{"per_process": true}),
 	clientResource("desk", map[string]any{"requests_per_second": 2.0, "burst": 1.0}))
 
@@ -91,10 +91,10 @@
 		version := fmt.Sprint("e/", n+1)
 		switch kind {
 		case "good":
-			set(t, s, version, maxAttemptsResource(float64(2+n%3)), nil)
+			setVersion(t, s, version, maxAttemptsResource(float64(2+n%3)), nil)
 			awaitAnswers(t, s, version, "good", nodes)
 		case "broken":
-			set(t, s, version, invalid[0].resources, nil)
+			setVersion(t, s, version, invalid[0].resources, nil)
 			awaitAnswers(t, s, version, invalid[0].answer, nodes)
 			invalid = invalid[1:]
 		case "harmful":
@@ -111,19 +111,22 @@
 // only. Invalid ones are rejected by all, the harmful one is rolled back by its instance, and as many requests are
 // served as without any version.
 func TestTwentyInstances(t *testing.T) {
-	kinds := []string{"good", "broken", "good", "harmful", "broken", "good", "broken"}
-	rand.New(rand.NewPCG(5, 5)).Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
-	t.Log(kinds)
+	versionKinds := []string{"good", "broken", "good", "harmful", "broken", "good", "broken"}
+	rand.New(rand.NewPCG(5, 5)).Shuffle(len(versionKinds), func(i, j int) {
+		versionKinds[i], versionKinds[j] = versionKinds[j], versionKinds[i]
+	})
+	t.Log(versionKinds)
 	started := time.Now()
-	with := runFleet(t, func(s *xdsserver.Server, nodes []string) { sendVersions(t, s, nodes, kinds) })
-	length := time.Since(started)
-	without := runFleet(t, func(*xdsserver.Server, []string) { time.Sleep(length) })
-	t.Logf("%v: with versions %d of %d served, longest gap %v; without %d of %d, %v", length,
-		with.served, with.scheduled, with.longestGap, without.served, without.scheduled, without.longestGap)
-	servedWith := float64(with.served) / float64(with.scheduled)
-	servedWithout := float64(without.served) / float64(without.scheduled)
-	if servedWith < servedWithout-0.01 || with.failed > without.failed+2 {
+	withVersions := runFleet(t, func(s *xdsserver.Server, nodes []string) { sendVersions(t, s, nodes, versionKinds) })
+	duration := time.Since(started)
+	withoutVersions := runFleet(t, func(*xdsserver.Server, []string) { time.Sleep(duration) })
+	t.Logf("%v: with versions %d of %d served, longest gap %v; without %d of %d, %v", duration,
+		withVersions.served, withVersions.scheduled, withVersions.longestGap,
+		withoutVersions.served, withoutVersions.scheduled, withoutVersions.longestGap)
+	servedWith := float64(withVersions.served) / float64(withVersions.scheduled)
+	servedWithout := float64(withoutVersions.served) / float64(withoutVersions.scheduled)
+	if servedWith < servedWithout-0.01 || withVersions.failed > withoutVersions.failed+2 {
 		t.Errorf("served %.4f with versions, %.4f without; %d failed, %d without",
-			servedWith, servedWithout, with.failed, without.failed)
+			servedWith, servedWithout, withVersions.failed, withoutVersions.failed)
 	}
 }
--- a/internal/daemon/rollout_test.go
+++ b/internal/daemon/rollout_test.go
@@ -21,12 +21,12 @@
 
 // managed returns the edits of a file with which versions come from the fleet's control plane; more are edits of the
 // table control.
-func (w *testFleet) managed(addr, node string, more ...string) []string {
-	control := strings.NewReplacer(more...).Replace(`[control]
-address = "` + w.controlPlane.Address + `"
+func (f *testFleet) controlPlaneEdits(addr, node string, controlEdits ...string) []string {
+	control := strings.NewReplacer(controlEdits...).Replace(`[control]
+address = "` + f.controlPlane.Address + `"
 node = "` + node + `"
 plaintext = true
-state = "` + w.dir + `/` + node + `"
+state = "` + f.dir + `/` + node + `"
 trial = "1s"
 trial_margin = 0.1
 gap = "10ms"
@@ -39,19 +39,19 @@
 		"[connections]", control}
 }
 
-// withControlPlane starts a control plane for the fleet.
-func (w *testFleet) withControlPlane(t *testing.T) *xdsserver.Server {
+// startControlPlane starts a control plane for the fleet.
+func (f *testFleet) startControlPlane(t *testing.T) *xdsserver.Server {
 	t.Helper()
 	var err error
-	if w.controlPlane, err = xdsserver.Start(xdsserver.Options{}); err != nil {
+	if f.controlPlane, err = xdsserver.Start(xdsserver.Options{}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { w.controlPlane.Close() })
-	return w.controlPlane
+	t.Cleanup(func() { f.controlPlane.Close() })
+	return f.controlPlane
 }
 
 // table returns a resource without a name.
-func table(kind string, fields map[string]any) config.Resource {
+func unnamedResource(kind string, fields map[string]any) config.Resource {
 	return config.Resource{Kind: kind, Fields: fields}
 }
 
@@ -62,11 +62,11 @@
 
 // maxAttemptsResource returns the resources of a version with n attempts a request at most.
 func maxAttemptsResource(n float64) []config.Resource {
-	return []config.Resource{table("attempts", map[string]any{"most": n, "dial_timeout": "1s"})}
+	return []config.Resource{unnamedResource("attempts", map[string]any{"most": n, "dial_timeout": "1s"})}
 }
 
 // runs returns the version and the configuration that a daemon runs.
-func (r *running) runs(t *testing.T) (version string, c *config.Config) {
+func (r *runningDaemon) runningVersion(t *testing.T) (version string, c *config.Config) {
 	t.Helper()
 	got := make(chan string, 1)
 	r.process.post(func() {
@@ -108,13 +108,15 @@
 }
 
 // set sends a version to all nodes.
-func set(t *testing.T, s *xdsserver.Server, version string, all []config.Resource, release map[string]any) {
+func setVersion(
+	t *testing.T, s *xdsserver.Server, version string, resources []config.Resource, release map[string]any,
+) {
 	t.Helper()
-	require.NoError(t, s.SetResources(version, all, release))
+	require.NoError(t, s.SetResources(version, resources, release))
 }
 
 // steady starts a client with a constant rate of requests a second. end stops it and returns its report.
-func steady(t *testing.T, name, addr string, rate float64) (end func() client.Report) {
+func startSteadyClient(t *testing.T, name, addr string, rate float64) (end func() client.Report) {
 	t.Helper()
 	o := steadyClientOptions(addr, rate, time.Hour, nil)
 	o.Name = name
@@ -134,22 +136,22 @@
 // Versions are applied in their order, rejected with resource, key and reason, and rolled back to when the control
 // plane says so, under load.
 func TestVersions(t *testing.T) {
-	w := newTestFleet(t, 2, endpoint.Options{ServiceTime: map[string]time.Duration{"": time.Millisecond}})
-	s := w.withControlPlane(t)
+	fleet := newTestFleet(t, 2, endpoint.Options{ServiceTime: map[string]time.Duration{"": time.Millisecond}})
+	s := fleet.startControlPlane(t)
 	addr := freeAddr(t)
-	d := start(t, w.config(t, w.managed(addr, "i-1")...))
-	end := steady(t, "desk", addr, 100)
+	d := startDaemon(t, fleet.config(t, fleet.controlPlaneEdits(addr, "i-1")...))
+	end := startSteadyClient(t, "desk", addr, 100)
 	for _, step := range []struct {
 		version     string
-		all         []config.Resource
+		resources   []config.Resource
 		release     map[string]any
-		answer      string
-		runs        string
+		wantAnswer  string
+		wantRunning string
 		maxAttempts int
 	}{
 		{"a/1", maxAttemptsResource(2), nil, "good", "a/1 over file 1", 2},
 		{"a/2", maxAttemptsResource(0), nil, "refused: attempts: most: 0: must be at least 1", "a/1 over file 1", 2},
-		{"a/3", []config.Resource{table("process", nil)}, nil,
+		{"a/3", []config.Resource{unnamedResource("process", nil)}, nil,
 			"refused: process: only the instance's own file", "a/1 over file 1", 2},
 		{"a/4", append(maxAttemptsResource(2), clientResource("x", map[string]any{"requests_per_second": 5.0})), nil,
 			"refused: the file: listener.0.client: no client is named \"desk\"", "a/1 over file 1", 2},
@@ -161,11 +163,15 @@
 		{"a/5", maxAttemptsResource(4), map[string]any{"rollback": true, "about": "b is not ready"},
 			"good", "a/5 over file 1", 4},
 	} {
-		set(t, s, step.version, step.all, step.release)
-		awaitAnswer(t, s, step.version, step.answer)
-		scriptedpeer.Eventually(t, step.runs, func() bool { runs, _ := d.runs(t); return runs == step.runs })
-		if runs, c := d.runs(t); runs != step.runs || c.Attempts.MaxAttempts != step.maxAttempts {
-			t.Errorf("after %s: %s runs, attempts.most %d", step.version, runs, c.Attempts.MaxAttempts)
+		setVersion(t, s, step.version, step.resources, step.release)
+		awaitAnswer(t, s, step.version, step.wantAnswer)
+		scriptedpeer.Eventually(t, step.wantRunning, func() bool {
+			running, _ := d.runningVersion(t)
+			return running == step.wantRunning
+		})
+		if running, c := d.runningVersion(t); running != step.wantRunning ||
+			c.Attempts.MaxAttempts != step.maxAttempts {
+			t.Errorf("after %s: %s runs, attempts.most %d", step.version, running, c.Attempts.MaxAttempts)
 		}
 	}
 	r := end()
@@ -173,59 +179,62 @@
 		t.Errorf("%d scheduled, %v", r.Scheduled, r.ByVerdict)
 	}
 	t.Logf("%d scheduled, longest gap between answers %v", r.Scheduled, r.LongestGap)
-	checkRuns(t, w.ledger.Runs())
+	checkRuns(t, fleet.ledger.Runs())
 }
 
 // A valid version that does harm is rolled back automatically, with figures, and stays rejected.
 func TestHarmfulVersion(t *testing.T) {
-	w := newTestFleet(t, 2, endpoint.Options{ServiceTime: map[string]time.Duration{"": 5 * time.Millisecond}})
-	s := w.withControlPlane(t)
+	fleet := newTestFleet(t, 2, endpoint.Options{ServiceTime: map[string]time.Duration{"": 5 * time.Millisecond}})
+	s := fleet.startControlPlane(t)
 	addr := freeAddr(t)
-	d := start(t, w.config(t, w.managed(addr, "i-1")...))
-	end := steady(t, "desk", addr, 200)
-	set(t, s, "1", maxAttemptsResource(2), nil)
+	d := startDaemon(t, fleet.config(t, fleet.controlPlaneEdits(addr, "i-1")...))
+	end := startSteadyClient(t, "desk", addr, 200)
+	setVersion(t, s, "1", maxAttemptsResource(2), nil)
 	awaitAnswer(t, s, "1", "good")
-	for version, harm := range map[string][]config.Resource{
+	for version, resources := range map[string][]config.Resource{
 		// Nearly all requests are rejected.
-		"2": append(maxAttemptsResource(2), table("requests", map[string]any{"open": 1.0, "in_flight": 1.0})),
+		"2": append(maxAttemptsResource(2), unnamedResource("requests", map[string]any{"open": 1.0, "in_flight": 1.0})),
 		// The same by a change that is made while serving.
 		"3": append(maxAttemptsResource(2),
 			clientResource("desk", map[string]any{"requests_per_second": 20.0, "burst": 1.0}),
 			clientResource("each", map[string]any{"per_process": true})),
 	} {
-		set(t, s, version, harm, nil)
+		setVersion(t, s, version, resources, nil)
 		awaitAnswer(t, s, version, "refused: worse by service: service 1.0000 before, 0.")
-		scriptedpeer.Eventually(t, "the rollback", func() bool { runs, _ := d.runs(t); return runs == "1 over file 1" })
+		scriptedpeer.Eventually(t, "the rollback", func() bool {
+			running, _ := d.runningVersion(t)
+			return running == "1 over file 1"
+		})
 		s.DropStreams() // it is sent again
 		scriptedpeer.Eventually(t, "refused again", func() bool { return len(s.Answers("", version)) >= 3 })
-		if runs, _ := d.runs(t); runs != "1 over file 1" {
-			t.Errorf("%s runs", runs)
+		if running, _ := d.runningVersion(t); running != "1 over file 1" {
+			t.Errorf("%s runs", running)
 		}
 	}
-	set(t, s, "4", maxAttemptsResource(3), nil)
+	setVersion(t, s, "4", maxAttemptsResource(3), nil)
 	awaitAnswer(t, s, "4", "good")
 	r := end()
 	if got := float64(r.ByVerdict[client.Served]) / float64(r.Scheduled); got < 0.6 || r.ByVerdict[client.Failed] > 0 {
 		t.Errorf("%d scheduled, %v", r.Scheduled, r.ByVerdict)
 	}
-	checkRuns(t, w.ledger.Runs())
+	checkRuns(t, fleet.ledger.Runs())
 }
 
 // An instance starts with the last known good version while its control plane is not reachable. A corrupt version, or
 // one that does not fit the file, is skipped, and the instance starts with the file alone.
 func TestStartsWithTheLastKnownGood(t *testing.T) {
-	w := newTestFleet(t, 1, endpoint.Options{})
-	s := w.withControlPlane(t)
+	fleet := newTestFleet(t, 1, endpoint.Options{})
+	s := fleet.startControlPlane(t)
 	addr := freeAddr(t)
-	edits := w.managed(addr, "i-1")
-	state := filepath.Join(w.dir, "i-1")
-	d := start(t, w.config(t, edits...))
+	edits := fleet.controlPlaneEdits(addr, "i-1")
+	state := filepath.Join(fleet.dir, "i-1")
+	d := startDaemon(t, fleet.config(t, edits...))
 	for n := range 2 {
 		info := fmt.Sprint(n + 1)
-		set(t, s, info, maxAttemptsResource(float64(n+4)), nil)
+		setVersion(t, s, info, maxAttemptsResource(float64(n+4)), nil)
 		awaitAnswer(t, s, info, "good")
 	}
-	stop := func(d *running) {
+	stop := func(d *runningDaemon) {
 		t.Helper()
 		d.stop()
 		checkEnded(t, d.ended, "end")
@@ -234,18 +243,18 @@
 	s.Close()
 	checkStart := func(what, version string, maxAttempts int, edits ...string) {
 		t.Helper()
-		d := start(t, w.config(t, edits...))
-		if runs, c := d.runs(t); runs != version || c.Attempts.MaxAttempts != maxAttempts {
-			t.Errorf("%s: %s runs, attempts.most %d", what, runs, c.Attempts.MaxAttempts)
+		d := startDaemon(t, fleet.config(t, edits...))
+		if running, c := d.runningVersion(t); running != version || c.Attempts.MaxAttempts != maxAttempts {
+			t.Errorf("%s: %s runs, attempts.most %d", what, running, c.Attempts.MaxAttempts)
 		}
 		dial(t, "tcp", addr).checkServed(t, what)
 		stop(d)
 	}
 	checkStart("the service is away", "2 over file 1", 5, edits...)
 	checkStart("another file", "2 over file 1", 5, append(edits, "worth = 5.0", "worth = 4.0")...)
-	pinned := w.managed(addr, "i-1", "gap =", "pin = [\"listener\", \"attempts\"]\ngap =")
+	pinned := fleet.controlPlaneEdits(addr, "i-1", "gap =", "pin = [\"listener\", \"attempts\"]\ngap =")
 	checkStart("a file that pins it", "2 over file 1", 3, append(pinned, "[attempts]", "[attempts]\nmost = 3")...)
-	unmanaged := w.managed(addr, "i-1", w.controlPlane.Address, "", "plaintext = true", "")
+	unmanaged := fleet.controlPlaneEdits(addr, "i-1", fleet.controlPlane.Address, "", "plaintext = true", "")
 	checkStart("without a service", "file 1", 3, append(unmanaged, "[attempts]", "[attempts]\nmost = 3")...)
 	require.NoError(t, os.Truncate(filepath.Join(state, "state"), 60))
 	checkStart("a state that is cut off", "1 over file 1", 4, edits...)
@@ -260,20 +269,20 @@
 
 // A version that cannot be saved is applied, and saved once the disk has room.
 func TestVersionsOnAFullDisk(t *testing.T) {
-	w := newTestFleet(t, 1, endpoint.Options{})
-	s := w.withControlPlane(t)
-	d := start(t, w.config(t, w.managed(freeAddr(t), "i-1")...))
+	fleet := newTestFleet(t, 1, endpoint.Options{})
+	s := fleet.startControlPlane(t)
+	d := startDaemon(t, fleet.config(t, fleet.controlPlaneEdits(freeAddr(t), "i-1")...))
 	scriptedpeer.Eventually(t, "a stream", func() bool { return s.StreamsOpened() > 0 })
-	state := filepath.Join(w.dir, "i-1")
+	state := filepath.Join(fleet.dir, "i-1")
 	require.NoError(t, os.Symlink("/dev/full", filepath.Join(state, "state.part")))
 	os.Remove(state + "/state")                             // if the file's version was saved already
 	if err := os.Mkdir(state+"/state", 0o700); err != nil { // no file can replace a folder
 		t.Fatal(err)
 	}
-	set(t, s, "1", maxAttemptsResource(2), nil)
+	setVersion(t, s, "1", maxAttemptsResource(2), nil)
 	awaitAnswer(t, s, "1", "good")
-	if runs, _ := d.runs(t); runs != "1 over file 1" {
-		t.Errorf("%s runs", runs)
+	if running, _ := d.runningVersion(t); running != "1 over file 1" {
+		t.Errorf("%s runs", running)
 	}
 	os.RemoveAll(state + "/state")
 	for end := time.Now().Add(3 * scriptedpeer.WaitTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -289,24 +298,24 @@
 // A version that comes while another process takes over, or while the daemon ends, is not applied. One that comes
 // during a canary waits, and of several the newest is applied.
 func TestVersionsAtTheWrongTime(t *testing.T) {
-	w := newTestFleet(t, 1, endpoint.Options{})
-	s := w.withControlPlane(t)
+	fleet := newTestFleet(t, 1, endpoint.Options{})
+	s := fleet.startControlPlane(t)
 	addr := freeAddr(t)
-	d := start(t, w.config(t, w.managed(addr, "i-1")...))
+	d := startDaemon(t, fleet.config(t, fleet.controlPlaneEdits(addr, "i-1")...))
 	scriptedpeer.Eventually(t, "a stream", func() bool { return s.StreamsOpened() > 0 })
-	k := connectAsSuccessor(t, w.dir+"/takeover.sock")
-	k.expect(decide.Offer)
-	set(t, s, "1", maxAttemptsResource(2), nil)
-	set(t, s, "2", maxAttemptsResource(3), nil)
-	if runs, _ := d.runs(t); runs != "file 1" {
-		t.Errorf("during a takeover %s runs", runs)
+	successor := connectAsSuccessor(t, fleet.dir+"/takeover.sock")
+	successor.expect(decide.Offer)
+	setVersion(t, s, "1", maxAttemptsResource(2), nil)
+	setVersion(t, s, "2", maxAttemptsResource(3), nil)
+	if running, _ := d.runningVersion(t); running != "file 1" {
+		t.Errorf("during a takeover %s runs", running)
 	}
-	k.Close()
+	successor.Close()
 	awaitAnswer(t, s, "2", "trial")
-	set(t, s, "3", maxAttemptsResource(4), nil)
-	set(t, s, "4", maxAttemptsResource(5), nil)
-	if runs, _ := d.runs(t); runs != "2 over file 1" {
-		t.Errorf("during a trial %s runs", runs)
+	setVersion(t, s, "3", maxAttemptsResource(4), nil)
+	setVersion(t, s, "4", maxAttemptsResource(5), nil)
+	if running, _ := d.runningVersion(t); running != "2 over file 1" {
+		t.Errorf("during a trial %s runs", running)
 	}
 	awaitAnswer(t, s, "4", "trial")
 	if !s.HasAnswer("", "2", "good") || s.HasAnswer("", "3", "trial") {
@@ -314,21 +323,25 @@
 	}
 	// A new file is applied first, and ends the canary.
 	d.reload <- syscall.SIGHUP
-	d.next <- w.config(t, append(w.managed(addr, "i-1"), "worth = 5.0", "worth = 3.0")...)
-	scriptedpeer.Eventually(t, "the file", func() bool { runs, _ := d.runs(t); return runs == "4 over file 2" })
+	d.nextConfigs <- fleet.config(t, append(fleet.controlPlaneEdits(addr, "i-1"), "worth = 5.0", "worth = 3.0")...)
+	scriptedpeer.Eventually(t, "the file", func() bool {
+		running, _ := d.runningVersion(t)
+		return running == "4 over file 2"
+	})
 	// Another process takes over, which does not count against the version.
-	next := start(t, w.config(t, append(w.managed(addr, "i-1"), "worth = 5.0", "worth = 3.0")...))
+	next := startDaemon(t, fleet.config(t,
+		append(fleet.controlPlaneEdits(addr, "i-1"), "worth = 5.0", "worth = 3.0")...))
 	checkEnded(t, d.ended, "end")
 	awaitAnswer(t, s, "4", "good")
-	hold, taken := make(chan struct{}), make(chan struct{}, 1)
-	w.holdRequests("", taken, hold)
+	release, held := make(chan struct{}), make(chan struct{}, 1)
+	fleet.holdRequests("", held, release)
 	open := dial(t, "tcp", addr)
-	open.send(t, request("pay", 900, ""))
-	scriptedpeer.Receive(t, taken, "attempt")
+	open.send(t, requestText("pay", 900, ""))
+	scriptedpeer.Receive(t, held, "attempt")
 	next.stop()
-	set(t, s, "5", maxAttemptsResource(2), nil)
-	close(hold)
-	if resp, _ := open.answer(t); resp.StatusCode != 200 {
+	setVersion(t, s, "5", maxAttemptsResource(2), nil)
+	close(release)
+	if resp, _ := open.readResponse(t); resp.StatusCode != 200 {
 		t.Error(resp.Status)
 	}
 	checkEnded(t, next.ended, "end")
@@ -336,31 +349,31 @@
 		t.Errorf("while it ended: %q", answers)
 	}
 	// The next process applies the version that the last one had no time for.
-	start(t, w.config(t, append(w.managed(addr, "i-1"), "worth = 5.0", "worth = 3.0")...))
+	startDaemon(t, fleet.config(t, append(fleet.controlPlaneEdits(addr, "i-1"), "worth = 5.0", "worth = 3.0")...))
 	awaitAnswer(t, s, "5", "good")
 }
 
 // The process after one that was killed during a canary starts with the last known good version. After two such
 // processes the version is rejected.
 func TestKilledOnTrial(t *testing.T) {
-	w := newTestFleet(t, 1, endpoint.Options{})
-	s := w.withControlPlane(t)
+	fleet := newTestFleet(t, 1, endpoint.Options{})
+	s := fleet.startControlPlane(t)
 	addr := freeAddr(t)
-	edits := w.managed(addr, "i-1", `trial = "1s"`, `trial = "1h"`)
+	edits := fleet.controlPlaneEdits(addr, "i-1", `trial = "1s"`, `trial = "1h"`)
 	for n := range 2 {
-		p := spawn(t, "daemon", w.file(edits...))
+		p := spawnRole(t, "daemon", fleet.configText(edits...))
 		scriptedpeer.Receive(t, p.lines, "a daemon that serves")
 		if n == 0 {
-			set(t, s, "1", maxAttemptsResource(2), nil)
+			setVersion(t, s, "1", maxAttemptsResource(2), nil)
 		}
 		scriptedpeer.Eventually(t, "a trial", func() bool { return len(s.Answers("", "1")) == n+1 })
 		require.NoError(t, p.Process.Kill())
 		<-p.ended
 	}
-	p := spawn(t, "daemon", w.file(edits...))
+	p := spawnRole(t, "daemon", fleet.configText(edits...))
 	scriptedpeer.Receive(t, p.lines, "a daemon that serves")
 	awaitAnswer(t, s, "1", "refused: 2 processes ended while they tried version 1")
 	dial(t, "tcp", addr).checkServed(t, "beside the rejected version")
-	set(t, s, "2", maxAttemptsResource(3), nil)
+	setVersion(t, s, "2", maxAttemptsResource(3), nil)
 	awaitAnswer(t, s, "2", "trial")
 }
--- a/internal/daemon/routes_test.go
+++ b/internal/daemon/routes_test.go
@@ -24,24 +24,24 @@
 )
 
 // newApp starts a stand-in application.
-func newApp(t *testing.T, runs func(id string, whole bool)) *webapp.App {
+func newApp(t *testing.T, onRequest func(id string, complete bool)) *webapp.App {
 	t.Helper()
-	a, err := webapp.Start(runs)
+	a, err := webapp.Start(onRequest)
 	require.NoError(t, err)
 	t.Cleanup(a.Close)
 	return a
 }
 
 // parse reads a file, with edits as pairs of old and new text.
-func parse(t *testing.T, text string, edits ...string) *config.Config {
+func parseConfig(t *testing.T, text string, edits ...string) *config.Config {
 	t.Helper()
 	c, err := config.Parse([]byte(strings.NewReplacer(edits...).Replace(text)))
 	require.NoError(t, err)
 	return c
 }
 
-// appFile is a file with one pool, whose endpoints replace ADDRS, and one route.
-const appFile = `
+// onePoolConfig is a file with one pool, whose endpoints replace ADDRS, and one route.
+const onePoolConfig = `
 [[listener]]
 address = "127.0.0.1:0"
 [[pool]]
@@ -51,18 +51,18 @@
 pool = "app"
 `
 
-func addrs(all ...*webapp.App) string {
+func quotedAddrs(apps ...*webapp.App) string {
 	var quoted []string
-	for _, a := range all {
+	for _, a := range apps {
 		quoted = append(quoted, fmt.Sprintf("%q", a.Addr))
 	}
 	return strings.Join(quoted, ", ")
 }
 
 // routed starts a daemon of a file, with edits as pairs of old and new text, and returns its listener's address.
-func routed(t *testing.T, text string, edits ...string) (*running, string) {
+func startRoutedDaemon(t *testing.T, text string, edits ...string) (*runningDaemon, string) {
 	t.Helper()
-	d := start(t, parse(t, text, edits...))
+	d := startDaemon(t, parseConfig(t, text, edits...))
 	for _, addr := range d.addrs {
 		return d, addr
 	}
@@ -74,28 +74,28 @@
 // httputil.ReverseProxy, apart from the differences that package differential explains.
 func TestLikeReverseProxy(t *testing.T) {
 	a := newApp(t, nil)
-	_, addr := routed(t, appFile, "ADDRS", addrs(a))
+	_, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a))
 	proxy := httptest.NewServer(&httputil.ReverseProxy{FlushInterval: -1, Rewrite: func(r *httputil.ProxyRequest) {
 		r.SetURL(&url.URL{Scheme: "http", Host: a.Addr})
 		r.Out.Host = r.In.Host
 	}, Transport: &http.Transport{DisableCompression: true}, ErrorLog: quietLog()})
 	defer proxy.Close()
 	cases := differential.Generate(1, 400)
-	all, err := differential.Run(context.Background(), addr, proxy.Listener.Addr().String(), cases)
+	differences, err := differential.Run(context.Background(), addr, proxy.Listener.Addr().String(), cases)
 	require.NoError(t, err)
-	without, reasons := differential.Unexplained(all)
-	for i, d := range without {
+	unexplained, explained := differential.Unexplained(differences)
+	for i, d := range unexplained {
 		if i < 12 {
 			t.Errorf("%v", d)
 		}
 	}
-	t.Logf("%d differences without a reason; with one: %v", len(without), reasons)
+	t.Logf("%d differences without a reason; with one: %v", len(unexplained), explained)
 }
 
 // A route edits requests and responses as configured, and forwards the rest unchanged.
 func TestEditsOnTheWay(t *testing.T) {
 	a := newApp(t, nil)
-	_, addr := routed(t, appFile+`path = "/cards/*"
+	_, addr := startRoutedDaemon(t, onePoolConfig+`path = "/cards/*"
 strip_prefix = "/cards"
 add_prefix = "/v2"
 to_host = "cards.internal"
@@ -104,13 +104,14 @@
 forwarded = "x-forwarded"
 request = { remove = ["Cookie"], set = { "X-Via" = "here" }, add = { "X-Hop" = "2" } }
 answer = { remove = ["Server"], set = { "Cache-Control" = "no-store" } }
-`, "ADDRS", addrs(a))
-	k := dial(t, "tcp", addr)
+`, "ADDRS", quotedAddrs(a))
+	conn := dial(t, "tcp", addr)
 	plan := webapp.Plan{Header: map[string][]string{"Server": {"x"}, "Cache-Control": {"public"}, "X-Kept": {"1", "2"}}}
-	resp, _ := k.request(t, "GET /cards/../cards/7?q=1 HTTP/1.1\r\nHost: outside\r\nCookie: c\r\nX-Via: client\r\n"+
-		"X-Hop: 1\r\nTraceparent: 00-1-2-01\r\nX-Forwarded-For: 6.6.6.6\r\nForwarded: for=6.6.6.6\r\n"+
-		"X-Expires-In-Ms: 5000\r\nConnection: x-own\r\nX-Own: 1\r\n"+
-		webapp.PlanHeader+": "+plan.JSON()+"\r\n\r\n")
+	resp, _ := conn.roundTrip(t,
+		"GET /cards/../cards/7?q=1 HTTP/1.1\r\nHost: outside\r\nCookie: c\r\nX-Via: client\r\n"+
+			"X-Hop: 1\r\nTraceparent: 00-1-2-01\r\nX-Forwarded-For: 6.6.6.6\r\nForwarded: for=6.6.6.6\r\n"+
+			"X-Expires-In-Ms: 5000\r\nConnection: x-own\r\nX-Own: 1\r\n"+
+			webapp.PlanHeader+": "+plan.JSON()+"\r\n\r\n")
 	var got webapp.ObservedRequest
 	if err := json.Unmarshal([]byte(resp.Header.Get(webapp.ObservedRequestHeader)), &got); err != nil {
 		t.Fatal(resp.Status, err)
@@ -133,7 +134,7 @@
 // Forwarded headers of earlier hops are trusted only if the route says so.
 func TestForwarded(t *testing.T) {
 	a := newApp(t, nil)
-	for _, tc := range []struct{ edits, want string }{
+	for _, tc := range []struct{ edits, wantHeaders string }{
 		{"", `Forwarded: ["for=6.6.6.6"]; X-Forwarded-For: ["6.6.6.6"]`},
 		{"forwarded = \"none\"\n", ``},
 		{"forwarded = \"rfc7239\"\n", `Forwarded: ["for=127.0.0.1;host=\"h:1\";proto=http"]`},
@@ -142,13 +143,13 @@
 		{"forwarded = \"x-forwarded\"\ntrusted = true\n",
 			`X-Forwarded-For: ["6.6.6.6, 127.0.0.1"]; X-Forwarded-Host: ["h:1"]; X-Forwarded-Proto: ["http"]`},
 	} {
-		_, addr := routed(t, appFile+tc.edits, "ADDRS", addrs(a))
-		resp, _ := dial(t, "tcp", addr).request(t,
+		_, addr := startRoutedDaemon(t, onePoolConfig+tc.edits, "ADDRS", quotedAddrs(a))
+		resp, _ := dial(t, "tcp", addr).roundTrip(t,
 			"GET / HTTP/1.1\r\nHost: h:1\r\nX-Forwarded-For: 6.6.6.6\r\nForwarded: for=6.6.6.6\r\n\r\n")
 		var got webapp.ObservedRequest
 		require.NoError(t, json.Unmarshal([]byte(resp.Header.Get(webapp.ObservedRequestHeader)), &got))
-		if text := webapp.HeaderText(got.Header); text != tc.want {
-			t.Errorf("%q: %s, want %s", tc.edits, text, tc.want)
+		if text := webapp.HeaderText(got.Header); text != tc.wantHeaders {
+			t.Errorf("%q: %s, want %s", tc.edits, text, tc.wantHeaders)
 		}
 	}
 }
@@ -156,7 +157,7 @@
 // A safe request that an endpoint rejects is retried at another one, and the client gets the last response. An unsafe
 // one is not retried.
 func TestLoadReportsOfEndpoints(t *testing.T) {
-	full := http.Header{"Retry-After": {"7"}}
+	overloaded := http.Header{"Retry-After": {"7"}}
 	for _, tc := range []struct {
 		method   string
 		status   int
@@ -164,13 +165,13 @@
 		attempts int64
 	}{
 		{"GET", 404, nil, 1}, {"POST", 409, nil, 1}, {"GET", 301, nil, 1}, {"GET", 503, nil, 1}, {"GET", 501, nil, 1},
-		{"GET", 500, nil, 2}, {"GET", 503, full, 2}, {"GET", 429, full, 2},
-		{"POST", 500, nil, 1}, {"POST", 503, full, 1},
+		{"GET", 500, nil, 2}, {"GET", 503, overloaded, 2}, {"GET", 429, overloaded, 2},
+		{"POST", 500, nil, 1}, {"POST", 503, overloaded, 1},
 	} {
 		a, b := newApp(t, nil), newApp(t, nil)
-		_, addr := routed(t, appFile, "ADDRS", addrs(a, b))
+		_, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a, b))
 		plan := webapp.Plan{Status: tc.status, Header: tc.header, BodySize: 5}
-		resp, body := dial(t, "tcp", addr).request(t, tc.method+" / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n"+
+		resp, body := dial(t, "tcp", addr).roundTrip(t, tc.method+" / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n"+
 			webapp.PlanHeader+": "+plan.JSON()+"\r\n\r\n")
 		n := a.RequestCount() + b.RequestCount()
 		if resp.StatusCode != tc.status || resp.Header.Get("Proxy-Status") != "" || len(body) != 5 ||
@@ -181,7 +182,7 @@
 	}
 }
 
-const handedPools = `
+const takeoverPoolsConfig = `
 [takeover]
 socket = "SOCKET"
 ready_within = "5s"
@@ -204,7 +205,7 @@
 
 // streamUntil handles connections of an endpoint: the response for /listed/stream is sent in two halves of 100,000
 // bytes, the second once more is closed, and any other is empty.
-func streamUntil(more <-chan struct{}) func(c *net.TCPConn, r *bufio.Reader) {
+func streamUntil(release <-chan struct{}) func(c *net.TCPConn, r *bufio.Reader) {
 	return func(c *net.TCPConn, r *bufio.Reader) {
 		for {
 			q, err := scriptedpeer.ReadRequest(r)
@@ -216,7 +217,7 @@
 				continue
 			}
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"+strings.Repeat("x", 100_000))
-			<-more
+			<-release
 			io.WriteString(c, strings.Repeat("x", 100_000))
 		}
 	}
@@ -225,11 +226,12 @@
 // writeList replaces a pool's list in a file.
 func writeList(t *testing.T, file string, apps ...*webapp.App) {
 	t.Helper()
-	var all []string
+	var instances []string
 	for i, a := range apps {
-		all = append(all, fmt.Sprintf(`{"instanceId":"f-%d","hostPort":%q,"lifecycle":"up","weight":1}`, i, a.Addr))
+		instances = append(instances, fmt.Sprintf(
+			`{"instanceId":"f-%d","hostPort":%q,"lifecycle":"up","weight":1}`, i, a.Addr))
 	}
-	text := `{"instances":[` + strings.Join(all, ",") + `]}`
+	text := `{"instances":[` + strings.Join(instances, ",") + `]}`
 	require.NoError(t, os.WriteFile(file+".new", []byte(text), 0o600))
 	require.NoError(t, os.Rename(file+".new", file))
 }
@@ -237,18 +239,18 @@
 // A successor takes over the learned state of each pool, with the list of its own file. A response that streams ends in
 // the predecessor.
 func TestTakeoverOfPools(t *testing.T) {
-	more := make(chan struct{})
-	streams := scriptedpeer.StartTCP(t, streamUntil(more))
+	release := make(chan struct{})
+	streamingAddr := scriptedpeer.StartTCP(t, streamUntil(release))
 	a, b := newApp(t, nil), newApp(t, nil)
 	dir := t.TempDir()
 	file := dir + "/pool.json"
 	writeList(t, file, a)
-	c := parse(t, handedPools, "SOCKET", dir+"/takeover.sock", "ADDRESS", freeAddr(t),
-		"LISTED", `"`+streams+`"`, "FILE", file)
-	first := start(t, c)
-	k := dial(t, "tcp", c.Listeners[0].Address)
+	c := parseConfig(t, takeoverPoolsConfig, "SOCKET", dir+"/takeover.sock", "ADDRESS", freeAddr(t),
+		"LISTED", `"`+streamingAddr+`"`, "FILE", file)
+	first := startDaemon(t, c)
+	conn := dial(t, "tcp", c.Listeners[0].Address)
 	for _, path := range []string{"/listed/1", "/file/1", "/listed/2", "/file/2"} {
-		if resp, _ := k.request(t, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
+		if resp, _ := conn.roundTrip(t, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
 			t.Fatalf("%s: %s", path, resp.Status)
 		}
 	}
@@ -256,7 +258,7 @@
 	io.WriteString(streaming, "GET /listed/stream HTTP/1.1\r\nHost: h\r\n\r\n")
 	resp := streaming.readHead(t)
 	writeList(t, file, a, b) // the successor reads it at its start
-	second, serving := launch(t, c, testLog())
+	second, serving := launchDaemon(t, c, testLog())
 	second.addrs = scriptedpeer.Receive(t, serving, "the second daemon")
 	s := second.core.Snapshot()
 	for _, name := range []string{"listed", "file"} {
@@ -269,11 +271,11 @@
 		t.Errorf("the file's list is the old process's: %+v", p.Endpoints)
 	}
 	for range 4 {
-		if resp, _ := k.request(t, "GET /file/3 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
+		if resp, _ := conn.roundTrip(t, "GET /file/3 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
 			t.Errorf("the kept connection: %s", resp.Status)
 		}
 	}
-	close(more)
+	close(release)
 	if n, err := io.Copy(io.Discard, resp.Body); err != nil || n != 200_000 {
 		t.Errorf("the answer that streamed: %d bytes, %v", n, err)
 	}
@@ -288,21 +290,21 @@
 		"[[class]]\nname = \"write\"\nrepeat = \"unsafe\"\naim = \"1s\"\ngive_up = \"2s\"\n"
 	swapped := strings.NewReplacer("\"read\"", "\"write\"", "\"write\"", "\"read\"",
 		"\"safe\"", "\"unsafe\"", "\"unsafe\"", "\"safe\"").Replace(classes)
-	d, addr := routed(t, appFile+classes, "ADDRS", addrs(a))
-	k := dial(t, "tcp", addr)
+	d, addr := startRoutedDaemon(t, onePoolConfig+classes, "ADDRS", quotedAddrs(a))
+	conn := dial(t, "tcp", addr)
 	checkStatus := func(path string, want int) {
 		t.Helper()
-		for _, k := range []*clientConn{k, dial(t, "tcp", addr)} {
-			if resp, _ := k.request(t, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != want {
+		for _, conn := range []*clientConn{conn, dial(t, "tcp", addr)} {
+			if resp, _ := conn.roundTrip(t, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != want {
 				t.Errorf("%s: %s, want %d", path, resp.Status, want)
 			}
 		}
 	}
 	checkStatus("/old", 200)
-	other := func(classes string) *config.Config {
-		return parse(t, appFile+"path = \"/new\"\n"+classes, "127.0.0.1:0", addr, "ADDRS", addrs(a))
+	configWith := func(classes string) *config.Config {
+		return parseConfig(t, onePoolConfig+"path = \"/new\"\n"+classes, "127.0.0.1:0", addr, "ADDRS", quotedAddrs(a))
 	}
-	second := d.changed(t, other(swapped))
+	second := d.applyConfig(t, configWith(swapped))
 	if second == d.generation {
 		t.Error("other classes without a generation of their own")
 	}
@@ -310,7 +312,7 @@
 	d.awaitOneGeneration(t)
 	checkStatus("/old", 404)
 	checkStatus("/new", 200)
-	if d.changed(t, other(swapped+"[paths]\nencoded_slash = \"keep\"\n")) != second {
+	if d.applyConfig(t, configWith(swapped+"[paths]\nencoded_slash = \"keep\"\n")) != second {
 		t.Error("a generation of its own for what can be changed while serving")
 	}
 	checkStatus("/new%2F", 404)
--- a/internal/daemon/scripted_takeover_test.go
+++ b/internal/daemon/scripted_takeover_test.go
@@ -26,30 +26,30 @@
 	c, err := takeover.Dial(path)
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
-	k := &scriptedSuccessor{t, c}
-	k.send(decide.Hello, fmt.Sprint(decide.Version))
-	return k
+	s := &scriptedSuccessor{t, c}
+	s.send(decide.Hello, fmt.Sprint(decide.Version))
+	return s
 }
 
-func (k *scriptedSuccessor) send(kind decide.Event, text string) {
-	k.Helper()
-	require.NoError(k, k.Write(takeover.Message{Kind: kind, Payload: []byte(text)}))
+func (s *scriptedSuccessor) send(kind decide.Event, text string) {
+	s.Helper()
+	require.NoError(s, s.Write(takeover.Message{Kind: kind, Payload: []byte(text)}))
 }
 
 // expect waits for a message of a kind. It skips connections that are handed over.
-func (k *scriptedSuccessor) expect(kind decide.Event) takeover.Message {
-	k.Helper()
+func (s *scriptedSuccessor) expect(kind decide.Event) takeover.Message {
+	s.Helper()
 	for {
-		m, err := k.Read()
+		m, err := s.Read()
 		if err != nil {
-			k.Fatalf("waiting for %v: %v", kind, err)
+			s.Fatalf("waiting for %v: %v", kind, err)
 		}
 		m.CloseFiles()
 		if m.Kind == kind {
 			return m
 		}
 		if m.Kind != takeover.ConnectionHandedOver {
-			k.Fatalf("%v %q, want %v", m.Kind, m.Payload, kind)
+			s.Fatalf("%v %q, want %v", m.Kind, m.Payload, kind)
 		}
 	}
 }
@@ -57,41 +57,41 @@
 // scriptedPredecessor is a predecessor whose messages a test writes.
 type scriptedPredecessor struct {
 	*scriptedSuccessor
-	ln *takeover.Listener
+	listener *takeover.Listener
 }
 
 // actAsPredecessor listens as a predecessor would and waits for a successor.
-func actAsPredecessor(t *testing.T, path string, took func()) *scriptedPredecessor {
+func actAsPredecessor(t *testing.T, path string, startSuccessor func()) *scriptedPredecessor {
 	t.Helper()
 	ln, err := takeover.Listen(path)
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
-	got := make(chan *takeover.Conn, 1)
+	accepted := make(chan *takeover.Conn, 1)
 	go func() {
 		if c, err := ln.Accept(); err == nil {
-			got <- c
+			accepted <- c
 		}
 	}()
-	took()
-	c := scriptedpeer.Receive(t, got, "successor")
+	startSuccessor()
+	c := scriptedpeer.Receive(t, accepted, "successor")
 	t.Cleanup(func() { c.Close() })
-	g := &scriptedPredecessor{&scriptedSuccessor{t, c}, ln}
-	g.expect(decide.Hello)
-	return g
+	p := &scriptedPredecessor{&scriptedSuccessor{t, c}, ln}
+	p.expect(decide.Hello)
+	return p
 }
 
 // waitReceived waits until the successor has handled all messages that were sent, in order: it closes the file that
 // comes with the last one.
-func (g *scriptedPredecessor) waitReceived() {
-	g.Helper()
-	ours, theirs, err := os.Pipe()
-	require.NoError(g, err)
-	defer ours.Close()
-	err = g.Write(takeover.Message{Kind: takeover.Cordons, Payload: []byte("[]"), Sockets: []syscall.Conn{theirs}})
-	theirs.Close()
-	require.NoError(g, err)
-	require.NoError(g, ours.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout)))
-	if n, err := ours.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
-		g.Fatalf("waiting until the messages are handled: %d bytes, %v", n, err)
+func (p *scriptedPredecessor) waitReceived() {
+	p.Helper()
+	readEnd, writeEnd, err := os.Pipe()
+	require.NoError(p, err)
+	defer readEnd.Close()
+	err = p.Write(takeover.Message{Kind: takeover.Cordons, Payload: []byte("[]"), Sockets: []syscall.Conn{writeEnd}})
+	writeEnd.Close()
+	require.NoError(p, err)
+	require.NoError(p, readEnd.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout)))
+	if n, err := readEnd.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
+		p.Fatalf("waiting until the messages are handled: %d bytes, %v", n, err)
 	}
 }
--- a/internal/daemon/streaming_test.go
+++ b/internal/daemon/streaming_test.go
@@ -18,8 +18,8 @@
 
 // The response of an endpoint that answers before it has read the body is forwarded, and the rest of the body is not.
 func TestEarlyAnswer(t *testing.T) {
-	got := make(chan int64, 1)
-	early := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+	discarded := make(chan int64, 1)
+	earlyEndpoint := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		q, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -27,24 +27,24 @@
 		io.CopyN(io.Discard, q.Body, 1000)
 		io.WriteString(c, "HTTP/1.1 413 Too Large\r\nContent-Length: 5\r\nX-Mine: yes\r\n\r\nsmall")
 		n, _ := io.Copy(io.Discard, c)
-		got <- n
+		discarded <- n
 	})
-	d, addr := routed(t, appFile, "ADDRS", `"`+early+`"`)
-	k := dial(t, "tcp", addr)
+	d, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", `"`+earlyEndpoint+`"`)
+	conn := dial(t, "tcp", addr)
 	go func() {
-		fmt.Fprintf(k, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 100000000\r\n\r\n")
-		io.WriteString(k, strings.Repeat("x", 300_000)) // and then it waits
+		fmt.Fprintf(conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 100000000\r\n\r\n")
+		io.WriteString(conn, strings.Repeat("x", 300_000)) // and then it waits
 	}()
-	resp, body := k.answer(t)
+	resp, body := conn.readResponse(t)
 	if resp.StatusCode != 413 || body != "small" || resp.Header.Get("X-Mine") != "yes" ||
 		resp.Header.Get("Proxy-Status") != "" {
 		t.Errorf("%s %q %v", resp.Status, body, resp.Header)
 	}
-	k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-	if _, err := k.r.ReadByte(); err == nil || isTimeout(err) {
+	conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+	if _, err := conn.reader.ReadByte(); err == nil || isTimeout(err) {
 		t.Errorf("the connection stays open on half a body: %v", err)
 	}
-	if n := scriptedpeer.Receive(t, got, "the endpoint's end"); n > 10_000_000 {
+	if n := scriptedpeer.Receive(t, discarded, "the endpoint's end"); n > 10_000_000 {
 		t.Errorf("the endpoint got %d bytes more", n)
 	}
 	d.waitIdle(t)
@@ -55,24 +55,25 @@
 func TestBrokenBodies(t *testing.T) {
 	var complete atomic.Int32
 	var attempts sync.Map // by request id, because a late attempt may arrive during the next case
-	a := newApp(t, func(id string, whole bool) {
+	a := newApp(t, func(id string, isComplete bool) {
 		if id == "" {
 			return // one of the requests at the end
 		}
 		n, _ := attempts.LoadOrStore(id, new(atomic.Int32))
 		n.(*atomic.Int32).Add(1)
-		if whole {
+		if isComplete {
 			complete.Add(1)
 		}
 	})
 	b := newApp(t, a.OnRequest)
-	d, addr := routed(t, appFile+"idle = \"300ms\"\nbody_most = \"1MiB\"\n", "ADDRS", addrs(a, b))
+	d, addr := startRoutedDaemon(t,
+		onePoolConfig+"idle = \"300ms\"\nbody_most = \"1MiB\"\n", "ADDRS", quotedAddrs(a, b))
 	chunk := "186a0\r\n" + strings.Repeat("x", 100_000) + "\r\n"
 	for _, tc := range []struct {
 		name, head string
 		body       string
-		leave      bool
-		want       int
+		closeWrite bool
+		wantStatus int
 	}{
 		{"leaves in a long body", "Content-Length: 1000000", strings.Repeat("x", 200_000), true, 0},
 		{"leaves in a short body", "Content-Length: 1000", "x", true, 400},
@@ -82,24 +83,24 @@
 		{"chunks over the bound", "Transfer-Encoding: chunked", strings.Repeat(chunk, 12), false, 413},
 		{"a length over the bound", "Content-Length: 1048577", "x", false, 413},
 	} {
-		k := dial(t, "tcp", addr)
+		conn := dial(t, "tcp", addr)
 		id := strings.ReplaceAll(tc.name, " ", "-")
 		go func() {
-			fmt.Fprintf(k, "POST / HTTP/1.1\r\nHost: h\r\nX-Id: %s\r\n%s\r\n\r\n%s", id, tc.head, tc.body)
-			if tc.leave {
-				k.Conn.(*net.TCPConn).CloseWrite()
+			fmt.Fprintf(conn, "POST / HTTP/1.1\r\nHost: h\r\nX-Id: %s\r\n%s\r\n\r\n%s", id, tc.head, tc.body)
+			if tc.closeWrite {
+				conn.Conn.(*net.TCPConn).CloseWrite()
 			}
 		}()
-		k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-		resp, err := http.ReadResponse(k.r, nil)
+		conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+		resp, err := http.ReadResponse(conn.reader, nil)
 		switch {
-		case tc.want == 0: // the client has disconnected
+		case tc.wantStatus == 0: // the client has disconnected
 		case err != nil:
 			t.Errorf("%s: %v", tc.name, err)
-		case resp.StatusCode != tc.want || resp.Header.Get("Proxy-Status") == "" && tc.want != 413:
+		case resp.StatusCode != tc.wantStatus || resp.Header.Get("Proxy-Status") == "" && tc.wantStatus != 413:
 			t.Errorf("%s: %s, %v", tc.name, resp.Status, resp.Header)
 		}
-		k.Close()
+		conn.Close()
 		d.waitIdle(t)
 	}
 	checkRoot(t, addr, "afterwards", 20)
@@ -120,7 +121,7 @@
 func checkRoot(t *testing.T, addr, when string, n int) {
 	t.Helper()
 	for range n {
-		if resp, _ := dial(t, "tcp", addr).request(t, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
+		if resp, _ := dial(t, "tcp", addr).roundTrip(t, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
 			t.Errorf("%s: %s", when, resp.Status)
 		}
 	}
@@ -129,26 +130,26 @@
 // A body of one byte now and then times out, and does not delay other clients.
 func TestBodyByteByByte(t *testing.T) {
 	a := newApp(t, nil)
-	_, addr := routed(t, appFile, "ADDRS", addrs(a))
-	k := dial(t, "tcp", addr)
+	_, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a))
+	conn := dial(t, "tcp", addr)
 	stop := make(chan struct{})
 	defer close(stop)
 	started := time.Now()
-	io.WriteString(k, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\n")
+	io.WriteString(conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\n")
 	go func() {
 		tick := time.NewTicker(100 * time.Millisecond)
 		defer tick.Stop()
 		for {
 			select {
 			case <-tick.C:
-				io.WriteString(k, "x")
+				io.WriteString(conn, "x")
 			case <-stop:
 				return
 			}
 		}
 	}()
 	checkRoot(t, addr, "beside it", 10)
-	if resp, _ := k.answer(t); resp.StatusCode != 408 || time.Since(started) > 3*time.Second {
+	if resp, _ := conn.readResponse(t); resp.StatusCode != 408 || time.Since(started) > 3*time.Second {
 		t.Errorf("%s after %v", resp.Status, time.Since(started))
 	}
 	if a.RequestCount() != 10 {
@@ -176,31 +177,31 @@
 			}
 		}
 	})
-	d, addr := routed(t, appFile, "ADDRS", `"`+endpoint+`"`)
-	k := dial(t, "tcp", addr)
-	k.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
-	io.WriteString(k, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-	k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-	if resp, err := http.ReadResponse(k.r, nil); err != nil || resp.ContentLength != 1<<30 {
+	d, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", `"`+endpoint+`"`)
+	conn := dial(t, "tcp", addr)
+	conn.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
+	io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+	conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+	if resp, err := http.ReadResponse(conn.reader, nil); err != nil || resp.ContentLength != 1<<30 {
 		t.Fatal(err)
 	}
-	last, same := int64(-1), 0
+	lastSent, unchanged := int64(-1), 0
 	scriptedpeer.Eventually(t, "an endpoint that waits", func() bool {
 		time.Sleep(10 * time.Millisecond)
-		if now := sent.Load(); now != last {
-			last, same = now, 0
+		if now := sent.Load(); now != lastSent {
+			lastSent, unchanged = now, 0
 		} else {
-			same++
+			unchanged++
 		}
-		return same > 10
+		return unchanged > 10
 	})
-	if last > 64<<20 {
-		t.Errorf("%d MiB were received that the client does not read", last>>20)
+	if lastSent > 64<<20 {
+		t.Errorf("%d MiB were received that the client does not read", lastSent>>20)
 	}
-	if _, err := io.CopyN(io.Discard, k.r, 100<<20); err != nil {
+	if _, err := io.CopyN(io.Discard, conn.reader, 100<<20); err != nil {
 		t.Errorf("read on: %v", err)
 	}
-	k.Close()
+	conn.Close()
 	scriptedpeer.Receive(t, ended, "the end of the attempt")
 	d.waitIdle(t)
 }
@@ -208,15 +209,15 @@
 // A client of HTTP/1.0 gets a streamed response without chunks, to the end of the connection.
 func TestOldClientsGetStreams(t *testing.T) {
 	a := newApp(t, nil)
-	d, addr := routed(t, appFile, "ADDRS", addrs(a))
+	d, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a))
 	for _, plan := range []webapp.Plan{
 		{BodySize: 300_000},
 		{BodySize: 300_000, Pieces: 3, Trailer: map[string]string{"X-Sum": "1"}},
 		{BodySize: 300_000, CloseDelimited: true},
 		{BodySize: 10, Pieces: 2, PieceInterval: 50 * time.Millisecond},
 	} {
-		k := dial(t, "tcp", addr)
-		resp, body := k.request(t, "GET / HTTP/1.0\r\n"+webapp.PlanHeader+": "+plan.JSON()+"\r\n\r\n")
+		conn := dial(t, "tcp", addr)
+		resp, body := conn.roundTrip(t, "GET / HTTP/1.0\r\n"+webapp.PlanHeader+": "+plan.JSON()+"\r\n\r\n")
 		if resp.StatusCode != 200 || len(body) != plan.BodySize || len(resp.TransferEncoding) > 0 || !resp.Close {
 			t.Errorf("%+v: %s, %d bytes, %v", plan, resp.Status, len(body), resp.TransferEncoding)
 		}
@@ -228,9 +229,9 @@
 // error that is no timeout, with at most maxSize bytes and no trailer.
 func checkBreaksOff(t *testing.T, addr, version string, maxSize int) {
 	t.Helper()
-	k := dial(t, "tcp", addr)
-	fmt.Fprintf(k, "GET / HTTP/%.3s\r\nHost: h\r\n\r\n", version)
-	resp := k.readHead(t)
+	conn := dial(t, "tcp", addr)
+	fmt.Fprintf(conn, "GET / HTTP/%.3s\r\nHost: h\r\n\r\n", version)
+	resp := conn.readHead(t)
 	got, err := io.ReadAll(resp.Body)
 	if err == nil || isTimeout(err) || len(got) > maxSize || resp.Trailer.Get("X-Sum") != "" {
 		t.Errorf("HTTP/%s: %d bytes, %v, trailer %v", version, len(got), err, resp.Trailer)
@@ -263,8 +264,10 @@
 					c.SetLinger(0)
 				}
 			})
-			for version, at := range map[string]string{"1.1": endpoint, "1.0": endpoint, "1.1, slowly": slow} {
-				d, addr := routed(t, appFile+"idle = \"200ms\"\n", "ADDRS", `"`+at+`"`)
+			for version, endpointAddr := range map[string]string{
+				"1.1": endpoint, "1.0": endpoint, "1.1, slowly": slow,
+			} {
+				d, addr := startRoutedDaemon(t, onePoolConfig+"idle = \"200ms\"\n", "ADDRS", `"`+endpointAddr+`"`)
 				checkBreaksOff(t, addr, version, len(big)+2)
 				d.waitIdle(t)
 			}
--- a/internal/daemon/successor_test.go
+++ b/internal/daemon/successor_test.go
@@ -14,30 +14,31 @@
 
 // A successor that hands over and ends before its own predecessor is done does not make that one serve again.
 func TestSuccessorHandsOverBeforeItsPredecessorIsDone(t *testing.T) {
-	w := newTestFleet(t, 2, endpoint.Options{})
-	hold, taken := make(chan struct{}), make(chan struct{}, 1)
-	w.holdRequests("/pay/1", taken, hold)
+	fleet := newTestFleet(t, 2, endpoint.Options{})
+	release, held := make(chan struct{}), make(chan struct{}, 1)
+	fleet.holdRequests("/pay/1", held, release)
 	addr := freeAddr(t)
-	first := start(t, w.config(t, "127.0.0.1:0", addr))
-	k := dial(t, "tcp", addr)
-	k.send(t, request("pay", 900, ""))
-	scriptedpeer.Receive(t, taken, "attempt")
-	second := start(t, w.config(t, "127.0.0.1:0", addr, `drain_within = "3s"`, `drain_within = "50ms"`))
-	third := start(t, w.config(t, "127.0.0.1:0", addr))
+	first := startDaemon(t, fleet.config(t, "127.0.0.1:0", addr))
+	conn := dial(t, "tcp", addr)
+	conn.send(t, requestText("pay", 900, ""))
+	scriptedpeer.Receive(t, held, "attempt")
+	second := startDaemon(t, fleet.config(t, "127.0.0.1:0", addr, `drain_within = "3s"`, `drain_within = "50ms"`))
+	third := startDaemon(t, fleet.config(t, "127.0.0.1:0", addr))
 	checkEnded(t, second.ended, "end of the second")
 	for range 20 {
-		if resp, _ := dial(t, "tcp", addr).request(t, request("look", 900, "")); resp.StatusCode != 200 || resp.Close {
+		if resp, _ := dial(t, "tcp", addr).roundTrip(
+			t, requestText("look", 900, "")); resp.StatusCode != 200 || resp.Close {
 			t.Errorf("%s, close %v", resp.Status, resp.Close)
 		}
 	}
-	if all, _ := first.front.ConnectionCounts(); all != 1 {
-		t.Errorf("the first has %d connections, and should have the one with the open request", all)
+	if connections, _ := first.front.ConnectionCounts(); connections != 1 {
+		t.Errorf("the first has %d connections, and should have the one with the open request", connections)
 	}
-	if all, _ := third.front.ConnectionCounts(); all != 20 {
-		t.Errorf("the last has %d connections of 20", all)
+	if connections, _ := third.front.ConnectionCounts(); connections != 20 {
+		t.Errorf("the last has %d connections of 20", connections)
 	}
-	close(hold)
-	if resp, _ := k.answer(t); resp.StatusCode != 200 {
+	close(release)
+	if resp, _ := conn.readResponse(t); resp.StatusCode != 200 {
 		t.Errorf("the open request: %s", resp.Status)
 	}
 	checkEnded(t, first.ended, "end of the first")
@@ -45,103 +46,103 @@
 
 // A successor that fails to start ends with an error, and the predecessor serves on.
 func TestSuccessorThatFailsToStart(t *testing.T) {
-	w := newTestFleet(t, 1, endpoint.Options{})
-	c := w.config(t, "127.0.0.1:0", freeAddr(t))
-	d := start(t, c)
-	k := dial(t, "tcp", d.addrs["desk"])
+	fleet := newTestFleet(t, 1, endpoint.Options{})
+	c := fleet.config(t, "127.0.0.1:0", freeAddr(t))
+	d := startDaemon(t, c)
+	conn := dial(t, "tcp", d.addrs["desk"])
 	// One more listener, at an address that another process has.
-	old, more := moreListener(w.discovery.Addr)
-	bad := w.config(t, "127.0.0.1:0", c.Listeners[0].Address, old, more)
+	oldText, newText := extraListenerEdit(fleet.discovery.Addr)
+	badConfig := fleet.config(t, "127.0.0.1:0", c.Listeners[0].Address, oldText, newText)
 	ctx, cancel := context.WithTimeout(context.Background(), scriptedpeer.WaitTimeout)
 	defer cancel()
-	err := Run(ctx, Options{Config: bad, Log: testLog(), Seed: 2})
+	err := Run(ctx, Options{Config: badConfig, Log: testLog(), Seed: 2})
 	if err == nil || !strings.Contains(err.Error(), `listener "more"`) {
 		t.Errorf("the new one: %v", err)
 	}
-	d.stillServes(t, k)
-	restart(t, d, &options{c})
+	d.checkStillServes(t, conn)
+	restart(t, d, &restartOptions{c})
 }
 
-// lostSuccessors are the ways in which a successor is lost.
-var lostSuccessors = []struct {
-	name string
-	do   func(k *scriptedSuccessor)
+// lostSuccessorCases are the ways in which a successor is lost.
+var lostSuccessorCases = []struct {
+	name   string
+	script func(s *scriptedSuccessor)
 }{
-	{"killed at once", func(k *scriptedSuccessor) { k.Close() }},
-	{"killed before it is ready", func(k *scriptedSuccessor) {
-		k.expect(decide.Offer)
-		k.Close()
+	{"killed at once", func(s *scriptedSuccessor) { s.Close() }},
+	{"killed before it is ready", func(s *scriptedSuccessor) {
+		s.expect(decide.Offer)
+		s.Close()
 	}},
-	{"hangs before it is ready", func(k *scriptedSuccessor) {
-		k.expect(decide.Offer)
-		if m := k.expect(decide.Rejected); !strings.Contains(string(m.Payload), "not ready in time") {
-			k.Errorf("rejected with %q", m.Payload)
+	{"hangs before it is ready", func(s *scriptedSuccessor) {
+		s.expect(decide.Offer)
+		if m := s.expect(decide.Rejected); !strings.Contains(string(m.Payload), "not ready in time") {
+			s.Errorf("rejected with %q", m.Payload)
 		}
 	}},
-	{"killed once ready", func(k *scriptedSuccessor) {
-		k.expect(decide.Offer)
-		k.send(decide.Ready, "")
-		k.Close()
+	{"killed once ready", func(s *scriptedSuccessor) {
+		s.expect(decide.Offer)
+		s.send(decide.Ready, "")
+		s.Close()
 	}},
-	{"killed while nobody accepts", func(k *scriptedSuccessor) {
-		k.expect(decide.Offer)
-		k.send(decide.Ready, "")
-		k.expect(decide.Handover)
-		k.Close()
+	{"killed while nobody accepts", func(s *scriptedSuccessor) {
+		s.expect(decide.Offer)
+		s.send(decide.Ready, "")
+		s.expect(decide.Handover)
+		s.Close()
 	}},
-	{"killed as all is its own", func(k *scriptedSuccessor) {
-		k.expect(decide.Offer)
-		k.send(decide.Ready, "")
-		k.expect(decide.Handover)
-		k.send(decide.Prepared, "")
-		k.expect(decide.Activate)
-		k.Close()
+	{"killed as all is its own", func(s *scriptedSuccessor) {
+		s.expect(decide.Offer)
+		s.send(decide.Ready, "")
+		s.expect(decide.Handover)
+		s.send(decide.Prepared, "")
+		s.expect(decide.Activate)
+		s.Close()
 	}},
-	{"says no", func(k *scriptedSuccessor) {
-		k.expect(decide.Offer)
-		k.send(decide.Rejected, "no room")
-		k.Close()
+	{"says no", func(s *scriptedSuccessor) {
+		s.expect(decide.Offer)
+		s.send(decide.Rejected, "no room")
+		s.Close()
 	}},
-	{"talks out of turn", func(k *scriptedSuccessor) {
-		k.expect(decide.Offer)
+	{"talks out of turn", func(s *scriptedSuccessor) {
+		s.expect(decide.Offer)
 		for _, e := range []decide.Event{decide.Prepared, decide.Activate, decide.Stopping, 77, decide.Hello} {
-			k.send(e, "nonsense")
+			s.send(e, "nonsense")
 		}
-		k.Close()
+		s.Close()
 	}},
 }
 
 // A successor that hangs before it is ready, is killed at any moment, or has another version of the protocol, leaves
 // the predecessor as it was.
 func TestSuccessorIsLost(t *testing.T) {
-	for _, tc := range lostSuccessors {
+	for _, tc := range lostSuccessorCases {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newTestFleet(t, 1, endpoint.Options{})
-			c := w.config(t, "127.0.0.1:0", freeAddr(t), `ready_within = "5s"`, `ready_within = "300ms"`)
-			d := start(t, c)
-			busy := dial(t, "tcp", d.addrs["desk"])
-			busy.requireServed(t)
-			held, hold := make(chan struct{}, 1), make(chan struct{})
-			w.holdRequests("/pay/1", held, hold)
-			busy.send(t, request("pay", 900, "x"))
+			fleet := newTestFleet(t, 1, endpoint.Options{})
+			c := fleet.config(t, "127.0.0.1:0", freeAddr(t), `ready_within = "5s"`, `ready_within = "300ms"`)
+			d := startDaemon(t, c)
+			active := dial(t, "tcp", d.addrs["desk"])
+			active.requireServed(t)
+			held, release := make(chan struct{}, 1), make(chan struct{})
+			fleet.holdRequests("/pay/1", held, release)
+			active.send(t, requestText("pay", 900, "x"))
 			scriptedpeer.Receive(t, held, "attempt") // a connection in use is not handed over, so it cannot be lost
-			tc.do(connectAsSuccessor(t, c.Takeover.Socket))
-			close(hold)
-			if resp, _ := busy.answer(t); resp.StatusCode != 200 {
+			tc.script(connectAsSuccessor(t, c.Takeover.Socket))
+			close(release)
+			if resp, _ := active.readResponse(t); resp.StatusCode != 200 {
 				t.Errorf("the request that was open: %s", resp.Status)
 			}
-			d.stillServes(t, busy)
-			restart(t, d, &options{w.config(t, "127.0.0.1:0", c.Listeners[0].Address)})
+			d.checkStillServes(t, active)
+			restart(t, d, &restartOptions{fleet.config(t, "127.0.0.1:0", c.Listeners[0].Address)})
 		})
 	}
 	t.Run("says nothing", func(t *testing.T) {
-		w := newTestFleet(t, 1, endpoint.Options{})
-		c := w.config(t, "127.0.0.1:0", freeAddr(t))
-		d := start(t, c)
+		fleet := newTestFleet(t, 1, endpoint.Options{})
+		c := fleet.config(t, "127.0.0.1:0", freeAddr(t))
+		d := startDaemon(t, c)
 		for range 3 {
 			defer must(takeover.Dial(c.Takeover.Socket)).Close()
 		}
-		restart(t, d, &options{c})
+		restart(t, d, &restartOptions{c})
 	})
 	t.Run("another version", checkOtherVersion)
 }
@@ -149,17 +150,17 @@
 // checkOtherVersion checks that a second successor, and one with another version of the protocol, are rejected.
 func checkOtherVersion(t *testing.T) {
 	t.Helper()
-	w := newTestFleet(t, 1, endpoint.Options{})
-	d := start(t, w.config(t))
-	k := connectAsSuccessor(t, d.options.Config.Takeover.Socket)
-	k.expect(decide.Offer)
-	other := &scriptedSuccessor{t, must(takeover.Dial(d.options.Config.Takeover.Socket))}
-	defer other.Close()
-	other.send(decide.Hello, fmt.Sprint(decide.Version))
-	if m := other.expect(decide.Rejected); !strings.Contains(string(m.Payload), "under way") {
+	fleet := newTestFleet(t, 1, endpoint.Options{})
+	d := startDaemon(t, fleet.config(t))
+	successor := connectAsSuccessor(t, d.options.Config.Takeover.Socket)
+	successor.expect(decide.Offer)
+	secondSuccessor := &scriptedSuccessor{t, must(takeover.Dial(d.options.Config.Takeover.Socket))}
+	defer secondSuccessor.Close()
+	secondSuccessor.send(decide.Hello, fmt.Sprint(decide.Version))
+	if m := secondSuccessor.expect(decide.Rejected); !strings.Contains(string(m.Payload), "under way") {
 		t.Errorf("a second successor was rejected with %q", m.Payload)
 	}
-	k.Close()
+	successor.Close()
 	var m takeover.Message
 	scriptedpeer.Eventually(t, "an answer to the version", func() bool {
 		c := must(takeover.Dial(d.options.Config.Takeover.Socket))
@@ -172,5 +173,5 @@
 	if m.Kind != decide.Rejected {
 		t.Errorf("%v %q", m.Kind, m.Payload)
 	}
-	d.stillServes(t)
+	d.checkStillServes(t)
 }
--- a/internal/daemon/takeover_test.go
+++ b/internal/daemon/takeover_test.go
@@ -18,11 +18,11 @@
 )
 
 // restart starts another daemon that takes over, and waits until it accepts and the old one has ended.
-func restart(t *testing.T, old *running, c *options) *running {
+func restart(t *testing.T, old *runningDaemon, c *restartOptions) *runningDaemon {
 	t.Helper()
-	next := start(t, c.config)
+	successor := startDaemon(t, c.config)
 	checkEnded(t, old.ended, "end of the old one")
-	return next
+	return successor
 }
 
 // steadyClient returns a client of all classes with a constant rate of requests a second for some time.
@@ -51,7 +51,7 @@
 
 // startLosslessLoad starts a client of 400 requests a second for 2 s, and returns once 100 requests have run. A request
 // that is not served fails the test.
-func (w *testFleet) startLosslessLoad(t *testing.T, addr string) <-chan client.Report {
+func (f *testFleet) startLosslessLoad(t *testing.T, addr string) <-chan client.Report {
 	t.Helper()
 	load := steadyClient(addr, 400, 2*time.Second, func(r client.Result) {
 		if r.Verdict != client.Served {
@@ -69,34 +69,34 @@
 		stop()
 		<-ended
 	})
-	scriptedpeer.Eventually(t, "load", func() bool { return len(w.ledger.Runs()) > 100 })
+	scriptedpeer.Eventually(t, "load", func() bool { return len(f.ledger.Runs()) > 100 })
 	return report
 }
 
 // checkLossless waits for the report of startLosslessLoad, and checks that every request was served and none ran more
 // often than its class allows.
-func (w *testFleet) checkLossless(t *testing.T, report <-chan client.Report) {
+func (f *testFleet) checkLossless(t *testing.T, report <-chan client.Report) {
 	t.Helper()
 	r := scriptedpeer.Receive(t, report, "report")
 	if r.ByVerdict[client.Served] != r.Scheduled || r.Scheduled < 500 {
 		t.Errorf("%d scheduled, %v", r.Scheduled, r.ByVerdict)
 	}
 	t.Logf("longest gap between answers %v, p99 %v", r.LongestGap, r.Quantile(0.99))
-	checkRuns(t, w.ledger.Runs())
+	checkRuns(t, f.ledger.Runs())
 }
 
 // checkServed checks that a request on a connection is served.
-func (k *clientConn) checkServed(t *testing.T, what string) {
+func (conn *clientConn) checkServed(t *testing.T, what string) {
 	t.Helper()
-	if resp, _ := k.request(t, request("look", 900, "")); resp.StatusCode != 200 {
+	if resp, _ := conn.roundTrip(t, requestText("look", 900, "")); resp.StatusCode != 200 {
 		t.Errorf("%s: %s", what, resp.Status)
 	}
 }
 
 // requireServed ends the test unless a request on a connection is served.
-func (k *clientConn) requireServed(t *testing.T) {
+func (conn *clientConn) requireServed(t *testing.T) {
 	t.Helper()
-	if resp, _ := k.request(t, request("look", 900, "")); resp.StatusCode != 200 {
+	if resp, _ := conn.roundTrip(t, requestText("look", 900, "")); resp.StatusCode != 200 {
 		t.Fatal(resp.Status)
 	}
 }
@@ -112,47 +112,47 @@
 // Two handovers in a row under load: no connection is rejected or reset, idle and active connections are kept, each
 // request has exactly one answer, and the learned state is handed over.
 func TestTakeover(t *testing.T) {
-	w := newTestFleet(t, 3, endpoint.Options{
+	fleet := newTestFleet(t, 3, endpoint.Options{
 		ServiceTime: map[string]time.Duration{"": 2 * time.Millisecond},
 		Spread:      0.5,
 	})
-	c := &options{w.config(t, "127.0.0.1:0", freeAddr(t))}
-	d := start(t, c.config)
+	c := &restartOptions{fleet.config(t, "127.0.0.1:0", freeAddr(t))}
+	d := startDaemon(t, c.config)
 	addr := d.addrs["desk"]
-	atRest, unix := dial(t, "tcp", addr), dial(t, "unix", d.addrs["local"])
-	inUse := dial(t, "tcp", addr)
-	held, hold := make(chan struct{}, 8), make(chan struct{})
-	w.holdRequests("/pay/1", held, hold)
-	for _, k := range []*clientConn{atRest, unix} {
-		k.requireServed(t)
+	idle, unix := dial(t, "tcp", addr), dial(t, "unix", d.addrs["local"])
+	active := dial(t, "tcp", addr)
+	held, release := make(chan struct{}, 8), make(chan struct{})
+	fleet.holdRequests("/pay/1", held, release)
+	for _, conn := range []*clientConn{idle, unix} {
+		conn.requireServed(t)
 	}
-	report := w.startLosslessLoad(t, addr)
-	inUse.send(t, request("pay", 900, "x"))
+	report := fleet.startLosslessLoad(t, addr)
+	active.send(t, requestText("pay", 900, "x"))
 	scriptedpeer.Receive(t, held, "an open request")
 	// The first handover ends once the open request has its answer, from the old process.
-	second, serving := launch(t, c.config, testLog())
+	second, serving := launchDaemon(t, c.config, testLog())
 	second.addrs = scriptedpeer.Receive(t, serving, "second")
 	if n, _ := d.front.ConnectionCounts(); n == 0 {
 		t.Error("the first has ended with a request open")
 	}
-	close(hold)
+	close(release)
 	if n := len(held); n != 0 {
 		t.Errorf("the request was held %d times more", n)
 	}
-	if resp, _ := inUse.answer(t); resp.StatusCode != 200 || resp.Close {
+	if resp, _ := active.readResponse(t); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("the request open at the handover: %s, close %v", resp.Status, resp.Close)
 	}
 	checkEnded(t, d.ended, "end of the first")
 	third := restart(t, second, c)
-	for name, k := range map[string]*clientConn{"at rest": atRest, "unix": unix, "in use": inUse} {
-		k.checkServed(t, "the connection "+name+", two processes later")
+	for name, conn := range map[string]*clientConn{"at rest": idle, "unix": unix, "in use": active} {
+		conn.checkServed(t, "the connection "+name+", two processes later")
 	}
-	w.checkLossless(t, report)
+	fleet.checkLossless(t, report)
 	if s := third.core.Snapshot().Pools[0]; len(s.Learned.Endpoints) != 3 || s.Learned.Endpoints[0].RTT.Samples < 2 {
 		t.Errorf("what the third knows: %+v", s.Learned)
 	}
-	if all, _ := third.front.ConnectionCounts(); all < 3 {
-		t.Errorf("%d connections went on", all)
+	if connections, _ := third.front.ConnectionCounts(); connections < 3 {
+		t.Errorf("%d connections went on", connections)
 	}
 }
 
@@ -165,15 +165,15 @@
 			effects[r.Class+r.TraceID+r.IdempotencyKey]++
 		}
 	}
-	for what, n := range effects {
+	for operation, n := range effects {
 		if n > 1 {
-			t.Errorf("%s took effect %d times", what, n)
+			t.Errorf("%s took effect %d times", operation, n)
 		}
 	}
 }
 
-// stillServes checks that a daemon serves on its old connections and on new ones, on all its listeners.
-func (r *running) stillServes(t *testing.T, old ...*clientConn) {
+// checkStillServes checks that a daemon serves on its old connections and on new ones, on all its listeners.
+func (r *runningDaemon) checkStillServes(t *testing.T, oldConns ...*clientConn) {
 	t.Helper()
 	scriptedpeer.Eventually(t, "no takeover", func() bool {
 		c, err := takeover.Dial(r.options.Config.Takeover.Socket)
@@ -186,8 +186,8 @@
 		m.CloseFiles()
 		return err == nil && m.Kind == decide.Offer
 	})
-	for _, k := range append(old, dial(t, "tcp", r.addrs["desk"]), dial(t, "unix", r.addrs["local"])) {
-		if resp, _ := k.request(t, request("look", 900, "")); resp.StatusCode != 200 || resp.Close {
+	for _, conn := range append(oldConns, dial(t, "tcp", r.addrs["desk"]), dial(t, "unix", r.addrs["local"])) {
+		if resp, _ := conn.roundTrip(t, requestText("look", 900, "")); resp.StatusCode != 200 || resp.Close {
 			t.Errorf("%s, close %v", resp.Status, resp.Close)
 		}
 	}
@@ -207,83 +207,83 @@
 
 // A stop of the old process while the new one is starting: the new one serves, and clients that connect meanwhile wait.
 func TestStopWhileHandingOver(t *testing.T) {
-	w := newTestFleet(t, 1, endpoint.Options{})
-	c := w.config(t, "127.0.0.1:0", freeAddr(t))
-	d := start(t, c)
-	atRest := dial(t, "tcp", d.addrs["desk"])
-	atRest.requireServed(t)
+	fleet := newTestFleet(t, 1, endpoint.Options{})
+	c := fleet.config(t, "127.0.0.1:0", freeAddr(t))
+	d := startDaemon(t, c)
+	idle := dial(t, "tcp", d.addrs["desk"])
+	idle.requireServed(t)
 	// A scripted successor, slow to become ready.
-	k := connectAsSuccessor(t, c.Takeover.Socket)
-	k.expect(decide.Offer)
+	successor := connectAsSuccessor(t, c.Takeover.Socket)
+	successor.expect(decide.Offer)
 	d.stop()
-	k.expect(decide.Handover)
+	successor.expect(decide.Handover)
 	waiting := dial(t, "tcp", d.addrs["desk"]) // not accepted yet
-	waiting.send(t, request("look", 5000, ""))
-	k.send(decide.Prepared, "")
-	k.expect(decide.Activate)
-	m, err := k.Read()
+	waiting.send(t, requestText("look", 5000, ""))
+	successor.send(decide.Prepared, "")
+	successor.expect(decide.Activate)
+	m, err := successor.Read()
 	if err != nil || m.Kind != takeover.ConnectionHandedOver || len(m.Files) != 1 {
 		t.Errorf("the connection at rest: %v, %d files, %v", m.Kind, len(m.Files), err)
 	}
 	m.CloseFiles()
-	k.expect(decide.Done)
+	successor.expect(decide.Done)
 	checkEnded(t, d.ended, "end of the old one")
 
 	// A stop of the new one before it serves leaves the old one as it was.
-	w2 := &testFleet{discovery: w.discovery, ledger: w.ledger, endpoints: w.endpoints, dir: t.TempDir()}
-	c = w2.config(t, "127.0.0.1:0", freeAddr(t))
-	d = start(t, c)
+	fleet2 := &testFleet{discovery: fleet.discovery, ledger: fleet.ledger, endpoints: fleet.endpoints, dir: t.TempDir()}
+	c = fleet2.config(t, "127.0.0.1:0", freeAddr(t))
+	d = startDaemon(t, c)
 	ctx, cancel := context.WithCancel(context.Background())
 	unready := *c
-	mute := scripteddiscovery.New(t) // without a list the daemon does not become ready
-	unready.Discovery.Address = mute.Addr
+	silentDiscovery := scripteddiscovery.New(t) // without a list the daemon does not become ready
+	unready.Discovery.Address = silentDiscovery.Addr
 	ended := make(chan error, 1)
 	go func() { ended <- Run(ctx, Options{Config: &unready, Log: testLog(), Seed: 3}) }()
-	scriptedpeer.Receive(t, mute.Requests, "a new process that starts")
+	scriptedpeer.Receive(t, silentDiscovery.Requests, "a new process that starts")
 	cancel()
 	checkEnded(t, ended, "end of the new one")
-	d.stillServes(t)
+	d.checkStillServes(t)
 }
 
 // While both processes are alive, an endpoint that is warming up gets no more requests than from one alone, and one
 // that drains gets none after the grace from either.
 func TestWarmUpBudgetIsNotSpentTwice(t *testing.T) {
-	w := newTestFleet(t, 3, endpoint.Options{ServiceTime: map[string]time.Duration{"": 3 * time.Millisecond}})
-	c := &options{w.config(t, "127.0.0.1:0", freeAddr(t))}
-	d := start(t, c.config)
+	fleet := newTestFleet(t, 3, endpoint.Options{ServiceTime: map[string]time.Duration{"": 3 * time.Millisecond}})
+	c := &restartOptions{fleet.config(t, "127.0.0.1:0", freeAddr(t))}
+	d := startDaemon(t, c.config)
 	addr := d.addrs["desk"]
 	load := steadyClient(addr, 500, 3*time.Second, nil)
 	report := make(chan client.Report, 1)
 	go func() { report <- load.Run(context.Background()) }()
-	scriptedpeer.Eventually(t, "load", func() bool { return len(w.ledger.Runs()) > 300 })
+	scriptedpeer.Eventually(t, "load", func() bool { return len(fleet.ledger.Runs()) > 300 })
 	// One endpoint restarts and one starts to drain, and at the same moment the processes change.
-	warming := w.entry(1)
-	drained := w.entry(2)
+	warming := fleet.listEntry(1)
+	draining := fleet.listEntry(2)
 	warming.StartedMs = time.Now().UnixMilli()
-	drained.Lifecycle = "draining"
-	w.discovery.Set(warming, drained)
-	listed := time.Now()
+	draining.Lifecycle = "draining"
+	fleet.discovery.Set(warming, draining)
+	listedAt := time.Now()
 	restart(t, d, c)
 	r := scriptedpeer.Receive(t, report, "report")
 	if r.ByVerdict[client.Served] < r.Scheduled*95/100 {
 		t.Errorf("%d scheduled, %v", r.Scheduled, r.ByVerdict)
 	}
 	grace := c.config.Rules.DrainGrace.Duration
-	count := 0
-	for _, run := range w.ledger.Runs() {
-		if run.Endpoint == "s-2" && run.StartedAt.Sub(listed) > grace {
-			t.Errorf("the draining endpoint got a request %v after it was listed so", run.StartedAt.Sub(listed))
+	warmingRequests := 0
+	for _, run := range fleet.ledger.Runs() {
+		if run.Endpoint == "s-2" && run.StartedAt.Sub(listedAt) > grace {
+			t.Errorf("the draining endpoint got a request %v after it was listed so", run.StartedAt.Sub(listedAt))
 		}
-		if run.Endpoint == "s-1" && run.StartedAt.After(listed) {
-			count++
+		if run.Endpoint == "s-1" && run.StartedAt.After(listedAt) {
+			warmingRequests++
 		}
 	}
 	// It starts at a fifth of its capacity, is warm after 20 s, and fails after 2 s at 2.5 times its capacity. In these
 	// 3 s its share of 500 requests a second would be 250 a second if it were warm; a fifth to a third of that, times
 	// 2.5, bounds both processes together. It may get none, because the warm endpoint can serve all and seems faster
 	// (balancer.TestWarmingEndpointIsHandedOver has it get some).
-	if limit := 618; count > limit {
-		t.Errorf("the warming endpoint got %d requests, want %d at most", count, limit)
+	if limit := 618; warmingRequests > limit {
+		t.Errorf("the warming endpoint got %d requests, want %d at most", warmingRequests, limit)
 	}
 }
 
@@ -302,9 +302,9 @@
 	a := must(takeover.Dial(dir + "/s"))
 	b := must(ln.Accept())
 	defer b.Close()
-	big := strings.Repeat("x", 1<<20)
-	go a.Write(takeover.Message{Kind: decide.Handover, Payload: []byte(big)})
-	if m, err := b.Read(); err != nil || m.Kind != decide.Handover || string(m.Payload) != big {
+	largePayload := strings.Repeat("x", 1<<20)
+	go a.Write(takeover.Message{Kind: decide.Handover, Payload: []byte(largePayload)})
+	if m, err := b.Read(); err != nil || m.Kind != decide.Handover || string(m.Payload) != largePayload {
 		t.Errorf("%v, %d bytes, %v", m.Kind, len(m.Payload), err)
 	}
 	a.Close()
