--- a/internal/daemon/accesslog_test.go
+++ b/internal/daemon/accesslog_test.go
@@ -15,7 +15,7 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// recording edits a file so that a record is kept, and returns its folder.
+// accessLogEdit returns an edit of configText that enables the access record, and the folder of the record.
 func accessLogEdit(t *testing.T, fleet *testFleet) (dir, oldText, newText string) {
 	t.Helper()
 	dir = filepath.Join(fleet.dir, "record")
@@ -25,8 +25,8 @@
 	return dir, "[process]", record + "[process]"
 }
 
-// A daemon records each request once, with its outcome and without personal data: of an idempotency key there is a
-// hash, the same for all attempts with it.
+// A daemon records each request once, with its outcome and without personal data. An idempotency key is recorded
+// only as a hash, which is the same for all requests with that key.
 func TestAccessRecord(t *testing.T) {
 	fleet := newTestFleet(t, 2, endpoint.Options{})
 	dir, oldText, newText := accessLogEdit(t, fleet)
@@ -67,7 +67,7 @@
 	checkRows(t, rec)
 	for _, name := range must(filepath.Glob(filepath.Join(dir, "*"))) {
 		if text := must(os.ReadFile(name)); strings.Contains(string(text), "4711") {
-			t.Errorf("%s holds a patient's number", name)
+			t.Errorf("%s contains the idempotency key in clear text", name)
 		}
 	}
 	if n := len(rec.Operations()); n != r.Scheduled+3 {
@@ -75,8 +75,8 @@
 	}
 }
 
-// checkRows checks the rows of TestAccessRecord: their fields, one key that was used twice, and two requests that were
-// not served.
+// checkRows checks the rows that TestAccessRecord produced: their fields, that one idempotency key was used
+// twice, and that two requests were not served.
 func checkRows(t *testing.T, rec *accesslog.Recording) {
 	t.Helper()
 	byKey, verdicts := map[uint64]int{}, map[string]int{}
@@ -102,12 +102,12 @@
 	}
 	unserved := verdicts["pay failed"] + verdicts["pay left"] + verdicts["pay late"]
 	if keysUsedTwice != 1 || unserved != 2 || verdicts["pay failed"] < 1 {
-		t.Errorf("%d keys twice; verdicts %v", keysUsedTwice, verdicts)
+		t.Errorf("%d idempotency keys were used twice; verdicts %v", keysUsedTwice, verdicts)
 	}
 }
 
-// A daemon that is killed loses the rows in its memory and no others. The next one removes the incomplete segment, and
-// writes further ones.
+// A daemon that is killed loses only the rows that were still in memory. The next one removes the incomplete
+// segment and writes new ones.
 func TestRecordAfterKill(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	dir, oldText, newText := accessLogEdit(t, fleet)
@@ -120,11 +120,11 @@
 	<-first.ended
 	rec := must(accesslog.Read(dir))
 	if n := len(rec.Requests); n < 100 || len(rec.Problems) > 0 {
-		t.Errorf("%d requests are left, problems %q", n, rec.Problems)
+		t.Errorf("the record has %d requests, problems %q", n, rec.Problems)
 	}
 	for _, r := range rec.Runs {
 		if r.Missing != 0 {
-			t.Errorf("within what is there %d are missing", r.Missing)
+			t.Errorf("%d rows are missing within the record", r.Missing)
 		}
 	}
 	requestsBefore := len(rec.Requests)
@@ -134,11 +134,12 @@
 	second.Process.Kill()
 	<-second.ended
 	if rec = must(accesslog.Read(dir)); len(rec.Requests) < requestsBefore+100 || len(rec.Runs) != 2 {
-		t.Errorf("%d requests of %d runs after the second", len(rec.Requests), len(rec.Runs))
+		t.Errorf("%d requests of %d runs after the second daemon", len(rec.Requests), len(rec.Runs))
 	}
 }
 
-// Without a secret, or with a folder that cannot be made, a daemon does not start.
+// A daemon does not start if the secret of its access record is missing, or if the record's folder cannot be
+// created.
 func TestRecordThatCannotBe(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	dir, oldText, newText := accessLogEdit(t, fleet)
--- a/internal/daemon/client_processes_test.go
+++ b/internal/daemon/client_processes_test.go
@@ -19,12 +19,13 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// victims are client processes that are killed while an endpoint holds a request of theirs.
+// killedClients makes endpoints hold the requests of client processes that the test will kill.
 type killedClients struct {
 	mu   sync.Mutex
-	held map[string]chan struct{} // by name; closed once a request of it is held
+	held map[string]chan struct{} // by client name; closed once a request of that client is held
 }
 
+// fault holds the requests of the clients in held without a response, and serves all others.
 func (v *killedClients) fault(r *http.Request) endpoint.Fault {
 	name, _, _ := strings.Cut(r.Header.Get("X-Trace-Id"), "-")
 	v.mu.Lock()
@@ -40,7 +41,8 @@
 	return endpoint.NoFault
 }
 
-// mixedLoad returns the options of the i-th client process: even ones use the unix socket.
+// mixedLoad returns the options of the i-th client process. Clients with an even index use the unix socket, the
+// others TCP.
 func mixedLoad(c *config.Config, i int) client.Options {
 	o := client.Options{
 		Name:     fmt.Sprint("c", i),
@@ -64,7 +66,7 @@
 	return o
 }
 
-// spawnClients starts client processes.
+// spawnClients starts n client processes with the options of mixedLoad.
 func spawnClients(t *testing.T, c *config.Config, n int) []*childProcess {
 	t.Helper()
 	var processes []*childProcess
@@ -76,8 +78,9 @@
 	return processes
 }
 
-// collectResults reads the results of client processes to their ends, of which the first ones were killed. It returns
-// them by request id, and counts those of the others by verdict.
+// collectResults reads the results of all client processes until they have ended. The first killed processes were
+// killed and may have printed an incomplete line; all others must end without an error. It returns all results by
+// request id, and the number of results by verdict for the processes that were not killed.
 func collectResults(t *testing.T, processes []*childProcess, killed int) (
 	results map[string]client.Result, byVerdict map[client.Verdict]int) {
 	t.Helper()
@@ -107,10 +110,10 @@
 	return results, byVerdict
 }
 
-// waitReady waits until a daemon in another process is ready.
+// waitReady waits until a daemon in another process reports that it is ready.
 func waitReady(t *testing.T, address string) {
 	t.Helper()
-	scriptedpeer.Eventually(t, "a list", func() bool {
+	scriptedpeer.Eventually(t, "a ready daemon", func() bool {
 		resp, err := http.Get("http://" + address + "/-/ready")
 		if err == nil {
 			resp.Body.Close()
@@ -120,8 +123,9 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// Twenty client processes share one instance. Three are killed with a request open, the instance is replaced twice, one
-// endpoint drains and one dies. The clients' results are compared with what the endpoints ran.
+// Twenty client processes share one instance. Three of them are killed with an open request, the instance is
+// replaced twice, one endpoint drains, and one endpoint dies. The results that the clients saw must match the
+// requests that the endpoints ran.
 func TestTwentyClientProcesses(t *testing.T) {
 	const clients, killed = 20, 3
 	fleet := newTestFleet(t, 6, endpoint.Options{
@@ -143,7 +147,7 @@
 	waitReady(t, c.Listeners[0].Address)
 	processes := spawnClients(t, c, clients)
 	for i := range killed {
-		scriptedpeer.Receive(t, v.held[fmt.Sprint("c", i)], "a request of a client that is to be killed")
+		scriptedpeer.Receive(t, v.held[fmt.Sprint("c", i)], "a request of a client that will be killed")
 		processes[i].Process.Kill()
 	}
 	second := spawnRole(t, "daemon", text)
@@ -153,7 +157,7 @@
 	draining.Lifecycle = "draining"
 	fleet.discovery.Set(draining)
 	drainListed := time.Now()
-	fleet.endpoints[4].Close() // dies, which discovery does not know yet
+	fleet.endpoints[4].Close() // the endpoint dies, and discovery still lists it as up
 	removed := fleet.listEntry(4)
 	third := startDaemon(t, c)
 	checkEnded(t, second.ended, "end of the second daemon")
@@ -170,7 +174,7 @@
 	for _, run := range fleet.ledger.Runs() {
 		sinceGrace := run.StartedAt.Sub(drainListed) - c.Rules.DrainGrace.Duration
 		if run.Endpoint == "s-5" && sinceGrace > 0 {
-			t.Errorf("the draining endpoint got %s %v past the grace", run.TraceID, sinceGrace)
+			t.Errorf("the draining endpoint got %s %v after the drain grace", run.TraceID, sinceGrace)
 		}
 	}
 	third.checkNothingOpen(t)
@@ -178,8 +182,8 @@
 		requests, clients-killed, byVerdict, len(fleet.ledger.Runs()))
 }
 
-// checkVerdicts checks that at least so many requests ended, that 97 % of them were served, and that none ended but by
-// a response. It returns their number.
+// checkVerdicts checks that at least minRequests requests ended, that 97 % of them were served, and that each
+// ended with a response. It returns the number of requests.
 func checkVerdicts(
 	t *testing.T, results map[string]client.Result, byVerdict map[client.Verdict]int, minRequests int,
 ) int {
@@ -202,22 +206,24 @@
 	return requests
 }
 
-// checkNothingOpen waits until no connection and no request is open, and checks that no client uses anything.
+// checkNothingOpen waits until no connection and no request is open, and checks that no client is charged with
+// connections, open requests or bytes.
 func (r *runningDaemon) checkNothingOpen(t *testing.T) {
 	t.Helper()
-	scriptedpeer.Eventually(t, "nothing open", func() bool {
+	scriptedpeer.Eventually(t, "no open connections or requests", func() bool {
 		conns, busy := r.front.ConnectionCounts()
 		counts := r.pools[""].endpoints.Counts()
 		return conns == 0 && busy == 0 && counts.Queued == 0 && counts.InFlight == 0 && counts.OpenCalls == 0
 	})
 	for _, usage := range r.clients.usage() {
 		if usage.Connections != 0 || usage.Open != 0 || usage.Bytes != 0 {
-			t.Errorf("still used: %+v", usage)
+			t.Errorf("still in use: %+v", usage)
 		}
 	}
 }
 
-// join compares the clients' results with what endpoints ran. lost reports whether the client of a request was killed.
+// checkResultsMatchRuns compares the results that the clients saw with the requests that the endpoints ran.
+// wasKilled reports whether the client that sent a request was killed.
 func checkResultsMatchRuns(
 	t *testing.T, results map[string]client.Result, runs []endpoint.Run, wasKilled func(id string) bool,
 ) {
@@ -225,7 +231,7 @@
 	runCounts, effectCounts := map[string]int{}, map[string]int{}
 	for _, r := range runs {
 		if _, known := results[r.TraceID]; !known && !wasKilled(r.TraceID) {
-			t.Errorf("an endpoint ran %s, which no client asked for", r.TraceID)
+			t.Errorf("an endpoint ran %s, which no client sent", r.TraceID)
 		}
 		runCounts[r.TraceID]++
 		if r.TookEffect {
@@ -248,12 +254,12 @@
 		case r.Verdict == client.Served && runCounts[id] == 0:
 			t.Errorf("%s was served, and no endpoint ran it", id)
 		case r.Verdict == client.Rejected && r.Class != "look" && runCounts[id] > 0:
-			t.Errorf("%s %s was refused, as if a repeat were harmless, and it ran", r.Class, id)
+			t.Errorf("%s %s was rejected as safe to retry, but an endpoint ran it", r.Class, id)
 		}
 	}
 }
 
-// Everything that a killed client process used is freed: descriptors, connections, requests, buffers, memory.
+// Everything that a killed client process used is freed: descriptors, connections, requests, buffers and memory.
 func TestKilledClientGivesAllBack(t *testing.T) {
 	fleet := newTestFleet(t, 3, endpoint.Options{MinResponseSize: 60 << 10})
 	held := make(chan struct{}, 64)
@@ -277,38 +283,38 @@
 	for range 3 {
 		d.killClients(t, socketPath, held)
 	}
-	scriptedpeer.Eventually(t, "descriptors", func() bool { return openFiles(t) <= filesBefore+2 })
+	scriptedpeer.Eventually(t, "closed descriptors", func() bool { return openFiles(t) <= filesBefore+2 })
 	if heapAfter := heapBytes(); heapAfter > heapBefore+1<<20 {
 		t.Errorf("%d bytes of heap before, %d after", heapBefore, heapAfter)
 	}
 	otherConn.checkServed(t, "another client")
 }
 
-// killClients starts client processes that each stop at another point of a request, and kills them once one request is
-// open at an endpoint. It returns once everything that they used is freed.
+// killClients starts client processes that each stop at a different point of a request, and kills them once the
+// endpoint holds one request. It returns once everything that they used is freed.
 func (r *runningDaemon) killClients(t *testing.T, socketPath string, held <-chan struct{}) {
 	t.Helper()
 	var processes []*childProcess
 	for _, message := range []string{
-		"", // connects and sends nothing
+		"", // the client connects and sends no request
 		"POST /pay/1 HT",
-		strings.TrimSuffix(requestText("pay", 9000, strings.Repeat("x", 1000)), "xxx"), // all but the last bytes
-		requestText("pay", 9000, "x"),    // an open request
-		requestText("look", 900, ""),     // a response that it never reads
-		requestText("look", 900, "")[9:], // no request at all
+		strings.TrimSuffix(requestText("pay", 9000, strings.Repeat("x", 1000)), "xxx"), // a body without its last bytes
+		requestText("pay", 9000, "x"),    // a complete request, held by the endpoint
+		requestText("look", 900, ""),     // a request whose response the client never reads
+		requestText("look", 900, "")[9:], // a malformed request
 	} {
 		p := spawnRole(t, "talker", "unix "+socketPath+" "+message)
 		scriptedpeer.Receive(t, p.lines, "a client process")
 		processes = append(processes, p)
 	}
-	scriptedpeer.Receive(t, held, "an open request")
+	scriptedpeer.Receive(t, held, "the held request")
 	for _, p := range processes {
 		p.Process.Signal(syscall.SIGKILL)
 		for range p.lines {
 		}
 		<-p.ended
 	}
-	scriptedpeer.Eventually(t, "all given back", func() bool {
+	scriptedpeer.Eventually(t, "all resources freed", func() bool {
 		conns, busy := r.front.ConnectionCounts()
 		counts := r.pools[""].endpoints.Counts()
 		for _, usage := range r.clients.usage() {
@@ -320,7 +326,7 @@
 	})
 }
 
-// openFiles returns the number of this process's descriptors.
+// openFiles returns the number of open file descriptors of the test's process.
 func openFiles(t *testing.T) int {
 	t.Helper()
 	descriptors, err := os.ReadDir("/proc/self/fd")
@@ -330,7 +336,7 @@
 	return len(descriptors)
 }
 
-// heapBytes returns the bytes of live objects on the heap.
+// heapBytes returns the size of the live heap objects after a garbage collection.
 func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -20,7 +20,7 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// Clients on TCP and on a unix socket are served by one instance, each counted as who it is.
+// One instance serves clients on TCP and on a unix socket, and accounts each connection to the right client.
 func TestServesItsClients(t *testing.T) {
 	fleet := newTestFleet(t, 2, endpoint.Options{})
 	d := startDaemon(t, fleet.config(t))
@@ -31,7 +31,7 @@
 			resp, body := conn.roundTrip(t, text)
 			id := strings.TrimPrefix(strings.Split(text, "\r\n")[2], "X-Trace-Id: ")
 			if resp.StatusCode != 200 || !strings.HasPrefix(body, id+" ") {
-				t.Errorf("%s: %s %q, want the answer to %s", class, resp.Status, body, id)
+				t.Errorf("%s: %s %q, want the response to %s", class, resp.Status, body, id)
 			}
 		}
 	}
@@ -46,11 +46,11 @@
 		delete(want, usage.Client)
 	}
 	if len(want) > 0 {
-		t.Errorf("no account of %v", want)
+		t.Errorf("no usage is reported for %v", want)
 	}
 }
 
-// checkClosed checks that the daemon closes a connection.
+// checkClosed checks that the daemon closes the connection. what names the connection in the error message.
 func (conn *clientConn) checkClosed(t *testing.T, what string) {
 	t.Helper()
 	conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
@@ -60,8 +60,8 @@
 	}
 }
 
-// A client is identified by the kernel's credentials of its process. A process of no configured client is rejected, or
-// is of the default client if there is one.
+// A client on a unix socket is identified by the kernel's credentials of its process. A process that matches no
+// configured client is rejected, or belongs to the default client if one is configured.
 func TestWhoAClientIs(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	uid, gid := strconv.Itoa(os.Getuid()), strconv.Itoa(os.Getgid())
@@ -69,8 +69,8 @@
 	for _, tc := range []struct{ name, oldText, newText, wantClient string }{
 		{"uid", eachClient, eachClient + "uids = [" + uid + "]\n", "each/"},
 		{"gid", eachClient, eachClient + "gids = [" + gid + "]\n", "each/"},
-		{"another's uid", "client = \"each\"\n", "\n", ""},
-		{"others", "client = \"each\"\n", "\n[others]\n", "others"},
+		{"no matching client", "client = \"each\"\n", "\n", ""},
+		{"default client", "client = \"each\"\n", "\n[others]\n", "others"},
 		{"uid before gid", "[[client]]\nname = \"each\"\n", "[[client]]\nname = \"group\"\ngids = [" + gid + "]\n" +
 			"[[client]]\nname = \"each\"\nuids = [" + uid + "]\n", "each/"},
 	} {
@@ -78,7 +78,7 @@
 			d := startDaemon(t, fleet.config(t, tc.oldText, tc.newText))
 			conn := dial(t, "unix", d.addrs["local"])
 			if tc.wantClient == "" {
-				conn.checkClosed(t, "the connection of no client")
+				conn.checkClosed(t, "a connection that matches no client")
 				return
 			}
 			conn.requireServed(t)
@@ -92,7 +92,7 @@
 	}
 }
 
-// The limits of a client are its own: while it is over them, another client is served.
+// The limits of a client apply to that client only: while it exceeds them, another client is served.
 func TestBoundsOfAClient(t *testing.T) {
 	release := make(chan struct{})
 	fleet := newTestFleet(t, 4, endpoint.Options{})
@@ -112,7 +112,9 @@
 		conn.send(t, requestText("pay", 5000, strings.Repeat("x", 40<<10)))
 		openConns = append(openConns, conn)
 	}
-	scriptedpeer.Eventually(t, "two open", func() bool { return d.pools[""].endpoints.Counts().InFlight == 2 })
+	scriptedpeer.Eventually(t, "two requests in flight", func() bool {
+		return d.pools[""].endpoints.Counts().InFlight == 2
+	})
 	third := dial(t, "tcp", d.addrs["desk"])
 	resp, body := third.roundTrip(t, requestText("look", 900, ""))
 	if resp.StatusCode != 503 || !strings.Contains(body, "too many requests of this client") {
@@ -123,21 +125,21 @@
 	if resp.StatusCode != 503 || !strings.Contains(body, "bytes") || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("over bytes_held: %s %q, Retry-After %q", resp.Status, body, resp.Header.Get("Retry-After"))
 	}
-	dial(t, "unix", d.addrs["local"]).checkServed(t, "another client beside it")
+	dial(t, "unix", d.addrs["local"]).checkServed(t, "a request of another client")
 	close(release)
 	for _, conn := range openConns {
 		if resp, _ := conn.readResponse(t); resp.StatusCode != 200 {
-			t.Errorf("one that was open: %s", resp.Status)
+			t.Errorf("an open request: %s", resp.Status)
 		}
 	}
-	scriptedpeer.Eventually(t, "nothing held", func() bool {
+	scriptedpeer.Eventually(t, "no held bytes or open requests", func() bool {
 		return !slices.ContainsFunc(d.clients.usage(), func(u ClientUsage) bool {
 			return u.Client == "desk" && (u.Bytes != 0 || u.Open != 0)
 		})
 	})
 }
 
-// A client over its request rate gets 429 with a Retry-After, whatever connections it uses.
+// A client that exceeds its request rate gets status 429 with Retry-After, however many connections it uses.
 func TestRequestsASecond(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	d := startDaemon(t, fleet.config(t, "per_process = true", "per_process = true\nrequests_per_second = 2\nburst = 3"))
@@ -153,11 +155,13 @@
 		conn.Close()
 	}
 	if statusCounts[200] < 3 || statusCounts[429] < 2 {
-		t.Errorf("six at once of two a second, three at once: %v", statusCounts)
+		t.Errorf("status counts of six requests at once, with a rate of 2 per second and a burst of 3: %v",
+			statusCounts)
 	}
 }
 
-// A stop answers the open requests, and does not wait for a client that sends nothing.
+// A daemon that is stopped responds to its open requests, does not wait for a client that sends nothing, and
+// removes its sockets.
 func TestStop(t *testing.T) {
 	release := make(chan struct{})
 	fleet := newTestFleet(t, 1, endpoint.Options{})
@@ -166,7 +170,7 @@
 	d := startDaemon(t, fleet.config(t))
 	conn, silentConn := dial(t, "tcp", d.addrs["desk"]), dial(t, "tcp", d.addrs["desk"])
 	conn.send(t, requestText("pay", 5000, ""))
-	scriptedpeer.Receive(t, held, "attempt")
+	scriptedpeer.Receive(t, held, "attempt at the endpoint")
 	d.stop()
 	silentConn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 	if _, err := silentConn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
@@ -176,15 +180,15 @@
 	if resp, _ := conn.readResponse(t); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("%s, close %v", resp.Status, resp.Close)
 	}
-	checkEnded(t, d.ended, "end")
+	checkEnded(t, d.ended, "end of the daemon")
 	for _, path := range []string{"/clients.sock", "/takeover.sock"} {
 		if _, err := os.Lstat(fleet.dir + path); !os.IsNotExist(err) {
-			t.Errorf("%s was left behind: %v", path, err)
+			t.Errorf("%s was not removed: %v", path, err)
 		}
 	}
 }
 
-// Connections that are still open after drain_within are closed.
+// A daemon that is stopped closes the connections that are still open after drain_within.
 func TestDrainWithin(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -195,13 +199,13 @@
 		`drain_within = "3s"`, `drain_within = "400ms"`, `give_up = "1s"`, `give_up = "20s"`))
 	conn := dial(t, "tcp", d.addrs["desk"])
 	conn.send(t, requestText("pay", 20000, ""))
-	scriptedpeer.Receive(t, held, "attempt")
+	scriptedpeer.Receive(t, held, "attempt at the endpoint")
 	d.stop()
-	checkEnded(t, d.ended, "end")
+	checkEnded(t, d.ended, "end of the daemon")
 }
 
-// A file that changes while the daemon serves changes clients' bounds and the discovery; one that makes no sense
-// changes nothing.
+// A changed configuration file changes the limits of clients and the discovery while the daemon serves. A file
+// that cannot be read changes nothing.
 func TestReload(t *testing.T) {
 	fleet := newTestFleet(t, 2, endpoint.Options{})
 	singleDiscovery, err := discoveryserver.Start(fleet.listEntry(1))
@@ -215,9 +219,10 @@
 	slowLimits := "per_process = true\nrequests_per_second = 0.001\nburst = 1"
 	if g := d.applyConfig(t, fleet.config(t,
 		fleet.discovery.Addr, singleDiscovery.Addr, "per_process = true", slowLimits)); g != d.generation {
-		t.Error("a generation of its own for what can be changed while serving")
+		t.Error("a new generation was started for a change that can be applied while serving")
 	}
-	// The connection that was open has the new bounds, and only one endpoint serves.
+	// The new limits apply to the connection that was already open, and only the endpoint of the new discovery
+	// serves.
 	scriptedpeer.Eventually(t, "the new rate", func() bool {
 		resp, _ := conn.roundTrip(t, requestText("look", 900, ""))
 		return resp.StatusCode == 429
@@ -229,12 +234,13 @@
 	for range 20 {
 		_, body := dial(t, "tcp", d.addrs["desk"]).roundTrip(t, requestText("look", 900, ""))
 		if !strings.Contains(body, " s-1 ") {
-			t.Fatalf("answered by %q", body)
+			t.Fatalf("response %q, want one of endpoint s-1", body)
 		}
 	}
 }
 
-// The socket of a dead process is replaced. One at which another process listens is not, and neither is a regular file.
+// A daemon replaces the unix socket of a dead process. It does not replace a socket at which another process
+// listens, or a regular file.
 func TestSocketsLeftBehind(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	path := fleet.dir + "/clients.sock"
@@ -245,7 +251,7 @@
 	checkStartFails := func(want string) {
 		t.Helper()
 		ctx, cancel := context.WithCancel(context.Background())
-		cancel() // or it would wait for the address
+		cancel() // otherwise Run would wait until the address is free
 		err := Run(ctx, Options{Config: c, Log: scriptedpeer.DiscardLog, Seed: 1})
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("error %v, want %q", err, want)
@@ -255,7 +261,7 @@
 	ln.Close()
 	d := startDaemon(t, c)
 	d.stop()
-	require.NoError(t, scriptedpeer.Receive(t, d.ended, "end"))
+	require.NoError(t, scriptedpeer.Receive(t, d.ended, "end of the daemon"))
 	require.NoError(t, os.WriteFile(path, []byte("x"), 0o600))
 	checkStartFails("is no socket")
 }
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -15,8 +15,8 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// A daemon that is killed with bookings and unsafe requests in flight loses their answers and nothing else: the next
-// process starts without learned state on the sockets left behind, and nothing runs twice.
+// If a daemon is killed with keyed and unsafe requests in flight, only their responses are lost. The next process
+// starts without learned state, replaces the sockets that were left behind, and no request runs twice.
 func TestDaemonKilledWithRequestsInFlight(t *testing.T) {
 	fleet := newTestFleet(t, 2, endpoint.Options{})
 	held := make(chan struct{}, 8)
@@ -42,7 +42,7 @@
 	for _, class := range []string{"book", "pay"} {
 		conn := dial(t, "unix", strings.TrimPrefix(c.Listeners[1].Address, "unix:"))
 		conn.send(t, requestText(class, 900, "x"))
-		scriptedpeer.Receive(t, held, "attempt")
+		scriptedpeer.Receive(t, held, "attempt at the endpoint")
 		openConns = append(openConns, conn)
 	}
 	killed.Process.Kill()
@@ -50,7 +50,7 @@
 	for _, conn := range openConns {
 		conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 		if n, err := conn.Read(make([]byte, 1)); err == nil {
-			t.Errorf("%d bytes of an answer that nobody gave", n)
+			t.Errorf("%d bytes of a response that no endpoint sent", n)
 		}
 	}
 	successor := startDaemon(t, c)
@@ -65,12 +65,12 @@
 		runCounts[r.Class]++
 	}
 	if runCounts["book"] != 1 || runCounts["pay"] != 1 {
-		t.Errorf("ran: %v, want each once", runCounts)
+		t.Errorf("runs by class: %v, want one each", runCounts)
 	}
 }
 
-// Idle connections of one client up to its limit do not affect another client. Beyond the limit its own oldest
-// connections are closed.
+// Idle connections of one client, up to its limit, do not affect another client. Above the limit, the oldest
+// connections of that same client are closed.
 func TestClientThatSits(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	d := startDaemon(t, fleet.config(t, "[connections]\n", "[connections]\nclients = 40\nat_rest = 30\n",
@@ -87,7 +87,7 @@
 	for i, c := range idleConns[:15] {
 		c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 		if _, err := c.Read(make([]byte, 1)); err == nil || isTimeout(err) {
-			t.Fatalf("connection %d of 25, 10 allowed: %v, want it closed", i, err)
+			t.Fatalf("connection %d of 25, with a limit of 10: %v, want it closed", i, err)
 		}
 	}
 	for range 3 {
@@ -98,11 +98,11 @@
 	}
 	last := &clientConn{Conn: idleConns[24]}
 	last.reader = readerOf(last.Conn)
-	last.checkServed(t, "its own latest connection")
+	last.checkServed(t, "the newest connection of the limited client")
 }
 
-// Slow readers on every connection of one client, each with the largest response that may be, do not delay another
-// client, and their buffers are freed when they disconnect.
+// One client does not read from any of its connections, and each of its responses has the largest allowed size.
+// Other clients must not be delayed, and the buffers must be freed when the client disconnects.
 func TestSlowReaders(t *testing.T) {
 	fleet := newTestFleet(t, 4, endpoint.Options{MinResponseSize: 60 << 10})
 	oldText, newText := deskLimitsEdit("connections = 60", "bytes_held = \"1MiB\"")
@@ -113,7 +113,7 @@
 		require.NoError(t, err)
 		defer c.Close()
 		c.(*net.TCPConn).SetReadBuffer(2048)
-		for range 3 { // it does not wait for its answers, and reads none
+		for range 3 { // the client pipelines its requests and reads no response
 			io.WriteString(c, requestText("look", 900, ""))
 		}
 		slowConns = append(slowConns, c)
@@ -127,7 +127,7 @@
 		Duration: time.Second,
 		Classes:  []client.Class{{Name: "look", Share: 1, Method: "GET", Timeout: time.Second}},
 	})
-	// A few may be rejected on a busy machine. None may be lost, fail or be late.
+	// On a busy machine a few requests may be rejected. None may be lost, fail or be late.
 	r := otherClient.Run(context.Background())
 	served, rejected := r.ByVerdict[client.Served], r.ByVerdict[client.Rejected]
 	if served+rejected != r.Scheduled || served < r.Scheduled*9/10 || r.Scheduled < 50 {
@@ -136,7 +136,7 @@
 	for _, c := range slowConns {
 		c.Close()
 	}
-	scriptedpeer.Eventually(t, "all given back", func() bool {
+	scriptedpeer.Eventually(t, "freed connections and buffers", func() bool {
 		for _, usage := range d.clients.usage() {
 			if usage.Client == "desk" && (usage.Connections != 0 || usage.Bytes != 0) {
 				return false
@@ -146,7 +146,8 @@
 	})
 }
 
-// Without free descriptors the daemon serves the connections that it has, and accepts again once there are some.
+// A daemon without free descriptors serves its open connections, and accepts new ones once descriptors are free
+// again.
 func TestOutOfDescriptors(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	text := fleet.configText("127.0.0.1:0", freeAddr(t))
@@ -166,7 +167,7 @@
 		}
 	}
 	served := 0
-	for range 30 { // on the connection that there was, or on a new one if that has made room
+	for range 30 { // dials again if the daemon has closed the connection to free a descriptor
 		if _, err := io.WriteString(conn, requestText("look", 900, "")); err == nil {
 			conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 			if resp, err := http.ReadResponse(conn.reader, nil); err == nil {
@@ -180,12 +181,12 @@
 		conn = dial(t, "tcp", c.Listeners[0].Address)
 	}
 	if served < 15 {
-		t.Errorf("%d of 30 requests served while descriptors were short", served)
+		t.Errorf("%d of 30 requests were served without free descriptors, want at least 15", served)
 	}
 	for _, c := range extraConns {
 		c.Close()
 	}
-	scriptedpeer.Eventually(t, "it accepts again", func() bool {
+	scriptedpeer.Eventually(t, "a served new connection", func() bool {
 		conn := dial(t, "tcp", c.Listeners[0].Address)
 		resp, _ := conn.roundTrip(t, requestText("look", 900, ""))
 		conn.Close()
@@ -193,7 +194,7 @@
 	})
 	select {
 	case err := <-p.ended:
-		t.Errorf("it has ended: %v", err)
+		t.Errorf("the daemon has ended: %v", err)
 	default:
 	}
 }
--- a/internal/daemon/generations_test.go
+++ b/internal/daemon/generations_test.go
@@ -14,8 +14,9 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// A change that cannot be made while serving is made by a new generation, under load: no request is lost, connections
-// are kept, an open request ends in the old generation, and the learned state is handed over.
+// A change that cannot be applied while serving is applied by a new generation. Under load this must lose no
+// request and no connection, a request open in the old generation is completed there, and the learned state is
+// handed over.
 func TestChangesUnderLoad(t *testing.T) {
 	fleet := newTestFleet(t, 3, endpoint.Options{
 		ServiceTime: map[string]time.Duration{"": 2 * time.Millisecond},
@@ -32,7 +33,7 @@
 	fleet.holdRequests("/pay/1", held, release)
 	report := fleet.startLosslessLoad(t, addr)
 	active.send(t, requestText("pay", 900, "x"))
-	scriptedpeer.Receive(t, held, "an open request")
+	scriptedpeer.Receive(t, held, "the open request")
 	oldText, newText := extraListenerEdit(freeAddr(t))
 	var last *generation
 	for i, edits := range [][]string{
@@ -43,7 +44,7 @@
 	} {
 		g := d.applyConfig(t, fleet.config(t, append(edits, "127.0.0.1:0", addr)...))
 		if g == last || g == d.generation {
-			t.Errorf("change %d: no generation of its own", i)
+			t.Errorf("change %d was applied without a new generation", i)
 		}
 		last = g
 		if i == 1 {
@@ -52,17 +53,17 @@
 	}
 	close(release)
 	if n := len(held); n != 0 {
-		t.Errorf("the request was held %d times more", n)
+		t.Errorf("the endpoints received the open request %d more times", n)
 	}
 	if resp, _ := active.readResponse(t); resp.StatusCode != 200 || resp.Close {
-		t.Errorf("the request open at the changes: %s, close %v", resp.Status, resp.Close)
+		t.Errorf("the request open during the changes: %s, close %v", resp.Status, resp.Close)
 	}
 	fleet.checkLossless(t, report)
-	for name, conn := range map[string]*clientConn{"at rest": idle, "unix": unix, "in use": active} {
-		conn.checkServed(t, "the connection "+name+", four changes later")
+	for name, conn := range map[string]*clientConn{"idle": idle, "unix": unix, "active": active} {
+		conn.checkServed(t, "the "+name+" connection after four changes")
 	}
 	if s := last.core.Snapshot().Pools[0]; len(s.Learned.Endpoints) != 3 || s.Learned.Endpoints[0].RTT.Samples < 2 {
-		t.Errorf("what the last knows: %+v", s.Learned)
+		t.Errorf("learned state of the last generation: %+v", s.Learned)
 	}
 	d.awaitOneGeneration(t)
 }
@@ -77,7 +78,8 @@
 	})
 }
 
-// A configuration that cannot be applied is rejected with its reason, and the running generation serves on.
+// A configuration that cannot be applied is rejected with the reason, and the running generation continues to
+// serve.
 func TestGenerationThatFails(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	addr := freeAddr(t)
@@ -92,7 +94,7 @@
 			`ready_within = "5s"`, `ready_within = "50ms"`},
 		"access record: open /nowhe": {"[connections]", record},
 	} {
-		if want == "in time" { // ready_within of the serving generation bounds the start
+		if want == "in time" { // the serving generation's ready_within bounds the start of the new one
 			d.applyConfig(t, fleet.config(t, "127.0.0.1:0", addr, `ready_within = "5s"`, `ready_within = "50ms"`))
 		}
 		answer := d.reloadConfig(t, fleet.config(t, append(edits, "127.0.0.1:0", addr)...))
@@ -103,8 +105,8 @@
 	}
 }
 
-// The process is stopped while a generation that is not ready yet takes over, and another process wants to take over.
-// The open request is answered, the other process is rejected, and the end is orderly.
+// The process is stopped while a new generation is starting and another process tries to take over. The open
+// request gets its final response, the other process is rejected, and the daemon ends without an error.
 func TestStopWhileChanging(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	addr := freeAddr(t)
@@ -113,26 +115,26 @@
 	fleet.holdRequests("", held, release)
 	conn := dial(t, "tcp", addr)
 	conn.send(t, requestText("pay", 5000, ""))
-	scriptedpeer.Receive(t, held, "attempt")
+	scriptedpeer.Receive(t, held, "attempt at the endpoint")
 	silent := scripteddiscovery.New(t)
 	d.reload <- nil
 	d.nextConfigs <- fleet.config(t,
 		"127.0.0.1:0", addr, fleet.discovery.Addr, silent.Addr, "worth = 5.0", "worth = 4.0")
-	scriptedpeer.Receive(t, silent.Requests, "the new generation")
+	scriptedpeer.Receive(t, silent.Requests, "discovery request of the new generation")
 	ctx, cancel := context.WithTimeout(context.Background(), scriptedpeer.WaitTimeout)
 	defer cancel()
 	err := Run(ctx, Options{Config: fleet.config(t, "127.0.0.1:0", addr), Log: testLog(), Seed: 2})
 	if err == nil || !strings.Contains(err.Error(), "another takeover is under way") {
-		t.Errorf("another process: %v", err)
+		t.Errorf("the other process: %v, want a rejection", err)
 	}
 	d.stop()
 	close(release)
 	if resp, _ := conn.readResponse(t); resp.StatusCode != 200 {
-		t.Errorf("the request that was open: %s", resp.Status)
+		t.Errorf("the open request: %s", resp.Status)
 	}
 	conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("its connection: %v, want it closed", err)
+		t.Errorf("the connection of the open request: %v, want it closed", err)
 	}
-	checkEnded(t, d.ended, "end")
+	checkEnded(t, d.ended, "end of the daemon")
 }
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -9,8 +9,9 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// The golden files were written by the build of commit 870f4ac with every field set. They are never changed:
-// the other process may be of another build.
+// The JSON forms of takeover offers and of the fleet view must not change, because the other process may be of
+// another build. The golden files were written by the build of commit 870f4ac with every field set, and are never
+// changed.
 func TestFormsOfEarlierBuild(t *testing.T) {
 	for file, value := range map[string]any{
 		"testdata/offer.golden.json": &offer{},
--- a/internal/daemon/helper_test.go
+++ b/internal/daemon/helper_test.go
@@ -37,6 +37,8 @@
 	"dunlinsail/internal/fake/xdsserver"
 )
 
+// TestMain runs the tests and checks for leaked goroutines. With DUNLINSAILD_TEST_ROLE set, the process is a
+// child of a test and runs that role instead.
 func TestMain(m *testing.M) {
 	if os.Getenv("DUNLINSAILD_TEST_ROLE") != "" {
 		runRole()
@@ -45,16 +47,16 @@
 	goleak.VerifyTestMain(m)
 }
 
-// testFleet is discovery and endpoints for a daemon under test.
+// testFleet is the discovery server and the endpoints that a daemon under test uses.
 type testFleet struct {
 	discovery    *discoveryserver.Server
 	ledger       *endpoint.Ledger
 	endpoints    []*endpoint.Server
-	controlPlane *xdsserver.Server // nil without one
+	controlPlane *xdsserver.Server // nil until startControlPlane is called
 	dir          string
 }
 
-// newTestFleet starts n endpoints of one cell, and a discovery server that lists them as up for long.
+// newTestFleet starts n endpoints of one cell, and a discovery server that lists them as up and fully warmed up.
 func newTestFleet(t *testing.T, n int, o endpoint.Options) *testFleet {
 	t.Helper()
 	f := &testFleet{ledger: &endpoint.Ledger{}, dir: t.TempDir()}
@@ -76,13 +78,14 @@
 	return f
 }
 
-// entry returns the i-th endpoint's entry in the list.
+// listEntry returns the i-th endpoint's entry in the endpoint list.
 func (f *testFleet) listEntry(i int) discovery.Instance {
 	return scripteddiscovery.Up(fmt.Sprint("s-", i), f.endpoints[i].Addr)
 }
 
-// file returns a daemon's file: a TCP listener for the client desk, a unix socket where each process is a client,
-// and a site of three classes. Edits are pairs of old and new text.
+// configText returns the text of a daemon's configuration: a TCP listener for the client desk, a unix socket on
+// which each client process is a client of its own, and the classes and tenants of siteConfig. edits are pairs of
+// old and new text.
 func (f *testFleet) configText(edits ...string) string {
 	text := `
 name = "under test"
@@ -114,7 +117,7 @@
 	return strings.NewReplacer(edits...).Replace(text)
 }
 
-// siteConfig is the part of the file with the site: its classes, tenants and health checks.
+// siteConfig is the part of configText with the fleet, classes, tenants and health checks.
 const siteConfig = `[fleet]
 zone = "a"
 zones = ["a", "b"]
@@ -150,26 +153,26 @@
 fields = ["inflight", "queue"]
 `
 
-// deskAddress returns the address of the listener desk in a file.
+// deskAddress returns the address of the listener desk in a configuration text.
 func deskAddress(file string) string {
 	_, rest, _ := strings.Cut(file, "name = \"desk\"\naddress = \"")
 	address, _, _ := strings.Cut(rest, "\"")
 	return address
 }
 
-// deskLimitsEdit returns the edit of a file that sets limits of the client desk.
+// deskLimitsEdit returns an edit of configText that adds lines with limits to the client desk.
 func deskLimitsEdit(lines ...string) (oldText, newText string) {
 	return "name = \"desk\"\n[[client]]", "name = \"desk\"\n" + strings.Join(lines, "\n") + "\n[[client]]"
 }
 
-// extraListenerEdit returns the edit of a file that adds a listener named more.
+// extraListenerEdit returns an edit of configText that adds a listener named more, for the client desk.
 func extraListenerEdit(address string) (oldText, newText string) {
 	oldText = "[[client]]\nname = \"desk\""
 	return oldText, "[[listener]]\nname = \"more\"\naddress = \"" + address + "\"\nclient = \"desk\"\n" + oldText
 }
 
-// holdRequests has the endpoints report requests for a path on held, and answer them once hold is closed. An empty path
-// is every path.
+// holdRequests makes the endpoints send to held for each request for a path, and respond once release is closed.
+// An empty path matches every path.
 func (f *testFleet) holdRequests(path string, held chan<- struct{}, release <-chan struct{}) {
 	for _, e := range f.endpoints {
 		e.SetFaults(func(r *http.Request) endpoint.Fault {
@@ -182,7 +185,7 @@
 	}
 }
 
-// config returns the configuration of the fleet's file with edits.
+// config returns the parsed text of configText with edits.
 func (f *testFleet) config(t *testing.T, edits ...string) *config.Config {
 	t.Helper()
 	c, err := config.Parse([]byte(f.configText(edits...)))
@@ -190,7 +193,7 @@
 	return c
 }
 
-// running is a daemon under test, in this process, and its first generation.
+// runningDaemon is a daemon that runs in the test's process. The embedded generation is the first one.
 type runningDaemon struct {
 	*generation
 	process       *process
@@ -198,11 +201,12 @@
 	ended         chan error
 	addrs         map[string]string
 	reload        chan os.Signal
-	nextConfigs   chan *config.Config  // what is read at a reload; nil is an error
-	reloadResults chan rollout.Command // what became of it
+	nextConfigs   chan *config.Config  // returned by Options.Read at each reload; nil makes Read fail
+	reloadResults chan rollout.Command // the acknowledgment or rejection of each configuration version
 }
 
-// launch starts a daemon; serving waits until it accepts.
+// launchDaemon starts a daemon without waiting. serving receives the listeners' addresses once the daemon accepts
+// connections.
 func launchDaemon(t *testing.T, c *config.Config, log *slog.Logger) (
 	r *runningDaemon, serving <-chan map[string]string) {
 	t.Helper()
@@ -242,15 +246,17 @@
 	return r, up
 }
 
-// change has a running daemon read another file, and returns the answer to its version.
+// reloadConfig has the daemon read c as its changed configuration file, and returns whether it acknowledged or
+// rejected that version.
 func (r *runningDaemon) reloadConfig(t *testing.T, c *config.Config) rollout.Command {
 	t.Helper()
 	r.reload <- syscall.SIGHUP
 	r.nextConfigs <- c
-	return scriptedpeer.Receive(t, r.reloadResults, "answer to the new file")
+	return scriptedpeer.Receive(t, r.reloadResults, "acknowledgment or rejection of the new configuration")
 }
 
-// changed is change for a file that must be applied. It returns the generation that serves by it.
+// applyConfig is reloadConfig for a configuration that must be acknowledged. It returns the generation that
+// serves with it.
 func (r *runningDaemon) applyConfig(t *testing.T, c *config.Config) *generation {
 	t.Helper()
 	if s := r.reloadConfig(t, c); s.Action != rollout.ActionAck || !s.Confirmed {
@@ -258,10 +264,10 @@
 	}
 	now := make(chan *generation, 1)
 	r.process.post(func() { now <- r.process.serving.generation })
-	return scriptedpeer.Receive(t, now, "the generation")
+	return scriptedpeer.Receive(t, now, "the serving generation")
 }
 
-// start starts a daemon and waits until it is ready.
+// startDaemon starts a daemon and waits until it is ready.
 func startDaemon(t *testing.T, c *config.Config) *runningDaemon {
 	t.Helper()
 	r, serving := launchDaemon(t, c, testLog())
@@ -274,17 +280,20 @@
 	return r
 }
 
-// options are what the processes of a hot restart are started with.
+// restartOptions is the configuration with which each process of a hot restart is started.
 type restartOptions struct{ config *config.Config }
 
-// freeAddr returns an address on which nothing listens: the second process must name the same as the first.
+// freeAddr returns an address on which no process listens. Both processes of a hot restart need the same address,
+// so the system cannot choose it.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	return scriptedpeer.ClosedAddress(t)
 }
 
+// encodeBase64 returns the standard base64 encoding of b.
 func encodeBase64(b []byte) string { return b64.StdEncoding.EncodeToString(b) }
 
+// testLog logs to standard error if DUNLINSAILD_TEST_LOG is set, and otherwise discards everything.
 func testLog() *slog.Logger {
 	if os.Getenv("DUNLINSAILD_TEST_LOG") != "" {
 		return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
@@ -292,9 +301,11 @@
 	return scriptedpeer.DiscardLog
 }
 
+// lastTraceID numbers the requests of requestText, so that each has its own trace id and idempotency key.
 var lastTraceID atomic.Uint64
 
-// request returns the text of a request of a class.
+// requestText returns the text of a request of a class that expires in ms milliseconds. Requests of class look
+// have no body.
 func requestText(class string, ms int, body string) string {
 	id := fmt.Sprintf("t%08x", lastTraceID.Add(1))
 	headers := fmt.Sprintf("Host: h\r\nX-Trace-Id: %s\r\nX-Customer: acme\r\nX-Expires-In-Ms: %d\r\n", id, ms)
@@ -305,13 +316,13 @@
 		class, headers, id, len(body), body)
 }
 
-// clientConn is a client's connection in this process.
+// clientConn is a client connection to the daemon, opened by the test's own process.
 type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// dial connects as a client. The connection is closed with the test.
+// dial connects to the daemon as a client. The connection is closed at the end of the test.
 func dial(t *testing.T, network, addr string) *clientConn {
 	t.Helper()
 	c, err := net.Dial(network, addr)
@@ -320,7 +331,7 @@
 	return &clientConn{c, bufio.NewReader(c)}
 }
 
-// send sends a text without waiting for a response.
+// send writes text to the connection without waiting for a response.
 func (conn *clientConn) send(t *testing.T, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -328,43 +339,46 @@
 	}
 }
 
-// request sends a request and returns the complete response.
+// roundTrip sends a request and returns the complete response.
 func (conn *clientConn) roundTrip(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
 	conn.send(t, text)
 	return conn.readResponse(t)
 }
 
-// answer reads the next response completely.
+// readResponse reads the next response with its complete body.
 func (conn *clientConn) readResponse(t *testing.T) (*http.Response, string) {
 	t.Helper()
 	resp := conn.readHead(t)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Fatalf("the answer is not complete: %v", err)
+		t.Fatalf("the response is not complete: %v", err)
 	}
 	return resp, string(body)
 }
 
-// readHead reads the head of the next response. The response's body is left to the caller.
+// readHead reads the status line and headers of the next response. The caller reads the body.
 func (conn *clientConn) readHead(t *testing.T) *http.Response {
 	t.Helper()
 	conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	return resp
 }
 
+// readerOf returns a buffered reader of a connection.
 func readerOf(c net.Conn) *bufio.Reader { return bufio.NewReader(c) }
 
+// isTimeout reports whether err is a network timeout.
 func isTimeout(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// role runs a part of a test in a process of its own: this binary, started again.
+// runRole runs the role that DUNLINSAILD_TEST_ROLE names, when this test binary was started again as a child
+// process of a test.
 func runRole() {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
@@ -383,7 +397,7 @@
 			fail(syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}))
 		}
 		fail(Run(ctx, Options{Config: c, Log: testLog(), Serving: func(map[string]string) { fmt.Println("serving") }}))
-	case "client": // prints a line for each request's end
+	case "client": // prints the result of each request as a line of JSON
 		var o client.Options
 		fail(json.Unmarshal([]byte(text), &o))
 		out := json.NewEncoder(os.Stdout)
@@ -391,10 +405,10 @@
 		o.OnDone = func(r client.Result) {
 			mu.Lock()
 			defer mu.Unlock()
-			_ = out.Encode(r) // the test that reads it may be over
+			_ = out.Encode(r) // fails if the test that reads the results has already ended
 		}
 		client.New(o).Run(ctx)
-	case "talker": // writes a text to a connection and then neither reads nor writes
+	case "talker": // writes a text to a connection, and then neither reads nor writes
 		network, rest, _ := strings.Cut(text, " ")
 		addr, message, _ := strings.Cut(rest, " ")
 		c, err := net.Dial(network, addr)
@@ -406,14 +420,15 @@
 	}
 }
 
-// program is a part of a test in a process of its own.
+// childProcess is this test binary running a role in a process of its own.
 type childProcess struct {
 	*exec.Cmd
-	lines chan string // of its standard output; closed at its end
-	ended chan error  // its end, once; then closed
+	lines chan string // lines of standard output; closed at its end
+	ended chan error  // receives the result of Wait once, and is then closed
 }
 
-// spawn starts a program in a role of this test binary, with the text that the role takes.
+// spawnRole starts this test binary in a role, with the text that the role takes as its argument. The process is
+// killed at the end of the test.
 func spawnRole(t *testing.T, role, with string) *childProcess {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -442,13 +457,13 @@
 	return p
 }
 
-// quietLog is a log of package log without output.
+// quietLog returns a logger of package log that discards its output.
 func quietLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
-// waitIdle waits until no request is open.
+// waitIdle waits until no request is queued or in flight and no client has an open request or held bytes.
 func (r *runningDaemon) waitIdle(t *testing.T) {
 	t.Helper()
-	scriptedpeer.Eventually(t, "nothing open", func() bool {
+	scriptedpeer.Eventually(t, "no open requests", func() bool {
 		for _, p := range r.pools {
 			if counts := p.endpoints.Counts(); counts.Queued+counts.InFlight+counts.OpenCalls > 0 {
 				return false
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -14,15 +14,17 @@
 	"dunlinsail/internal/fake/webapp"
 )
 
-// history is what clients received and what applications ran.
+// history records the responses that clients received and the requests that applications ran, so that both can be
+// compared.
 type history struct {
 	mu       sync.Mutex
-	outcomes map[string]outcome // by request id
-	runs     map[string]int     // by request id
-	effects  map[string]int     // by request id; an application of a pool drops repeats of an idempotency key
+	outcomes map[string]outcome // the outcome of each request, by request id
+	runs     map[string]int     // number of complete requests that applications received, by request id
+	effects  map[string]int     // number of effects by request id; a repeated idempotency key has no further effect
 	seenKeys map[string]bool
 }
 
+// newHistory returns an empty history.
 func newHistory() *history {
 	return &history{
 		outcomes: map[string]outcome{},
@@ -32,17 +34,17 @@
 	}
 }
 
-// outcome is how a request ended for its client.
+// outcome is how a request ended from its client's point of view.
 type outcome struct {
 	class         string // "safe", "keyed" or "unsafe"
 	status        int
-	ownResponse   bool // the response is the instance's, not an application's
-	plannedStatus int  // the status that an application was to send
-	broken        bool // the response broke off, and the client saw it
-	plannedLength bool // the response had the planned length
+	ownResponse   bool // the daemon generated the response, not an application
+	plannedStatus int  // the status that the application was asked to send
+	broken        bool // the response was incomplete, and the client noticed
+	plannedLength bool // the body had the length that the application was asked to send
 }
 
-// addOutcome records the outcome of a request, and returns an error if it has one already.
+// addOutcome records the outcome of a request, and returns an error if one is already recorded for that request.
 func (h *history) addOutcome(id string, o outcome) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -53,7 +55,7 @@
 	return nil
 }
 
-// addRun records that an application received a request; complete reports whether its body was.
+// addRun records that an application received a request. Requests with an incomplete body are not counted.
 func (h *history) addRun(id string, complete bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,7 +64,8 @@
 	}
 }
 
-// addEffect records the effect of a request with an idempotency key, unless the key has been seen.
+// addEffect records the effect of a request, unless a request with the same non-empty idempotency key has already
+// taken effect.
 func (h *history) addEffect(id, key string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -72,7 +75,7 @@
 	}
 }
 
-// problems compares both sides and returns what must not have happened.
+// problems compares outcomes with runs and effects, and describes each violation that it finds.
 func (h *history) problems() (found []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -82,11 +85,11 @@
 		switch {
 		case o.broken:
 		case o.ownResponse && (o.status == 503 || o.status == 429) && o.class != "safe" && n > 0:
-			problem("%s %s was rejected, as if a retry were harmless, and ran %d times", o.class, id, n)
+			problem("%s %s was rejected as safe to retry, but ran %d times", o.class, id, n)
 		case !o.ownResponse && n == 0:
-			problem("%s %s was answered %d, and no application ran it", o.class, id, o.status)
+			problem("%s %s got status %d, but no application ran it", o.class, id, o.status)
 		case !o.ownResponse && (o.status != o.plannedStatus || !o.plannedLength):
-			problem("%s %s was answered %d, of the planned length %v, and was to be %d",
+			problem("%s %s got status %d, planned length %v, want status %d",
 				o.class, id, o.status, o.plannedLength, o.plannedStatus)
 		}
 		if o.class == "unsafe" && n > 1 {
@@ -100,12 +103,14 @@
 	}
 	for id := range h.runs {
 		if _, known := h.outcomes[id]; !known {
-			problem("%s ran, and no client sent it", id)
+			problem("%s ran, but no client sent it", id)
 		}
 	}
 	return found
 }
 
+// historyConfig is a configuration with the pools desk and files and with a class for each kind of retry safety.
+// DESK and FILES are replaced by the pools' endpoint addresses.
 const historyConfig = `
 [[listener]]
 address = "127.0.0.1:0"
@@ -151,7 +156,7 @@
 class = "unsafe"
 `
 
-// lockedRand is a random source for several goroutines.
+// lockedRand is a random source that several goroutines may use.
 type lockedRand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -164,8 +169,9 @@
 	return r.rng.IntN(n) == 0
 }
 
-// play has clients send requests through a daemon while applications reset connections and answer 4xx and 5xx, and
-// bodies stream. mangle is what a hop does to the headers of a request before its application receives it.
+// runHistory has eight clients send requests through a daemon, while the applications reset connections, respond
+// with 4xx statuses, and stream bodies. It returns the recorded history. editHeader changes the headers of each
+// request before the application handles it.
 func runHistory(t *testing.T, editHeader func(http.Header)) *history {
 	t.Helper()
 	h := newHistory()
@@ -178,7 +184,7 @@
 			if strings.HasPrefix(r.URL.Path, "/keyed/") {
 				h.addEffect(r.Header.Get("X-Id"), r.Header.Get("Idempotency-Key"))
 			}
-			return random.oneIn(12) // after it took effect
+			return random.oneIn(12) // reset the connection after the request took effect
 		})
 		pools[i/3] = append(pools[i/3], a)
 	}
@@ -192,7 +198,8 @@
 	return h
 }
 
-// sendRequests sends 60 requests of one client, drawn from a seed of its number, one after another.
+// sendRequests sends 60 requests one after another as one client and records their outcomes. The client's index
+// is the seed of its requests.
 func (h *history) sendRequests(t *testing.T, addr string, clientIndex int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(uint64(clientIndex), 5))
@@ -207,8 +214,8 @@
 		}
 		resp, err := transport.RoundTrip(q)
 		if err != nil {
-			o.broken = true // without any part of a response, which must not happen
-			t.Errorf("%s %s has no answer: %v", o.class, id, err)
+			o.broken = true // no response at all is always a failure
+			t.Errorf("%s %s got no response: %v", o.class, id, err)
 		} else {
 			n, err := io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
@@ -223,7 +230,8 @@
 	}
 }
 
-// drawRequest returns a request, its outcome as far as it is planned, and the plan for its application.
+// drawRequest draws a random request. It returns the request, an outcome with the class and planned status filled
+// in, and the plan that tells the application how to respond.
 func drawRequest(rng *rand.Rand, addr, id string) (*http.Request, outcome, webapp.Plan, error) {
 	o := outcome{class: []string{"safe", "keyed", "unsafe"}[rng.IntN(3)]}
 	o.plannedStatus = []int{200, 200, 404, 409, 422, 301}[rng.IntN(6)]
@@ -260,7 +268,7 @@
 	return q, o, plan, nil
 }
 
-// endlessReader reads the letter a without end.
+// endlessReader is a reader that returns the letter a without end.
 type endlessReader struct{}
 
 func (endlessReader) Read(p []byte) (int, error) {
@@ -270,8 +278,9 @@
 	return len(p), nil
 }
 
-// Every request has exactly one final answer. An unsafe one takes effect once at most, whatever breaks; one that ran is
-// not rejected; and an application's 4xx response is forwarded unchanged.
+// Every request must have exactly one final response, whatever connections break. An unsafe request takes effect
+// at most once, a request that ran is not rejected as safe to retry, and an application's 4xx response is
+// forwarded unchanged.
 func TestJoinedHistories(t *testing.T) {
 	h := runHistory(t, func(http.Header) {})
 	byStatus := map[string]int{}
@@ -291,7 +300,8 @@
 	t.Logf("%v", byStatus)
 }
 
-// An idempotency key that does not reach the endpoint is a problem that the comparison finds.
+// The comparison of histories must detect that idempotency keys do not reach the endpoints. Otherwise
+// TestJoinedHistories would prove nothing about them.
 func TestJoinedHistoriesSeeALostKey(t *testing.T) {
 	h := runHistory(t, func(h http.Header) { h.Del("Idempotency-Key") })
 	for _, p := range h.problems() {
@@ -299,5 +309,5 @@
 			return
 		}
 	}
-	t.Error("keys were lost on the way, and no problem was found")
+	t.Error("idempotency keys were removed, and no problem was found")
 }
--- a/internal/daemon/pool_changes_test.go
+++ b/internal/daemon/pool_changes_test.go
@@ -16,6 +16,8 @@
 	"dunlinsail/internal/fake/webapp"
 )
 
+// twoPoolsConfig is a configuration with two pools and a route to each. ONE and TWO are replaced by the pools'
+// endpoint addresses, and BUDGET by retry budget settings of pool one.
 const twoPoolsConfig = `
 [[listener]]
 address = "127.0.0.1:0"
@@ -34,7 +36,8 @@
 pool = "two"
 `
 
-// Requests that stream while their route is removed end completely in their pool, and the next ones use the new route.
+// A response that is streaming when its route and pool are removed is completed by the old pool, and later
+// requests use the new route.
 func TestRouteTakenAwayWhileItStreams(t *testing.T) {
 	release := make(chan struct{})
 	streaming := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -57,14 +60,14 @@
 	d.applyConfig(t, parseConfig(t, changedText, "TWO", quotedAddrs(b)))
 	afterChange, _ := dial(t, "tcp", addr).roundTrip(t, "GET /one/2 HTTP/1.1\r\nHost: h\r\n\r\n")
 	if afterChange.StatusCode != 200 || b.RequestCount() != 1 {
-		t.Errorf("after the change: %s, %d requests there", afterChange.Status, b.RequestCount())
+		t.Errorf("after the change: %s, %d requests in the new pool", afterChange.Status, b.RequestCount())
 	}
 	if counts := removedPool.endpoints.Counts(); counts.OpenCalls != 1 {
-		t.Errorf("%d calls are open", counts.OpenCalls)
+		t.Errorf("the removed pool has %d open calls, want 1", counts.OpenCalls)
 	}
 	close(release)
 	if got, err := io.ReadAll(resp.Body); err != nil || len(got) != 200_000 {
-		t.Errorf("what streamed: %d bytes, %v", len(got), err)
+		t.Errorf("the streaming response: %d bytes, %v", len(got), err)
 	}
 	sameConn, _ := conn.roundTrip(t, "GET /one/3 HTTP/1.1\r\nHost: h\r\n\r\n")
 	if sameConn.StatusCode != 200 || b.RequestCount() != 2 {
@@ -73,8 +76,8 @@
 	d.waitIdle(t)
 }
 
-// Requests to an empty pool are rejected at once with Retry-After. Once it has endpoints again they are served. A
-// request that was served has run, and one that was rejected has not.
+// Requests to an empty pool are rejected at once with Retry-After, and are served once the pool has endpoints
+// again. Every served request has run at an endpoint, and no rejected one has.
 func TestPoolEmptiedAndRefilled(t *testing.T) {
 	var ran sync.Map
 	a := newApp(t, func(id string, complete bool) { ran.Store(id, complete) })
@@ -123,19 +126,20 @@
 	cancel()
 	clients.Wait()
 	if n := unexpected.Load(); n > 0 {
-		t.Errorf("%d of %d were neither served nor truly rejected", n, served.Load()+rejected.Load()+n)
+		t.Errorf("%d of %d requests were neither served after one run nor rejected without one",
+			n, served.Load()+rejected.Load()+n)
 	}
 	d.waitIdle(t)
 }
 
-// While every endpoint of a pool fails, retries are limited to the budget's share of the requests; without a budget
-// there are far more. Another pool is served as usual.
+// While every endpoint of a pool fails, the retry budget limits retries to its share of the requests. With a
+// budget of ten retries per request far more arrive. Another pool is served as usual.
 func TestRetryBudget(t *testing.T) {
 	const requests = 100
 	arrivals := func(budget string) (n int64) {
 		healthy := newApp(t, nil)
 		var failing []*webapp.App
-		for range 20 { // the breaker of each admits some requests before it opens
+		for range 20 { // many endpoints, because each breaker admits some requests before it opens
 			failing = append(failing, newApp(t, nil))
 			failing[len(failing)-1].SetStatus(500)
 		}
@@ -143,7 +147,7 @@
 			"ONE", quotedAddrs(failing...), "TWO", quotedAddrs(healthy), "BUDGET", budget)
 		conn, otherConn := dial(t, "tcp", addr), dial(t, "tcp", addr)
 		for i := range requests {
-			// The breaker's rejections have a Proxy-Status, and the endpoints' own responses have none.
+			// A rejection by a breaker has a Proxy-Status header, and a response of an endpoint has none.
 			resp, _ := conn.roundTrip(t, "GET /one/1 HTTP/1.1\r\nHost: h\r\n\r\n")
 			if resp.StatusCode != 500 && resp.StatusCode != 503 ||
 				(resp.StatusCode == 500) != (resp.Header.Get("Proxy-Status") == "") {
@@ -164,9 +168,10 @@
 	arrivedWithBudget, arrivedWithoutBudget :=
 		arrivals("retry_budget = 0.1\nretry_least = 0.0"), arrivals("retry_budget = 10.0")
 	if arrivedWithBudget > requests+requests/10 {
-		t.Errorf("%d requests arrived as %d with a budget of a tenth", requests, arrivedWithBudget)
+		t.Errorf("%d requests led to %d attempts with a retry budget of a tenth", requests, arrivedWithBudget)
 	}
 	if arrivedWithoutBudget < arrivedWithBudget+requests/10 {
-		t.Errorf("%d arrived without a budget, %d with one", arrivedWithoutBudget, arrivedWithBudget)
+		t.Errorf("%d attempts arrived with a budget of ten per request, %d with a tenth",
+			arrivedWithoutBudget, arrivedWithBudget)
 	}
 }
--- a/internal/daemon/predecessor_test.go
+++ b/internal/daemon/predecessor_test.go
@@ -12,8 +12,8 @@
 	"dunlinsail/internal/takeover"
 )
 
-// A snapshot that is truncated, corrupt, of another version, another configuration or another discovery is rejected as
-// far as it does not fit, and the successor serves without it.
+// The parts of a snapshot that do not match are rejected: it may be truncated, corrupt, of another version, or
+// from a process with another configuration or discovery. The successor serves without these parts.
 func TestSnapshotsThatDoNotMatch(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	d := startDaemon(t, fleet.config(t))
@@ -34,24 +34,24 @@
 	for _, tc := range []struct {
 		name        string
 		state       []byte
-		wantLearned bool // the endpoint's learned state is known afterwards
+		wantLearned bool // the successor has the endpoint's learned state
 	}{
 		{"good", valid, true},
-		{"nothing", nil, false},
+		{"empty", nil, false},
 		{"truncated", valid[:len(valid)-10], false},
-		{"only a head", valid[:20], false},
-		{"spoilt", corrupt, false},
+		{"only a header", valid[:20], false},
+		{"corrupt", corrupt, false},
 		{"another version", otherVersion, false},
 		{"another discovery", encodeState(func(s *takeover.State) {
 			s.Snapshot.Pools[0].Source = "discovery 127.0.0.1:1"
 		}), false},
 		{"another class", encodeState(func(s *takeover.State) { renameClasses(s, "book", "cancel") }), true},
-		{"no class that is known", encodeState(func(s *takeover.State) {
+		{"no known class", encodeState(func(s *takeover.State) {
 			renameClasses(s, "o", "0")
 			renameClasses(s, "a", "4")
 		}), true},
 		{"names missing", encodeState(func(s *takeover.State) { s.Snapshot.Pools[0].LearnedNames = nil }), false},
-		{"so old that nothing of it counts", encodeState(func(s *takeover.State) { s.TakenAt -= 3600_000_000 }), false},
+		{"too old to be used", encodeState(func(s *takeover.State) { s.TakenAt -= 3600_000_000 }), false},
 		{"from the future", encodeState(func(s *takeover.State) { s.TakenAt += 3600_000_000 }), true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -59,17 +59,17 @@
 			s := successor.core.Snapshot().Pools[0]
 			learned := len(s.Learned.Endpoints) == 1 && len(s.Learned.Endpoints[0].BreakerWindow) > 0
 			if learned != tc.wantLearned {
-				t.Errorf("known afterwards: %v, want %v", learned, tc.wantLearned)
+				t.Errorf("has the learned state: %v, want %v", learned, tc.wantLearned)
 			}
 			resp, body := dial(t, "tcp", successor.addrs["desk"]).roundTrip(t, requestText("look", 900, ""))
 			if resp.StatusCode != 200 {
-				t.Errorf("it answers %s: %s", resp.Status, body)
+				t.Errorf("the successor responds %s: %s", resp.Status, body)
 			}
 		})
 	}
 }
 
-// renameClasses replaces text in the names of a state's classes.
+// renameClasses replaces the text old in the names of all classes of a snapshot's first pool.
 func renameClasses(s *takeover.State, old, replacement string) {
 	classes := s.Snapshot.Pools[0].Classes
 	for i := range classes {
@@ -77,7 +77,8 @@
 	}
 }
 
-// startSuccessor starts a daemon on the fleet's discovery and endpoints, as the successor of a scripted predecessor.
+// startSuccessor starts a daemon that uses the fleet's discovery and endpoints, as the successor of a scripted
+// predecessor. The channel receives the successor's listener addresses once it serves.
 func (f *testFleet) startSuccessor(t *testing.T) (*scriptedPredecessor, *runningDaemon, <-chan map[string]string) {
 	t.Helper()
 	otherFleet := &testFleet{discovery: f.discovery, ledger: f.ledger, endpoints: f.endpoints, dir: t.TempDir()}
@@ -88,7 +89,8 @@
 	return predecessor, successor, serving
 }
 
-// handOver starts a daemon on the fleet's discovery and endpoints, and hands an encoded state over to it.
+// handOver starts a daemon that uses the fleet's discovery and endpoints, and hands an encoded state over to it.
+// It returns the daemon once it serves.
 func (f *testFleet) handOver(t *testing.T, state []byte) *runningDaemon {
 	t.Helper()
 	predecessor, successor, serving := f.startSuccessor(t)
@@ -101,8 +103,9 @@
 	return successor
 }
 
-// A successor whose predecessor sends messages out of order, or ends, serves or ends with an error, and never accepts
-// before it is activated.
+// A predecessor is killed at each step of a takeover, or sends messages that are out of order or invalid. Its
+// successor then either serves, or ends with an error without having accepted a connection if the predecessor
+// rejects it.
 func TestPredecessorIsLost(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	for _, tc := range []struct {
@@ -125,7 +128,8 @@
 			p.Close()
 		}, true},
 		{"told to stop meanwhile", func(p *scriptedPredecessor) {
-			fleet.discovery.SetSilent(true) // without an endpoint it does not become ready before the handover
+			// Without an endpoint list the successor does not become ready before the handover.
+			fleet.discovery.SetSilent(true)
 			p.Cleanup(func() { fleet.discovery.SetSilent(false) })
 			p.send(decide.Offer, "{}")
 			p.send(decide.Handover, "")
@@ -155,17 +159,17 @@
 			predecessor, successor, serving := fleet.startSuccessor(t)
 			tc.script(predecessor)
 			if !tc.wantServing {
-				err := scriptedpeer.Receive(t, successor.ended, "end")
+				err := scriptedpeer.Receive(t, successor.ended, "end of the successor")
 				if err == nil || !strings.Contains(err.Error(), "says no") {
-					t.Errorf("it ended with %v", err)
+					t.Errorf("the successor ended with %v, want a rejection", err)
 				}
 				if len(serving) != 0 {
-					t.Error("it served")
+					t.Error("the successor served")
 				}
 				return
 			}
 			successor.addrs = scriptedpeer.Receive(t, serving, "a daemon that serves")
-			scriptedpeer.Eventually(t, "answers", func() bool {
+			scriptedpeer.Eventually(t, "a served request", func() bool {
 				resp, _ := dial(t, "tcp", successor.addrs["desk"]).roundTrip(t, requestText("look", 900, ""))
 				return resp.StatusCode == 200
 			})
@@ -173,11 +177,13 @@
 	}
 }
 
-// The successor of a process that was killed starts without learned state on the sockets left behind.
+// After a killed process the next one starts without learned state, and replaces the unix sockets that were left
+// behind.
 func TestPredecessorKilledBefore(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	c := fleet.config(t)
-	// A killed process leaves sockets at whose paths no process listens.
+	// These are the sockets that a killed process leaves behind: their files exist, and no process listens on
+	// them.
 	for _, path := range []string{"/takeover.sock", "/clients.sock"} {
 		fd := must(syscall.Socket(syscall.AF_UNIX, syscall.SOCK_SEQPACKET, 0))
 		require.NoError(t, syscall.Bind(fd, &syscall.SockaddrUnix{Name: fleet.dir + path}))
@@ -186,6 +192,6 @@
 	d := startDaemon(t, c)
 	d.checkStillServes(t)
 	if s := d.core.Snapshot().Pools[0]; s.Learned.Endpoints[0].RTT.Samples > 5 {
-		t.Errorf("it knows what it cannot have learned: %+v", s.Learned.Endpoints[0])
+		t.Errorf("more samples than a new process can have: %+v", s.Learned.Endpoints[0])
 	}
 }
--- a/internal/daemon/requests_test.go
+++ b/internal/daemon/requests_test.go
@@ -13,7 +13,7 @@
 	"dunlinsail/internal/fake/webapp"
 )
 
-// Pipelined requests are answered in order, whatever their bodies.
+// Pipelined requests get their responses in order, whatever the form of their bodies.
 func TestPipelinedRequests(t *testing.T) {
 	a := newApp(t, nil)
 	d, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a))
@@ -35,12 +35,13 @@
 		}
 	}
 	if resp, _ := conn.readResponse(t); resp.StatusCode != 400 {
-		t.Errorf("a malformed head behind others: %s", resp.Status)
+		t.Errorf("a malformed request after valid ones: %s", resp.Status)
 	}
 	d.waitIdle(t)
 }
 
-// Requests of all forms are forwarded, or get this instance's own response with a reason in Proxy-Status.
+// Each form of request is either forwarded or gets a response of the daemon itself, with the reason in
+// Proxy-Status.
 func TestFormsOfRequests(t *testing.T) {
 	a := newApp(t, nil)
 	_, addr := startRoutedDaemon(t,
@@ -84,16 +85,16 @@
 			(tc.wantProxyStatus == "") != (proxyStatus == "") || !strings.Contains(proxyStatus, tc.wantProxyStatus) {
 			t.Errorf("%q: %s, %q, close %v, %q, %v", tc.text, resp.Status, proxyStatus, resp.Close, body, err)
 		}
-		if !tc.wantClose { // it serves another
+		if !tc.wantClose { // the connection serves another request
 			if resp, _ := conn.roundTrip(t, "GET /a/2 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
-				t.Errorf("%q: the next is answered %s", tc.text, resp.Status)
+				t.Errorf("%q: the next request on the connection: %s", tc.text, resp.Status)
 			}
 		}
 	}
 }
 
-// A text that two readers could understand as different requests is rejected, wherever it is cut in two, and nothing of
-// it is sent to an endpoint.
+// Text that two HTTP parsers could read as different requests is rejected, wherever it is split into two packets,
+// and none of it is sent to an endpoint.
 func TestSmuggling(t *testing.T) {
 	a := newApp(t, nil)
 	_, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a))
@@ -101,7 +102,7 @@
 		host = "Host: h\r\n"
 		post = "POST / HTTP/1.1\r\n" + host
 		get  = "GET / HTTP/1.1\r\n" + host
-		// chunked is the head of a request with a chunked body.
+		// chunked starts a request with a chunked body.
 		chunked = post + "Transfer-Encoding: chunked\r\n\r\n"
 	)
 	for name, text := range map[string]string{
@@ -155,15 +156,15 @@
 	}
 }
 
-// checkRejected sends a text in two parts on a new connection, and checks that the response is an error or the end of
-// the connection.
+// checkRejected sends text on a new connection in two parts, split at cut, and checks that the daemon responds
+// with an error or closes the connection.
 func checkRejected(t *testing.T, addr, name, text string, cut int) {
 	t.Helper()
 	conn := dial(t, "tcp", addr)
 	defer conn.Close()
 	io.WriteString(conn, text[:cut])
 	if cut < len(text) {
-		conn.SetReadDeadline(time.Now().Add(time.Microsecond)) // a moment for the first part
+		conn.SetReadDeadline(time.Now().Add(time.Microsecond)) // gives the daemon time to read the first part alone
 		conn.reader.Peek(1)
 		io.WriteString(conn, text[cut:])
 	}
--- a/internal/daemon/rollout_fleet_test.go
+++ b/internal/daemon/rollout_fleet_test.go
@@ -14,13 +14,14 @@
 	"dunlinsail/internal/fake/xdsserver"
 )
 
-// fleetResult is the outcome of the requests to twenty instances.
+// fleetResult counts the requests that were sent to the twenty instances of runFleet, by their outcome.
 type fleetResult struct {
 	served, scheduled, failed int
-	longestGap                time.Duration // between two responses to one client
+	longestGap                time.Duration // longest time between two responses to one client
 }
 
-// runFleet has twenty instances serve under load while changes runs, which may send versions by the control plane.
+// runFleet starts twenty instances with one client each, calls changes with the control plane and the names of
+// the nodes, and returns the outcome of all requests sent until changes returned.
 func runFleet(t *testing.T, changes func(s *xdsserver.Server, nodes []string)) fleetResult {
 	t.Helper()
 	fleet := newTestFleet(t, 6, endpoint.Options{
@@ -41,7 +42,7 @@
 		daemons = append(daemons, startDaemon(t, fleet.config(t, edits...)))
 		ends = append(ends, startSteadyClient(t, node, addr, 12))
 	}
-	scriptedpeer.Eventually(t, "the streams", func() bool { return s.OpenStreams() == 20 })
+	scriptedpeer.Eventually(t, "twenty open streams", func() bool { return s.OpenStreams() == 20 })
 	changes(s, nodes)
 	var result fleetResult
 	for _, end := range ends {
@@ -58,7 +59,7 @@
 	return result
 }
 
-// invalidVersions are versions that every instance rejects, and the start of its answer.
+// invalidVersions are versions that every instance rejects. answer is the start of the rejection.
 var invalidVersions = []struct {
 	resources []config.Resource
 	answer    string
@@ -82,8 +83,8 @@
 	clientResource("each", map[string]any{"per_process": true}),
 	clientResource("desk", map[string]any{"requests_per_second": 2.0, "burst": 1.0}))
 
-// sendVersions sends versions of some kinds one after another, each when the one before has its answers. A harmful one
-// goes to the first node only.
+// sendVersions sends one version of each of the given kinds, in order, and waits for all answers before it sends
+// the next. A harmful version goes to the first node only.
 func sendVersions(t *testing.T, s *xdsserver.Server, nodes, kinds []string) {
 	t.Helper()
 	invalid := invalidVersions
@@ -101,15 +102,15 @@
 			require.NoError(t, s.SetResourcesForNodes(version, harmfulVersion, nodes[:1]...))
 			awaitAnswers(t, s, version, "refused: worse by service", nodes[:1])
 			if len(s.Answers(nodes[1], version)) > 0 {
-				t.Error("the harmful version was sent to another node, too")
+				t.Error("the harmful version was sent to more than one node")
 			}
 		}
 	}
 }
 
-// Twenty instances under load get good, invalid and harmful versions in a seeded order, a harmful one at one instance
-// only. Invalid ones are rejected by all, the harmful one is rolled back by its instance, and as many requests are
-// served as without any version.
+// Twenty instances under load get good, invalid and harmful versions in an order drawn from a seed. All instances
+// reject the invalid versions, and the one instance that gets the harmful version rolls it back. The share of
+// requests that are served must not be lower than without any versions.
 func TestTwentyInstances(t *testing.T) {
 	versionKinds := []string{"good", "broken", "good", "harmful", "broken", "good", "broken"}
 	rand.New(rand.NewPCG(5, 5)).Shuffle(len(versionKinds), func(i, j int) {
--- a/internal/daemon/rollout_test.go
+++ b/internal/daemon/rollout_test.go
@@ -19,8 +19,8 @@
 	"dunlinsail/internal/fake/xdsserver"
 )
 
-// managed returns the edits of a file with which versions come from the fleet's control plane; more are edits of the
-// table control.
+// controlPlaneEdits returns edits of configText for a daemon that listens on addr and gets configuration versions
+// from the fleet's control plane as the given node. controlEdits are edits of the control table.
 func (f *testFleet) controlPlaneEdits(addr, node string, controlEdits ...string) []string {
 	control := strings.NewReplacer(controlEdits...).Replace(`[control]
 address = "` + f.controlPlane.Address + `"
@@ -34,12 +34,12 @@
 [prices]
 probe = 0.01
 [connections]`)
-	// Latency objectives that these loads meet on a busy machine, too, so that only a version can do harm.
+	// The load meets these latency objectives even on a busy machine, so only a harmful version can miss them.
 	return []string{"127.0.0.1:0", addr, `aim = "500ms"`, `aim = "2s"`, `give_up = "1s"`, `give_up = "10s"`,
 		"[connections]", control}
 }
 
-// startControlPlane starts a control plane for the fleet.
+// startControlPlane starts a control plane for the fleet. It is closed at the end of the test.
 func (f *testFleet) startControlPlane(t *testing.T) *xdsserver.Server {
 	t.Helper()
 	var err error
@@ -50,22 +50,22 @@
 	return f.controlPlane
 }
 
-// table returns a resource without a name.
+// unnamedResource returns a resource of a kind that has no name.
 func unnamedResource(kind string, fields map[string]any) config.Resource {
 	return config.Resource{Kind: kind, Fields: fields}
 }
 
-// clientResource returns the resource of a client.
+// clientResource returns the configuration resource of a client.
 func clientResource(name string, fields map[string]any) config.Resource {
 	return config.Resource{Kind: "client", Name: name, Fields: fields}
 }
 
-// maxAttemptsResource returns the resources of a version with n attempts a request at most.
+// maxAttemptsResource returns the resources of a version that allows n attempts per request.
 func maxAttemptsResource(n float64) []config.Resource {
 	return []config.Resource{unnamedResource("attempts", map[string]any{"most": n, "dial_timeout": "1s"})}
 }
 
-// runs returns the version and the configuration that a daemon runs.
+// runningVersion returns the version pair and the configuration that the daemon runs.
 func (r *runningDaemon) runningVersion(t *testing.T) (version string, c *config.Config) {
 	t.Helper()
 	got := make(chan string, 1)
@@ -74,21 +74,22 @@
 		c, _ = r.process.configOf(pair)
 		got <- pair.String()
 	})
-	return scriptedpeer.Receive(t, got, "what runs"), c
+	return scriptedpeer.Receive(t, got, "the running version"), c
 }
 
-// awaitAnswer waits until the control plane has an answer to a version that starts with a text.
+// awaitAnswer waits until the control plane has received an answer to a version that starts with text.
 func awaitAnswer(t *testing.T, s *xdsserver.Server, version, text string) {
 	t.Helper()
 	end := time.Now().Add(2 * scriptedpeer.WaitTimeout)
 	for ; !s.HasAnswer("", version, text); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("version %s: %q, not %q", version, s.Answers("", version), text)
+			t.Fatalf("version %s: answers %q, want %q", version, s.Answers("", version), text)
 		}
 	}
 }
 
-// awaitAnswers waits until the control plane has an answer to a version that starts with a text from each node.
+// awaitAnswers waits until the control plane has received from each node an answer to a version that starts with
+// text.
 func awaitAnswers(t *testing.T, s *xdsserver.Server, version, text string, nodes []string) {
 	t.Helper()
 	for end := time.Now().Add(3 * scriptedpeer.WaitTimeout); ; time.Sleep(5 * time.Millisecond) {
@@ -102,12 +103,13 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("version %s: %d of %d say %q; %q", version, n, len(nodes), text, s.Answers("", version))
+			t.Fatalf("version %s: %d of %d nodes answered %q; all answers: %q",
+				version, n, len(nodes), text, s.Answers("", version))
 		}
 	}
 }
 
-// set sends a version to all nodes.
+// setVersion makes the control plane send a version to all nodes.
 func setVersion(
 	t *testing.T, s *xdsserver.Server, version string, resources []config.Resource, release map[string]any,
 ) {
@@ -115,7 +117,8 @@
 	require.NoError(t, s.SetResources(version, resources, release))
 }
 
-// steady starts a client with a constant rate of requests a second. end stops it and returns its report.
+// startSteadyClient starts a client that sends requests at a constant rate per second. end stops the client and
+// returns its report.
 func startSteadyClient(t *testing.T, name, addr string, rate float64) (end func() client.Report) {
 	t.Helper()
 	o := steadyClientOptions(addr, rate, time.Hour, nil)
@@ -129,12 +132,12 @@
 	go func() { report <- load.Run(ctx) }()
 	return func() client.Report {
 		cancel()
-		return scriptedpeer.Receive(t, report, "report")
+		return scriptedpeer.Receive(t, report, "the client's report")
 	}
 }
 
-// Versions are applied in their order, rejected with resource, key and reason, and rolled back to when the control
-// plane says so, under load.
+// Under load, versions are applied in their order, rejected with the resource, key and reason, and rolled back
+// when the control plane requests it.
 func TestVersions(t *testing.T) {
 	fleet := newTestFleet(t, 2, endpoint.Options{ServiceTime: map[string]time.Duration{"": time.Millisecond}})
 	s := fleet.startControlPlane(t)
@@ -171,18 +174,19 @@
 		})
 		if running, c := d.runningVersion(t); running != step.wantRunning ||
 			c.Attempts.MaxAttempts != step.maxAttempts {
-			t.Errorf("after %s: %s runs, attempts.most %d", step.version, running, c.Attempts.MaxAttempts)
+			t.Errorf("after version %s: running %s, attempts.most %d", step.version, running, c.Attempts.MaxAttempts)
 		}
 	}
 	r := end()
-	if r.ByVerdict[client.Served] < r.Scheduled-1 { // one may have been open at its end
+	if r.ByVerdict[client.Served] < r.Scheduled-1 { // the last request may have been open when the client stopped
 		t.Errorf("%d scheduled, %v", r.Scheduled, r.ByVerdict)
 	}
-	t.Logf("%d scheduled, longest gap between answers %v", r.Scheduled, r.LongestGap)
+	t.Logf("%d scheduled, longest gap between responses %v", r.Scheduled, r.LongestGap)
 	checkRuns(t, fleet.ledger.Runs())
 }
 
-// A valid version that does harm is rolled back automatically, with figures, and stays rejected.
+// A valid version that makes the service worse is rolled back automatically, rejected with the measured values,
+// and rejected again when it is sent again.
 func TestHarmfulVersion(t *testing.T) {
 	fleet := newTestFleet(t, 2, endpoint.Options{ServiceTime: map[string]time.Duration{"": 5 * time.Millisecond}})
 	s := fleet.startControlPlane(t)
@@ -192,9 +196,9 @@
 	setVersion(t, s, "1", maxAttemptsResource(2), nil)
 	awaitAnswer(t, s, "1", "good")
 	for version, resources := range map[string][]config.Resource{
-		// Nearly all requests are rejected.
+		// Limits of one open request reject nearly all requests.
 		"2": append(maxAttemptsResource(2), unnamedResource("requests", map[string]any{"open": 1.0, "in_flight": 1.0})),
-		// The same by a change that is made while serving.
+		// A request rate limit rejects nearly all requests, too, and is applied without a new generation.
 		"3": append(maxAttemptsResource(2),
 			clientResource("desk", map[string]any{"requests_per_second": 20.0, "burst": 1.0}),
 			clientResource("each", map[string]any{"per_process": true})),
@@ -205,10 +209,10 @@
 			running, _ := d.runningVersion(t)
 			return running == "1 over file 1"
 		})
-		s.DropStreams() // it is sent again
-		scriptedpeer.Eventually(t, "refused again", func() bool { return len(s.Answers("", version)) >= 3 })
+		s.DropStreams() // the control plane sends the version again on the new stream
+		scriptedpeer.Eventually(t, "another rejection", func() bool { return len(s.Answers("", version)) >= 3 })
 		if running, _ := d.runningVersion(t); running != "1 over file 1" {
-			t.Errorf("%s runs", running)
+			t.Errorf("running version %s", running)
 		}
 	}
 	setVersion(t, s, "4", maxAttemptsResource(3), nil)
@@ -220,8 +224,9 @@
 	checkRuns(t, fleet.ledger.Runs())
 }
 
-// An instance starts with the last known good version while its control plane is not reachable. A corrupt version, or
-// one that does not fit the file, is skipped, and the instance starts with the file alone.
+// While its control plane is unreachable, an instance starts with the last known good version. A saved version
+// that is corrupt or does not fit the file is skipped, and the instance then starts with an earlier version or
+// with the file alone.
 func TestStartsWithTheLastKnownGood(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	s := fleet.startControlPlane(t)
@@ -237,7 +242,7 @@
 	stop := func(d *runningDaemon) {
 		t.Helper()
 		d.stop()
-		checkEnded(t, d.ended, "end")
+		checkEnded(t, d.ended, "end of the daemon")
 	}
 	stop(d)
 	s.Close()
@@ -245,29 +250,30 @@
 		t.Helper()
 		d := startDaemon(t, fleet.config(t, edits...))
 		if running, c := d.runningVersion(t); running != version || c.Attempts.MaxAttempts != maxAttempts {
-			t.Errorf("%s: %s runs, attempts.most %d", what, running, c.Attempts.MaxAttempts)
+			t.Errorf("%s: running %s, attempts.most %d", what, running, c.Attempts.MaxAttempts)
 		}
 		dial(t, "tcp", addr).checkServed(t, what)
 		stop(d)
 	}
-	checkStart("the service is away", "2 over file 1", 5, edits...)
-	checkStart("another file", "2 over file 1", 5, append(edits, "worth = 5.0", "worth = 4.0")...)
+	checkStart("control plane unreachable", "2 over file 1", 5, edits...)
+	checkStart("changed file", "2 over file 1", 5, append(edits, "worth = 5.0", "worth = 4.0")...)
 	pinned := fleet.controlPlaneEdits(addr, "i-1", "gap =", "pin = [\"listener\", \"attempts\"]\ngap =")
-	checkStart("a file that pins it", "2 over file 1", 3, append(pinned, "[attempts]", "[attempts]\nmost = 3")...)
+	checkStart("file that pins the attempts", "2 over file 1", 3,
+		append(pinned, "[attempts]", "[attempts]\nmost = 3")...)
 	unmanaged := fleet.controlPlaneEdits(addr, "i-1", fleet.controlPlane.Address, "", "plaintext = true", "")
-	checkStart("without a service", "file 1", 3, append(unmanaged, "[attempts]", "[attempts]\nmost = 3")...)
+	checkStart("no control plane configured", "file 1", 3, append(unmanaged, "[attempts]", "[attempts]\nmost = 3")...)
 	require.NoError(t, os.Truncate(filepath.Join(state, "state"), 60))
-	checkStart("a state that is cut off", "1 over file 1", 4, edits...)
+	checkStart("truncated state", "1 over file 1", 4, edits...)
 	for _, name := range []string{"state", "state.before"} {
 		require.NoError(t, os.WriteFile(filepath.Join(state, name), []byte("no"), 0o600))
 	}
-	checkStart("nothing sound", "file 1", 3, edits...)
+	checkStart("no valid state", "file 1", 3, edits...)
 	os.RemoveAll(state)
 	require.NoError(t, os.WriteFile(state, nil, 0o600))
-	checkStart("no folder", "file 1", 3, edits...)
+	checkStart("state folder cannot be created", "file 1", 3, edits...)
 }
 
-// A version that cannot be saved is applied, and saved once the disk has room.
+// A version that cannot be saved is applied all the same, and saved once the disk has room again.
 func TestVersionsOnAFullDisk(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	s := fleet.startControlPlane(t)
@@ -275,14 +281,14 @@
 	scriptedpeer.Eventually(t, "a stream", func() bool { return s.StreamsOpened() > 0 })
 	state := filepath.Join(fleet.dir, "i-1")
 	require.NoError(t, os.Symlink("/dev/full", filepath.Join(state, "state.part")))
-	os.Remove(state + "/state")                             // if the file's version was saved already
-	if err := os.Mkdir(state+"/state", 0o700); err != nil { // no file can replace a folder
+	os.Remove(state + "/state")                             // the version of the file may already be saved
+	if err := os.Mkdir(state+"/state", 0o700); err != nil { // the saved file cannot replace a folder
 		t.Fatal(err)
 	}
 	setVersion(t, s, "1", maxAttemptsResource(2), nil)
 	awaitAnswer(t, s, "1", "good")
 	if running, _ := d.runningVersion(t); running != "1 over file 1" {
-		t.Errorf("%s runs", running)
+		t.Errorf("running version %s", running)
 	}
 	os.RemoveAll(state + "/state")
 	for end := time.Now().Add(3 * scriptedpeer.WaitTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -290,13 +296,13 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("it was never saved")
+			t.Fatal("the version was never saved")
 		}
 	}
 }
 
-// A version that comes while another process takes over, or while the daemon ends, is not applied. One that comes
-// during a canary waits, and of several the newest is applied.
+// A version that arrives during a takeover by another process, or while the daemon ends, is not applied. A
+// version that arrives during a canary waits; if several wait, only the newest is applied.
 func TestVersionsAtTheWrongTime(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	s := fleet.startControlPlane(t)
@@ -308,53 +314,53 @@
 	setVersion(t, s, "1", maxAttemptsResource(2), nil)
 	setVersion(t, s, "2", maxAttemptsResource(3), nil)
 	if running, _ := d.runningVersion(t); running != "file 1" {
-		t.Errorf("during a takeover %s runs", running)
+		t.Errorf("during a takeover: running version %s", running)
 	}
 	successor.Close()
 	awaitAnswer(t, s, "2", "trial")
 	setVersion(t, s, "3", maxAttemptsResource(4), nil)
 	setVersion(t, s, "4", maxAttemptsResource(5), nil)
 	if running, _ := d.runningVersion(t); running != "2 over file 1" {
-		t.Errorf("during a trial %s runs", running)
+		t.Errorf("during a canary: running version %s", running)
 	}
 	awaitAnswer(t, s, "4", "trial")
 	if !s.HasAnswer("", "2", "good") || s.HasAnswer("", "3", "trial") {
-		t.Errorf("of 2 %q, of 3 %q", s.Answers("", "2"), s.Answers("", "3"))
+		t.Errorf("answers to version 2: %q, to version 3: %q", s.Answers("", "2"), s.Answers("", "3"))
 	}
-	// A new file is applied first, and ends the canary.
+	// A changed file is applied before waiting versions, and ends the canary.
 	d.reload <- syscall.SIGHUP
 	d.nextConfigs <- fleet.config(t, append(fleet.controlPlaneEdits(addr, "i-1"), "worth = 5.0", "worth = 3.0")...)
-	scriptedpeer.Eventually(t, "the file", func() bool {
+	scriptedpeer.Eventually(t, "the changed file", func() bool {
 		running, _ := d.runningVersion(t)
 		return running == "4 over file 2"
 	})
-	// Another process takes over, which does not count against the version.
+	// Another process takes over during the canary. This does not count against the version.
 	next := startDaemon(t, fleet.config(t,
 		append(fleet.controlPlaneEdits(addr, "i-1"), "worth = 5.0", "worth = 3.0")...))
-	checkEnded(t, d.ended, "end")
+	checkEnded(t, d.ended, "end of the daemon")
 	awaitAnswer(t, s, "4", "good")
 	release, held := make(chan struct{}), make(chan struct{}, 1)
 	fleet.holdRequests("", held, release)
 	open := dial(t, "tcp", addr)
 	open.send(t, requestText("pay", 900, ""))
-	scriptedpeer.Receive(t, held, "attempt")
+	scriptedpeer.Receive(t, held, "attempt at the endpoint")
 	next.stop()
 	setVersion(t, s, "5", maxAttemptsResource(2), nil)
 	close(release)
 	if resp, _ := open.readResponse(t); resp.StatusCode != 200 {
 		t.Error(resp.Status)
 	}
-	checkEnded(t, next.ended, "end")
+	checkEnded(t, next.ended, "end of the daemon")
 	if answers := s.Answers("", "5"); len(answers) > 0 {
-		t.Errorf("while it ended: %q", answers)
+		t.Errorf("answers while the daemon ended: %q", answers)
 	}
-	// The next process applies the version that the last one had no time for.
+	// The next process applies the version that the previous one did not apply before it ended.
 	startDaemon(t, fleet.config(t, append(fleet.controlPlaneEdits(addr, "i-1"), "worth = 5.0", "worth = 3.0")...))
 	awaitAnswer(t, s, "5", "good")
 }
 
-// The process after one that was killed during a canary starts with the last known good version. After two such
-// processes the version is rejected.
+// A process that starts after one that was killed during a canary uses the last known good version. After two
+// processes were killed during the canary of a version, the version is rejected.
 func TestKilledOnTrial(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	s := fleet.startControlPlane(t)
@@ -366,7 +372,7 @@
 		if n == 0 {
 			setVersion(t, s, "1", maxAttemptsResource(2), nil)
 		}
-		scriptedpeer.Eventually(t, "a trial", func() bool { return len(s.Answers("", "1")) == n+1 })
+		scriptedpeer.Eventually(t, "a canary", func() bool { return len(s.Answers("", "1")) == n+1 })
 		require.NoError(t, p.Process.Kill())
 		<-p.ended
 	}
--- a/internal/daemon/routes_test.go
+++ b/internal/daemon/routes_test.go
@@ -23,7 +23,8 @@
 	"dunlinsail/internal/fake/webapp"
 )
 
-// newApp starts a stand-in application.
+// newApp starts a fake application. onRequest, if not nil, is called for each request with its id and whether its
+// body was complete. The application is closed at the end of the test.
 func newApp(t *testing.T, onRequest func(id string, complete bool)) *webapp.App {
 	t.Helper()
 	a, err := webapp.Start(onRequest)
@@ -32,7 +33,7 @@
 	return a
 }
 
-// parse reads a file, with edits as pairs of old and new text.
+// parseConfig parses a configuration text after applying edits, which are pairs of old and new text.
 func parseConfig(t *testing.T, text string, edits ...string) *config.Config {
 	t.Helper()
 	c, err := config.Parse([]byte(strings.NewReplacer(edits...).Replace(text)))
@@ -40,7 +41,8 @@
 	return c
 }
 
-// onePoolConfig is a file with one pool, whose endpoints replace ADDRS, and one route.
+// onePoolConfig is a configuration with one pool and one route. ADDRS is replaced by the pool's endpoint
+// addresses.
 const onePoolConfig = `
 [[listener]]
 address = "127.0.0.1:0"
@@ -51,6 +53,7 @@
 pool = "app"
 `
 
+// quotedAddrs returns the addresses of applications as the elements of a TOML array.
 func quotedAddrs(apps ...*webapp.App) string {
 	var quoted []string
 	for _, a := range apps {
@@ -59,7 +62,8 @@
 	return strings.Join(quoted, ", ")
 }
 
-// routed starts a daemon of a file, with edits as pairs of old and new text, and returns its listener's address.
+// startRoutedDaemon starts a daemon with a configuration text after applying edits, which are pairs of old and
+// new text. It returns the daemon and the address of its listener.
 func startRoutedDaemon(t *testing.T, text string, edits ...string) (*runningDaemon, string) {
 	t.Helper()
 	d := startDaemon(t, parseConfig(t, text, edits...))
@@ -70,7 +74,7 @@
 	return nil, ""
 }
 
-// Whatever an application does, its clients and it see the same through the daemon as through
+// For any application behavior, clients and the application observe the same through the daemon as through
 // httputil.ReverseProxy, apart from the differences that package differential explains.
 func TestLikeReverseProxy(t *testing.T) {
 	a := newApp(t, nil)
@@ -89,10 +93,10 @@
 			t.Errorf("%v", d)
 		}
 	}
-	t.Logf("%d differences without a reason; with one: %v", len(unexplained), explained)
+	t.Logf("%d unexplained differences; explained ones by reason: %v", len(unexplained), explained)
 }
 
-// A route edits requests and responses as configured, and forwards the rest unchanged.
+// A route edits requests and responses as configured, and forwards everything else unchanged.
 func TestEditsOnTheWay(t *testing.T) {
 	a := newApp(t, nil)
 	_, addr := startRoutedDaemon(t, onePoolConfig+`path = "/cards/*"
@@ -131,7 +135,7 @@
 	}
 }
 
-// Forwarded headers of earlier hops are trusted only if the route says so.
+// Forwarding headers of earlier hops are trusted only if the route is configured to trust them.
 func TestForwarded(t *testing.T) {
 	a := newApp(t, nil)
 	for _, tc := range []struct{ edits, wantHeaders string }{
@@ -154,8 +158,8 @@
 	}
 }
 
-// A safe request that an endpoint rejects is retried at another one, and the client gets the last response. An unsafe
-// one is not retried.
+// A safe request that an endpoint rejects is retried at another endpoint, and the client gets the response to the
+// last attempt. An unsafe request is not retried.
 func TestLoadReportsOfEndpoints(t *testing.T) {
 	overloaded := http.Header{"Retry-After": {"7"}}
 	for _, tc := range []struct {
@@ -182,6 +186,8 @@
 	}
 }
 
+// takeoverPoolsConfig is a configuration with a takeover socket, a pool whose endpoints are in the configuration,
+// and a pool whose endpoint list is a file. The words in capitals are replaced by each test.
 const takeoverPoolsConfig = `
 [takeover]
 socket = "SOCKET"
@@ -203,8 +209,8 @@
 pool = "file"
 `
 
-// streamUntil handles connections of an endpoint: the response for /listed/stream is sent in two halves of 100,000
-// bytes, the second once more is closed, and any other is empty.
+// streamUntil returns a handler of an endpoint's connections. It sends the response for /listed/stream in two
+// halves of 100,000 bytes, the second once release is closed. All other responses have no body.
 func streamUntil(release <-chan struct{}) func(c *net.TCPConn, r *bufio.Reader) {
 	return func(c *net.TCPConn, r *bufio.Reader) {
 		for {
@@ -223,7 +229,7 @@
 	}
 }
 
-// writeList replaces a pool's list in a file.
+// writeList atomically replaces a pool's endpoint list file with a list of applications.
 func writeList(t *testing.T, file string, apps ...*webapp.App) {
 	t.Helper()
 	var instances []string
@@ -236,8 +242,8 @@
 	require.NoError(t, os.Rename(file+".new", file))
 }
 
-// A successor takes over the learned state of each pool, with the list of its own file. A response that streams ends in
-// the predecessor.
+// A successor takes over the learned state of each pool, and reads the endpoint list of a file pool itself. The
+// predecessor completes a response that is streaming.
 func TestTakeoverOfPools(t *testing.T) {
 	release := make(chan struct{})
 	streamingAddr := scriptedpeer.StartTCP(t, streamUntil(release))
@@ -257,18 +263,18 @@
 	streaming := dial(t, "tcp", c.Listeners[0].Address)
 	io.WriteString(streaming, "GET /listed/stream HTTP/1.1\r\nHost: h\r\n\r\n")
 	resp := streaming.readHead(t)
-	writeList(t, file, a, b) // the successor reads it at its start
+	writeList(t, file, a, b) // the successor reads the new list when it starts
 	second, serving := launchDaemon(t, c, testLog())
 	second.addrs = scriptedpeer.Receive(t, serving, "the second daemon")
 	s := second.core.Snapshot()
 	for _, name := range []string{"listed", "file"} {
 		p := s.Pool(name)
 		if p == nil || len(p.Learned.Endpoints) == 0 || len(p.Learned.Endpoints[0].BreakerWindow) == 0 {
-			t.Errorf("pool %q: what was learned is not there: %+v", name, p)
+			t.Errorf("pool %q: the learned state was not handed over: %+v", name, p)
 		}
 	}
 	if p := s.Pool("file"); p != nil && len(p.Endpoints) != 2 {
-		t.Errorf("the file's list is the old process's: %+v", p.Endpoints)
+		t.Errorf("endpoints of the file pool are those of the old process: %+v", p.Endpoints)
 	}
 	for range 4 {
 		if resp, _ := conn.roundTrip(t, "GET /file/3 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
@@ -277,13 +283,13 @@
 	}
 	close(release)
 	if n, err := io.Copy(io.Discard, resp.Body); err != nil || n != 200_000 {
-		t.Errorf("the answer that streamed: %d bytes, %v", n, err)
+		t.Errorf("the streaming response: %d bytes, %v", n, err)
 	}
-	checkEnded(t, first.ended, "the first daemon's end")
+	checkEnded(t, first.ended, "end of the first daemon")
 }
 
-// Routes name the classes of their own configuration. A file with other classes is applied by a new generation, with
-// its own routes.
+// Routes refer to the classes of the configuration that defines them. A configuration with other classes is
+// applied by a new generation with its own routes, and the old generation keeps the old ones.
 func TestRoutesAndTheirClasses(t *testing.T) {
 	a := newApp(t, nil)
 	const classes = "[[class]]\nname = \"read\"\nrepeat = \"safe\"\naim = \"1s\"\ngive_up = \"2s\"\n" +
@@ -306,14 +312,14 @@
 	}
 	second := d.applyConfig(t, configWith(swapped))
 	if second == d.generation {
-		t.Error("other classes without a generation of their own")
+		t.Error("changed classes were applied without a new generation")
 	}
-	// Until its connections are handed over, the earlier generation answers on them by its routes.
+	// Until its connections are handed over, the old generation still serves them with its own routes.
 	d.awaitOneGeneration(t)
 	checkStatus("/old", 404)
 	checkStatus("/new", 200)
 	if d.applyConfig(t, configWith(swapped+"[paths]\nencoded_slash = \"keep\"\n")) != second {
-		t.Error("a generation of its own for what can be changed while serving")
+		t.Error("a new generation was started for a change that can be applied while serving")
 	}
 	checkStatus("/new%2F", 404)
 }
--- a/internal/daemon/scripted_takeover_test.go
+++ b/internal/daemon/scripted_takeover_test.go
@@ -15,12 +15,13 @@
 	"dunlinsail/internal/takeover"
 )
 
-// scriptedSuccessor is a successor whose messages a test writes.
+// scriptedSuccessor plays the successor of a takeover: the test sends and expects its messages one by one.
 type scriptedSuccessor struct {
 	*testing.T
 	*takeover.Conn
 }
 
+// connectAsSuccessor connects to the takeover socket at path and sends the hello message.
 func connectAsSuccessor(t *testing.T, path string) *scriptedSuccessor {
 	t.Helper()
 	c, err := takeover.Dial(path)
@@ -31,12 +32,14 @@
 	return s
 }
 
+// send sends a message of a kind with a text as its payload.
 func (s *scriptedSuccessor) send(kind decide.Event, text string) {
 	s.Helper()
 	require.NoError(s, s.Write(takeover.Message{Kind: kind, Payload: []byte(text)}))
 }
 
-// expect waits for a message of a kind. It skips connections that are handed over.
+// expect reads messages until one of the given kind arrives, and returns it. It skips handed-over connections and
+// ends the test on any other message.
 func (s *scriptedSuccessor) expect(kind decide.Event) takeover.Message {
 	s.Helper()
 	for {
@@ -54,13 +57,14 @@
 	}
 }
 
-// scriptedPredecessor is a predecessor whose messages a test writes.
+// scriptedPredecessor plays the predecessor of a takeover: the test sends and expects its messages one by one.
 type scriptedPredecessor struct {
 	*scriptedSuccessor
 	listener *takeover.Listener
 }
 
-// actAsPredecessor listens as a predecessor would and waits for a successor.
+// actAsPredecessor listens on the takeover socket at path, calls startSuccessor, and waits for the successor's
+// connection and hello.
 func actAsPredecessor(t *testing.T, path string, startSuccessor func()) *scriptedPredecessor {
 	t.Helper()
 	ln, err := takeover.Listen(path)
@@ -80,8 +84,8 @@
 	return p
 }
 
-// waitReceived waits until the successor has handled all messages that were sent, in order: it closes the file that
-// comes with the last one.
+// waitReceived waits until the successor has handled all messages sent so far. It sends one more message with the
+// write end of a pipe: messages are handled in order, and the pipe ends when the successor closes that file.
 func (p *scriptedPredecessor) waitReceived() {
 	p.Helper()
 	readEnd, writeEnd, err := os.Pipe()
--- a/internal/daemon/spentlog_test.go
+++ b/internal/daemon/spentlog_test.go
@@ -14,7 +14,7 @@
 	"dunlinsail/internal/peers"
 )
 
-// Checkers of the fleet's budgets read these lines.
+// The form of these lines must not change, because tools that check the fleet's budgets read them.
 func TestSpentUnitsKeepTheirStoredForm(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spent")
 	s, err := openSpentLog(path, slog.New(slog.DiscardHandler))
@@ -29,7 +29,7 @@
 	}
 }
 
-// Operators' tools read this form.
+// The JSON form of the fleet view must not change, because operators' tools read it.
 func TestFleetViewKeepsItsForm(t *testing.T) {
 	encoded, err := json.Marshal(View{
 		Name: "instance-1",
--- a/internal/daemon/streaming_test.go
+++ b/internal/daemon/streaming_test.go
@@ -16,7 +16,8 @@
 	"dunlinsail/internal/fake/webapp"
 )
 
-// The response of an endpoint that answers before it has read the body is forwarded, and the rest of the body is not.
+// If an endpoint responds before it has read the whole body, its response is forwarded and the rest of the body
+// is not.
 func TestEarlyAnswer(t *testing.T) {
 	discarded := make(chan int64, 1)
 	earlyEndpoint := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -33,7 +34,7 @@
 	conn := dial(t, "tcp", addr)
 	go func() {
 		fmt.Fprintf(conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 100000000\r\n\r\n")
-		io.WriteString(conn, strings.Repeat("x", 300_000)) // and then it waits
+		io.WriteString(conn, strings.Repeat("x", 300_000)) // the client sends no more of the body
 	}()
 	resp, body := conn.readResponse(t)
 	if resp.StatusCode != 413 || body != "small" || resp.Header.Get("X-Mine") != "yes" ||
@@ -42,22 +43,22 @@
 	}
 	conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 	if _, err := conn.reader.ReadByte(); err == nil || isTimeout(err) {
-		t.Errorf("the connection stays open on half a body: %v", err)
+		t.Errorf("read after an incomplete body: %v, want the connection closed", err)
 	}
-	if n := scriptedpeer.Receive(t, discarded, "the endpoint's end"); n > 10_000_000 {
-		t.Errorf("the endpoint got %d bytes more", n)
+	if n := scriptedpeer.Receive(t, discarded, "end of the endpoint's connection"); n > 10_000_000 {
+		t.Errorf("the endpoint received %d more bytes of the body", n)
 	}
 	d.waitIdle(t)
 }
 
-// A request whose client disconnects in the middle of the body, or sends a malformed body, is never complete for the
-// endpoint, is not retried, and does not count as a failure of the endpoint.
+// If a client disconnects within the body or sends a malformed body, no endpoint sees a complete request, the
+// request is not retried, and it does not count as a failure of the endpoint.
 func TestBrokenBodies(t *testing.T) {
 	var complete atomic.Int32
 	var attempts sync.Map // by request id, because a late attempt may arrive during the next case
 	a := newApp(t, func(id string, isComplete bool) {
 		if id == "" {
-			return // one of the requests at the end
+			return // the request is one of checkRoot
 		}
 		n, _ := attempts.LoadOrStore(id, new(atomic.Int32))
 		n.(*atomic.Int32).Add(1)
@@ -75,13 +76,13 @@
 		closeWrite bool
 		wantStatus int
 	}{
-		{"leaves in a long body", "Content-Length: 1000000", strings.Repeat("x", 200_000), true, 0},
-		{"leaves in a short body", "Content-Length: 1000", "x", true, 400},
+		{"disconnects in a long body", "Content-Length: 1000000", strings.Repeat("x", 200_000), true, 0},
+		{"disconnects in a short body", "Content-Length: 1000", "x", true, 400},
 		{"stops in a long body", "Content-Length: 1000000", strings.Repeat("x", 200_000), false, 408},
-		{"a bad chunk behind good ones", "Transfer-Encoding: chunked", chunk + "zz\r\n", false, 400},
-		{"stops in chunks", "Transfer-Encoding: chunked", "3\r\nabc\r\n", false, 408},
-		{"chunks over the bound", "Transfer-Encoding: chunked", strings.Repeat(chunk, 12), false, 413},
-		{"a length over the bound", "Content-Length: 1048577", "x", false, 413},
+		{"a malformed chunk after valid ones", "Transfer-Encoding: chunked", chunk + "zz\r\n", false, 400},
+		{"stops in a chunked body", "Transfer-Encoding: chunked", "3\r\nabc\r\n", false, 408},
+		{"chunks over the limit", "Transfer-Encoding: chunked", strings.Repeat(chunk, 12), false, 413},
+		{"a length over the limit", "Content-Length: 1048577", "x", false, 413},
 	} {
 		conn := dial(t, "tcp", addr)
 		id := strings.ReplaceAll(tc.name, " ", "-")
@@ -94,7 +95,7 @@
 		conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 		resp, err := http.ReadResponse(conn.reader, nil)
 		switch {
-		case tc.wantStatus == 0: // the client has disconnected
+		case tc.wantStatus == 0: // the client has disconnected and expects no response
 		case err != nil:
 			t.Errorf("%s: %v", tc.name, err)
 		case resp.StatusCode != tc.wantStatus || resp.Header.Get("Proxy-Status") == "" && tc.wantStatus != 413:
@@ -103,7 +104,7 @@
 		conn.Close()
 		d.waitIdle(t)
 	}
-	checkRoot(t, addr, "afterwards", 20)
+	checkRoot(t, addr, "after the incomplete bodies", 20)
 	a.Close()
 	b.Close()
 	attempts.Range(func(id, n any) bool {
@@ -113,11 +114,12 @@
 		return true
 	})
 	if n := complete.Load(); n > 0 {
-		t.Errorf("%d bodies were complete for an endpoint", n)
+		t.Errorf("%d requests had a complete body at an endpoint", n)
 	}
 }
 
-// checkRoot checks that n requests for / on new connections are served.
+// checkRoot checks that n requests for /, each on a new connection, are served. when describes the moment in the
+// error message.
 func checkRoot(t *testing.T, addr, when string, n int) {
 	t.Helper()
 	for range n {
@@ -127,7 +129,7 @@
 	}
 }
 
-// A body of one byte now and then times out, and does not delay other clients.
+// A body that arrives one byte at a time is cut off by a timeout, and does not delay other clients.
 func TestBodyByteByByte(t *testing.T) {
 	a := newApp(t, nil)
 	_, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a))
@@ -148,7 +150,7 @@
 			}
 		}
 	}()
-	checkRoot(t, addr, "beside it", 10)
+	checkRoot(t, addr, "beside the slow body", 10)
 	if resp, _ := conn.readResponse(t); resp.StatusCode != 408 || time.Since(started) > 3*time.Second {
 		t.Errorf("%s after %v", resp.Status, time.Since(started))
 	}
@@ -157,7 +159,8 @@
 	}
 }
 
-// A slow reader holds back its endpoint, and its attempt is cancelled when it disconnects.
+// A client that does not read its response stops the endpoint from sending more, and the attempt is canceled when
+// the client disconnects.
 func TestSlowReaderHoldsTheEndpointBack(t *testing.T) {
 	var sent atomic.Int64
 	ended := make(chan struct{})
@@ -186,7 +189,7 @@
 		t.Fatal(err)
 	}
 	lastSent, unchanged := int64(-1), 0
-	scriptedpeer.Eventually(t, "an endpoint that waits", func() bool {
+	scriptedpeer.Eventually(t, "an endpoint that can send no more", func() bool {
 		time.Sleep(10 * time.Millisecond)
 		if now := sent.Load(); now != lastSent {
 			lastSent, unchanged = now, 0
@@ -196,17 +199,17 @@
 		return unchanged > 10
 	})
 	if lastSent > 64<<20 {
-		t.Errorf("%d MiB were received that the client does not read", lastSent>>20)
+		t.Errorf("the daemon took %d MiB of a response that the client does not read", lastSent>>20)
 	}
 	if _, err := io.CopyN(io.Discard, conn.reader, 100<<20); err != nil {
-		t.Errorf("read on: %v", err)
+		t.Errorf("reading the rest: %v", err)
 	}
 	conn.Close()
 	scriptedpeer.Receive(t, ended, "the end of the attempt")
 	d.waitIdle(t)
 }
 
-// A client of HTTP/1.0 gets a streamed response without chunks, to the end of the connection.
+// A client that uses HTTP/1.0 gets a streamed response without chunks, and its end is the end of the connection.
 func TestOldClientsGetStreams(t *testing.T) {
 	a := newApp(t, nil)
 	d, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a))
@@ -225,8 +228,8 @@
 	d.waitIdle(t)
 }
 
-// checkBreaksOff checks that a response of an HTTP version, of which the first three characters count, ends with an
-// error that is no timeout, with at most maxSize bytes and no trailer.
+// checkBreaksOff checks that a response ends with an error other than a timeout, after at most maxSize bytes and
+// without a trailer. The HTTP version of the request is the first three characters of version.
 func checkBreaksOff(t *testing.T, addr, version string, maxSize int) {
 	t.Helper()
 	conn := dial(t, "tcp", addr)
@@ -238,23 +241,23 @@
 	}
 }
 
-// The client sees that a response breaks off, whatever would have marked its end, and gets nothing in place of the
-// missing part.
+// The client must notice that a response is incomplete, for each way of marking its end, and nothing may take the
+// place of the missing part.
 func TestBrokenAnswers(t *testing.T) {
 	big := strings.Repeat("x", 100_000)
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
 	trailed := chunked + "Trailer: X-Sum\r\n\r\n186a0\r\n" + big + "\r\n"
 	for name, text := range map[string]string{
-		"sized":                  "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + big,
-		"chunked":                trailed + "5\r\nab",
-		"trailers after a reset": trailed + "0\r\nX-Su",
-		"a chunk that is none":   chunked + "\r\n186a0\r\n" + big + "\r\n-1\r\n",
+		"sized":               "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + big,
+		"chunked":             trailed + "5\r\nab",
+		"a truncated trailer": trailed + "0\r\nX-Su",
+		"a malformed chunk":   chunked + "\r\n186a0\r\n" + big + "\r\n-1\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			endpoint := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 				if _, err := scriptedpeer.ReadRequest(r); err == nil {
 					io.WriteString(c, text)
-					r.Peek(1) // until it is let go, or has sent all
+					r.Peek(1) // waits until the daemon has closed the connection
 				}
 			})
 			slow := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -265,7 +268,7 @@
 				}
 			})
 			for version, endpointAddr := range map[string]string{
-				"1.1": endpoint, "1.0": endpoint, "1.1, slowly": slow,
+				"1.1": endpoint, "1.0": endpoint, "1.1, slow reset": slow,
 			} {
 				d, addr := startRoutedDaemon(t, onePoolConfig+"idle = \"200ms\"\n", "ADDRS", `"`+endpointAddr+`"`)
 				checkBreaksOff(t, addr, version, len(big)+2)
--- a/internal/daemon/successor_test.go
+++ b/internal/daemon/successor_test.go
@@ -12,7 +12,8 @@
 	"dunlinsail/internal/takeover"
 )
 
-// A successor that hands over and ends before its own predecessor is done does not make that one serve again.
+// A second takeover starts while the first process still drains an open request, and the second process ends
+// before the first. The first process must not accept connections again: all new connections go to the third.
 func TestSuccessorHandsOverBeforeItsPredecessorIsDone(t *testing.T) {
 	fleet := newTestFleet(t, 2, endpoint.Options{})
 	release, held := make(chan struct{}), make(chan struct{}, 1)
@@ -21,10 +22,10 @@
 	first := startDaemon(t, fleet.config(t, "127.0.0.1:0", addr))
 	conn := dial(t, "tcp", addr)
 	conn.send(t, requestText("pay", 900, ""))
-	scriptedpeer.Receive(t, held, "attempt")
+	scriptedpeer.Receive(t, held, "attempt at the endpoint")
 	second := startDaemon(t, fleet.config(t, "127.0.0.1:0", addr, `drain_within = "3s"`, `drain_within = "50ms"`))
 	third := startDaemon(t, fleet.config(t, "127.0.0.1:0", addr))
-	checkEnded(t, second.ended, "end of the second")
+	checkEnded(t, second.ended, "end of the second daemon")
 	for range 20 {
 		if resp, _ := dial(t, "tcp", addr).roundTrip(
 			t, requestText("look", 900, "")); resp.StatusCode != 200 || resp.Close {
@@ -32,38 +33,39 @@
 		}
 	}
 	if connections, _ := first.front.ConnectionCounts(); connections != 1 {
-		t.Errorf("the first has %d connections, and should have the one with the open request", connections)
+		t.Errorf("the first daemon has %d connections, want only the one with the open request", connections)
 	}
 	if connections, _ := third.front.ConnectionCounts(); connections != 20 {
-		t.Errorf("the last has %d connections of 20", connections)
+		t.Errorf("the third daemon has %d connections, want 20", connections)
 	}
 	close(release)
 	if resp, _ := conn.readResponse(t); resp.StatusCode != 200 {
 		t.Errorf("the open request: %s", resp.Status)
 	}
-	checkEnded(t, first.ended, "end of the first")
+	checkEnded(t, first.ended, "end of the first daemon")
 }
 
-// A successor that fails to start ends with an error, and the predecessor serves on.
+// A successor that fails to start ends with an error, and the predecessor continues to serve.
 func TestSuccessorThatFailsToStart(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	c := fleet.config(t, "127.0.0.1:0", freeAddr(t))
 	d := startDaemon(t, c)
 	conn := dial(t, "tcp", d.addrs["desk"])
-	// One more listener, at an address that another process has.
+	// The additional listener has an address on which the discovery server already listens.
 	oldText, newText := extraListenerEdit(fleet.discovery.Addr)
 	badConfig := fleet.config(t, "127.0.0.1:0", c.Listeners[0].Address, oldText, newText)
 	ctx, cancel := context.WithTimeout(context.Background(), scriptedpeer.WaitTimeout)
 	defer cancel()
 	err := Run(ctx, Options{Config: badConfig, Log: testLog(), Seed: 2})
 	if err == nil || !strings.Contains(err.Error(), `listener "more"`) {
-		t.Errorf("the new one: %v", err)
+		t.Errorf("the successor: %v", err)
 	}
 	d.checkStillServes(t, conn)
 	restart(t, d, &restartOptions{c})
 }
 
-// lostSuccessorCases are the ways in which a successor is lost.
+// lostSuccessorCases are the ways in which a predecessor loses its successor. script plays the successor, which
+// has sent its hello.
 var lostSuccessorCases = []struct {
 	name   string
 	script func(s *scriptedSuccessor)
@@ -84,13 +86,13 @@
 		s.send(decide.Ready, "")
 		s.Close()
 	}},
-	{"killed while nobody accepts", func(s *scriptedSuccessor) {
+	{"killed while neither process accepts", func(s *scriptedSuccessor) {
 		s.expect(decide.Offer)
 		s.send(decide.Ready, "")
 		s.expect(decide.Handover)
 		s.Close()
 	}},
-	{"killed as all is its own", func(s *scriptedSuccessor) {
+	{"killed after activation", func(s *scriptedSuccessor) {
 		s.expect(decide.Offer)
 		s.send(decide.Ready, "")
 		s.expect(decide.Handover)
@@ -98,12 +100,12 @@
 		s.expect(decide.Activate)
 		s.Close()
 	}},
-	{"says no", func(s *scriptedSuccessor) {
+	{"rejects the offer", func(s *scriptedSuccessor) {
 		s.expect(decide.Offer)
 		s.send(decide.Rejected, "no room")
 		s.Close()
 	}},
-	{"talks out of turn", func(s *scriptedSuccessor) {
+	{"sends messages out of order", func(s *scriptedSuccessor) {
 		s.expect(decide.Offer)
 		for _, e := range []decide.Event{decide.Prepared, decide.Activate, decide.Stopping, 77, decide.Hello} {
 			s.send(e, "nonsense")
@@ -112,8 +114,8 @@
 	}},
 }
 
-// A successor that hangs before it is ready, is killed at any moment, or has another version of the protocol, leaves
-// the predecessor as it was.
+// A successor that hangs before it is ready, is killed at any step, or uses another protocol version must leave
+// the predecessor serving as before, and able to hand over to a later successor.
 func TestSuccessorIsLost(t *testing.T) {
 	for _, tc := range lostSuccessorCases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -125,17 +127,18 @@
 			held, release := make(chan struct{}, 1), make(chan struct{})
 			fleet.holdRequests("/pay/1", held, release)
 			active.send(t, requestText("pay", 900, "x"))
-			scriptedpeer.Receive(t, held, "attempt") // a connection in use is not handed over, so it cannot be lost
+			// The connection has an open request, so it is not handed over and cannot be lost.
+			scriptedpeer.Receive(t, held, "attempt at the endpoint")
 			tc.script(connectAsSuccessor(t, c.Takeover.Socket))
 			close(release)
 			if resp, _ := active.readResponse(t); resp.StatusCode != 200 {
-				t.Errorf("the request that was open: %s", resp.Status)
+				t.Errorf("the request open during the takeover: %s", resp.Status)
 			}
 			d.checkStillServes(t, active)
 			restart(t, d, &restartOptions{fleet.config(t, "127.0.0.1:0", c.Listeners[0].Address)})
 		})
 	}
-	t.Run("says nothing", func(t *testing.T) {
+	t.Run("sends no message", func(t *testing.T) {
 		fleet := newTestFleet(t, 1, endpoint.Options{})
 		c := fleet.config(t, "127.0.0.1:0", freeAddr(t))
 		d := startDaemon(t, c)
@@ -147,7 +150,8 @@
 	t.Run("another version", checkOtherVersion)
 }
 
-// checkOtherVersion checks that a second successor, and one with another version of the protocol, are rejected.
+// checkOtherVersion checks that a second concurrent successor is rejected, and that a successor with another
+// protocol version is rejected with the supported version.
 func checkOtherVersion(t *testing.T) {
 	t.Helper()
 	fleet := newTestFleet(t, 1, endpoint.Options{})
@@ -162,7 +166,7 @@
 	}
 	successor.Close()
 	var m takeover.Message
-	scriptedpeer.Eventually(t, "an answer to the version", func() bool {
+	scriptedpeer.Eventually(t, "a rejection of the protocol version", func() bool {
 		c := must(takeover.Dial(d.options.Config.Takeover.Socket))
 		defer c.Close()
 		c.Write(takeover.Message{Kind: decide.Hello, Payload: []byte("999")})
--- a/internal/daemon/takeover_test.go
+++ b/internal/daemon/takeover_test.go
@@ -17,15 +17,17 @@
 	"dunlinsail/internal/takeover"
 )
 
-// restart starts another daemon that takes over, and waits until it accepts and the old one has ended.
+// restart starts another daemon that takes over from old, and waits until the new one is ready and the old one
+// has ended.
 func restart(t *testing.T, old *runningDaemon, c *restartOptions) *runningDaemon {
 	t.Helper()
 	successor := startDaemon(t, c.config)
-	checkEnded(t, old.ended, "end of the old one")
+	checkEnded(t, old.ended, "end of the old daemon")
 	return successor
 }
 
-// steadyClient returns a client of all classes with a constant rate of requests a second for some time.
+// steadyClient returns a client that sends requests of all classes at a constant rate per second for the given
+// time. done receives the result of each request.
 func steadyClient(addr string, rate float64, length time.Duration, done func(client.Result)) *client.Client {
 	return client.New(steadyClientOptions(addr, rate, length, done))
 }
@@ -49,8 +51,8 @@
 	}
 }
 
-// startLosslessLoad starts a client of 400 requests a second for 2 s, and returns once 100 requests have run. A request
-// that is not served fails the test.
+// startLosslessLoad starts a client that sends 400 requests per second for 2 s, and returns once the endpoints
+// have run more than 100 requests. A request that is not served fails the test.
 func (f *testFleet) startLosslessLoad(t *testing.T, addr string) <-chan client.Report {
 	t.Helper()
 	load := steadyClient(addr, 400, 2*time.Second, func(r client.Result) {
@@ -65,27 +67,27 @@
 		defer close(ended)
 		report <- load.Run(ctx)
 	}()
-	t.Cleanup(func() { // a test that fails ends its load
+	t.Cleanup(func() { // stop the load also if the test fails early
 		stop()
 		<-ended
 	})
-	scriptedpeer.Eventually(t, "load", func() bool { return len(f.ledger.Runs()) > 100 })
+	scriptedpeer.Eventually(t, "the first requests of the load", func() bool { return len(f.ledger.Runs()) > 100 })
 	return report
 }
 
-// checkLossless waits for the report of startLosslessLoad, and checks that every request was served and none ran more
-// often than its class allows.
+// checkLossless waits for the report of startLosslessLoad, and checks that every request was served and that no
+// request took effect more often than its class allows.
 func (f *testFleet) checkLossless(t *testing.T, report <-chan client.Report) {
 	t.Helper()
-	r := scriptedpeer.Receive(t, report, "report")
+	r := scriptedpeer.Receive(t, report, "the load's report")
 	if r.ByVerdict[client.Served] != r.Scheduled || r.Scheduled < 500 {
 		t.Errorf("%d scheduled, %v", r.Scheduled, r.ByVerdict)
 	}
-	t.Logf("longest gap between answers %v, p99 %v", r.LongestGap, r.Quantile(0.99))
+	t.Logf("longest gap between responses %v, p99 %v", r.LongestGap, r.Quantile(0.99))
 	checkRuns(t, f.ledger.Runs())
 }
 
-// checkServed checks that a request on a connection is served.
+// checkServed checks that a request on the connection is served. what names the connection in the error message.
 func (conn *clientConn) checkServed(t *testing.T, what string) {
 	t.Helper()
 	if resp, _ := conn.roundTrip(t, requestText("look", 900, "")); resp.StatusCode != 200 {
@@ -93,7 +95,7 @@
 	}
 }
 
-// requireServed ends the test unless a request on a connection is served.
+// requireServed ends the test unless a request on the connection is served.
 func (conn *clientConn) requireServed(t *testing.T) {
 	t.Helper()
 	if resp, _ := conn.roundTrip(t, requestText("look", 900, "")); resp.StatusCode != 200 {
@@ -101,7 +103,8 @@
 	}
 }
 
-// checkEnded waits for the end of a daemon, and checks that it ends without error. what describes the end.
+// checkEnded waits for the end of a daemon, and checks that it ends without an error. what describes the expected
+// end in messages.
 func checkEnded(t *testing.T, ended <-chan error, what string) {
 	t.Helper()
 	if err := scriptedpeer.Receive(t, ended, what); err != nil {
@@ -109,8 +112,8 @@
 	}
 }
 
-// Two handovers in a row under load: no connection is rejected or reset, idle and active connections are kept, each
-// request has exactly one answer, and the learned state is handed over.
+// Two takeovers in a row under load must lose nothing: no connection is rejected or reset, idle and active
+// connections are kept, each request has exactly one final response, and the learned state is handed over.
 func TestTakeover(t *testing.T) {
 	fleet := newTestFleet(t, 3, endpoint.Options{
 		ServiceTime: map[string]time.Duration{"": 2 * time.Millisecond},
@@ -128,35 +131,36 @@
 	}
 	report := fleet.startLosslessLoad(t, addr)
 	active.send(t, requestText("pay", 900, "x"))
-	scriptedpeer.Receive(t, held, "an open request")
-	// The first handover ends once the open request has its answer, from the old process.
+	scriptedpeer.Receive(t, held, "the open request")
+	// The first process ends only after it has sent the final response to the open request.
 	second, serving := launchDaemon(t, c.config, testLog())
-	second.addrs = scriptedpeer.Receive(t, serving, "second")
+	second.addrs = scriptedpeer.Receive(t, serving, "the second daemon")
 	if n, _ := d.front.ConnectionCounts(); n == 0 {
-		t.Error("the first has ended with a request open")
+		t.Error("the first daemon has no connection left while a request is open")
 	}
 	close(release)
 	if n := len(held); n != 0 {
-		t.Errorf("the request was held %d times more", n)
+		t.Errorf("the endpoints received the open request %d more times", n)
 	}
 	if resp, _ := active.readResponse(t); resp.StatusCode != 200 || resp.Close {
-		t.Errorf("the request open at the handover: %s, close %v", resp.Status, resp.Close)
+		t.Errorf("the request that was open at the takeover: %s, close %v", resp.Status, resp.Close)
 	}
-	checkEnded(t, d.ended, "end of the first")
+	checkEnded(t, d.ended, "end of the first daemon")
 	third := restart(t, second, c)
-	for name, conn := range map[string]*clientConn{"at rest": idle, "unix": unix, "in use": active} {
-		conn.checkServed(t, "the connection "+name+", two processes later")
+	for name, conn := range map[string]*clientConn{"idle": idle, "unix": unix, "active": active} {
+		conn.checkServed(t, "the "+name+" connection after two takeovers")
 	}
 	fleet.checkLossless(t, report)
 	if s := third.core.Snapshot().Pools[0]; len(s.Learned.Endpoints) != 3 || s.Learned.Endpoints[0].RTT.Samples < 2 {
-		t.Errorf("what the third knows: %+v", s.Learned)
+		t.Errorf("learned state of the third daemon: %+v", s.Learned)
 	}
 	if connections, _ := third.front.ConnectionCounts(); connections < 3 {
-		t.Errorf("%d connections went on", connections)
+		t.Errorf("the third daemon has %d connections, want at least 3", connections)
 	}
 }
 
-// checkRuns checks that nothing ran more often than its class allows.
+// checkRuns checks that no request took effect twice. Requests of class look are exempt, because they are safe to
+// repeat.
 func checkRuns(t *testing.T, runs []endpoint.Run) {
 	t.Helper()
 	effects := map[string]int{}
@@ -172,10 +176,11 @@
 	}
 }
 
-// checkStillServes checks that a daemon serves on its old connections and on new ones, on all its listeners.
+// checkStillServes checks that a daemon whose takeover has failed offers the next one, and that it serves on
+// oldConns and on new connections to all its listeners.
 func (r *runningDaemon) checkStillServes(t *testing.T, oldConns ...*clientConn) {
 	t.Helper()
-	scriptedpeer.Eventually(t, "no takeover", func() bool {
+	scriptedpeer.Eventually(t, "an offer of the next takeover", func() bool {
 		c, err := takeover.Dial(r.options.Config.Takeover.Socket)
 		if err != nil {
 			return false
@@ -193,11 +198,12 @@
 	}
 	select {
 	case err := <-r.ended:
-		t.Errorf("it has ended: %v", err)
+		t.Errorf("the daemon has ended: %v", err)
 	default:
 	}
 }
 
+// must returns v, and panics if err is not nil.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -205,48 +211,50 @@
 	return v
 }
 
-// A stop of the old process while the new one is starting: the new one serves, and clients that connect meanwhile wait.
+// The old process is stopped while its successor is still starting. The successor gets the connections, including
+// one that a client opens in the meantime. A successor that is stopped before it serves leaves the old process
+// serving.
 func TestStopWhileHandingOver(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	c := fleet.config(t, "127.0.0.1:0", freeAddr(t))
 	d := startDaemon(t, c)
 	idle := dial(t, "tcp", d.addrs["desk"])
 	idle.requireServed(t)
-	// A scripted successor, slow to become ready.
+	// The successor is scripted, so that it becomes ready only after the stop.
 	successor := connectAsSuccessor(t, c.Takeover.Socket)
 	successor.expect(decide.Offer)
 	d.stop()
 	successor.expect(decide.Handover)
-	waiting := dial(t, "tcp", d.addrs["desk"]) // not accepted yet
+	waiting := dial(t, "tcp", d.addrs["desk"]) // neither process has accepted this connection yet
 	waiting.send(t, requestText("look", 5000, ""))
 	successor.send(decide.Prepared, "")
 	successor.expect(decide.Activate)
 	m, err := successor.Read()
 	if err != nil || m.Kind != takeover.ConnectionHandedOver || len(m.Files) != 1 {
-		t.Errorf("the connection at rest: %v, %d files, %v", m.Kind, len(m.Files), err)
+		t.Errorf("handover of the idle connection: %v, %d files, %v", m.Kind, len(m.Files), err)
 	}
 	m.CloseFiles()
 	successor.expect(decide.Done)
-	checkEnded(t, d.ended, "end of the old one")
+	checkEnded(t, d.ended, "end of the old daemon")
 
-	// A stop of the new one before it serves leaves the old one as it was.
+	// A successor that is stopped before it serves leaves the old daemon serving.
 	fleet2 := &testFleet{discovery: fleet.discovery, ledger: fleet.ledger, endpoints: fleet.endpoints, dir: t.TempDir()}
 	c = fleet2.config(t, "127.0.0.1:0", freeAddr(t))
 	d = startDaemon(t, c)
 	ctx, cancel := context.WithCancel(context.Background())
 	unready := *c
-	silentDiscovery := scripteddiscovery.New(t) // without a list the daemon does not become ready
+	silentDiscovery := scripteddiscovery.New(t) // without an endpoint list the daemon does not become ready
 	unready.Discovery.Address = silentDiscovery.Addr
 	ended := make(chan error, 1)
 	go func() { ended <- Run(ctx, Options{Config: &unready, Log: testLog(), Seed: 3}) }()
-	scriptedpeer.Receive(t, silentDiscovery.Requests, "a new process that starts")
+	scriptedpeer.Receive(t, silentDiscovery.Requests, "discovery request of the starting successor")
 	cancel()
-	checkEnded(t, ended, "end of the new one")
+	checkEnded(t, ended, "end of the stopped successor")
 	d.checkStillServes(t)
 }
 
-// While both processes are alive, an endpoint that is warming up gets no more requests than from one alone, and one
-// that drains gets none after the grace from either.
+// While two processes of a takeover are alive, a warming endpoint must not get more requests from both together
+// than from one alone, and a draining endpoint must get none from either after the drain grace.
 func TestWarmUpBudgetIsNotSpentTwice(t *testing.T) {
 	fleet := newTestFleet(t, 3, endpoint.Options{ServiceTime: map[string]time.Duration{"": 3 * time.Millisecond}})
 	c := &restartOptions{fleet.config(t, "127.0.0.1:0", freeAddr(t))}
@@ -255,8 +263,8 @@
 	load := steadyClient(addr, 500, 3*time.Second, nil)
 	report := make(chan client.Report, 1)
 	go func() { report <- load.Run(context.Background()) }()
-	scriptedpeer.Eventually(t, "load", func() bool { return len(fleet.ledger.Runs()) > 300 })
-	// One endpoint restarts and one starts to drain, and at the same moment the processes change.
+	scriptedpeer.Eventually(t, "the first requests of the load", func() bool { return len(fleet.ledger.Runs()) > 300 })
+	// One endpoint restarts, another starts to drain, and a takeover starts at the same moment.
 	warming := fleet.listEntry(1)
 	draining := fleet.listEntry(2)
 	warming.StartedMs = time.Now().UnixMilli()
@@ -264,7 +272,7 @@
 	fleet.discovery.Set(warming, draining)
 	listedAt := time.Now()
 	restart(t, d, c)
-	r := scriptedpeer.Receive(t, report, "report")
+	r := scriptedpeer.Receive(t, report, "the load's report")
 	if r.ByVerdict[client.Served] < r.Scheduled*95/100 {
 		t.Errorf("%d scheduled, %v", r.Scheduled, r.ByVerdict)
 	}
@@ -272,22 +280,25 @@
 	warmingRequests := 0
 	for _, run := range fleet.ledger.Runs() {
 		if run.Endpoint == "s-2" && run.StartedAt.Sub(listedAt) > grace {
-			t.Errorf("the draining endpoint got a request %v after it was listed so", run.StartedAt.Sub(listedAt))
+			t.Errorf("the draining endpoint got a request %v after discovery listed it as draining",
+				run.StartedAt.Sub(listedAt))
 		}
 		if run.Endpoint == "s-1" && run.StartedAt.After(listedAt) {
 			warmingRequests++
 		}
 	}
-	// It starts at a fifth of its capacity, is warm after 20 s, and fails after 2 s at 2.5 times its capacity. In these
-	// 3 s its share of 500 requests a second would be 250 a second if it were warm; a fifth to a third of that, times
-	// 2.5, bounds both processes together. It may get none, because the warm endpoint can serve all and seems faster
-	// (balancer.TestWarmingEndpointIsHandedOver has it get some).
+	// A warming endpoint starts at a fifth of its capacity, is fully warm after 20 s, and fails after 2 s at 2.5
+	// times its capacity. In the 3 s of load its share of the 500 requests per second would be 250 per second if
+	// it were warm. A fifth to a third of that, times 2.5, bounds what both processes together may send. The
+	// warming endpoint may get no requests at all, because the warm endpoint can serve all of them and appears
+	// faster (balancer.TestWarmingEndpointIsHandedOver covers that a warming endpoint gets requests).
 	if limit := 618; warmingRequests > limit {
 		t.Errorf("the warming endpoint got %d requests, want %d at most", warmingRequests, limit)
 	}
 }
 
-// The reader of takeover messages takes large messages and closed connections, and no second listener takes its path.
+// A takeover connection carries messages of 1 MiB, reports a closed connection as an error, and uses a socket
+// that only its owner can access. A second listener on the same path is rejected.
 func TestBrokenMessages(t *testing.T) {
 	dir := t.TempDir()
 	ln := must(takeover.Listen(dir + "/s"))
@@ -298,7 +309,7 @@
 	if info := must(os.Stat(dir + "/s")); info.Mode().Perm() != 0o600 {
 		t.Errorf("permissions %v", info.Mode().Perm())
 	}
-	must(ln.Accept()).Close() // the second listener's check whether a process listens
+	must(ln.Accept()).Close() // the connection with which the second listener checked whether a process listens
 	a := must(takeover.Dial(dir + "/s"))
 	b := must(ln.Accept())
 	defer b.Close()
@@ -309,6 +320,6 @@
 	}
 	a.Close()
 	if _, err := b.Read(); err == nil {
-		t.Error("a message from a connection that has ended")
+		t.Error("a message was read from a closed connection")
 	}
 }
