--- a/internal/daemon/accesslog_test.go
+++ b/internal/daemon/accesslog_test.go
@@ -80,18 +80,18 @@
 func checkRows(t *testing.T, rec *accesslog.Recording) {
 	t.Helper()
 	byKey, verdicts := map[uint64]int{}, map[string]int{}
-	for _, q := range rec.Requests {
-		if q.KeyHash != 0 {
-			byKey[q.KeyHash]++
+	for _, req := range rec.Requests {
+		if req.KeyHash != 0 {
+			byKey[req.KeyHash]++
 		}
-		verdicts[q.Class+" "+q.Verdict]++
-		if q.Client != "desk" || q.Tenant != "acme" || q.Duration <= 0 || q.ClientTimeout <= 0 ||
-			(q.Class == "book") != (q.KeyHash != 0) {
-			t.Errorf("%+v", q)
+		verdicts[req.Class+" "+req.Verdict]++
+		if req.Client != "desk" || req.Tenant != "acme" || req.Duration <= 0 || req.ClientTimeout <= 0 ||
+			(req.Class == "book") != (req.KeyHash != 0) {
+			t.Errorf("%+v", req)
 		}
-		if q.Verdict == accesslog.Served &&
-			(q.Status != 200 || q.Attempts < 1 || !strings.HasPrefix(q.Endpoint, "s-") || q.BytesOut <= 0) {
-			t.Errorf("%+v", q)
+		if req.Verdict == accesslog.Served &&
+			(req.Status != 200 || req.Attempts < 1 || !strings.HasPrefix(req.Endpoint, "s-") || req.BytesOut <= 0) {
+			t.Errorf("%+v", req)
 		}
 	}
 	keysUsedTwice := 0
@@ -140,7 +140,7 @@
 
 // A daemon does not start if the secret of its access record is missing, or if the record's folder cannot be
 // created.
-func TestRecordThatCannotBe(t *testing.T) {
+func TestAccessRecordCannotBeOpened(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	dir, oldText, newText := accessLogEdit(t, fleet)
 	c := fleet.config(t, oldText, newText)
--- a/internal/daemon/client_processes_test.go
+++ b/internal/daemon/client_processes_test.go
@@ -25,7 +25,7 @@
 	held map[string]chan struct{} // by client name; closed once a request of that client is held
 }
 
-// fault holds the requests of the clients in held without a response, and serves all others.
+// fault leaves requests of the clients in held without a response, and lets the endpoint serve all others.
 func (v *killedClients) fault(r *http.Request) endpoint.Fault {
 	name, _, _ := strings.Cut(r.Header.Get("X-Trace-Id"), "-")
 	v.mu.Lock()
@@ -78,9 +78,10 @@
 	return processes
 }
 
-// collectResults reads the results of all client processes until they have ended. The first killed processes were
-// killed and may have printed an incomplete line; all others must end without an error. It returns all results by
-// request id, and the number of results by verdict for the processes that were not killed.
+// collectResults reads the results of all client processes until they have ended. It returns all results by
+// request id, and the number of results by verdict for the processes that were not killed. killed is the number
+// of processes, at the start of the list, that the test has killed: only these may print an incomplete line and
+// end with an error.
 func collectResults(t *testing.T, processes []*childProcess, killed int) (
 	results map[string]client.Result, byVerdict map[client.Verdict]int) {
 	t.Helper()
@@ -156,7 +157,7 @@
 	draining := fleet.listEntry(5)
 	draining.Lifecycle = "draining"
 	fleet.discovery.Set(draining)
-	drainListed := time.Now()
+	drainListedAt := time.Now()
 	fleet.endpoints[4].Close() // the endpoint dies, and discovery still lists it as up
 	removed := fleet.listEntry(4)
 	third := startDaemon(t, c)
@@ -172,7 +173,7 @@
 	})
 	requests := checkVerdicts(t, results, byVerdict, (clients-killed)*100)
 	for _, run := range fleet.ledger.Runs() {
-		sinceGrace := run.StartedAt.Sub(drainListed) - c.Rules.DrainGrace.Duration
+		sinceGrace := run.StartedAt.Sub(drainListedAt) - c.Rules.DrainGrace.Duration
 		if run.Endpoint == "s-5" && sinceGrace > 0 {
 			t.Errorf("the draining endpoint got %s %v after the drain grace", run.TraceID, sinceGrace)
 		}
@@ -260,7 +261,7 @@
 }
 
 // Everything that a killed client process used is freed: descriptors, connections, requests, buffers and memory.
-func TestKilledClientGivesAllBack(t *testing.T) {
+func TestKilledClientFreesResources(t *testing.T) {
 	fleet := newTestFleet(t, 3, endpoint.Options{MinResponseSize: 60 << 10})
 	held := make(chan struct{}, 64)
 	for _, e := range fleet.endpoints {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -20,12 +20,12 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// One instance serves clients on TCP and on a unix socket, and accounts each connection to the right client.
+// One instance serves clients on TCP and on a unix socket, and attributes each connection to the right client.
 func TestServesItsClients(t *testing.T) {
 	fleet := newTestFleet(t, 2, endpoint.Options{})
 	d := startDaemon(t, fleet.config(t))
-	tcp, unix := dial(t, "tcp", d.addrs["desk"]), dial(t, "unix", d.addrs["local"])
-	for _, conn := range []*clientConn{tcp, unix} {
+	tcpConn, unixConn := dial(t, "tcp", d.addrs["desk"]), dial(t, "unix", d.addrs["local"])
+	for _, conn := range []*clientConn{tcpConn, unixConn} {
 		for _, class := range []string{"look", "book", "pay"} {
 			text := requestText(class, 900, "12345")
 			resp, body := conn.roundTrip(t, text)
@@ -35,7 +35,7 @@
 			}
 		}
 	}
-	if resp, body := tcp.roundTrip(t, "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
+	if resp, body := tcpConn.roundTrip(t, "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
 		t.Errorf("ready: %s %q", resp.Status, body)
 	}
 	want := map[string]int{"desk": 1, "each/" + strconv.Itoa(os.Getpid()): 1, "each": 0}
@@ -62,7 +62,7 @@
 
 // A client on a unix socket is identified by the kernel's credentials of its process. A process that matches no
 // configured client is rejected, or belongs to the default client if one is configured.
-func TestWhoAClientIs(t *testing.T) {
+func TestClientIdentity(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	uid, gid := strconv.Itoa(os.Getuid()), strconv.Itoa(os.Getgid())
 	eachClient := "name = \"each\"\n"
@@ -93,7 +93,7 @@
 }
 
 // The limits of a client apply to that client only: while it exceeds them, another client is served.
-func TestBoundsOfAClient(t *testing.T) {
+func TestClientLimits(t *testing.T) {
 	release := make(chan struct{})
 	fleet := newTestFleet(t, 4, endpoint.Options{})
 	for _, e := range fleet.endpoints {
@@ -115,13 +115,13 @@
 	scriptedpeer.Eventually(t, "two requests in flight", func() bool {
 		return d.pools[""].endpoints.Counts().InFlight == 2
 	})
-	third := dial(t, "tcp", d.addrs["desk"])
-	resp, body := third.roundTrip(t, requestText("look", 900, ""))
+	thirdConn := dial(t, "tcp", d.addrs["desk"])
+	resp, body := thirdConn.roundTrip(t, requestText("look", 900, ""))
 	if resp.StatusCode != 503 || !strings.Contains(body, "too many requests of this client") {
 		t.Errorf("over open_requests: %s %q", resp.Status, body)
 	}
-	fourth := dial(t, "tcp", d.addrs["desk"])
-	resp, body = fourth.roundTrip(t, requestText("pay", 900, strings.Repeat("x", 60<<10)))
+	fourthConn := dial(t, "tcp", d.addrs["desk"])
+	resp, body = fourthConn.roundTrip(t, requestText("pay", 900, strings.Repeat("x", 60<<10)))
 	if resp.StatusCode != 503 || !strings.Contains(body, "bytes") || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("over bytes_held: %s %q, Retry-After %q", resp.Status, body, resp.Header.Get("Retry-After"))
 	}
@@ -140,7 +140,7 @@
 }
 
 // A client that exceeds its request rate gets status 429 with Retry-After, however many connections it uses.
-func TestRequestsASecond(t *testing.T) {
+func TestClientRequestRate(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	d := startDaemon(t, fleet.config(t, "per_process = true", "per_process = true\nrequests_per_second = 2\nburst = 3"))
 	statusCounts := map[int]int{}
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -71,7 +71,7 @@
 
 // Idle connections of one client, up to its limit, do not affect another client. Above the limit, the oldest
 // connections of that same client are closed.
-func TestClientThatSits(t *testing.T) {
+func TestIdleConnectionsOfAClient(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	d := startDaemon(t, fleet.config(t, "[connections]\n", "[connections]\nclients = 40\nat_rest = 30\n",
 		"name = \"desk\"\n[[client]]", "name = \"desk\"\nconnections = 10\n[[client]]"))
@@ -96,9 +96,9 @@
 		}
 		dial(t, "unix", d.addrs["local"]).checkServed(t, "another client's new connection")
 	}
-	last := &clientConn{Conn: idleConns[24]}
-	last.reader = readerOf(last.Conn)
-	last.checkServed(t, "the newest connection of the limited client")
+	newestConn := &clientConn{Conn: idleConns[24]}
+	newestConn.reader = readerOf(newestConn.Conn)
+	newestConn.checkServed(t, "the newest connection of the limited client")
 }
 
 // One client does not read from any of its connections, and each of its responses has the largest allowed size.
--- a/internal/daemon/generations_test.go
+++ b/internal/daemon/generations_test.go
@@ -25,14 +25,14 @@
 	initial := fleet.config(t, "127.0.0.1:0", freeAddr(t))
 	addr := initial.Listeners[0].Address
 	d := startDaemon(t, initial)
-	idle, unix, active := dial(t, "tcp", addr), dial(t, "unix", d.addrs["local"]), dial(t, "tcp", addr)
-	for _, conn := range []*clientConn{idle, unix} {
+	idleConn, unixConn, activeConn := dial(t, "tcp", addr), dial(t, "unix", d.addrs["local"]), dial(t, "tcp", addr)
+	for _, conn := range []*clientConn{idleConn, unixConn} {
 		conn.requireServed(t)
 	}
 	held, release := make(chan struct{}, 8), make(chan struct{})
 	fleet.holdRequests("/pay/1", held, release)
 	report := fleet.startLosslessLoad(t, addr)
-	active.send(t, requestText("pay", 900, "x"))
+	activeConn.send(t, requestText("pay", 900, "x"))
 	scriptedpeer.Receive(t, held, "the open request")
 	oldText, newText := extraListenerEdit(freeAddr(t))
 	var last *generation
@@ -55,11 +55,11 @@
 	if n := len(held); n != 0 {
 		t.Errorf("the endpoints received the open request %d more times", n)
 	}
-	if resp, _ := active.readResponse(t); resp.StatusCode != 200 || resp.Close {
+	if resp, _ := activeConn.readResponse(t); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("the request open during the changes: %s, close %v", resp.Status, resp.Close)
 	}
 	fleet.checkLossless(t, report)
-	for name, conn := range map[string]*clientConn{"idle": idle, "unix": unix, "active": active} {
+	for name, conn := range map[string]*clientConn{"idle": idleConn, "unix": unixConn, "active": activeConn} {
 		conn.checkServed(t, "the "+name+" connection after four changes")
 	}
 	if s := last.core.Snapshot().Pools[0]; len(s.Learned.Endpoints) != 3 || s.Learned.Endpoints[0].RTT.Samples < 2 {
@@ -85,12 +85,12 @@
 	addr := freeAddr(t)
 	d := startDaemon(t, fleet.config(t, "127.0.0.1:0", addr))
 	conn := dial(t, "tcp", addr)
-	silent := scripteddiscovery.New(t)
+	silentDiscovery := scripteddiscovery.New(t)
 	oldText, newText := extraListenerEdit(fleet.discovery.Addr)
 	record := "[connections]\n[record]\ndir = \"" + fleet.dir + "/record\"\nsecret = \"/nowhere\"\n"
 	for want, edits := range map[string][]string{
 		"address already in use": {oldText, newText},
-		"in time": {fleet.discovery.Addr, silent.Addr, "worth = 5.0", "worth = 4.0",
+		"in time": {fleet.discovery.Addr, silentDiscovery.Addr, "worth = 5.0", "worth = 4.0",
 			`ready_within = "5s"`, `ready_within = "50ms"`},
 		"access record: open /nowhe": {"[connections]", record},
 	} {
@@ -116,11 +116,11 @@
 	conn := dial(t, "tcp", addr)
 	conn.send(t, requestText("pay", 5000, ""))
 	scriptedpeer.Receive(t, held, "attempt at the endpoint")
-	silent := scripteddiscovery.New(t)
+	silentDiscovery := scripteddiscovery.New(t)
 	d.reload <- nil
 	d.nextConfigs <- fleet.config(t,
-		"127.0.0.1:0", addr, fleet.discovery.Addr, silent.Addr, "worth = 5.0", "worth = 4.0")
-	scriptedpeer.Receive(t, silent.Requests, "discovery request of the new generation")
+		"127.0.0.1:0", addr, fleet.discovery.Addr, silentDiscovery.Addr, "worth = 5.0", "worth = 4.0")
+	scriptedpeer.Receive(t, silentDiscovery.Requests, "discovery request of the new generation")
 	ctx, cancel := context.WithTimeout(context.Background(), scriptedpeer.WaitTimeout)
 	defer cancel()
 	err := Run(ctx, Options{Config: fleet.config(t, "127.0.0.1:0", addr), Log: testLog(), Seed: 2})
--- a/internal/daemon/helper_test.go
+++ b/internal/daemon/helper_test.go
@@ -84,8 +84,8 @@
 }
 
 // configText returns the text of a daemon's configuration: a TCP listener for the client desk, a unix socket on
-// which each client process is a client of its own, and the classes and tenants of siteConfig. edits are pairs of
-// old and new text.
+// which each client process is a client of its own, and the classes and tenants of fleetConfig. edits are pairs
+// of old and new text.
 func (f *testFleet) configText(edits ...string) string {
 	text := `
 name = "under test"
@@ -113,12 +113,12 @@
 [[client]]
 name = "each"
 per_process = true
-` + siteConfig
+` + fleetConfig
 	return strings.NewReplacer(edits...).Replace(text)
 }
 
-// siteConfig is the part of configText with the fleet, classes, tenants and health checks.
-const siteConfig = `[fleet]
+// fleetConfig is the part of configText with the fleet, classes, tenants and health checks.
+const fleetConfig = `[fleet]
 zone = "a"
 zones = ["a", "b"]
 machines = ["m1"]
@@ -197,9 +197,9 @@
 type runningDaemon struct {
 	*generation
 	process       *process
-	stop          context.CancelFunc
-	ended         chan error
-	addrs         map[string]string
+	stop          context.CancelFunc // starts the orderly end of the process
+	ended         chan error         // receives the error with which the process ended, and is then closed
+	addrs         map[string]string  // listener addresses by listener name
 	reload        chan os.Signal
 	nextConfigs   chan *config.Config  // returned by Options.Read at each reload; nil makes Read fail
 	reloadResults chan rollout.Command // the acknowledgment or rejection of each configuration version
@@ -218,13 +218,13 @@
 		nextConfigs:   make(chan *config.Config, 1),
 		reloadResults: make(chan rollout.Command, 16),
 	}
-	up := make(chan map[string]string, 16)
+	servingAddrs := make(chan map[string]string, 16)
 	r.process = newProcess(ctx, Options{
 		Config:   c,
 		Log:      log,
 		Reload:   r.reload,
 		Seed:     7,
-		Serving:  func(a map[string]string) { up <- a },
+		Serving:  func(a map[string]string) { servingAddrs <- a },
 		Answered: func(s rollout.Command) { r.reloadResults <- s },
 		Read: func() (*config.Config, error) {
 			if c := <-r.nextConfigs; c != nil {
@@ -243,7 +243,7 @@
 		stop()
 		<-r.ended
 	})
-	return r, up
+	return r, servingAddrs
 }
 
 // reloadConfig has the daemon read c as its changed configuration file, and returns whether it acknowledged or
@@ -262,9 +262,9 @@
 	if s := r.reloadConfig(t, c); s.Action != rollout.ActionAck || !s.Confirmed {
 		t.Fatalf("%v: %s", s.Action, s.Reason)
 	}
-	now := make(chan *generation, 1)
-	r.process.post(func() { now <- r.process.serving.generation })
-	return scriptedpeer.Receive(t, now, "the serving generation")
+	serving := make(chan *generation, 1)
+	r.process.post(func() { serving <- r.process.serving.generation })
+	return scriptedpeer.Receive(t, serving, "the serving generation")
 }
 
 // startDaemon starts a daemon and waits until it is ready.
@@ -400,12 +400,12 @@
 	case "client": // prints the result of each request as a line of JSON
 		var o client.Options
 		fail(json.Unmarshal([]byte(text), &o))
-		out := json.NewEncoder(os.Stdout)
+		encoder := json.NewEncoder(os.Stdout)
 		var mu sync.Mutex
 		o.OnDone = func(r client.Result) {
 			mu.Lock()
 			defer mu.Unlock()
-			_ = out.Encode(r) // fails if the test that reads the results has already ended
+			_ = encoder.Encode(r) // fails if the test that reads the results has already ended
 		}
 		client.New(o).Run(ctx)
 	case "talker": // writes a text to a connection, and then neither reads nor writes
@@ -427,22 +427,22 @@
 	ended chan error  // receives the result of Wait once, and is then closed
 }
 
-// spawnRole starts this test binary in a role, with the text that the role takes as its argument. The process is
-// killed at the end of the test.
-func spawnRole(t *testing.T, role, with string) *childProcess {
+// spawnRole starts this test binary in a role. argument is the text that the role takes. The process is killed at
+// the end of the test.
+func spawnRole(t *testing.T, role, argument string) *childProcess {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "DUNLINSAILD_TEST_ROLE="+role, "DUNLINSAILD_TEST_WITH="+with)
+	cmd.Env = append(os.Environ(), "DUNLINSAILD_TEST_ROLE="+role, "DUNLINSAILD_TEST_WITH="+argument)
 	cmd.Stderr = os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	out, err := cmd.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
 	p := &childProcess{cmd, make(chan string, 1<<10), make(chan error, 1)}
 	go func() {
-		in := bufio.NewScanner(out)
-		for in.Scan() {
-			p.lines <- in.Text()
+		scanner := bufio.NewScanner(stdout)
+		for scanner.Scan() {
+			p.lines <- scanner.Text()
 		}
 		close(p.lines)
 		p.ended <- cmd.Wait()
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -207,12 +207,12 @@
 	defer transport.CloseIdleConnections()
 	for i := range 60 {
 		id := fmt.Sprintf("c%d-%d", clientIndex, i)
-		q, o, plan, err := drawRequest(rng, addr, id)
+		req, o, plan, err := drawRequest(rng, addr, id)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		resp, err := transport.RoundTrip(q)
+		resp, err := transport.RoundTrip(req)
 		if err != nil {
 			o.broken = true // no response at all is always a failure
 			t.Errorf("%s %s got no response: %v", o.class, id, err)
@@ -253,19 +253,19 @@
 		method = http.MethodPost
 		body = io.LimitReader(&endlessReader{}, int64(size))
 	}
-	q, err := http.NewRequestWithContext(context.Background(), method, "http://"+addr+"/"+path+"/1", body)
+	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+addr+"/"+path+"/1", body)
 	if err != nil {
 		return nil, o, plan, err
 	}
 	if rng.IntN(2) == 0 && o.class != "safe" {
-		q.ContentLength = int64(size)
+		req.ContentLength = int64(size)
 	}
-	q.Header.Set("X-Id", id)
-	q.Header.Set(webapp.PlanHeader, plan.JSON())
+	req.Header.Set("X-Id", id)
+	req.Header.Set(webapp.PlanHeader, plan.JSON())
 	if o.class == "keyed" {
-		q.Header.Set("Idempotency-Key", "k"+id)
+		req.Header.Set("Idempotency-Key", "k"+id)
 	}
-	return q, o, plan, nil
+	return req, o, plan, nil
 }
 
 // endlessReader is a reader that returns the letter a without end.
--- a/internal/daemon/pool_changes_test.go
+++ b/internal/daemon/pool_changes_test.go
@@ -38,7 +38,7 @@
 
 // A response that is streaming when its route and pool are removed is completed by the old pool, and later
 // requests use the new route.
-func TestRouteTakenAwayWhileItStreams(t *testing.T) {
+func TestRouteRemovedWhileStreaming(t *testing.T) {
 	release := make(chan struct{})
 	streaming := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := scriptedpeer.ReadRequest(r); err == nil {
@@ -91,10 +91,10 @@
 			transport := &http.Transport{}
 			defer transport.CloseIdleConnections()
 			for n := 0; ctx.Err() == nil; n++ {
-				q, _ := http.NewRequest("POST", "http://"+addr+"/", strings.NewReader("x"))
+				req, _ := http.NewRequest("POST", "http://"+addr+"/", strings.NewReader("x"))
 				id := fmt.Sprint(i, "-", n)
-				q.Header.Set("X-Id", id)
-				resp, err := transport.RoundTrip(q)
+				req.Header.Set("X-Id", id)
+				resp, err := transport.RoundTrip(req)
 				if err != nil {
 					unexpected.Add(1)
 					continue
@@ -133,7 +133,7 @@
 }
 
 // While every endpoint of a pool fails, the retry budget limits retries to its share of the requests. With a
-// budget of ten retries per request far more arrive. Another pool is served as usual.
+// budget of ten retries per request, far more attempts arrive. Another pool is served as usual.
 func TestRetryBudget(t *testing.T) {
 	const requests = 100
 	arrivals := func(budget string) (n int64) {
--- a/internal/daemon/predecessor_test.go
+++ b/internal/daemon/predecessor_test.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// After a killed process the next one starts without learned state, and replaces the unix sockets that were left
-// behind.
+// A process that starts after one that was killed has no learned state, and replaces the unix sockets that were
+// left behind.
 func TestPredecessorKilledBefore(t *testing.T) {
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	c := fleet.config(t)
--- a/internal/daemon/requests_test.go
+++ b/internal/daemon/requests_test.go
@@ -18,15 +18,15 @@
 	a := newApp(t, nil)
 	d, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a))
 	conn := dial(t, "tcp", addr)
-	big := strings.Repeat("x", 100_000)
-	plan := func(body int, work time.Duration) string {
-		return webapp.PlanHeader + ": " + webapp.Plan{BodySize: body, Delay: work}.JSON() + "\r\n"
+	largeBody := strings.Repeat("x", 100_000)
+	plan := func(body int, delay time.Duration) string {
+		return webapp.PlanHeader + ": " + webapp.Plan{BodySize: body, Delay: delay}.JSON() + "\r\n"
 	}
 	requests := "GET /1 HTTP/1.1\r\nHost: h\r\n" + plan(1, 30*time.Millisecond) + "\r\n" +
 		"POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n" + plan(2, 0) + "\r\nabc" +
 		"POST /3 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n" + plan(3, 0) + "\r\n3\r\nabc\r\n0\r\n\r\n" +
-		fmt.Sprintf("POST /4 HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n", len(big)) +
-		plan(100_004, 0) + "\r\n" + big +
+		fmt.Sprintf("POST /4 HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n", len(largeBody)) +
+		plan(100_004, 0) + "\r\n" + largeBody +
 		"GET /none HTTP/1.1\r\nHost: h\r\nX-A : b\r\n\r\n"
 	go io.WriteString(conn, requests)
 	for _, want := range []int{1, 2, 3, 100_004} {
@@ -147,8 +147,8 @@
 		"extension with a return": chunked + "3;a\rb\r\nabc\r\n0\r\n\r\n",
 		"trailing length":         chunked + "0\r\nContent-Length: 3\r\n\r\n",
 	} {
-		for cut := 1; cut <= len(text); cut++ {
-			checkRejected(t, addr, name, text, cut)
+		for splitAt := 1; splitAt <= len(text); splitAt++ {
+			checkRejected(t, addr, name, text, splitAt)
 		}
 	}
 	if n := a.RequestCount(); n > 0 {
@@ -158,26 +158,26 @@
 
 // checkRejected sends text on a new connection in two parts, split at cut, and checks that the daemon responds
 // with an error or closes the connection.
-func checkRejected(t *testing.T, addr, name, text string, cut int) {
+func checkRejected(t *testing.T, addr, name, text string, splitAt int) {
 	t.Helper()
 	conn := dial(t, "tcp", addr)
 	defer conn.Close()
-	io.WriteString(conn, text[:cut])
-	if cut < len(text) {
+	io.WriteString(conn, text[:splitAt])
+	if splitAt < len(text) {
 		conn.SetReadDeadline(time.Now().Add(time.Microsecond)) // gives the daemon time to read the first part alone
 		conn.reader.Peek(1)
-		io.WriteString(conn, text[cut:])
+		io.WriteString(conn, text[splitAt:])
 	}
 	conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
 		atEOF := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 		if !atEOF && !strings.Contains(err.Error(), "reset") {
-			t.Errorf("%s, cut at %d: %v", name, cut, err)
+			t.Errorf("%s, cut at %d: %v", name, splitAt, err)
 		}
 		return
 	}
 	if resp.StatusCode < 400 {
-		t.Errorf("%s, cut at %d: %s", name, cut, resp.Status)
+		t.Errorf("%s, cut at %d: %s", name, splitAt, resp.Status)
 	}
 }
--- a/internal/daemon/rollout_fleet_test.go
+++ b/internal/daemon/rollout_fleet_test.go
@@ -31,7 +31,7 @@
 	s := fleet.startControlPlane(t)
 	var nodes []string
 	var daemons []*runningDaemon
-	var ends []func() client.Report
+	var stopClients []func() client.Report
 	for i := range 20 {
 		node := fmt.Sprintf("i-%02d", i)
 		nodes = append(nodes, node)
@@ -40,13 +40,13 @@
 			"takeover.sock", node+"-takeover.sock", "clients.sock", node+"-clients.sock",
 			"[fleet]", fmt.Sprintf("[fleet]\ninstances = 20\nposition = %d", i))
 		daemons = append(daemons, startDaemon(t, fleet.config(t, edits...)))
-		ends = append(ends, startSteadyClient(t, node, addr, 12))
+		stopClients = append(stopClients, startSteadyClient(t, node, addr, 12))
 	}
 	scriptedpeer.Eventually(t, "twenty open streams", func() bool { return s.OpenStreams() == 20 })
 	changes(s, nodes)
 	var result fleetResult
-	for _, end := range ends {
-		r := end()
+	for _, stopClient := range stopClients {
+		r := stopClient()
 		result.scheduled += r.Scheduled
 		result.served += r.ByVerdict[client.Served]
 		result.failed += r.ByVerdict[client.Failed]
--- a/internal/daemon/rollout_test.go
+++ b/internal/daemon/rollout_test.go
@@ -77,22 +77,23 @@
 	return scriptedpeer.Receive(t, got, "the running version"), c
 }
 
-// awaitAnswer waits until the control plane has received an answer to a version that starts with text.
+// awaitAnswer waits until the control plane has received an answer that starts with text, from any node, to the
+// given version.
 func awaitAnswer(t *testing.T, s *xdsserver.Server, version, text string) {
 	t.Helper()
-	end := time.Now().Add(2 * scriptedpeer.WaitTimeout)
+	deadline := time.Now().Add(2 * scriptedpeer.WaitTimeout)
 	for ; !s.HasAnswer("", version, text); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			t.Fatalf("version %s: answers %q, want %q", version, s.Answers("", version), text)
 		}
 	}
 }
 
-// awaitAnswers waits until the control plane has received from each node an answer to a version that starts with
-// text.
+// awaitAnswers waits until the control plane has received from each node an answer that starts with text to the
+// given version.
 func awaitAnswers(t *testing.T, s *xdsserver.Server, version, text string, nodes []string) {
 	t.Helper()
-	for end := time.Now().Add(3 * scriptedpeer.WaitTimeout); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(3 * scriptedpeer.WaitTimeout); ; time.Sleep(5 * time.Millisecond) {
 		n := 0
 		for _, node := range nodes {
 			if s.HasAnswer(node, version, text) {
@@ -102,7 +103,7 @@
 		if n == len(nodes) {
 			return
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			t.Fatalf("version %s: %d of %d nodes answered %q; all answers: %q",
 				version, n, len(nodes), text, s.Answers("", version))
 		}
@@ -117,9 +118,9 @@
 	require.NoError(t, s.SetResources(version, resources, release))
 }
 
-// startSteadyClient starts a client that sends requests at a constant rate per second. end stops the client and
+// startSteadyClient starts a client that sends requests at a constant rate per second. stop stops the client and
 // returns its report.
-func startSteadyClient(t *testing.T, name, addr string, rate float64) (end func() client.Report) {
+func startSteadyClient(t *testing.T, name, addr string, rate float64) (stop func() client.Report) {
 	t.Helper()
 	o := steadyClientOptions(addr, rate, time.Hour, nil)
 	o.Name = name
@@ -143,7 +144,7 @@
 	s := fleet.startControlPlane(t)
 	addr := freeAddr(t)
 	d := startDaemon(t, fleet.config(t, fleet.controlPlaneEdits(addr, "i-1")...))
-	end := startSteadyClient(t, "desk", addr, 100)
+	stopClient := startSteadyClient(t, "desk", addr, 100)
 	for _, step := range []struct {
 		version     string
 		resources   []config.Resource
@@ -177,7 +178,7 @@
 			t.Errorf("after version %s: running %s, attempts.most %d", step.version, running, c.Attempts.MaxAttempts)
 		}
 	}
-	r := end()
+	r := stopClient()
 	if r.ByVerdict[client.Served] < r.Scheduled-1 { // the last request may have been open when the client stopped
 		t.Errorf("%d scheduled, %v", r.Scheduled, r.ByVerdict)
 	}
@@ -192,11 +193,11 @@
 	s := fleet.startControlPlane(t)
 	addr := freeAddr(t)
 	d := startDaemon(t, fleet.config(t, fleet.controlPlaneEdits(addr, "i-1")...))
-	end := startSteadyClient(t, "desk", addr, 200)
+	stopClient := startSteadyClient(t, "desk", addr, 200)
 	setVersion(t, s, "1", maxAttemptsResource(2), nil)
 	awaitAnswer(t, s, "1", "good")
 	for version, resources := range map[string][]config.Resource{
-		// Limits of one open request reject nearly all requests.
+		// With a limit of one open request, nearly all requests are rejected.
 		"2": append(maxAttemptsResource(2), unnamedResource("requests", map[string]any{"open": 1.0, "in_flight": 1.0})),
 		// A request rate limit rejects nearly all requests, too, and is applied without a new generation.
 		"3": append(maxAttemptsResource(2),
@@ -217,7 +218,7 @@
 	}
 	setVersion(t, s, "4", maxAttemptsResource(3), nil)
 	awaitAnswer(t, s, "4", "good")
-	r := end()
+	r := stopClient()
 	if got := float64(r.ByVerdict[client.Served]) / float64(r.Scheduled); got < 0.6 || r.ByVerdict[client.Failed] > 0 {
 		t.Errorf("%d scheduled, %v", r.Scheduled, r.ByVerdict)
 	}
@@ -235,9 +236,9 @@
 	state := filepath.Join(fleet.dir, "i-1")
 	d := startDaemon(t, fleet.config(t, edits...))
 	for n := range 2 {
-		info := fmt.Sprint(n + 1)
-		setVersion(t, s, info, maxAttemptsResource(float64(n+4)), nil)
-		awaitAnswer(t, s, info, "good")
+		version := fmt.Sprint(n + 1)
+		setVersion(t, s, version, maxAttemptsResource(float64(n+4)), nil)
+		awaitAnswer(t, s, version, "good")
 	}
 	stop := func(d *runningDaemon) {
 		t.Helper()
@@ -257,11 +258,12 @@
 	}
 	checkStart("control plane unreachable", "2 over file 1", 5, edits...)
 	checkStart("changed file", "2 over file 1", 5, append(edits, "worth = 5.0", "worth = 4.0")...)
-	pinned := fleet.controlPlaneEdits(addr, "i-1", "gap =", "pin = [\"listener\", \"attempts\"]\ngap =")
+	pinnedEdits := fleet.controlPlaneEdits(addr, "i-1", "gap =", "pin = [\"listener\", \"attempts\"]\ngap =")
 	checkStart("file that pins the attempts", "2 over file 1", 3,
-		append(pinned, "[attempts]", "[attempts]\nmost = 3")...)
-	unmanaged := fleet.controlPlaneEdits(addr, "i-1", fleet.controlPlane.Address, "", "plaintext = true", "")
-	checkStart("no control plane configured", "file 1", 3, append(unmanaged, "[attempts]", "[attempts]\nmost = 3")...)
+		append(pinnedEdits, "[attempts]", "[attempts]\nmost = 3")...)
+	unmanagedEdits := fleet.controlPlaneEdits(addr, "i-1", fleet.controlPlane.Address, "", "plaintext = true", "")
+	checkStart("no control plane configured", "file 1", 3,
+		append(unmanagedEdits, "[attempts]", "[attempts]\nmost = 3")...)
 	require.NoError(t, os.Truncate(filepath.Join(state, "state"), 60))
 	checkStart("truncated state", "1 over file 1", 4, edits...)
 	for _, name := range []string{"state", "state.before"} {
@@ -291,11 +293,11 @@
 		t.Errorf("running version %s", running)
 	}
 	os.RemoveAll(state + "/state")
-	for end := time.Now().Add(3 * scriptedpeer.WaitTimeout); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(3 * scriptedpeer.WaitTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if text, err := os.ReadFile(state + "/state"); err == nil && strings.Contains(string(text), `"good"`) {
 			break
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			t.Fatal("the version was never saved")
 		}
 	}
@@ -341,13 +343,13 @@
 	awaitAnswer(t, s, "4", "good")
 	release, held := make(chan struct{}), make(chan struct{}, 1)
 	fleet.holdRequests("", held, release)
-	open := dial(t, "tcp", addr)
-	open.send(t, requestText("pay", 900, ""))
+	openConn := dial(t, "tcp", addr)
+	openConn.send(t, requestText("pay", 900, ""))
 	scriptedpeer.Receive(t, held, "attempt at the endpoint")
 	next.stop()
 	setVersion(t, s, "5", maxAttemptsResource(2), nil)
 	close(release)
-	if resp, _ := open.readResponse(t); resp.StatusCode != 200 {
+	if resp, _ := openConn.readResponse(t); resp.StatusCode != 200 {
 		t.Error(resp.Status)
 	}
 	checkEnded(t, next.ended, "end of the daemon")
--- a/internal/daemon/routes_test.go
+++ b/internal/daemon/routes_test.go
@@ -97,7 +97,7 @@
 }
 
 // A route edits requests and responses as configured, and forwards everything else unchanged.
-func TestEditsOnTheWay(t *testing.T) {
+func TestRouteEdits(t *testing.T) {
 	a := newApp(t, nil)
 	_, addr := startRoutedDaemon(t, onePoolConfig+`path = "/cards/*"
 strip_prefix = "/cards"
@@ -120,13 +120,13 @@
 	if err := json.Unmarshal([]byte(resp.Header.Get(webapp.ObservedRequestHeader)), &got); err != nil {
 		t.Fatal(resp.Status, err)
 	}
-	h := got.Header
-	left, err := strconv.Atoi(h.Get("X-Expires-In-Ms"))
-	if got.URI != "/v2/7?q=1" || got.Host != "cards.internal" || h.Get("Cookie") != "" ||
-		fmt.Sprint(h["X-Via"]) != "[here]" || fmt.Sprint(h["X-Hop"]) != "[1 2]" ||
-		h.Get("Traceparent") != "00-1-2-01" || h.Get("X-Own") != "" || h.Get("Forwarded") != "" ||
-		h.Get("X-Forwarded-For") != "127.0.0.1" || h.Get("X-Forwarded-Host") != "outside" ||
-		len(h.Get("X-Request-Id")) != 32 || err != nil || left < 4000 || left >= 5000 {
+	headers := got.Header
+	remainingMs, err := strconv.Atoi(headers.Get("X-Expires-In-Ms"))
+	if got.URI != "/v2/7?q=1" || got.Host != "cards.internal" || headers.Get("Cookie") != "" ||
+		fmt.Sprint(headers["X-Via"]) != "[here]" || fmt.Sprint(headers["X-Hop"]) != "[1 2]" ||
+		headers.Get("Traceparent") != "00-1-2-01" || headers.Get("X-Own") != "" || headers.Get("Forwarded") != "" ||
+		headers.Get("X-Forwarded-For") != "127.0.0.1" || headers.Get("X-Forwarded-Host") != "outside" ||
+		len(headers.Get("X-Request-Id")) != 32 || err != nil || remainingMs < 4000 || remainingMs >= 5000 {
 		t.Errorf("the application got %+v", got)
 	}
 	if resp.Header.Get("Server") != "" || fmt.Sprint(resp.Header["Cache-Control"]) != "[no-store]" ||
@@ -160,7 +160,7 @@
 
 // A safe request that an endpoint rejects is retried at another endpoint, and the client gets the response to the
 // last attempt. An unsafe request is not retried.
-func TestLoadReportsOfEndpoints(t *testing.T) {
+func TestRetriesOfRejectedRequests(t *testing.T) {
 	overloaded := http.Header{"Retry-After": {"7"}}
 	for _, tc := range []struct {
 		method   string
@@ -187,7 +187,7 @@
 }
 
 // takeoverPoolsConfig is a configuration with a takeover socket, a pool whose endpoints are in the configuration,
-// and a pool whose endpoint list is a file. The words in capitals are replaced by each test.
+// and a pool whose endpoint list is a file. The words in capitals are placeholders.
 const takeoverPoolsConfig = `
 [takeover]
 socket = "SOCKET"
@@ -214,11 +214,11 @@
 func streamUntil(release <-chan struct{}) func(c *net.TCPConn, r *bufio.Reader) {
 	return func(c *net.TCPConn, r *bufio.Reader) {
 		for {
-			q, err := scriptedpeer.ReadRequest(r)
+			req, err := scriptedpeer.ReadRequest(r)
 			if err != nil {
 				return
 			}
-			if q.URL.Path != "/listed/stream" {
+			if req.URL.Path != "/listed/stream" {
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				continue
 			}
@@ -294,7 +294,7 @@
 	a := newApp(t, nil)
 	const classes = "[[class]]\nname = \"read\"\nrepeat = \"safe\"\naim = \"1s\"\ngive_up = \"2s\"\n" +
 		"[[class]]\nname = \"write\"\nrepeat = \"unsafe\"\naim = \"1s\"\ngive_up = \"2s\"\n"
-	swapped := strings.NewReplacer("\"read\"", "\"write\"", "\"write\"", "\"read\"",
+	swappedClasses := strings.NewReplacer("\"read\"", "\"write\"", "\"write\"", "\"read\"",
 		"\"safe\"", "\"unsafe\"", "\"unsafe\"", "\"safe\"").Replace(classes)
 	d, addr := startRoutedDaemon(t, onePoolConfig+classes, "ADDRS", quotedAddrs(a))
 	conn := dial(t, "tcp", addr)
@@ -310,7 +310,7 @@
 	configWith := func(classes string) *config.Config {
 		return parseConfig(t, onePoolConfig+"path = \"/new\"\n"+classes, "127.0.0.1:0", addr, "ADDRS", quotedAddrs(a))
 	}
-	second := d.applyConfig(t, configWith(swapped))
+	second := d.applyConfig(t, configWith(swappedClasses))
 	if second == d.generation {
 		t.Error("changed classes were applied without a new generation")
 	}
@@ -318,7 +318,7 @@
 	d.awaitOneGeneration(t)
 	checkStatus("/old", 404)
 	checkStatus("/new", 200)
-	if d.applyConfig(t, configWith(swapped+"[paths]\nencoded_slash = \"keep\"\n")) != second {
+	if d.applyConfig(t, configWith(swappedClasses+"[paths]\nencoded_slash = \"keep\"\n")) != second {
 		t.Error("a new generation was started for a change that can be applied while serving")
 	}
 	checkStatus("/new%2F", 404)
--- a/internal/daemon/spentlog_test.go
+++ b/internal/daemon/spentlog_test.go
@@ -14,7 +14,7 @@
 	"dunlinsail/internal/peers"
 )
 
-// The form of these lines must not change, because tools that check the fleet's budgets read them.
+// The line format of the spent log must not change, because tools that check the fleet's budgets read the log.
 func TestSpentUnitsKeepTheirStoredForm(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spent")
 	s, err := openSpentLog(path, slog.New(slog.DiscardHandler))
--- a/internal/daemon/streaming_test.go
+++ b/internal/daemon/streaming_test.go
@@ -18,14 +18,14 @@
 
 // If an endpoint responds before it has read the whole body, its response is forwarded and the rest of the body
 // is not.
-func TestEarlyAnswer(t *testing.T) {
+func TestEarlyResponse(t *testing.T) {
 	discarded := make(chan int64, 1)
 	earlyEndpoint := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
-		q, err := http.ReadRequest(r)
+		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		io.CopyN(io.Discard, q.Body, 1000)
+		io.CopyN(io.Discard, req.Body, 1000)
 		io.WriteString(c, "HTTP/1.1 413 Too Large\r\nContent-Length: 5\r\nX-Mine: yes\r\n\r\nsmall")
 		n, _ := io.Copy(io.Discard, c)
 		discarded <- n
@@ -53,7 +53,7 @@
 
 // If a client disconnects within the body or sends a malformed body, no endpoint sees a complete request, the
 // request is not retried, and it does not count as a failure of the endpoint.
-func TestBrokenBodies(t *testing.T) {
+func TestIncompleteBodies(t *testing.T) {
 	var complete atomic.Int32
 	var attempts sync.Map // by request id, because a late attempt may arrive during the next case
 	a := newApp(t, func(id string, isComplete bool) {
@@ -209,8 +209,9 @@
 	d.waitIdle(t)
 }
 
-// A client that uses HTTP/1.0 gets a streamed response without chunks, and its end is the end of the connection.
-func TestOldClientsGetStreams(t *testing.T) {
+// A client that uses HTTP/1.0 gets a streamed response without chunks. The response ends when the daemon closes
+// the connection.
+func TestStreamsToHTTP10Clients(t *testing.T) {
 	a := newApp(t, nil)
 	d, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a))
 	for _, plan := range []webapp.Plan{
@@ -243,15 +244,15 @@
 
 // The client must notice that a response is incomplete, for each way of marking its end, and nothing may take the
 // place of the missing part.
-func TestBrokenAnswers(t *testing.T) {
-	big := strings.Repeat("x", 100_000)
+func TestIncompleteResponses(t *testing.T) {
+	largeBody := strings.Repeat("x", 100_000)
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
-	trailed := chunked + "Trailer: X-Sum\r\n\r\n186a0\r\n" + big + "\r\n"
+	trailedChunk := chunked + "Trailer: X-Sum\r\n\r\n186a0\r\n" + largeBody + "\r\n"
 	for name, text := range map[string]string{
-		"sized":               "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + big,
-		"chunked":             trailed + "5\r\nab",
-		"a truncated trailer": trailed + "0\r\nX-Su",
-		"a malformed chunk":   chunked + "\r\n186a0\r\n" + big + "\r\n-1\r\n",
+		"sized":               "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + largeBody,
+		"chunked":             trailedChunk + "5\r\nab",
+		"a truncated trailer": trailedChunk + "0\r\nX-Su",
+		"a malformed chunk":   chunked + "\r\n186a0\r\n" + largeBody + "\r\n-1\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			endpoint := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -271,7 +272,7 @@
 				"1.1": endpoint, "1.0": endpoint, "1.1, slow reset": slow,
 			} {
 				d, addr := startRoutedDaemon(t, onePoolConfig+"idle = \"200ms\"\n", "ADDRS", `"`+endpointAddr+`"`)
-				checkBreaksOff(t, addr, version, len(big)+2)
+				checkBreaksOff(t, addr, version, len(largeBody)+2)
 				d.waitIdle(t)
 			}
 		})
--- a/internal/daemon/successor_test.go
+++ b/internal/daemon/successor_test.go
@@ -122,19 +122,19 @@
 			fleet := newTestFleet(t, 1, endpoint.Options{})
 			c := fleet.config(t, "127.0.0.1:0", freeAddr(t), `ready_within = "5s"`, `ready_within = "300ms"`)
 			d := startDaemon(t, c)
-			active := dial(t, "tcp", d.addrs["desk"])
-			active.requireServed(t)
+			activeConn := dial(t, "tcp", d.addrs["desk"])
+			activeConn.requireServed(t)
 			held, release := make(chan struct{}, 1), make(chan struct{})
 			fleet.holdRequests("/pay/1", held, release)
-			active.send(t, requestText("pay", 900, "x"))
+			activeConn.send(t, requestText("pay", 900, "x"))
 			// The connection has an open request, so it is not handed over and cannot be lost.
 			scriptedpeer.Receive(t, held, "attempt at the endpoint")
 			tc.script(connectAsSuccessor(t, c.Takeover.Socket))
 			close(release)
-			if resp, _ := active.readResponse(t); resp.StatusCode != 200 {
+			if resp, _ := activeConn.readResponse(t); resp.StatusCode != 200 {
 				t.Errorf("the request open during the takeover: %s", resp.Status)
 			}
-			d.checkStillServes(t, active)
+			d.checkStillServes(t, activeConn)
 			restart(t, d, &restartOptions{fleet.config(t, "127.0.0.1:0", c.Listeners[0].Address)})
 		})
 	}
--- a/internal/daemon/takeover_test.go
+++ b/internal/daemon/takeover_test.go
@@ -119,21 +119,21 @@
 		ServiceTime: map[string]time.Duration{"": 2 * time.Millisecond},
 		Spread:      0.5,
 	})
-	c := &restartOptions{fleet.config(t, "127.0.0.1:0", freeAddr(t))}
-	d := startDaemon(t, c.config)
+	options := &restartOptions{fleet.config(t, "127.0.0.1:0", freeAddr(t))}
+	d := startDaemon(t, options.config)
 	addr := d.addrs["desk"]
-	idle, unix := dial(t, "tcp", addr), dial(t, "unix", d.addrs["local"])
-	active := dial(t, "tcp", addr)
+	idleConn, unixConn := dial(t, "tcp", addr), dial(t, "unix", d.addrs["local"])
+	activeConn := dial(t, "tcp", addr)
 	held, release := make(chan struct{}, 8), make(chan struct{})
 	fleet.holdRequests("/pay/1", held, release)
-	for _, conn := range []*clientConn{idle, unix} {
+	for _, conn := range []*clientConn{idleConn, unixConn} {
 		conn.requireServed(t)
 	}
 	report := fleet.startLosslessLoad(t, addr)
-	active.send(t, requestText("pay", 900, "x"))
+	activeConn.send(t, requestText("pay", 900, "x"))
 	scriptedpeer.Receive(t, held, "the open request")
 	// The first process ends only after it has sent the final response to the open request.
-	second, serving := launchDaemon(t, c.config, testLog())
+	second, serving := launchDaemon(t, options.config, testLog())
 	second.addrs = scriptedpeer.Receive(t, serving, "the second daemon")
 	if n, _ := d.front.ConnectionCounts(); n == 0 {
 		t.Error("the first daemon has no connection left while a request is open")
@@ -142,12 +142,12 @@
 	if n := len(held); n != 0 {
 		t.Errorf("the endpoints received the open request %d more times", n)
 	}
-	if resp, _ := active.readResponse(t); resp.StatusCode != 200 || resp.Close {
+	if resp, _ := activeConn.readResponse(t); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("the request that was open at the takeover: %s, close %v", resp.Status, resp.Close)
 	}
 	checkEnded(t, d.ended, "end of the first daemon")
-	third := restart(t, second, c)
-	for name, conn := range map[string]*clientConn{"idle": idle, "unix": unix, "active": active} {
+	third := restart(t, second, options)
+	for name, conn := range map[string]*clientConn{"idle": idleConn, "unix": unixConn, "active": activeConn} {
 		conn.checkServed(t, "the "+name+" connection after two takeovers")
 	}
 	fleet.checkLossless(t, report)
@@ -218,15 +218,15 @@
 	fleet := newTestFleet(t, 1, endpoint.Options{})
 	c := fleet.config(t, "127.0.0.1:0", freeAddr(t))
 	d := startDaemon(t, c)
-	idle := dial(t, "tcp", d.addrs["desk"])
-	idle.requireServed(t)
+	idleConn := dial(t, "tcp", d.addrs["desk"])
+	idleConn.requireServed(t)
 	// The successor is scripted, so that it becomes ready only after the stop.
 	successor := connectAsSuccessor(t, c.Takeover.Socket)
 	successor.expect(decide.Offer)
 	d.stop()
 	successor.expect(decide.Handover)
-	waiting := dial(t, "tcp", d.addrs["desk"]) // neither process has accepted this connection yet
-	waiting.send(t, requestText("look", 5000, ""))
+	waitingConn := dial(t, "tcp", d.addrs["desk"]) // neither process has accepted this connection yet
+	waitingConn.send(t, requestText("look", 5000, ""))
 	successor.send(decide.Prepared, "")
 	successor.expect(decide.Activate)
 	m, err := successor.Read()
@@ -242,11 +242,11 @@
 	c = fleet2.config(t, "127.0.0.1:0", freeAddr(t))
 	d = startDaemon(t, c)
 	ctx, cancel := context.WithCancel(context.Background())
-	unready := *c
+	unreadyConfig := *c
 	silentDiscovery := scripteddiscovery.New(t) // without an endpoint list the daemon does not become ready
-	unready.Discovery.Address = silentDiscovery.Addr
+	unreadyConfig.Discovery.Address = silentDiscovery.Addr
 	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, Options{Config: &unready, Log: testLog(), Seed: 3}) }()
+	go func() { ended <- Run(ctx, Options{Config: &unreadyConfig, Log: testLog(), Seed: 3}) }()
 	scriptedpeer.Receive(t, silentDiscovery.Requests, "discovery request of the starting successor")
 	cancel()
 	checkEnded(t, ended, "end of the stopped successor")
@@ -257,8 +257,8 @@
 // than from one alone, and a draining endpoint must get none from either after the drain grace.
 func TestWarmUpBudgetIsNotSpentTwice(t *testing.T) {
 	fleet := newTestFleet(t, 3, endpoint.Options{ServiceTime: map[string]time.Duration{"": 3 * time.Millisecond}})
-	c := &restartOptions{fleet.config(t, "127.0.0.1:0", freeAddr(t))}
-	d := startDaemon(t, c.config)
+	options := &restartOptions{fleet.config(t, "127.0.0.1:0", freeAddr(t))}
+	d := startDaemon(t, options.config)
 	addr := d.addrs["desk"]
 	load := steadyClient(addr, 500, 3*time.Second, nil)
 	report := make(chan client.Report, 1)
@@ -271,12 +271,12 @@
 	draining.Lifecycle = "draining"
 	fleet.discovery.Set(warming, draining)
 	listedAt := time.Now()
-	restart(t, d, c)
+	restart(t, d, options)
 	r := scriptedpeer.Receive(t, report, "the load's report")
 	if r.ByVerdict[client.Served] < r.Scheduled*95/100 {
 		t.Errorf("%d scheduled, %v", r.Scheduled, r.ByVerdict)
 	}
-	grace := c.config.Rules.DrainGrace.Duration
+	grace := options.config.Rules.DrainGrace.Duration
 	warmingRequests := 0
 	for _, run := range fleet.ledger.Runs() {
 		if run.Endpoint == "s-2" && run.StartedAt.Sub(listedAt) > grace {
@@ -299,7 +299,7 @@
 
 // A takeover connection carries messages of 1 MiB, reports a closed connection as an error, and uses a socket
 // that only its owner can access. A second listener on the same path is rejected.
-func TestBrokenMessages(t *testing.T) {
+func TestTakeoverMessages(t *testing.T) {
 	dir := t.TempDir()
 	ln := must(takeover.Listen(dir + "/s"))
 	defer ln.Close()
