--- a/internal/daemon/helper_test.go
+++ b/internal/daemon/helper_test.go
@@ -37,61 +37,64 @@
 	"dunlinsail/internal/fake/xdsserver"
 )
 
+// TestMain runs the tests and checks for leaked goroutines. With DUNLINSAILD_TEST_ROLE set, the process is a
+// child of a test and runs that role instead.
 func TestMain(m *testing.M) {
 	if os.Getenv("DUNLINSAILD_TEST_ROLE") != "" {
-		role()
+		runRole()
 		return
 	}
 	goleak.VerifyTestMain(m)
 }
 
-// testFleet is discovery and endpoints for a daemon under test.
+// testFleet is the discovery server and the endpoints that a daemon under test uses.
 type testFleet struct {
 	discovery    *discoveryserver.Server
 	ledger       *endpoint.Ledger
 	endpoints    []*endpoint.Server
-	controlPlane *xdsserver.Server // nil without one
+	controlPlane *xdsserver.Server // nil until startControlPlane is called
 	dir          string
 }
 
-// newTestFleet starts n endpoints of one cell, and a discovery server that lists them as up for long.
+// newTestFleet starts n endpoints of one cell, and a discovery server that lists them as up and fully warmed up.
 func newTestFleet(t *testing.T, n int, o endpoint.Options) *testFleet {
 	t.Helper()
-	w := &testFleet{ledger: &endpoint.Ledger{}, dir: t.TempDir()}
-	o.Ledger, o.IdempotencyWindow = w.ledger, 400*time.Millisecond
+	f := &testFleet{ledger: &endpoint.Ledger{}, dir: t.TempDir()}
+	o.Ledger, o.IdempotencyWindow = f.ledger, 400*time.Millisecond
 	var entries []discovery.Instance
 	for i := range n {
 		o.Name = fmt.Sprint("s-", i)
 		s, err := endpoint.Start(o)
 		require.NoError(t, err)
 		t.Cleanup(s.Close)
-		w.endpoints = append(w.endpoints, s)
-		entries = append(entries, w.entry(i))
+		f.endpoints = append(f.endpoints, s)
+		entries = append(entries, f.listEntry(i))
 	}
 	var err error
-	if w.discovery, err = discoveryserver.Start(entries...); err != nil {
+	if f.discovery, err = discoveryserver.Start(entries...); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.discovery.Close)
-	return w
+	t.Cleanup(f.discovery.Close)
+	return f
 }
 
-// entry returns the i-th endpoint's entry in the list.
-func (w *testFleet) entry(i int) discovery.Instance {
-	return scripteddiscovery.Up(fmt.Sprint("s-", i), w.endpoints[i].Addr)
+// listEntry returns the i-th endpoint's entry in the endpoint list.
+func (f *testFleet) listEntry(i int) discovery.Instance {
+	return scripteddiscovery.Up(fmt.Sprint("s-", i), f.endpoints[i].Addr)
 }
 
-// file returns a daemon's file: a TCP listener for the client desk, a unix socket where each process is a client,
-// and a site of three classes. Edits are pairs of old and new text.
-func (w *testFleet) file(edits ...string) string {
+// configText returns the text of a daemon's configuration: a TCP listener for the client desk, a unix socket on
+// which each client process is a client of its own, and the classes and tenants of fleetConfig. edits are pairs
+// of old and new text.
+func (f *testFleet) configText(edits ...string) string {
 	text := `
 name = "under test"
 [process]
 descriptors = 512
 [discovery]
-address = "` + w.discovery.Addr + `"
+address = "` + f.discovery.Addr + `"
 [takeover]
-socket = "` + w.dir + `/takeover.sock"
+socket = "` + f.dir + `/takeover.sock"
 ready_within = "5s"
 drain_within = "3s"
 [connections]
@@ -103,19 +106,19 @@
 client = "desk"
 [[listener]]
 name = "local"
-address = "unix:` + w.dir + `/clients.sock"
+address = "unix:` + f.dir + `/clients.sock"
 client = "each"
 [[client]]
 name = "desk"
 [[client]]
 name = "each"
 per_process = true
-` + siteTables
+` + fleetConfig
 	return strings.NewReplacer(edits...).Replace(text)
 }
 
-// siteTables is the part of the file with the site: its classes, tenants and health checks.
-const siteTables = `[fleet]
+// fleetConfig is the part of configText with the fleet, classes, tenants and health checks.
+const fleetConfig = `[fleet]
 zone = "a"
 zones = ["a", "b"]
 machines = ["m1"]
@@ -150,79 +153,81 @@
 fields = ["inflight", "queue"]
 `
 
-// deskAddress returns the address of the listener desk in a file.
+// deskAddress returns the address of the listener desk in a configuration text.
 func deskAddress(file string) string {
 	_, rest, _ := strings.Cut(file, "name = \"desk\"\naddress = \"")
 	address, _, _ := strings.Cut(rest, "\"")
 	return address
 }
 
-// deskLimits returns the edit of a file that sets limits of the client desk.
-func deskLimits(lines ...string) (old, edited string) {
+// deskLimitsEdit returns an edit of configText that adds lines with limits to the client desk.
+func deskLimitsEdit(lines ...string) (oldText, newText string) {
 	return "name = \"desk\"\n[[client]]", "name = \"desk\"\n" + strings.Join(lines, "\n") + "\n[[client]]"
 }
 
-// moreListener returns the edit of a file that adds a listener named more.
-func moreListener(address string) (old, edited string) {
-	old = "[[client]]\nname = \"desk\""
-	return old, "[[listener]]\nname = \"more\"\naddress = \"" + address + "\"\nclient = \"desk\"\n" + old
+// extraListenerEdit returns an edit of configText that adds a listener named more, for the client desk.
+func extraListenerEdit(address string) (oldText, newText string) {
+	oldText = "[[client]]\nname = \"desk\""
+	return oldText, "[[listener]]\nname = \"more\"\naddress = \"" + address + "\"\nclient = \"desk\"\n" + oldText
 }
 
-// holdRequests has the endpoints report requests for a path on held, and answer them once hold is closed. An empty path
-// is every path.
-func (w *testFleet) holdRequests(path string, held chan<- struct{}, hold <-chan struct{}) {
-	for _, e := range w.endpoints {
+// holdRequests makes the endpoints send to held for each request for a path, and respond once release is closed.
+// An empty path matches every path.
+func (f *testFleet) holdRequests(path string, held chan<- struct{}, release <-chan struct{}) {
+	for _, e := range f.endpoints {
 		e.SetFaults(func(r *http.Request) endpoint.Fault {
 			if path == "" || r.URL.Path == path {
 				held <- struct{}{}
-				<-hold
+				<-release
 			}
 			return endpoint.NoFault
 		})
 	}
 }
 
-// config returns the configuration of the fleet's file with edits.
-func (w *testFleet) config(t *testing.T, edits ...string) *config.Config {
+// config returns the parsed text of configText with edits.
+func (f *testFleet) config(t *testing.T, edits ...string) *config.Config {
 	t.Helper()
-	c, err := config.Parse([]byte(w.file(edits...)))
+	c, err := config.Parse([]byte(f.configText(edits...)))
 	require.NoError(t, err)
 	return c
 }
 
-// running is a daemon under test, in this process, and its first generation.
-type running struct {
+// runningDaemon is a daemon that runs in the test's process. The embedded generation is the first one.
+type runningDaemon struct {
 	*generation
-	process  *process
-	stop     context.CancelFunc
-	ended    chan error
-	addrs    map[string]string
-	reload   chan os.Signal
-	next     chan *config.Config  // what is read at a reload; nil is an error
-	answered chan rollout.Command // what became of it
+	process       *process
+	stop          context.CancelFunc // starts the orderly end of the process
+	ended         chan error         // receives the error with which the process ended, and is then closed
+	addrs         map[string]string  // listener addresses by listener name
+	reload        chan os.Signal
+	nextConfigs   chan *config.Config  // returned by Options.Read at each reload; nil makes Read fail
+	reloadResults chan rollout.Command // the acknowledgment or rejection of each configuration version
 }
 
-// launch starts a daemon; serving waits until it accepts.
-func launch(t *testing.T, c *config.Config, log *slog.Logger) (r *running, serving <-chan map[string]string) {
+// launchDaemon starts a daemon without waiting. serving receives the listeners' addresses once the daemon accepts
+// connections.
+func launchDaemon(t *testing.T, c *config.Config, log *slog.Logger) (
+	r *runningDaemon, serving <-chan map[string]string) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	r = &running{
-		stop:     stop,
-		ended:    make(chan error, 1),
-		reload:   make(chan os.Signal, 1),
-		next:     make(chan *config.Config, 1),
-		answered: make(chan rollout.Command, 16),
+	r = &runningDaemon{
+		stop:          stop,
+		ended:         make(chan error, 1),
+		reload:        make(chan os.Signal, 1),
+		nextConfigs:   make(chan *config.Config, 1),
+		reloadResults: make(chan rollout.Command, 16),
 	}
-	up := make(chan map[string]string, 16)
+	servingAddrs := make(chan map[string]string, 16)
 	r.process = newProcess(ctx, Options{
 		Config:   c,
 		Log:      log,
 		Reload:   r.reload,
 		Seed:     7,
-		Serving:  func(a map[string]string) { up <- a },
-		Answered: func(s rollout.Command) { r.answered <- s },
+		Serving:  func(a map[string]string) { servingAddrs <- a },
+		Answered: func(s rollout.Command) { r.reloadResults <- s },
 		Read: func() (*config.Config, error) {
-			if c := <-r.next; c != nil {
+			if c := <-r.nextConfigs; c != nil {
 				return c, nil
 			}
 			return nil, errors.New("unreadable")
@@ -238,32 +243,34 @@
 		stop()
 		<-r.ended
 	})
-	return r, up
+	return r, servingAddrs
 }
 
-// change has a running daemon read another file, and returns the answer to its version.
-func (r *running) change(t *testing.T, c *config.Config) rollout.Command {
+// reloadConfig has the daemon read c as its changed configuration file, and returns whether it acknowledged or
+// rejected that version.
+func (r *runningDaemon) reloadConfig(t *testing.T, c *config.Config) rollout.Command {
 	t.Helper()
 	r.reload <- syscall.SIGHUP
-	r.next <- c
-	return scriptedpeer.Receive(t, r.answered, "answer to the new file")
+	r.nextConfigs <- c
+	return scriptedpeer.Receive(t, r.reloadResults, "acknowledgment or rejection of the new configuration")
 }
 
-// changed is change for a file that must be applied. It returns the generation that serves by it.
-func (r *running) changed(t *testing.T, c *config.Config) *generation {
+// applyConfig is reloadConfig for a configuration that must be acknowledged. It returns the generation that
+// serves with it.
+func (r *runningDaemon) applyConfig(t *testing.T, c *config.Config) *generation {
 	t.Helper()
-	if s := r.change(t, c); s.Action != rollout.ActionAck || !s.Confirmed {
+	if s := r.reloadConfig(t, c); s.Action != rollout.ActionAck || !s.Confirmed {
 		t.Fatalf("%v: %s", s.Action, s.Reason)
 	}
-	now := make(chan *generation, 1)
-	r.process.post(func() { now <- r.process.serving.generation })
-	return scriptedpeer.Receive(t, now, "the generation")
+	serving := make(chan *generation, 1)
+	r.process.post(func() { serving <- r.process.serving.generation })
+	return scriptedpeer.Receive(t, serving, "the serving generation")
 }
 
-// start starts a daemon and waits until it is ready.
-func start(t *testing.T, c *config.Config) *running {
+// startDaemon starts a daemon and waits until it is ready.
+func startDaemon(t *testing.T, c *config.Config) *runningDaemon {
 	t.Helper()
-	r, serving := launch(t, c, testLog())
+	r, serving := launchDaemon(t, c, testLog())
 	r.addrs = scriptedpeer.Receive(t, serving, "a daemon that serves")
 	ctx, cancel := context.WithTimeout(context.Background(), scriptedpeer.WaitTimeout)
 	defer cancel()
@@ -273,17 +280,20 @@
 	return r
 }
 
-// options are what the processes of a hot restart are started with.
-type options struct{ config *config.Config }
+// restartOptions is the configuration with which each process of a hot restart is started.
+type restartOptions struct{ config *config.Config }
 
-// freeAddr returns an address on which nothing listens: the second process must name the same as the first.
+// freeAddr returns an address on which no process listens. Both processes of a hot restart need the same address,
+// so the system cannot choose it.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	return scriptedpeer.ClosedAddress(t)
 }
 
-func base64(b []byte) string { return b64.StdEncoding.EncodeToString(b) }
+// encodeBase64 returns the standard base64 encoding of b.
+func encodeBase64(b []byte) string { return b64.StdEncoding.EncodeToString(b) }
 
+// testLog logs to standard error if DUNLINSAILD_TEST_LOG is set, and otherwise discards everything.
 func testLog() *slog.Logger {
 	if os.Getenv("DUNLINSAILD_TEST_LOG") != "" {
 		return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
@@ -291,11 +301,13 @@
 	return scriptedpeer.DiscardLog
 }
 
-var lastID atomic.Uint64
+// lastTraceID numbers the requests of requestText, so that each has its own trace id and idempotency key.
+var lastTraceID atomic.Uint64
 
-// request returns the text of a request of a class.
-func request(class string, ms int, body string) string {
-	id := fmt.Sprintf("t%08x", lastID.Add(1))
+// requestText returns the text of a request of a class that expires in ms milliseconds. Requests of class look
+// have no body.
+func requestText(class string, ms int, body string) string {
+	id := fmt.Sprintf("t%08x", lastTraceID.Add(1))
 	headers := fmt.Sprintf("Host: h\r\nX-Trace-Id: %s\r\nX-Customer: acme\r\nX-Expires-In-Ms: %d\r\n", id, ms)
 	if class == "look" {
 		return "GET /look/1 HTTP/1.1\r\n" + headers + "\r\n"
@@ -304,13 +316,13 @@
 		class, headers, id, len(body), body)
 }
 
-// clientConn is a client's connection in this process.
+// clientConn is a client connection to the daemon, opened by the test's own process.
 type clientConn struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
-// dial connects as a client. The connection is closed with the test.
+// dial connects to the daemon as a client. The connection is closed at the end of the test.
 func dial(t *testing.T, network, addr string) *clientConn {
 	t.Helper()
 	c, err := net.Dial(network, addr)
@@ -319,52 +331,55 @@
 	return &clientConn{c, bufio.NewReader(c)}
 }
 
-// send sends a text without waiting for a response.
-func (k *clientConn) send(t *testing.T, text string) {
+// send writes text to the connection without waiting for a response.
+func (conn *clientConn) send(t *testing.T, text string) {
 	t.Helper()
-	if _, err := io.WriteString(k, text); err != nil {
+	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// request sends a request and returns the complete response.
-func (k *clientConn) request(t *testing.T, text string) (*http.Response, string) {
+// roundTrip sends a request and returns the complete response.
+func (conn *clientConn) roundTrip(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
-	k.send(t, text)
-	return k.answer(t)
+	conn.send(t, text)
+	return conn.readResponse(t)
 }
 
-// answer reads the next response completely.
-func (k *clientConn) answer(t *testing.T) (*http.Response, string) {
+// readResponse reads the next response with its complete body.
+func (conn *clientConn) readResponse(t *testing.T) (*http.Response, string) {
 	t.Helper()
-	resp := k.readHead(t)
+	resp := conn.readHead(t)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Fatalf("the answer is not complete: %v", err)
+		t.Fatalf("the response is not complete: %v", err)
 	}
 	return resp, string(body)
 }
 
-// readHead reads the head of the next response. The response's body is left to the caller.
-func (k *clientConn) readHead(t *testing.T) *http.Response {
+// readHead reads the status line and headers of the next response. The caller reads the body.
+func (conn *clientConn) readHead(t *testing.T) *http.Response {
 	t.Helper()
-	k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-	resp, err := http.ReadResponse(k.r, nil)
+	conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	return resp
 }
 
+// readerOf returns a buffered reader of a connection.
 func readerOf(c net.Conn) *bufio.Reader { return bufio.NewReader(c) }
 
+// isTimeout reports whether err is a network timeout.
 func isTimeout(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// role runs a part of a test in a process of its own: this binary, started again.
-func role() {
+// runRole runs the role that DUNLINSAILD_TEST_ROLE names, when this test binary was started again as a child
+// process of a test.
+func runRole() {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
 	text := os.Getenv("DUNLINSAILD_TEST_WITH")
@@ -382,18 +397,18 @@
 			fail(syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}))
 		}
 		fail(Run(ctx, Options{Config: c, Log: testLog(), Serving: func(map[string]string) { fmt.Println("serving") }}))
-	case "client": // prints a line for each request's end
+	case "client": // prints the result of each request as a line of JSON
 		var o client.Options
 		fail(json.Unmarshal([]byte(text), &o))
-		out := json.NewEncoder(os.Stdout)
+		encoder := json.NewEncoder(os.Stdout)
 		var mu sync.Mutex
 		o.OnDone = func(r client.Result) {
 			mu.Lock()
 			defer mu.Unlock()
-			_ = out.Encode(r) // the test that reads it may be over
+			_ = encoder.Encode(r) // fails if the test that reads the results has already ended
 		}
 		client.New(o).Run(ctx)
-	case "talker": // writes a text to a connection and then neither reads nor writes
+	case "talker": // writes a text to a connection, and then neither reads nor writes
 		network, rest, _ := strings.Cut(text, " ")
 		addr, message, _ := strings.Cut(rest, " ")
 		c, err := net.Dial(network, addr)
@@ -405,28 +420,29 @@
 	}
 }
 
-// program is a part of a test in a process of its own.
-type program struct {
+// childProcess is this test binary running a role in a process of its own.
+type childProcess struct {
 	*exec.Cmd
-	lines chan string // of its standard output; closed at its end
-	ended chan error  // its end, once; then closed
+	lines chan string // lines of standard output; closed at its end
+	ended chan error  // receives the result of Wait once, and is then closed
 }
 
-// spawn starts a program in a role of this test binary, with the text that the role takes.
-func spawn(t *testing.T, role, with string) *program {
+// spawnRole starts this test binary in a role. argument is the text that the role takes. The process is killed at
+// the end of the test.
+func spawnRole(t *testing.T, role, argument string) *childProcess {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "DUNLINSAILD_TEST_ROLE="+role, "DUNLINSAILD_TEST_WITH="+with)
+	cmd.Env = append(os.Environ(), "DUNLINSAILD_TEST_ROLE="+role, "DUNLINSAILD_TEST_WITH="+argument)
 	cmd.Stderr = os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	out, err := cmd.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
-	p := &program{cmd, make(chan string, 1<<10), make(chan error, 1)}
+	p := &childProcess{cmd, make(chan string, 1<<10), make(chan error, 1)}
 	go func() {
-		in := bufio.NewScanner(out)
-		for in.Scan() {
-			p.lines <- in.Text()
+		scanner := bufio.NewScanner(stdout)
+		for scanner.Scan() {
+			p.lines <- scanner.Text()
 		}
 		close(p.lines)
 		p.ended <- cmd.Wait()
@@ -441,20 +457,20 @@
 	return p
 }
 
-// quietLog is a log of package log without output.
+// quietLog returns a logger of package log that discards its output.
 func quietLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
-// waitIdle waits until no request is open.
-func (r *running) waitIdle(t *testing.T) {
+// waitIdle waits until no request is queued or in flight and no client has an open request or held bytes.
+func (r *runningDaemon) waitIdle(t *testing.T) {
 	t.Helper()
-	scriptedpeer.Eventually(t, "nothing open", func() bool {
+	scriptedpeer.Eventually(t, "no open requests", func() bool {
 		for _, p := range r.pools {
 			if counts := p.endpoints.Counts(); counts.Queued+counts.InFlight+counts.OpenCalls > 0 {
 				return false
 			}
 		}
-		for _, h := range r.clients.usage() {
-			if h.Open != 0 || h.Bytes != 0 {
+		for _, usage := range r.clients.usage() {
+			if usage.Open != 0 || usage.Bytes != 0 {
 				return false
 			}
 		}
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -14,15 +14,17 @@
 	"dunlinsail/internal/fake/webapp"
 )
 
-// history is what clients received and what applications ran.
+// history records the responses that clients received and the requests that applications ran, so that both can be
+// compared.
 type history struct {
 	mu       sync.Mutex
-	outcomes map[string]outcome // by request id
-	runs     map[string]int     // by request id
-	effects  map[string]int     // by request id; an application of a pool drops repeats of an idempotency key
+	outcomes map[string]outcome // the outcome of each request, by request id
+	runs     map[string]int     // number of complete requests that applications received, by request id
+	effects  map[string]int     // number of effects by request id; a repeated idempotency key has no further effect
 	seenKeys map[string]bool
 }
 
+// newHistory returns an empty history.
 func newHistory() *history {
 	return &history{
 		outcomes: map[string]outcome{},
@@ -32,17 +34,17 @@
 	}
 }
 
-// outcome is how a request ended for its client.
+// outcome is how a request ended from its client's point of view.
 type outcome struct {
-	kind          string // "safe", "keyed" or "unsafe"
+	class         string // "safe", "keyed" or "unsafe"
 	status        int
-	own           bool // the response is the instance's, not an application's
-	planned       int  // the status that an application was to send
-	broken        bool // the response broke off, and the client saw it
-	plannedLength bool // the response had the planned length
+	ownResponse   bool // the daemon generated the response, not an application
+	plannedStatus int  // the status that the application was asked to send
+	broken        bool // the response was incomplete, and the client noticed
+	plannedLength bool // the body had the length that the application was asked to send
 }
 
-// addOutcome records the outcome of a request, and returns an error if it has one already.
+// addOutcome records the outcome of a request, and returns an error if one is already recorded for that request.
 func (h *history) addOutcome(id string, o outcome) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -53,7 +55,7 @@
 	return nil
 }
 
-// addRun records that an application received a request; complete reports whether its body was.
+// addRun records that an application received a request. Requests with an incomplete body are not counted.
 func (h *history) addRun(id string, complete bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,7 +64,8 @@
 	}
 }
 
-// addEffect records the effect of a request with an idempotency key, unless the key has been seen.
+// addEffect records the effect of a request, unless a request with the same non-empty idempotency key has already
+// taken effect.
 func (h *history) addEffect(id, key string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -72,24 +75,24 @@
 	}
 }
 
-// problems compares both sides and returns what must not have happened.
-func (h *history) problems() (all []string) {
+// problems compares outcomes with runs and effects, and describes each violation that it finds.
+func (h *history) problems() (found []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	problem := func(format string, args ...any) { all = append(all, fmt.Sprintf(format, args...)) }
+	problem := func(format string, args ...any) { found = append(found, fmt.Sprintf(format, args...)) }
 	for id, o := range h.outcomes {
 		n := h.runs[id]
 		switch {
 		case o.broken:
-		case o.own && (o.status == 503 || o.status == 429) && o.kind != "safe" && n > 0:
-			problem("%s %s was rejected, as if a retry were harmless, and ran %d times", o.kind, id, n)
-		case !o.own && n == 0:
-			problem("%s %s was answered %d, and no application ran it", o.kind, id, o.status)
-		case !o.own && (o.status != o.planned || !o.plannedLength):
-			problem("%s %s was answered %d, of the planned length %v, and was to be %d",
-				o.kind, id, o.status, o.plannedLength, o.planned)
+		case o.ownResponse && (o.status == 503 || o.status == 429) && o.class != "safe" && n > 0:
+			problem("%s %s was rejected as safe to retry, but ran %d times", o.class, id, n)
+		case !o.ownResponse && n == 0:
+			problem("%s %s got status %d, but no application ran it", o.class, id, o.status)
+		case !o.ownResponse && (o.status != o.plannedStatus || !o.plannedLength):
+			problem("%s %s got status %d, planned length %v, want status %d",
+				o.class, id, o.status, o.plannedLength, o.plannedStatus)
 		}
-		if o.kind == "unsafe" && n > 1 {
+		if o.class == "unsafe" && n > 1 {
 			problem("unsafe %s ran %d times", id, n)
 		}
 	}
@@ -100,13 +103,15 @@
 	}
 	for id := range h.runs {
 		if _, known := h.outcomes[id]; !known {
-			problem("%s ran, and no client sent it", id)
+			problem("%s ran, but no client sent it", id)
 		}
 	}
-	return all
+	return found
 }
 
-const historyFile = `
+// historyConfig is a configuration with the pools desk and files and with a class for each kind of retry safety.
+// DESK and FILES are replaced by the pools' endpoint addresses.
+const historyConfig = `
 [[listener]]
 address = "127.0.0.1:0"
 [[pool]]
@@ -151,7 +156,7 @@
 class = "unsafe"
 `
 
-// lockedRand is a random source for several goroutines.
+// lockedRand is a random source that several goroutines may use.
 type lockedRand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -164,9 +169,10 @@
 	return r.rng.IntN(n) == 0
 }
 
-// play has clients send requests through a daemon while applications reset connections and answer 4xx and 5xx, and
-// bodies stream. mangle is what a hop does to the headers of a request before its application receives it.
-func play(t *testing.T, mangle func(http.Header)) *history {
+// runHistory has eight clients send requests through a daemon, while the applications reset connections, respond
+// with 4xx statuses, and stream bodies. It returns the recorded history. editHeader changes the headers of each
+// request before the application handles it.
+func runHistory(t *testing.T, editHeader func(http.Header)) *history {
 	t.Helper()
 	h := newHistory()
 	random := &lockedRand{rng: rand.New(rand.NewPCG(3, 4))}
@@ -174,46 +180,47 @@
 	for i := range 5 {
 		a := newApp(t, h.addRun)
 		a.SetFault(func(r *http.Request) bool {
-			mangle(r.Header)
+			editHeader(r.Header)
 			if strings.HasPrefix(r.URL.Path, "/keyed/") {
 				h.addEffect(r.Header.Get("X-Id"), r.Header.Get("Idempotency-Key"))
 			}
-			return random.oneIn(12) // after it took effect
+			return random.oneIn(12) // reset the connection after the request took effect
 		})
 		pools[i/3] = append(pools[i/3], a)
 	}
-	d, addr := routed(t, historyFile, "DESK", addrs(pools[0]...), "FILES", addrs(pools[1]...))
+	d, addr := startRoutedDaemon(t, historyConfig, "DESK", quotedAddrs(pools[0]...), "FILES", quotedAddrs(pools[1]...))
 	var clients sync.WaitGroup
-	for c := range 8 {
-		clients.Go(func() { h.sendRequests(t, addr, c) })
+	for clientIndex := range 8 {
+		clients.Go(func() { h.sendRequests(t, addr, clientIndex) })
 	}
 	clients.Wait()
 	d.waitIdle(t)
 	return h
 }
 
-// sendRequests sends 60 requests of one client, drawn from a seed of its number, one after another.
-func (h *history) sendRequests(t *testing.T, addr string, c int) {
+// sendRequests sends 60 requests one after another as one client and records their outcomes. The client's index
+// is the seed of its requests.
+func (h *history) sendRequests(t *testing.T, addr string, clientIndex int) {
 	t.Helper()
-	rng := rand.New(rand.NewPCG(uint64(c), 5))
+	rng := rand.New(rand.NewPCG(uint64(clientIndex), 5))
 	transport := &http.Transport{DisableCompression: true, ResponseHeaderTimeout: 5 * time.Second}
 	defer transport.CloseIdleConnections()
 	for i := range 60 {
-		id := fmt.Sprintf("c%d-%d", c, i)
-		q, o, plan, err := drawRequest(rng, addr, id)
+		id := fmt.Sprintf("c%d-%d", clientIndex, i)
+		req, o, plan, err := drawRequest(rng, addr, id)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		resp, err := transport.RoundTrip(q)
+		resp, err := transport.RoundTrip(req)
 		if err != nil {
-			o.broken = true // without any part of a response, which must not happen
-			t.Errorf("%s %s has no answer: %v", o.kind, id, err)
+			o.broken = true // no response at all is always a failure
+			t.Errorf("%s %s got no response: %v", o.class, id, err)
 		} else {
 			n, err := io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 			o.status = resp.StatusCode
-			o.own = resp.Header.Get("Proxy-Status") != ""
+			o.ownResponse = resp.Header.Get("Proxy-Status") != ""
 			o.broken = err != nil
 			o.plannedLength = int(n) == plan.BodySize
 		}
@@ -223,13 +230,14 @@
 	}
 }
 
-// drawRequest returns a request, its outcome as far as it is planned, and the plan for its application.
+// drawRequest draws a random request. It returns the request, an outcome with the class and planned status filled
+// in, and the plan that tells the application how to respond.
 func drawRequest(rng *rand.Rand, addr, id string) (*http.Request, outcome, webapp.Plan, error) {
-	o := outcome{kind: []string{"safe", "keyed", "unsafe"}[rng.IntN(3)]}
-	o.planned = []int{200, 200, 404, 409, 422, 301}[rng.IntN(6)]
-	path := o.kind
+	o := outcome{class: []string{"safe", "keyed", "unsafe"}[rng.IntN(3)]}
+	o.plannedStatus = []int{200, 200, 404, 409, 422, 301}[rng.IntN(6)]
+	path := o.class
 	size := rng.IntN(2000)
-	plan := webapp.Plan{Status: o.planned, BodySize: rng.IntN(3000)}
+	plan := webapp.Plan{Status: o.plannedStatus, BodySize: rng.IntN(3000)}
 	switch rng.IntN(5) {
 	case 0:
 		size = 150_000 + rng.IntN(200_000)
@@ -237,30 +245,30 @@
 		plan.BodySize = 150_000 + rng.IntN(200_000)
 	case 2:
 		path = "files"
-		o.kind = "unsafe"
+		o.class = "unsafe"
 	}
 	var body io.Reader
 	method := http.MethodGet
-	if o.kind != "safe" {
+	if o.class != "safe" {
 		method = http.MethodPost
 		body = io.LimitReader(&endlessReader{}, int64(size))
 	}
-	q, err := http.NewRequestWithContext(context.Background(), method, "http://"+addr+"/"+path+"/1", body)
+	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+addr+"/"+path+"/1", body)
 	if err != nil {
 		return nil, o, plan, err
 	}
-	if rng.IntN(2) == 0 && o.kind != "safe" {
-		q.ContentLength = int64(size)
+	if rng.IntN(2) == 0 && o.class != "safe" {
+		req.ContentLength = int64(size)
 	}
-	q.Header.Set("X-Id", id)
-	q.Header.Set(webapp.PlanHeader, plan.JSON())
-	if o.kind == "keyed" {
-		q.Header.Set("Idempotency-Key", "k"+id)
+	req.Header.Set("X-Id", id)
+	req.Header.Set(webapp.PlanHeader, plan.JSON())
+	if o.class == "keyed" {
+		req.Header.Set("Idempotency-Key", "k"+id)
 	}
-	return q, o, plan, nil
+	return req, o, plan, nil
 }
 
-// endlessReader reads the letter a without end.
+// endlessReader is a reader that returns the letter a without end.
 type endlessReader struct{}
 
 func (endlessReader) Read(p []byte) (int, error) {
@@ -270,17 +278,18 @@
 	return len(p), nil
 }
 
-// Every request has exactly one final answer. An unsafe one takes effect once at most, whatever breaks; one that ran is
-// not rejected; and an application's 4xx response is forwarded unchanged.
+// Every request must have exactly one final response, whatever connections break. An unsafe request takes effect
+// at most once, a request that ran is not rejected as safe to retry, and an application's 4xx response is
+// forwarded unchanged.
 func TestJoinedHistories(t *testing.T) {
-	h := play(t, func(http.Header) {})
+	h := runHistory(t, func(http.Header) {})
 	byStatus := map[string]int{}
 	for _, o := range h.outcomes {
-		from := "application"
-		if o.own {
-			from = "own"
+		sender := "application"
+		if o.ownResponse {
+			sender = "own"
 		}
-		byStatus[fmt.Sprint(from, " ", o.status)]++
+		byStatus[fmt.Sprint(sender, " ", o.status)]++
 	}
 	for _, p := range h.problems() {
 		t.Error(p)
@@ -291,13 +300,14 @@
 	t.Logf("%v", byStatus)
 }
 
-// An idempotency key that does not reach the endpoint is a problem that the comparison finds.
+// The comparison of histories must detect that idempotency keys do not reach the endpoints. Otherwise
+// TestJoinedHistories would prove nothing about them.
 func TestJoinedHistoriesSeeALostKey(t *testing.T) {
-	h := play(t, func(h http.Header) { h.Del("Idempotency-Key") })
+	h := runHistory(t, func(h http.Header) { h.Del("Idempotency-Key") })
 	for _, p := range h.problems() {
 		if strings.HasPrefix(p, "key ") {
 			return
 		}
 	}
-	t.Error("keys were lost on the way, and no problem was found")
+	t.Error("idempotency keys were removed, and no problem was found")
 }
--- a/internal/daemon/requests_test.go
+++ b/internal/daemon/requests_test.go
@@ -13,40 +13,42 @@
 	"dunlinsail/internal/fake/webapp"
 )
 
-// Pipelined requests are answered in order, whatever their bodies.
+// Pipelined requests get their responses in order, whatever the form of their bodies.
 func TestPipelinedRequests(t *testing.T) {
 	a := newApp(t, nil)
-	d, addr := routed(t, appFile, "ADDRS", addrs(a))
-	k := dial(t, "tcp", addr)
-	big := strings.Repeat("x", 100_000)
-	plan := func(body int, work time.Duration) string {
-		return webapp.PlanHeader + ": " + webapp.Plan{BodySize: body, Delay: work}.JSON() + "\r\n"
+	d, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a))
+	conn := dial(t, "tcp", addr)
+	largeBody := strings.Repeat("x", 100_000)
+	plan := func(body int, delay time.Duration) string {
+		return webapp.PlanHeader + ": " + webapp.Plan{BodySize: body, Delay: delay}.JSON() + "\r\n"
 	}
-	all := "GET /1 HTTP/1.1\r\nHost: h\r\n" + plan(1, 30*time.Millisecond) + "\r\n" +
+	requests := "GET /1 HTTP/1.1\r\nHost: h\r\n" + plan(1, 30*time.Millisecond) + "\r\n" +
 		"POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n" + plan(2, 0) + "\r\nabc" +
 		"POST /3 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n" + plan(3, 0) + "\r\n3\r\nabc\r\n0\r\n\r\n" +
-		fmt.Sprintf("POST /4 HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n", len(big)) +
-		plan(100_004, 0) + "\r\n" + big +
+		fmt.Sprintf("POST /4 HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n", len(largeBody)) +
+		plan(100_004, 0) + "\r\n" + largeBody +
 		"GET /none HTTP/1.1\r\nHost: h\r\nX-A : b\r\n\r\n"
-	go io.WriteString(k, all)
+	go io.WriteString(conn, requests)
 	for _, want := range []int{1, 2, 3, 100_004} {
-		if resp, body := k.answer(t); resp.StatusCode != 200 || len(body) != want {
+		if resp, body := conn.readResponse(t); resp.StatusCode != 200 || len(body) != want {
 			t.Fatalf("%s with %d bytes, want %d", resp.Status, len(body), want)
 		}
 	}
-	if resp, _ := k.answer(t); resp.StatusCode != 400 {
-		t.Errorf("a malformed head behind others: %s", resp.Status)
+	if resp, _ := conn.readResponse(t); resp.StatusCode != 400 {
+		t.Errorf("a malformed request after valid ones: %s", resp.Status)
 	}
 	d.waitIdle(t)
 }
 
-// Requests of all forms are forwarded, or get this instance's own response with a reason in Proxy-Status.
+// Each form of request is either forwarded or gets a response of the daemon itself, with the reason in
+// Proxy-Status.
 func TestFormsOfRequests(t *testing.T) {
 	a := newApp(t, nil)
-	_, addr := routed(t, appFile+"path = \"/a/*\"\nmethods = [\"GET\", \"HEAD\", \"PUT\"]\n", "ADDRS", addrs(a))
+	_, addr := startRoutedDaemon(t,
+		onePoolConfig+"path = \"/a/*\"\nmethods = [\"GET\", \"HEAD\", \"PUT\"]\n", "ADDRS", quotedAddrs(a))
 	for _, tc := range []struct {
-		text, want, proxyStatus string
-		last                    bool
+		text, wantStatus, wantProxyStatus string
+		wantClose                         bool
 	}{
 		{"GET /a/1 HTTP/1.1\r\nHost: h\r\n\r\n", "200", "", false},
 		{"GET http://h/a/1 HTTP/1.1\r\nHost: h\r\n\r\n", "200", "", false},
@@ -68,39 +70,39 @@
 		{"GET /a/1 HTTP/1.1\r\nHost: h\r\nExpect: wonders\r\n\r\n", "417", "http_request_error", false},
 		{"PRI * HTTP/2.0\r\n\r\n", "505", "", true},
 	} {
-		k := dial(t, "tcp", addr)
+		conn := dial(t, "tcp", addr)
 		method, _, _ := strings.Cut(tc.text, " ")
-		io.WriteString(k, tc.text)
-		k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-		resp, err := http.ReadResponse(k.r, &http.Request{Method: method})
+		io.WriteString(conn, tc.text)
+		conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+		resp, err := http.ReadResponse(conn.reader, &http.Request{Method: method})
 		if err != nil {
 			t.Errorf("%q: %v", tc.text, err)
 			continue
 		}
 		body, err := io.ReadAll(resp.Body)
 		proxyStatus := resp.Header.Get("Proxy-Status")
-		if err != nil || !strings.HasPrefix(resp.Status, tc.want) || resp.Close != tc.last ||
-			(tc.proxyStatus == "") != (proxyStatus == "") || !strings.Contains(proxyStatus, tc.proxyStatus) {
+		if err != nil || !strings.HasPrefix(resp.Status, tc.wantStatus) || resp.Close != tc.wantClose ||
+			(tc.wantProxyStatus == "") != (proxyStatus == "") || !strings.Contains(proxyStatus, tc.wantProxyStatus) {
 			t.Errorf("%q: %s, %q, close %v, %q, %v", tc.text, resp.Status, proxyStatus, resp.Close, body, err)
 		}
-		if !tc.last { // it serves another
-			if resp, _ := k.request(t, "GET /a/2 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
-				t.Errorf("%q: the next is answered %s", tc.text, resp.Status)
+		if !tc.wantClose { // the connection serves another request
+			if resp, _ := conn.roundTrip(t, "GET /a/2 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
+				t.Errorf("%q: the next request on the connection: %s", tc.text, resp.Status)
 			}
 		}
 	}
 }
 
-// A text that two readers could understand as different requests is rejected, wherever it is cut in two, and nothing of
-// it is sent to an endpoint.
+// Text that two HTTP parsers could read as different requests is rejected, wherever it is split into two packets,
+// and none of it is sent to an endpoint.
 func TestSmuggling(t *testing.T) {
 	a := newApp(t, nil)
-	_, addr := routed(t, appFile, "ADDRS", addrs(a))
+	_, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a))
 	const (
 		host = "Host: h\r\n"
 		post = "POST / HTTP/1.1\r\n" + host
 		get  = "GET / HTTP/1.1\r\n" + host
-		// chunked is the head of a request with a chunked body.
+		// chunked starts a request with a chunked body.
 		chunked = post + "Transfer-Encoding: chunked\r\n\r\n"
 	)
 	for name, text := range map[string]string{
@@ -145,8 +147,8 @@
 		"extension with a return": chunked + "3;a\rb\r\nabc\r\n0\r\n\r\n",
 		"trailing length":         chunked + "0\r\nContent-Length: 3\r\n\r\n",
 	} {
-		for cut := 1; cut <= len(text); cut++ {
-			checkRejected(t, addr, name, text, cut)
+		for splitAt := 1; splitAt <= len(text); splitAt++ {
+			checkRejected(t, addr, name, text, splitAt)
 		}
 	}
 	if n := a.RequestCount(); n > 0 {
@@ -154,28 +156,28 @@
 	}
 }
 
-// checkRejected sends a text in two parts on a new connection, and checks that the response is an error or the end of
-// the connection.
-func checkRejected(t *testing.T, addr, name, text string, cut int) {
+// checkRejected sends text on a new connection in two parts, split at cut, and checks that the daemon responds
+// with an error or closes the connection.
+func checkRejected(t *testing.T, addr, name, text string, splitAt int) {
 	t.Helper()
-	k := dial(t, "tcp", addr)
-	defer k.Close()
-	io.WriteString(k, text[:cut])
-	if cut < len(text) {
-		k.SetReadDeadline(time.Now().Add(time.Microsecond)) // a moment for the first part
-		k.r.Peek(1)
-		io.WriteString(k, text[cut:])
+	conn := dial(t, "tcp", addr)
+	defer conn.Close()
+	io.WriteString(conn, text[:splitAt])
+	if splitAt < len(text) {
+		conn.SetReadDeadline(time.Now().Add(time.Microsecond)) // gives the daemon time to read the first part alone
+		conn.reader.Peek(1)
+		io.WriteString(conn, text[splitAt:])
 	}
-	k.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-	resp, err := http.ReadResponse(k.r, nil)
+	conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
-		ended := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
-		if !ended && !strings.Contains(err.Error(), "reset") {
-			t.Errorf("%s, cut at %d: %v", name, cut, err)
+		atEOF := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
+		if !atEOF && !strings.Contains(err.Error(), "reset") {
+			t.Errorf("%s, cut at %d: %v", name, splitAt, err)
 		}
 		return
 	}
 	if resp.StatusCode < 400 {
-		t.Errorf("%s, cut at %d: %s", name, cut, resp.Status)
+		t.Errorf("%s, cut at %d: %s", name, splitAt, resp.Status)
 	}
 }
--- a/internal/daemon/routes_test.go
+++ b/internal/daemon/routes_test.go
@@ -23,25 +23,27 @@
 	"dunlinsail/internal/fake/webapp"
 )
 
-// newApp starts a stand-in application.
-func newApp(t *testing.T, runs func(id string, whole bool)) *webapp.App {
+// newApp starts a fake application. onRequest, if not nil, is called for each request with its id and whether its
+// body was complete. The application is closed at the end of the test.
+func newApp(t *testing.T, onRequest func(id string, complete bool)) *webapp.App {
 	t.Helper()
-	a, err := webapp.Start(runs)
+	a, err := webapp.Start(onRequest)
 	require.NoError(t, err)
 	t.Cleanup(a.Close)
 	return a
 }
 
-// parse reads a file, with edits as pairs of old and new text.
-func parse(t *testing.T, text string, edits ...string) *config.Config {
+// parseConfig parses a configuration text after applying edits, which are pairs of old and new text.
+func parseConfig(t *testing.T, text string, edits ...string) *config.Config {
 	t.Helper()
 	c, err := config.Parse([]byte(strings.NewReplacer(edits...).Replace(text)))
 	require.NoError(t, err)
 	return c
 }
 
-// appFile is a file with one pool, whose endpoints replace ADDRS, and one route.
-const appFile = `
+// onePoolConfig is a configuration with one pool and one route. ADDRS is replaced by the pool's endpoint
+// addresses.
+const onePoolConfig = `
 [[listener]]
 address = "127.0.0.1:0"
 [[pool]]
@@ -51,18 +53,20 @@
 pool = "app"
 `
 
-func addrs(all ...*webapp.App) string {
+// quotedAddrs returns the addresses of applications as the elements of a TOML array.
+func quotedAddrs(apps ...*webapp.App) string {
 	var quoted []string
-	for _, a := range all {
+	for _, a := range apps {
 		quoted = append(quoted, fmt.Sprintf("%q", a.Addr))
 	}
 	return strings.Join(quoted, ", ")
 }
 
-// routed starts a daemon of a file, with edits as pairs of old and new text, and returns its listener's address.
-func routed(t *testing.T, text string, edits ...string) (*running, string) {
+// startRoutedDaemon starts a daemon with a configuration text after applying edits, which are pairs of old and
+// new text. It returns the daemon and the address of its listener.
+func startRoutedDaemon(t *testing.T, text string, edits ...string) (*runningDaemon, string) {
 	t.Helper()
-	d := start(t, parse(t, text, edits...))
+	d := startDaemon(t, parseConfig(t, text, edits...))
 	for _, addr := range d.addrs {
 		return d, addr
 	}
@@ -70,32 +74,32 @@
 	return nil, ""
 }
 
-// Whatever an application does, its clients and it see the same through the daemon as through
+// For any application behavior, clients and the application observe the same through the daemon as through
 // httputil.ReverseProxy, apart from the differences that package differential explains.
 func TestLikeReverseProxy(t *testing.T) {
 	a := newApp(t, nil)
-	_, addr := routed(t, appFile, "ADDRS", addrs(a))
+	_, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a))
 	proxy := httptest.NewServer(&httputil.ReverseProxy{FlushInterval: -1, Rewrite: func(r *httputil.ProxyRequest) {
 		r.SetURL(&url.URL{Scheme: "http", Host: a.Addr})
 		r.Out.Host = r.In.Host
 	}, Transport: &http.Transport{DisableCompression: true}, ErrorLog: quietLog()})
 	defer proxy.Close()
 	cases := differential.Generate(1, 400)
-	all, err := differential.Run(context.Background(), addr, proxy.Listener.Addr().String(), cases)
+	differences, err := differential.Run(context.Background(), addr, proxy.Listener.Addr().String(), cases)
 	require.NoError(t, err)
-	without, reasons := differential.Unexplained(all)
-	for i, d := range without {
+	unexplained, explained := differential.Unexplained(differences)
+	for i, d := range unexplained {
 		if i < 12 {
 			t.Errorf("%v", d)
 		}
 	}
-	t.Logf("%d differences without a reason; with one: %v", len(without), reasons)
+	t.Logf("%d unexplained differences; explained ones by reason: %v", len(unexplained), explained)
 }
 
-// A route edits requests and responses as configured, and forwards the rest unchanged.
-func TestEditsOnTheWay(t *testing.T) {
+// A route edits requests and responses as configured, and forwards everything else unchanged.
+func TestRouteEdits(t *testing.T) {
 	a := newApp(t, nil)
-	_, addr := routed(t, appFile+`path = "/cards/*"
+	_, addr := startRoutedDaemon(t, onePoolConfig+`path = "/cards/*"
 strip_prefix = "/cards"
 add_prefix = "/v2"
 to_host = "cards.internal"
@@ -104,24 +108,25 @@
 forwarded = "x-forwarded"
 request = { remove = ["Cookie"], set = { "X-Via" = "here" }, add = { "X-Hop" = "2" } }
 answer = { remove = ["Server"], set = { "Cache-Control" = "no-store" } }
-`, "ADDRS", addrs(a))
-	k := dial(t, "tcp", addr)
+`, "ADDRS", quotedAddrs(a))
+	conn := dial(t, "tcp", addr)
 	plan := webapp.Plan{Header: map[string][]string{"Server": {"x"}, "Cache-Control": {"public"}, "X-Kept": {"1", "2"}}}
-	resp, _ := k.request(t, "GET /cards/../cards/7?q=1 HTTP/1.1\r\nHost: outside\r\nCookie: c\r\nX-Via: client\r\n"+
-		"X-Hop: 1\r\nTraceparent: 00-1-2-01\r\nX-Forwarded-For: 6.6.6.6\r\nForwarded: for=6.6.6.6\r\n"+
-		"X-Expires-In-Ms: 5000\r\nConnection: x-own\r\nX-Own: 1\r\n"+
-		webapp.PlanHeader+": "+plan.JSON()+"\r\n\r\n")
+	resp, _ := conn.roundTrip(t,
+		"GET /cards/../cards/7?q=1 HTTP/1.1\r\nHost: outside\r\nCookie: c\r\nX-Via: client\r\n"+
+			"X-Hop: 1\r\nTraceparent: 00-1-2-01\r\nX-Forwarded-For: 6.6.6.6\r\nForwarded: for=6.6.6.6\r\n"+
+			"X-Expires-In-Ms: 5000\r\nConnection: x-own\r\nX-Own: 1\r\n"+
+			webapp.PlanHeader+": "+plan.JSON()+"\r\n\r\n")
 	var got webapp.ObservedRequest
 	if err := json.Unmarshal([]byte(resp.Header.Get(webapp.ObservedRequestHeader)), &got); err != nil {
 		t.Fatal(resp.Status, err)
 	}
-	h := got.Header
-	left, err := strconv.Atoi(h.Get("X-Expires-In-Ms"))
-	if got.URI != "/v2/7?q=1" || got.Host != "cards.internal" || h.Get("Cookie") != "" ||
-		fmt.Sprint(h["X-Via"]) != "[here]" || fmt.Sprint(h["X-Hop"]) != "[1 2]" ||
-		h.Get("Traceparent") != "00-1-2-01" || h.Get("X-Own") != "" || h.Get("Forwarded") != "" ||
-		h.Get("X-Forwarded-For") != "127.0.0.1" || h.Get("X-Forwarded-Host") != "outside" ||
-		len(h.Get("X-Request-Id")) != 32 || err != nil || left < 4000 || left >= 5000 {
+	headers := got.Header
+	remainingMs, err := strconv.Atoi(headers.Get("X-Expires-In-Ms"))
+	if got.URI != "/v2/7?q=1" || got.Host != "cards.internal" || headers.Get("Cookie") != "" ||
+		fmt.Sprint(headers["X-Via"]) != "[here]" || fmt.Sprint(headers["X-Hop"]) != "[1 2]" ||
+		headers.Get("Traceparent") != "00-1-2-01" || headers.Get("X-Own") != "" || headers.Get("Forwarded") != "" ||
+		headers.Get("X-Forwarded-For") != "127.0.0.1" || headers.Get("X-Forwarded-Host") != "outside" ||
+		len(headers.Get("X-Request-Id")) != 32 || err != nil || remainingMs < 4000 || remainingMs >= 5000 {
 		t.Errorf("the application got %+v", got)
 	}
 	if resp.Header.Get("Server") != "" || fmt.Sprint(resp.Header["Cache-Control"]) != "[no-store]" ||
@@ -130,10 +135,10 @@
 	}
 }
 
-// Forwarded headers of earlier hops are trusted only if the route says so.
+// Forwarding headers of earlier hops are trusted only if the route is configured to trust them.
 func TestForwarded(t *testing.T) {
 	a := newApp(t, nil)
-	for _, tc := range []struct{ edits, want string }{
+	for _, tc := range []struct{ edits, wantHeaders string }{
 		{"", `Forwarded: ["for=6.6.6.6"]; X-Forwarded-For: ["6.6.6.6"]`},
 		{"forwarded = \"none\"\n", ``},
 		{"forwarded = \"rfc7239\"\n", `Forwarded: ["for=127.0.0.1;host=\"h:1\";proto=http"]`},
@@ -142,21 +147,21 @@
 		{"forwarded = \"x-forwarded\"\ntrusted = true\n",
 			`X-Forwarded-For: ["6.6.6.6, 127.0.0.1"]; X-Forwarded-Host: ["h:1"]; X-Forwarded-Proto: ["http"]`},
 	} {
-		_, addr := routed(t, appFile+tc.edits, "ADDRS", addrs(a))
-		resp, _ := dial(t, "tcp", addr).request(t,
+		_, addr := startRoutedDaemon(t, onePoolConfig+tc.edits, "ADDRS", quotedAddrs(a))
+		resp, _ := dial(t, "tcp", addr).roundTrip(t,
 			"GET / HTTP/1.1\r\nHost: h:1\r\nX-Forwarded-For: 6.6.6.6\r\nForwarded: for=6.6.6.6\r\n\r\n")
 		var got webapp.ObservedRequest
 		require.NoError(t, json.Unmarshal([]byte(resp.Header.Get(webapp.ObservedRequestHeader)), &got))
-		if text := webapp.HeaderText(got.Header); text != tc.want {
-			t.Errorf("%q: %s, want %s", tc.edits, text, tc.want)
+		if text := webapp.HeaderText(got.Header); text != tc.wantHeaders {
+			t.Errorf("%q: %s, want %s", tc.edits, text, tc.wantHeaders)
 		}
 	}
 }
 
-// A safe request that an endpoint rejects is retried at another one, and the client gets the last response. An unsafe
-// one is not retried.
-func TestLoadReportsOfEndpoints(t *testing.T) {
-	full := http.Header{"Retry-After": {"7"}}
+// A safe request that an endpoint rejects is retried at another endpoint, and the client gets the response to the
+// last attempt. An unsafe request is not retried.
+func TestRetriesOfRejectedRequests(t *testing.T) {
+	overloaded := http.Header{"Retry-After": {"7"}}
 	for _, tc := range []struct {
 		method   string
 		status   int
@@ -164,13 +169,13 @@
 		attempts int64
 	}{
 		{"GET", 404, nil, 1}, {"POST", 409, nil, 1}, {"GET", 301, nil, 1}, {"GET", 503, nil, 1}, {"GET", 501, nil, 1},
-		{"GET", 500, nil, 2}, {"GET", 503, full, 2}, {"GET", 429, full, 2},
-		{"POST", 500, nil, 1}, {"POST", 503, full, 1},
+		{"GET", 500, nil, 2}, {"GET", 503, overloaded, 2}, {"GET", 429, overloaded, 2},
+		{"POST", 500, nil, 1}, {"POST", 503, overloaded, 1},
 	} {
 		a, b := newApp(t, nil), newApp(t, nil)
-		_, addr := routed(t, appFile, "ADDRS", addrs(a, b))
+		_, addr := startRoutedDaemon(t, onePoolConfig, "ADDRS", quotedAddrs(a, b))
 		plan := webapp.Plan{Status: tc.status, Header: tc.header, BodySize: 5}
-		resp, body := dial(t, "tcp", addr).request(t, tc.method+" / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n"+
+		resp, body := dial(t, "tcp", addr).roundTrip(t, tc.method+" / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n"+
 			webapp.PlanHeader+": "+plan.JSON()+"\r\n\r\n")
 		n := a.RequestCount() + b.RequestCount()
 		if resp.StatusCode != tc.status || resp.Header.Get("Proxy-Status") != "" || len(body) != 5 ||
@@ -181,7 +186,9 @@
 	}
 }
 
-const handedPools = `
+// takeoverPoolsConfig is a configuration with a takeover socket, a pool whose endpoints are in the configuration,
+// and a pool whose endpoint list is a file. The words in capitals are placeholders.
+const takeoverPoolsConfig = `
 [takeover]
 socket = "SOCKET"
 ready_within = "5s"
@@ -202,116 +209,117 @@
 pool = "file"
 `
 
-// streamUntil handles connections of an endpoint: the response for /listed/stream is sent in two halves of 100,000
-// bytes, the second once more is closed, and any other is empty.
-func streamUntil(more <-chan struct{}) func(c *net.TCPConn, r *bufio.Reader) {
+// streamUntil returns a handler of an endpoint's connections. It sends the response for /listed/stream in two
+// halves of 100,000 bytes, the second once release is closed. All other responses have no body.
+func streamUntil(release <-chan struct{}) func(c *net.TCPConn, r *bufio.Reader) {
 	return func(c *net.TCPConn, r *bufio.Reader) {
 		for {
-			q, err := scriptedpeer.ReadRequest(r)
+			req, err := scriptedpeer.ReadRequest(r)
 			if err != nil {
 				return
 			}
-			if q.URL.Path != "/listed/stream" {
+			if req.URL.Path != "/listed/stream" {
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				continue
 			}
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"+strings.Repeat("x", 100_000))
-			<-more
+			<-release
 			io.WriteString(c, strings.Repeat("x", 100_000))
 		}
 	}
 }
 
-// writeList replaces a pool's list in a file.
+// writeList atomically replaces a pool's endpoint list file with a list of applications.
 func writeList(t *testing.T, file string, apps ...*webapp.App) {
 	t.Helper()
-	var all []string
+	var instances []string
 	for i, a := range apps {
-		all = append(all, fmt.Sprintf(`{"instanceId":"f-%d","hostPort":%q,"lifecycle":"up","weight":1}`, i, a.Addr))
+		instances = append(instances, fmt.Sprintf(
+			`{"instanceId":"f-%d","hostPort":%q,"lifecycle":"up","weight":1}`, i, a.Addr))
 	}
-	text := `{"instances":[` + strings.Join(all, ",") + `]}`
+	text := `{"instances":[` + strings.Join(instances, ",") + `]}`
 	require.NoError(t, os.WriteFile(file+".new", []byte(text), 0o600))
 	require.NoError(t, os.Rename(file+".new", file))
 }
 
-// A successor takes over the learned state of each pool, with the list of its own file. A response that streams ends in
-// the predecessor.
+// A successor takes over the learned state of each pool, and reads the endpoint list of a file pool itself. The
+// predecessor completes a response that is streaming.
 func TestTakeoverOfPools(t *testing.T) {
-	more := make(chan struct{})
-	streams := scriptedpeer.StartTCP(t, streamUntil(more))
+	release := make(chan struct{})
+	streamingAddr := scriptedpeer.StartTCP(t, streamUntil(release))
 	a, b := newApp(t, nil), newApp(t, nil)
 	dir := t.TempDir()
 	file := dir + "/pool.json"
 	writeList(t, file, a)
-	c := parse(t, handedPools, "SOCKET", dir+"/takeover.sock", "ADDRESS", freeAddr(t),
-		"LISTED", `"`+streams+`"`, "FILE", file)
-	first := start(t, c)
-	k := dial(t, "tcp", c.Listeners[0].Address)
+	c := parseConfig(t, takeoverPoolsConfig, "SOCKET", dir+"/takeover.sock", "ADDRESS", freeAddr(t),
+		"LISTED", `"`+streamingAddr+`"`, "FILE", file)
+	first := startDaemon(t, c)
+	conn := dial(t, "tcp", c.Listeners[0].Address)
 	for _, path := range []string{"/listed/1", "/file/1", "/listed/2", "/file/2"} {
-		if resp, _ := k.request(t, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
+		if resp, _ := conn.roundTrip(t, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
 			t.Fatalf("%s: %s", path, resp.Status)
 		}
 	}
 	streaming := dial(t, "tcp", c.Listeners[0].Address)
 	io.WriteString(streaming, "GET /listed/stream HTTP/1.1\r\nHost: h\r\n\r\n")
 	resp := streaming.readHead(t)
-	writeList(t, file, a, b) // the successor reads it at its start
-	second, serving := launch(t, c, testLog())
+	writeList(t, file, a, b) // the successor reads the new list when it starts
+	second, serving := launchDaemon(t, c, testLog())
 	second.addrs = scriptedpeer.Receive(t, serving, "the second daemon")
 	s := second.core.Snapshot()
 	for _, name := range []string{"listed", "file"} {
 		p := s.Pool(name)
 		if p == nil || len(p.Learned.Endpoints) == 0 || len(p.Learned.Endpoints[0].BreakerWindow) == 0 {
-			t.Errorf("pool %q: what was learned is not there: %+v", name, p)
+			t.Errorf("pool %q: the learned state was not handed over: %+v", name, p)
 		}
 	}
 	if p := s.Pool("file"); p != nil && len(p.Endpoints) != 2 {
-		t.Errorf("the file's list is the old process's: %+v", p.Endpoints)
+		t.Errorf("endpoints of the file pool are those of the old process: %+v", p.Endpoints)
 	}
 	for range 4 {
-		if resp, _ := k.request(t, "GET /file/3 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
+		if resp, _ := conn.roundTrip(t, "GET /file/3 HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
 			t.Errorf("the kept connection: %s", resp.Status)
 		}
 	}
-	close(more)
+	close(release)
 	if n, err := io.Copy(io.Discard, resp.Body); err != nil || n != 200_000 {
-		t.Errorf("the answer that streamed: %d bytes, %v", n, err)
+		t.Errorf("the streaming response: %d bytes, %v", n, err)
 	}
-	checkEnded(t, first.ended, "the first daemon's end")
+	checkEnded(t, first.ended, "end of the first daemon")
 }
 
-// Routes name the classes of their own configuration. A file with other classes is applied by a new generation, with
-// its own routes.
+// Routes refer to the classes of the configuration that defines them. A configuration with other classes is
+// applied by a new generation with its own routes, and the old generation keeps the old ones.
 func TestRoutesAndTheirClasses(t *testing.T) {
 	a := newApp(t, nil)
 	const classes = "[[class]]\nname = \"read\"\nrepeat = \"safe\"\naim = \"1s\"\ngive_up = \"2s\"\n" +
 		"[[class]]\nname = \"write\"\nrepeat = \"unsafe\"\naim = \"1s\"\ngive_up = \"2s\"\n"
-	swapped := strings.NewReplacer("\"read\"", "\"write\"", "\"write\"", "\"read\"",
+	swappedClasses := strings.NewReplacer("\"read\"", "\"write\"", "\"write\"", "\"read\"",
 		"\"safe\"", "\"unsafe\"", "\"unsafe\"", "\"safe\"").Replace(classes)
-	d, addr := routed(t, appFile+classes, "ADDRS", addrs(a))
-	k := dial(t, "tcp", addr)
+	d, addr := startRoutedDaemon(t, onePoolConfig+classes, "ADDRS", quotedAddrs(a))
+	conn := dial(t, "tcp", addr)
 	checkStatus := func(path string, want int) {
 		t.Helper()
-		for _, k := range []*clientConn{k, dial(t, "tcp", addr)} {
-			if resp, _ := k.request(t, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != want {
+		for _, conn := range []*clientConn{conn, dial(t, "tcp", addr)} {
+			if resp, _ := conn.roundTrip(t, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != want {
 				t.Errorf("%s: %s, want %d", path, resp.Status, want)
 			}
 		}
 	}
 	checkStatus("/old", 200)
-	other := func(classes string) *config.Config {
-		return parse(t, appFile+"path = \"/new\"\n"+classes, "127.0.0.1:0", addr, "ADDRS", addrs(a))
+	configWith := func(classes string) *config.Config {
+		return parseConfig(t, onePoolConfig+"path = \"/new\"\n"+classes, "127.0.0.1:0", addr, "ADDRS", quotedAddrs(a))
 	}
-	second := d.changed(t, other(swapped))
+	second := d.applyConfig(t, configWith(swappedClasses))
 	if second == d.generation {
-		t.Error("other classes without a generation of their own")
+		t.Error("changed classes were applied without a new generation")
 	}
-	// Until its connections are handed over, the earlier generation answers on them by its routes.
+	// Until its connections are handed over, the old generation still serves them with its own routes.
 	d.awaitOneGeneration(t)
 	checkStatus("/old", 404)
 	checkStatus("/new", 200)
-	if d.changed(t, other(swapped+"[paths]\nencoded_slash = \"keep\"\n")) != second {
-		t.Error("a generation of its own for what can be changed while serving")
+	if d.applyConfig(t, configWith(swappedClasses+"[paths]\nencoded_slash = \"keep\"\n")) != second {
+		t.Error("a new generation was started for a change that can be applied while serving")
 	}
 	checkStatus("/new%2F", 404)
 }
