--- a/internal/daemon/predecessor_test.go
+++ b/internal/daemon/predecessor_test.go
@@ -160,7 +160,7 @@
 			tc.script(predecessor)
 			if !tc.wantServing {
 				err := scriptedpeer.Receive(t, successor.ended, "end of the successor")
-				if err == nil || !strings.Contains(err.Error(), "says no") {
+				if err == nil || !strings.Contains(err.Error(), "rejected the hot restart") {
 					t.Errorf("the successor ended with %v, want a rejection", err)
 				}
 				if len(serving) != 0 {
