--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -23,36 +23,36 @@
 // A rejection (503) promises that the request never ran. Without certainty of that the request has failed, whatever the
 // endpoint answered.
 func TestRejectedOrFailed(t *testing.T) {
-	never := func(w http.ResponseWriter, _ *http.Request) {
+	respondNeverRan := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Never-Ran", "1")
 		w.WriteHeader(503)
 	}
-	perhaps := func(w http.ResponseWriter, _ *http.Request) {
+	respondUnavailable := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "1")
 		w.WriteHeader(503)
 	}
-	broken := func(w http.ResponseWriter, _ *http.Request) {
+	sendPartOfBody := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "9")
 		io.WriteString(w, "half")
 	}
 	for _, tc := range []struct {
 		name     string
-		h        http.HandlerFunc
+		handler  http.HandlerFunc
 		class    string
 		rejected bool
 	}{
-		{"turned away, unsafe", never, "pay", true},
-		{"turned away, keyed", never, "book", true},
-		{"turned away, safe", never, "look", true},
-		{"503, unsafe", perhaps, "pay", false},
-		{"503, keyed", perhaps, "book", false},
-		{"half a body, unsafe", broken, "pay", false},
+		{"turned away, unsafe", respondNeverRan, "pay", true},
+		{"turned away, keyed", respondNeverRan, "book", true},
+		{"turned away, safe", respondNeverRan, "look", true},
+		{"503, unsafe", respondUnavailable, "pay", false},
+		{"503, keyed", respondUnavailable, "book", false},
+		{"half a body, unsafe", sendPartOfBody, "pay", false},
 		{"no connection, unsafe", nil, "pay", true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			addr := scriptedpeer.ClosedAddress(t)
-			if tc.h != nil {
-				addr = scriptedpeer.StartHTTP(t, tc.h)
+			if tc.handler != nil {
+				addr = scriptedpeer.StartHTTP(t, tc.handler)
 			}
 			s := start(t, configureStatic(t, instances(addr)))
 			method := "POST"
@@ -78,24 +78,24 @@
 
 // A request that may have run is not retried if it is unsafe, and only at an endpoint of the same cell if it has an
 // idempotency key.
-func TestResends(t *testing.T) {
+func TestRetriesByRequestClass(t *testing.T) {
 	for _, tc := range []struct {
-		class     string
-		cell      uint16 // of the second endpoint
-		maxCopies int32
-		served    bool
+		class       string
+		cell        uint16 // of the second endpoint
+		maxAttempts int32
+		served      bool
 	}{
 		{"pay", 1, 1, false},
 		{"book", 2, 1, false},
 		{"book", 1, 2, true},
 	} {
 		t.Run(fmt.Sprint(tc.class, tc.cell), func(t *testing.T) {
-			var copies atomic.Int32
+			var attempts atomic.Int32
 			// The first endpoint closes its connection after reading the request.
 			endpoint := func() string {
 				return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
-					if _, err := scriptedpeer.ReadRequest(r); err == nil && copies.Add(1) > 1 {
-						io.WriteString(c, okAnswer)
+					if _, err := scriptedpeer.ReadRequest(r); err == nil && attempts.Add(1) > 1 {
+						io.WriteString(c, okResponse)
 					}
 				})
 			}
@@ -103,8 +103,8 @@
 			list[1].Cell = tc.cell
 			s := start(t, configureStatic(t, list))
 			resp, _ := s.request(t, request("POST", "/"+tc.class, tc.class, 900, "x"))
-			if n := copies.Load(); n > tc.maxCopies {
-				t.Errorf("%d copies, %d at most", n, tc.maxCopies)
+			if n := attempts.Load(); n > tc.maxAttempts {
+				t.Errorf("%d copies, %d at most", n, tc.maxAttempts)
 			}
 			if got := resp.StatusCode == 200; got != tc.served || resp.StatusCode == 503 {
 				t.Errorf("%s, served should be %v", resp.Status, tc.served)
@@ -116,37 +116,37 @@
 // A response of which only the head comes counts as none: a safe request is served by another endpoint, and an unsafe
 // one gets its final answer by its deadline.
 func TestHeadWithoutBody(t *testing.T) {
-	var heads atomic.Int32
-	var stalls atomic.Bool
-	bad := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+	var loneHeads atomic.Int32
+	var stalling atomic.Bool
+	headOnly := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
 			if _, err := scriptedpeer.ReadRequest(r); err != nil {
 				return
 			}
-			if stalls.Load() {
+			if stalling.Load() {
 				break
 			}
-			io.WriteString(c, okAnswer)
+			io.WriteString(c, okResponse)
 		}
-		heads.Add(1)
+		loneHeads.Add(1)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n")
 		r.Peek(1) // until the attempt is cancelled
 	})
-	stalls.Store(true)
-	s := start(t, configureStatic(t, instances(bad)))
+	stalling.Store(true)
+	s := start(t, configureStatic(t, instances(headOnly)))
 	started := time.Now()
 	resp, _ := s.request(t, request("POST", "/pay", "pay", 400, "x"))
-	if took := time.Since(started); resp.StatusCode != 504 || took > 450*time.Millisecond || heads.Load() != 1 {
-		t.Errorf("alone: %s after %v, with %d attempts", resp.Status, took, heads.Load())
+	if took := time.Since(started); resp.StatusCode != 504 || took > 450*time.Millisecond || loneHeads.Load() != 1 {
+		t.Errorf("alone: %s after %v, with %d attempts", resp.Status, took, loneHeads.Load())
 	}
-	good := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	s = start(t, configureStatic(t, instances(bad, good)))
-	stalls.Store(false)
+	complete := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
+	s = start(t, configureStatic(t, instances(headOnly, complete)))
+	stalling.Store(false)
 	for range 20 { // the sidecar learns response times; before, attempts have no timeout of their own
-		s.request(t, look(900))
+		s.request(t, safeRequest(900))
 	}
-	stalls.Store(true)
-	for before := heads.Load(); heads.Load() == before; {
+	stalling.Store(true)
+	for headsBefore := loneHeads.Load(); loneHeads.Load() == headsBefore; {
 		s.checkServed(t, "beside another")
 	}
 }
@@ -184,10 +184,10 @@
 
 // The attempt of a client that disconnects is cancelled.
 func TestClientGone(t *testing.T) {
-	taken, ended := make(chan struct{}), make(chan error, 1)
+	received, ended := make(chan struct{}), make(chan error, 1)
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		scriptedpeer.ReadRequest(r)
-		close(taken)
+		close(received)
 		_, err := r.ReadByte()
 		ended <- err
 	})
@@ -195,7 +195,7 @@
 	s := start(t, cfg)
 	c := s.dial(t)
 	require.NoError(t, request("POST", "/pay", "pay", 60000, "x").Write(c))
-	scriptedpeer.Receive(t, taken, "attempt")
+	scriptedpeer.Receive(t, received, "attempt")
 	c.Close()
 	if err := scriptedpeer.Receive(t, ended, "end of the attempt"); !errors.Is(err, io.EOF) {
 		t.Errorf("the endpoint read on: %v", err)
@@ -203,12 +203,12 @@
 }
 
 // An endpoint that does not answer one class, or rejects one tenant, gets few requests of these, and still the others.
-func TestEndpointFailsOnePart(t *testing.T) {
+func TestEndpointFailsOneClassOrTenant(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		bad    func(r *http.Request) bool
-		handle func(w http.ResponseWriter, r *http.Request)
-		rest   func() *http.Request
+		name         string
+		fails        func(r *http.Request) bool
+		failWith     func(w http.ResponseWriter, r *http.Request)
+		otherRequest func() *http.Request
 	}{
 		{"class", func(r *http.Request) bool { return r.URL.Path == "/look/1" },
 			func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
@@ -218,28 +218,28 @@
 				w.Header().Set("X-Never-Ran", "1")
 				w.WriteHeader(503)
 			},
-			func() *http.Request { return look(900) }}, // of the same class
+			func() *http.Request { return safeRequest(900) }}, // of the same class
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var failed, served atomic.Int32
-			half := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-				if tc.bad(r) {
+			failing := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+				if tc.fails(r) {
 					failed.Add(1)
-					tc.handle(w, r)
+					tc.failWith(w, r)
 					return
 				}
 				served.Add(1)
 			})
 			healthy := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {})
-			s := start(t, configureStatic(t, instances(half, healthy),
+			s := start(t, configureStatic(t, instances(failing, healthy),
 				`"tenants":[`, `"tenants":[{"name":"zeta","allowance-per-s":100.0,"share":1.0},`))
 			const rounds = 40
 			for range rounds {
-				r := look(60)
+				r := safeRequest(60)
 				r.Header.Set("X-Customer", "zeta")
 				s.request(t, r)
 				for range 5 {
-					s.request(t, tc.rest())
+					s.request(t, tc.otherRequest())
 				}
 			}
 			if n := failed.Load(); n > rounds/6 {
@@ -256,35 +256,35 @@
 // the others that have been idle for as long are not used one after another.
 func TestSilentConnections(t *testing.T) {
 	var silent atomic.Bool
-	var lost atomic.Int32
-	endpoint := func(falls bool) string {
+	var unanswered atomic.Int32
+	endpoint := func(goesSilent bool) string {
 		return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
-			old := falls && !silent.Load()
+			openedBefore := goesSilent && !silent.Load()
 			for {
 				if _, err := scriptedpeer.ReadRequest(r); err != nil {
 					return
 				}
-				if old && silent.Load() {
-					lost.Add(1)
+				if openedBefore && silent.Load() {
+					unanswered.Add(1)
 					continue
 				}
-				io.WriteString(c, okAnswer)
+				io.WriteString(c, okResponse)
 			}
 		})
 	}
 	s := start(t, configureStatic(t, instances(endpoint(true), endpoint(false))))
 	for range 40 { // the sidecar learns how long requests take, over some connections at once
-		var several sync.WaitGroup
+		var batch sync.WaitGroup
 		for range 8 {
-			several.Go(func() { s.request(t, look(900)) })
+			batch.Go(func() { s.request(t, safeRequest(900)) })
 		}
-		several.Wait()
+		batch.Wait()
 	}
 	silent.Store(true)
 	for i := range 60 {
 		s.checkServed(t, fmt.Sprint("request ", i))
 	}
-	if n := lost.Load(); n != 1 {
+	if n := unanswered.Load(); n != 1 {
 		t.Errorf("%d requests went to silent connections, want 1", n)
 	}
 }
@@ -296,10 +296,10 @@
 	drained := scripteddiscovery.Up("s-1", addr)
 	drained.Lifecycle = "draining"
 	for _, tc := range []struct {
-		name   string
-		update discovery.List
-		wait   bool // the grace ends before the connection is established
-		want   int
+		name      string
+		update    discovery.List
+		graceEnds bool // the grace ends before the connection is established
+		want      int
 	}{
 		{"within the grace", discovery.List{Instances: []discovery.Instance{drained}}, false, 200},
 		{"past the grace", discovery.List{Instances: []discovery.Instance{drained}}, true, 503},
@@ -314,15 +314,15 @@
 				<-release
 				return (&net.Dialer{}).DialContext(ctx, network, addr)
 			})
-			answer := s.requestInBackground(t, request("POST", "/pay", "pay", 900, "x"))
+			status := s.requestInBackground(t, request("POST", "/pay", "pay", 900, "x"))
 			scriptedpeer.Receive(t, dialing, "dial")
 			tc.update.Generation = 8
-			s.parts.endpoints.UpdateEndpoints(context.Background(), tc.update.EndpointUpdate())
-			if tc.wait {
+			s.sidecar.endpointPool.UpdateEndpoints(context.Background(), tc.update.EndpointUpdate())
+			if tc.graceEnds {
 				<-time.After(time.Duration(cfg.Site.Settings.Contract.DrainGrace) * time.Microsecond)
 			}
 			close(release)
-			if code := scriptedpeer.Receive(t, answer, "answer"); code != tc.want {
+			if code := scriptedpeer.Receive(t, status, "answer"); code != tc.want {
 				t.Errorf("answered %d, want %d", code, tc.want)
 			}
 			if got := sent.Load(); (got > 0) != (tc.want == 200) {
@@ -333,9 +333,9 @@
 }
 
 // waitUntil returns at the instant end, or when the context is done.
-func waitUntil(ctx context.Context, end time.Time) {
+func waitUntil(ctx context.Context, instant time.Time) {
 	select {
-	case <-time.After(time.Until(end)):
+	case <-time.After(time.Until(instant)):
 	case <-ctx.Done():
 	}
 }
@@ -345,33 +345,33 @@
 func TestDialOutlastsWindow(t *testing.T) {
 	const window = 400 * time.Millisecond // as in settings
 	for _, tc := range []struct {
-		name         string
-		late         bool // the second dial ends after the window
-		wantStatus   int
-		wantAttempts int32
+		name           string
+		secondDialLate bool // the second dial ends after the window
+		wantStatus     int
+		wantAttempts   int32
 	}{
 		{"within", false, 200, 2},
 		{"past", true, 502, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var attempts atomic.Int32
-			first := make(chan time.Time, 1)
+			firstAttemptAt := make(chan time.Time, 1)
 			handle := func(c *net.TCPConn, r *bufio.Reader) {
 				if _, err := scriptedpeer.ReadRequest(r); err != nil {
 					return
 				}
 				if attempts.Add(1) == 1 {
-					first <- time.Now()
+					firstAttemptAt <- time.Now()
 					c.SetLinger(0) // it may have run
 					return
 				}
-				io.WriteString(c, okAnswer)
+				io.WriteString(c, okResponse)
 			}
 			var dials atomic.Int32
 			dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
-				if dials.Add(1) == 2 && tc.late && err == nil {
-					waitUntil(ctx, (<-first).Add(window)) // a slow handshake
+				if dials.Add(1) == 2 && tc.secondDialLate && err == nil {
+					waitUntil(ctx, (<-firstAttemptAt).Add(window)) // a slow handshake
 				}
 				return c, err
 			}
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -16,7 +16,7 @@
 )
 
 // pattern returns n bytes, a multiple of 16.
-func pattern(n int) []byte { return bytes.Repeat([]byte("0123456789abcdef"), n/16) }
+func patternBytes(n int) []byte { return bytes.Repeat([]byte("0123456789abcdef"), n/16) }
 
 // echo answers with the body as it comes, in chunks where it came so.
 func echo(w http.ResponseWriter, r *http.Request) {
@@ -30,7 +30,7 @@
 }
 
 // All forms of a request reach the endpoint with the body that the client sent.
-func TestForms(t *testing.T) {
+func TestRequestForms(t *testing.T) {
 	s := start(t, configureStatic(t, instances(scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -67,49 +67,49 @@
 		{"head", "HEAD /look/7 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: 7\r\n\r\n" + get,
 			[]string{"", "GET /look/9?q "}},
 	} {
-		for _, piece := range []int{len(tc.text), 1} {
-			s.checkExchange(t, fmt.Sprintf("%s in pieces of %d", tc.name, piece), tc.text, piece, tc.want)
+		for _, pieceSize := range []int{len(tc.text), 1} {
+			s.checkExchange(t, fmt.Sprintf("%s in pieces of %d", tc.name, pieceSize), tc.text, pieceSize, tc.want)
 		}
 	}
 }
 
 // checkExchange sends a text in pieces of a size on a new connection, and checks the bodies of the responses, 100 or
 // 200.
-func (s *running) checkExchange(t *testing.T, what, text string, piece int, want []string) {
+func (s *testSidecar) checkExchange(t *testing.T, name, text string, pieceSize int, want []string) {
 	t.Helper()
 	c := s.dial(t)
 	defer c.Close()
 	go func() {
-		for rest := text; rest != ""; rest = rest[min(piece, len(rest)):] {
-			io.WriteString(c, rest[:min(piece, len(rest))])
+		for unsent := text; unsent != ""; unsent = unsent[min(pieceSize, len(unsent)):] {
+			io.WriteString(c, unsent[:min(pieceSize, len(unsent))])
 		}
 	}()
 	c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 	r := bufio.NewReader(c)
 	for i, want := range want {
-		q := &http.Request{Method: "GET"}
+		sent := &http.Request{Method: "GET"}
 		if i == 0 {
-			q.Method, _, _ = strings.Cut(text, " ")
+			sent.Method, _, _ = strings.Cut(text, " ")
 		}
-		resp, err := http.ReadResponse(r, q)
+		resp, err := http.ReadResponse(r, sent)
 		if err != nil {
-			t.Fatalf("%s: %v", what, err)
+			t.Fatalf("%s: %v", name, err)
 		}
 		got, err := io.ReadAll(resp.Body)
 		if string(got) != want || err != nil || resp.StatusCode != 200 && resp.StatusCode != 100 {
-			t.Errorf("%s: %d %q %v, want %q", what, resp.StatusCode, got, err, want)
+			t.Errorf("%s: %d %q %v, want %q", name, resp.StatusCode, got, err, want)
 		}
 	}
 }
 
 // Responses in the forms that endpoints give them: a complete one is passed on unchanged, and one that is cut is never
 // shown as complete.
-func TestAnswerForms(t *testing.T) {
-	long := string(pattern(200 << 10))
+func TestResponseForms(t *testing.T) {
+	long := string(patternBytes(200 << 10))
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, tc := range []struct {
 		name, text, want string
-		cut              bool // the client must see that it is not complete
+		truncated        bool // the client must see that it is not complete
 	}{
 		{"ended by close", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabc", "abc", false},
 		{"long, ended by close", "HTTP/1.1 200 OK\r\n\r\n" + long, long, false},
@@ -131,7 +131,7 @@
 		}
 		s := start(t, configureStatic(t, instances(endpoint(), endpoint())))
 		c := s.dial(t)
-		look(900).Write(c)
+		safeRequest(900).Write(c)
 		c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 		r := bufio.NewReader(c)
 		var got []byte
@@ -142,7 +142,7 @@
 		if err == nil {
 			got, err = io.ReadAll(resp.Body)
 		}
-		if tc.cut != (err != nil) || !tc.cut && (resp.StatusCode != 200 || string(got) != tc.want) {
+		if tc.truncated != (err != nil) || !tc.truncated && (resp.StatusCode != 200 || string(got) != tc.want) {
 			t.Errorf("%s: %d bytes, %v", tc.name, len(got), err)
 		}
 		if n := attempts.Load(); n != 1 {
@@ -153,9 +153,9 @@
 }
 
 // Bodies far larger than what is buffered are forwarded in both directions, with a length and without.
-func TestLargeBothWays(t *testing.T) {
+func TestLargeBodiesInBothDirections(t *testing.T) {
 	s := start(t, configureStatic(t, instances(scriptedpeer.StartHTTP(t, echo))))
-	body := pattern(8 << 20)
+	body := patternBytes(8 << 20)
 	for _, sized := range []bool{true, false} {
 		r := request("POST", "/pay", "pay", 900, "x")
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
@@ -169,31 +169,31 @@
 			t.Errorf("sized %v: %s, %d bytes, %v", sized, resp.Status, len(got), err)
 		}
 	}
-	f, open := s.parts.front.RequestStats()
-	if f[2].Fulfilled != 2 || s.parts.pool.Forwarded() != 2 {
-		t.Errorf("figures: %+v, %d open, %d relayed", f, open, s.parts.pool.Forwarded())
+	outcomes, openRequests := s.sidecar.frontend.RequestStats()
+	if outcomes[2].Fulfilled != 2 || s.sidecar.connPool.Forwarded() != 2 {
+		t.Errorf("figures: %+v, %d open, %d relayed", outcomes, openRequests, s.sidecar.connPool.Forwarded())
 	}
 }
 
 // The first bytes of a large response are forwarded before the rest has come, and a small one that takes longer than
 // the usual attempt timeout is neither cut off nor requested twice.
-func TestSlowIsNotSilent(t *testing.T) {
-	seen := make(chan struct{})
+func TestSlowResponseIsNotRetried(t *testing.T) {
+	firstBytesRead := make(chan struct{})
 	var attempts atomic.Int32
 	handle := func(w http.ResponseWriter, r *http.Request) {
 		attempts.Add(1)
 		controller := http.NewResponseController(w)
 		if r.URL.Path == "/look/large" {
 			w.Header().Set("Content-Length", fmt.Sprint(128<<10))
-			w.Write(pattern(1 << 10))
+			w.Write(patternBytes(1 << 10))
 			controller.Flush()
-			<-seen
-			w.Write(pattern(127 << 10))
+			<-firstBytesRead
+			w.Write(patternBytes(127 << 10))
 			return
 		}
 		w.Header().Set("Content-Length", "1024")
 		for range 16 { // 400 ms in all; an attempt without a response times out after 50 ms
-			w.Write(pattern(64))
+			w.Write(patternBytes(64))
 			controller.Flush()
 			time.Sleep(25 * time.Millisecond)
 		}
@@ -205,14 +205,14 @@
 	if _, err := io.ReadFull(resp.Body, make([]byte, 1<<10)); err != nil {
 		t.Fatal("the first bytes did not come:", err)
 	}
-	close(seen)
+	close(firstBytesRead)
 	if rest, err := io.ReadAll(resp.Body); err != nil || len(rest) != 127<<10 {
 		t.Errorf("the rest: %d bytes, %v", len(rest), err)
 	}
 	attempts.Store(0)
-	small, body := s.request(t, request("GET", "/look/small", "look", 900, ""))
-	if small.StatusCode != 200 || len(body) != 1024 || attempts.Load() != 1 {
-		t.Errorf("%s, %d bytes, %d attempts", small.Status, len(body), attempts.Load())
+	smallResponse, smallBody := s.request(t, request("GET", "/look/small", "look", 900, ""))
+	if smallResponse.StatusCode != 200 || len(smallBody) != 1024 || attempts.Load() != 1 {
+		t.Errorf("%s, %d bytes, %d attempts", smallResponse.Status, len(smallBody), attempts.Load())
 	}
 }
 
@@ -223,7 +223,7 @@
 	fmt.Fprint(c, "POST /pay HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 77\r\nX-Qos: pay\r\nX-Expires-In-Ms: 300\r\n"+
 		"Content-Length: 98304\r\n\r\n")
 	for range 6 { // 600 ms: longer than the client waits for the response, which counts from the last byte
-		c.Write(pattern(16 << 10))
+		c.Write(patternBytes(16 << 10))
 		time.Sleep(100 * time.Millisecond)
 		s.checkServed(t, "beside an upload")
 	}
--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -20,18 +20,18 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// heldDials holds the connections of dials back until the test releases them, like a slow handshake.
-type heldDials struct {
+// blockedDials holds the connections of dials back until the test releases them, like a slow handshake.
+type blockedDials struct {
 	dialing   chan struct{} // receives each dial
 	release   chan struct{} // closed by the test
 	cancelled atomic.Int32  // dials that were cancelled meanwhile
 }
 
-func holdDials() *heldDials {
-	return &heldDials{dialing: make(chan struct{}, 1000), release: make(chan struct{})}
+func newBlockedDials() *blockedDials {
+	return &blockedDials{dialing: make(chan struct{}, 1000), release: make(chan struct{})}
 }
 
-func (h *heldDials) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (h *blockedDials) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
@@ -48,18 +48,18 @@
 }
 
 // counting starts an endpoint that counts the bytes that it receives, and answers each request. It returns its address.
-func counting(t *testing.T, bytes *atomic.Int64) string {
+func startCountingEndpoint(t *testing.T, received *atomic.Int64) string {
 	t.Helper()
 	return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
 			if _, err := r.Peek(1); err != nil {
 				return
 			}
-			bytes.Add(int64(r.Buffered()))
+			received.Add(int64(r.Buffered()))
 			if _, err := scriptedpeer.ReadRequest(r); err != nil {
 				return
 			}
-			io.WriteString(c, okAnswer)
+			io.WriteString(c, okResponse)
 		}
 	})
 }
@@ -73,7 +73,7 @@
 }
 
 // reset closes a connection by a reset.
-func reset(c net.Conn) {
+func resetConn(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
@@ -83,7 +83,7 @@
 
 // checkCancelled waits until no request is open any more, and fails the test if that took longer than cancelTimeout
 // since the client's disconnect.
-func (s *running) checkCancelled(t *testing.T, disconnected time.Time) {
+func (s *testSidecar) checkCancelled(t *testing.T, disconnected time.Time) {
 	t.Helper()
 	scriptedpeer.Eventually(t, "no request is open", s.idle)
 	if took := time.Since(disconnected); took > cancelTimeout {
@@ -92,14 +92,14 @@
 }
 
 // hanging starts an endpoint that counts requests and never answers. It returns its address.
-func hanging(t *testing.T, taken *atomic.Int32) string {
+func startHangingEndpoint(t *testing.T, received *atomic.Int32) string {
 	t.Helper()
 	return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
 			if _, err := scriptedpeer.ReadRequest(r); err != nil {
 				return
 			}
-			taken.Add(1)
+			received.Add(1)
 		}
 	})
 }
@@ -113,16 +113,16 @@
 // disconnects are the ways in which a client disconnects.
 var disconnects = map[string]disconnect{
 	"closes":      func(c *net.TCPConn, _ func(*http.Request) string) { c.Close() },
-	"resets":      func(c *net.TCPConn, _ func(*http.Request) string) { reset(c) },
+	"resets":      func(c *net.TCPConn, _ func(*http.Request) string) { resetConn(c) },
 	"half closes": func(c *net.TCPConn, _ func(*http.Request) string) { c.CloseWrite() },
 	"after a first byte of the next": func(c *net.TCPConn, _ func(*http.Request) string) {
 		io.WriteString(c, "G")
 		c.Close()
 	},
 	"after the next, in two pieces": func(c *net.TCPConn, text func(*http.Request) string) {
-		next := text(look(900))
-		io.WriteString(c, next[:30])
-		io.WriteString(c, next[30:])
+		nextRequest := text(safeRequest(900))
+		io.WriteString(c, nextRequest[:30])
+		io.WriteString(c, nextRequest[30:])
 		c.Close()
 	},
 	"after more than is held": func(c *net.TCPConn, text func(*http.Request) string) {
@@ -134,21 +134,21 @@
 // A client that disconnects while its request waits for a connection to an endpoint cancels it: nothing of it is sent
 // to an endpoint, however the client disconnects and whatever it had sent before, also with settings that forbid the
 // cancellation of attempts. Its place is free at once, before the connection is established.
-func TestLeavesWhileConnecting(t *testing.T) {
+func TestDisconnectWhileConnecting(t *testing.T) {
 	requests := map[string]func() *http.Request{
-		"safe":     func() *http.Request { return look(900) },
+		"safe":     func() *http.Request { return safeRequest(900) },
 		"unsafe":   func() *http.Request { return request("POST", "/pay", "pay", 900, "x") },
 		"streamed": func() *http.Request { return request("POST", "/pay", "pay", 900, largeBody) },
 	}
-	for way, leave := range disconnects {
-		for kind, newRequest := range requests {
-			if kind == "streamed" && way != "resets" {
+	for method, disconnectClient := range disconnects {
+		for bodyKind, newRequest := range requests {
+			if bodyKind == "streamed" && method != "resets" {
 				continue // the end of the connection would wait at the client, behind the rest of the body
 			}
 			for _, cancel := range []string{"true", "false"} {
-				t.Run(fmt.Sprintf("%s, %s, cancel %s", way, kind, cancel), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, %s, cancel %s", method, bodyKind, cancel), func(t *testing.T) {
 					t.Parallel()
-					checkDisconnectWhileConnecting(t, leave, newRequest(), cancel)
+					checkDisconnectWhileConnecting(t, disconnectClient, newRequest(), cancel)
 				})
 			}
 		}
@@ -157,36 +157,36 @@
 
 // checkDisconnectWhileConnecting has a client disconnect while the dial for its request is held back, with the setting
 // cancel.
-func checkDisconnectWhileConnecting(t *testing.T, leave disconnect, r *http.Request, cancel string) {
+func checkDisconnectWhileConnecting(t *testing.T, disconnectClient disconnect, r *http.Request, cancel string) {
 	t.Helper()
 	var received atomic.Int64
-	h := holdDials()
-	cfg := configureStatic(t, instances(counting(t, &received)), `"cancel":true`, `"cancel":`+cancel)
-	s := startDialing(t, cfg, h.dial)
+	dials := newBlockedDials()
+	cfg := configureStatic(t, instances(startCountingEndpoint(t, &received)), `"cancel":true`, `"cancel":`+cancel)
+	s := startDialing(t, cfg, dials.dial)
 	c := s.dial(t)
 	text := requestText(t, r)
 	go io.WriteString(c, text) // a streamed body is not read before the connection is established
-	scriptedpeer.Receive(t, h.dialing, "dial")
-	leave(c.(*net.TCPConn), func(r *http.Request) string { return requestText(t, r) })
+	scriptedpeer.Receive(t, dials.dialing, "dial")
+	disconnectClient(c.(*net.TCPConn), func(r *http.Request) string { return requestText(t, r) })
 	s.checkCancelled(t, time.Now())
-	scriptedpeer.Eventually(t, "the dial is cancelled", func() bool { return h.cancelled.Load() == 1 })
-	close(h.release)
+	scriptedpeer.Eventually(t, "the dial is cancelled", func() bool { return dials.cancelled.Load() == 1 })
+	close(dials.release)
 	// Another client is served as usual. Anything of the cancelled request would have been received before.
 	s.checkServed(t, "the next request")
-	want := int64(len(requestText(t, look(900))))
+	want := int64(len(requestText(t, safeRequest(900))))
 	if n := received.Load(); n > 2*want {
 		t.Errorf("the endpoint got %d bytes, where the other request has about %d", n, want)
 	}
-	if n := h.cancelled.Load(); n != 1 {
+	if n := dials.cancelled.Load(); n != 1 {
 		t.Errorf("%d dials were cancelled, want that of the request", n)
 	}
 }
 
 // A request that waits for health checks is cancelled when its client disconnects, and not sent once they have
 // succeeded. A round in which the health checks timed out first, on a busy machine, shows nothing and is repeated.
-func TestLeavesWhileProbesAreWaitedFor(t *testing.T) {
+func TestDisconnectWhileAwaitingProbes(t *testing.T) {
 	var mu sync.Mutex
-	var taken []time.Time
+	var receivedAt []time.Time
 	release := make(chan struct{})
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/-/load" {
@@ -194,82 +194,83 @@
 			return
 		}
 		mu.Lock()
-		taken = append(taken, time.Now())
+		receivedAt = append(receivedAt, time.Now())
 		mu.Unlock()
 		io.WriteString(w, "ok")
 	})
 	defer close(release)
-	var list []discovery.Instance // several, because the check of an endpoint that runs anyway is not waited for
+	var endpoints []discovery.Instance // several, because the check of an endpoint that runs anyway is not waited for
 	for i := range 8 {
-		list = append(list, scripteddiscovery.Up(fmt.Sprint("s-", i), addr))
+		endpoints = append(endpoints, scripteddiscovery.Up(fmt.Sprint("s-", i), addr))
 	}
 	for round := 0; ; round++ {
 		// A new sidecar each time: one that has sent requests lately does not wait for health checks.
-		s := start(t, configureStatic(t, list,
+		s := start(t, configureStatic(t, endpoints,
 			`"probes":false`, `"probes":true`,
 			`"target":500000,"give-up":1000000`, `"target":1000000,"give-up":9000000`))
 		c := s.dial(t)
 		mu.Lock()
-		before := len(taken)
+		receivedBefore := len(receivedAt)
 		mu.Unlock()
-		io.WriteString(c, requestText(t, look(9000)))
+		io.WriteString(c, requestText(t, safeRequest(9000)))
 		scriptedpeer.Eventually(t, "it is taken", func() bool {
-			counts := s.parts.endpoints.Counts()
+			counts := s.sidecar.endpointPool.Counts()
 			mu.Lock()
 			defer mu.Unlock()
-			return counts.OpenCalls == 1 || len(taken) > before
+			return counts.OpenCalls == 1 || len(receivedAt) > receivedBefore
 		})
 		c.Close()
-		left := time.Now()
-		s.checkCancelled(t, left)
-		time.Sleep(time.Until(left.Add(cancelTimeout))) // the health checks have timed out by then, too
+		disconnected := time.Now()
+		s.checkCancelled(t, disconnected)
+		time.Sleep(time.Until(disconnected.Add(cancelTimeout))) // the health checks have timed out by then, too
 		mu.Lock()
-		late := taken[before:]
+		afterDisconnect := receivedAt[receivedBefore:]
 		mu.Unlock()
-		if len(late) == 0 {
+		if len(afterDisconnect) == 0 {
 			return
 		}
 		if round == 20 {
-			t.Fatalf("in each of %d rounds it was sent on, now %v after its client had left", round, late[0].Sub(left))
+			t.Fatalf("in each of %d rounds it was sent on, now %v after its client had left",
+				round, afterDisconnect[0].Sub(disconnected))
 		}
 	}
 }
 
 // The disconnect of a client is noticed, too, if its complete streamed body is still in the kernel's buffer.
-func TestLeavesBehindAStreamedBody(t *testing.T) {
-	var got atomic.Int64
-	h := holdDials()
-	s := startDialing(t, configureStatic(t, instances(counting(t, &got))), h.dial)
-	nc := s.dial(t)
+func TestDisconnectAfterStreamedBody(t *testing.T) {
+	var received atomic.Int64
+	dials := newBlockedDials()
+	s := startDialing(t, configureStatic(t, instances(startCountingEndpoint(t, &received))), dials.dial)
+	c := s.dial(t)
 	text := requestText(t, request("POST", "/pay", "pay", 900, strings.Repeat("x", 70<<10)))
-	if _, err := io.WriteString(nc, text); err != nil {
+	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
-	scriptedpeer.Receive(t, h.dialing, "dial")
-	nc.Close()
-	left := time.Now()
-	s.checkCancelled(t, left)
-	close(h.release)
+	scriptedpeer.Receive(t, dials.dialing, "dial")
+	c.Close()
+	disconnected := time.Now()
+	s.checkCancelled(t, disconnected)
+	close(dials.release)
 	s.checkServed(t, "the next request")
-	if n := got.Load(); n > 1000 {
+	if n := received.Load(); n > 1000 {
 		t.Errorf("the endpoint got %d bytes", n)
 	}
 }
 
 // Many clients that disconnect at once leave no request and no connection open.
-func TestLeaveInABurst(t *testing.T) {
-	var got atomic.Int64
-	h := holdDials()
-	s := startDialing(t, configureStatic(t, instances(counting(t, &got))), h.dial)
-	const many, dialed = 40, 4 // the others are rejected, or still unread
+func TestManyClientsDisconnectAtOnce(t *testing.T) {
+	var received atomic.Int64
+	dials := newBlockedDials()
+	s := startDialing(t, configureStatic(t, instances(startCountingEndpoint(t, &received))), dials.dial)
+	const numClients, expectedDials = 40, 4 // the others are rejected, or still unread
 	var conns []net.Conn
-	for range many {
+	for range numClients {
 		c := s.dial(t)
 		io.WriteString(c, requestText(t, request("POST", "/pay", "pay", 900, "x")))
 		conns = append(conns, c)
 	}
-	for range dialed {
-		scriptedpeer.Receive(t, h.dialing, "dial")
+	for range expectedDials {
+		scriptedpeer.Receive(t, dials.dialing, "dial")
 	}
 	for i, c := range conns {
 		if i%2 == 0 {
@@ -278,22 +279,22 @@
 		c.Close()
 	}
 	scriptedpeer.Eventually(t, "all places are free", func() bool { return s.idle() && s.openConnections() == 0 })
-	close(h.release)
+	close(dials.release)
 	s.checkServed(t, "the next request")
-	if n := got.Load(); n > 1000 {
+	if n := received.Load(); n > 1000 {
 		t.Errorf("the endpoint got %d bytes", n)
 	}
 }
 
 // Pipelined requests behind an open one are not sent to an endpoint if the client has disconnected meanwhile, not even
 // after the open one's deadline.
-func TestLeftBeforeItIsRead(t *testing.T) {
-	var taken atomic.Int32
-	addr := hanging(t, &taken)
+func TestDisconnectBeforePipelinedRequestsAreRead(t *testing.T) {
+	var received atomic.Int32
+	addr := startHangingEndpoint(t, &received)
 	s := start(t, configureStatic(t, instances(addr), `"cancel":true`, `"cancel":false`))
 	c := s.dial(t)
 	io.WriteString(c, requestText(t, request("POST", "/pay", "pay", 900, "1")))
-	scriptedpeer.Eventually(t, "the first is out", func() bool { return taken.Load() == 1 })
+	scriptedpeer.Eventually(t, "the first is out", func() bool { return received.Load() == 1 })
 	for range 3 {
 		io.WriteString(c, requestText(t, request("POST", "/pay", "pay", 900, "2")))
 	}
@@ -302,7 +303,7 @@
 	if resp, _ := s.request(t, request("POST", "/pay", "pay", 50, "3")); resp.StatusCode == 200 {
 		t.Errorf("answered %s", resp.Status)
 	}
-	if n := taken.Load(); n != 2 {
+	if n := received.Load(); n != 2 {
 		t.Errorf("the endpoint took %d requests, want the first and the other client's", n)
 	}
 }
--- a/internal/sidecar/cordons.go
+++ b/internal/sidecar/cordons.go
@@ -27,14 +27,14 @@
 // setCordon cordons an endpoint, given by name or address, or lifts its cordon. An endpoint that is not in the list is
 // admin.ErrUnknownEndpoint.
 func (s *sidecar) setCordon(ctx context.Context, target string, cordoned bool) error {
-	set, known, err := s.core.SetCordon(ctx, target, cordoned, takeover.Monotonic())
+	record, known, err := s.core.SetCordon(ctx, target, cordoned, takeover.Monotonic())
 	switch {
 	case err != nil:
 		return err
 	case !known:
 		return admin.ErrUnknownEndpoint
 	}
-	s.lifecycle.cordonPeers.broadcast(set)
+	s.lifecycle.cordonPeers.broadcast(record)
 	s.saveCordons(ctx)
 	return nil
 }
@@ -127,11 +127,11 @@
 }
 
 // broadcast sends a cordon to all peers. A failed write is ignored: the reader of that connection reports its end.
-func (p *cordonPeers) broadcast(set cordon.Record) {
+func (p *cordonPeers) broadcast(record cordon.Record) {
 	p.mu.Lock()
 	conns := p.conns
 	p.mu.Unlock()
-	encoded, err := json.Marshal([]cordon.Record{set})
+	encoded, err := json.Marshal([]cordon.Record{record})
 	if err != nil {
 		return
 	}
--- a/internal/sidecar/endpoint_connlimit_test.go
+++ b/internal/sidecar/endpoint_connlimit_test.go
@@ -30,7 +30,7 @@
 		}
 		l.open.Add(-1)
 		l.rejected.Add(1)
-		reset(c)
+		resetConn(c)
 	}
 }
 
@@ -50,29 +50,29 @@
 
 // fullEndpoint is an endpoint that accepts one connection, and holds each request until the test lets it go.
 type fullEndpoint struct {
-	ln       *cappedListener
+	listener *cappedListener
 	requests atomic.Int32
-	arrived  chan struct{} // receives each request
-	hold     chan struct{} // lets one request go, or all once it is closed
+	received chan struct{} // receives each request
+	release  chan struct{} // lets one request go, or all once it is closed
 }
 
 func startFullEndpoint(t *testing.T) *fullEndpoint {
 	t.Helper()
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
+	tcpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	e := &fullEndpoint{
-		ln:      &cappedListener{Listener: inner, maxOpen: 1},
-		arrived: make(chan struct{}, 100),
-		hold:    make(chan struct{}, 1),
+		listener: &cappedListener{Listener: tcpListener, maxOpen: 1},
+		received: make(chan struct{}, 100),
+		release:  make(chan struct{}, 1),
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		e.requests.Add(1)
-		e.arrived <- struct{}{}
-		<-e.hold
+		e.received <- struct{}{}
+		<-e.release
 		io.WriteString(w, "capped")
 	})}
-	go server.Serve(e.ln)
+	go server.Serve(e.listener)
 	t.Cleanup(func() { server.Close() })
 	return e
 }
@@ -85,51 +85,51 @@
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, "other")
 	})
-	s := start(t, configureStatic(t, instances(full.ln.Addr().String(), other)))
+	s := start(t, configureStatic(t, instances(full.listener.Addr().String(), other)))
 
 	// One request occupies the only connection, so that no other can be opened meanwhile.
-	codes := make(chan int, 1)
+	statuses := make(chan int, 1)
 	for full.requests.Load() == 0 {
 		go func() {
 			c, err := net.Dial("tcp", s.addr)
 			if err != nil {
-				codes <- 0
+				statuses <- 0
 				return
 			}
 			defer c.Close()
-			resp, _ := s.requestOn(t, c, look(2000))
-			codes <- resp.StatusCode
+			resp, _ := s.requestOn(t, c, safeRequest(2000))
+			statuses <- resp.StatusCode
 		}()
 		select {
-		case code := <-codes:
+		case code := <-statuses:
 			if code != 200 {
 				t.Fatalf("answered %d", code)
 			}
-		case <-full.arrived:
+		case <-full.received:
 		}
 	}
 	for range 40 {
-		if resp, text := s.request(t, look(900)); resp.StatusCode != 200 || text != "other" {
+		if resp, text := s.request(t, safeRequest(900)); resp.StatusCode != 200 || text != "other" {
 			t.Fatalf("%s by %q: a full endpoint must not fail a request", resp.Status, text)
 		}
 	}
-	if full.ln.rejected.Load() == 0 {
+	if full.listener.rejected.Load() == 0 {
 		t.Error("no connection was rejected: the sidecar has not tried to open one")
 	}
-	full.hold <- struct{}{}
-	if code := <-codes; code != 200 {
+	full.release <- struct{}{}
+	if code := <-statuses; code != 200 {
 		t.Errorf("the request at the full endpoint was answered %d", code)
 	}
 
 	// It still answers on the connection that it has.
-	close(full.hold)
-	before := full.ln.rejected.Load()
+	close(full.release)
+	rejectedBefore := full.listener.rejected.Load()
 	for full.requests.Load() < 5 {
-		if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 {
+		if resp, _ := s.request(t, safeRequest(900)); resp.StatusCode != 200 {
 			t.Fatalf("%s", resp.Status)
 		}
 	}
-	if n := full.ln.rejected.Load() - before; n > 0 {
+	if n := full.listener.rejected.Load() - rejectedBefore; n > 0 {
 		t.Errorf("%d more connections were opened while the one was free", n)
 	}
 }
--- a/internal/sidecar/events_test.go
+++ b/internal/sidecar/events_test.go
@@ -19,28 +19,29 @@
 	c.Events = &out
 	s := start(t, c)
 	for range 3 {
-		if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 {
+		if resp, _ := s.request(t, safeRequest(900)); resp.StatusCode != 200 {
 			t.Fatal(resp.Status)
 		}
 	}
 	s.stop()
 	require.NoError(t, <-s.ended)
-	got, err := eventlog.Read(&out)
+	loggedEvents, err := eventlog.Read(&out)
 	require.NoError(t, err)
-	n := map[eventlog.Kind]int{}
-	for _, e := range got {
-		n[e.Kind]++
-		named := e.Endpoint == "s-1"
+	counts := map[eventlog.Kind]int{}
+	for _, e := range loggedEvents {
+		counts[e.Kind]++
+		endpointMatches := e.Endpoint == "s-1"
 		if e.Kind == eventlog.ConnOpened || e.Kind == eventlog.ConnClosed {
-			named = e.Endpoint == addr
+			endpointMatches = e.Endpoint == addr
 		}
-		if !named && e.Kind != eventlog.DiscoveryPolled || e.At == 0 {
+		if !endpointMatches && e.Kind != eventlog.DiscoveryPolled || e.At == 0 {
 			t.Errorf("%+v", e)
 		}
 	}
-	if n[eventlog.AttemptStarted] != 3 || n[eventlog.AttemptEnded] != 3 || n[eventlog.EndpointUpdated] != 1 ||
-		n[eventlog.ConnOpened] == 0 || n[eventlog.ConnClosed] != n[eventlog.ConnOpened] ||
-		n[eventlog.DiscoveryPolled] == 0 {
-		t.Errorf("%v", n)
+	if counts[eventlog.AttemptStarted] != 3 || counts[eventlog.AttemptEnded] != 3 ||
+		counts[eventlog.EndpointUpdated] != 1 ||
+		counts[eventlog.ConnOpened] == 0 || counts[eventlog.ConnClosed] != counts[eventlog.ConnOpened] ||
+		counts[eventlog.DiscoveryPolled] == 0 {
+		t.Errorf("%v", counts)
 	}
 }
--- a/internal/sidecar/helper_test.go
+++ b/internal/sidecar/helper_test.go
@@ -24,7 +24,7 @@
 )
 
 // settings is a small site without health checks: a safe class, one with idempotency keys and an unsafe one.
-const settings = `{"peers-total":1,"areas":["a","b"],"skus":["m1"],"discovery":"automatic",
+const siteSettings = `{"peers-total":1,"areas":["a","b"],"skus":["m1"],"discovery":"automatic",
 	"classes":[
 	{"name":"look","repeat":"pure","target":500000,"give-up":1000000,"credit":1.0},
 	{"name":"book","repeat":"token","group":"cell","window":400000,"target":500000,"give-up":1000000,"credit":5.0},
@@ -44,15 +44,15 @@
 
 // instances returns endpoints at some addresses, named s-1, s-2 and so on.
 func instances(addrs ...string) []discovery.Instance {
-	var all []discovery.Instance
+	var list []discovery.Instance
 	for i, addr := range addrs {
-		all = append(all, scripteddiscovery.Up(fmt.Sprint("s-", i+1), addr))
+		list = append(list, scripteddiscovery.Up(fmt.Sprint("s-", i+1), addr))
 	}
-	return all
+	return list
 }
 
 // dial connects to the sidecar. The connection is closed with the test.
-func (s *running) dial(t *testing.T) net.Conn {
+func (s *testSidecar) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.addr)
 	require.NoError(t, err)
@@ -61,15 +61,15 @@
 }
 
 // idle reports whether no request and no attempt is open.
-func (s *running) idle() bool {
-	counts := s.parts.endpoints.Counts()
+func (s *testSidecar) idle() bool {
+	counts := s.sidecar.endpointPool.Counts()
 	return counts.InFlight == 0 && counts.OpenCalls == 0
 }
 
 // openConnections returns the number of clients' connections.
-func (s *running) openConnections() int {
-	all, _ := s.parts.front.ConnectionCounts()
-	return all
+func (s *testSidecar) openConnections() int {
+	open, _ := s.sidecar.frontend.ConnectionCounts()
+	return open
 }
 
 // configure makes a configuration, with edits to the settings as pairs of old and new text.
@@ -78,7 +78,7 @@
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": addr,
 		"seed": "8c1f30d27a5be964", "limits": map[string]int{"memory_mb": 192, "sockets": 1024},
 		"known":    discovery.List{Generation: 7, Reset: true, Instances: known},
-		"settings": json.RawMessage(strings.NewReplacer(edits...).Replace(settings))})
+		"settings": json.RawMessage(strings.NewReplacer(edits...).Replace(siteSettings))})
 	require.NoError(t, err)
 	c, err := platform.Parse(text, func(string) string { return "" })
 	require.NoError(t, err)
@@ -86,24 +86,24 @@
 }
 
 // running is a sidecar under test.
-type running struct {
-	parts *sidecar
-	addr  string
-	stop  context.CancelFunc
-	ended chan error
+type testSidecar struct {
+	sidecar *sidecar
+	addr    string
+	stop    context.CancelFunc
+	ended   chan error
 
-	reload chan os.Signal
-	config chan *platform.Config // what is read at a reload; nil is an error
+	reload         chan os.Signal
+	reloadedConfig chan *platform.Config // what is read at a reload; nil is an error
 }
 
 // start runs a sidecar and waits until it is ready. It is stopped with the test.
-func start(t *testing.T, c *platform.Config) *running {
+func start(t *testing.T, c *platform.Config) *testSidecar {
 	t.Helper()
 	return startDialing(t, c, nil)
 }
 
 // startDialing runs a sidecar as start does, with a dial of the test's own.
-func startDialing(t *testing.T, c *platform.Config, dial dialFunc) *running {
+func startDialing(t *testing.T, c *platform.Config, dial dialFunc) *testSidecar {
 	t.Helper()
 	ln, err := net.Listen("tcp", c.Listen)
 	require.NoError(t, err)
@@ -113,11 +113,11 @@
 }
 
 // serve runs an assembled sidecar on a listener and waits until it is ready. It is stopped with the test.
-func serve(t *testing.T, parts *sidecar, ln net.Listener) *running {
+func serve(t *testing.T, parts *sidecar, ln net.Listener) *testSidecar {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	s := &running{parts: parts, addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1),
-		reload: make(chan os.Signal, 1), config: make(chan *platform.Config, 1)}
+	s := &testSidecar{sidecar: parts, addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1),
+		reload: make(chan os.Signal, 1), reloadedConfig: make(chan *platform.Config, 1)}
 	go func() {
 		s.ended <- parts.serve(ctx, ln, s.reload, s.read)
 		close(s.ended)
@@ -131,7 +131,7 @@
 }
 
 // readyStatus returns the status of the response to a readiness check, 0 without a response.
-func (s *running) readyStatus() int {
+func (s *testSidecar) readyStatus() int {
 	resp, err := http.Get("http://" + s.addr + "/-/ready")
 	if err != nil {
 		return 0
@@ -141,30 +141,32 @@
 }
 
 // read returns the configuration that a test has sent for the reload.
-func (s *running) read() (*platform.Config, error) {
-	if c := <-s.config; c != nil {
+func (s *testSidecar) read() (*platform.Config, error) {
+	if c := <-s.reloadedConfig; c != nil {
 		return c, nil
 	}
 	return nil, errors.New("unreadable")
 }
 
-const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // look makes a request of the safe class.
-func look(ms int) *http.Request { return request("GET", "/look/1", "look", ms, "") }
+func safeRequest(timeoutMs int) *http.Request {
+	return request("GET", "/look/1", "look", timeoutMs, "")
+}
 
-var lastID atomic.Uint32
+var lastRequestID atomic.Uint32
 
 // request makes a request of a class with a deadline in milliseconds and a new id.
-func request(method, path, class string, ms int, body string) *http.Request {
+func request(method, path, class string, timeoutMs int, body string) *http.Request {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	if body == "" {
 		r.Body = http.NoBody // or its length is not known
 	}
-	r.Header.Set("X-Trace-Id", fmt.Sprintf("9b1f03aa%08x", lastID.Add(1)))
+	r.Header.Set("X-Trace-Id", fmt.Sprintf("9b1f03aa%08x", lastRequestID.Add(1)))
 	r.Header.Set("X-Qos", class)
 	r.Header.Set("X-Customer", "acme")
-	r.Header.Set("X-Expires-In-Ms", fmt.Sprint(ms))
+	r.Header.Set("X-Expires-In-Ms", fmt.Sprint(timeoutMs))
 	if class == "book" {
 		r.Header.Set("Idempotency-Key", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
 	}
@@ -172,14 +174,14 @@
 }
 
 // request sends a request to the sidecar on a connection of its own and returns the complete response.
-func (s *running) request(t *testing.T, r *http.Request) (*http.Response, string) {
+func (s *testSidecar) request(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	c := s.dial(t)
 	return s.requestOn(t, c, r)
 }
 
 // requestOn sends a request on a connection and returns the complete response.
-func (s *running) requestOn(t *testing.T, c net.Conn, r *http.Request) (*http.Response, string) {
+func (s *testSidecar) requestOn(t *testing.T, c net.Conn, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	require.NoError(t, r.Write(c))
 	resp := readHead(t, c, r)
@@ -203,7 +205,7 @@
 
 // requestInBackground sends a request on a connection of its own, and returns a channel that receives the status of its
 // response.
-func (s *running) requestInBackground(t *testing.T, r *http.Request) <-chan int {
+func (s *testSidecar) requestInBackground(t *testing.T, r *http.Request) <-chan int {
 	t.Helper()
 	c := s.dial(t)
 	status := make(chan int, 1)
@@ -215,28 +217,29 @@
 }
 
 // checkServed checks that a request of the safe class is served.
-func (s *running) checkServed(t *testing.T, what string) {
+func (s *testSidecar) checkServed(t *testing.T, situation string) {
 	t.Helper()
-	if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 {
-		t.Errorf("%s: %s", what, resp.Status)
+	if resp, _ := s.request(t, safeRequest(900)); resp.StatusCode != 200 {
+		t.Errorf("%s: %s", situation, resp.Status)
 	}
 }
 
 // checkEnded waits for the end of a sidecar that was stopped, and checks that it ends without error.
-func (s *running) checkEnded(t *testing.T) {
+func (s *testSidecar) checkEnded(t *testing.T) {
 	t.Helper()
 	if err := scriptedpeer.Receive(t, s.ended, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
 
-// startHolding starts an endpoint that reports each request for a path on taken and answers it once release is closed.
-// An empty path is every path. It returns the endpoint's address.
-func startHolding(t *testing.T, path string, taken chan<- struct{}, release <-chan struct{}) string {
+// startBlockingEndpoint starts an endpoint that reports each request for a path on received and responds once release
+// is closed. It responds to requests for other paths at once. An empty path matches every request. It returns the
+// endpoint's address.
+func startBlockingEndpoint(t *testing.T, path string, received chan<- struct{}, release <-chan struct{}) string {
 	t.Helper()
 	return scriptedpeer.StartHTTP(t, func(_ http.ResponseWriter, r *http.Request) {
 		if path == "" || r.URL.Path == path {
-			taken <- struct{}{}
+			received <- struct{}{}
 			<-release
 		}
 	})
--- a/internal/sidecar/inherited.go
+++ b/internal/sidecar/inherited.go
@@ -17,17 +17,17 @@
 
 // inheritListener returns the listener of a descriptor that the platform has passed to this process.
 func inheritListener(fd int) (net.Listener, error) {
-	f := os.NewFile(uintptr(fd), "inherited")
-	if f == nil {
+	file := os.NewFile(uintptr(fd), "inherited")
+	if file == nil {
 		return nil, fmt.Errorf("ROUTER_INHERITED_FD: %d is no descriptor", fd)
 	}
-	defer f.Close() // the listener has one of its own
+	defer file.Close() // the listener has one of its own
 	for option, want := range map[int]int{syscall.SO_TYPE: syscall.SOCK_STREAM, syscall.SO_ACCEPTCONN: 1} {
 		if got, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, option); err != nil || got != want {
 			return nil, fmt.Errorf("ROUTER_INHERITED_FD: %d is no listening stream socket", fd)
 		}
 	}
-	ln, err := net.FileListener(f)
+	ln, err := net.FileListener(file)
 	if err != nil {
 		return nil, err
 	}
@@ -42,9 +42,9 @@
 // Accept makes the socket non-blocking again, and waits for a connection.
 func (l *inheritedListener) Accept() (net.Conn, error) {
 	var err error
-	closed := l.raw.Control(func(fd uintptr) { err = syscall.SetNonblock(int(fd), true) })
-	if closed != nil {
-		return nil, closed
+	controlErr := l.raw.Control(func(fd uintptr) { err = syscall.SetNonblock(int(fd), true) })
+	if controlErr != nil {
+		return nil, controlErr
 	}
 	if err != nil {
 		return nil, err
--- a/internal/sidecar/lifecycle.go
+++ b/internal/sidecar/lifecycle.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// answerTimeout bounds each of the three answers of a hot restart, and readyTimeout the successor's start. Together
+	// replyTimeout bounds each of the three answers of a hot restart, and readyTimeout the successor's start. Together
 	// they are below the 6 s after which the platform sends SIGTERM to the predecessor, so that a successor whose hot
 	// restart fails in the last step still has time to start alone.
-	answerTimeout = time.Second
-	readyTimeout  = 2 * time.Second
+	replyTimeout = time.Second
+	readyTimeout = 2 * time.Second
 	// drainTimeout bounds how long connections stay open once this process accepts no more. It is longer than any
 	// request's deadline and than most streamed responses; the platform usually kills the process earlier.
 	drainTimeout = 30 * time.Second
@@ -47,9 +47,9 @@
 	sidecar  *sidecar
 	listener net.Listener
 
-	offered        []byte     // the snapshot that came with the offer
-	earlyConns     []net.Conn // handed over before this process accepts
-	startedServing bool       // it has started to accept, which it may have ended since
+	offeredSnapshot []byte     // the snapshot that came with the offer
+	earlyConns      []net.Conn // handed over before this process accepts
+	startedServing  bool       // it has started to accept, which it may have ended since
 
 	successorListener *takeover.Listener // nil before this process serves, and without a shared folder
 	acceptResult      chan error         // of the frontend's accept loop; nil while it does not run
@@ -62,11 +62,11 @@
 func newLifecycle(s *sidecar, listener net.Listener) *lifecycle {
 	times := decide.Times{
 		Ready:  clock.Micros(readyTimeout),
-		Answer: clock.Micros(answerTimeout),
+		Answer: clock.Micros(replyTimeout),
 		Drain:  clock.Micros(drainTimeout),
 	}
 	l := &lifecycle{sidecar: s, listener: listener}
-	l.Lifecycle = takeover.NewLifecycle(l, s.front, times, s.log)
+	l.Lifecycle = takeover.NewLifecycle(l, s.frontend, times, s.log)
 	l.Successor.OwnsSockets = true
 	return l
 }
@@ -89,7 +89,7 @@
 	for _, conn := range l.earlyConns {
 		conn.Close()
 	}
-	l.sidecar.front.CloseAll() // there are connections only if the start failed
+	l.sidecar.frontend.CloseAll() // there are connections only if the start failed
 	l.Loop.Goroutines.Wait()
 }
 
@@ -138,9 +138,9 @@
 	log := l.sidecar.log
 	limit := min(maxDeadline, longestDeadline(l.sidecar.config)) + deadlineMargin
 	log.Info("stop requested", "while", l.Predecessor.String(), "all answered within", limit)
-	l.sidecar.front.SetResponseDeadline(l.sidecar.clock.Now() + clock.Micros(limit))
+	l.sidecar.frontend.SetResponseDeadline(l.sidecar.clock.Now() + clock.Micros(limit))
 	l.Loop.After(limit, func() {
-		if n := l.sidecar.front.ClosePartialRequests(); n > 0 {
+		if n := l.sidecar.frontend.ClosePartialRequests(); n > 0 {
 			log.Warn("incomplete requests closed", "connections", n)
 		}
 	})
@@ -158,13 +158,13 @@
 // ---- Accepting clients ---------------------------------------------------------
 
 // accept starts the accept loop. Its goroutine ends when pause sets a deadline on the listener, or with the listener.
-func (l *lifecycle) accept() {
+func (l *lifecycle) startAccepting() {
 	result := make(chan error, 1)
 	l.acceptResult = result
-	l.setDeadline(time.Time{})
+	l.setAcceptDeadline(time.Time{})
 	l.sidecar.accepting.Store(true)
 	l.Loop.Goroutines.Go(func() {
-		result <- l.sidecar.front.Accept(l.listener, l.sidecar.identify)
+		result <- l.sidecar.frontend.Accept(l.listener, l.sidecar.identify)
 		l.Loop.Post(func() { l.onAcceptEnded(result) })
 	})
 }
@@ -181,17 +181,17 @@
 }
 
 // pause ends the accept loop. Clients that connect from then on wait in the socket's queue.
-func (l *lifecycle) pause() {
+func (l *lifecycle) stopAcceptLoop() {
 	l.sidecar.accepting.Store(false)
 	if l.acceptResult != nil {
-		l.setDeadline(time.Unix(1, 0))
+		l.setAcceptDeadline(time.Unix(1, 0))
 		<-l.acceptResult
 		l.acceptResult = nil
 	}
 }
 
-// setDeadline sets the instant at which a waiting Accept returns; the zero time is never.
-func (l *lifecycle) setDeadline(t time.Time) {
+// setAcceptDeadline sets the instant at which a waiting Accept returns; the zero time is never.
+func (l *lifecycle) setAcceptDeadline(t time.Time) {
 	if listener, ok := l.listener.(interface{ SetDeadline(time.Time) error }); ok {
 		_ = listener.SetDeadline(t) // it fails only on a closed listener
 	}
--- a/internal/sidecar/limits_test.go
+++ b/internal/sidecar/limits_test.go
@@ -20,19 +20,19 @@
 
 // Requests over the settings' limit never ran.
 func TestRequestLimit(t *testing.T) {
-	taken, release := make(chan struct{}, 2), make(chan struct{})
-	addr := startHolding(t, "", taken, release)
+	received, release := make(chan struct{}, 2), make(chan struct{})
+	addr := startBlockingEndpoint(t, "", received, release)
 	s := start(t, configureStatic(t, instances(addr), `"most-held":1000`, `"most-held":1`))
-	first := s.requestInBackground(t, request("POST", "/pay", "pay", 900, "x"))
-	scriptedpeer.Receive(t, taken, "first attempt")
+	firstStatus := s.requestInBackground(t, request("POST", "/pay", "pay", 900, "x"))
+	scriptedpeer.Receive(t, received, "first attempt")
 	if resp, _ := s.request(t, request("POST", "/pay", "pay", 900, "x")); resp.StatusCode != 503 {
 		t.Errorf("second: %s, want 503", resp.Status)
 	}
 	close(release)
-	if code := scriptedpeer.Receive(t, first, "first answer"); code != 200 {
+	if code := scriptedpeer.Receive(t, firstStatus, "first answer"); code != 200 {
 		t.Errorf("first: %d, want 200", code)
 	}
-	if len(taken) != 0 {
+	if len(received) != 0 {
 		t.Error("the second request was sent")
 	}
 }
@@ -40,50 +40,50 @@
 // Idle connections are closed in favour of new ones, the longest idle first, and none costs the sidecar a descriptor
 // that it needs.
 func TestConnectionLimit(t *testing.T) {
-	taken, release := make(chan struct{}, 1), make(chan struct{})
-	addr := startHolding(t, "/pay", taken, release)
+	received, release := make(chan struct{}, 1), make(chan struct{})
+	addr := startBlockingEndpoint(t, "/pay", received, release)
 	cfg := configureStatic(t, instances(addr))
 	cfg.Sockets = platform.MinSockets
 	s := start(t, cfg)
-	waiting := s.requestInBackground(t, request("POST", "/pay", "pay", 1000, "x"))
-	scriptedpeer.Receive(t, taken, "attempt")
-	var silent []net.Conn
+	openStatus := s.requestInBackground(t, request("POST", "/pay", "pay", 1000, "x"))
+	scriptedpeer.Receive(t, received, "attempt")
+	var silentConns []net.Conn
 	for range 2 * clientLimits(cfg.Sockets).MaxConnections {
-		silent = append(silent, s.dial(t))
+		silentConns = append(silentConns, s.dial(t))
 	}
-	active := s.dial(t)
+	activeConn := s.dial(t)
 	for range 3 {
-		if resp, _ := s.requestOn(t, active, look(900)); resp.StatusCode != 200 || resp.Close {
+		if resp, _ := s.requestOn(t, activeConn, safeRequest(900)); resp.StatusCode != 200 || resp.Close {
 			t.Fatalf("beside silent connections: %s, close %v", resp.Status, resp.Close)
 		}
 	}
-	first := silent[0]
-	first.SetReadDeadline(time.Now().Add(http1.RequestTimeout / 2))
-	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+	longestSilent := silentConns[0]
+	longestSilent.SetReadDeadline(time.Now().Add(http1.RequestTimeout / 2))
+	if _, err := longestSilent.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection silent for longest: %v, want it closed", err)
 	}
-	last := silent[len(silent)-1]
-	if resp, _ := s.requestOn(t, last, look(900)); resp.StatusCode != 200 {
+	latestSilent := silentConns[len(silentConns)-1]
+	if resp, _ := s.requestOn(t, latestSilent, safeRequest(900)); resp.StatusCode != 200 {
 		t.Errorf("a connection silent for a moment: %s", resp.Status)
 	}
 	close(release)
-	if code := scriptedpeer.Receive(t, waiting, "answer"); code != 200 {
+	if code := scriptedpeer.Receive(t, openStatus, "answer"); code != 200 {
 		t.Errorf("the request that waited meanwhile: %d", code)
 	}
 }
 
 // Idle connections of clients may use only a small part of the descriptors, because their machine needs them to open
 // new connections. Connections with an open request may use all descriptors for clients.
-func TestRestingConnections(t *testing.T) {
-	taken, release := make(chan struct{}, 64), make(chan struct{})
-	addr := startHolding(t, "/pay", taken, release)
-	free := sync.OnceFunc(func() { close(release) })
-	t.Cleanup(free)               // otherwise the endpoint could not be closed
-	var many []discovery.Instance // a single one would seem overloaded
+func TestIdleConnectionLimit(t *testing.T) {
+	received, release := make(chan struct{}, 64), make(chan struct{})
+	addr := startBlockingEndpoint(t, "/pay", received, release)
+	releaseAll := sync.OnceFunc(func() { close(release) })
+	t.Cleanup(releaseAll)         // otherwise the endpoint could not be closed
+	var list []discovery.Instance // a single one would seem overloaded
 	for i := range 64 {
-		many = append(many, scripteddiscovery.Up(fmt.Sprint("s-", i), addr))
+		list = append(list, scripteddiscovery.Up(fmt.Sprint("s-", i), addr))
 	}
-	cfg := configureStatic(t, many)
+	cfg := configureStatic(t, list)
 	cfg.Sockets = 2 * platform.MinSockets
 	limits := clientLimits(cfg.Sockets)
 	if 4*limits.MaxIdle > cfg.Sockets {
@@ -91,39 +91,39 @@
 			limits.MaxIdle, cfg.Sockets)
 	}
 	s := start(t, cfg)
-	var stayed []net.Conn
+	var idleConns []net.Conn
 	for range 2 * limits.MaxIdle {
 		c := s.dial(t)
-		if resp, _ := s.requestOn(t, c, look(900)); resp.StatusCode != 200 || resp.Close {
+		if resp, _ := s.requestOn(t, c, safeRequest(900)); resp.StatusCode != 200 || resp.Close {
 			t.Fatalf("%s, close %v", resp.Status, resp.Close)
 		}
-		stayed = append(stayed, c)
+		idleConns = append(idleConns, c)
 	}
 	// The earliest are closed at once, not after the idle time.
-	for i, c := range stayed[:limits.MaxIdle] {
+	for i, c := range idleConns[:limits.MaxIdle] {
 		c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Fatalf("connection %d: %v, want it closed", i, err)
 		}
 	}
 	// The others follow far sooner than one connection alone would.
-	began := time.Now()
-	stayed[limits.MaxIdle].SetReadDeadline(began.Add(maxIdle / 2))
-	if _, err := stayed[limits.MaxIdle].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+	started := time.Now()
+	idleConns[limits.MaxIdle].SetReadDeadline(started.Add(maxIdleTime / 2))
+	if _, err := idleConns[limits.MaxIdle].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("among as many as may rest: %v, want it closed", err)
 	}
-	codes := make(chan int, limits.MaxConnections)
+	statuses := make(chan int, limits.MaxConnections)
 	for range limits.MaxConnections {
 		c := s.dial(t)
 		go func() {
 			resp, _ := s.requestOn(t, c, request("POST", "/pay", "pay", 1000, "x"))
-			codes <- resp.StatusCode
+			statuses <- resp.StatusCode
 		}()
-		scriptedpeer.Receive(t, taken, "an attempt of each that is open")
+		scriptedpeer.Receive(t, received, "an attempt of each that is open")
 	}
-	free()
+	releaseAll()
 	for range limits.MaxConnections {
-		if code := scriptedpeer.Receive(t, codes, "answer"); code != 200 {
+		if code := scriptedpeer.Receive(t, statuses, "answer"); code != 200 {
 			t.Errorf("of those open together: %d", code)
 		}
 	}
@@ -131,7 +131,7 @@
 
 // A client that sends no complete request gets an error or is disconnected within 3 s, before another read and before
 // it could delay a stop of the sidecar.
-func TestHalfRequests(t *testing.T) {
+func TestIncompleteRequests(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) { t.Error("an attempt was made") })
 	s := start(t, configureStatic(t, instances(addr)))
 	for _, text := range []string{
@@ -155,23 +155,23 @@
 }
 
 // A second request with the id of an open one is a conflict, because an endpoint could not distinguish them.
-func TestOpenID(t *testing.T) {
-	taken, release := make(chan struct{}, 2), make(chan struct{})
-	addr := startHolding(t, "", taken, release)
+func TestIDOfOpenRequest(t *testing.T) {
+	received, release := make(chan struct{}, 2), make(chan struct{})
+	addr := startBlockingEndpoint(t, "", received, release)
 	s := start(t, configureStatic(t, instances(addr)))
-	r := look(900)
-	first := s.requestInBackground(t, r)
-	scriptedpeer.Receive(t, taken, "attempt")
-	again := look(900)
-	again.Header.Set("X-Trace-Id", r.Header.Get("X-Trace-Id"))
-	if resp, _ := s.request(t, again); resp.StatusCode != 409 {
+	r := safeRequest(900)
+	firstStatus := s.requestInBackground(t, r)
+	scriptedpeer.Receive(t, received, "attempt")
+	duplicate := safeRequest(900)
+	duplicate.Header.Set("X-Trace-Id", r.Header.Get("X-Trace-Id"))
+	if resp, _ := s.request(t, duplicate); resp.StatusCode != 409 {
 		t.Errorf("an open id: %s, want 409", resp.Status)
 	}
 	close(release)
-	if code := scriptedpeer.Receive(t, first, "answer"); code != 200 {
+	if code := scriptedpeer.Receive(t, firstStatus, "answer"); code != 200 {
 		t.Errorf("its owner: %d, want 200", code)
 	}
-	if resp, _ := s.request(t, again); resp.StatusCode != 200 {
+	if resp, _ := s.request(t, duplicate); resp.StatusCode != 200 {
 		t.Errorf("an id that is free again: %s", resp.Status)
 	}
 }
--- a/internal/sidecar/predecessor.go
+++ b/internal/sidecar/predecessor.go
@@ -18,15 +18,15 @@
 
 // Offer returns the message with the snapshot of the learned state, and sends later cordons to the successor, too.
 func (l *lifecycle) Offer(successor *takeover.Conn) takeover.Message {
-	snapshot := l.EncodeSnapshot(l.sidecar.core.Snapshot(), l.sidecar.pool.Evidence())
+	snapshot := l.EncodeSnapshot(l.sidecar.core.Snapshot(), l.sidecar.connPool.Evidence())
 	l.cordonPeers.add(successor)
 	return takeover.Message{Kind: decide.Offer, Payload: snapshot}
 }
 
 // StopAccepting pauses the accept loop and returns the encoded snapshot for the handover.
 func (l *lifecycle) StopAccepting() []byte {
-	l.pause()
-	return l.EncodeSnapshot(l.sidecar.core.SnapshotForHandover(), l.sidecar.pool.Evidence())
+	l.stopAcceptLoop()
+	return l.EncodeSnapshot(l.sidecar.core.SnapshotForHandover(), l.sidecar.connPool.Evidence())
 }
 
 // Activating does nothing: the listening socket is the platform's.
@@ -35,8 +35,8 @@
 // HandOverConnections hands idle client connections to the successor as they come, and closes idle connections to
 // endpoints, because the limit on descriptors is the successor's from now on.
 func (l *lifecycle) HandOverConnections(successor *takeover.Conn) {
-	l.sidecar.pool.SetKeepIdle(false)
-	l.sidecar.front.SetHandoff(func(conn net.Conn) bool { return successor.HandOver(conn) == nil })
+	l.sidecar.connPool.SetKeepIdle(false)
+	l.sidecar.frontend.SetHandoff(func(conn net.Conn) bool { return successor.HandOver(conn) == nil })
 	l.Loop.After(successorStartGrace, func() {
 		if l.SuccessorConn == successor { // otherwise the successor was lost, and this process serves again or drains
 			l.WaitUntilDrained()
@@ -46,11 +46,11 @@
 
 // ResumeServing accepts clients again after the successor was lost.
 func (l *lifecycle) ResumeServing() {
-	l.sidecar.front.SetHandoff(nil)
+	l.sidecar.frontend.SetHandoff(nil)
 	l.sidecar.core.CancelHandover()
-	l.sidecar.pool.SetKeepIdle(true)
+	l.sidecar.connPool.SetKeepIdle(true)
 	l.CancelWait()
-	l.accept()
+	l.startAccepting()
 }
 
 // Drain starts the graceful shutdown without a successor. The process accepts for stopAcceptDelay, because clients
@@ -58,16 +58,16 @@
 func (l *lifecycle) Drain() {
 	l.sidecar.log.Info("draining")
 	l.sidecar.accepting.Store(false)
-	l.sidecar.front.SetHandoff(nil)
+	l.sidecar.frontend.SetHandoff(nil)
 	if !l.stopRequested { // the successor was stopped, so that the platform's time limit runs for this process, too
 		l.limitResponseTime()
 	}
-	l.sidecar.front.Quiesce()
+	l.sidecar.frontend.Quiesce()
 	if l.successorListener != nil {
 		l.successorListener.Close()
 	}
 	if l.acceptResult == nil { // it was paused for a successor that was lost
-		l.accept()
+		l.startAccepting()
 		l.sidecar.accepting.Store(false)
 	}
 	l.Loop.After(stopAcceptDelay, l.stopListening)
@@ -75,17 +75,17 @@
 
 // stopListening accepts the connections in the socket's queue and closes the socket.
 func (l *lifecycle) stopListening() {
-	l.pause()
-	l.sidecar.front.AcceptQueued(l.listener, l.sidecar.identify)
+	l.stopAcceptLoop()
+	l.sidecar.frontend.AcceptQueued(l.listener, l.sidecar.identify)
 	l.listener.Close()
-	l.sidecar.front.Quiesce() // closes connections accepted since Drain that have sent nothing
+	l.sidecar.frontend.Quiesce() // closes connections accepted since Drain that have sent nothing
 	l.WaitUntilDrained()
 }
 
 // CloseRemaining closes the connections that are still open after drainTimeout.
 func (l *lifecycle) CloseRemaining() {
 	l.sidecar.log.Warn("drain timeout, connections closed", "after", drainTimeout)
-	l.sidecar.front.CloseAll()
+	l.sidecar.frontend.CloseAll()
 }
 
 // SendFailed does nothing: the end of the connection follows and is logged.
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -12,25 +12,26 @@
 // the file if that has changed. ROUTER_DISCOVERY overrides the file at the start only; otherwise no reload could
 // change the address. Every other setting takes effect at the next start. A file that cannot be read is logged and
 // changes nothing.
-func (s *sidecar) reloadOnSignal(ctx context.Context, signals <-chan os.Signal, read func() (*platform.Config, error)) {
-	c := s.config
+func (s *sidecar) reloadOnSignal(ctx context.Context, signals <-chan os.Signal,
+	readConfig func() (*platform.Config, error)) {
+	current := s.config
 	for {
 		select {
 		case <-signals:
 		case <-ctx.Done():
 			return
 		}
-		next, err := read()
+		next, err := readConfig()
 		if err != nil {
 			s.log.Error("configuration not reloaded", "error", err)
 			continue
 		}
-		moved := next.FileDiscovery != c.FileDiscovery && next.FileDiscovery != ""
-		c = next
-		s.log.Info("configuration reloaded", "moved", moved, "discovery", c.FileDiscovery)
-		if moved {
-			s.endpoints.SetSource(c.FileDiscovery)
-			s.source.SwitchTo(s.watchDiscovery(c.FileDiscovery, discovery.NoGeneration))
+		discoveryMoved := next.FileDiscovery != current.FileDiscovery && next.FileDiscovery != ""
+		current = next
+		s.log.Info("configuration reloaded", "moved", discoveryMoved, "discovery", current.FileDiscovery)
+		if discoveryMoved {
+			s.endpointPool.SetSource(current.FileDiscovery)
+			s.listSource.SwitchTo(s.watchDiscovery(current.FileDiscovery, discovery.NoGeneration))
 		}
 	}
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -30,49 +30,49 @@
 			configured := func(addr string) *platform.Config {
 				return configure(t, addr, list[:1], `"discovery":"automatic"`, `"discovery":"`+mode+`"`)
 			}
-			old, next := scripteddiscovery.New(t), scripteddiscovery.New(t)
+			oldServer, newServer := scripteddiscovery.New(t), scripteddiscovery.New(t)
 			// As with ROUTER_DISCOVERY, which sets the address at the start and is overridden by a file that changes.
 			c := configured(scriptedpeer.ClosedAddress(t))
-			c.Discovery = old.Addr
+			c.Discovery = oldServer.Addr
 			s := start(t, c)
-			expect := func(b *scripteddiscovery.Server, want string) {
+			expectWatch := func(server *scripteddiscovery.Server, wantQuery string) {
 				t.Helper()
-				if got := scriptedpeer.Receive(t, b.Requests, "call of discovery"); got != want {
-					t.Errorf("asked with %q, want %q", got, want)
+				if got := scriptedpeer.Receive(t, server.Requests, "call of discovery"); got != wantQuery {
+					t.Errorf("asked with %q, want %q", got, wantQuery)
 				}
 			}
-			expect(old, "1 7")
+			expectWatch(oldServer, "1 7")
 
 			// A file that cannot be read and one with the same address leave the watch as it is.
-			same := *c
-			for _, c := range []*platform.Config{nil, &same} {
+			sameAddress := *c
+			for _, c := range []*platform.Config{nil, &sameAddress} {
 				s.reload <- syscall.SIGHUP
-				s.config <- c
+				s.reloadedConfig <- c
 			}
-			old.Lines <- scripteddiscovery.Line(9, true, one, two)
+			oldServer.Lines <- scripteddiscovery.Line(9, true, one, two)
 
 			s.reload <- syscall.SIGHUP
-			s.config <- configured(next.Addr)
-			expect(next, " ")
-			next.Lines <- scripteddiscovery.Line(3, false, two)
-			next.Lines <- ""
-			expect(next, "1 3")
-			s.serves(t, "two")
-			next.Lines <- scripteddiscovery.Line(4, true, three)
-			s.serves(t, "three")
+			s.reloadedConfig <- configured(newServer.Addr)
+			expectWatch(newServer, " ")
+			newServer.Lines <- scripteddiscovery.Line(3, false, two)
+			newServer.Lines <- ""
+			expectWatch(newServer, "1 3")
+			s.waitServedOnlyBy(t, "two")
+			newServer.Lines <- scripteddiscovery.Line(4, true, three)
+			s.waitServedOnlyBy(t, "three")
 		})
 	}
 }
 
 // serves waits until only the endpoint of this name answers.
-func (s *running) serves(t *testing.T, want string) {
+func (s *testSidecar) waitServedOnlyBy(t *testing.T, want string) {
 	t.Helper()
-	for end, times := time.Now().Add(scriptedpeer.WaitTimeout), 0; times < 5; {
-		_, got := s.request(t, look(900))
-		if times++; got != want {
-			times = 0
+	for deadline, consecutive := time.Now().Add(scriptedpeer.WaitTimeout), 0; consecutive < 5; {
+		_, got := s.request(t, safeRequest(900))
+		if consecutive++; got != want {
+			consecutive = 0
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			t.Fatalf("answered by %q, want %q", got, want)
 		}
 	}
@@ -80,13 +80,13 @@
 
 // Configurations may come while the sidecar stops.
 func TestReloadWhileStopping(t *testing.T) {
-	b := scripteddiscovery.New(t)
+	server := scripteddiscovery.New(t)
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {})
 	c := configureStatic(t, instances(addr))
 	s := start(t, c)
 	s.stop()
 	s.reload <- syscall.SIGHUP
-	s.config <- configure(t, b.Addr, nil)
-	scriptedpeer.Receive(t, b.Requests, "call of discovery")
+	s.reloadedConfig <- configure(t, server.Addr, nil)
+	scriptedpeer.Receive(t, server.Requests, "call of discovery")
 	s.checkEnded(t)
 }
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -20,14 +20,14 @@
 
 // Requests and responses are forwarded unchanged.
 func TestServes(t *testing.T) {
-	type seen struct {
+	type forwardedRequest struct {
 		r    *http.Request
 		body string
 	}
-	got := make(chan seen, 64)
+	forwarded := make(chan forwardedRequest, 64)
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
-		got <- seen{r, string(b)}
+		forwarded <- forwardedRequest{r, string(b)}
 		if w.Header()["Content-Type"] = nil; r.Method == "GET" {
 			w.Header().Set("Content-Type", "application/x-card")
 		}
@@ -36,7 +36,7 @@
 	})
 	s := start(t, configureStatic(t, instances(addr)))
 	for _, r := range []*http.Request{
-		look(480),
+		safeRequest(480),
 		request("GET", "/look/a%2Fb?x=%20y&z", "look", 480, ""),
 		// The response is as large as one may be.
 		request("POST", "/book", "book", 480, strings.Repeat("b", siteconfig.MaxBodyBytes-6)),
@@ -47,15 +47,16 @@
 			r.Body = io.NopCloser(strings.NewReader(string(body)))
 		}
 		resp, text := s.request(t, r)
-		kind := "" // where the endpoint names no type, none is guessed
+		contentType := "" // where the endpoint names no type, none is guessed
 		if r.Method == "GET" {
-			kind = "application/x-card"
+			contentType = "application/x-card"
 		}
-		if resp.StatusCode != 200 || text != "\x00card "+string(body) || resp.Header.Get("Content-Type") != kind {
+		if resp.StatusCode != 200 || text != "\x00card "+string(body) ||
+			resp.Header.Get("Content-Type") != contentType {
 			t.Errorf("%s: %s, %d bytes, %v", r.RequestURI, resp.Status, len(text), resp.Header)
 			continue
 		}
-		received := <-got
+		received := <-forwarded
 		if received.body != string(body) {
 			t.Errorf("%s: the endpoint got %d bytes of %d, or others", r.RequestURI, len(received.body), len(body))
 		}
@@ -97,7 +98,7 @@
 }
 
 // checkInvalidRequests checks requests that are correct HTTP and invalid otherwise.
-func (s *running) checkInvalidRequests(t *testing.T) {
+func (s *testSidecar) checkInvalidRequests(t *testing.T) {
 	t.Helper()
 	without := func(r *http.Request, header string) *http.Request {
 		r.Header.Del(header)
@@ -115,12 +116,12 @@
 		{"unknown class", request("GET", "/sell", "sell", 400, ""), 404},
 		{"no class", without(request("GET", "/", "look", 400, ""), "X-Qos"), 404},
 		{"two classes", request("GET", "/look", "pay", 400, ""), 400},
-		{"no id", without(look(400), "X-Trace-Id"), 400},
+		{"no id", without(safeRequest(400), "X-Trace-Id"), 400},
 		{"keyed without key", without(request("POST", "/book", "book", 400, "x"), "Idempotency-Key"), 400},
 		{"wrong method", request("POST", "/look", "look", 400, "x"), 405},
-		{"time in words", with(look(400), "X-Expires-In-Ms", "peer.Soon"), 400},
-		{"negative time", look(-1), 400},
-		{"large head", with(look(400), "X-Props", strings.Repeat("x", 2*http1.MaxHeaderBytes)), 431},
+		{"time in words", with(safeRequest(400), "X-Expires-In-Ms", "peer.Soon"), 400},
+		{"negative time", safeRequest(-1), 400},
+		{"large head", with(safeRequest(400), "X-Props", strings.Repeat("x", 2*http1.MaxHeaderBytes)), 431},
 	} {
 		if resp, _ := s.request(t, tc.r); resp.StatusCode != tc.want {
 			t.Errorf("%s: %s, want %d", tc.name, resp.Status, tc.want)
@@ -129,18 +130,18 @@
 }
 
 // checkMalformedTexts checks texts that are not correct HTTP, or that two readers could understand differently.
-func (s *running) checkMalformedTexts(t *testing.T) {
+func (s *testSidecar) checkMalformedTexts(t *testing.T) {
 	t.Helper()
 	head := func(lines ...string) string {
 		return "POST /pay HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: 1\r\nX-Qos: pay\r\n" +
 			strings.Join(append(lines, "\r\n"), "\r\n")
 	}
-	hidden := head("Content-Length: 0")
-	chunked := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(hidden), hidden)
+	smuggled := head("Content-Length: 0")
+	chunked := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(smuggled), smuggled)
 	for _, tc := range []struct{ name, text, want string }{
 		{"no HTTP", "LOOK\r\n\r\n", "400"},
 		{"endless head", "GET /look HTTP/1.1\r\nX: " + strings.Repeat("x", http1.MaxHeaderBytes), "431"},
-		{"hidden request", head("Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + hidden, "400"},
+		{"hidden request", head("Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + smuggled, "400"},
 		{"old chunks",
 			strings.Replace(head("Content-Length: 5", "Transfer-Encoding: chunked"), "1.1", "1.0", 1) + chunked, "400"},
 		{"unknown encoding", head("Content-Length: 5", "Transfer-Encoding: xchunked") + chunked, "400"},
@@ -151,7 +152,7 @@
 		{"length over all", head("Content-Length: 99999999999999999999"), "400"},
 		{"huge length", head("Content-Length: 3000000000"), "413"},
 		{"length too short", head("Content-Length: 5") + "1234567", "400"},
-		{"more than a request", hidden + "noise", "400"},
+		{"more than a request", smuggled + "noise", "400"},
 		{"body on GET",
 			"GET /look HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nX-Qos: look\r\nContent-Length: 1\r\n\r\nx", "400"},
 		{"two ids", head("X-Trace-Id: 2", "Content-Length: 0"), "400"},
@@ -161,8 +162,8 @@
 		{"signed time", head("X-Expires-In-Ms: +400", "Content-Length: 0"), "400"},
 		{"empty key", head("Idempotency-Key:", "Content-Length: 0"), "400"},
 		{"control character", head("X-Props: a\rb", "Content-Length: 0"), "400"},
-		{"id of two words", strings.Replace(hidden, "X-Trace-Id: 1", "X-Trace-Id: 1 2", 1), "400"},
-		{"host with a space", strings.Replace(hidden, "origin.svc", "origin svc", 1), "400"},
+		{"id of two words", strings.Replace(smuggled, "X-Trace-Id: 1", "X-Trace-Id: 1 2", 1), "400"},
+		{"host with a space", strings.Replace(smuggled, "origin.svc", "origin svc", 1), "400"},
 		{"key named hop by hop",
 			head("Connection: keep-alive, idempotency-key", "Idempotency-Key: k", "Content-Length: 0"), "400"},
 		{"id named hop by hop", head("Connection: X-Trace-Id", "Content-Length: 0"), "400"},
@@ -172,11 +173,11 @@
 		{"two objects", head("X-Object: 1", "x-object: 2", "Content-Length: 0"), "400"},
 		{"space before the colon", head("X-A : b", "Content-Length: 0"), "400"},
 		{"folded field", head("X-A: b", " c", "Content-Length: 0"), "400"},
-		{"lone line feed", strings.Replace(hidden, "svc\r\n", "svc\n", 1), "400"},
-		{"lone line feeds only", strings.ReplaceAll(hidden, "\r", ""), "400"},
+		{"lone line feed", strings.Replace(smuggled, "svc\r\n", "svc\n", 1), "400"},
+		{"lone line feeds only", strings.ReplaceAll(smuggled, "\r", ""), "400"},
 		{"many fields", head(strings.Repeat("X-A: b\r\n", http1msg.MaxHeaderFields) + "Content-Length: 0"), "431"},
 		{"one length twice", head("Content-Length: 0", "Content-Length: 0"), "400"},
-		{"two spaces", strings.Replace(hidden, "/pay", " /pay", 1), "400"},
+		{"two spaces", strings.Replace(smuggled, "/pay", " /pay", 1), "400"},
 		{"wrong expectation", head("Expect: wonders", "Content-Length: 0"), "417"},
 	} {
 		c := s.dial(t)
@@ -199,7 +200,7 @@
 	s := start(t, configureStatic(t, instances(addrs...)))
 	c := s.dial(t)
 	for i := range 1500 {
-		if resp, _ := s.requestOn(t, c, look(900)); resp.StatusCode != 200 {
+		if resp, _ := s.requestOn(t, c, safeRequest(900)); resp.StatusCode != 200 {
 			t.Fatalf("request %d: %s", i, resp.Status)
 		}
 	}
@@ -208,29 +209,29 @@
 // After the order to stop clients still connect for a while. Each request is answered, with
 // Connection: close, what was taken before is finished, and the sidecar ends without error.
 func TestStop(t *testing.T) {
-	taken, release := make(chan struct{}, 1), make(chan struct{})
-	addr := startHolding(t, "/pay", taken, release)
+	received, release := make(chan struct{}, 1), make(chan struct{})
+	addr := startBlockingEndpoint(t, "/pay", received, release)
 	s := start(t, configureStatic(t, instances(addr)))
-	idle := s.dial(t)
-	if resp, _ := s.requestOn(t, idle, look(900)); resp.Close {
+	idleConn := s.dial(t)
+	if resp, _ := s.requestOn(t, idleConn, safeRequest(900)); resp.Close {
 		t.Error("a connection was not kept")
 	}
-	var before sync.WaitGroup
-	defer before.Wait()
-	before.Go(func() {
+	var openRequests sync.WaitGroup
+	defer openRequests.Wait()
+	openRequests.Go(func() {
 		if resp, _ := s.request(t, request("POST", "/pay", "pay", 1000, "x")); resp.StatusCode != 200 || !resp.Close {
 			t.Errorf("taken before: %s, close %v", resp.Status, resp.Close)
 		}
 	})
-	scriptedpeer.Receive(t, taken, "attempt")
+	scriptedpeer.Receive(t, received, "attempt")
 	started := time.Now()
 	s.stop()
-	idle.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+	idleConn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+	if _, err := idleConn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("idle connection: %v, want it closed", err)
 	}
 	for time.Since(started) < 450*time.Millisecond {
-		if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 || !resp.Close {
+		if resp, _ := s.request(t, safeRequest(900)); resp.StatusCode != 200 || !resp.Close {
 			t.Fatalf("after the order: %s, close %v", resp.Status, resp.Close)
 		}
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -41,16 +41,16 @@
 	// clients' machine has limits of its own, and each idle connection that is kept is one that other clients there
 	// cannot open.
 	idleConnsDivisor = 6
-	maxIdle          = 15 * time.Second       // idle time of a connection between requests, while no other is idle
-	minIdle          = 100 * time.Millisecond // idle time of a connection while as many are idle as may be
+	maxIdleTime      = 15 * time.Second       // idle time of a connection between requests, while no other is idle
+	minIdleTime      = 100 * time.Millisecond // idle time of a connection while as many are idle as may be
 )
 
 // Where lists are pushed, discovery is an agent on this machine, and a call to it is fast and cheap. What the agent
 // learns when it is reachable again counts as known to this sidecar from that moment, so that a call must be open then,
 // or follow within the drain grace.
 const (
-	agentAnswerTimeout = 500 * time.Millisecond // until an answer of the agent begins
-	agentPollWait      = 50 * time.Millisecond  // longest backoff between calls to the agent
+	agentResponseTimeout = 500 * time.Millisecond // until an answer of the agent begins
+	agentMaxBackoff      = 50 * time.Millisecond  // longest backoff between calls to the agent
 )
 
 // availableSockets returns the number of descriptors that clients and endpoints share, with the reserved ones.
@@ -68,8 +68,8 @@
 	return connlimit.Limits{
 		MaxConnections: (sockets - reservedSockets) / 2,
 		MaxIdle:        (sockets - reservedSockets) / idleConnsDivisor,
-		MaxIdleTime:    clock.Micros(maxIdle),
-		MinIdleTime:    clock.Micros(minIdle),
+		MaxIdleTime:    clock.Micros(maxIdleTime),
+		MinIdleTime:    clock.Micros(minIdleTime),
 	}
 }
 
@@ -81,7 +81,7 @@
 // Run serves until stop ends or another process has taken over, then finishes the open requests and returns. At each
 // signal of reload it calls read for the configuration. An error means that the process could not start, or that its
 // listener failed.
-func Run(stop context.Context, c *platform.Config, reload <-chan os.Signal, read func() (*platform.Config, error),
+func Run(stop context.Context, c *platform.Config, reload <-chan os.Signal, readConfig func() (*platform.Config, error),
 	log *slog.Logger) error {
 	ln, err := listen(c)
 	if err != nil {
@@ -92,7 +92,7 @@
 		ln.Close()
 		return err
 	}
-	return s.serve(stop, ln, reload, read)
+	return s.serve(stop, ln, reload, readConfig)
 }
 
 // listen returns the clients' listening socket: the one inherited from the platform, or a new one without that.
@@ -105,17 +105,17 @@
 
 // sidecar holds the parts that assemble makes.
 type sidecar struct {
-	config *platform.Config
-	clock  clock.Clock
-	log    *slog.Logger
-	pool   *upstream.Pool
-	core   *core.Core
-	source *discovery.Source
-	front  *http1.Server
-	client *http1.Client // the application
-	events *eventlog.Log // nil unless the configuration has an event log
+	config     *platform.Config
+	clock      clock.Clock
+	log        *slog.Logger
+	connPool   *upstream.Pool
+	core       *core.Core
+	listSource *discovery.Source
+	frontend   *http1.Server
+	client     *http1.Client // the application
+	events     *eventlog.Log // nil unless the configuration has an event log
 
-	endpoints     *core.Pool
+	endpointPool  *core.Pool
 	firstWatcher  *discovery.Watcher // the one that source starts with
 	start         func()             // starts the goroutines of core, pool and source; set by serve
 	lifecycle     *lifecycle
@@ -135,7 +135,7 @@
 		observer = s.events
 		dial = s.logDials(dial)
 	}
-	s.pool = upstream.New(upstream.Options{
+	s.connPool = upstream.New(upstream.Options{
 		Clock:           s.clock,
 		Log:             log,
 		MaxConns:        upstreamConns(availableSockets(c)),
@@ -151,7 +151,7 @@
 		Clock:    s.clock,
 		Site:     &c.Site,
 		Seed:     c.Seed,
-		Upstream: s.pool,
+		Upstream: s.connPool,
 		Log:      log,
 		Observer: observer,
 	})
@@ -167,7 +167,7 @@
 	pool := engine.PoolConfig{
 		Source:           c.Discovery,
 		InitialEndpoints: c.Known.EndpointUpdate(),
-		SetWatch:         s.source.SetWatching,
+		SetWatch:         s.listSource.SetWatching,
 	}
 	if c.OverloadControl {
 		settings := overload.DefaultSettings()
@@ -175,7 +175,7 @@
 		pool.Overload = &settings
 	}
 	var err error
-	s.endpoints, err = s.core.NewPool(pool)
+	s.endpointPool, err = s.core.NewPool(pool)
 	return err
 }
 
@@ -183,19 +183,21 @@
 func (s *sidecar) newFrontend() error {
 	c := s.config
 	var err error
-	s.front, err = http1.New(http1.Options{
+	s.frontend, err = http1.New(http1.Options{
 		Clock:       s.clock,
 		Site:        &c.Site,
 		Core:        s.core,
-		Pool:        s.endpoints,
-		SendAttempt: s.pool.Send,
+		Pool:        s.endpointPool,
+		SendAttempt: s.connPool.Send,
 		Limits:      clientLimits(availableSockets(c)),
 		Log:         s.log,
 	})
 	if err != nil {
 		return err
 	}
-	s.client, err = s.front.NewClient(http1.ClientSettings{ClientSpec: fairqueue.ClientSpec{Name: c.Name, Weight: 1}})
+	s.client, err = s.frontend.NewClient(http1.ClientSettings{
+		ClientSpec: fairqueue.ClientSpec{Name: c.Name, Weight: 1},
+	})
 	return err
 }
 
@@ -215,11 +217,11 @@
 	watcher := s.watchDiscovery(s.config.Discovery, s.config.Known.Generation)
 	s.firstWatcher = watcher
 	if !s.config.Site.Settings.Subscribe {
-		s.source = discovery.NewContinuousSource(watcher)
+		s.listSource = discovery.NewContinuousSource(watcher)
 		return
 	}
-	s.source = discovery.NewPolledSource(watcher, func() {
-		s.endpoints.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFailed})
+	s.listSource = discovery.NewPolledSource(watcher, func() {
+		s.endpointPool.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFailed})
 	})
 }
 
@@ -234,36 +236,36 @@
 		w.OnRequest = s.events.DiscoveryPolled
 	}
 	if !s.config.Site.Settings.Subscribe {
-		w.ResponseTimeout = agentAnswerTimeout
-		w.MaxBackoff = agentPollWait
+		w.ResponseTimeout = agentResponseTimeout
+		w.MaxBackoff = agentMaxBackoff
 	}
 	return w
 }
 
 // updateEndpoints passes an update of the endpoint list to the core. Watchers have it before s.endpoints is set.
 func (s *sidecar) updateEndpoints(ctx context.Context, update engine.EndpointUpdate) {
-	s.endpoints.UpdateEndpoints(ctx, update)
+	s.endpointPool.UpdateEndpoints(ctx, update)
 }
 
 // serve runs the sidecar on a listener, which it closes, until stop ends or another process has taken over. read is
 // called at each signal of reload.
 func (s *sidecar) serve(stop context.Context, ln net.Listener, reload <-chan os.Signal,
-	read func() (*platform.Config, error)) error {
+	readConfig func() (*platform.Config, error)) error {
 	// The goroutines of core, pool and reload end after the frontend, so that every request is answered first.
 	// That is why ctx is not derived from stop.
 	ctx, cancel := context.WithCancel(context.Background())
 	var background sync.WaitGroup
 	defer background.Wait()
 	defer cancel()
-	background.Go(func() { s.reloadOnSignal(ctx, reload, read) })
+	background.Go(func() { s.reloadOnSignal(ctx, reload, readConfig) })
 	s.start = func() {
 		background.Go(func() { s.core.Run(ctx) })
-		background.Go(func() { s.pool.Run(ctx) })
+		background.Go(func() { s.connPool.Run(ctx) })
 		if !s.config.Site.Settings.Subscribe {
-			s.source.SetWatching(true)
+			s.listSource.SetWatching(true)
 		}
 	}
-	defer s.source.Close()
+	defer s.listSource.Close()
 	s.lifecycle = newLifecycle(s, ln)
 	stopAdmin, err := s.serveAdmin()
 	if err != nil {
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -20,37 +20,37 @@
 
 // gated is a listener whose Accept waits, after hold, until a deadline is set or the listener is closed. Clients that
 // connect meanwhile are in the kernel's queue.
-type gated struct {
+type gatedListener struct {
 	*net.TCPListener
-	mu   sync.Mutex
-	shut chan struct{} // closed by open; nil while the gate is open
+	mu         sync.Mutex
+	closedGate chan struct{} // closed by open; nil while the gate is open
 }
 
-func (l *gated) gate() chan struct{} {
+func (l *gatedListener) currentGate() chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.shut
+	return l.closedGate
 }
 
-func (l *gated) hold() {
+func (l *gatedListener) closeGate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.shut = make(chan struct{})
+	l.closedGate = make(chan struct{})
 }
 
-func (l *gated) open() {
+func (l *gatedListener) openGate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.shut != nil {
-		close(l.shut)
-		l.shut = nil
+	if l.closedGate != nil {
+		close(l.closedGate)
+		l.closedGate = nil
 	}
 }
 
-func (l *gated) Accept() (net.Conn, error) {
+func (l *gatedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.TCPListener.Accept()
-		gate := l.gate()
+		gate := l.currentGate()
 		if gate == nil {
 			return c, err
 		}
@@ -61,20 +61,20 @@
 	}
 }
 
-func (l *gated) SetDeadline(t time.Time) error {
+func (l *gatedListener) SetDeadline(t time.Time) error {
 	err := l.TCPListener.SetDeadline(t)
-	l.open()
+	l.openGate()
 	return err
 }
 
-func (l *gated) Close() error {
+func (l *gatedListener) Close() error {
 	err := l.TCPListener.Close()
-	l.open()
+	l.openGate()
 	return err
 }
 
 // loopback listens at a free port.
-func loopback(t *testing.T) *net.TCPListener {
+func listenLoopback(t *testing.T) *net.TCPListener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -82,7 +82,7 @@
 }
 
 // serveOn runs a sidecar with one endpoint on a listener of the test's own.
-func serveOn(t *testing.T, ln net.Listener, endpoint discovery.Instance) *running {
+func serveOn(t *testing.T, ln net.Listener, endpoint discovery.Instance) *testSidecar {
 	t.Helper()
 	parts, err := assemble(configureStatic(t, []discovery.Instance{endpoint}), nil, scriptedpeer.DiscardLog)
 	require.NoError(t, err)
@@ -92,19 +92,19 @@
 // Connections in the listener's queue are served when the listener is closed, because the kernel has accepted them.
 func TestStopServesTheQueue(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	ln := &gated{TCPListener: loopback(t)}
+	ln := &gatedListener{TCPListener: listenLoopback(t)}
 	s := serveOn(t, ln, scripteddiscovery.Up("s-1", addr))
-	s.request(t, look(900)) // the sidecar learns response times
-	ln.hold()
+	s.request(t, safeRequest(900)) // the sidecar learns response times
+	ln.closeGate()
 	if c, err := net.Dial("tcp", s.addr); err == nil { // for the Accept that is waiting already
 		c.Read(make([]byte, 1))
 		c.Close()
 	}
-	const many = 5
+	const queued = 5
 	var conns []net.Conn
-	for range many {
+	for range queued {
 		c := s.dial(t)
-		io.WriteString(c, requestText(t, look(900)))
+		io.WriteString(c, requestText(t, safeRequest(900)))
 		conns = append(conns, c)
 	}
 	s.stop()
@@ -122,17 +122,17 @@
 // Pipelined requests behind one that is open at the stop are answered, too. Only the last response closes the
 // connection, and none is lost by a reset.
 func TestStopBetweenPipelinedRequests(t *testing.T) {
-	taken, release := make(chan struct{}, 4), make(chan struct{})
+	received, release := make(chan struct{}, 4), make(chan struct{})
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-		taken <- struct{}{}
+		received <- struct{}{}
 		<-release
 		io.WriteString(w, "ok")
 	})
 	s := start(t, configureStatic(t, instances(addr)))
 	c := s.dial(t)
-	io.WriteString(c, requestText(t, look(900)))
-	scriptedpeer.Receive(t, taken, "first attempt")
-	io.WriteString(c, requestText(t, look(900))+requestText(t, look(900)))
+	io.WriteString(c, requestText(t, safeRequest(900)))
+	scriptedpeer.Receive(t, received, "first attempt")
+	io.WriteString(c, requestText(t, safeRequest(900))+requestText(t, safeRequest(900)))
 	s.stop()
 	scriptedpeer.Eventually(t, "all are to close", func() bool { return s.readyStatus() == 503 })
 	close(release)
@@ -157,8 +157,8 @@
 // A request that becomes complete late after the stop is answered before the platform kills the process, 0.7 s after
 // the longest deadline, however long its own deadline. The only endpoint never answers.
 func TestStopEndsInTime(t *testing.T) {
-	var taken atomic.Int32
-	addr := hanging(t, &taken)
+	var received atomic.Int32
+	addr := startHangingEndpoint(t, &received)
 	s := start(t, configureStatic(t, instances(addr)))
 	c := s.dial(t)
 	text := requestText(t, request("POST", "/pay", "pay", 1000, "x"))
@@ -166,26 +166,26 @@
 	scriptedpeer.Eventually(t, "it is accepted", func() bool { return s.openConnections() > 0 })
 	started := time.Now()
 	s.stop()
-	late := time.AfterFunc(900*time.Millisecond, func() { io.WriteString(c, text[len(text)-1:]) })
-	defer late.Stop() // its own deadline is at 1.9 s
+	completion := time.AfterFunc(900*time.Millisecond, func() { io.WriteString(c, text[len(text)-1:]) })
+	defer completion.Stop() // its own deadline is at 1.9 s
 	resp := readHead(t, c, nil)
-	const killed = 1700 * time.Millisecond // 1 s, the longest deadline, and 0.7 s
-	if took := time.Since(started); took > killed || taken.Load() != 1 || resp.StatusCode != 504 {
-		t.Errorf("%s after %v, with %d attempts", resp.Status, took, taken.Load())
+	const killDelay = 1700 * time.Millisecond // 1 s, the longest deadline, and 0.7 s
+	if took := time.Since(started); took > killDelay || received.Load() != 1 || resp.StatusCode != 504 {
+		t.Errorf("%s after %v, with %d attempts", resp.Status, took, received.Load())
 	}
 	s.checkEnded(t)
-	if took := time.Since(started); took > killed {
+	if took := time.Since(started); took > killDelay {
 		t.Errorf("ended after %v", took)
 	}
 }
 
 // accepting is a listener that passes the connections that it accepts to a test, too.
-type accepting struct {
+type reportingListener struct {
 	*net.TCPListener
 	accepted chan *net.TCPConn
 }
 
-func (l *accepting) Accept() (net.Conn, error) {
+func (l *reportingListener) Accept() (net.Conn, error) {
 	c, err := l.TCPListener.Accept()
 	if err == nil {
 		select {
@@ -197,7 +197,7 @@
 }
 
 // unread reports whether the kernel has bytes of a connection that are not read yet.
-func unread(t *testing.T, c *net.TCPConn) bool {
+func hasUnreadBytes(t *testing.T, c *net.TCPConn) bool {
 	t.Helper()
 	raw, err := c.SyscallConn()
 	require.NoError(t, err)
@@ -212,29 +212,29 @@
 
 // A request of which a part has come at the stop, head or body, is waited for, because its client would not send it
 // again. One that never becomes complete is closed when it could not be answered in time any more.
-func TestStopWaitsForHalfARequest(t *testing.T) {
+func TestStopWaitsForIncompleteRequest(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, "ok")
 	})
-	ln := &accepting{TCPListener: loopback(t), accepted: make(chan *net.TCPConn, 1000)}
+	ln := &reportingListener{TCPListener: listenLoopback(t), accepted: make(chan *net.TCPConn, 1000)}
 	s := serveOn(t, ln, scripteddiscovery.Up("s-1", addr))
-	s.request(t, look(900)) // the sidecar learns response times
+	s.request(t, safeRequest(900)) // the sidecar learns response times
 	for len(ln.accepted) > 0 {
 		<-ln.accepted
 	}
-	type half struct {
-		c    net.Conn
-		rest string
+	type partialRequest struct {
+		c         net.Conn
+		remainder string
 	}
-	var halves []half
+	var partialRequests []partialRequest
 	for _, missing := range []int{20, 1, 20} { // bytes of the head, of the body, of one that never becomes complete
 		c := s.dial(t)
 		text := requestText(t, request("POST", "/pay", "pay", 1000, "x"))
 		io.WriteString(c, text[:len(text)-missing])
-		halves = append(halves, half{c, text[len(text)-missing:]})
-		ours := scriptedpeer.Receive(t, ln.accepted, "connection")
-		scriptedpeer.Eventually(t, "the sidecar has read it", func() bool { return !unread(t, ours) })
+		partialRequests = append(partialRequests, partialRequest{c, text[len(text)-missing:]})
+		accepted := scriptedpeer.Receive(t, ln.accepted, "connection")
+		scriptedpeer.Eventually(t, "the sidecar has read it", func() bool { return !hasUnreadBytes(t, accepted) })
 	}
 	started := time.Now()
 	s.stop()
@@ -245,17 +245,17 @@
 		}
 		return err != nil
 	})
-	for i, h := range halves[:2] {
-		io.WriteString(h.c, h.rest)
-		h.c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
-		resp, err := http.ReadResponse(bufio.NewReader(h.c), nil)
+	for i, partial := range partialRequests[:2] {
+		io.WriteString(partial.c, partial.remainder)
+		partial.c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
+		resp, err := http.ReadResponse(bufio.NewReader(partial.c), nil)
 		if err != nil || resp.StatusCode != 200 || !resp.Close {
 			t.Errorf("request %d: %v, %v", i, resp, err)
 		}
 	}
 	s.checkEnded(t)
-	const killed = 1700 * time.Millisecond // 1 s, the longest deadline, and 0.7 s
-	if took := time.Since(started); took > killed {
+	const killDelay = 1700 * time.Millisecond // 1 s, the longest deadline, and 0.7 s
+	if took := time.Since(started); took > killDelay {
 		t.Errorf("ended after %v", took)
 	}
 }
--- a/internal/sidecar/successor.go
+++ b/internal/sidecar/successor.go
@@ -11,22 +11,22 @@
 // machine.
 
 // ReceiveOffer keeps the offered snapshot for StartWithOffer.
-func (l *lifecycle) ReceiveOffer(m takeover.Message) { l.offered = m.Payload }
+func (l *lifecycle) ReceiveOffer(m takeover.Message) { l.offeredSnapshot = m.Payload }
 
 // StartWithOffer starts everything except accepting. The endpoint watch continues from the predecessor's generation,
 // because a complete list might be older than the updates that the predecessor has received.
 func (l *lifecycle) StartWithOffer() error {
 	s := l.sidecar
-	if state, err := takeover.DecodeState(l.offered); err == nil {
+	if state, err := takeover.DecodeState(l.offeredSnapshot); err == nil {
 		if pool := state.Snapshot.Pool(""); pool != nil && pool.Source == s.config.Discovery {
 			s.firstWatcher.StartAfter(pool.Generation)
 		}
 	}
 	s.start()
 	s.core.ReceiveCordons(s.readCordons()...)
-	offered := l.offered
-	l.offered = nil
-	l.restore(offered, "at the start")
+	snapshot := l.offeredSnapshot
+	l.offeredSnapshot = nil
+	l.restore(snapshot, "at the start")
 	l.cordonPeers.add(l.PredecessorConn)
 	return nil
 }
@@ -47,7 +47,7 @@
 		return
 	}
 	age := max(0, takeover.Monotonic()-state.TakenAt)
-	l.sidecar.pool.RestoreEvidence(state.Reuse, age)
+	l.sidecar.connPool.RestoreEvidence(state.Reuse, age)
 	skipped := l.sidecar.core.Restore(state.Snapshot, age)
 	log.Info("snapshot restored", "when", when, "skipped", skipped)
 }
@@ -69,9 +69,9 @@
 	log := l.sidecar.log
 	l.listenForSuccessors()
 	l.startedServing = true
-	l.accept()
+	l.startAccepting()
 	for _, conn := range l.earlyConns {
-		l.sidecar.front.Adopt(conn, l.sidecar.identify)
+		l.sidecar.frontend.Adopt(conn, l.sidecar.identify)
 	}
 	l.earlyConns = nil
 	log.Info("serving", "name", l.sidecar.config.Name, "listen", l.listener.Addr().String())
@@ -89,7 +89,7 @@
 		l.sidecar.log.Error("hot restart socket not available", "error", err)
 		return
 	}
-	l.Loop.Goroutines.Go(func() { l.AcceptSuccessors(context.Background(), listener, answerTimeout) })
+	l.Loop.Goroutines.Go(func() { l.AcceptSuccessors(context.Background(), listener, replyTimeout) })
 }
 
 // AdoptConnection serves a connection that the predecessor handed over, now or once this process serves. A process that
@@ -99,9 +99,9 @@
 		l.earlyConns = append(l.earlyConns, conn)
 		return
 	}
-	l.sidecar.front.Adopt(conn, l.sidecar.identify)
+	l.sidecar.frontend.Adopt(conn, l.sidecar.identify)
 	if l.Predecessor.Draining() && l.acceptResult == nil {
-		l.sidecar.front.Quiesce() // closes the connection if nothing has arrived on it
+		l.sidecar.frontend.Quiesce() // closes the connection if nothing has arrived on it
 	}
 }
 
