--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -7,7 +7,7 @@
 	"dunlinsail/internal/admin"
 )
 
-// adminBackend returns what the admin server calls to answer operators.
+// adminBackend returns the functions that the admin server calls to handle operators' requests.
 func (s *sidecar) adminBackend() admin.Backend {
 	return admin.Backend{Ready: s.readiness, Metrics: s.metrics, SetCordon: s.setCordon, Log: s.log}
 }
@@ -23,8 +23,8 @@
 	return true, ""
 }
 
-// serveAdmin serves operators' calls at the configured address; an empty one turns the admin server off. stop closes
-// the listener and returns once the server's goroutine has ended.
+// serveAdmin serves operators' requests at the configured address. An empty address disables the admin server. stop
+// closes the listener and returns once the server's goroutine has ended.
 func (s *sidecar) serveAdmin() (stop func(), err error) {
 	if s.config.AdminAddress == "" {
 		return func() {}, nil
--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -20,8 +20,8 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// A rejection (503) promises that the request never ran. Without certainty of that the request has failed, whatever the
-// endpoint answered.
+// The sidecar may respond with status 503 only if the request certainly never ran. If it may have run, the sidecar
+// responds with another error status, whatever the endpoint's response was.
 func TestRejectedOrFailed(t *testing.T) {
 	respondNeverRan := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Never-Ran", "1")
@@ -68,7 +68,7 @@
 			if advised := err == nil && retryAfter > 0; advised != tc.rejected {
 				t.Errorf("Retry-After %q", resp.Header.Get("Retry-After"))
 			}
-			// The final answer must come at once, not at the request's deadline.
+			// The final response must be sent at once, not at the request's deadline.
 			if took := time.Since(started); took > 450*time.Millisecond {
 				t.Errorf("answered after %v", took)
 			}
@@ -76,12 +76,12 @@
 	}
 }
 
-// A request that may have run is not retried if it is unsafe, and only at an endpoint of the same cell if it has an
-// idempotency key.
+// A request that may have run is not retried if it is unsafe. If it has an idempotency key, it is retried only at an
+// endpoint of the same cell.
 func TestRetriesByRequestClass(t *testing.T) {
 	for _, tc := range []struct {
 		class       string
-		cell        uint16 // of the second endpoint
+		cell        uint16 // cell of the second endpoint
 		maxAttempts int32
 		served      bool
 	}{
@@ -91,7 +91,7 @@
 	} {
 		t.Run(fmt.Sprint(tc.class, tc.cell), func(t *testing.T) {
 			var attempts atomic.Int32
-			// The first endpoint closes its connection after reading the request.
+			// The endpoint that gets the first attempt closes its connection without a response.
 			endpoint := func() string {
 				return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 					if _, err := scriptedpeer.ReadRequest(r); err == nil && attempts.Add(1) > 1 {
@@ -113,8 +113,8 @@
 	}
 }
 
-// A response of which only the head comes counts as none: a safe request is served by another endpoint, and an unsafe
-// one gets its final answer by its deadline.
+// An attempt fails if its response stalls after the head. A safe request is then served by another endpoint, and an
+// unsafe request gets its final response by its deadline.
 func TestHeadWithoutBody(t *testing.T) {
 	var loneHeads atomic.Int32
 	var stalling atomic.Bool
@@ -130,7 +130,7 @@
 		}
 		loneHeads.Add(1)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n")
-		r.Peek(1) // until the attempt is cancelled
+		r.Peek(1) // wait until the attempt is cancelled
 	})
 	stalling.Store(true)
 	s := start(t, configureStatic(t, instances(headOnly)))
@@ -142,7 +142,7 @@
 	complete := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
 	s = start(t, configureStatic(t, instances(headOnly, complete)))
 	stalling.Store(false)
-	for range 20 { // the sidecar learns response times; before, attempts have no timeout of their own
+	for range 20 { // attempts have no timeout until the sidecar has estimates of response times
 		s.request(t, safeRequest(900))
 	}
 	stalling.Store(true)
@@ -151,7 +151,8 @@
 	}
 }
 
-// An endpoint without a response must not keep the client waiting past its deadline, nor the connection open.
+// If an endpoint never responds, the client gets a final response by its deadline, and the connection to the
+// endpoint is closed.
 func TestDeadline(t *testing.T) {
 	ended := make(chan error, 3)
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -168,7 +169,7 @@
 	}{{"pay", 504}, {"book", 504}} {
 		started := time.Now()
 		resp, _ := s.request(t, request("POST", "/"+tc.class, tc.class, 200, "x"))
-		// The deadline, and 50 ms that PROTOCOL allows for the machine.
+		// The deadline is 200 ms. PROTOCOL allows 50 ms more for delays of the machine.
 		if took := time.Since(started); took > 250*time.Millisecond || resp.StatusCode != tc.want {
 			t.Errorf("%s: %s after %v, want %d within 250 ms", tc.class, resp.Status, took, tc.want)
 		}
@@ -176,13 +177,13 @@
 			t.Errorf("%s: the endpoint read on: %v", tc.class, err)
 		}
 	}
-	// A request that arrives after its deadline is rejected.
+	// A request that has no time left until its deadline is rejected.
 	if resp, _ := s.request(t, request("POST", "/pay", "pay", 0, "x")); resp.StatusCode != 503 {
 		t.Errorf("no time: %s, want 503", resp.Status)
 	}
 }
 
-// The attempt of a client that disconnects is cancelled.
+// When a client disconnects, the attempt of its open request is cancelled.
 func TestClientGone(t *testing.T) {
 	received, ended := make(chan struct{}), make(chan error, 1)
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -202,7 +203,8 @@
 	}
 }
 
-// An endpoint that does not answer one class, or rejects one tenant, gets few requests of these, and still the others.
+// An endpoint that never responds to one class, or rejects one tenant, gets few requests of that class or tenant,
+// but still gets other requests.
 func TestEndpointFailsOneClassOrTenant(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -218,7 +220,7 @@
 				w.Header().Set("X-Never-Ran", "1")
 				w.WriteHeader(503)
 			},
-			func() *http.Request { return safeRequest(900) }}, // of the same class
+			func() *http.Request { return safeRequest(900) }}, // of the same class but another tenant
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var failed, served atomic.Int32
@@ -252,8 +254,8 @@
 	}
 }
 
-// Idle connections may fail without a reset. A safe request on one is retried elsewhere long before its deadline, and
-// the others that have been idle for as long are not used one after another.
+// Idle connections may fail without a reset. A safe request on such a connection is retried at another endpoint long
+// before its deadline, and other connections that have been idle for as long are not tried one after another.
 func TestSilentConnections(t *testing.T) {
 	var silent atomic.Bool
 	var unanswered atomic.Int32
@@ -273,7 +275,7 @@
 		})
 	}
 	s := start(t, configureStatic(t, instances(endpoint(true), endpoint(false))))
-	for range 40 { // the sidecar learns how long requests take, over some connections at once
+	for range 40 { // the sidecar learns response times and opens several connections
 		var batch sync.WaitGroup
 		for range 8 {
 			batch.Go(func() { s.request(t, safeRequest(900)) })
@@ -289,7 +291,8 @@
 	}
 }
 
-// A dial can outlast the drain grace. Then nothing may be sent, and the request is rejected.
+// If the connection to a draining endpoint is established only after the drain grace, nothing is sent on it, and the
+// request is rejected.
 func TestDialOutlastsDrain(t *testing.T) {
 	var sent atomic.Int32
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) { sent.Add(1) })
@@ -298,7 +301,7 @@
 	for _, tc := range []struct {
 		name      string
 		update    discovery.List
-		graceEnds bool // the grace ends before the connection is established
+		graceEnds bool // whether the grace ends before the connection is established
 		want      int
 	}{
 		{"within the grace", discovery.List{Instances: []discovery.Instance{drained}}, false, 200},
@@ -332,7 +335,7 @@
 	}
 }
 
-// waitUntil returns at the instant end, or when the context is done.
+// waitUntil returns at the given instant, or when the context is done.
 func waitUntil(ctx context.Context, instant time.Time) {
 	select {
 	case <-time.After(time.Until(instant)):
@@ -340,13 +343,14 @@
 	}
 }
 
-// A dial can outlast the window in which a request with an idempotency key may be retried. The second attempt is not
-// sent then, and the request fails, because the first may have run. Within the window the second attempt is sent.
+// A request with an idempotency key may be retried only within its retry window. If the dial of the second attempt
+// ends after the window, the attempt is not sent and the request fails, because the first attempt may have run. If
+// the dial ends within the window, the second attempt is sent.
 func TestDialOutlastsWindow(t *testing.T) {
-	const window = 400 * time.Millisecond // as in settings
+	const window = 400 * time.Millisecond // the window of class book in siteSettings
 	for _, tc := range []struct {
 		name           string
-		secondDialLate bool // the second dial ends after the window
+		secondDialLate bool // whether the second dial ends after the window
 		wantStatus     int
 		wantAttempts   int32
 	}{
@@ -362,7 +366,7 @@
 				}
 				if attempts.Add(1) == 1 {
 					firstAttemptAt <- time.Now()
-					c.SetLinger(0) // it may have run
+					c.SetLinger(0) // close with a reset: the request may have run
 					return
 				}
 				io.WriteString(c, okResponse)
@@ -371,7 +375,7 @@
 			dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 				if dials.Add(1) == 2 && tc.secondDialLate && err == nil {
-					waitUntil(ctx, (<-firstAttemptAt).Add(window)) // a slow handshake
+					waitUntil(ctx, (<-firstAttemptAt).Add(window)) // simulate a slow handshake
 				}
 				return c, err
 			}
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -15,13 +15,13 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// pattern returns n bytes, a multiple of 16.
+// patternBytes returns n bytes of a repeated 16-byte pattern. n must be a multiple of 16.
 func patternBytes(n int) []byte { return bytes.Repeat([]byte("0123456789abcdef"), n/16) }
 
-// echo answers with the body as it comes, in chunks where it came so.
+// echo responds with the request's body while it arrives, in chunks if the request has no Content-Length.
 func echo(w http.ResponseWriter, r *http.Request) {
 	if err := http.NewResponseController(w).EnableFullDuplex(); err != nil {
-		panic(err) // HTTP/1.1 of net/http has it
+		panic(err) // net/http supports full duplex for HTTP/1.1
 	}
 	if r.ContentLength >= 0 {
 		w.Header().Set("Content-Length", fmt.Sprint(r.ContentLength))
@@ -29,7 +29,7 @@
 	io.Copy(w, r.Body)
 }
 
-// All forms of a request reach the endpoint with the body that the client sent.
+// Requests in all forms that HTTP/1.x allows reach the endpoint with the body that the client sent.
 func TestRequestForms(t *testing.T) {
 	s := start(t, configureStatic(t, instances(scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -73,8 +73,8 @@
 	}
 }
 
-// checkExchange sends a text in pieces of a size on a new connection, and checks the bodies of the responses, 100 or
-// 200.
+// checkExchange sends a text on a new connection in pieces of pieceSize bytes, and checks that the responses have
+// status 100 or 200 and the wanted bodies.
 func (s *testSidecar) checkExchange(t *testing.T, name, text string, pieceSize int, want []string) {
 	t.Helper()
 	c := s.dial(t)
@@ -102,14 +102,14 @@
 	}
 }
 
-// Responses in the forms that endpoints give them: a complete one is passed on unchanged, and one that is cut is never
-// shown as complete.
+// A complete response is forwarded with its body unchanged, in whatever form the endpoint sends it. A truncated
+// response never looks complete to the client.
 func TestResponseForms(t *testing.T) {
 	long := string(patternBytes(200 << 10))
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, tc := range []struct {
 		name, text, want string
-		truncated        bool // the client must see that it is not complete
+		truncated        bool // whether the client must detect that the response is incomplete
 	}{
 		{"ended by close", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabc", "abc", false},
 		{"long, ended by close", "HTTP/1.1 200 OK\r\n\r\n" + long, long, false},
@@ -152,7 +152,7 @@
 	}
 }
 
-// Bodies far larger than what is buffered are forwarded in both directions, with a length and without.
+// Bodies far larger than the buffers are forwarded in both directions, with and without a Content-Length.
 func TestLargeBodiesInBothDirections(t *testing.T) {
 	s := start(t, configureStatic(t, instances(scriptedpeer.StartHTTP(t, echo))))
 	body := patternBytes(8 << 20)
@@ -175,8 +175,8 @@
 	}
 }
 
-// The first bytes of a large response are forwarded before the rest has come, and a small one that takes longer than
-// the usual attempt timeout is neither cut off nor requested twice.
+// The first bytes of a large response are forwarded before the rest has arrived. A small response that takes
+// longer than the usual attempt timeout is neither truncated nor requested twice.
 func TestSlowResponseIsNotRetried(t *testing.T) {
 	firstBytesRead := make(chan struct{})
 	var attempts atomic.Int32
@@ -192,7 +192,7 @@
 			return
 		}
 		w.Header().Set("Content-Length", "1024")
-		for range 16 { // 400 ms in all; an attempt without a response times out after 50 ms
+		for range 16 { // 400 ms in total; an attempt without any response times out after 50 ms
 			w.Write(patternBytes(64))
 			controller.Flush()
 			time.Sleep(25 * time.Millisecond)
@@ -216,13 +216,14 @@
 	}
 }
 
-// A slow body is waited for, and the endpoint that receives it does not count as failing meanwhile.
+// The sidecar waits for a slow request body. Meanwhile, the endpoint that receives the body does not count as
+// failing.
 func TestSlowUpload(t *testing.T) {
 	s := start(t, configureStatic(t, instances(scriptedpeer.StartHTTP(t, echo))))
 	c := s.dial(t)
 	fmt.Fprint(c, "POST /pay HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 77\r\nX-Qos: pay\r\nX-Expires-In-Ms: 300\r\n"+
 		"Content-Length: 98304\r\n\r\n")
-	for range 6 { // 600 ms: longer than the client waits for the response, which counts from the last byte
+	for range 6 { // 600 ms, longer than the timeout, which starts at the last byte
 		c.Write(patternBytes(16 << 10))
 		time.Sleep(100 * time.Millisecond)
 		s.checkServed(t, "beside an upload")
--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -20,11 +20,11 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// blockedDials holds the connections of dials back until the test releases them, like a slow handshake.
+// blockedDials delays dials to endpoints until the test releases them, like a slow handshake.
 type blockedDials struct {
-	dialing   chan struct{} // receives each dial
-	release   chan struct{} // closed by the test
-	cancelled atomic.Int32  // dials that were cancelled meanwhile
+	dialing   chan struct{} // receives a value for each dial
+	release   chan struct{} // closed by the test to let all dials return
+	cancelled atomic.Int32  // number of dials that were cancelled while blocked
 }
 
 func newBlockedDials() *blockedDials {
@@ -47,7 +47,8 @@
 	return c, nil
 }
 
-// counting starts an endpoint that counts the bytes that it receives, and answers each request. It returns its address.
+// startCountingEndpoint starts an endpoint that adds the bytes that it receives to received, and responds to each
+// request. It returns the endpoint's address.
 func startCountingEndpoint(t *testing.T, received *atomic.Int64) string {
 	t.Helper()
 	return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -64,7 +65,7 @@
 	})
 }
 
-// requestText returns the complete text of a request.
+// requestText returns a request as it is sent on a connection.
 func requestText(t *testing.T, r *http.Request) string {
 	t.Helper()
 	var b bytes.Buffer
@@ -72,17 +73,17 @@
 	return b.String()
 }
 
-// reset closes a connection by a reset.
+// resetConn closes a connection with a TCP reset.
 func resetConn(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-// cancelTimeout is the time after a client's disconnect in which its request must be cancelled.
+// cancelTimeout is the maximum time from a client's disconnect until its request is cancelled.
 const cancelTimeout = 300 * time.Millisecond
 
-// checkCancelled waits until no request is open any more, and fails the test if that took longer than cancelTimeout
-// since the client's disconnect.
+// checkCancelled waits until no request is open, and reports an error if that is more than cancelTimeout after the
+// client's disconnect.
 func (s *testSidecar) checkCancelled(t *testing.T, disconnected time.Time) {
 	t.Helper()
 	scriptedpeer.Eventually(t, "no request is open", s.idle)
@@ -91,7 +92,8 @@
 	}
 }
 
-// hanging starts an endpoint that counts requests and never answers. It returns its address.
+// startHangingEndpoint starts an endpoint that counts requests in received and never responds. It returns the endpoint's
+// address.
 func startHangingEndpoint(t *testing.T, received *atomic.Int32) string {
 	t.Helper()
 	return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -104,13 +106,13 @@
 	})
 }
 
-// largeBody does not fit into the buffers between a client and the sidecar.
+// largeBody is larger than the buffers between a client and the sidecar.
 var largeBody = strings.Repeat("x", 200<<10)
 
-// disconnect has a client with an open request disconnect; text returns the text of a further request.
+// disconnect closes the connection of a client with an open request; text encodes a further request.
 type disconnect func(c *net.TCPConn, text func(*http.Request) string)
 
-// disconnects are the ways in which a client disconnects.
+// disconnects are the ways in which a client can disconnect, by subtest name.
 var disconnects = map[string]disconnect{
 	"closes":      func(c *net.TCPConn, _ func(*http.Request) string) { c.Close() },
 	"resets":      func(c *net.TCPConn, _ func(*http.Request) string) { resetConn(c) },
@@ -131,9 +133,10 @@
 	},
 }
 
-// A client that disconnects while its request waits for a connection to an endpoint cancels it: nothing of it is sent
-// to an endpoint, however the client disconnects and whatever it had sent before, also with settings that forbid the
-// cancellation of attempts. Its place is free at once, before the connection is established.
+// When a client disconnects while its request waits for a connection to an endpoint, the request is cancelled and
+// no part of it is sent, however the client disconnects and whatever it has sent. This also applies if the
+// settings forbid to cancel attempts. The request stops counting as open at once, before the connection is
+// established.
 func TestDisconnectWhileConnecting(t *testing.T) {
 	requests := map[string]func() *http.Request{
 		"safe":     func() *http.Request { return safeRequest(900) },
@@ -143,7 +146,7 @@
 	for method, disconnectClient := range disconnects {
 		for bodyKind, newRequest := range requests {
 			if bodyKind == "streamed" && method != "resets" {
-				continue // the end of the connection would wait at the client, behind the rest of the body
+				continue // the client's kernel would not send the FIN before the rest of the body
 			}
 			for _, cancel := range []string{"true", "false"} {
 				t.Run(fmt.Sprintf("%s, %s, cancel %s", method, bodyKind, cancel), func(t *testing.T) {
@@ -155,8 +158,8 @@
 	}
 }
 
-// checkDisconnectWhileConnecting has a client disconnect while the dial for its request is held back, with the setting
-// cancel.
+// checkDisconnectWhileConnecting disconnects a client while the dial for its request is blocked, and checks that the
+// request is cancelled. cancel is the value of the setting of that name.
 func checkDisconnectWhileConnecting(t *testing.T, disconnectClient disconnect, r *http.Request, cancel string) {
 	t.Helper()
 	var received atomic.Int64
@@ -165,13 +168,13 @@
 	s := startDialing(t, cfg, dials.dial)
 	c := s.dial(t)
 	text := requestText(t, r)
-	go io.WriteString(c, text) // a streamed body is not read before the connection is established
+	go io.WriteString(c, text) // blocks for a streamed body, which is not read before the dial has ended
 	scriptedpeer.Receive(t, dials.dialing, "dial")
 	disconnectClient(c.(*net.TCPConn), func(r *http.Request) string { return requestText(t, r) })
 	s.checkCancelled(t, time.Now())
 	scriptedpeer.Eventually(t, "the dial is cancelled", func() bool { return dials.cancelled.Load() == 1 })
 	close(dials.release)
-	// Another client is served as usual. Anything of the cancelled request would have been received before.
+	// Another client is served. The endpoint would have received bytes of the cancelled request before that.
 	s.checkServed(t, "the next request")
 	want := int64(len(requestText(t, safeRequest(900))))
 	if n := received.Load(); n > 2*want {
@@ -182,8 +185,9 @@
 	}
 }
 
-// A request that waits for health checks is cancelled when its client disconnects, and not sent once they have
-// succeeded. A round in which the health checks timed out first, on a busy machine, shows nothing and is repeated.
+// A request that waits for health checks is cancelled when its client disconnects, and is not sent after the
+// health checks have ended. On a busy machine the health checks may time out before the client disconnects; such a
+// round proves nothing and is repeated.
 func TestDisconnectWhileAwaitingProbes(t *testing.T) {
 	var mu sync.Mutex
 	var receivedAt []time.Time
@@ -199,12 +203,13 @@
 		io.WriteString(w, "ok")
 	})
 	defer close(release)
-	var endpoints []discovery.Instance // several, because the check of an endpoint that runs anyway is not waited for
+	var endpoints []discovery.Instance // several, because a request does not wait for a running health check
 	for i := range 8 {
 		endpoints = append(endpoints, scripteddiscovery.Up(fmt.Sprint("s-", i), addr))
 	}
 	for round := 0; ; round++ {
-		// A new sidecar each time: one that has sent requests lately does not wait for health checks.
+		// Each round has a new sidecar, because a sidecar that has sent requests recently does not wait for health
+		// checks.
 		s := start(t, configureStatic(t, endpoints,
 			`"probes":false`, `"probes":true`,
 			`"target":500000,"give-up":1000000`, `"target":1000000,"give-up":9000000`))
@@ -222,7 +227,7 @@
 		c.Close()
 		disconnected := time.Now()
 		s.checkCancelled(t, disconnected)
-		time.Sleep(time.Until(disconnected.Add(cancelTimeout))) // the health checks have timed out by then, too
+		time.Sleep(time.Until(disconnected.Add(cancelTimeout))) // by then the health checks have timed out, too
 		mu.Lock()
 		afterDisconnect := receivedAt[receivedBefore:]
 		mu.Unlock()
@@ -236,7 +241,7 @@
 	}
 }
 
-// The disconnect of a client is noticed, too, if its complete streamed body is still in the kernel's buffer.
+// The sidecar also detects the disconnect of a client whose complete streamed body is still in the kernel's buffer.
 func TestDisconnectAfterStreamedBody(t *testing.T) {
 	var received atomic.Int64
 	dials := newBlockedDials()
@@ -257,12 +262,12 @@
 	}
 }
 
-// Many clients that disconnect at once leave no request and no connection open.
+// When many clients disconnect at once, no request and no client connection stays open.
 func TestManyClientsDisconnectAtOnce(t *testing.T) {
 	var received atomic.Int64
 	dials := newBlockedDials()
 	s := startDialing(t, configureStatic(t, instances(startCountingEndpoint(t, &received))), dials.dial)
-	const numClients, expectedDials = 40, 4 // the others are rejected, or still unread
+	const numClients, expectedDials = 40, 4 // the other requests are rejected or not yet read
 	var conns []net.Conn
 	for range numClients {
 		c := s.dial(t)
@@ -286,8 +291,8 @@
 	}
 }
 
-// Pipelined requests behind an open one are not sent to an endpoint if the client has disconnected meanwhile, not even
-// after the open one's deadline.
+// Pipelined requests that wait behind an open request are not sent to an endpoint after the client has
+// disconnected, not even after the deadline of the open request.
 func TestDisconnectBeforePipelinedRequestsAreRead(t *testing.T) {
 	var received atomic.Int32
 	addr := startHangingEndpoint(t, &received)
--- a/internal/sidecar/client_lifetimes_test.go
+++ b/internal/sidecar/client_lifetimes_test.go
@@ -14,30 +14,30 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// witness records what happens to clients' requests: when each reached the endpoint, when its client disconnected, and
-// which rules were broken.
+// lifetimeRecorder records when each request reached the endpoint, when its client disconnected, and the
+// violations that were found.
 type lifetimeRecorder struct {
 	mu           sync.Mutex
-	received     map[string][]time.Time // by request id
-	disconnected map[string]time.Time   // by request id
+	received     map[string][]time.Time // when the endpoint received the request, by request id
+	disconnected map[string]time.Time   // when the client disconnected, by request id
 	violations   []string
 
-	closedWithoutResponse []string // requests of racing clients whose connection was closed without a response
+	closedWithoutResponse []string // ids of racing clients' requests without a response
 }
 
 func newWitness() *lifetimeRecorder {
 	return &lifetimeRecorder{received: map[string][]time.Time{}, disconnected: map[string]time.Time{}}
 }
 
-// violated records a broken rule.
+// recordViolation records a violation with a formatted description.
 func (w *lifetimeRecorder) recordViolation(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// endpoint returns a handler that responds with the request's id after a delay drawn from a seed. With wrongly every
-// seventh response has the id of another.
+// endpoint returns a handler that responds with the request's id after a delay drawn from a seed. With wrongIDs
+// every seventh response has a wrong id.
 func (w *lifetimeRecorder) endpoint(seed uint64, wrongIDs bool) http.HandlerFunc {
 	rng := rand.New(rand.NewPCG(seed, 37))
 	delays := make([]time.Duration, 64)
@@ -59,8 +59,8 @@
 	}
 }
 
-// lifetimeClient is a client of TestLivesOfClients. A racing client connects while the sidecar stops: it may find no
-// listener, or be closed without a response if none of its requests was forwarded.
+// lifetimeClient is a client of TestLivesOfClients. A racing client connects while the sidecar stops: its
+// connection may be refused, or closed without a response if none of its requests was forwarded.
 type lifetimeClient struct {
 	recorder *lifetimeRecorder
 	addr     string
@@ -68,8 +68,8 @@
 	racing   bool
 }
 
-// connectOnce is the lifetime of one connection, as drawn by the client's rng. It calls onSent once the client sends
-// nothing more.
+// connectOnce opens a connection, sends requests and reads the responses or disconnects, as drawn by the client's
+// rng. It calls onSent after the client has sent its last byte.
 func (c *lifetimeClient) connectOnce(t *testing.T, onSent func()) {
 	t.Helper()
 	conn, err := net.Dial("tcp", c.addr)
@@ -96,7 +96,7 @@
 	c.readResponses(conn, ids)
 }
 
-// drawRequests returns the ids and the text of one to three requests.
+// drawRequests returns the ids and the encoded text of one to three random requests.
 func (c *lifetimeClient) drawRequests(t *testing.T) (ids []string, text string) {
 	t.Helper()
 	for range 1 + c.rng.IntN(3) {
@@ -110,7 +110,7 @@
 	return ids, text
 }
 
-// disconnect closes or resets the connection after a moment.
+// disconnect closes or resets the connection after less than 20 ms, and records the time for the requests' ids.
 func (c *lifetimeClient) disconnect(conn net.Conn, ids []string) {
 	time.Sleep(time.Duration(c.rng.IntN(20)) * time.Millisecond)
 	if c.rng.IntN(2) == 0 {
@@ -126,7 +126,7 @@
 	}
 }
 
-// readResponses reads a response to each request in order.
+// readResponses reads the responses in the order of the requests, and records violations.
 func (c *lifetimeClient) readResponses(conn net.Conn, ids []string) {
 	w := c.recorder
 	conn.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
@@ -155,11 +155,11 @@
 }
 
 // runClientLifetimes runs clients that send complete and partial requests, single, pipelined and in pieces, wait,
-// disconnect and reconnect in an order drawn from a seed. The sidecar is stopped while the last clients are connected.
-// It returns the violations: a complete request of a connected client without a final response, a response to another
-// request, a request that the endpoint received twice, a request that was forwarded later than cancelTimeout after its
-// client's disconnect, or a request that is still open at the end. With wrongIDs the endpoint sends responses with the
-// ids of other requests.
+// disconnect and reconnect in an order drawn from a seed. The sidecar is stopped while the last clients are
+// connected. It returns the violations: a complete request of a connected client without a final response, a
+// response to another request, a request that the endpoint received twice, a request that was forwarded later than
+// cancelTimeout after its client's disconnect, or a request that is still open at the end. With wrongIDs the
+// endpoint sends responses with the ids of other requests.
 func runClientLifetimes(t *testing.T, seed uint64, wrongIDs bool) []string {
 	t.Helper()
 	w := newWitness()
@@ -178,7 +178,8 @@
 	}
 	runningClients.Wait()
 	scriptedpeer.Eventually(t, "nothing is left", func() bool { return s.idle() && s.openConnections() == 0 })
-	// These have sent everything before the stop: connections in the listener's queue are served, too.
+	// These clients have sent everything before the stop. Connections in the listener's accept queue are served,
+	// too.
 	var lastClients, sending sync.WaitGroup
 	for i := range uint64(4) {
 		client := newClient(100+i, false)
@@ -198,7 +199,7 @@
 	return w.allViolations()
 }
 
-// result returns all violations, with those that only the end shows.
+// allViolations returns the recorded violations and those that can be found only after all clients have ended.
 func (w *lifetimeRecorder) allViolations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -224,8 +225,8 @@
 	return violations
 }
 
-// runClientLifetimes finds no violation, however clients use and close their connections. It does find an endpoint that
-// sends responses to other requests.
+// runClientLifetimes finds no violation, however clients use and close their connections. It does find an endpoint
+// that sends responses to other requests.
 func TestLivesOfClients(t *testing.T) {
 	for seed := range uint64(6) {
 		for _, violation := range runClientLifetimes(t, seed, false) {
--- a/internal/sidecar/cordons.go
+++ b/internal/sidecar/cordons.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// cordonsFile is a file in the folder that the two processes of a hot restart share. The successor reads the
-	// cordons from it when the predecessor ended before it could send them. The platform empties the folder before
-	// every other start.
+	// cordonsFile is the name of the file in the shared folder that stores the cordons. A successor reads it,
+	// because its predecessor may have ended before it could send the cordons. The platform empties the folder
+	// before every start that is not a hot restart.
 	cordonsFile     = "dunlinsail.words"
-	maxCordonsFile  = 1 << 20 // bytes that are read of the file
-	cordonsFileMode = 0o600   // the sidecar's user only
+	maxCordonsFile  = 1 << 20 // limit on the bytes that are read from cordonsFile
+	cordonsFileMode = 0o600   // readable and writable by the sidecar's user only
 )
 
-// setCordon cordons an endpoint, given by name or address, or lifts its cordon. An endpoint that is not in the list is
-// admin.ErrUnknownEndpoint.
+// setCordon cordons an endpoint, given by name or address, or lifts its cordon. It returns
+// admin.ErrUnknownEndpoint if the endpoint is not in the endpoint list.
 func (s *sidecar) setCordon(ctx context.Context, target string, cordoned bool) error {
 	record, known, err := s.core.SetCordon(ctx, target, cordoned, takeover.Monotonic())
 	switch {
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// saveCordons writes all cordons to the shared folder. A failure is logged only, because the cordons are in effect in
-// this process and are handed over to a successor.
+// saveCordons writes all cordons to the shared folder. It only logs a failure, because the cordons are already in
+// effect in this process and are also sent to a successor.
 func (s *sidecar) saveCordons(ctx context.Context) {
 	if s.config.SharedDir == "" {
 		return
@@ -52,7 +52,7 @@
 	}
 }
 
-// writeCordons replaces the file of cordons by a rename, so that a reader never sees a part of it.
+// writeCordons replaces cordonsFile by a rename, so that a reader never sees an incomplete file.
 func (s *sidecar) writeCordons(ctx context.Context) error {
 	cordons, err := s.core.Cordons(ctx)
 	if err != nil {
@@ -70,8 +70,8 @@
 	return os.Rename(temporary, path)
 }
 
-// readCordons returns the cordons that another process of this sidecar wrote; nil if there are none. A file that
-// cannot be read is logged and counts as none.
+// readCordons returns the cordons that another process of this sidecar wrote to the shared folder. It returns nil if
+// there is no file, and logs the error and returns nil if the file cannot be read.
 func (s *sidecar) readCordons() []cordon.Record {
 	if s.config.SharedDir == "" {
 		return nil
@@ -92,7 +92,7 @@
 	return cordons
 }
 
-// ReceiveCordons applies cordons that were set at the process on the other side.
+// ReceiveCordons applies cordons that the other process of a hot restart has sent.
 func (l *lifecycle) ReceiveCordons(payload []byte) {
 	var cordons []cordon.Record
 	if err := json.Unmarshal(payload, &cordons); err != nil {
@@ -102,11 +102,11 @@
 	l.sidecar.core.ReceiveCordons(cordons...)
 }
 
-// cordonPeers are the connections to other processes of this sidecar, to which cordons are sent. Its methods may be
-// called from any goroutine.
+// cordonPeers is the set of connections to other processes of this sidecar, to which cordons are sent. Its methods
+// may be called from any goroutine.
 type cordonPeers struct {
 	mu    sync.Mutex
-	conns []*takeover.Conn // its elements never change, since broadcast reads it without mu
+	conns []*takeover.Conn // elements are never overwritten, because broadcast reads the slice without mu
 }
 
 func (p *cordonPeers) add(conn *takeover.Conn) {
@@ -126,7 +126,8 @@
 	}
 }
 
-// broadcast sends a cordon to all peers. A failed write is ignored: the reader of that connection reports its end.
+// broadcast sends a cordon to all peers. It ignores a failed write, because the goroutine that reads from the
+// connection reports that the connection has ended.
 func (p *cordonPeers) broadcast(record cordon.Record) {
 	p.mu.Lock()
 	conns := p.conns
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -12,8 +12,8 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// Updates of the list move requests to a new address, and away from endpoints that drain or are removed. A complete
-// list removes the endpoints that are not in it.
+// Updates of the endpoint list move requests to the new address of an endpoint, and away from endpoints that drain
+// or are removed. A complete list removes the endpoints that are not in it.
 func TestEndpointListUpdates(t *testing.T) {
 	endpoint := func(name string) string {
 		return scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
@@ -44,7 +44,7 @@
 	} {
 		generation := int64(8 + i)
 		server.Lines <- scripteddiscovery.Line(generation, step.reset, step.instances...)
-		// The list has arrived once requests go where they should.
+		// The update has been applied once requests are served by the expected endpoint.
 		var servedBy string
 		for deadline := time.Now().Add(scriptedpeer.WaitTimeout); ; {
 			if _, servedBy = s.request(t, safeRequest(900)); servedBy == step.want || time.Now().After(deadline) {
@@ -59,7 +59,7 @@
 			t.Fatalf("step %d: answered by %q, want %q", i, servedBy, step.want)
 		}
 		for range 10 {
-			// A new endpoint is warming up, and may get fewer requests.
+			// Requests may be rejected, because a new endpoint is warming up and may get fewer requests.
 			_, servedBy = s.request(t, safeRequest(900))
 			if step.want != "" && servedBy != step.want && !strings.HasPrefix(servedBy, "refused") {
 				t.Fatalf("step %d: then answered by %q, want %q", i, servedBy, step.want)
@@ -68,21 +68,21 @@
 	}
 }
 
-// The sidecar serves from the list that it was started with while discovery is down.
+// While discovery is down, the sidecar serves with the endpoint list of its configuration.
 func TestKnownListServes(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {})
 	s := start(t, configureStatic(t, instances(addr)))
 	s.checkServed(t, "with a known list and no discovery")
 }
 
-// With polled discovery the balancer starts each watch, and a new one after one that ended.
+// With polled discovery, the balancer starts a watch, and starts a new watch after the previous one has ended.
 func TestPolledDiscovery(t *testing.T) {
 	server := scripteddiscovery.New(t)
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {})
 	s := start(t, configure(t, server.Addr, instances(scriptedpeer.ClosedAddress(t)),
 		`"discovery":"automatic"`, `"discovery":"subscribe"`))
 	scriptedpeer.Receive(t, server.Requests, "first watch")
-	server.Lines <- "" // it ends
+	server.Lines <- "" // an empty line ends the watch
 	scriptedpeer.Receive(t, server.Requests, "watch after one that ended")
 	server.Lines <- scripteddiscovery.Line(8, true, scripteddiscovery.Up("s-2", addr))
 	for deadline := time.Now().Add(scriptedpeer.WaitTimeout); ; {
--- a/internal/sidecar/endpoint_connlimit_test.go
+++ b/internal/sidecar/endpoint_connlimit_test.go
@@ -11,7 +11,7 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// cappedListener is a listener that resets connections beyond a number of open ones.
+// cappedListener is a listener that resets new connections while maxOpen connections are open.
 type cappedListener struct {
 	net.Listener
 	maxOpen  int32
@@ -48,12 +48,12 @@
 	return c.Conn.Close()
 }
 
-// fullEndpoint is an endpoint that accepts one connection, and holds each request until the test lets it go.
+// fullEndpoint is an endpoint that accepts one connection, and delays each response until the test releases it.
 type fullEndpoint struct {
 	listener *cappedListener
 	requests atomic.Int32
-	received chan struct{} // receives each request
-	release  chan struct{} // lets one request go, or all once it is closed
+	received chan struct{} // receives a value for each request
+	release  chan struct{} // each value releases one response; closing it releases all
 }
 
 func startFullEndpoint(t *testing.T) *fullEndpoint {
@@ -77,8 +77,9 @@
 	return e
 }
 
-// An endpoint that accepts no more connections still answers on those that it has: they are kept and used, and a
-// request that finds no connection there is sent to another endpoint at once. No request fails.
+// An endpoint that rejects further connections still responds on its open connections. The sidecar keeps and uses
+// these connections, and sends a request to another endpoint at once if no connection is available. No request
+// fails.
 func TestEndpointFullOfConnections(t *testing.T) {
 	full := startFullEndpoint(t)
 	other := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
@@ -87,7 +88,7 @@
 	})
 	s := start(t, configureStatic(t, instances(full.listener.Addr().String(), other)))
 
-	// One request occupies the only connection, so that no other can be opened meanwhile.
+	// One request occupies the only connection to the full endpoint, so that no other connection can be opened.
 	statuses := make(chan int, 1)
 	for full.requests.Load() == 0 {
 		go func() {
@@ -121,7 +122,7 @@
 		t.Errorf("the request at the full endpoint was answered %d", code)
 	}
 
-	// It still answers on the connection that it has.
+	// The endpoint still responds on its open connection.
 	close(full.release)
 	rejectedBefore := full.listener.rejected.Load()
 	for full.requests.Load() < 5 {
--- a/internal/sidecar/events_test.go
+++ b/internal/sidecar/events_test.go
@@ -11,7 +11,8 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// The event log has each attempt by the endpoint's name and each connection by its address, and Read reads it again.
+// The event log contains each attempt with the endpoint's name and each connection with the endpoint's address, and
+// eventlog.Read can read it.
 func TestEventsAreLogged(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "one") })
 	c := configureStatic(t, instances(addr))
--- a/internal/sidecar/golden_test.go
+++ b/internal/sidecar/golden_test.go
@@ -13,9 +13,9 @@
 	"dunlinsail/internal/platform"
 )
 
-// TestCordonsOfEarlierBuild reads the file of cordons that the build of commit 870f4ac wrote, and encodes them
-// to the same bytes, which are also those of the message to another process. The file is never changed: the
-// other process may be of another build.
+// TestCordonsOfEarlierBuild reads the file of cordons that the build of commit 870f4ac wrote, and checks that
+// encoding the cordons gives the same bytes. Messages to the other process of a hot restart have the same
+// encoding. Do not change the golden file, because the other process may be an earlier build.
 func TestCordonsOfEarlierBuild(t *testing.T) {
 	golden, err := os.ReadFile("testdata/words.golden.json")
 	require.NoError(t, err)
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestPathsOfEarlierBuild holds the names of the files at which two builds of a sidecar meet.
+// TestPathsOfEarlierBuild verifies the names of the files through which processes of different builds communicate.
 func TestPathsOfEarlierBuild(t *testing.T) {
 	if socketName != "dunlinsail.takeover" || cordonsFile != "dunlinsail.words" {
 		t.Errorf("%q, %q", socketName, cordonsFile)
--- a/internal/sidecar/helper_test.go
+++ b/internal/sidecar/helper_test.go
@@ -23,7 +23,8 @@
 	"dunlinsail/internal/platform"
 )
 
-// settings is a small site without health checks: a safe class, one with idempotency keys and an unsafe one.
+// siteSettings are the settings of a small site without health checks. Its request classes are safe (look), with
+// idempotency keys (book) and unsafe (pay).
 const siteSettings = `{"peers-total":1,"areas":["a","b"],"skus":["m1"],"discovery":"automatic",
 	"classes":[
 	{"name":"look","repeat":"pure","target":500000,"give-up":1000000,"credit":1.0},
@@ -36,13 +37,14 @@
 	"reporting":{"how":"probe","fields":["busy_reqs","served_ps","cpu_share"]},
 	"tenants":[{"name":"acme","allowance-per-s":100.0,"share":1.0}]}`
 
-// configureStatic makes a configuration whose discovery is down, so that the known list stays the only one.
+// configureStatic returns a configuration whose discovery is down, so that the sidecar keeps the known endpoint
+// list. edits are as for configure.
 func configureStatic(t *testing.T, known []discovery.Instance, edits ...string) *platform.Config {
 	t.Helper()
 	return configure(t, scriptedpeer.ClosedAddress(t), known, edits...)
 }
 
-// instances returns endpoints at some addresses, named s-1, s-2 and so on.
+// instances returns endpoints at the given addresses, named s-1, s-2 and so on.
 func instances(addrs ...string) []discovery.Instance {
 	var list []discovery.Instance
 	for i, addr := range addrs {
@@ -51,7 +53,7 @@
 	return list
 }
 
-// dial connects to the sidecar. The connection is closed with the test.
+// dial connects to the sidecar. The connection is closed at the end of the test.
 func (s *testSidecar) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.addr)
@@ -66,13 +68,14 @@
 	return counts.InFlight == 0 && counts.OpenCalls == 0
 }
 
-// openConnections returns the number of clients' connections.
+// openConnections returns the number of open client connections.
 func (s *testSidecar) openConnections() int {
 	open, _ := s.sidecar.frontend.ConnectionCounts()
 	return open
 }
 
-// configure makes a configuration, with edits to the settings as pairs of old and new text.
+// configure returns a configuration with the discovery at addr and a known endpoint list. edits are pairs of old
+// and new text that are replaced in siteSettings.
 func configure(t *testing.T, addr string, known []discovery.Instance, edits ...string) *platform.Config {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": addr,
@@ -85,7 +88,7 @@
 	return c
 }
 
-// running is a sidecar under test.
+// testSidecar is a running sidecar under test.
 type testSidecar struct {
 	sidecar *sidecar
 	addr    string
@@ -93,16 +96,16 @@
 	ended   chan error
 
 	reload         chan os.Signal
-	reloadedConfig chan *platform.Config // what is read at a reload; nil is an error
+	reloadedConfig chan *platform.Config // results of the next reads of the configuration; nil makes a read fail
 }
 
-// start runs a sidecar and waits until it is ready. It is stopped with the test.
+// start runs a sidecar and waits until it is ready. The sidecar is stopped at the end of the test.
 func start(t *testing.T, c *platform.Config) *testSidecar {
 	t.Helper()
 	return startDialing(t, c, nil)
 }
 
-// startDialing runs a sidecar as start does, with a dial of the test's own.
+// startDialing runs a sidecar as start does, and the sidecar connects to endpoints with the given dial.
 func startDialing(t *testing.T, c *platform.Config, dial dialFunc) *testSidecar {
 	t.Helper()
 	ln, err := net.Listen("tcp", c.Listen)
@@ -112,7 +115,8 @@
 	return serve(t, parts, ln)
 }
 
-// serve runs an assembled sidecar on a listener and waits until it is ready. It is stopped with the test.
+// serve runs an assembled sidecar on a listener and waits until it is ready. The sidecar is stopped at the end of
+// the test.
 func serve(t *testing.T, parts *sidecar, ln net.Listener) *testSidecar {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -130,7 +134,7 @@
 	return s
 }
 
-// readyStatus returns the status of the response to a readiness check, 0 without a response.
+// readyStatus returns the status code of a readiness check, or 0 without a response.
 func (s *testSidecar) readyStatus() int {
 	resp, err := http.Get("http://" + s.addr + "/-/ready")
 	if err != nil {
@@ -140,7 +144,7 @@
 	return resp.StatusCode
 }
 
-// read returns the configuration that a test has sent for the reload.
+// read returns the configuration that a test has sent to reloadedConfig, or an error if it is nil.
 func (s *testSidecar) read() (*platform.Config, error) {
 	if c := <-s.reloadedConfig; c != nil {
 		return c, nil
@@ -150,18 +154,19 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// look makes a request of the safe class.
+// safeRequest returns a request of the safe class with a timeout in milliseconds.
 func safeRequest(timeoutMs int) *http.Request {
 	return request("GET", "/look/1", "look", timeoutMs, "")
 }
 
 var lastRequestID atomic.Uint32
 
-// request makes a request of a class with a deadline in milliseconds and a new id.
+// request returns a request of a class with a timeout in milliseconds and a new id. Requests of class book have an
+// idempotency key.
 func request(method, path, class string, timeoutMs int, body string) *http.Request {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	if body == "" {
-		r.Body = http.NoBody // or its length is not known
+		r.Body = http.NoBody // otherwise the body has an unknown length
 	}
 	r.Header.Set("X-Trace-Id", fmt.Sprintf("9b1f03aa%08x", lastRequestID.Add(1)))
 	r.Header.Set("X-Qos", class)
@@ -173,14 +178,14 @@
 	return r
 }
 
-// request sends a request to the sidecar on a connection of its own and returns the complete response.
+// request sends a request to the sidecar on a new connection and returns the response and its body.
 func (s *testSidecar) request(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	c := s.dial(t)
 	return s.requestOn(t, c, r)
 }
 
-// requestOn sends a request on a connection and returns the complete response.
+// requestOn sends a request on a connection and returns the response and its body.
 func (s *testSidecar) requestOn(t *testing.T, c net.Conn, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	require.NoError(t, r.Write(c))
@@ -192,7 +197,7 @@
 	return resp, string(body)
 }
 
-// readHead reads the head of the response to a request. The response's body is left to the caller.
+// readHead reads the head of the response to a request. The caller reads the body.
 func readHead(t *testing.T, c net.Conn, r *http.Request) *http.Response {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
@@ -203,8 +208,8 @@
 	return resp
 }
 
-// requestInBackground sends a request on a connection of its own, and returns a channel that receives the status of its
-// response.
+// requestInBackground sends a request on a new connection, and returns a channel that receives the status code of
+// the response.
 func (s *testSidecar) requestInBackground(t *testing.T, r *http.Request) <-chan int {
 	t.Helper()
 	c := s.dial(t)
@@ -216,7 +221,7 @@
 	return status
 }
 
-// checkServed checks that a request of the safe class is served.
+// checkServed checks that a request of the safe class gets status 200. situation is part of the error message.
 func (s *testSidecar) checkServed(t *testing.T, situation string) {
 	t.Helper()
 	if resp, _ := s.request(t, safeRequest(900)); resp.StatusCode != 200 {
@@ -224,7 +229,7 @@
 	}
 }
 
-// checkEnded waits for the end of a sidecar that was stopped, and checks that it ends without error.
+// checkEnded waits until a stopped sidecar ends, and checks that it ends without an error.
 func (s *testSidecar) checkEnded(t *testing.T) {
 	t.Helper()
 	if err := scriptedpeer.Receive(t, s.ended, "end"); err != nil {
@@ -232,9 +237,9 @@
 	}
 }
 
-// startBlockingEndpoint starts an endpoint that reports each request for a path on received and responds once release
-// is closed. It responds to requests for other paths at once. An empty path matches every request. It returns the
-// endpoint's address.
+// startBlockingEndpoint starts an endpoint that reports each request for a path on received and responds once
+// release is closed. It responds to requests for other paths at once. An empty path matches every request. It
+// returns the endpoint's address.
 func startBlockingEndpoint(t *testing.T, path string, received chan<- struct{}, release <-chan struct{}) string {
 	t.Helper()
 	return scriptedpeer.StartHTTP(t, func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/sidecar/inherited.go
+++ b/internal/sidecar/inherited.go
@@ -7,21 +7,22 @@
 	"syscall"
 )
 
-// inheritedListener is a listening socket that the platform shares with this process. Whether it blocks is a property
-// of the socket, not of a process: the platform may make it blocking at any time, as package os/exec does when it
-// passes the socket to another process. An accept that blocks could not be ended, neither by a deadline nor by Close.
+// inheritedListener is a listening socket that the platform shares with this process. The non-blocking mode is a
+// property of the socket that all processes share: the platform may switch the socket to blocking mode at any
+// time, as package os/exec does when it passes the socket to another process. Neither a deadline nor Close can
+// interrupt a blocking accept.
 type inheritedListener struct {
 	*net.TCPListener
 	raw syscall.RawConn
 }
 
-// inheritListener returns the listener of a descriptor that the platform has passed to this process.
+// inheritListener returns a listener for a file descriptor that the platform has passed to this process.
 func inheritListener(fd int) (net.Listener, error) {
 	file := os.NewFile(uintptr(fd), "inherited")
 	if file == nil {
 		return nil, fmt.Errorf("ROUTER_INHERITED_FD: %d is no descriptor", fd)
 	}
-	defer file.Close() // the listener has one of its own
+	defer file.Close() // net.FileListener duplicates the descriptor
 	for option, want := range map[int]int{syscall.SO_TYPE: syscall.SOCK_STREAM, syscall.SO_ACCEPTCONN: 1} {
 		if got, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, option); err != nil || got != want {
 			return nil, fmt.Errorf("ROUTER_INHERITED_FD: %d is no listening stream socket", fd)
@@ -39,7 +40,7 @@
 	return &inheritedListener{tcp, raw}, err
 }
 
-// Accept makes the socket non-blocking again, and waits for a connection.
+// Accept sets the socket to non-blocking mode and waits for a connection.
 func (l *inheritedListener) Accept() (net.Conn, error) {
 	var err error
 	controlErr := l.raw.Control(func(fd uintptr) { err = syscall.SetNonblock(int(fd), true) })
--- a/internal/sidecar/lifecycle.go
+++ b/internal/sidecar/lifecycle.go
@@ -16,45 +16,48 @@
 )
 
 const (
-	// replyTimeout bounds each of the three answers of a hot restart, and readyTimeout the successor's start. Together
-	// they are below the 6 s after which the platform sends SIGTERM to the predecessor, so that a successor whose hot
-	// restart fails in the last step still has time to start alone.
+	// replyTimeout bounds the wait for each of the three replies of a hot restart, and readyTimeout bounds the wait
+	// until the successor is ready. Their sum, 5 s, is below the 6 s after which the platform sends SIGTERM to the
+	// predecessor, so that a successor whose hot restart fails in the last step still has time to start alone.
 	replyTimeout = time.Second
 	readyTimeout = 2 * time.Second
-	// drainTimeout bounds how long connections stay open once this process accepts no more. It is longer than any
-	// request's deadline and than most streamed responses; the platform usually kills the process earlier.
+	// drainTimeout bounds how long connections stay open after this process has stopped accepting. It is longer
+	// than the deadline of any request and the duration of most streamed responses. The platform usually kills the
+	// process earlier.
 	drainTimeout = 30 * time.Second
-	// deadlineMargin is added to the longest client deadline to give the time within which everything is answered after
-	// a stop. It is below the 0.7 s after that deadline at which the platform kills the process.
+	// deadlineMargin is added to the longest client deadline: within the sum, all responses are sent after a stop
+	// request. The margin is below 0.7 s, because the platform kills the process 0.7 s after the longest deadline.
 	deadlineMargin = 500 * time.Millisecond
-	// maxDeadline bounds the client deadline that a stop waits for.
+	// maxDeadline is the upper limit on the client deadline that is used to bound the duration of a stop.
 	maxDeadline = 3 * time.Second
-	// stopAcceptDelay is how long a process that stops goes on accepting. Clients still connect for 0.4 s after a stop.
+	// stopAcceptDelay is the time for which a process still accepts connections after it starts to drain. Clients
+	// may connect for up to 0.4 s after a stop request.
 	stopAcceptDelay = 550 * time.Millisecond
 )
 
-// socketName is the unix socket at which the process that serves listens for its successor, in the folder that the two
-// processes of a hot restart share.
+// socketName is the file name of the unix socket on which the serving process listens for its successor. It is in
+// the folder that the two processes of a hot restart share.
 const socketName = "dunlinsail.takeover"
 
-// lifecycle is the lifecycle of a sidecar's process from its start to its end: successor of the process that serves, if
-// there is one, then serving, then predecessor of the next. The platform holds the clients' listening socket, and both
-// processes have it. A handover moves accepting on that socket, the learned state and the clients' connections.
+// lifecycle controls a sidecar's process from its start to its end. The process starts as the successor of the
+// serving process, if there is one, then serves, and then is the predecessor of the next process. The platform
+// owns the listening socket for clients and passes it to both processes. In a handover, the successor starts to
+// accept on that socket, and receives the learned state and the clients' connections.
 //
-// Its fields belong to the goroutine of run; other goroutines post events to Loop.
+// Only the goroutine of run uses the fields; other goroutines post events to Loop.
 type lifecycle struct {
 	*takeover.Lifecycle
 	sidecar  *sidecar
 	listener net.Listener
 
-	offeredSnapshot []byte     // the snapshot that came with the offer
-	earlyConns      []net.Conn // handed over before this process accepts
-	startedServing  bool       // it has started to accept, which it may have ended since
+	offeredSnapshot []byte     // snapshot from the predecessor's offer, until it is restored
+	earlyConns      []net.Conn // connections that were handed over before this process serves
+	startedServing  bool       // whether this process has ever started to accept clients
 
 	successorListener *takeover.Listener // nil before this process serves, and without a shared folder
-	acceptResult      chan error         // of the frontend's accept loop; nil while it does not run
+	acceptResult      chan error         // result of the accept loop; nil while the loop does not run
 
-	stopRequested bool // by the platform
+	stopRequested bool // whether the platform has requested a stop
 
 	cordonPeers cordonPeers
 }
@@ -71,14 +74,15 @@
 	return l
 }
 
-// run takes over or starts alone, serves, and returns once every request is answered or handed over.
+// run takes over from a predecessor or starts alone, serves, and returns once every request has its final response
+// or its connection was handed over.
 func (l *lifecycle) run(stop context.Context) error {
 	defer l.close()
 	l.connect()
 	return l.RunLoop(stop.Done(), l.onStop)
 }
 
-// close releases every socket and connection, and waits for the goroutines that post events.
+// close closes every socket and connection, and waits for the goroutines that post events.
 func (l *lifecycle) close() {
 	l.CloseLoop()
 	if l.successorListener != nil {
@@ -89,12 +93,12 @@
 	for _, conn := range l.earlyConns {
 		conn.Close()
 	}
-	l.sidecar.frontend.CloseAll() // there are connections only if the start failed
+	l.sidecar.frontend.CloseAll() // connections are still open only if the start failed
 	l.Loop.Goroutines.Wait()
 }
 
-// socketPath returns the path of the socket for successors. It is "" without a shared folder, when no other process can
-// have this process's listening socket.
+// socketPath returns the path of the unix socket on which this process listens for a successor. It returns ""
+// without a shared folder, because then no other process can share the clients' listening socket.
 func (l *lifecycle) socketPath() string {
 	if l.sidecar.config.SharedDir == "" {
 		return ""
@@ -102,7 +106,7 @@
 	return filepath.Join(l.sidecar.config.SharedDir, socketName)
 }
 
-// connect starts as the successor of the process that serves, or alone.
+// connect starts this process as the successor of the serving process, or alone if there is none.
 func (l *lifecycle) connect() {
 	if path := l.socketPath(); path != "" {
 		conn, err := takeover.Dial(path)
@@ -116,13 +120,13 @@
 		}
 	}
 	l.Successor.ServeAlone()
-	_ = l.StartAlone() // the error is always nil
+	_ = l.StartAlone() // StartAlone always returns nil
 }
 
 // ---- Stopping ----------------------------------------------------------------
 
-// onStop handles the platform's order to stop. The platform's time limit runs from this moment, whatever the state of a
-// hot restart, and also for requests that are accepted later.
+// onStop handles the platform's stop request. The platform's time limit starts at this moment, regardless of the
+// state of a hot restart, and also applies to requests that are accepted later.
 func (l *lifecycle) onStop() {
 	l.stopRequested = true
 	l.limitResponseTime()
@@ -132,8 +136,9 @@
 	}
 }
 
-// limitResponseTime bounds the time of every response, so that all are sent before the platform kills the process.
-// Requests that are only partly received by then cannot be answered, and their connections are closed.
+// limitResponseTime sets a deadline for all responses, so that they are sent before the platform kills the
+// process. At that deadline, connections with an incompletely received request are closed, because such a request
+// cannot get a response any more.
 func (l *lifecycle) limitResponseTime() {
 	log := l.sidecar.log
 	limit := min(maxDeadline, longestDeadline(l.sidecar.config)) + deadlineMargin
@@ -146,7 +151,7 @@
 	})
 }
 
-// longestDeadline returns the longest client timeout of all classes.
+// longestDeadline returns the longest client timeout of all request classes.
 func longestDeadline(c *platform.Config) time.Duration {
 	var longest time.Duration
 	for _, class := range c.Site.Settings.Classes {
@@ -157,7 +162,8 @@
 
 // ---- Accepting clients ---------------------------------------------------------
 
-// accept starts the accept loop. Its goroutine ends when pause sets a deadline on the listener, or with the listener.
+// startAccepting starts the accept loop. The loop ends when stopAcceptLoop sets a deadline on the listener, or
+// when the listener is closed or fails.
 func (l *lifecycle) startAccepting() {
 	result := make(chan error, 1)
 	l.acceptResult = result
@@ -169,7 +175,8 @@
 	})
 }
 
-// onAcceptEnded ends the process if the accept loop failed. It does nothing if pause ended that loop.
+// onAcceptEnded ends the process with an error if the accept loop has failed. It does nothing if stopAcceptLoop
+// ended that loop.
 func (l *lifecycle) onAcceptEnded(result chan error) {
 	if l.acceptResult != result {
 		return
@@ -180,7 +187,7 @@
 	}
 }
 
-// pause ends the accept loop. Clients that connect from then on wait in the socket's queue.
+// stopAcceptLoop ends the accept loop. Clients that connect afterwards wait in the socket's accept queue.
 func (l *lifecycle) stopAcceptLoop() {
 	l.sidecar.accepting.Store(false)
 	if l.acceptResult != nil {
@@ -190,9 +197,9 @@
 	}
 }
 
-// setAcceptDeadline sets the instant at which a waiting Accept returns; the zero time is never.
+// setAcceptDeadline sets the time at which a waiting Accept returns with an error. The zero time means no deadline.
 func (l *lifecycle) setAcceptDeadline(t time.Time) {
 	if listener, ok := l.listener.(interface{ SetDeadline(time.Time) error }); ok {
-		_ = listener.SetDeadline(t) // it fails only on a closed listener
+		_ = listener.SetDeadline(t) // fails only if the listener is closed
 	}
 }
--- a/internal/sidecar/limits_test.go
+++ b/internal/sidecar/limits_test.go
@@ -18,7 +18,7 @@
 	"dunlinsail/internal/platform"
 )
 
-// Requests over the settings' limit never ran.
+// Requests above the configured limit on open requests are rejected and not sent to an endpoint.
 func TestRequestLimit(t *testing.T) {
 	received, release := make(chan struct{}, 2), make(chan struct{})
 	addr := startBlockingEndpoint(t, "", received, release)
@@ -37,8 +37,8 @@
 	}
 }
 
-// Idle connections are closed in favour of new ones, the longest idle first, and none costs the sidecar a descriptor
-// that it needs.
+// At the limit on client connections, the connection that has been idle longest is closed for each new one. Idle
+// connections never use descriptors that the sidecar needs itself.
 func TestConnectionLimit(t *testing.T) {
 	received, release := make(chan struct{}, 1), make(chan struct{})
 	addr := startBlockingEndpoint(t, "/pay", received, release)
@@ -72,14 +72,14 @@
 	}
 }
 
-// Idle connections of clients may use only a small part of the descriptors, because their machine needs them to open
-// new connections. Connections with an open request may use all descriptors for clients.
+// Idle client connections may use only a small fraction of the descriptors, because the clients' machine has a
+// limit on connections, too. Connections with an open request may use all descriptors for clients.
 func TestIdleConnectionLimit(t *testing.T) {
 	received, release := make(chan struct{}, 64), make(chan struct{})
 	addr := startBlockingEndpoint(t, "/pay", received, release)
 	releaseAll := sync.OnceFunc(func() { close(release) })
-	t.Cleanup(releaseAll)         // otherwise the endpoint could not be closed
-	var list []discovery.Instance // a single one would seem overloaded
+	t.Cleanup(releaseAll)         // otherwise the endpoint cannot be closed
+	var list []discovery.Instance // 64, because a single endpoint would seem overloaded
 	for i := range 64 {
 		list = append(list, scripteddiscovery.Up(fmt.Sprint("s-", i), addr))
 	}
@@ -99,14 +99,14 @@
 		}
 		idleConns = append(idleConns, c)
 	}
-	// The earliest are closed at once, not after the idle time.
+	// The connections that have been idle longest are closed at once, not after an idle timeout.
 	for i, c := range idleConns[:limits.MaxIdle] {
 		c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Fatalf("connection %d: %v, want it closed", i, err)
 		}
 	}
-	// The others follow far sooner than one connection alone would.
+	// With as many idle connections as allowed, the idle timeout is far shorter than for a single connection.
 	started := time.Now()
 	idleConns[limits.MaxIdle].SetReadDeadline(started.Add(maxIdleTime / 2))
 	if _, err := idleConns[limits.MaxIdle].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
@@ -129,8 +129,8 @@
 	}
 }
 
-// A client that sends no complete request gets an error or is disconnected within 3 s, before another read and before
-// it could delay a stop of the sidecar.
+// A client that sends no complete request gets an error response or is disconnected within 3 s, which is less
+// than two read timeouts (http1.RequestTimeout), so that it cannot delay a stop of the sidecar.
 func TestIncompleteRequests(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) { t.Error("an attempt was made") })
 	s := start(t, configureStatic(t, instances(addr)))
@@ -154,7 +154,7 @@
 	}
 }
 
-// A second request with the id of an open one is a conflict, because an endpoint could not distinguish them.
+// A request with the id of an open request gets status 409, because an endpoint could not distinguish the two.
 func TestIDOfOpenRequest(t *testing.T) {
 	received, release := make(chan struct{}, 2), make(chan struct{})
 	addr := startBlockingEndpoint(t, "", received, release)
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -8,7 +8,7 @@
 	"dunlinsail/internal/frontend/http1"
 )
 
-// metrics returns the metrics, all read at one moment, as one line "name=value" each.
+// metrics returns the metrics as text, one line "name=value" per metric. All values are read at the same moment.
 func (s *sidecar) metrics(ctx context.Context) ([]byte, error) {
 	var outcomesByClass []http1.OutcomeCounts
 	var openRequests int
--- a/internal/sidecar/predecessor.go
+++ b/internal/sidecar/predecessor.go
@@ -8,43 +8,44 @@
 	"dunlinsail/internal/takeover"
 )
 
-// successorStartGrace is how long a predecessor stays alive after it has activated the successor, even with no
-// connection left: if the successor ends in this time, the predecessor resumes serving. It is below the 0.7 s that the
-// platform leaves the predecessor.
+// successorStartGrace is the minimum time for which a predecessor stays alive after it has activated the
+// successor, even without open connections: if the successor ends within this time, the predecessor resumes
+// serving. It is below the 0.7 s after which the platform kills the predecessor.
 const successorStartGrace = 500 * time.Millisecond
 
-// The methods of this file implement takeover.PredecessorHost: they carry out the commands of the predecessor's state
+// The methods in this file implement takeover.PredecessorHost: they execute the commands of the predecessor's state
 // machine.
 
-// Offer returns the message with the snapshot of the learned state, and sends later cordons to the successor, too.
+// Offer returns the message with the snapshot of the learned state, and adds the successor to the processes to which
+// new cordons are sent.
 func (l *lifecycle) Offer(successor *takeover.Conn) takeover.Message {
 	snapshot := l.EncodeSnapshot(l.sidecar.core.Snapshot(), l.sidecar.connPool.Evidence())
 	l.cordonPeers.add(successor)
 	return takeover.Message{Kind: decide.Offer, Payload: snapshot}
 }
 
-// StopAccepting pauses the accept loop and returns the encoded snapshot for the handover.
+// StopAccepting stops the accept loop and returns the encoded snapshot for the handover.
 func (l *lifecycle) StopAccepting() []byte {
 	l.stopAcceptLoop()
 	return l.EncodeSnapshot(l.sidecar.core.SnapshotForHandover(), l.sidecar.connPool.Evidence())
 }
 
-// Activating does nothing: the listening socket is the platform's.
+// Activating does nothing, because the platform owns the listening socket and the successor already has it.
 func (l *lifecycle) Activating() {}
 
-// HandOverConnections hands idle client connections to the successor as they come, and closes idle connections to
-// endpoints, because the limit on descriptors is the successor's from now on.
+// HandOverConnections hands each client connection to the successor as soon as the connection is idle, and closes
+// idle connections to endpoints, because from now on the successor may use the descriptors.
 func (l *lifecycle) HandOverConnections(successor *takeover.Conn) {
 	l.sidecar.connPool.SetKeepIdle(false)
 	l.sidecar.frontend.SetHandoff(func(conn net.Conn) bool { return successor.HandOver(conn) == nil })
 	l.Loop.After(successorStartGrace, func() {
-		if l.SuccessorConn == successor { // otherwise the successor was lost, and this process serves again or drains
+		if l.SuccessorConn == successor { // otherwise the successor has ended, and this process serves again or drains
 			l.WaitUntilDrained()
 		}
 	})
 }
 
-// ResumeServing accepts clients again after the successor was lost.
+// ResumeServing accepts clients again after the connection to the successor was lost.
 func (l *lifecycle) ResumeServing() {
 	l.sidecar.frontend.SetHandoff(nil)
 	l.sidecar.core.CancelHandover()
@@ -53,46 +54,47 @@
 	l.startAccepting()
 }
 
-// Drain starts the graceful shutdown without a successor. The process accepts for stopAcceptDelay, because clients
-// still connect, and serves these requests, too; each response closes its connection.
+// Drain starts a graceful shutdown without a successor. The process still accepts for stopAcceptDelay, because
+// clients still connect after a stop request, and serves the requests of these connections. Each response closes
+// its connection.
 func (l *lifecycle) Drain() {
 	l.sidecar.log.Info("draining")
 	l.sidecar.accepting.Store(false)
 	l.sidecar.frontend.SetHandoff(nil)
-	if !l.stopRequested { // the successor was stopped, so that the platform's time limit runs for this process, too
+	if !l.stopRequested { // the successor was stopped, so the platform's time limit applies to this process, too
 		l.limitResponseTime()
 	}
 	l.sidecar.frontend.Quiesce()
 	if l.successorListener != nil {
 		l.successorListener.Close()
 	}
-	if l.acceptResult == nil { // it was paused for a successor that was lost
+	if l.acceptResult == nil { // the accept loop was stopped for a successor that has ended since
 		l.startAccepting()
 		l.sidecar.accepting.Store(false)
 	}
 	l.Loop.After(stopAcceptDelay, l.stopListening)
 }
 
-// stopListening accepts the connections in the socket's queue and closes the socket.
+// stopListening accepts the connections that are still in the socket's accept queue, and closes the socket.
 func (l *lifecycle) stopListening() {
 	l.stopAcceptLoop()
 	l.sidecar.frontend.AcceptQueued(l.listener, l.sidecar.identify)
 	l.listener.Close()
-	l.sidecar.frontend.Quiesce() // closes connections accepted since Drain that have sent nothing
+	l.sidecar.frontend.Quiesce() // closes connections that were accepted since Drain and have sent no request
 	l.WaitUntilDrained()
 }
 
-// CloseRemaining closes the connections that are still open after drainTimeout.
+// CloseRemaining closes the client connections that are still open after drainTimeout.
 func (l *lifecycle) CloseRemaining() {
 	l.sidecar.log.Warn("drain timeout, connections closed", "after", drainTimeout)
 	l.sidecar.frontend.CloseAll()
 }
 
-// SendFailed does nothing: the end of the connection follows and is logged.
+// SendFailed does nothing, because a failed send is always followed by the end of the connection, which is logged.
 func (l *lifecycle) SendFailed(error) {}
 
 // SuccessorLeaving stops sending cordons to the successor.
 func (l *lifecycle) SuccessorLeaving(conn *takeover.Conn) { l.cordonPeers.remove(conn) }
 
-// HandingOver does nothing: a sidecar applies no configuration that a handover would have to delay.
+// HandingOver does nothing, because a sidecar applies no configuration that has to wait for the end of a handover.
 func (l *lifecycle) HandingOver(bool) {}
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -8,10 +8,10 @@
 	"dunlinsail/internal/platform"
 )
 
-// reloadOnSignal reads the configuration again at each signal until ctx ends, and switches to the discovery address of
-// the file if that has changed. ROUTER_DISCOVERY overrides the file at the start only; otherwise no reload could
-// change the address. Every other setting takes effect at the next start. A file that cannot be read is logged and
-// changes nothing.
+// reloadOnSignal reads the configuration at each signal until ctx ends, and switches discovery to the address in
+// the file if that address has changed. ROUTER_DISCOVERY overrides the address in the file only at the start of
+// the process; otherwise a reload could never change the address. Changes of all other settings take effect at the
+// next start. If the file cannot be read, the error is logged and nothing changes.
 func (s *sidecar) reloadOnSignal(ctx context.Context, signals <-chan os.Signal,
 	readConfig func() (*platform.Config, error)) {
 	current := s.config
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -12,8 +12,8 @@
 	"dunlinsail/internal/platform"
 )
 
-// A new configuration moves the watch to the discovery of its file at once, with nothing kept of the old one: the new
-// discovery has generations of its own, and endpoints that it does not list are removed.
+// A reload moves the watch to the discovery address of the new configuration at once. No state of the old
+// discovery is kept: the new discovery has its own generations, and endpoints that it does not list are removed.
 func TestReload(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		t.Run(mode, func(t *testing.T) {
@@ -24,14 +24,15 @@
 			}
 			list := instances(endpoint("one"), endpoint("two"), endpoint("three"))
 			for i := range list {
-				list[i].StartedMs = 1 // long ago: an endpoint that is warming up may get fewer requests
+				list[i].StartedMs = 1 // started long ago, because an endpoint that is warming up may get fewer requests
 			}
 			one, two, three := list[0], list[1], list[2]
 			configured := func(addr string) *platform.Config {
 				return configure(t, addr, list[:1], `"discovery":"automatic"`, `"discovery":"`+mode+`"`)
 			}
 			oldServer, newServer := scripteddiscovery.New(t), scripteddiscovery.New(t)
-			// As with ROUTER_DISCOVERY, which sets the address at the start and is overridden by a file that changes.
+			// Like ROUTER_DISCOVERY: it sets the address at the start, until a reload finds a changed address in
+			// the file.
 			c := configured(scriptedpeer.ClosedAddress(t))
 			c.Discovery = oldServer.Addr
 			s := start(t, c)
@@ -43,7 +44,7 @@
 			}
 			expectWatch(oldServer, "1 7")
 
-			// A file that cannot be read and one with the same address leave the watch as it is.
+			// A failed read and a configuration with the same address do not change the watch.
 			sameAddress := *c
 			for _, c := range []*platform.Config{nil, &sameAddress} {
 				s.reload <- syscall.SIGHUP
@@ -64,7 +65,7 @@
 	}
 }
 
-// serves waits until only the endpoint of this name answers.
+// waitServedOnlyBy waits until five requests in a row are served by the endpoint of this name.
 func (s *testSidecar) waitServedOnlyBy(t *testing.T, want string) {
 	t.Helper()
 	for deadline, consecutive := time.Now().Add(scriptedpeer.WaitTimeout), 0; consecutive < 5; {
@@ -78,7 +79,7 @@
 	}
 }
 
-// Configurations may come while the sidecar stops.
+// A reload while the sidecar stops moves the watch, and the sidecar still ends without an error.
 func TestReloadWhileStopping(t *testing.T) {
 	server := scripteddiscovery.New(t)
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {})
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -38,7 +38,7 @@
 	for _, r := range []*http.Request{
 		safeRequest(480),
 		request("GET", "/look/a%2Fb?x=%20y&z", "look", 480, ""),
-		// The response is as large as one may be.
+		// The response to this request has the maximum size.
 		request("POST", "/book", "book", 480, strings.Repeat("b", siteconfig.MaxBodyBytes-6)),
 		request("POST", "/pay?p=1", "pay", 480, ""),
 	} {
@@ -47,7 +47,7 @@
 			r.Body = io.NopCloser(strings.NewReader(string(body)))
 		}
 		resp, text := s.request(t, r)
-		contentType := "" // where the endpoint names no type, none is guessed
+		contentType := "" // the sidecar must not guess a type if the endpoint sends none
 		if r.Method == "GET" {
 			contentType = "application/x-card"
 		}
@@ -64,7 +64,7 @@
 	}
 }
 
-// checkForwarded checks the head that an endpoint received of a request with a deadline of 480 ms.
+// checkForwarded checks the head that an endpoint received for a request with a timeout of 480 ms.
 func checkForwarded(t *testing.T, sent, received *http.Request) {
 	t.Helper()
 	if received.Method != sent.Method || received.RequestURI != sent.RequestURI {
@@ -76,7 +76,7 @@
 			t.Errorf("%s: sent %q, got %q", h, sent.Header.Get(h), received.Header.Get(h))
 		}
 	}
-	// The endpoint gets the time of this attempt, not the client's.
+	// The endpoint gets the timeout of the attempt, which is shorter than the client's timeout.
 	if ms, err := strconv.Atoi(received.Header.Get("X-Expires-In-Ms")); err != nil || ms >= 480 || ms < 1 {
 		t.Errorf("X-Expires-In-Ms %q, want under 480", received.Header.Get("X-Expires-In-Ms"))
 	}
@@ -97,7 +97,7 @@
 	}
 }
 
-// checkInvalidRequests checks requests that are correct HTTP and invalid otherwise.
+// checkInvalidRequests checks the error status of requests that are correct HTTP but violate another rule.
 func (s *testSidecar) checkInvalidRequests(t *testing.T) {
 	t.Helper()
 	without := func(r *http.Request, header string) *http.Request {
@@ -129,7 +129,8 @@
 	}
 }
 
-// checkMalformedTexts checks texts that are not correct HTTP, or that two readers could understand differently.
+// checkMalformedTexts checks the error status of texts that are not correct HTTP, or that two HTTP implementations
+// could parse differently.
 func (s *testSidecar) checkMalformedTexts(t *testing.T) {
 	t.Helper()
 	head := func(lines ...string) string {
@@ -191,7 +192,7 @@
 	}
 }
 
-// Requests to endpoints that answer in a fraction of a millisecond are not rejected.
+// Requests are not rejected if the endpoints respond in a fraction of a millisecond.
 func TestFastEndpoints(t *testing.T) {
 	var addrs []string
 	for range 4 {
@@ -206,8 +207,8 @@
 	}
 }
 
-// After the order to stop clients still connect for a while. Each request is answered, with
-// Connection: close, what was taken before is finished, and the sidecar ends without error.
+// Clients still connect for a while after a stop request. Each request, also one that was open before, gets a
+// response with Connection: close, and the sidecar ends without an error.
 func TestStop(t *testing.T) {
 	received, release := make(chan struct{}, 1), make(chan struct{})
 	addr := startBlockingEndpoint(t, "/pay", received, release)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,10 +1,10 @@
-// Package sidecar assembles the platform's sidecar: one listener for one application, the core with its balancer,
-// the pool of connections to endpoints, and the watch at discovery. It starts these parts, switches them to a new
-// configuration, and stops them in order.
+// Package sidecar assembles the platform's sidecar: a listener for one application, the core with its balancer,
+// the pool of connections to endpoints, and the watch for endpoint lists at discovery. It starts these parts,
+// applies a new configuration to them, and stops them in order.
 //
-// sidecar.go assembles the parts; lifecycle.go takes a process from its start to its end, with successor.go and
-// predecessor.go for the two sides of a hot restart; admin.go, cordons.go and metrics.go answer operators; reload.go
-// applies a new configuration.
+// sidecar.go assembles the parts; lifecycle.go controls a process from its start to its end, with successor.go and
+// predecessor.go for the two sides of a hot restart; admin.go, cordons.go and metrics.go handle operators' requests;
+// reload.go applies a new configuration.
 package sidecar
 
 import (
@@ -32,28 +32,31 @@
 	"dunlinsail/internal/upstream"
 )
 
-// reservedSockets is the number of descriptors that neither clients nor endpoints may use: standard streams, the
-// listener, the runtime, arrivals on idle connections, calls of discovery and the configuration file.
+// reservedSockets is the number of file descriptors that connections to clients and endpoints may not use. They
+// are for the standard streams, the listener, the Go runtime, the detection of arrivals on idle connections,
+// requests to discovery and the configuration file.
 const reservedSockets = 16
 
 const (
-	// idleConnsDivisor limits the clients' connections without an open request to this part of the descriptors. The
-	// clients' machine has limits of its own, and each idle connection that is kept is one that other clients there
-	// cannot open.
+	// idleConnsDivisor limits client connections without an open request to 1/6 of the unreserved descriptors. The
+	// clients' machine has its own limit on connections, and each idle connection that is kept open reduces the
+	// number of connections that other clients on that machine can open.
 	idleConnsDivisor = 6
-	maxIdleTime      = 15 * time.Second       // idle time of a connection between requests, while no other is idle
-	minIdleTime      = 100 * time.Millisecond // idle time of a connection while as many are idle as may be
+	maxIdleTime      = 15 * time.Second       // idle timeout of a client connection while no other is idle
+	minIdleTime      = 100 * time.Millisecond // idle timeout of a client connection at the limit on idle ones
 )
 
-// Where lists are pushed, discovery is an agent on this machine, and a call to it is fast and cheap. What the agent
-// learns when it is reachable again counts as known to this sidecar from that moment, so that a call must be open then,
-// or follow within the drain grace.
+// Timeouts for discovery that pushes endpoint lists. Such a discovery is an agent on this machine, and requests to
+// it are fast and cheap. When the agent is reachable again after an outage, its updates count as known to this
+// sidecar from that moment. A request to the agent must therefore be open at that moment, or follow within the
+// drain grace.
 const (
-	agentResponseTimeout = 500 * time.Millisecond // until an answer of the agent begins
-	agentMaxBackoff      = 50 * time.Millisecond  // longest backoff between calls to the agent
+	agentResponseTimeout = 500 * time.Millisecond // limit on the time until a response of the agent starts
+	agentMaxBackoff      = 50 * time.Millisecond  // maximum backoff between requests to the agent
 )
 
-// availableSockets returns the number of descriptors that clients and endpoints share, with the reserved ones.
+// availableSockets returns the number of descriptors for connections to clients and endpoints, including the
+// reservedSockets. Descriptors for the admin server are not included.
 func availableSockets(c *platform.Config) int {
 	if c.AdminAddress != "" {
 		return c.Sockets - admin.Sockets
@@ -61,9 +64,9 @@
 	return c.Sockets
 }
 
-// clientLimits returns the limits of clients' connections. They may use half of the descriptors that are not reserved.
-// The other half is for connections to endpoints: an open request has one of each, and health checks and hedged
-// requests need further ones.
+// clientLimits returns the limits on client connections. They may use half of the unreserved descriptors. The
+// other half is for connections to endpoints: an open request uses one connection to the client and one to an
+// endpoint, and health checks and hedged requests need additional connections to endpoints.
 func clientLimits(sockets int) connlimit.Limits {
 	return connlimit.Limits{
 		MaxConnections: (sockets - reservedSockets) / 2,
@@ -73,14 +76,14 @@
 	}
 }
 
-// upstreamConns returns the number of connections to endpoints that may be open.
+// upstreamConns returns the maximum number of open connections to endpoints.
 func upstreamConns(sockets int) int {
 	return sockets - reservedSockets - clientLimits(sockets).MaxConnections
 }
 
-// Run serves until stop ends or another process has taken over, then finishes the open requests and returns. At each
-// signal of reload it calls read for the configuration. An error means that the process could not start, or that its
-// listener failed.
+// Run serves until stop ends or another process has taken over, then finishes the open requests and returns. At
+// each signal from reload it calls readConfig for the new configuration. Run returns an error if the process could
+// not start or its listener failed.
 func Run(stop context.Context, c *platform.Config, reload <-chan os.Signal, readConfig func() (*platform.Config, error),
 	log *slog.Logger) error {
 	ln, err := listen(c)
@@ -95,7 +98,8 @@
 	return s.serve(stop, ln, reload, readConfig)
 }
 
-// listen returns the clients' listening socket: the one inherited from the platform, or a new one without that.
+// listen returns the listening socket for clients. The socket is inherited from the platform if InheritedFD is
+// set, and new otherwise.
 func listen(c *platform.Config) (net.Listener, error) {
 	if c.InheritedFD == 0 {
 		return net.Listen("tcp", c.Listen)
@@ -103,7 +107,7 @@
 	return inheritListener(c.InheritedFD)
 }
 
-// sidecar holds the parts that assemble makes.
+// sidecar holds the parts of the sidecar; assemble creates it.
 type sidecar struct {
 	config     *platform.Config
 	clock      clock.Clock
@@ -112,21 +116,22 @@
 	core       *core.Core
 	listSource *discovery.Source
 	frontend   *http1.Server
-	client     *http1.Client // the application
-	events     *eventlog.Log // nil unless the configuration has an event log
+	client     *http1.Client // the only client, the application
+	events     *eventlog.Log // nil if the configuration has no event log
 
 	endpointPool  *core.Pool
-	firstWatcher  *discovery.Watcher // the one that source starts with
-	start         func()             // starts the goroutines of core, pool and source; set by serve
+	firstWatcher  *discovery.Watcher // the first watcher of listSource
+	start         func()             // starts core, connPool and listSource; set by serve
 	lifecycle     *lifecycle
-	accepting     atomic.Bool // reports whether this process accepts clients
-	cordonsFileMu sync.Mutex  // guards the file of cordons
+	accepting     atomic.Bool // whether this process accepts clients
+	cordonsFileMu sync.Mutex  // guards cordonsFile
 }
 
 // dialFunc opens a connection to an endpoint.
 type dialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// assemble makes a sidecar without starting it. A nil dial is a net.Dialer's.
+// assemble creates a sidecar without starting it. Connections to endpoints are opened by dial, or by a net.Dialer if
+// dial is nil.
 func assemble(c *platform.Config, dial dialFunc, log *slog.Logger) (*sidecar, error) {
 	s := &sidecar{config: c, clock: clock.New(), log: log}
 	var observer engine.Observer
@@ -179,7 +184,7 @@
 	return err
 }
 
-// newFrontend makes the frontend and its only client, the application.
+// newFrontend creates the frontend and its only client, the application.
 func (s *sidecar) newFrontend() error {
 	c := s.config
 	var err error
@@ -201,7 +206,8 @@
 	return err
 }
 
-// logDials returns a dial whose connections and errors are written to the event log. A nil dial is a net.Dialer's.
+// logDials returns a dialFunc that calls dial and writes the connections and errors to the event log. A net.Dialer
+// is used if dial is nil.
 func (s *sidecar) logDials(dial dialFunc) dialFunc {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: clock.Duration(s.config.Site.Settings.Limits.DialTimeout)}).DialContext
@@ -212,7 +218,7 @@
 	}
 }
 
-// newSource makes the source of endpoint lists, without starting it.
+// newSource creates the source of endpoint lists without starting it.
 func (s *sidecar) newSource() {
 	watcher := s.watchDiscovery(s.config.Discovery, s.config.Known.Generation)
 	s.firstWatcher = watcher
@@ -225,11 +231,11 @@
 	})
 }
 
-// identify returns the client of a connection: the application is the only one.
+// identify returns the client of a connection, which is always the application.
 func (s *sidecar) identify(net.Conn) (*http1.Client, func(), error) { return s.client, nil, nil }
 
-// watchDiscovery returns a discovery watcher that updates the core with the lists after a generation. The source starts
-// it.
+// watchDiscovery returns a watcher that requests the endpoint lists after a generation from the discovery at addr,
+// and passes them to the core. listSource starts the watcher.
 func (s *sidecar) watchDiscovery(addr string, after int64) *discovery.Watcher {
 	w := discovery.NewWatcher(addr, after, s.config.MemoryMB, s.updateEndpoints, s.log)
 	if s.events != nil {
@@ -242,17 +248,18 @@
 	return w
 }
 
-// updateEndpoints passes an update of the endpoint list to the core. Watchers have it before s.endpoints is set.
+// updateEndpoints passes an update of the endpoint list to the core. It is a method of its own because watchers are
+// created before s.endpointPool is set.
 func (s *sidecar) updateEndpoints(ctx context.Context, update engine.EndpointUpdate) {
 	s.endpointPool.UpdateEndpoints(ctx, update)
 }
 
-// serve runs the sidecar on a listener, which it closes, until stop ends or another process has taken over. read is
-// called at each signal of reload.
+// serve runs the sidecar on a listener until stop ends or another process has taken over, and then closes the
+// listener. readConfig is called at each signal from reload.
 func (s *sidecar) serve(stop context.Context, ln net.Listener, reload <-chan os.Signal,
 	readConfig func() (*platform.Config, error)) error {
-	// The goroutines of core, pool and reload end after the frontend, so that every request is answered first.
-	// That is why ctx is not derived from stop.
+	// ctx is not derived from stop, because the goroutines of core, connPool and reload must run until the
+	// frontend has sent a response to every request.
 	ctx, cancel := context.WithCancel(context.Background())
 	var background sync.WaitGroup
 	defer background.Wait()
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -18,12 +18,12 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// gated is a listener whose Accept waits, after hold, until a deadline is set or the listener is closed. Clients that
-// connect meanwhile are in the kernel's queue.
+// gatedListener is a listener whose Accept blocks after closeGate, until a deadline is set or the listener is
+// closed. Clients that connect meanwhile wait in the kernel's accept queue.
 type gatedListener struct {
 	*net.TCPListener
 	mu         sync.Mutex
-	closedGate chan struct{} // closed by open; nil while the gate is open
+	closedGate chan struct{} // closed by openGate; nil while the gate is open
 }
 
 func (l *gatedListener) currentGate() chan struct{} {
@@ -55,7 +55,7 @@
 			return c, err
 		}
 		if err == nil {
-			c.Close() // the test's own, for which Accept was waiting as the gate was shut
+			c.Close() // the test's own connection, for an Accept that waited when the gate was closed
 		}
 		<-gate
 	}
@@ -73,7 +73,7 @@
 	return err
 }
 
-// loopback listens at a free port.
+// listenLoopback listens on a free port of 127.0.0.1.
 func listenLoopback(t *testing.T) *net.TCPListener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -81,7 +81,7 @@
 	return ln.(*net.TCPListener)
 }
 
-// serveOn runs a sidecar with one endpoint on a listener of the test's own.
+// serveOn runs a sidecar with one endpoint on the given listener.
 func serveOn(t *testing.T, ln net.Listener, endpoint discovery.Instance) *testSidecar {
 	t.Helper()
 	parts, err := assemble(configureStatic(t, []discovery.Instance{endpoint}), nil, scriptedpeer.DiscardLog)
@@ -89,14 +89,15 @@
 	return serve(t, parts, ln)
 }
 
-// Connections in the listener's queue are served when the listener is closed, because the kernel has accepted them.
+// Connections in the listener's accept queue are served before the listener is closed, because the kernel has
+// already established them.
 func TestStopServesTheQueue(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
 	ln := &gatedListener{TCPListener: listenLoopback(t)}
 	s := serveOn(t, ln, scripteddiscovery.Up("s-1", addr))
-	s.request(t, safeRequest(900)) // the sidecar learns response times
+	s.request(t, safeRequest(900)) // gives the sidecar an estimate of response times
 	ln.closeGate()
-	if c, err := net.Dial("tcp", s.addr); err == nil { // for the Accept that is waiting already
+	if c, err := net.Dial("tcp", s.addr); err == nil { // ends the Accept that is already waiting
 		c.Read(make([]byte, 1))
 		c.Close()
 	}
@@ -111,7 +112,7 @@
 	for i, c := range conns {
 		c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-		// Of several at once some may be rejected.
+		// Some of several simultaneous requests may be rejected.
 		if err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 || !resp.Close {
 			t.Errorf("connection %d: %v, %v", i, resp, err)
 		}
@@ -119,8 +120,8 @@
 	s.checkEnded(t)
 }
 
-// Pipelined requests behind one that is open at the stop are answered, too. Only the last response closes the
-// connection, and none is lost by a reset.
+// Pipelined requests that wait behind an open request at the stop get responses, too. Only the last response
+// closes the connection, and no response is lost by a reset.
 func TestStopBetweenPipelinedRequests(t *testing.T) {
 	received, release := make(chan struct{}, 4), make(chan struct{})
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
@@ -154,8 +155,8 @@
 	s.checkEnded(t)
 }
 
-// A request that becomes complete late after the stop is answered before the platform kills the process, 0.7 s after
-// the longest deadline, however long its own deadline. The only endpoint never answers.
+// A request that becomes complete late after the stop gets a response before the platform kills the process, 0.7 s
+// after the longest client deadline, even if its own deadline is later. The only endpoint never responds.
 func TestStopEndsInTime(t *testing.T) {
 	var received atomic.Int32
 	addr := startHangingEndpoint(t, &received)
@@ -167,9 +168,9 @@
 	started := time.Now()
 	s.stop()
 	completion := time.AfterFunc(900*time.Millisecond, func() { io.WriteString(c, text[len(text)-1:]) })
-	defer completion.Stop() // its own deadline is at 1.9 s
+	defer completion.Stop() // the request's own deadline is 1.9 s after the stop
 	resp := readHead(t, c, nil)
-	const killDelay = 1700 * time.Millisecond // 1 s, the longest deadline, and 0.7 s
+	const killDelay = 1700 * time.Millisecond // the longest client deadline, 1 s, plus 0.7 s
 	if took := time.Since(started); took > killDelay || received.Load() != 1 || resp.StatusCode != 504 {
 		t.Errorf("%s after %v, with %d attempts", resp.Status, took, received.Load())
 	}
@@ -179,7 +180,7 @@
 	}
 }
 
-// accepting is a listener that passes the connections that it accepts to a test, too.
+// reportingListener is a listener that also sends the connections that it accepts to a test.
 type reportingListener struct {
 	*net.TCPListener
 	accepted chan *net.TCPConn
@@ -190,13 +191,13 @@
 	if err == nil {
 		select {
 		case l.accepted <- c.(*net.TCPConn):
-		default: // the test has ended
+		default: // the channel is full: the test has ended
 		}
 	}
 	return c, err
 }
 
-// unread reports whether the kernel has bytes of a connection that are not read yet.
+// hasUnreadBytes reports whether the kernel's receive buffer of a connection contains bytes.
 func hasUnreadBytes(t *testing.T, c *net.TCPConn) bool {
 	t.Helper()
 	raw, err := c.SyscallConn()
@@ -210,8 +211,9 @@
 	return n > 0
 }
 
-// A request of which a part has come at the stop, head or body, is waited for, because its client would not send it
-// again. One that never becomes complete is closed when it could not be answered in time any more.
+// At a stop, the sidecar waits for the rest of a request of which a part of the head or body has arrived, because
+// the client would not send it again. The connection of a request that stays incomplete is closed as soon as there
+// is no time left for a response.
 func TestStopWaitsForIncompleteRequest(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -219,7 +221,7 @@
 	})
 	ln := &reportingListener{TCPListener: listenLoopback(t), accepted: make(chan *net.TCPConn, 1000)}
 	s := serveOn(t, ln, scripteddiscovery.Up("s-1", addr))
-	s.request(t, safeRequest(900)) // the sidecar learns response times
+	s.request(t, safeRequest(900)) // gives the sidecar an estimate of response times
 	for len(ln.accepted) > 0 {
 		<-ln.accepted
 	}
@@ -228,7 +230,7 @@
 		remainder string
 	}
 	var partialRequests []partialRequest
-	for _, missing := range []int{20, 1, 20} { // bytes of the head, of the body, of one that never becomes complete
+	for _, missing := range []int{20, 1, 20} { // bytes of the head, of the body, and of a request that stays incomplete
 		c := s.dial(t)
 		text := requestText(t, request("POST", "/pay", "pay", 1000, "x"))
 		io.WriteString(c, text[:len(text)-missing])
@@ -254,7 +256,7 @@
 		}
 	}
 	s.checkEnded(t)
-	const killDelay = 1700 * time.Millisecond // 1 s, the longest deadline, and 0.7 s
+	const killDelay = 1700 * time.Millisecond // the longest client deadline, 1 s, plus 0.7 s
 	if took := time.Since(started); took > killDelay {
 		t.Errorf("ended after %v", took)
 	}
--- a/internal/sidecar/successor.go
+++ b/internal/sidecar/successor.go
@@ -7,14 +7,15 @@
 	"dunlinsail/internal/takeover"
 )
 
-// The methods of this file implement takeover.SuccessorHost: they carry out the commands of the successor's state
+// The methods in this file implement takeover.SuccessorHost: they execute the commands of the successor's state
 // machine.
 
-// ReceiveOffer keeps the offered snapshot for StartWithOffer.
+// ReceiveOffer stores the offered snapshot for StartWithOffer.
 func (l *lifecycle) ReceiveOffer(m takeover.Message) { l.offeredSnapshot = m.Payload }
 
-// StartWithOffer starts everything except accepting. The endpoint watch continues from the predecessor's generation,
-// because a complete list might be older than the updates that the predecessor has received.
+// StartWithOffer starts all parts of the sidecar, but does not accept clients yet. The watch for endpoint lists
+// continues from the predecessor's generation, because a complete list might be older than the updates that the
+// predecessor has received.
 func (l *lifecycle) StartWithOffer() error {
 	s := l.sidecar
 	if state, err := takeover.DecodeState(l.offeredSnapshot); err == nil {
@@ -31,14 +32,14 @@
 	return nil
 }
 
-// WaitReady returns nil once an endpoint can serve, or an error once ctx ends.
+// WaitReady returns nil once an endpoint can serve requests, or an error if ctx ends before that.
 func (l *lifecycle) WaitReady(ctx context.Context) error { return l.sidecar.core.WaitReady(ctx) }
 
-// RestoreHandover restores the snapshot that came with the handover.
+// RestoreHandover restores the snapshot that the predecessor sent with the handover.
 func (l *lifecycle) RestoreHandover(snapshot []byte) { l.restore(snapshot, "at the handover") }
 
-// restore restores the state that the predecessor learned. A snapshot that cannot be decoded is logged, and this
-// process starts without it.
+// restore restores the predecessor's learned state from a snapshot. If the snapshot cannot be decoded, the error is
+// logged and this process continues without that state. when is logged and names the step of the hot restart.
 func (l *lifecycle) restore(snapshot []byte, when string) {
 	log := l.sidecar.log
 	state, err := takeover.DecodeState(snapshot)
@@ -52,7 +53,8 @@
 	log.Info("snapshot restored", "when", when, "skipped", skipped)
 }
 
-// StartAlone starts without a predecessor and serves. Of earlier state it has the cordons in the shared folder only.
+// StartAlone starts without a predecessor and serves. The only earlier state that it restores are the cordons in the
+// shared folder.
 func (l *lifecycle) StartAlone() error {
 	l.sidecar.start()
 	l.sidecar.core.ReceiveCordons(l.sidecar.readCordons()...)
@@ -60,11 +62,11 @@
 	return nil
 }
 
-// StartError returns nil: a process that is stopped before it serves ends without an error.
+// StartError returns nil, because a process that is stopped before it serves ends without an error.
 func (l *lifecycle) StartError(string) error { return nil }
 
-// StartServing accepts clients, and successors of this process. The socket for successors is there first: a process
-// that starts once clients are served must find this one.
+// StartServing starts to accept clients and successors of this process. It opens the socket for successors first,
+// because a process that starts as soon as clients are served must be able to connect to this process.
 func (l *lifecycle) StartServing() {
 	log := l.sidecar.log
 	l.listenForSuccessors()
@@ -77,7 +79,7 @@
 	log.Info("serving", "name", l.sidecar.config.Name, "listen", l.listener.Addr().String())
 }
 
-// listenForSuccessors opens the socket at which successors connect. Without a shared folder there is none.
+// listenForSuccessors opens the socket to which successors connect. It does nothing without a shared folder.
 func (l *lifecycle) listenForSuccessors() {
 	path := l.socketPath()
 	if path == "" {
@@ -92,8 +94,9 @@
 	l.Loop.Goroutines.Go(func() { l.AcceptSuccessors(context.Background(), listener, replyTimeout) })
 }
 
-// AdoptConnection serves a connection that the predecessor handed over, now or once this process serves. A process that
-// has served and does not accept any more serves it, too: a request may have arrived on it.
+// AdoptConnection serves a client connection that the predecessor has handed over, at once or as soon as this
+// process serves. A process that has stopped accepting still serves the connection, because a request may already
+// have arrived on it.
 func (l *lifecycle) AdoptConnection(conn net.Conn) {
 	if !l.startedServing {
 		l.earlyConns = append(l.earlyConns, conn)
@@ -101,11 +104,12 @@
 	}
 	l.sidecar.frontend.Adopt(conn, l.sidecar.identify)
 	if l.Predecessor.Draining() && l.acceptResult == nil {
-		l.sidecar.frontend.Quiesce() // closes the connection if nothing has arrived on it
+		l.sidecar.frontend.Quiesce() // closes the connection if no request has arrived on it
 	}
 }
 
-// PredecessorLeaving stops sending cordons to the predecessor.
+// PredecessorLeaving stops sending cordons to the predecessor, and logs a warning if its connection was lost
+// during the hot restart.
 func (l *lifecycle) PredecessorLeaving(conn *takeover.Conn) {
 	if !l.Successor.Serving() || l.Successor.ReceivesConnections() {
 		l.sidecar.log.Warn("predecessor lost", "while", l.Successor.String())
