--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -31,7 +31,7 @@
 	}
 	listener, err := net.Listen("tcp", s.config.AdminAddress)
 	if err != nil {
-		return nil, fmt.Errorf("operator: %w", err)
+		return nil, fmt.Errorf("listen on the operator address: %w", err)
 	}
 	done := make(chan struct{})
 	go func() {
--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -41,12 +41,12 @@
 		class    string
 		rejected bool
 	}{
-		{"turned away, unsafe", respondNeverRan, "pay", true},
-		{"turned away, keyed", respondNeverRan, "book", true},
-		{"turned away, safe", respondNeverRan, "look", true},
-		{"503, unsafe", respondUnavailable, "pay", false},
-		{"503, keyed", respondUnavailable, "book", false},
-		{"half a body, unsafe", sendPartOfBody, "pay", false},
+		{"503 with X-Never-Ran, unsafe", respondNeverRan, "pay", true},
+		{"503 with X-Never-Ran, keyed", respondNeverRan, "book", true},
+		{"503 with X-Never-Ran, safe", respondNeverRan, "look", true},
+		{"503 without X-Never-Ran, unsafe", respondUnavailable, "pay", false},
+		{"503 without X-Never-Ran, keyed", respondUnavailable, "book", false},
+		{"truncated body, unsafe", sendPartOfBody, "pay", false},
 		{"no connection, unsafe", nil, "pay", true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -62,15 +62,15 @@
 			started := time.Now()
 			resp, _ := s.request(t, request(method, "/"+tc.class, tc.class, 900, ""))
 			if got := resp.StatusCode == 503; got != tc.rejected || resp.StatusCode < 500 {
-				t.Errorf("%s, rejected should be %v", resp.Status, tc.rejected)
+				t.Errorf("status %s, want rejected %v", resp.Status, tc.rejected)
 			}
 			retryAfter, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 			if advised := err == nil && retryAfter > 0; advised != tc.rejected {
-				t.Errorf("Retry-After %q", resp.Header.Get("Retry-After"))
+				t.Errorf("unexpected Retry-After %q", resp.Header.Get("Retry-After"))
 			}
 			// The final response must be sent at once, not at the request's deadline.
 			if took := time.Since(started); took > 450*time.Millisecond {
-				t.Errorf("answered after %v", took)
+				t.Errorf("response after %v", took)
 			}
 		})
 	}
@@ -104,10 +104,10 @@
 			s := start(t, configureStatic(t, list))
 			resp, _ := s.request(t, request("POST", "/"+tc.class, tc.class, 900, "x"))
 			if n := attempts.Load(); n > tc.maxAttempts {
-				t.Errorf("%d copies, %d at most", n, tc.maxAttempts)
+				t.Errorf("%d attempts, want at most %d", n, tc.maxAttempts)
 			}
 			if got := resp.StatusCode == 200; got != tc.served || resp.StatusCode == 503 {
-				t.Errorf("%s, served should be %v", resp.Status, tc.served)
+				t.Errorf("status %s, want served %v", resp.Status, tc.served)
 			}
 		})
 	}
@@ -137,7 +137,7 @@
 	started := time.Now()
 	resp, _ := s.request(t, request("POST", "/pay", "pay", 400, "x"))
 	if took := time.Since(started); resp.StatusCode != 504 || took > 450*time.Millisecond || loneHeads.Load() != 1 {
-		t.Errorf("alone: %s after %v, with %d attempts", resp.Status, took, loneHeads.Load())
+		t.Errorf("single endpoint: %s after %v, with %d attempts", resp.Status, took, loneHeads.Load())
 	}
 	complete := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
 	s = start(t, configureStatic(t, instances(headOnly, complete)))
@@ -147,7 +147,7 @@
 	}
 	stalling.Store(true)
 	for headsBefore := loneHeads.Load(); loneHeads.Load() == headsBefore; {
-		s.checkServed(t, "beside another")
+		s.checkServed(t, "with a second endpoint")
 	}
 }
 
@@ -174,12 +174,12 @@
 			t.Errorf("%s: %s after %v, want %d within 250 ms", tc.class, resp.Status, took, tc.want)
 		}
 		if err := scriptedpeer.Receive(t, ended, "end of the attempt"); !errors.Is(err, io.EOF) {
-			t.Errorf("%s: the endpoint read on: %v", tc.class, err)
+			t.Errorf("%s: reading at the endpoint: %v, want EOF", tc.class, err)
 		}
 	}
 	// A request that has no time left until its deadline is rejected.
 	if resp, _ := s.request(t, request("POST", "/pay", "pay", 0, "x")); resp.StatusCode != 503 {
-		t.Errorf("no time: %s, want 503", resp.Status)
+		t.Errorf("request with timeout 0: %s, want 503", resp.Status)
 	}
 }
 
@@ -199,7 +199,7 @@
 	scriptedpeer.Receive(t, received, "attempt")
 	c.Close()
 	if err := scriptedpeer.Receive(t, ended, "end of the attempt"); !errors.Is(err, io.EOF) {
-		t.Errorf("the endpoint read on: %v", err)
+		t.Errorf("reading at the endpoint: %v, want EOF", err)
 	}
 }
 
@@ -245,10 +245,10 @@
 				}
 			}
 			if n := failed.Load(); n > rounds/6 {
-				t.Errorf("%d of %d requests went to the endpoint that fails them", n, rounds)
+				t.Errorf("%d of %d requests were sent to the endpoint that fails them", n, rounds)
 			}
 			if n := served.Load(); n < rounds/4 {
-				t.Errorf("%d of %d other requests went there", n, 5*rounds)
+				t.Errorf("%d of %d other requests were sent to the failing endpoint", n, 5*rounds)
 			}
 		})
 	}
@@ -287,7 +287,7 @@
 		s.checkServed(t, fmt.Sprint("request ", i))
 	}
 	if n := unanswered.Load(); n != 1 {
-		t.Errorf("%d requests went to silent connections, want 1", n)
+		t.Errorf("%d requests were sent on silent connections, want 1", n)
 	}
 }
 
@@ -305,8 +305,8 @@
 		want      int
 	}{
 		{"within the grace", discovery.List{Instances: []discovery.Instance{drained}}, false, 200},
-		{"past the grace", discovery.List{Instances: []discovery.Instance{drained}}, true, 503},
-		{"left out of a complete list", discovery.List{Reset: true}, true, 503},
+		{"after the grace", discovery.List{Instances: []discovery.Instance{drained}}, true, 503},
+		{"missing from a complete list", discovery.List{Reset: true}, true, 503},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sent.Store(0)
@@ -325,11 +325,11 @@
 				<-time.After(time.Duration(cfg.Site.Settings.Contract.DrainGrace) * time.Microsecond)
 			}
 			close(release)
-			if code := scriptedpeer.Receive(t, status, "answer"); code != tc.want {
-				t.Errorf("answered %d, want %d", code, tc.want)
+			if code := scriptedpeer.Receive(t, status, "response"); code != tc.want {
+				t.Errorf("status %d, want %d", code, tc.want)
 			}
 			if got := sent.Load(); (got > 0) != (tc.want == 200) {
-				t.Errorf("the endpoint got %d requests", got)
+				t.Errorf("the endpoint received %d requests", got)
 			}
 		})
 	}
@@ -354,8 +354,8 @@
 		wantStatus     int
 		wantAttempts   int32
 	}{
-		{"within", false, 200, 2},
-		{"past", true, 502, 1},
+		{"within the window", false, 200, 2},
+		{"after the window", true, 502, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var attempts atomic.Int32
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -52,19 +52,21 @@
 		name, text string
 		want       []string
 	}{
-		{"chunks", head("/pay/1", "X-Trace-Id: 1", chunked) + "3;a=\"b\"\r\nabc\r\n002\r\nde\r\n0\r\nX-Sum: 1\r\n\r\n",
+		{"chunked body",
+			head("/pay/1", "X-Trace-Id: 1", chunked) + "3;a=\"b\"\r\nabc\r\n002\r\nde\r\n0\r\nX-Sum: 1\r\n\r\n",
 			[]string{"POST /pay/1 abcde"}},
-		{"absolute", head("http://origin.svc/pay/2?x=1", "X-Trace-Id: 2", "Content-Length: 2") + "ab",
+		{"absolute URI", head("http://origin.svc/pay/2?x=1", "X-Trace-Id: 2", "Content-Length: 2") + "ab",
 			[]string{"POST /pay/2?x=1 ab"}},
-		{"expectation", head("/pay/3", "X-Trace-Id: 3", "Content-Length: 2", "Expect: 100-continue") + "ab",
+		{"100-continue expectation",
+			head("/pay/3", "X-Trace-Id: 3", "Content-Length: 2", "Expect: 100-continue") + "ab",
 			[]string{"", "POST /pay/3 ab"}},
-		{"one behind another", head("/pay/4", "X-Trace-Id: 4", "Content-Length: 2") + "ab" + get,
+		{"pipelined after a body with a length", head("/pay/4", "X-Trace-Id: 4", "Content-Length: 2") + "ab" + get,
 			[]string{"POST /pay/4 ab", "GET /look/9?q "}},
-		{"behind chunks", head("/pay/5", "X-Trace-Id: 5", chunked) + "1\r\nz\r\n0\r\n\r\n" + get,
+		{"pipelined after a chunked body", head("/pay/5", "X-Trace-Id: 5", chunked) + "1\r\nz\r\n0\r\n\r\n" + get,
 			[]string{"POST /pay/5 z", "GET /look/9?q "}},
-		{"old", "GET /look/6 HTTP/1.0\r\nX-Trace-Id: 6\r\n\r\n",
+		{"HTTP/1.0", "GET /look/6 HTTP/1.0\r\nX-Trace-Id: 6\r\n\r\n",
 			[]string{"GET /look/6 "}},
-		{"head", "HEAD /look/7 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: 7\r\n\r\n" + get,
+		{"HEAD method", "HEAD /look/7 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: 7\r\n\r\n" + get,
 			[]string{"", "GET /look/9?q "}},
 	} {
 		for _, pieceSize := range []int{len(tc.text), 1} {
@@ -111,14 +113,15 @@
 		name, text, want string
 		truncated        bool // whether the client must detect that the response is incomplete
 	}{
-		{"ended by close", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabc", "abc", false},
-		{"long, ended by close", "HTTP/1.1 200 OK\r\n\r\n" + long, long, false},
+		{"body until close", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabc", "abc", false},
+		{"long body until close", "HTTP/1.1 200 OK\r\n\r\n" + long, long, false},
 		{"chunks with extensions and a trailer",
 			chunked + "2;x\r\nab\r\n1\r\nc\r\n0\r\nX-Sum: 3\r\n\r\n", "abc", false},
-		{"1xx ahead", "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "abc", false},
+		{"1xx before the final response",
+			"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "abc", false},
 		{"long chunk", fmt.Sprintf(chunked+"%x\r\n%s\r\n0\r\n\r\n", len(long), long), long, false},
-		{"long, cut", "HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + long, "", true},
-		{"long chunk, cut", chunked + "fffff\r\n" + long, "", true},
+		{"long body, truncated", "HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + long, "", true},
+		{"long chunk, truncated", chunked + "fffff\r\n" + long, "", true},
 	} {
 		var attempts atomic.Int32
 		endpoint := func() string {
@@ -171,7 +174,7 @@
 	}
 	outcomes, openRequests := s.sidecar.frontend.RequestStats()
 	if outcomes[2].Fulfilled != 2 || s.sidecar.connPool.Forwarded() != 2 {
-		t.Errorf("figures: %+v, %d open, %d relayed", outcomes, openRequests, s.sidecar.connPool.Forwarded())
+		t.Errorf("counts: %+v, %d open, %d forwarded", outcomes, openRequests, s.sidecar.connPool.Forwarded())
 	}
 }
 
@@ -203,11 +206,11 @@
 	request("GET", "/look/large", "look", 900, "").Write(c)
 	resp := readHead(t, c, nil)
 	if _, err := io.ReadFull(resp.Body, make([]byte, 1<<10)); err != nil {
-		t.Fatal("the first bytes did not come:", err)
+		t.Fatal("the first bytes were not received:", err)
 	}
 	close(firstBytesRead)
 	if rest, err := io.ReadAll(resp.Body); err != nil || len(rest) != 127<<10 {
-		t.Errorf("the rest: %d bytes, %v", len(rest), err)
+		t.Errorf("remaining body: %d bytes, %v", len(rest), err)
 	}
 	attempts.Store(0)
 	smallResponse, smallBody := s.request(t, request("GET", "/look/small", "look", 900, ""))
@@ -226,7 +229,7 @@
 	for range 6 { // 600 ms, longer than the timeout, which starts at the last byte
 		c.Write(patternBytes(16 << 10))
 		time.Sleep(100 * time.Millisecond)
-		s.checkServed(t, "beside an upload")
+		s.checkServed(t, "during an upload")
 	}
 	resp := readHead(t, c, nil)
 	if got, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || len(got) != 96<<10 {
--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -88,7 +88,7 @@
 	t.Helper()
 	scriptedpeer.Eventually(t, "no request is open", s.idle)
 	if took := time.Since(disconnected); took > cancelTimeout {
-		t.Errorf("noticed after %v", took)
+		t.Errorf("the request was cancelled %v after the disconnect", took)
 	}
 }
 
@@ -117,17 +117,17 @@
 	"closes":      func(c *net.TCPConn, _ func(*http.Request) string) { c.Close() },
 	"resets":      func(c *net.TCPConn, _ func(*http.Request) string) { resetConn(c) },
 	"half closes": func(c *net.TCPConn, _ func(*http.Request) string) { c.CloseWrite() },
-	"after a first byte of the next": func(c *net.TCPConn, _ func(*http.Request) string) {
+	"closes after the first byte of another request": func(c *net.TCPConn, _ func(*http.Request) string) {
 		io.WriteString(c, "G")
 		c.Close()
 	},
-	"after the next, in two pieces": func(c *net.TCPConn, text func(*http.Request) string) {
+	"closes after another request in two writes": func(c *net.TCPConn, text func(*http.Request) string) {
 		nextRequest := text(safeRequest(900))
 		io.WriteString(c, nextRequest[:30])
 		io.WriteString(c, nextRequest[30:])
 		c.Close()
 	},
-	"after more than is held": func(c *net.TCPConn, text func(*http.Request) string) {
+	"half closes after more than is buffered": func(c *net.TCPConn, text func(*http.Request) string) {
 		io.WriteString(c, text(request("POST", "/pay", "pay", 900, largeBody[:40<<10])))
 		c.CloseWrite()
 	},
@@ -178,10 +178,10 @@
 	s.checkServed(t, "the next request")
 	want := int64(len(requestText(t, safeRequest(900))))
 	if n := received.Load(); n > 2*want {
-		t.Errorf("the endpoint got %d bytes, where the other request has about %d", n, want)
+		t.Errorf("the endpoint received %d bytes, but the other request has about %d", n, want)
 	}
 	if n := dials.cancelled.Load(); n != 1 {
-		t.Errorf("%d dials were cancelled, want that of the request", n)
+		t.Errorf("%d dials were cancelled, want 1", n)
 	}
 }
 
@@ -218,7 +218,7 @@
 		receivedBefore := len(receivedAt)
 		mu.Unlock()
 		io.WriteString(c, requestText(t, safeRequest(9000)))
-		scriptedpeer.Eventually(t, "it is taken", func() bool {
+		scriptedpeer.Eventually(t, "the request is open or received", func() bool {
 			counts := s.sidecar.endpointPool.Counts()
 			mu.Lock()
 			defer mu.Unlock()
@@ -235,7 +235,7 @@
 			return
 		}
 		if round == 20 {
-			t.Fatalf("in each of %d rounds it was sent on, now %v after its client had left",
+			t.Fatalf("in each of %d rounds the request was forwarded, last %v after its client's disconnect",
 				round, afterDisconnect[0].Sub(disconnected))
 		}
 	}
@@ -283,7 +283,9 @@
 		}
 		c.Close()
 	}
-	scriptedpeer.Eventually(t, "all places are free", func() bool { return s.idle() && s.openConnections() == 0 })
+	scriptedpeer.Eventually(t, "no request and no connection is open", func() bool {
+		return s.idle() && s.openConnections() == 0
+	})
 	close(dials.release)
 	s.checkServed(t, "the next request")
 	if n := received.Load(); n > 1000 {
@@ -299,16 +301,16 @@
 	s := start(t, configureStatic(t, instances(addr), `"cancel":true`, `"cancel":false`))
 	c := s.dial(t)
 	io.WriteString(c, requestText(t, request("POST", "/pay", "pay", 900, "1")))
-	scriptedpeer.Eventually(t, "the first is out", func() bool { return received.Load() == 1 })
+	scriptedpeer.Eventually(t, "the first request is received", func() bool { return received.Load() == 1 })
 	for range 3 {
 		io.WriteString(c, requestText(t, request("POST", "/pay", "pay", 900, "2")))
 	}
 	c.Close()
 	scriptedpeer.Eventually(t, "no connection is open", func() bool { return s.openConnections() == 0 })
 	if resp, _ := s.request(t, request("POST", "/pay", "pay", 50, "3")); resp.StatusCode == 200 {
-		t.Errorf("answered %s", resp.Status)
+		t.Errorf("status %s from an endpoint that never responds", resp.Status)
 	}
 	if n := received.Load(); n != 2 {
-		t.Errorf("the endpoint took %d requests, want the first and the other client's", n)
+		t.Errorf("the endpoint received %d requests, want 2: the first and the other client's", n)
 	}
 }
--- a/internal/sidecar/client_lifetimes_test.go
+++ b/internal/sidecar/client_lifetimes_test.go
@@ -140,15 +140,15 @@
 			return
 		}
 		if err != nil {
-			w.recordViolation("%s, number %d of %d: no answer: %v", id, i, len(ids), err)
+			w.recordViolation("%s, index %d of %d requests: no response: %v", id, i, len(ids), err)
 			return
 		}
 		body, err := io.ReadAll(resp.Body)
 		if err != nil || resp.StatusCode == 200 && string(body) != id {
-			w.recordViolation("%s was answered %s with %q, %v", id, resp.Status, body, err)
+			w.recordViolation("%s got %s with body %q, %v", id, resp.Status, body, err)
 		}
 		if resp.Close && i < len(ids)-1 {
-			w.recordViolation("%s: closed with %d requests behind it", id, len(ids)-1-i)
+			w.recordViolation("%s: connection closed before %d further responses", id, len(ids)-1-i)
 			return
 		}
 	}
@@ -177,7 +177,9 @@
 		})
 	}
 	runningClients.Wait()
-	scriptedpeer.Eventually(t, "nothing is left", func() bool { return s.idle() && s.openConnections() == 0 })
+	scriptedpeer.Eventually(t, "no request and no connection is open", func() bool {
+		return s.idle() && s.openConnections() == 0
+	})
 	// These clients have sent everything before the stop. Connections in the listener's accept queue are served,
 	// too.
 	var lastClients, sending sync.WaitGroup
@@ -194,7 +196,7 @@
 	s.stop()
 	lastClients.Wait()
 	if err := scriptedpeer.Receive(t, s.ended, "end"); err != nil {
-		w.recordViolation("ended with %v", err)
+		w.recordViolation("the sidecar ended with %v", err)
 	}
 	return w.allViolations()
 }
@@ -206,7 +208,7 @@
 	violations := w.violations
 	for _, id := range w.closedWithoutResponse {
 		if len(w.received[id]) > 0 {
-			violations = append(violations, id+" was sent on and never answered")
+			violations = append(violations, id+" was forwarded and got no response")
 		}
 	}
 	for id, receivedAt := range w.received {
@@ -214,7 +216,7 @@
 			if disconnectedAt, disconnected := w.disconnected[id]; disconnected &&
 				at.Sub(disconnectedAt) > cancelTimeout {
 				violations = append(violations,
-					fmt.Sprintf("%s was sent on %v after its client had left", id, at.Sub(disconnectedAt)))
+					fmt.Sprintf("%s was forwarded %v after its client's disconnect", id, at.Sub(disconnectedAt)))
 			}
 		}
 		if len(receivedAt) > 1 {
@@ -234,6 +236,6 @@
 		}
 	}
 	if len(runClientLifetimes(t, 0, true)) == 0 {
-		t.Error("a planted fault was not found")
+		t.Error("no violation was found with wrong ids in responses")
 	}
 }
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -56,13 +56,13 @@
 			}
 		}
 		if servedBy != step.want {
-			t.Fatalf("step %d: answered by %q, want %q", i, servedBy, step.want)
+			t.Fatalf("step %d: served by %q, want %q", i, servedBy, step.want)
 		}
 		for range 10 {
 			// Requests may be rejected, because a new endpoint is warming up and may get fewer requests.
 			_, servedBy = s.request(t, safeRequest(900))
 			if step.want != "" && servedBy != step.want && !strings.HasPrefix(servedBy, "refused") {
-				t.Fatalf("step %d: then answered by %q, want %q", i, servedBy, step.want)
+				t.Fatalf("step %d, later request: served by %q, want %q", i, servedBy, step.want)
 			}
 		}
 	}
@@ -83,14 +83,14 @@
 		`"discovery":"automatic"`, `"discovery":"subscribe"`))
 	scriptedpeer.Receive(t, server.Requests, "first watch")
 	server.Lines <- "" // an empty line ends the watch
-	scriptedpeer.Receive(t, server.Requests, "watch after one that ended")
+	scriptedpeer.Receive(t, server.Requests, "watch after the first has ended")
 	server.Lines <- scripteddiscovery.Line(8, true, scripteddiscovery.Up("s-2", addr))
 	for deadline := time.Now().Add(scriptedpeer.WaitTimeout); ; {
 		if resp, _ := s.request(t, safeRequest(900)); resp.StatusCode == 200 {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the list did not arrive")
+			t.Fatal("no request was served by the endpoint of the new list")
 		}
 	}
 }
--- a/internal/sidecar/endpoint_connlimit_test.go
+++ b/internal/sidecar/endpoint_connlimit_test.go
@@ -104,14 +104,14 @@
 		select {
 		case code := <-statuses:
 			if code != 200 {
-				t.Fatalf("answered %d", code)
+				t.Fatalf("status %d, want 200", code)
 			}
 		case <-full.received:
 		}
 	}
 	for range 40 {
 		if resp, text := s.request(t, safeRequest(900)); resp.StatusCode != 200 || text != "other" {
-			t.Fatalf("%s by %q: a full endpoint must not fail a request", resp.Status, text)
+			t.Fatalf("%s from %q: a full endpoint must not fail a request", resp.Status, text)
 		}
 	}
 	if full.listener.rejected.Load() == 0 {
@@ -119,7 +119,7 @@
 	}
 	full.release <- struct{}{}
 	if code := <-statuses; code != 200 {
-		t.Errorf("the request at the full endpoint was answered %d", code)
+		t.Errorf("the request at the full endpoint got status %d", code)
 	}
 
 	// The endpoint still responds on its open connection.
@@ -131,6 +131,6 @@
 		}
 	}
 	if n := full.listener.rejected.Load() - rejectedBefore; n > 0 {
-		t.Errorf("%d more connections were opened while the one was free", n)
+		t.Errorf("%d more connections were opened while the open one was idle", n)
 	}
 }
--- a/internal/sidecar/events_test.go
+++ b/internal/sidecar/events_test.go
@@ -36,13 +36,13 @@
 			endpointMatches = e.Endpoint == addr
 		}
 		if !endpointMatches && e.Kind != eventlog.DiscoveryPolled || e.At == 0 {
-			t.Errorf("%+v", e)
+			t.Errorf("unexpected event %+v", e)
 		}
 	}
 	if counts[eventlog.AttemptStarted] != 3 || counts[eventlog.AttemptEnded] != 3 ||
 		counts[eventlog.EndpointUpdated] != 1 ||
 		counts[eventlog.ConnOpened] == 0 || counts[eventlog.ConnClosed] != counts[eventlog.ConnOpened] ||
 		counts[eventlog.DiscoveryPolled] == 0 {
-		t.Errorf("%v", counts)
+		t.Errorf("unexpected counts %v", counts)
 	}
 }
--- a/internal/sidecar/golden_test.go
+++ b/internal/sidecar/golden_test.go
@@ -40,6 +40,6 @@
 // TestPathsOfEarlierBuild verifies the names of the files through which processes of different builds communicate.
 func TestPathsOfEarlierBuild(t *testing.T) {
 	if socketName != "dunlinsail.takeover" || cordonsFile != "dunlinsail.words" {
-		t.Errorf("%q, %q", socketName, cordonsFile)
+		t.Errorf("file names have changed: %q, %q", socketName, cordonsFile)
 	}
 }
--- a/internal/sidecar/helper_test.go
+++ b/internal/sidecar/helper_test.go
@@ -192,7 +192,7 @@
 	resp := readHead(t, c, r)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Fatalf("the answer is not complete: %v", err)
+		t.Fatalf("the response is not complete: %v", err)
 	}
 	return resp, string(body)
 }
@@ -203,7 +203,7 @@
 	c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), r)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	return resp
 }
@@ -233,7 +233,7 @@
 func (s *testSidecar) checkEnded(t *testing.T) {
 	t.Helper()
 	if err := scriptedpeer.Receive(t, s.ended, "end"); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the sidecar ended with %v", err)
 	}
 }
 
--- a/internal/sidecar/inherited.go
+++ b/internal/sidecar/inherited.go
@@ -20,12 +20,12 @@
 func inheritListener(fd int) (net.Listener, error) {
 	file := os.NewFile(uintptr(fd), "inherited")
 	if file == nil {
-		return nil, fmt.Errorf("ROUTER_INHERITED_FD: %d is no descriptor", fd)
+		return nil, fmt.Errorf("ROUTER_INHERITED_FD: %d is not a file descriptor", fd)
 	}
 	defer file.Close() // net.FileListener duplicates the descriptor
 	for option, want := range map[int]int{syscall.SO_TYPE: syscall.SOCK_STREAM, syscall.SO_ACCEPTCONN: 1} {
 		if got, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, option); err != nil || got != want {
-			return nil, fmt.Errorf("ROUTER_INHERITED_FD: %d is no listening stream socket", fd)
+			return nil, fmt.Errorf("ROUTER_INHERITED_FD: %d is not a listening stream socket", fd)
 		}
 	}
 	ln, err := net.FileListener(file)
--- a/internal/sidecar/limits_test.go
+++ b/internal/sidecar/limits_test.go
@@ -26,11 +26,11 @@
 	firstStatus := s.requestInBackground(t, request("POST", "/pay", "pay", 900, "x"))
 	scriptedpeer.Receive(t, received, "first attempt")
 	if resp, _ := s.request(t, request("POST", "/pay", "pay", 900, "x")); resp.StatusCode != 503 {
-		t.Errorf("second: %s, want 503", resp.Status)
+		t.Errorf("second request: %s, want 503", resp.Status)
 	}
 	close(release)
-	if code := scriptedpeer.Receive(t, firstStatus, "first answer"); code != 200 {
-		t.Errorf("first: %d, want 200", code)
+	if code := scriptedpeer.Receive(t, firstStatus, "first response"); code != 200 {
+		t.Errorf("first request: %d, want 200", code)
 	}
 	if len(received) != 0 {
 		t.Error("the second request was sent")
@@ -54,21 +54,21 @@
 	activeConn := s.dial(t)
 	for range 3 {
 		if resp, _ := s.requestOn(t, activeConn, safeRequest(900)); resp.StatusCode != 200 || resp.Close {
-			t.Fatalf("beside silent connections: %s, close %v", resp.Status, resp.Close)
+			t.Fatalf("request with silent connections open: %s, close %v", resp.Status, resp.Close)
 		}
 	}
 	longestSilent := silentConns[0]
 	longestSilent.SetReadDeadline(time.Now().Add(http1.RequestTimeout / 2))
 	if _, err := longestSilent.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the connection silent for longest: %v, want it closed", err)
+		t.Errorf("the connection that is silent for longest: %v, want it closed", err)
 	}
 	latestSilent := silentConns[len(silentConns)-1]
 	if resp, _ := s.requestOn(t, latestSilent, safeRequest(900)); resp.StatusCode != 200 {
-		t.Errorf("a connection silent for a moment: %s", resp.Status)
+		t.Errorf("the latest silent connection: %s", resp.Status)
 	}
 	close(release)
-	if code := scriptedpeer.Receive(t, openStatus, "answer"); code != 200 {
-		t.Errorf("the request that waited meanwhile: %d", code)
+	if code := scriptedpeer.Receive(t, openStatus, "response"); code != 200 {
+		t.Errorf("the request that was open meanwhile: %d", code)
 	}
 }
 
@@ -87,7 +87,7 @@
 	cfg.Sockets = 2 * platform.MinSockets
 	limits := clientLimits(cfg.Sockets)
 	if 4*limits.MaxIdle > cfg.Sockets {
-		t.Fatalf("%d of %d descriptors may be idle: not well under the third that clients have",
+		t.Fatalf("%d of %d descriptors may be idle: want at most a quarter",
 			limits.MaxIdle, cfg.Sockets)
 	}
 	s := start(t, cfg)
@@ -110,7 +110,7 @@
 	started := time.Now()
 	idleConns[limits.MaxIdle].SetReadDeadline(started.Add(maxIdleTime / 2))
 	if _, err := idleConns[limits.MaxIdle].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("among as many as may rest: %v, want it closed", err)
+		t.Errorf("connection at the limit on idle connections: %v, want it closed", err)
 	}
 	statuses := make(chan int, limits.MaxConnections)
 	for range limits.MaxConnections {
@@ -119,12 +119,12 @@
 			resp, _ := s.requestOn(t, c, request("POST", "/pay", "pay", 1000, "x"))
 			statuses <- resp.StatusCode
 		}()
-		scriptedpeer.Receive(t, received, "an attempt of each that is open")
+		scriptedpeer.Receive(t, received, "attempt of each open request")
 	}
 	releaseAll()
 	for range limits.MaxConnections {
-		if code := scriptedpeer.Receive(t, statuses, "answer"); code != 200 {
-			t.Errorf("of those open together: %d", code)
+		if code := scriptedpeer.Receive(t, statuses, "response"); code != 200 {
+			t.Errorf("request open together with others: %d", code)
 		}
 	}
 }
@@ -148,7 +148,7 @@
 			got, err := io.ReadAll(c)
 			if err != nil || (len(got) > 0) != (text != "") ||
 				text != "" && !strings.HasPrefix(string(got), "HTTP/1.1 4") {
-				t.Errorf("answered %q, %v", got, err)
+				t.Errorf("response %q, %v", got, err)
 			}
 		})
 	}
@@ -165,13 +165,13 @@
 	duplicate := safeRequest(900)
 	duplicate.Header.Set("X-Trace-Id", r.Header.Get("X-Trace-Id"))
 	if resp, _ := s.request(t, duplicate); resp.StatusCode != 409 {
-		t.Errorf("an open id: %s, want 409", resp.Status)
+		t.Errorf("request with the id of an open request: %s, want 409", resp.Status)
 	}
 	close(release)
-	if code := scriptedpeer.Receive(t, firstStatus, "answer"); code != 200 {
-		t.Errorf("its owner: %d, want 200", code)
+	if code := scriptedpeer.Receive(t, firstStatus, "response"); code != 200 {
+		t.Errorf("first request with the id: %d, want 200", code)
 	}
 	if resp, _ := s.request(t, duplicate); resp.StatusCode != 200 {
-		t.Errorf("an id that is free again: %s", resp.Status)
+		t.Errorf("request with the id of an ended request: %s", resp.Status)
 	}
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -39,7 +39,7 @@
 			expectWatch := func(server *scripteddiscovery.Server, wantQuery string) {
 				t.Helper()
 				if got := scriptedpeer.Receive(t, server.Requests, "call of discovery"); got != wantQuery {
-					t.Errorf("asked with %q, want %q", got, wantQuery)
+					t.Errorf("query %q, want %q", got, wantQuery)
 				}
 			}
 			expectWatch(oldServer, "1 7")
@@ -74,7 +74,7 @@
 			consecutive = 0
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("answered by %q, want %q", got, want)
+			t.Fatalf("served by %q, want %q", got, want)
 		}
 	}
 }
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -58,7 +58,8 @@
 		}
 		received := <-forwarded
 		if received.body != string(body) {
-			t.Errorf("%s: the endpoint got %d bytes of %d, or others", r.RequestURI, len(received.body), len(body))
+			t.Errorf("%s: the endpoint received %d bytes of %d, or different ones",
+				r.RequestURI, len(received.body), len(body))
 		}
 		checkForwarded(t, r, received.r)
 	}
@@ -68,12 +69,12 @@
 func checkForwarded(t *testing.T, sent, received *http.Request) {
 	t.Helper()
 	if received.Method != sent.Method || received.RequestURI != sent.RequestURI {
-		t.Errorf("sent %s %s, the endpoint got %s %s",
+		t.Errorf("sent %s %s, the endpoint received %s %s",
 			sent.Method, sent.RequestURI, received.Method, received.RequestURI)
 	}
 	for _, h := range []string{"X-Trace-Id", "Idempotency-Key", "X-Customer"} {
 		if received.Header.Get(h) != sent.Header.Get(h) {
-			t.Errorf("%s: sent %q, got %q", h, sent.Header.Get(h), received.Header.Get(h))
+			t.Errorf("%s: sent %q, the endpoint received %q", h, sent.Header.Get(h), received.Header.Get(h))
 		}
 	}
 	// The endpoint gets the timeout of the attempt, which is shorter than the client's timeout.
@@ -81,7 +82,7 @@
 		t.Errorf("X-Expires-In-Ms %q, want under 480", received.Header.Get("X-Expires-In-Ms"))
 	}
 	if len(received.Header["Accept-Encoding"]) != 0 {
-		t.Error("compression was asked for")
+		t.Error("the sidecar added Accept-Encoding")
 	}
 }
 
@@ -115,12 +116,12 @@
 	}{
 		{"unknown class", request("GET", "/sell", "sell", 400, ""), 404},
 		{"no class", without(request("GET", "/", "look", 400, ""), "X-Qos"), 404},
-		{"two classes", request("GET", "/look", "pay", 400, ""), 400},
+		{"path and header of two classes", request("GET", "/look", "pay", 400, ""), 400},
 		{"no id", without(safeRequest(400), "X-Trace-Id"), 400},
 		{"keyed without key", without(request("POST", "/book", "book", 400, "x"), "Idempotency-Key"), 400},
 		{"wrong method", request("POST", "/look", "look", 400, "x"), 405},
-		{"time in words", with(safeRequest(400), "X-Expires-In-Ms", "peer.Soon"), 400},
-		{"negative time", safeRequest(-1), 400},
+		{"timeout in words", with(safeRequest(400), "X-Expires-In-Ms", "peer.Soon"), 400},
+		{"negative timeout", safeRequest(-1), 400},
 		{"large head", with(safeRequest(400), "X-Props", strings.Repeat("x", 2*http1.MaxHeaderBytes)), 431},
 	} {
 		if resp, _ := s.request(t, tc.r); resp.StatusCode != tc.want {
@@ -143,32 +144,32 @@
 		{"no HTTP", "LOOK\r\n\r\n", "400"},
 		{"endless head", "GET /look HTTP/1.1\r\nX: " + strings.Repeat("x", http1.MaxHeaderBytes), "431"},
 		{"hidden request", head("Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + smuggled, "400"},
-		{"old chunks",
+		{"chunks with HTTP/1.0",
 			strings.Replace(head("Content-Length: 5", "Transfer-Encoding: chunked"), "1.1", "1.0", 1) + chunked, "400"},
 		{"unknown encoding", head("Content-Length: 5", "Transfer-Encoding: xchunked") + chunked, "400"},
 		{"two lengths", head("Content-Length: 5", "Content-Length: 6") + "123456", "400"},
 		{"negative length", head("Content-Length: -5"), "400"},
 		{"length with a sign", head("Content-Length: +5") + "12345", "400"},
 		{"length in words", head("Content-Length: five") + "12345", "400"},
-		{"length over all", head("Content-Length: 99999999999999999999"), "400"},
+		{"length above 64 bits", head("Content-Length: 99999999999999999999"), "400"},
 		{"huge length", head("Content-Length: 3000000000"), "413"},
 		{"length too short", head("Content-Length: 5") + "1234567", "400"},
-		{"more than a request", smuggled + "noise", "400"},
+		{"bytes after a request", smuggled + "noise", "400"},
 		{"body on GET",
 			"GET /look HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nX-Qos: look\r\nContent-Length: 1\r\n\r\nx", "400"},
 		{"two ids", head("X-Trace-Id: 2", "Content-Length: 0"), "400"},
 		{"two classes", head("X-Qos: pay", "Content-Length: 0"), "400"},
-		{"two times", head("X-Expires-In-Ms: 300", "X-Expires-In-Ms: 400", "Content-Length: 0"), "400"},
-		{"empty time", head("X-Expires-In-Ms:", "Content-Length: 0"), "400"},
-		{"signed time", head("X-Expires-In-Ms: +400", "Content-Length: 0"), "400"},
+		{"two timeouts", head("X-Expires-In-Ms: 300", "X-Expires-In-Ms: 400", "Content-Length: 0"), "400"},
+		{"empty timeout", head("X-Expires-In-Ms:", "Content-Length: 0"), "400"},
+		{"timeout with a sign", head("X-Expires-In-Ms: +400", "Content-Length: 0"), "400"},
 		{"empty key", head("Idempotency-Key:", "Content-Length: 0"), "400"},
 		{"control character", head("X-Props: a\rb", "Content-Length: 0"), "400"},
 		{"id of two words", strings.Replace(smuggled, "X-Trace-Id: 1", "X-Trace-Id: 1 2", 1), "400"},
 		{"host with a space", strings.Replace(smuggled, "origin.svc", "origin svc", 1), "400"},
-		{"key named hop by hop",
+		{"Connection lists the key",
 			head("Connection: keep-alive, idempotency-key", "Idempotency-Key: k", "Content-Length: 0"), "400"},
-		{"id named hop by hop", head("Connection: X-Trace-Id", "Content-Length: 0"), "400"},
-		{"tenant named hop by hop",
+		{"Connection lists the id", head("Connection: X-Trace-Id", "Content-Length: 0"), "400"},
+		{"Connection lists the tenant",
 			head("Connection: close", "Connection: X-Customer", "X-Customer: acme", "Content-Length: 0"), "400"},
 		{"two tenants", head("X-Customer: acme", "X-Customer: other", "Content-Length: 0"), "400"},
 		{"two objects", head("X-Object: 1", "x-object: 2", "Content-Length: 0"), "400"},
@@ -186,7 +187,7 @@
 		c.SetReadDeadline(time.Now().Add(http1.RequestTimeout / 2))
 		if got, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 "+tc.want+" ") ||
 			strings.Count(string(got), "HTTP/1.1") != 1 {
-			t.Errorf("%s: answered %q, %v, want one %s and the end", tc.name, got, err, tc.want)
+			t.Errorf("%s: got %q, %v, want one response %s and EOF", tc.name, got, err, tc.want)
 		}
 		c.Close()
 	}
@@ -215,13 +216,13 @@
 	s := start(t, configureStatic(t, instances(addr)))
 	idleConn := s.dial(t)
 	if resp, _ := s.requestOn(t, idleConn, safeRequest(900)); resp.Close {
-		t.Error("a connection was not kept")
+		t.Error("the connection was closed after a response")
 	}
 	var openRequests sync.WaitGroup
 	defer openRequests.Wait()
 	openRequests.Go(func() {
 		if resp, _ := s.request(t, request("POST", "/pay", "pay", 1000, "x")); resp.StatusCode != 200 || !resp.Close {
-			t.Errorf("taken before: %s, close %v", resp.Status, resp.Close)
+			t.Errorf("request open before the stop: %s, close %v", resp.Status, resp.Close)
 		}
 	})
 	scriptedpeer.Receive(t, received, "attempt")
@@ -233,11 +234,11 @@
 	}
 	for time.Since(started) < 450*time.Millisecond {
 		if resp, _ := s.request(t, safeRequest(900)); resp.StatusCode != 200 || !resp.Close {
-			t.Fatalf("after the order: %s, close %v", resp.Status, resp.Close)
+			t.Fatalf("request after the stop: %s, close %v", resp.Status, resp.Close)
 		}
 	}
 	if resp, _ := s.request(t, request("GET", "/-/ready", "", 900, "")); resp.StatusCode != 503 {
-		t.Errorf("ready: %s after the order to stop", resp.Status)
+		t.Errorf("readiness check after the stop: %s", resp.Status)
 	}
 	close(release)
 	s.checkEnded(t)
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -135,22 +135,22 @@
 	scriptedpeer.Receive(t, received, "first attempt")
 	io.WriteString(c, requestText(t, safeRequest(900))+requestText(t, safeRequest(900)))
 	s.stop()
-	scriptedpeer.Eventually(t, "all are to close", func() bool { return s.readyStatus() == 503 })
+	scriptedpeer.Eventually(t, "the sidecar drains", func() bool { return s.readyStatus() == 503 })
 	close(release)
 	c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 	r := bufio.NewReader(c)
 	for i := range 3 {
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
-			t.Fatalf("answer %d: %v", i, err)
+			t.Fatalf("response %d: %v", i, err)
 		}
 		io.Copy(io.Discard, resp.Body)
 		if resp.StatusCode != 200 || resp.Close != (i == 2) {
-			t.Errorf("answer %d: %s, close %v", i, resp.Status, resp.Close)
+			t.Errorf("response %d: %s, close %v", i, resp.Status, resp.Close)
 		}
 	}
 	if _, err := r.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("behind the last: %v", err)
+		t.Errorf("after the last response: %v, want EOF", err)
 	}
 	s.checkEnded(t)
 }
@@ -164,7 +164,7 @@
 	c := s.dial(t)
 	text := requestText(t, request("POST", "/pay", "pay", 1000, "x"))
 	io.WriteString(c, text[:len(text)-1])
-	scriptedpeer.Eventually(t, "it is accepted", func() bool { return s.openConnections() > 0 })
+	scriptedpeer.Eventually(t, "the connection is accepted", func() bool { return s.openConnections() > 0 })
 	started := time.Now()
 	s.stop()
 	completion := time.AfterFunc(900*time.Millisecond, func() { io.WriteString(c, text[len(text)-1:]) })
@@ -236,7 +236,9 @@
 		io.WriteString(c, text[:len(text)-missing])
 		partialRequests = append(partialRequests, partialRequest{c, text[len(text)-missing:]})
 		accepted := scriptedpeer.Receive(t, ln.accepted, "connection")
-		scriptedpeer.Eventually(t, "the sidecar has read it", func() bool { return !hasUnreadBytes(t, accepted) })
+		scriptedpeer.Eventually(t, "the sidecar has read the bytes", func() bool {
+			return !hasUnreadBytes(t, accepted)
+		})
 	}
 	started := time.Now()
 	s.stop()
