--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -65,7 +65,7 @@
 				t.Errorf("status %s, want rejected %v", resp.Status, tc.rejected)
 			}
 			retryAfter, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-			if advised := err == nil && retryAfter > 0; advised != tc.rejected {
+			if hasRetryAfter := err == nil && retryAfter > 0; hasRetryAfter != tc.rejected {
 				t.Errorf("unexpected Retry-After %q", resp.Header.Get("Retry-After"))
 			}
 			// The final response must be sent at once, not at the request's deadline.
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -159,17 +159,17 @@
 func TestLargeBodiesInBothDirections(t *testing.T) {
 	s := start(t, configureStatic(t, instances(scriptedpeer.StartHTTP(t, echo))))
 	body := patternBytes(8 << 20)
-	for _, sized := range []bool{true, false} {
+	for _, hasLength := range []bool{true, false} {
 		r := request("POST", "/pay", "pay", 900, "x")
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
-		if !sized {
+		if !hasLength {
 			r.ContentLength = -1
 		}
 		c := s.dial(t)
 		go r.Write(c)
 		resp := readHead(t, c, r)
 		if got, err := io.ReadAll(resp.Body); err != nil || !bytes.Equal(got, body) {
-			t.Errorf("sized %v: %s, %d bytes, %v", sized, resp.Status, len(got), err)
+			t.Errorf("sized %v: %s, %d bytes, %v", hasLength, resp.Status, len(got), err)
 		}
 	}
 	outcomes, openRequests := s.sidecar.frontend.RequestStats()
@@ -209,8 +209,8 @@
 		t.Fatal("the first bytes were not received:", err)
 	}
 	close(firstBytesRead)
-	if rest, err := io.ReadAll(resp.Body); err != nil || len(rest) != 127<<10 {
-		t.Errorf("remaining body: %d bytes, %v", len(rest), err)
+	if remaining, err := io.ReadAll(resp.Body); err != nil || len(remaining) != 127<<10 {
+		t.Errorf("remaining body: %d bytes, %v", len(remaining), err)
 	}
 	attempts.Store(0)
 	smallResponse, smallBody := s.request(t, request("GET", "/look/small", "look", 900, ""))
--- a/internal/sidecar/client_lifetimes_test.go
+++ b/internal/sidecar/client_lifetimes_test.go
@@ -25,7 +25,7 @@
 	closedWithoutResponse []string // ids of racing clients' requests without a response
 }
 
-func newWitness() *lifetimeRecorder {
+func newLifetimeRecorder() *lifetimeRecorder {
 	return &lifetimeRecorder{received: map[string][]time.Time{}, disconnected: map[string]time.Time{}}
 }
 
@@ -49,10 +49,10 @@
 		id := r.Header.Get("X-Trace-Id")
 		w.mu.Lock()
 		w.received[id] = append(w.received[id], time.Now())
-		requests := len(w.received)
+		requestCount := len(w.received)
 		w.mu.Unlock()
-		time.Sleep(delays[requests%len(delays)]) // the service time
-		if wrongIDs && requests%7 == 0 {
+		time.Sleep(delays[requestCount%len(delays)]) // the service time
+		if wrongIDs && requestCount%7 == 0 {
 			id = "another's"
 		}
 		io.WriteString(rw, id)
@@ -83,10 +83,10 @@
 	defer conn.Close()
 	ids, text := c.drawRequests(t)
 	staysConnected := c.rng.IntN(3) > 0
-	firstPart := 1 + c.rng.IntN(len(text))
-	io.WriteString(conn, text[:firstPart])
+	firstPartLen := 1 + c.rng.IntN(len(text))
+	io.WriteString(conn, text[:firstPartLen])
 	if staysConnected || c.rng.IntN(2) == 0 {
-		io.WriteString(conn, text[firstPart:])
+		io.WriteString(conn, text[firstPartLen:])
 	}
 	onSent()
 	if !staysConnected {
@@ -162,10 +162,10 @@
 // endpoint sends responses with the ids of other requests.
 func runClientLifetimes(t *testing.T, seed uint64, wrongIDs bool) []string {
 	t.Helper()
-	w := newWitness()
+	w := newLifetimeRecorder()
 	s := start(t, configureStatic(t, instances(scriptedpeer.StartHTTP(t, w.endpoint(seed, wrongIDs)))))
-	newClient := func(stream uint64, racing bool) *lifetimeClient {
-		return &lifetimeClient{recorder: w, addr: s.addr, rng: rand.New(rand.NewPCG(seed, stream)), racing: racing}
+	newClient := func(rngStream uint64, racing bool) *lifetimeClient {
+		return &lifetimeClient{recorder: w, addr: s.addr, rng: rand.New(rand.NewPCG(seed, rngStream)), racing: racing}
 	}
 	var runningClients sync.WaitGroup
 	for i := range uint64(6) {
@@ -182,20 +182,20 @@
 	})
 	// These clients have sent everything before the stop. Connections in the listener's accept queue are served,
 	// too.
-	var lastClients, sending sync.WaitGroup
+	var lastClients, unsent sync.WaitGroup
 	for i := range uint64(4) {
 		client := newClient(100+i, false)
-		sending.Add(1)
-		lastClients.Go(func() { client.connectOnce(t, sending.Done) })
+		unsent.Add(1)
+		lastClients.Go(func() { client.connectOnce(t, unsent.Done) })
 	}
-	sending.Wait()
+	unsent.Wait()
 	for i := range uint64(4) {
 		client := newClient(200+i, true)
 		lastClients.Go(func() { client.connectOnce(t, func() {}) })
 	}
 	s.stop()
 	lastClients.Wait()
-	if err := scriptedpeer.Receive(t, s.ended, "end"); err != nil {
+	if err := scriptedpeer.Receive(t, s.serveResult, "end"); err != nil {
 		w.recordViolation("the sidecar ended with %v", err)
 	}
 	return w.allViolations()
--- a/internal/sidecar/cordons.go
+++ b/internal/sidecar/cordons.go
@@ -27,11 +27,11 @@
 // setCordon cordons an endpoint, given by name or address, or lifts its cordon. It returns
 // admin.ErrUnknownEndpoint if the endpoint is not in the endpoint list.
 func (s *sidecar) setCordon(ctx context.Context, target string, cordoned bool) error {
-	record, known, err := s.core.SetCordon(ctx, target, cordoned, takeover.Monotonic())
+	record, inList, err := s.core.SetCordon(ctx, target, cordoned, takeover.Monotonic())
 	switch {
 	case err != nil:
 		return err
-	case !known:
+	case !inList:
 		return admin.ErrUnknownEndpoint
 	}
 	s.lifecycle.cordonPeers.broadcast(record)
@@ -63,11 +63,11 @@
 		return err
 	}
 	path := filepath.Join(s.config.SharedDir, cordonsFile)
-	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
-	if err := os.WriteFile(temporary, encoded, cordonsFileMode); err != nil {
+	temporaryPath := fmt.Sprintf("%s.%d", path, os.Getpid())
+	if err := os.WriteFile(temporaryPath, encoded, cordonsFileMode); err != nil {
 		return err
 	}
-	return os.Rename(temporary, path)
+	return os.Rename(temporaryPath, path)
 }
 
 // readCordons returns the cordons that another process of this sidecar wrote to the shared folder. It returns nil if
--- a/internal/sidecar/events_test.go
+++ b/internal/sidecar/events_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 	s.stop()
-	require.NoError(t, <-s.ended)
+	require.NoError(t, <-s.serveResult)
 	loggedEvents, err := eventlog.Read(&out)
 	require.NoError(t, err)
 	counts := map[eventlog.Kind]int{}
--- a/internal/sidecar/helper_test.go
+++ b/internal/sidecar/helper_test.go
@@ -90,10 +90,10 @@
 
 // testSidecar is a running sidecar under test.
 type testSidecar struct {
-	sidecar *sidecar
-	addr    string
-	stop    context.CancelFunc
-	ended   chan error
+	sidecar     *sidecar
+	addr        string
+	stop        context.CancelFunc
+	serveResult chan error
 
 	reload         chan os.Signal
 	reloadedConfig chan *platform.Config // results of the next reads of the configuration; nil makes a read fail
@@ -110,9 +110,9 @@
 	t.Helper()
 	ln, err := net.Listen("tcp", c.Listen)
 	require.NoError(t, err)
-	parts, err := assemble(c, dial, scriptedpeer.DiscardLog)
+	assembled, err := assemble(c, dial, scriptedpeer.DiscardLog)
 	require.NoError(t, err)
-	return serve(t, parts, ln)
+	return serve(t, assembled, ln)
 }
 
 // serve runs an assembled sidecar on a listener and waits until it is ready. The sidecar is stopped at the end of
@@ -120,15 +120,15 @@
 func serve(t *testing.T, parts *sidecar, ln net.Listener) *testSidecar {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	s := &testSidecar{sidecar: parts, addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1),
+	s := &testSidecar{sidecar: parts, addr: ln.Addr().String(), stop: stop, serveResult: make(chan error, 1),
 		reload: make(chan os.Signal, 1), reloadedConfig: make(chan *platform.Config, 1)}
 	go func() {
-		s.ended <- parts.serve(ctx, ln, s.reload, s.read)
-		close(s.ended)
+		s.serveResult <- parts.serve(ctx, ln, s.reload, s.read)
+		close(s.serveResult)
 	}()
 	t.Cleanup(func() {
 		stop()
-		<-s.ended
+		<-s.serveResult
 	})
 	scriptedpeer.Eventually(t, "the sidecar is ready", func() bool { return s.readyStatus() == 200 })
 	return s
@@ -232,7 +232,7 @@
 // checkEnded waits until a stopped sidecar ends, and checks that it ends without an error.
 func (s *testSidecar) checkEnded(t *testing.T) {
 	t.Helper()
-	if err := scriptedpeer.Receive(t, s.ended, "end"); err != nil {
+	if err := scriptedpeer.Receive(t, s.serveResult, "end"); err != nil {
 		t.Errorf("the sidecar ended with %v", err)
 	}
 }
--- a/internal/sidecar/inherited.go
+++ b/internal/sidecar/inherited.go
@@ -13,7 +13,7 @@
 // interrupt a blocking accept.
 type inheritedListener struct {
 	*net.TCPListener
-	raw syscall.RawConn
+	rawConn syscall.RawConn
 }
 
 // inheritListener returns a listener for a file descriptor that the platform has passed to this process.
@@ -32,18 +32,18 @@
 	if err != nil {
 		return nil, err
 	}
-	tcp, ok := ln.(*net.TCPListener)
+	tcpListener, ok := ln.(*net.TCPListener)
 	if !ok {
 		return ln, nil
 	}
-	raw, err := tcp.SyscallConn()
-	return &inheritedListener{tcp, raw}, err
+	raw, err := tcpListener.SyscallConn()
+	return &inheritedListener{tcpListener, raw}, err
 }
 
 // Accept sets the socket to non-blocking mode and waits for a connection.
 func (l *inheritedListener) Accept() (net.Conn, error) {
 	var err error
-	controlErr := l.raw.Control(func(fd uintptr) { err = syscall.SetNonblock(int(fd), true) })
+	controlErr := l.rawConn.Control(func(fd uintptr) { err = syscall.SetNonblock(int(fd), true) })
 	if controlErr != nil {
 		return nil, controlErr
 	}
--- a/internal/sidecar/lifecycle.go
+++ b/internal/sidecar/lifecycle.go
@@ -63,13 +63,13 @@
 }
 
 func newLifecycle(s *sidecar, listener net.Listener) *lifecycle {
-	times := decide.Times{
+	timeouts := decide.Times{
 		Ready:  clock.Micros(readyTimeout),
 		Answer: clock.Micros(replyTimeout),
 		Drain:  clock.Micros(drainTimeout),
 	}
 	l := &lifecycle{sidecar: s, listener: listener}
-	l.Lifecycle = takeover.NewLifecycle(l, s.frontend, times, s.log)
+	l.Lifecycle = takeover.NewLifecycle(l, s.frontend, timeouts, s.log)
 	l.Successor.OwnsSockets = true
 	return l
 }
@@ -141,12 +141,12 @@
 // cannot get a response any more.
 func (l *lifecycle) limitResponseTime() {
 	log := l.sidecar.log
-	limit := min(maxDeadline, longestDeadline(l.sidecar.config)) + deadlineMargin
-	log.Info("stop requested", "while", l.Predecessor.String(), "all answered within", limit)
-	l.sidecar.frontend.SetResponseDeadline(l.sidecar.clock.Now() + clock.Micros(limit))
-	l.Loop.After(limit, func() {
-		if n := l.sidecar.frontend.ClosePartialRequests(); n > 0 {
-			log.Warn("incomplete requests closed", "connections", n)
+	responseTimeout := min(maxDeadline, longestDeadline(l.sidecar.config)) + deadlineMargin
+	log.Info("stop requested", "while", l.Predecessor.String(), "all answered within", responseTimeout)
+	l.sidecar.frontend.SetResponseDeadline(l.sidecar.clock.Now() + clock.Micros(responseTimeout))
+	l.Loop.After(responseTimeout, func() {
+		if closedConns := l.sidecar.frontend.ClosePartialRequests(); closedConns > 0 {
+			log.Warn("incomplete requests closed", "connections", closedConns)
 		}
 	})
 }
--- a/internal/sidecar/limits_test.go
+++ b/internal/sidecar/limits_test.go
@@ -78,12 +78,12 @@
 	received, release := make(chan struct{}, 64), make(chan struct{})
 	addr := startBlockingEndpoint(t, "/pay", received, release)
 	releaseAll := sync.OnceFunc(func() { close(release) })
-	t.Cleanup(releaseAll)         // otherwise the endpoint cannot be closed
-	var list []discovery.Instance // 64, because a single endpoint would seem overloaded
+	t.Cleanup(releaseAll)              // otherwise the endpoint cannot be closed
+	var endpoints []discovery.Instance // 64, because a single endpoint would seem overloaded
 	for i := range 64 {
-		list = append(list, scripteddiscovery.Up(fmt.Sprint("s-", i), addr))
+		endpoints = append(endpoints, scripteddiscovery.Up(fmt.Sprint("s-", i), addr))
 	}
-	cfg := configureStatic(t, list)
+	cfg := configureStatic(t, endpoints)
 	cfg.Sockets = 2 * platform.MinSockets
 	limits := clientLimits(cfg.Sockets)
 	if 4*limits.MaxIdle > cfg.Sockets {
@@ -155,7 +155,7 @@
 }
 
 // A request with the id of an open request gets status 409, because an endpoint could not distinguish the two.
-func TestIDOfOpenRequest(t *testing.T) {
+func TestDuplicateRequestID(t *testing.T) {
 	received, release := make(chan struct{}, 2), make(chan struct{})
 	addr := startBlockingEndpoint(t, "", received, release)
 	s := start(t, configureStatic(t, instances(addr)))
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -15,8 +15,8 @@
 // A reload moves the watch to the discovery address of the new configuration at once. No state of the old
 // discovery is kept: the new discovery has its own generations, and endpoints that it does not list are removed.
 func TestReload(t *testing.T) {
-	for _, mode := range []string{"automatic", "subscribe"} {
-		t.Run(mode, func(t *testing.T) {
+	for _, discoveryMode := range []string{"automatic", "subscribe"} {
+		t.Run(discoveryMode, func(t *testing.T) {
 			endpoint := func(name string) string {
 				return scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 					io.WriteString(w, name)
@@ -27,13 +27,13 @@
 				list[i].StartedMs = 1 // started long ago, because an endpoint that is warming up may get fewer requests
 			}
 			one, two, three := list[0], list[1], list[2]
-			configured := func(addr string) *platform.Config {
-				return configure(t, addr, list[:1], `"discovery":"automatic"`, `"discovery":"`+mode+`"`)
+			configureDiscovery := func(addr string) *platform.Config {
+				return configure(t, addr, list[:1], `"discovery":"automatic"`, `"discovery":"`+discoveryMode+`"`)
 			}
 			oldServer, newServer := scripteddiscovery.New(t), scripteddiscovery.New(t)
 			// Like ROUTER_DISCOVERY: it sets the address at the start, until a reload finds a changed address in
 			// the file.
-			c := configured(scriptedpeer.ClosedAddress(t))
+			c := configureDiscovery(scriptedpeer.ClosedAddress(t))
 			c.Discovery = oldServer.Addr
 			s := start(t, c)
 			expectWatch := func(server *scripteddiscovery.Server, wantQuery string) {
@@ -53,7 +53,7 @@
 			oldServer.Lines <- scripteddiscovery.Line(9, true, one, two)
 
 			s.reload <- syscall.SIGHUP
-			s.reloadedConfig <- configured(newServer.Addr)
+			s.reloadedConfig <- configureDiscovery(newServer.Addr)
 			expectWatch(newServer, " ")
 			newServer.Lines <- scripteddiscovery.Line(3, false, two)
 			newServer.Lines <- ""
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -19,7 +19,7 @@
 )
 
 // Requests and responses are forwarded unchanged.
-func TestServes(t *testing.T) {
+func TestRequestsAndResponsesAreForwarded(t *testing.T) {
 	type forwardedRequest struct {
 		r    *http.Request
 		body string
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -236,8 +236,8 @@
 
 // watchDiscovery returns a watcher that requests the endpoint lists after a generation from the discovery at addr,
 // and passes them to the core. listSource starts the watcher.
-func (s *sidecar) watchDiscovery(addr string, after int64) *discovery.Watcher {
-	w := discovery.NewWatcher(addr, after, s.config.MemoryMB, s.updateEndpoints, s.log)
+func (s *sidecar) watchDiscovery(addr string, afterGeneration int64) *discovery.Watcher {
+	w := discovery.NewWatcher(addr, afterGeneration, s.config.MemoryMB, s.updateEndpoints, s.log)
 	if s.events != nil {
 		w.OnRequest = s.events.DiscoveryPolled
 	}
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -84,14 +84,14 @@
 // serveOn runs a sidecar with one endpoint on the given listener.
 func serveOn(t *testing.T, ln net.Listener, endpoint discovery.Instance) *testSidecar {
 	t.Helper()
-	parts, err := assemble(configureStatic(t, []discovery.Instance{endpoint}), nil, scriptedpeer.DiscardLog)
+	assembled, err := assemble(configureStatic(t, []discovery.Instance{endpoint}), nil, scriptedpeer.DiscardLog)
 	require.NoError(t, err)
-	return serve(t, parts, ln)
+	return serve(t, assembled, ln)
 }
 
 // Connections in the listener's accept queue are served before the listener is closed, because the kernel has
 // already established them.
-func TestStopServesTheQueue(t *testing.T) {
+func TestStopServesAcceptQueue(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
 	ln := &gatedListener{TCPListener: listenLoopback(t)}
 	s := serveOn(t, ln, scripteddiscovery.Up("s-1", addr))
@@ -230,11 +230,11 @@
 		remainder string
 	}
 	var partialRequests []partialRequest
-	for _, missing := range []int{20, 1, 20} { // bytes of the head, of the body, and of a request that stays incomplete
+	for _, missingBytes := range []int{20, 1, 20} { // the last request stays incomplete
 		c := s.dial(t)
 		text := requestText(t, request("POST", "/pay", "pay", 1000, "x"))
-		io.WriteString(c, text[:len(text)-missing])
-		partialRequests = append(partialRequests, partialRequest{c, text[len(text)-missing:]})
+		io.WriteString(c, text[:len(text)-missingBytes])
+		partialRequests = append(partialRequests, partialRequest{c, text[len(text)-missingBytes:]})
 		accepted := scriptedpeer.Receive(t, ln.accepted, "connection")
 		scriptedpeer.Eventually(t, "the sidecar has read the bytes", func() bool {
 			return !hasUnreadBytes(t, accepted)
