--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -226,7 +226,7 @@
 	c := s.dial(t)
 	fmt.Fprint(c, "POST /pay HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 77\r\nX-Qos: pay\r\nX-Expires-In-Ms: 300\r\n"+
 		"Content-Length: 98304\r\n\r\n")
-	for range 6 { // 600 ms, longer than the timeout, which starts at the last byte
+	for range 6 { // 600 ms in total; the timeout of 300 ms starts at the last byte
 		c.Write(patternBytes(16 << 10))
 		time.Sleep(100 * time.Millisecond)
 		s.checkServed(t, "during an upload")
--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// startHangingEndpoint starts an endpoint that counts requests in received and never responds. It returns the endpoint's
-// address.
+// startHangingEndpoint starts an endpoint that counts requests in received and never responds. It returns the
+// endpoint's address.
 func startHangingEndpoint(t *testing.T, received *atomic.Int32) string {
 	t.Helper()
 	return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -109,10 +109,11 @@
 // largeBody is larger than the buffers between a client and the sidecar.
 var largeBody = strings.Repeat("x", 200<<10)
 
-// disconnect closes the connection of a client with an open request; text encodes a further request.
+// disconnect is a function that closes the connection of a client with an open request. text encodes a further
+// request.
 type disconnect func(c *net.TCPConn, text func(*http.Request) string)
 
-// disconnects are the ways in which a client can disconnect, by subtest name.
+// disconnects contains the ways in which a client can disconnect, by subtest name.
 var disconnects = map[string]disconnect{
 	"closes":      func(c *net.TCPConn, _ func(*http.Request) string) { c.Close() },
 	"resets":      func(c *net.TCPConn, _ func(*http.Request) string) { resetConn(c) },
@@ -135,8 +136,8 @@
 
 // When a client disconnects while its request waits for a connection to an endpoint, the request is cancelled and
 // no part of it is sent, however the client disconnects and whatever it has sent. This also applies if the
-// settings forbid to cancel attempts. The request stops counting as open at once, before the connection is
-// established.
+// settings do not allow the cancellation of attempts. The request stops counting as open at once, before the
+// connection is established.
 func TestDisconnectWhileConnecting(t *testing.T) {
 	requests := map[string]func() *http.Request{
 		"safe":     func() *http.Request { return safeRequest(900) },
@@ -203,7 +204,7 @@
 		io.WriteString(w, "ok")
 	})
 	defer close(release)
-	var endpoints []discovery.Instance // several, because a request does not wait for a running health check
+	var endpoints []discovery.Instance // several: a request does not wait for an already running check
 	for i := range 8 {
 		endpoints = append(endpoints, scripteddiscovery.Up(fmt.Sprint("s-", i), addr))
 	}
--- a/internal/sidecar/client_lifetimes_test.go
+++ b/internal/sidecar/client_lifetimes_test.go
@@ -22,7 +22,7 @@
 	disconnected map[string]time.Time   // when the client disconnected, by request id
 	violations   []string
 
-	closedWithoutResponse []string // ids of racing clients' requests without a response
+	closedWithoutResponse []string // ids of racing clients' requests whose connection closed without a response
 }
 
 func newLifetimeRecorder() *lifetimeRecorder {
@@ -156,7 +156,7 @@
 
 // runClientLifetimes runs clients that send complete and partial requests, single, pipelined and in pieces, wait,
 // disconnect and reconnect in an order drawn from a seed. The sidecar is stopped while the last clients are
-// connected. It returns the violations: a complete request of a connected client without a final response, a
+// connected. It returns the violations found: a complete request of a connected client without a final response, a
 // response to another request, a request that the endpoint received twice, a request that was forwarded later than
 // cancelTimeout after its client's disconnect, or a request that is still open at the end. With wrongIDs the
 // endpoint sends responses with the ids of other requests.
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// While discovery is down, the sidecar serves with the endpoint list of its configuration.
+// While discovery is down, the sidecar uses the endpoint list of its configuration.
 func TestKnownListServes(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {})
 	s := start(t, configureStatic(t, instances(addr)))
--- a/internal/sidecar/events_test.go
+++ b/internal/sidecar/events_test.go
@@ -12,7 +12,7 @@
 )
 
 // The event log contains each attempt with the endpoint's name and each connection with the endpoint's address, and
-// eventlog.Read can read it.
+// eventlog.Read can decode it.
 func TestEventsAreLogged(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "one") })
 	c := configureStatic(t, instances(addr))
--- a/internal/sidecar/helper_test.go
+++ b/internal/sidecar/helper_test.go
@@ -38,7 +38,7 @@
 	"tenants":[{"name":"acme","allowance-per-s":100.0,"share":1.0}]}`
 
 // configureStatic returns a configuration whose discovery is down, so that the sidecar keeps the known endpoint
-// list. edits are as for configure.
+// list. edits are pairs of old and new text that are replaced in siteSettings.
 func configureStatic(t *testing.T, known []discovery.Instance, edits ...string) *platform.Config {
 	t.Helper()
 	return configure(t, scriptedpeer.ClosedAddress(t), known, edits...)
@@ -96,7 +96,7 @@
 	serveResult chan error
 
 	reload         chan os.Signal
-	reloadedConfig chan *platform.Config // results of the next reads of the configuration; nil makes a read fail
+	reloadedConfig chan *platform.Config // configurations that read returns; nil makes it return an error
 }
 
 // start runs a sidecar and waits until it is ready. The sidecar is stopped at the end of the test.
--- a/internal/sidecar/lifecycle.go
+++ b/internal/sidecar/lifecycle.go
@@ -25,10 +25,10 @@
 	// than the deadline of any request and the duration of most streamed responses. The platform usually kills the
 	// process earlier.
 	drainTimeout = 30 * time.Second
-	// deadlineMargin is added to the longest client deadline: within the sum, all responses are sent after a stop
+	// deadlineMargin is added to the longest client deadline to get the time limit for all responses after a stop
 	// request. The margin is below 0.7 s, because the platform kills the process 0.7 s after the longest deadline.
 	deadlineMargin = 500 * time.Millisecond
-	// maxDeadline is the upper limit on the client deadline that is used to bound the duration of a stop.
+	// maxDeadline limits how long a stop waits for requests with the longest client deadline.
 	maxDeadline = 3 * time.Second
 	// stopAcceptDelay is the time for which a process still accepts connections after it starts to drain. Clients
 	// may connect for up to 0.4 s after a stop request.
@@ -120,7 +120,7 @@
 		}
 	}
 	l.Successor.ServeAlone()
-	_ = l.StartAlone() // StartAlone always returns nil
+	_ = l.StartAlone() // the error is always nil
 }
 
 // ---- Stopping ----------------------------------------------------------------
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -31,8 +31,8 @@
 				return configure(t, addr, list[:1], `"discovery":"automatic"`, `"discovery":"`+discoveryMode+`"`)
 			}
 			oldServer, newServer := scripteddiscovery.New(t), scripteddiscovery.New(t)
-			// Like ROUTER_DISCOVERY: it sets the address at the start, until a reload finds a changed address in
-			// the file.
+			// The address is set as by ROUTER_DISCOVERY: it applies from the start until a reload finds a changed
+			// address in the file.
 			c := configureDiscovery(scriptedpeer.ClosedAddress(t))
 			c.Discovery = oldServer.Addr
 			s := start(t, c)
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -18,7 +18,8 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// Requests and responses are forwarded unchanged.
+// Requests are forwarded with the same method, target, body, id, idempotency key and tenant, and responses with the
+// same body and content type.
 func TestRequestsAndResponsesAreForwarded(t *testing.T) {
 	type forwardedRequest struct {
 		r    *http.Request
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -52,7 +52,7 @@
 // drain grace.
 const (
 	agentResponseTimeout = 500 * time.Millisecond // limit on the time until a response of the agent starts
-	agentMaxBackoff      = 50 * time.Millisecond  // maximum backoff between requests to the agent
+	agentMaxBackoff      = 50 * time.Millisecond  // maximum pause between requests that return no list
 )
 
 // availableSockets returns the number of descriptors for connections to clients and endpoints, including the
@@ -234,8 +234,8 @@
 // identify returns the client of a connection, which is always the application.
 func (s *sidecar) identify(net.Conn) (*http1.Client, func(), error) { return s.client, nil, nil }
 
-// watchDiscovery returns a watcher that requests the endpoint lists after a generation from the discovery at addr,
-// and passes them to the core. listSource starts the watcher.
+// watchDiscovery returns a watcher that requests the endpoint lists that follow afterGeneration from the discovery
+// at addr, and passes them to the core. listSource starts the watcher.
 func (s *sidecar) watchDiscovery(addr string, afterGeneration int64) *discovery.Watcher {
 	w := discovery.NewWatcher(addr, afterGeneration, s.config.MemoryMB, s.updateEndpoints, s.log)
 	if s.events != nil {
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -97,7 +97,7 @@
 	s := serveOn(t, ln, scripteddiscovery.Up("s-1", addr))
 	s.request(t, safeRequest(900)) // gives the sidecar an estimate of response times
 	ln.closeGate()
-	if c, err := net.Dial("tcp", s.addr); err == nil { // ends the Accept that is already waiting
+	if c, err := net.Dial("tcp", s.addr); err == nil { // lets the Accept return that is already waiting
 		c.Read(make([]byte, 1))
 		c.Close()
 	}
@@ -180,7 +180,7 @@
 	}
 }
 
-// reportingListener is a listener that also sends the connections that it accepts to a test.
+// reportingListener is a listener that also sends each accepted connection to the channel accepted.
 type reportingListener struct {
 	*net.TCPListener
 	accepted chan *net.TCPConn
@@ -230,7 +230,7 @@
 		remainder string
 	}
 	var partialRequests []partialRequest
-	for _, missingBytes := range []int{20, 1, 20} { // the last request stays incomplete
+	for _, missingBytes := range []int{20, 1, 20} { // bytes that are sent late; the last request stays incomplete
 		c := s.dial(t)
 		text := requestText(t, request("POST", "/pay", "pay", 1000, "x"))
 		io.WriteString(c, text[:len(text)-missingBytes])
