--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -20,39 +20,39 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// A rejection (503) promises that the request never ran. Without certainty of that the request has failed, whatever the
-// endpoint answered.
+// The sidecar may respond with status 503 only if the request certainly never ran. If it may have run, the sidecar
+// responds with another error status, whatever the endpoint's response was.
 func TestRejectedOrFailed(t *testing.T) {
-	never := func(w http.ResponseWriter, _ *http.Request) {
+	respondNeverRan := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Never-Ran", "1")
 		w.WriteHeader(503)
 	}
-	perhaps := func(w http.ResponseWriter, _ *http.Request) {
+	respondUnavailable := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "1")
 		w.WriteHeader(503)
 	}
-	broken := func(w http.ResponseWriter, _ *http.Request) {
+	sendPartOfBody := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "9")
 		io.WriteString(w, "half")
 	}
 	for _, tc := range []struct {
 		name     string
-		h        http.HandlerFunc
+		handler  http.HandlerFunc
 		class    string
 		rejected bool
 	}{
-		{"turned away, unsafe", never, "pay", true},
-		{"turned away, keyed", never, "book", true},
-		{"turned away, safe", never, "look", true},
-		{"503, unsafe", perhaps, "pay", false},
-		{"503, keyed", perhaps, "book", false},
-		{"half a body, unsafe", broken, "pay", false},
+		{"503 with X-Never-Ran, unsafe", respondNeverRan, "pay", true},
+		{"503 with X-Never-Ran, keyed", respondNeverRan, "book", true},
+		{"503 with X-Never-Ran, safe", respondNeverRan, "look", true},
+		{"503 without X-Never-Ran, unsafe", respondUnavailable, "pay", false},
+		{"503 without X-Never-Ran, keyed", respondUnavailable, "book", false},
+		{"truncated body, unsafe", sendPartOfBody, "pay", false},
 		{"no connection, unsafe", nil, "pay", true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			addr := scriptedpeer.ClosedAddress(t)
-			if tc.h != nil {
-				addr = scriptedpeer.StartHTTP(t, tc.h)
+			if tc.handler != nil {
+				addr = scriptedpeer.StartHTTP(t, tc.handler)
 			}
 			s := start(t, configureStatic(t, instances(addr)))
 			method := "POST"
@@ -62,40 +62,40 @@
 			started := time.Now()
 			resp, _ := s.request(t, request(method, "/"+tc.class, tc.class, 900, ""))
 			if got := resp.StatusCode == 503; got != tc.rejected || resp.StatusCode < 500 {
-				t.Errorf("%s, rejected should be %v", resp.Status, tc.rejected)
+				t.Errorf("status %s, want rejected %v", resp.Status, tc.rejected)
 			}
 			retryAfter, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-			if advised := err == nil && retryAfter > 0; advised != tc.rejected {
-				t.Errorf("Retry-After %q", resp.Header.Get("Retry-After"))
+			if hasRetryAfter := err == nil && retryAfter > 0; hasRetryAfter != tc.rejected {
+				t.Errorf("unexpected Retry-After %q", resp.Header.Get("Retry-After"))
 			}
-			// The final answer must come at once, not at the request's deadline.
+			// The final response must be sent at once, not at the request's deadline.
 			if took := time.Since(started); took > 450*time.Millisecond {
-				t.Errorf("answered after %v", took)
+				t.Errorf("response after %v", took)
 			}
 		})
 	}
 }
 
-// A request that may have run is not retried if it is unsafe, and only at an endpoint of the same cell if it has an
-// idempotency key.
-func TestResends(t *testing.T) {
+// A request that may have run is not retried if it is unsafe. If it has an idempotency key, it is retried only at an
+// endpoint of the same cell.
+func TestRetriesByRequestClass(t *testing.T) {
 	for _, tc := range []struct {
-		class     string
-		cell      uint16 // of the second endpoint
-		maxCopies int32
-		served    bool
+		class       string
+		cell        uint16 // cell of the second endpoint
+		maxAttempts int32
+		served      bool
 	}{
 		{"pay", 1, 1, false},
 		{"book", 2, 1, false},
 		{"book", 1, 2, true},
 	} {
 		t.Run(fmt.Sprint(tc.class, tc.cell), func(t *testing.T) {
-			var copies atomic.Int32
-			// The first endpoint closes its connection after reading the request.
+			var attempts atomic.Int32
+			// The endpoint that gets the first attempt closes its connection without a response.
 			endpoint := func() string {
 				return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
-					if _, err := scriptedpeer.ReadRequest(r); err == nil && copies.Add(1) > 1 {
-						io.WriteString(c, okAnswer)
+					if _, err := scriptedpeer.ReadRequest(r); err == nil && attempts.Add(1) > 1 {
+						io.WriteString(c, okResponse)
 					}
 				})
 			}
@@ -103,55 +103,56 @@
 			list[1].Cell = tc.cell
 			s := start(t, configureStatic(t, list))
 			resp, _ := s.request(t, request("POST", "/"+tc.class, tc.class, 900, "x"))
-			if n := copies.Load(); n > tc.maxCopies {
-				t.Errorf("%d copies, %d at most", n, tc.maxCopies)
+			if n := attempts.Load(); n > tc.maxAttempts {
+				t.Errorf("%d attempts, want at most %d", n, tc.maxAttempts)
 			}
 			if got := resp.StatusCode == 200; got != tc.served || resp.StatusCode == 503 {
-				t.Errorf("%s, served should be %v", resp.Status, tc.served)
+				t.Errorf("status %s, want served %v", resp.Status, tc.served)
 			}
 		})
 	}
 }
 
-// A response of which only the head comes counts as none: a safe request is served by another endpoint, and an unsafe
-// one gets its final answer by its deadline.
+// An attempt fails if its response stalls after the head. A safe request is then served by another endpoint, and an
+// unsafe request gets its final response by its deadline.
 func TestHeadWithoutBody(t *testing.T) {
-	var heads atomic.Int32
-	var stalls atomic.Bool
-	bad := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
+	var loneHeads atomic.Int32
+	var stalling atomic.Bool
+	headOnly := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
 			if _, err := scriptedpeer.ReadRequest(r); err != nil {
 				return
 			}
-			if stalls.Load() {
+			if stalling.Load() {
 				break
 			}
-			io.WriteString(c, okAnswer)
+			io.WriteString(c, okResponse)
 		}
-		heads.Add(1)
+		loneHeads.Add(1)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n")
-		r.Peek(1) // until the attempt is cancelled
+		r.Peek(1) // wait until the attempt is cancelled
 	})
-	stalls.Store(true)
-	s := start(t, configureStatic(t, instances(bad)))
+	stalling.Store(true)
+	s := start(t, configureStatic(t, instances(headOnly)))
 	started := time.Now()
 	resp, _ := s.request(t, request("POST", "/pay", "pay", 400, "x"))
-	if took := time.Since(started); resp.StatusCode != 504 || took > 450*time.Millisecond || heads.Load() != 1 {
-		t.Errorf("alone: %s after %v, with %d attempts", resp.Status, took, heads.Load())
+	if took := time.Since(started); resp.StatusCode != 504 || took > 450*time.Millisecond || loneHeads.Load() != 1 {
+		t.Errorf("single endpoint: %s after %v, with %d attempts", resp.Status, took, loneHeads.Load())
 	}
-	good := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	s = start(t, configureStatic(t, instances(bad, good)))
-	stalls.Store(false)
-	for range 20 { // the sidecar learns response times; before, attempts have no timeout of their own
-		s.request(t, look(900))
+	complete := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
+	s = start(t, configureStatic(t, instances(headOnly, complete)))
+	stalling.Store(false)
+	for range 20 { // attempts have no timeout until the sidecar has estimates of response times
+		s.request(t, safeRequest(900))
 	}
-	stalls.Store(true)
-	for before := heads.Load(); heads.Load() == before; {
-		s.checkServed(t, "beside another")
+	stalling.Store(true)
+	for headsBefore := loneHeads.Load(); loneHeads.Load() == headsBefore; {
+		s.checkServed(t, "with a second endpoint")
 	}
 }
 
-// An endpoint without a response must not keep the client waiting past its deadline, nor the connection open.
+// If an endpoint never responds, the client gets a final response by its deadline, and the connection to the
+// endpoint is closed.
 func TestDeadline(t *testing.T) {
 	ended := make(chan error, 3)
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -168,26 +169,26 @@
 	}{{"pay", 504}, {"book", 504}} {
 		started := time.Now()
 		resp, _ := s.request(t, request("POST", "/"+tc.class, tc.class, 200, "x"))
-		// The deadline, and 50 ms that PROTOCOL allows for the machine.
+		// The deadline is 200 ms. PROTOCOL allows 50 ms more for delays of the machine.
 		if took := time.Since(started); took > 250*time.Millisecond || resp.StatusCode != tc.want {
 			t.Errorf("%s: %s after %v, want %d within 250 ms", tc.class, resp.Status, took, tc.want)
 		}
 		if err := scriptedpeer.Receive(t, ended, "end of the attempt"); !errors.Is(err, io.EOF) {
-			t.Errorf("%s: the endpoint read on: %v", tc.class, err)
+			t.Errorf("%s: reading at the endpoint: %v, want EOF", tc.class, err)
 		}
 	}
-	// A request that arrives after its deadline is rejected.
+	// A request that has no time left until its deadline is rejected.
 	if resp, _ := s.request(t, request("POST", "/pay", "pay", 0, "x")); resp.StatusCode != 503 {
-		t.Errorf("no time: %s, want 503", resp.Status)
+		t.Errorf("request with timeout 0: %s, want 503", resp.Status)
 	}
 }
 
-// The attempt of a client that disconnects is cancelled.
+// When a client disconnects, the attempt of its open request is cancelled.
 func TestClientGone(t *testing.T) {
-	taken, ended := make(chan struct{}), make(chan error, 1)
+	received, ended := make(chan struct{}), make(chan error, 1)
 	addr := scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
 		scriptedpeer.ReadRequest(r)
-		close(taken)
+		close(received)
 		_, err := r.ReadByte()
 		ended <- err
 	})
@@ -195,20 +196,21 @@
 	s := start(t, cfg)
 	c := s.dial(t)
 	require.NoError(t, request("POST", "/pay", "pay", 60000, "x").Write(c))
-	scriptedpeer.Receive(t, taken, "attempt")
+	scriptedpeer.Receive(t, received, "attempt")
 	c.Close()
 	if err := scriptedpeer.Receive(t, ended, "end of the attempt"); !errors.Is(err, io.EOF) {
-		t.Errorf("the endpoint read on: %v", err)
+		t.Errorf("reading at the endpoint: %v, want EOF", err)
 	}
 }
 
-// An endpoint that does not answer one class, or rejects one tenant, gets few requests of these, and still the others.
-func TestEndpointFailsOnePart(t *testing.T) {
+// An endpoint that never responds to one class, or rejects one tenant, gets few requests of that class or tenant,
+// but still gets other requests.
+func TestEndpointFailsOneClassOrTenant(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		bad    func(r *http.Request) bool
-		handle func(w http.ResponseWriter, r *http.Request)
-		rest   func() *http.Request
+		name         string
+		fails        func(r *http.Request) bool
+		failWith     func(w http.ResponseWriter, r *http.Request)
+		otherRequest func() *http.Request
 	}{
 		{"class", func(r *http.Request) bool { return r.URL.Path == "/look/1" },
 			func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
@@ -218,92 +220,93 @@
 				w.Header().Set("X-Never-Ran", "1")
 				w.WriteHeader(503)
 			},
-			func() *http.Request { return look(900) }}, // of the same class
+			func() *http.Request { return safeRequest(900) }}, // of the same class but another tenant
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var failed, served atomic.Int32
-			half := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-				if tc.bad(r) {
+			failing := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+				if tc.fails(r) {
 					failed.Add(1)
-					tc.handle(w, r)
+					tc.failWith(w, r)
 					return
 				}
 				served.Add(1)
 			})
 			healthy := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {})
-			s := start(t, configureStatic(t, instances(half, healthy),
+			s := start(t, configureStatic(t, instances(failing, healthy),
 				`"tenants":[`, `"tenants":[{"name":"zeta","allowance-per-s":100.0,"share":1.0},`))
 			const rounds = 40
 			for range rounds {
-				r := look(60)
+				r := safeRequest(60)
 				r.Header.Set("X-Customer", "zeta")
 				s.request(t, r)
 				for range 5 {
-					s.request(t, tc.rest())
+					s.request(t, tc.otherRequest())
 				}
 			}
 			if n := failed.Load(); n > rounds/6 {
-				t.Errorf("%d of %d requests went to the endpoint that fails them", n, rounds)
+				t.Errorf("%d of %d requests were sent to the endpoint that fails them", n, rounds)
 			}
 			if n := served.Load(); n < rounds/4 {
-				t.Errorf("%d of %d other requests went there", n, 5*rounds)
+				t.Errorf("%d of %d other requests were sent to the failing endpoint", n, 5*rounds)
 			}
 		})
 	}
 }
 
-// Idle connections may fail without a reset. A safe request on one is retried elsewhere long before its deadline, and
-// the others that have been idle for as long are not used one after another.
+// Idle connections may fail without a reset. A safe request on such a connection is retried at another endpoint long
+// before its deadline, and other connections that have been idle for as long are not tried one after another.
 func TestSilentConnections(t *testing.T) {
 	var silent atomic.Bool
-	var lost atomic.Int32
-	endpoint := func(falls bool) string {
+	var unanswered atomic.Int32
+	endpoint := func(goesSilent bool) string {
 		return scriptedpeer.StartTCP(t, func(c *net.TCPConn, r *bufio.Reader) {
-			old := falls && !silent.Load()
+			openedBefore := goesSilent && !silent.Load()
 			for {
 				if _, err := scriptedpeer.ReadRequest(r); err != nil {
 					return
 				}
-				if old && silent.Load() {
-					lost.Add(1)
+				if openedBefore && silent.Load() {
+					unanswered.Add(1)
 					continue
 				}
-				io.WriteString(c, okAnswer)
+				io.WriteString(c, okResponse)
 			}
 		})
 	}
 	s := start(t, configureStatic(t, instances(endpoint(true), endpoint(false))))
-	for range 40 { // the sidecar learns how long requests take, over some connections at once
-		var several sync.WaitGroup
+	for range 40 { // the sidecar learns response times and opens several connections
+		var batch sync.WaitGroup
 		for range 8 {
-			several.Go(func() { s.request(t, look(900)) })
+			batch.Go(func() { s.request(t, safeRequest(900)) })
 		}
-		several.Wait()
+		batch.Wait()
 	}
 	silent.Store(true)
 	for i := range 60 {
 		s.checkServed(t, fmt.Sprint("request ", i))
 	}
-	if n := lost.Load(); n != 1 {
-		t.Errorf("%d requests went to silent connections, want 1", n)
+	if n := unanswered.Load(); n != 1 {
+		t.Errorf("%d requests were sent on silent connections, want 1", n)
 	}
 }
 
-// A dial can outlast the drain grace. Then nothing may be sent, and the request is rejected.
+// If the connection to a draining endpoint is established only after the drain grace, nothing is sent on it, and the
+// request is rejected.
 func TestDialOutlastsDrain(t *testing.T) {
 	var sent atomic.Int32
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) { sent.Add(1) })
 	drained := scripteddiscovery.Up("s-1", addr)
 	drained.Lifecycle = "draining"
 	for _, tc := range []struct {
-		name   string
-		update discovery.List
-		wait   bool // the grace ends before the connection is established
-		want   int
+		name      string
+		update    discovery.List
+		graceEnds bool // whether the grace ends before the connection is established
+		want      int
 	}{
 		{"within the grace", discovery.List{Instances: []discovery.Instance{drained}}, false, 200},
-		{"past the grace", discovery.List{Instances: []discovery.Instance{drained}}, true, 503},
-		{"left out of a complete list", discovery.List{Reset: true}, true, 503},
+		{"after the grace", discovery.List{Instances: []discovery.Instance{drained}}, true, 503},
+		{"missing from a complete list", discovery.List{Reset: true}, true, 503},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sent.Store(0)
@@ -314,64 +317,65 @@
 				<-release
 				return (&net.Dialer{}).DialContext(ctx, network, addr)
 			})
-			answer := s.requestInBackground(t, request("POST", "/pay", "pay", 900, "x"))
+			status := s.requestInBackground(t, request("POST", "/pay", "pay", 900, "x"))
 			scriptedpeer.Receive(t, dialing, "dial")
 			tc.update.Generation = 8
-			s.parts.endpoints.UpdateEndpoints(context.Background(), tc.update.EndpointUpdate())
-			if tc.wait {
+			s.sidecar.endpointPool.UpdateEndpoints(context.Background(), tc.update.EndpointUpdate())
+			if tc.graceEnds {
 				<-time.After(time.Duration(cfg.Site.Settings.Contract.DrainGrace) * time.Microsecond)
 			}
 			close(release)
-			if code := scriptedpeer.Receive(t, answer, "answer"); code != tc.want {
-				t.Errorf("answered %d, want %d", code, tc.want)
+			if code := scriptedpeer.Receive(t, status, "response"); code != tc.want {
+				t.Errorf("status %d, want %d", code, tc.want)
 			}
 			if got := sent.Load(); (got > 0) != (tc.want == 200) {
-				t.Errorf("the endpoint got %d requests", got)
+				t.Errorf("the endpoint received %d requests", got)
 			}
 		})
 	}
 }
 
-// waitUntil returns at the instant end, or when the context is done.
-func waitUntil(ctx context.Context, end time.Time) {
+// waitUntil returns at the given instant, or when the context is done.
+func waitUntil(ctx context.Context, instant time.Time) {
 	select {
-	case <-time.After(time.Until(end)):
+	case <-time.After(time.Until(instant)):
 	case <-ctx.Done():
 	}
 }
 
-// A dial can outlast the window in which a request with an idempotency key may be retried. The second attempt is not
-// sent then, and the request fails, because the first may have run. Within the window the second attempt is sent.
+// A request with an idempotency key may be retried only within its retry window. If the dial of the second attempt
+// ends after the window, the attempt is not sent and the request fails, because the first attempt may have run. If
+// the dial ends within the window, the second attempt is sent.
 func TestDialOutlastsWindow(t *testing.T) {
-	const window = 400 * time.Millisecond // as in settings
+	const window = 400 * time.Millisecond // the window of class book in siteSettings
 	for _, tc := range []struct {
-		name         string
-		late         bool // the second dial ends after the window
-		wantStatus   int
-		wantAttempts int32
+		name           string
+		secondDialLate bool // whether the second dial ends after the window
+		wantStatus     int
+		wantAttempts   int32
 	}{
-		{"within", false, 200, 2},
-		{"past", true, 502, 1},
+		{"within the window", false, 200, 2},
+		{"after the window", true, 502, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var attempts atomic.Int32
-			first := make(chan time.Time, 1)
+			firstAttemptAt := make(chan time.Time, 1)
 			handle := func(c *net.TCPConn, r *bufio.Reader) {
 				if _, err := scriptedpeer.ReadRequest(r); err != nil {
 					return
 				}
 				if attempts.Add(1) == 1 {
-					first <- time.Now()
-					c.SetLinger(0) // it may have run
+					firstAttemptAt <- time.Now()
+					c.SetLinger(0) // close with a reset: the request may have run
 					return
 				}
-				io.WriteString(c, okAnswer)
+				io.WriteString(c, okResponse)
 			}
 			var dials atomic.Int32
 			dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
-				if dials.Add(1) == 2 && tc.late && err == nil {
-					waitUntil(ctx, (<-first).Add(window)) // a slow handshake
+				if dials.Add(1) == 2 && tc.secondDialLate && err == nil {
+					waitUntil(ctx, (<-firstAttemptAt).Add(window)) // simulate a slow handshake
 				}
 				return c, err
 			}
--- a/internal/sidecar/endpoint_connlimit_test.go
+++ b/internal/sidecar/endpoint_connlimit_test.go
@@ -11,7 +11,7 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// cappedListener is a listener that resets connections beyond a number of open ones.
+// cappedListener is a listener that resets new connections while maxOpen connections are open.
 type cappedListener struct {
 	net.Listener
 	maxOpen  int32
@@ -30,7 +30,7 @@
 		}
 		l.open.Add(-1)
 		l.rejected.Add(1)
-		reset(c)
+		resetConn(c)
 	}
 }
 
@@ -48,88 +48,89 @@
 	return c.Conn.Close()
 }
 
-// fullEndpoint is an endpoint that accepts one connection, and holds each request until the test lets it go.
+// fullEndpoint is an endpoint that accepts one connection, and delays each response until the test releases it.
 type fullEndpoint struct {
-	ln       *cappedListener
+	listener *cappedListener
 	requests atomic.Int32
-	arrived  chan struct{} // receives each request
-	hold     chan struct{} // lets one request go, or all once it is closed
+	received chan struct{} // receives a value for each request
+	release  chan struct{} // each value releases one response; closing it releases all
 }
 
 func startFullEndpoint(t *testing.T) *fullEndpoint {
 	t.Helper()
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
+	tcpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	e := &fullEndpoint{
-		ln:      &cappedListener{Listener: inner, maxOpen: 1},
-		arrived: make(chan struct{}, 100),
-		hold:    make(chan struct{}, 1),
+		listener: &cappedListener{Listener: tcpListener, maxOpen: 1},
+		received: make(chan struct{}, 100),
+		release:  make(chan struct{}, 1),
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		e.requests.Add(1)
-		e.arrived <- struct{}{}
-		<-e.hold
+		e.received <- struct{}{}
+		<-e.release
 		io.WriteString(w, "capped")
 	})}
-	go server.Serve(e.ln)
+	go server.Serve(e.listener)
 	t.Cleanup(func() { server.Close() })
 	return e
 }
 
-// An endpoint that accepts no more connections still answers on those that it has: they are kept and used, and a
-// request that finds no connection there is sent to another endpoint at once. No request fails.
+// An endpoint that rejects further connections still responds on its open connections. The sidecar keeps and uses
+// these connections, and sends a request to another endpoint at once if no connection is available. No request
+// fails.
 func TestEndpointFullOfConnections(t *testing.T) {
 	full := startFullEndpoint(t)
 	other := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, "other")
 	})
-	s := start(t, configureStatic(t, instances(full.ln.Addr().String(), other)))
+	s := start(t, configureStatic(t, instances(full.listener.Addr().String(), other)))
 
-	// One request occupies the only connection, so that no other can be opened meanwhile.
-	codes := make(chan int, 1)
+	// One request occupies the only connection to the full endpoint, so that no other connection can be opened.
+	statuses := make(chan int, 1)
 	for full.requests.Load() == 0 {
 		go func() {
 			c, err := net.Dial("tcp", s.addr)
 			if err != nil {
-				codes <- 0
+				statuses <- 0
 				return
 			}
 			defer c.Close()
-			resp, _ := s.requestOn(t, c, look(2000))
-			codes <- resp.StatusCode
+			resp, _ := s.requestOn(t, c, safeRequest(2000))
+			statuses <- resp.StatusCode
 		}()
 		select {
-		case code := <-codes:
+		case code := <-statuses:
 			if code != 200 {
-				t.Fatalf("answered %d", code)
+				t.Fatalf("status %d, want 200", code)
 			}
-		case <-full.arrived:
+		case <-full.received:
 		}
 	}
 	for range 40 {
-		if resp, text := s.request(t, look(900)); resp.StatusCode != 200 || text != "other" {
-			t.Fatalf("%s by %q: a full endpoint must not fail a request", resp.Status, text)
+		if resp, text := s.request(t, safeRequest(900)); resp.StatusCode != 200 || text != "other" {
+			t.Fatalf("%s from %q: a full endpoint must not fail a request", resp.Status, text)
 		}
 	}
-	if full.ln.rejected.Load() == 0 {
+	if full.listener.rejected.Load() == 0 {
 		t.Error("no connection was rejected: the sidecar has not tried to open one")
 	}
-	full.hold <- struct{}{}
-	if code := <-codes; code != 200 {
-		t.Errorf("the request at the full endpoint was answered %d", code)
+	full.release <- struct{}{}
+	if code := <-statuses; code != 200 {
+		t.Errorf("the request at the full endpoint got status %d", code)
 	}
 
-	// It still answers on the connection that it has.
-	close(full.hold)
-	before := full.ln.rejected.Load()
+	// The endpoint still responds on its open connection.
+	close(full.release)
+	rejectedBefore := full.listener.rejected.Load()
 	for full.requests.Load() < 5 {
-		if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 {
+		if resp, _ := s.request(t, safeRequest(900)); resp.StatusCode != 200 {
 			t.Fatalf("%s", resp.Status)
 		}
 	}
-	if n := full.ln.rejected.Load() - before; n > 0 {
-		t.Errorf("%d more connections were opened while the one was free", n)
+	if n := full.listener.rejected.Load() - rejectedBefore; n > 0 {
+		t.Errorf("%d more connections were opened while the open one was idle", n)
 	}
 }
--- a/internal/sidecar/events_test.go
+++ b/internal/sidecar/events_test.go
@@ -11,7 +11,8 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// The event log has each attempt by the endpoint's name and each connection by its address, and Read reads it again.
+// The event log contains each attempt with the endpoint's name and each connection with the endpoint's address, and
+// eventlog.Read can decode it.
 func TestEventsAreLogged(t *testing.T) {
 	addr := scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "one") })
 	c := configureStatic(t, instances(addr))
@@ -19,28 +20,29 @@
 	c.Events = &out
 	s := start(t, c)
 	for range 3 {
-		if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 {
+		if resp, _ := s.request(t, safeRequest(900)); resp.StatusCode != 200 {
 			t.Fatal(resp.Status)
 		}
 	}
 	s.stop()
-	require.NoError(t, <-s.ended)
-	got, err := eventlog.Read(&out)
+	require.NoError(t, <-s.serveResult)
+	loggedEvents, err := eventlog.Read(&out)
 	require.NoError(t, err)
-	n := map[eventlog.Kind]int{}
-	for _, e := range got {
-		n[e.Kind]++
-		named := e.Endpoint == "s-1"
+	counts := map[eventlog.Kind]int{}
+	for _, e := range loggedEvents {
+		counts[e.Kind]++
+		endpointMatches := e.Endpoint == "s-1"
 		if e.Kind == eventlog.ConnOpened || e.Kind == eventlog.ConnClosed {
-			named = e.Endpoint == addr
+			endpointMatches = e.Endpoint == addr
 		}
-		if !named && e.Kind != eventlog.DiscoveryPolled || e.At == 0 {
-			t.Errorf("%+v", e)
+		if !endpointMatches && e.Kind != eventlog.DiscoveryPolled || e.At == 0 {
+			t.Errorf("unexpected event %+v", e)
 		}
 	}
-	if n[eventlog.AttemptStarted] != 3 || n[eventlog.AttemptEnded] != 3 || n[eventlog.EndpointUpdated] != 1 ||
-		n[eventlog.ConnOpened] == 0 || n[eventlog.ConnClosed] != n[eventlog.ConnOpened] ||
-		n[eventlog.DiscoveryPolled] == 0 {
-		t.Errorf("%v", n)
+	if counts[eventlog.AttemptStarted] != 3 || counts[eventlog.AttemptEnded] != 3 ||
+		counts[eventlog.EndpointUpdated] != 1 ||
+		counts[eventlog.ConnOpened] == 0 || counts[eventlog.ConnClosed] != counts[eventlog.ConnOpened] ||
+		counts[eventlog.DiscoveryPolled] == 0 {
+		t.Errorf("unexpected counts %v", counts)
 	}
 }
--- a/internal/sidecar/helper_test.go
+++ b/internal/sidecar/helper_test.go
@@ -23,8 +23,9 @@
 	"dunlinsail/internal/platform"
 )
 
-// settings is a small site without health checks: a safe class, one with idempotency keys and an unsafe one.
-const settings = `{"peers-total":1,"areas":["a","b"],"skus":["m1"],"discovery":"automatic",
+// siteSettings are the settings of a small site without health checks. Its request classes are safe (look), with
+// idempotency keys (book) and unsafe (pay).
+const siteSettings = `{"peers-total":1,"areas":["a","b"],"skus":["m1"],"discovery":"automatic",
 	"classes":[
 	{"name":"look","repeat":"pure","target":500000,"give-up":1000000,"credit":1.0},
 	{"name":"book","repeat":"token","group":"cell","window":400000,"target":500000,"give-up":1000000,"credit":5.0},
@@ -36,23 +37,24 @@
 	"reporting":{"how":"probe","fields":["busy_reqs","served_ps","cpu_share"]},
 	"tenants":[{"name":"acme","allowance-per-s":100.0,"share":1.0}]}`
 
-// configureStatic makes a configuration whose discovery is down, so that the known list stays the only one.
+// configureStatic returns a configuration whose discovery is down, so that the sidecar keeps the known endpoint
+// list. edits are pairs of old and new text that are replaced in siteSettings.
 func configureStatic(t *testing.T, known []discovery.Instance, edits ...string) *platform.Config {
 	t.Helper()
 	return configure(t, scriptedpeer.ClosedAddress(t), known, edits...)
 }
 
-// instances returns endpoints at some addresses, named s-1, s-2 and so on.
+// instances returns endpoints at the given addresses, named s-1, s-2 and so on.
 func instances(addrs ...string) []discovery.Instance {
-	var all []discovery.Instance
+	var list []discovery.Instance
 	for i, addr := range addrs {
-		all = append(all, scripteddiscovery.Up(fmt.Sprint("s-", i+1), addr))
+		list = append(list, scripteddiscovery.Up(fmt.Sprint("s-", i+1), addr))
 	}
-	return all
+	return list
 }
 
-// dial connects to the sidecar. The connection is closed with the test.
-func (s *running) dial(t *testing.T) net.Conn {
+// dial connects to the sidecar. The connection is closed at the end of the test.
+func (s *testSidecar) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.addr)
 	require.NoError(t, err)
@@ -61,77 +63,79 @@
 }
 
 // idle reports whether no request and no attempt is open.
-func (s *running) idle() bool {
-	counts := s.parts.endpoints.Counts()
+func (s *testSidecar) idle() bool {
+	counts := s.sidecar.endpointPool.Counts()
 	return counts.InFlight == 0 && counts.OpenCalls == 0
 }
 
-// openConnections returns the number of clients' connections.
-func (s *running) openConnections() int {
-	all, _ := s.parts.front.ConnectionCounts()
-	return all
+// openConnections returns the number of open client connections.
+func (s *testSidecar) openConnections() int {
+	open, _ := s.sidecar.frontend.ConnectionCounts()
+	return open
 }
 
-// configure makes a configuration, with edits to the settings as pairs of old and new text.
+// configure returns a configuration with the discovery at addr and a known endpoint list. edits are pairs of old
+// and new text that are replaced in siteSettings.
 func configure(t *testing.T, addr string, known []discovery.Instance, edits ...string) *platform.Config {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": addr,
 		"seed": "8c1f30d27a5be964", "limits": map[string]int{"memory_mb": 192, "sockets": 1024},
 		"known":    discovery.List{Generation: 7, Reset: true, Instances: known},
-		"settings": json.RawMessage(strings.NewReplacer(edits...).Replace(settings))})
+		"settings": json.RawMessage(strings.NewReplacer(edits...).Replace(siteSettings))})
 	require.NoError(t, err)
 	c, err := platform.Parse(text, func(string) string { return "" })
 	require.NoError(t, err)
 	return c
 }
 
-// running is a sidecar under test.
-type running struct {
-	parts *sidecar
-	addr  string
-	stop  context.CancelFunc
-	ended chan error
+// testSidecar is a running sidecar under test.
+type testSidecar struct {
+	sidecar     *sidecar
+	addr        string
+	stop        context.CancelFunc
+	serveResult chan error
 
-	reload chan os.Signal
-	config chan *platform.Config // what is read at a reload; nil is an error
+	reload         chan os.Signal
+	reloadedConfig chan *platform.Config // configurations that read returns; nil makes it return an error
 }
 
-// start runs a sidecar and waits until it is ready. It is stopped with the test.
-func start(t *testing.T, c *platform.Config) *running {
+// start runs a sidecar and waits until it is ready. The sidecar is stopped at the end of the test.
+func start(t *testing.T, c *platform.Config) *testSidecar {
 	t.Helper()
 	return startDialing(t, c, nil)
 }
 
-// startDialing runs a sidecar as start does, with a dial of the test's own.
-func startDialing(t *testing.T, c *platform.Config, dial dialFunc) *running {
+// startDialing runs a sidecar as start does, and the sidecar connects to endpoints with the given dial.
+func startDialing(t *testing.T, c *platform.Config, dial dialFunc) *testSidecar {
 	t.Helper()
 	ln, err := net.Listen("tcp", c.Listen)
 	require.NoError(t, err)
-	parts, err := assemble(c, dial, scriptedpeer.DiscardLog)
+	assembled, err := assemble(c, dial, scriptedpeer.DiscardLog)
 	require.NoError(t, err)
-	return serve(t, parts, ln)
+	return serve(t, assembled, ln)
 }
 
-// serve runs an assembled sidecar on a listener and waits until it is ready. It is stopped with the test.
-func serve(t *testing.T, parts *sidecar, ln net.Listener) *running {
+// serve runs an assembled sidecar on a listener and waits until it is ready. The sidecar is stopped at the end of
+// the test.
+func serve(t *testing.T, parts *sidecar, ln net.Listener) *testSidecar {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	s := &running{parts: parts, addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1),
-		reload: make(chan os.Signal, 1), config: make(chan *platform.Config, 1)}
+	s := &testSidecar{sidecar: parts, addr: ln.Addr().String(), stop: stop, serveResult: make(chan error, 1),
+		reload: make(chan os.Signal, 1), reloadedConfig: make(chan *platform.Config, 1)}
 	go func() {
-		s.ended <- parts.serve(ctx, ln, s.reload, s.read)
-		close(s.ended)
+		s.serveResult <- parts.serve(ctx, ln, s.reload, s.read)
+		close(s.serveResult)
 	}()
 	t.Cleanup(func() {
 		stop()
-		<-s.ended
+		<-s.serveResult
 	})
 	scriptedpeer.Eventually(t, "the sidecar is ready", func() bool { return s.readyStatus() == 200 })
 	return s
 }
 
-// readyStatus returns the status of the response to a readiness check, 0 without a response.
-func (s *running) readyStatus() int {
+// readyStatus returns the status code of a readiness check, or 0 without a response.
+func (s *testSidecar) readyStatus() int {
 	resp, err := http.Get("http://" + s.addr + "/-/ready")
 	if err != nil {
 		return 0
@@ -140,70 +144,73 @@
 	return resp.StatusCode
 }
 
-// read returns the configuration that a test has sent for the reload.
-func (s *running) read() (*platform.Config, error) {
-	if c := <-s.config; c != nil {
+// read returns the configuration that a test has sent to reloadedConfig, or an error if it is nil.
+func (s *testSidecar) read() (*platform.Config, error) {
+	if c := <-s.reloadedConfig; c != nil {
 		return c, nil
 	}
 	return nil, errors.New("unreadable")
 }
 
-const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// look makes a request of the safe class.
-func look(ms int) *http.Request { return request("GET", "/look/1", "look", ms, "") }
+// safeRequest returns a request of the safe class with a timeout in milliseconds.
+func safeRequest(timeoutMs int) *http.Request {
+	return request("GET", "/look/1", "look", timeoutMs, "")
+}
 
-var lastID atomic.Uint32
+var lastRequestID atomic.Uint32
 
-// request makes a request of a class with a deadline in milliseconds and a new id.
-func request(method, path, class string, ms int, body string) *http.Request {
+// request returns a request of a class with a timeout in milliseconds and a new id. Requests of class book have an
+// idempotency key.
+func request(method, path, class string, timeoutMs int, body string) *http.Request {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	if body == "" {
-		r.Body = http.NoBody // or its length is not known
+		r.Body = http.NoBody // otherwise the body has an unknown length
 	}
-	r.Header.Set("X-Trace-Id", fmt.Sprintf("9b1f03aa%08x", lastID.Add(1)))
+	r.Header.Set("X-Trace-Id", fmt.Sprintf("9b1f03aa%08x", lastRequestID.Add(1)))
 	r.Header.Set("X-Qos", class)
 	r.Header.Set("X-Customer", "acme")
-	r.Header.Set("X-Expires-In-Ms", fmt.Sprint(ms))
+	r.Header.Set("X-Expires-In-Ms", fmt.Sprint(timeoutMs))
 	if class == "book" {
 		r.Header.Set("Idempotency-Key", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
 	}
 	return r
 }
 
-// request sends a request to the sidecar on a connection of its own and returns the complete response.
-func (s *running) request(t *testing.T, r *http.Request) (*http.Response, string) {
+// request sends a request to the sidecar on a new connection and returns the response and its body.
+func (s *testSidecar) request(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	c := s.dial(t)
 	return s.requestOn(t, c, r)
 }
 
-// requestOn sends a request on a connection and returns the complete response.
-func (s *running) requestOn(t *testing.T, c net.Conn, r *http.Request) (*http.Response, string) {
+// requestOn sends a request on a connection and returns the response and its body.
+func (s *testSidecar) requestOn(t *testing.T, c net.Conn, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	require.NoError(t, r.Write(c))
 	resp := readHead(t, c, r)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Fatalf("the answer is not complete: %v", err)
+		t.Fatalf("the response is not complete: %v", err)
 	}
 	return resp, string(body)
 }
 
-// readHead reads the head of the response to a request. The response's body is left to the caller.
+// readHead reads the head of the response to a request. The caller reads the body.
 func readHead(t *testing.T, c net.Conn, r *http.Request) *http.Response {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(scriptedpeer.WaitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), r)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	return resp
 }
 
-// requestInBackground sends a request on a connection of its own, and returns a channel that receives the status of its
-// response.
-func (s *running) requestInBackground(t *testing.T, r *http.Request) <-chan int {
+// requestInBackground sends a request on a new connection, and returns a channel that receives the status code of
+// the response.
+func (s *testSidecar) requestInBackground(t *testing.T, r *http.Request) <-chan int {
 	t.Helper()
 	c := s.dial(t)
 	status := make(chan int, 1)
@@ -214,29 +221,30 @@
 	return status
 }
 
-// checkServed checks that a request of the safe class is served.
-func (s *running) checkServed(t *testing.T, what string) {
+// checkServed checks that a request of the safe class gets status 200. situation is part of the error message.
+func (s *testSidecar) checkServed(t *testing.T, situation string) {
 	t.Helper()
-	if resp, _ := s.request(t, look(900)); resp.StatusCode != 200 {
-		t.Errorf("%s: %s", what, resp.Status)
+	if resp, _ := s.request(t, safeRequest(900)); resp.StatusCode != 200 {
+		t.Errorf("%s: %s", situation, resp.Status)
 	}
 }
 
-// checkEnded waits for the end of a sidecar that was stopped, and checks that it ends without error.
-func (s *running) checkEnded(t *testing.T) {
+// checkEnded waits until a stopped sidecar ends, and checks that it ends without an error.
+func (s *testSidecar) checkEnded(t *testing.T) {
 	t.Helper()
-	if err := scriptedpeer.Receive(t, s.ended, "end"); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := scriptedpeer.Receive(t, s.serveResult, "end"); err != nil {
+		t.Errorf("the sidecar ended with %v", err)
 	}
 }
 
-// startHolding starts an endpoint that reports each request for a path on taken and answers it once release is closed.
-// An empty path is every path. It returns the endpoint's address.
-func startHolding(t *testing.T, path string, taken chan<- struct{}, release <-chan struct{}) string {
+// startBlockingEndpoint starts an endpoint that reports each request for a path on received and responds once
+// release is closed. It responds to requests for other paths at once. An empty path matches every request. It
+// returns the endpoint's address.
+func startBlockingEndpoint(t *testing.T, path string, received chan<- struct{}, release <-chan struct{}) string {
 	t.Helper()
 	return scriptedpeer.StartHTTP(t, func(_ http.ResponseWriter, r *http.Request) {
 		if path == "" || r.URL.Path == path {
-			taken <- struct{}{}
+			received <- struct{}{}
 			<-release
 		}
 	})
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -12,11 +12,11 @@
 	"dunlinsail/internal/platform"
 )
 
-// A new configuration moves the watch to the discovery of its file at once, with nothing kept of the old one: the new
-// discovery has generations of its own, and endpoints that it does not list are removed.
+// A reload moves the watch to the discovery address of the new configuration at once. No state of the old
+// discovery is kept: the new discovery has its own generations, and endpoints that it does not list are removed.
 func TestReload(t *testing.T) {
-	for _, mode := range []string{"automatic", "subscribe"} {
-		t.Run(mode, func(t *testing.T) {
+	for _, discoveryMode := range []string{"automatic", "subscribe"} {
+		t.Run(discoveryMode, func(t *testing.T) {
 			endpoint := func(name string) string {
 				return scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 					io.WriteString(w, name)
@@ -24,69 +24,70 @@
 			}
 			list := instances(endpoint("one"), endpoint("two"), endpoint("three"))
 			for i := range list {
-				list[i].StartedMs = 1 // long ago: an endpoint that is warming up may get fewer requests
+				list[i].StartedMs = 1 // started long ago, because an endpoint that is warming up may get fewer requests
 			}
 			one, two, three := list[0], list[1], list[2]
-			configured := func(addr string) *platform.Config {
-				return configure(t, addr, list[:1], `"discovery":"automatic"`, `"discovery":"`+mode+`"`)
+			configureDiscovery := func(addr string) *platform.Config {
+				return configure(t, addr, list[:1], `"discovery":"automatic"`, `"discovery":"`+discoveryMode+`"`)
 			}
-			old, next := scripteddiscovery.New(t), scripteddiscovery.New(t)
-			// As with ROUTER_DISCOVERY, which sets the address at the start and is overridden by a file that changes.
-			c := configured(scriptedpeer.ClosedAddress(t))
-			c.Discovery = old.Addr
+			oldServer, newServer := scripteddiscovery.New(t), scripteddiscovery.New(t)
+			// The address is set as by ROUTER_DISCOVERY: it applies from the start until a reload finds a changed
+			// address in the file.
+			c := configureDiscovery(scriptedpeer.ClosedAddress(t))
+			c.Discovery = oldServer.Addr
 			s := start(t, c)
-			expect := func(b *scripteddiscovery.Server, want string) {
+			expectWatch := func(server *scripteddiscovery.Server, wantQuery string) {
 				t.Helper()
-				if got := scriptedpeer.Receive(t, b.Requests, "call of discovery"); got != want {
-					t.Errorf("asked with %q, want %q", got, want)
+				if got := scriptedpeer.Receive(t, server.Requests, "call of discovery"); got != wantQuery {
+					t.Errorf("query %q, want %q", got, wantQuery)
 				}
 			}
-			expect(old, "1 7")
+			expectWatch(oldServer, "1 7")
 
-			// A file that cannot be read and one with the same address leave the watch as it is.
-			same := *c
-			for _, c := range []*platform.Config{nil, &same} {
+			// A failed read and a configuration with the same address do not change the watch.
+			sameAddress := *c
+			for _, c := range []*platform.Config{nil, &sameAddress} {
 				s.reload <- syscall.SIGHUP
-				s.config <- c
+				s.reloadedConfig <- c
 			}
-			old.Lines <- scripteddiscovery.Line(9, true, one, two)
+			oldServer.Lines <- scripteddiscovery.Line(9, true, one, two)
 
 			s.reload <- syscall.SIGHUP
-			s.config <- configured(next.Addr)
-			expect(next, " ")
-			next.Lines <- scripteddiscovery.Line(3, false, two)
-			next.Lines <- ""
-			expect(next, "1 3")
-			s.serves(t, "two")
-			next.Lines <- scripteddiscovery.Line(4, true, three)
-			s.serves(t, "three")
+			s.reloadedConfig <- configureDiscovery(newServer.Addr)
+			expectWatch(newServer, " ")
+			newServer.Lines <- scripteddiscovery.Line(3, false, two)
+			newServer.Lines <- ""
+			expectWatch(newServer, "1 3")
+			s.waitServedOnlyBy(t, "two")
+			newServer.Lines <- scripteddiscovery.Line(4, true, three)
+			s.waitServedOnlyBy(t, "three")
 		})
 	}
 }
 
-// serves waits until only the endpoint of this name answers.
-func (s *running) serves(t *testing.T, want string) {
+// waitServedOnlyBy waits until five requests in a row are served by the endpoint of this name.
+func (s *testSidecar) waitServedOnlyBy(t *testing.T, want string) {
 	t.Helper()
-	for end, times := time.Now().Add(scriptedpeer.WaitTimeout), 0; times < 5; {
-		_, got := s.request(t, look(900))
-		if times++; got != want {
-			times = 0
+	for deadline, consecutive := time.Now().Add(scriptedpeer.WaitTimeout), 0; consecutive < 5; {
+		_, got := s.request(t, safeRequest(900))
+		if consecutive++; got != want {
+			consecutive = 0
 		}
-		if time.Now().After(end) {
-			t.Fatalf("answered by %q, want %q", got, want)
+		if time.Now().After(deadline) {
+			t.Fatalf("served by %q, want %q", got, want)
 		}
 	}
 }
 
-// Configurations may come while the sidecar stops.
+// A reload while the sidecar stops moves the watch, and the sidecar still ends without an error.
 func TestReloadWhileStopping(t *testing.T) {
-	b := scripteddiscovery.New(t)
+	server := scripteddiscovery.New(t)
 	addr := scriptedpeer.StartHTTP(t, func(http.ResponseWriter, *http.Request) {})
 	c := configureStatic(t, instances(addr))
 	s := start(t, c)
 	s.stop()
 	s.reload <- syscall.SIGHUP
-	s.config <- configure(t, b.Addr, nil)
-	scriptedpeer.Receive(t, b.Requests, "call of discovery")
+	s.reloadedConfig <- configure(t, server.Addr, nil)
+	scriptedpeer.Receive(t, server.Requests, "call of discovery")
 	s.checkEnded(t)
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,10 +1,10 @@
-// Package sidecar assembles the platform's sidecar: one listener for one application, the core with its balancer,
-// the pool of connections to endpoints, and the watch at discovery. It starts these parts, switches them to a new
-// configuration, and stops them in order.
+// Package sidecar assembles the platform's sidecar: a listener for one application, the core with its balancer,
+// the pool of connections to endpoints, and the watch for endpoint lists at discovery. It starts these parts,
+// applies a new configuration to them, and stops them in order.
 //
-// sidecar.go assembles the parts; lifecycle.go takes a process from its start to its end, with successor.go and
-// predecessor.go for the two sides of a hot restart; admin.go, cordons.go and metrics.go answer operators; reload.go
-// applies a new configuration.
+// sidecar.go assembles the parts; lifecycle.go controls a process from its start to its end, with successor.go and
+// predecessor.go for the two sides of a hot restart; admin.go, cordons.go and metrics.go handle operators' requests;
+// reload.go applies a new configuration.
 package sidecar
 
 import (
@@ -32,28 +32,31 @@
 	"dunlinsail/internal/upstream"
 )
 
-// reservedSockets is the number of descriptors that neither clients nor endpoints may use: standard streams, the
-// listener, the runtime, arrivals on idle connections, calls of discovery and the configuration file.
+// reservedSockets is the number of file descriptors that connections to clients and endpoints may not use. They
+// are for the standard streams, the listener, the Go runtime, the detection of arrivals on idle connections,
+// requests to discovery and the configuration file.
 const reservedSockets = 16
 
 const (
-	// idleConnsDivisor limits the clients' connections without an open request to this part of the descriptors. The
-	// clients' machine has limits of its own, and each idle connection that is kept is one that other clients there
-	// cannot open.
+	// idleConnsDivisor limits client connections without an open request to 1/6 of the unreserved descriptors. The
+	// clients' machine has its own limit on connections, and each idle connection that is kept open reduces the
+	// number of connections that other clients on that machine can open.
 	idleConnsDivisor = 6
-	maxIdle          = 15 * time.Second       // idle time of a connection between requests, while no other is idle
-	minIdle          = 100 * time.Millisecond // idle time of a connection while as many are idle as may be
+	maxIdleTime      = 15 * time.Second       // idle timeout of a client connection while no other is idle
+	minIdleTime      = 100 * time.Millisecond // idle timeout of a client connection at the limit on idle ones
 )
 
-// Where lists are pushed, discovery is an agent on this machine, and a call to it is fast and cheap. What the agent
-// learns when it is reachable again counts as known to this sidecar from that moment, so that a call must be open then,
-// or follow within the drain grace.
+// Timeouts for discovery that pushes endpoint lists. Such a discovery is an agent on this machine, and requests to
+// it are fast and cheap. When the agent is reachable again after an outage, its updates count as known to this
+// sidecar from that moment. A request to the agent must therefore be open at that moment, or follow within the
+// drain grace.
 const (
-	agentAnswerTimeout = 500 * time.Millisecond // until an answer of the agent begins
-	agentPollWait      = 50 * time.Millisecond  // longest backoff between calls to the agent
+	agentResponseTimeout = 500 * time.Millisecond // limit on the time until a response of the agent starts
+	agentMaxBackoff      = 50 * time.Millisecond  // maximum pause between requests that return no list
 )
 
-// availableSockets returns the number of descriptors that clients and endpoints share, with the reserved ones.
+// availableSockets returns the number of descriptors for connections to clients and endpoints, including the
+// reservedSockets. Descriptors for the admin server are not included.
 func availableSockets(c *platform.Config) int {
 	if c.AdminAddress != "" {
 		return c.Sockets - admin.Sockets
@@ -61,27 +64,27 @@
 	return c.Sockets
 }
 
-// clientLimits returns the limits of clients' connections. They may use half of the descriptors that are not reserved.
-// The other half is for connections to endpoints: an open request has one of each, and health checks and hedged
-// requests need further ones.
+// clientLimits returns the limits on client connections. They may use half of the unreserved descriptors. The
+// other half is for connections to endpoints: an open request uses one connection to the client and one to an
+// endpoint, and health checks and hedged requests need additional connections to endpoints.
 func clientLimits(sockets int) connlimit.Limits {
 	return connlimit.Limits{
 		MaxConnections: (sockets - reservedSockets) / 2,
 		MaxIdle:        (sockets - reservedSockets) / idleConnsDivisor,
-		MaxIdleTime:    clock.Micros(maxIdle),
-		MinIdleTime:    clock.Micros(minIdle),
+		MaxIdleTime:    clock.Micros(maxIdleTime),
+		MinIdleTime:    clock.Micros(minIdleTime),
 	}
 }
 
-// upstreamConns returns the number of connections to endpoints that may be open.
+// upstreamConns returns the maximum number of open connections to endpoints.
 func upstreamConns(sockets int) int {
 	return sockets - reservedSockets - clientLimits(sockets).MaxConnections
 }
 
-// Run serves until stop ends or another process has taken over, then finishes the open requests and returns. At each
-// signal of reload it calls read for the configuration. An error means that the process could not start, or that its
-// listener failed.
-func Run(stop context.Context, c *platform.Config, reload <-chan os.Signal, read func() (*platform.Config, error),
+// Run serves until stop ends or another process has taken over, then finishes the open requests and returns. At
+// each signal from reload it calls readConfig for the new configuration. Run returns an error if the process could
+// not start or its listener failed.
+func Run(stop context.Context, c *platform.Config, reload <-chan os.Signal, readConfig func() (*platform.Config, error),
 	log *slog.Logger) error {
 	ln, err := listen(c)
 	if err != nil {
@@ -92,10 +95,11 @@
 		ln.Close()
 		return err
 	}
-	return s.serve(stop, ln, reload, read)
+	return s.serve(stop, ln, reload, readConfig)
 }
 
-// listen returns the clients' listening socket: the one inherited from the platform, or a new one without that.
+// listen returns the listening socket for clients. The socket is inherited from the platform if InheritedFD is
+// set, and new otherwise.
 func listen(c *platform.Config) (net.Listener, error) {
 	if c.InheritedFD == 0 {
 		return net.Listen("tcp", c.Listen)
@@ -103,30 +107,31 @@
 	return inheritListener(c.InheritedFD)
 }
 
-// sidecar holds the parts that assemble makes.
+// sidecar holds the parts of the sidecar; assemble creates it.
 type sidecar struct {
-	config *platform.Config
-	clock  clock.Clock
-	log    *slog.Logger
-	pool   *upstream.Pool
-	core   *core.Core
-	source *discovery.Source
-	front  *http1.Server
-	client *http1.Client // the application
-	events *eventlog.Log // nil unless the configuration has an event log
+	config     *platform.Config
+	clock      clock.Clock
+	log        *slog.Logger
+	connPool   *upstream.Pool
+	core       *core.Core
+	listSource *discovery.Source
+	frontend   *http1.Server
+	client     *http1.Client // the only client, the application
+	events     *eventlog.Log // nil if the configuration has no event log
 
-	endpoints     *core.Pool
-	firstWatcher  *discovery.Watcher // the one that source starts with
-	start         func()             // starts the goroutines of core, pool and source; set by serve
+	endpointPool  *core.Pool
+	firstWatcher  *discovery.Watcher // the first watcher of listSource
+	start         func()             // starts core, connPool and listSource; set by serve
 	lifecycle     *lifecycle
-	accepting     atomic.Bool // reports whether this process accepts clients
-	cordonsFileMu sync.Mutex  // guards the file of cordons
+	accepting     atomic.Bool // whether this process accepts clients
+	cordonsFileMu sync.Mutex  // guards cordonsFile
 }
 
 // dialFunc opens a connection to an endpoint.
 type dialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// assemble makes a sidecar without starting it. A nil dial is a net.Dialer's.
+// assemble creates a sidecar without starting it. Connections to endpoints are opened by dial, or by a net.Dialer if
+// dial is nil.
 func assemble(c *platform.Config, dial dialFunc, log *slog.Logger) (*sidecar, error) {
 	s := &sidecar{config: c, clock: clock.New(), log: log}
 	var observer engine.Observer
@@ -135,7 +140,7 @@
 		observer = s.events
 		dial = s.logDials(dial)
 	}
-	s.pool = upstream.New(upstream.Options{
+	s.connPool = upstream.New(upstream.Options{
 		Clock:           s.clock,
 		Log:             log,
 		MaxConns:        upstreamConns(availableSockets(c)),
@@ -151,7 +156,7 @@
 		Clock:    s.clock,
 		Site:     &c.Site,
 		Seed:     c.Seed,
-		Upstream: s.pool,
+		Upstream: s.connPool,
 		Log:      log,
 		Observer: observer,
 	})
@@ -167,7 +172,7 @@
 	pool := engine.PoolConfig{
 		Source:           c.Discovery,
 		InitialEndpoints: c.Known.EndpointUpdate(),
-		SetWatch:         s.source.SetWatching,
+		SetWatch:         s.listSource.SetWatching,
 	}
 	if c.OverloadControl {
 		settings := overload.DefaultSettings()
@@ -175,31 +180,34 @@
 		pool.Overload = &settings
 	}
 	var err error
-	s.endpoints, err = s.core.NewPool(pool)
+	s.endpointPool, err = s.core.NewPool(pool)
 	return err
 }
 
-// newFrontend makes the frontend and its only client, the application.
+// newFrontend creates the frontend and its only client, the application.
 func (s *sidecar) newFrontend() error {
 	c := s.config
 	var err error
-	s.front, err = http1.New(http1.Options{
+	s.frontend, err = http1.New(http1.Options{
 		Clock:       s.clock,
 		Site:        &c.Site,
 		Core:        s.core,
-		Pool:        s.endpoints,
-		SendAttempt: s.pool.Send,
+		Pool:        s.endpointPool,
+		SendAttempt: s.connPool.Send,
 		Limits:      clientLimits(availableSockets(c)),
 		Log:         s.log,
 	})
 	if err != nil {
 		return err
 	}
-	s.client, err = s.front.NewClient(http1.ClientSettings{ClientSpec: fairqueue.ClientSpec{Name: c.Name, Weight: 1}})
+	s.client, err = s.frontend.NewClient(http1.ClientSettings{
+		ClientSpec: fairqueue.ClientSpec{Name: c.Name, Weight: 1},
+	})
 	return err
 }
 
-// logDials returns a dial whose connections and errors are written to the event log. A nil dial is a net.Dialer's.
+// logDials returns a dialFunc that calls dial and writes the connections and errors to the event log. A net.Dialer
+// is used if dial is nil.
 func (s *sidecar) logDials(dial dialFunc) dialFunc {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: clock.Duration(s.config.Site.Settings.Limits.DialTimeout)}).DialContext
@@ -210,60 +218,61 @@
 	}
 }
 
-// newSource makes the source of endpoint lists, without starting it.
+// newSource creates the source of endpoint lists without starting it.
 func (s *sidecar) newSource() {
 	watcher := s.watchDiscovery(s.config.Discovery, s.config.Known.Generation)
 	s.firstWatcher = watcher
 	if !s.config.Site.Settings.Subscribe {
-		s.source = discovery.NewContinuousSource(watcher)
+		s.listSource = discovery.NewContinuousSource(watcher)
 		return
 	}
-	s.source = discovery.NewPolledSource(watcher, func() {
-		s.endpoints.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFailed})
+	s.listSource = discovery.NewPolledSource(watcher, func() {
+		s.endpointPool.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFailed})
 	})
 }
 
-// identify returns the client of a connection: the application is the only one.
+// identify returns the client of a connection, which is always the application.
 func (s *sidecar) identify(net.Conn) (*http1.Client, func(), error) { return s.client, nil, nil }
 
-// watchDiscovery returns a discovery watcher that updates the core with the lists after a generation. The source starts
-// it.
-func (s *sidecar) watchDiscovery(addr string, after int64) *discovery.Watcher {
-	w := discovery.NewWatcher(addr, after, s.config.MemoryMB, s.updateEndpoints, s.log)
+// watchDiscovery returns a watcher that requests the endpoint lists that follow afterGeneration from the discovery
+// at addr, and passes them to the core. listSource starts the watcher.
+func (s *sidecar) watchDiscovery(addr string, afterGeneration int64) *discovery.Watcher {
+	w := discovery.NewWatcher(addr, afterGeneration, s.config.MemoryMB, s.updateEndpoints, s.log)
 	if s.events != nil {
 		w.OnRequest = s.events.DiscoveryPolled
 	}
 	if !s.config.Site.Settings.Subscribe {
-		w.ResponseTimeout = agentAnswerTimeout
-		w.MaxBackoff = agentPollWait
+		w.ResponseTimeout = agentResponseTimeout
+		w.MaxBackoff = agentMaxBackoff
 	}
 	return w
 }
 
-// updateEndpoints passes an update of the endpoint list to the core. Watchers have it before s.endpoints is set.
+// updateEndpoints passes an update of the endpoint list to the core. It is a method of its own because watchers are
+// created before s.endpointPool is set.
 func (s *sidecar) updateEndpoints(ctx context.Context, update engine.EndpointUpdate) {
-	s.endpoints.UpdateEndpoints(ctx, update)
+	s.endpointPool.UpdateEndpoints(ctx, update)
 }
 
-// serve runs the sidecar on a listener, which it closes, until stop ends or another process has taken over. read is
-// called at each signal of reload.
+// serve runs the sidecar on a listener until stop ends or another process has taken over, and then closes the
+// listener. readConfig is called at each signal from reload.
 func (s *sidecar) serve(stop context.Context, ln net.Listener, reload <-chan os.Signal,
-	read func() (*platform.Config, error)) error {
-	// The goroutines of core, pool and reload end after the frontend, so that every request is answered first.
-	// That is why ctx is not derived from stop.
+	readConfig func() (*platform.Config, error)) error {
+	// ctx is not derived from stop, because the goroutines of core, connPool and reload must run until the
+	// frontend has sent a response to every request.
 	ctx, cancel := context.WithCancel(context.Background())
 	var background sync.WaitGroup
 	defer background.Wait()
 	defer cancel()
-	background.Go(func() { s.reloadOnSignal(ctx, reload, read) })
+	background.Go(func() { s.reloadOnSignal(ctx, reload, readConfig) })
 	s.start = func() {
 		background.Go(func() { s.core.Run(ctx) })
-		background.Go(func() { s.pool.Run(ctx) })
+		background.Go(func() { s.connPool.Run(ctx) })
 		if !s.config.Site.Settings.Subscribe {
-			s.source.SetWatching(true)
+			s.listSource.SetWatching(true)
 		}
 	}
-	defer s.source.Close()
+	defer s.listSource.Close()
 	s.lifecycle = newLifecycle(s, ln)
 	stopAdmin, err := s.serveAdmin()
 	if err != nil {
