--- a/internal/config/clients.go
+++ b/internal/config/clients.go
@@ -54,8 +54,14 @@
 }
 
 // ClientSpec returns the limits as package fairqueue takes them.
-func (b *ClientLimits) ClientSpec(name string) fairqueue.ClientSpec {
-	spec := fairqueue.ClientSpec{Name: name, Weight: b.Weight, MaxOpen: b.MaxOpen, Rate: b.Rate, Burst: b.Burst}
+func (limits *ClientLimits) ClientSpec(name string) fairqueue.ClientSpec {
+	spec := fairqueue.ClientSpec{
+		Name:    name,
+		Weight:  limits.Weight,
+		MaxOpen: limits.MaxOpen,
+		Rate:    limits.Rate,
+		Burst:   limits.Burst,
+	}
 	if spec.Rate > 0 && spec.Burst == 0 {
 		spec.Burst = max(1, spec.Rate/10) // the requests of a tenth of a second
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -89,26 +89,26 @@
 // so that a new generation of the same process takes over: all but the limits of clients, pools, routes, paths and the
 // address of discovery.
 func (c *Config) TablesNeedingRestart(next *Config) []string {
-	var all []string
-	before := reflect.ValueOf(*c)
-	after := reflect.ValueOf(*next)
-	for i := range before.NumField() {
-		name := before.Type().Field(i).Tag.Get("toml")
-		was := before.Field(i).Interface()
-		is := after.Field(i).Interface()
+	var tables []string
+	oldConfig := reflect.ValueOf(*c)
+	newConfig := reflect.ValueOf(*next)
+	for i := range oldConfig.NumField() {
+		name := oldConfig.Type().Field(i).Tag.Get("toml")
+		oldTable := oldConfig.Field(i).Interface()
+		newTable := newConfig.Field(i).Interface()
 		switch name {
 		case "-", "client", "others", "pool", "route", "paths":
 			continue
 		case "discovery":
-			was = c.Discovery.Mode
-			is = next.Discovery.Mode
+			oldTable = c.Discovery.Mode
+			newTable = next.Discovery.Mode
 		}
-		if !reflect.DeepEqual(was, is) {
-			all = append(all, name)
+		if !reflect.DeepEqual(oldTable, newTable) {
+			tables = append(tables, name)
 		}
 	}
 	if (len(c.Routes) > 0) != (len(next.Routes) > 0) {
-		all = append(all, "route")
+		tables = append(tables, "route")
 	}
-	return all
+	return tables
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -41,7 +41,7 @@
 func TestShippedFile(t *testing.T) {
 	c, err := Parse([]byte(shippedFile(t)))
 	require.NoError(t, err)
-	s := c.Site.Settings
+	settings := c.Site.Settings
 	keyedClass := balancer.Class{
 		Name:             "book",
 		Idempotency:      balancer.IdempotentByKey,
@@ -51,28 +51,32 @@
 		ClientTimeout:    600_000,
 		PriorityWeight:   5,
 	}
-	if s.Classes[3] != keyedClass || fmt.Sprint(c.Site.Classes) != "[open-slots patient-card chair-status book]" {
-		t.Errorf("classes %v, %+v", c.Site.Classes, s.Classes[3])
+	if settings.Classes[3] != keyedClass ||
+		fmt.Sprint(c.Site.Classes) != "[open-slots patient-card chair-status book]" {
+		t.Errorf("classes %v, %+v", c.Site.Classes, settings.Classes[3])
 	}
-	if s.Contract.WarmupTime != 23_000_000 || s.Zone != 0 || s.Goal.WorstClass != 0.2 ||
-		s.Limits.MaxOpenRequests != 2000 || s.Tenants[1].Quota != 180 || s.LoadMetrics[1] != balancer.MetricServedRate {
-		t.Errorf("settings %+v", s)
+	if settings.Contract.WarmupTime != 23_000_000 || settings.Zone != 0 || settings.Goal.WorstClass != 0.2 ||
+		settings.Limits.MaxOpenRequests != 2000 || settings.Tenants[1].Quota != 180 ||
+		settings.LoadMetrics[1] != balancer.MetricServedRate {
+		t.Errorf("settings %+v", settings)
 	}
-	if n := c.Connections; n.MaxClients != 2032 || n.MaxEndpoints != 2032 || n.MaxIdle != 677 {
-		t.Errorf("connections %+v", n)
+	if connections := c.Connections; connections.MaxClients != 2032 || connections.MaxEndpoints != 2032 ||
+		connections.MaxIdle != 677 {
+		t.Errorf("connections %+v", connections)
 	}
 }
 
 // The values in the comments of the shipped file are the defaults of their keys.
 func TestShippedFileStatesDefaults(t *testing.T) {
 	text := shippedFile(t)
-	with, err := Parse([]byte(uncommentKeys(text)))
+	withDefaults, err := Parse([]byte(uncommentKeys(text)))
 	if err != nil {
 		t.Fatalf("with its comments taken as keys: %v", err)
 	}
-	without, err := Parse([]byte(text))
+	withoutDefaults, err := Parse([]byte(text))
 	require.NoError(t, err)
-	for _, c := range []*Config{with, without} { // values that are equal but are printed differently, as pointers
+	for _, c := range []*Config{withDefaults, withoutDefaults} {
+		// Equal values behind pointers are printed as different addresses.
 		c.Clients[0].UIDs = nil
 		c.Clients[0].GIDs = nil
 		c.OtherClients = nil
@@ -81,34 +85,34 @@
 			c.Classes[i].PriorityWeight = nil
 		}
 	}
-	if a, b := fmt.Sprintf("%+v", with), fmt.Sprintf("%+v", without); a != b {
-		t.Errorf("with the stated defaults:\n%s\nwithout:\n%s", a, b)
+	if got, want := fmt.Sprintf("%+v", withDefaults), fmt.Sprintf("%+v", withoutDefaults); got != want {
+		t.Errorf("with the stated defaults:\n%s\nwithout:\n%s", got, want)
 	}
 }
 
 // uncommentKeys returns a file's text with the keys in its comments set.
 func uncommentKeys(text string) string {
-	var b strings.Builder
+	var uncommented strings.Builder
 	for line := range strings.Lines(text) {
 		comment, isComment := strings.CutPrefix(line, "# ")
 		key, value, isKey := strings.Cut(comment, " = ")
 		if !isComment || !isKey || strings.Contains(key, " ") || key == "mode" {
-			b.WriteString(line)
+			uncommented.WriteString(line)
 			continue
 		}
 		value, _, _ = strings.Cut(value, "  #")
 		// Where the file sets the key, too, the comment states its default.
 		if !strings.Contains(text, "\n"+key+" = ") || key == "name" || key == "address" {
-			fmt.Fprintf(&b, "%s = %s\n", key, strings.TrimSpace(value))
+			fmt.Fprintf(&uncommented, "%s = %s\n", key, strings.TrimSpace(value))
 		}
 	}
-	return b.String()
+	return uncommented.String()
 }
 
 // mistake is an invalid file: one in which a text is replaced, and what its error contains.
-type mistake struct{ old, new, want string }
+type invalidFile struct{ old, new, want string }
 
-var mistakes = []mistake{
+var invalidFiles = []invalidFile{
 	{`name = "desk"` + "\naddress", `nmae = "desk"` + "\naddress", "line 5: listener.nmae: is not a known key"},
 	{`aim = "250ms"`, `aim = 250`, `line 13: class.0.aim: "250" is no time with a unit`},
 	{`aim = "250ms"`, `aim = "soon"`, `line 13: class.aim: "soon" is no time with a unit`},
@@ -226,11 +230,11 @@
 	if _, err := Parse([]byte(minimalFile)); err != nil {
 		t.Fatal(err)
 	}
-	for _, tc := range mistakes {
+	for _, tc := range invalidFiles {
 		text := strings.Replace(minimalFile, tc.old, tc.new, 1)
 		_, err := Parse([]byte(text))
-		var all stricttoml.Errors
-		if !errors.As(err, &all) || !strings.Contains(err.Error(), tc.want) {
+		var mistakes stricttoml.Errors
+		if !errors.As(err, &mistakes) || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%q in place of %q:\n got %v\nwant %s", tc.new, tc.old, err, tc.want)
 		}
 	}
@@ -241,8 +245,9 @@
 	)
 	text := threeMistakes.Replace(minimalFile)
 	_, err := Parse([]byte(text))
-	var all stricttoml.Errors
-	if !errors.As(err, &all) || len(all) != 3 || all[0].Line != 3 || all[1].Line != 7 || all[2].Line != 13 {
+	var mistakes stricttoml.Errors
+	if !errors.As(err, &mistakes) || len(mistakes) != 3 || mistakes[0].Line != 3 || mistakes[1].Line != 7 ||
+		mistakes[2].Line != 13 {
 		t.Errorf("three mistakes: %v", err)
 	}
 }
--- a/internal/config/decisions.go
+++ b/internal/config/decisions.go
@@ -15,23 +15,23 @@
 
 // Consensus returns the settings by which the maintenance plan is replicated; nil if maintenance is off.
 func (c *Config) Consensus() *consensus.Settings {
-	w := &c.Maintenance
-	if !w.On {
+	plan := &c.Maintenance
+	if !plan.On {
 		return nil
 	}
 	return &consensus.Settings{
 		Self:         c.Name,
 		Voters:       c.Peers.Allocators,
-		TickInterval: w.Lease.Micros() / ticksPerLease,
+		TickInterval: plan.Lease.Micros() / ticksPerLease,
 		Maintenance: maintenance.Settings{
-			MaxOut:        w.MaxOut,
-			MaxOutPerZone: w.MaxPerZone,
-			MaxOutPerCell: w.MaxPerCell,
-			MaxOutPerKind: w.MaxPerMachineType,
-			MaxAnnounced:  w.Announced,
-			Headroom:      w.CapacityReserve,
-			LeaseDuration: w.Lease.Micros(),
-			InFlightGrace: w.QuietPeriod.Micros(),
+			MaxOut:        plan.MaxOut,
+			MaxOutPerZone: plan.MaxPerZone,
+			MaxOutPerCell: plan.MaxPerCell,
+			MaxOutPerKind: plan.MaxPerMachineType,
+			MaxAnnounced:  plan.MaxAnnounced,
+			Headroom:      plan.CapacityReserve,
+			LeaseDuration: plan.Lease.Micros(),
+			InFlightGrace: plan.InFlightGrace.Micros(),
 			Warmup:        c.Rules.WarmupDuration.Micros(),
 			MaxClockDrift: c.Peers.MaxClockDrift,
 		},
@@ -49,26 +49,26 @@
 
 // Coordination returns what the fleet coordinates, as the engine takes it, without the transport; nil if it is off.
 func (c *Config) Coordination(seed uint64) *engine.Coordination {
-	p := &c.Peers
-	if !p.On {
+	peers := &c.Peers
+	if !peers.On {
 		return nil
 	}
 	coordinated := &engine.Coordination{
 		Settings: coordination.Settings{
 			Self:          c.Name,
-			Candidates:    p.Allocators,
-			LeaseDuration: p.LeaderLease.Micros(),
+			Candidates:    peers.Allocators,
+			LeaseDuration: peers.LeaderLease.Micros(),
 			Seed:          seed,
 			Quota: quota.Settings{
 				MaxInstances:    c.Fleet.Instances,
-				Reserve:         p.ReserveFraction,
-				LeaseDuration:   p.QuotaLease.Micros(),
-				RequestInterval: p.LeaseRequestInterval.Micros(),
-				MaxClockDrift:   p.MaxClockDrift,
+				Reserve:         peers.ReserveFraction,
+				LeaseDuration:   peers.QuotaLease.Micros(),
+				RequestInterval: peers.LeaseRequestInterval.Micros(),
+				MaxClockDrift:   peers.MaxClockDrift,
 			},
 		},
 	}
-	for _, name := range p.CoordinatedUses {
+	for _, name := range peers.CoordinatedUses {
 		coordinatedUses[name](&coordinated.Scope)
 	}
 	return coordinated
@@ -80,25 +80,25 @@
 // ConcurrencySettings returns the concurrency limits of all clients together, as the engine takes them: those of
 // requests in flight hold in each pool.
 func (c *Config) ConcurrencySettings() engine.ConcurrencySettings {
-	r := &c.Requests
-	s := engine.ConcurrencySettings{MaxInFlight: r.InFlight, MaxOpen: r.MaxOpen}
-	if r.InFlight == 0 {
-		s.Adaptive = &concurrency.Settings{
-			Min:     r.MinInFlight,
-			Max:     r.MaxInFlight,
-			Initial: min(r.MaxInFlight, max(r.MinInFlight, initialInFlight)),
+	requests := &c.Requests
+	settings := engine.ConcurrencySettings{MaxInFlight: requests.InFlight, MaxOpen: requests.MaxOpen}
+	if requests.InFlight == 0 {
+		settings.Adaptive = &concurrency.Settings{
+			Min:     requests.MinInFlight,
+			Max:     requests.MaxInFlight,
+			Initial: min(requests.MaxInFlight, max(requests.MinInFlight, initialInFlight)),
 		}
 	}
-	return s
+	return settings
 }
 
 // ConnectionLimits returns the limits of clients' connections, as package connlimit takes them.
 func (c *Config) ConnectionLimits() connlimit.Limits {
-	n := &c.Connections
+	connections := &c.Connections
 	return connlimit.Limits{
-		MaxConnections: n.MaxClients,
-		MaxIdle:        n.MaxIdle,
-		MaxIdleTime:    n.MaxIdleTime.Micros(),
-		MinIdleTime:    n.MinIdleTime.Micros(),
+		MaxConnections: connections.MaxClients,
+		MaxIdle:        connections.MaxIdle,
+		MaxIdleTime:    connections.MaxIdleTime.Micros(),
+		MinIdleTime:    connections.MinIdleTime.Micros(),
 	}
 }
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -28,7 +28,7 @@
 		ControlPlane: defaultControlPlane(),
 		Connections:  Connections{MaxIdleTime: seconds(15), MinIdleTime: millis(100)},
 		Requests:     Requests{MaxOpen: 2000, MinInFlight: 4, MaxInFlight: 1000},
-		Fleet:        Fleet{Instances: 1, KeepAlive: seconds(15), OverQuotaWeight: 1, WeightBy: "request"},
+		Fleet:        Fleet{Instances: 1, KeepAlive: seconds(15), OverQuotaWeight: 1, WeightUnit: "request"},
 		Attempts: Attempts{
 			MaxAttempts:    3,
 			Cancel:         true,
@@ -42,12 +42,12 @@
 		Peers:       defaultPeers(),
 		Maintenance: defaultMaintenance(),
 		Rules: Rules{
-			DrainGrace:     millis(250),
-			WarmupStart:    0.2,
-			WarmupDuration: seconds(20),
-			FallMultiple:   2.5,
-			FallAfter:      seconds(2),
-			PollWithin:     seconds(10),
+			DrainGrace:       millis(250),
+			WarmupStart:      0.2,
+			WarmupDuration:   seconds(20),
+			CollapseMultiple: 2.5,
+			CollapseAfter:    seconds(2),
+			MaxPollInterval:  seconds(10),
 		},
 		Goal:  Goal{Overall: 1},
 		Paths: Paths{EncodedSlash: "refuse"},
@@ -65,7 +65,7 @@
 
 func defaultControlPlane() ControlPlane {
 	return ControlPlane{
-		Pinned:                []string{"listener", "fleet.zone", "fleet.position"},
+		PinnedParts:           []string{"listener", "fleet.zone", "fleet.position"},
 		CanaryDuration:        seconds(30),
 		HarmMargin:            0.01,
 		Alpha:                 0.001,
@@ -92,9 +92,9 @@
 		MaxOut:          1,
 		MaxPerZone:      1,
 		MaxPerCell:      1,
-		Announced:       4,
+		MaxAnnounced:    4,
 		CapacityReserve: 0.2,
 		Lease:           seconds(2),
-		QuietPeriod:     seconds(5),
+		InFlightGrace:   seconds(5),
 	}
 }
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -20,61 +20,61 @@
 
 // String returns one line: + added, - removed or ~ changed, resource, key and values.
 func (c *Change) String() string {
-	what := c.Resource
+	location := c.Resource
 	if c.Key != "" {
-		what += " " + c.Key
+		location += " " + c.Key
 	}
 	switch {
 	case c.From == nil:
-		return fmt.Sprintf("+ %s %s", what, text(c.To))
+		return fmt.Sprintf("+ %s %s", location, jsonText(c.To))
 	case c.To == nil:
-		return fmt.Sprintf("- %s %s", what, text(c.From))
+		return fmt.Sprintf("- %s %s", location, jsonText(c.From))
 	}
-	return fmt.Sprintf("~ %s %s -> %s", what, text(c.From), text(c.To))
+	return fmt.Sprintf("~ %s %s -> %s", location, jsonText(c.From), jsonText(c.To))
 }
 
-func text(v any) string {
-	b, err := json.Marshal(v)
+func jsonText(value any) string {
+	encoded, err := json.Marshal(value)
 	if err != nil {
-		return fmt.Sprint(v)
+		return fmt.Sprint(value)
 	}
-	return string(b)
+	return string(encoded)
 }
 
 // Diff returns what differs between two versions, by resource and key.
-func Diff(from, to []Resource) (all []Change) {
-	before := byID(from)
-	after := byID(to)
-	for _, id := range sortedUnion(before, after) {
-		was := before[id]
-		is := after[id]
+func Diff(oldVersion, newVersion []Resource) (changes []Change) {
+	oldByID := byID(oldVersion)
+	newByID := byID(newVersion)
+	for _, id := range sortedUnion(oldByID, newByID) {
+		oldResource := oldByID[id]
+		newResource := newByID[id]
 		switch {
-		case was == nil:
-			all = append(all, Change{Resource: id, To: is.Fields})
-		case is == nil:
-			all = append(all, Change{Resource: id, From: was.Fields})
+		case oldResource == nil:
+			changes = append(changes, Change{Resource: id, To: newResource.Fields})
+		case newResource == nil:
+			changes = append(changes, Change{Resource: id, From: oldResource.Fields})
 		default:
-			all = append(all, diffFields(id, was.Fields, is.Fields)...)
+			changes = append(changes, diffFields(id, oldResource.Fields, newResource.Fields)...)
 		}
 	}
-	return all
+	return changes
 }
 
 // diffFields returns the changes between the fields of a resource, by key.
-func diffFields(id string, from, to map[string]any) (all []Change) {
-	for _, key := range sortedUnion(from, to) {
-		if !reflect.DeepEqual(from[key], to[key]) {
-			all = append(all, Change{id, key, from[key], to[key]})
+func diffFields(id string, oldFields, newFields map[string]any) (changes []Change) {
+	for _, key := range sortedUnion(oldFields, newFields) {
+		if !reflect.DeepEqual(oldFields[key], newFields[key]) {
+			changes = append(changes, Change{id, key, oldFields[key], newFields[key]})
 		}
 	}
-	return all
+	return changes
 }
 
 // sortedUnion returns the keys of two maps, sorted.
 func sortedUnion[V any](a, b map[string]V) []string {
 	keys := slices.Collect(maps.Keys(a))
 	for key := range b {
-		if _, both := a[key]; !both {
+		if _, inBoth := a[key]; !inBoth {
 			keys = append(keys, key)
 		}
 	}
@@ -82,57 +82,57 @@
 	return keys
 }
 
-func byID(all []Resource) map[string]*Resource {
-	m := map[string]*Resource{}
-	for i := range all {
-		m[all[i].ID()] = &all[i]
+func byID(resources []Resource) map[string]*Resource {
+	resourceByID := map[string]*Resource{}
+	for i := range resources {
+		resourceByID[resources[i].ID()] = &resources[i]
 	}
-	return m
+	return resourceByID
 }
 
 // Resources returns the tables of a file as the resources of a version, without those that only a file may hold.
 func Resources(file *Config) ([]Resource, error) {
-	var tree map[string]any
-	if err := toml.Unmarshal(file.Text, &tree); err != nil {
+	var tables map[string]any
+	if err := toml.Unmarshal(file.Text, &tables); err != nil {
 		return nil, err
 	}
 	// JSON has one type of number, like a version.
-	b, err := json.Marshal(tree)
+	encoded, err := json.Marshal(tables)
 	if err != nil {
 		return nil, err
 	}
-	clear(tree)
-	if err := json.Unmarshal(b, &tree); err != nil {
+	clear(tables)
+	if err := json.Unmarshal(encoded, &tables); err != nil {
 		return nil, err
 	}
-	var all []Resource
-	for name, k := range ResourceKinds() {
-		switch v := tree[name].(type) {
+	var resources []Resource
+	for name, kind := range ResourceKinds() {
+		switch table := tables[name].(type) {
 		case map[string]any:
-			all = append(all, Resource{Kind: name, Fields: v})
+			resources = append(resources, Resource{Kind: name, Fields: table})
 		case []any:
-			if k.List {
-				all = append(all, listResources(name, v)...)
+			if kind.IsList {
+				resources = append(resources, listResources(name, table)...)
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b Resource) int { return strings.Compare(a.ID(), b.ID()) })
-	return all, nil
+	slices.SortFunc(resources, func(a, encoded Resource) int { return strings.Compare(a.ID(), encoded.ID()) })
+	return resources, nil
 }
 
 // listResources returns the tables of a list as resources. One without a name has its index as its name.
-func listResources(kind string, tables []any) (all []Resource) {
+func listResources(kind string, tables []any) (resources []Resource) {
 	for i, table := range tables {
 		fields, ok := table.(map[string]any)
 		if !ok {
 			continue
 		}
-		r := Resource{Kind: kind, Fields: fields}
-		if r.Name, ok = fields["name"].(string); !ok {
-			r.Name = fmt.Sprint(i)
+		resource := Resource{Kind: kind, Fields: fields}
+		if resource.Name, ok = fields["name"].(string); !ok {
+			resource.Name = fmt.Sprint(i)
 		}
 		delete(fields, "name")
-		all = append(all, r)
+		resources = append(resources, resource)
 	}
-	return all
+	return resources
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -24,7 +24,7 @@
 	Zones []string `toml:"zones"`
 
 	// Machines are the names of the endpoints' machine types, 254 at most; default none.
-	Machines []string `toml:"machines"`
+	MachineTypes []string `toml:"machines"`
 
 	// KeepAlive is after how long endpoints close an idle connection: default 15s, positive.
 	KeepAlive stricttoml.Duration `toml:"keep_alive"`
@@ -33,39 +33,39 @@
 	// turns this off, 0 to 1.
 	OverQuotaWeight float64 `toml:"over_share_worth"`
 
-	// WeightBy is "request", the default, or "work": priority weights then count per unit of work.
-	WeightBy string `toml:"worth_by"`
+	// WeightUnit is "request", the default, or "work": priority weights then count per unit of work.
+	WeightUnit string `toml:"worth_by"`
 
 	// Subset is the least number of endpoints that this instance uses, by Position: 1 to 1000; 0, the default, is all.
-	// Like EndpointProbes and EndpointIdle it is for a fleet of many instances with little traffic (package subset).
-	Subset int `toml:"subset"`
+	// Like MaxEndpointProbeRate and MaxEndpointIdleConnections it is for a fleet of many instances with little traffic (package subset).
+	MinSubsetSize int `toml:"subset"`
 
-	// EndpointProbes is the limit of health checks a second of one endpoint, by all instances: up to 1000000; 0, the
+	// MaxEndpointProbeRate is the limit of health checks a second of one endpoint, by all instances: up to 1000000; 0, the
 	// default, is no bound.
-	EndpointProbes float64 `toml:"node_probes"`
+	MaxEndpointProbeRate float64 `toml:"node_probes"`
 
-	// EndpointIdle is the limit of idle connections to one endpoint, of all instances: up to 1000000; 0, the default,
+	// MaxEndpointIdleConnections is the limit of idle connections to one endpoint, of all instances: up to 1000000; 0, the default,
 	// is no bound.
-	EndpointIdle float64 `toml:"node_idle"`
+	MaxEndpointIdleConnections float64 `toml:"node_idle"`
 }
 
 // SubsetSettings returns which part of the endpoint list the instance uses, and its bounds of probes and idle
 // connections; nil without any of them. With bounds only, the part is the whole list.
 func (f *Fleet) SubsetSettings() *subset.Settings {
-	if f.Subset == 0 && f.EndpointProbes == 0 && f.EndpointIdle == 0 {
+	if f.MinSubsetSize == 0 && f.MaxEndpointProbeRate == 0 && f.MaxEndpointIdleConnections == 0 {
 		return nil
 	}
-	s := &subset.Settings{
+	settings := &subset.Settings{
 		Position:                uint64(f.Position),
 		Instances:               f.Instances,
-		MinMembers:              f.Subset,
-		EndpointProbes:          f.EndpointProbes,
-		EndpointIdleConnections: f.EndpointIdle,
+		MinMembers:              f.MinSubsetSize,
+		EndpointProbes:          f.MaxEndpointProbeRate,
+		EndpointIdleConnections: f.MaxEndpointIdleConnections,
 	}
-	if f.Subset == 0 {
-		s.MinMembers = math.MaxInt32
+	if f.MinSubsetSize == 0 {
+		settings.MinMembers = math.MaxInt32
 	}
-	return s
+	return settings
 }
 
 // Overload bounds what the instance adds to the load of endpoints that it shares with other instances. Ratios are of
@@ -84,13 +84,13 @@
 	// ProbeRatio is the limit of health checks, as a ratio: default 2, 0 to 10.
 	ProbeRatio float64 `toml:"probes"`
 
-	// MaxEndpointProbes is the limit of health checks a second of one endpoint, by all instances: default 100, up to
+	// MaxEndpointProbeRate is the limit of health checks a second of one endpoint, by all instances: default 100, up to
 	// 1000000; 0 is no bound.
-	MaxEndpointProbes float64 `toml:"node_probes"`
+	MaxEndpointProbeRate float64 `toml:"node_probes"`
 
-	// MinEndpointProbes is how many health checks a second of one endpoint are always allowed, to all instances:
-	// default 1, over 0, up to MaxEndpointProbes, so that an endpoint that recovers is found.
-	MinEndpointProbes float64 `toml:"node_least"`
+	// MinEndpointProbeRate is how many health checks a second of one endpoint are always allowed, to all instances:
+	// default 1, over 0, up to MaxEndpointProbeRate, so that an endpoint that recovers is found.
+	MinEndpointProbeRate float64 `toml:"node_least"`
 }
 
 // Settings returns the settings of package overload, without those of the site; nil if it is off.
@@ -103,19 +103,19 @@
 		RetryRatio:           o.RetryRatio,
 		OverloadedRetryRatio: o.OverloadedRetryRatio,
 		ProbeRatio:           o.ProbeRatio,
-		MaxEndpointProbeRate: o.MaxEndpointProbes,
-		MinEndpointProbeRate: o.MinEndpointProbes,
+		MaxEndpointProbeRate: o.MaxEndpointProbeRate,
+		MinEndpointProbeRate: o.MinEndpointProbeRate,
 	}
 }
 
 func defaultOverload() Overload {
-	s := overload.DefaultSettings()
+	settings := overload.DefaultSettings()
 	return Overload{
-		RetryRatio:           s.RetryRatio,
-		OverloadedRetryRatio: s.OverloadedRetryRatio,
-		ProbeRatio:           s.ProbeRatio,
-		MaxEndpointProbes:    s.MaxEndpointProbeRate,
-		MinEndpointProbes:    s.MinEndpointProbeRate,
+		RetryRatio:           settings.RetryRatio,
+		OverloadedRetryRatio: settings.OverloadedRetryRatio,
+		ProbeRatio:           settings.ProbeRatio,
+		MaxEndpointProbeRate: settings.MaxEndpointProbeRate,
+		MinEndpointProbeRate: settings.MinEndpointProbeRate,
 	}
 }
 
@@ -190,7 +190,7 @@
 
 	// Announced is how many machines are announced as next to go out, beside those that are out: default 4, at least
 	// MaxOut. An instance that is cut off sends them no new requests.
-	Announced int `toml:"ahead"`
+	MaxAnnounced int `toml:"ahead"`
 
 	// CapacityReserve is the part of the remaining capacity that must stay unused: default 0.2, 0 to under 1.
 	CapacityReserve float64 `toml:"room"`
@@ -198,9 +198,9 @@
 	// Lease is how long a plan is valid at an instance that is cut off: default 2s, at least 200ms.
 	Lease stricttoml.Duration `toml:"lease"`
 
-	// QuietPeriod is how long after the lease requests to announced machines may stay in flight: default 5s. They are
+	// InFlightGrace is how long after the lease requests to announced machines may stay in flight: default 5s. They are
 	// ended then.
-	QuietPeriod stricttoml.Duration `toml:"quiet"`
+	InFlightGrace stricttoml.Duration `toml:"quiet"`
 }
 
 // AddressOverrides returns AddressMappings by the instances' addresses.
--- a/internal/config/host.go
+++ b/internal/config/host.go
@@ -98,7 +98,7 @@
 
 	// Pinned are the parts of the file that no version replaces, as "table", "table.key" or "list.name": default
 	// "listener", "fleet.zone" and "fleet.position".
-	Pinned []string `toml:"pin"`
+	PinnedParts []string `toml:"pin"`
 
 	// CanaryDuration is for how long a new version is on canary: default 30s, at least 1s. It is rolled back if
 	// the service or its errors get worse meanwhile. 0 confirms versions at once.
--- a/internal/config/requests.go
+++ b/internal/config/requests.go
@@ -105,21 +105,21 @@
 	// WarmupDuration is how long after its start an endpoint has its full capacity: default 20s.
 	WarmupDuration stricttoml.Duration `toml:"warm_after"`
 
-	// FallMultiple and FallAfter are the load, as a multiple of its capacity, under which a warming endpoint collapses,
+	// CollapseMultiple and CollapseAfter are the load, as a multiple of its capacity, under which a warming endpoint collapses,
 	// and for how long it must last: default 2.5, positive, and 2s.
-	FallMultiple float64             `toml:"fall_multiple"`
-	FallAfter    stricttoml.Duration `toml:"fall_after"`
+	CollapseMultiple float64             `toml:"fall_multiple"`
+	CollapseAfter    stricttoml.Duration `toml:"fall_after"`
 
-	// PollWithin is the longest time between two polls of discovery in mode "ask": default 10s, positive.
-	PollWithin stricttoml.Duration `toml:"ask_within"`
+	// MaxPollInterval is the longest time between two polls of discovery in mode "ask": default 10s, positive.
+	MaxPollInterval stricttoml.Duration `toml:"ask_within"`
 }
 
 // Prices are subtracted from the result, each for its rate per request: default 0, not negative.
 type Prices struct {
-	CrossZone float64 `toml:"cross_zone"` // an attempt in another zone
-	Probe     float64 `toml:"probe"`      // a health check
-	Waste     float64 `toml:"waste"`      // endpoints' work without an accepted response; not used by the balancer
-	LateFail  float64 `toml:"late_fail"`  // a failure after the latency objective; not used by the balancer
+	CrossZone   float64 `toml:"cross_zone"` // an attempt in another zone
+	Probe       float64 `toml:"probe"`      // a health check
+	Waste       float64 `toml:"waste"`      // endpoints' work without an accepted response; not used by the balancer
+	LateFailure float64 `toml:"late_fail"`  // a failure after the latency objective; not used by the balancer
 }
 
 // Goal holds the weights of the parts of the result, each a ratio of requests that are answered in time. None may be
--- a/internal/config/resources_test.go
+++ b/internal/config/resources_test.go
@@ -15,8 +15,8 @@
 )
 
 // cases has for each key of each kind a value that is accepted and one that is rejected. Other keys that they need
-// are in needs and completeFields.
-var cases = map[string]struct{ good, bad string }{
+// are in needs and requiredFields.
+var keyCases = map[string]struct{ good, bad string }{
 	"attempts.cancel":            {`false`, `1`},
 	"attempts.dial_timeout":      {`"100ms"`, `"0s"`},
 	"attempts.most":              {`2`, `0`},
@@ -139,7 +139,7 @@
 }
 
 // needs are the other keys of the same resource that a case needs, as members of a JSON object.
-var needs = map[string]string{
+var requiredKeys = map[string]string{
 	"discovery.mode":          `"address":"127.0.0.1:8500"`,
 	"class.group":             `"repeat":"keyed","window":"400ms"`,
 	"class.window":            `"repeat":"keyed","group":"cell"`,
@@ -158,8 +158,8 @@
 	"route.whole":             `"idle":"5s"`,
 }
 
-// completeFields are the fields of a valid resource of each kind that needs more than one key, in JSON.
-var completeFields = map[string]string{
+// requiredFields are the fields of a valid resource of each kind that needs more than one key, in JSON.
+var requiredFields = map[string]string{
 	"class":    `{"repeat":"safe","aim":"100ms","give_up":"1s"}`,
 	"listener": `{"address":"127.0.0.1:8081","client":"desk"}`,
 	"pool":     `{"endpoints":["127.0.0.1:9001"]}`,
@@ -167,13 +167,13 @@
 }
 
 // object decodes a JSON object.
-func object(t *testing.T, text string) map[string]any {
+func decodeObject(t *testing.T, text string) map[string]any {
 	t.Helper()
-	var f map[string]any
-	if err := json.Unmarshal([]byte(text), &f); err != nil {
+	var decoded map[string]any
+	if err := json.Unmarshal([]byte(text), &decoded); err != nil {
 		t.Fatalf("%s: %v", text, err)
 	}
-	return f
+	return decoded
 }
 
 // mustParse returns a valid configuration.
@@ -199,82 +199,82 @@
 // Each key that a version may hold has a value that is accepted, and one that is rejected with an error that names the
 // resource and the key.
 func TestEachKey(t *testing.T) {
-	byClass := mustParse(t, "[control]\npin = []\n"+minimalFile)
-	routed := mustParse(t, routedFile)
+	withoutRoutes := mustParse(t, "[control]\npin = []\n"+minimalFile)
+	withRoutes := mustParse(t, routedFile)
 	keys := resourceKeys()
-	if listed := slices.Sorted(maps.Keys(cases)); !slices.Equal(keys, listed) {
-		t.Fatalf("keys %v, cases for %v", keys, listed)
+	if keysWithCases := slices.Sorted(maps.Keys(keyCases)); !slices.Equal(keys, keysWithCases) {
+		t.Fatalf("keys %v, cases for %v", keys, keysWithCases)
 	}
 	for _, key := range keys {
 		kind, name, _ := strings.Cut(key, ".")
-		file := byClass
+		file := withoutRoutes
 		if slices.Contains([]string{"pool", "route", "paths"}, kind) {
-			file = routed
+			file = withRoutes
 		}
-		c, err := Combine(file, resourcesWith(t, key, cases[key].good))
+		combined, err := Combine(file, resourcesWithKey(t, key, keyCases[key].good))
 		if err != nil {
-			t.Errorf("%s = %s: %v", key, cases[key].good, err)
-		} else if c == file || len(c.Listeners) == 0 {
+			t.Errorf("%s = %s: %v", key, keyCases[key].good, err)
+		} else if combined == file || len(combined.Listeners) == 0 {
 			t.Errorf("%s: not combined", key)
 		}
-		_, err = Combine(file, resourcesWith(t, key, cases[key].bad))
+		_, err = Combine(file, resourcesWithKey(t, key, keyCases[key].bad))
 		if err == nil {
-			t.Errorf("%s = %s was accepted", key, cases[key].bad)
+			t.Errorf("%s = %s was accepted", key, keyCases[key].bad)
 			continue
 		}
 		if !strings.HasPrefix(err.Error(), kind) || name != "name" && !strings.Contains(err.Error(), name) {
-			t.Errorf("%s = %s: rejected without resource and key: %v", key, cases[key].bad, err)
+			t.Errorf("%s = %s: rejected without resource and key: %v", key, keyCases[key].bad, err)
 		}
 	}
 }
 
 // resourceKeys returns the keys of all kinds of resources, "KIND.KEY", sorted.
 func resourceKeys() (keys []string) {
-	var collect func(kind string, t reflect.Type)
-	collect = func(kind string, t reflect.Type) {
-		for i := range t.NumField() {
-			if f := t.Field(i); f.Anonymous && f.Tag.Get("toml") == "" {
-				collect(kind, f.Type)
+	var collect func(kind string, fieldsType reflect.Type)
+	collect = func(kind string, fieldsType reflect.Type) {
+		for i := range fieldsType.NumField() {
+			if field := fieldsType.Field(i); field.Anonymous && field.Tag.Get("toml") == "" {
+				collect(kind, field.Type)
 			} else {
-				keys = append(keys, kind+"."+f.Tag.Get("toml"))
+				keys = append(keys, kind+"."+field.Tag.Get("toml"))
 			}
 		}
 	}
 	for name, k := range ResourceKinds() {
-		collect(name, k.Type)
+		collect(name, k.FieldsType)
 	}
 	slices.Sort(keys)
 	return keys
 }
 
-// resourcesWith returns a version with a resource in which a key has a value in JSON, and with the others that it
+// resourcesWithKey returns a version with a resource in which a key has a value in JSON, and with the others that it
 // needs.
-func resourcesWith(t *testing.T, key, value string) []Resource {
+func resourcesWithKey(t *testing.T, key, value string) []Resource {
 	t.Helper()
 	kind, name, _ := strings.Cut(key, ".")
-	r := Resource{Kind: kind, Fields: map[string]any{}}
-	if completeFields[kind] != "" {
-		r.Fields = object(t, completeFields[kind])
+	resource := Resource{Kind: kind, Fields: map[string]any{}}
+	if requiredFields[kind] != "" {
+		resource.Fields = decodeObject(t, requiredFields[kind])
 	}
-	if needs[key] != "" {
-		maps.Copy(r.Fields, object(t, "{"+needs[key]+"}"))
+	if requiredKeys[key] != "" {
+		maps.Copy(resource.Fields, decodeObject(t, "{"+requiredKeys[key]+"}"))
 	}
-	if ResourceKinds()[kind].List {
+	if ResourceKinds()[kind].IsList {
 		names := map[string]string{"class": "look", "client": "desk", "pool": "app", "route": "r"}
-		r.Name = cmp.Or(names[kind], "one")
+		resource.Name = cmp.Or(names[kind], "one")
 	}
-	decoded := object(t, `{"v":`+value+`}`)["v"]
+	decoded := decodeObject(t, `{"v":`+value+`}`)["v"]
 	if name == "name" {
-		r.Name = decoded.(string)
+		resource.Name = decoded.(string)
 	} else {
-		r.Fields[name] = decoded
+		resource.Fields[name] = decoded
 	}
-	maps.DeleteFunc(r.Fields, func(_ string, v any) bool { return v == nil })
-	all := []Resource{r}
-	if kind == "client" && r.Name != "desk" { // the listener needs it
-		all = append(all, Resource{Kind: "client", Name: "desk", Fields: map[string]any{}})
+	maps.DeleteFunc(resource.Fields, func(_ string, v any) bool { return v == nil })
+	resources := []Resource{resource}
+	if kind == "client" && resource.Name != "desk" { // the listener needs it
+		resources = append(resources, Resource{Kind: "client", Name: "desk", Fields: map[string]any{}})
 	}
-	return all
+	return resources
 }
 
 // pinningFile pins a list, an entry of a list and a key.
@@ -313,68 +313,70 @@
 // unchanged order.
 func TestCombine(t *testing.T) {
 	file := mustParse(t, pinningFile)
-	class := func(name, more string) Resource {
+	class := func(name, extraFields string) Resource {
 		return Resource{
 			Kind:   "class",
 			Name:   name,
-			Fields: object(t, `{"repeat":"safe","aim":"100ms","give_up":"1s"`+more+`}`),
+			Fields: decodeObject(t, `{"repeat":"safe","aim":"100ms","give_up":"1s"`+extraFields+`}`),
 		}
 	}
-	c, err := Combine(file, []Resource{
+	combined, err := Combine(file, []Resource{
 		class("zoom", ""),
 		class("book", ""),
 		class("look", `,"worth":2`),
-		{Kind: "requests", Fields: object(t, `{"open":7,"in_flight_least":5}`)},
-		{Kind: "client", Name: "desk", Fields: object(t, `{"weight":1}`)},
-		{Kind: "client", Name: "new", Fields: object(t, `{"weight":2.5}`)},
-		{Kind: "listener", Name: "evil", Fields: object(t, `{"address":"unix:/tmp/x"}`)},
+		{Kind: "requests", Fields: decodeObject(t, `{"open":7,"in_flight_least":5}`)},
+		{Kind: "client", Name: "desk", Fields: decodeObject(t, `{"weight":1}`)},
+		{Kind: "client", Name: "new", Fields: decodeObject(t, `{"weight":2.5}`)},
+		{Kind: "listener", Name: "evil", Fields: decodeObject(t, `{"address":"unix:/tmp/x"}`)},
 	})
 	require.NoError(t, err)
-	if got := fmt.Sprint(c.Site.Classes); got != "[look book zoom]" || c.Site.Settings.Classes[0].PriorityWeight != 2 {
+	if got := fmt.Sprint(combined.Site.Classes); got != "[look book zoom]" ||
+		combined.Site.Settings.Classes[0].PriorityWeight != 2 {
 		t.Errorf("classes %s", got)
 	}
-	if c.Requests.MaxOpen != 500 || c.Requests.InFlight != 0 || c.Requests.MinInFlight != 5 {
-		t.Errorf("requests %+v", c.Requests)
+	if combined.Requests.MaxOpen != 500 || combined.Requests.InFlight != 0 || combined.Requests.MinInFlight != 5 {
+		t.Errorf("requests %+v", combined.Requests)
 	}
-	if len(c.Clients) != 2 || c.Clients[0].Weight != 3 || c.Clients[1].Name != "new" || c.Clients[1].Weight != 2.5 {
-		t.Errorf("clients %+v", c.Clients)
+	if len(combined.Clients) != 2 || combined.Clients[0].Weight != 3 || combined.Clients[1].Name != "new" ||
+		combined.Clients[1].Weight != 2.5 {
+		t.Errorf("clients %+v", combined.Clients)
 	}
-	if len(c.Listeners) != 1 || c.Listeners[0].Name != "desk" || len(c.Tenants) != 1 {
-		t.Errorf("listeners %+v, tenants %+v", c.Listeners, c.Tenants)
+	if len(combined.Listeners) != 1 || combined.Listeners[0].Name != "desk" || len(combined.Tenants) != 1 {
+		t.Errorf("listeners %+v, tenants %+v", combined.Listeners, combined.Tenants)
 	}
-	if same, err := Combine(file, nil); err != nil || same != file {
+	if unchanged, err := Combine(file, nil); err != nil || unchanged != file {
 		t.Errorf("without resources: %v", err)
 	}
-	back, err := Combine(file, []Resource{class("book", `,"worth":1`), class("look", "")})
-	if err != nil || fmt.Sprint(back.Site.Classes) != "[look book]" {
-		t.Errorf("%v, %v", back, err)
+	reordered, err := Combine(file, []Resource{class("book", `,"worth":1`), class("look", "")})
+	if err != nil || fmt.Sprint(reordered.Site.Classes) != "[look book]" {
+		t.Errorf("%v, %v", reordered, err)
 	}
 }
 
 // The error of a version names the resource of each mistake, and the file's key where only the combination is invalid.
 func TestCombineErrorsNameTheResource(t *testing.T) {
 	file := mustParse(t, minimalFile)
-	deep := any("x")
+	deeplyNested := any("x")
 	for range 10 {
-		deep = map[string]any{"k": deep}
+		deeplyNested = map[string]any{"k": deeplyNested}
 	}
-	for want, all := range map[string][]Resource{
+	for want, resources := range map[string][]Resource{
 		"class/book: aim: is missing": {
-			{Kind: "class", Name: "book", Fields: object(t, `{"repeat":"safe"}`)},
+			{Kind: "class", Name: "book", Fields: decodeObject(t, `{"repeat":"safe"}`)},
 		},
 		"class/book: worht: is not a known key": {
-			{Kind: "class", Name: "a", Fields: object(t, completeFields["class"])},
-			{Kind: "class", Name: "book", Fields: object(t, `{"worht":1}`)},
+			{Kind: "class", Name: "a", Fields: decodeObject(t, requiredFields["class"])},
+			{Kind: "class", Name: "book", Fields: decodeObject(t, `{"worht":1}`)},
 		},
 		"class/b: repeat: \"x\" is none of": {
-			{Kind: "class", Name: "a", Fields: object(t, completeFields["class"])},
-			{Kind: "class", Name: "b", Fields: object(t, `{"repeat":"x","aim":"1s","give_up":"1s"}`)},
+			{Kind: "class", Name: "a", Fields: decodeObject(t, requiredFields["class"])},
+			{Kind: "class", Name: "b", Fields: decodeObject(t, `{"repeat":"x","aim":"1s","give_up":"1s"}`)},
 		},
 		"the file: listener.0.client: no client is": {
 			{Kind: "client", Name: "other", Fields: map[string]any{}},
 		},
 		"requests: in_flight_most: 3 is under in_fli": {
-			{Kind: "requests", Fields: object(t, `{"in_flight_least":5,"in_flight_most":3}`)},
+			{Kind: "requests", Fields: decodeObject(t, `{"in_flight_least":5,"in_flight_most":3}`)},
 		},
 		"\"clas\" is no kind of resource":       {{Kind: "clas", Name: "a"}},
 		"process: only the instance's own file": {{Kind: "process"}},
@@ -385,7 +387,7 @@
 			{Kind: "class", Name: "a"},
 		},
 		"requests: nested deeper than 6": {
-			{Kind: "requests", Fields: map[string]any{"open": deep}},
+			{Kind: "requests", Fields: map[string]any{"open": deeplyNested}},
 		},
 		"requests: <nil> is no text": {
 			{Kind: "requests", Fields: map[string]any{"open": nil}},
@@ -394,10 +396,10 @@
 			{Kind: "requests", Fields: map[string]any{"open": strings.Repeat("x", 8193)}},
 		},
 		"requests: in_flight: -1 is negative; requests: open: 0: must be at le": {
-			{Kind: "requests", Fields: object(t, `{"in_flight":-1,"open":0}`)},
+			{Kind: "requests", Fields: decodeObject(t, `{"in_flight":-1,"open":0}`)},
 		},
 	} {
-		if _, err := Combine(file, all); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Combine(file, resources); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v\nwant %s", err, want)
 		}
 	}
@@ -408,13 +410,13 @@
 
 // The digest of a version depends on its content, and not on the order of the resources.
 func TestDigest(t *testing.T) {
-	a := []Resource{{Kind: "a", Name: "1", Fields: object(t, `{"x":1,"y":[true]}`)}, {Kind: "b"}}
-	b := []Resource{{Kind: "b"}, {Kind: "a", Name: "1", Fields: object(t, `{"y":[true],"x":1}`)}}
-	if Digest(a) != Digest(b) {
+	resources := []Resource{{Kind: "a", Name: "1", Fields: decodeObject(t, `{"x":1,"y":[true]}`)}, {Kind: "b"}}
+	reordered := []Resource{{Kind: "b"}, {Kind: "a", Name: "1", Fields: decodeObject(t, `{"y":[true],"x":1}`)}}
+	if Digest(resources) != Digest(reordered) {
 		t.Error("the digest depends on the order")
 	}
-	b[1].Fields["x"] = 2.0
-	if Digest(a) == Digest(b) {
+	reordered[1].Fields["x"] = 2.0
+	if Digest(resources) == Digest(reordered) {
 		t.Error("the digest does not depend on a value")
 	}
 }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -199,8 +199,8 @@
 		c.OtherClients = &ClientLimits{}
 	}
 	for i := range c.Listeners {
-		l := &c.Listeners[i]
-		l.Name = cmp.Or(l.Name, l.Address)
+		listener := &c.Listeners[i]
+		listener.Name = cmp.Or(listener.Name, listener.Address)
 	}
 	for i := range c.Routes {
 		c.Routes[i].setDefaults()
--- a/internal/config/routes_test.go
+++ b/internal/config/routes_test.go
@@ -27,11 +27,11 @@
 func TestLeastRoutes(t *testing.T) {
 	c, err := Parse([]byte(minimalRoutes))
 	require.NoError(t, err)
-	r := c.Routes[0]
+	route := c.Routes[0]
 	if c.Table == nil || len(c.Classes) != 2 || c.OtherClients == nil || c.Listeners[0].Name != "127.0.0.1:0" ||
-		r.MaxBufferedBody.Bytes != 64<<10 ||
-		r.IdleTimeout.Duration != 30*time.Second || r.Forwarded != "as-is" ||
-		!reflect.DeepEqual(r.ErrorStatuses, []int{500, 502, 504}) {
+		route.MaxBufferedBody.Bytes != 64<<10 ||
+		route.IdleTimeout.Duration != 30*time.Second || route.Forwarded != "as-is" ||
+		!reflect.DeepEqual(route.ErrorStatuses, []int{500, 502, 504}) {
 		t.Errorf("%+v", c)
 	}
 	if got := c.Table.Match("any", "/a/b", "PURGE", nil); got != 0 {
@@ -46,62 +46,62 @@
 	if _, err := Parse(text); err != nil {
 		t.Fatal(err)
 	}
-	for _, v := range []any{Pool{}, Route{}, Paths{}, HeaderEdits{}} {
-		of := reflect.TypeOf(v)
-		for i := range of.NumField() {
-			key := of.Field(i).Tag.Get("toml")
+	for _, table := range []any{Pool{}, Route{}, Paths{}, HeaderEdits{}} {
+		tableType := reflect.TypeOf(table)
+		for i := range tableType.NumField() {
+			key := tableType.Field(i).Tag.Get("toml")
 			if !strings.Contains(string(text), key+" = ") {
-				t.Errorf("%s.%s is not in it", of.Name(), key)
+				t.Errorf("%s.%s is not in it", tableType.Name(), key)
 			}
 		}
 	}
 }
 
-// minimalRoute is the key of the route in minimalRoutes.
-const minimalRoute = "pool = \"app\"\n"
+// poolKey is the key of the route in minimalRoutes.
+const poolKey = "pool = \"app\"\n"
 
-var mistakesInRoutes = []mistake{
-	{minimalRoute, "pool = \"ap\"\n", `line 8: route.0.pool: no pool is named "ap"`},
-	{minimalRoute, "pol = \"app\"\n", "line 8: route.pol: is not a known key"},
-	{minimalRoute, minimalRoute + "path = \"a\"\n", "line 9: route.0.path: must begin with /"},
-	{minimalRoute, minimalRoute + "path = \"/a/../b\"\n", "line 9: route.0.path: requests never have it"},
-	{minimalRoute, minimalRoute + "host = \"H\"\n", "line 9: route.0.host: "},
-	{minimalRoute, minimalRoute + "methods = [\"GET\", \"GET\"]\n", "line 9: route.0.methods: \"GET\" is named twice"},
+var invalidRouteFiles = []invalidFile{
+	{poolKey, "pool = \"ap\"\n", `line 8: route.0.pool: no pool is named "ap"`},
+	{poolKey, "pol = \"app\"\n", "line 8: route.pol: is not a known key"},
+	{poolKey, poolKey + "path = \"a\"\n", "line 9: route.0.path: must begin with /"},
+	{poolKey, poolKey + "path = \"/a/../b\"\n", "line 9: route.0.path: requests never have it"},
+	{poolKey, poolKey + "host = \"H\"\n", "line 9: route.0.host: "},
+	{poolKey, poolKey + "methods = [\"GET\", \"GET\"]\n", "line 9: route.0.methods: \"GET\" is named twice"},
 	{
-		minimalRoute,
-		minimalRoute + "[[route]]\n" + minimalRoute,
+		poolKey,
+		poolKey + "[[route]]\n" + poolKey,
 		"line 9: route.1: can take the same request as the route on line 7",
 	},
-	{minimalRoute, minimalRoute + "class = \"look\"\n", `line 9: route.0.class: no class is named "look"`},
+	{poolKey, poolKey + "class = \"look\"\n", `line 9: route.0.class: no class is named "look"`},
 	{
-		minimalRoute,
-		minimalRoute + "tenant = \"path:clinic\"\n",
+		poolKey,
+		poolKey + "tenant = \"path:clinic\"\n",
 		"line 9: route.0.tenant: the path has no part {clinic}",
 	},
-	{minimalRoute, minimalRoute + "tenant = \"X-Customer\"\n", "line 9: route.0.tenant: \"X-Customer\" is none of"},
-	{minimalRoute, minimalRoute + "key = \"path:x\"\n", "line 9: route.0.key: \"path:x\" is no header"},
-	{minimalRoute, minimalRoute + "key = \"header:Host\"\n", "line 9: route.0.key: Host tells how a message is framed"},
+	{poolKey, poolKey + "tenant = \"X-Customer\"\n", "line 9: route.0.tenant: \"X-Customer\" is none of"},
+	{poolKey, poolKey + "key = \"path:x\"\n", "line 9: route.0.key: \"path:x\" is no header"},
+	{poolKey, poolKey + "key = \"header:Host\"\n", "line 9: route.0.key: Host tells how a message is framed"},
 	{
-		minimalRoute,
-		minimalRoute + "key = \"header:K\"\nrequest = { remove = [\"k\"] }\n",
+		poolKey,
+		poolKey + "key = \"header:K\"\nrequest = { remove = [\"k\"] }\n",
 		"line 10: route.0.request: K, which key names",
 	},
-	{minimalRoute, minimalRoute + "tries = -1\n", "line 9: route.0.tries: -1 is negative"},
-	{minimalRoute, minimalRoute + "body_hold = \"2MiB\"\n", "line 9: route.0.body_hold: over 1MiB"},
-	{minimalRoute, minimalRoute + "answer_most = \"1KiB\"\n", "line 9: route.0.answer_most: is under answer_hold"},
-	{minimalRoute, minimalRoute + "idle = \"1h\"\n", "line 9: route.0.idle: 1h0m0s is over whole"},
-	{minimalRoute, minimalRoute + "errors = [200]\n", "line 9: route.0.errors: 200 is no status"},
-	{minimalRoute, minimalRoute + "path = \"/a/*\"\nstrip_prefix = \"/b\"\n", "line 10: route.0.strip_prefix: "},
-	{minimalRoute, minimalRoute + "path = \"/ab/*\"\nstrip_prefix = \"/a\"\n", "line 10: route.0.strip_prefix: "},
-	{minimalRoute, minimalRoute + "add_prefix = \"/a/\"\n", "line 9: route.0.add_prefix: "},
-	{minimalRoute, minimalRoute + "forwarded = \"yes\"\n", "line 9: route.0.forwarded: \"yes\" is none of"},
-	{minimalRoute, minimalRoute + "trusted = true\n", "line 9: route.0.trusted: means nothing"},
+	{poolKey, poolKey + "tries = -1\n", "line 9: route.0.tries: -1 is negative"},
+	{poolKey, poolKey + "body_hold = \"2MiB\"\n", "line 9: route.0.body_hold: over 1MiB"},
+	{poolKey, poolKey + "answer_most = \"1KiB\"\n", "line 9: route.0.answer_most: is under answer_hold"},
+	{poolKey, poolKey + "idle = \"1h\"\n", "line 9: route.0.idle: 1h0m0s is over whole"},
+	{poolKey, poolKey + "errors = [200]\n", "line 9: route.0.errors: 200 is no status"},
+	{poolKey, poolKey + "path = \"/a/*\"\nstrip_prefix = \"/b\"\n", "line 10: route.0.strip_prefix: "},
+	{poolKey, poolKey + "path = \"/ab/*\"\nstrip_prefix = \"/a\"\n", "line 10: route.0.strip_prefix: "},
+	{poolKey, poolKey + "add_prefix = \"/a/\"\n", "line 9: route.0.add_prefix: "},
+	{poolKey, poolKey + "forwarded = \"yes\"\n", "line 9: route.0.forwarded: \"yes\" is none of"},
+	{poolKey, poolKey + "trusted = true\n", "line 9: route.0.trusted: means nothing"},
 	{
-		minimalRoute,
-		minimalRoute + "request = { set = { \"Connection\" = \"x\" } }\n",
+		poolKey,
+		poolKey + "request = { set = { \"Connection\" = \"x\" } }\n",
 		"line 9: route.0.request.set: Connection is not to be changed",
 	},
-	{minimalRoute, minimalRoute + "answer = { add = { \"X\" = \"a\\nb\" } }\n", "line 9: route.0.answer.add: "},
+	{poolKey, poolKey + "answer = { add = { \"X\" = \"a\\nb\" } }\n", "line 9: route.0.answer.add: "},
 	{"127.0.0.1:9002", "127.0.0.1:9001", "line 6: pool.0.endpoints: \"127.0.0.1:9001\" is named twice"},
 	{"127.0.0.1:9002", "127.0.0.1:0", "line 6: pool.0.endpoints: \"127.0.0.1:0\" is no host:port"},
 	{"[[route]]", "file = \"x\"\n[[route]]", "line 6: pool.0.endpoints: exactly one of"},
@@ -119,10 +119,10 @@
 }
 
 func TestMistakesInRoutes(t *testing.T) {
-	for _, tc := range mistakesInRoutes {
+	for _, tc := range invalidRouteFiles {
 		_, err := Parse([]byte(strings.Replace(minimalRoutes, tc.old, tc.new, 1)))
-		var all stricttoml.Errors
-		if !errors.As(err, &all) || !strings.Contains(err.Error(), tc.want) {
+		var mistakes stricttoml.Errors
+		if !errors.As(err, &mistakes) || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%q in place of %q:\n got %v\nwant %s", tc.new, tc.old, err, tc.want)
 		}
 	}
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -12,7 +12,7 @@
 )
 
 // units are the types of values that are written as texts with a unit, and their patterns.
-var units = map[reflect.Type]string{
+var unitPatterns = map[reflect.Type]string{
 	reflect.TypeFor[stricttoml.Duration](): `^([0-9]+(\.[0-9]+)?(ns|us|µs|ms|s|m|h))+$`,
 	reflect.TypeFor[stricttoml.Size]():     `^[0-9]+ *(B|KiB|MiB|GiB)$`,
 	reflect.TypeFor[stricttoml.Mode]():     `^[0-7]{1,4}$`,
@@ -21,13 +21,13 @@
 // Schema returns the JSON Schema (2020-12) of the resources that a version may hold, as Resource is written in JSON.
 // It describes the keys and the types of their values; Combine checks the values themselves.
 func Schema() ([]byte, error) {
-	r := jsonschema.Reflector{
+	reflector := jsonschema.Reflector{
 		FieldNameTag:               "toml",
 		DoNotReference:             true,
 		Anonymous:                  true,
 		RequiredFromJSONSchemaTags: true,
 		Mapper: func(t reflect.Type) *jsonschema.Schema {
-			if pattern, ok := units[t]; ok {
+			if pattern, ok := unitPatterns[t]; ok {
 				return &jsonschema.Schema{Type: "string", Pattern: pattern}
 			}
 			return nil
@@ -36,34 +36,34 @@
 	var kindSchemas []*jsonschema.Schema
 	kinds := ResourceKinds()
 	for _, name := range slices.Sorted(maps.Keys(kinds)) {
-		k := kinds[name]
-		fields := r.ReflectFromType(k.Type)
+		kind := kinds[name]
+		fields := reflector.ReflectFromType(kind.FieldsType)
 		fields.Version = ""
-		s := &jsonschema.Schema{
+		kindSchema := &jsonschema.Schema{
 			Type:                 "object",
 			Title:                name,
 			Properties:           jsonschema.NewProperties(),
 			AdditionalProperties: jsonschema.FalseSchema,
 			Required:             []string{"kind", "fields"},
 		}
-		s.Properties.Set("kind", &jsonschema.Schema{Const: name})
-		if k.List {
+		kindSchema.Properties.Set("kind", &jsonschema.Schema{Const: name})
+		if kind.IsList {
 			fields.Properties.Delete("name")
 			maxLength := uint64(maxNameLength)
-			s.Properties.Set("name", &jsonschema.Schema{Type: "string", MaxLength: &maxLength})
-			s.Required = []string{"kind", "name", "fields"}
+			kindSchema.Properties.Set("name", &jsonschema.Schema{Type: "string", MaxLength: &maxLength})
+			kindSchema.Required = []string{"kind", "name", "fields"}
 		}
-		s.Properties.Set("fields", fields)
-		kindSchemas = append(kindSchemas, s)
+		kindSchema.Properties.Set("fields", fields)
+		kindSchemas = append(kindSchemas, kindSchema)
 	}
 	maxItems := uint64(maxResources)
-	all := &jsonschema.Schema{
+	schema := &jsonschema.Schema{
 		Version:  jsonschema.Version,
 		Title:    "A version of dunlinsaild's configuration",
 		Type:     "array",
 		MaxItems: &maxItems,
 		Items:    &jsonschema.Schema{OneOf: kindSchemas},
 	}
-	text, err := json.MarshalIndent(all, "", "  ")
+	text, err := json.MarshalIndent(schema, "", "  ")
 	return append(text, '\n'), err
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -31,7 +31,7 @@
 	v.routes(c)
 	v.Require(len(c.Routes) > 0 || isHostPort(c.Discovery.Address, 1), "discovery.address",
 		"%q is no host:port with a port in 1..65535", c.Discovery.Address)
-	subscribe := stricttoml.Enum(&v.Validation, "discovery.mode", c.Discovery.Mode,
+	polled := stricttoml.Enum(&v.Validation, "discovery.mode", c.Discovery.Mode,
 		map[string]bool{"watch": false, "ask": true})
 
 	v.Require(c.Takeover.ReadyWithin.Duration > 0, "takeover.ready_within", "must be positive")
@@ -47,7 +47,7 @@
 	v.requests(&c.Requests)
 	v.clients(c)
 	v.listeners(c)
-	v.site(c, subscribe)
+	v.siteSettings(c, polled)
 }
 
 func (v *validator) process(p *Process) {
@@ -56,24 +56,25 @@
 	v.Require(p.Descriptors >= minDescriptors, "process.descriptors", "%d is under %d", p.Descriptors, minDescriptors)
 }
 
-func (v *validator) requests(r *Requests) {
-	v.Require(r.MaxOpen >= 1, "requests.open", "%d: must be at least 1", r.MaxOpen)
-	v.Require(r.InFlight >= 0, "requests.in_flight", "%d is negative", r.InFlight)
-	v.Require(r.MinInFlight >= 1, "requests.in_flight_least", "%d: must be at least 1", r.MinInFlight)
-	v.Require(r.MaxInFlight >= r.MinInFlight, "requests.in_flight_most", "%d is under in_flight_least, %d",
-		r.MaxInFlight, r.MinInFlight)
+func (v *validator) requests(requests *Requests) {
+	v.Require(requests.MaxOpen >= 1, "requests.open", "%d: must be at least 1", requests.MaxOpen)
+	v.Require(requests.InFlight >= 0, "requests.in_flight", "%d is negative", requests.InFlight)
+	v.Require(requests.MinInFlight >= 1, "requests.in_flight_least", "%d: must be at least 1", requests.MinInFlight)
+	v.Require(requests.MaxInFlight >= requests.MinInFlight, "requests.in_flight_most",
+		"%d is under in_flight_least, %d",
+		requests.MaxInFlight, requests.MinInFlight)
 }
 
-func (v *validator) accessLog(r *AccessLog) {
-	v.Require(r.Dir == "" || strings.HasPrefix(r.Dir, "/"), "record.dir", "%q: must begin with /", r.Dir)
-	v.Require(r.Dir == "" || r.SecretFile != "", "record.secret",
+func (v *validator) accessLog(log *AccessLog) {
+	v.Require(log.Dir == "" || strings.HasPrefix(log.Dir, "/"), "record.dir", "%q: must begin with /", log.Dir)
+	v.Require(log.Dir == "" || log.SecretFile != "", "record.secret",
 		"is missing: a file whose text keys and objects are hashed with")
-	v.Require(r.SampleRate > 0 && r.SampleRate <= 1, "record.sample", "%v: must be over 0, to 1", r.SampleRate)
-	v.Require(r.SegmentRows >= 100 && r.SegmentRows <= 1_000_000, "record.segment_rows",
-		"%d: must be in 100..1000000", r.SegmentRows)
-	v.Require(r.SegmentAge.Duration >= 100*time.Millisecond && r.SegmentAge.Duration <= time.Hour,
-		"record.segment_age", "%v: must be in 100ms..1h", r.SegmentAge)
-	v.Require(r.MaxBytes.Bytes == 0 || r.MaxBytes.Bytes >= 1<<20, "record.keep",
+	v.Require(log.SampleRate > 0 && log.SampleRate <= 1, "record.sample", "%v: must be over 0, to 1", log.SampleRate)
+	v.Require(log.SegmentRows >= 100 && log.SegmentRows <= 1_000_000, "record.segment_rows",
+		"%d: must be in 100..1000000", log.SegmentRows)
+	v.Require(log.SegmentAge.Duration >= 100*time.Millisecond && log.SegmentAge.Duration <= time.Hour,
+		"record.segment_age", "%v: must be in 100ms..1h", log.SegmentAge)
+	v.Require(log.MaxBytes.Bytes == 0 || log.MaxBytes.Bytes >= 1<<20, "record.keep",
 		"under 1MiB nothing is kept; \"0B\" is no bound")
 }
 
--- a/internal/config/validate_clients.go
+++ b/internal/config/validate_clients.go
@@ -12,44 +12,47 @@
 
 // connections validates the limits of connections, and sets those that are 0 by the number of descriptors.
 func (v *validator) connections(c *Config) {
-	n := &c.Connections
-	free := c.Process.Descriptors - reservedDescriptors
-	if n.MaxClients == 0 {
-		n.MaxClients = free / 2
+	connections := &c.Connections
+	availableDescriptors := c.Process.Descriptors - reservedDescriptors
+	if connections.MaxClients == 0 {
+		connections.MaxClients = availableDescriptors / 2
 	}
-	if n.MaxEndpoints == 0 {
-		n.MaxEndpoints = max(1, free-n.MaxClients)
+	if connections.MaxEndpoints == 0 {
+		connections.MaxEndpoints = max(1, availableDescriptors-connections.MaxClients)
 	}
-	if n.MaxIdle == 0 {
-		n.MaxIdle = max(1, min(n.MaxClients, free/idleDivisor))
+	if connections.MaxIdle == 0 {
+		connections.MaxIdle = max(1, min(connections.MaxClients, availableDescriptors/idleDivisor))
 	}
-	v.Require(n.MaxClients >= 1, "connections.clients", "%d: must be at least 1", n.MaxClients)
-	v.Require(n.MaxEndpoints >= 1, "connections.endpoints", "%d: must be at least 1", n.MaxEndpoints)
-	v.Require(n.MaxClients+n.MaxEndpoints <= free, "connections.clients",
-		"%d, and %d to endpoints, are over the %d that process.descriptors leaves", n.MaxClients, n.MaxEndpoints, free)
-	v.Require(n.MaxIdle >= 1 && n.MaxIdle <= n.MaxClients, "connections.at_rest",
-		"%d: must be in 1..%d, connections.clients", n.MaxIdle, n.MaxClients)
-	v.Require(n.MaxIdleTime.Duration > 0, "connections.rest_most", "must be positive")
-	v.Require(n.MinIdleTime.Duration <= n.MaxIdleTime.Duration, "connections.rest_least", "%v is over rest_most, %v",
-		n.MinIdleTime, n.MaxIdleTime)
+	v.Require(connections.MaxClients >= 1, "connections.clients", "%d: must be at least 1", connections.MaxClients)
+	v.Require(connections.MaxEndpoints >= 1, "connections.endpoints", "%d: must be at least 1",
+		connections.MaxEndpoints)
+	v.Require(connections.MaxClients+connections.MaxEndpoints <= availableDescriptors, "connections.clients",
+		"%d, and %d to endpoints, are over the %d that process.descriptors leaves", connections.MaxClients,
+		connections.MaxEndpoints, availableDescriptors)
+	v.Require(connections.MaxIdle >= 1 && connections.MaxIdle <= connections.MaxClients, "connections.at_rest",
+		"%d: must be in 1..%d, connections.clients", connections.MaxIdle, connections.MaxClients)
+	v.Require(connections.MaxIdleTime.Duration > 0, "connections.rest_most", "must be positive")
+	v.Require(connections.MinIdleTime.Duration <= connections.MaxIdleTime.Duration, "connections.rest_least",
+		"%v is over rest_most, %v",
+		connections.MinIdleTime, connections.MaxIdleTime)
 }
 
 // clients validates the clients and their limits. No user or group may belong to two.
 func (v *validator) clients(c *Config) {
 	names := map[string]bool{}
-	owners := map[string]map[uint32]string{"uids": {}, "gids": {}} // names of clients, by key and ID
+	ownerOf := map[string]map[uint32]string{"uids": {}, "gids": {}} // names of clients, by key and ID
 	for i := range c.Clients {
-		cl := &c.Clients[i]
-		at := func(key string) string { return fmt.Sprintf("client.%d.%s", i, key) }
-		v.Require(cl.Name != "", at("name"), "is missing")
-		v.Require(!names[cl.Name], at("name"), "%q is named twice", cl.Name)
-		names[cl.Name] = true
-		v.clientLimits(&cl.ClientLimits, at)
-		for key, ids := range map[string][]uint32{"uids": cl.UIDs, "gids": cl.GIDs} {
+		client := &c.Clients[i]
+		keyAt := func(key string) string { return fmt.Sprintf("client.%d.%s", i, key) }
+		v.Require(client.Name != "", keyAt("name"), "is missing")
+		v.Require(!names[client.Name], keyAt("name"), "%q is named twice", client.Name)
+		names[client.Name] = true
+		v.clientLimits(&client.ClientLimits, keyAt)
+		for key, ids := range map[string][]uint32{"uids": client.UIDs, "gids": client.GIDs} {
 			for _, id := range ids {
-				owner := owners[key][id]
-				v.Require(owner == "", at(key), "%d is client %q already", id, owner)
-				owners[key][id] = cl.Name
+				owner := ownerOf[key][id]
+				v.Require(owner == "", keyAt(key), "%d is client %q already", id, owner)
+				ownerOf[key][id] = client.Name
 			}
 		}
 	}
@@ -61,24 +64,25 @@
 // listeners validates the listeners. Their names and addresses must be unique.
 func (v *validator) listeners(c *Config) {
 	v.Require(len(c.Listeners) > 0, "listener", "at least one is needed")
-	listeners := map[string]bool{}
+	names := map[string]bool{}
 	addresses := map[string]bool{}
 	for i := range c.Listeners {
-		l := &c.Listeners[i]
-		at := func(key string) string { return fmt.Sprintf("listener.%d.%s", i, key) }
-		v.Require(l.Name != "", at("name"), "is missing")
-		v.Require(!listeners[l.Name], at("name"), "%q is named twice", l.Name)
-		listeners[l.Name] = true
-		v.Require(!addresses[l.Address], at("address"), "%q is listened on twice", l.Address)
-		addresses[l.Address] = true
-		if network, address := l.Network(); network == "unix" {
-			v.unixListener(l, address, at)
+		listener := &c.Listeners[i]
+		keyAt := func(key string) string { return fmt.Sprintf("listener.%d.%s", i, key) }
+		v.Require(listener.Name != "", keyAt("name"), "is missing")
+		v.Require(!names[listener.Name], keyAt("name"), "%q is named twice", listener.Name)
+		names[listener.Name] = true
+		v.Require(!addresses[listener.Address], keyAt("address"), "%q is listened on twice", listener.Address)
+		addresses[listener.Address] = true
+		if network, address := listener.Network(); network == "unix" {
+			v.unixListener(listener, address, keyAt)
 		} else {
-			v.tcpListener(c, l, address, at)
+			v.tcpListener(c, listener, address, keyAt)
 		}
-		isClient := func(cl Client) bool { return cl.Name == l.Client }
-		v.Require(l.Client == "" || slices.ContainsFunc(c.Clients, isClient), at("client"), "no client is named %q",
-			l.Client)
+		isClient := func(client Client) bool { return client.Name == listener.Client }
+		v.Require(listener.Client == "" || slices.ContainsFunc(c.Clients, isClient), keyAt("client"),
+			"no client is named %q",
+			listener.Client)
 	}
 }
 
@@ -90,37 +94,43 @@
 )
 
 // unixListener validates a listener on a unix socket at a path, and sets its default permissions.
-func (v *validator) unixListener(l *Listener, path string, at func(string) string) {
-	v.Require(strings.HasPrefix(path, "/"), at("address"), "%q: the path of a unix socket must begin with /", l.Address)
-	v.Require(len(path) <= maxUnixPathBytes, at("address"), "the path of a unix socket has at most 107 bytes, not %d",
+func (v *validator) unixListener(listener *Listener, path string, keyAt func(string) string) {
+	v.Require(strings.HasPrefix(path, "/"), keyAt("address"), "%q: the path of a unix socket must begin with /",
+		listener.Address)
+	v.Require(len(path) <= maxUnixPathBytes, keyAt("address"),
+		"the path of a unix socket has at most 107 bytes, not %d",
 		len(path))
-	if l.Mode.Bits == 0 {
-		l.Mode.Bits = defaultUnixMode
+	if listener.Mode.Bits == 0 {
+		listener.Mode.Bits = defaultUnixMode
 	}
 }
 
 // tcpListener validates a listener at a TCP address, which must be on loopback.
-func (v *validator) tcpListener(c *Config, l *Listener, address string, at func(string) string) {
+func (v *validator) tcpListener(c *Config, listener *Listener, address string, keyAt func(string) string) {
 	host, _, _ := net.SplitHostPort(address)
 	ip := net.ParseIP(host)
-	v.Require(isHostPort(address, 0) && ip != nil && ip.IsLoopback(), at("address"),
+	v.Require(isHostPort(address, 0) && ip != nil && ip.IsLoopback(), keyAt("address"),
 		"%q is neither a loopback address with a port up to 65535, as \"127.0.0.1:8080\", nor \"unix:/path\"",
-		l.Address)
-	v.Require(l.Mode.Bits == 0, at("mode"), "is for unix sockets only")
-	v.Require(l.Client != "" || c.OtherClients != nil, at("client"), "is missing, and there is no table others")
+		listener.Address)
+	v.Require(listener.Mode.Bits == 0, keyAt("mode"), "is for unix sockets only")
+	v.Require(listener.Client != "" || c.OtherClients != nil, keyAt("client"),
+		"is missing, and there is no table others")
 }
 
 // clientLimits validates the limits of a client, and sets its default weight.
-func (v *validator) clientLimits(b *ClientLimits, at func(string) string) {
-	if b.Weight == 0 {
-		b.Weight = 1
+func (v *validator) clientLimits(limits *ClientLimits, keyAt func(string) string) {
+	if limits.Weight == 0 {
+		limits.Weight = 1
 	}
-	v.Require(b.Weight > 0 && !math.IsInf(b.Weight, 0), at("weight"), "%v: must be positive", b.Weight)
-	v.Require(b.MaxConnections >= 0, at("connections"), "%d is negative", b.MaxConnections)
-	v.Require(b.MaxOpen >= 0, at("open_requests"), "%d is negative", b.MaxOpen)
-	v.Require(b.Rate >= 0 && !math.IsInf(b.Rate, 0), at("requests_per_second"), "%v: must not be negative", b.Rate)
-	v.Require(b.Burst == 0 || b.Rate > 0, at("burst"), "means nothing without requests_per_second")
-	v.Require(b.Burst == 0 || b.Burst >= 1, at("burst"), "%v: must be at least 1", b.Burst)
-	v.Require(b.MaxBufferedBytes.Bytes == 0 || b.MaxBufferedBytes.Bytes >= siteconfig.MaxBodyBytes, at("bytes_held"),
+	v.Require(limits.Weight > 0 && !math.IsInf(limits.Weight, 0), keyAt("weight"), "%v: must be positive",
+		limits.Weight)
+	v.Require(limits.MaxConnections >= 0, keyAt("connections"), "%d is negative", limits.MaxConnections)
+	v.Require(limits.MaxOpen >= 0, keyAt("open_requests"), "%d is negative", limits.MaxOpen)
+	v.Require(limits.Rate >= 0 && !math.IsInf(limits.Rate, 0), keyAt("requests_per_second"), "%v: must not be negative",
+		limits.Rate)
+	v.Require(limits.Burst == 0 || limits.Rate > 0, keyAt("burst"), "means nothing without requests_per_second")
+	v.Require(limits.Burst == 0 || limits.Burst >= 1, keyAt("burst"), "%v: must be at least 1", limits.Burst)
+	v.Require(limits.MaxBufferedBytes.Bytes == 0 || limits.MaxBufferedBytes.Bytes >= siteconfig.MaxBodyBytes,
+		keyAt("bytes_held"),
 		"under %d a whole body does not fit", siteconfig.MaxBodyBytes)
 }
--- a/internal/config/validate_fleet.go
+++ b/internal/config/validate_fleet.go
@@ -19,91 +19,98 @@
 
 // peers validates gossip and coordination.
 func (v *validator) peers(c *Config) {
-	p := &c.Peers
+	peers := &c.Peers
 	seen := map[string]bool{}
-	for _, name := range p.Allocators {
+	for _, name := range peers.Allocators {
 		v.Require(name != "", "peers.lenders", "an empty name")
 		v.Require(!seen[name], "peers.lenders", "%q is named twice", name)
 		seen[name] = true
 	}
-	for i, name := range p.CoordinatedUses {
+	for i, name := range peers.CoordinatedUses {
 		stricttoml.Enum(&v.Validation, "peers.lends", name, coordinatedUses)
-		v.Require(!slices.Contains(p.CoordinatedUses[:i], name), "peers.lends", "%q is named twice", name)
+		v.Require(!slices.Contains(peers.CoordinatedUses[:i], name), "peers.lends", "%q is named twice", name)
 	}
-	for _, mapping := range p.AddressMappings {
+	for _, mapping := range peers.AddressMappings {
 		address, via, complete := strings.Cut(mapping, "=")
 		v.Require(complete && isHostPort(address, 1) && isHostPort(via, 1), "peers.ways",
 			"%q is not ADDRESS=VIA, each host:port", mapping)
 	}
-	v.Require(p.ReserveFraction >= 0 && p.ReserveFraction <= 1, "peers.ready", "%v: must be in 0..1", p.ReserveFraction)
-	v.Require(p.MaxClockDrift >= 0 && p.MaxClockDrift <= 0.1, "peers.drift", "%v: must be in 0..0.1", p.MaxClockDrift)
-	v.Require(p.LeaseRequestInterval.Duration >= 10*time.Millisecond, "peers.every", "%v: must be at least 10ms",
-		p.LeaseRequestInterval)
-	v.Require(p.QuotaLease.Duration >= 4*p.LeaseRequestInterval.Duration, "peers.loan",
-		"%v: must be at least four times peers.every, or a lost word ends a loan", p.QuotaLease)
-	v.Require(p.LeaderLease.Duration >= 2*p.LeaseRequestInterval.Duration, "peers.lease",
-		"%v: must be at least twice peers.every", p.LeaderLease)
-	if p.On {
+	v.Require(peers.ReserveFraction >= 0 && peers.ReserveFraction <= 1, "peers.ready", "%v: must be in 0..1",
+		peers.ReserveFraction)
+	v.Require(peers.MaxClockDrift >= 0 && peers.MaxClockDrift <= 0.1, "peers.drift", "%v: must be in 0..0.1",
+		peers.MaxClockDrift)
+	v.Require(peers.LeaseRequestInterval.Duration >= 10*time.Millisecond, "peers.every", "%v: must be at least 10ms",
+		peers.LeaseRequestInterval)
+	v.Require(peers.QuotaLease.Duration >= 4*peers.LeaseRequestInterval.Duration, "peers.loan",
+		"%v: must be at least four times peers.every, or a lost word ends a loan", peers.QuotaLease)
+	v.Require(peers.LeaderLease.Duration >= 2*peers.LeaseRequestInterval.Duration, "peers.lease",
+		"%v: must be at least twice peers.every", peers.LeaderLease)
+	if peers.On {
 		v.activePeers(c)
 	}
 }
 
 // activePeers validates what gossip and coordination need when they are on.
 func (v *validator) activePeers(c *Config) {
-	p := &c.Peers
-	host, _, _ := net.SplitHostPort(p.Address)
+	peers := &c.Peers
+	host, _, _ := net.SplitHostPort(peers.Address)
 	ip := net.ParseIP(host)
-	v.Require(ip != nil && isHostPort(p.Address, 1), "peers.address", "%q is no address with a port in 1..65535",
-		p.Address)
-	v.Require(p.AllowBeyondLoopback || ip == nil || ip.IsLoopback(), "peers.address",
-		"%q is beyond loopback: peers.beyond_loopback says that this is meant", p.Address)
-	for _, other := range p.Join {
+	v.Require(ip != nil && isHostPort(peers.Address, 1), "peers.address", "%q is no address with a port in 1..65535",
+		peers.Address)
+	v.Require(peers.AllowBeyondLoopback || ip == nil || ip.IsLoopback(), "peers.address",
+		"%q is beyond loopback: peers.beyond_loopback says that this is meant", peers.Address)
+	for _, other := range peers.Join {
 		v.Require(isHostPort(other, 1), "peers.join", "%q is no host:port with a port in 1..65535", other)
 	}
-	v.Require(p.Fleet != "", "peers.fleet", "is missing")
-	v.Require(len(p.Allocators)%2 == 1 && len(p.Allocators) <= maxAllocators, "peers.lenders",
+	v.Require(peers.Fleet != "", "peers.fleet", "is missing")
+	v.Require(len(peers.Allocators)%2 == 1 && len(peers.Allocators) <= maxAllocators, "peers.lenders",
 		"must be 1, 3, 5 or 7 names of instances: a majority of them decides who lends")
-	v.Require(len(p.CoordinatedUses) > 0, "peers.lends", "is empty: nothing would be decided together")
-	v.Require(c.Fleet.Instances >= len(p.Allocators), "fleet.instances", "%d is under the number of peers.lenders",
+	v.Require(len(peers.CoordinatedUses) > 0, "peers.lends", "is empty: nothing would be decided together")
+	v.Require(c.Fleet.Instances >= len(peers.Allocators), "fleet.instances", "%d is under the number of peers.lenders",
 		c.Fleet.Instances)
-	requestRate := float64(c.Fleet.Instances) / p.LeaseRequestInterval.Seconds()
+	requestRate := float64(c.Fleet.Instances) / peers.LeaseRequestInterval.Seconds()
 	v.Require(requestRate <= maxLeaseRequestRate, "peers.every",
-		"%v: %d instances would ask the one that lends %.0f times a second; %d are the most", p.LeaseRequestInterval,
+		"%v: %d instances would ask the one that lends %.0f times a second; %d are the most",
+		peers.LeaseRequestInterval,
 		c.Fleet.Instances, requestRate, maxLeaseRequestRate)
 	needsOverload := func(use string) bool { return use != "suspects" && use != "tenants" }
-	v.Require(c.Overload.On || !slices.ContainsFunc(p.CoordinatedUses, needsOverload), "peers.lends",
+	v.Require(c.Overload.On || !slices.ContainsFunc(peers.CoordinatedUses, needsOverload), "peers.lends",
 		"further, probes and level are decided where overload.on is true")
-	for i, t := range c.Tenants {
-		v.Require(t.RateLimit == 0 || slices.Contains(p.CoordinatedUses, "tenants"),
+	for i, tenant := range c.Tenants {
+		v.Require(tenant.RateLimit == 0 || slices.Contains(peers.CoordinatedUses, "tenants"),
 			fmt.Sprintf("tenant.%d.limit", i), "%q has a limit over all instances: peers.lends must name \"tenants\"",
-			t.Name)
+			tenant.Name)
 	}
 }
 
 // maintenance validates maintenance plans.
 func (v *validator) maintenance(c *Config) {
-	w := &c.Maintenance
-	v.Require(w.MaxOut >= 1 && w.MaxOut <= 1000, "work.most", "%d: must be in 1..1000", w.MaxOut)
-	for key, value := range map[string]int{"zone": w.MaxPerZone, "cell": w.MaxPerCell, "machine": w.MaxPerMachineType} {
+	plan := &c.Maintenance
+	v.Require(plan.MaxOut >= 1 && plan.MaxOut <= 1000, "work.most", "%d: must be in 1..1000", plan.MaxOut)
+	for key, value := range map[string]int{
+		"zone":    plan.MaxPerZone,
+		"cell":    plan.MaxPerCell,
+		"machine": plan.MaxPerMachineType,
+	} {
 		v.Require(value >= 0, "work."+key, "%d is negative; 0 is no bound of its own", value)
 	}
-	v.Require(w.Announced >= w.MaxOut, "work.ahead", "%d is under work.most, %d: what is out was told ahead",
-		w.Announced, w.MaxOut)
-	v.Require(w.CapacityReserve >= 0 && w.CapacityReserve < 1, "work.room", "%v: must be in 0..1, not 1",
-		w.CapacityReserve)
-	v.Require(w.Lease.Duration >= 200*time.Millisecond, "work.lease", "%v: must be at least 200ms", w.Lease)
-	v.Require(w.StateFile == "" || strings.HasPrefix(w.StateFile, "/"), "work.state", "%q: must begin with /",
-		w.StateFile)
-	if !w.On {
+	v.Require(plan.MaxAnnounced >= plan.MaxOut, "work.ahead", "%d is under work.most, %d: what is out was told ahead",
+		plan.MaxAnnounced, plan.MaxOut)
+	v.Require(plan.CapacityReserve >= 0 && plan.CapacityReserve < 1, "work.room", "%v: must be in 0..1, not 1",
+		plan.CapacityReserve)
+	v.Require(plan.Lease.Duration >= 200*time.Millisecond, "work.lease", "%v: must be at least 200ms", plan.Lease)
+	v.Require(plan.StateFile == "" || strings.HasPrefix(plan.StateFile, "/"), "work.state", "%q: must begin with /",
+		plan.StateFile)
+	if !plan.On {
 		return
 	}
 	v.Require(c.Peers.On, "peers.on", "is false: machines are taken out in an order that instances settle by words")
 	v.Require(c.Admin.Address != "", "operators.address", "is missing: nobody could ask for work")
 	v.Require(len(c.Peers.Allocators) != 1, "peers.lenders",
 		"one alone settles nothing that outlives it: 3, 5 or 7 are needed")
-	v.Require(slices.Contains(c.Peers.Allocators, c.Name) == (w.StateFile != ""), "work.state",
+	v.Require(slices.Contains(c.Peers.Allocators, c.Name) == (plan.StateFile != ""), "work.state",
 		"is for the instances that peers.lenders names, and needed there")
-	maxDrain := w.Lease.Duration + w.QuietPeriod.Duration
+	maxDrain := plan.Lease.Duration + plan.InFlightGrace.Duration
 	v.Require(c.Takeover.Socket == "" || c.Takeover.DrainWithin.Duration <= maxDrain, "takeover.drain_within",
 		"%v: a process that gives its place must be over by work.lease and work.quiet together, %v",
 		c.Takeover.DrainWithin, maxDrain)
--- a/internal/config/validate_routes.go
+++ b/internal/config/validate_routes.go
@@ -47,40 +47,40 @@
 
 // pool validates the pool of an index. names are those of the pools before it.
 func (v *validator) pool(p *Pool, i int, names map[string]bool) {
-	at := func(key string) string { return fmt.Sprintf("pool.%d.%s", i, key) }
-	v.Require(p.Name != "", at("name"), "is missing")
-	v.Require(!names[p.Name], at("name"), "%q is named twice", p.Name)
+	keyAt := func(key string) string { return fmt.Sprintf("pool.%d.%s", i, key) }
+	v.Require(p.Name != "", keyAt("name"), "is missing")
+	v.Require(!names[p.Name], keyAt("name"), "%q is named twice", p.Name)
 	names[p.Name] = true
 	sources := 0
-	for _, is := range []bool{p.Endpoints != nil, p.File != "", p.Discovery != ""} {
-		if is {
+	for _, isSet := range []bool{p.Endpoints != nil, p.File != "", p.Discovery != ""} {
+		if isSet {
 			sources++
 		}
 	}
-	v.Require(sources == 1, at("endpoints"), "exactly one of endpoints, file and discovery must be given, not %d",
+	v.Require(sources == 1, keyAt("endpoints"), "exactly one of endpoints, file and discovery must be given, not %d",
 		sources)
 	if p.Endpoints != nil {
 		for j, address := range *p.Endpoints {
-			v.Require(isHostPort(address, 1), at("endpoints"), "%q is no host:port with a port in 1..65535", address)
-			v.Require(!slices.Contains((*p.Endpoints)[:j], address), at("endpoints"), "%q is named twice", address)
+			v.Require(isHostPort(address, 1), keyAt("endpoints"), "%q is no host:port with a port in 1..65535", address)
+			v.Require(!slices.Contains((*p.Endpoints)[:j], address), keyAt("endpoints"), "%q is named twice", address)
 		}
 	}
-	v.Require(p.Discovery == "" || isHostPort(p.Discovery, 1), at("discovery"),
+	v.Require(p.Discovery == "" || isHostPort(p.Discovery, 1), keyAt("discovery"),
 		"%q is no host:port with a port in 1..65535", p.Discovery)
-	v.Require(p.RetryBudget >= 0 && p.RetryBudget <= 10, at("retry_budget"), "%v: must be in 0..10", p.RetryBudget)
+	v.Require(p.RetryBudget >= 0 && p.RetryBudget <= 10, keyAt("retry_budget"), "%v: must be in 0..10", p.RetryBudget)
 	minRate := p.EffectiveMinRetryRate()
-	v.Require(minRate == 0 || minRate >= 1 && minRate <= 1000, at("retry_least"),
+	v.Require(minRate == 0 || minRate >= 1 && minRate <= 1000, keyAt("retry_least"),
 		"%v: must be 0 or in 1..1000: a part of a try is none", minRate)
 }
 
 // pattern returns which requests the route matches.
 func (r *Route) pattern() route.Pattern {
-	p := route.Pattern{Host: r.Host, Path: r.Path, Methods: r.Methods}
+	pattern := route.Pattern{Host: r.Host, Path: r.Path, Methods: r.Methods}
 	for name, value := range r.Headers {
-		p.Headers = append(p.Headers, route.Header{Name: http.CanonicalHeaderKey(name), Value: value})
+		pattern.Headers = append(pattern.Headers, route.Header{Name: http.CanonicalHeaderKey(name), Value: value})
 	}
-	slices.SortFunc(p.Headers, func(a, b route.Header) int { return strings.Compare(a.Name, b.Name) })
-	return p
+	slices.SortFunc(pattern.Headers, func(a, b route.Header) int { return strings.Compare(a.Name, b.Name) })
+	return pattern
 }
 
 // routeTable returns the table of routes, nil if a pattern is invalid or two contradict each other.
@@ -118,55 +118,56 @@
 // route validates the route of an index. pools and names are those of all pools and of the routes before it.
 func (v *validator) route(c *Config, i int, pools, names map[string]bool) {
 	r := &c.Routes[i]
-	at := func(key string) string { return fmt.Sprintf("route.%d.%s", i, key) }
-	v.Require(r.Name == "" || !names[r.Name], at("name"), "%q is named twice", r.Name)
+	keyAt := func(key string) string { return fmt.Sprintf("route.%d.%s", i, key) }
+	v.Require(r.Name == "" || !names[r.Name], keyAt("name"), "%q is named twice", r.Name)
 	names[r.Name] = true
-	v.Require(pools[r.Pool], at("pool"), "no pool is named %q", r.Pool)
-	v.routeClasses(c, r, at)
-	v.valueSources(r, at)
+	v.Require(pools[r.Pool], keyAt("pool"), "no pool is named %q", r.Pool)
+	v.routeClasses(c, r, keyAt)
+	v.valueSources(r, keyAt)
 	for name := range r.Headers {
-		v.Require(http1msg.IsToken(name), at("headers"), "%q is no name of a header", name)
+		v.Require(http1msg.IsToken(name), keyAt("headers"), "%q is no name of a header", name)
 	}
-	v.routeLimits(r, at)
-	v.routeRewrites(r, at)
+	v.routeLimits(r, keyAt)
+	v.routeRewrites(r, keyAt)
 }
 
 // routeClasses validates the classes of a route's requests.
-func (v *validator) routeClasses(c *Config, r *Route, at func(string) string) {
+func (v *validator) routeClasses(c *Config, r *Route, keyAt func(string) string) {
 	classes := []string{r.Class}
 	if r.Class == "" {
 		classes = []string{ReadClass, WriteClass}
 	}
 	for _, name := range classes {
-		j := slices.IndexFunc(c.Classes, func(cl Class) bool { return cl.Name == name })
-		if j < 0 {
-			v.Require(false, at("class"), "no class is named %q", name)
+		index := slices.IndexFunc(c.Classes, func(cl Class) bool { return cl.Name == name })
+		if index < 0 {
+			v.Require(false, keyAt("class"), "no class is named %q", name)
 			continue
 		}
-		v.Require(c.Classes[j].Idempotency != "keyed" || r.Key != "", at("key"), "is missing: class %q is keyed", name)
+		v.Require(c.Classes[index].Idempotency != "keyed" || r.Key != "", keyAt("key"), "is missing: class %q is keyed",
+			name)
 	}
 }
 
 // routeRewrites validates the changes of a route's requests and responses on their way.
-func (v *validator) routeRewrites(r *Route, at func(string) string) {
-	v.Require(r.ToHost == "" || !strings.ContainsAny(r.ToHost, " /?#@"), at("to_host"), "%q is no host", r.ToHost)
-	v.Require(r.StripPrefix == "" || r.prefixIsStrippable(), at("strip_prefix"),
+func (v *validator) routeRewrites(r *Route, keyAt func(string) string) {
+	v.Require(r.ToHost == "" || !strings.ContainsAny(r.ToHost, " /?#@"), keyAt("to_host"), "%q is no host", r.ToHost)
+	v.Require(r.StripPrefix == "" || r.prefixIsStrippable(), keyAt("strip_prefix"),
 		"%q is no beginning, in whole segments, of path %q", r.StripPrefix, r.Path)
 	if r.AddPrefix != "" {
 		normal, err := route.NormalizePath(r.AddPrefix, route.KeepEncodedSlashes)
-		v.Require(err == nil && normal == r.AddPrefix && !strings.HasSuffix(normal, "/"), at("add_prefix"),
+		v.Require(err == nil && normal == r.AddPrefix && !strings.HasSuffix(normal, "/"), keyAt("add_prefix"),
 			"%q is no path in normal form without a / at its end", r.AddPrefix)
 	}
-	stricttoml.Enum(&v.Validation, at("forwarded"), r.Forwarded,
+	stricttoml.Enum(&v.Validation, keyAt("forwarded"), r.Forwarded,
 		map[string]bool{"as-is": true, "none": true, "x-forwarded": true, "rfc7239": true})
-	v.Require(!r.Trusted || r.Forwarded == "x-forwarded" || r.Forwarded == "rfc7239", at("trusted"),
+	v.Require(!r.Trusted || r.Forwarded == "x-forwarded" || r.Forwarded == "rfc7239", keyAt("trusted"),
 		"means nothing with forwarded = %q", r.Forwarded)
-	for key, e := range map[string]*HeaderEdits{"request": &r.Request, "answer": &r.Response} {
-		v.edits(at(key), e)
+	for key, edits := range map[string]*HeaderEdits{"request": &r.Request, "answer": &r.Response} {
+		v.headerEdits(keyAt(key), edits)
 	}
 	for key, source := range map[string]string{"key": r.Key, "id": r.ID, "deadline": r.Deadline} {
 		name, _ := strings.CutPrefix(source, "header:")
-		v.Require(name == "" || !r.Request.touches(name), at("request"),
+		v.Require(name == "" || !r.Request.changesHeader(name), keyAt("request"),
 			"%s, which %s names, must reach the endpoint as it is", name, key)
 	}
 }
@@ -193,21 +194,21 @@
 }
 
 // routeLimits validates the limits of a route.
-func (v *validator) routeLimits(r *Route, at func(string) string) {
-	v.Require(r.MaxAttempts >= 0, at("tries"), "%d is negative", r.MaxAttempts)
+func (v *validator) routeLimits(r *Route, keyAt func(string) string) {
+	v.Require(r.MaxAttempts >= 0, keyAt("tries"), "%d is negative", r.MaxAttempts)
 	for key, size := range map[string]stricttoml.Size{
 		"body_hold":   r.MaxBufferedBody,
 		"answer_hold": r.MaxBufferedResponse,
 	} {
-		v.Require(size.Bytes <= maxBufferedBytes, at(key), "over 1MiB: what is larger streams")
+		v.Require(size.Bytes <= maxBufferedBytes, keyAt(key), "over 1MiB: what is larger streams")
 	}
-	v.Require(r.MaxResponse.Bytes == 0 || r.MaxResponse.Bytes >= r.MaxBufferedResponse.Bytes, at("answer_most"),
+	v.Require(r.MaxResponse.Bytes == 0 || r.MaxResponse.Bytes >= r.MaxBufferedResponse.Bytes, keyAt("answer_most"),
 		"is under answer_hold")
-	v.Require(r.IdleTimeout.Duration <= r.TotalTimeout.Duration, at("idle"), "%v is over whole, %v", r.IdleTimeout,
+	v.Require(r.IdleTimeout.Duration <= r.TotalTimeout.Duration, keyAt("idle"), "%v is over whole, %v", r.IdleTimeout,
 		r.TotalTimeout)
 	for key, codes := range map[string][]int{"errors": r.ErrorStatuses, "full": r.RejectionStatuses} {
 		for _, code := range codes {
-			v.Require(code >= 400 && code < 600, at(key), "%d is no status in 400..599", code)
+			v.Require(code >= 400 && code < 600, keyAt(key), "%d is no status in 400..599", code)
 		}
 	}
 }
@@ -221,24 +222,25 @@
 }
 
 // touches reports whether a header is changed.
-func (e *HeaderEdits) touches(name string) bool {
-	is := func(other string) bool { return strings.EqualFold(name, other) }
-	return slices.ContainsFunc(e.Remove, is) || slices.ContainsFunc(slices.Collect(maps.Keys(e.Set)), is) ||
-		slices.ContainsFunc(slices.Collect(maps.Keys(e.Add)), is)
+func (edits *HeaderEdits) changesHeader(name string) bool {
+	isName := func(other string) bool { return strings.EqualFold(name, other) }
+	return slices.ContainsFunc(edits.Remove, isName) ||
+		slices.ContainsFunc(slices.Collect(maps.Keys(edits.Set)), isName) ||
+		slices.ContainsFunc(slices.Collect(maps.Keys(edits.Add)), isName)
 }
 
 // edits validates changes of headers.
-func (v *validator) edits(at string, e *HeaderEdits) {
+func (v *validator) headerEdits(at string, edits *HeaderEdits) {
 	name := func(key, name string) {
 		v.Require(http1msg.IsToken(name), at+"."+key, "%q is no name of a header", name)
 		v.Require(!slices.Contains(reservedHeaders, http.CanonicalHeaderKey(name)), at+"."+key,
 			"%s is not to be changed", name)
 	}
-	for _, n := range e.Remove {
+	for _, n := range edits.Remove {
 		name("remove", n)
 	}
-	for key, set := range map[string]map[string]string{"set": e.Set, "add": e.Add} {
-		for n, value := range set {
+	for key, headers := range map[string]map[string]string{"set": edits.Set, "add": edits.Add} {
+		for n, value := range headers {
 			name(key, n)
 			v.Require(!strings.ContainsFunc(value, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }),
 				at+"."+key, "%q has a control character", value)
--- a/internal/configcache/cache.go
+++ b/internal/configcache/cache.go
@@ -75,8 +75,8 @@
 		return nil, err
 	}
 	header, body, hasBody := bytes.Cut(text, []byte("\n"))
-	sum, hasHeader := strings.CutPrefix(string(header), stateHeader)
-	if !hasBody || !hasHeader || sum != checksum(body) {
+	storedSum, hasHeader := strings.CutPrefix(string(header), stateHeader)
+	if !hasBody || !hasHeader || storedSum != checksum(body) {
 		return nil, ErrCorrupt
 	}
 	var state rollout.PersistentState
--- a/internal/configcache/cache_test.go
+++ b/internal/configcache/cache_test.go
@@ -15,7 +15,7 @@
 )
 
 // version returns a version of the control plane whose digest is its number in hexadecimal digits.
-func version(n uint64) *rollout.Version {
+func newVersion(n uint64) *rollout.Version {
 	return &rollout.Version{
 		ID:     rollout.ID{Source: rollout.SourceControlPlane, Epoch: "a", Number: n},
 		Digest: fmt.Sprintf("%02x", n),
@@ -26,8 +26,8 @@
 func newState(good, previous uint64) *rollout.PersistentState {
 	file := rollout.Version{ID: rollout.ID{Source: rollout.SourceFile, Number: 1}, Digest: "ff"}
 	return &rollout.PersistentState{
-		LastKnownGood: &rollout.LayeredVersion{ControlPlane: version(good), File: file},
-		PreviousGood:  &rollout.LayeredVersion{ControlPlane: version(previous), File: file},
+		LastKnownGood: &rollout.LayeredVersion{ControlPlane: newVersion(good), File: file},
+		PreviousGood:  &rollout.LayeredVersion{ControlPlane: newVersion(previous), File: file},
 	}
 }
 
@@ -45,8 +45,8 @@
 	t.Helper()
 	entries, err := os.ReadDir(cache.path)
 	require.NoError(t, err)
-	for _, e := range entries {
-		names = append(names, e.Name())
+	for _, entry := range entries {
+		names = append(names, entry.Name())
 	}
 	return names
 }
@@ -73,8 +73,8 @@
 // newest is corrupt.
 func TestSaveAndLoad(t *testing.T) {
 	cache := openTemporary(t)
-	if k, _, err := cache.Load(); k != nil || err != nil {
-		t.Errorf("of nothing: %v, %v", k, err)
+	if state, _, err := cache.Load(); state != nil || err != nil {
+		t.Errorf("of nothing: %v, %v", state, err)
 	}
 	for n := uint64(1); n < 5; n++ {
 		require.NoError(t, cache.Save(newState(n, n-1), newContents(n, n-1)))
@@ -95,9 +95,9 @@
 	if text, err := cache.Content("04"); string(text) != "content 4" || err != nil {
 		t.Errorf("%q, %v", text, err)
 	}
-	for _, bad := range []string{"../state", "", "zz"} {
-		if _, err := cache.Content(bad); err == nil {
-			t.Errorf("digest %q", bad)
+	for _, digest := range []string{"../state", "", "zz"} {
+		if _, err := cache.Content(digest); err == nil {
+			t.Errorf("digest %q", digest)
 		}
 	}
 	checkCorruptState(t, cache)
@@ -129,7 +129,7 @@
 
 // A crash between any two steps of Save leaves the old or the new state, and the next Save succeeds after either.
 func TestCrashBetweenSteps(t *testing.T) {
-	for _, leave := range [][]string{
+	for _, leftovers := range [][]string{
 		{"content-03.part"},
 		{"state.part"},
 		{"state.before.part"},
@@ -137,21 +137,21 @@
 	} {
 		cache := openTemporary(t)
 		require.NoError(t, cache.Save(newState(2, 1), newContents(1, 2)))
-		for _, name := range leave {
+		for _, name := range leftovers {
 			require.NoError(t, os.WriteFile(filepath.Join(cache.path, name), []byte("half"), 0o600))
 		}
 		if got := cache.mustLastKnownGood(t); got != 2 {
-			t.Errorf("%v: good %d", leave, got)
+			t.Errorf("%v: good %d", leftovers, got)
 		}
 		if err := cache.Save(newState(3, 2), newContents(2, 3)); err != nil {
-			t.Fatalf("%v: %v", leave, err)
+			t.Fatalf("%v: %v", leftovers, err)
 		}
 		if got := cache.mustLastKnownGood(t); got != 3 {
-			t.Errorf("%v: good %d", leave, got)
+			t.Errorf("%v: good %d", leftovers, got)
 		}
 		os.Remove(filepath.Join(cache.path, stateFile))
 		if got := cache.mustLastKnownGood(t); got != 2 {
-			t.Errorf("%v: previous is %d: an incomplete file has replaced it", leave, got)
+			t.Errorf("%v: previous is %d: an incomplete file has replaced it", leftovers, got)
 		}
 	}
 }
@@ -162,13 +162,13 @@
 	require.NoError(t, cache.Save(newState(2, 1), newContents(1, 2)))
 	// Writes to /dev/full fail as on a full disk.
 	for _, name := range []string{"content-03.part", "state.part"} {
-		part := filepath.Join(cache.path, name)
-		require.NoError(t, os.Symlink("/dev/full", part))
+		partialFile := filepath.Join(cache.path, name)
+		require.NoError(t, os.Symlink("/dev/full", partialFile))
 		if err := cache.Save(newState(3, 2), newContents(2, 3)); !errors.Is(err, syscall.ENOSPC) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if k, _, err := cache.Load(); err != nil || k.LastKnownGood.ControlPlane.Number != 2 {
-			t.Errorf("%s: %v, %v", name, k, err)
+		if state, _, err := cache.Load(); err != nil || state.LastKnownGood.ControlPlane.Number != 2 {
+			t.Errorf("%s: %v, %v", name, state, err)
 		}
 		if got := strings.Join(fileNames(t, cache), " "); strings.Contains(got, "part") {
 			t.Errorf("left behind: %s", got)
--- a/internal/configcache/files.go
+++ b/internal/configcache/files.go
@@ -18,18 +18,18 @@
 		return nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
-	if err == nil && len(text) > maxFileBytes {
+	content, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
+	if err == nil && len(content) > maxFileBytes {
 		err = fmt.Errorf("%w: over %d bytes", ErrCorrupt, maxFileBytes)
 	}
-	return text, err
+	return content, err
 }
 
 // writeFile replaces a file atomically and durably, or leaves it as it was.
-func (c *Cache) writeFile(name string, text []byte) error {
+func (c *Cache) writeFile(name string, content []byte) error {
 	path := filepath.Join(c.path, name)
 	temporary := path + temporarySuffix
-	if err := writeAndSync(temporary, text); err != nil {
+	if err := writeFileAndSync(temporary, content); err != nil {
 		os.Remove(temporary) // frees space on a full disk
 		return err
 	}
@@ -40,12 +40,12 @@
 	return c.syncFolder()
 }
 
-func writeAndSync(path string, text []byte) error {
+func writeFileAndSync(path string, content []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(text)
+	_, err = f.Write(content)
 	if err == nil {
 		err = f.Sync()
 	}
--- a/internal/configcache/golden_test.go
+++ b/internal/configcache/golden_test.go
@@ -15,17 +15,17 @@
 
 // Digests of the contents in testdata/golden.
 const (
-	goldenFile   = "cd3d0f53ebd5805c91c8aaf4ec5869daf37c5b2532476ca56cc37b7bbfd5923d"
-	goldenFirst  = "68f3a1df8df15410dacd0fa8178379fce7d79743d344018b795244a8a954332b"
-	goldenSecond = "8abc261d8cadcccd2d253679c5ea720c88aa015d267915b778bd5a1736ce6f9f"
+	goldenFileDigest    = "cd3d0f53ebd5805c91c8aaf4ec5869daf37c5b2532476ca56cc37b7bbfd5923d"
+	firstContentDigest  = "68f3a1df8df15410dacd0fa8178379fce7d79743d344018b795244a8a954332b"
+	secondContentDigest = "8abc261d8cadcccd2d253679c5ea720c88aa015d267915b778bd5a1736ce6f9f"
 )
 
-// fileVersion returns a version of the file.
-func fileVersion(number uint64) rollout.Version {
-	return rollout.Version{ID: rollout.ID{Source: rollout.SourceFile, Number: number}, Digest: goldenFile}
+// newFileVersion returns a version of the file.
+func newFileVersion(number uint64) rollout.Version {
+	return rollout.Version{ID: rollout.ID{Source: rollout.SourceFile, Number: number}, Digest: goldenFileDigest}
 }
 
-func controlPlaneVersion(epoch string, number uint64, digest string, rollback bool) *rollout.Version {
+func newControlPlaneVersion(epoch string, number uint64, digest string, rollback bool) *rollout.Version {
 	return &rollout.Version{
 		ID:       rollout.ID{Source: rollout.SourceControlPlane, Epoch: epoch, Number: number},
 		Digest:   digest,
@@ -35,48 +35,48 @@
 
 // goldenStates are what the state files in testdata/golden hold, by folder.
 func goldenStates() map[string]*rollout.PersistentState {
-	onlyFile := &rollout.LayeredVersion{File: fileVersion(1)}
-	first := controlPlaneVersion("", 1, goldenFirst, false)
+	onlyFile := &rollout.LayeredVersion{File: newFileVersion(1)}
+	firstVersion := newControlPlaneVersion("", 1, firstContentDigest, false)
 	return map[string]*rollout.PersistentState{
 		"empty":     {},
 		"file-only": {LastKnownGood: onlyFile},
 		"on-trial": {
 			LastKnownGood: onlyFile,
-			Unconfirmed:   first,
+			Unconfirmed:   firstVersion,
 			ApplyAttempts: 1,
-			KnownVersions: []rollout.Version{*first},
+			KnownVersions: []rollout.Version{*firstVersion},
 		},
 		"refused": {
 			LastKnownGood: onlyFile,
-			Rejected:      []rollout.Rejection{{Version: *first, Reason: "class/look: aim: 2s is over give_up"}},
-			KnownVersions: []rollout.Version{*first},
+			Rejected:      []rollout.Rejection{{Version: *firstVersion, Reason: "class/look: aim: 2s is over give_up"}},
+			KnownVersions: []rollout.Version{*firstVersion},
 		},
 		"full": {
 			LastKnownGood: &rollout.LayeredVersion{
-				ControlPlane: controlPlaneVersion("e", 7, goldenFirst, false),
-				File:         fileVersion(3),
+				ControlPlane: newControlPlaneVersion("e", 7, firstContentDigest, false),
+				File:         newFileVersion(3),
 			},
 			PreviousGood: &rollout.LayeredVersion{
-				ControlPlane: controlPlaneVersion("e", 6, goldenSecond, true),
-				File:         fileVersion(3),
+				ControlPlane: newControlPlaneVersion("e", 6, secondContentDigest, true),
+				File:         newFileVersion(3),
 			},
-			Unconfirmed:   controlPlaneVersion("f", 1, goldenSecond, true),
+			Unconfirmed:   newControlPlaneVersion("f", 1, secondContentDigest, true),
 			ApplyAttempts: 2,
 			Rejected: []rollout.Rejection{
-				{Version: *controlPlaneVersion("e", 5, "0a", false), Reason: "version e/5 is older than e/6"},
+				{Version: *newControlPlaneVersion("e", 5, "0a", false), Reason: "version e/5 is older than e/6"},
 				{
-					Version:    *controlPlaneVersion("", 18446744073709551615, "0b", true),
+					Version:    *newControlPlaneVersion("", 18446744073709551615, "0b", true),
 					Reason:     `worse by service: <1> & "2"`,
 					RolledBack: true,
 				},
-				{Version: fileVersion(2), Reason: "file 2: line 3"},
+				{Version: newFileVersion(2), Reason: "file 2: line 3"},
 			},
 			AbandonedEpochs: []string{"c", "d"},
 			KnownVersions: []rollout.Version{
-				*controlPlaneVersion("e", 5, "0a", false),
-				*controlPlaneVersion("e", 6, goldenSecond, true),
-				*controlPlaneVersion("e", 7, goldenFirst, false),
-				*controlPlaneVersion("f", 1, goldenSecond, true),
+				*newControlPlaneVersion("e", 5, "0a", false),
+				*newControlPlaneVersion("e", 6, secondContentDigest, true),
+				*newControlPlaneVersion("e", 7, firstContentDigest, false),
+				*newControlPlaneVersion("f", 1, secondContentDigest, true),
 			},
 		},
 	}
@@ -113,8 +113,8 @@
 		}
 	}
 	rewritten := openTemporary(t)
-	if before, err := golden.loadState(previousStateFile); err == nil {
-		require.NoError(t, rewritten.Save(before, contents))
+	if previous, err := golden.loadState(previousStateFile); err == nil {
+		require.NoError(t, rewritten.Save(previous, contents))
 	}
 	require.NoError(t, rewritten.Save(newest, contents))
 	if got, want := fmt.Sprint(fileNames(t, rewritten)), fmt.Sprint(fileNames(t, golden)); got != want {
--- a/internal/stricttoml/decode.go
+++ b/internal/stricttoml/decode.go
@@ -17,37 +17,37 @@
 	if bytes.HasPrefix(text, []byte("\xef\xbb\xbf")) {
 		return nil, Errors{{"", 1, "the file begins with a byte order mark (U+FEFF): save it as UTF-8 without one"}}
 	}
-	d := toml.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
-		return nil, decodeErrors(text, err)
+	decoder := toml.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		return nil, convertDecodeError(text, err)
 	}
 	return keyLines(text), nil
 }
 
-// decodeErrors converts an error of the TOML library to Errors.
-func decodeErrors(text []byte, err error) Errors {
-	var missing *toml.StrictMissingError
-	if errors.As(err, &missing) {
-		var all Errors
-		for i := range missing.Errors {
-			e := &missing.Errors[i]
-			line, _ := e.Position()
-			all = append(all, &Error{strings.Join(e.Key(), "."), line, "is not a known key"})
+// convertDecodeError converts an error of the TOML library to Errors.
+func convertDecodeError(text []byte, err error) Errors {
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) {
+		var mistakes Errors
+		for i := range unknownKeys.Errors {
+			unknownKey := &unknownKeys.Errors[i]
+			line, _ := unknownKey.Position()
+			mistakes = append(mistakes, &Error{strings.Join(unknownKey.Key(), "."), line, "is not a known key"})
 		}
-		return all
+		return mistakes
 	}
-	var bad *toml.DecodeError
-	if errors.As(err, &bad) {
-		line, _ := bad.Position()
-		return Errors{{strings.Join(bad.Key(), "."), line, strings.TrimPrefix(bad.Error(), "toml: ")}}
+	var invalid *toml.DecodeError
+	if errors.As(err, &invalid) {
+		line, _ := invalid.Position()
+		return Errors{{strings.Join(invalid.Key(), "."), line, strings.TrimPrefix(invalid.Error(), "toml: ")}}
 	}
 	// For a value with a unit that is written as a number, the library does not report the position.
 	if unit := (*unitError)(nil); errors.As(err, &unit) {
 		_, numbers := scanKeys(text)
-		for _, n := range numbers {
-			if n.text == unit.text {
-				return Errors{{n.key, n.line, err.Error()}}
+		for _, number := range numbers {
+			if number.text == unit.text {
+				return Errors{{number.key, number.line, err.Error()}}
 			}
 		}
 	}
--- a/internal/stricttoml/lines.go
+++ b/internal/stricttoml/lines.go
@@ -15,12 +15,12 @@
 	return lines
 }
 
-// lineIndex is the offset of each line's first byte. The library would count lines from the start of the text for each
+// lineOffsets is the offset of each line's first byte. The library would count lines from the start of the text for each
 // node, which takes a minute for ten thousand tables.
-type lineIndex []uint32
+type lineOffsets []uint32
 
-func newLineIndex(text []byte) lineIndex {
-	index := lineIndex{0}
+func newLineOffsets(text []byte) lineOffsets {
+	index := lineOffsets{0}
 	for i, b := range text {
 		if b == '\n' {
 			index = append(index, uint32(i+1))
@@ -30,7 +30,7 @@
 }
 
 // line returns the line, from 1, on which a range starts.
-func (index lineIndex) line(at unstable.Range) int {
+func (index lineOffsets) line(at unstable.Range) int {
 	i, found := slices.BinarySearch(index, at.Offset)
 	if found {
 		i++
@@ -47,28 +47,28 @@
 	}
 	var headers []header
 	counts := map[string]int{} // tables in a list so far
-	lineOf := newLineIndex(text)
-	var p unstable.Parser
-	p.Reset(text)
-	for p.NextExpression() {
-		e := p.Expression()
-		if e.Kind != unstable.Table && e.Kind != unstable.ArrayTable {
+	lineOf := newLineOffsets(text)
+	var parser unstable.Parser
+	parser.Reset(text)
+	for parser.NextExpression() {
+		expression := parser.Expression()
+		if expression.Kind != unstable.Table && expression.Kind != unstable.ArrayTable {
 			continue
 		}
-		key, line := readKey(e.Key(), lineOf)
-		full := withListIndexes(key, counts)
-		if e.Kind == unstable.ArrayTable {
-			full = nextInList(key, counts)
+		key, line := keyParts(expression.Key(), lineOf)
+		path := withListIndexes(key, counts)
+		if expression.Kind == unstable.ArrayTable {
+			path = nextListKey(key, counts)
 		}
-		headers = append(headers, header{line, strings.Join(full, ".")})
+		headers = append(headers, header{line, strings.Join(path, ".")})
 	}
 	return func(line int) string {
 		table := ""
-		for _, h := range headers {
-			if h.line > line {
+		for _, header := range headers {
+			if header.line > line {
 				break
 			}
-			table = h.key
+			table = header.key
 		}
 		return table
 	}
@@ -86,34 +86,34 @@
 	lines := map[string]int{}
 	var numbers []numberValue
 	counts := map[string]int{} // tables in a list so far
-	lineOf := newLineIndex(text)
+	lineOf := newLineOffsets(text)
 	var table []string
-	var p unstable.Parser
-	p.Reset(text)
-	for p.NextExpression() {
-		e := p.Expression()
-		key, line := readKey(e.Key(), lineOf)
-		switch e.Kind {
+	var parser unstable.Parser
+	parser.Reset(text)
+	for parser.NextExpression() {
+		expression := parser.Expression()
+		key, line := keyParts(expression.Key(), lineOf)
+		switch expression.Kind {
 		case unstable.Table:
 			table = withListIndexes(key, counts)
 			lines[strings.Join(table, ".")] = line
 		case unstable.ArrayTable:
-			table = nextInList(key, counts)
+			table = nextListKey(key, counts)
 			lines[strings.Join(table, ".")] = line
 		case unstable.KeyValue:
-			full := slices.Concat(table, key)
-			lines[strings.Join(full, ".")] = line
-			if v := e.Value(); v.Kind == unstable.Integer || v.Kind == unstable.Float {
-				numbers = append(numbers, numberValue{strings.Join(full, "."), string(v.Data), line})
+			path := slices.Concat(table, key)
+			lines[strings.Join(path, ".")] = line
+			if value := expression.Value(); value.Kind == unstable.Integer || value.Kind == unstable.Float {
+				numbers = append(numbers, numberValue{strings.Join(path, "."), string(value.Data), line})
 			}
-			recordInlineKeys(lineOf, e.Value(), full, lines)
+			recordInlineKeys(lineOf, expression.Value(), path, lines)
 		}
 	}
 	return lines, numbers
 }
 
-// readKey returns the parts of a key, and the line of its last part.
-func readKey(it unstable.Iterator, lineOf lineIndex) (key []string, line int) {
+// keyParts returns the parts of a key, and the line of its last part.
+func keyParts(it unstable.Iterator, lineOf lineOffsets) (key []string, line int) {
 	for it.Next() {
 		key = append(key, string(it.Node().Data))
 		line = lineOf.line(it.Node().Raw)
@@ -121,9 +121,9 @@
 	return key, line
 }
 
-// nextInList counts the next table of a list, and returns its key with its index. counts has the tables of each list
+// nextListKey counts the next table of a list, and returns its key with its index. counts has the tables of each list
 // so far.
-func nextInList(key []string, counts map[string]int) []string {
+func nextListKey(key []string, counts map[string]int) []string {
 	list := strings.Join(withListIndexes(key, counts), ".")
 	counts[list]++
 	last := len(key) - 1
@@ -133,31 +133,31 @@
 // withListIndexes inserts the indexes of lists of tables into a key: a part that is such a list means its latest
 // table.
 func withListIndexes(key []string, counts map[string]int) []string {
-	var full []string
+	var path []string
 	for i, part := range key {
-		full = append(full, part)
-		if n := counts[strings.Join(full, ".")]; n > 0 && i < len(key)-1 {
-			full = append(full, strconv.Itoa(n-1))
+		path = append(path, part)
+		if count := counts[strings.Join(path, ".")]; count > 0 && i < len(key)-1 {
+			path = append(path, strconv.Itoa(count-1))
 		}
 	}
-	return full
+	return path
 }
 
 // recordInlineKeys records the lines of the keys of inline tables in a value, whose own key is at.
-func recordInlineKeys(lineOf lineIndex, v *unstable.Node, at []string, lines map[string]int) {
-	switch v.Kind {
+func recordInlineKeys(lineOf lineOffsets, value *unstable.Node, parent []string, lines map[string]int) {
+	switch value.Kind {
 	case unstable.InlineTable:
-		for it := v.Children(); it.Next(); {
-			kv := it.Node()
-			key, line := readKey(kv.Key(), lineOf)
-			full := slices.Concat(at, key)
-			lines[strings.Join(full, ".")] = line
-			recordInlineKeys(lineOf, kv.Value(), full, lines)
+		for it := value.Children(); it.Next(); {
+			keyValue := it.Node()
+			key, line := keyParts(keyValue.Key(), lineOf)
+			path := slices.Concat(parent, key)
+			lines[strings.Join(path, ".")] = line
+			recordInlineKeys(lineOf, keyValue.Value(), path, lines)
 		}
 	case unstable.Array:
 		i := 0
-		for it := v.Children(); it.Next(); i++ {
-			recordInlineKeys(lineOf, it.Node(), slices.Concat(at, []string{strconv.Itoa(i)}), lines)
+		for it := value.Children(); it.Next(); i++ {
+			recordInlineKeys(lineOf, it.Node(), slices.Concat(parent, []string{strconv.Itoa(i)}), lines)
 		}
 	}
 }
--- a/internal/stricttoml/stricttoml_test.go
+++ b/internal/stricttoml/stricttoml_test.go
@@ -31,12 +31,13 @@
 	} {
 		var f file
 		_, err := Decode([]byte(text), &f)
-		var all Errors
-		if !errors.As(err, &all) || len(all) != 1 {
+		var mistakes Errors
+		if !errors.As(err, &mistakes) || len(mistakes) != 1 {
 			t.Errorf("%q: %v, want %v", text, err, &want)
 			continue
 		}
-		if all[0].Key != want.Key || all[0].Line != want.Line || want.Reason != "" && all[0].Reason != want.Reason {
+		if mistakes[0].Key != want.Key || mistakes[0].Line != want.Line ||
+			want.Reason != "" && mistakes[0].Reason != want.Reason {
 			t.Errorf("%q: %v, want %v", text, err, &want)
 		}
 	}
@@ -45,11 +46,11 @@
 	if err != nil || f.List[1].Size.Bytes != 1024 {
 		t.Fatal(err, f)
 	}
-	k := Validation{Lines: lines}
-	k.Require(false, "list.1.size", "is %d", 1)
-	k.Require(false, "list.0.size", "is missing")
-	k.Require(true, "name", "is fine")
-	if got := k.Err().Error(); got != "line 2: list.0.size: is missing\nline 4: list.1.size: is 1" {
+	validation := Validation{Lines: lines}
+	validation.Require(false, "list.1.size", "is %d", 1)
+	validation.Require(false, "list.0.size", "is missing")
+	validation.Require(true, "name", "is fine")
+	if got := validation.Err().Error(); got != "line 2: list.0.size: is missing\nline 4: list.1.size: is 1" {
 		t.Errorf("got %s", got)
 	}
 }
--- a/internal/stricttoml/units.go
+++ b/internal/stricttoml/units.go
@@ -104,8 +104,8 @@
 	return newUnitError(text, "is no size with a unit, as \"512B\", \"64KiB\", \"4MiB\" or \"1GiB\"")
 }
 
-// maxMode has all bits of permissions.
-const maxMode = 0o777
+// permissionBits has all bits of permissions.
+const permissionBits = 0o777
 
 // Mode is the permissions of a file in octal, as "0660".
 type Mode struct{ Bits os.FileMode }
@@ -113,7 +113,7 @@
 // UnmarshalText parses permissions.
 func (m *Mode) UnmarshalText(text []byte) error {
 	v, err := strconv.ParseUint(string(text), 8, 32)
-	if err != nil || v > maxMode {
+	if err != nil || v > permissionBits {
 		return newUnitError(text, "are no permissions in octal, as \"0660\"")
 	}
 	m.Bits = os.FileMode(v)
--- a/internal/stricttoml/validation.go
+++ b/internal/stricttoml/validation.go
@@ -10,16 +10,16 @@
 type Validation struct {
 	Lines map[string]int // of each key, as Decode returns them
 
-	errors Errors
+	mistakes Errors
 }
 
 // Err returns all mistakes as Errors, in the order of lines; nil if there is none.
 func (v *Validation) Err() error {
-	if len(v.errors) == 0 {
+	if len(v.mistakes) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(v.errors, func(a, b *Error) int { return a.Line - b.Line })
-	return v.errors
+	slices.SortStableFunc(v.mistakes, func(a, b *Error) int { return a.Line - b.Line })
+	return v.mistakes
 }
 
 // Require records a mistake of a key unless ok. reason is a format with args.
@@ -29,15 +29,15 @@
 	}
 	line := v.Lines[key]
 	for parent := key; line == 0 && parent != ""; line = v.Lines[parent] { // of a missing key: the line of its table
-		parent, _, _ = cutLast(parent)
+		parent, _, _ = cutLastKeyPart(parent)
 		if parent == "" {
 			break
 		}
 	}
-	v.errors = append(v.errors, &Error{key, line, fmt.Sprintf(reason, args...)})
+	v.mistakes = append(v.mistakes, &Error{key, line, fmt.Sprintf(reason, args...)})
 }
 
-func cutLast(key string) (before, after string, found bool) {
+func cutLastKeyPart(key string) (parent, last string, found bool) {
 	if i := strings.LastIndexByte(key, '.'); i >= 0 {
 		return key[:i], key[i+1:], true
 	}
@@ -46,7 +46,7 @@
 
 // Enum returns the value of a name, or records a mistake that lists the known names.
 func Enum[T any](v *Validation, key, value string, values map[string]T) T {
-	meaning, ok := values[value]
+	result, ok := values[value]
 	if !ok {
 		var known []string
 		for name := range values {
@@ -55,5 +55,5 @@
 		slices.Sort(known)
 		v.Require(false, key, "%q is none of %s", value, strings.Join(known, ", "))
 	}
-	return meaning
+	return result
 }
--- a/internal/xdsclient/client.go
+++ b/internal/xdsclient/client.go
@@ -47,7 +47,7 @@
 }
 
 const (
-	minBackoff        = 500 * time.Millisecond // after the first failure of a stream or connection
+	initialBackoff    = 500 * time.Millisecond // after the first failure of a stream or connection
 	backoffMultiplier = 2                      // by which the backoff grows with each failure
 	dialJitter        = 0.5                    // of the backoff between connections, as a fraction of it
 	minConnectTimeout = 5 * time.Second        // for a connection to open
@@ -101,7 +101,7 @@
 	}
 	defer conn.Close()
 	maxBackoff := settings.MaxBackoff.Duration
-	for wait := minBackoff; ctx.Err() == nil; {
+	for wait := initialBackoff; ctx.Err() == nil; {
 		// Full jitter: instances that lost the control plane at the same time do not reconnect at the same time.
 		select {
 		case <-time.After(rand.N(min(wait, maxBackoff))):
@@ -114,7 +114,7 @@
 		}
 		wait = min(backoffMultiplier*wait, maxBackoff)
 		if c.responseReceived {
-			wait = minBackoff
+			wait = initialBackoff
 		}
 		c.options.Log.Warn("control plane stream lost", "service", settings.Address, "retry_within", wait, "error", err)
 	}
@@ -134,7 +134,7 @@
 		grpc.WithConnectParams(grpc.ConnectParams{
 			MinConnectTimeout: minConnectTimeout,
 			Backoff: backoff.Config{
-				BaseDelay:  minBackoff,
+				BaseDelay:  initialBackoff,
 				Multiplier: backoffMultiplier,
 				Jitter:     dialJitter,
 				MaxDelay:   settings.MaxBackoff.Duration,
--- a/internal/xdsclient/decode_test.go
+++ b/internal/xdsclient/decode_test.go
@@ -30,29 +30,29 @@
 	for _, kinds := range [][]string{{"class", "requests"}, {"release"}, {"route", "pool", "paths"}, {"process"}, {}} {
 		f.Add(encodedResponse(f, kinds))
 	}
-	f.Fuzz(func(t *testing.T, b []byte) {
-		var r discovery.DiscoveryResponse
-		if proto.Unmarshal(b, &r) != nil {
+	f.Fuzz(func(t *testing.T, encoded []byte) {
+		var response discovery.DiscoveryResponse
+		if proto.Unmarshal(encoded, &response) != nil {
 			return
 		}
-		u, err := decode(&r)
+		update, err := decode(&response)
 		if err != nil {
 			return
 		}
-		if got := FormatVersionInfo(u.Version.ID); got != r.GetVersionInfo() {
-			t.Errorf("version %q was decoded as %q", r.GetVersionInfo(), got)
+		if got := FormatVersionInfo(update.Version.ID); got != response.GetVersionInfo() {
+			t.Errorf("version %q was decoded as %q", response.GetVersionInfo(), got)
 		}
-		if u.Version.Digest == "" || (u.DecodeError == "") != (u.Resources != nil) {
-			t.Errorf("%+v", u)
+		if update.Version.Digest == "" || (update.DecodeError == "") != (update.Resources != nil) {
+			t.Errorf("%+v", update)
 		}
-		if u.DecodeError != "" {
+		if update.DecodeError != "" {
 			return
 		}
-		if config.Digest(u.Resources) != u.Version.Digest {
+		if config.Digest(update.Resources) != update.Version.Digest {
 			t.Error("the digest changes")
 		}
-		c, err := config.Combine(file, u.Resources)
-		if err == nil && (len(c.Listeners) != 1 || c.Process != file.Process) {
+		combined, err := config.Combine(file, update.Resources)
+		if err == nil && (len(combined.Listeners) != 1 || combined.Process != file.Process) {
 			t.Error("a table that only the file may hold was replaced")
 		}
 	})
@@ -61,7 +61,7 @@
 // encodedResponse returns a response with a resource of each kind.
 func encodedResponse(f *testing.F, kinds []string) []byte {
 	f.Helper()
-	r := &discovery.DiscoveryResponse{VersionInfo: "e/1", TypeUrl: TypeURL}
+	response := &discovery.DiscoveryResponse{VersionInfo: "e/1", TypeUrl: TypeURL}
 	for _, kind := range kinds {
 		value, err := structpb.NewStruct(map[string]any{
 			"name":      "look",
@@ -74,15 +74,15 @@
 		if err != nil {
 			f.Fatal(err)
 		}
-		x, err := anypb.New(&typed.TypedStruct{TypeUrl: KindPrefix + kind, Value: value})
+		packed, err := anypb.New(&typed.TypedStruct{TypeUrl: KindPrefix + kind, Value: value})
 		if err != nil {
 			f.Fatal(err)
 		}
-		r.Resources = append(r.Resources, x)
+		response.Resources = append(response.Resources, packed)
 	}
-	b, err := proto.Marshal(r)
+	encoded, err := proto.Marshal(response)
 	if err != nil {
 		f.Fatal(err)
 	}
-	return b
+	return encoded
 }
--- a/internal/xdsclient/golden_test.go
+++ b/internal/xdsclient/golden_test.go
@@ -92,10 +92,10 @@
 // version on canary, an ACK of a confirmed one, a NACK after a rollback, and a NACK of an unreadable version_info.
 func TestGoldenExchange(t *testing.T) {
 	server, address := startRecordingServer(t)
-	client := startClient(t, settings(address), &rollout.ID{Epoch: "e", Number: 6})
+	client := startClient(t, controlPlaneSettings(address), &rollout.ID{Epoch: "e", Number: 6})
 	var requests []*discovery.DiscoveryRequest
-	receive := func(what string) { requests = append(requests, scriptedpeer.Receive(t, server.requests, what)) }
-	receive("the first request")
+	receiveRequest := func(what string) { requests = append(requests, scriptedpeer.Receive(t, server.requests, what)) }
+	receiveRequest("the first request")
 
 	response := &discovery.DiscoveryResponse{}
 	decodeHex(t, string(readGolden(t, "response.hex")), response)
@@ -109,13 +109,13 @@
 	checkJSON(t, "response-resources.json", update.Resources)
 
 	client.Ack(update.Version.ID, false)
-	receive("the ACK on canary")
+	receiveRequest("the ACK on canary")
 	client.Ack(update.Version.ID, true)
-	receive("the final ACK")
+	receiveRequest("the final ACK")
 	client.Nack(update.Version.ID, "it did harm", &rollout.ID{Epoch: "e", Number: 6})
-	receive("the NACK")
+	receiveRequest("the NACK")
 	server.responses <- &discovery.DiscoveryResponse{VersionInfo: "seven", TypeUrl: response.TypeUrl, Nonce: "n-2"}
-	receive("the NACK of an unreadable version_info")
+	receiveRequest("the NACK of an unreadable version_info")
 
 	want := strings.Split(strings.TrimSpace(string(readGolden(t, "requests.hex"))), "\n")
 	if len(want) != len(requests) {
--- a/internal/xdsclient/interop_test.go
+++ b/internal/xdsclient/interop_test.go
@@ -20,24 +20,24 @@
 
 // The client works with a control plane that is built on go-control-plane, as many are.
 func TestWithGoControlPlane(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	all := cache.NewLinearCache(xdsclient.TypeURL, cache.WithVersionPrefix("plane/"))
+	resourceCache := cache.NewLinearCache(xdsclient.TypeURL, cache.WithVersionPrefix("plane/"))
 	rejected := make(chan string, 16)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	onRequest := func(_ int64, r *discovery.DiscoveryRequest) error {
-		if e := r.GetErrorDetail(); e != nil {
-			rejected <- r.GetVersionInfo() + ": " + e.GetMessage()
+	onRequest := func(_ int64, request *discovery.DiscoveryRequest) error {
+		if detail := request.GetErrorDetail(); detail != nil {
+			rejected <- request.GetVersionInfo() + ": " + detail.GetMessage()
 		}
 		return nil
 	}
-	xds := server.NewServer(ctx, all, server.CallbackFuncs{StreamRequestFunc: onRequest})
-	g := grpc.NewServer()
-	discovery.RegisterAggregatedDiscoveryServiceServer(g, xds)
-	go g.Serve(ln)
-	t.Cleanup(g.Stop)
-	set := func(weight float64) {
+	xdsServer := server.NewServer(ctx, resourceCache, server.CallbackFuncs{StreamRequestFunc: onRequest})
+	grpcServer := grpc.NewServer()
+	discovery.RegisterAggregatedDiscoveryServiceServer(grpcServer, xdsServer)
+	go grpcServer.Serve(listener)
+	t.Cleanup(grpcServer.Stop)
+	setClassWeight := func(weight float64) {
 		value, err := structpb.NewStruct(map[string]any{
 			"name":    "look",
 			"repeat":  "safe",
@@ -46,19 +46,19 @@
 			"worth":   weight,
 		})
 		require.NoError(t, err)
-		all.SetResources(map[string]types.Resource{
+		resourceCache.SetResources(map[string]types.Resource{
 			"class/look": &typed.TypedStruct{TypeUrl: xdsclient.KindPrefix + "class", Value: value},
 		})
 	}
-	set(1)
-	client := startClient(t, settings(ln.Addr().String()), nil)
+	setClassWeight(1)
+	client := startClient(t, controlPlaneSettings(listener.Addr().String()), nil)
 	scriptedpeer.Eventually(t, "a version", func() bool { return len(client.updates()) == 1 })
 	first := client.updates()[0]
 	if first.DecodeError != "" || first.Version.Epoch != "plane" || first.Resources[0].ID() != "class/look" {
 		t.Fatalf("%+v", first)
 	}
 	client.Ack(first.Version.ID, true)
-	set(2)
+	setClassWeight(2)
 	scriptedpeer.Eventually(t, "the next", func() bool { return len(client.updates()) == 2 })
 	second := client.updates()[1]
 	if second.Version.Number != first.Version.Number+1 || second.Resources[0].Fields["worth"] != 2.0 {
@@ -69,6 +69,6 @@
 	if got := scriptedpeer.Receive(t, rejected, "the NACK"); got != expected {
 		t.Errorf("NACK %q, not %q", got, expected)
 	}
-	set(3)
+	setClassWeight(3)
 	scriptedpeer.Eventually(t, "the one after a rejected one", func() bool { return len(client.updates()) == 3 })
 }
--- a/internal/xdsclient/stream.go
+++ b/internal/xdsclient/stream.go
@@ -111,7 +111,7 @@
 		c.options.Log.Error("control plane response rejected", "error", err)
 		c.send(&discovery.DiscoveryRequest{
 			ResponseNonce: response.GetNonce(),
-			ErrorDetail:   errorDetail(err.Error()),
+			ErrorDetail:   newErrorDetail(err.Error()),
 		})
 		return
 	}
@@ -124,7 +124,7 @@
 	c.options.OnUpdate(*update)
 }
 
-func errorDetail(reason string) *status.Status {
+func newErrorDetail(reason string) *status.Status {
 	return &status.Status{Code: int32(codes.InvalidArgument), Message: reason}
 }
 
@@ -160,7 +160,7 @@
 	}
 	c.send(&discovery.DiscoveryRequest{
 		ResponseNonce: nonce,
-		ErrorDetail:   errorDetail(reason),
+		ErrorDetail:   newErrorDetail(reason),
 		Node:          c.nodeWithState(info, stateRejected),
 	})
 }
