--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
-// Package config reads and validates the daemon's file: strict TOML, in which unknown keys, invalid values and
-// contradictions are errors with key, line and reason, reported all at once. It also combines a file with the
-// resources of a version from the control plane. Package daemon applies a configuration; this package must
-// not import it.
+// Package config reads and validates the configuration file of the daemon. The file is strict TOML: unknown keys,
+// invalid values and contradictions are errors with key, line and reason, and all errors are reported at once. The
+// package also combines a file with the resources of a configuration version from the control plane. Package daemon
+// applies a configuration; this package must not import it.
 package config
 
 import (
@@ -13,10 +13,10 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// Config is the configuration of a daemon. The tags are the keys of its file; the fields have the terms of the
-// glossary.
+// Config is the configuration of a daemon. The struct tags are the keys of the file; the field names are the terms
+// of the glossary.
 type Config struct {
-	// Name identifies the instance in its log and to its peers: default "dunlinsaild".
+	// Name identifies the instance in its log and to its peers. The default is "dunlinsaild".
 	Name string `toml:"name"`
 
 	Process      Process      `toml:"process"`
@@ -30,7 +30,7 @@
 	Requests     Requests      `toml:"requests"`
 	Listeners    []Listener    `toml:"listener"`
 	Clients      []Client      `toml:"client"`
-	OtherClients *ClientLimits `toml:"others"` // of all clients without an entry together; nil rejects them
+	OtherClients *ClientLimits `toml:"others"` // shared by clients without an entry; if nil, these are rejected
 
 	Fleet       Fleet       `toml:"fleet"`
 	Classes     []Class     `toml:"class"`
@@ -49,17 +49,18 @@
 	Routes []Route `toml:"route"`
 	Paths  Paths   `toml:"paths"`
 
-	// Text is the file's text.
+	// Text is the text of the file.
 	Text []byte `toml:"-"`
 
-	// Table finds the route of a request; nil without routes, where requests are routed by class (PROTOCOL).
+	// Table matches a request to its route. It is nil in a file without routes; requests are then routed by class
+	// (PROTOCOL).
 	Table *route.Table `toml:"-"`
 
-	// Site holds the settings of the decision packages, made from the tables from fleet on.
+	// Site holds the settings of the decision packages, which are derived from the tables fleet to goal above.
 	Site siteconfig.Site `toml:"-"`
 }
 
-// Read reads and validates a file. An error of its content is stricttoml.Errors.
+// Read reads and validates the file at path. If the content is invalid, the error is a stricttoml.Errors.
 func Read(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return Parse(text)
 }
 
-// Parse decodes and validates a file's text. Its error is stricttoml.Errors.
+// Parse decodes and validates the text of a file. If the content is invalid, the error is a stricttoml.Errors.
 func Parse(text []byte) (*Config, error) {
 	c := defaults()
 	lines, err := stricttoml.Decode(text, &c)
@@ -85,9 +86,9 @@
 	return &c, nil
 }
 
-// TablesNeedingRestart returns the tables that differ between two files and that the serving generation cannot change,
-// so that a new generation of the same process takes over: all but the limits of clients, pools, routes, paths and the
-// address of discovery.
+// TablesNeedingRestart returns the names of the tables that differ between c and next and that a running generation
+// cannot change, so that the process has to start a new generation. A running generation can change the limits of
+// clients, pools, routes, paths and the address of discovery only.
 func (c *Config) TablesNeedingRestart(next *Config) []string {
 	var tables []string
 	oldConfig := reflect.ValueOf(*c)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,7 +12,7 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// minimalFile is the shortest valid file without routes.
+// minimalFile is a file without routes that has only the required keys.
 const minimalFile = `
 [discovery]
 address = "127.0.0.1:8500"
@@ -37,7 +37,7 @@
 	return string(text)
 }
 
-// The shipped file is valid, and its values arrive in the settings.
+// The file deploy/dunlinsaild.toml is valid, and its values are copied to the settings of the decision packages.
 func TestShippedFile(t *testing.T) {
 	c, err := Parse([]byte(shippedFile(t)))
 	require.NoError(t, err)
@@ -66,7 +66,8 @@
 	}
 }
 
-// The values in the comments of the shipped file are the defaults of their keys.
+// The default values that comments of deploy/dunlinsaild.toml state are the actual defaults: setting them
+// explicitly does not change the configuration.
 func TestShippedFileStatesDefaults(t *testing.T) {
 	text := shippedFile(t)
 	withDefaults, err := Parse([]byte(uncommentKeys(text)))
@@ -76,7 +77,7 @@
 	withoutDefaults, err := Parse([]byte(text))
 	require.NoError(t, err)
 	for _, c := range []*Config{withDefaults, withoutDefaults} {
-		// Equal values behind pointers are printed as different addresses.
+		// Clears fields with pointers: equal values are printed as different addresses.
 		c.Clients[0].UIDs = nil
 		c.Clients[0].GIDs = nil
 		c.OtherClients = nil
@@ -90,7 +91,7 @@
 	}
 }
 
-// uncommentKeys returns a file's text with the keys in its comments set.
+// uncommentKeys returns the text of a file with the lines "# key = value" turned into keys.
 func uncommentKeys(text string) string {
 	var uncommented strings.Builder
 	for line := range strings.Lines(text) {
@@ -101,7 +102,7 @@
 			continue
 		}
 		value, _, _ = strings.Cut(value, "  #")
-		// Where the file sets the key, too, the comment states its default.
+		// If the file also sets the key, the comment only states its default, and the key must not appear twice.
 		if !strings.Contains(text, "\n"+key+" = ") || key == "name" || key == "address" {
 			fmt.Fprintf(&uncommented, "%s = %s\n", key, strings.TrimSpace(value))
 		}
@@ -109,9 +110,10 @@
 	return uncommented.String()
 }
 
-// mistake is an invalid file: one in which a text is replaced, and what its error contains.
+// invalidFile describes a file that is made invalid by replacing old by new. Its error must contain want.
 type invalidFile struct{ old, new, want string }
 
+// invalidFiles are changes of minimalFile that make it invalid.
 var invalidFiles = []invalidFile{
 	{`name = "desk"` + "\naddress", `nmae = "desk"` + "\naddress", "line 5: listener.nmae: is not a known key"},
 	{`aim = "250ms"`, `aim = 250`, `line 13: class.0.aim: "250" is no time with a unit`},
@@ -225,7 +227,7 @@
 	{`[[class]]`, `[[clazz]]`, "line 10: clazz: is not a known key"},
 }
 
-// Each mistake is reported with its key, its line and a reason, and all of them at once.
+// Each mistake in a file is reported with its key, line and reason, and several mistakes are reported at once.
 func TestMistakes(t *testing.T) {
 	if _, err := Parse([]byte(minimalFile)); err != nil {
 		t.Fatal(err)
@@ -252,7 +254,8 @@
 	}
 }
 
-// No text makes the parser panic, and the settings of an accepted one are valid for the decision packages.
+// Parse panics on no text, and the settings and client limits of each accepted text are valid for the decision
+// packages.
 func FuzzParse(f *testing.F) {
 	f.Add(minimalFile)
 	text, err := os.ReadFile("../../deploy/dunlinsaild.toml")
--- a/internal/config/decisions.go
+++ b/internal/config/decisions.go
@@ -10,10 +10,12 @@
 	"dunlinsail/internal/engine"
 )
 
-// ticksPerLease is the number of ticks of consensus, by which its timeouts are counted, in a maintenance lease.
+// ticksPerLease is the number of consensus ticks during a maintenance lease. Consensus counts its timeouts in
+// ticks.
 const ticksPerLease = 20
 
-// Consensus returns the settings by which the maintenance plan is replicated; nil if maintenance is off.
+// Consensus returns the settings of the consensus group that replicates the maintenance plan, or nil if maintenance
+// is off.
 func (c *Config) Consensus() *consensus.Settings {
 	plan := &c.Maintenance
 	if !plan.On {
@@ -38,7 +40,7 @@
 	}
 }
 
-// coordinatedUses are the values of Peers.CoordinatedUses.
+// coordinatedUses maps each value of Peers.CoordinatedUses to a function that enables it in a coordination scope.
 var coordinatedUses = map[string]func(u *engine.CoordinationScope){
 	"further":  func(u *engine.CoordinationScope) { u.Retries = true },
 	"probes":   func(u *engine.CoordinationScope) { u.Probes = true },
@@ -47,7 +49,8 @@
 	"suspects": func(u *engine.CoordinationScope) { u.SuspectedEndpoints = true },
 }
 
-// Coordination returns what the fleet coordinates, as the engine takes it, without the transport; nil if it is off.
+// Coordination returns the engine's settings for coordination within the fleet, without the transport. It returns
+// nil if coordination is off. seed seeds the random numbers of coordination.
 func (c *Config) Coordination(seed uint64) *engine.Coordination {
 	peers := &c.Peers
 	if !peers.On {
@@ -74,11 +77,12 @@
 	return coordinated
 }
 
-// initialInFlight is the initial adaptive limit of requests in flight, unless the limits of Requests exclude it.
+// initialInFlight is the initial adaptive limit of requests in flight. It is clamped to Requests.MinInFlight and
+// Requests.MaxInFlight.
 const initialInFlight = 16
 
-// ConcurrencySettings returns the concurrency limits of all clients together, as the engine takes them: those of
-// requests in flight hold in each pool.
+// ConcurrencySettings returns the concurrency limits that all clients share, in the form that the engine takes. The
+// limits of requests in flight apply to each pool separately.
 func (c *Config) ConcurrencySettings() engine.ConcurrencySettings {
 	requests := &c.Requests
 	settings := engine.ConcurrencySettings{MaxInFlight: requests.InFlight, MaxOpen: requests.MaxOpen}
@@ -92,7 +96,7 @@
 	return settings
 }
 
-// ConnectionLimits returns the limits of clients' connections, as package connlimit takes them.
+// ConnectionLimits returns the limits of client connections in the form that package connlimit takes.
 func (c *Config) ConnectionLimits() connlimit.Limits {
 	connections := &c.Connections
 	return connlimit.Limits{
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -7,17 +7,18 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// seconds returns a duration of whole seconds.
+// seconds returns a duration of n seconds.
 func seconds(n int) stricttoml.Duration {
 	return stricttoml.Duration{Duration: time.Duration(n) * time.Second}
 }
 
-// millis returns a duration of whole milliseconds.
+// millis returns a duration of n milliseconds.
 func millis(n int) stricttoml.Duration {
 	return stricttoml.Duration{Duration: time.Duration(n) * time.Millisecond}
 }
 
-// defaults returns the configuration of an empty file. deploy/dunlinsaild.toml states the same values.
+// defaults returns the default configuration, into which a file is decoded. The comments of deploy/dunlinsaild.toml
+// state the same values.
 func defaults() Config {
 	return Config{
 		Name:         "dunlinsaild",
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -11,14 +11,15 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Change is a difference between two versions in one key of a resource, or in a complete resource.
+// Change describes a difference between two versions: in one key of a resource, or an added or removed resource.
 type Change struct {
-	Resource string // its ID
-	Key      string // "" is the complete resource
-	From, To any    // nil where it does not exist
+	Resource string // ID of the resource
+	Key      string // "" if the complete resource was added or removed
+	From, To any    // values in the old and the new version; nil if missing there
 }
 
-// String returns one line: + added, - removed or ~ changed, resource, key and values.
+// String returns the change as one line: "+" (added), "-" (removed) or "~" (changed), the resource's ID, the key
+// and the values.
 func (c *Change) String() string {
 	location := c.Resource
 	if c.Key != "" {
@@ -33,6 +34,7 @@
 	return fmt.Sprintf("~ %s %s -> %s", location, jsonText(c.From), jsonText(c.To))
 }
 
+// jsonText returns a value as JSON, or in the default format of fmt if it cannot be encoded.
 func jsonText(value any) string {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -41,7 +43,7 @@
 	return string(encoded)
 }
 
-// Diff returns what differs between two versions, by resource and key.
+// Diff returns the changes from one version to another, sorted by resource ID and key.
 func Diff(oldVersion, newVersion []Resource) (changes []Change) {
 	oldByID := byID(oldVersion)
 	newByID := byID(newVersion)
@@ -60,7 +62,7 @@
 	return changes
 }
 
-// diffFields returns the changes between the fields of a resource, by key.
+// diffFields returns the changes between the old and new fields of the resource id, sorted by key.
 func diffFields(id string, oldFields, newFields map[string]any) (changes []Change) {
 	for _, key := range sortedUnion(oldFields, newFields) {
 		if !reflect.DeepEqual(oldFields[key], newFields[key]) {
@@ -70,7 +72,7 @@
 	return changes
 }
 
-// sortedUnion returns the keys of two maps, sorted.
+// sortedUnion returns the keys that are in either map, sorted.
 func sortedUnion[V any](a, b map[string]V) []string {
 	keys := slices.Collect(maps.Keys(a))
 	for key := range b {
@@ -82,6 +84,7 @@
 	return keys
 }
 
+// byID returns a map of the resources by ID.
 func byID(resources []Resource) map[string]*Resource {
 	resourceByID := map[string]*Resource{}
 	for i := range resources {
@@ -90,13 +93,13 @@
 	return resourceByID
 }
 
-// Resources returns the tables of a file as the resources of a version, without those that only a file may hold.
+// Resources converts the tables of a file to resources of a version. Tables that only a file may have are skipped.
 func Resources(file *Config) ([]Resource, error) {
 	var tables map[string]any
 	if err := toml.Unmarshal(file.Text, &tables); err != nil {
 		return nil, err
 	}
-	// JSON has one type of number, like a version.
+	// Encodes as JSON and decodes again, so that all numbers are float64 as in the resources of a version.
 	encoded, err := json.Marshal(tables)
 	if err != nil {
 		return nil, err
@@ -120,7 +123,8 @@
 	return resources, nil
 }
 
-// listResources returns the tables of a list as resources. One without a name has its index as its name.
+// listResources returns the tables of a list as resources of a kind. A table without a name is named by its index
+// in the list.
 func listResources(kind string, tables []any) (resources []Resource) {
 	for i, table := range tables {
 		fields, ok := table.(map[string]any)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -10,8 +10,10 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// The files under testdata/golden were written by the build of 870f4ac and never change: a file, the resources of two
-// versions as they are cached, each named by its digest, and the combination of the file and the first of them.
+// The files under testdata/golden were written by build 870f4ac and must never change. They are a configuration
+// file, the cached resources of two versions (each file is named by the digest of the resources), and the
+// combination of the configuration file with the first of these versions. Digest, JSON encoding and Combine must
+// still give the same results.
 func TestGoldenResources(t *testing.T) {
 	read := func(path string) string {
 		t.Helper()
--- a/internal/config/resources.go
+++ b/internal/config/resources.go
@@ -18,15 +18,15 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// Resource is a part of a version of the configuration, as a control plane sends it: a table of the file, or one of
-// a list of tables.
+// Resource is a part of a configuration version that a control plane sends: a table of the configuration, or an
+// entry of a list of tables.
 type Resource struct {
-	Kind   string         `json:"kind"`           // the table's name, as "class"
-	Name   string         `json:"name,omitempty"` // of one of a list, as its key name; else ""
-	Fields map[string]any `json:"fields"`         // as decoded from JSON, without the name
+	Kind   string         `json:"kind"`           // name of the table, for example "class"
+	Name   string         `json:"name,omitempty"` // value of the key name of an entry of a list; "" otherwise
+	Fields map[string]any `json:"fields"`         // values of the other keys, as decoded from JSON
 }
 
-// ID identifies the resource within a version: "class/book", "requests".
+// ID identifies the resource within a version, for example "class/book" or "requests".
 func (r *Resource) ID() string {
 	if r.Name == "" {
 		return r.Kind
@@ -34,18 +34,18 @@
 	return r.Kind + "/" + r.Name
 }
 
-// ResourceKind describes the resources of one table.
+// ResourceKind describes the resources for one table of the configuration.
 type ResourceKind struct {
 	Name       string
-	IsList     bool         // there may be several, each with a name
-	FieldsType reflect.Type // of one
+	IsList     bool         // the table is a list: a version may have several resources of the kind, each with a name
+	FieldsType reflect.Type // struct type of the table, or of an entry of the list
 }
 
-// fileOnlyTables are the tables that only the file may hold: a control plane must not change the identity of a process, its
-// resources on the host, or who may change these.
+// fileOnlyTables are the tables that a control plane must not send, because it must not change the identity of a
+// process, the host resources that it uses, or who may change these.
 var fileOnlyTables = []string{"name", "process", "takeover", "record", "control", "peers", "operators", "work"}
 
-// ResourceKinds returns the kinds that a control plane may send, by name.
+// ResourceKinds returns the kinds of resources that a control plane may send, by name.
 func ResourceKinds() map[string]ResourceKind {
 	kinds := map[string]ResourceKind{}
 	configType := reflect.TypeFor[Config]()
@@ -67,29 +67,30 @@
 	return kinds
 }
 
-// Bounds of a version, so that a faulty control plane cannot exhaust this process.
+// Limits of a version, so that a faulty control plane cannot exhaust the memory of this process.
 const (
-	maxResources  = 20_000  // in a version
-	maxNameLength = 255     // bytes of a resource's name, or of a key
-	maxDepth      = 6       // of lists and tables within each other
-	maxValues     = 200_000 // in all resources of a version
-	maxTextLength = 8 << 10 // bytes of one value
+	maxResources  = 20_000  // number of resources
+	maxNameLength = 255     // length of a resource's name or of a key, in bytes
+	maxDepth      = 6       // nesting depth of lists and tables in a resource
+	maxValues     = 200_000 // number of values in all resources together
+	maxTextLength = 8 << 10 // length of a string value, in bytes
 )
 
-// Digest returns the digest of a version's content. It does not depend on the order of the resources.
+// Digest returns a digest of the content of a version. The order of the resources does not affect it.
 func Digest(resources []Resource) string {
 	sorted := slices.Clone(resources)
 	slices.SortFunc(sorted, func(a, b Resource) int {
 		return cmp.Or(strings.Compare(a.Kind, b.Kind), strings.Compare(a.Name, b.Name))
 	})
 	hash := sha256.New()
-	if err := json.NewEncoder(hash).Encode(sorted); err != nil { // keys of maps are sorted
-		panic(err) // values that were decoded from JSON can be encoded
+	if err := json.NewEncoder(hash).Encode(sorted); err != nil { // the encoder sorts the keys of maps
+		panic(err) // unreachable: values decoded from JSON can be encoded
 	}
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// CheckResources returns what is invalid in a version by itself: unknown kinds, names, and more than the bounds allow.
+// CheckResources returns an error if a version by itself is invalid: if it has an unknown kind, an invalid or
+// repeated name, or exceeds a limit.
 func CheckResources(resources []Resource) error {
 	kinds := ResourceKinds()
 	seenIDs := map[string]bool{}
@@ -126,8 +127,8 @@
 	return nil
 }
 
-// checkValue returns what is invalid in a value. depth is how many more levels may be nested, and values counts all
-// values of the version so far.
+// checkValue returns an error if a value is invalid. depth is the number of further levels that may be nested in
+// it, and values counts the values of the version that have been checked.
 func checkValue(value any, depth int, values *int) error {
 	if *values++; *values > maxValues {
 		return fmt.Errorf("over %d values in one version", maxValues)
@@ -153,12 +154,13 @@
 			return fmt.Errorf("%v is no number that a file could have", value)
 		}
 	case bool:
-	default: // nil: a version leaves out a key without a value
+	default: // nil, too, is invalid: a version omits a key that has no value
 		return fmt.Errorf("%v is no text, number, truth value, list or table", value)
 	}
 	return nil
 }
 
+// checkTable returns an error if a key or value of a table is invalid. depth and values are as in checkValue.
 func checkTable(table map[string]any, depth int, values *int) error {
 	for key, value := range table {
 		if len(key) > maxNameLength {
@@ -171,9 +173,10 @@
 	return nil
 }
 
-// Combine returns the configuration that a version and a file, which must be valid by itself, have together. The
-// resources of a kind replace the file's tables of that name, except what the file pins (ControlPlane.Pinned);
-// tables of other kinds stay. Its error names the resource, or the file's key, and the reason.
+// Combine returns the configuration that results from applying the resources of a version to a valid file. The
+// resources of a kind replace the file's tables of that name, except for the parts that the file pins
+// (ControlPlane.PinnedParts). Tables without resources are kept. The error names the resource, or the key of the
+// file, and the reason.
 func Combine(file *Config, resources []Resource) (*Config, error) {
 	if len(resources) == 0 {
 		return file, nil
@@ -183,7 +186,7 @@
 	}
 	var tables map[string]any
 	if err := toml.Unmarshal(file.Text, &tables); err != nil {
-		return nil, err // unexpected: Parse has accepted it
+		return nil, err // unexpected: Parse has accepted the text
 	}
 	m := resourceMerger{
 		tables:      tables,
@@ -210,18 +213,19 @@
 	if err != nil {
 		return nil, err
 	}
-	combined.ControlPlane = file.ControlPlane // a version cannot change it
+	combined.ControlPlane = file.ControlPlane // a version cannot change this table
 	return combined, nil
 }
 
-// merger merges the resources of a version into a file's tree.
+// resourceMerger merges the resources of a version into the tables of a file.
 type resourceMerger struct {
-	tables      map[string]any
-	kinds       map[string]ResourceKind
-	pinned      map[string]bool
-	listOrigins map[string][]string // by kind: the ID of the resource of each entry, "" for one of the file
+	tables      map[string]any          // tables of the file, into which the resources are merged
+	kinds       map[string]ResourceKind // by name
+	pinned      map[string]bool         // parts of the file that are not replaced
+	listOrigins map[string][]string // by kind: resource ID of each entry or of the table, "" for entries of the file
 }
 
+// newPinSet returns the pinned parts as a set.
 func newPinSet(pins []string) map[string]bool {
 	set := map[string]bool{}
 	for _, pin := range pins {
@@ -230,7 +234,7 @@
 	return set
 }
 
-// mergeKind merges all resources of a kind.
+// mergeKind merges all resources of a kind, unless the kind is pinned.
 func (m *resourceMerger) mergeKind(kind string, resources []Resource) {
 	switch {
 	case m.pinned[kind]:
@@ -241,8 +245,9 @@
 	}
 }
 
-// mergeList replaces a list of tables by the resources of its kind, except for pinned entries. Entries that the file
-// has, too, come first and in its order, so that an unchanged list has an unchanged order; the others follow by name.
+// mergeList replaces a list of tables by the resources of its kind, but keeps pinned entries. Entries whose names
+// are in the file's list come first, in the order of the file, so that an unchanged list keeps its order. The other
+// entries follow, sorted by name.
 func (m *resourceMerger) mergeList(kind string, resources []Resource) {
 	entries := map[string]map[string]any{}
 	origins := map[string]string{}
@@ -281,7 +286,7 @@
 	m.tables[kind] = merged
 }
 
-// mergeTable replaces a table by a resource, except for pinned keys.
+// mergeTable replaces a table by a resource, but keeps pinned keys.
 func (m *resourceMerger) mergeTable(kind string, resource *Resource) {
 	fileTable, _ := m.tables[kind].(map[string]any)
 	table := integralFloatsToInts(resource.Fields).(map[string]any)
@@ -294,7 +299,8 @@
 	m.listOrigins[kind] = []string{resource.ID()}
 }
 
-// integralFloatsToInts returns a value with its integral floats as integers: JSON has one type of number, TOML two.
+// integralFloatsToInts returns a copy of a value in which floats without a fraction are integers: all numbers of
+// JSON decode to floats, while TOML distinguishes integers and floats.
 func integralFloatsToInts(value any) any {
 	switch value := value.(type) {
 	case float64:
@@ -317,10 +323,10 @@
 	return value
 }
 
-// maxReportedErrors is how many mistakes of a version are reported.
+// maxReportedErrors is the largest number of mistakes in a version that an error lists.
 const maxReportedErrors = 8
 
-// explain returns an error that names the mistakes in a combined text by the resources that they are in.
+// explain converts the mistakes in the combined text to an error that names the resource of each mistake.
 func (m *resourceMerger) explain(text []byte, mistakes stricttoml.Errors) error {
 	tableAt := stricttoml.TableLookup(text)
 	var reports []string
@@ -331,7 +337,7 @@
 		}
 		key := mistake.Key
 		if table := tableAt(mistake.Line); table != "" && !strings.HasPrefix(key, table) {
-			// The library leaves the index in a list out of a key.
+			// The key that the TOML library reports lacks indexes in lists.
 			_, last, _ := cutLastKeyPart(key)
 			key = table + "." + last
 		}
@@ -343,8 +349,8 @@
 	return errors.New(strings.Join(reports, "; "))
 }
 
-// locate returns the ID of the resource that has a key, and the key within it; or "the file" and the complete key. In a
-// list of tables a key is KIND.INDEX.KEY.
+// locate returns the ID of the resource that a key comes from and the key within that resource. For a key of the
+// file it returns "the file" and the key itself. Keys in lists of tables are KIND.INDEX.KEY.
 func (m *resourceMerger) locate(key string) (origin, rest string) {
 	kind, rest, _ := strings.Cut(key, ".")
 	index := 0
@@ -360,6 +366,7 @@
 	return origins[index], rest
 }
 
+// cutLastKeyPart splits a dotted key before its last part. found reports whether the key has a dot.
 func cutLastKeyPart(key string) (parent, last string, found bool) {
 	if i := strings.LastIndexByte(key, '.'); i >= 0 {
 		return key[:i], key[i+1:], true
--- a/internal/config/resources_test.go
+++ b/internal/config/resources_test.go
@@ -14,8 +14,8 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// cases has for each key of each kind a value that is accepted and one that is rejected. Other keys that they need
-// are in needs and requiredFields.
+// keyCases has an accepted and a rejected value for each key of each kind, in JSON. requiredKeys and requiredFields
+// have the other keys that a case needs.
 var keyCases = map[string]struct{ good, bad string }{
 	"attempts.cancel":            {`false`, `1`},
 	"attempts.dial_timeout":      {`"100ms"`, `"0s"`},
@@ -138,7 +138,8 @@
 	"tenant.share":               {`0.5`, `2`},
 }
 
-// needs are the other keys of the same resource that a case needs, as members of a JSON object.
+// requiredKeys are further keys that the resource needs for a case of keyCases to be valid, as members of a JSON
+// object.
 var requiredKeys = map[string]string{
 	"discovery.mode":          `"address":"127.0.0.1:8500"`,
 	"class.group":             `"repeat":"keyed","window":"400ms"`,
@@ -158,7 +159,7 @@
 	"route.whole":             `"idle":"5s"`,
 }
 
-// requiredFields are the fields of a valid resource of each kind that needs more than one key, in JSON.
+// requiredFields are the fields of a minimal valid resource of each kind that has required keys, in JSON.
 var requiredFields = map[string]string{
 	"class":    `{"repeat":"safe","aim":"100ms","give_up":"1s"}`,
 	"listener": `{"address":"127.0.0.1:8081","client":"desk"}`,
@@ -166,7 +167,7 @@
 	"route":    `{"pool":"app","class":"look"}`,
 }
 
-// object decodes a JSON object.
+// decodeObject decodes a JSON object and fails the test if it is invalid.
 func decodeObject(t *testing.T, text string) map[string]any {
 	t.Helper()
 	var decoded map[string]any
@@ -176,7 +177,7 @@
 	return decoded
 }
 
-// mustParse returns a valid configuration.
+// mustParse parses a file and fails the test if it is invalid.
 func mustParse(t *testing.T, text string) *Config {
 	t.Helper()
 	c, err := Parse([]byte(text))
@@ -184,7 +185,7 @@
 	return c
 }
 
-// routedFile is a file with routes, and with a class and a client that resources can name.
+// routedFile is a file with a route, a class and a client to which resources in tests can refer.
 const routedFile = "[control]\npin = []\n" + minimalRoutes + `class = "look"
 [[class]]
 name = "look"
@@ -196,8 +197,8 @@
 [others]
 `
 
-// Each key that a version may hold has a value that is accepted, and one that is rejected with an error that names the
-// resource and the key.
+// For each key that a version may contain, one value is accepted and another is rejected with an error that names
+// the resource and the key.
 func TestEachKey(t *testing.T) {
 	withoutRoutes := mustParse(t, "[control]\npin = []\n"+minimalFile)
 	withRoutes := mustParse(t, routedFile)
@@ -228,7 +229,7 @@
 	}
 }
 
-// resourceKeys returns the keys of all kinds of resources, "KIND.KEY", sorted.
+// resourceKeys returns the keys of all kinds of resources as "KIND.KEY", sorted.
 func resourceKeys() (keys []string) {
 	var collect func(kind string, fieldsType reflect.Type)
 	collect = func(kind string, fieldsType reflect.Type) {
@@ -247,8 +248,8 @@
 	return keys
 }
 
-// resourcesWithKey returns a version with a resource in which a key has a value in JSON, and with the others that it
-// needs.
+// resourcesWithKey returns a version whose resources set a key to a value in JSON, with all other keys and
+// resources that are needed for the version to be valid.
 func resourcesWithKey(t *testing.T, key, value string) []Resource {
 	t.Helper()
 	kind, name, _ := strings.Cut(key, ".")
@@ -271,13 +272,13 @@
 	}
 	maps.DeleteFunc(resource.Fields, func(_ string, v any) bool { return v == nil })
 	resources := []Resource{resource}
-	if kind == "client" && resource.Name != "desk" { // the listener needs it
+	if kind == "client" && resource.Name != "desk" { // the listener of the file refers to this client
 		resources = append(resources, Resource{Kind: "client", Name: "desk", Fields: map[string]any{}})
 	}
 	return resources
 }
 
-// pinningFile pins a list, an entry of a list and a key.
+// pinningFile is a file that pins a list, an entry of a list and a key.
 const pinningFile = `
 [control]
 pin = ["listener", "client.desk", "requests.open"]
@@ -309,8 +310,8 @@
 name = "acme"
 `
 
-// A version's resources replace the file's tables, except those that the file pins, and an unchanged list has an
-// unchanged order.
+// The resources of a version replace the tables of the file except for pinned parts, and list entries keep the
+// order of the file.
 func TestCombine(t *testing.T) {
 	file := mustParse(t, pinningFile)
 	class := func(name, extraFields string) Resource {
@@ -353,7 +354,8 @@
 	}
 }
 
-// The error of a version names the resource of each mistake, and the file's key where only the combination is invalid.
+// The error for an invalid version names the resource of each mistake, or the key of the file if only the
+// combination of both is invalid.
 func TestCombineErrorsNameTheResource(t *testing.T) {
 	file := mustParse(t, minimalFile)
 	deeplyNested := any("x")
@@ -408,7 +410,7 @@
 	}
 }
 
-// The digest of a version depends on its content, and not on the order of the resources.
+// The digest of a version depends on its content but not on the order of the resources.
 func TestDigest(t *testing.T) {
 	resources := []Resource{{Kind: "a", Name: "1", Fields: decodeObject(t, `{"x":1,"y":[true]}`)}, {Kind: "b"}}
 	reordered := []Resource{{Kind: "b"}, {Kind: "a", Name: "1", Fields: decodeObject(t, `{"y":[true],"x":1}`)}}
@@ -421,7 +423,7 @@
 	}
 }
 
-// The schema in the repository is the one that the program prints.
+// The file deploy/config.schema.json is the schema that the program prints.
 func TestSchema(t *testing.T) {
 	want, err := Schema()
 	require.NoError(t, err)
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -9,31 +9,36 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// Pool is a named set of endpoints. Exactly one of Endpoints, File and Discovery is its source of endpoints.
+// Pool configures a named set of endpoints. Exactly one of Endpoints, File and Discovery must be set; it is the
+// source of the endpoints.
 type Pool struct {
-	// Name identifies the pool, and must be unique.
+	// Name identifies the pool and must be unique.
 	Name string `toml:"name"`
 
-	// Endpoints are the addresses, host:port each; nil where the key is missing. An empty list rejects all requests.
+	// Endpoints are the addresses of the endpoints as host:port; nil if the key is missing. With an empty list, the
+	// pool rejects all requests.
 	Endpoints *[]string `toml:"endpoints"`
 
-	// File is a file in discovery's form, which is read again when it changes.
+	// File is the path of a file with an endpoint list in the format of discovery. It is read again whenever it
+	// changes.
 	File string `toml:"file"`
 
-	// Discovery is host:port of a discovery service.
+	// Discovery is the host:port of a discovery service.
 	Discovery string `toml:"discovery"`
 
-	// RetryBudget is the limit of retries, as a ratio of the requests within any second: up to 10; 0, the default, is
-	// Attempts.RetryBudget.
+	// RetryBudget is the largest ratio of retries to requests within any second: at most 10. 0, the default,
+	// applies Attempts.RetryBudget.
 	RetryBudget float64 `toml:"retry_budget"`
 
-	// MinRetryRate is how many retries a second are allowed at least, in a pool that sets this or RetryBudget
-	// and has no overload control: 0, or 1 to 1000; nil, where the key is missing, is 1.
+	// MinRetryRate is the number of retries a second that are allowed regardless of RetryBudget: 0, or 1 to 1000.
+	// nil, for a missing key, is 1. It only applies to a pool that sets MinRetryRate or RetryBudget and has no
+	// overload control.
 	MinRetryRate *float64 `toml:"retry_least"`
 }
 
-// RetryWindow is the time within which the pool's retries are limited to its budget, none of which is saved up; 0 where
-// the pool sets neither RetryBudget nor MinRetryRate.
+// RetryWindow returns the length of the time window in which the pool's retries are limited to its budget. An
+// unused budget is not carried over to the next window. It returns 0 if the pool sets neither RetryBudget nor
+// MinRetryRate.
 func (p *Pool) RetryWindow() time.Duration {
 	if p.RetryBudget == 0 && p.MinRetryRate == nil {
 		return 0
@@ -41,8 +46,8 @@
 	return defaultRetryWindow
 }
 
-// EffectiveMinRetryRate is MinRetryRate or its default. It counts only with a RetryWindow: the budget of a pool with
-// few requests is less than one retry.
+// EffectiveMinRetryRate returns MinRetryRate or its default. It applies only if RetryWindow is positive. Without
+// this minimum, a pool with few requests could not retry at all, since its budget is less than one retry.
 func (p *Pool) EffectiveMinRetryRate() float64 {
 	if p.MinRetryRate == nil {
 		return defaultMinRetryRate
@@ -50,7 +55,7 @@
 	return *p.MinRetryRate
 }
 
-// Source returns where a pool has its endpoints from, as a text for operators.
+// Source describes the source of the pool's endpoints for operators.
 func (p *Pool) Source() string {
 	switch {
 	case p.Endpoints != nil:
@@ -61,120 +66,129 @@
 	return "discovery " + p.Discovery
 }
 
-// Route is which requests it matches, and how they are handled.
+// Route configures which requests match the route and how they are handled.
 type Route struct {
-	// Name identifies the route in the logs, and must be unique; default "".
+	// Name identifies the route in the logs and must be unique unless it is "", the default.
 	Name string `toml:"name"`
 
-	// Host, Path, Methods and Headers are the pattern of package decide/route; "" and an empty list match any. A header
-	// with the value "" must be present.
+	// Host, Path, Methods and Headers are the pattern that a request must match (package decide/route). "" and an
+	// empty list match any request. A header with the value "" must be present with any value.
 	Host    string            `toml:"host"`
 	Path    string            `toml:"path"`
 	Methods []string          `toml:"methods"`
 	Headers map[string]string `toml:"headers"`
 
-	// Pool is the name of the pool that requests are sent to. It is required.
+	// Pool is the name of the pool that receives the requests. It is required.
 	Pool string `toml:"pool"`
 
-	// Class is the class of requests; "", the default, is ReadClass for safe methods and WriteClass for the others.
+	// Class is the request class. The default is "", which is ReadClass for safe methods and WriteClass for other
+	// methods.
 	Class string `toml:"class"`
 
-	// Tenant and Object are where these values of a request come from: "header:NAME", "path:NAME", "client" or "=NAME";
-	// "", the default, is none.
+	// Tenant and Object state where the tenant and the object of a request are read from: "header:NAME",
+	// "path:NAME", "client" or, for a constant, "=NAME". The default is "": requests have no tenant or object.
 	Tenant string `toml:"tenant"`
 	Object string `toml:"object"`
 
-	// Key, ID and Deadline are the headers, as "header:NAME", of the idempotency key, the request ID and the remaining
-	// milliseconds; "", the default, is none. Key is required with a keyed class.
+	// Key, ID and Deadline name the headers, as "header:NAME", with the idempotency key, the request ID and the
+	// number of milliseconds until the client's deadline. The default is "": requests have no such value. Key is
+	// required for a keyed class.
 	Key      string `toml:"key"`
 	ID       string `toml:"id"`
 	Deadline string `toml:"deadline"`
 
-	// MaxAttempts is the limit of attempts of a request; 0, the default, is Attempts.MaxAttempts.
+	// MaxAttempts is the largest number of attempts for a request. 0, the default, applies Attempts.MaxAttempts.
 	MaxAttempts int `toml:"tries"`
 
-	// MaxBody is the largest request body, beyond which the status is 413; 0, the default, is no bound.
+	// MaxBody is the largest size of a request body; a request with a larger body is rejected with status 413. 0,
+	// the default, is no limit.
 	MaxBody stricttoml.Size `toml:"body_most"`
 
-	// MaxBufferedBody is the largest request body that is buffered and can be sent again: default 64KiB, up to 1MiB.
-	// Larger ones are streamed.
+	// MaxBufferedBody is the largest size of a request body that is buffered, so that a retry can send it again: at
+	// most 1MiB. Larger bodies are streamed. The default is 64KiB.
 	MaxBufferedBody stricttoml.Size `toml:"body_hold"`
 
-	// MaxResponse is the largest response body, beyond which it is aborted: at least MaxBufferedResponse; 0, the
-	// default, is no bound.
+	// MaxResponse is the largest size of a response body; a response with a larger body is aborted. It must be at
+	// least MaxBufferedResponse; 0, the default, is no limit.
 	MaxResponse stricttoml.Size `toml:"answer_most"`
 
-	// MaxBufferedResponse is the largest response body that is buffered, so that another endpoint's can replace it:
-	// default 64KiB, up to 1MiB. Larger ones are streamed.
+	// MaxBufferedResponse is the largest size of a response body that is buffered, so that the response of another
+	// endpoint can replace it: at most 1MiB. Larger bodies are streamed. The default is 64KiB.
 	MaxBufferedResponse stricttoml.Size `toml:"answer_hold"`
 
-	// IdleTimeout is how long a streamed body may pause: default 30s, up to TotalTimeout.
+	// IdleTimeout is the longest time without progress of a streamed body: at most TotalTimeout. The default is
+	// 30s.
 	IdleTimeout stricttoml.Duration `toml:"idle"`
 
-	// TotalTimeout is how long a streamed body may take: default 10m.
+	// TotalTimeout is the longest time that a streamed body may take. The default is 10m.
 	TotalTimeout stricttoml.Duration `toml:"whole"`
 
-	// ErrorStatuses are the statuses, 400 to 599, that count as an error of the endpoint, after which a request may be
-	// retried: default 500, 502, 504.
+	// ErrorStatuses are the response statuses, from 400 to 599, that count as errors of the endpoint and permit a
+	// retry. The default is 500, 502, 504.
 	ErrorStatuses []int `toml:"errors"`
 
-	// RejectionStatuses are the statuses, 400 to 599, that count as rejected if the response has Retry-After: default
-	// 429, 503. For unsafe classes they count as errors.
+	// RejectionStatuses are the response statuses, from 400 to 599, that count as a rejection by the endpoint if
+	// the response has a Retry-After header. For unsafe classes they count as errors. The default is 429, 503.
 	RejectionStatuses []int `toml:"full"`
 
-	// ToHost replaces the Host header; "", the default, leaves it unchanged.
+	// ToHost replaces the Host header of requests. The default is "", which keeps the header.
 	ToHost string `toml:"to_host"`
 
-	// StripPrefix, in complete segments of Path, is removed from the path, and AddPrefix then added; default "".
+	// StripPrefix is removed from the start of the path; it must consist of complete segments of Path. AddPrefix is
+	// then put in front of the path. The default of both is "".
 	StripPrefix string `toml:"strip_prefix"`
 	AddPrefix   string `toml:"add_prefix"`
 
-	// Forwarded is one of ForwardedModes: "as-is", the default, forwards the headers that the client sent, "none" none,
-	// "x-forwarded" X-Forwarded-For, -Host and -Proto, and "rfc7239" Forwarded.
+	// Forwarded is one of ForwardedModes. "as-is", the default, passes on the forwarding headers that the client
+	// sent; "none" removes them; "x-forwarded" sends X-Forwarded-For, X-Forwarded-Host and X-Forwarded-Proto;
+	// "rfc7239" sends Forwarded.
 	Forwarded string `toml:"forwarded"`
 
-	// Trusted forwards what the client sends of earlier hops, with "x-forwarded" and "rfc7239" only; default false.
+	// Trusted passes on what the client's forwarding headers state about earlier hops. It is only valid with the
+	// modes "x-forwarded" and "rfc7239". The default is false.
 	Trusted bool `toml:"trusted"`
 
-	// Request and Response are changes of the headers that are forwarded; default none.
+	// Request and Response are changes of the headers of forwarded requests and responses. The default is no
+	// change.
 	Request  HeaderEdits `toml:"request"`
 	Response HeaderEdits `toml:"answer"`
 }
 
-// HeaderEdits are changes of headers, by names: first Remove, then Set, then Add. Headers in reservedHeaders must
-// not be changed.
+// HeaderEdits are changes of headers by name, applied in the order Remove, Set, Add. The headers in reservedHeaders
+// cannot be changed.
 type HeaderEdits struct {
 	Remove []string          `toml:"remove"`
 	Set    map[string]string `toml:"set"`
 	Add    map[string]string `toml:"add"`
 }
 
-// Paths configures how paths are interpreted.
+// Paths configures how paths of requests are interpreted.
 type Paths struct {
-	// EncodedSlash is how %2F and %5C in a path are handled: "refuse", the default, rejects the request with 400,
-	// "keep" forwards them unchanged.
+	// EncodedSlash selects the handling of %2F and %5C in a path: "refuse", the default, rejects the request with
+	// status 400; "keep" forwards them unchanged.
 	EncodedSlash string `toml:"encoded_slash"`
 }
 
-// The classes of routes without a class. A file without classes has these two.
+// Names of the classes for requests of routes that set no class. If a file with routes has no classes, these two
+// are defined by default.
 const (
 	ReadClass  = "read"
 	WriteClass = "write"
 )
 
-// ForwardedModes are the values of Route.Forwarded.
+// ForwardedModes are the valid values of Route.Forwarded.
 var ForwardedModes = []string{"as-is", "none", "x-forwarded", "rfc7239"}
 
-// Defaults of a file with routes.
+// Defaults of the keys in a file with routes.
 const (
-	defaultRouteObjective = 10 * time.Second // of the classes ReadClass and WriteClass
-	defaultRouteTimeout   = 30 * time.Second // of the classes ReadClass and WriteClass
-	defaultBufferedBytes  = 64 << 10
-	defaultStreamIdle     = 30 * time.Second
-	defaultStreamTotal    = 10 * time.Minute
-	defaultForwarded      = "as-is"
-	defaultMinRetryRate   = 1           // a second
-	defaultRetryWindow    = time.Second // of Pool.RetryBudget
+	defaultRouteObjective = 10 * time.Second // latency objective of ReadClass and WriteClass
+	defaultRouteTimeout   = 30 * time.Second // client timeout of ReadClass and WriteClass
+	defaultBufferedBytes  = 64 << 10         // of Route.MaxBufferedBody and MaxBufferedResponse
+	defaultStreamIdle     = 30 * time.Second // of Route.IdleTimeout
+	defaultStreamTotal    = 10 * time.Minute // of Route.TotalTimeout
+	defaultForwarded      = "as-is"          // of Route.Forwarded
+	defaultMinRetryRate   = 1                // of Pool.MinRetryRate, in retries a second
+	defaultRetryWindow    = time.Second      // window in which Pool.RetryBudget applies
 )
 
 var (
@@ -182,7 +196,7 @@
 	defaultRejectionStatuses = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable}
 )
 
-// setRouteDefaults sets the values of missing keys and tables, if the file has routes.
+// setRouteDefaults sets the defaults of missing keys and tables in a file with routes.
 func (c *Config) setRouteDefaults() {
 	if len(c.Routes) == 0 {
 		return
@@ -207,7 +221,7 @@
 	}
 }
 
-// setDefaults sets the values of a route's missing keys.
+// setDefaults sets the defaults of the route's missing keys.
 func (r *Route) setDefaults() {
 	r.Forwarded = cmp.Or(r.Forwarded, defaultForwarded)
 	r.MaxBufferedBody.Bytes = cmp.Or(r.MaxBufferedBody.Bytes, defaultBufferedBytes)
@@ -222,5 +236,5 @@
 	}
 }
 
-// maxBufferedBytes is the largest value in bytes of Route.MaxBufferedBody and MaxBufferedResponse.
+// maxBufferedBytes is the largest valid size of Route.MaxBufferedBody and Route.MaxBufferedResponse in bytes.
 const maxBufferedBytes = 1 << 20
--- a/internal/config/routes_test.go
+++ b/internal/config/routes_test.go
@@ -12,7 +12,7 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// minimalRoutes is the shortest valid file with routes.
+// minimalRoutes is a file with one route that has only the required keys.
 const minimalRoutes = `
 [[listener]]
 address = "127.0.0.1:0"
@@ -23,7 +23,7 @@
 pool = "app"
 `
 
-// A file of eight lines is valid, with defaults for the rest.
+// A file with only the required keys of a route is valid, and all other keys have their defaults.
 func TestLeastRoutes(t *testing.T) {
 	c, err := Parse([]byte(minimalRoutes))
 	require.NoError(t, err)
@@ -39,7 +39,7 @@
 	}
 }
 
-// The shipped file of routes is valid and has every key of its tables.
+// The file deploy/routes.toml is valid and mentions every key of the tables for routes and pools.
 func TestShippedRoutes(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/routes.toml")
 	require.NoError(t, err)
@@ -57,9 +57,10 @@
 	}
 }
 
-// poolKey is the key of the route in minimalRoutes.
+// poolKey is the line of minimalRoutes that sets the pool of the route.
 const poolKey = "pool = \"app\"\n"
 
+// invalidRouteFiles are changes of minimalRoutes that make it invalid.
 var invalidRouteFiles = []invalidFile{
 	{poolKey, "pool = \"ap\"\n", `line 8: route.0.pool: no pool is named "ap"`},
 	{poolKey, "pol = \"app\"\n", "line 8: route.pol: is not a known key"},
@@ -118,6 +119,7 @@
 	},
 }
 
+// Each mistake in pools and routes is reported with its key, line and reason.
 func TestMistakesInRoutes(t *testing.T) {
 	for _, tc := range invalidRouteFiles {
 		_, err := Parse([]byte(strings.Replace(minimalRoutes, tc.old, tc.new, 1)))
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -11,15 +11,16 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// units are the types of values that are written as texts with a unit, and their patterns.
+// unitPatterns maps the types of values that are written as strings with a unit to regular expressions for these
+// strings.
 var unitPatterns = map[reflect.Type]string{
 	reflect.TypeFor[stricttoml.Duration](): `^([0-9]+(\.[0-9]+)?(ns|us|µs|ms|s|m|h))+$`,
 	reflect.TypeFor[stricttoml.Size]():     `^[0-9]+ *(B|KiB|MiB|GiB)$`,
 	reflect.TypeFor[stricttoml.Mode]():     `^[0-7]{1,4}$`,
 }
 
-// Schema returns the JSON Schema (2020-12) of the resources that a version may hold, as Resource is written in JSON.
-// It describes the keys and the types of their values; Combine checks the values themselves.
+// Schema returns a JSON Schema (2020-12) for the resources of a version, encoded as Resource. It describes the keys
+// and the types of their values; Combine validates the values.
 func Schema() ([]byte, error) {
 	reflector := jsonschema.Reflector{
 		FieldNameTag:               "toml",
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -9,23 +9,23 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// validator collects the mistakes in a configuration.
+// validator collects the mistakes that are found in a configuration.
 type validator struct{ stricttoml.Validation }
 
 const (
-	// reservedDescriptors are the descriptors for neither clients nor endpoints: standard streams, listeners, the
-	// runtime, discovery and hot restart.
+	// reservedDescriptors is the number of descriptors that are used for neither client nor endpoint connections:
+	// the standard streams, listeners, the Go runtime, discovery and hot restart.
 	reservedDescriptors = 32
-	// minDescriptors is the least value of Process.Descriptors.
+	// minDescriptors is the smallest valid value of Process.Descriptors.
 	minDescriptors = 128
-	// minMemory is the least value of Process.Memory in bytes.
+	// minMemory is the smallest valid value of Process.Memory in bytes.
 	minMemory = 16 << 20
-	// idleDivisor is the part of the descriptors, a sixth, that clients' idle connections have by default: as many as
-	// sidecar.idleConnsDivisor gives them.
+	// idleDivisor is the number by which the unreserved descriptors are divided to get the default of
+	// Connections.MaxIdle. sidecar.idleConnsDivisor has the same value.
 	idleDivisor = 6
 )
 
-// config validates a configuration, and completes the values that depend on others.
+// config validates a configuration and sets the defaults that depend on other values.
 func (v *validator) config(c *Config) {
 	v.process(&c.Process)
 	v.routes(c)
@@ -50,12 +50,14 @@
 	v.siteSettings(c, polled)
 }
 
+// process validates the limits of host resources.
 func (v *validator) process(p *Process) {
 	v.Require(p.Cores >= 0, "process.cores", "%d is negative", p.Cores)
 	v.Require(p.Memory.Bytes >= minMemory, "process.memory", "under 16MiB nothing can be served")
 	v.Require(p.Descriptors >= minDescriptors, "process.descriptors", "%d is under %d", p.Descriptors, minDescriptors)
 }
 
+// requests validates the limits of requests.
 func (v *validator) requests(requests *Requests) {
 	v.Require(requests.MaxOpen >= 1, "requests.open", "%d: must be at least 1", requests.MaxOpen)
 	v.Require(requests.InFlight >= 0, "requests.in_flight", "%d is negative", requests.InFlight)
@@ -65,6 +67,7 @@
 		requests.MaxInFlight, requests.MinInFlight)
 }
 
+// accessLog validates the access log's settings.
 func (v *validator) accessLog(log *AccessLog) {
 	v.Require(log.Dir == "" || strings.HasPrefix(log.Dir, "/"), "record.dir", "%q: must begin with /", log.Dir)
 	v.Require(log.Dir == "" || log.SecretFile != "", "record.secret",
@@ -78,7 +81,7 @@
 		"under 1MiB nothing is kept; \"0B\" is no bound")
 }
 
-// isHostPort reports whether an address is a host with a numeric port, minPort at least.
+// isHostPort reports whether an address is a non-empty host with a numeric port of at least minPort.
 func isHostPort(address string, minPort uint64) bool {
 	host, port, err := net.SplitHostPort(address)
 	n, portErr := strconv.ParseUint(port, 10, 16)
--- a/internal/config/validate_clients.go
+++ b/internal/config/validate_clients.go
@@ -10,7 +10,8 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// connections validates the limits of connections, and sets those that are 0 by the number of descriptors.
+// connections validates the limits of connections. A limit that is 0 is first set to its default, which depends on
+// the number of descriptors.
 func (v *validator) connections(c *Config) {
 	connections := &c.Connections
 	availableDescriptors := c.Process.Descriptors - reservedDescriptors
@@ -37,10 +38,10 @@
 		connections.MinIdleTime, connections.MaxIdleTime)
 }
 
-// clients validates the clients and their limits. No user or group may belong to two.
+// clients validates the clients and their limits. Each user and group ID may belong to one client only.
 func (v *validator) clients(c *Config) {
 	names := map[string]bool{}
-	ownerOf := map[string]map[uint32]string{"uids": {}, "gids": {}} // names of clients, by key and ID
+	ownerOf := map[string]map[uint32]string{"uids": {}, "gids": {}} // client name by key ("uids" or "gids") and ID
 	for i := range c.Clients {
 		client := &c.Clients[i]
 		keyAt := func(key string) string { return fmt.Sprintf("client.%d.%s", i, key) }
@@ -61,7 +62,7 @@
 	}
 }
 
-// listeners validates the listeners. Their names and addresses must be unique.
+// listeners validates the listeners. The names and addresses of listeners must be unique.
 func (v *validator) listeners(c *Config) {
 	v.Require(len(c.Listeners) > 0, "listener", "at least one is needed")
 	names := map[string]bool{}
@@ -87,13 +88,15 @@
 }
 
 const (
-	// maxUnixPathBytes is the longest path of a unix socket: sockaddr_un has 108 bytes with a terminating zero.
+	// maxUnixPathBytes is the length of the longest valid path of a unix socket: sockaddr_un has 108 bytes
+	// including a terminating zero byte.
 	maxUnixPathBytes = 107
-	// defaultUnixMode is the permissions of a unix socket without a key.
+	// defaultUnixMode is the default of Listener.Mode on unix sockets.
 	defaultUnixMode = 0o600
 )
 
-// unixListener validates a listener on a unix socket at a path, and sets its default permissions.
+// unixListener validates a listener on the unix socket at path, and sets its default permissions. keyAt returns the
+// full key of one of the listener's keys.
 func (v *validator) unixListener(listener *Listener, path string, keyAt func(string) string) {
 	v.Require(strings.HasPrefix(path, "/"), keyAt("address"), "%q: the path of a unix socket must begin with /",
 		listener.Address)
@@ -105,7 +108,8 @@
 	}
 }
 
-// tcpListener validates a listener at a TCP address, which must be on loopback.
+// tcpListener validates a listener at a TCP address, which must be on loopback. keyAt returns the full key of one
+// of the listener's keys.
 func (v *validator) tcpListener(c *Config, listener *Listener, address string, keyAt func(string) string) {
 	host, _, _ := net.SplitHostPort(address)
 	ip := net.ParseIP(host)
@@ -117,7 +121,8 @@
 		"is missing, and there is no table others")
 }
 
-// clientLimits validates the limits of a client, and sets its default weight.
+// clientLimits validates the limits of a client, and sets the default weight. keyAt returns the full key of one of
+// the limits.
 func (v *validator) clientLimits(limits *ClientLimits, keyAt func(string) string) {
 	if limits.Weight == 0 {
 		limits.Weight = 1
--- a/internal/config/validate_control.go
+++ b/internal/config/validate_control.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// controlPlane validates the control plane.
+// controlPlane validates the settings of the control plane.
 func (v *validator) controlPlane(c *Config) {
 	plane := &c.ControlPlane
 	on := plane.Address != ""
@@ -38,7 +38,8 @@
 	v.pins(plane.PinnedParts)
 }
 
-// pins validates what of the file no version replaces.
+// pins validates the parts of the file that are pinned: each must be a table, or a key or list entry in a table,
+// that a version may contain.
 func (v *validator) pins(pins []string) {
 	kinds := ResourceKinds()
 	for _, pin := range pins {
@@ -51,7 +52,7 @@
 	}
 }
 
-// hasKey reports whether tables of a type have a key.
+// hasKey reports whether the struct type t, or a struct embedded in it, has a field with the given key.
 func hasKey(t reflect.Type, key string) bool {
 	for i := range t.NumField() {
 		field := t.Field(i)
--- a/internal/config/validate_fleet.go
+++ b/internal/config/validate_fleet.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// maxLeaseRequestRate is the largest number of lease requests a second to one instance: each costs it about 0.1 ms.
+	// maxLeaseRequestRate is the largest number of lease requests a second that an allocator receives: it spends
+	// about 0.1 ms on each.
 	maxLeaseRequestRate = 4000
-	// maxAllocators is the largest number of instances of which one grants quota leases.
+	// maxAllocators is the largest number of instances in Peers.Allocators.
 	maxAllocators = 7
 )
 
-// peers validates gossip and coordination.
+// peers validates the settings of gossip and coordination.
 func (v *validator) peers(c *Config) {
 	peers := &c.Peers
 	seen := map[string]bool{}
@@ -50,7 +51,7 @@
 	}
 }
 
-// activePeers validates what gossip and coordination need when they are on.
+// activePeers validates the settings that gossip and coordination require when they are on.
 func (v *validator) activePeers(c *Config) {
 	peers := &c.Peers
 	host, _, _ := net.SplitHostPort(peers.Address)
@@ -83,7 +84,7 @@
 	}
 }
 
-// maintenance validates maintenance plans.
+// maintenance validates the settings of maintenance plans.
 func (v *validator) maintenance(c *Config) {
 	plan := &c.Maintenance
 	v.Require(plan.MaxOut >= 1 && plan.MaxOut <= 1000, "work.most", "%d: must be in 1..1000", plan.MaxOut)
--- a/internal/config/validate_routes.go
+++ b/internal/config/validate_routes.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// pool validates the pool of an index. names are those of the pools before it.
+// pool validates the pool with index i. names has the names of the pools before it, to which its name is added.
 func (v *validator) pool(p *Pool, i int, names map[string]bool) {
 	keyAt := func(key string) string { return fmt.Sprintf("pool.%d.%s", i, key) }
 	v.Require(p.Name != "", keyAt("name"), "is missing")
@@ -73,7 +73,7 @@
 		"%v: must be 0 or in 1..1000: a part of a try is none", minRate)
 }
 
-// pattern returns which requests the route matches.
+// pattern returns the pattern that requests must match for the route.
 func (r *Route) pattern() route.Pattern {
 	pattern := route.Pattern{Host: r.Host, Path: r.Path, Methods: r.Methods}
 	for name, value := range r.Headers {
@@ -83,7 +83,7 @@
 	return pattern
 }
 
-// routeTable returns the table of routes, nil if a pattern is invalid or two contradict each other.
+// routeTable returns the table of routes. It returns nil if a pattern is invalid or two patterns conflict.
 func (v *validator) routeTable(patterns []route.Pattern) *route.Table {
 	table, err := route.New(patterns)
 	var invalid *route.PatternError
@@ -100,6 +100,7 @@
 	return table
 }
 
+// valueSources returns pointers to the fields that state where values of a request are read from, by key.
 func (r *Route) valueSources() map[string]*string {
 	return map[string]*string{
 		"tenant":   &r.Tenant,
@@ -110,12 +111,14 @@
 	}
 }
 
-// reservedHeaders frame a message or concern one connection. No edit may change them.
+// reservedHeaders are headers that define the framing of a message or the state of one connection. HeaderEdits must
+// not change them.
 var reservedHeaders = []string{
 	"Connection", "Content-Length", "Transfer-Encoding", "Host", "Te", "Trailer", "Upgrade", "Keep-Alive",
 }
 
-// route validates the route of an index. pools and names are those of all pools and of the routes before it.
+// route validates the route with index i. pools has the names of all pools, and names the names of the routes
+// before it, to which its name is added.
 func (v *validator) route(c *Config, i int, pools, names map[string]bool) {
 	r := &c.Routes[i]
 	keyAt := func(key string) string { return fmt.Sprintf("route.%d.%s", i, key) }
@@ -131,7 +134,8 @@
 	v.routeRewrites(r, keyAt)
 }
 
-// routeClasses validates the classes of a route's requests.
+// routeClasses validates that the classes of the route's requests exist, and that the route has an idempotency key
+// for keyed classes.
 func (v *validator) routeClasses(c *Config, r *Route, keyAt func(string) string) {
 	classes := []string{r.Class}
 	if r.Class == "" {
@@ -148,7 +152,7 @@
 	}
 }
 
-// routeRewrites validates the changes of a route's requests and responses on their way.
+// routeRewrites validates the changes that the route makes to forwarded requests and responses.
 func (v *validator) routeRewrites(r *Route, keyAt func(string) string) {
 	v.Require(r.ToHost == "" || !strings.ContainsAny(r.ToHost, " /?#@"), keyAt("to_host"), "%q is no host", r.ToHost)
 	v.Require(r.StripPrefix == "" || r.prefixIsStrippable(), keyAt("strip_prefix"),
@@ -172,7 +176,7 @@
 	}
 }
 
-// valueSources validates where the values of a route's requests come from.
+// valueSources validates the fields that state where values of the route's requests are read from.
 func (v *validator) valueSources(r *Route, at func(string) string) {
 	for key, source := range r.valueSources() {
 		name, header := strings.CutPrefix(*source, "header:")
@@ -193,7 +197,7 @@
 	}
 }
 
-// routeLimits validates the limits of a route.
+// routeLimits validates the limits and statuses of a route.
 func (v *validator) routeLimits(r *Route, keyAt func(string) string) {
 	v.Require(r.MaxAttempts >= 0, keyAt("tries"), "%d is negative", r.MaxAttempts)
 	for key, size := range map[string]stricttoml.Size{
@@ -213,7 +217,7 @@
 	}
 }
 
-// prefixIsStrippable reports whether all paths that the route matches start with StripPrefix.
+// prefixIsStrippable reports whether every path that the route matches starts with the segments of StripPrefix.
 func (r *Route) prefixIsStrippable() bool {
 	rest, ok := strings.CutPrefix(r.Path, r.StripPrefix)
 	onSegments := strings.HasPrefix(r.StripPrefix, "/") && !strings.HasSuffix(r.StripPrefix, "/")
@@ -221,7 +225,7 @@
 	return ok && onSegments && fixed && (rest == "" || rest[0] == '/')
 }
 
-// touches reports whether a header is changed.
+// changesHeader reports whether the edits change the header called name.
 func (edits *HeaderEdits) changesHeader(name string) bool {
 	isName := func(other string) bool { return strings.EqualFold(name, other) }
 	return slices.ContainsFunc(edits.Remove, isName) ||
@@ -229,7 +233,7 @@
 		slices.ContainsFunc(slices.Collect(maps.Keys(edits.Add)), isName)
 }
 
-// edits validates changes of headers.
+// headerEdits validates changes of headers, whose table in the file has the key at.
 func (v *validator) headerEdits(at string, edits *HeaderEdits) {
 	name := func(key, name string) {
 		v.Require(http1msg.IsToken(name), at+"."+key, "%q is no name of a header", name)
--- a/internal/config/validate_site.go
+++ b/internal/config/validate_site.go
@@ -10,7 +10,7 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// loadReportFields are the metrics of a load report, by the values of Probes.Fields.
+// loadReportFields maps the valid names in Probes.Fields to the metrics of a load report.
 var loadReportFields = map[string]balancer.LoadMetric{
 	"inflight":   balancer.MetricInflight,
 	"queue":      balancer.MetricQueueLength,
@@ -20,10 +20,12 @@
 	"eps":        balancer.MetricErrorRate,
 }
 
-// maxIndexedNames is the largest number of zones, machine types or classes: their indexes have 8 bits.
+// maxIndexedNames is the largest number of zones, machine types or classes: the balancer refers to them by indexes
+// of 8 bits.
 const maxIndexedNames = 254
 
-// site sets the settings of the decision packages, and validates them by the keys of the file.
+// siteSettings sets the settings of the decision packages and validates them. polled states whether the endpoint
+// list is polled.
 func (v *validator) siteSettings(c *Config, polled bool) {
 	site := &c.Site
 	v.fleet(&c.Fleet)
@@ -38,11 +40,12 @@
 	v.classes(c)
 	v.tenants(c)
 	if v.Err() == nil {
-		err := site.Settings.Validate() // the rules between several settings
+		err := site.Settings.Validate() // also checks rules between several settings
 		v.Require(err == nil, "", "%v", err)
 	}
 }
 
+// fleet validates the table fleet.
 func (v *validator) fleet(fleet *Fleet) {
 	v.Require(fleet.Instances >= 1, "fleet.instances", "%d: must be at least 1", fleet.Instances)
 	v.Require(fleet.Position >= 0 && fleet.Position < max(1, fleet.Instances), "fleet.position", "%d: must be in 0..%d",
@@ -64,6 +67,7 @@
 		fleet.OverQuotaWeight)
 }
 
+// attemptsAndRules validates the tables attempts and rules.
 func (v *validator) attemptsAndRules(attempts *Attempts, rules *Rules) {
 	v.Require(attempts.MaxAttempts >= 1, "attempts.most", "%d: must be at least 1", attempts.MaxAttempts)
 	v.Require(attempts.RetryBudget > 0 && attempts.RetryBudget <= 10, "attempts.retry_budget",
@@ -75,7 +79,7 @@
 	v.Require(rules.MaxPollInterval.Duration > 0, "rules.ask_within", "must be positive")
 }
 
-// weights validates the prices and the weights of the goal. None may be negative or infinite.
+// pricesAndGoal validates the prices and the weights of the goal, which must be neither negative nor infinite.
 func (v *validator) pricesAndGoal(c *Config) {
 	for key, value := range map[string]float64{
 		"prices.cross_zone": c.Prices.CrossZone,
@@ -91,7 +95,8 @@
 	}
 }
 
-// balancerSettings returns the balancer's settings, without load reports, classes and tenants.
+// balancerSettings returns the settings of the balancer except for load reports, classes and tenants. polled states
+// whether the endpoint list is polled.
 func (v *validator) balancerSettings(c *Config, polled bool) balancer.Settings {
 	fleet := &c.Fleet
 	attempts := &c.Attempts
@@ -139,6 +144,7 @@
 	}
 }
 
+// overload validates the settings of overload control.
 func (v *validator) overload(overload *Overload) {
 	for key, value := range map[string]float64{
 		"further":      overload.RetryRatio,
@@ -158,7 +164,7 @@
 		"%v is over node_probes, %v", overload.MinEndpointProbeRate, overload.MaxEndpointProbeRate)
 }
 
-// tenants validates the tenants, and adds them to the settings.
+// tenants validates the tenants and adds them to the settings of the site.
 func (v *validator) tenants(c *Config) {
 	site := &c.Site
 	names := map[string]bool{}
@@ -180,7 +186,7 @@
 	}
 }
 
-// loadReports validates the load reports of endpoints, and sets their fields.
+// loadReports validates the settings of load reports and sets their fields in the settings of the site.
 func (v *validator) loadReports(c *Config) {
 	site := &c.Site
 	site.ReportsOnResponses = stricttoml.Enum(&v.Validation, "probes.report", c.Probes.Report,
@@ -198,7 +204,7 @@
 	}
 }
 
-// classes validates the classes, and adds them to the settings.
+// classes validates the classes and adds them to the settings of the site.
 func (v *validator) classes(c *Config) {
 	site := &c.Site
 	v.Require(len(c.Classes) > 0, "class", "at least one is needed")
@@ -214,21 +220,22 @@
 	}
 }
 
-// idempotencies are the values of Class.Idempotency.
+// idempotencyNames maps the valid values of Class.Idempotency to those of the balancer.
 var idempotencyNames = map[string]balancer.Idempotency{
 	"safe":   balancer.Idempotent,
 	"keyed":  balancer.IdempotentByKey,
 	"unsafe": balancer.NonIdempotent,
 }
 
-// dedupScopeNames are the values of Class.IdempotencyGroup.
+// dedupScopeNames maps the valid values of Class.IdempotencyGroup to the deduplication scopes of the balancer.
 var dedupScopeNames = map[string]balancer.DedupScope{
 	"all":  balancer.DedupAll,
 	"zone": balancer.DedupZone,
 	"cell": balancer.DedupCell,
 }
 
-// class returns the balancer's form of a class, and validates it but for its name.
+// class validates a class except for its name, and returns the settings of the balancer for it. keyAt returns the
+// full key of one of the class's keys.
 func (v *validator) class(cl *Class, keyAt func(string) string) balancer.Class {
 	class := balancer.Class{
 		Name:             cl.Name,
--- a/internal/configcache/cache.go
+++ b/internal/configcache/cache.go
@@ -1,7 +1,7 @@
-// Package configcache caches on disk the rollout state of an instance and the contents of its last known good
-// versions of the configuration, so that a restart does not depend on the control plane. A file is replaced
-// atomically, and the state before the last one is retained as a fallback. The package stores contents by their digest;
-// it must not import packages that interpret them.
+// Package configcache caches the rollout state of an instance and the contents of its last known good configuration
+// versions on disk, so that a restart does not depend on the control plane. Files are replaced atomically, and the
+// previous state is kept as a fallback. The package stores contents by their digests and does not interpret them;
+// it must not import packages that do.
 package configcache
 
 import (
@@ -19,14 +19,15 @@
 	"dunlinsail/internal/decide/rollout"
 )
 
-// Cache is a folder of cached versions. It has one writer at a time; other processes may read it meanwhile.
+// Cache is a folder of cached versions. Only one process may write to it at a time; other processes may read it
+// concurrently. The files are:
 //
 //	state            a line with format and checksum, then rollout.PersistentState as JSON
-//	state.before     the same, as it was before the last Save
-//	content-DIGEST   the content of a version that either of them names
+//	state.before     the state file from before the last Save
+//	content-DIGEST   the content of a version that one of the state files refers to
 type Cache struct{ path string }
 
-// Names and headers of files. They are a stored form, which other builds read, too.
+// Names and headers of files. They must not change, since other builds read the same files.
 const (
 	stateFile         = "state"
 	previousStateFile = "state.before"
@@ -35,16 +36,17 @@
 	stateHeader       = "dunlinsail versions 1 sha256 "
 )
 
-// maxFileBytes is the largest size of a file that is read. A Cache writes none that is larger.
+// maxFileBytes is the largest size of a file that is read. A larger file is corrupt, since a Cache does not write
+// one.
 const maxFileBytes = 256 << 20
 
-// folderMode is the permissions of the folder.
+// folderMode is the permissions of the cache's folder, which other users must not read.
 const folderMode = 0o700
 
-// ErrCorrupt is wrapped by the errors of files whose content is not what a Cache wrote.
+// ErrCorrupt is wrapped by the error for a file whose content was not written by a Cache.
 var ErrCorrupt = errors.New("corrupt file")
 
-// Open returns the cache in a folder, which it creates if necessary.
+// Open returns the cache in the folder at path, which it creates if it does not exist.
 func Open(path string) (*Cache, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, err
@@ -52,8 +54,9 @@
 	return &Cache{path}, nil
 }
 
-// Load returns the newest state that can be read, and the name of its file; nil if nothing was ever saved. Its error is
-// that of newer files that were skipped, and wraps ErrCorrupt if one is corrupt.
+// Load returns the newest readable state and the name of its file, or nil if there is none. The error joins the
+// errors of newer state files that could not be read, even if an older state is returned; it wraps ErrCorrupt if
+// one of them is corrupt.
 func (c *Cache) Load() (state *rollout.PersistentState, file string, err error) {
 	var skipped []error
 	for _, name := range []string{stateFile, previousStateFile} {
@@ -68,7 +71,8 @@
 	return nil, "", errors.Join(skipped...)
 }
 
-// loadState reads a state file. Its error wraps ErrCorrupt if the file is corrupt, and fs.ErrNotExist if there is none.
+// loadState reads the state file called name. The error wraps ErrCorrupt if the file is corrupt, and fs.ErrNotExist
+// if it does not exist.
 func (c *Cache) loadState(name string) (*rollout.PersistentState, error) {
 	text, err := c.readFile(name)
 	if err != nil {
@@ -86,13 +90,14 @@
 	return &state, nil
 }
 
+// checksum returns the SHA-256 checksum of a text in hexadecimal digits.
 func checksum(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
-// contentFile returns the name of the file of a content, or an error if the digest is not hexadecimal: it must not
-// name another file.
+// contentFile returns the name of the file for the content with a digest. It returns an error if the digest is not
+// hexadecimal, so that a digest cannot name a file outside the cache.
 func contentFile(digest string) (string, error) {
 	if _, err := hex.DecodeString(digest); err != nil || digest == "" {
 		return "", fmt.Errorf("invalid digest %q", digest)
@@ -100,8 +105,9 @@
 	return contentPrefix + digest, nil
 }
 
-// Content returns the content of a version by its digest. The caller verifies that the digest matches: only it knows
-// how digests are computed. The error wraps fs.ErrNotExist if the content is not cached.
+// Content returns the content of a version by its digest. The caller must verify that the content has this digest,
+// since the package does not know how digests are computed. The error wraps fs.ErrNotExist if the content is not
+// cached.
 func (c *Cache) Content(digest string) ([]byte, error) {
 	name, err := contentFile(digest)
 	if err != nil {
@@ -110,8 +116,8 @@
 	return c.readFile(name)
 }
 
-// Save stores the state, and the contents of the versions that it refers to which are not stored yet. Contents that
-// neither this state nor the one before refers to are removed. After an error the cache is as it was before.
+// Save stores a state and the contents of the versions that it refers to, by digest. It then removes contents to
+// which neither this state nor the previous one refers. After an error, Load returns the same state as before.
 func (c *Cache) Save(state *rollout.PersistentState, contents map[string][]byte) error {
 	if err := c.saveContents(state, contents); err != nil {
 		return err
@@ -130,7 +136,7 @@
 	return nil
 }
 
-// saveContents stores the contents that a state refers to and that are not stored yet.
+// saveContents stores the contents that a state refers to, except for those that are already stored.
 func (c *Cache) saveContents(state *rollout.PersistentState, contents map[string][]byte) error {
 	for digest := range referencedDigests(state) {
 		text, available := contents[digest]
@@ -148,7 +154,7 @@
 	return nil
 }
 
-// referencedDigests returns the digests of the versions that may be applied again after a restart.
+// referencedDigests returns the digests of the versions in a state that may be applied again after a restart.
 func referencedDigests(state *rollout.PersistentState) map[string]bool {
 	digests := map[string]bool{}
 	for _, version := range []*rollout.LayeredVersion{state.LastKnownGood, state.PreviousGood} {
--- a/internal/configcache/cache_test.go
+++ b/internal/configcache/cache_test.go
@@ -14,7 +14,7 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// version returns a version of the control plane whose digest is its number in hexadecimal digits.
+// newVersion returns version n of the control plane, with n in hexadecimal digits as its digest.
 func newVersion(n uint64) *rollout.Version {
 	return &rollout.Version{
 		ID:     rollout.ID{Source: rollout.SourceControlPlane, Epoch: "a", Number: n},
@@ -22,7 +22,8 @@
 	}
 }
 
-// newState returns a state with versions by their numbers.
+// newState returns a state with two versions of the control plane: number good is the last known good version, and
+// number previous the one before it.
 func newState(good, previous uint64) *rollout.PersistentState {
 	file := rollout.Version{ID: rollout.ID{Source: rollout.SourceFile, Number: 1}, Digest: "ff"}
 	return &rollout.PersistentState{
@@ -31,7 +32,7 @@
 	}
 }
 
-// newContents returns the contents of the file and of versions, by their digests.
+// newContents returns the contents of the file and of the versions with the given numbers, by digest.
 func newContents(numbers ...uint64) map[string][]byte {
 	contents := map[string][]byte{"ff": []byte("file")}
 	for _, n := range numbers {
@@ -40,7 +41,7 @@
 	return contents
 }
 
-// fileNames returns the names of the files in a cache's folder.
+// fileNames returns the names of the files in the folder of a cache.
 func fileNames(t *testing.T, cache *Cache) (names []string) {
 	t.Helper()
 	entries, err := os.ReadDir(cache.path)
@@ -51,7 +52,7 @@
 	return names
 }
 
-// openTemporary opens a cache in a new folder.
+// openTemporary opens a cache in a new temporary folder.
 func openTemporary(t *testing.T) *Cache {
 	t.Helper()
 	cache, err := Open(filepath.Join(t.TempDir(), "versions"))
@@ -59,7 +60,8 @@
 	return cache
 }
 
-// mustLastKnownGood returns the number of the last known good version of the control plane.
+// mustLastKnownGood loads the state, and returns the number of its last known good version of the control plane. It
+// fails the test if there is no state.
 func (c *Cache) mustLastKnownGood(t *testing.T) uint64 {
 	t.Helper()
 	state, _, err := c.Load()
@@ -69,8 +71,8 @@
 	return state.LastKnownGood.ControlPlane.Number
 }
 
-// A saved state is loaded, contents that no state refers to are removed, and the previous state is loaded if the
-// newest is corrupt.
+// Load returns the last saved state, or the previous state if the newest is corrupt or missing. Save removes
+// contents to which no state refers.
 func TestSaveAndLoad(t *testing.T) {
 	cache := openTemporary(t)
 	if state, _, err := cache.Load(); state != nil || err != nil {
@@ -101,7 +103,7 @@
 		}
 	}
 	checkCorruptState(t, cache)
-	// A corrupt state does not become the previous one.
+	// Save must not keep a corrupt state as the previous state.
 	require.NoError(t, cache.Save(newState(5, 4), newContents(5, 4)))
 	require.NoError(t, os.WriteFile(filepath.Join(cache.path, stateFile), nil, 0o600))
 	if state, _, _ := cache.Load(); state.LastKnownGood.ControlPlane.Number != 3 {
@@ -113,7 +115,8 @@
 	}
 }
 
-// checkCorruptState cuts the state file off at each length: version 3 of the previous state is loaded then.
+// checkCorruptState truncates the state file to each possible length. Load must then return the previous state,
+// whose last known good version is 3.
 func checkCorruptState(t *testing.T, cache *Cache) {
 	t.Helper()
 	complete, err := os.ReadFile(filepath.Join(cache.path, stateFile))
@@ -127,7 +130,8 @@
 	}
 }
 
-// A crash between any two steps of Save leaves the old or the new state, and the next Save succeeds after either.
+// After a crash between any two steps of Save, Load returns the old or the new state, and the next Save succeeds
+// despite the temporary files that the crash has left.
 func TestCrashBetweenSteps(t *testing.T) {
 	for _, leftovers := range [][]string{
 		{"content-03.part"},
@@ -156,11 +160,11 @@
 	}
 }
 
-// Save on a full disk returns the error and leaves the cache as it was.
+// Save on a full disk returns an error and leaves the cached files unchanged.
 func TestFullDisk(t *testing.T) {
 	cache := openTemporary(t)
 	require.NoError(t, cache.Save(newState(2, 1), newContents(1, 2)))
-	// Writes to /dev/full fail as on a full disk.
+	// Writes to /dev/full fail as they do on a full disk.
 	for _, name := range []string{"content-03.part", "state.part"} {
 		partialFile := filepath.Join(cache.path, name)
 		require.NoError(t, os.Symlink("/dev/full", partialFile))
@@ -179,7 +183,7 @@
 	}
 }
 
-// A folder that cannot be written to or created is an error.
+// Open returns an error if the folder cannot be created, and Save if the folder does not exist.
 func TestUnusableFolder(t *testing.T) {
 	cache := openTemporary(t)
 	path := filepath.Join(cache.path, "file")
--- a/internal/configcache/files.go
+++ b/internal/configcache/files.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// fileMode is the permissions of all files: contents may be confidential.
+// fileMode is the permissions of all files. Other users must not read them, since contents may be confidential.
 const fileMode = 0o600
 
-// readFile reads a file of at most maxFileBytes.
+// readFile reads the file called name. A file of more than maxFileBytes is corrupt.
 func (c *Cache) readFile(name string) ([]byte, error) {
 	f, err := os.Open(filepath.Join(c.path, name))
 	if err != nil {
@@ -25,7 +25,7 @@
 	return content, err
 }
 
-// writeFile replaces a file atomically and durably, or leaves it as it was.
+// writeFile replaces the file called name atomically and durably. After an error the file is unchanged.
 func (c *Cache) writeFile(name string, content []byte) error {
 	path := filepath.Join(c.path, name)
 	temporary := path + temporarySuffix
@@ -40,6 +40,7 @@
 	return c.syncFolder()
 }
 
+// writeFileAndSync writes a file and flushes it to disk.
 func writeFileAndSync(path string, content []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
 	if err != nil {
@@ -55,7 +56,7 @@
 	return err
 }
 
-// syncFolder makes the folder's entries durable.
+// syncFolder flushes the entries of the folder to disk.
 func (c *Cache) syncFolder() error {
 	f, err := os.Open(c.path)
 	if err != nil {
@@ -65,22 +66,23 @@
 	return f.Sync()
 }
 
-// backUpState makes the state file the previous one, too, unless it is missing or corrupt.
+// backUpState replaces the previous state file by a hard link to the state file, unless the latter is missing or
+// corrupt.
 func (c *Cache) backUpState() error {
 	if _, err := c.loadState(stateFile); err != nil {
 		return nil //nolint:nilerr // the previous file stays rather than a corrupt one
 	}
 	previous := filepath.Join(c.path, previousStateFile)
 	temporary := previous + temporarySuffix
-	os.Remove(temporary) // left by a process that crashed here
+	os.Remove(temporary) // a process that crashed here has left it
 	if err := os.Link(filepath.Join(c.path, stateFile), temporary); err != nil {
 		return err
 	}
 	return os.Rename(temporary, previous)
 }
 
-// removeUnreferenced removes contents that neither state refers to. Failures are ignored: such a file is not used, and
-// the next Save removes it.
+// removeUnreferenced removes contents to which neither state file refers. Errors are ignored: a leftover content is
+// not used, and the next Save removes it.
 func (c *Cache) removeUnreferenced() {
 	referenced := map[string]bool{}
 	for _, name := range []string{stateFile, previousStateFile} {
--- a/internal/configcache/golden_test.go
+++ b/internal/configcache/golden_test.go
@@ -13,18 +13,19 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// Digests of the contents in testdata/golden.
+// Digests of the contents under testdata/golden.
 const (
 	goldenFileDigest    = "cd3d0f53ebd5805c91c8aaf4ec5869daf37c5b2532476ca56cc37b7bbfd5923d"
 	firstContentDigest  = "68f3a1df8df15410dacd0fa8178379fce7d79743d344018b795244a8a954332b"
 	secondContentDigest = "8abc261d8cadcccd2d253679c5ea720c88aa015d267915b778bd5a1736ce6f9f"
 )
 
-// newFileVersion returns a version of the file.
+// newFileVersion returns a version of the configuration file with the given number.
 func newFileVersion(number uint64) rollout.Version {
 	return rollout.Version{ID: rollout.ID{Source: rollout.SourceFile, Number: number}, Digest: goldenFileDigest}
 }
 
+// newControlPlaneVersion returns a version that was received from the control plane.
 func newControlPlaneVersion(epoch string, number uint64, digest string, rollback bool) *rollout.Version {
 	return &rollout.Version{
 		ID:       rollout.ID{Source: rollout.SourceControlPlane, Epoch: epoch, Number: number},
@@ -33,7 +34,7 @@
 	}
 }
 
-// goldenStates are what the state files in testdata/golden hold, by folder.
+// goldenStates returns the expected state in each folder under testdata/golden, by the folder's name.
 func goldenStates() map[string]*rollout.PersistentState {
 	onlyFile := &rollout.LayeredVersion{File: newFileVersion(1)}
 	firstVersion := newControlPlaneVersion("", 1, firstContentDigest, false)
@@ -82,8 +83,8 @@
 	}
 }
 
-// The folders under testdata/golden were written by the build of 870f4ac and never change. Each is loaded as the
-// state that was saved, and saving that again gives the same bytes, which that build can load.
+// The folders under testdata/golden were written by build 870f4ac and must never change. Loading each must give the
+// state that was saved, and saving this state must write the same bytes, so that the old build can load it.
 func TestGoldenFolders(t *testing.T) {
 	for name, want := range goldenStates() {
 		t.Run(name, func(t *testing.T) {
@@ -101,7 +102,8 @@
 	}
 }
 
-// checkRewritten saves a golden folder's states in their order to another folder, and compares the files of both.
+// checkRewritten saves the states of a golden folder to a new folder, the previous state first, and compares the
+// files in both folders.
 func checkRewritten(t *testing.T, golden *Cache, newest *rollout.PersistentState) {
 	t.Helper()
 	contents := map[string][]byte{}
--- a/internal/siteconfig/site.go
+++ b/internal/siteconfig/site.go
@@ -1,6 +1,6 @@
-// Package siteconfig holds the settings that operators make for a site: those of the decision packages, and the
-// names that clients and endpoints use for their indexes. It must not import packages of files or sockets: packages
-// config and wire fill a Site, and all others only read it.
+// Package siteconfig holds the settings of a site: the settings of the decision packages, and the names that
+// clients and endpoints use where the decision packages use indexes. Packages config and wire fill a Site, and all
+// other packages only read it. The package must not import packages that access files or sockets.
 package siteconfig
 
 import (
@@ -9,27 +9,29 @@
 	"dunlinsail/balancer"
 )
 
-// MaxBodyBytes is the largest body, in bytes, that is buffered or exchanged completely (PROTOCOL).
+// MaxBodyBytes is the size, in bytes, of the largest body that is buffered or exchanged completely (PROTOCOL).
 const MaxBodyBytes = 64 << 10
 
-// ResponseMargin is subtracted from a client's deadline, so that the final response reaches the client before it.
+// ResponseMargin is subtracted from a client's deadline, so that the final response reaches the client before the
+// deadline.
 const ResponseMargin = 5 * time.Millisecond
 
-// Site is the settings of one program for the site that it serves. It must not be changed while in use.
+// Site holds the settings of a program for the site that it serves. It must not be changed while it is in use.
 type Site struct {
 	Settings balancer.Settings
 
-	// The names of classes, tenants, zones and machine types in requests and endpoint lists, in the order of Settings.
+	// Names of classes, tenants, zones and machine types as they are used in requests and endpoint lists. The
+	// position of a name is its index in Settings.
 	Classes []string
 	Tenants []string
 	Zones   []string
 	Kinds   []string // machine types of endpoints
 
-	// TenantLimits are the limits of admitted requests by tenant, in requests a second over all instances; 0 is no
-	// limit.
+	// TenantLimits are the largest numbers of requests a second that all instances together admit for each tenant,
+	// in the order of Tenants; 0 is no limit.
 	TenantLimits []float64
 
-	LoadReportFields   []string      // names of the fields of a load report, in the order of Settings.LoadMetrics
-	ReportsOnResponses bool          // load reports are also read from responses to requests
-	KeepAlive          time.Duration // after which an endpoint closes an idle connection
+	LoadReportFields   []string      // field names of a load report, in the order of Settings.LoadMetrics
+	ReportsOnResponses bool          // whether responses to requests carry load reports, too
+	KeepAlive          time.Duration // time after which an endpoint closes an idle connection
 }
--- a/internal/stricttoml/decode.go
+++ b/internal/stricttoml/decode.go
@@ -1,6 +1,6 @@
-// Package stricttoml decodes TOML files strictly: an unknown key, an invalid value and a contradiction are errors
-// that name key, line and reason, and all of them are reported at once. It also has the types of values with units.
-// It must not import the packages that a file configures.
+// Package stricttoml decodes TOML files strictly: unknown keys, invalid values and contradictions are errors with
+// key, line and reason, and all errors of a file are reported at once. The package also provides types for values
+// with units. It must not import packages that are configured by such files.
 package stricttoml
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode decodes a TOML text into a struct, and returns the line of each key, from 1, for a Validation. Its error is
-// Errors.
+// Decode decodes a TOML text into a struct, and returns the line number of each key, from 1, for use in a
+// Validation. Its error is an Errors.
 func Decode(text []byte, into any) (lines map[string]int, err error) {
 	if bytes.HasPrefix(text, []byte("\xef\xbb\xbf")) {
 		return nil, Errors{{"", 1, "the file begins with a byte order mark (U+FEFF): save it as UTF-8 without one"}}
@@ -42,7 +42,8 @@
 		line, _ := invalid.Position()
 		return Errors{{strings.Join(invalid.Key(), "."), line, strings.TrimPrefix(invalid.Error(), "toml: ")}}
 	}
-	// For a value with a unit that is written as a number, the library does not report the position.
+	// The TOML library reports no position if a number was found where a value with a unit is expected. The
+	// position is that of the first number with the same text.
 	if unit := (*unitError)(nil); errors.As(err, &unit) {
 		_, numbers := scanKeys(text)
 		for _, number := range numbers {
--- a/internal/stricttoml/errors.go
+++ b/internal/stricttoml/errors.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Error is one mistake in a file.
+// Error describes a mistake in a file.
 type Error struct {
-	Key    string // dotted, with indexes in lists from 0; "" if the text is not TOML
-	Line   int    // from 1; 0 if the file does not contain the key
+	Key    string // dotted key, with indexes in lists from 0; "" if the text is not TOML
+	Line   int    // line number from 1; 0 if the file does not contain the key
 	Reason string
 }
 
-// Error returns "line 3: table.key: reason".
+// Error returns the mistake as "line 3: table.key: reason".
 func (e *Error) Error() string {
 	var parts []string
 	if e.Line > 0 {
@@ -24,10 +24,10 @@
 	return strings.Join(append(parts, e.Reason), ": ")
 }
 
-// Errors are all mistakes in a file, in the order of its lines.
+// Errors are all mistakes in a file, sorted by line.
 type Errors []*Error
 
-// Error returns one line for each mistake.
+// Error returns the mistakes, one in each line.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
 	for i := range e {
--- a/internal/stricttoml/lines.go
+++ b/internal/stricttoml/lines.go
@@ -8,17 +8,19 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyLines returns the line of each key of a valid TOML text, with indexes in lists of tables from 0. The library only
-// reports the lines of values that it cannot decode, not of those that are found invalid afterwards.
+// keyLines returns the line number of each key of a valid TOML text. Keys have indexes in lists of tables, from 0.
+// The TOML library reports lines only for values that it cannot decode, but validation needs them for decoded
+// values, too.
 func keyLines(text []byte) map[string]int {
 	lines, _ := scanKeys(text)
 	return lines
 }
 
-// lineOffsets is the offset of each line's first byte. The library would count lines from the start of the text for each
-// node, which takes a minute for ten thousand tables.
+// lineOffsets are the offsets in a text of the first byte of each line. They are computed once, because the TOML
+// library counts lines from the start of the text for each node, which takes a minute for ten thousand tables.
 type lineOffsets []uint32
 
+// newLineOffsets returns the offsets of the lines of a text.
 func newLineOffsets(text []byte) lineOffsets {
 	index := lineOffsets{0}
 	for i, b := range text {
@@ -29,7 +31,7 @@
 	return index
 }
 
-// line returns the line, from 1, on which a range starts.
+// line returns the number, from 1, of the line on which a range starts.
 func (index lineOffsets) line(at unstable.Range) int {
 	i, found := slices.BinarySearch(index, at.Offset)
 	if found {
@@ -38,15 +40,15 @@
 	return i
 }
 
-// TableLookup returns a function that maps a line of a valid TOML text to the key of its table, with indexes in
-// lists; "" before the first table.
+// TableLookup returns a function that maps a line number of a valid TOML text to the key of the table that the line
+// belongs to, with indexes in lists. The function returns "" for lines before the first table.
 func TableLookup(text []byte) func(line int) string {
 	type header struct {
 		line int
 		key  string
 	}
 	var headers []header
-	counts := map[string]int{} // tables in a list so far
+	counts := map[string]int{} // number of tables in each list so far, by its key
 	lineOf := newLineOffsets(text)
 	var parser unstable.Parser
 	parser.Reset(text)
@@ -74,18 +76,18 @@
 	}
 }
 
-// numberValue is a key whose value is written as a number.
+// numberValue is a key with a number as its value.
 type numberValue struct {
 	key  string
 	text string
 	line int
 }
 
-// scanKeys returns the lines of all keys, and the keys whose values are numbers.
+// scanKeys returns the line numbers of all keys of a text, and the keys with numbers as values.
 func scanKeys(text []byte) (map[string]int, []numberValue) {
 	lines := map[string]int{}
 	var numbers []numberValue
-	counts := map[string]int{} // tables in a list so far
+	counts := map[string]int{} // number of tables in each list so far, by its key
 	lineOf := newLineOffsets(text)
 	var table []string
 	var parser unstable.Parser
@@ -112,7 +114,7 @@
 	return lines, numbers
 }
 
-// keyParts returns the parts of a key, and the line of its last part.
+// keyParts returns the parts of a dotted key, and the line number of its last part.
 func keyParts(it unstable.Iterator, lineOf lineOffsets) (key []string, line int) {
 	for it.Next() {
 		key = append(key, string(it.Node().Data))
@@ -121,8 +123,8 @@
 	return key, line
 }
 
-// nextListKey counts the next table of a list, and returns its key with its index. counts has the tables of each list
-// so far.
+// nextListKey returns the key, with indexes, of the next table of a list and increments the list's count. counts
+// has the number of tables of each list so far, by the list's key.
 func nextListKey(key []string, counts map[string]int) []string {
 	list := strings.Join(withListIndexes(key, counts), ".")
 	counts[list]++
@@ -130,8 +132,8 @@
 	return append(withListIndexes(key[:last], counts), key[last], strconv.Itoa(counts[list]-1))
 }
 
-// withListIndexes inserts the indexes of lists of tables into a key: a part that is such a list means its latest
-// table.
+// withListIndexes inserts indexes into a key after each part, except for the last, that is a list of tables. The
+// index is that of the list's latest table. counts has the number of tables of each list so far, by the list's key.
 func withListIndexes(key []string, counts map[string]int) []string {
 	var path []string
 	for i, part := range key {
@@ -143,7 +145,7 @@
 	return path
 }
 
-// recordInlineKeys records the lines of the keys of inline tables in a value, whose own key is at.
+// recordInlineKeys adds the keys of inline tables in the value v to lines. parent is the key of the value.
 func recordInlineKeys(lineOf lineOffsets, value *unstable.Node, parent []string, lines map[string]int) {
 	switch value.Kind {
 	case unstable.InlineTable:
--- a/internal/stricttoml/stricttoml_test.go
+++ b/internal/stricttoml/stricttoml_test.go
@@ -10,7 +10,7 @@
 	type file struct {
 		Name string     `toml:"name"`
 		For  Duration   `toml:"for"`
-		List []struct { // of tables
+		List []struct { // list of tables
 			Size Size `toml:"size"`
 		} `toml:"list"`
 	}
@@ -55,7 +55,7 @@
 	}
 }
 
-// No text makes keyLines panic.
+// keyLines panics on no text.
 func FuzzKeyLines(f *testing.F) {
 	f.Add("[[a]]\n[a.b]\n[[a.b.c]]\nd = [{e = 1}, {f.g = 2}]")
 	f.Fuzz(func(t *testing.T, text string) { keyLines([]byte(text)) })
--- a/internal/stricttoml/validation.go
+++ b/internal/stricttoml/validation.go
@@ -8,12 +8,12 @@
 
 // Validation collects the mistakes that are found in a decoded file.
 type Validation struct {
-	Lines map[string]int // of each key, as Decode returns them
+	Lines map[string]int // line number of each key, as returned by Decode
 
 	mistakes Errors
 }
 
-// Err returns all mistakes as Errors, in the order of lines; nil if there is none.
+// Err returns all recorded mistakes as Errors, sorted by line, or nil if there are none.
 func (v *Validation) Err() error {
 	if len(v.mistakes) == 0 {
 		return nil
@@ -22,13 +22,14 @@
 	return v.mistakes
 }
 
-// Require records a mistake of a key unless ok. reason is a format with args.
+// Require records a mistake in the value of a key unless ok is true. reason is a format for args. If the file does
+// not contain the key, the mistake has the line of the closest enclosing table.
 func (v *Validation) Require(ok bool, key, reason string, args ...any) {
 	if ok {
 		return
 	}
 	line := v.Lines[key]
-	for parent := key; line == 0 && parent != ""; line = v.Lines[parent] { // of a missing key: the line of its table
+	for parent := key; line == 0 && parent != ""; line = v.Lines[parent] {
 		parent, _, _ = cutLastKeyPart(parent)
 		if parent == "" {
 			break
@@ -37,6 +38,7 @@
 	v.mistakes = append(v.mistakes, &Error{key, line, fmt.Sprintf(reason, args...)})
 }
 
+// cutLastKeyPart splits a dotted key before its last part. found reports whether the key has a dot.
 func cutLastKeyPart(key string) (parent, last string, found bool) {
 	if i := strings.LastIndexByte(key, '.'); i >= 0 {
 		return key[:i], key[i+1:], true
@@ -44,7 +46,8 @@
 	return "", key, false
 }
 
-// Enum returns the value of a name, or records a mistake that lists the known names.
+// Enum returns the result that values has for value. If value is unknown, it records a mistake of the key that
+// lists the known values.
 func Enum[T any](v *Validation, key, value string, values map[string]T) T {
 	result, ok := values[value]
 	if !ok {
--- a/internal/xdsclient/client.go
+++ b/internal/xdsclient/client.go
@@ -19,46 +19,46 @@
 	"dunlinsail/internal/decide/rollout"
 )
 
-// Options configure a Client.
+// Options configures a Client.
 type Options struct {
 	Settings     config.ControlPlane
-	InstanceName string      // the node ID where Settings.Node is empty
-	Zone         string      // of the node's locality; "" is none
-	Applied      *rollout.ID // version of the control plane that is running, nil for none
+	InstanceName string      // node ID if Settings.Node is empty
+	Zone         string      // zone in the locality of the node; "" if unknown
+	Applied      *rollout.ID // running version of the control plane; nil if there is none
 	Log          *slog.Logger
 
-	// OnUpdate is called for each version that arrives, on the goroutine of Run. No more responses are read until it
-	// returns.
+	// OnUpdate is called for each version that is received, on the goroutine of Run. The next response is not read
+	// until it returns.
 	OnUpdate func(Update)
 }
 
-// Client holds a stream to a control plane, and opens another one whenever it ends. New makes one. Its methods may be
-// called concurrently.
+// Client receives versions from a control plane over a stream, which it opens again whenever it ends. It must be
+// created by New. Its methods may be called concurrently.
 type Client struct {
 	options     Options
 	credentials credentials.TransportCredentials
 	node        *core.Node
 
 	mu               sync.Mutex
-	versionInfo      string                           // of the version that is running; "" is none
-	nonces           map[string]string                // of the current stream, by version_info
-	requests         chan *discovery.DiscoveryRequest // send queue of the current stream; nil without one
-	responseReceived bool                             // on the current stream
+	versionInfo      string                           // version_info of the running version; "" if there is none
+	nonces           map[string]string                // nonces of the responses on the current stream, by version_info
+	requests         chan *discovery.DiscoveryRequest // send queue of the current stream; nil if there is no stream
+	responseReceived bool                             // whether the current stream has received a response
 }
 
 const (
-	initialBackoff    = 500 * time.Millisecond // after the first failure of a stream or connection
-	backoffMultiplier = 2                      // by which the backoff grows with each failure
-	dialJitter        = 0.5                    // of the backoff between connections, as a fraction of it
-	minConnectTimeout = 5 * time.Second        // for a connection to open
-	keepaliveTime     = 20 * time.Second       // without traffic, after which a ping is sent
-	keepaliveTimeout  = 5 * time.Second        // for the response to a ping, after which the connection is closed
+	initialBackoff    = 500 * time.Millisecond // backoff after the first failure of a stream or connection
+	backoffMultiplier = 2                      // factor by which the backoff grows with each further failure
+	dialJitter        = 0.5                    // jitter of the backoff between connections, as a fraction of it
+	minConnectTimeout = 5 * time.Second        // shortest time that a connection may take to open
+	keepaliveTime     = 20 * time.Second       // time without traffic after which a ping is sent
+	keepaliveTimeout  = 5 * time.Second        // time without a response to a ping after which the connection is closed
 )
 
-// userAgent is the user_agent_name of the node. It is on the wire.
+// userAgent is the user_agent_name of the node, which is sent to the control plane.
 const userAgent = "dunlinsaild"
 
-// New returns a client that connects in Run. It fails if the certificates cannot be read.
+// New returns a client, which connects when Run is called. It returns an error if the certificates cannot be read.
 func New(options Options) (*Client, error) {
 	c := &Client{options: options, nonces: map[string]string{}}
 	if c.options.Settings.Node == "" {
@@ -83,7 +83,7 @@
 	return c, nil
 }
 
-// buildVersion returns the version of the program's main module.
+// buildVersion returns the version of the program's main module, or "unknown".
 func buildVersion() string {
 	if info, ok := debug.ReadBuildInfo(); ok && info.Main.Version != "" {
 		return info.Main.Version
@@ -91,7 +91,8 @@
 	return "unknown"
 }
 
-// Run holds a stream until ctx ends. Between streams it waits for a backoff with full jitter.
+// Run keeps a stream open until ctx is done. Before each attempt to open a stream it waits for a backoff with full
+// jitter.
 func (c *Client) Run(ctx context.Context) {
 	settings := &c.options.Settings
 	conn, err := c.dial()
@@ -102,7 +103,7 @@
 	defer conn.Close()
 	maxBackoff := settings.MaxBackoff.Duration
 	for wait := initialBackoff; ctx.Err() == nil; {
-		// Full jitter: instances that lost the control plane at the same time do not reconnect at the same time.
+		// Full jitter spreads the reconnections of instances that lost the control plane at the same time.
 		select {
 		case <-time.After(rand.N(min(wait, maxBackoff))):
 		case <-ctx.Done():
@@ -120,7 +121,7 @@
 	}
 }
 
-// dial returns a connection that connects when it is used.
+// dial returns a gRPC connection, which is established on first use.
 func (c *Client) dial() (*grpc.ClientConn, error) {
 	settings := &c.options.Settings
 	return grpc.NewClient(settings.Address,
--- a/internal/xdsclient/client_test.go
+++ b/internal/xdsclient/client_test.go
@@ -36,19 +36,21 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testClient is a client under test, and the updates that it has received.
+// testClient is a running client that records the updates it receives.
 type testClient struct {
 	*xdsclient.Client
 	mu       sync.Mutex
 	received []xdsclient.Update
 }
 
+// updates returns the updates received so far.
 func (client *testClient) updates() []xdsclient.Update {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	return append([]xdsclient.Update(nil), client.received...)
 }
 
+// controlPlaneSettings returns plaintext settings for a server at addr, with a short backoff.
 func controlPlaneSettings(addr string) config.ControlPlane {
 	return config.ControlPlane{
 		Address:         addr,
@@ -58,7 +60,8 @@
 	}
 }
 
-// startClient runs a client until the test ends.
+// startClient runs a client until the test ends. applied is the version of the control plane that it reports as
+// running.
 func startClient(t *testing.T, settings config.ControlPlane, applied *rollout.ID) *testClient {
 	t.Helper()
 	client := &testClient{}
@@ -89,6 +92,7 @@
 	return client
 }
 
+// startServer runs an xDS server until the test ends.
 func startServer(t *testing.T, options xdsserver.Options) *xdsserver.Server {
 	t.Helper()
 	server, err := xdsserver.Start(options)
@@ -97,6 +101,7 @@
 	return server
 }
 
+// classResource returns a valid resource for a request class with a priority weight.
 func classResource(name string, weight float64) config.Resource {
 	return config.Resource{
 		Kind:   "class",
@@ -105,7 +110,8 @@
 	}
 }
 
-// A version arrives as it was sent, and ACKs and NACKs of it reach the server with its nonce.
+// A client receives a version as it was sent, and its ACKs and NACKs of the version reach the server with the nonce
+// of the response.
 func TestUpdateAndAnswers(t *testing.T) {
 	server := startServer(t, xdsserver.Options{})
 	if err := server.SetResources("e/7", []config.Resource{
@@ -151,7 +157,8 @@
 	}
 }
 
-// Invalid responses are rejected with their reason, and later versions arrive nevertheless.
+// Responses with an invalid type_url or version_info are rejected with a NACK, and those with invalid resources are
+// delivered as updates with the reason. Later valid versions still arrive on the same stream.
 func TestInvalidResponses(t *testing.T) {
 	server := startServer(t, xdsserver.Options{})
 	client := startClient(t, controlPlaneSettings(server.Address), nil)
@@ -203,7 +210,8 @@
 	}
 }
 
-// broadcastInvalidResponses sends responses whose type or version_info is invalid, and waits for the NACK of each.
+// broadcastInvalidResponses sends responses with an invalid type_url or version_info, and waits for the NACK of
+// each. variantOfValid returns a changed copy of a valid response.
 func broadcastInvalidResponses(
 	t *testing.T,
 	server *xdsserver.Server,
@@ -237,7 +245,7 @@
 	}
 }
 
-// A version over the limit of its size is not decoded. The stream is opened again, and later versions arrive.
+// A response over the size limit is not decoded. The client opens the stream again, and later versions arrive.
 func TestResponseTooLarge(t *testing.T) {
 	server := startServer(t, xdsserver.Options{})
 	var resources []config.Resource
@@ -254,8 +262,8 @@
 	scriptedpeer.Eventually(t, "the next", func() bool { return len(client.updates()) > 0 })
 }
 
-// A server that fails at any byte of a response is connected to again. Versions arrive complete, and each stream starts
-// with the version that is running.
+// The client reconnects after the connection to the server breaks at any byte of a response. Every version arrives
+// complete, and each new stream starts with the version that is running.
 func TestServerVanishes(t *testing.T) {
 	server := startServer(t, xdsserver.Options{})
 	client := startClient(t, controlPlaneSettings(server.Address), nil)
@@ -276,14 +284,14 @@
 			t.Errorf("%+v", u)
 		}
 	}
-	// An ACK without a stream: the next stream starts with the version that is running.
+	// An ACK between two streams is not sent, but the next stream starts with the version that is running.
 	server.DropStreams()
 	client.Ack(rollout.ID{Number: 8}, true)
 	scriptedpeer.Eventually(t, "the running version", func() bool {
 		requests := server.Requests()
 		return requests[len(requests)-1].VersionInfo == "8" && requests[len(requests)-1].ResponseNonce == ""
 	})
-	// A longer outage, with a NACK meanwhile.
+	// The server stays unreachable for some time, during which a NACK is reported.
 	address := server.Address
 	server.Close()
 	client.Nack(rollout.ID{Number: 8}, "late", nil)
@@ -295,6 +303,7 @@
 	}
 }
 
+// hasVersion reports whether the version with a number has been received.
 func (client *testClient) hasVersion(number int) bool {
 	for _, u := range client.updates() {
 		if u.Version.Number == uint64(number) {
@@ -304,13 +313,14 @@
 	return false
 }
 
-// cut returns the first resource of a response without its last bytes.
+// truncatedResources returns the first resource of a response without its last three bytes.
 func truncatedResources(r *discovery.DiscoveryResponse) []*anypb.Any {
 	truncated := &anypb.Any{TypeUrl: r.Resources[0].TypeUrl, Value: r.Resources[0].Value[:len(r.Resources[0].Value)-3]}
 	return []*anypb.Any{truncated}
 }
 
-// Responses are read at a limited rate from a server that never stops sending, so that they need little memory.
+// Responses from a server that sends continuously are read at a limited rate, which bounds the memory that they
+// need.
 func TestServerNeverStopsSending(t *testing.T) {
 	server := startServer(t, xdsserver.Options{})
 	client := startClient(t, controlPlaneSettings(server.Address), nil)
@@ -326,14 +336,14 @@
 	}
 }
 
-// authority signs certificates.
+// certificateAuthority signs certificates, which it stores as files in the folder dir.
 type certificateAuthority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	dir  string
 }
 
-// newAuthority returns an authority whose certificate is in ca.pem of its folder.
+// newAuthority returns a certificate authority whose own certificate is in the file ca.pem of its folder.
 func newAuthority(t *testing.T) *certificateAuthority {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -354,6 +364,7 @@
 	return authority
 }
 
+// writePEM writes a PEM file with one block to the folder, and returns its path.
 func (a *certificateAuthority) writePEM(t *testing.T, name, blockType string, der []byte) string {
 	t.Helper()
 	path := filepath.Join(a.dir, name)
@@ -361,7 +372,7 @@
 	return path
 }
 
-// issue returns the files of a certificate and its key.
+// issue signs a certificate for a name and 127.0.0.1, and returns the paths of the certificate and its private key.
 func (a *certificateAuthority) issue(t *testing.T, name string) (cert, key string) {
 	t.Helper()
 	ownKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -382,7 +393,7 @@
 	return a.writePEM(t, name+".pem", "CERTIFICATE", der), a.writePEM(t, name+".key", "EC PRIVATE KEY", encodedKey)
 }
 
-// server returns the credentials of a server that requires certificates of the authority.
+// serverCredentials returns credentials for a server that requires client certificates of this authority.
 func (a *certificateAuthority) serverCredentials(t *testing.T) credentials.TransportCredentials {
 	t.Helper()
 	cert, key := a.issue(t, "service")
@@ -399,8 +410,8 @@
 	})
 }
 
-// Each side must have a certificate that the authority of the other has signed, and the server's must have the expected
-// name.
+// A client only receives versions if each side has a certificate that is signed by the authority of the other, and
+// the server's certificate has the expected name.
 func TestMutualTLS(t *testing.T) {
 	ours := newAuthority(t)
 	theirs := newAuthority(t)
--- a/internal/xdsclient/credentials.go
+++ b/internal/xdsclient/credentials.go
@@ -13,7 +13,8 @@
 	"dunlinsail/internal/config"
 )
 
-// transportCredentials returns mutual TLS, or plaintext, which package config accepts on loopback only.
+// transportCredentials returns credentials for mutual TLS, or for plaintext if the settings request it. Package
+// config accepts plaintext on loopback only.
 func transportCredentials(settings *config.ControlPlane) (credentials.TransportCredentials, error) {
 	if settings.Plaintext {
 		return insecure.NewCredentials(), nil
--- a/internal/xdsclient/decode.go
+++ b/internal/xdsclient/decode.go
@@ -16,29 +16,31 @@
 	"dunlinsail/internal/decide/rollout"
 )
 
-// TypeURL is the type_url of all resources: TypedStruct, the type of xDS for extensions without a protobuf type of
-// their own. All kinds share one type, since xDS guarantees a consistent version only within a type.
+// TypeURL is the type_url of all resources. TypedStruct is the xDS type for extensions without a protobuf type of
+// their own. All kinds of resources share this type, because xDS guarantees a consistent version only within one
+// type.
 const TypeURL = "type.googleapis.com/xds.type.v3.TypedStruct"
 
-// KindPrefix precedes a resource's kind in the type_url of its TypedStruct.
+// KindPrefix is followed by the kind of a resource in the type_url inside its TypedStruct.
 const KindPrefix = "type.googleapis.com/dunlinsail.config.v1."
 
-// Names on the wire.
+// Names that are sent on the wire.
 const (
-	releaseKind   = "release"  // kind of the resource that describes the version itself
-	rollbackField = "rollback" // of a release, a boolean: Version.Rollback
-	commentField  = "about"    // of a release: a text for operators, which is not used
-	nameField     = "name"     // of a resource: its name
+	releaseKind   = "release"  // kind of the resource with properties of the version itself
+	rollbackField = "rollback" // field of a release resource: a boolean for Version.Rollback
+	commentField  = "about"    // field of a release resource: a comment for operators, which is ignored
+	nameField     = "name"     // field of other resources: the name of the resource
 )
 
-// Update is a version as the control plane sent it.
+// Update is a version that was received from the control plane.
 type Update struct {
 	Version     rollout.Version
 	Resources   []config.Resource
-	DecodeError string // why the content cannot be decoded; Resources is nil then
+	DecodeError string // reason why the resources cannot be decoded; Resources is nil then
 }
 
-// decode returns the update in a response, or an error if its type or version_info is invalid.
+// decode returns the update in a response. It returns an error if the type_url or version_info of the response is
+// invalid; other mistakes are in Update.DecodeError.
 func decode(response *discovery.DiscoveryResponse) (*Update, error) {
 	if response.GetTypeUrl() != TypeURL {
 		return nil, fmt.Errorf("type_url %q was not asked for", truncate(response.GetTypeUrl()))
@@ -58,8 +60,8 @@
 	return update, nil
 }
 
-// rawDigest returns a digest of resources that cannot be decoded, since different contents may have the same
-// version_info.
+// rawDigest returns a digest of the encoded resources. It identifies contents that cannot be decoded, since
+// different contents may have the same version_info.
 func rawDigest(response *discovery.DiscoveryResponse) string {
 	hash := sha256.New()
 	for _, resource := range response.GetResources() {
@@ -68,7 +70,7 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// decodeResources sets the resources, and the properties of the version.
+// decodeResources sets the resources, and the properties of the version from a release resource.
 func (u *Update) decodeResources(response *discovery.DiscoveryResponse) error {
 	for i, packed := range response.GetResources() {
 		kind, fields, err := unpack(packed)
@@ -98,7 +100,7 @@
 	return config.CheckResources(u.Resources)
 }
 
-// unpack returns a resource's kind and fields.
+// unpack returns the kind and the fields of a resource.
 func unpack(packed *anypb.Any) (kind string, fields map[string]any, err error) {
 	if packed.GetTypeUrl() != TypeURL {
 		return "", nil, fmt.Errorf("type_url %q is not %s", truncate(packed.GetTypeUrl()), TypeURL)
@@ -118,7 +120,7 @@
 	return kind, fields, nil
 }
 
-// decodeRelease sets the properties of the version that a release resource has.
+// decodeRelease sets the properties of the version from the fields of a release resource.
 func (u *Update) decodeRelease(fields map[string]any) error {
 	for key, value := range fields {
 		switch key {
--- a/internal/xdsclient/decode_test.go
+++ b/internal/xdsclient/decode_test.go
@@ -12,8 +12,8 @@
 	"dunlinsail/internal/config"
 )
 
-// A decoded version has the version_info that it arrived with, combines to a configuration or an error, and never makes
-// the process panic.
+// decode panics on no response. A decoded version formats to the version_info of the response, and Combine either
+// accepts its resources without changing tables that only the file may have, or returns an error.
 func FuzzDecode(f *testing.F) {
 	file, err := config.Parse([]byte(`
 [[listener]]
@@ -58,7 +58,7 @@
 	})
 }
 
-// encodedResponse returns a response with a resource of each kind.
+// encodedResponse returns an encoded response with one resource of each of the given kinds.
 func encodedResponse(f *testing.F, kinds []string) []byte {
 	f.Helper()
 	response := &discovery.DiscoveryResponse{VersionInfo: "e/1", TypeUrl: TypeURL}
--- a/internal/xdsclient/golden_test.go
+++ b/internal/xdsclient/golden_test.go
@@ -20,13 +20,15 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// recordingServer is an ADS server that sends prepared responses and passes on the requests that it receives.
+// recordingServer is an ADS server that sends the responses from one channel and puts received requests into
+// another.
 type recordingServer struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	requests  chan *discovery.DiscoveryRequest
 	responses chan *discovery.DiscoveryResponse
 }
 
+// StreamAggregatedResources serves a stream of a client.
 func (s *recordingServer) StreamAggregatedResources(
 	stream discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer,
 ) error {
@@ -46,6 +48,7 @@
 	}
 }
 
+// startRecordingServer runs a recordingServer until the test ends, and returns its address.
 func startRecordingServer(t *testing.T) (server *recordingServer, address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,6 +67,7 @@
 	return server, listener.Addr().String()
 }
 
+// readGolden returns the content of a file in testdata/golden.
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -71,6 +75,7 @@
 	return text
 }
 
+// decodeHex decodes a protobuf message from hexadecimal digits.
 func decodeHex(t *testing.T, text string, into proto.Message) {
 	t.Helper()
 	raw, err := hex.DecodeString(strings.TrimSpace(text))
@@ -78,6 +83,7 @@
 	require.NoError(t, proto.Unmarshal(raw, into))
 }
 
+// checkJSON compares the JSON encoding of a value with the golden file called name.
 func checkJSON(t *testing.T, name string, value any) {
 	t.Helper()
 	got, err := json.Marshal(value)
@@ -87,9 +93,10 @@
 	}
 }
 
-// The golden files under testdata/golden were written by the build of 870f4ac and never change. The response is what
-// a control plane of that time sends; the requests are what that build sent: the first of a stream, an ACK of a
-// version on canary, an ACK of a confirmed one, a NACK after a rollback, and a NACK of an unreadable version_info.
+// The files under testdata/golden were written by build 870f4ac and must never change. The client must decode the
+// response, which a control plane of that time sent, and send the same requests as that build: the first request of
+// a stream, the ACK of a version on canary, the ACK of a confirmed version, the NACK after a rollback, and the NACK
+// of a response with an unreadable version_info.
 func TestGoldenExchange(t *testing.T) {
 	server, address := startRecordingServer(t)
 	client := startClient(t, controlPlaneSettings(address), &rollout.ID{Epoch: "e", Number: 6})
@@ -127,7 +134,7 @@
 		if agent := requests[i].GetNode().GetUserAgentBuildVersion(); agent != nil {
 			t.Errorf("request %d: build version %v", i, agent)
 		}
-		if requests[i].GetNode().GetUserAgentVersion() != "" { // of the program that runs
+		if requests[i].GetNode().GetUserAgentVersion() != "" { // the version of the running test binary differs
 			requests[i].Node.UserAgentVersionType = expected.GetNode().GetUserAgentVersionType()
 		}
 		if !proto.Equal(requests[i], expected) {
--- a/internal/xdsclient/interop_test.go
+++ b/internal/xdsclient/interop_test.go
@@ -18,7 +18,8 @@
 	"dunlinsail/internal/xdsclient"
 )
 
-// The client works with a control plane that is built on go-control-plane, as many are.
+// The client works with a control plane that is built with the library go-control-plane, which many control planes
+// use.
 func TestWithGoControlPlane(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/xdsclient/stream.go
+++ b/internal/xdsclient/stream.go
@@ -18,13 +18,14 @@
 )
 
 const (
-	responseRate      = 5   // responses read a second; flow control delays the others at the control plane
-	responseBurst     = 10  // responses read at once
-	maxQueuedRequests = 64  // ACKs and NACKs in the send queue
-	maxNonces         = 512 // versions of one stream that wait for an ACK or NACK
+	responseRate      = 5   // responses read per second; flow control delays further ones at the control plane
+	responseBurst     = 10  // responses that may be read at once
+	maxQueuedRequests = 64  // length of the send queue for ACKs and NACKs
+	maxNonces         = 512 // versions of one stream whose ACK or NACK may be pending
 )
 
-// Names on the wire in the node's metadata of an ACK or NACK: a version and its state, for which xDS has no terms.
+// Names that are sent on the wire in the node metadata of an ACK or NACK. They state a version and its rollout
+// state, which xDS itself cannot express.
 const (
 	versionField = "version"
 	stateField   = "state"
@@ -34,7 +35,7 @@
 	stateRejected  = "refused"
 )
 
-// runStream holds one stream until it ends.
+// runStream opens a stream, and receives responses until the stream ends. It returns the reason for the end.
 func (c *Client) runStream(ctx context.Context, conn *grpc.ClientConn) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -69,7 +70,8 @@
 	}
 }
 
-// sendQueued sends the requests of a queue until ctx ends or the stream fails, whose reason Recv returns.
+// sendQueued sends the queued requests until ctx is done or sending fails. The reason of a failure is returned by
+// Recv of the stream.
 func sendQueued(
 	ctx context.Context,
 	stream discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient,
@@ -87,7 +89,7 @@
 	}
 }
 
-// startStream makes requests the send queue of the current stream, and returns the first request.
+// startStream makes requests the send queue of the current stream, and returns the first request to send.
 func (c *Client) startStream(requests chan *discovery.DiscoveryRequest) *discovery.DiscoveryRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,14 +99,15 @@
 	return &discovery.DiscoveryRequest{Node: c.node, TypeUrl: TypeURL, VersionInfo: c.versionInfo}
 }
 
-// endStream drops requests until the next stream starts.
+// endStream removes the send queue, so that requests are dropped until the next stream starts.
 func (c *Client) endStream() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requests = nil
 }
 
-// handleResponse passes on the version in a response, or rejects the response if its version_info is invalid.
+// handleResponse passes the version in a response to OnUpdate. It rejects the response if its type_url or
+// version_info is invalid.
 func (c *Client) handleResponse(response *discovery.DiscoveryResponse) {
 	update, err := decode(response)
 	if err != nil {
@@ -117,18 +120,19 @@
 	}
 	c.mu.Lock()
 	if len(c.nonces) >= maxNonces {
-		clear(c.nonces) // older versions get no ACK or NACK, which the control plane expects for the newest only
+		clear(c.nonces) // the control plane expects an ACK or NACK for the newest version only
 	}
 	c.nonces[response.GetVersionInfo()] = response.GetNonce()
 	c.mu.Unlock()
 	c.options.OnUpdate(*update)
 }
 
+// newErrorDetail returns the error_detail of a NACK.
 func newErrorDetail(reason string) *status.Status {
 	return &status.Status{Code: int32(codes.InvalidArgument), Message: reason}
 }
 
-// Ack acknowledges a version that is running: confirmed, or on canary.
+// Ack acknowledges a running version. confirmed states whether the version is confirmed or still on canary.
 func (c *Client) Ack(id rollout.ID, confirmed bool) {
 	state := stateCanary
 	if confirmed {
@@ -144,8 +148,8 @@
 	}
 }
 
-// Nack rejects a version, before it was applied or after it was rolled back. running is the version of the control
-// plane that runs instead, nil for none.
+// Nack rejects a version that was not applied or was rolled back. running is the version of the control plane that
+// is running instead; nil if there is none.
 func (c *Client) Nack(id rollout.ID, reason string, running *rollout.ID) {
 	c.mu.Lock()
 	c.versionInfo = ""
@@ -155,7 +159,7 @@
 	info := FormatVersionInfo(id)
 	nonce := c.nonces[info]
 	c.mu.Unlock()
-	if nonce == "" { // the version arrived on an earlier stream: the current one started with what is running
+	if nonce == "" { // the version was received on an earlier stream
 		return
 	}
 	c.send(&discovery.DiscoveryRequest{
@@ -165,7 +169,7 @@
 	})
 }
 
-// nodeWithState returns the node with the state of a version in its metadata.
+// nodeWithState returns the node with a version and its rollout state in the metadata.
 func (c *Client) nodeWithState(info, state string) *core.Node {
 	return &core.Node{
 		Id:      c.node.Id,
@@ -177,8 +181,8 @@
 	}
 }
 
-// send queues a request on the current stream. Without a stream, or with a full queue, it is dropped: the next stream
-// starts with the version that is running, and the control plane sends its own again.
+// send queues a request on the current stream. The request is dropped if there is no stream or the queue is full:
+// the next stream starts with the version that is running, and the control plane then sends its version again.
 func (c *Client) send(request *discovery.DiscoveryRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/xdsclient/versioninfo.go
+++ b/internal/xdsclient/versioninfo.go
@@ -11,10 +11,11 @@
 // maxEpochLength is the largest length of an epoch in bytes.
 const maxEpochLength = 64
 
-// maxQuotedLength is the length in bytes to which texts of the control plane are cut in errors.
+// maxQuotedLength is the length in bytes to which texts from the control plane are truncated in errors.
 const maxQuotedLength = 80
 
-// ParseVersionInfo parses a version_info: "17", or "epoch/17" where the numbers of another epoch start again.
+// ParseVersionInfo parses a version_info of the form NUMBER or EPOCH/NUMBER, for example "17" or "epoch/17". A
+// control plane that restarts its numbers uses a new epoch.
 func ParseVersionInfo(text string) (rollout.ID, error) {
 	epoch := ""
 	numberText := text
@@ -37,7 +38,7 @@
 	return rollout.ID{Source: rollout.SourceControlPlane, Epoch: epoch, Number: number}, nil
 }
 
-// FormatVersionInfo returns the version_info of a version of the control plane, as ParseVersionInfo reads it.
+// FormatVersionInfo returns the version_info of a version of the control plane, which ParseVersionInfo parses.
 func FormatVersionInfo(id rollout.ID) string {
 	if id.Epoch == "" {
 		return strconv.FormatUint(id.Number, 10)
@@ -45,6 +46,7 @@
 	return id.Epoch + "/" + strconv.FormatUint(id.Number, 10)
 }
 
+// truncate shortens a text from the control plane to maxQuotedLength for an error.
 func truncate(text string) string {
 	if len(text) > maxQuotedLength {
 		return text[:maxQuotedLength] + "..."
