--- a/internal/config/resources.go
+++ b/internal/config/resources.go
@@ -222,7 +222,7 @@
 	tables      map[string]any          // tables of the file, into which the resources are merged
 	kinds       map[string]ResourceKind // by name
 	pinned      map[string]bool         // parts of the file that are not replaced
-	listOrigins map[string][]string // by kind: resource ID of each entry or of the table, "" for entries of the file
+	listOrigins map[string][]string     // by kind: resource ID of each entry or of the table; "" if from the file
 }
 
 // newPinSet returns the pinned parts as a set.
