--- a/internal/config/validate_control.go
+++ b/internal/config/validate_control.go
@@ -19,9 +19,9 @@
 	v.Require(plane.StateDir == "" || strings.HasPrefix(plane.StateDir, "/"), "control.state", "%q: must begin with /",
 		plane.StateDir)
 	v.Require(!on || plane.Plaintext || plane.CA != "" && plane.Cert != "" && plane.Key != "", "control.ca",
-		"ca, cert and key are needed: both sides must be vouched for")
+		"ca, cert and key are needed: both sides must authenticate")
 	v.Require(!plane.Plaintext || plane.CA == "" && plane.Cert == "" && plane.Key == "", "control.plaintext",
-		"means that there is no ca, cert or key")
+		"cannot be combined with ca, cert or key")
 	v.Require(!on || !plane.Plaintext || ip != nil && ip.IsLoopback(), "control.plaintext",
 		"is for a service on a loopback address only, not %q", plane.Address)
 	v.Require(plane.HarmMargin >= 0 && plane.HarmMargin < 1, "control.trial_margin", "%v: must be in 0..1, not 1",
--- a/internal/config/validate_fleet.go
+++ b/internal/config/validate_fleet.go
@@ -43,7 +43,7 @@
 	v.Require(peers.LeaseRequestInterval.Duration >= 10*time.Millisecond, "peers.every", "%v: must be at least 10ms",
 		peers.LeaseRequestInterval)
 	v.Require(peers.QuotaLease.Duration >= 4*peers.LeaseRequestInterval.Duration, "peers.loan",
-		"%v: must be at least four times peers.every, or a lost word ends a loan", peers.QuotaLease)
+		"%v: must be at least four times peers.every, so that a lost message does not end a lease", peers.QuotaLease)
 	v.Require(peers.LeaderLease.Duration >= 2*peers.LeaseRequestInterval.Duration, "peers.lease",
 		"%v: must be at least twice peers.every", peers.LeaderLease)
 	if peers.On {
@@ -59,24 +59,24 @@
 	v.Require(ip != nil && isHostPort(peers.Address, 1), "peers.address", "%q is no address with a port in 1..65535",
 		peers.Address)
 	v.Require(peers.AllowBeyondLoopback || ip == nil || ip.IsLoopback(), "peers.address",
-		"%q is beyond loopback: peers.beyond_loopback says that this is meant", peers.Address)
+		"%q is beyond loopback: set peers.beyond_loopback to allow this", peers.Address)
 	for _, other := range peers.Join {
 		v.Require(isHostPort(other, 1), "peers.join", "%q is no host:port with a port in 1..65535", other)
 	}
 	v.Require(peers.Fleet != "", "peers.fleet", "is missing")
 	v.Require(len(peers.Allocators)%2 == 1 && len(peers.Allocators) <= maxAllocators, "peers.lenders",
-		"must be 1, 3, 5 or 7 names of instances: a majority of them decides who lends")
-	v.Require(len(peers.CoordinatedUses) > 0, "peers.lends", "is empty: nothing would be decided together")
+		"must be 1, 3, 5 or 7 names of instances: a majority of them elects the one that grants leases")
+	v.Require(len(peers.CoordinatedUses) > 0, "peers.lends", "is empty: nothing would be coordinated")
 	v.Require(c.Fleet.Instances >= len(peers.Allocators), "fleet.instances", "%d is under the number of peers.lenders",
 		c.Fleet.Instances)
 	requestRate := float64(c.Fleet.Instances) / peers.LeaseRequestInterval.Seconds()
 	v.Require(requestRate <= maxLeaseRequestRate, "peers.every",
-		"%v: %d instances would ask the one that lends %.0f times a second; %d are the most",
+		"%v: %d instances would send the allocator %.0f lease requests a second; %d are the most",
 		peers.LeaseRequestInterval,
 		c.Fleet.Instances, requestRate, maxLeaseRequestRate)
 	needsOverload := func(use string) bool { return use != "suspects" && use != "tenants" }
 	v.Require(c.Overload.On || !slices.ContainsFunc(peers.CoordinatedUses, needsOverload), "peers.lends",
-		"further, probes and level are decided where overload.on is true")
+		"further, probes and level need overload.on = true")
 	for i, tenant := range c.Tenants {
 		v.Require(tenant.RateLimit == 0 || slices.Contains(peers.CoordinatedUses, "tenants"),
 			fmt.Sprintf("tenant.%d.limit", i), "%q has a limit over all instances: peers.lends must name \"tenants\"",
@@ -95,7 +95,8 @@
 	} {
 		v.Require(value >= 0, "work."+key, "%d is negative; 0 is no bound of its own", value)
 	}
-	v.Require(plan.MaxAnnounced >= plan.MaxOut, "work.ahead", "%d is under work.most, %d: what is out was told ahead",
+	v.Require(plan.MaxAnnounced >= plan.MaxOut, "work.ahead",
+		"%d is under work.most, %d: machines are announced before they go out",
 		plan.MaxAnnounced, plan.MaxOut)
 	v.Require(plan.CapacityReserve >= 0 && plan.CapacityReserve < 1, "work.room", "%v: must be in 0..1, not 1",
 		plan.CapacityReserve)
@@ -105,14 +106,14 @@
 	if !plan.On {
 		return
 	}
-	v.Require(c.Peers.On, "peers.on", "is false: machines are taken out in an order that instances settle by words")
-	v.Require(c.Admin.Address != "", "operators.address", "is missing: nobody could ask for work")
+	v.Require(c.Peers.On, "peers.on", "is false: maintenance plans need coordination between instances")
+	v.Require(c.Admin.Address != "", "operators.address", "is missing: operators request maintenance there")
 	v.Require(len(c.Peers.Allocators) != 1, "peers.lenders",
-		"one alone settles nothing that outlives it: 3, 5 or 7 are needed")
+		"a plan must outlive a single instance: 3, 5 or 7 are needed")
 	v.Require(slices.Contains(c.Peers.Allocators, c.Name) == (plan.StateFile != ""), "work.state",
 		"is for the instances that peers.lenders names, and needed there")
 	maxDrain := plan.Lease.Duration + plan.InFlightGrace.Duration
 	v.Require(c.Takeover.Socket == "" || c.Takeover.DrainWithin.Duration <= maxDrain, "takeover.drain_within",
-		"%v: a process that gives its place must be over by work.lease and work.quiet together, %v",
+		"%v: a process that is replaced must end within work.lease and work.quiet together, %v",
 		c.Takeover.DrainWithin, maxDrain)
 }
--- a/internal/config/validate_routes.go
+++ b/internal/config/validate_routes.go
@@ -70,7 +70,7 @@
 	v.Require(p.RetryBudget >= 0 && p.RetryBudget <= 10, keyAt("retry_budget"), "%v: must be in 0..10", p.RetryBudget)
 	minRate := p.EffectiveMinRetryRate()
 	v.Require(minRate == 0 || minRate >= 1 && minRate <= 1000, keyAt("retry_least"),
-		"%v: must be 0 or in 1..1000: a part of a try is none", minRate)
+		"%v: must be 0 or in 1..1000: a fraction of a retry is not possible", minRate)
 }
 
 // pattern returns the pattern that requests must match for the route.
