--- a/internal/config/decisions.go
+++ b/internal/config/decisions.go
@@ -27,9 +27,9 @@
 		TickInterval: plan.Lease.Micros() / ticksPerLease,
 		Maintenance: maintenance.Settings{
 			MaxOut:        plan.MaxOut,
-			MaxOutPerZone: plan.MaxPerZone,
-			MaxOutPerCell: plan.MaxPerCell,
-			MaxOutPerKind: plan.MaxPerMachineType,
+			MaxOutPerZone: plan.MaxOutPerZone,
+			MaxOutPerCell: plan.MaxOutPerCell,
+			MaxOutPerKind: plan.MaxOutPerMachineType,
 			MaxAnnounced:  plan.MaxAnnounced,
 			Headroom:      plan.CapacityReserve,
 			LeaseDuration: plan.Lease.Micros(),
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -91,8 +91,8 @@
 func defaultMaintenance() Maintenance {
 	return Maintenance{
 		MaxOut:          1,
-		MaxPerZone:      1,
-		MaxPerCell:      1,
+		MaxOutPerZone:   1,
+		MaxOutPerCell:   1,
 		MaxAnnounced:    4,
 		CapacityReserve: 0.2,
 		Lease:           seconds(2),
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -194,14 +194,14 @@
 	// MaxOut is the largest number of machines that are out of service at once, from 1 to 1000. The default is 1.
 	MaxOut int `toml:"most"`
 
-	// MaxPerZone and MaxPerCell are the largest numbers of machines in one zone and in one cell that are out of
+	// MaxOutPerZone and MaxOutPerCell are the largest numbers of machines in one zone and in one cell that are out of
 	// service at once. The default is 1; 0 is no limit besides MaxOut.
-	MaxPerZone int `toml:"zone"`
-	MaxPerCell int `toml:"cell"`
+	MaxOutPerZone int `toml:"zone"`
+	MaxOutPerCell int `toml:"cell"`
 
-	// MaxPerMachineType is the largest number of machines of one type that are out of service at once. 0, the
+	// MaxOutPerMachineType is the largest number of machines of one type that are out of service at once. 0, the
 	// default, is no limit besides MaxOut.
-	MaxPerMachineType int `toml:"machine"`
+	MaxOutPerMachineType int `toml:"machine"`
 
 	// MaxAnnounced is the largest number of machines that are announced to go out of service next, in addition to
 	// those already out: at least MaxOut. An instance that is cut off from the voters sends no new requests to
--- a/internal/config/resources.go
+++ b/internal/config/resources.go
@@ -188,7 +188,7 @@
 	if err := toml.Unmarshal(file.Text, &tables); err != nil {
 		return nil, err // unexpected: Parse has accepted the text
 	}
-	m := resourceMerger{
+	merger := resourceMerger{
 		tables:      tables,
 		kinds:       ResourceKinds(),
 		pinned:      newPinSet(file.ControlPlane.PinnedParts),
@@ -199,7 +199,7 @@
 		byKind[resource.Kind] = append(byKind[resource.Kind], resource)
 	}
 	for _, kind := range slices.Sorted(maps.Keys(byKind)) {
-		m.mergeKind(kind, byKind[kind])
+		merger.mergeKind(kind, byKind[kind])
 	}
 	text, err := toml.Marshal(tables)
 	if err != nil {
@@ -208,7 +208,7 @@
 	combined, err := Parse(text)
 	var mistakes stricttoml.Errors
 	if errors.As(err, &mistakes) {
-		return nil, m.explain(text, mistakes)
+		return nil, merger.explain(text, mistakes)
 	}
 	if err != nil {
 		return nil, err
@@ -290,9 +290,9 @@
 func (m *resourceMerger) mergeTable(kind string, resource *Resource) {
 	fileTable, _ := m.tables[kind].(map[string]any)
 	table := integralFloatsToInts(resource.Fields).(map[string]any)
-	for key, v := range fileTable {
+	for key, value := range fileTable {
 		if m.pinned[kind+"."+key] {
-			table[key] = v
+			table[key] = value
 		}
 	}
 	m.tables[kind] = table
@@ -304,8 +304,8 @@
 func integralFloatsToInts(value any) any {
 	switch value := value.(type) {
 	case float64:
-		if n := int64(value); float64(n) == value && n > -1<<53 && n < 1<<53 {
-			return n
+		if integer := int64(value); float64(integer) == value && integer > -1<<53 && integer < 1<<53 {
+			return integer
 		}
 	case []any:
 		converted := make([]any, len(value))
--- a/internal/config/resources_test.go
+++ b/internal/config/resources_test.go
@@ -261,8 +261,8 @@
 		maps.Copy(resource.Fields, decodeObject(t, "{"+requiredKeys[key]+"}"))
 	}
 	if ResourceKinds()[kind].IsList {
-		names := map[string]string{"class": "look", "client": "desk", "pool": "app", "route": "r"}
-		resource.Name = cmp.Or(names[kind], "one")
+		neededNames := map[string]string{"class": "look", "client": "desk", "pool": "app", "route": "r"}
+		resource.Name = cmp.Or(neededNames[kind], "one")
 	}
 	decoded := decodeObject(t, `{"v":`+value+`}`)["v"]
 	if name == "name" {
@@ -314,7 +314,7 @@
 // order of the file.
 func TestCombine(t *testing.T) {
 	file := mustParse(t, pinningFile)
-	class := func(name, extraFields string) Resource {
+	newClass := func(name, extraFields string) Resource {
 		return Resource{
 			Kind:   "class",
 			Name:   name,
@@ -322,9 +322,9 @@
 		}
 	}
 	combined, err := Combine(file, []Resource{
-		class("zoom", ""),
-		class("book", ""),
-		class("look", `,"worth":2`),
+		newClass("zoom", ""),
+		newClass("book", ""),
+		newClass("look", `,"worth":2`),
 		{Kind: "requests", Fields: decodeObject(t, `{"open":7,"in_flight_least":5}`)},
 		{Kind: "client", Name: "desk", Fields: decodeObject(t, `{"weight":1}`)},
 		{Kind: "client", Name: "new", Fields: decodeObject(t, `{"weight":2.5}`)},
@@ -348,7 +348,7 @@
 	if unchanged, err := Combine(file, nil); err != nil || unchanged != file {
 		t.Errorf("without resources: %v", err)
 	}
-	reordered, err := Combine(file, []Resource{class("book", `,"worth":1`), class("look", "")})
+	reordered, err := Combine(file, []Resource{newClass("book", `,"worth":1`), newClass("look", "")})
 	if err != nil || fmt.Sprint(reordered.Site.Classes) != "[look book]" {
 		t.Errorf("%v, %v", reordered, err)
 	}
--- a/internal/config/validate_control.go
+++ b/internal/config/validate_control.go
@@ -10,19 +10,20 @@
 // controlPlane validates the settings of the control plane.
 func (v *validator) controlPlane(c *Config) {
 	plane := &c.ControlPlane
-	on := plane.Address != ""
+	enabled := plane.Address != ""
 	host, _, _ := net.SplitHostPort(plane.Address)
 	ip := net.ParseIP(host)
-	v.Require(!on || isHostPort(plane.Address, 1), "control.address", "%q is no host:port with a port in 1..65535",
+	v.Require(!enabled || isHostPort(plane.Address, 1), "control.address", "%q is no host:port with a port in 1..65535",
 		plane.Address)
-	v.Require(!on || plane.StateDir != "", "control.state", "is missing: a folder where the last good version is kept")
+	v.Require(!enabled || plane.StateDir != "", "control.state",
+		"is missing: a folder where the last good version is kept")
 	v.Require(plane.StateDir == "" || strings.HasPrefix(plane.StateDir, "/"), "control.state", "%q: must begin with /",
 		plane.StateDir)
-	v.Require(!on || plane.Plaintext || plane.CA != "" && plane.Cert != "" && plane.Key != "", "control.ca",
+	v.Require(!enabled || plane.Plaintext || plane.CA != "" && plane.Cert != "" && plane.Key != "", "control.ca",
 		"ca, cert and key are needed: both sides must authenticate")
 	v.Require(!plane.Plaintext || plane.CA == "" && plane.Cert == "" && plane.Key == "", "control.plaintext",
 		"cannot be combined with ca, cert or key")
-	v.Require(!on || !plane.Plaintext || ip != nil && ip.IsLoopback(), "control.plaintext",
+	v.Require(!enabled || !plane.Plaintext || ip != nil && ip.IsLoopback(), "control.plaintext",
 		"is for a service on a loopback address only, not %q", plane.Address)
 	v.Require(plane.HarmMargin >= 0 && plane.HarmMargin < 1, "control.trial_margin", "%v: must be in 0..1, not 1",
 		plane.HarmMargin)
@@ -53,9 +54,9 @@
 }
 
 // hasKey reports whether the struct type t, or a struct embedded in it, has a field with the given key.
-func hasKey(t reflect.Type, key string) bool {
-	for i := range t.NumField() {
-		field := t.Field(i)
+func hasKey(structType reflect.Type, key string) bool {
+	for i := range structType.NumField() {
+		field := structType.Field(i)
 		if field.Tag.Get("toml") == key || field.Anonymous && field.Tag.Get("toml") == "" && hasKey(field.Type, key) {
 			return true
 		}
--- a/internal/config/validate_fleet.go
+++ b/internal/config/validate_fleet.go
@@ -21,11 +21,11 @@
 // peers validates the settings of gossip and coordination.
 func (v *validator) peers(c *Config) {
 	peers := &c.Peers
-	seen := map[string]bool{}
+	seenNames := map[string]bool{}
 	for _, name := range peers.Allocators {
 		v.Require(name != "", "peers.lenders", "an empty name")
-		v.Require(!seen[name], "peers.lenders", "%q is named twice", name)
-		seen[name] = true
+		v.Require(!seenNames[name], "peers.lenders", "%q is named twice", name)
+		seenNames[name] = true
 	}
 	for i, name := range peers.CoordinatedUses {
 		stricttoml.Enum(&v.Validation, "peers.lends", name, coordinatedUses)
@@ -89,9 +89,9 @@
 	plan := &c.Maintenance
 	v.Require(plan.MaxOut >= 1 && plan.MaxOut <= 1000, "work.most", "%d: must be in 1..1000", plan.MaxOut)
 	for key, value := range map[string]int{
-		"zone":    plan.MaxPerZone,
-		"cell":    plan.MaxPerCell,
-		"machine": plan.MaxPerMachineType,
+		"zone":    plan.MaxOutPerZone,
+		"cell":    plan.MaxOutPerCell,
+		"machine": plan.MaxOutPerMachineType,
 	} {
 		v.Require(value >= 0, "work."+key, "%d is negative; 0 is no bound of its own", value)
 	}
--- a/internal/config/validate_routes.go
+++ b/internal/config/validate_routes.go
@@ -158,8 +158,8 @@
 	v.Require(r.StripPrefix == "" || r.prefixIsStrippable(), keyAt("strip_prefix"),
 		"%q is no beginning, in whole segments, of path %q", r.StripPrefix, r.Path)
 	if r.AddPrefix != "" {
-		normal, err := route.NormalizePath(r.AddPrefix, route.KeepEncodedSlashes)
-		v.Require(err == nil && normal == r.AddPrefix && !strings.HasSuffix(normal, "/"), keyAt("add_prefix"),
+		normalized, err := route.NormalizePath(r.AddPrefix, route.KeepEncodedSlashes)
+		v.Require(err == nil && normalized == r.AddPrefix && !strings.HasSuffix(normalized, "/"), keyAt("add_prefix"),
 			"%q is no path in normal form without a / at its end", r.AddPrefix)
 	}
 	stricttoml.Enum(&v.Validation, keyAt("forwarded"), r.Forwarded,
@@ -177,22 +177,22 @@
 }
 
 // valueSources validates the fields that state where values of the route's requests are read from.
-func (v *validator) valueSources(r *Route, at func(string) string) {
+func (v *validator) valueSources(r *Route, keyAt func(string) string) {
 	for key, source := range r.valueSources() {
-		name, header := strings.CutPrefix(*source, "header:")
-		_, path := strings.CutPrefix(*source, "path:")
-		fixed := strings.HasPrefix(*source, "=")
+		name, isHeader := strings.CutPrefix(*source, "header:")
+		_, isPath := strings.CutPrefix(*source, "path:")
+		isConstant := strings.HasPrefix(*source, "=")
 		switch {
 		case *source == "":
-		case header:
-			v.Require(http1msg.IsToken(name), at(key), "%q is no name of a header", name)
-			v.Require(!slices.Contains(reservedHeaders, http.CanonicalHeaderKey(name)), at(key),
+		case isHeader:
+			v.Require(http1msg.IsToken(name), keyAt(key), "%q is no name of a header", name)
+			v.Require(!slices.Contains(reservedHeaders, http.CanonicalHeaderKey(name)), keyAt(key),
 				"%s tells how a message is framed, nothing else", name)
 		case key == "key" || key == "id" || key == "deadline":
-			v.Require(false, at(key), "%q is no header, as \"header:NAME\"", *source)
-		case path, fixed, *source == "client":
+			v.Require(false, keyAt(key), "%q is no header, as \"header:NAME\"", *source)
+		case isPath, isConstant, *source == "client":
 		default:
-			v.Require(false, at(key), "%q is none of \"header:NAME\", \"path:NAME\", \"client\", \"=NAME\"", *source)
+			v.Require(false, keyAt(key), "%q is none of \"header:NAME\", \"path:NAME\", \"client\", \"=NAME\"", *source)
 		}
 	}
 }
@@ -211,18 +211,18 @@
 	v.Require(r.IdleTimeout.Duration <= r.TotalTimeout.Duration, keyAt("idle"), "%v is over whole, %v", r.IdleTimeout,
 		r.TotalTimeout)
 	for key, codes := range map[string][]int{"errors": r.ErrorStatuses, "full": r.RejectionStatuses} {
-		for _, code := range codes {
-			v.Require(code >= 400 && code < 600, keyAt(key), "%d is no status in 400..599", code)
+		for _, status := range codes {
+			v.Require(status >= 400 && status < 600, keyAt(key), "%d is no status in 400..599", status)
 		}
 	}
 }
 
 // prefixIsStrippable reports whether every path that the route matches starts with the segments of StripPrefix.
 func (r *Route) prefixIsStrippable() bool {
-	rest, ok := strings.CutPrefix(r.Path, r.StripPrefix)
-	onSegments := strings.HasPrefix(r.StripPrefix, "/") && !strings.HasSuffix(r.StripPrefix, "/")
-	fixed := !strings.ContainsAny(r.StripPrefix, "{*")
-	return ok && onSegments && fixed && (rest == "" || rest[0] == '/')
+	rest, hasPrefix := strings.CutPrefix(r.Path, r.StripPrefix)
+	hasCompleteSegments := strings.HasPrefix(r.StripPrefix, "/") && !strings.HasSuffix(r.StripPrefix, "/")
+	isConstant := !strings.ContainsAny(r.StripPrefix, "{*")
+	return hasPrefix && hasCompleteSegments && isConstant && (rest == "" || rest[0] == '/')
 }
 
 // changesHeader reports whether the edits change the header called name.
@@ -233,21 +233,21 @@
 		slices.ContainsFunc(slices.Collect(maps.Keys(edits.Add)), isName)
 }
 
-// headerEdits validates changes of headers, whose table in the file has the key at.
-func (v *validator) headerEdits(at string, edits *HeaderEdits) {
-	name := func(key, name string) {
-		v.Require(http1msg.IsToken(name), at+"."+key, "%q is no name of a header", name)
-		v.Require(!slices.Contains(reservedHeaders, http.CanonicalHeaderKey(name)), at+"."+key,
-			"%s is not to be changed", name)
+// headerEdits validates changes of headers, whose table in the file has the key tableKey.
+func (v *validator) headerEdits(tableKey string, edits *HeaderEdits) {
+	checkName := func(key, checkName string) {
+		v.Require(http1msg.IsToken(checkName), tableKey+"."+key, "%q is no name of a header", checkName)
+		v.Require(!slices.Contains(reservedHeaders, http.CanonicalHeaderKey(checkName)), tableKey+"."+key,
+			"%s is not to be changed", checkName)
 	}
-	for _, n := range edits.Remove {
-		name("remove", n)
+	for _, headerName := range edits.Remove {
+		checkName("remove", headerName)
 	}
 	for key, headers := range map[string]map[string]string{"set": edits.Set, "add": edits.Add} {
-		for n, value := range headers {
-			name(key, n)
+		for headerName, value := range headers {
+			checkName(key, headerName)
 			v.Require(!strings.ContainsFunc(value, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }),
-				at+"."+key, "%q has a control character", value)
+				tableKey+"."+key, "%q has a control character", value)
 		}
 	}
 }
--- a/internal/configcache/cache.go
+++ b/internal/configcache/cache.go
@@ -25,7 +25,7 @@
 //	state            a line with format and checksum, then rollout.PersistentState as JSON
 //	state.before     the state file from before the last Save
 //	content-DIGEST   the content of a version that one of the state files refers to
-type Cache struct{ path string }
+type Cache struct{ folder string }
 
 // Names and headers of files. They must not change, since other builds read the same files.
 const (
@@ -65,7 +65,7 @@
 		case err == nil:
 			return state, name, errors.Join(skipped...)
 		case !errors.Is(err, fs.ErrNotExist):
-			skipped = append(skipped, fmt.Errorf("%s: %w", filepath.Join(c.path, name), err))
+			skipped = append(skipped, fmt.Errorf("%s: %w", filepath.Join(c.folder, name), err))
 		}
 	}
 	return nil, "", errors.Join(skipped...)
@@ -144,7 +144,7 @@
 		if err != nil {
 			return err
 		}
-		if _, err := os.Stat(filepath.Join(c.path, name)); err == nil || !available {
+		if _, err := os.Stat(filepath.Join(c.folder, name)); err == nil || !available {
 			continue
 		}
 		if err := c.writeFile(name, text); err != nil {
--- a/internal/configcache/cache_test.go
+++ b/internal/configcache/cache_test.go
@@ -24,10 +24,10 @@
 
 // newState returns a state with two versions of the control plane: number good is the last known good version, and
 // number previous the one before it.
-func newState(good, previous uint64) *rollout.PersistentState {
+func newState(lastKnownGood, previous uint64) *rollout.PersistentState {
 	file := rollout.Version{ID: rollout.ID{Source: rollout.SourceFile, Number: 1}, Digest: "ff"}
 	return &rollout.PersistentState{
-		LastKnownGood: &rollout.LayeredVersion{ControlPlane: newVersion(good), File: file},
+		LastKnownGood: &rollout.LayeredVersion{ControlPlane: newVersion(lastKnownGood), File: file},
 		PreviousGood:  &rollout.LayeredVersion{ControlPlane: newVersion(previous), File: file},
 	}
 }
@@ -44,7 +44,7 @@
 // fileNames returns the names of the files in the folder of a cache.
 func fileNames(t *testing.T, cache *Cache) (names []string) {
 	t.Helper()
-	entries, err := os.ReadDir(cache.path)
+	entries, err := os.ReadDir(cache.folder)
 	require.NoError(t, err)
 	for _, entry := range entries {
 		names = append(names, entry.Name())
@@ -105,13 +105,13 @@
 	checkCorruptState(t, cache)
 	// Save must not keep a corrupt state as the previous state.
 	require.NoError(t, cache.Save(newState(5, 4), newContents(5, 4)))
-	require.NoError(t, os.WriteFile(filepath.Join(cache.path, stateFile), nil, 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(cache.folder, stateFile), nil, 0o600))
 	if state, _, _ := cache.Load(); state.LastKnownGood.ControlPlane.Number != 3 {
 		t.Errorf("previous: %d", state.LastKnownGood.ControlPlane.Number)
 	}
-	os.Remove(filepath.Join(cache.path, stateFile))
-	if state, from, err := cache.Load(); err != nil || from != previousStateFile || state == nil {
-		t.Errorf("without the newer: %q, %v", from, err)
+	os.Remove(filepath.Join(cache.folder, stateFile))
+	if state, file, err := cache.Load(); err != nil || file != previousStateFile || state == nil {
+		t.Errorf("without the newer: %q, %v", file, err)
 	}
 }
 
@@ -119,13 +119,13 @@
 // whose last known good version is 3.
 func checkCorruptState(t *testing.T, cache *Cache) {
 	t.Helper()
-	complete, err := os.ReadFile(filepath.Join(cache.path, stateFile))
+	stateText, err := os.ReadFile(filepath.Join(cache.folder, stateFile))
 	require.NoError(t, err)
-	for length := range complete {
-		require.NoError(t, os.WriteFile(filepath.Join(cache.path, stateFile), complete[:length], 0o600))
-		state, from, err := cache.Load()
-		if from != previousStateFile || state.LastKnownGood.ControlPlane.Number != 3 || !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("cut off at %d of %d: from %q, %v", length, len(complete), from, err)
+	for length := range stateText {
+		require.NoError(t, os.WriteFile(filepath.Join(cache.folder, stateFile), stateText[:length], 0o600))
+		state, file, err := cache.Load()
+		if file != previousStateFile || state.LastKnownGood.ControlPlane.Number != 3 || !errors.Is(err, ErrCorrupt) {
+			t.Fatalf("cut off at %d of %d: from %q, %v", length, len(stateText), file, err)
 		}
 	}
 }
@@ -142,7 +142,7 @@
 		cache := openTemporary(t)
 		require.NoError(t, cache.Save(newState(2, 1), newContents(1, 2)))
 		for _, name := range leftovers {
-			require.NoError(t, os.WriteFile(filepath.Join(cache.path, name), []byte("half"), 0o600))
+			require.NoError(t, os.WriteFile(filepath.Join(cache.folder, name), []byte("half"), 0o600))
 		}
 		if got := cache.mustLastKnownGood(t); got != 2 {
 			t.Errorf("%v: good %d", leftovers, got)
@@ -153,7 +153,7 @@
 		if got := cache.mustLastKnownGood(t); got != 3 {
 			t.Errorf("%v: good %d", leftovers, got)
 		}
-		os.Remove(filepath.Join(cache.path, stateFile))
+		os.Remove(filepath.Join(cache.folder, stateFile))
 		if got := cache.mustLastKnownGood(t); got != 2 {
 			t.Errorf("%v: previous is %d: an incomplete file has replaced it", leftovers, got)
 		}
@@ -166,7 +166,7 @@
 	require.NoError(t, cache.Save(newState(2, 1), newContents(1, 2)))
 	// Writes to /dev/full fail as they do on a full disk.
 	for _, name := range []string{"content-03.part", "state.part"} {
-		partialFile := filepath.Join(cache.path, name)
+		partialFile := filepath.Join(cache.folder, name)
 		require.NoError(t, os.Symlink("/dev/full", partialFile))
 		if err := cache.Save(newState(3, 2), newContents(2, 3)); !errors.Is(err, syscall.ENOSPC) {
 			t.Errorf("%s: %v", name, err)
@@ -186,12 +186,12 @@
 // Open returns an error if the folder cannot be created, and Save if the folder does not exist.
 func TestUnusableFolder(t *testing.T) {
 	cache := openTemporary(t)
-	path := filepath.Join(cache.path, "file")
+	path := filepath.Join(cache.folder, "file")
 	require.NoError(t, os.WriteFile(path, nil, 0o600))
 	if _, err := Open(filepath.Join(path, "versions")); err == nil {
 		t.Error("a folder in a file")
 	}
-	os.RemoveAll(cache.path)
+	os.RemoveAll(cache.folder)
 	if err := cache.Save(newState(1, 0), newContents(0, 1)); err == nil {
 		t.Error("a folder that has gone")
 	}
--- a/internal/configcache/files.go
+++ b/internal/configcache/files.go
@@ -13,7 +13,7 @@
 
 // readFile reads the file called name. A file of more than maxFileBytes is corrupt.
 func (c *Cache) readFile(name string) ([]byte, error) {
-	f, err := os.Open(filepath.Join(c.path, name))
+	f, err := os.Open(filepath.Join(c.folder, name))
 	if err != nil {
 		return nil, err
 	}
@@ -27,7 +27,7 @@
 
 // writeFile replaces the file called name atomically and durably. After an error the file is unchanged.
 func (c *Cache) writeFile(name string, content []byte) error {
-	path := filepath.Join(c.path, name)
+	path := filepath.Join(c.folder, name)
 	temporary := path + temporarySuffix
 	if err := writeFileAndSync(temporary, content); err != nil {
 		os.Remove(temporary) // frees space on a full disk
@@ -58,7 +58,7 @@
 
 // syncFolder flushes the entries of the folder to disk.
 func (c *Cache) syncFolder() error {
-	f, err := os.Open(c.path)
+	f, err := os.Open(c.folder)
 	if err != nil {
 		return err
 	}
@@ -72,10 +72,10 @@
 	if _, err := c.loadState(stateFile); err != nil {
 		return nil //nolint:nilerr // the previous file stays rather than a corrupt one
 	}
-	previous := filepath.Join(c.path, previousStateFile)
+	previous := filepath.Join(c.folder, previousStateFile)
 	temporary := previous + temporarySuffix
 	os.Remove(temporary) // a process that crashed here has left it
-	if err := os.Link(filepath.Join(c.path, stateFile), temporary); err != nil {
+	if err := os.Link(filepath.Join(c.folder, stateFile), temporary); err != nil {
 		return err
 	}
 	return os.Rename(temporary, previous)
@@ -94,14 +94,14 @@
 			referenced[contentPrefix+digest] = true
 		}
 	}
-	entries, err := os.ReadDir(c.path)
+	entries, err := os.ReadDir(c.folder)
 	if err != nil {
 		return
 	}
 	for _, entry := range entries {
 		name := entry.Name()
 		if strings.HasPrefix(name, contentPrefix) && !referenced[name] {
-			os.Remove(filepath.Join(c.path, name))
+			os.Remove(filepath.Join(c.folder, name))
 		}
 	}
 }
--- a/internal/configcache/golden_test.go
+++ b/internal/configcache/golden_test.go
@@ -90,9 +90,9 @@
 		t.Run(name, func(t *testing.T) {
 			golden, err := Open(filepath.Join("testdata", "golden", name))
 			require.NoError(t, err)
-			got, from, err := golden.Load()
-			if err != nil || from != stateFile {
-				t.Fatalf("from %q, %v", from, err)
+			got, file, err := golden.Load()
+			if err != nil || file != stateFile {
+				t.Fatalf("from %q, %v", file, err)
 			}
 			if !reflect.DeepEqual(got, want) {
 				t.Errorf("got %+v, want %+v", got, want)
@@ -123,9 +123,9 @@
 		t.Errorf("files %v, want %v", got, want)
 	}
 	for _, name := range fileNames(t, golden) {
-		want, err := os.ReadFile(filepath.Join(golden.path, name))
+		want, err := os.ReadFile(filepath.Join(golden.folder, name))
 		require.NoError(t, err)
-		got, err := os.ReadFile(filepath.Join(rewritten.path, name))
+		got, err := os.ReadFile(filepath.Join(rewritten.folder, name))
 		if err != nil || !bytes.Equal(got, want) {
 			t.Errorf("%s: got\n%s\nwant\n%s\n%v", name, got, want, err)
 		}
--- a/internal/stricttoml/decode.go
+++ b/internal/stricttoml/decode.go
@@ -13,13 +13,13 @@
 
 // Decode decodes a TOML text into a struct, and returns the line number of each key, from 1, for use in a
 // Validation. Its error is an Errors.
-func Decode(text []byte, into any) (lines map[string]int, err error) {
+func Decode(text []byte, target any) (lines map[string]int, err error) {
 	if bytes.HasPrefix(text, []byte("\xef\xbb\xbf")) {
 		return nil, Errors{{"", 1, "the file begins with a byte order mark (U+FEFF): save it as UTF-8 without one"}}
 	}
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(target); err != nil {
 		return nil, convertDecodeError(text, err)
 	}
 	return keyLines(text), nil
@@ -44,10 +44,10 @@
 	}
 	// The TOML library reports no position if a number was found where a value with a unit is expected. The
 	// position is that of the first number with the same text.
-	if unit := (*unitError)(nil); errors.As(err, &unit) {
+	if unitErr := (*unitError)(nil); errors.As(err, &unitErr) {
 		_, numbers := scanKeys(text)
 		for _, number := range numbers {
-			if number.text == unit.text {
+			if number.text == unitErr.text {
 				return Errors{{number.key, number.line, err.Error()}}
 			}
 		}
--- a/internal/stricttoml/lines.go
+++ b/internal/stricttoml/lines.go
@@ -115,10 +115,10 @@
 }
 
 // keyParts returns the parts of a dotted key, and the line number of its last part.
-func keyParts(it unstable.Iterator, lineOf lineOffsets) (key []string, line int) {
-	for it.Next() {
-		key = append(key, string(it.Node().Data))
-		line = lineOf.line(it.Node().Raw)
+func keyParts(parts unstable.Iterator, lineOf lineOffsets) (key []string, line int) {
+	for parts.Next() {
+		key = append(key, string(parts.Node().Data))
+		line = lineOf.line(parts.Node().Raw)
 	}
 	return key, line
 }
--- a/internal/stricttoml/units.go
+++ b/internal/stricttoml/units.go
@@ -30,16 +30,16 @@
 
 // UnmarshalText parses a duration with its unit.
 func (d *Duration) UnmarshalText(text []byte) error {
-	v, err := time.ParseDuration(string(text))
+	parsed, err := time.ParseDuration(string(text))
 	switch {
 	case err != nil:
 		return newUnitError(text, "is no time with a unit, as \"250ms\", \"15s\" or \"2m\"")
-	case v < 0:
+	case parsed < 0:
 		return newUnitError(text, "is negative")
-	case v > MaxDuration:
+	case parsed > MaxDuration:
 		return newUnitError(text, "is over 24h: no time in this file is meant to be so long")
 	}
-	d.Duration = v
+	d.Duration = parsed
 	return nil
 }
 
@@ -93,16 +93,16 @@
 
 // UnmarshalText parses a size with its unit.
 func (s *Size) UnmarshalText(text []byte) error {
-	for _, u := range sizeUnits {
-		number, ok := strings.CutSuffix(string(text), u.unit)
+	for _, unit := range sizeUnits {
+		number, ok := strings.CutSuffix(string(text), unit.unit)
 		if !ok {
 			continue
 		}
-		v, err := strconv.ParseInt(strings.TrimSpace(number), 10, 64)
-		if err != nil || v < 0 || v > math.MaxInt64/u.bytes {
+		parsed, err := strconv.ParseInt(strings.TrimSpace(number), 10, 64)
+		if err != nil || parsed < 0 || parsed > math.MaxInt64/unit.bytes {
 			break
 		}
-		s.Bytes = v * u.bytes
+		s.Bytes = parsed * unit.bytes
 		return nil
 	}
 	return newUnitError(text, "is no size with a unit, as \"512B\", \"64KiB\", \"4MiB\" or \"1GiB\"")
@@ -116,10 +116,10 @@
 
 // UnmarshalText parses permissions in octal digits.
 func (m *Mode) UnmarshalText(text []byte) error {
-	v, err := strconv.ParseUint(string(text), 8, 32)
-	if err != nil || v > permissionBits {
+	parsed, err := strconv.ParseUint(string(text), 8, 32)
+	if err != nil || parsed > permissionBits {
 		return newUnitError(text, "are no permissions in octal, as \"0660\"")
 	}
-	m.Bits = os.FileMode(v)
+	m.Bits = os.FileMode(parsed)
 	return nil
 }
--- a/internal/xdsclient/client_test.go
+++ b/internal/xdsclient/client_test.go
@@ -195,15 +195,15 @@
 		server.Broadcast(r)
 		received++
 		scriptedpeer.Eventually(t, want, func() bool { return len(client.updates()) == received })
-		u := client.updates()[received-1]
-		if !strings.Contains(u.DecodeError, want) || u.Resources != nil || u.Version.Digest == "" {
-			t.Errorf("%s: %+v", want, u)
+		update := client.updates()[received-1]
+		if !strings.Contains(update.DecodeError, want) || update.Resources != nil || update.Version.Digest == "" {
+			t.Errorf("%s: %+v", want, update)
 		}
 	}
 	server.Broadcast(valid)
 	scriptedpeer.Eventually(t, "a valid one", func() bool {
-		u := client.updates()
-		return len(u) == received+1 && u[received].DecodeError == ""
+		update := client.updates()
+		return len(update) == received+1 && update[received].DecodeError == ""
 	})
 	if server.StreamsOpened() != 1 {
 		t.Errorf("%d streams", server.StreamsOpened())
@@ -279,9 +279,9 @@
 		scriptedpeer.Eventually(t, "version "+versionInfo, func() bool { return client.hasVersion(n + 1) })
 		client.Ack(rollout.ID{Number: uint64(n + 1)}, true)
 	}
-	for _, u := range client.updates() {
-		if u.DecodeError != "" || len(u.Resources) != 2 {
-			t.Errorf("%+v", u)
+	for _, update := range client.updates() {
+		if update.DecodeError != "" || len(update.Resources) != 2 {
+			t.Errorf("%+v", update)
 		}
 	}
 	// An ACK between two streams is not sent, but the next stream starts with the version that is running.
@@ -305,8 +305,8 @@
 
 // hasVersion reports whether the version with a number has been received.
 func (client *testClient) hasVersion(number int) bool {
-	for _, u := range client.updates() {
-		if u.Version.Number == uint64(number) {
+	for _, update := range client.updates() {
+		if update.Version.Number == uint64(number) {
 			return true
 		}
 	}
@@ -413,23 +413,23 @@
 // A client only receives versions if each side has a certificate that is signed by the authority of the other, and
 // the server's certificate has the expected name.
 func TestMutualTLS(t *testing.T) {
-	ours := newAuthority(t)
-	theirs := newAuthority(t)
-	server := startServer(t, xdsserver.Options{Credentials: ours.serverCredentials(t)})
+	trusted := newAuthority(t)
+	untrusted := newAuthority(t)
+	server := startServer(t, xdsserver.Options{Credentials: trusted.serverCredentials(t)})
 	require.NoError(t, server.SetResources("1", []config.Resource{classResource("look", 1)}, nil))
-	settingsWith := func(ca, own *certificateAuthority, name string) config.ControlPlane {
+	settingsWith := func(ca, issuer *certificateAuthority, name string) config.ControlPlane {
 		settings := controlPlaneSettings(server.Address)
 		settings.Plaintext = false
 		settings.ServerName = name
 		settings.CA = filepath.Join(ca.dir, "ca.pem")
-		settings.Cert, settings.Key = own.issue(t, "instance")
+		settings.Cert, settings.Key = issuer.issue(t, "instance")
 		return settings
 	}
-	valid := startClient(t, settingsWith(ours, ours, ""), nil)
+	valid := startClient(t, settingsWith(trusted, trusted, ""), nil)
 	for description, settings := range map[string]config.ControlPlane{
-		"an authority that is not the service's": settingsWith(theirs, ours, ""),
-		"a certificate of another authority":     settingsWith(ours, theirs, ""),
-		"another name":                           settingsWith(ours, ours, "somebody"),
+		"an authority that is not the service's": settingsWith(untrusted, trusted, ""),
+		"a certificate of another authority":     settingsWith(trusted, untrusted, ""),
+		"another name":                           settingsWith(trusted, trusted, "somebody"),
 		"no TLS":                                 controlPlaneSettings(server.Address),
 	} {
 		client := startClient(t, settings, nil)
@@ -440,13 +440,13 @@
 		}()
 	}
 	scriptedpeer.Eventually(t, "the version", func() bool { return valid.hasVersion(1) })
-	invalid := settingsWith(ours, ours, "")
+	invalid := settingsWith(trusted, trusted, "")
 	invalid.CA = invalid.Key
 	_, err := xdsclient.New(xdsclient.Options{Settings: invalid})
 	if err == nil || !strings.Contains(err.Error(), "control.ca") {
 		t.Errorf("an invalid CA: %v", err)
 	}
-	invalid = settingsWith(ours, ours, "")
+	invalid = settingsWith(trusted, trusted, "")
 	invalid.Key = "/nowhere"
 	_, err = xdsclient.New(xdsclient.Options{Settings: invalid})
 	if err == nil || !strings.Contains(err.Error(), "control.cert") {
--- a/internal/xdsclient/golden_test.go
+++ b/internal/xdsclient/golden_test.go
@@ -76,11 +76,11 @@
 }
 
 // decodeHex decodes a protobuf message from hexadecimal digits.
-func decodeHex(t *testing.T, text string, into proto.Message) {
+func decodeHex(t *testing.T, text string, target proto.Message) {
 	t.Helper()
 	raw, err := hex.DecodeString(strings.TrimSpace(text))
 	require.NoError(t, err)
-	require.NoError(t, proto.Unmarshal(raw, into))
+	require.NoError(t, proto.Unmarshal(raw, target))
 }
 
 // checkJSON compares the JSON encoding of a value with the golden file called name.
@@ -101,7 +101,9 @@
 	server, address := startRecordingServer(t)
 	client := startClient(t, controlPlaneSettings(address), &rollout.ID{Epoch: "e", Number: 6})
 	var requests []*discovery.DiscoveryRequest
-	receiveRequest := func(what string) { requests = append(requests, scriptedpeer.Receive(t, server.requests, what)) }
+	receiveRequest := func(description string) {
+		requests = append(requests, scriptedpeer.Receive(t, server.requests, description))
+	}
 	receiveRequest("the first request")
 
 	response := &discovery.DiscoveryResponse{}
@@ -131,8 +133,8 @@
 	for i, line := range want {
 		expected := &discovery.DiscoveryRequest{}
 		decodeHex(t, line, expected)
-		if agent := requests[i].GetNode().GetUserAgentBuildVersion(); agent != nil {
-			t.Errorf("request %d: build version %v", i, agent)
+		if buildVersion := requests[i].GetNode().GetUserAgentBuildVersion(); buildVersion != nil {
+			t.Errorf("request %d: build version %v", i, buildVersion)
 		}
 		if requests[i].GetNode().GetUserAgentVersion() != "" { // the version of the running test binary differs
 			requests[i].Node.UserAgentVersionType = expected.GetNode().GetUserAgentVersionType()
--- a/internal/xdsclient/interop_test.go
+++ b/internal/xdsclient/interop_test.go
@@ -24,12 +24,12 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	resourceCache := cache.NewLinearCache(xdsclient.TypeURL, cache.WithVersionPrefix("plane/"))
-	rejected := make(chan string, 16)
+	rejections := make(chan string, 16)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	onRequest := func(_ int64, request *discovery.DiscoveryRequest) error {
 		if detail := request.GetErrorDetail(); detail != nil {
-			rejected <- request.GetVersionInfo() + ": " + detail.GetMessage()
+			rejections <- request.GetVersionInfo() + ": " + detail.GetMessage()
 		}
 		return nil
 	}
@@ -54,20 +54,21 @@
 	setClassWeight(1)
 	client := startClient(t, controlPlaneSettings(listener.Addr().String()), nil)
 	scriptedpeer.Eventually(t, "a version", func() bool { return len(client.updates()) == 1 })
-	first := client.updates()[0]
-	if first.DecodeError != "" || first.Version.Epoch != "plane" || first.Resources[0].ID() != "class/look" {
-		t.Fatalf("%+v", first)
+	firstUpdate := client.updates()[0]
+	if firstUpdate.DecodeError != "" || firstUpdate.Version.Epoch != "plane" ||
+		firstUpdate.Resources[0].ID() != "class/look" {
+		t.Fatalf("%+v", firstUpdate)
 	}
-	client.Ack(first.Version.ID, true)
+	client.Ack(firstUpdate.Version.ID, true)
 	setClassWeight(2)
 	scriptedpeer.Eventually(t, "the next", func() bool { return len(client.updates()) == 2 })
-	second := client.updates()[1]
-	if second.Version.Number != first.Version.Number+1 || second.Resources[0].Fields["worth"] != 2.0 {
-		t.Errorf("%+v", second)
+	secondUpdate := client.updates()[1]
+	if secondUpdate.Version.Number != firstUpdate.Version.Number+1 || secondUpdate.Resources[0].Fields["worth"] != 2.0 {
+		t.Errorf("%+v", secondUpdate)
 	}
-	client.Nack(second.Version.ID, "not today", &first.Version.ID)
-	expected := xdsclient.FormatVersionInfo(first.Version.ID) + ": not today"
-	if got := scriptedpeer.Receive(t, rejected, "the NACK"); got != expected {
+	client.Nack(secondUpdate.Version.ID, "not today", &firstUpdate.Version.ID)
+	expected := xdsclient.FormatVersionInfo(firstUpdate.Version.ID) + ": not today"
+	if got := scriptedpeer.Receive(t, rejections, "the NACK"); got != expected {
 		t.Errorf("NACK %q, not %q", got, expected)
 	}
 	setClassWeight(3)
--- a/internal/xdsclient/stream.go
+++ b/internal/xdsclient/stream.go
@@ -139,12 +139,12 @@
 		state = stateConfirmed
 	}
 	c.mu.Lock()
-	info := FormatVersionInfo(id)
-	c.versionInfo = info
-	nonce := c.nonces[info]
+	versionInfo := FormatVersionInfo(id)
+	c.versionInfo = versionInfo
+	nonce := c.nonces[versionInfo]
 	c.mu.Unlock()
 	if nonce != "" {
-		c.send(&discovery.DiscoveryRequest{ResponseNonce: nonce, Node: c.nodeWithState(info, state)})
+		c.send(&discovery.DiscoveryRequest{ResponseNonce: nonce, Node: c.nodeWithState(versionInfo, state)})
 	}
 }
 
@@ -156,8 +156,8 @@
 	if running != nil {
 		c.versionInfo = FormatVersionInfo(*running)
 	}
-	info := FormatVersionInfo(id)
-	nonce := c.nonces[info]
+	versionInfo := FormatVersionInfo(id)
+	nonce := c.nonces[versionInfo]
 	c.mu.Unlock()
 	if nonce == "" { // the version was received on an earlier stream
 		return
@@ -165,17 +165,17 @@
 	c.send(&discovery.DiscoveryRequest{
 		ResponseNonce: nonce,
 		ErrorDetail:   newErrorDetail(reason),
-		Node:          c.nodeWithState(info, stateRejected),
+		Node:          c.nodeWithState(versionInfo, stateRejected),
 	})
 }
 
 // nodeWithState returns the node with a version and its rollout state in the metadata.
-func (c *Client) nodeWithState(info, state string) *core.Node {
+func (c *Client) nodeWithState(versionInfo, state string) *core.Node {
 	return &core.Node{
 		Id:      c.node.Id,
 		Cluster: c.node.Cluster,
 		Metadata: &structpb.Struct{Fields: map[string]*structpb.Value{
-			versionField: structpb.NewStringValue(info),
+			versionField: structpb.NewStringValue(versionInfo),
 			stateField:   structpb.NewStringValue(state),
 		}},
 	}
