--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -254,8 +254,8 @@
 	}
 }
 
-// Parse panics on no text, and the settings and client limits of each accepted text are valid for the decision
-// packages.
+// Parse must not panic on any text, and the settings and client limits of every accepted text must be valid for the
+// decision packages.
 func FuzzParse(f *testing.F) {
 	f.Add(minimalFile)
 	text, err := os.ReadFile("../../deploy/dunlinsaild.toml")
--- a/internal/config/requests.go
+++ b/internal/config/requests.go
@@ -131,7 +131,7 @@
 type Prices struct {
 	CrossZone   float64 `toml:"cross_zone"` // price of an attempt in another zone
 	Probe       float64 `toml:"probe"`      // price of a health check
-	Waste       float64 `toml:"waste"` // price of work without an accepted response; not used by the balancer
+	Waste       float64 `toml:"waste"`      // price of work without an accepted response; not used by the balancer
 	LateFailure float64 `toml:"late_fail"`  // price of a failure after the latency objective; not used by the balancer
 }
 
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -36,9 +36,8 @@
 	MinRetryRate *float64 `toml:"retry_least"`
 }
 
-// RetryWindow returns the length of the time window in which the pool's retries are limited to its budget. An
-// unused budget is not carried over to the next window. It returns 0 if the pool sets neither RetryBudget nor
-// MinRetryRate.
+// RetryWindow returns the length of the sliding time window in which the pool's retries are limited to its budget;
+// unused budget does not accumulate beyond it. It returns 0 if the pool sets neither RetryBudget nor MinRetryRate.
 func (p *Pool) RetryWindow() time.Duration {
 	if p.RetryBudget == 0 && p.MinRetryRate == nil {
 		return 0
@@ -183,11 +182,11 @@
 const (
 	defaultRouteObjective = 10 * time.Second // latency objective of ReadClass and WriteClass
 	defaultRouteTimeout   = 30 * time.Second // client timeout of ReadClass and WriteClass
-	defaultBufferedBytes  = 64 << 10         // of Route.MaxBufferedBody and MaxBufferedResponse
-	defaultStreamIdle     = 30 * time.Second // of Route.IdleTimeout
-	defaultStreamTotal    = 10 * time.Minute // of Route.TotalTimeout
-	defaultForwarded      = "as-is"          // of Route.Forwarded
-	defaultMinRetryRate   = 1                // of Pool.MinRetryRate, in retries a second
+	defaultBufferedBytes  = 64 << 10         // default of Route.MaxBufferedBody and Route.MaxBufferedResponse
+	defaultStreamIdle     = 30 * time.Second // default of Route.IdleTimeout
+	defaultStreamTotal    = 10 * time.Minute // default of Route.TotalTimeout
+	defaultForwarded      = "as-is"          // default of Route.Forwarded
+	defaultMinRetryRate   = 1                // default of Pool.MinRetryRate, in retries a second
 	defaultRetryWindow    = time.Second      // window in which Pool.RetryBudget applies
 )
 
--- a/internal/stricttoml/lines.go
+++ b/internal/stricttoml/lines.go
@@ -145,7 +145,7 @@
 	return path
 }
 
-// recordInlineKeys adds the keys of inline tables in the value v to lines. parent is the key of the value.
+// recordInlineKeys adds the keys of inline tables in a value to lines. parent is the key of the value.
 func recordInlineKeys(lineOf lineOffsets, value *unstable.Node, parent []string, lines map[string]int) {
 	switch value.Kind {
 	case unstable.InlineTable:
--- a/internal/stricttoml/stricttoml_test.go
+++ b/internal/stricttoml/stricttoml_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// keyLines panics on no text.
+// keyLines must not panic on any text.
 func FuzzKeyLines(f *testing.F) {
 	f.Add("[[a]]\n[a.b]\n[[a.b.c]]\nd = [{e = 1}, {f.g = 2}]")
 	f.Fuzz(func(t *testing.T, text string) { keyLines([]byte(text)) })
--- a/internal/stricttoml/validation.go
+++ b/internal/stricttoml/validation.go
@@ -46,8 +46,8 @@
 	return "", key, false
 }
 
-// Enum returns the result that values has for value. If value is unknown, it records a mistake of the key that
-// lists the known values.
+// Enum returns the result for value in values. If value is not in values, it records a mistake of the key that
+// lists the valid ones.
 func Enum[T any](v *Validation, key, value string, values map[string]T) T {
 	result, ok := values[value]
 	if !ok {
--- a/internal/xdsclient/client.go
+++ b/internal/xdsclient/client.go
@@ -50,7 +50,7 @@
 	initialBackoff    = 500 * time.Millisecond // backoff after the first failure of a stream or connection
 	backoffMultiplier = 2                      // factor by which the backoff grows with each further failure
 	dialJitter        = 0.5                    // jitter of the backoff between connections, as a fraction of it
-	minConnectTimeout = 5 * time.Second        // shortest time that a connection may take to open
+	minConnectTimeout = 5 * time.Second        // least time that a connection attempt gets before it is abandoned
 	keepaliveTime     = 20 * time.Second       // time without traffic after which a ping is sent
 	keepaliveTimeout  = 5 * time.Second        // time without a response to a ping after which the connection is closed
 )
--- a/internal/xdsclient/decode_test.go
+++ b/internal/xdsclient/decode_test.go
@@ -12,8 +12,8 @@
 	"dunlinsail/internal/config"
 )
 
-// decode panics on no response. A decoded version formats to the version_info of the response, and Combine either
-// accepts its resources without changing tables that only the file may have, or returns an error.
+// decode must not panic on any response. A decoded version formats to the version_info of the response, and Combine
+// either accepts its resources without changing tables that only the file may have, or returns an error.
 func FuzzDecode(f *testing.F) {
 	file, err := config.Parse([]byte(`
 [[listener]]
