--- a/internal/config/decisions.go
+++ b/internal/config/decisions.go
@@ -10,35 +10,37 @@
 	"dunlinsail/internal/engine"
 )
 
-// ticksPerLease is the number of ticks of consensus, by which its timeouts are counted, in a maintenance lease.
+// ticksPerLease is the number of consensus ticks during a maintenance lease. Consensus counts its timeouts in
+// ticks.
 const ticksPerLease = 20
 
-// Consensus returns the settings by which the maintenance plan is replicated; nil if maintenance is off.
+// Consensus returns the settings of the consensus group that replicates the maintenance plan, or nil if maintenance
+// is off.
 func (c *Config) Consensus() *consensus.Settings {
-	w := &c.Maintenance
-	if !w.On {
+	plan := &c.Maintenance
+	if !plan.On {
 		return nil
 	}
 	return &consensus.Settings{
 		Self:         c.Name,
 		Voters:       c.Peers.Allocators,
-		TickInterval: w.Lease.Micros() / ticksPerLease,
+		TickInterval: plan.Lease.Micros() / ticksPerLease,
 		Maintenance: maintenance.Settings{
-			MaxOut:        w.MaxOut,
-			MaxOutPerZone: w.MaxPerZone,
-			MaxOutPerCell: w.MaxPerCell,
-			MaxOutPerKind: w.MaxPerMachineType,
-			MaxAnnounced:  w.Announced,
-			Headroom:      w.CapacityReserve,
-			LeaseDuration: w.Lease.Micros(),
-			InFlightGrace: w.QuietPeriod.Micros(),
+			MaxOut:        plan.MaxOut,
+			MaxOutPerZone: plan.MaxOutPerZone,
+			MaxOutPerCell: plan.MaxOutPerCell,
+			MaxOutPerKind: plan.MaxOutPerMachineType,
+			MaxAnnounced:  plan.MaxAnnounced,
+			Headroom:      plan.CapacityReserve,
+			LeaseDuration: plan.Lease.Micros(),
+			InFlightGrace: plan.InFlightGrace.Micros(),
 			Warmup:        c.Rules.WarmupDuration.Micros(),
 			MaxClockDrift: c.Peers.MaxClockDrift,
 		},
 	}
 }
 
-// coordinatedUses are the values of Peers.CoordinatedUses.
+// coordinatedUses maps each value of Peers.CoordinatedUses to a function that enables it in a coordination scope.
 var coordinatedUses = map[string]func(u *engine.CoordinationScope){
 	"further":  func(u *engine.CoordinationScope) { u.Retries = true },
 	"probes":   func(u *engine.CoordinationScope) { u.Probes = true },
@@ -47,58 +49,60 @@
 	"suspects": func(u *engine.CoordinationScope) { u.SuspectedEndpoints = true },
 }
 
-// Coordination returns what the fleet coordinates, as the engine takes it, without the transport; nil if it is off.
+// Coordination returns the engine's settings for coordination within the fleet, without the transport. It returns
+// nil if coordination is off. seed seeds the random numbers of coordination.
 func (c *Config) Coordination(seed uint64) *engine.Coordination {
-	p := &c.Peers
-	if !p.On {
+	peers := &c.Peers
+	if !peers.On {
 		return nil
 	}
 	coordinated := &engine.Coordination{
 		Settings: coordination.Settings{
 			Self:          c.Name,
-			Candidates:    p.Allocators,
-			LeaseDuration: p.LeaderLease.Micros(),
+			Candidates:    peers.Allocators,
+			LeaseDuration: peers.LeaderLease.Micros(),
 			Seed:          seed,
 			Quota: quota.Settings{
 				MaxInstances:    c.Fleet.Instances,
-				Reserve:         p.ReserveFraction,
-				LeaseDuration:   p.QuotaLease.Micros(),
-				RequestInterval: p.LeaseRequestInterval.Micros(),
-				MaxClockDrift:   p.MaxClockDrift,
+				Reserve:         peers.ReserveFraction,
+				LeaseDuration:   peers.QuotaLease.Micros(),
+				RequestInterval: peers.LeaseRequestInterval.Micros(),
+				MaxClockDrift:   peers.MaxClockDrift,
 			},
 		},
 	}
-	for _, name := range p.CoordinatedUses {
+	for _, name := range peers.CoordinatedUses {
 		coordinatedUses[name](&coordinated.Scope)
 	}
 	return coordinated
 }
 
-// initialInFlight is the initial adaptive limit of requests in flight, unless the limits of Requests exclude it.
+// initialInFlight is the initial adaptive limit of requests in flight. It is clamped to Requests.MinInFlight and
+// Requests.MaxInFlight.
 const initialInFlight = 16
 
-// ConcurrencySettings returns the concurrency limits of all clients together, as the engine takes them: those of
-// requests in flight hold in each pool.
+// ConcurrencySettings returns the concurrency limits that all clients share, in the form that the engine takes. The
+// limits of requests in flight apply to each pool separately.
 func (c *Config) ConcurrencySettings() engine.ConcurrencySettings {
-	r := &c.Requests
-	s := engine.ConcurrencySettings{MaxInFlight: r.InFlight, MaxOpen: r.MaxOpen}
-	if r.InFlight == 0 {
-		s.Adaptive = &concurrency.Settings{
-			Min:     r.MinInFlight,
-			Max:     r.MaxInFlight,
-			Initial: min(r.MaxInFlight, max(r.MinInFlight, initialInFlight)),
+	requests := &c.Requests
+	settings := engine.ConcurrencySettings{MaxInFlight: requests.InFlight, MaxOpen: requests.MaxOpen}
+	if requests.InFlight == 0 {
+		settings.Adaptive = &concurrency.Settings{
+			Min:     requests.MinInFlight,
+			Max:     requests.MaxInFlight,
+			Initial: min(requests.MaxInFlight, max(requests.MinInFlight, initialInFlight)),
 		}
 	}
-	return s
+	return settings
 }
 
-// ConnectionLimits returns the limits of clients' connections, as package connlimit takes them.
+// ConnectionLimits returns the limits of client connections in the form that package connlimit takes.
 func (c *Config) ConnectionLimits() connlimit.Limits {
-	n := &c.Connections
+	connections := &c.Connections
 	return connlimit.Limits{
-		MaxConnections: n.MaxClients,
-		MaxIdle:        n.MaxIdle,
-		MaxIdleTime:    n.MaxIdleTime.Micros(),
-		MinIdleTime:    n.MinIdleTime.Micros(),
+		MaxConnections: connections.MaxClients,
+		MaxIdle:        connections.MaxIdle,
+		MaxIdleTime:    connections.MaxIdleTime.Micros(),
+		MinIdleTime:    connections.MinIdleTime.Micros(),
 	}
 }
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -11,70 +11,72 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Change is a difference between two versions in one key of a resource, or in a complete resource.
+// Change describes a difference between two versions: in one key of a resource, or an added or removed resource.
 type Change struct {
-	Resource string // its ID
-	Key      string // "" is the complete resource
-	From, To any    // nil where it does not exist
+	Resource string // ID of the resource
+	Key      string // "" if the complete resource was added or removed
+	From, To any    // values in the old and the new version; nil if missing there
 }
 
-// String returns one line: + added, - removed or ~ changed, resource, key and values.
+// String returns the change as one line: "+" (added), "-" (removed) or "~" (changed), the resource's ID, the key
+// and the values.
 func (c *Change) String() string {
-	what := c.Resource
+	location := c.Resource
 	if c.Key != "" {
-		what += " " + c.Key
+		location += " " + c.Key
 	}
 	switch {
 	case c.From == nil:
-		return fmt.Sprintf("+ %s %s", what, text(c.To))
+		return fmt.Sprintf("+ %s %s", location, jsonText(c.To))
 	case c.To == nil:
-		return fmt.Sprintf("- %s %s", what, text(c.From))
+		return fmt.Sprintf("- %s %s", location, jsonText(c.From))
 	}
-	return fmt.Sprintf("~ %s %s -> %s", what, text(c.From), text(c.To))
+	return fmt.Sprintf("~ %s %s -> %s", location, jsonText(c.From), jsonText(c.To))
 }
 
-func text(v any) string {
-	b, err := json.Marshal(v)
+// jsonText returns a value as JSON, or in the default format of fmt if it cannot be encoded.
+func jsonText(value any) string {
+	encoded, err := json.Marshal(value)
 	if err != nil {
-		return fmt.Sprint(v)
+		return fmt.Sprint(value)
 	}
-	return string(b)
+	return string(encoded)
 }
 
-// Diff returns what differs between two versions, by resource and key.
-func Diff(from, to []Resource) (all []Change) {
-	before := byID(from)
-	after := byID(to)
-	for _, id := range sortedUnion(before, after) {
-		was := before[id]
-		is := after[id]
+// Diff returns the changes from one version to another, sorted by resource ID and key.
+func Diff(oldVersion, newVersion []Resource) (changes []Change) {
+	oldByID := byID(oldVersion)
+	newByID := byID(newVersion)
+	for _, id := range sortedUnion(oldByID, newByID) {
+		oldResource := oldByID[id]
+		newResource := newByID[id]
 		switch {
-		case was == nil:
-			all = append(all, Change{Resource: id, To: is.Fields})
-		case is == nil:
-			all = append(all, Change{Resource: id, From: was.Fields})
+		case oldResource == nil:
+			changes = append(changes, Change{Resource: id, To: newResource.Fields})
+		case newResource == nil:
+			changes = append(changes, Change{Resource: id, From: oldResource.Fields})
 		default:
-			all = append(all, diffFields(id, was.Fields, is.Fields)...)
+			changes = append(changes, diffFields(id, oldResource.Fields, newResource.Fields)...)
 		}
 	}
-	return all
+	return changes
 }
 
-// diffFields returns the changes between the fields of a resource, by key.
-func diffFields(id string, from, to map[string]any) (all []Change) {
-	for _, key := range sortedUnion(from, to) {
-		if !reflect.DeepEqual(from[key], to[key]) {
-			all = append(all, Change{id, key, from[key], to[key]})
+// diffFields returns the changes between the old and new fields of the resource id, sorted by key.
+func diffFields(id string, oldFields, newFields map[string]any) (changes []Change) {
+	for _, key := range sortedUnion(oldFields, newFields) {
+		if !reflect.DeepEqual(oldFields[key], newFields[key]) {
+			changes = append(changes, Change{id, key, oldFields[key], newFields[key]})
 		}
 	}
-	return all
+	return changes
 }
 
-// sortedUnion returns the keys of two maps, sorted.
+// sortedUnion returns the keys that are in either map, sorted.
 func sortedUnion[V any](a, b map[string]V) []string {
 	keys := slices.Collect(maps.Keys(a))
 	for key := range b {
-		if _, both := a[key]; !both {
+		if _, inBoth := a[key]; !inBoth {
 			keys = append(keys, key)
 		}
 	}
@@ -82,57 +84,59 @@
 	return keys
 }
 
-func byID(all []Resource) map[string]*Resource {
-	m := map[string]*Resource{}
-	for i := range all {
-		m[all[i].ID()] = &all[i]
+// byID returns a map of the resources by ID.
+func byID(resources []Resource) map[string]*Resource {
+	resourceByID := map[string]*Resource{}
+	for i := range resources {
+		resourceByID[resources[i].ID()] = &resources[i]
 	}
-	return m
+	return resourceByID
 }
 
-// Resources returns the tables of a file as the resources of a version, without those that only a file may hold.
+// Resources converts the tables of a file to resources of a version. Tables that only a file may have are skipped.
 func Resources(file *Config) ([]Resource, error) {
-	var tree map[string]any
-	if err := toml.Unmarshal(file.Text, &tree); err != nil {
+	var tables map[string]any
+	if err := toml.Unmarshal(file.Text, &tables); err != nil {
 		return nil, err
 	}
-	// JSON has one type of number, like a version.
-	b, err := json.Marshal(tree)
+	// Encodes as JSON and decodes again, so that all numbers are float64 as in the resources of a version.
+	encoded, err := json.Marshal(tables)
 	if err != nil {
 		return nil, err
 	}
-	clear(tree)
-	if err := json.Unmarshal(b, &tree); err != nil {
+	clear(tables)
+	if err := json.Unmarshal(encoded, &tables); err != nil {
 		return nil, err
 	}
-	var all []Resource
-	for name, k := range ResourceKinds() {
-		switch v := tree[name].(type) {
+	var resources []Resource
+	for name, kind := range ResourceKinds() {
+		switch table := tables[name].(type) {
 		case map[string]any:
-			all = append(all, Resource{Kind: name, Fields: v})
+			resources = append(resources, Resource{Kind: name, Fields: table})
 		case []any:
-			if k.List {
-				all = append(all, listResources(name, v)...)
+			if kind.IsList {
+				resources = append(resources, listResources(name, table)...)
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b Resource) int { return strings.Compare(a.ID(), b.ID()) })
-	return all, nil
+	slices.SortFunc(resources, func(a, encoded Resource) int { return strings.Compare(a.ID(), encoded.ID()) })
+	return resources, nil
 }
 
-// listResources returns the tables of a list as resources. One without a name has its index as its name.
-func listResources(kind string, tables []any) (all []Resource) {
+// listResources returns the tables of a list as resources of a kind. A table without a name is named by its index
+// in the list.
+func listResources(kind string, tables []any) (resources []Resource) {
 	for i, table := range tables {
 		fields, ok := table.(map[string]any)
 		if !ok {
 			continue
 		}
-		r := Resource{Kind: kind, Fields: fields}
-		if r.Name, ok = fields["name"].(string); !ok {
-			r.Name = fmt.Sprint(i)
+		resource := Resource{Kind: kind, Fields: fields}
+		if resource.Name, ok = fields["name"].(string); !ok {
+			resource.Name = fmt.Sprint(i)
 		}
 		delete(fields, "name")
-		all = append(all, r)
+		resources = append(resources, resource)
 	}
-	return all
+	return resources
 }
--- a/internal/configcache/cache_test.go
+++ b/internal/configcache/cache_test.go
@@ -14,24 +14,25 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// version returns a version of the control plane whose digest is its number in hexadecimal digits.
-func version(n uint64) *rollout.Version {
+// newVersion returns version n of the control plane, with n in hexadecimal digits as its digest.
+func newVersion(n uint64) *rollout.Version {
 	return &rollout.Version{
 		ID:     rollout.ID{Source: rollout.SourceControlPlane, Epoch: "a", Number: n},
 		Digest: fmt.Sprintf("%02x", n),
 	}
 }
 
-// newState returns a state with versions by their numbers.
-func newState(good, previous uint64) *rollout.PersistentState {
+// newState returns a state with two versions of the control plane: number good is the last known good version, and
+// number previous the one before it.
+func newState(lastKnownGood, previous uint64) *rollout.PersistentState {
 	file := rollout.Version{ID: rollout.ID{Source: rollout.SourceFile, Number: 1}, Digest: "ff"}
 	return &rollout.PersistentState{
-		LastKnownGood: &rollout.LayeredVersion{ControlPlane: version(good), File: file},
-		PreviousGood:  &rollout.LayeredVersion{ControlPlane: version(previous), File: file},
+		LastKnownGood: &rollout.LayeredVersion{ControlPlane: newVersion(lastKnownGood), File: file},
+		PreviousGood:  &rollout.LayeredVersion{ControlPlane: newVersion(previous), File: file},
 	}
 }
 
-// newContents returns the contents of the file and of versions, by their digests.
+// newContents returns the contents of the file and of the versions with the given numbers, by digest.
 func newContents(numbers ...uint64) map[string][]byte {
 	contents := map[string][]byte{"ff": []byte("file")}
 	for _, n := range numbers {
@@ -40,18 +41,18 @@
 	return contents
 }
 
-// fileNames returns the names of the files in a cache's folder.
+// fileNames returns the names of the files in the folder of a cache.
 func fileNames(t *testing.T, cache *Cache) (names []string) {
 	t.Helper()
-	entries, err := os.ReadDir(cache.path)
+	entries, err := os.ReadDir(cache.folder)
 	require.NoError(t, err)
-	for _, e := range entries {
-		names = append(names, e.Name())
+	for _, entry := range entries {
+		names = append(names, entry.Name())
 	}
 	return names
 }
 
-// openTemporary opens a cache in a new folder.
+// openTemporary opens a cache in a new temporary folder.
 func openTemporary(t *testing.T) *Cache {
 	t.Helper()
 	cache, err := Open(filepath.Join(t.TempDir(), "versions"))
@@ -59,7 +60,8 @@
 	return cache
 }
 
-// mustLastKnownGood returns the number of the last known good version of the control plane.
+// mustLastKnownGood loads the state, and returns the number of its last known good version of the control plane. It
+// fails the test if there is no state.
 func (c *Cache) mustLastKnownGood(t *testing.T) uint64 {
 	t.Helper()
 	state, _, err := c.Load()
@@ -69,12 +71,12 @@
 	return state.LastKnownGood.ControlPlane.Number
 }
 
-// A saved state is loaded, contents that no state refers to are removed, and the previous state is loaded if the
-// newest is corrupt.
+// Load returns the last saved state, or the previous state if the newest is corrupt or missing. Save removes
+// contents to which no state refers.
 func TestSaveAndLoad(t *testing.T) {
 	cache := openTemporary(t)
-	if k, _, err := cache.Load(); k != nil || err != nil {
-		t.Errorf("of nothing: %v, %v", k, err)
+	if state, _, err := cache.Load(); state != nil || err != nil {
+		t.Errorf("of nothing: %v, %v", state, err)
 	}
 	for n := uint64(1); n < 5; n++ {
 		require.NoError(t, cache.Save(newState(n, n-1), newContents(n, n-1)))
@@ -95,41 +97,43 @@
 	if text, err := cache.Content("04"); string(text) != "content 4" || err != nil {
 		t.Errorf("%q, %v", text, err)
 	}
-	for _, bad := range []string{"../state", "", "zz"} {
-		if _, err := cache.Content(bad); err == nil {
-			t.Errorf("digest %q", bad)
+	for _, digest := range []string{"../state", "", "zz"} {
+		if _, err := cache.Content(digest); err == nil {
+			t.Errorf("digest %q", digest)
 		}
 	}
 	checkCorruptState(t, cache)
-	// A corrupt state does not become the previous one.
+	// Save must not keep a corrupt state as the previous state.
 	require.NoError(t, cache.Save(newState(5, 4), newContents(5, 4)))
-	require.NoError(t, os.WriteFile(filepath.Join(cache.path, stateFile), nil, 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(cache.folder, stateFile), nil, 0o600))
 	if state, _, _ := cache.Load(); state.LastKnownGood.ControlPlane.Number != 3 {
 		t.Errorf("previous: %d", state.LastKnownGood.ControlPlane.Number)
 	}
-	os.Remove(filepath.Join(cache.path, stateFile))
-	if state, from, err := cache.Load(); err != nil || from != previousStateFile || state == nil {
-		t.Errorf("without the newer: %q, %v", from, err)
+	os.Remove(filepath.Join(cache.folder, stateFile))
+	if state, file, err := cache.Load(); err != nil || file != previousStateFile || state == nil {
+		t.Errorf("without the newer: %q, %v", file, err)
 	}
 }
 
-// checkCorruptState cuts the state file off at each length: version 3 of the previous state is loaded then.
+// checkCorruptState truncates the state file to each possible length. Load must then return the previous state,
+// whose last known good version is 3.
 func checkCorruptState(t *testing.T, cache *Cache) {
 	t.Helper()
-	complete, err := os.ReadFile(filepath.Join(cache.path, stateFile))
+	stateText, err := os.ReadFile(filepath.Join(cache.folder, stateFile))
 	require.NoError(t, err)
-	for length := range complete {
-		require.NoError(t, os.WriteFile(filepath.Join(cache.path, stateFile), complete[:length], 0o600))
-		state, from, err := cache.Load()
-		if from != previousStateFile || state.LastKnownGood.ControlPlane.Number != 3 || !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("cut off at %d of %d: from %q, %v", length, len(complete), from, err)
+	for length := range stateText {
+		require.NoError(t, os.WriteFile(filepath.Join(cache.folder, stateFile), stateText[:length], 0o600))
+		state, file, err := cache.Load()
+		if file != previousStateFile || state.LastKnownGood.ControlPlane.Number != 3 || !errors.Is(err, ErrCorrupt) {
+			t.Fatalf("cut off at %d of %d: from %q, %v", length, len(stateText), file, err)
 		}
 	}
 }
 
-// A crash between any two steps of Save leaves the old or the new state, and the next Save succeeds after either.
+// After a crash between any two steps of Save, Load returns the old or the new state, and the next Save succeeds
+// despite the temporary files that the crash has left.
 func TestCrashBetweenSteps(t *testing.T) {
-	for _, leave := range [][]string{
+	for _, leftovers := range [][]string{
 		{"content-03.part"},
 		{"state.part"},
 		{"state.before.part"},
@@ -137,38 +141,38 @@
 	} {
 		cache := openTemporary(t)
 		require.NoError(t, cache.Save(newState(2, 1), newContents(1, 2)))
-		for _, name := range leave {
-			require.NoError(t, os.WriteFile(filepath.Join(cache.path, name), []byte("half"), 0o600))
+		for _, name := range leftovers {
+			require.NoError(t, os.WriteFile(filepath.Join(cache.folder, name), []byte("half"), 0o600))
 		}
 		if got := cache.mustLastKnownGood(t); got != 2 {
-			t.Errorf("%v: good %d", leave, got)
+			t.Errorf("%v: good %d", leftovers, got)
 		}
 		if err := cache.Save(newState(3, 2), newContents(2, 3)); err != nil {
-			t.Fatalf("%v: %v", leave, err)
+			t.Fatalf("%v: %v", leftovers, err)
 		}
 		if got := cache.mustLastKnownGood(t); got != 3 {
-			t.Errorf("%v: good %d", leave, got)
+			t.Errorf("%v: good %d", leftovers, got)
 		}
-		os.Remove(filepath.Join(cache.path, stateFile))
+		os.Remove(filepath.Join(cache.folder, stateFile))
 		if got := cache.mustLastKnownGood(t); got != 2 {
-			t.Errorf("%v: previous is %d: an incomplete file has replaced it", leave, got)
+			t.Errorf("%v: previous is %d: an incomplete file has replaced it", leftovers, got)
 		}
 	}
 }
 
-// Save on a full disk returns the error and leaves the cache as it was.
+// Save on a full disk returns an error and leaves the cached files unchanged.
 func TestFullDisk(t *testing.T) {
 	cache := openTemporary(t)
 	require.NoError(t, cache.Save(newState(2, 1), newContents(1, 2)))
-	// Writes to /dev/full fail as on a full disk.
+	// Writes to /dev/full fail as they do on a full disk.
 	for _, name := range []string{"content-03.part", "state.part"} {
-		part := filepath.Join(cache.path, name)
-		require.NoError(t, os.Symlink("/dev/full", part))
+		partialFile := filepath.Join(cache.folder, name)
+		require.NoError(t, os.Symlink("/dev/full", partialFile))
 		if err := cache.Save(newState(3, 2), newContents(2, 3)); !errors.Is(err, syscall.ENOSPC) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if k, _, err := cache.Load(); err != nil || k.LastKnownGood.ControlPlane.Number != 2 {
-			t.Errorf("%s: %v, %v", name, k, err)
+		if state, _, err := cache.Load(); err != nil || state.LastKnownGood.ControlPlane.Number != 2 {
+			t.Errorf("%s: %v, %v", name, state, err)
 		}
 		if got := strings.Join(fileNames(t, cache), " "); strings.Contains(got, "part") {
 			t.Errorf("left behind: %s", got)
@@ -179,15 +183,15 @@
 	}
 }
 
-// A folder that cannot be written to or created is an error.
+// Open returns an error if the folder cannot be created, and Save if the folder does not exist.
 func TestUnusableFolder(t *testing.T) {
 	cache := openTemporary(t)
-	path := filepath.Join(cache.path, "file")
+	path := filepath.Join(cache.folder, "file")
 	require.NoError(t, os.WriteFile(path, nil, 0o600))
 	if _, err := Open(filepath.Join(path, "versions")); err == nil {
 		t.Error("a folder in a file")
 	}
-	os.RemoveAll(cache.path)
+	os.RemoveAll(cache.folder)
 	if err := cache.Save(newState(1, 0), newContents(0, 1)); err == nil {
 		t.Error("a folder that has gone")
 	}
--- a/internal/configcache/files.go
+++ b/internal/configcache/files.go
@@ -8,28 +8,28 @@
 	"strings"
 )
 
-// fileMode is the permissions of all files: contents may be confidential.
+// fileMode is the permissions of all files. Other users must not read them, since contents may be confidential.
 const fileMode = 0o600
 
-// readFile reads a file of at most maxFileBytes.
+// readFile reads the file called name. A file of more than maxFileBytes is corrupt.
 func (c *Cache) readFile(name string) ([]byte, error) {
-	f, err := os.Open(filepath.Join(c.path, name))
+	f, err := os.Open(filepath.Join(c.folder, name))
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
-	if err == nil && len(text) > maxFileBytes {
+	content, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
+	if err == nil && len(content) > maxFileBytes {
 		err = fmt.Errorf("%w: over %d bytes", ErrCorrupt, maxFileBytes)
 	}
-	return text, err
+	return content, err
 }
 
-// writeFile replaces a file atomically and durably, or leaves it as it was.
-func (c *Cache) writeFile(name string, text []byte) error {
-	path := filepath.Join(c.path, name)
+// writeFile replaces the file called name atomically and durably. After an error the file is unchanged.
+func (c *Cache) writeFile(name string, content []byte) error {
+	path := filepath.Join(c.folder, name)
 	temporary := path + temporarySuffix
-	if err := writeAndSync(temporary, text); err != nil {
+	if err := writeFileAndSync(temporary, content); err != nil {
 		os.Remove(temporary) // frees space on a full disk
 		return err
 	}
@@ -40,12 +40,13 @@
 	return c.syncFolder()
 }
 
-func writeAndSync(path string, text []byte) error {
+// writeFileAndSync writes a file and flushes it to disk.
+func writeFileAndSync(path string, content []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(text)
+	_, err = f.Write(content)
 	if err == nil {
 		err = f.Sync()
 	}
@@ -55,9 +56,9 @@
 	return err
 }
 
-// syncFolder makes the folder's entries durable.
+// syncFolder flushes the entries of the folder to disk.
 func (c *Cache) syncFolder() error {
-	f, err := os.Open(c.path)
+	f, err := os.Open(c.folder)
 	if err != nil {
 		return err
 	}
@@ -65,22 +66,23 @@
 	return f.Sync()
 }
 
-// backUpState makes the state file the previous one, too, unless it is missing or corrupt.
+// backUpState replaces the previous state file by a hard link to the state file, unless the latter is missing or
+// corrupt.
 func (c *Cache) backUpState() error {
 	if _, err := c.loadState(stateFile); err != nil {
 		return nil //nolint:nilerr // the previous file stays rather than a corrupt one
 	}
-	previous := filepath.Join(c.path, previousStateFile)
+	previous := filepath.Join(c.folder, previousStateFile)
 	temporary := previous + temporarySuffix
-	os.Remove(temporary) // left by a process that crashed here
-	if err := os.Link(filepath.Join(c.path, stateFile), temporary); err != nil {
+	os.Remove(temporary) // a process that crashed here has left it
+	if err := os.Link(filepath.Join(c.folder, stateFile), temporary); err != nil {
 		return err
 	}
 	return os.Rename(temporary, previous)
 }
 
-// removeUnreferenced removes contents that neither state refers to. Failures are ignored: such a file is not used, and
-// the next Save removes it.
+// removeUnreferenced removes contents to which neither state file refers. Errors are ignored: a leftover content is
+// not used, and the next Save removes it.
 func (c *Cache) removeUnreferenced() {
 	referenced := map[string]bool{}
 	for _, name := range []string{stateFile, previousStateFile} {
@@ -92,14 +94,14 @@
 			referenced[contentPrefix+digest] = true
 		}
 	}
-	entries, err := os.ReadDir(c.path)
+	entries, err := os.ReadDir(c.folder)
 	if err != nil {
 		return
 	}
 	for _, entry := range entries {
 		name := entry.Name()
 		if strings.HasPrefix(name, contentPrefix) && !referenced[name] {
-			os.Remove(filepath.Join(c.path, name))
+			os.Remove(filepath.Join(c.folder, name))
 		}
 	}
 }
--- a/internal/stricttoml/decode.go
+++ b/internal/stricttoml/decode.go
@@ -1,6 +1,6 @@
-// Package stricttoml decodes TOML files strictly: an unknown key, an invalid value and a contradiction are errors
-// that name key, line and reason, and all of them are reported at once. It also has the types of values with units.
-// It must not import the packages that a file configures.
+// Package stricttoml decodes TOML files strictly: unknown keys, invalid values and contradictions are errors with
+// key, line and reason, and all errors of a file are reported at once. The package also provides types for values
+// with units. It must not import packages that are configured by such files.
 package stricttoml
 
 import (
@@ -11,43 +11,44 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode decodes a TOML text into a struct, and returns the line of each key, from 1, for a Validation. Its error is
-// Errors.
-func Decode(text []byte, into any) (lines map[string]int, err error) {
+// Decode decodes a TOML text into a struct, and returns the line number of each key, from 1, for use in a
+// Validation. Its error is an Errors.
+func Decode(text []byte, target any) (lines map[string]int, err error) {
 	if bytes.HasPrefix(text, []byte("\xef\xbb\xbf")) {
 		return nil, Errors{{"", 1, "the file begins with a byte order mark (U+FEFF): save it as UTF-8 without one"}}
 	}
-	d := toml.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
-		return nil, decodeErrors(text, err)
+	decoder := toml.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(target); err != nil {
+		return nil, convertDecodeError(text, err)
 	}
 	return keyLines(text), nil
 }
 
-// decodeErrors converts an error of the TOML library to Errors.
-func decodeErrors(text []byte, err error) Errors {
-	var missing *toml.StrictMissingError
-	if errors.As(err, &missing) {
-		var all Errors
-		for i := range missing.Errors {
-			e := &missing.Errors[i]
-			line, _ := e.Position()
-			all = append(all, &Error{strings.Join(e.Key(), "."), line, "is not a known key"})
+// convertDecodeError converts an error of the TOML library to Errors.
+func convertDecodeError(text []byte, err error) Errors {
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) {
+		var mistakes Errors
+		for i := range unknownKeys.Errors {
+			unknownKey := &unknownKeys.Errors[i]
+			line, _ := unknownKey.Position()
+			mistakes = append(mistakes, &Error{strings.Join(unknownKey.Key(), "."), line, "is not a known key"})
 		}
-		return all
+		return mistakes
 	}
-	var bad *toml.DecodeError
-	if errors.As(err, &bad) {
-		line, _ := bad.Position()
-		return Errors{{strings.Join(bad.Key(), "."), line, strings.TrimPrefix(bad.Error(), "toml: ")}}
+	var invalid *toml.DecodeError
+	if errors.As(err, &invalid) {
+		line, _ := invalid.Position()
+		return Errors{{strings.Join(invalid.Key(), "."), line, strings.TrimPrefix(invalid.Error(), "toml: ")}}
 	}
-	// For a value with a unit that is written as a number, the library does not report the position.
-	if unit := (*unitError)(nil); errors.As(err, &unit) {
+	// The TOML library reports no position if a number was found where a value with a unit is expected. The
+	// position is that of the first number with the same text.
+	if unitErr := (*unitError)(nil); errors.As(err, &unitErr) {
 		_, numbers := scanKeys(text)
-		for _, n := range numbers {
-			if n.text == unit.text {
-				return Errors{{n.key, n.line, err.Error()}}
+		for _, number := range numbers {
+			if number.text == unitErr.text {
+				return Errors{{number.key, number.line, err.Error()}}
 			}
 		}
 	}
--- a/internal/stricttoml/validation.go
+++ b/internal/stricttoml/validation.go
@@ -8,45 +8,48 @@
 
 // Validation collects the mistakes that are found in a decoded file.
 type Validation struct {
-	Lines map[string]int // of each key, as Decode returns them
+	Lines map[string]int // line number of each key, as returned by Decode
 
-	errors Errors
+	mistakes Errors
 }
 
-// Err returns all mistakes as Errors, in the order of lines; nil if there is none.
+// Err returns all recorded mistakes as Errors, sorted by line, or nil if there are none.
 func (v *Validation) Err() error {
-	if len(v.errors) == 0 {
+	if len(v.mistakes) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(v.errors, func(a, b *Error) int { return a.Line - b.Line })
-	return v.errors
+	slices.SortStableFunc(v.mistakes, func(a, b *Error) int { return a.Line - b.Line })
+	return v.mistakes
 }
 
-// Require records a mistake of a key unless ok. reason is a format with args.
+// Require records a mistake in the value of a key unless ok is true. reason is a format for args. If the file does
+// not contain the key, the mistake has the line of the closest enclosing table.
 func (v *Validation) Require(ok bool, key, reason string, args ...any) {
 	if ok {
 		return
 	}
 	line := v.Lines[key]
-	for parent := key; line == 0 && parent != ""; line = v.Lines[parent] { // of a missing key: the line of its table
-		parent, _, _ = cutLast(parent)
+	for parent := key; line == 0 && parent != ""; line = v.Lines[parent] {
+		parent, _, _ = cutLastKeyPart(parent)
 		if parent == "" {
 			break
 		}
 	}
-	v.errors = append(v.errors, &Error{key, line, fmt.Sprintf(reason, args...)})
+	v.mistakes = append(v.mistakes, &Error{key, line, fmt.Sprintf(reason, args...)})
 }
 
-func cutLast(key string) (before, after string, found bool) {
+// cutLastKeyPart splits a dotted key before its last part. found reports whether the key has a dot.
+func cutLastKeyPart(key string) (parent, last string, found bool) {
 	if i := strings.LastIndexByte(key, '.'); i >= 0 {
 		return key[:i], key[i+1:], true
 	}
 	return "", key, false
 }
 
-// Enum returns the value of a name, or records a mistake that lists the known names.
+// Enum returns the result for value in values. If value is not in values, it records a mistake of the key that
+// lists the valid ones.
 func Enum[T any](v *Validation, key, value string, values map[string]T) T {
-	meaning, ok := values[value]
+	result, ok := values[value]
 	if !ok {
 		var known []string
 		for name := range values {
@@ -55,5 +58,5 @@
 		slices.Sort(known)
 		v.Require(false, key, "%q is none of %s", value, strings.Join(known, ", "))
 	}
-	return meaning
+	return result
 }
--- a/internal/xdsclient/golden_test.go
+++ b/internal/xdsclient/golden_test.go
@@ -20,13 +20,15 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// recordingServer is an ADS server that sends prepared responses and passes on the requests that it receives.
+// recordingServer is an ADS server that sends the responses from one channel and puts received requests into
+// another.
 type recordingServer struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	requests  chan *discovery.DiscoveryRequest
 	responses chan *discovery.DiscoveryResponse
 }
 
+// StreamAggregatedResources serves a stream of a client.
 func (s *recordingServer) StreamAggregatedResources(
 	stream discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer,
 ) error {
@@ -46,6 +48,7 @@
 	}
 }
 
+// startRecordingServer runs a recordingServer until the test ends, and returns its address.
 func startRecordingServer(t *testing.T) (server *recordingServer, address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,6 +67,7 @@
 	return server, listener.Addr().String()
 }
 
+// readGolden returns the content of a file in testdata/golden.
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -71,13 +75,15 @@
 	return text
 }
 
-func decodeHex(t *testing.T, text string, into proto.Message) {
+// decodeHex decodes a protobuf message from hexadecimal digits.
+func decodeHex(t *testing.T, text string, target proto.Message) {
 	t.Helper()
 	raw, err := hex.DecodeString(strings.TrimSpace(text))
 	require.NoError(t, err)
-	require.NoError(t, proto.Unmarshal(raw, into))
+	require.NoError(t, proto.Unmarshal(raw, target))
 }
 
+// checkJSON compares the JSON encoding of a value with the golden file called name.
 func checkJSON(t *testing.T, name string, value any) {
 	t.Helper()
 	got, err := json.Marshal(value)
@@ -87,15 +93,18 @@
 	}
 }
 
-// The golden files under testdata/golden were written by the build of 870f4ac and never change. The response is what
-// a control plane of that time sends; the requests are what that build sent: the first of a stream, an ACK of a
-// version on canary, an ACK of a confirmed one, a NACK after a rollback, and a NACK of an unreadable version_info.
+// The files under testdata/golden were written by build 870f4ac and must never change. The client must decode the
+// response, which a control plane of that time sent, and send the same requests as that build: the first request of
+// a stream, the ACK of a version on canary, the ACK of a confirmed version, the NACK after a rollback, and the NACK
+// of a response with an unreadable version_info.
 func TestGoldenExchange(t *testing.T) {
 	server, address := startRecordingServer(t)
-	client := startClient(t, settings(address), &rollout.ID{Epoch: "e", Number: 6})
+	client := startClient(t, controlPlaneSettings(address), &rollout.ID{Epoch: "e", Number: 6})
 	var requests []*discovery.DiscoveryRequest
-	receive := func(what string) { requests = append(requests, scriptedpeer.Receive(t, server.requests, what)) }
-	receive("the first request")
+	receiveRequest := func(description string) {
+		requests = append(requests, scriptedpeer.Receive(t, server.requests, description))
+	}
+	receiveRequest("the first request")
 
 	response := &discovery.DiscoveryResponse{}
 	decodeHex(t, string(readGolden(t, "response.hex")), response)
@@ -109,13 +118,13 @@
 	checkJSON(t, "response-resources.json", update.Resources)
 
 	client.Ack(update.Version.ID, false)
-	receive("the ACK on canary")
+	receiveRequest("the ACK on canary")
 	client.Ack(update.Version.ID, true)
-	receive("the final ACK")
+	receiveRequest("the final ACK")
 	client.Nack(update.Version.ID, "it did harm", &rollout.ID{Epoch: "e", Number: 6})
-	receive("the NACK")
+	receiveRequest("the NACK")
 	server.responses <- &discovery.DiscoveryResponse{VersionInfo: "seven", TypeUrl: response.TypeUrl, Nonce: "n-2"}
-	receive("the NACK of an unreadable version_info")
+	receiveRequest("the NACK of an unreadable version_info")
 
 	want := strings.Split(strings.TrimSpace(string(readGolden(t, "requests.hex"))), "\n")
 	if len(want) != len(requests) {
@@ -124,10 +133,10 @@
 	for i, line := range want {
 		expected := &discovery.DiscoveryRequest{}
 		decodeHex(t, line, expected)
-		if agent := requests[i].GetNode().GetUserAgentBuildVersion(); agent != nil {
-			t.Errorf("request %d: build version %v", i, agent)
+		if buildVersion := requests[i].GetNode().GetUserAgentBuildVersion(); buildVersion != nil {
+			t.Errorf("request %d: build version %v", i, buildVersion)
 		}
-		if requests[i].GetNode().GetUserAgentVersion() != "" { // of the program that runs
+		if requests[i].GetNode().GetUserAgentVersion() != "" { // the version of the running test binary differs
 			requests[i].Node.UserAgentVersionType = expected.GetNode().GetUserAgentVersionType()
 		}
 		if !proto.Equal(requests[i], expected) {
