--- a/cmd/dunlinsaild/serve.go
+++ b/cmd/dunlinsaild/serve.go
@@ -57,14 +57,14 @@
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	o := daemon.Options{
-		Config:  conf,
-		Log:     log,
-		Reload:  reload,
-		Prepare: prepare,
-		Read:    func() (*config.Config, error) { return config.Read(c.Config) },
+		Config:               conf,
+		Log:                  log,
+		Reload:               reload,
+		ApplyProcessSettings: prepare,
+		ReadConfig:           func() (*config.Config, error) { return config.Read(c.Config) },
 	}
 	if c.Announce {
-		o.Serving = func(map[string]string) { fmt.Println("serving") }
+		o.OnServing = func(map[string]string) { fmt.Println("serving") }
 	}
 	if err := daemon.Run(stop, o); err != nil {
 		log.Error("ended", "error", err)
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -17,9 +17,9 @@
 	"time"
 )
 
-// Sockets is the largest number of descriptors that the server uses: the listener, maxConns connections, and one
+// MaxDescriptors is the largest number of descriptors that the server uses: the listener, maxConns connections, and one
 // connection that is being accepted.
-const Sockets = maxConns + 2
+const MaxDescriptors = maxConns + 2
 
 const (
 	maxConns       = 8                      // open at the same time; a further one replaces one without a complete call
--- a/internal/config/validate_routes.go
+++ b/internal/config/validate_routes.go
@@ -77,9 +77,10 @@
 func (r *Route) pattern() route.Pattern {
 	pattern := route.Pattern{Host: r.Host, Path: r.Path, Methods: r.Methods}
 	for name, value := range r.Headers {
-		pattern.Headers = append(pattern.Headers, route.Header{Name: http.CanonicalHeaderKey(name), Value: value})
+		pattern.Headers = append(pattern.Headers,
+			route.HeaderCondition{Name: http.CanonicalHeaderKey(name), Value: value})
 	}
-	slices.SortFunc(pattern.Headers, func(a, b route.Header) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(pattern.Headers, func(a, b route.HeaderCondition) int { return strings.Compare(a.Name, b.Name) })
 	return pattern
 }
 
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -92,7 +92,7 @@
 	writeMetric("out_of_rotation", uint64(stats.AvoidedEndpoints))
 	writeMetric("surplus_responses", g.upstreams.SurplusResponses())
 	writeMetric("suspect_responses", g.upstreams.SuspectResponses())
-	for _, closed := range g.front.ClosedConnections() {
+	for _, closed := range g.frontend.ClosedConnections() {
 		writeMetric("client_connections_closed."+closed.Reason, closed.Count)
 	}
 	if stats.OverloadControlled {
--- a/internal/daemon/canary.go
+++ b/internal/daemon/canary.go
@@ -40,7 +40,7 @@
 	var err error
 	if p.canaryAnalysis, err = canary.NewAnalysis(settings, p.baselineSamples...); err != nil {
 		p.log.Error("canary not started", "error", err) // not expected: package config has validated the settings
-		p.executeCommands(p.machine.HandleCanaryResult(now(), ""))
+		p.executeCommands(p.rolloutMachine.HandleCanaryResult(now(), ""))
 		return
 	}
 	p.canarySamples = nil
@@ -48,7 +48,7 @@
 	if tally == nil {
 		return
 	}
-	if goodConfig, err := p.configOf(*p.machine.PersistentState().LastKnownGood); err == nil {
+	if goodConfig, err := p.configForVersion(*p.rolloutMachine.PersistentState().LastKnownGood); err == nil {
 		tally.setObjectives(p.serving.options.Config.Site.Settings.Classes, goodConfig.Site.Settings.Classes)
 	}
 	tally.takeAndReset() // discards the outcomes under the previous configuration
@@ -75,14 +75,14 @@
 	case canary.Undecided:
 	case canary.Degraded:
 		p.canaryAnalysis = nil
-		p.executeCommands(p.machine.HandleCanaryResult(
+		p.executeCommands(p.rolloutMachine.HandleCanaryResult(
 			now(), fmt.Sprintf("worse by %s: %s", statistics.Metric, statistics.Text())))
 	default:
 		p.canaryAnalysis = nil
 		p.log.Info("canary ended", "verdict", verdict.String(), "figures", statistics.Text())
 		p.addToBaseline(p.canarySamples...)
 		tally.setObjectives(p.serving.options.Config.Site.Settings.Classes, nil)
-		p.executeCommands(p.machine.HandleCanaryResult(now(), ""))
+		p.executeCommands(p.rolloutMachine.HandleCanaryResult(now(), ""))
 	}
 }
 
--- a/internal/daemon/client_processes_test.go
+++ b/internal/daemon/client_processes_test.go
@@ -212,12 +212,12 @@
 func (r *runningDaemon) checkNothingOpen(t *testing.T) {
 	t.Helper()
 	scriptedpeer.Eventually(t, "no open connections or requests", func() bool {
-		conns, busy := r.front.ConnectionCounts()
-		counts := r.pools[""].endpoints.Counts()
+		conns, busy := r.frontend.ConnectionCounts()
+		counts := r.pools[""].corePool.Counts()
 		return conns == 0 && busy == 0 && counts.Queued == 0 && counts.InFlight == 0 && counts.OpenCalls == 0
 	})
 	for _, usage := range r.clients.usage() {
-		if usage.Connections != 0 || usage.Open != 0 || usage.Bytes != 0 {
+		if usage.Connections != 0 || usage.OpenRequests != 0 || usage.BufferedBytes != 0 {
 			t.Errorf("still in use: %+v", usage)
 		}
 	}
@@ -316,8 +316,8 @@
 		<-p.ended
 	}
 	scriptedpeer.Eventually(t, "all resources freed", func() bool {
-		conns, busy := r.front.ConnectionCounts()
-		counts := r.pools[""].endpoints.Counts()
+		conns, busy := r.frontend.ConnectionCounts()
+		counts := r.pools[""].corePool.Counts()
 		for _, usage := range r.clients.usage() {
 			if usage.Client != "desk" && usage != (ClientUsage{Client: usage.Client}) {
 				return false
--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -134,7 +134,7 @@
 
 // identify returns the function that identifies the client of each connection to a listener. If that function
 // returns an error, the frontend rejects the connection.
-func (cs *clients) identify(listenerConfig *config.Listener) http1.Identify {
+func (cs *clients) identify(listenerConfig *config.Listener) http1.IdentifyFunc {
 	return func(conn net.Conn) (*http1.Client, func(), error) {
 		cs.mu.Lock()
 		defer cs.mu.Unlock()
@@ -235,10 +235,10 @@
 
 // ClientUsage reports how much of its limits one client uses.
 type ClientUsage struct {
-	Client      string // name of the client; "name/pid" for a process with limits of its own
-	Connections int    // open connections
-	Open        int    // open requests
-	Bytes       int64  // buffered bytes of requests and responses
+	Client        string // name of the client; "name/pid" for a process with limits of its own
+	Connections   int    // open connections
+	OpenRequests  int    // open requests
+	BufferedBytes int64  // buffered bytes of requests and responses
 }
 
 // usage returns the usage of each client, sorted by client name.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -28,16 +28,16 @@
 	Config *config.Config
 	Log    *slog.Logger
 
-	Reload  <-chan os.Signal               // the configuration file is read again at each signal; nil disables this
-	Read    func() (*config.Config, error) // reads the configuration file again
-	Prepare func(*config.Process) error    // applies process-wide settings such as limits; nil skips them
-	Seed    uint64                         // seed of the random numbers; 0 selects a random seed
+	Reload               <-chan os.Signal               // each signal reads the file again; nil disables this
+	ReadConfig           func() (*config.Config, error) // reads the configuration file again
+	ApplyProcessSettings func(*config.Process) error    // applies process-wide settings such as limits; nil skips them
+	Seed                 uint64                         // seed of the random numbers; 0 selects a random seed
 
-	// Serving is called with the address of each listener, by listener name, once the daemon accepts
+	// OnServing is called with the address of each listener, by listener name, once the daemon accepts
 	// connections, and again whenever a new generation has taken over. It may be nil.
-	Serving func(addresses map[string]string)
-	// Answered is called for each version of the configuration that is acknowledged or rejected. It may be nil.
-	Answered func(rollout.Command)
+	OnServing func(addresses map[string]string)
+	// OnVersionDecided is called for each version of the configuration that is acknowledged or rejected. It may be nil.
+	OnVersionDecided func(rollout.Command)
 }
 
 // Run serves until stop is canceled or another process has taken over. It returns once every request has its
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -113,7 +113,7 @@
 		openConns = append(openConns, conn)
 	}
 	scriptedpeer.Eventually(t, "two requests in flight", func() bool {
-		return d.pools[""].endpoints.Counts().InFlight == 2
+		return d.pools[""].corePool.Counts().InFlight == 2
 	})
 	thirdConn := dial(t, "tcp", d.addrs["desk"])
 	resp, body := thirdConn.roundTrip(t, requestText("look", 900, ""))
@@ -134,7 +134,7 @@
 	}
 	scriptedpeer.Eventually(t, "no held bytes or open requests", func() bool {
 		return !slices.ContainsFunc(d.clients.usage(), func(u ClientUsage) bool {
-			return u.Client == "desk" && (u.Bytes != 0 || u.Open != 0)
+			return u.Client == "desk" && (u.BufferedBytes != 0 || u.OpenRequests != 0)
 		})
 	})
 }
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -138,7 +138,7 @@
 	}
 	scriptedpeer.Eventually(t, "freed connections and buffers", func() bool {
 		for _, usage := range d.clients.usage() {
-			if usage.Client == "desk" && (usage.Connections != 0 || usage.Bytes != 0) {
+			if usage.Client == "desk" && (usage.Connections != 0 || usage.BufferedBytes != 0) {
 				return false
 			}
 		}
--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -27,7 +27,7 @@
 	upstreams *upstream.Pool // connections to endpoints
 	core      *core.Core
 	pools     pools         // by pool name
-	front     *http1.Server // serves the connections of clients
+	frontend  *http1.Server // serves the connections of clients
 	clients   *clients
 
 	gossip           atomic.Pointer[peers.Peers] // nil while this instance has not joined a fleet
@@ -90,7 +90,7 @@
 	}
 	g.setRoutes(c)
 	var err error
-	if g.clients, err = newClients(g.front, c); err != nil {
+	if g.clients, err = newClients(g.frontend, c); err != nil {
 		return nil, err
 	}
 	return g, g.openAccessLog() // called last, because it starts a goroutine
@@ -113,7 +113,7 @@
 		if g.spentLog, err = openSpentLog(path, options.Log); err != nil {
 			return fmt.Errorf("peers.spent: %w", err)
 		}
-		coreConfig.OnQuotaSpent = g.spentLog.record
+		coreConfig.OnQuotaSpent = g.spentLog.recordSpent
 	}
 	g.core = core.New(coreConfig)
 	return g.joinCoordination()
@@ -131,7 +131,7 @@
 		Limits:      c.ConnectionLimits(),
 	}
 	if p := g.pools[""]; p != nil {
-		frontOptions.Pool = p.endpoints
+		frontOptions.Pool = p.corePool
 	}
 	if c.ControlPlane.CanaryEnabled() {
 		g.tally = &canaryTally{}
@@ -141,7 +141,7 @@
 		frontOptions.RecordExchange = g.recordExchange
 	}
 	var err error
-	g.front, err = http1.New(frontOptions)
+	g.frontend, err = http1.New(frontOptions)
 	return err
 }
 
@@ -173,7 +173,7 @@
 	if g.cancel != nil {
 		g.cancel()
 	}
-	g.front.CloseAll() // connections are still open only if the start failed
+	g.frontend.CloseAll() // connections are still open only if the start failed
 	g.goroutines.Wait()
 	if g.accessLog != nil {
 		g.accessLog.Close()
--- a/internal/daemon/generations_test.go
+++ b/internal/daemon/generations_test.go
@@ -73,7 +73,7 @@
 	t.Helper()
 	scriptedpeer.Eventually(t, "the end of earlier generations", func() bool {
 		running := make(chan int, 1)
-		r.process.post(func() { running <- r.process.running })
+		r.process.post(func() { running <- r.process.runningLifecycles })
 		return scriptedpeer.Receive(t, running, "number of generations") == 1
 	})
 }
--- a/internal/daemon/helper_test.go
+++ b/internal/daemon/helper_test.go
@@ -201,7 +201,7 @@
 	ended         chan error         // receives the error with which the process ended, and is then closed
 	addrs         map[string]string  // listener addresses by listener name
 	reload        chan os.Signal
-	nextConfigs   chan *config.Config  // returned by Options.Read at each reload; nil makes Read fail
+	nextConfigs   chan *config.Config  // returned by Options.ReadConfig at each reload; nil makes it fail
 	reloadResults chan rollout.Command // the acknowledgment or rejection of each configuration version
 }
 
@@ -220,13 +220,13 @@
 	}
 	servingAddrs := make(chan map[string]string, 16)
 	r.process = newProcess(ctx, Options{
-		Config:   c,
-		Log:      log,
-		Reload:   r.reload,
-		Seed:     7,
-		Serving:  func(a map[string]string) { servingAddrs <- a },
-		Answered: func(s rollout.Command) { r.reloadResults <- s },
-		Read: func() (*config.Config, error) {
+		Config:           c,
+		Log:              log,
+		Reload:           r.reload,
+		Seed:             7,
+		OnServing:        func(a map[string]string) { servingAddrs <- a },
+		OnVersionDecided: func(s rollout.Command) { r.reloadResults <- s },
+		ReadConfig: func() (*config.Config, error) {
 			if c := <-r.nextConfigs; c != nil {
 				return c, nil
 			}
@@ -396,7 +396,8 @@
 		if n, err := strconv.ParseUint(os.Getenv("DUNLINSAILD_TEST_FILES"), 10, 32); err == nil {
 			fail(syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}))
 		}
-		fail(Run(ctx, Options{Config: c, Log: testLog(), Serving: func(map[string]string) { fmt.Println("serving") }}))
+		fail(Run(ctx, Options{Config: c, Log: testLog(),
+		OnServing: func(map[string]string) { fmt.Println("serving") }}))
 	case "client": // prints the result of each request as a line of JSON
 		var o client.Options
 		fail(json.Unmarshal([]byte(text), &o))
@@ -465,12 +466,12 @@
 	t.Helper()
 	scriptedpeer.Eventually(t, "no open requests", func() bool {
 		for _, p := range r.pools {
-			if counts := p.endpoints.Counts(); counts.Queued+counts.InFlight+counts.OpenCalls > 0 {
+			if counts := p.corePool.Counts(); counts.Queued+counts.InFlight+counts.OpenCalls > 0 {
 				return false
 			}
 		}
 		for _, usage := range r.clients.usage() {
-			if usage.Open != 0 || usage.Bytes != 0 {
+			if usage.OpenRequests != 0 || usage.BufferedBytes != 0 {
 				return false
 			}
 		}
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -54,9 +54,9 @@
 func newLifecycle(stopContext context.Context, g *generation, predecessor *takeover.Conn) *lifecycle {
 	takeoverSettings := g.options.Config.Takeover
 	timeouts := decide.Times{
-		Ready:  clock.Micros(takeoverSettings.ReadyWithin.Duration),
-		Answer: clock.Micros(replyTimeout),
-		Drain:  clock.Micros(takeoverSettings.DrainWithin.Duration),
+		Ready: clock.Micros(takeoverSettings.ReadyWithin.Duration),
+		Reply: clock.Micros(replyTimeout),
+		Drain: clock.Micros(takeoverSettings.DrainWithin.Duration),
 	}
 	l := &lifecycle{
 		generation:       g,
@@ -65,7 +65,7 @@
 		onServing:        func() {},
 		onHandoverChange: func(bool) {},
 	}
-	l.Lifecycle = takeover.NewLifecycle(l, g.front, timeouts, g.log)
+	l.Lifecycle = takeover.NewLifecycle(l, g.frontend, timeouts, g.log)
 	l.PredecessorConn = predecessor
 	return l
 }
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -19,7 +19,7 @@
 type listener struct {
 	config   *config.Listener
 	socket   net.Listener
-	identify http1.Identify // identifies the client of a new connection
+	identify http1.IdentifyFunc // identifies the client of a new connection
 
 	accepting  bool           // reports whether the accept loop was started and not paused
 	acceptLoop sync.WaitGroup // the goroutine that startAccepting starts
--- a/internal/daemon/pool_changes_test.go
+++ b/internal/daemon/pool_changes_test.go
@@ -62,7 +62,7 @@
 	if afterChange.StatusCode != 200 || b.RequestCount() != 1 {
 		t.Errorf("after the change: %s, %d requests in the new pool", afterChange.Status, b.RequestCount())
 	}
-	if counts := removedPool.endpoints.Counts(); counts.OpenCalls != 1 {
+	if counts := removedPool.corePool.Counts(); counts.OpenCalls != 1 {
 		t.Errorf("the removed pool has %d open calls, want 1", counts.OpenCalls)
 	}
 	close(release)
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -18,7 +18,7 @@
 // pool is a configured pool, with the source of its endpoint list.
 type pool struct {
 	config          config.Pool
-	endpoints       *core.Pool
+	corePool        *core.Pool
 	discoverySource *discovery.Source    // nil if the list does not come from discovery
 	firstWatcher    *discovery.Watcher   // the watcher with which discoverySource starts
 	fileSource      *endpointsource.File // nil if the list does not come from a file
@@ -54,7 +54,7 @@
 		p.firstWatcher = g.newWatcher(p, conf.Discovery)
 		if subscribe {
 			p.discoverySource = discovery.NewPolledSource(p.firstWatcher, func() {
-				p.endpoints.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFailed})
+				p.corePool.UpdateEndpoints(context.Background(), engine.EndpointUpdate{Kind: balancer.ListFailed})
 			})
 		} else {
 			p.discoverySource = discovery.NewContinuousSource(p.firstWatcher)
@@ -62,7 +62,7 @@
 		poolConfig.SetWatch = p.discoverySource.SetWatching
 	}
 	var err error
-	p.endpoints, err = g.core.NewPool(poolConfig)
+	p.corePool, err = g.core.NewPool(poolConfig)
 	return p, err
 }
 
@@ -78,7 +78,7 @@
 
 // updateEndpoints passes an update of the endpoint list to the pool.
 func (p *pool) updateEndpoints(ctx context.Context, update engine.EndpointUpdate) {
-	p.endpoints.UpdateEndpoints(ctx, update)
+	p.corePool.UpdateEndpoints(ctx, update)
 }
 
 // startSource starts the source of a pool's endpoint list.
@@ -125,7 +125,7 @@
 		p, err := g.newPool(conf, g.options.Config.Site.Settings.Subscribe)
 		if err != nil {
 			for _, p := range addedPools {
-				p.endpoints.Close()
+				p.corePool.Close()
 			}
 			return nil, nil, err
 		}
@@ -141,10 +141,10 @@
 		case conf.Endpoints != nil:
 			p.listGeneration++
 			endpointList := endpointsource.StaticList(*conf.Endpoints, g.config.Fleet.Zone, p.listGeneration)
-			p.endpoints.UpdateEndpoints(context.Background(), endpointList)
+			p.corePool.UpdateEndpoints(context.Background(), endpointList)
 		default:
 			p.discoverySource.SwitchTo(g.newWatcher(p, conf.Discovery))
-			p.endpoints.SetSource(conf.Source())
+			p.corePool.SetSource(conf.Source())
 		}
 		nextPools[conf.Name].config = conf
 	}
@@ -153,7 +153,7 @@
 	g.setRoutes(next)
 	for name, p := range previousPools {
 		if nextPools[name] != p {
-			p.endpoints.Close()
+			p.corePool.Close()
 			p.stopSource()
 			removed = append(removed, name)
 		}
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -71,19 +71,19 @@
 
 // HandOverConnections hands each client connection over to the successor once the connection is idle.
 func (l *lifecycle) HandOverConnections(successor *takeover.Conn) {
-	l.front.SetHandoff(func(conn net.Conn) bool { return successor.HandOver(conn) == nil })
+	l.frontend.SetHandoff(func(conn net.Conn) bool { return successor.HandOver(conn) == nil })
 	l.WaitUntilDrained()
 }
 
 // ResumeServing accepts connections and joins the fleet again after the successor was lost.
 func (l *lifecycle) ResumeServing() {
-	l.front.SetHandoff(nil)
+	l.frontend.SetHandoff(nil)
 	l.core.CancelHandover()
 	l.joinFleet()
 	l.CancelWait()
 	for _, listener := range l.listeners {
 		listener.setKeepPath(false)
-		listener.startAccepting(l.front)
+		listener.startAccepting(l.frontend)
 	}
 	if l.successorListener != nil {
 		l.successorListener.KeepPath(false)
@@ -96,20 +96,20 @@
 // warming up get no more requests.
 func (l *lifecycle) Drain() {
 	l.log.Info("draining")
-	l.front.SetHandoff(nil)
-	l.front.Quiesce()
+	l.frontend.SetHandoff(nil)
+	l.frontend.Quiesce()
 	l.core.SnapshotForHandover() // called only because it stops requests to endpoints that are warming up
 	if l.successorListener != nil {
 		l.successorListener.Close()
 	}
 	for _, listener := range l.listeners {
-		listener.startAccepting(l.front) // the listener may be paused for a successor that was lost
+		listener.startAccepting(l.frontend) // the listener may be paused for a successor that was lost
 	}
 	l.Loop.After(stopAcceptDelay, func() {
 		for _, listener := range l.listeners {
 			listener.close()
 		}
-		l.front.Quiesce()
+		l.frontend.Quiesce()
 		l.WaitUntilDrained()
 	})
 }
@@ -118,7 +118,7 @@
 // takeover.drain_within.
 func (l *lifecycle) CloseRemaining() {
 	l.log.Warn("drain timeout, connections closed")
-	l.front.CloseAll()
+	l.frontend.CloseAll()
 }
 
 // SendFailed logs that a message could not be sent to the successor.
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -26,10 +26,10 @@
 	eventsClosed chan struct{}   // closed once run takes no more events
 	timer        *time.Timer     // fires at the next deadline of the rollout's state machine
 
-	serving      *lifecycle // the generation that serves, or the first generation until it serves
-	successor    *lifecycle // the generation that is to take over from the serving one; nil if there is none
-	running      int        // number of lifecycles that were started and have not ended
-	servingError error      // the error with which the last serving generation ended
+	serving           *lifecycle // the generation that serves, or the first generation until it serves
+	successor         *lifecycle // the generation that is to take over from the serving one; nil if there is none
+	runningLifecycles int        // number of lifecycles that were started and have not ended
+	servingError      error      // the error with which the last serving generation ended
 
 	versioning
 }
@@ -73,13 +73,13 @@
 	defer p.clientGoroutines.Wait()
 	defer close(p.eventsClosed) // from here on post does not block, so that the control plane clients can end
 	p.timer = time.AfterFunc(time.Hour, func() {
-		p.post(func() { p.executeCommands(p.machine.HandleDeadline(now())) })
+		p.post(func() { p.executeCommands(p.rolloutMachine.HandleDeadline(now())) })
 	})
 	defer p.timer.Stop()
 	sampleTicker := time.NewTicker(sampleInterval)
 	defer sampleTicker.Stop()
 	p.startLifecycle(p.serving)
-	for p.running > 0 {
+	for p.runningLifecycles > 0 {
 		p.armTimer()
 		select {
 		case event := <-p.events:
@@ -104,7 +104,7 @@
 
 // armTimer sets the timer to the next deadline of the rollout's state machine.
 func (p *process) armTimer() {
-	if deadline := p.machine.Deadline(); deadline != 0 {
+	if deadline := p.rolloutMachine.Deadline(); deadline != 0 {
 		p.timer.Reset(max(0, clock.Duration(deadline-now())))
 	}
 }
@@ -127,7 +127,7 @@
 	l.onHandoverChange = func(active bool) {
 		p.post(func() {
 			if l == p.serving {
-				p.executeCommands(p.machine.SetPaused(now(), active))
+				p.executeCommands(p.rolloutMachine.SetPaused(now(), active))
 			}
 		})
 	}
@@ -137,7 +137,7 @@
 // startLifecycle runs a lifecycle in a goroutine of its own, which calls onEnded at its end. The method run
 // returns only once onEnded was called for each lifecycle.
 func (p *process) startLifecycle(l *lifecycle) {
-	p.running++
+	p.runningLifecycles++
 	go func() {
 		err := l.run()
 		p.post(func() { p.onEnded(l, err) })
@@ -147,12 +147,12 @@
 // onServing handles the event that a generation has started to serve. tookOver reports whether the generation
 // took over from another process or generation.
 func (p *process) onServing(l *lifecycle, addresses map[string]string, tookOver bool) {
-	if p.options.Serving != nil {
-		p.options.Serving(addresses)
+	if p.options.OnServing != nil {
+		p.options.OnServing(addresses)
 	}
 	if l != p.successor {
 		if tookOver {
-			p.machine.ForgiveLastAttempt()
+			p.rolloutMachine.ForgiveLastAttempt()
 		}
 		p.followControlPlane(p.serving.options.Config)
 		return
@@ -160,13 +160,13 @@
 	p.serving = l
 	p.successor = nil
 	p.onApplied(nil)
-	p.executeCommands(p.machine.SetPaused(now(), false)) // the predecessor's handover paused the rollout
+	p.executeCommands(p.rolloutMachine.SetPaused(now(), false)) // the predecessor's handover paused the rollout
 }
 
 // onEnded handles the end of a generation. If the successor ended before it served, the change that it was
 // started for has failed.
 func (p *process) onEnded(l *lifecycle, err error) {
-	p.running--
+	p.runningLifecycles--
 	switch l {
 	case p.serving:
 		p.servingError = err
--- a/internal/daemon/rollout.go
+++ b/internal/daemon/rollout.go
@@ -20,8 +20,8 @@
 // versions, the state machine that decides between the versions, the cache of versions, and the canary
 // analysis. The fields belong to the process's goroutine.
 type versioning struct {
-	machine     *rollout.StateMachine // decides which version is applied
-	firstConfig *config.Config        // the configuration with which the process starts
+	rolloutMachine *rollout.StateMachine // decides which version is applied
+	firstConfig    *config.Config        // the configuration with which the process starts
 	// handleChangeResult is the method of the state machine that takes the result of the change that is being
 	// applied. It is nil while no change is being applied.
 	handleChangeResult func(now monotime.Micros, reason string) []rollout.Command
@@ -68,7 +68,7 @@
 	for _, command := range commands {
 		switch command.Action {
 		case rollout.ActionValidate:
-			p.executeCommands(p.machine.HandleValidated(now(), p.validationError(&command)))
+			p.executeCommands(p.rolloutMachine.HandleValidated(now(), p.validationError(&command)))
 		case rollout.ActionApply, rollout.ActionRollBack:
 			p.applyVersion(&command)
 		case rollout.ActionStartCanary:
@@ -83,9 +83,9 @@
 	}
 }
 
-// configOf returns the configuration of a layered version: the file, overridden by the control plane's
+// configForVersion returns the configuration of a layered version: the file, overridden by the control plane's
 // resources.
-func (p *process) configOf(version rollout.LayeredVersion) (*config.Config, error) {
+func (p *process) configForVersion(version rollout.LayeredVersion) (*config.Config, error) {
 	fileConfig := p.fileConfigs[version.File.Digest]
 	if fileConfig == nil {
 		return nil, fmt.Errorf("the content of %v is not held any more", version.File.ID)
@@ -102,7 +102,7 @@
 
 // validationError returns the reason why a version cannot be applied, or "" if it can be applied.
 func (p *process) validationError(command *rollout.Command) string {
-	if _, err := p.configOf(command.Target); err != nil {
+	if _, err := p.configForVersion(command.Target); err != nil {
 		return err.Error()
 	}
 	return ""
@@ -112,11 +112,11 @@
 // cannot make the change while serving, a new generation is started that takes over from it. onApplied is
 // called when the change has succeeded or failed.
 func (p *process) applyVersion(command *rollout.Command) {
-	p.handleChangeResult = p.machine.HandleApplied
+	p.handleChangeResult = p.rolloutMachine.HandleApplied
 	if command.Action == rollout.ActionRollBack {
-		p.handleChangeResult = p.machine.HandleRolledBack
+		p.handleChangeResult = p.rolloutMachine.HandleRolledBack
 	}
-	c, err := p.configOf(command.Target)
+	c, err := p.configForVersion(command.Target)
 	if err == nil {
 		err = p.prepareProcess(c)
 	}
@@ -167,8 +167,8 @@
 	handleResult := p.handleChangeResult
 	p.handleChangeResult = nil
 	p.executeCommands(handleResult(now(), reason))
-	if c, err := p.configOf(firstOf(p.machine.Running())); err == nil {
-		p.machine.UpdateSettings(rolloutSettings(&c.ControlPlane, 0))
+	if c, err := p.configForVersion(firstOf(p.rolloutMachine.Running())); err == nil {
+		p.rolloutMachine.UpdateSettings(rolloutSettings(&c.ControlPlane, 0))
 		p.followControlPlane(c)
 	}
 }
@@ -178,10 +178,10 @@
 
 // prepareProcess applies the process-wide settings of a configuration, such as resource limits.
 func (p *process) prepareProcess(c *config.Config) error {
-	if p.options.Prepare == nil {
+	if p.options.ApplyProcessSettings == nil {
 		return nil
 	}
-	return p.options.Prepare(&c.Process)
+	return p.options.ApplyProcessSettings(&c.Process)
 }
 
 // reportDecision reports that a version was acknowledged or rejected: in the log, and to the control plane if
@@ -205,7 +205,7 @@
 		}
 	}
 	p.dropUnusedContents()
-	if p.options.Answered != nil {
-		p.options.Answered(*command)
+	if p.options.OnVersionDecided != nil {
+		p.options.OnVersionDecided(*command)
 	}
 }
--- a/internal/daemon/rollout_source.go
+++ b/internal/daemon/rollout_source.go
@@ -12,12 +12,12 @@
 // reloadFile reads the configuration file again and offers its version to the rollout's state machine. If the
 // file cannot be read, this is logged and the running configuration stays.
 func (p *process) reloadFile() {
-	c, err := p.options.Read()
+	c, err := p.options.ReadConfig()
 	if err != nil {
 		p.log.Error("configuration not reloaded", "error", err)
 		return
 	}
-	p.executeCommands(p.machine.Offer(now(), p.fileVersion(c)))
+	p.executeCommands(p.rolloutMachine.Offer(now(), p.fileVersion(c)))
 }
 
 // fileVersion stores the content of the configuration file and returns a new version for it.
@@ -73,9 +73,9 @@
 // runningControlPlaneVersion returns the id of the control plane version that is running or, during a rollback,
 // to which the process rolls back. It returns nil if that configuration has no control plane version.
 func (p *process) runningControlPlaneVersion() *rollout.ID {
-	version, _ := p.machine.Running()
-	if phase, _ := p.machine.Phase(); phase == rollout.PhaseRollingBack {
-		version = *p.machine.PersistentState().LastKnownGood
+	version, _ := p.rolloutMachine.Running()
+	if phase, _ := p.rolloutMachine.Phase(); phase == rollout.PhaseRollingBack {
+		version = *p.rolloutMachine.PersistentState().LastKnownGood
 	}
 	if version.ControlPlane == nil {
 		return nil
@@ -86,12 +86,12 @@
 // onControlPlaneUpdate offers a version that the control plane sent to the rollout's state machine.
 func (p *process) onControlPlaneUpdate(update xdsclient.Update) {
 	if update.DecodeError != "" {
-		p.executeCommands(p.machine.RejectUnreadable(update.Version, update.DecodeError))
+		p.executeCommands(p.rolloutMachine.RejectUnreadable(update.Version, update.DecodeError))
 		return
 	}
 	if p.controlPlaneResources[update.Version.Digest] == nil {
 		p.controlPlaneResources[update.Version.Digest] = update.Resources
 	}
-	p.executeCommands(p.machine.Offer(now(), update.Version))
+	p.executeCommands(p.rolloutMachine.Offer(now(), update.Version))
 	p.dropUnusedContents()
 }
--- a/internal/daemon/rollout_state.go
+++ b/internal/daemon/rollout_state.go
@@ -45,7 +45,7 @@
 		savedState.PreviousGood = savedState.LastKnownGood
 		savedState.LastKnownGood = &running
 	}
-	p.machine = rollout.New(rolloutSettings(&fileConfig.ControlPlane, p.options.Seed), running, savedState)
+	p.rolloutMachine = rollout.New(rolloutSettings(&fileConfig.ControlPlane, p.options.Seed), running, savedState)
 }
 
 // sameDigests reports whether two layered versions have the same contents.
@@ -108,12 +108,12 @@
 // result to the state machine. stopVersioning waits for that goroutine.
 func (p *process) saveRolloutState() {
 	if p.cache == nil {
-		p.executeCommands(p.machine.HandlePersisted(now(), ""))
+		p.executeCommands(p.rolloutMachine.HandlePersisted(now(), ""))
 		return
 	}
 	state, contents, err := p.rolloutStateToSave()
 	if err != nil {
-		p.executeCommands(p.machine.HandlePersisted(now(), err.Error()))
+		p.executeCommands(p.rolloutMachine.HandlePersisted(now(), err.Error()))
 		return
 	}
 	p.saveGoroutines.Go(func() {
@@ -122,10 +122,10 @@
 			reason = err.Error()
 		}
 		p.post(func() {
-			if reason != "" && p.machine.PersistError() == "" {
+			if reason != "" && p.rolloutMachine.PersistError() == "" {
 				p.log.Error("rollout state not saved, retrying", "error", reason)
 			}
-			p.executeCommands(p.machine.HandlePersisted(now(), reason))
+			p.executeCommands(p.rolloutMachine.HandlePersisted(now(), reason))
 		})
 	})
 }
@@ -133,7 +133,7 @@
 // rolloutStateToSave returns a copy of the state machine's persistent state, and the contents of all stored
 // versions by digest.
 func (p *process) rolloutStateToSave() (*rollout.PersistentState, map[string][]byte, error) {
-	content, err := json.Marshal(p.machine.PersistentState())
+	content, err := json.Marshal(p.rolloutMachine.PersistentState())
 	if err != nil {
 		return nil, nil, err
 	}
@@ -161,17 +161,17 @@
 			usedDigests[version.Digest] = true
 		}
 	}
-	running, _ := p.machine.Running()
-	state := p.machine.PersistentState()
+	running, _ := p.rolloutMachine.Running()
+	state := p.rolloutMachine.PersistentState()
 	for _, version := range []*rollout.LayeredVersion{&running, state.LastKnownGood, state.PreviousGood} {
 		if version != nil {
 			markUsed(&version.File)
 			markUsed(version.ControlPlane)
 		}
 	}
-	markUsed(p.machine.Pending(rollout.SourceFile))
-	markUsed(p.machine.Pending(rollout.SourceControlPlane))
-	_, changingVersion := p.machine.Phase()
+	markUsed(p.rolloutMachine.Pending(rollout.SourceFile))
+	markUsed(p.rolloutMachine.Pending(rollout.SourceControlPlane))
+	_, changingVersion := p.rolloutMachine.Phase()
 	markUsed(changingVersion)
 	for digest := range p.fileConfigs {
 		if !usedDigests[digest] {
@@ -191,10 +191,10 @@
 func (p *process) stopVersioning() {
 	p.stopFollowing()
 	p.saveGoroutines.Wait()
-	if p.cache == nil || p.stopContext.Err() == nil || p.machine.PersistentState().Unconfirmed == nil {
+	if p.cache == nil || p.stopContext.Err() == nil || p.rolloutMachine.PersistentState().Unconfirmed == nil {
 		return
 	}
-	p.machine.ForgiveLastAttempt()
+	p.rolloutMachine.ForgiveLastAttempt()
 	state, contents, err := p.rolloutStateToSave()
 	if err == nil {
 		err = p.cache.Save(state, contents)
--- a/internal/daemon/rollout_test.go
+++ b/internal/daemon/rollout_test.go
@@ -70,8 +70,8 @@
 	t.Helper()
 	got := make(chan string, 1)
 	r.process.post(func() {
-		pair, _ := r.process.machine.Running()
-		c, _ = r.process.configOf(pair)
+		pair, _ := r.process.rolloutMachine.Running()
+		c, _ = r.process.configForVersion(pair)
 		got <- pair.String()
 	})
 	return scriptedpeer.Receive(t, got, "the running version"), c
--- a/internal/daemon/routes.go
+++ b/internal/daemon/routes.go
@@ -15,7 +15,7 @@
 // setRoutes sets the routes of the frontend from a configuration.
 func (g *generation) setRoutes(c *config.Config) {
 	if len(c.Routes) == 0 {
-		g.front.SetRoutes(nil)
+		g.frontend.SetRoutes(nil)
 		return
 	}
 	routes := &http1.Routes{Table: c.Table, ProxyName: proxyName(c.Name), SingletonHeaders: map[string]bool{}}
@@ -25,7 +25,7 @@
 	for i := range c.Routes {
 		routes.Routes = append(routes.Routes, g.newRoute(c, i, routes.SingletonHeaders))
 	}
-	g.front.SetRoutes(routes)
+	g.frontend.SetRoutes(routes)
 }
 
 // proxyName returns the name of the instance for the Proxy-Status header, where it is a token (RFC 9651). It
@@ -72,7 +72,7 @@
 	}
 	frontendRoute := http1.Route{
 		Name:             conf.Name,
-		Pool:             g.pools[conf.Pool].endpoints,
+		Pool:             g.pools[conf.Pool].corePool,
 		SafeClass:        classIndex(config.ReadClass),
 		UnsafeClass:      classIndex(config.WriteClass),
 		Tenant:           valueSource(conf.Tenant),
--- a/internal/daemon/spentlog.go
+++ b/internal/daemon/spentlog.go
@@ -58,8 +58,8 @@
 	return spent, nil
 }
 
-// record queues the line for one spent unit. It never waits for the disk.
-func (spent *spentLog) record(_ monotime.Micros, budget string) {
+// recordSpent queues the line for one spent unit. It never waits for the disk.
+func (spent *spentLog) recordSpent(_ monotime.Micros, budget string) {
 	if spent.dropped && len(spent.pendingLines) < spentLogBufferLines/2 {
 		spent.dropped = false
 		spent.pendingLines <- "# some are missing\n"
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -139,7 +139,7 @@
 	l.listenForSuccessors() // called first: a process that starts once clients are served must find this one
 	for _, listener := range l.listeners {
 		listener.setKeepPath(false)
-		listener.startAccepting(l.front)
+		listener.startAccepting(l.frontend)
 	}
 	l.closeUnusedListeners()
 	for _, conn := range l.earlyConns {
@@ -212,7 +212,7 @@
 	for _, listener := range l.listeners {
 		addr := listener.socket.Addr()
 		if addr.Network() == localAddr.Network() && addr.String() == localAddr.String() {
-			l.front.Adopt(conn, listener.identify)
+			l.frontend.Adopt(conn, listener.identify)
 			return
 		}
 	}
--- a/internal/daemon/successor_test.go
+++ b/internal/daemon/successor_test.go
@@ -32,10 +32,10 @@
 			t.Errorf("%s, close %v", resp.Status, resp.Close)
 		}
 	}
-	if connections, _ := first.front.ConnectionCounts(); connections != 1 {
+	if connections, _ := first.frontend.ConnectionCounts(); connections != 1 {
 		t.Errorf("the first daemon has %d connections, want only the one with the open request", connections)
 	}
-	if connections, _ := third.front.ConnectionCounts(); connections != 20 {
+	if connections, _ := third.frontend.ConnectionCounts(); connections != 20 {
 		t.Errorf("the third daemon has %d connections, want 20", connections)
 	}
 	close(release)
--- a/internal/daemon/takeover_test.go
+++ b/internal/daemon/takeover_test.go
@@ -135,7 +135,7 @@
 	// The first process ends only after it has sent the final response to the open request.
 	second, serving := launchDaemon(t, options.config, testLog())
 	second.addrs = scriptedpeer.Receive(t, serving, "the second daemon")
-	if n, _ := d.front.ConnectionCounts(); n == 0 {
+	if n, _ := d.frontend.ConnectionCounts(); n == 0 {
 		t.Error("the first daemon has no connection left while a request is open")
 	}
 	close(release)
@@ -154,7 +154,7 @@
 	if s := third.core.Snapshot().Pools[0]; len(s.Learned.Endpoints) != 3 || s.Learned.Endpoints[0].RTT.Samples < 2 {
 		t.Errorf("learned state of the third daemon: %+v", s.Learned)
 	}
-	if connections, _ := third.front.ConnectionCounts(); connections < 3 {
+	if connections, _ := third.frontend.ConnectionCounts(); connections < 3 {
 		t.Errorf("the third daemon has %d connections, want at least 3", connections)
 	}
 }
--- a/internal/decide/concurrency/limiter.go
+++ b/internal/decide/concurrency/limiter.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// Learned returns the estimated limit, and the baseline of each class in microseconds, 0 for a class without a
+// LearnedState returns the estimated limit, and the baseline of each class in microseconds, 0 for a class without a
 // baseline.
-func (l *Limiter) Learned() (limit float64, baselines []float64) {
+func (l *Limiter) LearnedState() (limit float64, baselines []float64) {
 	for i := range l.baselines {
 		baselines = append(baselines, l.baselines[i].mean)
 	}
--- a/internal/decide/overload/controller.go
+++ b/internal/decide/overload/controller.go
@@ -141,9 +141,9 @@
 // Outcome is the result of an attempt, as far as it depends on load.
 type Outcome uint8
 
-// The outcomes of attempts. Answered means that the endpoint has responded.
+// The outcomes of attempts. Responded means that the endpoint has responded.
 const (
-	Answered   Outcome = iota
+	Responded  Outcome = iota
 	Overloaded         // rejected by the endpoint, or no response within the timeout
 	Failed             // failed for another reason, which is no evidence of load
 	Cancelled          // canceled by this instance, which is no evidence of load
@@ -166,7 +166,7 @@
 	}
 	objective := float64(c.settings.Classes[class].LatencyObjective)
 	switch outcome {
-	case Answered:
+	case Responded:
 		if firstAttempt {
 			c.acceptedFirstRate.add(now, 1)
 			c.acceptedInLastSecond.add(now)
--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -66,7 +66,7 @@
 	c.OnRequest(now, r.rng.IntN(4), -1, r.rng.IntN(2) == 0)
 	switch r.rng.IntN(4) {
 	case 0:
-		c.OnAttemptEnded(now, 1, true, Answered, 50_000)
+		c.OnAttemptEnded(now, 1, true, Responded, 50_000)
 		r.accepted = append(r.accepted, now)
 	case 1:
 		c.OnAttemptEnded(now, 1, true, Failed, 1000)
@@ -124,7 +124,7 @@
 		rng := rand.New(rand.NewPCG(i, 3))
 		for now := 1000 * second; now < 1020*second; now += 1 + monotime.Micros(rng.ExpFloat64()*float64(second)) {
 			// each instance has one accepted attempt per second, and may then retry
-			c.OnAttemptEnded(now, 0, true, Answered, 50_000)
+			c.OnAttemptEnded(now, 0, true, Responded, 50_000)
 			accepted++
 			for c.Bounds(now + 1).RetryAllowed {
 				c.OnAttemptSent(now+1, 0, false)
@@ -165,7 +165,7 @@
 			c.OnLoadReport(now, LoadReport{InFlight: 4, ServedRate: probeTestServedRate})
 		}
 		for serving && nextResponseAt <= now {
-			c.OnAttemptEnded(now, 0, true, Answered, 60_000)
+			c.OnAttemptEnded(now, 0, true, Responded, 60_000)
 			nextResponseAt += 1 + monotime.Micros(rng.ExpFloat64()*meanGap)
 		}
 		saving := now >= 4*second && now < 9*second
--- a/internal/decide/reuse/reuse.go
+++ b/internal/decide/reuse/reuse.go
@@ -48,8 +48,8 @@
 
 // Settings are the least reuse delays. With the zero Settings connections are reused at once.
 type Settings struct {
-	Rest           monotime.Micros // least reuse delay of all endpoints; 0 disables pool and process evidence
-	DistrustedRest monotime.Micros // least reuse delay of a distrusted address (IsDistrusted); 0 disables distrust
+	ReuseDelay           monotime.Micros // least reuse delay of all endpoints; 0 disables pool and process evidence
+	DistrustedReuseDelay monotime.Micros // least delay at a distrusted address (IsDistrusted); 0 disables distrust
 }
 
 // Endpoint identifies an endpoint by its pool and its address.
@@ -77,24 +77,25 @@
 	}
 }
 
-// Rest returns the reuse delay of connections to an endpoint: the time after a response before a connection may
+// ReuseDelay returns the reuse delay of connections to an endpoint: the time after a response before a connection may
 // carry another request.
-func (d *Decider) Rest(now monotime.Micros, e Endpoint) monotime.Micros {
-	delay := d.settings.Rest
-	if address := d.addresses[e.Address]; address.isRecent(now) && d.settings.DistrustedRest > 0 {
-		delay = max(delay, d.settings.DistrustedRest, addressFactor*address.longest)
+func (d *Decider) ReuseDelay(now monotime.Micros, e Endpoint) monotime.Micros {
+	delay := d.settings.ReuseDelay
+	if address := d.addresses[e.Address]; address.isRecent(now) && d.settings.DistrustedReuseDelay > 0 {
+		delay = max(delay, d.settings.DistrustedReuseDelay, addressFactor*address.longest)
 	}
-	if d.settings.Rest == 0 {
+	if d.settings.ReuseDelay == 0 {
 		return delay
 	}
 	delay = max(delay, poolFactor*d.pools[e.Pool].lateness(now))
 	return delay + d.delayAllowance(now)
 }
 
-// Left returns the remaining reuse delay of a connection to an endpoint, where elapsed is the time since the
-// last response on the connection. Time during which this process did not run does not count as elapsed.
-func (d *Decider) Left(now monotime.Micros, e Endpoint, elapsed monotime.Micros) monotime.Micros {
-	delay := d.Rest(now, e)
+// RemainingReuseDelay returns the remaining reuse delay of a connection to an endpoint, where elapsed is the
+// time since the last response on the connection. Time during which this process did not run does not count as
+// elapsed.
+func (d *Decider) RemainingReuseDelay(now monotime.Micros, e Endpoint, elapsed monotime.Micros) monotime.Micros {
+	delay := d.ReuseDelay(now, e)
 	if elapsed < delay {
 		return delay - elapsed
 	}
@@ -102,9 +103,9 @@
 }
 
 // IsDistrusted reports whether an address has sent a second response within evidencePeriod. It returns false
-// for all addresses if Settings.DistrustedRest is 0.
+// for all addresses if Settings.DistrustedReuseDelay is 0.
 func (d *Decider) IsDistrusted(now monotime.Micros, address string) bool {
-	return d.settings.DistrustedRest > 0 && d.addresses[address].isRecent(now)
+	return d.settings.DistrustedReuseDelay > 0 && d.addresses[address].isRecent(now)
 }
 
 // Expire removes addresses without evidence within evidencePeriod.
--- a/internal/decide/reuse/reuse_test.go
+++ b/internal/decide/reuse/reuse_test.go
@@ -10,7 +10,7 @@
 const ms = monotime.Millisecond
 
 var (
-	testSettings      = Settings{Rest: 20 * ms, DistrustedRest: 40 * ms}
+	testSettings      = Settings{ReuseDelay: 20 * ms, DistrustedReuseDelay: 40 * ms}
 	firstEndpoint     = Endpoint{Pool: "clinic", Address: "127.0.0.1:1"}
 	samePoolEndpoint  = Endpoint{Pool: "clinic", Address: "127.0.0.1:2"}
 	otherPoolEndpoint = Endpoint{Pool: "archive", Address: "127.0.0.1:3"}
@@ -31,7 +31,7 @@
 func checkReuseDelays(t *testing.T, d *Decider, now monotime.Micros, want ...monotime.Micros) {
 	t.Helper()
 	for i, e := range []Endpoint{firstEndpoint, samePoolEndpoint, otherPoolEndpoint} {
-		if got := d.Rest(now, e); got != want[i] {
+		if got := d.ReuseDelay(now, e); got != want[i] {
 			t.Errorf("reuse delay of %v: %d, want %d", e, got, want[i])
 		}
 	}
@@ -146,18 +146,18 @@
 	for _, c := range []struct{ elapsed, want monotime.Micros }{
 		{0, 20 * ms}, {5 * ms, 15 * ms}, {20 * ms, 0}, {21 * ms, 0},
 	} {
-		if got := d.Left(1000*ms, firstEndpoint, c.elapsed); got != c.want {
+		if got := d.RemainingReuseDelay(1000*ms, firstEndpoint, c.elapsed); got != c.want {
 			t.Errorf("%d left after %d, want %d", got, c.elapsed, c.want)
 		}
 	}
 	now := 100 * monotime.Second
 	d.ObserveDelay(now, 5*monotime.Second)
-	reuseDelay := d.Rest(now, firstEndpoint)
-	if got := d.Left(now, firstEndpoint, 5010*ms); got != reuseDelay-10*ms {
+	reuseDelay := d.ReuseDelay(now, firstEndpoint)
+	if got := d.RemainingReuseDelay(now, firstEndpoint, 5010*ms); got != reuseDelay-10*ms {
 		t.Errorf("%d left after a pause, want %d", got, reuseDelay-10*ms)
 	}
 	now += 4 * delayPeriod
-	if got := d.Left(now, firstEndpoint, 4*delayPeriod+5015*ms); got != 0 {
+	if got := d.RemainingReuseDelay(now, firstEndpoint, 4*delayPeriod+5015*ms); got != 0 {
 		t.Errorf("%d left after a long reuse delay, want none", got)
 	}
 }
@@ -170,7 +170,7 @@
 	d.ObserveSecondResponse(0, secondResponse)
 	d.ObserveDelay(0, monotime.Second)
 	checkReuseDelays(t, d, 0, 0, 0, 0)
-	d = New(Settings{DistrustedRest: 100 * ms})
+	d = New(Settings{DistrustedReuseDelay: 100 * ms})
 	d.ObserveSecondResponse(0, secondResponse)
 	checkReuseDelays(t, d, 0, 1200*ms, 0, 0)
 }
--- a/internal/decide/route/match.go
+++ b/internal/decide/route/match.go
@@ -7,11 +7,11 @@
 
 // The results of Match for a request that no pattern matches.
 const (
-	NotFound   = -1 // no pattern matches the host, path and headers
-	NotAllowed = -2 // a pattern matches the host, path and headers, but no such pattern allows the method
+	NotFound         = -1 // no pattern matches the host, path and headers
+	MethodNotAllowed = -2 // a pattern matches the host, path and headers, but no such pattern allows the method
 )
 
-// Match returns the index of the most specific pattern that matches a request, or NotFound or NotAllowed. The
+// Match returns the index of the most specific pattern that matches a request, or NotFound or MethodNotAllowed. The
 // host and the path must be in the form that NormalizeHost and NormalizePath return. Match searches the
 // patterns of the exact host first, then those of its suffixes, the longest first, and then the patterns
 // without a host. It allocates no memory. Its time is proportional to the number of segments in the path, to
@@ -65,7 +65,7 @@
 }
 
 // matchEntries sets the result to the first entry that matches the headers and the method, and reports whether
-// there is such an entry. If an entry matches the headers only, the result is NotAllowed.
+// there is such an entry. If an entry matches the headers only, the result is MethodNotAllowed.
 func (s *search) matchEntries(entries []entry) bool {
 	for i := range entries {
 		e := &entries[i]
@@ -76,13 +76,13 @@
 			s.result = e.patternIndex
 			return true
 		}
-		s.result = NotAllowed
+		s.result = MethodNotAllowed
 	}
 	return false
 }
 
 // matchHeaders reports whether the headers of the request meet all conditions.
-func (s *search) matchHeaders(conditions []Header) bool {
+func (s *search) matchHeaders(conditions []HeaderCondition) bool {
 	for _, h := range conditions {
 		values := s.headers[h.Name]
 		if len(values) == 0 || h.Value != "" && values[0] != h.Value {
--- a/internal/decide/route/pattern.go
+++ b/internal/decide/route/pattern.go
@@ -8,14 +8,14 @@
 
 // Pattern describes the requests that take a route. The zero Pattern matches all requests.
 type Pattern struct {
-	Host    string   // "name", "*.suffix" for all names below the suffix, or "" for any host
-	Path    string   // "/exact", "/prefix/*" for it and all paths below, or "" for any; segments may be {parameters}
-	Methods []string // allowed methods; empty for any method
-	Headers []Header // conditions on headers; a request must meet all of them
+	Host    string            // "name", "*.suffix" for all names below the suffix, or "" for any host
+	Path    string            // "/exact", "/prefix/*" with all paths below, or "" for any; segments may be {parameters}
+	Methods []string          // allowed methods; empty for any method
+	Headers []HeaderCondition // conditions on headers; a request must meet all of them
 }
 
-// Header is a condition on the first value of a request's header.
-type Header struct {
+// HeaderCondition is a condition on the first value of a request's header.
+type HeaderCondition struct {
 	Name  string // header name in canonical form
 	Value string // required value; "" if the header must be present with any value
 }
@@ -83,12 +83,12 @@
 }
 
 // validateHeaders returns why the header conditions of a pattern are invalid; empty if they are valid.
-func validateHeaders(headers []Header) (reason string) {
+func validateHeaders(headers []HeaderCondition) (reason string) {
 	for i, h := range headers {
 		if h.Name == "" {
 			return "a name is missing"
 		}
-		if slices.ContainsFunc(headers[:i], func(earlier Header) bool { return earlier.Name == h.Name }) {
+		if slices.ContainsFunc(headers[:i], func(earlier HeaderCondition) bool { return earlier.Name == h.Name }) {
 			return fmt.Sprintf("%q is named twice", h.Name)
 		}
 	}
--- a/internal/decide/route/route_test.go
+++ b/internal/decide/route/route_test.go
@@ -126,7 +126,7 @@
 		{Pattern{Path: "/%41"}, "path"},
 		{Pattern{Methods: []string{"GET", "GET"}}, "method"},
 		{Pattern{Methods: []string{""}}, "method"},
-		{Pattern{Headers: []Header{{Name: "X"}, {Name: "X"}}}, "header"},
+		{Pattern{Headers: []HeaderCondition{{Name: "X"}, {Name: "X"}}}, "header"},
 	} {
 		_, err := New([]Pattern{{Path: "/fine"}, tc.pattern})
 		var patternErr *PatternError
@@ -139,11 +139,11 @@
 func TestSpecificPatternWins(t *testing.T) {
 	// All patterns match the request below, and each one is more specific than the patterns after it.
 	mostSpecificFirst := []Pattern{
-		{Host: "a.example", Path: "/x/y", Headers: []Header{{"K", "1"}, {"L", ""}}, Methods: []string{"GET"}},
-		{Host: "a.example", Path: "/x/y", Headers: []Header{{"K", "1"}}, Methods: []string{"GET"}},
-		{Host: "a.example", Path: "/x/y", Headers: []Header{{"K", "1"}}},
-		{Host: "a.example", Path: "/x/y", Headers: []Header{{"K", ""}, {"L", ""}}},
-		{Host: "a.example", Path: "/x/y", Headers: []Header{{"K", ""}}},
+		{Host: "a.example", Path: "/x/y", Headers: []HeaderCondition{{"K", "1"}, {"L", ""}}, Methods: []string{"GET"}},
+		{Host: "a.example", Path: "/x/y", Headers: []HeaderCondition{{"K", "1"}}, Methods: []string{"GET"}},
+		{Host: "a.example", Path: "/x/y", Headers: []HeaderCondition{{"K", "1"}}},
+		{Host: "a.example", Path: "/x/y", Headers: []HeaderCondition{{"K", ""}, {"L", ""}}},
+		{Host: "a.example", Path: "/x/y", Headers: []HeaderCondition{{"K", ""}}},
 		{Host: "a.example", Path: "/x/y", Methods: []string{"GET"}},
 		{Host: "a.example", Path: "/x/y"},
 		{Host: "a.example", Path: "/x/y/*"},
@@ -183,7 +183,7 @@
 		{Path: "/cards/*"},
 		{Path: "/slots", Methods: []string{"GET", "HEAD"}},
 		{Host: "*.valle.example", Path: "/slots/"},
-		{Path: "/book", Methods: []string{"POST"}, Headers: []Header{{"Idempotency-Key", ""}}},
+		{Path: "/book", Methods: []string{"POST"}, Headers: []HeaderCondition{{"Idempotency-Key", ""}}},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -199,7 +199,7 @@
 		{"x", "/cards/a/7/8", "GET", 1},
 		{"x", "/cardsx", "GET", NotFound},
 		{"x", "/slots", "HEAD", 2},
-		{"x", "/slots", "POST", NotAllowed},
+		{"x", "/slots", "POST", MethodNotAllowed},
 		{"x", "/slots/", "GET", NotFound},
 		{"a.valle.example", "/slots/", "GET", 3},
 		{"b.a.valle.example", "/slots/", "GET", 3},
@@ -231,9 +231,9 @@
 		{Pattern{Path: "/a", Methods: getOnly}, Pattern{Path: "/a", Methods: []string{"POST"}}, false},
 		{Pattern{Path: "/a", Methods: getOnly}, Pattern{Path: "/a", Methods: []string{"POST", "GET"}}, true},
 		{Pattern{Path: "/a", Methods: getOnly}, Pattern{Path: "/a"}, false},
-		{Pattern{Headers: []Header{{"A", "1"}}}, Pattern{Headers: []Header{{"A", "2"}}}, false},
-		{Pattern{Headers: []Header{{"A", "1"}}}, Pattern{Headers: []Header{{"B", "1"}}}, true},
-		{Pattern{Headers: []Header{{"A", "1"}}}, Pattern{Headers: []Header{{"A", ""}}}, false},
+		{Pattern{Headers: []HeaderCondition{{"A", "1"}}}, Pattern{Headers: []HeaderCondition{{"A", "2"}}}, false},
+		{Pattern{Headers: []HeaderCondition{{"A", "1"}}}, Pattern{Headers: []HeaderCondition{{"B", "1"}}}, true},
+		{Pattern{Headers: []HeaderCondition{{"A", "1"}}}, Pattern{Headers: []HeaderCondition{{"A", ""}}}, false},
 		{Pattern{Host: "a"}, Pattern{Host: "*.a"}, false},
 	} {
 		_, err := New([]Pattern{{Path: "/other"}, tc.first, tc.second})
@@ -270,7 +270,7 @@
 		}
 	}
 	if best < 0 && methodMismatch {
-		return NotAllowed
+		return MethodNotAllowed
 	}
 	return best
 }
@@ -378,9 +378,9 @@
 	for _, name := range []string{"K", "L"} {
 		switch rapid.IntRange(0, 4).Draw(t, name) {
 		case 0:
-			p.Headers = append(p.Headers, Header{name, ""})
+			p.Headers = append(p.Headers, HeaderCondition{name, ""})
 		case 1:
-			p.Headers = append(p.Headers, Header{name, "1"})
+			p.Headers = append(p.Headers, HeaderCondition{name, "1"})
 		}
 	}
 	return p
@@ -425,7 +425,7 @@
 		}
 		for _, name := range []string{"K", "L"} {
 			if v := c.pick("-", "-", "", "1"); v != "-" {
-				p.Headers = append(p.Headers, Header{name, v})
+				p.Headers = append(p.Headers, HeaderCondition{name, v})
 			}
 		}
 		if _, err := New(append(slices.Clone(patterns), p)); err == nil {
--- a/internal/decide/route/table.go
+++ b/internal/decide/route/table.go
@@ -27,7 +27,7 @@
 type entry struct {
 	patternIndex      int // index of the pattern in the argument of New
 	methods           []string
-	headers           []Header
+	headers           []HeaderCondition
 	exactValueHeaders int // number of headers for which a value is required
 }
 
--- a/internal/decide/takeover/event.go
+++ b/internal/decide/takeover/event.go
@@ -9,9 +9,9 @@
 // Times limits the durations of the steps of a hot restart. A step that exceeds its limit ends with the event
 // DeadlineReached.
 type Times struct {
-	Ready  monotime.Micros // from Offer to Ready, which is the time in which the successor starts
-	Answer monotime.Micros // from a message to its reply, if the other process can reply at once
-	Drain  monotime.Micros // from Activate to Done, or of a graceful shutdown; remaining connections are then closed
+	Ready monotime.Micros // from Offer to Ready, which is the time in which the successor starts
+	Reply monotime.Micros // from a message to its reply, if the other process can reply at once
+	Drain monotime.Micros // from Activate to Done, or of a graceful shutdown; remaining connections are then closed
 }
 
 // Event is a message from the other process or an event of the host. The numeric values of the messages are part of the
--- a/internal/decide/takeover/predecessor.go
+++ b/internal/decide/takeover/predecessor.go
@@ -29,18 +29,18 @@
 // String returns the name of the state in logs.
 func (p *Predecessor) String() string { return predecessorStateNames[p.state] }
 
-// HandingOver reports whether a hot restart or a shutdown is in progress. Another successor is then rejected.
-func (p *Predecessor) HandingOver() bool { return p.state != serving }
+// RejectsSuccessors reports whether a hot restart or a shutdown is in progress. Another successor is then rejected.
+func (p *Predecessor) RejectsSuccessors() bool { return p.state != serving }
 
 // Draining reports whether a graceful shutdown without a connection to a successor is in progress.
 func (p *Predecessor) Draining() bool { return p.state == draining }
 
-// MessageAtHand postpones the deadline of the current state if it has passed, at most once per state, and reports
-// whether it was postponed. The host calls it if a message from the successor has arrived and is not handled yet: the
-// deadline may have passed only because this process was suspended for a while.
-func (p *Predecessor) MessageAtHand(now monotime.Micros) bool {
+// PostponeForPendingMessage postpones the deadline of the current state if it has passed, at most once per
+// state, and reports whether it was postponed. The host calls it if a message from the successor has arrived
+// and is not handled yet: the deadline may have passed only because this process was suspended for a while.
+func (p *Predecessor) PostponeForPendingMessage(now monotime.Micros) bool {
 	awaitsMessage := p.state == offered || p.state == paused
-	return awaitsMessage && p.postpone(now, p.Times.Answer)
+	return awaitsMessage && p.postpone(now, p.Times.Reply)
 }
 
 // Step handles an event and returns the steps to execute. Events that are not expected in the current state are
@@ -80,7 +80,7 @@
 func (p *Predecessor) stepWhileOffered(now monotime.Micros, event Event) []Step {
 	switch event {
 	case Ready:
-		p.transition(paused, now+p.Times.Answer)
+		p.transition(paused, now+p.Times.Reply)
 		return []Step{{Action: StopAccepting}, sendMessage(Handover)}
 	case Stop:
 		// The successor already has the sockets, so new connections wait in their accept queues until it accepts them.
--- a/internal/decide/takeover/successor.go
+++ b/internal/decide/takeover/successor.go
@@ -44,7 +44,7 @@
 
 // Connected starts a hot restart over a new connection to the predecessor, and returns the first steps.
 func (s *Successor) Connected(now monotime.Micros) []Step {
-	s.transition(requesting, now+s.Times.Answer)
+	s.transition(requesting, now+s.Times.Reply)
 	return []Step{sendMessage(Hello)}
 }
 
@@ -57,12 +57,12 @@
 // ReceivesConnections reports whether the predecessor may still hand over connections.
 func (s *Successor) ReceivesConnections() bool { return s.state == accepting }
 
-// MessageAtHand postpones the deadline of the current state if it has passed, at most once per state, and reports
-// whether it was postponed. The host calls it if a message from the predecessor has arrived and is not handled yet: the
-// deadline may have passed only because this process was suspended for a while.
-func (s *Successor) MessageAtHand(now monotime.Micros) bool {
+// PostponeForPendingMessage postpones the deadline of the current state if it has passed, at most once per
+// state, and reports whether it was postponed. The host calls it if a message from the predecessor has arrived
+// and is not handled yet: the deadline may have passed only because this process was suspended for a while.
+func (s *Successor) PostponeForPendingMessage(now monotime.Micros) bool {
 	awaitsMessage := s.state == requesting || s.state == ready || s.state == prepared
-	return awaitsMessage && s.postpone(now, s.Times.Answer)
+	return awaitsMessage && s.postpone(now, s.Times.Reply)
 }
 
 // Step handles an event and returns the steps to execute. Events that are not expected in the current state are
@@ -141,7 +141,7 @@
 		case s.handoverReceived:
 			return s.prepare(now)
 		}
-		s.transition(ready, now+s.Times.Answer)
+		s.transition(ready, now+s.Times.Reply)
 		return []Step{sendMessage(Ready)}
 	}
 	return nil
@@ -201,7 +201,7 @@
 func (s *Successor) prepare(now monotime.Micros) []Step {
 	s.transition(prepared, 0)
 	if s.OwnsSockets {
-		s.transition(prepared, now+s.Times.Answer)
+		s.transition(prepared, now+s.Times.Reply)
 	}
 	return []Step{{Action: RestoreState}, sendMessage(Prepared)}
 }
--- a/internal/decide/takeover/takeover_test.go
+++ b/internal/decide/takeover/takeover_test.go
@@ -10,7 +10,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-var testTimes = Times{Ready: 10, Answer: 2, Drain: 5}
+var testTimes = Times{Ready: 10, Reply: 2, Drain: 5}
 
 // messageStream is one direction of the connection between predecessor and successor: the messages in flight, and
 // whether the sender has closed the connection after them.
@@ -336,7 +336,7 @@
 	search.Helper()
 	predecessor := &s.predecessorProcess
 	successor := &s.successorProcess
-	if predecessor.alive && s.predecessor.HandingOver() {
+	if predecessor.alive && s.predecessor.RejectsSuccessors() {
 		search.Fatalf("the predecessor is stuck while %v after:%s", &s.predecessor, s.eventPath)
 	}
 	if successor.alive && !successor.accepting && !successor.stopRequested && !s.nextSuccessorServes {
@@ -445,14 +445,14 @@
 func TestHungSuccessorIsRejectedAtItsDeadline(t *testing.T) {
 	predecessor := Predecessor{Times: testTimes}
 	predecessor.Step(0, Hello)
-	if !predecessor.HandingOver() || predecessor.Deadline() != 10 {
+	if !predecessor.RejectsSuccessors() || predecessor.Deadline() != 10 {
 		t.Fatalf("state %v, deadline %d", &predecessor, predecessor.Deadline())
 	}
 	if steps := predecessor.Step(9, DeadlineReached); steps != nil {
 		t.Errorf("steps before the deadline: %v", steps)
 	}
 	steps := predecessor.Step(10, DeadlineReached)
-	if len(steps) != 2 || steps[0].Message != Rejected || steps[0].Reason == "" || predecessor.HandingOver() {
+	if len(steps) != 2 || steps[0].Message != Rejected || steps[0].Reason == "" || predecessor.RejectsSuccessors() {
 		t.Errorf("steps at the deadline: %+v, then state %v", steps, &predecessor)
 	}
 	// After the rejection the predecessor serves again, and replies to the next Hello with Offer.
@@ -464,7 +464,7 @@
 // A successor that owns its sockets starts serving within six seconds, whatever the predecessor does. It fails only if
 // it is requested to shut down.
 func TestSuccessorThatOwnsSocketsServesInTime(t *testing.T) {
-	realTimes := Times{Ready: 2_000_000, Answer: 1_000_000, Drain: 30_000_000}
+	realTimes := Times{Ready: 2_000_000, Reply: 1_000_000, Drain: 30_000_000}
 	for seed := range uint64(2000) {
 		checkSocketOwnerServes(t, seed, realTimes)
 	}
--- a/internal/engine/overload.go
+++ b/internal/engine/overload.go
@@ -142,7 +142,7 @@
 func overloadOutcome(status balancer.Status) overload.Outcome {
 	switch status {
 	case balancer.OK:
-		return overload.Answered
+		return overload.Responded
 	case balancer.Rejected, balancer.Timeout:
 		return overload.Overloaded
 	case balancer.Cancelled, balancer.NotSent:
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -134,7 +134,7 @@
 		s.OverloadLevel = p.overload.controller.Level()
 	}
 	if p.concurrency != nil {
-		limit, unloaded := p.concurrency.Learned()
+		limit, unloaded := p.concurrency.LearnedState()
 		s.ConcurrencyLimit = limit
 		s.UnloadedLatency = map[string]float64{}
 		for i, name := range p.engine.config.Site.Classes {
--- a/internal/frontend/http1/accept.go
+++ b/internal/frontend/http1/accept.go
@@ -19,12 +19,12 @@
 	maxQueueDrainTime = 100 * time.Millisecond
 )
 
-// Identify returns the client that a connection belongs to, or an error if the peer is not allowed to connect.
+// IdentifyFunc returns the client that a connection belongs to, or an error if the peer is not allowed to connect.
 // onClose, which may be nil, is called when the connection has ended.
-type Identify func(net.Conn) (c *Client, onClose func(), err error)
+type IdentifyFunc func(net.Conn) (c *Client, onClose func(), err error)
 
 // accept accepts and serves the connections of ln until ln is closed or its deadline passes.
-func (m *connManager) accept(ln net.Listener, identify Identify) error {
+func (m *connManager) accept(ln net.Listener, identify IdentifyFunc) error {
 	backoff := minAcceptBackoff
 	for {
 		netConn, err := ln.Accept()
@@ -51,7 +51,7 @@
 // acceptQueued accepts and serves the connections in ln's listen queue. It returns once the queue is empty, and
 // after maxQueueDrainTime at the latest. Closing ln without it would reset the queued connections and lose the
 // requests that their clients have sent. No other goroutine may accept on ln at the same time.
-func (m *connManager) acceptQueued(ln net.Listener, identify Identify) {
+func (m *connManager) acceptQueued(ln net.Listener, identify IdentifyFunc) {
 	deadlineListener, ok := ln.(interface{ SetDeadline(time.Time) error })
 	if !ok {
 		return
--- a/internal/frontend/http1/connmanager.go
+++ b/internal/frontend/http1/connmanager.go
@@ -50,7 +50,7 @@
 }
 
 // add starts a goroutine that serves a connection, or closes the connection if identify or the limits reject it.
-func (m *connManager) add(netConn net.Conn, identify Identify) {
+func (m *connManager) add(netConn net.Conn, identify IdentifyFunc) {
 	client, onClose, err := identify(netConn)
 	if err != nil {
 		m.log.Warn("connection rejected", "from", netConn.RemoteAddr().String(), "error", err)
--- a/internal/frontend/http1/routed_requests.go
+++ b/internal/frontend/http1/routed_requests.go
@@ -120,7 +120,7 @@
 	switch routeIndex := r.Table.Match(route.NormalizeHost(host), path, req.Method, req.Header); routeIndex {
 	case route.NotFound:
 		return nil, &requestError{status: http.StatusNotFound, reason: "no route", proxyError: proxyErrNotFound}
-	case route.NotAllowed:
+	case route.MethodNotAllowed:
 		reason := "no route takes " + req.Method + " here"
 		return nil, &requestError{status: http.StatusMethodNotAllowed, reason: reason, proxyError: proxyErrDenied}
 	default:
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -94,16 +94,18 @@
 }
 
 // Accept accepts and serves the connections of ln until ln is closed or its deadline passes.
-func (s *Server) Accept(ln net.Listener, identify Identify) error {
+func (s *Server) Accept(ln net.Listener, identify IdentifyFunc) error {
 	return s.conns.accept(ln, identify)
 }
 
 // AcceptQueued accepts and serves the connections that are in ln's listen queue. Accept must have returned before
 // the call.
-func (s *Server) AcceptQueued(ln net.Listener, identify Identify) { s.conns.acceptQueued(ln, identify) }
+func (s *Server) AcceptQueued(ln net.Listener, identify IdentifyFunc) {
+	s.conns.acceptQueued(ln, identify)
+}
 
 // Adopt serves a connection that another process has handed over to this one.
-func (s *Server) Adopt(netConn net.Conn, identify Identify) { s.conns.add(netConn, identify) }
+func (s *Server) Adopt(netConn net.Conn, identify IdentifyFunc) { s.conns.add(netConn, identify) }
 
 // SetHandoff starts handing connections over to another process (hot restart): each connection is passed to
 // handoff once, as soon as it is idle. handoff is called concurrently, and reports whether the other process
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -64,9 +64,9 @@
 	// Sockets is the limit of file descriptors: key limits.sockets, at least MinSockets. The default is 1024.
 	Sockets int
 
-	// Known is the endpoint list at the start of the process: key known. Without the key its generation is
+	// InitialList is the endpoint list at the start of the process: key known. Without the key its generation is
 	// discovery.NoGeneration.
-	Known discovery.List
+	InitialList discovery.List
 
 	// Site contains the settings of the decision packages: key settings. It is required.
 	Site siteconfig.Site
@@ -176,9 +176,9 @@
 	}
 	// If the file contains no list, the endpoints of the first list from discovery count as started long ago.
 	// After an empty list they would count as just started and would go through warm-up.
-	c.Known = discovery.List{Generation: discovery.NoGeneration}
+	c.InitialList = discovery.List{Generation: discovery.NoGeneration}
 	if file.Known != nil {
-		c.Known = *file.Known
+		c.InitialList = *file.Known
 	}
 	if len(file.Settings) == 0 {
 		return nil, &ConfigError{"settings", errors.New("is missing")}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -78,7 +78,7 @@
 		text := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",` + known +
 			`"settings":` + smallSiteSettings + `}`
 		c, err := Parse([]byte(text), getenvFrom(nil))
-		if err != nil || c.Known.Generation != want {
+		if err != nil || c.InitialList.Generation != want {
 			t.Errorf("known %q: %+v, %v; want generation %d", known, c, err, want)
 		}
 	}
--- a/internal/sidecar/lifecycle.go
+++ b/internal/sidecar/lifecycle.go
@@ -64,9 +64,9 @@
 
 func newLifecycle(s *sidecar, listener net.Listener) *lifecycle {
 	timeouts := decide.Times{
-		Ready:  clock.Micros(readyTimeout),
-		Answer: clock.Micros(replyTimeout),
-		Drain:  clock.Micros(drainTimeout),
+		Ready: clock.Micros(readyTimeout),
+		Reply: clock.Micros(replyTimeout),
+		Drain: clock.Micros(drainTimeout),
 	}
 	l := &lifecycle{sidecar: s, listener: listener}
 	l.Lifecycle = takeover.NewLifecycle(l, s.frontend, timeouts, s.log)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -59,7 +59,7 @@
 // reservedSockets. Descriptors for the admin server are not included.
 func availableSockets(c *platform.Config) int {
 	if c.AdminAddress != "" {
-		return c.Sockets - admin.Sockets
+		return c.Sockets - admin.MaxDescriptors
 	}
 	return c.Sockets
 }
@@ -171,7 +171,7 @@
 	c := s.config
 	pool := engine.PoolConfig{
 		Source:           c.Discovery,
-		InitialEndpoints: c.Known.EndpointUpdate(),
+		InitialEndpoints: c.InitialList.EndpointUpdate(),
 		SetWatch:         s.listSource.SetWatching,
 	}
 	if c.OverloadControl {
@@ -220,7 +220,7 @@
 
 // newSource creates the source of endpoint lists without starting it.
 func (s *sidecar) newSource() {
-	watcher := s.watchDiscovery(s.config.Discovery, s.config.Known.Generation)
+	watcher := s.watchDiscovery(s.config.Discovery, s.config.InitialList.Generation)
 	s.firstWatcher = watcher
 	if !s.config.Site.Settings.Subscribe {
 		s.listSource = discovery.NewContinuousSource(watcher)
--- a/internal/takeover/lifecycle.go
+++ b/internal/takeover/lifecycle.go
@@ -90,10 +90,10 @@
 // deadline so that the message is handled first: after a stall of this process, the other process has not
 // missed the deadline.
 func (l *Lifecycle) onDeadline() {
-	if !hasPendingMessage(l.PredecessorConn) || !l.Successor.MessageAtHand(now()) {
+	if !hasPendingMessage(l.PredecessorConn) || !l.Successor.PostponeForPendingMessage(now()) {
 		l.stepSuccessorAtDeadline()
 	}
-	if !hasPendingMessage(l.SuccessorConn) || !l.Predecessor.MessageAtHand(now()) {
+	if !hasPendingMessage(l.SuccessorConn) || !l.Predecessor.PostponeForPendingMessage(now()) {
 		l.StepPredecessor(decide.DeadlineReached)
 	}
 }
--- a/internal/takeover/lifecycle_test.go
+++ b/internal/takeover/lifecycle_test.go
@@ -90,7 +90,7 @@
 // while the host was starting. The deadline for the host to become ready has passed.
 func newStartingLifecycle(t *testing.T, host *stubHost, ownsSockets bool) *Lifecycle {
 	t.Helper()
-	times := decide.Times{Ready: 1, Answer: 1, Drain: 1}
+	times := decide.Times{Ready: 1, Reply: 1, Drain: 1}
 	l := NewLifecycle(host, nil, times, slog.New(slog.DiscardHandler))
 	l.Successor.OwnsSockets = ownsSockets
 	t.Cleanup(func() {
@@ -158,7 +158,7 @@
 	for name, offer := range map[string][]byte{"offer": {byte(decide.Offer)}, "part of an offer": {byte(chunk), 1}} {
 		t.Run(name, func(t *testing.T) {
 			host := &stubHost{}
-			times := decide.Times{Ready: monotime.Second, Answer: 200 * monotime.Millisecond}
+			times := decide.Times{Ready: monotime.Second, Reply: 200 * monotime.Millisecond}
 			l := NewLifecycle(host, nil, times, slog.New(slog.DiscardHandler))
 			l.Successor.OwnsSockets = true
 			t.Cleanup(func() {
@@ -192,7 +192,7 @@
 // Guards against a process that blames its successor for its own stall: the Ready message of the successor
 // arrived while this process did not run.
 func TestReadyAtHandAtItsDeadline(t *testing.T) {
-	l := NewLifecycle(&stubHost{}, nil, decide.Times{Ready: 1, Answer: monotime.Second}, slog.New(slog.DiscardHandler))
+	l := NewLifecycle(&stubHost{}, nil, decide.Times{Ready: 1, Reply: monotime.Second}, slog.New(slog.DiscardHandler))
 	t.Cleanup(func() {
 		l.CloseLoop()
 		l.CloseConns()
@@ -204,7 +204,7 @@
 	scriptedpeer.Eventually(t, "deadline", func() bool { return now() >= l.Predecessor.Deadline() })
 	l.onDeadline()
 	for l.Predecessor.String() != "paused" {
-		if !l.Predecessor.HandingOver() {
+		if !l.Predecessor.RejectsSuccessors() {
 			t.Fatal("the successor was rejected although its Ready message had arrived")
 		}
 		l.Arm()
--- a/internal/takeover/predecessor.go
+++ b/internal/takeover/predecessor.go
@@ -76,7 +76,7 @@
 			"message", step.Message.String())
 		l.carryOutPredecessor(step)
 	}
-	if active := l.Predecessor.HandingOver(); active != l.handingOver {
+	if active := l.Predecessor.RejectsSuccessors(); active != l.handingOver {
 		l.handingOver = active
 		l.host.HandingOver(active)
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -112,8 +112,8 @@
 		maxIdleTime: o.maxIdleTime(),
 		idleTargets: map[*Target]struct{}{},
 		reuseDelays: reuse.New(reuse.Settings{
-			Rest:           clock.Micros(o.ReuseDelay),
-			DistrustedRest: clock.Micros(o.DistrustedReuseDelay),
+			ReuseDelay:           clock.Micros(o.ReuseDelay),
+			DistrustedReuseDelay: clock.Micros(o.DistrustedReuseDelay),
 		}),
 		surplus:        newSurplusCounts(),
 		processorTimes: processorTimes{directory: o.threadsDirectory},
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -170,7 +170,7 @@
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	if reuseDelay := clock.Duration(
-		s.pool.reuseDelays.Rest(s.pool.options.Clock.Now(), s.target.endpoint),
+		s.pool.reuseDelays.ReuseDelay(s.pool.options.Clock.Now(), s.target.endpoint),
 	); reuseDelay < lateness {
 		t.Errorf("reuse delay %v, want %v or more", reuseDelay, lateness)
 	}
--- a/internal/upstream/reuse.go
+++ b/internal/upstream/reuse.go
@@ -254,7 +254,7 @@
 		return 0
 	}
 	elapsed := clock.Micros(time.Since(c.lastResponse))
-	return clock.Duration(p.reuseDelays.Left(p.options.Clock.Now(), c.target.endpoint, elapsed))
+	return clock.Duration(p.reuseDelays.RemainingReuseDelay(p.options.Clock.Now(), c.target.endpoint, elapsed))
 }
 
 // isUsableLocked reports whether a connection is still open, has no unread bytes, and has not expired. A
--- a/internal/upstream/surplus.go
+++ b/internal/upstream/surplus.go
@@ -163,7 +163,7 @@
 	}
 	report := surplusReport{distrusted: map[reuse.Endpoint]time.Duration{}, suspects: p.surplus.unloggedSuspects}
 	for endpoint := range p.surplus.unloggedEndpoints {
-		report.distrusted[endpoint] = clock.Duration(p.reuseDelays.Rest(now, endpoint))
+		report.distrusted[endpoint] = clock.Duration(p.reuseDelays.ReuseDelay(now, endpoint))
 		p.surplus.loggedEndpoints[endpoint] = struct{}{}
 	}
 	clear(p.surplus.unloggedEndpoints)
