--- a/internal/daemon/helper_test.go
+++ b/internal/daemon/helper_test.go
@@ -397,7 +397,7 @@
 			fail(syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}))
 		}
 		fail(Run(ctx, Options{Config: c, Log: testLog(),
-		OnServing: func(map[string]string) { fmt.Println("serving") }}))
+			OnServing: func(map[string]string) { fmt.Println("serving") }}))
 	case "client": // prints the result of each request as a line of JSON
 		var o client.Options
 		fail(json.Unmarshal([]byte(text), &o))
