--- a/internal/consensus/boltstore.go
+++ b/internal/consensus/boltstore.go
@@ -63,18 +63,18 @@
 func (s *BoltStore) Load() (stored StoredLog, empty bool, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
-		snapshot := meta.Get(keySnapshot)
-		if snapshot == nil {
+		encodedSnapshot := meta.Get(keySnapshot)
+		if encodedSnapshot == nil {
 			empty = true
 			return nil
 		}
 		stored.Snapshot = &raftpb.Snapshot{}
-		if proto.Unmarshal(snapshot, stored.Snapshot) != nil {
+		if proto.Unmarshal(encodedSnapshot, stored.Snapshot) != nil {
 			return fmt.Errorf("%w: its snapshot", ErrCorrupt)
 		}
-		if hard := meta.Get(keyHardState); hard != nil {
+		if encodedHardState := meta.Get(keyHardState); encodedHardState != nil {
 			stored.HardState = &raftpb.HardState{}
-			if proto.Unmarshal(hard, stored.HardState) != nil {
+			if proto.Unmarshal(encodedHardState, stored.HardState) != nil {
 				return fmt.Errorf("%w: its hard state", ErrCorrupt)
 			}
 		}
@@ -86,20 +86,20 @@
 }
 
 // loadEntries returns the entries after an index, or an error that wraps ErrCorrupt if one is invalid or missing.
-func loadEntries(bucket *bbolt.Bucket, after uint64) ([]*raftpb.Entry, error) {
+func loadEntries(bucket *bbolt.Bucket, snapshotIndex uint64) ([]*raftpb.Entry, error) {
 	var entries []*raftpb.Entry
-	last := after
+	lastIndex := snapshotIndex
 	err := bucket.ForEach(func(key, value []byte) error {
 		entry := &raftpb.Entry{}
 		if proto.Unmarshal(value, entry) != nil || !bytes.Equal(key, entryKey(entry.GetIndex())) {
 			return fmt.Errorf("%w: an entry", ErrCorrupt)
 		}
-		if entry.GetIndex() <= last {
+		if entry.GetIndex() <= lastIndex {
 			return nil // it is in the snapshot
 		}
-		last++
-		if entry.GetIndex() != last {
-			return fmt.Errorf("%w: entry %d is missing", ErrCorrupt, last)
+		lastIndex++
+		if entry.GetIndex() != lastIndex {
+			return fmt.Errorf("%w: entry %d is missing", ErrCorrupt, lastIndex)
 		}
 		entries = append(entries, entry)
 		return nil
@@ -108,23 +108,23 @@
 }
 
 // Save stores its arguments in one transaction.
-func (s *BoltStore) Save(hard *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
+func (s *BoltStore) Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	snapshotIndex := snapshot.GetMetadata().GetIndex()
-	if hard == nil && len(entries) == 0 && snapshotIndex == 0 {
+	if hardState == nil && len(entries) == 0 && snapshotIndex == 0 {
 		return nil
 	}
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
 		if snapshotIndex > 0 {
-			if err := putMessage(meta, keySnapshot, snapshot); err != nil {
+			if err := putProtoMessage(meta, keySnapshot, snapshot); err != nil {
 				return err
 			}
 			if err := deleteEntries(tx.Bucket(bucketEntries), 0, snapshotIndex+1); err != nil {
 				return err
 			}
 		}
-		if hard != nil {
-			if err := putMessage(meta, keyHardState, hard); err != nil {
+		if hardState != nil {
+			if err := putProtoMessage(meta, keyHardState, hardState); err != nil {
 				return err
 			}
 		}
@@ -146,7 +146,7 @@
 		return err
 	}
 	for _, entry := range entries {
-		if err := putMessage(bucket, entryKey(entry.GetIndex()), entry); err != nil {
+		if err := putProtoMessage(bucket, entryKey(entry.GetIndex()), entry); err != nil {
 			return err
 		}
 	}
@@ -175,8 +175,8 @@
 // entryKey returns the key of the entry at an index.
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// putMessage stores a message of raft under a key.
-func putMessage(bucket *bbolt.Bucket, key []byte, m proto.Message) error {
+// putProtoMessage stores a message of raft under a key.
+func putProtoMessage(bucket *bbolt.Bucket, key []byte, m proto.Message) error {
 	encoded, err := proto.Marshal(m)
 	if err != nil {
 		return err
--- a/internal/consensus/boltstore_test.go
+++ b/internal/consensus/boltstore_test.go
@@ -10,11 +10,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func entryAt(index, term uint64) *raftpb.Entry {
+func newEntry(index, term uint64) *raftpb.Entry {
 	return &raftpb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Data: []byte("x")}
 }
 
-func closeStore(tb testing.TB, store *BoltStore) {
+func closeBoltStore(tb testing.TB, store *BoltStore) {
 	tb.Helper()
 	if err := store.Close(); err != nil {
 		tb.Error(err)
@@ -36,24 +36,24 @@
 		Data:     []byte("{}"),
 		Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1)},
 	}
-	for _, save := range []struct {
+	for _, call := range []struct {
 		term     uint64 // of the hard state; 0 is none
 		entries  []*raftpb.Entry
 		snapshot *raftpb.Snapshot
 	}{
 		{term: 1, snapshot: snapshot},
-		{entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}},
-		{term: 2, entries: []*raftpb.Entry{entryAt(3, 2)}},
+		{entries: []*raftpb.Entry{newEntry(2, 1), newEntry(3, 1), newEntry(4, 1)}},
+		{term: 2, entries: []*raftpb.Entry{newEntry(3, 2)}},
 	} {
-		var hard *raftpb.HardState
-		if save.term > 0 {
-			hard = &raftpb.HardState{Term: proto.Uint64(save.term)}
+		var hardState *raftpb.HardState
+		if call.term > 0 {
+			hardState = &raftpb.HardState{Term: proto.Uint64(call.term)}
 		}
-		if err := store.Save(hard, save.entries, save.snapshot); err != nil {
+		if err := store.Save(hardState, call.entries, call.snapshot); err != nil {
 			t.Fatal(err)
 		}
 	}
-	closeStore(t, store)
+	closeBoltStore(t, store)
 	if store, err = OpenBoltStore(path); err != nil {
 		t.Fatal(err)
 	}
@@ -64,13 +64,13 @@
 	if len(stored.Entries) != 2 || stored.Entries[1].GetTerm() != 2 || stored.HardState.GetTerm() != 2 {
 		t.Fatalf("%+v", stored)
 	}
-	if err := store.Save(nil, []*raftpb.Entry{entryAt(6, 2)}, nil); err != nil { // 4 and 5 are missing
+	if err := store.Save(nil, []*raftpb.Entry{newEntry(6, 2)}, nil); err != nil { // 4 and 5 are missing
 		t.Fatal(err)
 	}
 	if _, _, err := store.Load(); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("a gap: %v", err)
 	}
-	closeStore(t, store)
+	closeBoltStore(t, store)
 	if err := os.WriteFile(path, []byte("not a file of that kind"), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/consensus/encoding_test.go
+++ b/internal/consensus/encoding_test.go
@@ -22,7 +22,7 @@
 
 // encoded returns an empty value of each type that is sent between instances, stored in the log, or part of an
 // operator's call.
-func encoded() map[string]any {
+func emptyEncodedValues() map[string]any {
 	return map[string]any{
 		"word":  &Message{},
 		"entry": &logEntry{},
@@ -31,8 +31,8 @@
 	}
 }
 
-// gossipEncoding returns the encoding of package peers, which sends the messages.
-func gossipEncoding(tb testing.TB) cbor.EncMode {
+// newGossipEncMode returns the encoding of package peers, which sends the messages.
+func newGossipEncMode(tb testing.TB) cbor.EncMode {
 	tb.Helper()
 	mode, err := cbor.EncOptions{Sort: cbor.SortNone, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	if err != nil {
@@ -44,17 +44,17 @@
 // A stored or sent structure is encoded to the same bytes as by the build before its fields had tags, in JSON and in
 // CBOR, and each field is decoded from those bytes.
 func TestEncodedFormIsThatOfTheBuildBefore(t *testing.T) {
-	for name, empty := range encoded() {
-		for _, form := range []string{"empty", "filled"} {
-			value := reflect.New(reflect.TypeOf(empty).Elem()).Interface()
-			if form == "filled" {
+	for name, emptyValue := range emptyEncodedValues() {
+		for _, content := range []string{"empty", "filled"} {
+			value := reflect.New(reflect.TypeOf(emptyValue).Elem()).Interface()
+			if content == "filled" {
 				golden.Fill(t, value)
 			}
-			t.Run(name+"/"+form+"/json", func(t *testing.T) {
-				golden.CheckJSON(t, golden.ReadLine(t, "encoded", name+"."+form+".json"), value)
+			t.Run(name+"/"+content+"/json", func(t *testing.T) {
+				golden.CheckJSON(t, golden.ReadLine(t, "encoded", name+"."+content+".json"), value)
 			})
-			t.Run(name+"/"+form+"/cbor", func(t *testing.T) {
-				checkCBOR(t, golden.Read(t, "encoded", name+"."+form+".cbor"), value)
+			t.Run(name+"/"+content+"/cbor", func(t *testing.T) {
+				checkCBOR(t, golden.Read(t, "encoded", name+"."+content+".cbor"), value)
 			})
 		}
 	}
@@ -63,23 +63,23 @@
 // checkCBOR checks that a value is encoded to the wanted bytes, and decoded from them without unknown fields.
 func checkCBOR(t *testing.T, want []byte, value any) {
 	t.Helper()
-	strict, err := cbor.DecOptions{ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
+	strictDecMode, err := cbor.DecOptions{ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := gossipEncoding(t).Marshal(value)
+	got, err := newGossipEncMode(t).Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
 		t.Errorf("encoded as\n%q\nthe build before has\n%q", got, want)
 	}
-	back := reflect.New(reflect.TypeOf(value).Elem()).Interface()
-	if err := strict.Unmarshal(want, back); err != nil {
+	decoded := reflect.New(reflect.TypeOf(value).Elem()).Interface()
+	if err := strictDecMode.Unmarshal(want, decoded); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(back, value) {
-		t.Errorf("decoded as\n%+v\nit was\n%+v", back, value)
+	if !reflect.DeepEqual(decoded, value) {
+		t.Errorf("decoded as\n%+v\nit was\n%+v", decoded, value)
 	}
 }
 
@@ -88,8 +88,8 @@
 func TestVoterGoesOnFromAFileOfTheBuildBefore(t *testing.T) {
 	for _, name := range []string{"i0", "i1", "i2"} {
 		t.Run(name, func(t *testing.T) {
-			store := openStored(t, name)
-			stored := loadStored(t, store)
+			store := openStoredCopy(t, name)
+			stored := loadStoredLog(t, store)
 			node, err := New(0, Settings{
 				Self:         name,
 				Voters:       []string{"i0", "i1", "i2"},
@@ -99,11 +99,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if restored := encodeState(t, node); !bytes.Equal(restored, stored.Snapshot.GetData()) {
+			if restored := encodeNodeState(t, node); !bytes.Equal(restored, stored.Snapshot.GetData()) {
 				t.Errorf("the snapshot is encoded as\n%s\nit was\n%s", restored, stored.Snapshot.GetData())
 			}
 			node.Tick(0)
-			got := encodeState(t, node)
+			got := encodeNodeState(t, node)
 			want := golden.ReadLine(t, "stored", "voter-"+name+".state.json")
 			if !bytes.Equal(got, want) {
 				t.Errorf("the state is\n%s\nby the build before it was\n%s", got, want)
@@ -112,9 +112,9 @@
 	}
 }
 
-// loadStored returns the log of a store, and checks that it has entries in this build's form and a later snapshot than
+// loadStoredLog returns the log of a store, and checks that it has entries in this build's form and a later snapshot than
 // the first.
-func loadStored(t *testing.T, store *BoltStore) StoredLog {
+func loadStoredLog(t *testing.T, store *BoltStore) StoredLog {
 	t.Helper()
 	stored, empty, err := store.Load()
 	if err != nil || empty {
@@ -124,50 +124,50 @@
 		t.Fatal("the file has no entries, or no snapshot but the first")
 	}
 	for _, entry := range stored.Entries {
-		checkEntryForm(t, entry)
+		checkEntryEncoding(t, entry)
 	}
 	return stored
 }
 
-// encodeState returns the JSON of a node's state.
-func encodeState(t *testing.T, node *Node) []byte {
+// encodeNodeState returns the JSON of a node's state.
+func encodeNodeState(t *testing.T, node *Node) []byte {
 	t.Helper()
-	text, err := json.Marshal(node.State())
+	encodedState, err := json.Marshal(node.State())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return text
+	return encodedState
 }
 
-// checkEntryForm checks that this build encodes an entry of the log to the same bytes as the earlier build.
-func checkEntryForm(t *testing.T, stored *raftpb.Entry) {
+// checkEntryEncoding checks that this build encodes an entry of the log to the same bytes as the earlier build.
+func checkEntryEncoding(t *testing.T, raftEntry *raftpb.Entry) {
 	t.Helper()
-	if len(stored.GetData()) == 0 {
+	if len(raftEntry.GetData()) == 0 {
 		return // an entry of raft itself
 	}
 	var entry logEntry
-	golden.DecodeJSON(t, stored.GetData(), &entry)
-	if text, err := json.Marshal(entry); err != nil || !bytes.Equal(text, stored.GetData()) {
-		t.Errorf("entry %d is encoded as\n%s\nit was\n%s", stored.GetIndex(), text, stored.GetData())
+	golden.DecodeJSON(t, raftEntry.GetData(), &entry)
+	if encodedEntry, err := json.Marshal(entry); err != nil || !bytes.Equal(encodedEntry, raftEntry.GetData()) {
+		t.Errorf("entry %d is encoded as\n%s\nit was\n%s", raftEntry.GetIndex(), encodedEntry, raftEntry.GetData())
 	}
 }
 
 // Three voters on files of the earlier build elect a leader and complete the maintenance that was requested there.
 func TestFleetGoesOnFromFilesOfTheBuildBefore(t *testing.T) {
 	c := newCluster(t, 1, 4)
-	for _, p := range c.instances[:3] {
+	for _, inst := range c.instances[:3] {
 		c.incarnations++
-		node, err := New(p.clock(c.now), c.settingsOf(p), c.incarnations, openStored(t, p.name))
+		node, err := New(inst.localTime(c.now), c.nodeSettings(inst), c.incarnations, openStoredCopy(t, inst.name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.attach(p, node)
+		c.attachNode(inst, node)
 	}
-	c.run(5e6)
-	if c.furthest == nil {
+	c.runFor(5e6)
+	if c.mostApplied == nil {
 		t.Fatal("no voter has a log")
 	}
-	requests := c.furthest.node.State().Requests
+	requests := c.mostApplied.node.State().Requests
 	if requests["night"] == nil || requests["disk"] == nil {
 		t.Fatal("the requests of the build before are not known")
 	}
@@ -175,23 +175,23 @@
 	if reply := c.submit("i3", release); reply.Error != "" {
 		t.Fatal(reply.Error)
 	}
-	if left := c.finish(120e6); left != 0 {
-		t.Errorf("%d are left: %+v", left, c.furthest.node.State().Machines)
+	if remaining := c.completeMaintenance(120e6); remaining != 0 {
+		t.Errorf("%d are left: %+v", remaining, c.mostApplied.node.State().Machines)
 	}
 }
 
-// openStored opens a copy of the file of a voter of the earlier build.
-func openStored(tb testing.TB, name string) *BoltStore {
+// openStoredCopy opens a copy of the file of a voter of the earlier build.
+func openStoredCopy(tb testing.TB, name string) *BoltStore {
 	tb.Helper()
-	text := golden.Read(tb, "stored", "voter-"+name+".bolt")
+	content := golden.Read(tb, "stored", "voter-"+name+".bolt")
 	path := filepath.Join(tb.TempDir(), "log")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	if err := os.WriteFile(path, content, 0o600); err != nil {
 		tb.Fatal(err)
 	}
 	store, err := OpenBoltStore(path)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(func() { closeStore(tb, store) })
+	tb.Cleanup(func() { closeBoltStore(tb, store) })
 	return store
 }
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -11,11 +11,11 @@
 
 // leaderTerm is the state of the leader. Each term of leadership has its own.
 type leaderTerm struct {
-	number      uint64 // raft's
-	coordinator *maintenance.Coordinator
-	clockBase   monotime.Micros            // the state's clock at the start of the term
-	clockBaseAt monotime.Micros            // the local clock at the start of the term
-	retryAt     map[string]monotime.Micros // when a proposal may be repeated, by its key
+	raftTerm        uint64 // raft's
+	coordinator     *maintenance.Coordinator
+	startStateTime  monotime.Micros            // the state's clock at the start of the term
+	startLocalTime  monotime.Micros            // the local clock at the start of the term
+	proposalRetryAt map[string]monotime.Micros // when a proposal may be repeated, by its key
 
 	pendingReads []readRequest   // wait for the present ReadIndex round
 	queuedReads  []readRequest   // wait for the next round
@@ -31,7 +31,7 @@
 func (n *Node) runLeader(now monotime.Micros) {
 	if !n.isLeader() {
 		n.term = nil
-		clear(n.proposers)
+		clear(n.pendingCalls)
 		return
 	}
 	if !n.enterTerm(now) {
@@ -40,33 +40,33 @@
 	n.proposeProgress(now)
 	n.proposeFleetStatus(now)
 	n.proposeClock(now)
-	n.runReads(now)
+	n.runReadIndex(now)
 }
 
 // enterTerm starts a term of leadership if raft's term is a new one, and reports whether this instance may act as the
 // leader. It may not before it has applied an entry of its own term, and with it all entries that were committed
 // before.
 func (n *Node) enterTerm(now monotime.Micros) bool {
-	number := n.rawNode.BasicStatus().GetTerm()
-	if n.term != nil && n.term.number == number {
+	raftTerm := n.rawNode.BasicStatus().GetTerm()
+	if n.term != nil && n.term.raftTerm == raftTerm {
 		return true
 	}
-	if applied, err := n.raftStorage.Term(n.appliedIndex); err != nil || applied != number {
+	if appliedTerm, err := n.raftStorage.Term(n.appliedIndex); err != nil || appliedTerm != raftTerm {
 		return false
 	}
 	n.term = &leaderTerm{
-		number:      number,
-		coordinator: maintenance.NewCoordinator(now, n.settings.Maintenance),
-		clockBase:   n.state.Now,
-		clockBaseAt: now,
-		retryAt:     map[string]monotime.Micros{},
+		raftTerm:        raftTerm,
+		coordinator:     maintenance.NewCoordinator(now, n.settings.Maintenance),
+		startStateTime:  n.state.Now,
+		startLocalTime:  now,
+		proposalRetryAt: map[string]monotime.Micros{},
 	}
 	return true
 }
 
 // stateClock returns the time of the state's clock, which advances with the leader's local clock.
 func (n *Node) stateClock(now monotime.Micros) monotime.Micros {
-	return max(n.state.Now, n.term.clockBase+now-n.term.clockBaseAt)
+	return max(n.state.Now, n.term.startStateTime+now-n.term.startLocalTime)
 }
 
 // proposeProgress proposes the phases that machines have reached by the instances' reports.
@@ -86,10 +86,10 @@
 
 // proposeFleetStatus proposes the fleet's status if it differs from the status in the replicated state.
 func (n *Node) proposeFleetStatus(now monotime.Micros) {
-	if n.fleetStatus == nil || now < n.fleetStatusAt {
+	if n.fleetStatus == nil || now < n.nextFleetStatusAt {
 		return
 	}
-	n.fleetStatusAt = now + fleetStatusInterval
+	n.nextFleetStatusAt = now + fleetStatusInterval
 	status := n.fleetStatus()
 	if !status.Equal(n.state.Fleet) {
 		n.proposeOnce(now, "fleet status", maintenance.Command{FleetStatus: &status})
@@ -101,23 +101,23 @@
 
 // proposeClock proposes a clock entry, which advances the state's clock: machines become overdue or warmed up by it.
 func (n *Node) proposeClock(now monotime.Micros) {
-	if now < n.clockEntryAt || len(n.state.Machines) == 0 {
+	if now < n.nextClockEntryAt || len(n.state.Machines) == 0 {
 		return
 	}
-	n.clockEntryAt = now + clockEntryInterval
+	n.nextClockEntryAt = now + clockEntryInterval
 	n.propose(now, maintenance.Command{})
 }
 
-// proposalRetry is the time after which a proposal that has not been applied is repeated.
-const proposalRetry = monotime.Second
+// proposalRetryDelay is the time after which a proposal that has not been applied is repeated.
+const proposalRetryDelay = monotime.Second
 
-// proposeOnce proposes a command, unless one with the same key was proposed less than proposalRetry ago and may still
+// proposeOnce proposes a command, unless one with the same key was proposed less than proposalRetryDelay ago and may still
 // be committed.
 func (n *Node) proposeOnce(now monotime.Micros, key string, command maintenance.Command) {
-	if now < n.term.retryAt[key] {
+	if now < n.term.proposalRetryAt[key] {
 		return
 	}
-	n.term.retryAt[key] = now + proposalRetry
+	n.term.proposalRetryAt[key] = now + proposalRetryDelay
 	n.propose(now, command)
 }
 
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -51,7 +51,7 @@
 	Machines  []maintenance.Machine  `json:"Items"`     // by name
 	Instances []maintenance.Instance `json:"Instances"` // by name
 	Events    []maintenance.Event    `json:"Events"`    // the oldest first
-	Silent    []maintenance.Instance `json:"Silent"`    // without a report for silentLeases
+	Silent    []maintenance.Instance `json:"Silent"`    // without a report for silentAfterLeases
 }
 
 // logEntry is the content of an entry of the raft log.
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -30,75 +30,75 @@
 	settings          Settings
 	follower          *maintenance.Follower
 	leader            string          // name of the latest known leader; empty if unknown
-	reportAt          monotime.Micros // when the next report is due
+	nextReportAt      monotime.Micros // when the next report is due
 	unansweredReports int             // reports sent since the latest grant
 	outgoing          []Outgoing
-	toSelf            []Message // messages from this instance to itself, handled by process
+	selfMessages      []Message // messages from this instance to itself, handled by process
 
 	// Sources of the content of reports and proposals.
 	fleetStatus func() maintenance.FleetStatus // nil if this instance has no status
 	inFlight    func(machine string) int       // number of requests in flight at a machine
 
 	// State of a voter and its raft log, see raftlog.go and voters.go.
-	store            LogStore
-	raftID           uint64
-	rawNode          *raft.RawNode // nil while this instance has no vote
-	raftStorage      *raft.MemoryStorage
-	tickAt           monotime.Micros // when raft's next tick is due
-	voterErr         error           // why this voter has stopped voting
-	noLog            bool            // nothing was ever stored, see LogMissing
-	votersWithoutLog map[string]bool // other voters that have no log either
-	bootstrapped     bool            // this process has started the log
-	seenVoters       map[string]bool // voters that have sent a raft message to this process
-	state            *maintenance.State
-	appliedIndex     uint64 // of the latest applied entry
-	snapshotIndex    uint64 // of the latest snapshot
+	store                  LogStore
+	raftID                 uint64
+	rawNode                *raft.RawNode // nil while this instance has no vote
+	raftStorage            *raft.MemoryStorage
+	nextTickAt             monotime.Micros // when raft's next tick is due
+	voterErr               error           // why this voter has stopped voting
+	logMissing             bool            // nothing was ever stored, see LogMissing
+	votersWithoutLog       map[string]bool // other voters that have no log either
+	hasBootstrapped        bool            // this process has started the log
+	votersWithRaftMessages map[string]bool // voters that have sent a raft message to this process
+	state                  *maintenance.State
+	appliedIndex           uint64 // of the latest applied entry
+	snapshotIndex          uint64 // of the latest snapshot
 
 	// State of the leader, see leader.go and reads.go.
-	term          *leaderTerm             // nil while this instance does not lead
-	proposers     map[uint64]operatorCall // operators' calls that await a reply, by proposal id
-	waitReasons   map[string]string       // why machines do not enter their next phase, by name
-	readSequence  uint64                  // of the latest ReadIndex round
-	fleetStatusAt monotime.Micros         // when the fleet's status is checked next
-	clockEntryAt  monotime.Micros         // when the next clock entry is due
+	term              *leaderTerm             // nil while this instance does not lead
+	pendingCalls      map[uint64]operatorCall // operators' calls that await a reply, by proposal id
+	waitReasons       map[string]string       // why machines do not enter their next phase, by name
+	readIndexSequence uint64                  // of the latest ReadIndex round
+	nextFleetStatusAt monotime.Micros         // when the fleet's status is checked next
+	nextClockEntryAt  monotime.Micros         // when the next clock entry is due
 
 	// State of operators' requests at this instance, see operators.go.
-	replies    map[uint64]OperatorReply // received and not taken yet, by number of the request
-	lastNumber uint64                   // of the latest request or proposal
+	receivedReplies map[uint64]OperatorReply // received and not taken yet, by number of the request
+	lastNumber      uint64                   // of the latest request or proposal
 }
 
-// incarnationShift is the number of low bits of lastNumber that count an incarnation's requests and proposals: the
+// sequenceBits is the number of low bits of lastNumber that count an incarnation's requests and proposals: the
 // numbers of two processes differ.
-const incarnationShift = 20
+const sequenceBits = 20
 
 // New returns an instance. incarnation must be different for each process of its name. store is nil for an instance
 // that is not a voter. If the store cannot be read, or raft rejects its log, New returns the error together with an
 // instance that has no vote. Any other error, of the settings, comes without an instance.
-func New(now monotime.Micros, s Settings, incarnation uint64, store LogStore) (*Node, error) {
-	follower, err := maintenance.NewFollower(s.Maintenance, incarnation)
+func New(now monotime.Micros, settings Settings, incarnation uint64, store LogStore) (*Node, error) {
+	follower, err := maintenance.NewFollower(settings.Maintenance, incarnation)
 	if err != nil {
 		return nil, fmt.Errorf("consensus: %w", err)
 	}
-	state, err := maintenance.NewState(s.Maintenance)
+	state, err := maintenance.NewState(settings.Maintenance)
 	if err != nil {
 		return nil, fmt.Errorf("consensus: %w", err)
 	}
 	n := &Node{
-		settings:         s,
-		follower:         follower,
-		reportAt:         now,
-		inFlight:         func(string) int { return 0 },
-		store:            store,
-		tickAt:           now,
-		votersWithoutLog: map[string]bool{},
-		seenVoters:       map[string]bool{},
-		state:            state,
-		proposers:        map[uint64]operatorCall{},
-		replies:          map[uint64]OperatorReply{},
-		lastNumber:       incarnation<<incarnationShift | 1,
-	}
-	if i := slices.Index(s.Voters, s.Self); i >= 0 && store != nil {
-		return n, n.startVoter(raftIDOf(i))
+		settings:               settings,
+		follower:               follower,
+		nextReportAt:           now,
+		inFlight:               func(string) int { return 0 },
+		store:                  store,
+		nextTickAt:             now,
+		votersWithoutLog:       map[string]bool{},
+		votersWithRaftMessages: map[string]bool{},
+		state:                  state,
+		pendingCalls:           map[uint64]operatorCall{},
+		receivedReplies:        map[uint64]OperatorReply{},
+		lastNumber:             incarnation<<sequenceBits | 1,
+	}
+	if voterIndex := slices.Index(settings.Voters, settings.Self); voterIndex >= 0 && store != nil {
+		return n, n.startVoter(raftIDOf(voterIndex))
 	}
 	return n, nil
 }
@@ -117,13 +117,13 @@
 func (n *Node) State() *maintenance.State { return n.state }
 
 // NextTick returns when Tick must be called next.
-func (n *Node) NextTick() monotime.Micros { return min(n.reportAt, n.tickAt) }
+func (n *Node) NextTick() monotime.Micros { return min(n.nextReportAt, n.nextTickAt) }
 
 // TakeOutgoing returns the messages to send that were queued since its last call.
 func (n *Node) TakeOutgoing() []Outgoing {
-	outgoing := n.outgoing
+	messages := n.outgoing
 	n.outgoing = nil
-	return outgoing
+	return messages
 }
 
 // maxMissedTicks is the largest number of raft's ticks that are made up for after a pause of the process. After a
@@ -133,15 +133,15 @@
 // Tick does the work that is due at now: ticks of raft's clock, reports, and the leader's proposals.
 func (n *Node) Tick(now monotime.Micros) {
 	defer n.recoverRaftPanic()
-	for n.tickAt <= now {
-		n.tickAt += n.settings.TickInterval
-		if now-n.tickAt > maxMissedTicks*n.settings.TickInterval {
-			n.tickAt = now + n.settings.TickInterval
+	for n.nextTickAt <= now {
+		n.nextTickAt += n.settings.TickInterval
+		if now-n.nextTickAt > maxMissedTicks*n.settings.TickInterval {
+			n.nextTickAt = now + n.settings.TickInterval
 		}
 		n.tickVoter()
 	}
 	n.process(now)
-	if now >= n.reportAt {
+	if now >= n.nextReportAt {
 		n.sendReport(now)
 		n.process(now)
 	}
@@ -159,9 +159,9 @@
 func (n *Node) process(now monotime.Micros) {
 	n.runLeader(now)
 	n.handleReady(now)
-	for len(n.toSelf) > 0 {
-		m := n.toSelf[0]
-		n.toSelf = n.toSelf[1:]
+	for len(n.selfMessages) > 0 {
+		m := n.selfMessages[0]
+		n.selfMessages = n.selfMessages[1:]
 		n.handle(now, n.settings.Self, m)
 		n.runLeader(now)
 		n.handleReady(now)
@@ -186,7 +186,7 @@
 	case m.OperatorRequest != nil:
 		n.handleOperatorRequest(now, from, *m.OperatorRequest)
 	case m.OperatorReply != nil:
-		n.replies[m.OperatorReply.Number] = *m.OperatorReply
+		n.receivedReplies[m.OperatorReply.Number] = *m.OperatorReply
 	}
 }
 
@@ -194,7 +194,7 @@
 func (n *Node) handleLeader(now monotime.Micros, leader string) {
 	if n.leader != leader {
 		n.leader = leader
-		n.reportAt = now
+		n.nextReportAt = now
 	}
 }
 
@@ -208,7 +208,7 @@
 
 // sendReport sends a report to the leader, or to all voters if the leader is unknown.
 func (n *Node) sendReport(now monotime.Micros) {
-	n.reportAt = now + n.settings.Maintenance.LeaseDuration/reportsPerLease
+	n.nextReportAt = now + n.settings.Maintenance.LeaseDuration/reportsPerLease
 	n.unansweredReports++
 	if n.unansweredReports > maxUnansweredReports {
 		n.leader = ""
@@ -218,7 +218,7 @@
 	}
 	report := n.follower.NextReport(now, n.inFlight)
 	if n.isLeader() {
-		n.toSelf = append(n.toSelf, Message{Report: &report})
+		n.selfMessages = append(n.selfMessages, Message{Report: &report})
 		return
 	}
 	for _, name := range n.settings.Voters {
@@ -231,7 +231,7 @@
 // send sends a message to an instance, which may be this one.
 func (n *Node) send(to string, m Message) {
 	if to == n.settings.Self {
-		n.toSelf = append(n.toSelf, m)
+		n.selfMessages = append(n.selfMessages, m)
 		return
 	}
 	n.outgoing = append(n.outgoing, Outgoing{To: to, Message: m})
--- a/internal/consensus/operators.go
+++ b/internal/consensus/operators.go
@@ -12,8 +12,8 @@
 
 // operatorCall identifies an operator's request that awaits a reply.
 type operatorCall struct {
-	from   string // the instance where the operator called
-	number uint64 // of the request
+	callingInstance string // the instance where the operator called
+	requestNumber   uint64 // of the request
 }
 
 // Submit sends an operator's command to the leader and returns the number by which TakeReply returns the reply. There
@@ -30,8 +30,8 @@
 
 // TakeReply returns the reply to a request, once; ok is false if it has not arrived.
 func (n *Node) TakeReply(number uint64) (reply OperatorReply, ok bool) {
-	reply, ok = n.replies[number]
-	delete(n.replies, number)
+	reply, ok = n.receivedReplies[number]
+	delete(n.receivedReplies, number)
 	return reply, ok
 }
 
@@ -45,7 +45,7 @@
 	m := Message{OperatorRequest: &request}
 	switch {
 	case n.isLeader():
-		n.toSelf = append(n.toSelf, m)
+		n.selfMessages = append(n.selfMessages, m)
 		n.process(now)
 	case n.leader != "":
 		n.outgoing = append(n.outgoing, Outgoing{To: n.leader, Message: m})
@@ -63,44 +63,45 @@
 		return
 	}
 	if request.View {
-		reply := OperatorReply{Number: request.Number, View: n.view(now)}
+		reply := OperatorReply{Number: request.Number, View: n.buildView(now)}
 		n.send(from, Message{OperatorReply: &reply})
 		return
 	}
 	if proposalID, ok := n.propose(now, request.Command); ok {
-		n.proposers[proposalID] = operatorCall{from: from, number: request.Number}
+		n.pendingCalls[proposalID] = operatorCall{callingInstance: from, requestNumber: request.Number}
 	}
 }
 
-// silentLeases is the time without a report, in lease durations, after which operators see an instance as silent.
-const silentLeases = 4
+// silentAfterLeases is the time without a report, in lease durations, after which operators see an instance as silent.
+const silentAfterLeases = 4
 
 // view returns the View of this instance, which leads.
-func (n *Node) view(now monotime.Micros) *View {
-	x := n.state
-	silentAfter := silentLeases * n.settings.Maintenance.LeaseDuration
-	v := &View{
+func (n *Node) buildView(now monotime.Micros) *View {
+	state := n.state
+	silentAfter := silentAfterLeases * n.settings.Maintenance.LeaseDuration
+	view := &View{
 		Leader: n.settings.Self,
 		Now:    n.stateClock(now),
-		OnHold: x.OnHold,
-		Events: slices.Clone(x.Events),
-		Silent: n.term.coordinator.SilentInstances(now, x, silentAfter),
+		OnHold: state.OnHold,
+		Events: slices.Clone(state.Events),
+		Silent: n.term.coordinator.SilentInstances(now, state, silentAfter),
 	}
-	for _, request := range x.Requests {
-		v.Requests = append(v.Requests, *request)
+	for _, request := range state.Requests {
+		view.Requests = append(view.Requests, *request)
 	}
-	for _, m := range x.Machines {
+	for _, m := range state.Machines {
 		machine := *m
 		if reason := n.waitReasons[machine.Name]; reason != "" {
 			machine.WaitReason = reason
 		}
-		v.Machines = append(v.Machines, machine)
+		view.Machines = append(view.Machines, machine)
 	}
-	for name, incarnation := range x.Instances {
-		v.Instances = append(v.Instances, maintenance.Instance{Name: name, Incarnation: incarnation})
+	for name, incarnation := range state.Instances {
+		view.Instances = append(view.Instances, maintenance.Instance{Name: name, Incarnation: incarnation})
 	}
-	slices.SortFunc(v.Requests, func(a, b maintenance.Request) int { return cmp.Compare(a.RequestedAt, b.RequestedAt) })
-	slices.SortFunc(v.Machines, func(a, b maintenance.Machine) int { return cmp.Compare(a.Name, b.Name) })
-	slices.SortFunc(v.Instances, func(a, b maintenance.Instance) int { return cmp.Compare(a.Name, b.Name) })
-	return v
+	slices.SortFunc(view.Requests,
+		func(a, b maintenance.Request) int { return cmp.Compare(a.RequestedAt, b.RequestedAt) })
+	slices.SortFunc(view.Machines, func(a, b maintenance.Machine) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(view.Instances, func(a, b maintenance.Instance) int { return cmp.Compare(a.Name, b.Name) })
+	return view
 }
--- a/internal/consensus/raftlog.go
+++ b/internal/consensus/raftlog.go
@@ -28,8 +28,8 @@
 // startRaft starts raft from a stored log. On an error this instance stops voting.
 func (n *Node) startRaft(stored StoredLog) (err error) {
 	defer func() {
-		if p := recover(); p != nil { // see recoverRaftPanic
-			err = fmt.Errorf("%w: %v", ErrLogInconsistent, p)
+		if panicValue := recover(); panicValue != nil { // see recoverRaftPanic
+			err = fmt.Errorf("%w: %v", ErrLogInconsistent, panicValue)
 		}
 		if err != nil {
 			n.stopVoting(err)
@@ -101,9 +101,9 @@
 		for _, entry := range ready.CommittedEntries {
 			n.applyEntry(entry)
 		}
-		for _, read := range ready.ReadStates {
-			if sequence, ok := decodeReadContext(read.RequestCtx); ok {
-				n.answerReads(now, sequence, read.Index)
+		for _, readState := range ready.ReadStates {
+			if sequence, ok := decodeReadContext(readState.RequestCtx); ok {
+				n.grantPendingReads(now, sequence, readState.Index)
 			}
 		}
 		n.rawNode.Advance(ready)
@@ -158,17 +158,17 @@
 	if json.Unmarshal(committed.GetData(), &entry) != nil {
 		return // all replicas skip it
 	}
-	answer, err := n.state.Apply(entry.Command)
-	call, ok := n.proposers[entry.ProposalID]
+	result, err := n.state.Apply(entry.Command)
+	call, ok := n.pendingCalls[entry.ProposalID]
 	if !ok {
 		return
 	}
-	delete(n.proposers, entry.ProposalID)
-	reply := OperatorReply{Number: call.number, Answer: answer}
+	delete(n.pendingCalls, entry.ProposalID)
+	reply := OperatorReply{Number: call.requestNumber, Answer: result}
 	if err != nil {
 		reply.Error = err.Error()
 	}
-	n.send(call.from, Message{OperatorReply: &reply})
+	n.send(call.callingInstance, Message{OperatorReply: &reply})
 }
 
 // restoreSnapshot replaces the state by the state in a snapshot.
@@ -203,11 +203,11 @@
 	if n.appliedIndex-n.snapshotIndex < snapshotInterval {
 		return
 	}
-	data, err := json.Marshal(n.state)
+	encodedState, err := json.Marshal(n.state)
 	if err != nil {
 		return
 	}
-	snapshot, err := n.raftStorage.CreateSnapshot(n.appliedIndex, n.confState(), data)
+	snapshot, err := n.raftStorage.CreateSnapshot(n.appliedIndex, n.confState(), encodedState)
 	if err != nil {
 		return
 	}
@@ -221,15 +221,15 @@
 	}
 }
 
-// readContextBytes is the length of a ReadIndex round's context.
-const readContextBytes = 8
+// readContextLength is the length of a ReadIndex round's context.
+const readContextLength = 8
 
 // encodeReadContext returns the context by which raft identifies a ReadIndex round: its number, in big endian.
 func encodeReadContext(sequence uint64) []byte { return binary.BigEndian.AppendUint64(nil, sequence) }
 
 // decodeReadContext returns the number of the ReadIndex round with a context; ok is false if the context is invalid.
 func decodeReadContext(context []byte) (sequence uint64, ok bool) {
-	if len(context) != readContextBytes {
+	if len(context) != readContextLength {
 		return 0, false
 	}
 	return binary.BigEndian.Uint64(context), true
--- a/internal/consensus/reads.go
+++ b/internal/consensus/reads.go
@@ -10,8 +10,8 @@
 
 // readRequest is a report that waits for a ReadIndex round.
 type readRequest struct {
-	from   string
-	report maintenance.Report
+	reportingInstance string
+	report            maintenance.Report
 }
 
 // handleReport queues an instance's report for the next ReadIndex round. A voter that does not lead replies with the
@@ -22,7 +22,7 @@
 		return
 	}
 	if n.term != nil && n.term.coordinator.RecordReport(now, from, report) {
-		n.term.queuedReads = append(n.term.queuedReads, readRequest{from: from, report: report})
+		n.term.queuedReads = append(n.term.queuedReads, readRequest{reportingInstance: from, report: report})
 	}
 }
 
@@ -30,40 +30,40 @@
 // has no result: its messages may be lost.
 const readRetriesPerLease = 8
 
-// runReads starts a ReadIndex round for the queued reports, one round at a time, and starts it again if it takes too
+// runReadIndex starts a ReadIndex round for the queued reports, one round at a time, and starts it again if it takes too
 // long.
-func (n *Node) runReads(now monotime.Micros) {
-	t := n.term
+func (n *Node) runReadIndex(now monotime.Micros) {
+	term := n.term
 	switch {
-	case len(t.pendingReads) == 0 && len(t.queuedReads) > 0:
-		n.readSequence++
-		t.pendingReads = t.queuedReads
-		t.queuedReads = nil
-	case len(t.pendingReads) > 0 && now >= t.readRetryAt:
+	case len(term.pendingReads) == 0 && len(term.queuedReads) > 0:
+		n.readIndexSequence++
+		term.pendingReads = term.queuedReads
+		term.queuedReads = nil
+	case len(term.pendingReads) > 0 && now >= term.readRetryAt:
 	default:
 		return
 	}
-	n.rawNode.ReadIndex(encodeReadContext(n.readSequence))
-	t.readRetryAt = now + n.settings.Maintenance.LeaseDuration/readRetriesPerLease
+	n.rawNode.ReadIndex(encodeReadContext(n.readIndexSequence))
+	term.readRetryAt = now + n.settings.Maintenance.LeaseDuration/readRetriesPerLease
 }
 
-// answerReads grants the plan to the instances whose reports wait for a ReadIndex round, which has shown that this
+// grantPendingReads grants the plan to the instances whose reports wait for a ReadIndex round, which has shown that this
 // instance has led since they were received. index is the commit index at the round's start.
-func (n *Node) answerReads(now monotime.Micros, sequence, index uint64) {
-	if sequence != n.readSequence || n.term == nil || n.appliedIndex < index {
+func (n *Node) grantPendingReads(now monotime.Micros, sequence, index uint64) {
+	if sequence != n.readIndexSequence || n.term == nil || n.appliedIndex < index {
 		return
 	}
 	requests := n.term.pendingReads
 	n.term.pendingReads = nil
 	plan := n.state.Plan()
 	for _, request := range requests {
-		instance := maintenance.Instance{Name: request.from, Incarnation: request.report.Incarnation}
+		instance := maintenance.Instance{Name: request.reportingInstance, Incarnation: request.report.Incarnation}
 		if n.state.Instances[instance.Name] != instance.Incarnation {
 			// An instance gets no lease before it is in the log, by which later leaders know it.
 			n.proposeOnce(now, "join/"+instance.Name, maintenance.Command{Join: &instance})
 			continue
 		}
-		grant := n.term.coordinator.Grant(now, request.from, request.report, plan)
-		n.send(request.from, Message{Grant: &grant})
+		grant := n.term.coordinator.Grant(now, request.reportingInstance, request.report, plan)
+		n.send(request.reportingInstance, Message{Grant: &grant})
 	}
 }
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -11,7 +11,7 @@
 	Load() (stored StoredLog, empty bool, err error)
 	// Save stores its arguments, all or none, and returns once they are durable. Entries replace all stored ones from
 	// the first one's index on; a snapshot replaces all entries up to its index. Any argument may be nil.
-	Save(hard *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error
+	Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error
 }
 
 // StoredLog is the content of a LogStore.
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -30,11 +30,11 @@
 
 // confState returns raft's configuration: all voters.
 func (n *Node) confState() *raftpb.ConfState {
-	voters := &raftpb.ConfState{}
+	state := &raftpb.ConfState{}
 	for i := range n.settings.Voters {
-		voters.Voters = append(voters.Voters, raftIDOf(i))
+		state.Voters = append(state.Voters, raftIDOf(i))
 	}
-	return voters
+	return state
 }
 
 // startVoter loads the log and starts raft. A voter without a log has no vote until the log is bootstrapped.
@@ -46,7 +46,7 @@
 		return fmt.Errorf("consensus: load the raft log: %w", err)
 	}
 	if empty {
-		n.noLog = true
+		n.logMissing = true
 		return nil
 	}
 	return n.startRaft(stored)
@@ -64,20 +64,20 @@
 
 // LogMissing reports whether this voter has no log. If the fleet has one, this voter has lost its own. It then has no
 // vote, since its earlier votes and acknowledgements are unknown.
-func (n *Node) LogMissing() bool { return n.noLog }
+func (n *Node) LogMissing() bool { return n.logMissing }
 
 // recoverRaftPanic must be deferred. It turns a panic, by which raft rejects its log, into the end of this voter's vote
 // instead of the process.
 func (n *Node) recoverRaftPanic() {
-	if p := recover(); p != nil {
-		n.stopVoting(fmt.Errorf("%w: %v", ErrLogInconsistent, p))
+	if panicValue := recover(); panicValue != nil {
+		n.stopVoting(fmt.Errorf("%w: %v", ErrLogInconsistent, panicValue))
 	}
 }
 
 // tickVoter advances raft's clock by a tick. A voter without a log announces that instead.
 func (n *Node) tickVoter() {
 	switch {
-	case n.noLog:
+	case n.logMissing:
 		n.broadcast(Message{NoLog: true})
 	case n.rawNode != nil:
 		n.rawNode.Tick()
@@ -87,12 +87,12 @@
 // handleNoLog records that another voter has no log. The log is bootstrapped once all voters are known to have none.
 func (n *Node) handleNoLog(from string) {
 	switch {
-	case n.noLog:
+	case n.logMissing:
 		n.votersWithoutLog[from] = true
 		if len(n.votersWithoutLog) == len(n.settings.Voters)-1 {
 			n.bootstrap()
 		}
-	case n.bootstrapped && !n.seenVoters[from]:
+	case n.hasBootstrapped && !n.votersWithRaftMessages[from]:
 		// The other voter may not know yet that this one had no log either, and cannot bootstrap without that. If it
 		// has sent raft messages since, it has a log, or has lost it.
 		n.send(from, Message{NoLog: true})
@@ -101,22 +101,22 @@
 
 // bootstrap starts the fleet's log with a snapshot at index and term 1 that is the same at all voters.
 func (n *Node) bootstrap() {
-	data, err := json.Marshal(n.state)
+	encodedState, err := json.Marshal(n.state)
 	if err != nil {
 		panic(err) // JSON can encode each field of the state
 	}
 	snapshot := &raftpb.Snapshot{
-		Data:     data,
+		Data:     encodedState,
 		Metadata: &raftpb.SnapshotMetadata{ConfState: n.confState(), Index: proto.Uint64(1), Term: proto.Uint64(1)},
 	}
-	hard := &raftpb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
-	if err := n.store.Save(hard, nil, snapshot); err != nil {
+	hardState := &raftpb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
+	if err := n.store.Save(hardState, nil, snapshot); err != nil {
 		n.stopVoting(err)
 		return
 	}
-	n.noLog = false
-	n.bootstrapped = true
-	_ = n.startRaft(StoredLog{HardState: hard, Snapshot: snapshot}) // VoterError has the error
+	n.logMissing = false
+	n.hasBootstrapped = true
+	_ = n.startRaft(StoredLog{HardState: hardState, Snapshot: snapshot}) // VoterError has the error
 }
 
 // stepRaft passes a message of another voter to raft. Messages that are not from a voter to this one are ignored.
@@ -129,6 +129,6 @@
 	if sender < 0 || m.GetFrom() != raftIDOf(sender) {
 		return
 	}
-	n.seenVoters[from] = true
+	n.votersWithRaftMessages[from] = true
 	_ = n.rawNode.Step(&m) // raft returns errors for messages that arrive too late
 }
--- a/internal/eventlog/events.go
+++ b/internal/eventlog/events.go
@@ -46,8 +46,8 @@
 // linePrefix is the start of an event in a line.
 const linePrefix = "event "
 
-// lineFields is the number of fields of an event after linePrefix.
-const lineFields = 6
+// eventFieldCount is the number of fields of an event after linePrefix.
+const eventFieldCount = 6
 
 // String returns the event's line without its end. Fields need no quoting: blanks in names are replaced by "_".
 func (e Event) String() string {
@@ -69,24 +69,25 @@
 // Parse reads a line. Text before the event, such as a collector's time, is ignored. ok is false if the line has no
 // event; err is not nil if its event is malformed.
 func Parse(line string) (e Event, ok bool, err error) {
-	at := strings.Index(line, linePrefix)
-	if at < 0 {
+	prefixIndex := strings.Index(line, linePrefix)
+	if prefixIndex < 0 {
 		return e, false, nil
 	}
-	f := strings.Fields(line[at+len(linePrefix):])
-	if len(f) != lineFields {
-		return e, true, fmt.Errorf("%d words after %q, want %d", len(f), strings.TrimSpace(linePrefix), lineFields)
+	fields := strings.Fields(line[prefixIndex+len(linePrefix):])
+	if len(fields) != eventFieldCount {
+		return e, true, fmt.Errorf("%d words after %q, want %d", len(fields), strings.TrimSpace(linePrefix),
+			eventFieldCount)
 	}
-	if e.At, err = strconv.ParseInt(f[0], 10, 64); err != nil {
+	if e.At, err = strconv.ParseInt(fields[0], 10, 64); err != nil {
 		return e, true, err
 	}
-	if e.Latency, err = strconv.ParseInt(f[lineFields-1], 10, 64); err != nil {
+	if e.Latency, err = strconv.ParseInt(fields[eventFieldCount-1], 10, 64); err != nil {
 		return e, true, err
 	}
-	e.Kind = Kind(f[1])
-	for i, to := range []*string{&e.Endpoint, &e.Addr, &e.Status} {
-		if *to = f[2+i]; *to == "-" {
-			*to = ""
+	e.Kind = Kind(fields[1])
+	for i, target := range []*string{&e.Endpoint, &e.Addr, &e.Status} {
+		if *target = fields[2+i]; *target == "-" {
+			*target = ""
 		}
 	}
 	return e, true, nil
@@ -96,37 +97,39 @@
 const maxLineBytes = 1 << 20
 
 // Read reads an instance's log, which may have lines without an event. An error names the number of the line.
-func Read(r io.Reader) (all []Event, err error) {
-	in := bufio.NewScanner(r)
-	in.Buffer(nil, maxLineBytes)
-	for n := 1; in.Scan(); n++ {
-		e, ok, err := Parse(in.Text())
+func Read(r io.Reader) (events []Event, err error) {
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, maxLineBytes)
+	for lineNumber := 1; scanner.Scan(); lineNumber++ {
+		e, ok, err := Parse(scanner.Text())
 		if err != nil {
-			return nil, fmt.Errorf("line %d: %w", n, err)
+			return nil, fmt.Errorf("line %d: %w", lineNumber, err)
 		}
 		if ok {
-			all = append(all, e)
+			events = append(events, e)
 		}
 	}
-	return all, in.Err()
+	return events, scanner.Err()
 }
 
 // Log writes events. It implements engine.Observer, and has methods for connections and calls of discovery in addition.
 // It is safe for concurrent use.
 type Log struct {
-	now    func() monotime.Micros
+	clock  func() monotime.Micros
 	mu     sync.Mutex
 	output io.Writer
 }
 
 // NewLog returns a log that writes to a writer. now is the clock for events without an instant. Events that cannot be
 // written are lost.
-func NewLog(to io.Writer, now func() monotime.Micros) *Log { return &Log{now: now, output: to} }
+func NewLog(output io.Writer, clock func() monotime.Micros) *Log {
+	return &Log{clock: clock, output: output}
+}
 
 // write writes an event, with the present instant if it has none.
 func (l *Log) write(e Event) {
 	if e.At == 0 {
-		e.At = l.now()
+		e.At = l.clock()
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,30 +160,33 @@
 }
 
 // AttemptEnded writes the outcome of an attempt.
-func (l *Log) AttemptEnded(now monotime.Micros, endpoint string, s balancer.Status, latency monotime.Micros) {
-	l.write(Event{At: now, Kind: AttemptEnded, Endpoint: endpoint, Status: statusNames[s], Latency: latency})
+func (l *Log) AttemptEnded(now monotime.Micros, endpoint string, status balancer.Status, latency monotime.Micros) {
+	l.write(Event{At: now, Kind: AttemptEnded, Endpoint: endpoint, Status: statusNames[status], Latency: latency})
 }
 
 // ProbeEnded writes the outcome of a probe.
-func (l *Log) ProbeEnded(now monotime.Micros, endpoint string, s balancer.Status, latency monotime.Micros) {
-	l.write(Event{At: now, Kind: ProbeEnded, Endpoint: endpoint, Status: statusNames[s], Latency: latency})
+func (l *Log) ProbeEnded(now monotime.Micros, endpoint string, status balancer.Status, latency monotime.Micros) {
+	l.write(Event{At: now, Kind: ProbeEnded, Endpoint: endpoint, Status: statusNames[status], Latency: latency})
 }
 
 // EndpointsUpdated writes an update of the endpoint list, an event for each of its entries. Endpoints that a full list
 // no longer contains have no event.
-func (l *Log) EndpointsUpdated(now monotime.Micros, t engine.EndpointUpdate) {
-	for _, m := range t.Endpoints {
-		l.write(Event{At: now, Kind: EndpointUpdated, Endpoint: m.Name, Addr: m.Addr, Status: stateNames[m.State]})
+func (l *Log) EndpointsUpdated(now monotime.Micros, update engine.EndpointUpdate) {
+	for _, endpoint := range update.Endpoints {
+		l.write(Event{
+			At: now, Kind: EndpointUpdated, Endpoint: endpoint.Name, Addr: endpoint.Addr,
+			Status: stateNames[endpoint.State],
+		})
 	}
 }
 
 // DiscoveryPolled writes the outcome of a call of discovery.
 func (l *Log) DiscoveryPolled(err error) {
-	l.write(Event{Kind: DiscoveryPolled, Status: outcome(err == nil)})
+	l.write(Event{Kind: DiscoveryPolled, Status: outcomeStatus(err == nil)})
 }
 
 // outcome returns the status of a connection or a poll.
-func outcome(succeeded bool) string {
+func outcomeStatus(succeeded bool) string {
 	if succeeded {
 		return statusOK
 	}
@@ -189,13 +195,13 @@
 
 // ConnOpened writes that a connection to an address was opened or failed to. It returns the connection and the error;
 // the close of the returned connection is written as well.
-func (l *Log) ConnOpened(addr string, c net.Conn, err error) (net.Conn, error) {
-	l.write(Event{Kind: ConnOpened, Endpoint: addr, Status: outcome(err == nil)})
-	if tcp, ok := c.(*net.TCPConn); ok && err == nil {
+func (l *Log) ConnOpened(addr string, conn net.Conn, err error) (net.Conn, error) {
+	l.write(Event{Kind: ConnOpened, Endpoint: addr, Status: outcomeStatus(err == nil)})
+	if tcp, ok := conn.(*net.TCPConn); ok && err == nil {
 		onClose := func() { l.write(Event{Kind: ConnClosed, Endpoint: addr}) }
 		return &observedConn{TCPConn: tcp, onClose: sync.OnceFunc(onClose)}, nil
 	}
-	return c, err
+	return conn, err
 }
 
 // observedConn is a connection whose first close is written.
--- a/internal/eventlog/events_test.go
+++ b/internal/eventlog/events_test.go
@@ -15,12 +15,14 @@
 // names the line.
 func TestEventsSurviveWriteAndRead(t *testing.T) {
 	var out bytes.Buffer
-	l := NewLog(&out, func() monotime.Micros { return 7 })
-	l.AttemptStarted(1, "s 1")
-	l.AttemptEnded(2, "s-1", balancer.Reset, 55)
-	l.EndpointsUpdated(3, engine.EndpointUpdate{Endpoints: []engine.EndpointInfo{{Name: "s-2", State: balancer.Gone}}})
-	l.DiscoveryPolled(nil)
-	if _, err := l.ConnOpened("1.2.3.4:5", nil, net.ErrClosed); err == nil {
+	log := NewLog(&out, func() monotime.Micros { return 7 })
+	log.AttemptStarted(1, "s 1")
+	log.AttemptEnded(2, "s-1", balancer.Reset, 55)
+	log.EndpointsUpdated(3, engine.EndpointUpdate{
+		Endpoints: []engine.EndpointInfo{{Name: "s-2", State: balancer.Gone}},
+	})
+	log.DiscoveryPolled(nil)
+	if _, err := log.ConnOpened("1.2.3.4:5", nil, net.ErrClosed); err == nil {
 		t.Error("the error of a dial was lost")
 	}
 	text := "time=x level=INFO msg=serving\n0.015 " + strings.ReplaceAll(out.String(), "\n", "\n0.1 ")
@@ -40,10 +42,10 @@
 			t.Errorf("event %d: %+v, want %+v", i, got[i], want[i])
 		}
 	}
-	for _, bad := range []string{"event", "event 1 sent", "event x sent - - - 0", "event 1 sent - - - -"} {
-		_, err := Read(strings.NewReader("ok\n" + bad + " \n"))
-		if bad != "event" && (err == nil || !strings.Contains(err.Error(), "line 2")) {
-			t.Errorf("%q: %v", bad, err)
+	for _, invalidLine := range []string{"event", "event 1 sent", "event x sent - - - 0", "event 1 sent - - - -"} {
+		_, err := Read(strings.NewReader("ok\n" + invalidLine + " \n"))
+		if invalidLine != "event" && (err == nil || !strings.Contains(err.Error(), "line 2")) {
+			t.Errorf("%q: %v", invalidLine, err)
 		}
 	}
 }
@@ -57,30 +59,38 @@
 	ended := func(at monotime.Micros, name, status string) Event {
 		return Event{At: at, Kind: AttemptEnded, Endpoint: name, Status: status}
 	}
-	var a, b []Event
+	var firstInstance, secondInstance []Event
 	opened := Event{At: 2, Kind: ConnOpened, Endpoint: "bad:1", Status: "ok"}
 	closed := Event{At: 3, Kind: ConnClosed, Endpoint: "bad:1"}
-	a = append(a, updated(1, "bad", "ready"), updated(1, "goes", "ready"), opened)
-	b = append(b, updated(1, "bad", "ready"), updated(1, "goes", "ready"), opened, closed)
+	firstInstance = append(firstInstance, updated(1, "bad", "ready"), updated(1, "goes", "ready"), opened)
+	secondInstance = append(secondInstance, updated(1, "bad", "ready"), updated(1, "goes", "ready"), opened, closed)
 	for i := range monotime.Micros(6) {
-		a = append(a, ended(4*second+i*second/2, "bad", "error"))
+		firstInstance = append(firstInstance, ended(4*second+i*second/2, "bad", "error"))
 	}
-	b = append(b, ended(4*second+1, "bad", "error"), ended(4*second+2, "bad", "ok"), ended(7*second, "goes", "reset"))
+	secondInstance = append(secondInstance, ended(4*second+1, "bad", "error"), ended(4*second+2, "bad", "ok"),
+		ended(7*second, "goes", "reset"))
 	started := Event{At: 10 * second, Kind: AttemptStarted, Endpoint: "comes"}
-	a = append(a, updated(8*second, "goes", "gone"), updated(9*second, "comes", "ready"), started)
-	b = append(b, updated(8*second+second/2, "goes", "gone"), updated(9*second+second/4, "comes", "ready"))
-	c := Analyze([][]Event{a, b})
-	faults := [...]float64{c.Faults.Failures.Max, c.Faults.Instances.Max, c.Faults.PerInstance.Max, c.Faults.Late.Max}
-	if c.Faults.Episodes != 1 || faults != [...]float64{7, 2, 6, 1} {
-		t.Errorf("bad: %+v", c.Faults)
+	firstInstance = append(firstInstance, updated(8*second, "goes", "gone"), updated(9*second, "comes", "ready"),
+		started)
+	secondInstance = append(secondInstance, updated(8*second+second/2, "goes", "gone"),
+		updated(9*second+second/4, "comes", "ready"))
+	stats := Analyze([][]Event{firstInstance, secondInstance})
+	faults := [...]float64{
+		stats.Faults.Failures.Max, stats.Faults.AffectedInstances.Max,
+		stats.Faults.FailuresPerInstance.Max, stats.Faults.LateFailures.Max,
 	}
-	if c.Added.Endpoints != 1 || c.Added.Notified.Max != 0.25 || c.Added.FirstUse.Max != 1 || c.Added.Users.Max != 1 {
-		t.Errorf("new: %+v", c.Added)
+	if stats.Faults.Episodes != 1 || faults != [...]float64{7, 2, 6, 1} {
+		t.Errorf("bad: %+v", stats.Faults)
 	}
-	if c.Removed.Endpoints != 1 || c.Removed.Notified.Max != 0.5 || c.Removed.StaleFailures.Max != 1 {
-		t.Errorf("lost: %+v", c.Removed)
+	if stats.Added.Endpoints != 1 || stats.Added.NotificationDelay.Max != 0.25 || stats.Added.FirstUseDelay.Max != 1 ||
+		stats.Added.InstancesWithAttempts.Max != 1 {
+		t.Errorf("new: %+v", stats.Added)
 	}
-	if c.OpenConns.Max != 2 || c.Failures != 8 {
-		t.Errorf("%v held at once, %d failures", c.OpenConns.Max, c.Failures)
+	if stats.Removed.Endpoints != 1 || stats.Removed.NotificationDelay.Max != 0.5 ||
+		stats.Removed.StaleFailures.Max != 1 {
+		t.Errorf("lost: %+v", stats.Removed)
+	}
+	if stats.MaxOpenConns.Max != 2 || stats.Failures != 8 {
+		t.Errorf("%v held at once, %d failures", stats.MaxOpenConns.Max, stats.Failures)
 	}
 }
--- a/internal/eventlog/golden_test.go
+++ b/internal/eventlog/golden_test.go
@@ -15,10 +15,10 @@
 	"dunlinsail/internal/monotime"
 )
 
-// goldenLog was written by an earlier build, before names in this package changed. It never changes.
-var goldenLog = filepath.Join("testdata", "events.log")
+// goldenLogPath was written by an earlier build, before names in this package changed. It never changes.
+var goldenLogPath = filepath.Join("testdata", "events.log")
 
-// goldenEvents are the events of goldenLog.
+// goldenEvents are the events of goldenLogPath.
 var goldenEvents = []Event{
 	{1, "sent", "node-1", "", "", 0},
 	{2, "sent", "node_with_blanks", "", "", 0},
@@ -42,41 +42,41 @@
 	{77, "closed", "10.0.0.1:80", "", "", 0},
 }
 
-// writeGoldenEvents returns the lines of a log to which the events of goldenLog are written.
-func writeGoldenEvents(t *testing.T) []byte {
+// renderGoldenEvents returns the lines of a log to which the events of goldenLogPath are written.
+func renderGoldenEvents(t *testing.T) []byte {
 	t.Helper()
 	var out bytes.Buffer
-	l := NewLog(&out, func() monotime.Micros { return 77 })
-	l.AttemptStarted(1, "node-1")
-	l.AttemptStarted(2, "node with blanks")
+	log := NewLog(&out, func() monotime.Micros { return 77 })
+	log.AttemptStarted(1, "node-1")
+	log.AttemptStarted(2, "node with blanks")
 	outcomes := []balancer.Status{
 		balancer.OK, balancer.Error, balancer.Rejected, balancer.Timeout, balancer.ConnectFailed,
 		balancer.Reset, balancer.Cancelled, balancer.NotSent,
 	}
-	for i, s := range outcomes {
-		l.AttemptEnded(monotime.Micros(10+i), "node-1", s, monotime.Micros(1001+i))
+	for i, status := range outcomes {
+		log.AttemptEnded(monotime.Micros(10+i), "node-1", status, monotime.Micros(1001+i))
 	}
-	l.ProbeEnded(20, "node-2", balancer.OK, 55)
-	l.ProbeEnded(21, "node-2", balancer.Timeout, 56)
-	l.EndpointsUpdated(30, engine.EndpointUpdate{Endpoints: []engine.EndpointInfo{
+	log.ProbeEnded(20, "node-2", balancer.OK, 55)
+	log.ProbeEnded(21, "node-2", balancer.Timeout, 56)
+	log.EndpointsUpdated(30, engine.EndpointUpdate{Endpoints: []engine.EndpointInfo{
 		{Name: "node-1", Addr: "10.0.0.1:80", State: balancer.Ready},
 		{Name: "node-2", Addr: "10.0.0.2:80", State: balancer.Draining},
 		{Name: "node-3", State: balancer.Gone},
 	}})
-	l.DiscoveryPolled(nil)
-	l.DiscoveryPolled(errors.New("discovery is down"))
-	if _, err := l.ConnOpened("10.0.0.9:80", nil, net.ErrClosed); err == nil {
+	log.DiscoveryPolled(nil)
+	log.DiscoveryPolled(errors.New("discovery is down"))
+	if _, err := log.ConnOpened("10.0.0.9:80", nil, net.ErrClosed); err == nil {
 		t.Error("the error of a dial was lost")
 	}
-	c, err := l.ConnOpened("10.0.0.1:80", &net.TCPConn{}, nil)
+	conn, err := log.ConnOpened("10.0.0.1:80", &net.TCPConn{}, nil)
 	require.NoError(t, err)
-	c.Close()
+	conn.Close()
 	return out.Bytes()
 }
 
 // Lines of an earlier build are read to the events that were written.
 func TestGoldenEventsAreRead(t *testing.T) {
-	file, err := os.Open(goldenLog)
+	file, err := os.Open(goldenLogPath)
 	require.NoError(t, err)
 	defer file.Close()
 	got, err := Read(file)
@@ -88,9 +88,9 @@
 
 // The same events give the same lines as in an earlier build, byte for byte.
 func TestGoldenEventsAreWritten(t *testing.T) {
-	want, err := os.ReadFile(goldenLog)
+	want, err := os.ReadFile(goldenLogPath)
 	require.NoError(t, err)
-	if got := writeGoldenEvents(t); !bytes.Equal(got, want) {
+	if got := renderGoldenEvents(t); !bytes.Equal(got, want) {
 		t.Errorf("wrote\n%s\nwant\n%s", got, want)
 	}
 }
--- a/internal/peers/envelope.go
+++ b/internal/peers/envelope.go
@@ -10,10 +10,10 @@
 const (
 	// maxMessageBytes is the largest size of a received message.
 	maxMessageBytes = 64 << 10
-	// maxItems is the largest number of items of an array or a map in a received message.
-	maxItems = 4096
-	// maxNesting is the largest depth of nested arrays and maps in a received message.
-	maxNesting = 16
+	// maxCollectionItems is the largest number of items of an array or a map in a received message.
+	maxCollectionItems = 4096
+	// maxNestingDepth is the largest depth of nested arrays and maps in a received message.
+	maxNestingDepth = 16
 )
 
 // envelope is the encoded form of a message, with its sender and recipient. If Consensus is set, Message is ignored.
@@ -27,11 +27,11 @@
 
 // The options are constant and valid, so EncMode and DecMode return no errors.
 var (
-	encoding, _ = cbor.EncOptions{Sort: cbor.SortNone, ShortestFloat: cbor.ShortestFloat16}.EncMode()
-	decoding, _ = cbor.DecOptions{
-		MaxArrayElements: maxItems,
-		MaxMapPairs:      maxItems,
-		MaxNestedLevels:  maxNesting,
+	encMode, _ = cbor.EncOptions{Sort: cbor.SortNone, ShortestFloat: cbor.ShortestFloat16}.EncMode()
+	decMode, _ = cbor.DecOptions{
+		MaxArrayElements: maxCollectionItems,
+		MaxMapPairs:      maxCollectionItems,
+		MaxNestedLevels:  maxNestingDepth,
 		IndefLength:      cbor.IndefLengthForbidden,
 		TagsMd:           cbor.TagsForbidden,
 	}.DecMode()
@@ -39,12 +39,12 @@
 
 // Encode returns the encoded form of a message from one instance to another. Simulations use it for the message's size.
 func Encode(from, to string, m coordination.Message) ([]byte, error) {
-	return encoding.Marshal(envelope{From: from, To: to, Message: m})
+	return encMode.Marshal(envelope{From: from, To: to, Message: m})
 }
 
 // decode decodes a received message; ok is false if it is malformed or too large.
 func decode(encoded []byte) (e envelope, ok bool) {
-	if len(encoded) > maxMessageBytes || decoding.Unmarshal(encoded, &e) != nil {
+	if len(encoded) > maxMessageBytes || decMode.Unmarshal(encoded, &e) != nil {
 		return envelope{}, false
 	}
 	return e, true
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -20,7 +20,7 @@
 // goldenEnvelopes returns one message of each type, with the file that holds its encoded form.
 func goldenEnvelopes() map[string]envelope {
 	term := lease.Term{Holder: "instance-1", Incarnation: 0xfedcba9876543210, Round: 17}
-	request := &quota.LeaseRequest{
+	leaseRequest := &quota.LeaseRequest{
 		Incarnation: 0x0123456789abcdef, Sequence: 23, Term: term, HeldSerial: 5,
 		HeldTerm: lease.Term{Holder: "instance-0", Incarnation: 3, Round: 2},
 		Demands: []quota.Demand{
@@ -28,7 +28,7 @@
 			{Budget: "tenant/one", Requested: 100, Used: 1e6, Held: 1, Contributed: 0.5},
 		},
 	}
-	observed := &observations.Observations{
+	reported := &observations.Observations{
 		Levels: []observations.OverloadLevel{
 			{EndpointSet: "pool", Level: 0.75, Load: 0.3, Requests: 120, Failed: 13},
 		},
@@ -45,25 +45,25 @@
 		Reporters: 9,
 		Suspects:  []observations.Suspect{{Endpoint: "pool/s-1", Class: 2, AvoidProbability: 0.95}},
 	}
-	vote := func(kind lease.MessageKind) *lease.Message {
+	newLeaseMessage := func(kind lease.MessageKind) *lease.Message {
 		return &lease.Message{Kind: kind, Incarnation: term.Incarnation, Round: 17}
 	}
-	denied := vote(lease.VoteDenied)
+	denied := newLeaseMessage(lease.VoteDenied)
 	denied.Holder = "instance-2"
 	denied.Remaining = 1_234_567
 	messages := map[string]coordination.Message{
-		"lease-ask":        {Lease: vote(lease.VoteRequest)},
-		"lease-yes":        {Lease: vote(lease.VoteGranted)},
+		"lease-ask":        {Lease: newLeaseMessage(lease.VoteRequest)},
+		"lease-yes":        {Lease: newLeaseMessage(lease.VoteGranted)},
 		"lease-no":         {Lease: denied},
-		"lease-drop":       {Lease: vote(lease.VoteReleased)},
-		"quota-ask":        {Request: request, Observations: observed},
+		"lease-drop":       {Lease: newLeaseMessage(lease.VoteReleased)},
+		"quota-ask":        {Request: leaseRequest, Observations: reported},
 		"quota-ask-empty":  {Request: &quota.LeaseRequest{Incarnation: 1, Sequence: 1}},
 		"quota-grant":      {Grant: grant, Aggregate: aggregate},
 		"quota-grant-none": {Grant: &quota.Grant{Incarnation: 1, Sequence: 1, Term: term}},
 		"all-parts": {
 			Lease:        &lease.Message{Kind: lease.VoteDenied, Incarnation: 1, Round: 2, Holder: "a", Remaining: 3},
-			Request:      request,
-			Observations: observed,
+			Request:      leaseRequest,
+			Observations: reported,
 			Grant:        grant,
 			Aggregate:    aggregate,
 		},
@@ -83,7 +83,7 @@
 		t.Run(name, func(t *testing.T) {
 			encoded := golden.Read(t, "messages", name+".cbor")
 			var got envelope
-			if err := decoding.Unmarshal(encoded, &got); err != nil {
+			if err := decMode.Unmarshal(encoded, &got); err != nil {
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, want) {
@@ -94,9 +94,9 @@
 }
 
 func TestMessagesAreUnderstoodByEarlierBuilds(t *testing.T) {
-	for name, e := range goldenEnvelopes() {
+	for name, message := range goldenEnvelopes() {
 		t.Run(name, func(t *testing.T) {
-			encoded, err := encoding.Marshal(e)
+			encoded, err := encMode.Marshal(message)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -104,10 +104,10 @@
 			if !bytes.Equal(encoded, want) {
 				t.Errorf("encoded as %x, want %x", encoded, want)
 			}
-			if e.Consensus != nil {
+			if message.Consensus != nil {
 				return
 			}
-			encoded, err = Encode(e.From, e.To, e.Message)
+			encoded, err = Encode(message.From, message.To, message.Message)
 			if err != nil || !bytes.Equal(encoded, want) {
 				t.Errorf("Encode returns %x, %v, want %x", encoded, err, want)
 			}
--- a/internal/peers/membership.go
+++ b/internal/peers/membership.go
@@ -24,7 +24,7 @@
 			return
 		}
 		if missing := p.missingAddresses(); len(missing) > 0 {
-			if _, err := p.list.Join(missing); err != nil {
+			if _, err := p.memberlist.Join(missing); err != nil {
 				p.options.Log.Debug("gossip join failed", "error", err)
 			}
 		}
@@ -37,15 +37,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, address := range p.options.Join {
-		if address != p.options.Address && !p.aliveAt(address) {
+		if address != p.options.Address && !p.hasLiveMemberAt(address) {
 			missing = append(missing, address)
 		}
 	}
 	return missing
 }
 
-// aliveAt reports whether a live instance is known at an address. The caller holds p.mu.
-func (p *Peers) aliveAt(address string) bool {
+// hasLiveMemberAt reports whether a live instance is known at an address. The caller holds p.mu.
+func (p *Peers) hasLiveMemberAt(address string) bool {
 	for _, m := range p.members {
 		if m.Alive && m.Address == address {
 			return true
@@ -76,7 +76,7 @@
 	}
 	d.receivedCount.Add(1) // before the handler is called, which may call Stats
 	select {
-	case d.received <- e:
+	case d.receivedQueue <- e:
 	default:
 		d.receivedCount.Add(minusOne)
 		d.droppedCount.Add(1)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -75,12 +75,12 @@
 // Peers is an instance's part in the gossip. Create one with Start, which starts three goroutines; Close ends them, and
 // those of large messages. It is safe for concurrent use.
 type Peers struct {
-	options  Options
-	list     *memberlist.Memberlist
-	received chan envelope  // wait for a handler
-	outgoing chan outgoing  // wait to be sent
-	closing  chan struct{}  // closed by Close
-	workers  sync.WaitGroup // all goroutines of this Peers
+	options       Options
+	memberlist    *memberlist.Memberlist
+	receivedQueue chan envelope        // wait for a handler
+	outgoingQueue chan outgoingMessage // wait to be sent
+	closing       chan struct{}        // closed by Close
+	goroutines    sync.WaitGroup       // all goroutines of this Peers
 
 	mu      sync.Mutex
 	members map[string]*Member // by name, this instance included
@@ -94,20 +94,20 @@
 
 // Start starts an instance's part in the gossip. It fails if the address is malformed or in use. It does not fail if no
 // other instance can be reached: they are joined as soon as they can.
-func Start(o Options) (*Peers, error) {
+func Start(options Options) (*Peers, error) {
 	p := &Peers{
-		options:  o,
-		received: make(chan envelope, queueCapacity),
-		outgoing: make(chan outgoing, queueCapacity),
-		closing:  make(chan struct{}),
-		members:  map[string]*Member{},
+		options:       options,
+		receivedQueue: make(chan envelope, queueCapacity),
+		outgoingQueue: make(chan outgoingMessage, queueCapacity),
+		closing:       make(chan struct{}),
+		members:       map[string]*Member{},
 	}
 	if err := p.listen(); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	p.workers.Go(p.deliverReceived)
-	p.workers.Go(p.transmitQueued)
-	p.workers.Go(p.joinMissing)
+	p.goroutines.Go(p.deliverReceived)
+	p.goroutines.Go(p.transmitQueued)
+	p.goroutines.Go(p.joinMissing)
 	return p, nil
 }
 
@@ -121,28 +121,28 @@
 	if err != nil {
 		return err
 	}
-	c := memberlist.DefaultLANConfig()
-	c.Name = p.options.Name
-	c.Label = p.options.Fleet
-	c.BindAddr = host
-	c.BindPort = port
-	c.AdvertiseAddr = host
-	c.AdvertisePort = port
-	c.Logger = slog.NewLogLogger(p.options.Log.Handler(), slog.LevelDebug)
-	c.Delegate = (*delegate)(p)
-	c.Events = (*delegate)(p)
-	c.DeadNodeReclaimTime = reclaimTime
-	c.TCPTimeout = tcpTimeout
+	config := memberlist.DefaultLANConfig()
+	config.Name = p.options.Name
+	config.Label = p.options.Fleet
+	config.BindAddr = host
+	config.BindPort = port
+	config.AdvertiseAddr = host
+	config.AdvertisePort = port
+	config.Logger = slog.NewLogLogger(p.options.Log.Handler(), slog.LevelDebug)
+	config.Delegate = (*delegate)(p)
+	config.Events = (*delegate)(p)
+	config.DeadNodeReclaimTime = reclaimTime
+	config.TCPTimeout = tcpTimeout
 	netTransport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
 		BindAddrs: []string{host},
 		BindPort:  port,
-		Logger:    c.Logger,
+		Logger:    config.Logger,
 	})
 	if err != nil {
 		return err
 	}
-	c.Transport = &transport{netTransport, p.options.DialVia}
-	if p.list, err = memberlist.Create(c); err != nil {
+	config.Transport = &transport{netTransport, p.options.DialVia}
+	if p.memberlist, err = memberlist.Create(config); err != nil {
 		if shutdownErr := netTransport.Shutdown(); shutdownErr != nil {
 			p.options.Log.Warn("gossip shutdown failed", "error", shutdownErr)
 		}
@@ -156,25 +156,25 @@
 func (p *Peers) Close(announce bool) {
 	close(p.closing)
 	if announce {
-		if err := p.list.Leave(leaveTimeout); err != nil {
+		if err := p.memberlist.Leave(leaveTimeout); err != nil {
 			p.options.Log.Info("leave not acknowledged by all members", "error", err)
 		}
 	}
-	if err := p.list.Shutdown(); err != nil {
+	if err := p.memberlist.Shutdown(); err != nil {
 		p.options.Log.Warn("gossip shutdown failed", "error", err)
 	}
-	p.workers.Wait()
+	p.goroutines.Wait()
 }
 
 // Members returns all known instances, dead ones and this one included, sorted by name.
-func (p *Peers) Members() (all []Member) {
+func (p *Peers) Members() (members []Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range p.members {
-		all = append(all, *m)
+		members = append(members, *m)
 	}
-	slices.SortFunc(all, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return members
 }
 
 // Stats returns the counters.
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -22,9 +22,9 @@
 
 // start starts an instance at a free address, and returns it with its address and the messages that it receives. The
 // caller must close it.
-func start(t *testing.T, name, fleet string, join ...string) (*Peers, string, chan receivedMessage) {
+func startPeers(t *testing.T, name, fleet string, join ...string) (*Peers, string, chan receivedMessage) {
 	t.Helper()
-	addr, err := freeport.Free()
+	address, err := freeport.Free()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 	p, err := Start(Options{
 		Name:          name,
 		Fleet:         fleet,
-		Address:       addr,
+		Address:       address,
 		Join:          join,
 		Log:           slog.New(slog.DiscardHandler),
 		HandleMessage: func(from string, m coordination.Message) { received <- receivedMessage{from, m} },
@@ -40,21 +40,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p, addr, received
+	return p, address, received
 }
 
 // eventually waits for a condition, and ends the test if it does not become true within 20 s.
-func eventually(t *testing.T, failure string, condition func() bool) {
+func waitUntil(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal(failure)
 		}
 	}
 }
 
 // alive reports whether an instance knows another one as alive.
-func alive(p *Peers, name string) bool {
+func knowsAlive(p *Peers, name string) bool {
 	for _, m := range p.Members() {
 		if m.Name == name {
 			return m.Alive
@@ -65,12 +65,12 @@
 
 // Messages of any size arrive at their recipient, and at no instance of another fleet.
 func TestMessagesReachTheirRecipientWithinTheFleet(t *testing.T) {
-	a, address, received := start(t, "a", "one")
-	b, _, _ := start(t, "b", "one", address)
-	c, _, _ := start(t, "c", "two", address)
+	a, address, received := startPeers(t, "a", "one")
+	b, _, _ := startPeers(t, "b", "one", address)
+	c, _, _ := startPeers(t, "c", "two", address)
 	defer b.Close(false)
 	defer c.Close(false)
-	eventually(t, "they do not find each other", func() bool { return alive(a, "b") && alive(b, "a") })
+	waitUntil(t, "they do not find each other", func() bool { return knowsAlive(a, "b") && knowsAlive(b, "a") })
 	small := coordination.Message{Request: &quota.LeaseRequest{
 		Incarnation: 1, Sequence: 2, Demands: []quota.Demand{{Budget: "x", Requested: 1.5, Held: 3}},
 	}}
@@ -91,15 +91,15 @@
 			t.Fatal("not received")
 		}
 	}
-	if alive(c, "a") || alive(a, "c") {
+	if knowsAlive(c, "a") || knowsAlive(a, "c") {
 		t.Error("instances of two fleets know each other")
 	}
 	(*delegate)(a).NotifyMsg([]byte(strings.Repeat("\xff", 50)))
-	if f := a.Stats(); f.Malformed != 1 || f.Received != 2 {
-		t.Errorf("%+v", f)
+	if stats := a.Stats(); stats.Malformed != 1 || stats.Received != 2 {
+		t.Errorf("%+v", stats)
 	}
 	a.Close(true)
-	eventually(t, "b does not learn that a leaves", func() bool { return !alive(b, "a") })
+	waitUntil(t, "b does not learn that a leaves", func() bool { return !knowsAlive(b, "a") })
 	if _, err := net.Listen("tcp", address); err != nil {
 		t.Errorf("the address is not free: %v", err)
 	}
@@ -107,13 +107,13 @@
 
 // An address that is in use or malformed is an error.
 func TestUnusableAddressIsAnError(t *testing.T) {
-	a, address, _ := start(t, "a", "one")
+	a, usedAddress, _ := startPeers(t, "a", "one")
 	defer a.Close(false)
-	for _, addr := range []string{address, "nowhere", "127.0.0.1:x"} {
-		p, err := Start(Options{Name: "b", Fleet: "one", Address: addr, Log: slog.New(slog.DiscardHandler)})
+	for _, unusable := range []string{usedAddress, "nowhere", "127.0.0.1:x"} {
+		p, err := Start(Options{Name: "b", Fleet: "one", Address: unusable, Log: slog.New(slog.DiscardHandler)})
 		if err == nil {
 			p.Close(false)
-			t.Errorf("%q is accepted", addr)
+			t.Errorf("%q is accepted", unusable)
 		}
 	}
 }
--- a/internal/peers/queue.go
+++ b/internal/peers/queue.go
@@ -15,25 +15,27 @@
 const maxDatagramBytes = 1300
 
 // outgoing is a message that waits to be sent.
-type outgoing struct {
-	to        string
-	message   coordination.Message
-	consensus *consensus.Message
+type outgoingMessage struct {
+	recipient           string
+	coordinationMessage coordination.Message
+	consensusMessage    *consensus.Message
 }
 
 // Send queues a message to an instance by its name. It never blocks: the message is dropped if the queue is full. The
 // message may be lost.
-func (p *Peers) Send(to string, m coordination.Message) { p.enqueue(outgoing{to: to, message: m}) }
+func (p *Peers) Send(to string, m coordination.Message) {
+	p.enqueue(outgoingMessage{recipient: to, coordinationMessage: m})
+}
 
 // SendConsensus queues a message of package consensus in the same way.
 func (p *Peers) SendConsensus(to string, m consensus.Message) {
-	p.enqueue(outgoing{to: to, consensus: &m})
+	p.enqueue(outgoingMessage{recipient: to, consensusMessage: &m})
 }
 
 // enqueue queues a message, or drops it if the queue is full.
-func (p *Peers) enqueue(o outgoing) {
+func (p *Peers) enqueue(m outgoingMessage) {
 	select {
-	case p.outgoing <- o:
+	case p.outgoingQueue <- m:
 	default:
 		p.droppedCount.Add(1)
 	}
@@ -43,7 +45,7 @@
 func (p *Peers) deliverReceived() {
 	for {
 		select {
-		case e := <-p.received:
+		case e := <-p.receivedQueue:
 			switch {
 			case e.Consensus == nil:
 				p.options.HandleMessage(e.From, e.Message)
@@ -61,20 +63,20 @@
 func (p *Peers) transmitQueued() {
 	for {
 		select {
-		case o := <-p.outgoing:
+		case o := <-p.outgoingQueue:
 			p.transmit(o)
 		case <-p.closing:
-			p.transmitRest()
+			p.transmitRemaining()
 			return
 		}
 	}
 }
 
-// transmitRest sends the messages that are queued now.
-func (p *Peers) transmitRest() {
+// transmitRemaining sends the messages that are queued now.
+func (p *Peers) transmitRemaining() {
 	for {
 		select {
-		case o := <-p.outgoing:
+		case o := <-p.outgoingQueue:
 			p.transmit(o)
 		default:
 			return
@@ -84,13 +86,13 @@
 
 // transmit sends a message as a datagram or, if it is too large, by TCP. That takes a goroutine of its own, which ends
 // within memberlist's TCP timeout and which Close waits for.
-func (p *Peers) transmit(o outgoing) {
-	address, known := p.addressOf(o.to)
+func (p *Peers) transmit(m outgoingMessage) {
+	address, known := p.addressOf(m.recipient)
 	if !known {
 		p.droppedCount.Add(1)
 		return
 	}
-	encoded, err := encoding.Marshal(envelope{p.options.Name, o.to, o.message, o.consensus})
+	encoded, err := encMode.Marshal(envelope{p.options.Name, m.recipient, m.coordinationMessage, m.consensusMessage})
 	if err != nil {
 		p.options.Log.Error("gossip message encoding failed", "error", err)
 		return
@@ -98,18 +100,18 @@
 	p.sentCount.Add(1)
 	p.sentBytes.Add(uint64(len(encoded)))
 	if len(encoded) <= maxDatagramBytes {
-		to := memberlist.Address{Addr: address, Name: o.to}
-		p.logUnsent(o.to, p.list.SendToAddress(to, encoded))
+		to := memberlist.Address{Addr: address, Name: m.recipient}
+		p.logSendError(m.recipient, p.memberlist.SendToAddress(to, encoded))
 		return
 	}
 	host, portText, _ := net.SplitHostPort(address)
 	port, _ := strconv.Atoi(portText)
-	node := &memberlist.Node{Name: o.to, Addr: net.ParseIP(host), Port: uint16(port)}
-	p.workers.Go(func() { p.logUnsent(o.to, p.list.SendReliable(node, encoded)) })
+	node := &memberlist.Node{Name: m.recipient, Addr: net.ParseIP(host), Port: uint16(port)}
+	p.goroutines.Go(func() { p.logSendError(m.recipient, p.memberlist.SendReliable(node, encoded)) })
 }
 
-// logUnsent logs the error of a message that could not be sent, if there is one.
-func (p *Peers) logUnsent(to string, err error) {
+// logSendError logs the error of a message that could not be sent, if there is one.
+func (p *Peers) logSendError(to string, err error) {
 	if err != nil {
 		p.options.Log.Debug("gossip message not sent", "to", to, "error", err)
 	}
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -15,21 +15,21 @@
 
 // dialAddress returns the address to dial for an address.
 func (t *transport) dialAddress(address string) string {
-	if via, ok := t.dialVia[address]; ok {
-		return via
+	if replacement, ok := t.dialVia[address]; ok {
+		return replacement
 	}
 	return address
 }
 
 // WriteTo implements memberlist.Transport.
-func (t *transport) WriteTo(b []byte, address string) (time.Time, error) {
-	return t.NetTransport.WriteTo(b, t.dialAddress(address))
+func (t *transport) WriteTo(packet []byte, address string) (time.Time, error) {
+	return t.NetTransport.WriteTo(packet, t.dialAddress(address))
 }
 
 // WriteToAddress implements memberlist.NodeAwareTransport.
-func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	a.Addr = t.dialAddress(a.Addr)
-	return t.NetTransport.WriteToAddress(b, a)
+func (t *transport) WriteToAddress(packet []byte, address memberlist.Address) (time.Time, error) {
+	address.Addr = t.dialAddress(address.Addr)
+	return t.NetTransport.WriteToAddress(packet, address)
 }
 
 // DialTimeout implements memberlist.Transport.
@@ -38,7 +38,7 @@
 }
 
 // DialAddressTimeout implements memberlist.NodeAwareTransport.
-func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	a.Addr = t.dialAddress(a.Addr)
-	return t.NetTransport.DialAddressTimeout(a, timeout)
+func (t *transport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	address.Addr = t.dialAddress(address.Addr)
+	return t.NetTransport.DialAddressTimeout(address, timeout)
 }
