--- a/internal/consensus/boltstore.go
+++ b/internal/consensus/boltstore.go
@@ -15,27 +15,30 @@
 // BoltStore is a LogStore in a file of go.etcd.io/bbolt, whose transactions are atomic and durable. It is safe for
 // concurrent use. The caller of OpenBoltStore must close it.
 //
-// The file has the form of earlier builds: a bucket "meta" with the keys "hard" and "snapshot", and a bucket
-// "entries" with each entry under its index (8 bytes, big endian); all values are in raft's protocol buffers.
+// The file format is the same as in earlier builds: a bucket "meta" with the keys "hard" and "snapshot", and a
+// bucket "entries" in which the key of each entry is its index (8 bytes, big endian). All values are encoded as
+// raft's protocol buffers.
 type BoltStore struct{ db *bbolt.DB }
 
-// ErrCorrupt is wrapped by errors of a file whose content is invalid.
+// ErrCorrupt is wrapped by the errors of Load for a file with invalid content.
 var ErrCorrupt = errors.New("corrupt raft log file")
 
 var (
+	// Names of the buckets and keys in the file. They must not change, since stored files contain them.
 	bucketMeta    = []byte("meta")
 	bucketEntries = []byte("entries")
 	keyHardState  = []byte("hard")
 	keySnapshot   = []byte("snapshot")
 )
 
-// openTimeout is the time for which OpenBoltStore waits for another process that has the file open.
+// openTimeout is the time for which OpenBoltStore waits while another process has the file open.
 const openTimeout = 2 * time.Second
 
-// fileMode lets only the process's user read and write the file.
+// fileMode allows only the user of the process to read and write the file.
 const fileMode = 0o600
 
-// OpenBoltStore opens a file, and creates it if it does not exist. Only one process may have it open.
+// OpenBoltStore opens a log file, and creates it if it does not exist. Only one process at a time can have the file
+// open.
 func OpenBoltStore(path string) (*BoltStore, error) {
 	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: openTimeout})
 	if err != nil {
@@ -50,7 +53,7 @@
 		return nil
 	})
 	if err != nil {
-		_ = db.Close() // the earlier error is the cause
+		_ = db.Close() // the returned error is the cause, so a failure to close is ignored
 		return nil, fmt.Errorf("consensus: create the buckets of %s: %w", path, err)
 	}
 	return &BoltStore{db: db}, nil
@@ -59,7 +62,7 @@
 // Close closes the file.
 func (s *BoltStore) Close() error { return s.db.Close() }
 
-// Load returns the stored log. Its error wraps ErrCorrupt if the content is invalid.
+// Load implements LogStore. Its error wraps ErrCorrupt if the content of the file is invalid.
 func (s *BoltStore) Load() (stored StoredLog, empty bool, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
@@ -85,7 +88,8 @@
 	return stored, empty, err
 }
 
-// loadEntries returns the entries after an index, or an error that wraps ErrCorrupt if one is invalid or missing.
+// loadEntries returns the stored entries after the index of the snapshot. Its error wraps ErrCorrupt if an entry is
+// invalid or missing.
 func loadEntries(bucket *bbolt.Bucket, snapshotIndex uint64) ([]*raftpb.Entry, error) {
 	var entries []*raftpb.Entry
 	lastIndex := snapshotIndex
@@ -95,7 +99,7 @@
 			return fmt.Errorf("%w: an entry", ErrCorrupt)
 		}
 		if entry.GetIndex() <= lastIndex {
-			return nil // it is in the snapshot
+			return nil // the snapshot contains this entry
 		}
 		lastIndex++
 		if entry.GetIndex() != lastIndex {
@@ -107,7 +111,7 @@
 	return entries, err
 }
 
-// Save stores its arguments in one transaction.
+// Save implements LogStore. It stores its arguments in one transaction.
 func (s *BoltStore) Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	snapshotIndex := snapshot.GetMetadata().GetIndex()
 	if hardState == nil && len(entries) == 0 && snapshotIndex == 0 {
@@ -136,8 +140,8 @@
 	return nil
 }
 
-// replaceEntries stores entries in place of all stored ones from the first one's index on, which are an earlier
-// leader's.
+// replaceEntries stores entries in place of all stored entries from the index of the first new entry on. Stored
+// entries at these indexes were proposed by an earlier leader and not committed.
 func replaceEntries(bucket *bbolt.Bucket, entries []*raftpb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -153,7 +157,7 @@
 	return nil
 }
 
-// deleteEntries deletes the entries from an index on and before another one; 0 is no bound.
+// deleteEntries deletes the entries with from <= index < before. There is no upper bound if before is 0.
 func deleteEntries(bucket *bbolt.Bucket, from, before uint64) error {
 	var keys [][]byte
 	cursor := bucket.Cursor()
@@ -163,7 +167,7 @@
 		}
 		keys = append(keys, append([]byte(nil), key...))
 	}
-	// A bucket must not be changed while a cursor is in use.
+	// A bucket must not be modified while a cursor iterates over it.
 	for _, key := range keys {
 		if err := bucket.Delete(key); err != nil {
 			return err
@@ -172,10 +176,10 @@
 	return nil
 }
 
-// entryKey returns the key of the entry at an index.
+// entryKey returns the key of the entry at an index in bucketEntries.
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// putProtoMessage stores a message of raft under a key.
+// putProtoMessage stores the encoded form of a protocol buffer message under a key.
 func putProtoMessage(bucket *bbolt.Bucket, key []byte, m proto.Message) error {
 	encoded, err := proto.Marshal(m)
 	if err != nil {
--- a/internal/consensus/boltstore_test.go
+++ b/internal/consensus/boltstore_test.go
@@ -10,10 +10,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
+// newEntry returns a raft entry with the given index and term.
 func newEntry(index, term uint64) *raftpb.Entry {
 	return &raftpb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Data: []byte("x")}
 }
 
+// closeBoltStore closes a store and reports an error of the close as a test failure.
 func closeBoltStore(tb testing.TB, store *BoltStore) {
 	tb.Helper()
 	if err := store.Close(); err != nil {
@@ -21,8 +23,9 @@
 	}
 }
 
-// Load returns what Save has stored, with the entries that another leader has replaced. A gap is an error, and so is a
-// file of another kind.
+// Load must return the saved log after the file was closed and opened again. Entries that a later Save replaces
+// must not come back. A gap between the indexes of the entries, and a file that is not a bbolt file, must be
+// errors.
 func TestBoltStoreLoadsWhatWasSaved(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	store, err := OpenBoltStore(path)
@@ -37,7 +40,7 @@
 		Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1)},
 	}
 	for _, call := range []struct {
-		term     uint64 // of the hard state; 0 is none
+		term     uint64 // term of the hard state; 0 saves no hard state
 		entries  []*raftpb.Entry
 		snapshot *raftpb.Snapshot
 	}{
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -14,14 +14,15 @@
 	"dunlinsail/internal/monotime"
 )
 
-// memoryStore is a LogStore in memory, which outlives its simulated process.
+// memoryStore is a LogStore in memory. It is kept when its simulated process is killed, as a disk would be.
 type memoryStore struct {
 	hardState *raftpb.HardState
 	snapshot  *raftpb.Snapshot
 	entries   []*raftpb.Entry
-	failing   bool
+	failing   bool // Load and Save return errDiskFull
 }
 
+// errDiskFull is the error of a memoryStore that is set to fail.
 var errDiskFull = errors.New("the disk is full")
 
 func (s *memoryStore) Load() (StoredLog, bool, error) {
@@ -53,36 +54,38 @@
 	return nil
 }
 
+// testSettings are the maintenance settings of the simulated fleet.
 var testSettings = maintenance.Settings{
 	MaxOut: 2, MaxOutPerZone: 1, MaxAnnounced: 4, Headroom: 0.1,
 	LeaseDuration: monotime.Second, InFlightGrace: monotime.Second / 2, Warmup: monotime.Second, MaxClockDrift: 0.005,
 }
 
-// instance is a simulated instance, whose requests are in flight at machines while it runs.
+// instance is a simulated instance that sends requests to machines while its process runs.
 type instance struct {
 	name                string
 	node                *Node
-	running             bool
-	pausedUntil         float64
-	clockRate           float64
-	clockStartedAt      float64
-	store               *memoryStore       // nil if it is not a voter
+	running             bool               // whether the process runs
+	pausedUntil         float64            // end of the latest pause of the process, on the cluster's clock
+	clockRate           float64            // microseconds of the local clock per microsecond of the cluster's clock
+	clockStartedAt      float64            // when the local clock was 0, on the cluster's clock
+	store               *memoryStore       // nil for an instance that is not a voter
 	inFlight            map[string]float64 // end of the latest request in flight, by machine
-	predecessorInFlight map[string]float64 // the same of the predecessor in a hot restart
+	predecessorInFlight map[string]float64 // the same for the predecessor process after a hot restart
 }
 
+// localTime converts a time of the cluster's clock to the instance's clock.
 func (inst *instance) localTime(now float64) monotime.Micros {
 	return monotime.Micros((now - inst.clockStartedAt) * inst.clockRate)
 }
 
-// delivery is a message in flight.
+// delivery is a message in transit between two instances.
 type delivery struct {
 	deliverAt         float64
 	sender, recipient *instance
 	message           Message
 }
 
-// fault is a planted error that the cluster's checks must find.
+// fault is a programming error that a simulation plants in its instances, and that checkSafety must detect.
 type fault string
 
 const (
@@ -93,27 +96,28 @@
 	faultIgnoresAnnounce fault = "an instance without a lease excludes no machine"
 )
 
-// cluster simulates a fleet: processes, clocks, the network between instances, and the requests that they send to
-// machines. Times are in microseconds.
+// cluster simulates a fleet: its processes and their clocks, the network between instances, and the requests that
+// instances send to machines. Times and durations of type float64 are in microseconds.
 type cluster struct {
 	t               testing.TB
 	rng             *rand.Rand
-	now             float64
+	now             float64 // the cluster's clock
 	instances       []*instance
-	voters          []string
+	voters          []string // names of the voters
 	deliveries      []delivery
-	cutLinks        map[[2]string]bool // from, to
-	lossProbability float64
-	incarnations    uint64
+	cutLinks        map[[2]string]bool // links that lose all messages, by names of sender and recipient
+	lossProbability float64            // of losing a message, and of delaying a message by up to 3 s
+	incarnations    uint64             // processes started so far; the latest incarnation
 	machines        []maintenance.MachineStatus
 	tickInterval    monotime.Micros
-	mostApplied     *instance // the one with the highest applied index
-	plantedFault    fault
-	sentRequests    int    // requests sent to machines
-	firstViolation  string // the first one that check has found
+	mostApplied     *instance // the running voter with the highest applied index
+	plantedFault    fault     // noFault in simulations that must pass
+	sentRequests    int       // number of requests sent to machines
+	firstViolation  string    // first violation that checkSafety has found; empty if none
 }
 
-// newCluster starts a cluster of three voters, i0 to i2, and the given number of other instances.
+// newCluster starts a cluster of three voters, named i0 to i2, and the given number of instances that are not
+// voters. Seeds that are odd get longer raft ticks.
 func newCluster(tb testing.TB, nonVoters int, seed uint64) *cluster {
 	tb.Helper()
 	const voters = 3
@@ -124,7 +128,8 @@
 		tickInterval: monotime.Second / 20,
 	}
 	if seed%2 == 1 {
-		// A leader that is cut off believes that it leads for longer than a lease.
+		// With this tick interval a leader that is partitioned from the other voters continues to regard itself as
+		// the leader for longer than the duration of a lease.
 		c.tickInterval = monotime.Second / 5
 	}
 	for i := range 8 {
@@ -146,7 +151,8 @@
 	return c
 }
 
-// start starts a process of an instance, with a clock of its own.
+// startProcess starts a new process of an instance. The process gets its own clock, whose rate differs from the
+// cluster's clock by up to 0.5%.
 func (c *cluster) startProcess(inst *instance) {
 	c.incarnations++
 	inst.clockRate = 1 + 0.005*(2*c.rng.Float64()-1)
@@ -169,11 +175,12 @@
 	c.attachNode(inst, node)
 }
 
+// nodeSettings returns the settings of an instance's Node.
 func (c *cluster) nodeSettings(inst *instance) Settings {
 	return Settings{Self: inst.name, Voters: c.voters, Maintenance: testSettings, TickInterval: c.tickInterval}
 }
 
-// attach lets an instance run a node.
+// attachNode makes a Node the Node of an instance, and sets its sources.
 func (c *cluster) attachNode(inst *instance, node *Node) {
 	inst.node = node
 	fleetStatus := func() maintenance.FleetStatus {
@@ -187,9 +194,11 @@
 	})
 }
 
+// killProcess ends an instance's process. Its memoryStore remains.
 func (c *cluster) killProcess(inst *instance) { inst.running = false }
 
-// isolate cuts the messages of an instance to all others, and from them where both is set.
+// isolateInstance cuts the links from an instance to all others. With bothDirections it also cuts the links from
+// the others to the instance.
 func (c *cluster) isolateInstance(inst *instance, bothDirections bool) {
 	for _, other := range c.instances {
 		c.cutLinks[[2]string{inst.name, other.name}] = true
@@ -199,12 +208,13 @@
 	}
 }
 
-// heal ends all faults of the network.
+// healNetwork ends all faults of the network.
 func (c *cluster) healNetwork() {
 	clear(c.cutLinks)
 	c.lossProbability = 0
 }
 
+// findInstance returns the instance with a name, or nil.
 func (c *cluster) findInstance(name string) *instance {
 	for _, inst := range c.instances {
 		if inst.name == name {
@@ -214,7 +224,7 @@
 	return nil
 }
 
-// sendMessages puts an instance's messages on the network.
+// sendMessages takes the outgoing messages of an instance and sends them over the simulated network.
 func (c *cluster) sendMessages(inst *instance) {
 	for _, outgoing := range inst.node.TakeOutgoing() {
 		recipient := c.findInstance(outgoing.To)
@@ -230,7 +240,8 @@
 	}
 }
 
-// step advances the time: messages arrive, timers fire, and each instance sends requests to machines.
+// advance advances the cluster's clock: messages that are due arrive, timers fire, and each instance may send a
+// request to a machine. Then it checks the safety properties.
 func (c *cluster) advance(duration float64) {
 	c.now += duration
 	inTransit := c.deliveries
@@ -263,8 +274,8 @@
 	c.checkSafety()
 }
 
-// sendRequest lets an instance send a request to a random machine if its follower allows that, and end the requests
-// that its follower requires to end.
+// sendRequest ends the requests in flight that the instance's follower requires to end, and sends a request to a
+// random machine if the follower permits it.
 func (c *cluster) sendRequest(inst *instance) {
 	follower := inst.node.PlanFollower()
 	localTime := inst.localTime(c.now)
@@ -290,8 +301,9 @@
 	}
 }
 
-// excludedUnderLease returns the machines that are excluded during a lease. An instance that still uses that list after
-// its lease has the fault.
+// excludedUnderLease returns the machines that the plan excludes during a lease, even if the lease has expired. An
+// instance that uses this list after its lease has expired has faultIgnoresAnnounce: it must also exclude the
+// announced machines then.
 func excludedUnderLease(follower *maintenance.Follower, now monotime.Micros) (excluded []string) {
 	underLease := follower.ExcludedMachines(now - 10*monotime.Second)
 	for _, machine := range follower.ExcludedMachines(now) {
@@ -302,8 +314,9 @@
 	return excluded
 }
 
-// check compares all instances with the state of the voter that has applied most: nothing is in flight at a machine
-// under maintenance, and no bound is broken.
+// checkSafety compares all instances with the replicated state at the voter that has applied the most entries. No
+// request may be in flight at a machine under maintenance, and no more machines may be out of service, in the fleet
+// and in each zone, than the settings allow.
 func (c *cluster) checkSafety() {
 	if c.mostApplied == nil || c.firstViolation != "" {
 		return
@@ -330,6 +343,7 @@
 	}
 }
 
+// checkNothingInFlight records a violation if an instance has a request in flight at a machine.
 func (c *cluster) checkNothingInFlight(machine string) {
 	for _, inst := range c.instances {
 		if inst.running && (inst.inFlight[machine] > c.now || inst.predecessorInFlight[machine] > c.now) {
@@ -339,11 +353,14 @@
 	}
 }
 
+// zoneOf returns the zone of a machine.
 func (c *cluster) zoneOf(machine string) string {
 	i := slices.IndexFunc(c.machines, func(m maintenance.MachineStatus) bool { return m.Name == machine })
 	return c.machines[i].Zone
 }
 
+// runFor runs the simulation for a duration, or until the first violation. A violation without a planted fault
+// fails the test.
 func (c *cluster) runFor(duration float64) {
 	for end := c.now + duration; c.now < end && c.firstViolation == ""; {
 		c.advance(5000)
@@ -353,7 +370,8 @@
 	}
 }
 
-// submit submits an operator's command at an instance until it has a reply.
+// submit submits an operator's command at an instance and returns the reply. If no reply arrives within 0.5 s, it
+// submits the command again, and after 40 attempts it fails the test.
 func (c *cluster) submit(instanceName string, command maintenance.Command) OperatorReply {
 	c.t.Helper()
 	inst := c.findInstance(instanceName)
@@ -371,7 +389,7 @@
 	return OperatorReply{}
 }
 
-// request submits a request for machines at an instance that is not a voter.
+// requestMaintenance requests maintenance of machines, at instance i3, which is not a voter.
 func (c *cluster) requestMaintenance(id string, machines ...string) OperatorReply {
 	c.t.Helper()
 	return c.submit("i3", maintenance.Command{Request: &maintenance.Request{
@@ -379,8 +397,8 @@
 	}})
 }
 
-// finish completes the work on each machine that is under maintenance, for the given time, and returns the number of
-// machines that are left in the plan.
+// completeMaintenance runs the simulation for a duration, and reports the work on each machine under maintenance as
+// complete. It returns the number of machines that remain in the plan.
 func (c *cluster) completeMaintenance(duration float64) (remaining int) {
 	for end := c.now + duration; c.now < end && c.firstViolation == ""; {
 		c.runFor(1e5)
@@ -400,10 +418,12 @@
 	return len(c.mostApplied.node.State().Machines)
 }
 
+// newCompletion returns the command that completes the work of a machine's first request.
 func newCompletion(machine *maintenance.Machine) maintenance.Command {
 	return maintenance.Command{Complete: &maintenance.Completion{Request: machine.Requests[0], Machine: machine.Name}}
 }
 
+// machineNames returns the names of all machines.
 func (c *cluster) machineNames() (names []string) {
 	for _, m := range c.machines {
 		names = append(names, m.Name)
@@ -411,7 +431,8 @@
 	return names
 }
 
-// injectFaults injects random faults for a number of rounds, while maintenance goes on.
+// injectFaults injects random faults, one in each round. Between the faults, maintenance continues: the work on
+// machines under maintenance is completed at random.
 func (c *cluster) injectFaults(rounds int) {
 	for range rounds {
 		c.injectFault(c.instances[c.rng.IntN(len(c.instances))])
@@ -429,7 +450,7 @@
 	}
 }
 
-// injectFault injects one random fault, of the given instance or of the network.
+// injectFault injects one random fault, either of the given instance, of all instances, or of the network.
 func (c *cluster) injectFault(inst *instance) {
 	switch c.rng.IntN(9) {
 	case 0, 1:
@@ -459,8 +480,8 @@
 	}
 }
 
-// hotRestart replaces an instance's process by a successor. The predecessor ends its requests within a lease and the
-// grace time.
+// hotRestart replaces an instance's process by a successor. The predecessor ends its requests in flight after at
+// most 1.4 s, which is less than the lease duration and the grace time together.
 func (c *cluster) hotRestart(inst *instance) {
 	inFlight := inst.inFlight
 	for machine, endsAt := range inFlight {
--- a/internal/consensus/encoding_test.go
+++ b/internal/consensus/encoding_test.go
@@ -16,12 +16,12 @@
 	"dunlinsail/internal/monotime"
 )
 
-// The files under testdata/encoded and testdata/stored were written by the build of commit 870f4ac, before these
-// structures had tags. They have the form of what a voter of that build sends, stores and shows to operators, and must
-// never be rewritten.
+// The files under testdata/encoded and testdata/stored were written by the build of commit 870f4ac, before the
+// fields of these structures had tags. They contain the encoded forms that a voter of that build sends, stores and
+// shows to operators, and must never be rewritten. The comments and tests below call that build the earlier build.
 
-// encoded returns an empty value of each type that is sent between instances, stored in the log, or part of an
-// operator's call.
+// emptyEncodedValues returns an empty value of each type that is sent between instances, stored in the log, or part
+// of an operator's call. The keys are the names of the files under testdata/encoded.
 func emptyEncodedValues() map[string]any {
 	return map[string]any{
 		"word":  &Message{},
@@ -31,7 +31,7 @@
 	}
 }
 
-// newGossipEncMode returns the encoding of package peers, which sends the messages.
+// newGossipEncMode returns the CBOR encoder settings of package peers, which sends this package's messages.
 func newGossipEncMode(tb testing.TB) cbor.EncMode {
 	tb.Helper()
 	mode, err := cbor.EncOptions{Sort: cbor.SortNone, ShortestFloat: cbor.ShortestFloat16}.EncMode()
@@ -41,8 +41,8 @@
 	return mode
 }
 
-// A stored or sent structure is encoded to the same bytes as by the build before its fields had tags, in JSON and in
-// CBOR, and each field is decoded from those bytes.
+// Values must be encoded to the same JSON and CBOR bytes as by the earlier build, whose fields had no tags, and
+// those bytes must be decoded to the same values without unknown fields.
 func TestEncodedFormIsThatOfTheBuildBefore(t *testing.T) {
 	for name, emptyValue := range emptyEncodedValues() {
 		for _, content := range []string{"empty", "filled"} {
@@ -60,7 +60,8 @@
 	}
 }
 
-// checkCBOR checks that a value is encoded to the wanted bytes, and decoded from them without unknown fields.
+// checkCBOR checks that a value is encoded to the wanted bytes, and that these are decoded to the value without
+// unknown fields.
 func checkCBOR(t *testing.T, want []byte, value any) {
 	t.Helper()
 	strictDecMode, err := cbor.DecOptions{ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
@@ -83,8 +84,8 @@
 	}
 }
 
-// A voter that is started on a file of the earlier build has the state that a voter of that build had, and would store
-// the same bytes.
+// A voter that opens a log file of the earlier build must restore the state that a voter of the earlier build had,
+// and must encode its snapshot and entries to the same bytes.
 func TestVoterGoesOnFromAFileOfTheBuildBefore(t *testing.T) {
 	for _, name := range []string{"i0", "i1", "i2"} {
 		t.Run(name, func(t *testing.T) {
@@ -112,8 +113,8 @@
 	}
 }
 
-// loadStoredLog returns the log of a store, and checks that it has entries in this build's form and a later snapshot than
-// the first.
+// loadStoredLog returns the log of a store. It checks that the log contains entries, that this build encodes them
+// in the same form, and that the snapshot is later than the bootstrap snapshot.
 func loadStoredLog(t *testing.T, store *BoltStore) StoredLog {
 	t.Helper()
 	stored, empty, err := store.Load()
@@ -129,7 +130,7 @@
 	return stored
 }
 
-// encodeNodeState returns the JSON of a node's state.
+// encodeNodeState returns the JSON form of a node's replicated state.
 func encodeNodeState(t *testing.T, node *Node) []byte {
 	t.Helper()
 	encodedState, err := json.Marshal(node.State())
@@ -143,7 +144,7 @@
 func checkEntryEncoding(t *testing.T, raftEntry *raftpb.Entry) {
 	t.Helper()
 	if len(raftEntry.GetData()) == 0 {
-		return // an entry of raft itself
+		return // raft appends an entry without data at the start of a term
 	}
 	var entry logEntry
 	golden.DecodeJSON(t, raftEntry.GetData(), &entry)
@@ -152,7 +153,8 @@
 	}
 }
 
-// Three voters on files of the earlier build elect a leader and complete the maintenance that was requested there.
+// Three voters that open log files of the earlier build must elect a leader and complete the maintenance that was
+// requested under that build.
 func TestFleetGoesOnFromFilesOfTheBuildBefore(t *testing.T) {
 	c := newCluster(t, 1, 4)
 	for _, inst := range c.instances[:3] {
@@ -180,7 +182,7 @@
 	}
 }
 
-// openStoredCopy opens a copy of the file of a voter of the earlier build.
+// openStoredCopy opens a copy of the log file of a voter of the earlier build.
 func openStoredCopy(tb testing.TB, name string) *BoltStore {
 	tb.Helper()
 	content := golden.Read(tb, "stored", "voter-"+name+".bolt")
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -9,25 +9,27 @@
 	"dunlinsail/internal/monotime"
 )
 
-// leaderTerm is the state of the leader. Each term of leadership has its own.
+// leaderTerm is the state of the leader during one raft term. A new term starts with a new leaderTerm.
 type leaderTerm struct {
-	raftTerm        uint64 // raft's
+	raftTerm        uint64 // number of the term
 	coordinator     *maintenance.Coordinator
-	startStateTime  monotime.Micros            // the state's clock at the start of the term
-	startLocalTime  monotime.Micros            // the local clock at the start of the term
-	proposalRetryAt map[string]monotime.Micros // when a proposal may be repeated, by its key
+	startStateTime  monotime.Micros            // time of the replicated state's clock at the start of the term
+	startLocalTime  monotime.Micros            // time of the local clock at the start of the term
+	proposalRetryAt map[string]monotime.Micros // when a proposal that was not applied may be repeated, by its key
 
-	pendingReads []readRequest   // wait for the present ReadIndex round
-	queuedReads  []readRequest   // wait for the next round
-	readRetryAt  monotime.Micros // when the present round is started again
+	pendingReads []readRequest   // reports that wait for the ReadIndex round in progress
+	queuedReads  []readRequest   // reports that wait for the next ReadIndex round
+	readRetryAt  monotime.Micros // when the ReadIndex round in progress is repeated
 }
 
-// isLeader reports whether this instance leads, as far as it knows: another one may have been elected already.
+// isLeader reports whether raft at this instance is in the leader state. Another voter may have been elected
+// without this instance's knowledge.
 func (n *Node) isLeader() bool {
 	return n.rawNode != nil && n.rawNode.BasicStatus().RaftState == raft.StateLeader
 }
 
-// runLeader does the leader's work: it proposes commands and runs ReadIndex rounds.
+// runLeader does the leader's pending work: it proposes commands and runs ReadIndex rounds. If this instance does
+// not lead, runLeader discards the state of its latest term as the leader.
 func (n *Node) runLeader(now monotime.Micros) {
 	if !n.isLeader() {
 		n.term = nil
@@ -43,9 +45,9 @@
 	n.runReadIndex(now)
 }
 
-// enterTerm starts a term of leadership if raft's term is a new one, and reports whether this instance may act as the
-// leader. It may not before it has applied an entry of its own term, and with it all entries that were committed
-// before.
+// enterTerm creates the state of the leader at the start of a term, and reports whether this instance may act as
+// the leader. A new leader may not act before it has applied an entry of its own term, which implies that it has
+// applied all entries that were committed in earlier terms.
 func (n *Node) enterTerm(now monotime.Micros) bool {
 	raftTerm := n.rawNode.BasicStatus().GetTerm()
 	if n.term != nil && n.term.raftTerm == raftTerm {
@@ -64,12 +66,15 @@
 	return true
 }
 
-// stateClock returns the time of the state's clock, which advances with the leader's local clock.
+// stateClock returns the present time of the replicated state's clock. During a term this clock advances with the
+// leader's local clock, and it never runs backward.
 func (n *Node) stateClock(now monotime.Micros) monotime.Micros {
 	return max(n.state.Now, n.term.startStateTime+now-n.term.startLocalTime)
 }
 
-// proposeProgress proposes the phases that machines have reached by the instances' reports.
+// proposeProgress proposes the phase changes of machines that follow from the instances' reports: an announced
+// machine may be drained once all instances have acknowledged the announcement, and a draining machine is drained
+// once no instance can still use it.
 func (n *Node) proposeProgress(now monotime.Micros) {
 	progress := n.term.coordinator.Progress(now, n.state)
 	n.waitReasons = progress.WaitReasons
@@ -81,7 +86,7 @@
 	}
 }
 
-// fleetStatusInterval is the time from one check of the fleet's status to the next.
+// fleetStatusInterval is the time between two comparisons of the fleet's status with the replicated state.
 const fleetStatusInterval = monotime.Second / 2
 
 // proposeFleetStatus proposes the fleet's status if it differs from the status in the replicated state.
@@ -96,10 +101,11 @@
 	}
 }
 
-// clockEntryInterval is the time from one clock entry to the next while a machine is in the plan.
+// clockEntryInterval is the time between two clock entries while the plan contains any machine.
 const clockEntryInterval = monotime.Second
 
-// proposeClock proposes a clock entry, which advances the state's clock: machines become overdue or warmed up by it.
+// proposeClock proposes a clock entry, a command that contains only a time. Applying it advances the replicated
+// state's clock, so that machines become overdue or finish their warm-up even if no other command is proposed.
 func (n *Node) proposeClock(now monotime.Micros) {
 	if now < n.nextClockEntryAt || len(n.state.Machines) == 0 {
 		return
@@ -111,8 +117,8 @@
 // proposalRetryDelay is the time after which a proposal that has not been applied is repeated.
 const proposalRetryDelay = monotime.Second
 
-// proposeOnce proposes a command, unless one with the same key was proposed less than proposalRetryDelay ago and may still
-// be committed.
+// proposeOnce proposes a command, unless a command with the same key was proposed less than proposalRetryDelay ago:
+// that proposal may still be committed.
 func (n *Node) proposeOnce(now monotime.Micros, key string, command maintenance.Command) {
 	if now < n.term.proposalRetryAt[key] {
 		return
@@ -121,13 +127,14 @@
 	n.propose(now, command)
 }
 
-// propose proposes a command for the log. ok is false if raft rejects it, because this instance no longer leads.
+// propose proposes a command for the log and returns the id of the proposal. ok is false if raft rejects the
+// proposal, for example because this instance no longer leads.
 func (n *Node) propose(now monotime.Micros, command maintenance.Command) (proposalID uint64, ok bool) {
 	command.Time = n.stateClock(now)
 	n.lastNumber++
 	entry, err := json.Marshal(logEntry{ProposalID: n.lastNumber, Command: command})
 	if err != nil {
-		panic(err) // JSON can encode each field of a command
+		panic(err) // unreachable: all fields of a command can be encoded as JSON
 	}
 	return n.lastNumber, n.rawNode.Propose(entry) == nil
 }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -10,70 +10,71 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Settings must be the same for all instances of a fleet, except for Self.
+// Settings configure a Node. All settings but Self must be the same at all instances of a fleet.
 type Settings struct {
 	// Self is this instance's name.
 	Self string
-	// Voters are the names of the voters, an odd number. A voter's raft id is its index plus one, so the order must
-	// not change.
+	// Voters are the names of the voters, an odd number of them. The raft id of a voter is its index in Voters plus
+	// one, so the order must not change.
 	Voters []string
-	// Maintenance configures the plan and its leases.
+	// Maintenance configures the maintenance plan and its leases.
 	Maintenance maintenance.Settings
-	// TickInterval is the interval of raft's clock. An election starts after electionTicks to twice electionTicks
-	// without the leader.
+	// TickInterval is the time between two ticks of raft's clock. A voter that has received nothing from the leader
+	// for a random number of ticks, from electionTicks to twice electionTicks, starts an election.
 	TickInterval monotime.Micros
 }
 
-// Node is one instance of the fleet. Create one with New. Its methods must be called by one goroutine at a time. After
-// each call of Tick, Receive, Submit and RequestView the caller sends the messages that TakeOutgoing returns.
+// Node is one instance of the fleet. New creates it. Its methods must not be called concurrently. After each call
+// of Tick, Receive, Submit and RequestView the caller must send the messages that TakeOutgoing returns.
 type Node struct {
 	settings          Settings
-	follower          *maintenance.Follower
-	leader            string          // name of the latest known leader; empty if unknown
-	nextReportAt      monotime.Micros // when the next report is due
-	unansweredReports int             // reports sent since the latest grant
-	outgoing          []Outgoing
-	selfMessages      []Message // messages from this instance to itself, handled by process
+	follower          *maintenance.Follower // applies the plan at this instance
+	leader            string                // name of the latest known leader; empty if unknown
+	nextReportAt      monotime.Micros       // when the next report is due
+	unansweredReports int                   // reports sent since the latest grant
+	outgoing          []Outgoing            // messages to other instances that TakeOutgoing has not returned yet
+	selfMessages      []Message             // messages from this instance to itself, which process handles
 
-	// Sources of the content of reports and proposals.
-	fleetStatus func() maintenance.FleetStatus // nil if this instance has no status
-	inFlight    func(machine string) int       // number of requests in flight at a machine
+	// Functions that provide the content of reports and proposals, see SetSources.
+	fleetStatus func() maintenance.FleetStatus // nil if this instance does not know the fleet's status
+	inFlight    func(machine string) int       // returns the number of requests in flight at a machine
 
 	// State of a voter and its raft log, see raftlog.go and voters.go.
 	store                  LogStore
 	raftID                 uint64
 	rawNode                *raft.RawNode // nil while this instance has no vote
 	raftStorage            *raft.MemoryStorage
-	nextTickAt             monotime.Micros // when raft's next tick is due
-	voterErr               error           // why this voter has stopped voting
-	logMissing             bool            // nothing was ever stored, see LogMissing
-	votersWithoutLog       map[string]bool // other voters that have no log either
-	hasBootstrapped        bool            // this process has started the log
-	votersWithRaftMessages map[string]bool // voters that have sent a raft message to this process
-	state                  *maintenance.State
-	appliedIndex           uint64 // of the latest applied entry
-	snapshotIndex          uint64 // of the latest snapshot
+	nextTickAt             monotime.Micros    // when raft's next tick is due
+	voterErr               error              // reason why this voter has stopped voting
+	logMissing             bool               // the store has never contained a log, see LogMissing
+	votersWithoutLog       map[string]bool    // other voters that have reported that they have no log
+	hasBootstrapped        bool               // this process has created the fleet's first log
+	votersWithRaftMessages map[string]bool    // voters from which this process has received a raft message
+	state                  *maintenance.State // the replicated plan, with all entries up to appliedIndex applied
+	appliedIndex           uint64             // index of the last applied entry
+	snapshotIndex          uint64             // index of the last entry that the latest snapshot contains
 
 	// State of the leader, see leader.go and reads.go.
 	term              *leaderTerm             // nil while this instance does not lead
 	pendingCalls      map[uint64]operatorCall // operators' calls that await a reply, by proposal id
-	waitReasons       map[string]string       // why machines do not enter their next phase, by name
-	readIndexSequence uint64                  // of the latest ReadIndex round
-	nextFleetStatusAt monotime.Micros         // when the fleet's status is checked next
+	waitReasons       map[string]string       // reason why a machine does not enter its next phase, by machine name
+	readIndexSequence uint64                  // number of the latest ReadIndex round
+	nextFleetStatusAt monotime.Micros         // when the fleet's status is compared with the replicated state next
 	nextClockEntryAt  monotime.Micros         // when the next clock entry is due
 
-	// State of operators' requests at this instance, see operators.go.
-	receivedReplies map[uint64]OperatorReply // received and not taken yet, by number of the request
-	lastNumber      uint64                   // of the latest request or proposal
+	// State of operators' requests that were submitted at this instance, see operators.go.
+	receivedReplies map[uint64]OperatorReply // replies that TakeReply has not returned yet, by request number
+	lastNumber      uint64                   // number of the latest request or proposal
 }
 
-// sequenceBits is the number of low bits of lastNumber that count an incarnation's requests and proposals: the
-// numbers of two processes differ.
+// sequenceBits is the number of low bits of lastNumber that count the requests and proposals of one process. The
+// bits above are the process's incarnation, so numbers of different processes of an instance differ.
 const sequenceBits = 20
 
-// New returns an instance. incarnation must be different for each process of its name. store is nil for an instance
-// that is not a voter. If the store cannot be read, or raft rejects its log, New returns the error together with an
-// instance that has no vote. Any other error, of the settings, comes without an instance.
+// New returns the Node of an instance. The incarnation must be different for each process that runs under the
+// instance's name. store is nil for an instance that is not a voter. If the store cannot be read, or raft rejects
+// the stored log, New returns the error together with a Node that has no vote. If the settings are invalid, New
+// returns only an error.
 func New(now monotime.Micros, settings Settings, incarnation uint64, store LogStore) (*Node, error) {
 	follower, err := maintenance.NewFollower(settings.Maintenance, incarnation)
 	if err != nil {
@@ -103,34 +104,36 @@
 	return n, nil
 }
 
-// SetSources sets the functions that return the fleet's status, and the number of requests in flight at a machine. It
-// must be called before the first Tick.
+// SetSources sets the function that returns the fleet's status, and the function that returns the number of
+// requests in flight at a machine. It must be called before the first Tick.
 func (n *Node) SetSources(fleetStatus func() maintenance.FleetStatus, inFlight func(machine string) int) {
 	n.fleetStatus = fleetStatus
 	n.inFlight = inFlight
 }
 
-// PlanFollower returns the follower, which has the plan that this instance has to apply.
+// PlanFollower returns the follower, which contains the plan that this instance must apply.
 func (n *Node) PlanFollower() *maintenance.Follower { return n.follower }
 
-// State returns the replicated plan, as far as this voter has applied the log. The caller must not modify it.
+// State returns the replicated plan with all entries that this voter has applied. The caller must not modify it.
 func (n *Node) State() *maintenance.State { return n.state }
 
-// NextTick returns when Tick must be called next.
+// NextTick returns the time at which the caller must call Tick next.
 func (n *Node) NextTick() monotime.Micros { return min(n.nextReportAt, n.nextTickAt) }
 
-// TakeOutgoing returns the messages to send that were queued since its last call.
+// TakeOutgoing returns the messages that were queued since the previous call of TakeOutgoing.
 func (n *Node) TakeOutgoing() []Outgoing {
 	messages := n.outgoing
 	n.outgoing = nil
 	return messages
 }
 
-// maxMissedTicks is the largest number of raft's ticks that are made up for after a pause of the process. After a
-// longer pause raft's clock starts anew, so that the voter does not start elections for the time of its pause.
+// maxMissedTicks is the largest number of raft ticks that Tick catches up on after a pause of the process. After a
+// longer pause it skips the missed ticks: otherwise the voter would start elections for all the time that it was
+// paused.
 const maxMissedTicks = 20
 
-// Tick does the work that is due at now: ticks of raft's clock, reports, and the leader's proposals.
+// Tick does the work that is due at now: ticks of raft's clock, the report to the leader, and the proposals of the
+// leader.
 func (n *Node) Tick(now monotime.Micros) {
 	defer n.recoverRaftPanic()
 	for n.nextTickAt <= now {
@@ -147,15 +150,15 @@
 	}
 }
 
-// Receive handles a message of another instance.
+// Receive handles a message from another instance.
 func (n *Node) Receive(now monotime.Micros, from string, m Message) {
 	defer n.recoverRaftPanic()
 	n.handle(now, from, m)
 	n.process(now)
 }
 
-// process does the leader's work and raft's, and then handles the messages of this instance to itself, until there are
-// none.
+// process does the pending work of the leader and of raft, and then handles the messages from this instance to
+// itself, including those that are queued meanwhile.
 func (n *Node) process(now monotime.Micros) {
 	n.runLeader(now)
 	n.handleReady(now)
@@ -168,7 +171,7 @@
 	}
 }
 
-// handle dispatches a message to its handler.
+// handle passes a message to the handler of its type.
 func (n *Node) handle(now monotime.Micros, from string, m Message) {
 	switch {
 	case m.Raft != nil:
@@ -190,7 +193,7 @@
 	}
 }
 
-// handleLeader records the leader, and schedules a report to it at once if the leader has changed.
+// handleLeader records which voter leads. If the leader has changed, the next report is due at once.
 func (n *Node) handleLeader(now monotime.Micros, leader string) {
 	if n.leader != leader {
 		n.leader = leader
@@ -199,10 +202,10 @@
 }
 
 const (
-	// reportsPerLease is the number of reports that an instance sends within a lease's duration.
+	// reportsPerLease is the number of reports that an instance sends within the duration of a lease.
 	reportsPerLease = 4
-	// maxUnansweredReports is the number of reports without a grant after which the leader is unknown, and reports go
-	// to all voters.
+	// maxUnansweredReports is the number of consecutive reports without a grant after which an instance regards the
+	// leader as unknown and sends its reports to all voters.
 	maxUnansweredReports = 3
 )
 
@@ -228,7 +231,7 @@
 	}
 }
 
-// send sends a message to an instance, which may be this one.
+// send queues a message to an instance, which may be this one.
 func (n *Node) send(to string, m Message) {
 	if to == n.settings.Self {
 		n.selfMessages = append(n.selfMessages, m)
@@ -237,7 +240,7 @@
 	n.outgoing = append(n.outgoing, Outgoing{To: to, Message: m})
 }
 
-// broadcast sends a message to all other voters.
+// broadcast queues a message to all other voters.
 func (n *Node) broadcast(m Message) {
 	for _, name := range n.settings.Voters {
 		if name != n.settings.Self {
@@ -246,7 +249,8 @@
 	}
 }
 
-// sendLeader sends an instance the name of the leader, if it is known and another voter.
+// sendLeader sends an instance the name of the leader. It sends nothing if the leader is unknown or is this
+// instance.
 func (n *Node) sendLeader(to string) {
 	if leader := n.raftLeader(); leader != "" && leader != n.settings.Self {
 		n.send(to, Message{Leader: leader})
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// All machines are taken out of service and return, some at a time, within the bounds.
+// All machines must be taken out of service and return, without more machines out at a time than the settings
+// allow. A repeated request must have no further effect, and an unknown machine must be rejected.
 func TestAllMachinesAreTakenOutAndReturn(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	if reply := c.requestMaintenance("night", c.machineNames()...); reply.Error != "" {
@@ -23,8 +24,9 @@
 	}
 }
 
-// Whatever is killed, paused or cut off, nothing is in flight at a machine under maintenance and no bound is broken.
-// After the last fault the plan completes.
+// While processes are killed or paused, messages are lost and instances are isolated, no request may be in flight
+// at a machine under maintenance, and not too many machines may be out of service. After the last fault the plan
+// must complete.
 func TestSafetyHoldsUnderFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		c := newCluster(t, 3, seed)
@@ -34,14 +36,14 @@
 		c.runFor(12e6)
 		if remaining := c.completeMaintenance(120e6); remaining != 0 {
 			mostAppliedNode := c.mostApplied.node
-			t.Fatalf("seed %d: %d are left: %+v, %v", seed, remaining, mostAppliedNode.State().Machines,
-				mostAppliedNode.waitReasons)
+			t.Fatalf("seed %d: %d are left: %+v, %v", seed, remaining,
+				mostAppliedNode.State().Machines, mostAppliedNode.waitReasons)
 		}
 	}
 }
 
-// A voter that has lost its log, or cannot read it, has no vote, but still applies the plan and reports. Committed
-// entries stay as long as a majority has its logs, also when all processes are killed.
+// A voter that has lost its log, or cannot read it, must have no vote, but must still apply the plan and report.
+// Committed entries must survive while a majority of the voters has its logs, even if all processes are killed.
 func TestVotersWithoutTheirLogs(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	c.requestMaintenance("night", "m0")
@@ -79,7 +81,8 @@
 	if state := c.instances[2].node.State(); state.Requests["other"] == nil {
 		t.Error("what was committed is lost with all processes")
 	}
-	// A voter whose log was restored from an older copy has an error, and its process goes on.
+	// A voter whose log was restored from an older copy must return an error from VoterError, and its process must
+	// continue.
 	voterWithOldLog := c.instances[2]
 	c.killProcess(voterWithOldLog)
 	voterWithOldLog.store.entries = voterWithOldLog.store.entries[:len(voterWithOldLog.store.entries)/2]
@@ -90,7 +93,8 @@
 	}
 }
 
-// The cluster's checks find each planted fault.
+// checkSafety must detect each planted fault with at least one seed. Otherwise the tests above would pass although
+// instances break the rules.
 func TestChecksFindPlantedFaults(t *testing.T) {
 	faults := []fault{faultIgnoresPlan, faultSendsUnplanned, faultSlowClock, faultIgnoresAnnounce}
 	for _, plantedFault := range faults {
--- a/internal/consensus/operators.go
+++ b/internal/consensus/operators.go
@@ -8,35 +8,39 @@
 	"dunlinsail/internal/monotime"
 )
 
-// This file sends operators' requests from any instance to the leader, and its replies back.
+// This file forwards operators' requests from the instance at which they are submitted to the leader, and the
+// leader's replies back to that instance.
 
-// operatorCall identifies an operator's request that awaits a reply.
+// operatorCall identifies an operator's request to which the leader has not replied yet.
 type operatorCall struct {
-	callingInstance string // the instance where the operator called
-	requestNumber   uint64 // of the request
+	callingInstance string // instance at which the request was submitted
+	requestNumber   uint64 // OperatorRequest.Number
 }
 
-// Submit sends an operator's command to the leader and returns the number by which TakeReply returns the reply. There
-// may be no reply, because there is no leader or a message is lost. The caller may then submit the command again: the
-// id of a request is an idempotency key.
+// Submit sends an operator's command to the leader and returns the number with which TakeReply finds the reply. No
+// reply arrives if there is no leader or a message is lost. The caller may then submit the command again: the id of
+// the maintenance request serves as an idempotency key.
 func (n *Node) Submit(now monotime.Micros, command maintenance.Command) (number uint64) {
 	return n.sendOperatorRequest(now, OperatorRequest{Command: command})
 }
 
-// RequestView requests the leader's View. TakeReply returns the reply, as for Submit.
+// RequestView requests the View from the leader and returns the number with which TakeReply finds the reply. As for
+// Submit, the reply may be lost.
 func (n *Node) RequestView(now monotime.Micros) (number uint64) {
 	return n.sendOperatorRequest(now, OperatorRequest{View: true})
 }
 
-// TakeReply returns the reply to a request, once; ok is false if it has not arrived.
+// TakeReply returns the reply to the request with the given number, and removes it. ok is false if the reply has
+// not arrived or was taken before.
 func (n *Node) TakeReply(number uint64) (reply OperatorReply, ok bool) {
 	reply, ok = n.receivedReplies[number]
 	delete(n.receivedReplies, number)
 	return reply, ok
 }
 
-// sendOperatorRequest sends a request to the leader, or to all voters if the leader is unknown. number is a named
-// result, so that it is returned even if raft panics.
+// sendOperatorRequest sends a request to the leader, or to all voters if the leader is unknown, and returns the
+// request's number. The result is named so that the number is returned even if raft panics and recoverRaftPanic
+// recovers.
 func (n *Node) sendOperatorRequest(now monotime.Micros, request OperatorRequest) (number uint64) {
 	defer n.recoverRaftPanic()
 	n.lastNumber++
@@ -55,8 +59,8 @@
 	return number
 }
 
-// handleOperatorRequest replies to a request for the View, or proposes a command, whose reply follows when it is
-// applied. A voter that does not lead replies with the leader's name.
+// handleOperatorRequest replies to a request for the View, or proposes the operator's command. The reply to a
+// command is sent when its entry is applied. A voter that does not lead replies with the leader's name.
 func (n *Node) handleOperatorRequest(now monotime.Micros, from string, request OperatorRequest) {
 	if !n.isLeader() || n.term == nil {
 		n.sendLeader(from)
@@ -72,10 +76,11 @@
 	}
 }
 
-// silentAfterLeases is the time without a report, in lease durations, after which operators see an instance as silent.
+// silentAfterLeases is the time without a report, in lease durations, after which the View lists an instance as
+// silent.
 const silentAfterLeases = 4
 
-// view returns the View of this instance, which leads.
+// buildView returns the View. It must be called only while this instance leads.
 func (n *Node) buildView(now monotime.Micros) *View {
 	state := n.state
 	silentAfter := silentAfterLeases * n.settings.Maintenance.LeaseDuration
--- a/internal/consensus/raftlog.go
+++ b/internal/consensus/raftlog.go
@@ -15,17 +15,18 @@
 	"dunlinsail/internal/monotime"
 )
 
-// This file runs raft: it stores and sends raft's output, applies committed entries, and takes snapshots.
+// This file handles raft's output: it stores entries, sends messages, applies committed entries and takes
+// snapshots.
 
-// Parameters of raft.
+// Parameters of raft; a tick is Settings.TickInterval.
 const (
-	electionTicks       = 10        // ticks without the leader before an election, at least
-	heartbeatTicks      = 2         // ticks from one heartbeat of the leader to the next
-	maxRaftMessageBytes = 256 << 10 // of the entries in one message
-	maxInflightMessages = 64        // messages with entries that the leader sends a voter without acknowledgement
+	electionTicks       = 10        // minimum number of ticks without a message from the leader before an election
+	heartbeatTicks      = 2         // ticks between two heartbeats of the leader
+	maxRaftMessageBytes = 256 << 10 // maximum size of the entries in one raft message
+	maxInflightMessages = 64        // unacknowledged messages with entries that the leader sends to a voter
 )
 
-// startRaft starts raft from a stored log. On an error this instance stops voting.
+// startRaft starts raft from a stored log. If that fails, this instance stops voting.
 func (n *Node) startRaft(stored StoredLog) (err error) {
 	defer func() {
 		if panicValue := recover(); panicValue != nil { // see recoverRaftPanic
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// loadRaftStorage loads a stored log into raft's storage, and its snapshot into the state.
+// loadRaftStorage loads a stored log into raft's memory storage, and the log's snapshot into the replicated state.
 func (n *Node) loadRaftStorage(stored StoredLog) error {
 	n.raftStorage = raft.NewMemoryStorage()
 	if stored.Snapshot.GetMetadata().GetIndex() > 0 {
@@ -79,7 +80,8 @@
 	return nil
 }
 
-// raftLeader returns the name of the leader that this voter's raft knows, empty if there is none.
+// raftLeader returns the name of the leader according to this voter's raft. It is empty if raft knows no leader or
+// this instance has no vote.
 func (n *Node) raftLeader() string {
 	if n.rawNode == nil {
 		return ""
@@ -88,8 +90,8 @@
 	return name
 }
 
-// handleReady handles raft's output (raft.Ready) in the order that raft requires: entries and votes are stored before
-// messages that depend on them are sent.
+// handleReady handles raft's output (raft.Ready) in the order that raft requires: entries and votes are stored
+// before the messages that depend on them are sent.
 func (n *Node) handleReady(now monotime.Micros) {
 	for n.rawNode != nil && n.rawNode.HasReady() {
 		ready := n.rawNode.Ready()
@@ -111,12 +113,13 @@
 	}
 }
 
-// persist stores raft's new entries, hard state and snapshot, and restores the state from a snapshot of another voter.
+// persist stores raft's new entries, hard state and snapshot. A snapshot that was received from another voter
+// replaces the replicated state.
 func (n *Node) persist(ready raft.Ready) error {
 	if err := n.store.Save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
 		return err
 	}
-	// The storage in memory returns errors only for conditions that raft has checked before.
+	// MemoryStorage returns errors only for conditions that raft has excluded before.
 	if ready.Snapshot.GetMetadata().GetIndex() > 0 {
 		_ = n.raftStorage.ApplySnapshot(ready.Snapshot)
 		if err := n.restoreSnapshot(ready.Snapshot); err != nil {
@@ -130,7 +133,7 @@
 	return nil
 }
 
-// sendRaftMessages queues raft's messages to other voters.
+// sendRaftMessages queues raft's messages to the other voters.
 func (n *Node) sendRaftMessages(messages []*raftpb.Message) {
 	for _, m := range messages {
 		encoded, err := proto.Marshal(m)
@@ -140,12 +143,13 @@
 		}
 		n.outgoing = append(n.outgoing, Outgoing{To: to, Message: Message{Raft: encoded}})
 		if m.GetType() == raftpb.MsgSnap {
-			n.rawNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // if it is lost, raft sends it again
+			n.rawNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // raft sends a lost snapshot again
 		}
 	}
 }
 
-// applyEntry applies a committed entry to the state, once. The leader replies to the operator whose command it is.
+// applyEntry applies a committed entry to the replicated state, unless it was applied before. If an operator's call
+// has proposed the entry at this instance, applyEntry replies to that call.
 func (n *Node) applyEntry(committed *raftpb.Entry) {
 	if committed.GetIndex() <= n.appliedIndex {
 		return
@@ -156,7 +160,7 @@
 	}
 	var entry logEntry
 	if json.Unmarshal(committed.GetData(), &entry) != nil {
-		return // all replicas skip it
+		return // undecodable entries are skipped in the same way by all replicas
 	}
 	result, err := n.state.Apply(entry.Command)
 	call, ok := n.pendingCalls[entry.ProposalID]
@@ -171,7 +175,7 @@
 	n.send(call.callingInstance, Message{OperatorReply: &reply})
 }
 
-// restoreSnapshot replaces the state by the state in a snapshot.
+// restoreSnapshot replaces the replicated state with the state in a snapshot.
 func (n *Node) restoreSnapshot(snapshot *raftpb.Snapshot) error {
 	n.appliedIndex = snapshot.GetMetadata().GetIndex()
 	n.snapshotIndex = n.appliedIndex
@@ -191,14 +195,15 @@
 }
 
 const (
-	// snapshotInterval is the number of entries that are applied from one snapshot to the next.
+	// snapshotInterval is the number of entries that are applied between two snapshots.
 	snapshotInterval = 500
-	// retainedEntries is the number of entries that stay in the log after a snapshot. A voter that is behind by less
-	// needs no snapshot.
+	// retainedEntries is the number of entries that remain in the log after a snapshot. A voter that lags behind by
+	// fewer entries receives entries instead of a snapshot.
 	retainedEntries = snapshotInterval / 2
 )
 
-// takeSnapshot stores a snapshot and shortens the log, after snapshotInterval entries since the previous snapshot.
+// takeSnapshot stores a snapshot and compacts the log if at least snapshotInterval entries were applied since the
+// previous snapshot.
 func (n *Node) takeSnapshot() {
 	if n.appliedIndex-n.snapshotIndex < snapshotInterval {
 		return
@@ -217,17 +222,19 @@
 	}
 	n.snapshotIndex = n.appliedIndex
 	if n.appliedIndex > retainedEntries {
-		_ = n.raftStorage.Compact(n.appliedIndex - retainedEntries) // fails only if the log was compacted before
+		_ = n.raftStorage.Compact(n.appliedIndex - retainedEntries) // fails only if these entries were compacted before
 	}
 }
 
-// readContextLength is the length of a ReadIndex round's context.
+// readContextLength is the length of the context of a ReadIndex round, in bytes.
 const readContextLength = 8
 
-// encodeReadContext returns the context by which raft identifies a ReadIndex round: its number, in big endian.
+// encodeReadContext returns the context with which raft identifies a ReadIndex round: the round's sequence number
+// in big endian.
 func encodeReadContext(sequence uint64) []byte { return binary.BigEndian.AppendUint64(nil, sequence) }
 
-// decodeReadContext returns the number of the ReadIndex round with a context; ok is false if the context is invalid.
+// decodeReadContext returns the sequence number of the ReadIndex round with the given context. ok is false if the
+// context is invalid.
 func decodeReadContext(context []byte) (sequence uint64, ok bool) {
 	if len(context) != readContextLength {
 		return 0, false
--- a/internal/consensus/reads.go
+++ b/internal/consensus/reads.go
@@ -5,8 +5,9 @@
 	"dunlinsail/internal/monotime"
 )
 
-// This file replies to reports by linearizable reads: the reply is sent after a ReadIndex round to a majority, started
-// after the report was received, has shown that this instance still leads.
+// This file replies to instances' reports by linearizable reads of the plan. The leader sends the reply only after
+// a ReadIndex round to a majority of the voters, started after the report was received, has shown that it still
+// leads.
 
 // readRequest is a report that waits for a ReadIndex round.
 type readRequest struct {
@@ -14,8 +15,8 @@
 	report            maintenance.Report
 }
 
-// handleReport queues an instance's report for the next ReadIndex round. A voter that does not lead replies with the
-// leader's name.
+// handleReport queues an instance's report for the next ReadIndex round. A voter that does not lead replies with
+// the leader's name.
 func (n *Node) handleReport(now monotime.Micros, from string, report maintenance.Report) {
 	if !n.isLeader() {
 		n.sendLeader(from)
@@ -26,12 +27,12 @@
 	}
 }
 
-// readRetriesPerLease is the number of times that a ReadIndex round is started again within a lease's duration while it
-// has no result: its messages may be lost.
+// readRetriesPerLease is the number of times within the duration of a lease that an unfinished ReadIndex round is
+// repeated, since its messages may have been lost.
 const readRetriesPerLease = 8
 
-// runReadIndex starts a ReadIndex round for the queued reports, one round at a time, and starts it again if it takes too
-// long.
+// runReadIndex starts a ReadIndex round for the queued reports if no round is in progress, and repeats the round in
+// progress once readRetryAt has passed.
 func (n *Node) runReadIndex(now monotime.Micros) {
 	term := n.term
 	switch {
@@ -47,8 +48,9 @@
 	term.readRetryAt = now + n.settings.Maintenance.LeaseDuration/readRetriesPerLease
 }
 
-// grantPendingReads grants the plan to the instances whose reports wait for a ReadIndex round, which has shown that this
-// instance has led since they were received. index is the commit index at the round's start.
+// grantPendingReads grants the plan to the instances whose reports wait for the ReadIndex round with the given
+// sequence number. The finished round has shown that this instance has led since the reports were received. index
+// is the commit index at the round's start, up to which the plan must be applied.
 func (n *Node) grantPendingReads(now monotime.Micros, sequence, index uint64) {
 	if sequence != n.readIndexSequence || n.term == nil || n.appliedIndex < index {
 		return
@@ -59,7 +61,8 @@
 	for _, request := range requests {
 		instance := maintenance.Instance{Name: request.reportingInstance, Incarnation: request.report.Incarnation}
 		if n.state.Instances[instance.Name] != instance.Incarnation {
-			// An instance gets no lease before it is in the log, by which later leaders know it.
+			// A lease is granted only to an instance that is recorded in the log. Otherwise a later leader would
+			// not know of the instance and would not wait for its acknowledgements.
 			n.proposeOnce(now, "join/"+instance.Name, maintenance.Command{Join: &instance})
 			continue
 		}
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -10,17 +10,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// This file decides which instances have a vote, and how the fleet's first log is started. The voters are those of the
-// settings; they do not change while the fleet runs.
+// This file decides whether this instance has a vote, and creates the fleet's first log. The set of voters is fixed
+// by the settings and does not change while the fleet runs.
 
-// ErrLogInconsistent is wrapped by the error of a voter whose log raft rejects, such as a log restored from an old
-// copy.
+// ErrLogInconsistent is wrapped by the error of a voter whose log raft rejects. An example is a log that was
+// restored from an old backup.
 var ErrLogInconsistent = errors.New("the raft log is inconsistent")
 
-// raftIDOf returns the raft id of the voter at an index of Settings.Voters. Raft's ids start at 1.
+// raftIDOf returns the raft id of the voter at an index of Settings.Voters. Raft ids start at 1.
 func raftIDOf(index int) uint64 { return uint64(index + 1) }
 
-// voterName returns the name of the voter with a raft id; ok is false if there is none.
+// voterName returns the name of the voter with the given raft id. ok is false if no voter has this id.
 func (n *Node) voterName(raftID uint64) (name string, ok bool) {
 	if raftID == 0 || int(raftID) > len(n.settings.Voters) {
 		return "", false
@@ -28,7 +28,7 @@
 	return n.settings.Voters[raftID-1], true
 }
 
-// confState returns raft's configuration: all voters.
+// confState returns raft's cluster configuration, which contains all voters of the settings.
 func (n *Node) confState() *raftpb.ConfState {
 	state := &raftpb.ConfState{}
 	for i := range n.settings.Voters {
@@ -37,7 +37,8 @@
 	return state
 }
 
-// startVoter loads the log and starts raft. A voter without a log has no vote until the log is bootstrapped.
+// startVoter loads the stored log and starts raft. A voter without a stored log has no vote until the log is
+// bootstrapped.
 func (n *Node) startVoter(raftID uint64) error {
 	n.raftID = raftID
 	stored, empty, err := n.store.Load()
@@ -52,29 +53,32 @@
 	return n.startRaft(stored)
 }
 
-// stopVoting ends this instance's part as a voter. It continues as an instance without a vote.
+// stopVoting ends the participation of this instance in raft and records the reason. The instance continues to
+// report and to apply the plan, as an instance that is not a voter does.
 func (n *Node) stopVoting(err error) {
 	n.voterErr = err
 	n.rawNode = nil
 	n.term = nil
 }
 
-// VoterError returns why this voter has stopped voting; nil if it has not, or is no voter.
+// VoterError returns the reason why this voter has stopped voting. It is nil for a voter that votes, and for an
+// instance that is not a voter.
 func (n *Node) VoterError() error { return n.voterErr }
 
-// LogMissing reports whether this voter has no log. If the fleet has one, this voter has lost its own. It then has no
-// vote, since its earlier votes and acknowledgements are unknown.
+// LogMissing reports whether this voter has no stored log. If other voters have one, this voter has lost its own.
+// It then gets no vote, because its earlier votes and acknowledgements are unknown.
 func (n *Node) LogMissing() bool { return n.logMissing }
 
-// recoverRaftPanic must be deferred. It turns a panic, by which raft rejects its log, into the end of this voter's vote
-// instead of the process.
+// recoverRaftPanic must be called by defer. Raft panics if it finds its log inconsistent. recoverRaftPanic recovers
+// from that, so that only the vote of this instance ends and not its process.
 func (n *Node) recoverRaftPanic() {
 	if panicValue := recover(); panicValue != nil {
 		n.stopVoting(fmt.Errorf("%w: %v", ErrLogInconsistent, panicValue))
 	}
 }
 
-// tickVoter advances raft's clock by a tick. A voter without a log announces that instead.
+// tickVoter advances raft's clock by one tick. A voter without a log has no raft clock, and sends the other voters
+// a NoLog message at each tick instead.
 func (n *Node) tickVoter() {
 	switch {
 	case n.logMissing:
@@ -84,7 +88,7 @@
 	}
 }
 
-// handleNoLog records that another voter has no log. The log is bootstrapped once all voters are known to have none.
+// handleNoLog records that another voter has no log. If no voter has a log, it creates the fleet's first log.
 func (n *Node) handleNoLog(from string) {
 	switch {
 	case n.logMissing:
@@ -93,17 +97,19 @@
 			n.bootstrap()
 		}
 	case n.hasBootstrapped && !n.votersWithRaftMessages[from]:
-		// The other voter may not know yet that this one had no log either, and cannot bootstrap without that. If it
-		// has sent raft messages since, it has a log, or has lost it.
+		// The other voter may not have received this voter's NoLog message, and cannot bootstrap without it. A
+		// voter that has sent a raft message to this process already had a log, and must have lost it since: it
+		// gets no reply, and so does not bootstrap.
 		n.send(from, Message{NoLog: true})
 	}
 }
 
-// bootstrap starts the fleet's log with a snapshot at index and term 1 that is the same at all voters.
+// bootstrap creates the fleet's first log and starts raft. The log consists of a snapshot at index 1 and term 1,
+// which is identical at all voters.
 func (n *Node) bootstrap() {
 	encodedState, err := json.Marshal(n.state)
 	if err != nil {
-		panic(err) // JSON can encode each field of the state
+		panic(err) // unreachable: all fields of the state can be encoded as JSON
 	}
 	snapshot := &raftpb.Snapshot{
 		Data:     encodedState,
@@ -116,10 +122,11 @@
 	}
 	n.logMissing = false
 	n.hasBootstrapped = true
-	_ = n.startRaft(StoredLog{HardState: hardState, Snapshot: snapshot}) // VoterError has the error
+	_ = n.startRaft(StoredLog{HardState: hardState, Snapshot: snapshot}) // VoterError returns the error
 }
 
-// stepRaft passes a message of another voter to raft. Messages that are not from a voter to this one are ignored.
+// stepRaft passes an encoded raft message from another voter to raft. It ignores messages that cannot be decoded,
+// are not addressed to this voter, or name another sender than the voter that sent them.
 func (n *Node) stepRaft(from string, encoded []byte) {
 	var m raftpb.Message
 	if n.rawNode == nil || proto.Unmarshal(encoded, &m) != nil || m.GetTo() != n.raftID {
@@ -130,5 +137,5 @@
 		return
 	}
 	n.votersWithRaftMessages[from] = true
-	_ = n.rawNode.Step(&m) // raft returns errors for messages that arrive too late
+	_ = n.rawNode.Step(&m) // Step returns errors for outdated messages, which may be ignored
 }
--- a/internal/eventlog/analyze.go
+++ b/internal/eventlog/analyze.go
@@ -8,15 +8,16 @@
 	"dunlinsail/internal/monotime"
 )
 
+// second is one second in the unit of event times.
 const second = monotime.Second
 
-// Distribution is the summary of a number over instances, endpoints or seconds.
+// Distribution summarizes the distribution of a quantity.
 type Distribution struct {
 	Count             int
 	Mean, Median, Max float64
 }
 
-// newDistribution returns the summary of values, which it sorts.
+// newDistribution returns the summary of a list of values, and sorts the list.
 func newDistribution(values []float64) Distribution {
 	if len(values) == 0 {
 		return Distribution{}
@@ -29,64 +30,65 @@
 	return Distribution{len(values), sum / float64(len(values)), values[len(values)/2], values[len(values)-1]}
 }
 
-// FleetStats are the statistics of a fleet. Times are in seconds.
+// FleetStats are the statistics of the events of a fleet. Durations and delays are in seconds.
 type FleetStats struct {
 	Instances, Endpoints int
-	Seconds              float64 // from the first event to the last
+	Seconds              float64 // time from the first event to the last
 
 	Attempts, Failures int
-	EventsPerSecond    map[Kind]Distribution // attempts, probes and new connections, by endpoint and second
-	MaxOpenConns       Distribution          // largest number of connections of all instances, by endpoint
+	EventsPerSecond    map[Kind]Distribution // by kind: attempts, probes and new connections per second at one endpoint
+	MaxOpenConns       Distribution          // per endpoint: peak number of connections of all instances together
 	FailedDials        int
 
 	SuccessfulPolls, FailedPolls int
-	MaxPollsPerSecond            int // of all instances together
+	MaxPollsPerSecond            int // polls of all instances in the busiest second
 
-	Added   Propagation // of endpoints that were added after the first second
-	Removed Propagation // of endpoints that were removed from the list
+	Added   Propagation // additions of endpoints after initialPeriod
+	Removed Propagation // removals of endpoints from the list
 	Faults  FaultStats
 }
 
-// Propagation describes how a change of the endpoint list reached the instances of a fleet. Times are from the update
-// at the first instance.
+// Propagation describes how changes of the endpoint list reached the instances of a fleet. Delays are in seconds,
+// from the time at which the first instance received the change.
 type Propagation struct {
-	Endpoints             int
-	NotificationDelay     Distribution // time until an instance's update
-	FirstUseDelay         Distribution // added: time until an instance's first attempt there, of instances with any
-	InstancesWithAttempts Distribution // added: instances with an attempt there, by endpoint
-	StaleFailures         Distribution // removed: failed attempts there before their instance's update, by endpoint
+	Endpoints             int          // number of endpoints that were added or removed
+	NotificationDelay     Distribution // per endpoint and instance: until the instance received the change
+	FirstUseDelay         Distribution // added only: until an instance's first attempt at the endpoint
+	InstancesWithAttempts Distribution // added only: instances with an attempt, per endpoint
+	StaleFailures         Distribution // removed only: failures before the instance was notified, per endpoint
 }
 
-// FaultStats describe the fault episodes of endpoints and their cost.
+// FaultStats describe the fault episodes of endpoints and the failed attempts in them.
 type FaultStats struct {
-	FaultyEndpoints     int          // with an episode
-	Episodes            int          // of all endpoints
-	DurationSeconds     Distribution // seconds from the first failure to the last, by episode
-	Failures            Distribution // failures, by episode
-	AffectedInstances   Distribution // instances with a failure, by episode
-	FailuresPerInstance Distribution // failures of one instance in one episode
-	LateFailures        Distribution // failures later than faultDetectionWindow after the first, by episode
+	FaultyEndpoints     int          // endpoints with an episode
+	Episodes            int          // episodes of all endpoints
+	DurationSeconds     Distribution // from the first failure of the episode to its last, in seconds
+	Failures            Distribution // failures per episode
+	AffectedInstances   Distribution // instances with a failure, per episode
+	FailuresPerInstance Distribution // failures per episode and affected instance
+	LateFailures        Distribution // failures per episode later than faultDetectionWindow after its first failure
 }
 
-// endpointHistory is the events of one endpoint at all instances.
+// endpointHistory contains the events of one endpoint at all instances, in the order of their times.
 type endpointHistory struct {
 	name                      string
 	attemptStarts             []attemptEvent
 	attemptEnds               []attemptEvent
 	probeTimes, connOpenTimes []monotime.Micros
 	openConns, maxOpenConns   int
-	firstUpdateAt             monotime.Micros         // at any instance
-	addedAt, removedAt        map[int]monotime.Micros // the first such update, by instance
+	firstUpdateAt             monotime.Micros         // first update of the endpoint at any instance
+	addedAt, removedAt        map[int]monotime.Micros // first update that adds or removes the endpoint, by instance
 }
 
-// attempt is the start or the end of an attempt.
+// attemptEvent is the start or the end of an attempt at an endpoint.
 type attemptEvent struct {
 	time     monotime.Micros
 	instance int
-	failed   bool
+	failed   bool // whether the attempt ended with a failure of the endpoint
 }
 
-// Analyze returns the statistics of a fleet's events, by instance and in the order in which each has written them.
+// Analyze returns the statistics of a fleet. fleet contains the events of each instance in the order in which the
+// instance has written them.
 func Analyze(fleet [][]Event) FleetStats {
 	events := mergeEventsByTime(fleet)
 	if len(events) == 0 {
@@ -106,13 +108,13 @@
 	return a.fleetStats()
 }
 
-// fleetEvent is an event with the index of its instance.
+// fleetEvent is an event with the index of its instance in the fleet.
 type fleetEvent struct {
 	Event
 	instance int
 }
 
-// mergeEventsByTime returns the events of all instances in the order of their times.
+// mergeEventsByTime returns the events of all instances, sorted by time.
 func mergeEventsByTime(fleet [][]Event) []fleetEvent {
 	var merged []fleetEvent
 	for i, events := range fleet {
@@ -124,17 +126,17 @@
 	return merged
 }
 
-// analysis is the state of Analyze.
+// analysis is the intermediate state of Analyze.
 type analysis struct {
 	stats          FleetStats
-	start          monotime.Micros // of the first event
-	end            monotime.Micros // of the last event
+	start          monotime.Micros // time of the first event
+	end            monotime.Micros // time of the last event
 	endpoints      map[string]*endpointHistory
-	endpointNames  []map[string]string     // endpoint names by address, for each instance
-	pollsPerSecond map[monotime.Micros]int // by second since start
+	endpointNames  []map[string]string     // by instance: endpoint names by address
+	pollsPerSecond map[monotime.Micros]int // polls of all instances, by second since start
 }
 
-// endpoint returns the history of an endpoint, and creates it for a new name.
+// endpointHistory returns the history of an endpoint, and creates it if it does not exist.
 func (a *analysis) endpointHistory(name string) *endpointHistory {
 	if a.endpoints[name] == nil {
 		a.endpoints[name] = &endpointHistory{
@@ -146,7 +148,7 @@
 	return a.endpoints[name]
 }
 
-// add counts an event. Events are added in the order of their times.
+// addEvent adds an event to the statistics. Events must be added in the order of their times.
 func (a *analysis) addEvent(e fleetEvent) {
 	switch e.Kind {
 	case EndpointUpdated:
@@ -174,7 +176,8 @@
 	}
 }
 
-// isEndpointFailure reports whether a status is a failure of the endpoint: not one that was cancelled or never sent.
+// isEndpointFailure reports whether the status of an attempt is a failure of the endpoint. Attempts that were
+// cancelled or never sent are not failures of the endpoint.
 func isEndpointFailure(status string) bool {
 	switch status {
 	case statusOK, statusNames[balancer.Cancelled], statusNames[balancer.NotSent]:
@@ -183,7 +186,7 @@
 	return true
 }
 
-// addEndpointUpdate counts an update of an endpoint.
+// addEndpointUpdate adds an update of an endpoint to the statistics.
 func (a *analysis) addEndpointUpdate(e fleetEvent) {
 	if a.endpointNames[e.instance] == nil {
 		a.endpointNames[e.instance] = map[string]string{}
@@ -202,7 +205,7 @@
 	}
 }
 
-// addConnEvent counts a connection that was opened or closed, or could not be opened.
+// addConnEvent adds the opening or close of a connection, or a failure to open one, to the statistics.
 func (a *analysis) addConnEvent(e fleetEvent) {
 	name, ok := a.endpointNames[e.instance][e.Endpoint]
 	if !ok {
@@ -221,7 +224,7 @@
 	}
 }
 
-// finish returns the statistics of all events added.
+// fleetStats returns the statistics of all events that were added.
 func (a *analysis) fleetStats() FleetStats {
 	a.stats.Seconds = float64(a.end-a.start) / float64(second)
 	a.stats.Endpoints = len(a.endpoints)
@@ -256,7 +259,7 @@
 	return a.stats
 }
 
-// setFirstTime sets the instant of an instance unless it is set.
+// setFirstTime sets the time of an instance, unless the instance already has one.
 func setFirstTime(firstTimes map[int]monotime.Micros, instance int, at monotime.Micros) {
 	if _, ok := firstTimes[instance]; !ok {
 		firstTimes[instance] = at
@@ -271,7 +274,7 @@
 	return 0
 }
 
-// attemptTimes returns the instants of attempts.
+// attemptTimes returns the times of attempt events.
 func attemptTimes(attempts []attemptEvent) (times []monotime.Micros) {
 	for _, attempt := range attempts {
 		times = append(times, attempt.time)
@@ -279,7 +282,7 @@
 	return times
 }
 
-// countPerSecond returns the number of instants in each complete second of a period.
+// countPerSecond returns the number of the given times in each complete second between from and to.
 func countPerSecond(times []monotime.Micros, from, to monotime.Micros) []float64 {
 	seconds := int((to - from) / second)
 	if seconds <= 0 {
@@ -294,10 +297,11 @@
 	return counts
 }
 
-// initialPeriod is the time from the start within which an endpoint's first update means that it was there before.
+// initialPeriod is the period after the first event in which an endpoint's first update does not count as an
+// addition: the endpoint is assumed to have existed before.
 const initialPeriod = second
 
-// propagation returns how added and removed endpoints reached the fleet.
+// newPropagation returns the statistics of the endpoints that were added and of those that were removed.
 func newPropagation(histories []*endpointHistory, logStart monotime.Micros) (added, removed Propagation) {
 	var addedSamples, removedSamples propagationSamples
 	for _, endpoint := range histories {
@@ -318,10 +322,10 @@
 	return added, removed
 }
 
-// propagationSamples are the values of a Propagation's distributions.
+// propagationSamples are the values from which the distributions of a Propagation are computed.
 type propagationSamples struct{ notificationDelays, firstUseDelays, instancesWithAttempts, staleFailures []float64 }
 
-// recordAddition adds the values of an endpoint that was added.
+// recordAddition records the delays and uses of an endpoint that was added.
 func (s *propagationSamples) recordAddition(endpoint *endpointHistory) {
 	for _, notifiedAt := range endpoint.addedAt {
 		s.notificationDelays = append(s.notificationDelays, float64(notifiedAt-endpoint.firstUpdateAt)/float64(second))
@@ -336,10 +340,11 @@
 	s.instancesWithAttempts = append(s.instancesWithAttempts, float64(len(firstUses)))
 }
 
-// staleFailureWindow is the time before the first update that an endpoint is removed, from which on its failures count as stale.
+// staleFailureWindow is the time before the first notification of an endpoint's removal in which failures at the
+// endpoint already count as stale.
 const staleFailureWindow = 10 * second
 
-// recordRemoval adds the values of an endpoint that was removed.
+// recordRemoval records the delays and stale failures of an endpoint that was removed.
 func (s *propagationSamples) recordRemoval(endpoint *endpointHistory) {
 	var firstRemovedAt monotime.Micros
 	for _, removedAt := range endpoint.removedAt {
@@ -359,16 +364,16 @@
 	s.staleFailures = append(s.staleFailures, float64(staleFailures))
 }
 
-// Bounds of a fault episode of an endpoint, by the attempts of the whole fleet. A single instance has too few to detect
-// one.
+// Limits that define a fault episode of an endpoint. They apply to the attempts of the whole fleet, because a
+// single instance has too few attempts to detect an episode.
 const (
-	faultDetectionWindow = 2 * second // from a failure, within which an episode is detected
-	minFaultAttempts     = 5          // attempts within faultDetectionWindow
-	minFaultFailureRatio = 0.5        // of the attempts within faultDetectionWindow
-	faultEndDelay        = 5 * second // without a failure, after which an episode has ended
+	faultDetectionWindow = 2 * second // period from a failure in which the attempts decide whether an episode started
+	minFaultAttempts     = 5          // minimum number of attempts in faultDetectionWindow
+	minFaultFailureRatio = 0.5        // minimum fraction of failures among the attempts in faultDetectionWindow
+	faultEndDelay        = 5 * second // period without a failure after which an episode has ended
 )
 
-// newFaultStats returns the fault episodes of all endpoints.
+// newFaultStats returns the statistics of the fault episodes of all endpoints.
 func newFaultStats(histories []*endpointHistory) (stats FaultStats) {
 	var durations, failures, affectedInstances, failuresPerInstance, lateFailures []float64
 	for _, endpoint := range histories {
@@ -393,14 +398,14 @@
 	return stats
 }
 
-// faultEpisode is a period in which an endpoint failed much of the fleet's attempts.
+// faultEpisode is a period in which a large fraction of the fleet's attempts at one endpoint failed.
 type faultEpisode struct {
-	firstFailureAt, lastFailureAt monotime.Micros // of its failures
-	failures, lateFailures        int
-	failuresByInstance            map[int]int // failures
+	firstFailureAt, lastFailureAt monotime.Micros
+	failures, lateFailures        int         // lateFailures are later than faultDetectionWindow after the first
+	failuresByInstance            map[int]int // failures by index of the instance
 }
 
-// findFaultEpisodes returns the fault episodes in the ends of an endpoint's attempts.
+// findFaultEpisodes returns the fault episodes of one endpoint, from the ends of its attempts in the order of time.
 func findFaultEpisodes(attemptEnds []attemptEvent) (episodes []faultEpisode) {
 	for i := 0; i < len(attemptEnds); {
 		if !attemptEnds[i].failed || !isFaultStart(attemptEnds[i:]) {
@@ -425,7 +430,7 @@
 	return episodes
 }
 
-// isFaultStart reports whether a fault episode begins with the first of the attempts, which has failed.
+// isFaultStart reports whether a fault episode starts with the first of the attempts, which must be a failure.
 func isFaultStart(attemptEnds []attemptEvent) bool {
 	attempts := 0
 	failures := 0
--- a/internal/eventlog/events.go
+++ b/internal/eventlog/events.go
@@ -1,6 +1,7 @@
-// Package eventlog writes one instance's events with endpoints and discovery, a line for each, and analyzes the lines
-// of a whole fleet. It makes no decisions and must not import protocols. events.go defines the lines, analyze.go the
-// statistics, report.go their output.
+// Package eventlog writes the events of one instance, such as attempts, probes and endpoint updates, as lines of
+// text. It also computes statistics from the lines of all instances of a fleet. The package makes no decisions and
+// must not import protocols. File events.go defines the lines, analyze.go computes the statistics, and report.go
+// reads the logs of a fleet and prints the statistics.
 package eventlog
 
 import (
@@ -17,39 +18,40 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Kind is the kind of an event, by its stored name.
+// Kind is the kind of an event. Its value is the name that lines contain.
 type Kind string
 
-// The kinds of event.
+// Kinds of events. Their values are stored and must not change.
 const (
 	AttemptStarted  Kind = "sent"   // an attempt started
 	AttemptEnded    Kind = "ended"  // an attempt ended
 	ProbeEnded      Kind = "probed" // a probe ended
-	EndpointUpdated Kind = "told"   // an update of an endpoint arrived
-	ConnOpened      Kind = "dialed" // a connection to an endpoint was opened, or failed to
+	EndpointUpdated Kind = "told"   // endpoint discovery reported an endpoint
+	ConnOpened      Kind = "dialed" // a connection to an endpoint was opened, or could not be opened
 	ConnClosed      Kind = "closed" // a connection to an endpoint was closed
-	DiscoveryPolled Kind = "asked"  // discovery was called
+	DiscoveryPolled Kind = "asked"  // endpoint discovery was polled
 )
 
 // Event is an event at one instance.
 type Event struct {
-	At       monotime.Micros // by the instance's clock
+	At       monotime.Micros // time on the instance's clock
 	Kind     Kind
-	Endpoint string // name; for ConnOpened and ConnClosed the address; empty for DiscoveryPolled
-	Addr     string // of EndpointUpdated
-	// Status is the balancer.Status of AttemptEnded and ProbeEnded, the state of EndpointUpdated, and "ok" or "failed"
-	// of ConnOpened and DiscoveryPolled.
+	Endpoint string // endpoint name; the address for ConnOpened and ConnClosed; empty for DiscoveryPolled
+	Addr     string // endpoint address, only for EndpointUpdated
+	// Status is the name of the balancer.Status for AttemptEnded and ProbeEnded, the name of the endpoint's state
+	// for EndpointUpdated, and "ok" or "failed" for ConnOpened and DiscoveryPolled.
 	Status  string
-	Latency monotime.Micros // of AttemptEnded and ProbeEnded
+	Latency monotime.Micros // only for AttemptEnded and ProbeEnded
 }
 
-// linePrefix is the start of an event in a line.
+// linePrefix marks the start of an event in a line.
 const linePrefix = "event "
 
 // eventFieldCount is the number of fields of an event after linePrefix.
 const eventFieldCount = 6
 
-// String returns the event's line without its end. Fields need no quoting: blanks in names are replaced by "_".
+// String returns the line of an event without a line break. Fields need no quotes, because blanks and control
+// characters in them are replaced by "_". An empty field is written as "-".
 func (e Event) String() string {
 	field := func(s string) string {
 		if s == "" {
@@ -66,8 +68,8 @@
 		linePrefix, e.At, e.Kind, field(e.Endpoint), field(e.Addr), field(e.Status), e.Latency)
 }
 
-// Parse reads a line. Text before the event, such as a collector's time, is ignored. ok is false if the line has no
-// event; err is not nil if its event is malformed.
+// Parse parses the event in a line. Text before linePrefix, such as a timestamp of a log collector, is ignored. ok
+// is false if the line contains no event. err is not nil if the line contains a malformed event.
 func Parse(line string) (e Event, ok bool, err error) {
 	prefixIndex := strings.Index(line, linePrefix)
 	if prefixIndex < 0 {
@@ -93,10 +95,11 @@
 	return e, true, nil
 }
 
-// maxLineBytes is the length of the longest line that Read accepts.
+// maxLineBytes is the maximum length of a line that Read accepts.
 const maxLineBytes = 1 << 20
 
-// Read reads an instance's log, which may have lines without an event. An error names the number of the line.
+// Read returns the events in an instance's log. Lines without an event are ignored. The error for a malformed event
+// contains the line number.
 func Read(r io.Reader) (events []Event, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
@@ -112,21 +115,21 @@
 	return events, scanner.Err()
 }
 
-// Log writes events. It implements engine.Observer, and has methods for connections and calls of discovery in addition.
-// It is safe for concurrent use.
+// Log writes events as lines. It implements engine.Observer, and has further methods for connections and for polls
+// of endpoint discovery. It is safe for concurrent use.
 type Log struct {
 	clock  func() monotime.Micros
 	mu     sync.Mutex
 	output io.Writer
 }
 
-// NewLog returns a log that writes to a writer. now is the clock for events without an instant. Events that cannot be
-// written are lost.
+// NewLog returns a Log that writes to output. clock returns the time for events whose caller passes no time. Events
+// that cannot be written are lost.
 func NewLog(output io.Writer, clock func() monotime.Micros) *Log {
 	return &Log{clock: clock, output: output}
 }
 
-// write writes an event, with the present instant if it has none.
+// write writes the line of an event. It sets At to the present time if At is 0.
 func (l *Log) write(e Event) {
 	if e.At == 0 {
 		e.At = l.clock()
@@ -136,10 +139,10 @@
 	fmt.Fprintln(l.output, e)
 }
 
-// statusOK is the status of an attempt, a connection or a poll that succeeded.
+// statusOK is the status of an attempt, a probe, a connection or a poll that has succeeded.
 const statusOK = "ok"
 
-// statusNames are the stored names, which never change.
+// statusNames are the names of balancer.Status values in lines. They are stored and must not change.
 var statusNames = [...]string{
 	balancer.OK:            statusOK,
 	balancer.Error:         "error",
@@ -151,26 +154,26 @@
 	balancer.NotSent:       "moot",
 }
 
-// stateNames are the stored names, which never change.
+// stateNames are the names of endpoint states in lines. They are stored and must not change.
 var stateNames = [...]string{balancer.Ready: "ready", balancer.Draining: "draining", balancer.Gone: "gone"}
 
-// AttemptStarted writes that an attempt started.
+// AttemptStarted writes that an attempt at an endpoint started.
 func (l *Log) AttemptStarted(now monotime.Micros, endpoint string) {
 	l.write(Event{At: now, Kind: AttemptStarted, Endpoint: endpoint})
 }
 
-// AttemptEnded writes the outcome of an attempt.
+// AttemptEnded writes the status and latency of an attempt that ended.
 func (l *Log) AttemptEnded(now monotime.Micros, endpoint string, status balancer.Status, latency monotime.Micros) {
 	l.write(Event{At: now, Kind: AttemptEnded, Endpoint: endpoint, Status: statusNames[status], Latency: latency})
 }
 
-// ProbeEnded writes the outcome of a probe.
+// ProbeEnded writes the status and latency of a probe that ended.
 func (l *Log) ProbeEnded(now monotime.Micros, endpoint string, status balancer.Status, latency monotime.Micros) {
 	l.write(Event{At: now, Kind: ProbeEnded, Endpoint: endpoint, Status: statusNames[status], Latency: latency})
 }
 
-// EndpointsUpdated writes an update of the endpoint list, an event for each of its entries. Endpoints that a full list
-// no longer contains have no event.
+// EndpointsUpdated writes one event for each endpoint in an update of the endpoint list. An endpoint that was
+// removed by its absence from a full list has no event.
 func (l *Log) EndpointsUpdated(now monotime.Micros, update engine.EndpointUpdate) {
 	for _, endpoint := range update.Endpoints {
 		l.write(Event{
@@ -180,12 +183,12 @@
 	}
 }
 
-// DiscoveryPolled writes the outcome of a call of discovery.
+// DiscoveryPolled writes whether a poll of endpoint discovery succeeded.
 func (l *Log) DiscoveryPolled(err error) {
 	l.write(Event{Kind: DiscoveryPolled, Status: outcomeStatus(err == nil)})
 }
 
-// outcome returns the status of a connection or a poll.
+// outcomeStatus returns the status of a connection or a poll.
 func outcomeStatus(succeeded bool) string {
 	if succeeded {
 		return statusOK
@@ -193,8 +196,8 @@
 	return "failed"
 }
 
-// ConnOpened writes that a connection to an address was opened or failed to. It returns the connection and the error;
-// the close of the returned connection is written as well.
+// ConnOpened writes whether a connection to an address was opened. It returns its arguments conn and err, but a TCP
+// connection is replaced by one that writes an event when it is closed.
 func (l *Log) ConnOpened(addr string, conn net.Conn, err error) (net.Conn, error) {
 	l.write(Event{Kind: ConnOpened, Endpoint: addr, Status: outcomeStatus(err == nil)})
 	if tcp, ok := conn.(*net.TCPConn); ok && err == nil {
@@ -204,13 +207,13 @@
 	return conn, err
 }
 
-// observedConn is a connection whose first close is written.
+// observedConn is a TCP connection that calls onClose when it is closed.
 type observedConn struct {
 	*net.TCPConn
 	onClose func()
 }
 
-// Close closes the connection.
+// Close calls onClose and closes the connection.
 func (c *observedConn) Close() error {
 	c.onClose()
 	return c.TCPConn.Close()
--- a/internal/eventlog/events_test.go
+++ b/internal/eventlog/events_test.go
@@ -11,8 +11,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Written events are read again, among other lines and after a collector's time. An incomplete event is an error that
-// names the line.
+// Events that were written must be read back, even if the log contains other lines and a collector's timestamp
+// before each event. A malformed event must be an error that contains the line number.
 func TestEventsSurviveWriteAndRead(t *testing.T) {
 	var out bytes.Buffer
 	log := NewLog(&out, func() monotime.Micros { return 7 })
@@ -50,8 +50,8 @@
 	}
 }
 
-// Two instances, and three endpoints: one that fails most attempts for three seconds, one that is added, and one that
-// is removed while it is still used.
+// Analyze must compute the statistics of two instances and three endpoints: "bad" fails most attempts for three
+// seconds, "comes" is added, and "goes" is removed but still used by an instance that is not notified yet.
 func TestAnalyze(t *testing.T) {
 	updated := func(at monotime.Micros, name, state string) Event {
 		return Event{At: at, Kind: EndpointUpdated, Endpoint: name, Addr: name + ":1", Status: state}
--- a/internal/eventlog/golden_test.go
+++ b/internal/eventlog/golden_test.go
@@ -15,10 +15,11 @@
 	"dunlinsail/internal/monotime"
 )
 
-// goldenLogPath was written by an earlier build, before names in this package changed. It never changes.
+// goldenLogPath is the path of a log that was written by an earlier build. The file must not change, so that the
+// tests below detect a change of the line format.
 var goldenLogPath = filepath.Join("testdata", "events.log")
 
-// goldenEvents are the events of goldenLogPath.
+// goldenEvents are the events in the log at goldenLogPath.
 var goldenEvents = []Event{
 	{1, "sent", "node-1", "", "", 0},
 	{2, "sent", "node_with_blanks", "", "", 0},
@@ -42,7 +43,7 @@
 	{77, "closed", "10.0.0.1:80", "", "", 0},
 }
 
-// renderGoldenEvents returns the lines of a log to which the events of goldenLogPath are written.
+// renderGoldenEvents writes the events of goldenLogPath to a Log and returns the lines.
 func renderGoldenEvents(t *testing.T) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -74,7 +75,7 @@
 	return out.Bytes()
 }
 
-// Lines of an earlier build are read to the events that were written.
+// Events in the log of an earlier build must be read as they were written.
 func TestGoldenEventsAreRead(t *testing.T) {
 	file, err := os.Open(goldenLogPath)
 	require.NoError(t, err)
@@ -86,7 +87,7 @@
 	}
 }
 
-// The same events give the same lines as in an earlier build, byte for byte.
+// The same events must be written as the same bytes as in an earlier build.
 func TestGoldenEventsAreWritten(t *testing.T) {
 	want, err := os.ReadFile(goldenLogPath)
 	require.NoError(t, err)
--- a/internal/eventlog/report.go
+++ b/internal/eventlog/report.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 )
 
-// ReadFleet reads the logs of a fleet: each file of a folder is the standard error of one instance's programs. A file
-// without an event counts as an instance without activity.
+// ReadFleet reads the logs of a fleet. Each file in the folder must contain the standard error of the programs of
+// one instance. A file without events counts as an instance without activity.
 func ReadFleet(dir string) ([][]Event, error) {
 	files, err := os.ReadDir(dir)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return fleet, nil
 }
 
-// readLogFile reads the log of one instance.
+// readLogFile returns the events in the log file of one instance.
 func readLogFile(path string) ([]Event, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return Read(file)
 }
 
-// Write prints the statistics, a line for each.
+// Write prints the statistics as text, one line for each quantity.
 func (stats FleetStats) Write(output io.Writer) error {
 	var err error
 	printLine := func(format string, args ...any) {
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -14,10 +14,10 @@
 	"dunlinsail/internal/fake/golden"
 )
 
-// The files under testdata were written before the message types had tags, and never change: instances of earlier and
-// later builds exchange messages in this form.
+// The files under testdata were written by a build whose message types had no tags. They must never change, since
+// instances of earlier and later builds exchange messages in this form.
 
-// goldenEnvelopes returns one message of each type, with the file that holds its encoded form.
+// goldenEnvelopes returns an envelope with each type of message, by the name of the file with its encoded form.
 func goldenEnvelopes() map[string]envelope {
 	term := lease.Term{Holder: "instance-1", Incarnation: 0xfedcba9876543210, Round: 17}
 	leaseRequest := &quota.LeaseRequest{
@@ -78,6 +78,7 @@
 	return envelopes
 }
 
+// Messages that an earlier build has encoded must be decoded to the same values.
 func TestMessagesOfEarlierBuildsAreUnderstood(t *testing.T) {
 	for name, want := range goldenEnvelopes() {
 		t.Run(name, func(t *testing.T) {
@@ -93,6 +94,7 @@
 	}
 }
 
+// Messages must be encoded to the same bytes as by an earlier build, so that earlier builds can decode them.
 func TestMessagesAreUnderstoodByEarlierBuilds(t *testing.T) {
 	for name, message := range goldenEnvelopes() {
 		t.Run(name, func(t *testing.T) {
@@ -115,12 +117,13 @@
 	}
 }
 
-// The tests above do not check a field without a value.
+// The message "all-parts" must set every field of a message, because the golden tests above cannot detect a changed
+// name of a field that has no value.
 func TestGoldenMessagesFillEachField(t *testing.T) {
 	golden.RequireFilled(t, "envelope", goldenEnvelopes()["all-parts"].Message)
 }
 
-// Operators' tools read members and statistics in this JSON form.
+// The JSON form of members and message counters must not change, since operators' tools read it.
 func TestJSONForOperatorsKeepsItsForm(t *testing.T) {
 	for name, v := range map[string]any{
 		"member.json": &Member{
--- a/internal/peers/membership.go
+++ b/internal/peers/membership.go
@@ -6,11 +6,13 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// joinInterval is the time from one attempt to the next to join the addresses of Options.Join at which no live instance
-// is known. After a start, or a long partition, gossip alone does not connect the instances.
+// joinInterval is the time between two attempts to join those addresses of Options.Join at which no live instance
+// is known. Repeated attempts are necessary because gossip alone does not connect instances after a start or a long
+// network partition.
 const joinInterval = 2 * time.Second
 
-// joinMissing joins the missing addresses every joinInterval. It runs in a goroutine of its own, which Close ends.
+// joinMissing tries every joinInterval to join the addresses that missingAddresses returns. It runs in its own
+// goroutine until Close.
 func (p *Peers) joinMissing() {
 	if len(p.options.Join) == 0 {
 		return
@@ -32,7 +34,8 @@
 	}
 }
 
-// missingAddresses returns the addresses of Options.Join at which no live instance is known.
+// missingAddresses returns the addresses of Options.Join at which no live instance is known, without this
+// instance's address.
 func (p *Peers) missingAddresses() (missing []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,7 +47,7 @@
 	return missing
 }
 
-// hasLiveMemberAt reports whether a live instance is known at an address. The caller holds p.mu.
+// hasLiveMemberAt reports whether a live instance is known at an address. The caller must hold p.mu.
 func (p *Peers) hasLiveMemberAt(address string) bool {
 	for _, m := range p.members {
 		if m.Alive && m.Address == address {
@@ -54,17 +57,17 @@
 	return false
 }
 
-// delegate implements memberlist.Delegate and memberlist.EventDelegate.
+// delegate is a Peers with the callbacks of memberlist.Delegate and memberlist.EventDelegate.
 type delegate Peers
 
-// NodeMeta implements memberlist.Delegate; there is no metadata.
+// NodeMeta implements memberlist.Delegate. Instances have no metadata.
 func (d *delegate) NodeMeta(int) []byte { return nil }
 
-// minusOne, added to an unsigned counter, subtracts one.
+// minusOne decrements an unsigned atomic counter when added to it.
 const minusOne = ^uint64(0)
 
-// NotifyMsg implements memberlist.Delegate: it queues a received message, or drops it if the queue is full. It must not
-// block.
+// NotifyMsg implements memberlist.Delegate. It queues a received message for its handler, or drops it if the queue
+// is full. It must not block.
 func (d *delegate) NotifyMsg(encoded []byte) {
 	e, ok := decode(encoded)
 	if !ok {
@@ -72,9 +75,9 @@
 		return
 	}
 	if e.To != d.options.Name {
-		return // for another instance that had this address earlier
+		return // the message is for an instance that had this address earlier
 	}
-	d.receivedCount.Add(1) // before the handler is called, which may call Stats
+	d.receivedCount.Add(1) // counted before the handler can run, since the handler may call Stats
 	select {
 	case d.receivedQueue <- e:
 	default:
@@ -83,25 +86,27 @@
 	}
 }
 
-// GetBroadcasts implements memberlist.Delegate; there are none.
+// GetBroadcasts implements memberlist.Delegate. Instances have no broadcasts.
 func (d *delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState implements memberlist.Delegate; there is none.
+// LocalState implements memberlist.Delegate. Instances have no state to exchange.
 func (d *delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState implements memberlist.Delegate; there is none.
+// MergeRemoteState implements memberlist.Delegate. Instances have no state to exchange.
 func (d *delegate) MergeRemoteState([]byte, bool) {}
 
-// NotifyJoin implements memberlist.EventDelegate.
+// NotifyJoin implements memberlist.EventDelegate. It records that an instance is alive.
 func (d *delegate) NotifyJoin(n *memberlist.Node) { d.recordMember(n, true) }
 
-// NotifyUpdate implements memberlist.EventDelegate.
+// NotifyUpdate implements memberlist.EventDelegate. It records that an instance is alive, at an address that may be
+// new.
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.recordMember(n, true) }
 
-// NotifyLeave implements memberlist.EventDelegate: the instance has left, or is considered dead.
+// NotifyLeave implements memberlist.EventDelegate. It records that an instance has left or was declared dead.
 func (d *delegate) NotifyLeave(n *memberlist.Node) { d.recordMember(n, false) }
 
-// recordMember records the address and state of an instance, and the time at which the state changed.
+// recordMember records the address of an instance and whether it is alive. If that state is new, it also records
+// the present time and logs the change.
 func (d *delegate) recordMember(n *memberlist.Node, alive bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,12 +1,13 @@
-// Package peers sends messages between the instances of a fleet. It finds the other instances and detects their failure
-// by gossip with hashicorp/memberlist (SWIM: Das, Gupta, Motivala, 2002, with Lifeguard: Dadgar, Phillips, Currey,
-// 2017). Messages are that library's user messages, in CBOR (RFC 8949): a datagram, or a TCP stream for larger ones.
+// Package peers sends messages between the instances of a fleet. It discovers the other instances and detects their
+// failures by gossip, using hashicorp/memberlist, which implements SWIM (Das, Gupta, Motivala 2002) with Lifeguard
+// (Dadgar, Phillips, Currey 2017). Messages are sent as memberlist's user messages, encoded in CBOR (RFC 8949):
+// small messages as datagrams, larger ones over TCP.
 //
-// A message may be lost, delayed, duplicated or reordered; senders must not rely on its arrival. Instances of different
-// fleets (Options.Fleet) ignore each other.
+// A message may be lost, delayed, duplicated or reordered, so senders must not rely on its arrival. Instances of
+// different fleets (Options.Fleet) ignore each other.
 //
-// The package decides nothing. It must not know about engines or the meaning of messages, which packages coordination
-// and consensus handle. Endpoint lists are not gossiped; package endpointsource provides them.
+// The package makes no decisions. It must not know about engines or the meaning of messages, which packages
+// coordination and consensus handle. Endpoint lists are not gossiped; package endpointsource provides them.
 package peers
 
 import (
@@ -27,63 +28,65 @@
 )
 
 const (
-	// queueCapacity is the number of messages that may wait to be delivered, and that may wait to be sent. Further ones
-	// are dropped.
+	// queueCapacity is the capacity in messages of each of two queues: received messages that wait for a handler,
+	// and messages that wait to be sent. A message that finds its queue full is dropped.
 	queueCapacity = 4096
-	// leaveTimeout is the time for which Close waits until the other instances are notified that this one leaves.
+	// leaveTimeout is the longest time that Close waits until the other instances are notified that this instance
+	// leaves.
 	leaveTimeout = 500 * time.Millisecond
-	// reclaimTime is the time after which another address may use the name of a dead instance.
+	// reclaimTime is the time after which an instance at another address may take over the name of a dead instance.
 	reclaimTime = time.Second
-	// tcpTimeout is the time limit of connecting, reading and writing of memberlist's TCP streams.
+	// tcpTimeout limits the time of connecting, reading and writing on memberlist's TCP streams.
 	tcpTimeout = 2 * time.Second
 )
 
-// Options configure an instance's part in the gossip.
+// Options configure the participation of an instance in the gossip.
 type Options struct {
-	Name    string            // of this instance, unique in the fleet
-	Fleet   string            // label of the fleet; instances with another one are ignored
-	Address string            // host:port to listen at, by UDP and TCP
-	Join    []string          // addresses of some other instances, host:port
-	DialVia map[string]string // by address: the address to dial in its place
+	Name    string            // name of this instance, unique in the fleet
+	Fleet   string            // memberlist label of the fleet; instances with another label are ignored
+	Address string            // host:port to listen on, with UDP and TCP
+	Join    []string          // addresses (host:port) of other instances to join; need not be all
+	DialVia map[string]string // addresses to dial in place of instances' addresses, by the address replaced
 	Log     *slog.Logger
 
-	// HandleMessage handles received messages of package coordination, one at a time. It may block: further messages
-	// wait in the queue.
+	// HandleMessage handles a received message of package coordination. It is called for one message at a time and
+	// may block; further messages wait in the queue meanwhile.
 	HandleMessage func(from string, m coordination.Message)
-	// HandleConsensus handles received messages of package consensus in the same way. If nil, they are discarded.
+	// HandleConsensus handles a received message of package consensus, under the same conditions as HandleMessage.
+	// If it is nil, these messages are discarded.
 	HandleConsensus func(from string, m consensus.Message)
 }
 
-// Member is an instance of the fleet, by the gossip that was received here. Its tags are the names in the JSON that
-// operators' tools read.
+// Member is an instance of the fleet and its state according to the gossip that this instance has received. The
+// tags are names in JSON that operators' tools read.
 type Member struct {
 	Name    string    `json:"Name"`
 	Address string    `json:"Address"`
 	Alive   bool      `json:"Alive"`
-	Since   time.Time `json:"Since"` // when Alive changed last
+	Since   time.Time `json:"Since"` // when Alive last changed
 }
 
-// Stats are counters of messages since Start. Its tags are the names in the JSON that operators' tools read.
+// Stats are message counters since Start. The tags are names in JSON that operators' tools read.
 type Stats struct {
 	Sent      uint64 `json:"Sent"`    // messages handed to memberlist
 	Received  uint64 `json:"Heard"`   // messages queued for a handler
 	Bytes     uint64 `json:"Bytes"`   // encoded bytes of the sent messages
-	Dropped   uint64 `json:"Dropped"` // messages dropped because a queue was full or the recipient unknown
+	Dropped   uint64 `json:"Dropped"` // messages dropped because a queue was full or the recipient was unknown
 	Malformed uint64 `json:"Spoilt"`  // received messages that could not be decoded
 }
 
-// Peers is an instance's part in the gossip. Create one with Start, which starts three goroutines; Close ends them, and
-// those of large messages. It is safe for concurrent use.
+// Peers is the participation of an instance in the gossip. Start creates it and starts three goroutines; each large
+// message that is sent adds one for the time of sending. Close ends them all. Peers is safe for concurrent use.
 type Peers struct {
 	options       Options
 	memberlist    *memberlist.Memberlist
-	receivedQueue chan envelope        // wait for a handler
-	outgoingQueue chan outgoingMessage // wait to be sent
-	closing       chan struct{}        // closed by Close
-	goroutines    sync.WaitGroup       // all goroutines of this Peers
+	receivedQueue chan envelope        // messages that wait for a handler
+	outgoingQueue chan outgoingMessage // messages that wait to be sent
+	closing       chan struct{}        // closed at the start of Close
+	goroutines    sync.WaitGroup       // waits for all goroutines of this Peers
 
 	mu      sync.Mutex
-	members map[string]*Member // by name, this instance included
+	members map[string]*Member // known instances by name, including this instance and dead ones
 
 	sentCount      atomic.Uint64
 	receivedCount  atomic.Uint64
@@ -92,8 +95,9 @@
 	malformedCount atomic.Uint64
 }
 
-// Start starts an instance's part in the gossip. It fails if the address is malformed or in use. It does not fail if no
-// other instance can be reached: they are joined as soon as they can.
+// Start starts the participation of an instance in the gossip. It returns an error if the address is malformed or
+// in use. It returns no error if no other instance can be reached: the instance joins the others as soon as they
+// are reachable.
 func Start(options Options) (*Peers, error) {
 	p := &Peers{
 		options:       options,
@@ -111,7 +115,7 @@
 	return p, nil
 }
 
-// listen creates the memberlist, which listens at Options.Address.
+// listen creates the memberlist, which listens on Options.Address.
 func (p *Peers) listen() error {
 	host, portText, err := net.SplitHostPort(p.options.Address)
 	if err != nil {
@@ -151,8 +155,9 @@
 	return nil
 }
 
-// Close ends the instance's part and waits for all its goroutines. With announce the other instances are notified that
-// it leaves. Without, it looks alive to them, because a successor of its name starts at once. It must be called once.
+// Close ends the participation in the gossip and waits for all goroutines to end. If announce is true, the other
+// instances are notified that this instance leaves. Otherwise it appears alive to them, as is required if a
+// successor with the same name starts at once. Close must be called exactly once.
 func (p *Peers) Close(announce bool) {
 	close(p.closing)
 	if announce {
@@ -166,7 +171,7 @@
 	p.goroutines.Wait()
 }
 
-// Members returns all known instances, dead ones and this one included, sorted by name.
+// Members returns all known instances, including this instance and dead ones, sorted by name.
 func (p *Peers) Members() (members []Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,7 +182,7 @@
 	return members
 }
 
-// Stats returns the counters.
+// Stats returns the present values of the message counters.
 func (p *Peers) Stats() Stats {
 	return Stats{
 		Sent:      p.sentCount.Load(),
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -14,14 +14,14 @@
 	"dunlinsail/internal/fake/freeport"
 )
 
-// receivedMessage is a message with its sender.
+// receivedMessage is a message that a handler was called with, and the name of its sender.
 type receivedMessage struct {
 	from    string
 	message coordination.Message
 }
 
-// start starts an instance at a free address, and returns it with its address and the messages that it receives. The
-// caller must close it.
+// startPeers starts an instance at a free address. It returns the instance, its address, and a channel with the
+// messages that it receives. The caller must close the instance.
 func startPeers(t *testing.T, name, fleet string, join ...string) (*Peers, string, chan receivedMessage) {
 	t.Helper()
 	address, err := freeport.Free()
@@ -43,7 +43,8 @@
 	return p, address, received
 }
 
-// eventually waits for a condition, and ends the test if it does not become true within 20 s.
+// waitUntil waits until a condition is true. If that takes longer than 20 s, it ends the test with the failure
+// message.
 func waitUntil(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
@@ -53,7 +54,7 @@
 	}
 }
 
-// alive reports whether an instance knows another one as alive.
+// knowsAlive reports whether an instance regards the instance with the given name as alive.
 func knowsAlive(p *Peers, name string) bool {
 	for _, m := range p.Members() {
 		if m.Name == name {
@@ -63,7 +64,8 @@
 	return false
 }
 
-// Messages of any size arrive at their recipient, and at no instance of another fleet.
+// Messages that fit into a datagram and messages that need TCP must arrive at their recipient. Instances of another
+// fleet must not be discovered. After Close, the other instances must be notified and the address must be free.
 func TestMessagesReachTheirRecipientWithinTheFleet(t *testing.T) {
 	a, address, received := startPeers(t, "a", "one")
 	b, _, _ := startPeers(t, "b", "one", address)
@@ -105,7 +107,7 @@
 	}
 }
 
-// An address that is in use or malformed is an error.
+// Start must return an error if the address is in use or malformed.
 func TestUnusableAddressIsAnError(t *testing.T) {
 	a, usedAddress, _ := startPeers(t, "a", "one")
 	defer a.Close(false)
--- a/internal/peers/queue.go
+++ b/internal/peers/queue.go
@@ -10,29 +10,30 @@
 	"dunlinsail/internal/decide/coordination"
 )
 
-// maxDatagramBytes is the size of the largest message that is sent as a datagram. Together with memberlist's header it
-// fits into an Ethernet frame.
+// maxDatagramBytes is the size of the largest encoded message that is sent as a datagram. With memberlist's header,
+// such a datagram fits into one Ethernet frame.
 const maxDatagramBytes = 1300
 
-// outgoing is a message that waits to be sent.
+// outgoingMessage is a message that waits to be sent. If consensusMessage is set, coordinationMessage is ignored.
 type outgoingMessage struct {
-	recipient           string
+	recipient           string // name of the receiving instance
 	coordinationMessage coordination.Message
 	consensusMessage    *consensus.Message
 }
 
-// Send queues a message to an instance by its name. It never blocks: the message is dropped if the queue is full. The
-// message may be lost.
+// Send queues a message of package coordination to the instance with the given name. It never blocks: if the queue
+// is full, the message is dropped. A queued message may still be lost.
 func (p *Peers) Send(to string, m coordination.Message) {
 	p.enqueue(outgoingMessage{recipient: to, coordinationMessage: m})
 }
 
-// SendConsensus queues a message of package consensus in the same way.
+// SendConsensus queues a message of package consensus to the instance with the given name. It drops messages under
+// the same conditions as Send.
 func (p *Peers) SendConsensus(to string, m consensus.Message) {
 	p.enqueue(outgoingMessage{recipient: to, consensusMessage: &m})
 }
 
-// enqueue queues a message, or drops it if the queue is full.
+// enqueue queues a message to be sent, or drops it if the queue is full.
 func (p *Peers) enqueue(m outgoingMessage) {
 	select {
 	case p.outgoingQueue <- m:
@@ -41,7 +42,7 @@
 	}
 }
 
-// deliverReceived calls the handlers of received messages. It runs in a goroutine of its own, which Close ends.
+// deliverReceived passes received messages to their handlers. It runs in its own goroutine until Close.
 func (p *Peers) deliverReceived() {
 	for {
 		select {
@@ -58,8 +59,8 @@
 	}
 }
 
-// transmitQueued sends queued messages. It runs in a goroutine of its own, which Close ends after the messages that are
-// queued by then.
+// transmitQueued sends queued messages. It runs in its own goroutine until Close, and sends the messages that are
+// still queued before it ends.
 func (p *Peers) transmitQueued() {
 	for {
 		select {
@@ -72,7 +73,7 @@
 	}
 }
 
-// transmitRemaining sends the messages that are queued now.
+// transmitRemaining sends queued messages until the queue is empty.
 func (p *Peers) transmitRemaining() {
 	for {
 		select {
@@ -84,8 +85,8 @@
 	}
 }
 
-// transmit sends a message as a datagram or, if it is too large, by TCP. That takes a goroutine of its own, which ends
-// within memberlist's TCP timeout and which Close waits for.
+// transmit sends a message as a datagram, or over TCP if it is larger than maxDatagramBytes. A message over TCP is
+// sent by a new goroutine, which ends within memberlist's TCP timeout and for which Close waits.
 func (p *Peers) transmit(m outgoingMessage) {
 	address, known := p.addressOf(m.recipient)
 	if !known {
@@ -110,15 +111,15 @@
 	p.goroutines.Go(func() { p.logSendError(m.recipient, p.memberlist.SendReliable(node, encoded)) })
 }
 
-// logSendError logs the error of a message that could not be sent, if there is one.
+// logSendError logs the error of a message that could not be sent. It logs nothing if err is nil.
 func (p *Peers) logSendError(to string, err error) {
 	if err != nil {
 		p.options.Log.Debug("gossip message not sent", "to", to, "error", err)
 	}
 }
 
-// addressOf returns the address of an instance by its name. A dead one has an address, too: it may be that only the
-// messages from it are lost.
+// addressOf returns the address of an instance. Instances that are considered dead have an address, too: it may be
+// that only the messages from such an instance are lost, and that it still receives messages.
 func (p *Peers) addressOf(name string) (address string, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -7,13 +7,15 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is memberlist's transport, with other addresses dialed in place of those in Options.DialVia.
+// transport is memberlist's network transport. It dials the addresses of Options.DialVia in place of instances' own
+// addresses.
 type transport struct {
 	*memberlist.NetTransport
-	dialVia map[string]string // by address: the address to dial in its place
+	dialVia map[string]string // addresses to dial in place of instances' addresses, by the address replaced
 }
 
-// dialAddress returns the address to dial for an address.
+// dialAddress returns the address to dial in place of an instance's address, which is the same if dialVia has no
+// entry.
 func (t *transport) dialAddress(address string) string {
 	if replacement, ok := t.dialVia[address]; ok {
 		return replacement
