--- a/internal/consensus/boltstore.go
+++ b/internal/consensus/boltstore.go
@@ -73,12 +73,12 @@
 		}
 		stored.Snapshot = &raftpb.Snapshot{}
 		if proto.Unmarshal(encodedSnapshot, stored.Snapshot) != nil {
-			return fmt.Errorf("%w: its snapshot", ErrCorrupt)
+			return fmt.Errorf("%w: invalid snapshot", ErrCorrupt)
 		}
 		if encodedHardState := meta.Get(keyHardState); encodedHardState != nil {
 			stored.HardState = &raftpb.HardState{}
 			if proto.Unmarshal(encodedHardState, stored.HardState) != nil {
-				return fmt.Errorf("%w: its hard state", ErrCorrupt)
+				return fmt.Errorf("%w: invalid hard state", ErrCorrupt)
 			}
 		}
 		var err error
@@ -96,7 +96,7 @@
 	err := bucket.ForEach(func(key, value []byte) error {
 		entry := &raftpb.Entry{}
 		if proto.Unmarshal(value, entry) != nil || !bytes.Equal(key, entryKey(entry.GetIndex())) {
-			return fmt.Errorf("%w: an entry", ErrCorrupt)
+			return fmt.Errorf("%w: invalid entry", ErrCorrupt)
 		}
 		if entry.GetIndex() <= lastIndex {
 			return nil // the snapshot contains this entry
--- a/internal/consensus/boltstore_test.go
+++ b/internal/consensus/boltstore_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	if _, empty, err := store.Load(); err != nil || !empty {
-		t.Fatalf("a new file: empty %v, %v", empty, err)
+		t.Fatalf("a new file: empty is %v, error %v", empty, err)
 	}
 	snapshot := &raftpb.Snapshot{
 		Data:     []byte("{}"),
@@ -62,7 +62,7 @@
 	}
 	stored, empty, err := store.Load()
 	if err != nil || empty {
-		t.Fatalf("empty %v, %v", empty, err)
+		t.Fatalf("a file with a log: empty is %v, error %v", empty, err)
 	}
 	if len(stored.Entries) != 2 || stored.Entries[1].GetTerm() != 2 || stored.HardState.GetTerm() != 2 {
 		t.Fatalf("%+v", stored)
@@ -71,13 +71,13 @@
 		t.Fatal(err)
 	}
 	if _, _, err := store.Load(); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("a gap: %v", err)
+		t.Errorf("a log with a gap: error %v, want ErrCorrupt", err)
 	}
 	closeBoltStore(t, store)
 	if err := os.WriteFile(path, []byte("not a file of that kind"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := OpenBoltStore(path); err == nil {
-		t.Error("a file of another kind is opened")
+		t.Error("a file that is not a bbolt file is opened")
 	}
 }
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -92,7 +92,7 @@
 	noFault              fault = ""
 	faultIgnoresPlan     fault = "an instance ignores the plan"
 	faultSendsUnplanned  fault = "an instance sends before it has a plan"
-	faultSlowClock       fault = "leases outlive their time"
+	faultSlowClock       fault = "leases are used longer than their duration"
 	faultIgnoresAnnounce fault = "an instance without a lease excludes no machine"
 )
 
@@ -335,11 +335,11 @@
 	}
 	for zone, count := range outByZone {
 		if count > testSettings.MaxOutPerZone {
-			c.firstViolation = fmt.Sprintf("%d of zone %s are out", count, zone)
+			c.firstViolation = fmt.Sprintf("%d machines of zone %s are out of service", count, zone)
 		}
 	}
 	if outCount > testSettings.MaxOut {
-		c.firstViolation = fmt.Sprintf("%d are out", outCount)
+		c.firstViolation = fmt.Sprintf("%d machines are out of service", outCount)
 	}
 }
 
@@ -385,7 +385,7 @@
 			}
 		}
 	}
-	c.t.Fatal("an operator gets no reply")
+	c.t.Fatal("an operator's command got no reply")
 	return OperatorReply{}
 }
 
--- a/internal/consensus/encoding_test.go
+++ b/internal/consensus/encoding_test.go
@@ -73,14 +73,14 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("encoded as\n%q\nthe build before has\n%q", got, want)
+		t.Errorf("encoded as\n%q\nwant, as by the earlier build\n%q", got, want)
 	}
 	decoded := reflect.New(reflect.TypeOf(value).Elem()).Interface()
 	if err := strictDecMode.Unmarshal(want, decoded); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(decoded, value) {
-		t.Errorf("decoded as\n%+v\nit was\n%+v", decoded, value)
+		t.Errorf("decoded as\n%+v\nwant\n%+v", decoded, value)
 	}
 }
 
@@ -101,13 +101,13 @@
 				t.Fatal(err)
 			}
 			if restored := encodeNodeState(t, node); !bytes.Equal(restored, stored.Snapshot.GetData()) {
-				t.Errorf("the snapshot is encoded as\n%s\nit was\n%s", restored, stored.Snapshot.GetData())
+				t.Errorf("the snapshot is encoded as\n%s\nwant\n%s", restored, stored.Snapshot.GetData())
 			}
 			node.Tick(0)
 			got := encodeNodeState(t, node)
 			want := golden.ReadLine(t, "stored", "voter-"+name+".state.json")
 			if !bytes.Equal(got, want) {
-				t.Errorf("the state is\n%s\nby the build before it was\n%s", got, want)
+				t.Errorf("the state is\n%s\nwant, as by the earlier build\n%s", got, want)
 			}
 		})
 	}
@@ -122,7 +122,7 @@
 		t.Fatalf("empty %v, %v", empty, err)
 	}
 	if len(stored.Entries) == 0 || stored.Snapshot.GetMetadata().GetIndex() < 2 {
-		t.Fatal("the file has no entries, or no snapshot but the first")
+		t.Fatal("the file has no entries, or no snapshot after the bootstrap snapshot")
 	}
 	for _, entry := range stored.Entries {
 		checkEntryEncoding(t, entry)
@@ -149,7 +149,7 @@
 	var entry logEntry
 	golden.DecodeJSON(t, raftEntry.GetData(), &entry)
 	if encodedEntry, err := json.Marshal(entry); err != nil || !bytes.Equal(encodedEntry, raftEntry.GetData()) {
-		t.Errorf("entry %d is encoded as\n%s\nit was\n%s", raftEntry.GetIndex(), encodedEntry, raftEntry.GetData())
+		t.Errorf("entry %d is encoded as\n%s\nwant\n%s", raftEntry.GetIndex(), encodedEntry, raftEntry.GetData())
 	}
 }
 
@@ -171,14 +171,14 @@
 	}
 	requests := c.mostApplied.node.State().Requests
 	if requests["night"] == nil || requests["disk"] == nil {
-		t.Fatal("the requests of the build before are not known")
+		t.Fatal("the requests that the earlier build stored are missing")
 	}
 	release := maintenance.Command{Hold: &maintenance.Hold{Request: "disk"}}
 	if reply := c.submit("i3", release); reply.Error != "" {
 		t.Fatal(reply.Error)
 	}
 	if remaining := c.completeMaintenance(120e6); remaining != 0 {
-		t.Errorf("%d are left: %+v", remaining, c.mostApplied.node.State().Machines)
+		t.Errorf("%d machines remain in the plan: %+v", remaining, c.mostApplied.node.State().Machines)
 	}
 }
 
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -14,13 +14,13 @@
 	}
 	reply := c.requestMaintenance("night", c.machineNames()...)
 	if requests := c.mostApplied.node.State().Requests; reply.Error != "" || len(requests) != 1 {
-		t.Errorf("a request that comes twice: %+v, %d requests", reply, len(requests))
+		t.Errorf("a repeated request: reply %+v, %d requests in the plan", reply, len(requests))
 	}
 	if reply := c.requestMaintenance("more", "m99"); reply.Error == "" {
-		t.Error("a machine that does not exist is accepted")
+		t.Error("a request for an unknown machine is accepted")
 	}
 	if remaining := c.completeMaintenance(60e6); remaining != 0 || c.sentRequests == 0 {
-		t.Fatalf("%d are left: %+v", remaining, c.mostApplied.node.State().Machines)
+		t.Fatalf("%d machines remain in the plan: %+v", remaining, c.mostApplied.node.State().Machines)
 	}
 }
 
@@ -36,7 +36,7 @@
 		c.runFor(12e6)
 		if remaining := c.completeMaintenance(120e6); remaining != 0 {
 			mostAppliedNode := c.mostApplied.node
-			t.Fatalf("seed %d: %d are left: %+v, %v", seed, remaining,
+			t.Fatalf("seed %d: %d machines remain in the plan: %+v, %v", seed, remaining,
 				mostAppliedNode.State().Machines, mostAppliedNode.waitReasons)
 		}
 	}
@@ -58,10 +58,10 @@
 			voterWithoutLog.node.LogMissing(), voterWithoutLog.node.PlanFollower().HasPlan())
 	}
 	if c.mostApplied.node.State().Requests["night"] == nil {
-		t.Fatal("what was committed is lost")
+		t.Fatal("a committed request is lost")
 	}
 	if c.completeMaintenance(60e6) != 0 {
-		t.Errorf("two of three voters do not finish: %+v", c.mostApplied.node.State().Machines)
+		t.Errorf("two of three voters do not complete the maintenance: %+v", c.mostApplied.node.State().Machines)
 	}
 	c.requestMaintenance("other", "m1")
 	for _, inst := range c.instances {
@@ -79,7 +79,7 @@
 		t.Error("a voter whose store cannot be read has no error")
 	}
 	if state := c.instances[2].node.State(); state.Requests["other"] == nil {
-		t.Error("what was committed is lost with all processes")
+		t.Error("a committed request is lost after all processes were killed")
 	}
 	// A voter whose log was restored from an older copy must return an error from VoterError, and its process must
 	// continue.
@@ -89,7 +89,7 @@
 	c.startProcess(voterWithOldLog)
 	c.runFor(2e6)
 	if err := voterWithOldLog.node.VoterError(); !errors.Is(err, ErrLogInconsistent) || !voterWithOldLog.running {
-		t.Errorf("a voter goes on from an old log: %v", err)
+		t.Errorf("a voter with an old log: error %v", err)
 	}
 }
 
@@ -112,7 +112,7 @@
 			violation = c.firstViolation
 		}
 		if violation == "" {
-			t.Errorf("%s: not found", plantedFault)
+			t.Errorf("%s: not detected", plantedFault)
 		}
 	}
 }
--- a/internal/eventlog/events.go
+++ b/internal/eventlog/events.go
@@ -77,7 +77,7 @@
 	}
 	fields := strings.Fields(line[prefixIndex+len(linePrefix):])
 	if len(fields) != eventFieldCount {
-		return e, true, fmt.Errorf("%d words after %q, want %d", len(fields), strings.TrimSpace(linePrefix),
+		return e, true, fmt.Errorf("%d fields after %q, want %d", len(fields), strings.TrimSpace(linePrefix),
 			eventFieldCount)
 	}
 	if e.At, err = strconv.ParseInt(fields[0], 10, 64); err != nil {
--- a/internal/eventlog/events_test.go
+++ b/internal/eventlog/events_test.go
@@ -23,7 +23,7 @@
 	})
 	log.DiscoveryPolled(nil)
 	if _, err := log.ConnOpened("1.2.3.4:5", nil, net.ErrClosed); err == nil {
-		t.Error("the error of a dial was lost")
+		t.Error("the error of a failed dial is not returned")
 	}
 	text := "time=x level=INFO msg=serving\n0.015 " + strings.ReplaceAll(out.String(), "\n", "\n0.1 ")
 	got, err := Read(strings.NewReader(text))
@@ -80,17 +80,17 @@
 		stats.Faults.FailuresPerInstance.Max, stats.Faults.LateFailures.Max,
 	}
 	if stats.Faults.Episodes != 1 || faults != [...]float64{7, 2, 6, 1} {
-		t.Errorf("bad: %+v", stats.Faults)
+		t.Errorf("faults: %+v", stats.Faults)
 	}
 	if stats.Added.Endpoints != 1 || stats.Added.NotificationDelay.Max != 0.25 || stats.Added.FirstUseDelay.Max != 1 ||
 		stats.Added.InstancesWithAttempts.Max != 1 {
-		t.Errorf("new: %+v", stats.Added)
+		t.Errorf("added endpoints: %+v", stats.Added)
 	}
 	if stats.Removed.Endpoints != 1 || stats.Removed.NotificationDelay.Max != 0.5 ||
 		stats.Removed.StaleFailures.Max != 1 {
-		t.Errorf("lost: %+v", stats.Removed)
+		t.Errorf("removed endpoints: %+v", stats.Removed)
 	}
 	if stats.MaxOpenConns.Max != 2 || stats.Failures != 8 {
-		t.Errorf("%v held at once, %d failures", stats.MaxOpenConns.Max, stats.Failures)
+		t.Errorf("at most %v open connections, %d failures", stats.MaxOpenConns.Max, stats.Failures)
 	}
 }
--- a/internal/eventlog/golden_test.go
+++ b/internal/eventlog/golden_test.go
@@ -67,7 +67,7 @@
 	log.DiscoveryPolled(nil)
 	log.DiscoveryPolled(errors.New("discovery is down"))
 	if _, err := log.ConnOpened("10.0.0.9:80", nil, net.ErrClosed); err == nil {
-		t.Error("the error of a dial was lost")
+		t.Error("the error of a failed dial is not returned")
 	}
 	conn, err := log.ConnOpened("10.0.0.1:80", &net.TCPConn{}, nil)
 	require.NoError(t, err)
--- a/internal/eventlog/report.go
+++ b/internal/eventlog/report.go
@@ -50,27 +50,27 @@
 		printLine("  %-58s %7d %9.2f %9.2f %9.2f", name, distribution.Count, distribution.Mean, distribution.Median,
 			distribution.Max)
 	}
-	printLine("%d instances, %d endpoints, %.1f s: %d attempts, %d of them failed; %d connections not opened",
+	printLine("%d instances, %d endpoints, %.1f s: %d attempts, %d of them failed; %d connections could not be opened",
 		stats.Instances, stats.Endpoints, stats.Seconds, stats.Attempts, stats.Failures, stats.FailedDials)
-	printLine("discovery: %d calls that went well, %d that failed, %d in the busiest second",
+	printLine("discovery: %d successful polls, %d failed polls, %d polls in the busiest second",
 		stats.SuccessfulPolls, stats.FailedPolls, stats.MaxPollsPerSecond)
-	printLine("  %-58s %7s %9s %9s %9s", "", "n", "mean", "median", "most")
+	printLine("  %-58s %7s %9s %9s %9s", "", "n", "mean", "median", "max")
 	printDistribution("attempts at one endpoint in one second", stats.EventsPerSecond[AttemptStarted])
 	printDistribution("probes at one endpoint in one second", stats.EventsPerSecond[ProbeEnded])
 	printDistribution("new connections at one endpoint in one second", stats.EventsPerSecond[ConnOpened])
-	printDistribution("connections of all instances at one endpoint, at once", stats.MaxOpenConns)
-	printLine("%d endpoints came:", stats.Added.Endpoints)
-	printDistribution("seconds until an instance was told, after the first was", stats.Added.NotificationDelay)
-	printDistribution("seconds until its first attempt there", stats.Added.FirstUseDelay)
-	printDistribution("instances that used such an endpoint", stats.Added.InstancesWithAttempts)
-	printLine("%d endpoints left the list:", stats.Removed.Endpoints)
-	printDistribution("seconds until an instance was told, after the first was", stats.Removed.NotificationDelay)
-	printDistribution("failed attempts by those not yet told, at one endpoint", stats.Removed.StaleFailures)
-	printLine("%d endpoints were bad in %d stretches of time:", stats.Faults.FaultyEndpoints, stats.Faults.Episodes)
+	printDistribution("peak open connections of all instances at one endpoint", stats.MaxOpenConns)
+	printLine("%d endpoints were added:", stats.Added.Endpoints)
+	printDistribution("seconds until notified, after the first notified instance", stats.Added.NotificationDelay)
+	printDistribution("seconds until an instance's first attempt there", stats.Added.FirstUseDelay)
+	printDistribution("instances with an attempt at the endpoint", stats.Added.InstancesWithAttempts)
+	printLine("%d endpoints were removed from the list:", stats.Removed.Endpoints)
+	printDistribution("seconds until notified, after the first notified instance", stats.Removed.NotificationDelay)
+	printDistribution("failures at one endpoint before instances were notified", stats.Removed.StaleFailures)
+	printLine("%d endpoints had %d fault episodes:", stats.Faults.FaultyEndpoints, stats.Faults.Episodes)
 	printDistribution("seconds from the first failure to the last", stats.Faults.DurationSeconds)
-	printDistribution("failures in one stretch", stats.Faults.Failures)
-	printDistribution("of them later than 2 s after the fleet's first", stats.Faults.LateFailures)
-	printDistribution("instances that met it", stats.Faults.AffectedInstances)
-	printDistribution("failures that one instance met", stats.Faults.FailuresPerInstance)
+	printDistribution("failures in one episode", stats.Faults.Failures)
+	printDistribution("failures in one episode later than 2 s after its first", stats.Faults.LateFailures)
+	printDistribution("instances with a failure in one episode", stats.Faults.AffectedInstances)
+	printDistribution("failures of one instance in one episode", stats.Faults.FailuresPerInstance)
 	return err
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -72,7 +72,7 @@
 	c, _, _ := startPeers(t, "c", "two", address)
 	defer b.Close(false)
 	defer c.Close(false)
-	waitUntil(t, "they do not find each other", func() bool { return knowsAlive(a, "b") && knowsAlive(b, "a") })
+	waitUntil(t, "a and b do not discover each other", func() bool { return knowsAlive(a, "b") && knowsAlive(b, "a") })
 	small := coordination.Message{Request: &quota.LeaseRequest{
 		Incarnation: 1, Sequence: 2, Demands: []quota.Demand{{Budget: "x", Requested: 1.5, Held: 3}},
 	}}
@@ -94,16 +94,16 @@
 		}
 	}
 	if knowsAlive(c, "a") || knowsAlive(a, "c") {
-		t.Error("instances of two fleets know each other")
+		t.Error("instances of different fleets discover each other")
 	}
 	(*delegate)(a).NotifyMsg([]byte(strings.Repeat("\xff", 50)))
 	if stats := a.Stats(); stats.Malformed != 1 || stats.Received != 2 {
 		t.Errorf("%+v", stats)
 	}
 	a.Close(true)
-	waitUntil(t, "b does not learn that a leaves", func() bool { return !knowsAlive(b, "a") })
+	waitUntil(t, "b is not notified that a leaves", func() bool { return !knowsAlive(b, "a") })
 	if _, err := net.Listen("tcp", address); err != nil {
-		t.Errorf("the address is not free: %v", err)
+		t.Errorf("the address is still in use after Close: %v", err)
 	}
 }
 
