--- a/internal/consensus/boltstore.go
+++ b/internal/consensus/boltstore.go
@@ -59,7 +59,7 @@
 	return &BoltStore{db: db}, nil
 }
 
-// Close closes the file.
+// Close closes the log file.
 func (s *BoltStore) Close() error { return s.db.Close() }
 
 // Load implements LogStore. Its error wraps ErrCorrupt if the content of the file is invalid.
@@ -123,7 +123,7 @@
 			if err := putProtoMessage(meta, keySnapshot, snapshot); err != nil {
 				return err
 			}
-			if err := deleteEntries(tx.Bucket(bucketEntries), 0, snapshotIndex+1); err != nil {
+			if err := deleteEntryRange(tx.Bucket(bucketEntries), 0, snapshotIndex+1); err != nil {
 				return err
 			}
 		}
@@ -146,7 +146,7 @@
 	if len(entries) == 0 {
 		return nil
 	}
-	if err := deleteEntries(bucket, entries[0].GetIndex(), 0); err != nil {
+	if err := deleteEntryRange(bucket, entries[0].GetIndex(), 0); err != nil {
 		return err
 	}
 	for _, entry := range entries {
@@ -157,12 +157,13 @@
 	return nil
 }
 
-// deleteEntries deletes the entries with from <= index < before. There is no upper bound if before is 0.
-func deleteEntries(bucket *bbolt.Bucket, from, before uint64) error {
+// deleteEntryRange deletes the entries with firstIndex <= index < endIndex. There is no upper bound if endIndex is
+// 0.
+func deleteEntryRange(bucket *bbolt.Bucket, firstIndex, endIndex uint64) error {
 	var keys [][]byte
 	cursor := bucket.Cursor()
-	for key, _ := cursor.Seek(entryKey(from)); key != nil; key, _ = cursor.Next() {
-		if before > 0 && binary.BigEndian.Uint64(key) >= before {
+	for key, _ := cursor.Seek(entryKey(firstIndex)); key != nil; key, _ = cursor.Next() {
+		if endIndex > 0 && binary.BigEndian.Uint64(key) >= endIndex {
 			break
 		}
 		keys = append(keys, append([]byte(nil), key...))
--- a/internal/consensus/encoding_test.go
+++ b/internal/consensus/encoding_test.go
@@ -34,11 +34,11 @@
 // newGossipEncMode returns the CBOR encoder settings of package peers, which sends this package's messages.
 func newGossipEncMode(tb testing.TB) cbor.EncMode {
 	tb.Helper()
-	mode, err := cbor.EncOptions{Sort: cbor.SortNone, ShortestFloat: cbor.ShortestFloat16}.EncMode()
+	encMode, err := cbor.EncOptions{Sort: cbor.SortNone, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return mode
+	return encMode
 }
 
 // Values must be encoded to the same JSON and CBOR bytes as by the earlier build, whose fields had no tags, and
@@ -90,7 +90,7 @@
 	for _, name := range []string{"i0", "i1", "i2"} {
 		t.Run(name, func(t *testing.T) {
 			store := openStoredCopy(t, name)
-			stored := loadStoredLog(t, store)
+			storedLog := loadStoredLog(t, store)
 			node, err := New(0, Settings{
 				Self:         name,
 				Voters:       []string{"i0", "i1", "i2"},
@@ -100,8 +100,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if restored := encodeNodeState(t, node); !bytes.Equal(restored, stored.Snapshot.GetData()) {
-				t.Errorf("the snapshot is encoded as\n%s\nwant\n%s", restored, stored.Snapshot.GetData())
+			if restored := encodeNodeState(t, node); !bytes.Equal(restored, storedLog.Snapshot.GetData()) {
+				t.Errorf("the snapshot is encoded as\n%s\nwant\n%s", restored, storedLog.Snapshot.GetData())
 			}
 			node.Tick(0)
 			got := encodeNodeState(t, node)
@@ -117,17 +117,17 @@
 // in the same form, and that the snapshot is later than the bootstrap snapshot.
 func loadStoredLog(t *testing.T, store *BoltStore) StoredLog {
 	t.Helper()
-	stored, empty, err := store.Load()
+	storedLog, empty, err := store.Load()
 	if err != nil || empty {
 		t.Fatalf("empty %v, %v", empty, err)
 	}
-	if len(stored.Entries) == 0 || stored.Snapshot.GetMetadata().GetIndex() < 2 {
+	if len(storedLog.Entries) == 0 || storedLog.Snapshot.GetMetadata().GetIndex() < 2 {
 		t.Fatal("the file has no entries, or no snapshot after the bootstrap snapshot")
 	}
-	for _, entry := range stored.Entries {
+	for _, entry := range storedLog.Entries {
 		checkEntryEncoding(t, entry)
 	}
-	return stored
+	return storedLog
 }
 
 // encodeNodeState returns the JSON form of a node's replicated state.
@@ -173,8 +173,8 @@
 	if requests["night"] == nil || requests["disk"] == nil {
 		t.Fatal("the requests that the earlier build stored are missing")
 	}
-	release := maintenance.Command{Hold: &maintenance.Hold{Request: "disk"}}
-	if reply := c.submit("i3", release); reply.Error != "" {
+	releaseHold := maintenance.Command{Hold: &maintenance.Hold{Request: "disk"}}
+	if reply := c.submit("i3", releaseHold); reply.Error != "" {
 		t.Fatal(reply.Error)
 	}
 	if remaining := c.completeMaintenance(120e6); remaining != 0 {
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -33,14 +33,14 @@
 	nextReportAt      monotime.Micros       // when the next report is due
 	unansweredReports int                   // reports sent since the latest grant
 	outgoing          []Outgoing            // messages to other instances that TakeOutgoing has not returned yet
-	selfMessages      []Message             // messages from this instance to itself, which process handles
+	selfMessages      []Message             // messages from this instance to itself, which processPending handles
 
 	// Functions that provide the content of reports and proposals, see SetSources.
 	fleetStatus func() maintenance.FleetStatus // nil if this instance does not know the fleet's status
 	inFlight    func(machine string) int       // returns the number of requests in flight at a machine
 
 	// State of a voter and its raft log, see raftlog.go and voters.go.
-	store                  LogStore
+	logStore               LogStore
 	raftID                 uint64
 	rawNode                *raft.RawNode // nil while this instance has no vote
 	raftStorage            *raft.MemoryStorage
@@ -89,7 +89,7 @@
 		follower:               follower,
 		nextReportAt:           now,
 		inFlight:               func(string) int { return 0 },
-		store:                  store,
+		logStore:               store,
 		nextTickAt:             now,
 		votersWithoutLog:       map[string]bool{},
 		votersWithRaftMessages: map[string]bool{},
@@ -143,36 +143,36 @@
 		}
 		n.tickVoter()
 	}
-	n.process(now)
+	n.processPending(now)
 	if now >= n.nextReportAt {
 		n.sendReport(now)
-		n.process(now)
+		n.processPending(now)
 	}
 }
 
 // Receive handles a message from another instance.
 func (n *Node) Receive(now monotime.Micros, from string, m Message) {
 	defer n.recoverRaftPanic()
-	n.handle(now, from, m)
-	n.process(now)
+	n.dispatch(now, from, m)
+	n.processPending(now)
 }
 
-// process does the pending work of the leader and of raft, and then handles the messages from this instance to
-// itself, including those that are queued meanwhile.
-func (n *Node) process(now monotime.Micros) {
+// processPending does the pending work of the leader and of raft, and then handles the messages from this instance
+// to itself, including those that are queued meanwhile.
+func (n *Node) processPending(now monotime.Micros) {
 	n.runLeader(now)
 	n.handleReady(now)
 	for len(n.selfMessages) > 0 {
 		m := n.selfMessages[0]
 		n.selfMessages = n.selfMessages[1:]
-		n.handle(now, n.settings.Self, m)
+		n.dispatch(now, n.settings.Self, m)
 		n.runLeader(now)
 		n.handleReady(now)
 	}
 }
 
-// handle passes a message to the handler of its type.
-func (n *Node) handle(now monotime.Micros, from string, m Message) {
+// dispatch passes a message to the handler of its type.
+func (n *Node) dispatch(now monotime.Micros, from string, m Message) {
 	switch {
 	case m.Raft != nil:
 		n.stepRaft(from, m.Raft)
--- a/internal/consensus/operators.go
+++ b/internal/consensus/operators.go
@@ -50,7 +50,7 @@
 	switch {
 	case n.isLeader():
 		n.selfMessages = append(n.selfMessages, m)
-		n.process(now)
+		n.processPending(now)
 	case n.leader != "":
 		n.outgoing = append(n.outgoing, Outgoing{To: n.leader, Message: m})
 	default:
--- a/internal/consensus/raftlog.go
+++ b/internal/consensus/raftlog.go
@@ -27,7 +27,7 @@
 )
 
 // startRaft starts raft from a stored log. If that fails, this instance stops voting.
-func (n *Node) startRaft(stored StoredLog) (err error) {
+func (n *Node) startRaft(storedLog StoredLog) (err error) {
 	defer func() {
 		if panicValue := recover(); panicValue != nil { // see recoverRaftPanic
 			err = fmt.Errorf("%w: %v", ErrLogInconsistent, panicValue)
@@ -36,7 +36,7 @@
 			n.stopVoting(err)
 		}
 	}()
-	if err := n.loadRaftStorage(stored); err != nil {
+	if err := n.loadRaftStorage(storedLog); err != nil {
 		return err
 	}
 	rawNode, err := raft.NewRawNode(&raft.Config{
@@ -59,22 +59,22 @@
 }
 
 // loadRaftStorage loads a stored log into raft's memory storage, and the log's snapshot into the replicated state.
-func (n *Node) loadRaftStorage(stored StoredLog) error {
+func (n *Node) loadRaftStorage(storedLog StoredLog) error {
 	n.raftStorage = raft.NewMemoryStorage()
-	if stored.Snapshot.GetMetadata().GetIndex() > 0 {
-		if err := n.raftStorage.ApplySnapshot(stored.Snapshot); err != nil {
+	if storedLog.Snapshot.GetMetadata().GetIndex() > 0 {
+		if err := n.raftStorage.ApplySnapshot(storedLog.Snapshot); err != nil {
 			return fmt.Errorf("consensus: load the snapshot: %w", err)
 		}
-		if err := n.restoreSnapshot(stored.Snapshot); err != nil {
+		if err := n.restoreSnapshot(storedLog.Snapshot); err != nil {
 			return err
 		}
 	}
-	if stored.HardState != nil {
-		if err := n.raftStorage.SetHardState(stored.HardState); err != nil {
+	if storedLog.HardState != nil {
+		if err := n.raftStorage.SetHardState(storedLog.HardState); err != nil {
 			return fmt.Errorf("consensus: load the hard state: %w", err)
 		}
 	}
-	if err := n.raftStorage.Append(stored.Entries); err != nil {
+	if err := n.raftStorage.Append(storedLog.Entries); err != nil {
 		return fmt.Errorf("consensus: load the entries: %w", err)
 	}
 	return nil
@@ -95,7 +95,7 @@
 func (n *Node) handleReady(now monotime.Micros) {
 	for n.rawNode != nil && n.rawNode.HasReady() {
 		ready := n.rawNode.Ready()
-		if err := n.persist(ready); err != nil {
+		if err := n.persistReady(ready); err != nil {
 			n.stopVoting(err)
 			return
 		}
@@ -113,10 +113,10 @@
 	}
 }
 
-// persist stores raft's new entries, hard state and snapshot. A snapshot that was received from another voter
+// persistReady stores raft's new entries, hard state and snapshot. A snapshot that was received from another voter
 // replaces the replicated state.
-func (n *Node) persist(ready raft.Ready) error {
-	if err := n.store.Save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
+func (n *Node) persistReady(ready raft.Ready) error {
+	if err := n.logStore.Save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
 		return err
 	}
 	// MemoryStorage returns errors only for conditions that raft has excluded before.
@@ -216,7 +216,7 @@
 	if err != nil {
 		return
 	}
-	if err := n.store.Save(nil, nil, snapshot); err != nil {
+	if err := n.logStore.Save(nil, nil, snapshot); err != nil {
 		n.stopVoting(err)
 		return
 	}
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -41,7 +41,7 @@
 // bootstrapped.
 func (n *Node) startVoter(raftID uint64) error {
 	n.raftID = raftID
-	stored, empty, err := n.store.Load()
+	storedLog, empty, err := n.logStore.Load()
 	if err != nil {
 		n.voterErr = err
 		return fmt.Errorf("consensus: load the raft log: %w", err)
@@ -50,7 +50,7 @@
 		n.logMissing = true
 		return nil
 	}
-	return n.startRaft(stored)
+	return n.startRaft(storedLog)
 }
 
 // stopVoting ends the participation of this instance in raft and records the reason. The instance continues to
@@ -116,7 +116,7 @@
 		Metadata: &raftpb.SnapshotMetadata{ConfState: n.confState(), Index: proto.Uint64(1), Term: proto.Uint64(1)},
 	}
 	hardState := &raftpb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
-	if err := n.store.Save(hardState, nil, snapshot); err != nil {
+	if err := n.logStore.Save(hardState, nil, snapshot); err != nil {
 		n.stopVoting(err)
 		return
 	}
--- a/internal/eventlog/analyze.go
+++ b/internal/eventlog/analyze.go
@@ -33,7 +33,7 @@
 // FleetStats are the statistics of the events of a fleet. Durations and delays are in seconds.
 type FleetStats struct {
 	Instances, Endpoints int
-	Seconds              float64 // time from the first event to the last
+	DurationSeconds      float64 // time from the first event to the last
 
 	Attempts, Failures int
 	EventsPerSecond    map[Kind]Distribution // by kind: attempts, probes and new connections per second at one endpoint
@@ -82,7 +82,7 @@
 
 // attemptEvent is the start or the end of an attempt at an endpoint.
 type attemptEvent struct {
-	time     monotime.Micros
+	at       monotime.Micros
 	instance int
 	failed   bool // whether the attempt ended with a failure of the endpoint
 }
@@ -96,8 +96,8 @@
 	}
 	a := &analysis{
 		stats:          FleetStats{Instances: len(fleet), EventsPerSecond: map[Kind]Distribution{}},
-		start:          events[0].At,
-		end:            events[len(events)-1].At,
+		firstEventAt:   events[0].At,
+		lastEventAt:    events[len(events)-1].At,
 		endpoints:      map[string]*endpointHistory{},
 		endpointNames:  make([]map[string]string, len(fleet)),
 		pollsPerSecond: map[monotime.Micros]int{},
@@ -129,11 +129,11 @@
 // analysis is the intermediate state of Analyze.
 type analysis struct {
 	stats          FleetStats
-	start          monotime.Micros // time of the first event
-	end            monotime.Micros // time of the last event
+	firstEventAt   monotime.Micros
+	lastEventAt    monotime.Micros
 	endpoints      map[string]*endpointHistory
 	endpointNames  []map[string]string     // by instance: endpoint names by address
-	pollsPerSecond map[monotime.Micros]int // polls of all instances, by second since start
+	pollsPerSecond map[monotime.Micros]int // polls of all instances, by second since firstEventAt
 }
 
 // endpointHistory returns the history of an endpoint, and creates it if it does not exist.
@@ -170,9 +170,9 @@
 	case DiscoveryPolled:
 		a.stats.SuccessfulPolls += boolToInt(e.Status == statusOK)
 		a.stats.FailedPolls += boolToInt(e.Status != statusOK)
-		elapsed := (e.At - a.start) / second
-		a.pollsPerSecond[elapsed]++
-		a.stats.MaxPollsPerSecond = max(a.stats.MaxPollsPerSecond, a.pollsPerSecond[elapsed])
+		secondIndex := (e.At - a.firstEventAt) / second
+		a.pollsPerSecond[secondIndex]++
+		a.stats.MaxPollsPerSecond = max(a.stats.MaxPollsPerSecond, a.pollsPerSecond[secondIndex])
 	}
 }
 
@@ -226,7 +226,7 @@
 
 // fleetStats returns the statistics of all events that were added.
 func (a *analysis) fleetStats() FleetStats {
-	a.stats.Seconds = float64(a.end-a.start) / float64(second)
+	a.stats.DurationSeconds = float64(a.lastEventAt-a.firstEventAt) / float64(second)
 	a.stats.Endpoints = len(a.endpoints)
 	histories := make([]*endpointHistory, 0, len(a.endpoints))
 	for _, endpoint := range a.endpoints {
@@ -237,10 +237,10 @@
 	perSecond := map[Kind][]float64{}
 	for _, endpoint := range histories {
 		openConns = append(openConns, float64(endpoint.maxOpenConns))
-		activeFrom := max(a.start, endpoint.firstUpdateAt)
-		activeUntil := a.end
-		for _, t := range endpoint.removedAt {
-			activeUntil = min(activeUntil, t)
+		activeFrom := max(a.firstEventAt, endpoint.firstUpdateAt)
+		activeUntil := a.lastEventAt
+		for _, removedAt := range endpoint.removedAt {
+			activeUntil = min(activeUntil, removedAt)
 		}
 		for kind, times := range map[Kind][]monotime.Micros{
 			AttemptStarted: attemptTimes(endpoint.attemptStarts),
@@ -254,12 +254,12 @@
 	for kind, counts := range perSecond {
 		a.stats.EventsPerSecond[kind] = newDistribution(counts)
 	}
-	a.stats.Added, a.stats.Removed = newPropagation(histories, a.start)
+	a.stats.Added, a.stats.Removed = newPropagation(histories, a.firstEventAt)
 	a.stats.Faults = newFaultStats(histories)
 	return a.stats
 }
 
-// setFirstTime sets the time of an instance, unless the instance already has one.
+// setFirstTime records a time for an instance in firstTimes, unless the instance already has one.
 func setFirstTime(firstTimes map[int]monotime.Micros, instance int, at monotime.Micros) {
 	if _, ok := firstTimes[instance]; !ok {
 		firstTimes[instance] = at
@@ -277,28 +277,28 @@
 // attemptTimes returns the times of attempt events.
 func attemptTimes(attempts []attemptEvent) (times []monotime.Micros) {
 	for _, attempt := range attempts {
-		times = append(times, attempt.time)
+		times = append(times, attempt.at)
 	}
 	return times
 }
 
-// countPerSecond returns the number of the given times in each complete second between from and to.
-func countPerSecond(times []monotime.Micros, from, to monotime.Micros) []float64 {
-	seconds := int((to - from) / second)
+// countPerSecond returns the number of the given event times in each complete second between start and end.
+func countPerSecond(times []monotime.Micros, start, end monotime.Micros) []float64 {
+	seconds := int((end - start) / second)
 	if seconds <= 0 {
 		return nil
 	}
 	counts := make([]float64, seconds)
-	for _, t := range times {
-		if i := (t - from) / second; t >= from && int(i) < seconds {
-			counts[i]++
+	for _, eventTime := range times {
+		if secondIndex := (eventTime - start) / second; eventTime >= start && int(secondIndex) < seconds {
+			counts[secondIndex]++
 		}
 	}
 	return counts
 }
 
-// initialPeriod is the period after the first event in which an endpoint's first update does not count as an
-// addition: the endpoint is assumed to have existed before.
+// initialPeriod is the period after the first event of the log in which an endpoint's first update does not count
+// as an addition: the endpoint is assumed to have existed before.
 const initialPeriod = second
 
 // newPropagation returns the statistics of the endpoints that were added and of those that were removed.
@@ -330,9 +330,9 @@
 	for _, notifiedAt := range endpoint.addedAt {
 		s.notificationDelays = append(s.notificationDelays, float64(notifiedAt-endpoint.firstUpdateAt)/float64(second))
 	}
-	firstUses := map[int]monotime.Micros{} // by instance
+	firstUses := map[int]monotime.Micros{} // time of the first attempt, by instance
 	for _, attempt := range endpoint.attemptStarts {
-		setFirstTime(firstUses, attempt.instance, attempt.time)
+		setFirstTime(firstUses, attempt.instance, attempt.at)
 	}
 	for _, firstUseAt := range firstUses {
 		s.firstUseDelays = append(s.firstUseDelays, float64(firstUseAt-endpoint.firstUpdateAt)/float64(second))
@@ -358,7 +358,7 @@
 	staleFailures := 0
 	for _, attempt := range endpoint.attemptEnds {
 		notifiedAt, notified := endpoint.removedAt[attempt.instance]
-		stale := (!notified || attempt.time < notifiedAt) && attempt.time > firstRemovedAt-staleFailureWindow
+		stale := (!notified || attempt.at < notifiedAt) && attempt.at > firstRemovedAt-staleFailureWindow
 		staleFailures += boolToInt(attempt.failed && stale)
 	}
 	s.staleFailures = append(s.staleFailures, float64(staleFailures))
@@ -401,7 +401,7 @@
 // faultEpisode is a period in which a large fraction of the fleet's attempts at one endpoint failed.
 type faultEpisode struct {
 	firstFailureAt, lastFailureAt monotime.Micros
-	failures, lateFailures        int         // lateFailures are later than faultDetectionWindow after the first
+	failures, lateFailures        int         // lateFailures occur later than faultDetectionWindow after firstFailureAt
 	failuresByInstance            map[int]int // failures by index of the instance
 }
 
@@ -413,16 +413,16 @@
 			continue
 		}
 		episode := faultEpisode{
-			firstFailureAt:     attemptEnds[i].time,
-			lastFailureAt:      attemptEnds[i].time,
+			firstFailureAt:     attemptEnds[i].at,
+			lastFailureAt:      attemptEnds[i].at,
 			failuresByInstance: map[int]int{},
 		}
-		for ; i < len(attemptEnds) && attemptEnds[i].time < episode.lastFailureAt+faultEndDelay; i++ {
+		for ; i < len(attemptEnds) && attemptEnds[i].at < episode.lastFailureAt+faultEndDelay; i++ {
 			if attempt := attemptEnds[i]; attempt.failed {
-				episode.lastFailureAt = attempt.time
+				episode.lastFailureAt = attempt.at
 				episode.failures++
 				episode.failuresByInstance[attempt.instance]++
-				episode.lateFailures += boolToInt(attempt.time > episode.firstFailureAt+faultDetectionWindow)
+				episode.lateFailures += boolToInt(attempt.at > episode.firstFailureAt+faultDetectionWindow)
 			}
 		}
 		episodes = append(episodes, episode)
@@ -435,7 +435,7 @@
 	attempts := 0
 	failures := 0
 	for _, attempt := range attemptEnds {
-		if attempt.time > attemptEnds[0].time+faultDetectionWindow {
+		if attempt.at > attemptEnds[0].at+faultDetectionWindow {
 			break
 		}
 		attempts++
--- a/internal/eventlog/events.go
+++ b/internal/eventlog/events.go
@@ -129,8 +129,8 @@
 	return &Log{clock: clock, output: output}
 }
 
-// write writes the line of an event. It sets At to the present time if At is 0.
-func (l *Log) write(e Event) {
+// writeEvent writes the line of an event. It sets At to the present time if At is 0.
+func (l *Log) writeEvent(e Event) {
 	if e.At == 0 {
 		e.At = l.clock()
 	}
@@ -159,24 +159,24 @@
 
 // AttemptStarted writes that an attempt at an endpoint started.
 func (l *Log) AttemptStarted(now monotime.Micros, endpoint string) {
-	l.write(Event{At: now, Kind: AttemptStarted, Endpoint: endpoint})
+	l.writeEvent(Event{At: now, Kind: AttemptStarted, Endpoint: endpoint})
 }
 
 // AttemptEnded writes the status and latency of an attempt that ended.
 func (l *Log) AttemptEnded(now monotime.Micros, endpoint string, status balancer.Status, latency monotime.Micros) {
-	l.write(Event{At: now, Kind: AttemptEnded, Endpoint: endpoint, Status: statusNames[status], Latency: latency})
+	l.writeEvent(Event{At: now, Kind: AttemptEnded, Endpoint: endpoint, Status: statusNames[status], Latency: latency})
 }
 
 // ProbeEnded writes the status and latency of a probe that ended.
 func (l *Log) ProbeEnded(now monotime.Micros, endpoint string, status balancer.Status, latency monotime.Micros) {
-	l.write(Event{At: now, Kind: ProbeEnded, Endpoint: endpoint, Status: statusNames[status], Latency: latency})
+	l.writeEvent(Event{At: now, Kind: ProbeEnded, Endpoint: endpoint, Status: statusNames[status], Latency: latency})
 }
 
 // EndpointsUpdated writes one event for each endpoint in an update of the endpoint list. An endpoint that was
 // removed by its absence from a full list has no event.
 func (l *Log) EndpointsUpdated(now monotime.Micros, update engine.EndpointUpdate) {
 	for _, endpoint := range update.Endpoints {
-		l.write(Event{
+		l.writeEvent(Event{
 			At: now, Kind: EndpointUpdated, Endpoint: endpoint.Name, Addr: endpoint.Addr,
 			Status: stateNames[endpoint.State],
 		})
@@ -185,7 +185,7 @@
 
 // DiscoveryPolled writes whether a poll of endpoint discovery succeeded.
 func (l *Log) DiscoveryPolled(err error) {
-	l.write(Event{Kind: DiscoveryPolled, Status: outcomeStatus(err == nil)})
+	l.writeEvent(Event{Kind: DiscoveryPolled, Status: outcomeStatus(err == nil)})
 }
 
 // outcomeStatus returns the status of a connection or a poll.
@@ -199,9 +199,9 @@
 // ConnOpened writes whether a connection to an address was opened. It returns its arguments conn and err, but a TCP
 // connection is replaced by one that writes an event when it is closed.
 func (l *Log) ConnOpened(addr string, conn net.Conn, err error) (net.Conn, error) {
-	l.write(Event{Kind: ConnOpened, Endpoint: addr, Status: outcomeStatus(err == nil)})
+	l.writeEvent(Event{Kind: ConnOpened, Endpoint: addr, Status: outcomeStatus(err == nil)})
 	if tcp, ok := conn.(*net.TCPConn); ok && err == nil {
-		onClose := func() { l.write(Event{Kind: ConnClosed, Endpoint: addr}) }
+		onClose := func() { l.writeEvent(Event{Kind: ConnClosed, Endpoint: addr}) }
 		return &observedConn{TCPConn: tcp, onClose: sync.OnceFunc(onClose)}, nil
 	}
 	return conn, err
--- a/internal/eventlog/events_test.go
+++ b/internal/eventlog/events_test.go
@@ -14,8 +14,8 @@
 // Events that were written must be read back, even if the log contains other lines and a collector's timestamp
 // before each event. A malformed event must be an error that contains the line number.
 func TestEventsSurviveWriteAndRead(t *testing.T) {
-	var out bytes.Buffer
-	log := NewLog(&out, func() monotime.Micros { return 7 })
+	var written bytes.Buffer
+	log := NewLog(&written, func() monotime.Micros { return 7 })
 	log.AttemptStarted(1, "s 1")
 	log.AttemptEnded(2, "s-1", balancer.Reset, 55)
 	log.EndpointsUpdated(3, engine.EndpointUpdate{
@@ -25,8 +25,8 @@
 	if _, err := log.ConnOpened("1.2.3.4:5", nil, net.ErrClosed); err == nil {
 		t.Error("the error of a failed dial is not returned")
 	}
-	text := "time=x level=INFO msg=serving\n0.015 " + strings.ReplaceAll(out.String(), "\n", "\n0.1 ")
-	got, err := Read(strings.NewReader(text))
+	logText := "time=x level=INFO msg=serving\n0.015 " + strings.ReplaceAll(written.String(), "\n", "\n0.1 ")
+	got, err := Read(strings.NewReader(logText))
 	want := []Event{
 		{1, AttemptStarted, "s_1", "", "", 0},
 		{2, AttemptEnded, "s-1", "", "reset", 55},
@@ -53,27 +53,28 @@
 // Analyze must compute the statistics of two instances and three endpoints: "bad" fails most attempts for three
 // seconds, "comes" is added, and "goes" is removed but still used by an instance that is not notified yet.
 func TestAnalyze(t *testing.T) {
-	updated := func(at monotime.Micros, name, state string) Event {
+	newUpdate := func(at monotime.Micros, name, state string) Event {
 		return Event{At: at, Kind: EndpointUpdated, Endpoint: name, Addr: name + ":1", Status: state}
 	}
-	ended := func(at monotime.Micros, name, status string) Event {
+	newAttemptEnd := func(at monotime.Micros, name, status string) Event {
 		return Event{At: at, Kind: AttemptEnded, Endpoint: name, Status: status}
 	}
 	var firstInstance, secondInstance []Event
-	opened := Event{At: 2, Kind: ConnOpened, Endpoint: "bad:1", Status: "ok"}
-	closed := Event{At: 3, Kind: ConnClosed, Endpoint: "bad:1"}
-	firstInstance = append(firstInstance, updated(1, "bad", "ready"), updated(1, "goes", "ready"), opened)
-	secondInstance = append(secondInstance, updated(1, "bad", "ready"), updated(1, "goes", "ready"), opened, closed)
+	connOpened := Event{At: 2, Kind: ConnOpened, Endpoint: "bad:1", Status: "ok"}
+	connClosed := Event{At: 3, Kind: ConnClosed, Endpoint: "bad:1"}
+	firstInstance = append(firstInstance, newUpdate(1, "bad", "ready"), newUpdate(1, "goes", "ready"), connOpened)
+	secondInstance = append(secondInstance, newUpdate(1, "bad", "ready"), newUpdate(1, "goes", "ready"),
+		connOpened, connClosed)
 	for i := range monotime.Micros(6) {
-		firstInstance = append(firstInstance, ended(4*second+i*second/2, "bad", "error"))
+		firstInstance = append(firstInstance, newAttemptEnd(4*second+i*second/2, "bad", "error"))
 	}
-	secondInstance = append(secondInstance, ended(4*second+1, "bad", "error"), ended(4*second+2, "bad", "ok"),
-		ended(7*second, "goes", "reset"))
-	started := Event{At: 10 * second, Kind: AttemptStarted, Endpoint: "comes"}
-	firstInstance = append(firstInstance, updated(8*second, "goes", "gone"), updated(9*second, "comes", "ready"),
-		started)
-	secondInstance = append(secondInstance, updated(8*second+second/2, "goes", "gone"),
-		updated(9*second+second/4, "comes", "ready"))
+	secondInstance = append(secondInstance, newAttemptEnd(4*second+1, "bad", "error"),
+		newAttemptEnd(4*second+2, "bad", "ok"), newAttemptEnd(7*second, "goes", "reset"))
+	attemptStarted := Event{At: 10 * second, Kind: AttemptStarted, Endpoint: "comes"}
+	firstInstance = append(firstInstance, newUpdate(8*second, "goes", "gone"), newUpdate(9*second, "comes", "ready"),
+		attemptStarted)
+	secondInstance = append(secondInstance, newUpdate(8*second+second/2, "goes", "gone"),
+		newUpdate(9*second+second/4, "comes", "ready"))
 	stats := Analyze([][]Event{firstInstance, secondInstance})
 	faults := [...]float64{
 		stats.Faults.Failures.Max, stats.Faults.AffectedInstances.Max,
--- a/internal/eventlog/golden_test.go
+++ b/internal/eventlog/golden_test.go
@@ -46,8 +46,8 @@
 // renderGoldenEvents writes the events of goldenLogPath to a Log and returns the lines.
 func renderGoldenEvents(t *testing.T) []byte {
 	t.Helper()
-	var out bytes.Buffer
-	log := NewLog(&out, func() monotime.Micros { return 77 })
+	var written bytes.Buffer
+	log := NewLog(&written, func() monotime.Micros { return 77 })
 	log.AttemptStarted(1, "node-1")
 	log.AttemptStarted(2, "node with blanks")
 	outcomes := []balancer.Status{
@@ -72,7 +72,7 @@
 	conn, err := log.ConnOpened("10.0.0.1:80", &net.TCPConn{}, nil)
 	require.NoError(t, err)
 	conn.Close()
-	return out.Bytes()
+	return written.Bytes()
 }
 
 // Events in the log of an earlier build must be read as they were written.
--- a/internal/eventlog/report.go
+++ b/internal/eventlog/report.go
@@ -51,7 +51,7 @@
 			distribution.Max)
 	}
 	printLine("%d instances, %d endpoints, %.1f s: %d attempts, %d of them failed; %d connections could not be opened",
-		stats.Instances, stats.Endpoints, stats.Seconds, stats.Attempts, stats.Failures, stats.FailedDials)
+		stats.Instances, stats.Endpoints, stats.DurationSeconds, stats.Attempts, stats.Failures, stats.FailedDials)
 	printLine("discovery: %d successful polls, %d failed polls, %d polls in the busiest second",
 		stats.SuccessfulPolls, stats.FailedPolls, stats.MaxPollsPerSecond)
 	printLine("  %-58s %7s %9s %9s %9s", "", "n", "mean", "median", "max")
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -48,13 +48,13 @@
 	newLeaseMessage := func(kind lease.MessageKind) *lease.Message {
 		return &lease.Message{Kind: kind, Incarnation: term.Incarnation, Round: 17}
 	}
-	denied := newLeaseMessage(lease.VoteDenied)
-	denied.Holder = "instance-2"
-	denied.Remaining = 1_234_567
+	deniedVote := newLeaseMessage(lease.VoteDenied)
+	deniedVote.Holder = "instance-2"
+	deniedVote.Remaining = 1_234_567
 	messages := map[string]coordination.Message{
 		"lease-ask":        {Lease: newLeaseMessage(lease.VoteRequest)},
 		"lease-yes":        {Lease: newLeaseMessage(lease.VoteGranted)},
-		"lease-no":         {Lease: denied},
+		"lease-no":         {Lease: deniedVote},
 		"lease-drop":       {Lease: newLeaseMessage(lease.VoteReleased)},
 		"quota-ask":        {Request: leaseRequest, Observations: reported},
 		"quota-ask-empty":  {Request: &quota.LeaseRequest{Incarnation: 1, Sequence: 1}},
@@ -68,9 +68,9 @@
 			Aggregate:    aggregate,
 		},
 	}
-	raft := &consensus.Message{Raft: []byte{1, 2, 3}, Leader: "instance-0"}
+	raftMessage := &consensus.Message{Raft: []byte{1, 2, 3}, Leader: "instance-0"}
 	envelopes := map[string]envelope{
-		"consensus": {From: "instance-1", To: "instance-2", Consensus: raft},
+		"consensus": {From: "instance-1", To: "instance-2", Consensus: raftMessage},
 	}
 	for name, m := range messages {
 		envelopes[name] = envelope{From: "instance-1", To: "instance-2", Message: m}
@@ -125,12 +125,12 @@
 
 // The JSON form of members and message counters must not change, since operators' tools read it.
 func TestJSONForOperatorsKeepsItsForm(t *testing.T) {
-	for name, v := range map[string]any{
+	for name, value := range map[string]any{
 		"member.json": &Member{
 			Name: "instance-1", Address: "127.0.0.1:7", Alive: true, Since: time.Unix(1_700_000_000, 0).UTC(),
 		},
 		"figures.json": &Stats{Sent: 1, Received: 2, Bytes: 3, Dropped: 4, Malformed: 5},
 	} {
-		golden.CheckJSON(t, golden.Read(t, name), v)
+		golden.CheckJSON(t, golden.Read(t, name), value)
 	}
 }
--- a/internal/peers/membership.go
+++ b/internal/peers/membership.go
@@ -60,7 +60,7 @@
 // delegate is a Peers with the callbacks of memberlist.Delegate and memberlist.EventDelegate.
 type delegate Peers
 
-// NodeMeta implements memberlist.Delegate. Instances have no metadata.
+// NodeMeta implements memberlist.Delegate. Peers uses no node metadata.
 func (d *delegate) NodeMeta(int) []byte { return nil }
 
 // minusOne decrements an unsigned atomic counter when added to it.
@@ -86,13 +86,13 @@
 	}
 }
 
-// GetBroadcasts implements memberlist.Delegate. Instances have no broadcasts.
+// GetBroadcasts implements memberlist.Delegate. Peers uses no broadcasts.
 func (d *delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState implements memberlist.Delegate. Instances have no state to exchange.
+// LocalState implements memberlist.Delegate. Peers exchanges no state.
 func (d *delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState implements memberlist.Delegate. Instances have no state to exchange.
+// MergeRemoteState implements memberlist.Delegate. Peers exchanges no state.
 func (d *delegate) MergeRemoteState([]byte, bool) {}
 
 // NotifyJoin implements memberlist.EventDelegate. It records that an instance is alive.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -106,7 +106,7 @@
 		closing:       make(chan struct{}),
 		members:       map[string]*Member{},
 	}
-	if err := p.listen(); err != nil {
+	if err := p.createMemberlist(); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
 	p.goroutines.Go(p.deliverReceived)
@@ -115,8 +115,8 @@
 	return p, nil
 }
 
-// listen creates the memberlist, which listens on Options.Address.
-func (p *Peers) listen() error {
+// createMemberlist creates the memberlist, which listens on Options.Address.
+func (p *Peers) createMemberlist() error {
 	host, portText, err := net.SplitHostPort(p.options.Address)
 	if err != nil {
 		return err
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -73,20 +73,20 @@
 	defer b.Close(false)
 	defer c.Close(false)
 	waitUntil(t, "a and b do not discover each other", func() bool { return knowsAlive(a, "b") && knowsAlive(b, "a") })
-	small := coordination.Message{Request: &quota.LeaseRequest{
+	smallMessage := coordination.Message{Request: &quota.LeaseRequest{
 		Incarnation: 1, Sequence: 2, Demands: []quota.Demand{{Budget: "x", Requested: 1.5, Held: 3}},
 	}}
-	large := coordination.Message{Request: small.Request, Observations: &observations.Observations{}}
+	largeMessage := coordination.Message{Request: smallMessage.Request, Observations: &observations.Observations{}}
 	for i := range 200 {
 		outcome := observations.OutcomeCount{Endpoint: fmt.Sprint("endpoint-", i), Succeeded: float64(i)}
-		large.Observations.Outcomes = append(large.Observations.Outcomes, outcome)
+		largeMessage.Observations.Outcomes = append(largeMessage.Observations.Outcomes, outcome)
 	}
-	for _, sent := range []coordination.Message{small, large} {
-		b.Send("a", sent)
+	for _, sentMessage := range []coordination.Message{smallMessage, largeMessage} {
+		b.Send("a", sentMessage)
 		select {
 		case got := <-received:
-			if got.from != "b" || fmt.Sprint(got.message.Request.Demands) != fmt.Sprint(sent.Request.Demands) ||
-				sent.Observations != nil && len(got.message.Observations.Outcomes) != 200 {
+			if got.from != "b" || fmt.Sprint(got.message.Request.Demands) != fmt.Sprint(sentMessage.Request.Demands) ||
+				sentMessage.Observations != nil && len(got.message.Observations.Outcomes) != 200 {
 				t.Errorf("received %+v", got)
 			}
 		case <-time.After(20 * time.Second):
--- a/internal/peers/queue.go
+++ b/internal/peers/queue.go
@@ -46,12 +46,12 @@
 func (p *Peers) deliverReceived() {
 	for {
 		select {
-		case e := <-p.receivedQueue:
+		case received := <-p.receivedQueue:
 			switch {
-			case e.Consensus == nil:
-				p.options.HandleMessage(e.From, e.Message)
+			case received.Consensus == nil:
+				p.options.HandleMessage(received.From, received.Message)
 			case p.options.HandleConsensus != nil:
-				p.options.HandleConsensus(e.From, *e.Consensus)
+				p.options.HandleConsensus(received.From, *received.Consensus)
 			}
 		case <-p.closing:
 			return
@@ -64,8 +64,8 @@
 func (p *Peers) transmitQueued() {
 	for {
 		select {
-		case o := <-p.outgoingQueue:
-			p.transmit(o)
+		case m := <-p.outgoingQueue:
+			p.transmit(m)
 		case <-p.closing:
 			p.transmitRemaining()
 			return
@@ -77,8 +77,8 @@
 func (p *Peers) transmitRemaining() {
 	for {
 		select {
-		case o := <-p.outgoingQueue:
-			p.transmit(o)
+		case m := <-p.outgoingQueue:
+			p.transmit(m)
 		default:
 			return
 		}
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -23,23 +23,23 @@
 	return address
 }
 
-// WriteTo implements memberlist.Transport.
+// WriteTo implements memberlist.Transport. It sends a packet to the dialAddress of an address.
 func (t *transport) WriteTo(packet []byte, address string) (time.Time, error) {
 	return t.NetTransport.WriteTo(packet, t.dialAddress(address))
 }
 
-// WriteToAddress implements memberlist.NodeAwareTransport.
+// WriteToAddress implements memberlist.NodeAwareTransport. It sends a packet to the dialAddress of an address.
 func (t *transport) WriteToAddress(packet []byte, address memberlist.Address) (time.Time, error) {
 	address.Addr = t.dialAddress(address.Addr)
 	return t.NetTransport.WriteToAddress(packet, address)
 }
 
-// DialTimeout implements memberlist.Transport.
+// DialTimeout implements memberlist.Transport. It connects to the dialAddress of an address.
 func (t *transport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	return t.NetTransport.DialTimeout(t.dialAddress(address), timeout)
 }
 
-// DialAddressTimeout implements memberlist.NodeAwareTransport.
+// DialAddressTimeout implements memberlist.NodeAwareTransport. It connects to the dialAddress of an address.
 func (t *transport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	address.Addr = t.dialAddress(address.Addr)
 	return t.NetTransport.DialAddressTimeout(address, timeout)
