--- a/internal/consensus/boltstore.go
+++ b/internal/consensus/boltstore.go
@@ -15,27 +15,30 @@
 // BoltStore is a LogStore in a file of go.etcd.io/bbolt, whose transactions are atomic and durable. It is safe for
 // concurrent use. The caller of OpenBoltStore must close it.
 //
-// The file has the form of earlier builds: a bucket "meta" with the keys "hard" and "snapshot", and a bucket
-// "entries" with each entry under its index (8 bytes, big endian); all values are in raft's protocol buffers.
+// The file format is the same as in earlier builds: a bucket "meta" with the keys "hard" and "snapshot", and a
+// bucket "entries" in which the key of each entry is its index (8 bytes, big endian). All values are encoded as
+// raft's protocol buffers.
 type BoltStore struct{ db *bbolt.DB }
 
-// ErrCorrupt is wrapped by errors of a file whose content is invalid.
+// ErrCorrupt is wrapped by the errors of Load for a file with invalid content.
 var ErrCorrupt = errors.New("corrupt raft log file")
 
 var (
+	// Names of the buckets and keys in the file. They must not change, since stored files contain them.
 	bucketMeta    = []byte("meta")
 	bucketEntries = []byte("entries")
 	keyHardState  = []byte("hard")
 	keySnapshot   = []byte("snapshot")
 )
 
-// openTimeout is the time for which OpenBoltStore waits for another process that has the file open.
+// openTimeout is the time for which OpenBoltStore waits while another process has the file open.
 const openTimeout = 2 * time.Second
 
-// fileMode lets only the process's user read and write the file.
+// fileMode allows only the user of the process to read and write the file.
 const fileMode = 0o600
 
-// OpenBoltStore opens a file, and creates it if it does not exist. Only one process may have it open.
+// OpenBoltStore opens a log file, and creates it if it does not exist. Only one process at a time can have the file
+// open.
 func OpenBoltStore(path string) (*BoltStore, error) {
 	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: openTimeout})
 	if err != nil {
@@ -50,32 +53,32 @@
 		return nil
 	})
 	if err != nil {
-		_ = db.Close() // the earlier error is the cause
+		_ = db.Close() // the returned error is the cause, so a failure to close is ignored
 		return nil, fmt.Errorf("consensus: create the buckets of %s: %w", path, err)
 	}
 	return &BoltStore{db: db}, nil
 }
 
-// Close closes the file.
+// Close closes the log file.
 func (s *BoltStore) Close() error { return s.db.Close() }
 
-// Load returns the stored log. Its error wraps ErrCorrupt if the content is invalid.
+// Load implements LogStore. Its error wraps ErrCorrupt if the content of the file is invalid.
 func (s *BoltStore) Load() (stored StoredLog, empty bool, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
-		snapshot := meta.Get(keySnapshot)
-		if snapshot == nil {
+		encodedSnapshot := meta.Get(keySnapshot)
+		if encodedSnapshot == nil {
 			empty = true
 			return nil
 		}
 		stored.Snapshot = &raftpb.Snapshot{}
-		if proto.Unmarshal(snapshot, stored.Snapshot) != nil {
-			return fmt.Errorf("%w: its snapshot", ErrCorrupt)
+		if proto.Unmarshal(encodedSnapshot, stored.Snapshot) != nil {
+			return fmt.Errorf("%w: invalid snapshot", ErrCorrupt)
 		}
-		if hard := meta.Get(keyHardState); hard != nil {
+		if encodedHardState := meta.Get(keyHardState); encodedHardState != nil {
 			stored.HardState = &raftpb.HardState{}
-			if proto.Unmarshal(hard, stored.HardState) != nil {
-				return fmt.Errorf("%w: its hard state", ErrCorrupt)
+			if proto.Unmarshal(encodedHardState, stored.HardState) != nil {
+				return fmt.Errorf("%w: invalid hard state", ErrCorrupt)
 			}
 		}
 		var err error
@@ -85,21 +88,22 @@
 	return stored, empty, err
 }
 
-// loadEntries returns the entries after an index, or an error that wraps ErrCorrupt if one is invalid or missing.
-func loadEntries(bucket *bbolt.Bucket, after uint64) ([]*raftpb.Entry, error) {
+// loadEntries returns the stored entries after the index of the snapshot. Its error wraps ErrCorrupt if an entry is
+// invalid or missing.
+func loadEntries(bucket *bbolt.Bucket, snapshotIndex uint64) ([]*raftpb.Entry, error) {
 	var entries []*raftpb.Entry
-	last := after
+	lastIndex := snapshotIndex
 	err := bucket.ForEach(func(key, value []byte) error {
 		entry := &raftpb.Entry{}
 		if proto.Unmarshal(value, entry) != nil || !bytes.Equal(key, entryKey(entry.GetIndex())) {
-			return fmt.Errorf("%w: an entry", ErrCorrupt)
+			return fmt.Errorf("%w: invalid entry", ErrCorrupt)
 		}
-		if entry.GetIndex() <= last {
-			return nil // it is in the snapshot
+		if entry.GetIndex() <= lastIndex {
+			return nil // the snapshot contains this entry
 		}
-		last++
-		if entry.GetIndex() != last {
-			return fmt.Errorf("%w: entry %d is missing", ErrCorrupt, last)
+		lastIndex++
+		if entry.GetIndex() != lastIndex {
+			return fmt.Errorf("%w: entry %d is missing", ErrCorrupt, lastIndex)
 		}
 		entries = append(entries, entry)
 		return nil
@@ -107,24 +111,24 @@
 	return entries, err
 }
 
-// Save stores its arguments in one transaction.
-func (s *BoltStore) Save(hard *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
+// Save implements LogStore. It stores its arguments in one transaction.
+func (s *BoltStore) Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	snapshotIndex := snapshot.GetMetadata().GetIndex()
-	if hard == nil && len(entries) == 0 && snapshotIndex == 0 {
+	if hardState == nil && len(entries) == 0 && snapshotIndex == 0 {
 		return nil
 	}
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
 		if snapshotIndex > 0 {
-			if err := putMessage(meta, keySnapshot, snapshot); err != nil {
+			if err := putProtoMessage(meta, keySnapshot, snapshot); err != nil {
 				return err
 			}
-			if err := deleteEntries(tx.Bucket(bucketEntries), 0, snapshotIndex+1); err != nil {
+			if err := deleteEntryRange(tx.Bucket(bucketEntries), 0, snapshotIndex+1); err != nil {
 				return err
 			}
 		}
-		if hard != nil {
-			if err := putMessage(meta, keyHardState, hard); err != nil {
+		if hardState != nil {
+			if err := putProtoMessage(meta, keyHardState, hardState); err != nil {
 				return err
 			}
 		}
@@ -136,34 +140,35 @@
 	return nil
 }
 
-// replaceEntries stores entries in place of all stored ones from the first one's index on, which are an earlier
-// leader's.
+// replaceEntries stores entries in place of all stored entries from the index of the first new entry on. Stored
+// entries at these indexes were proposed by an earlier leader and not committed.
 func replaceEntries(bucket *bbolt.Bucket, entries []*raftpb.Entry) error {
 	if len(entries) == 0 {
 		return nil
 	}
-	if err := deleteEntries(bucket, entries[0].GetIndex(), 0); err != nil {
+	if err := deleteEntryRange(bucket, entries[0].GetIndex(), 0); err != nil {
 		return err
 	}
 	for _, entry := range entries {
-		if err := putMessage(bucket, entryKey(entry.GetIndex()), entry); err != nil {
+		if err := putProtoMessage(bucket, entryKey(entry.GetIndex()), entry); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// deleteEntries deletes the entries from an index on and before another one; 0 is no bound.
-func deleteEntries(bucket *bbolt.Bucket, from, before uint64) error {
+// deleteEntryRange deletes the entries with firstIndex <= index < endIndex. There is no upper bound if endIndex is
+// 0.
+func deleteEntryRange(bucket *bbolt.Bucket, firstIndex, endIndex uint64) error {
 	var keys [][]byte
 	cursor := bucket.Cursor()
-	for key, _ := cursor.Seek(entryKey(from)); key != nil; key, _ = cursor.Next() {
-		if before > 0 && binary.BigEndian.Uint64(key) >= before {
+	for key, _ := cursor.Seek(entryKey(firstIndex)); key != nil; key, _ = cursor.Next() {
+		if endIndex > 0 && binary.BigEndian.Uint64(key) >= endIndex {
 			break
 		}
 		keys = append(keys, append([]byte(nil), key...))
 	}
-	// A bucket must not be changed while a cursor is in use.
+	// A bucket must not be modified while a cursor iterates over it.
 	for _, key := range keys {
 		if err := bucket.Delete(key); err != nil {
 			return err
@@ -172,11 +177,11 @@
 	return nil
 }
 
-// entryKey returns the key of the entry at an index.
+// entryKey returns the key of the entry at an index in bucketEntries.
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// putMessage stores a message of raft under a key.
-func putMessage(bucket *bbolt.Bucket, key []byte, m proto.Message) error {
+// putProtoMessage stores the encoded form of a protocol buffer message under a key.
+func putProtoMessage(bucket *bbolt.Bucket, key []byte, m proto.Message) error {
 	encoded, err := proto.Marshal(m)
 	if err != nil {
 		return err
--- a/internal/consensus/encoding_test.go
+++ b/internal/consensus/encoding_test.go
@@ -16,13 +16,13 @@
 	"dunlinsail/internal/monotime"
 )
 
-// The files under testdata/encoded and testdata/stored were written by the build of commit 870f4ac, before these
-// structures had tags. They have the form of what a voter of that build sends, stores and shows to operators, and must
-// never be rewritten.
+// The files under testdata/encoded and testdata/stored were written by the build of commit 870f4ac, before the
+// fields of these structures had tags. They contain the encoded forms that a voter of that build sends, stores and
+// shows to operators, and must never be rewritten. The comments and tests below call that build the earlier build.
 
-// encoded returns an empty value of each type that is sent between instances, stored in the log, or part of an
-// operator's call.
-func encoded() map[string]any {
+// emptyEncodedValues returns an empty value of each type that is sent between instances, stored in the log, or part
+// of an operator's call. The keys are the names of the files under testdata/encoded.
+func emptyEncodedValues() map[string]any {
 	return map[string]any{
 		"word":  &Message{},
 		"entry": &logEntry{},
@@ -31,65 +31,66 @@
 	}
 }
 
-// gossipEncoding returns the encoding of package peers, which sends the messages.
-func gossipEncoding(tb testing.TB) cbor.EncMode {
+// newGossipEncMode returns the CBOR encoder settings of package peers, which sends this package's messages.
+func newGossipEncMode(tb testing.TB) cbor.EncMode {
 	tb.Helper()
-	mode, err := cbor.EncOptions{Sort: cbor.SortNone, ShortestFloat: cbor.ShortestFloat16}.EncMode()
+	encMode, err := cbor.EncOptions{Sort: cbor.SortNone, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return mode
+	return encMode
 }
 
-// A stored or sent structure is encoded to the same bytes as by the build before its fields had tags, in JSON and in
-// CBOR, and each field is decoded from those bytes.
+// Values must be encoded to the same JSON and CBOR bytes as by the earlier build, whose fields had no tags, and
+// those bytes must be decoded to the same values without unknown fields.
 func TestEncodedFormIsThatOfTheBuildBefore(t *testing.T) {
-	for name, empty := range encoded() {
-		for _, form := range []string{"empty", "filled"} {
-			value := reflect.New(reflect.TypeOf(empty).Elem()).Interface()
-			if form == "filled" {
+	for name, emptyValue := range emptyEncodedValues() {
+		for _, content := range []string{"empty", "filled"} {
+			value := reflect.New(reflect.TypeOf(emptyValue).Elem()).Interface()
+			if content == "filled" {
 				golden.Fill(t, value)
 			}
-			t.Run(name+"/"+form+"/json", func(t *testing.T) {
-				golden.CheckJSON(t, golden.ReadLine(t, "encoded", name+"."+form+".json"), value)
+			t.Run(name+"/"+content+"/json", func(t *testing.T) {
+				golden.CheckJSON(t, golden.ReadLine(t, "encoded", name+"."+content+".json"), value)
 			})
-			t.Run(name+"/"+form+"/cbor", func(t *testing.T) {
-				checkCBOR(t, golden.Read(t, "encoded", name+"."+form+".cbor"), value)
+			t.Run(name+"/"+content+"/cbor", func(t *testing.T) {
+				checkCBOR(t, golden.Read(t, "encoded", name+"."+content+".cbor"), value)
 			})
 		}
 	}
 }
 
-// checkCBOR checks that a value is encoded to the wanted bytes, and decoded from them without unknown fields.
+// checkCBOR checks that a value is encoded to the wanted bytes, and that these are decoded to the value without
+// unknown fields.
 func checkCBOR(t *testing.T, want []byte, value any) {
 	t.Helper()
-	strict, err := cbor.DecOptions{ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
+	strictDecMode, err := cbor.DecOptions{ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := gossipEncoding(t).Marshal(value)
+	got, err := newGossipEncMode(t).Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("encoded as\n%q\nthe build before has\n%q", got, want)
+		t.Errorf("encoded as\n%q\nwant, as by the earlier build\n%q", got, want)
 	}
-	back := reflect.New(reflect.TypeOf(value).Elem()).Interface()
-	if err := strict.Unmarshal(want, back); err != nil {
+	decoded := reflect.New(reflect.TypeOf(value).Elem()).Interface()
+	if err := strictDecMode.Unmarshal(want, decoded); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(back, value) {
-		t.Errorf("decoded as\n%+v\nit was\n%+v", back, value)
+	if !reflect.DeepEqual(decoded, value) {
+		t.Errorf("decoded as\n%+v\nwant\n%+v", decoded, value)
 	}
 }
 
-// A voter that is started on a file of the earlier build has the state that a voter of that build had, and would store
-// the same bytes.
+// A voter that opens a log file of the earlier build must restore the state that a voter of the earlier build had,
+// and must encode its snapshot and entries to the same bytes.
 func TestVoterGoesOnFromAFileOfTheBuildBefore(t *testing.T) {
 	for _, name := range []string{"i0", "i1", "i2"} {
 		t.Run(name, func(t *testing.T) {
-			store := openStored(t, name)
-			stored := loadStored(t, store)
+			store := openStoredCopy(t, name)
+			storedLog := loadStoredLog(t, store)
 			node, err := New(0, Settings{
 				Self:         name,
 				Voters:       []string{"i0", "i1", "i2"},
@@ -99,99 +100,100 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if restored := encodeState(t, node); !bytes.Equal(restored, stored.Snapshot.GetData()) {
-				t.Errorf("the snapshot is encoded as\n%s\nit was\n%s", restored, stored.Snapshot.GetData())
+			if restored := encodeNodeState(t, node); !bytes.Equal(restored, storedLog.Snapshot.GetData()) {
+				t.Errorf("the snapshot is encoded as\n%s\nwant\n%s", restored, storedLog.Snapshot.GetData())
 			}
 			node.Tick(0)
-			got := encodeState(t, node)
+			got := encodeNodeState(t, node)
 			want := golden.ReadLine(t, "stored", "voter-"+name+".state.json")
 			if !bytes.Equal(got, want) {
-				t.Errorf("the state is\n%s\nby the build before it was\n%s", got, want)
+				t.Errorf("the state is\n%s\nwant, as by the earlier build\n%s", got, want)
 			}
 		})
 	}
 }
 
-// loadStored returns the log of a store, and checks that it has entries in this build's form and a later snapshot than
-// the first.
-func loadStored(t *testing.T, store *BoltStore) StoredLog {
+// loadStoredLog returns the log of a store. It checks that the log contains entries, that this build encodes them
+// in the same form, and that the snapshot is later than the bootstrap snapshot.
+func loadStoredLog(t *testing.T, store *BoltStore) StoredLog {
 	t.Helper()
-	stored, empty, err := store.Load()
+	storedLog, empty, err := store.Load()
 	if err != nil || empty {
 		t.Fatalf("empty %v, %v", empty, err)
 	}
-	if len(stored.Entries) == 0 || stored.Snapshot.GetMetadata().GetIndex() < 2 {
-		t.Fatal("the file has no entries, or no snapshot but the first")
+	if len(storedLog.Entries) == 0 || storedLog.Snapshot.GetMetadata().GetIndex() < 2 {
+		t.Fatal("the file has no entries, or no snapshot after the bootstrap snapshot")
 	}
-	for _, entry := range stored.Entries {
-		checkEntryForm(t, entry)
+	for _, entry := range storedLog.Entries {
+		checkEntryEncoding(t, entry)
 	}
-	return stored
+	return storedLog
 }
 
-// encodeState returns the JSON of a node's state.
-func encodeState(t *testing.T, node *Node) []byte {
+// encodeNodeState returns the JSON form of a node's replicated state.
+func encodeNodeState(t *testing.T, node *Node) []byte {
 	t.Helper()
-	text, err := json.Marshal(node.State())
+	encodedState, err := json.Marshal(node.State())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return text
+	return encodedState
 }
 
-// checkEntryForm checks that this build encodes an entry of the log to the same bytes as the earlier build.
-func checkEntryForm(t *testing.T, stored *raftpb.Entry) {
+// checkEntryEncoding checks that this build encodes an entry of the log to the same bytes as the earlier build.
+func checkEntryEncoding(t *testing.T, raftEntry *raftpb.Entry) {
 	t.Helper()
-	if len(stored.GetData()) == 0 {
-		return // an entry of raft itself
+	if len(raftEntry.GetData()) == 0 {
+		return // raft appends an entry without data at the start of a term
 	}
 	var entry logEntry
-	golden.DecodeJSON(t, stored.GetData(), &entry)
-	if text, err := json.Marshal(entry); err != nil || !bytes.Equal(text, stored.GetData()) {
-		t.Errorf("entry %d is encoded as\n%s\nit was\n%s", stored.GetIndex(), text, stored.GetData())
+	golden.DecodeJSON(t, raftEntry.GetData(), &entry)
+	if encodedEntry, err := json.Marshal(entry); err != nil || !bytes.Equal(encodedEntry, raftEntry.GetData()) {
+		t.Errorf("entry %d is encoded as\n%s\nwant\n%s", raftEntry.GetIndex(), encodedEntry, raftEntry.GetData())
 	}
 }
 
-// Three voters on files of the earlier build elect a leader and complete the maintenance that was requested there.
+// Three voters that open log files of the earlier build must elect a leader and complete the maintenance that was
+// requested under that build.
 func TestFleetGoesOnFromFilesOfTheBuildBefore(t *testing.T) {
 	c := newCluster(t, 1, 4)
-	for _, p := range c.instances[:3] {
+	for _, inst := range c.instances[:3] {
 		c.incarnations++
-		node, err := New(p.clock(c.now), c.settingsOf(p), c.incarnations, openStored(t, p.name))
+		node, err := New(inst.localTime(c.now), c.nodeSettings(inst), c.incarnations, openStoredCopy(t, inst.name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.attach(p, node)
+		c.attachNode(inst, node)
 	}
-	c.run(5e6)
-	if c.furthest == nil {
+	c.runFor(5e6)
+	if c.mostApplied == nil {
 		t.Fatal("no voter has a log")
 	}
-	requests := c.furthest.node.State().Requests
+	requests := c.mostApplied.node.State().Requests
 	if requests["night"] == nil || requests["disk"] == nil {
-		t.Fatal("the requests of the build before are not known")
+		t.Fatal("the requests that the earlier build stored are missing")
 	}
-	release := maintenance.Command{Hold: &maintenance.Hold{Request: "disk"}}
-	if reply := c.submit("i3", release); reply.Error != "" {
+	releaseHold := maintenance.Command{Hold: &maintenance.Hold{Request: "disk"}}
+	if reply := c.submit("i3", releaseHold); reply.Error != "" {
 		t.Fatal(reply.Error)
 	}
-	if left := c.finish(120e6); left != 0 {
-		t.Errorf("%d are left: %+v", left, c.furthest.node.State().Machines)
+	if remaining := c.completeMaintenance(120e6); remaining != 0 {
+		t.Errorf("%d machines remain in the plan: %+v", remaining, c.mostApplied.node.State().Machines)
 	}
 }
 
-// openStored opens a copy of the file of a voter of the earlier build.
-func openStored(tb testing.TB, name string) *BoltStore {
+// openStoredCopy opens a copy of the log file of a voter of the earlier build.
+func openStoredCopy(tb testing.TB, name string) *BoltStore {
 	tb.Helper()
-	text := golden.Read(tb, "stored", "voter-"+name+".bolt")
+	content := golden.Read(tb, "stored", "voter-"+name+".bolt")
 	path := filepath.Join(tb.TempDir(), "log")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	if err := os.WriteFile(path, content, 0o600); err != nil {
 		tb.Fatal(err)
 	}
 	store, err := OpenBoltStore(path)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(func() { closeStore(tb, store) })
+	tb.Cleanup(func() { closeBoltStore(tb, store) })
 	return store
 }
--- a/internal/consensus/operators.go
+++ b/internal/consensus/operators.go
@@ -8,35 +8,39 @@
 	"dunlinsail/internal/monotime"
 )
 
-// This file sends operators' requests from any instance to the leader, and its replies back.
+// This file forwards operators' requests from the instance at which they are submitted to the leader, and the
+// leader's replies back to that instance.
 
-// operatorCall identifies an operator's request that awaits a reply.
+// operatorCall identifies an operator's request to which the leader has not replied yet.
 type operatorCall struct {
-	from   string // the instance where the operator called
-	number uint64 // of the request
+	callingInstance string // instance at which the request was submitted
+	requestNumber   uint64 // OperatorRequest.Number
 }
 
-// Submit sends an operator's command to the leader and returns the number by which TakeReply returns the reply. There
-// may be no reply, because there is no leader or a message is lost. The caller may then submit the command again: the
-// id of a request is an idempotency key.
+// Submit sends an operator's command to the leader and returns the number with which TakeReply finds the reply. No
+// reply arrives if there is no leader or a message is lost. The caller may then submit the command again: the id of
+// the maintenance request serves as an idempotency key.
 func (n *Node) Submit(now monotime.Micros, command maintenance.Command) (number uint64) {
 	return n.sendOperatorRequest(now, OperatorRequest{Command: command})
 }
 
-// RequestView requests the leader's View. TakeReply returns the reply, as for Submit.
+// RequestView requests the View from the leader and returns the number with which TakeReply finds the reply. As for
+// Submit, the reply may be lost.
 func (n *Node) RequestView(now monotime.Micros) (number uint64) {
 	return n.sendOperatorRequest(now, OperatorRequest{View: true})
 }
 
-// TakeReply returns the reply to a request, once; ok is false if it has not arrived.
+// TakeReply returns the reply to the request with the given number, and removes it. ok is false if the reply has
+// not arrived or was taken before.
 func (n *Node) TakeReply(number uint64) (reply OperatorReply, ok bool) {
-	reply, ok = n.replies[number]
-	delete(n.replies, number)
+	reply, ok = n.receivedReplies[number]
+	delete(n.receivedReplies, number)
 	return reply, ok
 }
 
-// sendOperatorRequest sends a request to the leader, or to all voters if the leader is unknown. number is a named
-// result, so that it is returned even if raft panics.
+// sendOperatorRequest sends a request to the leader, or to all voters if the leader is unknown, and returns the
+// request's number. The result is named so that the number is returned even if raft panics and recoverRaftPanic
+// recovers.
 func (n *Node) sendOperatorRequest(now monotime.Micros, request OperatorRequest) (number uint64) {
 	defer n.recoverRaftPanic()
 	n.lastNumber++
@@ -45,8 +49,8 @@
 	m := Message{OperatorRequest: &request}
 	switch {
 	case n.isLeader():
-		n.toSelf = append(n.toSelf, m)
-		n.process(now)
+		n.selfMessages = append(n.selfMessages, m)
+		n.processPending(now)
 	case n.leader != "":
 		n.outgoing = append(n.outgoing, Outgoing{To: n.leader, Message: m})
 	default:
@@ -55,52 +59,54 @@
 	return number
 }
 
-// handleOperatorRequest replies to a request for the View, or proposes a command, whose reply follows when it is
-// applied. A voter that does not lead replies with the leader's name.
+// handleOperatorRequest replies to a request for the View, or proposes the operator's command. The reply to a
+// command is sent when its entry is applied. A voter that does not lead replies with the leader's name.
 func (n *Node) handleOperatorRequest(now monotime.Micros, from string, request OperatorRequest) {
 	if !n.isLeader() || n.term == nil {
 		n.sendLeader(from)
 		return
 	}
 	if request.View {
-		reply := OperatorReply{Number: request.Number, View: n.view(now)}
+		reply := OperatorReply{Number: request.Number, View: n.buildView(now)}
 		n.send(from, Message{OperatorReply: &reply})
 		return
 	}
 	if proposalID, ok := n.propose(now, request.Command); ok {
-		n.proposers[proposalID] = operatorCall{from: from, number: request.Number}
+		n.pendingCalls[proposalID] = operatorCall{callingInstance: from, requestNumber: request.Number}
 	}
 }
 
-// silentLeases is the time without a report, in lease durations, after which operators see an instance as silent.
-const silentLeases = 4
+// silentAfterLeases is the time without a report, in lease durations, after which the View lists an instance as
+// silent.
+const silentAfterLeases = 4
 
-// view returns the View of this instance, which leads.
-func (n *Node) view(now monotime.Micros) *View {
-	x := n.state
-	silentAfter := silentLeases * n.settings.Maintenance.LeaseDuration
-	v := &View{
+// buildView returns the View. It must be called only while this instance leads.
+func (n *Node) buildView(now monotime.Micros) *View {
+	state := n.state
+	silentAfter := silentAfterLeases * n.settings.Maintenance.LeaseDuration
+	view := &View{
 		Leader: n.settings.Self,
 		Now:    n.stateClock(now),
-		OnHold: x.OnHold,
-		Events: slices.Clone(x.Events),
-		Silent: n.term.coordinator.SilentInstances(now, x, silentAfter),
+		OnHold: state.OnHold,
+		Events: slices.Clone(state.Events),
+		Silent: n.term.coordinator.SilentInstances(now, state, silentAfter),
 	}
-	for _, request := range x.Requests {
-		v.Requests = append(v.Requests, *request)
+	for _, request := range state.Requests {
+		view.Requests = append(view.Requests, *request)
 	}
-	for _, m := range x.Machines {
+	for _, m := range state.Machines {
 		machine := *m
 		if reason := n.waitReasons[machine.Name]; reason != "" {
 			machine.WaitReason = reason
 		}
-		v.Machines = append(v.Machines, machine)
+		view.Machines = append(view.Machines, machine)
 	}
-	for name, incarnation := range x.Instances {
-		v.Instances = append(v.Instances, maintenance.Instance{Name: name, Incarnation: incarnation})
+	for name, incarnation := range state.Instances {
+		view.Instances = append(view.Instances, maintenance.Instance{Name: name, Incarnation: incarnation})
 	}
-	slices.SortFunc(v.Requests, func(a, b maintenance.Request) int { return cmp.Compare(a.RequestedAt, b.RequestedAt) })
-	slices.SortFunc(v.Machines, func(a, b maintenance.Machine) int { return cmp.Compare(a.Name, b.Name) })
-	slices.SortFunc(v.Instances, func(a, b maintenance.Instance) int { return cmp.Compare(a.Name, b.Name) })
-	return v
+	slices.SortFunc(view.Requests,
+		func(a, b maintenance.Request) int { return cmp.Compare(a.RequestedAt, b.RequestedAt) })
+	slices.SortFunc(view.Machines, func(a, b maintenance.Machine) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(view.Instances, func(a, b maintenance.Instance) int { return cmp.Compare(a.Name, b.Name) })
+	return view
 }
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -14,13 +14,13 @@
 	"dunlinsail/internal/fake/golden"
 )
 
-// The files under testdata were written before the message types had tags, and never change: instances of earlier and
-// later builds exchange messages in this form.
+// The files under testdata were written by a build whose message types had no tags. They must never change, since
+// instances of earlier and later builds exchange messages in this form.
 
-// goldenEnvelopes returns one message of each type, with the file that holds its encoded form.
+// goldenEnvelopes returns an envelope with each type of message, by the name of the file with its encoded form.
 func goldenEnvelopes() map[string]envelope {
 	term := lease.Term{Holder: "instance-1", Incarnation: 0xfedcba9876543210, Round: 17}
-	request := &quota.LeaseRequest{
+	leaseRequest := &quota.LeaseRequest{
 		Incarnation: 0x0123456789abcdef, Sequence: 23, Term: term, HeldSerial: 5,
 		HeldTerm: lease.Term{Holder: "instance-0", Incarnation: 3, Round: 2},
 		Demands: []quota.Demand{
@@ -28,7 +28,7 @@
 			{Budget: "tenant/one", Requested: 100, Used: 1e6, Held: 1, Contributed: 0.5},
 		},
 	}
-	observed := &observations.Observations{
+	reported := &observations.Observations{
 		Levels: []observations.OverloadLevel{
 			{EndpointSet: "pool", Level: 0.75, Load: 0.3, Requests: 120, Failed: 13},
 		},
@@ -45,32 +45,32 @@
 		Reporters: 9,
 		Suspects:  []observations.Suspect{{Endpoint: "pool/s-1", Class: 2, AvoidProbability: 0.95}},
 	}
-	vote := func(kind lease.MessageKind) *lease.Message {
+	newLeaseMessage := func(kind lease.MessageKind) *lease.Message {
 		return &lease.Message{Kind: kind, Incarnation: term.Incarnation, Round: 17}
 	}
-	denied := vote(lease.VoteDenied)
-	denied.Holder = "instance-2"
-	denied.Remaining = 1_234_567
+	deniedVote := newLeaseMessage(lease.VoteDenied)
+	deniedVote.Holder = "instance-2"
+	deniedVote.Remaining = 1_234_567
 	messages := map[string]coordination.Message{
-		"lease-ask":        {Lease: vote(lease.VoteRequest)},
-		"lease-yes":        {Lease: vote(lease.VoteGranted)},
-		"lease-no":         {Lease: denied},
-		"lease-drop":       {Lease: vote(lease.VoteReleased)},
-		"quota-ask":        {Request: request, Observations: observed},
+		"lease-ask":        {Lease: newLeaseMessage(lease.VoteRequest)},
+		"lease-yes":        {Lease: newLeaseMessage(lease.VoteGranted)},
+		"lease-no":         {Lease: deniedVote},
+		"lease-drop":       {Lease: newLeaseMessage(lease.VoteReleased)},
+		"quota-ask":        {Request: leaseRequest, Observations: reported},
 		"quota-ask-empty":  {Request: &quota.LeaseRequest{Incarnation: 1, Sequence: 1}},
 		"quota-grant":      {Grant: grant, Aggregate: aggregate},
 		"quota-grant-none": {Grant: &quota.Grant{Incarnation: 1, Sequence: 1, Term: term}},
 		"all-parts": {
 			Lease:        &lease.Message{Kind: lease.VoteDenied, Incarnation: 1, Round: 2, Holder: "a", Remaining: 3},
-			Request:      request,
-			Observations: observed,
+			Request:      leaseRequest,
+			Observations: reported,
 			Grant:        grant,
 			Aggregate:    aggregate,
 		},
 	}
-	raft := &consensus.Message{Raft: []byte{1, 2, 3}, Leader: "instance-0"}
+	raftMessage := &consensus.Message{Raft: []byte{1, 2, 3}, Leader: "instance-0"}
 	envelopes := map[string]envelope{
-		"consensus": {From: "instance-1", To: "instance-2", Consensus: raft},
+		"consensus": {From: "instance-1", To: "instance-2", Consensus: raftMessage},
 	}
 	for name, m := range messages {
 		envelopes[name] = envelope{From: "instance-1", To: "instance-2", Message: m}
@@ -78,12 +78,13 @@
 	return envelopes
 }
 
+// Messages that an earlier build has encoded must be decoded to the same values.
 func TestMessagesOfEarlierBuildsAreUnderstood(t *testing.T) {
 	for name, want := range goldenEnvelopes() {
 		t.Run(name, func(t *testing.T) {
 			encoded := golden.Read(t, "messages", name+".cbor")
 			var got envelope
-			if err := decoding.Unmarshal(encoded, &got); err != nil {
+			if err := decMode.Unmarshal(encoded, &got); err != nil {
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, want) {
@@ -93,10 +94,11 @@
 	}
 }
 
+// Messages must be encoded to the same bytes as by an earlier build, so that earlier builds can decode them.
 func TestMessagesAreUnderstoodByEarlierBuilds(t *testing.T) {
-	for name, e := range goldenEnvelopes() {
+	for name, message := range goldenEnvelopes() {
 		t.Run(name, func(t *testing.T) {
-			encoded, err := encoding.Marshal(e)
+			encoded, err := encMode.Marshal(message)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -104,10 +106,10 @@
 			if !bytes.Equal(encoded, want) {
 				t.Errorf("encoded as %x, want %x", encoded, want)
 			}
-			if e.Consensus != nil {
+			if message.Consensus != nil {
 				return
 			}
-			encoded, err = Encode(e.From, e.To, e.Message)
+			encoded, err = Encode(message.From, message.To, message.Message)
 			if err != nil || !bytes.Equal(encoded, want) {
 				t.Errorf("Encode returns %x, %v, want %x", encoded, err, want)
 			}
@@ -115,19 +117,20 @@
 	}
 }
 
-// The tests above do not check a field without a value.
+// The message "all-parts" must set every field of a message, because the golden tests above cannot detect a changed
+// name of a field that has no value.
 func TestGoldenMessagesFillEachField(t *testing.T) {
 	golden.RequireFilled(t, "envelope", goldenEnvelopes()["all-parts"].Message)
 }
 
-// Operators' tools read members and statistics in this JSON form.
+// The JSON form of members and message counters must not change, since operators' tools read it.
 func TestJSONForOperatorsKeepsItsForm(t *testing.T) {
-	for name, v := range map[string]any{
+	for name, value := range map[string]any{
 		"member.json": &Member{
 			Name: "instance-1", Address: "127.0.0.1:7", Alive: true, Since: time.Unix(1_700_000_000, 0).UTC(),
 		},
 		"figures.json": &Stats{Sent: 1, Received: 2, Bytes: 3, Dropped: 4, Malformed: 5},
 	} {
-		golden.CheckJSON(t, golden.Read(t, name), v)
+		golden.CheckJSON(t, golden.Read(t, name), value)
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,12 +1,13 @@
-// Package peers sends messages between the instances of a fleet. It finds the other instances and detects their failure
-// by gossip with hashicorp/memberlist (SWIM: Das, Gupta, Motivala, 2002, with Lifeguard: Dadgar, Phillips, Currey,
-// 2017). Messages are that library's user messages, in CBOR (RFC 8949): a datagram, or a TCP stream for larger ones.
+// Package peers sends messages between the instances of a fleet. It discovers the other instances and detects their
+// failures by gossip, using hashicorp/memberlist, which implements SWIM (Das, Gupta, Motivala 2002) with Lifeguard
+// (Dadgar, Phillips, Currey 2017). Messages are sent as memberlist's user messages, encoded in CBOR (RFC 8949):
+// small messages as datagrams, larger ones over TCP.
 //
-// A message may be lost, delayed, duplicated or reordered; senders must not rely on its arrival. Instances of different
-// fleets (Options.Fleet) ignore each other.
+// A message may be lost, delayed, duplicated or reordered, so senders must not rely on its arrival. Instances of
+// different fleets (Options.Fleet) ignore each other.
 //
-// The package decides nothing. It must not know about engines or the meaning of messages, which packages coordination
-// and consensus handle. Endpoint lists are not gossiped; package endpointsource provides them.
+// The package makes no decisions. It must not know about engines or the meaning of messages, which packages
+// coordination and consensus handle. Endpoint lists are not gossiped; package endpointsource provides them.
 package peers
 
 import (
@@ -27,63 +28,65 @@
 )
 
 const (
-	// queueCapacity is the number of messages that may wait to be delivered, and that may wait to be sent. Further ones
-	// are dropped.
+	// queueCapacity is the capacity in messages of each of two queues: received messages that wait for a handler,
+	// and messages that wait to be sent. A message that finds its queue full is dropped.
 	queueCapacity = 4096
-	// leaveTimeout is the time for which Close waits until the other instances are notified that this one leaves.
+	// leaveTimeout is the longest time that Close waits until the other instances are notified that this instance
+	// leaves.
 	leaveTimeout = 500 * time.Millisecond
-	// reclaimTime is the time after which another address may use the name of a dead instance.
+	// reclaimTime is the time after which an instance at another address may take over the name of a dead instance.
 	reclaimTime = time.Second
-	// tcpTimeout is the time limit of connecting, reading and writing of memberlist's TCP streams.
+	// tcpTimeout limits the time of connecting, reading and writing on memberlist's TCP streams.
 	tcpTimeout = 2 * time.Second
 )
 
-// Options configure an instance's part in the gossip.
+// Options configure the participation of an instance in the gossip.
 type Options struct {
-	Name    string            // of this instance, unique in the fleet
-	Fleet   string            // label of the fleet; instances with another one are ignored
-	Address string            // host:port to listen at, by UDP and TCP
-	Join    []string          // addresses of some other instances, host:port
-	DialVia map[string]string // by address: the address to dial in its place
+	Name    string            // name of this instance, unique in the fleet
+	Fleet   string            // memberlist label of the fleet; instances with another label are ignored
+	Address string            // host:port to listen on, with UDP and TCP
+	Join    []string          // addresses (host:port) of other instances to join; need not be all
+	DialVia map[string]string // addresses to dial in place of instances' addresses, by the address replaced
 	Log     *slog.Logger
 
-	// HandleMessage handles received messages of package coordination, one at a time. It may block: further messages
-	// wait in the queue.
+	// HandleMessage handles a received message of package coordination. It is called for one message at a time and
+	// may block; further messages wait in the queue meanwhile.
 	HandleMessage func(from string, m coordination.Message)
-	// HandleConsensus handles received messages of package consensus in the same way. If nil, they are discarded.
+	// HandleConsensus handles a received message of package consensus, under the same conditions as HandleMessage.
+	// If it is nil, these messages are discarded.
 	HandleConsensus func(from string, m consensus.Message)
 }
 
-// Member is an instance of the fleet, by the gossip that was received here. Its tags are the names in the JSON that
-// operators' tools read.
+// Member is an instance of the fleet and its state according to the gossip that this instance has received. The
+// tags are names in JSON that operators' tools read.
 type Member struct {
 	Name    string    `json:"Name"`
 	Address string    `json:"Address"`
 	Alive   bool      `json:"Alive"`
-	Since   time.Time `json:"Since"` // when Alive changed last
+	Since   time.Time `json:"Since"` // when Alive last changed
 }
 
-// Stats are counters of messages since Start. Its tags are the names in the JSON that operators' tools read.
+// Stats are message counters since Start. The tags are names in JSON that operators' tools read.
 type Stats struct {
 	Sent      uint64 `json:"Sent"`    // messages handed to memberlist
 	Received  uint64 `json:"Heard"`   // messages queued for a handler
 	Bytes     uint64 `json:"Bytes"`   // encoded bytes of the sent messages
-	Dropped   uint64 `json:"Dropped"` // messages dropped because a queue was full or the recipient unknown
+	Dropped   uint64 `json:"Dropped"` // messages dropped because a queue was full or the recipient was unknown
 	Malformed uint64 `json:"Spoilt"`  // received messages that could not be decoded
 }
 
-// Peers is an instance's part in the gossip. Create one with Start, which starts three goroutines; Close ends them, and
-// those of large messages. It is safe for concurrent use.
+// Peers is the participation of an instance in the gossip. Start creates it and starts three goroutines; each large
+// message that is sent adds one for the time of sending. Close ends them all. Peers is safe for concurrent use.
 type Peers struct {
-	options  Options
-	list     *memberlist.Memberlist
-	received chan envelope  // wait for a handler
-	outgoing chan outgoing  // wait to be sent
-	closing  chan struct{}  // closed by Close
-	workers  sync.WaitGroup // all goroutines of this Peers
+	options       Options
+	memberlist    *memberlist.Memberlist
+	receivedQueue chan envelope        // messages that wait for a handler
+	outgoingQueue chan outgoingMessage // messages that wait to be sent
+	closing       chan struct{}        // closed at the start of Close
+	goroutines    sync.WaitGroup       // waits for all goroutines of this Peers
 
 	mu      sync.Mutex
-	members map[string]*Member // by name, this instance included
+	members map[string]*Member // known instances by name, including this instance and dead ones
 
 	sentCount      atomic.Uint64
 	receivedCount  atomic.Uint64
@@ -92,27 +95,28 @@
 	malformedCount atomic.Uint64
 }
 
-// Start starts an instance's part in the gossip. It fails if the address is malformed or in use. It does not fail if no
-// other instance can be reached: they are joined as soon as they can.
-func Start(o Options) (*Peers, error) {
+// Start starts the participation of an instance in the gossip. It returns an error if the address is malformed or
+// in use. It returns no error if no other instance can be reached: the instance joins the others as soon as they
+// are reachable.
+func Start(options Options) (*Peers, error) {
 	p := &Peers{
-		options:  o,
-		received: make(chan envelope, queueCapacity),
-		outgoing: make(chan outgoing, queueCapacity),
-		closing:  make(chan struct{}),
-		members:  map[string]*Member{},
+		options:       options,
+		receivedQueue: make(chan envelope, queueCapacity),
+		outgoingQueue: make(chan outgoingMessage, queueCapacity),
+		closing:       make(chan struct{}),
+		members:       map[string]*Member{},
 	}
-	if err := p.listen(); err != nil {
+	if err := p.createMemberlist(); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	p.workers.Go(p.deliverReceived)
-	p.workers.Go(p.transmitQueued)
-	p.workers.Go(p.joinMissing)
+	p.goroutines.Go(p.deliverReceived)
+	p.goroutines.Go(p.transmitQueued)
+	p.goroutines.Go(p.joinMissing)
 	return p, nil
 }
 
-// listen creates the memberlist, which listens at Options.Address.
-func (p *Peers) listen() error {
+// createMemberlist creates the memberlist, which listens on Options.Address.
+func (p *Peers) createMemberlist() error {
 	host, portText, err := net.SplitHostPort(p.options.Address)
 	if err != nil {
 		return err
@@ -121,28 +125,28 @@
 	if err != nil {
 		return err
 	}
-	c := memberlist.DefaultLANConfig()
-	c.Name = p.options.Name
-	c.Label = p.options.Fleet
-	c.BindAddr = host
-	c.BindPort = port
-	c.AdvertiseAddr = host
-	c.AdvertisePort = port
-	c.Logger = slog.NewLogLogger(p.options.Log.Handler(), slog.LevelDebug)
-	c.Delegate = (*delegate)(p)
-	c.Events = (*delegate)(p)
-	c.DeadNodeReclaimTime = reclaimTime
-	c.TCPTimeout = tcpTimeout
+	config := memberlist.DefaultLANConfig()
+	config.Name = p.options.Name
+	config.Label = p.options.Fleet
+	config.BindAddr = host
+	config.BindPort = port
+	config.AdvertiseAddr = host
+	config.AdvertisePort = port
+	config.Logger = slog.NewLogLogger(p.options.Log.Handler(), slog.LevelDebug)
+	config.Delegate = (*delegate)(p)
+	config.Events = (*delegate)(p)
+	config.DeadNodeReclaimTime = reclaimTime
+	config.TCPTimeout = tcpTimeout
 	netTransport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
 		BindAddrs: []string{host},
 		BindPort:  port,
-		Logger:    c.Logger,
+		Logger:    config.Logger,
 	})
 	if err != nil {
 		return err
 	}
-	c.Transport = &transport{netTransport, p.options.DialVia}
-	if p.list, err = memberlist.Create(c); err != nil {
+	config.Transport = &transport{netTransport, p.options.DialVia}
+	if p.memberlist, err = memberlist.Create(config); err != nil {
 		if shutdownErr := netTransport.Shutdown(); shutdownErr != nil {
 			p.options.Log.Warn("gossip shutdown failed", "error", shutdownErr)
 		}
@@ -151,33 +155,34 @@
 	return nil
 }
 
-// Close ends the instance's part and waits for all its goroutines. With announce the other instances are notified that
-// it leaves. Without, it looks alive to them, because a successor of its name starts at once. It must be called once.
+// Close ends the participation in the gossip and waits for all goroutines to end. If announce is true, the other
+// instances are notified that this instance leaves. Otherwise it appears alive to them, as is required if a
+// successor with the same name starts at once. Close must be called exactly once.
 func (p *Peers) Close(announce bool) {
 	close(p.closing)
 	if announce {
-		if err := p.list.Leave(leaveTimeout); err != nil {
+		if err := p.memberlist.Leave(leaveTimeout); err != nil {
 			p.options.Log.Info("leave not acknowledged by all members", "error", err)
 		}
 	}
-	if err := p.list.Shutdown(); err != nil {
+	if err := p.memberlist.Shutdown(); err != nil {
 		p.options.Log.Warn("gossip shutdown failed", "error", err)
 	}
-	p.workers.Wait()
+	p.goroutines.Wait()
 }
 
-// Members returns all known instances, dead ones and this one included, sorted by name.
-func (p *Peers) Members() (all []Member) {
+// Members returns all known instances, including this instance and dead ones, sorted by name.
+func (p *Peers) Members() (members []Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range p.members {
-		all = append(all, *m)
+		members = append(members, *m)
 	}
-	slices.SortFunc(all, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return members
 }
 
-// Stats returns the counters.
+// Stats returns the present values of the message counters.
 func (p *Peers) Stats() Stats {
 	return Stats{
 		Sent:      p.sentCount.Load(),
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -14,17 +14,17 @@
 	"dunlinsail/internal/fake/freeport"
 )
 
-// receivedMessage is a message with its sender.
+// receivedMessage is a message that a handler was called with, and the name of its sender.
 type receivedMessage struct {
 	from    string
 	message coordination.Message
 }
 
-// start starts an instance at a free address, and returns it with its address and the messages that it receives. The
-// caller must close it.
-func start(t *testing.T, name, fleet string, join ...string) (*Peers, string, chan receivedMessage) {
+// startPeers starts an instance at a free address. It returns the instance, its address, and a channel with the
+// messages that it receives. The caller must close the instance.
+func startPeers(t *testing.T, name, fleet string, join ...string) (*Peers, string, chan receivedMessage) {
 	t.Helper()
-	addr, err := freeport.Free()
+	address, err := freeport.Free()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 	p, err := Start(Options{
 		Name:          name,
 		Fleet:         fleet,
-		Address:       addr,
+		Address:       address,
 		Join:          join,
 		Log:           slog.New(slog.DiscardHandler),
 		HandleMessage: func(from string, m coordination.Message) { received <- receivedMessage{from, m} },
@@ -40,21 +40,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p, addr, received
+	return p, address, received
 }
 
-// eventually waits for a condition, and ends the test if it does not become true within 20 s.
-func eventually(t *testing.T, failure string, condition func() bool) {
+// waitUntil waits until a condition is true. If that takes longer than 20 s, it ends the test with the failure
+// message.
+func waitUntil(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal(failure)
 		}
 	}
 }
 
-// alive reports whether an instance knows another one as alive.
-func alive(p *Peers, name string) bool {
+// knowsAlive reports whether an instance regards the instance with the given name as alive.
+func knowsAlive(p *Peers, name string) bool {
 	for _, m := range p.Members() {
 		if m.Name == name {
 			return m.Alive
@@ -63,57 +64,58 @@
 	return false
 }
 
-// Messages of any size arrive at their recipient, and at no instance of another fleet.
+// Messages that fit into a datagram and messages that need TCP must arrive at their recipient. Instances of another
+// fleet must not be discovered. After Close, the other instances must be notified and the address must be free.
 func TestMessagesReachTheirRecipientWithinTheFleet(t *testing.T) {
-	a, address, received := start(t, "a", "one")
-	b, _, _ := start(t, "b", "one", address)
-	c, _, _ := start(t, "c", "two", address)
+	a, address, received := startPeers(t, "a", "one")
+	b, _, _ := startPeers(t, "b", "one", address)
+	c, _, _ := startPeers(t, "c", "two", address)
 	defer b.Close(false)
 	defer c.Close(false)
-	eventually(t, "they do not find each other", func() bool { return alive(a, "b") && alive(b, "a") })
-	small := coordination.Message{Request: &quota.LeaseRequest{
+	waitUntil(t, "a and b do not discover each other", func() bool { return knowsAlive(a, "b") && knowsAlive(b, "a") })
+	smallMessage := coordination.Message{Request: &quota.LeaseRequest{
 		Incarnation: 1, Sequence: 2, Demands: []quota.Demand{{Budget: "x", Requested: 1.5, Held: 3}},
 	}}
-	large := coordination.Message{Request: small.Request, Observations: &observations.Observations{}}
+	largeMessage := coordination.Message{Request: smallMessage.Request, Observations: &observations.Observations{}}
 	for i := range 200 {
 		outcome := observations.OutcomeCount{Endpoint: fmt.Sprint("endpoint-", i), Succeeded: float64(i)}
-		large.Observations.Outcomes = append(large.Observations.Outcomes, outcome)
+		largeMessage.Observations.Outcomes = append(largeMessage.Observations.Outcomes, outcome)
 	}
-	for _, sent := range []coordination.Message{small, large} {
-		b.Send("a", sent)
+	for _, sentMessage := range []coordination.Message{smallMessage, largeMessage} {
+		b.Send("a", sentMessage)
 		select {
 		case got := <-received:
-			if got.from != "b" || fmt.Sprint(got.message.Request.Demands) != fmt.Sprint(sent.Request.Demands) ||
-				sent.Observations != nil && len(got.message.Observations.Outcomes) != 200 {
+			if got.from != "b" || fmt.Sprint(got.message.Request.Demands) != fmt.Sprint(sentMessage.Request.Demands) ||
+				sentMessage.Observations != nil && len(got.message.Observations.Outcomes) != 200 {
 				t.Errorf("received %+v", got)
 			}
 		case <-time.After(20 * time.Second):
 			t.Fatal("not received")
 		}
 	}
-	if alive(c, "a") || alive(a, "c") {
-		t.Error("instances of two fleets know each other")
+	if knowsAlive(c, "a") || knowsAlive(a, "c") {
+		t.Error("instances of different fleets discover each other")
 	}
 	(*delegate)(a).NotifyMsg([]byte(strings.Repeat("\xff", 50)))
-	if f := a.Stats(); f.Malformed != 1 || f.Received != 2 {
-		t.Errorf("%+v", f)
+	if stats := a.Stats(); stats.Malformed != 1 || stats.Received != 2 {
+		t.Errorf("%+v", stats)
 	}
 	a.Close(true)
-	eventually(t, "b does not learn that a leaves", func() bool { return !alive(b, "a") })
+	waitUntil(t, "b is not notified that a leaves", func() bool { return !knowsAlive(b, "a") })
 	if _, err := net.Listen("tcp", address); err != nil {
-		t.Errorf("the address is not free: %v", err)
+		t.Errorf("the address is still in use after Close: %v", err)
 	}
 }
 
-// An address that is in use or malformed is an error.
+// Start must return an error if the address is in use or malformed.
 func TestUnusableAddressIsAnError(t *testing.T) {
-	a, address, _ := start(t, "a", "one")
+	a, usedAddress, _ := startPeers(t, "a", "one")
 	defer a.Close(false)
-	for _, addr := range []string{address, "nowhere", "127.0.0.1:x"} {
-		p, err := Start(Options{Name: "b", Fleet: "one", Address: addr, Log: slog.New(slog.DiscardHandler)})
+	for _, unusable := range []string{usedAddress, "nowhere", "127.0.0.1:x"} {
+		p, err := Start(Options{Name: "b", Fleet: "one", Address: unusable, Log: slog.New(slog.DiscardHandler)})
 		if err == nil {
 			p.Close(false)
-			t.Errorf("%q is accepted", addr)
+			t.Errorf("%q is accepted", unusable)
 		}
 	}
 }
--- a/internal/peers/queue.go
+++ b/internal/peers/queue.go
@@ -10,45 +10,48 @@
 	"dunlinsail/internal/decide/coordination"
 )
 
-// maxDatagramBytes is the size of the largest message that is sent as a datagram. Together with memberlist's header it
-// fits into an Ethernet frame.
+// maxDatagramBytes is the size of the largest encoded message that is sent as a datagram. With memberlist's header,
+// such a datagram fits into one Ethernet frame.
 const maxDatagramBytes = 1300
 
-// outgoing is a message that waits to be sent.
-type outgoing struct {
-	to        string
-	message   coordination.Message
-	consensus *consensus.Message
+// outgoingMessage is a message that waits to be sent. If consensusMessage is set, coordinationMessage is ignored.
+type outgoingMessage struct {
+	recipient           string // name of the receiving instance
+	coordinationMessage coordination.Message
+	consensusMessage    *consensus.Message
 }
 
-// Send queues a message to an instance by its name. It never blocks: the message is dropped if the queue is full. The
-// message may be lost.
-func (p *Peers) Send(to string, m coordination.Message) { p.enqueue(outgoing{to: to, message: m}) }
+// Send queues a message of package coordination to the instance with the given name. It never blocks: if the queue
+// is full, the message is dropped. A queued message may still be lost.
+func (p *Peers) Send(to string, m coordination.Message) {
+	p.enqueue(outgoingMessage{recipient: to, coordinationMessage: m})
+}
 
-// SendConsensus queues a message of package consensus in the same way.
+// SendConsensus queues a message of package consensus to the instance with the given name. It drops messages under
+// the same conditions as Send.
 func (p *Peers) SendConsensus(to string, m consensus.Message) {
-	p.enqueue(outgoing{to: to, consensus: &m})
+	p.enqueue(outgoingMessage{recipient: to, consensusMessage: &m})
 }
 
-// enqueue queues a message, or drops it if the queue is full.
-func (p *Peers) enqueue(o outgoing) {
+// enqueue queues a message to be sent, or drops it if the queue is full.
+func (p *Peers) enqueue(m outgoingMessage) {
 	select {
-	case p.outgoing <- o:
+	case p.outgoingQueue <- m:
 	default:
 		p.droppedCount.Add(1)
 	}
 }
 
-// deliverReceived calls the handlers of received messages. It runs in a goroutine of its own, which Close ends.
+// deliverReceived passes received messages to their handlers. It runs in its own goroutine until Close.
 func (p *Peers) deliverReceived() {
 	for {
 		select {
-		case e := <-p.received:
+		case received := <-p.receivedQueue:
 			switch {
-			case e.Consensus == nil:
-				p.options.HandleMessage(e.From, e.Message)
+			case received.Consensus == nil:
+				p.options.HandleMessage(received.From, received.Message)
 			case p.options.HandleConsensus != nil:
-				p.options.HandleConsensus(e.From, *e.Consensus)
+				p.options.HandleConsensus(received.From, *received.Consensus)
 			}
 		case <-p.closing:
 			return
@@ -56,41 +59,41 @@
 	}
 }
 
-// transmitQueued sends queued messages. It runs in a goroutine of its own, which Close ends after the messages that are
-// queued by then.
+// transmitQueued sends queued messages. It runs in its own goroutine until Close, and sends the messages that are
+// still queued before it ends.
 func (p *Peers) transmitQueued() {
 	for {
 		select {
-		case o := <-p.outgoing:
-			p.transmit(o)
+		case m := <-p.outgoingQueue:
+			p.transmit(m)
 		case <-p.closing:
-			p.transmitRest()
+			p.transmitRemaining()
 			return
 		}
 	}
 }
 
-// transmitRest sends the messages that are queued now.
-func (p *Peers) transmitRest() {
+// transmitRemaining sends queued messages until the queue is empty.
+func (p *Peers) transmitRemaining() {
 	for {
 		select {
-		case o := <-p.outgoing:
-			p.transmit(o)
+		case m := <-p.outgoingQueue:
+			p.transmit(m)
 		default:
 			return
 		}
 	}
 }
 
-// transmit sends a message as a datagram or, if it is too large, by TCP. That takes a goroutine of its own, which ends
-// within memberlist's TCP timeout and which Close waits for.
-func (p *Peers) transmit(o outgoing) {
-	address, known := p.addressOf(o.to)
+// transmit sends a message as a datagram, or over TCP if it is larger than maxDatagramBytes. A message over TCP is
+// sent by a new goroutine, which ends within memberlist's TCP timeout and for which Close waits.
+func (p *Peers) transmit(m outgoingMessage) {
+	address, known := p.addressOf(m.recipient)
 	if !known {
 		p.droppedCount.Add(1)
 		return
 	}
-	encoded, err := encoding.Marshal(envelope{p.options.Name, o.to, o.message, o.consensus})
+	encoded, err := encMode.Marshal(envelope{p.options.Name, m.recipient, m.coordinationMessage, m.consensusMessage})
 	if err != nil {
 		p.options.Log.Error("gossip message encoding failed", "error", err)
 		return
@@ -98,25 +101,25 @@
 	p.sentCount.Add(1)
 	p.sentBytes.Add(uint64(len(encoded)))
 	if len(encoded) <= maxDatagramBytes {
-		to := memberlist.Address{Addr: address, Name: o.to}
-		p.logUnsent(o.to, p.list.SendToAddress(to, encoded))
+		to := memberlist.Address{Addr: address, Name: m.recipient}
+		p.logSendError(m.recipient, p.memberlist.SendToAddress(to, encoded))
 		return
 	}
 	host, portText, _ := net.SplitHostPort(address)
 	port, _ := strconv.Atoi(portText)
-	node := &memberlist.Node{Name: o.to, Addr: net.ParseIP(host), Port: uint16(port)}
-	p.workers.Go(func() { p.logUnsent(o.to, p.list.SendReliable(node, encoded)) })
+	node := &memberlist.Node{Name: m.recipient, Addr: net.ParseIP(host), Port: uint16(port)}
+	p.goroutines.Go(func() { p.logSendError(m.recipient, p.memberlist.SendReliable(node, encoded)) })
 }
 
-// logUnsent logs the error of a message that could not be sent, if there is one.
-func (p *Peers) logUnsent(to string, err error) {
+// logSendError logs the error of a message that could not be sent. It logs nothing if err is nil.
+func (p *Peers) logSendError(to string, err error) {
 	if err != nil {
 		p.options.Log.Debug("gossip message not sent", "to", to, "error", err)
 	}
 }
 
-// addressOf returns the address of an instance by its name. A dead one has an address, too: it may be that only the
-// messages from it are lost.
+// addressOf returns the address of an instance. Instances that are considered dead have an address, too: it may be
+// that only the messages from such an instance are lost, and that it still receives messages.
 func (p *Peers) addressOf(name string) (address string, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
