--- a/internal/accesslog/golden_test.go
+++ b/internal/accesslog/golden_test.go
@@ -52,29 +52,29 @@
 func writeGolden(t *testing.T, dir string) string {
 	t.Helper()
 	clock := func() time.Time { return goldenNow }
-	w := writer(t, Options{Dir: dir, Instance: "golden-instance", Sample: 1, Now: clock})
+	w := startWriter(t, Options{Dir: dir, Instance: "golden-instance", Sample: 1, Now: clock})
 	for _, r := range goldenRows() {
 		w.Add(r)
 	}
 	w.Close()
-	all := segments(t, dir)
-	if len(all) != 1 {
-		t.Fatalf("%d segments, want 1", len(all))
+	paths := segmentPaths(t, dir)
+	if len(paths) != 1 {
+		t.Fatalf("%d segments, want 1", len(paths))
 	}
-	return all[0]
+	return paths[0]
 }
 
 // rawSegment is the content of a segment for any reader of Parquet. It does not depend on the names of this package.
 type rawSegment struct {
-	Schema  string
-	Columns []string
-	Rows    [][]string // the values of each row, by column
-	Meta    map[string]string
-	Creator string
+	Schema   string
+	Columns  []string
+	Rows     [][]string // the values of each row, by column
+	Metadata map[string]string
+	Creator  string
 }
 
-// readRaw reads a segment by the Parquet library alone.
-func readRaw(t *testing.T, path string) rawSegment {
+// readRawSegment reads a segment by the Parquet library alone.
+func readRawSegment(t *testing.T, path string) rawSegment {
 	t.Helper()
 	f, err := os.Open(path)
 	require.NoError(t, err)
@@ -83,12 +83,12 @@
 	require.NoError(t, err)
 	file, err := parquet.OpenFile(f, info.Size())
 	require.NoError(t, err)
-	raw := rawSegment{Schema: file.Schema().String(), Meta: map[string]string{}, Creator: file.Metadata().CreatedBy}
+	raw := rawSegment{Schema: file.Schema().String(), Metadata: map[string]string{}, Creator: file.Metadata().CreatedBy}
 	for _, path := range file.Schema().Columns() {
 		raw.Columns = append(raw.Columns, fmt.Sprint(path))
 	}
 	for _, kv := range file.Metadata().KeyValueMetadata {
-		raw.Meta[kv.Key] = kv.Value
+		raw.Metadata[kv.Key] = kv.Value
 	}
 	for _, group := range file.RowGroups() {
 		rows := group.Rows()
@@ -108,14 +108,14 @@
 
 // A segment of an earlier build is read to the rows that were written, with the figures of its run.
 func TestGoldenSegmentIsRead(t *testing.T) {
-	rec := read(t, filepath.Dir(goldenSegment))
+	rec := readRecording(t, filepath.Dir(goldenSegment))
 	if len(rec.Problems) != 0 || len(rec.Runs) != 1 {
 		t.Fatalf("%d runs, problems %q", len(rec.Runs), rec.Problems)
 	}
 	run := *rec.Runs[0]
-	complete := run.Segments == 1 && run.Rows == 5 && run.Missing == 0 && run.Dropped == 0 && run.Sample == 1
+	countsMatch := run.Segments == 1 && run.Rows == 5 && run.Missing == 0 && run.Dropped == 0 && run.Sample == 1
 	offset := goldenNow.UnixMicro() - 1_700_000_000_005_007
-	if run.Instance != "golden-instance" || !complete || run.Offset != offset {
+	if run.Instance != "golden-instance" || !countsMatch || run.Offset != offset {
 		t.Errorf("its run: %+v", run)
 	}
 	want := goldenRows()
@@ -132,16 +132,16 @@
 
 // The same rows give the same schema, columns, values and metadata as in an earlier build.
 func TestGoldenSegmentIsWritten(t *testing.T) {
-	got := readRaw(t, writeGolden(t, t.TempDir()))
-	want := readRaw(t, goldenSegment)
-	if len(want.Rows) != 5 || len(want.Columns) != 18 || len(want.Meta) != 7 {
+	got := readRawSegment(t, writeGolden(t, t.TempDir()))
+	want := readRawSegment(t, goldenSegment)
+	if len(want.Rows) != 5 || len(want.Columns) != 18 || len(want.Metadata) != 7 {
 		t.Fatalf("the golden segment has %d rows, %d columns, %d entries of metadata",
-			len(want.Rows), len(want.Columns), len(want.Meta))
+			len(want.Rows), len(want.Columns), len(want.Metadata))
 	}
-	if got.Meta["process"] == "" || want.Meta["process"] == "" {
-		t.Errorf("no process: %v, %v", got.Meta, want.Meta)
+	if got.Metadata["process"] == "" || want.Metadata["process"] == "" {
+		t.Errorf("no process: %v, %v", got.Metadata, want.Metadata)
 	}
-	got.Meta["process"] = want.Meta["process"] // of the process that wrote
+	got.Metadata["process"] = want.Metadata["process"] // of the process that wrote
 	if got.Schema != want.Schema {
 		t.Errorf("schema\n%s\nwant\n%s", got.Schema, want.Schema)
 	}
--- a/internal/accesslog/operations.go
+++ b/internal/accesslog/operations.go
@@ -8,11 +8,11 @@
 }
 
 // First returns the first attempt.
-func (s *Operation) First() *Request { return &s.Attempts[0] }
+func (op *Operation) First() *Request { return &op.Attempts[0] }
 
 // Served reports whether one of the attempts was served.
-func (s *Operation) Served() bool {
-	return slices.ContainsFunc(s.Attempts, func(q Request) bool { return q.Verdict == Served })
+func (op *Operation) Served() bool {
+	return slices.ContainsFunc(op.Attempts, func(q Request) bool { return q.Verdict == Served })
 }
 
 const (
@@ -38,36 +38,36 @@
 // not recorded, it is one only if the client marks its retries. A client may also request an object again by chance:
 // such a request is taken for a retry, and is missing from the replay.
 func (rec *Recording) Operations() []*Operation {
-	g := operationGrouper{byKey: map[uint64]*Operation{}, unserved: map[operationKey]*Operation{}}
+	grouper := operationGrouper{byKey: map[uint64]*Operation{}, unserved: map[operationKey]*Operation{}}
 	for i := range rec.Requests {
 		if q := rec.Requests[i]; q.KeyHash != 0 {
-			g.addByKey(q)
+			grouper.addByKey(q)
 		} else {
-			g.addByObject(q)
+			grouper.addByObject(q)
 		}
 	}
-	return g.all
+	return grouper.operations
 }
 
 // operationGrouper is the state of Operations.
 type operationGrouper struct {
-	all      []*Operation
-	byKey    map[uint64]*Operation       // the latest operation of an idempotency key
-	unserved map[operationKey]*Operation // operations without a key whose latest attempt was not served
+	operations []*Operation
+	byKey      map[uint64]*Operation       // the latest operation of an idempotency key
+	unserved   map[operationKey]*Operation // operations without a key whose latest attempt was not served
 }
 
 // start starts an operation with its first attempt.
 func (g *operationGrouper) start(q Request) *Operation {
-	s := &Operation{[]Request{q}}
-	g.all = append(g.all, s)
-	return s
+	op := &Operation{[]Request{q}}
+	g.operations = append(g.operations, op)
+	return op
 }
 
 // addByKey adds a request with an idempotency key.
 func (g *operationGrouper) addByKey(q Request) {
-	s := g.byKey[q.KeyHash]
-	if s != nil && q.Arrived-s.First().Arrived < keyLifetime && len(s.Attempts) < maxAttempts {
-		s.Attempts = append(s.Attempts, q)
+	op := g.byKey[q.KeyHash]
+	if op != nil && q.Arrived-op.First().Arrived < keyLifetime && len(op.Attempts) < maxAttempts {
+		op.Attempts = append(op.Attempts, q)
 		return
 	}
 	g.byKey[q.KeyHash] = g.start(q)
@@ -76,16 +76,16 @@
 // addByObject adds a request without an idempotency key.
 func (g *operationGrouper) addByObject(q Request) {
 	key := operationKey{q.Instance, q.Client, q.Tenant, q.Class, q.Route, q.ObjectHash}
-	if s := g.unserved[key]; s != nil && (q.ObjectHash != 0 || q.Retry) && s.isRetriedBy(&q) {
-		s.Attempts = append(s.Attempts, q)
+	if op := g.unserved[key]; op != nil && (q.ObjectHash != 0 || q.Retry) && op.isRetriedBy(&q) {
+		op.Attempts = append(op.Attempts, q)
 		if q.Verdict == Served {
 			delete(g.unserved, key)
 		}
 		return
 	}
-	s := g.start(q)
+	op := g.start(q)
 	if q.Verdict != Served {
-		g.unserved[key] = s
+		g.unserved[key] = op
 	} else {
 		delete(g.unserved, key)
 	}
@@ -93,8 +93,8 @@
 
 // isRetriedBy reports whether a request for the same object follows soon enough after the latest attempt, which was not
 // served.
-func (s *Operation) isRetriedBy(q *Request) bool {
-	last := &s.Attempts[len(s.Attempts)-1]
-	since := q.Arrived - last.End()
-	return since >= 0 && since < retryWindow && last.Verdict != Served && len(s.Attempts) < maxAttempts
+func (op *Operation) isRetriedBy(q *Request) bool {
+	latest := &op.Attempts[len(op.Attempts)-1]
+	sinceEnd := q.Arrived - latest.End()
+	return sinceEnd >= 0 && sinceEnd < retryWindow && latest.Verdict != Served && len(op.Attempts) < maxAttempts
 }
--- a/internal/accesslog/process_id_test.go
+++ b/internal/accesslog/process_id_test.go
@@ -9,11 +9,11 @@
 // The separator of start and process id is a digit of base 36 too.
 func TestProcessIDBesideDigitsOfItsSeparator(t *testing.T) {
 	pid36 := func(pid int) string { return strconv.FormatInt(int64(pid), 36) }
-	withP, err := strconv.ParseInt("mkp0p1zz", 36, 64)
+	startWithP, err := strconv.ParseInt("mkp0p1zz", 36, 64)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, start := range []int64{0, time.Date(2026, 12, 2, 5, 50, 0, 0, time.UTC).UnixMilli(), withP} {
+	for _, start := range []int64{0, time.Date(2026, 12, 2, 5, 50, 0, 0, time.UTC).UnixMilli(), startWithP} {
 		for _, pid := range []int{1, 25, 25*36 + 25, 4194303} {
 			name := strconv.FormatInt(start, 36) + "p" + pid36(pid)
 			if got, ok := processID(name); !ok || got != pid {
--- a/internal/accesslog/record_test.go
+++ b/internal/accesslog/record_test.go
@@ -19,10 +19,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLogger = slog.New(slog.DiscardHandler)
 
 // writer starts a writer, which is closed at the end of the test.
-func writer(t *testing.T, o Options) *Writer {
+func startWriter(t *testing.T, o Options) *Writer {
 	t.Helper()
 	if o.Sample == 0 {
 		o.Sample = 1
@@ -33,7 +33,7 @@
 	if o.Age == 0 {
 		o.Age = time.Hour
 	}
-	o.Log = quiet
+	o.Log = discardLogger
 	w, err := NewWriter(o)
 	require.NoError(t, err)
 	t.Cleanup(w.Close)
@@ -41,7 +41,7 @@
 }
 
 // read reads a recording.
-func read(t *testing.T, paths ...string) *Recording {
+func readRecording(t *testing.T, paths ...string) *Recording {
 	t.Helper()
 	r, err := Read(paths...)
 	require.NoError(t, err)
@@ -49,11 +49,11 @@
 }
 
 // segments returns the paths of a folder's segments, sorted.
-func segments(t *testing.T, dir string) []string {
+func segmentPaths(t *testing.T, dir string) []string {
 	t.Helper()
-	all, err := filepath.Glob(filepath.Join(dir, "*.parquet"))
+	paths, err := filepath.Glob(filepath.Join(dir, "*.parquet"))
 	require.NoError(t, err)
-	return all
+	return paths
 }
 
 // Rows of several instances are read as they were written, in the order of their arrival, with none missing.
@@ -61,41 +61,42 @@
 	dir := t.TempDir()
 	now := time.UnixMilli(1_700_000_000_000)
 	want := map[string]Row{}
-	for i, name := range []string{"desk", "desk-2"} {
-		w := writer(t, Options{Dir: dir, Instance: name, Rows: 40, Now: func() time.Time { return now }})
-		var all sync.WaitGroup
-		for k := range 100 {
+	for i, instance := range []string{"desk", "desk-2"} {
+		w := startWriter(t, Options{Dir: dir, Instance: instance, Rows: 40, Now: func() time.Time { return now }})
+		var adders sync.WaitGroup
+		for row := range 100 {
 			r := Row{
-				Arrived: now.UnixMicro() + int64(1000*(k%50)+i), Duration: int64(10 * k), Client: "c", Class: "book",
-				Verdict: Served, Status: 200, Attempts: 1, KeyHash: uint64(1 + k + 1000*i), BytesIn: -1, BytesOut: 5,
+				Arrived: now.UnixMicro() + int64(1000*(row%50)+i), Duration: int64(10 * row),
+				Client: "c", Class: "book",
+				Verdict: Served, Status: 200, Attempts: 1, KeyHash: uint64(1 + row + 1000*i), BytesIn: -1, BytesOut: 5,
 			}
-			want[fmt.Sprint(name, r.KeyHash)] = r
-			all.Go(func() { w.Add(r) })
+			want[fmt.Sprint(instance, r.KeyHash)] = r
+			adders.Go(func() { w.Add(r) })
 		}
-		all.Wait()
+		adders.Wait()
 		w.Close()
 		w.Add(Row{}) // after Close: ignored
 	}
-	rec := read(t, dir)
+	rec := readRecording(t, dir)
 	if len(rec.Requests) != 200 || len(rec.Runs) != 2 || len(rec.Problems) != 0 {
 		t.Fatalf("%d requests, %d runs, problems %q", len(rec.Requests), len(rec.Runs), rec.Problems)
 	}
-	var last int64
+	var latestArrival int64
 	for _, q := range rec.Requests {
 		r := want[fmt.Sprint(q.Instance, q.KeyHash)]
 		r.Seq = q.Seq
-		if q.Row != r || q.Arrived < last {
-			t.Fatalf("%+v, want %+v, behind %d", q, r, last)
+		if q.Row != r || q.Arrived < latestArrival {
+			t.Fatalf("%+v, want %+v, behind %d", q, r, latestArrival)
 		}
-		last = q.Arrived
+		latestArrival = q.Arrived
 	}
 	for _, r := range rec.Runs {
 		if r.Segments != 3 || r.Missing != 0 || r.Rows != 100 {
 			t.Errorf("%+v", r)
 		}
 	}
-	if all := rec.Check(); len(all) != 0 {
-		t.Errorf("what it lacks: %q", all)
+	if findings := rec.Check(); len(findings) != 0 {
+		t.Errorf("what it lacks: %q", findings)
 	}
 }
 
@@ -103,38 +104,39 @@
 // counted.
 func TestTruncatedSegments(t *testing.T) {
 	dir := t.TempDir()
-	w := writer(t, Options{Dir: dir, Instance: "a", Rows: 100})
-	for k := range 400 {
-		w.Add(Row{Arrived: int64(1_700_000_000_000_000 + k), Class: "look", KeyHash: uint64(k + 1)})
-		if (k+1)%100 == 0 { // a segment at a time: Add does not wait for the disk, and would drop rows
-			for end := time.Now().Add(5 * time.Second); len(segments(t, dir)) < (k+1)/100 && time.Now().Before(end); {
+	w := startWriter(t, Options{Dir: dir, Instance: "a", Rows: 100})
+	for row := range 400 {
+		w.Add(Row{Arrived: int64(1_700_000_000_000_000 + row), Class: "look", KeyHash: uint64(row + 1)})
+		if (row+1)%100 == 0 { // a segment at a time: Add does not wait for the disk, and would drop rows
+			for end := time.Now().Add(5 * time.Second); len(segmentPaths(t, dir)) < (row+1)/100 &&
+				time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		}
 	}
 	w.Close()
-	all := segments(t, dir)
-	if len(all) != 4 {
-		t.Fatalf("%d segments", len(all))
+	paths := segmentPaths(t, dir)
+	if len(paths) != 4 {
+		t.Fatalf("%d segments", len(paths))
 	}
-	text, err := os.ReadFile(all[1])
+	valid, err := os.ReadFile(paths[1])
 	require.NoError(t, err)
-	for name, bad := range map[string][]byte{
-		all[1]:                                  text[:len(text)/2],
+	for path, content := range map[string][]byte{
+		paths[1]:                                valid[:len(valid)/2],
 		filepath.Join(dir, "a-empty-1.parquet"): nil,
 		filepath.Join(dir, "a-none-1.parquet"):  []byte(strings.Repeat("PAR1", 100)),
 	} {
-		require.NoError(t, os.WriteFile(name, bad, 0o600))
+		require.NoError(t, os.WriteFile(path, content, 0o600))
 	}
-	require.NoError(t, os.Remove(all[2]))
-	rec := read(t, dir, all[3])
+	require.NoError(t, os.Remove(paths[2]))
+	rec := readRecording(t, dir, paths[3])
 	if len(rec.Requests) != 200 || len(rec.Problems) != 3+100 {
 		t.Errorf("%d requests, %d problems: %.300q", len(rec.Requests), len(rec.Problems), rec.Problems)
 	}
 	if r := rec.Runs[0]; r.Missing != 200 {
 		t.Errorf("%d are missing, not 200", r.Missing)
 	}
-	requireFindings(t, read(t, dir), "200 of 400 requests are missing", "is no whole segment")
+	requireFindings(t, readRecording(t, dir), "200 of 400 requests are missing", "is no whole segment")
 	if _, err := Read(filepath.Join(dir, "nowhere")); err == nil {
 		t.Error("a folder that is not there was read")
 	}
@@ -143,25 +145,25 @@
 // Changes of arbitrary bytes of a segment do not stop the reader, or add rows.
 func TestCorruptedSegments(t *testing.T) {
 	dir := t.TempDir()
-	w := writer(t, Options{Dir: dir, Instance: "a"})
-	for k := range 50 {
-		w.Add(Row{Arrived: int64(k), Class: "look", Tenant: "t"})
+	w := startWriter(t, Options{Dir: dir, Instance: "a"})
+	for row := range 50 {
+		w.Add(Row{Arrived: int64(row), Class: "look", Tenant: "t"})
 	}
 	w.Close()
-	text, err := os.ReadFile(segments(t, dir)[0])
+	valid, err := os.ReadFile(segmentPaths(t, dir)[0])
 	require.NoError(t, err)
 	rng := rand.New(rand.NewPCG(1, 1))
 	path := filepath.Join(t.TempDir(), "a-x-1.parquet")
 	for range 400 {
-		bad := slices.Clone(text)
+		corrupted := slices.Clone(valid)
 		for range 1 + rng.IntN(4) {
-			bad[rng.IntN(len(bad))] ^= byte(1 << rng.IntN(8))
+			corrupted[rng.IntN(len(corrupted))] ^= byte(1 << rng.IntN(8))
 		}
 		if rng.IntN(3) == 0 {
-			bad = bad[:rng.IntN(len(bad))]
+			corrupted = corrupted[:rng.IntN(len(corrupted))]
 		}
-		require.NoError(t, os.WriteFile(path, bad, 0o600))
-		if rec := read(t, path); len(rec.Requests) > 50 {
+		require.NoError(t, os.WriteFile(path, corrupted, 0o600))
+		if rec := readRecording(t, path); len(rec.Requests) > 50 {
 			t.Fatalf("%d requests of 50", len(rec.Requests))
 		}
 	}
@@ -171,34 +173,34 @@
 // The oldest segments are removed beyond Options.Keep, and none of another instance.
 func TestDiskThatTakesNothing(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "record")
-	w := writer(t, Options{Dir: dir, Instance: "a", Rows: 10, Keep: 8000})
+	w := startWriter(t, Options{Dir: dir, Instance: "a", Rows: 10, Keep: 8000})
 	require.NoError(t, os.RemoveAll(dir))
 	if err := os.WriteFile(dir, nil, 0o600); err != nil { // where the folder was
 		t.Fatal(err)
 	}
 	addRows(w, 10, 0)
-	eventually(t, "no row counts as dropped", func() bool { return w.Dropped() == 10 })
+	waitFor(t, "no row counts as dropped", func() bool { return w.Dropped() == 10 })
 	require.NoError(t, os.Remove(dir))
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	addRows(w, 10, 1)
-	eventually(t, "no segment is written again", func() bool { return len(segments(t, dir)) == 1 })
-	if r := read(t, dir).Runs[0]; r.Missing != 10 || r.Dropped != 10 {
+	waitFor(t, "no segment is written again", func() bool { return len(segmentPaths(t, dir)) == 1 })
+	if r := readRecording(t, dir).Runs[0]; r.Missing != 10 || r.Dropped != 10 {
 		t.Errorf("%+v", r)
 	}
-	other := filepath.Join(dir, "a-b-x-000001.parquet")
-	require.NoError(t, os.WriteFile(other, make([]byte, 50_000), 0o600))
-	for n := range 10 {
-		addRows(w, 10, int64(n))
-		eventually(t, "a segment is missing", func() bool {
-			left, err := filepath.Glob(filepath.Join(dir, fmt.Sprintf("a-*-%06d.parquet", n+3)))
-			return err == nil && len(left) == 1
+	otherInstance := filepath.Join(dir, "a-b-x-000001.parquet")
+	require.NoError(t, os.WriteFile(otherInstance, make([]byte, 50_000), 0o600))
+	for batch := range 10 {
+		addRows(w, 10, int64(batch))
+		waitFor(t, "a segment is missing", func() bool {
+			found, err := filepath.Glob(filepath.Join(dir, fmt.Sprintf("a-*-%06d.parquet", batch+3)))
+			return err == nil && len(found) == 1
 		})
 	}
 	w.Close()
-	if _, err := os.Stat(other); err != nil {
+	if _, err := os.Stat(otherInstance); err != nil {
 		t.Errorf("another instance's segment: %v", err)
 	}
-	if n := len(segments(t, dir)); n < 2 || n > 6 {
+	if n := len(segmentPaths(t, dir)); n < 2 || n > 6 {
 		t.Errorf("%d segments are left", n)
 	}
 }
@@ -215,7 +217,7 @@
 		path := filepath.Join(dir, strings.Replace(name, "7fffffff", "zik0z", 1))
 		require.NoError(t, os.WriteFile(path, nil, 0o600))
 	}
-	writer(t, Options{Dir: dir, Instance: "a"})
+	startWriter(t, Options{Dir: dir, Instance: "a"})
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	var names []string
@@ -225,7 +227,7 @@
 	if len(names) != 2 || !strings.HasPrefix(names[0], ".a-xxp1-") || !strings.HasPrefix(names[1], ".b-") {
 		t.Errorf("left: %q", names)
 	}
-	if _, err := NewWriter(Options{Dir: dir, Instance: "a/b", Log: quiet}); err == nil {
+	if _, err := NewWriter(Options{Dir: dir, Instance: "a/b", Log: discardLogger}); err == nil {
 		t.Error("an instance with a / in its name is accepted")
 	}
 }
@@ -236,35 +238,40 @@
 	dir := t.TempDir()
 	base := time.UnixMilli(1_700_000_000_000)
 	var mu sync.Mutex
-	wall := base
+	systemTime := base
 	clock := func() time.Time {
 		mu.Lock()
 		defer mu.Unlock()
-		return wall
+		return systemTime
 	}
-	w := writer(t, Options{Dir: dir, Instance: "a", Rows: 10, Now: clock})
-	for n := range 3 {
+	writerA := startWriter(t, Options{Dir: dir, Instance: "a", Rows: 10, Now: clock})
+	for segment := range 3 {
 		mu.Lock()
-		wall = base.Add(time.Duration(n) * time.Second)
-		if n == 2 {
-			wall = wall.Add(-90 * time.Second) // corrected: it was ahead before
+		systemTime = base.Add(time.Duration(segment) * time.Second)
+		if segment == 2 {
+			systemTime = systemTime.Add(-90 * time.Second) // corrected: it was ahead before
 		}
 		mu.Unlock()
-		for k := range 10 {
-			w.Add(Row{Arrived: base.UnixMicro() + int64(n)*1_000_000 - int64(10*k), KeyHash: uint64(100*n + k + 1)})
+		for row := range 10 {
+			writerA.Add(Row{
+				Arrived: base.UnixMicro() + int64(segment)*1_000_000 - int64(10*row),
+				KeyHash: uint64(100*segment + row + 1),
+			})
 		}
-		for end := time.Now().Add(5 * time.Second); len(segments(t, dir)) <= n && time.Now().Before(end); {
+		for end := time.Now().Add(5 * time.Second); len(segmentPaths(t, dir)) <= segment && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	w.Close()
-	right := base.Add(-90 * time.Second)
-	b := writer(t, Options{Dir: dir, Instance: "b", Now: func() time.Time { return right.Add(3 * time.Second) }})
-	for k := range 10 {
-		b.Add(Row{Arrived: right.UnixMicro() + int64(k)*300_000, KeyHash: uint64(5000 + k)})
+	writerA.Close()
+	trueTime := base.Add(-90 * time.Second)
+	writerB := startWriter(t, Options{
+		Dir: dir, Instance: "b", Now: func() time.Time { return trueTime.Add(3 * time.Second) },
+	})
+	for row := range 10 {
+		writerB.Add(Row{Arrived: trueTime.UnixMicro() + int64(row)*300_000, KeyHash: uint64(5000 + row)})
 	}
-	b.Close()
-	rec := read(t, dir)
+	writerB.Close()
+	rec := readRecording(t, dir)
 	requireFindings(t, rec, "clock stepped by -90.000 s", "its clock was -90.000 s off")
 	if from, to := rec.Span(); to-from < 80_000_000 {
 		t.Errorf("before: %d", to-from)
@@ -279,10 +286,11 @@
 // served. A request after a served attempt, or a late one, is another operation.
 func TestOperations(t *testing.T) {
 	rec := &Recording{}
-	const ms = 1000
-	add := func(instance, client string, key, object uint64, at, took int64, verdict string, retry bool) {
+	const microsPerMilli = 1000
+	add := func(instance, client string, key, object uint64, arrivedMs, durationMs int64, verdict string, retry bool) {
 		rec.Requests = append(rec.Requests, Request{Row{
-			Arrived: at * ms, Duration: took * ms, Client: client, Class: "c", KeyHash: key, ObjectHash: object,
+			Arrived: arrivedMs * microsPerMilli, Duration: durationMs * microsPerMilli,
+			Client: client, Class: "c", KeyHash: key, ObjectHash: object,
 			Verdict: verdict, Retry: retry,
 		}, instance})
 	}
@@ -301,12 +309,12 @@
 	add("i", "a", 0, 0, 5300, 10, Rejected, false) // operation 10
 	add("i", "a", 0, 0, 5400, 10, Served, true)    // operation 10 again: marked
 	add("i", "a", 1, 0, 90_000, 10, Served, false) // operation 11: the key's lifetime has passed
-	var got []int
-	for _, s := range rec.Operations() {
-		got = append(got, len(s.Attempts))
+	var attempts []int
+	for _, op := range rec.Operations() {
+		attempts = append(attempts, len(op.Attempts))
 	}
-	if want := []int{2, 3, 1, 1, 1, 1, 1, 1, 1, 2, 1}; !slices.Equal(got, want) {
-		t.Errorf("attempts of each operation %v, want %v", got, want)
+	if want := []int{2, 3, 1, 1, 1, 1, 1, 1, 1, 2, 1}; !slices.Equal(attempts, want) {
+		t.Errorf("attempts of each operation %v, want %v", attempts, want)
 	}
 	requireFindings(t, rec, `class "c": 3 of 15 requests have neither key nor object nor a mark`)
 }
@@ -315,12 +323,12 @@
 // are equal only for the same secret.
 func TestSampleAndHashes(t *testing.T) {
 	dir := t.TempDir()
-	a := hasherOf(t, filepath.Join(dir, "a"), "0123456789abcdef\n")
-	b := hasherOf(t, filepath.Join(dir, "b"), "0123456789abcdeg\n")
-	same := hasherOf(t, filepath.Join(dir, "c"), "0123456789abcdef")
-	hash := a.Hash("key", "x")
-	differs := hash != b.Hash("key", "x") && hash != a.Hash("object", "x")
-	if hash != same.Hash("key", "x") || !differs || a.Hash("key", "") != 0 {
+	hasher := hasherOf(t, filepath.Join(dir, "a"), "0123456789abcdef\n")
+	otherSecret := hasherOf(t, filepath.Join(dir, "b"), "0123456789abcdeg\n")
+	sameSecret := hasherOf(t, filepath.Join(dir, "c"), "0123456789abcdef")
+	hash := hasher.Hash("key", "x")
+	differ := hash != otherSecret.Hash("key", "x") && hash != hasher.Hash("object", "x")
+	if hash != sameSecret.Hash("key", "x") || !differ || hasher.Hash("key", "") != 0 {
 		t.Error("hashes")
 	}
 	if _, err := NewHasher(filepath.Join(dir, "none")); err == nil {
@@ -331,21 +339,21 @@
 		t.Error("a short secret is accepted")
 	}
 	sampled := 0
-	for k := range 10_000 {
-		key := a.Hash("key", fmt.Sprint(k))
-		first := Sampled(&Row{KeyHash: key, Seq: 1}, 0.1)
-		if first != Sampled(&Row{KeyHash: key, Seq: 99, Arrived: 5}, 0.1) {
+	for keyNumber := range 10_000 {
+		key := hasher.Hash("key", fmt.Sprint(keyNumber))
+		firstSampled := Sampled(&Row{KeyHash: key, Seq: 1}, 0.1)
+		if firstSampled != Sampled(&Row{KeyHash: key, Seq: 99, Arrived: 5}, 0.1) {
 			t.Fatal("one attempt is in the sample, another is not")
 		}
-		if first {
+		if firstSampled {
 			sampled++
 		}
 	}
 	if sampled < 900 || sampled > 1100 {
 		t.Errorf("%d of 10,000 are in a sample of a tenth", sampled)
 	}
-	for k := range 2000 {
-		if Sampled(&Row{Seq: int64(k), Arrived: int64(k) * 777}, 0.5) {
+	for row := range 2000 {
+		if Sampled(&Row{Seq: int64(row), Arrived: int64(row) * 777}, 0.5) {
 			sampled++
 		}
 	}
@@ -371,7 +379,7 @@
 }
 
 // eventually waits for a condition, and ends the test if it does not become true within 5 s.
-func eventually(t *testing.T, failure string, condition func() bool) {
+func waitFor(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -394,17 +402,17 @@
 // BenchmarkRow measures the cost of recording a request, with its hashes.
 func BenchmarkRow(b *testing.B) {
 	w, err := NewWriter(Options{
-		Dir: b.TempDir(), Instance: "a", Sample: 1, Rows: 20_000, Age: time.Hour, Keep: 64 << 20, Log: quiet,
+		Dir: b.TempDir(), Instance: "a", Sample: 1, Rows: 20_000, Age: time.Hour, Keep: 64 << 20, Log: discardLogger,
 	})
 	require.NoError(b, err)
-	h := NewHasherFromSecret([]byte("0123456789abcdef"))
+	hasher := NewHasherFromSecret([]byte("0123456789abcdef"))
 	b.ReportAllocs()
-	for k := range b.N {
+	for row := range b.N {
 		w.Add(Row{
-			Arrived: int64(k), Duration: 1000, Client: "desk", Class: "book", Tenant: "acme",
+			Arrived: int64(row), Duration: 1000, Client: "desk", Class: "book", Tenant: "acme",
 			Verdict: Served, Endpoint: "s-1", Status: 200, Attempts: 1,
-			KeyHash:    h.Hash("key", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"),
-			ObjectHash: h.Hash("object", "7f3a9c21e0b4d655"), BytesOut: 500,
+			KeyHash:    hasher.Hash("key", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"),
+			ObjectHash: hasher.Hash("object", "7f3a9c21e0b4d655"), BytesOut: 500,
 		})
 	}
 	w.Close()
--- a/internal/accesslog/recording.go
+++ b/internal/accesslog/recording.go
@@ -33,8 +33,8 @@
 	From, To          int64   // of the first arrival and the last end, in Unix microseconds
 	Offset            int64   // system's clock less the run's clock at the end, in microseconds
 	Steps             []int64 // steps of the system's clock between segments, in microseconds
-	offsets           []int64 // system's clock less the run's clock, by segment
-	maxSeq            int64   // largest number of a row
+	clockOffsets      []int64 // system's clock less the run's clock, by segment
+	lastSeq           int64   // largest number of a row
 }
 
 // Recording is the content of a number of folders.
@@ -74,9 +74,9 @@
 	slices.SortFunc(files, func(a, b string) int { return strings.Compare(filepath.Base(a), filepath.Base(b)) })
 	rec := &Recording{}
 	runs := map[string]*Run{}
-	seen := map[string]map[int64]bool{}
+	seenRows := map[string]map[int64]bool{}
 	for _, f := range files {
-		if err := rec.file(f, runs, seen); err != nil {
+		if err := rec.readSegment(f, runs, seenRows); err != nil {
 			rec.Problems = append(rec.Problems, fmt.Sprintf("%s: %v", f, err))
 		}
 	}
@@ -88,7 +88,7 @@
 }
 
 // file reads a segment. seen has the numbers of the rows that were read, by run.
-func (rec *Recording) file(path string, runs map[string]*Run, seen map[string]map[int64]bool) error {
+func (rec *Recording) readSegment(path string, runs map[string]*Run, seenRows map[string]map[int64]bool) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -98,46 +98,46 @@
 	if err != nil {
 		return err
 	}
-	rows, meta, err := decode(f, info.Size())
+	rows, meta, err := decodeSegment(f, info.Size())
 	if err != nil {
 		return err
 	}
 	if v := meta["version"]; v != fmt.Sprint(Version) {
 		return fmt.Errorf("is of version %q, this program reads %d", v, Version)
 	}
-	name := meta["instance"] + "-" + meta["process"]
-	r := runs[name]
+	runName := meta["instance"] + "-" + meta["process"]
+	r := runs[runName]
 	if r == nil {
 		r = &Run{Instance: meta["instance"], Process: meta["process"], Sample: 1}
 		if v, err := strconv.ParseFloat(meta["sample"], 64); err == nil && v > 0 {
 			r.Sample = v
 		}
-		runs[name] = r
-		seen[name] = map[int64]bool{}
+		runs[runName] = r
+		seenRows[runName] = map[int64]bool{}
 		rec.Runs = append(rec.Runs, r)
 	}
 	r.Segments++
 	if v, err := strconv.ParseInt(meta["dropped"], 10, 64); err == nil {
 		r.Dropped += v
 	}
-	var last int64
+	var lastEnd int64
 	for _, row := range rows {
-		if seen[name][row.Seq] {
+		if seenRows[runName][row.Seq] {
 			rec.Problems = append(rec.Problems, fmt.Sprintf("%s: row %d is there twice; it counts once", path, row.Seq))
 			continue
 		}
-		seen[name][row.Seq] = true
+		seenRows[runName][row.Seq] = true
 		r.Rows++
-		r.maxSeq = max(r.maxSeq, row.Seq)
+		r.lastSeq = max(r.lastSeq, row.Seq)
 		if r.From == 0 || row.Arrived < r.From {
 			r.From = row.Arrived
 		}
 		r.To = max(r.To, row.Arrived+row.Duration)
-		last = max(last, row.Arrived+row.Duration)
+		lastEnd = max(lastEnd, row.Arrived+row.Duration)
 		rec.Requests = append(rec.Requests, Request{row, r.Instance})
 	}
-	if wall, err := strconv.ParseInt(meta["ended_wall_us"], 10, 64); err == nil && last > 0 {
-		r.offsets = append(r.offsets, wall-last)
+	if writtenAt, err := strconv.ParseInt(meta["ended_wall_us"], 10, 64); err == nil && lastEnd > 0 {
+		r.clockOffsets = append(r.clockOffsets, writtenAt-lastEnd)
 	}
 	return nil
 }
@@ -150,7 +150,7 @@
 
 // decode reads a segment's rows and its metadata. The Parquet library panics for some invalid files, which is an error
 // here.
-func decode(f *os.File, size int64) (rows []Row, meta map[string]string, err error) {
+func decodeSegment(f *os.File, size int64) (rows []Row, meta map[string]string, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("is no sound segment: %v", p)
@@ -182,19 +182,19 @@
 // summarize computes the figures of a run from all its segments.
 func (r *Run) summarize() {
 	if r.Sample >= 1 {
-		r.Missing = r.maxSeq - r.Rows
+		r.Missing = r.lastSeq - r.Rows
 	}
-	for i, at := range r.offsets {
+	for i, offset := range r.clockOffsets {
 		if i > 0 {
-			if step := at - r.offsets[i-1]; step > minClockStep || step < -minClockStep {
+			if step := offset - r.clockOffsets[i-1]; step > minClockStep || step < -minClockStep {
 				r.Steps = append(r.Steps, step)
 			}
 		}
 	}
-	if n := len(r.offsets); n > 0 {
-		sorted := slices.Sorted(slices.Values(r.offsets))
+	if n := len(r.clockOffsets); n > 0 {
+		sorted := slices.Sorted(slices.Values(r.clockOffsets))
 		if r.Offset = sorted[n/2]; len(r.Steps) > 0 {
-			r.Offset = r.offsets[n-1] // the clock is most likely right after its last step
+			r.Offset = r.clockOffsets[n-1] // the clock is most likely right after its last step
 		}
 	}
 }
@@ -203,7 +203,7 @@
 // are in the right order.
 func (rec *Recording) Align() {
 	for _, r := range rec.Runs {
-		if r.Offset > -minClockStep && r.Offset < minClockStep+maxSegmentDelay {
+		if r.Offset > -minClockStep && r.Offset < minClockStep+maxWriteDelay {
 			continue
 		}
 		for i := range rec.Requests {
@@ -216,27 +216,28 @@
 	slices.SortStableFunc(rec.Requests, func(a, b Request) int { return cmp.Compare(a.Arrived, b.Arrived) })
 }
 
-// maxSegmentDelay is the longest time from a segment's last row until it is written, in microseconds. A clock that
+// maxWriteDelay is the longest time from a segment's last row until it is written, in microseconds. A clock that
 // seems ahead by less may be right.
-const maxSegmentDelay = 60_000_000
+const maxWriteDelay = 60_000_000
 
 // Check returns what a recording lacks for a replay, a line for each finding.
-func (rec *Recording) Check() (all []string) {
-	all = append(all, rec.Problems...)
+func (rec *Recording) Check() (findings []string) {
+	findings = append(findings, rec.Problems...)
 	if len(rec.Requests) == 0 {
-		return append(all, "there is no request")
+		return append(findings, "there is no request")
 	}
 	for _, r := range rec.Runs {
-		all = append(all, r.check()...)
+		findings = append(findings, r.checkRun()...)
 	}
-	all = append(all, rec.checkSpans()...)
-	return append(all, rec.checkRetryMarks()...)
+	findings = append(findings, rec.checkSpans()...)
+	return append(findings, rec.checkRetryDetection()...)
 }
 
 // check returns what a run lacks by itself.
-func (r *Run) check() (all []string) {
+func (r *Run) checkRun() (findings []string) {
 	add := func(format string, args ...any) {
-		all = append(all, fmt.Sprintf("instance %s, run %s: ", r.Instance, r.Process)+fmt.Sprintf(format, args...))
+		findings = append(findings,
+			fmt.Sprintf("instance %s, run %s: ", r.Instance, r.Process)+fmt.Sprintf(format, args...))
 	}
 	if r.Missing > 0 {
 		add("%d of %d requests are missing (%d were dropped by a slow or full disk)",
@@ -248,52 +249,52 @@
 	for _, step := range r.Steps {
 		add("the system's clock stepped by %.3f s meanwhile; the run's own did not", inSeconds(step))
 	}
-	if r.Offset < -minClockStep || r.Offset > maxSegmentDelay+minClockStep {
+	if r.Offset < -minClockStep || r.Offset > maxWriteDelay+minClockStep {
 		add("its clock was %.3f s off at the end; put together with others, align it", inSeconds(r.Offset))
 	}
-	return all
+	return findings
 }
 
 const (
-	// minSpanGap is the shortest time, in microseconds, by which a run begins later or ends earlier than the recording
+	// minReportedSpanGap is the shortest time, in microseconds, by which a run begins later or ends earlier than the recording
 	// that Check reports.
-	minSpanGap = 5_000_000
+	minReportedSpanGap = 5_000_000
 	// spanGapDivisor gives the part of the recording that such a time must exceed.
 	spanGapDivisor = 20
 )
 
 // checkSpans returns which runs do not cover the time of the recording.
-func (rec *Recording) checkSpans() (all []string) {
+func (rec *Recording) checkSpans() (findings []string) {
 	from, to := rec.Span()
 	for _, r := range rec.Runs {
-		if gap := r.From - from; gap > minSpanGap && gap > (to-from)/spanGapDivisor {
-			all = append(all, fmt.Sprintf("instance %s, run %s: begins %.0f s after the first",
+		if gap := r.From - from; gap > minReportedSpanGap && gap > (to-from)/spanGapDivisor {
+			findings = append(findings, fmt.Sprintf("instance %s, run %s: begins %.0f s after the first",
 				r.Instance, r.Process, inSeconds(gap)))
 		}
-		if gap := to - r.To; gap > minSpanGap && gap > (to-from)/spanGapDivisor {
-			all = append(all, fmt.Sprintf("instance %s, run %s: ends %.0f s before the last",
+		if gap := to - r.To; gap > minReportedSpanGap && gap > (to-from)/spanGapDivisor {
+			findings = append(findings, fmt.Sprintf("instance %s, run %s: ends %.0f s before the last",
 				r.Instance, r.Process, inSeconds(gap)))
 		}
 	}
-	return all
+	return findings
 }
 
-// checkRetryMarks returns the classes with requests by which retries cannot be detected.
-func (rec *Recording) checkRetryMarks() (all []string) {
-	unmarked := map[string]int{}
-	counts := map[string]int{}
+// checkRetryDetection returns the classes with requests by which retries cannot be detected.
+func (rec *Recording) checkRetryDetection() (findings []string) {
+	undetectable := map[string]int{}
+	totals := map[string]int{}
 	for i := range rec.Requests {
 		q := &rec.Requests[i]
-		counts[q.Class]++
+		totals[q.Class]++
 		if q.KeyHash == 0 && q.ObjectHash == 0 && !q.Retry {
-			unmarked[q.Class]++
+			undetectable[q.Class]++
 		}
 	}
-	for _, class := range slices.Sorted(maps.Keys(unmarked)) {
-		all = append(all, fmt.Sprintf("class %q: %d of %d requests have neither key nor object nor a mark: "+
-			"a client's own retry cannot be told from another request of its", class, unmarked[class], counts[class]))
+	for _, class := range slices.Sorted(maps.Keys(undetectable)) {
+		findings = append(findings, fmt.Sprintf("class %q: %d of %d requests have neither key nor object nor a mark: "+
+			"a client's own retry cannot be told from another request of its", class, undetectable[class], totals[class]))
 	}
-	return all
+	return findings
 }
 
 // microsPerSecond converts microseconds to seconds.
--- a/internal/accesslog/row.go
+++ b/internal/accesslog/row.go
@@ -81,11 +81,11 @@
 	if text == "" {
 		return 0
 	}
-	m := hmac.New(sha256.New, h.secret)
-	m.Write([]byte(kind))
-	m.Write([]byte{0})
-	m.Write([]byte(text))
-	return max(1, binary.BigEndian.Uint64(m.Sum(nil)))
+	mac := hmac.New(sha256.New, h.secret)
+	mac.Write([]byte(kind))
+	mac.Write([]byte{0})
+	mac.Write([]byte(text))
+	return max(1, binary.BigEndian.Uint64(mac.Sum(nil)))
 }
 
 // Constants of the mixing of hashes in Sampled.
@@ -102,16 +102,16 @@
 	if fraction >= 1 {
 		return true
 	}
-	x := r.KeyHash
-	if x == 0 {
-		x = r.ObjectHash
+	hash := r.KeyHash
+	if hash == 0 {
+		hash = r.ObjectHash
 	}
-	if x == 0 {
-		x = uint64(r.Seq)*goldenGamma ^ uint64(r.Arrived)
+	if hash == 0 {
+		hash = uint64(r.Seq)*goldenGamma ^ uint64(r.Arrived)
 	}
 	// The hash's own bits have other uses, which must be independent of the sample.
-	x ^= x >> murmurShift
-	x *= murmurMultiplier
-	x ^= x >> murmurShift
-	return float64(x) < fraction*math.MaxUint64
+	hash ^= hash >> murmurShift
+	hash *= murmurMultiplier
+	hash ^= hash >> murmurShift
+	return float64(hash) < fraction*math.MaxUint64
 }
--- a/internal/accesslog/writer.go
+++ b/internal/accesslog/writer.go
@@ -37,22 +37,22 @@
 	mu           sync.Mutex
 	rows         []Row     // of the present segment
 	segmentStart time.Time // of the present segment
-	seq          int64     // number of the latest row
+	lastSeq      int64     // number of the latest row
 	dropped      int64     // rows dropped since the latest written segment
 	closed       bool
 
-	pending chan segment  // wait for the disk
-	done    chan struct{} // closed at the end of run
-	tick    *time.Ticker  // at which the present segment's age is checked
-	writing sync.Mutex    // held while a segment is written
-	lastLog time.Time     // of the latest logged error
-	number  int           // of the latest segment
+	pending           chan segment  // wait for the disk
+	done              chan struct{} // closed at the end of run
+	ageTicker         *time.Ticker  // at which the present segment's age is checked
+	writeMu           sync.Mutex    // held while a segment is written
+	lastErrorLog      time.Time     // of the latest logged error
+	lastSegmentNumber int           // of the latest segment
 }
 
 // segment is a segment that is ready to be written.
 type segment struct {
 	rows    []Row
-	began   time.Time
+	start   time.Time
 	dropped int64 // rows dropped before it
 }
 
@@ -65,12 +65,12 @@
 // partialSuffix is the end of a segment's name while it is being written.
 const partialSuffix = ".part"
 
-// ownSegment reports whether a segment's name is one of this instance's, and returns the id of its process.
-func (w *Writer) ownSegment(name string) (pid int, ours bool) {
+// parseOwnSegment reports whether a segment's name is one of this instance's, and returns the id of its process.
+func (w *Writer) parseOwnSegment(name string) (pid int, own bool) {
 	rest, ok := strings.CutPrefix(name, w.options.Instance+"-")
 	rest, complete := strings.CutSuffix(rest, segmentSuffix)
-	process, number, hasNumber := strings.Cut(rest, "-")
-	if !ok || !complete || !hasNumber || strings.Contains(number, "-") {
+	process, number, numbered := strings.Cut(rest, "-")
+	if !ok || !complete || !numbered || strings.Contains(number, "-") {
 		return 0, false
 	}
 	return processID(process)
@@ -129,16 +129,16 @@
 		segmentStart: o.Now(),
 		pending:      make(chan segment, maxPendingSegments),
 		done:         make(chan struct{}),
-		tick:         time.NewTicker(max(o.Age/ageChecksPerSegment, minAgeCheckInterval)),
+		ageTicker:    time.NewTicker(max(o.Age/ageChecksPerSegment, minAgeCheckInterval)),
 	}
 	entries, err := os.ReadDir(o.Dir)
 	if err != nil {
 		return nil, err
 	}
 	for _, e := range entries {
-		name, part := strings.CutSuffix(strings.TrimPrefix(e.Name(), "."), partialSuffix)
-		pid, ours := w.ownSegment(name)
-		if part && ours && !processAlive(pid) {
+		name, partial := strings.CutSuffix(strings.TrimPrefix(e.Name(), "."), partialSuffix)
+		pid, own := w.parseOwnSegment(name)
+		if partial && own && !processAlive(pid) {
 			if err := os.Remove(filepath.Join(o.Dir, e.Name())); err != nil && !os.IsNotExist(err) {
 				return nil, err
 			}
@@ -158,8 +158,8 @@
 	if w.closed {
 		return
 	}
-	w.seq++
-	r.Seq = w.seq
+	w.lastSeq++
+	r.Seq = w.lastSeq
 	if !Sampled(&r, w.options.Sample) {
 		return
 	}
@@ -196,7 +196,7 @@
 				return
 			}
 			w.write(s)
-		case <-w.tick.C:
+		case <-w.ageTicker.C:
 			w.mu.Lock()
 			if !w.closed && len(w.rows) > 0 && w.options.Now().Sub(w.segmentStart) >= w.options.Age {
 				w.handOverLocked()
@@ -219,7 +219,7 @@
 	close(w.pending)
 	w.mu.Unlock()
 	<-w.done
-	w.tick.Stop()
+	w.ageTicker.Stop()
 	if len(last.rows) > 0 || last.dropped > 0 {
 		w.write(last)
 	}
@@ -238,8 +238,8 @@
 // write writes a segment, and removes the oldest ones beyond Options.Keep. The rows of a segment that cannot be written
 // are dropped; later segments are written if the disk allows it.
 func (w *Writer) write(s segment) {
-	w.writing.Lock()
-	defer w.writing.Unlock()
+	w.writeMu.Lock()
+	defer w.writeMu.Unlock()
 	err := w.writeFile(s)
 	if err == nil {
 		err = w.rotate()
@@ -248,28 +248,28 @@
 		w.dropped += s.dropped + int64(len(s.rows))
 		w.mu.Unlock()
 	}
-	if now := w.options.Now(); err != nil && now.Sub(w.lastLog) > errorLogInterval {
-		w.lastLog = now
+	if now := w.options.Now(); err != nil && now.Sub(w.lastErrorLog) > errorLogInterval {
+		w.lastErrorLog = now
 		w.options.Log.Warn("access record not written", "dir", w.options.Dir, "error", err, "rows", len(s.rows))
 	}
 }
 
 // writeFile writes a segment under a temporary name, syncs and renames it. On an error no file is left.
 func (w *Writer) writeFile(s segment) (err error) {
-	w.number++
-	name := fmt.Sprintf("%s-%s-%06d%s", w.options.Instance, w.process, w.number, segmentSuffix)
-	part := filepath.Join(w.options.Dir, "."+name+partialSuffix)
-	f, err := os.OpenFile(part, os.O_CREATE|os.O_EXCL|os.O_WRONLY, segmentMode)
+	w.lastSegmentNumber++
+	name := fmt.Sprintf("%s-%s-%06d%s", w.options.Instance, w.process, w.lastSegmentNumber, segmentSuffix)
+	partialPath := filepath.Join(w.options.Dir, "."+name+partialSuffix)
+	f, err := os.OpenFile(partialPath, os.O_CREATE|os.O_EXCL|os.O_WRONLY, segmentMode)
 	if err != nil {
 		return err
 	}
 	defer func() {
 		if err != nil {
 			f.Close()
-			os.Remove(part)
+			os.Remove(partialPath)
 		}
 	}()
-	p := parquet.NewGenericWriter[Row](f,
+	parquetWriter := parquet.NewGenericWriter[Row](f,
 		parquet.Compression(&zstd.Codec{Level: zstd.SpeedFastest}),
 		parquet.CreatedBy("dunlinsail", fmt.Sprint(Version), ""))
 	metadata := map[string]string{
@@ -278,16 +278,16 @@
 		"process":       w.process,
 		"sample":        strconv.FormatFloat(w.options.Sample, 'g', -1, 64),
 		"dropped":       fmt.Sprint(s.dropped),
-		"began_wall_us": fmt.Sprint(s.began.UnixMicro()),
+		"began_wall_us": fmt.Sprint(s.start.UnixMicro()),
 		"ended_wall_us": fmt.Sprint(w.options.Now().UnixMicro()),
 	}
-	for key, v := range metadata {
-		p.SetKeyValueMetadata(key, v)
+	for key, value := range metadata {
+		parquetWriter.SetKeyValueMetadata(key, value)
 	}
-	if _, err = p.Write(s.rows); err != nil {
+	if _, err = parquetWriter.Write(s.rows); err != nil {
 		return err
 	}
-	if err = p.Close(); err != nil {
+	if err = parquetWriter.Close(); err != nil {
 		return err
 	}
 	if err = f.Sync(); err != nil {
@@ -296,7 +296,7 @@
 	if err = f.Close(); err != nil {
 		return err
 	}
-	return os.Rename(part, filepath.Join(w.options.Dir, name))
+	return os.Rename(partialPath, filepath.Join(w.options.Dir, name))
 }
 
 // rotate removes the oldest segments of this instance while all are larger than Options.Keep. The newest one stays.
@@ -308,35 +308,35 @@
 	if err != nil {
 		return err
 	}
-	type file struct {
-		path string
-		size int64
-		at   time.Time
+	type segmentFile struct {
+		path    string
+		size    int64
+		modTime time.Time
 	}
-	var all []file
-	var sum int64
+	var segments []segmentFile
+	var totalBytes int64
 	for _, e := range entries {
 		info, err := e.Info()
-		if _, ours := w.ownSegment(e.Name()); !ours || err != nil {
+		if _, own := w.parseOwnSegment(e.Name()); !own || err != nil {
 			continue // another instance's, or removed in the meantime
 		}
-		all = append(all, file{filepath.Join(w.options.Dir, e.Name()), info.Size(), info.ModTime()})
-		sum += info.Size()
+		segments = append(segments, segmentFile{filepath.Join(w.options.Dir, e.Name()), info.Size(), info.ModTime()})
+		totalBytes += info.Size()
 	}
-	slices.SortFunc(all, func(a, b file) int {
-		if c := a.at.Compare(b.at); c != 0 {
+	slices.SortFunc(segments, func(a, b segmentFile) int {
+		if c := a.modTime.Compare(b.modTime); c != 0 {
 			return c
 		}
 		return strings.Compare(a.path, b.path)
 	})
-	for _, f := range all[:max(0, len(all)-1)] {
-		if sum <= w.options.Keep {
+	for _, f := range segments[:max(0, len(segments)-1)] {
+		if totalBytes <= w.options.Keep {
 			return nil
 		}
 		if err := os.Remove(f.path); err != nil && !os.IsNotExist(err) {
 			return err
 		}
-		sum -= f.size
+		totalBytes -= f.size
 	}
 	return nil
 }
--- a/internal/differential/differential.go
+++ b/internal/differential/differential.go
@@ -32,13 +32,13 @@
 
 // Outcome is how an exchange ended.
 type Outcome struct {
-	Status      int
-	Header      string
-	Body        string // its length and digest
-	Trailer     string
-	Hints       int    // 103 responses before the final one
-	Failed      string // "head" or "body": where the response broke; "" is nowhere
-	Application string // the request as the application received it; "" where it did not say
+	Status             int
+	Header             string
+	Body               string // its length and digest
+	Trailer            string
+	EarlyHints         int    // 103 responses before the final one
+	FailedPart         string // "head" or "body": where the response broke; "" is nowhere
+	ApplicationRequest string // the request as the application received it; "" where it did not say
 }
 
 // Difference is a part in which two outcomes of one exchange differ.
@@ -50,14 +50,15 @@
 	Reason   string // why it is expected, "" where no reason is known
 }
 
-// maxShown bounds what is shown of each side of a difference, in characters.
-const maxShown = 300
+// maxShownChars bounds what is shown of each side of a difference, in characters.
+const maxShownChars = 300
 
 // String returns the difference and its exchange in one line.
 func (d Difference) String() string {
 	x := &d.Exchange
 	return fmt.Sprintf("exchange %d, %s: %.*s | %.*s (%s %s, body %d, chunked %v, expect %v, %s)",
-		d.Index, d.Part, maxShown, d.A, maxShown, d.B, x.Method, x.Path, x.Body, x.Chunked, x.Expect, x.Plan.JSON())
+		d.Index, d.Part, maxShownChars, d.A, maxShownChars, d.B,
+		x.Method, x.Path, x.Body, x.Chunked, x.Expect, x.Plan.JSON())
 }
 
 const (
@@ -98,7 +99,7 @@
 	partHeader      = "header"
 	partBody        = "body"
 	partTrailer     = "trailer"
-	partHints       = "hints"
+	partEarlyHints  = "hints"
 	partFailed      = "failed"
 	partApplication = "application"
 )
@@ -110,15 +111,16 @@
 		{partHeader, a.Header, b.Header},
 		{partBody, a.Body, b.Body},
 		{partTrailer, a.Trailer, b.Trailer},
-		{partHints, fmt.Sprint(a.Hints), fmt.Sprint(b.Hints)},
-		{partFailed, a.Failed, b.Failed},
-		{partApplication, a.Application, b.Application},
+		{partEarlyHints, fmt.Sprint(a.EarlyHints), fmt.Sprint(b.EarlyHints)},
+		{partFailed, a.FailedPart, b.FailedPart},
+		{partApplication, a.ApplicationRequest, b.ApplicationRequest},
 	} {
 		if part.a == part.b {
 			continue
 		}
 		differences = append(differences, Difference{
-			Index: index, Exchange: *x, Part: part.name, A: part.a, B: part.b, Reason: reasonFor(x, part.name, a, b),
+			Index: index, Exchange: *x, Part: part.name, A: part.a, B: part.b,
+			Reason: expectedReason(x, part.name, a, b),
 		})
 	}
 	return differences
--- a/internal/differential/reasons.go
+++ b/internal/differential/reasons.go
@@ -20,8 +20,8 @@
 	"Te":                "of one connection only; both forward that trailers are accepted",
 }
 
-// headerText returns the header fields that are compared, as text.
-func headerText(h http.Header) string {
+// comparedHeaderText returns the header fields that are compared, as text.
+func comparedHeaderText(h http.Header) string {
 	var ignored []string
 	for name := range IgnoredHeaders {
 		ignored = append(ignored, name)
@@ -52,8 +52,8 @@
 		isBrokenResponse},
 }
 
-// reasonFor returns why a difference is expected, "" if no reason is known.
-func reasonFor(x *Exchange, part string, a, b *Outcome) string {
+// expectedReason returns why a difference is expected, "" if no reason is known.
+func expectedReason(x *Exchange, part string, a, b *Outcome) string {
 	for _, expected := range expectedDifferences {
 		if expected.matches(x, part, a, b) {
 			return expected.reason
@@ -66,29 +66,29 @@
 	return a.Status == http.StatusBadGateway && b.Status == http.StatusBadGateway && part != partStatus
 }
 
-// contentLength is the length of a message in the text of its header.
-var contentLength = regexp.MustCompile(`Content-Length: \["\d+"\]; `)
+// contentLengthField is the length of a message in the text of its header.
+var contentLengthField = regexp.MustCompile(`Content-Length: \["\d+"\]; `)
 
 func isAddedLength(_ *Exchange, part string, a, b *Outcome) bool {
 	return part == partHeader && !strings.Contains(b.Header, "Content-Length") &&
-		contentLength.ReplaceAllString(a.Header, "") == b.Header
+		contentLengthField.ReplaceAllString(a.Header, "") == b.Header
 }
 
-// bufferedParts are what a request loses or gains when its body is buffered, in the text that the application returns.
-var bufferedParts = regexp.MustCompile(`(Content-Length: \["\d+"\]|Expect: \["100-continue"\]); | X-Sum: \[.*$`)
+// bufferingChanges are what a request loses or gains when its body is buffered, in the text that the application returns.
+var bufferingChanges = regexp.MustCompile(`(Content-Length: \["\d+"\]|Expect: \["100-continue"\]); | X-Sum: \[.*$`)
 
 func isBufferedRequest(x *Exchange, part string, a, b *Outcome) bool {
-	if part != partApplication || a.Application == "" || !x.Chunked && !x.Expect {
+	if part != partApplication || a.ApplicationRequest == "" || !x.Chunked && !x.Expect {
 		return false
 	}
-	withoutA := bufferedParts.ReplaceAllString(a.Application, "")
-	withoutB := bufferedParts.ReplaceAllString(b.Application, "")
-	return withoutA == withoutB && strings.HasSuffix(a.Application, webapp.HeaderText(x.Trailer))
+	withoutA := bufferingChanges.ReplaceAllString(a.ApplicationRequest, "")
+	withoutB := bufferingChanges.ReplaceAllString(b.ApplicationRequest, "")
+	return withoutA == withoutB && strings.HasSuffix(a.ApplicationRequest, webapp.HeaderText(x.Trailer))
 }
 
 func isClosedRequestBody(x *Exchange, _ string, a, b *Outcome) bool {
-	broken := b.Failed != "" || b.Status == http.StatusBadGateway
-	return x.Body >= 0 && broken && isAsPlanned(x, a)
+	brokenB := b.FailedPart != "" || b.Status == http.StatusBadGateway
+	return x.Body >= 0 && brokenB && matchesPlan(x, a)
 }
 
 func isBrokenResponse(x *Exchange, part string, a, b *Outcome) bool {
@@ -100,13 +100,13 @@
 	}
 	switch part {
 	case partStatus, partHeader, partBody, partFailed:
-		return a.Failed+b.Failed != ""
+		return a.FailedPart+b.FailedPart != ""
 	}
 	return false
 }
 
-// isAsPlanned reports whether a response came completely, with the status and the body of the exchange's plan.
-func isAsPlanned(x *Exchange, o *Outcome) bool {
+// matchesPlan reports whether a response came completely, with the status and the body of the exchange's plan.
+func matchesPlan(x *Exchange, o *Outcome) bool {
 	var planned webapp.Digest
 	if x.Method != http.MethodHead && x.Plan.Status != http.StatusNoContent && x.Plan.Status != http.StatusNotModified {
 		for _, size := range x.Plan.PieceSizes() {
@@ -115,5 +115,5 @@
 			}
 		}
 	}
-	return o.Failed == "" && o.Status == x.Plan.Status && o.Body == planned.String()
+	return o.FailedPart == "" && o.Status == x.Plan.Status && o.Body == planned.String()
 }
--- a/internal/differential/send.go
+++ b/internal/differential/send.go
@@ -13,36 +13,36 @@
 )
 
 // Send sends one exchange to a program, and returns how it ended.
-func Send(ctx context.Context, t http.RoundTripper, addr string, x *Exchange) Outcome {
-	var o Outcome
+func Send(ctx context.Context, transport http.RoundTripper, addr string, x *Exchange) Outcome {
+	var outcome Outcome
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		Got1xxResponse: func(code int, _ textproto.MIMEHeader) error {
 			if code == http.StatusEarlyHints {
-				o.Hints++
+				outcome.EarlyHints++
 			}
 			return nil
 		},
 	})
 	var body io.Reader
 	if x.Body >= 0 {
-		r, w := io.Pipe()
-		go func() { w.CloseWithError(webapp.WriteBody(w, x.Body)) }() // ends with the pipe
-		defer r.Close()
-		body = r
+		bodyReader, bodyWriter := io.Pipe()
+		go func() { bodyWriter.CloseWithError(webapp.WriteBody(bodyWriter, x.Body)) }() // ends with the pipe
+		defer bodyReader.Close()
+		body = bodyReader
 	}
 	request, err := newRequest(ctx, addr, x, body)
 	if err != nil {
-		o.Failed = err.Error()
-		return o
+		outcome.FailedPart = err.Error()
+		return outcome
 	}
-	resp, err := t.RoundTrip(request)
+	resp, err := transport.RoundTrip(request)
 	if err != nil {
-		o.Failed = failedHead
-		return o
+		outcome.FailedPart = failedHead
+		return outcome
 	}
 	defer resp.Body.Close()
-	o.read(resp, x)
-	return o
+	outcome.readResponse(resp, x)
+	return outcome
 }
 
 func newRequest(ctx context.Context, addr string, x *Exchange, body io.Reader) (*http.Request, error) {
@@ -69,30 +69,30 @@
 }
 
 // read takes over a response, its body included.
-func (o *Outcome) read(resp *http.Response, x *Exchange) {
+func (o *Outcome) readResponse(resp *http.Response, x *Exchange) {
 	var digest webapp.Digest
 	if _, err := io.Copy(&digest, resp.Body); err != nil {
-		o.Failed = failedBody
+		o.FailedPart = failedBody
 	}
 	o.Status = resp.StatusCode
 	o.Body = digest.String()
 	o.Trailer = webapp.HeaderText(resp.Trailer)
 	if text := resp.Header.Get(webapp.ObservedRequestHeader); text != "" {
-		o.Application = observedRequest(text)
+		o.ApplicationRequest = observedRequestText(text)
 		resp.Header.Del(webapp.ObservedRequestHeader)
 	}
-	o.Header = headerText(resp.Header)
+	o.Header = comparedHeaderText(resp.Header)
 	if resp.ContentLength >= 0 && x.Method == http.MethodHead {
 		o.Header += fmt.Sprint("; length ", resp.ContentLength)
 	}
 }
 
-// observedRequest returns the request as the application received it, in one line.
-func observedRequest(text string) string {
-	var got webapp.ObservedRequest
-	if err := json.Unmarshal([]byte(text), &got); err != nil {
+// observedRequestText returns the request as the application received it, in one line.
+func observedRequestText(text string) string {
+	var observed webapp.ObservedRequest
+	if err := json.Unmarshal([]byte(text), &observed); err != nil {
 		return err.Error()
 	}
-	return fmt.Sprint(got.Method, " ", got.URI, " ", got.Host, " ", headerText(got.Header), " ", got.Body, " ",
-		webapp.HeaderText(got.Trailer))
+	return fmt.Sprint(observed.Method, " ", observed.URI, " ", observed.Host, " ", comparedHeaderText(observed.Header),
+		" ", observed.Body, " ", webapp.HeaderText(observed.Trailer))
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -9,13 +9,13 @@
 
 // Sizes in bytes.
 const (
-	batchHeader  = 16      // batch number, frame size, clock
-	replyHeader  = 12      // batch number, frame size, number of records
-	recordHeader = 5       // code, size of the fields
-	entrySize    = 21      // an entry of an endpoint list
-	maxFrameSize = 1 << 30 // a larger frame is malformed
-	readStep     = 1 << 20 // by which a frame's buffer grows as its bytes arrive: a stated size allocates nothing
-	firstBuffer  = 1 << 16 // initial size of a frame's buffer
+	batchHeaderSize   = 16      // batch number, frame size, clock
+	replyHeaderSize   = 12      // batch number, frame size, number of records
+	recordHeaderSize  = 5       // code, size of the fields
+	entrySize         = 21      // an entry of an endpoint list
+	maxFrameSize      = 1 << 30 // a larger frame is malformed
+	bufferGrowth      = 1 << 20 // by which a frame's buffer grows as its bytes arrive: a stated size allocates nothing
+	initialBufferSize = 1 << 16 // initial size of a frame's buffer
 
 	sizeU16 = 2 // of integers, which are big endian
 	sizeU32 = 4
@@ -41,10 +41,10 @@
 // ReadFrame reads one batch into buf, or into a larger copy, which it returns. Its error is io.EOF only at the end of
 // input between two frames, and otherwise a *FrameError.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
-	if cap(buf) < batchHeader {
-		buf = make([]byte, firstBuffer)
+	if cap(buf) < batchHeaderSize {
+		buf = make([]byte, initialBufferSize)
 	}
-	buf = buf[:batchHeader]
+	buf = buf[:batchHeaderSize]
 	if n, err := io.ReadFull(r, buf); err != nil {
 		if errors.Is(err, io.EOF) {
 			return nil, io.EOF
@@ -52,22 +52,22 @@
 		return nil, &FrameError{"batch header", n, "input ends inside it"}
 	}
 	size := int(binary.BigEndian.Uint32(buf[offsetFrameSize:]))
-	if size < batchHeader || size > maxFrameSize {
+	if size < batchHeaderSize || size > maxFrameSize {
 		return nil, &FrameError{"batch header", offsetFrameSize, fmt.Sprintf("frame size %d is out of range", size)}
 	}
-	for have := batchHeader; have < size; {
-		step := min(size-have, readStep)
-		if cap(buf) < have+step {
-			grown := make([]byte, have, max(have+step, 2*cap(buf)))
-			copy(grown, buf)
-			buf = grown
+	for received := batchHeaderSize; received < size; {
+		step := min(size-received, bufferGrowth)
+		if cap(buf) < received+step {
+			larger := make([]byte, received, max(received+step, 2*cap(buf)))
+			copy(larger, buf)
+			buf = larger
 		}
-		buf = buf[:have+step]
-		n, err := io.ReadFull(r, buf[have:])
+		buf = buf[:received+step]
+		n, err := io.ReadFull(r, buf[received:])
 		if err != nil {
-			return nil, &FrameError{"batch", have + n, fmt.Sprintf("input ends inside a frame of %d bytes", size)}
+			return nil, &FrameError{"batch", received + n, fmt.Sprintf("input ends inside a frame of %d bytes", size)}
 		}
-		have += step
+		received += step
 	}
 	return buf, nil
 }
--- a/internal/wire/names_page_test.go
+++ b/internal/wire/names_page_test.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	repositoryRoot  = "../.."
-	wireNamesPage   = repositoryRoot + "/docs/GLOSSARY.md"
-	wireNamesTitle  = "## Names on the wire"
-	minWireNameRows = 30
+	repositoryRoot   = "../.."
+	wireNamesPage    = repositoryRoot + "/docs/GLOSSARY.md"
+	wireNamesHeading = "## Names on the wire"
+	minWireNameRows  = 30
 )
 
-// otherSides are folders that play the other side of the wire: its names are spelled there independently.
-var otherSides = []string{
+// counterpartFolders are folders that play the other side of the wire: its names are spelled there independently.
+var counterpartFolders = []string{
 	"internal/fake", "internal/experiment", "internal/bench", "internal/playground", "internal/simulation",
 }
 
@@ -38,12 +38,12 @@
 	t.Helper()
 	text, err := os.ReadFile(wireNamesPage)
 	require.NoError(t, err)
-	_, section, found := strings.Cut(string(text), wireNamesTitle+"\n")
+	_, section, found := strings.Cut(string(text), wireNamesHeading+"\n")
 	if !found {
-		t.Fatalf("the page has no section %q", wireNamesTitle)
+		t.Fatalf("the page has no section %q", wireNamesHeading)
 	}
 	section, _, _ = strings.Cut(section, "\n## ")
-	files, rows := map[string][]string{}, 0
+	filesByName, rows := map[string][]string{}, 0
 	for _, line := range strings.Split(section, "\n") {
 		cells := strings.Split(line, "|")
 		if !strings.HasPrefix(line, "| `") || len(cells) != 5 {
@@ -52,17 +52,17 @@
 		rows++
 		file := backquoted.FindStringSubmatch(cells[2])[1]
 		for _, name := range backquoted.FindAllStringSubmatch(cells[3], -1) {
-			files[name[1]] = append(files[name[1]], file)
+			filesByName[name[1]] = append(filesByName[name[1]], file)
 		}
 	}
 	if rows < minWireNameRows {
 		t.Fatalf("%d rows, want at least %d", rows, minWireNameRows)
 	}
-	return files
+	return filesByName
 }
 
 // literals returns the values of a file's string literals, and the names in its struct tags.
-func literals(t *testing.T, name string) []string {
+func stringLiterals(t *testing.T, name string) []string {
 	t.Helper()
 	source, err := os.ReadFile(name)
 	require.NoError(t, err)
@@ -85,8 +85,8 @@
 	return values
 }
 
-// productFiles calls visit with each Go file of the programs, and its path from the repository's root.
-func productFiles(t *testing.T, visit func(name, path string)) {
+// visitProductFiles calls visit with each Go file of the programs, and its path from the repository's root.
+func visitProductFiles(t *testing.T, visit func(name, path string)) {
 	t.Helper()
 	err := filepath.WalkDir(repositoryRoot, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -99,7 +99,7 @@
 		path = filepath.ToSlash(path)
 		hidden := strings.HasPrefix(entry.Name(), ".") && path != "."
 		switch {
-		case entry.IsDir() && (hidden || slices.Contains(otherSides, path)):
+		case entry.IsDir() && (hidden || slices.Contains(counterpartFolders, path)):
 			return fs.SkipDir
 		case strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go"):
 			visit(name, path)
@@ -112,22 +112,22 @@
 // Each name on the wire is spelled in the one file that the glossary names, and nowhere else in the programs. Names
 // that are one plain word are only looked for in their file: elsewhere they may mean something else.
 func TestWireNamesHaveOnePlace(t *testing.T) {
-	files := wireNameFiles(t)
+	filesByName := wireNameFiles(t)
 	spelled := map[string]bool{} // file and name
-	productFiles(t, func(name, path string) {
-		for _, value := range literals(t, name) {
-			places, known := files[value]
+	visitProductFiles(t, func(name, path string) {
+		for _, value := range stringLiterals(t, name) {
+			allowedFiles, known := filesByName[value]
 			spelled[path+" "+value] = known
-			if known && !plainWord.MatchString(value) && !slices.Contains(places, path) {
-				t.Errorf("%s spells %q, which belongs into %s only", path, value, places)
+			if known && !plainWord.MatchString(value) && !slices.Contains(allowedFiles, path) {
+				t.Errorf("%s spells %q, which belongs into %s only", path, value, allowedFiles)
 			}
 		}
 	})
-	onlyInComments := "internal/wire/reply.go"
-	for value, places := range files {
-		for _, path := range places {
-			if path != onlyInComments && !spelled[path+" "+value] {
-				t.Errorf("%s does not spell %q", path, value)
+	namesInCommentsFile := "internal/wire/reply.go"
+	for wireName, allowedFiles := range filesByName {
+		for _, path := range allowedFiles {
+			if path != namesInCommentsFile && !spelled[path+" "+wireName] {
+				t.Errorf("%s does not spell %q", path, wireName)
 			}
 		}
 	}
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -39,7 +39,7 @@
 func (w *Reply) u32(v uint32) { w.frame = binary.BigEndian.AppendUint32(w.frame, v) }
 func (w *Reply) u64(v uint64) { w.frame = binary.BigEndian.AppendUint64(w.frame, v) }
 
-func (w *Reply) micros(v monotime.Micros) { w.u32(uint32(min(max(v, 0), math.MaxUint32))) }
+func (w *Reply) appendDuration(v monotime.Micros) { w.u32(uint32(min(max(v, 0), math.MaxUint32))) }
 
 // Instance writes a record "as": the instance of the actions that follow.
 func (w *Reply) Instance(instance uint32) {
@@ -52,14 +52,14 @@
 	w.startRecord(ActionSend, sizeU64+2*sizeU32)
 	w.u64(id)
 	w.u32(endpoint)
-	w.micros(timeout)
+	w.appendDuration(timeout)
 }
 
 // Reject writes a record "decline": a rejection with a Retry-After.
 func (w *Reply) Reject(id uint64, retryIn monotime.Micros) {
 	w.startRecord(ActionReject, sizeU64+sizeU32)
 	w.u64(id)
-	w.micros(retryIn)
+	w.appendDuration(retryIn)
 }
 
 // Fail writes a record "fail": the final failure of a request.
@@ -78,7 +78,7 @@
 // SetTimer writes a record "arm": token returns in an EventTimer after the delay.
 func (w *Reply) SetTimer(delay monotime.Micros, token uint32) {
 	w.startRecord(ActionSetTimer, 2*sizeU32)
-	w.micros(delay)
+	w.appendDuration(delay)
 	w.u32(token)
 }
 
@@ -97,12 +97,12 @@
 // AllPeers addresses Gossip to every peer.
 const AllPeers uint32 = math.MaxUint32
 
-// maxGossip is the longest message to a peer, in bytes.
-const maxGossip = 256
+// maxGossipBytes is the longest message to a peer, in bytes.
+const maxGossipBytes = 256
 
-// Gossip writes a record "write_peer": a message to another instance, of which data beyond maxGossip is cut off.
+// Gossip writes a record "write_peer": a message to another instance, of which data beyond maxGossipBytes is cut off.
 func (w *Reply) Gossip(peer uint32, data []byte) {
-	data = data[:min(len(data), maxGossip)]
+	data = data[:min(len(data), maxGossipBytes)]
 	w.startRecord(ActionGossip, sizeU32+sizeU16+len(data))
 	w.u32(peer)
 	w.u16(uint16(len(data)))
@@ -110,7 +110,7 @@
 }
 
 // text writes a record with a text, which is cut off after 65535 bytes.
-func (w *Reply) text(c Code, line string) {
+func (w *Reply) textRecord(c Code, line string) {
 	line = line[:min(len(line), math.MaxUint16)]
 	w.startRecord(c, sizeU16+len(line))
 	w.u16(uint16(len(line)))
@@ -118,10 +118,10 @@
 }
 
 // Log writes a record "trace": a line of the log.
-func (w *Reply) Log(line string) { w.text(ActionLog, line) }
+func (w *Reply) Log(line string) { w.textRecord(ActionLog, line) }
 
 // Exception writes a record "exception": a line on an internal error.
-func (w *Reply) Exception(line string) { w.text(ActionException, line) }
+func (w *Reply) Exception(line string) { w.textRecord(ActionException, line) }
 
 // Watch writes a record "track": the endpoint list is watched from now on, or no longer.
 func (w *Reply) Watch(on bool) {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -13,36 +13,38 @@
 // maxListItems is the largest number of objects in a list of the settings.
 const maxListItems = 256
 
-// settingsText holds the pairs of a settings text, and its first error.
-type settingsText struct {
+// settingsParser holds the pairs of a settings text, and its first error.
+type settingsParser struct {
 	pairs map[string]string
 	err   error
 }
 
 // get returns the parsed value of a key, or def if the key is missing. kind is the expected kind of value, for the
 // error.
-func get[T any](t *settingsText, key string, def T, kind string, parse func(string) (T, error)) T {
+func parseValue[T any](
+	t *settingsParser, key string, defaultValue T, expected string, parse func(string) (T, error),
+) T {
 	text, ok := t.pairs[key]
 	if !ok {
-		return def
+		return defaultValue
 	}
 	v, err := parse(text)
 	if err != nil {
-		t.fail(key, text, "not "+kind)
-		return def
+		t.setError(key, text, "not "+expected)
+		return defaultValue
 	}
 	return v
 }
 
 // fail notes an error of a key. Only the first one is reported.
-func (t *settingsText) fail(key, value, reason string) {
+func (t *settingsParser) setError(key, value, reason string) {
 	if t.err == nil {
 		t.err = &balancer.SettingError{Key: key, Value: value, Reason: reason}
 	}
 }
 
-func (t *settingsText) number(key string, def float64) float64 {
-	return get(t, key, def, "a finite number", func(s string) (float64, error) {
+func (t *settingsParser) number(key string, defaultValue float64) float64 {
+	return parseValue(t, key, defaultValue, "a finite number", func(s string) (float64, error) {
 		v, err := strconv.ParseFloat(s, 64)
 		if err == nil && (math.IsNaN(v) || math.IsInf(v, 0)) {
 			err = strconv.ErrRange
@@ -51,47 +53,47 @@
 	})
 }
 
-func (t *settingsText) integer(key string, def int64) int64 {
-	return get(t, key, def, "a whole number", func(s string) (int64, error) {
+func (t *settingsParser) integer(key string, defaultValue int64) int64 {
+	return parseValue(t, key, defaultValue, "a whole number", func(s string) (int64, error) {
 		return strconv.ParseInt(s, 10, 64)
 	})
 }
 
 // flag returns the value of a flag; a missing one is false.
-func (t *settingsText) flag(key string) bool {
-	return get(t, key, false, "true or false", strconv.ParseBool)
+func (t *settingsParser) flag(key string) bool {
+	return parseValue(t, key, false, "true or false", strconv.ParseBool)
 }
 
 // keyword returns the meaning of a value; one without a meaning is an error.
-func keyword[T any](t *settingsText, key string, def T, meanings map[string]T) T {
-	return get(t, key, def, "a known word", func(s string) (T, error) {
-		if v, ok := meanings[s]; ok {
+func keyword[T any](t *settingsParser, key string, defaultValue T, valuesByWord map[string]T) T {
+	return parseValue(t, key, defaultValue, "a known word", func(s string) (T, error) {
+		if v, ok := valuesByWord[s]; ok {
 			return v, nil
 		}
-		return def, strconv.ErrSyntax
+		return defaultValue, strconv.ErrSyntax
 	})
 }
 
 // count returns the length of a list of objects, each of which must have a key.
-func (t *settingsText) count(key string, required bool) int {
+func (t *settingsParser) listLength(key string, required bool) int {
 	countKey := key + ".count"
 	if _, ok := t.pairs[countKey]; !ok && required {
-		t.fail(countKey, "", "is missing")
+		t.setError(countKey, "", "is missing")
 	}
 	n := t.integer(countKey, 0)
 	if n < 0 || n > maxListItems {
-		t.fail(countKey, strconv.FormatInt(n, 10), "out of range")
+		t.setError(countKey, strconv.FormatInt(n, 10), "out of range")
 		return 0
 	}
 	for i := range int(n) {
 		if !t.hasKeyWithPrefix(fmt.Sprintf("%s.%d.", key, i)) {
-			t.fail(countKey, strconv.FormatInt(n, 10), fmt.Sprintf("%s.%d is missing", key, i))
+			t.setError(countKey, strconv.FormatInt(n, 10), fmt.Sprintf("%s.%d is missing", key, i))
 		}
 	}
 	return int(n)
 }
 
-func (t *settingsText) hasKeyWithPrefix(prefix string) bool {
+func (t *settingsParser) hasKeyWithPrefix(prefix string) bool {
 	for key := range t.pairs {
 		if strings.HasPrefix(key, prefix) {
 			return true
@@ -133,30 +135,30 @@
 		WeightByWork:    keyword(t, "value-by", false, map[string]bool{"request": false, "work": true}),
 		LoadMetrics:     t.loadMetrics(),
 	}
-	for i := range t.count("classes", true) {
+	for i := range t.listLength("classes", true) {
 		s.Classes = append(s.Classes, t.class(fmt.Sprintf("classes.%d.", i)))
 	}
-	for i := range t.count("tenants", false) {
+	for i := range t.listLength("tenants", false) {
 		s.Tenants = append(s.Tenants, t.tenant(fmt.Sprintf("tenants.%d.", i)))
 	}
-	t.checkUnused()
+	t.checkUnusedKeys()
 	return s, t.err
 }
 
-// checkUnused checks the settings of the protocol that no decision uses, so that a wrong value is an error all the
+// checkUnusedKeys checks the settings of the protocol that no decision uses, so that a wrong value is an error all the
 // same.
-func (t *settingsText) checkUnused() {
+func (t *settingsParser) checkUnusedKeys() {
 	t.flag("limits.may-tell")
 	for _, key := range [...]string{"tick", "contract.answer-slack"} {
 		if t.integer(key, 0) < 0 {
-			t.fail(key, t.pairs[key], "must not be negative")
+			t.setError(key, t.pairs[key], "must not be negative")
 		}
 	}
 }
 
 // parsePairs reads lines of the form key=value.
-func parsePairs(text string) (*settingsText, error) {
-	t := &settingsText{pairs: map[string]string{}}
+func parsePairs(text string) (*settingsParser, error) {
+	t := &settingsParser{pairs: map[string]string{}}
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSuffix(line, "\r")
 		if line == "" {
@@ -175,7 +177,7 @@
 	return t, nil
 }
 
-func (t *settingsText) limits() balancer.Limits {
+func (t *settingsParser) limits() balancer.Limits {
 	return balancer.Limits{
 		Cancel:          t.flag("limits.cancel"),
 		Probes:          t.flag("limits.probes"),
@@ -191,7 +193,7 @@
 // defaultPollInterval is the time within which a balancer polls discovery.
 const defaultPollInterval = 10 * monotime.Second
 
-func (t *settingsText) contract() balancer.Contract {
+func (t *settingsParser) contract() balancer.Contract {
 	return balancer.Contract{
 		DrainGrace:          t.integer("contract.drain-grace", 0),
 		WarmupStartCapacity: t.number("contract.cold-from", 1),
@@ -202,7 +204,7 @@
 	}
 }
 
-func (t *settingsText) prices() balancer.Prices {
+func (t *settingsParser) prices() balancer.Prices {
 	return balancer.Prices{
 		CrossZone: t.number("prices.cross-zone", 0),
 		Probe:     t.number("prices.probe", 0),
@@ -211,7 +213,7 @@
 	}
 }
 
-func (t *settingsText) goal() balancer.Goal {
+func (t *settingsParser) goal() balancer.Goal {
 	return balancer.Goal{
 		Overall:     t.number("goal.whole", 1),
 		WorstWindow: t.number("goal.worst-window", 0),
@@ -228,14 +230,14 @@
 )
 
 // loadMetrics returns the metrics of load reports; none where reports are off.
-func (t *settingsText) loadMetrics() []balancer.LoadMetric {
-	reports := keyword(t, "reporting.how", false, map[string]bool{
+func (t *settingsParser) loadMetrics() []balancer.LoadMetric {
+	reported := keyword(t, "reporting.how", false, map[string]bool{
 		NoReports:         false,
 		ReportsOnProbes:   true,
 		ReportsOnRequests: true,
 	})
 	fields := t.pairs["reporting.fields"]
-	if !reports || fields == "" {
+	if !reported || fields == "" {
 		return nil
 	}
 	var metrics []balancer.LoadMetric
@@ -246,30 +248,30 @@
 }
 
 // idempotencies are the values of a class's key repeat.
-var idempotencies = map[string]balancer.Idempotency{
+var idempotencyValues = map[string]balancer.Idempotency{
 	"pure":        balancer.Idempotent,
 	"token":       balancer.IdempotentByKey,
 	"side_effect": balancer.NonIdempotent,
 }
 
-// dedupScopes are the values of a class's key group.
-var dedupScopes = map[string]balancer.DedupScope{
+// dedupScopeValues are the values of a class's key group.
+var dedupScopeValues = map[string]balancer.DedupScope{
 	"all":  balancer.DedupAll,
 	"zone": balancer.DedupZone,
 	"cell": balancer.DedupCell,
 }
 
 // class reads the class whose keys have a prefix.
-func (t *settingsText) class(prefix string) balancer.Class {
+func (t *settingsParser) class(prefix string) balancer.Class {
 	for _, key := range [...]string{"target", "give-up", "repeat"} {
 		if _, ok := t.pairs[prefix+key]; !ok {
-			t.fail(prefix+key, "", "is missing")
+			t.setError(prefix+key, "", "is missing")
 		}
 	}
 	return balancer.Class{
 		Name:             t.pairs[prefix+"name"],
-		Idempotency:      keyword(t, prefix+"repeat", balancer.NonIdempotent, idempotencies),
-		DedupScope:       keyword(t, prefix+"group", balancer.DedupCell, dedupScopes),
+		Idempotency:      keyword(t, prefix+"repeat", balancer.NonIdempotent, idempotencyValues),
+		DedupScope:       keyword(t, prefix+"group", balancer.DedupCell, dedupScopeValues),
 		DedupWindow:      t.integer(prefix+"window", 0),
 		LatencyObjective: t.integer(prefix+"target", 0),
 		ClientTimeout:    t.integer(prefix+"give-up", 0),
@@ -280,7 +282,7 @@
 }
 
 // tenant reads the tenant whose keys have a prefix.
-func (t *settingsText) tenant(prefix string) balancer.Tenant {
+func (t *settingsParser) tenant(prefix string) balancer.Tenant {
 	return balancer.Tenant{
 		Name:  t.pairs[prefix+"name"],
 		Quota: t.number(prefix+"allowance-per-s", 0),
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -15,7 +15,7 @@
 )
 
 // unhex decodes hexadecimal digits, in which spaces are ignored.
-func unhex(tb testing.TB, parts ...string) []byte {
+func decodeHex(tb testing.TB, parts ...string) []byte {
 	tb.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(strings.Join(parts, ""), " ", ""))
 	require.NoError(tb, err)
@@ -23,150 +23,154 @@
 }
 
 // frame puts records behind a batch header.
-func frame(records ...[]byte) []byte {
+func batchFrame(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	f := binary.BigEndian.AppendUint32(nil, 12)
-	f = binary.BigEndian.AppendUint32(f, uint32(batchHeader+len(body)))
+	f = binary.BigEndian.AppendUint32(f, uint32(batchHeaderSize+len(body)))
 	f = binary.BigEndian.AppendUint64(f, 0x805c5a)
 	return append(f, body...)
 }
 
 // Records of the examples in WIRE.
 const (
-	exInstance = "1b 00000004 00000003"
-	exRequest  = "12 00000020 0005bf975d3a91c4 91f03b7c55d20a64 00000000008405da 00002ee0 01 0000 00"
-	exTimer    = "16 00000004 0000004d"
-	exGone     = "15 00000008 000bf5a10e6f2b19"
-	exHeaders  = "13 00000012 0005bf975d3a91c4 0000 03124a07 00002422"
-	exAnswer   = "14 00000016 0005bf975d3a91c4 0000 03124a07 00c8 00004844 01 00"
-	exHealth   = "17 00000017 2c9011f2 00c8 00000578 03 40e00000430c00003f1eb852"
-	exWhisper  = "18 00000008 0002 0004 68692037"
-	exManifest = "1a 0000002f 00 00000002 03124a07 00 00 0000 00 3f800000 0000000000000000" +
+	exampleInstance   = "1b 00000004 00000003"
+	exampleRequest    = "12 00000020 0005bf975d3a91c4 91f03b7c55d20a64 00000000008405da 00002ee0 01 0000 00"
+	exampleTimer      = "16 00000004 0000004d"
+	exampleClientGone = "15 00000008 000bf5a10e6f2b19"
+	exampleHeaders    = "13 00000012 0005bf975d3a91c4 0000 03124a07 00002422"
+	exampleOutcome    = "14 00000016 0005bf975d3a91c4 0000 03124a07 00c8 00004844 01 00"
+	exampleProbe      = "17 00000017 2c9011f2 00c8 00000578 03 40e00000430c00003f1eb852"
+	exampleGossip     = "18 00000008 0002 0004 68692037"
+	exampleEntries    = "1a 0000002f 00 00000002 03124a07 00 00 0000 00 3f800000 0000000000000000" +
 		"2c9011f2 01 00 0000 00 3fc00000 00000000005d1420"
-	exMembers = "11 00000006 00000029 00 03"
+	exampleEndpointList = "11 00000006 00000029 00 03"
 )
 
 // decode returns the events of a frame that is valid.
-func decode(t *testing.T, d *Decoder, f []byte) []Event {
+func decodeAll(t *testing.T, d *Decoder, f []byte) []Event {
 	t.Helper()
 	if _, now, err := d.Reset(f); err != nil || now != 0x805c5a {
 		t.Fatalf("clock %d, error %v", now, err)
 	}
-	var all []Event
+	var events []Event
 	for {
 		var e Event
 		err := d.Next(&e)
 		if errors.Is(err, io.EOF) {
-			return all
+			return events
 		}
 		require.NoError(t, err)
 		e.Load = append([]float32(nil), e.Load...)
 		e.Entries = append([]balancer.Endpoint(nil), e.Entries...)
-		all = append(all, e)
+		events = append(events, e)
 	}
 }
 
 func TestPageExamples(t *testing.T) {
-	f := unhex(t, "0000000c 0000005d 0000000000805c5a", exInstance, exRequest, exTimer, "1b 00000004 00000005", exGone)
+	f := decodeHex(t, "0000000c 0000005d 0000000000805c5a", exampleInstance, exampleRequest, exampleTimer,
+		"1b 00000004 00000005", exampleClientGone)
 	got, err := ReadFrame(bytes.NewReader(f), nil)
 	if err != nil || !bytes.Equal(got, f) {
 		t.Fatalf("frame changed: %v", err)
 	}
-	e := decode(t, new(Decoder), f)
+	events := decodeAll(t, new(Decoder), f)
 	want := balancer.Request{ID: 0x5bf975d3a91c4, ObjectKey: 0x91f03b7c55d20a64, Deadline: 0x8405da,
 		WorkHint: 12000, HasWorkHint: true}
-	if len(e) != 5 || e[0].Instance != 3 || e[1].Request != want || e[2].Token != 77 || e[3].Instance != 5 ||
-		e[4].Outcome.ID != 0xbf5a10e6f2b19 {
-		t.Errorf("decoded %+v", e)
+	if len(events) != 5 || events[0].Instance != 3 || events[1].Request != want ||
+		events[2].Token != 77 || events[3].Instance != 5 ||
+		events[4].Outcome.ID != 0xbf5a10e6f2b19 {
+		t.Errorf("decoded %+v", events)
 	}
-	e = decode(t, new(Decoder), frame(unhex(t, exHeaders, exAnswer, exHealth, exWhisper, exManifest, exMembers)))
-	if o := e[0].Outcome; o.ID != 0x5bf975d3a91c4 || o.Endpoint != 0x3124a07 || o.Latency != 0x2422 {
+	events = decodeAll(t, new(Decoder), batchFrame(decodeHex(t,
+		exampleHeaders, exampleOutcome, exampleProbe, exampleGossip, exampleEntries, exampleEndpointList)))
+	if o := events[0].Outcome; o.ID != 0x5bf975d3a91c4 || o.Endpoint != 0x3124a07 || o.Latency != 0x2422 {
 		t.Errorf("headers %+v", o)
 	}
-	if o := e[1].Outcome; o.Status != balancer.OK || o.Latency != 0x4844 || !o.Answered || len(o.Load) != 0 {
+	if o := events[1].Outcome; o.Status != balancer.OK || o.Latency != 0x4844 || !o.Answered || len(o.Load) != 0 {
 		t.Errorf("answer %+v", o)
 	}
-	if h := e[2]; h.Endpoint != 0x2c9011f2 || h.Latency != 1400 || len(h.Load) != 3 || h.Load[0] != 7 ||
+	if h := events[2]; h.Endpoint != 0x2c9011f2 || h.Latency != 1400 || len(h.Load) != 3 || h.Load[0] != 7 ||
 		h.Load[1] != 140 {
 		t.Errorf("health_result %+v", h)
 	}
-	if w := e[3]; w.Peer != 2 || string(w.Message) != "hi 7" {
+	if w := events[3]; w.Peer != 2 || string(w.Message) != "hi 7" {
 		t.Errorf("whisper %+v", w)
 	}
-	if m := e[5]; m.ListKind != balancer.ListCached || len(m.Entries) != 2 || m.Entries[1].Share != 1.5 ||
+	if m := events[5]; m.ListKind != balancer.ListCached || len(m.Entries) != 2 || m.Entries[1].Share != 1.5 ||
 		m.Entries[1].Zone != 1 || m.Entries[1].StartTime != 0x5d1420 {
 		t.Errorf("membership %+v", m)
 	}
 }
 
 func TestReplyExamples(t *testing.T) {
-	var w Reply
-	w.Reset(1)
-	if got := w.Bytes(); !bytes.Equal(got, unhex(t, "00000001 0000000c 00000000")) {
+	var reply Reply
+	reply.Reset(1)
+	if got := reply.Bytes(); !bytes.Equal(got, decodeHex(t, "00000001 0000000c 00000000")) {
 		t.Errorf("empty reply %x", got)
 	}
-	w.Reset(12)
-	w.Instance(3)
-	w.Send(0x5bf975d3a91c4, 0x3124a07, 80000)
-	w.SetTimer(500000, 77)
-	w.Instance(5)
-	w.Log("two servers known")
-	want := unhex(t, "0000000c 00000058 00000005 5c 00000004 00000003",
+	reply.Reset(12)
+	reply.Instance(3)
+	reply.Send(0x5bf975d3a91c4, 0x3124a07, 80000)
+	reply.SetTimer(500000, 77)
+	reply.Instance(5)
+	reply.Log("two servers known")
+	want := decodeHex(t, "0000000c 00000058 00000005 5c 00000004 00000003",
 		"50 00000010 0005bf975d3a91c4 03124a07 00013880 54 00000008 0007a120 0000004d",
 		"5c 00000004 00000005 58 00000013 0011 74776f2073657276657273206b6e6f776e")
-	if got := w.Bytes(); !bytes.Equal(got, want) {
+	if got := reply.Bytes(); !bytes.Equal(got, want) {
 		t.Errorf("got  %x\nwant %x", got, want)
 	}
-	w.Reset(0)
-	w.Reject(0xbf5a10e6f2b19, 250000)
-	w.Fail(0xbf5a10e6f2b19)
-	w.Cancel(0x5bf975d3a91c4, 0)
-	w.Probe(0x2c9011f2)
-	w.Release(0x2c9011f2)
-	w.Gossip(AllPeers, []byte("hi 7"))
-	w.Exception("index out of range")
-	w.Watch(true)
-	w.ListAll()
-	want = unhex(t, "51 0000000c 000bf5a10e6f2b19 0003d090 52 00000008 000bf5a10e6f2b19",
+	reply.Reset(0)
+	reply.Reject(0xbf5a10e6f2b19, 250000)
+	reply.Fail(0xbf5a10e6f2b19)
+	reply.Cancel(0x5bf975d3a91c4, 0)
+	reply.Probe(0x2c9011f2)
+	reply.Release(0x2c9011f2)
+	reply.Gossip(AllPeers, []byte("hi 7"))
+	reply.Exception("index out of range")
+	reply.Watch(true)
+	reply.ListAll()
+	want = decodeHex(t, "51 0000000c 000bf5a10e6f2b19 0003d090 52 00000008 000bf5a10e6f2b19",
 		"53 0000000a 0005bf975d3a91c4 0000 55 00000004 2c9011f2 56 00000004 2c9011f2",
 		"57 0000000a ffffffff 0004 68692037 59 00000014 0012 696e646578206f7574206f662072616e6765",
 		"5a 00000001 01 5b 00000000")
-	if got := w.Bytes()[replyHeader:]; !bytes.Equal(got, want) {
+	if got := reply.Bytes()[replyHeaderSize:]; !bytes.Equal(got, want) {
 		t.Errorf("got  %x\nwant %x", got, want)
 	}
 }
 
 func TestNumbersOutOfRangeAreClamped(t *testing.T) {
-	var w Reply
-	w.Reset(0)
-	w.SetTimer(-5, 1)
-	w.SetTimer(math.MaxInt64, 1)
-	b := w.Bytes()[replyHeader:]
-	if binary.BigEndian.Uint32(b[5:]) != 0 || binary.BigEndian.Uint32(b[18:]) != math.MaxUint32 {
-		t.Errorf("%x", b)
+	var reply Reply
+	reply.Reset(0)
+	reply.SetTimer(-5, 1)
+	reply.SetTimer(math.MaxInt64, 1)
+	records := reply.Bytes()[replyHeaderSize:]
+	if binary.BigEndian.Uint32(records[5:]) != 0 || binary.BigEndian.Uint32(records[18:]) != math.MaxUint32 {
+		t.Errorf("%x", records)
 	}
 }
 
 // A list number means the list that was sent last with it before the event.
 func TestListsAreResolvedInOrder(t *testing.T) {
-	ready := "1a 0000001a 00 00000001 00000001 00 00 0000 00 3f800000 0000000000000000"
-	draining := "1a 0000001a 00 00000001 00000002 00 00 0000 01 3f800000 0000000000000000"
+	readyList := "1a 0000001a 00 00000001 00000001 00 00 0000 00 3f800000 0000000000000000"
+	drainingList := "1a 0000001a 00 00000001 00000002 00 00 0000 01 3f800000 0000000000000000"
 	d := new(Decoder)
-	e := decode(t, d, frame(unhex(t, ready, exMembers, draining, exMembers)))
-	if e[1].Entries[0].ID != 1 || e[3].Entries[0].ID != 2 || e[3].Entries[0].State != balancer.Draining {
-		t.Errorf("%+v", e)
+	events := decodeAll(t, d, batchFrame(decodeHex(t,
+		readyList, exampleEndpointList, drainingList, exampleEndpointList)))
+	if events[1].Entries[0].ID != 1 || events[3].Entries[0].ID != 2 || events[3].Entries[0].State != balancer.Draining {
+		t.Errorf("%+v", events)
 	}
-	e = decode(t, d, frame(unhex(t, "11 00000006 00000029 00 04", "11 00000006 00000029 09 02")))
-	if e[0].ListKind != balancer.ListFull || e[0].Entries[0].ID != 2 {
+	events = decodeAll(t, d, batchFrame(decodeHex(t, "11 00000006 00000029 00 04", "11 00000006 00000029 09 02")))
+	if events[0].ListKind != balancer.ListFull || events[0].Entries[0].ID != 2 {
 		t.Error("the list does not outlive its batch")
 	}
-	if e[1].ListKind != balancer.ListFailed || e[1].Entries != nil {
+	if events[1].ListKind != balancer.ListFailed || events[1].Entries != nil {
 		t.Error("a failed call must not need a list")
 	}
 }
 
 func TestMalformedRecords(t *testing.T) {
-	for _, c := range []struct{ name, records, record, reason string }{
+	for _, test := range []struct{ name, records, wantRecord, wantReason string }{
 		{"header cut", "12 0000", "record", "needs 5 bytes"},
 		{"fields overrun", "12 00000021 00", "request", "overrun"},
 		{"fields short", "15 00000004 00000000", "cancelled_by_client", "needs 8"},
@@ -183,15 +187,16 @@
 		{"whisper overruns", "18 00000008 0002 0005 68692037", "whisper", "needs 5"},
 	} {
 		d := new(Decoder)
-		if _, _, err := d.Reset(frame(unhex(t, c.records))); err != nil {
+		if _, _, err := d.Reset(batchFrame(decodeHex(t, test.records))); err != nil {
 			t.Fatal(err)
 		}
 		var e Event
 		err := d.Next(&e)
-		var bad *FrameError
-		if !errors.As(err, &bad) || bad.Record != c.record || !strings.Contains(bad.Reason, c.reason) ||
-			bad.Offset < batchHeader {
-			t.Errorf("%s: %v", c.name, err)
+		var frameError *FrameError
+		if !errors.As(err, &frameError) || frameError.Record != test.wantRecord ||
+			!strings.Contains(frameError.Reason, test.wantReason) ||
+			frameError.Offset < batchHeaderSize {
+			t.Errorf("%s: %v", test.name, err)
 		}
 	}
 }
@@ -203,9 +208,9 @@
 		"frame cut":             "0000000c 00000020 0000000000805c5a 00",
 		"size of gigabytes":     "0000000c ffffffff 0000000000805c5a 00",
 	} {
-		_, err := ReadFrame(bytes.NewReader(unhex(t, text)), nil)
-		var bad *FrameError
-		if !errors.As(err, &bad) {
+		_, err := ReadFrame(bytes.NewReader(decodeHex(t, text)), nil)
+		var frameError *FrameError
+		if !errors.As(err, &frameError) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -215,21 +220,21 @@
 }
 
 func FuzzDecoder(f *testing.F) {
-	for _, s := range []string{exInstance, exRequest, exTimer, exGone, exHeaders, exAnswer, exHealth, exWhisper,
-		exManifest + exMembers, "ff 00000002 0102", "1a 00000005 00 ffffffff"} {
-		f.Add(unhex(f, s))
+	for _, records := range []string{exampleInstance, exampleRequest, exampleTimer, exampleClientGone, exampleHeaders,
+		exampleOutcome, exampleProbe, exampleGossip, exampleEntries + exampleEndpointList, "ff 00000002 0102", "1a 00000005 00 ffffffff"} {
+		f.Add(decodeHex(f, records))
 	}
 	f.Fuzz(func(t *testing.T, records []byte) {
 		d := new(Decoder)
-		if _, _, err := d.Reset(frame(records)); err != nil {
+		if _, _, err := d.Reset(batchFrame(records)); err != nil {
 			t.Fatal(err)
 		}
 		for n := 0; ; n++ {
 			var e Event
 			err := d.Next(&e)
 			if err != nil {
-				var bad *FrameError
-				if !errors.Is(err, io.EOF) && !errors.As(err, &bad) {
+				var frameError *FrameError
+				if !errors.Is(err, io.EOF) && !errors.As(err, &frameError) {
 					t.Fatalf("error of another kind: %v", err)
 				}
 				return
@@ -241,7 +246,7 @@
 	})
 }
 
-const goodSettings = `areas=a,b
+const validSettings = `areas=a,b
 classes.count=2
 classes.0.name=x
 classes.0.give-up=500000
@@ -269,7 +274,7 @@
 `
 
 func TestSettings(t *testing.T) {
-	s, err := ParseSettings(goodSettings)
+	s, err := ParseSettings(validSettings)
 	require.NoError(t, err)
 	if len(s.Classes) != 2 || s.Classes[1].Idempotency != balancer.IdempotentByKey ||
 		s.Classes[1].DedupScope != balancer.DedupZone ||
@@ -285,14 +290,14 @@
 	if _, err := balancer.New(s, 1, nil); err != nil {
 		t.Errorf("balancer.New: %v", err)
 	}
-	if s, err = ParseSettings(strings.Replace(goodSettings, "how=probe", "how=none", 1)); err != nil ||
+	if s, err = ParseSettings(strings.Replace(validSettings, "how=probe", "how=none", 1)); err != nil ||
 		s.LoadMetrics != nil {
 		t.Errorf("no reports: %v %v", s.LoadMetrics, err)
 	}
 }
 
 func TestBadSettings(t *testing.T) {
-	for _, c := range []struct{ old, new, key string }{
+	for _, test := range []struct{ oldText, newText, wantKey string }{
 		{"classes.count=2", "classes.count=3", "classes.count"},
 		{"classes.count=2\n", "", "classes.count"},
 		{"classes.count=2", "classes.count=-1", "classes.count"},
@@ -307,15 +312,15 @@
 		{"value-by=work", "value-by=work\ntick=-1", "tick"},
 		{"value-by=work", "value-by=work\ncontract.answer-slack=-1", "contract.answer-slack"},
 	} {
-		text := strings.Replace(goodSettings, c.old, c.new, 1)
+		text := strings.Replace(validSettings, test.oldText, test.newText, 1)
 		_, err := ParseSettings(text)
-		var bad *balancer.SettingError
-		if !errors.As(err, &bad) || bad.Key != c.key {
-			t.Errorf("%s -> %s: %v", c.old, c.new, err)
+		var settingError *balancer.SettingError
+		if !errors.As(err, &settingError) || settingError.Key != test.wantKey {
+			t.Errorf("%s -> %s: %v", test.oldText, test.newText, err)
 		}
 	}
 	// Values that can be parsed but are invalid are rejected by balancer.New.
-	s, err := ParseSettings(strings.Replace(goodSettings, "window=400000", "window=-1", 1))
+	s, err := ParseSettings(strings.Replace(validSettings, "window=400000", "window=-1", 1))
 	require.NoError(t, err)
 	if _, err = balancer.New(s, 1, nil); err == nil || !strings.Contains(err.Error(), "Window=-1") {
 		t.Errorf("negative window: %v", err)
