--- a/internal/accesslog/golden_test.go
+++ b/internal/accesslog/golden_test.go
@@ -14,13 +14,14 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// goldenSegment was written by an earlier build, before names in this package changed. It never changes.
+// goldenSegment is a segment that an earlier build wrote, before identifiers in this package were renamed. The
+// file must never change.
 var goldenSegment = filepath.Join("testdata", "golden", "golden-instance-00000000p0-000001.parquet")
 
-// goldenNow is the time of the system's clock at which goldenSegment was written.
+// goldenNow is what the system's clock showed when goldenSegment was written.
 var goldenNow = time.UnixMilli(1_700_000_000_123)
 
-// goldenRows returns the rows of goldenSegment without their numbers, which the writer sets.
+// goldenRows returns the rows of goldenSegment, but without row numbers, which the writer assigns.
 func goldenRows() []Row {
 	return []Row{
 		{
@@ -48,7 +49,7 @@
 	}
 }
 
-// writeGolden writes goldenRows to a folder as a segment, and returns its path.
+// writeGolden writes goldenRows to a folder as one segment, and returns the path of the segment.
 func writeGolden(t *testing.T, dir string) string {
 	t.Helper()
 	clock := func() time.Time { return goldenNow }
@@ -64,16 +65,17 @@
 	return paths[0]
 }
 
-// rawSegment is the content of a segment for any reader of Parquet. It does not depend on the names of this package.
+// rawSegment is the content of a segment as any Parquet reader sees it, independent of the identifiers in this
+// package.
 type rawSegment struct {
 	Schema   string
 	Columns  []string
-	Rows     [][]string // the values of each row, by column
+	Rows     [][]string // for each row, its values in the order of the columns, with column number and kind
 	Metadata map[string]string
 	Creator  string
 }
 
-// readRawSegment reads a segment by the Parquet library alone.
+// readRawSegment reads a segment with the Parquet library only, without this package's reader.
 func readRawSegment(t *testing.T, path string) rawSegment {
 	t.Helper()
 	f, err := os.Open(path)
@@ -106,7 +108,7 @@
 	return raw
 }
 
-// A segment of an earlier build is read to the rows that were written, with the figures of its run.
+// Reading a segment of an earlier build returns the rows that were written, and the right summary of the run.
 func TestGoldenSegmentIsRead(t *testing.T) {
 	rec := readRecording(t, filepath.Dir(goldenSegment))
 	if len(rec.Problems) != 0 || len(rec.Runs) != 1 {
@@ -130,7 +132,7 @@
 	}
 }
 
-// The same rows give the same schema, columns, values and metadata as in an earlier build.
+// Writing the same rows as an earlier build gives the same schema, columns, values and metadata.
 func TestGoldenSegmentIsWritten(t *testing.T) {
 	got := readRawSegment(t, writeGolden(t, t.TempDir()))
 	want := readRawSegment(t, goldenSegment)
@@ -141,7 +143,7 @@
 	if got.Metadata["process"] == "" || want.Metadata["process"] == "" {
 		t.Errorf("no process: %v, %v", got.Metadata, want.Metadata)
 	}
-	got.Metadata["process"] = want.Metadata["process"] // of the process that wrote
+	got.Metadata["process"] = want.Metadata["process"] // differs by process
 	if got.Schema != want.Schema {
 		t.Errorf("schema\n%s\nwant\n%s", got.Schema, want.Schema)
 	}
--- a/internal/accesslog/operations.go
+++ b/internal/accesslog/operations.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Operation is one thing that a client requested, with all its attempts.
+// Operation is what a client wanted to be done once, with all the attempts that the client made for it.
 type Operation struct {
-	Attempts []Request // in the order of their arrival, at least one
+	Attempts []Request // at least one, in the order of their arrival
 }
 
 // First returns the first attempt.
@@ -16,27 +16,28 @@
 }
 
 const (
-	// keyLifetime is the time, in microseconds, for which a key identifies one operation. A later request with the key
-	// is another operation.
+	// keyLifetime is the time, in microseconds, for which an idempotency key identifies one operation. A
+	// request with the same key that arrives later starts another operation.
 	keyLifetime = 60_000_000
-	// retryWindow is the time, in microseconds, after the end of an attempt that was not served, within which a request
-	// of the same client for the same object is a retry.
+	// retryWindow is the time, in microseconds, after the end of an unserved attempt within which a request of
+	// the same client for the same object counts as a retry.
 	retryWindow = 2_000_000
 	// maxAttempts is the largest number of attempts of an operation.
 	maxAttempts = 12
 )
 
-// operationKey identifies the operation of an attempt without an idempotency key.
+// operationKey identifies the operation of an attempt that has no idempotency key.
 type operationKey struct {
 	instance, client, tenant, class, route string
 	object                                 uint64
 }
 
-// Operations groups the requests by operation, so that a replay contains what clients wanted, without the retries that
-// the recorded fleet caused. Requests with an idempotency key belong together by the key, at any instance. A request
-// without one is a retry if the same client requested the same object shortly before and was not served. If objects are
-// not recorded, it is one only if the client marks its retries. A client may also request an object again by chance:
-// such a request is taken for a retry, and is missing from the replay.
+// Operations groups the requests by operation, so that a replay contains the operations that clients wanted,
+// without the retries that the recorded fleet caused. Requests with the same idempotency key belong to one
+// operation, at any instance. A request without a key is a retry if the same client requested the same object
+// shortly before and was not served. If objects are not recorded, a request is a retry only if the client
+// marked it as one. A client that requests an object again by chance, and not as a retry, is not recognized:
+// its request counts as a retry, and is missing from the replay.
 func (rec *Recording) Operations() []*Operation {
 	grouper := operationGrouper{byKey: map[uint64]*Operation{}, unserved: map[operationKey]*Operation{}}
 	for i := range rec.Requests {
@@ -49,21 +50,21 @@
 	return grouper.operations
 }
 
-// operationGrouper is the state of Operations.
+// operationGrouper holds the operations that Operations has found so far.
 type operationGrouper struct {
 	operations []*Operation
-	byKey      map[uint64]*Operation       // the latest operation of an idempotency key
+	byKey      map[uint64]*Operation       // latest operation of each idempotency key
 	unserved   map[operationKey]*Operation // operations without a key whose latest attempt was not served
 }
 
-// start starts an operation with its first attempt.
+// start adds an operation whose first attempt is q.
 func (g *operationGrouper) start(q Request) *Operation {
 	op := &Operation{[]Request{q}}
 	g.operations = append(g.operations, op)
 	return op
 }
 
-// addByKey adds a request with an idempotency key.
+// addByKey adds a request that has an idempotency key to the operation of this key, or starts an operation.
 func (g *operationGrouper) addByKey(q Request) {
 	op := g.byKey[q.KeyHash]
 	if op != nil && q.Arrived-op.First().Arrived < keyLifetime && len(op.Attempts) < maxAttempts {
@@ -73,7 +74,8 @@
 	g.byKey[q.KeyHash] = g.start(q)
 }
 
-// addByObject adds a request without an idempotency key.
+// addByObject adds a request without an idempotency key to the unserved operation that it retries, or starts an
+// operation.
 func (g *operationGrouper) addByObject(q Request) {
 	key := operationKey{q.Instance, q.Client, q.Tenant, q.Class, q.Route, q.ObjectHash}
 	if op := g.unserved[key]; op != nil && (q.ObjectHash != 0 || q.Retry) && op.isRetriedBy(&q) {
@@ -91,8 +93,8 @@
 	}
 }
 
-// isRetriedBy reports whether a request for the same object follows soon enough after the latest attempt, which was not
-// served.
+// isRetriedBy reports whether q can be a retry of the operation: the latest attempt was not served, q arrived
+// within retryWindow after its end, and the operation has fewer than maxAttempts attempts.
 func (op *Operation) isRetriedBy(q *Request) bool {
 	latest := &op.Attempts[len(op.Attempts)-1]
 	sinceEnd := q.Arrived - latest.End()
--- a/internal/accesslog/process_id_test.go
+++ b/internal/accesslog/process_id_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// The separator of start and process id is a digit of base 36 too.
+// The process id is found although p, which separates start time and process id, is also a base-36 digit and
+// can occur in both numbers.
 func TestProcessIDBesideDigitsOfItsSeparator(t *testing.T) {
 	pid36 := func(pid int) string { return strconv.FormatInt(int64(pid), 36) }
 	startWithP, err := strconv.ParseInt("mkp0p1zz", 36, 64)
--- a/internal/accesslog/record_test.go
+++ b/internal/accesslog/record_test.go
@@ -19,9 +19,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// discardLogger is a logger without output.
 var discardLogger = slog.New(slog.DiscardHandler)
 
-// writer starts a writer, which is closed at the end of the test.
+// startWriter starts a writer, and closes it at the end of the test. Without further options, the writer
+// records every request, and a segment has at most 1000 rows and no age limit that the test reaches.
 func startWriter(t *testing.T, o Options) *Writer {
 	t.Helper()
 	if o.Sample == 0 {
@@ -40,7 +42,7 @@
 	return w
 }
 
-// read reads a recording.
+// readRecording reads the recording at the given paths, and fails the test if an error occurs.
 func readRecording(t *testing.T, paths ...string) *Recording {
 	t.Helper()
 	r, err := Read(paths...)
@@ -48,7 +50,7 @@
 	return r
 }
 
-// segments returns the paths of a folder's segments, sorted.
+// segmentPaths returns the sorted paths of the segments in a folder.
 func segmentPaths(t *testing.T, dir string) []string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*.parquet"))
@@ -56,7 +58,8 @@
 	return paths
 }
 
-// Rows of several instances are read as they were written, in the order of their arrival, with none missing.
+// The rows of several instances are read as they were written and in the order of their arrival; no row is
+// missing.
 func TestWrittenAndRead(t *testing.T) {
 	dir := t.TempDir()
 	now := time.UnixMilli(1_700_000_000_000)
@@ -75,7 +78,7 @@
 		}
 		adders.Wait()
 		w.Close()
-		w.Add(Row{}) // after Close: ignored
+		w.Add(Row{}) // after Close, Add has no effect
 	}
 	rec := readRecording(t, dir)
 	if len(rec.Requests) != 200 || len(rec.Runs) != 2 || len(rec.Problems) != 0 {
@@ -100,14 +103,14 @@
 	}
 }
 
-// Segments that are truncated, empty or invalid are reported as problems, and the others are read. Missing rows are
-// counted.
+// Truncated, empty and invalid segments are reported as problems, and the other segments are read. Missing rows
+// are counted.
 func TestTruncatedSegments(t *testing.T) {
 	dir := t.TempDir()
 	w := startWriter(t, Options{Dir: dir, Instance: "a", Rows: 100})
 	for row := range 400 {
 		w.Add(Row{Arrived: int64(1_700_000_000_000_000 + row), Class: "look", KeyHash: uint64(row + 1)})
-		if (row+1)%100 == 0 { // a segment at a time: Add does not wait for the disk, and would drop rows
+		if (row+1)%100 == 0 { // waits for each segment: Add does not wait for the disk, and would drop rows
 			for end := time.Now().Add(5 * time.Second); len(segmentPaths(t, dir)) < (row+1)/100 &&
 				time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
@@ -142,7 +145,7 @@
 	}
 }
 
-// Changes of arbitrary bytes of a segment do not stop the reader, or add rows.
+// Changes of arbitrary bytes of a segment neither crash the reader nor add rows.
 func TestCorruptedSegments(t *testing.T) {
 	dir := t.TempDir()
 	w := startWriter(t, Options{Dir: dir, Instance: "a"})
@@ -169,13 +172,14 @@
 	}
 }
 
-// While a disk cannot be written, rows are dropped and counted, and Add does not block. Later rows are written again.
-// The oldest segments are removed beyond Options.Keep, and none of another instance.
+// While the disk cannot be written, rows are dropped and counted, and Add does not block. When the disk can be
+// written again, later rows are written. If the segments take more than Options.Keep bytes, the oldest ones are
+// removed, but none of another instance.
 func TestDiskThatTakesNothing(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "record")
 	w := startWriter(t, Options{Dir: dir, Instance: "a", Rows: 10, Keep: 8000})
 	require.NoError(t, os.RemoveAll(dir))
-	if err := os.WriteFile(dir, nil, 0o600); err != nil { // where the folder was
+	if err := os.WriteFile(dir, nil, 0o600); err != nil { // a file in place of the folder makes every write fail
 		t.Fatal(err)
 	}
 	addRows(w, 10, 0)
@@ -205,7 +209,8 @@
 	}
 }
 
-// The incomplete file of an ended process is removed by the next process of the instance, that of a running one is not.
+// The incomplete file of an ended process is removed when another process of the instance starts; the
+// incomplete files of a running process and of another instance are kept.
 func TestHalfWritten(t *testing.T) {
 	dir := t.TempDir()
 	const (
@@ -232,8 +237,8 @@
 	}
 }
 
-// A step of the system's clock moves no row, and is reported. Align moves the requests of an instance whose clock was
-// wrong to their true time.
+// A step of the system's clock changes no row's arrival, and is reported. Align moves the requests of an
+// instance with a wrong clock to their true time.
 func TestClocks(t *testing.T) {
 	dir := t.TempDir()
 	base := time.UnixMilli(1_700_000_000_000)
@@ -249,7 +254,7 @@
 		mu.Lock()
 		systemTime = base.Add(time.Duration(segment) * time.Second)
 		if segment == 2 {
-			systemTime = systemTime.Add(-90 * time.Second) // corrected: it was ahead before
+			systemTime = systemTime.Add(-90 * time.Second) // the clock was 90 s ahead, and is corrected here
 		}
 		mu.Unlock()
 		for row := range 10 {
@@ -282,8 +287,9 @@
 	}
 }
 
-// Attempts belong to one operation by their key, at any instance, or by client and object after an attempt that was not
-// served. A request after a served attempt, or a late one, is another operation.
+// Attempts belong to one operation if they have the same idempotency key, at any instance, or if the same
+// client requests the same object shortly after an attempt that was not served. A request after a served
+// attempt, or long after an unserved attempt, starts another operation.
 func TestOperations(t *testing.T) {
 	rec := &Recording{}
 	const microsPerMilli = 1000
@@ -295,19 +301,19 @@
 		}, instance})
 	}
 	add("i", "a", 1, 0, 0, 10, Failed, false)      // operation 1
-	add("j", "b", 1, 0, 100, 10, Served, false)    // the same key elsewhere
+	add("j", "b", 1, 0, 100, 10, Served, false)    // operation 1 again: the same key at another instance
 	add("i", "a", 0, 7, 110, 20, Rejected, false)  // operation 2
 	add("i", "a", 0, 8, 120, 20, Served, false)    // operation 3: another object
 	add("i", "b", 0, 7, 125, 20, Served, false)    // operation 4: another client
 	add("i", "a", 0, 7, 200, 20, Cancelled, false) // operation 2 again
 	add("i", "a", 0, 7, 300, 20, Served, false)    // operation 2 again
-	add("i", "a", 0, 7, 400, 20, Served, false)    // operation 5: the one before was served
+	add("i", "a", 0, 7, 400, 20, Served, false)    // operation 5: the attempt before was served
 	add("i", "a", 0, 8, 500, 20, Rejected, false)  // operation 6
-	add("i", "a", 0, 8, 5000, 20, Served, false)   // operation 7: too late
-	add("i", "a", 0, 0, 5100, 10, Rejected, false) // operation 8: no object
-	add("i", "a", 0, 0, 5200, 10, Served, false)   // operation 9
+	add("i", "a", 0, 8, 5000, 20, Served, false)   // operation 7: too long after operation 6
+	add("i", "a", 0, 0, 5100, 10, Rejected, false) // operation 8: without an object
+	add("i", "a", 0, 0, 5200, 10, Served, false)   // operation 9: neither an object nor a retry mark
 	add("i", "a", 0, 0, 5300, 10, Rejected, false) // operation 10
-	add("i", "a", 0, 0, 5400, 10, Served, true)    // operation 10 again: marked
+	add("i", "a", 0, 0, 5400, 10, Served, true)    // operation 10 again: marked as a retry
 	add("i", "a", 1, 0, 90_000, 10, Served, false) // operation 11: the key's lifetime has passed
 	var attempts []int
 	for _, op := range rec.Operations() {
@@ -319,8 +325,8 @@
 	requireFindings(t, rec, `class "c": 3 of 15 requests have neither key nor object nor a mark`)
 }
 
-// A sample has all attempts of an operation or none, and about the fraction of operations that it should have. Hashes
-// are equal only for the same secret.
+// A sample contains either all attempts of an operation or none, and about the requested fraction of the
+// operations. Two hashers compute equal hashes only if they have the same secret.
 func TestSampleAndHashes(t *testing.T) {
 	dir := t.TempDir()
 	hasher := hasherOf(t, filepath.Join(dir, "a"), "0123456789abcdef\n")
@@ -362,7 +368,7 @@
 	}
 }
 
-// hasherOf returns the hasher of a secret that is written to a file.
+// hasherOf writes a secret to a file and returns the hasher of this file.
 func hasherOf(t *testing.T, path, secret string) *Hasher {
 	t.Helper()
 	require.NoError(t, os.WriteFile(path, []byte(secret), 0o600))
@@ -371,14 +377,14 @@
 	return h
 }
 
-// addRows adds rows of the same arrival.
+// addRows adds n rows with the same arrival.
 func addRows(w *Writer, n int, arrived int64) {
 	for range n {
 		w.Add(Row{Arrived: arrived})
 	}
 }
 
-// eventually waits for a condition, and ends the test if it does not become true within 5 s.
+// waitFor waits until a condition is true, and fails the test with the given text if it is not true within 5 s.
 func waitFor(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
@@ -388,7 +394,7 @@
 	}
 }
 
-// requireFindings checks that a recording's findings contain all of the given texts.
+// requireFindings fails the test unless the findings on a recording contain all of the given texts.
 func requireFindings(t *testing.T, rec *Recording, texts ...string) {
 	t.Helper()
 	findings := strings.Join(rec.Check(), "\n")
@@ -399,7 +405,7 @@
 	}
 }
 
-// BenchmarkRow measures the cost of recording a request, with its hashes.
+// BenchmarkRow measures the cost of recording one request, including its two hashes.
 func BenchmarkRow(b *testing.B) {
 	w, err := NewWriter(Options{
 		Dir: b.TempDir(), Instance: "a", Sample: 1, Rows: 20_000, Age: time.Hour, Keep: 64 << 20, Log: discardLogger,
--- a/internal/accesslog/recording.go
+++ b/internal/accesslog/recording.go
@@ -13,43 +13,44 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// Request is a row, with the instance that wrote it.
+// Request is a row, together with the name of the instance that wrote it.
 type Request struct {
 	Row
 	Instance string
 }
 
-// End returns when the client got the response or left, in Unix microseconds.
+// End returns the time, in Unix microseconds, at which the response was sent or the client left.
 func (r *Request) End() int64 { return r.Arrived + r.Duration }
 
-// Run is the summary of the segments of one process of an instance.
+// Run summarizes the segments that one process of an instance wrote. The run's clock is the clock of
+// Row.Arrived, which does not step during a run.
 type Run struct {
 	Instance, Process string
-	Segments          int     // number of complete segments
-	Rows              int64   // number of rows
-	Missing           int64   // number of rows that were lost, by gaps in the rows' numbers
-	Dropped           int64   // number of rows that the instance has counted as dropped
-	Sample            float64 // fraction of requests that is recorded
-	From, To          int64   // of the first arrival and the last end, in Unix microseconds
-	Offset            int64   // system's clock less the run's clock at the end, in microseconds
-	Steps             []int64 // steps of the system's clock between segments, in microseconds
-	clockOffsets      []int64 // system's clock less the run's clock, by segment
-	lastSeq           int64   // largest number of a row
+	Segments          int     // number of readable segments
+	Rows              int64   // number of rows that were read
+	Missing           int64   // number of lost rows, computed from gaps in the row numbers; 0 for a sample
+	Dropped           int64   // number of rows that the instance counted as dropped
+	Sample            float64 // fraction of requests that the instance recorded
+	From, To          int64   // first arrival and latest end of a request, in Unix microseconds
+	Offset            int64   // system's clock minus the run's clock, in microseconds, as summarize chooses it
+	Steps             []int64 // steps of the system's clock from one segment to the next, in microseconds
+	clockOffsets      []int64 // system's clock minus the run's clock at the end of each segment, in microseconds
+	lastSeq           int64   // largest row number
 }
 
-// Recording is the content of a number of folders.
+// Recording is the content of a number of segments, from any number of folders.
 type Recording struct {
-	Runs     []*Run
-	Requests []Request // by their arrival
-	Problems []string  // files and rows that cannot be used, and why
+	Runs     []*Run    // one for each process that wrote a segment
+	Requests []Request // in the order of their arrival
+	Problems []string  // for each file or row that cannot be used, its name and the reason
 }
 
-// minClockStep is the smallest step of a clock that is reported, in microseconds. Smaller differences are delays in
-// writing a segment.
+// minClockStep is the smallest step of a clock that is reported, in microseconds. Smaller differences come from
+// delays in writing a segment.
 const minClockStep = 200_000
 
-// Read reads folders and single segments. A file that cannot be decoded is added to Problems. Read fails only if a path
-// does not exist or a folder cannot be read.
+// Read reads single segments and all segments of folders. A file that cannot be decoded is reported in
+// Problems. Read fails only if a path does not exist or a folder cannot be read.
 func Read(paths ...string) (*Recording, error) {
 	var files []string
 	for _, p := range paths {
@@ -87,7 +88,8 @@
 	return rec, nil
 }
 
-// file reads a segment. seen has the numbers of the rows that were read, by run.
+// readSegment reads a segment and adds its rows to the recording and to the run that wrote it. runs has the
+// runs by name; seenRows has, for each run, the numbers of the rows that were already read.
 func (rec *Recording) readSegment(path string, runs map[string]*Run, seenRows map[string]map[int64]bool) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -142,14 +144,15 @@
 	return nil
 }
 
-// maxRowsPerByte bounds the number of rows that a segment may claim to have, by its size in bytes.
+// maxRowsPerByte limits the number of rows that a segment may state, for each byte of the file, so that a
+// corrupted count does not exhaust the memory.
 const maxRowsPerByte = 1000
 
 // metadataKeys are the keys of a segment's metadata.
 var metadataKeys = []string{"version", "instance", "process", "sample", "dropped", "began_wall_us", "ended_wall_us"}
 
-// decode reads a segment's rows and its metadata. The Parquet library panics for some invalid files, which is an error
-// here.
+// decodeSegment reads a segment's rows and its metadata. For some invalid files the Parquet library panics,
+// which decodeSegment returns as an error.
 func decodeSegment(f *os.File, size int64) (rows []Row, meta map[string]string, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -167,7 +170,7 @@
 		}
 	}
 	r := parquet.NewGenericReader[Row](file)
-	defer func() { _ = r.Close() }() // the rows have been read by then
+	defer func() { _ = r.Close() }() // ignored: all rows have been read when this error occurs
 	if n := r.NumRows(); n < 0 || n > size*maxRowsPerByte {
 		return nil, nil, fmt.Errorf("says that it has %d rows", n)
 	}
@@ -179,7 +182,8 @@
 	return rows, meta, nil
 }
 
-// summarize computes the figures of a run from all its segments.
+// summarize computes Missing, Steps and Offset after all segments of the run have been read. Offset is the
+// median over the segments or, if the clock stepped, the offset of the last segment.
 func (r *Run) summarize() {
 	if r.Sample >= 1 {
 		r.Missing = r.lastSeq - r.Rows
@@ -194,13 +198,13 @@
 	if n := len(r.clockOffsets); n > 0 {
 		sorted := slices.Sorted(slices.Values(r.clockOffsets))
 		if r.Offset = sorted[n/2]; len(r.Steps) > 0 {
-			r.Offset = r.clockOffsets[n-1] // the clock is most likely right after its last step
+			r.Offset = r.clockOffsets[n-1] // after its last step the clock is most likely right
 		}
 	}
 }
 
-// Align moves the requests of runs whose clock was wrong by the run's Offset, so that the requests of several instances
-// are in the right order.
+// Align shifts the requests of each run whose clock was wrong by the run's Offset, so that the requests of
+// several instances are in the right order.
 func (rec *Recording) Align() {
 	for _, r := range rec.Runs {
 		if r.Offset > -minClockStep && r.Offset < minClockStep+maxWriteDelay {
@@ -216,11 +220,12 @@
 	slices.SortStableFunc(rec.Requests, func(a, b Request) int { return cmp.Compare(a.Arrived, b.Arrived) })
 }
 
-// maxWriteDelay is the longest time from a segment's last row until it is written, in microseconds. A clock that
-// seems ahead by less may be right.
+// maxWriteDelay is the longest expected time from a segment's last row until the segment is written, in
+// microseconds. If the system's clock is ahead of the run's clock by less, the run's clock may be right.
 const maxWriteDelay = 60_000_000
 
-// Check returns what a recording lacks for a replay, a line for each finding.
+// Check returns the reasons why a replay of the recording may differ from the recorded traffic, one line for
+// each.
 func (rec *Recording) Check() (findings []string) {
 	findings = append(findings, rec.Problems...)
 	if len(rec.Requests) == 0 {
@@ -233,7 +238,8 @@
 	return append(findings, rec.checkRetryDetection()...)
 }
 
-// check returns what a run lacks by itself.
+// checkRun returns the findings of Check that concern a single run: missing requests, sampling and a wrong
+// clock.
 func (r *Run) checkRun() (findings []string) {
 	add := func(format string, args ...any) {
 		findings = append(findings,
@@ -256,14 +262,16 @@
 }
 
 const (
-	// minReportedSpanGap is the shortest time, in microseconds, by which a run begins later or ends earlier than the recording
-	// that Check reports.
+	// minReportedSpanGap is the time, in microseconds, by which a run must start later or end earlier than the
+	// recording for Check to report the run.
 	minReportedSpanGap = 5_000_000
-	// spanGapDivisor gives the part of the recording that such a time must exceed.
+	// spanGapDivisor divides the duration of the recording: the reported time must also exceed this fraction of
+	// it.
 	spanGapDivisor = 20
 )
 
-// checkSpans returns which runs do not cover the time of the recording.
+// checkSpans returns a finding for each run that started well after, or ended well before, the recording as a
+// whole.
 func (rec *Recording) checkSpans() (findings []string) {
 	from, to := rec.Span()
 	for _, r := range rec.Runs {
@@ -279,7 +287,8 @@
 	return findings
 }
 
-// checkRetryDetection returns the classes with requests by which retries cannot be detected.
+// checkRetryDetection returns a finding for each class with requests whose retries cannot be detected, since
+// they have no idempotency key, no object and no retry mark.
 func (rec *Recording) checkRetryDetection() (findings []string) {
 	undetectable := map[string]int{}
 	totals := map[string]int{}
@@ -292,18 +301,19 @@
 	}
 	for _, class := range slices.Sorted(maps.Keys(undetectable)) {
 		findings = append(findings, fmt.Sprintf("class %q: %d of %d requests have neither key nor object nor a mark: "+
-			"a client's own retry cannot be told from another request of its", class, undetectable[class], totals[class]))
+			"a client's own retry cannot be told from another request of its",
+			class, undetectable[class], totals[class]))
 	}
 	return findings
 }
 
-// microsPerSecond converts microseconds to seconds.
+// microsPerSecond is the number of microseconds in a second.
 const microsPerSecond = 1e6
 
-// inSeconds returns a time in seconds.
+// inSeconds converts a duration in microseconds to seconds.
 func inSeconds(micros int64) float64 { return float64(micros) / microsPerSecond }
 
-// Span returns when the first request arrived and the last one ended, in Unix microseconds.
+// Span returns the time of the first arrival and of the latest end of a request, in Unix microseconds.
 func (rec *Recording) Span() (from, to int64) {
 	for i := range rec.Requests {
 		q := &rec.Requests[i]
--- a/internal/accesslog/row.go
+++ b/internal/accesslog/row.go
@@ -1,11 +1,11 @@
 // Package accesslog writes and reads access records: the requests that an instance received, with their times and
-// outcomes, for inspection and for replay in the simulation of the fleet. They contain no patient data: a path is
-// recorded as the name of its route, and keys and objects as hashes keyed with a secret of the operators. The package
-// must not import HTTP or decisions.
+// outcomes, for inspection and for replay in the simulation of the fleet. Access records contain no patient data: a
+// path is recorded as the name of its route, and idempotency keys and objects as hashes keyed with a secret of the
+// operators. The package must not import the packages of HTTP or of decisions.
 //
-// A record is a directory of segments. Each is an Apache Parquet file that is complete or absent: it is written under a
-// temporary name, synced and renamed. Rows in the memory of a process that is killed are lost, which gaps in the rows'
-// numbers show.
+// A record is a folder of segments. Each segment is an Apache Parquet file that is either complete or absent: it is
+// written under a temporary name, synced and renamed. If a process is killed, the rows in its memory are lost; gaps in
+// the row numbers show the loss.
 package accesslog
 
 import (
@@ -18,7 +18,7 @@
 	"strings"
 )
 
-// Version is the version of segments. Read rejects others.
+// Version is the version of the segment format. Read rejects segments of other versions.
 const Version = 1
 
 // Verdicts of requests, as stored in Row.Verdict.
@@ -30,36 +30,38 @@
 	Cancelled = "left" // the client left before the response
 )
 
-// Row is one request of a client.
+// Row is the record of one client request.
 type Row struct {
-	Seq           int64  `parquet:"seq,delta"`        // number in its run; missing numbers were lost or not sampled
-	Arrived       int64  `parquet:"arrived_us,delta"` // Unix µs, by a clock without steps during a run
+	Seq           int64  `parquet:"seq,delta"`        // number of the request in its run; gaps are lost or unsampled
+	Arrived       int64  `parquet:"arrived_us,delta"` // Unix µs, from a clock that does not step during a run
 	Duration      int64  `parquet:"took_us"`          // µs until the response was sent or the client left
 	QueueTime     int64  `parquet:"waited_us"`        // part of Duration spent in queues, in µs
-	ClientTimeout int64  `parquet:"patience_us"`      // how long the client waits, in µs
-	Client        string `parquet:"client,dict"`      // name by which the instance knows the client
-	Route         string `parquet:"route,dict"`       // "" without routes
+	ClientTimeout int64  `parquet:"patience_us"`      // µs after which the client stops waiting
+	Client        string `parquet:"client,dict"`      // name that the instance has for the client
+	Route         string `parquet:"route,dict"`       // name of the route; "" if the instance has no routes
 	Class         string `parquet:"class,dict"`
 	Tenant        string `parquet:"tenant,dict"`
 	Verdict       string `parquet:"verdict,dict"`
-	Endpoint      string `parquet:"endpoint,dict"` // that served it; empty if none
+	Endpoint      string `parquet:"endpoint,dict"` // endpoint that served the request; "" if none did
 	Status        int32  `parquet:"status"`        // HTTP status of the response; 0 if the client left
 	Attempts      int32  `parquet:"attempts"`
-	KeyHash       uint64 `parquet:"key_hash"`    // of the idempotency key; 0 if none
-	ObjectHash    uint64 `parquet:"object_hash"` // of the requested object; 0 if none
-	BytesIn       int64  `parquet:"bytes_in"`    // of the request's body; -1 if unknown
-	BytesOut      int64  `parquet:"bytes_out"`   // of the response's body
-	Retry         bool   `parquet:"retry"`       // the client marked it as a retry
+	KeyHash       uint64 `parquet:"key_hash"`    // hash of the idempotency key; 0 if there is no key
+	ObjectHash    uint64 `parquet:"object_hash"` // hash of the requested object; 0 if the object is unknown
+	BytesIn       int64  `parquet:"bytes_in"`    // size of the request's body; -1 if unknown
+	BytesOut      int64  `parquet:"bytes_out"`   // size of the response's body
+	Retry         bool   `parquet:"retry"`       // whether the client marked the request as a retry
 }
 
-// Hasher computes keyed hashes. Instances with the same secret compute the same, so that a key can be followed from one
-// instance to another. Without the secret a hash cannot be traced back to a client.
+// Hasher computes keyed hashes. Instances with the same secret compute the same hashes, so that an idempotency
+// key can be followed from one instance to another. Without the secret, a hash cannot be traced back to a
+// client.
 type Hasher struct{ secret []byte }
 
-// minSecretBytes is the smallest size of a secret, in bytes.
+// minSecretBytes is the shortest permitted secret, in bytes.
 const minSecretBytes = 16
 
-// NewHasher returns a hasher with the secret in a file. It fails if the file cannot be read or the secret is too short.
+// NewHasher returns a hasher whose secret is the content of a file, without surrounding white space. It fails
+// if the file cannot be read or the secret is too short.
 func NewHasher(path string) (*Hasher, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -72,11 +74,11 @@
 	return NewHasherFromSecret([]byte(secret)), nil
 }
 
-// NewHasherFromSecret returns a hasher with a secret.
+// NewHasherFromSecret returns a hasher with the given secret, whose length it does not check.
 func NewHasherFromSecret(secret []byte) *Hasher { return &Hasher{secret} }
 
-// Hash returns 64 bits of the HMAC-SHA256 (RFC 2104) of a kind and a text: the same text has different hashes as a key
-// and as an object. The hash of the empty text, and of no other, is 0.
+// Hash returns 64 bits of the HMAC-SHA256 (RFC 2104) of a kind and a text, so that the same text has different
+// hashes as a key and as an object. The hash is 0 for the empty text only.
 func (h *Hasher) Hash(kind, text string) uint64 {
 	if text == "" {
 		return 0
@@ -88,16 +90,16 @@
 	return max(1, binary.BigEndian.Uint64(mac.Sum(nil)))
 }
 
-// Constants of the mixing of hashes in Sampled.
+// Constants with which Sampled mixes the bits of a hash.
 const (
 	goldenGamma      = 0x9e3779b97f4a7c15 // increment of SplitMix64
-	murmurMultiplier = 0xff51afd7ed558ccd // of MurmurHash3's finalizer
-	murmurShift      = 33                 // of MurmurHash3's finalizer
+	murmurMultiplier = 0xff51afd7ed558ccd // multiplier of MurmurHash3's finalizer
+	murmurShift      = 33                 // shift of MurmurHash3's finalizer
 )
 
-// Sampled reports whether a request belongs to a sample of the given fraction. A request is sampled by its key or,
-// without one, its object, so that all attempts of an operation are in the sample or none is. Without both it is
-// sampled by its number.
+// Sampled reports whether a request belongs to a sample of the given fraction. The choice depends on the
+// idempotency key or, without a key, on the object, so that either all attempts of an operation are in the
+// sample or none is. Without key and object it depends on the row number and the arrival.
 func Sampled(r *Row, fraction float64) bool {
 	if fraction >= 1 {
 		return true
@@ -109,7 +111,7 @@
 	if hash == 0 {
 		hash = uint64(r.Seq)*goldenGamma ^ uint64(r.Arrived)
 	}
-	// The hash's own bits have other uses, which must be independent of the sample.
+	// The hash is mixed so that the sample is independent of other choices that use the bits of the hash.
 	hash ^= hash >> murmurShift
 	hash *= murmurMultiplier
 	hash ^= hash >> murmurShift
--- a/internal/accesslog/writer.go
+++ b/internal/accesslog/writer.go
@@ -18,54 +18,57 @@
 
 // Options configure a Writer.
 type Options struct {
-	Dir      string        // created if it does not exist
-	Instance string        // name of the instance, a part of the segments' names
-	Sample   float64       // fraction of requests to record, above 0 and at most 1 (Sampled)
-	Rows     int           // largest number of rows of a segment
-	Age      time.Duration // after which a segment is written even if it has fewer rows
-	Keep     int64         // bytes of all segments of this instance, the oldest are removed; 0 is no bound
+	Dir      string        // folder of the segments; NewWriter creates it if it does not exist
+	Instance string        // name of the instance, which is a part of the segments' file names
+	Sample   float64       // fraction of requests to record, above 0 and at most 1 (see Sampled)
+	Rows     int           // number of rows at which a segment is complete
+	Age      time.Duration // age at which a segment is written even if it has fewer rows
+	Keep     int64         // bytes that the segments of this instance may take; the oldest are removed; 0: no limit
 	Log      *slog.Logger
-	Now      func() time.Time // the system's clock; nil is time.Now
+	Now      func() time.Time // returns the time of the system's clock; nil means time.Now
 }
 
-// Writer writes access records. Add never waits for the disk: rows that cannot be written in time are dropped and
-// counted. Create one with NewWriter, which starts a goroutine; Close ends it. It is safe for concurrent use.
+// Writer writes access records. Add never waits for the disk: rows that cannot be written in time are dropped
+// and counted. NewWriter creates a writer and starts its goroutine; Close ends the goroutine. A Writer is safe
+// for concurrent use.
 type Writer struct {
 	options Options
-	process string // of this run, a part of the segments' names
+	process string // start time and id of this process, a part of the segments' file names
 
-	mu           sync.Mutex
-	rows         []Row     // of the present segment
-	segmentStart time.Time // of the present segment
-	lastSeq      int64     // number of the latest row
-	dropped      int64     // rows dropped since the latest written segment
+	mu           sync.Mutex // guards the fields down to closed
+	rows         []Row      // rows of the current segment
+	segmentStart time.Time  // time at which the current segment started
+	lastSeq      int64      // number of the latest request, sampled or not
+	dropped      int64      // number of dropped rows that no queued or written segment counts
 	closed       bool
 
-	pending           chan segment  // wait for the disk
-	done              chan struct{} // closed at the end of run
-	ageTicker         *time.Ticker  // at which the present segment's age is checked
-	writeMu           sync.Mutex    // held while a segment is written
-	lastErrorLog      time.Time     // of the latest logged error
-	lastSegmentNumber int           // of the latest segment
+	pending           chan segment  // segments that wait to be written
+	done              chan struct{} // closed when run returns
+	ageTicker         *time.Ticker  // triggers the checks of the current segment's age
+	writeMu           sync.Mutex    // serializes the writing of segments
+	lastErrorLog      time.Time     // time of the latest logged error
+	lastSegmentNumber int           // number of the latest segment, a part of its file name
 }
 
-// segment is a segment that is ready to be written.
+// segment is a batch of rows that is ready to be written as one file.
 type segment struct {
 	rows    []Row
-	start   time.Time
-	dropped int64 // rows dropped before it
+	start   time.Time // time at which the segment started
+	dropped int64     // number of rows that were dropped before this segment and that no earlier segment counts
 }
 
-// maxPendingSegments is the number of segments that may wait for the disk. The rows of further ones are dropped.
+// maxPendingSegments is the number of segments that may wait for the disk. While so many wait, the rows of
+// every further segment are dropped.
 const maxPendingSegments = 2
 
-// segmentSuffix is the end of a segment's name.
+// segmentSuffix is the suffix of a segment's file name.
 const segmentSuffix = ".parquet"
 
-// partialSuffix is the end of a segment's name while it is being written.
+// partialSuffix is appended to a segment's file name while the segment is being written.
 const partialSuffix = ".part"
 
-// parseOwnSegment reports whether a segment's name is one of this instance's, and returns the id of its process.
+// parseOwnSegment reports whether a file name is that of a segment of this instance, and returns the id of the
+// process that wrote the segment.
 func (w *Writer) parseOwnSegment(name string) (pid int, own bool) {
 	rest, ok := strings.CutPrefix(name, w.options.Instance+"-")
 	rest, complete := strings.CutSuffix(rest, segmentSuffix)
@@ -76,12 +79,14 @@
 	return processID(process)
 }
 
-// startDigits is the number of base-36 digits of a process's start in Unix milliseconds, from 1972 to 2059.
+// startDigits is the number of base-36 digits of a process's start time in Unix milliseconds, for times from
+// 1972 to 2059.
 const startDigits = 8
 
-// processID returns the process id in a segment name's process part: the start in milliseconds, the letter p and the
-// process id, both numbers in base 36. The letter p is also a digit of base 36: the separator is the one after the
-// digits of the start, or the first one if the start has fewer digits.
+// processID returns the process id in the process part of a segment's file name. This part consists of the
+// process's start time in Unix milliseconds, the letter p and the process id; both numbers are in base 36. The
+// letter p is also a base-36 digit. The separator is therefore the p that follows startDigits digits or, if the
+// start time has fewer digits, the first p.
 func processID(process string) (pid int, ok bool) {
 	separator := strings.IndexByte(process, 'p')
 	if len(process) > startDigits && process[startDigits] == 'p' {
@@ -94,24 +99,25 @@
 	return int(id), err == nil
 }
 
-// processAlive reports whether a process runs. In a hot restart a successor starts to write while its predecessor still
-// writes.
+// processAlive reports whether a process runs. During a hot restart a successor starts to write segments while
+// its predecessor still writes some.
 func processAlive(pid int) bool {
 	return pid == os.Getpid() || syscall.Kill(pid, 0) == nil
 }
 
 const (
-	// dirMode and segmentMode let the process's group read the segments.
+	// dirMode and segmentMode let the group of the process read the segments.
 	dirMode     = 0o750
 	segmentMode = 0o640
-	// ageChecksPerSegment is the number of times that a segment's age is checked within Options.Age.
+	// ageChecksPerSegment is the number of times that the age of a segment is checked within Options.Age.
 	ageChecksPerSegment = 4
-	// minAgeCheckInterval bounds the rate of these checks.
+	// minAgeCheckInterval is the shortest interval between checks of a segment's age, which bounds their cost
+	// if Options.Age is short.
 	minAgeCheckInterval = 10 * time.Millisecond
 )
 
-// NewWriter starts a writer. It removes files that ended processes of the same instance have left incomplete. It fails
-// if the folder cannot be used, or the instance's name cannot be a part of a file's name.
+// NewWriter starts a writer. It removes the incomplete files that ended processes of the same instance have
+// left. It fails if the folder cannot be used, or if the instance's name cannot be a part of a file name.
 func NewWriter(o Options) (*Writer, error) {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -148,10 +154,11 @@
 	return w, nil
 }
 
-// initialRows is the largest number of rows for which memory is allocated before they are added.
+// initialRows is the largest number of rows for which memory is allocated when a segment starts.
 const initialRows = 1024
 
-// Add numbers a row and adds it, if it belongs to the sample. After Close it has no effect.
+// Add gives a row the next number and, if the row belongs to the sample, adds it to the current segment. After
+// Close it has no effect.
 func (w *Writer) Add(r Row) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -172,7 +179,8 @@
 	}
 }
 
-// handOverLocked queues the present segment, or drops its rows if too many segments wait. The caller holds mu.
+// handOverLocked queues the current segment, or drops its rows if maxPendingSegments already wait. The caller
+// holds mu.
 func (w *Writer) handOverLocked() {
 	s := segment{w.rows, w.segmentStart, w.dropped}
 	select {
@@ -185,8 +193,8 @@
 	w.segmentStart = w.options.Now()
 }
 
-// run writes queued segments, and queues the present one when it has reached Options.Age. It runs in a goroutine of its
-// own, which Close ends.
+// run writes queued segments, and queues the current segment when its age reaches Options.Age. It runs in its
+// own goroutine until Close ends it.
 func (w *Writer) run() {
 	defer close(w.done)
 	for {
@@ -206,7 +214,7 @@
 	}
 }
 
-// Close writes all rows that were added, and ends the writer's goroutine.
+// Close writes all added rows and ends the writer's goroutine.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	if w.closed {
@@ -225,18 +233,19 @@
 	}
 }
 
-// Dropped returns the number of rows that were dropped and are not counted in a written segment yet.
+// Dropped returns the number of dropped rows that no queued or written segment counts.
 func (w *Writer) Dropped() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.dropped
 }
 
-// errorLogInterval is the shortest time from one logged error to the next.
+// errorLogInterval is the shortest interval between two logged errors.
 const errorLogInterval = 10 * time.Second
 
-// write writes a segment, and removes the oldest ones beyond Options.Keep. The rows of a segment that cannot be written
-// are dropped; later segments are written if the disk allows it.
+// write writes a segment, and removes the oldest segments if all of the instance take more than Options.Keep
+// bytes. If the segment cannot be written, its rows are counted as dropped; later segments are written when the
+// disk allows it.
 func (w *Writer) write(s segment) {
 	w.writeMu.Lock()
 	defer w.writeMu.Unlock()
@@ -254,7 +263,8 @@
 	}
 }
 
-// writeFile writes a segment under a temporary name, syncs and renames it. On an error no file is left.
+// writeFile writes a segment under a temporary name, syncs the file and renames it. If an error occurs, it
+// removes the temporary file.
 func (w *Writer) writeFile(s segment) (err error) {
 	w.lastSegmentNumber++
 	name := fmt.Sprintf("%s-%s-%06d%s", w.options.Instance, w.process, w.lastSegmentNumber, segmentSuffix)
@@ -299,7 +309,8 @@
 	return os.Rename(partialPath, filepath.Join(w.options.Dir, name))
 }
 
-// rotate removes the oldest segments of this instance while all are larger than Options.Keep. The newest one stays.
+// rotate removes the oldest segments of this instance while its segments together take more than Options.Keep
+// bytes. The newest segment is never removed.
 func (w *Writer) rotate() error {
 	if w.options.Keep <= 0 {
 		return nil
@@ -318,7 +329,7 @@
 	for _, e := range entries {
 		info, err := e.Info()
 		if _, own := w.parseOwnSegment(e.Name()); !own || err != nil {
-			continue // another instance's, or removed in the meantime
+			continue // a file of another instance, or removed since ReadDir
 		}
 		segments = append(segments, segmentFile{filepath.Join(w.options.Dir, e.Name()), info.Size(), info.ModTime()})
 		totalBytes += info.Size()
--- a/internal/differential/differential.go
+++ b/internal/differential/differential.go
@@ -1,6 +1,6 @@
-// Package differential sends two programs that stand before the same application the same exchanges, and finds where
-// they differ: in what the client gets, or in what the application receives. It knows the programs by their addresses
-// only.
+// Package differential sends the same exchanges to two proxies in front of the same application, and reports the
+// differences: in the response that the client gets, or in the request that the application receives. The package knows
+// the proxies by their addresses only.
 package differential
 
 import (
@@ -13,47 +13,48 @@
 	"dunlinsail/internal/fake/webapp"
 )
 
-// Exchange is one request and the response that the application is to give.
+// Exchange is a request and the response that the application is asked to give.
 type Exchange struct {
 	Method, Path string
 	Header       http.Header
-	Body         int // bytes; -1 is none
-	Chunked      bool
-	Trailer      http.Header // of a chunked body
-	Expect       bool        // Expect: 100-continue
-	Plan         webapp.Plan
+	Body         int         // size of the request's body in bytes; -1 for no body
+	Chunked      bool        // whether the request's body is sent in chunks
+	Trailer      http.Header // trailer fields after a chunked body
+	Expect       bool        // whether the request has Expect: 100-continue
+	Plan         webapp.Plan // the response, in the form that the application understands
 }
 
-// The values of Outcome.Failed.
+// Values of Outcome.FailedPart.
 const (
 	failedHead = "head"
 	failedBody = "body"
 )
 
-// Outcome is how an exchange ended.
+// Outcome is the result of an exchange: the response that the client got, and the request that the application
+// received.
 type Outcome struct {
 	Status             int
 	Header             string
-	Body               string // its length and digest
+	Body               string // length and digest of the body
 	Trailer            string
-	EarlyHints         int    // 103 responses before the final one
-	FailedPart         string // "head" or "body": where the response broke; "" is nowhere
-	ApplicationRequest string // the request as the application received it; "" where it did not say
+	EarlyHints         int    // number of 103 responses before the final response
+	FailedPart         string // "head" or "body": the part of the response that failed; "" if none did
+	ApplicationRequest string // the request as the application received it; "" if it did not report it
 }
 
-// Difference is a part in which two outcomes of one exchange differ.
+// Difference is a part in which the two outcomes of one exchange differ.
 type Difference struct {
-	Index    int // of the exchange
+	Index    int // number of the exchange, starting with 0
 	Exchange Exchange
-	Part     string
-	A, B     string
-	Reason   string // why it is expected, "" where no reason is known
+	Part     string // one of the part constants
+	A, B     string // the part as text, in the outcome of the first and of the second proxy
+	Reason   string // why the difference is expected; "" if no reason is known
 }
 
-// maxShownChars bounds what is shown of each side of a difference, in characters.
+// maxShownChars limits how much String shows of each side of a difference, in characters.
 const maxShownChars = 300
 
-// String returns the difference and its exchange in one line.
+// String describes the difference and its exchange in one line.
 func (d Difference) String() string {
 	x := &d.Exchange
 	return fmt.Sprintf("exchange %d, %s: %.*s | %.*s (%s %s, body %d, chunked %v, expect %v, %s)",
@@ -63,10 +64,10 @@
 
 const (
 	dialTimeout     = time.Second
-	continueTimeout = 5 * time.Second // until a body is sent although no 100 has come
+	continueTimeout = 5 * time.Second // after which the client sends the body although no 100 response has arrived
 )
 
-// Run sends both programs all exchanges, one after another, and returns the differences.
+// Run sends each exchange to both proxies, one exchange after another, and returns the differences.
 func Run(ctx context.Context, addrA, addrB string, exchanges []Exchange) ([]Difference, error) {
 	transportA := newTransport()
 	defer transportA.CloseIdleConnections()
@@ -93,7 +94,7 @@
 	}
 }
 
-// Parts of an outcome, by which differences are named.
+// Parts of an outcome, for Difference.Part.
 const (
 	partStatus      = "status"
 	partHeader      = "header"
@@ -104,7 +105,7 @@
 	partApplication = "application"
 )
 
-// compare returns the parts in which the outcomes of an exchange differ, each with its reason where one is known.
+// compare returns the parts in which the outcomes of an exchange differ, each with the reason if one is known.
 func compare(index int, x *Exchange, a, b *Outcome) (differences []Difference) {
 	for _, part := range []struct{ name, a, b string }{
 		{partStatus, fmt.Sprint(a.Status), fmt.Sprint(b.Status)},
@@ -126,7 +127,8 @@
 	return differences
 }
 
-// Unexplained returns the differences without a reason, and how many there are of each reason.
+// Unexplained returns the differences without a known reason, and the number of differences for each known
+// reason.
 func Unexplained(differences []Difference) (withoutReason []Difference, byReason map[string]int) {
 	byReason = map[string]int{}
 	for _, d := range differences {
--- a/internal/differential/generate.go
+++ b/internal/differential/generate.go
@@ -10,10 +10,10 @@
 	"dunlinsail/internal/fake/webapp"
 )
 
-// generator draws exchanges.
+// generator draws random exchanges.
 type generator struct{ random *rand.Rand }
 
-// Generate draws the exchanges of a seed.
+// Generate returns n exchanges, which depend on the seed only.
 func Generate(seed uint64, n int) []Exchange {
 	g := generator{random: rand.New(rand.NewPCG(seed, 1))}
 	exchanges := make([]Exchange, 0, n)
@@ -23,9 +23,10 @@
 	return exchanges
 }
 
-// oneIn reports true for one of n draws.
+// oneIn returns true with a probability of 1/n.
 func (g generator) oneIn(n int) bool { return g.random.IntN(n) == 0 }
 
+// pickOne returns one of the values, drawn at random.
 func pickOne[T any](g generator, values ...T) T { return values[g.random.IntN(len(values))] }
 
 func (g generator) drawExchange(seed uint64, index int) Exchange {
@@ -44,7 +45,7 @@
 	return x
 }
 
-// drawRequestBody gives most requests whose methods have one a body, and a few with GET.
+// drawRequestBody draws the body, the chunks, the Expect header and the trailer of a request.
 func (g generator) drawRequestBody(x *Exchange, index int) {
 	if !g.drawHasRequestBody(x.Method) {
 		return
@@ -57,7 +58,8 @@
 	}
 }
 
-// drawHasRequestBody draws whether a request has a body.
+// drawHasRequestBody draws whether a request has a body: most requests do if their method allows one, and few
+// GET requests do.
 func (g generator) drawHasRequestBody(method string) bool {
 	usualMethod := method != http.MethodGet && method != http.MethodHead && method != http.MethodOptions
 	if usualMethod && !g.oneIn(5) {
@@ -66,7 +68,7 @@
 	return g.oneIn(30) && method == http.MethodGet
 }
 
-// drawResponsePlan draws what the application answers.
+// drawResponsePlan draws the response that the application is asked to give.
 func (g generator) drawResponsePlan(x *Exchange, index int) {
 	plan := &x.Plan
 	plan.Status = pickOne(g,
@@ -94,8 +96,8 @@
 	g.drawUnusualResponse(x)
 }
 
-// drawUnusualResponse makes a few responses unusual: early hints, an end by closing, a reset, or a head before the
-// request's body has been read.
+// drawUnusualResponse makes a few responses unusual: with early hints, without a length and ended by closing
+// the connection, reset in the body, or with a head that is sent before the request's body has been read.
 func (g generator) drawUnusualResponse(x *Exchange) {
 	plan := &x.Plan
 	switch g.random.IntN(14) {
--- a/internal/differential/reasons.go
+++ b/internal/differential/reasons.go
@@ -8,7 +8,7 @@
 	"dunlinsail/internal/fake/webapp"
 )
 
-// IgnoredHeaders are the header fields that are not compared, with the reason.
+// IgnoredHeaders maps each header field that is not compared to the reason.
 var IgnoredHeaders = map[string]string{
 	"Date":              "changes each second",
 	"Connection":        "of one connection only (RFC 9110 section 7.6.1)",
@@ -29,14 +29,14 @@
 	return webapp.HeaderText(h, ignored...)
 }
 
-// expectedDifference is a kind of difference that is correct, and how it is recognized. a is the daemon's outcome, b is
-// ReverseProxy's.
+// expectedDifference is a kind of difference that is no fault. In its function matches, a is the outcome of the
+// daemon, and b is the outcome of httputil.ReverseProxy.
 type expectedDifference struct {
 	reason  string
 	matches func(x *Exchange, part string, a, b *Outcome) bool
 }
 
-// expectedDifferences are tried in this order; the first one that matches gives the reason.
+// expectedDifferences are tried in this order; the reason of the first one that matches is reported.
 var expectedDifferences = []expectedDifference{
 	{"an answer that breaks before it has begun for the client is 502 here and there, each in its own words",
 		isBadGatewayText},
@@ -52,7 +52,7 @@
 		isBrokenResponse},
 }
 
-// expectedReason returns why a difference is expected, "" if no reason is known.
+// expectedReason returns why a difference is expected, or "" if no reason is known.
 func expectedReason(x *Exchange, part string, a, b *Outcome) string {
 	for _, expected := range expectedDifferences {
 		if expected.matches(x, part, a, b) {
@@ -66,7 +66,7 @@
 	return a.Status == http.StatusBadGateway && b.Status == http.StatusBadGateway && part != partStatus
 }
 
-// contentLengthField is the length of a message in the text of its header.
+// contentLengthField matches the Content-Length field in the text of a header.
 var contentLengthField = regexp.MustCompile(`Content-Length: \["\d+"\]; `)
 
 func isAddedLength(_ *Exchange, part string, a, b *Outcome) bool {
@@ -74,7 +74,8 @@
 		contentLengthField.ReplaceAllString(a.Header, "") == b.Header
 }
 
-// bufferingChanges are what a request loses or gains when its body is buffered, in the text that the application returns.
+// bufferingChanges matches the fields and trailers that a request gains or loses when a proxy buffers its body,
+// in the text that the application returns.
 var bufferingChanges = regexp.MustCompile(`(Content-Length: \["\d+"\]|Expect: \["100-continue"\]); | X-Sum: \[.*$`)
 
 func isBufferedRequest(x *Exchange, part string, a, b *Outcome) bool {
@@ -105,7 +106,7 @@
 	return false
 }
 
-// matchesPlan reports whether a response came completely, with the status and the body of the exchange's plan.
+// matchesPlan reports whether a response is complete and has the status and the body of the exchange's plan.
 func matchesPlan(x *Exchange, o *Outcome) bool {
 	var planned webapp.Digest
 	if x.Method != http.MethodHead && x.Plan.Status != http.StatusNoContent && x.Plan.Status != http.StatusNotModified {
--- a/internal/differential/send.go
+++ b/internal/differential/send.go
@@ -12,7 +12,7 @@
 	"dunlinsail/internal/fake/webapp"
 )
 
-// Send sends one exchange to a program, and returns how it ended.
+// Send sends an exchange to the proxy at addr, and returns the outcome.
 func Send(ctx context.Context, transport http.RoundTripper, addr string, x *Exchange) Outcome {
 	var outcome Outcome
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -26,7 +26,7 @@
 	var body io.Reader
 	if x.Body >= 0 {
 		bodyReader, bodyWriter := io.Pipe()
-		go func() { bodyWriter.CloseWithError(webapp.WriteBody(bodyWriter, x.Body)) }() // ends with the pipe
+		go func() { bodyWriter.CloseWithError(webapp.WriteBody(bodyWriter, x.Body)) }() // ends when the pipe is closed
 		defer bodyReader.Close()
 		body = bodyReader
 	}
@@ -68,7 +68,7 @@
 	return request, nil
 }
 
-// read takes over a response, its body included.
+// readResponse reads a response, including its body, into the outcome.
 func (o *Outcome) readResponse(resp *http.Response, x *Exchange) {
 	var digest webapp.Digest
 	if _, err := io.Copy(&digest, resp.Body); err != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// observedRequestText returns the request as the application received it, in one line.
+// observedRequestText returns one line that describes the request as the application received it.
 func observedRequestText(text string) string {
 	var observed webapp.ObservedRequest
 	if err := json.Unmarshal([]byte(text), &observed); err != nil {
--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Code is the code of a record on the wire: an event from the simulator, or an action of the reply.
+// Code is the code of a record on the wire. The record is either an event from the simulator or an action in
+// the reply.
 type Code uint8
 
 // Codes of events. Their names on the wire are in eventNames.
@@ -21,7 +22,7 @@
 	EventInstance     Code = 27
 )
 
-// Codes of actions. Their names on the wire stand beside the methods of Reply.
+// Codes of actions. The comments of Reply's methods state the actions' names on the wire.
 const (
 	ActionSend      Code = 80
 	ActionReject    Code = 81
@@ -54,7 +55,7 @@
 	EventInstance:     "instance",
 }
 
-// String returns an event's name on the wire.
+// String returns the event's name on the wire, or "event" and the code if it is not the code of an event.
 func (c Code) String() string {
 	if name, ok := eventNames[c]; ok {
 		return name
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -10,17 +10,18 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Event is one decoded record. Only the fields of its code are set. Slices are valid until the next call of Next.
+// Event is one decoded event record. Next sets Code, Offset and the fields of this code; the comment of each
+// field names its code. Slices are valid until the next call of Next.
 type Event struct {
 	Code     Code
-	Offset   int                 // of the record in its frame
+	Offset   int                 // position of the record in its frame, in bytes
 	Instance uint32              // EventInstance
 	Seed     uint64              // EventStart
 	Settings string              // EventStart
 	ListKind balancer.ListKind   // EventEndpointList
-	Entries  []balancer.Endpoint // EventEndpointList; nil for ListFailed
+	Entries  []balancer.Endpoint // EventEndpointList; nil if ListKind is ListFailed
 	Request  balancer.Request    // EventRequest
-	Outcome  balancer.Outcome    // EventOutcome; EventHeaders and EventClientGone set parts of it
+	Outcome  balancer.Outcome    // EventOutcome; EventHeaders and EventClientGone set some of its fields
 	Token    uint32              // EventTimer
 	Endpoint uint32              // EventProbe
 	Status   balancer.Status     // EventProbe
@@ -33,24 +34,25 @@
 // maxEndpointLists is the number of numbered endpoint lists on the wire.
 const maxEndpointLists = 16
 
-// Decoder reads the records of batches. It holds the numbered endpoint lists, which outlive a batch. The zero value is
-// ready to use.
+// Decoder reads the records of batches. It stores the numbered endpoint lists, which remain valid from one
+// batch to the next. The zero value is ready to use.
 type Decoder struct {
 	frame       []byte
-	frameOffset int // of the next record
+	frameOffset int // position of the next record in the frame
 
-	record       []byte // the current record, header included
-	recordStart  int    // offset of the record in its frame
-	recordName   string
-	recordOffset int   // of the next field in the record
-	err          error // the first error in the record
+	record       []byte // current record, including its header
+	recordStart  int    // position of the current record in its frame
+	recordName   string // name of the current record on the wire
+	recordOffset int    // position of the next field in the current record
+	err          error  // first error in the current record
 
 	lists      [maxEndpointLists][]balancer.Endpoint
-	received   [maxEndpointLists]bool // lists that have been received
-	loadBuffer []float32              // the load report of the latest record
+	received   [maxEndpointLists]bool // for each list number, whether a list has been received
+	loadBuffer []float32              // buffer of the latest record's load report
 }
 
-// Reset starts on a frame from ReadFrame and returns its number and clock.
+// Reset makes Next start at the first record of a frame from ReadFrame, and returns the frame's batch number
+// and clock.
 func (d *Decoder) Reset(frame []byte) (batch uint32, now monotime.Micros, err error) {
 	if len(frame) < batchHeaderSize {
 		return 0, 0, &FrameError{"batch header", len(frame), "shorter than a header"}
@@ -63,14 +65,16 @@
 	return binary.BigEndian.Uint32(frame), monotime.Micros(binary.BigEndian.Uint64(frame[offsetClock:])), nil
 }
 
-// fail notes an error at the next field. Only the first error of a record counts; later reads return zero.
+// failAtNextField sets the error of the record, at the position of the next field. Only the first error of a
+// record is retained; after an error, all fields are read as zero.
 func (d *Decoder) failAtNextField(reason string) {
 	if d.err == nil {
 		d.err = &FrameError{d.recordName, d.recordStart + d.recordOffset, reason}
 	}
 }
 
-// failAtPreviousField notes an error at the field of n bytes that was read last, unless there is an error already.
+// failAtPreviousField sets the error of the record, at the position of the field that was just read and has n
+// bytes. It has no effect if the record already has an error.
 func (d *Decoder) failAtPreviousField(n int, reason string) {
 	if d.err == nil {
 		d.recordOffset -= n
@@ -78,7 +82,7 @@
 	}
 }
 
-// next returns the next n bytes of the record, or nil after an error.
+// nextBytes returns the next n bytes of the record, or nil if fewer are left or the record has an error.
 func (d *Decoder) nextBytes(n int) []byte {
 	if d.err != nil {
 		return nil
@@ -120,7 +124,7 @@
 	return 0
 }
 
-// micros reads a duration.
+// readDuration reads a duration of 32 bits, in microseconds.
 func (d *Decoder) readDuration() monotime.Micros { return monotime.Micros(d.u32()) }
 
 // Codes of an attempt's status on the wire.
@@ -159,7 +163,7 @@
 	return balancer.Error
 }
 
-// readLoadReport reads a load report. The slice is reused for the next one.
+// readLoadReport reads the values of a load report. The next call reuses the returned slice.
 func (d *Decoder) readLoadReport() []float32 {
 	metricCount := int(d.u8())
 	p := d.nextBytes(sizeU32 * metricCount)
@@ -170,8 +174,8 @@
 	return d.loadBuffer
 }
 
-// Next decodes one record into e. It returns io.EOF after the last one. A record of an unknown code is returned with
-// its code alone.
+// Next decodes the next record of the frame into e. It returns io.EOF after the last record. For a record with
+// an unknown code it sets only e.Code and e.Offset.
 func (d *Decoder) Next(e *Event) error {
 	remaining := len(d.frame) - d.frameOffset
 	if remaining == 0 {
@@ -206,7 +210,8 @@
 	return d.err
 }
 
-// fields decodes the fields of the current record into e. Those of an unknown code are skipped.
+// readFields decodes the fields of the current record into e. It skips the fields of a record with an unknown
+// code.
 func (d *Decoder) readFields(e *Event) {
 	switch e.Code {
 	case EventStart:
@@ -215,7 +220,7 @@
 	case EventEntries:
 		d.readEntries()
 	case EventEndpointList:
-		d.u32() // not used
+		d.u32() // a field that no decision uses
 		d.readEndpointList(e)
 	case EventRequest:
 		d.readRequest(&e.Request)
@@ -246,7 +251,7 @@
 	}
 }
 
-// Bits of a request's options.
+// Bits of the options field of a request.
 const (
 	optionHasHint = 1 << iota
 	optionRetry
@@ -285,7 +290,7 @@
 	return number
 }
 
-// entries reads a numbered endpoint list.
+// readEntries reads an endpoint list and stores it under its number.
 func (d *Decoder) readEntries() {
 	number := d.readListNumber()
 	entryCount := int(d.u32())
@@ -310,7 +315,7 @@
 	stateGone     = 3
 )
 
-// endpoint reads an entry of an endpoint list.
+// readEndpoint reads one entry of an endpoint list.
 func (d *Decoder) readEndpoint() (e balancer.Endpoint) {
 	e.ID = d.u32()
 	e.Zone = d.u8()
@@ -339,7 +344,8 @@
 	listFull   = 4
 )
 
-// readEndpointList reads the number and the kind of the list of an endpoint list event.
+// readEndpointList reads the list number and the kind of an endpoint list event, and sets e.Entries to the
+// stored list with this number.
 func (d *Decoder) readEndpointList(e *Event) {
 	number := d.u8()
 	e.Entries = nil
@@ -360,7 +366,8 @@
 		return
 	}
 	if number >= maxEndpointLists || !d.received[number] {
-		d.failAtPreviousField(2, fmt.Sprintf("list number %d has not been conveyed", number)) // number and kind
+		// The fields of number and kind have 2 bytes together.
+		d.failAtPreviousField(2, fmt.Sprintf("list number %d has not been conveyed", number))
 		return
 	}
 	e.Entries = d.lists[number]
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -7,39 +7,39 @@
 	"io"
 )
 
-// Sizes in bytes.
+// Sizes and offsets in a frame, in bytes.
 const (
-	batchHeaderSize   = 16      // batch number, frame size, clock
-	replyHeaderSize   = 12      // batch number, frame size, number of records
-	recordHeaderSize  = 5       // code, size of the fields
-	entrySize         = 21      // an entry of an endpoint list
-	maxFrameSize      = 1 << 30 // a larger frame is malformed
-	bufferGrowth      = 1 << 20 // by which a frame's buffer grows as its bytes arrive: a stated size allocates nothing
-	initialBufferSize = 1 << 16 // initial size of a frame's buffer
+	batchHeaderSize   = 16      // batch number, frame size and clock
+	replyHeaderSize   = 12      // batch number, frame size and number of records
+	recordHeaderSize  = 5       // code of the record and size of its fields
+	entrySize         = 21      // one entry of an endpoint list
+	maxFrameSize      = 1 << 30 // a frame that states a larger size is malformed
+	bufferGrowth      = 1 << 20 // the buffer grows only as bytes arrive, so that a wrong frame size allocates little
+	initialBufferSize = 1 << 16 // initial size of the buffer for a frame
 
-	sizeU16 = 2 // of integers, which are big endian
+	sizeU16 = 2 // sizes of unsigned integers, which are big endian
 	sizeU32 = 4
 	sizeU64 = 8
 
-	offsetFrameSize = 4 // in the header of a batch or reply
-	offsetClock     = 8 // in the header of a batch
-	offsetRecords   = 8 // in the header of a reply
+	offsetFrameSize = 4 // position of the frame size in the header of a batch or reply
+	offsetClock     = 8 // position of the clock in the header of a batch
+	offsetRecords   = 8 // position of the number of records in the header of a reply
 )
 
-// FrameError is a malformed record or frame.
+// FrameError describes why a record or frame is malformed.
 type FrameError struct {
-	Record string // the record's name on the wire
-	Offset int    // in its frame, in bytes
-	Reason string
+	Record string // name of the record on the wire
+	Offset int    // position in the frame, in bytes
+	Reason string // what is wrong at this position
 }
 
-// Error names the record, the byte offset and the reason.
+// Error returns the name of the record, the position in bytes and the reason.
 func (e *FrameError) Error() string {
 	return fmt.Sprintf("%s at byte %d: %s", e.Record, e.Offset, e.Reason)
 }
 
-// ReadFrame reads one batch into buf, or into a larger copy, which it returns. Its error is io.EOF only at the end of
-// input between two frames, and otherwise a *FrameError.
+// ReadFrame reads one batch into buf, or into a larger buffer if buf is too small, and returns the buffer. The
+// error is io.EOF if the input ends between two frames, and a *FrameError otherwise.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
 	if cap(buf) < batchHeaderSize {
 		buf = make([]byte, initialBufferSize)
--- a/internal/wire/names_page_test.go
+++ b/internal/wire/names_page_test.go
@@ -22,18 +22,19 @@
 	minWireNameRows  = 30
 )
 
-// counterpartFolders are folders that play the other side of the wire: its names are spelled there independently.
+// counterpartFolders are the folders of programs that implement the simulator's side of the wire. They spell
+// the names on the wire independently of this package.
 var counterpartFolders = []string{
 	"internal/fake", "internal/experiment", "internal/bench", "internal/playground", "internal/simulation",
 }
 
 var (
 	backquoted = regexp.MustCompile("`([^`]+)`")
-	plainWord  = regexp.MustCompile(`^[a-z]+$`) // could be a word of another meaning
+	plainWord  = regexp.MustCompile(`^[a-z]+$`) // elsewhere, such a word may be used with another meaning
 	tagName    = regexp.MustCompile(`(?:json|toml|cbor):"([^",]+)`)
 )
 
-// wireNameFiles returns the files in which each name of the page's table may be spelled.
+// wireNameFiles returns, for each name in the page's table, the files that may spell the name.
 func wireNameFiles(t *testing.T) map[string][]string {
 	t.Helper()
 	text, err := os.ReadFile(wireNamesPage)
@@ -61,7 +62,7 @@
 	return filesByName
 }
 
-// literals returns the values of a file's string literals, and the names in its struct tags.
+// stringLiterals returns the values of all string literals in a file, and the names in its struct tags.
 func stringLiterals(t *testing.T, name string) []string {
 	t.Helper()
 	source, err := os.ReadFile(name)
@@ -85,7 +86,8 @@
 	return values
 }
 
-// visitProductFiles calls visit with each Go file of the programs, and its path from the repository's root.
+// visitProductFiles calls visit for each Go source file of the product, without tests and counterpartFolders.
+// name is the file's path from the working folder, path is its path from the root of the repository.
 func visitProductFiles(t *testing.T, visit func(name, path string)) {
 	t.Helper()
 	err := filepath.WalkDir(repositoryRoot, func(name string, entry fs.DirEntry, err error) error {
@@ -109,11 +111,12 @@
 	require.NoError(t, err)
 }
 
-// Each name on the wire is spelled in the one file that the glossary names, and nowhere else in the programs. Names
-// that are one plain word are only looked for in their file: elsewhere they may mean something else.
+// Each name on the wire is spelled in the file that the glossary states, and in no other file of the product. A
+// name that is a plain word is only checked in the stated file, since it may have another meaning in other
+// files.
 func TestWireNamesHaveOnePlace(t *testing.T) {
 	filesByName := wireNameFiles(t)
-	spelled := map[string]bool{} // file and name
+	spelled := map[string]bool{} // keys consist of a path, a space and a name
 	visitProductFiles(t, func(name, path string) {
 		for _, value := range stringLiterals(t, name) {
 			allowedFiles, known := filesByName[value]
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,17 +10,17 @@
 	"dunlinsail/internal/monotime"
 )
 
-// maxListItems is the largest number of objects in a list of the settings.
+// maxListItems is the largest number of objects in a list of the settings, such as the list of classes.
 const maxListItems = 256
 
-// settingsParser holds the pairs of a settings text, and its first error.
+// settingsParser has the key-value pairs of a settings text, and the first error in them.
 type settingsParser struct {
 	pairs map[string]string
 	err   error
 }
 
-// get returns the parsed value of a key, or def if the key is missing. kind is the expected kind of value, for the
-// error.
+// parseValue returns the parsed value of a key, or defaultValue if the key is missing or its value cannot be
+// parsed. In the second case the error is set; expected describes the expected values in it.
 func parseValue[T any](
 	t *settingsParser, key string, defaultValue T, expected string, parse func(string) (T, error),
 ) T {
@@ -36,7 +36,7 @@
 	return v
 }
 
-// fail notes an error of a key. Only the first one is reported.
+// setError sets the error to one of the given key, unless an error has been set before.
 func (t *settingsParser) setError(key, value, reason string) {
 	if t.err == nil {
 		t.err = &balancer.SettingError{Key: key, Value: value, Reason: reason}
@@ -59,12 +59,13 @@
 	})
 }
 
-// flag returns the value of a flag; a missing one is false.
+// flag returns the value of a boolean setting, or false if the key is missing.
 func (t *settingsParser) flag(key string) bool {
 	return parseValue(t, key, false, "true or false", strconv.ParseBool)
 }
 
-// keyword returns the meaning of a value; one without a meaning is an error.
+// keyword returns the setting that valuesByWord has for the word of a key, or defaultValue if the key is
+// missing. An unknown word is an error.
 func keyword[T any](t *settingsParser, key string, defaultValue T, valuesByWord map[string]T) T {
 	return parseValue(t, key, defaultValue, "a known word", func(s string) (T, error) {
 		if v, ok := valuesByWord[s]; ok {
@@ -74,7 +75,8 @@
 	})
 }
 
-// count returns the length of a list of objects, each of which must have a key.
+// listLength returns the length of a list of objects. The list is an error if it is longer than maxListItems,
+// if one of its objects has no key, or if it is required but missing.
 func (t *settingsParser) listLength(key string, required bool) int {
 	countKey := key + ".count"
 	if _, ok := t.pairs[countKey]; !ok && required {
@@ -102,7 +104,7 @@
 	return false
 }
 
-// metricNames are the metrics of load reports, by the names in reporting.fields.
+// metricNames maps the names in the setting reporting.fields to the metrics of load reports.
 var metricNames = map[string]balancer.LoadMetric{
 	"busy_reqs": balancer.MetricInflight,
 	"pending":   balancer.MetricQueueLength,
@@ -115,8 +117,8 @@
 // ParseSettings reads the settings text of an EventStart: lines key=value. Unknown keys are skipped. Its error is a
 // *balancer.SettingError that names the key on the wire.
 //
-// The keys and the values of keywords are the simulator's. They stand here, each beside the field that it is mapped to,
-// and in package platform, which reads the same settings as JSON. Durations are in microseconds.
+// The keys and keywords are the simulator's. They are spelled only in this file, each beside the field that it is
+// mapped to, and in package platform, which reads the same settings as JSON. Durations are in microseconds.
 func ParseSettings(text string) (balancer.Settings, error) {
 	t, err := parsePairs(text)
 	if err != nil {
@@ -145,8 +147,8 @@
 	return s, t.err
 }
 
-// checkUnusedKeys checks the settings of the protocol that no decision uses, so that a wrong value is an error all the
-// same.
+// checkUnusedKeys checks the settings of the protocol that no decision uses, so that an invalid value is an
+// error although it has no effect.
 func (t *settingsParser) checkUnusedKeys() {
 	t.flag("limits.may-tell")
 	for _, key := range [...]string{"tick", "contract.answer-slack"} {
@@ -156,7 +158,7 @@
 	}
 }
 
-// parsePairs reads lines of the form key=value.
+// parsePairs reads lines of the form key=value; it skips empty lines.
 func parsePairs(text string) (*settingsParser, error) {
 	t := &settingsParser{pairs: map[string]string{}}
 	for i, line := range strings.Split(text, "\n") {
@@ -190,7 +192,8 @@
 	}
 }
 
-// defaultPollInterval is the time within which a balancer polls discovery.
+// defaultPollInterval is the interval within which a balancer polls discovery, unless the settings state
+// another.
 const defaultPollInterval = 10 * monotime.Second
 
 func (t *settingsParser) contract() balancer.Contract {
@@ -222,14 +225,15 @@
 	}
 }
 
-// Values of reporting.how: where load reports come from.
+// Values of the setting reporting.how, which states where load reports arrive.
 const (
-	NoReports         = "none"
+	NoReports         = "none"    // nowhere
 	ReportsOnProbes   = "probe"   // in the responses to health checks
 	ReportsOnRequests = "answers" // in all responses
 )
 
-// loadMetrics returns the metrics of load reports; none where reports are off.
+// loadMetrics returns the metrics in each load report, or nil if there are no load reports or they have no
+// metrics.
 func (t *settingsParser) loadMetrics() []balancer.LoadMetric {
 	reported := keyword(t, "reporting.how", false, map[string]bool{
 		NoReports:         false,
@@ -247,21 +251,22 @@
 	return metrics
 }
 
-// idempotencies are the values of a class's key repeat.
+// idempotencyValues maps the values of a class's setting repeat to the class's idempotency.
 var idempotencyValues = map[string]balancer.Idempotency{
 	"pure":        balancer.Idempotent,
 	"token":       balancer.IdempotentByKey,
 	"side_effect": balancer.NonIdempotent,
 }
 
-// dedupScopeValues are the values of a class's key group.
+// dedupScopeValues maps the values of a class's setting group to the scope in which endpoints recognize
+// duplicates.
 var dedupScopeValues = map[string]balancer.DedupScope{
 	"all":  balancer.DedupAll,
 	"zone": balancer.DedupZone,
 	"cell": balancer.DedupCell,
 }
 
-// class reads the class whose keys have a prefix.
+// class reads the settings of a class, whose keys start with prefix.
 func (t *settingsParser) class(prefix string) balancer.Class {
 	for _, key := range [...]string{"target", "give-up", "repeat"} {
 		if _, ok := t.pairs[prefix+key]; !ok {
@@ -281,7 +286,7 @@
 	}
 }
 
-// tenant reads the tenant whose keys have a prefix.
+// tenant reads the settings of a tenant, whose keys start with prefix.
 func (t *settingsParser) tenant(prefix string) balancer.Tenant {
 	return balancer.Tenant{
 		Name:  t.pairs[prefix+"name"],
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -14,7 +14,7 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// unhex decodes hexadecimal digits, in which spaces are ignored.
+// decodeHex decodes the concatenated hexadecimal digits of parts; spaces in them are ignored.
 func decodeHex(tb testing.TB, parts ...string) []byte {
 	tb.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(strings.Join(parts, ""), " ", ""))
@@ -22,7 +22,7 @@
 	return b
 }
 
-// frame puts records behind a batch header.
+// batchFrame returns a batch that consists of a header and the given records.
 func batchFrame(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	f := binary.BigEndian.AppendUint32(nil, 12)
@@ -31,7 +31,7 @@
 	return append(f, body...)
 }
 
-// Records of the examples in WIRE.
+// Example records from the specification of the protocol (WIRE), in hexadecimal.
 const (
 	exampleInstance   = "1b 00000004 00000003"
 	exampleRequest    = "12 00000020 0005bf975d3a91c4 91f03b7c55d20a64 00000000008405da 00002ee0 01 0000 00"
@@ -46,7 +46,7 @@
 	exampleEndpointList = "11 00000006 00000029 00 03"
 )
 
-// decode returns the events of a frame that is valid.
+// decodeAll decodes a valid frame and returns all its events.
 func decodeAll(t *testing.T, d *Decoder, f []byte) []Event {
 	t.Helper()
 	if _, now, err := d.Reset(f); err != nil || now != 0x805c5a {
@@ -66,6 +66,7 @@
 	}
 }
 
+// The example records of the protocol's specification are decoded to the events that it describes.
 func TestPageExamples(t *testing.T) {
 	f := decodeHex(t, "0000000c 0000005d 0000000000805c5a", exampleInstance, exampleRequest, exampleTimer,
 		"1b 00000004 00000005", exampleClientGone)
@@ -102,6 +103,7 @@
 	}
 }
 
+// Reply encodes its actions as the specification of the protocol states.
 func TestReplyExamples(t *testing.T) {
 	var reply Reply
 	reply.Reset(1)
@@ -150,7 +152,8 @@
 	}
 }
 
-// A list number means the list that was sent last with it before the event.
+// An endpoint list event refers to the list that was received most recently under its list number, in this
+// batch or an earlier one.
 func TestListsAreResolvedInOrder(t *testing.T) {
 	readyList := "1a 0000001a 00 00000001 00000001 00 00 0000 00 3f800000 0000000000000000"
 	drainingList := "1a 0000001a 00 00000001 00000002 00 00 0000 01 3f800000 0000000000000000"
@@ -169,6 +172,8 @@
 	}
 }
 
+// A malformed record is reported with the name of the record and the reason, and as an error at a position
+// behind the batch header.
 func TestMalformedRecords(t *testing.T) {
 	for _, test := range []struct{ name, records, wantRecord, wantReason string }{
 		{"header cut", "12 0000", "record", "needs 5 bytes"},
@@ -221,7 +226,8 @@
 
 func FuzzDecoder(f *testing.F) {
 	for _, records := range []string{exampleInstance, exampleRequest, exampleTimer, exampleClientGone, exampleHeaders,
-		exampleOutcome, exampleProbe, exampleGossip, exampleEntries + exampleEndpointList, "ff 00000002 0102", "1a 00000005 00 ffffffff"} {
+		exampleOutcome, exampleProbe, exampleGossip, exampleEntries + exampleEndpointList, "ff 00000002 0102",
+		"1a 00000005 00 ffffffff"} {
 		f.Add(decodeHex(f, records))
 	}
 	f.Fuzz(func(t *testing.T, records []byte) {
@@ -296,6 +302,7 @@
 	}
 }
 
+// An invalid setting is an error that names the key of the setting.
 func TestBadSettings(t *testing.T) {
 	for _, test := range []struct{ oldText, newText, wantKey string }{
 		{"classes.count=2", "classes.count=3", "classes.count"},
@@ -319,7 +326,7 @@
 			t.Errorf("%s -> %s: %v", test.oldText, test.newText, err)
 		}
 	}
-	// Values that can be parsed but are invalid are rejected by balancer.New.
+	// A value that can be parsed but is invalid is rejected by balancer.New.
 	s, err := ParseSettings(strings.Replace(validSettings, "window=400000", "window=-1", 1))
 	require.NoError(t, err)
 	if _, err = balancer.New(s, 1, nil); err == nil || !strings.Contains(err.Error(), "Window=-1") {
