--- a/internal/accesslog/golden_test.go
+++ b/internal/accesslog/golden_test.go
@@ -118,7 +118,7 @@
 	countsMatch := run.Segments == 1 && run.Rows == 5 && run.Missing == 0 && run.Dropped == 0 && run.Sample == 1
 	offset := goldenNow.UnixMicro() - 1_700_000_000_005_007
 	if run.Instance != "golden-instance" || !countsMatch || run.Offset != offset {
-		t.Errorf("its run: %+v", run)
+		t.Errorf("summary of the run: %+v", run)
 	}
 	want := goldenRows()
 	if len(rec.Requests) != len(want) {
@@ -141,7 +141,7 @@
 			len(want.Rows), len(want.Columns), len(want.Metadata))
 	}
 	if got.Metadata["process"] == "" || want.Metadata["process"] == "" {
-		t.Errorf("no process: %v, %v", got.Metadata, want.Metadata)
+		t.Errorf("no process in the metadata: %v, %v", got.Metadata, want.Metadata)
 	}
 	got.Metadata["process"] = want.Metadata["process"] // differs by process
 	if got.Schema != want.Schema {
--- a/internal/accesslog/process_id_test.go
+++ b/internal/accesslog/process_id_test.go
@@ -18,13 +18,13 @@
 		for _, pid := range []int{1, 25, 25*36 + 25, 4194303} {
 			name := strconv.FormatInt(start, 36) + "p" + pid36(pid)
 			if got, ok := processID(name); !ok || got != pid {
-				t.Errorf("%s: %d, %v, want %d", name, got, ok, pid)
+				t.Errorf("%s: process id %d, %v, want %d", name, got, ok, pid)
 			}
 		}
 	}
 	for _, name := range []string{"", "x", "p", "12345678p", "12345678p-"} {
 		if pid, ok := processID(name); ok {
-			t.Errorf("%q: %d", name, pid)
+			t.Errorf("%q is accepted, with process id %d", name, pid)
 		}
 	}
 }
--- a/internal/accesslog/record_test.go
+++ b/internal/accesslog/record_test.go
@@ -89,7 +89,7 @@
 		r := want[fmt.Sprint(q.Instance, q.KeyHash)]
 		r.Seq = q.Seq
 		if q.Row != r || q.Arrived < latestArrival {
-			t.Fatalf("%+v, want %+v, behind %d", q, r, latestArrival)
+			t.Fatalf("%+v, want %+v, after an arrival at %d", q, r, latestArrival)
 		}
 		latestArrival = q.Arrived
 	}
@@ -99,7 +99,7 @@
 		}
 	}
 	if findings := rec.Check(); len(findings) != 0 {
-		t.Errorf("what it lacks: %q", findings)
+		t.Errorf("unexpected findings: %q", findings)
 	}
 }
 
@@ -120,7 +120,7 @@
 	w.Close()
 	paths := segmentPaths(t, dir)
 	if len(paths) != 4 {
-		t.Fatalf("%d segments", len(paths))
+		t.Fatalf("%d segments, want 4", len(paths))
 	}
 	valid, err := os.ReadFile(paths[1])
 	require.NoError(t, err)
@@ -139,9 +139,9 @@
 	if r := rec.Runs[0]; r.Missing != 200 {
 		t.Errorf("%d are missing, not 200", r.Missing)
 	}
-	requireFindings(t, readRecording(t, dir), "200 of 400 requests are missing", "is no whole segment")
+	requireFindings(t, readRecording(t, dir), "200 of 400 requests are missing", "is not a complete segment")
 	if _, err := Read(filepath.Join(dir, "nowhere")); err == nil {
-		t.Error("a folder that is not there was read")
+		t.Error("reading a folder that does not exist succeeded")
 	}
 }
 
@@ -183,11 +183,11 @@
 		t.Fatal(err)
 	}
 	addRows(w, 10, 0)
-	waitFor(t, "no row counts as dropped", func() bool { return w.Dropped() == 10 })
+	waitFor(t, "the dropped rows are not counted", func() bool { return w.Dropped() == 10 })
 	require.NoError(t, os.Remove(dir))
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	addRows(w, 10, 1)
-	waitFor(t, "no segment is written again", func() bool { return len(segmentPaths(t, dir)) == 1 })
+	waitFor(t, "no segment is written after the folder is back", func() bool { return len(segmentPaths(t, dir)) == 1 })
 	if r := readRecording(t, dir).Runs[0]; r.Missing != 10 || r.Dropped != 10 {
 		t.Errorf("%+v", r)
 	}
@@ -205,7 +205,7 @@
 		t.Errorf("another instance's segment: %v", err)
 	}
 	if n := len(segmentPaths(t, dir)); n < 2 || n > 6 {
-		t.Errorf("%d segments are left", n)
+		t.Errorf("%d segments remain after rotation", n)
 	}
 }
 
@@ -230,7 +230,7 @@
 		names = append(names, e.Name())
 	}
 	if len(names) != 2 || !strings.HasPrefix(names[0], ".a-xxp1-") || !strings.HasPrefix(names[1], ".b-") {
-		t.Errorf("left: %q", names)
+		t.Errorf("remaining files: %q", names)
 	}
 	if _, err := NewWriter(Options{Dir: dir, Instance: "a/b", Log: discardLogger}); err == nil {
 		t.Error("an instance with a / in its name is accepted")
@@ -279,11 +279,11 @@
 	rec := readRecording(t, dir)
 	requireFindings(t, rec, "clock stepped by -90.000 s", "its clock was -90.000 s off")
 	if from, to := rec.Span(); to-from < 80_000_000 {
-		t.Errorf("before: %d", to-from)
+		t.Errorf("span before Align: %d us", to-from)
 	}
 	rec.Align()
 	if from, to := rec.Span(); to-from > 4_000_000 {
-		t.Errorf("put together: %d us", to-from)
+		t.Errorf("span after Align: %d us", to-from)
 	}
 }
 
@@ -322,7 +322,7 @@
 	if want := []int{2, 3, 1, 1, 1, 1, 1, 1, 1, 2, 1}; !slices.Equal(attempts, want) {
 		t.Errorf("attempts of each operation %v, want %v", attempts, want)
 	}
-	requireFindings(t, rec, `class "c": 3 of 15 requests have neither key nor object nor a mark`)
+	requireFindings(t, rec, `class "c": 3 of 15 requests have neither key nor object nor a retry mark`)
 }
 
 // A sample contains either all attempts of an operation or none, and about the requested fraction of the
@@ -335,10 +335,10 @@
 	hash := hasher.Hash("key", "x")
 	differ := hash != otherSecret.Hash("key", "x") && hash != hasher.Hash("object", "x")
 	if hash != sameSecret.Hash("key", "x") || !differ || hasher.Hash("key", "") != 0 {
-		t.Error("hashes")
+		t.Error("hashes do not depend on exactly the secret, the kind and the text")
 	}
 	if _, err := NewHasher(filepath.Join(dir, "none")); err == nil {
-		t.Error("no secret is accepted")
+		t.Error("a missing secret file is accepted")
 	}
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "short"), []byte("secret"), 0o600))
 	if _, err := NewHasher(filepath.Join(dir, "short")); err == nil {
@@ -364,7 +364,7 @@
 		}
 	}
 	if sampled < 1800 || sampled > 2200 {
-		t.Errorf("%d", sampled)
+		t.Errorf("%d are in both samples together", sampled)
 	}
 }
 
--- a/internal/accesslog/recording.go
+++ b/internal/accesslog/recording.go
@@ -105,7 +105,7 @@
 		return err
 	}
 	if v := meta["version"]; v != fmt.Sprint(Version) {
-		return fmt.Errorf("is of version %q, this program reads %d", v, Version)
+		return fmt.Errorf("has version %q, but this program reads version %d", v, Version)
 	}
 	runName := meta["instance"] + "-" + meta["process"]
 	r := runs[runName]
@@ -125,7 +125,8 @@
 	var lastEnd int64
 	for _, row := range rows {
 		if seenRows[runName][row.Seq] {
-			rec.Problems = append(rec.Problems, fmt.Sprintf("%s: row %d is there twice; it counts once", path, row.Seq))
+			rec.Problems = append(rec.Problems,
+				fmt.Sprintf("%s: row %d occurs twice and is counted once", path, row.Seq))
 			continue
 		}
 		seenRows[runName][row.Seq] = true
@@ -156,12 +157,12 @@
 func decodeSegment(f *os.File, size int64) (rows []Row, meta map[string]string, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("is no sound segment: %v", p)
+			err = fmt.Errorf("is not a valid segment: %v", p)
 		}
 	}()
 	file, err := parquet.OpenFile(f, size)
 	if err != nil {
-		return nil, nil, fmt.Errorf("is no whole segment: %w", err)
+		return nil, nil, fmt.Errorf("is not a complete segment: %w", err)
 	}
 	meta = map[string]string{}
 	for _, key := range metadataKeys {
@@ -172,12 +173,12 @@
 	r := parquet.NewGenericReader[Row](file)
 	defer func() { _ = r.Close() }() // ignored: all rows have been read when this error occurs
 	if n := r.NumRows(); n < 0 || n > size*maxRowsPerByte {
-		return nil, nil, fmt.Errorf("says that it has %d rows", n)
+		return nil, nil, fmt.Errorf("states an impossible number of rows, %d", n)
 	}
 	rows = make([]Row, r.NumRows())
 	n, err := r.Read(rows)
 	if n < len(rows) {
-		return nil, nil, fmt.Errorf("has %d of its %d rows: %w", n, len(rows), err)
+		return nil, nil, fmt.Errorf("only %d of its %d rows can be read: %w", n, len(rows), err)
 	}
 	return rows, meta, nil
 }
@@ -250,13 +251,13 @@
 			r.Missing, r.Missing+r.Rows, r.Dropped)
 	}
 	if r.Sample < 1 {
-		add("a sample of %g; what is played again is scaled up by it", r.Sample)
+		add("only a fraction of %g of the requests is recorded; a replay is scaled up accordingly", r.Sample)
 	}
 	for _, step := range r.Steps {
-		add("the system's clock stepped by %.3f s meanwhile; the run's own did not", inSeconds(step))
+		add("the system's clock stepped by %.3f s during the run; the run's own clock did not", inSeconds(step))
 	}
 	if r.Offset < -minClockStep || r.Offset > maxWriteDelay+minClockStep {
-		add("its clock was %.3f s off at the end; put together with others, align it", inSeconds(r.Offset))
+		add("its clock was %.3f s off at the end; align the run before it is combined with others", inSeconds(r.Offset))
 	}
 	return findings
 }
@@ -276,11 +277,11 @@
 	from, to := rec.Span()
 	for _, r := range rec.Runs {
 		if gap := r.From - from; gap > minReportedSpanGap && gap > (to-from)/spanGapDivisor {
-			findings = append(findings, fmt.Sprintf("instance %s, run %s: begins %.0f s after the first",
+			findings = append(findings, fmt.Sprintf("instance %s, run %s: starts %.0f s after the recording starts",
 				r.Instance, r.Process, inSeconds(gap)))
 		}
 		if gap := to - r.To; gap > minReportedSpanGap && gap > (to-from)/spanGapDivisor {
-			findings = append(findings, fmt.Sprintf("instance %s, run %s: ends %.0f s before the last",
+			findings = append(findings, fmt.Sprintf("instance %s, run %s: ends %.0f s before the recording ends",
 				r.Instance, r.Process, inSeconds(gap)))
 		}
 	}
@@ -300,8 +301,9 @@
 		}
 	}
 	for _, class := range slices.Sorted(maps.Keys(undetectable)) {
-		findings = append(findings, fmt.Sprintf("class %q: %d of %d requests have neither key nor object nor a mark: "+
-			"a client's own retry cannot be told from another request of its",
+		findings = append(findings, fmt.Sprintf(
+			"class %q: %d of %d requests have neither key nor object nor a retry mark: "+
+				"a client's retry cannot be distinguished from another request of the client",
 			class, undetectable[class], totals[class]))
 	}
 	return findings
--- a/internal/differential/reasons.go
+++ b/internal/differential/reasons.go
@@ -11,13 +11,13 @@
 // IgnoredHeaders maps each header field that is not compared to the reason.
 var IgnoredHeaders = map[string]string{
 	"Date":              "changes each second",
-	"Connection":        "of one connection only (RFC 9110 section 7.6.1)",
-	"Transfer-Encoding": "of one connection only",
-	"Trailer":           "an announcement; the trailers themselves are compared",
+	"Connection":        "applies to one connection only (RFC 9110 section 7.6.1)",
+	"Transfer-Encoding": "applies to one connection only",
+	"Trailer":           "announces the trailers, which are compared themselves",
 	"Accept-Encoding":   "ReverseProxy's client side may add its own",
-	"User-Agent":        "ReverseProxy sets an empty one where there is none",
-	"X-Forwarded-For":   "ReverseProxy adds it by itself; with routes it is the operator's choice",
-	"Te":                "of one connection only; both forward that trailers are accepted",
+	"User-Agent":        "ReverseProxy sets an empty one if the request has none",
+	"X-Forwarded-For":   "ReverseProxy always adds it; for a daemon with routes the operator decides",
+	"Te":                "applies to one connection only; both proxies forward that trailers are accepted",
 }
 
 // comparedHeaderText returns the header fields that are compared, as text.
@@ -38,17 +38,17 @@
 
 // expectedDifferences are tried in this order; the reason of the first one that matches is reported.
 var expectedDifferences = []expectedDifference{
-	{"an answer that breaks before it has begun for the client is 502 here and there, each in its own words",
+	{"both proxies respond with 502, each with its own text, if a response fails before any of it reaches the client",
 		isBadGatewayText},
-	{"an answer that is held whole, or ends with its head, tells its length",
+	{"the daemon adds Content-Length to a response that it buffers or that ends with its head",
 		isAddedLength},
-	{"a body in chunks that is held whole goes on with its length; the daemon answers an Expect itself, " +
-		"ReverseProxy passes it on; ReverseProxy passes on the names of a request's trailers without their values",
+	{"a chunked body that is buffered is forwarded with its length; the daemon responds to Expect itself, " +
+		"ReverseProxy forwards it; ReverseProxy forwards the names of a request's trailers without their values",
 		isBufferedRequest},
-	{"ReverseProxy's server side closes a request's body as its answer begins, while its client side may still read " +
-		"there: the answer then breaks now and then, where the daemon's is as the application was asked for",
+	{"ReverseProxy's server side closes a request's body when its response starts, while its client side may still " +
+		"read the body: some of these responses fail, while the daemon's are those that the application gave",
 		isClosedRequestBody},
-	{"of an answer that breaks, how much has come before it shows is chance",
+	{"how much of a response arrives before its failure is noticed is a matter of chance",
 		isBrokenResponse},
 }
 
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -284,7 +284,7 @@
 func (d *Decoder) readListNumber() int {
 	number := int(d.u8())
 	if number >= maxEndpointLists {
-		d.failAtPreviousField(1, fmt.Sprintf("list number %d is over %d", number, maxEndpointLists-1))
+		d.failAtPreviousField(1, fmt.Sprintf("list number %d exceeds %d", number, maxEndpointLists-1))
 		return 0
 	}
 	return number
@@ -367,7 +367,7 @@
 	}
 	if number >= maxEndpointLists || !d.received[number] {
 		// The fields of number and kind have 2 bytes together.
-		d.failAtPreviousField(2, fmt.Sprintf("list number %d has not been conveyed", number))
+		d.failAtPreviousField(2, fmt.Sprintf("list number %d has not been received", number))
 		return
 	}
 	e.Entries = d.lists[number]
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -49,7 +49,7 @@
 		if errors.Is(err, io.EOF) {
 			return nil, io.EOF
 		}
-		return nil, &FrameError{"batch header", n, "input ends inside it"}
+		return nil, &FrameError{"batch header", n, "input ends inside the header"}
 	}
 	size := int(binary.BigEndian.Uint32(buf[offsetFrameSize:]))
 	if size < batchHeaderSize || size > maxFrameSize {
--- a/internal/wire/names_page_test.go
+++ b/internal/wire/names_page_test.go
@@ -122,7 +122,7 @@
 			allowedFiles, known := filesByName[value]
 			spelled[path+" "+value] = known
 			if known && !plainWord.MatchString(value) && !slices.Contains(allowedFiles, path) {
-				t.Errorf("%s spells %q, which belongs into %s only", path, value, allowedFiles)
+				t.Errorf("%s spells %q, which only %s may spell", path, value, allowedFiles)
 			}
 		}
 	})
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -88,18 +88,18 @@
 		t.Errorf("headers %+v", o)
 	}
 	if o := events[1].Outcome; o.Status != balancer.OK || o.Latency != 0x4844 || !o.Answered || len(o.Load) != 0 {
-		t.Errorf("answer %+v", o)
+		t.Errorf("outcome %+v", o)
 	}
 	if h := events[2]; h.Endpoint != 0x2c9011f2 || h.Latency != 1400 || len(h.Load) != 3 || h.Load[0] != 7 ||
 		h.Load[1] != 140 {
-		t.Errorf("health_result %+v", h)
+		t.Errorf("probe result %+v", h)
 	}
 	if w := events[3]; w.Peer != 2 || string(w.Message) != "hi 7" {
-		t.Errorf("whisper %+v", w)
+		t.Errorf("gossip %+v", w)
 	}
 	if m := events[5]; m.ListKind != balancer.ListCached || len(m.Entries) != 2 || m.Entries[1].Share != 1.5 ||
 		m.Entries[1].Zone != 1 || m.Entries[1].StartTime != 0x5d1420 {
-		t.Errorf("membership %+v", m)
+		t.Errorf("endpoint list %+v", m)
 	}
 }
 
@@ -148,7 +148,7 @@
 	reply.SetTimer(math.MaxInt64, 1)
 	records := reply.Bytes()[replyHeaderSize:]
 	if binary.BigEndian.Uint32(records[5:]) != 0 || binary.BigEndian.Uint32(records[18:]) != math.MaxUint32 {
-		t.Errorf("%x", records)
+		t.Errorf("delays are not clamped: %x", records)
 	}
 }
 
@@ -161,14 +161,14 @@
 	events := decodeAll(t, d, batchFrame(decodeHex(t,
 		readyList, exampleEndpointList, drainingList, exampleEndpointList)))
 	if events[1].Entries[0].ID != 1 || events[3].Entries[0].ID != 2 || events[3].Entries[0].State != balancer.Draining {
-		t.Errorf("%+v", events)
+		t.Errorf("lists are not resolved in order: %+v", events)
 	}
 	events = decodeAll(t, d, batchFrame(decodeHex(t, "11 00000006 00000029 00 04", "11 00000006 00000029 09 02")))
 	if events[0].ListKind != balancer.ListFull || events[0].Entries[0].ID != 2 {
-		t.Error("the list does not outlive its batch")
+		t.Error("a list is not retained for the next batch")
 	}
 	if events[1].ListKind != balancer.ListFailed || events[1].Entries != nil {
-		t.Error("a failed call must not need a list")
+		t.Error("a failed call must not require a list")
 	}
 }
 
@@ -184,7 +184,7 @@
 		{"config overruns", "10 0000000c 0000000000000000 00000009", "begin", "needs 9"},
 		{"entries overrun", "1a 00000005 00 00000002", "manifest", "2 entries"},
 		{"bad list number", "1a 00000005 10 00000000", "manifest", "list number 16"},
-		{"list not conveyed", "11 00000006 00000029 04 03", "membership", "not been conveyed"},
+		{"list not received", "11 00000006 00000029 04 03", "membership", "not been received"},
 		{"bad list kind", "11 00000006 00000029 00 07", "membership", "unknown kind 7"},
 		{"bad status", "14 00000016 0005bf975d3a91c4 0000 03124a07 00c9 00004844 01 00", "answer", "status 201"},
 		{"bad state", "1a 0000001a 00 00000001 00000001 00 00 0000 02 3f800000 0000000000000000", "manifest",
@@ -220,7 +220,7 @@
 		}
 	}
 	if _, err := ReadFrame(bytes.NewReader(nil), nil); !errors.Is(err, io.EOF) {
-		t.Errorf("clean end: %v", err)
+		t.Errorf("end of input between frames: %v", err)
 	}
 }
 
@@ -241,7 +241,7 @@
 			if err != nil {
 				var frameError *FrameError
 				if !errors.Is(err, io.EOF) && !errors.As(err, &frameError) {
-					t.Fatalf("error of another kind: %v", err)
+					t.Fatalf("error is neither io.EOF nor a FrameError: %v", err)
 				}
 				return
 			}
@@ -287,18 +287,18 @@
 		s.Classes[1].DedupWindow != 400000 || !s.Subscribe || !s.WeightByWork ||
 		s.Limits.MaxAttempts != 3 ||
 		s.Goal.Overall != 0.6 || s.Tenants[0].Quota != 137 || s.Prices.Probe != 0.002 {
-		t.Errorf("%+v", s)
+		t.Errorf("settings %+v", s)
 	}
 	if len(s.LoadMetrics) != 3 || s.LoadMetrics[0] != balancer.MetricInflight ||
 		s.LoadMetrics[2] != balancer.MetricUnknown {
-		t.Errorf("fields %v", s.LoadMetrics)
+		t.Errorf("load metrics %v", s.LoadMetrics)
 	}
 	if _, err := balancer.New(s, 1, nil); err != nil {
 		t.Errorf("balancer.New: %v", err)
 	}
 	if s, err = ParseSettings(strings.Replace(validSettings, "how=probe", "how=none", 1)); err != nil ||
 		s.LoadMetrics != nil {
-		t.Errorf("no reports: %v %v", s.LoadMetrics, err)
+		t.Errorf("metrics without load reports: %v, error %v", s.LoadMetrics, err)
 	}
 }
 
