--- a/internal/accesslog/record_test.go
+++ b/internal/accesslog/record_test.go
@@ -63,7 +63,7 @@
 func TestWrittenAndRead(t *testing.T) {
 	dir := t.TempDir()
 	now := time.UnixMilli(1_700_000_000_000)
-	want := map[string]Row{}
+	wantRows := map[string]Row{}
 	for i, instance := range []string{"desk", "desk-2"} {
 		w := startWriter(t, Options{Dir: dir, Instance: instance, Rows: 40, Now: func() time.Time { return now }})
 		var adders sync.WaitGroup
@@ -73,7 +73,7 @@
 				Client: "c", Class: "book",
 				Verdict: Served, Status: 200, Attempts: 1, KeyHash: uint64(1 + row + 1000*i), BytesIn: -1, BytesOut: 5,
 			}
-			want[fmt.Sprint(instance, r.KeyHash)] = r
+			wantRows[fmt.Sprint(instance, r.KeyHash)] = r
 			adders.Go(func() { w.Add(r) })
 		}
 		adders.Wait()
@@ -86,7 +86,7 @@
 	}
 	var latestArrival int64
 	for _, q := range rec.Requests {
-		r := want[fmt.Sprint(q.Instance, q.KeyHash)]
+		r := wantRows[fmt.Sprint(q.Instance, q.KeyHash)]
 		r.Seq = q.Seq
 		if q.Row != r || q.Arrived < latestArrival {
 			t.Fatalf("%+v, want %+v, after an arrival at %d", q, r, latestArrival)
--- a/internal/accesslog/recording.go
+++ b/internal/accesslog/recording.go
@@ -53,22 +53,22 @@
 // Problems. Read fails only if a path does not exist or a folder cannot be read.
 func Read(paths ...string) (*Recording, error) {
 	var files []string
-	for _, p := range paths {
-		info, err := os.Stat(p)
+	for _, path := range paths {
+		info, err := os.Stat(path)
 		if err != nil {
 			return nil, err
 		}
 		if !info.IsDir() {
-			files = append(files, p)
+			files = append(files, path)
 			continue
 		}
-		entries, err := os.ReadDir(p)
+		entries, err := os.ReadDir(path)
 		if err != nil {
 			return nil, err
 		}
 		for _, e := range entries {
 			if strings.HasSuffix(e.Name(), segmentSuffix) && !strings.HasPrefix(e.Name(), ".") {
-				files = append(files, filepath.Join(p, e.Name()))
+				files = append(files, filepath.Join(path, e.Name()))
 			}
 		}
 	}
@@ -76,9 +76,9 @@
 	rec := &Recording{}
 	runs := map[string]*Run{}
 	seenRows := map[string]map[int64]bool{}
-	for _, f := range files {
-		if err := rec.readSegment(f, runs, seenRows); err != nil {
-			rec.Problems = append(rec.Problems, fmt.Sprintf("%s: %v", f, err))
+	for _, path := range files {
+		if err := rec.readSegment(path, runs, seenRows); err != nil {
+			rec.Problems = append(rec.Problems, fmt.Sprintf("%s: %v", path, err))
 		}
 	}
 	for _, r := range rec.Runs {
@@ -100,18 +100,18 @@
 	if err != nil {
 		return err
 	}
-	rows, meta, err := decodeSegment(f, info.Size())
+	rows, metadata, err := decodeSegment(f, info.Size())
 	if err != nil {
 		return err
 	}
-	if v := meta["version"]; v != fmt.Sprint(Version) {
+	if v := metadata["version"]; v != fmt.Sprint(Version) {
 		return fmt.Errorf("has version %q, but this program reads version %d", v, Version)
 	}
-	runName := meta["instance"] + "-" + meta["process"]
+	runName := metadata["instance"] + "-" + metadata["process"]
 	r := runs[runName]
 	if r == nil {
-		r = &Run{Instance: meta["instance"], Process: meta["process"], Sample: 1}
-		if v, err := strconv.ParseFloat(meta["sample"], 64); err == nil && v > 0 {
+		r = &Run{Instance: metadata["instance"], Process: metadata["process"], Sample: 1}
+		if v, err := strconv.ParseFloat(metadata["sample"], 64); err == nil && v > 0 {
 			r.Sample = v
 		}
 		runs[runName] = r
@@ -119,7 +119,7 @@
 		rec.Runs = append(rec.Runs, r)
 	}
 	r.Segments++
-	if v, err := strconv.ParseInt(meta["dropped"], 10, 64); err == nil {
+	if v, err := strconv.ParseInt(metadata["dropped"], 10, 64); err == nil {
 		r.Dropped += v
 	}
 	var lastEnd int64
@@ -139,7 +139,7 @@
 		lastEnd = max(lastEnd, row.Arrived+row.Duration)
 		rec.Requests = append(rec.Requests, Request{row, r.Instance})
 	}
-	if writtenAt, err := strconv.ParseInt(meta["ended_wall_us"], 10, 64); err == nil && lastEnd > 0 {
+	if writtenAt, err := strconv.ParseInt(metadata["ended_wall_us"], 10, 64); err == nil && lastEnd > 0 {
 		r.clockOffsets = append(r.clockOffsets, writtenAt-lastEnd)
 	}
 	return nil
@@ -154,7 +154,7 @@
 
 // decodeSegment reads a segment's rows and its metadata. For some invalid files the Parquet library panics,
 // which decodeSegment returns as an error.
-func decodeSegment(f *os.File, size int64) (rows []Row, meta map[string]string, err error) {
+func decodeSegment(f *os.File, size int64) (rows []Row, metadata map[string]string, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("is not a valid segment: %v", p)
@@ -164,23 +164,23 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("is not a complete segment: %w", err)
 	}
-	meta = map[string]string{}
+	metadata = map[string]string{}
 	for _, key := range metadataKeys {
 		if v, ok := file.Lookup(key); ok {
-			meta[key] = v
+			metadata[key] = v
 		}
 	}
-	r := parquet.NewGenericReader[Row](file)
-	defer func() { _ = r.Close() }() // ignored: all rows have been read when this error occurs
-	if n := r.NumRows(); n < 0 || n > size*maxRowsPerByte {
+	reader := parquet.NewGenericReader[Row](file)
+	defer func() { _ = reader.Close() }() // ignored: all rows have been read when this error occurs
+	if n := reader.NumRows(); n < 0 || n > size*maxRowsPerByte {
 		return nil, nil, fmt.Errorf("states an impossible number of rows, %d", n)
 	}
-	rows = make([]Row, r.NumRows())
-	n, err := r.Read(rows)
-	if n < len(rows) {
-		return nil, nil, fmt.Errorf("only %d of its %d rows can be read: %w", n, len(rows), err)
+	rows = make([]Row, reader.NumRows())
+	readCount, err := reader.Read(rows)
+	if readCount < len(rows) {
+		return nil, nil, fmt.Errorf("only %d of its %d rows can be read: %w", readCount, len(rows), err)
 	}
-	return rows, meta, nil
+	return rows, metadata, nil
 }
 
 // summarize computes Missing, Steps and Offset after all segments of the run have been read. Offset is the
@@ -197,8 +197,8 @@
 		}
 	}
 	if n := len(r.clockOffsets); n > 0 {
-		sorted := slices.Sorted(slices.Values(r.clockOffsets))
-		if r.Offset = sorted[n/2]; len(r.Steps) > 0 {
+		sortedOffsets := slices.Sorted(slices.Values(r.clockOffsets))
+		if r.Offset = sortedOffsets[n/2]; len(r.Steps) > 0 {
 			r.Offset = r.clockOffsets[n-1] // after its last step the clock is most likely right
 		}
 	}
@@ -212,9 +212,9 @@
 			continue
 		}
 		for i := range rec.Requests {
-			q := &rec.Requests[i]
-			if q.Instance == r.Instance && q.Arrived >= r.From && q.Arrived <= r.To {
-				q.Arrived += r.Offset
+			request := &rec.Requests[i]
+			if request.Instance == r.Instance && request.Arrived >= r.From && request.Arrived <= r.To {
+				request.Arrived += r.Offset
 			}
 		}
 	}
@@ -294,10 +294,10 @@
 	undetectable := map[string]int{}
 	totals := map[string]int{}
 	for i := range rec.Requests {
-		q := &rec.Requests[i]
-		totals[q.Class]++
-		if q.KeyHash == 0 && q.ObjectHash == 0 && !q.Retry {
-			undetectable[q.Class]++
+		request := &rec.Requests[i]
+		totals[request.Class]++
+		if request.KeyHash == 0 && request.ObjectHash == 0 && !request.Retry {
+			undetectable[request.Class]++
 		}
 	}
 	for _, class := range slices.Sorted(maps.Keys(undetectable)) {
@@ -318,11 +318,11 @@
 // Span returns the time of the first arrival and of the latest end of a request, in Unix microseconds.
 func (rec *Recording) Span() (from, to int64) {
 	for i := range rec.Requests {
-		q := &rec.Requests[i]
-		if from == 0 || q.Arrived < from {
-			from = q.Arrived
+		request := &rec.Requests[i]
+		if from == 0 || request.Arrived < from {
+			from = request.Arrived
 		}
-		to = max(to, q.End())
+		to = max(to, request.End())
 	}
 	return from, to
 }
--- a/internal/accesslog/writer.go
+++ b/internal/accesslog/writer.go
@@ -182,12 +182,12 @@
 // handOverLocked queues the current segment, or drops its rows if maxPendingSegments already wait. The caller
 // holds mu.
 func (w *Writer) handOverLocked() {
-	s := segment{w.rows, w.segmentStart, w.dropped}
+	current := segment{w.rows, w.segmentStart, w.dropped}
 	select {
-	case w.pending <- s:
+	case w.pending <- current:
 		w.dropped = 0
 	default:
-		w.dropped += int64(len(s.rows))
+		w.dropped += int64(len(current.rows))
 	}
 	w.rows = nil
 	w.segmentStart = w.options.Now()
@@ -222,14 +222,14 @@
 		return
 	}
 	w.closed = true
-	last := segment{w.rows, w.segmentStart, w.dropped}
+	remainder := segment{w.rows, w.segmentStart, w.dropped}
 	w.rows = nil
 	close(w.pending)
 	w.mu.Unlock()
 	<-w.done
 	w.ageTicker.Stop()
-	if len(last.rows) > 0 || last.dropped > 0 {
-		w.write(last)
+	if len(remainder.rows) > 0 || remainder.dropped > 0 {
+		w.write(remainder)
 	}
 }
 
@@ -335,19 +335,19 @@
 		totalBytes += info.Size()
 	}
 	slices.SortFunc(segments, func(a, b segmentFile) int {
-		if c := a.modTime.Compare(b.modTime); c != 0 {
-			return c
+		if order := a.modTime.Compare(b.modTime); order != 0 {
+			return order
 		}
 		return strings.Compare(a.path, b.path)
 	})
-	for _, f := range segments[:max(0, len(segments)-1)] {
+	for _, oldest := range segments[:max(0, len(segments)-1)] {
 		if totalBytes <= w.options.Keep {
 			return nil
 		}
-		if err := os.Remove(f.path); err != nil && !os.IsNotExist(err) {
+		if err := os.Remove(oldest.path); err != nil && !os.IsNotExist(err) {
 			return err
 		}
-		totalBytes -= f.size
+		totalBytes -= oldest.size
 	}
 	return nil
 }
--- a/internal/differential/reasons.go
+++ b/internal/differential/reasons.go
@@ -29,11 +29,11 @@
 	return webapp.HeaderText(h, ignored...)
 }
 
-// expectedDifference is a kind of difference that is no fault. In its function matches, a is the outcome of the
-// daemon, and b is the outcome of httputil.ReverseProxy.
+// expectedDifference is a kind of difference that is no fault. Its function matches gets the outcome of the
+// daemon and that of the proxy, which is httputil.ReverseProxy.
 type expectedDifference struct {
-	reason  string
-	matches func(x *Exchange, part string, a, b *Outcome) bool
+	reason  string // why both outcomes are correct, or why the proxy's differs
+	matches func(x *Exchange, part string, daemon, proxy *Outcome) bool
 }
 
 // expectedDifferences are tried in this order; the reason of the first one that matches is reported.
@@ -53,61 +53,61 @@
 }
 
 // expectedReason returns why a difference is expected, or "" if no reason is known.
-func expectedReason(x *Exchange, part string, a, b *Outcome) string {
+func expectedReason(x *Exchange, part string, daemon, proxy *Outcome) string {
 	for _, expected := range expectedDifferences {
-		if expected.matches(x, part, a, b) {
+		if expected.matches(x, part, daemon, proxy) {
 			return expected.reason
 		}
 	}
 	return ""
 }
 
-func isBadGatewayText(_ *Exchange, part string, a, b *Outcome) bool {
-	return a.Status == http.StatusBadGateway && b.Status == http.StatusBadGateway && part != partStatus
+func isBadGatewayText(_ *Exchange, part string, daemon, proxy *Outcome) bool {
+	return daemon.Status == http.StatusBadGateway && proxy.Status == http.StatusBadGateway && part != partStatus
 }
 
 // contentLengthField matches the Content-Length field in the text of a header.
 var contentLengthField = regexp.MustCompile(`Content-Length: \["\d+"\]; `)
 
-func isAddedLength(_ *Exchange, part string, a, b *Outcome) bool {
-	return part == partHeader && !strings.Contains(b.Header, "Content-Length") &&
-		contentLengthField.ReplaceAllString(a.Header, "") == b.Header
+func isAddedLength(_ *Exchange, part string, daemon, proxy *Outcome) bool {
+	return part == partHeader && !strings.Contains(proxy.Header, "Content-Length") &&
+		contentLengthField.ReplaceAllString(daemon.Header, "") == proxy.Header
 }
 
 // bufferingChanges matches the fields and trailers that a request gains or loses when a proxy buffers its body,
 // in the text that the application returns.
 var bufferingChanges = regexp.MustCompile(`(Content-Length: \["\d+"\]|Expect: \["100-continue"\]); | X-Sum: \[.*$`)
 
-func isBufferedRequest(x *Exchange, part string, a, b *Outcome) bool {
-	if part != partApplication || a.ApplicationRequest == "" || !x.Chunked && !x.Expect {
+func isBufferedRequest(x *Exchange, part string, daemon, proxy *Outcome) bool {
+	if part != partApplication || daemon.ApplicationRequest == "" || !x.Chunked && !x.Expect {
 		return false
 	}
-	withoutA := bufferingChanges.ReplaceAllString(a.ApplicationRequest, "")
-	withoutB := bufferingChanges.ReplaceAllString(b.ApplicationRequest, "")
-	return withoutA == withoutB && strings.HasSuffix(a.ApplicationRequest, webapp.HeaderText(x.Trailer))
+	daemonRequest := bufferingChanges.ReplaceAllString(daemon.ApplicationRequest, "")
+	proxyRequest := bufferingChanges.ReplaceAllString(proxy.ApplicationRequest, "")
+	return daemonRequest == proxyRequest && strings.HasSuffix(daemon.ApplicationRequest, webapp.HeaderText(x.Trailer))
 }
 
-func isClosedRequestBody(x *Exchange, _ string, a, b *Outcome) bool {
-	brokenB := b.FailedPart != "" || b.Status == http.StatusBadGateway
-	return x.Body >= 0 && brokenB && matchesPlan(x, a)
+func isClosedRequestBody(x *Exchange, _ string, daemon, proxy *Outcome) bool {
+	proxyFailed := proxy.FailedPart != "" || proxy.Status == http.StatusBadGateway
+	return x.Body >= 0 && proxyFailed && matchesPlan(x, daemon)
 }
 
-func isBrokenResponse(x *Exchange, part string, a, b *Outcome) bool {
+func isBrokenResponse(x *Exchange, part string, daemon, proxy *Outcome) bool {
 	if x.Plan.ResetAfter <= 0 {
 		return false
 	}
-	if a.Status == http.StatusBadGateway || b.Status == http.StatusBadGateway {
+	if daemon.Status == http.StatusBadGateway || proxy.Status == http.StatusBadGateway {
 		return true
 	}
 	switch part {
 	case partStatus, partHeader, partBody, partFailed:
-		return a.FailedPart+b.FailedPart != ""
+		return daemon.FailedPart+proxy.FailedPart != ""
 	}
 	return false
 }
 
 // matchesPlan reports whether a response is complete and has the status and the body of the exchange's plan.
-func matchesPlan(x *Exchange, o *Outcome) bool {
+func matchesPlan(x *Exchange, outcome *Outcome) bool {
 	var planned webapp.Digest
 	if x.Method != http.MethodHead && x.Plan.Status != http.StatusNoContent && x.Plan.Status != http.StatusNotModified {
 		for _, size := range x.Plan.PieceSizes() {
@@ -116,5 +116,5 @@
 			}
 		}
 	}
-	return o.FailedPart == "" && o.Status == x.Plan.Status && o.Body == planned.String()
+	return outcome.FailedPart == "" && outcome.Status == x.Plan.Status && outcome.Body == planned.String()
 }
--- a/internal/wire/names_page_test.go
+++ b/internal/wire/names_page_test.go
@@ -44,31 +44,31 @@
 		t.Fatalf("the page has no section %q", wireNamesHeading)
 	}
 	section, _, _ = strings.Cut(section, "\n## ")
-	filesByName, rows := map[string][]string{}, 0
+	filesByName, rowCount := map[string][]string{}, 0
 	for _, line := range strings.Split(section, "\n") {
 		cells := strings.Split(line, "|")
 		if !strings.HasPrefix(line, "| `") || len(cells) != 5 {
 			continue
 		}
-		rows++
+		rowCount++
 		file := backquoted.FindStringSubmatch(cells[2])[1]
 		for _, name := range backquoted.FindAllStringSubmatch(cells[3], -1) {
 			filesByName[name[1]] = append(filesByName[name[1]], file)
 		}
 	}
-	if rows < minWireNameRows {
-		t.Fatalf("%d rows, want at least %d", rows, minWireNameRows)
+	if rowCount < minWireNameRows {
+		t.Fatalf("%d rows, want at least %d", rowCount, minWireNameRows)
 	}
 	return filesByName
 }
 
 // stringLiterals returns the values of all string literals in a file, and the names in its struct tags.
-func stringLiterals(t *testing.T, name string) []string {
+func stringLiterals(t *testing.T, file string) []string {
 	t.Helper()
-	source, err := os.ReadFile(name)
+	source, err := os.ReadFile(file)
 	require.NoError(t, err)
 	var s scanner.Scanner
-	s.Init(token.NewFileSet().AddFile(name, -1, len(source)), source, nil, 0)
+	s.Init(token.NewFileSet().AddFile(file, -1, len(source)), source, nil, 0)
 	var values []string
 	for _, tok, text := s.Scan(); tok != token.EOF; _, tok, text = s.Scan() {
 		if tok != token.STRING {
@@ -76,7 +76,7 @@
 		}
 		value, err := strconv.Unquote(text)
 		if err != nil {
-			t.Fatalf("%s: %s: %v", name, text, err)
+			t.Fatalf("%s: %s: %v", file, text, err)
 		}
 		values = append(values, value)
 		for _, tag := range tagName.FindAllStringSubmatch(value, -1) {
@@ -87,14 +87,14 @@
 }
 
 // visitProductFiles calls visit for each Go source file of the product, without tests and counterpartFolders.
-// name is the file's path from the working folder, path is its path from the root of the repository.
-func visitProductFiles(t *testing.T, visit func(name, path string)) {
+// file is the path from the working folder, and path is the path from the root of the repository.
+func visitProductFiles(t *testing.T, visit func(file, path string)) {
 	t.Helper()
-	err := filepath.WalkDir(repositoryRoot, func(name string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(repositoryRoot, func(file string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		path, err := filepath.Rel(repositoryRoot, name)
+		path, err := filepath.Rel(repositoryRoot, file)
 		if err != nil {
 			return err
 		}
@@ -104,7 +104,7 @@
 		case entry.IsDir() && (hidden || slices.Contains(counterpartFolders, path)):
 			return fs.SkipDir
 		case strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go"):
-			visit(name, path)
+			visit(file, path)
 		}
 		return nil
 	})
@@ -117,8 +117,8 @@
 func TestWireNamesHaveOnePlace(t *testing.T) {
 	filesByName := wireNameFiles(t)
 	spelled := map[string]bool{} // keys consist of a path, a space and a name
-	visitProductFiles(t, func(name, path string) {
-		for _, value := range stringLiterals(t, name) {
+	visitProductFiles(t, func(file, path string) {
+		for _, value := range stringLiterals(t, file) {
 			allowedFiles, known := filesByName[value]
 			spelled[path+" "+value] = known
 			if known && !plainWord.MatchString(value) && !slices.Contains(allowedFiles, path) {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -82,17 +82,17 @@
 	if _, ok := t.pairs[countKey]; !ok && required {
 		t.setError(countKey, "", "is missing")
 	}
-	n := t.integer(countKey, 0)
-	if n < 0 || n > maxListItems {
-		t.setError(countKey, strconv.FormatInt(n, 10), "out of range")
+	length := t.integer(countKey, 0)
+	if length < 0 || length > maxListItems {
+		t.setError(countKey, strconv.FormatInt(length, 10), "out of range")
 		return 0
 	}
-	for i := range int(n) {
+	for i := range int(length) {
 		if !t.hasKeyWithPrefix(fmt.Sprintf("%s.%d.", key, i)) {
-			t.setError(countKey, strconv.FormatInt(n, 10), fmt.Sprintf("%s.%d is missing", key, i))
+			t.setError(countKey, strconv.FormatInt(length, 10), fmt.Sprintf("%s.%d is missing", key, i))
 		}
 	}
-	return int(n)
+	return int(length)
 }
 
 func (t *settingsParser) hasKeyWithPrefix(prefix string) bool {
