--- a/internal/accesslog/recording.go
+++ b/internal/accesslog/recording.go
@@ -13,71 +13,72 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// Request is a row, with the instance that wrote it.
+// Request is a row, together with the name of the instance that wrote it.
 type Request struct {
 	Row
 	Instance string
 }
 
-// End returns when the client got the response or left, in Unix microseconds.
+// End returns the time, in Unix microseconds, at which the response was sent or the client left.
 func (r *Request) End() int64 { return r.Arrived + r.Duration }
 
-// Run is the summary of the segments of one process of an instance.
+// Run summarizes the segments that one process of an instance wrote. The run's clock is the clock of
+// Row.Arrived, which does not step during a run.
 type Run struct {
 	Instance, Process string
-	Segments          int     // number of complete segments
-	Rows              int64   // number of rows
-	Missing           int64   // number of rows that were lost, by gaps in the rows' numbers
-	Dropped           int64   // number of rows that the instance has counted as dropped
-	Sample            float64 // fraction of requests that is recorded
-	From, To          int64   // of the first arrival and the last end, in Unix microseconds
-	Offset            int64   // system's clock less the run's clock at the end, in microseconds
-	Steps             []int64 // steps of the system's clock between segments, in microseconds
-	offsets           []int64 // system's clock less the run's clock, by segment
-	maxSeq            int64   // largest number of a row
+	Segments          int     // number of readable segments
+	Rows              int64   // number of rows that were read
+	Missing           int64   // number of lost rows, computed from gaps in the row numbers; 0 for a sample
+	Dropped           int64   // number of rows that the instance counted as dropped
+	Sample            float64 // fraction of requests that the instance recorded
+	From, To          int64   // first arrival and latest end of a request, in Unix microseconds
+	Offset            int64   // system's clock minus the run's clock, in microseconds, as summarize chooses it
+	Steps             []int64 // steps of the system's clock from one segment to the next, in microseconds
+	clockOffsets      []int64 // system's clock minus the run's clock at the end of each segment, in microseconds
+	lastSeq           int64   // largest row number
 }
 
-// Recording is the content of a number of folders.
+// Recording is the content of a number of segments, from any number of folders.
 type Recording struct {
-	Runs     []*Run
-	Requests []Request // by their arrival
-	Problems []string  // files and rows that cannot be used, and why
+	Runs     []*Run    // one for each process that wrote a segment
+	Requests []Request // in the order of their arrival
+	Problems []string  // for each file or row that cannot be used, its name and the reason
 }
 
-// minClockStep is the smallest step of a clock that is reported, in microseconds. Smaller differences are delays in
-// writing a segment.
+// minClockStep is the smallest step of a clock that is reported, in microseconds. Smaller differences come from
+// delays in writing a segment.
 const minClockStep = 200_000
 
-// Read reads folders and single segments. A file that cannot be decoded is added to Problems. Read fails only if a path
-// does not exist or a folder cannot be read.
+// Read reads single segments and all segments of folders. A file that cannot be decoded is reported in
+// Problems. Read fails only if a path does not exist or a folder cannot be read.
 func Read(paths ...string) (*Recording, error) {
 	var files []string
-	for _, p := range paths {
-		info, err := os.Stat(p)
+	for _, path := range paths {
+		info, err := os.Stat(path)
 		if err != nil {
 			return nil, err
 		}
 		if !info.IsDir() {
-			files = append(files, p)
+			files = append(files, path)
 			continue
 		}
-		entries, err := os.ReadDir(p)
+		entries, err := os.ReadDir(path)
 		if err != nil {
 			return nil, err
 		}
 		for _, e := range entries {
 			if strings.HasSuffix(e.Name(), segmentSuffix) && !strings.HasPrefix(e.Name(), ".") {
-				files = append(files, filepath.Join(p, e.Name()))
+				files = append(files, filepath.Join(path, e.Name()))
 			}
 		}
 	}
 	slices.SortFunc(files, func(a, b string) int { return strings.Compare(filepath.Base(a), filepath.Base(b)) })
 	rec := &Recording{}
 	runs := map[string]*Run{}
-	seen := map[string]map[int64]bool{}
-	for _, f := range files {
-		if err := rec.file(f, runs, seen); err != nil {
-			rec.Problems = append(rec.Problems, fmt.Sprintf("%s: %v", f, err))
+	seenRows := map[string]map[int64]bool{}
+	for _, path := range files {
+		if err := rec.readSegment(path, runs, seenRows); err != nil {
+			rec.Problems = append(rec.Problems, fmt.Sprintf("%s: %v", path, err))
 		}
 	}
 	for _, r := range rec.Runs {
@@ -87,8 +88,9 @@
 	return rec, nil
 }
 
-// file reads a segment. seen has the numbers of the rows that were read, by run.
-func (rec *Recording) file(path string, runs map[string]*Run, seen map[string]map[int64]bool) error {
+// readSegment reads a segment and adds its rows to the recording and to the run that wrote it. runs has the
+// runs by name; seenRows has, for each run, the numbers of the rows that were already read.
+func (rec *Recording) readSegment(path string, runs map[string]*Run, seenRows map[string]map[int64]bool) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -98,218 +100,229 @@
 	if err != nil {
 		return err
 	}
-	rows, meta, err := decode(f, info.Size())
+	rows, metadata, err := decodeSegment(f, info.Size())
 	if err != nil {
 		return err
 	}
-	if v := meta["version"]; v != fmt.Sprint(Version) {
-		return fmt.Errorf("is of version %q, this program reads %d", v, Version)
+	if v := metadata["version"]; v != fmt.Sprint(Version) {
+		return fmt.Errorf("has version %q, but this program reads version %d", v, Version)
 	}
-	name := meta["instance"] + "-" + meta["process"]
-	r := runs[name]
+	runName := metadata["instance"] + "-" + metadata["process"]
+	r := runs[runName]
 	if r == nil {
-		r = &Run{Instance: meta["instance"], Process: meta["process"], Sample: 1}
-		if v, err := strconv.ParseFloat(meta["sample"], 64); err == nil && v > 0 {
+		r = &Run{Instance: metadata["instance"], Process: metadata["process"], Sample: 1}
+		if v, err := strconv.ParseFloat(metadata["sample"], 64); err == nil && v > 0 {
 			r.Sample = v
 		}
-		runs[name] = r
-		seen[name] = map[int64]bool{}
+		runs[runName] = r
+		seenRows[runName] = map[int64]bool{}
 		rec.Runs = append(rec.Runs, r)
 	}
 	r.Segments++
-	if v, err := strconv.ParseInt(meta["dropped"], 10, 64); err == nil {
+	if v, err := strconv.ParseInt(metadata["dropped"], 10, 64); err == nil {
 		r.Dropped += v
 	}
-	var last int64
+	var lastEnd int64
 	for _, row := range rows {
-		if seen[name][row.Seq] {
-			rec.Problems = append(rec.Problems, fmt.Sprintf("%s: row %d is there twice; it counts once", path, row.Seq))
+		if seenRows[runName][row.Seq] {
+			rec.Problems = append(rec.Problems,
+				fmt.Sprintf("%s: row %d occurs twice and is counted once", path, row.Seq))
 			continue
 		}
-		seen[name][row.Seq] = true
+		seenRows[runName][row.Seq] = true
 		r.Rows++
-		r.maxSeq = max(r.maxSeq, row.Seq)
+		r.lastSeq = max(r.lastSeq, row.Seq)
 		if r.From == 0 || row.Arrived < r.From {
 			r.From = row.Arrived
 		}
 		r.To = max(r.To, row.Arrived+row.Duration)
-		last = max(last, row.Arrived+row.Duration)
+		lastEnd = max(lastEnd, row.Arrived+row.Duration)
 		rec.Requests = append(rec.Requests, Request{row, r.Instance})
 	}
-	if wall, err := strconv.ParseInt(meta["ended_wall_us"], 10, 64); err == nil && last > 0 {
-		r.offsets = append(r.offsets, wall-last)
+	if writtenAt, err := strconv.ParseInt(metadata["ended_wall_us"], 10, 64); err == nil && lastEnd > 0 {
+		r.clockOffsets = append(r.clockOffsets, writtenAt-lastEnd)
 	}
 	return nil
 }
 
-// maxRowsPerByte bounds the number of rows that a segment may claim to have, by its size in bytes.
+// maxRowsPerByte limits the number of rows that a segment may state, for each byte of the file, so that a
+// corrupted count does not exhaust the memory.
 const maxRowsPerByte = 1000
 
 // metadataKeys are the keys of a segment's metadata.
 var metadataKeys = []string{"version", "instance", "process", "sample", "dropped", "began_wall_us", "ended_wall_us"}
 
-// decode reads a segment's rows and its metadata. The Parquet library panics for some invalid files, which is an error
-// here.
-func decode(f *os.File, size int64) (rows []Row, meta map[string]string, err error) {
+// decodeSegment reads a segment's rows and its metadata. For some invalid files the Parquet library panics,
+// which decodeSegment returns as an error.
+func decodeSegment(f *os.File, size int64) (rows []Row, metadata map[string]string, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("is no sound segment: %v", p)
+			err = fmt.Errorf("is not a valid segment: %v", p)
 		}
 	}()
 	file, err := parquet.OpenFile(f, size)
 	if err != nil {
-		return nil, nil, fmt.Errorf("is no whole segment: %w", err)
+		return nil, nil, fmt.Errorf("is not a complete segment: %w", err)
 	}
-	meta = map[string]string{}
+	metadata = map[string]string{}
 	for _, key := range metadataKeys {
 		if v, ok := file.Lookup(key); ok {
-			meta[key] = v
+			metadata[key] = v
 		}
 	}
-	r := parquet.NewGenericReader[Row](file)
-	defer func() { _ = r.Close() }() // the rows have been read by then
-	if n := r.NumRows(); n < 0 || n > size*maxRowsPerByte {
-		return nil, nil, fmt.Errorf("says that it has %d rows", n)
+	reader := parquet.NewGenericReader[Row](file)
+	defer func() { _ = reader.Close() }() // ignored: all rows have been read when this error occurs
+	if n := reader.NumRows(); n < 0 || n > size*maxRowsPerByte {
+		return nil, nil, fmt.Errorf("states an impossible number of rows, %d", n)
 	}
-	rows = make([]Row, r.NumRows())
-	n, err := r.Read(rows)
-	if n < len(rows) {
-		return nil, nil, fmt.Errorf("has %d of its %d rows: %w", n, len(rows), err)
+	rows = make([]Row, reader.NumRows())
+	readCount, err := reader.Read(rows)
+	if readCount < len(rows) {
+		return nil, nil, fmt.Errorf("only %d of its %d rows can be read: %w", readCount, len(rows), err)
 	}
-	return rows, meta, nil
+	return rows, metadata, nil
 }
 
-// summarize computes the figures of a run from all its segments.
+// summarize computes Missing, Steps and Offset after all segments of the run have been read. Offset is the
+// median over the segments or, if the clock stepped, the offset of the last segment.
 func (r *Run) summarize() {
 	if r.Sample >= 1 {
-		r.Missing = r.maxSeq - r.Rows
+		r.Missing = r.lastSeq - r.Rows
 	}
-	for i, at := range r.offsets {
+	for i, offset := range r.clockOffsets {
 		if i > 0 {
-			if step := at - r.offsets[i-1]; step > minClockStep || step < -minClockStep {
+			if step := offset - r.clockOffsets[i-1]; step > minClockStep || step < -minClockStep {
 				r.Steps = append(r.Steps, step)
 			}
 		}
 	}
-	if n := len(r.offsets); n > 0 {
-		sorted := slices.Sorted(slices.Values(r.offsets))
-		if r.Offset = sorted[n/2]; len(r.Steps) > 0 {
-			r.Offset = r.offsets[n-1] // the clock is most likely right after its last step
+	if n := len(r.clockOffsets); n > 0 {
+		sortedOffsets := slices.Sorted(slices.Values(r.clockOffsets))
+		if r.Offset = sortedOffsets[n/2]; len(r.Steps) > 0 {
+			r.Offset = r.clockOffsets[n-1] // after its last step the clock is most likely right
 		}
 	}
 }
 
-// Align moves the requests of runs whose clock was wrong by the run's Offset, so that the requests of several instances
-// are in the right order.
+// Align shifts the requests of each run whose clock was wrong by the run's Offset, so that the requests of
+// several instances are in the right order.
 func (rec *Recording) Align() {
 	for _, r := range rec.Runs {
-		if r.Offset > -minClockStep && r.Offset < minClockStep+maxSegmentDelay {
+		if r.Offset > -minClockStep && r.Offset < minClockStep+maxWriteDelay {
 			continue
 		}
 		for i := range rec.Requests {
-			q := &rec.Requests[i]
-			if q.Instance == r.Instance && q.Arrived >= r.From && q.Arrived <= r.To {
-				q.Arrived += r.Offset
+			request := &rec.Requests[i]
+			if request.Instance == r.Instance && request.Arrived >= r.From && request.Arrived <= r.To {
+				request.Arrived += r.Offset
 			}
 		}
 	}
 	slices.SortStableFunc(rec.Requests, func(a, b Request) int { return cmp.Compare(a.Arrived, b.Arrived) })
 }
 
-// maxSegmentDelay is the longest time from a segment's last row until it is written, in microseconds. A clock that
-// seems ahead by less may be right.
-const maxSegmentDelay = 60_000_000
+// maxWriteDelay is the longest expected time from a segment's last row until the segment is written, in
+// microseconds. If the system's clock is ahead of the run's clock by less, the run's clock may be right.
+const maxWriteDelay = 60_000_000
 
-// Check returns what a recording lacks for a replay, a line for each finding.
-func (rec *Recording) Check() (all []string) {
-	all = append(all, rec.Problems...)
+// Check returns the reasons why a replay of the recording may differ from the recorded traffic, one line for
+// each.
+func (rec *Recording) Check() (findings []string) {
+	findings = append(findings, rec.Problems...)
 	if len(rec.Requests) == 0 {
-		return append(all, "there is no request")
+		return append(findings, "there is no request")
 	}
 	for _, r := range rec.Runs {
-		all = append(all, r.check()...)
+		findings = append(findings, r.checkRun()...)
 	}
-	all = append(all, rec.checkSpans()...)
-	return append(all, rec.checkRetryMarks()...)
+	findings = append(findings, rec.checkSpans()...)
+	return append(findings, rec.checkRetryDetection()...)
 }
 
-// check returns what a run lacks by itself.
-func (r *Run) check() (all []string) {
+// checkRun returns the findings of Check that concern a single run: missing requests, sampling and a wrong
+// clock.
+func (r *Run) checkRun() (findings []string) {
 	add := func(format string, args ...any) {
-		all = append(all, fmt.Sprintf("instance %s, run %s: ", r.Instance, r.Process)+fmt.Sprintf(format, args...))
+		findings = append(findings,
+			fmt.Sprintf("instance %s, run %s: ", r.Instance, r.Process)+fmt.Sprintf(format, args...))
 	}
 	if r.Missing > 0 {
 		add("%d of %d requests are missing (%d were dropped by a slow or full disk)",
 			r.Missing, r.Missing+r.Rows, r.Dropped)
 	}
 	if r.Sample < 1 {
-		add("a sample of %g; what is played again is scaled up by it", r.Sample)
+		add("only a fraction of %g of the requests is recorded; a replay is scaled up accordingly", r.Sample)
 	}
 	for _, step := range r.Steps {
-		add("the system's clock stepped by %.3f s meanwhile; the run's own did not", inSeconds(step))
+		add("the system's clock stepped by %.3f s during the run; the run's own clock did not", inSeconds(step))
 	}
-	if r.Offset < -minClockStep || r.Offset > maxSegmentDelay+minClockStep {
-		add("its clock was %.3f s off at the end; put together with others, align it", inSeconds(r.Offset))
+	if r.Offset < -minClockStep || r.Offset > maxWriteDelay+minClockStep {
+		add("its clock was %.3f s off at the end; align the run before it is combined with others", inSeconds(r.Offset))
 	}
-	return all
+	return findings
 }
 
 const (
-	// minSpanGap is the shortest time, in microseconds, by which a run begins later or ends earlier than the recording
-	// that Check reports.
-	minSpanGap = 5_000_000
-	// spanGapDivisor gives the part of the recording that such a time must exceed.
+	// minReportedSpanGap is the time, in microseconds, by which a run must start later or end earlier than the
+	// recording for Check to report the run.
+	minReportedSpanGap = 5_000_000
+	// spanGapDivisor divides the duration of the recording: the reported time must also exceed this fraction of
+	// it.
 	spanGapDivisor = 20
 )
 
-// checkSpans returns which runs do not cover the time of the recording.
-func (rec *Recording) checkSpans() (all []string) {
+// checkSpans returns a finding for each run that started well after, or ended well before, the recording as a
+// whole.
+func (rec *Recording) checkSpans() (findings []string) {
 	from, to := rec.Span()
 	for _, r := range rec.Runs {
-		if gap := r.From - from; gap > minSpanGap && gap > (to-from)/spanGapDivisor {
-			all = append(all, fmt.Sprintf("instance %s, run %s: begins %.0f s after the first",
+		if gap := r.From - from; gap > minReportedSpanGap && gap > (to-from)/spanGapDivisor {
+			findings = append(findings, fmt.Sprintf("instance %s, run %s: starts %.0f s after the recording starts",
 				r.Instance, r.Process, inSeconds(gap)))
 		}
-		if gap := to - r.To; gap > minSpanGap && gap > (to-from)/spanGapDivisor {
-			all = append(all, fmt.Sprintf("instance %s, run %s: ends %.0f s before the last",
+		if gap := to - r.To; gap > minReportedSpanGap && gap > (to-from)/spanGapDivisor {
+			findings = append(findings, fmt.Sprintf("instance %s, run %s: ends %.0f s before the recording ends",
 				r.Instance, r.Process, inSeconds(gap)))
 		}
 	}
-	return all
+	return findings
 }
 
-// checkRetryMarks returns the classes with requests by which retries cannot be detected.
-func (rec *Recording) checkRetryMarks() (all []string) {
-	unmarked := map[string]int{}
-	counts := map[string]int{}
+// checkRetryDetection returns a finding for each class with requests whose retries cannot be detected, since
+// they have no idempotency key, no object and no retry mark.
+func (rec *Recording) checkRetryDetection() (findings []string) {
+	undetectable := map[string]int{}
+	totals := map[string]int{}
 	for i := range rec.Requests {
-		q := &rec.Requests[i]
-		counts[q.Class]++
-		if q.KeyHash == 0 && q.ObjectHash == 0 && !q.Retry {
-			unmarked[q.Class]++
+		request := &rec.Requests[i]
+		totals[request.Class]++
+		if request.KeyHash == 0 && request.ObjectHash == 0 && !request.Retry {
+			undetectable[request.Class]++
 		}
 	}
-	for _, class := range slices.Sorted(maps.Keys(unmarked)) {
-		all = append(all, fmt.Sprintf("class %q: %d of %d requests have neither key nor object nor a mark: "+
-			"a client's own retry cannot be told from another request of its", class, unmarked[class], counts[class]))
+	for _, class := range slices.Sorted(maps.Keys(undetectable)) {
+		findings = append(findings, fmt.Sprintf(
+			"class %q: %d of %d requests have neither key nor object nor a retry mark: "+
+				"a client's retry cannot be distinguished from another request of the client",
+			class, undetectable[class], totals[class]))
 	}
-	return all
+	return findings
 }
 
-// microsPerSecond converts microseconds to seconds.
+// microsPerSecond is the number of microseconds in a second.
 const microsPerSecond = 1e6
 
-// inSeconds returns a time in seconds.
+// inSeconds converts a duration in microseconds to seconds.
 func inSeconds(micros int64) float64 { return float64(micros) / microsPerSecond }
 
-// Span returns when the first request arrived and the last one ended, in Unix microseconds.
+// Span returns the time of the first arrival and of the latest end of a request, in Unix microseconds.
 func (rec *Recording) Span() (from, to int64) {
 	for i := range rec.Requests {
-		q := &rec.Requests[i]
-		if from == 0 || q.Arrived < from {
-			from = q.Arrived
+		request := &rec.Requests[i]
+		if from == 0 || request.Arrived < from {
+			from = request.Arrived
 		}
-		to = max(to, q.End())
+		to = max(to, request.End())
 	}
 	return from, to
 }
--- a/internal/differential/reasons.go
+++ b/internal/differential/reasons.go
@@ -8,20 +8,20 @@
 	"dunlinsail/internal/fake/webapp"
 )
 
-// IgnoredHeaders are the header fields that are not compared, with the reason.
+// IgnoredHeaders maps each header field that is not compared to the reason.
 var IgnoredHeaders = map[string]string{
 	"Date":              "changes each second",
-	"Connection":        "of one connection only (RFC 9110 section 7.6.1)",
-	"Transfer-Encoding": "of one connection only",
-	"Trailer":           "an announcement; the trailers themselves are compared",
+	"Connection":        "applies to one connection only (RFC 9110 section 7.6.1)",
+	"Transfer-Encoding": "applies to one connection only",
+	"Trailer":           "announces the trailers, which are compared themselves",
 	"Accept-Encoding":   "ReverseProxy's client side may add its own",
-	"User-Agent":        "ReverseProxy sets an empty one where there is none",
-	"X-Forwarded-For":   "ReverseProxy adds it by itself; with routes it is the operator's choice",
-	"Te":                "of one connection only; both forward that trailers are accepted",
+	"User-Agent":        "ReverseProxy sets an empty one if the request has none",
+	"X-Forwarded-For":   "ReverseProxy always adds it; for a daemon with routes the operator decides",
+	"Te":                "applies to one connection only; both proxies forward that trailers are accepted",
 }
 
-// headerText returns the header fields that are compared, as text.
-func headerText(h http.Header) string {
+// comparedHeaderText returns the header fields that are compared, as text.
+func comparedHeaderText(h http.Header) string {
 	var ignored []string
 	for name := range IgnoredHeaders {
 		ignored = append(ignored, name)
@@ -29,84 +29,85 @@
 	return webapp.HeaderText(h, ignored...)
 }
 
-// expectedDifference is a kind of difference that is correct, and how it is recognized. a is the daemon's outcome, b is
-// ReverseProxy's.
+// expectedDifference is a kind of difference that is no fault. Its function matches gets the outcome of the
+// daemon and that of the proxy, which is httputil.ReverseProxy.
 type expectedDifference struct {
-	reason  string
-	matches func(x *Exchange, part string, a, b *Outcome) bool
+	reason  string // why both outcomes are correct, or why the proxy's differs
+	matches func(x *Exchange, part string, daemon, proxy *Outcome) bool
 }
 
-// expectedDifferences are tried in this order; the first one that matches gives the reason.
+// expectedDifferences are tried in this order; the reason of the first one that matches is reported.
 var expectedDifferences = []expectedDifference{
-	{"an answer that breaks before it has begun for the client is 502 here and there, each in its own words",
+	{"both proxies respond with 502, each with its own text, if a response fails before any of it reaches the client",
 		isBadGatewayText},
-	{"an answer that is held whole, or ends with its head, tells its length",
+	{"the daemon adds Content-Length to a response that it buffers or that ends with its head",
 		isAddedLength},
-	{"a body in chunks that is held whole goes on with its length; the daemon answers an Expect itself, " +
-		"ReverseProxy passes it on; ReverseProxy passes on the names of a request's trailers without their values",
+	{"a chunked body that is buffered is forwarded with its length; the daemon responds to Expect itself, " +
+		"ReverseProxy forwards it; ReverseProxy forwards the names of a request's trailers without their values",
 		isBufferedRequest},
-	{"ReverseProxy's server side closes a request's body as its answer begins, while its client side may still read " +
-		"there: the answer then breaks now and then, where the daemon's is as the application was asked for",
+	{"ReverseProxy's server side closes a request's body when its response starts, while its client side may still " +
+		"read the body: some of these responses fail, while the daemon's are those that the application gave",
 		isClosedRequestBody},
-	{"of an answer that breaks, how much has come before it shows is chance",
+	{"how much of a response arrives before its failure is noticed is a matter of chance",
 		isBrokenResponse},
 }
 
-// reasonFor returns why a difference is expected, "" if no reason is known.
-func reasonFor(x *Exchange, part string, a, b *Outcome) string {
+// expectedReason returns why a difference is expected, or "" if no reason is known.
+func expectedReason(x *Exchange, part string, daemon, proxy *Outcome) string {
 	for _, expected := range expectedDifferences {
-		if expected.matches(x, part, a, b) {
+		if expected.matches(x, part, daemon, proxy) {
 			return expected.reason
 		}
 	}
 	return ""
 }
 
-func isBadGatewayText(_ *Exchange, part string, a, b *Outcome) bool {
-	return a.Status == http.StatusBadGateway && b.Status == http.StatusBadGateway && part != partStatus
+func isBadGatewayText(_ *Exchange, part string, daemon, proxy *Outcome) bool {
+	return daemon.Status == http.StatusBadGateway && proxy.Status == http.StatusBadGateway && part != partStatus
 }
 
-// contentLength is the length of a message in the text of its header.
-var contentLength = regexp.MustCompile(`Content-Length: \["\d+"\]; `)
+// contentLengthField matches the Content-Length field in the text of a header.
+var contentLengthField = regexp.MustCompile(`Content-Length: \["\d+"\]; `)
 
-func isAddedLength(_ *Exchange, part string, a, b *Outcome) bool {
-	return part == partHeader && !strings.Contains(b.Header, "Content-Length") &&
-		contentLength.ReplaceAllString(a.Header, "") == b.Header
+func isAddedLength(_ *Exchange, part string, daemon, proxy *Outcome) bool {
+	return part == partHeader && !strings.Contains(proxy.Header, "Content-Length") &&
+		contentLengthField.ReplaceAllString(daemon.Header, "") == proxy.Header
 }
 
-// bufferedParts are what a request loses or gains when its body is buffered, in the text that the application returns.
-var bufferedParts = regexp.MustCompile(`(Content-Length: \["\d+"\]|Expect: \["100-continue"\]); | X-Sum: \[.*$`)
+// bufferingChanges matches the fields and trailers that a request gains or loses when a proxy buffers its body,
+// in the text that the application returns.
+var bufferingChanges = regexp.MustCompile(`(Content-Length: \["\d+"\]|Expect: \["100-continue"\]); | X-Sum: \[.*$`)
 
-func isBufferedRequest(x *Exchange, part string, a, b *Outcome) bool {
-	if part != partApplication || a.Application == "" || !x.Chunked && !x.Expect {
+func isBufferedRequest(x *Exchange, part string, daemon, proxy *Outcome) bool {
+	if part != partApplication || daemon.ApplicationRequest == "" || !x.Chunked && !x.Expect {
 		return false
 	}
-	withoutA := bufferedParts.ReplaceAllString(a.Application, "")
-	withoutB := bufferedParts.ReplaceAllString(b.Application, "")
-	return withoutA == withoutB && strings.HasSuffix(a.Application, webapp.HeaderText(x.Trailer))
+	daemonRequest := bufferingChanges.ReplaceAllString(daemon.ApplicationRequest, "")
+	proxyRequest := bufferingChanges.ReplaceAllString(proxy.ApplicationRequest, "")
+	return daemonRequest == proxyRequest && strings.HasSuffix(daemon.ApplicationRequest, webapp.HeaderText(x.Trailer))
 }
 
-func isClosedRequestBody(x *Exchange, _ string, a, b *Outcome) bool {
-	broken := b.Failed != "" || b.Status == http.StatusBadGateway
-	return x.Body >= 0 && broken && isAsPlanned(x, a)
+func isClosedRequestBody(x *Exchange, _ string, daemon, proxy *Outcome) bool {
+	proxyFailed := proxy.FailedPart != "" || proxy.Status == http.StatusBadGateway
+	return x.Body >= 0 && proxyFailed && matchesPlan(x, daemon)
 }
 
-func isBrokenResponse(x *Exchange, part string, a, b *Outcome) bool {
+func isBrokenResponse(x *Exchange, part string, daemon, proxy *Outcome) bool {
 	if x.Plan.ResetAfter <= 0 {
 		return false
 	}
-	if a.Status == http.StatusBadGateway || b.Status == http.StatusBadGateway {
+	if daemon.Status == http.StatusBadGateway || proxy.Status == http.StatusBadGateway {
 		return true
 	}
 	switch part {
 	case partStatus, partHeader, partBody, partFailed:
-		return a.Failed+b.Failed != ""
+		return daemon.FailedPart+proxy.FailedPart != ""
 	}
 	return false
 }
 
-// isAsPlanned reports whether a response came completely, with the status and the body of the exchange's plan.
-func isAsPlanned(x *Exchange, o *Outcome) bool {
+// matchesPlan reports whether a response is complete and has the status and the body of the exchange's plan.
+func matchesPlan(x *Exchange, outcome *Outcome) bool {
 	var planned webapp.Digest
 	if x.Method != http.MethodHead && x.Plan.Status != http.StatusNoContent && x.Plan.Status != http.StatusNotModified {
 		for _, size := range x.Plan.PieceSizes() {
@@ -115,5 +116,5 @@
 			}
 		}
 	}
-	return o.Failed == "" && o.Status == x.Plan.Status && o.Body == planned.String()
+	return outcome.FailedPart == "" && outcome.Status == x.Plan.Status && outcome.Body == planned.String()
 }
--- a/internal/wire/names_page_test.go
+++ b/internal/wire/names_page_test.go
@@ -16,58 +16,59 @@
 )
 
 const (
-	repositoryRoot  = "../.."
-	wireNamesPage   = repositoryRoot + "/docs/GLOSSARY.md"
-	wireNamesTitle  = "## Names on the wire"
-	minWireNameRows = 30
+	repositoryRoot   = "../.."
+	wireNamesPage    = repositoryRoot + "/docs/GLOSSARY.md"
+	wireNamesHeading = "## Names on the wire"
+	minWireNameRows  = 30
 )
 
-// otherSides are folders that play the other side of the wire: its names are spelled there independently.
-var otherSides = []string{
+// counterpartFolders are the folders of programs that implement the simulator's side of the wire. They spell
+// the names on the wire independently of this package.
+var counterpartFolders = []string{
 	"internal/fake", "internal/experiment", "internal/bench", "internal/playground", "internal/simulation",
 }
 
 var (
 	backquoted = regexp.MustCompile("`([^`]+)`")
-	plainWord  = regexp.MustCompile(`^[a-z]+$`) // could be a word of another meaning
+	plainWord  = regexp.MustCompile(`^[a-z]+$`) // elsewhere, such a word may be used with another meaning
 	tagName    = regexp.MustCompile(`(?:json|toml|cbor):"([^",]+)`)
 )
 
-// wireNameFiles returns the files in which each name of the page's table may be spelled.
+// wireNameFiles returns, for each name in the page's table, the files that may spell the name.
 func wireNameFiles(t *testing.T) map[string][]string {
 	t.Helper()
 	text, err := os.ReadFile(wireNamesPage)
 	require.NoError(t, err)
-	_, section, found := strings.Cut(string(text), wireNamesTitle+"\n")
+	_, section, found := strings.Cut(string(text), wireNamesHeading+"\n")
 	if !found {
-		t.Fatalf("the page has no section %q", wireNamesTitle)
+		t.Fatalf("the page has no section %q", wireNamesHeading)
 	}
 	section, _, _ = strings.Cut(section, "\n## ")
-	files, rows := map[string][]string{}, 0
+	filesByName, rowCount := map[string][]string{}, 0
 	for _, line := range strings.Split(section, "\n") {
 		cells := strings.Split(line, "|")
 		if !strings.HasPrefix(line, "| `") || len(cells) != 5 {
 			continue
 		}
-		rows++
+		rowCount++
 		file := backquoted.FindStringSubmatch(cells[2])[1]
 		for _, name := range backquoted.FindAllStringSubmatch(cells[3], -1) {
-			files[name[1]] = append(files[name[1]], file)
+			filesByName[name[1]] = append(filesByName[name[1]], file)
 		}
 	}
-	if rows < minWireNameRows {
-		t.Fatalf("%d rows, want at least %d", rows, minWireNameRows)
+	if rowCount < minWireNameRows {
+		t.Fatalf("%d rows, want at least %d", rowCount, minWireNameRows)
 	}
-	return files
+	return filesByName
 }
 
-// literals returns the values of a file's string literals, and the names in its struct tags.
-func literals(t *testing.T, name string) []string {
+// stringLiterals returns the values of all string literals in a file, and the names in its struct tags.
+func stringLiterals(t *testing.T, file string) []string {
 	t.Helper()
-	source, err := os.ReadFile(name)
+	source, err := os.ReadFile(file)
 	require.NoError(t, err)
 	var s scanner.Scanner
-	s.Init(token.NewFileSet().AddFile(name, -1, len(source)), source, nil, 0)
+	s.Init(token.NewFileSet().AddFile(file, -1, len(source)), source, nil, 0)
 	var values []string
 	for _, tok, text := s.Scan(); tok != token.EOF; _, tok, text = s.Scan() {
 		if tok != token.STRING {
@@ -75,7 +76,7 @@
 		}
 		value, err := strconv.Unquote(text)
 		if err != nil {
-			t.Fatalf("%s: %s: %v", name, text, err)
+			t.Fatalf("%s: %s: %v", file, text, err)
 		}
 		values = append(values, value)
 		for _, tag := range tagName.FindAllStringSubmatch(value, -1) {
@@ -85,49 +86,51 @@
 	return values
 }
 
-// productFiles calls visit with each Go file of the programs, and its path from the repository's root.
-func productFiles(t *testing.T, visit func(name, path string)) {
+// visitProductFiles calls visit for each Go source file of the product, without tests and counterpartFolders.
+// file is the path from the working folder, and path is the path from the root of the repository.
+func visitProductFiles(t *testing.T, visit func(file, path string)) {
 	t.Helper()
-	err := filepath.WalkDir(repositoryRoot, func(name string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(repositoryRoot, func(file string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		path, err := filepath.Rel(repositoryRoot, name)
+		path, err := filepath.Rel(repositoryRoot, file)
 		if err != nil {
 			return err
 		}
 		path = filepath.ToSlash(path)
 		hidden := strings.HasPrefix(entry.Name(), ".") && path != "."
 		switch {
-		case entry.IsDir() && (hidden || slices.Contains(otherSides, path)):
+		case entry.IsDir() && (hidden || slices.Contains(counterpartFolders, path)):
 			return fs.SkipDir
 		case strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go"):
-			visit(name, path)
+			visit(file, path)
 		}
 		return nil
 	})
 	require.NoError(t, err)
 }
 
-// Each name on the wire is spelled in the one file that the glossary names, and nowhere else in the programs. Names
-// that are one plain word are only looked for in their file: elsewhere they may mean something else.
+// Each name on the wire is spelled in the file that the glossary states, and in no other file of the product. A
+// name that is a plain word is only checked in the stated file, since it may have another meaning in other
+// files.
 func TestWireNamesHaveOnePlace(t *testing.T) {
-	files := wireNameFiles(t)
-	spelled := map[string]bool{} // file and name
-	productFiles(t, func(name, path string) {
-		for _, value := range literals(t, name) {
-			places, known := files[value]
+	filesByName := wireNameFiles(t)
+	spelled := map[string]bool{} // keys consist of a path, a space and a name
+	visitProductFiles(t, func(file, path string) {
+		for _, value := range stringLiterals(t, file) {
+			allowedFiles, known := filesByName[value]
 			spelled[path+" "+value] = known
-			if known && !plainWord.MatchString(value) && !slices.Contains(places, path) {
-				t.Errorf("%s spells %q, which belongs into %s only", path, value, places)
+			if known && !plainWord.MatchString(value) && !slices.Contains(allowedFiles, path) {
+				t.Errorf("%s spells %q, which only %s may spell", path, value, allowedFiles)
 			}
 		}
 	})
-	onlyInComments := "internal/wire/reply.go"
-	for value, places := range files {
-		for _, path := range places {
-			if path != onlyInComments && !spelled[path+" "+value] {
-				t.Errorf("%s does not spell %q", path, value)
+	namesInCommentsFile := "internal/wire/reply.go"
+	for wireName, allowedFiles := range filesByName {
+		for _, path := range allowedFiles {
+			if path != namesInCommentsFile && !spelled[path+" "+wireName] {
+				t.Errorf("%s does not spell %q", path, wireName)
 			}
 		}
 	}
