--- a/internal/eventlog/report.go
+++ b/internal/eventlog/report.go
@@ -54,7 +54,7 @@
 		stats.Instances, stats.Endpoints, stats.DurationSeconds, stats.Attempts, stats.Failures, stats.FailedDials)
 	printLine("discovery: %d successful polls, %d failed polls, %d polls in the busiest second",
 		stats.SuccessfulPolls, stats.FailedPolls, stats.MaxPollsPerSecond)
-	printLine("  %-58s %7s %9s %9s %9s", "", "n", "mean", "median", "max")
+	printLine("  %-58s %7s %9s %9s %9s", "", "n", "mean", "median", "most")
 	printDistribution("attempts at one endpoint in one second", stats.EventsPerSecond[AttemptStarted])
 	printDistribution("probes at one endpoint in one second", stats.EventsPerSecond[ProbeEnded])
 	printDistribution("new connections at one endpoint in one second", stats.EventsPerSecond[ConnOpened])
