--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -11,11 +11,11 @@
 type attemptPhase uint8
 
 const (
-	connecting attemptPhase = iota
-	sent                    // the request is on its connection
-	replied                 // the reply has arrived at the instance
-	notSent                 // cancelled before it was sent
-	aborted                 // the connection was closed while it was in flight
+	phaseConnecting attemptPhase = iota
+	phaseSent                    // the request is on its connection
+	phaseReplied                 // the reply has arrived at the instance
+	phaseNotSent                 // cancelled before it was sent
+	phaseAborted                 // the connection was closed while it was in flight
 )
 
 // attempt is an engine's attempt, from the instance to an endpoint and back.
@@ -31,240 +31,242 @@
 	job             simendpoint.Job
 	status          balancer.Status
 	awaited         bool // the engine waits for its result
-	held            bool // the endpoint works at it or queues it
+	atEndpoint      bool // the endpoint works at it or queues it
 }
 
-func newAttempt(in *instance, a *engine.Attempt) *attempt {
-	s := &attempt{
+func newAttempt(in *instance, engineAttempt *engine.Attempt) *attempt {
+	a := &attempt{
 		instance:      in,
-		engineAttempt: a,
-		endpoint:      a.Endpoint.Target.(upstreamTarget).endpoint,
-		request:       a.Call.HostData.(*clientRequest),
+		engineAttempt: engineAttempt,
+		endpoint:      engineAttempt.Endpoint.Target.(upstreamTarget).endpoint,
+		request:       engineAttempt.Call.HostData.(*clientRequest),
 		incarnation:   in.incarnation,
 		startedAt:     in.run.now,
 		awaited:       true,
 	}
-	a.HostData = s
-	return s
+	engineAttempt.HostData = a
+	return a
 }
 
 // randKey identifies the attempt in random streams: its operation, and its request's and its own number.
-func (s *attempt) randKey() (uint64, uint64) {
-	return s.request.operation.ID, uint64(s.request.Number)<<8 | uint64(s.engineAttempt.Number)
+func (a *attempt) randKey() (uint64, uint64) {
+	return a.request.operation.ID, uint64(a.request.Number)<<8 | uint64(a.engineAttempt.Number)
 }
 
 // delay is how long a message between the instance and the endpoint takes. step numbers the attempt's messages.
-func (s *attempt) delay(step uint64) monotime.Micros {
-	operation, number := s.randKey()
-	r := s.instance.run
-	return r.network.endpointDelay(s.instance.zone, s.endpoint.zone(), operation, number, step) +
-		r.plan.ExtraDelay(r.now, s.instance.index, s.endpoint.index)
+func (a *attempt) delay(step uint64) monotime.Micros {
+	operation, number := a.randKey()
+	r := a.instance.run
+	return r.network.endpointDelay(a.instance.zone, a.endpoint.zone(), operation, number, step) +
+		r.plan.ExtraDelay(r.now, a.instance.index, a.endpoint.index)
 }
 
 // start uses an idle connection to the endpoint, or dials a new one.
-func (s *attempt) start() {
-	in := s.instance
-	r := s.instance.run
-	all := in.idleUpstream[s.endpoint.index]
-	idle := r.settings.Site.KeepAlive.Microseconds() * 2 / 3
-	if in.maxIdleUpstream > 0 && in.maxIdleUpstream < 1 {
-		idle = monotime.Micros(float64(idle) * in.maxIdleUpstream) // as upstream.Pool does for a limit under 1
-	}
-	for len(all) > 0 {
-		k := all[len(all)-1]
-		all = all[:len(all)-1]
-		in.idleUpstream[s.endpoint.index] = all
-		if r.now-k.idleSince < idle {
-			s.connIncarnation = k.endpointIncarnation
-			s.phase = sent
-			r.events.push(r.now+in.overhead()+s.delay(1), attemptAtEndpoint, 0, s)
+func (a *attempt) start() {
+	in := a.instance
+	r := a.instance.run
+	idleConns := in.idleUpstreamConns[a.endpoint.index]
+	maxIdleTime := r.settings.Site.KeepAlive.Microseconds() * 2 / 3
+	if in.maxIdleUpstreamConns > 0 && in.maxIdleUpstreamConns < 1 {
+		// upstream.Pool also shortens the reuse time in proportion to a limit below 1.
+		maxIdleTime = monotime.Micros(float64(maxIdleTime) * in.maxIdleUpstreamConns)
+	}
+	for len(idleConns) > 0 {
+		conn := idleConns[len(idleConns)-1]
+		idleConns = idleConns[:len(idleConns)-1]
+		in.idleUpstreamConns[a.endpoint.index] = idleConns
+		if r.now-conn.idleSince < maxIdleTime {
+			a.connIncarnation = conn.endpointIncarnation
+			a.phase = phaseSent
+			r.events.push(r.now+in.overhead()+a.delay(1), attemptAtEndpoint, 0, a)
 			return
 		}
 		in.upstreamConns--
-		s.endpoint.disconnect(k.endpointIncarnation)
+		a.endpoint.disconnect(conn.endpointIncarnation)
 	}
 	if limit := r.settings.MaxConnections; limit > 0 && in.upstreamConns >= limit && !in.closeOldestIdle() {
-		s.status = balancer.NotSent
-		r.events.push(r.now, dialFailed, 0, s)
+		a.status = balancer.NotSent
+		r.events.push(r.now, dialFailed, 0, a)
 		return
 	}
 	in.upstreamConns++
-	dial := r.settings.Site.Settings.Limits.DialTimeout
-	if dial <= 0 {
-		dial = probeTimeout
+	dialTimeout := r.settings.Site.Settings.Limits.DialTimeout
+	if dialTimeout <= 0 {
+		dialTimeout = probeTimeout
 	}
-	s.status = balancer.ConnectFailed
-	there := s.delay(3)
+	a.status = balancer.ConnectFailed
+	oneWayDelay := a.delay(3)
 	switch {
-	case s.endpoint.unreachable || r.dialBlocked(in, s.endpoint):
-		r.events.push(r.now+dial, dialFailed, 0, s)
-	case !s.endpoint.model.Up() || !s.endpoint.model.Connect():
-		r.events.push(r.now+in.overhead()+2*there, dialFailed, 0, s)
-	case 2*there > dial:
-		r.events.push(r.now+dial, dialFailed, 0, s)
+	case a.endpoint.unreachable || r.dialBlocked(in, a.endpoint):
+		r.events.push(r.now+dialTimeout, dialFailed, 0, a)
+	case !a.endpoint.model.Up() || !a.endpoint.model.Connect():
+		r.events.push(r.now+in.overhead()+2*oneWayDelay, dialFailed, 0, a)
+	case 2*oneWayDelay > dialTimeout:
+		r.events.push(r.now+dialTimeout, dialFailed, 0, a)
 	default:
-		s.connIncarnation = s.endpoint.incarnation
+		a.connIncarnation = a.endpoint.incarnation
 		r.meter.Costs.Dials++
-		r.meter.RecordArrival(r.now, s.endpoint.index, measure.DialArrival)
-		r.events.push(r.now+in.overhead()+2*there, attemptConnected, 0, s)
+		r.meter.RecordArrival(r.now, a.endpoint.index, measure.DialArrival)
+		r.events.push(r.now+in.overhead()+2*oneWayDelay, attemptConnected, 0, a)
 	}
 }
 
 // closeOldestIdle closes the idle connection that was used longest ago, and reports whether there was one.
 func (in *instance) closeOldestIdle() bool {
 	oldest := -1
-	for n, all := range in.idleUpstream {
-		if len(all) > 0 && (oldest < 0 || all[0].idleSince < in.idleUpstream[oldest][0].idleSince ||
-			all[0].idleSince == in.idleUpstream[oldest][0].idleSince && n < oldest) {
-			oldest = n
+	for index, conns := range in.idleUpstreamConns {
+		if len(conns) > 0 && (oldest < 0 || conns[0].idleSince < in.idleUpstreamConns[oldest][0].idleSince ||
+			conns[0].idleSince == in.idleUpstreamConns[oldest][0].idleSince && index < oldest) {
+			oldest = index
 		}
 	}
 	if oldest < 0 {
 		return false
 	}
-	k := in.idleUpstream[oldest][0]
-	in.idleUpstream[oldest] = in.idleUpstream[oldest][1:]
+	conn := in.idleUpstreamConns[oldest][0]
+	in.idleUpstreamConns[oldest] = in.idleUpstreamConns[oldest][1:]
 	in.upstreamConns--
-	in.run.endpoints[oldest].disconnect(k.endpointIncarnation)
+	in.run.endpoints[oldest].disconnect(conn.endpointIncarnation)
 	return true
 }
 
 // connected sends the request, unless its instance restarted or it may not be sent any more.
-func (s *attempt) connected() {
-	in := s.instance
-	r := s.instance.run
-	if s.incarnation != in.incarnation {
-		s.endpoint.disconnect(s.connIncarnation)
+func (a *attempt) connected() {
+	in := a.instance
+	r := a.instance.run
+	if a.incarnation != in.incarnation {
+		a.endpoint.disconnect(a.connIncarnation)
 		return
 	}
-	if !s.awaited {
+	if !a.awaited {
 		in.upstreamConns--
-		s.endpoint.disconnect(s.connIncarnation)
+		a.endpoint.disconnect(a.connIncarnation)
 		return
 	}
-	if s.phase == notSent || !s.engineAttempt.Endpoint.MaySend(in.localTime()) ||
-		in.localTime() >= s.engineAttempt.Deadline ||
-		s.engineAttempt.SendBefore > 0 && in.localTime() >= s.engineAttempt.SendBefore {
-		s.phase = notSent
-		s.keepConn()
-		s.end(balancer.NotSent)
+	if a.phase == phaseNotSent || !a.engineAttempt.Endpoint.MaySend(in.localTime()) ||
+		in.localTime() >= a.engineAttempt.Deadline ||
+		a.engineAttempt.SendBefore > 0 && in.localTime() >= a.engineAttempt.SendBefore {
+		a.phase = phaseNotSent
+		a.keepConn()
+		a.end(balancer.NotSent)
 		return
 	}
-	s.phase = sent
-	r.events.push(r.now+s.delay(1), attemptAtEndpoint, 0, s)
+	a.phase = phaseSent
+	r.events.push(r.now+a.delay(1), attemptAtEndpoint, 0, a)
 }
 
 // dialFailed ends an attempt that has no connection.
-func (s *attempt) dialFailed() {
-	if s.incarnation != s.instance.incarnation {
+func (a *attempt) dialFailed() {
+	if a.incarnation != a.instance.incarnation {
 		return
 	}
-	if s.status != balancer.NotSent {
-		s.instance.upstreamConns--
+	if a.status != balancer.NotSent {
+		a.instance.upstreamConns--
 	}
-	if s.phase == connecting {
-		s.phase = notSent
-		s.end(s.status)
+	if a.phase == phaseConnecting {
+		a.phase = phaseNotSent
+		a.end(a.status)
 	}
 }
 
 // keepConn keeps the connection idle, for the next attempt.
-func (s *attempt) keepConn() {
-	in := s.instance
-	in.idleUpstream[s.endpoint.index] = append(in.idleUpstream[s.endpoint.index],
-		idleConn{s.connIncarnation, in.run.now})
-	if in.maxIdleUpstream == 0 {
+func (a *attempt) keepConn() {
+	in := a.instance
+	in.idleUpstreamConns[a.endpoint.index] = append(in.idleUpstreamConns[a.endpoint.index],
+		idleConn{a.connIncarnation, in.run.now})
+	if in.maxIdleUpstreamConns == 0 {
 		return
 	}
-	idle := 0
-	for _, conns := range in.idleUpstream {
-		idle += len(conns)
+	idleCount := 0
+	for _, conns := range in.idleUpstreamConns {
+		idleCount += len(conns)
 	}
-	for ; idle > max(1, int(in.maxIdleUpstream)); idle-- {
+	for ; idleCount > max(1, int(in.maxIdleUpstreamConns)); idleCount-- {
 		in.closeOldestIdle()
 	}
 }
 
 // end reports the attempt's result to the engine, if the engine still waits for it.
-func (s *attempt) end(status balancer.Status) {
-	in := s.instance
-	r := s.instance.run
-	if s.incarnation != in.incarnation || s.engineAttempt.Done() {
+func (a *attempt) end(status balancer.Status) {
+	in := a.instance
+	r := a.instance.run
+	if a.incarnation != in.incarnation || a.engineAttempt.Done() {
 		return
 	}
 	r.meter.Costs.Decisions++
-	reply := engine.AttemptResult{Status: status, ObservedAt: in.localTime(), Response: nil}
+	result := engine.AttemptResult{Status: status, ObservedAt: in.localTime(), Response: nil}
 	if status == balancer.OK {
-		reply.Response = s
+		result.Response = a
 	}
-	in.engine.AttemptEnded(in.localTime(), s.engineAttempt, reply)
+	in.engine.AttemptEnded(in.localTime(), a.engineAttempt, result)
 	in.advanceEngine()
 }
 
 // cancelUnsent cancels an attempt that was not sent yet, and reports whether it could.
-func (s *attempt) cancelUnsent() bool {
-	if s.phase == connecting {
-		s.phase = notSent
+func (a *attempt) cancelUnsent() bool {
+	if a.phase == phaseConnecting {
+		a.phase = phaseNotSent
 	}
-	return s.phase == notSent
+	return a.phase == phaseNotSent
 }
 
 // abort ends an attempt whose result is no longer awaited. A connection with a request in flight is closed.
-func (s *attempt) abort() {
-	if !s.awaited {
+func (a *attempt) abort() {
+	if !a.awaited {
 		return
 	}
-	s.awaited = false
-	if s.phase == sent {
-		s.phase = aborted
-		s.instance.upstreamConns--
-		s.instance.run.events.push(s.instance.run.now+s.delay(4), attemptAborted, 0, s)
+	a.awaited = false
+	if a.phase == phaseSent {
+		a.phase = phaseAborted
+		a.instance.upstreamConns--
+		a.instance.run.events.push(a.instance.run.now+a.delay(4), attemptAborted, 0, a)
 	}
 }
 
 // arriveAtEndpoint handles the request's arrival at the endpoint.
-func (s *attempt) arriveAtEndpoint() {
-	r := s.instance.run
-	e := s.endpoint
-	if e.unreachable || r.pathBlocked(s.instance, e, false) {
+func (a *attempt) arriveAtEndpoint() {
+	r := a.instance.run
+	endpoint := a.endpoint
+	if endpoint.unreachable || r.pathBlocked(a.instance, endpoint, false) {
 		return // lost on the way, without a reset
 	}
-	m := &r.meter.Costs
-	m.Attempts++
-	r.meter.RecordArrival(r.now, e.index, arrivalKind(s.engineAttempt.Number))
-	if e.zone() != s.instance.zone {
-		m.CrossZone++
+	costs := &r.meter.Costs
+	costs.Attempts++
+	r.meter.RecordArrival(r.now, endpoint.index, arrivalKind(a.engineAttempt.Number))
+	if endpoint.zone() != a.instance.zone {
+		costs.CrossZone++
 	}
-	if at, known := s.instance.leavingSince[e.index]; known && s.incarnation == s.instance.incarnation &&
-		s.startedAt > at+r.settings.Site.Settings.Contract.DrainGrace {
-		m.AttemptsAfterDrain++
+	if leavingKnownAt, known := a.instance.leavingSince[endpoint.index]; known &&
+		a.incarnation == a.instance.incarnation &&
+		a.startedAt > leavingKnownAt+r.settings.Site.Settings.Contract.DrainGrace {
+		costs.AttemptsAfterDrain++
 	}
-	if !e.model.Up() || s.connIncarnation != e.incarnation {
-		s.reply(balancer.Reset)
+	if !endpoint.model.Up() || a.connIncarnation != endpoint.incarnation {
+		a.reply(balancer.Reset)
 		return
 	}
-	op := s.request.operation
-	who, which := s.randKey()
+	op := a.request.operation
+	operationID, attemptKey := a.randKey()
 	class := &r.plan.Classes[op.run.planClass(op.Class)]
-	draws := r.workRand.For(who, which)
-	s.job = simendpoint.Job{
+	random := r.workRand.For(operationID, attemptKey)
+	a.job = simendpoint.Job{
 		Class:          op.Class,
-		Work:           simendpoint.DrawWork(draws, op.Work, class.Noise),
-		IdempotencyKey: s.request.IdempotencyKey,
-		Chance:         r.faultRand.For(who, which).Float64(),
-		HostData:       s,
+		Work:           simendpoint.DrawWork(random, op.Work, class.Noise),
+		IdempotencyKey: a.request.IdempotencyKey,
+		Chance:         r.faultRand.For(operationID, attemptKey).Float64(),
+		HostData:       a,
 	}
 	if op.class.Idempotency != balancer.IdempotentByKey {
-		s.job.IdempotencyKey = 0
+		a.job.IdempotencyKey = 0
 	}
-	r.trace(s.request, s.engineAttempt.Number, r.plan.Endpoints[e.index].Name, "reaches")
-	switch e.arrive(&s.job) {
+	r.trace(a.request, a.engineAttempt.Number, r.plan.Endpoints[endpoint.index].Name, "reaches")
+	switch endpoint.arrive(&a.job) {
 	case simendpoint.Rejected:
-		s.reply(balancer.Rejected)
+		a.reply(balancer.Rejected)
 	case simendpoint.Failed:
-		s.reply(balancer.Error)
+		a.reply(balancer.Error)
 	default:
-		s.held = true
+		a.atEndpoint = true
 	}
 }
 
@@ -277,58 +279,58 @@
 }
 
 // planClass is the index in the plan of one of the criteria's classes.
-func (r *run) planClass(class int) int {
-	for i, at := range r.criteriaClass {
-		if at == class {
-			return i
+func (r *run) planClass(criteriaClass int) int {
+	for planIndex, criteriaIndex := range r.criteriaClassOf {
+		if criteriaIndex == criteriaClass {
+			return planIndex
 		}
 	}
 	return 0
 }
 
 // reply sends the endpoint's reply to the instance.
-func (s *attempt) reply(status balancer.Status) {
-	r := s.instance.run
-	if r.pathBlocked(s.instance, s.endpoint, true) {
+func (a *attempt) reply(status balancer.Status) {
+	r := a.instance.run
+	if r.pathBlocked(a.instance, a.endpoint, true) {
 		return
 	}
-	s.status = status
-	r.events.push(r.now+s.delay(2)+s.instance.overhead(), replyAtInstance, 0, s)
+	a.status = status
+	r.events.push(r.now+a.delay(2)+a.instance.overhead(), replyAtInstance, 0, a)
 }
 
 // replyArrived handles the reply's arrival at the instance.
-func (s *attempt) replyArrived() {
-	if s.incarnation != s.instance.incarnation || s.phase != sent {
+func (a *attempt) replyArrived() {
+	if a.incarnation != a.instance.incarnation || a.phase != phaseSent {
 		return // it is not awaited, and its connection is closed
 	}
-	s.phase = replied
-	if s.status == balancer.Reset {
-		s.instance.upstreamConns--
+	a.phase = phaseReplied
+	if a.status == balancer.Reset {
+		a.instance.upstreamConns--
 	} else {
-		s.keepConn()
+		a.keepConn()
 	}
-	s.instance.run.trace(s.request, s.engineAttempt.Number, s.instance.run.plan.Endpoints[s.endpoint.index].Name,
-		statusStep(s.status))
-	s.end(s.status)
+	a.instance.run.trace(a.request, a.engineAttempt.Number, a.instance.run.plan.Endpoints[a.endpoint.index].Name,
+		traceStep(a.status))
+	a.end(a.status)
 }
 
 // abortNoticed runs when the endpoint sees that its connection was closed.
-func (s *attempt) abortNoticed() {
-	if s.endpoint.unreachable || s.connIncarnation != s.endpoint.incarnation {
+func (a *attempt) abortNoticed() {
+	if a.endpoint.unreachable || a.connIncarnation != a.endpoint.incarnation {
 		return
 	}
-	s.endpoint.model.Disconnect()
-	if s.held && s.endpoint.model.Cancel(s.instance.run.now, &s.job) {
-		s.held = false
-		s.endpoint.scheduleWakeup()
+	a.endpoint.model.Disconnect()
+	if a.atEndpoint && a.endpoint.model.Cancel(a.instance.run.now, &a.job) {
+		a.atEndpoint = false
+		a.endpoint.scheduleWakeup()
 	}
 }
 
-var statusSteps = map[balancer.Status]string{
+var traceSteps = map[balancer.Status]string{
 	balancer.OK:       "answers",
 	balancer.Error:    "answers an error",
 	balancer.Rejected: "turns it away",
 	balancer.Reset:    "breaks off",
 }
 
-func statusStep(s balancer.Status) string { return statusSteps[s] }
+func traceStep(status balancer.Status) string { return traceSteps[status] }
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -19,59 +19,59 @@
 	generation         int64
 	extraDelay         monotime.Micros // by which notifications of endpoints arrive later
 	silent             bool            // it sends nothing
-	heldBack           []*watchEvent   // events to send once it is no longer silent
+	withheldEvents     []*watchEvent   // events to send once it is no longer silent
 	dedupGroups        map[int]*simendpoint.DedupGroup
-	random             *randstream.Stream
-	changes            uint64
+	delayRand          *randstream.Stream
+	notificationCount  uint64
 	fullList           []engine.EndpointInfo // complete list of fullListGeneration
 	fullListGeneration int64
-	lastChangeAt       []monotime.Micros // by endpoint, when its latest notification arrives
+	lastNotificationAt []monotime.Micros // by endpoint, when its latest notification arrives
 }
 
 func newDiscoveryService(r *run) *discoveryService {
-	t := &discoveryService{
-		run:          r,
-		dedupGroups:  map[int]*simendpoint.DedupGroup{},
-		random:       randstream.New(r.plan.Seed, "discovery"),
-		generation:   1,
-		lastChangeAt: make([]monotime.Micros, len(r.plan.Endpoints)),
+	d := &discoveryService{
+		run:                r,
+		dedupGroups:        map[int]*simendpoint.DedupGroup{},
+		delayRand:          randstream.New(r.plan.Seed, "discovery"),
+		generation:         1,
+		lastNotificationAt: make([]monotime.Micros, len(r.plan.Endpoints)),
 	}
 	for i := range r.plan.Endpoints {
-		m := t.endpointInfo(i, balancer.Ready)
+		info := d.endpointInfo(i, balancer.Ready)
 		if r.plan.Endpoints[i].StartsWithRun {
-			m.StartedAt = clockOrigin
+			info.StartedAt = clockOrigin
 		}
-		t.endpoints = append(t.endpoints, m)
+		d.endpoints = append(d.endpoints, info)
 	}
-	return t
+	return d
 }
 
 // dedupGroup returns the deduplication state that a cell's endpoints share. It remembers keys for the longest window of
 // a class.
-func (t *discoveryService) dedupGroup(cell int) *simendpoint.DedupGroup {
-	if t.dedupGroups[cell] == nil {
+func (d *discoveryService) dedupGroup(cell int) *simendpoint.DedupGroup {
+	if d.dedupGroups[cell] == nil {
 		var window monotime.Micros
-		for _, c := range t.run.options.Criteria.Classes {
-			if c.Idempotency == balancer.IdempotentByKey {
-				window = max(window, c.DedupWindow)
+		for _, class := range d.run.options.Criteria.Classes {
+			if class.Idempotency == balancer.IdempotentByKey {
+				window = max(window, class.DedupWindow)
 			}
 		}
-		t.dedupGroups[cell] = simendpoint.NewDedupGroup(window)
+		d.dedupGroups[cell] = simendpoint.NewDedupGroup(window)
 	}
-	return t.dedupGroups[cell]
+	return d.dedupGroups[cell]
 }
 
 // endpointInfo is the list entry of an endpoint. Its address is its index.
-func (t *discoveryService) endpointInfo(n int, state balancer.EndpointState) engine.EndpointInfo {
-	p := &t.run.plan.Endpoints[n]
+func (d *discoveryService) endpointInfo(index int, state balancer.EndpointState) engine.EndpointInfo {
+	planned := &d.run.plan.Endpoints[index]
 	return engine.EndpointInfo{
-		Name:   p.Name,
-		Addr:   strconv.Itoa(n),
-		Zone:   t.run.plan.Fleet.Zones[p.Zone],
-		Kind:   t.run.plan.Scenario.EndpointKinds[p.Kind].Kind,
-		Cell:   uint16(p.Cell),
+		Name:   planned.Name,
+		Addr:   strconv.Itoa(index),
+		Zone:   d.run.plan.Fleet.Zones[planned.Zone],
+		Kind:   d.run.plan.Scenario.EndpointKinds[planned.Kind].Kind,
+		Cell:   uint16(planned.Cell),
 		State:  state,
-		Weight: float32(p.Config.Cores),
+		Weight: float32(planned.Config.Cores),
 	}
 }
 
@@ -84,60 +84,65 @@
 
 // endpointChanged notifies discovery of an endpoint's new state, after the delay that the scenario gives. vanished: the
 // machine is lost, and discovery finds out by its silence.
-func (t *discoveryService) endpointChanged(n int, state balancer.EndpointState, vanished bool) {
-	r := t.run
-	d := &t.run.plan.Discovery
-	after := d.Add
+func (d *discoveryService) endpointChanged(index int, state balancer.EndpointState, vanished bool) {
+	r := d.run
+	delays := &d.run.plan.Discovery
+	delayRange := delays.Add
 	switch {
 	case vanished:
-		after = d.Silent
+		delayRange = delays.Silent
 	case state == balancer.Draining:
-		after = d.Drain
+		delayRange = delays.Drain
 	case state == balancer.Gone:
-		after = d.Gone
+		delayRange = delays.Gone
 	}
-	t.changes++
-	lo := float64(after.From.Microseconds())
-	hi := float64(after.To.Microseconds())
-	arrivesAt := r.now + monotime.Micros(lo+(hi-lo)*t.random.For(uint64(n), t.changes).Float64()) + t.extraDelay
-	arrivesAt = max(arrivesAt, t.lastChangeAt[n]+1) // its messages keep their order
-	t.lastChangeAt[n] = arrivesAt
-	m := t.endpointInfo(n, state)
+	d.notificationCount++
+	minDelay := float64(delayRange.From.Microseconds())
+	maxDelay := float64(delayRange.To.Microseconds())
+	arrivesAt := r.now + monotime.Micros(minDelay+(maxDelay-minDelay)*
+		d.delayRand.For(uint64(index), d.notificationCount).Float64()) + d.extraDelay
+	arrivesAt = max(arrivesAt, d.lastNotificationAt[index]+1) // its messages keep their order
+	d.lastNotificationAt[index] = arrivesAt
+	info := d.endpointInfo(index, state)
 	if state == balancer.Ready {
-		m.StartedAt = clockOrigin + r.now
+		info.StartedAt = clockOrigin + r.now
 	}
-	r.events.push(arrivesAt, discoveryNotified, uint32(n), m)
+	r.events.push(arrivesAt, discoveryNotified, uint32(index), info)
 }
 
 // publish records an endpoint's new state and sends it to the subscribed instances.
-func (t *discoveryService) publish(n int, m engine.EndpointInfo) {
-	t.endpoints[n] = m
-	t.generation++
-	members := []engine.EndpointInfo{m}
-	for _, in := range t.run.instances {
-		if !in.subscribedTo(n) {
+func (d *discoveryService) publish(index int, info engine.EndpointInfo) {
+	d.endpoints[index] = info
+	d.generation++
+	changedEndpoints := []engine.EndpointInfo{info}
+	for _, in := range d.run.instances {
+		if !in.subscribedTo(index) {
 			continue
 		}
-		x := &watchEvent{
+		event := &watchEvent{
 			instance:    in,
 			incarnation: in.incarnation,
-			update:      engine.EndpointUpdate{Kind: balancer.ListDelta, Generation: t.generation, Endpoints: members},
+			update: engine.EndpointUpdate{
+				Kind:       balancer.ListDelta,
+				Generation: d.generation,
+				Endpoints:  changedEndpoints,
+			},
 		}
-		if t.silent {
-			t.heldBack = append(t.heldBack, x)
+		if d.silent {
+			d.withheldEvents = append(d.withheldEvents, event)
 			continue
 		}
-		t.send(x)
+		d.send(event)
 	}
 }
 
 // send sends a watch event to its instance. Events of an instance arrive in order.
-func (t *discoveryService) send(x *watchEvent) {
-	in := x.instance
-	spread := float64(t.run.plan.Discovery.Spread.Micros())
+func (d *discoveryService) send(event *watchEvent) {
+	in := event.instance
+	maxSpread := float64(d.run.plan.Discovery.Spread.Micros())
 	in.lastWatchEventAt = max(in.lastWatchEventAt+1,
-		t.run.now+1+monotime.Micros(spread*t.random.For(uint64(in.index)|1<<62, uint64(t.generation)).Float64()))
-	t.run.events.push(in.lastWatchEventAt, watchEventArrives, 0, x)
+		d.run.now+1+monotime.Micros(maxSpread*d.delayRand.For(uint64(in.index)|1<<62, uint64(d.generation)).Float64()))
+	d.run.events.push(in.lastWatchEventAt, watchEventArrives, 0, event)
 }
 
 func (w *watchEvent) arrive() {
@@ -145,7 +150,7 @@
 		return
 	}
 	if w.instance.discoveryBlocks > 0 {
-		w.instance.heldEvents = append(w.instance.heldEvents, w)
+		w.instance.blockedEvents = append(w.instance.blockedEvents, w)
 		return
 	}
 	w.instance.updateEndpoints(w.update)
@@ -158,67 +163,67 @@
 	if in.discoveryBlocks--; in.discoveryBlocks > 0 || in.down {
 		return
 	}
-	held := in.heldEvents
-	in.heldEvents = nil
+	blockedEvents := in.blockedEvents
+	in.blockedEvents = nil
 	if !in.hasEndpointList {
 		in.updateEndpoints(in.run.discovery.snapshot(in))
 		in.advanceEngine()
 		return
 	}
-	for _, w := range held {
+	for _, w := range blockedEvents {
 		w.arrive()
 	}
 }
 
 // updateEndpoints gives an update of the list to the instance's engine.
-func (in *instance) updateEndpoints(t engine.EndpointUpdate) {
+func (in *instance) updateEndpoints(update engine.EndpointUpdate) {
 	in.hasEndpointList = true
-	for _, m := range t.Endpoints {
-		n, err := strconv.Atoi(m.Addr)
+	for _, info := range update.Endpoints {
+		index, err := strconv.Atoi(info.Addr)
 		if err != nil {
 			panic(err) // endpointInfo wrote it
 		}
-		if m.State == balancer.Ready {
-			delete(in.leavingSince, n)
-		} else if _, known := in.leavingSince[n]; !known {
-			in.leavingSince[n] = in.run.now
+		if info.State == balancer.Ready {
+			delete(in.leavingSince, index)
+		} else if _, known := in.leavingSince[index]; !known {
+			in.leavingSince[index] = in.run.now
 		}
 	}
-	in.pool.UpdateEndpoints(in.localTime(), t)
+	in.pool.UpdateEndpoints(in.localTime(), update)
 }
 
 // subscribedTo reports whether the instance's list has an endpoint.
-func (in *instance) subscribedTo(n int) bool {
+func (in *instance) subscribedTo(index int) bool {
 	subset := in.run.plan.Instances[in.index].Endpoints
 	if subset == nil {
 		return true
 	}
-	_, found := slices.BinarySearch(subset, n)
+	_, found := slices.BinarySearch(subset, index)
 	return found
 }
 
 // snapshot is the complete endpoint list for an instance.
-func (t *discoveryService) snapshot(in *instance) engine.EndpointUpdate {
-	update := engine.EndpointUpdate{Kind: balancer.ListFull, Generation: t.generation}
-	if subset := t.run.plan.Instances[in.index].Endpoints; subset != nil {
-		for _, n := range subset {
-			if t.endpoints[n].State != balancer.Gone {
-				update.Endpoints = append(update.Endpoints, t.endpoints[n])
+func (d *discoveryService) snapshot(in *instance) engine.EndpointUpdate {
+	update := engine.EndpointUpdate{Kind: balancer.ListFull, Generation: d.generation}
+	if subset := d.run.plan.Instances[in.index].Endpoints; subset != nil {
+		for _, index := range subset {
+			if d.endpoints[index].State != balancer.Gone {
+				update.Endpoints = append(update.Endpoints, d.endpoints[index])
 			}
 		}
 		return update
 	}
-	if t.fullList == nil || t.fullListGeneration != t.generation {
-		var all []engine.EndpointInfo
-		for _, m := range t.endpoints {
-			if m.State != balancer.Gone {
-				all = append(all, m)
+	if d.fullList == nil || d.fullListGeneration != d.generation {
+		var listed []engine.EndpointInfo
+		for _, info := range d.endpoints {
+			if info.State != balancer.Gone {
+				listed = append(listed, info)
 			}
 		}
-		t.fullList = all
-		t.fullListGeneration = t.generation
+		d.fullList = listed
+		d.fullListGeneration = d.generation
 	}
-	update.Endpoints = t.fullList
+	update.Endpoints = d.fullList
 	return update
 }
 
@@ -227,30 +232,30 @@
 
 // setWatch answers the poll of a balancer that has to poll: with the complete list, or with a failure while discovery
 // is silent.
-func (in *instance) setWatch(on bool) {
-	if !on || !in.run.settings.Site.Settings.Subscribe {
+func (in *instance) setWatch(enabled bool) {
+	if !enabled || !in.run.settings.Site.Settings.Subscribe {
 		return
 	}
-	t := in.run.discovery
-	x := &watchEvent{instance: in, incarnation: in.incarnation, update: t.snapshot(in)}
-	if t.silent {
-		x.update = engine.EndpointUpdate{Kind: balancer.ListFailed}
+	discovery := in.run.discovery
+	event := &watchEvent{instance: in, incarnation: in.incarnation, update: discovery.snapshot(in)}
+	if discovery.silent {
+		event.update = engine.EndpointUpdate{Kind: balancer.ListFailed}
 	}
-	in.run.events.push(in.run.now+pollDelay, watchEventArrives, 0, x)
+	in.run.events.push(in.run.now+pollDelay, watchEventArrives, 0, event)
 }
 
 // resume sends what was held back while discovery was silent.
-func (t *discoveryService) resume() {
-	t.silent = false
-	for _, x := range t.heldBack {
-		if x.incarnation == x.instance.incarnation {
-			t.send(x)
+func (d *discoveryService) resume() {
+	d.silent = false
+	for _, event := range d.withheldEvents {
+		if event.incarnation == event.instance.incarnation {
+			d.send(event)
 		}
 	}
-	t.heldBack = nil
-	for _, in := range t.run.instances { // those that started meanwhile have no list
+	d.withheldEvents = nil
+	for _, in := range d.run.instances { // those that started meanwhile have no list
 		if !in.down && !in.hasEndpointList {
-			t.send(&watchEvent{instance: in, incarnation: in.incarnation, update: t.snapshot(in)})
+			d.send(&watchEvent{instance: in, incarnation: in.incarnation, update: d.snapshot(in)})
 		}
 	}
 }
--- a/internal/simulation/endpoint.go
+++ b/internal/simulation/endpoint.go
@@ -18,19 +18,24 @@
 	executions  int64
 	maxInFlight int
 
-	arrivals []int64 // requests by bin of time
-	draining bool    // it stops once it has no request in flight
-	pauses   uint64  // pauses so far
+	arrivalsByBin []int64 // requests by bin of time
+	draining      bool    // it stops once it has no request in flight
+	pauseCount    uint64  // pauses so far
 }
 
 // maxEndpointsWithArrivals is the largest number of endpoints for which arrivals are counted by time.
 const maxEndpointsWithArrivals = 100
 
-func newEndpoint(r *run, n int) *endpoint {
-	p := &r.plan.Endpoints[n]
-	e := &endpoint{run: r, index: n, model: simendpoint.New(p.Config, r.discovery.dedupGroup(p.Cell)), incarnation: 1}
-	e.model.Start(0, !p.StartsWithRun)
-	if p.PauseEvery > 0 && p.PauseFor > 0 {
+func newEndpoint(r *run, index int) *endpoint {
+	planned := &r.plan.Endpoints[index]
+	e := &endpoint{
+		run:         r,
+		index:       index,
+		model:       simendpoint.New(planned.Config, r.discovery.dedupGroup(planned.Cell)),
+		incarnation: 1,
+	}
+	e.model.Start(0, !planned.StartsWithRun)
+	if planned.PauseEvery > 0 && planned.PauseFor > 0 {
 		e.schedulePause()
 	}
 	return e
@@ -39,29 +44,29 @@
 func (e *endpoint) zone() int { return e.run.plan.Endpoints[e.index].Zone }
 
 // arrive gives a request to the endpoint's model.
-func (e *endpoint) arrive(j *simendpoint.Job) simendpoint.Verdict {
+func (e *endpoint) arrive(job *simendpoint.Job) simendpoint.Verdict {
 	e.advance()
 	collapsedBefore := e.model.Collapsed()
-	v := e.model.Arrive(e.run.now, j)
+	verdict := e.model.Arrive(e.run.now, job)
 	if len(e.run.endpoints) <= maxEndpointsWithArrivals {
-		at := int(e.run.now / e.run.meter.BinWidth())
-		for len(e.arrivals) <= at {
-			e.arrivals = append(e.arrivals, 0)
+		bin := int(e.run.now / e.run.meter.BinWidth())
+		for len(e.arrivalsByBin) <= bin {
+			e.arrivalsByBin = append(e.arrivalsByBin, 0)
 		}
-		e.arrivals[at]++
+		e.arrivalsByBin[bin]++
 	}
 	if !collapsedBefore && e.model.Collapsed() {
 		e.run.meter.Costs.Collapses++
 	}
 	e.maxInFlight = max(e.maxInFlight, e.model.InFlight())
 	e.scheduleWakeup()
-	return v
+	return verdict
 }
 
 // advance handles the jobs that have ended by now.
 func (e *endpoint) advance() {
-	for _, x := range e.model.Advance(e.run.now) {
-		e.jobEnded(x)
+	for _, completion := range e.model.Advance(e.run.now) {
+		e.jobEnded(completion)
 	}
 }
 
@@ -86,33 +91,33 @@
 }
 
 // jobEnded counts a finished job and sends its reply.
-func (e *endpoint) jobEnded(x simendpoint.Completion) {
-	s := x.Job.HostData.(*attempt)
-	m := &e.run.meter.Costs
-	m.ExecutedWork += float64(x.Job.Work)
+func (e *endpoint) jobEnded(completion simendpoint.Completion) {
+	a := completion.Job.HostData.(*attempt)
+	costs := &e.run.meter.Costs
+	costs.ExecutedWork += float64(completion.Job.Work)
 	e.executions++
-	op := s.request.operation
+	op := a.request.operation
 	op.Executions++
-	s.held = false
-	if x.Effect {
+	a.atEndpoint = false
+	if completion.Effect {
 		op.Effects++
-		s.request.effects++
+		a.request.effects++
 		if op.class.Idempotency != balancer.Idempotent && op.Effects > 1 {
-			if s.request.effects > 1 {
-				m.DuplicateEffects++
+			if a.request.effects > 1 {
+				costs.DuplicateEffects++
 			} else {
-				m.ClientDuplicateEffects++
+				costs.ClientDuplicateEffects++
 			}
 		}
 	}
-	if e.unreachable || s.phase == aborted {
+	if e.unreachable || a.phase == phaseAborted {
 		return
 	}
-	switch x.Verdict {
+	switch completion.Verdict {
 	case simendpoint.Completed, simendpoint.Duplicate:
-		s.reply(balancer.OK)
+		a.reply(balancer.OK)
 	case simendpoint.Failed:
-		s.reply(balancer.Error)
+		a.reply(balancer.Error)
 	}
 }
 
@@ -129,23 +134,23 @@
 		return
 	}
 	e.advance()
-	held := e.model.Kill(e.run.now)
+	killedJobs := e.model.Kill(e.run.now)
 	e.incarnation++
 	e.draining = false
 	e.unreachable = silent
-	for _, j := range held {
-		s := j.HostData.(*attempt)
-		s.held = false
-		if !silent && s.phase == sent {
-			s.reply(balancer.Reset)
+	for _, job := range killedJobs {
+		a := job.HostData.(*attempt)
+		a.atEndpoint = false
+		if !silent && a.phase == phaseSent {
+			a.reply(balancer.Reset)
 		}
 	}
 	if silent {
 		return
 	}
 	for _, in := range e.run.instances { // idle connections are seen to be closed
-		in.upstreamConns -= len(in.idleUpstream[e.index])
-		delete(in.idleUpstream, e.index)
+		in.upstreamConns -= len(in.idleUpstreamConns[e.index])
+		delete(in.idleUpstreamConns, e.index)
 	}
 }
 
@@ -155,8 +160,8 @@
 	e.run.discovery.endpointChanged(e.index, balancer.Gone, false)
 }
 
-// start starts the process, which warms up. With alwaysUp it is warm at once.
-func (e *endpoint) start(alwaysUp bool) {
+// start starts the process, which warms up. With warm it is warm at once.
+func (e *endpoint) start(warm bool) {
 	if e.model.Up() {
 		if !e.draining {
 			return
@@ -166,7 +171,7 @@
 	e.incarnation++
 	e.unreachable = false
 	e.draining = false
-	e.model.Start(e.run.now, alwaysUp)
+	e.model.Start(e.run.now, warm)
 	e.run.discovery.endpointChanged(e.index, balancer.Ready, false)
 }
 
@@ -185,19 +190,19 @@
 
 // schedulePause schedules the next pause of the process.
 func (e *endpoint) schedulePause() {
-	p := &e.run.plan.Endpoints[e.index]
-	e.pauses++
-	r := randstream.New(e.run.plan.Seed, "pauses").For(uint64(e.index), e.pauses)
-	e.run.events.push(e.run.now+1+monotime.Micros(r.ExpFloat64()*float64(p.PauseEvery)), endpointPauses,
+	planned := &e.run.plan.Endpoints[e.index]
+	e.pauseCount++
+	random := randstream.New(e.run.plan.Seed, "pauses").For(uint64(e.index), e.pauseCount)
+	e.run.events.push(e.run.now+1+monotime.Micros(random.ExpFloat64()*float64(planned.PauseEvery)), endpointPauses,
 		uint32(e.index), nil)
 }
 
 func (e *endpoint) pause() {
-	p := &e.run.plan.Endpoints[e.index]
-	r := randstream.New(e.run.plan.Seed, "pauses").For(uint64(e.index), e.pauses, 1)
+	planned := &e.run.plan.Endpoints[e.index]
+	random := randstream.New(e.run.plan.Seed, "pauses").For(uint64(e.index), e.pauseCount, 1)
 	e.advance()
 	if e.model.Up() {
-		e.model.Pause(e.run.now, monotime.Micros(r.ExpFloat64()*float64(p.PauseFor)))
+		e.model.Pause(e.run.now, monotime.Micros(random.ExpFloat64()*float64(planned.PauseFor)))
 	}
 	if e.run.now < e.run.plan.Length.Micros() {
 		e.schedulePause()
--- a/internal/simulation/eventqueue.go
+++ b/internal/simulation/eventqueue.go
@@ -5,35 +5,35 @@
 // event happens at an instant. Events of the same instant are handled in the order in which they were pushed. The
 // meaning of index and target depends on the kind.
 type event struct {
-	at     monotime.Micros
-	order  uint64
-	kind   eventKind
-	index  uint32
-	target any
+	at       monotime.Micros
+	sequence uint64
+	kind     eventKind
+	index    uint32
+	target   any
 }
 
 // eventQueue holds the coming events in a 4-ary heap, which touches less memory than a binary one (Larkin, Sen, Tarjan:
 // "A back-to-basics empirical study of priority queues", 2014).
 type eventQueue struct {
-	heap  []event
-	order uint64
+	heap         []event
+	lastSequence uint64
 }
 
-// heapArity is the number of children of a heap node.
-const heapArity = 4
+// childrenPerNode is the number of children of a heap node.
+const childrenPerNode = 4
 
 func (q *eventQueue) len() int { return len(q.heap) }
 
-func before(a, b *event) bool { return a.at < b.at || a.at == b.at && a.order < b.order }
+func before(a, b *event) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence }
 
 // push adds an event.
 func (q *eventQueue) push(at monotime.Micros, kind eventKind, index uint32, target any) {
-	q.order++
+	q.lastSequence++
 	q.heap = append(q.heap, event{})
 	i := len(q.heap) - 1
-	e := event{at, q.order, kind, index, target}
+	e := event{at, q.lastSequence, kind, index, target}
 	for i > 0 {
-		parent := (i - 1) / heapArity
+		parent := (i - 1) / childrenPerNode
 		if !before(&e, &q.heap[parent]) {
 			break
 		}
@@ -55,18 +55,18 @@
 	}
 	i := 0
 	for {
-		least := -1
-		from := heapArity*i + 1
-		for c := from; c < min(from+heapArity, last); c++ {
-			if least < 0 || before(&q.heap[c], &q.heap[least]) {
-				least = c
+		smallest := -1
+		firstChild := childrenPerNode*i + 1
+		for child := firstChild; child < min(firstChild+childrenPerNode, last); child++ {
+			if smallest < 0 || before(&q.heap[child], &q.heap[smallest]) {
+				smallest = child
 			}
 		}
-		if least < 0 || !before(&q.heap[least], &e) {
+		if smallest < 0 || !before(&q.heap[smallest], &e) {
 			break
 		}
-		q.heap[i] = q.heap[least]
-		i = least
+		q.heap[i] = q.heap[smallest]
+		i = smallest
 	}
 	q.heap[i] = e
 	return first
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -45,10 +45,10 @@
 )
 
 // play handles events until all operations have ended, or maxDrainTime is over.
-func (r *run) play(ctx context.Context) error {
+func (r *run) handleEvents(ctx context.Context) error {
 	end := r.plan.Length.Micros()
-	for n := 0; r.events.len() > 0; n++ {
-		if n&0xfff == 0 {
+	for handled := 0; r.events.len() > 0; handled++ {
+		if handled&0xfff == 0 {
 			if ctx.Err() != nil {
 				return context.Cause(ctx)
 			}
@@ -162,8 +162,9 @@
 	case fleetMessageArrives:
 		e.target.(*fleetMessage).arrive()
 	case clientGoneNoticed:
-		if t := e.target.(*clientRequest); t.incarnation == t.instance.incarnation && !t.instance.down {
-			t.instance.clientGone(t)
+		if request := e.target.(*clientRequest); request.incarnation == request.instance.incarnation &&
+			!request.instance.down {
+			request.instance.clientGone(request)
 		}
 	}
 }
--- a/internal/simulation/fleetmessages.go
+++ b/internal/simulation/fleetmessages.go
@@ -12,13 +12,13 @@
 // This file carries the messages between instances.
 
 // instanceName is an instance's name among the fleet, as configuration files name lease candidates.
-func instanceName(n int) string { return fmt.Sprint("instance-", n) }
+func instanceName(index int) string { return fmt.Sprint("instance-", index) }
 
 // QuotaCandidates returns the lease candidates of a run of so many instances, out of those that a file names. Their
 // number is odd.
 func QuotaCandidates(names []string, instances int) []string {
-	n := min(len(names), instances)
-	return names[:max(0, n-1+n%2)]
+	usable := min(len(names), instances)
+	return names[:max(0, usable-1+usable%2)]
 }
 
 // fleetMessage is on its way from one instance to another.
@@ -33,67 +33,68 @@
 	if in.run.settings.Coordination == nil {
 		return nil
 	}
-	t := *in.run.settings.Coordination
-	t.Settings.Candidates = QuotaCandidates(t.Settings.Candidates, len(in.run.plan.Instances))
-	t.Settings.Self = instanceName(in.index)
-	t.Settings.Seed = in.seed + uint64(in.incarnation)
-	t.Settings.Quota.MaxInstances = len(in.run.plan.Instances)
+	config := *in.run.settings.Coordination
+	config.Settings.Candidates = QuotaCandidates(config.Settings.Candidates, len(in.run.plan.Instances))
+	config.Settings.Self = instanceName(in.index)
+	config.Settings.Seed = in.seed + uint64(in.incarnation)
+	config.Settings.Quota.MaxInstances = len(in.run.plan.Instances)
 	incarnation := uint64(in.incarnation) << 8 // a process takes part several times, each as another incarnation
-	t.NextIncarnation = func() uint64 {
+	config.NextIncarnation = func() uint64 {
 		incarnation++
 		return incarnation
 	}
-	t.Send = in.sendFleetMessage
-	return in.engine.JoinFleet(t)
+	config.Send = in.sendFleetMessage
+	return in.engine.JoinFleet(config)
 }
 
 // sendFleetMessage sends a message to another instance. A message of a process that is now frozen was sent before that,
 // and is delivered.
-func (in *instance) sendFleetMessage(to string, w coordination.Message) {
+func (in *instance) sendFleetMessage(to string, message coordination.Message) {
 	r := in.run
-	text, ok := strings.CutPrefix(to, "instance-")
-	n, err := strconv.Atoi(text)
-	if !ok || err != nil || n < 0 || n >= len(r.instances) {
+	indexText, ok := strings.CutPrefix(to, "instance-")
+	index, err := strconv.Atoi(indexText)
+	if !ok || err != nil || index < 0 || index >= len(r.instances) {
 		return // this run has no such instance
 	}
-	misreports := w.Request != nil && in.index == len(r.instances)-1
-	if factor := r.plan.DemandOverstatement(r.now); misreports && factor != 1 {
-		for i := range w.Request.Demands {
-			w.Request.Demands[i].Requested *= factor
-			w.Request.Demands[i].Contributed *= factor
+	overstates := message.Request != nil && in.index == len(r.instances)-1
+	if factor := r.plan.DemandOverstatement(r.now); overstates && factor != 1 {
+		for demand := range message.Request.Demands {
+			message.Request.Demands[demand].Requested *= factor
+			message.Request.Demands[demand].Contributed *= factor
 		}
 	}
-	r.fleetMessages++
+	r.fleetMessageCount++
 	r.meter.Costs.FleetMessages++
-	random := r.faultRand.For(^r.fleetMessages, uint64(in.index))
+	random := r.faultRand.For(^r.fleetMessageCount, uint64(in.index))
 	draws := [3]float64{random.Float64(), random.Float64(), random.Float64()}
-	more, twice := r.plan.MessageDelay(r.now, in.index, draws)
-	at := r.now + r.network.endpointDelay(in.zone, r.plan.Instances[n].Zone, r.fleetMessages, uint64(in.index), 9)
-	out := &fleetMessage{in, r.instances[n], r.instances[n].incarnation, w}
-	r.events.push(at+more, fleetMessageArrives, 0, out)
-	if twice {
-		r.events.push(at+monotime.Micros(random.Float64()*float64(more)), fleetMessageArrives, 0, out)
+	extraDelay, duplicated := r.plan.MessageDelay(r.now, in.index, draws)
+	arrivesAt := r.now + r.network.endpointDelay(in.zone, r.plan.Instances[index].Zone,
+		r.fleetMessageCount, uint64(in.index), 9)
+	delivery := &fleetMessage{in, r.instances[index], r.instances[index].incarnation, message}
+	r.events.push(arrivesAt+extraDelay, fleetMessageArrives, 0, delivery)
+	if duplicated {
+		r.events.push(arrivesAt+monotime.Micros(random.Float64()*float64(extraDelay)), fleetMessageArrives, 0, delivery)
 	}
 }
 
 // upgrade replaces the instance's process by a hot restart. Only fleet coordination is simulated: its state is handed
 // over and restored.
-func (in *instance) upgrade() {
+func (in *instance) hotRestart() {
 	now := in.localTime()
-	if s := in.engine.HandOverCoordination(now); s != nil {
-		in.engine.RestoreCoordination(now, 0, s)
+	if state := in.engine.HandOverCoordination(now); state != nil {
+		in.engine.RestoreCoordination(now, 0, state)
 	}
 	in.advanceEngine()
 }
 
 // arrive delivers a message, unless the network is partitioned or the recipient has restarted.
-func (w *fleetMessage) arrive() {
-	to := w.to
-	r := w.to.run
-	if to.down || to.incarnation != w.incarnation || r.plan.Partitioned(r.now, w.from.index, to.index) ||
-		r.network.zonesCut(w.from.zone, to.zone) {
+func (m *fleetMessage) arrive() {
+	to := m.to
+	r := m.to.run
+	if to.down || to.incarnation != m.incarnation || r.plan.Partitioned(r.now, m.from.index, to.index) ||
+		r.network.zonesPartitioned(m.from.zone, to.zone) {
 		return
 	}
-	to.engine.ReceiveFleetMessage(to.localTime(), instanceName(w.from.index), w.message)
+	to.engine.ReceiveFleetMessage(to.localTime(), instanceName(m.from.index), m.message)
 	to.advanceEngine()
 }
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -24,74 +24,77 @@
 }
 
 // StartAttempt sends an attempt to its endpoint.
-func (in *instance) StartAttempt(a *engine.Attempt) { newAttempt(in, a).start() }
+func (in *instance) StartAttempt(engineAttempt *engine.Attempt) {
+	newAttempt(in, engineAttempt).start()
+}
 
 // CancelUnsent cancels an attempt that was not sent yet, and reports whether it could.
-func (in *instance) CancelUnsent(a *engine.Attempt) bool {
-	s, ok := a.HostData.(*attempt)
-	return !ok || s.cancelUnsent()
+func (in *instance) CancelUnsent(engineAttempt *engine.Attempt) bool {
+	a, ok := engineAttempt.HostData.(*attempt)
+	return !ok || a.cancelUnsent()
 }
 
 // AbortAttempt ends an attempt.
-func (in *instance) AbortAttempt(a *engine.Attempt) {
-	if s, ok := a.HostData.(*attempt); ok {
-		s.abort()
+func (in *instance) AbortAttempt(engineAttempt *engine.Attempt) {
+	if a, ok := engineAttempt.HostData.(*attempt); ok {
+		a.abort()
 	}
 }
 
 // AttemptTimedOut closes the endpoint's idle connections that were last used before the attempt started.
-func (in *instance) AttemptTimedOut(a *engine.Attempt) {
-	s, ok := a.HostData.(*attempt)
+func (in *instance) AttemptTimedOut(engineAttempt *engine.Attempt) {
+	a, ok := engineAttempt.HostData.(*attempt)
 	if !ok {
 		return
 	}
-	idle := in.idleUpstream[s.endpoint.index]
+	idle := in.idleUpstreamConns[a.endpoint.index]
 	remaining := idle[:0]
 	for _, conn := range idle {
-		if conn.idleSince >= s.startedAt {
+		if conn.idleSince >= a.startedAt {
 			remaining = append(remaining, conn)
 			continue
 		}
 		in.upstreamConns--
-		s.endpoint.disconnect(conn.endpointIncarnation)
+		a.endpoint.disconnect(conn.endpointIncarnation)
 	}
-	in.idleUpstream[s.endpoint.index] = remaining
+	in.idleUpstreamConns[a.endpoint.index] = remaining
 }
 
 // StartProbe sends a health check to an endpoint, which replies with its load report.
 func (in *instance) StartProbe(p *engine.Pool, e *engine.Endpoint) { newProbe(in, e) }
 
 // Respond sends the response to the client.
-func (in *instance) Respond(c *engine.Call, a engine.Response) {
-	t := c.HostData.(*clientRequest)
+func (in *instance) Respond(call *engine.Call, response engine.Response) {
+	request := call.HostData.(*clientRequest)
 	r := in.run
-	t.response = a
-	t.responded = true
-	in.removeInFlight(t)
-	in.recordRequest(t, false)
-	if t.conn != nil {
-		if closed := in.connTable.MarkIdle(in.localTime(), t.conn); closed != nil {
+	request.response = response
+	request.responded = true
+	in.removeInFlight(request)
+	in.recordRequest(request, false)
+	if request.conn != nil {
+		if closed := in.connTable.MarkIdle(in.localTime(), request.conn); closed != nil {
 			in.forgetIdleClientConn(closed)
 		}
-		p := t.conn.Value.process
-		in.idleClientConns[p] = append(in.idleClientConns[p], t.conn)
-		t.conn = nil
+		process := request.conn.Value.process
+		in.idleClientConns[process] = append(in.idleClientConns[process], request.conn)
+		request.conn = nil
 	}
-	r.events.push(r.now+r.network.clientDelay(t.operation.ID, t.Number, true)+in.overhead(), responseAtClient, 0, t)
+	r.events.push(r.now+r.network.clientDelay(request.operation.ID, request.Number, true)+in.overhead(),
+		responseAtClient, 0, request)
 }
 
 // EndpointReady does nothing: no hot restart waits for it in a simulation.
 func (in *instance) EndpointReady() {}
 
 // Log passes a log line on to Options.Log.
-func (in *instance) Log(line string, args ...any) {
+func (in *instance) Log(message string, args ...any) {
 	if in.run.options.Log != nil {
-		in.run.options.Log(in.run.now, in.index, fmt.Sprint(append([]any{line}, args...)...))
+		in.run.options.Log(in.run.now, in.index, fmt.Sprint(append([]any{message}, args...)...))
 	}
 }
 
 // Warn does the same as Log.
-func (in *instance) Warn(line string, args ...any) { in.Log(line, args...) }
+func (in *instance) Warn(message string, args ...any) { in.Log(message, args...) }
 
 // overhead is the time that a request spends in the process before its attempts, and again after them.
 func (in *instance) overhead() monotime.Micros { return in.run.plan.Host.Overhead.Micros() / 2 }
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -26,7 +26,7 @@
 	stalled         bool            // it was stopped, and the engine has not been notified of it
 	stalledFrom     monotime.Micros // the instance's instant at which it was stopped
 	discoveryBlocks int             // causes that block discovery's events
-	heldEvents      []*watchEvent   // events that arrived while blocked
+	blockedEvents   []*watchEvent   // events that arrived while blocked
 
 	engine   *engine.Engine
 	pool     *engine.Pool
@@ -35,20 +35,20 @@
 	wakeupAt monotime.Micros // instant of the scheduled wake-up; 0 is none
 	seed     uint64
 
-	connTable       *connlimit.Table[*clientConn]
-	owners          []*connlimit.Owner[*clientConn]
-	idleClientConns [][]*connlimit.Conn[*clientConn] // by client process, the latest used last
-	idleUpstream    map[int][]idleConn               // connections to endpoints without an open request
-	upstreamConns   int                              // open connections to endpoints
-	maxIdleUpstream float64                          // idle connections that may be kept; 0 is no bound
-
-	inFlight         []*clientRequest // accepted, without a response
-	hasEndpointList  bool             // it has received an endpoint list
-	operations       func() (simclient.Operation, bool)
-	nextOperation    simclient.Operation
-	probes           uint64
-	leavingSince     map[int]monotime.Micros // by endpoint known to be draining or gone: when it became known
-	lastWatchEventAt monotime.Micros         // when the latest watch event arrives
+	connTable            *connlimit.Table[*clientConn]
+	connOwners           []*connlimit.Owner[*clientConn]
+	idleClientConns      [][]*connlimit.Conn[*clientConn] // by client process, the latest used last
+	idleUpstreamConns    map[int][]idleConn               // connections to endpoints without an open request
+	upstreamConns        int                              // open connections to endpoints
+	maxIdleUpstreamConns float64                          // idle connections that may be kept; 0 is no bound
+
+	inFlight             []*clientRequest // accepted, without a response
+	hasEndpointList      bool             // it has received an endpoint list
+	takePlannedOperation func() (simclient.Operation, bool)
+	nextOperation        simclient.Operation
+	probeCount           uint64
+	leavingSince         map[int]monotime.Micros // by endpoint known to be draining or gone: when it became known
+	lastWatchEventAt     monotime.Micros         // when the latest watch event arrives
 }
 
 // clientConn is a client's connection.
@@ -60,22 +60,23 @@
 	idleSince           monotime.Micros
 }
 
-func newInstance(r *run, n int) (*instance, error) {
-	p := &r.plan.Instances[n]
+func newInstance(r *run, index int) (*instance, error) {
+	planned := &r.plan.Instances[index]
 	in := &instance{
 		run:   r,
-		index: n,
-		zone:  p.Zone,
+		index: index,
+		zone:  planned.Zone,
 		site:  r.settings.Site,
 		down:  true,
-		seed:  randstream.New(r.plan.Seed, "decisions").For(uint64(n), r.settings.DecisionSeed).Uint64(),
+		seed:  randstream.New(r.plan.Seed, "decisions").For(uint64(index), r.settings.DecisionSeed).Uint64(),
 	}
-	s := &in.site.Settings
-	s.Balancers = len(r.plan.Instances)
-	s.Position = n
-	s.Zone = zoneIndex(in.site.Zones, r.plan.Fleet.Zones[p.Zone])
-	if s.Zone < 0 {
-		return nil, fmt.Errorf("the scenario's zone %q is none of the settings' zones", r.plan.Fleet.Zones[p.Zone])
+	settings := &in.site.Settings
+	settings.Balancers = len(r.plan.Instances)
+	settings.Position = index
+	settings.Zone = zoneIndex(in.site.Zones, r.plan.Fleet.Zones[planned.Zone])
+	if settings.Zone < 0 {
+		return nil, fmt.Errorf("the scenario's zone %q is none of the settings' zones",
+			r.plan.Fleet.Zones[planned.Zone])
 	}
 	if err := in.create(); err != nil {
 		return nil, err
@@ -84,8 +85,8 @@
 }
 
 func zoneIndex(names []string, name string) int {
-	for i, n := range names {
-		if n == name {
+	for i, zone := range names {
+		if zone == name {
 			return i
 		}
 	}
@@ -106,23 +107,23 @@
 		return err
 	}
 	var err error
-	var part *subset.Settings
+	var subsetSettings *subset.Settings
 	if r.settings.Subset != nil {
-		own := *r.settings.Subset
-		own.Position = uint64(in.index)
-		own.Instances = len(r.plan.Instances)
-		part = &own
+		instanceSettings := *r.settings.Subset
+		instanceSettings.Position = uint64(in.index)
+		instanceSettings.Instances = len(r.plan.Instances)
+		subsetSettings = &instanceSettings
 	}
-	var over *overload.Settings
+	var overloadSettings *overload.Settings
 	if r.settings.Overload != nil {
-		own := *r.settings.Overload
-		own.Instances = len(r.plan.Instances)
-		over = &own
+		instanceSettings := *r.settings.Overload
+		instanceSettings.Instances = len(r.plan.Instances)
+		overloadSettings = &instanceSettings
 	}
 	in.pool, err = in.engine.NewPool(engine.PoolConfig{
-		Subset:            part,
-		Overload:          over,
-		OnIdleConnections: func(n float64) { in.maxIdleUpstream = n },
+		Subset:            subsetSettings,
+		Overload:          overloadSettings,
+		OnIdleConnections: func(n float64) { in.maxIdleUpstreamConns = n },
 		RetryRatio:        r.settings.RetryBudget,
 		InitialEndpoints:  engine.EndpointUpdate{Generation: -1},
 		SetWatch:          in.setWatch,
@@ -138,7 +139,7 @@
 	}
 	in.inFlight = nil
 	in.hasEndpointList = false
-	in.idleUpstream = map[int][]idleConn{}
+	in.idleUpstreamConns = map[int][]idleConn{}
 	in.upstreamConns = 0
 	in.leavingSince = map[int]monotime.Micros{}
 	return nil
@@ -148,17 +149,17 @@
 func (in *instance) createClients() error {
 	r := in.run
 	in.clients = nil
-	in.owners = nil
+	in.connOwners = nil
 	in.idleClientConns = nil
-	for i := range r.plan.Clients.Processes {
+	for process := range r.plan.Clients.Processes {
 		spec := r.settings.Client
-		spec.Name = fmt.Sprint(i)
-		c, err := engine.NewClient(spec)
+		spec.Name = fmt.Sprint(process)
+		client, err := engine.NewClient(spec)
 		if err != nil {
 			return err
 		}
-		in.clients = append(in.clients, c)
-		in.owners = append(in.owners, in.connTable.NewOwner(spec.Weight, math.MaxInt, 0))
+		in.clients = append(in.clients, client)
+		in.connOwners = append(in.connOwners, in.connTable.NewOwner(spec.Weight, math.MaxInt, 0))
 		in.idleClientConns = append(in.idleClientConns, nil)
 	}
 	return nil
@@ -175,7 +176,7 @@
 	in.wakeupAt = 0
 	in.frozenUntil = 0
 	in.stalled = false
-	in.heldEvents = nil
+	in.blockedEvents = nil
 	in.pool.Start(in.localTime())
 	in.engine.StartCoordination(in.localTime())
 	if first || !in.run.discovery.silent && in.discoveryBlocks == 0 {
@@ -198,14 +199,14 @@
 func (in *instance) localTime() monotime.Micros { return in.clockAt(in.run.now) }
 
 func (in *instance) clockAt(at monotime.Micros) monotime.Micros {
-	p := &in.run.plan.Instances[in.index]
-	return clockOrigin + p.Skew + at + monotime.Micros(p.Drift*float64(at))
+	planned := &in.run.plan.Instances[in.index]
+	return clockOrigin + planned.Skew + at + monotime.Micros(planned.Drift*float64(at))
 }
 
-// worldTime is the earliest simulated time at which the instance's clock has reached an instant.
-func (in *instance) worldTime(local monotime.Micros) monotime.Micros {
-	p := &in.run.plan.Instances[in.index]
-	at := monotime.Micros(float64(local-clockOrigin-p.Skew) / (1 + p.Drift))
+// simulatedTime is the earliest simulated time at which the instance's clock has reached an instant.
+func (in *instance) simulatedTime(local monotime.Micros) monotime.Micros {
+	planned := &in.run.plan.Instances[in.index]
+	at := monotime.Micros(float64(local-clockOrigin-planned.Skew) / (1 + planned.Drift))
 	for in.clockAt(at) < local {
 		at++
 	}
@@ -220,7 +221,7 @@
 			return
 		}
 		if at > in.localTime() {
-			if due := in.worldTime(at); in.wakeupAt == 0 || due < in.wakeupAt {
+			if due := in.simulatedTime(at); in.wakeupAt == 0 || due < in.wakeupAt {
 				in.wakeupAt = due
 				in.run.events.push(due, instanceWakeup, in.incarnation, in)
 			}
--- a/internal/simulation/plannedevents.go
+++ b/internal/simulation/plannedevents.go
@@ -11,122 +11,123 @@
 
 // scheduleEvents schedules the plan's events.
 func (r *run) scheduleEvents() {
-	for i := range r.plan.PlannedEvents {
-		h := &r.plan.PlannedEvents[i]
-		r.events.push(h.At, plannedEventStarts, uint32(i), nil)
-		if h.Until < math.MaxInt64 && h.What != scenario.EventRollingRestart && h.What != scenario.EventPause {
-			r.events.push(h.Until, plannedEventEnds, uint32(i), nil)
+	for eventIndex := range r.plan.PlannedEvents {
+		planned := &r.plan.PlannedEvents[eventIndex]
+		r.events.push(planned.At, plannedEventStarts, uint32(eventIndex), nil)
+		if planned.Until < math.MaxInt64 && planned.What != scenario.EventRollingRestart &&
+			planned.What != scenario.EventPause {
+			r.events.push(planned.Until, plannedEventEnds, uint32(eventIndex), nil)
 		}
 	}
 }
 
 // updateCondition sets an endpoint's condition by all planned events that are active.
-func (r *run) updateCondition(n int) {
-	var c simendpoint.Condition
-	for i := range r.plan.PlannedEvents {
-		h := &r.plan.PlannedEvents[i]
-		if r.now < h.At || r.now >= h.Until {
+func (r *run) updateCondition(index int) {
+	var condition simendpoint.Condition
+	for eventIndex := range r.plan.PlannedEvents {
+		planned := &r.plan.PlannedEvents[eventIndex]
+		if r.now < planned.At || r.now >= planned.Until {
 			continue
 		}
-		for j, at := range h.Endpoints {
-			if at == n {
-				h.AddCondition(&c, r.now, j, r.criteriaClass)
+		for position, endpointIndex := range planned.Endpoints {
+			if endpointIndex == index {
+				planned.AddCondition(&condition, r.now, position, r.criteriaClassOf)
 			}
 		}
 	}
-	e := r.endpoints[n]
+	e := r.endpoints[index]
 	e.advance()
-	e.model.SetCondition(c)
+	e.model.SetCondition(condition)
 	e.scheduleWakeup()
 }
 
 // startEvent starts a planned event.
-func (r *run) startEvent(i int) {
-	h := &r.plan.PlannedEvents[i]
-	switch h.What {
+func (r *run) startEvent(eventIndex int) {
+	planned := &r.plan.PlannedEvents[eventIndex]
+	switch planned.What {
 	case scenario.EventSlow, scenario.EventErrors, scenario.EventUnanswered, scenario.EventRejecting,
 		scenario.EventFalseReports, scenario.EventInvalidReports, scenario.EventLateReports:
-		for _, n := range h.Endpoints {
-			r.updateCondition(n)
+		for _, index := range planned.Endpoints {
+			r.updateCondition(index)
 		}
 	case scenario.EventNeighbour:
-		r.stepEvent(i, 0)
+		r.stepEvent(eventIndex, 0)
 	case scenario.EventPause:
-		for _, n := range h.Endpoints {
-			e := r.endpoints[n]
+		for _, index := range planned.Endpoints {
+			e := r.endpoints[index]
 			e.advance()
-			e.model.Pause(r.now, h.Until-h.At)
+			e.model.Pause(r.now, planned.Until-planned.At)
 		}
 	case scenario.EventDrain:
-		for _, n := range h.Endpoints {
-			r.endpoints[n].drain()
+		for _, index := range planned.Endpoints {
+			r.endpoints[index].drain()
 		}
 	case scenario.EventKill:
-		for _, n := range h.Endpoints {
-			r.killEndpoint(n, false)
+		for _, index := range planned.Endpoints {
+			r.killEndpoint(index, false)
 		}
 	case scenario.EventMachineLost:
-		for _, n := range h.Endpoints {
-			r.killEndpoint(n, true)
+		for _, index := range planned.Endpoints {
+			r.killEndpoint(index, true)
 		}
 	case scenario.EventRollingRestart:
-		r.stepEvent(i, 0)
+		r.stepEvent(eventIndex, 0)
 	case scenario.EventZonePartition:
-		r.network.cuts = append(r.network.cuts, [2]int{h.Zone, h.To})
+		r.network.partitionedZones = append(r.network.partitionedZones, [2]int{planned.Zone, planned.To})
 	case scenario.EventDiscoveryDelay:
-		r.discovery.extraDelay += h.Delay
+		r.discovery.extraDelay += planned.Delay
 	case scenario.EventDiscoverySilent:
 		r.discovery.silent = true
 	case scenario.EventInstanceRestart:
-		r.restartInstances(h)
+		r.restartInstances(planned)
 	case scenario.EventTenantLimits:
-		r.scaleTenantLimits(h, h.Sizes[0])
+		r.scaleTenantLimits(planned, planned.Sizes[0])
 	case scenario.EventHotRestart:
-		for _, n := range h.Instances {
-			if in := r.instances[n]; !in.down {
-				in.upgrade()
+		for _, index := range planned.Instances {
+			if in := r.instances[index]; !in.down {
+				in.hotRestart()
 			}
 		}
 	case scenario.EventInstanceFreeze:
-		r.stepEvent(i, 0)
+		r.stepEvent(eventIndex, 0)
 	case scenario.EventWatchBlocked:
-		for _, n := range h.Instances {
-			r.instances[n].discoveryBlocks++
+		for _, index := range planned.Instances {
+			r.instances[index].discoveryBlocks++
 		}
 	case scenario.EventPathBlocked:
-		r.blockingEvents = append(r.blockingEvents, i)
+		r.pathBlockingEvents = append(r.pathBlockingEvents, eventIndex)
 	case scenario.EventPowerCut:
 		r.killAll()
 	}
 }
 
 // restartInstances kills the event's instances. Without an end of the event they start again after a second.
-func (r *run) restartInstances(h *scenario.PlannedEvent) {
-	for _, n := range h.Instances {
-		r.killInstance(r.instances[n])
-		if h.Until == math.MaxInt64 {
-			r.events.push(r.now+second, instanceRestarts, 0, r.instances[n])
+func (r *run) restartInstances(planned *scenario.PlannedEvent) {
+	for _, index := range planned.Instances {
+		r.killInstance(r.instances[index])
+		if planned.Until == math.MaxInt64 {
+			r.events.push(r.now+second, instanceRestarts, 0, r.instances[index])
 		}
 	}
 }
 
 // killAll kills all endpoints and instances, as a power cut does.
 func (r *run) killAll() {
-	for n := range r.endpoints {
-		r.killEndpoint(n, false)
+	for index := range r.endpoints {
+		r.killEndpoint(index, false)
 	}
 	for _, in := range r.instances {
 		r.killInstance(in)
 	}
 }
 
-func (r *run) killEndpoint(n int, silent bool) {
-	e := r.endpoints[n]
+func (r *run) killEndpoint(index int, silent bool) {
+	e := r.endpoints[index]
 	if !e.model.Up() {
 		return
 	}
 	e.kill(silent)
-	r.discovery.endpointChanged(n, balancer.Gone, silent)
+	r.discovery.endpointChanged(index, balancer.Gone, silent)
 }
 
 // killInstance kills an instance. The clients of its requests in flight see their connections reset.
@@ -134,61 +135,63 @@
 	if in.down {
 		return
 	}
-	for _, t := range in.inFlight {
+	for _, request := range in.inFlight {
 		r.meter.Costs.KilledInFlight++
-		r.events.push(r.now+r.network.clientDelay(t.operation.ID, t.Number, true), clientConnReset, 0, t)
+		r.events.push(r.now+r.network.clientDelay(request.operation.ID, request.Number, true),
+			clientConnReset, 0, request)
 	}
 	in.kill()
 }
 
 // scaleTenantLimits multiplies the tenants' limits at the event's instances.
-func (r *run) scaleTenantLimits(h *scenario.PlannedEvent, factor float64) {
+func (r *run) scaleTenantLimits(planned *scenario.PlannedEvent, factor float64) {
 	var limits []float64
 	for _, limit := range r.settings.Site.TenantLimits {
 		limits = append(limits, limit*factor)
 	}
-	for _, n := range h.Instances {
-		if in := r.instances[n]; !in.down {
+	for _, index := range planned.Instances {
+		if in := r.instances[index]; !in.down {
 			in.engine.SetTenantLimits(limits)
 		}
 	}
 }
 
 // endEvent ends a planned event.
-func (r *run) endEvent(i int) {
-	h := &r.plan.PlannedEvents[i]
-	switch h.What {
+func (r *run) endEvent(eventIndex int) {
+	planned := &r.plan.PlannedEvents[eventIndex]
+	switch planned.What {
 	case scenario.EventSlow, scenario.EventErrors, scenario.EventUnanswered, scenario.EventRejecting,
 		scenario.EventFalseReports, scenario.EventInvalidReports, scenario.EventLateReports, scenario.EventNeighbour:
-		for _, n := range h.Endpoints {
-			r.updateCondition(n)
+		for _, index := range planned.Endpoints {
+			r.updateCondition(index)
 		}
 	case scenario.EventDrain, scenario.EventKill, scenario.EventMachineLost:
-		for _, n := range h.Endpoints {
-			r.endpoints[n].start(false)
+		for _, index := range planned.Endpoints {
+			r.endpoints[index].start(false)
 		}
 	case scenario.EventZonePartition:
-		if j := slices.Index(r.network.cuts, [2]int{h.Zone, h.To}); j >= 0 {
-			r.network.cuts = slices.Delete(r.network.cuts, j, j+1)
+		if position := slices.Index(r.network.partitionedZones, [2]int{planned.Zone, planned.To}); position >= 0 {
+			r.network.partitionedZones = slices.Delete(r.network.partitionedZones, position, position+1)
 		}
 	case scenario.EventDiscoveryDelay:
-		r.discovery.extraDelay -= h.Delay
+		r.discovery.extraDelay -= planned.Delay
 	case scenario.EventDiscoverySilent:
 		r.discovery.resume()
 	case scenario.EventInstanceRestart:
-		for _, n := range h.Instances {
-			if in := r.instances[n]; in.down {
+		for _, index := range planned.Instances {
+			if in := r.instances[index]; in.down {
 				in.start(false)
 			}
 		}
 	case scenario.EventTenantLimits:
-		r.scaleTenantLimits(h, 1)
+		r.scaleTenantLimits(planned, 1)
 	case scenario.EventWatchBlocked:
-		for _, n := range h.Instances {
-			r.instances[n].resumeDiscovery()
+		for _, index := range planned.Instances {
+			r.instances[index].resumeDiscovery()
 		}
 	case scenario.EventPathBlocked:
-		r.blockingEvents = slices.DeleteFunc(r.blockingEvents, func(at int) bool { return at == i })
+		r.pathBlockingEvents = slices.DeleteFunc(r.pathBlockingEvents,
+			func(activeIndex int) bool { return activeIndex == eventIndex })
 	case scenario.EventPowerCut:
 		r.startAll()
 	}
@@ -207,36 +210,36 @@
 }
 
 // stepEvent goes on with an event of several steps: faults that come and go, or endpoints restarted one after another.
-func (r *run) stepEvent(i, at int) {
-	h := &r.plan.PlannedEvents[i]
-	if r.now >= h.Until {
+func (r *run) stepEvent(eventIndex, step int) {
+	planned := &r.plan.PlannedEvents[eventIndex]
+	if r.now >= planned.Until {
 		return
 	}
-	switch h.What {
+	switch planned.What {
 	case scenario.EventInstanceFreeze:
-		until, frozen := h.Frozen(r.now)
-		for _, n := range h.Instances {
+		until, frozen := planned.Frozen(r.now)
+		for _, index := range planned.Instances {
 			if frozen {
-				r.instances[n].freeze(until)
+				r.instances[index].freeze(until)
 			}
 		}
-		if h.Every > 0 {
-			r.events.push(r.now+h.Every, plannedEventSteps, uint32(i), at+1)
+		if planned.Every > 0 {
+			r.events.push(r.now+planned.Every, plannedEventSteps, uint32(eventIndex), step+1)
 		}
 	case scenario.EventNeighbour:
-		for _, n := range h.Endpoints {
-			r.updateCondition(n)
+		for _, index := range planned.Endpoints {
+			r.updateCondition(index)
 		}
-		if h.Every > 0 {
-			r.events.push(r.now+h.Every, plannedEventSteps, uint32(i), at+1)
+		if planned.Every > 0 {
+			r.events.push(r.now+planned.Every, plannedEventSteps, uint32(eventIndex), step+1)
 		}
 	case scenario.EventRollingRestart:
-		if at >= len(h.Endpoints) {
+		if step >= len(planned.Endpoints) {
 			return
 		}
 		// The endpoint has until the next step to drain, and starts again then.
-		r.endpoints[h.Endpoints[at]].drain()
-		r.events.push(r.now+h.Every, endpointStarts, uint32(h.Endpoints[at]), nil)
-		r.events.push(r.now+h.Every, plannedEventSteps, uint32(i), at+1)
+		r.endpoints[planned.Endpoints[step]].drain()
+		r.events.push(r.now+planned.Every, endpointStarts, uint32(planned.Endpoints[step]), nil)
+		r.events.push(r.now+planned.Every, plannedEventSteps, uint32(eventIndex), step+1)
 	}
 }
--- a/internal/simulation/probe.go
+++ b/internal/simulation/probe.go
@@ -23,16 +23,16 @@
 }
 
 // newProbe sends a probe to an endpoint.
-func newProbe(in *instance, e *engine.Endpoint) {
+func newProbe(in *instance, engineEndpoint *engine.Endpoint) {
 	r := in.run
-	in.probes++
+	in.probeCount++
 	p := &probe{
 		instance:       in,
-		engineEndpoint: e,
-		endpoint:       e.Target.(upstreamTarget).endpoint,
+		engineEndpoint: engineEndpoint,
+		endpoint:       engineEndpoint.Target.(upstreamTarget).endpoint,
 		pool:           in.pool,
 		incarnation:    in.incarnation,
-		number:         in.probes,
+		number:         in.probeCount,
 		sentAt:         in.localTime(),
 	}
 	if p.endpoint.unreachable || r.dialBlocked(in, p.endpoint) {
@@ -60,23 +60,23 @@
 		r.meter.RecordArrival(r.now, p.endpoint.index, measure.ProbeArrival)
 		r.meter.Costs.Probes++ // probes that reach an endpoint, as the endpoint counts them
 		load := p.endpoint.model.Probe(r.now, r.reportRand.For(uint64(p.instance.index), p.number))
-		for _, f := range p.instance.site.Settings.LoadMetrics {
-			var v float64
-			switch f {
+		for _, metric := range p.instance.site.Settings.LoadMetrics {
+			var value float64
+			switch metric {
 			case balancer.MetricInflight:
-				v = load.Inflight
+				value = load.Inflight
 			case balancer.MetricQueueLength:
-				v = load.Queue
+				value = load.Queue
 			case balancer.MetricUtilization:
-				v = load.Util
+				value = load.Util
 			case balancer.MetricLatency:
-				v = load.LatencyMS
+				value = load.LatencyMS
 			case balancer.MetricServedRate:
-				v = load.Served
+				value = load.Served
 			case balancer.MetricErrorRate:
-				v = load.Errors
+				value = load.Errors
 			}
-			p.reply.Load = append(p.reply.Load, float32(v))
+			p.reply.Load = append(p.reply.Load, float32(value))
 		}
 	}
 	r.events.push(r.now+p.delay(1)+p.instance.overhead(), probeReplied, 0, p)
--- a/internal/simulation/randstream/randstream.go
+++ b/internal/simulation/randstream/randstream.go
@@ -22,44 +22,46 @@
 
 // New returns a stream. It is for one caller at a time.
 func New(seed uint64, name string) *Stream {
-	var b [8]byte
-	binary.LittleEndian.PutUint64(b[:], seed)
-	d := xxhash.New()
-	d.Write(b[:])
-	d.WriteString(name)
+	var seedBytes [8]byte
+	binary.LittleEndian.PutUint64(seedBytes[:], seed)
+	digest := xxhash.New()
+	digest.Write(seedBytes[:])
+	digest.WriteString(name)
 	pcg := rand.NewPCG(0, 0)
-	return &Stream{key: d.Sum64(), pcg: pcg, rng: rand.New(pcg)}
+	return &Stream{key: digest.Sum64(), pcg: pcg, rng: rand.New(pcg)}
 }
 
 // For returns the draws for someone. They are good until the next call of For.
-func (s *Stream) For(who ...uint64) *rand.Rand {
-	var b [40]byte
-	binary.LittleEndian.PutUint64(b[:], s.key)
-	n := 8
-	for _, w := range who[:min(len(who), 4)] {
-		binary.LittleEndian.PutUint64(b[n:], w)
-		n += 8
+func (s *Stream) For(keys ...uint64) *rand.Rand {
+	var buffer [40]byte
+	binary.LittleEndian.PutUint64(buffer[:], s.key)
+	length := 8
+	for _, key := range keys[:min(len(keys), 4)] {
+		binary.LittleEndian.PutUint64(buffer[length:], key)
+		length += 8
 	}
-	s.pcg.Seed(s.key, xxhash.Sum64(b[:n]))
+	s.pcg.Seed(s.key, xxhash.Sum64(buffer[:length]))
 	return s.rng
 }
 
 // Source returns draws for someone that are good for as long as they are wanted.
-func (s *Stream) Source(who ...uint64) *rand.Rand {
-	var b [8]byte
-	s.For(who...)
-	binary.LittleEndian.PutUint64(b[:], s.rng.Uint64())
-	return rand.New(rand.NewPCG(s.key, xxhash.Sum64(b[:])))
+func (s *Stream) Source(keys ...uint64) *rand.Rand {
+	var seedBytes [8]byte
+	s.For(keys...)
+	binary.LittleEndian.PutUint64(seedBytes[:], s.rng.Uint64())
+	return rand.New(rand.NewPCG(s.key, xxhash.Sum64(seedBytes[:])))
 }
 
 // Range draws evenly from a range of two ends.
-func Range(r *rand.Rand, ends [2]float64) float64 { return ends[0] + (ends[1]-ends[0])*r.Float64() }
+func Range(random *rand.Rand, ends [2]float64) float64 {
+	return ends[0] + (ends[1]-ends[0])*random.Float64()
+}
 
 // LogNormal draws from a log-normal distribution by its mean and its coefficient of variation.
-func LogNormal(r *rand.Rand, mean, cv float64) float64 {
+func LogNormal(random *rand.Rand, mean, cv float64) float64 {
 	if cv <= 0 {
 		return mean
 	}
-	sigma2 := math.Log1p(cv * cv)
-	return mean * math.Exp(math.Sqrt(sigma2)*r.NormFloat64()-sigma2/2)
+	variance := math.Log1p(cv * cv)
+	return mean * math.Exp(math.Sqrt(variance)*random.NormFloat64()-variance/2)
 }
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -11,127 +11,127 @@
 )
 
 // submit gives the complete request to the instance's engine.
-func (t *clientRequest) submit() {
-	in := t.instance
-	r := t.operation.run
-	s := t.operation
-	if t.done {
+func (c *clientRequest) submit() {
+	in := c.instance
+	r := c.operation.run
+	o := c.operation
+	if c.clientDone {
 		return // the client has left already
 	}
-	if in.down || !in.acceptConn(t) {
-		r.events.push(r.now+r.network.clientDelay(s.ID, t.Number, true), connRejected, 0, t)
+	if in.down || !in.acceptConn(c) {
+		r.events.push(r.now+r.network.clientDelay(o.ID, c.Number, true), connRejected, 0, c)
 		return
 	}
-	t.incarnation = in.incarnation
-	t.submitted = true
-	t.inFlightIndex = len(in.inFlight)
-	in.inFlight = append(in.inFlight, t)
+	c.incarnation = in.incarnation
+	c.submitted = true
+	c.inFlightIndex = len(in.inFlight)
+	in.inFlight = append(in.inFlight, c)
 	now := in.localTime()
 	tenant := uint16(math.MaxUint16)
-	if s.Tenant >= 0 {
-		tenant = uint16(r.settingsTenant[s.Tenant])
+	if o.Tenant >= 0 {
+		tenant = uint16(r.settingsTenantOf[o.Tenant])
 	}
 	// A request carries the time that its client waits from sending on. The instance does not know the delay since
 	// then.
-	t.call = engine.Call{
-		Client:    in.clients[s.Process],
+	c.call = engine.Call{
+		Client:    in.clients[o.Process],
 		Pool:      in.pool,
-		ID:        fmt.Sprintf("%x-%d", s.ID, t.Number),
+		ID:        fmt.Sprintf("%x-%d", o.ID, c.Number),
 		ArrivedAt: now,
-		HostData:  t,
+		HostData:  c,
 		Request: balancer.Request{
-			Class:     uint8(r.settingsClass[s.Class]),
+			Class:     uint8(r.settingsClassOf[o.Class]),
 			Tenant:    tenant,
-			Retry:     t.Retry,
-			ObjectKey: s.Object,
-			Write:     s.class.Idempotency != balancer.Idempotent,
-			Deadline:  now + (t.Deadline-t.sentAt)/1000*1000 - siteconfig.ResponseMargin.Microseconds(),
+			Retry:     c.Retry,
+			ObjectKey: o.Object,
+			Write:     o.class.Idempotency != balancer.Idempotent,
+			Deadline:  now + (c.Deadline-c.sentAt)/1000*1000 - siteconfig.ResponseMargin.Microseconds(),
 		},
 	}
 	r.meter.Costs.Decisions++
-	in.engine.Submit(now, &t.call)
+	in.engine.Submit(now, &c.call)
 	in.advanceEngine()
 }
 
 // acceptConn takes an idle connection of the request's client, or a new one, and reports whether it got one.
-func (in *instance) acceptConn(t *clientRequest) bool {
+func (in *instance) acceptConn(request *clientRequest) bool {
 	now := in.localTime()
-	p := t.operation.Process
+	process := request.operation.Process
 	for {
-		c, _ := in.connTable.RemoveExpired(now)
-		if c == nil {
+		conn, _ := in.connTable.RemoveExpired(now)
+		if conn == nil {
 			break
 		}
-		in.forgetIdleClientConn(c)
+		in.forgetIdleClientConn(conn)
 	}
-	if idle := in.idleClientConns[p]; len(idle) > 0 {
-		t.conn = idle[len(idle)-1]
-		in.idleClientConns[p] = idle[:len(idle)-1]
+	if idle := in.idleClientConns[process]; len(idle) > 0 {
+		request.conn = idle[len(idle)-1]
+		in.idleClientConns[process] = idle[:len(idle)-1]
 	} else {
-		c, closed := in.connTable.Add(now, in.owners[p], &clientConn{p})
+		conn, closed := in.connTable.Add(now, in.connOwners[process], &clientConn{process})
 		if closed != nil {
 			in.forgetIdleClientConn(closed)
 		}
-		if c == nil {
+		if conn == nil {
 			return false
 		}
-		t.conn = c
+		request.conn = conn
 	}
-	return in.connTable.MarkBusy(t.conn)
+	return in.connTable.MarkBusy(request.conn)
 }
 
 // forgetIdleClientConn removes an idle connection that was closed.
-func (in *instance) forgetIdleClientConn(c *connlimit.Conn[*clientConn]) {
-	idle := in.idleClientConns[c.Value.process]
+func (in *instance) forgetIdleClientConn(conn *connlimit.Conn[*clientConn]) {
+	idle := in.idleClientConns[conn.Value.process]
 	for i := range idle {
-		if idle[i] == c {
-			in.idleClientConns[c.Value.process] = append(idle[:i], idle[i+1:]...)
+		if idle[i] == conn {
+			in.idleClientConns[conn.Value.process] = append(idle[:i], idle[i+1:]...)
 			return
 		}
 	}
 }
 
 // removeInFlight removes a request from those in flight.
-func (in *instance) removeInFlight(t *clientRequest) {
+func (in *instance) removeInFlight(request *clientRequest) {
 	last := len(in.inFlight) - 1
-	in.inFlight[t.inFlightIndex] = in.inFlight[last]
-	in.inFlight[t.inFlightIndex].inFlightIndex = t.inFlightIndex
+	in.inFlight[request.inFlightIndex] = in.inFlight[last]
+	in.inFlight[request.inFlightIndex].inFlightIndex = request.inFlightIndex
 	in.inFlight[last] = nil
 	in.inFlight = in.inFlight[:last]
 }
 
 // recordRequest reports a finished request to Options.Record.
-func (in *instance) recordRequest(t *clientRequest, clientGone bool) {
+func (in *instance) recordRequest(request *clientRequest, clientGone bool) {
 	record := in.run.options.Record
 	if record == nil {
 		return
 	}
-	s := t.operation
-	arrived := t.call.ArrivedAt
+	o := request.operation
+	arrivedAt := request.call.ArrivedAt
 	record(&RequestRecord{
 		Instance:       in.index,
-		Process:        s.Process,
-		Operation:      s.ID,
-		Class:          s.Class,
-		Tenant:         s.Tenant,
-		IdempotencyKey: t.IdempotencyKey,
-		Object:         s.Object,
-		Retry:          t.Retry,
-		ArrivedAt:      arrived,
-		Duration:       in.localTime() - arrived,
-		Timeout:        t.call.Request.Deadline - arrived,
+		Process:        o.Process,
+		Operation:      o.ID,
+		Class:          o.Class,
+		Tenant:         o.Tenant,
+		IdempotencyKey: request.IdempotencyKey,
+		Object:         o.Object,
+		Retry:          request.Retry,
+		ArrivedAt:      arrivedAt,
+		Duration:       in.localTime() - arrivedAt,
+		Timeout:        request.call.Request.Deadline - arrivedAt,
 		ClientGone:     clientGone,
-		Response:       t.response,
+		Response:       request.response,
 	})
 }
 
 // clientGone notifies the engine that a request's client has left.
-func (in *instance) clientGone(t *clientRequest) {
-	if !t.responded {
-		in.removeInFlight(t)
-		in.connTable.Remove(t.conn)
-		in.recordRequest(t, true)
+func (in *instance) clientGone(request *clientRequest) {
+	if !request.responded {
+		in.removeInFlight(request)
+		in.connTable.Remove(request.conn)
+		in.recordRequest(request, true)
 	}
-	in.engine.ClientGone(in.localTime(), &t.call)
+	in.engine.ClientGone(in.localTime(), &request.call)
 	in.advanceEngine()
 }
--- a/internal/simulation/simclient/operation.go
+++ b/internal/simulation/simclient/operation.go
@@ -85,80 +85,86 @@
 }
 
 // Start draws the behavior of an operation's client, and returns its first request.
-func (s *Operation) Start(now monotime.Micros, h *Behavior, c *balancer.Class, r *rand.Rand) Request {
-	s.StartedAt = now
-	s.maxRetries = h.Retries[0] + r.IntN(h.Retries[1]-h.Retries[0]+1)
-	s.timeoutShare = h.TimeoutShare[0] + (h.TimeoutShare[1]-h.TimeoutShare[0])*r.Float64()
-	s.backoff = h.Backoff[0] + monotime.Micros(r.Float64()*float64(h.Backoff[1]-h.Backoff[0]))
-	s.honorsRetryAfter = r.Float64() < h.HonorRetryAfter
-	s.freshKeys = r.Float64() < h.FreshKeys
-	return s.nextRequest(now, h, c, r)
+func (o *Operation) Start(now monotime.Micros, b *Behavior, class *balancer.Class, random *rand.Rand) Request {
+	o.StartedAt = now
+	o.maxRetries = b.Retries[0] + random.IntN(b.Retries[1]-b.Retries[0]+1)
+	o.timeoutShare = b.TimeoutShare[0] + (b.TimeoutShare[1]-b.TimeoutShare[0])*random.Float64()
+	o.backoff = b.Backoff[0] + monotime.Micros(random.Float64()*float64(b.Backoff[1]-b.Backoff[0]))
+	o.honorsRetryAfter = random.Float64() < b.HonorRetryAfter
+	o.freshKeys = random.Float64() < b.FreshKeys
+	return o.nextRequest(now, b, class, random)
 }
 
 // Deadline returns when the client gives up the operation at the latest.
-func (s *Operation) Deadline(c *balancer.Class) monotime.Micros { return s.StartedAt + c.ClientTimeout }
+func (o *Operation) Deadline(class *balancer.Class) monotime.Micros {
+	return o.StartedAt + class.ClientTimeout
+}
 
 // retryKeyStep separates the idempotency keys of an operation's requests, for clients that give each its own.
 const retryKeyStep = 0x9e3779b97f4a7c15
 
 // nextRequest makes the operation's next request.
-func (s *Operation) nextRequest(now monotime.Micros, h *Behavior, c *balancer.Class, r *rand.Rand) Request {
-	s.Requests++
-	s.requestNumber = s.Requests
-	s.inFlight = true
-	t := Request{Number: s.requestNumber, IdempotencyKey: s.IdempotencyKey, Retry: h.MarkRetries && s.requestNumber > 1}
-	if s.freshKeys && s.IdempotencyKey != 0 && s.requestNumber > 1 {
-		t.IdempotencyKey = s.IdempotencyKey + uint64(s.requestNumber)*retryKeyStep
+func (o *Operation) nextRequest(now monotime.Micros, b *Behavior, class *balancer.Class, random *rand.Rand) Request {
+	o.Requests++
+	o.requestNumber = o.Requests
+	o.inFlight = true
+	request := Request{
+		Number:         o.requestNumber,
+		IdempotencyKey: o.IdempotencyKey,
+		Retry:          b.MarkRetries && o.requestNumber > 1,
+	}
+	if o.freshKeys && o.IdempotencyKey != 0 && o.requestNumber > 1 {
+		request.IdempotencyKey = o.IdempotencyKey + uint64(o.requestNumber)*retryKeyStep
 	}
-	t.Deadline = min(s.Deadline(c), now+monotime.Micros(s.timeoutShare*float64(c.ClientTimeout)))
-	if s.requestNumber > s.maxRetries {
-		t.Deadline = s.Deadline(c) // the last request has all the remaining time
+	request.Deadline = min(o.Deadline(class), now+monotime.Micros(o.timeoutShare*float64(class.ClientTimeout)))
+	if o.requestNumber > o.maxRetries {
+		request.Deadline = o.Deadline(class) // the last request has all the remaining time
 	}
-	if r.Float64() < h.EarlyAbort {
-		t.AbortAt = now + monotime.Micros(r.Float64()*float64(t.Deadline-now))
+	if random.Float64() < b.EarlyAbort {
+		request.AbortAt = now + monotime.Micros(random.Float64()*float64(request.Deadline-now))
 	}
-	return t
+	return request
 }
 
 // RequestEnded records how a request ended, and reports whether the client retries, and when: Retry makes that request.
 // Clients retry rejected requests, and others if their class is safe to repeat. The end of any but the latest request
 // is ignored.
-func (s *Operation) RequestEnded(now monotime.Micros, number int, v RequestOutcome, retryAfter monotime.Micros,
-	c *balancer.Class, r *rand.Rand) (at monotime.Micros, again bool) {
-	if !s.inFlight || number != s.requestNumber || s.Outcome != Pending {
+func (o *Operation) RequestEnded(now monotime.Micros, number int, outcome RequestOutcome, retryAfter monotime.Micros,
+	class *balancer.Class, random *rand.Rand) (retryAt monotime.Micros, retries bool) {
+	if !o.inFlight || number != o.requestNumber || o.Outcome != Pending {
 		return 0, false
 	}
-	s.inFlight = false
-	switch v {
+	o.inFlight = false
+	switch outcome {
 	case OK:
-		s.Outcome = Served
-		s.EndedAt = now
-		if s.DiscardsResponse {
-			s.Outcome = Unserved
+		o.Outcome = Served
+		o.EndedAt = now
+		if o.DiscardsResponse {
+			o.Outcome = Unserved
 		}
 		return 0, false
 	case Rejected:
-		s.Rejected++
+		o.Rejected++
 	case Failed:
-		s.Failed++
+		o.Failed++
 	case NoResponse:
-		s.Unanswered++
+		o.Unanswered++
 	}
-	wait := s.backoff << (s.requestNumber - 1)
-	wait = wait/2 + monotime.Micros(r.Float64()*float64(wait)) // jitter of half either way
-	if v == Rejected && s.honorsRetryAfter {
+	wait := o.backoff << (o.requestNumber - 1)
+	wait = wait/2 + monotime.Micros(random.Float64()*float64(wait)) // jitter of half either way
+	if outcome == Rejected && o.honorsRetryAfter {
 		wait = max(wait, retryAfter)
 	}
-	unsafe := v != Rejected && c.Idempotency == balancer.NonIdempotent
-	if s.requestNumber > s.maxRetries || now+wait >= s.Deadline(c) || unsafe {
-		s.Outcome = Unserved
-		s.EndedAt = now
+	unsafeToRetry := outcome != Rejected && class.Idempotency == balancer.NonIdempotent
+	if o.requestNumber > o.maxRetries || now+wait >= o.Deadline(class) || unsafeToRetry {
+		o.Outcome = Unserved
+		o.EndedAt = now
 		return 0, false
 	}
 	return now + wait, true
 }
 
 // Retry makes the next request.
-func (s *Operation) Retry(now monotime.Micros, h *Behavior, c *balancer.Class, r *rand.Rand) Request {
-	return s.nextRequest(now, h, c, r)
+func (o *Operation) Retry(now monotime.Micros, b *Behavior, class *balancer.Class, random *rand.Rand) Request {
+	return o.nextRequest(now, b, class, random)
 }
--- a/internal/simulation/simendpoint/dedup.go
+++ b/internal/simulation/simendpoint/dedup.go
@@ -36,6 +36,6 @@
 func (g *DedupGroup) forget(key uint64) {
 	if _, known := g.firstSeen[key]; known {
 		delete(g.firstSeen, key)
-		g.order = slices.DeleteFunc(g.order, func(k uint64) bool { return k == key })
+		g.order = slices.DeleteFunc(g.order, func(seenKey uint64) bool { return seenKey == key })
 	}
 }
--- a/internal/simulation/simendpoint/endpoint.go
+++ b/internal/simulation/simendpoint/endpoint.go
@@ -31,9 +31,9 @@
 type jobState uint8
 
 const (
-	idle jobState = iota
-	queued
-	running
+	jobIdle jobState = iota
+	jobQueued
+	jobRunning
 )
 
 // Verdict is how a request ends at an endpoint, or that it was accepted.
@@ -63,14 +63,14 @@
 	dedupGroup *DedupGroup
 	condition  Condition
 
-	up        bool
-	draining  bool
-	collapsed bool
-	startedAt monotime.Micros
-	alwaysUp  bool // it was running before the simulation: it is warm
+	up          bool
+	draining    bool
+	collapsed   bool
+	startedAt   monotime.Micros
+	startedWarm bool // it was running before the simulation: it is warm
 
 	cores           []*Job // nil where a core is free
-	busy            int
+	busyCores       int
 	queue           []*Job
 	pausedUntil     monotime.Micros // no job makes progress until then
 	pendingOverhead monotime.Micros // work of probes and handshakes, which delays the next request
@@ -78,218 +78,218 @@
 	workDone        float64 // work done, at speed 1
 
 	// Work offered while warming up, by slots of a tenth of Config.CollapseWindow.
-	offeredSlot int64
-	offeredWork [offeredSlots]float64
+	currentSlot int64
+	offeredWork [offeredSlotCount]float64
 	completions []Completion
 	report      loadReporter
 }
 
-// offeredSlots is the number of slots in the window of the offered work.
-const offeredSlots = 10
+// offeredSlotCount is the number of slots in the window of the offered work.
+const offeredSlotCount = 10
 
 // New returns an endpoint that is down. group has the idempotency keys that it shares with others, and may be nil.
-func New(c Config, group *DedupGroup) *Endpoint {
-	return &Endpoint{config: c, dedupGroup: group, cores: make([]*Job, max(1, c.Cores))}
+func New(config Config, group *DedupGroup) *Endpoint {
+	return &Endpoint{config: config, dedupGroup: group, cores: make([]*Job, max(1, config.Cores))}
 }
 
-// Start starts the process, which warms up. With alwaysUp it is warm at once, as one that has been running for long.
-func (n *Endpoint) Start(now monotime.Micros, alwaysUp bool) {
-	n.up = true
-	n.draining = false
-	n.collapsed = false
-	n.startedAt = now
-	n.alwaysUp = alwaysUp
-	n.pendingOverhead = 0
-	n.connections = 0
-	n.pausedUntil = 0
-	n.offeredWork = [offeredSlots]float64{}
-	n.offeredSlot = 0
-	n.report = loadReporter{windowStart: now}
+// Start starts the process, which warms up. With warm it is warm at once, as one that has been running for long.
+func (e *Endpoint) Start(now monotime.Micros, warm bool) {
+	e.up = true
+	e.draining = false
+	e.collapsed = false
+	e.startedAt = now
+	e.startedWarm = warm
+	e.pendingOverhead = 0
+	e.connections = 0
+	e.pausedUntil = 0
+	e.offeredWork = [offeredSlotCount]float64{}
+	e.currentSlot = 0
+	e.report = loadReporter{windowStart: now}
 }
 
 // Kill ends the process at once, and returns its requests in flight, for which no completion follows.
-func (n *Endpoint) Kill(now monotime.Micros) []*Job {
-	held := slices.Clone(n.queue)
-	for i, j := range n.cores {
-		if j != nil {
-			held = append(held, j)
-			n.cores[i] = nil
+func (e *Endpoint) Kill(now monotime.Micros) []*Job {
+	inFlight := slices.Clone(e.queue)
+	for core, job := range e.cores {
+		if job != nil {
+			inFlight = append(inFlight, job)
+			e.cores[core] = nil
 		}
 	}
-	for _, j := range held {
-		n.discard(j)
+	for _, job := range inFlight {
+		e.discard(job)
 	}
-	n.up = false
-	n.busy = 0
-	n.queue = nil
-	n.completions = nil
-	return held
+	e.up = false
+	e.busyCores = 0
+	e.queue = nil
+	e.completions = nil
+	return inFlight
 }
 
 // Drain has the process finish its requests and reject new ones.
-func (n *Endpoint) Drain() { n.draining = true }
+func (e *Endpoint) Drain() { e.draining = true }
 
 // Up reports whether its process runs; it may be draining or collapsed.
-func (n *Endpoint) Up() bool { return n.up }
+func (e *Endpoint) Up() bool { return e.up }
 
 // Collapsed reports whether it collapsed under load while warming up. That lasts until it is started again.
-func (n *Endpoint) Collapsed() bool { return n.collapsed }
+func (e *Endpoint) Collapsed() bool { return e.collapsed }
 
 // InFlight returns the number of its running and queued requests.
-func (n *Endpoint) InFlight() int { return n.busy + len(n.queue) }
+func (e *Endpoint) InFlight() int { return e.busyCores + len(e.queue) }
 
 // WorkDone returns the work that it has done, in microseconds at speed 1.
-func (n *Endpoint) WorkDone() float64 { return n.workDone }
+func (e *Endpoint) WorkDone() float64 { return e.workDone }
 
 // StartedAt returns when it last started, 0 if it was always up.
-func (n *Endpoint) StartedAt() monotime.Micros {
-	if n.alwaysUp {
+func (e *Endpoint) StartedAt() monotime.Micros {
+	if e.startedWarm {
 		return 0
 	}
-	return n.startedAt
+	return e.startedAt
 }
 
 // SetCondition sets its faults.
-func (n *Endpoint) SetCondition(c Condition) { n.condition = c }
+func (e *Endpoint) SetCondition(condition Condition) { e.condition = condition }
 
 // Condition returns its faults.
-func (n *Endpoint) Condition() Condition { return n.condition }
+func (e *Endpoint) Condition() Condition { return e.condition }
 
 // Pause stops the process for a while, as a garbage collection does. Running requests end that much later.
-func (n *Endpoint) Pause(now, length monotime.Micros) {
-	n.pausedUntil = max(n.pausedUntil, now) + length
-	for _, j := range n.cores {
-		if j != nil {
-			j.endsAt += length
+func (e *Endpoint) Pause(now, duration monotime.Micros) {
+	e.pausedUntil = max(e.pausedUntil, now) + duration
+	for _, job := range e.cores {
+		if job != nil {
+			job.endsAt += duration
 		}
 	}
 }
 
 // Connect accepts a new connection, and reports whether it could.
-func (n *Endpoint) Connect() bool {
-	if !n.up || n.config.MaxConnections > 0 && n.connections >= n.config.MaxConnections {
+func (e *Endpoint) Connect() bool {
+	if !e.up || e.config.MaxConnections > 0 && e.connections >= e.config.MaxConnections {
 		return false
 	}
-	n.connections++
-	n.pendingOverhead += n.config.HandshakeWork
+	e.connections++
+	e.pendingOverhead += e.config.HandshakeWork
 	return true
 }
 
 // Disconnect closes a connection.
-func (n *Endpoint) Disconnect() { n.connections = max(0, n.connections-1) }
+func (e *Endpoint) Disconnect() { e.connections = max(0, e.connections-1) }
 
 // WarmupShare is the part of its speed that it has by now.
-func (n *Endpoint) WarmupShare(now monotime.Micros) float64 {
-	if n.alwaysUp || n.config.WarmupDuration <= 0 || n.config.WarmupFrom <= 0 ||
-		now-n.startedAt >= n.config.WarmupDuration {
+func (e *Endpoint) WarmupShare(now monotime.Micros) float64 {
+	if e.startedWarm || e.config.WarmupDuration <= 0 || e.config.WarmupFrom <= 0 ||
+		now-e.startedAt >= e.config.WarmupDuration {
 		return 1
 	}
-	return n.config.WarmupFrom + (1-n.config.WarmupFrom)*float64(now-n.startedAt)/float64(n.config.WarmupDuration)
+	return e.config.WarmupFrom + (1-e.config.WarmupFrom)*float64(now-e.startedAt)/float64(e.config.WarmupDuration)
 }
 
 // Capacity is the work in microseconds that all its cores do in a microsecond now.
-func (n *Endpoint) Capacity(now monotime.Micros) float64 {
-	if !n.up || n.collapsed {
+func (e *Endpoint) Capacity(now monotime.Micros) float64 {
+	if !e.up || e.collapsed {
 		return 0
 	}
-	return float64(len(n.cores)) * n.coreSpeed(now)
+	return float64(len(e.cores)) * e.coreSpeed(now)
 }
 
 // minCoreSpeed keeps service times finite whatever the faults.
 const minCoreSpeed = 1e-3
 
 // coreSpeed is the present speed of one core.
-func (n *Endpoint) coreSpeed(now monotime.Micros) float64 {
-	v := n.config.Speed * n.WarmupShare(now) * (1 - n.condition.StolenShare)
-	if n.condition.Slowdown > 0 {
-		v /= n.condition.Slowdown
+func (e *Endpoint) coreSpeed(now monotime.Micros) float64 {
+	speed := e.config.Speed * e.WarmupShare(now) * (1 - e.condition.StolenShare)
+	if e.condition.Slowdown > 0 {
+		speed /= e.condition.Slowdown
 	}
-	if n.config.ContentionLoss > 0 && float64(n.InFlight()) > n.config.ContentionThreshold*float64(len(n.cores)) {
-		v *= 1 - n.config.ContentionLoss
+	if e.config.ContentionLoss > 0 && float64(e.InFlight()) > e.config.ContentionThreshold*float64(len(e.cores)) {
+		speed *= 1 - e.config.ContentionLoss
 	}
-	return max(v, minCoreSpeed)
+	return max(speed, minCoreSpeed)
 }
 
 // Arrive accepts a request, or returns at once that it was Rejected or has Failed without having run.
-func (n *Endpoint) Arrive(now monotime.Micros, j *Job) Verdict {
-	if n.draining || n.collapsed || n.config.QueueCapacity > 0 && len(n.queue) >= n.config.QueueCapacity &&
-		n.busy == len(n.cores) {
-		n.recordOffered(now, j)
+func (e *Endpoint) Arrive(now monotime.Micros, job *Job) Verdict {
+	if e.draining || e.collapsed || e.config.QueueCapacity > 0 && len(e.queue) >= e.config.QueueCapacity &&
+		e.busyCores == len(e.cores) {
+		e.recordOffered(now, job)
 		return Rejected
 	}
-	n.recordOffered(now, j)
-	if n.collapsed || j.Chance < n.condition.RejectRate {
+	e.recordOffered(now, job)
+	if e.collapsed || job.Chance < e.condition.RejectRate {
 		return Rejected
 	}
-	if (!n.condition.OneClass || n.condition.Class == j.Class) && j.Chance >= n.config.ErrorRate &&
-		j.Chance < n.config.ErrorRate+n.condition.ErrorRate {
-		n.report.errors++
+	if (!e.condition.OneClass || e.condition.Class == job.Class) && job.Chance >= e.config.ErrorRate &&
+		job.Chance < e.config.ErrorRate+e.condition.ErrorRate {
+		e.report.windowErrors++
 		return Failed
 	}
-	j.duplicate = j.IdempotencyKey != 0 && n.dedupGroup != nil && n.dedupGroup.seenBefore(now, j.IdempotencyKey)
-	if n.busy < len(n.cores) && len(n.queue) == 0 {
-		n.startJob(now, j)
+	job.duplicate = job.IdempotencyKey != 0 && e.dedupGroup != nil && e.dedupGroup.seenBefore(now, job.IdempotencyKey)
+	if e.busyCores < len(e.cores) && len(e.queue) == 0 {
+		e.startJob(now, job)
 		return Accepted
 	}
-	j.state = queued
-	n.queue = append(n.queue, j)
+	job.state = jobQueued
+	e.queue = append(e.queue, job)
 	return Accepted
 }
 
-// collapseSlack is the factor by which chance may raise the offered work.
-const collapseSlack = 1.1
+// collapseTolerance is the factor by which chance may raise the offered work.
+const collapseTolerance = 1.1
 
 // recordOffered counts the work offered to an endpoint that is warming up. The endpoint collapses when that exceeds
 // Config.CollapseLoad over Config.CollapseWindow.
-func (n *Endpoint) recordOffered(now monotime.Micros, j *Job) {
-	warmupShare := n.WarmupShare(now)
-	if n.config.CollapseLoad <= 0 || n.config.CollapseWindow <= 0 || warmupShare >= 1 || n.collapsed {
+func (e *Endpoint) recordOffered(now monotime.Micros, job *Job) {
+	warmupShare := e.WarmupShare(now)
+	if e.config.CollapseLoad <= 0 || e.config.CollapseWindow <= 0 || warmupShare >= 1 || e.collapsed {
 		return
 	}
-	width := max(1, n.config.CollapseWindow/int64(len(n.offeredWork)))
-	at := now / width
-	for ; n.offeredSlot < at; n.offeredSlot++ {
-		if at-n.offeredSlot > int64(len(n.offeredWork)) {
-			n.offeredSlot = at - 1
-			n.offeredWork = [offeredSlots]float64{}
+	slotWidth := max(1, e.config.CollapseWindow/int64(len(e.offeredWork)))
+	slot := now / slotWidth
+	for ; e.currentSlot < slot; e.currentSlot++ {
+		if slot-e.currentSlot > int64(len(e.offeredWork)) {
+			e.currentSlot = slot - 1
+			e.offeredWork = [offeredSlotCount]float64{}
 		}
-		n.offeredWork[(n.offeredSlot+1)%int64(len(n.offeredWork))] = 0
+		e.offeredWork[(e.currentSlot+1)%int64(len(e.offeredWork))] = 0
 	}
-	n.offeredWork[at%int64(len(n.offeredWork))] += float64(j.Work)
+	e.offeredWork[slot%int64(len(e.offeredWork))] += float64(job.Work)
 	var offered float64
-	for _, work := range n.offeredWork {
+	for _, work := range e.offeredWork {
 		offered += work
 	}
-	capacity := float64(len(n.cores)) * n.config.Speed * warmupShare * float64(n.config.CollapseWindow)
-	if offered > n.config.CollapseLoad*capacity*collapseSlack {
-		n.collapsed = true
+	capacity := float64(len(e.cores)) * e.config.Speed * warmupShare * float64(e.config.CollapseWindow)
+	if offered > e.config.CollapseLoad*capacity*collapseTolerance {
+		e.collapsed = true
 	}
 }
 
 // startJob runs a request on a free core.
-func (n *Endpoint) startJob(now monotime.Micros, j *Job) {
-	j.state = running
-	speed := n.coreSpeed(now)
-	length := monotime.Micros(float64(j.Work+n.pendingOverhead)/speed) + 1
-	n.pendingOverhead = 0
-	j.startedAt = now
-	j.endsAt = max(now, n.pausedUntil) + length
-	n.report.coreTime += length
-	n.busy++
-	for i := range n.cores {
-		if n.cores[i] == nil {
-			n.cores[i] = j
-			j.core = i
+func (e *Endpoint) startJob(now monotime.Micros, job *Job) {
+	job.state = jobRunning
+	speed := e.coreSpeed(now)
+	duration := monotime.Micros(float64(job.Work+e.pendingOverhead)/speed) + 1
+	e.pendingOverhead = 0
+	job.startedAt = now
+	job.endsAt = max(now, e.pausedUntil) + duration
+	e.report.windowCoreTime += duration
+	e.busyCores++
+	for core := range e.cores {
+		if e.cores[core] == nil {
+			e.cores[core] = job
+			job.core = core
 			return
 		}
 	}
 }
 
 // NextCompletion returns the instant of the next completion; ok reports whether there is one.
-func (n *Endpoint) NextCompletion() (at monotime.Micros, ok bool) {
-	for _, j := range n.cores {
-		if j != nil && (!ok || j.endsAt < at) {
-			at = j.endsAt
+func (e *Endpoint) NextCompletion() (at monotime.Micros, ok bool) {
+	for _, job := range e.cores {
+		if job != nil && (!ok || job.endsAt < at) {
+			at = job.endsAt
 			ok = true
 		}
 	}
@@ -297,90 +297,91 @@
 }
 
 // Advance runs the endpoint until an instant, and returns the completions by then. They are valid until the next call.
-func (n *Endpoint) Advance(now monotime.Micros) []Completion {
-	n.completions = n.completions[:0]
+func (e *Endpoint) Advance(now monotime.Micros) []Completion {
+	e.completions = e.completions[:0]
 	for {
-		at, ok := n.NextCompletion()
+		at, ok := e.NextCompletion()
 		if !ok || at > now {
-			return n.completions
+			return e.completions
 		}
-		for i, j := range n.cores {
-			if j == nil || j.endsAt != at {
+		for core, job := range e.cores {
+			if job == nil || job.endsAt != at {
 				continue
 			}
-			n.cores[i] = nil
-			n.busy--
-			j.state = idle
-			n.completions = append(n.completions, n.complete(at, j))
+			e.cores[core] = nil
+			e.busyCores--
+			job.state = jobIdle
+			e.completions = append(e.completions, e.complete(at, job))
 		}
-		n.startQueued(at)
+		e.startQueued(at)
 	}
 }
 
 // startQueued runs queued requests on free cores.
-func (n *Endpoint) startQueued(now monotime.Micros) {
-	for n.busy < len(n.cores) && len(n.queue) > 0 {
-		j := n.queue[0]
-		n.queue[0] = nil
-		n.queue = n.queue[1:]
-		n.startJob(now, j)
+func (e *Endpoint) startQueued(now monotime.Micros) {
+	for e.busyCores < len(e.cores) && len(e.queue) > 0 {
+		job := e.queue[0]
+		e.queue[0] = nil
+		e.queue = e.queue[1:]
+		e.startJob(now, job)
 	}
 }
 
-// latencyWeight is the weight of one request in the average service time of load reports.
-const latencyWeight = 0.1
+// serviceTimeWeight is the weight of one request in the average service time of load reports.
+const serviceTimeWeight = 0.1
 
 // complete returns the completion of a request that has run. Job.Chance decides how it ends, so that it does not depend
 // on other requests.
-func (n *Endpoint) complete(now monotime.Micros, j *Job) Completion {
-	n.workDone += float64(j.Work)
-	n.report.served++
-	n.report.current.LatencyMS += (float64(j.Work)/n.coreSpeed(now)/1000 - n.report.current.LatencyMS) * latencyWeight
-	e := Completion{Job: j, At: now, Verdict: Completed, Effect: true}
-	if j.duplicate {
-		e.Verdict = Duplicate
-		e.Effect = false
+func (e *Endpoint) complete(now monotime.Micros, job *Job) Completion {
+	e.workDone += float64(job.Work)
+	e.report.windowServed++
+	e.report.measured.LatencyMS += (float64(job.Work)/e.coreSpeed(now)/1000 - e.report.measured.LatencyMS) *
+		serviceTimeWeight
+	completion := Completion{Job: job, At: now, Verdict: Completed, Effect: true}
+	if job.duplicate {
+		completion.Verdict = Duplicate
+		completion.Effect = false
 	}
 	switch {
-	case j.Chance < n.config.ErrorRate:
-		n.report.errors++
-		e.Verdict = Failed
-	case j.Chance > 1-n.condition.UnansweredRate:
-		e.Verdict = Unanswered
+	case job.Chance < e.config.ErrorRate:
+		e.report.windowErrors++
+		completion.Verdict = Failed
+	case job.Chance > 1-e.condition.UnansweredRate:
+		completion.Verdict = Unanswered
 	}
-	return e
+	return completion
 }
 
 // Cancel notifies the endpoint that a request's sender has cancelled it, and reports whether that ends the request.
-func (n *Endpoint) Cancel(now monotime.Micros, j *Job) bool {
+func (e *Endpoint) Cancel(now monotime.Micros, job *Job) bool {
 	switch {
-	case j.state == queued && n.config.Cancellation != CancelNone:
-		if i := slices.Index(n.queue, j); i >= 0 {
-			n.queue = slices.Delete(n.queue, i, i+1)
+	case job.state == jobQueued && e.config.Cancellation != CancelNone:
+		if position := slices.Index(e.queue, job); position >= 0 {
+			e.queue = slices.Delete(e.queue, position, position+1)
 		}
-	case j.state == running && n.config.Cancellation == CancelAll:
-		n.cores[j.core] = nil
-		n.busy--
-		if length := float64(j.endsAt - j.startedAt); length > 0 {
-			n.workDone += float64(j.Work) * max(0, min(1, float64(now-j.startedAt)/length))
+	case job.state == jobRunning && e.config.Cancellation == CancelAll:
+		e.cores[job.core] = nil
+		e.busyCores--
+		if duration := float64(job.endsAt - job.startedAt); duration > 0 {
+			e.workDone += float64(job.Work) * max(0, min(1, float64(now-job.startedAt)/duration))
 		}
-		n.startQueued(now)
+		e.startQueued(now)
 	default:
 		return false
 	}
-	n.discard(j)
+	e.discard(job)
 	return true
 }
 
 // discard ends a request that did not complete. A repeat of its key that arrives later runs.
-func (n *Endpoint) discard(j *Job) {
-	j.state = idle
-	if j.IdempotencyKey != 0 && n.dedupGroup != nil && !j.duplicate {
-		n.dedupGroup.forget(j.IdempotencyKey)
+func (e *Endpoint) discard(job *Job) {
+	job.state = jobIdle
+	if job.IdempotencyKey != 0 && e.dedupGroup != nil && !job.duplicate {
+		e.dedupGroup.forget(job.IdempotencyKey)
 	}
 }
 
 // DrawWork draws the work of an attempt: that of its request, with the noise between two runs of it.
-func DrawWork(r *rand.Rand, work monotime.Micros, noise float64) monotime.Micros {
-	return max(1, monotime.Micros(randstream.LogNormal(r, float64(work), noise)))
+func DrawWork(random *rand.Rand, work monotime.Micros, noise float64) monotime.Micros {
+	return max(1, monotime.Micros(randstream.LogNormal(random, float64(work), noise)))
 }
--- a/internal/simulation/simendpoint/report.go
+++ b/internal/simulation/simendpoint/report.go
@@ -9,14 +9,14 @@
 
 // loadReporter holds the figures of load reports.
 type loadReporter struct {
-	reportedAt  monotime.Micros
-	current     Load
-	windowStart monotime.Micros // start of the second that is being counted
-	served      int
-	errors      int
-	coreTime    monotime.Micros // core time within that second
-	reported    Load
-	history     []timedLoad // earlier reports, for late ones
+	reportedAt     monotime.Micros
+	measured       Load
+	windowStart    monotime.Micros // start of the second that is being counted
+	windowServed   int
+	windowErrors   int
+	windowCoreTime monotime.Micros // core time within that second
+	lastReport     Load
+	pastReports    []timedLoad // earlier reports, for late ones
 }
 
 type timedLoad struct {
@@ -32,56 +32,57 @@
 }
 
 // Probe returns the load report for a probe. The probe costs the endpoint Config.ProbeWork.
-func (n *Endpoint) Probe(now monotime.Micros, r *rand.Rand) Load {
-	n.pendingOverhead += n.config.ProbeWork
-	f := &n.report
-	if now-f.windowStart >= second {
-		f.current.Served = float64(f.served) * float64(second) / float64(now-f.windowStart)
-		f.current.Errors = float64(f.errors) * float64(second) / float64(now-f.windowStart)
-		f.current.Util = min(1, float64(f.coreTime)/float64(now-f.windowStart)/float64(len(n.cores)))
-		f.windowStart = now
-		f.served = 0
-		f.errors = 0
-		f.coreTime = 0
+func (e *Endpoint) Probe(now monotime.Micros, random *rand.Rand) Load {
+	e.pendingOverhead += e.config.ProbeWork
+	report := &e.report
+	if now-report.windowStart >= second {
+		report.measured.Served = float64(report.windowServed) * float64(second) / float64(now-report.windowStart)
+		report.measured.Errors = float64(report.windowErrors) * float64(second) / float64(now-report.windowStart)
+		report.measured.Util = min(1,
+			float64(report.windowCoreTime)/float64(now-report.windowStart)/float64(len(e.cores)))
+		report.windowStart = now
+		report.windowServed = 0
+		report.windowErrors = 0
+		report.windowCoreTime = 0
 	}
-	if f.reportedAt == 0 || now-f.reportedAt >= n.config.ReportInterval {
-		f.reportedAt = now
-		f.current.Inflight = float64(n.InFlight())
-		f.current.Queue = float64(len(n.queue))
-		f.reported = f.current
-		if n.config.ReportNoise > 0 {
-			f.reported.Inflight = max(0, f.reported.Inflight*(1+n.config.ReportNoise*r.NormFloat64()))
-			f.reported.Util = max(0, f.reported.Util*(1+n.config.ReportNoise*r.NormFloat64()))
+	if report.reportedAt == 0 || now-report.reportedAt >= e.config.ReportInterval {
+		report.reportedAt = now
+		report.measured.Inflight = float64(e.InFlight())
+		report.measured.Queue = float64(len(e.queue))
+		report.lastReport = report.measured
+		if e.config.ReportNoise > 0 {
+			report.lastReport.Inflight = max(0, report.lastReport.Inflight*(1+e.config.ReportNoise*random.NormFloat64()))
+			report.lastReport.Util = max(0, report.lastReport.Util*(1+e.config.ReportNoise*random.NormFloat64()))
 		}
-		f.history = append(f.history, timedLoad{now, f.reported})
-		for len(f.history) > 2 && now-f.history[1].at > 10*second {
-			f.history = f.history[1:]
+		report.pastReports = append(report.pastReports, timedLoad{now, report.lastReport})
+		for len(report.pastReports) > 2 && now-report.pastReports[1].at > 10*second {
+			report.pastReports = report.pastReports[1:]
 		}
 	}
 	switch {
-	case n.condition.FalseReports:
+	case e.condition.FalseReports:
 		return Load{}
-	case n.condition.InvalidReports && r.Float64() < 0.5:
-		none := math.NaN()
-		return Load{none, none, none, none, none, none}
-	case n.condition.InvalidReports:
+	case e.condition.InvalidReports && random.Float64() < 0.5:
+		nan := math.NaN()
+		return Load{nan, nan, nan, nan, nan, nan}
+	case e.condition.InvalidReports:
 		return Load{
 			Inflight:  1e9,
 			Queue:     1e9,
 			Util:      -3,
 			LatencyMS: math.Inf(1),
-			Served:    1 + 1e9*r.Float64(),
+			Served:    1 + 1e9*random.Float64(),
 			Errors:    1e9,
 		}
-	case n.condition.ReportDelay > 0:
-		old := Load{}
-		for i := len(f.history) - 1; i >= 0; i-- {
-			if f.history[i].at <= now-n.condition.ReportDelay {
-				old = f.history[i].load
+	case e.condition.ReportDelay > 0:
+		delayed := Load{}
+		for i := len(report.pastReports) - 1; i >= 0; i-- {
+			if report.pastReports[i].at <= now-e.condition.ReportDelay {
+				delayed = report.pastReports[i].load
 				break
 			}
 		}
-		return old
+		return delayed
 	}
-	return f.reported
+	return report.lastReport
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -106,47 +106,47 @@
 	now      monotime.Micros
 	events   eventQueue
 
-	criteriaClass  []int // by index of the plan's class: its index in the criteria
-	settingsClass  []int // by index of the criteria's class: its index in the settings
-	criteriaTenant []int
-	settingsTenant []int
-	behavior       simclient.Behavior
-
-	instances      []*instance
-	endpoints      []*endpoint
-	blockingEvents []int // indices of the planned events that block network paths
-	discovery      *discoveryService
-	network        network
+	criteriaClassOf  []int // by index of the plan's class: its index in the criteria
+	settingsClassOf  []int // by index of the criteria's class: its index in the settings
+	criteriaTenantOf []int
+	settingsTenantOf []int
+	behavior         simclient.Behavior
+
+	instances          []*instance
+	endpoints          []*endpoint
+	pathBlockingEvents []int // indices of the planned events that block network paths
+	discovery          *discoveryService
+	network            network
 
 	workRand, faultRand, clientRand, reportRand *randstream.Stream
 	meter                                       *measure.Meter
 	pendingOperations                           int // started and not ended
 	instancesWithArrivals                       int // instances with operations still to start
-	fleetMessages                               uint64
+	fleetMessageCount                           uint64
 }
 
 // Run simulates a plan, or returns the error of settings that do not fit it. When ctx ends it returns its cause.
-func Run(ctx context.Context, o Options) (*measure.Result, error) {
+func Run(ctx context.Context, options Options) (*measure.Result, error) {
 	startedAt := time.Now()
-	r := &run{options: o, plan: o.Plan, settings: o.Settings, behavior: o.Plan.ClientBehavior()}
+	r := &run{options: options, plan: options.Plan, settings: options.Settings, behavior: options.Plan.ClientBehavior()}
 	if err := r.mapNames(); err != nil {
 		return nil, err
 	}
-	if o.Plan.Replay != nil && o.Plan.Source == nil {
+	if options.Plan.Replay != nil && options.Plan.Source == nil {
 		return nil, errors.New("the scenario plays a record again, and that was not read")
 	}
-	seed := o.Plan.Seed
+	seed := options.Plan.Seed
 	r.workRand = randstream.New(seed, "noise")
 	r.faultRand = randstream.New(seed, "luck")
 	r.clientRand = randstream.New(seed, "callers")
 	r.reportRand = randstream.New(seed, "reports")
-	r.meter = measure.New(o.Criteria, o.Plan.Length.Micros(), len(o.Plan.Fleet.Zones))
-	r.network = newNetwork(o.Plan)
+	r.meter = measure.New(options.Criteria, options.Plan.Length.Micros(), len(options.Plan.Fleet.Zones))
+	r.network = newNetwork(options.Plan)
 	r.discovery = newDiscoveryService(r)
-	for i := range o.Plan.Endpoints {
+	for i := range options.Plan.Endpoints {
 		r.endpoints = append(r.endpoints, newEndpoint(r, i))
 	}
-	for i := range o.Plan.Instances {
+	for i := range options.Plan.Instances {
 		in, err := newInstance(r, i)
 		if err != nil {
 			return nil, err
@@ -160,23 +160,23 @@
 	r.scheduleEvents()
 	r.meter.SetFaultPeriod(r.plan.EventPeriod())
 	r.meter.SetEnvironment(measure.Environment{Capacity: r.plan.CapacityAt, Serving: r.plan.InstanceServing})
-	if err := r.play(ctx); err != nil {
+	if err := r.handleEvents(ctx); err != nil {
 		return nil, err
 	}
 	result := r.meter.Result()
-	result.Scenario = o.Plan.Name
+	result.Scenario = options.Plan.Name
 	result.Seed = seed
 	result.Elapsed = time.Since(startedAt)
 	for i, e := range r.endpoints {
-		n := &o.Plan.Endpoints[i]
+		planned := &options.Plan.Endpoints[i]
 		result.Endpoints = append(result.Endpoints, measure.EndpointLoad{
-			Name:        n.Name,
-			Zone:        n.Zone,
+			Name:        planned.Name,
+			Zone:        planned.Zone,
 			Executions:  e.executions,
 			MaxInFlight: e.maxInFlight,
-			Arrivals:    e.arrivals,
-			Utilization: float64(e.model.WorkDone()) / n.Config.Speed / float64(n.Config.Cores) / float64(max(r.now,
-				1)),
+			Arrivals:    e.arrivalsByBin,
+			Utilization: float64(e.model.WorkDone()) / planned.Config.Speed / float64(planned.Config.Cores) /
+				float64(max(r.now, 1)),
 		})
 	}
 	return result, nil
@@ -184,33 +184,35 @@
 
 // mapNames finds the plan's classes and tenants among the criteria's and the settings'.
 func (r *run) mapNames() error {
-	for _, c := range r.plan.Classes {
-		at := slices.IndexFunc(r.options.Criteria.Classes, func(j balancer.Class) bool { return j.Name == c.Name })
-		if at < 0 {
-			return fmt.Errorf("the scenario's class %q is none of the settings' classes", c.Name)
+	for _, class := range r.plan.Classes {
+		index := slices.IndexFunc(r.options.Criteria.Classes,
+			func(candidate balancer.Class) bool { return candidate.Name == class.Name })
+		if index < 0 {
+			return fmt.Errorf("the scenario's class %q is none of the settings' classes", class.Name)
 		}
-		r.criteriaClass = append(r.criteriaClass, at)
+		r.criteriaClassOf = append(r.criteriaClassOf, index)
 	}
-	for _, t := range r.plan.Tenants {
-		at := slices.IndexFunc(r.options.Criteria.Tenants, func(j balancer.Tenant) bool { return j.Name == t.Name })
-		if at < 0 {
-			return fmt.Errorf("the scenario's tenant %q is none of the settings' tenants", t.Name)
+	for _, tenant := range r.plan.Tenants {
+		index := slices.IndexFunc(r.options.Criteria.Tenants,
+			func(candidate balancer.Tenant) bool { return candidate.Name == tenant.Name })
+		if index < 0 {
+			return fmt.Errorf("the scenario's tenant %q is none of the settings' tenants", tenant.Name)
 		}
-		r.criteriaTenant = append(r.criteriaTenant, at)
+		r.criteriaTenantOf = append(r.criteriaTenantOf, index)
 	}
-	for _, c := range r.options.Criteria.Classes {
-		at := slices.Index(r.settings.Site.Classes, c.Name)
-		if at < 0 {
-			return fmt.Errorf("the class %q, by which is judged, is missing in these settings", c.Name)
+	for _, class := range r.options.Criteria.Classes {
+		index := slices.Index(r.settings.Site.Classes, class.Name)
+		if index < 0 {
+			return fmt.Errorf("the class %q, by which is judged, is missing in these settings", class.Name)
 		}
-		r.settingsClass = append(r.settingsClass, at)
+		r.settingsClassOf = append(r.settingsClassOf, index)
 	}
-	for _, t := range r.options.Criteria.Tenants {
-		at := slices.Index(r.settings.Site.Tenants, t.Name)
-		if at < 0 {
-			return fmt.Errorf("the tenant %q, by whom is judged, is missing in these settings", t.Name)
+	for _, tenant := range r.options.Criteria.Tenants {
+		index := slices.Index(r.settings.Site.Tenants, tenant.Name)
+		if index < 0 {
+			return fmt.Errorf("the tenant %q, by whom is judged, is missing in these settings", tenant.Name)
 		}
-		r.settingsTenant = append(r.settingsTenant, at)
+		r.settingsTenantOf = append(r.settingsTenantOf, index)
 	}
 	return nil
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-const world = `name = "world"
+const testScenario = `name = "world"
 length = "12s"
 [fleet]
 zones = ["x", "y"]
@@ -84,7 +84,7 @@
 }
 
 func testSettings() *Settings {
-	s := balancer.Settings{
+	site := balancer.Settings{
 		Balancers:       3,
 		LoadMetrics:     []balancer.LoadMetric{balancer.MetricInflight},
 		OverQuotaWeight: 0.1,
@@ -112,7 +112,7 @@
 	}
 	return &Settings{
 		Site: siteconfig.Site{
-			Settings:  s,
+			Settings:  site,
 			Classes:   []string{"look", "book", "sell"},
 			Tenants:   []string{"p"},
 			Zones:     []string{"x", "y"},
@@ -133,76 +133,76 @@
 	}
 }
 
-func play(t *testing.T, events string, seed uint64, s *Settings, trace func(Trace)) *measure.Result {
+func runScenario(t *testing.T, events string, seed uint64, settings *Settings, trace func(Trace)) *measure.Result {
 	t.Helper()
-	sc, err := scenario.Parse([]byte(world+events), nil)
+	parsed, err := scenario.Parse([]byte(testScenario+events), nil)
 	require.NoError(t, err)
-	b := &s.Site.Settings
-	r, err := Run(context.Background(), Options{
-		Plan:     sc.Draw(seed),
-		Settings: s,
+	site := &settings.Site.Settings
+	result, err := Run(context.Background(), Options{
+		Plan:     parsed.Draw(seed),
+		Settings: settings,
 		Trace:    trace,
 		Criteria: measure.Criteria{
-			Classes:         b.Classes,
-			Tenants:         b.Tenants,
-			OverQuotaWeight: b.OverQuotaWeight,
-			Goal:            b.Goal,
-			Prices:          b.Prices,
+			Classes:         site.Classes,
+			Tenants:         site.Tenants,
+			OverQuotaWeight: site.OverQuotaWeight,
+			Goal:            site.Goal,
+			Prices:          site.Prices,
 		},
 	})
 	require.NoError(t, err)
-	return r
+	return result
 }
 
 // A run follows from plan, settings and build. Variants meet the same operations, each with the same work, whatever
 // becomes of them.
 func TestSameRunSameDigest(t *testing.T) {
 	const events = "[[event]]\nwhat = \"kill\"\nat = \"4s\"\nfor = \"2s\"\npart = [0.3]\n"
-	runTraced := func(s *Settings) (digest string, first []Trace) {
-		seen := map[uint64]bool{}
-		r := play(t, events, 5, s, func(x Trace) {
-			if x.Step == "asks" && !seen[x.Operation] {
-				seen[x.Operation] = true
-				first = append(first, x)
+	runTraced := func(settings *Settings) (digest string, first []Trace) {
+		seenOperations := map[uint64]bool{}
+		result := runScenario(t, events, 5, settings, func(step Trace) {
+			if step.Step == "asks" && !seenOperations[step.Operation] {
+				seenOperations[step.Operation] = true
+				first = append(first, step)
 			}
 		})
-		return r.Digest, first
+		return result.Digest, first
 	}
-	a, first := runTraced(testSettings())
-	if b, _ := runTraced(testSettings()); a != b {
-		t.Errorf("the same run came to %s and to %s", a, b)
+	digest, firstRequests := runTraced(testSettings())
+	if otherDigest, _ := runTraced(testSettings()); digest != otherDigest {
+		t.Errorf("the same run came to %s and to %s", digest, otherDigest)
 	}
-	other := testSettings()
-	other.DecisionSeed = 1
-	other.Site.Settings.Limits.MaxAttempts = 1
-	b, then := runTraced(other)
-	if a == b {
+	changedSettings := testSettings()
+	changedSettings.DecisionSeed = 1
+	changedSettings.Site.Settings.Limits.MaxAttempts = 1
+	otherDigest, otherRequests := runTraced(changedSettings)
+	if digest == otherDigest {
 		t.Error("other settings came to the very same")
 	}
-	if !slices.Equal(first, then) {
+	if !slices.Equal(firstRequests, otherRequests) {
 		t.Error("other settings met other operations")
 	}
 }
 
-// playCountingEnds plays a run with events. It returns how many operations started and how many requests ended, and
+// runCountingEnds plays a run with events. It returns how many operations started and how many requests ended, and
 // fails the test if a request ends twice.
-func playCountingEnds(t *testing.T, events string) (started, ends int, r *measure.Result) {
+func runCountingEnds(t *testing.T, events string) (started, ended int, result *measure.Result) {
 	t.Helper()
 	operations := map[uint64]bool{}
 	requests := map[[2]uint64]bool{}
-	r = play(t, events, 3, testSettings(), func(x Trace) {
-		request := [2]uint64{x.Operation, uint64(x.Request)}
-		switch x.Step {
+	result = runScenario(t, events, 3, testSettings(), func(step Trace) {
+		request := [2]uint64{step.Operation, uint64(step.Request)}
+		switch step.Step {
 		case "asks":
-			operations[x.Operation] = true
+			operations[step.Operation] = true
 		case "is served", "is refused", "is failed", "has no answer":
 			if requests[request] {
-				t.Errorf("request %d of operation %x ended twice", x.Request, x.Operation)
+				t.Errorf("request %d of operation %x ended twice", step.Request, step.Operation)
 			}
 			requests[request] = true
 		}
 	})
-	return len(operations), len(requests), r
+	return len(operations), len(requests), result
 }
 
 // Whatever fails, each operation has one outcome, each request that a running instance accepts has one response in
@@ -230,22 +230,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			started, ends, r := playCountingEnds(t, events)
-			if int(r.Operations) != started || started < 500 {
-				t.Errorf("%d operations started, %d ended", started, r.Operations)
+			started, ended, result := runCountingEnds(t, events)
+			if int(result.Operations) != started || started < 500 {
+				t.Errorf("%d operations started, %d ended", started, result.Operations)
 			}
-			if int64(ends) != r.Costs.ClientRequests {
-				t.Errorf("%d requests, %d ended", r.Costs.ClientRequests, ends)
+			if int64(ended) != result.Costs.ClientRequests {
+				t.Errorf("%d requests, %d ended", result.Costs.ClientRequests, ended)
 			}
-			c := r.Costs
-			if c.AttemptsAfterDrain != 0 || c.DuplicateEffects != 0 || c.LateResponses != 0 || c.Collapses != 0 {
-				t.Errorf("rules broken: %+v", c)
+			costs := result.Costs
+			if costs.AttemptsAfterDrain != 0 || costs.DuplicateEffects != 0 ||
+				costs.LateResponses != 0 || costs.Collapses != 0 {
+				t.Errorf("rules broken: %+v", costs)
 			}
-			if name == "calm" && r.Figures["whole"] < 0.97 {
-				t.Errorf("a calm run came to %v", r.Figures["whole"])
+			if name == "calm" && result.Figures["whole"] < 0.97 {
+				t.Errorf("a calm run came to %v", result.Figures["whole"])
 			}
-			if c.UsefulWork > c.ExecutedWork*1.0001 {
-				t.Errorf("%v of work was useful, of %v", c.UsefulWork, c.ExecutedWork)
+			if costs.UsefulWork > costs.ExecutedWork*1.0001 {
+				t.Errorf("%v of work was useful, of %v", costs.UsefulWork, costs.ExecutedWork)
 			}
 		})
 	}
@@ -253,29 +254,29 @@
 
 // A known harm shows, and settings that lack what the scenario speaks of are turned down.
 func TestHarmAndMisfits(t *testing.T) {
-	good := testSettings()
+	unharmed := testSettings()
 	harmed := testSettings()
 	harmed.KnownHarm = 0.2
-	if a, b := play(t, "", 1, good, nil).Figures["served"], play(t, "", 1, harmed,
-		nil).Figures["unserved"]; a < 0.99 || b < 0.15 || b > 0.25 {
-		t.Errorf("served %v without harm; unserved %v with a fifth harmed", a, b)
+	if served, unserved := runScenario(t, "", 1, unharmed, nil).Figures["served"], runScenario(t, "", 1, harmed,
+		nil).Figures["unserved"]; served < 0.99 || unserved < 0.15 || unserved > 0.25 {
+		t.Errorf("served %v without harm; unserved %v with a fifth harmed", served, unserved)
 	}
-	sc, err := scenario.Parse([]byte(world), nil)
+	parsed, err := scenario.Parse([]byte(testScenario), nil)
 	require.NoError(t, err)
-	bad := testSettings()
-	bad.Site.Zones = []string{"x"}
-	b := &bad.Site.Settings
+	missingZone := testSettings()
+	missingZone.Site.Zones = []string{"x"}
+	unserved := &missingZone.Site.Settings
 	if _, err := Run(context.Background(), Options{
-		Plan:     sc.Draw(1),
-		Settings: bad,
-		Criteria: measure.Criteria{Classes: b.Classes, Tenants: b.Tenants},
+		Plan:     parsed.Draw(1),
+		Settings: missingZone,
+		Criteria: measure.Criteria{Classes: unserved.Classes, Tenants: unserved.Tenants},
 	}); err == nil {
 		t.Error("settings without one of the zones were taken")
 	}
 	if _, err := Run(context.Background(), Options{
-		Plan:     sc.Draw(1),
+		Plan:     parsed.Draw(1),
 		Settings: testSettings(),
-		Criteria: measure.Criteria{Classes: b.Classes[:1], Tenants: b.Tenants},
+		Criteria: measure.Criteria{Classes: unserved.Classes[:1], Tenants: unserved.Tenants},
 	}); err == nil {
 		t.Error("a judge without one of the classes was taken")
 	}
@@ -284,24 +285,24 @@
 // Events come out by instant, and those of one instant in the order in which they went in.
 func TestQueue(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	var q eventQueue
+	var queue eventQueue
 	var last event
-	in := 0
-	outs := 0
-	for in < 5000 || q.len() > 0 {
-		if in < 5000 && (q.len() == 0 || rng.IntN(2) == 0) {
-			q.push(last.at+int64(rng.IntN(50)), requestRetried, uint32(in), nil)
-			in++
+	pushed := 0
+	popped := 0
+	for pushed < 5000 || queue.len() > 0 {
+		if pushed < 5000 && (queue.len() == 0 || rng.IntN(2) == 0) {
+			queue.push(last.at+int64(rng.IntN(50)), requestRetried, uint32(pushed), nil)
+			pushed++
 			continue
 		}
-		e := q.pop()
-		outs++
-		if before(&e, &last) && last.order != 0 {
-			t.Fatalf("%d came after %d", e.at, last.at)
+		event := queue.pop()
+		popped++
+		if before(&event, &last) && last.sequence != 0 {
+			t.Fatalf("%d came after %d", event.at, last.at)
 		}
-		last = e
+		last = event
 	}
-	if outs != in {
-		t.Errorf("%d went in, %d came out", in, outs)
+	if popped != pushed {
+		t.Errorf("%d went in, %d came out", pushed, popped)
 	}
 }
