--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -8,32 +8,34 @@
 	"dunlinsail/internal/simulation/simendpoint"
 )
 
+// attemptPhase is the progress of an attempt, as its instance knows it.
 type attemptPhase uint8
 
 const (
-	phaseConnecting attemptPhase = iota
-	phaseSent                    // the request is on its connection
-	phaseReplied                 // the reply has arrived at the instance
-	phaseNotSent                 // cancelled before it was sent
-	phaseAborted                 // the connection was closed while it was in flight
+	phaseConnecting attemptPhase = iota // no connection yet
+	phaseSent                           // the request was sent on its connection
+	phaseReplied                        // the reply has arrived at the instance
+	phaseNotSent                        // canceled, or the dial failed, before the request was sent
+	phaseAborted                        // the connection was closed while the request was in flight
 )
 
-// attempt is an engine's attempt, from the instance to an endpoint and back.
+// attempt is the simulated part of an engine's attempt: its request on the way to an endpoint, and the reply.
 type attempt struct {
 	instance        *instance
 	endpoint        *endpoint
 	engineAttempt   *engine.Attempt
 	request         *clientRequest
-	incarnation     uint32 // of the instance
-	connIncarnation uint32 // incarnation of the endpoint that its connection belongs to
-	startedAt       monotime.Micros
+	incarnation     uint32          // incarnation of the instance that started the attempt
+	connIncarnation uint32          // incarnation of the endpoint that accepted the attempt's connection
+	startedAt       monotime.Micros // simulated time
 	phase           attemptPhase
-	job             simendpoint.Job
-	status          balancer.Status
-	awaited         bool // the engine waits for its result
-	atEndpoint      bool // the endpoint works at it or queues it
+	job             simendpoint.Job // the request at the endpoint, once it has arrived there
+	status          balancer.Status // result of the dial or of the request, once known
+	awaited         bool            // the engine waits for the attempt's result
+	atEndpoint      bool            // the endpoint has the request queued or running
 }
 
+// newAttempt returns the simulated part of an engine's attempt, and stores it in the attempt's HostData.
 func newAttempt(in *instance, engineAttempt *engine.Attempt) *attempt {
 	a := &attempt{
 		instance:      in,
@@ -48,12 +50,14 @@
 	return a
 }
 
-// randKey identifies the attempt in random streams: its operation, and its request's and its own number.
+// randKey identifies the attempt in random streams: the operation's ID, and the numbers of the request and
+// the attempt.
 func (a *attempt) randKey() (uint64, uint64) {
 	return a.request.operation.ID, uint64(a.request.Number)<<8 | uint64(a.engineAttempt.Number)
 }
 
-// delay is how long a message between the instance and the endpoint takes. step numbers the attempt's messages.
+// delay returns the network delay of a message between the instance and the endpoint. step numbers the
+// attempt's messages.
 func (a *attempt) delay(step uint64) monotime.Micros {
 	operation, number := a.randKey()
 	r := a.instance.run
@@ -61,14 +65,14 @@
 		r.plan.ExtraDelay(r.now, a.instance.index, a.endpoint.index)
 }
 
-// start uses an idle connection to the endpoint, or dials a new one.
+// start sends the attempt on an idle connection to its endpoint, or dials a new connection.
 func (a *attempt) start() {
 	in := a.instance
 	r := a.instance.run
 	idleConns := in.idleUpstreamConns[a.endpoint.index]
 	maxIdleTime := r.settings.Site.KeepAlive.Microseconds() * 2 / 3
 	if in.maxIdleUpstreamConns > 0 && in.maxIdleUpstreamConns < 1 {
-		// upstream.Pool also shortens the reuse time in proportion to a limit below 1.
+		// upstream.Pool shortens the time in the same way for a limit below 1.
 		maxIdleTime = monotime.Micros(float64(maxIdleTime) * in.maxIdleUpstreamConns)
 	}
 	for len(idleConns) > 0 {
@@ -111,7 +115,8 @@
 	}
 }
 
-// closeOldestIdle closes the idle connection that was used longest ago, and reports whether there was one.
+// closeOldestIdle closes the least recently used idle connection to an endpoint, and reports whether there
+// was an idle connection.
 func (in *instance) closeOldestIdle() bool {
 	oldest := -1
 	for index, conns := range in.idleUpstreamConns {
@@ -130,7 +135,8 @@
 	return true
 }
 
-// connected sends the request, unless its instance restarted or it may not be sent any more.
+// connected sends the request on the new connection. The connection is closed or becomes idle instead if the
+// instance has restarted, or if the attempt was abandoned or may no longer be sent.
 func (a *attempt) connected() {
 	in := a.instance
 	r := a.instance.run
@@ -155,7 +161,7 @@
 	r.events.push(r.now+a.delay(1), attemptAtEndpoint, 0, a)
 }
 
-// dialFailed ends an attempt that has no connection.
+// dialFailed ends an attempt whose connection could not be opened.
 func (a *attempt) dialFailed() {
 	if a.incarnation != a.instance.incarnation {
 		return
@@ -169,7 +175,8 @@
 	}
 }
 
-// keepConn keeps the connection idle, for the next attempt.
+// keepConn keeps the attempt's connection idle for later attempts, and closes the oldest idle connections
+// beyond the limit.
 func (a *attempt) keepConn() {
 	in := a.instance
 	in.idleUpstreamConns[a.endpoint.index] = append(in.idleUpstreamConns[a.endpoint.index],
@@ -202,7 +209,8 @@
 	in.advanceEngine()
 }
 
-// cancelUnsent cancels an attempt that was not sent yet, and reports whether it could.
+// cancelUnsent cancels the attempt if its request has not been sent, and reports whether the request stays
+// unsent.
 func (a *attempt) cancelUnsent() bool {
 	if a.phase == phaseConnecting {
 		a.phase = phaseNotSent
@@ -210,7 +218,8 @@
 	return a.phase == phaseNotSent
 }
 
-// abort ends an attempt whose result is no longer awaited. A connection with a request in flight is closed.
+// abort marks the attempt's result as no longer awaited, and closes the connection if the request is in
+// flight.
 func (a *attempt) abort() {
 	if !a.awaited {
 		return
@@ -228,7 +237,7 @@
 	r := a.instance.run
 	endpoint := a.endpoint
 	if endpoint.unreachable || r.pathBlocked(a.instance, endpoint, false) {
-		return // lost on the way, without a reset
+		return // the request is lost; the instance receives no reset
 	}
 	costs := &r.meter.Costs
 	costs.Attempts++
@@ -270,7 +279,8 @@
 	}
 }
 
-// arrivalKind is the kind of arrival of an attempt, by its number among the attempts of its request.
+// arrivalKind returns whether an attempt is counted as the first of its request or as an extra one, from its
+// number.
 func arrivalKind(attempt int) measure.Arrival {
 	if attempt == 0 {
 		return measure.FirstAttempt
@@ -278,7 +288,7 @@
 	return measure.ExtraAttempt
 }
 
-// planClass is the index in the plan of one of the criteria's classes.
+// planClass returns the index in the plan of a class that is given as its index in the criteria.
 func (r *run) planClass(criteriaClass int) int {
 	for planIndex, criteriaIndex := range r.criteriaClassOf {
 		if criteriaIndex == criteriaClass {
@@ -301,7 +311,7 @@
 // replyArrived handles the reply's arrival at the instance.
 func (a *attempt) replyArrived() {
 	if a.incarnation != a.instance.incarnation || a.phase != phaseSent {
-		return // it is not awaited, and its connection is closed
+		return // the attempt was aborted, or its instance has restarted
 	}
 	a.phase = phaseReplied
 	if a.status == balancer.Reset {
@@ -314,7 +324,8 @@
 	a.end(a.status)
 }
 
-// abortNoticed runs when the endpoint sees that its connection was closed.
+// abortNoticed handles the closed connection of an aborted attempt at the endpoint, which cancels the request
+// if it can.
 func (a *attempt) abortNoticed() {
 	if a.endpoint.unreachable || a.connIncarnation != a.endpoint.incarnation {
 		return
@@ -326,6 +337,7 @@
 	}
 }
 
+// traceSteps are the names of trace steps in which the instance receives a reply, by the status of the reply.
 var traceSteps = map[balancer.Status]string{
 	balancer.OK:       "answers",
 	balancer.Error:    "answers an error",
@@ -333,4 +345,5 @@
 	balancer.Reset:    "breaks off",
 }
 
+// traceStep returns the name of the trace step in which a reply with a status arrives.
 func traceStep(status balancer.Status) string { return traceSteps[status] }
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -11,23 +11,24 @@
 	"dunlinsail/internal/simulation/simendpoint"
 )
 
-// discoveryService is the source of the instances' endpoint lists. It has the states of endpoints of which it has been
-// notified.
+// discoveryService sends endpoint lists to the instances. It knows the latest state of each endpoint that a
+// notification has reported to it.
 type discoveryService struct {
 	run                *run
-	endpoints          []engine.EndpointInfo // by index, the latest known
-	generation         int64
-	extraDelay         monotime.Micros // by which notifications of endpoints arrive later
-	silent             bool            // it sends nothing
-	withheldEvents     []*watchEvent   // events to send once it is no longer silent
-	dedupGroups        map[int]*simendpoint.DedupGroup
-	delayRand          *randstream.Stream
-	notificationCount  uint64
-	fullList           []engine.EndpointInfo // complete list of fullListGeneration
-	fullListGeneration int64
-	lastNotificationAt []monotime.Micros // by endpoint, when its latest notification arrives
+	endpoints          []engine.EndpointInfo           // latest known list entry of each endpoint, by endpoint index
+	generation         int64                           // generation of the endpoint list, increased with each change
+	extraDelay         monotime.Micros                 // additional delay of notifications from endpoints
+	silent             bool                            // discovery sends no updates
+	withheldEvents     []*watchEvent                   // events to send when discovery is no longer silent
+	dedupGroups        map[int]*simendpoint.DedupGroup // deduplication state shared by the endpoints of a cell, by cell
+	delayRand          *randstream.Stream              // random delays of notifications and watch events
+	notificationCount  uint64                          // notifications from endpoints so far
+	fullList           []engine.EndpointInfo           // cached complete list of generation fullListGeneration
+	fullListGeneration int64                           // generation at which fullList was built
+	lastNotificationAt []monotime.Micros               // arrival time of the latest notification, by endpoint index
 }
 
+// newDiscoveryService returns a discovery service that knows all endpoints of the plan as ready.
 func newDiscoveryService(r *run) *discoveryService {
 	d := &discoveryService{
 		run:                r,
@@ -46,8 +47,8 @@
 	return d
 }
 
-// dedupGroup returns the deduplication state that a cell's endpoints share. It remembers keys for the longest window of
-// a class.
+// dedupGroup returns the deduplication state that the endpoints of a cell share. It keeps idempotency keys
+// for the longest deduplication window of any class.
 func (d *discoveryService) dedupGroup(cell int) *simendpoint.DedupGroup {
 	if d.dedupGroups[cell] == nil {
 		var window monotime.Micros
@@ -61,7 +62,7 @@
 	return d.dedupGroups[cell]
 }
 
-// endpointInfo is the list entry of an endpoint. Its address is its index.
+// endpointInfo returns the list entry of an endpoint. Its address is the endpoint's index.
 func (d *discoveryService) endpointInfo(index int, state balancer.EndpointState) engine.EndpointInfo {
 	planned := &d.run.plan.Endpoints[index]
 	return engine.EndpointInfo{
@@ -75,15 +76,15 @@
 	}
 }
 
-// watchEvent is an update of the endpoint list on its way to an instance.
+// watchEvent is an update of the endpoint list that is being sent to an instance.
 type watchEvent struct {
 	instance    *instance
-	incarnation uint32
+	incarnation uint32 // incarnation of the instance when the event was sent
 	update      engine.EndpointUpdate
 }
 
-// endpointChanged notifies discovery of an endpoint's new state, after the delay that the scenario gives. vanished: the
-// machine is lost, and discovery finds out by its silence.
+// endpointChanged notifies discovery of an endpoint's new state, after the delay of the plan. vanished means
+// that the machine is lost without a notification, so that discovery notices it only by a timeout.
 func (d *discoveryService) endpointChanged(index int, state balancer.EndpointState, vanished bool) {
 	r := d.run
 	delays := &d.run.plan.Discovery
@@ -101,7 +102,7 @@
 	maxDelay := float64(delayRange.To.Microseconds())
 	arrivesAt := r.now + monotime.Micros(minDelay+(maxDelay-minDelay)*
 		d.delayRand.For(uint64(index), d.notificationCount).Float64()) + d.extraDelay
-	arrivesAt = max(arrivesAt, d.lastNotificationAt[index]+1) // its messages keep their order
+	arrivesAt = max(arrivesAt, d.lastNotificationAt[index]+1) // notifications of an endpoint arrive in order
 	d.lastNotificationAt[index] = arrivesAt
 	info := d.endpointInfo(index, state)
 	if state == balancer.Ready {
@@ -136,7 +137,7 @@
 	}
 }
 
-// send sends a watch event to its instance. Events of an instance arrive in order.
+// send sends a watch event to its instance. The events of an instance arrive in order.
 func (d *discoveryService) send(event *watchEvent) {
 	in := event.instance
 	maxSpread := float64(d.run.plan.Discovery.Spread.Micros())
@@ -145,6 +146,7 @@
 	d.run.events.push(in.lastWatchEventAt, watchEventArrives, 0, event)
 }
 
+// arrive delivers the event to its instance, or keeps it while discovery's events are blocked there.
 func (w *watchEvent) arrive() {
 	if w.instance.down || w.incarnation != w.instance.incarnation {
 		return
@@ -157,8 +159,8 @@
 	w.instance.advanceEngine()
 }
 
-// resumeDiscovery removes one cause that blocked discovery's events. After the last one the instance gets the events
-// that it missed, or the complete list if it has none.
+// resumeDiscovery removes one cause that blocks discovery's events at the instance. When no cause is left,
+// the instance receives the blocked events, or the complete list if it has no list yet.
 func (in *instance) resumeDiscovery() {
 	if in.discoveryBlocks--; in.discoveryBlocks > 0 || in.down {
 		return
@@ -175,13 +177,13 @@
 	}
 }
 
-// updateEndpoints gives an update of the list to the instance's engine.
+// updateEndpoints passes an update of the endpoint list to the instance's engine.
 func (in *instance) updateEndpoints(update engine.EndpointUpdate) {
 	in.hasEndpointList = true
 	for _, info := range update.Endpoints {
 		index, err := strconv.Atoi(info.Addr)
 		if err != nil {
-			panic(err) // endpointInfo wrote it
+			panic(err) // endpointInfo sets the address to a number
 		}
 		if info.State == balancer.Ready {
 			delete(in.leavingSince, index)
@@ -192,7 +194,7 @@
 	in.pool.UpdateEndpoints(in.localTime(), update)
 }
 
-// subscribedTo reports whether the instance's list has an endpoint.
+// subscribedTo reports whether the instance receives the state of an endpoint.
 func (in *instance) subscribedTo(index int) bool {
 	subset := in.run.plan.Instances[in.index].Endpoints
 	if subset == nil {
@@ -202,7 +204,7 @@
 	return found
 }
 
-// snapshot is the complete endpoint list for an instance.
+// snapshot returns the complete endpoint list for an instance.
 func (d *discoveryService) snapshot(in *instance) engine.EndpointUpdate {
 	update := engine.EndpointUpdate{Kind: balancer.ListFull, Generation: d.generation}
 	if subset := d.run.plan.Instances[in.index].Endpoints; subset != nil {
@@ -227,11 +229,11 @@
 	return update
 }
 
-// pollDelay is the time in microseconds from a poll to its answer.
+// pollDelay is the time in microseconds between a poll and its response.
 const pollDelay = 1000
 
-// setWatch answers the poll of a balancer that has to poll: with the complete list, or with a failure while discovery
-// is silent.
+// setWatch simulates the response to a poll, for settings that let instances poll: the complete endpoint
+// list, or a failure while discovery is silent. The engine calls it with enabled true to start watching.
 func (in *instance) setWatch(enabled bool) {
 	if !enabled || !in.run.settings.Site.Settings.Subscribe {
 		return
@@ -244,7 +246,7 @@
 	in.run.events.push(in.run.now+pollDelay, watchEventArrives, 0, event)
 }
 
-// resume sends what was held back while discovery was silent.
+// resume ends discovery's silence and sends the withheld events.
 func (d *discoveryService) resume() {
 	d.silent = false
 	for _, event := range d.withheldEvents {
@@ -253,7 +255,7 @@
 		}
 	}
 	d.withheldEvents = nil
-	for _, in := range d.run.instances { // those that started meanwhile have no list
+	for _, in := range d.run.instances { // instances that started during the silence have no list
 		if !in.down && !in.hasEndpointList {
 			d.send(&watchEvent{instance: in, incarnation: in.incarnation, update: d.snapshot(in)})
 		}
--- a/internal/simulation/endpoint.go
+++ b/internal/simulation/endpoint.go
@@ -7,25 +7,27 @@
 	"dunlinsail/internal/simulation/simendpoint"
 )
 
-// endpoint is an endpoint of the run: its model, its connections and its machine.
+// endpoint is a simulated endpoint: the model of its process, its connections and its machine.
 type endpoint struct {
 	run         *run
 	index       int
 	model       *simendpoint.Endpoint
-	incarnation uint32          // changes at each start
-	unreachable bool            // its machine is lost: it sends no reply and no reset
-	wakeupAt    monotime.Micros // instant of the scheduled wake-up; 0 is none
-	executions  int64
-	maxInFlight int
-
-	arrivalsByBin []int64 // requests by bin of time
-	draining      bool    // it stops once it has no request in flight
-	pauseCount    uint64  // pauses so far
+	incarnation uint32          // increased at each start and kill of the process
+	unreachable bool            // the machine is lost: it sends neither replies nor resets
+	wakeupAt    monotime.Micros // time of the scheduled wake-up; 0 if no wake-up is scheduled
+	executions  int64           // requests that the endpoint has executed
+	maxInFlight int             // largest number of requests in flight so far
+
+	arrivalsByBin []int64 // arrived requests by time bin of the meter
+	draining      bool    // the process stops when it has no request in flight
+	pauseCount    uint64  // pauses scheduled so far
 }
 
-// maxEndpointsWithArrivals is the largest number of endpoints for which arrivals are counted by time.
+// maxEndpointsWithArrivals is the largest number of endpoints in a run for which arrivals are counted by time
+// bin.
 const maxEndpointsWithArrivals = 100
 
+// newEndpoint returns an endpoint of the plan with a running process.
 func newEndpoint(r *run, index int) *endpoint {
 	planned := &r.plan.Endpoints[index]
 	e := &endpoint{
@@ -43,7 +45,7 @@
 
 func (e *endpoint) zone() int { return e.run.plan.Endpoints[e.index].Zone }
 
-// arrive gives a request to the endpoint's model.
+// arrive passes a request to the endpoint's model and counts the arrival.
 func (e *endpoint) arrive(job *simendpoint.Job) simendpoint.Verdict {
 	e.advance()
 	collapsedBefore := e.model.Collapsed()
@@ -63,14 +65,14 @@
 	return verdict
 }
 
-// advance handles the jobs that have ended by now.
+// advance handles the jobs that have completed by now.
 func (e *endpoint) advance() {
 	for _, completion := range e.model.Advance(e.run.now) {
 		e.jobEnded(completion)
 	}
 }
 
-// scheduleWakeup schedules a wake-up for the next job that completes.
+// scheduleWakeup schedules a wake-up for the next completion of a job.
 func (e *endpoint) scheduleWakeup() {
 	if at, ok := e.model.NextCompletion(); ok && (e.wakeupAt == 0 || at < e.wakeupAt) {
 		e.wakeupAt = max(at, e.run.now)
@@ -78,6 +80,7 @@
 	}
 }
 
+// onWakeup handles a wake-up that was scheduled for an instant, unless an earlier wake-up has replaced it.
 func (e *endpoint) onWakeup(at monotime.Micros) {
 	if e.wakeupAt != at {
 		return
@@ -90,7 +93,7 @@
 	e.scheduleWakeup()
 }
 
-// jobEnded counts a finished job and sends its reply.
+// jobEnded counts the execution and the effect of a completed job, and sends its reply.
 func (e *endpoint) jobEnded(completion simendpoint.Completion) {
 	a := completion.Job.HostData.(*attempt)
 	costs := &e.run.meter.Costs
@@ -121,14 +124,15 @@
 	}
 }
 
-// disconnect closes a connection that was opened in an incarnation of the endpoint.
+// disconnect closes a connection to the endpoint, if the incarnation that accepted it still runs.
 func (e *endpoint) disconnect(incarnation uint32) {
 	if incarnation == e.incarnation {
 		e.model.Disconnect()
 	}
 }
 
-// kill ends the process. Its requests are reset; with silent the machine is lost, and no reset is sent.
+// kill ends the process, which resets its requests in flight. If silent is true the whole machine is lost,
+// and no reset is sent.
 func (e *endpoint) kill(silent bool) {
 	if !e.model.Up() {
 		return
@@ -148,19 +152,20 @@
 	if silent {
 		return
 	}
-	for _, in := range e.run.instances { // idle connections are seen to be closed
+	for _, in := range e.run.instances { // instances notice that their idle connections were closed
 		in.upstreamConns -= len(in.idleUpstreamConns[e.index])
 		delete(in.idleUpstreamConns, e.index)
 	}
 }
 
-// stop ends a process that has drained.
+// stop ends a process that has drained, and notifies discovery.
 func (e *endpoint) stop() {
 	e.kill(false)
 	e.run.discovery.endpointChanged(e.index, balancer.Gone, false)
 }
 
-// start starts the process, which warms up. With warm it is warm at once.
+// start starts the process and notifies discovery. The process warms up first, unless warm is true. A
+// draining process is replaced.
 func (e *endpoint) start(warm bool) {
 	if e.model.Up() {
 		if !e.draining {
@@ -175,7 +180,7 @@
 	e.run.discovery.endpointChanged(e.index, balancer.Ready, false)
 }
 
-// drain has the process finish its requests, and stop.
+// drain makes the process finish its requests in flight and then stop.
 func (e *endpoint) drain() {
 	if !e.model.Up() || e.draining {
 		return
@@ -197,6 +202,7 @@
 		uint32(e.index), nil)
 }
 
+// pause pauses the process for a random time and schedules its next pause.
 func (e *endpoint) pause() {
 	planned := &e.run.plan.Endpoints[e.index]
 	random := randstream.New(e.run.plan.Seed, "pauses").For(uint64(e.index), e.pauseCount, 1)
--- a/internal/simulation/eventqueue.go
+++ b/internal/simulation/eventqueue.go
@@ -2,21 +2,21 @@
 
 import "dunlinsail/internal/monotime"
 
-// event happens at an instant. Events of the same instant are handled in the order in which they were pushed. The
-// meaning of index and target depends on the kind.
+// event is an action at an instant of simulated time. Events at the same instant are handled in the order in
+// which they were pushed. The kind determines the meaning of index and target.
 type event struct {
 	at       monotime.Micros
-	sequence uint64
+	sequence uint64 // order of the push, from 1
 	kind     eventKind
 	index    uint32
 	target   any
 }
 
-// eventQueue holds the coming events in a 4-ary heap, which touches less memory than a binary one (Larkin, Sen, Tarjan:
-// "A back-to-basics empirical study of priority queues", 2014).
+// eventQueue holds the pending events in a 4-ary heap, which touches less memory than a binary one (Larkin,
+// Sen, Tarjan: "A back-to-basics empirical study of priority queues", 2014).
 type eventQueue struct {
 	heap         []event
-	lastSequence uint64
+	lastSequence uint64 // sequence number of the latest push
 }
 
 // childrenPerNode is the number of children of a heap node.
@@ -24,6 +24,7 @@
 
 func (q *eventQueue) len() int { return len(q.heap) }
 
+// before reports whether event a is handled before event b.
 func before(a, b *event) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence }
 
 // push adds an event.
@@ -43,7 +44,7 @@
 	q.heap[i] = e
 }
 
-// pop removes and returns the first event. The queue must not be empty.
+// pop removes and returns the earliest event. The queue must not be empty.
 func (q *eventQueue) pop() event {
 	first := q.heap[0]
 	last := len(q.heap) - 1
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -9,42 +9,44 @@
 	"dunlinsail/internal/simulation/simclient"
 )
 
-// eventKind is the kind of an event. The comments say what its index or target is, and what happens.
+// eventKind is the kind of an event. The comment of each kind names its index or target and its meaning.
 type eventKind uint8
 
 const (
-	operationArrives  eventKind = iota // index: an instance; its next operation starts
-	requestRetried                     // target: *operation; its next request starts
-	requestAtInstance                  // target: *clientRequest; the request has arrived completely at the instance
-	connRejected                       // target: *clientRequest; the instance's machine rejects its connection
-	responseAtClient                   // target: *clientRequest; its response arrives at the client
-	clientConnReset                    // target: *clientRequest; the client sees its connection break
-	clientTimeout                      // target: *clientRequest; its client times out, or leaves early
-	instanceWakeup                     // target: *instance; its engine has a timer due
-	attemptConnected                   // target: *attempt; its connection is established
-	dialFailed                         // target: *attempt; its dial failed
-	attemptAtEndpoint                  // target: *attempt; it arrives at the endpoint
-	replyAtInstance                    // target: *attempt; its reply arrives at the instance
-	attemptAborted                     // target: *attempt; the endpoint notices that its connection was closed
-	endpointWakeup                     // index: an endpoint; a job completes there
-	probeAtEndpoint                    // target: *probe; it arrives at the endpoint
-	probeReplied                       // target: *probe; its report arrives at the instance
-	// index: an endpoint, target: engine.EndpointInfo; discovery is notified of the endpoint's new state
+	operationArrives  eventKind = iota // index: an instance, whose next operation starts
+	requestRetried                     // target: *operation, whose next request starts
+	requestAtInstance                  // target: *clientRequest, which has arrived completely at the instance
+	connRejected                       // target: *clientRequest, whose connection the instance's machine has rejected
+	responseAtClient                   // target: *clientRequest, whose response arrives at the client
+	clientConnReset                    // target: *clientRequest, whose connection is reset at the client
+	clientTimeout                      // target: *clientRequest, whose client times out or aborts it early
+	instanceWakeup                     // target: *instance, whose engine has a due timer
+	attemptConnected                   // target: *attempt, whose connection is established
+	dialFailed                         // target: *attempt, whose connection could not be opened
+	attemptAtEndpoint                  // target: *attempt, which arrives at the endpoint
+	replyAtInstance                    // target: *attempt, whose reply arrives at the instance
+	attemptAborted                     // target: *attempt, whose closed connection the endpoint notices
+	endpointWakeup                     // index: an endpoint, at which a job completes
+	probeAtEndpoint                    // target: *probe, which arrives at the endpoint
+	probeReplied                       // target: *probe, whose load report arrives at the instance
+	// index: an endpoint; target: engine.EndpointInfo, the endpoint's new state, of which discovery is
+	// notified
 	discoveryNotified
-	watchEventArrives  // target: *watchEvent; an update of the endpoint list arrives at its instance
+	watchEventArrives  // target: *watchEvent, an update of the endpoint list, which arrives at its instance
 	plannedEventStarts // index: a planned event, which starts
 	plannedEventEnds   // index: a planned event, which ends
-	// index: a planned event, which goes on with its next endpoint or phase; target: the number of that
+	// index: a planned event with several steps; target: int, the number of the step that starts
 	plannedEventSteps
 	endpointStarts      // index: an endpoint, which starts
-	instanceRestarts    // target: *instance; it starts again
-	endpointPauses      // index: an endpoint; its process pauses
-	fleetMessageArrives // target: *fleetMessage; it arrives at its instance
-	// target: *clientRequest; its instance notices that the client has left
+	instanceRestarts    // target: *instance, which starts again
+	endpointPauses      // index: an endpoint, whose process pauses
+	fleetMessageArrives // target: *fleetMessage, which arrives at its recipient
+	// target: *clientRequest, whose instance notices that the client has left
 	clientGoneNoticed
 )
 
-// play handles events until all operations have ended, or maxDrainTime is over.
+// handleEvents handles events until all operations have ended, or until maxDrainTime after the planned length
+// of the run.
 func (r *run) handleEvents(ctx context.Context) error {
 	end := r.plan.Length.Micros()
 	for handled := 0; r.events.len() > 0; handled++ {
@@ -66,7 +68,8 @@
 	return nil
 }
 
-// handle handles an event. While the instance that handles it is frozen, the event is postponed to the end of that.
+// handle handles an event. If the process that handles it is frozen, the event is postponed until the freeze
+// ends.
 func (r *run) handle(e *event) {
 	if in := handlingInstance(e); in != nil && !in.down {
 		if in.frozenUntil > r.now {
@@ -78,7 +81,8 @@
 	r.dispatch(e)
 }
 
-// postpone has an event handled once its instance goes on: what clients do comes after all else, as in package core.
+// postpone schedules an event again for the end of its instance's freeze. Events of clients follow one
+// microsecond later, since the event loop of package core handles them after all other events.
 func (in *instance) postpone(e *event) {
 	at := in.frozenUntil
 	switch e.kind {
@@ -90,7 +94,7 @@
 	in.run.events.push(at, e.kind, e.index, e.target)
 }
 
-// freeze stops the instance until an instant.
+// freeze stops the instance's process until an instant.
 func (in *instance) freeze(until monotime.Micros) {
 	if !in.stalled {
 		in.stalled = true
@@ -169,7 +173,7 @@
 	}
 }
 
-// handlingInstance is the instance whose process handles an event, nil for events elsewhere.
+// handlingInstance returns the instance whose process handles an event, or nil if no instance handles it.
 func handlingInstance(e *event) *instance {
 	switch e.kind {
 	case requestAtInstance, clientGoneNoticed:
--- a/internal/simulation/fleetmessages.go
+++ b/internal/simulation/fleetmessages.go
@@ -9,26 +9,27 @@
 	"dunlinsail/internal/monotime"
 )
 
-// This file carries the messages between instances.
+// This file simulates the messages between instances.
 
-// instanceName is an instance's name among the fleet, as configuration files name lease candidates.
+// instanceName returns the name of an instance in the fleet, in the form that configuration files use for
+// lease candidates.
 func instanceName(index int) string { return fmt.Sprint("instance-", index) }
 
-// QuotaCandidates returns the lease candidates of a run of so many instances, out of those that a file names. Their
-// number is odd.
+// QuotaCandidates returns the lease candidates of a run with the given number of instances: the first of the
+// configured names, at most one for each instance, and an odd number of them.
 func QuotaCandidates(names []string, instances int) []string {
 	usable := min(len(names), instances)
 	return names[:max(0, usable-1+usable%2)]
 }
 
-// fleetMessage is on its way from one instance to another.
+// fleetMessage is a message that is being sent from one instance to another.
 type fleetMessage struct {
 	from, to    *instance
-	incarnation uint32 // of the recipient
+	incarnation uint32 // incarnation of the recipient when the message was sent
 	message     coordination.Message
 }
 
-// joinFleet turns the engine's fleet coordination on, if the settings have it.
+// joinFleet turns the engine's fleet coordination on, if the settings include it.
 func (in *instance) joinFleet() error {
 	if in.run.settings.Coordination == nil {
 		return nil
@@ -38,7 +39,7 @@
 	config.Settings.Self = instanceName(in.index)
 	config.Settings.Seed = in.seed + uint64(in.incarnation)
 	config.Settings.Quota.MaxInstances = len(in.run.plan.Instances)
-	incarnation := uint64(in.incarnation) << 8 // a process takes part several times, each as another incarnation
+	incarnation := uint64(in.incarnation) << 8 // a process may join several times, each time as a new incarnation
 	config.NextIncarnation = func() uint64 {
 		incarnation++
 		return incarnation
@@ -47,14 +48,15 @@
 	return in.engine.JoinFleet(config)
 }
 
-// sendFleetMessage sends a message to another instance. A message of a process that is now frozen was sent before that,
-// and is delivered.
+// sendFleetMessage sends a message to another instance. A message that a process sent before it was frozen is
+// still delivered. While a planned event overstates demand, the last instance of the fleet reports multiplied
+// demands.
 func (in *instance) sendFleetMessage(to string, message coordination.Message) {
 	r := in.run
 	indexText, ok := strings.CutPrefix(to, "instance-")
 	index, err := strconv.Atoi(indexText)
 	if !ok || err != nil || index < 0 || index >= len(r.instances) {
-		return // this run has no such instance
+		return // the run has fewer instances than the configuration names
 	}
 	overstates := message.Request != nil && in.index == len(r.instances)-1
 	if factor := r.plan.DemandOverstatement(r.now); overstates && factor != 1 {
@@ -77,8 +79,8 @@
 	}
 }
 
-// upgrade replaces the instance's process by a hot restart. Only fleet coordination is simulated: its state is handed
-// over and restored.
+// hotRestart replaces the instance's process. Only fleet coordination is simulated: its state is handed over
+// and restored.
 func (in *instance) hotRestart() {
 	now := in.localTime()
 	if state := in.engine.HandOverCoordination(now); state != nil {
@@ -87,7 +89,8 @@
 	in.advanceEngine()
 }
 
-// arrive delivers a message, unless the network is partitioned or the recipient has restarted.
+// arrive delivers a message, unless a partition separates the two instances or the recipient is down or has
+// restarted.
 func (m *fleetMessage) arrive() {
 	to := m.to
 	r := m.to.run
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -8,33 +8,33 @@
 	"dunlinsail/internal/monotime"
 )
 
-// upstreamTarget is an endpoint as an engine's target.
+// upstreamTarget makes an endpoint the engine.Target of an instance's engine.
 type upstreamTarget struct{ endpoint *endpoint }
 
-// Drop does nothing: idle connections to an endpoint that has gone expire.
+// Drop does nothing: idle connections to an endpoint that is gone expire.
 func (upstreamTarget) Drop() {}
 
-// NewTarget finds an endpoint by its address, which is its index.
+// NewTarget returns the endpoint with an address, which is the endpoint's index.
 func (in *instance) NewTarget(_, addr string) engine.Target {
 	index, err := strconv.Atoi(addr)
 	if err != nil {
-		panic(err) // endpointInfo wrote it
+		panic(err) // endpointInfo sets the address to a number
 	}
 	return upstreamTarget{in.run.endpoints[index]}
 }
 
-// StartAttempt sends an attempt to its endpoint.
+// StartAttempt starts the simulation of an attempt.
 func (in *instance) StartAttempt(engineAttempt *engine.Attempt) {
 	newAttempt(in, engineAttempt).start()
 }
 
-// CancelUnsent cancels an attempt that was not sent yet, and reports whether it could.
+// CancelUnsent cancels an attempt whose request was not sent yet, and reports whether it did.
 func (in *instance) CancelUnsent(engineAttempt *engine.Attempt) bool {
 	a, ok := engineAttempt.HostData.(*attempt)
 	return !ok || a.cancelUnsent()
 }
 
-// AbortAttempt ends an attempt.
+// AbortAttempt aborts an attempt whose result the engine no longer needs.
 func (in *instance) AbortAttempt(engineAttempt *engine.Attempt) {
 	if a, ok := engineAttempt.HostData.(*attempt); ok {
 		a.abort()
@@ -60,10 +60,10 @@
 	in.idleUpstreamConns[a.endpoint.index] = remaining
 }
 
-// StartProbe sends a health check to an endpoint, which replies with its load report.
+// StartProbe sends a probe to an endpoint, which replies with its load report.
 func (in *instance) StartProbe(p *engine.Pool, e *engine.Endpoint) { newProbe(in, e) }
 
-// Respond sends the response to the client.
+// Respond sends the final response of a request to its client, and makes the client's connection idle.
 func (in *instance) Respond(call *engine.Call, response engine.Response) {
 	request := call.HostData.(*clientRequest)
 	r := in.run
@@ -83,10 +83,10 @@
 		responseAtClient, 0, request)
 }
 
-// EndpointReady does nothing: no hot restart waits for it in a simulation.
+// EndpointReady does nothing: no hot restart of the simulation waits for it.
 func (in *instance) EndpointReady() {}
 
-// Log passes a log line on to Options.Log.
+// Log passes a log line to Options.Log.
 func (in *instance) Log(message string, args ...any) {
 	if in.run.options.Log != nil {
 		in.run.options.Log(in.run.now, in.index, fmt.Sprint(append([]any{message}, args...)...))
@@ -96,5 +96,6 @@
 // Warn does the same as Log.
 func (in *instance) Warn(message string, args ...any) { in.Log(message, args...) }
 
-// overhead is the time that a request spends in the process before its attempts, and again after them.
+// overhead returns the processing time of a request in the instance's process in one direction, half of the
+// total.
 func (in *instance) overhead() monotime.Micros { return in.run.plan.Host.Overhead.Micros() / 2 }
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -14,52 +14,53 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// instance is one instance of the daemon: an engine, and the state that a process keeps around it.
+// instance is a simulated instance of the daemon: an engine, and the state that the daemon keeps around it.
 type instance struct {
 	run         *run
 	index       int
 	zone        int
-	incarnation uint32 // changes at each start; events of an earlier one are ignored
+	incarnation uint32 // increased when the process is killed; events of an earlier incarnation are ignored
 	down        bool
 
-	frozenUntil     monotime.Micros // the process is stopped until then
-	stalled         bool            // it was stopped, and the engine has not been notified of it
-	stalledFrom     monotime.Micros // the instance's instant at which it was stopped
-	discoveryBlocks int             // causes that block discovery's events
-	blockedEvents   []*watchEvent   // events that arrived while blocked
+	frozenUntil     monotime.Micros // the process is frozen until this time
+	stalled         bool            // the process was frozen, and the engine has not been notified of it
+	stalledFrom     monotime.Micros // time on the instance's clock at which the freeze started
+	discoveryBlocks int             // number of active causes that block discovery's events
+	blockedEvents   []*watchEvent   // events that arrived while discovery's events were blocked
 
 	engine   *engine.Engine
 	pool     *engine.Pool
-	clients  []*engine.Client // of each process
+	clients  []*engine.Client // registered clients, by client process
 	site     siteconfig.Site
-	wakeupAt monotime.Micros // instant of the scheduled wake-up; 0 is none
-	seed     uint64
+	wakeupAt monotime.Micros // time of the scheduled wake-up; 0 if no wake-up is scheduled
+	seed     uint64          // seed of the instance's random decisions
 
 	connTable            *connlimit.Table[*clientConn]
-	connOwners           []*connlimit.Owner[*clientConn]
-	idleClientConns      [][]*connlimit.Conn[*clientConn] // by client process, the latest used last
-	idleUpstreamConns    map[int][]idleConn               // connections to endpoints without an open request
-	upstreamConns        int                              // open connections to endpoints
-	maxIdleUpstreamConns float64                          // idle connections that may be kept; 0 is no bound
-
-	inFlight             []*clientRequest // accepted, without a response
-	hasEndpointList      bool             // it has received an endpoint list
-	takePlannedOperation func() (simclient.Operation, bool)
-	nextOperation        simclient.Operation
-	probeCount           uint64
-	leavingSince         map[int]monotime.Micros // by endpoint known to be draining or gone: when it became known
-	lastWatchEventAt     monotime.Micros         // when the latest watch event arrives
+	connOwners           []*connlimit.Owner[*clientConn]  // owners in connTable, by client process
+	idleClientConns      [][]*connlimit.Conn[*clientConn] // by client process, most recently used last
+	idleUpstreamConns    map[int][]idleConn               // idle connections by endpoint index, most recently used last
+	upstreamConns        int                              // open connections to endpoints, including idle ones
+	maxIdleUpstreamConns float64                          // idle connections that may be kept; 0 is no limit
+
+	inFlight             []*clientRequest                   // accepted requests without a response
+	hasEndpointList      bool                               // the instance has received an endpoint list
+	takePlannedOperation func() (simclient.Operation, bool) // the plan's next operation; false after the last one
+	nextOperation        simclient.Operation                // operation that is scheduled to start next
+	probeCount           uint64                             // probes sent so far
+	leavingSince         map[int]monotime.Micros            // by endpoint index: when it was reported as leaving
+	lastWatchEventAt     monotime.Micros                    // arrival time of the latest watch event
 }
 
-// clientConn is a client's connection.
+// clientConn is a connection of a client process, given as its index.
 type clientConn struct{ process int }
 
 // idleConn is an idle connection to an endpoint.
 type idleConn struct {
-	endpointIncarnation uint32 // incarnation of the endpoint when it was opened
+	endpointIncarnation uint32 // incarnation of the endpoint when the connection was opened
 	idleSince           monotime.Micros
 }
 
+// newInstance returns an instance that is not started, or an error if the settings do not fit the plan.
 func newInstance(r *run, index int) (*instance, error) {
 	planned := &r.plan.Instances[index]
 	in := &instance{
@@ -84,6 +85,7 @@
 	return in, nil
 }
 
+// zoneIndex returns the index of a zone's name, or -1 if the zone is unknown.
 func zoneIndex(names []string, name string) int {
 	for i, zone := range names {
 		if zone == name {
@@ -93,7 +95,7 @@
 	return -1
 }
 
-// create makes the engine and the process's other state, without an endpoint list.
+// create replaces the engine and the other state of the process. The new process has no endpoint list yet.
 func (in *instance) create() error {
 	r := in.run
 	in.engine = engine.New(engine.Config{
@@ -165,11 +167,12 @@
 	return nil
 }
 
-// start has the instance serve, with discovery's complete list. newInstance has made the engine of the first start.
+// start starts the instance with discovery's complete endpoint list, if discovery sends one now. newInstance
+// has already created the state for the first start.
 func (in *instance) start(first bool) {
 	if !first {
 		if err := in.create(); err != nil {
-			panic(err) // newInstance accepted the same settings
+			panic(err) // newInstance has accepted the same settings
 		}
 	}
 	in.down = false
@@ -185,7 +188,7 @@
 	in.advanceEngine()
 }
 
-// kill ends the process: its requests in flight are lost, and its connections are reset.
+// kill ends the process. Its requests in flight and its connections are lost.
 func (in *instance) kill() {
 	if in.down {
 		return
@@ -195,15 +198,17 @@
 	in.engine = nil
 }
 
-// localTime is the time of the instance's clock.
+// localTime returns the present time on the instance's clock.
 func (in *instance) localTime() monotime.Micros { return in.clockAt(in.run.now) }
 
+// clockAt returns the time on the instance's clock, which has skew and drift, at a simulated time.
 func (in *instance) clockAt(at monotime.Micros) monotime.Micros {
 	planned := &in.run.plan.Instances[in.index]
 	return clockOrigin + planned.Skew + at + monotime.Micros(planned.Drift*float64(at))
 }
 
-// simulatedTime is the earliest simulated time at which the instance's clock has reached an instant.
+// simulatedTime returns the earliest simulated time at which the instance's clock shows a given time or a
+// later one.
 func (in *instance) simulatedTime(local monotime.Micros) monotime.Micros {
 	planned := &in.run.plan.Instances[in.index]
 	at := monotime.Micros(float64(local-clockOrigin-planned.Skew) / (1 + planned.Drift))
@@ -213,7 +218,7 @@
 	return at
 }
 
-// advanceEngine runs the engine's due timers, and schedules the wake-up for the next one.
+// advanceEngine runs the engine's due timers, and schedules a wake-up for the next one.
 func (in *instance) advanceEngine() {
 	for in.engine != nil {
 		at, ok := in.engine.Next()
@@ -231,6 +236,7 @@
 	}
 }
 
+// onWakeup handles a wake-up that was scheduled for an instant, unless an earlier wake-up has replaced it.
 func (in *instance) onWakeup(at monotime.Micros) {
 	if in.down || in.wakeupAt != at {
 		return
--- a/internal/simulation/instances_test.go
+++ b/internal/simulation/instances_test.go
@@ -2,11 +2,12 @@
 
 import "testing"
 
-// seedsPerEvent are the plans over which the figures of a fault are compared with those of calm: those of one plan
-// hang on when the first requests pass after the fault.
+// seedsPerEvent is the number of plans over which the figures of a fault and of a run without faults are
+// averaged: the figures of a single plan depend on when the first requests succeed after the fault.
 const seedsPerEvent = 12
 
-// meanFigures returns the mean figures of plays with an event, one for each plan. breaks is their sum.
+// meanFigures returns the figures "served" and "attempts" of runs with an event, as means over the plans, and
+// the sum of their "breaks".
 func meanFigures(t *testing.T, event string) map[string]float64 {
 	t.Helper()
 	means := map[string]float64{}
@@ -20,13 +21,15 @@
 	return means
 }
 
-// What happens to instances and on their ways shows where it happens, and nowhere else: stopped ones answer nothing
-// until they go on, severed ways carry nothing that way, deaf ones keep the list that they have.
+// Faults of instances and of their network paths must affect only the requests that pass there: frozen
+// instances send no responses until the freeze ends, blocked paths lose messages in the blocked direction,
+// and instances whose discovery events are blocked keep their present endpoint list. The figures of each
+// fault must stay within bounds relative to a run without faults.
 func TestInstanceFaultsStayLocal(t *testing.T) {
 	baseline := meanFigures(t, "")
 	for _, test := range []struct {
 		event string
-		// served at most and at least, and attempts for each operation at least, as parts of calm
+		// bounds on operations served and on attempts per operation, as ratios to the run without faults
 		maxServed, minServed, minAttempts float64
 	}{
 		{"what = \"freeze\"\nat = \"1s\"\nfor = \"6s\"", 0.6, 0.4, 0.4},
--- a/internal/simulation/operation.go
+++ b/internal/simulation/operation.go
@@ -10,18 +10,18 @@
 	"dunlinsail/internal/simulation/simclient"
 )
 
-// operation is a client's operation with the state that the run keeps of it.
+// operation is a client's operation, with the state that the run keeps about it.
 type operation struct {
 	simclient.Operation
 	run           *run
-	class         *balancer.Class // of the criteria
-	weight        float64
-	withinQuota   bool
-	ended         bool
-	latestRequest *clientRequest // the latest request
+	class         *balancer.Class // the operation's class in the criteria
+	weight        float64         // weight of the operation in the measurement
+	withinQuota   bool            // the operation counts as within its tenant's quota
+	ended         bool            // the outcome was recorded
+	latestRequest *clientRequest
 }
 
-// scheduleNextOperation schedules the next operation of an instance.
+// scheduleNextOperation schedules the start of an instance's next operation, if the plan has another one.
 func (r *run) scheduleNextOperation(in *instance) {
 	if in.takePlannedOperation == nil {
 		in.takePlannedOperation = r.plan.Operations(in.index)
@@ -36,12 +36,13 @@
 	r.events.push(next.StartedAt, operationArrives, uint32(in.index), nil)
 }
 
-// clientDraws returns the random numbers for one request of a client.
+// clientDraws returns the random numbers for one decision of an operation's client. draw numbers the client's
+// decisions.
 func (r *run) clientDraws(o *simclient.Operation, draw int) *rand.Rand {
 	return r.clientRand.For(o.ID, uint64(draw))
 }
 
-// startOperation starts an instance's next operation, and schedules the one after it.
+// startOperation starts an instance's next operation, and schedules the following one.
 func (r *run) startOperation(in *instance) {
 	o := &operation{Operation: in.nextOperation, run: r}
 	r.scheduleNextOperation(in)
@@ -59,14 +60,14 @@
 	o.send(o.Start(r.now, &r.behavior, o.class, r.clientDraws(&o.Operation, 0)))
 }
 
-// retryOperation sends an operation's next request.
+// retryOperation sends the next request of an operation that has not ended.
 func (r *run) retryOperation(o *operation) {
 	if !o.ended {
 		o.send(o.Retry(r.now, &r.behavior, o.class, r.clientDraws(&o.Operation, 2*o.Requests)))
 	}
 }
 
-// send sends a request to its instance.
+// send sends a request of the operation to its instance, and schedules the client's timeout.
 func (o *operation) send(drawn simclient.Request) {
 	r := o.run
 	r.meter.Costs.ClientRequests++
@@ -80,21 +81,21 @@
 	r.events.push(drawn.Deadline, clientTimeout, 0, request)
 }
 
-// clientRequest is one request of a client.
+// clientRequest is a client's request, with the state that the run and its instance keep about it.
 type clientRequest struct {
 	simclient.Request
 	operation     *operation
 	instance      *instance
-	sentAt        monotime.Micros
-	clientDone    bool // the client waits no longer
-	incarnation   uint32
-	call          engine.Call
-	conn          *connlimit.Conn[*clientConn]
-	response      engine.Response
-	responded     bool // the instance has sent its response
-	submitted     bool // the engine has it
-	inFlightIndex int  // in its instance's inFlight
-	effects       int  // executions that had an effect
+	sentAt        monotime.Micros              // simulated time
+	clientDone    bool                         // the request has ended for its client
+	incarnation   uint32                       // incarnation of the instance that accepted the request
+	call          engine.Call                  // the request as submitted to the engine
+	conn          *connlimit.Conn[*clientConn] // client connection of the request, until the response is sent
+	response      engine.Response              // the instance's response, if responded
+	responded     bool                         // the instance has sent its response
+	submitted     bool                         // the request was submitted to the engine
+	inFlightIndex int                          // index of the request in instance.inFlight
+	effects       int                          // executions of the request that took effect
 }
 
 // responseArrived handles the arrival of the instance's response at the client.
@@ -116,7 +117,7 @@
 	}
 }
 
-// clientLeaves ends the request for a client that still waits.
+// clientLeaves ends a request whose client times out or aborts it, and notifies the instance.
 func (c *clientRequest) clientLeaves() {
 	if c.clientDone {
 		return
@@ -124,7 +125,7 @@
 	r := c.operation.run
 	if r.now >= c.Deadline && c.submitted && c.incarnation == c.instance.incarnation && !c.responded &&
 		c.instance.frozenUntil < c.sentAt {
-		r.meter.Costs.LateResponses++ // a running instance owed a response by now
+		r.meter.Costs.LateResponses++ // a running instance should have responded by the deadline
 	}
 	r.trace(c, -1, "", "leaves")
 	if c.submitted && c.incarnation == c.instance.incarnation && !c.instance.down {
@@ -137,7 +138,7 @@
 	c.end(simclient.NoResponse, 0)
 }
 
-// end ends the request for its client.
+// end ends the request for its client, which retries or ends the operation.
 func (c *clientRequest) end(outcome simclient.RequestOutcome, retryAfter monotime.Micros) {
 	if c.clientDone {
 		return
@@ -163,6 +164,8 @@
 	}
 }
 
+// trace passes a step of a request to Options.Trace. attempt is -1 and endpoint is empty if the step has
+// none.
 func (r *run) trace(request *clientRequest, attempt int, endpoint, step string) {
 	if r.options.Trace != nil {
 		r.options.Trace(Trace{
--- a/internal/simulation/plannedevents.go
+++ b/internal/simulation/plannedevents.go
@@ -9,7 +9,8 @@
 	"dunlinsail/internal/simulation/simendpoint"
 )
 
-// scheduleEvents schedules the plan's events.
+// scheduleEvents schedules the starts and ends of the plan's events. Rolling restarts and pauses have no
+// separate end event.
 func (r *run) scheduleEvents() {
 	for eventIndex := range r.plan.PlannedEvents {
 		planned := &r.plan.PlannedEvents[eventIndex]
@@ -21,7 +22,7 @@
 	}
 }
 
-// updateCondition sets an endpoint's condition by all planned events that are active.
+// updateCondition sets an endpoint's condition from all planned events that are active.
 func (r *run) updateCondition(index int) {
 	var condition simendpoint.Condition
 	for eventIndex := range r.plan.PlannedEvents {
@@ -101,7 +102,7 @@
 	}
 }
 
-// restartInstances kills the event's instances. Without an end of the event they start again after a second.
+// restartInstances kills the event's instances. If the event has no end, they start again after one second.
 func (r *run) restartInstances(planned *scenario.PlannedEvent) {
 	for _, index := range planned.Instances {
 		r.killInstance(r.instances[index])
@@ -121,6 +122,8 @@
 	}
 }
 
+// killEndpoint kills an endpoint's process and notifies discovery. If silent is true, the machine is lost
+// without any reset or notification.
 func (r *run) killEndpoint(index int, silent bool) {
 	e := r.endpoints[index]
 	if !e.model.Up() {
@@ -130,7 +133,7 @@
 	r.discovery.endpointChanged(index, balancer.Gone, silent)
 }
 
-// killInstance kills an instance. The clients of its requests in flight see their connections reset.
+// killInstance kills an instance. The clients of its requests in flight receive connection resets.
 func (r *run) killInstance(in *instance) {
 	if in.down {
 		return
@@ -143,7 +146,7 @@
 	in.kill()
 }
 
-// scaleTenantLimits multiplies the tenants' limits at the event's instances.
+// scaleTenantLimits sets the tenant limits of the event's instances to the configured limits times a factor.
 func (r *run) scaleTenantLimits(planned *scenario.PlannedEvent, factor float64) {
 	var limits []float64
 	for _, limit := range r.settings.Site.TenantLimits {
@@ -209,7 +212,8 @@
 	}
 }
 
-// stepEvent goes on with an event of several steps: faults that come and go, or endpoints restarted one after another.
+// stepEvent performs one step of an event with several steps: a recurring fault, or the restart of one
+// endpoint after another.
 func (r *run) stepEvent(eventIndex, step int) {
 	planned := &r.plan.PlannedEvents[eventIndex]
 	if r.now >= planned.Until {
@@ -237,7 +241,7 @@
 		if step >= len(planned.Endpoints) {
 			return
 		}
-		// The endpoint has until the next step to drain, and starts again then.
+		// The endpoint drains until the next step, at which it starts again.
 		r.endpoints[planned.Endpoints[step]].drain()
 		r.events.push(r.now+planned.Every, endpointStarts, uint32(planned.Endpoints[step]), nil)
 		r.events.push(r.now+planned.Every, plannedEventSteps, uint32(eventIndex), step+1)
--- a/internal/simulation/randstream/randstream.go
+++ b/internal/simulation/randstream/randstream.go
@@ -1,8 +1,8 @@
-// Package randstream draws the simulation's random numbers from named streams that do not depend on one another. What a
-// draw is follows from the seed, the stream's name and the numbers that say for whom it is, and from nothing else: not
-// from the order in which things happen. So two variants of a fleet meet the same arrivals, the same work and the same
-// faults (common random numbers: Law, "Simulation Modeling and Analysis", 5th ed., section 11.2), whatever each makes
-// of them.
+// Package randstream draws the simulation's random numbers from named, independent streams. A drawn number
+// depends only on the seed, the stream's name and the keys of the entity for which it is drawn, not on the
+// order of events. Two variants of a fleet therefore face the same arrivals, the same work and the same
+// faults, whatever their decisions (common random numbers: Law, "Simulation Modeling and Analysis", 5th ed.,
+// section 11.2).
 package randstream
 
 import (
@@ -13,14 +13,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Stream is a named stream of a seed.
+// Stream is a named stream of random numbers for one seed.
 type Stream struct {
 	key uint64
 	pcg *rand.PCG
 	rng *rand.Rand
 }
 
-// New returns a stream. It is for one caller at a time.
+// New returns the stream with a seed and a name. A stream is not safe for concurrent use.
 func New(seed uint64, name string) *Stream {
 	var seedBytes [8]byte
 	binary.LittleEndian.PutUint64(seedBytes[:], seed)
@@ -31,7 +31,8 @@
 	return &Stream{key: digest.Sum64(), pcg: pcg, rng: rand.New(pcg)}
 }
 
-// For returns the draws for someone. They are good until the next call of For.
+// For returns the random numbers for the entity that up to four keys identify. They are valid until the next
+// call of For or Source.
 func (s *Stream) For(keys ...uint64) *rand.Rand {
 	var buffer [40]byte
 	binary.LittleEndian.PutUint64(buffer[:], s.key)
@@ -44,7 +45,8 @@
 	return s.rng
 }
 
-// Source returns draws for someone that are good for as long as they are wanted.
+// Source returns random numbers for the entity that up to four keys identify. They stay valid after further
+// calls.
 func (s *Stream) Source(keys ...uint64) *rand.Rand {
 	var seedBytes [8]byte
 	s.For(keys...)
@@ -52,12 +54,12 @@
 	return rand.New(rand.NewPCG(s.key, xxhash.Sum64(seedBytes[:])))
 }
 
-// Range draws evenly from a range of two ends.
+// Range draws a number from the uniform distribution between two ends.
 func Range(random *rand.Rand, ends [2]float64) float64 {
 	return ends[0] + (ends[1]-ends[0])*random.Float64()
 }
 
-// LogNormal draws from a log-normal distribution by its mean and its coefficient of variation.
+// LogNormal draws a number from the log-normal distribution with the given mean and coefficient of variation.
 func LogNormal(random *rand.Rand, mean, cv float64) float64 {
 	if cv <= 0 {
 		return mean
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -10,13 +10,13 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// submit gives the complete request to the instance's engine.
+// submit submits a request that has arrived completely to the instance's engine, or rejects its connection.
 func (c *clientRequest) submit() {
 	in := c.instance
 	r := c.operation.run
 	o := c.operation
 	if c.clientDone {
-		return // the client has left already
+		return // the client has already left
 	}
 	if in.down || !in.acceptConn(c) {
 		r.events.push(r.now+r.network.clientDelay(o.ID, c.Number, true), connRejected, 0, c)
@@ -31,8 +31,8 @@
 	if o.Tenant >= 0 {
 		tenant = uint16(r.settingsTenantOf[o.Tenant])
 	}
-	// A request carries the time that its client waits from sending on. The instance does not know the delay since
-	// then.
+	// The client sends its remaining time with the request. The instance counts it from the arrival, because
+	// it does not know the network delay.
 	c.call = engine.Call{
 		Client:    in.clients[o.Process],
 		Pool:      in.pool,
@@ -53,7 +53,8 @@
 	in.advanceEngine()
 }
 
-// acceptConn takes an idle connection of the request's client, or a new one, and reports whether it got one.
+// acceptConn assigns an idle or a new connection of the client's process to the request, and reports whether
+// it succeeded.
 func (in *instance) acceptConn(request *clientRequest) bool {
 	now := in.localTime()
 	process := request.operation.Process
@@ -80,7 +81,7 @@
 	return in.connTable.MarkBusy(request.conn)
 }
 
-// forgetIdleClientConn removes an idle connection that was closed.
+// forgetIdleClientConn removes a closed connection from the idle client connections.
 func (in *instance) forgetIdleClientConn(conn *connlimit.Conn[*clientConn]) {
 	idle := in.idleClientConns[conn.Value.process]
 	for i := range idle {
@@ -91,7 +92,7 @@
 	}
 }
 
-// removeInFlight removes a request from those in flight.
+// removeInFlight removes a request from the instance's requests in flight.
 func (in *instance) removeInFlight(request *clientRequest) {
 	last := len(in.inFlight) - 1
 	in.inFlight[request.inFlightIndex] = in.inFlight[last]
@@ -125,7 +126,7 @@
 	})
 }
 
-// clientGone notifies the engine that a request's client has left.
+// clientGone notifies the instance's engine that the client of a request has left.
 func (in *instance) clientGone(request *clientRequest) {
 	if !request.responded {
 		in.removeInFlight(request)
--- a/internal/simulation/simclient/operation.go
+++ b/internal/simulation/simclient/operation.go
@@ -1,7 +1,7 @@
-// Package simclient models a client of the fleet as a state machine: what it requests, how long it waits and how it
-// retries. All requests for one purpose belong to one Operation. The package does no I/O and reads no clock, so that
-// the same clients run in simulated time (package simulation) and over sockets (package processes). Package measure
-// says what an operation weighs.
+// Package simclient models a client of the fleet as a state machine: which requests it sends, how long it
+// waits and how it retries. A first request and its retries belong to one Operation. The package does no I/O
+// and reads no clock, so that the same clients run in simulated time (package simulation) and over sockets
+// (package processes). Package measure defines the weight of an operation.
 package simclient
 
 import (
@@ -11,77 +11,78 @@
 	"dunlinsail/internal/monotime"
 )
 
-// Behavior describes how clients behave. Each pair is a range from which a client's value is drawn.
+// Behavior describes how clients behave. A field with two values is a range from which each client's value is
+// drawn.
 type Behavior struct {
-	Retries         [2]int             // retries of an operation, at most
-	TimeoutShare    [2]float64         // timeout of a request, as a part of the class's client timeout
-	Backoff         [2]monotime.Micros // before the first retry; it doubles with each retry
-	HonorRetryAfter float64            // part of the clients that wait for Retry-After
-	EarlyAbort      float64            // part of the requests whose client leaves before the timeout
-	MarkRetries     bool               // retries are marked as such
-	FreshKeys       float64            // part of the clients that give each retry a new idempotency key
+	Retries         [2]int             // maximum number of retries of an operation
+	TimeoutShare    [2]float64         // timeout of a request, as a fraction of the class's client timeout
+	Backoff         [2]monotime.Micros // wait before the first retry, doubled with each further retry
+	HonorRetryAfter float64            // fraction of the clients that wait for Retry-After
+	EarlyAbort      float64            // fraction of the requests that the client aborts before the timeout
+	MarkRetries     bool               // retries are marked as retries
+	FreshKeys       float64            // fraction of the clients that give each retry a new idempotency key
 }
 
-// Operation is one thing that a client wants, with all its requests: the first and its retries.
+// Operation is a task for which a client sends a first request and, if that fails, retries.
 type Operation struct {
 	ID             uint64
-	Instance       int // to which its requests go
-	Process        int // client process, among those of the instance
+	Instance       int // instance that receives its requests
+	Process        int // client process that sends its requests, by index at the instance
 	Class          int
-	Tenant         int // -1 is none
-	Work           monotime.Micros
-	IdempotencyKey uint64 // of classes with idempotency keys only
-	Object         uint64
-	StartedAt      monotime.Micros // when its first request was sent
+	Tenant         int             // -1 for an operation without a tenant
+	Work           monotime.Micros // mean work of an execution, in microseconds at speed 1
+	IdempotencyKey uint64          // 0 for classes without idempotency keys
+	Object         uint64          // object that the requests concern
+	StartedAt      monotime.Micros // when the first request was sent
 
-	Requests         int // sent so far
+	Requests         int // requests sent so far
 	Outcome          Outcome
-	EndedAt          monotime.Micros // when it was served or given up
-	Executions       int             // attempts that an endpoint completed
-	Effects          int             // of these, those that took effect
-	DiscardsResponse bool            // it counts as unserved although a response comes (a planted harm)
+	EndedAt          monotime.Micros // when the operation was served or abandoned
+	Executions       int             // attempts that an endpoint executed
+	Effects          int             // executions that took effect
+	DiscardsResponse bool            // the operation counts as unserved even if it gets a response (a planted harm)
 	Rejected         int             // requests that were rejected
-	Failed           int             // requests that failed
+	Failed           int             // requests with an error response
 	Unanswered       int             // requests without a response: a connection reset, a timeout or an abort
 
-	maxRetries       int
-	honorsRetryAfter bool
-	freshKeys        bool
-	timeoutShare     float64
-	backoff          monotime.Micros
-	inFlight         bool // a request has not ended
-	requestNumber    int  // number of the latest request, from 1
+	maxRetries       int             // retries that the client sends at most
+	honorsRetryAfter bool            // the client waits for Retry-After
+	freshKeys        bool            // each retry gets a new idempotency key
+	timeoutShare     float64         // timeout of a request, as a fraction of the class's client timeout
+	backoff          monotime.Micros // wait before the first retry
+	inFlight         bool            // the latest request has not ended
+	requestNumber    int             // number of the latest request, from 1
 }
 
-// Outcome is how an operation ended.
+// Outcome is the result of an operation.
 type Outcome uint8
 
 // The outcomes of an operation.
 const (
-	Pending      Outcome = iota
-	Served               // a response came
-	Unserved             // no request was served within the client timeout
-	OutcomeCount         // number of outcomes
+	Pending      Outcome = iota // the operation has not ended
+	Served                      // a request got a successful response
+	Unserved                    // no request was served within the client timeout
+	OutcomeCount                // number of outcomes
 )
 
-// RequestOutcome is how one request ended.
+// RequestOutcome is the result of one request.
 type RequestOutcome uint8
 
 // The outcomes of a request.
 const (
-	OK         RequestOutcome = iota
-	Rejected                  // a retry is harmless
-	Failed                    // it may have run
-	NoResponse                // no complete response; it may have run
+	OK         RequestOutcome = iota // a successful response
+	Rejected                         // rejected without execution, so that a retry is safe
+	Failed                           // an error response; the request may have been executed
+	NoResponse                       // no complete response; the request may have been executed
 )
 
-// Request is one request of an operation.
+// Request is one request that a client sends for an operation.
 type Request struct {
-	Number         int
+	Number         int // position in the operation, from 1
 	IdempotencyKey uint64
 	Deadline       monotime.Micros // when the client times out
-	AbortAt        monotime.Micros // when the client leaves early; 0: it does not
-	Retry          bool            // it is marked as a retry
+	AbortAt        monotime.Micros // when the client aborts the request early; 0 if it does not
+	Retry          bool            // the request is marked as a retry
 }
 
 // Start draws the behavior of an operation's client, and returns its first request.
@@ -95,15 +96,16 @@
 	return o.nextRequest(now, b, class, random)
 }
 
-// Deadline returns when the client gives up the operation at the latest.
+// Deadline returns the latest time until which the client pursues the operation.
 func (o *Operation) Deadline(class *balancer.Class) monotime.Micros {
 	return o.StartedAt + class.ClientTimeout
 }
 
-// retryKeyStep separates the idempotency keys of an operation's requests, for clients that give each its own.
+// retryKeyStep is the distance between the idempotency keys of an operation's requests, for clients that give
+// each retry a new key.
 const retryKeyStep = 0x9e3779b97f4a7c15
 
-// nextRequest makes the operation's next request.
+// nextRequest returns the operation's next request and counts it as sent.
 func (o *Operation) nextRequest(now monotime.Micros, b *Behavior, class *balancer.Class, random *rand.Rand) Request {
 	o.Requests++
 	o.requestNumber = o.Requests
@@ -118,7 +120,7 @@
 	}
 	request.Deadline = min(o.Deadline(class), now+monotime.Micros(o.timeoutShare*float64(class.ClientTimeout)))
 	if o.requestNumber > o.maxRetries {
-		request.Deadline = o.Deadline(class) // the last request has all the remaining time
+		request.Deadline = o.Deadline(class) // the last request gets all the remaining time
 	}
 	if random.Float64() < b.EarlyAbort {
 		request.AbortAt = now + monotime.Micros(random.Float64()*float64(request.Deadline-now))
@@ -126,9 +128,9 @@
 	return request
 }
 
-// RequestEnded records how a request ended, and reports whether the client retries, and when: Retry makes that request.
-// Clients retry rejected requests, and others if their class is safe to repeat. The end of any but the latest request
-// is ignored.
+// RequestEnded records how a request ended. It reports whether the client retries, and when the caller has to
+// send the request that Retry returns. Clients retry rejected requests, and other unsuccessful requests if
+// repeating the class is safe. The end of a request that is not the latest one is ignored.
 func (o *Operation) RequestEnded(now monotime.Micros, number int, outcome RequestOutcome, retryAfter monotime.Micros,
 	class *balancer.Class, random *rand.Rand) (retryAt monotime.Micros, retries bool) {
 	if !o.inFlight || number != o.requestNumber || o.Outcome != Pending {
@@ -151,7 +153,7 @@
 		o.Unanswered++
 	}
 	wait := o.backoff << (o.requestNumber - 1)
-	wait = wait/2 + monotime.Micros(random.Float64()*float64(wait)) // jitter of half either way
+	wait = wait/2 + monotime.Micros(random.Float64()*float64(wait)) // jitter: 0.5 to 1.5 times the backoff
 	if outcome == Rejected && o.honorsRetryAfter {
 		wait = max(wait, retryAfter)
 	}
@@ -164,7 +166,7 @@
 	return now + wait, true
 }
 
-// Retry makes the next request.
+// Retry returns the operation's next request, when RequestEnded has reported that the client retries.
 func (o *Operation) Retry(now monotime.Micros, b *Behavior, class *balancer.Class, random *rand.Rand) Request {
 	return o.nextRequest(now, b, class, random)
 }
--- a/internal/simulation/simclient/operation_test.go
+++ b/internal/simulation/simclient/operation_test.go
@@ -10,8 +10,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// endRequest ends an operation's request with a drawn outcome, checks what follows, and returns the next request; its
-// number is 0 if there is none.
+// endRequest ends an operation's request with a drawn outcome, checks the operation's state after it, and
+// returns the next request, or a request with number 0 if the operation has ended.
 func endRequest(
 	t *rapid.T, o *Operation, request Request, b *Behavior, class *balancer.Class, random *rand.Rand,
 ) Request {
@@ -49,8 +49,9 @@
 	return o.Retry(retryAt, b, class, random)
 }
 
-// An operation has one outcome, no more requests than its client makes, none beyond its time, and no request of an
-// unsafe request after one that may have run.
+// An operation must have exactly one outcome, at most as many requests as its client's retries allow, and no
+// request after its deadline. A non-idempotent request must not be repeated after a request that may have
+// been executed.
 func TestOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := Behavior{
--- a/internal/simulation/simendpoint/dedup.go
+++ b/internal/simulation/simendpoint/dedup.go
@@ -6,19 +6,20 @@
 	"dunlinsail/internal/monotime"
 )
 
-// DedupGroup is the deduplication state of endpoints that share the idempotency keys which they have seen.
+// DedupGroup is the deduplication state that a group of endpoints shares: the idempotency keys that any of
+// them has received.
 type DedupGroup struct {
 	window    monotime.Micros
-	firstSeen map[uint64]monotime.Micros // by key, when it was first seen
-	order     []uint64                   // keys, the oldest first
+	firstSeen map[uint64]monotime.Micros // when a key was first received, by key
+	order     []uint64                   // known keys, oldest first
 }
 
-// NewDedupGroup returns a group that drops repeats of a key within a window.
+// NewDedupGroup returns a group that keeps each key for a window of time after it was first received.
 func NewDedupGroup(window monotime.Micros) *DedupGroup {
 	return &DedupGroup{window: window, firstSeen: map[uint64]monotime.Micros{}}
 }
 
-// seenBefore reports whether a key is known, and records it.
+// seenBefore reports whether a key is known, and records an unknown key.
 func (g *DedupGroup) seenBefore(now monotime.Micros, key uint64) bool {
 	for len(g.order) > 0 && now-g.firstSeen[g.order[0]] >= g.window {
 		delete(g.firstSeen, g.order[0])
@@ -32,7 +33,7 @@
 	return false
 }
 
-// forget removes a key whose request never ran.
+// forget removes the key of a request that did not complete.
 func (g *DedupGroup) forget(key uint64) {
 	if _, known := g.firstSeen[key]; known {
 		delete(g.firstSeen, key)
--- a/internal/simulation/simendpoint/endpoint.go
+++ b/internal/simulation/simendpoint/endpoint.go
@@ -1,7 +1,7 @@
-// Package simendpoint models an endpoint as a state machine: cores that requests queue for, a speed that changes, a
-// warm-up, draining, collapse under load, connections, idempotency keys whose repeats it drops, and load reports. The
-// package does no I/O and reads no clock, so that the same endpoint runs in simulated time (package simulation) and
-// behind a socket (package processes).
+// Package simendpoint models an endpoint as a state machine with cores and a request queue, variable speed,
+// warm-up, draining, collapse under load, connections, deduplication by idempotency key, and load reports.
+// The package does no I/O and reads no clock, so that the same endpoint runs in simulated time (package
+// simulation) and behind a socket (package processes).
 package simendpoint
 
 import (
@@ -12,41 +12,43 @@
 	"dunlinsail/internal/simulation/randstream"
 )
 
+// second is one second of simulated time.
 const second monotime.Micros = 1_000_000
 
 // Job is a request at an endpoint.
 type Job struct {
 	Class          int
-	Work           monotime.Micros // at speed 1
-	IdempotencyKey uint64          // a repeat of it is dropped; 0 is none
-	Chance         float64         // random number in 0..1 that decides whether it fails
-	HostData       any             // the caller's own
-	duplicate      bool            // its key was known when it arrived
-	startedAt      monotime.Micros // while running
-	endsAt         monotime.Micros // while running
+	Work           monotime.Micros // in microseconds at speed 1
+	IdempotencyKey uint64          // repeats of it are recognized; 0 for a request without a key
+	Chance         float64         // random number from 0 to 1 that decides whether the request fails
+	HostData       any             // data of the caller, not used by the endpoint
+	duplicate      bool            // the key was already known when the request arrived
+	startedAt      monotime.Micros // when the request started to run, if it is running
+	endsAt         monotime.Micros // when the request completes, if it is running
 	state          jobState
-	core           int // index of its core, while running
+	core           int // index of the request's core, if it is running
 }
 
+// jobState is the progress of a request at an endpoint.
 type jobState uint8
 
 const (
-	jobIdle jobState = iota
+	jobIdle jobState = iota // not at the endpoint: it has not arrived, or it has ended
 	jobQueued
 	jobRunning
 )
 
-// Verdict is how a request ends at an endpoint, or that it was accepted.
+// Verdict is the result of a request at an endpoint, or its acceptance.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Accepted   Verdict = iota // it is queued or runs: its completion follows
-	Completed                 // it ran
-	Duplicate                 // its key was known: it is answered as before, without effect
-	Failed                    // it failed; it may have run
-	Rejected                  // it did not run
-	Unanswered                // it ran, and no reply is sent
+	Accepted   Verdict = iota // queued or running; its Completion follows
+	Completed                 // executed successfully
+	Duplicate                 // its key was known: it gets the earlier response, without another effect
+	Failed                    // failed, possibly after it ran
+	Rejected                  // not executed
+	Unanswered                // executed, but no reply is sent
 )
 
 // Completion is the end of a request at an endpoint.
@@ -54,10 +56,10 @@
 	Job     *Job
 	At      monotime.Micros
 	Verdict Verdict
-	Effect  bool // it took effect: it was no known duplicate. A request that fails after it ran has its effect, too
+	Effect  bool // the request took effect: its key was not known. A request that fails after it ran takes effect, too
 }
 
-// Endpoint is the model of an endpoint. Make one with New, and start it with Start.
+// Endpoint is the model of an endpoint. New creates it, and Start starts its process.
 type Endpoint struct {
 	config     Config
 	dedupGroup *DedupGroup
@@ -67,32 +69,34 @@
 	draining    bool
 	collapsed   bool
 	startedAt   monotime.Micros
-	startedWarm bool // it was running before the simulation: it is warm
-
-	cores           []*Job // nil where a core is free
-	busyCores       int
-	queue           []*Job
-	pausedUntil     monotime.Micros // no job makes progress until then
-	pendingOverhead monotime.Micros // work of probes and handshakes, which delays the next request
-	connections     int
-	workDone        float64 // work done, at speed 1
-
-	// Work offered while warming up, by slots of a tenth of Config.CollapseWindow.
+	startedWarm bool // the process started at full speed, without a warm-up
+
+	cores           []*Job          // running request of each core; nil if the core is free
+	busyCores       int             // number of cores with a running request
+	queue           []*Job          // queued requests, oldest first
+	pausedUntil     monotime.Micros // no request makes progress before this time
+	pendingOverhead monotime.Micros // work of probes and handshakes that delays the next request to start
+	connections     int             // open connections
+	workDone        float64         // total work done, in microseconds at speed 1
+
+	// offeredWork is the work offered while the endpoint warms up, in slots of a tenth of
+	// Config.CollapseWindow. currentSlot is the number of the latest slot.
 	currentSlot int64
 	offeredWork [offeredSlotCount]float64
 	completions []Completion
 	report      loadReporter
 }
 
-// offeredSlotCount is the number of slots in the window of the offered work.
+// offeredSlotCount is the number of slots into which the window of the offered work is divided.
 const offeredSlotCount = 10
 
-// New returns an endpoint that is down. group has the idempotency keys that it shares with others, and may be nil.
+// New returns an endpoint that is down. group is the deduplication state that it shares with other endpoints;
+// nil turns deduplication off.
 func New(config Config, group *DedupGroup) *Endpoint {
 	return &Endpoint{config: config, dedupGroup: group, cores: make([]*Job, max(1, config.Cores))}
 }
 
-// Start starts the process, which warms up. With warm it is warm at once, as one that has been running for long.
+// Start starts the process, which warms up. If warm is true, the process is at full speed at once.
 func (e *Endpoint) Start(now monotime.Micros, warm bool) {
 	e.up = true
 	e.draining = false
@@ -107,7 +111,7 @@
 	e.report = loadReporter{windowStart: now}
 }
 
-// Kill ends the process at once, and returns its requests in flight, for which no completion follows.
+// Kill ends the process at once, and returns its requests in flight. No completion follows for them.
 func (e *Endpoint) Kill(now monotime.Micros) []*Job {
 	inFlight := slices.Clone(e.queue)
 	for core, job := range e.cores {
@@ -126,22 +130,23 @@
 	return inFlight
 }
 
-// Drain has the process finish its requests and reject new ones.
+// Drain makes the process reject new requests and finish those in flight.
 func (e *Endpoint) Drain() { e.draining = true }
 
-// Up reports whether its process runs; it may be draining or collapsed.
+// Up reports whether the process runs. A running process may be draining or collapsed.
 func (e *Endpoint) Up() bool { return e.up }
 
-// Collapsed reports whether it collapsed under load while warming up. That lasts until it is started again.
+// Collapsed reports whether the endpoint collapsed under load while warming up. It stays collapsed until it
+// is started again.
 func (e *Endpoint) Collapsed() bool { return e.collapsed }
 
-// InFlight returns the number of its running and queued requests.
+// InFlight returns the number of running and queued requests.
 func (e *Endpoint) InFlight() int { return e.busyCores + len(e.queue) }
 
-// WorkDone returns the work that it has done, in microseconds at speed 1.
+// WorkDone returns the total work that the endpoint has done, in microseconds at speed 1.
 func (e *Endpoint) WorkDone() float64 { return e.workDone }
 
-// StartedAt returns when it last started, 0 if it was always up.
+// StartedAt returns when the process last started, or 0 if it started warm.
 func (e *Endpoint) StartedAt() monotime.Micros {
 	if e.startedWarm {
 		return 0
@@ -149,13 +154,14 @@
 	return e.startedAt
 }
 
-// SetCondition sets its faults.
+// SetCondition replaces the endpoint's faults.
 func (e *Endpoint) SetCondition(condition Condition) { e.condition = condition }
 
-// Condition returns its faults.
+// Condition returns the endpoint's faults.
 func (e *Endpoint) Condition() Condition { return e.condition }
 
-// Pause stops the process for a while, as a garbage collection does. Running requests end that much later.
+// Pause stops the process for a time, as a garbage collection does. Running requests complete that much
+// later.
 func (e *Endpoint) Pause(now, duration monotime.Micros) {
 	e.pausedUntil = max(e.pausedUntil, now) + duration
 	for _, job := range e.cores {
@@ -165,7 +171,7 @@
 	}
 }
 
-// Connect accepts a new connection, and reports whether it could.
+// Connect accepts a new connection, and reports whether the endpoint accepted it.
 func (e *Endpoint) Connect() bool {
 	if !e.up || e.config.MaxConnections > 0 && e.connections >= e.config.MaxConnections {
 		return false
@@ -175,10 +181,10 @@
 	return true
 }
 
-// Disconnect closes a connection.
+// Disconnect closes one of the endpoint's connections.
 func (e *Endpoint) Disconnect() { e.connections = max(0, e.connections-1) }
 
-// WarmupShare is the part of its speed that it has by now.
+// WarmupShare returns the fraction of the full speed that the process has reached in its warm-up.
 func (e *Endpoint) WarmupShare(now monotime.Micros) float64 {
 	if e.startedWarm || e.config.WarmupDuration <= 0 || e.config.WarmupFrom <= 0 ||
 		now-e.startedAt >= e.config.WarmupDuration {
@@ -187,7 +193,7 @@
 	return e.config.WarmupFrom + (1-e.config.WarmupFrom)*float64(now-e.startedAt)/float64(e.config.WarmupDuration)
 }
 
-// Capacity is the work in microseconds that all its cores do in a microsecond now.
+// Capacity returns the microseconds of work that all cores together do in a microsecond now.
 func (e *Endpoint) Capacity(now monotime.Micros) float64 {
 	if !e.up || e.collapsed {
 		return 0
@@ -195,10 +201,11 @@
 	return float64(len(e.cores)) * e.coreSpeed(now)
 }
 
-// minCoreSpeed keeps service times finite whatever the faults.
+// minCoreSpeed is a lower bound of a core's speed, which keeps service times finite under any combination of
+// faults.
 const minCoreSpeed = 1e-3
 
-// coreSpeed is the present speed of one core.
+// coreSpeed returns the present speed of one core.
 func (e *Endpoint) coreSpeed(now monotime.Micros) float64 {
 	speed := e.config.Speed * e.WarmupShare(now) * (1 - e.condition.StolenShare)
 	if e.condition.Slowdown > 0 {
@@ -210,7 +217,8 @@
 	return max(speed, minCoreSpeed)
 }
 
-// Arrive accepts a request, or returns at once that it was Rejected or has Failed without having run.
+// Arrive handles the arrival of a request. The verdict is Accepted, Rejected, or Failed for a request that
+// fails without having run.
 func (e *Endpoint) Arrive(now monotime.Micros, job *Job) Verdict {
 	if e.draining || e.collapsed || e.config.QueueCapacity > 0 && len(e.queue) >= e.config.QueueCapacity &&
 		e.busyCores == len(e.cores) {
@@ -236,11 +244,13 @@
 	return Accepted
 }
 
-// collapseTolerance is the factor by which chance may raise the offered work.
+// collapseTolerance is the factor by which the offered work may exceed Config.CollapseLoad without a
+// collapse, because random arrivals vary.
 const collapseTolerance = 1.1
 
-// recordOffered counts the work offered to an endpoint that is warming up. The endpoint collapses when that exceeds
-// Config.CollapseLoad over Config.CollapseWindow.
+// recordOffered counts the work that is offered to an endpoint while it warms up. The endpoint collapses when
+// the work offered within Config.CollapseWindow exceeds Config.CollapseLoad times its capacity, by more than
+// collapseTolerance.
 func (e *Endpoint) recordOffered(now monotime.Micros, job *Job) {
 	warmupShare := e.WarmupShare(now)
 	if e.config.CollapseLoad <= 0 || e.config.CollapseWindow <= 0 || warmupShare >= 1 || e.collapsed {
@@ -266,7 +276,7 @@
 	}
 }
 
-// startJob runs a request on a free core.
+// startJob starts a request on a free core.
 func (e *Endpoint) startJob(now monotime.Micros, job *Job) {
 	job.state = jobRunning
 	speed := e.coreSpeed(now)
@@ -285,7 +295,7 @@
 	}
 }
 
-// NextCompletion returns the instant of the next completion; ok reports whether there is one.
+// NextCompletion returns the time of the next completion; ok is false if no request is running.
 func (e *Endpoint) NextCompletion() (at monotime.Micros, ok bool) {
 	for _, job := range e.cores {
 		if job != nil && (!ok || job.endsAt < at) {
@@ -296,7 +306,8 @@
 	return at, ok
 }
 
-// Advance runs the endpoint until an instant, and returns the completions by then. They are valid until the next call.
+// Advance runs the endpoint until an instant, and returns the completions up to it. The slice is valid until
+// the next call.
 func (e *Endpoint) Advance(now monotime.Micros) []Completion {
 	e.completions = e.completions[:0]
 	for {
@@ -317,7 +328,7 @@
 	}
 }
 
-// startQueued runs queued requests on free cores.
+// startQueued starts queued requests on free cores.
 func (e *Endpoint) startQueued(now monotime.Micros) {
 	for e.busyCores < len(e.cores) && len(e.queue) > 0 {
 		job := e.queue[0]
@@ -327,11 +338,12 @@
 	}
 }
 
-// serviceTimeWeight is the weight of one request in the average service time of load reports.
+// serviceTimeWeight is the weight of one request in the moving average of the service time, which load
+// reports contain.
 const serviceTimeWeight = 0.1
 
-// complete returns the completion of a request that has run. Job.Chance decides how it ends, so that it does not depend
-// on other requests.
+// complete returns the completion of a request that has run. Job.Chance decides its verdict, so that the
+// verdict does not depend on other requests.
 func (e *Endpoint) complete(now monotime.Micros, job *Job) Completion {
 	e.workDone += float64(job.Work)
 	e.report.windowServed++
@@ -352,7 +364,8 @@
 	return completion
 }
 
-// Cancel notifies the endpoint that a request's sender has cancelled it, and reports whether that ends the request.
+// Cancel notifies the endpoint that a request's sender has canceled it, and reports whether that ended the
+// request.
 func (e *Endpoint) Cancel(now monotime.Micros, job *Job) bool {
 	switch {
 	case job.state == jobQueued && e.config.Cancellation != CancelNone:
@@ -373,7 +386,7 @@
 	return true
 }
 
-// discard ends a request that did not complete. A repeat of its key that arrives later runs.
+// discard forgets the key of a request that did not complete, so that a repeat of it is executed.
 func (e *Endpoint) discard(job *Job) {
 	job.state = jobIdle
 	if job.IdempotencyKey != 0 && e.dedupGroup != nil && !job.duplicate {
@@ -381,7 +394,8 @@
 	}
 }
 
-// DrawWork draws the work of an attempt: that of its request, with the noise between two runs of it.
+// DrawWork draws the work of one attempt: the work of its request, with the random variation between
+// executions.
 func DrawWork(random *rand.Rand, work monotime.Micros, noise float64) monotime.Micros {
 	return max(1, monotime.Micros(randstream.LogNormal(random, float64(work), noise)))
 }
--- a/internal/simulation/simendpoint/endpoint_test.go
+++ b/internal/simulation/simendpoint/endpoint_test.go
@@ -9,7 +9,8 @@
 	"dunlinsail/internal/monotime"
 )
 
-// drain advances an endpoint until it holds no job, and passes each that ends to over.
+// finishJobs advances an endpoint until it has no request in flight, and calls onEnd for each completed
+// request.
 func finishJobs(t *rapid.T, e *Endpoint, onEnd func(j *Job, how string)) {
 	t.Helper()
 	for count := 0; e.InFlight() > 0; count++ {
@@ -23,7 +24,7 @@
 	}
 }
 
-// drawConfig draws an endpoint of a few cores that warms up.
+// drawConfig draws the configuration of an endpoint with one to four cores and a warm-up.
 func drawConfig(t *rapid.T) Config {
 	t.Helper()
 	return Config{
@@ -37,15 +38,16 @@
 	}
 }
 
-// trackedJobs are the jobs of an endpoint that have not ended, and the work of those that completed.
+// trackedJobs records the requests of an endpoint that have not ended, and the work of those that completed.
 type trackedJobs struct {
 	t             *rapid.T
 	endpoint      *Endpoint
 	pending       map[*Job]bool
-	completedWork float64 // work of completed jobs
+	completedWork float64 // total work of the completed requests
 }
 
-// end marks a job as ended, and fails the test if it was not open.
+// markEnded marks a request as ended, and fails the test if it is not pending. cause is part of the failure
+// message.
 func (o *trackedJobs) markEnded(job *Job, cause string) {
 	if !o.pending[job] {
 		o.t.Fatalf("%s: a request that was not open", cause)
@@ -64,7 +66,7 @@
 	}
 }
 
-// step draws one thing that happens to the endpoint: a cancellation, a restart, a pause or a request.
+// step applies one random action to the endpoint: a cancellation, a restart, a pause or a request.
 func (o *trackedJobs) step(now monotime.Micros) {
 	switch rapid.IntRange(0, 9).Draw(o.t, "what") {
 	case 0:
@@ -86,7 +88,7 @@
 	}
 }
 
-// cancelOne cancels any open job.
+// cancelOne cancels one of the pending requests.
 func (o *trackedJobs) cancelOne(now monotime.Micros) {
 	for job := range o.pending {
 		if o.endpoint.Cancel(now, job) {
@@ -96,7 +98,7 @@
 	}
 }
 
-// restart kills the endpoint, which has to return all open jobs, and starts it again.
+// restart kills the endpoint, which must return all pending requests, and starts it again.
 func (o *trackedJobs) restart(now monotime.Micros) {
 	for _, job := range o.endpoint.Kill(now) {
 		o.markEnded(job, "killed")
@@ -107,8 +109,9 @@
 	o.endpoint.Start(now, false)
 }
 
-// Whatever happens, each request that an endpoint accepts ends once, it runs no more requests than it has cores, and it
-// does no more work than it has time for.
+// Under random cancellations, restarts and pauses, each request that an endpoint accepts must end exactly
+// once, the endpoint must not run more requests than it has cores, and it must not do more work than its
+// cores can do in the elapsed time.
 func TestEachRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := drawConfig(t)
@@ -133,8 +136,8 @@
 	})
 }
 
-// An endpoint that is warming up and is sent too much for too long falls over, and stays so until it is started again;
-// one that is warm, or is sent what it can do, does not.
+// An endpoint that is overloaded for too long while it warms up must collapse and stay collapsed until it is
+// started again. An endpoint that is warm, or is offered no more work than it can do, must not collapse.
 func TestFallsOver(t *testing.T) {
 	config := Config{
 		Cores:          2,
@@ -177,7 +180,8 @@
 	}
 }
 
-// Repeats of a key are dropped by all of a group, for as long as it remembers.
+// Repeats of an idempotency key must have no effect at any endpoint of a group, as long as the window of the
+// first request lasts.
 func TestRepeats(t *testing.T) {
 	group := NewDedupGroup(400_000)
 	a := New(Config{Cores: 1, Speed: 1}, group)
@@ -202,7 +206,8 @@
 	}
 }
 
-// Reports have the requests in flight, late ones those of then, and false ones none.
+// Load reports must contain the requests in flight; delayed reports must contain those of the earlier time,
+// and false reports must be zero.
 func TestReports(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	e := New(Config{Cores: 1, Speed: 1}, nil)
--- a/internal/simulation/simendpoint/report.go
+++ b/internal/simulation/simendpoint/report.go
@@ -7,31 +7,32 @@
 	"dunlinsail/internal/monotime"
 )
 
-// loadReporter holds the figures of load reports.
+// loadReporter measures the load of an endpoint and keeps its load reports.
 type loadReporter struct {
-	reportedAt     monotime.Micros
-	measured       Load
-	windowStart    monotime.Micros // start of the second that is being counted
-	windowServed   int
-	windowErrors   int
-	windowCoreTime monotime.Micros // core time within that second
-	lastReport     Load
-	pastReports    []timedLoad // earlier reports, for late ones
+	reportedAt     monotime.Micros // when lastReport was made
+	measured       Load            // latest measured values, without noise
+	windowStart    monotime.Micros // start of the present measuring window, which lasts at least a second
+	windowServed   int             // requests completed within the window
+	windowErrors   int             // requests failed within the window
+	windowCoreTime monotime.Micros // busy time of all cores within the window
+	lastReport     Load            // latest report, with noise
+	pastReports    []timedLoad     // earlier reports, from which delayed ones are taken
 }
 
+// timedLoad is a load report with the time of its measurement.
 type timedLoad struct {
 	at   monotime.Micros
 	load Load
 }
 
-// Load is a report of an endpoint's load.
+// Load is a load report of an endpoint.
 type Load struct {
 	Inflight, Queue, Util float64
-	LatencyMS             float64 // service time without waiting
-	Served, Errors        float64 // a second
+	LatencyMS             float64 // average service time in milliseconds, without time in the queue
+	Served, Errors        float64 // requests per second
 }
 
-// Probe returns the load report for a probe. The probe costs the endpoint Config.ProbeWork.
+// Probe returns the load report for a probe. The probe adds Config.ProbeWork to the endpoint's work.
 func (e *Endpoint) Probe(now monotime.Micros, random *rand.Rand) Load {
 	e.pendingOverhead += e.config.ProbeWork
 	report := &e.report
@@ -51,7 +52,8 @@
 		report.measured.Queue = float64(len(e.queue))
 		report.lastReport = report.measured
 		if e.config.ReportNoise > 0 {
-			report.lastReport.Inflight = max(0, report.lastReport.Inflight*(1+e.config.ReportNoise*random.NormFloat64()))
+			report.lastReport.Inflight = max(0,
+				report.lastReport.Inflight*(1+e.config.ReportNoise*random.NormFloat64()))
 			report.lastReport.Util = max(0, report.lastReport.Util*(1+e.config.ReportNoise*random.NormFloat64()))
 		}
 		report.pastReports = append(report.pastReports, timedLoad{now, report.lastReport})
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,9 +1,10 @@
-// Package simulation runs a fleet in simulated time. The decision code is the production code: each instance is an
-// engine.Engine with a connlimit.Table before it. What surrounds an instance is modelled: endpoints (package
-// simendpoint), clients (package simclient), the network, discovery and clocks.
+// Package simulation runs a fleet in simulated time. The decision code is the production code: each instance
+// is an engine.Engine with a connlimit.Table for its client connections. Everything around an instance is
+// modeled: endpoints (package simendpoint), clients (package simclient), the network, discovery and clocks.
 //
-// A run is a pure function of the plan, the settings and the build: the package reads no clock, does no I/O and draws
-// all random numbers from package randstream. A run belongs to one goroutine; several runs share nothing.
+// The result of a run is a pure function of the plan, the settings and the build: the simulation reads no
+// clock (only its own duration is measured with the real one), does no I/O, and draws all random numbers from
+// package randstream. A run uses one goroutine; concurrent runs share no state.
 package simulation
 
 import (
@@ -27,27 +28,30 @@
 	"dunlinsail/internal/siteconfig"
 )
 
+// second is one second of simulated time.
 const second monotime.Micros = 1_000_000
 
-// Version is increased when a change to this package changes the result of the same plan and settings.
+// Version identifies the simulation's behavior. It is increased when a change to this package changes the
+// result of a run with the same plan and settings.
 const Version = 2
 
-// Settings are what a fleet runs on.
+// Settings configure the instances of a simulated fleet.
 type Settings struct {
-	Site           siteconfig.Site // of any instance; each gets its own position and zone
-	Concurrency    engine.ConcurrencySettings
-	RetryBudget    float64              // of the pool
-	Subset         *subset.Settings     // of each instance, which gets its own position; nil is none
-	Overload       *overload.Settings   // of each instance, with the number of instances of the run; nil is none
-	Coordination   *engine.Coordination // of each instance, which gets its own name and transport; nil is none
-	MaxConnections int                  // to endpoints, of an instance; 0 is no bound
-	Clients        connlimit.Limits
-	Client         fairqueue.ClientSpec // limits of each client process
-
-	// DecisionSeed is the seed of the instances' own random decisions. Two runs of the same plan with different
-	// decision seeds differ in nothing else.
+	Site           siteconfig.Site            // site configuration; each instance gets its own position and zone in it
+	Concurrency    engine.ConcurrencySettings // concurrency limits of each instance
+	RetryBudget    float64                    // retries allowed per request, for each instance's pool
+	Subset         *subset.Settings           // endpoint subsetting, with each instance's own position; nil: off
+	Overload       *overload.Settings         // overload control, with the run's number of instances; nil: off
+	Coordination   *engine.Coordination       // fleet coordination, with each instance's own name; nil: off
+	MaxConnections int                        // connections that an instance may open to endpoints; 0 is no limit
+	Clients        connlimit.Limits           // limits on the client connections of each instance
+	Client         fairqueue.ClientSpec       // limits of each client process
+
+	// DecisionSeed is the seed of the instances' own random decisions. Runs with the same plan, the same
+	// other settings and different decision seeds differ only in these decisions and their consequences.
 	DecisionSeed uint64
-	// KnownHarm is the share of operations, 0 to 1, that is spoilt on purpose, to test that a comparison finds it.
+	// KnownHarm is the share of operations, from 0 to 1, that is counted as unserved on purpose, to test that
+	// a comparison of variants detects it.
 	KnownHarm float64
 }
 
@@ -55,15 +59,17 @@
 type Options struct {
 	Plan     *scenario.Plan
 	Settings *Settings
-	// Criteria are what the run is measured by. The plan's classes and tenants are among its, by name.
+	// Criteria define how the run is measured. They must include the plan's classes and tenants, matched by
+	// name.
 	Criteria measure.Criteria
-	// Trace is called at each step of an operation, to trace causes; may be nil.
+	// Trace is called at each traced step of an operation; it may be nil.
 	Trace func(Trace)
-	// Record is called with each request that an instance accepted, once it has ended; may be nil.
+	// Record is called with each request that an instance accepted, after the request has ended; it may be
+	// nil.
 	Record func(x *RequestRecord)
-	// Log is called with each log line of an instance; may be nil.
+	// Log is called with each log line of an instance; it may be nil.
 	Log func(at monotime.Micros, instance int, line string)
-	// Progress is called now and then with the simulated time; may be nil.
+	// Progress is called with the simulated time every 4096 events; it may be nil.
 	Progress func(at monotime.Micros)
 }
 
@@ -73,32 +79,34 @@
 	Operation uint64
 	Request   int
 	Instance  int
-	Attempt   int    // from 0; -1 is none
-	Endpoint  string // "" is none
+	Attempt   int    // number of the attempt, from 0; -1 if the step belongs to no attempt
+	Endpoint  string // name of the endpoint; empty if the step involves no endpoint
 	Step      string
 }
 
-// RequestRecord is a client's request as its instance saw it.
+// RequestRecord describes a client's request as its instance observed it.
 type RequestRecord struct {
 	Instance, Process      int
 	Operation              uint64
-	Class, Tenant          int // indices in the criteria's lists; no tenant is -1
-	IdempotencyKey, Object uint64
+	Class, Tenant          int    // indices in the lists of the criteria; Tenant is -1 for a request without a tenant
+	IdempotencyKey, Object uint64 // Object identifies the object that the request concerns
 	Retry                  bool
-	ArrivedAt              monotime.Micros // the instance's clock
-	Duration               monotime.Micros
-	Timeout                monotime.Micros
-	ClientGone             bool // its client left before the response
+	ArrivedAt              monotime.Micros // on the instance's clock
+	Duration               monotime.Micros // from the arrival to the response, or to the client's leaving
+	Timeout                monotime.Micros // from the arrival to the deadline of the request
+	ClientGone             bool            // the client left before it received a response
 	Response               engine.Response
 }
 
-// clockOrigin is the Unix time at which a run begins, in microseconds, on the clocks of instances and discovery.
+// clockOrigin is the Unix time in microseconds at which a run starts, on the clocks of instances without skew
+// and of discovery.
 const clockOrigin monotime.Micros = 1_700_000_000_000_000
 
-// maxDrainTime bounds how long a run goes on after its last operation began.
+// maxDrainTime bounds how long a run continues after its planned length, so that the operations in progress
+// can end.
 const maxDrainTime = 120 * second
 
-// run is a run that is under way.
+// run is the state of a simulation run.
 type run struct {
 	options  Options
 	plan     *scenario.Plan
@@ -106,26 +114,27 @@
 	now      monotime.Micros
 	events   eventQueue
 
-	criteriaClassOf  []int // by index of the plan's class: its index in the criteria
-	settingsClassOf  []int // by index of the criteria's class: its index in the settings
-	criteriaTenantOf []int
-	settingsTenantOf []int
+	criteriaClassOf  []int // index of a class in the criteria, by its index in the plan
+	settingsClassOf  []int // index of a class in the settings, by its index in the criteria
+	criteriaTenantOf []int // index of a tenant in the criteria, by its index in the plan
+	settingsTenantOf []int // index of a tenant in the settings, by its index in the criteria
 	behavior         simclient.Behavior
 
 	instances          []*instance
 	endpoints          []*endpoint
-	pathBlockingEvents []int // indices of the planned events that block network paths
+	pathBlockingEvents []int // indices of the active planned events that block network paths
 	discovery          *discoveryService
 	network            network
 
 	workRand, faultRand, clientRand, reportRand *randstream.Stream
 	meter                                       *measure.Meter
-	pendingOperations                           int // started and not ended
-	instancesWithArrivals                       int // instances with operations still to start
+	pendingOperations                           int // operations that have started and not ended
+	instancesWithArrivals                       int // instances that still have operations to start
 	fleetMessageCount                           uint64
 }
 
-// Run simulates a plan, or returns the error of settings that do not fit it. When ctx ends it returns its cause.
+// Run simulates a plan. It returns an error if the settings do not fit the plan, and the cause of ctx when
+// ctx ends.
 func Run(ctx context.Context, options Options) (*measure.Result, error) {
 	startedAt := time.Now()
 	r := &run{options: options, plan: options.Plan, settings: options.Settings, behavior: options.Plan.ClientBehavior()}
@@ -182,7 +191,8 @@
 	return result, nil
 }
 
-// mapNames finds the plan's classes and tenants among the criteria's and the settings'.
+// mapNames finds the index of each of the plan's classes and tenants in the criteria, and of each of the
+// criteria's in the settings.
 func (r *run) mapNames() error {
 	for _, class := range r.plan.Classes {
 		index := slices.IndexFunc(r.options.Criteria.Classes,
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -18,6 +18,7 @@
 	"time"
 )
 
+// testScenario is the scenario of all runs; a test appends its planned events.
 const testScenario = `name = "world"
 length = "12s"
 [fleet]
@@ -61,6 +62,7 @@
 silent = "2s"
 `
 
+// testClasses returns one request class for each kind of idempotency.
 func testClasses() []balancer.Class {
 	return []balancer.Class{
 		{Name: "look", LatencyObjective: 200_000, ClientTimeout: 500_000, PriorityWeight: 1},
@@ -83,6 +85,7 @@
 	}
 }
 
+// testSettings returns settings that fit testScenario.
 func testSettings() *Settings {
 	site := balancer.Settings{
 		Balancers:       3,
@@ -133,6 +136,7 @@
 	}
 }
 
+// runScenario runs testScenario with planned events and a seed. trace may be nil.
 func runScenario(t *testing.T, events string, seed uint64, settings *Settings, trace func(Trace)) *measure.Result {
 	t.Helper()
 	parsed, err := scenario.Parse([]byte(testScenario+events), nil)
@@ -154,8 +158,8 @@
 	return result
 }
 
-// A run follows from plan, settings and build. Variants meet the same operations, each with the same work, whatever
-// becomes of them.
+// Two runs with the same plan, settings and build must have the same result. Runs with different settings
+// must start the same operations at the same times, so that their results can be compared.
 func TestSameRunSameDigest(t *testing.T) {
 	const events = "[[event]]\nwhat = \"kill\"\nat = \"4s\"\nfor = \"2s\"\npart = [0.3]\n"
 	runTraced := func(settings *Settings) (digest string, first []Trace) {
@@ -184,8 +188,8 @@
 	}
 }
 
-// runCountingEnds plays a run with events. It returns how many operations started and how many requests ended, and
-// fails the test if a request ends twice.
+// runCountingEnds runs testScenario with planned events. It returns how many operations started and how many
+// requests ended, and fails the test if a request ends twice.
 func runCountingEnds(t *testing.T, events string) (started, ended int, result *measure.Result) {
 	t.Helper()
 	operations := map[uint64]bool{}
@@ -205,8 +209,8 @@
 	return len(operations), len(requests), result
 }
 
-// Whatever fails, each operation has one outcome, each request that a running instance accepts has one response in
-// time, and no rule is broken.
+// Whatever fails, each operation must have exactly one outcome, each request must end exactly once, a running
+// instance must respond in time to each request that it accepts, and no attempt rule may be broken.
 func TestEachOperationEnds(t *testing.T) {
 	for name, events := range map[string]string{
 		"calm": "",
@@ -252,7 +256,8 @@
 	}
 }
 
-// A known harm shows, and settings that lack what the scenario speaks of are turned down.
+// A planted harm must show in the figures, and settings or criteria that lack a zone or a class of the
+// scenario must be rejected.
 func TestHarmAndMisfits(t *testing.T) {
 	unharmed := testSettings()
 	harmed := testSettings()
@@ -282,7 +287,8 @@
 	}
 }
 
-// Events come out by instant, and those of one instant in the order in which they went in.
+// Events must leave the queue in the order of their instants, and those at the same instant in the order in
+// which they were pushed.
 func TestQueue(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var queue eventQueue
