--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -76,7 +76,7 @@
 	settings.Position = index
 	settings.Zone = zoneIndex(in.site.Zones, r.plan.Fleet.Zones[planned.Zone])
 	if settings.Zone < 0 {
-		return nil, fmt.Errorf("the scenario's zone %q is none of the settings' zones",
+		return nil, fmt.Errorf("zone %q of the scenario is missing from the settings",
 			r.plan.Fleet.Zones[planned.Zone])
 	}
 	if err := in.create(); err != nil {
--- a/internal/simulation/instances_test.go
+++ b/internal/simulation/instances_test.go
@@ -46,10 +46,11 @@
 			t.Parallel()
 			figures := meanFigures(t, "[[event]]\n"+test.event+"\n")
 			if ratio := figures["served"] / baseline["served"]; ratio > test.maxServed || ratio < test.minServed {
-				t.Errorf("%.3f of what calm serves, want %v to %v", ratio, test.minServed, test.maxServed)
+				t.Errorf("%.3f of the operations served without faults, want %v to %v",
+					ratio, test.minServed, test.maxServed)
 			}
 			if ratio := figures["attempts"] / baseline["attempts"]; ratio < test.minAttempts {
-				t.Errorf("%.3f of calm's attempts, want %v at least", ratio, test.minAttempts)
+				t.Errorf("%.3f of the attempts without faults, want at least %v", ratio, test.minAttempts)
 			}
 			if figures["breaks"] > 0 {
 				t.Errorf("%v rules broken", figures["breaks"])
--- a/internal/simulation/simclient/operation_test.go
+++ b/internal/simulation/simclient/operation_test.go
@@ -31,20 +31,20 @@
 	retryAt, retries := o.RequestEnded(now, request.Number, outcome, rapid.Int64Range(0, 300_000).Draw(t, "after"),
 		class, random)
 	if retries == (o.Outcome != Pending) {
-		t.Fatalf("again %v, outcome %v", retries, o.Outcome)
+		t.Fatalf("retries %v, operation outcome %v", retries, o.Outcome)
 	}
 	if (o.Outcome == Served) != (outcome == OK) {
-		t.Fatalf("verdict %v, outcome %v", outcome, o.Outcome)
+		t.Fatalf("request outcome %v, operation outcome %v", outcome, o.Outcome)
 	}
 	if !retries {
 		if _, retries := o.RequestEnded(now, request.Number, OK, 0, class, random); retries ||
 			outcome != OK && o.Outcome == Served {
-			t.Fatal("a second outcome")
+			t.Fatal("the end of a request was recorded twice")
 		}
 		return Request{}
 	}
 	if retryAt < now || retryAt >= deadline || class.Idempotency == balancer.NonIdempotent && outcome != Rejected {
-		t.Fatalf("retries again at %d after %v at %d", retryAt, outcome, now)
+		t.Fatalf("retry at %d after a request with outcome %v at %d", retryAt, outcome, now)
 	}
 	return o.Retry(retryAt, b, class, random)
 }
--- a/internal/simulation/simendpoint/endpoint_test.go
+++ b/internal/simulation/simendpoint/endpoint_test.go
@@ -16,7 +16,7 @@
 	for count := 0; e.InFlight() > 0; count++ {
 		at, ok := e.NextCompletion()
 		if !ok || count > 1000 {
-			t.Fatalf("%d requests are held and none ends", e.InFlight())
+			t.Fatalf("%d requests are in flight and none completes", e.InFlight())
 		}
 		for _, completion := range e.Advance(at) {
 			onEnd(completion.Job, "ended")
@@ -50,7 +50,7 @@
 // message.
 func (o *trackedJobs) markEnded(job *Job, cause string) {
 	if !o.pending[job] {
-		o.t.Fatalf("%s: a request that was not open", cause)
+		o.t.Fatalf("%s: a request that was not pending", cause)
 	}
 	delete(o.pending, job)
 }
@@ -61,7 +61,7 @@
 		o.markEnded(completion.Job, "ended")
 		o.completedWork += float64(completion.Job.Work)
 		if completion.At > now {
-			o.t.Fatalf("ended at %d, which is after %d", completion.At, now)
+			o.t.Fatalf("request completed at %d, after the present time %d", completion.At, now)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 			jobs.advance(now)
 			jobs.step(now)
 			if e.InFlight() != len(jobs.pending) || e.busyCores > config.Cores {
-				t.Fatalf("%d in flight, %d running; %d are open", e.InFlight(), e.busyCores, len(jobs.pending))
+				t.Fatalf("%d in flight, %d running; want %d in flight", e.InFlight(), e.busyCores, len(jobs.pending))
 			}
 		}
 		capacity := float64(now) * config.Speed * float64(config.Cores)
@@ -160,23 +160,23 @@
 		e := New(config, nil)
 		e.Start(0, false)
 		if collapsed := offerLoad(e, 0, load); collapsed != collapses {
-			t.Errorf("cold, sent %v of what it can do once warm: fell %v", load, collapsed)
+			t.Errorf("warming up, offered %v of its full capacity: collapsed %v", load, collapsed)
 		}
 		if collapses {
 			if verdict := e.Arrive(30*second, &Job{Work: 1}); verdict != Rejected {
-				t.Errorf("one that fell over takes a request: %v", verdict)
+				t.Errorf("verdict of a collapsed endpoint: %v, want Rejected", verdict)
 			}
 			e.Kill(30 * second)
 			e.Start(31*second, false)
 			if e.Collapsed() {
-				t.Error("it stays down though started again")
+				t.Error("the endpoint is still collapsed after a restart")
 			}
 		}
 	}
 	e := New(config, nil)
 	e.Start(0, true)
 	if offerLoad(e, 0, 3) {
-		t.Error("a warm one fell over")
+		t.Error("a warm endpoint collapsed")
 	}
 }
 
@@ -213,20 +213,20 @@
 	e := New(Config{Cores: 1, Speed: 1}, nil)
 	e.Start(0, true)
 	if load := e.Probe(second, random); load.Inflight != 0 {
-		t.Errorf("idle: %+v", load)
+		t.Errorf("report of an idle endpoint: %+v", load)
 	}
 	for range 3 {
 		e.Arrive(second, &Job{Work: second, Chance: 0.5})
 	}
 	if load := e.Probe(second+1000, random); load.Inflight != 3 || load.Queue != 2 {
-		t.Errorf("holding three: %+v", load)
+		t.Errorf("report with three requests in flight: %+v", load)
 	}
 	e.SetCondition(Condition{ReportDelay: second / 2})
 	if load := e.Probe(second+2000, random); load.Inflight != 0 {
-		t.Errorf("late by half a second: %+v", load)
+		t.Errorf("report that is delayed by half a second: %+v", load)
 	}
 	e.SetCondition(Condition{FalseReports: true})
 	if load := e.Probe(second+3000, random); load != (Load{}) {
-		t.Errorf("lying: %+v", load)
+		t.Errorf("false report: %+v", load)
 	}
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -142,7 +142,7 @@
 		return nil, err
 	}
 	if options.Plan.Replay != nil && options.Plan.Source == nil {
-		return nil, errors.New("the scenario plays a record again, and that was not read")
+		return nil, errors.New("the scenario replays a recording, which was not read")
 	}
 	seed := options.Plan.Seed
 	r.workRand = randstream.New(seed, "noise")
@@ -198,7 +198,7 @@
 		index := slices.IndexFunc(r.options.Criteria.Classes,
 			func(candidate balancer.Class) bool { return candidate.Name == class.Name })
 		if index < 0 {
-			return fmt.Errorf("the scenario's class %q is none of the settings' classes", class.Name)
+			return fmt.Errorf("class %q of the scenario is missing from the criteria", class.Name)
 		}
 		r.criteriaClassOf = append(r.criteriaClassOf, index)
 	}
@@ -206,21 +206,21 @@
 		index := slices.IndexFunc(r.options.Criteria.Tenants,
 			func(candidate balancer.Tenant) bool { return candidate.Name == tenant.Name })
 		if index < 0 {
-			return fmt.Errorf("the scenario's tenant %q is none of the settings' tenants", tenant.Name)
+			return fmt.Errorf("tenant %q of the scenario is missing from the criteria", tenant.Name)
 		}
 		r.criteriaTenantOf = append(r.criteriaTenantOf, index)
 	}
 	for _, class := range r.options.Criteria.Classes {
 		index := slices.Index(r.settings.Site.Classes, class.Name)
 		if index < 0 {
-			return fmt.Errorf("the class %q, by which is judged, is missing in these settings", class.Name)
+			return fmt.Errorf("class %q of the criteria is missing from the settings", class.Name)
 		}
 		r.settingsClassOf = append(r.settingsClassOf, index)
 	}
 	for _, tenant := range r.options.Criteria.Tenants {
 		index := slices.Index(r.settings.Site.Tenants, tenant.Name)
 		if index < 0 {
-			return fmt.Errorf("the tenant %q, by whom is judged, is missing in these settings", tenant.Name)
+			return fmt.Errorf("tenant %q of the criteria is missing from the settings", tenant.Name)
 		}
 		r.settingsTenantOf = append(r.settingsTenantOf, index)
 	}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -174,17 +174,17 @@
 	}
 	digest, firstRequests := runTraced(testSettings())
 	if otherDigest, _ := runTraced(testSettings()); digest != otherDigest {
-		t.Errorf("the same run came to %s and to %s", digest, otherDigest)
+		t.Errorf("two equal runs have the digests %s and %s", digest, otherDigest)
 	}
 	changedSettings := testSettings()
 	changedSettings.DecisionSeed = 1
 	changedSettings.Site.Settings.Limits.MaxAttempts = 1
 	otherDigest, otherRequests := runTraced(changedSettings)
 	if digest == otherDigest {
-		t.Error("other settings came to the very same")
+		t.Error("runs with different settings have the same digest")
 	}
 	if !slices.Equal(firstRequests, otherRequests) {
-		t.Error("other settings met other operations")
+		t.Error("runs with different settings have different operations")
 	}
 }
 
@@ -236,10 +236,10 @@
 			t.Parallel()
 			started, ended, result := runCountingEnds(t, events)
 			if int(result.Operations) != started || started < 500 {
-				t.Errorf("%d operations started, %d ended", started, result.Operations)
+				t.Errorf("%d operations started, want at least 500; %d ended", started, result.Operations)
 			}
 			if int64(ended) != result.Costs.ClientRequests {
-				t.Errorf("%d requests, %d ended", result.Costs.ClientRequests, ended)
+				t.Errorf("%d requests started, %d ended", result.Costs.ClientRequests, ended)
 			}
 			costs := result.Costs
 			if costs.AttemptsAfterDrain != 0 || costs.DuplicateEffects != 0 ||
@@ -247,10 +247,10 @@
 				t.Errorf("rules broken: %+v", costs)
 			}
 			if name == "calm" && result.Figures["whole"] < 0.97 {
-				t.Errorf("a calm run came to %v", result.Figures["whole"])
+				t.Errorf("the score of a run without faults is %v, want at least 0.97", result.Figures["whole"])
 			}
 			if costs.UsefulWork > costs.ExecutedWork*1.0001 {
-				t.Errorf("%v of work was useful, of %v", costs.UsefulWork, costs.ExecutedWork)
+				t.Errorf("useful work %v exceeds executed work %v", costs.UsefulWork, costs.ExecutedWork)
 			}
 		})
 	}
@@ -264,7 +264,8 @@
 	harmed.KnownHarm = 0.2
 	if served, unserved := runScenario(t, "", 1, unharmed, nil).Figures["served"], runScenario(t, "", 1, harmed,
 		nil).Figures["unserved"]; served < 0.99 || unserved < 0.15 || unserved > 0.25 {
-		t.Errorf("served %v without harm; unserved %v with a fifth harmed", served, unserved)
+		t.Errorf("served %v without harm, want at least 0.99; unserved %v with a fifth harmed, want 0.15 to 0.25",
+			served, unserved)
 	}
 	parsed, err := scenario.Parse([]byte(testScenario), nil)
 	require.NoError(t, err)
@@ -276,14 +277,14 @@
 		Settings: missingZone,
 		Criteria: measure.Criteria{Classes: unserved.Classes, Tenants: unserved.Tenants},
 	}); err == nil {
-		t.Error("settings without one of the zones were taken")
+		t.Error("settings without a zone of the scenario were accepted")
 	}
 	if _, err := Run(context.Background(), Options{
 		Plan:     parsed.Draw(1),
 		Settings: testSettings(),
 		Criteria: measure.Criteria{Classes: unserved.Classes[:1], Tenants: unserved.Tenants},
 	}); err == nil {
-		t.Error("a judge without one of the classes was taken")
+		t.Error("criteria without a class of the scenario were accepted")
 	}
 }
 
@@ -304,11 +305,11 @@
 		event := queue.pop()
 		popped++
 		if before(&event, &last) && last.sequence != 0 {
-			t.Fatalf("%d came after %d", event.at, last.at)
+			t.Fatalf("event at %d was popped after the event at %d", event.at, last.at)
 		}
 		last = event
 	}
 	if popped != pushed {
-		t.Errorf("%d went in, %d came out", pushed, popped)
+		t.Errorf("%d events were pushed, %d popped", pushed, popped)
 	}
 }
