--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -59,9 +59,9 @@
 // delay returns the network delay of a message between the instance and the endpoint. step numbers the
 // attempt's messages.
 func (a *attempt) delay(step uint64) monotime.Micros {
-	operation, number := a.randKey()
+	operationID, attemptKey := a.randKey()
 	r := a.instance.run
-	return r.network.endpointDelay(a.instance.zone, a.endpoint.zone(), operation, number, step) +
+	return r.network.endpointDelay(a.instance.zone, a.endpoint.zone(), operationID, attemptKey, step) +
 		r.plan.ExtraDelay(r.now, a.instance.index, a.endpoint.index)
 }
 
@@ -70,6 +70,7 @@
 	in := a.instance
 	r := a.instance.run
 	idleConns := in.idleUpstreamConns[a.endpoint.index]
+	// Idle connections are reused for two thirds of the keep-alive time, as in upstream.Pool.
 	maxIdleTime := r.settings.Site.KeepAlive.Microseconds() * 2 / 3
 	if in.maxIdleUpstreamConns > 0 && in.maxIdleUpstreamConns < 1 {
 		// upstream.Pool shortens the time in the same way for a limit below 1.
@@ -254,18 +255,18 @@
 		a.reply(balancer.Reset)
 		return
 	}
-	op := a.request.operation
+	operation := a.request.operation
 	operationID, attemptKey := a.randKey()
-	class := &r.plan.Classes[op.run.planClass(op.Class)]
+	class := &r.plan.Classes[operation.run.planClass(operation.Class)]
 	random := r.workRand.For(operationID, attemptKey)
 	a.job = simendpoint.Job{
-		Class:          op.Class,
-		Work:           simendpoint.DrawWork(random, op.Work, class.Noise),
+		Class:          operation.Class,
+		Work:           simendpoint.DrawWork(random, operation.Work, class.Noise),
 		IdempotencyKey: a.request.IdempotencyKey,
 		Chance:         r.faultRand.For(operationID, attemptKey).Float64(),
 		HostData:       a,
 	}
-	if op.class.Idempotency != balancer.IdempotentByKey {
+	if operation.class.Idempotency != balancer.IdempotentByKey {
 		a.job.IdempotencyKey = 0
 	}
 	r.trace(a.request, a.engineAttempt.Number, r.plan.Endpoints[endpoint.index].Name, "reaches")
--- a/internal/simulation/endpoint.go
+++ b/internal/simulation/endpoint.go
@@ -99,13 +99,13 @@
 	costs := &e.run.meter.Costs
 	costs.ExecutedWork += float64(completion.Job.Work)
 	e.executions++
-	op := a.request.operation
-	op.Executions++
+	operation := a.request.operation
+	operation.Executions++
 	a.atEndpoint = false
 	if completion.Effect {
-		op.Effects++
+		operation.Effects++
 		a.request.effects++
-		if op.class.Idempotency != balancer.Idempotent && op.Effects > 1 {
+		if operation.class.Idempotency != balancer.Idempotent && operation.Effects > 1 {
 			if a.request.effects > 1 {
 				costs.DuplicateEffects++
 			} else {
--- a/internal/simulation/fleetmessages.go
+++ b/internal/simulation/fleetmessages.go
@@ -58,11 +58,11 @@
 	if !ok || err != nil || index < 0 || index >= len(r.instances) {
 		return // the run has fewer instances than the configuration names
 	}
-	overstates := message.Request != nil && in.index == len(r.instances)-1
-	if factor := r.plan.DemandOverstatement(r.now); overstates && factor != 1 {
-		for demand := range message.Request.Demands {
-			message.Request.Demands[demand].Requested *= factor
-			message.Request.Demands[demand].Contributed *= factor
+	mayOverstate := message.Request != nil && in.index == len(r.instances)-1
+	if factor := r.plan.DemandOverstatement(r.now); mayOverstate && factor != 1 {
+		for demandIndex := range message.Request.Demands {
+			message.Request.Demands[demandIndex].Requested *= factor
+			message.Request.Demands[demandIndex].Contributed *= factor
 		}
 	}
 	r.fleetMessageCount++
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -35,7 +35,7 @@
 	wakeupAt monotime.Micros // time of the scheduled wake-up; 0 if no wake-up is scheduled
 	seed     uint64          // seed of the instance's random decisions
 
-	connTable            *connlimit.Table[*clientConn]
+	connTable            *connlimit.Table[*clientConn]    // open client connections
 	connOwners           []*connlimit.Owner[*clientConn]  // owners in connTable, by client process
 	idleClientConns      [][]*connlimit.Conn[*clientConn] // by client process, most recently used last
 	idleUpstreamConns    map[int][]idleConn               // idle connections by endpoint index, most recently used last
@@ -79,7 +79,7 @@
 		return nil, fmt.Errorf("zone %q of the scenario is missing from the settings",
 			r.plan.Fleet.Zones[planned.Zone])
 	}
-	if err := in.create(); err != nil {
+	if err := in.createProcess(); err != nil {
 		return nil, err
 	}
 	return in, nil
@@ -96,7 +96,7 @@
 }
 
 // create replaces the engine and the other state of the process. The new process has no endpoint list yet.
-func (in *instance) create() error {
+func (in *instance) createProcess() error {
 	r := in.run
 	in.engine = engine.New(engine.Config{
 		Site:         &in.site,
@@ -167,11 +167,12 @@
 	return nil
 }
 
-// start starts the instance with discovery's complete endpoint list, if discovery sends one now. newInstance
-// has already created the state for the first start.
+// start starts the instance. It receives discovery's complete endpoint list unless discovery is silent or its
+// events are blocked. newInstance has already created the process of the first start, which always receives
+// the list.
 func (in *instance) start(first bool) {
 	if !first {
-		if err := in.create(); err != nil {
+		if err := in.createProcess(); err != nil {
 			panic(err) // newInstance has accepted the same settings
 		}
 	}
@@ -209,10 +210,10 @@
 
 // simulatedTime returns the earliest simulated time at which the instance's clock shows a given time or a
 // later one.
-func (in *instance) simulatedTime(local monotime.Micros) monotime.Micros {
+func (in *instance) simulatedTime(localTime monotime.Micros) monotime.Micros {
 	planned := &in.run.plan.Instances[in.index]
-	at := monotime.Micros(float64(local-clockOrigin-planned.Skew) / (1 + planned.Drift))
-	for in.clockAt(at) < local {
+	at := monotime.Micros(float64(localTime-clockOrigin-planned.Skew) / (1 + planned.Drift))
+	for in.clockAt(at) < localTime {
 		at++
 	}
 	return at
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -17,7 +17,7 @@
 	jitter           float64            // mean of the exponential jitter, relative to the mean delay
 	loss             float64            // probability that a segment is lost
 	retransmitAfter  float64            // microseconds until a lost segment is retransmitted the first time
-	meanDelay        [3]float64         // microseconds: to a client, within a zone, between zones
+	meanDelays       [3]float64         // microseconds: to a client, within a zone, between zones
 	schedulingSlack  float64            // mean scheduling delay of a host in microseconds
 }
 
@@ -30,7 +30,7 @@
 		jitter:          settings.Jitter,
 		loss:            settings.Loss,
 		retransmitAfter: float64(settings.Retransmit.Micros()),
-		meanDelay: [3]float64{float64(settings.Client.Micros()), float64(settings.Within.Micros()),
+		meanDelays: [3]float64{float64(settings.Client.Micros()), float64(settings.Within.Micros()),
 			float64(settings.Between.Micros())},
 		schedulingSlack: float64(plan.Host.Slack.Micros()),
 	}
@@ -57,15 +57,15 @@
 	if toClient {
 		message |= 1
 	}
-	return n.delay(n.meanDelay[0], 0, operation, message)
+	return n.delay(n.meanDelays[0], 0, operation, message)
 }
 
 // endpointDelay returns the delay of a message of an attempt, a probe or a fleet message between two zones.
 // senderKey and messageKey identify the attempt, probe or fleet message; step numbers its messages.
 func (n *network) endpointDelay(fromZone, toZone int, senderKey, messageKey, step uint64) monotime.Micros {
-	mean := n.meanDelay[2]
+	mean := n.meanDelays[2]
 	if fromZone == toZone {
-		mean = n.meanDelay[1]
+		mean = n.meanDelays[1]
 	}
 	return n.delay(mean, 1, senderKey, messageKey, step)
 }
--- a/internal/simulation/randstream/randstream.go
+++ b/internal/simulation/randstream/randstream.go
@@ -15,9 +15,9 @@
 
 // Stream is a named stream of random numbers for one seed.
 type Stream struct {
-	key uint64
-	pcg *rand.PCG
-	rng *rand.Rand
+	key uint64     // hash of the seed and the name
+	pcg *rand.PCG  // generator behind rng, seeded by each call of For
+	rng *rand.Rand // returned by For
 }
 
 // New returns the stream with a seed and a name. A stream is not safe for concurrent use.
@@ -64,6 +64,6 @@
 	if cv <= 0 {
 		return mean
 	}
-	variance := math.Log1p(cv * cv)
-	return mean * math.Exp(math.Sqrt(variance)*random.NormFloat64()-variance/2)
+	logVariance := math.Log1p(cv * cv)
+	return mean * math.Exp(math.Sqrt(logVariance)*random.NormFloat64()-logVariance/2)
 }
--- a/internal/simulation/simclient/operation.go
+++ b/internal/simulation/simclient/operation.go
@@ -101,9 +101,9 @@
 	return o.StartedAt + class.ClientTimeout
 }
 
-// retryKeyStep is the distance between the idempotency keys of an operation's requests, for clients that give
+// retryKeyIncrement is the distance between the idempotency keys of an operation's requests, for clients that give
 // each retry a new key.
-const retryKeyStep = 0x9e3779b97f4a7c15
+const retryKeyIncrement = 0x9e3779b97f4a7c15
 
 // nextRequest returns the operation's next request and counts it as sent.
 func (o *Operation) nextRequest(now monotime.Micros, b *Behavior, class *balancer.Class, random *rand.Rand) Request {
@@ -116,7 +116,7 @@
 		Retry:          b.MarkRetries && o.requestNumber > 1,
 	}
 	if o.freshKeys && o.IdempotencyKey != 0 && o.requestNumber > 1 {
-		request.IdempotencyKey = o.IdempotencyKey + uint64(o.requestNumber)*retryKeyStep
+		request.IdempotencyKey = o.IdempotencyKey + uint64(o.requestNumber)*retryKeyIncrement
 	}
 	request.Deadline = min(o.Deadline(class), now+monotime.Micros(o.timeoutShare*float64(class.ClientTimeout)))
 	if o.requestNumber > o.maxRetries {
--- a/internal/simulation/simendpoint/endpoint_test.go
+++ b/internal/simulation/simendpoint/endpoint_test.go
@@ -11,7 +11,7 @@
 
 // finishJobs advances an endpoint until it has no request in flight, and calls onEnd for each completed
 // request.
-func finishJobs(t *rapid.T, e *Endpoint, onEnd func(j *Job, how string)) {
+func finishJobs(t *rapid.T, e *Endpoint, onEnd func(job *Job, cause string)) {
 	t.Helper()
 	for count := 0; e.InFlight() > 0; count++ {
 		at, ok := e.NextCompletion()
@@ -42,71 +42,71 @@
 type trackedJobs struct {
 	t             *rapid.T
 	endpoint      *Endpoint
-	pending       map[*Job]bool
-	completedWork float64 // total work of the completed requests
+	pending       map[*Job]bool // requests that have not ended
+	completedWork float64       // total work of the completed requests
 }
 
 // markEnded marks a request as ended, and fails the test if it is not pending. cause is part of the failure
 // message.
-func (o *trackedJobs) markEnded(job *Job, cause string) {
-	if !o.pending[job] {
-		o.t.Fatalf("%s: a request that was not pending", cause)
+func (j *trackedJobs) markEnded(job *Job, cause string) {
+	if !j.pending[job] {
+		j.t.Fatalf("%s: a request that was not pending", cause)
 	}
-	delete(o.pending, job)
+	delete(j.pending, job)
 }
 
 // advance runs the endpoint until an instant.
-func (o *trackedJobs) advance(now monotime.Micros) {
-	for _, completion := range o.endpoint.Advance(now) {
-		o.markEnded(completion.Job, "ended")
-		o.completedWork += float64(completion.Job.Work)
+func (j *trackedJobs) advance(now monotime.Micros) {
+	for _, completion := range j.endpoint.Advance(now) {
+		j.markEnded(completion.Job, "ended")
+		j.completedWork += float64(completion.Job.Work)
 		if completion.At > now {
-			o.t.Fatalf("request completed at %d, after the present time %d", completion.At, now)
+			j.t.Fatalf("request completed at %d, after the present time %d", completion.At, now)
 		}
 	}
 }
 
 // step applies one random action to the endpoint: a cancellation, a restart, a pause or a request.
-func (o *trackedJobs) step(now monotime.Micros) {
-	switch rapid.IntRange(0, 9).Draw(o.t, "what") {
+func (j *trackedJobs) step(now monotime.Micros) {
+	switch rapid.IntRange(0, 9).Draw(j.t, "what") {
 	case 0:
-		o.cancelOne(now)
+		j.cancelOne(now)
 	case 1:
-		if rapid.IntRange(0, 9).Draw(o.t, "kill") == 0 {
-			o.restart(now)
+		if rapid.IntRange(0, 9).Draw(j.t, "kill") == 0 {
+			j.restart(now)
 		}
 	case 2:
-		o.endpoint.Pause(now, 20_000)
+		j.endpoint.Pause(now, 20_000)
 	default:
 		job := &Job{
-			Work:   monotime.Micros(rapid.IntRange(1, 60_000).Draw(o.t, "work")),
-			Chance: rapid.Float64Range(0, 1).Draw(o.t, "luck"),
+			Work:   monotime.Micros(rapid.IntRange(1, 60_000).Draw(j.t, "work")),
+			Chance: rapid.Float64Range(0, 1).Draw(j.t, "luck"),
 		}
-		if o.endpoint.Arrive(now, job) == Accepted {
-			o.pending[job] = true
+		if j.endpoint.Arrive(now, job) == Accepted {
+			j.pending[job] = true
 		}
 	}
 }
 
 // cancelOne cancels one of the pending requests.
-func (o *trackedJobs) cancelOne(now monotime.Micros) {
-	for job := range o.pending {
-		if o.endpoint.Cancel(now, job) {
-			o.markEnded(job, "cancelled")
+func (j *trackedJobs) cancelOne(now monotime.Micros) {
+	for job := range j.pending {
+		if j.endpoint.Cancel(now, job) {
+			j.markEnded(job, "cancelled")
 		}
 		return
 	}
 }
 
 // restart kills the endpoint, which must return all pending requests, and starts it again.
-func (o *trackedJobs) restart(now monotime.Micros) {
-	for _, job := range o.endpoint.Kill(now) {
-		o.markEnded(job, "killed")
+func (j *trackedJobs) restart(now monotime.Micros) {
+	for _, job := range j.endpoint.Kill(now) {
+		j.markEnded(job, "killed")
 	}
-	if len(o.pending) != 0 {
-		o.t.Fatalf("%d requests outlived the process", len(o.pending))
+	if len(j.pending) != 0 {
+		j.t.Fatalf("%d requests outlived the process", len(j.pending))
 	}
-	o.endpoint.Start(now, false)
+	j.endpoint.Start(now, false)
 }
 
 // Under random cancellations, restarts and pauses, each request that an endpoint accepts must end exactly
@@ -195,11 +195,11 @@
 		return e.Advance(now + 2000)[0]
 	}
 	for i, step := range []struct {
-		n      *Endpoint
-		at     monotime.Micros
-		effect bool
+		endpoint *Endpoint
+		at       monotime.Micros
+		effect   bool
 	}{{a, 0, true}, {a, 10_000, false}, {b, 100_000, false}, {b, 402_000, true}, {a, 500_000, false}} {
-		if completion := run(step.n, step.at); completion.Effect != step.effect ||
+		if completion := run(step.endpoint, step.at); completion.Effect != step.effect ||
 			(completion.Verdict == Duplicate) == step.effect {
 			t.Errorf("step %d: effect %v, verdict %v", i, completion.Effect, completion.Verdict)
 		}
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -55,7 +55,7 @@
 	KnownHarm float64
 }
 
-// Options are the inputs and callbacks of a run.
+// Options are the inputs and the callbacks of a run.
 type Options struct {
 	Plan     *scenario.Plan
 	Settings *Settings
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -87,7 +87,7 @@
 
 // testSettings returns settings that fit testScenario.
 func testSettings() *Settings {
-	site := balancer.Settings{
+	balancerSettings := balancer.Settings{
 		Balancers:       3,
 		LoadMetrics:     []balancer.LoadMetric{balancer.MetricInflight},
 		OverQuotaWeight: 0.1,
@@ -115,7 +115,7 @@
 	}
 	return &Settings{
 		Site: siteconfig.Site{
-			Settings:  site,
+			Settings:  balancerSettings,
 			Classes:   []string{"look", "book", "sell"},
 			Tenants:   []string{"p"},
 			Zones:     []string{"x", "y"},
@@ -139,19 +139,19 @@
 // runScenario runs testScenario with planned events and a seed. trace may be nil.
 func runScenario(t *testing.T, events string, seed uint64, settings *Settings, trace func(Trace)) *measure.Result {
 	t.Helper()
-	parsed, err := scenario.Parse([]byte(testScenario+events), nil)
+	parsedScenario, err := scenario.Parse([]byte(testScenario+events), nil)
 	require.NoError(t, err)
-	site := &settings.Site.Settings
+	balancerSettings := &settings.Site.Settings
 	result, err := Run(context.Background(), Options{
-		Plan:     parsed.Draw(seed),
+		Plan:     parsedScenario.Draw(seed),
 		Settings: settings,
 		Trace:    trace,
 		Criteria: measure.Criteria{
-			Classes:         site.Classes,
-			Tenants:         site.Tenants,
-			OverQuotaWeight: site.OverQuotaWeight,
-			Goal:            site.Goal,
-			Prices:          site.Prices,
+			Classes:         balancerSettings.Classes,
+			Tenants:         balancerSettings.Tenants,
+			OverQuotaWeight: balancerSettings.OverQuotaWeight,
+			Goal:            balancerSettings.Goal,
+			Prices:          balancerSettings.Prices,
 		},
 	})
 	require.NoError(t, err)
@@ -162,15 +162,15 @@
 // must start the same operations at the same times, so that their results can be compared.
 func TestSameRunSameDigest(t *testing.T) {
 	const events = "[[event]]\nwhat = \"kill\"\nat = \"4s\"\nfor = \"2s\"\npart = [0.3]\n"
-	runTraced := func(settings *Settings) (digest string, first []Trace) {
+	runTraced := func(settings *Settings) (digest string, firstRequests []Trace) {
 		seenOperations := map[uint64]bool{}
 		result := runScenario(t, events, 5, settings, func(step Trace) {
 			if step.Step == "asks" && !seenOperations[step.Operation] {
 				seenOperations[step.Operation] = true
-				first = append(first, step)
+				firstRequests = append(firstRequests, step)
 			}
 		})
-		return result.Digest, first
+		return result.Digest, firstRequests
 	}
 	digest, firstRequests := runTraced(testSettings())
 	if otherDigest, _ := runTraced(testSettings()); digest != otherDigest {
@@ -267,22 +267,22 @@
 		t.Errorf("served %v without harm, want at least 0.99; unserved %v with a fifth harmed, want 0.15 to 0.25",
 			served, unserved)
 	}
-	parsed, err := scenario.Parse([]byte(testScenario), nil)
+	parsedScenario, err := scenario.Parse([]byte(testScenario), nil)
 	require.NoError(t, err)
 	missingZone := testSettings()
 	missingZone.Site.Zones = []string{"x"}
-	unserved := &missingZone.Site.Settings
+	balancerSettings := &missingZone.Site.Settings
 	if _, err := Run(context.Background(), Options{
-		Plan:     parsed.Draw(1),
+		Plan:     parsedScenario.Draw(1),
 		Settings: missingZone,
-		Criteria: measure.Criteria{Classes: unserved.Classes, Tenants: unserved.Tenants},
+		Criteria: measure.Criteria{Classes: balancerSettings.Classes, Tenants: balancerSettings.Tenants},
 	}); err == nil {
 		t.Error("settings without a zone of the scenario were accepted")
 	}
 	if _, err := Run(context.Background(), Options{
-		Plan:     parsed.Draw(1),
+		Plan:     parsedScenario.Draw(1),
 		Settings: testSettings(),
-		Criteria: measure.Criteria{Classes: unserved.Classes[:1], Tenants: unserved.Tenants},
+		Criteria: measure.Criteria{Classes: balancerSettings.Classes[:1], Tenants: balancerSettings.Tenants},
 	}); err == nil {
 		t.Error("criteria without a class of the scenario were accepted")
 	}
