--- a/internal/simulation/endpoint.go
+++ b/internal/simulation/endpoint.go
@@ -7,30 +7,37 @@
 	"dunlinsail/internal/simulation/simendpoint"
 )
 
-// endpoint is an endpoint of the run: its model, its connections and its machine.
+// endpoint is a simulated endpoint: the model of its process, its connections and its machine.
 type endpoint struct {
 	run         *run
 	index       int
 	model       *simendpoint.Endpoint
-	incarnation uint32          // changes at each start
-	unreachable bool            // its machine is lost: it sends no reply and no reset
-	wakeupAt    monotime.Micros // instant of the scheduled wake-up; 0 is none
-	executions  int64
-	maxInFlight int
-
-	arrivals []int64 // requests by bin of time
-	draining bool    // it stops once it has no request in flight
-	pauses   uint64  // pauses so far
+	incarnation uint32          // increased at each start and kill of the process
+	unreachable bool            // the machine is lost: it sends neither replies nor resets
+	wakeupAt    monotime.Micros // time of the scheduled wake-up; 0 if no wake-up is scheduled
+	executions  int64           // requests that the endpoint has executed
+	maxInFlight int             // largest number of requests in flight so far
+
+	arrivalsByBin []int64 // arrived requests by time bin of the meter
+	draining      bool    // the process stops when it has no request in flight
+	pauseCount    uint64  // pauses scheduled so far
 }
 
-// maxEndpointsWithArrivals is the largest number of endpoints for which arrivals are counted by time.
+// maxEndpointsWithArrivals is the largest number of endpoints in a run for which arrivals are counted by time
+// bin.
 const maxEndpointsWithArrivals = 100
 
-func newEndpoint(r *run, n int) *endpoint {
-	p := &r.plan.Endpoints[n]
-	e := &endpoint{run: r, index: n, model: simendpoint.New(p.Config, r.discovery.dedupGroup(p.Cell)), incarnation: 1}
-	e.model.Start(0, !p.StartsWithRun)
-	if p.PauseEvery > 0 && p.PauseFor > 0 {
+// newEndpoint returns an endpoint of the plan with a running process.
+func newEndpoint(r *run, index int) *endpoint {
+	planned := &r.plan.Endpoints[index]
+	e := &endpoint{
+		run:         r,
+		index:       index,
+		model:       simendpoint.New(planned.Config, r.discovery.dedupGroup(planned.Cell)),
+		incarnation: 1,
+	}
+	e.model.Start(0, !planned.StartsWithRun)
+	if planned.PauseEvery > 0 && planned.PauseFor > 0 {
 		e.schedulePause()
 	}
 	return e
@@ -38,34 +45,34 @@
 
 func (e *endpoint) zone() int { return e.run.plan.Endpoints[e.index].Zone }
 
-// arrive gives a request to the endpoint's model.
-func (e *endpoint) arrive(j *simendpoint.Job) simendpoint.Verdict {
+// arrive passes a request to the endpoint's model and counts the arrival.
+func (e *endpoint) arrive(job *simendpoint.Job) simendpoint.Verdict {
 	e.advance()
 	collapsedBefore := e.model.Collapsed()
-	v := e.model.Arrive(e.run.now, j)
+	verdict := e.model.Arrive(e.run.now, job)
 	if len(e.run.endpoints) <= maxEndpointsWithArrivals {
-		at := int(e.run.now / e.run.meter.BinWidth())
-		for len(e.arrivals) <= at {
-			e.arrivals = append(e.arrivals, 0)
+		bin := int(e.run.now / e.run.meter.BinWidth())
+		for len(e.arrivalsByBin) <= bin {
+			e.arrivalsByBin = append(e.arrivalsByBin, 0)
 		}
-		e.arrivals[at]++
+		e.arrivalsByBin[bin]++
 	}
 	if !collapsedBefore && e.model.Collapsed() {
 		e.run.meter.Costs.Collapses++
 	}
 	e.maxInFlight = max(e.maxInFlight, e.model.InFlight())
 	e.scheduleWakeup()
-	return v
+	return verdict
 }
 
-// advance handles the jobs that have ended by now.
+// advance handles the jobs that have completed by now.
 func (e *endpoint) advance() {
-	for _, x := range e.model.Advance(e.run.now) {
-		e.jobEnded(x)
+	for _, completion := range e.model.Advance(e.run.now) {
+		e.jobEnded(completion)
 	}
 }
 
-// scheduleWakeup schedules a wake-up for the next job that completes.
+// scheduleWakeup schedules a wake-up for the next completion of a job.
 func (e *endpoint) scheduleWakeup() {
 	if at, ok := e.model.NextCompletion(); ok && (e.wakeupAt == 0 || at < e.wakeupAt) {
 		e.wakeupAt = max(at, e.run.now)
@@ -73,6 +80,7 @@
 	}
 }
 
+// onWakeup handles a wake-up that was scheduled for an instant, unless an earlier wake-up has replaced it.
 func (e *endpoint) onWakeup(at monotime.Micros) {
 	if e.wakeupAt != at {
 		return
@@ -85,78 +93,80 @@
 	e.scheduleWakeup()
 }
 
-// jobEnded counts a finished job and sends its reply.
-func (e *endpoint) jobEnded(x simendpoint.Completion) {
-	s := x.Job.HostData.(*attempt)
-	m := &e.run.meter.Costs
-	m.ExecutedWork += float64(x.Job.Work)
+// jobEnded counts the execution and the effect of a completed job, and sends its reply.
+func (e *endpoint) jobEnded(completion simendpoint.Completion) {
+	a := completion.Job.HostData.(*attempt)
+	costs := &e.run.meter.Costs
+	costs.ExecutedWork += float64(completion.Job.Work)
 	e.executions++
-	op := s.request.operation
-	op.Executions++
-	s.held = false
-	if x.Effect {
-		op.Effects++
-		s.request.effects++
-		if op.class.Idempotency != balancer.Idempotent && op.Effects > 1 {
-			if s.request.effects > 1 {
-				m.DuplicateEffects++
+	operation := a.request.operation
+	operation.Executions++
+	a.atEndpoint = false
+	if completion.Effect {
+		operation.Effects++
+		a.request.effects++
+		if operation.class.Idempotency != balancer.Idempotent && operation.Effects > 1 {
+			if a.request.effects > 1 {
+				costs.DuplicateEffects++
 			} else {
-				m.ClientDuplicateEffects++
+				costs.ClientDuplicateEffects++
 			}
 		}
 	}
-	if e.unreachable || s.phase == aborted {
+	if e.unreachable || a.phase == phaseAborted {
 		return
 	}
-	switch x.Verdict {
+	switch completion.Verdict {
 	case simendpoint.Completed, simendpoint.Duplicate:
-		s.reply(balancer.OK)
+		a.reply(balancer.OK)
 	case simendpoint.Failed:
-		s.reply(balancer.Error)
+		a.reply(balancer.Error)
 	}
 }
 
-// disconnect closes a connection that was opened in an incarnation of the endpoint.
+// disconnect closes a connection to the endpoint, if the incarnation that accepted it still runs.
 func (e *endpoint) disconnect(incarnation uint32) {
 	if incarnation == e.incarnation {
 		e.model.Disconnect()
 	}
 }
 
-// kill ends the process. Its requests are reset; with silent the machine is lost, and no reset is sent.
+// kill ends the process, which resets its requests in flight. If silent is true the whole machine is lost,
+// and no reset is sent.
 func (e *endpoint) kill(silent bool) {
 	if !e.model.Up() {
 		return
 	}
 	e.advance()
-	held := e.model.Kill(e.run.now)
+	killedJobs := e.model.Kill(e.run.now)
 	e.incarnation++
 	e.draining = false
 	e.unreachable = silent
-	for _, j := range held {
-		s := j.HostData.(*attempt)
-		s.held = false
-		if !silent && s.phase == sent {
-			s.reply(balancer.Reset)
+	for _, job := range killedJobs {
+		a := job.HostData.(*attempt)
+		a.atEndpoint = false
+		if !silent && a.phase == phaseSent {
+			a.reply(balancer.Reset)
 		}
 	}
 	if silent {
 		return
 	}
-	for _, in := range e.run.instances { // idle connections are seen to be closed
-		in.upstreamConns -= len(in.idleUpstream[e.index])
-		delete(in.idleUpstream, e.index)
+	for _, in := range e.run.instances { // instances notice that their idle connections were closed
+		in.upstreamConns -= len(in.idleUpstreamConns[e.index])
+		delete(in.idleUpstreamConns, e.index)
 	}
 }
 
-// stop ends a process that has drained.
+// stop ends a process that has drained, and notifies discovery.
 func (e *endpoint) stop() {
 	e.kill(false)
 	e.run.discovery.endpointChanged(e.index, balancer.Gone, false)
 }
 
-// start starts the process, which warms up. With alwaysUp it is warm at once.
-func (e *endpoint) start(alwaysUp bool) {
+// start starts the process and notifies discovery. The process warms up first, unless warm is true. A
+// draining process is replaced.
+func (e *endpoint) start(warm bool) {
 	if e.model.Up() {
 		if !e.draining {
 			return
@@ -166,11 +176,11 @@
 	e.incarnation++
 	e.unreachable = false
 	e.draining = false
-	e.model.Start(e.run.now, alwaysUp)
+	e.model.Start(e.run.now, warm)
 	e.run.discovery.endpointChanged(e.index, balancer.Ready, false)
 }
 
-// drain has the process finish its requests, and stop.
+// drain makes the process finish its requests in flight and then stop.
 func (e *endpoint) drain() {
 	if !e.model.Up() || e.draining {
 		return
@@ -185,19 +195,20 @@
 
 // schedulePause schedules the next pause of the process.
 func (e *endpoint) schedulePause() {
-	p := &e.run.plan.Endpoints[e.index]
-	e.pauses++
-	r := randstream.New(e.run.plan.Seed, "pauses").For(uint64(e.index), e.pauses)
-	e.run.events.push(e.run.now+1+monotime.Micros(r.ExpFloat64()*float64(p.PauseEvery)), endpointPauses,
+	planned := &e.run.plan.Endpoints[e.index]
+	e.pauseCount++
+	random := randstream.New(e.run.plan.Seed, "pauses").For(uint64(e.index), e.pauseCount)
+	e.run.events.push(e.run.now+1+monotime.Micros(random.ExpFloat64()*float64(planned.PauseEvery)), endpointPauses,
 		uint32(e.index), nil)
 }
 
+// pause pauses the process for a random time and schedules its next pause.
 func (e *endpoint) pause() {
-	p := &e.run.plan.Endpoints[e.index]
-	r := randstream.New(e.run.plan.Seed, "pauses").For(uint64(e.index), e.pauses, 1)
+	planned := &e.run.plan.Endpoints[e.index]
+	random := randstream.New(e.run.plan.Seed, "pauses").For(uint64(e.index), e.pauseCount, 1)
 	e.advance()
 	if e.model.Up() {
-		e.model.Pause(e.run.now, monotime.Micros(r.ExpFloat64()*float64(p.PauseFor)))
+		e.model.Pause(e.run.now, monotime.Micros(random.ExpFloat64()*float64(planned.PauseFor)))
 	}
 	if e.run.now < e.run.plan.Length.Micros() {
 		e.schedulePause()
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -14,86 +14,89 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// instance is one instance of the daemon: an engine, and the state that a process keeps around it.
+// instance is a simulated instance of the daemon: an engine, and the state that the daemon keeps around it.
 type instance struct {
 	run         *run
 	index       int
 	zone        int
-	incarnation uint32 // changes at each start; events of an earlier one are ignored
+	incarnation uint32 // increased when the process is killed; events of an earlier incarnation are ignored
 	down        bool
 
-	frozenUntil     monotime.Micros // the process is stopped until then
-	stalled         bool            // it was stopped, and the engine has not been notified of it
-	stalledFrom     monotime.Micros // the instance's instant at which it was stopped
-	discoveryBlocks int             // causes that block discovery's events
-	heldEvents      []*watchEvent   // events that arrived while blocked
+	frozenUntil     monotime.Micros // the process is frozen until this time
+	stalled         bool            // the process was frozen, and the engine has not been notified of it
+	stalledFrom     monotime.Micros // time on the instance's clock at which the freeze started
+	discoveryBlocks int             // number of active causes that block discovery's events
+	blockedEvents   []*watchEvent   // events that arrived while discovery's events were blocked
 
 	engine   *engine.Engine
 	pool     *engine.Pool
-	clients  []*engine.Client // of each process
+	clients  []*engine.Client // registered clients, by client process
 	site     siteconfig.Site
-	wakeupAt monotime.Micros // instant of the scheduled wake-up; 0 is none
-	seed     uint64
-
-	connTable       *connlimit.Table[*clientConn]
-	owners          []*connlimit.Owner[*clientConn]
-	idleClientConns [][]*connlimit.Conn[*clientConn] // by client process, the latest used last
-	idleUpstream    map[int][]idleConn               // connections to endpoints without an open request
-	upstreamConns   int                              // open connections to endpoints
-	maxIdleUpstream float64                          // idle connections that may be kept; 0 is no bound
-
-	inFlight         []*clientRequest // accepted, without a response
-	hasEndpointList  bool             // it has received an endpoint list
-	operations       func() (simclient.Operation, bool)
-	nextOperation    simclient.Operation
-	probes           uint64
-	leavingSince     map[int]monotime.Micros // by endpoint known to be draining or gone: when it became known
-	lastWatchEventAt monotime.Micros         // when the latest watch event arrives
+	wakeupAt monotime.Micros // time of the scheduled wake-up; 0 if no wake-up is scheduled
+	seed     uint64          // seed of the instance's random decisions
+
+	connTable            *connlimit.Table[*clientConn]    // open client connections
+	connOwners           []*connlimit.Owner[*clientConn]  // owners in connTable, by client process
+	idleClientConns      [][]*connlimit.Conn[*clientConn] // by client process, most recently used last
+	idleUpstreamConns    map[int][]idleConn               // idle connections by endpoint index, most recently used last
+	upstreamConns        int                              // open connections to endpoints, including idle ones
+	maxIdleUpstreamConns float64                          // idle connections that may be kept; 0 is no limit
+
+	inFlight             []*clientRequest                   // accepted requests without a response
+	hasEndpointList      bool                               // the instance has received an endpoint list
+	takePlannedOperation func() (simclient.Operation, bool) // the plan's next operation; false after the last one
+	nextOperation        simclient.Operation                // operation that is scheduled to start next
+	probeCount           uint64                             // probes sent so far
+	leavingSince         map[int]monotime.Micros            // by endpoint index: when it was reported as leaving
+	lastWatchEventAt     monotime.Micros                    // arrival time of the latest watch event
 }
 
-// clientConn is a client's connection.
+// clientConn is a connection of a client process, given as its index.
 type clientConn struct{ process int }
 
 // idleConn is an idle connection to an endpoint.
 type idleConn struct {
-	endpointIncarnation uint32 // incarnation of the endpoint when it was opened
+	endpointIncarnation uint32 // incarnation of the endpoint when the connection was opened
 	idleSince           monotime.Micros
 }
 
-func newInstance(r *run, n int) (*instance, error) {
-	p := &r.plan.Instances[n]
+// newInstance returns an instance that is not started, or an error if the settings do not fit the plan.
+func newInstance(r *run, index int) (*instance, error) {
+	planned := &r.plan.Instances[index]
 	in := &instance{
 		run:   r,
-		index: n,
-		zone:  p.Zone,
+		index: index,
+		zone:  planned.Zone,
 		site:  r.settings.Site,
 		down:  true,
-		seed:  randstream.New(r.plan.Seed, "decisions").For(uint64(n), r.settings.DecisionSeed).Uint64(),
+		seed:  randstream.New(r.plan.Seed, "decisions").For(uint64(index), r.settings.DecisionSeed).Uint64(),
 	}
-	s := &in.site.Settings
-	s.Balancers = len(r.plan.Instances)
-	s.Position = n
-	s.Zone = zoneIndex(in.site.Zones, r.plan.Fleet.Zones[p.Zone])
-	if s.Zone < 0 {
-		return nil, fmt.Errorf("the scenario's zone %q is none of the settings' zones", r.plan.Fleet.Zones[p.Zone])
+	settings := &in.site.Settings
+	settings.Balancers = len(r.plan.Instances)
+	settings.Position = index
+	settings.Zone = zoneIndex(in.site.Zones, r.plan.Fleet.Zones[planned.Zone])
+	if settings.Zone < 0 {
+		return nil, fmt.Errorf("zone %q of the scenario is missing from the settings",
+			r.plan.Fleet.Zones[planned.Zone])
 	}
-	if err := in.create(); err != nil {
+	if err := in.createProcess(); err != nil {
 		return nil, err
 	}
 	return in, nil
 }
 
+// zoneIndex returns the index of a zone's name, or -1 if the zone is unknown.
 func zoneIndex(names []string, name string) int {
-	for i, n := range names {
-		if n == name {
+	for i, zone := range names {
+		if zone == name {
 			return i
 		}
 	}
 	return -1
 }
 
-// create makes the engine and the process's other state, without an endpoint list.
-func (in *instance) create() error {
+// create replaces the engine and the other state of the process. The new process has no endpoint list yet.
+func (in *instance) createProcess() error {
 	r := in.run
 	in.engine = engine.New(engine.Config{
 		Site:         &in.site,
@@ -106,23 +109,23 @@
 		return err
 	}
 	var err error
-	var part *subset.Settings
+	var subsetSettings *subset.Settings
 	if r.settings.Subset != nil {
-		own := *r.settings.Subset
-		own.Position = uint64(in.index)
-		own.Instances = len(r.plan.Instances)
-		part = &own
+		instanceSettings := *r.settings.Subset
+		instanceSettings.Position = uint64(in.index)
+		instanceSettings.Instances = len(r.plan.Instances)
+		subsetSettings = &instanceSettings
 	}
-	var over *overload.Settings
+	var overloadSettings *overload.Settings
 	if r.settings.Overload != nil {
-		own := *r.settings.Overload
-		own.Instances = len(r.plan.Instances)
-		over = &own
+		instanceSettings := *r.settings.Overload
+		instanceSettings.Instances = len(r.plan.Instances)
+		overloadSettings = &instanceSettings
 	}
 	in.pool, err = in.engine.NewPool(engine.PoolConfig{
-		Subset:            part,
-		Overload:          over,
-		OnIdleConnections: func(n float64) { in.maxIdleUpstream = n },
+		Subset:            subsetSettings,
+		Overload:          overloadSettings,
+		OnIdleConnections: func(n float64) { in.maxIdleUpstreamConns = n },
 		RetryRatio:        r.settings.RetryBudget,
 		InitialEndpoints:  engine.EndpointUpdate{Generation: -1},
 		SetWatch:          in.setWatch,
@@ -138,7 +141,7 @@
 	}
 	in.inFlight = nil
 	in.hasEndpointList = false
-	in.idleUpstream = map[int][]idleConn{}
+	in.idleUpstreamConns = map[int][]idleConn{}
 	in.upstreamConns = 0
 	in.leavingSince = map[int]monotime.Micros{}
 	return nil
@@ -148,34 +151,36 @@
 func (in *instance) createClients() error {
 	r := in.run
 	in.clients = nil
-	in.owners = nil
+	in.connOwners = nil
 	in.idleClientConns = nil
-	for i := range r.plan.Clients.Processes {
+	for process := range r.plan.Clients.Processes {
 		spec := r.settings.Client
-		spec.Name = fmt.Sprint(i)
-		c, err := engine.NewClient(spec)
+		spec.Name = fmt.Sprint(process)
+		client, err := engine.NewClient(spec)
 		if err != nil {
 			return err
 		}
-		in.clients = append(in.clients, c)
-		in.owners = append(in.owners, in.connTable.NewOwner(spec.Weight, math.MaxInt, 0))
+		in.clients = append(in.clients, client)
+		in.connOwners = append(in.connOwners, in.connTable.NewOwner(spec.Weight, math.MaxInt, 0))
 		in.idleClientConns = append(in.idleClientConns, nil)
 	}
 	return nil
 }
 
-// start has the instance serve, with discovery's complete list. newInstance has made the engine of the first start.
+// start starts the instance. It receives discovery's complete endpoint list unless discovery is silent or its
+// events are blocked. newInstance has already created the process of the first start, which always receives
+// the list.
 func (in *instance) start(first bool) {
 	if !first {
-		if err := in.create(); err != nil {
-			panic(err) // newInstance accepted the same settings
+		if err := in.createProcess(); err != nil {
+			panic(err) // newInstance has accepted the same settings
 		}
 	}
 	in.down = false
 	in.wakeupAt = 0
 	in.frozenUntil = 0
 	in.stalled = false
-	in.heldEvents = nil
+	in.blockedEvents = nil
 	in.pool.Start(in.localTime())
 	in.engine.StartCoordination(in.localTime())
 	if first || !in.run.discovery.silent && in.discoveryBlocks == 0 {
@@ -184,7 +189,7 @@
 	in.advanceEngine()
 }
 
-// kill ends the process: its requests in flight are lost, and its connections are reset.
+// kill ends the process. Its requests in flight and its connections are lost.
 func (in *instance) kill() {
 	if in.down {
 		return
@@ -194,25 +199,27 @@
 	in.engine = nil
 }
 
-// localTime is the time of the instance's clock.
+// localTime returns the present time on the instance's clock.
 func (in *instance) localTime() monotime.Micros { return in.clockAt(in.run.now) }
 
+// clockAt returns the time on the instance's clock, which has skew and drift, at a simulated time.
 func (in *instance) clockAt(at monotime.Micros) monotime.Micros {
-	p := &in.run.plan.Instances[in.index]
-	return clockOrigin + p.Skew + at + monotime.Micros(p.Drift*float64(at))
+	planned := &in.run.plan.Instances[in.index]
+	return clockOrigin + planned.Skew + at + monotime.Micros(planned.Drift*float64(at))
 }
 
-// worldTime is the earliest simulated time at which the instance's clock has reached an instant.
-func (in *instance) worldTime(local monotime.Micros) monotime.Micros {
-	p := &in.run.plan.Instances[in.index]
-	at := monotime.Micros(float64(local-clockOrigin-p.Skew) / (1 + p.Drift))
-	for in.clockAt(at) < local {
+// simulatedTime returns the earliest simulated time at which the instance's clock shows a given time or a
+// later one.
+func (in *instance) simulatedTime(localTime monotime.Micros) monotime.Micros {
+	planned := &in.run.plan.Instances[in.index]
+	at := monotime.Micros(float64(localTime-clockOrigin-planned.Skew) / (1 + planned.Drift))
+	for in.clockAt(at) < localTime {
 		at++
 	}
 	return at
 }
 
-// advanceEngine runs the engine's due timers, and schedules the wake-up for the next one.
+// advanceEngine runs the engine's due timers, and schedules a wake-up for the next one.
 func (in *instance) advanceEngine() {
 	for in.engine != nil {
 		at, ok := in.engine.Next()
@@ -220,7 +227,7 @@
 			return
 		}
 		if at > in.localTime() {
-			if due := in.worldTime(at); in.wakeupAt == 0 || due < in.wakeupAt {
+			if due := in.simulatedTime(at); in.wakeupAt == 0 || due < in.wakeupAt {
 				in.wakeupAt = due
 				in.run.events.push(due, instanceWakeup, in.incarnation, in)
 			}
@@ -230,6 +237,7 @@
 	}
 }
 
+// onWakeup handles a wake-up that was scheduled for an instant, unless an earlier wake-up has replaced it.
 func (in *instance) onWakeup(at monotime.Micros) {
 	if in.down || in.wakeupAt != at {
 		return
--- a/internal/simulation/simendpoint/endpoint_test.go
+++ b/internal/simulation/simendpoint/endpoint_test.go
@@ -9,21 +9,22 @@
 	"dunlinsail/internal/monotime"
 )
 
-// drain advances an endpoint until it holds no job, and passes each that ends to over.
-func drain(t *rapid.T, n *Endpoint, over func(j *Job, how string)) {
+// finishJobs advances an endpoint until it has no request in flight, and calls onEnd for each completed
+// request.
+func finishJobs(t *rapid.T, e *Endpoint, onEnd func(job *Job, cause string)) {
 	t.Helper()
-	for i := 0; n.InFlight() > 0; i++ {
-		at, ok := n.NextCompletion()
-		if !ok || i > 1000 {
-			t.Fatalf("%d requests are held and none ends", n.InFlight())
+	for count := 0; e.InFlight() > 0; count++ {
+		at, ok := e.NextCompletion()
+		if !ok || count > 1000 {
+			t.Fatalf("%d requests are in flight and none completes", e.InFlight())
 		}
-		for _, e := range n.Advance(at) {
-			over(e.Job, "ended")
+		for _, completion := range e.Advance(at) {
+			onEnd(completion.Job, "ended")
 		}
 	}
 }
 
-// drawConfig draws an endpoint of a few cores that warms up.
+// drawConfig draws the configuration of an endpoint with one to four cores and a warm-up.
 func drawConfig(t *rapid.T) Config {
 	t.Helper()
 	return Config{
@@ -37,106 +38,108 @@
 	}
 }
 
-// openJobs are the jobs of an endpoint that have not ended, and the work of those that completed.
-type openJobs struct {
-	t        *rapid.T
-	endpoint *Endpoint
-	open     map[*Job]bool
-	done     float64 // work of completed jobs
+// trackedJobs records the requests of an endpoint that have not ended, and the work of those that completed.
+type trackedJobs struct {
+	t             *rapid.T
+	endpoint      *Endpoint
+	pending       map[*Job]bool // requests that have not ended
+	completedWork float64       // total work of the completed requests
 }
 
-// end marks a job as ended, and fails the test if it was not open.
-func (o *openJobs) end(j *Job, how string) {
-	if !o.open[j] {
-		o.t.Fatalf("%s: a request that was not open", how)
+// markEnded marks a request as ended, and fails the test if it is not pending. cause is part of the failure
+// message.
+func (j *trackedJobs) markEnded(job *Job, cause string) {
+	if !j.pending[job] {
+		j.t.Fatalf("%s: a request that was not pending", cause)
 	}
-	delete(o.open, j)
+	delete(j.pending, job)
 }
 
 // advance runs the endpoint until an instant.
-func (o *openJobs) advance(now monotime.Micros) {
-	for _, e := range o.endpoint.Advance(now) {
-		o.end(e.Job, "ended")
-		o.done += float64(e.Job.Work)
-		if e.At > now {
-			o.t.Fatalf("ended at %d, which is after %d", e.At, now)
+func (j *trackedJobs) advance(now monotime.Micros) {
+	for _, completion := range j.endpoint.Advance(now) {
+		j.markEnded(completion.Job, "ended")
+		j.completedWork += float64(completion.Job.Work)
+		if completion.At > now {
+			j.t.Fatalf("request completed at %d, after the present time %d", completion.At, now)
 		}
 	}
 }
 
-// step draws one thing that happens to the endpoint: a cancellation, a restart, a pause or a request.
-func (o *openJobs) step(now monotime.Micros) {
-	switch rapid.IntRange(0, 9).Draw(o.t, "what") {
+// step applies one random action to the endpoint: a cancellation, a restart, a pause or a request.
+func (j *trackedJobs) step(now monotime.Micros) {
+	switch rapid.IntRange(0, 9).Draw(j.t, "what") {
 	case 0:
-		o.cancelOne(now)
+		j.cancelOne(now)
 	case 1:
-		if rapid.IntRange(0, 9).Draw(o.t, "kill") == 0 {
-			o.restart(now)
+		if rapid.IntRange(0, 9).Draw(j.t, "kill") == 0 {
+			j.restart(now)
 		}
 	case 2:
-		o.endpoint.Pause(now, 20_000)
+		j.endpoint.Pause(now, 20_000)
 	default:
-		j := &Job{
-			Work:   monotime.Micros(rapid.IntRange(1, 60_000).Draw(o.t, "work")),
-			Chance: rapid.Float64Range(0, 1).Draw(o.t, "luck"),
+		job := &Job{
+			Work:   monotime.Micros(rapid.IntRange(1, 60_000).Draw(j.t, "work")),
+			Chance: rapid.Float64Range(0, 1).Draw(j.t, "luck"),
 		}
-		if o.endpoint.Arrive(now, j) == Accepted {
-			o.open[j] = true
+		if j.endpoint.Arrive(now, job) == Accepted {
+			j.pending[job] = true
 		}
 	}
 }
 
-// cancelOne cancels any open job.
-func (o *openJobs) cancelOne(now monotime.Micros) {
-	for j := range o.open {
-		if o.endpoint.Cancel(now, j) {
-			o.end(j, "cancelled")
+// cancelOne cancels one of the pending requests.
+func (j *trackedJobs) cancelOne(now monotime.Micros) {
+	for job := range j.pending {
+		if j.endpoint.Cancel(now, job) {
+			j.markEnded(job, "cancelled")
 		}
 		return
 	}
 }
 
-// restart kills the endpoint, which has to return all open jobs, and starts it again.
-func (o *openJobs) restart(now monotime.Micros) {
-	for _, j := range o.endpoint.Kill(now) {
-		o.end(j, "killed")
+// restart kills the endpoint, which must return all pending requests, and starts it again.
+func (j *trackedJobs) restart(now monotime.Micros) {
+	for _, job := range j.endpoint.Kill(now) {
+		j.markEnded(job, "killed")
 	}
-	if len(o.open) != 0 {
-		o.t.Fatalf("%d requests outlived the process", len(o.open))
+	if len(j.pending) != 0 {
+		j.t.Fatalf("%d requests outlived the process", len(j.pending))
 	}
-	o.endpoint.Start(now, false)
+	j.endpoint.Start(now, false)
 }
 
-// Whatever happens, each request that an endpoint accepts ends once, it runs no more requests than it has cores, and it
-// does no more work than it has time for.
+// Under random cancellations, restarts and pauses, each request that an endpoint accepts must end exactly
+// once, the endpoint must not run more requests than it has cores, and it must not do more work than its
+// cores can do in the elapsed time.
 func TestEachRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := drawConfig(t)
-		n := New(c, NewDedupGroup(400_000))
-		o := &openJobs{t: t, endpoint: n, open: map[*Job]bool{}}
+		config := drawConfig(t)
+		e := New(config, NewDedupGroup(400_000))
+		jobs := &trackedJobs{t: t, endpoint: e, pending: map[*Job]bool{}}
 		now := monotime.Micros(0)
-		n.Start(now, rapid.Bool().Draw(t, "warm"))
+		e.Start(now, rapid.Bool().Draw(t, "warm"))
 		steps := rapid.IntRange(1, 80).Draw(t, "steps")
 		for range steps {
 			now += monotime.Micros(rapid.IntRange(0, 40_000).Draw(t, "gap"))
-			o.advance(now)
-			o.step(now)
-			if n.InFlight() != len(o.open) || n.busy > c.Cores {
-				t.Fatalf("%d in flight, %d running; %d are open", n.InFlight(), n.busy, len(o.open))
+			jobs.advance(now)
+			jobs.step(now)
+			if e.InFlight() != len(jobs.pending) || e.busyCores > config.Cores {
+				t.Fatalf("%d in flight, %d running; want %d in flight", e.InFlight(), e.busyCores, len(jobs.pending))
 			}
 		}
-		capacity := float64(now) * c.Speed * float64(c.Cores)
-		if o.done > capacity+float64(c.Cores*60_000) {
-			t.Fatalf("%v of work done, at most %v is possible", o.done, capacity)
+		capacity := float64(now) * config.Speed * float64(config.Cores)
+		if jobs.completedWork > capacity+float64(config.Cores*60_000) {
+			t.Fatalf("%v of work done, at most %v is possible", jobs.completedWork, capacity)
 		}
-		drain(t, n, o.end)
+		finishJobs(t, e, jobs.markEnded)
 	})
 }
 
-// An endpoint that is warming up and is sent too much for too long falls over, and stays so until it is started again;
-// one that is warm, or is sent what it can do, does not.
+// An endpoint that is overloaded for too long while it warms up must collapse and stay collapsed until it is
+// started again. An endpoint that is warm, or is offered no more work than it can do, must not collapse.
 func TestFallsOver(t *testing.T) {
-	c := Config{
+	config := Config{
 		Cores:          2,
 		Speed:          1,
 		WarmupFrom:     0.2,
@@ -144,83 +147,86 @@
 		CollapseLoad:   2.5,
 		CollapseWindow: 2 * second,
 	}
-	push := func(n *Endpoint, from monotime.Micros, load float64) bool {
+	offerLoad := func(e *Endpoint, from monotime.Micros, load float64) bool {
 		const work = 20_000
 		gap := monotime.Micros(work / (load * 2))
 		for now := from; now < from+5*second; now += gap {
-			n.Advance(now)
-			n.Arrive(now, &Job{Work: work, Chance: 0.5})
+			e.Advance(now)
+			e.Arrive(now, &Job{Work: work, Chance: 0.5})
 		}
-		return n.Collapsed()
+		return e.Collapsed()
 	}
-	for load, falls := range map[float64]bool{0.2: false, 0.45: false, 0.8: true} {
-		n := New(c, nil)
-		n.Start(0, false)
-		if got := push(n, 0, load); got != falls {
-			t.Errorf("cold, sent %v of what it can do once warm: fell %v", load, got)
+	for load, collapses := range map[float64]bool{0.2: false, 0.45: false, 0.8: true} {
+		e := New(config, nil)
+		e.Start(0, false)
+		if collapsed := offerLoad(e, 0, load); collapsed != collapses {
+			t.Errorf("warming up, offered %v of its full capacity: collapsed %v", load, collapsed)
 		}
-		if falls {
-			if v := n.Arrive(30*second, &Job{Work: 1}); v != Rejected {
-				t.Errorf("one that fell over takes a request: %v", v)
+		if collapses {
+			if verdict := e.Arrive(30*second, &Job{Work: 1}); verdict != Rejected {
+				t.Errorf("verdict of a collapsed endpoint: %v, want Rejected", verdict)
 			}
-			n.Kill(30 * second)
-			n.Start(31*second, false)
-			if n.Collapsed() {
-				t.Error("it stays down though started again")
+			e.Kill(30 * second)
+			e.Start(31*second, false)
+			if e.Collapsed() {
+				t.Error("the endpoint is still collapsed after a restart")
 			}
 		}
 	}
-	n := New(c, nil)
-	n.Start(0, true)
-	if push(n, 0, 3) {
-		t.Error("a warm one fell over")
+	e := New(config, nil)
+	e.Start(0, true)
+	if offerLoad(e, 0, 3) {
+		t.Error("a warm endpoint collapsed")
 	}
 }
 
-// Repeats of a key are dropped by all of a group, for as long as it remembers.
+// Repeats of an idempotency key must have no effect at any endpoint of a group, as long as the window of the
+// first request lasts.
 func TestRepeats(t *testing.T) {
-	g := NewDedupGroup(400_000)
-	a := New(Config{Cores: 1, Speed: 1}, g)
-	b := New(Config{Cores: 1, Speed: 1}, g)
+	group := NewDedupGroup(400_000)
+	a := New(Config{Cores: 1, Speed: 1}, group)
+	b := New(Config{Cores: 1, Speed: 1}, group)
 	a.Start(0, true)
 	b.Start(0, true)
-	run := func(n *Endpoint, now monotime.Micros) Completion {
-		if v := n.Arrive(now, &Job{Work: 1000, IdempotencyKey: 7, Chance: 0.5}); v != Accepted {
-			t.Fatalf("arrival: %v", v)
+	run := func(e *Endpoint, now monotime.Micros) Completion {
+		if verdict := e.Arrive(now, &Job{Work: 1000, IdempotencyKey: 7, Chance: 0.5}); verdict != Accepted {
+			t.Fatalf("arrival: %v", verdict)
 		}
-		return n.Advance(now + 2000)[0]
+		return e.Advance(now + 2000)[0]
 	}
 	for i, step := range []struct {
-		n      *Endpoint
-		at     monotime.Micros
-		effect bool
+		endpoint *Endpoint
+		at       monotime.Micros
+		effect   bool
 	}{{a, 0, true}, {a, 10_000, false}, {b, 100_000, false}, {b, 402_000, true}, {a, 500_000, false}} {
-		if e := run(step.n, step.at); e.Effect != step.effect || (e.Verdict == Duplicate) == step.effect {
-			t.Errorf("step %d: effect %v, verdict %v", i, e.Effect, e.Verdict)
+		if completion := run(step.endpoint, step.at); completion.Effect != step.effect ||
+			(completion.Verdict == Duplicate) == step.effect {
+			t.Errorf("step %d: effect %v, verdict %v", i, completion.Effect, completion.Verdict)
 		}
 	}
 }
 
-// Reports have the requests in flight, late ones those of then, and false ones none.
+// Load reports must contain the requests in flight; delayed reports must contain those of the earlier time,
+// and false reports must be zero.
 func TestReports(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 1))
-	n := New(Config{Cores: 1, Speed: 1}, nil)
-	n.Start(0, true)
-	if l := n.Probe(second, r); l.Inflight != 0 {
-		t.Errorf("idle: %+v", l)
+	random := rand.New(rand.NewPCG(1, 1))
+	e := New(Config{Cores: 1, Speed: 1}, nil)
+	e.Start(0, true)
+	if load := e.Probe(second, random); load.Inflight != 0 {
+		t.Errorf("report of an idle endpoint: %+v", load)
 	}
 	for range 3 {
-		n.Arrive(second, &Job{Work: second, Chance: 0.5})
+		e.Arrive(second, &Job{Work: second, Chance: 0.5})
 	}
-	if l := n.Probe(second+1000, r); l.Inflight != 3 || l.Queue != 2 {
-		t.Errorf("holding three: %+v", l)
+	if load := e.Probe(second+1000, random); load.Inflight != 3 || load.Queue != 2 {
+		t.Errorf("report with three requests in flight: %+v", load)
 	}
-	n.SetCondition(Condition{ReportDelay: second / 2})
-	if l := n.Probe(second+2000, r); l.Inflight != 0 {
-		t.Errorf("late by half a second: %+v", l)
+	e.SetCondition(Condition{ReportDelay: second / 2})
+	if load := e.Probe(second+2000, random); load.Inflight != 0 {
+		t.Errorf("report that is delayed by half a second: %+v", load)
 	}
-	n.SetCondition(Condition{FalseReports: true})
-	if l := n.Probe(second+3000, r); l != (Load{}) {
-		t.Errorf("lying: %+v", l)
+	e.SetCondition(Condition{FalseReports: true})
+	if load := e.Probe(second+3000, random); load != (Load{}) {
+		t.Errorf("false report: %+v", load)
 	}
 }
