--- a/internal/experiment/processes/client.go
+++ b/internal/experiment/processes/client.go
@@ -15,22 +15,22 @@
 	"dunlinsail/internal/simulation/simclient"
 )
 
-// responseTolerance is how long after a client's deadline a response may come and not count as missing, in microseconds:
-// scheduling delays of the machine are not the daemon's.
+// responseTolerance is how long after a client's deadline a response may still arrive without being counted as
+// missing, in microseconds. It absorbs scheduling delays of the machine, which the daemon does not cause.
 const responseTolerance = 50_000
 
-// operation is an operation of a client, with what is known of it at the endpoints.
+// operation is a client's operation together with the attempts and effects that endpoints have recorded for it.
 type operation struct {
 	simclient.Operation
 	classSettings     *balancer.Class
 	weight            float64
-	withinQuota       bool            // within its tenant's quota
-	lastServiceTime   monotime.Micros // of its latest attempt that was executed
-	effectsByRequest  map[int]int     // by the number of the client's request
-	arrivalsByRequest map[int]int     // attempts that reached an endpoint, by the number of the client's request
+	withinQuota       bool            // whether the operation is within its tenant's quota
+	lastServiceTime   monotime.Micros // service time of the most recently executed attempt
+	effectsByRequest  map[int]int     // number of effects at endpoints, by the number of the client request
+	arrivalsByRequest map[int]int     // attempts that reached an endpoint, by the number of the client request
 }
 
-// runClients starts the operations of an instance's clients at their planned instants.
+// runClients starts the operations of one instance's clients at their planned times.
 func (r *run) runClients(ctx context.Context, instance int) {
 	nextOperation := r.plan.Operations(instance)
 	timer := time.NewTimer(0)
@@ -59,14 +59,14 @@
 		r.mu.Lock()
 		r.operations[op.ID] = op
 		op.weight, op.withinQuota = r.meter.Weight(&op.Operation)
-		// Latency counts from the planned instant, however late this goroutine is.
+		// Latency is measured from the planned time, even if this goroutine runs late.
 		request := op.Start(planned.StartedAt, &r.clientBehavior, op.classSettings, r.clientRand.For(op.ID, 0))
 		r.mu.Unlock()
 		r.openOperations.Go(func() { r.executeOperation(ctx, op, request) })
 	}
 }
 
-// executeOperation makes the requests of an operation until it ends.
+// executeOperation sends the requests of an operation, including retries, until the operation ends.
 func (r *run) executeOperation(ctx context.Context, op *operation, request simclient.Request) {
 	for {
 		outcome, retryAfter := r.sendRequest(ctx, op, request)
@@ -89,13 +89,15 @@
 	}
 }
 
-// attempt makes one request of an operation and returns its outcome, and the response's Retry-After in microseconds.
+// sendRequest sends one client request and returns its outcome and the value of the response's Retry-After header,
+// in microseconds.
 func (r *run) sendRequest(
 	ctx context.Context, op *operation, request simclient.Request,
 ) (simclient.RequestOutcome, monotime.Micros) {
 	startedAt := r.now()
 	r.updateCounts(func(*counts) { r.meter.Costs.ClientRequests++ })
-	// A client that does not abort stays a little longer, to see whether a response that is due comes at all.
+	// If the client does not abort the request, the runner waits for responseTolerance beyond the client's
+	// deadline, to find out whether the response arrives at all.
 	waitUntil := request.Deadline + responseTolerance
 	if request.AbortAt > 0 {
 		waitUntil = request.AbortAt
@@ -110,14 +112,14 @@
 	}
 	if err != nil {
 		timedOut := errors.Is(err, context.DeadlineExceeded)
-		// A suspended instance cannot answer in time.
+		// A suspended instance cannot respond in time, so its missing responses are not counted.
 		if timedOut && request.AbortAt == 0 && inst.suspendedUntil.Load() < startedAt {
 			r.updateCounts(func(c *counts) { c.unansweredRequests++ })
 		}
 		return simclient.NoResponse, 0
 	}
 	if r.now() > request.Deadline {
-		return simclient.NoResponse, 0 // the client has left by then
+		return simclient.NoResponse, 0 // the client has stopped waiting at its deadline
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -133,7 +135,7 @@
 	return simclient.Failed, 0
 }
 
-// newHTTPRequest returns a client's request as it is sent to an instance.
+// newHTTPRequest returns the HTTP request that a client sends to an instance.
 func (r *run) newHTTPRequest(
 	ctx context.Context, inst *instance, op *operation, request simclient.Request,
 ) *http.Request {
@@ -147,7 +149,7 @@
 	url := fmt.Sprintf("http://%s/%s/x?s=%x&t=%d", addr, op.classSettings.Name, op.ID, request.Number)
 	httpRequest, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
-		panic(err) // the URL is always valid
+		panic(err) // cannot happen: the URL is always valid
 	}
 	remainingMS := max(1, (request.Deadline-r.now())/1000)
 	httpRequest.Header.Set("X-Trace-Id", fmt.Sprintf("%x-%d", op.ID, request.Number))
--- a/internal/experiment/processes/daemonconfig.go
+++ b/internal/experiment/processes/daemonconfig.go
@@ -7,11 +7,12 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// alternateUnknownTables are the tables of a daemon's file that an alternate program may not know.
+// alternateUnknownTables are the tables of the daemon's configuration file that the alternate program may not
+// support.
 var alternateUnknownTables = []string{"overload", "peers", "operators", "work"}
 
-// daemonConfig returns an instance's configuration file: the settings, with the tables that differ between instances
-// or belong to this run.
+// daemonConfig returns an instance's configuration file: the settings of the run plus the tables that depend on the
+// instance or on this run, such as addresses and paths.
 func (r *run) daemonConfig(inst *instance) ([]byte, error) {
 	var doc map[string]any
 	if err := toml.Unmarshal(r.options.Settings, &doc); err != nil {
@@ -59,7 +60,8 @@
 	return toml.Marshal(doc)
 }
 
-// addClientTables adds a listener and a client for each client process, with the limits of the settings' first client.
+// addClientTables adds one listener and one client table for each client process. The client limits are those of
+// the first client in the settings.
 func (r *run) addClientTables(inst *instance, doc map[string]any) {
 	limits := map[string]any{}
 	if len(r.config.Clients) > 0 {
--- a/internal/experiment/processes/discovery.go
+++ b/internal/experiment/processes/discovery.go
@@ -25,7 +25,7 @@
 	return entry
 }
 
-// discoveryEntries returns an instance's endpoint list at the start of the run.
+// discoveryEntries returns the endpoint list that an instance's discovery server provides at the start of the run.
 func (r *run) discoveryEntries(instanceIndex int) (entries []discovery.Instance) {
 	for endpointIndex := range r.plan.Endpoints {
 		startedAt := monotime.Micros(0)
@@ -37,7 +37,8 @@
 	return entries
 }
 
-// announceState has discovery announce an endpoint's state to all instances, after the plan's delay.
+// announceState makes all discovery servers announce an endpoint's state. The delay is drawn from the plan's range
+// for that state, plus the extra delay of active events.
 func (r *run) announceState(endpointIndex int, state balancer.EndpointState, vanished bool) {
 	delays := &r.plan.Discovery
 	delayRange := delays.Add
--- a/internal/experiment/processes/endpoint.go
+++ b/internal/experiment/processes/endpoint.go
@@ -16,28 +16,28 @@
 	"dunlinsail/internal/simulation/simendpoint"
 )
 
-// endpoint is an endpoint of a plan behind sockets: one listener for each instance, since each has a network path of
-// its own to it.
+// endpoint serves one endpoint of the plan on real sockets. It has one listener for each instance, because each
+// instance reaches the endpoint over a separate network path.
 type endpoint struct {
 	run     *run
 	index   int
 	planned *scenario.Endpoint
 
-	mu              *sync.Mutex // of its group
+	mu              *sync.Mutex // the lock of the endpoint's deduplication group
 	model           *simendpoint.Endpoint
 	completionTimer *time.Timer
-	nextCompletion  monotime.Micros // when the next request ends
+	nextCompletion  monotime.Micros // time of the run at which the next request completes
 	draining        bool
-	vanished        bool // its machine is gone without closing connections: it accepts requests and never answers
+	vanished        bool // the machine disappeared without closing connections: it accepts requests and never responds
 	executions      int64
 	maxInFlight     int
 	openConns       map[net.Conn]struct{}
 
-	listenersMu sync.Mutex // guards listener and http of fronts
+	listenersMu sync.Mutex // guards the fields listener and server of each element of listeners
 	listeners   []*endpointListener
 }
 
-// pendingJob is a request that an endpoint executes or queues.
+// pendingJob notifies the HTTP handler of a request that the endpoint is executing or has queued.
 type pendingJob struct {
 	completion chan simendpoint.Completion
 	killed     chan struct{} // closed when the endpoint is killed
@@ -62,14 +62,15 @@
 	return e
 }
 
-// listen opens the listeners, at the same addresses each time.
+// listen opens the listeners of the endpoint. Every call uses the same addresses.
 func (e *endpoint) listen() error {
 	e.listenersMu.Lock()
 	defer e.listenersMu.Unlock()
 	for _, listener := range e.listeners {
 		if listener.addr == "" {
 			var err error
-			if listener.addr, err = freeport.Free(); err != nil { // kept: it listens there again after a restart
+			// The address is kept, so that a restarted endpoint listens on it again.
+			if listener.addr, err = freeport.Free(); err != nil {
 				return err
 			}
 		}
@@ -92,7 +93,8 @@
 	return e.applySilenceLocked()
 }
 
-// applySilence silences the listeners for instances that cannot reach the endpoint now, and opens the others.
+// applySilence silences the listeners of instances that cannot reach the endpoint now, and ends the silence of all
+// others.
 func (e *endpoint) applySilence() error {
 	e.listenersMu.Lock()
 	defer e.listenersMu.Unlock()
@@ -111,7 +113,7 @@
 	return silencing.Wait()
 }
 
-// onConnState tracks the open connections.
+// onConnState tracks the open connections and counts new ones.
 func (e *endpoint) onConnState(c net.Conn, state http.ConnState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -149,13 +151,14 @@
 	}
 }
 
-// advance completes the requests that have ended by now, and arms the timer for the next. The caller holds mu.
+// completeDueJobs completes the requests whose service time has passed, and sets the timer to the next completion.
+// The caller holds mu.
 func (e *endpoint) completeDueJobs() {
 	now := e.run.now()
 	for _, completion := range e.model.Advance(now) {
 		e.executions++
 		pending := completion.Job.HostData.(*pendingJob)
-		pending.completion <- completion // buffered
+		pending.completion <- completion // never blocks: the channel is buffered
 	}
 	if completesAt, ok := e.model.NextCompletion(); ok {
 		e.nextCompletion = completesAt
@@ -177,7 +180,7 @@
 	}
 }
 
-// applyCondition replaces the endpoint's faults.
+// applyCondition replaces the endpoint's active faults by the given condition.
 func (e *endpoint) applyCondition(condition simendpoint.Condition) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -186,7 +189,7 @@
 	e.completeDueJobs()
 }
 
-// pause suspends the endpoint, in microseconds.
+// pause suspends the endpoint for the given duration in microseconds.
 func (e *endpoint) pause(duration monotime.Micros) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -197,7 +200,8 @@
 	e.completeDueJobs()
 }
 
-// kill ends the process. A machine that vanishes stays silent instead, on its connections and on new ones.
+// kill ends the endpoint's process and resets its connections. If silent is true, as for a machine that vanishes,
+// existing and new connections stay without a response instead.
 func (e *endpoint) kill(silent bool) {
 	e.mu.Lock()
 	if !e.model.Up() {
@@ -218,7 +222,7 @@
 	}
 }
 
-// drain stops the endpoint once it has finished the requests in flight.
+// drain marks the endpoint as draining, and stops it once no request is in flight.
 func (e *endpoint) drain() {
 	e.mu.Lock()
 	accepting := e.model.Up() && !e.draining
@@ -242,7 +246,7 @@
 	e.run.announceState(e.index, balancer.Gone, false)
 }
 
-// start starts the endpoint again, with a slow start.
+// start restarts the endpoint with a warm-up, unless it is already running.
 func (e *endpoint) start() error {
 	e.mu.Lock()
 	if e.model.Up() && !e.draining {
--- a/internal/experiment/processes/events.go
+++ b/internal/experiment/processes/events.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// minNeighborPeriod bounds how often the load of a noisy neighbor is changed, in microseconds.
+	// minNeighborPeriod is the shortest time between two changes of a noisy neighbor's load, in microseconds.
 	minNeighborPeriod monotime.Micros = 1_000_000
-	// restartDelay is the downtime of a restarted instance where the plan sets none, in microseconds.
+	// restartDelay is the downtime of a restarted instance for which the plan sets no downtime, in microseconds.
 	restartDelay monotime.Micros = 1_000_000
 )
 
-// isPartitioned reports whether a network partition separates two zones now.
+// isPartitioned reports whether an active network partition separates two zones.
 func (r *run) isPartitioned(zoneA, zoneB int) bool {
 	if zoneA == zoneB {
 		return false
@@ -38,7 +38,8 @@
 	return false
 }
 
-// applySilence silences the listeners of endpoints that are unreachable now, and opens all others.
+// applySilence silences all listeners whose endpoint their instance cannot reach now, and ends the silence of all
+// others.
 func (r *run) applySilence() {
 	for _, e := range r.endpoints {
 		if err := e.applySilence(); err != nil {
@@ -47,7 +48,7 @@
 	}
 }
 
-// updateCondition sets an endpoint's faults to the sum of all events that are active now.
+// updateCondition sets an endpoint's condition to the combined effect of all events that are active now.
 func (r *run) updateCondition(endpointIndex int) {
 	var condition simendpoint.Condition
 	now := r.now()
@@ -65,15 +66,15 @@
 	r.endpoints[endpointIndex].applyCondition(condition)
 }
 
-// startEndpoint starts an endpoint again; an error ends the run.
+// startEndpoint restarts an endpoint. An error ends the run.
 func (r *run) startEndpoint(endpointIndex int) {
 	if err := r.endpoints[endpointIndex].start(); err != nil {
 		r.fail(fmt.Errorf("endpoint %d does not start again: %w", endpointIndex, err))
 	}
 }
 
-// killEndpoint kills an endpoint's process, and has discovery notice. Where the whole machine vanishes its sockets
-// stay silent instead of being reset.
+// killEndpoint kills an endpoint's process and announces its state through discovery. If the whole machine
+// vanishes, its sockets stay silent instead of being reset.
 func (r *run) killEndpoint(endpointIndex int, vanished bool) {
 	r.endpoints[endpointIndex].kill(vanished)
 	r.announceState(endpointIndex, balancer.Gone, vanished)
@@ -83,12 +84,12 @@
 type scheduledEvent struct {
 	*scenario.PlannedEvent
 	run        *run
-	ctx        context.Context // of the run: its end cancels steps that are still to come
-	background *sync.WaitGroup // of the goroutines that wait for a step
+	ctx        context.Context // context of the run: its end cancels all pending steps
+	background *sync.WaitGroup // counts the goroutines that wait for the time of a step
 	runEnd     monotime.Micros
 }
 
-// scheduleEvents schedules all events of the plan, and the pauses that endpoints have at random.
+// scheduleEvents schedules all events of the plan and starts the random pauses of endpoints.
 func (r *run) scheduleEvents(ctx context.Context, background *sync.WaitGroup) {
 	for eventIndex := range r.plan.PlannedEvents {
 		event := scheduledEvent{
@@ -107,19 +108,19 @@
 	}
 }
 
-// at calls step at an instant of the run.
+// runAt calls step at the given time of the run.
 func (e *scheduledEvent) runAt(instant monotime.Micros, step func()) {
 	e.run.scheduleAt(e.ctx, e.background, instant, step)
 }
 
-// runAtEnd calls step once the event is over, unless the run ends before.
+// runAtEnd calls step when the event has ended, unless the run ends earlier.
 func (e *scheduledEvent) runAtEnd(step func()) {
 	if e.Until < math.MaxInt64 && e.Until < e.runEnd {
 		e.runAt(e.Until+1, step)
 	}
 }
 
-// forEachEndpoint returns a step that calls f for every endpoint of the event.
+// forEachEndpoint returns a step that calls callback for every endpoint of the event.
 func (e *scheduledEvent) forEachEndpoint(callback func(endpointIndex int)) func() {
 	return func() {
 		for _, endpointIndex := range e.Endpoints {
@@ -148,7 +149,7 @@
 	}
 }
 
-// scheduleNeighbor updates the endpoints' condition each time that the neighbor's load changes.
+// scheduleNeighbor updates the condition of the event's endpoints whenever the load of the noisy neighbor changes.
 func (e *scheduledEvent) scheduleNeighbor() {
 	for changeAt := e.At; changeAt < min(e.Until, e.runEnd); changeAt += max(e.Every, minNeighborPeriod) {
 		e.runAt(changeAt, e.forEachEndpoint(e.run.updateCondition))
@@ -159,7 +160,7 @@
 	e.runAtEnd(e.forEachEndpoint(e.run.updateCondition))
 }
 
-// scheduleEndpointEvent schedules what happens to the processes of endpoints.
+// scheduleEndpointEvent schedules an event that pauses, drains, kills or restarts endpoints.
 func (e *scheduledEvent) scheduleEndpointEvent() {
 	r := e.run
 	switch e.What {
@@ -184,7 +185,8 @@
 	}
 }
 
-// scheduleNetworkEvent schedules partitions between zones, and between instances and endpoints.
+// scheduleNetworkEvent schedules a network partition between zones, or blocked paths between instances and
+// endpoints.
 func (e *scheduledEvent) scheduleNetworkEvent() {
 	r := e.run
 	if e.What == scenario.EventPathBlocked {
@@ -209,7 +211,7 @@
 	})
 }
 
-// scheduleDiscoveryEvent schedules late announcements, and discovery servers that send nothing.
+// scheduleDiscoveryEvent schedules delayed discovery announcements, or discovery servers that send nothing.
 func (e *scheduledEvent) scheduleDiscoveryEvent() {
 	r := e.run
 	switch e.What {
@@ -235,7 +237,7 @@
 	}
 }
 
-// scheduleInstanceEvent schedules what happens to the load balancer's instances and their operators.
+// scheduleInstanceEvent schedules an event that affects the load balancer's instances or is caused by an operator.
 func (e *scheduledEvent) scheduleInstanceEvent() {
 	r := e.run
 	switch e.What {
@@ -273,7 +275,8 @@
 	}
 }
 
-// scheduleRestart kills instances, and all endpoints where the power fails, and starts them again.
+// scheduleRestart kills the instances of the event and restarts them later. In a power cut it kills and restarts
+// all endpoints, too.
 func (e *scheduledEvent) scheduleRestart() {
 	r := e.run
 	powerFails := e.What == scenario.EventPowerCut
@@ -306,7 +309,8 @@
 	}
 }
 
-// runRandomPauses pauses an endpoint now and then, at the same instants as in the simulation.
+// runRandomPauses pauses an endpoint at random intervals. The pauses start at the same times of the run as in the
+// simulation.
 func (r *run) runRandomPauses(ctx context.Context, endpointIndex int) {
 	planned := r.endpoints[endpointIndex].planned
 	stream := randstream.New(r.plan.Seed, "pauses")
--- a/internal/experiment/processes/front.go
+++ b/internal/experiment/processes/front.go
@@ -15,7 +15,7 @@
 	"dunlinsail/internal/simulation/simendpoint"
 )
 
-// front is the address of an endpoint for one instance.
+// endpointListener serves the requests and probes that one instance sends to an endpoint, on a separate address.
 type endpointListener struct {
 	endpoint  *endpoint
 	instance  int
@@ -25,8 +25,8 @@
 	serveDone chan struct{}
 }
 
-// isUnreachable reports whether the endpoint is unreachable for the instance; back says that the way of responses is
-// meant.
+// isUnreachable reports whether the network between the instance and the endpoint drops traffic now: responses if
+// responses is true, requests otherwise.
 func (l *endpointListener) isUnreachable(responses bool) bool {
 	e := l.endpoint
 	e.mu.Lock()
@@ -41,7 +41,7 @@
 	return vanished || e.run.isPartitioned(e.run.plan.Instances[l.instance].Zone, e.planned.Zone)
 }
 
-// sleepNetworkDelay sleeps for the network's latency between the instance and the endpoint.
+// sleepNetworkDelay sleeps for the one-way network latency between the instance and the endpoint.
 func (l *endpointListener) sleepNetworkDelay() {
 	plan := l.endpoint.run.plan
 	delay := plan.Network.Between.Duration
@@ -53,7 +53,7 @@
 	sleepUntil(time.Now().Add(delay))
 }
 
-// ServeHTTP serves a request or a health check.
+// ServeHTTP serves an attempt or a probe.
 func (l *endpointListener) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	e := l.endpoint
 	l.sleepNetworkDelay()
@@ -96,11 +96,12 @@
 		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
 	default:
-		_, _ = io.WriteString(w, request.Header.Get("X-Trace-Id")) // a client that has gone needs none
+		// A write error only means that the client has disconnected.
+		_, _ = io.WriteString(w, request.Header.Get("X-Trace-Id"))
 	}
 }
 
-// recordAttempt counts a request that has arrived.
+// recordAttempt counts an attempt that has arrived at the endpoint.
 func (l *endpointListener) recordAttempt(arrived *job) {
 	e := l.endpoint
 	e.run.maintenance.countRequest(e.index)
@@ -117,7 +118,8 @@
 	})
 }
 
-// arrive hands a request to the endpoint's state machine.
+// admit passes an attempt to the endpoint's state machine and returns the verdict. An endpoint that is down rejects
+// the attempt.
 func (e *endpoint) admit(arrived *job) simendpoint.Verdict {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -135,14 +137,15 @@
 	return verdict
 }
 
-// awaitJob waits until a request has been executed, and aborts the response where its client or the endpoint has gone.
+// awaitJob waits until an attempt has been executed. It aborts the HTTP response if the client disconnects or the
+// endpoint is killed first.
 func (l *endpointListener) awaitJob(ctx context.Context, arrived *job, pending *pendingJob) simendpoint.Verdict {
 	select {
 	case completion := <-pending.completion:
 		l.endpoint.run.recordExecution(arrived, completion)
 		return completion.Verdict
 	case <-pending.killed:
-		panic(http.ErrAbortHandler) // the process died
+		panic(http.ErrAbortHandler) // the endpoint was killed
 	case <-ctx.Done():
 	}
 	e := l.endpoint
@@ -150,7 +153,7 @@
 	canceled := e.model.Cancel(e.run.now(), &arrived.Job)
 	e.completeDueJobs()
 	e.mu.Unlock()
-	if !canceled { // it runs all the same
+	if !canceled { // the endpoint executes the attempt in spite of the cancellation
 		go func() {
 			select {
 			case completion := <-pending.completion:
@@ -162,7 +165,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// serveProbe answers a health check with a load report.
+// serveProbe responds to a probe with a load report.
 func (l *endpointListener) serveProbe(ctx context.Context, w http.ResponseWriter) {
 	e := l.endpoint
 	e.run.updateCounts(func(c *counts) {
@@ -191,5 +194,6 @@
 		<-ctx.Done()
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = io.WriteString(w, "TEXT "+strings.Join(fields, ", ")) // a client that has gone needs none
+	// A write error only means that the instance has disconnected.
+	_, _ = io.WriteString(w, "TEXT "+strings.Join(fields, ", "))
 }
--- a/internal/experiment/processes/instance.go
+++ b/internal/experiment/processes/instance.go
@@ -18,23 +18,26 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// instance is an instance of the load balancer: a process, the discovery server that it polls, and its clients.
+// instance is a running load balancer instance: its process, its discovery server, and the HTTP clients that send
+// requests to it.
 type instance struct {
 	index int
 
-	mu           sync.Mutex // guards the process
+	mu           sync.Mutex // guards command, processEnded, endExpected and predecessors
 	command      *exec.Cmd
 	processEnded chan struct{} // closed once the process has ended
-	endExpected  *atomic.Bool  // the runner ended it, or has it replaced
+	endExpected  *atomic.Bool  // the runner has killed the process or started its successor
 	predecessors []predecessor
 
-	suspendedUntil atomic.Int64 // end of its latest suspension, in microseconds of the run; in the future during one
+	// suspendedUntil is the end of the latest suspension, in microseconds of the run. It lies in the future during
+	// a suspension.
+	suspendedUntil atomic.Int64
 
 	discoveryServer *discoveryserver.Server
-	listenAddrs     []string // of its listeners, one for each client process
+	listenAddrs     []string // addresses of the instance's listeners, one for each client process
 	httpClients     []*http.Client
 	configPath      string
-	adminAddr       string // of its admin API; "" is none
+	adminAddr       string // address of the admin API; "" if the instance has none
 }
 
 func (r *run) newInstance(index int) (*instance, error) {
@@ -76,7 +79,7 @@
 	return inst, r.launch(inst)
 }
 
-// programOf returns the program of an instance, and whether it is the alternate one.
+// programOf returns the path of the program that an instance runs, and whether it is the alternate program.
 func (r *run) programOf(inst *instance) (path string, alternate bool) {
 	if r.options.AlternateDaemon != "" && inst.index%2 == 1 {
 		return r.options.AlternateDaemon, true
@@ -84,7 +87,7 @@
 	return r.options.Daemon, false
 }
 
-// launch starts an instance's process.
+// launch starts an instance's process. The run fails if the process later ends unexpectedly.
 func (r *run) launch(inst *instance) error {
 	inst.mu.Lock()
 	defer inst.mu.Unlock()
@@ -111,7 +114,7 @@
 	inst.endExpected = endExpected
 	go func() {
 		defer close(processEnded)
-		_ = command.Wait() // the process's state says how it ended
+		_ = command.Wait() // ProcessState, which is reported below, has the exit status
 		if !endExpected.Load() {
 			r.fail(fmt.Errorf("the process of instance %d has ended by itself: %v", inst.index, command.ProcessState))
 		}
@@ -119,7 +122,8 @@
 	return nil
 }
 
-// kill kills an instance's process and the predecessors that still drain, and waits until they have ended.
+// kill kills the process of the instance and the predecessors that are still draining, and waits until all have
+// ended.
 func (inst *instance) kill() {
 	inst.mu.Lock()
 	defer inst.mu.Unlock()
@@ -136,20 +140,21 @@
 	inst.predecessors = nil
 }
 
-// predecessor is a process that is being replaced in a hot restart.
+// predecessor is a process that a hot restart has replaced and that may still be draining.
 type predecessor struct {
 	command      *exec.Cmd
 	processEnded chan struct{}
 }
 
-// upgrade starts a successor of an instance's process, which takes over from it; the predecessor ends by itself.
+// hotRestart starts a successor process, which takes over from the instance's current process. The predecessor ends
+// by itself.
 func (r *run) hotRestart(inst *instance) {
 	inst.mu.Lock()
 	if inst.endExpected.Load() {
 		inst.mu.Unlock()
 		return
 	}
-	inst.endExpected.Store(true) // its end is expected
+	inst.endExpected.Store(true) // the predecessor ends after the takeover
 	inst.predecessors = append(inst.predecessors, predecessor{inst.command, inst.processEnded})
 	inst.mu.Unlock()
 	if err := r.launch(inst); err != nil {
@@ -157,12 +162,13 @@
 	}
 }
 
-// hasHotRestarts reports whether the plan has hot restarts.
+// hasHotRestarts reports whether the plan contains hot restarts.
 func (r *run) hasHotRestarts() bool {
 	return r.plan.HasEvent(scenario.EventHotRestart)
 }
 
-// freeze suspends instances (SIGSTOP) until an instant of the run.
+// suspendInstances suspends the processes of instances with SIGSTOP. resumeAt is the time of the run at which the
+// caller will resume them.
 func (r *run) suspendInstances(instances []int, resumeAt monotime.Micros) {
 	for _, instanceIndex := range instances {
 		inst := r.instances[instanceIndex]
@@ -171,7 +177,7 @@
 	}
 }
 
-// thaw resumes instances (SIGCONT).
+// resumeInstances resumes the processes of suspended instances with SIGCONT.
 func (r *run) resumeInstances(instances []int) {
 	for _, instanceIndex := range instances {
 		inst := r.instances[instanceIndex]
@@ -180,8 +186,8 @@
 	}
 }
 
-// resumeTolerance is how long after a suspension an instance may answer late, in microseconds: what came meanwhile reaches
-// it at once.
+// resumeTolerance is how long after a suspension an instance may respond late, in microseconds: on resuming it
+// receives all requests of the suspension at once.
 const resumeTolerance = 100_000
 
 const (
@@ -189,7 +195,7 @@
 	readyPollInterval = 5 * time.Millisecond
 )
 
-// signal sends a signal to the instance's process, unless it was killed.
+// signal sends a signal to the instance's process, unless the runner has killed or is replacing it.
 func (inst *instance) signalProcess(sig syscall.Signal) {
 	inst.mu.Lock()
 	defer inst.mu.Unlock()
@@ -198,7 +204,7 @@
 	}
 }
 
-// awaitReady polls an instance until it is ready to serve, for readyTimeout at most.
+// awaitReady polls an instance until it reports that it is ready, or fails after readyTimeout.
 func (r *run) awaitReady(ctx context.Context, inst *instance) error {
 	deadline := time.Now().Add(readyTimeout)
 	for ; time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(readyPollInterval) {
--- a/internal/experiment/processes/job.go
+++ b/internal/experiment/processes/job.go
@@ -10,16 +10,16 @@
 	"dunlinsail/internal/simulation/simendpoint"
 )
 
-// job is an attempt that has reached an endpoint.
+// job is an attempt that has arrived at an endpoint.
 type job struct {
 	simendpoint.Job
 	operation     *operation
-	requestNumber int  // the number of the client's request
-	retry         bool // the instance sent another attempt of the same client request before
+	requestNumber int  // number of the client request within its operation
+	retry         bool // whether an earlier attempt of the same client request has already arrived
 }
 
-// parseJob returns the job of an HTTP request, by the IDs in its URL. Its work and chance are drawn by these IDs, so
-// that they do not depend on the order of arrival.
+// parseJob returns the job of an HTTP request. The request's URL contains the IDs of the operation and the client
+// request. The job's work and chance are drawn from these IDs, so that they do not depend on the order of arrival.
 func (r *run) parseJob(httpRequest *http.Request) (*job, error) {
 	query := httpRequest.URL.Query()
 	operationID, err := strconv.ParseUint(query.Get("s"), 16, 64)
@@ -54,7 +54,7 @@
 	return newJob, nil
 }
 
-// recordExecution records a completed execution of a job, and effects that took place twice.
+// recordExecution records a completed execution of a job, and counts duplicate effects.
 func (r *run) recordExecution(executed *job, completion simendpoint.Completion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/experiment/processes/limits.go
+++ b/internal/experiment/processes/limits.go
@@ -16,18 +16,19 @@
 	"dunlinsail/internal/config"
 )
 
-// hasTenantLimits reports whether tenants have rate limits that the daemons enforce.
+// hasTenantLimits reports whether the daemons enforce a rate limit for any tenant.
 func (r *run) hasTenantLimits() bool {
 	hasLimit := func(tenant config.Tenant) bool { return tenant.RateLimit > 0 }
 	return !isSidecar(r.options.Daemon) && slices.ContainsFunc(r.config.Tenants, hasLimit)
 }
 
-// quotaLogPath is the file in which an instance logs the quota that it spends.
+// quotaLogPath returns the path of the file in which an instance logs the quota that it spends.
 func (r *run) quotaLogPath(instanceIndex int) string {
 	return filepath.Join(r.workDir, fmt.Sprintf("spent-%d", instanceIndex))
 }
 
-// readQuotaLogs adds the quota that all processes spent to the meter, by the host's clock that they share.
+// readQuotaLogs adds the quota that all instances have spent to the meter. The logged times are comparable because
+// all processes use the same host's boot clock.
 func (r *run) readQuotaLogs() error {
 	if !r.hasTenantLimits() {
 		return nil
@@ -42,7 +43,7 @@
 			timestamp, budget, ok := strings.Cut(scanner.Text(), " ")
 			spentAt, err := strconv.ParseInt(timestamp, 10, 64)
 			if !ok || err != nil {
-				continue // cut off by a kill
+				continue // the process was killed while it wrote the line
 			}
 			r.meter.QuotaSpent(spentAt-runStart, budget)
 		}
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// scaleTenantLimits has instances reload their configuration with the tenants' limits multiplied by factor.
+// scaleTenantLimits makes instances reload their configuration with the tenants' rate limits multiplied by factor.
 func (r *run) scaleTenantLimits(instances []int, factor float64) {
 	for _, instanceIndex := range instances {
 		inst := r.instances[instanceIndex]
--- a/internal/experiment/processes/listener.go
+++ b/internal/experiment/processes/listener.go
@@ -9,25 +9,27 @@
 	"time"
 )
 
-// silenceableListener is a listener that can stop answering connection requests, as a machine behind a network
-// partition does: clients wait until they time out. It fills the socket's accept queue, whereupon the kernel drops
-// SYNs.
+// silenceableListener is a TCP listener that can be made silent: it then does not respond to connection requests,
+// so that clients time out, as they do with a machine behind a network partition. It becomes silent by filling the
+// socket's accept queue, which makes the kernel drop SYN packets.
 type silenceableListener struct {
 	*net.TCPListener
 
 	mu           sync.Mutex
 	stateChanged *sync.Cond
 	silent       bool
-	acceptParked bool // Accept waits for the silence to end
+	acceptParked bool // Accept is waiting for the silence to end
 	closed       bool
-	queueFiller  net.Conn            // fills the accept queue
-	fillerAddrs  map[string]struct{} // local addresses of fillers that are not yet accepted
+	queueFiller  net.Conn            // connection that fills the accept queue during a silence
+	fillerAddrs  map[string]struct{} // local addresses of filler connections that Accept has not yet discarded
 }
 
-// backlog is the length of the accept queue; the kernel may cap it (net.core.somaxconn).
+// acceptBacklog is the length of the accept queue outside a silence. The kernel may limit it further
+// (net.core.somaxconn).
 const acceptBacklog = 4096
 
-// fillerDialTimeout bounds the connection that fills the queue: it succeeds at once, or the queue is full already.
+// fillerDialTimeout bounds dialing the connection that fills the accept queue. Dialing succeeds at once unless the
+// queue is already full.
 const fillerDialTimeout = 100 * time.Millisecond
 
 func newSilenceableListener(addr string) (*silenceableListener, error) {
@@ -40,7 +42,7 @@
 	return l, nil
 }
 
-// Accept waits for the next connection, during a silence for its end.
+// Accept returns the next connection of a client. During a silence it waits until the silence ends.
 func (l *silenceableListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.TCPListener.Accept()
@@ -69,7 +71,7 @@
 	}
 }
 
-// setSilent begins or ends a silence.
+// setSilent starts a silence if silent is true, and ends it otherwise.
 func (l *silenceableListener) setSilent(silent bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,7 +90,7 @@
 		return err
 	}
 	l.SetDeadline(time.Unix(1, 0))
-	// An Accept in progress would take the filler out of the queue.
+	// An Accept in progress would remove the filler connection from the queue.
 	for !l.acceptParked && !l.closed {
 		l.stateChanged.Wait()
 	}
@@ -98,7 +100,7 @@
 	if err := l.setBacklog(0); err != nil {
 		return err
 	}
-	// A backlog of 0 holds one connection. If dialing fails, the queue is full already.
+	// With a backlog of 0 the queue has room for one connection. If dialing fails, the queue is already full.
 	if fillerConn, err := net.DialTimeout("tcp", l.Addr().String(), fillerDialTimeout); err == nil {
 		l.queueFiller = fillerConn
 		l.fillerAddrs[fillerConn.LocalAddr().String()] = struct{}{}
@@ -118,7 +120,7 @@
 	return err
 }
 
-// Close closes the listener and ends a silence: the system rejects new connections.
+// Close closes the listener, also during a silence. The kernel then rejects new connections.
 func (l *silenceableListener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/experiment/processes/listener_test.go
+++ b/internal/experiment/processes/listener_test.go
@@ -9,7 +9,7 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// dialOnce connects to an address, closes the connection, and returns its own address.
+// dialOnce connects to an address, closes the connection, and returns the local address that it had.
 func dialOnce(addr string, timeout time.Duration) (string, error) {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
@@ -19,8 +19,8 @@
 	return conn.LocalAddr().String(), nil
 }
 
-// acceptAll accepts connections and closes them until the listener is closed. It passes on the peers' addresses, and
-// closes ended when it ends.
+// acceptAll accepts and closes connections in the background until the listener is closed. It sends the remote
+// address of each connection to accepted, and closes ended when it stops.
 func acceptAll(listener net.Listener) (accepted <-chan string, ended <-chan struct{}) {
 	acceptedAddrs := make(chan string, 10)
 	endedSignal := make(chan struct{})
@@ -43,8 +43,8 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// A client that connects to a silent listener times out. Before and after the silence it is accepted, and no other
-// connection is.
+// Connections to a silent listener time out. Before and after the silence, the listener accepts each client's
+// connection and no other, such as the connection that fills its queue.
 func TestSilencedListenerTimesOutConnections(t *testing.T) {
 	listener, err := newSilenceableListener("127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/experiment/processes/maintenance.go
+++ b/internal/experiment/processes/maintenance.go
@@ -18,19 +18,19 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// maintenanceRun is the state of an operator's maintenance of machines, and the requests that reach a machine
-// meanwhile.
+// maintenanceRun tracks the maintenance of machines that an event requests, and counts the requests that reach a
+// machine under maintenance.
 type maintenanceRun struct {
 	mu                        sync.Mutex
-	underMaintenance          map[int]bool      // by the endpoint's index
-	requestsDuringMaintenance int               // requests that reached a machine under maintenance
-	completedMachines         int               // machines that are back in service
-	requestedMachines         int               // machines
-	totalDuration             monotime.Micros   // until all were back; 0 before
-	drainTimes                []monotime.Micros // from the request until each machine was drained
+	underMaintenance          map[int]bool      // machines under maintenance, by the endpoint's index
+	requestsDuringMaintenance int               // number of requests that reached a machine under maintenance
+	completedMachines         int               // number of machines that are back in service
+	requestedMachines         int               // number of machines for which maintenance was requested
+	totalDuration             monotime.Micros   // until all machines were back in service, in microseconds; 0 before
+	drainTimes                []monotime.Micros // from the event until each machine was drained, in microseconds
 }
 
-// countRequest counts a request at an endpoint if its machine is under maintenance.
+// countRequest counts a request to an endpoint if the machine is under maintenance.
 func (m *maintenanceRun) countRequest(endpointIndex int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -39,7 +39,8 @@
 	}
 }
 
-// addMaintenanceTables adds an instance's admin address and state path to a file that has maintenance on.
+// addMaintenanceTables adds the admin address and the state path to an instance's configuration, if maintenance is
+// enabled in the settings.
 func (r *run) addMaintenanceTables(inst *instance, doc map[string]any) error {
 	workTable, _ := doc["work"].(map[string]any)
 	if workTable == nil || !r.config.Maintenance.On {
@@ -63,7 +64,8 @@
 	maintenancePollInterval = 50 * time.Millisecond
 )
 
-// callAnyInstance calls an admin path at the first instance that answers, beginning with another one each turn.
+// callAnyInstance calls a path of the admin API at one instance after another until one responds. It starts with
+// instance firstInstance modulo the number of instances.
 func (r *run) callAnyInstance(ctx context.Context, firstInstance int, path string, body any) ([]byte, error) {
 	var err error
 	for offset := range r.instances {
@@ -82,11 +84,12 @@
 	return admin.Call(ctx, addr, path, body)
 }
 
-// maintenanceID is the ID of the run's maintenance request.
+// maintenanceID is the ID of the maintenance request that a run makes.
 const maintenanceID = "night"
 
-// runMaintenance requests maintenance of an event's machines, works for the event's delay at each one that is drained,
-// and completes it, until all are back or the event ends.
+// runMaintenance requests maintenance of an event's machines. It reports each machine as completed once the machine
+// has been drained for the event's delay, which stands for the work on it. It ends when all machines are back in
+// service or the event ends.
 func (r *run) runMaintenance(ctx context.Context, event *scenario.PlannedEvent) {
 	var names []string
 	for _, endpointIndex := range event.Endpoints {
@@ -121,14 +124,15 @@
 		}
 		for _, endpointIndex := range finished {
 			r.completeMaintenance(ctx, firstInstance, endpointIndex)
-			delete(workSince, endpointIndex) // should the call be lost, its phase is seen again, and work begins anew
+			// If the call is lost, the machine is still reported as under maintenance, and the work is repeated.
+			delete(workSince, endpointIndex)
 		}
 		time.Sleep(maintenancePollInterval)
 	}
 }
 
-// updateMaintenance takes in the instances' view of the machines. It returns the machines at which work has been done,
-// and whether all are back.
+// updateMaintenance updates the state of maintenance from the instances' view. It returns the indexes of the
+// machines whose work is finished, and whether all machines are back in service.
 func (r *run) updateMaintenance(
 	event *scenario.PlannedEvent, view *consensus.View, workSince map[int]time.Time,
 ) (finished []int, allBack bool) {
@@ -159,7 +163,8 @@
 	return finished, allBack
 }
 
-// completeMaintenance reports a machine as back. Requests may come from then on: they are not counted any more.
+// completeMaintenance reports the maintenance of a machine as completed. Requests that reach the machine are not
+// counted from then on.
 func (r *run) completeMaintenance(ctx context.Context, firstInstance, endpointIndex int) {
 	m := r.maintenance
 	m.mu.Lock()
--- a/internal/experiment/processes/misreporter.go
+++ b/internal/experiment/processes/misreporter.go
@@ -16,7 +16,7 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// misreporterCount is the number of instances that serve no client and report a false demand.
+// misreporterCount returns the number of misreporters that the plan starts.
 func (r *run) misreporterCount() (count int) {
 	for eventIndex := range r.plan.PlannedEvents {
 		if r.plan.PlannedEvents[eventIndex].What == scenario.EventDemandOverstated {
@@ -26,10 +26,10 @@
 	return count
 }
 
-// misreporter is an additional member of the instances' coordination that requests quota for demand that it does not
-// have.
+// misreporter is an additional member of the instances' coordination that serves no client and requests quota for
+// demand that it does not have.
 type misreporter struct {
-	reportedDemand float64 // that it reports for each budget, in units a second
+	reportedDemand float64 // demand that it reports for each budget, in units per second
 
 	mu     sync.Mutex // guards member
 	member *coordination.Member
@@ -38,10 +38,10 @@
 	done   sync.WaitGroup
 }
 
-// misreporterTickInterval is how often a misreporter advances its coordination.
+// misreporterTickInterval is how often a misreporter calls its coordination member's Tick.
 const misreporterTickInterval = 10 * time.Millisecond
 
-// startMisreporter starts a misreporter. The caller must call stop.
+// startMisreporter starts a misreporter with the given demand. The caller must call stop.
 func (r *run) startMisreporter(demand float64) (stop func(), err error) {
 	coordinationConfig := r.config.Coordination(1)
 	if coordinationConfig == nil {
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m.mu.Lock() // messages may come as soon as peers has started
+	m.mu.Lock() // peers may already deliver messages
 	member.Start(clock.BootTime(), rand.Uint64())
 	m.mu.Unlock()
 	m.done.Go(m.run)
--- a/internal/experiment/processes/peers.go
+++ b/internal/experiment/processes/peers.go
@@ -6,8 +6,8 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// assignPeerAddresses assigns gossip addresses to instances that coordinate, and starts relays between them where the plan has
-// network faults.
+// assignPeerAddresses assigns a gossip address to each instance if the instances coordinate. If the plan has
+// network faults between instances, it also starts a relay for each ordered pair of instances.
 func (r *run) assignPeerAddresses() error {
 	if !r.config.Peers.On || isSidecar(r.options.Daemon) {
 		return nil
@@ -35,7 +35,8 @@
 	return nil
 }
 
-// fillPeersTable fills in an instance's gossip addresses in the peers table of its file.
+// fillPeersTable adds the gossip addresses, the relay addresses and the allocator candidates to the peers table of
+// an instance's configuration.
 func (r *run) fillPeersTable(inst *instance, table map[string]any) map[string]any {
 	candidates := simulation.QuotaCandidates(r.config.Peers.Allocators, len(r.plan.Instances))
 	var joinAddrs, relayAddrs []any
--- a/internal/experiment/processes/relay.go
+++ b/internal/experiment/processes/relay.go
@@ -12,12 +12,13 @@
 	"dunlinsail/internal/monotime"
 )
 
-// relay forwards gossip from one instance to another, over UDP and TCP, unless a fault of the plan blocks it.
+// relay forwards gossip in one direction between two instances, over UDP and TCP. While a partition separates the
+// instances, it drops the data. Under a fault that makes messages late, it delays and duplicates UDP packets.
 type relay struct {
 	run        *run
 	from, to   int
-	listenAddr string // that the sender uses
-	targetAddr string // the receiver's own address
+	listenAddr string // address to which the sender sends
+	targetAddr string // the receiver's gossip address
 	udp        net.PacketConn
 	tcp        net.Listener
 	done       sync.WaitGroup
@@ -51,7 +52,7 @@
 	return rl, nil
 }
 
-// isOpen reports whether messages pass now.
+// isOpen reports whether the relay forwards data now, which it does unless a partition separates the two instances.
 func (rl *relay) isOpen() bool {
 	plan := rl.run.plan
 	return !plan.Partitioned(rl.run.now(), rl.from, rl.to) && !rl.run.isPartitioned(
@@ -79,7 +80,7 @@
 			rl.run.now(), rl.from, [3]float64{rand.Float64(), rand.Float64(), rand.Float64()},
 		)
 		if delay == 0 && !duplicate {
-			_, _ = targetConn.Write(buffer[:n]) // an unreachable receiver is as a lost packet
+			_, _ = targetConn.Write(buffer[:n]) // an error is treated as a lost packet
 			continue
 		}
 		packet := bytes.Clone(buffer[:n])
@@ -105,12 +106,13 @@
 	time.AfterFunc(time.Duration(delay)*time.Microsecond, send)
 }
 
-// relayStream forwards a connection. While messages do not pass it accepts data and answers nothing.
+// relayStream forwards a TCP connection in both directions, and drops the data that arrives during a partition. A
+// connection that is opened during a partition gets no response.
 func (rl *relay) relayStream(senderConn net.Conn) {
 	rl.addConn(senderConn)
 	defer rl.closeConn(senderConn)
 	if !rl.isOpen() {
-		_, _ = io.Copy(io.Discard, senderConn) // until its end
+		_, _ = io.Copy(io.Discard, senderConn) // blocks until the sender closes the connection
 		return
 	}
 	targetConn, err := net.DialTimeout("tcp", rl.targetAddr, time.Second)
--- a/internal/experiment/processes/run.go
+++ b/internal/experiment/processes/run.go
@@ -1,9 +1,10 @@
-// Package processes plays a scenario's plan in real time on loopback: daemon or sidecar processes, endpoints behind
-// sockets, a discovery server for each instance, and open-loop clients that send requests at their planned instants
-// whether or not earlier ones have been answered, so that latency counts from the planned instant (no coordinated
-// omission: Tene, "How NOT to measure latency", 2015). Endpoints and clients are the state machines of the simulation
-// (packages simendpoint and simclient), and package measure computes the same figures for both: what differs between a
-// real run and a simulated one is due to the daemon, its sockets and the machine.
+// Package processes runs a scenario's plan in real time on loopback. It starts daemon or sidecar processes,
+// endpoints on real sockets, a discovery server for each instance, and open-loop clients. The clients send requests
+// at their planned times whether or not earlier requests have completed, and latency is measured from the planned
+// time. This avoids coordinated omission (Tene, "How NOT to measure latency", 2015). Endpoints and clients use the
+// state machines of the simulation (packages simendpoint and simclient), and package measure computes the same
+// figures for both. A real run and a simulated run therefore differ only because of the daemon, its sockets and the
+// machine.
 package processes
 
 import (
@@ -28,29 +29,31 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// Options are what a run plays and by which programs.
+// Options are the plan, the settings and the programs of a run.
 type Options struct {
-	Plan            *scenario.Plan
-	Settings        []byte // a daemon's file; its listeners, clients, discovery and fleet are filled in
-	Criteria        measure.Criteria
-	Daemon          string    // the program: dunlinsaild, or dunlinsail, the platform's sidecar
-	AlternateDaemon string    // the program of every other instance, without settings that it may not know; "" is none
-	Log             io.Writer // receives what the daemons log; nil drops it
+	Plan     *scenario.Plan
+	Settings []byte // a daemon's configuration file; its listeners, clients, discovery and fleet are replaced
+	Criteria measure.Criteria
+	Daemon   string // path of the program: dunlinsaild, or dunlinsail, the platform's sidecar
+	// AlternateDaemon is the program of instances with an odd index, which run without the tables that it may not
+	// support. It is empty if all instances run Daemon.
+	AlternateDaemon string
+	Log             io.Writer // receives the daemons' logs; nil discards them
 }
 
-// counts are the events that are counted at endpoints and clients.
+// counts are the totals that endpoints and clients count during a run.
 type counts struct {
 	attempts               int64
-	crossZoneAttempts      int64 // attempts from another zone
+	crossZoneAttempts      int64 // attempts from an instance in another zone
 	dials                  int64
 	probes                 int64
-	collapses              int64 // of endpoints under overload
-	duplicateEffects       int64 // of non-idempotent requests, by retries of an instance
-	clientDuplicateEffects int64 // the same, by retries of a client
-	unansweredRequests     int64 // requests without a response in time
+	collapses              int64 // collapses of endpoints under overload
+	duplicateEffects       int64 // repeated effects of non-idempotent requests, from retries of an instance
+	clientDuplicateEffects int64 // repeated effects of non-idempotent requests, from retries of a client
+	unansweredRequests     int64 // client requests without a response in time
 }
 
-// run is a run in progress.
+// run is the state of a run in progress.
 type run struct {
 	options             Options
 	plan                *scenario.Plan
@@ -58,18 +61,18 @@
 	clientBehavior      simclient.Behavior
 	workDir             string
 	clockBase           time.Time
-	clockOffset         atomic.Int64 // microseconds from base to the start of the run's clock
-	criteriaClassIndex  []int        // of each of the plan's classes, its index in the criteria
-	criteriaTenantIndex []int        // the same for tenants
+	clockOffset         atomic.Int64 // microseconds from clockBase to the start of the run
+	criteriaClassIndex  []int        // for each class of the plan, its index in the classes of the criteria
+	criteriaTenantIndex []int        // for each tenant of the plan, its index in the tenants of the criteria
 	config              *config.Config
 
 	endpoints   []*endpoint
 	instances   []*instance
-	peerAddrs   []string // gossip addresses of the instances; none where they do not coordinate
+	peerAddrs   []string // gossip addresses of the instances; empty if the instances do not coordinate
 	relays      []*relay
 	maintenance *maintenanceRun
 	dedupGroups map[int]*dedupGroup
-	reportRand  *rand.Rand // safe for concurrent use; the order of draws does not matter
+	reportRand  *rand.Rand // safe for concurrent use; the order of draws is irrelevant
 
 	mu               sync.Mutex
 	counts           counts
@@ -87,7 +90,7 @@
 	fail             context.CancelCauseFunc // ends the run with an error
 }
 
-// recordEndpointArrival records a request, probe or connection at an endpoint. The caller holds mu.
+// recordEndpointArrival records a request, probe or connection that arrives at an endpoint. The caller holds mu.
 func (r *run) recordEndpointArrival(endpointIndex int, arrival measure.Arrival) {
 	if r.meter != nil {
 		r.meter.RecordArrival(r.now(), endpointIndex, arrival)
@@ -100,13 +103,14 @@
 	update(&r.counts)
 }
 
-// group is the endpoints of a cell, which share the idempotency keys that they have seen, and the lock of these.
+// dedupGroup holds the idempotency keys that the endpoints of a cell share, and a mutex that guards the endpoints
+// and the keys.
 type dedupGroup struct {
 	sync.Mutex
 	keys *simendpoint.DedupGroup
 }
 
-// dedupGroupOf returns the deduplication group of a cell.
+// dedupGroupOf returns the deduplication group of a cell, and creates it on first use.
 func (r *run) dedupGroupOf(cell int) *dedupGroup {
 	if r.dedupGroups[cell] == nil {
 		var window monotime.Micros
@@ -120,8 +124,8 @@
 	return r.dedupGroups[cell]
 }
 
-// Run plays a plan and returns its figures. It returns an error where the settings are invalid, a process does not
-// start or ends unexpectedly, or ctx ends: then the error is ctx's cause.
+// Run runs a plan and returns the figures. It returns an error if the settings are invalid, or if a process does
+// not start or ends unexpectedly. If ctx is canceled, it returns the cause.
 func Run(ctx context.Context, options Options) (*measure.Result, error) {
 	r, err := newRun(options)
 	if err != nil {
@@ -150,7 +154,7 @@
 		return nil, context.Cause(ctx)
 	}
 	for _, inst := range r.instances {
-		inst.kill() // its log of spent quota is complete then
+		inst.kill() // the log of spent quota is complete once the process has ended
 	}
 	if err := r.readQuotaLogs(); err != nil {
 		return nil, err
@@ -186,7 +190,7 @@
 	return r, nil
 }
 
-// startProcesses opens the endpoints' listeners, starts all instances and waits until they serve.
+// startProcesses opens the endpoints' listeners, starts all instances and waits until they are ready.
 func (r *run) startProcesses(ctx context.Context) error {
 	r.clockBase = time.Now()
 	for index := range r.plan.Endpoints {
@@ -214,8 +218,8 @@
 	return nil
 }
 
-// startClock sets the run's clock to 0 and drops what was counted while the processes started. It returns the work
-// that endpoints had done until then, negated.
+// startClock sets the run's clock to 0 and resets everything that was counted while the processes started. It
+// returns the negative of the work that endpoints had executed by then.
 func (r *run) startClock() (negatedPriorWork float64) {
 	r.updateCounts(func(c *counts) {
 		*c = counts{}
@@ -251,7 +255,8 @@
 	return s.source.Uint64()
 }
 
-// result returns the run's figures. negatedPriorWork is the endpoints' work before the run, negated.
+// collectResult returns the figures of the run. negatedPriorWork is the negative of the work that endpoints
+// executed before the run started.
 func (r *run) collectResult(negatedPriorWork float64) *measure.Result {
 	executedWork := negatedPriorWork
 	var endpointLoads []measure.EndpointLoad
@@ -270,7 +275,7 @@
 		e.mu.Unlock()
 	}
 	r.mu.Lock()
-	defer r.mu.Unlock() // probes still come
+	defer r.mu.Unlock() // probes may still arrive and change the counts
 	costs := &r.meter.Costs
 	costs.Attempts = r.counts.attempts
 	costs.CrossZone = r.counts.crossZoneAttempts
@@ -293,8 +298,8 @@
 	return result
 }
 
-// mapClassesAndTenants finds the index of each of the plan's classes and tenants among the criteria's. Names are unique
-// there: package config rejects settings that name a class or a tenant twice.
+// mapClassesAndTenants finds the classes and tenants of the plan among those of the criteria, by name. Names are
+// unique there, because package config rejects settings that define a class or a tenant twice.
 func (r *run) mapClassesAndTenants() error {
 	for _, class := range r.plan.Classes {
 		index := slices.IndexFunc(
--- a/internal/experiment/processes/run_test.go
+++ b/internal/experiment/processes/run_test.go
@@ -22,7 +22,8 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// TestMain lets the test's own program stand for the daemon's, which is started with a file.
+// TestMain runs the daemon instead of the tests if the test binary is started with --config and a file. The tests
+// use their own binary as the daemon program.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "--config" {
 		ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
@@ -105,8 +106,8 @@
 	return count
 }
 
-// Whatever faults endpoints have, every operation of the plan starts and ends, nothing takes effect twice, and each
-// client that waits gets a response.
+// Under faults of endpoints, every planned operation starts and ends, no request takes effect twice, and every
+// client that waits until its deadline gets a response.
 func TestRunCompletesEveryOperationDespiteFaults(t *testing.T) {
 	options := newOptions(t, baseScenario+`
 [[event]]
@@ -153,7 +154,8 @@
 	}
 }
 
-// A daemon that cannot start, or exits during the run, is reported at once. One that the plan kills is started again.
+// A daemon that exits by itself ends the run at once with an error. A daemon that an event of the plan kills is
+// restarted and the run completes.
 func TestRunReportsDaemonThatExitsUnexpectedly(t *testing.T) {
 	options := newOptions(t, baseScenario)
 	options.Daemon = "/bin/false"
@@ -171,7 +173,7 @@
 	}
 }
 
-// Classes and tenants are found by their names, so that a run's settings must not have two of the same name.
+// A run finds classes and tenants by name, so it rejects settings that define the same name twice.
 func TestRunRejectsDuplicateNamesInSettings(t *testing.T) {
 	for table, want := range map[string]string{
 		"\n[[class]]\nname = \"book\"\nrepeat = \"safe\"\naim = \"1s\"\n" +
@@ -193,7 +195,7 @@
 	}
 }
 
-// A run that is ended leaves nothing behind.
+// A canceled run returns the cause of the cancellation and leaves no goroutine running, which TestMain checks.
 func TestRunStopsWhenContextIsCancelled(t *testing.T) {
 	ctx, cancel := context.WithTimeoutCause(t.Context(), 1500*time.Millisecond, errors.New("enough"))
 	defer cancel()
--- a/internal/experiment/processes/sidecar.go
+++ b/internal/experiment/processes/sidecar.go
@@ -10,7 +10,7 @@
 	"dunlinsail/internal/discovery"
 )
 
-// platformLoadFields are the platform's names of the fields of a load report.
+// platformLoadFields are the platform's names for the fields of a load report.
 var platformLoadFields = map[balancer.LoadMetric]string{
 	balancer.MetricInflight:    "busy_reqs",
 	balancer.MetricQueueLength: "pending",
@@ -20,14 +20,14 @@
 	balancer.MetricErrorRate:   "failed_ps",
 }
 
-// isSidecar reports whether a program is the platform's sidecar, by its name.
+// isSidecar reports whether a program is the platform's sidecar, judging from its file name.
 func isSidecar(program string) bool {
 	return strings.TrimSuffix(filepath.Base(program), ".test") == "dunlinsail"
 }
 
-// sidecarConfig returns an instance's configuration as the platform writes it.
+// sidecarConfig returns the configuration of a sidecar instance in the platform's JSON format.
 func (r *run) sidecarConfig(inst *instance) ([]byte, error) {
-	// The platform gives the endpoints known at the start.
+	// The platform passes the initial endpoint list to the sidecar in its configuration.
 	endpointList := discovery.List{Generation: 1, Reset: true, Instances: r.discoveryEntries(inst.index)}
 	return json.Marshal(map[string]any{
 		"known":     endpointList,
@@ -40,7 +40,7 @@
 	})
 }
 
-// sidecarSettings returns the settings of an instance in the platform's terms.
+// sidecarSettings returns the settings of an instance under the platform's names.
 func (r *run) sidecarSettings(inst *instance) map[string]any {
 	settings := &r.site.Settings
 	classes, tenants := sidecarClasses(settings)
@@ -99,7 +99,7 @@
 	}
 }
 
-// sidecarClasses returns the classes and tenants of the settings in the platform's terms.
+// sidecarClasses returns the classes and tenants of the settings under the platform's names.
 func sidecarClasses(settings *balancer.Settings) (classes, tenants []any) {
 	for _, class := range settings.Classes {
 		table := map[string]any{
@@ -134,7 +134,7 @@
 	return classes, tenants
 }
 
-// reportFields are the names of the fields of a load report, in the order of the settings.
+// reportFields returns the names of the fields of a load report, in the order of the settings.
 func (r *run) reportFields() []string {
 	if !isSidecar(r.options.Daemon) {
 		return r.site.LoadReportFields
--- a/internal/experiment/processes/sidecar_test.go
+++ b/internal/experiment/processes/sidecar_test.go
@@ -15,8 +15,9 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// golden returns a file of testdata/golden. The JSON files there are what build 870f4ac wrote for the scenario and the
-// settings beside them, before this package was refactored. They are never written anew: a sidecar reads this form.
+// readGolden returns a file of testdata/golden. The JSON files there are the configurations that build 870f4ac,
+// from before this package was refactored, wrote for the scenario and settings in the same folder. They must never
+// be regenerated, because sidecars read this format.
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -54,7 +55,8 @@
 
 func TestSidecarConfigIsAsBefore(t *testing.T) {
 	settings := string(readGolden(t, "sidecar-settings.toml"))
-	// With both files, no two switches have the same values.
+	// Any two switches have different values in at least one of the two cases, so that values written under the
+	// wrong name are detected.
 	switchedSettings := strings.NewReplacer(
 		`mode = "ask"`, `mode = "watch"`,
 		"cancel = false", "cancel = true",
