--- a/internal/experiment/processes/events.go
+++ b/internal/experiment/processes/events.go
@@ -69,7 +69,7 @@
 // startEndpoint restarts an endpoint. An error ends the run.
 func (r *run) startEndpoint(endpointIndex int) {
 	if err := r.endpoints[endpointIndex].start(); err != nil {
-		r.fail(fmt.Errorf("endpoint %d does not start again: %w", endpointIndex, err))
+		r.fail(fmt.Errorf("restart endpoint %d: %w", endpointIndex, err))
 	}
 }
 
--- a/internal/experiment/processes/instance.go
+++ b/internal/experiment/processes/instance.go
@@ -220,5 +220,5 @@
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
-	return fmt.Errorf("instance %d does not become ready", inst.index)
+	return fmt.Errorf("instance %d did not become ready", inst.index)
 }
--- a/internal/experiment/processes/listener_test.go
+++ b/internal/experiment/processes/listener_test.go
@@ -63,7 +63,7 @@
 		require.NoError(t, listener.setSilent(true))
 		for range 3 {
 			if _, err := dial(50 * time.Millisecond); !isTimeout(err) {
-				t.Fatalf("dialled a silent gate: %v", err)
+				t.Fatalf("dial of a silent listener: got %v, want a timeout", err)
 			}
 		}
 		require.NoError(t, listener.setSilent(false))
@@ -75,6 +75,6 @@
 	}
 	<-ended
 	if _, err := dial(time.Second); err == nil || isTimeout(err) {
-		t.Errorf("a closed gate: %v", err)
+		t.Errorf("dial of a closed listener: got %v, want a refused connection", err)
 	}
 }
--- a/internal/experiment/processes/run.go
+++ b/internal/experiment/processes/run.go
@@ -306,7 +306,7 @@
 			r.options.Criteria.Classes, func(candidate balancer.Class) bool { return candidate.Name == class.Name },
 		)
 		if index < 0 {
-			return fmt.Errorf("the scenario's class %q is none of the settings' classes", class.Name)
+			return fmt.Errorf("the scenario's class %q is not among the settings' classes", class.Name)
 		}
 		r.criteriaClassIndex = append(r.criteriaClassIndex, index)
 	}
@@ -315,7 +315,7 @@
 			r.options.Criteria.Tenants, func(candidate balancer.Tenant) bool { return candidate.Name == tenant.Name },
 		)
 		if index < 0 {
-			return fmt.Errorf("the scenario's tenant %q is none of the settings' tenants", tenant.Name)
+			return fmt.Errorf("the scenario's tenant %q is not among the settings' tenants", tenant.Name)
 		}
 		r.criteriaTenantIndex = append(r.criteriaTenantIndex, index)
 	}
--- a/internal/experiment/processes/run_test.go
+++ b/internal/experiment/processes/run_test.go
@@ -134,11 +134,11 @@
 	got, err := Run(t.Context(), options)
 	require.NoError(t, err)
 	if want := plannedOperations(options.Plan); got.Operations != want || want < 100 {
-		t.Errorf("%d stories, the plan has %d", got.Operations, want)
+		t.Errorf("%d operations, want the plan's %d and at least 100", got.Operations, want)
 	}
 	if costs := &got.Costs; costs.DuplicateEffects > 0 || costs.LateResponses > 0 || costs.Collapses > 0 {
 		t.Errorf(
-			"took effect twice %d, without an answer %d, fell %d",
+			"%d duplicate effects, %d late responses, %d collapses; want none",
 			costs.DuplicateEffects, costs.LateResponses, costs.Collapses,
 		)
 	}
@@ -150,7 +150,7 @@
 		executions += endpointLoad.Executions
 	}
 	if executions < got.Served {
-		t.Errorf("%d were served and %d ran", got.Served, executions)
+		t.Errorf("%d requests served, but only %d executions", got.Served, executions)
 	}
 }
 
@@ -163,7 +163,7 @@
 	_, err := Run(t.Context(), options)
 	elapsed := time.Since(startedAt)
 	if err == nil || !strings.Contains(err.Error(), "ended by itself") || elapsed > scriptedpeer.WaitTimeout {
-		t.Errorf("after %v: %v", elapsed, err)
+		t.Errorf("run ended after %v with error %v, want an early error \"ended by itself\"", elapsed, err)
 	}
 	options = newOptions(t, baseScenario+"[[event]]\nwhat = \"restart\"\nat = \"1s\"\nfor = \"500ms\"\n")
 	got, err := Run(t.Context(), options)
