--- a/internal/experiment/processes/peers.go
+++ b/internal/experiment/processes/peers.go
@@ -6,9 +6,9 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// setUpPeers assigns gossip addresses to instances that coordinate, and starts relays between them where the plan has
-// network faults.
-func (r *run) setUpPeers() error {
+// assignPeerAddresses assigns a gossip address to each instance if the instances coordinate. If the plan has
+// network faults between instances, it also starts a relay for each ordered pair of instances.
+func (r *run) assignPeerAddresses() error {
 	if !r.config.Peers.On || isSidecar(r.options.Daemon) {
 		return nil
 	}
@@ -19,39 +19,40 @@
 		}
 		r.peerAddrs = append(r.peerAddrs, addr)
 	}
-	partitioned := r.plan.HasEvent(
+	hasNetworkFaults := r.plan.HasEvent(
 		scenario.EventInstancePartition, scenario.EventZonePartition, scenario.EventLateMessages)
-	for i := range r.plan.Instances {
-		for j := range r.plan.Instances {
-			if partitioned && i != j {
-				y, err := r.newRelay(i, j)
+	for from := range r.plan.Instances {
+		for to := range r.plan.Instances {
+			if hasNetworkFaults && from != to {
+				rl, err := r.newRelay(from, to)
 				if err != nil {
 					return err
 				}
-				r.relays = append(r.relays, y)
+				r.relays = append(r.relays, rl)
 			}
 		}
 	}
 	return nil
 }
 
-// fillPeersTable fills in an instance's gossip addresses in the peers table of its file.
-func (r *run) fillPeersTable(in *instance, table map[string]any) map[string]any {
+// fillPeersTable adds the gossip addresses, the relay addresses and the allocator candidates to the peers table of
+// an instance's configuration.
+func (r *run) fillPeersTable(inst *instance, table map[string]any) map[string]any {
 	candidates := simulation.QuotaCandidates(r.config.Peers.Allocators, len(r.plan.Instances))
-	var join, ways []any
-	for i, addr := range r.peerAddrs {
-		if i != in.index && i < len(candidates) {
-			join = append(join, addr)
+	var joinAddrs, relayAddrs []any
+	for instanceIndex, addr := range r.peerAddrs {
+		if instanceIndex != inst.index && instanceIndex < len(candidates) {
+			joinAddrs = append(joinAddrs, addr)
 		}
 	}
-	for _, y := range r.relays {
-		if y.from == in.index {
-			ways = append(ways, r.peerAddrs[y.to]+"="+y.addr)
+	for _, rl := range r.relays {
+		if rl.from == inst.index {
+			relayAddrs = append(relayAddrs, r.peerAddrs[rl.to]+"="+rl.listenAddr)
 		}
 	}
 	table["lenders"] = candidates
-	table["address"] = r.peerAddrs[in.index]
-	table["join"] = join
-	table["ways"] = ways
+	table["address"] = r.peerAddrs[inst.index]
+	table["join"] = joinAddrs
+	table["ways"] = relayAddrs
 	return table
 }
--- a/internal/experiment/processes/run.go
+++ b/internal/experiment/processes/run.go
@@ -1,9 +1,10 @@
-// Package processes plays a scenario's plan in real time on loopback: daemon or sidecar processes, endpoints behind
-// sockets, a discovery server for each instance, and open-loop clients that send requests at their planned instants
-// whether or not earlier ones have been answered, so that latency counts from the planned instant (no coordinated
-// omission: Tene, "How NOT to measure latency", 2015). Endpoints and clients are the state machines of the simulation
-// (packages simendpoint and simclient), and package measure computes the same figures for both: what differs between a
-// real run and a simulated one is due to the daemon, its sockets and the machine.
+// Package processes runs a scenario's plan in real time on loopback. It starts daemon or sidecar processes,
+// endpoints on real sockets, a discovery server for each instance, and open-loop clients. The clients send requests
+// at their planned times whether or not earlier requests have completed, and latency is measured from the planned
+// time. This avoids coordinated omission (Tene, "How NOT to measure latency", 2015). Endpoints and clients use the
+// state machines of the simulation (packages simendpoint and simclient), and package measure computes the same
+// figures for both. A real run and a simulated run therefore differ only because of the daemon, its sockets and the
+// machine.
 package processes
 
 import (
@@ -28,54 +29,56 @@
 	"dunlinsail/internal/siteconfig"
 )
 
-// Options are what a run plays and by which programs.
+// Options are the plan, the settings and the programs of a run.
 type Options struct {
-	Plan            *scenario.Plan
-	Settings        []byte // a daemon's file; its listeners, clients, discovery and fleet are filled in
-	Criteria        measure.Criteria
-	Daemon          string    // the program: dunlinsaild, or dunlinsail, the platform's sidecar
-	AlternateDaemon string    // the program of every other instance, without settings that it may not know; "" is none
-	Log             io.Writer // receives what the daemons log; nil drops it
+	Plan     *scenario.Plan
+	Settings []byte // a daemon's configuration file; its listeners, clients, discovery and fleet are replaced
+	Criteria measure.Criteria
+	Daemon   string // path of the program: dunlinsaild, or dunlinsail, the platform's sidecar
+	// AlternateDaemon is the program of instances with an odd index, which run without the tables that it may not
+	// support. It is empty if all instances run Daemon.
+	AlternateDaemon string
+	Log             io.Writer // receives the daemons' logs; nil discards them
 }
 
-// counts are the events that are counted at endpoints and clients.
+// counts are the totals that endpoints and clients count during a run.
 type counts struct {
 	attempts               int64
-	crossZone              int64 // attempts from another zone
+	crossZoneAttempts      int64 // attempts from an instance in another zone
 	dials                  int64
 	probes                 int64
-	collapses              int64 // of endpoints under overload
-	duplicateEffects       int64 // of non-idempotent requests, by retries of an instance
-	clientDuplicateEffects int64 // the same, by retries of a client
-	unanswered             int64 // requests without a response in time
+	collapses              int64 // collapses of endpoints under overload
+	duplicateEffects       int64 // repeated effects of non-idempotent requests, from retries of an instance
+	clientDuplicateEffects int64 // repeated effects of non-idempotent requests, from retries of a client
+	unansweredRequests     int64 // client requests without a response in time
 }
 
-// run is a run in progress.
+// run is the state of a run in progress.
 type run struct {
-	options        Options
-	plan           *scenario.Plan
-	site           *siteconfig.Site
-	clientBehavior simclient.Behavior
-	workDir        string
-	base           time.Time
-	offset         atomic.Int64 // microseconds from base to the start of the run's clock
-	criteriaClass  []int        // of each of the plan's classes, its index in the criteria
-	criteriaTenant []int        // the same for tenants
-	config         *config.Config
+	options             Options
+	plan                *scenario.Plan
+	site                *siteconfig.Site
+	clientBehavior      simclient.Behavior
+	workDir             string
+	clockBase           time.Time
+	clockOffset         atomic.Int64 // microseconds from clockBase to the start of the run
+	criteriaClassIndex  []int        // for each class of the plan, its index in the classes of the criteria
+	criteriaTenantIndex []int        // for each tenant of the plan, its index in the tenants of the criteria
+	config              *config.Config
 
 	endpoints   []*endpoint
 	instances   []*instance
-	peerAddrs   []string // gossip addresses of the instances; none where they do not coordinate
+	peerAddrs   []string // gossip addresses of the instances; empty if the instances do not coordinate
 	relays      []*relay
 	maintenance *maintenanceRun
-	groups      map[int]*group
-	reportRand  *rand.Rand // safe for concurrent use; the order of draws does not matter
+	dedupGroups map[int]*dedupGroup
+	reportRand  *rand.Rand // safe for concurrent use; the order of draws is irrelevant
 
 	mu               sync.Mutex
 	counts           counts
-	cuts             [][2]int
+	zonePartitions   [][2]int
 	discoveryDelay   monotime.Micros
-	workNoise        *randstream.Stream
+	workNoiseRand    *randstream.Stream
 	outcomeRand      *randstream.Stream
 	clientRand       *randstream.Stream
 	discoveryRand    *randstream.Stream
@@ -87,43 +90,44 @@
 	fail             context.CancelCauseFunc // ends the run with an error
 }
 
-// recordArrival records a request, probe or connection at an endpoint. The caller holds mu.
-func (r *run) recordArrival(node int, what measure.Arrival) {
+// recordEndpointArrival records a request, probe or connection that arrives at an endpoint. The caller holds mu.
+func (r *run) recordEndpointArrival(endpointIndex int, arrival measure.Arrival) {
 	if r.meter != nil {
-		r.meter.RecordArrival(r.now(), node, what)
+		r.meter.RecordArrival(r.now(), endpointIndex, arrival)
 	}
 }
 
-func (r *run) updateCounts(f func(c *counts)) {
+func (r *run) updateCounts(update func(c *counts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(&r.counts)
+	update(&r.counts)
 }
 
-// group is the endpoints of a cell, which share the idempotency keys that they have seen, and the lock of these.
-type group struct {
+// dedupGroup holds the idempotency keys that the endpoints of a cell share, and a mutex that guards the endpoints
+// and the keys.
+type dedupGroup struct {
 	sync.Mutex
 	keys *simendpoint.DedupGroup
 }
 
-// groupOf returns the deduplication group of a cell.
-func (r *run) groupOf(cell int) *group {
-	if r.groups[cell] == nil {
+// dedupGroupOf returns the deduplication group of a cell, and creates it on first use.
+func (r *run) dedupGroupOf(cell int) *dedupGroup {
+	if r.dedupGroups[cell] == nil {
 		var window monotime.Micros
-		for _, c := range r.options.Criteria.Classes {
-			if c.Idempotency == balancer.IdempotentByKey {
-				window = max(window, c.DedupWindow)
+		for _, class := range r.options.Criteria.Classes {
+			if class.Idempotency == balancer.IdempotentByKey {
+				window = max(window, class.DedupWindow)
 			}
 		}
-		r.groups[cell] = &group{keys: simendpoint.NewDedupGroup(window)}
+		r.dedupGroups[cell] = &dedupGroup{keys: simendpoint.NewDedupGroup(window)}
 	}
-	return r.groups[cell]
+	return r.dedupGroups[cell]
 }
 
-// Run plays a plan and returns its figures. It returns an error where the settings are invalid, a process does not
-// start or ends unexpectedly, or ctx ends: then the error is ctx's cause.
-func Run(ctx context.Context, o Options) (*measure.Result, error) {
-	r, err := newRun(o)
+// Run runs a plan and returns the figures. It returns an error if the settings are invalid, or if a process does
+// not start or ends unexpectedly. If ctx is canceled, it returns the cause.
+func Run(ctx context.Context, options Options) (*measure.Result, error) {
+	r, err := newRun(options)
 	if err != nil {
 		return nil, err
 	}
@@ -138,44 +142,44 @@
 	if err := r.startProcesses(ctx); err != nil {
 		return nil, err
 	}
-	workBefore := r.startClock()
+	negatedPriorWork := r.startClock()
 	var background sync.WaitGroup
 	r.scheduleEvents(ctx, &background)
-	for i := range r.instances {
-		background.Go(func() { r.runClients(ctx, i) })
+	for instanceIndex := range r.instances {
+		background.Go(func() { r.runClients(ctx, instanceIndex) })
 	}
 	background.Wait()
 	r.openOperations.Wait()
 	if ctx.Err() != nil {
 		return nil, context.Cause(ctx)
 	}
-	for _, in := range r.instances {
-		in.kill() // its log of spent quota is complete then
+	for _, inst := range r.instances {
+		inst.kill() // the log of spent quota is complete once the process has ended
 	}
-	if err := r.readSpent(); err != nil {
+	if err := r.readQuotaLogs(); err != nil {
 		return nil, err
 	}
-	return r.result(workBefore), nil
+	return r.collectResult(negatedPriorWork), nil
 }
 
-func newRun(o Options) (*run, error) {
-	parsed, err := config.Parse(o.Settings)
+func newRun(options Options) (*run, error) {
+	parsedConfig, err := config.Parse(options.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	seed := o.Plan.Seed
+	seed := options.Plan.Seed
 	r := &run{
-		options:        o,
-		plan:           o.Plan,
-		config:         parsed,
-		site:           &parsed.Site,
-		clientBehavior: o.Plan.ClientBehavior(),
+		options:        options,
+		plan:           options.Plan,
+		config:         parsedConfig,
+		site:           &parsedConfig.Site,
+		clientBehavior: options.Plan.ClientBehavior(),
 		maintenance:    &maintenanceRun{underMaintenance: map[int]bool{}},
-		groups:         map[int]*group{},
-		reportRand:     rand.New(&lockedSource{src: rand.NewPCG(seed, 5)}),
+		dedupGroups:    map[int]*dedupGroup{},
+		reportRand:     rand.New(&lockedSource{source: rand.NewPCG(seed, 5)}),
 		operations:     map[uint64]*operation{},
-		lastAnnounced:  make([]monotime.Micros, len(o.Plan.Endpoints)),
-		workNoise:      randstream.New(seed, "noise"),
+		lastAnnounced:  make([]monotime.Micros, len(options.Plan.Endpoints)),
+		workNoiseRand:  randstream.New(seed, "noise"),
 		outcomeRand:    randstream.New(seed, "luck"),
 		clientRand:     randstream.New(seed, "callers"),
 		discoveryRand:  randstream.New(seed, "discovery"),
@@ -186,37 +190,37 @@
 	return r, nil
 }
 
-// startProcesses opens the endpoints' listeners, starts all instances and waits until they serve.
+// startProcesses opens the endpoints' listeners, starts all instances and waits until they are ready.
 func (r *run) startProcesses(ctx context.Context) error {
-	r.base = time.Now()
-	for i := range r.plan.Endpoints {
-		e := newEndpoint(r, i)
+	r.clockBase = time.Now()
+	for index := range r.plan.Endpoints {
+		e := newEndpoint(r, index)
 		r.endpoints = append(r.endpoints, e)
 		if err := e.listen(); err != nil {
 			return err
 		}
 	}
-	if err := r.setUpPeers(); err != nil {
+	if err := r.assignPeerAddresses(); err != nil {
 		return err
 	}
-	for i := range r.plan.Instances {
-		in, err := r.newInstance(i)
+	for index := range r.plan.Instances {
+		inst, err := r.newInstance(index)
 		if err != nil {
 			return err
 		}
-		r.instances = append(r.instances, in)
+		r.instances = append(r.instances, inst)
 	}
-	for _, in := range r.instances {
-		if err := r.awaitReady(ctx, in); err != nil {
+	for _, inst := range r.instances {
+		if err := r.awaitReady(ctx, inst); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// startClock sets the run's clock to 0 and drops what was counted while the processes started. It returns the work
-// that endpoints had done until then, negated.
-func (r *run) startClock() (workBefore float64) {
+// startClock sets the run's clock to 0 and resets everything that was counted while the processes started. It
+// returns the negative of the work that endpoints had executed by then.
+func (r *run) startClock() (negatedPriorWork float64) {
 	r.updateCounts(func(c *counts) {
 		*c = counts{}
 		r.meter = measure.New(r.options.Criteria, r.plan.Length.Micros(), len(r.plan.Fleet.Zones))
@@ -225,113 +229,115 @@
 	})
 	for _, e := range r.endpoints {
 		e.mu.Lock()
-		workBefore -= e.node.WorkDone()
+		negatedPriorWork -= e.model.WorkDone()
 		e.executions = 0
 		e.mu.Unlock()
 	}
-	r.offset.Store(time.Since(r.base).Microseconds())
+	r.clockOffset.Store(time.Since(r.clockBase).Microseconds())
 	for _, e := range r.endpoints {
 		e.mu.Lock()
-		e.node.Start(0, !e.plan.StartsWithRun)
+		e.model.Start(0, !e.planned.StartsWithRun)
 		e.mu.Unlock()
 	}
-	return workBefore
+	return negatedPriorWork
 }
 
 // lockedSource is a random source that is safe for concurrent use.
 type lockedSource struct {
-	mu  sync.Mutex
-	src *rand.PCG
+	mu     sync.Mutex
+	source *rand.PCG
 }
 
 // Uint64 returns the next random number.
-func (l *lockedSource) Uint64() uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.src.Uint64()
+func (s *lockedSource) Uint64() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.source.Uint64()
 }
 
-// result returns the run's figures. workBefore is the endpoints' work before the run, negated.
-func (r *run) result(workBefore float64) *measure.Result {
-	work := workBefore
-	var loads []measure.EndpointLoad
-	for i, e := range r.endpoints {
-		planned := &r.plan.Endpoints[i]
+// collectResult returns the figures of the run. negatedPriorWork is the negative of the work that endpoints
+// executed before the run started.
+func (r *run) collectResult(negatedPriorWork float64) *measure.Result {
+	executedWork := negatedPriorWork
+	var endpointLoads []measure.EndpointLoad
+	for endpointIndex, e := range r.endpoints {
+		planned := &r.plan.Endpoints[endpointIndex]
 		e.mu.Lock()
-		done := e.node.WorkDone()
-		work += done
-		loads = append(loads, measure.EndpointLoad{
+		workDone := e.model.WorkDone()
+		executedWork += workDone
+		endpointLoads = append(endpointLoads, measure.EndpointLoad{
 			Name:        planned.Name,
 			Zone:        planned.Zone,
 			Executions:  e.executions,
 			MaxInFlight: e.maxInFlight,
-			Utilization: done / planned.Config.Speed / float64(planned.Config.Cores) / float64(r.now()),
+			Utilization: workDone / planned.Config.Speed / float64(planned.Config.Cores) / float64(r.now()),
 		})
 		e.mu.Unlock()
 	}
 	r.mu.Lock()
-	defer r.mu.Unlock() // probes still come
+	defer r.mu.Unlock() // probes may still arrive and change the counts
 	costs := &r.meter.Costs
 	costs.Attempts = r.counts.attempts
-	costs.CrossZone = r.counts.crossZone
+	costs.CrossZone = r.counts.crossZoneAttempts
 	costs.Dials = r.counts.dials
 	costs.Probes = r.counts.probes
 	costs.Collapses = r.counts.collapses
 	costs.DuplicateEffects = r.counts.duplicateEffects
 	costs.ClientDuplicateEffects = r.counts.clientDuplicateEffects
-	costs.LateResponses = r.counts.unanswered
-	costs.ExecutedWork = work
-	if m := r.maintenance; m.requested > 0 {
-		r.meter.RecordMaintenance(m.requested, m.completed, m.requestsDuring, m.duration)
+	costs.LateResponses = r.counts.unansweredRequests
+	costs.ExecutedWork = executedWork
+	if m := r.maintenance; m.requestedMachines > 0 {
+		r.meter.RecordMaintenance(m.requestedMachines, m.completedMachines,
+			m.requestsDuringMaintenance, m.totalDuration)
 	}
 	result := r.meter.Result()
 	result.Scenario = r.plan.Name
 	result.Seed = r.plan.Seed
 	result.Elapsed = time.Duration(r.now()) * time.Microsecond
-	result.Endpoints = loads
+	result.Endpoints = endpointLoads
 	return result
 }
 
-// mapClassesAndTenants finds the index of each of the plan's classes and tenants among the criteria's. Names are unique
-// there: package config rejects settings that name a class or a tenant twice.
+// mapClassesAndTenants finds the classes and tenants of the plan among those of the criteria, by name. Names are
+// unique there, because package config rejects settings that define a class or a tenant twice.
 func (r *run) mapClassesAndTenants() error {
-	for _, c := range r.plan.Classes {
-		at := slices.IndexFunc(
-			r.options.Criteria.Classes, func(known balancer.Class) bool { return known.Name == c.Name },
+	for _, class := range r.plan.Classes {
+		index := slices.IndexFunc(
+			r.options.Criteria.Classes, func(candidate balancer.Class) bool { return candidate.Name == class.Name },
 		)
-		if at < 0 {
-			return fmt.Errorf("the scenario's class %q is none of the settings' classes", c.Name)
+		if index < 0 {
+			return fmt.Errorf("the scenario's class %q is not among the settings' classes", class.Name)
 		}
-		r.criteriaClass = append(r.criteriaClass, at)
+		r.criteriaClassIndex = append(r.criteriaClassIndex, index)
 	}
-	for _, t := range r.plan.Tenants {
-		at := slices.IndexFunc(
-			r.options.Criteria.Tenants, func(known balancer.Tenant) bool { return known.Name == t.Name },
+	for _, tenant := range r.plan.Tenants {
+		index := slices.IndexFunc(
+			r.options.Criteria.Tenants, func(candidate balancer.Tenant) bool { return candidate.Name == tenant.Name },
 		)
-		if at < 0 {
-			return fmt.Errorf("the scenario's tenant %q is none of the settings' tenants", t.Name)
+		if index < 0 {
+			return fmt.Errorf("the scenario's tenant %q is not among the settings' tenants", tenant.Name)
 		}
-		r.criteriaTenant = append(r.criteriaTenant, at)
+		r.criteriaTenantIndex = append(r.criteriaTenantIndex, index)
 	}
 	return nil
 }
 
 func (r *run) close() {
-	for _, in := range r.instances {
-		in.kill()
-		in.discovery.Close()
-		for _, a := range in.httpClients {
-			a.CloseIdleConnections()
+	for _, inst := range r.instances {
+		inst.kill()
+		inst.discoveryServer.Close()
+		for _, httpClient := range inst.httpClients {
+			httpClient.CloseIdleConnections()
 		}
 	}
-	for _, y := range r.relays {
-		y.close()
+	for _, rl := range r.relays {
+		rl.close()
 	}
 	for _, e := range r.endpoints {
-		e.timer.Stop()
+		e.completionTimer.Stop()
 		e.mu.Lock()
-		for _, j := range e.node.Kill(r.now()) {
-			close(j.HostData.(*pendingJob).killed)
+		for _, killedJob := range e.model.Kill(r.now()) {
+			close(killedJob.HostData.(*pendingJob).killed)
 		}
 		e.mu.Unlock()
 		e.close()
