--- a/internal/simulation/gossipsim/cases.go
+++ b/internal/simulation/gossipsim/cases.go
@@ -7,13 +7,13 @@
 		start    = 10 * second
 		duration = 12 * second
 	)
-	all := everyNth(members, 1)
-	half := everyNth(members, 2)
-	third := everyNth(members, 3)
-	candidates := all[:min(3, members)]
+	allMembers := everyNth(members, 1)
+	everySecond := everyNth(members, 2)
+	everyThird := everyNth(members, 3)
+	candidates := allMembers[:min(3, members)]
 	secondCandidate := min(1, len(candidates)-1)
-	last := all[members-1:]
-	allButLast := all[:members-1]
+	lastMember := allMembers[members-1:]
+	allButLast := allMembers[:members-1]
 	return map[string][]Fault{
 		"calm": nil,
 		"lenders killed": {
@@ -26,41 +26,41 @@
 			{Kind: faultStop, Start: start + 3*second, Duration: 7 * second, Members: candidates[secondCandidate:]},
 		},
 		"lenders slow":         {{Kind: faultSlow, Start: start, Duration: duration, Members: candidates, Factor: 0.3}},
-		"split in halves":      {{Kind: faultSplit, Start: start, Duration: duration, Members: half}},
-		"one and the rest":     {{Kind: faultSplit, Start: start, Duration: duration, Members: last}},
+		"split in halves":      {{Kind: faultSplit, Start: start, Duration: duration, Members: everySecond}},
+		"one and the rest":     {{Kind: faultSplit, Start: start, Duration: duration, Members: lastMember}},
 		"lenders and the rest": {{Kind: faultSplit, Start: start, Duration: duration, Members: candidates}},
 		"split in three": {
-			{Kind: faultSplit, Start: start, Duration: duration, Members: half},
-			{Kind: faultSplit, Start: start + second, Duration: duration, Members: third},
+			{Kind: faultSplit, Start: start, Duration: duration, Members: everySecond},
+			{Kind: faultSplit, Start: start + second, Duration: duration, Members: everyThird},
 		},
 		"one way": {
 			{Kind: faultDeaf, Start: start, Duration: duration, Members: candidates[:1]},
 			{Kind: faultDumb, Start: start + duration, Duration: duration, Members: candidates[:1]},
 		},
-		"flapping":          {{Kind: faultFlap, Start: start, Duration: duration, Members: half}},
+		"flapping":          {{Kind: faultFlap, Start: start, Duration: duration, Members: everySecond}},
 		"seen by some":      {{Kind: faultUnseen, Start: start, Duration: duration, Members: []int{0, members - 1}}},
 		"late, twice, lost": {{Kind: faultLossy, Start: 0, Duration: 25 * second, Factor: 0.2}},
-		"all start at once": {{Kind: faultKill, Start: start, Duration: second, Members: all}},
-		"killed ten times":  {{Kind: faultKills, Start: start, Duration: 20 * second, Members: half, Factor: 2}},
+		"all start at once": {{Kind: faultKill, Start: start, Duration: second, Members: allMembers}},
+		"killed ten times":  {{Kind: faultKills, Start: start, Duration: 20 * second, Members: everySecond, Factor: 2}},
 		"stopped and woken": {{Kind: faultStop, Start: start, Duration: 5 * second, Members: allButLast}},
-		"a liar":            {{Kind: faultLies, Start: 0, Members: last, Factor: 1000}},
+		"a liar":            {{Kind: faultLies, Start: 0, Members: lastMember, Factor: 1000}},
 		"demand moves": {
-			{Kind: faultDemand, Start: start, Members: half, Factor: 0.05},
-			{Kind: faultDemand, Start: start, Members: last, Factor: 8},
+			{Kind: faultDemand, Start: start, Members: everySecond, Factor: 0.05},
+			{Kind: faultDemand, Start: start, Members: lastMember, Factor: 8},
 		},
-		"half have less": {{Kind: faultBudget, Start: start, Members: half, Factor: 0.5}},
+		"half have less": {{Kind: faultBudget, Start: start, Members: everySecond, Factor: 0.5}},
 		"one after another": {
-			{Kind: faultReplaced, Start: start, Members: half},
+			{Kind: faultReplaced, Start: start, Members: everySecond},
 			{Kind: faultReplaced, Start: start + 2*second, Members: candidates},
-			{Kind: faultReplaced, Start: start + 2*second + 1, Members: half},
+			{Kind: faultReplaced, Start: start + 2*second + 1, Members: everySecond},
 		},
 	}
 }
 
 // everyNth returns 0, n, 2n and so on, below a limit.
-func everyNth(limit, n int) []int {
+func everyNth(limit, step int) []int {
 	indexes := make([]int, 0, limit)
-	for i := 0; i < limit; i += n {
+	for i := 0; i < limit; i += step {
 		indexes = append(indexes, i)
 	}
 	return indexes
--- a/internal/simulation/gossipsim/faults.go
+++ b/internal/simulation/gossipsim/faults.go
@@ -61,14 +61,14 @@
 	rng := rand.New(rand.NewPCG(seed, 13))
 	kinds := slices.Sorted(maps.Keys(FaultKinds))
 	for range 1 + rng.IntN(8) {
-		f := Fault{
+		fault := Fault{
 			Kind:     kinds[rng.IntN(len(kinds))],
 			Start:    rng.Int64N(duration),
 			Duration: 1 + rng.Int64N(8*second),
 		}
-		f.Members = append(f.Members, rng.Perm(members)[:1+rng.IntN(members)]...)
-		f.Factor = randomFactor(rng, f.Kind)
-		faults = append(faults, f)
+		fault.Members = append(fault.Members, rng.Perm(members)[:1+rng.IntN(members)]...)
+		fault.Factor = randomFactor(rng, fault.Kind)
+		faults = append(faults, fault)
 	}
 	return faults
 }
@@ -93,58 +93,58 @@
 }
 
 // startFault applies a fault from now on.
-func (sim *simulation) startFault(f *Fault) {
-	sim.activeFaults = append(sim.activeFaults, f)
-	duration := f.Duration
-	if f.Duration == 0 {
+func (sim *simulation) startFault(fault *Fault) {
+	sim.activeFaults = append(sim.activeFaults, fault)
+	duration := fault.Duration
+	if fault.Duration == 0 {
 		duration = sim.settings.Duration
 	}
-	for _, n := range f.Members {
-		sim.affect(sim.members[n], f, duration)
+	for _, memberIndex := range fault.Members {
+		sim.applyFault(sim.members[memberIndex], fault, duration)
 	}
-	if f.Kind == faultKills {
-		sim.scheduleRestarts(f, f.Start+duration)
+	if fault.Kind == faultKills {
+		sim.scheduleRestarts(fault, fault.Start+duration)
 	}
-	if f.Duration > 0 {
-		sim.schedule(f.Duration, func() { sim.endFault(f) })
+	if fault.Duration > 0 {
+		sim.schedule(fault.Duration, func() { sim.endFault(fault) })
 	}
 }
 
 // affect applies a fault to one of its members.
-func (sim *simulation) affect(x *member, f *Fault, duration monotime.Micros) {
-	switch f.Kind {
+func (sim *simulation) applyFault(x *member, fault *Fault, duration monotime.Micros) {
+	switch fault.Kind {
 	case faultKill, faultKills:
 		x.kill()
 	case faultStop:
 		x.stoppedUntil = sim.now + duration
 	case faultDemand:
-		before := x.demandRate
-		x.demandRate = before * f.Factor
-		if before == 0 {
-			x.demandRate = f.Factor
+		previousRate := x.demandRate
+		x.demandRate = previousRate * fault.Factor
+		if previousRate == 0 {
+			x.demandRate = fault.Factor
 			sim.scheduleDemand(x)
 		}
 	case faultLies:
-		x.demandFactor = f.Factor
+		x.demandFactor = fault.Factor
 	case faultBudget:
-		x.setBudget(sim.settings.Units * f.Factor)
+		x.setBudget(sim.settings.Units * fault.Factor)
 	case faultReplaced:
-		sim.replace(x)
+		sim.replaceProcess(x)
 	}
 }
 
 // endFault ends a fault.
-func (sim *simulation) endFault(f *Fault) {
-	sim.activeFaults = slices.DeleteFunc(sim.activeFaults, func(o *Fault) bool { return o == f })
-	for _, n := range f.Members {
-		x := sim.members[n]
-		switch f.Kind {
+func (sim *simulation) endFault(fault *Fault) {
+	sim.activeFaults = slices.DeleteFunc(sim.activeFaults, func(active *Fault) bool { return active == fault })
+	for _, memberIndex := range fault.Members {
+		x := sim.members[memberIndex]
+		switch fault.Kind {
 		case faultKill, faultKills:
 			if !x.running {
 				sim.restart(x)
 			}
 		case faultDemand:
-			x.demandRate /= f.Factor
+			x.demandRate /= fault.Factor
 		case faultLies:
 			x.demandFactor = 1
 		case faultBudget:
@@ -154,16 +154,16 @@
 }
 
 // scheduleRestarts has the members of a fault killed and restarted every Factor seconds until an instant.
-func (sim *simulation) scheduleRestarts(f *Fault, until monotime.Micros) {
-	interval := monotime.Micros(f.Factor * float64(second))
+func (sim *simulation) scheduleRestarts(fault *Fault, until monotime.Micros) {
+	interval := monotime.Micros(fault.Factor * float64(second))
 	var restartAll func()
 	restartAll = func() {
 		if sim.now >= until {
 			return
 		}
-		for _, n := range f.Members {
-			sim.members[n].kill()
-			sim.restart(sim.members[n])
+		for _, memberIndex := range fault.Members {
+			sim.members[memberIndex].kill()
+			sim.restart(sim.members[memberIndex])
 		}
 		sim.schedule(interval, restartAll)
 	}
@@ -189,23 +189,23 @@
 }
 
 // replace has a successor take over a member. Messages that are on their way to the predecessor reach the successor.
-func (sim *simulation) replace(x *member) {
+func (sim *simulation) replaceProcess(x *member) {
 	if !x.running || x.stoppedUntil > sim.now {
 		return
 	}
 	sim.processOutgoing(x)
-	state := x.coordinator.HandOver(x.localTime(sim.now))
-	for _, o := range x.coordinator.TakeOutgoing() {
-		sim.transmit(x, o)
+	handedOver := x.coordinator.HandOver(x.localTime(sim.now))
+	for _, outgoing := range x.coordinator.TakeOutgoing() {
+		sim.transmit(x, outgoing)
 	}
-	sim.incarnations++
-	x.incarnation = sim.incarnations
+	sim.startedIncarnations++
+	x.incarnation = sim.startedIncarnations
 	coordinator, err := sim.newCoordinator(x)
 	if err != nil {
 		panic(err) // Run has created it with the same settings before
 	}
 	x.coordinator = coordinator
-	x.wakeAt = 0
-	coordinator.Restore(x.localTime(sim.now), 0, x.incarnation, state)
+	x.nextTickAt = 0
+	coordinator.Restore(x.localTime(sim.now), 0, x.incarnation, handedOver)
 	sim.processOutgoing(x)
 }
--- a/internal/simulation/gossipsim/gossipsim.go
+++ b/internal/simulation/gossipsim/gossipsim.go
@@ -43,13 +43,13 @@
 
 // The errors that can be planted in a run.
 const (
-	twoAllocators     = "two books"           // every other member elects itself
-	slowClocks        = "slow clocks"         // a third of the clocks run slower than MaxClockDrift allows
-	spendsOnStart     = "spends as it starts" // members do not wait for a second after a start
-	tooManyMembers    = "more than said"      // there are more members than MaxInstances
-	slowClockRate     = 0.5
-	slowClockEvery    = 3
-	membersPerAllowed = 4
+	twoAllocators         = "two books"           // every other member elects itself
+	slowClocks            = "slow clocks"         // a third of the clocks run slower than MaxClockDrift allows
+	spendsOnStart         = "spends as it starts" // members do not wait for a second after a start
+	tooManyMembers        = "more than said"      // there are more members than MaxInstances
+	slowClockRate         = 0.5
+	slowClockEvery        = 3
+	membersPerMaxInstance = 4
 )
 
 // PlantedErrors are the errors that can be planted, each of which a run must detect.
--- a/internal/simulation/gossipsim/gossipsim_test.go
+++ b/internal/simulation/gossipsim/gossipsim_test.go
@@ -6,8 +6,8 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// overloadedRun returns the settings of a run in which twice the budget is demanded.
-func overloadedRun(members int, seed uint64) Settings {
+// overloadedSettings returns the settings of a run in which twice the budget is demanded.
+func overloadedSettings(members int, seed uint64) Settings {
 	return Settings{
 		Members:      members,
 		Candidates:   3,
@@ -19,11 +19,11 @@
 	}
 }
 
-// useAtEnd adds up the seconds after the faults: the demand within the budget, and what was spent.
-func useAtEnd(r *Result) (spendable, spent int) {
-	for _, at := range r.Seconds[37:] {
-		spendable += min(at.Demanded, 200)
-		spent += at.Spent
+// spentAfterFaults adds up the seconds after the faults: the demand within the budget, and what was spent.
+func spentAfterFaults(result *Result) (spendable, spent int) {
+	for _, secondTotals := range result.Seconds[37:] {
+		spendable += min(secondTotals.Demanded, 200)
+		spent += secondTotals.Spent
 	}
 	return spendable, spent
 }
@@ -32,17 +32,18 @@
 func TestHardCasesStayWithinBudgetAndUseIt(t *testing.T) {
 	for name, faults := range HardCases(9) {
 		for seed := range uint64(3) {
-			s := overloadedRun(9, seed)
-			s.Faults = faults
-			r, err := Run(s)
+			settings := overloadedSettings(9, seed)
+			settings.Faults = faults
+			result, err := Run(settings)
 			require.NoError(t, err)
-			if r.UnitsExceeded > 0 {
-				t.Errorf("%s, seed %d: %d spent in the second to %d, of 200", name, seed, r.MaxSpent, r.MaxSpentAt)
+			if result.UnitsExceeded > 0 {
+				t.Errorf("%s, seed %d: %d spent in the second to %d, of 200", name, seed, result.MaxSpent,
+					result.MaxSpentAt)
 			}
 			if name == "half have less" {
 				continue // the budget in force depends on which member is the allocator
 			}
-			spendable, spent := useAtEnd(r)
+			spendable, spent := spentAfterFaults(result)
 			minPercent := 90
 			if name == "demand moves" {
 				minPercent = 80 // demand is hardly above the budget, and leases follow it with a delay
@@ -57,34 +58,36 @@
 // With random faults the sum is within the budget in every second.
 func TestRandomFaultsStayWithinBudget(t *testing.T) {
 	for seed := range uint64(60) {
-		s := overloadedRun([]int{1, 2, 5, 20}[seed%4], seed)
-		s.Faults = RandomFaults(seed, s.Members, s.Duration)
-		r, err := Run(s)
+		settings := overloadedSettings([]int{1, 2, 5, 20}[seed%4], seed)
+		settings.Faults = RandomFaults(seed, settings.Members, settings.Duration)
+		result, err := Run(settings)
 		require.NoError(t, err)
-		if r.UnitsExceeded > 0 {
-			t.Errorf("seed %d: %d spent in the second to %d, of 200: %+v", seed, r.MaxSpent, r.MaxSpentAt, s.Faults)
+		if result.UnitsExceeded > 0 {
+			t.Errorf("seed %d: %d spent in the second to %d, of 200: %+v", seed, result.MaxSpent, result.MaxSpentAt,
+				settings.Faults)
 		}
 	}
 }
 
 // The checker detects each planted error.
 func TestPlantedErrorsAreDetected(t *testing.T) {
-	revealingCase := map[string]string{slowClocks: "split in halves", spendsOnStart: "killed ten times"}
-	for _, plant := range PlantedErrors {
-		found := 0
+	revealingFaults := map[string]string{slowClocks: "split in halves", spendsOnStart: "killed ten times"}
+	for _, plantedError := range PlantedErrors {
+		unitsExceeded := 0
 		for seed := range uint64(5) {
-			s := overloadedRun(9, seed)
-			s.PlantedError = plant
-			if plant == spendsOnStart {
-				s.Coordination.Quota.Reserve = 1 // nothing is leased, and nothing lies idle when a member is killed
+			settings := overloadedSettings(9, seed)
+			settings.PlantedError = plantedError
+			if plantedError == spendsOnStart {
+				// With all of the budget in reserve, no leased units lie idle when a member is killed.
+				settings.Coordination.Quota.Reserve = 1
 			}
-			s.Faults = HardCases(9)[revealingCase[plant]]
-			r, err := Run(s)
+			settings.Faults = HardCases(9)[revealingFaults[plantedError]]
+			result, err := Run(settings)
 			require.NoError(t, err)
-			found += r.UnitsExceeded
+			unitsExceeded += result.UnitsExceeded
 		}
-		if found == 0 {
-			t.Errorf("%s: not found", plant)
+		if unitsExceeded == 0 {
+			t.Errorf("%s: not found", plantedError)
 		}
 	}
 }
--- a/internal/simulation/gossipsim/network.go
+++ b/internal/simulation/gossipsim/network.go
@@ -8,31 +8,31 @@
 )
 
 // transmit sends a member's message over the network.
-func (sim *simulation) transmit(from *member, o coordination.Outgoing) {
+func (sim *simulation) transmit(from *member, outgoing coordination.Outgoing) {
 	from.messagesSent++
 	if sim.settings.MessageSize != nil {
-		from.bytesSent += sim.settings.MessageSize(o.Message)
+		from.bytesSent += sim.settings.MessageSize(outgoing.Message)
 	}
-	if o.Message.Request != nil && from.demandFactor != 1 {
-		for i := range o.Message.Request.Demands {
-			o.Message.Request.Demands[i].Requested *= from.demandFactor
+	if outgoing.Message.Request != nil && from.demandFactor != 1 {
+		for i := range outgoing.Message.Request.Demands {
+			outgoing.Message.Request.Demands[i].Requested *= from.demandFactor
 		}
 	}
-	to := sim.byName[o.To]
+	to := sim.byName[outgoing.To]
 	if to == nil {
 		return
 	}
 	delay, copies := sim.drawTransmission(from)
 	for range copies {
-		sim.schedule(delay+sim.rng.Int64N(copyJitter), func() { sim.deliver(from, to, o.Message) })
+		sim.schedule(delay+sim.rng.Int64N(maxCopyJitter), func() { sim.deliver(from, to, outgoing.Message) })
 	}
 }
 
 // Delays of messages in microseconds.
 const (
-	minDelay   = 200
-	meanDelay  = 1000 // beyond minDelay, exponentially distributed
-	copyJitter = 100  // upper bound of the difference between copies
+	minDelay      = 200
+	meanDelay     = 1000 // beyond minDelay, exponentially distributed
+	maxCopyJitter = 100  // upper bound of the difference between copies
 )
 
 // drawTransmission draws a message's delay, and how often it arrives: lossy faults drop, repeat and delay messages,
@@ -41,21 +41,21 @@
 	delay = monotime.Micros(minDelay + meanDelay*sim.rng.ExpFloat64())
 	copies = 1
 	leaseDuration := float64(sim.settings.Coordination.Quota.LeaseDuration)
-	for _, f := range sim.activeFaults {
-		switch f.Kind {
+	for _, fault := range sim.activeFaults {
+		switch fault.Kind {
 		case faultLossy:
-			if sim.rng.Float64() < f.Factor {
+			if sim.rng.Float64() < fault.Factor {
 				copies--
 			}
-			if sim.rng.Float64() < f.Factor {
+			if sim.rng.Float64() < fault.Factor {
 				copies++
 			}
-			if sim.rng.Float64() < f.Factor {
+			if sim.rng.Float64() < fault.Factor {
 				delay += monotime.Micros(sim.rng.Float64() * 2 * leaseDuration)
 			}
 		case faultSlow:
-			if slices.Contains(f.Members, from.index) {
-				delay += monotime.Micros(f.Factor * leaseDuration)
+			if slices.Contains(fault.Members, from.index) {
+				delay += monotime.Micros(fault.Factor * leaseDuration)
 			}
 		}
 	}
@@ -64,32 +64,33 @@
 
 // partitioned reports whether no message passes from one member to another now.
 func (sim *simulation) partitioned(from, to *member) bool {
-	return slices.ContainsFunc(sim.activeFaults, func(f *Fault) bool { return sim.cutsOff(f, from, to) })
+	return slices.ContainsFunc(sim.activeFaults, func(f *Fault) bool { return sim.faultBlocks(f, from, to) })
 }
 
-// cutsOff reports whether a fault lets no message pass from one member to another now.
-func (sim *simulation) cutsOff(f *Fault, from, to *member) bool {
-	ofFrom := slices.Contains(f.Members, from.index)
-	ofTo := slices.Contains(f.Members, to.index)
-	switch f.Kind {
+// faultBlocks reports whether a fault lets no message pass from one member to another now.
+func (sim *simulation) faultBlocks(fault *Fault, from, to *member) bool {
+	fromAffected := slices.Contains(fault.Members, from.index)
+	toAffected := slices.Contains(fault.Members, to.index)
+	switch fault.Kind {
 	case faultSplit:
-		return ofFrom != ofTo
+		return fromAffected != toAffected
 	case faultFlap:
-		return ofFrom != ofTo && (sim.now-f.Start)/second%2 == 0
+		return fromAffected != toAffected && (sim.now-fault.Start)/second%2 == 0
 	case faultDeaf:
-		return ofTo
+		return toAffected
 	case faultDumb:
-		return ofFrom
+		return fromAffected
 	case faultUnseen:
-		first := f.Members[0]
-		last := f.Members[len(f.Members)-1]
-		return from.index == first && to.index == last || from.index == last && to.index == first
+		firstMember := fault.Members[0]
+		lastMember := fault.Members[len(fault.Members)-1]
+		return from.index == firstMember && to.index == lastMember ||
+			from.index == lastMember && to.index == firstMember
 	}
 	return false
 }
 
 // deliver hands a message to its recipient. One that is stopped receives it once it goes on.
-func (sim *simulation) deliver(from, to *member, m coordination.Message) {
+func (sim *simulation) deliver(from, to *member, message coordination.Message) {
 	if !to.running || sim.partitioned(from, to) {
 		return
 	}
@@ -97,11 +98,11 @@
 		incarnation := to.incarnation
 		sim.schedule(to.stoppedUntil-sim.now, func() {
 			if to.incarnation == incarnation {
-				sim.deliver(from, to, m)
+				sim.deliver(from, to, message)
 			}
 		})
 		return
 	}
-	to.coordinator.Receive(to.localTime(sim.now), from.name, m)
+	to.coordinator.Receive(to.localTime(sim.now), from.name, message)
 	sim.processOutgoing(to)
 }
--- a/internal/simulation/gossipsim/simulation.go
+++ b/internal/simulation/gossipsim/simulation.go
@@ -26,7 +26,7 @@
 	demandFactor float64         // factor by which it overstates its demand to the allocator
 	budgetUnits  float64         // of the budget, as its configuration says
 	incarnation  uint64          // 0 while it is killed
-	wakeAt       monotime.Micros // when the next tick is scheduled
+	nextTickAt   monotime.Micros // when the next tick is scheduled
 	messagesSent int
 	bytesSent    int
 }
@@ -43,46 +43,46 @@
 
 // simulation is the state of a run.
 type simulation struct {
-	settings      Settings
-	rng           *rand.Rand
-	now           monotime.Micros
-	nextOrder     uint64 // of events
-	queue         eventQueue
-	members       []*member
-	byName        map[string]*member
-	candidates    []string
-	activeFaults  []*Fault
-	recentlySpent []monotime.Micros // instants of the units spent within the last second
-	incarnations  uint64            // started so far
-	result        Result
+	settings            Settings
+	rng                 *rand.Rand
+	now                 monotime.Micros
+	lastSequence        uint64 // of events
+	queue               eventHeap
+	members             []*member
+	byName              map[string]*member
+	candidates          []string
+	activeFaults        []*Fault
+	recentlySpent       []monotime.Micros // instants of the units spent within the last second
+	startedIncarnations uint64            // started so far
+	result              Result
 }
 
 // Run runs a simulation. It returns an error for a fault of an unknown kind, or for settings that are out of range.
-func Run(s Settings) (*Result, error) {
-	sim := &simulation{settings: s, rng: rand.New(rand.NewPCG(s.Seed, 11)), byName: map[string]*member{}}
-	for i := range min(s.Candidates, s.Members) {
+func Run(settings Settings) (*Result, error) {
+	sim := &simulation{settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, 11)), byName: map[string]*member{}}
+	for i := range min(settings.Candidates, settings.Members) {
 		sim.candidates = append(sim.candidates, memberName(i))
 	}
-	sim.result.Seconds = make([]Second, max(1, (s.Duration+second-1)/second))
-	for i := range s.Members {
+	sim.result.Seconds = make([]Second, max(1, (settings.Duration+second-1)/second))
+	for i := range settings.Members {
 		if err := sim.addMember(i); err != nil {
 			return nil, err
 		}
 	}
-	for i := range s.Faults {
-		f := &s.Faults[i]
-		if FaultKinds[f.Kind] == "" {
-			return nil, fmt.Errorf("there is no fault %q", f.Kind)
+	for i := range settings.Faults {
+		fault := &settings.Faults[i]
+		if FaultKinds[fault.Kind] == "" {
+			return nil, fmt.Errorf("there is no fault %q", fault.Kind)
 		}
-		sim.schedule(f.Start, func() { sim.startFault(f) })
+		sim.schedule(fault.Start, func() { sim.startFault(fault) })
 	}
 	for len(sim.queue) > 0 {
-		e := heap.Pop(&sim.queue).(event)
-		if e.at > s.Duration {
+		next := heap.Pop(&sim.queue).(scheduledEvent)
+		if next.at > settings.Duration {
 			break
 		}
-		sim.now = e.at
-		e.run()
+		sim.now = next.at
+		next.run()
 	}
 	sim.summarize()
 	return &sim.result, nil
@@ -90,10 +90,10 @@
 
 func memberName(i int) string { return fmt.Sprint("instance-", i) }
 
-func (sim *simulation) addMember(i int) error {
+func (sim *simulation) addMember(index int) error {
 	x := &member{
-		index:        i,
-		name:         memberName(i),
+		index:        index,
+		name:         memberName(index),
 		demandFactor: 1,
 		budgetUnits:  sim.settings.Units,
 		demandRate:   sim.settings.Demand / float64(sim.settings.Members),
@@ -109,8 +109,8 @@
 
 // start starts a member's process, with a clock of its own.
 func (sim *simulation) start(x *member) error {
-	sim.incarnations++
-	x.incarnation = sim.incarnations
+	sim.startedIncarnations++
+	x.incarnation = sim.startedIncarnations
 	x.clockRate = 1 + sim.settings.Coordination.Quota.MaxClockDrift*(2*sim.rng.Float64()-1)
 	if sim.settings.PlantedError == slowClocks && x.index%slowClockEvery == 1 {
 		x.clockRate = slowClockRate
@@ -133,18 +133,18 @@
 }
 
 func (sim *simulation) newCoordinator(x *member) (*coordination.Member, error) {
-	s := sim.settings.Coordination
-	s.Self = x.name
-	s.Candidates = sim.candidates
-	s.Seed = sim.settings.Seed<<20 + sim.incarnations
-	s.Quota.MaxInstances = sim.settings.Members
+	settings := sim.settings.Coordination
+	settings.Self = x.name
+	settings.Candidates = sim.candidates
+	settings.Seed = sim.settings.Seed<<20 + sim.startedIncarnations
+	settings.Quota.MaxInstances = sim.settings.Members
 	if sim.settings.PlantedError == twoAllocators && x.index%2 == 1 {
-		s.Candidates = []string{x.name}
+		settings.Candidates = []string{x.name}
 	}
 	if sim.settings.PlantedError == tooManyMembers {
-		s.Quota.MaxInstances = max(1, sim.settings.Members/membersPerAllowed)
+		settings.Quota.MaxInstances = max(1, sim.settings.Members/membersPerMaxInstance)
 	}
-	coordinator, err := coordination.New(s)
+	coordinator, err := coordination.New(settings)
 	if err == nil {
 		coordinator.SetBudget(budgetName, x.budgetUnits, false)
 	}
@@ -153,13 +153,13 @@
 
 // processOutgoing transmits a member's messages and schedules its next tick.
 func (sim *simulation) processOutgoing(x *member) {
-	for _, o := range x.coordinator.TakeOutgoing() {
-		sim.transmit(x, o)
+	for _, outgoing := range x.coordinator.TakeOutgoing() {
+		sim.transmit(x, outgoing)
 	}
-	if at := x.trueTime(x.coordinator.NextTick()); x.wakeAt <= sim.now || at < x.wakeAt {
-		x.wakeAt = max(at, sim.now+1)
+	if tickAt := x.trueTime(x.coordinator.NextTick()); x.nextTickAt <= sim.now || tickAt < x.nextTickAt {
+		x.nextTickAt = max(tickAt, sim.now+1)
 		incarnation := x.incarnation
-		sim.schedule(x.wakeAt-sim.now, func() { sim.tick(x, incarnation) })
+		sim.schedule(x.nextTickAt-sim.now, func() { sim.tick(x, incarnation) })
 	}
 }
 
@@ -179,37 +179,37 @@
 
 // schedule runs a function after a delay; functions of the same instant run in the order in which they were scheduled.
 func (sim *simulation) schedule(delay monotime.Micros, run func()) {
-	sim.nextOrder++
-	heap.Push(&sim.queue, event{sim.now + max(0, delay), sim.nextOrder, run})
+	sim.lastSequence++
+	heap.Push(&sim.queue, scheduledEvent{sim.now + max(0, delay), sim.lastSequence, run})
 }
 
-type event struct {
-	at    monotime.Micros
-	order uint64
-	run   func()
+type scheduledEvent struct {
+	at       monotime.Micros
+	sequence uint64
+	run      func()
 }
 
-// eventQueue implements heap.Interface; the earliest event comes first.
-type eventQueue []event
+// eventHeap implements heap.Interface; the earliest event comes first.
+type eventHeap []scheduledEvent
 
-func (q eventQueue) Len() int { return len(q) }
+func (q eventHeap) Len() int { return len(q) }
 
-func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+func (q eventHeap) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 
-func (q eventQueue) Swap(i, j int) {
+func (q eventHeap) Swap(i, j int) {
 	first := q[i]
 	q[i] = q[j]
 	q[j] = first
 }
 
-func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+func (q *eventHeap) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
 
-func (q *eventQueue) Pop() any {
+func (q *eventHeap) Pop() any {
 	last := len(*q) - 1
 	x := (*q)[last]
-	(*q)[last] = event{}
+	(*q)[last] = scheduledEvent{}
 	*q = (*q)[:last]
 	return x
 }
--- a/internal/simulation/gossipsim/spending.go
+++ b/internal/simulation/gossipsim/spending.go
@@ -17,28 +17,28 @@
 
 // demandUnit has a member spend a unit, if one is available.
 func (sim *simulation) demandUnit(x *member) {
-	present := &sim.result.Seconds[min(int(sim.now/second), len(sim.result.Seconds)-1)]
-	present.Demanded++
+	currentSecond := &sim.result.Seconds[min(int(sim.now/second), len(sim.result.Seconds)-1)]
+	currentSecond.Demanded++
 	if !x.running || x.stoppedUntil > sim.now {
 		return
 	}
-	local := x.localTime(sim.now)
-	x.coordinator.RecordDemand(local, budgetName)
-	if !x.coordinator.Spend(local, budgetName) {
+	localNow := x.localTime(sim.now)
+	x.coordinator.RecordDemand(localNow, budgetName)
+	if !x.coordinator.Spend(localNow, budgetName) {
 		return
 	}
-	present.Spent++
+	currentSecond.Spent++
 	sim.checkBudget()
 }
 
 // checkBudget counts a unit that is spent now, and checks the sum of the second that ends now.
 func (sim *simulation) checkBudget() {
 	sim.recentlySpent = append(sim.recentlySpent, sim.now)
-	n := 0
-	for sim.recentlySpent[n] <= sim.now-second {
-		n++
+	expired := 0
+	for sim.recentlySpent[expired] <= sim.now-second {
+		expired++
 	}
-	sim.recentlySpent = sim.recentlySpent[n:]
+	sim.recentlySpent = sim.recentlySpent[expired:]
 	spent := len(sim.recentlySpent)
 	if spent > sim.result.MaxSpent {
 		sim.result.MaxSpent = spent
@@ -53,8 +53,8 @@
 func (sim *simulation) maxBudget() float64 {
 	units := sim.settings.Units
 	for i := range sim.settings.Faults {
-		if f := &sim.settings.Faults[i]; f.Kind == faultBudget {
-			units = max(units, sim.settings.Units*f.Factor)
+		if fault := &sim.settings.Faults[i]; fault.Kind == faultBudget {
+			units = max(units, sim.settings.Units*fault.Factor)
 		}
 	}
 	return units
@@ -62,42 +62,42 @@
 
 // summarize computes the results that are of the whole run.
 func (sim *simulation) summarize() {
-	r := &sim.result
+	result := &sim.result
 	budget := int(sim.settings.Units)
 	demanded := 0
 	spent := 0
-	for i, s := range r.Seconds {
-		demanded += min(s.Demanded, budget)
-		spent += min(s.Spent, budget)
-		if r.ConvergedAt == 0 && 10*s.Spent >= 9*min(s.Demanded, budget) {
-			r.ConvergedAt = monotime.Micros(i+1) * second
+	for i, secondTotals := range result.Seconds {
+		demanded += min(secondTotals.Demanded, budget)
+		spent += min(secondTotals.Spent, budget)
+		if result.ConvergedAt == 0 && 10*secondTotals.Spent >= 9*min(secondTotals.Demanded, budget) {
+			result.ConvergedAt = monotime.Micros(i+1) * second
 		}
 	}
-	r.Utilization = 1
+	result.Utilization = 1
 	if demanded > 0 {
-		r.Utilization = float64(spent) / float64(demanded)
+		result.Utilization = float64(spent) / float64(demanded)
 	}
 	sim.summarizeCosts()
 }
 
 // summarizeCosts computes what the messages cost.
 func (sim *simulation) summarizeCosts() {
-	r := &sim.result
+	result := &sim.result
 	seconds := float64(sim.settings.Duration) / float64(second)
-	others := 0
+	nonCandidates := 0
 	for _, x := range sim.members {
-		messages := float64(x.messagesSent) / seconds
-		bytes := float64(x.bytesSent) / seconds
-		if messages > r.AllocatorMessageRate {
-			r.AllocatorMessageRate = messages
-			r.AllocatorByteRate = bytes
+		messageRate := float64(x.messagesSent) / seconds
+		byteRate := float64(x.bytesSent) / seconds
+		if messageRate > result.AllocatorMessageRate {
+			result.AllocatorMessageRate = messageRate
+			result.AllocatorByteRate = byteRate
 		}
 		if x.index >= len(sim.candidates) {
-			r.MessageRate += messages
-			r.ByteRate += bytes
-			others++
+			result.MessageRate += messageRate
+			result.ByteRate += byteRate
+			nonCandidates++
 		}
 	}
-	r.MessageRate /= float64(max(1, others))
-	r.ByteRate /= float64(max(1, others))
+	result.MessageRate /= float64(max(1, nonCandidates))
+	result.ByteRate /= float64(max(1, nonCandidates))
 }
--- a/internal/simulation/measure/arrivals.go
+++ b/internal/simulation/measure/arrivals.go
@@ -27,39 +27,40 @@
 // arrivals counts arrivals at endpoints by second.
 type arrivals struct {
 	seconds                 []Second
-	probes, dials           [][]uint32      // by second and endpoint
+	probesAt, dialsAt       [][]uint32      // by second and endpoint
 	faultsFrom, faultsUntil monotime.Micros // from the start of the first event to the end of the last
 }
 
 // RecordArrival counts an arrival at an endpoint. Arrivals outside the run's length are ignored.
 func (m *Meter) RecordArrival(now monotime.Micros, endpoint int, kind Arrival) {
 	a := &m.arrivals
-	n := now / second
-	if n < 0 || n >= monotime.Micros(len(a.seconds)) {
+	secondIndex := now / second
+	if secondIndex < 0 || secondIndex >= monotime.Micros(len(a.seconds)) {
 		return
 	}
-	s := &a.seconds[n]
+	counts := &a.seconds[secondIndex]
 	switch kind {
 	case FirstAttempt:
-		s.FirstAttempts++
+		counts.FirstAttempts++
 	case ExtraAttempt:
-		s.ExtraAttempts++
+		counts.ExtraAttempts++
 	case ProbeArrival:
-		s.Probes++
-		s.MaxEndpointProbes = max(s.MaxEndpointProbes, countAt(a.probes, n, endpoint))
+		counts.Probes++
+		counts.MaxEndpointProbes = max(counts.MaxEndpointProbes, incrementCount(a.probesAt, secondIndex, endpoint))
 	case DialArrival:
-		s.Dials++
-		s.MaxEndpointDials = max(s.MaxEndpointDials, countAt(a.dials, n, endpoint))
+		counts.Dials++
+		counts.MaxEndpointDials = max(counts.MaxEndpointDials, incrementCount(a.dialsAt, secondIndex, endpoint))
 	}
 }
 
-// countAt counts one more arrival of a second at an endpoint, and returns their number. Seconds need not be in order.
-func countAt(counts [][]uint32, second monotime.Micros, endpoint int) int {
-	for len(counts[second]) <= endpoint {
-		counts[second] = append(counts[second], 0)
+// incrementCount counts one more arrival at an endpoint within a second, and returns the new count. Arrivals need not
+// come in the order of their time.
+func incrementCount(counts [][]uint32, secondIndex monotime.Micros, endpoint int) int {
+	for len(counts[secondIndex]) <= endpoint {
+		counts[secondIndex] = append(counts[secondIndex], 0)
 	}
-	counts[second][endpoint]++
-	return int(counts[second][endpoint])
+	counts[secondIndex][endpoint]++
+	return int(counts[secondIndex][endpoint])
 }
 
 // SetFaultPeriod sets the period from the start of the first fault to the end of the last one.
@@ -74,35 +75,36 @@
 )
 
 // figures adds the figures of arrivals and of recovery.
-func (a *arrivals) figures(f map[string]float64, weight []weightSum) {
-	first := 0
+func (a *arrivals) figures(figures map[string]float64, weights []weightSum) {
+	firstAttempts := 0
 	probes := 0
 	for i := range a.seconds {
-		s := &a.seconds[i]
-		first += s.FirstAttempts
-		probes += s.Probes
-		if s.FirstAttempts >= minFirstAttempts {
-			f["further_peak"] = max(f["further_peak"], float64(s.ExtraAttempts)/float64(s.FirstAttempts))
+		counts := &a.seconds[i]
+		firstAttempts += counts.FirstAttempts
+		probes += counts.Probes
+		if counts.FirstAttempts >= minFirstAttempts {
+			figures["further_peak"] = max(figures["further_peak"],
+				float64(counts.ExtraAttempts)/float64(counts.FirstAttempts))
 		}
-		f["probes_peak"] = max(f["probes_peak"], float64(s.MaxEndpointProbes))
-		f["dials_peak"] = max(f["dials_peak"], float64(s.MaxEndpointDials))
+		figures["probes_peak"] = max(figures["probes_peak"], float64(counts.MaxEndpointProbes))
+		figures["dials_peak"] = max(figures["dials_peak"], float64(counts.MaxEndpointDials))
 	}
-	f["further_peak"] += 0 // the figure exists, also without arrivals
-	f["probes_first"] = float64(probes) / max(1, float64(first))
-	f["back"] = 1
-	before := sum(weight, 0, a.faultsFrom)
-	after := sum(weight, a.faultsUntil+recoveryTime, monotime.Micros(len(weight))*second)
-	if a.faultsUntil > 0 && before.offered > 0 && after.offered > 0 {
-		f["back"] = min(1, after.share()/max(1e-9, before.share()))
+	figures["further_peak"] += 0 // the figure exists, also without arrivals
+	figures["probes_first"] = float64(probes) / max(1, float64(firstAttempts))
+	figures["back"] = 1
+	shareBefore := sumSeconds(weights, 0, a.faultsFrom)
+	shareAfter := sumSeconds(weights, a.faultsUntil+recoveryTime, monotime.Micros(len(weights))*second)
+	if a.faultsUntil > 0 && shareBefore.offered > 0 && shareAfter.offered > 0 {
+		figures["back"] = min(1, shareAfter.share()/max(1e-9, shareBefore.share()))
 	}
 }
 
 // sum adds up the weights of the seconds that lie within a period.
-func sum(weight []weightSum, from, until monotime.Micros) (w weightSum) {
-	for i := range weight {
-		if at := monotime.Micros(i) * second; at >= from && at+second <= until {
-			w.add(weight[i].offered, weight[i].earned)
+func sumSeconds(weights []weightSum, from, until monotime.Micros) (total weightSum) {
+	for i := range weights {
+		if secondStart := monotime.Micros(i) * second; secondStart >= from && secondStart+second <= until {
+			total.add(weights[i].offered, weights[i].earned)
 		}
 	}
-	return w
+	return total
 }
--- a/internal/simulation/measure/figures.go
+++ b/internal/simulation/measure/figures.go
@@ -71,19 +71,19 @@
 
 // Describe returns the description of a figure, by its name.
 func Describe(name string) (Figure, bool) {
-	for _, f := range Figures {
-		if f.Name == name {
-			return f, true
+	for _, figure := range Figures {
+		if figure.Name == name {
+			return figure, true
 		}
 	}
-	for prefix, f := range map[string]Figure{
+	for prefix, figure := range map[string]Figure{
 		"service.": {"", "service of this class or tenant alone", "", 1, 0.005, false},
 		"p50.":     {"", "median time of this class", "ms", -1, 1, false},
 		"p99.":     {"", "99 in 100 of this class are faster", "ms", -1, 5, false},
 	} {
 		if len(name) > len(prefix) && name[:len(prefix)] == prefix {
-			f.Name = name
-			return f, true
+			figure.Name = name
+			return figure, true
 		}
 	}
 	return Figure{}, false
--- a/internal/simulation/measure/meter.go
+++ b/internal/simulation/measure/meter.go
@@ -67,12 +67,12 @@
 	end      monotime.Micros
 
 	binWidth      monotime.Micros
-	bins          []bin
+	bins          []seriesBin
 	quotas        []tokenBucket // by tenant
-	classes       []groupTotals
-	tenants       []groupTotals
+	classes       []groupWeight
+	tenants       []groupWeight
 	seconds       []weightSum
-	quotaSpending quotaSpending
+	quotaSpending quotaSpendTimes
 	maintenance   map[string]float64
 	tenantDemand  map[int][]int // by tenant and second: operations that started
 	total         weightSum
@@ -92,7 +92,7 @@
 // weightSum is the weight of some operations, and the part of it that was earned by serving them.
 type weightSum struct{ offered, earned float64 }
 
-type groupTotals struct{ weightSum }
+type groupWeight struct{ weightSum }
 
 // clientTotals are the operations of one client process.
 type clientTotals struct {
@@ -106,38 +106,38 @@
 	updatedAt monotime.Micros
 }
 
-type bin struct {
+type seriesBin struct {
 	weightSum
-	operations, served, late, unserved, rejectedRequests, failedRequests int64
+	operations, onTime, late, unserved, rejectedRequests, failedRequests int64
 	latencies                                                            *hdrhistogram.Histogram
 	classes                                                              []weightSum
 	zones                                                                []weightSum
 }
 
 // New returns a meter of a run whose operations start within a length.
-func New(j Criteria, length monotime.Micros, zones int) *Meter {
-	m := &Meter{criteria: j, end: length, digest: xxhash.New(), clients: map[[2]int]*clientTotals{}}
+func New(criteria Criteria, length monotime.Micros, zones int) *Meter {
+	m := &Meter{criteria: criteria, end: length, digest: xxhash.New(), clients: map[[2]int]*clientTotals{}}
 	m.binWidth = max(second, (length+maxBins-1)/maxBins)
 	m.binWidth = (m.binWidth + second - 1) / second * second
-	m.bins = make([]bin, (length+m.binWidth-1)/m.binWidth)
+	m.bins = make([]seriesBin, (length+m.binWidth-1)/m.binWidth)
 	for i := range m.bins {
 		m.bins[i].latencies = hdrhistogram.New(10, int64(time.Minute/time.Microsecond), 2)
-		m.bins[i].classes = make([]weightSum, len(j.Classes))
+		m.bins[i].classes = make([]weightSum, len(criteria.Classes))
 		m.bins[i].zones = make([]weightSum, zones)
 	}
 	m.seconds = make([]weightSum, (length+second-1)/second)
 	m.arrivals = arrivals{
-		seconds: make([]Second, len(m.seconds)),
-		probes:  make([][]uint32, len(m.seconds)),
-		dials:   make([][]uint32, len(m.seconds)),
+		seconds:  make([]Second, len(m.seconds)),
+		probesAt: make([][]uint32, len(m.seconds)),
+		dialsAt:  make([][]uint32, len(m.seconds)),
 	}
-	m.classes = make([]groupTotals, len(j.Classes))
-	m.tenants = make([]groupTotals, len(j.Tenants))
-	m.quotas = make([]tokenBucket, len(j.Tenants))
+	m.classes = make([]groupWeight, len(criteria.Classes))
+	m.tenants = make([]groupWeight, len(criteria.Tenants))
+	m.quotas = make([]tokenBucket, len(criteria.Tenants))
 	for i := range m.quotas {
-		m.quotas[i].level = max(1, j.Tenants[i].Quota)
+		m.quotas[i].level = max(1, criteria.Tenants[i].Quota)
 	}
-	for range j.Classes {
+	for range criteria.Classes {
 		m.latencies = append(m.latencies, hdrhistogram.New(10, int64(time.Minute/time.Microsecond), 3))
 	}
 	return m
@@ -148,115 +148,116 @@
 
 // Weight returns the weight of an operation that starts now, and whether it is within its tenant's quota. Calls must be
 // in the order of the operations' starts.
-func (m *Meter) Weight(s *simclient.Operation) (weight float64, within bool) {
-	weight = m.criteria.Classes[s.Class].PriorityWeight
-	if s.Tenant < 0 || s.Tenant >= len(m.quotas) || m.criteria.Tenants[s.Tenant].Quota <= 0 {
+func (m *Meter) Weight(operation *simclient.Operation) (weight float64, withinQuota bool) {
+	weight = m.criteria.Classes[operation.Class].PriorityWeight
+	if operation.Tenant < 0 || operation.Tenant >= len(m.quotas) || m.criteria.Tenants[operation.Tenant].Quota <= 0 {
 		return weight, true
 	}
 	// A bucket holds the quota of one second.
-	b := &m.quotas[s.Tenant]
-	rate := m.criteria.Tenants[s.Tenant].Quota
-	b.level = min(max(1, rate), b.level+rate*float64(s.StartedAt-b.updatedAt)/float64(second))
-	b.updatedAt = s.StartedAt
-	if b.level < 1 {
+	bucket := &m.quotas[operation.Tenant]
+	rate := m.criteria.Tenants[operation.Tenant].Quota
+	bucket.level = min(max(1, rate), bucket.level+rate*float64(operation.StartedAt-bucket.updatedAt)/float64(second))
+	bucket.updatedAt = operation.StartedAt
+	if bucket.level < 1 {
 		return weight * m.criteria.OverQuotaWeight, false
 	}
-	b.level--
+	bucket.level--
 	return weight, true
 }
 
 // OperationEnded records an operation that has ended, with the results of Weight at its start. zone is its instance's.
-func (m *Meter) OperationEnded(s *simclient.Operation, zone int, weight float64, within bool) {
-	c := &m.criteria.Classes[s.Class]
-	took := s.EndedAt - s.StartedAt
+func (m *Meter) OperationEnded(operation *simclient.Operation, zone int, weight float64, withinQuota bool) {
+	class := &m.criteria.Classes[operation.Class]
+	latency := operation.EndedAt - operation.StartedAt
 	earned := 0.0
-	onTime := s.Outcome == simclient.Served && took <= c.LatencyObjective
-	if s.Outcome == simclient.Served {
+	onTime := operation.Outcome == simclient.Served && latency <= class.LatencyObjective
+	if operation.Outcome == simclient.Served {
 		earned = weight
 		if !onTime {
-			earned *= c.LateWeight
+			earned *= class.LateWeight
 		}
 		// Longer ones count as a minute, the histogram's bound.
-		_ = m.latencies[s.Class].RecordValue(min(max(10, took), int64(time.Minute/time.Microsecond)))
-	} else if took > c.LatencyObjective {
+		_ = m.latencies[operation.Class].RecordValue(min(max(10, latency), int64(time.Minute/time.Microsecond)))
+	} else if latency > class.LatencyObjective {
 		m.lateFailures += weight
 	}
 	m.operations++
-	m.outcomes[s.Outcome]++
-	m.countDemand(s)
-	m.priorityAudit.operationEnded(s, weight, onTime)
+	m.outcomes[operation.Outcome]++
+	m.countDemand(operation)
+	m.priorityAudit.operationEnded(operation, weight, onTime)
 	m.total.add(weight, earned)
-	m.classes[s.Class].add(weight, earned)
-	if within && s.Tenant >= 0 && s.Tenant < len(m.tenants) {
-		m.tenants[s.Tenant].add(weight, earned)
+	m.classes[operation.Class].add(weight, earned)
+	if withinQuota && operation.Tenant >= 0 && operation.Tenant < len(m.tenants) {
+		m.tenants[operation.Tenant].add(weight, earned)
 	}
-	client := m.clients[[2]int{s.Instance, s.Process}]
+	client := m.clients[[2]int{operation.Instance, operation.Process}]
 	if client == nil {
 		client = &clientTotals{}
-		m.clients[[2]int{s.Instance, s.Process}] = client
+		m.clients[[2]int{operation.Instance, operation.Process}] = client
 	}
 	client.add(weight, earned)
 	client.operations++
-	if s.Outcome == simclient.Served {
-		client.latencies = append(client.latencies, int32(min(took/100, math.MaxInt32)))
+	if operation.Outcome == simclient.Served {
+		client.latencies = append(client.latencies, int32(min(latency/100, math.MaxInt32)))
 	}
-	m.seconds[min(s.StartedAt/second, int64(len(m.seconds)-1))].add(weight, earned)
-	b := &m.bins[min(s.StartedAt/m.binWidth, int64(len(m.bins)-1))]
-	b.operationEnded(s, zone, onTime, weight, earned)
-	m.requests.refused += int64(s.Rejected)
-	m.requests.failed += int64(s.Failed)
-	m.requests.lost += int64(s.Unanswered)
-	m.Costs.OfferedWork += float64(s.Work)
-	m.addToDigest(s)
+	m.seconds[min(operation.StartedAt/second, int64(len(m.seconds)-1))].add(weight, earned)
+	startBin := &m.bins[min(operation.StartedAt/m.binWidth, int64(len(m.bins)-1))]
+	startBin.operationEnded(operation, zone, onTime, weight, earned)
+	m.requests.refused += int64(operation.Rejected)
+	m.requests.failed += int64(operation.Failed)
+	m.requests.lost += int64(operation.Unanswered)
+	m.Costs.OfferedWork += float64(operation.Work)
+	m.addToDigest(operation)
 }
 
 // countDemand counts an operation of a tenant in the second in which it started.
-func (m *Meter) countDemand(s *simclient.Operation) {
-	if s.Tenant < 0 {
+func (m *Meter) countDemand(operation *simclient.Operation) {
+	if operation.Tenant < 0 {
 		return
 	}
 	if m.tenantDemand == nil {
 		m.tenantDemand = map[int][]int{}
 	}
-	if m.tenantDemand[s.Tenant] == nil {
-		m.tenantDemand[s.Tenant] = make([]int, len(m.seconds))
+	if m.tenantDemand[operation.Tenant] == nil {
+		m.tenantDemand[operation.Tenant] = make([]int, len(m.seconds))
 	}
-	m.tenantDemand[s.Tenant][min(s.StartedAt/second, int64(len(m.seconds)-1))]++
+	m.tenantDemand[operation.Tenant][min(operation.StartedAt/second, int64(len(m.seconds)-1))]++
 }
 
 // operationEnded adds a finished operation to the bin in which it started.
-func (b *bin) operationEnded(s *simclient.Operation, zone int, onTime bool, weight, earned float64) {
-	took := s.EndedAt - s.StartedAt
+func (b *seriesBin) operationEnded(operation *simclient.Operation, zone int, onTime bool, weight, earned float64) {
+	latency := operation.EndedAt - operation.StartedAt
 	b.add(weight, earned)
-	b.classes[s.Class].add(weight, earned)
+	b.classes[operation.Class].add(weight, earned)
 	if zone >= 0 && zone < len(b.zones) {
 		b.zones[zone].add(weight, earned)
 	}
 	b.operations++
 	switch {
 	case onTime:
-		b.served++
-	case s.Outcome == simclient.Served:
+		b.onTime++
+	case operation.Outcome == simclient.Served:
 		b.late++
 	default:
 		b.unserved++
 	}
-	if s.Outcome == simclient.Served {
+	if operation.Outcome == simclient.Served {
 		// Longer ones count as a minute, the histogram's bound.
-		_ = b.latencies.RecordValue(min(max(10, took), int64(time.Minute/time.Microsecond)))
+		_ = b.latencies.RecordValue(min(max(10, latency), int64(time.Minute/time.Microsecond)))
 	}
-	b.rejectedRequests += int64(s.Rejected)
-	b.failedRequests += int64(s.Failed + s.Unanswered)
+	b.rejectedRequests += int64(operation.Rejected)
+	b.failedRequests += int64(operation.Failed + operation.Unanswered)
 }
 
 // addToDigest adds an operation's end to the run's digest.
-func (m *Meter) addToDigest(s *simclient.Operation) {
-	var text [64]byte
-	for i, v := range [...]uint64{s.ID, uint64(s.Outcome), uint64(s.EndedAt), uint64(s.Requests),
-		uint64(s.Executions), uint64(s.Effects), uint64(s.Rejected), uint64(s.Failed)} {
-		binary.LittleEndian.PutUint64(text[8*i:], v)
+func (m *Meter) addToDigest(operation *simclient.Operation) {
+	var encoded [64]byte
+	for i, value := range [...]uint64{operation.ID, uint64(operation.Outcome), uint64(operation.EndedAt),
+		uint64(operation.Requests),
+		uint64(operation.Executions), uint64(operation.Effects), uint64(operation.Rejected), uint64(operation.Failed)} {
+		binary.LittleEndian.PutUint64(encoded[8*i:], value)
 	}
-	m.digest.Write(text[:])
+	m.digest.Write(encoded[:])
 }
 
 func (w *weightSum) add(offered, earned float64) {
@@ -274,10 +275,10 @@
 
 // RecordMaintenance records a run's maintenance: how many machines an operator requested, how many of them have
 // returned, how many requests were sent to one while it was out, and how long all took (0 if not all have returned).
-func (m *Meter) RecordMaintenance(requested, returned, sent int, took monotime.Micros) {
+func (m *Meter) RecordMaintenance(requested, returned, sentWhileOut int, duration monotime.Micros) {
 	m.maintenance = map[string]float64{
-		"work_sent": float64(sent),
+		"work_sent": float64(sentWhileOut),
 		"work_left": float64(requested - returned),
-		"work_took": float64(took) / float64(second),
+		"work_took": float64(duration) / float64(second),
 	}
 }
--- a/internal/simulation/measure/priorityaudit.go
+++ b/internal/simulation/measure/priorityaudit.go
@@ -25,8 +25,8 @@
 }
 
 // SetEnvironment sets what the run's endpoints and instances could serve.
-func (m *Meter) SetEnvironment(w Environment) {
-	m.priorityAudit = &priorityAudit{environment: w, seconds: make([][]classWork, len(m.seconds))}
+func (m *Meter) SetEnvironment(environment Environment) {
+	m.priorityAudit = &priorityAudit{environment: environment, seconds: make([][]classWork, len(m.seconds))}
 	for i := range m.priorityAudit.seconds {
 		m.priorityAudit.seconds[i] = make([]classWork, len(m.criteria.Classes))
 	}
@@ -34,15 +34,15 @@
 
 // operationEnded counts an operation. One that started at an instance that accepts no requests could not be served, and
 // is left out.
-func (x *priorityAudit) operationEnded(s *simclient.Operation, weight float64, onTime bool) {
-	if x == nil || !x.environment.Serving(s.Instance, s.StartedAt) {
+func (audit *priorityAudit) operationEnded(operation *simclient.Operation, weight float64, onTime bool) {
+	if audit == nil || !audit.environment.Serving(operation.Instance, operation.StartedAt) {
 		return
 	}
-	w := &x.seconds[min(s.StartedAt/second, monotime.Micros(len(x.seconds)-1))][s.Class]
-	w.offered += float64(s.Work)
-	w.weight += weight
+	totals := &audit.seconds[min(operation.StartedAt/second, monotime.Micros(len(audit.seconds)-1))][operation.Class]
+	totals.offered += float64(operation.Work)
+	totals.weight += weight
 	if onTime {
-		w.served += float64(s.Work)
+		totals.served += float64(operation.Work)
 	}
 }
 
@@ -50,40 +50,40 @@
 // the highest weight for their work are served first, up to the endpoints' capacity. out_of_order is the part of all
 // work by which that order was violated: in each second, work of higher classes that was not served while as much work
 // of lower ones was, at the division into higher and lower at which that is largest.
-func (x *priorityAudit) figures(f map[string]float64, earned float64) {
-	f["of_could"] = 1
-	f["out_of_order"] = 0
-	if x == nil {
+func (audit *priorityAudit) figures(figures map[string]float64, earned float64) {
+	figures["of_could"] = 1
+	figures["out_of_order"] = 0
+	if audit == nil {
 		return
 	}
-	var servable, outOfOrder, all float64
-	for i, classes := range x.seconds {
-		capacity := x.environment.Capacity(monotime.Micros(i)*second+second/2) * float64(second)
-		order := slices.Clone(classes)
-		slices.SortFunc(order, func(a, b classWork) int {
+	var servable, outOfOrder, offered float64
+	for i, classes := range audit.seconds {
+		capacity := audit.environment.Capacity(monotime.Micros(i)*second+second/2) * float64(second)
+		byPriority := slices.Clone(classes)
+		slices.SortFunc(byPriority, func(a, b classWork) int {
 			return cmp.Compare(b.weight*max(1, a.offered), a.weight*max(1, b.offered))
 		})
-		var worst, unservedAbove, servedBelow float64
-		for _, w := range order {
+		var maxViolation, unservedAbove, servedBelow float64
+		for _, w := range byPriority {
 			servedBelow += w.served
 		}
-		for _, w := range order {
-			work := min(capacity, w.offered)
-			capacity -= work
+		for _, w := range byPriority {
+			servedFirst := min(capacity, w.offered)
+			capacity -= servedFirst
 			if w.offered > 0 {
-				servable += w.weight * work / w.offered
+				servable += w.weight * servedFirst / w.offered
 			}
 			unservedAbove += w.offered - w.served
 			servedBelow -= w.served
-			worst = max(worst, min(unservedAbove, servedBelow))
-			all += w.offered
+			maxViolation = max(maxViolation, min(unservedAbove, servedBelow))
+			offered += w.offered
 		}
-		outOfOrder += worst
+		outOfOrder += maxViolation
 	}
 	if servable > 0 {
-		f["of_could"] = earned / servable
+		figures["of_could"] = earned / servable
 	}
-	if all > 0 {
-		f["out_of_order"] = outOfOrder / all
+	if offered > 0 {
+		figures["out_of_order"] = outOfOrder / offered
 	}
 }
--- a/internal/simulation/measure/quotaspending.go
+++ b/internal/simulation/measure/quotaspending.go
@@ -6,13 +6,13 @@
 	"dunlinsail/internal/monotime"
 )
 
-// quotaSpending are the instants at which instances spent a unit of a budget of the fleet, by budget.
-type quotaSpending map[string][]monotime.Micros
+// quotaSpendTimes are the instants at which instances spent a unit of a budget of the fleet, by budget.
+type quotaSpendTimes map[string][]monotime.Micros
 
 // QuotaSpent records that an instance spent a unit of a budget.
 func (m *Meter) QuotaSpent(now monotime.Micros, budget string) {
 	if m.quotaSpending == nil {
-		m.quotaSpending = quotaSpending{}
+		m.quotaSpending = quotaSpendTimes{}
 	}
 	m.quotaSpending[budget] = append(m.quotaSpending[budget], now)
 }
@@ -20,36 +20,36 @@
 // figures adds the figures of tenant limits: the largest use of a limit in any second, the units beyond a limit, and
 // the part of the limits that was used in seconds of contended demand. Other budgets grow with the accepted requests;
 // the figures of arrivals show them.
-func (s quotaSpending) figures(f map[string]float64, j *Criteria, demand map[int][]int) {
-	f["over_budget"] = 0
-	f["beyond_limit"] = 0
-	f["budget_use"] = 1
+func (spendTimes quotaSpendTimes) figures(figures map[string]float64, criteria *Criteria, demand map[int][]int) {
+	figures["over_budget"] = 0
+	figures["beyond_limit"] = 0
+	figures["budget_use"] = 1
 	var available, used float64
-	for i, t := range j.Tenants {
-		at := s["tenant/"+t.Name]
-		limit := j.TenantLimits[t.Name]
-		if limit <= 0 || len(at) == 0 {
+	for i, tenant := range criteria.Tenants {
+		times := spendTimes["tenant/"+tenant.Name]
+		limit := criteria.TenantLimits[tenant.Name]
+		if limit <= 0 || len(times) == 0 {
 			continue
 		}
-		slices.Sort(at) // processes report theirs one after another
-		worst, beyond := PeakSecond(at, limit)
-		f["over_budget"] = max(f["over_budget"], float64(worst)/limit)
-		f["beyond_limit"] += float64(beyond)
+		slices.Sort(times) // processes report theirs one after another
+		peak, beyond := PeakSecond(times, limit)
+		figures["over_budget"] = max(figures["over_budget"], float64(peak)/limit)
+		figures["beyond_limit"] += float64(beyond)
 		spent := make([]float64, len(demand[i]))
-		for _, v := range at {
-			if n := v / second; n >= 0 && n < monotime.Micros(len(spent)) {
-				spent[n]++
+		for _, spentAt := range times {
+			if secondIndex := spentAt / second; secondIndex >= 0 && secondIndex < monotime.Micros(len(spent)) {
+				spent[secondIndex]++
 			}
 		}
-		for n, requested := range demand[i] {
+		for secondIndex, requested := range demand[i] {
 			if float64(requested) >= contendedDemand*limit {
 				available += limit
-				used += min(spent[n], limit)
+				used += min(spent[secondIndex], limit)
 			}
 		}
 	}
 	if available > 0 {
-		f["budget_use"] = used / available
+		figures["budget_use"] = used / available
 	}
 }
 
@@ -59,17 +59,17 @@
 
 // PeakSecond returns the largest number of instants, which are sorted, within any second, and how many of them exceed a
 // limit of a second.
-func PeakSecond(at []monotime.Micros, limit float64) (worst, beyond int) {
-	from := 0
-	for i, v := range at {
-		for at[from] <= v-second {
-			from++
+func PeakSecond(times []monotime.Micros, limit float64) (peak, beyond int) {
+	oldest := 0
+	for i, spentAt := range times {
+		for times[oldest] <= spentAt-second {
+			oldest++
 		}
-		n := i - from + 1
-		worst = max(worst, n)
-		if float64(n) > limit {
+		count := i - oldest + 1
+		peak = max(peak, count)
+		if float64(count) > limit {
 			beyond++
 		}
 	}
-	return worst, beyond
+	return peak, beyond
 }
--- a/internal/simulation/measure/result.go
+++ b/internal/simulation/measure/result.go
@@ -63,101 +63,105 @@
 	Quantiles [][2]float64 `json:"Quantiles"`
 }
 
-var quantiles = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99, 100}
+var percentages = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99, 100}
 
 // Result returns the result so far.
 func (m *Meter) Result() *Result {
-	r := &Result{
+	result := &Result{
 		Figures:    map[string]float64{},
 		Costs:      m.Costs,
 		Operations: m.operations,
 		Served:     m.outcomes[simclient.Served],
 		Digest:     hex(m.digest.Sum64()),
 	}
-	f := r.Figures
-	c := &m.Costs
-	n := math.Max(1, float64(m.operations))
-	f["whole"] = m.total.share()
-	f["worst_window"] = m.worstWindowShare()
-	all := m.classFigures(r)
-	f["modest"], f["p99_modest"] = m.modestClients()
-	f["p50"] = quantileMS(all, 50)
-	f["p90"] = quantileMS(all, 90)
-	f["p99"] = quantileMS(all, 99)
-	f["p999"] = quantileMS(all, 99.9)
-	m.requestFigures(f)
-	m.arrivals.figures(f, m.seconds)
-	m.priorityAudit.figures(f, m.total.earned)
-	m.quotaSpending.figures(f, &m.criteria, m.tenantDemand)
-	f["words"] = float64(c.FleetMessages) / n
-	f["work_sent"] = 0
-	f["work_left"] = 0
-	f["work_took"] = 0
+	figures := result.Figures
+	costs := &m.Costs
+	operations := math.Max(1, float64(m.operations))
+	figures["whole"] = m.total.share()
+	figures["worst_window"] = m.worstWindowShare()
+	latencies := m.classFigures(result)
+	figures["modest"], figures["p99_modest"] = m.modestClients()
+	figures["p50"] = quantileMS(latencies, 50)
+	figures["p90"] = quantileMS(latencies, 90)
+	figures["p99"] = quantileMS(latencies, 99)
+	figures["p999"] = quantileMS(latencies, 99.9)
+	m.requestFigures(figures)
+	m.arrivals.figures(figures, m.seconds)
+	m.priorityAudit.figures(figures, m.total.earned)
+	m.quotaSpending.figures(figures, &m.criteria, m.tenantDemand)
+	figures["words"] = float64(costs.FleetMessages) / operations
+	figures["work_sent"] = 0
+	figures["work_left"] = 0
+	figures["work_took"] = 0
 	for name, v := range m.maintenance {
-		f[name] = v
+		figures[name] = v
 	}
-	f["breaks"] = float64(c.Collapses + c.AttemptsAfterDrain + c.DuplicateEffects + c.LateResponses)
-	f["service"] = m.service(f)
-	r.Series = m.series()
-	r.Seconds = m.arrivals.seconds
-	return r
+	figures["breaks"] = float64(costs.Collapses + costs.AttemptsAfterDrain + costs.DuplicateEffects +
+		costs.LateResponses)
+	figures["service"] = m.service(figures)
+	result.Series = m.series()
+	result.Seconds = m.arrivals.seconds
+	return result
 }
 
 // classFigures adds the figures of each class and tenant, and returns the latencies of all classes together.
-func (m *Meter) classFigures(r *Result) *hdrhistogram.Histogram {
-	f := r.Figures
-	f["worst_class"] = 1
-	f["worst_tenant"] = 1
-	all := hdrhistogram.New(10, int64(time.Minute/time.Microsecond), 3)
+func (m *Meter) classFigures(result *Result) *hdrhistogram.Histogram {
+	figures := result.Figures
+	figures["worst_class"] = 1
+	figures["worst_tenant"] = 1
+	latencies := hdrhistogram.New(10, int64(time.Minute/time.Microsecond), 3)
 	for i := range m.classes {
-		f["worst_class"] = min(f["worst_class"], m.classes[i].share())
+		figures["worst_class"] = min(figures["worst_class"], m.classes[i].share())
 		name := m.criteria.Classes[i].Name
-		f["service."+name] = m.classes[i].share()
-		f["p50."+name] = quantileMS(m.latencies[i], 50)
-		f["p99."+name] = quantileMS(m.latencies[i], 99)
-		all.Merge(m.latencies[i])
-		t := ClassLatency{Name: name, Count: m.latencies[i].TotalCount()}
-		for _, q := range quantiles {
-			t.Quantiles = append(t.Quantiles, [2]float64{q, quantileMS(m.latencies[i], q)})
+		figures["service."+name] = m.classes[i].share()
+		figures["p50."+name] = quantileMS(m.latencies[i], 50)
+		figures["p99."+name] = quantileMS(m.latencies[i], 99)
+		latencies.Merge(m.latencies[i])
+		classLatency := ClassLatency{Name: name, Count: m.latencies[i].TotalCount()}
+		for _, percentage := range percentages {
+			classLatency.Quantiles = append(classLatency.Quantiles,
+				[2]float64{percentage, quantileMS(m.latencies[i], percentage)})
 		}
-		r.Classes = append(r.Classes, t)
+		result.Classes = append(result.Classes, classLatency)
 	}
 	for i := range m.tenants {
-		f["worst_tenant"] = min(f["worst_tenant"], m.tenants[i].share())
-		f["service."+m.criteria.Tenants[i].Name] = m.tenants[i].share()
+		figures["worst_tenant"] = min(figures["worst_tenant"], m.tenants[i].share())
+		figures["service."+m.criteria.Tenants[i].Name] = m.tenants[i].share()
 	}
-	return all
+	return latencies
 }
 
 // requestFigures adds the requests of clients and instances for an operation, and how they ended.
-func (m *Meter) requestFigures(f map[string]float64) {
-	c := &m.Costs
-	n := math.Max(1, float64(m.operations))
-	f["served"] = float64(m.outcomes[simclient.Served]) / n
-	f["unserved"] = float64(m.outcomes[simclient.Unserved]) / n
-	f["tries"] = float64(c.ClientRequests) / n
-	f["attempts"] = float64(c.Attempts) / n
-	f["refused"] = float64(m.requests.refused) / math.Max(1, float64(c.ClientRequests))
-	f["failed"] = float64(m.requests.failed) / math.Max(1, float64(c.ClientRequests))
-	f["lost"] = float64(m.requests.lost) / math.Max(1, float64(c.ClientRequests))
-	f["cross_zone"] = float64(c.CrossZone) / n
-	f["probes"] = float64(c.Probes) / n
-	f["dials"] = float64(c.Dials) / n
-	f["waste"] = max(0, c.ExecutedWork-c.UsefulWork) / math.Max(1, c.OfferedWork)
-	f["late_fail"] = m.lateFailures / math.Max(1e-9, m.total.offered)
+func (m *Meter) requestFigures(figures map[string]float64) {
+	costs := &m.Costs
+	operations := math.Max(1, float64(m.operations))
+	figures["served"] = float64(m.outcomes[simclient.Served]) / operations
+	figures["unserved"] = float64(m.outcomes[simclient.Unserved]) / operations
+	figures["tries"] = float64(costs.ClientRequests) / operations
+	figures["attempts"] = float64(costs.Attempts) / operations
+	figures["refused"] = float64(m.requests.refused) / math.Max(1, float64(costs.ClientRequests))
+	figures["failed"] = float64(m.requests.failed) / math.Max(1, float64(costs.ClientRequests))
+	figures["lost"] = float64(m.requests.lost) / math.Max(1, float64(costs.ClientRequests))
+	figures["cross_zone"] = float64(costs.CrossZone) / operations
+	figures["probes"] = float64(costs.Probes) / operations
+	figures["dials"] = float64(costs.Dials) / operations
+	figures["waste"] = max(0, costs.ExecutedWork-costs.UsefulWork) / math.Max(1, costs.OfferedWork)
+	figures["late_fail"] = m.lateFailures / math.Max(1e-9, m.total.offered)
 }
 
 // service is the main figure of a run: the shares served, weighted by the goal, less the prices.
-func (m *Meter) service(f map[string]float64) float64 {
-	g := &m.criteria.Goal
-	p := &m.criteria.Prices
-	weights := g.Overall + g.WorstWindow + g.WorstClass + g.WorstTenant
-	service := f["whole"]
+func (m *Meter) service(figures map[string]float64) float64 {
+	goal := &m.criteria.Goal
+	prices := &m.criteria.Prices
+	weights := goal.Overall + goal.WorstWindow + goal.WorstClass + goal.WorstTenant
+	service := figures["whole"]
 	if weights > 0 {
-		service = (g.Overall*f["whole"] + g.WorstWindow*f["worst_window"] + g.WorstClass*f["worst_class"] +
-			g.WorstTenant*f["worst_tenant"]) / weights
+		service = (goal.Overall*figures["whole"] + goal.WorstWindow*figures["worst_window"] +
+			goal.WorstClass*figures["worst_class"] +
+			goal.WorstTenant*figures["worst_tenant"]) / weights
 	}
-	service -= p.Waste*f["waste"] + p.LateFail*f["late_fail"] + p.CrossZone*f["cross_zone"] + p.Probe*f["probes"]
+	service -= prices.Waste*figures["waste"] + prices.LateFail*figures["late_fail"] +
+		prices.CrossZone*figures["cross_zone"] + prices.Probe*figures["probes"]
 	return service
 }
 
@@ -168,61 +172,61 @@
 // latencies in milliseconds.
 func (m *Meter) modestClients() (service, p99 float64) {
 	// Sorted, since the order of additions changes the sum.
-	order := slices.SortedFunc(maps.Keys(m.clients), func(a, b [2]int) int { return slices.Compare(a[:], b[:]) })
-	var all weightSum
+	clientIDs := slices.SortedFunc(maps.Keys(m.clients), func(a, b [2]int) int { return slices.Compare(a[:], b[:]) })
+	var total weightSum
 	var latencies []int32
-	for len(order) > 0 {
-		n := 1
-		for n < len(order) && order[n][0] == order[0][0] {
-			n++
+	for len(clientIDs) > 0 {
+		clientCount := 1
+		for clientCount < len(clientIDs) && clientIDs[clientCount][0] == clientIDs[0][0] {
+			clientCount++
 		}
 		var counts []int64
-		for _, id := range order[:n] {
+		for _, id := range clientIDs[:clientCount] {
 			counts = append(counts, m.clients[id].operations)
 		}
 		slices.Sort(counts)
-		for _, id := range order[:n] {
-			if c := m.clients[id]; c.operations <= modestFactor*counts[n/2] {
-				all.add(c.weightSum.offered, c.earned)
-				latencies = append(latencies, c.latencies...)
+		for _, id := range clientIDs[:clientCount] {
+			if client := m.clients[id]; client.operations <= modestFactor*counts[clientCount/2] {
+				total.add(client.weightSum.offered, client.earned)
+				latencies = append(latencies, client.latencies...)
 			}
 		}
-		order = order[n:]
+		clientIDs = clientIDs[clientCount:]
 	}
 	if len(latencies) == 0 {
-		return all.share(), 0
+		return total.share(), 0
 	}
 	slices.Sort(latencies)
-	return all.share(), float64(latencies[min(len(latencies)-1, len(latencies)*99/100)]) / 10
+	return total.share(), float64(latencies[min(len(latencies)-1, len(latencies)*99/100)]) / 10
 }
 
-func hex(v uint64) string {
+func hex(value uint64) string {
 	const digits = "0123456789abcdef"
-	var b [16]byte
-	for i := range b {
-		b[i] = digits[v>>(60-4*i)&15]
+	var text [16]byte
+	for i := range text {
+		text[i] = digits[value>>(60-4*i)&15]
 	}
-	return string(b[:])
+	return string(text[:])
 }
 
-func quantileMS(h *hdrhistogram.Histogram, q float64) float64 {
-	if h.TotalCount() == 0 {
+func quantileMS(histogram *hdrhistogram.Histogram, percentage float64) float64 {
+	if histogram.TotalCount() == 0 {
 		return 0
 	}
-	return float64(h.ValueAtQuantile(q)) / 1000
+	return float64(histogram.ValueAtQuantile(percentage)) / 1000
 }
 
 // worstWindowShare is the least share over any ten seconds that begin with a second, or over all where there are fewer.
 func (m *Meter) worstWindowShare() float64 {
 	worst := 1.0
-	var in weightSum
+	var window weightSum
 	for i := range m.seconds {
-		in.add(m.seconds[i].offered, m.seconds[i].earned)
+		window.add(m.seconds[i].offered, m.seconds[i].earned)
 		if i >= worstWindowSeconds {
-			in.add(-m.seconds[i-worstWindowSeconds].offered, -m.seconds[i-worstWindowSeconds].earned)
+			window.add(-m.seconds[i-worstWindowSeconds].offered, -m.seconds[i-worstWindowSeconds].earned)
 		}
-		if (i >= worstWindowSeconds-1 || i == len(m.seconds)-1) && in.offered > 1e-6 {
-			worst = min(worst, in.share())
+		if (i >= worstWindowSeconds-1 || i == len(m.seconds)-1) && window.offered > 1e-6 {
+			worst = min(worst, window.share())
 		}
 	}
 	return worst
@@ -230,26 +234,26 @@
 
 func (m *Meter) series() Series {
 	s := Series{Bin: m.binWidth, Class: make([][]float64, len(m.classes))}
-	per := float64(m.binWidth) / float64(second)
+	binSeconds := float64(m.binWidth) / float64(second)
 	for i := range m.bins {
-		b := &m.bins[i]
-		s.Service = append(s.Service, b.share())
-		s.Offered = append(s.Offered, float64(b.operations)/per)
-		s.OnTime = append(s.OnTime, float64(b.served)/per)
-		s.Late = append(s.Late, float64(b.late)/per)
-		s.Unserved = append(s.Unserved, float64(b.unserved)/per)
-		s.Rejected = append(s.Rejected, float64(b.rejectedRequests)/per)
-		s.Failed = append(s.Failed, float64(b.failedRequests)/per)
-		s.P50 = append(s.P50, quantileMS(b.latencies, 50))
-		s.P99 = append(s.P99, quantileMS(b.latencies, 99))
-		for j := range b.classes {
-			s.Class[j] = append(s.Class[j], b.classes[j].share())
+		current := &m.bins[i]
+		s.Service = append(s.Service, current.share())
+		s.Offered = append(s.Offered, float64(current.operations)/binSeconds)
+		s.OnTime = append(s.OnTime, float64(current.onTime)/binSeconds)
+		s.Late = append(s.Late, float64(current.late)/binSeconds)
+		s.Unserved = append(s.Unserved, float64(current.unserved)/binSeconds)
+		s.Rejected = append(s.Rejected, float64(current.rejectedRequests)/binSeconds)
+		s.Failed = append(s.Failed, float64(current.failedRequests)/binSeconds)
+		s.P50 = append(s.P50, quantileMS(current.latencies, 50))
+		s.P99 = append(s.P99, quantileMS(current.latencies, 99))
+		for j := range current.classes {
+			s.Class[j] = append(s.Class[j], current.classes[j].share())
 		}
 		if s.Zone == nil {
-			s.Zone = make([][]float64, len(b.zones))
+			s.Zone = make([][]float64, len(current.zones))
 		}
-		for j := range b.zones {
-			s.Zone[j] = append(s.Zone[j], b.zones[j].share())
+		for j := range current.zones {
+			s.Zone[j] = append(s.Zone[j], current.zones[j].share())
 		}
 	}
 	return s
--- a/internal/simulation/scenario/capacity.go
+++ b/internal/simulation/scenario/capacity.go
@@ -15,11 +15,11 @@
 func (p *Plan) MaxServableShare() float64 {
 	var requested, servable float64
 	backlog := 0.0
-	work := p.MeanWork()
-	times := p.surges()
+	meanWork := p.MeanWork()
+	surgeFactor := p.surgeFactorFunc()
 	for at := monotime.Micros(0); at < p.Length.Micros(); at += servableStep {
-		demand := p.Rate * p.RateFactor(at) * times(at) * float64(servableStep) / float64(second)
-		capacity := p.CapacityAt(at) * float64(servableStep) / work
+		demand := p.Rate * p.RateFactor(at) * surgeFactor(at) * float64(servableStep) / float64(second)
+		capacity := p.CapacityAt(at) * float64(servableStep) / meanWork
 		requested += demand
 		served := min(demand+backlog, capacity)
 		servable += served
@@ -32,118 +32,118 @@
 }
 
 // surges returns a function of time: the factor by which surges multiply the traffic of all instances.
-func (p *Plan) surges() func(at monotime.Micros) float64 {
-	var all []*operationMix
+func (p *Plan) surgeFactorFunc() func(at monotime.Micros) float64 {
+	var mixes []*operationMix
 	for i := range p.Instances {
-		if k := p.operationMix(i); k.surges || i == 0 {
-			all = append(all, k)
+		if mix := p.newOperationMix(i); mix.hasSurges || i == 0 {
+			mixes = append(mixes, mix)
 		}
 	}
-	return func(at monotime.Micros) (times float64) {
-		if len(all) == 1 {
-			all[0].setTime(at)
-			return all[0].sum
+	return func(at monotime.Micros) (factor float64) {
+		if len(mixes) == 1 {
+			mixes[0].setTime(at)
+			return mixes[0].sum
 		}
-		for i, k := range all {
-			k.setTime(at)
-			times += k.sum * p.Instances[i].Share
+		for i, mix := range mixes {
+			mix.setTime(at)
+			factor += mix.sum * p.Instances[i].Share
 		}
-		return times
+		return factor
 	}
 }
 
 // CapacityAt is the useful work in microseconds that all endpoints can do in a microsecond at an instant.
 func (p *Plan) CapacityAt(at monotime.Micros) float64 {
-	speed := make([]float64, len(p.Endpoints))
+	speeds := make([]float64, len(p.Endpoints))
 	for i := range p.Endpoints {
-		n := &p.Endpoints[i]
-		speed[i] = n.Config.Speed * float64(n.Config.Cores)
-		if n.StartsWithRun {
-			speed[i] *= n.warmupShare(at)
+		endpoint := &p.Endpoints[i]
+		speeds[i] = endpoint.Config.Speed * float64(endpoint.Config.Cores)
+		if endpoint.StartsWithRun {
+			speeds[i] *= endpoint.warmupSpeedFactor(at)
 		}
 	}
 	for i := range p.PlannedEvents {
-		if h := &p.PlannedEvents[i]; at >= h.At {
-			p.applyEvent(speed, h, at)
+		if event := &p.PlannedEvents[i]; at >= event.At {
+			p.applyEvent(speeds, event, at)
 		}
 	}
 	var sum float64
-	for _, v := range speed {
-		sum += v
+	for _, speed := range speeds {
+		sum += speed
 	}
 	return sum
 }
 
 // applyEvent reduces the endpoints' speeds at an instant by an event that has started.
-func (p *Plan) applyEvent(speed []float64, h *PlannedEvent, at monotime.Micros) {
-	over := at >= h.Until
-	switch h.What {
+func (p *Plan) applyEvent(speeds []float64, event *PlannedEvent, at monotime.Micros) {
+	ended := at >= event.Until
+	switch event.What {
 	case EventKill, EventMachineLost, EventDrain:
-		p.applyStop(speed, h, h.Endpoints, at)
+		p.applyOutage(speeds, event, event.Endpoints, at)
 	case EventPowerCut:
-		var all []int
-		for j := range p.Endpoints {
-			all = append(all, j)
+		var allEndpoints []int
+		for index := range p.Endpoints {
+			allEndpoints = append(allEndpoints, index)
 		}
-		p.applyStop(speed, h, all, at)
+		p.applyOutage(speeds, event, allEndpoints, at)
 	case EventRollingRestart:
-		if !over {
-			p.applyRollingRestart(speed, h, at)
+		if !ended {
+			p.applyRollingRestart(speeds, event, at)
 		}
 	case EventSlow, EventFalseReports, EventErrors, EventUnanswered, EventRejecting, EventNeighbour, EventPause:
-		if !over {
-			for k, j := range h.Endpoints {
-				speed[j] *= remainingSpeed(h, k, at)
+		if !ended {
+			for position, index := range event.Endpoints {
+				speeds[index] *= eventSpeedFactor(event, position, at)
 			}
 		}
 	}
 }
 
-// applyStop stops endpoints during an event. They warm up after it, if it ends.
-func (p *Plan) applyStop(speed []float64, h *PlannedEvent, endpoints []int, at monotime.Micros) {
-	for _, j := range endpoints {
-		if at < h.Until {
-			speed[j] = 0
-		} else if h.Until < math.MaxInt64 {
-			speed[j] *= p.Endpoints[j].warmupShare(at - h.Until)
+// applyOutage stops endpoints during an event. They warm up after it, if it ends.
+func (p *Plan) applyOutage(speeds []float64, event *PlannedEvent, endpoints []int, at monotime.Micros) {
+	for _, index := range endpoints {
+		if at < event.Until {
+			speeds[index] = 0
+		} else if event.Until < math.MaxInt64 {
+			speeds[index] *= p.Endpoints[index].warmupSpeedFactor(at - event.Until)
 		}
 	}
 }
 
 // applyRollingRestart stops one endpoint after another; those before it warm up.
-func (p *Plan) applyRollingRestart(speed []float64, h *PlannedEvent, at monotime.Micros) {
-	for k, j := range h.Endpoints {
-		from := h.At + monotime.Micros(k)*h.Every
-		if at >= from && at < from+h.Every {
-			speed[j] = 0
-		} else if at >= from+h.Every {
-			speed[j] *= p.Endpoints[j].warmupShare(at - from - h.Every)
+func (p *Plan) applyRollingRestart(speeds []float64, event *PlannedEvent, at monotime.Micros) {
+	for position, index := range event.Endpoints {
+		stopsAt := event.At + monotime.Micros(position)*event.Every
+		if at >= stopsAt && at < stopsAt+event.Every {
+			speeds[index] = 0
+		} else if at >= stopsAt+event.Every {
+			speeds[index] *= p.Endpoints[index].warmupSpeedFactor(at - stopsAt - event.Every)
 		}
 	}
 }
 
-// warmupShare is the part of its speed that an endpoint has at an age since its start.
-func (n *Endpoint) warmupShare(age monotime.Micros) float64 {
-	c := &n.Config
-	if c.WarmupDuration <= 0 || age >= c.WarmupDuration {
+// warmupSpeedFactor is the part of its speed that an endpoint has at an age since its start.
+func (endpoint *Endpoint) warmupSpeedFactor(age monotime.Micros) float64 {
+	config := &endpoint.Config
+	if config.WarmupDuration <= 0 || age >= config.WarmupDuration {
 		return 1
 	}
-	return c.WarmupFrom + (1-c.WarmupFrom)*float64(age)/float64(c.WarmupDuration)
+	return config.WarmupFrom + (1-config.WarmupFrom)*float64(age)/float64(config.WarmupDuration)
 }
 
-// remainingSpeed is the part of its speed that an event leaves an endpoint.
-func remainingSpeed(h *PlannedEvent, k int, at monotime.Micros) float64 {
-	switch h.What {
+// eventSpeedFactor is the part of its speed that an event leaves an endpoint.
+func eventSpeedFactor(event *PlannedEvent, position int, at monotime.Micros) float64 {
+	switch event.What {
 	case EventSlow, EventFalseReports:
-		return 1 / h.Sizes[k]
+		return 1 / event.Sizes[position]
 	case EventErrors, EventUnanswered, EventRejecting:
-		if h.Class >= 0 {
+		if event.Class >= 0 {
 			return 1 // the others can be served there
 		}
-		return 1 - h.Sizes[k]
+		return 1 - event.Sizes[position]
 	case EventNeighbour:
-		if h.Every <= 0 || (at-h.At)/h.Every%2 == 0 {
-			return 1 - h.Sizes[k]
+		if event.Every <= 0 || (at-event.At)/event.Every%2 == 0 {
+			return 1 - event.Sizes[position]
 		}
 	case EventPause:
 		return 0
@@ -154,18 +154,18 @@
 // InstanceServing reports whether an instance accepts requests at an instant: it is neither frozen nor killed.
 func (p *Plan) InstanceServing(instance int, at monotime.Micros) bool {
 	for i := range p.PlannedEvents {
-		h := &p.PlannedEvents[i]
-		switch h.What {
+		event := &p.PlannedEvents[i]
+		switch event.What {
 		case EventInstanceFreeze:
-			if _, frozen := h.Frozen(at); frozen && contains(h.Instances, instance) {
+			if _, frozen := event.Frozen(at); frozen && contains(event.Instances, instance) {
 				return false
 			}
 		case EventInstanceRestart, EventPowerCut:
-			until := h.Until
+			until := event.Until
 			if until == math.MaxInt64 {
-				until = h.At + second
+				until = event.At + second
 			}
-			if at >= h.At && at < until && contains(h.Instances, instance) {
+			if at >= event.At && at < until && contains(event.Instances, instance) {
 				return false
 			}
 		}
--- a/internal/simulation/scenario/eventkind.go
+++ b/internal/simulation/scenario/eventkind.go
@@ -45,8 +45,8 @@
 
 // eventKind says what an event of a kind applies to.
 type eventKind struct {
-	endpoints bool   // it applies to endpoints, which the event selects
-	size      string // what its key size means; "" is that it has none
+	appliesToEndpoints bool   // it applies to endpoints, which the event selects
+	sizeMeaning        string // what its key size means; "" is that it has none
 }
 
 // eventKinds are all kinds, with what each does.
--- a/internal/simulation/scenario/operations.go
+++ b/internal/simulation/scenario/operations.go
@@ -30,88 +30,93 @@
 	case i == len(p.Shape):
 		return p.Shape[i-1].Factor
 	}
-	a := &p.Shape[i-1]
-	b := &p.Shape[i]
-	part := float64(at-a.At.Micros()) / float64(b.At.Micros()-a.At.Micros())
-	return a.Factor + (b.Factor-a.Factor)*part
+	before := &p.Shape[i-1]
+	after := &p.Shape[i]
+	elapsed := float64(at-before.At.Micros()) / float64(after.At.Micros()-before.At.Micros())
+	return before.Factor + (after.Factor-before.Factor)*elapsed
 }
 
 // surge is the factor by which surges multiply the traffic of a class, tenant and client process of an instance.
-func (p *Plan) surge(at monotime.Micros, instance, class, tenant, process int) float64 {
-	v := 1.0
+func (p *Plan) surgeFactor(at monotime.Micros, instance, class, tenant, process int) float64 {
+	factor := 1.0
 	for i := range p.PlannedEvents {
-		h := &p.PlannedEvents[i]
-		if h.What == EventSurge && at >= h.At && at < h.Until && contains(h.Instances, instance) &&
-			(h.Class < 0 || h.Class == class) &&
-			(h.Tenant < 0 || h.Tenant == tenant) && (!h.OneClient || process == 0) {
-			v *= h.Sizes[0]
+		event := &p.PlannedEvents[i]
+		if event.What == EventSurge && at >= event.At && at < event.Until && contains(event.Instances, instance) &&
+			(event.Class < 0 || event.Class == class) &&
+			(event.Tenant < 0 || event.Tenant == tenant) && (!event.OneClient || process == 0) {
+			factor *= event.Sizes[0]
 		}
 	}
-	return v
+	return factor
 }
 
 // operationMix has the weight of each combination of class, tenant and client process among an instance's operations.
 type operationMix struct {
-	plan      *Plan
-	instance  int
-	tenants   int
-	processes int
-	weights   []float64
-	base      []float64 // without surges
-	surges    bool
-	sum       float64
+	plan         *Plan
+	instance     int
+	tenantCount  int
+	processCount int
+	weights      []float64
+	baseWeights  []float64 // without surges
+	hasSurges    bool
+	sum          float64
 }
 
-func (p *Plan) operationMix(instance int) *operationMix {
-	k := &operationMix{plan: p, instance: instance, tenants: max(1, len(p.Tenants)), processes: p.Clients.Processes}
-	var classes, shares float64
+func (p *Plan) newOperationMix(instance int) *operationMix {
+	mix := &operationMix{
+		plan:         p,
+		instance:     instance,
+		tenantCount:  max(1, len(p.Tenants)),
+		processCount: p.Clients.Processes,
+	}
+	var classShares, tenantShares float64
 	for _, c := range p.Classes {
-		classes += c.Share
+		classShares += c.Share
 	}
 	for _, t := range p.Tenants {
-		shares += t.Share
+		tenantShares += t.Share
 	}
-	for i := range len(p.Classes) * k.tenants * k.processes {
-		class, tenant, _ := k.split(i)
-		w := p.Classes[class].Share / classes / float64(k.processes)
-		if shares > 0 {
-			w *= p.Tenants[tenant].Share / shares
+	for i := range len(p.Classes) * mix.tenantCount * mix.processCount {
+		class, tenant, _ := mix.combination(i)
+		weight := p.Classes[class].Share / classShares / float64(mix.processCount)
+		if tenantShares > 0 {
+			weight *= p.Tenants[tenant].Share / tenantShares
 		}
-		k.base = append(k.base, w)
-		k.sum += w
+		mix.baseWeights = append(mix.baseWeights, weight)
+		mix.sum += weight
 	}
-	k.weights = slices.Clone(k.base)
-	k.surges = p.HasEvent(EventSurge)
-	return k
+	mix.weights = slices.Clone(mix.baseWeights)
+	mix.hasSurges = p.HasEvent(EventSurge)
+	return mix
 }
 
 // split returns the class, tenant and process of an index in weights.
-func (k *operationMix) split(i int) (class, tenant, process int) {
-	return i / (k.tenants * k.processes), i / k.processes % k.tenants, i % k.processes
+func (mix *operationMix) combination(i int) (class, tenant, process int) {
+	return i / (mix.tenantCount * mix.processCount), i / mix.processCount % mix.tenantCount, i % mix.processCount
 }
 
 // setTime sets the weights to those of an instant.
-func (k *operationMix) setTime(at monotime.Micros) {
-	if !k.surges {
+func (mix *operationMix) setTime(at monotime.Micros) {
+	if !mix.hasSurges {
 		return
 	}
-	k.sum = 0
-	for i, w := range k.base {
-		class, tenant, process := k.split(i)
-		k.weights[i] = w * k.plan.surge(at, k.instance, class, tenant, process)
-		k.sum += k.weights[i]
+	mix.sum = 0
+	for i, weight := range mix.baseWeights {
+		class, tenant, process := mix.combination(i)
+		mix.weights[i] = weight * mix.plan.surgeFactor(at, mix.instance, class, tenant, process)
+		mix.sum += mix.weights[i]
 	}
 }
 
 // pick draws a combination by its weight.
-func (k *operationMix) pick(r *rand.Rand) (class, tenant, process int) {
-	x := r.Float64() * k.sum
-	for i, w := range k.weights {
-		if x -= w; x < 0 {
-			return k.split(i)
+func (mix *operationMix) pick(rng *rand.Rand) (class, tenant, process int) {
+	remaining := rng.Float64() * mix.sum
+	for i, weight := range mix.weights {
+		if remaining -= weight; remaining < 0 {
+			return mix.combination(i)
 		}
 	}
-	return k.split(len(k.weights) - 1)
+	return mix.combination(len(mix.weights) - 1)
 }
 
 // Operations returns a function that returns an instance's operations in the order of their starts, one at each call,
@@ -120,10 +125,10 @@
 	if p.Source != nil {
 		return p.Source.Operations(instance)
 	}
-	in := &p.Instances[instance]
+	planned := &p.Instances[instance]
 	arrivals := randstream.New(p.Seed, "arrivals").Source(uint64(instance))
-	operations := randstream.New(p.Seed, "stories")
-	kinds := p.operationMix(instance)
+	operationStream := randstream.New(p.Seed, "stories")
+	mix := p.newOperationMix(instance)
 	// Thinning (Lewis, Shedler: "Simulation of nonhomogeneous Poisson processes by thinning", 1979): arrivals are drawn
 	// at the highest rate, and a part of them is kept.
 	maxFactor := 0.0
@@ -138,9 +143,9 @@
 			maxFactor *= max(1, h.Sizes[0])
 		}
 	}
-	rate := p.Rate * in.Share * maxFactor / float64(second)
+	rate := p.Rate * planned.Share * maxFactor / float64(second)
 	at := 0.0
-	n := uint64(0)
+	sequence := uint64(0)
 	end := float64(p.Length.Micros())
 	return func() (simclient.Operation, bool) {
 		if rate <= 0 {
@@ -151,14 +156,14 @@
 			if at >= end {
 				return simclient.Operation{}, false
 			}
-			kinds.setTime(monotime.Micros(at))
-			if arrivals.Float64()*maxFactor >= p.RateFactor(monotime.Micros(at))*kinds.sum {
+			mix.setTime(monotime.Micros(at))
+			if arrivals.Float64()*maxFactor >= p.RateFactor(monotime.Micros(at))*mix.sum {
 				continue
 			}
-			id := uint64(instance)<<32 | n
-			n++
-			r := operations.For(id)
-			s := simclient.Operation{
+			id := uint64(instance)<<32 | sequence
+			sequence++
+			r := operationStream.For(id)
+			operation := simclient.Operation{
 				ID:        id,
 				Instance:  instance,
 				StartedAt: monotime.Micros(at),
@@ -166,26 +171,26 @@
 				Object:    r.Uint64N(uint64(p.Clients.Objects)),
 			}
 			var tenant int
-			s.Class, tenant, s.Process = kinds.pick(r)
+			operation.Class, tenant, operation.Process = mix.pick(r)
 			if len(p.Tenants) > 0 {
-				s.Tenant = tenant
+				operation.Tenant = tenant
 			}
-			s.IdempotencyKey = r.Uint64() | 1
-			s.Work = p.Classes[s.Class].Draw(r)
-			return s, true
+			operation.IdempotencyKey = r.Uint64() | 1
+			operation.Work = p.Classes[operation.Class].Draw(r)
+			return operation, true
 		}
 	}
 }
 
 // Draw draws the work of a request in microseconds, by the class's distribution.
-func (c *Class) Draw(r *rand.Rand) monotime.Micros {
-	mean := float64(c.Work.Micros())
-	switch c.Dist {
+func (class *Class) Draw(rng *rand.Rand) monotime.Micros {
+	work := float64(class.Work.Micros())
+	switch class.Dist {
 	case "fixed":
 	case "exponential":
-		mean *= r.ExpFloat64()
+		work *= rng.ExpFloat64()
 	default:
-		mean = randstream.LogNormal(r, mean, c.CV)
+		work = randstream.LogNormal(rng, work, class.CV)
 	}
-	return max(1, monotime.Micros(mean))
+	return max(1, monotime.Micros(work))
 }
--- a/internal/simulation/scenario/parse.go
+++ b/internal/simulation/scenario/parse.go
@@ -12,35 +12,35 @@
 )
 
 // span returns a pointer to a span: a file need not give one.
-func span(from, to time.Duration) *stricttoml.Span { return &stricttoml.Span{From: from, To: to} }
+func newSpan(from, to time.Duration) *stricttoml.Span { return &stricttoml.Span{From: from, To: to} }
 
-func length(d time.Duration) stricttoml.Duration { return stricttoml.Duration{Duration: d} }
+func duration(d time.Duration) stricttoml.Duration { return stricttoml.Duration{Duration: d} }
 
 // defaults are the values of keys that a file leaves out: a small site without faults.
 func defaults() Scenario {
 	return Scenario{
-		Length: length(30 * time.Second),
+		Length: duration(30 * time.Second),
 		Fleet:  Fleet{Instances: 3},
 		Network: Network{
-			Client:     length(70 * time.Microsecond),
-			Within:     length(250 * time.Microsecond),
-			Between:    length(time.Millisecond),
+			Client:     duration(70 * time.Microsecond),
+			Within:     duration(250 * time.Microsecond),
+			Between:    duration(time.Millisecond),
 			Jitter:     0.2,
-			Retransmit: length(200 * time.Millisecond),
+			Retransmit: duration(200 * time.Millisecond),
 		},
-		Host: Host{Overhead: length(100 * time.Microsecond), Slack: length(50 * time.Microsecond)},
+		Host: Host{Overhead: duration(100 * time.Microsecond), Slack: duration(50 * time.Microsecond)},
 		Discovery: Discovery{
-			Add:    span(500*time.Millisecond, 2*time.Second),
-			Drain:  span(100*time.Millisecond, 500*time.Millisecond),
-			Gone:   span(2*time.Second, 5*time.Second),
-			Silent: span(5*time.Second, 10*time.Second),
-			Spread: length(100 * time.Millisecond),
+			Add:    newSpan(500*time.Millisecond, 2*time.Second),
+			Drain:  newSpan(100*time.Millisecond, 500*time.Millisecond),
+			Gone:   newSpan(2*time.Second, 5*time.Second),
+			Silent: newSpan(5*time.Second, 10*time.Second),
+			Spread: duration(100 * time.Millisecond),
 		},
 		Clients: Clients{
 			Processes:       4,
 			Retries:         [2]int{1, 2},
 			TimeoutShare:    Range{0.5, 0.8},
-			Backoff:         span(10*time.Millisecond, 80*time.Millisecond),
+			Backoff:         newSpan(10*time.Millisecond, 80*time.Millisecond),
 			HonorRetryAfter: 0.9,
 			Objects:         10_000,
 		},
@@ -58,7 +58,7 @@
 // Parse reads and checks a file's text. Its error is stricttoml.Errors, or that of find for a base scenario.
 func Parse(text []byte, find Finder) (*Scenario, error) {
 	s := defaults()
-	if err := s.overlay(text, find, 0); err != nil {
+	if err := s.applyText(text, find, 0); err != nil {
 		return nil, err
 	}
 	return &s, nil
@@ -68,46 +68,46 @@
 const maxBases = 4
 
 // overlay reads a text over the present values, and checks the result. depth is how many scenarios are based on it.
-func (s *Scenario) overlay(text []byte, find Finder, depth int) error {
-	var own Scenario
-	lines, err := stricttoml.Decode(text, &own)
+func (s *Scenario) applyText(text []byte, find Finder, depth int) error {
+	var fileValues Scenario
+	lines, err := stricttoml.Decode(text, &fileValues)
 	if err != nil {
 		return err
 	}
-	k := &stricttoml.Validation{Lines: lines}
-	if own.Base != "" {
-		if err := s.overlayBase(own.Base, find, depth, k); err != nil {
+	validation := &stricttoml.Validation{Lines: lines}
+	if fileValues.Base != "" {
+		if err := s.applyBase(fileValues.Base, find, depth, validation); err != nil {
 			return err
 		}
 	}
 	s.clearLists(lines)
 	// Load or rate in this text replaces the base's other one.
-	if own.Clients.Load > 0 {
+	if fileValues.Clients.Load > 0 {
 		s.Clients.Rate = 0
-	} else if own.Clients.Rate > 0 {
+	} else if fileValues.Clients.Rate > 0 {
 		s.Clients.Load = 0
 	}
 	if _, err := stricttoml.Decode(text, s); err != nil {
 		return err
 	}
 	s.setDefaults()
-	s.check(k)
+	s.check(validation)
 	s.Base = ""
-	return k.Err()
+	return validation.Err()
 }
 
-// overlayBase reads the scenario on which this one is based.
-func (s *Scenario) overlayBase(name string, find Finder, depth int, k *stricttoml.Validation) error {
-	k.Require(depth < maxBases, "base", "more than %d scenarios are based on one another", maxBases)
-	if err := k.Err(); err != nil {
+// applyBase reads the scenario on which this one is based.
+func (s *Scenario) applyBase(name string, find Finder, depth int, validation *stricttoml.Validation) error {
+	validation.Require(depth < maxBases, "base", "more than %d scenarios are based on one another", maxBases)
+	if err := validation.Err(); err != nil {
 		return err
 	}
-	base, err := find(name)
+	baseText, err := find(name)
 	if err != nil {
-		k.Require(false, "base", "%v", err)
-		return k.Err()
+		validation.Require(false, "base", "%v", err)
+		return validation.Err()
 	}
-	if err := s.overlay(base, find, depth+1); err != nil {
+	if err := s.applyText(baseText, find, depth+1); err != nil {
 		return fmt.Errorf("scenario %q: %w", name, err)
 	}
 	// A base's description and claims are its own.
@@ -149,63 +149,63 @@
 
 // Text returns the scenario as a file with all values.
 func (s *Scenario) Text() ([]byte, error) {
-	var b bytes.Buffer
-	e := toml.NewEncoder(&b)
-	if err := e.Encode(s); err != nil {
+	var buffer bytes.Buffer
+	encoder := toml.NewEncoder(&buffer)
+	if err := encoder.Encode(s); err != nil {
 		return nil, fmt.Errorf("scenario %s: %w", s.Name, err)
 	}
-	return b.Bytes(), nil
+	return buffer.Bytes(), nil
 }
 
 // Clone returns a copy that shares nothing with s.
 func (s *Scenario) Clone() *Scenario {
-	c := *s
-	c.Fleet.Zones = slices.Clone(s.Fleet.Zones)
-	c.EndpointKinds = slices.Clone(s.EndpointKinds)
-	c.Classes = slices.Clone(s.Classes)
-	c.Tenants = slices.Clone(s.Tenants)
-	for _, at := range []**stricttoml.Span{&c.Clients.Backoff, &c.Discovery.Add, &c.Discovery.Drain,
-		&c.Discovery.Gone, &c.Discovery.Silent} {
-		own := **at
-		*at = &own
-	}
-	c.Shape = slices.Clone(s.Shape)
-	c.Events = slices.Clone(s.Events)
-	c.Expect = slices.Clone(s.Expect)
-	c.Settings = slices.Clone(s.Settings)
-	for i := range c.Events {
-		e := &c.Events[i]
-		e.Part = slices.Clone(e.Part)
-		e.Size = slices.Clone(e.Size)
-		e.Instances = slices.Clone(e.Instances)
-		for _, at := range []**stricttoml.Span{&e.At, &e.For, &e.Delay} {
-			if *at != nil {
-				own := **at
-				*at = &own
+	clone := *s
+	clone.Fleet.Zones = slices.Clone(s.Fleet.Zones)
+	clone.EndpointKinds = slices.Clone(s.EndpointKinds)
+	clone.Classes = slices.Clone(s.Classes)
+	clone.Tenants = slices.Clone(s.Tenants)
+	for _, span := range []**stricttoml.Span{&clone.Clients.Backoff, &clone.Discovery.Add, &clone.Discovery.Drain,
+		&clone.Discovery.Gone, &clone.Discovery.Silent} {
+		spanCopy := **span
+		*span = &spanCopy
+	}
+	clone.Shape = slices.Clone(s.Shape)
+	clone.Events = slices.Clone(s.Events)
+	clone.Expect = slices.Clone(s.Expect)
+	clone.Settings = slices.Clone(s.Settings)
+	for i := range clone.Events {
+		event := &clone.Events[i]
+		event.Part = slices.Clone(event.Part)
+		event.Size = slices.Clone(event.Size)
+		event.Instances = slices.Clone(event.Instances)
+		for _, span := range []**stricttoml.Span{&event.At, &event.For, &event.Delay} {
+			if *span != nil {
+				spanCopy := **span
+				*span = &spanCopy
 			}
 		}
 	}
-	return &c
+	return &clone
 }
 
 // setDefaults sets the values of keys that the table of a kind leaves out.
-func (n *EndpointKind) setDefaults() {
-	if n.Cores == 0 {
-		n.Cores = 2
+func (kind *EndpointKind) setDefaults() {
+	if kind.Cores == 0 {
+		kind.Cores = 2
 	}
-	if len(n.Speed) == 0 {
-		n.Speed = Range{1}
+	if len(kind.Speed) == 0 {
+		kind.Speed = Range{1}
 	}
-	if n.WarmupFrom == 0 {
-		n.WarmupFrom = 0.2
+	if kind.WarmupFrom == 0 {
+		kind.WarmupFrom = 0.2
 	}
-	if n.Cancel == "" {
-		n.Cancel = "queued"
+	if kind.Cancel == "" {
+		kind.Cancel = "queued"
 	}
-	if n.Cell == 0 {
-		n.Cell = 4
+	if kind.Cell == 0 {
+		kind.Cell = 4
 	}
-	if n.Idle.Duration == 0 {
-		n.Idle = length(15 * time.Second)
+	if kind.Idle.Duration == 0 {
+		kind.Idle = duration(15 * time.Second)
 	}
 }
--- a/internal/simulation/scenario/plan.go
+++ b/internal/simulation/scenario/plan.go
@@ -51,30 +51,30 @@
 // MeanWork is the mean work of an operation, in microseconds.
 func (s *Scenario) MeanWork() float64 {
 	var work, shares float64
-	for _, c := range s.Classes {
-		work += c.Share * float64(c.Work.Micros())
-		shares += c.Share
+	for _, class := range s.Classes {
+		work += class.Share * float64(class.Work.Micros())
+		shares += class.Share
 	}
 	return work / shares
 }
 
 // ClientBehavior returns how the clients behave.
 func (p *Plan) ClientBehavior() simclient.Behavior {
-	c := &p.Clients
-	backoff := ends(c.Backoff)
+	clients := &p.Clients
+	backoff := spanBounds(clients.Backoff)
 	return simclient.Behavior{
-		Retries:         c.Retries,
-		TimeoutShare:    c.TimeoutShare.ends(1),
+		Retries:         clients.Retries,
+		TimeoutShare:    clients.TimeoutShare.bounds(1),
 		Backoff:         [2]monotime.Micros{monotime.Micros(backoff[0]), monotime.Micros(backoff[1])},
-		HonorRetryAfter: c.HonorRetryAfter,
-		EarlyAbort:      c.EarlyAbort,
-		MarkRetries:     c.MarkRetries,
-		FreshKeys:       c.FreshKeys,
+		HonorRetryAfter: clients.HonorRetryAfter,
+		EarlyAbort:      clients.EarlyAbort,
+		MarkRetries:     clients.MarkRetries,
+		FreshKeys:       clients.FreshKeys,
 	}
 }
 
 // contains reports whether a sorted list has a number.
-func contains(list []int, n int) bool {
-	_, found := slices.BinarySearch(list, n)
+func contains(sortedNumbers []int, number int) bool {
+	_, found := slices.BinarySearch(sortedNumbers, number)
 	return found
 }
--- a/internal/simulation/scenario/plannedevent.go
+++ b/internal/simulation/scenario/plannedevent.go
@@ -27,38 +27,39 @@
 }
 
 // Frozen reports whether the event stops its instances at an instant, and until when at least.
-func (h *PlannedEvent) Frozen(now monotime.Micros) (until monotime.Micros, frozen bool) {
-	if h.What != EventInstanceFreeze || now < h.At || now >= h.Until {
+func (event *PlannedEvent) Frozen(now monotime.Micros) (until monotime.Micros, frozen bool) {
+	if event.What != EventInstanceFreeze || now < event.At || now >= event.Until {
 		return 0, false
 	}
-	if h.Every <= 0 {
-		return h.Until, true
+	if event.Every <= 0 {
+		return event.Until, true
 	}
-	turn := (now - h.At) / h.Every
-	return min(h.Until, h.At+(turn+1)*h.Every), turn%2 == 0
+	interval := (now - event.At) / event.Every
+	return min(event.Until, event.At+(interval+1)*event.Every), interval%2 == 0
 }
 
 // BlocksPath reports whether the event blocks messages from an instance to an endpoint, or with back those of the
 // endpoint to the instance.
-func (h *PlannedEvent) BlocksPath(now monotime.Micros, instance, node int, back bool) bool {
-	return h.What == EventPathBlocked && now >= h.At && now < h.Until && (h.Way == "" || (h.Way == WayFrom) == back) &&
-		contains(h.Instances, instance) && contains(h.Endpoints, node)
+func (event *PlannedEvent) BlocksPath(now monotime.Micros, instance, endpoint int, toInstance bool) bool {
+	return event.What == EventPathBlocked && now >= event.At && now < event.Until &&
+		(event.Way == "" || (event.Way == WayFrom) == toInstance) &&
+		contains(event.Instances, instance) && contains(event.Endpoints, endpoint)
 }
 
 // Partitioned reports whether no message passes from one instance to another at an instant.
 func (p *Plan) Partitioned(now monotime.Micros, from, to int) bool {
 	for i := range p.PlannedEvents {
-		h := &p.PlannedEvents[i]
-		inPause := h.Every > 0 && (now-h.At)/h.Every%2 != 0
-		if h.What != EventInstancePartition || now < h.At || now >= h.Until || inPause {
+		event := &p.PlannedEvents[i]
+		paused := event.Every > 0 && (now-event.At)/event.Every%2 != 0
+		if event.What != EventInstancePartition || now < event.At || now >= event.Until || paused {
 			continue
 		}
-		a := contains(h.Instances, from)
-		b := contains(h.Instances, to)
-		if h.Others != nil && !contains(h.Others, from) && !contains(h.Others, to) {
+		fromInside := contains(event.Instances, from)
+		toInside := contains(event.Instances, to)
+		if event.Others != nil && !contains(event.Others, from) && !contains(event.Others, to) {
 			continue
 		}
-		if a != b && (h.Way == "" || (h.Way == WayTo) == b) {
+		if fromInside != toInside && (event.Way == "" || (event.Way == WayTo) == toInside) {
 			return true
 		}
 	}
@@ -69,8 +70,8 @@
 // one.
 func (p *Plan) DemandOverstatement(now monotime.Micros) float64 {
 	for i := range p.PlannedEvents {
-		if h := &p.PlannedEvents[i]; h.What == EventDemandOverstated && now >= h.At && now < h.Until {
-			return h.Sizes[0]
+		if event := &p.PlannedEvents[i]; event.What == EventDemandOverstated && now >= event.At && now < event.Until {
+			return event.Sizes[0]
 		}
 	}
 	return 1
@@ -78,75 +79,76 @@
 
 // Parts of the messages that EventLateMessages affects.
 const (
-	lateMessageRatio     = 0.5 // of the messages are delayed
-	repeatedMessageRatio = 0.1 // of the messages arrive twice
+	delayedMessageRatio   = 0.5 // of the messages are delayed
+	duplicateMessageRatio = 0.1 // of the messages arrive twice
 )
 
 // MessageDelay is the additional delay of an instance's message at an instant, and whether it arrives twice. draws are
 // three random numbers in 0..1 of the message's own.
-func (p *Plan) MessageDelay(now monotime.Micros, from int, draws [3]float64) (more monotime.Micros, twice bool) {
+func (p *Plan) MessageDelay(now monotime.Micros, from int, draws [3]float64) (delay monotime.Micros, twice bool) {
 	for i := range p.PlannedEvents {
-		h := &p.PlannedEvents[i]
-		if h.What == EventLateMessages && now >= h.At && now < h.Until && contains(h.Instances, from) {
-			if draws[0] < lateMessageRatio {
-				more += monotime.Micros(draws[1] * float64(h.Delay))
+		event := &p.PlannedEvents[i]
+		if event.What == EventLateMessages && now >= event.At && now < event.Until && contains(event.Instances, from) {
+			if draws[0] < delayedMessageRatio {
+				delay += monotime.Micros(draws[1] * float64(event.Delay))
 			}
-			twice = twice || draws[2] < repeatedMessageRatio
+			twice = twice || draws[2] < duplicateMessageRatio
 		}
 	}
-	return more, twice
+	return delay, twice
 }
 
 // ExtraDelay is the additional delay of messages between an instance and an endpoint at an instant.
-func (p *Plan) ExtraDelay(now monotime.Micros, instance, node int) (more monotime.Micros) {
+func (p *Plan) ExtraDelay(now monotime.Micros, instance, endpoint int) (delay monotime.Micros) {
 	for i := range p.PlannedEvents {
-		if h := &p.PlannedEvents[i]; h.What == EventLag && now >= h.At && now < h.Until &&
-			contains(h.Instances, instance) && contains(h.Endpoints, node) {
-			more += h.Delay
+		if event := &p.PlannedEvents[i]; event.What == EventLag && now >= event.At && now < event.Until &&
+			contains(event.Instances, instance) && contains(event.Endpoints, endpoint) {
+			delay += event.Delay
 		}
 	}
-	return more
+	return delay
 }
 
 // AddCondition adds the event's fault at the k-th of its endpoints at an instant. classOf maps the scenario's classes
 // to those of the endpoints' jobs.
-func (h *PlannedEvent) AddCondition(c *simendpoint.Condition, now monotime.Micros, k int, classOf []int) {
-	size := h.Sizes[k]
-	switch h.What {
+func (event *PlannedEvent) AddCondition(condition *simendpoint.Condition, now monotime.Micros, position int,
+	classOf []int) {
+	size := event.Sizes[position]
+	switch event.What {
 	case EventSlow, EventFalseReports:
-		c.Slowdown = max(1, c.Slowdown) * size
-		c.FalseReports = c.FalseReports || h.What == EventFalseReports
+		condition.Slowdown = max(1, condition.Slowdown) * size
+		condition.FalseReports = condition.FalseReports || event.What == EventFalseReports
 	case EventErrors:
-		c.ErrorRate = min(1, c.ErrorRate+size)
-		if h.Class >= 0 {
-			c.OneClass = true
-			c.Class = classOf[h.Class]
+		condition.ErrorRate = min(1, condition.ErrorRate+size)
+		if event.Class >= 0 {
+			condition.OneClass = true
+			condition.Class = classOf[event.Class]
 		}
 	case EventUnanswered:
-		c.UnansweredRate = min(1, c.UnansweredRate+size)
+		condition.UnansweredRate = min(1, condition.UnansweredRate+size)
 	case EventRejecting:
-		c.RejectRate = min(1, c.RejectRate+size)
+		condition.RejectRate = min(1, condition.RejectRate+size)
 	case EventInvalidReports:
-		c.InvalidReports = true
+		condition.InvalidReports = true
 	case EventNeighbour:
-		if h.Every <= 0 || (now-h.At)/h.Every%2 == 0 {
-			c.StolenShare = max(c.StolenShare, size)
+		if event.Every <= 0 || (now-event.At)/event.Every%2 == 0 {
+			condition.StolenShare = max(condition.StolenShare, size)
 		}
 	case EventLateReports:
-		c.ReportDelay = max(c.ReportDelay, h.Delay)
+		condition.ReportDelay = max(condition.ReportDelay, event.Delay)
 	}
 }
 
 // EventPeriod is from the start of the first event to the end of the last one that ends; both are 0 without events.
 func (p *Plan) EventPeriod() (from, until monotime.Micros) {
 	for i := range p.PlannedEvents {
-		h := &p.PlannedEvents[i]
+		event := &p.PlannedEvents[i]
 		if i == 0 {
-			from = h.At
+			from = event.At
 		}
-		end := h.Until
+		end := event.Until
 		if end == math.MaxInt64 {
-			end = h.At
+			end = event.At
 		}
 		until = max(until, end)
 	}
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -173,7 +173,7 @@
 	Tenant string              `toml:"tenant,omitempty"` // surge: of this tenant only
 	One    bool                `toml:"one,omitempty"`    // surge: of one client process at each instance only
 	Every  stricttoml.Duration `toml:"every,omitempty"`  // neighbour, part: on and off; rolling: one after another
-	Delay  *stricttoml.Span    `toml:"delay,omitempty"`  // of EventLateReports and others (withDelay)
+	Delay  *stricttoml.Span    `toml:"delay,omitempty"`  // of EventLateReports and others (kindsWithDelay)
 	To     string              `toml:"to,omitempty"`     // cut: the other zone; none is all
 
 	// Which instances: a part of those of the zone; all without it.
@@ -188,10 +188,10 @@
 type Range []float64
 
 // ends returns both bounds; or is both of them where the file has none.
-func (r Range) ends(or float64) [2]float64 {
+func (r Range) bounds(defaultValue float64) [2]float64 {
 	switch len(r) {
 	case 0:
-		return [2]float64{or, or}
+		return [2]float64{defaultValue, defaultValue}
 	case 1:
 		return [2]float64{r[0], r[0]}
 	}
@@ -199,9 +199,9 @@
 }
 
 // ends returns both bounds of a span in microseconds; both are 0 without one.
-func ends(s *stricttoml.Span) [2]float64 {
-	if s == nil {
+func spanBounds(span *stricttoml.Span) [2]float64 {
+	if span == nil {
 		return [2]float64{}
 	}
-	return [2]float64{float64(s.From.Microseconds()), float64(s.To.Microseconds())}
+	return [2]float64{float64(span.From.Microseconds()), float64(span.To.Microseconds())}
 }
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -12,7 +12,7 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-const least = `name = "a"
+const minimalScenario = `name = "a"
 [fleet]
 zones = ["x", "y"]
 [[nodes]]
@@ -26,11 +26,11 @@
 rate = 200.0
 `
 
-func none(name string) ([]byte, error) { return nil, errors.New("there is none") }
+func findNoBase(name string) ([]byte, error) { return nil, errors.New("there is none") }
 
-func parse(t *testing.T, text string) *Scenario {
+func parseScenario(t *testing.T, text string) *Scenario {
 	t.Helper()
-	s, err := Parse([]byte(text), none)
+	s, err := Parse([]byte(text), findNoBase)
 	require.NoError(t, err)
 	return s
 }
@@ -77,28 +77,28 @@
 		{"base = \"calm\"\n",
 			"line 13: clients.base: is not a known key"},
 	} {
-		_, err := Parse([]byte(least+c.text), none)
-		var all stricttoml.Errors
-		if !errors.As(err, &all) || !strings.HasPrefix(all[0].Error(), c.want) {
+		_, err := Parse([]byte(minimalScenario+c.text), findNoBase)
+		var validationErrors stricttoml.Errors
+		if !errors.As(err, &validationErrors) || !strings.HasPrefix(validationErrors[0].Error(), c.want) {
 			t.Errorf("%q:\n got %v\nwant %s", c.text, err, c.want)
 		}
 	}
-	if _, err := Parse([]byte("base = \"calm\"\n"+least), none); err == nil ||
+	if _, err := Parse([]byte("base = \"calm\"\n"+minimalScenario), findNoBase); err == nil ||
 		err.Error() != "line 1: base: there is none" {
 		t.Errorf("a base that is not there: %v", err)
 	}
-	if _, err := Parse([]byte("base = \"a\"\n"+least),
-		func(string) ([]byte, error) { return []byte("base = \"a\"\n" + least), nil }); err == nil {
+	if _, err := Parse([]byte("base = \"a\"\n"+minimalScenario),
+		func(string) ([]byte, error) { return []byte("base = \"a\"\n" + minimalScenario), nil }); err == nil {
 		t.Error("a scenario that is based on itself was taken")
 	}
 }
 
 // What a file says goes over its base; lists stand in place of the base's; and what Text says is the same scenario.
 func TestBase(t *testing.T) {
-	base := least + "[[event]]\nwhat = \"slow\"\nat = \"5s\"\nsize = [2.0]\n"
+	baseText := minimalScenario + "[[event]]\nwhat = \"slow\"\nat = \"5s\"\nsize = [2.0]\n"
 	s, err := Parse(
 		[]byte("name = \"b\"\nbase = \"a\"\n[clients]\nload = 0.5\n[[event]]\nwhat = \"drain\"\nat = \"6s\"\n"),
-		func(string) ([]byte, error) { return []byte(base), nil })
+		func(string) ([]byte, error) { return []byte(baseText), nil })
 	require.NoError(t, err)
 	if s.Name != "b" || s.Clients.Rate != 0 || s.Clients.Load != 0.5 || len(s.Events) != 1 ||
 		s.Events[0].What != "drain" || s.EndpointKinds[0].Count != 4 {
@@ -106,42 +106,42 @@
 	}
 	text, err := s.Text()
 	require.NoError(t, err)
-	again, err := Parse(text, none)
+	reparsed, err := Parse(text, findNoBase)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
-	if !reflect.DeepEqual(s.Draw(3), again.Draw(3)) &&
-		!reflect.DeepEqual(s.Draw(3).PlannedEvents, again.Draw(3).PlannedEvents) {
+	if !reflect.DeepEqual(s.Draw(3), reparsed.Draw(3)) &&
+		!reflect.DeepEqual(s.Draw(3).PlannedEvents, reparsed.Draw(3).PlannedEvents) {
 		t.Errorf("what Text says is another scenario:\n%s", text)
 	}
 }
 
 // drawTraffic counts the operations of a plan by ten seconds and tenant, and returns a digest of them, too.
-func drawTraffic(t *testing.T, s *Scenario, seed uint64) (by [3][2]int, total int, last monotime.Micros) {
+func drawTraffic(t *testing.T, s *Scenario, seed uint64) (counts [3][2]int, total int, digest monotime.Micros) {
 	t.Helper()
-	p := s.Draw(seed)
-	for i := range p.Instances {
-		next := p.Operations(i)
-		for at := monotime.Micros(-1); ; {
-			x, ok := next()
+	plan := s.Draw(seed)
+	for i := range plan.Instances {
+		next := plan.Operations(i)
+		for previousStart := monotime.Micros(-1); ; {
+			operation, ok := next()
 			if !ok {
 				break
 			}
-			if x.StartedAt < at {
+			if operation.StartedAt < previousStart {
 				t.Fatal("stories out of order")
 			}
-			at = x.StartedAt
-			by[x.StartedAt/(10*second)][x.Tenant]++
+			previousStart = operation.StartedAt
+			counts[operation.StartedAt/(10*second)][operation.Tenant]++
 			total++
-			last += x.StartedAt ^ x.Work ^ int64(x.IdempotencyKey)
+			digest += operation.StartedAt ^ operation.Work ^ int64(operation.IdempotencyKey)
 		}
 	}
-	return by, total, last
+	return counts, total, digest
 }
 
 // A plan follows from its seed; its traffic has the rate, the shape and the shares that the file says.
 func TestDraw(t *testing.T) {
-	s := parse(t, strings.Replace(least, "rate = 200.0", "rate = 2000.0", 1)+`[[tenant]]
+	s := parseScenario(t, strings.Replace(minimalScenario, "rate = 200.0", "rate = 2000.0", 1)+`[[tenant]]
 name = "p"
 share = 0.75
 [[tenant]]
@@ -160,8 +160,8 @@
 tenant = "q"
 size = [5.0]
 `)
-	by, total, digest := drawTraffic(t, s, 1)
-	if _, _, again := drawTraffic(t, s, 1); again != digest {
+	counts, total, digest := drawTraffic(t, s, 1)
+	if _, _, repeated := drawTraffic(t, s, 1); repeated != digest {
 		t.Error("the same seed gave other stories")
 	}
 	if _, _, other := drawTraffic(t, s, 2); other == digest {
@@ -170,7 +170,7 @@
 	// Mean factors of the three parts: 2/3, 1, 4/3. Tenant q has five times the traffic in the middle one.
 	for i, want := range [3][2]float64{{10_000, 3_333}, {15_000, 25_000}, {20_000, 6_667}} {
 		for j := range want {
-			if got := float64(by[i][j]); math.Abs(got-want[j]) > 5*math.Sqrt(want[j]) {
+			if got := float64(counts[i][j]); math.Abs(got-want[j]) > 5*math.Sqrt(want[j]) {
 				t.Errorf("part %d, tenant %d: %v stories, want %v", i, j, got, want[j])
 			}
 		}
@@ -179,37 +179,38 @@
 		t.Error("no stories")
 	}
 	for _, seed := range []uint64{1, 2, 3} {
-		p := parse(t, least+"[[event]]\nwhat = \"kill\"\nat = \"3s..9s\"\npart = [0.5]\n").Draw(seed)
-		if h := p.PlannedEvents[0]; len(h.Endpoints) != 2 || h.At < 3*second || h.At > 9*second ||
-			h.Until != math.MaxInt64 {
-			t.Errorf("seed %d: %+v", seed, h)
+		plan := parseScenario(t,
+			minimalScenario+"[[event]]\nwhat = \"kill\"\nat = \"3s..9s\"\npart = [0.5]\n").Draw(seed)
+		if event := plan.PlannedEvents[0]; len(event.Endpoints) != 2 || event.At < 3*second || event.At > 9*second ||
+			event.Until != math.MaxInt64 {
+			t.Errorf("seed %d: %+v", seed, event)
 		}
 	}
 }
 
 // Each endpoint is in the subsets of equally many instances.
 func TestSubset(t *testing.T) {
-	s := parse(t, strings.Replace(strings.Replace(least, "count = 4", "count = 100", 1), "zones =",
+	s := parseScenario(t, strings.Replace(strings.Replace(minimalScenario, "count = 4", "count = 100", 1), "zones =",
 		"instances = 50\nsubset = 20\nzones =", 1))
-	lists := make([]int, 100)
-	for _, in := range s.Draw(1).Instances {
-		if len(in.Endpoints) != 20 {
-			t.Fatalf("a subset of %d", len(in.Endpoints))
+	listCounts := make([]int, 100)
+	for _, instance := range s.Draw(1).Instances {
+		if len(instance.Endpoints) != 20 {
+			t.Fatalf("a subset of %d", len(instance.Endpoints))
 		}
-		for _, n := range in.Endpoints {
-			lists[n]++
+		for _, endpoint := range instance.Endpoints {
+			listCounts[endpoint]++
 		}
 	}
-	for n, count := range lists {
+	for endpoint, count := range listCounts {
 		if count != 10 {
-			t.Errorf("endpoint %d is on %d lists, not 10", n, count)
+			t.Errorf("endpoint %d is on %d lists, not 10", endpoint, count)
 		}
 	}
 }
 
 // What is left of the endpoints bounds what can be served.
 func TestIdeal(t *testing.T) {
-	calm := strings.Replace(least, "rate = 200.0", "rate = 400.0", 1) // of 800 that can be done
+	baseText := strings.Replace(minimalScenario, "rate = 200.0", "rate = 400.0", 1) // of 800 that can be done
 	for events, want := range map[string]float64{
 		"": 1,
 		"[[event]]\nwhat = \"kill\"\nat = \"10s\"\nfor = \"10s\"\n":                     0.66,
@@ -220,7 +221,7 @@
 		"[[event]]\nwhat = \"neighbour\"\nat = \"0s\"\nsize = [0.75]\nevery = \"1s\"\n": 0.875,
 		"[[event]]\nwhat = \"rolling\"\nat = \"0s\"\nevery = \"7s\"\n":                  1,
 	} {
-		if got := parse(t, calm+events).Draw(1).MaxServableShare(); math.Abs(got-want) > 0.02 {
+		if got := parseScenario(t, baseText+events).Draw(1).MaxServableShare(); math.Abs(got-want) > 0.02 {
 			t.Errorf("%q: %v, want %v", events, got, want)
 		}
 	}
