--- a/internal/simulation/gossipsim/cases.go
+++ b/internal/simulation/gossipsim/cases.go
@@ -1,7 +1,7 @@
 package gossipsim
 
-// HardCases returns the hard cases, by the names that programs take as arguments, each with its faults in a run of so
-// many members.
+// HardCases returns lists of faults that are hard for the allocation of the budget, by the names that programs
+// take as arguments. The faults are for a run with the given number of members.
 func HardCases(members int) map[string][]Fault {
 	const (
 		start    = 10 * second
@@ -57,7 +57,7 @@
 	}
 }
 
-// everyNth returns 0, n, 2n and so on, below a limit.
+// everyNth returns the multiples of step, from 0 up to but not including a limit.
 func everyNth(limit, step int) []int {
 	indexes := make([]int, 0, limit)
 	for i := 0; i < limit; i += step {
--- a/internal/simulation/gossipsim/faults.go
+++ b/internal/simulation/gossipsim/faults.go
@@ -11,7 +11,7 @@
 // FaultKind is a kind of fault, one of the keys of FaultKinds.
 type FaultKind string
 
-// The kinds of faults. Their names are arguments of programs, and RandomFaults draws them in the names' order.
+// The kinds of faults. Programs take their names as arguments, and RandomFaults draws from the sorted names.
 const (
 	faultKill     FaultKind = "kill"
 	faultKills    FaultKind = "kills"
@@ -29,7 +29,7 @@
 	faultReplaced FaultKind = "replaced"
 )
 
-// FaultKinds says what each kind of fault does to its members.
+// FaultKinds has a description of each kind of fault; "they" are the members of the fault.
 var FaultKinds = map[FaultKind]string{
 	faultKill:     "they are killed, and restarted when it ends",
 	faultKills:    "they are killed and restarted again and again, every Factor seconds",
@@ -47,16 +47,17 @@
 	faultReplaced: "a successor takes over from each",
 }
 
-// Fault is something that goes wrong in a run.
+// Fault is a fault of members or of the network during a run.
 type Fault struct {
 	Kind     FaultKind
 	Start    monotime.Micros
-	Duration monotime.Micros // 0 is to the end of the run
-	Members  []int           // whom it affects, by index
-	Factor   float64
+	Duration monotime.Micros // 0: until the end of the run
+	Members  []int           // indices of the affected members
+	// Factor is the extent of the fault; its meaning depends on Kind (FaultKinds).
+	Factor float64
 }
 
-// RandomFaults draws one to eight faults of any kind. They are a pure function of the arguments.
+// RandomFaults draws one to eight faults of any kind. The result is a pure function of the arguments.
 func RandomFaults(seed uint64, members int, duration monotime.Micros) (faults []Fault) {
 	rng := rand.New(rand.NewPCG(seed, 13))
 	kinds := slices.Sorted(maps.Keys(FaultKinds))
@@ -73,7 +74,7 @@
 	return faults
 }
 
-// randomFactor draws a factor that suits a kind of fault; 0 if the kind has none.
+// randomFactor draws a factor for a kind of fault; it returns 0 if the kind has no factor.
 func randomFactor(rng *rand.Rand, kind FaultKind) float64 {
 	switch kind {
 	case faultKills:
@@ -92,7 +93,7 @@
 	return 0
 }
 
-// startFault applies a fault from now on.
+// startFault starts a fault now, and schedules its end if it has a duration.
 func (sim *simulation) startFault(fault *Fault) {
 	sim.activeFaults = append(sim.activeFaults, fault)
 	duration := fault.Duration
@@ -110,7 +111,7 @@
 	}
 }
 
-// affect applies a fault to one of its members.
+// applyFault applies the start of a fault to one of its members.
 func (sim *simulation) applyFault(x *member, fault *Fault, duration monotime.Micros) {
 	switch fault.Kind {
 	case faultKill, faultKills:
@@ -133,7 +134,7 @@
 	}
 }
 
-// endFault ends a fault.
+// endFault ends a fault, and restores the members that it changed.
 func (sim *simulation) endFault(fault *Fault) {
 	sim.activeFaults = slices.DeleteFunc(sim.activeFaults, func(active *Fault) bool { return active == fault })
 	for _, memberIndex := range fault.Members {
@@ -153,7 +154,8 @@
 	}
 }
 
-// scheduleRestarts has the members of a fault killed and restarted every Factor seconds until an instant.
+// scheduleRestarts has the members of a fault killed and restarted every Factor seconds until the given
+// instant.
 func (sim *simulation) scheduleRestarts(fault *Fault, until monotime.Micros) {
 	interval := monotime.Micros(fault.Factor * float64(second))
 	var restartAll func()
@@ -170,17 +172,20 @@
 	sim.schedule(interval, restartAll)
 }
 
+// kill ends a member's process without notifying any other member.
 func (x *member) kill() {
 	x.running = false
 	x.incarnation = 0
 }
 
+// restart starts a member's process again, with empty state.
 func (sim *simulation) restart(x *member) {
 	if err := sim.start(x); err != nil {
-		panic(err) // Run has started it with the same settings before
+		panic(err) // impossible: Run started it with the same settings
 	}
 }
 
+// setBudget changes the budget in a member's configuration, and in its running process.
 func (x *member) setBudget(units float64) {
 	x.budgetUnits = units
 	if x.running {
@@ -188,7 +193,8 @@
 	}
 }
 
-// replace has a successor take over a member. Messages that are on their way to the predecessor reach the successor.
+// replaceProcess has a successor process take over from a member's process. Messages in transit to the
+// predecessor reach the successor.
 func (sim *simulation) replaceProcess(x *member) {
 	if !x.running || x.stoppedUntil > sim.now {
 		return
@@ -202,7 +208,7 @@
 	x.incarnation = sim.startedIncarnations
 	coordinator, err := sim.newCoordinator(x)
 	if err != nil {
-		panic(err) // Run has created it with the same settings before
+		panic(err) // impossible: Run created a coordinator with the same settings
 	}
 	x.coordinator = coordinator
 	x.nextTickAt = 0
--- a/internal/simulation/gossipsim/gossipsim.go
+++ b/internal/simulation/gossipsim/gossipsim.go
@@ -1,9 +1,11 @@
-// Package gossipsim simulates the gossip between the instances of a fleet: members (package coordination) with clocks
-// of different rates, a network that loses, delays, duplicates and cuts off messages, and faults of the processes. It
-// checks within every second of true time that what all members spend of a budget is within it, and measures how much
-// of the budget is used and what the messages cost.
+// Package gossipsim simulates the gossip between the instances of a fleet: members (package coordination) with
+// clocks of different rates, a network that loses, delays, duplicates and blocks messages, and faults of the
+// processes. It checks that the units of a budget that all members spend within any second of true time do not
+// exceed the budget. It measures the fraction of the budget that is used, and the number and size of the
+// messages.
 //
-// A run is a pure function of its Settings. The package does no I/O, and must not know about requests or endpoints.
+// A run is a pure function of its Settings. The package does no I/O, and must not depend on requests or
+// endpoints.
 package gossipsim
 
 import (
@@ -17,18 +19,19 @@
 // Settings configure a run.
 type Settings struct {
 	Members      int
-	Candidates   int     // how many of the members may be the allocator
-	Units        float64 // of the budget, a second
-	Demand       float64 // of all members together, in units a second
+	Candidates   int     // number of members that may become the allocator
+	Units        float64 // budget of all members together, in units a second
+	Demand       float64 // demand of all members together, in units a second
 	Duration     monotime.Micros
 	Seed         uint64
-	Coordination coordination.Settings          // of each member; names and seeds are filled in
-	MessageSize  func(coordination.Message) int // in bytes as sent; nil counts messages only
+	Coordination coordination.Settings          // settings of each member; Run sets the names and seeds
+	MessageSize  func(coordination.Message) int // size in bytes on the network; nil: only messages are counted
 	Faults       []Fault
-	PlantedError string // one of PlantedErrors; empty for none
+	PlantedError string // one of PlantedErrors, or empty
 }
 
-// DefaultSettings returns the coordination settings that are used where operators set none (package config).
+// DefaultSettings returns the coordination settings that apply where the configuration (package config) sets
+// none.
 func DefaultSettings() coordination.Settings {
 	return coordination.Settings{
 		LeaseDuration: second,
@@ -41,40 +44,43 @@
 	}
 }
 
-// The errors that can be planted in a run.
+// The errors that can be planted in a run to test the budget check.
 const (
-	twoAllocators         = "two books"           // every other member elects itself
-	slowClocks            = "slow clocks"         // a third of the clocks run slower than MaxClockDrift allows
-	spendsOnStart         = "spends as it starts" // members do not wait for a second after a start
-	tooManyMembers        = "more than said"      // there are more members than MaxInstances
+	twoAllocators         = "two books"           // every second member elects itself as the allocator
+	slowClocks            = "slow clocks"         // a third of the clocks run slower than MaxClockDrift permits
+	spendsOnStart         = "spends as it starts" // members spend at once after a start, without waiting
+	tooManyMembers        = "more than said"      // the fleet has more members than MaxInstances
 	slowClockRate         = 0.5
 	slowClockEvery        = 3
 	membersPerMaxInstance = 4
 )
 
-// PlantedErrors are the errors that can be planted, each of which a run must detect.
+// PlantedErrors are the errors that can be planted in a run. The budget check must detect each of them.
 var PlantedErrors = []string{twoAllocators, slowClocks, spendsOnStart, tooManyMembers}
 
-// Second is the units that were demanded and spent within a second of true time.
+// Second counts the units that were demanded and spent within one second of true time.
 type Second struct {
 	Demanded int
 	Spent    int
 }
 
-// Result is what a run measured.
+// Result is the measurements of a run.
 type Result struct {
-	MaxSpent      int             // the most units that were spent within any second
-	MaxSpentAt    monotime.Micros // when that second ended
-	UnitsExceeded int             // units that were spent beyond the budget
-	Utilization   float64         // fraction of the budget, as far as there was demand, that was spent
+	MaxSpent      int             // largest number of units spent within any period of one second
+	MaxSpentAt    monotime.Micros // end of the period in which MaxSpent units were spent
+	UnitsExceeded int             // units that were spent in excess of the budget of a second
+	Utilization   float64         // spent units, as a fraction of the demand that was within the budget
 	Seconds       []Second
-	// end of the first second in which nine tenths of the budget, or of the demand, were spent
+	// ConvergedAt is the end of the first second in which at least nine tenths of the budget (or of the demand,
+	// if that is lower) were spent.
 	ConvergedAt monotime.Micros
 
-	// Costs of a member that is no candidate, a second.
+	// MessageRate and ByteRate are the messages and bytes a second that a member sends on average, without the
+	// candidates for the allocator.
 	MessageRate float64
 	ByteRate    float64 // 0 without Settings.MessageSize
-	// Costs of the member that sent most messages, a second: the allocator.
+	// AllocatorMessageRate and AllocatorByteRate are the messages and bytes a second of the member that sent
+	// most messages, which is the allocator.
 	AllocatorMessageRate float64
 	AllocatorByteRate    float64
 }
--- a/internal/simulation/gossipsim/gossipsim_test.go
+++ b/internal/simulation/gossipsim/gossipsim_test.go
@@ -6,7 +6,7 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// overloadedSettings returns the settings of a run in which twice the budget is demanded.
+// overloadedSettings returns the settings of a run in which the demand is twice the budget.
 func overloadedSettings(members int, seed uint64) Settings {
 	return Settings{
 		Members:      members,
@@ -19,7 +19,8 @@
 	}
 }
 
-// spentAfterFaults adds up the seconds after the faults: the demand within the budget, and what was spent.
+// spentAfterFaults adds up the seconds after the faults. It returns the demand that was within the budget, and
+// the units that were spent.
 func spentAfterFaults(result *Result) (spendable, spent int) {
 	for _, secondTotals := range result.Seconds[37:] {
 		spendable += min(secondTotals.Demanded, 200)
@@ -28,7 +29,8 @@
 	return spendable, spent
 }
 
-// In every hard case the sum is within the budget in every second, and the budget is used once the faults are over.
+// In every hard case, the spent units stay within the budget in every second, and the budget is used after the
+// faults.
 func TestHardCasesStayWithinBudgetAndUseIt(t *testing.T) {
 	for name, faults := range HardCases(9) {
 		for seed := range uint64(3) {
@@ -46,7 +48,7 @@
 			spendable, spent := spentAfterFaults(result)
 			minPercent := 90
 			if name == "demand moves" {
-				minPercent = 80 // demand is hardly above the budget, and leases follow it with a delay
+				minPercent = 80 // the demand is little above the budget, and leases follow it with a delay
 			}
 			if 100*spent < minPercent*spendable {
 				t.Errorf("%s, seed %d: %d of %d at the end", name, seed, spent, spendable)
@@ -55,7 +57,7 @@
 	}
 }
 
-// With random faults the sum is within the budget in every second.
+// With random faults, the spent units stay within the budget in every second.
 func TestRandomFaultsStayWithinBudget(t *testing.T) {
 	for seed := range uint64(60) {
 		settings := overloadedSettings([]int{1, 2, 5, 20}[seed%4], seed)
@@ -69,7 +71,7 @@
 	}
 }
 
-// The checker detects each planted error.
+// The budget check detects each planted error.
 func TestPlantedErrorsAreDetected(t *testing.T) {
 	revealingFaults := map[string]string{slowClocks: "split in halves", spendsOnStart: "killed ten times"}
 	for _, plantedError := range PlantedErrors {
--- a/internal/simulation/gossipsim/network.go
+++ b/internal/simulation/gossipsim/network.go
@@ -7,7 +7,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// transmit sends a member's message over the network.
+// transmit sends a message of a member over the simulated network.
 func (sim *simulation) transmit(from *member, outgoing coordination.Outgoing) {
 	from.messagesSent++
 	if sim.settings.MessageSize != nil {
@@ -31,12 +31,12 @@
 // Delays of messages in microseconds.
 const (
 	minDelay      = 200
-	meanDelay     = 1000 // beyond minDelay, exponentially distributed
-	maxCopyJitter = 100  // upper bound of the difference between copies
+	meanDelay     = 1000 // mean of the exponentially distributed delay in addition to minDelay
+	maxCopyJitter = 100  // largest difference between the delays of two copies of a message
 )
 
-// drawTransmission draws a message's delay, and how often it arrives: lossy faults drop, repeat and delay messages,
-// slow ones delay those of some members.
+// drawTransmission draws a message's delay, and the number of copies that arrive. Lossy faults drop, duplicate
+// and delay messages; slow faults delay the messages of their members.
 func (sim *simulation) drawTransmission(from *member) (delay monotime.Micros, copies int) {
 	delay = monotime.Micros(minDelay + meanDelay*sim.rng.ExpFloat64())
 	copies = 1
@@ -62,12 +62,12 @@
 	return delay, copies
 }
 
-// partitioned reports whether no message passes from one member to another now.
+// partitioned reports whether an active fault blocks the messages from one member to another.
 func (sim *simulation) partitioned(from, to *member) bool {
 	return slices.ContainsFunc(sim.activeFaults, func(f *Fault) bool { return sim.faultBlocks(f, from, to) })
 }
 
-// faultBlocks reports whether a fault lets no message pass from one member to another now.
+// faultBlocks reports whether a fault now blocks the messages from one member to another.
 func (sim *simulation) faultBlocks(fault *Fault, from, to *member) bool {
 	fromAffected := slices.Contains(fault.Members, from.index)
 	toAffected := slices.Contains(fault.Members, to.index)
@@ -89,7 +89,7 @@
 	return false
 }
 
-// deliver hands a message to its recipient. One that is stopped receives it once it goes on.
+// deliver passes a message to its recipient. A stopped member receives the message when it resumes.
 func (sim *simulation) deliver(from, to *member, message coordination.Message) {
 	if !to.running || sim.partitioned(from, to) {
 		return
--- a/internal/simulation/gossipsim/simulation.go
+++ b/internal/simulation/gossipsim/simulation.go
@@ -10,7 +10,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// budgetName is the name of the one budget.
+// budgetName is the name of the only budget of a run.
 const budgetName = "tenant/one"
 
 // member is a simulated instance.
@@ -21,43 +21,44 @@
 	running      bool
 	stoppedUntil monotime.Micros
 	clockRate    float64
-	clockOrigin  float64         // true time at which its clock is 0
-	demandRate   float64         // units a second
-	demandFactor float64         // factor by which it overstates its demand to the allocator
-	budgetUnits  float64         // of the budget, as its configuration says
-	incarnation  uint64          // 0 while it is killed
-	nextTickAt   monotime.Micros // when the next tick is scheduled
+	clockOrigin  float64         // true time at which the member's clock is 0
+	demandRate   float64         // units that the member demands a second
+	demandFactor float64         // factor by which the member overstates its demand to the allocator
+	budgetUnits  float64         // units of the budget in the member's configuration
+	incarnation  uint64          // 0 while the process is killed
+	nextTickAt   monotime.Micros // instant for which the next tick is scheduled
 	messagesSent int
 	bytesSent    int
 }
 
-// localTime returns what the member's clock shows at an instant of true time.
+// localTime returns the time of the member's clock at an instant of true time.
 func (x *member) localTime(at monotime.Micros) monotime.Micros {
 	return monotime.Micros((float64(at) - x.clockOrigin) * x.clockRate)
 }
 
-// trueTime returns when the member's clock shows an instant.
+// trueTime returns the true time at which the member's clock shows the given time.
 func (x *member) trueTime(local monotime.Micros) monotime.Micros {
 	return monotime.Micros(math.Ceil(float64(local)/x.clockRate + x.clockOrigin))
 }
 
-// simulation is the state of a run.
+// simulation is the state of a run of the simulation.
 type simulation struct {
 	settings            Settings
 	rng                 *rand.Rand
 	now                 monotime.Micros
-	lastSequence        uint64 // of events
+	lastSequence        uint64 // sequence number of the event that was scheduled last
 	queue               eventHeap
 	members             []*member
 	byName              map[string]*member
 	candidates          []string
 	activeFaults        []*Fault
-	recentlySpent       []monotime.Micros // instants of the units spent within the last second
-	startedIncarnations uint64            // started so far
+	recentlySpent       []monotime.Micros // instants at which units were spent within the last second
+	startedIncarnations uint64            // number of incarnations that have started
 	result              Result
 }
 
-// Run runs a simulation. It returns an error for a fault of an unknown kind, or for settings that are out of range.
+// Run runs a simulation. It returns an error for an unknown kind of fault, or for settings that are out of
+// range.
 func Run(settings Settings) (*Result, error) {
 	sim := &simulation{settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, 11)), byName: map[string]*member{}}
 	for i := range min(settings.Candidates, settings.Members) {
@@ -88,8 +89,10 @@
 	return &sim.result, nil
 }
 
+// memberName returns the name of the i-th member.
 func memberName(i int) string { return fmt.Sprint("instance-", i) }
 
+// addMember adds a member, starts its process, and schedules its demand.
 func (sim *simulation) addMember(index int) error {
 	x := &member{
 		index:        index,
@@ -107,7 +110,7 @@
 	return nil
 }
 
-// start starts a member's process, with a clock of its own.
+// start starts a member's process, with a new clock of random rate and origin.
 func (sim *simulation) start(x *member) error {
 	sim.startedIncarnations++
 	x.incarnation = sim.startedIncarnations
@@ -132,6 +135,7 @@
 	return nil
 }
 
+// newCoordinator creates the coordination state of a member, with the planted error if the run has one.
 func (sim *simulation) newCoordinator(x *member) (*coordination.Member, error) {
 	settings := sim.settings.Coordination
 	settings.Self = x.name
@@ -151,7 +155,7 @@
 	return coordinator, err
 }
 
-// processOutgoing transmits a member's messages and schedules its next tick.
+// processOutgoing transmits a member's outgoing messages and schedules its next tick.
 func (sim *simulation) processOutgoing(x *member) {
 	for _, outgoing := range x.coordinator.TakeOutgoing() {
 		sim.transmit(x, outgoing)
@@ -163,6 +167,8 @@
 	}
 }
 
+// tick runs a member's timers, unless the process has ended since the tick was scheduled. A stopped member
+// ticks when it resumes.
 func (sim *simulation) tick(x *member, incarnation uint64) {
 	if !x.running || x.incarnation != incarnation {
 		return
@@ -177,19 +183,21 @@
 
 // ---- Events ----------------------------------------------------------------
 
-// schedule runs a function after a delay; functions of the same instant run in the order in which they were scheduled.
+// schedule runs a function after a delay. Functions for the same instant run in the order in which they were
+// scheduled.
 func (sim *simulation) schedule(delay monotime.Micros, run func()) {
 	sim.lastSequence++
 	heap.Push(&sim.queue, scheduledEvent{sim.now + max(0, delay), sim.lastSequence, run})
 }
 
+// scheduledEvent is a function that runs at an instant; sequence orders the functions of the same instant.
 type scheduledEvent struct {
 	at       monotime.Micros
 	sequence uint64
 	run      func()
 }
 
-// eventHeap implements heap.Interface; the earliest event comes first.
+// eventHeap implements heap.Interface; the earliest event is first.
 type eventHeap []scheduledEvent
 
 func (q eventHeap) Len() int { return len(q) }
--- a/internal/simulation/gossipsim/spending.go
+++ b/internal/simulation/gossipsim/spending.go
@@ -4,7 +4,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// scheduleDemand has a member demand units at random instants, at its demand rate.
+// scheduleDemand has a member demand units at random instants, with its demand rate as the mean rate.
 func (sim *simulation) scheduleDemand(x *member) {
 	if x.demandRate <= 0 {
 		return
@@ -15,7 +15,7 @@
 	})
 }
 
-// demandUnit has a member spend a unit, if one is available.
+// demandUnit has a member demand one unit, and spend it if the member has one available.
 func (sim *simulation) demandUnit(x *member) {
 	currentSecond := &sim.result.Seconds[min(int(sim.now/second), len(sim.result.Seconds)-1)]
 	currentSecond.Demanded++
@@ -31,7 +31,8 @@
 	sim.checkBudget()
 }
 
-// checkBudget counts a unit that is spent now, and checks the sum of the second that ends now.
+// checkBudget counts a unit that is spent now, and checks whether the units of the last second exceed the
+// budget.
 func (sim *simulation) checkBudget() {
 	sim.recentlySpent = append(sim.recentlySpent, sim.now)
 	expired := 0
@@ -49,7 +50,7 @@
 	}
 }
 
-// maxBudget returns the largest budget by any member's configuration in the run.
+// maxBudget returns the largest budget that any member's configuration has during the run.
 func (sim *simulation) maxBudget() float64 {
 	units := sim.settings.Units
 	for i := range sim.settings.Faults {
@@ -60,7 +61,7 @@
 	return units
 }
 
-// summarize computes the results that are of the whole run.
+// summarize computes the results that depend on the whole run.
 func (sim *simulation) summarize() {
 	result := &sim.result
 	budget := int(sim.settings.Units)
@@ -80,7 +81,7 @@
 	sim.summarizeCosts()
 }
 
-// summarizeCosts computes what the messages cost.
+// summarizeCosts computes the rates of messages and bytes that members sent.
 func (sim *simulation) summarizeCosts() {
 	result := &sim.result
 	seconds := float64(sim.settings.Duration) / float64(second)
--- a/internal/simulation/measure/arrivals.go
+++ b/internal/simulation/measure/arrivals.go
@@ -2,19 +2,19 @@
 
 import "dunlinsail/internal/monotime"
 
-// Arrival is the kind of a message that arrives at an endpoint.
+// Arrival is a kind of traffic that arrives at an endpoint: attempts, probes and new connections.
 type Arrival uint8
 
-// The kinds of arrivals.
+// The kinds of traffic that a Meter counts at endpoints.
 const (
-	FirstAttempt Arrival = iota // the first attempt of a request
-	ExtraAttempt                // a retry or hedged request
-	ProbeArrival                // a health check
-	DialArrival                 // a new connection
+	FirstAttempt Arrival = iota // the first attempt that an instance makes for a request
+	ExtraAttempt                // a retry or hedged request that an instance sends
+	ProbeArrival                // a probe (active health check)
+	DialArrival                 // a new connection to an endpoint
 )
 
-// Second counts the arrivals at all endpoints within a second of a run, and the largest numbers of probes and of new
-// connections at a single endpoint.
+// Second counts the arrivals at all endpoints during one second of a run. It also has the largest number of
+// probes, and the largest number of new connections, that a single endpoint received in that second.
 type Second struct {
 	FirstAttempts     int `json:"First"`
 	ExtraAttempts     int `json:"Further"`
@@ -24,14 +24,16 @@
 	MaxEndpointDials  int `json:"DialsMost"`
 }
 
-// arrivals counts arrivals at endpoints by second.
+// arrivals counts the arrivals at endpoints in each second of a run.
 type arrivals struct {
-	seconds                 []Second
-	probesAt, dialsAt       [][]uint32      // by second and endpoint
-	faultsFrom, faultsUntil monotime.Micros // from the start of the first event to the end of the last
+	seconds           []Second
+	probesAt, dialsAt [][]uint32 // counts, indexed by second and endpoint
+	// The period from the start of the first event to the end of the last event.
+	faultsFrom, faultsUntil monotime.Micros
 }
 
-// RecordArrival counts an arrival at an endpoint. Arrivals outside the run's length are ignored.
+// RecordArrival counts an arrival at an endpoint. It ignores arrivals before the start or after the end of the
+// run.
 func (m *Meter) RecordArrival(now monotime.Micros, endpoint int, kind Arrival) {
 	a := &m.arrivals
 	secondIndex := now / second
@@ -53,8 +55,8 @@
 	}
 }
 
-// incrementCount counts one more arrival at an endpoint within a second, and returns the new count. Arrivals need not
-// come in the order of their time.
+// incrementCount counts one more arrival at an endpoint in a second, and returns the new count. Seconds may be
+// passed in any order.
 func incrementCount(counts [][]uint32, secondIndex monotime.Micros, endpoint int) int {
 	for len(counts[secondIndex]) <= endpoint {
 		counts[secondIndex] = append(counts[secondIndex], 0)
@@ -63,18 +65,20 @@
 	return int(counts[secondIndex][endpoint])
 }
 
-// SetFaultPeriod sets the period from the start of the first fault to the end of the last one.
+// SetFaultPeriod sets the period from the start of the first fault to the end of the last fault.
 func (m *Meter) SetFaultPeriod(from, until monotime.Micros) {
 	m.arrivals.faultsFrom = from
 	m.arrivals.faultsUntil = until
 }
 
 const (
-	minFirstAttempts = 100        // in a second, for its ratio of extra attempts to count
-	recoveryTime     = 3 * second // after the last fault, until service has to be as before
+	// Seconds with fewer first attempts are excluded from the peak ratio of extra attempts to first attempts.
+	minFirstAttempts = 100
+	// The time after the last fault within which the service must recover to its level before the first fault.
+	recoveryTime = 3 * second
 )
 
-// figures adds the figures of arrivals and of recovery.
+// figures adds the figures of arrivals at endpoints, and of the recovery of the service after the last fault.
 func (a *arrivals) figures(figures map[string]float64, weights []weightSum) {
 	firstAttempts := 0
 	probes := 0
@@ -89,7 +93,7 @@
 		figures["probes_peak"] = max(figures["probes_peak"], float64(counts.MaxEndpointProbes))
 		figures["dials_peak"] = max(figures["dials_peak"], float64(counts.MaxEndpointDials))
 	}
-	figures["further_peak"] += 0 // the figure exists, also without arrivals
+	figures["further_peak"] += 0 // creates the figure even if there were no arrivals
 	figures["probes_first"] = float64(probes) / max(1, float64(firstAttempts))
 	figures["back"] = 1
 	shareBefore := sumSeconds(weights, 0, a.faultsFrom)
@@ -99,7 +103,7 @@
 	}
 }
 
-// sum adds up the weights of the seconds that lie within a period.
+// sumSeconds adds up the weights of the seconds that lie completely within a period.
 func sumSeconds(weights []weightSum, from, until monotime.Micros) (total weightSum) {
 	for i := range weights {
 		if secondStart := monotime.Micros(i) * second; secondStart >= from && secondStart+second <= until {
--- a/internal/simulation/measure/faults_test.go
+++ b/internal/simulation/measure/faults_test.go
@@ -9,8 +9,9 @@
 	"dunlinsail/internal/simulation/simclient"
 )
 
-// evaluate returns the figures of a run of ten seconds with two classes, of which the first weighs ten times as much
-// for its work; serve says, by second and class, whether operations are served.
+// evaluateRun returns the figures of a run of ten seconds with two classes, of which the first has ten times
+// the weight of the second for the same work. served tells which operations are served, by second and class.
+// serving tells which instances accept requests. recordArrivals, if not nil, records arrivals at endpoints.
 func evaluateRun(served func(second, class int) bool, serving func(instance int, at monotime.Micros) bool,
 	recordArrivals func(m *Meter)) map[string]float64 {
 	m := New(Criteria{Classes: []balancer.Class{{
@@ -23,14 +24,15 @@
 		PriorityWeight:   1,
 	}}}, 10*second, 1)
 	m.SetEnvironment(Environment{
+		// In a second the endpoints can do work of a tenth of a second.
 		Capacity: func(monotime.Micros) float64 { return 0.1 },
 		Serving:  serving,
-	}) // work of a tenth of a second in a second
+	})
 	m.SetFaultPeriod(3*second, 4*second)
 	operationID := uint64(0)
 	for secondIndex := range 10 {
 		for class := range 2 {
-			for i := range 10 { // of 10 ms each: either class alone needs all of the capacity
+			for i := range 10 { // each of 10 ms of work, so that one class alone needs all of the capacity
 				operationID++
 				operation := simclient.Operation{
 					ID:        operationID,
@@ -55,9 +57,11 @@
 	return m.Result().Figures
 }
 
+// alwaysServing is the serving function of a run in which all instances always accept requests.
 func alwaysServing(int, monotime.Micros) bool { return true }
 
-// Each violation is found where it is planted, and not where it is not.
+// Each figure shows the violation that a run contains, and stays at its best value in runs without that
+// violation.
 func TestFiguresFindWhatIsPlanted(t *testing.T) {
 	requireNear := func(name string, got, want float64) {
 		t.Helper()
@@ -69,15 +73,15 @@
 	requireNear("of_could", inOrder["of_could"], 1)
 	requireNear("out_of_order", inOrder["out_of_order"], 0)
 	requireNear("back", inOrder["back"], 1)
-	// one second in the wrong order
+	// In the sixth second, the class of lower weight is served in place of the class of higher weight.
 	outOfOrder := evaluateRun(func(s, class int) bool { return (class == 0) != (s == 5) }, alwaysServing, nil)
 	requireNear("of_could", outOfOrder["of_could"], 0.91)
 	requireNear("out_of_order", outOfOrder["out_of_order"], 0.05)
-	// service is lost later than 3 s after the fault's end
+	// The service is lost from the ninth second on, more than 3 s after the end of the fault.
 	degraded := evaluateRun(func(s, class int) bool { return class == 0 && s < 8 }, alwaysServing, nil)
 	requireNear("back", degraded["back"], 0.333)
 	notServing := evaluateRun(func(s, class int) bool { return class == 0 && s != 5 },
-		// operations at instances that accept nothing do not count
+		// Operations that start at an instance that accepts no requests are excluded.
 		func(_ int, at monotime.Micros) bool { return at/second != 5 }, nil)
 	requireNear("of_could", notServing["of_could"], 1)
 
@@ -92,7 +96,7 @@
 			m.RecordArrival(7*second+monotime.Micros(i), 2, ProbeArrival)
 			m.RecordArrival(7*second+monotime.Micros(i), 3, DialArrival)
 		}
-		m.RecordArrival(99*second, 1, ExtraAttempt) // after the run's end: ignored
+		m.RecordArrival(99*second, 1, ExtraAttempt) // ignored, since it is after the end of the run
 	})
 	requireNear("further_peak", withArrivals["further_peak"], 0.15)
 	requireNear("probes_peak", withArrivals["probes_peak"], 30)
@@ -100,18 +104,18 @@
 	requireNear("dials_peak", withArrivals["dials_peak"], 30)
 }
 
-// Spent units are counted within any second, over all instances, in whatever order they report.
+// Spent units are counted within any period of one second, over all instances, and in any order of the reports.
 func TestSpent(t *testing.T) {
 	limits := map[string]float64{"t": 3}
 	m := New(Criteria{Tenants: []balancer.Tenant{{Name: "t"}}, TenantLimits: limits}, 10*second, 1)
-	// Instants of several instances, one after another.
+	// The instants of several instances are reported one instance after another, so they are not in order.
 	for _, spentAt := range []monotime.Micros{900, 1500, 2100, 5000, 1901, 5999, 6000} {
 		m.QuotaSpent(spentAt*1000, "tenant/t")
 	}
 	if f := m.Result().Figures; f["over_budget"] != 1 || f["beyond_limit"] != 0 {
 		t.Errorf("%v, beyond %v", f["over_budget"], f["beyond_limit"])
 	}
-	m.QuotaSpent(1899*1000, "tenant/t") // the fourth within a second
+	m.QuotaSpent(1899*1000, "tenant/t") // the fourth unit within a period of one second
 	if f := m.Result().Figures; f["over_budget"] != 4.0/3 || f["beyond_limit"] != 1 {
 		t.Errorf("%v, beyond %v", f["over_budget"], f["beyond_limit"])
 	}
--- a/internal/simulation/measure/meter.go
+++ b/internal/simulation/measure/meter.go
@@ -1,8 +1,10 @@
-// Package measure evaluates a run as its users do. Service is the priority weight served within each class's latency
-// objective over the weight requested, from the first second on; a client's retries count as part of the operation.
-// It is taken of the whole run, its worst ten seconds, its worst class and its worst tenant within its quota, combined
-// by the site's goal and less the site's prices. Costs and broken rules are counted beside that. The package handles
-// finished operations and must not import package simulation.
+// Package measure evaluates a run from the point of view of the clients' users. Service is the priority weight
+// of the operations that were served within the latency objective of their class, divided by the priority
+// weight of all operations. It is measured from the first second on, and a client's retries count as part of
+// the operation. The main figure combines the service of the whole run, of its worst ten seconds, of its worst
+// class and of its worst tenant (within the tenant's quota) with the weights of the site's goal, and subtracts
+// the site's prices. Costs and violations of rules are counted separately. The package handles finished
+// operations and must not import package simulation.
 package measure
 
 import (
@@ -20,92 +22,101 @@
 
 const second monotime.Micros = 1_000_000
 
-// Criteria are what a run is evaluated by.
+// Criteria are the classes, tenants, goal, prices and limits with which a run is evaluated.
 type Criteria struct {
-	Classes         []balancer.Class  // in the order of the operations' classes
-	Tenants         []balancer.Tenant // in the order of the operations' tenants
-	OverQuotaWeight float64           // weight of a request over its tenant's quota, relative to one within it
+	Classes []balancer.Class  // indexed by Operation.Class
+	Tenants []balancer.Tenant // indexed by Operation.Tenant
+	// OverQuotaWeight is the weight of a request over its tenant's quota, relative to a request within it.
+	OverQuotaWeight float64
 	Goal            balancer.Goal
 	Prices          balancer.Prices
-	// TenantLimits are the requests a second, by tenant, that all instances together admit; 0 is no limit.
+	// TenantLimits are the limits of requests a second, by tenant name, for all instances together. 0 is no
+	// limit.
 	TenantLimits map[string]float64
 }
 
 const (
-	worstWindowSeconds = 10  // length of the worst window
-	maxBins            = 120 // of a series
+	worstWindowSeconds = 10  // length of the time window with the lowest service
+	maxBins            = 120 // most bins (entries) of each series over time
 )
 
-// Costs are the costs of a run's operations, and the rules that were broken.
+// Costs are the counts of requests, connections and work of a run, and of the rules that were violated.
 type Costs struct {
 	ClientRequests int64   `json:"Tries"`    // requests that clients sent
-	Attempts       int64   `json:"Attempts"` // that instances forwarded
-	CrossZone      int64   `json:"Cross"`    // of these, to another zone
+	Attempts       int64   `json:"Attempts"` // attempts that instances sent to endpoints
+	CrossZone      int64   `json:"Cross"`    // attempts that instances sent to another zone
 	Dials          int64   `json:"Dials"`    // new connections to endpoints
 	Probes         int64   `json:"Probes"`
-	OfferedWork    float64 `json:"Offered"`   // work of all operations, once each, in microseconds
-	ExecutedWork   float64 `json:"Worked"`    // by endpoints
-	UsefulWork     float64 `json:"Useful"`    // of this, for responses that clients received
-	Decisions      int64   `json:"Decisions"` // requests, outcomes, probes and timers that instances decided on
+	OfferedWork    float64 `json:"Offered"`   // work of all operations, counted once each, in microseconds
+	ExecutedWork   float64 `json:"Worked"`    // work that endpoints did, in microseconds
+	UsefulWork     float64 `json:"Useful"`    // work that endpoints did for responses that clients received
+	Decisions      int64   `json:"Decisions"` // decisions of instances on requests, outcomes, probes and timers
 
-	// Rules that were broken.
+	// The following fields count violations of rules.
 	Collapses int64 `json:"Falls"` // endpoints that collapsed while warming up
-	// Attempts that reached a draining endpoint later than the drain grace after its instance was notified.
+	// AttemptsAfterDrain counts attempts that reached a draining endpoint after the drain grace had passed. The
+	// drain grace starts when discovery notifies the instance.
 	AttemptsAfterDrain int64 `json:"Drained"`
-	DuplicateEffects   int64 `json:"Twice"`      // operations with several effects, by retries of their instances
-	LateResponses      int64 `json:"LateAnswer"` // final answers that came after the client's deadline, or not at all
+	// DuplicateEffects counts operations that took effect more than once because an instance retried them.
+	DuplicateEffects int64 `json:"Twice"`
+	// LateResponses counts final responses that were sent after the client's deadline or never.
+	LateResponses int64 `json:"LateAnswer"`
 
-	// Operations that took effect more than once, by requests of their clients.
+	// ClientDuplicateEffects counts operations that took effect more than once because the client retried them.
 	ClientDuplicateEffects int64 `json:"ClientsTwice"`
 	KilledInFlight         int64 `json:"KilledOpen"` // requests in flight at instances that were killed
-	FleetMessages          int64 `json:"Words"`      // between instances
+	FleetMessages          int64 `json:"Words"`      // messages between instances
 }
 
-// Meter evaluates one run. Make one with New.
+// Meter evaluates one run. Use New to create a Meter.
 type Meter struct {
 	criteria Criteria
 	end      monotime.Micros
 
 	binWidth      monotime.Micros
 	bins          []seriesBin
-	quotas        []tokenBucket // by tenant
+	quotas        []tokenBucket // indexed by tenant
 	classes       []groupWeight
 	tenants       []groupWeight
 	seconds       []weightSum
 	quotaSpending quotaSpendTimes
 	maintenance   map[string]float64
-	tenantDemand  map[int][]int // by tenant and second: operations that started
+	tenantDemand  map[int][]int // operations that started, by tenant and second
 	total         weightSum
-	clients       map[[2]int]*clientTotals // by instance and process
+	clients       map[[2]int]*clientTotals // by the indices of the instance and of its client process
 	lateFailures  float64                  // weight of operations that ended unserved after their latency objective
 	outcomes      [simclient.OutcomeCount]int64
 	operations    int64
 	requests      struct{ refused, failed, lost int64 }
 	arrivals      arrivals
 	priorityAudit *priorityAudit
-	latencies     []*hdrhistogram.Histogram // by class
+	latencies     []*hdrhistogram.Histogram // indexed by class
 	digest        *xxhash.Digest
 
 	Costs Costs
 }
 
-// weightSum is the weight of some operations, and the part of it that was earned by serving them.
+// weightSum is the priority weight of a set of operations (offered), and the weight that was earned by serving
+// them.
 type weightSum struct{ offered, earned float64 }
 
+// groupWeight is the weight of the operations of one class or of one tenant.
 type groupWeight struct{ weightSum }
 
-// clientTotals are the operations of one client process.
+// clientTotals are the totals of the operations of one client process.
 type clientTotals struct {
 	weightSum
 	operations int64
-	latencies  []int32 // of the served operations, in tenths of a millisecond
+	latencies  []int32 // latencies of the served operations, in tenths of a millisecond
 }
 
+// tokenBucket limits the rate of a tenant's requests that are within its quota.
 type tokenBucket struct {
 	level     float64
 	updatedAt monotime.Micros
 }
 
+// seriesBin is the totals of the operations that started within one bin of the series.
 type seriesBin struct {
 	weightSum
 	operations, onTime, late, unserved, rejectedRequests, failedRequests int64
@@ -114,7 +125,8 @@
 	zones                                                                []weightSum
 }
 
-// New returns a meter of a run whose operations start within a length.
+// New returns a meter for a run whose operations start within the given length, with clients in the given
+// number of zones.
 func New(criteria Criteria, length monotime.Micros, zones int) *Meter {
 	m := &Meter{criteria: criteria, end: length, digest: xxhash.New(), clients: map[[2]int]*clientTotals{}}
 	m.binWidth = max(second, (length+maxBins-1)/maxBins)
@@ -143,17 +155,17 @@
 	return m
 }
 
-// BinWidth is the length of a bin of the series.
+// BinWidth returns the length of a bin of the series.
 func (m *Meter) BinWidth() monotime.Micros { return m.binWidth }
 
-// Weight returns the weight of an operation that starts now, and whether it is within its tenant's quota. Calls must be
-// in the order of the operations' starts.
+// Weight returns the weight of an operation that starts now, and whether it is within its tenant's quota. It
+// must be called in the order in which the operations start.
 func (m *Meter) Weight(operation *simclient.Operation) (weight float64, withinQuota bool) {
 	weight = m.criteria.Classes[operation.Class].PriorityWeight
 	if operation.Tenant < 0 || operation.Tenant >= len(m.quotas) || m.criteria.Tenants[operation.Tenant].Quota <= 0 {
 		return weight, true
 	}
-	// A bucket holds the quota of one second.
+	// The bucket's capacity is the quota of one second.
 	bucket := &m.quotas[operation.Tenant]
 	rate := m.criteria.Tenants[operation.Tenant].Quota
 	bucket.level = min(max(1, rate), bucket.level+rate*float64(operation.StartedAt-bucket.updatedAt)/float64(second))
@@ -165,7 +177,8 @@
 	return weight, true
 }
 
-// OperationEnded records an operation that has ended, with the results of Weight at its start. zone is its instance's.
+// OperationEnded records an operation that has ended. weight and withinQuota are the results of Weight when the
+// operation started, and zone is the zone of its instance.
 func (m *Meter) OperationEnded(operation *simclient.Operation, zone int, weight float64, withinQuota bool) {
 	class := &m.criteria.Classes[operation.Class]
 	latency := operation.EndedAt - operation.StartedAt
@@ -176,7 +189,7 @@
 		if !onTime {
 			earned *= class.LateWeight
 		}
-		// Longer ones count as a minute, the histogram's bound.
+		// The histogram's upper bound is a minute: longer latencies count as a minute.
 		_ = m.latencies[operation.Class].RecordValue(min(max(10, latency), int64(time.Minute/time.Microsecond)))
 	} else if latency > class.LatencyObjective {
 		m.lateFailures += weight
@@ -210,7 +223,7 @@
 	m.addToDigest(operation)
 }
 
-// countDemand counts an operation of a tenant in the second in which it started.
+// countDemand counts an operation of a tenant in the second in which the operation started.
 func (m *Meter) countDemand(operation *simclient.Operation) {
 	if operation.Tenant < 0 {
 		return
@@ -242,14 +255,14 @@
 		b.unserved++
 	}
 	if operation.Outcome == simclient.Served {
-		// Longer ones count as a minute, the histogram's bound.
+		// The histogram's upper bound is a minute: longer latencies count as a minute.
 		_ = b.latencies.RecordValue(min(max(10, latency), int64(time.Minute/time.Microsecond)))
 	}
 	b.rejectedRequests += int64(operation.Rejected)
 	b.failedRequests += int64(operation.Failed + operation.Unanswered)
 }
 
-// addToDigest adds an operation's end to the run's digest.
+// addToDigest adds the outcome, end time and counts of a finished operation to the digest of the run.
 func (m *Meter) addToDigest(operation *simclient.Operation) {
 	var encoded [64]byte
 	for i, value := range [...]uint64{operation.ID, uint64(operation.Outcome), uint64(operation.EndedAt),
@@ -265,7 +278,7 @@
 	w.earned += earned
 }
 
-// share is the part of the offered weight that was earned, 1 if none was offered.
+// share returns the fraction of the offered weight that was earned; 1 if no weight was offered.
 func (w weightSum) share() float64 {
 	if w.offered <= 0 {
 		return 1
@@ -273,8 +286,9 @@
 	return w.earned / w.offered
 }
 
-// RecordMaintenance records a run's maintenance: how many machines an operator requested, how many of them have
-// returned, how many requests were sent to one while it was out, and how long all took (0 if not all have returned).
+// RecordMaintenance records the maintenance of a run: the number of machines that an operator requested, the
+// number of machines that have returned, the number of requests that were sent to a machine during its
+// maintenance, and the time until all machines had returned (0 if some have not returned).
 func (m *Meter) RecordMaintenance(requested, returned, sentWhileOut int, duration monotime.Micros) {
 	m.maintenance = map[string]float64{
 		"work_sent": float64(sentWhileOut),
--- a/internal/simulation/measure/priorityaudit.go
+++ b/internal/simulation/measure/priorityaudit.go
@@ -8,23 +8,26 @@
 	"dunlinsail/internal/simulation/simclient"
 )
 
-// Environment is what a run's endpoints and instances could serve by the plan.
+// Environment describes the capacity of a run's endpoints, and which instances accept requests, as planned.
 type Environment struct {
-	Capacity func(at monotime.Micros) float64            // work that all endpoints can do in a microsecond
-	Serving  func(instance int, at monotime.Micros) bool // reports whether an instance accepts requests
+	// Capacity returns the work, in microseconds, that all endpoints together can do in a microsecond.
+	Capacity func(at monotime.Micros) float64
+	// Serving reports whether an instance accepts requests.
+	Serving func(instance int, at monotime.Micros) bool
 }
 
-// classWork is the work of a class's operations that started in a second, the part of it that was served, and their
-// weight.
+// classWork is, for the operations of a class that started in a second, their work, the work of those that were
+// served within the latency objective, and their weight.
 type classWork struct{ offered, served, weight float64 }
 
-// priorityAudit counts work by second and class, to find how far operations of higher weight were served first.
+// priorityAudit counts work by second and class, to measure how far operations of higher weight were served
+// before operations of lower weight.
 type priorityAudit struct {
 	environment Environment
 	seconds     [][]classWork
 }
 
-// SetEnvironment sets what the run's endpoints and instances could serve.
+// SetEnvironment sets the capacity and the serving instances with which the order of served work is checked.
 func (m *Meter) SetEnvironment(environment Environment) {
 	m.priorityAudit = &priorityAudit{environment: environment, seconds: make([][]classWork, len(m.seconds))}
 	for i := range m.priorityAudit.seconds {
@@ -32,8 +35,8 @@
 	}
 }
 
-// operationEnded counts an operation. One that started at an instance that accepts no requests could not be served, and
-// is left out.
+// operationEnded counts a finished operation. It skips an operation that started at an instance that accepted
+// no requests, since that operation could not be served.
 func (audit *priorityAudit) operationEnded(operation *simclient.Operation, weight float64, onTime bool) {
 	if audit == nil || !audit.environment.Serving(operation.Instance, operation.StartedAt) {
 		return
@@ -46,10 +49,11 @@
 	}
 }
 
-// figures adds two figures. of_could is the earned weight relative to the best possible: in each second the classes of
-// the highest weight for their work are served first, up to the endpoints' capacity. out_of_order is the part of all
-// work by which that order was violated: in each second, work of higher classes that was not served while as much work
-// of lower ones was, at the division into higher and lower at which that is largest.
+// figures adds two figures. of_could is the earned weight relative to the best possible: in each second the
+// classes with the highest weight for their work are served first, up to the capacity of the endpoints.
+// out_of_order is the fraction of all work by which that order was violated. For each second, the classes are
+// divided into higher and lower ones, and the violation is the smaller of the unserved work of the higher
+// classes and the served work of the lower classes. The division with the largest violation counts.
 func (audit *priorityAudit) figures(figures map[string]float64, earned float64) {
 	figures["of_could"] = 1
 	figures["out_of_order"] = 0
--- a/internal/simulation/measure/quotaspending.go
+++ b/internal/simulation/measure/quotaspending.go
@@ -6,10 +6,11 @@
 	"dunlinsail/internal/monotime"
 )
 
-// quotaSpendTimes are the instants at which instances spent a unit of a budget of the fleet, by budget.
+// quotaSpendTimes are the instants at which instances spent a unit of a fleet-wide budget, by the name of the
+// budget.
 type quotaSpendTimes map[string][]monotime.Micros
 
-// QuotaSpent records that an instance spent a unit of a budget.
+// QuotaSpent records that an instance spent a unit of a fleet-wide budget.
 func (m *Meter) QuotaSpent(now monotime.Micros, budget string) {
 	if m.quotaSpending == nil {
 		m.quotaSpending = quotaSpendTimes{}
@@ -17,9 +18,9 @@
 	m.quotaSpending[budget] = append(m.quotaSpending[budget], now)
 }
 
-// figures adds the figures of tenant limits: the largest use of a limit in any second, the units beyond a limit, and
-// the part of the limits that was used in seconds of contended demand. Other budgets grow with the accepted requests;
-// the figures of arrivals show them.
+// figures adds the figures of tenant limits: the largest use of a limit in any second, the units beyond a
+// limit, and the fraction of the limits that was used in seconds with contended demand. Budgets that are not
+// tenant limits grow with the accepted requests; the figures of arrivals show their effect.
 func (spendTimes quotaSpendTimes) figures(figures map[string]float64, criteria *Criteria, demand map[int][]int) {
 	figures["over_budget"] = 0
 	figures["beyond_limit"] = 0
@@ -31,7 +32,7 @@
 		if limit <= 0 || len(times) == 0 {
 			continue
 		}
-		slices.Sort(times) // processes report theirs one after another
+		slices.Sort(times) // each process reports its instants as one list, so they are not in order
 		peak, beyond := PeakSecond(times, limit)
 		figures["over_budget"] = max(figures["over_budget"], float64(peak)/limit)
 		figures["beyond_limit"] += float64(beyond)
@@ -53,12 +54,12 @@
 	}
 }
 
-// contendedDemand is the demand of a tenant in a second, relative to its limit, from which all of the limit should be
-// used.
+// contendedDemand is the demand of a tenant in a second, as a multiple of its limit, from which the whole limit
+// should be used.
 const contendedDemand = 1.2
 
-// PeakSecond returns the largest number of instants, which are sorted, within any second, and how many of them exceed a
-// limit of a second.
+// PeakSecond returns the largest number of instants within any period of one second, and the number of instants
+// that exceed a limit a second. The instants must be sorted.
 func PeakSecond(times []monotime.Micros, limit float64) (peak, beyond int) {
 	oldest := 0
 	for i, spentAt := range times {
--- a/internal/simulation/measure/result.go
+++ b/internal/simulation/measure/result.go
@@ -12,60 +12,62 @@
 	"dunlinsail/internal/simulation/simclient"
 )
 
-// Result is the result of a run.
+// Result is the evaluation of a run: its figures, costs, and series over time.
 type Result struct {
 	Scenario string `json:"Scenario"`
 	Seed     uint64 `json:"Seed"`
-	Digest   string `json:"Digest"` // of the ends of all operations: equal runs have equal digests
+	Digest   string `json:"Digest"` // digest of the ends of all operations: equal runs have equal digests
 
-	Figures    map[string]float64 `json:"Figures"` // by the names in Figures
+	Figures    map[string]float64 `json:"Figures"` // by the names in the variable Figures
 	Costs      Costs              `json:"Costs"`
 	Operations int64              `json:"Stories"`
-	Served     int64              `json:"Served"` // within the latency objective or after it
+	Served     int64              `json:"Served"` // operations served within the latency objective or after it
 	Series     Series             `json:"Series"`
 	Endpoints  []EndpointLoad     `json:"Nodes"`
 	Classes    []ClassLatency     `json:"Classes"`
-	Seconds    []Second           `json:"Seconds"` // arrivals at endpoints
-	Elapsed    time.Duration      `json:"-"`       // real time that the simulation took
+	Seconds    []Second           `json:"Seconds"` // arrivals at endpoints, by second
+	Elapsed    time.Duration      `json:"-"`       // wall-clock time that the simulation took
 }
 
-// Series are figures over time, an entry for each Bin.
+// Series are values over time, with one entry for each bin of length Bin.
 type Series struct {
 	Bin      monotime.Micros `json:"Bin"`
 	Service  []float64       `json:"Service"`
-	Offered  []float64       `json:"Asked"` // operations a second
-	OnTime   []float64       `json:"Good"`  // served within the latency objective, a second
+	Offered  []float64       `json:"Asked"` // operations that started, a second
+	OnTime   []float64       `json:"Good"`  // operations served within the latency objective, a second
 	Late     []float64       `json:"Late"`
-	Unserved []float64       `json:"Lost"`    // unserved, a second
+	Unserved []float64       `json:"Lost"`    // operations that ended unserved, a second
 	Rejected []float64       `json:"Refused"` // requests rejected, a second
 	Failed   []float64       `json:"Failed"`  // requests failed or lost, a second
-	P50      []float64       `json:"P50"`     // milliseconds
+	P50      []float64       `json:"P50"`     // median latency in milliseconds
 	P99      []float64       `json:"P99"`
 	Class    [][]float64     `json:"Class"` // service of each class
 	Zone     [][]float64     `json:"Zone"`  // service of the clients in each zone
 }
 
-// EndpointLoad is the load of one endpoint.
+// EndpointLoad is the load of one endpoint during a run.
 type EndpointLoad struct {
 	Name        string  `json:"Name"`
 	Zone        int     `json:"Zone"`
 	Executions  int64   `json:"Runs"`
-	Utilization float64 `json:"Worked"` // of its core time, 0 to 1
-	MaxInFlight int     `json:"Most"`   // requests at the same time, at most
-	// Arrivals are the requests in each bin of the series; nil where there are many endpoints.
+	Utilization float64 `json:"Worked"` // fraction of its core time that it worked, 0 to 1
+	MaxInFlight int     `json:"Most"`   // largest number of requests at the same time
+	// Arrivals are the requests that arrived in each bin of the series. It is nil in runs with many endpoints.
 	Arrivals []int64 `json:"Line,omitempty"`
 }
 
-// ClassLatency has the latencies of a class's served operations: pairs of a percentage and milliseconds.
+// ClassLatency is the latency distribution of a class's served operations. Quantiles are pairs of a percentage
+// and a latency in milliseconds.
 type ClassLatency struct {
 	Name      string       `json:"Name"`
 	Count     int64        `json:"Count"`
 	Quantiles [][2]float64 `json:"Quantiles"`
 }
 
+// percentages are the percentages of the operations for which ClassLatency has the latency.
 var percentages = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99, 100}
 
-// Result returns the result so far.
+// Result returns the evaluation of the operations that have been recorded so far.
 func (m *Meter) Result() *Result {
 	result := &Result{
 		Figures:    map[string]float64{},
@@ -104,7 +106,8 @@
 	return result
 }
 
-// classFigures adds the figures of each class and tenant, and returns the latencies of all classes together.
+// classFigures adds the figures of each class and tenant to a result, and returns a histogram of the latencies
+// of all classes.
 func (m *Meter) classFigures(result *Result) *hdrhistogram.Histogram {
 	figures := result.Figures
 	figures["worst_class"] = 1
@@ -131,7 +134,8 @@
 	return latencies
 }
 
-// requestFigures adds the requests of clients and instances for an operation, and how they ended.
+// requestFigures adds the figures that relate outcomes, requests, attempts, probes and work to the number of
+// operations.
 func (m *Meter) requestFigures(figures map[string]float64) {
 	costs := &m.Costs
 	operations := math.Max(1, float64(m.operations))
@@ -149,7 +153,8 @@
 	figures["late_fail"] = m.lateFailures / math.Max(1e-9, m.total.offered)
 }
 
-// service is the main figure of a run: the shares served, weighted by the goal, less the prices.
+// service returns the main figure of a run: the average of the shares of served weight, weighted by the goal,
+// less the costs times their prices.
 func (m *Meter) service(figures map[string]float64) float64 {
 	goal := &m.criteria.Goal
 	prices := &m.criteria.Prices
@@ -165,13 +170,14 @@
 	return service
 }
 
-// modestFactor bounds the operations of a modest client, relative to the median client of its instance.
+// modestFactor is the largest number of operations of a modest client, as a multiple of the median client of
+// its instance.
 const modestFactor = 2
 
-// modestClients returns the service of the clients that request no more than others, and the 99th percentile of their
+// modestClients returns the service of the modest clients (modestFactor), and the 99th percentile of their
 // latencies in milliseconds.
 func (m *Meter) modestClients() (service, p99 float64) {
-	// Sorted, since the order of additions changes the sum.
+	// The clients are sorted because the order of floating-point additions changes the sum.
 	clientIDs := slices.SortedFunc(maps.Keys(m.clients), func(a, b [2]int) int { return slices.Compare(a[:], b[:]) })
 	var total weightSum
 	var latencies []int32
@@ -200,6 +206,7 @@
 	return total.share(), float64(latencies[min(len(latencies)-1, len(latencies)*99/100)]) / 10
 }
 
+// hex returns a number as 16 hexadecimal digits.
 func hex(value uint64) string {
 	const digits = "0123456789abcdef"
 	var text [16]byte
@@ -209,6 +216,8 @@
 	return string(text[:])
 }
 
+// quantileMS returns the latency in milliseconds that the given percentage of the recorded latencies does not
+// exceed; 0 if no latency was recorded.
 func quantileMS(histogram *hdrhistogram.Histogram, percentage float64) float64 {
 	if histogram.TotalCount() == 0 {
 		return 0
@@ -216,7 +225,8 @@
 	return float64(histogram.ValueAtQuantile(percentage)) / 1000
 }
 
-// worstWindowShare is the least share over any ten seconds that begin with a second, or over all where there are fewer.
+// worstWindowShare returns the lowest share of earned weight over any ten consecutive seconds, or over the
+// whole run if it is shorter.
 func (m *Meter) worstWindowShare() float64 {
 	worst := 1.0
 	var window weightSum
@@ -232,6 +242,7 @@
 	return worst
 }
 
+// series returns the values of all bins over time.
 func (m *Meter) series() Series {
 	s := Series{Bin: m.binWidth, Class: make([][]float64, len(m.classes))}
 	binSeconds := float64(m.binWidth) / float64(second)
--- a/internal/simulation/scenario/capacity.go
+++ b/internal/simulation/scenario/capacity.go
@@ -6,12 +6,13 @@
 	"dunlinsail/internal/monotime"
 )
 
-// servableStep is the time resolution of MaxServableShare.
+// servableStep is the length of the time steps of MaxServableShare.
 const servableStep = second / 4
 
-// MaxServableShare is an upper bound of the share of the plan's operations that the endpoints could serve: in each step
-// of time the demand, or the capacity of the endpoints that are up, at the speed that each has then. No balancer
-// reaches it, since none knows the faults in advance and operations do not arrive evenly.
+// MaxServableShare returns an upper bound of the share of the plan's operations that the endpoints can serve.
+// In each time step it is limited by the demand, and by the capacity of the running endpoints at their speeds
+// in that step. No balancer reaches the bound, since balancers do not know the faults in advance and operations
+// do not arrive evenly.
 func (p *Plan) MaxServableShare() float64 {
 	var requested, servable float64
 	backlog := 0.0
@@ -23,7 +24,7 @@
 		requested += demand
 		served := min(demand+backlog, capacity)
 		servable += served
-		backlog = min(demand, demand+backlog-served) // operations that wait for longer than a step are late
+		backlog = min(demand, demand+backlog-served) // operations that wait longer than one step count as late
 	}
 	if requested <= 0 {
 		return 1
@@ -31,7 +32,8 @@
 	return min(1, servable/requested)
 }
 
-// surges returns a function of time: the factor by which surges multiply the traffic of all instances.
+// surgeFactorFunc returns a function of time: the factor by which surges multiply the traffic of all instances
+// together.
 func (p *Plan) surgeFactorFunc() func(at monotime.Micros) float64 {
 	var mixes []*operationMix
 	for i := range p.Instances {
@@ -52,7 +54,8 @@
 	}
 }
 
-// CapacityAt is the useful work in microseconds that all endpoints can do in a microsecond at an instant.
+// CapacityAt returns the useful work, in microseconds, that all endpoints together can do in a microsecond at
+// the given instant.
 func (p *Plan) CapacityAt(at monotime.Micros) float64 {
 	speeds := make([]float64, len(p.Endpoints))
 	for i := range p.Endpoints {
@@ -74,7 +77,7 @@
 	return sum
 }
 
-// applyEvent reduces the endpoints' speeds at an instant by an event that has started.
+// applyEvent reduces the endpoints' speeds at an instant according to an event that has started.
 func (p *Plan) applyEvent(speeds []float64, event *PlannedEvent, at monotime.Micros) {
 	ended := at >= event.Until
 	switch event.What {
@@ -99,7 +102,8 @@
 	}
 }
 
-// applyOutage stops endpoints during an event. They warm up after it, if it ends.
+// applyOutage sets the speed of endpoints to 0 during an event. After the end of the event, the endpoints warm
+// up.
 func (p *Plan) applyOutage(speeds []float64, event *PlannedEvent, endpoints []int, at monotime.Micros) {
 	for _, index := range endpoints {
 		if at < event.Until {
@@ -110,7 +114,8 @@
 	}
 }
 
-// applyRollingRestart stops one endpoint after another; those before it warm up.
+// applyRollingRestart sets the speed of the endpoint that restarts at an instant to 0. Endpoints that restarted
+// earlier warm up.
 func (p *Plan) applyRollingRestart(speeds []float64, event *PlannedEvent, at monotime.Micros) {
 	for position, index := range event.Endpoints {
 		stopsAt := event.At + monotime.Micros(position)*event.Every
@@ -122,7 +127,8 @@
 	}
 }
 
-// warmupSpeedFactor is the part of its speed that an endpoint has at an age since its start.
+// warmupSpeedFactor returns the fraction of its full speed that an endpoint has at the given time since its
+// start.
 func (endpoint *Endpoint) warmupSpeedFactor(age monotime.Micros) float64 {
 	config := &endpoint.Config
 	if config.WarmupDuration <= 0 || age >= config.WarmupDuration {
@@ -131,14 +137,15 @@
 	return config.WarmupFrom + (1-config.WarmupFrom)*float64(age)/float64(config.WarmupDuration)
 }
 
-// eventSpeedFactor is the part of its speed that an event leaves an endpoint.
+// eventSpeedFactor returns the fraction of its useful speed that an endpoint keeps during an event. position is
+// the index of the endpoint in event.Endpoints.
 func eventSpeedFactor(event *PlannedEvent, position int, at monotime.Micros) float64 {
 	switch event.What {
 	case EventSlow, EventFalseReports:
 		return 1 / event.Sizes[position]
 	case EventErrors, EventUnanswered, EventRejecting:
 		if event.Class >= 0 {
-			return 1 // the others can be served there
+			return 1 // the endpoint can serve the requests of the other classes
 		}
 		return 1 - event.Sizes[position]
 	case EventNeighbour:
@@ -151,7 +158,8 @@
 	return 1
 }
 
-// InstanceServing reports whether an instance accepts requests at an instant: it is neither frozen nor killed.
+// InstanceServing reports whether an instance accepts requests at an instant, which it does unless it is frozen
+// or killed.
 func (p *Plan) InstanceServing(instance int, at monotime.Micros) bool {
 	for i := range p.PlannedEvents {
 		event := &p.PlannedEvents[i]
--- a/internal/simulation/scenario/check.go
+++ b/internal/simulation/scenario/check.go
@@ -9,7 +9,8 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// check checks all values of the scenario; each wrong one is an error with its key.
+// check validates all values of the scenario. It reports each invalid value as an error with the key of the
+// value.
 func (s *Scenario) check(validation *stricttoml.Validation) {
 	validation.Require(s.Name != "", "name", "is missing")
 	validation.Require(s.Length.Duration >= time.Second, "length", "%v is under a second", s.Length)
@@ -49,6 +50,7 @@
 		"is missing: the folders of an access record")
 }
 
+// checkRange checks that a range has at most two numbers in ascending order, within the given limits.
 func checkRange(validation *stricttoml.Validation, key string, bounds Range, minimum, maximum float64) {
 	validation.Require(len(bounds) <= 2, key, "must be a list of one number or of two")
 	validation.Require(len(bounds) < 2 || bounds[0] <= bounds[1], key, "its second number is under its first")
@@ -57,6 +59,7 @@
 	}
 }
 
+// checkEndpointKinds checks the tables of the kinds of endpoints ([[nodes]]).
 func (s *Scenario) checkEndpointKinds(validation *stricttoml.Validation) {
 	validation.Require(len(s.EndpointKinds) > 0, "nodes", "at least one kind is needed")
 	seenKinds := map[string]bool{}
@@ -101,6 +104,7 @@
 	}
 }
 
+// checkTraffic checks the tables of classes, tenants and clients.
 func (s *Scenario) checkTraffic(validation *stricttoml.Validation) {
 	validation.Require(len(s.Classes) > 0, "class", "at least one is needed")
 	var shares float64
--- a/internal/simulation/scenario/checkevent.go
+++ b/internal/simulation/scenario/checkevent.go
@@ -7,7 +7,7 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// Kinds of events by the keys that they take.
+// The kinds of events that accept or require the keys delay, for, every, and the keys that select instances.
 var (
 	kindsWithDelay = []string{EventLateReports, EventLateMessages, EventDiscoveryDelay, EventLag, EventMaintenance}
 	kindsWithEnd   = []string{EventDiscoveryDelay, EventDiscoverySilent, EventInstanceFreeze, EventWatchBlocked}
@@ -20,10 +20,10 @@
 	}
 )
 
-// keyPathFunc returns the name of a key of the table that is checked, for its error.
+// keyPathFunc returns the full path of a key of the event that is checked, for error messages.
 type keyPathFunc func(key string) string
 
-// checkEvent checks the i-th event.
+// checkEvent checks the event with the given index.
 func (s *Scenario) checkEvent(validation *stricttoml.Validation, index int) {
 	event := &s.Events[index]
 	keyPath := func(key string) string { return fmt.Sprintf("event.%d.%s", index, key) }
@@ -49,7 +49,7 @@
 	checkEventTimes(validation, event, keyPath)
 }
 
-// checkEventNames checks that what the event names exists.
+// checkEventNames checks that the zones, kind, class and tenant that an event names exist.
 func (s *Scenario) checkEventNames(validation *stricttoml.Validation, event *Event, keyPath keyPathFunc) {
 	validation.Require(event.Zone == "" || slices.Contains(s.Fleet.Zones, event.Zone), keyPath("zone"),
 		"%q is none of fleet.zones", event.Zone)
@@ -66,7 +66,7 @@
 		keyPath("tenant"), "%q is none of the tenants", event.Tenant)
 }
 
-// checkEventInstances checks which instances the event applies to, and in which direction.
+// checkEventInstances checks the keys that select the instances of an event, and its direction.
 func checkEventInstances(validation *stricttoml.Validation, event *Event, keyPath keyPathFunc) {
 	takesInstances := slices.Contains(kindsWithInstances, event.What)
 	validation.Require(takesInstances || len(event.Instances) == 0, keyPath("instances"),
@@ -87,7 +87,8 @@
 		"is for sever and part only")
 }
 
-// checkEventEndpoints checks which endpoints the event applies to, and whether it has a size.
+// checkEventEndpoints checks the keys that select the endpoints of an event, and whether its size is present
+// where its kind requires one.
 func checkEventEndpoints(validation *stricttoml.Validation, event *Event, keyPath keyPathFunc, kind eventKind) {
 	validation.Require(kind.appliesToEndpoints || event.Kind == "", keyPath("kind"), "%q does not happen to endpoints",
 		event.What)
@@ -98,7 +99,7 @@
 		sizeRequirement(kind.sizeMeaning))
 }
 
-// checkEventTraffic checks the keys that select a part of the traffic.
+// checkEventTraffic checks the keys that restrict an event to a class, a tenant or one client process.
 func checkEventTraffic(validation *stricttoml.Validation, event *Event, keyPath keyPathFunc) {
 	validation.Require(event.Class == "" || event.What == EventErrors || event.What == EventSurge, keyPath("class"),
 		"is for errors and surge only")
@@ -106,7 +107,7 @@
 	validation.Require(!event.One || event.What == EventSurge, keyPath("one"), "is for surge only")
 }
 
-// checkEventTimes checks the keys every and for.
+// checkEventTimes checks the keys every and for of an event.
 func checkEventTimes(validation *stricttoml.Validation, event *Event, keyPath keyPathFunc) {
 	validation.Require(event.Every.Duration == 0 || slices.Contains(kindsWithEvery, event.What), keyPath("every"),
 		"is for neighbour, pause, rolling, freeze and part only")
@@ -116,7 +117,8 @@
 	validation.Require(!slices.Contains(kindsWithEnd, event.What) || event.For != nil, keyPath("for"), "is missing")
 }
 
-// checkEventSize checks the size of an event, whose bounds differ from kind to kind, and the zones of a cut.
+// checkEventSize checks the size of an event against the bounds for its kind, and the zones of a zone
+// partition.
 func checkEventSize(validation *stricttoml.Validation, event *Event, keyPath keyPathFunc) {
 	switch event.What {
 	case EventSlow, EventFalseReports:
@@ -135,6 +137,7 @@
 	}
 }
 
+// sizeRequirement returns the part of an error message that states what size a kind of event requires.
 func sizeRequirement(size string) string {
 	if size == "" {
 		return "no size"
--- a/internal/simulation/scenario/draw.go
+++ b/internal/simulation/scenario/draw.go
@@ -12,14 +12,14 @@
 	"dunlinsail/internal/simulation/simendpoint"
 )
 
-// sorted returns a sorted copy; nil stays nil.
+// sortedCopy returns a sorted copy of a list; the copy of nil is nil.
 func sortedCopy(numbers []int) []int {
 	numbers = slices.Clone(numbers)
 	slices.Sort(numbers)
 	return numbers
 }
 
-// Draw returns the plan of a seed.
+// Draw returns the plan that follows from the scenario and a seed.
 func (s *Scenario) Draw(seed uint64) *Plan {
 	plan := &Plan{Scenario: s, Seed: seed}
 	plan.drawEndpoints()
@@ -81,7 +81,7 @@
 			p.Capacity += config.Speed * float64(config.Cores)
 		}
 	}
-	// Cells are numbered over all kinds.
+	// Cells are numbered from 0, over all kinds of endpoints.
 	cellNumbers := map[int]int{}
 	for i := range p.Endpoints {
 		config := p.Endpoints[i].Cell
@@ -92,7 +92,7 @@
 	}
 }
 
-// drawInstances draws the instances; their shares of the traffic add up to 1.
+// drawInstances draws the instances. Their shares of the traffic add up to 1.
 func (p *Plan) drawInstances() {
 	stream := randstream.New(p.Seed, "instances")
 	var shares float64
@@ -125,8 +125,8 @@
 	}
 }
 
-// subset returns the endpoints on an instance's list, such that each endpoint is on equally many lists (deterministic
-// subsetting: Beyer et al., "Site Reliability Engineering", chapter 20).
+// subset returns the endpoints on the endpoint list of an instance. Each endpoint is on equally many lists
+// (deterministic subsetting: Beyer et al., "Site Reliability Engineering", chapter 20).
 func (p *Plan) subset(instance int) []int {
 	size := p.Fleet.Subset
 	listsPerRound := len(p.Endpoints) / size
@@ -156,7 +156,7 @@
 	return drawSample(rng, eligible, count)
 }
 
-// sample draws n different numbers of a list, and returns them sorted.
+// drawSample draws n numbers from a list without replacement, and returns them sorted.
 func drawSample(rng *rand.Rand, numbers []int, n int) (drawn []int) {
 	for _, index := range rng.Perm(len(numbers))[:n] {
 		drawn = append(drawn, numbers[index])
@@ -165,8 +165,8 @@
 	return drawn
 }
 
-// chooseInstances draws the instances that an event applies to. The zone of an event on network paths selects
-// endpoints, not instances.
+// chooseInstances draws the instances that an event applies to. If an event on network paths has a zone, the
+// zone selects endpoints, not instances.
 func (p *Plan) chooseInstances(event *Event, rng *rand.Rand) []int {
 	var eligible []int
 	for i, instance := range p.Instances {
@@ -184,7 +184,7 @@
 	return drawSample(rng, eligible, count)
 }
 
-// resolveNames sets the indices of the class, tenant and zones that an event names; -1 is all.
+// resolveNames sets the indices of the class, tenant and zones that an event names. -1 stands for all.
 func (p *Plan) resolveNames(event *Event, planned *PlannedEvent) {
 	planned.Class = slices.IndexFunc(p.Classes, func(c Class) bool { return c.Name == event.Class })
 	planned.Tenant = slices.IndexFunc(p.Tenants, func(t Tenant) bool { return t.Name == event.Tenant })
@@ -192,7 +192,7 @@
 	planned.To = slices.Index(p.Fleet.Zones, event.To)
 }
 
-// drawEvents draws the events, and sorts them by their start.
+// drawEvents draws the times, sizes, endpoints and instances of the events, and sorts the events by start.
 func (p *Plan) drawEvents() {
 	stream := randstream.New(p.Seed, "events")
 	for i := range p.Events {
--- a/internal/simulation/scenario/operations.go
+++ b/internal/simulation/scenario/operations.go
@@ -10,13 +10,16 @@
 	"dunlinsail/internal/simulation/simclient"
 )
 
-// Source gives an instance's operations in the order of their starts, in place of those that a plan draws.
+// Source provides the operations of instances in the order of their starts. It replaces the operations that a
+// plan draws.
 type Source interface {
-	// Operations returns a function that returns the next operation of an instance, and false after the last one.
+	// Operations returns a function that returns the next operation of an instance at each call, and false
+	// after the last operation.
 	Operations(instance int) func() (simclient.Operation, bool)
 }
 
-// RateFactor is the traffic at an instant, as a multiple of Plan.Rate.
+// RateFactor returns the rate of operations at an instant, as a multiple of Plan.Rate. It does not include
+// surges.
 func (p *Plan) RateFactor(at monotime.Micros) float64 {
 	if len(p.Shape) == 0 {
 		return 1
@@ -36,7 +39,8 @@
 	return before.Factor + (after.Factor-before.Factor)*elapsed
 }
 
-// surge is the factor by which surges multiply the traffic of a class, tenant and client process of an instance.
+// surgeFactor returns the factor by which surges multiply the traffic of a class, tenant and client process of
+// an instance.
 func (p *Plan) surgeFactor(at monotime.Micros, instance, class, tenant, process int) float64 {
 	factor := 1.0
 	for i := range p.PlannedEvents {
@@ -50,18 +54,20 @@
 	return factor
 }
 
-// operationMix has the weight of each combination of class, tenant and client process among an instance's operations.
+// operationMix is the weight of each combination of class, tenant and client process among the operations of an
+// instance.
 type operationMix struct {
 	plan         *Plan
 	instance     int
 	tenantCount  int
 	processCount int
 	weights      []float64
-	baseWeights  []float64 // without surges
+	baseWeights  []float64 // weights without surges
 	hasSurges    bool
 	sum          float64
 }
 
+// newOperationMix returns the mix of an instance without surges.
 func (p *Plan) newOperationMix(instance int) *operationMix {
 	mix := &operationMix{
 		plan:         p,
@@ -90,12 +96,12 @@
 	return mix
 }
 
-// split returns the class, tenant and process of an index in weights.
+// combination returns the class, tenant and process for an index of weights.
 func (mix *operationMix) combination(i int) (class, tenant, process int) {
 	return i / (mix.tenantCount * mix.processCount), i / mix.processCount % mix.tenantCount, i % mix.processCount
 }
 
-// setTime sets the weights to those of an instant.
+// setTime sets the weights to their values at an instant, including surges.
 func (mix *operationMix) setTime(at monotime.Micros) {
 	if !mix.hasSurges {
 		return
@@ -108,7 +114,7 @@
 	}
 }
 
-// pick draws a combination by its weight.
+// pick draws a combination of class, tenant and process with a probability proportional to its weight.
 func (mix *operationMix) pick(rng *rand.Rand) (class, tenant, process int) {
 	remaining := rng.Float64() * mix.sum
 	for i, weight := range mix.weights {
@@ -119,8 +125,8 @@
 	return mix.combination(len(mix.weights) - 1)
 }
 
-// Operations returns a function that returns an instance's operations in the order of their starts, one at each call,
-// and false after the last one.
+// Operations returns a function that returns the next operation of an instance at each call, in the order of
+// their starts, and false after the last operation.
 func (p *Plan) Operations(instance int) func() (simclient.Operation, bool) {
 	if p.Source != nil {
 		return p.Source.Operations(instance)
@@ -129,8 +135,9 @@
 	arrivals := randstream.New(p.Seed, "arrivals").Source(uint64(instance))
 	operationStream := randstream.New(p.Seed, "stories")
 	mix := p.newOperationMix(instance)
-	// Thinning (Lewis, Shedler: "Simulation of nonhomogeneous Poisson processes by thinning", 1979): arrivals are drawn
-	// at the highest rate, and a part of them is kept.
+	// Thinning (Lewis, Shedler: "Simulation of nonhomogeneous Poisson processes by thinning", 1979): arrivals
+	// are drawn at the highest rate of the run, and each is kept with the probability of the current rate
+	// relative to that.
 	maxFactor := 0.0
 	for _, s := range p.Shape {
 		maxFactor = max(maxFactor, s.Factor)
@@ -182,7 +189,7 @@
 	}
 }
 
-// Draw draws the work of a request in microseconds, by the class's distribution.
+// Draw draws the work of an operation, in microseconds, from the distribution of its class.
 func (class *Class) Draw(rng *rand.Rand) monotime.Micros {
 	work := float64(class.Work.Micros())
 	switch class.Dist {
--- a/internal/simulation/scenario/parse.go
+++ b/internal/simulation/scenario/parse.go
@@ -11,12 +11,13 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// span returns a pointer to a span: a file need not give one.
+// newSpan returns a pointer to a new span. Spans are pointers since they are optional in a file.
 func newSpan(from, to time.Duration) *stricttoml.Span { return &stricttoml.Span{From: from, To: to} }
 
+// duration converts a duration to the type of durations in a file.
 func duration(d time.Duration) stricttoml.Duration { return stricttoml.Duration{Duration: d} }
 
-// defaults are the values of keys that a file leaves out: a small site without faults.
+// defaults returns the values of keys that a file does not set: a small site without faults.
 func defaults() Scenario {
 	return Scenario{
 		Length: duration(30 * time.Second),
@@ -47,15 +48,17 @@
 	}
 }
 
-// NeedsProcesses reports whether the scenario has events that only runs by processes play.
+// NeedsProcesses reports whether the scenario has events that only runs with real processes support, not the
+// simulation.
 func (s *Scenario) NeedsProcesses() bool {
 	return slices.ContainsFunc(s.Events, func(e Event) bool { return e.What == EventMaintenance })
 }
 
-// Finder returns the text of a scenario that another is based on, by its name.
+// Finder returns the text of the base scenario with the given name.
 type Finder func(name string) ([]byte, error)
 
-// Parse reads and checks a file's text. Its error is stricttoml.Errors, or that of find for a base scenario.
+// Parse reads and checks the text of a scenario file. Its error is stricttoml.Errors for an invalid file, or an
+// error about the base scenario.
 func Parse(text []byte, find Finder) (*Scenario, error) {
 	s := defaults()
 	if err := s.applyText(text, find, 0); err != nil {
@@ -64,10 +67,11 @@
 	return &s, nil
 }
 
-// maxBases bounds how many scenarios may be based on one another.
+// maxBases is the largest number of scenarios in a chain of base scenarios.
 const maxBases = 4
 
-// overlay reads a text over the present values, and checks the result. depth is how many scenarios are based on it.
+// applyText sets the values that a text contains, after those of its base scenario, and checks the result.
+// depth is the number of scenarios that are based on this text, directly or through other scenarios.
 func (s *Scenario) applyText(text []byte, find Finder, depth int) error {
 	var fileValues Scenario
 	lines, err := stricttoml.Decode(text, &fileValues)
@@ -81,7 +85,7 @@
 		}
 	}
 	s.clearLists(lines)
-	// Load or rate in this text replaces the base's other one.
+	// Either load or rate in this text replaces both in the base scenario.
 	if fileValues.Clients.Load > 0 {
 		s.Clients.Rate = 0
 	} else if fileValues.Clients.Rate > 0 {
@@ -96,7 +100,7 @@
 	return validation.Err()
 }
 
-// applyBase reads the scenario on which this one is based.
+// applyBase sets the values of the base scenario with the given name.
 func (s *Scenario) applyBase(name string, find Finder, depth int, validation *stricttoml.Validation) error {
 	validation.Require(depth < maxBases, "base", "more than %d scenarios are based on one another", maxBases)
 	if err := validation.Err(); err != nil {
@@ -110,13 +114,14 @@
 	if err := s.applyText(baseText, find, depth+1); err != nil {
 		return fmt.Errorf("scenario %q: %w", name, err)
 	}
-	// A base's description and claims are its own.
+	// The description and the claims of a base scenario do not apply to the scenarios based on it.
 	s.About = ""
 	s.Expect = nil
 	return nil
 }
 
-// clearLists empties the lists that a text has, by the lines of its keys: they replace the base's.
+// clearLists empties the lists that a text contains, so that they replace the lists of the base scenario. lines
+// has the line number of each key in the text.
 func (s *Scenario) clearLists(lines map[string]int) {
 	for _, list := range []struct {
 		key   string
@@ -135,7 +140,7 @@
 	}
 }
 
-// setDefaults sets the values that the tables of kinds and classes leave out.
+// setDefaults sets the default values of keys that the tables of endpoint kinds and classes do not set.
 func (s *Scenario) setDefaults() {
 	for i := range s.EndpointKinds {
 		s.EndpointKinds[i].setDefaults()
@@ -147,7 +152,7 @@
 	}
 }
 
-// Text returns the scenario as a file with all values.
+// Text returns the scenario as a TOML file with all values.
 func (s *Scenario) Text() ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := toml.NewEncoder(&buffer)
@@ -157,7 +162,8 @@
 	return buffer.Bytes(), nil
 }
 
-// Clone returns a copy that shares nothing with s.
+// Clone returns a copy of the scenario. The copy has its own lists of zones, endpoint kinds, classes, tenants,
+// shape points, events, claims and settings, and its own spans.
 func (s *Scenario) Clone() *Scenario {
 	clone := *s
 	clone.Fleet.Zones = slices.Clone(s.Fleet.Zones)
@@ -188,7 +194,7 @@
 	return &clone
 }
 
-// setDefaults sets the values of keys that the table of a kind leaves out.
+// setDefaults sets the default values of keys that the table of an endpoint kind does not set.
 func (kind *EndpointKind) setDefaults() {
 	if kind.Cores == 0 {
 		kind.Cores = 2
--- a/internal/simulation/scenario/plan.go
+++ b/internal/simulation/scenario/plan.go
@@ -10,19 +10,19 @@
 
 const second monotime.Micros = 1_000_000
 
-// Plan is a scenario drawn with a seed.
+// Plan is a scenario with the endpoints, instances and events that are drawn with a seed.
 type Plan struct {
 	*Scenario
 	Seed          uint64
 	Endpoints     []Endpoint
 	Instances     []Instance
-	PlannedEvents []PlannedEvent // sorted by their start
-	Rate          float64        // operations a second, where the shape's factor is 1
-	Capacity      float64        // work that all endpoints can do in a microsecond, once warm
-	Source        Source         // of operations; nil: the plan draws them
+	PlannedEvents []PlannedEvent // sorted by start
+	Rate          float64        // operations a second when the factor of the shape is 1
+	Capacity      float64        // work in microseconds that all warm endpoints can do in a microsecond
+	Source        Source         // source of operations; nil: the plan draws the operations
 }
 
-// Endpoint is an endpoint of a plan.
+// Endpoint is an endpoint of a plan, with its drawn values.
 type Endpoint struct {
 	Name          string
 	Kind, Zone    int
@@ -34,21 +34,21 @@
 	PauseFor      monotime.Micros
 }
 
-// Instance is an instance of the daemon in a plan.
+// Instance is an instance of the daemon in a plan, with its drawn values.
 type Instance struct {
 	Zone      int
-	Share     float64         // of all traffic
-	Skew      monotime.Micros // of its clock against simulated time
+	Share     float64         // the instance's share of all traffic
+	Skew      monotime.Micros // offset of the instance's clock from simulated time
 	Drift     float64
-	Endpoints []int // on its list, sorted; nil is all
+	Endpoints []int // indices of the endpoints on its endpoint list, sorted; nil: all endpoints
 }
 
-// HasEvent reports whether the plan has an event of one of the kinds.
+// HasEvent reports whether the plan has an event of one of the given kinds.
 func (p *Plan) HasEvent(kinds ...string) bool {
 	return slices.ContainsFunc(p.PlannedEvents, func(e PlannedEvent) bool { return slices.Contains(kinds, e.What) })
 }
 
-// MeanWork is the mean work of an operation, in microseconds.
+// MeanWork returns the mean work of an operation, in microseconds.
 func (s *Scenario) MeanWork() float64 {
 	var work, shares float64
 	for _, class := range s.Classes {
@@ -58,7 +58,7 @@
 	return work / shares
 }
 
-// ClientBehavior returns how the clients behave.
+// ClientBehavior returns the behavior of the simulated clients.
 func (p *Plan) ClientBehavior() simclient.Behavior {
 	clients := &p.Clients
 	backoff := spanBounds(clients.Backoff)
@@ -73,7 +73,7 @@
 	}
 }
 
-// contains reports whether a sorted list has a number.
+// contains reports whether a sorted list contains a number.
 func contains(sortedNumbers []int, number int) bool {
 	_, found := slices.BinarySearch(sortedNumbers, number)
 	return found
--- a/internal/simulation/scenario/plannedevent.go
+++ b/internal/simulation/scenario/plannedevent.go
@@ -7,26 +7,33 @@
 	"dunlinsail/internal/simulation/simendpoint"
 )
 
-// PlannedEvent is an event of a plan, with all draws made.
+// PlannedEvent is an event of a plan, with all random values drawn.
 type PlannedEvent struct {
 	What      string          `json:"What"`
 	At        monotime.Micros `json:"At"`
-	Until     monotime.Micros `json:"Until"` // math.MaxInt64: it does not end
+	Until     monotime.Micros `json:"Until"` // math.MaxInt64: the event does not end
 	Endpoints []int           `json:"Nodes"`
-	Sizes     []float64       `json:"Sizes"`  // of each of Endpoints; one number where it applies to none
-	Class     int             `json:"Class"`  // -1 is all
-	Tenant    int             `json:"Tenant"` // -1 is all
-	OneClient bool            `json:"One"`    // of the first client process only
-	Zone      int             `json:"Zone"`   // -1 is all
-	To        int             `json:"To"`     // the same
+	// Sizes are the sizes of the event at each of Endpoints. An event that does not apply to endpoints has one
+	// size.
+	Sizes     []float64       `json:"Sizes"`
+	Class     int             `json:"Class"`  // index of the class; -1: all classes
+	Tenant    int             `json:"Tenant"` // index of the tenant; -1: all tenants
+	OneClient bool            `json:"One"`    // whether only the instances' first client process is affected
+	Zone      int             `json:"Zone"`   // index of the zone; -1: all zones
+	To        int             `json:"To"`     // index of the other zone; -1: all zones
 	Every     monotime.Micros `json:"Every"`
 	Delay     monotime.Micros `json:"Delay"`
-	Instances []int           `json:"Instances"` // that it applies to, or whose network paths
-	Others    []int           `json:"Others"`    // EventInstancePartition: the other side; nil is all others
-	Way       string          `json:"Way"`
+	// Instances are the indices of the affected instances, or of the instances whose network paths are
+	// affected.
+	Instances []int `json:"Instances"`
+	// Others are the indices of the instances on the other side of an EventInstancePartition; nil: all other
+	// instances.
+	Others []int  `json:"Others"`
+	Way    string `json:"Way"`
 }
 
-// Frozen reports whether the event stops its instances at an instant, and until when at least.
+// Frozen reports whether the event stops its instances at an instant, and the earliest time at which they
+// resume.
 func (event *PlannedEvent) Frozen(now monotime.Micros) (until monotime.Micros, frozen bool) {
 	if event.What != EventInstanceFreeze || now < event.At || now >= event.Until {
 		return 0, false
@@ -38,15 +45,15 @@
 	return min(event.Until, event.At+(interval+1)*event.Every), interval%2 == 0
 }
 
-// BlocksPath reports whether the event blocks messages from an instance to an endpoint, or with back those of the
-// endpoint to the instance.
+// BlocksPath reports whether the event blocks messages from an instance to an endpoint or, if toInstance is
+// set, from the endpoint to the instance.
 func (event *PlannedEvent) BlocksPath(now monotime.Micros, instance, endpoint int, toInstance bool) bool {
 	return event.What == EventPathBlocked && now >= event.At && now < event.Until &&
 		(event.Way == "" || (event.Way == WayFrom) == toInstance) &&
 		contains(event.Instances, instance) && contains(event.Endpoints, endpoint)
 }
 
-// Partitioned reports whether no message passes from one instance to another at an instant.
+// Partitioned reports whether messages from one instance to another are blocked at an instant.
 func (p *Plan) Partitioned(now monotime.Micros, from, to int) bool {
 	for i := range p.PlannedEvents {
 		event := &p.PlannedEvents[i]
@@ -66,8 +73,8 @@
 	return false
 }
 
-// DemandOverstatement is the factor by which the misreporting instance overstates its demand at an instant; 1 without
-// one.
+// DemandOverstatement returns the factor by which the misreporting instance overstates its demand at an
+// instant; 1 if no instance misreports.
 func (p *Plan) DemandOverstatement(now monotime.Micros) float64 {
 	for i := range p.PlannedEvents {
 		if event := &p.PlannedEvents[i]; event.What == EventDemandOverstated && now >= event.At && now < event.Until {
@@ -77,14 +84,14 @@
 	return 1
 }
 
-// Parts of the messages that EventLateMessages affects.
+// The shares of messages that EventLateMessages affects.
 const (
-	delayedMessageRatio   = 0.5 // of the messages are delayed
-	duplicateMessageRatio = 0.1 // of the messages arrive twice
+	delayedMessageRatio   = 0.5 // share of messages that are delayed
+	duplicateMessageRatio = 0.1 // share of messages that arrive twice
 )
 
-// MessageDelay is the additional delay of an instance's message at an instant, and whether it arrives twice. draws are
-// three random numbers in 0..1 of the message's own.
+// MessageDelay returns the additional delay of an instance's message at an instant, and whether the message
+// arrives twice. draws are three random numbers from 0 to 1, drawn for this message.
 func (p *Plan) MessageDelay(now monotime.Micros, from int, draws [3]float64) (delay monotime.Micros, twice bool) {
 	for i := range p.PlannedEvents {
 		event := &p.PlannedEvents[i]
@@ -98,7 +105,7 @@
 	return delay, twice
 }
 
-// ExtraDelay is the additional delay of messages between an instance and an endpoint at an instant.
+// ExtraDelay returns the additional delay of messages between an instance and an endpoint at an instant.
 func (p *Plan) ExtraDelay(now monotime.Micros, instance, endpoint int) (delay monotime.Micros) {
 	for i := range p.PlannedEvents {
 		if event := &p.PlannedEvents[i]; event.What == EventLag && now >= event.At && now < event.Until &&
@@ -109,8 +116,8 @@
 	return delay
 }
 
-// AddCondition adds the event's fault at the k-th of its endpoints at an instant. classOf maps the scenario's classes
-// to those of the endpoints' jobs.
+// AddCondition adds the effect of the event to the condition of the endpoint at the given position of
+// Endpoints. classOf maps the indices of the scenario's classes to the class indices that the endpoints use.
 func (event *PlannedEvent) AddCondition(condition *simendpoint.Condition, now monotime.Micros, position int,
 	classOf []int) {
 	size := event.Sizes[position]
@@ -139,7 +146,8 @@
 	}
 }
 
-// EventPeriod is from the start of the first event to the end of the last one that ends; both are 0 without events.
+// EventPeriod returns the period from the start of the first event to the latest end of an event. An event that
+// does not end counts until its start. Both results are 0 if there are no events.
 func (p *Plan) EventPeriod() (from, until monotime.Micros) {
 	for i := range p.PlannedEvents {
 		event := &p.PlannedEvents[i]
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -12,6 +12,7 @@
 	"dunlinsail/internal/stricttoml"
 )
 
+// minimalScenario is the text of a valid scenario that sets few keys.
 const minimalScenario = `name = "a"
 [fleet]
 zones = ["x", "y"]
@@ -26,8 +27,10 @@
 rate = 200.0
 `
 
+// findNoBase is a Finder that finds no base scenario.
 func findNoBase(name string) ([]byte, error) { return nil, errors.New("there is none") }
 
+// parseScenario parses a text without a base scenario, and fails the test if the text is invalid.
 func parseScenario(t *testing.T, text string) *Scenario {
 	t.Helper()
 	s, err := Parse([]byte(text), findNoBase)
@@ -35,7 +38,8 @@
 	return s
 }
 
-// Each contradiction and each value out of bounds is an error with its key and line, all of them at once.
+// Each contradictory value and each value out of bounds is rejected with an error that has its key and line.
+// All errors of a file are reported together.
 func TestContradictions(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"load = 0.5\n",
@@ -93,7 +97,8 @@
 	}
 }
 
-// What a file says goes over its base; lists stand in place of the base's; and what Text says is the same scenario.
+// The values of a file override its base scenario, and its lists replace those of the base scenario. Text
+// returns a file that describes the same scenario.
 func TestBase(t *testing.T) {
 	baseText := minimalScenario + "[[event]]\nwhat = \"slow\"\nat = \"5s\"\nsize = [2.0]\n"
 	s, err := Parse(
@@ -116,7 +121,8 @@
 	}
 }
 
-// drawTraffic counts the operations of a plan by ten seconds and tenant, and returns a digest of them, too.
+// drawTraffic draws the operations of a plan. It returns their number by ten-second period and tenant, their
+// total number, and a digest of their start times, work and idempotency keys.
 func drawTraffic(t *testing.T, s *Scenario, seed uint64) (counts [3][2]int, total int, digest monotime.Micros) {
 	t.Helper()
 	plan := s.Draw(seed)
@@ -139,7 +145,8 @@
 	return counts, total, digest
 }
 
-// A plan follows from its seed; its traffic has the rate, the shape and the shares that the file says.
+// A plan depends only on the scenario and the seed. Its traffic has the rate, shape and tenant shares of the
+// scenario.
 func TestDraw(t *testing.T) {
 	s := parseScenario(t, strings.Replace(minimalScenario, "rate = 200.0", "rate = 2000.0", 1)+`[[tenant]]
 name = "p"
@@ -167,7 +174,8 @@
 	if _, _, other := drawTraffic(t, s, 2); other == digest {
 		t.Error("another seed gave the same operations")
 	}
-	// Mean factors of the three parts: 2/3, 1, 4/3. Tenant q has five times the traffic in the middle one.
+	// The mean factors of the three ten-second periods are 2/3, 1 and 4/3. Tenant q has five times its traffic
+	// in the second period.
 	for i, want := range [3][2]float64{{10_000, 3_333}, {15_000, 25_000}, {20_000, 6_667}} {
 		for j := range want {
 			if got := float64(counts[i][j]); math.Abs(got-want[j]) > 5*math.Sqrt(want[j]) {
@@ -188,7 +196,7 @@
 	}
 }
 
-// Each endpoint is in the subsets of equally many instances.
+// With subsets, each endpoint is on the endpoint lists of equally many instances.
 func TestSubset(t *testing.T) {
 	s := parseScenario(t, strings.Replace(strings.Replace(minimalScenario, "count = 4", "count = 100", 1), "zones =",
 		"instances = 50\nsubset = 20\nzones =", 1))
@@ -208,9 +216,10 @@
 	}
 }
 
-// What is left of the endpoints bounds what can be served.
+// The remaining capacity of the endpoints during events bounds the share of operations that can be served.
 func TestIdeal(t *testing.T) {
-	baseText := strings.Replace(minimalScenario, "rate = 200.0", "rate = 400.0", 1) // of 800 that can be done
+	// The endpoints can serve 800 operations a second.
+	baseText := strings.Replace(minimalScenario, "rate = 200.0", "rate = 400.0", 1)
 	for events, want := range map[string]float64{
 		"": 1,
 		"[[event]]\nwhat = \"kill\"\nat = \"10s\"\nfor = \"10s\"\n":                     0.66,
