--- a/internal/simulation/gossipsim/faults.go
+++ b/internal/simulation/gossipsim/faults.go
@@ -13,38 +13,40 @@
 
 // The kinds of faults. Programs take their names as arguments, and RandomFaults draws from the sorted names.
 const (
-	faultKill     FaultKind = "kill"
-	faultKills    FaultKind = "kills"
-	faultStop     FaultKind = "stop"
-	faultSlow     FaultKind = "slow"
-	faultSplit    FaultKind = "split"
-	faultDeaf     FaultKind = "deaf"
-	faultDumb     FaultKind = "dumb"
-	faultFlap     FaultKind = "flap"
-	faultUnseen   FaultKind = "unseen"
-	faultLossy    FaultKind = "lossy"
-	faultDemand   FaultKind = "demand"
-	faultLies     FaultKind = "lies"
-	faultBudget   FaultKind = "budget"
-	faultReplaced FaultKind = "replaced"
+	faultKill              FaultKind = "kill"
+	faultRepeatedKill      FaultKind = "kills"
+	faultStop              FaultKind = "stop"
+	faultSlow              FaultKind = "slow"
+	faultPartition         FaultKind = "split"
+	faultReceiveBlocked    FaultKind = "deaf"
+	faultSendBlocked       FaultKind = "dumb"
+	faultFlappingPartition FaultKind = "flap"
+	faultPairPartition     FaultKind = "unseen"
+	faultLossy             FaultKind = "lossy"
+	faultDemandChange      FaultKind = "demand"
+	faultDemandOverstated  FaultKind = "lies"
+	faultBudgetChange      FaultKind = "budget"
+	faultTakeover          FaultKind = "replaced"
 )
 
 // FaultKinds has a description of each kind of fault; "they" are the members of the fault.
 var FaultKinds = map[FaultKind]string{
-	faultKill:     "they are killed, and restarted when it ends",
-	faultKills:    "they are killed and restarted again and again, every Factor seconds",
-	faultStop:     "they are stopped, and resumed when it ends",
-	faultSlow:     "their messages are delayed by Factor times a lease's duration",
-	faultSplit:    "no message passes between them and the others",
-	faultDeaf:     "no message reaches them",
-	faultDumb:     "no message of theirs reaches anybody",
-	faultFlap:     "no message passes between them and the others in every other second",
-	faultUnseen:   "no message passes between the first of them and the last",
-	faultLossy:    "the fraction Factor of messages is lost, as much duplicated, as much delayed by up to two leases",
-	faultDemand:   "their demand is Factor times what it was",
-	faultLies:     "they report Factor times their demand",
-	faultBudget:   "the budget in their configuration has Factor times its units",
-	faultReplaced: "a successor takes over from each",
+	faultKill:              "they are killed, and restarted when it ends",
+	faultRepeatedKill:      "they are killed and restarted again and again, every Factor seconds",
+	faultStop:              "they are stopped, and resumed when it ends",
+	faultSlow:              "their messages are delayed by Factor times a lease's duration",
+	faultPartition:         "no message passes between them and the others",
+	faultReceiveBlocked:    "no message reaches them",
+	faultSendBlocked:       "no message of theirs reaches anybody",
+	faultFlappingPartition: "no message passes between them and the others in every other second",
+	faultPairPartition:     "no message passes between the first of them and the last",
+
+	faultLossy: "the fraction Factor of messages is lost, as much duplicated, as much delayed by up to two leases",
+
+	faultDemandChange:     "their demand is Factor times what it was",
+	faultDemandOverstated: "they report Factor times their demand",
+	faultBudgetChange:     "the budget in their configuration has Factor times its units",
+	faultTakeover:         "a successor takes over from each",
 }
 
 // Fault is a fault of members or of the network during a run.
@@ -77,17 +79,17 @@
 // randomFactor draws a factor for a kind of fault; it returns 0 if the kind has no factor.
 func randomFactor(rng *rand.Rand, kind FaultKind) float64 {
 	switch kind {
-	case faultKills:
+	case faultRepeatedKill:
 		return 0.5 + 2*rng.Float64()
 	case faultSlow:
 		return 1.5 * rng.Float64()
 	case faultLossy:
 		return 0.4 * rng.Float64()
-	case faultDemand:
+	case faultDemandChange:
 		return 3 * rng.Float64()
-	case faultLies:
+	case faultDemandOverstated:
 		return 1000
-	case faultBudget:
+	case faultBudgetChange:
 		return 0.2 + 1.3*rng.Float64()
 	}
 	return 0
@@ -103,7 +105,7 @@
 	for _, memberIndex := range fault.Members {
 		sim.applyFault(sim.members[memberIndex], fault, duration)
 	}
-	if fault.Kind == faultKills {
+	if fault.Kind == faultRepeatedKill {
 		sim.scheduleRestarts(fault, fault.Start+duration)
 	}
 	if fault.Duration > 0 {
@@ -114,22 +116,22 @@
 // applyFault applies the start of a fault to one of its members.
 func (sim *simulation) applyFault(x *member, fault *Fault, duration monotime.Micros) {
 	switch fault.Kind {
-	case faultKill, faultKills:
+	case faultKill, faultRepeatedKill:
 		x.kill()
 	case faultStop:
 		x.stoppedUntil = sim.now + duration
-	case faultDemand:
+	case faultDemandChange:
 		previousRate := x.demandRate
 		x.demandRate = previousRate * fault.Factor
 		if previousRate == 0 {
 			x.demandRate = fault.Factor
 			sim.scheduleDemand(x)
 		}
-	case faultLies:
+	case faultDemandOverstated:
 		x.demandFactor = fault.Factor
-	case faultBudget:
+	case faultBudgetChange:
 		x.setBudget(sim.settings.Units * fault.Factor)
-	case faultReplaced:
+	case faultTakeover:
 		sim.replaceProcess(x)
 	}
 }
@@ -140,15 +142,15 @@
 	for _, memberIndex := range fault.Members {
 		x := sim.members[memberIndex]
 		switch fault.Kind {
-		case faultKill, faultKills:
+		case faultKill, faultRepeatedKill:
 			if !x.running {
 				sim.restart(x)
 			}
-		case faultDemand:
+		case faultDemandChange:
 			x.demandRate /= fault.Factor
-		case faultLies:
+		case faultDemandOverstated:
 			x.demandFactor = 1
-		case faultBudget:
+		case faultBudgetChange:
 			x.setBudget(sim.settings.Units)
 		}
 	}
--- a/internal/simulation/gossipsim/gossipsim_test.go
+++ b/internal/simulation/gossipsim/gossipsim_test.go
@@ -46,11 +46,11 @@
 				continue // the budget in force depends on which member is the allocator
 			}
 			spendable, spent := spentAfterFaults(result)
-			minPercent := 90
+			minUsedPercent := 90
 			if name == "demand moves" {
-				minPercent = 80 // the demand is little above the budget, and leases follow it with a delay
+				minUsedPercent = 80 // the demand is little above the budget, and leases follow it with a delay
 			}
-			if 100*spent < minPercent*spendable {
+			if 100*spent < minUsedPercent*spendable {
 				t.Errorf("%s, seed %d: %d of %d at the end", name, seed, spent, spendable)
 			}
 		}
--- a/internal/simulation/gossipsim/network.go
+++ b/internal/simulation/gossipsim/network.go
@@ -64,7 +64,7 @@
 
 // partitioned reports whether an active fault blocks the messages from one member to another.
 func (sim *simulation) partitioned(from, to *member) bool {
-	return slices.ContainsFunc(sim.activeFaults, func(f *Fault) bool { return sim.faultBlocks(f, from, to) })
+	return slices.ContainsFunc(sim.activeFaults, func(fault *Fault) bool { return sim.faultBlocks(fault, from, to) })
 }
 
 // faultBlocks reports whether a fault now blocks the messages from one member to another.
@@ -72,15 +72,15 @@
 	fromAffected := slices.Contains(fault.Members, from.index)
 	toAffected := slices.Contains(fault.Members, to.index)
 	switch fault.Kind {
-	case faultSplit:
+	case faultPartition:
 		return fromAffected != toAffected
-	case faultFlap:
+	case faultFlappingPartition:
 		return fromAffected != toAffected && (sim.now-fault.Start)/second%2 == 0
-	case faultDeaf:
+	case faultReceiveBlocked:
 		return toAffected
-	case faultDumb:
+	case faultSendBlocked:
 		return fromAffected
-	case faultUnseen:
+	case faultPairPartition:
 		firstMember := fault.Members[0]
 		lastMember := fault.Members[len(fault.Members)-1]
 		return from.index == firstMember && to.index == lastMember ||
--- a/internal/simulation/gossipsim/simulation.go
+++ b/internal/simulation/gossipsim/simulation.go
@@ -37,8 +37,8 @@
 }
 
 // trueTime returns the true time at which the member's clock shows the given time.
-func (x *member) trueTime(local monotime.Micros) monotime.Micros {
-	return monotime.Micros(math.Ceil(float64(local)/x.clockRate + x.clockOrigin))
+func (x *member) trueTime(localTime monotime.Micros) monotime.Micros {
+	return monotime.Micros(math.Ceil(float64(localTime)/x.clockRate + x.clockOrigin))
 }
 
 // simulation is the state of a run of the simulation.
@@ -78,12 +78,12 @@
 		sim.schedule(fault.Start, func() { sim.startFault(fault) })
 	}
 	for len(sim.queue) > 0 {
-		next := heap.Pop(&sim.queue).(scheduledEvent)
-		if next.at > settings.Duration {
+		nextEvent := heap.Pop(&sim.queue).(scheduledEvent)
+		if nextEvent.at > settings.Duration {
 			break
 		}
-		sim.now = next.at
-		next.run()
+		sim.now = nextEvent.at
+		nextEvent.run()
 	}
 	sim.summarize()
 	return &sim.result, nil
--- a/internal/simulation/gossipsim/spending.go
+++ b/internal/simulation/gossipsim/spending.go
@@ -35,48 +35,48 @@
 // budget.
 func (sim *simulation) checkBudget() {
 	sim.recentlySpent = append(sim.recentlySpent, sim.now)
-	expired := 0
-	for sim.recentlySpent[expired] <= sim.now-second {
-		expired++
+	expiredCount := 0
+	for sim.recentlySpent[expiredCount] <= sim.now-second {
+		expiredCount++
 	}
-	sim.recentlySpent = sim.recentlySpent[expired:]
-	spent := len(sim.recentlySpent)
-	if spent > sim.result.MaxSpent {
-		sim.result.MaxSpent = spent
+	sim.recentlySpent = sim.recentlySpent[expiredCount:]
+	spentCount := len(sim.recentlySpent)
+	if spentCount > sim.result.MaxSpent {
+		sim.result.MaxSpent = spentCount
 		sim.result.MaxSpentAt = sim.now
 	}
-	if float64(spent) > sim.maxBudget() {
+	if float64(spentCount) > sim.maxBudget() {
 		sim.result.UnitsExceeded++
 	}
 }
 
 // maxBudget returns the largest budget that any member's configuration has during the run.
 func (sim *simulation) maxBudget() float64 {
-	units := sim.settings.Units
+	maxUnits := sim.settings.Units
 	for i := range sim.settings.Faults {
-		if fault := &sim.settings.Faults[i]; fault.Kind == faultBudget {
-			units = max(units, sim.settings.Units*fault.Factor)
+		if fault := &sim.settings.Faults[i]; fault.Kind == faultBudgetChange {
+			maxUnits = max(maxUnits, sim.settings.Units*fault.Factor)
 		}
 	}
-	return units
+	return maxUnits
 }
 
 // summarize computes the results that depend on the whole run.
 func (sim *simulation) summarize() {
 	result := &sim.result
 	budget := int(sim.settings.Units)
-	demanded := 0
-	spent := 0
+	demandedUnits := 0
+	spentUnits := 0
 	for i, secondTotals := range result.Seconds {
-		demanded += min(secondTotals.Demanded, budget)
-		spent += min(secondTotals.Spent, budget)
+		demandedUnits += min(secondTotals.Demanded, budget)
+		spentUnits += min(secondTotals.Spent, budget)
 		if result.ConvergedAt == 0 && 10*secondTotals.Spent >= 9*min(secondTotals.Demanded, budget) {
 			result.ConvergedAt = monotime.Micros(i+1) * second
 		}
 	}
 	result.Utilization = 1
-	if demanded > 0 {
-		result.Utilization = float64(spent) / float64(demanded)
+	if demandedUnits > 0 {
+		result.Utilization = float64(spentUnits) / float64(demandedUnits)
 	}
 	sim.summarizeCosts()
 }
@@ -84,11 +84,11 @@
 // summarizeCosts computes the rates of messages and bytes that members sent.
 func (sim *simulation) summarizeCosts() {
 	result := &sim.result
-	seconds := float64(sim.settings.Duration) / float64(second)
+	durationSeconds := float64(sim.settings.Duration) / float64(second)
 	nonCandidates := 0
 	for _, x := range sim.members {
-		messageRate := float64(x.messagesSent) / seconds
-		byteRate := float64(x.bytesSent) / seconds
+		messageRate := float64(x.messagesSent) / durationSeconds
+		byteRate := float64(x.bytesSent) / durationSeconds
 		if messageRate > result.AllocatorMessageRate {
 			result.AllocatorMessageRate = messageRate
 			result.AllocatorByteRate = byteRate
--- a/internal/simulation/measure/faults_test.go
+++ b/internal/simulation/measure/faults_test.go
@@ -62,7 +62,7 @@
 
 // Each figure shows the violation that a run contains, and stays at its best value in runs without that
 // violation.
-func TestFiguresFindWhatIsPlanted(t *testing.T) {
+func TestFiguresDetectPlantedViolations(t *testing.T) {
 	requireNear := func(name string, got, want float64) {
 		t.Helper()
 		if math.Abs(got-want) > 0.01 {
@@ -74,21 +74,23 @@
 	requireNear("out_of_order", inOrder["out_of_order"], 0)
 	requireNear("back", inOrder["back"], 1)
 	// In the sixth second, the class of lower weight is served in place of the class of higher weight.
-	outOfOrder := evaluateRun(func(s, class int) bool { return (class == 0) != (s == 5) }, alwaysServing, nil)
+	outOfOrder := evaluateRun(func(secondIndex, class int) bool { return (class == 0) != (secondIndex == 5) },
+		alwaysServing, nil)
 	requireNear("of_could", outOfOrder["of_could"], 0.91)
 	requireNear("out_of_order", outOfOrder["out_of_order"], 0.05)
 	// The service is lost from the ninth second on, more than 3 s after the end of the fault.
-	degraded := evaluateRun(func(s, class int) bool { return class == 0 && s < 8 }, alwaysServing, nil)
+	degraded := evaluateRun(func(secondIndex, class int) bool { return class == 0 && secondIndex < 8 }, alwaysServing,
+		nil)
 	requireNear("back", degraded["back"], 0.333)
-	notServing := evaluateRun(func(s, class int) bool { return class == 0 && s != 5 },
+	notServing := evaluateRun(func(secondIndex, class int) bool { return class == 0 && secondIndex != 5 },
 		// Operations that start at an instance that accepts no requests are excluded.
 		func(_ int, at monotime.Micros) bool { return at/second != 5 }, nil)
 	requireNear("of_could", notServing["of_could"], 1)
 
 	withArrivals := evaluateRun(func(int, int) bool { return true }, alwaysServing, func(m *Meter) {
-		for s := range monotime.Micros(10) {
+		for secondIndex := range monotime.Micros(10) {
 			for i := range 200 {
-				m.RecordArrival(s*second, i%4, FirstAttempt)
+				m.RecordArrival(secondIndex*second, i%4, FirstAttempt)
 			}
 		}
 		for i := range 30 {
@@ -105,7 +107,7 @@
 }
 
 // Spent units are counted within any period of one second, over all instances, and in any order of the reports.
-func TestSpent(t *testing.T) {
+func TestQuotaSpentInAnySecond(t *testing.T) {
 	limits := map[string]float64{"t": 3}
 	m := New(Criteria{Tenants: []balancer.Tenant{{Name: "t"}}, TenantLimits: limits}, 10*second, 1)
 	// The instants of several instances are reported one instance after another, so they are not in order.
--- a/internal/simulation/measure/meter.go
+++ b/internal/simulation/measure/meter.go
@@ -73,25 +73,25 @@
 	criteria Criteria
 	end      monotime.Micros
 
-	binWidth      monotime.Micros
-	bins          []seriesBin
-	quotas        []tokenBucket // indexed by tenant
-	classes       []groupWeight
-	tenants       []groupWeight
-	seconds       []weightSum
-	quotaSpending quotaSpendTimes
-	maintenance   map[string]float64
-	tenantDemand  map[int][]int // operations that started, by tenant and second
-	total         weightSum
-	clients       map[[2]int]*clientTotals // by the indices of the instance and of its client process
-	lateFailures  float64                  // weight of operations that ended unserved after their latency objective
-	outcomes      [simclient.OutcomeCount]int64
-	operations    int64
-	requests      struct{ refused, failed, lost int64 }
-	arrivals      arrivals
-	priorityAudit *priorityAudit
-	latencies     []*hdrhistogram.Histogram // indexed by class
-	digest        *xxhash.Digest
+	binWidth             monotime.Micros
+	bins                 []seriesBin
+	quotas               []tokenBucket // indexed by tenant
+	classes              []groupWeight
+	tenants              []groupWeight
+	secondWeights        []weightSum
+	quotaSpending        quotaSpendTimes
+	maintenance          map[string]float64
+	tenantDemand         map[int][]int // operations that started, by tenant and second
+	totalWeight          weightSum
+	clientTotals         map[[2]int]*clientTotals // by the indices of the instance and of its client process
+	lateFailures         float64                  // weight of operations that ended unserved after the objective
+	outcomeCounts        [simclient.OutcomeCount]int64
+	operationCount       int64
+	unsuccessfulRequests struct{ rejected, failed, unanswered int64 }
+	arrivals             arrivals
+	priorityAudit        *priorityAudit
+	latencies            []*hdrhistogram.Histogram // indexed by class
+	digest               *xxhash.Digest
 
 	Costs Costs
 }
@@ -128,7 +128,7 @@
 // New returns a meter for a run whose operations start within the given length, with clients in the given
 // number of zones.
 func New(criteria Criteria, length monotime.Micros, zones int) *Meter {
-	m := &Meter{criteria: criteria, end: length, digest: xxhash.New(), clients: map[[2]int]*clientTotals{}}
+	m := &Meter{criteria: criteria, end: length, digest: xxhash.New(), clientTotals: map[[2]int]*clientTotals{}}
 	m.binWidth = max(second, (length+maxBins-1)/maxBins)
 	m.binWidth = (m.binWidth + second - 1) / second * second
 	m.bins = make([]seriesBin, (length+m.binWidth-1)/m.binWidth)
@@ -137,11 +137,11 @@
 		m.bins[i].classes = make([]weightSum, len(criteria.Classes))
 		m.bins[i].zones = make([]weightSum, zones)
 	}
-	m.seconds = make([]weightSum, (length+second-1)/second)
+	m.secondWeights = make([]weightSum, (length+second-1)/second)
 	m.arrivals = arrivals{
-		seconds:  make([]Second, len(m.seconds)),
-		probesAt: make([][]uint32, len(m.seconds)),
-		dialsAt:  make([][]uint32, len(m.seconds)),
+		seconds:  make([]Second, len(m.secondWeights)),
+		probesAt: make([][]uint32, len(m.secondWeights)),
+		dialsAt:  make([][]uint32, len(m.secondWeights)),
 	}
 	m.classes = make([]groupWeight, len(criteria.Classes))
 	m.tenants = make([]groupWeight, len(criteria.Tenants))
@@ -194,31 +194,31 @@
 	} else if latency > class.LatencyObjective {
 		m.lateFailures += weight
 	}
-	m.operations++
-	m.outcomes[operation.Outcome]++
+	m.operationCount++
+	m.outcomeCounts[operation.Outcome]++
 	m.countDemand(operation)
 	m.priorityAudit.operationEnded(operation, weight, onTime)
-	m.total.add(weight, earned)
+	m.totalWeight.add(weight, earned)
 	m.classes[operation.Class].add(weight, earned)
 	if withinQuota && operation.Tenant >= 0 && operation.Tenant < len(m.tenants) {
 		m.tenants[operation.Tenant].add(weight, earned)
 	}
-	client := m.clients[[2]int{operation.Instance, operation.Process}]
+	client := m.clientTotals[[2]int{operation.Instance, operation.Process}]
 	if client == nil {
 		client = &clientTotals{}
-		m.clients[[2]int{operation.Instance, operation.Process}] = client
+		m.clientTotals[[2]int{operation.Instance, operation.Process}] = client
 	}
 	client.add(weight, earned)
 	client.operations++
 	if operation.Outcome == simclient.Served {
 		client.latencies = append(client.latencies, int32(min(latency/100, math.MaxInt32)))
 	}
-	m.seconds[min(operation.StartedAt/second, int64(len(m.seconds)-1))].add(weight, earned)
+	m.secondWeights[min(operation.StartedAt/second, int64(len(m.secondWeights)-1))].add(weight, earned)
 	startBin := &m.bins[min(operation.StartedAt/m.binWidth, int64(len(m.bins)-1))]
 	startBin.operationEnded(operation, zone, onTime, weight, earned)
-	m.requests.refused += int64(operation.Rejected)
-	m.requests.failed += int64(operation.Failed)
-	m.requests.lost += int64(operation.Unanswered)
+	m.unsuccessfulRequests.rejected += int64(operation.Rejected)
+	m.unsuccessfulRequests.failed += int64(operation.Failed)
+	m.unsuccessfulRequests.unanswered += int64(operation.Unanswered)
 	m.Costs.OfferedWork += float64(operation.Work)
 	m.addToDigest(operation)
 }
@@ -232,34 +232,34 @@
 		m.tenantDemand = map[int][]int{}
 	}
 	if m.tenantDemand[operation.Tenant] == nil {
-		m.tenantDemand[operation.Tenant] = make([]int, len(m.seconds))
+		m.tenantDemand[operation.Tenant] = make([]int, len(m.secondWeights))
 	}
-	m.tenantDemand[operation.Tenant][min(operation.StartedAt/second, int64(len(m.seconds)-1))]++
+	m.tenantDemand[operation.Tenant][min(operation.StartedAt/second, int64(len(m.secondWeights)-1))]++
 }
 
 // operationEnded adds a finished operation to the bin in which it started.
-func (b *seriesBin) operationEnded(operation *simclient.Operation, zone int, onTime bool, weight, earned float64) {
+func (bin *seriesBin) operationEnded(operation *simclient.Operation, zone int, onTime bool, weight, earned float64) {
 	latency := operation.EndedAt - operation.StartedAt
-	b.add(weight, earned)
-	b.classes[operation.Class].add(weight, earned)
-	if zone >= 0 && zone < len(b.zones) {
-		b.zones[zone].add(weight, earned)
+	bin.add(weight, earned)
+	bin.classes[operation.Class].add(weight, earned)
+	if zone >= 0 && zone < len(bin.zones) {
+		bin.zones[zone].add(weight, earned)
 	}
-	b.operations++
+	bin.operations++
 	switch {
 	case onTime:
-		b.onTime++
+		bin.onTime++
 	case operation.Outcome == simclient.Served:
-		b.late++
+		bin.late++
 	default:
-		b.unserved++
+		bin.unserved++
 	}
 	if operation.Outcome == simclient.Served {
 		// The histogram's upper bound is a minute: longer latencies count as a minute.
-		_ = b.latencies.RecordValue(min(max(10, latency), int64(time.Minute/time.Microsecond)))
+		_ = bin.latencies.RecordValue(min(max(10, latency), int64(time.Minute/time.Microsecond)))
 	}
-	b.rejectedRequests += int64(operation.Rejected)
-	b.failedRequests += int64(operation.Failed + operation.Unanswered)
+	bin.rejectedRequests += int64(operation.Rejected)
+	bin.failedRequests += int64(operation.Failed + operation.Unanswered)
 }
 
 // addToDigest adds the outcome, end time and counts of a finished operation to the digest of the run.
@@ -273,25 +273,25 @@
 	m.digest.Write(encoded[:])
 }
 
-func (w *weightSum) add(offered, earned float64) {
-	w.offered += offered
-	w.earned += earned
+func (sum *weightSum) add(offered, earned float64) {
+	sum.offered += offered
+	sum.earned += earned
 }
 
 // share returns the fraction of the offered weight that was earned; 1 if no weight was offered.
-func (w weightSum) share() float64 {
-	if w.offered <= 0 {
+func (sum weightSum) share() float64 {
+	if sum.offered <= 0 {
 		return 1
 	}
-	return w.earned / w.offered
+	return sum.earned / sum.offered
 }
 
 // RecordMaintenance records the maintenance of a run: the number of machines that an operator requested, the
 // number of machines that have returned, the number of requests that were sent to a machine during its
 // maintenance, and the time until all machines had returned (0 if some have not returned).
-func (m *Meter) RecordMaintenance(requested, returned, sentWhileOut int, duration monotime.Micros) {
+func (m *Meter) RecordMaintenance(requested, returned, requestsDuring int, duration monotime.Micros) {
 	m.maintenance = map[string]float64{
-		"work_sent": float64(sentWhileOut),
+		"work_sent": float64(requestsDuring),
 		"work_left": float64(requested - returned),
 		"work_took": float64(duration) / float64(second),
 	}
--- a/internal/simulation/measure/priorityaudit.go
+++ b/internal/simulation/measure/priorityaudit.go
@@ -24,14 +24,14 @@
 // before operations of lower weight.
 type priorityAudit struct {
 	environment Environment
-	seconds     [][]classWork
+	secondWork  [][]classWork
 }
 
 // SetEnvironment sets the capacity and the serving instances with which the order of served work is checked.
 func (m *Meter) SetEnvironment(environment Environment) {
-	m.priorityAudit = &priorityAudit{environment: environment, seconds: make([][]classWork, len(m.seconds))}
-	for i := range m.priorityAudit.seconds {
-		m.priorityAudit.seconds[i] = make([]classWork, len(m.criteria.Classes))
+	m.priorityAudit = &priorityAudit{environment: environment, secondWork: make([][]classWork, len(m.secondWeights))}
+	for index := range m.priorityAudit.secondWork {
+		m.priorityAudit.secondWork[index] = make([]classWork, len(m.criteria.Classes))
 	}
 }
 
@@ -41,7 +41,8 @@
 	if audit == nil || !audit.environment.Serving(operation.Instance, operation.StartedAt) {
 		return
 	}
-	totals := &audit.seconds[min(operation.StartedAt/second, monotime.Micros(len(audit.seconds)-1))][operation.Class]
+	totals := &audit.secondWork[min(operation.StartedAt/second,
+		monotime.Micros(len(audit.secondWork)-1))][operation.Class]
 	totals.offered += float64(operation.Work)
 	totals.weight += weight
 	if onTime {
@@ -61,26 +62,26 @@
 		return
 	}
 	var servable, outOfOrder, offered float64
-	for i, classes := range audit.seconds {
+	for i, classes := range audit.secondWork {
 		capacity := audit.environment.Capacity(monotime.Micros(i)*second+second/2) * float64(second)
 		byPriority := slices.Clone(classes)
 		slices.SortFunc(byPriority, func(a, b classWork) int {
 			return cmp.Compare(b.weight*max(1, a.offered), a.weight*max(1, b.offered))
 		})
 		var maxViolation, unservedAbove, servedBelow float64
-		for _, w := range byPriority {
-			servedBelow += w.served
+		for _, class := range byPriority {
+			servedBelow += class.served
 		}
-		for _, w := range byPriority {
-			servedFirst := min(capacity, w.offered)
+		for _, class := range byPriority {
+			servedFirst := min(capacity, class.offered)
 			capacity -= servedFirst
-			if w.offered > 0 {
-				servable += w.weight * servedFirst / w.offered
+			if class.offered > 0 {
+				servable += class.weight * servedFirst / class.offered
 			}
-			unservedAbove += w.offered - w.served
-			servedBelow -= w.served
+			unservedAbove += class.offered - class.served
+			servedBelow -= class.served
 			maxViolation = max(maxViolation, min(unservedAbove, servedBelow))
-			offered += w.offered
+			offered += class.offered
 		}
 		outOfOrder += maxViolation
 	}
--- a/internal/simulation/measure/result.go
+++ b/internal/simulation/measure/result.go
@@ -72,14 +72,14 @@
 	result := &Result{
 		Figures:    map[string]float64{},
 		Costs:      m.Costs,
-		Operations: m.operations,
-		Served:     m.outcomes[simclient.Served],
+		Operations: m.operationCount,
+		Served:     m.outcomeCounts[simclient.Served],
 		Digest:     hex(m.digest.Sum64()),
 	}
 	figures := result.Figures
 	costs := &m.Costs
-	operations := math.Max(1, float64(m.operations))
-	figures["whole"] = m.total.share()
+	operations := math.Max(1, float64(m.operationCount))
+	figures["whole"] = m.totalWeight.share()
 	figures["worst_window"] = m.worstWindowShare()
 	latencies := m.classFigures(result)
 	figures["modest"], figures["p99_modest"] = m.modestClients()
@@ -88,15 +88,15 @@
 	figures["p99"] = quantileMS(latencies, 99)
 	figures["p999"] = quantileMS(latencies, 99.9)
 	m.requestFigures(figures)
-	m.arrivals.figures(figures, m.seconds)
-	m.priorityAudit.figures(figures, m.total.earned)
+	m.arrivals.figures(figures, m.secondWeights)
+	m.priorityAudit.figures(figures, m.totalWeight.earned)
 	m.quotaSpending.figures(figures, &m.criteria, m.tenantDemand)
 	figures["words"] = float64(costs.FleetMessages) / operations
 	figures["work_sent"] = 0
 	figures["work_left"] = 0
 	figures["work_took"] = 0
-	for name, v := range m.maintenance {
-		figures[name] = v
+	for name, value := range m.maintenance {
+		figures[name] = value
 	}
 	figures["breaks"] = float64(costs.Collapses + costs.AttemptsAfterDrain + costs.DuplicateEffects +
 		costs.LateResponses)
@@ -138,19 +138,19 @@
 // operations.
 func (m *Meter) requestFigures(figures map[string]float64) {
 	costs := &m.Costs
-	operations := math.Max(1, float64(m.operations))
-	figures["served"] = float64(m.outcomes[simclient.Served]) / operations
-	figures["unserved"] = float64(m.outcomes[simclient.Unserved]) / operations
+	operations := math.Max(1, float64(m.operationCount))
+	figures["served"] = float64(m.outcomeCounts[simclient.Served]) / operations
+	figures["unserved"] = float64(m.outcomeCounts[simclient.Unserved]) / operations
 	figures["tries"] = float64(costs.ClientRequests) / operations
 	figures["attempts"] = float64(costs.Attempts) / operations
-	figures["refused"] = float64(m.requests.refused) / math.Max(1, float64(costs.ClientRequests))
-	figures["failed"] = float64(m.requests.failed) / math.Max(1, float64(costs.ClientRequests))
-	figures["lost"] = float64(m.requests.lost) / math.Max(1, float64(costs.ClientRequests))
+	figures["refused"] = float64(m.unsuccessfulRequests.rejected) / math.Max(1, float64(costs.ClientRequests))
+	figures["failed"] = float64(m.unsuccessfulRequests.failed) / math.Max(1, float64(costs.ClientRequests))
+	figures["lost"] = float64(m.unsuccessfulRequests.unanswered) / math.Max(1, float64(costs.ClientRequests))
 	figures["cross_zone"] = float64(costs.CrossZone) / operations
 	figures["probes"] = float64(costs.Probes) / operations
 	figures["dials"] = float64(costs.Dials) / operations
 	figures["waste"] = max(0, costs.ExecutedWork-costs.UsefulWork) / math.Max(1, costs.OfferedWork)
-	figures["late_fail"] = m.lateFailures / math.Max(1e-9, m.total.offered)
+	figures["late_fail"] = m.lateFailures / math.Max(1e-9, m.totalWeight.offered)
 }
 
 // service returns the main figure of a run: the average of the shares of served weight, weighted by the goal,
@@ -178,26 +178,27 @@
 // latencies in milliseconds.
 func (m *Meter) modestClients() (service, p99 float64) {
 	// The clients are sorted because the order of floating-point additions changes the sum.
-	clientIDs := slices.SortedFunc(maps.Keys(m.clients), func(a, b [2]int) int { return slices.Compare(a[:], b[:]) })
+	clientIDs := slices.SortedFunc(maps.Keys(m.clientTotals),
+		func(a, b [2]int) int { return slices.Compare(a[:], b[:]) })
 	var total weightSum
 	var latencies []int32
 	for len(clientIDs) > 0 {
-		clientCount := 1
-		for clientCount < len(clientIDs) && clientIDs[clientCount][0] == clientIDs[0][0] {
-			clientCount++
+		groupSize := 1
+		for groupSize < len(clientIDs) && clientIDs[groupSize][0] == clientIDs[0][0] {
+			groupSize++
 		}
 		var counts []int64
-		for _, id := range clientIDs[:clientCount] {
-			counts = append(counts, m.clients[id].operations)
+		for _, id := range clientIDs[:groupSize] {
+			counts = append(counts, m.clientTotals[id].operations)
 		}
 		slices.Sort(counts)
-		for _, id := range clientIDs[:clientCount] {
-			if client := m.clients[id]; client.operations <= modestFactor*counts[clientCount/2] {
+		for _, id := range clientIDs[:groupSize] {
+			if client := m.clientTotals[id]; client.operations <= modestFactor*counts[groupSize/2] {
 				total.add(client.weightSum.offered, client.earned)
 				latencies = append(latencies, client.latencies...)
 			}
 		}
-		clientIDs = clientIDs[clientCount:]
+		clientIDs = clientIDs[groupSize:]
 	}
 	if len(latencies) == 0 {
 		return total.share(), 0
@@ -230,12 +231,12 @@
 func (m *Meter) worstWindowShare() float64 {
 	worst := 1.0
 	var window weightSum
-	for i := range m.seconds {
-		window.add(m.seconds[i].offered, m.seconds[i].earned)
+	for i := range m.secondWeights {
+		window.add(m.secondWeights[i].offered, m.secondWeights[i].earned)
 		if i >= worstWindowSeconds {
-			window.add(-m.seconds[i-worstWindowSeconds].offered, -m.seconds[i-worstWindowSeconds].earned)
+			window.add(-m.secondWeights[i-worstWindowSeconds].offered, -m.secondWeights[i-worstWindowSeconds].earned)
 		}
-		if (i >= worstWindowSeconds-1 || i == len(m.seconds)-1) && window.offered > 1e-6 {
+		if (i >= worstWindowSeconds-1 || i == len(m.secondWeights)-1) && window.offered > 1e-6 {
 			worst = min(worst, window.share())
 		}
 	}
@@ -244,28 +245,28 @@
 
 // series returns the values of all bins over time.
 func (m *Meter) series() Series {
-	s := Series{Bin: m.binWidth, Class: make([][]float64, len(m.classes))}
+	series := Series{Bin: m.binWidth, Class: make([][]float64, len(m.classes))}
 	binSeconds := float64(m.binWidth) / float64(second)
 	for i := range m.bins {
-		current := &m.bins[i]
-		s.Service = append(s.Service, current.share())
-		s.Offered = append(s.Offered, float64(current.operations)/binSeconds)
-		s.OnTime = append(s.OnTime, float64(current.onTime)/binSeconds)
-		s.Late = append(s.Late, float64(current.late)/binSeconds)
-		s.Unserved = append(s.Unserved, float64(current.unserved)/binSeconds)
-		s.Rejected = append(s.Rejected, float64(current.rejectedRequests)/binSeconds)
-		s.Failed = append(s.Failed, float64(current.failedRequests)/binSeconds)
-		s.P50 = append(s.P50, quantileMS(current.latencies, 50))
-		s.P99 = append(s.P99, quantileMS(current.latencies, 99))
-		for j := range current.classes {
-			s.Class[j] = append(s.Class[j], current.classes[j].share())
+		bin := &m.bins[i]
+		series.Service = append(series.Service, bin.share())
+		series.Offered = append(series.Offered, float64(bin.operations)/binSeconds)
+		series.OnTime = append(series.OnTime, float64(bin.onTime)/binSeconds)
+		series.Late = append(series.Late, float64(bin.late)/binSeconds)
+		series.Unserved = append(series.Unserved, float64(bin.unserved)/binSeconds)
+		series.Rejected = append(series.Rejected, float64(bin.rejectedRequests)/binSeconds)
+		series.Failed = append(series.Failed, float64(bin.failedRequests)/binSeconds)
+		series.P50 = append(series.P50, quantileMS(bin.latencies, 50))
+		series.P99 = append(series.P99, quantileMS(bin.latencies, 99))
+		for index := range bin.classes {
+			series.Class[index] = append(series.Class[index], bin.classes[index].share())
 		}
-		if s.Zone == nil {
-			s.Zone = make([][]float64, len(current.zones))
+		if series.Zone == nil {
+			series.Zone = make([][]float64, len(bin.zones))
 		}
-		for j := range current.zones {
-			s.Zone[j] = append(s.Zone[j], current.zones[j].share())
+		for index := range bin.zones {
+			series.Zone[index] = append(series.Zone[index], bin.zones[index].share())
 		}
 	}
-	return s
+	return series
 }
--- a/internal/simulation/scenario/capacity.go
+++ b/internal/simulation/scenario/capacity.go
@@ -44,11 +44,11 @@
 	return func(at monotime.Micros) (factor float64) {
 		if len(mixes) == 1 {
 			mixes[0].setTime(at)
-			return mixes[0].sum
+			return mixes[0].weightSum
 		}
 		for i, mix := range mixes {
 			mix.setTime(at)
-			factor += mix.sum * p.Instances[i].Share
+			factor += mix.weightSum * p.Instances[i].Share
 		}
 		return factor
 	}
--- a/internal/simulation/scenario/checkevent.go
+++ b/internal/simulation/scenario/checkevent.go
@@ -56,13 +56,14 @@
 	validation.Require(event.To == "" || slices.Contains(s.Fleet.Zones, event.To), keyPath("to"),
 		"%q is none of fleet.zones", event.To)
 	validation.Require(event.Kind == "" || slices.ContainsFunc(s.EndpointKinds,
-		func(n EndpointKind) bool { return n.Kind == event.Kind }), keyPath("kind"), "%q is none of the kinds of nodes",
+		func(kind EndpointKind) bool { return kind.Kind == event.Kind }), keyPath("kind"),
+		"%q is none of the kinds of nodes",
 		event.Kind)
 	validation.Require(event.Class == "" ||
-		slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == event.Class }),
+		slices.ContainsFunc(s.Classes, func(class Class) bool { return class.Name == event.Class }),
 		keyPath("class"), "%q is none of the classes", event.Class)
 	validation.Require(event.Tenant == "" ||
-		slices.ContainsFunc(s.Tenants, func(t Tenant) bool { return t.Name == event.Tenant }),
+		slices.ContainsFunc(s.Tenants, func(tenant Tenant) bool { return tenant.Name == event.Tenant }),
 		keyPath("tenant"), "%q is none of the tenants", event.Tenant)
 }
 
@@ -138,9 +139,9 @@
 }
 
 // sizeRequirement returns the part of an error message that states what size a kind of event requires.
-func sizeRequirement(size string) string {
-	if size == "" {
+func sizeRequirement(sizeMeaning string) string {
+	if sizeMeaning == "" {
 		return "no size"
 	}
-	return "a size: " + size
+	return "a size: " + sizeMeaning
 }
--- a/internal/simulation/scenario/draw.go
+++ b/internal/simulation/scenario/draw.go
@@ -24,7 +24,7 @@
 	plan := &Plan{Scenario: s, Seed: seed}
 	plan.drawEndpoints()
 	plan.drawInstances()
-	plan.drawEvents()
+	plan.drawPlannedEvents()
 	plan.Rate = s.Clients.Rate
 	if s.Clients.Load > 0 {
 		plan.Rate = s.Clients.Load * plan.Capacity * float64(second) / s.MeanWork()
@@ -130,9 +130,9 @@
 func (p *Plan) subset(instance int) []int {
 	size := p.Fleet.Subset
 	listsPerRound := len(p.Endpoints) / size
-	order := randstream.New(p.Seed, "subset").For(uint64(instance / listsPerRound)).Perm(len(p.Endpoints))
+	shuffled := randstream.New(p.Seed, "subset").For(uint64(instance / listsPerRound)).Perm(len(p.Endpoints))
 	start := (instance % listsPerRound) * size
-	subset := slices.Clone(order[start : start+size])
+	subset := slices.Clone(shuffled[start : start+size])
 	slices.Sort(subset)
 	return subset
 }
@@ -186,14 +186,14 @@
 
 // resolveNames sets the indices of the class, tenant and zones that an event names. -1 stands for all.
 func (p *Plan) resolveNames(event *Event, planned *PlannedEvent) {
-	planned.Class = slices.IndexFunc(p.Classes, func(c Class) bool { return c.Name == event.Class })
-	planned.Tenant = slices.IndexFunc(p.Tenants, func(t Tenant) bool { return t.Name == event.Tenant })
+	planned.Class = slices.IndexFunc(p.Classes, func(class Class) bool { return class.Name == event.Class })
+	planned.Tenant = slices.IndexFunc(p.Tenants, func(tenant Tenant) bool { return tenant.Name == event.Tenant })
 	planned.Zone = slices.Index(p.Fleet.Zones, event.Zone)
 	planned.To = slices.Index(p.Fleet.Zones, event.To)
 }
 
-// drawEvents draws the times, sizes, endpoints and instances of the events, and sorts the events by start.
-func (p *Plan) drawEvents() {
+// drawPlannedEvents draws the times, sizes, endpoints and instances of the events, and sorts the events by start.
+func (p *Plan) drawPlannedEvents() {
 	stream := randstream.New(p.Seed, "events")
 	for i := range p.Events {
 		event := &p.Events[i]
--- a/internal/simulation/scenario/operations.go
+++ b/internal/simulation/scenario/operations.go
@@ -24,8 +24,8 @@
 	if len(p.Shape) == 0 {
 		return 1
 	}
-	i, _ := slices.BinarySearchFunc(p.Shape, at, func(s RatePoint, at monotime.Micros) int {
-		return cmp.Compare(s.At.Micros(), at)
+	i, _ := slices.BinarySearchFunc(p.Shape, at, func(point RatePoint, at monotime.Micros) int {
+		return cmp.Compare(point.At.Micros(), at)
 	})
 	switch {
 	case i == 0:
@@ -64,7 +64,7 @@
 	weights      []float64
 	baseWeights  []float64 // weights without surges
 	hasSurges    bool
-	sum          float64
+	weightSum    float64
 }
 
 // newOperationMix returns the mix of an instance without surges.
@@ -76,11 +76,11 @@
 		processCount: p.Clients.Processes,
 	}
 	var classShares, tenantShares float64
-	for _, c := range p.Classes {
-		classShares += c.Share
+	for _, class := range p.Classes {
+		classShares += class.Share
 	}
-	for _, t := range p.Tenants {
-		tenantShares += t.Share
+	for _, tenant := range p.Tenants {
+		tenantShares += tenant.Share
 	}
 	for i := range len(p.Classes) * mix.tenantCount * mix.processCount {
 		class, tenant, _ := mix.combination(i)
@@ -89,7 +89,7 @@
 			weight *= p.Tenants[tenant].Share / tenantShares
 		}
 		mix.baseWeights = append(mix.baseWeights, weight)
-		mix.sum += weight
+		mix.weightSum += weight
 	}
 	mix.weights = slices.Clone(mix.baseWeights)
 	mix.hasSurges = p.HasEvent(EventSurge)
@@ -106,17 +106,17 @@
 	if !mix.hasSurges {
 		return
 	}
-	mix.sum = 0
+	mix.weightSum = 0
 	for i, weight := range mix.baseWeights {
 		class, tenant, process := mix.combination(i)
 		mix.weights[i] = weight * mix.plan.surgeFactor(at, mix.instance, class, tenant, process)
-		mix.sum += mix.weights[i]
+		mix.weightSum += mix.weights[i]
 	}
 }
 
 // pick draws a combination of class, tenant and process with a probability proportional to its weight.
 func (mix *operationMix) pick(rng *rand.Rand) (class, tenant, process int) {
-	remaining := rng.Float64() * mix.sum
+	remaining := rng.Float64() * mix.weightSum
 	for i, weight := range mix.weights {
 		if remaining -= weight; remaining < 0 {
 			return mix.combination(i)
@@ -139,51 +139,51 @@
 	// are drawn at the highest rate of the run, and each is kept with the probability of the current rate
 	// relative to that.
 	maxFactor := 0.0
-	for _, s := range p.Shape {
-		maxFactor = max(maxFactor, s.Factor)
+	for _, point := range p.Shape {
+		maxFactor = max(maxFactor, point.Factor)
 	}
 	if len(p.Shape) == 0 {
 		maxFactor = 1
 	}
 	for i := range p.PlannedEvents {
-		if h := &p.PlannedEvents[i]; h.What == EventSurge {
-			maxFactor *= max(1, h.Sizes[0])
+		if event := &p.PlannedEvents[i]; event.What == EventSurge {
+			maxFactor *= max(1, event.Sizes[0])
 		}
 	}
-	rate := p.Rate * planned.Share * maxFactor / float64(second)
+	maxRate := p.Rate * planned.Share * maxFactor / float64(second)
 	at := 0.0
 	sequence := uint64(0)
 	end := float64(p.Length.Micros())
 	return func() (simclient.Operation, bool) {
-		if rate <= 0 {
+		if maxRate <= 0 {
 			return simclient.Operation{}, false
 		}
 		for {
-			at += arrivals.ExpFloat64() / rate
+			at += arrivals.ExpFloat64() / maxRate
 			if at >= end {
 				return simclient.Operation{}, false
 			}
 			mix.setTime(monotime.Micros(at))
-			if arrivals.Float64()*maxFactor >= p.RateFactor(monotime.Micros(at))*mix.sum {
+			if arrivals.Float64()*maxFactor >= p.RateFactor(monotime.Micros(at))*mix.weightSum {
 				continue
 			}
 			id := uint64(instance)<<32 | sequence
 			sequence++
-			r := operationStream.For(id)
+			rng := operationStream.For(id)
 			operation := simclient.Operation{
 				ID:        id,
 				Instance:  instance,
 				StartedAt: monotime.Micros(at),
 				Tenant:    -1,
-				Object:    r.Uint64N(uint64(p.Clients.Objects)),
+				Object:    rng.Uint64N(uint64(p.Clients.Objects)),
 			}
 			var tenant int
-			operation.Class, tenant, operation.Process = mix.pick(r)
+			operation.Class, tenant, operation.Process = mix.pick(rng)
 			if len(p.Tenants) > 0 {
 				operation.Tenant = tenant
 			}
-			operation.IdempotencyKey = r.Uint64() | 1
-			operation.Work = p.Classes[operation.Class].Draw(r)
+			operation.IdempotencyKey = rng.Uint64() | 1
+			operation.Work = p.Classes[operation.Class].Draw(rng)
 			return operation, true
 		}
 	}
--- a/internal/simulation/scenario/parse.go
+++ b/internal/simulation/scenario/parse.go
@@ -123,9 +123,9 @@
 // clearLists empties the lists that a text contains, so that they replace the lists of the base scenario. lines
 // has the line number of each key in the text.
 func (s *Scenario) clearLists(lines map[string]int) {
-	for _, list := range []struct {
+	for _, clearable := range []struct {
 		key   string
-		clear func()
+		empty func()
 	}{
 		{"nodes", func() { s.EndpointKinds = nil }},
 		{"class", func() { s.Classes = nil }},
@@ -134,8 +134,8 @@
 		{"event", func() { s.Events = nil }},
 		{"fleet.zones", func() { s.Fleet.Zones = nil }},
 	} {
-		if lines[list.key] > 0 || lines[list.key+".0"] > 0 {
-			list.clear()
+		if lines[clearable.key] > 0 || lines[clearable.key+".0"] > 0 {
+			clearable.empty()
 		}
 	}
 }
@@ -146,8 +146,8 @@
 		s.EndpointKinds[i].setDefaults()
 	}
 	for i := range s.Classes {
-		if c := &s.Classes[i]; c.Dist == "" {
-			c.Dist = "lognormal"
+		if class := &s.Classes[i]; class.Dist == "" {
+			class.Dist = "lognormal"
 		}
 	}
 }
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -40,8 +40,8 @@
 
 // Each contradictory value and each value out of bounds is rejected with an error that has its key and line.
 // All errors of a file are reported together.
-func TestContradictions(t *testing.T) {
-	for _, c := range []struct{ text, want string }{
+func TestInvalidScenarios(t *testing.T) {
+	for _, invalid := range []struct{ text, want string }{
 		{"load = 0.5\n",
 			"line 13: clients.load: one of load and rate must be given, and positive"},
 		{"retries = [3, 1]\n[[event]]\nwhat = \"slow\"\nat = \"5s\"\n",
@@ -81,10 +81,10 @@
 		{"base = \"calm\"\n",
 			"line 13: clients.base: is not a known key"},
 	} {
-		_, err := Parse([]byte(minimalScenario+c.text), findNoBase)
+		_, err := Parse([]byte(minimalScenario+invalid.text), findNoBase)
 		var validationErrors stricttoml.Errors
-		if !errors.As(err, &validationErrors) || !strings.HasPrefix(validationErrors[0].Error(), c.want) {
-			t.Errorf("%q:\n got %v\nwant %s", c.text, err, c.want)
+		if !errors.As(err, &validationErrors) || !strings.HasPrefix(validationErrors[0].Error(), invalid.want) {
+			t.Errorf("%q:\n got %v\nwant %s", invalid.text, err, invalid.want)
 		}
 	}
 	if _, err := Parse([]byte("base = \"calm\"\n"+minimalScenario), findNoBase); err == nil ||
@@ -99,7 +99,7 @@
 
 // The values of a file override its base scenario, and its lists replace those of the base scenario. Text
 // returns a file that describes the same scenario.
-func TestBase(t *testing.T) {
+func TestBaseScenario(t *testing.T) {
 	baseText := minimalScenario + "[[event]]\nwhat = \"slow\"\nat = \"5s\"\nsize = [2.0]\n"
 	s, err := Parse(
 		[]byte("name = \"b\"\nbase = \"a\"\n[clients]\nload = 0.5\n[[event]]\nwhat = \"drain\"\nat = \"6s\"\n"),
@@ -147,7 +147,7 @@
 
 // A plan depends only on the scenario and the seed. Its traffic has the rate, shape and tenant shares of the
 // scenario.
-func TestDraw(t *testing.T) {
+func TestDrawnTraffic(t *testing.T) {
 	s := parseScenario(t, strings.Replace(minimalScenario, "rate = 200.0", "rate = 2000.0", 1)+`[[tenant]]
 name = "p"
 share = 0.75
@@ -168,18 +168,18 @@
 size = [5.0]
 `)
 	counts, total, digest := drawTraffic(t, s, 1)
-	if _, _, repeated := drawTraffic(t, s, 1); repeated != digest {
+	if _, _, repeatedDigest := drawTraffic(t, s, 1); repeatedDigest != digest {
 		t.Error("the same seed gave other stories")
 	}
-	if _, _, other := drawTraffic(t, s, 2); other == digest {
+	if _, _, otherDigest := drawTraffic(t, s, 2); otherDigest == digest {
 		t.Error("another seed gave the same operations")
 	}
 	// The mean factors of the three ten-second periods are 2/3, 1 and 4/3. Tenant q has five times its traffic
 	// in the second period.
-	for i, want := range [3][2]float64{{10_000, 3_333}, {15_000, 25_000}, {20_000, 6_667}} {
-		for j := range want {
-			if got := float64(counts[i][j]); math.Abs(got-want[j]) > 5*math.Sqrt(want[j]) {
-				t.Errorf("part %d, tenant %d: %v stories, want %v", i, j, got, want[j])
+	for period, want := range [3][2]float64{{10_000, 3_333}, {15_000, 25_000}, {20_000, 6_667}} {
+		for tenant := range want {
+			if got := float64(counts[period][tenant]); math.Abs(got-want[tenant]) > 5*math.Sqrt(want[tenant]) {
+				t.Errorf("part %d, tenant %d: %v stories, want %v", period, tenant, got, want[tenant])
 			}
 		}
 	}
@@ -200,27 +200,27 @@
 func TestSubset(t *testing.T) {
 	s := parseScenario(t, strings.Replace(strings.Replace(minimalScenario, "count = 4", "count = 100", 1), "zones =",
 		"instances = 50\nsubset = 20\nzones =", 1))
-	listCounts := make([]int, 100)
+	listsPerEndpoint := make([]int, 100)
 	for _, instance := range s.Draw(1).Instances {
 		if len(instance.Endpoints) != 20 {
 			t.Fatalf("a subset of %d", len(instance.Endpoints))
 		}
 		for _, endpoint := range instance.Endpoints {
-			listCounts[endpoint]++
+			listsPerEndpoint[endpoint]++
 		}
 	}
-	for endpoint, count := range listCounts {
-		if count != 10 {
-			t.Errorf("endpoint %d is on %d lists, not 10", endpoint, count)
+	for endpoint, lists := range listsPerEndpoint {
+		if lists != 10 {
+			t.Errorf("endpoint %d is on %d lists, not 10", endpoint, lists)
 		}
 	}
 }
 
 // The remaining capacity of the endpoints during events bounds the share of operations that can be served.
-func TestIdeal(t *testing.T) {
+func TestMaxServableShare(t *testing.T) {
 	// The endpoints can serve 800 operations a second.
 	baseText := strings.Replace(minimalScenario, "rate = 200.0", "rate = 400.0", 1)
-	for events, want := range map[string]float64{
+	for eventText, want := range map[string]float64{
 		"": 1,
 		"[[event]]\nwhat = \"kill\"\nat = \"10s\"\nfor = \"10s\"\n":                     0.66,
 		"[[event]]\nwhat = \"kill\"\nat = \"10s\"\nfor = \"10s\"\ncount = 2\n":          1,
@@ -230,8 +230,8 @@
 		"[[event]]\nwhat = \"neighbour\"\nat = \"0s\"\nsize = [0.75]\nevery = \"1s\"\n": 0.875,
 		"[[event]]\nwhat = \"rolling\"\nat = \"0s\"\nevery = \"7s\"\n":                  1,
 	} {
-		if got := parseScenario(t, baseText+events).Draw(1).MaxServableShare(); math.Abs(got-want) > 0.02 {
-			t.Errorf("%q: %v, want %v", events, got, want)
+		if got := parseScenario(t, baseText+eventText).Draw(1).MaxServableShare(); math.Abs(got-want) > 0.02 {
+			t.Errorf("%q: %v, want %v", eventText, got, want)
 		}
 	}
 }
