--- a/internal/simulation/gossipsim/gossipsim_test.go
+++ b/internal/simulation/gossipsim/gossipsim_test.go
@@ -21,12 +21,12 @@
 
 // spentAfterFaults adds up the seconds after the faults. It returns the demand that was within the budget, and
 // the units that were spent.
-func spentAfterFaults(result *Result) (spendable, spent int) {
+func spentAfterFaults(result *Result) (demandWithinBudget, spentUnits int) {
 	for _, secondTotals := range result.Seconds[37:] {
-		spendable += min(secondTotals.Demanded, 200)
-		spent += secondTotals.Spent
+		demandWithinBudget += min(secondTotals.Demanded, 200)
+		spentUnits += secondTotals.Spent
 	}
-	return spendable, spent
+	return demandWithinBudget, spentUnits
 }
 
 // In every hard case, the spent units stay within the budget in every second, and the budget is used after the
--- a/internal/simulation/gossipsim/simulation.go
+++ b/internal/simulation/gossipsim/simulation.go
@@ -25,7 +25,7 @@
 	demandRate   float64         // units that the member demands a second
 	demandFactor float64         // factor by which the member overstates its demand to the allocator
 	budgetUnits  float64         // units of the budget in the member's configuration
-	incarnation  uint64          // 0 while the process is killed
+	incarnation  uint64          // incarnation of the running process; 0 while the process is killed
 	nextTickAt   monotime.Micros // instant for which the next tick is scheduled
 	messagesSent int
 	bytesSent    int
@@ -57,7 +57,7 @@
 	result              Result
 }
 
-// Run runs a simulation. It returns an error for an unknown kind of fault, or for settings that are out of
+// Run executes a simulation. It returns an error for an unknown kind of fault, or for settings that are out of
 // range.
 func Run(settings Settings) (*Result, error) {
 	sim := &simulation{settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, 11)), byName: map[string]*member{}}
--- a/internal/simulation/gossipsim/spending.go
+++ b/internal/simulation/gossipsim/spending.go
@@ -64,13 +64,13 @@
 // summarize computes the results that depend on the whole run.
 func (sim *simulation) summarize() {
 	result := &sim.result
-	budget := int(sim.settings.Units)
+	unitsPerSecond := int(sim.settings.Units)
 	demandedUnits := 0
 	spentUnits := 0
 	for i, secondTotals := range result.Seconds {
-		demandedUnits += min(secondTotals.Demanded, budget)
-		spentUnits += min(secondTotals.Spent, budget)
-		if result.ConvergedAt == 0 && 10*secondTotals.Spent >= 9*min(secondTotals.Demanded, budget) {
+		demandedUnits += min(secondTotals.Demanded, unitsPerSecond)
+		spentUnits += min(secondTotals.Spent, unitsPerSecond)
+		if result.ConvergedAt == 0 && 10*secondTotals.Spent >= 9*min(secondTotals.Demanded, unitsPerSecond) {
 			result.ConvergedAt = monotime.Micros(i+1) * second
 		}
 	}
--- a/internal/simulation/measure/arrivals.go
+++ b/internal/simulation/measure/arrivals.go
@@ -28,7 +28,7 @@
 type arrivals struct {
 	seconds           []Second
 	probesAt, dialsAt [][]uint32 // counts, indexed by second and endpoint
-	// The period from the start of the first event to the end of the last event.
+	// faultsFrom is the start of the first event, and faultsUntil the end of the last event.
 	faultsFrom, faultsUntil monotime.Micros
 }
 
@@ -40,18 +40,20 @@
 	if secondIndex < 0 || secondIndex >= monotime.Micros(len(a.seconds)) {
 		return
 	}
-	counts := &a.seconds[secondIndex]
+	secondCounts := &a.seconds[secondIndex]
 	switch kind {
 	case FirstAttempt:
-		counts.FirstAttempts++
+		secondCounts.FirstAttempts++
 	case ExtraAttempt:
-		counts.ExtraAttempts++
+		secondCounts.ExtraAttempts++
 	case ProbeArrival:
-		counts.Probes++
-		counts.MaxEndpointProbes = max(counts.MaxEndpointProbes, incrementCount(a.probesAt, secondIndex, endpoint))
+		secondCounts.Probes++
+		secondCounts.MaxEndpointProbes = max(secondCounts.MaxEndpointProbes,
+			incrementCount(a.probesAt, secondIndex, endpoint))
 	case DialArrival:
-		counts.Dials++
-		counts.MaxEndpointDials = max(counts.MaxEndpointDials, incrementCount(a.dialsAt, secondIndex, endpoint))
+		secondCounts.Dials++
+		secondCounts.MaxEndpointDials = max(secondCounts.MaxEndpointDials,
+			incrementCount(a.dialsAt, secondIndex, endpoint))
 	}
 }
 
@@ -72,34 +74,36 @@
 }
 
 const (
-	// Seconds with fewer first attempts are excluded from the peak ratio of extra attempts to first attempts.
+	// minFirstAttempts is the number of first attempts in a second from which the second counts for the figure
+	// further_peak, the highest ratio of extra attempts to first attempts.
 	minFirstAttempts = 100
-	// The time after the last fault within which the service must recover to its level before the first fault.
+	// recoveryTime is the time after the end of the last fault within which the service must return to its
+	// level before the first fault.
 	recoveryTime = 3 * second
 )
 
 // figures adds the figures of arrivals at endpoints, and of the recovery of the service after the last fault.
 func (a *arrivals) figures(figures map[string]float64, weights []weightSum) {
 	firstAttempts := 0
-	probes := 0
+	probeCount := 0
 	for i := range a.seconds {
-		counts := &a.seconds[i]
-		firstAttempts += counts.FirstAttempts
-		probes += counts.Probes
-		if counts.FirstAttempts >= minFirstAttempts {
+		secondCounts := &a.seconds[i]
+		firstAttempts += secondCounts.FirstAttempts
+		probeCount += secondCounts.Probes
+		if secondCounts.FirstAttempts >= minFirstAttempts {
 			figures["further_peak"] = max(figures["further_peak"],
-				float64(counts.ExtraAttempts)/float64(counts.FirstAttempts))
+				float64(secondCounts.ExtraAttempts)/float64(secondCounts.FirstAttempts))
 		}
-		figures["probes_peak"] = max(figures["probes_peak"], float64(counts.MaxEndpointProbes))
-		figures["dials_peak"] = max(figures["dials_peak"], float64(counts.MaxEndpointDials))
+		figures["probes_peak"] = max(figures["probes_peak"], float64(secondCounts.MaxEndpointProbes))
+		figures["dials_peak"] = max(figures["dials_peak"], float64(secondCounts.MaxEndpointDials))
 	}
 	figures["further_peak"] += 0 // creates the figure even if there were no arrivals
-	figures["probes_first"] = float64(probes) / max(1, float64(firstAttempts))
+	figures["probes_first"] = float64(probeCount) / max(1, float64(firstAttempts))
 	figures["back"] = 1
-	shareBefore := sumSeconds(weights, 0, a.faultsFrom)
-	shareAfter := sumSeconds(weights, a.faultsUntil+recoveryTime, monotime.Micros(len(weights))*second)
-	if a.faultsUntil > 0 && shareBefore.offered > 0 && shareAfter.offered > 0 {
-		figures["back"] = min(1, shareAfter.share()/max(1e-9, shareBefore.share()))
+	weightBefore := sumSeconds(weights, 0, a.faultsFrom)
+	weightAfter := sumSeconds(weights, a.faultsUntil+recoveryTime, monotime.Micros(len(weights))*second)
+	if a.faultsUntil > 0 && weightBefore.offered > 0 && weightAfter.offered > 0 {
+		figures["back"] = min(1, weightAfter.share()/max(1e-9, weightBefore.share()))
 	}
 }
 
--- a/internal/simulation/measure/faults_test.go
+++ b/internal/simulation/measure/faults_test.go
@@ -114,11 +114,11 @@
 	for _, spentAt := range []monotime.Micros{900, 1500, 2100, 5000, 1901, 5999, 6000} {
 		m.QuotaSpent(spentAt*1000, "tenant/t")
 	}
-	if f := m.Result().Figures; f["over_budget"] != 1 || f["beyond_limit"] != 0 {
-		t.Errorf("%v, beyond %v", f["over_budget"], f["beyond_limit"])
+	if figures := m.Result().Figures; figures["over_budget"] != 1 || figures["beyond_limit"] != 0 {
+		t.Errorf("%v, beyond %v", figures["over_budget"], figures["beyond_limit"])
 	}
 	m.QuotaSpent(1899*1000, "tenant/t") // the fourth unit within a period of one second
-	if f := m.Result().Figures; f["over_budget"] != 4.0/3 || f["beyond_limit"] != 1 {
-		t.Errorf("%v, beyond %v", f["over_budget"], f["beyond_limit"])
+	if figures := m.Result().Figures; figures["over_budget"] != 4.0/3 || figures["beyond_limit"] != 1 {
+		t.Errorf("%v, beyond %v", figures["over_budget"], figures["beyond_limit"])
 	}
 }
--- a/internal/simulation/measure/priorityaudit.go
+++ b/internal/simulation/measure/priorityaudit.go
@@ -41,12 +41,12 @@
 	if audit == nil || !audit.environment.Serving(operation.Instance, operation.StartedAt) {
 		return
 	}
-	totals := &audit.secondWork[min(operation.StartedAt/second,
+	startTotals := &audit.secondWork[min(operation.StartedAt/second,
 		monotime.Micros(len(audit.secondWork)-1))][operation.Class]
-	totals.offered += float64(operation.Work)
-	totals.weight += weight
+	startTotals.offered += float64(operation.Work)
+	startTotals.weight += weight
 	if onTime {
-		totals.served += float64(operation.Work)
+		startTotals.served += float64(operation.Work)
 	}
 }
 
--- a/internal/simulation/measure/result.go
+++ b/internal/simulation/measure/result.go
@@ -18,7 +18,7 @@
 	Seed     uint64 `json:"Seed"`
 	Digest   string `json:"Digest"` // digest of the ends of all operations: equal runs have equal digests
 
-	Figures    map[string]float64 `json:"Figures"` // by the names in the variable Figures
+	Figures    map[string]float64 `json:"Figures"` // values of the figures, by name (variable Figures)
 	Costs      Costs              `json:"Costs"`
 	Operations int64              `json:"Stories"`
 	Served     int64              `json:"Served"` // operations served within the latency objective or after it
@@ -50,7 +50,7 @@
 	Name        string  `json:"Name"`
 	Zone        int     `json:"Zone"`
 	Executions  int64   `json:"Runs"`
-	Utilization float64 `json:"Worked"` // fraction of its core time that it worked, 0 to 1
+	Utilization float64 `json:"Worked"` // fraction of the core time that was used, 0 to 1
 	MaxInFlight int     `json:"Most"`   // largest number of requests at the same time
 	// Arrivals are the requests that arrived in each bin of the series. It is nil in runs with many endpoints.
 	Arrivals []int64 `json:"Line,omitempty"`
@@ -64,7 +64,7 @@
 	Quantiles [][2]float64 `json:"Quantiles"`
 }
 
-// percentages are the percentages of the operations for which ClassLatency has the latency.
+// percentages are the percentages for which ClassLatency.Quantiles has a latency.
 var percentages = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99, 100}
 
 // Result returns the evaluation of the operations that have been recorded so far.
--- a/internal/simulation/scenario/capacity.go
+++ b/internal/simulation/scenario/capacity.go
@@ -70,11 +70,11 @@
 			p.applyEvent(speeds, event, at)
 		}
 	}
-	var sum float64
+	var total float64
 	for _, speed := range speeds {
-		sum += speed
+		total += speed
 	}
-	return sum
+	return total
 }
 
 // applyEvent reduces the endpoints' speeds at an instant according to an event that has started.
--- a/internal/simulation/scenario/check.go
+++ b/internal/simulation/scenario/check.go
@@ -107,7 +107,7 @@
 // checkTraffic checks the tables of classes, tenants and clients.
 func (s *Scenario) checkTraffic(validation *stricttoml.Validation) {
 	validation.Require(len(s.Classes) > 0, "class", "at least one is needed")
-	var shares float64
+	var shareSum float64
 	classNames := map[string]bool{}
 	for i, class := range s.Classes {
 		keyPath := func(key string) string { return fmt.Sprintf("class.%d.%s", i, key) }
@@ -116,7 +116,7 @@
 		classNames[class.Name] = true
 		validation.Require(class.Share >= 0 && !math.IsInf(class.Share, 0), keyPath("share"),
 			"%v: must not be negative", class.Share)
-		shares += class.Share
+		shareSum += class.Share
 		validation.Require(class.Work.Duration > 0, keyPath("work"), "is missing")
 		stricttoml.Enum(validation, keyPath("dist"), class.Dist,
 			map[string]bool{"lognormal": true, "exponential": true, "fixed": true})
@@ -124,7 +124,7 @@
 		validation.Require(class.CV == 0 || class.Dist == "lognormal", keyPath("cv"), "is for \"lognormal\" only")
 		validation.Require(class.Noise >= 0 && class.Noise <= 10, keyPath("noise"), "%v: must be in 0..10", class.Noise)
 	}
-	validation.Require(shares > 0, "class", "the shares add up to nothing")
+	validation.Require(shareSum > 0, "class", "the shares add up to nothing")
 	tenantNames := map[string]bool{}
 	for i, tenant := range s.Tenants {
 		keyPath := func(key string) string { return fmt.Sprintf("tenant.%d.%s", i, key) }
--- a/internal/simulation/scenario/draw.go
+++ b/internal/simulation/scenario/draw.go
@@ -95,7 +95,7 @@
 // drawInstances draws the instances. Their shares of the traffic add up to 1.
 func (p *Plan) drawInstances() {
 	stream := randstream.New(p.Seed, "instances")
-	var shares float64
+	var shareSum float64
 	zones := len(p.Fleet.Zones)
 	for i := range p.Fleet.Instances {
 		rng := stream.For(uint64(i))
@@ -113,12 +113,12 @@
 		if p.Fleet.Subset > 0 && p.Fleet.Subset < len(p.Endpoints) {
 			instance.Endpoints = p.subset(i)
 		}
-		shares += instance.Share
+		shareSum += instance.Share
 		p.Instances = append(p.Instances, instance)
 	}
 	for i := range p.Instances {
-		if shares > 0 {
-			p.Instances[i].Share /= shares
+		if shareSum > 0 {
+			p.Instances[i].Share /= shareSum
 		} else {
 			p.Instances[i].Share = 1 / float64(len(p.Instances))
 		}
@@ -128,11 +128,11 @@
 // subset returns the endpoints on the endpoint list of an instance. Each endpoint is on equally many lists
 // (deterministic subsetting: Beyer et al., "Site Reliability Engineering", chapter 20).
 func (p *Plan) subset(instance int) []int {
-	size := p.Fleet.Subset
-	listsPerRound := len(p.Endpoints) / size
+	listSize := p.Fleet.Subset
+	listsPerRound := len(p.Endpoints) / listSize
 	shuffled := randstream.New(p.Seed, "subset").For(uint64(instance / listsPerRound)).Perm(len(p.Endpoints))
-	start := (instance % listsPerRound) * size
-	subset := slices.Clone(shuffled[start : start+size])
+	start := (instance % listsPerRound) * listSize
+	subset := slices.Clone(shuffled[start : start+listSize])
 	slices.Sort(subset)
 	return subset
 }
--- a/internal/simulation/scenario/eventkind.go
+++ b/internal/simulation/scenario/eventkind.go
@@ -50,7 +50,8 @@
 	sizeMeaning        string // meaning of the key "size", for error messages; "" if the kind has no size
 }
 
-// eventKinds are the kinds of events. The comments and the meanings of the key "size" describe their effects.
+// eventKinds has a description of each kind of event. The comments and the meanings of the key "size" state the
+// effects.
 var eventKinds = map[string]eventKind{
 	EventSlow:           {true, "times as slow"},
 	EventErrors:         {true, "part of the requests that fail at once"},
--- a/internal/simulation/scenario/parse.go
+++ b/internal/simulation/scenario/parse.go
@@ -15,7 +15,7 @@
 func newSpan(from, to time.Duration) *stricttoml.Span { return &stricttoml.Span{From: from, To: to} }
 
 // duration converts a duration to the type of durations in a file.
-func duration(d time.Duration) stricttoml.Duration { return stricttoml.Duration{Duration: d} }
+func duration(length time.Duration) stricttoml.Duration { return stricttoml.Duration{Duration: length} }
 
 // defaults returns the values of keys that a file does not set: a small site without faults.
 func defaults() Scenario {
--- a/internal/simulation/scenario/plan.go
+++ b/internal/simulation/scenario/plan.go
@@ -50,12 +50,12 @@
 
 // MeanWork returns the mean work of an operation, in microseconds.
 func (s *Scenario) MeanWork() float64 {
-	var work, shares float64
+	var weightedWork, shares float64
 	for _, class := range s.Classes {
-		work += class.Share * float64(class.Work.Micros())
+		weightedWork += class.Share * float64(class.Work.Micros())
 		shares += class.Share
 	}
-	return work / shares
+	return weightedWork / shares
 }
 
 // ClientBehavior returns the behavior of the simulated clients.
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -123,13 +123,14 @@
 
 // drawTraffic draws the operations of a plan. It returns their number by ten-second period and tenant, their
 // total number, and a digest of their start times, work and idempotency keys.
-func drawTraffic(t *testing.T, s *Scenario, seed uint64) (counts [3][2]int, total int, digest monotime.Micros) {
+func drawTraffic(t *testing.T, s *Scenario, seed uint64) (operationCounts [3][2]int, operationCount int,
+	digest monotime.Micros) {
 	t.Helper()
 	plan := s.Draw(seed)
 	for i := range plan.Instances {
-		next := plan.Operations(i)
+		nextOperation := plan.Operations(i)
 		for previousStart := monotime.Micros(-1); ; {
-			operation, ok := next()
+			operation, ok := nextOperation()
 			if !ok {
 				break
 			}
@@ -137,12 +138,12 @@
 				t.Fatal("stories out of order")
 			}
 			previousStart = operation.StartedAt
-			counts[operation.StartedAt/(10*second)][operation.Tenant]++
-			total++
+			operationCounts[operation.StartedAt/(10*second)][operation.Tenant]++
+			operationCount++
 			digest += operation.StartedAt ^ operation.Work ^ int64(operation.IdempotencyKey)
 		}
 	}
-	return counts, total, digest
+	return operationCounts, operationCount, digest
 }
 
 // A plan depends only on the scenario and the seed. Its traffic has the rate, shape and tenant shares of the
