--- a/internal/simulation/gossipsim/gossipsim_test.go
+++ b/internal/simulation/gossipsim/gossipsim_test.go
@@ -39,8 +39,8 @@
 			result, err := Run(settings)
 			require.NoError(t, err)
 			if result.UnitsExceeded > 0 {
-				t.Errorf("%s, seed %d: %d spent in the second to %d, of 200", name, seed, result.MaxSpent,
-					result.MaxSpentAt)
+				t.Errorf("%s, seed %d: %d units spent in the second that ends at %d us, the budget is 200",
+					name, seed, result.MaxSpent, result.MaxSpentAt)
 			}
 			if name == "half have less" {
 				continue // the budget in force depends on which member is the allocator
@@ -51,7 +51,7 @@
 				minUsedPercent = 80 // the demand is little above the budget, and leases follow it with a delay
 			}
 			if 100*spent < minUsedPercent*spendable {
-				t.Errorf("%s, seed %d: %d of %d at the end", name, seed, spent, spendable)
+				t.Errorf("%s, seed %d: %d units of %d were spent after the faults", name, seed, spent, spendable)
 			}
 		}
 	}
@@ -65,8 +65,8 @@
 		result, err := Run(settings)
 		require.NoError(t, err)
 		if result.UnitsExceeded > 0 {
-			t.Errorf("seed %d: %d spent in the second to %d, of 200: %+v", seed, result.MaxSpent, result.MaxSpentAt,
-				settings.Faults)
+			t.Errorf("seed %d: %d units spent in the second that ends at %d us, the budget is 200; faults: %+v",
+				seed, result.MaxSpent, result.MaxSpentAt, settings.Faults)
 		}
 	}
 }
@@ -89,7 +89,7 @@
 			unitsExceeded += result.UnitsExceeded
 		}
 		if unitsExceeded == 0 {
-			t.Errorf("%s: not found", plantedError)
+			t.Errorf("%s: the planted error was not detected", plantedError)
 		}
 	}
 }
--- a/internal/simulation/gossipsim/simulation.go
+++ b/internal/simulation/gossipsim/simulation.go
@@ -73,7 +73,7 @@
 	for i := range settings.Faults {
 		fault := &settings.Faults[i]
 		if FaultKinds[fault.Kind] == "" {
-			return nil, fmt.Errorf("there is no fault %q", fault.Kind)
+			return nil, fmt.Errorf("unknown kind of fault: %q", fault.Kind)
 		}
 		sim.schedule(fault.Start, func() { sim.startFault(fault) })
 	}
--- a/internal/simulation/measure/faults_test.go
+++ b/internal/simulation/measure/faults_test.go
@@ -115,10 +115,10 @@
 		m.QuotaSpent(spentAt*1000, "tenant/t")
 	}
 	if figures := m.Result().Figures; figures["over_budget"] != 1 || figures["beyond_limit"] != 0 {
-		t.Errorf("%v, beyond %v", figures["over_budget"], figures["beyond_limit"])
+		t.Errorf("over_budget is %v, beyond_limit is %v", figures["over_budget"], figures["beyond_limit"])
 	}
 	m.QuotaSpent(1899*1000, "tenant/t") // the fourth unit within a period of one second
 	if figures := m.Result().Figures; figures["over_budget"] != 4.0/3 || figures["beyond_limit"] != 1 {
-		t.Errorf("%v, beyond %v", figures["over_budget"], figures["beyond_limit"])
+		t.Errorf("over_budget is %v, beyond_limit is %v", figures["over_budget"], figures["beyond_limit"])
 	}
 }
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -89,11 +89,11 @@
 	}
 	if _, err := Parse([]byte("base = \"calm\"\n"+minimalScenario), findNoBase); err == nil ||
 		err.Error() != "line 1: base: there is none" {
-		t.Errorf("a base that is not there: %v", err)
+		t.Errorf("a base scenario that does not exist: %v", err)
 	}
 	if _, err := Parse([]byte("base = \"a\"\n"+minimalScenario),
 		func(string) ([]byte, error) { return []byte("base = \"a\"\n" + minimalScenario), nil }); err == nil {
-		t.Error("a scenario that is based on itself was taken")
+		t.Error("a scenario that is based on itself was accepted")
 	}
 }
 
@@ -117,7 +117,7 @@
 	}
 	if !reflect.DeepEqual(s.Draw(3), reparsed.Draw(3)) &&
 		!reflect.DeepEqual(s.Draw(3).PlannedEvents, reparsed.Draw(3).PlannedEvents) {
-		t.Errorf("what Text says is another scenario:\n%s", text)
+		t.Errorf("the text of the scenario describes another scenario:\n%s", text)
 	}
 }
 
@@ -135,7 +135,7 @@
 				break
 			}
 			if operation.StartedAt < previousStart {
-				t.Fatal("stories out of order")
+				t.Fatal("operations are not in the order of their starts")
 			}
 			previousStart = operation.StartedAt
 			operationCounts[operation.StartedAt/(10*second)][operation.Tenant]++
@@ -170,7 +170,7 @@
 `)
 	counts, total, digest := drawTraffic(t, s, 1)
 	if _, _, repeatedDigest := drawTraffic(t, s, 1); repeatedDigest != digest {
-		t.Error("the same seed gave other stories")
+		t.Error("the same seed gave other operations")
 	}
 	if _, _, otherDigest := drawTraffic(t, s, 2); otherDigest == digest {
 		t.Error("another seed gave the same operations")
@@ -180,12 +180,12 @@
 	for period, want := range [3][2]float64{{10_000, 3_333}, {15_000, 25_000}, {20_000, 6_667}} {
 		for tenant := range want {
 			if got := float64(counts[period][tenant]); math.Abs(got-want[tenant]) > 5*math.Sqrt(want[tenant]) {
-				t.Errorf("part %d, tenant %d: %v stories, want %v", period, tenant, got, want[tenant])
+				t.Errorf("period %d, tenant %d: %v operations, want %v", period, tenant, got, want[tenant])
 			}
 		}
 	}
 	if total == 0 {
-		t.Error("no stories")
+		t.Error("the plan has no operations")
 	}
 	for _, seed := range []uint64{1, 2, 3} {
 		plan := parseScenario(t,
@@ -204,7 +204,7 @@
 	listsPerEndpoint := make([]int, 100)
 	for _, instance := range s.Draw(1).Instances {
 		if len(instance.Endpoints) != 20 {
-			t.Fatalf("a subset of %d", len(instance.Endpoints))
+			t.Fatalf("a subset has %d endpoints, not 20", len(instance.Endpoints))
 		}
 		for _, endpoint := range instance.Endpoints {
 			listsPerEndpoint[endpoint]++
@@ -232,7 +232,7 @@
 		"[[event]]\nwhat = \"rolling\"\nat = \"0s\"\nevery = \"7s\"\n":                  1,
 	} {
 		if got := parseScenario(t, baseText+eventText).Draw(1).MaxServableShare(); math.Abs(got-want) > 0.02 {
-			t.Errorf("%q: %v, want %v", eventText, got, want)
+			t.Errorf("%q: the servable share is at most %v, want %v", eventText, got, want)
 		}
 	}
 }
