--- a/internal/simulation/measure/figures.go
+++ b/internal/simulation/measure/figures.go
@@ -1,17 +1,17 @@
 package measure
 
-// Figure describes a figure of a Result.
+// Figure describes one figure of Result.Figures.
 type Figure struct {
 	Name             string  `json:"Name"`
 	Description      string  `json:"About"`
-	Unit             string  `json:"Unit"`   // such as "ms"; "" is none
-	Direction        float64 `json:"Better"` // 1: more is better; -1: less is; 0: neither by itself
-	Threshold        float64 `json:"Step"`   // smaller differences do not matter
-	CountsViolations bool    `json:"Count"`  // it counts violations of a rule
+	Unit             string  `json:"Unit"`   // such as "ms"; "" if the figure has no unit
+	Direction        float64 `json:"Better"` // 1: higher is better; -1: lower is better; 0: neither
+	Threshold        float64 `json:"Step"`   // differences below this value do not matter
+	CountsViolations bool    `json:"Count"`  // whether the figure counts violations of a rule
 }
 
-// Figures are those of every site; the first is the one by which variants are compared. Beside them there are those of
-// classes and tenants: service.NAME, p50.NAME and p99.NAME.
+// Figures describes the figures that every site has. The first is the main figure, by which variants are
+// compared. Results also have figures of each class and tenant: service.NAME, p50.NAME and p99.NAME.
 var Figures = []Figure{
 	{"service", "what the users judge by: the goal's mix of the following four, less the prices", "", 1, 0.002, false},
 	{"whole", "worth served within the aim, of the worth asked for", "", 1, 0.002, false},
@@ -69,7 +69,7 @@
 	{"breaks", "rules broken", "", -1, 0, true},
 }
 
-// Describe returns the description of a figure, by its name.
+// Describe returns the description of the figure with the given name, and whether the name is known.
 func Describe(name string) (Figure, bool) {
 	for _, figure := range Figures {
 		if figure.Name == name {
