--- a/internal/simulation/gossipsim/simulation.go
+++ b/internal/simulation/gossipsim/simulation.go
@@ -10,7 +10,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// budgetName is the name of the one budget.
+// budgetName is the name of the only budget of a run.
 const budgetName = "tenant/one"
 
 // member is a simulated instance.
@@ -21,79 +21,82 @@
 	running      bool
 	stoppedUntil monotime.Micros
 	clockRate    float64
-	clockOrigin  float64         // true time at which its clock is 0
-	demandRate   float64         // units a second
-	demandFactor float64         // factor by which it overstates its demand to the allocator
-	budgetUnits  float64         // of the budget, as its configuration says
-	incarnation  uint64          // 0 while it is killed
-	wakeAt       monotime.Micros // when the next tick is scheduled
+	clockOrigin  float64         // true time at which the member's clock is 0
+	demandRate   float64         // units that the member demands a second
+	demandFactor float64         // factor by which the member overstates its demand to the allocator
+	budgetUnits  float64         // units of the budget in the member's configuration
+	incarnation  uint64          // incarnation of the running process; 0 while the process is killed
+	nextTickAt   monotime.Micros // instant for which the next tick is scheduled
 	messagesSent int
 	bytesSent    int
 }
 
-// localTime returns what the member's clock shows at an instant of true time.
+// localTime returns the time of the member's clock at an instant of true time.
 func (x *member) localTime(at monotime.Micros) monotime.Micros {
 	return monotime.Micros((float64(at) - x.clockOrigin) * x.clockRate)
 }
 
-// trueTime returns when the member's clock shows an instant.
-func (x *member) trueTime(local monotime.Micros) monotime.Micros {
-	return monotime.Micros(math.Ceil(float64(local)/x.clockRate + x.clockOrigin))
+// trueTime returns the true time at which the member's clock shows the given time.
+func (x *member) trueTime(localTime monotime.Micros) monotime.Micros {
+	return monotime.Micros(math.Ceil(float64(localTime)/x.clockRate + x.clockOrigin))
 }
 
-// simulation is the state of a run.
+// simulation is the state of a run of the simulation.
 type simulation struct {
-	settings      Settings
-	rng           *rand.Rand
-	now           monotime.Micros
-	nextOrder     uint64 // of events
-	queue         eventQueue
-	members       []*member
-	byName        map[string]*member
-	candidates    []string
-	activeFaults  []*Fault
-	recentlySpent []monotime.Micros // instants of the units spent within the last second
-	incarnations  uint64            // started so far
-	result        Result
+	settings            Settings
+	rng                 *rand.Rand
+	now                 monotime.Micros
+	lastSequence        uint64 // sequence number of the event that was scheduled last
+	queue               eventHeap
+	members             []*member
+	byName              map[string]*member
+	candidates          []string
+	activeFaults        []*Fault
+	recentlySpent       []monotime.Micros // instants at which units were spent within the last second
+	startedIncarnations uint64            // number of incarnations that have started
+	result              Result
 }
 
-// Run runs a simulation. It returns an error for a fault of an unknown kind, or for settings that are out of range.
-func Run(s Settings) (*Result, error) {
-	sim := &simulation{settings: s, rng: rand.New(rand.NewPCG(s.Seed, 11)), byName: map[string]*member{}}
-	for i := range min(s.Candidates, s.Members) {
+// Run executes a simulation. It returns an error for an unknown kind of fault, or for settings that are out of
+// range.
+func Run(settings Settings) (*Result, error) {
+	sim := &simulation{settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, 11)), byName: map[string]*member{}}
+	for i := range min(settings.Candidates, settings.Members) {
 		sim.candidates = append(sim.candidates, memberName(i))
 	}
-	sim.result.Seconds = make([]Second, max(1, (s.Duration+second-1)/second))
-	for i := range s.Members {
+	sim.result.Seconds = make([]Second, max(1, (settings.Duration+second-1)/second))
+	for i := range settings.Members {
 		if err := sim.addMember(i); err != nil {
 			return nil, err
 		}
 	}
-	for i := range s.Faults {
-		f := &s.Faults[i]
-		if FaultKinds[f.Kind] == "" {
-			return nil, fmt.Errorf("there is no fault %q", f.Kind)
+	for i := range settings.Faults {
+		fault := &settings.Faults[i]
+		if FaultKinds[fault.Kind] == "" {
+			return nil, fmt.Errorf("unknown kind of fault: %q", fault.Kind)
 		}
-		sim.schedule(f.Start, func() { sim.startFault(f) })
+		sim.schedule(fault.Start, func() { sim.startFault(fault) })
 	}
 	for len(sim.queue) > 0 {
-		e := heap.Pop(&sim.queue).(event)
-		if e.at > s.Duration {
+		nextEvent := heap.Pop(&sim.queue).(scheduledEvent)
+		if nextEvent.at > settings.Duration {
 			break
 		}
-		sim.now = e.at
-		e.run()
+		sim.now = nextEvent.at
+		nextEvent.run()
 	}
 	sim.summarize()
 	return &sim.result, nil
 }
 
+// memberName returns the name of the i-th member.
 func memberName(i int) string { return fmt.Sprint("instance-", i) }
 
-func (sim *simulation) addMember(i int) error {
+// addMember adds a member, starts its process, and schedules its demand.
+func (sim *simulation) addMember(index int) error {
 	x := &member{
-		index:        i,
-		name:         memberName(i),
+		index:        index,
+		name:         memberName(index),
 		demandFactor: 1,
 		budgetUnits:  sim.settings.Units,
 		demandRate:   sim.settings.Demand / float64(sim.settings.Members),
@@ -107,10 +110,10 @@
 	return nil
 }
 
-// start starts a member's process, with a clock of its own.
+// start starts a member's process, with a new clock of random rate and origin.
 func (sim *simulation) start(x *member) error {
-	sim.incarnations++
-	x.incarnation = sim.incarnations
+	sim.startedIncarnations++
+	x.incarnation = sim.startedIncarnations
 	x.clockRate = 1 + sim.settings.Coordination.Quota.MaxClockDrift*(2*sim.rng.Float64()-1)
 	if sim.settings.PlantedError == slowClocks && x.index%slowClockEvery == 1 {
 		x.clockRate = slowClockRate
@@ -132,37 +135,40 @@
 	return nil
 }
 
+// newCoordinator creates the coordination state of a member, with the planted error if the run has one.
 func (sim *simulation) newCoordinator(x *member) (*coordination.Member, error) {
-	s := sim.settings.Coordination
-	s.Self = x.name
-	s.Candidates = sim.candidates
-	s.Seed = sim.settings.Seed<<20 + sim.incarnations
-	s.Quota.MaxInstances = sim.settings.Members
+	settings := sim.settings.Coordination
+	settings.Self = x.name
+	settings.Candidates = sim.candidates
+	settings.Seed = sim.settings.Seed<<20 + sim.startedIncarnations
+	settings.Quota.MaxInstances = sim.settings.Members
 	if sim.settings.PlantedError == twoAllocators && x.index%2 == 1 {
-		s.Candidates = []string{x.name}
+		settings.Candidates = []string{x.name}
 	}
 	if sim.settings.PlantedError == tooManyMembers {
-		s.Quota.MaxInstances = max(1, sim.settings.Members/membersPerAllowed)
+		settings.Quota.MaxInstances = max(1, sim.settings.Members/membersPerMaxInstance)
 	}
-	coordinator, err := coordination.New(s)
+	coordinator, err := coordination.New(settings)
 	if err == nil {
 		coordinator.SetBudget(budgetName, x.budgetUnits, false)
 	}
 	return coordinator, err
 }
 
-// processOutgoing transmits a member's messages and schedules its next tick.
+// processOutgoing transmits a member's outgoing messages and schedules its next tick.
 func (sim *simulation) processOutgoing(x *member) {
-	for _, o := range x.coordinator.TakeOutgoing() {
-		sim.transmit(x, o)
+	for _, outgoing := range x.coordinator.TakeOutgoing() {
+		sim.transmit(x, outgoing)
 	}
-	if at := x.trueTime(x.coordinator.NextTick()); x.wakeAt <= sim.now || at < x.wakeAt {
-		x.wakeAt = max(at, sim.now+1)
+	if tickAt := x.trueTime(x.coordinator.NextTick()); x.nextTickAt <= sim.now || tickAt < x.nextTickAt {
+		x.nextTickAt = max(tickAt, sim.now+1)
 		incarnation := x.incarnation
-		sim.schedule(x.wakeAt-sim.now, func() { sim.tick(x, incarnation) })
+		sim.schedule(x.nextTickAt-sim.now, func() { sim.tick(x, incarnation) })
 	}
 }
 
+// tick runs a member's timers, unless the process has ended since the tick was scheduled. A stopped member
+// ticks when it resumes.
 func (sim *simulation) tick(x *member, incarnation uint64) {
 	if !x.running || x.incarnation != incarnation {
 		return
@@ -177,39 +183,41 @@
 
 // ---- Events ----------------------------------------------------------------
 
-// schedule runs a function after a delay; functions of the same instant run in the order in which they were scheduled.
+// schedule runs a function after a delay. Functions for the same instant run in the order in which they were
+// scheduled.
 func (sim *simulation) schedule(delay monotime.Micros, run func()) {
-	sim.nextOrder++
-	heap.Push(&sim.queue, event{sim.now + max(0, delay), sim.nextOrder, run})
+	sim.lastSequence++
+	heap.Push(&sim.queue, scheduledEvent{sim.now + max(0, delay), sim.lastSequence, run})
 }
 
-type event struct {
-	at    monotime.Micros
-	order uint64
-	run   func()
+// scheduledEvent is a function that runs at an instant; sequence orders the functions of the same instant.
+type scheduledEvent struct {
+	at       monotime.Micros
+	sequence uint64
+	run      func()
 }
 
-// eventQueue implements heap.Interface; the earliest event comes first.
-type eventQueue []event
+// eventHeap implements heap.Interface; the earliest event is first.
+type eventHeap []scheduledEvent
 
-func (q eventQueue) Len() int { return len(q) }
+func (q eventHeap) Len() int { return len(q) }
 
-func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+func (q eventHeap) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 
-func (q eventQueue) Swap(i, j int) {
+func (q eventHeap) Swap(i, j int) {
 	first := q[i]
 	q[i] = q[j]
 	q[j] = first
 }
 
-func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+func (q *eventHeap) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
 
-func (q *eventQueue) Pop() any {
+func (q *eventHeap) Pop() any {
 	last := len(*q) - 1
 	x := (*q)[last]
-	(*q)[last] = event{}
+	(*q)[last] = scheduledEvent{}
 	*q = (*q)[:last]
 	return x
 }
--- a/internal/simulation/gossipsim/spending.go
+++ b/internal/simulation/gossipsim/spending.go
@@ -4,7 +4,7 @@
 	"dunlinsail/internal/monotime"
 )
 
-// scheduleDemand has a member demand units at random instants, at its demand rate.
+// scheduleDemand has a member demand units at random instants, with its demand rate as the mean rate.
 func (sim *simulation) scheduleDemand(x *member) {
 	if x.demandRate <= 0 {
 		return
@@ -15,89 +15,90 @@
 	})
 }
 
-// demandUnit has a member spend a unit, if one is available.
+// demandUnit has a member demand one unit, and spend it if the member has one available.
 func (sim *simulation) demandUnit(x *member) {
-	present := &sim.result.Seconds[min(int(sim.now/second), len(sim.result.Seconds)-1)]
-	present.Demanded++
+	currentSecond := &sim.result.Seconds[min(int(sim.now/second), len(sim.result.Seconds)-1)]
+	currentSecond.Demanded++
 	if !x.running || x.stoppedUntil > sim.now {
 		return
 	}
-	local := x.localTime(sim.now)
-	x.coordinator.RecordDemand(local, budgetName)
-	if !x.coordinator.Spend(local, budgetName) {
+	localNow := x.localTime(sim.now)
+	x.coordinator.RecordDemand(localNow, budgetName)
+	if !x.coordinator.Spend(localNow, budgetName) {
 		return
 	}
-	present.Spent++
+	currentSecond.Spent++
 	sim.checkBudget()
 }
 
-// checkBudget counts a unit that is spent now, and checks the sum of the second that ends now.
+// checkBudget counts a unit that is spent now, and checks whether the units of the last second exceed the
+// budget.
 func (sim *simulation) checkBudget() {
 	sim.recentlySpent = append(sim.recentlySpent, sim.now)
-	n := 0
-	for sim.recentlySpent[n] <= sim.now-second {
-		n++
+	expiredCount := 0
+	for sim.recentlySpent[expiredCount] <= sim.now-second {
+		expiredCount++
 	}
-	sim.recentlySpent = sim.recentlySpent[n:]
-	spent := len(sim.recentlySpent)
-	if spent > sim.result.MaxSpent {
-		sim.result.MaxSpent = spent
+	sim.recentlySpent = sim.recentlySpent[expiredCount:]
+	spentCount := len(sim.recentlySpent)
+	if spentCount > sim.result.MaxSpent {
+		sim.result.MaxSpent = spentCount
 		sim.result.MaxSpentAt = sim.now
 	}
-	if float64(spent) > sim.maxBudget() {
+	if float64(spentCount) > sim.maxBudget() {
 		sim.result.UnitsExceeded++
 	}
 }
 
-// maxBudget returns the largest budget by any member's configuration in the run.
+// maxBudget returns the largest budget that any member's configuration has during the run.
 func (sim *simulation) maxBudget() float64 {
-	units := sim.settings.Units
+	maxUnits := sim.settings.Units
 	for i := range sim.settings.Faults {
-		if f := &sim.settings.Faults[i]; f.Kind == faultBudget {
-			units = max(units, sim.settings.Units*f.Factor)
+		if fault := &sim.settings.Faults[i]; fault.Kind == faultBudgetChange {
+			maxUnits = max(maxUnits, sim.settings.Units*fault.Factor)
 		}
 	}
-	return units
+	return maxUnits
 }
 
-// summarize computes the results that are of the whole run.
+// summarize computes the results that depend on the whole run.
 func (sim *simulation) summarize() {
-	r := &sim.result
-	budget := int(sim.settings.Units)
-	demanded := 0
-	spent := 0
-	for i, s := range r.Seconds {
-		demanded += min(s.Demanded, budget)
-		spent += min(s.Spent, budget)
-		if r.ConvergedAt == 0 && 10*s.Spent >= 9*min(s.Demanded, budget) {
-			r.ConvergedAt = monotime.Micros(i+1) * second
+	result := &sim.result
+	unitsPerSecond := int(sim.settings.Units)
+	demandedUnits := 0
+	spentUnits := 0
+	for i, secondTotals := range result.Seconds {
+		demandedUnits += min(secondTotals.Demanded, unitsPerSecond)
+		spentUnits += min(secondTotals.Spent, unitsPerSecond)
+		if result.ConvergedAt == 0 && 10*secondTotals.Spent >= 9*min(secondTotals.Demanded, unitsPerSecond) {
+			result.ConvergedAt = monotime.Micros(i+1) * second
 		}
 	}
-	r.Utilization = 1
-	if demanded > 0 {
-		r.Utilization = float64(spent) / float64(demanded)
+	result.Utilization = 1
+	if demandedUnits > 0 {
+		result.Utilization = float64(spentUnits) / float64(demandedUnits)
 	}
 	sim.summarizeCosts()
 }
 
-// summarizeCosts computes what the messages cost.
+// summarizeCosts computes the rates of messages and bytes that members sent.
 func (sim *simulation) summarizeCosts() {
-	r := &sim.result
-	seconds := float64(sim.settings.Duration) / float64(second)
-	others := 0
+	result := &sim.result
+	durationSeconds := float64(sim.settings.Duration) / float64(second)
+	nonCandidates := 0
 	for _, x := range sim.members {
-		messages := float64(x.messagesSent) / seconds
-		bytes := float64(x.bytesSent) / seconds
-		if messages > r.AllocatorMessageRate {
-			r.AllocatorMessageRate = messages
-			r.AllocatorByteRate = bytes
+		messageRate := float64(x.messagesSent) / durationSeconds
+		byteRate := float64(x.bytesSent) / durationSeconds
+		if messageRate > result.AllocatorMessageRate {
+			result.AllocatorMessageRate = messageRate
+			result.AllocatorByteRate = byteRate
 		}
 		if x.index >= len(sim.candidates) {
-			r.MessageRate += messages
-			r.ByteRate += bytes
-			others++
+			result.MessageRate += messageRate
+			result.ByteRate += byteRate
+			nonCandidates++
 		}
 	}
-	r.MessageRate /= float64(max(1, others))
-	r.ByteRate /= float64(max(1, others))
+	result.MessageRate /= float64(max(1, nonCandidates))
+	result.ByteRate /= float64(max(1, nonCandidates))
 }
--- a/internal/simulation/measure/priorityaudit.go
+++ b/internal/simulation/measure/priorityaudit.go
@@ -8,82 +8,87 @@
 	"dunlinsail/internal/simulation/simclient"
 )
 
-// Environment is what a run's endpoints and instances could serve by the plan.
+// Environment describes the capacity of a run's endpoints, and which instances accept requests, as planned.
 type Environment struct {
-	Capacity func(at monotime.Micros) float64            // work that all endpoints can do in a microsecond
-	Serving  func(instance int, at monotime.Micros) bool // reports whether an instance accepts requests
+	// Capacity returns the work, in microseconds, that all endpoints together can do in a microsecond.
+	Capacity func(at monotime.Micros) float64
+	// Serving reports whether an instance accepts requests.
+	Serving func(instance int, at monotime.Micros) bool
 }
 
-// classWork is the work of a class's operations that started in a second, the part of it that was served, and their
-// weight.
+// classWork is, for the operations of a class that started in a second, their work, the work of those that were
+// served within the latency objective, and their weight.
 type classWork struct{ offered, served, weight float64 }
 
-// priorityAudit counts work by second and class, to find how far operations of higher weight were served first.
+// priorityAudit counts work by second and class, to measure how far operations of higher weight were served
+// before operations of lower weight.
 type priorityAudit struct {
 	environment Environment
-	seconds     [][]classWork
+	secondWork  [][]classWork
 }
 
-// SetEnvironment sets what the run's endpoints and instances could serve.
-func (m *Meter) SetEnvironment(w Environment) {
-	m.priorityAudit = &priorityAudit{environment: w, seconds: make([][]classWork, len(m.seconds))}
-	for i := range m.priorityAudit.seconds {
-		m.priorityAudit.seconds[i] = make([]classWork, len(m.criteria.Classes))
+// SetEnvironment sets the capacity and the serving instances with which the order of served work is checked.
+func (m *Meter) SetEnvironment(environment Environment) {
+	m.priorityAudit = &priorityAudit{environment: environment, secondWork: make([][]classWork, len(m.secondWeights))}
+	for index := range m.priorityAudit.secondWork {
+		m.priorityAudit.secondWork[index] = make([]classWork, len(m.criteria.Classes))
 	}
 }
 
-// operationEnded counts an operation. One that started at an instance that accepts no requests could not be served, and
-// is left out.
-func (x *priorityAudit) operationEnded(s *simclient.Operation, weight float64, onTime bool) {
-	if x == nil || !x.environment.Serving(s.Instance, s.StartedAt) {
+// operationEnded counts a finished operation. It skips an operation that started at an instance that accepted
+// no requests, since that operation could not be served.
+func (audit *priorityAudit) operationEnded(operation *simclient.Operation, weight float64, onTime bool) {
+	if audit == nil || !audit.environment.Serving(operation.Instance, operation.StartedAt) {
 		return
 	}
-	w := &x.seconds[min(s.StartedAt/second, monotime.Micros(len(x.seconds)-1))][s.Class]
-	w.offered += float64(s.Work)
-	w.weight += weight
+	startTotals := &audit.secondWork[min(operation.StartedAt/second,
+		monotime.Micros(len(audit.secondWork)-1))][operation.Class]
+	startTotals.offered += float64(operation.Work)
+	startTotals.weight += weight
 	if onTime {
-		w.served += float64(s.Work)
+		startTotals.served += float64(operation.Work)
 	}
 }
 
-// figures adds two figures. of_could is the earned weight relative to the best possible: in each second the classes of
-// the highest weight for their work are served first, up to the endpoints' capacity. out_of_order is the part of all
-// work by which that order was violated: in each second, work of higher classes that was not served while as much work
-// of lower ones was, at the division into higher and lower at which that is largest.
-func (x *priorityAudit) figures(f map[string]float64, earned float64) {
-	f["of_could"] = 1
-	f["out_of_order"] = 0
-	if x == nil {
+// figures adds two figures. of_could is the earned weight relative to the best possible: in each second the
+// classes with the highest weight for their work are served first, up to the capacity of the endpoints.
+// out_of_order is the fraction of all work by which that order was violated. For each second, the classes are
+// divided into higher and lower ones, and the violation is the smaller of the unserved work of the higher
+// classes and the served work of the lower classes. The division with the largest violation counts.
+func (audit *priorityAudit) figures(figures map[string]float64, earned float64) {
+	figures["of_could"] = 1
+	figures["out_of_order"] = 0
+	if audit == nil {
 		return
 	}
-	var servable, outOfOrder, all float64
-	for i, classes := range x.seconds {
-		capacity := x.environment.Capacity(monotime.Micros(i)*second+second/2) * float64(second)
-		order := slices.Clone(classes)
-		slices.SortFunc(order, func(a, b classWork) int {
+	var servable, outOfOrder, offered float64
+	for i, classes := range audit.secondWork {
+		capacity := audit.environment.Capacity(monotime.Micros(i)*second+second/2) * float64(second)
+		byPriority := slices.Clone(classes)
+		slices.SortFunc(byPriority, func(a, b classWork) int {
 			return cmp.Compare(b.weight*max(1, a.offered), a.weight*max(1, b.offered))
 		})
-		var worst, unservedAbove, servedBelow float64
-		for _, w := range order {
-			servedBelow += w.served
+		var maxViolation, unservedAbove, servedBelow float64
+		for _, class := range byPriority {
+			servedBelow += class.served
 		}
-		for _, w := range order {
-			work := min(capacity, w.offered)
-			capacity -= work
-			if w.offered > 0 {
-				servable += w.weight * work / w.offered
+		for _, class := range byPriority {
+			servedFirst := min(capacity, class.offered)
+			capacity -= servedFirst
+			if class.offered > 0 {
+				servable += class.weight * servedFirst / class.offered
 			}
-			unservedAbove += w.offered - w.served
-			servedBelow -= w.served
-			worst = max(worst, min(unservedAbove, servedBelow))
-			all += w.offered
+			unservedAbove += class.offered - class.served
+			servedBelow -= class.served
+			maxViolation = max(maxViolation, min(unservedAbove, servedBelow))
+			offered += class.offered
 		}
-		outOfOrder += worst
+		outOfOrder += maxViolation
 	}
 	if servable > 0 {
-		f["of_could"] = earned / servable
+		figures["of_could"] = earned / servable
 	}
-	if all > 0 {
-		f["out_of_order"] = outOfOrder / all
+	if offered > 0 {
+		figures["out_of_order"] = outOfOrder / offered
 	}
 }
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -12,7 +12,8 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-const least = `name = "a"
+// minimalScenario is the text of a valid scenario that sets few keys.
+const minimalScenario = `name = "a"
 [fleet]
 zones = ["x", "y"]
 [[nodes]]
@@ -26,18 +27,21 @@
 rate = 200.0
 `
 
-func none(name string) ([]byte, error) { return nil, errors.New("there is none") }
+// findNoBase is a Finder that finds no base scenario.
+func findNoBase(name string) ([]byte, error) { return nil, errors.New("there is none") }
 
-func parse(t *testing.T, text string) *Scenario {
+// parseScenario parses a text without a base scenario, and fails the test if the text is invalid.
+func parseScenario(t *testing.T, text string) *Scenario {
 	t.Helper()
-	s, err := Parse([]byte(text), none)
+	s, err := Parse([]byte(text), findNoBase)
 	require.NoError(t, err)
 	return s
 }
 
-// Each contradiction and each value out of bounds is an error with its key and line, all of them at once.
-func TestContradictions(t *testing.T) {
-	for _, c := range []struct{ text, want string }{
+// Each contradictory value and each value out of bounds is rejected with an error that has its key and line.
+// All errors of a file are reported together.
+func TestInvalidScenarios(t *testing.T) {
+	for _, invalid := range []struct{ text, want string }{
 		{"load = 0.5\n",
 			"line 13: clients.load: one of load and rate must be given, and positive"},
 		{"retries = [3, 1]\n[[event]]\nwhat = \"slow\"\nat = \"5s\"\n",
@@ -77,28 +81,29 @@
 		{"base = \"calm\"\n",
 			"line 13: clients.base: is not a known key"},
 	} {
-		_, err := Parse([]byte(least+c.text), none)
-		var all stricttoml.Errors
-		if !errors.As(err, &all) || !strings.HasPrefix(all[0].Error(), c.want) {
-			t.Errorf("%q:\n got %v\nwant %s", c.text, err, c.want)
+		_, err := Parse([]byte(minimalScenario+invalid.text), findNoBase)
+		var validationErrors stricttoml.Errors
+		if !errors.As(err, &validationErrors) || !strings.HasPrefix(validationErrors[0].Error(), invalid.want) {
+			t.Errorf("%q:\n got %v\nwant %s", invalid.text, err, invalid.want)
 		}
 	}
-	if _, err := Parse([]byte("base = \"calm\"\n"+least), none); err == nil ||
+	if _, err := Parse([]byte("base = \"calm\"\n"+minimalScenario), findNoBase); err == nil ||
 		err.Error() != "line 1: base: there is none" {
-		t.Errorf("a base that is not there: %v", err)
+		t.Errorf("a base scenario that does not exist: %v", err)
 	}
-	if _, err := Parse([]byte("base = \"a\"\n"+least),
-		func(string) ([]byte, error) { return []byte("base = \"a\"\n" + least), nil }); err == nil {
-		t.Error("a scenario that is based on itself was taken")
+	if _, err := Parse([]byte("base = \"a\"\n"+minimalScenario),
+		func(string) ([]byte, error) { return []byte("base = \"a\"\n" + minimalScenario), nil }); err == nil {
+		t.Error("a scenario that is based on itself was accepted")
 	}
 }
 
-// What a file says goes over its base; lists stand in place of the base's; and what Text says is the same scenario.
-func TestBase(t *testing.T) {
-	base := least + "[[event]]\nwhat = \"slow\"\nat = \"5s\"\nsize = [2.0]\n"
+// The values of a file override its base scenario, and its lists replace those of the base scenario. Text
+// returns a file that describes the same scenario.
+func TestBaseScenario(t *testing.T) {
+	baseText := minimalScenario + "[[event]]\nwhat = \"slow\"\nat = \"5s\"\nsize = [2.0]\n"
 	s, err := Parse(
 		[]byte("name = \"b\"\nbase = \"a\"\n[clients]\nload = 0.5\n[[event]]\nwhat = \"drain\"\nat = \"6s\"\n"),
-		func(string) ([]byte, error) { return []byte(base), nil })
+		func(string) ([]byte, error) { return []byte(baseText), nil })
 	require.NoError(t, err)
 	if s.Name != "b" || s.Clients.Rate != 0 || s.Clients.Load != 0.5 || len(s.Events) != 1 ||
 		s.Events[0].What != "drain" || s.EndpointKinds[0].Count != 4 {
@@ -106,42 +111,45 @@
 	}
 	text, err := s.Text()
 	require.NoError(t, err)
-	again, err := Parse(text, none)
+	reparsed, err := Parse(text, findNoBase)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
-	if !reflect.DeepEqual(s.Draw(3), again.Draw(3)) &&
-		!reflect.DeepEqual(s.Draw(3).PlannedEvents, again.Draw(3).PlannedEvents) {
-		t.Errorf("what Text says is another scenario:\n%s", text)
+	if !reflect.DeepEqual(s.Draw(3), reparsed.Draw(3)) &&
+		!reflect.DeepEqual(s.Draw(3).PlannedEvents, reparsed.Draw(3).PlannedEvents) {
+		t.Errorf("the text of the scenario describes another scenario:\n%s", text)
 	}
 }
 
-// drawTraffic counts the operations of a plan by ten seconds and tenant, and returns a digest of them, too.
-func drawTraffic(t *testing.T, s *Scenario, seed uint64) (by [3][2]int, total int, last monotime.Micros) {
+// drawTraffic draws the operations of a plan. It returns their number by ten-second period and tenant, their
+// total number, and a digest of their start times, work and idempotency keys.
+func drawTraffic(t *testing.T, s *Scenario, seed uint64) (operationCounts [3][2]int, operationCount int,
+	digest monotime.Micros) {
 	t.Helper()
-	p := s.Draw(seed)
-	for i := range p.Instances {
-		next := p.Operations(i)
-		for at := monotime.Micros(-1); ; {
-			x, ok := next()
+	plan := s.Draw(seed)
+	for i := range plan.Instances {
+		nextOperation := plan.Operations(i)
+		for previousStart := monotime.Micros(-1); ; {
+			operation, ok := nextOperation()
 			if !ok {
 				break
 			}
-			if x.StartedAt < at {
-				t.Fatal("stories out of order")
+			if operation.StartedAt < previousStart {
+				t.Fatal("operations are not in the order of their starts")
 			}
-			at = x.StartedAt
-			by[x.StartedAt/(10*second)][x.Tenant]++
-			total++
-			last += x.StartedAt ^ x.Work ^ int64(x.IdempotencyKey)
+			previousStart = operation.StartedAt
+			operationCounts[operation.StartedAt/(10*second)][operation.Tenant]++
+			operationCount++
+			digest += operation.StartedAt ^ operation.Work ^ int64(operation.IdempotencyKey)
 		}
 	}
-	return by, total, last
+	return operationCounts, operationCount, digest
 }
 
-// A plan follows from its seed; its traffic has the rate, the shape and the shares that the file says.
-func TestDraw(t *testing.T) {
-	s := parse(t, strings.Replace(least, "rate = 200.0", "rate = 2000.0", 1)+`[[tenant]]
+// A plan depends only on the scenario and the seed. Its traffic has the rate, shape and tenant shares of the
+// scenario.
+func TestDrawnTraffic(t *testing.T) {
+	s := parseScenario(t, strings.Replace(minimalScenario, "rate = 200.0", "rate = 2000.0", 1)+`[[tenant]]
 name = "p"
 share = 0.75
 [[tenant]]
@@ -160,57 +168,60 @@
 tenant = "q"
 size = [5.0]
 `)
-	by, total, digest := drawTraffic(t, s, 1)
-	if _, _, again := drawTraffic(t, s, 1); again != digest {
-		t.Error("the same seed gave other stories")
+	counts, total, digest := drawTraffic(t, s, 1)
+	if _, _, repeatedDigest := drawTraffic(t, s, 1); repeatedDigest != digest {
+		t.Error("the same seed gave other operations")
 	}
-	if _, _, other := drawTraffic(t, s, 2); other == digest {
+	if _, _, otherDigest := drawTraffic(t, s, 2); otherDigest == digest {
 		t.Error("another seed gave the same operations")
 	}
-	// Mean factors of the three parts: 2/3, 1, 4/3. Tenant q has five times the traffic in the middle one.
-	for i, want := range [3][2]float64{{10_000, 3_333}, {15_000, 25_000}, {20_000, 6_667}} {
-		for j := range want {
-			if got := float64(by[i][j]); math.Abs(got-want[j]) > 5*math.Sqrt(want[j]) {
-				t.Errorf("part %d, tenant %d: %v stories, want %v", i, j, got, want[j])
+	// The mean factors of the three ten-second periods are 2/3, 1 and 4/3. Tenant q has five times its traffic
+	// in the second period.
+	for period, want := range [3][2]float64{{10_000, 3_333}, {15_000, 25_000}, {20_000, 6_667}} {
+		for tenant := range want {
+			if got := float64(counts[period][tenant]); math.Abs(got-want[tenant]) > 5*math.Sqrt(want[tenant]) {
+				t.Errorf("period %d, tenant %d: %v operations, want %v", period, tenant, got, want[tenant])
 			}
 		}
 	}
 	if total == 0 {
-		t.Error("no stories")
+		t.Error("the plan has no operations")
 	}
 	for _, seed := range []uint64{1, 2, 3} {
-		p := parse(t, least+"[[event]]\nwhat = \"kill\"\nat = \"3s..9s\"\npart = [0.5]\n").Draw(seed)
-		if h := p.PlannedEvents[0]; len(h.Endpoints) != 2 || h.At < 3*second || h.At > 9*second ||
-			h.Until != math.MaxInt64 {
-			t.Errorf("seed %d: %+v", seed, h)
+		plan := parseScenario(t,
+			minimalScenario+"[[event]]\nwhat = \"kill\"\nat = \"3s..9s\"\npart = [0.5]\n").Draw(seed)
+		if event := plan.PlannedEvents[0]; len(event.Endpoints) != 2 || event.At < 3*second || event.At > 9*second ||
+			event.Until != math.MaxInt64 {
+			t.Errorf("seed %d: %+v", seed, event)
 		}
 	}
 }
 
-// Each endpoint is in the subsets of equally many instances.
+// With subsets, each endpoint is on the endpoint lists of equally many instances.
 func TestSubset(t *testing.T) {
-	s := parse(t, strings.Replace(strings.Replace(least, "count = 4", "count = 100", 1), "zones =",
+	s := parseScenario(t, strings.Replace(strings.Replace(minimalScenario, "count = 4", "count = 100", 1), "zones =",
 		"instances = 50\nsubset = 20\nzones =", 1))
-	lists := make([]int, 100)
-	for _, in := range s.Draw(1).Instances {
-		if len(in.Endpoints) != 20 {
-			t.Fatalf("a subset of %d", len(in.Endpoints))
+	listsPerEndpoint := make([]int, 100)
+	for _, instance := range s.Draw(1).Instances {
+		if len(instance.Endpoints) != 20 {
+			t.Fatalf("a subset has %d endpoints, not 20", len(instance.Endpoints))
 		}
-		for _, n := range in.Endpoints {
-			lists[n]++
+		for _, endpoint := range instance.Endpoints {
+			listsPerEndpoint[endpoint]++
 		}
 	}
-	for n, count := range lists {
-		if count != 10 {
-			t.Errorf("endpoint %d is on %d lists, not 10", n, count)
+	for endpoint, lists := range listsPerEndpoint {
+		if lists != 10 {
+			t.Errorf("endpoint %d is on %d lists, not 10", endpoint, lists)
 		}
 	}
 }
 
-// What is left of the endpoints bounds what can be served.
-func TestIdeal(t *testing.T) {
-	calm := strings.Replace(least, "rate = 200.0", "rate = 400.0", 1) // of 800 that can be done
-	for events, want := range map[string]float64{
+// The remaining capacity of the endpoints during events bounds the share of operations that can be served.
+func TestMaxServableShare(t *testing.T) {
+	// The endpoints can serve 800 operations a second.
+	baseText := strings.Replace(minimalScenario, "rate = 200.0", "rate = 400.0", 1)
+	for eventText, want := range map[string]float64{
 		"": 1,
 		"[[event]]\nwhat = \"kill\"\nat = \"10s\"\nfor = \"10s\"\n":                     0.66,
 		"[[event]]\nwhat = \"kill\"\nat = \"10s\"\nfor = \"10s\"\ncount = 2\n":          1,
@@ -220,8 +231,8 @@
 		"[[event]]\nwhat = \"neighbour\"\nat = \"0s\"\nsize = [0.75]\nevery = \"1s\"\n": 0.875,
 		"[[event]]\nwhat = \"rolling\"\nat = \"0s\"\nevery = \"7s\"\n":                  1,
 	} {
-		if got := parse(t, calm+events).Draw(1).MaxServableShare(); math.Abs(got-want) > 0.02 {
-			t.Errorf("%q: %v, want %v", events, got, want)
+		if got := parseScenario(t, baseText+eventText).Draw(1).MaxServableShare(); math.Abs(got-want) > 0.02 {
+			t.Errorf("%q: the servable share is at most %v, want %v", eventText, got, want)
 		}
 	}
 }
