--- a/internal/experiment/agree.go
+++ b/internal/experiment/agree.go
@@ -70,39 +70,39 @@
 	a := &Agreement{Scenario: s, Seeds: seeds, DecisionSeeds: decisionSeeds}
 	var tasks []Task
 	for seed := range seeds {
-		for k := range decisionSeeds {
-			other := *v
-			other.DecisionSeed = uint64(k)
-			j, err := other.Job(s, v, uint64(1+seed))
+		for decisionSeed := range decisionSeeds {
+			seededVariant := *v
+			seededVariant.DecisionSeed = uint64(decisionSeed)
+			job, err := seededVariant.Job(s, v, uint64(1+seed))
 			if err != nil {
 				return nil, err
 			}
-			tasks = append(tasks, Task{&other, j})
+			tasks = append(tasks, Task{&seededVariant, job})
 		}
 	}
 	var err error
 	if a.Model, err = r.Run(ctx, tasks); err != nil {
 		return nil, err
 	}
-	judged, err := config.Parse(v.Settings)
+	parsed, err := config.Parse(v.Settings)
 	if err != nil {
 		return nil, err
 	}
 	for seed := range seeds {
-		got, err := processes.Run(ctx, processes.Options{
+		result, err := processes.Run(ctx, processes.Options{
 			Plan:     s.Draw(uint64(1 + seed)),
 			Settings: v.Settings,
-			Criteria: criteria(judged),
+			Criteria: criteria(parsed),
 			Daemon:   daemon,
 			Log:      log,
 		})
 		if err != nil {
 			return nil, fmt.Errorf("seed %d, for real: %w", 1+seed, err)
 		}
-		a.Processes = append(a.Processes, got)
+		a.Processes = append(a.Processes, result)
 	}
 	for _, name := range agreementFigures {
-		row := a.row(name)
+		row := a.compareFigure(name)
 		if row.Agrees {
 			a.AgreeingRows++
 		}
@@ -113,29 +113,29 @@
 
 // row holds one figure of both against one another. The model's runs of one seed differ by lots as real runs do; what
 // differs between seeds is the same for both.
-func (a *Agreement) row(name string) AgreementRow {
+func (a *Agreement) compareFigure(name string) AgreementRow {
 	f, _ := measure.Describe(name)
 	row := AgreementRow{Figure: f}
 	var mean, variance float64
 	for seed := range a.Seeds {
-		v := Figure(a.Model[seed*a.DecisionSeeds:(seed+1)*a.DecisionSeeds], name)
-		mean += stat.Mean(v, nil) / float64(a.Seeds)
+		values := FigureValues(a.Model[seed*a.DecisionSeeds:(seed+1)*a.DecisionSeeds], name)
+		mean += stat.Mean(values, nil) / float64(a.Seeds)
 		if a.DecisionSeeds > 1 {
-			variance += stat.Variance(v, nil)
+			variance += stat.Variance(values, nil)
 		}
 		row.Processes += a.Processes[seed].Figures[name] / float64(a.Seeds)
 	}
-	half := 0.0
+	halfWidth := 0.0
 	if a.DecisionSeeds > 1 {
-		t := distuv.StudentsT{
+		quantile := distuv.StudentsT{
 			Mu:    0,
 			Sigma: 1,
 			Nu:    float64(a.Seeds * (a.DecisionSeeds - 1)),
 		}.Quantile((1 + Confidence) / 2)
-		half = t * math.Sqrt(variance*(1+1/float64(a.DecisionSeeds))) / float64(a.Seeds)
+		halfWidth = quantile * math.Sqrt(variance*(1+1/float64(a.DecisionSeeds))) / float64(a.Seeds)
 	}
-	half += Tolerance(f, mean)
-	row.Model = stats.Interval{Mean: mean, Low: mean - half, High: mean + half, N: a.Seeds * a.DecisionSeeds}
+	halfWidth += Tolerance(f, mean)
+	row.Model = stats.Interval{Mean: mean, Low: mean - halfWidth, High: mean + halfWidth, N: a.Seeds * a.DecisionSeeds}
 	row.Agrees = row.Processes >= row.Model.Low && row.Processes <= row.Model.High
 	return row
 }
--- a/internal/experiment/build.go
+++ b/internal/experiment/build.go
@@ -66,23 +66,25 @@
 		}
 		overlay[path] = name
 	}
-	text, err := json.Marshal(map[string]any{"Replace": overlay})
+	overlayJSON, err := json.Marshal(map[string]any{"Replace": overlay})
 	if err != nil {
 		return err
 	}
-	list := filepath.Join(dir, "overlay.json")
-	if err := os.WriteFile(list, text, 0o600); err != nil {
+	overlayFile := filepath.Join(dir, "overlay.json")
+	if err := os.WriteFile(overlayFile, overlayJSON, 0o600); err != nil {
 		return err
 	}
 	if program, err = filepath.Abs(program); err != nil {
 		return err
 	}
-	cmd := exec.CommandContext(ctx, "go", "build", "-overlay", list, "-o", program, "./cmd/dunlinsail-experiment")
+	cmd := exec.CommandContext(
+		ctx, "go", "build", "-overlay", overlayFile, "-o", program, "./cmd/dunlinsail-experiment",
+	)
 	cmd.Dir = root
-	var told bytes.Buffer
-	cmd.Stderr = &told
+	var stderr bytes.Buffer
+	cmd.Stderr = &stderr
 	if err := cmd.Run(); err != nil {
-		return fmt.Errorf("go build: %w: %s", err, strings.TrimSpace(told.String()))
+		return fmt.Errorf("go build: %w: %s", err, strings.TrimSpace(stderr.String()))
 	}
 	return nil
 }
@@ -93,23 +95,23 @@
 	if err != nil {
 		return err
 	}
-	names, err := filepath.Glob(filepath.Join(dir, "*.go"))
+	sourceFiles, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil {
 		return err
 	}
-	names = slices.DeleteFunc(names, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
-	if len(names) == 0 {
+	sourceFiles = slices.DeleteFunc(sourceFiles, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
+	if len(sourceFiles) == 0 {
 		return fmt.Errorf("%s: %w", c.Package, fs.ErrNotExist)
 	}
-	for _, name := range names {
-		text, ok := files[name]
+	for _, path := range sourceFiles {
+		source, ok := files[path]
 		if !ok {
-			if text, err = os.ReadFile(name); err != nil {
+			if source, err = os.ReadFile(path); err != nil {
 				return err
 			}
 		}
-		set := token.NewFileSet()
-		f, err := parser.ParseFile(set, name, text, parser.SkipObjectResolution)
+		fileSet := token.NewFileSet()
+		f, err := parser.ParseFile(fileSet, path, source, parser.SkipObjectResolution)
 		if err != nil {
 			return err
 		}
@@ -117,10 +119,10 @@
 		if expr == nil {
 			continue
 		}
-		from := set.Position(expr.Pos()).Offset
-		to := set.Position(expr.End()).Offset
-		next := slices.Concat(text[:from], []byte(c.Value), text[to:])
-		if files[name], err = format.Source(next); err != nil {
+		from := fileSet.Position(expr.Pos()).Offset
+		to := fileSet.Position(expr.End()).Offset
+		edited := slices.Concat(source[:from], []byte(c.Value), source[to:])
+		if files[path], err = format.Source(edited); err != nil {
 			return fmt.Errorf("%s.%s: %w", c.Package, c.Name, err)
 		}
 		return nil
@@ -132,16 +134,16 @@
 
 // constant finds the value of a constant that a file declares at its top.
 func findConstant(f *ast.File, name string) ast.Expr {
-	for _, d := range f.Decls {
-		g, ok := d.(*ast.GenDecl)
-		if !ok || g.Tok != token.CONST {
+	for _, decl := range f.Decls {
+		genDecl, ok := decl.(*ast.GenDecl)
+		if !ok || genDecl.Tok != token.CONST {
 			continue
 		}
-		for _, s := range g.Specs {
-			v := s.(*ast.ValueSpec)
-			for i, n := range v.Names {
-				if n.Name == name && i < len(v.Values) {
-					return v.Values[i]
+		for _, spec := range genDecl.Specs {
+			valueSpec := spec.(*ast.ValueSpec)
+			for i, ident := range valueSpec.Names {
+				if ident.Name == name && i < len(valueSpec.Values) {
+					return valueSpec.Values[i]
 				}
 			}
 		}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -74,17 +74,17 @@
 	}
 	c := &Comparison{Plan: p}
 	for len(c.Seeds) < p.MaxSeeds {
-		n := p.MinSeeds
+		newSeeds := p.MinSeeds
 		if len(c.Seeds) > 0 {
 			// By what is known so far, so many are needed in all; not all of them at once, since it is not known well.
-			need := len(c.Seeds) + 4
-			if half := c.Rows[0].Difference.HalfWidth(); half > 0 && !math.IsInf(half, 0) {
-				need = int(float64(len(c.Seeds)) * math.Pow(2*half/p.TargetWidth, 2))
+			neededSeeds := len(c.Seeds) + 4
+			if halfWidth := c.Rows[0].Difference.HalfWidth(); halfWidth > 0 && !math.IsInf(halfWidth, 0) {
+				neededSeeds = int(float64(len(c.Seeds)) * math.Pow(2*halfWidth/p.TargetWidth, 2))
 			}
-			n = min(need-len(c.Seeds), len(c.Seeds))
+			newSeeds = min(neededSeeds-len(c.Seeds), len(c.Seeds))
 		}
-		n = max(1, min(n, p.MaxSeeds-len(c.Seeds)))
-		if err := r.playSeeds(ctx, c, n); err != nil {
+		newSeeds = max(1, min(newSeeds, p.MaxSeeds-len(c.Seeds)))
+		if err := r.playSeeds(ctx, c, newSeeds); err != nil {
 			return c, err
 		}
 		c.buildRows()
@@ -104,11 +104,11 @@
 			if v == nil {
 				continue
 			}
-			j, err := v.Job(c.Plan.Scenario, c.Plan.A, seed)
+			job, err := v.Job(c.Plan.Scenario, c.Plan.A, seed)
 			if err != nil {
 				return err
 			}
-			tasks = append(tasks, Task{v, j})
+			tasks = append(tasks, Task{v, job})
 		}
 	}
 	results, err := r.Run(ctx, tasks)
@@ -128,19 +128,19 @@
 }
 
 // Figure returns the values of a figure, by run.
-func Figure(runs []*measure.Result, name string) []float64 {
-	var v []float64
+func FigureValues(runs []*measure.Result, name string) []float64 {
+	var values []float64
 	for _, r := range runs {
-		v = append(v, r.Figures[name])
+		values = append(values, r.Figures[name])
 	}
-	return v
+	return values
 }
 
-func (c *Comparison) interval(v []float64) stats.Interval {
+func (c *Comparison) meanInterval(values []float64) stats.Interval {
 	if c.Plan.Method == "bootstrap" {
-		return stats.Bootstrap(v, Confidence, 1)
+		return stats.Bootstrap(values, Confidence, 1)
 	}
-	return stats.StudentT(v, Confidence)
+	return stats.StudentT(values, Confidence)
 }
 
 // buildRows computes the rows of all figures.
@@ -151,31 +151,31 @@
 			names = append(names, f.Name)
 		}
 	}
-	var own []string
+	var scenarioFigures []string
 	for name := range c.RunsA[0].Figures {
 		if !slices.Contains(names, name) {
-			own = append(own, name)
+			scenarioFigures = append(scenarioFigures, name)
 		}
 	}
-	slices.Sort(own)
+	slices.Sort(scenarioFigures)
 	c.Rows = nil
 	c.Identical = c.RunsB != nil
 	for i := range c.RunsB {
 		c.Identical = c.Identical && c.RunsA[i].Digest == c.RunsB[i].Digest
 	}
-	for _, name := range append(names, own...) {
+	for _, name := range append(names, scenarioFigures...) {
 		f, _ := measure.Describe(name)
 		if f.Name == "" {
 			f = measure.Figure{Name: name, Direction: 1}
 		}
-		c.Rows = append(c.Rows, c.row(f))
+		c.Rows = append(c.Rows, c.compareFigure(f))
 	}
 }
 
-func (c *Comparison) row(f measure.Figure) Row {
+func (c *Comparison) compareFigure(f measure.Figure) Row {
 	row := Row{Figure: f}
-	a := Figure(c.RunsA, f.Name)
-	row.A = c.interval(a)
+	valuesA := FigureValues(c.RunsA, f.Name)
+	row.A = c.meanInterval(valuesA)
 	if f.CountsViolations {
 		row.Note = c.compareViolations(&row, f)
 		return row
@@ -183,31 +183,31 @@
 	if c.RunsB == nil {
 		return row
 	}
-	b := Figure(c.RunsB, f.Name)
-	row.B = c.interval(b)
-	row.Difference = c.interval(stats.PairedDifferences(a, b))
-	d := row.Difference
+	valuesB := FigureValues(c.RunsB, f.Name)
+	row.B = c.meanInterval(valuesB)
+	row.Difference = c.meanInterval(stats.PairedDifferences(valuesA, valuesB))
+	difference := row.Difference
 	switch {
-	case d.Low > 0:
+	case difference.Low > 0:
 		row.Verdict = Better
-	case d.High < 0:
+	case difference.High < 0:
 		row.Verdict = Worse
 	}
 	if row.Verdict != Inconclusive && f.Direction < 0 {
 		row.Verdict = Better + Worse - row.Verdict
 	}
-	row.Relevant = math.Abs(d.Mean) > f.Threshold
+	row.Relevant = math.Abs(difference.Mean) > f.Threshold
 	switch {
 	// A figure without a direction is a cost: other figures say whether it is well spent.
 	case row.Verdict != Inconclusive && f.Direction == 0:
 		row.Verdict = Inconclusive
 		row.Note = "less"
-		if d.Mean > 0 {
+		if difference.Mean > 0 {
 			row.Note = "more"
 		}
 	case row.Verdict != Inconclusive && !row.Relevant:
 		row.Note = "by less than matters"
-	case row.Verdict == Inconclusive && d.Low >= -f.Threshold && d.High <= f.Threshold:
+	case row.Verdict == Inconclusive && difference.Low >= -f.Threshold && difference.High <= f.Threshold:
 		row.Note = "no difference that matters"
 	}
 	return row
@@ -225,33 +225,35 @@
 // compareViolations compares counts of what must never happen. A count of 0 does not show that it never happens: the
 // note gives the upper bound of its rate.
 func (c *Comparison) compareViolations(row *Row, f measure.Figure) string {
-	count := func(runs []*measure.Result) (happened, operations int64) {
+	sumViolations := func(runs []*measure.Result) (violations, operations int64) {
 		for _, r := range runs {
-			happened += int64(r.Figures[f.Name])
+			violations += int64(r.Figures[f.Name])
 			operations += r.Operations
 		}
-		return happened, operations
+		return violations, operations
 	}
-	upperBound := func(happened, operations int64) string {
+	describeRate := func(violations, operations int64) string {
 		return fmt.Sprintf(
-			"%d of %d stories: at most one in %.0f", happened, operations,
-			1/stats.RateInterval(min(happened, operations), operations, Confidence).High,
+			"%d of %d stories: at most one in %.0f", violations, operations,
+			1/stats.RateInterval(min(violations, operations), operations, Confidence).High,
 		)
 	}
-	a, operationsA := count(c.RunsA)
+	violationsA, operationsA := sumViolations(c.RunsA)
 	if c.RunsB == nil {
-		return upperBound(a, operationsA)
+		return describeRate(violationsA, operationsA)
 	}
-	b, operationsB := count(c.RunsB)
-	row.B = c.interval(Figure(c.RunsB, f.Name))
-	row.Difference = c.interval(stats.PairedDifferences(Figure(c.RunsA, f.Name), Figure(c.RunsB, f.Name)))
-	if stats.RateEqualityPValue(a, b) < 1-Confidence {
+	violationsB, operationsB := sumViolations(c.RunsB)
+	row.B = c.meanInterval(FigureValues(c.RunsB, f.Name))
+	row.Difference = c.meanInterval(
+		stats.PairedDifferences(FigureValues(c.RunsA, f.Name), FigureValues(c.RunsB, f.Name)),
+	)
+	if stats.RateEqualityPValue(violationsA, violationsB) < 1-Confidence {
 		row.Relevant = true
-		if row.Verdict = Worse; b < a {
+		if row.Verdict = Worse; violationsB < violationsA {
 			row.Verdict = Better
 		}
 	}
-	return "A " + upperBound(a, operationsA) + "; B " + upperBound(b, operationsB)
+	return "A " + describeRate(violationsA, operationsA) + "; B " + describeRate(violationsB, operationsB)
 }
 
 // Line returns a one-line summary.
@@ -333,13 +335,13 @@
 	for _, r := range c.RunsA {
 		runs = append(runs, r.Figures)
 	}
-	var all []claim.Evaluation
+	var evaluations []claim.Evaluation
 	for _, text := range texts {
-		k, err := claim.Parse(text, func(name string) bool { _, ok := runs[0][name]; return ok })
+		parsed, err := claim.Parse(text, func(name string) bool { _, ok := runs[0][name]; return ok })
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, k.Evaluate(runs, Confidence))
+		evaluations = append(evaluations, parsed.Evaluate(runs, Confidence))
 	}
-	return all, nil
+	return evaluations, nil
 }
--- a/internal/experiment/edit.go
+++ b/internal/experiment/edit.go
@@ -18,10 +18,10 @@
 	if err := toml.Unmarshal(text, &doc); err != nil {
 		return nil, err
 	}
-	for _, e := range edits {
-		key, value, ok := strings.Cut(e, "=")
+	for _, edit := range edits {
+		key, value, ok := strings.Cut(edit, "=")
 		if !ok || key == "" {
-			return nil, fmt.Errorf("%q is not KEY=VALUE", e)
+			return nil, fmt.Errorf("%q is not KEY=VALUE", edit)
 		}
 		if err := setKey(doc, strings.Split(key, "."), parseValue(value)); err != nil {
 			return nil, fmt.Errorf("%s: %w", key, err)
@@ -31,30 +31,30 @@
 }
 
 func parseValue(text string) any {
-	var v struct{ V any }
-	if err := toml.Unmarshal([]byte("V = "+text), &v); err != nil {
+	var doc struct{ V any }
+	if err := toml.Unmarshal([]byte("V = "+text), &doc); err != nil {
 		return text
 	}
-	return v.V
+	return doc.V
 }
 
-func setKey(in map[string]any, key []string, value any) error {
+func setKey(parent map[string]any, key []string, value any) error {
 	name := key[0]
 	if len(key) == 1 {
-		in[name] = value
+		parent[name] = value
 		return nil
 	}
-	switch next := in[name].(type) {
+	switch child := parent[name].(type) {
 	case nil:
 		table := map[string]any{}
-		in[name] = table
+		parent[name] = table
 		return setKey(table, key[1:], value)
 	case map[string]any:
-		return setKey(next, key[1:], value)
+		return setKey(child, key[1:], value)
 	case []any:
-		for i, entry := range next {
+		for index, entry := range child {
 			table, ok := entry.(map[string]any)
-			if ok && (table["name"] == key[1] || table["kind"] == key[1] || strconv.Itoa(i) == key[1]) {
+			if ok && (table["name"] == key[1] || table["kind"] == key[1] || strconv.Itoa(index) == key[1]) {
 				if len(key) == 2 {
 					return fmt.Errorf("%q is a table, not a value", key[1])
 				}
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -29,9 +29,10 @@
 // that run: one run can refute a claim, not prove it. The evidence of a failed run goes to a folder of its own below
 // keep. Every other instance is a process of beside, unless that is empty.
 func RunWithFaults(
-	ctx context.Context, s *scenario.Scenario, v *Variant, program, beside string, seed uint64, keep string,
+	ctx context.Context, s *scenario.Scenario, v *Variant, program, alternateProgram string, seed uint64,
+	evidenceRoot string,
 ) (*FaultRun, error) {
-	own, err := config.Parse(v.Settings)
+	parsed, err := config.Parse(v.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -40,26 +41,26 @@
 	result, err := processes.Run(ctx, processes.Options{
 		Plan:            plan,
 		Settings:        v.Settings,
-		Criteria:        criteria(own),
+		Criteria:        criteria(parsed),
 		Daemon:          program,
-		AlternateDaemon: beside,
+		AlternateDaemon: alternateProgram,
 		Log:             &log,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("%s, seed %d: %w; logged last:\n%s", s.Name, seed, err, log.last(errorLogLines))
+		return nil, fmt.Errorf("%s, seed %d: %w; logged last:\n%s", s.Name, seed, err, log.last(maxErrorLogLines))
 	}
 	f := &FaultRun{Result: result}
 	for _, text := range s.Expect {
-		c, err := claim.Parse(text, nil)
+		parsedClaim, err := claim.Parse(text, nil)
 		if err != nil {
 			return nil, err
 		}
-		j := c.Evaluate([]map[string]float64{result.Figures}, Confidence)
-		f.Claims = append(f.Claims, j)
-		f.Failed = f.Failed || j.Verdict == claim.Fails
+		evaluation := parsedClaim.Evaluate([]map[string]float64{result.Figures}, Confidence)
+		f.Claims = append(f.Claims, evaluation)
+		f.Failed = f.Failed || evaluation.Verdict == claim.Fails
 	}
-	if f.Failed && keep != "" {
-		f.EvidenceDir = filepath.Join(keep, fmt.Sprintf("%s-%s-%d", s.Name, filepath.Base(program), seed))
+	if f.Failed && evidenceRoot != "" {
+		f.EvidenceDir = filepath.Join(evidenceRoot, fmt.Sprintf("%s-%s-%d", s.Name, filepath.Base(program), seed))
 		err = f.writeEvidence(s, v, plan, &log)
 	}
 	return f, err
@@ -70,11 +71,11 @@
 	if err := os.MkdirAll(f.EvidenceDir, 0o755); err != nil {
 		return err
 	}
-	text, err := s.Text()
+	scenarioText, err := s.Text()
 	if err != nil {
 		return err
 	}
-	all, err := json.MarshalIndent(struct {
+	resultJSON, err := json.MarshalIndent(struct {
 		Happenings []scenario.PlannedEvent `json:"Happenings"`
 		Result     *measure.Result         `json:"Result"`
 	}{plan.PlannedEvents, f.Result}, "", "\t")
@@ -82,9 +83,9 @@
 		return err
 	}
 	for name, text := range map[string][]byte{
-		"scenario.toml": text,
+		"scenario.toml": scenarioText,
 		"settings.toml": v.Settings,
-		"result.json":   all,
+		"result.json":   resultJSON,
 		"log":           log.text.Bytes(),
 	} {
 		if err := os.WriteFile(filepath.Join(f.EvidenceDir, name), text, 0o644); err != nil {
@@ -113,15 +114,15 @@
 	return len(p), nil
 }
 
-// errorLogLines is how many lines of the log an error includes.
-const errorLogLines = 12
+// maxErrorLogLines is how many lines of the log an error includes.
+const maxErrorLogLines = 12
 
 // last returns the last n lines.
 func (l *logBuffer) last(n int) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := strings.Split(strings.TrimSpace(l.text.String()), "\n")
-	return strings.Join(all[max(0, len(all)-n):], "\n")
+	lines := strings.Split(strings.TrimSpace(l.text.String()), "\n")
+	return strings.Join(lines[max(0, len(lines)-n):], "\n")
 }
 
 // Summary returns the figures that matter under faults, in one line.
--- a/internal/experiment/faults_test.go
+++ b/internal/experiment/faults_test.go
@@ -18,7 +18,7 @@
 )
 
 // serve is a daemon's process.
-func serve(file string) {
+func runDaemon(file string) {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
 	c, err := config.Read(file)
@@ -41,13 +41,13 @@
 	))
 	s.Events = []scenario.Event{}
 	v := must[*Variant](t)(ParseVariant(Shipped))
-	keep := t.TempDir()
+	evidenceRoot := t.TempDir()
 	for _, c := range []struct {
 		claims []string
 		failed bool
 	}{{[]string{"whole >= 0.9", "breaks == 0"}, false}, {[]string{"whole >= 0.9", "probes_first <= 0.001"}, true}} {
 		s.Expect = c.claims
-		f, err := RunWithFaults(t.Context(), s, v, self, "", 1, keep)
+		f, err := RunWithFaults(t.Context(), s, v, self, "", 1, evidenceRoot)
 		require.NoError(t, err)
 		if f.Failed != c.failed || (f.EvidenceDir != "") != c.failed {
 			t.Errorf("%v: failed %v, kept %q; %s", c.claims, f.Failed, f.EvidenceDir, f.Summary())
@@ -62,7 +62,7 @@
 		}
 	}
 	if _, err := RunWithFaults(
-		t.Context(), s, v, "/bin/false", "", 1, keep,
+		t.Context(), s, v, "/bin/false", "", 1, evidenceRoot,
 	); err == nil || !strings.Contains(err.Error(), "ended by itself") {
 		t.Errorf("a program that ends at once: %v", err)
 	}
--- a/internal/experiment/fit.go
+++ b/internal/experiment/fit.go
@@ -54,7 +54,7 @@
 	notes      []string
 }
 
-func (f *fit) note(format string, args ...any) {
+func (f *fit) addNote(format string, args ...any) {
 	f.notes = append(f.notes, fmt.Sprintf(format, args...))
 }
 
@@ -68,7 +68,9 @@
 }
 
 // share returns the part of all operations that n are.
-func (f *fit) share(n int) float64 { return round(float64(n) / float64(len(f.operations))) }
+func (f *fit) share(n int) float64 {
+	return roundToThousandths(float64(n) / float64(len(f.operations)))
+}
 
 // fitRate fits the scenario's length, and the rate of operations and its shape.
 func (f *fit) fitRate(runs []*accesslog.Run) {
@@ -77,14 +79,14 @@
 	s.Expect = nil
 	s.Events = nil
 	length := float64(f.to-f.from) / 1e6
-	sample := 1.0
+	sampledFraction := 1.0
 	for _, run := range runs {
-		sample = min(sample, run.Sample)
+		sampledFraction = min(sampledFraction, run.Sample)
 	}
 	s.About = fmt.Sprintf("Fitted to a record of %d stories in %.0f s.", len(f.operations), length)
 	s.Length.Duration = max(1e9, microsToDuration(f.to-f.from)).Round(1e9)
 	s.Clients.Load = 0
-	s.Clients.Rate = round(float64(len(f.operations)) / length / sample)
+	s.Clients.Rate = roundToThousandths(float64(len(f.operations)) / length / sampledFraction)
 	s.Shape = rateShape(f.operations, f.from, f.to)
 }
 
@@ -96,8 +98,8 @@
 	for _, name := range names {
 		requests = append(requests, float64(counts[name]))
 	}
-	mean, spread := trimmedMoments(requests)
-	f.scenario.Fleet.Uneven = round(spread / mean)
+	mean, stdDev := trimmedMeanStdDev(requests)
+	f.scenario.Fleet.Uneven = roundToThousandths(stdDev / mean)
 }
 
 func (f *fit) fitTenants() {
@@ -113,63 +115,63 @@
 
 // meanSpeed returns the mean speed of the scenario's endpoints.
 func (f *fit) meanSpeed() float64 {
-	speed := 0.0
+	totalSpeed := 0.0
 	endpoints := 0
-	for _, k := range f.scenario.EndpointKinds {
-		for _, v := range k.Speed {
-			speed += v * float64(k.Count) / float64(len(k.Speed))
+	for _, kind := range f.scenario.EndpointKinds {
+		for _, kindSpeed := range kind.Speed {
+			totalSpeed += kindSpeed * float64(kind.Count) / float64(len(kind.Speed))
 		}
-		endpoints += k.Count
+		endpoints += kind.Count
 	}
-	return speed / float64(endpoints)
+	return totalSpeed / float64(endpoints)
 }
 
 // fitClasses fits the classes' shares and work.
 func (f *fit) fitClasses() error {
 	s := f.scenario
-	speed := f.meanSpeed()
+	meanSpeed := f.meanSpeed()
 	names, counts := f.countBy(func(q *accesslog.Request) string { return q.Class })
 	s.Classes = nil
-	isQuiet := quietSeconds(f.operations, f.from, f.to)
+	isQuietAt := quietSecondsFilter(f.operations, f.from, f.to)
 	for _, name := range names {
 		var serviceTimes []float64
 		for _, operation := range f.operations {
 			q := operation.First()
-			if q.Class == name && q.Verdict == accesslog.Served && q.Attempts == 1 && isQuiet(q.Arrived) {
+			if q.Class == name && q.Verdict == accesslog.Served && q.Attempts == 1 && isQuietAt(q.Arrived) {
 				serviceTimes = append(serviceTimes, float64(q.Duration-q.QueueTime))
 			}
 		}
-		c := scenario.Class{Name: name, Share: f.share(counts[name]), Dist: "lognormal"}
-		i := slices.IndexFunc(f.base.Classes, func(b scenario.Class) bool { return b.Name == name })
-		if i >= 0 {
-			c.Work = f.base.Classes[i].Work
-			c.CV = f.base.Classes[i].CV
-			c.Noise = f.base.Classes[i].Noise
+		class := scenario.Class{Name: name, Share: f.share(counts[name]), Dist: "lognormal"}
+		baseIndex := slices.IndexFunc(f.base.Classes, func(b scenario.Class) bool { return b.Name == name })
+		if baseIndex >= 0 {
+			class.Work = f.base.Classes[baseIndex].Work
+			class.CV = f.base.Classes[baseIndex].CV
+			class.Noise = f.base.Classes[baseIndex].Noise
 		}
 		if len(serviceTimes) >= minFitSamples {
-			mean, spread := trimmedMoments(serviceTimes)
-			network := 2 * float64(s.Network.Within.Micros()+s.Host.Overhead.Micros()/2)
-			work := max(100, (mean-network)*speed)
-			c.Work.Duration = microsToDuration(int64(work)).Round(1e5)
-			c.CV = round(spread / mean)
-			c.Noise = 0
-			f.note("class %s: work %v by %d requests served at their first attempt in the quietest third, "+
-				"at a mean speed of %.2f", name, c.Work.Duration, len(serviceTimes), speed)
+			mean, stdDev := trimmedMeanStdDev(serviceTimes)
+			networkTime := 2 * float64(s.Network.Within.Micros()+s.Host.Overhead.Micros()/2)
+			work := max(100, (mean-networkTime)*meanSpeed)
+			class.Work.Duration = microsToDuration(int64(work)).Round(1e5)
+			class.CV = roundToThousandths(stdDev / mean)
+			class.Noise = 0
+			f.addNote("class %s: work %v by %d requests served at their first attempt in the quietest third, "+
+				"at a mean speed of %.2f", name, class.Work.Duration, len(serviceTimes), meanSpeed)
 		} else {
-			f.note("class %s: work is the base's: %d requests to go by", name, len(serviceTimes))
+			f.addNote("class %s: work is the base's: %d requests to go by", name, len(serviceTimes))
 		}
-		if c.Work.Duration <= 0 {
+		if class.Work.Duration <= 0 {
 			return fmt.Errorf("class %q: %d requests are too few to tell its work, and the base has no such class",
 				name, len(serviceTimes))
 		}
-		s.Classes = append(s.Classes, c)
+		s.Classes = append(s.Classes, class)
 	}
 	return nil
 }
 
 // fitRetries fits how clients retry, from operations that were not served by their first request.
 func (f *fit) fitRetries() {
-	var waits []float64
+	var backoffs []float64
 	maxRetries := 0
 	retried := 0
 	unserved := 0
@@ -180,69 +182,69 @@
 		unserved++
 		if len(operation.Attempts) > 1 {
 			retried++
-			wait := operation.Attempts[1].Arrived - operation.Attempts[0].End()
-			if wait > 0 {
-				waits = append(waits, float64(wait))
+			backoff := operation.Attempts[1].Arrived - operation.Attempts[0].End()
+			if backoff > 0 {
+				backoffs = append(backoffs, float64(backoff))
 			}
 		}
 		maxRetries = max(maxRetries, len(operation.Attempts)-1)
 	}
 	clients := &f.scenario.Clients
-	if len(waits) >= minFitSamples {
-		slices.Sort(waits)
-		shortest := waits[len(waits)/10]
-		longest := waits[len(waits)*9/10]
+	if len(backoffs) >= minFitSamples {
+		slices.Sort(backoffs)
+		shortest := backoffs[len(backoffs)/10]
+		longest := backoffs[len(backoffs)*9/10]
 		clients.Backoff.From = microsToDuration(int64(shortest)).Round(1e6)
 		clients.Backoff.To = microsToDuration(int64(longest)).Round(1e6)
 		clients.Retries = [2]int{min(1, maxRetries), maxRetries}
-		f.note("clients: %d of %d stories that were not served at once were tried again, up to %d times",
+		f.addNote("clients: %d of %d stories that were not served at once were tried again, up to %d times",
 			retried, unserved, maxRetries)
 	} else {
-		f.note("clients: how they try again is the base's: %d such stories to go by", len(waits))
+		f.addNote("clients: how they try again is the base's: %d such stories to go by", len(backoffs))
 	}
 	for _, operation := range f.operations {
 		clients.MarkRetries = clients.MarkRetries || len(operation.Attempts) > 1 && operation.Attempts[1].Retry
 	}
 }
 
-func round(v float64) float64 { return math.Round(v*1000) / 1000 }
+func roundToThousandths(value float64) float64 { return math.Round(value*1000) / 1000 }
 
-// trimmedMoments returns mean and standard deviation, without the lowest and the highest hundredth.
-func trimmedMoments(v []float64) (mean, spread float64) {
-	v = slices.Sorted(slices.Values(v))
-	cut := len(v) / 100
-	i := stats.StudentT(v[cut:len(v)-cut], Confidence)
-	for _, x := range v[cut : len(v)-cut] {
-		spread += (x - i.Mean) * (x - i.Mean)
+// trimmedMeanStdDev returns mean and standard deviation, without the lowest and the highest hundredth.
+func trimmedMeanStdDev(values []float64) (mean, spread float64) {
+	values = slices.Sorted(slices.Values(values))
+	trimmed := len(values) / 100
+	interval := stats.StudentT(values[trimmed:len(values)-trimmed], Confidence)
+	for _, value := range values[trimmed : len(values)-trimmed] {
+		spread += (value - interval.Mean) * (value - interval.Mean)
 	}
-	return i.Mean, math.Sqrt(spread / float64(max(1, len(v)-2*cut-1)))
+	return interval.Mean, math.Sqrt(spread / float64(max(1, len(values)-2*trimmed-1)))
 }
 
 // rateShape returns the rate of operations over time, as multiples of its mean.
 func rateShape(operations []*accesslog.Operation, from, to int64) (shape []scenario.RatePoint) {
-	n := int(min(maxShapePoints, max(1, (to-from)/1_000_000)))
-	counts := make([]float64, n)
-	for _, s := range operations {
-		counts[min(int64(n-1), (s.First().Arrived-from)*int64(n)/max(1, to-from))]++
-	}
-	mean := float64(len(operations)) / float64(n)
-	for i, c := range counts {
-		at := (to - from) * int64(2*i+1) / int64(2*n)
-		shape = append(shape, scenario.RatePoint{Factor: round(c / mean)})
+	points := int(min(maxShapePoints, max(1, (to-from)/1_000_000)))
+	counts := make([]float64, points)
+	for _, operation := range operations {
+		counts[min(int64(points-1), (operation.First().Arrived-from)*int64(points)/max(1, to-from))]++
+	}
+	mean := float64(len(operations)) / float64(points)
+	for i, count := range counts {
+		at := (to - from) * int64(2*i+1) / int64(2*points)
+		shape = append(shape, scenario.RatePoint{Factor: roundToThousandths(count / mean)})
 		shape[i].At.Duration = microsToDuration(at).Round(1e7)
 	}
 	return shape
 }
 
-// quietSeconds returns whether an instant is in the third of the seconds in which the fewest operations began.
-func quietSeconds(operations []*accesslog.Operation, from, to int64) func(at int64) bool {
+// quietSecondsFilter returns whether an instant is in the third of the seconds in which the fewest operations began.
+func quietSecondsFilter(operations []*accesslog.Operation, from, to int64) func(at int64) bool {
 	counts := make([]int, (to-from)/1_000_000+1)
-	for _, s := range operations {
-		counts[(s.First().Arrived-from)/1_000_000]++
+	for _, operation := range operations {
+		counts[(operation.First().Arrived-from)/1_000_000]++
 	}
 	sorted := slices.Sorted(slices.Values(counts))
-	limit := sorted[len(sorted)/3]
-	return func(at int64) bool { return counts[(at-from)/1_000_000] <= limit }
+	maxQuietCount := sorted[len(sorted)/3]
+	return func(at int64) bool { return counts[(at-from)/1_000_000] <= maxQuietCount }
 }
 
 func microsToDuration(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -142,7 +142,7 @@
 		Decisions:     7,
 		ProcessorTime: 8 * time.Second, Memory: 9, Result: goldenResult(),
 	}
-	happenings := []scenario.PlannedEvent{{
+	plannedEvents := []scenario.PlannedEvent{{
 		What:      "slow",
 		At:        1,
 		Until:     2,
@@ -155,10 +155,10 @@
 		To:        8,
 		Every:     9, Delay: 10, Instances: []int{11}, Others: []int{12}, Way: "from",
 	}}
-	f := &FaultRun{Result: goldenResult(), EvidenceDir: t.TempDir()}
-	plan := &scenario.Plan{PlannedEvents: happenings}
-	require.NoError(t, f.writeEvidence(&scenario.Scenario{}, &Variant{}, plan, &logBuffer{}))
-	evidence, err := os.ReadFile(filepath.Join(f.EvidenceDir, "result.json"))
+	faultRun := &FaultRun{Result: goldenResult(), EvidenceDir: t.TempDir()}
+	plan := &scenario.Plan{PlannedEvents: plannedEvents}
+	require.NoError(t, faultRun.writeEvidence(&scenario.Scenario{}, &Variant{}, plan, &logBuffer{}))
+	evidence, err := os.ReadFile(filepath.Join(faultRun.EvidenceDir, "result.json"))
 	require.NoError(t, err)
 	return map[string][]byte{
 		"job.json":        marshal(goldenJob()),
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -23,8 +23,8 @@
 
 // TestMain lets the test's own program stand for another build's.
 func TestMain(m *testing.M) {
-	answerWith := func(answer string) {
-		if _, err := os.Stdout.WriteString(answer); err != nil {
+	replyAndExit := func(reply string) {
+		if _, err := os.Stdout.WriteString(reply); err != nil {
 			os.Exit(1)
 		}
 		os.Exit(0)
@@ -38,14 +38,14 @@
 		if err != nil {
 			os.Exit(1)
 		}
-		answerWith(string(text))
+		replyAndExit(string(text))
 	case "other world":
-		answerWith(`{"world":0,"result":{"Figures":{"service":1}}}`)
+		replyAndExit(`{"world":0,"result":{"Figures":{"service":1}}}`)
 	case "nonsense":
-		answerWith(`service: fine`)
+		replyAndExit(`service: fine`)
 	}
 	if len(os.Args) == 3 && os.Args[1] == "--config" {
-		serve(os.Args[2])
+		runDaemon(os.Args[2])
 	}
 	goleak.VerifyTestMain(m)
 }
@@ -59,14 +59,14 @@
 	}
 }
 
-func short(t *testing.T, edits ...string) *scenario.Scenario {
+func shortScenario(t *testing.T, edits ...string) *scenario.Scenario {
 	t.Helper()
 	return must[*scenario.Scenario](t)(Resize(
 		must[*scenario.Scenario](t)(library.Load("calm")), append(edits, "length=5s"), 2, 5,
 	))
 }
 
-func variant(t *testing.T, spec string) *Variant {
+func parseVariant(t *testing.T, spec string) *Variant {
 	t.Helper()
 	return must[*Variant](t)(ParseVariant(spec))
 }
@@ -81,23 +81,23 @@
 			t.Errorf("%q is missing in\n%s", want, text)
 		}
 	}
-	for _, bad := range []string{"a", "=1", "d.three.v=1", "a.b=1", "d.one=1"} {
-		if _, err := applyEdits([]byte("a = 1\n[[d]]\nname = \"one\"\n"), []string{bad}); err == nil {
-			t.Errorf("%q was taken", bad)
+	for _, invalid := range []string{"a", "=1", "d.three.v=1", "a.b=1", "d.one=1"} {
+		if _, err := applyEdits([]byte("a = 1\n[[d]]\nname = \"one\"\n"), []string{invalid}); err == nil {
+			t.Errorf("%q was taken", invalid)
 		}
 	}
-	v := variant(t, "shipped,attempts.most=2,class.book.aim=350ms,world.clients.retries=[0, 0],lots=3,harm=0.1")
+	v := parseVariant(t, "shipped,attempts.most=2,class.book.aim=350ms,world.clients.retries=[0, 0],lots=3,harm=0.1")
 	if v.DecisionSeed != 3 || v.Harm != 0.1 || !slices.Equal(
 		v.ScenarioEdits, []string{"clients.retries=[0, 0]"},
 	) || !strings.Contains(string(v.Settings), "most = 2") {
 		t.Errorf("%+v", v)
 	}
-	for _, bad := range []string{
+	for _, invalid := range []string{
 		"nowhere.toml", "shipped,attempts.most=0", "shipped,attemps.most=2", "shipped,harm=2", "@/nowhere:shipped",
 		"@x",
 	} {
-		if _, err := ParseVariant(bad); err == nil {
-			t.Errorf("%q was taken", bad)
+		if _, err := ParseVariant(invalid); err == nil {
+			t.Errorf("%q was taken", invalid)
 		}
 	}
 }
@@ -131,48 +131,52 @@
 func TestSameHoweverRun(t *testing.T) {
 	ctx := context.Background()
 	plan := Plan{
-		Scenario:  short(t),
-		A:         variant(t, "shipped"),
-		B:         variant(t, "shipped,lots=1"),
+		Scenario:  shortScenario(t),
+		A:         parseVariant(t, "shipped"),
+		B:         parseVariant(t, "shipped,lots=1"),
 		FirstSeed: 1,
 		MinSeeds:  6,
 	}
-	digests := func(r *Runner) (all []string) {
+	digests := func(r *Runner) (digests []string) {
 		c := must[*Comparison](t)(r.Compare(ctx, plan))
 		for i := range c.RunsA {
-			all = append(all, c.RunsA[i].Digest, c.RunsB[i].Digest)
+			digests = append(digests, c.RunsA[i].Digest, c.RunsB[i].Digest)
 		}
-		return all
+		return digests
 	}
 	path := filepath.Join(t.TempDir(), "lab.db")
 	store := must[*Store](t)(OpenStore(path))
-	var last [3]int
-	one := digests(&Runner{
+	var progress [3]int
+	sequential := digests(&Runner{
 		Parallel: 1,
 		Store:    store,
-		Progress: func(done, stored, all int) { last = [3]int{done, stored, all} },
+		Progress: func(done, stored, all int) { progress = [3]int{done, stored, all} },
 	})
-	if last != [3]int{12, 0, 12} {
-		t.Errorf("done, stored and all: %v", last)
+	if progress != [3]int{12, 0, 12} {
+		t.Errorf("done, stored and all: %v", progress)
 	}
-	if slices.Compact(slices.Clone(one))[0] != one[0] || one[0] == one[1] || one[0] == one[2] {
-		t.Errorf("digests: %v", one)
+	if slices.Compact(slices.Clone(sequential))[0] != sequential[0] ||
+		sequential[0] == sequential[1] || sequential[0] == sequential[2] {
+		t.Errorf("digests: %v", sequential)
 	}
 	for _, n := range []int{2, 4} {
-		if got := digests(&Runner{Parallel: n}); !slices.Equal(got, one) {
-			t.Errorf("%d at once: %v, not %v", n, got, one)
+		if got := digests(&Runner{Parallel: n}); !slices.Equal(got, sequential) {
+			t.Errorf("%d at once: %v, not %v", n, got, sequential)
 		}
 	}
 	store.Close()
 	store = must[*Store](t)(OpenStore(path))
 	defer store.Close()
-	again := &Runner{Store: store, Progress: func(done, stored, all int) { last = [3]int{done, stored, all} }}
-	if got := digests(again); !slices.Equal(got, one) || last != [3]int{0, 12, 12} {
-		t.Errorf("from the store: %v; done, stored and all: %v", got, last)
+	storedRunner := &Runner{
+		Store:    store,
+		Progress: func(done, stored, all int) { progress = [3]int{done, stored, all} },
+	}
+	if got := digests(storedRunner); !slices.Equal(got, sequential) || progress != [3]int{0, 12, 12} {
+		t.Errorf("from the store: %v; done, stored and all: %v", got, progress)
 	}
-	other := &Runner{Store: store, builds: map[string]string{"": "another"}, Progress: again.Progress}
-	if digests(other); last != [3]int{12, 0, 12} {
-		t.Errorf("with another build: done, stored and all %v", last)
+	otherBuild := &Runner{Store: store, buildIDs: map[string]string{"": "another"}, Progress: storedRunner.Progress}
+	if digests(otherBuild); progress != [3]int{12, 0, 12} {
+		t.Errorf("with another build: done, stored and all %v", progress)
 	}
 	if n := must[int](t)(store.Len()); n != 24 {
 		t.Errorf("%d runs are stored, not 24", n)
@@ -183,15 +187,15 @@
 func TestCutOff(t *testing.T) {
 	store := must[*Store](t)(OpenStore(filepath.Join(t.TempDir(), "lab.db")))
 	defer store.Close()
-	plan := Plan{Scenario: short(t), A: variant(t, "shipped"), FirstSeed: 1, MinSeeds: 8}
+	plan := Plan{Scenario: shortScenario(t), A: parseVariant(t, "shipped"), FirstSeed: 1, MinSeeds: 8}
 	ctx, cancel := context.WithCancelCause(context.Background())
-	why := errors.New("enough")
+	cause := errors.New("enough")
 	r := &Runner{Parallel: 1, Store: store, Progress: func(done, _, _ int) {
 		if done == 3 {
-			cancel(why)
+			cancel(cause)
 		}
 	}}
-	if _, err := r.Compare(ctx, plan); !errors.Is(err, why) {
+	if _, err := r.Compare(ctx, plan); !errors.Is(err, cause) {
 		t.Errorf("cut off: %v", err)
 	}
 	stored := 0
@@ -205,26 +209,29 @@
 // Another build plays a job by its program, and its reply is checked.
 func TestOtherBuild(t *testing.T) {
 	self := must[string](t)(os.Executable())
-	v := variant(t, "@"+self+":shipped")
-	j := must[Job](t)(v.Job(short(t), v, 3))
+	v := parseVariant(t, "@"+self+":shipped")
+	j := must[Job](t)(v.Job(shortScenario(t), v, 3))
 	t.Setenv("LAB_TEST_AS", "build")
-	theirs, state, err := j.playWith(context.Background(), self)
-	if err != nil || state.UserTime() <= 0 {
-		t.Fatal(err, state)
-	}
-	ours := must[*measure.Result](t)(j.Play(context.Background()))
-	if theirs.Digest != ours.Digest || theirs.Figures["service"] != ours.Figures["service"] {
-		t.Errorf("the same build says %s, not %s", theirs.Digest, ours.Digest)
-	}
-	bad := j
-	bad.Settings = "[nothing]\n"
-	if _, _, err := bad.playWith(context.Background(), self); err == nil || !strings.Contains(err.Error(), "nothing") {
+	otherBuildResult, processState, err := j.playWith(context.Background(), self)
+	if err != nil || processState.UserTime() <= 0 {
+		t.Fatal(err, processState)
+	}
+	ownResult := must[*measure.Result](t)(j.Play(context.Background()))
+	if otherBuildResult.Digest != ownResult.Digest ||
+		otherBuildResult.Figures["service"] != ownResult.Figures["service"] {
+		t.Errorf("the same build says %s, not %s", otherBuildResult.Digest, ownResult.Digest)
+	}
+	invalid := j
+	invalid.Settings = "[nothing]\n"
+	if _, _, err := invalid.playWith(
+		context.Background(), self,
+	); err == nil || !strings.Contains(err.Error(), "nothing") {
 		t.Errorf("settings that make no sense: %v", err)
 	}
-	for as, want := range map[string]string{"other world": "cannot be compared", "nonsense": "makes no sense"} {
-		t.Setenv("LAB_TEST_AS", as)
+	for role, want := range map[string]string{"other world": "cannot be compared", "nonsense": "makes no sense"} {
+		t.Setenv("LAB_TEST_AS", role)
 		if _, _, err := j.playWith(context.Background(), self); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", as, err)
+			t.Errorf("%s: %v", role, err)
 		}
 	}
 	var exit *exec.Error
@@ -239,18 +246,18 @@
 // gives identical runs; a variant that changes retries is compared like any other.
 func TestCompare(t *testing.T) {
 	ctx := context.Background()
-	against := func(a, b string, edits ...string) *Comparison {
+	compareIn := func(a, b string, edits ...string) *Comparison {
 		return must[*Comparison](t)((&Runner{}).Compare(ctx, Plan{
-			Scenario:  short(t, edits...),
-			A:         variant(t, a),
-			B:         variant(t, b),
+			Scenario:  shortScenario(t, edits...),
+			A:         parseVariant(t, a),
+			B:         parseVariant(t, b),
 			FirstSeed: 1,
 			MinSeeds:  8,
 		}))
 	}
-	compare := func(b string) *Comparison { return against("shipped", b) }
-	const isWorse = "B is worse: service -0.0"
-	if c := compare("shipped,harm=0.05"); c.Rows[0].Verdict != Worse || !strings.Contains(c.Line(), isWorse) {
+	compare := func(b string) *Comparison { return compareIn("shipped", b) }
+	const worseLine = "B is worse: service -0.0"
+	if c := compare("shipped,harm=0.05"); c.Rows[0].Verdict != Worse || !strings.Contains(c.Line(), worseLine) {
 		t.Errorf("harm: %s", c.Line())
 	}
 	if c := compare("shipped,lots=7"); c.Rows[0].Verdict != Inconclusive || c.Identical {
@@ -261,7 +268,7 @@
 	) {
 		t.Errorf("the same: %s", c.Line())
 	}
-	c := against(Shipped, "shipped,world.clients.retries=[0, 0]", "clients.retries=[2, 2]", "clients.load=1.5")
+	c := compareIn(Shipped, "shipped,world.clients.retries=[0, 0]", "clients.retries=[2, 2]", "clients.load=1.5")
 	for _, row := range c.Rows {
 		if row.Name == "tries" && row.Verdict != Better {
 			t.Errorf("no retries: %+v", row)
@@ -275,27 +282,28 @@
 	mean := func(s *scenario.Scenario, spec, figure string) float64 {
 		c := must[*Comparison](t)((&Runner{}).Compare(context.Background(), Plan{
 			Scenario:  s,
-			A:         variant(t, spec),
+			A:         parseVariant(t, spec),
 			FirstSeed: 1,
 			MinSeeds:  2,
 		}))
-		return stats.StudentT(Figure(c.RunsA, figure), Confidence).Mean
+		return stats.StudentT(FigureValues(c.RunsA, figure), Confidence).Mean
 	}
-	load := func(name string, edits ...string) *scenario.Scenario {
+	loadScenario := func(name string, edits ...string) *scenario.Scenario {
 		return must[*scenario.Scenario](t)(Resize(must[*scenario.Scenario](t)(library.Load(name)), edits, 0, 0))
 	}
 	const unbounded = "shipped,requests.in_flight=1000"
 	// the first second costs a fifth of itself
-	busy := load("calm", "clients.load=0.7", "fleet.instances=1", "length=25s")
-	if a, b := mean(busy, unbounded, "whole"), mean(busy, Shipped, "whole"); b < a-0.02 {
+	busyScenario := loadScenario("calm", "clients.load=0.7", "fleet.instances=1", "length=25s")
+	if a, b := mean(busyScenario, unbounded, "whole"), mean(busyScenario, Shipped, "whole"); b < a-0.02 {
 		t.Errorf("endpoints at seven tenths: %.3f of the worth served, %.3f without a bound", b, a)
 	}
-	payday := load("payday", "length=22s")
-	if a, b := mean(payday, unbounded, "whole"), mean(payday, Shipped, "whole"); b < a-0.03 {
+	overloadScenario := loadScenario("payday", "length=22s")
+	if a, b := mean(overloadScenario, unbounded, "whole"), mean(overloadScenario, Shipped, "whole"); b < a-0.03 {
 		t.Errorf("more asked for than can be done: %.3f of the worth served, %.3f without a bound", b, a)
 	}
-	loud := load("loud-client", "length=16s")
-	if a, b := mean(loud, unbounded, "modest"), mean(loud, Shipped, "modest"); b < 0.95 || a > 0.93 {
+	loudClientScenario := loadScenario("loud-client", "length=16s")
+	if a, b := mean(loudClientScenario, unbounded, "modest"),
+		mean(loudClientScenario, Shipped, "modest"); b < 0.95 || a > 0.93 {
 		t.Errorf("beside a loud client: %.3f of the modest ones' worth served, %.3f without a bound", b, a)
 	}
 }
@@ -303,9 +311,9 @@
 // It goes on until it is known well enough, and no further than it may.
 func TestStopsAtWidth(t *testing.T) {
 	plan := Plan{
-		Scenario:    short(t, "clients.load=0.9"),
-		A:           variant(t, "shipped"),
-		B:           variant(t, "shipped,lots=7"),
+		Scenario:    shortScenario(t, "clients.load=0.9"),
+		A:           parseVariant(t, "shipped"),
+		B:           parseVariant(t, "shipped,lots=7"),
 		FirstSeed:   1,
 		MinSeeds:    3,
 		MaxSeeds:    40,
@@ -334,16 +342,16 @@
 		c.Seeds = append(c.Seeds, uint64(i))
 	}
 	f, _ := measure.Describe("breaks")
-	row := c.row(f)
+	row := c.compareFigure(f)
 	if row.Verdict != Inconclusive || !strings.Contains(row.Note, "0 of 10000 stories: at most one in 2711") {
 		t.Errorf("nothing seen: %v, %s", row.Verdict, row.Note)
 	}
 	c.RunsB[3].Figures["breaks"] = 1
-	if row = c.row(f); row.Verdict != Inconclusive {
+	if row = c.compareFigure(f); row.Verdict != Inconclusive {
 		t.Errorf("one seen: %v", row.Verdict)
 	}
 	c.RunsB[4].Figures["breaks"] = 8
-	if row = c.row(f); row.Verdict != Worse {
+	if row = c.compareFigure(f); row.Verdict != Worse {
 		t.Errorf("nine seen: %v", row.Verdict)
 	}
 }
@@ -356,9 +364,9 @@
 	if _, err := OpenStore(path); err == nil || !strings.Contains(err.Error(), "another program has it open") {
 		t.Errorf("open twice: %v", err)
 	}
-	bad := filepath.Join(t.TempDir(), "bad.db")
-	require.NoError(t, os.WriteFile(bad, []byte(strings.Repeat("no store ", 2000)), 0o600))
-	if _, err := OpenStore(bad); err == nil {
+	invalidPath := filepath.Join(t.TempDir(), "bad.db")
+	require.NoError(t, os.WriteFile(invalidPath, []byte(strings.Repeat("no store ", 2000)), 0o600))
+	if _, err := OpenStore(invalidPath); err == nil {
 		t.Error("a file that is no store was taken")
 	}
 }
@@ -369,8 +377,8 @@
 		must[Axis](t)(ParseAxis("world.clients.load=0.2|0.9")), must[Axis](t)(ParseAxis("attempts.most=1|3")),
 	}
 	s := must[*Sweep](t)((&Runner{}).Sweep(context.Background(), Plan{
-		Scenario:  short(t),
-		A:         variant(t, Shipped),
+		Scenario:  shortScenario(t),
+		A:         parseVariant(t, Shipped),
 		FirstSeed: 1,
 		MinSeeds:  3,
 	}, axes))
@@ -385,14 +393,14 @@
 	if _, d := s.Points[2].Figure("p99"); d == nil || d.Verdict != Worse {
 		t.Errorf("four times the load: %+v", d)
 	}
-	for _, bad := range []string{"a", "a=1", "=1|2"} {
-		if _, err := ParseAxis(bad); err == nil {
-			t.Errorf("%q was taken", bad)
+	for _, invalid := range []string{"a", "a=1", "=1|2"} {
+		if _, err := ParseAxis(invalid); err == nil {
+			t.Errorf("%q was taken", invalid)
 		}
 	}
 	if _, err := (&Runner{}).Sweep(context.Background(), Plan{
-		Scenario: short(t),
-		A:        variant(t, Shipped),
+		Scenario: shortScenario(t),
+		A:        parseVariant(t, Shipped),
 		MinSeeds: 1,
 	}, nil); err == nil {
 		t.Error("a sweep without an axis was made")
@@ -404,36 +412,42 @@
 func TestSearchShrinksItsFinding(t *testing.T) {
 	search := func() *Finding {
 		return must[*Finding](t)((&Runner{}).Search(context.Background(), SearchOptions{
-			Scenario: short(t, "clients.retries=[0, 0]", "length=8s"), Variant: variant(t, "shipped,attempts.most=1"),
-			Against: variant(t, Shipped), Budget: 40, Seed: 2}))
+			Scenario: shortScenario(t, "clients.retries=[0, 0]", "length=8s"),
+			Variant:  parseVariant(t, "shipped,attempts.most=1"),
+			Against:  parseVariant(t, Shipped), Budget: 40, Seed: 2}))
 	}
-	f := search()
-	if f.Loss < 0.02 {
-		t.Fatalf("found a loss of %v only", f.Loss)
+	finding := search()
+	if finding.Loss < 0.02 {
+		t.Fatalf("found a loss of %v only", finding.Loss)
 	}
-	text := must[[]byte](t)(f.Scenario.Text())
+	text := must[[]byte](t)(finding.Scenario.Text())
 	s := must[*scenario.Scenario](t)(scenario.Parse(text, nil))
 	if len(s.Events) == 0 || len(s.Events) > 3 {
 		t.Errorf("%d events are left:\n%s", len(s.Events), text)
 	}
 	c := must[*Comparison](t)((&Runner{}).Compare(context.Background(), Plan{
 		Scenario:  s,
-		A:         variant(t, "shipped,attempts.most=1"),
-		B:         variant(t, Shipped),
-		FirstSeed: f.Seed,
+		A:         parseVariant(t, "shipped,attempts.most=1"),
+		B:         parseVariant(t, Shipped),
+		FirstSeed: finding.Seed,
 		MinSeeds:  1,
 	}))
-	if got := c.RunsB[0].Figures["service"] - c.RunsA[0].Figures["service"]; got < f.Loss*0.9 {
-		t.Errorf("what was written loses %v, not %v", got, f.Loss)
+	if got := c.RunsB[0].Figures["service"] - c.RunsA[0].Figures["service"]; got < finding.Loss*0.9 {
+		t.Errorf("what was written loses %v, not %v", got, finding.Loss)
 	}
-	if again := search(); again.Loss != f.Loss || again.Seed != f.Seed {
-		t.Errorf("the same search found %v of seed %d, and %v of seed %d", f.Loss, f.Seed, again.Loss, again.Seed)
+	if repeated := search(); repeated.Loss != finding.Loss || repeated.Seed != finding.Seed {
+		t.Errorf(
+			"the same search found %v of seed %d, and %v of seed %d", finding.Loss, finding.Seed, repeated.Loss,
+			repeated.Seed,
+		)
 	}
 }
 
 // Comparisons with a known answer mostly give it. The command `dunlinsail-experiment prove` makes more of them.
 func TestProve(t *testing.T) {
-	p := must[*Proof](t)((&Runner{}).Prove(context.Background(), short(t), variant(t, Shipped), 6, 4, 0.05))
+	p := must[*Proof](t)((&Runner{}).Prove(
+		context.Background(), shortScenario(t), parseVariant(t, Shipped), 6, 4, 0.05,
+	))
 	if p.Inconclusive.Mean < 0.7 || p.Found.Mean < 0.8 {
 		t.Errorf("%+v", p)
 	}
@@ -446,14 +460,16 @@
 	for _, v := range []float64{0.90, 0.92, 0.90, 0.92, 0.50, 0.52, 0.50, 0.52} {
 		a.Model = append(a.Model, &measure.Result{Figures: map[string]float64{"service": v}})
 	}
-	for real, want := range map[float64]bool{0.71: true, 0.725: true, 0.77: false, 0.66: false} {
+	for processesMean, want := range map[float64]bool{0.71: true, 0.725: true, 0.77: false, 0.66: false} {
 		a.Processes = nil
-		for _, seed := range []float64{0.2, -0.2} {
-			a.Processes = append(a.Processes, &measure.Result{Figures: map[string]float64{"service": real + seed}})
+		for _, seedOffset := range []float64{0.2, -0.2} {
+			a.Processes = append(
+				a.Processes, &measure.Result{Figures: map[string]float64{"service": processesMean + seedOffset}},
+			)
 		}
-		row := a.row("service")
+		row := a.compareFigure("service")
 		if row.Agrees != want || math.Abs(row.Model.Mean-0.71) > 1e-9 || row.Model.HalfWidth() > 0.05 {
-			t.Errorf("real %v: %+v", real, row)
+			t.Errorf("real %v: %+v", processesMean, row)
 		}
 	}
 }
--- a/internal/experiment/prove.go
+++ b/internal/experiment/prove.go
@@ -21,31 +21,31 @@
 	ctx context.Context, s *scenario.Scenario, v *Variant, comparisons, seeds int, harm float64,
 ) (*Proof, error) {
 	p := &Proof{Comparisons: comparisons, Harm: harm}
-	var same, found int64
+	var inconclusive, detected int64
 	for i := range comparisons {
 		plan := Plan{Scenario: s, A: v, FirstSeed: uint64(1 + i*seeds), MinSeeds: seeds}
-		other := *v
-		other.DecisionSeed = v.DecisionSeed + 1
-		plan.B = &other
-		c, err := r.Compare(ctx, plan)
+		reseeded := *v
+		reseeded.DecisionSeed = v.DecisionSeed + 1
+		plan.B = &reseeded
+		comparison, err := r.Compare(ctx, plan)
 		if err != nil {
 			return p, err
 		}
-		if c.Rows[0].Verdict == Inconclusive {
-			same++
+		if comparison.Rows[0].Verdict == Inconclusive {
+			inconclusive++
 		}
-		harmed := other
+		harmed := reseeded
 		harmed.Harm = harm
 		plan.B = &harmed
-		if c, err = r.Compare(ctx, plan); err != nil {
+		if comparison, err = r.Compare(ctx, plan); err != nil {
 			return p, err
 		}
-		if c.Rows[0].Verdict == Worse {
-			found++
+		if comparison.Rows[0].Verdict == Worse {
+			detected++
 		}
 	}
 	n := int64(comparisons)
-	p.Inconclusive = stats.RateInterval(same, n, Confidence)
-	p.Found = stats.RateInterval(found, n, Confidence)
+	p.Inconclusive = stats.RateInterval(inconclusive, n, Confidence)
+	p.Found = stats.RateInterval(detected, n, Confidence)
 	return p, nil
 }
--- a/internal/experiment/recorder.go
+++ b/internal/experiment/recorder.go
@@ -40,7 +40,7 @@
 // writer returns the writer of an instance.
 func (r *recorder) writer(instance int) (*accesslog.Writer, error) {
 	for len(r.writers) <= instance {
-		w, err := accesslog.NewWriter(accesslog.Options{
+		writer, err := accesslog.NewWriter(accesslog.Options{
 			Dir:      r.dir,
 			Instance: fmt.Sprint("instance-", len(r.writers)),
 			Sample:   1,
@@ -52,7 +52,7 @@
 		if err != nil {
 			return nil, err
 		}
-		r.writers = append(r.writers, w)
+		r.writers = append(r.writers, writer)
 	}
 	return r.writers[instance], nil
 }
@@ -63,8 +63,8 @@
 	}
 }
 
-// recordedVerdicts are the verdicts of an access record by the engine's; all others are failures.
-var recordedVerdicts = map[engine.Verdict]string{
+// accessLogVerdicts are the verdicts of an access record by the engine's; all others are failures.
+var accessLogVerdicts = map[engine.Verdict]string{
 	engine.Served:      accesslog.Served,
 	engine.Rejected:    accesslog.Rejected,
 	engine.RateLimited: accesslog.Rejected,
@@ -72,35 +72,35 @@
 }
 
 // record writes one request; where its instance's writer cannot be opened it is dropped.
-func (r *recorder) record(x *simulation.RequestRecord) {
-	r.now.Store(max(r.now.Load(), x.ArrivedAt+x.Duration))
-	w, err := r.writer(x.Instance)
+func (r *recorder) record(request *simulation.RequestRecord) {
+	r.now.Store(max(r.now.Load(), request.ArrivedAt+request.Duration))
+	w, err := r.writer(request.Instance)
 	if err != nil {
 		return
 	}
 	row := accesslog.Row{
-		Arrived:       x.ArrivedAt,
-		Duration:      x.Duration,
-		QueueTime:     x.Response.QueueTime,
-		ClientTimeout: x.Timeout,
-		Client:        fmt.Sprint("process-", x.Process),
-		Class:         r.site.Classes[x.Class],
+		Arrived:       request.ArrivedAt,
+		Duration:      request.Duration,
+		QueueTime:     request.Response.QueueTime,
+		ClientTimeout: request.Timeout,
+		Client:        fmt.Sprint("process-", request.Process),
+		Class:         r.site.Classes[request.Class],
 		Verdict:       accesslog.Failed,
-		Endpoint:      x.Response.Endpoint,
-		Attempts:      int32(x.Response.Attempts),
-		ObjectHash:    r.hasher.Hash("object", fmt.Sprint(x.Object)),
-		Retry:         x.Retry,
+		Endpoint:      request.Response.Endpoint,
+		Attempts:      int32(request.Response.Attempts),
+		ObjectHash:    r.hasher.Hash("object", fmt.Sprint(request.Object)),
+		Retry:         request.Retry,
 	}
-	if x.IdempotencyKey != 0 {
-		row.KeyHash = r.hasher.Hash("key", fmt.Sprint(x.IdempotencyKey))
+	if request.IdempotencyKey != 0 {
+		row.KeyHash = r.hasher.Hash("key", fmt.Sprint(request.IdempotencyKey))
 	}
-	if x.Tenant >= 0 {
-		row.Tenant = r.site.Tenants[x.Tenant]
+	if request.Tenant >= 0 {
+		row.Tenant = r.site.Tenants[request.Tenant]
 	}
-	if v, ok := recordedVerdicts[x.Response.Verdict]; ok {
-		row.Verdict = v
+	if verdict, ok := accessLogVerdicts[request.Response.Verdict]; ok {
+		row.Verdict = verdict
 	}
-	if x.ClientGone {
+	if request.ClientGone {
 		row.Verdict = accesslog.Cancelled
 	}
 	w.Add(row)
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -85,13 +85,13 @@
 
 // Operations returns the operations of an instance, one a call.
 func (r recordedOperations) Operations(instance int) func() (simclient.Operation, bool) {
-	at := 0
-	return func() (s simclient.Operation, ok bool) {
-		if instance >= len(r) || at >= len(r[instance]) {
-			return s, false
+	next := 0
+	return func() (operation simclient.Operation, ok bool) {
+		if instance >= len(r) || next >= len(r[instance]) {
+			return operation, false
 		}
-		at++
-		return r[instance][at-1], true
+		next++
+		return r[instance][next-1], true
 	}
 }
 
@@ -103,8 +103,8 @@
 		return nil, err
 	}
 	replay := newReplay(p, runs, from+p.Replay.Start.Micros())
-	for n, operation := range recorded {
-		if err := replay.add(n, operation.First()); err != nil {
+	for index, operation := range recorded {
+		if err := replay.add(index, operation.First()); err != nil {
 			return nil, err
 		}
 	}
@@ -118,34 +118,34 @@
 
 // replay converts the requests of a record into the operations of a plan.
 type replay struct {
-	plan      *scenario.Plan
-	from      int64   // instant of the record at which the plan begins, in microseconds
-	sample    float64 // the part of requests that the record holds
-	instances map[string]int
-	classes   map[string]int
-	tenants   map[string]int
-	processes map[string]int // by instance and client, numbered as they appear
-	workRand  *randstream.Stream
-	copyRand  *randstream.Stream
+	plan            *scenario.Plan
+	from            int64   // instant of the record at which the plan begins, in microseconds
+	sampledFraction float64 // the part of requests that the record holds
+	instances       map[string]int
+	classes         map[string]int
+	tenants         map[string]int
+	processes       map[string]int // by instance and client, numbered as they appear
+	workRand        *randstream.Stream
+	copyRand        *randstream.Stream
 
 	operations recordedOperations
 }
 
 func newReplay(p *scenario.Plan, runs []*accesslog.Run, from int64) *replay {
 	r := &replay{
-		plan:       p,
-		from:       from,
-		sample:     1.0,
-		instances:  map[string]int{},
-		classes:    map[string]int{},
-		tenants:    map[string]int{},
-		processes:  map[string]int{},
-		workRand:   randstream.New(p.Seed, "stories"),
-		copyRand:   randstream.New(p.Seed, "copies"),
-		operations: make(recordedOperations, len(p.Instances)),
+		plan:            p,
+		from:            from,
+		sampledFraction: 1.0,
+		instances:       map[string]int{},
+		classes:         map[string]int{},
+		tenants:         map[string]int{},
+		processes:       map[string]int{},
+		workRand:        randstream.New(p.Seed, "stories"),
+		copyRand:        randstream.New(p.Seed, "copies"),
+		operations:      make(recordedOperations, len(p.Instances)),
 	}
 	for _, run := range runs {
-		r.sample = min(r.sample, run.Sample)
+		r.sampledFraction = min(r.sampledFraction, run.Sample)
 		r.instances[run.Instance] = 0
 	}
 	for i, name := range slices.Sorted(maps.Keys(r.instances)) {
@@ -161,7 +161,7 @@
 }
 
 // add adds the n-th recorded request, as often as the record's sampling makes it stand for.
-func (r *replay) add(n int, request *accesslog.Request) error {
+func (r *replay) add(index int, request *accesslog.Request) error {
 	class, ok := r.classes[request.Class]
 	if !ok {
 		return fmt.Errorf("the record's class %q is none of the scenario's", request.Class)
@@ -177,22 +177,22 @@
 	if _, ok := r.processes[client]; !ok {
 		r.processes[client] = len(r.processes) % r.plan.Clients.Processes
 	}
-	rng := r.copyRand.For(uint64(n))
-	copies := 1 / r.sample
-	count := int(copies)
-	if rng.Float64() < copies-float64(count) {
+	countRand := r.copyRand.For(uint64(index))
+	expectedCopies := 1 / r.sampledFraction
+	count := int(expectedCopies)
+	if countRand.Float64() < expectedCopies-float64(count) {
 		count++
 	}
-	for k := range count {
+	for copyIndex := range count {
 		startedAt := request.Arrived - r.from
-		if k > 0 { // when an unsampled request came is not known: it is put within half a second of this one
-			startedAt += int64((rng.Float64() - 0.5) * 1e6)
+		if copyIndex > 0 { // when an unsampled request came is not known: it is put within half a second of this one
+			startedAt += int64((countRand.Float64() - 0.5) * 1e6)
 		}
 		if startedAt < 0 || startedAt >= r.plan.Length.Micros() {
 			continue
 		}
-		id := uint64(instance)<<32 | uint64(n)<<4 | uint64(k&15)
-		work := r.workRand.For(id)
+		id := uint64(instance)<<32 | uint64(index)<<4 | uint64(copyIndex&15)
+		operationRand := r.workRand.For(id)
 		r.operations[instance] = append(r.operations[instance], simclient.Operation{
 			ID:             id,
 			Instance:       instance,
@@ -201,8 +201,8 @@
 			Tenant:         tenant,
 			Object:         request.ObjectHash,
 			StartedAt:      startedAt,
-			IdempotencyKey: work.Uint64() | 1,
-			Work:           r.plan.Classes[class].Draw(work),
+			IdempotencyKey: operationRand.Uint64() | 1,
+			Work:           r.plan.Classes[class].Draw(operationRand),
 		})
 	}
 	return nil
--- a/internal/experiment/resize.go
+++ b/internal/experiment/resize.go
@@ -7,20 +7,20 @@
 )
 
 // Resize returns a scenario with edits (KEY=VALUE), and with so many instances and endpoints; 0 leaves them.
-func Resize(s *scenario.Scenario, edits []string, instances, nodes int) (*scenario.Scenario, error) {
-	if nodes > 0 {
-		all := 0
-		left := nodes
-		for _, n := range s.EndpointKinds {
-			all += n.Count
+func Resize(s *scenario.Scenario, edits []string, instances, endpoints int) (*scenario.Scenario, error) {
+	if endpoints > 0 {
+		total := 0
+		remaining := endpoints
+		for _, kind := range s.EndpointKinds {
+			total += kind.Count
 		}
-		for i, n := range s.EndpointKinds {
-			count := max(1, n.Count*nodes/all)
+		for i, kind := range s.EndpointKinds {
+			count := max(1, kind.Count*endpoints/total)
 			if i == len(s.EndpointKinds)-1 {
-				count = max(1, left)
+				count = max(1, remaining)
 			}
-			left -= count
-			edits = append(edits, fmt.Sprintf("nodes.%s.count=%d", n.Kind, count))
+			remaining -= count
+			edits = append(edits, fmt.Sprintf("nodes.%s.count=%d", kind.Kind, count))
 		}
 	}
 	if instances > 0 {
--- a/internal/experiment/runner.go
+++ b/internal/experiment/runner.go
@@ -12,14 +12,14 @@
 
 // Runner makes runs, several at the same time. Results do not depend on how many.
 type Runner struct {
-	Parallel int                         // runs at the same time; 0 is one for each processor
-	Store    *Store                      // of results; nil stores none
-	Progress func(done, stored, all int) // one call at a time; must not call the runner
+	Parallel int                               // runs at the same time; 0 is one for each processor
+	Store    *Store                            // of results; nil stores none
+	Progress func(done, stored, requested int) // one call at a time; must not call the runner
 
-	mu      sync.Mutex
-	builds  map[string]string
-	results map[string]*measure.Result // of this runner, by key
-	totals  struct{ done, stored, all int }
+	mu       sync.Mutex
+	buildIDs map[string]string
+	memoized map[string]*measure.Result // of this runner, by key
+	totals   struct{ done, stored, requested int }
 }
 
 // Task is a run of a variant.
@@ -32,29 +32,29 @@
 func (r *Runner) buildID(program string) (string, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if b, ok := r.builds[program]; ok {
-		return b, nil
+	if build, ok := r.buildIDs[program]; ok {
+		return build, nil
 	}
-	b, err := BuildID(program)
+	build, err := BuildID(program)
 	if err != nil {
 		return "", err
 	}
-	if r.builds == nil {
-		r.builds = map[string]string{}
+	if r.buildIDs == nil {
+		r.buildIDs = map[string]string{}
 	}
-	r.builds[program] = b
-	return b, nil
+	r.buildIDs[program] = build
+	return build, nil
 }
 
 // reportProgress adds to the runs that were made, found in the store, and requested.
-func (r *Runner) reportProgress(done, stored, all int) {
+func (r *Runner) reportProgress(done, stored, requested int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.totals.done += done
 	r.totals.stored += stored
-	r.totals.all += all
+	r.totals.requested += requested
 	if r.Progress != nil {
-		r.Progress(r.totals.done, r.totals.stored, r.totals.all)
+		r.Progress(r.totals.done, r.totals.stored, r.totals.requested)
 	}
 }
 
@@ -64,22 +64,22 @@
 	results := make([]*measure.Result, len(tasks))
 	r.reportProgress(0, 0, len(tasks))
 	g, ctx := errgroup.WithContext(ctx)
-	n := r.Parallel
-	if n <= 0 {
-		n = runtime.GOMAXPROCS(0)
+	parallel := r.Parallel
+	if parallel <= 0 {
+		parallel = runtime.GOMAXPROCS(0)
 	}
-	g.SetLimit(n)
+	g.SetLimit(parallel)
 	for i := range tasks {
 		g.Go(func() error {
 			if err := ctx.Err(); err != nil {
 				return context.Cause(ctx)
 			}
-			got, stored, err := r.runTask(ctx, &tasks[i])
+			result, cached, err := r.runTask(ctx, &tasks[i])
 			if err != nil {
 				return err
 			}
-			results[i] = got
-			if stored {
+			results[i] = result
+			if cached {
 				r.reportProgress(0, 1, 0)
 			} else {
 				r.reportProgress(1, 0, 0)
@@ -107,7 +107,7 @@
 		return nil, false, err
 	}
 	r.mu.Lock()
-	result = r.results[string(key)]
+	result = r.memoized[string(key)]
 	r.mu.Unlock()
 	if result != nil {
 		return result, true, nil
@@ -133,9 +133,9 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.results == nil || len(r.results) >= maxMemoized {
-		r.results = map[string]*measure.Result{}
+	if r.memoized == nil || len(r.memoized) >= maxMemoized {
+		r.memoized = map[string]*measure.Result{}
 	}
-	r.results[string(key)] = result
+	r.memoized[string(key)] = result
 	return result, cached, nil
 }
--- a/internal/experiment/scale.go
+++ b/internal/experiment/scale.go
@@ -42,19 +42,22 @@
 	Env        []string // environment of that program, beside this one's
 }
 
-// subsetFactor is the least size of an instance's list, relative to its part of all endpoints.
-const subsetFactor = 4
+// minSubsetFactor is the least size of an instance's list, relative to its part of all endpoints.
+const minSubsetFactor = 4
 
 // RunSize makes a run of a size in a process of its own, so that its memory and time are known.
-func (sc *Scaling) RunSize(ctx context.Context, z Size) (*SizeRun, error) {
-	s, err := Resize(sc.Scenario, nil, z.Instances, z.Endpoints)
+func (sc *Scaling) RunSize(ctx context.Context, size Size) (*SizeRun, error) {
+	s, err := Resize(sc.Scenario, nil, size.Instances, size.Endpoints)
 	if err != nil {
 		return nil, err
 	}
 	s = s.Clone()
 	// The endpoints of a few instances must suffice for all of the traffic.
-	run := &SizeRun{Size: z, Subset: min(max(sc.Subset, subsetFactor*z.Endpoints/z.Instances), z.Endpoints)}
-	if run.Subset < z.Endpoints {
+	run := &SizeRun{
+		Size:   size,
+		Subset: min(max(sc.Subset, minSubsetFactor*size.Endpoints/size.Instances), size.Endpoints),
+	}
+	if run.Subset < size.Endpoints {
 		s.Fleet.Subset = run.Subset
 	}
 	run.Rate = s.Draw(sc.Seed).Rate
@@ -63,7 +66,7 @@
 	s.Length = stricttoml.Duration{Duration: run.Length}
 	s.Events = nil
 	s.Shape = nil
-	j, err := sc.Variant.Job(s, sc.Variant, sc.Seed)
+	job, err := sc.Variant.Job(s, sc.Variant, sc.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -73,14 +76,14 @@
 			return nil, err
 		}
 	}
-	var state *os.ProcessState
-	if run.Result, state, err = j.playWith(ctx, program, sc.Env...); err != nil {
-		return nil, fmt.Errorf("%d instances on %d endpoints: %w", z.Instances, z.Endpoints, err)
+	var processState *os.ProcessState
+	if run.Result, processState, err = job.playWith(ctx, program, sc.Env...); err != nil {
+		return nil, fmt.Errorf("%d instances on %d endpoints: %w", size.Instances, size.Endpoints, err)
 	}
 	run.Operations = run.Result.Operations
 	run.Decisions = run.Result.Costs.Decisions
-	run.ProcessorTime = state.UserTime() + state.SystemTime()
-	if usage, ok := state.SysUsage().(*syscall.Rusage); ok {
+	run.ProcessorTime = processState.UserTime() + processState.SystemTime()
+	if usage, ok := processState.SysUsage().(*syscall.Rusage); ok {
 		run.Memory = usage.Maxrss << 10 // getrusage(2): in KiB
 	}
 	return run, nil
--- a/internal/experiment/search.go
+++ b/internal/experiment/search.go
@@ -52,43 +52,43 @@
 
 // Search looks for the plan at which a variant does worst, and shrinks it to what matters. It draws plans at random and
 // mutates the worst ones: that it finds nothing says little. Results depend on the seed only.
-func (r *Runner) Search(ctx context.Context, h SearchOptions) (*Finding, error) {
-	x := &search{SearchOptions: h, runner: r, rng: rand.New(rand.NewPCG(h.Seed, 11))}
-	randomRuns := int(randomFraction * float64(h.Budget))
-	searchRuns := int((1 - shrinkFraction) * float64(h.Budget))
+func (r *Runner) Search(ctx context.Context, options SearchOptions) (*Finding, error) {
+	x := &search{SearchOptions: options, runner: r, rng: rand.New(rand.NewPCG(options.Seed, 11))}
+	randomRuns := int(randomFraction * float64(options.Budget))
+	searchRuns := int((1 - shrinkFraction) * float64(options.Budget))
 	for x.runs < searchRuns {
 		var batch []*Finding
 		for range min(searchBatch, searchRuns-x.runs) {
-			c := &Finding{Scenario: h.Scenario.Clone(), Seed: 1 + x.rng.Uint64N(1<<32)}
+			candidate := &Finding{Scenario: options.Scenario.Clone(), Seed: 1 + x.rng.Uint64N(1<<32)}
 			if x.runs < randomRuns || len(x.candidates) == 0 {
-				x.drawEvents(c.Scenario)
+				x.drawEvents(candidate.Scenario)
 			} else {
-				from := x.candidates[x.rng.IntN(len(x.candidates))]
-				c.Scenario = from.Scenario.Clone()
-				c.Seed = from.Seed
-				x.mutate(c)
+				parent := x.candidates[x.rng.IntN(len(x.candidates))]
+				candidate.Scenario = parent.Scenario.Clone()
+				candidate.Seed = parent.Seed
+				x.mutate(candidate)
 			}
-			batch = append(batch, c)
+			batch = append(batch, candidate)
 		}
 		if err := x.evaluate(ctx, batch); err != nil {
 			return x.worst(), err
 		}
-		for _, c := range batch {
-			x.addCandidate(c)
+		for _, candidate := range batch {
+			x.addCandidate(candidate)
 		}
 	}
 	return x.shrink(ctx)
 }
 
 // addCandidate adds an evaluated plan to the worst ones, and reports it if it is the worst.
-func (x *search) addCandidate(c *Finding) {
-	if len(x.candidates) == 0 || c.worse(x.candidates[0]) {
-		c.Runs = x.runs
+func (x *search) addCandidate(candidate *Finding) {
+	if len(x.candidates) == 0 || candidate.worse(x.candidates[0]) {
+		candidate.Runs = x.runs
 		if x.OnFinding != nil {
-			x.OnFinding(*c)
+			x.OnFinding(*candidate)
 		}
 	}
-	x.candidates = append(x.candidates, c)
+	x.candidates = append(x.candidates, candidate)
 	slices.SortStableFunc(x.candidates, func(a, b *Finding) int {
 		switch {
 		case a.worse(b):
@@ -119,49 +119,49 @@
 }
 
 // evaluate plays plans and sets the loss of each.
-func (x *search) evaluate(ctx context.Context, all []*Finding) error {
+func (x *search) evaluate(ctx context.Context, findings []*Finding) error {
 	var tasks []Task
-	for _, c := range all {
+	for _, finding := range findings {
 		for _, v := range []*Variant{x.Variant, x.Against} {
 			if v == nil {
 				continue
 			}
-			j, err := v.Job(c.Scenario, x.Variant, c.Seed)
+			job, err := v.Job(finding.Scenario, x.Variant, finding.Seed)
 			if err != nil {
 				return err
 			}
-			tasks = append(tasks, Task{v, j})
+			tasks = append(tasks, Task{v, job})
 		}
 	}
 	results, err := x.runner.Run(ctx, tasks)
 	if err != nil {
 		return err
 	}
-	x.runs += len(all)
-	for i, c := range all {
-		var got, other *measure.Result
+	x.runs += len(findings)
+	for i, finding := range findings {
+		var result, baseline *measure.Result
 		if x.Against == nil {
-			got = results[i]
-			c.Loss = c.Scenario.Draw(c.Seed).MaxServableShare() - got.Figures["served"]
+			result = results[i]
+			finding.Loss = finding.Scenario.Draw(finding.Seed).MaxServableShare() - result.Figures["served"]
 		} else {
-			got = results[2*i]
-			other = results[2*i+1]
-			c.Loss = other.Figures["service"] - got.Figures["service"]
+			result = results[2*i]
+			baseline = results[2*i+1]
+			finding.Loss = baseline.Figures["service"] - result.Figures["service"]
 		}
-		c.Service = got.Figures["service"]
-		c.Violations = got.Figures["breaks"]
+		finding.Service = result.Figures["service"]
+		finding.Violations = result.Figures["breaks"]
 	}
 	return nil
 }
 
-// fixedSpan returns a span of a single value.
-func fixedSpan(d time.Duration) *stricttoml.Span { return &stricttoml.Span{From: d, To: d} }
+// singleValueSpan returns a span of a single value.
+func singleValueSpan(d time.Duration) *stricttoml.Span { return &stricttoml.Span{From: d, To: d} }
 
 // eventKinds are the events that are drawn, with the range of their sizes.
 var eventKinds = []struct {
-	what  string
-	sizes [2]float64
-	every bool
+	name      string
+	sizeRange [2]float64
+	periodic  bool
 }{
 	{scenario.EventSlow, [2]float64{1.5, 20}, false},
 	{scenario.EventErrors, [2]float64{0.05, 1}, false},
@@ -178,36 +178,42 @@
 	{scenario.EventZonePartition, [2]float64{}, false},
 }
 
-// shareEvents are the kinds whose size is a share of requests or of the machine, 0 to 1.
-var shareEvents = []string{scenario.EventErrors, scenario.EventUnanswered, scenario.EventNeighbour}
+// fractionEvents are the kinds whose size is a share of requests or of the machine, 0 to 1.
+var fractionEvents = []string{scenario.EventErrors, scenario.EventUnanswered, scenario.EventNeighbour}
 
 // drawEvent draws an event.
 func (x *search) drawEvent(s *scenario.Scenario) scenario.Event {
 	length := s.Length.Duration
-	k := eventKinds[x.rng.IntN(len(eventKinds))]
-	part := func(lo, hi float64) time.Duration {
+	kind := eventKinds[x.rng.IntN(len(eventKinds))]
+	drawDuration := func(lo, hi float64) time.Duration {
 		return time.Duration((lo + (hi-lo)*x.rng.Float64()) * float64(length)).Round(10 * time.Millisecond)
 	}
-	e := scenario.Event{What: k.what, At: fixedSpan(part(0.1, 0.7)), For: fixedSpan(part(0.05, 0.5))}
-	if k.sizes[1] > 0 {
+	e := scenario.Event{
+		What: kind.name,
+		At:   singleValueSpan(drawDuration(0.1, 0.7)),
+		For:  singleValueSpan(drawDuration(0.05, 0.5)),
+	}
+	if kind.sizeRange[1] > 0 {
 		// Sizes are drawn evenly on a logarithmic scale: small ones do harm that is easily overlooked.
-		e.Size = scenario.Range{math.Round(1000*k.sizes[0]*math.Pow(k.sizes[1]/k.sizes[0], x.rng.Float64())) / 1000}
+		e.Size = scenario.Range{
+			math.Round(1000*kind.sizeRange[0]*math.Pow(kind.sizeRange[1]/kind.sizeRange[0], x.rng.Float64())) / 1000,
+		}
 	}
-	switch k.what {
+	switch kind.name {
 	case scenario.EventSurge:
 		return e
 	case scenario.EventDiscoveryDelay:
-		e.Delay = fixedSpan(part(0.02, 0.2))
+		e.Delay = singleValueSpan(drawDuration(0.02, 0.2))
 		return e
 	case scenario.EventZonePartition:
 		e.Zone = s.Fleet.Zones[x.rng.IntN(len(s.Fleet.Zones))]
 		return e
 	case scenario.EventLateReports:
-		e.Delay = fixedSpan(part(0.005, 0.1))
+		e.Delay = singleValueSpan(drawDuration(0.005, 0.1))
 	case scenario.EventPause:
-		e.For = fixedSpan(part(0.002, 0.05))
+		e.For = singleValueSpan(drawDuration(0.002, 0.05))
 	case scenario.EventNeighbour:
-		e.Every = stricttoml.Duration{Duration: part(0.01, 0.1)}
+		e.Every = stricttoml.Duration{Duration: drawDuration(0.01, 0.1)}
 	}
 	switch x.rng.IntN(4) {
 	case 0:
@@ -217,7 +223,7 @@
 	default:
 		e.Part = scenario.Range{math.Round(100*(0.05+0.5*x.rng.Float64())) / 100}
 	}
-	if k.what == scenario.EventErrors && x.rng.IntN(2) == 0 {
+	if kind.name == scenario.EventErrors && x.rng.IntN(2) == 0 {
 		e.Class = s.Classes[x.rng.IntN(len(s.Classes))].Name
 	}
 	return e
@@ -232,34 +238,36 @@
 }
 
 // mutate changes one property of a plan.
-func (x *search) mutate(c *Finding) {
-	s := c.Scenario
+func (x *search) mutate(finding *Finding) {
+	s := finding.Scenario
 	if len(s.Events) == 0 {
 		x.drawEvents(s)
 		return
 	}
 	i := x.rng.IntN(len(s.Events))
 	e := &s.Events[i]
-	stretch := func(span *stricttoml.Span) {
+	scaleSpan := func(span *stricttoml.Span) {
 		if span != nil {
-			d := time.Duration(float64(span.From) * math.Exp(0.5*x.rng.NormFloat64())).Round(10 * time.Millisecond)
-			d = min(max(d, 10*time.Millisecond), s.Length.Duration*9/10)
-			span.From = d
-			span.To = d
+			scaled := time.Duration(float64(span.From) * math.Exp(0.5*x.rng.NormFloat64())).Round(10 * time.Millisecond)
+			scaled = min(max(scaled, 10*time.Millisecond), s.Length.Duration*9/10)
+			span.From = scaled
+			span.To = scaled
 		}
 	}
 	switch x.rng.IntN(7) {
 	case 0:
-		c.Seed = 1 + x.rng.Uint64N(1<<32)
+		finding.Seed = 1 + x.rng.Uint64N(1<<32)
 	case 1:
-		stretch(e.At)
+		scaleSpan(e.At)
 	case 2:
-		stretch(e.For)
+		scaleSpan(e.For)
 	case 3:
 		if len(e.Size) > 0 {
-			for _, k := range eventKinds {
-				if k.what == e.What {
-					e.Size[0] = min(max(e.Size[0]*math.Exp(0.4*x.rng.NormFloat64()), k.sizes[0]), k.sizes[1])
+			for _, kind := range eventKinds {
+				if kind.name == e.What {
+					e.Size[0] = min(
+						max(e.Size[0]*math.Exp(0.4*x.rng.NormFloat64()), kind.sizeRange[0]), kind.sizeRange[1],
+					)
 				}
 			}
 		}
@@ -279,46 +287,46 @@
 // shrink makes the worst plan small: with fewer events, shorter, milder, with fewer instances and endpoints, as long as
 // most of its loss is left.
 func (x *search) shrink(ctx context.Context) (*Finding, error) {
-	found := x.worst()
-	if found == nil {
+	smallest := x.worst()
+	if smallest == nil {
 		return nil, fmt.Errorf("a budget of %d runs is too small", x.Budget)
 	}
-	enough := *found
-	enough.Loss *= minRemainingLoss
-	enough.Violations = min(found.Violations, 1)
+	threshold := *smallest
+	threshold.Loss *= minRemainingLoss
+	threshold.Violations = min(smallest.Violations, 1)
 	for changed := true; changed && x.runs < x.Budget; {
 		changed = false
-		for _, smaller := range x.smaller(found) {
+		for _, candidate := range x.smallerPlans(smallest) {
 			if x.runs >= x.Budget {
 				break
 			}
-			if _, err := Resize(smaller.Scenario, []string{"about=\"\""}, 0, 0); err != nil {
+			if _, err := Resize(candidate.Scenario, []string{"about=\"\""}, 0, 0); err != nil {
 				continue // it makes no sense any more
 			}
-			if err := x.evaluate(ctx, []*Finding{smaller}); err != nil {
-				return found, err
+			if err := x.evaluate(ctx, []*Finding{candidate}); err != nil {
+				return smallest, err
 			}
-			if !enough.worse(smaller) {
-				smaller.Runs = x.runs
-				found = smaller
+			if !threshold.worse(candidate) {
+				candidate.Runs = x.runs
+				smallest = candidate
 				changed = true
 				break
 			}
 		}
 	}
-	found.Scenario.Name = "found"
-	found.Scenario.About = fmt.Sprintf(
-		"Found by dunlinsail-experiment search: seed %d loses %.3f.", found.Seed, found.Loss)
-	found.Scenario.Expect = nil
-	return found, nil
+	smallest.Scenario.Name = "found"
+	smallest.Scenario.About = fmt.Sprintf(
+		"Found by dunlinsail-experiment search: seed %d loses %.3f.", smallest.Seed, smallest.Loss)
+	smallest.Scenario.Expect = nil
+	return smallest, nil
 }
 
 // smaller returns the plans that are one step smaller than a finding's.
-func (x *search) smaller(f *Finding) (all []*Finding) {
+func (x *search) smallerPlans(f *Finding) (plans []*Finding) {
 	add := func(change func(s *scenario.Scenario)) {
-		c := &Finding{Scenario: f.Scenario.Clone(), Seed: f.Seed}
-		change(c.Scenario)
-		all = append(all, c)
+		plan := &Finding{Scenario: f.Scenario.Clone(), Seed: f.Seed}
+		change(plan.Scenario)
+		plans = append(plans, plan)
 	}
 	s := f.Scenario
 	for i := range s.Events {
@@ -326,27 +334,29 @@
 			add(func(s *scenario.Scenario) { s.Events = slices.Delete(s.Events, i, i+1) })
 		}
 	}
-	if last := lastEventEnd(s); last+5*time.Second < s.Length.Duration {
-		add(func(s *scenario.Scenario) { s.Length = stricttoml.Duration{Duration: last + 5*time.Second} })
+	if lastEnd := lastEventEnd(s); lastEnd+5*time.Second < s.Length.Duration {
+		add(func(s *scenario.Scenario) { s.Length = stricttoml.Duration{Duration: lastEnd + 5*time.Second} })
 	}
-	if first := firstEventStart(s); first > 6*time.Second {
+	if firstStart := firstEventStart(s); firstStart > 6*time.Second {
 		add(func(s *scenario.Scenario) { // starts sooner
 			for i := range s.Events {
-				s.Events[i].At = fixedSpan(s.Events[i].At.From - first + 5*time.Second)
+				s.Events[i].At = singleValueSpan(s.Events[i].At.From - firstStart + 5*time.Second)
 			}
-			s.Length.Duration -= first - 5*time.Second
+			s.Length.Duration -= firstStart - 5*time.Second
 		})
 	}
 	if s.Fleet.Instances > 1 {
 		add(func(s *scenario.Scenario) { s.Fleet.Instances = (s.Fleet.Instances + 1) / 2 })
 	}
-	for i := range s.EndpointKinds {
-		if s.EndpointKinds[i].Count > 1 {
-			add(func(s *scenario.Scenario) { s.EndpointKinds[i].Count = (s.EndpointKinds[i].Count + 1) / 2 })
+	for kindIndex := range s.EndpointKinds {
+		if s.EndpointKinds[kindIndex].Count > 1 {
+			add(func(s *scenario.Scenario) {
+				s.EndpointKinds[kindIndex].Count = (s.EndpointKinds[kindIndex].Count + 1) / 2
+			})
 		}
 	}
 	addSmallerEvents(s, add)
-	return all
+	return plans
 }
 
 // addSmallerEvents adds the plans with a shorter or weaker event, or one that applies to fewer endpoints.
@@ -354,10 +364,10 @@
 	for i := range s.Events {
 		e := &s.Events[i]
 		if e.For != nil && e.For.From > time.Second {
-			half := (e.For.From / 2).Round(10 * time.Millisecond)
-			add(func(s *scenario.Scenario) { s.Events[i].For = fixedSpan(half) })
+			halfLength := (e.For.From / 2).Round(10 * time.Millisecond)
+			add(func(s *scenario.Scenario) { s.Events[i].For = singleValueSpan(halfLength) })
 		}
-		if len(e.Size) > 0 && !slices.Contains(shareEvents, e.What) && e.Size[0] > 1.5 {
+		if len(e.Size) > 0 && !slices.Contains(fractionEvents, e.What) && e.Size[0] > 1.5 {
 			add(func(s *scenario.Scenario) { s.Events[i].Size[0] = math.Round(100*math.Sqrt(e.Size[0])) / 100 })
 		}
 		if len(e.Part) > 0 && e.Part[0] > 0.1 {
@@ -366,15 +376,15 @@
 	}
 }
 
-func lastEventEnd(s *scenario.Scenario) (last time.Duration) {
+func lastEventEnd(s *scenario.Scenario) (latest time.Duration) {
 	for _, e := range s.Events {
 		end := e.At.From
 		if e.For != nil {
 			end += e.For.From
 		}
-		last = max(last, end)
+		latest = max(latest, end)
 	}
-	return last
+	return latest
 }
 
 func firstEventStart(s *scenario.Scenario) time.Duration {
--- a/internal/experiment/size_test.go
+++ b/internal/experiment/size_test.go
@@ -18,10 +18,10 @@
 // aligns the comments of neighbouring lines anew.
 func changedLines(t *testing.T, name string, text []byte) (changed int) {
 	t.Helper()
-	before, err := os.ReadFile(name)
+	original, err := os.ReadFile(name)
 	require.NoError(t, err)
 	lines := strings.Split(string(text), "\n")
-	for i, line := range strings.Split(string(before), "\n") {
+	for i, line := range strings.Split(string(original), "\n") {
 		if !slices.Equal(strings.Fields(lines[i]), strings.Fields(line)) {
 			changed++
 		}
@@ -79,20 +79,27 @@
 // with four.
 func TestScaling(t *testing.T) {
 	self := must[string](t)(os.Executable())
-	sc := Scaling{Scenario: short(t), Variant: variant(t, Shipped), Subset: 6, Operations: 800, Seed: 1, Program: self}
+	sc := Scaling{
+		Scenario:   shortScenario(t),
+		Variant:    parseVariant(t, Shipped),
+		Subset:     6,
+		Operations: 800,
+		Seed:       1,
+		Program:    self,
+	}
 	var first *SizeRun
 	for _, n := range []string{"1", "4"} {
 		sc.Env = []string{"LAB_TEST_AS=build", "GOMAXPROCS=" + n}
-		r := must[*SizeRun](t)(sc.RunSize(t.Context(), Size{3, 12}))
-		if r.Subset != 12 || r.Operations < 600 || r.Operations > 1000 || r.Memory < 1<<20 ||
-			r.ProcessorTime <= 0 || r.Decisions < r.Operations {
-			t.Errorf("%+v", r)
+		run := must[*SizeRun](t)(sc.RunSize(t.Context(), Size{3, 12}))
+		if run.Subset != 12 || run.Operations < 600 || run.Operations > 1000 || run.Memory < 1<<20 ||
+			run.ProcessorTime <= 0 || run.Decisions < run.Operations {
+			t.Errorf("%+v", run)
 		}
 		if first == nil {
-			first = r
+			first = run
 		}
-		if r.Result.Digest != first.Result.Digest {
-			t.Errorf("digest %s with %s processors, %s with one", r.Result.Digest, n, first.Result.Digest)
+		if run.Result.Digest != first.Result.Digest {
+			t.Errorf("digest %s with %s processors, %s with one", run.Result.Digest, n, first.Result.Digest)
 		}
 	}
 	sc.Program = filepath.Join(t.TempDir(), "gone")
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -51,15 +51,15 @@
 // Get returns a run that is kept, nil if there is none.
 func (s *Store) Get(key []byte) (r *measure.Result, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		v := tx.Bucket(runsBucket).Get(key)
-		if v == nil {
+		compressed := tx.Bucket(runsBucket).Get(key)
+		if compressed == nil {
 			return nil
 		}
-		z, err := gzip.NewReader(bytes.NewReader(v))
+		reader, err := gzip.NewReader(bytes.NewReader(compressed))
 		if err != nil {
 			return err
 		}
-		text, err := io.ReadAll(z)
+		text, err := io.ReadAll(reader)
 		if err != nil {
 			return err
 		}
@@ -78,15 +78,15 @@
 	if err != nil {
 		return err
 	}
-	var b bytes.Buffer
-	z := gzip.NewWriter(&b)
-	if _, err := z.Write(text); err != nil {
+	var compressed bytes.Buffer
+	writer := gzip.NewWriter(&compressed)
+	if _, err := writer.Write(text); err != nil {
 		return err
 	}
-	if err := z.Close(); err != nil {
+	if err := writer.Close(); err != nil {
 		return err
 	}
-	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(runsBucket).Put(key, b.Bytes()) })
+	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(runsBucket).Put(key, compressed.Bytes()) })
 }
 
 // Len returns how many runs are kept.
@@ -106,9 +106,9 @@
 	}
 	d := xxhash.New()
 	var key []byte
-	for _, part := range []string{"a", "b"} { // 128 bits: a store may hold very many
+	for _, prefix := range []string{"a", "b"} { // 128 bits: a store may hold very many
 		d.Reset()
-		_, _ = d.WriteString(part + build)
+		_, _ = d.WriteString(prefix + build)
 		d.Write(text)
 		key = d.Sum(key)
 	}
@@ -118,11 +118,11 @@
 // BuildID identifies a build of a program, by the digest of its file.
 func BuildID(program string) (string, error) {
 	if program == "" {
-		self, err := os.Executable()
+		executable, err := os.Executable()
 		if err != nil {
 			return "", err
 		}
-		program = self
+		program = executable
 	}
 	f, err := os.Open(program)
 	if err != nil {
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -17,15 +17,15 @@
 // ParseAxis reads KEY=VALUE|VALUE|...
 func ParseAxis(text string) (Axis, error) {
 	key, values, ok := strings.Cut(text, "=")
-	a := Axis{key, strings.Split(values, "|")}
-	if !ok || key == "" || len(a.Values) < 2 {
-		return a, fmt.Errorf("%q is not KEY=VALUE|VALUE with two values at least", text)
+	axis := Axis{key, strings.Split(values, "|")}
+	if !ok || key == "" || len(axis.Values) < 2 {
+		return axis, fmt.Errorf("%q is not KEY=VALUE|VALUE with two values at least", text)
 	}
-	return a, nil
+	return axis, nil
 }
 
 // Point is a combination of values of a sweep.
-type Point struct {
+type SweepPoint struct {
 	Values []string // of each axis
 	*Comparison
 }
@@ -33,7 +33,7 @@
 // Sweep is the result of a sweep.
 type Sweep struct {
 	Axes   []Axis
-	Points []Point // the last axis goes fastest; the first point is what the others are compared with
+	Points []SweepPoint // the last axis goes fastest; the first point is what the others are compared with
 }
 
 // Sweep compares a variant with each value of one axis or two with the first one.
@@ -42,49 +42,49 @@
 		return nil, fmt.Errorf("a sweep has one axis or two, not %d", len(axes))
 	}
 	s := &Sweep{Axes: axes}
-	places := [][]string{{}}
-	for _, a := range axes {
-		var next [][]string
-		for _, at := range places {
-			for _, v := range a.Values {
-				next = append(next, append(append([]string{}, at...), v))
+	combinations := [][]string{{}}
+	for _, axis := range axes {
+		var extended [][]string
+		for _, combination := range combinations {
+			for _, v := range axis.Values {
+				extended = append(extended, append(append([]string{}, combination...), v))
 			}
 		}
-		places = next
+		combinations = extended
 	}
 	base := p.A
-	for _, at := range places {
+	for _, combination := range combinations {
 		spec := base.Spec
-		for i, v := range at {
+		for i, v := range combination {
 			spec += "," + axes[i].Key + "=" + v
 		}
 		v, err := ParseVariant(spec)
 		if err != nil {
 			return nil, err
 		}
-		one := p
-		one.A = v
-		one.B = nil
+		pointPlan := p
+		pointPlan.A = v
+		pointPlan.B = nil
 		if len(s.Points) > 0 {
-			one.A = s.Points[0].Plan.A
-			one.B = v
+			pointPlan.A = s.Points[0].Plan.A
+			pointPlan.B = v
 		}
-		c, err := r.Compare(ctx, one)
+		comparison, err := r.Compare(ctx, pointPlan)
 		if err != nil {
 			return nil, err
 		}
-		s.Points = append(s.Points, Point{at, c})
+		s.Points = append(s.Points, SweepPoint{combination, comparison})
 	}
 	return s, nil
 }
 
 // Figure returns a figure at a point, and its difference from the first point; there it is nil.
-func (p *Point) Figure(figure string) (value stats.Interval, difference *Row) {
+func (p *SweepPoint) Figure(figure string) (value stats.Interval, difference *Row) {
 	runs := p.RunsB
 	if runs == nil {
 		runs = p.RunsA
 	}
-	value = p.interval(Figure(runs, figure))
+	value = p.meanInterval(FigureValues(runs, figure))
 	if p.RunsB == nil {
 		return value, nil
 	}
--- a/internal/experiment/variant.go
+++ b/internal/experiment/variant.go
@@ -49,13 +49,13 @@
 	}
 	parts := splitEdits(rest)
 	var edits []string
-	for _, e := range parts[1:] {
-		ownKey, err := v.setKey(e)
+	for _, edit := range parts[1:] {
+		ownKey, err := v.setVariantKey(edit)
 		if err != nil {
 			return nil, fmt.Errorf("variant %q: %w", spec, err)
 		}
 		if !ownKey {
-			edits = append(edits, e)
+			edits = append(edits, edit)
 		}
 	}
 	text := deploy.Daemon
@@ -77,9 +77,9 @@
 	return v, nil
 }
 
-// setKey sets the value of an edit whose key is the variant's own, and reports whether it is one. All others are keys
-// of the daemon's file.
-func (v *Variant) setKey(edit string) (ownKey bool, err error) {
+// setVariantKey applies an edit whose key belongs to the variant itself, not to the daemon's configuration file, and
+// reports whether it does.
+func (v *Variant) setVariantKey(edit string) (ownKey bool, err error) {
 	key, value, _ := strings.Cut(edit, "=")
 	switch {
 	case strings.HasPrefix(key, "world."):
@@ -105,22 +105,22 @@
 	var parts []string
 	depth := 0
 	quoted := false
-	from := 0
-	for i, c := range spec {
+	start := 0
+	for index, char := range spec {
 		switch {
-		case c == '"':
+		case char == '"':
 			quoted = !quoted
 		case quoted:
-		case c == '[' || c == '{':
+		case char == '[' || char == '{':
 			depth++
-		case c == ']' || c == '}':
+		case char == ']' || char == '}':
 			depth--
-		case c == ',' && depth == 0:
-			parts = append(parts, spec[from:i])
-			from = i + 1
+		case char == ',' && depth == 0:
+			parts = append(parts, spec[start:index])
+			start = index + 1
 		}
 	}
-	return append(parts, spec[from:])
+	return append(parts, spec[start:])
 }
 
 // Job is one run that is to be made: all that it depends on, beside the build.
@@ -136,13 +136,13 @@
 // Job returns the run of a variant in a scenario, judged by another variant's file.
 func (v *Variant) Job(s *scenario.Scenario, criteriaFrom *Variant, seed uint64) (Job, error) {
 	if s.Replay != nil {
-		own := *s.Replay
+		replay := *s.Replay
 		var err error
-		if own.Digest, err = digestFiles(own.From); err != nil {
+		if replay.Digest, err = digestFiles(replay.From); err != nil {
 			return Job{}, err
 		}
 		s = s.Clone()
-		s.Replay = &own
+		s.Replay = &replay
 	}
 	text, err := s.Text()
 	if err != nil {
@@ -162,32 +162,36 @@
 }
 
 // Play makes the run by this build's decisions.
-func (j *Job) Play(ctx context.Context, more ...func(*simulation.Options)) (*measure.Result, error) {
+func (j *Job) Play(ctx context.Context, modifiers ...func(*simulation.Options)) (*measure.Result, error) {
 	s, err := scenario.Parse([]byte(j.Scenario), nil)
 	if err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
-	own, err := config.Parse([]byte(j.Settings))
+	settings, err := config.Parse([]byte(j.Settings))
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	judged, err := config.Parse([]byte(j.CriteriaSettings))
+	criteriaConfig, err := config.Parse([]byte(j.CriteriaSettings))
 	if err != nil {
 		return nil, fmt.Errorf("settings to judge by: %w", err)
 	}
-	set := modelSettings(own)
-	set.DecisionSeed = j.DecisionSeed
-	set.KnownHarm = j.Harm
-	o := simulation.Options{Plan: s.Draw(j.Seed), Settings: set, Criteria: criteria(judged)}
+	simulationSettings := modelSettings(settings)
+	simulationSettings.DecisionSeed = j.DecisionSeed
+	simulationSettings.KnownHarm = j.Harm
+	options := simulation.Options{
+		Plan:     s.Draw(j.Seed),
+		Settings: simulationSettings,
+		Criteria: criteria(criteriaConfig),
+	}
 	if s.Replay != nil {
-		if o.Plan.Source, err = replayRecord(o.Plan); err != nil {
+		if options.Plan.Source, err = replayRecord(options.Plan); err != nil {
 			return nil, err
 		}
 	}
-	for _, f := range more {
-		f(&o)
+	for _, modify := range modifiers {
+		modify(&options)
 	}
-	return simulation.Run(ctx, o)
+	return simulation.Run(ctx, options)
 }
 
 // modelSettings returns the simulation's settings of a daemon's file.
@@ -258,14 +262,14 @@
 	cmd := exec.CommandContext(ctx, program, "play")
 	cmd.Stdin = bytes.NewReader(text)
 	cmd.Env = append(os.Environ(), env...)
-	var told bytes.Buffer
-	cmd.Stderr = &told
-	out, err := cmd.Output()
+	var stderr bytes.Buffer
+	cmd.Stderr = &stderr
+	stdout, err := cmd.Output()
 	if err != nil {
-		return nil, nil, fmt.Errorf("%s: %w: %s", program, err, strings.TrimSpace(told.String()))
+		return nil, nil, fmt.Errorf("%s: %w: %s", program, err, strings.TrimSpace(stderr.String()))
 	}
 	var reply Reply
-	if err := json.Unmarshal(out, &reply); err != nil {
+	if err := json.Unmarshal(stdout, &reply); err != nil {
 		return nil, nil, fmt.Errorf("%s: what it says of a run makes no sense: %w", program, err)
 	}
 	switch {
