--- a/internal/experiment/agree.go
+++ b/internal/experiment/agree.go
@@ -16,24 +16,24 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// Agreement compares runs by processes with what the simulation predicts for them.
+// Agreement compares the figures of real daemon processes with the simulation's predictions for the same scenario.
 type Agreement struct {
 	Scenario             *scenario.Scenario
 	Seeds, DecisionSeeds int
 	Rows                 []AgreementRow
-	AgreeingRows         int // rows that agree
+	AgreeingRows         int // number of rows whose Agrees is true
 	Model, Processes     []*measure.Result
 }
 
-// AgreementRow is one figure.
+// AgreementRow compares the real and the simulated values of one figure.
 type AgreementRow struct {
 	measure.Figure
-	Model     stats.Interval `json:"Model"` // in which the mean of the real runs ought to lie
-	Processes float64        `json:"Real"`  // where it lies
+	Model     stats.Interval `json:"Model"` // interval predicted for the mean of the real runs
+	Processes float64        `json:"Real"`  // mean of the real runs
 	Agrees    bool           `json:"Inside"`
 }
 
-// agreementFigures are the figures by which simulated and real runs are compared.
+// agreementFigures names the figures in which simulated and real runs are compared.
 var agreementFigures = []string{
 	"service",
 	"whole",
@@ -50,8 +50,9 @@
 	"cross_zone",
 	"probes", "waste"}
 
-// Tolerance is the part of the model's error bars that no number of runs makes smaller: what it leaves out of a
-// machine. It was set by scenarios other than those that are compared (docs/design/model.md).
+// Tolerance returns how far the mean of a figure in real runs may differ from the simulated mean, apart from sampling
+// error. More runs do not reduce it: it covers the effects of a real machine that the simulation does not model. The
+// tolerances were set with other scenarios than those compared (docs/design/model.md).
 func Tolerance(f measure.Figure, value float64) float64 {
 	switch f.Unit {
 	case "ms":
@@ -62,8 +63,9 @@
 	return 0.01
 }
 
-// CompareWithProcesses plays a scenario by processes, and in the simulation several times for each seed with different
-// decision seeds. It reports whether the mean of the real runs lies within the simulation's interval.
+// CompareWithProcesses runs a scenario with real daemon processes once per seed, and in the simulation once per
+// pair of seed and decision seed. For each figure it reports whether the mean of the real runs lies within the
+// interval that the simulation predicts.
 func (r *Runner) CompareWithProcesses(
 	ctx context.Context, s *scenario.Scenario, v *Variant, daemon string, seeds, decisionSeeds int, log io.Writer,
 ) (*Agreement, error) {
@@ -111,8 +113,9 @@
 	return a, nil
 }
 
-// row holds one figure of both against one another. The model's runs of one seed differ by lots as real runs do; what
-// differs between seeds is the same for both.
+// compareFigure returns the agreement in one figure. The interval's width comes from Tolerance and from the
+// variance between simulated runs of the same seed with different decision seeds, since real runs of a seed vary in
+// the same way. Differences between seeds do not widen the interval: they affect simulated and real runs alike.
 func (a *Agreement) compareFigure(name string) AgreementRow {
 	f, _ := measure.Describe(name)
 	row := AgreementRow{Figure: f}
--- a/internal/experiment/build.go
+++ b/internal/experiment/build.go
@@ -18,14 +18,14 @@
 	"strings"
 )
 
-// Constant is a constant of the decisions that is to have another value.
+// Constant is a new value for a constant in the source of the balancing decisions.
 type Constant struct {
-	Package string // its folder in the module, as "balancer" or "internal/decide/concurrency"
+	Package string // the package's folder in the module, such as "balancer" or "internal/decide/concurrency"
 	Name    string
-	Value   string // an expression of Go
+	Value   string // a Go expression
 }
 
-// ParseConstant reads FOLDER.NAME=EXPRESSION.
+// ParseConstant parses a constant and its new value, written as FOLDER.NAME=EXPRESSION.
 func ParseConstant(text string) (Constant, error) {
 	key, value, ok := strings.Cut(text, "=")
 	key = strings.TrimSpace(key)
@@ -44,8 +44,9 @@
 	return c, nil
 }
 
-// Build makes a dunlinsail-experiment in which constants have other values, from the module at root. The module stays
-// as it is: the changed files are an overlay (go help build, -overlay). Variants name the program as @PROGRAM:.
+// Build compiles the dunlinsail-experiment of the module at root with changed values of constants, and writes it to
+// the file program. The module's files stay unchanged: the edited sources are passed as an overlay (go help build,
+// -overlay). A variant selects the resulting program with the prefix @PROGRAM: (see ParseVariant).
 func Build(ctx context.Context, root, program string, constants []Constant) error {
 	dir, err := os.MkdirTemp("", "dunlinsail-experiment")
 	if err != nil {
@@ -89,7 +90,8 @@
 	return nil
 }
 
-// change gives the constant its value in the texts of files, by absolute path.
+// applyTo sets the constant's new value in its source file. files holds the edited sources by absolute path; a file
+// that it does not hold yet is read from the module at root.
 func (c *Constant) applyTo(root string, files map[string][]byte) error {
 	dir, err := filepath.Abs(filepath.Join(root, c.Package))
 	if err != nil {
@@ -130,9 +132,10 @@
 	return fmt.Errorf("%s has no constant %s with a value of its own: %w", c.Package, c.Name, errNoConstant)
 }
 
+// errNoConstant is the error for a constant that the source does not declare with a value of its own.
 var errNoConstant = errors.New("nothing to change")
 
-// constant finds the value of a constant that a file declares at its top.
+// findConstant returns the value expression of a package-level constant, or nil if the file gives it none.
 func findConstant(f *ast.File, name string) ast.Expr {
 	for _, decl := range f.Decls {
 		genDecl, ok := decl.(*ast.GenDecl)
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -13,25 +13,25 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// Confidence is the confidence level of all intervals.
+// Confidence is the confidence level of all intervals and tests in this package.
 const Confidence = 0.95
 
-// Plan is the plan of a comparison.
+// Plan configures a comparison of two variants, or the measurement of one.
 type Plan struct {
 	Scenario      *scenario.Scenario
-	A, B          *Variant // B may be nil: then A is only measured
-	FirstSeed     uint64   // the first seed
+	A, B          *Variant // if B is nil, A is only measured
+	FirstSeed     uint64   // seeds count up from this value
 	MinSeeds      int
-	MaxSeeds      int     // 0 is MinSeeds
-	TargetWidth   float64 // it stops once the interval of the service's difference is no wider; 0 is at Most
+	MaxSeeds      int     // below MinSeeds it counts as MinSeeds
+	TargetWidth   float64 // stop once the primary difference's interval is at most this wide; 0: run MaxSeeds
 	Method        string  // "t" or "bootstrap"
-	PrimaryFigure string  // what is judged by; "" is service
+	PrimaryFigure string  // the figure that decides the outcome; "" means "service"
 }
 
-// Verdict is the outcome of a comparison of B with A.
+// Verdict states whether variant B is better or worse than variant A.
 type Verdict uint8
 
-// The verdicts.
+// The possible verdicts on variant B. Inconclusive means that the data shows neither.
 const (
 	Inconclusive Verdict = iota
 	Better
@@ -40,31 +40,32 @@
 
 var verdictNames = [...]string{"cannot tell", "better", "worse"}
 
-// String returns the verdict as it is printed.
+// String returns the verdict in the wording of printed tables.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Row is one figure of both variants.
+// Row holds the values of one figure for both variants, and their difference.
 type Row struct {
 	measure.Figure
-	A          stats.Interval `json:"A"`          // of the means
-	B          stats.Interval `json:"B"`          // the same
-	Difference stats.Interval `json:"Difference"` // of B less A, pair by pair
+	A          stats.Interval `json:"A"`          // mean over A's runs
+	B          stats.Interval `json:"B"`          // mean over B's runs
+	Difference stats.Interval `json:"Difference"` // mean of B minus A over the runs of the same seed
 	Verdict    Verdict        `json:"Verdict"`
-	Relevant   bool           `json:"Matters"` // by more than the figure's step
-	Note       string         `json:"Note"`    // for people
+	Relevant   bool           `json:"Matters"` // the difference exceeds the figure's Threshold
+	Note       string         `json:"Note"`    // a remark for the reader of the table
 }
 
-// Comparison is the result of a plan.
+// Comparison holds the runs made for a Plan and the figures computed from them.
 type Comparison struct {
 	Plan      Plan
 	Seeds     []uint64
 	RunsA     []*measure.Result
-	RunsB     []*measure.Result // nil without a B
-	Rows      []Row             // the figure that is judged by stands first
-	Identical bool              // every run of B has the same digest as that of A
+	RunsB     []*measure.Result // nil if the plan has no variant B
+	Rows      []Row             // the primary figure is the first row
+	Identical bool              // each run of B has the same digest as the run of A with its seed
 }
 
-// Compare plays both variants on the same plans, with more and more seeds until the interval is narrow enough.
+// Compare runs both variants with the same seeds, and adds seeds until the primary difference's confidence interval is
+// narrow enough or MaxSeeds is reached.
 func (r *Runner) Compare(ctx context.Context, p Plan) (*Comparison, error) {
 	if p.PrimaryFigure == "" {
 		p.PrimaryFigure = "service"
@@ -76,7 +77,8 @@
 	for len(c.Seeds) < p.MaxSeeds {
 		newSeeds := p.MinSeeds
 		if len(c.Seeds) > 0 {
-			// By what is known so far, so many are needed in all; not all of them at once, since it is not known well.
+			// The interval's width shrinks with the square root of the number of seeds. This estimate of the total is
+			// rough after few seeds, so that one step at most doubles their number.
 			neededSeeds := len(c.Seeds) + 4
 			if halfWidth := c.Rows[0].Difference.HalfWidth(); halfWidth > 0 && !math.IsInf(halfWidth, 0) {
 				neededSeeds = int(float64(len(c.Seeds)) * math.Pow(2*halfWidth/p.TargetWidth, 2))
@@ -95,7 +97,7 @@
 	return c, nil
 }
 
-// playSeeds plays n more seeds.
+// playSeeds runs the plan's variants with the next n seeds and appends their results.
 func (r *Runner) playSeeds(ctx context.Context, c *Comparison, n int) error {
 	var tasks []Task
 	for i := range n {
@@ -127,7 +129,7 @@
 	return nil
 }
 
-// Figure returns the values of a figure, by run.
+// FigureValues returns the value that a figure has in each run.
 func FigureValues(runs []*measure.Result, name string) []float64 {
 	var values []float64
 	for _, r := range runs {
@@ -136,6 +138,7 @@
 	return values
 }
 
+// meanInterval returns the confidence interval of the mean of values, computed with the plan's Method.
 func (c *Comparison) meanInterval(values []float64) stats.Interval {
 	if c.Plan.Method == "bootstrap" {
 		return stats.Bootstrap(values, Confidence, 1)
@@ -143,7 +146,8 @@
 	return stats.StudentT(values, Confidence)
 }
 
-// buildRows computes the rows of all figures.
+// buildRows computes the rows of all figures: the primary one first, then those of every scenario, then those that
+// only this scenario has (per class or tenant). It also sets Identical.
 func (c *Comparison) buildRows() {
 	names := []string{c.Plan.PrimaryFigure}
 	for _, f := range measure.Figures {
@@ -172,6 +176,7 @@
 	}
 }
 
+// compareFigure computes the row of one figure.
 func (c *Comparison) compareFigure(f measure.Figure) Row {
 	row := Row{Figure: f}
 	valuesA := FigureValues(c.RunsA, f.Name)
@@ -198,7 +203,7 @@
 	}
 	row.Relevant = math.Abs(difference.Mean) > f.Threshold
 	switch {
-	// A figure without a direction is a cost: other figures say whether it is well spent.
+	// A figure without a direction is a cost. Other figures show whether the cost is worth it.
 	case row.Verdict != Inconclusive && f.Direction == 0:
 		row.Verdict = Inconclusive
 		row.Note = "less"
@@ -213,8 +218,8 @@
 	return row
 }
 
-// hasEnoughSeeds reports whether no further seeds have to be played: the plan's number is reached, or its width of the
-// difference's interval.
+// hasEnoughSeeds reports whether the comparison can stop: the primary difference's interval is at most TargetWidth
+// wide after MinSeeds seeds or more. Without a TargetWidth it can stop once MaxSeeds seeds were run.
 func (c *Comparison) hasEnoughSeeds(p *Plan) bool {
 	if p.TargetWidth <= 0 {
 		return len(c.Seeds) >= p.MaxSeeds
@@ -222,8 +227,8 @@
 	return len(c.Seeds) >= p.MinSeeds && 2*c.Rows[0].Difference.HalfWidth() <= p.TargetWidth
 }
 
-// compareViolations compares counts of what must never happen. A count of 0 does not show that it never happens: the
-// note gives the upper bound of its rate.
+// compareViolations compares how often runs of A and of B violated a rule, and returns a note for the row. A count
+// of 0 does not show that violations never happen, so that the note also gives the upper bound of their rate.
 func (c *Comparison) compareViolations(row *Row, f measure.Figure) string {
 	sumViolations := func(runs []*measure.Result) (violations, operations int64) {
 		for _, r := range runs {
@@ -256,7 +261,7 @@
 	return "A " + describeRate(violationsA, operationsA) + "; B " + describeRate(violationsB, operationsB)
 }
 
-// Line returns a one-line summary.
+// Line returns the outcome of the comparison in one line of text.
 func (c *Comparison) Line() string {
 	row := c.Rows[0]
 	if c.RunsB == nil {
@@ -286,7 +291,7 @@
 	return text + fmt.Sprintf(", over %d seeds", len(c.Seeds))
 }
 
-// Number formats a mean with half of its confidence interval.
+// Number formats a mean and half the width of its confidence interval, such as "0.9512 ± 0.0031".
 func Number(f measure.Figure, i stats.Interval) string {
 	digits := 4
 	if f.Unit == "ms" {
@@ -298,7 +303,7 @@
 	return fmt.Sprintf("%.*f ± %.*f", digits, i.Mean, digits, i.HalfWidth())
 }
 
-// Signed formats as Number does, with a sign.
+// Signed formats a difference like Number, with an explicit plus sign if it is not negative.
 func Signed(f measure.Figure, i stats.Interval) string {
 	text := Number(f, i)
 	if i.Mean >= 0 && !strings.HasPrefix(text, "-") {
@@ -307,7 +312,7 @@
 	return text
 }
 
-// Summary is a comparison without its runs, as JSON has it.
+// Summary is the JSON form of a comparison, without its runs.
 type Summary struct {
 	Scenario string   `json:"Scenario"`
 	A        string   `json:"A"`
@@ -317,7 +322,7 @@
 	Rows     []Row    `json:"Rows"`
 }
 
-// Summary returns the comparison's summary.
+// Summary returns the comparison without its runs, for JSON output.
 func (c *Comparison) Summary() Summary {
 	s := Summary{Scenario: c.Plan.Scenario.Name, A: c.Plan.A.Spec, Line: c.Line(), Seeds: c.Seeds, Rows: c.Rows}
 	if c.Plan.B != nil {
@@ -326,10 +331,10 @@
 	return s
 }
 
-// MarshalText writes a verdict as people read it.
+// MarshalText encodes a verdict as the text that String returns.
 func (v Verdict) MarshalText() ([]byte, error) { return []byte(v.String()), nil }
 
-// Claims evaluates claims by the runs of A.
+// Claims parses claims and evaluates them against the runs of A.
 func (c *Comparison) Claims(texts []string) ([]claim.Evaluation, error) {
 	var runs []map[string]float64
 	for _, r := range c.RunsA {
--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -1,5 +1,5 @@
-// Package experiment runs scenarios of the simulated fleet and says what their figures prove: it compares two variants
-// of the settings seed by seed, sweeps keys, searches for the scenario in which a variant does worst, judges claims,
-// and keeps results in a store so that nothing is run twice. Package simulation plays the runs, package stats says how
-// far differences may be believed.
+// Package experiment runs scenarios on the simulated fleet and evaluates their figures. It compares two variants of
+// the settings seed by seed, sweeps configuration keys, searches for the scenario in which a variant performs
+// worst, evaluates claims, and stores results so that no run is made twice. Package simulation makes the runs;
+// package stats computes confidence intervals and significance tests.
 package experiment
--- a/internal/experiment/edit.go
+++ b/internal/experiment/edit.go
@@ -8,8 +8,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// applyEdits changes values of a TOML text. Each edit is key=value: the key's parts are separated by dots, one of a
-// list of tables is meant by its name, its kind or its place from 0; the value is TOML, or a text where it is no TOML.
+// applyEdits changes values in a TOML document. Each edit is KEY=VALUE. The parts of a key are separated by dots; a
+// part selects an entry of an array of tables by the entry's name, kind or zero-based index. A value that is not
+// valid TOML is taken as a string.
 func applyEdits(text []byte, edits []string) ([]byte, error) {
 	if len(edits) == 0 {
 		return text, nil
@@ -30,6 +31,7 @@
 	return toml.Marshal(doc)
 }
 
+// parseValue parses a TOML value, or returns the text as a string if it is not valid TOML.
 func parseValue(text string) any {
 	var doc struct{ V any }
 	if err := toml.Unmarshal([]byte("V = "+text), &doc); err != nil {
@@ -38,6 +40,7 @@
 	return doc.V
 }
 
+// setKey sets the value at a key path below a table, and creates missing tables on the path.
 func setKey(parent map[string]any, key []string, value any) error {
 	name := key[0]
 	if len(key) == 1 {
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -17,17 +17,18 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// FaultRun is a scenario that was played by real processes, and how its claims stand.
+// FaultRun is the result of a scenario run with real processes, and the evaluation of the scenario's claims.
 type FaultRun struct {
 	Result      *measure.Result
 	Claims      []claim.Evaluation
 	Failed      bool
-	EvidenceDir string // the folder with the evidence of a failed run; "" is none
+	EvidenceDir string // folder with the evidence of a failed run; "" if none was written
 }
 
-// RunWithFaults plays a scenario by processes of a program, with its faults between them, and evaluates its claims by
-// that run: one run can refute a claim, not prove it. The evidence of a failed run goes to a folder of its own below
-// keep. Every other instance is a process of beside, unless that is empty.
+// RunWithFaults runs a scenario and its faults with real processes of a daemon program, and evaluates the
+// scenario's claims on that run: a single run can refute a claim, but not prove it. The evidence of a failed run is
+// written to a new folder below evidenceRoot, unless that is empty. Every second instance runs alternateProgram,
+// unless that is empty.
 func RunWithFaults(
 	ctx context.Context, s *scenario.Scenario, v *Variant, program, alternateProgram string, seed uint64,
 	evidenceRoot string,
@@ -66,7 +67,7 @@
 	return f, err
 }
 
-// writeEvidence writes the scenario, settings, log and result of a failed run.
+// writeEvidence writes the scenario, settings, log and result of a failed run to files in EvidenceDir.
 func (f *FaultRun) writeEvidence(s *scenario.Scenario, v *Variant, plan *scenario.Plan, log *logBuffer) error {
 	if err := os.MkdirAll(f.EvidenceDir, 0o755); err != nil {
 		return err
@@ -95,16 +96,17 @@
 	return nil
 }
 
-// lines keeps what processes log, up to a bound: each write of a process is one of its own, from a goroutine of its
-// own.
+// logBuffer collects the log output of several processes, up to maxLogBytes. Each process is read by its own
+// goroutine, so that writes are concurrent.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
+// maxLogBytes is the size from which on a logBuffer drops further writes.
 const maxLogBytes = 16 << 20
 
-// Write appends to the log; what exceeds the bound is dropped.
+// Write appends to the log, or drops the text if the log has already reached maxLogBytes. It never fails.
 func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,10 +116,10 @@
 	return len(p), nil
 }
 
-// maxErrorLogLines is how many lines of the log an error includes.
+// maxErrorLogLines is the number of log lines that the error of a failed process run includes.
 const maxErrorLogLines = 12
 
-// last returns the last n lines.
+// last returns the last n lines of the log.
 func (l *logBuffer) last(n int) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,7 +127,7 @@
 	return strings.Join(lines[max(0, len(lines)-n):], "\n")
 }
 
-// Summary returns the figures that matter under faults, in one line.
+// Summary returns one line with the figures that show the effect of faults.
 func (f *FaultRun) Summary() string {
 	var parts []string
 	for _, name := range []string{
--- a/internal/experiment/faults_test.go
+++ b/internal/experiment/faults_test.go
@@ -17,7 +17,7 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// serve is a daemon's process.
+// runDaemon runs a daemon with a configuration file until SIGTERM, and exits the test process.
 func runDaemon(file string) {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
@@ -31,8 +31,8 @@
 	os.Exit(0)
 }
 
-// A run of real processes of which a claim does not hold fails, and leaves in a folder what is needed to look for the
-// cause; one that holds leaves nothing.
+// A run of real processes that refutes a claim fails and writes the scenario, settings, result and log to a folder.
+// A run that refutes no claim writes nothing. A daemon program that exits at once is an error.
 func TestFaultsKeepEvidence(t *testing.T) {
 	self, err := os.Executable()
 	require.NoError(t, err)
--- a/internal/experiment/fit.go
+++ b/internal/experiment/fit.go
@@ -12,17 +12,18 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// maxShapePoints bounds the points of the rate's shape in a fitted scenario.
+// maxShapePoints is the maximum number of points in the rate curve of a fitted scenario.
 const maxShapePoints = 60
 
 const (
-	minFitOperations = 100 // that a record must have to fit a scenario
-	minFitSamples    = 20  // measurements that an estimate needs
+	minFitOperations = 100 // operations that an access record must have to fit a scenario to it
+	minFitSamples    = 20  // measurements needed for an estimate of work or of backoff
 )
 
-// FitScenario returns a scenario with what a record shows of clients: their rate and its shape, classes, tenants,
-// instances, retries, and the work of requests, from those served while the load was low. All else is the base's. notes
-// say what each estimate rests on. It returns an error where the record has too few operations.
+// FitScenario estimates a scenario from an access record: the number of instances, the clients' rate of operations
+// over time, their classes, tenants and retries, and the work of requests, from requests served while the load was
+// low. All other properties are taken from base. notes explains what each estimate is based on. A record with too
+// few operations is an error.
 func FitScenario(base *scenario.Scenario, rec *accesslog.Recording) (s *scenario.Scenario, notes []string, err error) {
 	f := &fit{base: base, scenario: base.Clone(), operations: rec.Operations()}
 	if len(f.operations) < minFitOperations {
@@ -44,21 +45,22 @@
 	return s, f.notes, err
 }
 
-// fit is the state of fitting a scenario to a record.
+// fit is the state of FitScenario.
 type fit struct {
 	base       *scenario.Scenario
 	scenario   *scenario.Scenario
 	operations []*accesslog.Operation
-	from       int64 // of the record, in microseconds
+	from       int64 // first and last instant of the record, in microseconds
 	to         int64
 	notes      []string
 }
 
+// addNote adds a note that FitScenario returns on the basis of an estimate.
 func (f *fit) addNote(format string, args ...any) {
 	f.notes = append(f.notes, fmt.Sprintf(format, args...))
 }
 
-// countBy returns how many first requests have each value of key, and the values in order.
+// countBy counts the first requests of operations by the value of key, and returns the sorted values and the counts.
 func (f *fit) countBy(key func(q *accesslog.Request) string) (values []string, counts map[string]int) {
 	counts = map[string]int{}
 	for _, operation := range f.operations {
@@ -67,12 +69,12 @@
 	return slices.Sorted(maps.Keys(counts)), counts
 }
 
-// share returns the part of all operations that n are.
+// share returns n as a fraction of all operations, rounded to thousandths.
 func (f *fit) share(n int) float64 {
 	return roundToThousandths(float64(n) / float64(len(f.operations)))
 }
 
-// fitRate fits the scenario's length, and the rate of operations and its shape.
+// fitRate estimates the scenario's length and the rate of operations over time.
 func (f *fit) fitRate(runs []*accesslog.Run) {
 	s := f.scenario
 	s.Name = "fitted"
@@ -90,7 +92,7 @@
 	s.Shape = rateShape(f.operations, f.from, f.to)
 }
 
-// fitInstances fits the number of instances, and how unevenly requests are spread over them.
+// fitInstances estimates the number of instances, and how unevenly operations are spread over them.
 func (f *fit) fitInstances() {
 	names, counts := f.countBy(func(q *accesslog.Request) string { return q.Instance })
 	f.scenario.Fleet.Instances = len(names)
@@ -102,6 +104,7 @@
 	f.scenario.Fleet.Uneven = roundToThousandths(stdDev / mean)
 }
 
+// fitTenants estimates the tenants and their shares of the operations.
 func (f *fit) fitTenants() {
 	names, counts := f.countBy(func(q *accesslog.Request) string { return q.Tenant })
 	f.scenario.Tenants = nil
@@ -126,7 +129,8 @@
 	return totalSpeed / float64(endpoints)
 }
 
-// fitClasses fits the classes' shares and work.
+// fitClasses estimates the share and the work of each request class. A class with fewer than minFitSamples suitable
+// requests keeps the work of the base's class of that name; without such a class it is an error.
 func (f *fit) fitClasses() error {
 	s := f.scenario
 	meanSpeed := f.meanSpeed()
@@ -169,7 +173,7 @@
 	return nil
 }
 
-// fitRetries fits how clients retry, from operations that were not served by their first request.
+// fitRetries estimates the clients' backoff and number of retries from operations whose first request was not served.
 func (f *fit) fitRetries() {
 	var backoffs []float64
 	maxRetries := 0
@@ -209,7 +213,8 @@
 
 func roundToThousandths(value float64) float64 { return math.Round(value*1000) / 1000 }
 
-// trimmedMeanStdDev returns mean and standard deviation, without the lowest and the highest hundredth.
+// trimmedMeanStdDev returns the mean and the standard deviation of values, without the lowest and the highest 1 % of
+// them.
 func trimmedMeanStdDev(values []float64) (mean, spread float64) {
 	values = slices.Sorted(slices.Values(values))
 	trimmed := len(values) / 100
@@ -220,7 +225,7 @@
 	return interval.Mean, math.Sqrt(spread / float64(max(1, len(values)-2*trimmed-1)))
 }
 
-// rateShape returns the rate of operations over time, as multiples of its mean.
+// rateShape returns the rate of operations over time, as multiples of the mean rate.
 func rateShape(operations []*accesslog.Operation, from, to int64) (shape []scenario.RatePoint) {
 	points := int(min(maxShapePoints, max(1, (to-from)/1_000_000)))
 	counts := make([]float64, points)
@@ -236,7 +241,8 @@
 	return shape
 }
 
-// quietSecondsFilter returns whether an instant is in the third of the seconds in which the fewest operations began.
+// quietSecondsFilter returns a function that reports whether an instant lies in a quiet second: one of the third of
+// all seconds in which the fewest operations started.
 func quietSecondsFilter(operations []*accesslog.Operation, from, to int64) func(at int64) bool {
 	counts := make([]int, (to-from)/1_000_000+1)
 	for _, operation := range operations {
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -16,15 +16,17 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// The files in testdata/golden are what a build wrote before names in this package and in package measure changed. They
-// are never written anew: a store outlives a build, and builds play one another's jobs.
+// The files in testdata/golden were written by a build from before identifiers of this package and of package
+// measure were renamed. They are never regenerated: stores outlive builds, and builds run one another's jobs, so
+// that these forms must not change.
 
-// goldenBuild stands for a program's digest, goldenKey is what goldenJob is known by in store.db.
+// goldenBuild is used as the build ID, and goldenKey is the key of goldenJob's result in store.db.
 const (
 	goldenBuild = "golden build"
 	goldenKey   = "f0862332177a36ccd7d90a7dbb8de02e"
 )
 
+// goldenJob returns the job in job.json, whose result is in store.db.
 func goldenJob() *Job {
 	return &Job{
 		Scenario:         "name = \"golden\"\n",
@@ -36,7 +38,8 @@
 	}
 }
 
-// goldenResult is the result in store.db. All of its fields have values of their own.
+// goldenResult returns the result in store.db. Each field has a different value, so that exchanged fields are
+// detected.
 func goldenResult() *measure.Result {
 	return &measure.Result{
 		Scenario: "golden",
@@ -98,6 +101,7 @@
 	}
 }
 
+// goldenSummary returns the comparison summary in summary.json.
 func goldenSummary() Summary {
 	return Summary{
 		Scenario: "golden", A: "shipped", B: "shipped,pick=2", Line: "golden: better", Seeds: []uint64{1, 2},
@@ -118,7 +122,7 @@
 	}
 }
 
-// goldenForms are the values of each JSON file in testdata/golden, apart from the store's.
+// goldenForms returns what this build writes for each JSON file in testdata/golden, by file name.
 func goldenForms(t *testing.T) map[string][]byte {
 	t.Helper()
 	marshal := func(v any) []byte {
@@ -174,6 +178,7 @@
 	}
 }
 
+// goldenFile returns the content of a file in testdata/golden.
 func goldenFile(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -181,7 +186,7 @@
 	return text
 }
 
-// What is sent to other builds, stored and printed has the same form as in an earlier build, byte for byte.
+// The JSON that is sent to other builds, stored or printed is identical to that of an earlier build, byte for byte.
 func TestGoldenFormsAreWritten(t *testing.T) {
 	for name, got := range goldenForms(t) {
 		if want := goldenFile(t, name); !bytes.Equal(got, want) {
@@ -190,7 +195,7 @@
 	}
 }
 
-// What an earlier build sent or stored is read to the values that it wrote.
+// JSON that an earlier build sent or stored is decoded to the values that it encoded, without unknown fields.
 func TestGoldenFormsAreRead(t *testing.T) {
 	for name, c := range map[string]struct{ into, want any }{
 		"job.json":        {&Job{}, goldenJob()},
@@ -210,7 +215,7 @@
 	}
 }
 
-// A store of an earlier build has its run under the key that this build looks for, and the run is what was stored.
+// In a store written by an earlier build, this build computes the same key for a job and reads the stored result.
 func TestGoldenStoreIsRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
 	require.NoError(t, os.WriteFile(path, goldenFile(t, "store.db"), 0o600))
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -21,7 +21,8 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// TestMain lets the test's own program stand for another build's.
+// TestMain lets the test binary act as other programs: as another build of dunlinsail-experiment if LAB_TEST_AS is
+// set, and as a daemon if it is started with --config FILE.
 func TestMain(m *testing.M) {
 	replyAndExit := func(reply string) {
 		if _, err := os.Stdout.WriteString(reply); err != nil {
@@ -50,6 +51,7 @@
 	goleak.VerifyTestMain(m)
 }
 
+// must returns a function that fails the test if err is not nil, and otherwise returns v.
 func must[T any](t *testing.T) func(v T, err error) T {
 	t.Helper()
 	return func(v T, err error) T {
@@ -59,6 +61,7 @@
 	}
 }
 
+// shortScenario returns the scenario calm with edits, 5 s long, with 2 instances and 5 endpoints.
 func shortScenario(t *testing.T, edits ...string) *scenario.Scenario {
 	t.Helper()
 	return must[*scenario.Scenario](t)(Resize(
@@ -66,12 +69,14 @@
 	))
 }
 
+// parseVariant parses a variant that must be valid.
 func parseVariant(t *testing.T, spec string) *Variant {
 	t.Helper()
 	return must[*Variant](t)(ParseVariant(spec))
 }
 
-// Edits change what they name, by names of tables in lists too, and say what they cannot find.
+// Edits change the value at their key, also in arrays of tables, whose entries are selected by name or kind. Unknown
+// entries and invalid edits or variants are errors.
 func TestEdits(t *testing.T) {
 	text := must[[]byte](t)(applyEdits(
 		[]byte("a = 1\n[b]\nc = \"x\"\n[[d]]\nname = \"one\"\nv = 1\n[[d]]\nkind = \"two\"\nv = 1\n"),
@@ -102,7 +107,7 @@
 	}
 }
 
-// All scenarios that come with the program are sound, and claim what can be judged.
+// All scenarios in the library can be loaded, and each claim of theirs uses known figures.
 func TestLibrary(t *testing.T) {
 	for _, name := range library.Names() {
 		s, err := library.Load(name)
@@ -126,8 +131,8 @@
 	}
 }
 
-// What comes of runs does not depend on how many are made at once, nor on whether they were stored; what was stored is
-// not run again, and another build's are others.
+// Results depend neither on the number of parallel runs nor on whether they come from the store. Stored runs are not
+// repeated, but stored results of one build are not used for another build.
 func TestSameHoweverRun(t *testing.T) {
 	ctx := context.Background()
 	plan := Plan{
@@ -183,7 +188,8 @@
 	}
 }
 
-// A run that is cut off keeps what is done, and the same command goes on from it.
+// A canceled comparison leaves its completed runs in the store, and the next comparison with the same plan reuses
+// them.
 func TestCutOff(t *testing.T) {
 	store := must[*Store](t)(OpenStore(filepath.Join(t.TempDir(), "lab.db")))
 	defer store.Close()
@@ -206,7 +212,8 @@
 	}
 }
 
-// Another build plays a job by its program, and its reply is checked.
+// A job that another build's program runs has the same result as in this process. Replies that are invalid or come
+// from another version of the simulation model are errors, and so is a missing program.
 func TestOtherBuild(t *testing.T) {
 	self := must[string](t)(os.Executable())
 	v := parseVariant(t, "@"+self+":shipped")
@@ -242,8 +249,8 @@
 	}
 }
 
-// A known harm is found; the same build with another decision seed is not found to differ, and with the same seed it
-// gives identical runs; a variant that changes retries is compared like any other.
+// A comparison detects a known harm and finds no difference between two decision seeds of the same variant. The same
+// variant with the same decision seed gives identical runs. Variants may change the scenario's client retries.
 func TestCompare(t *testing.T) {
 	ctx := context.Background()
 	compareIn := func(a, b string, edits ...string) *Comparison {
@@ -276,8 +283,8 @@
 	}
 }
 
-// The learned concurrency limit costs hardly any service while endpoints have capacity, and protects modest clients
-// from one that sends far too much.
+// The learned concurrency limit costs almost no service, neither at 70 % load nor under overload, and it protects
+// modest clients from a client that sends far too many requests.
 func TestLearnedBoundInFlight(t *testing.T) {
 	mean := func(s *scenario.Scenario, spec, figure string) float64 {
 		c := must[*Comparison](t)((&Runner{}).Compare(context.Background(), Plan{
@@ -292,7 +299,7 @@
 		return must[*scenario.Scenario](t)(Resize(must[*scenario.Scenario](t)(library.Load(name)), edits, 0, 0))
 	}
 	const unbounded = "shipped,requests.in_flight=1000"
-	// the first second costs a fifth of itself
+	// The limit costs about a fifth of the service of the first second of a run.
 	busyScenario := loadScenario("calm", "clients.load=0.7", "fleet.instances=1", "length=25s")
 	if a, b := mean(busyScenario, unbounded, "whole"), mean(busyScenario, Shipped, "whole"); b < a-0.02 {
 		t.Errorf("endpoints at seven tenths: %.3f of the worth served, %.3f without a bound", b, a)
@@ -308,7 +315,7 @@
 	}
 }
 
-// It goes on until it is known well enough, and no further than it may.
+// A comparison adds seeds until the interval is at most TargetWidth wide, but never more than MaxSeeds.
 func TestStopsAtWidth(t *testing.T) {
 	plan := Plan{
 		Scenario:    shortScenario(t, "clients.load=0.9"),
@@ -330,7 +337,8 @@
 	}
 }
 
-// What has not been seen is not said never to happen.
+// A violation that no run showed is reported with the upper bound of its rate, and one violation in ten runs does
+// not make a variant worse; nine violations do.
 func TestRareEvents(t *testing.T) {
 	c := &Comparison{}
 	for i := range 10 {
@@ -356,7 +364,7 @@
 	}
 }
 
-// A store that another program has open, or that is no store, is an error and not a wait.
+// Opening a store that is already open, or a file that is not a store, returns an error and does not block.
 func TestStoreThatCannotBe(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "lab.db")
 	s := must[*Store](t)(OpenStore(path))
@@ -371,7 +379,7 @@
 	}
 }
 
-// A sweep compares each place with the first.
+// A sweep compares each combination of values with the first one. Axes that are invalid or missing are errors.
 func TestSweep(t *testing.T) {
 	axes := []Axis{
 		must[Axis](t)(ParseAxis("world.clients.load=0.2|0.9")), must[Axis](t)(ParseAxis("attempts.most=1|3")),
@@ -407,8 +415,9 @@
 	}
 }
 
-// A search finds where a variant that may try once only loses against one that may try thrice, and what it leaves is a
-// small scenario that still shows it. The same search finds the same.
+// A search finds a plan in which a variant limited to one attempt serves less than the shipped settings, and
+// shrinks it to at most three events that still show most of the loss. Searches with the same seed have the same
+// finding.
 func TestSearchShrinksItsFinding(t *testing.T) {
 	search := func() *Finding {
 		return must[*Finding](t)((&Runner{}).Search(context.Background(), SearchOptions{
@@ -443,7 +452,8 @@
 	}
 }
 
-// Comparisons with a known answer mostly give it. The command `dunlinsail-experiment prove` makes more of them.
+// Most comparisons whose correct verdict is known return that verdict. The command `dunlinsail-experiment prove` makes
+// more of them.
 func TestProve(t *testing.T) {
 	p := must[*Proof](t)((&Runner{}).Prove(
 		context.Background(), shortScenario(t), parseVariant(t, Shipped), 6, 4, 0.05,
@@ -453,8 +463,8 @@
 	}
 }
 
-// A figure of real runs agrees where the mean lies in the model's error bars, which come of how unlike the model's runs
-// of one seed are, and of a tolerance; what differs from seed to seed widens nothing.
+// A figure of real runs agrees if their mean lies in the simulated interval. The interval's width comes from the
+// variance between simulated runs of one seed and from the tolerance. Differences between seeds do not widen it.
 func TestAgreement(t *testing.T) {
 	a := &Agreement{Seeds: 2, DecisionSeeds: 4}
 	for _, v := range []float64{0.90, 0.92, 0.90, 0.92, 0.50, 0.52, 0.50, 0.52} {
--- a/internal/experiment/prove.go
+++ b/internal/experiment/prove.go
@@ -7,16 +7,17 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// Proof is how often comparisons with a known outcome are right.
+// Proof states how often comparisons whose correct verdict is known returned that verdict.
 type Proof struct {
 	Comparisons  int
-	Inconclusive stats.Interval // of a variant with itself, with another decision seed: all ought to be
-	Found        stats.Interval // of a variant with itself and a known harm: all ought to be worse
+	Inconclusive stats.Interval // rate of Inconclusive between a variant and itself; ideally 1
+	Found        stats.Interval // rate of Worse for a variant with a known harm; ideally 1
 	Harm         float64
 }
 
-// Prove makes many comparisons of which it is known what they ought to say: a variant with itself, and with itself and
-// a harm. Each has seeds of its own.
+// Prove checks the comparison method with comparisons whose correct verdict is known. It compares a variant with
+// itself under another decision seed, which should be Inconclusive, and with itself plus a known harm, which should
+// be Worse. Each round uses other seeds.
 func (r *Runner) Prove(
 	ctx context.Context, s *scenario.Scenario, v *Variant, comparisons, seeds int, harm float64,
 ) (*Proof, error) {
--- a/internal/experiment/recorder.go
+++ b/internal/experiment/recorder.go
@@ -13,8 +13,8 @@
 	"dunlinsail/internal/simulation"
 )
 
-// NewRecorder returns an option that has a run write an access record to a folder, as its instances would. The caller
-// must call closer after the run.
+// NewRecorder returns an option for a simulated run of j, with which the run writes access records to the folder
+// dir, as its instances would. The caller must call closer after the run.
 func NewRecorder(dir string, j *Job) (option func(*simulation.Options), closer func(), err error) {
 	parsed, err := config.Parse([]byte(j.CriteriaSettings))
 	if err != nil {
@@ -22,22 +22,22 @@
 	}
 	hasher := accesslog.NewHasherFromSecret([]byte("of no patient's: a model's"))
 	r := &recorder{dir: dir, site: &parsed.Site, hasher: hasher}
-	if _, err := r.writer(0); err != nil { // an unusable folder is reported before the run
+	if _, err := r.writer(0); err != nil { // reports an unusable folder before the run starts
 		return nil, nil, err
 	}
 	return func(o *simulation.Options) { o.Record = r.record }, r.close, nil
 }
 
-// recorder writes access records of a simulated run, with a writer for each instance.
+// recorder writes the access records of a simulated run, with one writer per instance.
 type recorder struct {
 	dir     string
 	site    *siteconfig.Site
 	hasher  *accesslog.Hasher
 	writers []*accesslog.Writer
-	now     atomic.Int64 // of the run, in microseconds
+	now     atomic.Int64 // latest simulated end of a request, in microseconds
 }
 
-// writer returns the writer of an instance.
+// writer returns the access record writer of an instance, and opens it on first use.
 func (r *recorder) writer(instance int) (*accesslog.Writer, error) {
 	for len(r.writers) <= instance {
 		writer, err := accesslog.NewWriter(accesslog.Options{
@@ -57,13 +57,14 @@
 	return r.writers[instance], nil
 }
 
+// close closes the writers of all instances.
 func (r *recorder) close() {
 	for _, w := range r.writers {
 		w.Close()
 	}
 }
 
-// accessLogVerdicts are the verdicts of an access record by the engine's; all others are failures.
+// accessLogVerdicts maps an engine verdict to that of an access record; engine verdicts not listed count as failed.
 var accessLogVerdicts = map[engine.Verdict]string{
 	engine.Served:      accesslog.Served,
 	engine.Rejected:    accesslog.Rejected,
@@ -71,7 +72,7 @@
 	engine.TimedOut:    accesslog.TimedOut,
 }
 
-// record writes one request; where its instance's writer cannot be opened it is dropped.
+// record writes one request. It drops the request if the writer of its instance cannot be opened.
 func (r *recorder) record(request *simulation.RequestRecord) {
 	r.now.Store(max(r.now.Load(), request.ArrivedAt+request.Duration))
 	w, err := r.writer(request.Instance)
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -19,7 +19,7 @@
 	"dunlinsail/internal/simulation/simclient"
 )
 
-// digestFiles returns a digest of the names and contents of files and of all files below folders.
+// digestFiles returns a digest of the names and contents of the files at paths, including all files below folders.
 func digestFiles(paths []string) (string, error) {
 	d := xxhash.New()
 	for _, p := range paths {
@@ -43,7 +43,7 @@
 	return hex.EncodeToString(d.Sum(nil)), nil
 }
 
-// recordCache holds the record that was read last: each seed replays the same one.
+// recordCache holds the access record that was read last, since the runs of all seeds replay the same one.
 var recordCache struct {
 	sync.Mutex
 	digest     string
@@ -52,7 +52,8 @@
 	from       int64
 }
 
-// readRecord reads an access record, or returns it from the cache.
+// readRecord reads the access record of a replay, or returns it from the cache. from is the record's first instant, in
+// microseconds.
 func readRecord(r *scenario.Replay) (operations []*accesslog.Operation, runs []*accesslog.Run, from int64, err error) {
 	digest, err := digestFiles(r.From)
 	if err != nil {
@@ -80,10 +81,10 @@
 	return recordCache.operations, recordCache.runs, recordCache.from, nil
 }
 
-// recordedOperations are the operations of a record by instance; it is a plan's source of operations.
+// recordedOperations holds the operations of an access record by instance. It implements scenario.Source.
 type recordedOperations [][]simclient.Operation
 
-// Operations returns the operations of an instance, one a call.
+// Operations returns an iterator over the operations of an instance: each call returns the next one, false at the end.
 func (r recordedOperations) Operations(instance int) func() (simclient.Operation, bool) {
 	next := 0
 	return func() (operation simclient.Operation, ok bool) {
@@ -95,8 +96,9 @@
 	}
 }
 
-// replayRecord returns a plan's operations from an access record: the first request of each recorded operation, at the
-// instance that it came to, scaled up where the record is a sample.
+// replayRecord returns the operations of a plan from its access record. Each operation is the first request of a
+// recorded operation, at the instance that received it. If the record is a sample, operations are duplicated to
+// restore the rate.
 func replayRecord(p *scenario.Plan) (scenario.Source, error) {
 	recorded, runs, from, err := readRecord(p.Replay)
 	if err != nil {
@@ -119,18 +121,19 @@
 // replay converts the requests of a record into the operations of a plan.
 type replay struct {
 	plan            *scenario.Plan
-	from            int64   // instant of the record at which the plan begins, in microseconds
-	sampledFraction float64 // the part of requests that the record holds
+	from            int64   // instant of the record at which the plan starts, in microseconds
+	sampledFraction float64 // fraction of all requests that the record contains
 	instances       map[string]int
 	classes         map[string]int
 	tenants         map[string]int
-	processes       map[string]int // by instance and client, numbered as they appear
+	processes       map[string]int // client process number by "instance/client", in order of appearance
 	workRand        *randstream.Stream
 	copyRand        *randstream.Stream
 
 	operations recordedOperations
 }
 
+// newReplay returns a replay without operations for a plan. It maps the recorded instances to those of the plan.
 func newReplay(p *scenario.Plan, runs []*accesslog.Run, from int64) *replay {
 	r := &replay{
 		plan:            p,
@@ -160,7 +163,8 @@
 	return r
 }
 
-// add adds the n-th recorded request, as often as the record's sampling makes it stand for.
+// add adds a recorded request, the index-th of the record, as an operation. If the record is a sample, it adds
+// 1/sampledFraction copies on average.
 func (r *replay) add(index int, request *accesslog.Request) error {
 	class, ok := r.classes[request.Class]
 	if !ok {
@@ -185,7 +189,7 @@
 	}
 	for copyIndex := range count {
 		startedAt := request.Arrived - r.from
-		if copyIndex > 0 { // when an unsampled request came is not known: it is put within half a second of this one
+		if copyIndex > 0 { // arrival of a request not in the sample is unknown: draw it within 0.5 s
 			startedAt += int64((countRand.Float64() - 0.5) * 1e6)
 		}
 		if startedAt < 0 || startedAt >= r.plan.Length.Micros() {
--- a/internal/experiment/replay_test.go
+++ b/internal/experiment/replay_test.go
@@ -14,13 +14,13 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// storm is a scenario in which clients try again much.
+// retryStorm returns an overloaded scenario in which clients send many retries.
 func retryStorm(t *testing.T, edits ...string) *scenario.Scenario {
 	t.Helper()
 	return shortScenario(t, append([]string{"clients.load=1.3", "clients.retries=[2, 3]", "length=12s"}, edits...)...)
 }
 
-// recorded returns a folder with the record of a run, and what the run came to.
+// recordRun runs a scenario and returns the folder with its access record, and the result of the run.
 func recordRun(t *testing.T, s *scenario.Scenario) (dir string, r *measure.Result) {
 	t.Helper()
 	dir = t.TempDir()
@@ -33,8 +33,9 @@
 	return dir, r
 }
 
-// Of a record that is full of retries only the first requests are replayed: a variant under which less fails gets as
-// many operations as there were, and not the retries that another variant caused.
+// From a record with many retries, only the first request of each operation is replayed. A fleet in which fewer
+// requests fail must get the recorded number of operations, but not the retries that failures in the recorded run
+// caused.
 func TestReplayKeepsFirstRequests(t *testing.T) {
 	dir, original := recordRun(t, retryStorm(t))
 	rec := must[*accesslog.Recording](t)(accesslog.Read(dir))
@@ -85,7 +86,9 @@
 	}
 }
 
-// A sample is scaled up; what does not fit the scenario, or is not there, is an error.
+// Replaying a sampled record restores the recorded number of operations. Records that are missing, empty
+// or have classes that the scenario does not have are errors. Records with different content have different
+// digests.
 func TestReplayOfSamplesAndMisfits(t *testing.T) {
 	dir, original := recordRun(t, retryStorm(t))
 	rec := must[*accesslog.Recording](t)(accesslog.Read(dir))
@@ -143,7 +146,8 @@
 	}
 }
 
-// What is fitted to a record is close to what made it.
+// A scenario fitted to the record of a run is close to the scenario of that run: rate and its changes, instances,
+// classes' shares and work, and client retries. An empty record is an error.
 func TestFit(t *testing.T) {
 	s := must[*scenario.Scenario](t)(Resize(retryStorm(t), []string{
 		"clients.load=0.5", "length=30s", "clients.backoff=20ms..60ms", "clients.honour_retry_after=0.0",
--- a/internal/experiment/resize.go
+++ b/internal/experiment/resize.go
@@ -6,7 +6,9 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// Resize returns a scenario with edits (KEY=VALUE), and with so many instances and endpoints; 0 leaves them.
+// Resize returns the scenario with edits (KEY=VALUE) applied, and with the given numbers of instances and
+// endpoints; 0 keeps a number. Endpoints are distributed over the endpoint kinds in the same proportions as before,
+// at least one each.
 func Resize(s *scenario.Scenario, edits []string, instances, endpoints int) (*scenario.Scenario, error) {
 	if endpoints > 0 {
 		total := 0
--- a/internal/experiment/runner.go
+++ b/internal/experiment/runner.go
@@ -10,25 +10,25 @@
 	"dunlinsail/internal/simulation/measure"
 )
 
-// Runner makes runs, several at the same time. Results do not depend on how many.
+// Runner makes runs, several in parallel. Results do not depend on the number of parallel runs.
 type Runner struct {
-	Parallel int                               // runs at the same time; 0 is one for each processor
-	Store    *Store                            // of results; nil stores none
-	Progress func(done, stored, requested int) // one call at a time; must not call the runner
+	Parallel int                               // maximum number of parallel runs; 0 means GOMAXPROCS
+	Store    *Store                            // caches results across processes; nil: no store
+	Progress func(done, stored, requested int) // called with totals, never concurrently; must not call the runner
 
 	mu       sync.Mutex
 	buildIDs map[string]string
-	memoized map[string]*measure.Result // of this runner, by key
+	memoized map[string]*measure.Result // results of this runner, by store key
 	totals   struct{ done, stored, requested int }
 }
 
-// Task is a run of a variant.
+// Task is one run that a Runner is to make: a job and the variant that it belongs to.
 type Task struct {
 	Variant *Variant
 	Job     Job
 }
 
-// buildID returns the digest of a program, cached.
+// buildID returns the build ID of a program, from the runner's cache if it is there.
 func (r *Runner) buildID(program string) (string, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,7 +46,8 @@
 	return build, nil
 }
 
-// reportProgress adds to the runs that were made, found in the store, and requested.
+// reportProgress adds to the total numbers of runs that were made, found in the store, and requested, and passes the
+// totals to Progress.
 func (r *Runner) reportProgress(done, stored, requested int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,8 +59,8 @@
 	}
 }
 
-// Run makes runs and returns their results in order. When ctx ends it returns its cause; the runs made by then are
-// stored.
+// Run makes the runs of tasks and returns their results in the order of tasks. If ctx is canceled it returns the
+// cause. The runs completed by then are in the store.
 func (r *Runner) Run(ctx context.Context, tasks []Task) ([]*measure.Result, error) {
 	results := make([]*measure.Result, len(tasks))
 	r.reportProgress(0, 0, len(tasks))
@@ -93,10 +94,11 @@
 	return results, nil
 }
 
-// maxMemoized bounds the results that a runner holds in memory; it drops all of them when it is reached.
+// maxMemoized is the number of results that a runner holds in memory. At that number it drops all of them.
 const maxMemoized = 2000
 
-// runTask returns the result of a run, from memory or the store if it is there.
+// runTask returns the result of a task, from memory or the store if available; otherwise it makes the run. cached
+// reports whether the run was avoided.
 func (r *Runner) runTask(ctx context.Context, t *Task) (result *measure.Result, cached bool, err error) {
 	build, err := r.buildID(t.Variant.Program)
 	if err != nil {
--- a/internal/experiment/scale.go
+++ b/internal/experiment/scale.go
@@ -12,47 +12,49 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// Size is the size of a fleet.
+// Size is the size of a simulated fleet.
 type Size struct {
 	Instances int `json:"Instances"`
 	Endpoints int `json:"Nodes"`
 }
 
-// SizeRun is the cost of a simulated run of a fleet of some size.
+// SizeRun is a simulated run of a fleet of some size, and the processor time and memory that it took.
 type SizeRun struct {
 	Size
 	Subset        int             `json:"Subset"`
-	Length        time.Duration   `json:"Length"` // simulated
-	Rate          float64         `json:"Rate"`   // operations a simulated second
+	Length        time.Duration   `json:"Length"` // simulated time
+	Rate          float64         `json:"Rate"`   // operations per simulated second
 	Operations    int64           `json:"Stories"`
 	Decisions     int64           `json:"Decisions"`
-	ProcessorTime time.Duration   `json:"Processor"` // of all processors together
-	Memory        int64           `json:"Memory"`    // peak, in bytes
+	ProcessorTime time.Duration   `json:"Processor"` // processor time used, summed over all processors
+	Memory        int64           `json:"Memory"`    // peak resident memory, in bytes
 	Result        *measure.Result `json:"Result"`
 }
 
-// Scaling are the options of runs that measure their cost.
+// Scaling holds the options of runs that measure the cost of simulating a fleet of some size.
 type Scaling struct {
 	Scenario   *scenario.Scenario
 	Variant    *Variant
-	Subset     int   // endpoints on an instance's list, at most
-	Operations int64 // about this many in each run, by its length
+	Subset     int   // endpoints on an instance's list; raised to the minimum of minSubsetFactor
+	Operations int64 // approximate number of operations per run; sets the run's length
 	Seed       uint64
-	Program    string   // a dunlinsail-experiment whose command play makes a run; "" is this program
-	Env        []string // environment of that program, beside this one's
+	Program    string   // dunlinsail-experiment binary whose play command makes the run; "" is this one
+	Env        []string // environment variables for Program, added to those of this process
 }
 
-// minSubsetFactor is the least size of an instance's list, relative to its part of all endpoints.
+// minSubsetFactor is the minimum size of an instance's endpoint list, as a multiple of its equal share of all
+// endpoints.
 const minSubsetFactor = 4
 
-// RunSize makes a run of a size in a process of its own, so that its memory and time are known.
+// RunSize simulates a fleet of the given size in a separate process, so that memory and processor time can be
+// measured.
 func (sc *Scaling) RunSize(ctx context.Context, size Size) (*SizeRun, error) {
 	s, err := Resize(sc.Scenario, nil, size.Instances, size.Endpoints)
 	if err != nil {
 		return nil, err
 	}
 	s = s.Clone()
-	// The endpoints of a few instances must suffice for all of the traffic.
+	// The endpoints on the lists of a few instances must suffice for all of the traffic.
 	run := &SizeRun{
 		Size:   size,
 		Subset: min(max(sc.Subset, minSubsetFactor*size.Endpoints/size.Instances), size.Endpoints),
@@ -84,7 +86,7 @@
 	run.Decisions = run.Result.Costs.Decisions
 	run.ProcessorTime = processState.UserTime() + processState.SystemTime()
 	if usage, ok := processState.SysUsage().(*syscall.Rusage); ok {
-		run.Memory = usage.Maxrss << 10 // getrusage(2): in KiB
+		run.Memory = usage.Maxrss << 10 // Maxrss is in KiB (getrusage(2))
 	}
 	return run, nil
 }
--- a/internal/experiment/search.go
+++ b/internal/experiment/search.go
@@ -14,27 +14,27 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// SearchOptions says how a worst case is looked for.
+// SearchOptions are the options of a search for the plan in which a variant performs worst.
 type SearchOptions struct {
-	Scenario  *scenario.Scenario // whose events are changed; all else of it stays
-	Variant   *Variant           // that is to do badly
-	Against   *Variant           // that is to do well there; nil: what is left of the endpoints could have served
-	Budget    int                // runs of Variant, about, a third of them to shrink what is found
+	Scenario  *scenario.Scenario // the search varies its events and keeps everything else
+	Variant   *Variant           // the variant whose worst plan is searched for
+	Against   *Variant           // the variant compared with; nil: the upper bound MaxServableShare
+	Budget    int                // approximate number of runs of Variant, including those for shrinking
 	Seed      uint64
-	OnFinding func(Finding) // called for each that is worse than all before; may be nil
+	OnFinding func(Finding) // called for each finding worse than all before; may be nil
 }
 
-// Finding is a plan at which a variant does badly.
+// Finding is a plan (a scenario and a seed) in which a variant performs badly.
 type Finding struct {
 	Scenario   *scenario.Scenario
 	Seed       uint64
-	Loss       float64 // service that Against, or the endpoints that were left, could have given beyond Variant's
-	Violations float64 // rules broken: those go before any loss
+	Loss       float64 // Against's service minus Variant's; without Against, MaxServableShare minus Variant's served share
+	Violations float64 // rule violations; a plan with any is worse than one with none, whatever the losses
 	Service    float64
-	Runs       int // until then
+	Runs       int // number of plans evaluated when this one was found
 }
 
-// worse reports whether a is worse for the variant than b.
+// worse reports whether the variant performs worse in plan a than in plan b.
 func (a *Finding) worse(b *Finding) bool {
 	if (a.Violations > 0) != (b.Violations > 0) {
 		return a.Violations > 0
@@ -43,15 +43,16 @@
 }
 
 const (
-	randomFraction   = 0.4 // of the budget is for plans drawn at random
-	shrinkFraction   = 0.3 // of the budget is for shrinking the worst plan
-	maxCandidates    = 6   // worst plans that are mutated
-	searchBatch      = 8   // plans that are evaluated together
-	minRemainingLoss = 0.8 // part of its loss that a shrunk plan must still have
+	randomFraction   = 0.4 // fraction of the budget for plans drawn at random
+	shrinkFraction   = 0.3 // fraction of the budget for shrinking the worst plan
+	maxCandidates    = 6   // number of worst plans that are kept for mutation
+	searchBatch      = 8   // number of plans that are evaluated in parallel
+	minRemainingLoss = 0.8 // fraction of the loss that a shrunk plan must keep
 )
 
-// Search looks for the plan at which a variant does worst, and shrinks it to what matters. It draws plans at random and
-// mutates the worst ones: that it finds nothing says little. Results depend on the seed only.
+// Search looks for the plan in which a variant performs worst, and shrinks that plan. It draws plans at random and
+// mutates the worst ones, so that an unsuccessful search does not show that no bad plan exists. The search is
+// deterministic for a seed.
 func (r *Runner) Search(ctx context.Context, options SearchOptions) (*Finding, error) {
 	x := &search{SearchOptions: options, runner: r, rng: rand.New(rand.NewPCG(options.Seed, 11))}
 	randomRuns := int(randomFraction * float64(options.Budget))
@@ -80,7 +81,8 @@
 	return x.shrink(ctx)
 }
 
-// addCandidate adds an evaluated plan to the worst ones, and reports it if it is the worst.
+// addCandidate adds an evaluated plan to the candidates, of which only the worst are kept. It passes the plan to
+// OnFinding if it is the worst so far.
 func (x *search) addCandidate(candidate *Finding) {
 	if len(x.candidates) == 0 || candidate.worse(x.candidates[0]) {
 		candidate.Runs = x.runs
@@ -101,7 +103,7 @@
 	x.candidates = x.candidates[:min(len(x.candidates), maxCandidates)]
 }
 
-// search is the state of a search.
+// search is the state of Runner.Search.
 type search struct {
 	SearchOptions
 	runner     *Runner
@@ -110,7 +112,7 @@
 	candidates []*Finding
 }
 
-// worst returns the worst candidate so far, nil before the first.
+// worst returns the worst plan evaluated so far, or nil before the first.
 func (x *search) worst() *Finding {
 	if len(x.candidates) == 0 {
 		return nil
@@ -118,7 +120,7 @@
 	return x.candidates[0]
 }
 
-// evaluate plays plans and sets the loss of each.
+// evaluate runs plans with the variant, and with Against if there is one, and sets the figures of each finding.
 func (x *search) evaluate(ctx context.Context, findings []*Finding) error {
 	var tasks []Task
 	for _, finding := range findings {
@@ -154,10 +156,10 @@
 	return nil
 }
 
-// singleValueSpan returns a span of a single value.
+// singleValueSpan returns a span whose two ends are d.
 func singleValueSpan(d time.Duration) *stricttoml.Span { return &stricttoml.Span{From: d, To: d} }
 
-// eventKinds are the events that are drawn, with the range of their sizes.
+// eventKinds lists the kinds of events that a search draws, and the range of their sizes; {0, 0} if they have no size.
 var eventKinds = []struct {
 	name      string
 	sizeRange [2]float64
@@ -178,10 +180,10 @@
 	{scenario.EventZonePartition, [2]float64{}, false},
 }
 
-// fractionEvents are the kinds whose size is a share of requests or of the machine, 0 to 1.
+// fractionEvents lists the event kinds whose size is a fraction of the requests or of the machine, 0 to 1.
 var fractionEvents = []string{scenario.EventErrors, scenario.EventUnanswered, scenario.EventNeighbour}
 
-// drawEvent draws an event.
+// drawEvent returns a random event for scenario s: its kind, time, length, size and affected endpoints.
 func (x *search) drawEvent(s *scenario.Scenario) scenario.Event {
 	length := s.Length.Duration
 	kind := eventKinds[x.rng.IntN(len(eventKinds))]
@@ -194,7 +196,7 @@
 		For:  singleValueSpan(drawDuration(0.05, 0.5)),
 	}
 	if kind.sizeRange[1] > 0 {
-		// Sizes are drawn evenly on a logarithmic scale: small ones do harm that is easily overlooked.
+		// Sizes are distributed uniformly on a logarithmic scale, since the harm of small ones is easily overlooked.
 		e.Size = scenario.Range{
 			math.Round(1000*kind.sizeRange[0]*math.Pow(kind.sizeRange[1]/kind.sizeRange[0], x.rng.Float64())) / 1000,
 		}
@@ -229,7 +231,7 @@
 	return e
 }
 
-// drawEvents draws all events of a scenario.
+// drawEvents replaces the events of a scenario by one to three random ones.
 func (x *search) drawEvents(s *scenario.Scenario) {
 	s.Events = nil
 	for range 1 + x.rng.IntN(3) {
@@ -237,7 +239,8 @@
 	}
 }
 
-// mutate changes one property of a plan.
+// mutate changes a plan in one respect: it draws another seed, changes the start, length, size or affected fraction
+// of an event, adds an event, or replaces one.
 func (x *search) mutate(finding *Finding) {
 	s := finding.Scenario
 	if len(s.Events) == 0 {
@@ -284,8 +287,8 @@
 	}
 }
 
-// shrink makes the worst plan small: with fewer events, shorter, milder, with fewer instances and endpoints, as long as
-// most of its loss is left.
+// shrink reduces the worst plan step by step to fewer, shorter and weaker events and fewer instances and endpoints, as
+// long as it keeps the fraction minRemainingLoss of its loss.
 func (x *search) shrink(ctx context.Context) (*Finding, error) {
 	smallest := x.worst()
 	if smallest == nil {
@@ -301,7 +304,7 @@
 				break
 			}
 			if _, err := Resize(candidate.Scenario, []string{"about=\"\""}, 0, 0); err != nil {
-				continue // it makes no sense any more
+				continue // the smaller scenario is not valid
 			}
 			if err := x.evaluate(ctx, []*Finding{candidate}); err != nil {
 				return smallest, err
@@ -321,7 +324,7 @@
 	return smallest, nil
 }
 
-// smaller returns the plans that are one step smaller than a finding's.
+// smallerPlans returns the plans that are one step smaller than that of f.
 func (x *search) smallerPlans(f *Finding) (plans []*Finding) {
 	add := func(change func(s *scenario.Scenario)) {
 		plan := &Finding{Scenario: f.Scenario.Clone(), Seed: f.Seed}
@@ -338,7 +341,7 @@
 		add(func(s *scenario.Scenario) { s.Length = stricttoml.Duration{Duration: lastEnd + 5*time.Second} })
 	}
 	if firstStart := firstEventStart(s); firstStart > 6*time.Second {
-		add(func(s *scenario.Scenario) { // starts sooner
+		add(func(s *scenario.Scenario) { // moves all events earlier
 			for i := range s.Events {
 				s.Events[i].At = singleValueSpan(s.Events[i].At.From - firstStart + 5*time.Second)
 			}
@@ -359,7 +362,8 @@
 	return plans
 }
 
-// addSmallerEvents adds the plans with a shorter or weaker event, or one that applies to fewer endpoints.
+// addSmallerEvents calls add with each change that makes one event of s shorter or weaker, or affect a smaller
+// fraction of endpoints.
 func addSmallerEvents(s *scenario.Scenario, add func(change func(s *scenario.Scenario))) {
 	for i := range s.Events {
 		e := &s.Events[i]
@@ -376,6 +380,7 @@
 	}
 }
 
+// lastEventEnd returns the time at which the last event of s ends.
 func lastEventEnd(s *scenario.Scenario) (latest time.Duration) {
 	for _, e := range s.Events {
 		end := e.At.From
@@ -387,6 +392,7 @@
 	return latest
 }
 
+// firstEventStart returns the time at which the first event of s starts.
 func firstEventStart(s *scenario.Scenario) time.Duration {
 	return slices.MinFunc(s.Events, func(a, b scenario.Event) int { return cmp.Compare(a.At.From, b.At.From) }).At.From
 }
--- a/internal/experiment/size_test.go
+++ b/internal/experiment/size_test.go
@@ -14,8 +14,8 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// changedLines returns how many lines of a file differ in a text that takes its place, apart from white space: gofmt
-// aligns the comments of neighbouring lines anew.
+// changedLines returns the number of lines in which text differs from the file name. It ignores white space, since
+// gofmt realigns the comments of adjacent lines.
 func changedLines(t *testing.T, name string, text []byte) (changed int) {
 	t.Helper()
 	original, err := os.ReadFile(name)
@@ -29,8 +29,8 @@
 	return changed
 }
 
-// A constant of the decisions gets another value where it is declared, and nothing else changes. A name that is no
-// constant of the module is an error.
+// Setting constants of the balancing decisions changes only the lines that declare them. Unknown constants or
+// folders, and invalid expressions, are errors.
 func TestConstants(t *testing.T) {
 	root := "../.."
 	files := map[string][]byte{}
@@ -75,8 +75,8 @@
 	}
 }
 
-// A run of a size is made by a process of its own, and what that used is known; it is the same with one processor and
-// with four.
+// RunSize runs a simulation in a separate process and returns the processor time and memory that this used. The
+// result is the same with one processor and with four. A missing program is an error.
 func TestScaling(t *testing.T) {
 	self := must[string](t)(os.Executable())
 	sc := Scaling{
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -18,14 +18,16 @@
 	"dunlinsail/internal/simulation/measure"
 )
 
-// Store keeps what was run, so that nothing is run twice: an experiment that was cut off goes on from what is there. A
-// run is known by all that it depends on, the build too; each is written in a transaction of its own, and is there
-// whole or not at all after a crash.
+// Store saves the results of runs in a file, so that an interrupted experiment continues without repeating runs.
+// The key of a result covers everything that the run depends on, including the build (see Job.storeKey). Each
+// result is written in its own transaction, so that a crash leaves no partial result.
 type Store struct{ db *bbolt.DB }
 
+// runsBucket is the name of the bucket that holds all results.
 var runsBucket = []byte("runs 1")
 
-// OpenStore opens a store's file, or makes it. Another program that has it open is waited for, for a moment.
+// OpenStore opens the store in the file path, or creates it. If another program has the file open, it waits up to one
+// second and then returns an error.
 func OpenStore(path string) (*Store, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
 	if errors.Is(err, bolterrors.ErrTimeout) {
@@ -39,16 +41,16 @@
 		return err
 	})
 	if err != nil {
-		_ = db.Close() // nothing was written
+		_ = db.Close() // nothing was written, so that the error of Close does not matter
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return &Store{db}, nil
 }
 
-// Close closes the file.
+// Close closes the store's file.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Get returns a run that is kept, nil if there is none.
+// Get returns the result stored under key, or nil if there is none.
 func (s *Store) Get(key []byte) (r *measure.Result, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		compressed := tx.Bucket(runsBucket).Get(key)
@@ -72,7 +74,7 @@
 	return r, nil
 }
 
-// Put keeps a run.
+// Put stores the result of a run under key.
 func (s *Store) Put(key []byte, r *measure.Result) error {
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -89,7 +91,7 @@
 	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(runsBucket).Put(key, compressed.Bytes()) })
 }
 
-// Len returns how many runs are kept.
+// Len returns the number of stored results.
 func (s *Store) Len() (n int, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		n = tx.Bucket(runsBucket).Stats().KeyN
@@ -98,7 +100,7 @@
 	return n, err
 }
 
-// storeKey returns the key of a job of a build.
+// storeKey returns the key under which a Store holds the result of the job, run with the given build.
 func (j *Job) storeKey(build string) ([]byte, error) {
 	text, err := json.Marshal(j)
 	if err != nil {
@@ -106,7 +108,7 @@
 	}
 	d := xxhash.New()
 	var key []byte
-	for _, prefix := range []string{"a", "b"} { // 128 bits: a store may hold very many
+	for _, prefix := range []string{"a", "b"} { // 128 bits: 64 might collide among very many runs
 		d.Reset()
 		_, _ = d.WriteString(prefix + build)
 		d.Write(text)
@@ -115,7 +117,7 @@
 	return key, nil
 }
 
-// BuildID identifies a build of a program, by the digest of its file.
+// BuildID returns the digest of a program's file, which identifies its build; "" is the running program.
 func BuildID(program string) (string, error) {
 	if program == "" {
 		executable, err := os.Executable()
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -8,13 +8,13 @@
 	"dunlinsail/internal/experiment/stats"
 )
 
-// Axis is a key and the values that it takes: a variant's, as ParseVariant has them.
+// Axis is a key of a variant (see ParseVariant) and the values that it takes in a sweep.
 type Axis struct {
 	Key    string
 	Values []string
 }
 
-// ParseAxis reads KEY=VALUE|VALUE|...
+// ParseAxis parses an axis, written as KEY=VALUE|VALUE|... with at least two values.
 func ParseAxis(text string) (Axis, error) {
 	key, values, ok := strings.Cut(text, "=")
 	axis := Axis{key, strings.Split(values, "|")}
@@ -24,19 +24,20 @@
 	return axis, nil
 }
 
-// Point is a combination of values of a sweep.
+// SweepPoint is one combination of the axes' values, and its comparison with the sweep's first point.
 type SweepPoint struct {
-	Values []string // of each axis
+	Values []string // one value per axis, in the order of the axes
 	*Comparison
 }
 
-// Sweep is the result of a sweep.
+// Sweep is the result of Runner.Sweep.
 type Sweep struct {
 	Axes   []Axis
-	Points []SweepPoint // the last axis goes fastest; the first point is what the others are compared with
+	Points []SweepPoint // the last axis varies fastest; the first point is the baseline
 }
 
-// Sweep compares a variant with each value of one axis or two with the first one.
+// Sweep measures variant p.A at each combination of the values of one or two axes, and compares each combination
+// with the first one.
 func (r *Runner) Sweep(ctx context.Context, p Plan, axes []Axis) (*Sweep, error) {
 	if len(axes) < 1 || len(axes) > 2 {
 		return nil, fmt.Errorf("a sweep has one axis or two, not %d", len(axes))
@@ -78,7 +79,8 @@
 	return s, nil
 }
 
-// Figure returns a figure at a point, and its difference from the first point; there it is nil.
+// Figure returns the value of a figure at the point, and the row with its difference from the sweep's first point.
+// At the first point, difference is nil.
 func (p *SweepPoint) Figure(figure string) (value stats.Interval, difference *Row) {
 	runs := p.RunsB
 	if runs == nil {
--- a/internal/experiment/variant.go
+++ b/internal/experiment/variant.go
@@ -20,22 +20,23 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// Shipped names the settings that come with the program.
+// Shipped is the name by which a variant selects the configuration file that is embedded in the program.
 const Shipped = "shipped"
 
-// Variant is what a fleet runs on: a daemon's file, with edits, by this build's decisions or another's.
+// Variant is a configuration of a simulated fleet: an edited daemon configuration file, and the build whose
+// decisions are run.
 type Variant struct {
-	Spec          string // as it was given
-	Program       string // another build's dunlinsail-experiment; "" is this one
-	Settings      []byte // the daemon's file, edited
+	Spec          string // text that ParseVariant was given
+	Program       string // dunlinsail-experiment binary of another build; "" is this one
+	Settings      []byte // daemon configuration file, with edits applied
 	ScenarioEdits []string
 	DecisionSeed  uint64
 	Harm          float64
 }
 
-// ParseVariant reads a variant: [@PROGRAM:]FILE[,KEY=VALUE]..., where FILE is a daemon's file or "shipped". A key
-// is one of that file, or world.KEY of the scenario, or lots (the decision seed), or harm (the share of operations that
-// is spoilt, to test that a comparison finds it).
+// ParseVariant parses a variant: [@PROGRAM:]FILE[,KEY=VALUE]..., where FILE is a daemon configuration file or
+// "shipped". KEY is a key of that file, or world.KEY for a key of the scenario, or lots (the decision seed), or
+// harm (the fraction of operations deliberately counted as unserved, to test that a comparison detects it).
 func ParseVariant(spec string) (*Variant, error) {
 	v := &Variant{Spec: spec}
 	rest := spec
@@ -69,7 +70,7 @@
 	if v.Settings, err = applyEdits(text, edits); err != nil {
 		return nil, fmt.Errorf("variant %q: %w", spec, err)
 	}
-	if v.Program == "" { // another build may know other keys
+	if v.Program == "" { // another build may have other keys
 		if _, err := config.Parse(v.Settings); err != nil {
 			return nil, fmt.Errorf("variant %q: %w", spec, err)
 		}
@@ -100,7 +101,7 @@
 	return true, nil
 }
 
-// splitEdits splits a spec at its commas, except for those within brackets or quotes.
+// splitEdits splits the text of a variant at its commas, except for commas within brackets, braces or quotes.
 func splitEdits(spec string) []string {
 	var parts []string
 	depth := 0
@@ -123,17 +124,17 @@
 	return append(parts, spec[start:])
 }
 
-// Job is one run that is to be made: all that it depends on, beside the build.
+// Job describes one run: everything that its result depends on, except for the build.
 type Job struct {
-	Scenario         string  `json:"scenario"` // its whole text
-	Settings         string  `json:"settings"` // a daemon's file
-	CriteriaSettings string  `json:"judge"`    // the file by which is judged
+	Scenario         string  `json:"scenario"` // full text of the scenario (TOML)
+	Settings         string  `json:"settings"` // text of the daemon configuration file
+	CriteriaSettings string  `json:"judge"`    // text of the file whose criteria evaluate the run
 	Seed             uint64  `json:"seed"`
 	DecisionSeed     uint64  `json:"lots,omitempty"`
 	Harm             float64 `json:"harm,omitempty"`
 }
 
-// Job returns the run of a variant in a scenario, judged by another variant's file.
+// Job returns the job that runs the variant in scenario s. The run is evaluated with the criteria of criteriaFrom.
 func (v *Variant) Job(s *scenario.Scenario, criteriaFrom *Variant, seed uint64) (Job, error) {
 	if s.Replay != nil {
 		replay := *s.Replay
@@ -161,7 +162,7 @@
 	}, nil
 }
 
-// Play makes the run by this build's decisions.
+// Play makes the run with this build. modifiers change the options of the simulation before it starts.
 func (j *Job) Play(ctx context.Context, modifiers ...func(*simulation.Options)) (*measure.Result, error) {
 	s, err := scenario.Parse([]byte(j.Scenario), nil)
 	if err != nil {
@@ -194,7 +195,7 @@
 	return simulation.Run(ctx, options)
 }
 
-// modelSettings returns the simulation's settings of a daemon's file.
+// modelSettings converts a daemon configuration to the settings of the simulation.
 func modelSettings(c *config.Config) *simulation.Settings {
 	s := &simulation.Settings{
 		Site:           c.Site,
@@ -215,7 +216,7 @@
 	return s
 }
 
-// criteria returns the criteria by which runs of a file are measured.
+// criteria returns the criteria of a daemon configuration, which the figures of a run are computed with.
 func criteria(c *config.Config) measure.Criteria {
 	s := &c.Site.Settings
 	limits := map[string]float64{}
@@ -232,14 +233,14 @@
 	}
 }
 
-// Reply is another build's reply to a job.
+// Reply is the reply of another build's program to a job.
 type Reply struct {
-	ModelVersion int             `json:"world"` // simulation.Version
+	ModelVersion int             `json:"world"` // simulation.Version of the replying build
 	Result       *measure.Result `json:"result,omitempty"`
 	Error        string          `json:"error,omitempty"`
 }
 
-// HandleJob plays a job that another build sent, as JSON, and returns the Reply, as JSON.
+// HandleJob runs a JSON-encoded Job sent by another build, and returns the JSON-encoded Reply.
 func HandleJob(ctx context.Context, text []byte) ([]byte, error) {
 	reply := Reply{ModelVersion: simulation.Version}
 	var j Job
@@ -253,7 +254,8 @@
 	return json.Marshal(reply)
 }
 
-// playWith has a program play a job, perhaps another build, and returns the result and the state of its process.
+// playWith runs the job in a process of program, which may be another build, and returns the result and the state
+// of the process after its exit. env is added to the process environment.
 func (j *Job) playWith(ctx context.Context, program string, env ...string) (*measure.Result, *os.ProcessState, error) {
 	text, err := json.Marshal(j)
 	if err != nil {
