--- a/internal/experiment/agree.go
+++ b/internal/experiment/agree.go
@@ -99,7 +99,7 @@
 			Log:      log,
 		})
 		if err != nil {
-			return nil, fmt.Errorf("seed %d, for real: %w", 1+seed, err)
+			return nil, fmt.Errorf("seed %d, run with real processes: %w", 1+seed, err)
 		}
 		a.Processes = append(a.Processes, result)
 	}
--- a/internal/experiment/build.go
+++ b/internal/experiment/build.go
@@ -32,11 +32,11 @@
 	value = strings.TrimSpace(value)
 	dot := strings.LastIndex(key, ".")
 	if !ok || dot < 1 || value == "" || !token.IsIdentifier(key[dot+1:]) {
-		return Constant{}, fmt.Errorf("%q is not FOLDER.NAME=EXPRESSION, as balancer.maxAcceptWeight=1.3", text)
+		return Constant{}, fmt.Errorf("%q is not FOLDER.NAME=EXPRESSION, such as balancer.maxAcceptWeight=1.3", text)
 	}
 	c := Constant{filepath.Clean(key[:dot]), key[dot+1:], value}
 	if _, err := parser.ParseExpr(c.Value); err != nil {
-		return c, fmt.Errorf("%s: %q is no expression: %w", key, value, err)
+		return c, fmt.Errorf("%s: %q is not a Go expression: %w", key, value, err)
 	}
 	if !filepath.IsLocal(c.Package) {
 		return c, fmt.Errorf("%s: the folder must be in the module", key)
@@ -129,11 +129,11 @@
 		}
 		return nil
 	}
-	return fmt.Errorf("%s has no constant %s with a value of its own: %w", c.Package, c.Name, errNoConstant)
+	return fmt.Errorf("package %s, constant %s: %w", c.Package, c.Name, errNoConstant)
 }
 
 // errNoConstant is the error for a constant that the source does not declare with a value of its own.
-var errNoConstant = errors.New("nothing to change")
+var errNoConstant = errors.New("no constant of this name is declared with a value of its own")
 
 // findConstant returns the value expression of a package-level constant, or nil if the file gives it none.
 func findConstant(f *ast.File, name string) ast.Expr {
--- a/internal/experiment/edit.go
+++ b/internal/experiment/edit.go
@@ -64,7 +64,7 @@
 				return setKey(table, key[2:], value)
 			}
 		}
-		return fmt.Errorf("none of the list %s is named %q", name, key[1])
+		return fmt.Errorf("list %s has no entry with the name, kind or index %q", name, key[1])
 	}
 	return fmt.Errorf("%s is a value, not a table", name)
 }
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -48,7 +48,7 @@
 		Log:             &log,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("%s, seed %d: %w; logged last:\n%s", s.Name, seed, err, log.last(maxErrorLogLines))
+		return nil, fmt.Errorf("%s, seed %d: %w; last log lines:\n%s", s.Name, seed, err, log.last(maxErrorLogLines))
 	}
 	f := &FaultRun{Result: result}
 	for _, text := range s.Expect {
--- a/internal/experiment/faults_test.go
+++ b/internal/experiment/faults_test.go
@@ -50,7 +50,7 @@
 		f, err := RunWithFaults(t.Context(), s, v, self, "", 1, evidenceRoot)
 		require.NoError(t, err)
 		if f.Failed != c.failed || (f.EvidenceDir != "") != c.failed {
-			t.Errorf("%v: failed %v, kept %q; %s", c.claims, f.Failed, f.EvidenceDir, f.Summary())
+			t.Errorf("%v: failed %v, evidence in %q; %s", c.claims, f.Failed, f.EvidenceDir, f.Summary())
 		}
 		for _, name := range []string{"scenario.toml", "settings.toml", "result.json", "log"} {
 			if c.failed {
@@ -64,6 +64,6 @@
 	if _, err := RunWithFaults(
 		t.Context(), s, v, "/bin/false", "", 1, evidenceRoot,
 	); err == nil || !strings.Contains(err.Error(), "ended by itself") {
-		t.Errorf("a program that ends at once: %v", err)
+		t.Errorf("a program that exits at once: %v", err)
 	}
 }
--- a/internal/experiment/fit.go
+++ b/internal/experiment/fit.go
@@ -27,7 +27,7 @@
 func FitScenario(base *scenario.Scenario, rec *accesslog.Recording) (s *scenario.Scenario, notes []string, err error) {
 	f := &fit{base: base, scenario: base.Clone(), operations: rec.Operations()}
 	if len(f.operations) < minFitOperations {
-		return nil, nil, fmt.Errorf("there are %d stories: too few to go by", len(f.operations))
+		return nil, nil, fmt.Errorf("the record has %d operations, too few to fit a scenario", len(f.operations))
 	}
 	f.from, f.to = rec.Span()
 	f.fitRate(rec.Runs)
@@ -165,7 +165,7 @@
 			f.addNote("class %s: work is the base's: %d requests to go by", name, len(serviceTimes))
 		}
 		if class.Work.Duration <= 0 {
-			return fmt.Errorf("class %q: %d requests are too few to tell its work, and the base has no such class",
+			return fmt.Errorf("class %q: %d requests are too few to estimate its work, and the base has no such class",
 				name, len(serviceTimes))
 		}
 		s.Classes = append(s.Classes, class)
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -88,7 +88,7 @@
 	}
 	for _, invalid := range []string{"a", "=1", "d.three.v=1", "a.b=1", "d.one=1"} {
 		if _, err := applyEdits([]byte("a = 1\n[[d]]\nname = \"one\"\n"), []string{invalid}); err == nil {
-			t.Errorf("%q was taken", invalid)
+			t.Errorf("%q was accepted", invalid)
 		}
 	}
 	v := parseVariant(t, "shipped,attempts.most=2,class.book.aim=350ms,world.clients.retries=[0, 0],lots=3,harm=0.1")
@@ -102,7 +102,7 @@
 		"@x",
 	} {
 		if _, err := ParseVariant(invalid); err == nil {
-			t.Errorf("%q was taken", invalid)
+			t.Errorf("%q was accepted", invalid)
 		}
 	}
 }
@@ -127,13 +127,13 @@
 		}
 	}
 	if _, err := library.Load("nothing"); err == nil {
-		t.Error("a scenario that is not there was loaded")
+		t.Error("a scenario that does not exist was loaded")
 	}
 }
 
 // Results depend neither on the number of parallel runs nor on whether they come from the store. Stored runs are not
 // repeated, but stored results of one build are not used for another build.
-func TestSameHoweverRun(t *testing.T) {
+func TestResultsIndependentOfParallelismAndStore(t *testing.T) {
 	ctx := context.Background()
 	plan := Plan{
 		Scenario:  shortScenario(t),
@@ -158,7 +158,7 @@
 		Progress: func(done, stored, all int) { progress = [3]int{done, stored, all} },
 	})
 	if progress != [3]int{12, 0, 12} {
-		t.Errorf("done, stored and all: %v", progress)
+		t.Errorf("runs done, stored and requested: %v, want 12, 0 and 12", progress)
 	}
 	if slices.Compact(slices.Clone(sequential))[0] != sequential[0] ||
 		sequential[0] == sequential[1] || sequential[0] == sequential[2] {
@@ -166,7 +166,7 @@
 	}
 	for _, n := range []int{2, 4} {
 		if got := digests(&Runner{Parallel: n}); !slices.Equal(got, sequential) {
-			t.Errorf("%d at once: %v, not %v", n, got, sequential)
+			t.Errorf("%d parallel runs: digests %v, want %v", n, got, sequential)
 		}
 	}
 	store.Close()
@@ -177,11 +177,11 @@
 		Progress: func(done, stored, all int) { progress = [3]int{done, stored, all} },
 	}
 	if got := digests(storedRunner); !slices.Equal(got, sequential) || progress != [3]int{0, 12, 12} {
-		t.Errorf("from the store: %v; done, stored and all: %v", got, progress)
+		t.Errorf("from the store: digests %v; runs done, stored and requested: %v", got, progress)
 	}
 	otherBuild := &Runner{Store: store, buildIDs: map[string]string{"": "another"}, Progress: storedRunner.Progress}
 	if digests(otherBuild); progress != [3]int{12, 0, 12} {
-		t.Errorf("with another build: done, stored and all %v", progress)
+		t.Errorf("with another build: runs done, stored and requested: %v", progress)
 	}
 	if n := must[int](t)(store.Len()); n != 24 {
 		t.Errorf("%d runs are stored, not 24", n)
@@ -202,13 +202,13 @@
 		}
 	}}
 	if _, err := r.Compare(ctx, plan); !errors.Is(err, cause) {
-		t.Errorf("cut off: %v", err)
+		t.Errorf("canceled comparison: %v", err)
 	}
 	stored := 0
 	r = &Runner{Store: store, Progress: func(_, n, _ int) { stored = max(stored, n) }}
 	c := must[*Comparison](t)(r.Compare(context.Background(), plan))
 	if stored != 3 || len(c.RunsA) != 8 {
-		t.Errorf("%d of %d runs were stored before", stored, len(c.RunsA))
+		t.Errorf("%d of %d runs were taken from the store", stored, len(c.RunsA))
 	}
 }
 
@@ -226,16 +226,18 @@
 	ownResult := must[*measure.Result](t)(j.Play(context.Background()))
 	if otherBuildResult.Digest != ownResult.Digest ||
 		otherBuildResult.Figures["service"] != ownResult.Figures["service"] {
-		t.Errorf("the same build says %s, not %s", otherBuildResult.Digest, ownResult.Digest)
+		t.Errorf("the same build returned digest %s, want %s", otherBuildResult.Digest, ownResult.Digest)
 	}
 	invalid := j
 	invalid.Settings = "[nothing]\n"
 	if _, _, err := invalid.playWith(
 		context.Background(), self,
 	); err == nil || !strings.Contains(err.Error(), "nothing") {
-		t.Errorf("settings that make no sense: %v", err)
+		t.Errorf("invalid settings: %v", err)
 	}
-	for role, want := range map[string]string{"other world": "cannot be compared", "nonsense": "makes no sense"} {
+	for role, want := range map[string]string{
+		"other world": "cannot be compared", "nonsense": "reply cannot be decoded",
+	} {
 		t.Setenv("LAB_TEST_AS", role)
 		if _, _, err := j.playWith(context.Background(), self); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", role, err)
@@ -245,7 +247,7 @@
 	if _, _, err := j.playWith(
 		context.Background(), filepath.Join(t.TempDir(), "gone"),
 	); err == nil || errors.As(err, &exit) && exit == nil {
-		t.Errorf("a program that is not there: %v", err)
+		t.Errorf("a program that does not exist: %v", err)
 	}
 }
 
@@ -265,20 +267,20 @@
 	compare := func(b string) *Comparison { return compareIn("shipped", b) }
 	const worseLine = "B is worse: service -0.0"
 	if c := compare("shipped,harm=0.05"); c.Rows[0].Verdict != Worse || !strings.Contains(c.Line(), worseLine) {
-		t.Errorf("harm: %s", c.Line())
+		t.Errorf("with a known harm: %s", c.Line())
 	}
 	if c := compare("shipped,lots=7"); c.Rows[0].Verdict != Inconclusive || c.Identical {
-		t.Errorf("other lots: %s", c.Line())
+		t.Errorf("another decision seed: %s", c.Line())
 	}
 	if c := compare("shipped"); !c.Identical || !strings.Contains(
 		c.Line(), "cannot tell: every one of 8 runs came to the very same",
 	) {
-		t.Errorf("the same: %s", c.Line())
+		t.Errorf("identical variants: %s", c.Line())
 	}
 	c := compareIn(Shipped, "shipped,world.clients.retries=[0, 0]", "clients.retries=[2, 2]", "clients.load=1.5")
 	for _, row := range c.Rows {
 		if row.Name == "tries" && row.Verdict != Better {
-			t.Errorf("no retries: %+v", row)
+			t.Errorf("a variant without client retries: %+v", row)
 		}
 	}
 }
@@ -302,16 +304,16 @@
 	// The limit costs about a fifth of the service of the first second of a run.
 	busyScenario := loadScenario("calm", "clients.load=0.7", "fleet.instances=1", "length=25s")
 	if a, b := mean(busyScenario, unbounded, "whole"), mean(busyScenario, Shipped, "whole"); b < a-0.02 {
-		t.Errorf("endpoints at seven tenths: %.3f of the worth served, %.3f without a bound", b, a)
+		t.Errorf("endpoints at 70 %% load: %.3f of the worth served, %.3f without the limit", b, a)
 	}
 	overloadScenario := loadScenario("payday", "length=22s")
 	if a, b := mean(overloadScenario, unbounded, "whole"), mean(overloadScenario, Shipped, "whole"); b < a-0.03 {
-		t.Errorf("more asked for than can be done: %.3f of the worth served, %.3f without a bound", b, a)
+		t.Errorf("overload: %.3f of the worth served, %.3f without the limit", b, a)
 	}
 	loudClientScenario := loadScenario("loud-client", "length=16s")
 	if a, b := mean(loudClientScenario, unbounded, "modest"),
 		mean(loudClientScenario, Shipped, "modest"); b < 0.95 || a > 0.93 {
-		t.Errorf("beside a loud client: %.3f of the modest ones' worth served, %.3f without a bound", b, a)
+		t.Errorf("with one excessive client: %.3f of the modest clients' worth served, %.3f without the limit", b, a)
 	}
 }
 
@@ -352,30 +354,30 @@
 	f, _ := measure.Describe("breaks")
 	row := c.compareFigure(f)
 	if row.Verdict != Inconclusive || !strings.Contains(row.Note, "0 of 10000 stories: at most one in 2711") {
-		t.Errorf("nothing seen: %v, %s", row.Verdict, row.Note)
+		t.Errorf("no violation: %v, %s", row.Verdict, row.Note)
 	}
 	c.RunsB[3].Figures["breaks"] = 1
 	if row = c.compareFigure(f); row.Verdict != Inconclusive {
-		t.Errorf("one seen: %v", row.Verdict)
+		t.Errorf("one violation: %v", row.Verdict)
 	}
 	c.RunsB[4].Figures["breaks"] = 8
 	if row = c.compareFigure(f); row.Verdict != Worse {
-		t.Errorf("nine seen: %v", row.Verdict)
+		t.Errorf("nine violations: %v", row.Verdict)
 	}
 }
 
 // Opening a store that is already open, or a file that is not a store, returns an error and does not block.
-func TestStoreThatCannotBe(t *testing.T) {
+func TestOpenStoreErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "lab.db")
 	s := must[*Store](t)(OpenStore(path))
 	defer s.Close()
 	if _, err := OpenStore(path); err == nil || !strings.Contains(err.Error(), "another program has it open") {
-		t.Errorf("open twice: %v", err)
+		t.Errorf("store opened twice: %v", err)
 	}
 	invalidPath := filepath.Join(t.TempDir(), "bad.db")
 	require.NoError(t, os.WriteFile(invalidPath, []byte(strings.Repeat("no store ", 2000)), 0o600))
 	if _, err := OpenStore(invalidPath); err == nil {
-		t.Error("a file that is no store was taken")
+		t.Error("a file that is not a store was opened")
 	}
 }
 
@@ -403,7 +405,7 @@
 	}
 	for _, invalid := range []string{"a", "a=1", "=1|2"} {
 		if _, err := ParseAxis(invalid); err == nil {
-			t.Errorf("%q was taken", invalid)
+			t.Errorf("%q was accepted", invalid)
 		}
 	}
 	if _, err := (&Runner{}).Sweep(context.Background(), Plan{
@@ -427,12 +429,12 @@
 	}
 	finding := search()
 	if finding.Loss < 0.02 {
-		t.Fatalf("found a loss of %v only", finding.Loss)
+		t.Fatalf("the finding has a loss of only %v", finding.Loss)
 	}
 	text := must[[]byte](t)(finding.Scenario.Text())
 	s := must[*scenario.Scenario](t)(scenario.Parse(text, nil))
 	if len(s.Events) == 0 || len(s.Events) > 3 {
-		t.Errorf("%d events are left:\n%s", len(s.Events), text)
+		t.Errorf("the shrunk scenario has %d events:\n%s", len(s.Events), text)
 	}
 	c := must[*Comparison](t)((&Runner{}).Compare(context.Background(), Plan{
 		Scenario:  s,
@@ -442,12 +444,12 @@
 		MinSeeds:  1,
 	}))
 	if got := c.RunsB[0].Figures["service"] - c.RunsA[0].Figures["service"]; got < finding.Loss*0.9 {
-		t.Errorf("what was written loses %v, not %v", got, finding.Loss)
+		t.Errorf("the scenario read back from its text loses %v, want %v", got, finding.Loss)
 	}
 	if repeated := search(); repeated.Loss != finding.Loss || repeated.Seed != finding.Seed {
 		t.Errorf(
-			"the same search found %v of seed %d, and %v of seed %d", finding.Loss, finding.Seed, repeated.Loss,
-			repeated.Seed,
+			"equal searches found a loss of %v with seed %d, and of %v with seed %d", finding.Loss, finding.Seed,
+			repeated.Loss, repeated.Seed,
 		)
 	}
 }
@@ -479,7 +481,7 @@
 		}
 		row := a.compareFigure("service")
 		if row.Agrees != want || math.Abs(row.Model.Mean-0.71) > 1e-9 || row.Model.HalfWidth() > 0.05 {
-			t.Errorf("real %v: %+v", processesMean, row)
+			t.Errorf("mean of real runs %v: %+v", processesMean, row)
 		}
 	}
 }
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -68,7 +68,7 @@
 			return nil, nil, 0, err
 		}
 		if len(rec.Requests) == 0 {
-			return nil, nil, 0, fmt.Errorf("record %q: there is no request: %q", r.From, rec.Problems)
+			return nil, nil, 0, fmt.Errorf("record %q: it contains no request: %q", r.From, rec.Problems)
 		}
 		if r.Align {
 			rec.Align()
@@ -168,12 +168,12 @@
 func (r *replay) add(index int, request *accesslog.Request) error {
 	class, ok := r.classes[request.Class]
 	if !ok {
-		return fmt.Errorf("the record's class %q is none of the scenario's", request.Class)
+		return fmt.Errorf("class %q of the record is not a class of the scenario", request.Class)
 	}
 	tenant := -1
 	if request.Tenant != "" {
 		if tenant, ok = r.tenants[request.Tenant]; !ok {
-			return fmt.Errorf("the record's tenant %q is none of the scenario's", request.Tenant)
+			return fmt.Errorf("tenant %q of the record is not a tenant of the scenario", request.Tenant)
 		}
 	}
 	instance := r.instances[request.Instance]
--- a/internal/experiment/replay_test.go
+++ b/internal/experiment/replay_test.go
@@ -40,18 +40,18 @@
 	dir, original := recordRun(t, retryStorm(t))
 	rec := must[*accesslog.Recording](t)(accesslog.Read(dir))
 	if problems := rec.Check(); len(problems) != 0 {
-		t.Errorf("what it lacks: %q", problems)
+		t.Errorf("problems of the record: %q", problems)
 	}
 	if original.Figures["tries"] < 1.2 || int64(len(rec.Requests)) != original.Costs.ClientRequests {
 		t.Fatalf(
-			"%d tries of %d stories, %d in the record", original.Costs.ClientRequests, original.Operations,
-			len(rec.Requests),
+			"%d requests of %d operations, %d requests in the record", original.Costs.ClientRequests,
+			original.Operations, len(rec.Requests),
 		)
 	}
 	if got := len(rec.Operations()); math.Abs(
 		float64(got)-float64(original.Operations),
 	) > 0.01*float64(original.Operations) {
-		t.Errorf("%d stories are found in the record, %d there were", got, original.Operations)
+		t.Errorf("%d operations in the record, want %d", got, original.Operations)
 	}
 	replayWith := func(endpoints int) *measure.Result {
 		s := must[*scenario.Scenario](t)(Resize(retryStorm(t), nil, 0, endpoints))
@@ -68,21 +68,21 @@
 	if math.Abs(float64(replayed.Operations-original.Operations)) > 0.01*float64(original.Operations) ||
 		math.Abs(replayed.Figures["service"]-original.Figures["service"]) > 0.06 {
 		t.Errorf(
-			"played again: %d stories, service %.3f; it was %d, %.3f", replayed.Operations, replayed.Figures["service"],
-			original.Operations, original.Figures["service"],
+			"replayed: %d operations, service %.3f; recorded: %d, %.3f", replayed.Operations,
+			replayed.Figures["service"], original.Operations, original.Figures["service"],
 		)
 	}
 	withMoreEndpoints := replayWith(20)
 	if withMoreEndpoints.Operations != replayed.Operations ||
 		withMoreEndpoints.Figures["tries"] > 0.7*replayed.Figures["tries"] {
 		t.Errorf(
-			"with more endpoints: %d stories, %.3f tries each; %d with fewer", withMoreEndpoints.Operations,
+			"with more endpoints: %d operations, %.3f requests each; %d with fewer", withMoreEndpoints.Operations,
 			withMoreEndpoints.Figures["tries"], replayed.Operations,
 		)
 	}
 	repeated := replayWith(0)
 	if repeated.Digest != replayed.Digest {
-		t.Error("the same record played twice came to something else")
+		t.Error("two replays of the same record have different digests")
 	}
 }
 
@@ -113,10 +113,10 @@
 		MinSeeds:  1,
 	}))
 	if got := c.RunsA[0].Operations; math.Abs(float64(got-original.Operations)) > 0.15*float64(original.Operations) {
-		t.Errorf("a quarter scaled up: %d stories of %d", got, original.Operations)
+		t.Errorf("a sample of a quarter, scaled up: %d operations, want about %d", got, original.Operations)
 	}
 	for from, want := range map[string]string{
-		filepath.Join(dir, "none"): "no such file", t.TempDir(): "there is no request",
+		filepath.Join(dir, "none"): "no such file", t.TempDir(): "it contains no request",
 	} {
 		s.Replay = &scenario.Replay{From: []string{from}}
 		if _, err := (&Runner{}).Compare(context.Background(), Plan{
@@ -142,7 +142,7 @@
 	a := must[string](t)(digestFiles([]string{dir}))
 	b := must[string](t)(digestFiles([]string{sampleDir}))
 	if a == b || a == original.Digest {
-		t.Error("other records have the same digest")
+		t.Error("different records have the same digest")
 	}
 }
 
@@ -165,13 +165,13 @@
 	if math.Abs(got-float64(original.Operations)) > 0.1*float64(original.Operations) || fitted.Fleet.Instances != 2 ||
 		len(fitted.Shape) < 20 {
 		t.Errorf(
-			"%.0f stories of %d, %d instances, %d places of the shape", got, original.Operations,
+			"%.0f operations, want %d; %d instances, %d points of the rate curve", got, original.Operations,
 			fitted.Fleet.Instances, len(fitted.Shape),
 		)
 	}
 	if earlyFactor, lateFactor := fitted.Draw(1).RateFactor(5_000_000),
 		fitted.Draw(1).RateFactor(28_000_000); lateFactor < 3*earlyFactor {
-		t.Errorf("the shape: %v early, %v late", earlyFactor, lateFactor)
+		t.Errorf("rate factor %v early, %v late", earlyFactor, lateFactor)
 	}
 	for _, class := range fitted.Classes {
 		for _, originalClass := range s.Classes {
@@ -182,7 +182,7 @@
 			if math.Abs(class.Share-originalClass.Share) > 0.05 ||
 				workDifference > 0.3*float64(originalClass.Work.Duration) {
 				t.Errorf(
-					"%s: share %v and work %v, of %v and %v (%q)", class.Name, class.Share, class.Work,
+					"%s: share %v and work %v, want %v and %v (%q)", class.Name, class.Share, class.Work,
 					originalClass.Share, originalClass.Work, notes,
 				)
 			}
@@ -192,6 +192,6 @@
 		t.Errorf("clients: %+v, backoff %v", fitted.Clients, *fitted.Clients.Backoff)
 	}
 	if _, _, err := FitScenario(base, &accesslog.Recording{}); err == nil {
-		t.Error("a scenario was fitted to nothing")
+		t.Error("a scenario was fitted to an empty record")
 	}
 }
--- a/internal/experiment/search.go
+++ b/internal/experiment/search.go
@@ -28,7 +28,7 @@
 type Finding struct {
 	Scenario   *scenario.Scenario
 	Seed       uint64
-	Loss       float64 // Against's service minus Variant's; without Against, MaxServableShare minus Variant's served share
+	Loss       float64 // Against's service minus Variant's; without Against: MaxServableShare minus the served share
 	Violations float64 // rule violations; a plan with any is worse than one with none, whatever the losses
 	Service    float64
 	Runs       int // number of plans evaluated when this one was found
--- a/internal/experiment/size_test.go
+++ b/internal/experiment/size_test.go
@@ -45,7 +45,7 @@
 		require.NoError(t, err)
 	}
 	if len(files) != 2 {
-		t.Fatalf("%d files", len(files))
+		t.Fatalf("%d files were edited, want 2", len(files))
 	}
 	for name, text := range files {
 		if _, err := parser.ParseFile(token.NewFileSet(), name, text, 0); err != nil {
@@ -53,7 +53,7 @@
 		}
 		changed := changedLines(t, name, text)
 		if want := map[string]int{"breaker.go": 2, "limiter.go": 1}[filepath.Base(name)]; changed != want {
-			t.Errorf("%s: %d lines have changed, want %d", name, changed, want)
+			t.Errorf("%s: %d lines changed, want %d", name, changed, want)
 		}
 	}
 	for text, want := range map[string]error{
@@ -104,6 +104,6 @@
 	}
 	sc.Program = filepath.Join(t.TempDir(), "gone")
 	if _, err := sc.RunSize(t.Context(), Size{3, 12}); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a program that is not there: %v", err)
+		t.Errorf("a program that does not exist: %v", err)
 	}
 }
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -69,7 +69,7 @@
 		return json.Unmarshal(text, r)
 	})
 	if err != nil {
-		return nil, fmt.Errorf("kept run %x: %w", key, err)
+		return nil, fmt.Errorf("stored run %x: %w", key, err)
 	}
 	return r, nil
 }
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -19,7 +19,7 @@
 	key, values, ok := strings.Cut(text, "=")
 	axis := Axis{key, strings.Split(values, "|")}
 	if !ok || key == "" || len(axis.Values) < 2 {
-		return axis, fmt.Errorf("%q is not KEY=VALUE|VALUE with two values at least", text)
+		return axis, fmt.Errorf("%q is not KEY=VALUE|VALUE with at least two values", text)
 	}
 	return axis, nil
 }
@@ -40,7 +40,7 @@
 // with the first one.
 func (r *Runner) Sweep(ctx context.Context, p Plan, axes []Axis) (*Sweep, error) {
 	if len(axes) < 1 || len(axes) > 2 {
-		return nil, fmt.Errorf("a sweep has one axis or two, not %d", len(axes))
+		return nil, fmt.Errorf("a sweep must have one or two axes, not %d", len(axes))
 	}
 	s := &Sweep{Axes: axes}
 	combinations := [][]string{{}}
--- a/internal/experiment/variant.go
+++ b/internal/experiment/variant.go
@@ -42,7 +42,7 @@
 	rest := spec
 	if program, ok := strings.CutPrefix(rest, "@"); ok {
 		if v.Program, rest, ok = strings.Cut(program, ":"); !ok {
-			return nil, fmt.Errorf("variant %q: after @PROGRAM comes :FILE", spec)
+			return nil, fmt.Errorf("variant %q: @PROGRAM must be followed by :FILE", spec)
 		}
 		if _, err := os.Stat(v.Program); err != nil {
 			return nil, fmt.Errorf("variant %q: %w", spec, err)
@@ -174,7 +174,7 @@
 	}
 	criteriaConfig, err := config.Parse([]byte(j.CriteriaSettings))
 	if err != nil {
-		return nil, fmt.Errorf("settings to judge by: %w", err)
+		return nil, fmt.Errorf("criteria settings: %w", err)
 	}
 	simulationSettings := modelSettings(settings)
 	simulationSettings.DecisionSeed = j.DecisionSeed
@@ -272,18 +272,18 @@
 	}
 	var reply Reply
 	if err := json.Unmarshal(stdout, &reply); err != nil {
-		return nil, nil, fmt.Errorf("%s: what it says of a run makes no sense: %w", program, err)
+		return nil, nil, fmt.Errorf("%s: its reply cannot be decoded: %w", program, err)
 	}
 	switch {
 	case reply.Error != "":
 		return nil, nil, fmt.Errorf("%s: %s", program, reply.Error)
 	case reply.ModelVersion != simulation.Version:
 		return nil, nil, fmt.Errorf(
-			"%s has another model of what is outside (%d, not %d): runs of both cannot be compared", program,
+			"%s has another version of the simulation model (%d, not %d): runs of both cannot be compared", program,
 			reply.ModelVersion, simulation.Version,
 		)
 	case reply.Result == nil || math.IsNaN(reply.Result.Figures["service"]):
-		return nil, nil, fmt.Errorf("%s: its run has no figures", program)
+		return nil, nil, fmt.Errorf("%s: the result of its run has no figures", program)
 	}
 	return reply.Result, cmd.ProcessState, nil
 }
