--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -86,7 +86,7 @@
 			newSeeds = min(neededSeeds-len(c.Seeds), len(c.Seeds))
 		}
 		newSeeds = max(1, min(newSeeds, p.MaxSeeds-len(c.Seeds)))
-		if err := r.playSeeds(ctx, c, newSeeds); err != nil {
+		if err := r.runSeeds(ctx, c, newSeeds); err != nil {
 			return c, err
 		}
 		c.buildRows()
@@ -97,10 +97,10 @@
 	return c, nil
 }
 
-// playSeeds runs the plan's variants with the next n seeds and appends their results.
-func (r *Runner) playSeeds(ctx context.Context, c *Comparison, n int) error {
+// runSeeds runs the plan's variants with the next count seeds and appends their results.
+func (r *Runner) runSeeds(ctx context.Context, c *Comparison, count int) error {
 	var tasks []Task
-	for i := range n {
+	for i := range count {
 		seed := c.Plan.FirstSeed + uint64(len(c.Seeds)+i)
 		for _, v := range []*Variant{c.Plan.A, c.Plan.B} {
 			if v == nil {
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	for i := range n {
+	for i := range count {
 		c.Seeds = append(c.Seeds, c.Plan.FirstSeed+uint64(len(c.Seeds)))
 		if c.Plan.B == nil {
 			c.RunsA = append(c.RunsA, results[i])
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -48,7 +48,9 @@
 		Log:             &log,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("%s, seed %d: %w; last log lines:\n%s", s.Name, seed, err, log.last(maxErrorLogLines))
+		return nil, fmt.Errorf(
+			"%s, seed %d: %w; last log lines:\n%s", s.Name, seed, err, log.lastLines(maxErrorLogLines),
+		)
 	}
 	f := &FaultRun{Result: result}
 	for _, text := range s.Expect {
@@ -119,12 +121,12 @@
 // maxErrorLogLines is the number of log lines that the error of a failed process run includes.
 const maxErrorLogLines = 12
 
-// last returns the last n lines of the log.
-func (l *logBuffer) last(n int) string {
+// lastLines returns the last count lines of the log.
+func (l *logBuffer) lastLines(count int) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	lines := strings.Split(strings.TrimSpace(l.text.String()), "\n")
-	return strings.Join(lines[max(0, len(lines)-n):], "\n")
+	return strings.Join(lines[max(0, len(lines)-count):], "\n")
 }
 
 // Summary returns one line with the figures that show the effect of faults.
--- a/internal/experiment/fit.go
+++ b/internal/experiment/fit.go
@@ -29,7 +29,7 @@
 	if len(f.operations) < minFitOperations {
 		return nil, nil, fmt.Errorf("the record has %d operations, too few to fit a scenario", len(f.operations))
 	}
-	f.from, f.to = rec.Span()
+	f.start, f.end = rec.Span()
 	f.fitRate(rec.Runs)
 	f.fitInstances()
 	f.fitTenants()
@@ -50,12 +50,12 @@
 	base       *scenario.Scenario
 	scenario   *scenario.Scenario
 	operations []*accesslog.Operation
-	from       int64 // first and last instant of the record, in microseconds
-	to         int64
+	start      int64 // first instant of the record, in microseconds
+	end        int64 // last instant of the record, in microseconds
 	notes      []string
 }
 
-// addNote adds a note that FitScenario returns on the basis of an estimate.
+// addNote adds a note to those that FitScenario returns with the scenario.
 func (f *fit) addNote(format string, args ...any) {
 	f.notes = append(f.notes, fmt.Sprintf(format, args...))
 }
@@ -80,16 +80,16 @@
 	s.Name = "fitted"
 	s.Expect = nil
 	s.Events = nil
-	length := float64(f.to-f.from) / 1e6
+	length := float64(f.end-f.start) / 1e6
 	sampledFraction := 1.0
 	for _, run := range runs {
 		sampledFraction = min(sampledFraction, run.Sample)
 	}
 	s.About = fmt.Sprintf("Fitted to a record of %d stories in %.0f s.", len(f.operations), length)
-	s.Length.Duration = max(1e9, microsToDuration(f.to-f.from)).Round(1e9)
+	s.Length.Duration = max(1e9, microsToDuration(f.end-f.start)).Round(1e9)
 	s.Clients.Load = 0
 	s.Clients.Rate = roundToThousandths(float64(len(f.operations)) / length / sampledFraction)
-	s.Shape = rateShape(f.operations, f.from, f.to)
+	s.Shape = rateShape(f.operations, f.start, f.end)
 }
 
 // fitInstances estimates the number of instances, and how unevenly operations are spread over them.
@@ -136,13 +136,14 @@
 	meanSpeed := f.meanSpeed()
 	names, counts := f.countBy(func(q *accesslog.Request) string { return q.Class })
 	s.Classes = nil
-	isQuietAt := quietSecondsFilter(f.operations, f.from, f.to)
+	isQuietAt := quietSecondsFilter(f.operations, f.start, f.end)
 	for _, name := range names {
 		var serviceTimes []float64
 		for _, operation := range f.operations {
-			q := operation.First()
-			if q.Class == name && q.Verdict == accesslog.Served && q.Attempts == 1 && isQuietAt(q.Arrived) {
-				serviceTimes = append(serviceTimes, float64(q.Duration-q.QueueTime))
+			request := operation.First()
+			if request.Class == name && request.Verdict == accesslog.Served && request.Attempts == 1 &&
+				isQuietAt(request.Arrived) {
+				serviceTimes = append(serviceTimes, float64(request.Duration-request.QueueTime))
 			}
 		}
 		class := scenario.Class{Name: name, Share: f.share(counts[name]), Dist: "lognormal"}
@@ -234,9 +235,9 @@
 	}
 	mean := float64(len(operations)) / float64(points)
 	for i, count := range counts {
-		at := (to - from) * int64(2*i+1) / int64(2*points)
+		middle := (to - from) * int64(2*i+1) / int64(2*points)
 		shape = append(shape, scenario.RatePoint{Factor: roundToThousandths(count / mean)})
-		shape[i].At.Duration = microsToDuration(at).Round(1e7)
+		shape[i].At.Duration = microsToDuration(middle).Round(1e7)
 	}
 	return shape
 }
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -197,7 +197,7 @@
 
 // JSON that an earlier build sent or stored is decoded to the values that it encoded, without unknown fields.
 func TestGoldenFormsAreRead(t *testing.T) {
-	for name, c := range map[string]struct{ into, want any }{
+	for name, c := range map[string]struct{ target, want any }{
 		"job.json":        {&Job{}, goldenJob()},
 		"job-short.json":  {&Job{}, &Job{Scenario: "s", Settings: "t", CriteriaSettings: "j", Seed: 1}},
 		"reply.json":      {&Reply{}, &Reply{ModelVersion: 3, Result: goldenResult()}},
@@ -207,10 +207,10 @@
 	} {
 		decoder := json.NewDecoder(bytes.NewReader(goldenFile(t, name)))
 		decoder.DisallowUnknownFields()
-		if err := decoder.Decode(c.into); err != nil {
+		if err := decoder.Decode(c.target); err != nil {
 			t.Errorf("%s: %v", name, err)
-		} else if !reflect.DeepEqual(c.into, c.want) {
-			t.Errorf("%s: read %+v, want %+v", name, c.into, c.want)
+		} else if !reflect.DeepEqual(c.target, c.want) {
+			t.Errorf("%s: read %+v, want %+v", name, c.target, c.want)
 		}
 	}
 }
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -217,20 +217,20 @@
 func TestOtherBuild(t *testing.T) {
 	self := must[string](t)(os.Executable())
 	v := parseVariant(t, "@"+self+":shipped")
-	j := must[Job](t)(v.Job(shortScenario(t), v, 3))
+	job := must[Job](t)(v.Job(shortScenario(t), v, 3))
 	t.Setenv("LAB_TEST_AS", "build")
-	otherBuildResult, processState, err := j.playWith(context.Background(), self)
+	otherBuildResult, processState, err := job.runWithProgram(context.Background(), self)
 	if err != nil || processState.UserTime() <= 0 {
 		t.Fatal(err, processState)
 	}
-	ownResult := must[*measure.Result](t)(j.Play(context.Background()))
+	ownResult := must[*measure.Result](t)(job.Play(context.Background()))
 	if otherBuildResult.Digest != ownResult.Digest ||
 		otherBuildResult.Figures["service"] != ownResult.Figures["service"] {
 		t.Errorf("the same build returned digest %s, want %s", otherBuildResult.Digest, ownResult.Digest)
 	}
-	invalid := j
+	invalid := job
 	invalid.Settings = "[nothing]\n"
-	if _, _, err := invalid.playWith(
+	if _, _, err := invalid.runWithProgram(
 		context.Background(), self,
 	); err == nil || !strings.Contains(err.Error(), "nothing") {
 		t.Errorf("invalid settings: %v", err)
@@ -239,12 +239,14 @@
 		"other world": "cannot be compared", "nonsense": "reply cannot be decoded",
 	} {
 		t.Setenv("LAB_TEST_AS", role)
-		if _, _, err := j.playWith(context.Background(), self); err == nil || !strings.Contains(err.Error(), want) {
+		if _, _, err := job.runWithProgram(
+			context.Background(), self,
+		); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", role, err)
 		}
 	}
 	var exit *exec.Error
-	if _, _, err := j.playWith(
+	if _, _, err := job.runWithProgram(
 		context.Background(), filepath.Join(t.TempDir(), "gone"),
 	); err == nil || errors.As(err, &exit) && exit == nil {
 		t.Errorf("a program that does not exist: %v", err)
@@ -300,20 +302,25 @@
 	loadScenario := func(name string, edits ...string) *scenario.Scenario {
 		return must[*scenario.Scenario](t)(Resize(must[*scenario.Scenario](t)(library.Load(name)), edits, 0, 0))
 	}
-	const unbounded = "shipped,requests.in_flight=1000"
+	const unlimitedVariant = "shipped,requests.in_flight=1000"
 	// The limit costs about a fifth of the service of the first second of a run.
 	busyScenario := loadScenario("calm", "clients.load=0.7", "fleet.instances=1", "length=25s")
-	if a, b := mean(busyScenario, unbounded, "whole"), mean(busyScenario, Shipped, "whole"); b < a-0.02 {
-		t.Errorf("endpoints at 70 %% load: %.3f of the worth served, %.3f without the limit", b, a)
+	if unlimited, limited := mean(busyScenario, unlimitedVariant, "whole"),
+		mean(busyScenario, Shipped, "whole"); limited < unlimited-0.02 {
+		t.Errorf("endpoints at 70 %% load: %.3f of the worth served, %.3f without the limit", limited, unlimited)
 	}
 	overloadScenario := loadScenario("payday", "length=22s")
-	if a, b := mean(overloadScenario, unbounded, "whole"), mean(overloadScenario, Shipped, "whole"); b < a-0.03 {
-		t.Errorf("overload: %.3f of the worth served, %.3f without the limit", b, a)
+	if unlimited, limited := mean(overloadScenario, unlimitedVariant, "whole"),
+		mean(overloadScenario, Shipped, "whole"); limited < unlimited-0.03 {
+		t.Errorf("overload: %.3f of the worth served, %.3f without the limit", limited, unlimited)
 	}
 	loudClientScenario := loadScenario("loud-client", "length=16s")
-	if a, b := mean(loudClientScenario, unbounded, "modest"),
-		mean(loudClientScenario, Shipped, "modest"); b < 0.95 || a > 0.93 {
-		t.Errorf("with one excessive client: %.3f of the modest clients' worth served, %.3f without the limit", b, a)
+	if unlimited, limited := mean(loudClientScenario, unlimitedVariant, "modest"),
+		mean(loudClientScenario, Shipped, "modest"); limited < 0.95 || unlimited > 0.93 {
+		t.Errorf(
+			"with one excessive client: %.3f of the modest clients' worth served, %.3f without the limit", limited,
+			unlimited,
+		)
 	}
 }
 
@@ -369,8 +376,8 @@
 // Opening a store that is already open, or a file that is not a store, returns an error and does not block.
 func TestOpenStoreErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "lab.db")
-	s := must[*Store](t)(OpenStore(path))
-	defer s.Close()
+	store := must[*Store](t)(OpenStore(path))
+	defer store.Close()
 	if _, err := OpenStore(path); err == nil || !strings.Contains(err.Error(), "another program has it open") {
 		t.Errorf("store opened twice: %v", err)
 	}
@@ -386,21 +393,21 @@
 	axes := []Axis{
 		must[Axis](t)(ParseAxis("world.clients.load=0.2|0.9")), must[Axis](t)(ParseAxis("attempts.most=1|3")),
 	}
-	s := must[*Sweep](t)((&Runner{}).Sweep(context.Background(), Plan{
+	sweep := must[*Sweep](t)((&Runner{}).Sweep(context.Background(), Plan{
 		Scenario:  shortScenario(t),
 		A:         parseVariant(t, Shipped),
 		FirstSeed: 1,
 		MinSeeds:  3,
 	}, axes))
-	if len(s.Points) != 4 || !slices.Equal(
-		s.Points[1].Values, []string{"0.2", "3"},
-	) || !slices.Equal(s.Points[2].Values, []string{"0.9", "1"}) {
-		t.Fatalf("%d points", len(s.Points))
+	if len(sweep.Points) != 4 || !slices.Equal(
+		sweep.Points[1].Values, []string{"0.2", "3"},
+	) || !slices.Equal(sweep.Points[2].Values, []string{"0.9", "1"}) {
+		t.Fatalf("%d points", len(sweep.Points))
 	}
-	if v, d := s.Points[0].Figure("service"); d != nil || v.N != 3 {
+	if v, d := sweep.Points[0].Figure("service"); d != nil || v.N != 3 {
 		t.Errorf("the first point: %+v, %+v", v, d)
 	}
-	if _, d := s.Points[2].Figure("p99"); d == nil || d.Verdict != Worse {
+	if _, d := sweep.Points[2].Figure("p99"); d == nil || d.Verdict != Worse {
 		t.Errorf("four times the load: %+v", d)
 	}
 	for _, invalid := range []string{"a", "a=1", "=1|2"} {
@@ -457,11 +464,11 @@
 // Most comparisons whose correct verdict is known return that verdict. The command `dunlinsail-experiment prove` makes
 // more of them.
 func TestProve(t *testing.T) {
-	p := must[*Proof](t)((&Runner{}).Prove(
+	proof := must[*Proof](t)((&Runner{}).Prove(
 		context.Background(), shortScenario(t), parseVariant(t, Shipped), 6, 4, 0.05,
 	))
-	if p.Inconclusive.Mean < 0.7 || p.Found.Mean < 0.8 {
-		t.Errorf("%+v", p)
+	if proof.Inconclusive.Mean < 0.7 || proof.Found.Mean < 0.8 {
+		t.Errorf("%+v", proof)
 	}
 }
 
--- a/internal/experiment/prove.go
+++ b/internal/experiment/prove.go
@@ -45,8 +45,8 @@
 			detected++
 		}
 	}
-	n := int64(comparisons)
-	p.Inconclusive = stats.RateInterval(inconclusive, n, Confidence)
-	p.Found = stats.RateInterval(detected, n, Confidence)
+	total := int64(comparisons)
+	p.Inconclusive = stats.RateInterval(inconclusive, total, Confidence)
+	p.Found = stats.RateInterval(detected, total, Confidence)
 	return p, nil
 }
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -21,7 +21,7 @@
 
 // digestFiles returns a digest of the names and contents of the files at paths, including all files below folders.
 func digestFiles(paths []string) (string, error) {
-	d := xxhash.New()
+	hash := xxhash.New()
 	for _, p := range paths {
 		err := filepath.WalkDir(p, func(path string, e os.DirEntry, err error) error {
 			if err != nil || e.IsDir() {
@@ -32,15 +32,15 @@
 				return err
 			}
 			defer f.Close()
-			_, _ = io.WriteString(d, filepath.Base(path))
-			_, err = io.Copy(d, f)
+			_, _ = io.WriteString(hash, filepath.Base(path))
+			_, err = io.Copy(hash, f)
 			return err
 		})
 		if err != nil {
 			return "", fmt.Errorf("record %s: %w", p, err)
 		}
 	}
-	return hex.EncodeToString(d.Sum(nil)), nil
+	return hex.EncodeToString(hash.Sum(nil)), nil
 }
 
 // recordCache holds the access record that was read last, since the runs of all seeds replay the same one.
@@ -121,7 +121,7 @@
 // replay converts the requests of a record into the operations of a plan.
 type replay struct {
 	plan            *scenario.Plan
-	from            int64   // instant of the record at which the plan starts, in microseconds
+	planStart       int64   // instant of the record at which the plan starts, in microseconds
 	sampledFraction float64 // fraction of all requests that the record contains
 	instances       map[string]int
 	classes         map[string]int
@@ -137,7 +137,7 @@
 func newReplay(p *scenario.Plan, runs []*accesslog.Run, from int64) *replay {
 	r := &replay{
 		plan:            p,
-		from:            from,
+		planStart:       from,
 		sampledFraction: 1.0,
 		instances:       map[string]int{},
 		classes:         map[string]int{},
@@ -188,7 +188,7 @@
 		count++
 	}
 	for copyIndex := range count {
-		startedAt := request.Arrived - r.from
+		startedAt := request.Arrived - r.planStart
 		if copyIndex > 0 { // arrival of a request not in the sample is unknown: draw it within 0.5 s
 			startedAt += int64((countRand.Float64() - 0.5) * 1e6)
 		}
--- a/internal/experiment/replay_test.go
+++ b/internal/experiment/replay_test.go
@@ -25,10 +25,10 @@
 	t.Helper()
 	dir = t.TempDir()
 	v := parseVariant(t, Shipped)
-	j := must[Job](t)(v.Job(s, v, 5))
-	option, closer, err := NewRecorder(dir, &j)
+	job := must[Job](t)(v.Job(s, v, 5))
+	option, closer, err := NewRecorder(dir, &job)
 	require.NoError(t, err)
-	r = must[*measure.Result](t)(j.Play(context.Background(), option))
+	r = must[*measure.Result](t)(job.Play(context.Background(), option))
 	closer()
 	return dir, r
 }
@@ -93,7 +93,7 @@
 	dir, original := recordRun(t, retryStorm(t))
 	rec := must[*accesslog.Recording](t)(accesslog.Read(dir))
 	sampleDir := t.TempDir()
-	w := must[*accesslog.Writer](t)(accesslog.NewWriter(accesslog.Options{
+	writer := must[*accesslog.Writer](t)(accesslog.NewWriter(accesslog.Options{
 		Dir:      sampleDir,
 		Instance: "instance-0",
 		Sample:   0.25,
@@ -101,9 +101,9 @@
 		Age:      1 << 50,
 	}))
 	for _, request := range rec.Requests {
-		w.Add(request.Row)
+		writer.Add(request.Row)
 	}
-	w.Close()
+	writer.Close()
 	s := retryStorm(t)
 	s.Replay = &scenario.Replay{From: []string{sampleDir}}
 	c := must[*Comparison](t)((&Runner{}).Compare(context.Background(), Plan{
@@ -139,9 +139,9 @@
 		t.Errorf("a class that the scenario does not have: %v", err)
 	}
 	require.NoError(t, os.Remove(must[[]string](t)(filepath.Glob(filepath.Join(dir, "*.parquet")))[0]))
-	a := must[string](t)(digestFiles([]string{dir}))
-	b := must[string](t)(digestFiles([]string{sampleDir}))
-	if a == b || a == original.Digest {
+	originalDigest := must[string](t)(digestFiles([]string{dir}))
+	sampleDigest := must[string](t)(digestFiles([]string{sampleDir}))
+	if originalDigest == sampleDigest || originalDigest == original.Digest {
 		t.Error("different records have the same digest")
 	}
 }
--- a/internal/experiment/runner.go
+++ b/internal/experiment/runner.go
@@ -125,7 +125,7 @@
 	case t.Variant.Program == "":
 		result, err = t.Job.Play(ctx)
 	default:
-		result, _, err = t.Job.playWith(ctx, t.Variant.Program)
+		result, _, err = t.Job.runWithProgram(ctx, t.Variant.Program)
 	}
 	if err == nil && !cached && r.Store != nil {
 		err = r.Store.Put(key, result)
--- a/internal/experiment/scale.go
+++ b/internal/experiment/scale.go
@@ -79,7 +79,7 @@
 		}
 	}
 	var processState *os.ProcessState
-	if run.Result, processState, err = job.playWith(ctx, program, sc.Env...); err != nil {
+	if run.Result, processState, err = job.runWithProgram(ctx, program, sc.Env...); err != nil {
 		return nil, fmt.Errorf("%d instances on %d endpoints: %w", size.Instances, size.Endpoints, err)
 	}
 	run.Operations = run.Result.Operations
--- a/internal/experiment/search.go
+++ b/internal/experiment/search.go
@@ -34,8 +34,8 @@
 	Runs       int // number of plans evaluated when this one was found
 }
 
-// worse reports whether the variant performs worse in plan a than in plan b.
-func (a *Finding) worse(b *Finding) bool {
+// isWorseThan reports whether the variant performs worse in plan a than in plan b.
+func (a *Finding) isWorseThan(b *Finding) bool {
 	if (a.Violations > 0) != (b.Violations > 0) {
 		return a.Violations > 0
 	}
@@ -72,7 +72,7 @@
 			batch = append(batch, candidate)
 		}
 		if err := x.evaluate(ctx, batch); err != nil {
-			return x.worst(), err
+			return x.worstCandidate(), err
 		}
 		for _, candidate := range batch {
 			x.addCandidate(candidate)
@@ -84,7 +84,7 @@
 // addCandidate adds an evaluated plan to the candidates, of which only the worst are kept. It passes the plan to
 // OnFinding if it is the worst so far.
 func (x *search) addCandidate(candidate *Finding) {
-	if len(x.candidates) == 0 || candidate.worse(x.candidates[0]) {
+	if len(x.candidates) == 0 || candidate.isWorseThan(x.candidates[0]) {
 		candidate.Runs = x.runs
 		if x.OnFinding != nil {
 			x.OnFinding(*candidate)
@@ -93,9 +93,9 @@
 	x.candidates = append(x.candidates, candidate)
 	slices.SortStableFunc(x.candidates, func(a, b *Finding) int {
 		switch {
-		case a.worse(b):
+		case a.isWorseThan(b):
 			return -1
-		case b.worse(a):
+		case b.isWorseThan(a):
 			return 1
 		}
 		return 0
@@ -112,8 +112,8 @@
 	candidates []*Finding
 }
 
-// worst returns the worst plan evaluated so far, or nil before the first.
-func (x *search) worst() *Finding {
+// worstCandidate returns the worst plan evaluated so far, or nil before the first.
+func (x *search) worstCandidate() *Finding {
 	if len(x.candidates) == 0 {
 		return nil
 	}
@@ -290,7 +290,7 @@
 // shrink reduces the worst plan step by step to fewer, shorter and weaker events and fewer instances and endpoints, as
 // long as it keeps the fraction minRemainingLoss of its loss.
 func (x *search) shrink(ctx context.Context) (*Finding, error) {
-	smallest := x.worst()
+	smallest := x.worstCandidate()
 	if smallest == nil {
 		return nil, fmt.Errorf("a budget of %d runs is too small", x.Budget)
 	}
@@ -309,7 +309,7 @@
 			if err := x.evaluate(ctx, []*Finding{candidate}); err != nil {
 				return smallest, err
 			}
-			if !threshold.worse(candidate) {
+			if !threshold.isWorseThan(candidate) {
 				candidate.Runs = x.runs
 				smallest = candidate
 				changed = true
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -106,13 +106,13 @@
 	if err != nil {
 		return nil, err
 	}
-	d := xxhash.New()
+	hash := xxhash.New()
 	var key []byte
 	for _, prefix := range []string{"a", "b"} { // 128 bits: 64 might collide among very many runs
-		d.Reset()
-		_, _ = d.WriteString(prefix + build)
-		d.Write(text)
-		key = d.Sum(key)
+		hash.Reset()
+		_, _ = hash.WriteString(prefix + build)
+		hash.Write(text)
+		key = hash.Sum(key)
 	}
 	return key, nil
 }
@@ -131,9 +131,9 @@
 		return "", err
 	}
 	defer f.Close()
-	d := xxhash.New()
-	if _, err := io.Copy(d, f); err != nil {
+	hash := xxhash.New()
+	if _, err := io.Copy(hash, f); err != nil {
 		return "", fmt.Errorf("%s: %w", program, err)
 	}
-	return hex.EncodeToString(d.Sum(nil)), nil
+	return hex.EncodeToString(hash.Sum(nil)), nil
 }
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -42,7 +42,7 @@
 	if len(axes) < 1 || len(axes) > 2 {
 		return nil, fmt.Errorf("a sweep must have one or two axes, not %d", len(axes))
 	}
-	s := &Sweep{Axes: axes}
+	sweep := &Sweep{Axes: axes}
 	combinations := [][]string{{}}
 	for _, axis := range axes {
 		var extended [][]string
@@ -66,17 +66,17 @@
 		pointPlan := p
 		pointPlan.A = v
 		pointPlan.B = nil
-		if len(s.Points) > 0 {
-			pointPlan.A = s.Points[0].Plan.A
+		if len(sweep.Points) > 0 {
+			pointPlan.A = sweep.Points[0].Plan.A
 			pointPlan.B = v
 		}
 		comparison, err := r.Compare(ctx, pointPlan)
 		if err != nil {
 			return nil, err
 		}
-		s.Points = append(s.Points, SweepPoint{combination, comparison})
+		sweep.Points = append(sweep.Points, SweepPoint{combination, comparison})
 	}
-	return s, nil
+	return sweep, nil
 }
 
 // Figure returns the value of a figure at the point, and the row with its difference from the sweep's first point.
--- a/internal/experiment/variant.go
+++ b/internal/experiment/variant.go
@@ -243,10 +243,10 @@
 // HandleJob runs a JSON-encoded Job sent by another build, and returns the JSON-encoded Reply.
 func HandleJob(ctx context.Context, text []byte) ([]byte, error) {
 	reply := Reply{ModelVersion: simulation.Version}
-	var j Job
-	err := json.Unmarshal(text, &j)
+	var job Job
+	err := json.Unmarshal(text, &job)
 	if err == nil {
-		reply.Result, err = j.Play(ctx)
+		reply.Result, err = job.Play(ctx)
 	}
 	if err != nil {
 		reply.Error = err.Error()
@@ -254,9 +254,11 @@
 	return json.Marshal(reply)
 }
 
-// playWith runs the job in a process of program, which may be another build, and returns the result and the state
-// of the process after its exit. env is added to the process environment.
-func (j *Job) playWith(ctx context.Context, program string, env ...string) (*measure.Result, *os.ProcessState, error) {
+// runWithProgram runs the job in a process of program, which may be another build, and returns the result and the
+// state of the process after its exit. env is added to the process environment.
+func (j *Job) runWithProgram(
+	ctx context.Context, program string, env ...string,
+) (*measure.Result, *os.ProcessState, error) {
 	text, err := json.Marshal(j)
 	if err != nil {
 		return nil, nil, err
