--- a/internal/experiment/agree.go
+++ b/internal/experiment/agree.go
@@ -16,24 +16,24 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// Agreement compares runs by processes with what the simulation predicts for them.
+// Agreement compares the figures of real daemon processes with the simulation's predictions for the same scenario.
 type Agreement struct {
 	Scenario             *scenario.Scenario
 	Seeds, DecisionSeeds int
 	Rows                 []AgreementRow
-	AgreeingRows         int // rows that agree
+	AgreeingRows         int // number of rows whose Agrees is true
 	Model, Processes     []*measure.Result
 }
 
-// AgreementRow is one figure.
+// AgreementRow compares the real and the simulated values of one figure.
 type AgreementRow struct {
 	measure.Figure
-	Model     stats.Interval `json:"Model"` // in which the mean of the real runs ought to lie
-	Processes float64        `json:"Real"`  // where it lies
+	Model     stats.Interval `json:"Model"` // interval predicted for the mean of the real runs
+	Processes float64        `json:"Real"`  // mean of the real runs
 	Agrees    bool           `json:"Inside"`
 }
 
-// agreementFigures are the figures by which simulated and real runs are compared.
+// agreementFigures names the figures in which simulated and real runs are compared.
 var agreementFigures = []string{
 	"service",
 	"whole",
@@ -50,8 +50,9 @@
 	"cross_zone",
 	"probes", "waste"}
 
-// Tolerance is the part of the model's error bars that no number of runs makes smaller: what it leaves out of a
-// machine. It was set by scenarios other than those that are compared (docs/design/model.md).
+// Tolerance returns how far the mean of a figure in real runs may differ from the simulated mean, apart from sampling
+// error. More runs do not reduce it: it covers the effects of a real machine that the simulation does not model. The
+// tolerances were set with other scenarios than those compared (docs/design/model.md).
 func Tolerance(f measure.Figure, value float64) float64 {
 	switch f.Unit {
 	case "ms":
@@ -62,47 +63,48 @@
 	return 0.01
 }
 
-// CompareWithProcesses plays a scenario by processes, and in the simulation several times for each seed with different
-// decision seeds. It reports whether the mean of the real runs lies within the simulation's interval.
+// CompareWithProcesses runs a scenario with real daemon processes once per seed, and in the simulation once per
+// pair of seed and decision seed. For each figure it reports whether the mean of the real runs lies within the
+// interval that the simulation predicts.
 func (r *Runner) CompareWithProcesses(
 	ctx context.Context, s *scenario.Scenario, v *Variant, daemon string, seeds, decisionSeeds int, log io.Writer,
 ) (*Agreement, error) {
 	a := &Agreement{Scenario: s, Seeds: seeds, DecisionSeeds: decisionSeeds}
 	var tasks []Task
 	for seed := range seeds {
-		for k := range decisionSeeds {
-			other := *v
-			other.DecisionSeed = uint64(k)
-			j, err := other.Job(s, v, uint64(1+seed))
+		for decisionSeed := range decisionSeeds {
+			seededVariant := *v
+			seededVariant.DecisionSeed = uint64(decisionSeed)
+			job, err := seededVariant.Job(s, v, uint64(1+seed))
 			if err != nil {
 				return nil, err
 			}
-			tasks = append(tasks, Task{&other, j})
+			tasks = append(tasks, Task{&seededVariant, job})
 		}
 	}
 	var err error
 	if a.Model, err = r.Run(ctx, tasks); err != nil {
 		return nil, err
 	}
-	judged, err := config.Parse(v.Settings)
+	parsed, err := config.Parse(v.Settings)
 	if err != nil {
 		return nil, err
 	}
 	for seed := range seeds {
-		got, err := processes.Run(ctx, processes.Options{
+		result, err := processes.Run(ctx, processes.Options{
 			Plan:     s.Draw(uint64(1 + seed)),
 			Settings: v.Settings,
-			Criteria: criteria(judged),
+			Criteria: criteria(parsed),
 			Daemon:   daemon,
 			Log:      log,
 		})
 		if err != nil {
-			return nil, fmt.Errorf("seed %d, for real: %w", 1+seed, err)
+			return nil, fmt.Errorf("seed %d, run with real processes: %w", 1+seed, err)
 		}
-		a.Processes = append(a.Processes, got)
+		a.Processes = append(a.Processes, result)
 	}
 	for _, name := range agreementFigures {
-		row := a.row(name)
+		row := a.compareFigure(name)
 		if row.Agrees {
 			a.AgreeingRows++
 		}
@@ -111,31 +113,32 @@
 	return a, nil
 }
 
-// row holds one figure of both against one another. The model's runs of one seed differ by lots as real runs do; what
-// differs between seeds is the same for both.
-func (a *Agreement) row(name string) AgreementRow {
+// compareFigure returns the agreement in one figure. The interval's width comes from Tolerance and from the
+// variance between simulated runs of the same seed with different decision seeds, since real runs of a seed vary in
+// the same way. Differences between seeds do not widen the interval: they affect simulated and real runs alike.
+func (a *Agreement) compareFigure(name string) AgreementRow {
 	f, _ := measure.Describe(name)
 	row := AgreementRow{Figure: f}
 	var mean, variance float64
 	for seed := range a.Seeds {
-		v := Figure(a.Model[seed*a.DecisionSeeds:(seed+1)*a.DecisionSeeds], name)
-		mean += stat.Mean(v, nil) / float64(a.Seeds)
+		values := FigureValues(a.Model[seed*a.DecisionSeeds:(seed+1)*a.DecisionSeeds], name)
+		mean += stat.Mean(values, nil) / float64(a.Seeds)
 		if a.DecisionSeeds > 1 {
-			variance += stat.Variance(v, nil)
+			variance += stat.Variance(values, nil)
 		}
 		row.Processes += a.Processes[seed].Figures[name] / float64(a.Seeds)
 	}
-	half := 0.0
+	halfWidth := 0.0
 	if a.DecisionSeeds > 1 {
-		t := distuv.StudentsT{
+		quantile := distuv.StudentsT{
 			Mu:    0,
 			Sigma: 1,
 			Nu:    float64(a.Seeds * (a.DecisionSeeds - 1)),
 		}.Quantile((1 + Confidence) / 2)
-		half = t * math.Sqrt(variance*(1+1/float64(a.DecisionSeeds))) / float64(a.Seeds)
+		halfWidth = quantile * math.Sqrt(variance*(1+1/float64(a.DecisionSeeds))) / float64(a.Seeds)
 	}
-	half += Tolerance(f, mean)
-	row.Model = stats.Interval{Mean: mean, Low: mean - half, High: mean + half, N: a.Seeds * a.DecisionSeeds}
+	halfWidth += Tolerance(f, mean)
+	row.Model = stats.Interval{Mean: mean, Low: mean - halfWidth, High: mean + halfWidth, N: a.Seeds * a.DecisionSeeds}
 	row.Agrees = row.Processes >= row.Model.Low && row.Processes <= row.Model.High
 	return row
 }
--- a/internal/experiment/build.go
+++ b/internal/experiment/build.go
@@ -18,25 +18,25 @@
 	"strings"
 )
 
-// Constant is a constant of the decisions that is to have another value.
+// Constant is a new value for a constant in the source of the balancing decisions.
 type Constant struct {
-	Package string // its folder in the module, as "balancer" or "internal/decide/concurrency"
+	Package string // the package's folder in the module, such as "balancer" or "internal/decide/concurrency"
 	Name    string
-	Value   string // an expression of Go
+	Value   string // a Go expression
 }
 
-// ParseConstant reads FOLDER.NAME=EXPRESSION.
+// ParseConstant parses a constant and its new value, written as FOLDER.NAME=EXPRESSION.
 func ParseConstant(text string) (Constant, error) {
 	key, value, ok := strings.Cut(text, "=")
 	key = strings.TrimSpace(key)
 	value = strings.TrimSpace(value)
 	dot := strings.LastIndex(key, ".")
 	if !ok || dot < 1 || value == "" || !token.IsIdentifier(key[dot+1:]) {
-		return Constant{}, fmt.Errorf("%q is not FOLDER.NAME=EXPRESSION, as balancer.maxAcceptWeight=1.3", text)
+		return Constant{}, fmt.Errorf("%q is not FOLDER.NAME=EXPRESSION, such as balancer.maxAcceptWeight=1.3", text)
 	}
 	c := Constant{filepath.Clean(key[:dot]), key[dot+1:], value}
 	if _, err := parser.ParseExpr(c.Value); err != nil {
-		return c, fmt.Errorf("%s: %q is no expression: %w", key, value, err)
+		return c, fmt.Errorf("%s: %q is not a Go expression: %w", key, value, err)
 	}
 	if !filepath.IsLocal(c.Package) {
 		return c, fmt.Errorf("%s: the folder must be in the module", key)
@@ -44,8 +44,9 @@
 	return c, nil
 }
 
-// Build makes a dunlinsail-experiment in which constants have other values, from the module at root. The module stays
-// as it is: the changed files are an overlay (go help build, -overlay). Variants name the program as @PROGRAM:.
+// Build compiles the dunlinsail-experiment of the module at root with changed values of constants, and writes it to
+// the file program. The module's files stay unchanged: the edited sources are passed as an overlay (go help build,
+// -overlay). A variant selects the resulting program with the prefix @PROGRAM: (see ParseVariant).
 func Build(ctx context.Context, root, program string, constants []Constant) error {
 	dir, err := os.MkdirTemp("", "dunlinsail-experiment")
 	if err != nil {
@@ -66,50 +67,53 @@
 		}
 		overlay[path] = name
 	}
-	text, err := json.Marshal(map[string]any{"Replace": overlay})
+	overlayJSON, err := json.Marshal(map[string]any{"Replace": overlay})
 	if err != nil {
 		return err
 	}
-	list := filepath.Join(dir, "overlay.json")
-	if err := os.WriteFile(list, text, 0o600); err != nil {
+	overlayFile := filepath.Join(dir, "overlay.json")
+	if err := os.WriteFile(overlayFile, overlayJSON, 0o600); err != nil {
 		return err
 	}
 	if program, err = filepath.Abs(program); err != nil {
 		return err
 	}
-	cmd := exec.CommandContext(ctx, "go", "build", "-overlay", list, "-o", program, "./cmd/dunlinsail-experiment")
+	cmd := exec.CommandContext(
+		ctx, "go", "build", "-overlay", overlayFile, "-o", program, "./cmd/dunlinsail-experiment",
+	)
 	cmd.Dir = root
-	var told bytes.Buffer
-	cmd.Stderr = &told
+	var stderr bytes.Buffer
+	cmd.Stderr = &stderr
 	if err := cmd.Run(); err != nil {
-		return fmt.Errorf("go build: %w: %s", err, strings.TrimSpace(told.String()))
+		return fmt.Errorf("go build: %w: %s", err, strings.TrimSpace(stderr.String()))
 	}
 	return nil
 }
 
-// change gives the constant its value in the texts of files, by absolute path.
+// applyTo sets the constant's new value in its source file. files holds the edited sources by absolute path; a file
+// that it does not hold yet is read from the module at root.
 func (c *Constant) applyTo(root string, files map[string][]byte) error {
 	dir, err := filepath.Abs(filepath.Join(root, c.Package))
 	if err != nil {
 		return err
 	}
-	names, err := filepath.Glob(filepath.Join(dir, "*.go"))
+	sourceFiles, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil {
 		return err
 	}
-	names = slices.DeleteFunc(names, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
-	if len(names) == 0 {
+	sourceFiles = slices.DeleteFunc(sourceFiles, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
+	if len(sourceFiles) == 0 {
 		return fmt.Errorf("%s: %w", c.Package, fs.ErrNotExist)
 	}
-	for _, name := range names {
-		text, ok := files[name]
+	for _, path := range sourceFiles {
+		source, ok := files[path]
 		if !ok {
-			if text, err = os.ReadFile(name); err != nil {
+			if source, err = os.ReadFile(path); err != nil {
 				return err
 			}
 		}
-		set := token.NewFileSet()
-		f, err := parser.ParseFile(set, name, text, parser.SkipObjectResolution)
+		fileSet := token.NewFileSet()
+		f, err := parser.ParseFile(fileSet, path, source, parser.SkipObjectResolution)
 		if err != nil {
 			return err
 		}
@@ -117,31 +121,32 @@
 		if expr == nil {
 			continue
 		}
-		from := set.Position(expr.Pos()).Offset
-		to := set.Position(expr.End()).Offset
-		next := slices.Concat(text[:from], []byte(c.Value), text[to:])
-		if files[name], err = format.Source(next); err != nil {
+		from := fileSet.Position(expr.Pos()).Offset
+		to := fileSet.Position(expr.End()).Offset
+		edited := slices.Concat(source[:from], []byte(c.Value), source[to:])
+		if files[path], err = format.Source(edited); err != nil {
 			return fmt.Errorf("%s.%s: %w", c.Package, c.Name, err)
 		}
 		return nil
 	}
-	return fmt.Errorf("%s has no constant %s with a value of its own: %w", c.Package, c.Name, errNoConstant)
+	return fmt.Errorf("package %s, constant %s: %w", c.Package, c.Name, errNoConstant)
 }
 
-var errNoConstant = errors.New("nothing to change")
+// errNoConstant is the error for a constant that the source does not declare with a value of its own.
+var errNoConstant = errors.New("no constant of this name is declared with a value of its own")
 
-// constant finds the value of a constant that a file declares at its top.
+// findConstant returns the value expression of a package-level constant, or nil if the file gives it none.
 func findConstant(f *ast.File, name string) ast.Expr {
-	for _, d := range f.Decls {
-		g, ok := d.(*ast.GenDecl)
-		if !ok || g.Tok != token.CONST {
+	for _, decl := range f.Decls {
+		genDecl, ok := decl.(*ast.GenDecl)
+		if !ok || genDecl.Tok != token.CONST {
 			continue
 		}
-		for _, s := range g.Specs {
-			v := s.(*ast.ValueSpec)
-			for i, n := range v.Names {
-				if n.Name == name && i < len(v.Values) {
-					return v.Values[i]
+		for _, spec := range genDecl.Specs {
+			valueSpec := spec.(*ast.ValueSpec)
+			for i, ident := range valueSpec.Names {
+				if ident.Name == name && i < len(valueSpec.Values) {
+					return valueSpec.Values[i]
 				}
 			}
 		}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -13,25 +13,25 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// Confidence is the confidence level of all intervals.
+// Confidence is the confidence level of all intervals and tests in this package.
 const Confidence = 0.95
 
-// Plan is the plan of a comparison.
+// Plan configures a comparison of two variants, or the measurement of one.
 type Plan struct {
 	Scenario      *scenario.Scenario
-	A, B          *Variant // B may be nil: then A is only measured
-	FirstSeed     uint64   // the first seed
+	A, B          *Variant // if B is nil, A is only measured
+	FirstSeed     uint64   // seeds count up from this value
 	MinSeeds      int
-	MaxSeeds      int     // 0 is MinSeeds
-	TargetWidth   float64 // it stops once the interval of the service's difference is no wider; 0 is at Most
+	MaxSeeds      int     // below MinSeeds it counts as MinSeeds
+	TargetWidth   float64 // stop once the primary difference's interval is at most this wide; 0: run MaxSeeds
 	Method        string  // "t" or "bootstrap"
-	PrimaryFigure string  // what is judged by; "" is service
+	PrimaryFigure string  // the figure that decides the outcome; "" means "service"
 }
 
-// Verdict is the outcome of a comparison of B with A.
+// Verdict states whether variant B is better or worse than variant A.
 type Verdict uint8
 
-// The verdicts.
+// The possible verdicts on variant B. Inconclusive means that the data shows neither.
 const (
 	Inconclusive Verdict = iota
 	Better
@@ -40,31 +40,32 @@
 
 var verdictNames = [...]string{"cannot tell", "better", "worse"}
 
-// String returns the verdict as it is printed.
+// String returns the verdict in the wording of printed tables.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Row is one figure of both variants.
+// Row holds the values of one figure for both variants, and their difference.
 type Row struct {
 	measure.Figure
-	A          stats.Interval `json:"A"`          // of the means
-	B          stats.Interval `json:"B"`          // the same
-	Difference stats.Interval `json:"Difference"` // of B less A, pair by pair
+	A          stats.Interval `json:"A"`          // mean over A's runs
+	B          stats.Interval `json:"B"`          // mean over B's runs
+	Difference stats.Interval `json:"Difference"` // mean of B minus A over the runs of the same seed
 	Verdict    Verdict        `json:"Verdict"`
-	Relevant   bool           `json:"Matters"` // by more than the figure's step
-	Note       string         `json:"Note"`    // for people
+	Relevant   bool           `json:"Matters"` // the difference exceeds the figure's Threshold
+	Note       string         `json:"Note"`    // a remark for the reader of the table
 }
 
-// Comparison is the result of a plan.
+// Comparison holds the runs made for a Plan and the figures computed from them.
 type Comparison struct {
 	Plan      Plan
 	Seeds     []uint64
 	RunsA     []*measure.Result
-	RunsB     []*measure.Result // nil without a B
-	Rows      []Row             // the figure that is judged by stands first
-	Identical bool              // every run of B has the same digest as that of A
+	RunsB     []*measure.Result // nil if the plan has no variant B
+	Rows      []Row             // the primary figure is the first row
+	Identical bool              // each run of B has the same digest as the run of A with its seed
 }
 
-// Compare plays both variants on the same plans, with more and more seeds until the interval is narrow enough.
+// Compare runs both variants with the same seeds, and adds seeds until the primary difference's confidence interval is
+// narrow enough or MaxSeeds is reached.
 func (r *Runner) Compare(ctx context.Context, p Plan) (*Comparison, error) {
 	if p.PrimaryFigure == "" {
 		p.PrimaryFigure = "service"
@@ -74,17 +75,18 @@
 	}
 	c := &Comparison{Plan: p}
 	for len(c.Seeds) < p.MaxSeeds {
-		n := p.MinSeeds
+		newSeeds := p.MinSeeds
 		if len(c.Seeds) > 0 {
-			// By what is known so far, so many are needed in all; not all of them at once, since it is not known well.
-			need := len(c.Seeds) + 4
-			if half := c.Rows[0].Difference.HalfWidth(); half > 0 && !math.IsInf(half, 0) {
-				need = int(float64(len(c.Seeds)) * math.Pow(2*half/p.TargetWidth, 2))
+			// The interval's width shrinks with the square root of the number of seeds. This estimate of the total is
+			// rough after few seeds, so that one step at most doubles their number.
+			neededSeeds := len(c.Seeds) + 4
+			if halfWidth := c.Rows[0].Difference.HalfWidth(); halfWidth > 0 && !math.IsInf(halfWidth, 0) {
+				neededSeeds = int(float64(len(c.Seeds)) * math.Pow(2*halfWidth/p.TargetWidth, 2))
 			}
-			n = min(need-len(c.Seeds), len(c.Seeds))
+			newSeeds = min(neededSeeds-len(c.Seeds), len(c.Seeds))
 		}
-		n = max(1, min(n, p.MaxSeeds-len(c.Seeds)))
-		if err := r.playSeeds(ctx, c, n); err != nil {
+		newSeeds = max(1, min(newSeeds, p.MaxSeeds-len(c.Seeds)))
+		if err := r.runSeeds(ctx, c, newSeeds); err != nil {
 			return c, err
 		}
 		c.buildRows()
@@ -95,27 +97,27 @@
 	return c, nil
 }
 
-// playSeeds plays n more seeds.
-func (r *Runner) playSeeds(ctx context.Context, c *Comparison, n int) error {
+// runSeeds runs the plan's variants with the next count seeds and appends their results.
+func (r *Runner) runSeeds(ctx context.Context, c *Comparison, count int) error {
 	var tasks []Task
-	for i := range n {
+	for i := range count {
 		seed := c.Plan.FirstSeed + uint64(len(c.Seeds)+i)
 		for _, v := range []*Variant{c.Plan.A, c.Plan.B} {
 			if v == nil {
 				continue
 			}
-			j, err := v.Job(c.Plan.Scenario, c.Plan.A, seed)
+			job, err := v.Job(c.Plan.Scenario, c.Plan.A, seed)
 			if err != nil {
 				return err
 			}
-			tasks = append(tasks, Task{v, j})
+			tasks = append(tasks, Task{v, job})
 		}
 	}
 	results, err := r.Run(ctx, tasks)
 	if err != nil {
 		return err
 	}
-	for i := range n {
+	for i := range count {
 		c.Seeds = append(c.Seeds, c.Plan.FirstSeed+uint64(len(c.Seeds)))
 		if c.Plan.B == nil {
 			c.RunsA = append(c.RunsA, results[i])
@@ -127,23 +129,25 @@
 	return nil
 }
 
-// Figure returns the values of a figure, by run.
-func Figure(runs []*measure.Result, name string) []float64 {
-	var v []float64
+// FigureValues returns the value that a figure has in each run.
+func FigureValues(runs []*measure.Result, name string) []float64 {
+	var values []float64
 	for _, r := range runs {
-		v = append(v, r.Figures[name])
+		values = append(values, r.Figures[name])
 	}
-	return v
+	return values
 }
 
-func (c *Comparison) interval(v []float64) stats.Interval {
+// meanInterval returns the confidence interval of the mean of values, computed with the plan's Method.
+func (c *Comparison) meanInterval(values []float64) stats.Interval {
 	if c.Plan.Method == "bootstrap" {
-		return stats.Bootstrap(v, Confidence, 1)
+		return stats.Bootstrap(values, Confidence, 1)
 	}
-	return stats.StudentT(v, Confidence)
+	return stats.StudentT(values, Confidence)
 }
 
-// buildRows computes the rows of all figures.
+// buildRows computes the rows of all figures: the primary one first, then those of every scenario, then those that
+// only this scenario has (per class or tenant). It also sets Identical.
 func (c *Comparison) buildRows() {
 	names := []string{c.Plan.PrimaryFigure}
 	for _, f := range measure.Figures {
@@ -151,31 +155,32 @@
 			names = append(names, f.Name)
 		}
 	}
-	var own []string
+	var scenarioFigures []string
 	for name := range c.RunsA[0].Figures {
 		if !slices.Contains(names, name) {
-			own = append(own, name)
+			scenarioFigures = append(scenarioFigures, name)
 		}
 	}
-	slices.Sort(own)
+	slices.Sort(scenarioFigures)
 	c.Rows = nil
 	c.Identical = c.RunsB != nil
 	for i := range c.RunsB {
 		c.Identical = c.Identical && c.RunsA[i].Digest == c.RunsB[i].Digest
 	}
-	for _, name := range append(names, own...) {
+	for _, name := range append(names, scenarioFigures...) {
 		f, _ := measure.Describe(name)
 		if f.Name == "" {
 			f = measure.Figure{Name: name, Direction: 1}
 		}
-		c.Rows = append(c.Rows, c.row(f))
+		c.Rows = append(c.Rows, c.compareFigure(f))
 	}
 }
 
-func (c *Comparison) row(f measure.Figure) Row {
+// compareFigure computes the row of one figure.
+func (c *Comparison) compareFigure(f measure.Figure) Row {
 	row := Row{Figure: f}
-	a := Figure(c.RunsA, f.Name)
-	row.A = c.interval(a)
+	valuesA := FigureValues(c.RunsA, f.Name)
+	row.A = c.meanInterval(valuesA)
 	if f.CountsViolations {
 		row.Note = c.compareViolations(&row, f)
 		return row
@@ -183,38 +188,38 @@
 	if c.RunsB == nil {
 		return row
 	}
-	b := Figure(c.RunsB, f.Name)
-	row.B = c.interval(b)
-	row.Difference = c.interval(stats.PairedDifferences(a, b))
-	d := row.Difference
+	valuesB := FigureValues(c.RunsB, f.Name)
+	row.B = c.meanInterval(valuesB)
+	row.Difference = c.meanInterval(stats.PairedDifferences(valuesA, valuesB))
+	difference := row.Difference
 	switch {
-	case d.Low > 0:
+	case difference.Low > 0:
 		row.Verdict = Better
-	case d.High < 0:
+	case difference.High < 0:
 		row.Verdict = Worse
 	}
 	if row.Verdict != Inconclusive && f.Direction < 0 {
 		row.Verdict = Better + Worse - row.Verdict
 	}
-	row.Relevant = math.Abs(d.Mean) > f.Threshold
+	row.Relevant = math.Abs(difference.Mean) > f.Threshold
 	switch {
-	// A figure without a direction is a cost: other figures say whether it is well spent.
+	// A figure without a direction is a cost. Other figures show whether the cost is worth it.
 	case row.Verdict != Inconclusive && f.Direction == 0:
 		row.Verdict = Inconclusive
 		row.Note = "less"
-		if d.Mean > 0 {
+		if difference.Mean > 0 {
 			row.Note = "more"
 		}
 	case row.Verdict != Inconclusive && !row.Relevant:
 		row.Note = "by less than matters"
-	case row.Verdict == Inconclusive && d.Low >= -f.Threshold && d.High <= f.Threshold:
+	case row.Verdict == Inconclusive && difference.Low >= -f.Threshold && difference.High <= f.Threshold:
 		row.Note = "no difference that matters"
 	}
 	return row
 }
 
-// hasEnoughSeeds reports whether no further seeds have to be played: the plan's number is reached, or its width of the
-// difference's interval.
+// hasEnoughSeeds reports whether the comparison can stop: the primary difference's interval is at most TargetWidth
+// wide after MinSeeds seeds or more. Without a TargetWidth it can stop once MaxSeeds seeds were run.
 func (c *Comparison) hasEnoughSeeds(p *Plan) bool {
 	if p.TargetWidth <= 0 {
 		return len(c.Seeds) >= p.MaxSeeds
@@ -222,39 +227,41 @@
 	return len(c.Seeds) >= p.MinSeeds && 2*c.Rows[0].Difference.HalfWidth() <= p.TargetWidth
 }
 
-// compareViolations compares counts of what must never happen. A count of 0 does not show that it never happens: the
-// note gives the upper bound of its rate.
+// compareViolations compares how often runs of A and of B violated a rule, and returns a note for the row. A count
+// of 0 does not show that violations never happen, so that the note also gives the upper bound of their rate.
 func (c *Comparison) compareViolations(row *Row, f measure.Figure) string {
-	count := func(runs []*measure.Result) (happened, operations int64) {
+	sumViolations := func(runs []*measure.Result) (violations, operations int64) {
 		for _, r := range runs {
-			happened += int64(r.Figures[f.Name])
+			violations += int64(r.Figures[f.Name])
 			operations += r.Operations
 		}
-		return happened, operations
+		return violations, operations
 	}
-	upperBound := func(happened, operations int64) string {
+	describeRate := func(violations, operations int64) string {
 		return fmt.Sprintf(
-			"%d of %d stories: at most one in %.0f", happened, operations,
-			1/stats.RateInterval(min(happened, operations), operations, Confidence).High,
+			"%d of %d stories: at most one in %.0f", violations, operations,
+			1/stats.RateInterval(min(violations, operations), operations, Confidence).High,
 		)
 	}
-	a, operationsA := count(c.RunsA)
+	violationsA, operationsA := sumViolations(c.RunsA)
 	if c.RunsB == nil {
-		return upperBound(a, operationsA)
+		return describeRate(violationsA, operationsA)
 	}
-	b, operationsB := count(c.RunsB)
-	row.B = c.interval(Figure(c.RunsB, f.Name))
-	row.Difference = c.interval(stats.PairedDifferences(Figure(c.RunsA, f.Name), Figure(c.RunsB, f.Name)))
-	if stats.RateEqualityPValue(a, b) < 1-Confidence {
+	violationsB, operationsB := sumViolations(c.RunsB)
+	row.B = c.meanInterval(FigureValues(c.RunsB, f.Name))
+	row.Difference = c.meanInterval(
+		stats.PairedDifferences(FigureValues(c.RunsA, f.Name), FigureValues(c.RunsB, f.Name)),
+	)
+	if stats.RateEqualityPValue(violationsA, violationsB) < 1-Confidence {
 		row.Relevant = true
-		if row.Verdict = Worse; b < a {
+		if row.Verdict = Worse; violationsB < violationsA {
 			row.Verdict = Better
 		}
 	}
-	return "A " + upperBound(a, operationsA) + "; B " + upperBound(b, operationsB)
+	return "A " + describeRate(violationsA, operationsA) + "; B " + describeRate(violationsB, operationsB)
 }
 
-// Line returns a one-line summary.
+// Line returns the outcome of the comparison in one line of text.
 func (c *Comparison) Line() string {
 	row := c.Rows[0]
 	if c.RunsB == nil {
@@ -284,7 +291,7 @@
 	return text + fmt.Sprintf(", over %d seeds", len(c.Seeds))
 }
 
-// Number formats a mean with half of its confidence interval.
+// Number formats a mean and half the width of its confidence interval, such as "0.9512 ± 0.0031".
 func Number(f measure.Figure, i stats.Interval) string {
 	digits := 4
 	if f.Unit == "ms" {
@@ -296,7 +303,7 @@
 	return fmt.Sprintf("%.*f ± %.*f", digits, i.Mean, digits, i.HalfWidth())
 }
 
-// Signed formats as Number does, with a sign.
+// Signed formats a difference like Number, with an explicit plus sign if it is not negative.
 func Signed(f measure.Figure, i stats.Interval) string {
 	text := Number(f, i)
 	if i.Mean >= 0 && !strings.HasPrefix(text, "-") {
@@ -305,7 +312,7 @@
 	return text
 }
 
-// Summary is a comparison without its runs, as JSON has it.
+// Summary is the JSON form of a comparison, without its runs.
 type Summary struct {
 	Scenario string   `json:"Scenario"`
 	A        string   `json:"A"`
@@ -315,7 +322,7 @@
 	Rows     []Row    `json:"Rows"`
 }
 
-// Summary returns the comparison's summary.
+// Summary returns the comparison without its runs, for JSON output.
 func (c *Comparison) Summary() Summary {
 	s := Summary{Scenario: c.Plan.Scenario.Name, A: c.Plan.A.Spec, Line: c.Line(), Seeds: c.Seeds, Rows: c.Rows}
 	if c.Plan.B != nil {
@@ -324,22 +331,22 @@
 	return s
 }
 
-// MarshalText writes a verdict as people read it.
+// MarshalText encodes a verdict as the text that String returns.
 func (v Verdict) MarshalText() ([]byte, error) { return []byte(v.String()), nil }
 
-// Claims evaluates claims by the runs of A.
+// Claims parses claims and evaluates them against the runs of A.
 func (c *Comparison) Claims(texts []string) ([]claim.Evaluation, error) {
 	var runs []map[string]float64
 	for _, r := range c.RunsA {
 		runs = append(runs, r.Figures)
 	}
-	var all []claim.Evaluation
+	var evaluations []claim.Evaluation
 	for _, text := range texts {
-		k, err := claim.Parse(text, func(name string) bool { _, ok := runs[0][name]; return ok })
+		parsed, err := claim.Parse(text, func(name string) bool { _, ok := runs[0][name]; return ok })
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, k.Evaluate(runs, Confidence))
+		evaluations = append(evaluations, parsed.Evaluate(runs, Confidence))
 	}
-	return all, nil
+	return evaluations, nil
 }
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -17,21 +17,23 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// FaultRun is a scenario that was played by real processes, and how its claims stand.
+// FaultRun is the result of a scenario run with real processes, and the evaluation of the scenario's claims.
 type FaultRun struct {
 	Result      *measure.Result
 	Claims      []claim.Evaluation
 	Failed      bool
-	EvidenceDir string // the folder with the evidence of a failed run; "" is none
+	EvidenceDir string // folder with the evidence of a failed run; "" if none was written
 }
 
-// RunWithFaults plays a scenario by processes of a program, with its faults between them, and evaluates its claims by
-// that run: one run can refute a claim, not prove it. The evidence of a failed run goes to a folder of its own below
-// keep. Every other instance is a process of beside, unless that is empty.
+// RunWithFaults runs a scenario and its faults with real processes of a daemon program, and evaluates the
+// scenario's claims on that run: a single run can refute a claim, but not prove it. The evidence of a failed run is
+// written to a new folder below evidenceRoot, unless that is empty. Every second instance runs alternateProgram,
+// unless that is empty.
 func RunWithFaults(
-	ctx context.Context, s *scenario.Scenario, v *Variant, program, beside string, seed uint64, keep string,
+	ctx context.Context, s *scenario.Scenario, v *Variant, program, alternateProgram string, seed uint64,
+	evidenceRoot string,
 ) (*FaultRun, error) {
-	own, err := config.Parse(v.Settings)
+	parsed, err := config.Parse(v.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -40,41 +42,43 @@
 	result, err := processes.Run(ctx, processes.Options{
 		Plan:            plan,
 		Settings:        v.Settings,
-		Criteria:        criteria(own),
+		Criteria:        criteria(parsed),
 		Daemon:          program,
-		AlternateDaemon: beside,
+		AlternateDaemon: alternateProgram,
 		Log:             &log,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("%s, seed %d: %w; logged last:\n%s", s.Name, seed, err, log.last(errorLogLines))
+		return nil, fmt.Errorf(
+			"%s, seed %d: %w; last log lines:\n%s", s.Name, seed, err, log.lastLines(maxErrorLogLines),
+		)
 	}
 	f := &FaultRun{Result: result}
 	for _, text := range s.Expect {
-		c, err := claim.Parse(text, nil)
+		parsedClaim, err := claim.Parse(text, nil)
 		if err != nil {
 			return nil, err
 		}
-		j := c.Evaluate([]map[string]float64{result.Figures}, Confidence)
-		f.Claims = append(f.Claims, j)
-		f.Failed = f.Failed || j.Verdict == claim.Fails
+		evaluation := parsedClaim.Evaluate([]map[string]float64{result.Figures}, Confidence)
+		f.Claims = append(f.Claims, evaluation)
+		f.Failed = f.Failed || evaluation.Verdict == claim.Fails
 	}
-	if f.Failed && keep != "" {
-		f.EvidenceDir = filepath.Join(keep, fmt.Sprintf("%s-%s-%d", s.Name, filepath.Base(program), seed))
+	if f.Failed && evidenceRoot != "" {
+		f.EvidenceDir = filepath.Join(evidenceRoot, fmt.Sprintf("%s-%s-%d", s.Name, filepath.Base(program), seed))
 		err = f.writeEvidence(s, v, plan, &log)
 	}
 	return f, err
 }
 
-// writeEvidence writes the scenario, settings, log and result of a failed run.
+// writeEvidence writes the scenario, settings, log and result of a failed run to files in EvidenceDir.
 func (f *FaultRun) writeEvidence(s *scenario.Scenario, v *Variant, plan *scenario.Plan, log *logBuffer) error {
 	if err := os.MkdirAll(f.EvidenceDir, 0o755); err != nil {
 		return err
 	}
-	text, err := s.Text()
+	scenarioText, err := s.Text()
 	if err != nil {
 		return err
 	}
-	all, err := json.MarshalIndent(struct {
+	resultJSON, err := json.MarshalIndent(struct {
 		Happenings []scenario.PlannedEvent `json:"Happenings"`
 		Result     *measure.Result         `json:"Result"`
 	}{plan.PlannedEvents, f.Result}, "", "\t")
@@ -82,9 +86,9 @@
 		return err
 	}
 	for name, text := range map[string][]byte{
-		"scenario.toml": text,
+		"scenario.toml": scenarioText,
 		"settings.toml": v.Settings,
-		"result.json":   all,
+		"result.json":   resultJSON,
 		"log":           log.text.Bytes(),
 	} {
 		if err := os.WriteFile(filepath.Join(f.EvidenceDir, name), text, 0o644); err != nil {
@@ -94,16 +98,17 @@
 	return nil
 }
 
-// lines keeps what processes log, up to a bound: each write of a process is one of its own, from a goroutine of its
-// own.
+// logBuffer collects the log output of several processes, up to maxLogBytes. Each process is read by its own
+// goroutine, so that writes are concurrent.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
+// maxLogBytes is the size from which on a logBuffer drops further writes.
 const maxLogBytes = 16 << 20
 
-// Write appends to the log; what exceeds the bound is dropped.
+// Write appends to the log, or drops the text if the log has already reached maxLogBytes. It never fails.
 func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,18 +118,18 @@
 	return len(p), nil
 }
 
-// errorLogLines is how many lines of the log an error includes.
-const errorLogLines = 12
+// maxErrorLogLines is the number of log lines that the error of a failed process run includes.
+const maxErrorLogLines = 12
 
-// last returns the last n lines.
-func (l *logBuffer) last(n int) string {
+// lastLines returns the last count lines of the log.
+func (l *logBuffer) lastLines(count int) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := strings.Split(strings.TrimSpace(l.text.String()), "\n")
-	return strings.Join(all[max(0, len(all)-n):], "\n")
+	lines := strings.Split(strings.TrimSpace(l.text.String()), "\n")
+	return strings.Join(lines[max(0, len(lines)-count):], "\n")
 }
 
-// Summary returns the figures that matter under faults, in one line.
+// Summary returns one line with the figures that show the effect of faults.
 func (f *FaultRun) Summary() string {
 	var parts []string
 	for _, name := range []string{
--- a/internal/experiment/faults_test.go
+++ b/internal/experiment/faults_test.go
@@ -17,8 +17,8 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// serve is a daemon's process.
-func serve(file string) {
+// runDaemon runs a daemon with a configuration file until SIGTERM, and exits the test process.
+func runDaemon(file string) {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
 	c, err := config.Read(file)
@@ -31,8 +31,8 @@
 	os.Exit(0)
 }
 
-// A run of real processes of which a claim does not hold fails, and leaves in a folder what is needed to look for the
-// cause; one that holds leaves nothing.
+// A run of real processes that refutes a claim fails and writes the scenario, settings, result and log to a folder.
+// A run that refutes no claim writes nothing. A daemon program that exits at once is an error.
 func TestFaultsKeepEvidence(t *testing.T) {
 	self, err := os.Executable()
 	require.NoError(t, err)
@@ -41,16 +41,16 @@
 	))
 	s.Events = []scenario.Event{}
 	v := must[*Variant](t)(ParseVariant(Shipped))
-	keep := t.TempDir()
+	evidenceRoot := t.TempDir()
 	for _, c := range []struct {
 		claims []string
 		failed bool
 	}{{[]string{"whole >= 0.9", "breaks == 0"}, false}, {[]string{"whole >= 0.9", "probes_first <= 0.001"}, true}} {
 		s.Expect = c.claims
-		f, err := RunWithFaults(t.Context(), s, v, self, "", 1, keep)
+		f, err := RunWithFaults(t.Context(), s, v, self, "", 1, evidenceRoot)
 		require.NoError(t, err)
 		if f.Failed != c.failed || (f.EvidenceDir != "") != c.failed {
-			t.Errorf("%v: failed %v, kept %q; %s", c.claims, f.Failed, f.EvidenceDir, f.Summary())
+			t.Errorf("%v: failed %v, evidence in %q; %s", c.claims, f.Failed, f.EvidenceDir, f.Summary())
 		}
 		for _, name := range []string{"scenario.toml", "settings.toml", "result.json", "log"} {
 			if c.failed {
@@ -62,8 +62,8 @@
 		}
 	}
 	if _, err := RunWithFaults(
-		t.Context(), s, v, "/bin/false", "", 1, keep,
+		t.Context(), s, v, "/bin/false", "", 1, evidenceRoot,
 	); err == nil || !strings.Contains(err.Error(), "ended by itself") {
-		t.Errorf("a program that ends at once: %v", err)
+		t.Errorf("a program that exits at once: %v", err)
 	}
 }
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -21,10 +21,11 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// TestMain lets the test's own program stand for another build's.
+// TestMain lets the test binary act as other programs: as another build of dunlinsail-experiment if LAB_TEST_AS is
+// set, and as a daemon if it is started with --config FILE.
 func TestMain(m *testing.M) {
-	answerWith := func(answer string) {
-		if _, err := os.Stdout.WriteString(answer); err != nil {
+	replyAndExit := func(reply string) {
+		if _, err := os.Stdout.WriteString(reply); err != nil {
 			os.Exit(1)
 		}
 		os.Exit(0)
@@ -38,18 +39,19 @@
 		if err != nil {
 			os.Exit(1)
 		}
-		answerWith(string(text))
+		replyAndExit(string(text))
 	case "other world":
-		answerWith(`{"world":0,"result":{"Figures":{"service":1}}}`)
+		replyAndExit(`{"world":0,"result":{"Figures":{"service":1}}}`)
 	case "nonsense":
-		answerWith(`service: fine`)
+		replyAndExit(`service: fine`)
 	}
 	if len(os.Args) == 3 && os.Args[1] == "--config" {
-		serve(os.Args[2])
+		runDaemon(os.Args[2])
 	}
 	goleak.VerifyTestMain(m)
 }
 
+// must returns a function that fails the test if err is not nil, and otherwise returns v.
 func must[T any](t *testing.T) func(v T, err error) T {
 	t.Helper()
 	return func(v T, err error) T {
@@ -59,19 +61,22 @@
 	}
 }
 
-func short(t *testing.T, edits ...string) *scenario.Scenario {
+// shortScenario returns the scenario calm with edits, 5 s long, with 2 instances and 5 endpoints.
+func shortScenario(t *testing.T, edits ...string) *scenario.Scenario {
 	t.Helper()
 	return must[*scenario.Scenario](t)(Resize(
 		must[*scenario.Scenario](t)(library.Load("calm")), append(edits, "length=5s"), 2, 5,
 	))
 }
 
-func variant(t *testing.T, spec string) *Variant {
+// parseVariant parses a variant that must be valid.
+func parseVariant(t *testing.T, spec string) *Variant {
 	t.Helper()
 	return must[*Variant](t)(ParseVariant(spec))
 }
 
-// Edits change what they name, by names of tables in lists too, and say what they cannot find.
+// Edits change the value at their key, also in arrays of tables, whose entries are selected by name or kind. Unknown
+// entries and invalid edits or variants are errors.
 func TestEdits(t *testing.T) {
 	text := must[[]byte](t)(applyEdits(
 		[]byte("a = 1\n[b]\nc = \"x\"\n[[d]]\nname = \"one\"\nv = 1\n[[d]]\nkind = \"two\"\nv = 1\n"),
@@ -81,28 +86,28 @@
 			t.Errorf("%q is missing in\n%s", want, text)
 		}
 	}
-	for _, bad := range []string{"a", "=1", "d.three.v=1", "a.b=1", "d.one=1"} {
-		if _, err := applyEdits([]byte("a = 1\n[[d]]\nname = \"one\"\n"), []string{bad}); err == nil {
-			t.Errorf("%q was taken", bad)
+	for _, invalid := range []string{"a", "=1", "d.three.v=1", "a.b=1", "d.one=1"} {
+		if _, err := applyEdits([]byte("a = 1\n[[d]]\nname = \"one\"\n"), []string{invalid}); err == nil {
+			t.Errorf("%q was accepted", invalid)
 		}
 	}
-	v := variant(t, "shipped,attempts.most=2,class.book.aim=350ms,world.clients.retries=[0, 0],lots=3,harm=0.1")
+	v := parseVariant(t, "shipped,attempts.most=2,class.book.aim=350ms,world.clients.retries=[0, 0],lots=3,harm=0.1")
 	if v.DecisionSeed != 3 || v.Harm != 0.1 || !slices.Equal(
 		v.ScenarioEdits, []string{"clients.retries=[0, 0]"},
 	) || !strings.Contains(string(v.Settings), "most = 2") {
 		t.Errorf("%+v", v)
 	}
-	for _, bad := range []string{
+	for _, invalid := range []string{
 		"nowhere.toml", "shipped,attempts.most=0", "shipped,attemps.most=2", "shipped,harm=2", "@/nowhere:shipped",
 		"@x",
 	} {
-		if _, err := ParseVariant(bad); err == nil {
-			t.Errorf("%q was taken", bad)
+		if _, err := ParseVariant(invalid); err == nil {
+			t.Errorf("%q was accepted", invalid)
 		}
 	}
 }
 
-// All scenarios that come with the program are sound, and claim what can be judged.
+// All scenarios in the library can be loaded, and each claim of theirs uses known figures.
 func TestLibrary(t *testing.T) {
 	for _, name := range library.Names() {
 		s, err := library.Load(name)
@@ -122,190 +127,209 @@
 		}
 	}
 	if _, err := library.Load("nothing"); err == nil {
-		t.Error("a scenario that is not there was loaded")
+		t.Error("a scenario that does not exist was loaded")
 	}
 }
 
-// What comes of runs does not depend on how many are made at once, nor on whether they were stored; what was stored is
-// not run again, and another build's are others.
-func TestSameHoweverRun(t *testing.T) {
+// Results depend neither on the number of parallel runs nor on whether they come from the store. Stored runs are not
+// repeated, but stored results of one build are not used for another build.
+func TestResultsIndependentOfParallelismAndStore(t *testing.T) {
 	ctx := context.Background()
 	plan := Plan{
-		Scenario:  short(t),
-		A:         variant(t, "shipped"),
-		B:         variant(t, "shipped,lots=1"),
+		Scenario:  shortScenario(t),
+		A:         parseVariant(t, "shipped"),
+		B:         parseVariant(t, "shipped,lots=1"),
 		FirstSeed: 1,
 		MinSeeds:  6,
 	}
-	digests := func(r *Runner) (all []string) {
+	digests := func(r *Runner) (digests []string) {
 		c := must[*Comparison](t)(r.Compare(ctx, plan))
 		for i := range c.RunsA {
-			all = append(all, c.RunsA[i].Digest, c.RunsB[i].Digest)
+			digests = append(digests, c.RunsA[i].Digest, c.RunsB[i].Digest)
 		}
-		return all
+		return digests
 	}
 	path := filepath.Join(t.TempDir(), "lab.db")
 	store := must[*Store](t)(OpenStore(path))
-	var last [3]int
-	one := digests(&Runner{
+	var progress [3]int
+	sequential := digests(&Runner{
 		Parallel: 1,
 		Store:    store,
-		Progress: func(done, stored, all int) { last = [3]int{done, stored, all} },
+		Progress: func(done, stored, all int) { progress = [3]int{done, stored, all} },
 	})
-	if last != [3]int{12, 0, 12} {
-		t.Errorf("done, stored and all: %v", last)
+	if progress != [3]int{12, 0, 12} {
+		t.Errorf("runs done, stored and requested: %v, want 12, 0 and 12", progress)
 	}
-	if slices.Compact(slices.Clone(one))[0] != one[0] || one[0] == one[1] || one[0] == one[2] {
-		t.Errorf("digests: %v", one)
+	if slices.Compact(slices.Clone(sequential))[0] != sequential[0] ||
+		sequential[0] == sequential[1] || sequential[0] == sequential[2] {
+		t.Errorf("digests: %v", sequential)
 	}
 	for _, n := range []int{2, 4} {
-		if got := digests(&Runner{Parallel: n}); !slices.Equal(got, one) {
-			t.Errorf("%d at once: %v, not %v", n, got, one)
+		if got := digests(&Runner{Parallel: n}); !slices.Equal(got, sequential) {
+			t.Errorf("%d parallel runs: digests %v, want %v", n, got, sequential)
 		}
 	}
 	store.Close()
 	store = must[*Store](t)(OpenStore(path))
 	defer store.Close()
-	again := &Runner{Store: store, Progress: func(done, stored, all int) { last = [3]int{done, stored, all} }}
-	if got := digests(again); !slices.Equal(got, one) || last != [3]int{0, 12, 12} {
-		t.Errorf("from the store: %v; done, stored and all: %v", got, last)
+	storedRunner := &Runner{
+		Store:    store,
+		Progress: func(done, stored, all int) { progress = [3]int{done, stored, all} },
+	}
+	if got := digests(storedRunner); !slices.Equal(got, sequential) || progress != [3]int{0, 12, 12} {
+		t.Errorf("from the store: digests %v; runs done, stored and requested: %v", got, progress)
 	}
-	other := &Runner{Store: store, builds: map[string]string{"": "another"}, Progress: again.Progress}
-	if digests(other); last != [3]int{12, 0, 12} {
-		t.Errorf("with another build: done, stored and all %v", last)
+	otherBuild := &Runner{Store: store, buildIDs: map[string]string{"": "another"}, Progress: storedRunner.Progress}
+	if digests(otherBuild); progress != [3]int{12, 0, 12} {
+		t.Errorf("with another build: runs done, stored and requested: %v", progress)
 	}
 	if n := must[int](t)(store.Len()); n != 24 {
 		t.Errorf("%d runs are stored, not 24", n)
 	}
 }
 
-// A run that is cut off keeps what is done, and the same command goes on from it.
+// A canceled comparison leaves its completed runs in the store, and the next comparison with the same plan reuses
+// them.
 func TestCutOff(t *testing.T) {
 	store := must[*Store](t)(OpenStore(filepath.Join(t.TempDir(), "lab.db")))
 	defer store.Close()
-	plan := Plan{Scenario: short(t), A: variant(t, "shipped"), FirstSeed: 1, MinSeeds: 8}
+	plan := Plan{Scenario: shortScenario(t), A: parseVariant(t, "shipped"), FirstSeed: 1, MinSeeds: 8}
 	ctx, cancel := context.WithCancelCause(context.Background())
-	why := errors.New("enough")
+	cause := errors.New("enough")
 	r := &Runner{Parallel: 1, Store: store, Progress: func(done, _, _ int) {
 		if done == 3 {
-			cancel(why)
+			cancel(cause)
 		}
 	}}
-	if _, err := r.Compare(ctx, plan); !errors.Is(err, why) {
-		t.Errorf("cut off: %v", err)
+	if _, err := r.Compare(ctx, plan); !errors.Is(err, cause) {
+		t.Errorf("canceled comparison: %v", err)
 	}
 	stored := 0
 	r = &Runner{Store: store, Progress: func(_, n, _ int) { stored = max(stored, n) }}
 	c := must[*Comparison](t)(r.Compare(context.Background(), plan))
 	if stored != 3 || len(c.RunsA) != 8 {
-		t.Errorf("%d of %d runs were stored before", stored, len(c.RunsA))
+		t.Errorf("%d of %d runs were taken from the store", stored, len(c.RunsA))
 	}
 }
 
-// Another build plays a job by its program, and its reply is checked.
+// A job that another build's program runs has the same result as in this process. Replies that are invalid or come
+// from another version of the simulation model are errors, and so is a missing program.
 func TestOtherBuild(t *testing.T) {
 	self := must[string](t)(os.Executable())
-	v := variant(t, "@"+self+":shipped")
-	j := must[Job](t)(v.Job(short(t), v, 3))
+	v := parseVariant(t, "@"+self+":shipped")
+	job := must[Job](t)(v.Job(shortScenario(t), v, 3))
 	t.Setenv("LAB_TEST_AS", "build")
-	theirs, state, err := j.playWith(context.Background(), self)
-	if err != nil || state.UserTime() <= 0 {
-		t.Fatal(err, state)
-	}
-	ours := must[*measure.Result](t)(j.Play(context.Background()))
-	if theirs.Digest != ours.Digest || theirs.Figures["service"] != ours.Figures["service"] {
-		t.Errorf("the same build says %s, not %s", theirs.Digest, ours.Digest)
-	}
-	bad := j
-	bad.Settings = "[nothing]\n"
-	if _, _, err := bad.playWith(context.Background(), self); err == nil || !strings.Contains(err.Error(), "nothing") {
-		t.Errorf("settings that make no sense: %v", err)
-	}
-	for as, want := range map[string]string{"other world": "cannot be compared", "nonsense": "makes no sense"} {
-		t.Setenv("LAB_TEST_AS", as)
-		if _, _, err := j.playWith(context.Background(), self); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", as, err)
+	otherBuildResult, processState, err := job.runWithProgram(context.Background(), self)
+	if err != nil || processState.UserTime() <= 0 {
+		t.Fatal(err, processState)
+	}
+	ownResult := must[*measure.Result](t)(job.Play(context.Background()))
+	if otherBuildResult.Digest != ownResult.Digest ||
+		otherBuildResult.Figures["service"] != ownResult.Figures["service"] {
+		t.Errorf("the same build returned digest %s, want %s", otherBuildResult.Digest, ownResult.Digest)
+	}
+	invalid := job
+	invalid.Settings = "[nothing]\n"
+	if _, _, err := invalid.runWithProgram(
+		context.Background(), self,
+	); err == nil || !strings.Contains(err.Error(), "nothing") {
+		t.Errorf("invalid settings: %v", err)
+	}
+	for role, want := range map[string]string{
+		"other world": "cannot be compared", "nonsense": "reply cannot be decoded",
+	} {
+		t.Setenv("LAB_TEST_AS", role)
+		if _, _, err := job.runWithProgram(
+			context.Background(), self,
+		); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v", role, err)
 		}
 	}
 	var exit *exec.Error
-	if _, _, err := j.playWith(
+	if _, _, err := job.runWithProgram(
 		context.Background(), filepath.Join(t.TempDir(), "gone"),
 	); err == nil || errors.As(err, &exit) && exit == nil {
-		t.Errorf("a program that is not there: %v", err)
+		t.Errorf("a program that does not exist: %v", err)
 	}
 }
 
-// A known harm is found; the same build with another decision seed is not found to differ, and with the same seed it
-// gives identical runs; a variant that changes retries is compared like any other.
+// A comparison detects a known harm and finds no difference between two decision seeds of the same variant. The same
+// variant with the same decision seed gives identical runs. Variants may change the scenario's client retries.
 func TestCompare(t *testing.T) {
 	ctx := context.Background()
-	against := func(a, b string, edits ...string) *Comparison {
+	compareIn := func(a, b string, edits ...string) *Comparison {
 		return must[*Comparison](t)((&Runner{}).Compare(ctx, Plan{
-			Scenario:  short(t, edits...),
-			A:         variant(t, a),
-			B:         variant(t, b),
+			Scenario:  shortScenario(t, edits...),
+			A:         parseVariant(t, a),
+			B:         parseVariant(t, b),
 			FirstSeed: 1,
 			MinSeeds:  8,
 		}))
 	}
-	compare := func(b string) *Comparison { return against("shipped", b) }
-	const isWorse = "B is worse: service -0.0"
-	if c := compare("shipped,harm=0.05"); c.Rows[0].Verdict != Worse || !strings.Contains(c.Line(), isWorse) {
-		t.Errorf("harm: %s", c.Line())
+	compare := func(b string) *Comparison { return compareIn("shipped", b) }
+	const worseLine = "B is worse: service -0.0"
+	if c := compare("shipped,harm=0.05"); c.Rows[0].Verdict != Worse || !strings.Contains(c.Line(), worseLine) {
+		t.Errorf("with a known harm: %s", c.Line())
 	}
 	if c := compare("shipped,lots=7"); c.Rows[0].Verdict != Inconclusive || c.Identical {
-		t.Errorf("other lots: %s", c.Line())
+		t.Errorf("another decision seed: %s", c.Line())
 	}
 	if c := compare("shipped"); !c.Identical || !strings.Contains(
 		c.Line(), "cannot tell: every one of 8 runs came to the very same",
 	) {
-		t.Errorf("the same: %s", c.Line())
+		t.Errorf("identical variants: %s", c.Line())
 	}
-	c := against(Shipped, "shipped,world.clients.retries=[0, 0]", "clients.retries=[2, 2]", "clients.load=1.5")
+	c := compareIn(Shipped, "shipped,world.clients.retries=[0, 0]", "clients.retries=[2, 2]", "clients.load=1.5")
 	for _, row := range c.Rows {
 		if row.Name == "tries" && row.Verdict != Better {
-			t.Errorf("no retries: %+v", row)
+			t.Errorf("a variant without client retries: %+v", row)
 		}
 	}
 }
 
-// The learned concurrency limit costs hardly any service while endpoints have capacity, and protects modest clients
-// from one that sends far too much.
+// The learned concurrency limit costs almost no service, neither at 70 % load nor under overload, and it protects
+// modest clients from a client that sends far too many requests.
 func TestLearnedBoundInFlight(t *testing.T) {
 	mean := func(s *scenario.Scenario, spec, figure string) float64 {
 		c := must[*Comparison](t)((&Runner{}).Compare(context.Background(), Plan{
 			Scenario:  s,
-			A:         variant(t, spec),
+			A:         parseVariant(t, spec),
 			FirstSeed: 1,
 			MinSeeds:  2,
 		}))
-		return stats.StudentT(Figure(c.RunsA, figure), Confidence).Mean
+		return stats.StudentT(FigureValues(c.RunsA, figure), Confidence).Mean
 	}
-	load := func(name string, edits ...string) *scenario.Scenario {
+	loadScenario := func(name string, edits ...string) *scenario.Scenario {
 		return must[*scenario.Scenario](t)(Resize(must[*scenario.Scenario](t)(library.Load(name)), edits, 0, 0))
 	}
-	const unbounded = "shipped,requests.in_flight=1000"
-	// the first second costs a fifth of itself
-	busy := load("calm", "clients.load=0.7", "fleet.instances=1", "length=25s")
-	if a, b := mean(busy, unbounded, "whole"), mean(busy, Shipped, "whole"); b < a-0.02 {
-		t.Errorf("endpoints at seven tenths: %.3f of the worth served, %.3f without a bound", b, a)
-	}
-	payday := load("payday", "length=22s")
-	if a, b := mean(payday, unbounded, "whole"), mean(payday, Shipped, "whole"); b < a-0.03 {
-		t.Errorf("more asked for than can be done: %.3f of the worth served, %.3f without a bound", b, a)
-	}
-	loud := load("loud-client", "length=16s")
-	if a, b := mean(loud, unbounded, "modest"), mean(loud, Shipped, "modest"); b < 0.95 || a > 0.93 {
-		t.Errorf("beside a loud client: %.3f of the modest ones' worth served, %.3f without a bound", b, a)
+	const unlimitedVariant = "shipped,requests.in_flight=1000"
+	// The limit costs about a fifth of the service of the first second of a run.
+	busyScenario := loadScenario("calm", "clients.load=0.7", "fleet.instances=1", "length=25s")
+	if unlimited, limited := mean(busyScenario, unlimitedVariant, "whole"),
+		mean(busyScenario, Shipped, "whole"); limited < unlimited-0.02 {
+		t.Errorf("endpoints at 70 %% load: %.3f of the worth served, %.3f without the limit", limited, unlimited)
+	}
+	overloadScenario := loadScenario("payday", "length=22s")
+	if unlimited, limited := mean(overloadScenario, unlimitedVariant, "whole"),
+		mean(overloadScenario, Shipped, "whole"); limited < unlimited-0.03 {
+		t.Errorf("overload: %.3f of the worth served, %.3f without the limit", limited, unlimited)
+	}
+	loudClientScenario := loadScenario("loud-client", "length=16s")
+	if unlimited, limited := mean(loudClientScenario, unlimitedVariant, "modest"),
+		mean(loudClientScenario, Shipped, "modest"); limited < 0.95 || unlimited > 0.93 {
+		t.Errorf(
+			"with one excessive client: %.3f of the modest clients' worth served, %.3f without the limit", limited,
+			unlimited,
+		)
 	}
 }
 
-// It goes on until it is known well enough, and no further than it may.
+// A comparison adds seeds until the interval is at most TargetWidth wide, but never more than MaxSeeds.
 func TestStopsAtWidth(t *testing.T) {
 	plan := Plan{
-		Scenario:    short(t, "clients.load=0.9"),
-		A:           variant(t, "shipped"),
-		B:           variant(t, "shipped,lots=7"),
+		Scenario:    shortScenario(t, "clients.load=0.9"),
+		A:           parseVariant(t, "shipped"),
+		B:           parseVariant(t, "shipped,lots=7"),
 		FirstSeed:   1,
 		MinSeeds:    3,
 		MaxSeeds:    40,
@@ -322,7 +346,8 @@
 	}
 }
 
-// What has not been seen is not said never to happen.
+// A violation that no run showed is reported with the upper bound of its rate, and one violation in ten runs does
+// not make a variant worse; nine violations do.
 func TestRareEvents(t *testing.T) {
 	c := &Comparison{}
 	for i := range 10 {
@@ -334,126 +359,136 @@
 		c.Seeds = append(c.Seeds, uint64(i))
 	}
 	f, _ := measure.Describe("breaks")
-	row := c.row(f)
+	row := c.compareFigure(f)
 	if row.Verdict != Inconclusive || !strings.Contains(row.Note, "0 of 10000 stories: at most one in 2711") {
-		t.Errorf("nothing seen: %v, %s", row.Verdict, row.Note)
+		t.Errorf("no violation: %v, %s", row.Verdict, row.Note)
 	}
 	c.RunsB[3].Figures["breaks"] = 1
-	if row = c.row(f); row.Verdict != Inconclusive {
-		t.Errorf("one seen: %v", row.Verdict)
+	if row = c.compareFigure(f); row.Verdict != Inconclusive {
+		t.Errorf("one violation: %v", row.Verdict)
 	}
 	c.RunsB[4].Figures["breaks"] = 8
-	if row = c.row(f); row.Verdict != Worse {
-		t.Errorf("nine seen: %v", row.Verdict)
+	if row = c.compareFigure(f); row.Verdict != Worse {
+		t.Errorf("nine violations: %v", row.Verdict)
 	}
 }
 
-// A store that another program has open, or that is no store, is an error and not a wait.
-func TestStoreThatCannotBe(t *testing.T) {
+// Opening a store that is already open, or a file that is not a store, returns an error and does not block.
+func TestOpenStoreErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "lab.db")
-	s := must[*Store](t)(OpenStore(path))
-	defer s.Close()
+	store := must[*Store](t)(OpenStore(path))
+	defer store.Close()
 	if _, err := OpenStore(path); err == nil || !strings.Contains(err.Error(), "another program has it open") {
-		t.Errorf("open twice: %v", err)
+		t.Errorf("store opened twice: %v", err)
 	}
-	bad := filepath.Join(t.TempDir(), "bad.db")
-	require.NoError(t, os.WriteFile(bad, []byte(strings.Repeat("no store ", 2000)), 0o600))
-	if _, err := OpenStore(bad); err == nil {
-		t.Error("a file that is no store was taken")
+	invalidPath := filepath.Join(t.TempDir(), "bad.db")
+	require.NoError(t, os.WriteFile(invalidPath, []byte(strings.Repeat("no store ", 2000)), 0o600))
+	if _, err := OpenStore(invalidPath); err == nil {
+		t.Error("a file that is not a store was opened")
 	}
 }
 
-// A sweep compares each place with the first.
+// A sweep compares each combination of values with the first one. Axes that are invalid or missing are errors.
 func TestSweep(t *testing.T) {
 	axes := []Axis{
 		must[Axis](t)(ParseAxis("world.clients.load=0.2|0.9")), must[Axis](t)(ParseAxis("attempts.most=1|3")),
 	}
-	s := must[*Sweep](t)((&Runner{}).Sweep(context.Background(), Plan{
-		Scenario:  short(t),
-		A:         variant(t, Shipped),
+	sweep := must[*Sweep](t)((&Runner{}).Sweep(context.Background(), Plan{
+		Scenario:  shortScenario(t),
+		A:         parseVariant(t, Shipped),
 		FirstSeed: 1,
 		MinSeeds:  3,
 	}, axes))
-	if len(s.Points) != 4 || !slices.Equal(
-		s.Points[1].Values, []string{"0.2", "3"},
-	) || !slices.Equal(s.Points[2].Values, []string{"0.9", "1"}) {
-		t.Fatalf("%d points", len(s.Points))
+	if len(sweep.Points) != 4 || !slices.Equal(
+		sweep.Points[1].Values, []string{"0.2", "3"},
+	) || !slices.Equal(sweep.Points[2].Values, []string{"0.9", "1"}) {
+		t.Fatalf("%d points", len(sweep.Points))
 	}
-	if v, d := s.Points[0].Figure("service"); d != nil || v.N != 3 {
+	if v, d := sweep.Points[0].Figure("service"); d != nil || v.N != 3 {
 		t.Errorf("the first point: %+v, %+v", v, d)
 	}
-	if _, d := s.Points[2].Figure("p99"); d == nil || d.Verdict != Worse {
+	if _, d := sweep.Points[2].Figure("p99"); d == nil || d.Verdict != Worse {
 		t.Errorf("four times the load: %+v", d)
 	}
-	for _, bad := range []string{"a", "a=1", "=1|2"} {
-		if _, err := ParseAxis(bad); err == nil {
-			t.Errorf("%q was taken", bad)
+	for _, invalid := range []string{"a", "a=1", "=1|2"} {
+		if _, err := ParseAxis(invalid); err == nil {
+			t.Errorf("%q was accepted", invalid)
 		}
 	}
 	if _, err := (&Runner{}).Sweep(context.Background(), Plan{
-		Scenario: short(t),
-		A:        variant(t, Shipped),
+		Scenario: shortScenario(t),
+		A:        parseVariant(t, Shipped),
 		MinSeeds: 1,
 	}, nil); err == nil {
 		t.Error("a sweep without an axis was made")
 	}
 }
 
-// A search finds where a variant that may try once only loses against one that may try thrice, and what it leaves is a
-// small scenario that still shows it. The same search finds the same.
+// A search finds a plan in which a variant limited to one attempt serves less than the shipped settings, and
+// shrinks it to at most three events that still show most of the loss. Searches with the same seed have the same
+// finding.
 func TestSearchShrinksItsFinding(t *testing.T) {
 	search := func() *Finding {
 		return must[*Finding](t)((&Runner{}).Search(context.Background(), SearchOptions{
-			Scenario: short(t, "clients.retries=[0, 0]", "length=8s"), Variant: variant(t, "shipped,attempts.most=1"),
-			Against: variant(t, Shipped), Budget: 40, Seed: 2}))
+			Scenario: shortScenario(t, "clients.retries=[0, 0]", "length=8s"),
+			Variant:  parseVariant(t, "shipped,attempts.most=1"),
+			Against:  parseVariant(t, Shipped), Budget: 40, Seed: 2}))
 	}
-	f := search()
-	if f.Loss < 0.02 {
-		t.Fatalf("found a loss of %v only", f.Loss)
+	finding := search()
+	if finding.Loss < 0.02 {
+		t.Fatalf("the finding has a loss of only %v", finding.Loss)
 	}
-	text := must[[]byte](t)(f.Scenario.Text())
+	text := must[[]byte](t)(finding.Scenario.Text())
 	s := must[*scenario.Scenario](t)(scenario.Parse(text, nil))
 	if len(s.Events) == 0 || len(s.Events) > 3 {
-		t.Errorf("%d events are left:\n%s", len(s.Events), text)
+		t.Errorf("the shrunk scenario has %d events:\n%s", len(s.Events), text)
 	}
 	c := must[*Comparison](t)((&Runner{}).Compare(context.Background(), Plan{
 		Scenario:  s,
-		A:         variant(t, "shipped,attempts.most=1"),
-		B:         variant(t, Shipped),
-		FirstSeed: f.Seed,
+		A:         parseVariant(t, "shipped,attempts.most=1"),
+		B:         parseVariant(t, Shipped),
+		FirstSeed: finding.Seed,
 		MinSeeds:  1,
 	}))
-	if got := c.RunsB[0].Figures["service"] - c.RunsA[0].Figures["service"]; got < f.Loss*0.9 {
-		t.Errorf("what was written loses %v, not %v", got, f.Loss)
+	if got := c.RunsB[0].Figures["service"] - c.RunsA[0].Figures["service"]; got < finding.Loss*0.9 {
+		t.Errorf("the scenario read back from its text loses %v, want %v", got, finding.Loss)
 	}
-	if again := search(); again.Loss != f.Loss || again.Seed != f.Seed {
-		t.Errorf("the same search found %v of seed %d, and %v of seed %d", f.Loss, f.Seed, again.Loss, again.Seed)
+	if repeated := search(); repeated.Loss != finding.Loss || repeated.Seed != finding.Seed {
+		t.Errorf(
+			"equal searches found a loss of %v with seed %d, and of %v with seed %d", finding.Loss, finding.Seed,
+			repeated.Loss, repeated.Seed,
+		)
 	}
 }
 
-// Comparisons with a known answer mostly give it. The command `dunlinsail-experiment prove` makes more of them.
+// Most comparisons whose correct verdict is known return that verdict. The command `dunlinsail-experiment prove` makes
+// more of them.
 func TestProve(t *testing.T) {
-	p := must[*Proof](t)((&Runner{}).Prove(context.Background(), short(t), variant(t, Shipped), 6, 4, 0.05))
-	if p.Inconclusive.Mean < 0.7 || p.Found.Mean < 0.8 {
-		t.Errorf("%+v", p)
+	proof := must[*Proof](t)((&Runner{}).Prove(
+		context.Background(), shortScenario(t), parseVariant(t, Shipped), 6, 4, 0.05,
+	))
+	if proof.Inconclusive.Mean < 0.7 || proof.Found.Mean < 0.8 {
+		t.Errorf("%+v", proof)
 	}
 }
 
-// A figure of real runs agrees where the mean lies in the model's error bars, which come of how unlike the model's runs
-// of one seed are, and of a tolerance; what differs from seed to seed widens nothing.
+// A figure of real runs agrees if their mean lies in the simulated interval. The interval's width comes from the
+// variance between simulated runs of one seed and from the tolerance. Differences between seeds do not widen it.
 func TestAgreement(t *testing.T) {
 	a := &Agreement{Seeds: 2, DecisionSeeds: 4}
 	for _, v := range []float64{0.90, 0.92, 0.90, 0.92, 0.50, 0.52, 0.50, 0.52} {
 		a.Model = append(a.Model, &measure.Result{Figures: map[string]float64{"service": v}})
 	}
-	for real, want := range map[float64]bool{0.71: true, 0.725: true, 0.77: false, 0.66: false} {
+	for processesMean, want := range map[float64]bool{0.71: true, 0.725: true, 0.77: false, 0.66: false} {
 		a.Processes = nil
-		for _, seed := range []float64{0.2, -0.2} {
-			a.Processes = append(a.Processes, &measure.Result{Figures: map[string]float64{"service": real + seed}})
+		for _, seedOffset := range []float64{0.2, -0.2} {
+			a.Processes = append(
+				a.Processes, &measure.Result{Figures: map[string]float64{"service": processesMean + seedOffset}},
+			)
 		}
-		row := a.row("service")
+		row := a.compareFigure("service")
 		if row.Agrees != want || math.Abs(row.Model.Mean-0.71) > 1e-9 || row.Model.HalfWidth() > 0.05 {
-			t.Errorf("real %v: %+v", real, row)
+			t.Errorf("mean of real runs %v: %+v", processesMean, row)
 		}
 	}
 }
--- a/internal/experiment/prove.go
+++ b/internal/experiment/prove.go
@@ -7,45 +7,46 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// Proof is how often comparisons with a known outcome are right.
+// Proof states how often comparisons whose correct verdict is known returned that verdict.
 type Proof struct {
 	Comparisons  int
-	Inconclusive stats.Interval // of a variant with itself, with another decision seed: all ought to be
-	Found        stats.Interval // of a variant with itself and a known harm: all ought to be worse
+	Inconclusive stats.Interval // rate of Inconclusive between a variant and itself; ideally 1
+	Found        stats.Interval // rate of Worse for a variant with a known harm; ideally 1
 	Harm         float64
 }
 
-// Prove makes many comparisons of which it is known what they ought to say: a variant with itself, and with itself and
-// a harm. Each has seeds of its own.
+// Prove checks the comparison method with comparisons whose correct verdict is known. It compares a variant with
+// itself under another decision seed, which should be Inconclusive, and with itself plus a known harm, which should
+// be Worse. Each round uses other seeds.
 func (r *Runner) Prove(
 	ctx context.Context, s *scenario.Scenario, v *Variant, comparisons, seeds int, harm float64,
 ) (*Proof, error) {
 	p := &Proof{Comparisons: comparisons, Harm: harm}
-	var same, found int64
+	var inconclusive, detected int64
 	for i := range comparisons {
 		plan := Plan{Scenario: s, A: v, FirstSeed: uint64(1 + i*seeds), MinSeeds: seeds}
-		other := *v
-		other.DecisionSeed = v.DecisionSeed + 1
-		plan.B = &other
-		c, err := r.Compare(ctx, plan)
+		reseeded := *v
+		reseeded.DecisionSeed = v.DecisionSeed + 1
+		plan.B = &reseeded
+		comparison, err := r.Compare(ctx, plan)
 		if err != nil {
 			return p, err
 		}
-		if c.Rows[0].Verdict == Inconclusive {
-			same++
+		if comparison.Rows[0].Verdict == Inconclusive {
+			inconclusive++
 		}
-		harmed := other
+		harmed := reseeded
 		harmed.Harm = harm
 		plan.B = &harmed
-		if c, err = r.Compare(ctx, plan); err != nil {
+		if comparison, err = r.Compare(ctx, plan); err != nil {
 			return p, err
 		}
-		if c.Rows[0].Verdict == Worse {
-			found++
+		if comparison.Rows[0].Verdict == Worse {
+			detected++
 		}
 	}
-	n := int64(comparisons)
-	p.Inconclusive = stats.RateInterval(same, n, Confidence)
-	p.Found = stats.RateInterval(found, n, Confidence)
+	total := int64(comparisons)
+	p.Inconclusive = stats.RateInterval(inconclusive, total, Confidence)
+	p.Found = stats.RateInterval(detected, total, Confidence)
 	return p, nil
 }
--- a/internal/experiment/recorder.go
+++ b/internal/experiment/recorder.go
@@ -13,8 +13,8 @@
 	"dunlinsail/internal/simulation"
 )
 
-// NewRecorder returns an option that has a run write an access record to a folder, as its instances would. The caller
-// must call closer after the run.
+// NewRecorder returns an option for a simulated run of j, with which the run writes access records to the folder
+// dir, as its instances would. The caller must call closer after the run.
 func NewRecorder(dir string, j *Job) (option func(*simulation.Options), closer func(), err error) {
 	parsed, err := config.Parse([]byte(j.CriteriaSettings))
 	if err != nil {
@@ -22,25 +22,25 @@
 	}
 	hasher := accesslog.NewHasherFromSecret([]byte("of no patient's: a model's"))
 	r := &recorder{dir: dir, site: &parsed.Site, hasher: hasher}
-	if _, err := r.writer(0); err != nil { // an unusable folder is reported before the run
+	if _, err := r.writer(0); err != nil { // reports an unusable folder before the run starts
 		return nil, nil, err
 	}
 	return func(o *simulation.Options) { o.Record = r.record }, r.close, nil
 }
 
-// recorder writes access records of a simulated run, with a writer for each instance.
+// recorder writes the access records of a simulated run, with one writer per instance.
 type recorder struct {
 	dir     string
 	site    *siteconfig.Site
 	hasher  *accesslog.Hasher
 	writers []*accesslog.Writer
-	now     atomic.Int64 // of the run, in microseconds
+	now     atomic.Int64 // latest simulated end of a request, in microseconds
 }
 
-// writer returns the writer of an instance.
+// writer returns the access record writer of an instance, and opens it on first use.
 func (r *recorder) writer(instance int) (*accesslog.Writer, error) {
 	for len(r.writers) <= instance {
-		w, err := accesslog.NewWriter(accesslog.Options{
+		writer, err := accesslog.NewWriter(accesslog.Options{
 			Dir:      r.dir,
 			Instance: fmt.Sprint("instance-", len(r.writers)),
 			Sample:   1,
@@ -52,55 +52,56 @@
 		if err != nil {
 			return nil, err
 		}
-		r.writers = append(r.writers, w)
+		r.writers = append(r.writers, writer)
 	}
 	return r.writers[instance], nil
 }
 
+// close closes the writers of all instances.
 func (r *recorder) close() {
 	for _, w := range r.writers {
 		w.Close()
 	}
 }
 
-// recordedVerdicts are the verdicts of an access record by the engine's; all others are failures.
-var recordedVerdicts = map[engine.Verdict]string{
+// accessLogVerdicts maps an engine verdict to that of an access record; engine verdicts not listed count as failed.
+var accessLogVerdicts = map[engine.Verdict]string{
 	engine.Served:      accesslog.Served,
 	engine.Rejected:    accesslog.Rejected,
 	engine.RateLimited: accesslog.Rejected,
 	engine.TimedOut:    accesslog.TimedOut,
 }
 
-// record writes one request; where its instance's writer cannot be opened it is dropped.
-func (r *recorder) record(x *simulation.RequestRecord) {
-	r.now.Store(max(r.now.Load(), x.ArrivedAt+x.Duration))
-	w, err := r.writer(x.Instance)
+// record writes one request. It drops the request if the writer of its instance cannot be opened.
+func (r *recorder) record(request *simulation.RequestRecord) {
+	r.now.Store(max(r.now.Load(), request.ArrivedAt+request.Duration))
+	w, err := r.writer(request.Instance)
 	if err != nil {
 		return
 	}
 	row := accesslog.Row{
-		Arrived:       x.ArrivedAt,
-		Duration:      x.Duration,
-		QueueTime:     x.Response.QueueTime,
-		ClientTimeout: x.Timeout,
-		Client:        fmt.Sprint("process-", x.Process),
-		Class:         r.site.Classes[x.Class],
+		Arrived:       request.ArrivedAt,
+		Duration:      request.Duration,
+		QueueTime:     request.Response.QueueTime,
+		ClientTimeout: request.Timeout,
+		Client:        fmt.Sprint("process-", request.Process),
+		Class:         r.site.Classes[request.Class],
 		Verdict:       accesslog.Failed,
-		Endpoint:      x.Response.Endpoint,
-		Attempts:      int32(x.Response.Attempts),
-		ObjectHash:    r.hasher.Hash("object", fmt.Sprint(x.Object)),
-		Retry:         x.Retry,
+		Endpoint:      request.Response.Endpoint,
+		Attempts:      int32(request.Response.Attempts),
+		ObjectHash:    r.hasher.Hash("object", fmt.Sprint(request.Object)),
+		Retry:         request.Retry,
 	}
-	if x.IdempotencyKey != 0 {
-		row.KeyHash = r.hasher.Hash("key", fmt.Sprint(x.IdempotencyKey))
+	if request.IdempotencyKey != 0 {
+		row.KeyHash = r.hasher.Hash("key", fmt.Sprint(request.IdempotencyKey))
 	}
-	if x.Tenant >= 0 {
-		row.Tenant = r.site.Tenants[x.Tenant]
+	if request.Tenant >= 0 {
+		row.Tenant = r.site.Tenants[request.Tenant]
 	}
-	if v, ok := recordedVerdicts[x.Response.Verdict]; ok {
-		row.Verdict = v
+	if verdict, ok := accessLogVerdicts[request.Response.Verdict]; ok {
+		row.Verdict = verdict
 	}
-	if x.ClientGone {
+	if request.ClientGone {
 		row.Verdict = accesslog.Cancelled
 	}
 	w.Add(row)
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -19,9 +19,9 @@
 	"dunlinsail/internal/simulation/simclient"
 )
 
-// digestFiles returns a digest of the names and contents of files and of all files below folders.
+// digestFiles returns a digest of the names and contents of the files at paths, including all files below folders.
 func digestFiles(paths []string) (string, error) {
-	d := xxhash.New()
+	hash := xxhash.New()
 	for _, p := range paths {
 		err := filepath.WalkDir(p, func(path string, e os.DirEntry, err error) error {
 			if err != nil || e.IsDir() {
@@ -32,18 +32,18 @@
 				return err
 			}
 			defer f.Close()
-			_, _ = io.WriteString(d, filepath.Base(path))
-			_, err = io.Copy(d, f)
+			_, _ = io.WriteString(hash, filepath.Base(path))
+			_, err = io.Copy(hash, f)
 			return err
 		})
 		if err != nil {
 			return "", fmt.Errorf("record %s: %w", p, err)
 		}
 	}
-	return hex.EncodeToString(d.Sum(nil)), nil
+	return hex.EncodeToString(hash.Sum(nil)), nil
 }
 
-// recordCache holds the record that was read last: each seed replays the same one.
+// recordCache holds the access record that was read last, since the runs of all seeds replay the same one.
 var recordCache struct {
 	sync.Mutex
 	digest     string
@@ -52,7 +52,8 @@
 	from       int64
 }
 
-// readRecord reads an access record, or returns it from the cache.
+// readRecord reads the access record of a replay, or returns it from the cache. from is the record's first instant, in
+// microseconds.
 func readRecord(r *scenario.Replay) (operations []*accesslog.Operation, runs []*accesslog.Run, from int64, err error) {
 	digest, err := digestFiles(r.From)
 	if err != nil {
@@ -67,7 +68,7 @@
 			return nil, nil, 0, err
 		}
 		if len(rec.Requests) == 0 {
-			return nil, nil, 0, fmt.Errorf("record %q: there is no request: %q", r.From, rec.Problems)
+			return nil, nil, 0, fmt.Errorf("record %q: it contains no request: %q", r.From, rec.Problems)
 		}
 		if r.Align {
 			rec.Align()
@@ -80,31 +81,32 @@
 	return recordCache.operations, recordCache.runs, recordCache.from, nil
 }
 
-// recordedOperations are the operations of a record by instance; it is a plan's source of operations.
+// recordedOperations holds the operations of an access record by instance. It implements scenario.Source.
 type recordedOperations [][]simclient.Operation
 
-// Operations returns the operations of an instance, one a call.
+// Operations returns an iterator over the operations of an instance: each call returns the next one, false at the end.
 func (r recordedOperations) Operations(instance int) func() (simclient.Operation, bool) {
-	at := 0
-	return func() (s simclient.Operation, ok bool) {
-		if instance >= len(r) || at >= len(r[instance]) {
-			return s, false
+	next := 0
+	return func() (operation simclient.Operation, ok bool) {
+		if instance >= len(r) || next >= len(r[instance]) {
+			return operation, false
 		}
-		at++
-		return r[instance][at-1], true
+		next++
+		return r[instance][next-1], true
 	}
 }
 
-// replayRecord returns a plan's operations from an access record: the first request of each recorded operation, at the
-// instance that it came to, scaled up where the record is a sample.
+// replayRecord returns the operations of a plan from its access record. Each operation is the first request of a
+// recorded operation, at the instance that received it. If the record is a sample, operations are duplicated to
+// restore the rate.
 func replayRecord(p *scenario.Plan) (scenario.Source, error) {
 	recorded, runs, from, err := readRecord(p.Replay)
 	if err != nil {
 		return nil, err
 	}
 	replay := newReplay(p, runs, from+p.Replay.Start.Micros())
-	for n, operation := range recorded {
-		if err := replay.add(n, operation.First()); err != nil {
+	for index, operation := range recorded {
+		if err := replay.add(index, operation.First()); err != nil {
 			return nil, err
 		}
 	}
@@ -118,34 +120,35 @@
 
 // replay converts the requests of a record into the operations of a plan.
 type replay struct {
-	plan      *scenario.Plan
-	from      int64   // instant of the record at which the plan begins, in microseconds
-	sample    float64 // the part of requests that the record holds
-	instances map[string]int
-	classes   map[string]int
-	tenants   map[string]int
-	processes map[string]int // by instance and client, numbered as they appear
-	workRand  *randstream.Stream
-	copyRand  *randstream.Stream
+	plan            *scenario.Plan
+	planStart       int64   // instant of the record at which the plan starts, in microseconds
+	sampledFraction float64 // fraction of all requests that the record contains
+	instances       map[string]int
+	classes         map[string]int
+	tenants         map[string]int
+	processes       map[string]int // client process number by "instance/client", in order of appearance
+	workRand        *randstream.Stream
+	copyRand        *randstream.Stream
 
 	operations recordedOperations
 }
 
+// newReplay returns a replay without operations for a plan. It maps the recorded instances to those of the plan.
 func newReplay(p *scenario.Plan, runs []*accesslog.Run, from int64) *replay {
 	r := &replay{
-		plan:       p,
-		from:       from,
-		sample:     1.0,
-		instances:  map[string]int{},
-		classes:    map[string]int{},
-		tenants:    map[string]int{},
-		processes:  map[string]int{},
-		workRand:   randstream.New(p.Seed, "stories"),
-		copyRand:   randstream.New(p.Seed, "copies"),
-		operations: make(recordedOperations, len(p.Instances)),
+		plan:            p,
+		planStart:       from,
+		sampledFraction: 1.0,
+		instances:       map[string]int{},
+		classes:         map[string]int{},
+		tenants:         map[string]int{},
+		processes:       map[string]int{},
+		workRand:        randstream.New(p.Seed, "stories"),
+		copyRand:        randstream.New(p.Seed, "copies"),
+		operations:      make(recordedOperations, len(p.Instances)),
 	}
 	for _, run := range runs {
-		r.sample = min(r.sample, run.Sample)
+		r.sampledFraction = min(r.sampledFraction, run.Sample)
 		r.instances[run.Instance] = 0
 	}
 	for i, name := range slices.Sorted(maps.Keys(r.instances)) {
@@ -160,16 +163,17 @@
 	return r
 }
 
-// add adds the n-th recorded request, as often as the record's sampling makes it stand for.
-func (r *replay) add(n int, request *accesslog.Request) error {
+// add adds a recorded request, the index-th of the record, as an operation. If the record is a sample, it adds
+// 1/sampledFraction copies on average.
+func (r *replay) add(index int, request *accesslog.Request) error {
 	class, ok := r.classes[request.Class]
 	if !ok {
-		return fmt.Errorf("the record's class %q is none of the scenario's", request.Class)
+		return fmt.Errorf("class %q of the record is not a class of the scenario", request.Class)
 	}
 	tenant := -1
 	if request.Tenant != "" {
 		if tenant, ok = r.tenants[request.Tenant]; !ok {
-			return fmt.Errorf("the record's tenant %q is none of the scenario's", request.Tenant)
+			return fmt.Errorf("tenant %q of the record is not a tenant of the scenario", request.Tenant)
 		}
 	}
 	instance := r.instances[request.Instance]
@@ -177,22 +181,22 @@
 	if _, ok := r.processes[client]; !ok {
 		r.processes[client] = len(r.processes) % r.plan.Clients.Processes
 	}
-	rng := r.copyRand.For(uint64(n))
-	copies := 1 / r.sample
-	count := int(copies)
-	if rng.Float64() < copies-float64(count) {
+	countRand := r.copyRand.For(uint64(index))
+	expectedCopies := 1 / r.sampledFraction
+	count := int(expectedCopies)
+	if countRand.Float64() < expectedCopies-float64(count) {
 		count++
 	}
-	for k := range count {
-		startedAt := request.Arrived - r.from
-		if k > 0 { // when an unsampled request came is not known: it is put within half a second of this one
-			startedAt += int64((rng.Float64() - 0.5) * 1e6)
+	for copyIndex := range count {
+		startedAt := request.Arrived - r.planStart
+		if copyIndex > 0 { // arrival of a request not in the sample is unknown: draw it within 0.5 s
+			startedAt += int64((countRand.Float64() - 0.5) * 1e6)
 		}
 		if startedAt < 0 || startedAt >= r.plan.Length.Micros() {
 			continue
 		}
-		id := uint64(instance)<<32 | uint64(n)<<4 | uint64(k&15)
-		work := r.workRand.For(id)
+		id := uint64(instance)<<32 | uint64(index)<<4 | uint64(copyIndex&15)
+		operationRand := r.workRand.For(id)
 		r.operations[instance] = append(r.operations[instance], simclient.Operation{
 			ID:             id,
 			Instance:       instance,
@@ -201,8 +205,8 @@
 			Tenant:         tenant,
 			Object:         request.ObjectHash,
 			StartedAt:      startedAt,
-			IdempotencyKey: work.Uint64() | 1,
-			Work:           r.plan.Classes[class].Draw(work),
+			IdempotencyKey: operationRand.Uint64() | 1,
+			Work:           r.plan.Classes[class].Draw(operationRand),
 		})
 	}
 	return nil
--- a/internal/experiment/runner.go
+++ b/internal/experiment/runner.go
@@ -10,76 +10,77 @@
 	"dunlinsail/internal/simulation/measure"
 )
 
-// Runner makes runs, several at the same time. Results do not depend on how many.
+// Runner makes runs, several in parallel. Results do not depend on the number of parallel runs.
 type Runner struct {
-	Parallel int                         // runs at the same time; 0 is one for each processor
-	Store    *Store                      // of results; nil stores none
-	Progress func(done, stored, all int) // one call at a time; must not call the runner
+	Parallel int                               // maximum number of parallel runs; 0 means GOMAXPROCS
+	Store    *Store                            // caches results across processes; nil: no store
+	Progress func(done, stored, requested int) // called with totals, never concurrently; must not call the runner
 
-	mu      sync.Mutex
-	builds  map[string]string
-	results map[string]*measure.Result // of this runner, by key
-	totals  struct{ done, stored, all int }
+	mu       sync.Mutex
+	buildIDs map[string]string
+	memoized map[string]*measure.Result // results of this runner, by store key
+	totals   struct{ done, stored, requested int }
 }
 
-// Task is a run of a variant.
+// Task is one run that a Runner is to make: a job and the variant that it belongs to.
 type Task struct {
 	Variant *Variant
 	Job     Job
 }
 
-// buildID returns the digest of a program, cached.
+// buildID returns the build ID of a program, from the runner's cache if it is there.
 func (r *Runner) buildID(program string) (string, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if b, ok := r.builds[program]; ok {
-		return b, nil
+	if build, ok := r.buildIDs[program]; ok {
+		return build, nil
 	}
-	b, err := BuildID(program)
+	build, err := BuildID(program)
 	if err != nil {
 		return "", err
 	}
-	if r.builds == nil {
-		r.builds = map[string]string{}
+	if r.buildIDs == nil {
+		r.buildIDs = map[string]string{}
 	}
-	r.builds[program] = b
-	return b, nil
+	r.buildIDs[program] = build
+	return build, nil
 }
 
-// reportProgress adds to the runs that were made, found in the store, and requested.
-func (r *Runner) reportProgress(done, stored, all int) {
+// reportProgress adds to the total numbers of runs that were made, found in the store, and requested, and passes the
+// totals to Progress.
+func (r *Runner) reportProgress(done, stored, requested int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.totals.done += done
 	r.totals.stored += stored
-	r.totals.all += all
+	r.totals.requested += requested
 	if r.Progress != nil {
-		r.Progress(r.totals.done, r.totals.stored, r.totals.all)
+		r.Progress(r.totals.done, r.totals.stored, r.totals.requested)
 	}
 }
 
-// Run makes runs and returns their results in order. When ctx ends it returns its cause; the runs made by then are
-// stored.
+// Run makes the runs of tasks and returns their results in the order of tasks. If ctx is canceled it returns the
+// cause. The runs completed by then are in the store.
 func (r *Runner) Run(ctx context.Context, tasks []Task) ([]*measure.Result, error) {
 	results := make([]*measure.Result, len(tasks))
 	r.reportProgress(0, 0, len(tasks))
 	g, ctx := errgroup.WithContext(ctx)
-	n := r.Parallel
-	if n <= 0 {
-		n = runtime.GOMAXPROCS(0)
+	parallel := r.Parallel
+	if parallel <= 0 {
+		parallel = runtime.GOMAXPROCS(0)
 	}
-	g.SetLimit(n)
+	g.SetLimit(parallel)
 	for i := range tasks {
 		g.Go(func() error {
 			if err := ctx.Err(); err != nil {
 				return context.Cause(ctx)
 			}
-			got, stored, err := r.runTask(ctx, &tasks[i])
+			result, cached, err := r.runTask(ctx, &tasks[i])
 			if err != nil {
 				return err
 			}
-			results[i] = got
-			if stored {
+			results[i] = result
+			if cached {
 				r.reportProgress(0, 1, 0)
 			} else {
 				r.reportProgress(1, 0, 0)
@@ -93,10 +94,11 @@
 	return results, nil
 }
 
-// maxMemoized bounds the results that a runner holds in memory; it drops all of them when it is reached.
+// maxMemoized is the number of results that a runner holds in memory. At that number it drops all of them.
 const maxMemoized = 2000
 
-// runTask returns the result of a run, from memory or the store if it is there.
+// runTask returns the result of a task, from memory or the store if available; otherwise it makes the run. cached
+// reports whether the run was avoided.
 func (r *Runner) runTask(ctx context.Context, t *Task) (result *measure.Result, cached bool, err error) {
 	build, err := r.buildID(t.Variant.Program)
 	if err != nil {
@@ -107,7 +109,7 @@
 		return nil, false, err
 	}
 	r.mu.Lock()
-	result = r.results[string(key)]
+	result = r.memoized[string(key)]
 	r.mu.Unlock()
 	if result != nil {
 		return result, true, nil
@@ -123,7 +125,7 @@
 	case t.Variant.Program == "":
 		result, err = t.Job.Play(ctx)
 	default:
-		result, _, err = t.Job.playWith(ctx, t.Variant.Program)
+		result, _, err = t.Job.runWithProgram(ctx, t.Variant.Program)
 	}
 	if err == nil && !cached && r.Store != nil {
 		err = r.Store.Put(key, result)
@@ -133,9 +135,9 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.results == nil || len(r.results) >= maxMemoized {
-		r.results = map[string]*measure.Result{}
+	if r.memoized == nil || len(r.memoized) >= maxMemoized {
+		r.memoized = map[string]*measure.Result{}
 	}
-	r.results[string(key)] = result
+	r.memoized[string(key)] = result
 	return result, cached, nil
 }
--- a/internal/experiment/search.go
+++ b/internal/experiment/search.go
@@ -14,28 +14,28 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// SearchOptions says how a worst case is looked for.
+// SearchOptions are the options of a search for the plan in which a variant performs worst.
 type SearchOptions struct {
-	Scenario  *scenario.Scenario // whose events are changed; all else of it stays
-	Variant   *Variant           // that is to do badly
-	Against   *Variant           // that is to do well there; nil: what is left of the endpoints could have served
-	Budget    int                // runs of Variant, about, a third of them to shrink what is found
+	Scenario  *scenario.Scenario // the search varies its events and keeps everything else
+	Variant   *Variant           // the variant whose worst plan is searched for
+	Against   *Variant           // the variant compared with; nil: the upper bound MaxServableShare
+	Budget    int                // approximate number of runs of Variant, including those for shrinking
 	Seed      uint64
-	OnFinding func(Finding) // called for each that is worse than all before; may be nil
+	OnFinding func(Finding) // called for each finding worse than all before; may be nil
 }
 
-// Finding is a plan at which a variant does badly.
+// Finding is a plan (a scenario and a seed) in which a variant performs badly.
 type Finding struct {
 	Scenario   *scenario.Scenario
 	Seed       uint64
-	Loss       float64 // service that Against, or the endpoints that were left, could have given beyond Variant's
-	Violations float64 // rules broken: those go before any loss
+	Loss       float64 // Against's service minus Variant's; without Against: MaxServableShare minus the served share
+	Violations float64 // rule violations; a plan with any is worse than one with none, whatever the losses
 	Service    float64
-	Runs       int // until then
+	Runs       int // number of plans evaluated when this one was found
 }
 
-// worse reports whether a is worse for the variant than b.
-func (a *Finding) worse(b *Finding) bool {
+// isWorseThan reports whether the variant performs worse in plan a than in plan b.
+func (a *Finding) isWorseThan(b *Finding) bool {
 	if (a.Violations > 0) != (b.Violations > 0) {
 		return a.Violations > 0
 	}
@@ -43,57 +43,59 @@
 }
 
 const (
-	randomFraction   = 0.4 // of the budget is for plans drawn at random
-	shrinkFraction   = 0.3 // of the budget is for shrinking the worst plan
-	maxCandidates    = 6   // worst plans that are mutated
-	searchBatch      = 8   // plans that are evaluated together
-	minRemainingLoss = 0.8 // part of its loss that a shrunk plan must still have
+	randomFraction   = 0.4 // fraction of the budget for plans drawn at random
+	shrinkFraction   = 0.3 // fraction of the budget for shrinking the worst plan
+	maxCandidates    = 6   // number of worst plans that are kept for mutation
+	searchBatch      = 8   // number of plans that are evaluated in parallel
+	minRemainingLoss = 0.8 // fraction of the loss that a shrunk plan must keep
 )
 
-// Search looks for the plan at which a variant does worst, and shrinks it to what matters. It draws plans at random and
-// mutates the worst ones: that it finds nothing says little. Results depend on the seed only.
-func (r *Runner) Search(ctx context.Context, h SearchOptions) (*Finding, error) {
-	x := &search{SearchOptions: h, runner: r, rng: rand.New(rand.NewPCG(h.Seed, 11))}
-	randomRuns := int(randomFraction * float64(h.Budget))
-	searchRuns := int((1 - shrinkFraction) * float64(h.Budget))
+// Search looks for the plan in which a variant performs worst, and shrinks that plan. It draws plans at random and
+// mutates the worst ones, so that an unsuccessful search does not show that no bad plan exists. The search is
+// deterministic for a seed.
+func (r *Runner) Search(ctx context.Context, options SearchOptions) (*Finding, error) {
+	x := &search{SearchOptions: options, runner: r, rng: rand.New(rand.NewPCG(options.Seed, 11))}
+	randomRuns := int(randomFraction * float64(options.Budget))
+	searchRuns := int((1 - shrinkFraction) * float64(options.Budget))
 	for x.runs < searchRuns {
 		var batch []*Finding
 		for range min(searchBatch, searchRuns-x.runs) {
-			c := &Finding{Scenario: h.Scenario.Clone(), Seed: 1 + x.rng.Uint64N(1<<32)}
+			candidate := &Finding{Scenario: options.Scenario.Clone(), Seed: 1 + x.rng.Uint64N(1<<32)}
 			if x.runs < randomRuns || len(x.candidates) == 0 {
-				x.drawEvents(c.Scenario)
+				x.drawEvents(candidate.Scenario)
 			} else {
-				from := x.candidates[x.rng.IntN(len(x.candidates))]
-				c.Scenario = from.Scenario.Clone()
-				c.Seed = from.Seed
-				x.mutate(c)
+				parent := x.candidates[x.rng.IntN(len(x.candidates))]
+				candidate.Scenario = parent.Scenario.Clone()
+				candidate.Seed = parent.Seed
+				x.mutate(candidate)
 			}
-			batch = append(batch, c)
+			batch = append(batch, candidate)
 		}
 		if err := x.evaluate(ctx, batch); err != nil {
-			return x.worst(), err
+			return x.worstCandidate(), err
 		}
-		for _, c := range batch {
-			x.addCandidate(c)
+		for _, candidate := range batch {
+			x.addCandidate(candidate)
 		}
 	}
 	return x.shrink(ctx)
 }
 
-// addCandidate adds an evaluated plan to the worst ones, and reports it if it is the worst.
-func (x *search) addCandidate(c *Finding) {
-	if len(x.candidates) == 0 || c.worse(x.candidates[0]) {
-		c.Runs = x.runs
+// addCandidate adds an evaluated plan to the candidates, of which only the worst are kept. It passes the plan to
+// OnFinding if it is the worst so far.
+func (x *search) addCandidate(candidate *Finding) {
+	if len(x.candidates) == 0 || candidate.isWorseThan(x.candidates[0]) {
+		candidate.Runs = x.runs
 		if x.OnFinding != nil {
-			x.OnFinding(*c)
+			x.OnFinding(*candidate)
 		}
 	}
-	x.candidates = append(x.candidates, c)
+	x.candidates = append(x.candidates, candidate)
 	slices.SortStableFunc(x.candidates, func(a, b *Finding) int {
 		switch {
-		case a.worse(b):
+		case a.isWorseThan(b):
 			return -1
-		case b.worse(a):
+		case b.isWorseThan(a):
 			return 1
 		}
 		return 0
@@ -101,7 +103,7 @@
 	x.candidates = x.candidates[:min(len(x.candidates), maxCandidates)]
 }
 
-// search is the state of a search.
+// search is the state of Runner.Search.
 type search struct {
 	SearchOptions
 	runner     *Runner
@@ -110,58 +112,58 @@
 	candidates []*Finding
 }
 
-// worst returns the worst candidate so far, nil before the first.
-func (x *search) worst() *Finding {
+// worstCandidate returns the worst plan evaluated so far, or nil before the first.
+func (x *search) worstCandidate() *Finding {
 	if len(x.candidates) == 0 {
 		return nil
 	}
 	return x.candidates[0]
 }
 
-// evaluate plays plans and sets the loss of each.
-func (x *search) evaluate(ctx context.Context, all []*Finding) error {
+// evaluate runs plans with the variant, and with Against if there is one, and sets the figures of each finding.
+func (x *search) evaluate(ctx context.Context, findings []*Finding) error {
 	var tasks []Task
-	for _, c := range all {
+	for _, finding := range findings {
 		for _, v := range []*Variant{x.Variant, x.Against} {
 			if v == nil {
 				continue
 			}
-			j, err := v.Job(c.Scenario, x.Variant, c.Seed)
+			job, err := v.Job(finding.Scenario, x.Variant, finding.Seed)
 			if err != nil {
 				return err
 			}
-			tasks = append(tasks, Task{v, j})
+			tasks = append(tasks, Task{v, job})
 		}
 	}
 	results, err := x.runner.Run(ctx, tasks)
 	if err != nil {
 		return err
 	}
-	x.runs += len(all)
-	for i, c := range all {
-		var got, other *measure.Result
+	x.runs += len(findings)
+	for i, finding := range findings {
+		var result, baseline *measure.Result
 		if x.Against == nil {
-			got = results[i]
-			c.Loss = c.Scenario.Draw(c.Seed).MaxServableShare() - got.Figures["served"]
+			result = results[i]
+			finding.Loss = finding.Scenario.Draw(finding.Seed).MaxServableShare() - result.Figures["served"]
 		} else {
-			got = results[2*i]
-			other = results[2*i+1]
-			c.Loss = other.Figures["service"] - got.Figures["service"]
+			result = results[2*i]
+			baseline = results[2*i+1]
+			finding.Loss = baseline.Figures["service"] - result.Figures["service"]
 		}
-		c.Service = got.Figures["service"]
-		c.Violations = got.Figures["breaks"]
+		finding.Service = result.Figures["service"]
+		finding.Violations = result.Figures["breaks"]
 	}
 	return nil
 }
 
-// fixedSpan returns a span of a single value.
-func fixedSpan(d time.Duration) *stricttoml.Span { return &stricttoml.Span{From: d, To: d} }
+// singleValueSpan returns a span whose two ends are d.
+func singleValueSpan(d time.Duration) *stricttoml.Span { return &stricttoml.Span{From: d, To: d} }
 
-// eventKinds are the events that are drawn, with the range of their sizes.
+// eventKinds lists the kinds of events that a search draws, and the range of their sizes; {0, 0} if they have no size.
 var eventKinds = []struct {
-	what  string
-	sizes [2]float64
-	every bool
+	name      string
+	sizeRange [2]float64
+	periodic  bool
 }{
 	{scenario.EventSlow, [2]float64{1.5, 20}, false},
 	{scenario.EventErrors, [2]float64{0.05, 1}, false},
@@ -178,36 +180,42 @@
 	{scenario.EventZonePartition, [2]float64{}, false},
 }
 
-// shareEvents are the kinds whose size is a share of requests or of the machine, 0 to 1.
-var shareEvents = []string{scenario.EventErrors, scenario.EventUnanswered, scenario.EventNeighbour}
+// fractionEvents lists the event kinds whose size is a fraction of the requests or of the machine, 0 to 1.
+var fractionEvents = []string{scenario.EventErrors, scenario.EventUnanswered, scenario.EventNeighbour}
 
-// drawEvent draws an event.
+// drawEvent returns a random event for scenario s: its kind, time, length, size and affected endpoints.
 func (x *search) drawEvent(s *scenario.Scenario) scenario.Event {
 	length := s.Length.Duration
-	k := eventKinds[x.rng.IntN(len(eventKinds))]
-	part := func(lo, hi float64) time.Duration {
+	kind := eventKinds[x.rng.IntN(len(eventKinds))]
+	drawDuration := func(lo, hi float64) time.Duration {
 		return time.Duration((lo + (hi-lo)*x.rng.Float64()) * float64(length)).Round(10 * time.Millisecond)
 	}
-	e := scenario.Event{What: k.what, At: fixedSpan(part(0.1, 0.7)), For: fixedSpan(part(0.05, 0.5))}
-	if k.sizes[1] > 0 {
-		// Sizes are drawn evenly on a logarithmic scale: small ones do harm that is easily overlooked.
-		e.Size = scenario.Range{math.Round(1000*k.sizes[0]*math.Pow(k.sizes[1]/k.sizes[0], x.rng.Float64())) / 1000}
+	e := scenario.Event{
+		What: kind.name,
+		At:   singleValueSpan(drawDuration(0.1, 0.7)),
+		For:  singleValueSpan(drawDuration(0.05, 0.5)),
 	}
-	switch k.what {
+	if kind.sizeRange[1] > 0 {
+		// Sizes are distributed uniformly on a logarithmic scale, since the harm of small ones is easily overlooked.
+		e.Size = scenario.Range{
+			math.Round(1000*kind.sizeRange[0]*math.Pow(kind.sizeRange[1]/kind.sizeRange[0], x.rng.Float64())) / 1000,
+		}
+	}
+	switch kind.name {
 	case scenario.EventSurge:
 		return e
 	case scenario.EventDiscoveryDelay:
-		e.Delay = fixedSpan(part(0.02, 0.2))
+		e.Delay = singleValueSpan(drawDuration(0.02, 0.2))
 		return e
 	case scenario.EventZonePartition:
 		e.Zone = s.Fleet.Zones[x.rng.IntN(len(s.Fleet.Zones))]
 		return e
 	case scenario.EventLateReports:
-		e.Delay = fixedSpan(part(0.005, 0.1))
+		e.Delay = singleValueSpan(drawDuration(0.005, 0.1))
 	case scenario.EventPause:
-		e.For = fixedSpan(part(0.002, 0.05))
+		e.For = singleValueSpan(drawDuration(0.002, 0.05))
 	case scenario.EventNeighbour:
-		e.Every = stricttoml.Duration{Duration: part(0.01, 0.1)}
+		e.Every = stricttoml.Duration{Duration: drawDuration(0.01, 0.1)}
 	}
 	switch x.rng.IntN(4) {
 	case 0:
@@ -217,13 +225,13 @@
 	default:
 		e.Part = scenario.Range{math.Round(100*(0.05+0.5*x.rng.Float64())) / 100}
 	}
-	if k.what == scenario.EventErrors && x.rng.IntN(2) == 0 {
+	if kind.name == scenario.EventErrors && x.rng.IntN(2) == 0 {
 		e.Class = s.Classes[x.rng.IntN(len(s.Classes))].Name
 	}
 	return e
 }
 
-// drawEvents draws all events of a scenario.
+// drawEvents replaces the events of a scenario by one to three random ones.
 func (x *search) drawEvents(s *scenario.Scenario) {
 	s.Events = nil
 	for range 1 + x.rng.IntN(3) {
@@ -231,35 +239,38 @@
 	}
 }
 
-// mutate changes one property of a plan.
-func (x *search) mutate(c *Finding) {
-	s := c.Scenario
+// mutate changes a plan in one respect: it draws another seed, changes the start, length, size or affected fraction
+// of an event, adds an event, or replaces one.
+func (x *search) mutate(finding *Finding) {
+	s := finding.Scenario
 	if len(s.Events) == 0 {
 		x.drawEvents(s)
 		return
 	}
 	i := x.rng.IntN(len(s.Events))
 	e := &s.Events[i]
-	stretch := func(span *stricttoml.Span) {
+	scaleSpan := func(span *stricttoml.Span) {
 		if span != nil {
-			d := time.Duration(float64(span.From) * math.Exp(0.5*x.rng.NormFloat64())).Round(10 * time.Millisecond)
-			d = min(max(d, 10*time.Millisecond), s.Length.Duration*9/10)
-			span.From = d
-			span.To = d
+			scaled := time.Duration(float64(span.From) * math.Exp(0.5*x.rng.NormFloat64())).Round(10 * time.Millisecond)
+			scaled = min(max(scaled, 10*time.Millisecond), s.Length.Duration*9/10)
+			span.From = scaled
+			span.To = scaled
 		}
 	}
 	switch x.rng.IntN(7) {
 	case 0:
-		c.Seed = 1 + x.rng.Uint64N(1<<32)
+		finding.Seed = 1 + x.rng.Uint64N(1<<32)
 	case 1:
-		stretch(e.At)
+		scaleSpan(e.At)
 	case 2:
-		stretch(e.For)
+		scaleSpan(e.For)
 	case 3:
 		if len(e.Size) > 0 {
-			for _, k := range eventKinds {
-				if k.what == e.What {
-					e.Size[0] = min(max(e.Size[0]*math.Exp(0.4*x.rng.NormFloat64()), k.sizes[0]), k.sizes[1])
+			for _, kind := range eventKinds {
+				if kind.name == e.What {
+					e.Size[0] = min(
+						max(e.Size[0]*math.Exp(0.4*x.rng.NormFloat64()), kind.sizeRange[0]), kind.sizeRange[1],
+					)
 				}
 			}
 		}
@@ -276,49 +287,49 @@
 	}
 }
 
-// shrink makes the worst plan small: with fewer events, shorter, milder, with fewer instances and endpoints, as long as
-// most of its loss is left.
+// shrink reduces the worst plan step by step to fewer, shorter and weaker events and fewer instances and endpoints, as
+// long as it keeps the fraction minRemainingLoss of its loss.
 func (x *search) shrink(ctx context.Context) (*Finding, error) {
-	found := x.worst()
-	if found == nil {
+	smallest := x.worstCandidate()
+	if smallest == nil {
 		return nil, fmt.Errorf("a budget of %d runs is too small", x.Budget)
 	}
-	enough := *found
-	enough.Loss *= minRemainingLoss
-	enough.Violations = min(found.Violations, 1)
+	threshold := *smallest
+	threshold.Loss *= minRemainingLoss
+	threshold.Violations = min(smallest.Violations, 1)
 	for changed := true; changed && x.runs < x.Budget; {
 		changed = false
-		for _, smaller := range x.smaller(found) {
+		for _, candidate := range x.smallerPlans(smallest) {
 			if x.runs >= x.Budget {
 				break
 			}
-			if _, err := Resize(smaller.Scenario, []string{"about=\"\""}, 0, 0); err != nil {
-				continue // it makes no sense any more
+			if _, err := Resize(candidate.Scenario, []string{"about=\"\""}, 0, 0); err != nil {
+				continue // the smaller scenario is not valid
 			}
-			if err := x.evaluate(ctx, []*Finding{smaller}); err != nil {
-				return found, err
+			if err := x.evaluate(ctx, []*Finding{candidate}); err != nil {
+				return smallest, err
 			}
-			if !enough.worse(smaller) {
-				smaller.Runs = x.runs
-				found = smaller
+			if !threshold.isWorseThan(candidate) {
+				candidate.Runs = x.runs
+				smallest = candidate
 				changed = true
 				break
 			}
 		}
 	}
-	found.Scenario.Name = "found"
-	found.Scenario.About = fmt.Sprintf(
-		"Found by dunlinsail-experiment search: seed %d loses %.3f.", found.Seed, found.Loss)
-	found.Scenario.Expect = nil
-	return found, nil
+	smallest.Scenario.Name = "found"
+	smallest.Scenario.About = fmt.Sprintf(
+		"Found by dunlinsail-experiment search: seed %d loses %.3f.", smallest.Seed, smallest.Loss)
+	smallest.Scenario.Expect = nil
+	return smallest, nil
 }
 
-// smaller returns the plans that are one step smaller than a finding's.
-func (x *search) smaller(f *Finding) (all []*Finding) {
+// smallerPlans returns the plans that are one step smaller than that of f.
+func (x *search) smallerPlans(f *Finding) (plans []*Finding) {
 	add := func(change func(s *scenario.Scenario)) {
-		c := &Finding{Scenario: f.Scenario.Clone(), Seed: f.Seed}
-		change(c.Scenario)
-		all = append(all, c)
+		plan := &Finding{Scenario: f.Scenario.Clone(), Seed: f.Seed}
+		change(plan.Scenario)
+		plans = append(plans, plan)
 	}
 	s := f.Scenario
 	for i := range s.Events {
@@ -326,38 +337,41 @@
 			add(func(s *scenario.Scenario) { s.Events = slices.Delete(s.Events, i, i+1) })
 		}
 	}
-	if last := lastEventEnd(s); last+5*time.Second < s.Length.Duration {
-		add(func(s *scenario.Scenario) { s.Length = stricttoml.Duration{Duration: last + 5*time.Second} })
+	if lastEnd := lastEventEnd(s); lastEnd+5*time.Second < s.Length.Duration {
+		add(func(s *scenario.Scenario) { s.Length = stricttoml.Duration{Duration: lastEnd + 5*time.Second} })
 	}
-	if first := firstEventStart(s); first > 6*time.Second {
-		add(func(s *scenario.Scenario) { // starts sooner
+	if firstStart := firstEventStart(s); firstStart > 6*time.Second {
+		add(func(s *scenario.Scenario) { // moves all events earlier
 			for i := range s.Events {
-				s.Events[i].At = fixedSpan(s.Events[i].At.From - first + 5*time.Second)
+				s.Events[i].At = singleValueSpan(s.Events[i].At.From - firstStart + 5*time.Second)
 			}
-			s.Length.Duration -= first - 5*time.Second
+			s.Length.Duration -= firstStart - 5*time.Second
 		})
 	}
 	if s.Fleet.Instances > 1 {
 		add(func(s *scenario.Scenario) { s.Fleet.Instances = (s.Fleet.Instances + 1) / 2 })
 	}
-	for i := range s.EndpointKinds {
-		if s.EndpointKinds[i].Count > 1 {
-			add(func(s *scenario.Scenario) { s.EndpointKinds[i].Count = (s.EndpointKinds[i].Count + 1) / 2 })
+	for kindIndex := range s.EndpointKinds {
+		if s.EndpointKinds[kindIndex].Count > 1 {
+			add(func(s *scenario.Scenario) {
+				s.EndpointKinds[kindIndex].Count = (s.EndpointKinds[kindIndex].Count + 1) / 2
+			})
 		}
 	}
 	addSmallerEvents(s, add)
-	return all
+	return plans
 }
 
-// addSmallerEvents adds the plans with a shorter or weaker event, or one that applies to fewer endpoints.
+// addSmallerEvents calls add with each change that makes one event of s shorter or weaker, or affect a smaller
+// fraction of endpoints.
 func addSmallerEvents(s *scenario.Scenario, add func(change func(s *scenario.Scenario))) {
 	for i := range s.Events {
 		e := &s.Events[i]
 		if e.For != nil && e.For.From > time.Second {
-			half := (e.For.From / 2).Round(10 * time.Millisecond)
-			add(func(s *scenario.Scenario) { s.Events[i].For = fixedSpan(half) })
+			halfLength := (e.For.From / 2).Round(10 * time.Millisecond)
+			add(func(s *scenario.Scenario) { s.Events[i].For = singleValueSpan(halfLength) })
 		}
-		if len(e.Size) > 0 && !slices.Contains(shareEvents, e.What) && e.Size[0] > 1.5 {
+		if len(e.Size) > 0 && !slices.Contains(fractionEvents, e.What) && e.Size[0] > 1.5 {
 			add(func(s *scenario.Scenario) { s.Events[i].Size[0] = math.Round(100*math.Sqrt(e.Size[0])) / 100 })
 		}
 		if len(e.Part) > 0 && e.Part[0] > 0.1 {
@@ -366,17 +380,19 @@
 	}
 }
 
-func lastEventEnd(s *scenario.Scenario) (last time.Duration) {
+// lastEventEnd returns the time at which the last event of s ends.
+func lastEventEnd(s *scenario.Scenario) (latest time.Duration) {
 	for _, e := range s.Events {
 		end := e.At.From
 		if e.For != nil {
 			end += e.For.From
 		}
-		last = max(last, end)
+		latest = max(latest, end)
 	}
-	return last
+	return latest
 }
 
+// firstEventStart returns the time at which the first event of s starts.
 func firstEventStart(s *scenario.Scenario) time.Duration {
 	return slices.MinFunc(s.Events, func(a, b scenario.Event) int { return cmp.Compare(a.At.From, b.At.From) }).At.From
 }
--- a/internal/experiment/size_test.go
+++ b/internal/experiment/size_test.go
@@ -14,14 +14,14 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// changedLines returns how many lines of a file differ in a text that takes its place, apart from white space: gofmt
-// aligns the comments of neighbouring lines anew.
+// changedLines returns the number of lines in which text differs from the file name. It ignores white space, since
+// gofmt realigns the comments of adjacent lines.
 func changedLines(t *testing.T, name string, text []byte) (changed int) {
 	t.Helper()
-	before, err := os.ReadFile(name)
+	original, err := os.ReadFile(name)
 	require.NoError(t, err)
 	lines := strings.Split(string(text), "\n")
-	for i, line := range strings.Split(string(before), "\n") {
+	for i, line := range strings.Split(string(original), "\n") {
 		if !slices.Equal(strings.Fields(lines[i]), strings.Fields(line)) {
 			changed++
 		}
@@ -29,8 +29,8 @@
 	return changed
 }
 
-// A constant of the decisions gets another value where it is declared, and nothing else changes. A name that is no
-// constant of the module is an error.
+// Setting constants of the balancing decisions changes only the lines that declare them. Unknown constants or
+// folders, and invalid expressions, are errors.
 func TestConstants(t *testing.T) {
 	root := "../.."
 	files := map[string][]byte{}
@@ -45,7 +45,7 @@
 		require.NoError(t, err)
 	}
 	if len(files) != 2 {
-		t.Fatalf("%d files", len(files))
+		t.Fatalf("%d files were edited, want 2", len(files))
 	}
 	for name, text := range files {
 		if _, err := parser.ParseFile(token.NewFileSet(), name, text, 0); err != nil {
@@ -53,7 +53,7 @@
 		}
 		changed := changedLines(t, name, text)
 		if want := map[string]int{"breaker.go": 2, "limiter.go": 1}[filepath.Base(name)]; changed != want {
-			t.Errorf("%s: %d lines have changed, want %d", name, changed, want)
+			t.Errorf("%s: %d lines changed, want %d", name, changed, want)
 		}
 	}
 	for text, want := range map[string]error{
@@ -75,28 +75,35 @@
 	}
 }
 
-// A run of a size is made by a process of its own, and what that used is known; it is the same with one processor and
-// with four.
+// RunSize runs a simulation in a separate process and returns the processor time and memory that this used. The
+// result is the same with one processor and with four. A missing program is an error.
 func TestScaling(t *testing.T) {
 	self := must[string](t)(os.Executable())
-	sc := Scaling{Scenario: short(t), Variant: variant(t, Shipped), Subset: 6, Operations: 800, Seed: 1, Program: self}
+	sc := Scaling{
+		Scenario:   shortScenario(t),
+		Variant:    parseVariant(t, Shipped),
+		Subset:     6,
+		Operations: 800,
+		Seed:       1,
+		Program:    self,
+	}
 	var first *SizeRun
 	for _, n := range []string{"1", "4"} {
 		sc.Env = []string{"LAB_TEST_AS=build", "GOMAXPROCS=" + n}
-		r := must[*SizeRun](t)(sc.RunSize(t.Context(), Size{3, 12}))
-		if r.Subset != 12 || r.Operations < 600 || r.Operations > 1000 || r.Memory < 1<<20 ||
-			r.ProcessorTime <= 0 || r.Decisions < r.Operations {
-			t.Errorf("%+v", r)
+		run := must[*SizeRun](t)(sc.RunSize(t.Context(), Size{3, 12}))
+		if run.Subset != 12 || run.Operations < 600 || run.Operations > 1000 || run.Memory < 1<<20 ||
+			run.ProcessorTime <= 0 || run.Decisions < run.Operations {
+			t.Errorf("%+v", run)
 		}
 		if first == nil {
-			first = r
+			first = run
 		}
-		if r.Result.Digest != first.Result.Digest {
-			t.Errorf("digest %s with %s processors, %s with one", r.Result.Digest, n, first.Result.Digest)
+		if run.Result.Digest != first.Result.Digest {
+			t.Errorf("digest %s with %s processors, %s with one", run.Result.Digest, n, first.Result.Digest)
 		}
 	}
 	sc.Program = filepath.Join(t.TempDir(), "gone")
 	if _, err := sc.RunSize(t.Context(), Size{3, 12}); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a program that is not there: %v", err)
+		t.Errorf("a program that does not exist: %v", err)
 	}
 }
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -8,83 +8,85 @@
 	"dunlinsail/internal/experiment/stats"
 )
 
-// Axis is a key and the values that it takes: a variant's, as ParseVariant has them.
+// Axis is a key of a variant (see ParseVariant) and the values that it takes in a sweep.
 type Axis struct {
 	Key    string
 	Values []string
 }
 
-// ParseAxis reads KEY=VALUE|VALUE|...
+// ParseAxis parses an axis, written as KEY=VALUE|VALUE|... with at least two values.
 func ParseAxis(text string) (Axis, error) {
 	key, values, ok := strings.Cut(text, "=")
-	a := Axis{key, strings.Split(values, "|")}
-	if !ok || key == "" || len(a.Values) < 2 {
-		return a, fmt.Errorf("%q is not KEY=VALUE|VALUE with two values at least", text)
+	axis := Axis{key, strings.Split(values, "|")}
+	if !ok || key == "" || len(axis.Values) < 2 {
+		return axis, fmt.Errorf("%q is not KEY=VALUE|VALUE with at least two values", text)
 	}
-	return a, nil
+	return axis, nil
 }
 
-// Point is a combination of values of a sweep.
-type Point struct {
-	Values []string // of each axis
+// SweepPoint is one combination of the axes' values, and its comparison with the sweep's first point.
+type SweepPoint struct {
+	Values []string // one value per axis, in the order of the axes
 	*Comparison
 }
 
-// Sweep is the result of a sweep.
+// Sweep is the result of Runner.Sweep.
 type Sweep struct {
 	Axes   []Axis
-	Points []Point // the last axis goes fastest; the first point is what the others are compared with
+	Points []SweepPoint // the last axis varies fastest; the first point is the baseline
 }
 
-// Sweep compares a variant with each value of one axis or two with the first one.
+// Sweep measures variant p.A at each combination of the values of one or two axes, and compares each combination
+// with the first one.
 func (r *Runner) Sweep(ctx context.Context, p Plan, axes []Axis) (*Sweep, error) {
 	if len(axes) < 1 || len(axes) > 2 {
-		return nil, fmt.Errorf("a sweep has one axis or two, not %d", len(axes))
+		return nil, fmt.Errorf("a sweep must have one or two axes, not %d", len(axes))
 	}
-	s := &Sweep{Axes: axes}
-	places := [][]string{{}}
-	for _, a := range axes {
-		var next [][]string
-		for _, at := range places {
-			for _, v := range a.Values {
-				next = append(next, append(append([]string{}, at...), v))
+	sweep := &Sweep{Axes: axes}
+	combinations := [][]string{{}}
+	for _, axis := range axes {
+		var extended [][]string
+		for _, combination := range combinations {
+			for _, v := range axis.Values {
+				extended = append(extended, append(append([]string{}, combination...), v))
 			}
 		}
-		places = next
+		combinations = extended
 	}
 	base := p.A
-	for _, at := range places {
+	for _, combination := range combinations {
 		spec := base.Spec
-		for i, v := range at {
+		for i, v := range combination {
 			spec += "," + axes[i].Key + "=" + v
 		}
 		v, err := ParseVariant(spec)
 		if err != nil {
 			return nil, err
 		}
-		one := p
-		one.A = v
-		one.B = nil
-		if len(s.Points) > 0 {
-			one.A = s.Points[0].Plan.A
-			one.B = v
+		pointPlan := p
+		pointPlan.A = v
+		pointPlan.B = nil
+		if len(sweep.Points) > 0 {
+			pointPlan.A = sweep.Points[0].Plan.A
+			pointPlan.B = v
 		}
-		c, err := r.Compare(ctx, one)
+		comparison, err := r.Compare(ctx, pointPlan)
 		if err != nil {
 			return nil, err
 		}
-		s.Points = append(s.Points, Point{at, c})
+		sweep.Points = append(sweep.Points, SweepPoint{combination, comparison})
 	}
-	return s, nil
+	return sweep, nil
 }
 
-// Figure returns a figure at a point, and its difference from the first point; there it is nil.
-func (p *Point) Figure(figure string) (value stats.Interval, difference *Row) {
+// Figure returns the value of a figure at the point, and the row with its difference from the sweep's first point.
+// At the first point, difference is nil.
+func (p *SweepPoint) Figure(figure string) (value stats.Interval, difference *Row) {
 	runs := p.RunsB
 	if runs == nil {
 		runs = p.RunsA
 	}
-	value = p.interval(Figure(runs, figure))
+	value = p.meanInterval(FigureValues(runs, figure))
 	if p.RunsB == nil {
 		return value, nil
 	}
--- a/internal/experiment/variant.go
+++ b/internal/experiment/variant.go
@@ -20,28 +20,29 @@
 	"dunlinsail/internal/simulation/scenario"
 )
 
-// Shipped names the settings that come with the program.
+// Shipped is the name by which a variant selects the configuration file that is embedded in the program.
 const Shipped = "shipped"
 
-// Variant is what a fleet runs on: a daemon's file, with edits, by this build's decisions or another's.
+// Variant is a configuration of a simulated fleet: an edited daemon configuration file, and the build whose
+// decisions are run.
 type Variant struct {
-	Spec          string // as it was given
-	Program       string // another build's dunlinsail-experiment; "" is this one
-	Settings      []byte // the daemon's file, edited
+	Spec          string // text that ParseVariant was given
+	Program       string // dunlinsail-experiment binary of another build; "" is this one
+	Settings      []byte // daemon configuration file, with edits applied
 	ScenarioEdits []string
 	DecisionSeed  uint64
 	Harm          float64
 }
 
-// ParseVariant reads a variant: [@PROGRAM:]FILE[,KEY=VALUE]..., where FILE is a daemon's file or "shipped". A key
-// is one of that file, or world.KEY of the scenario, or lots (the decision seed), or harm (the share of operations that
-// is spoilt, to test that a comparison finds it).
+// ParseVariant parses a variant: [@PROGRAM:]FILE[,KEY=VALUE]..., where FILE is a daemon configuration file or
+// "shipped". KEY is a key of that file, or world.KEY for a key of the scenario, or lots (the decision seed), or
+// harm (the fraction of operations deliberately counted as unserved, to test that a comparison detects it).
 func ParseVariant(spec string) (*Variant, error) {
 	v := &Variant{Spec: spec}
 	rest := spec
 	if program, ok := strings.CutPrefix(rest, "@"); ok {
 		if v.Program, rest, ok = strings.Cut(program, ":"); !ok {
-			return nil, fmt.Errorf("variant %q: after @PROGRAM comes :FILE", spec)
+			return nil, fmt.Errorf("variant %q: @PROGRAM must be followed by :FILE", spec)
 		}
 		if _, err := os.Stat(v.Program); err != nil {
 			return nil, fmt.Errorf("variant %q: %w", spec, err)
@@ -49,13 +50,13 @@
 	}
 	parts := splitEdits(rest)
 	var edits []string
-	for _, e := range parts[1:] {
-		ownKey, err := v.setKey(e)
+	for _, edit := range parts[1:] {
+		ownKey, err := v.setVariantKey(edit)
 		if err != nil {
 			return nil, fmt.Errorf("variant %q: %w", spec, err)
 		}
 		if !ownKey {
-			edits = append(edits, e)
+			edits = append(edits, edit)
 		}
 	}
 	text := deploy.Daemon
@@ -69,7 +70,7 @@
 	if v.Settings, err = applyEdits(text, edits); err != nil {
 		return nil, fmt.Errorf("variant %q: %w", spec, err)
 	}
-	if v.Program == "" { // another build may know other keys
+	if v.Program == "" { // another build may have other keys
 		if _, err := config.Parse(v.Settings); err != nil {
 			return nil, fmt.Errorf("variant %q: %w", spec, err)
 		}
@@ -77,9 +78,9 @@
 	return v, nil
 }
 
-// setKey sets the value of an edit whose key is the variant's own, and reports whether it is one. All others are keys
-// of the daemon's file.
-func (v *Variant) setKey(edit string) (ownKey bool, err error) {
+// setVariantKey applies an edit whose key belongs to the variant itself, not to the daemon's configuration file, and
+// reports whether it does.
+func (v *Variant) setVariantKey(edit string) (ownKey bool, err error) {
 	key, value, _ := strings.Cut(edit, "=")
 	switch {
 	case strings.HasPrefix(key, "world."):
@@ -100,49 +101,49 @@
 	return true, nil
 }
 
-// splitEdits splits a spec at its commas, except for those within brackets or quotes.
+// splitEdits splits the text of a variant at its commas, except for commas within brackets, braces or quotes.
 func splitEdits(spec string) []string {
 	var parts []string
 	depth := 0
 	quoted := false
-	from := 0
-	for i, c := range spec {
+	start := 0
+	for index, char := range spec {
 		switch {
-		case c == '"':
+		case char == '"':
 			quoted = !quoted
 		case quoted:
-		case c == '[' || c == '{':
+		case char == '[' || char == '{':
 			depth++
-		case c == ']' || c == '}':
+		case char == ']' || char == '}':
 			depth--
-		case c == ',' && depth == 0:
-			parts = append(parts, spec[from:i])
-			from = i + 1
+		case char == ',' && depth == 0:
+			parts = append(parts, spec[start:index])
+			start = index + 1
 		}
 	}
-	return append(parts, spec[from:])
+	return append(parts, spec[start:])
 }
 
-// Job is one run that is to be made: all that it depends on, beside the build.
+// Job describes one run: everything that its result depends on, except for the build.
 type Job struct {
-	Scenario         string  `json:"scenario"` // its whole text
-	Settings         string  `json:"settings"` // a daemon's file
-	CriteriaSettings string  `json:"judge"`    // the file by which is judged
+	Scenario         string  `json:"scenario"` // full text of the scenario (TOML)
+	Settings         string  `json:"settings"` // text of the daemon configuration file
+	CriteriaSettings string  `json:"judge"`    // text of the file whose criteria evaluate the run
 	Seed             uint64  `json:"seed"`
 	DecisionSeed     uint64  `json:"lots,omitempty"`
 	Harm             float64 `json:"harm,omitempty"`
 }
 
-// Job returns the run of a variant in a scenario, judged by another variant's file.
+// Job returns the job that runs the variant in scenario s. The run is evaluated with the criteria of criteriaFrom.
 func (v *Variant) Job(s *scenario.Scenario, criteriaFrom *Variant, seed uint64) (Job, error) {
 	if s.Replay != nil {
-		own := *s.Replay
+		replay := *s.Replay
 		var err error
-		if own.Digest, err = digestFiles(own.From); err != nil {
+		if replay.Digest, err = digestFiles(replay.From); err != nil {
 			return Job{}, err
 		}
 		s = s.Clone()
-		s.Replay = &own
+		s.Replay = &replay
 	}
 	text, err := s.Text()
 	if err != nil {
@@ -161,36 +162,40 @@
 	}, nil
 }
 
-// Play makes the run by this build's decisions.
-func (j *Job) Play(ctx context.Context, more ...func(*simulation.Options)) (*measure.Result, error) {
+// Play makes the run with this build. modifiers change the options of the simulation before it starts.
+func (j *Job) Play(ctx context.Context, modifiers ...func(*simulation.Options)) (*measure.Result, error) {
 	s, err := scenario.Parse([]byte(j.Scenario), nil)
 	if err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
-	own, err := config.Parse([]byte(j.Settings))
+	settings, err := config.Parse([]byte(j.Settings))
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	judged, err := config.Parse([]byte(j.CriteriaSettings))
+	criteriaConfig, err := config.Parse([]byte(j.CriteriaSettings))
 	if err != nil {
-		return nil, fmt.Errorf("settings to judge by: %w", err)
+		return nil, fmt.Errorf("criteria settings: %w", err)
+	}
+	simulationSettings := modelSettings(settings)
+	simulationSettings.DecisionSeed = j.DecisionSeed
+	simulationSettings.KnownHarm = j.Harm
+	options := simulation.Options{
+		Plan:     s.Draw(j.Seed),
+		Settings: simulationSettings,
+		Criteria: criteria(criteriaConfig),
 	}
-	set := modelSettings(own)
-	set.DecisionSeed = j.DecisionSeed
-	set.KnownHarm = j.Harm
-	o := simulation.Options{Plan: s.Draw(j.Seed), Settings: set, Criteria: criteria(judged)}
 	if s.Replay != nil {
-		if o.Plan.Source, err = replayRecord(o.Plan); err != nil {
+		if options.Plan.Source, err = replayRecord(options.Plan); err != nil {
 			return nil, err
 		}
 	}
-	for _, f := range more {
-		f(&o)
+	for _, modify := range modifiers {
+		modify(&options)
 	}
-	return simulation.Run(ctx, o)
+	return simulation.Run(ctx, options)
 }
 
-// modelSettings returns the simulation's settings of a daemon's file.
+// modelSettings converts a daemon configuration to the settings of the simulation.
 func modelSettings(c *config.Config) *simulation.Settings {
 	s := &simulation.Settings{
 		Site:           c.Site,
@@ -211,7 +216,7 @@
 	return s
 }
 
-// criteria returns the criteria by which runs of a file are measured.
+// criteria returns the criteria of a daemon configuration, which the figures of a run are computed with.
 func criteria(c *config.Config) measure.Criteria {
 	s := &c.Site.Settings
 	limits := map[string]float64{}
@@ -228,20 +233,20 @@
 	}
 }
 
-// Reply is another build's reply to a job.
+// Reply is the reply of another build's program to a job.
 type Reply struct {
-	ModelVersion int             `json:"world"` // simulation.Version
+	ModelVersion int             `json:"world"` // simulation.Version of the replying build
 	Result       *measure.Result `json:"result,omitempty"`
 	Error        string          `json:"error,omitempty"`
 }
 
-// HandleJob plays a job that another build sent, as JSON, and returns the Reply, as JSON.
+// HandleJob runs a JSON-encoded Job sent by another build, and returns the JSON-encoded Reply.
 func HandleJob(ctx context.Context, text []byte) ([]byte, error) {
 	reply := Reply{ModelVersion: simulation.Version}
-	var j Job
-	err := json.Unmarshal(text, &j)
+	var job Job
+	err := json.Unmarshal(text, &job)
 	if err == nil {
-		reply.Result, err = j.Play(ctx)
+		reply.Result, err = job.Play(ctx)
 	}
 	if err != nil {
 		reply.Error = err.Error()
@@ -249,8 +254,11 @@
 	return json.Marshal(reply)
 }
 
-// playWith has a program play a job, perhaps another build, and returns the result and the state of its process.
-func (j *Job) playWith(ctx context.Context, program string, env ...string) (*measure.Result, *os.ProcessState, error) {
+// runWithProgram runs the job in a process of program, which may be another build, and returns the result and the
+// state of the process after its exit. env is added to the process environment.
+func (j *Job) runWithProgram(
+	ctx context.Context, program string, env ...string,
+) (*measure.Result, *os.ProcessState, error) {
 	text, err := json.Marshal(j)
 	if err != nil {
 		return nil, nil, err
@@ -258,26 +266,26 @@
 	cmd := exec.CommandContext(ctx, program, "play")
 	cmd.Stdin = bytes.NewReader(text)
 	cmd.Env = append(os.Environ(), env...)
-	var told bytes.Buffer
-	cmd.Stderr = &told
-	out, err := cmd.Output()
+	var stderr bytes.Buffer
+	cmd.Stderr = &stderr
+	stdout, err := cmd.Output()
 	if err != nil {
-		return nil, nil, fmt.Errorf("%s: %w: %s", program, err, strings.TrimSpace(told.String()))
+		return nil, nil, fmt.Errorf("%s: %w: %s", program, err, strings.TrimSpace(stderr.String()))
 	}
 	var reply Reply
-	if err := json.Unmarshal(out, &reply); err != nil {
-		return nil, nil, fmt.Errorf("%s: what it says of a run makes no sense: %w", program, err)
+	if err := json.Unmarshal(stdout, &reply); err != nil {
+		return nil, nil, fmt.Errorf("%s: its reply cannot be decoded: %w", program, err)
 	}
 	switch {
 	case reply.Error != "":
 		return nil, nil, fmt.Errorf("%s: %s", program, reply.Error)
 	case reply.ModelVersion != simulation.Version:
 		return nil, nil, fmt.Errorf(
-			"%s has another model of what is outside (%d, not %d): runs of both cannot be compared", program,
+			"%s has another version of the simulation model (%d, not %d): runs of both cannot be compared", program,
 			reply.ModelVersion, simulation.Version,
 		)
 	case reply.Result == nil || math.IsNaN(reply.Result.Figures["service"]):
-		return nil, nil, fmt.Errorf("%s: its run has no figures", program)
+		return nil, nil, fmt.Errorf("%s: the result of its run has no figures", program)
 	}
 	return reply.Result, cmd.ProcessState, nil
 }
