--- a/internal/experiment/claim/claim.go
+++ b/internal/experiment/claim/claim.go
@@ -64,14 +64,14 @@
 
 // Parse parses a claim. known reports whether a figure exists; nil allows all. It returns an error for a syntax error
 // or an unknown figure.
-func Parse(text string, known func(name string) bool) (*Claim, error) {
-	c, err := parser.ParseString("", text)
+func Parse(text string, isFigure func(name string) bool) (*Claim, error) {
+	parsed, err := parser.ParseString("", text)
 	if err != nil {
 		return nil, fmt.Errorf("claim %q: %w", text, err)
 	}
-	claim := &Claim{text, c}
+	claim := &Claim{text, parsed}
 	for _, name := range claim.Figures() {
-		if known != nil && !known(name) {
+		if isFigure != nil && !isFigure(name) {
 			return nil, fmt.Errorf("claim %q: no figure is named %q", text, name)
 		}
 	}
@@ -81,63 +81,63 @@
 // Figures returns the figures that it speaks of.
 func (c *Claim) Figures() []string {
 	var names []string
-	var ofSum func(s *sum)
-	var ofValue func(v *value)
-	ofValue = func(v *value) {
+	var collectSum func(s *sum)
+	var collectValue func(v *value)
+	collectValue = func(v *value) {
 		switch {
 		case v.Name != nil:
 			names = append(names, *v.Name)
 		case v.Inner != nil:
-			ofSum(v.Inner)
+			collectSum(v.Inner)
 		case v.Negative != nil:
-			ofValue(v.Negative)
+			collectValue(v.Negative)
 		}
 	}
-	ofSum = func(s *sum) {
-		for _, p := range append(
+	collectSum = func(s *sum) {
+		for _, operand := range append(
 			[]*product{s.First}, mapSlice(s.Rest, func(t *term) *product { return t.Operand })...,
 		) {
-			ofValue(p.First)
-			for _, f := range p.Rest {
-				ofValue(f.Operand)
+			collectValue(operand.First)
+			for _, f := range operand.Rest {
+				collectValue(f.Operand)
 			}
 		}
 	}
-	ofSum(c.comparison.Left)
-	ofSum(c.comparison.Right)
+	collectSum(c.comparison.Left)
+	collectSum(c.comparison.Right)
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-func mapSlice[A, B any](all []A, f func(A) B) (to []B) {
-	for _, a := range all {
-		to = append(to, f(a))
+func mapSlice[A, B any](items []A, transform func(A) B) (mapped []B) {
+	for _, item := range items {
+		mapped = append(mapped, transform(item))
 	}
-	return to
+	return mapped
 }
 
 func (s *sum) evaluate(figures map[string]float64) float64 {
-	v := s.First.evaluate(figures)
+	total := s.First.evaluate(figures)
 	for _, t := range s.Rest {
 		if t.Op == "+" {
-			v += t.Operand.evaluate(figures)
+			total += t.Operand.evaluate(figures)
 		} else {
-			v -= t.Operand.evaluate(figures)
+			total -= t.Operand.evaluate(figures)
 		}
 	}
-	return v
+	return total
 }
 
 func (p *product) evaluate(figures map[string]float64) float64 {
-	v := p.First.evaluate(figures)
+	result := p.First.evaluate(figures)
 	for _, f := range p.Rest {
 		if f.Op == "*" {
-			v *= f.Operand.evaluate(figures)
+			result *= f.Operand.evaluate(figures)
 		} else {
-			v /= f.Operand.evaluate(figures)
+			result /= f.Operand.evaluate(figures)
 		}
 	}
-	return v
+	return result
 }
 
 // units of numbers in claims; durations are in milliseconds, as those of figures are.
@@ -158,19 +158,19 @@
 	text := *v.Number
 	multiplier := 1.0
 	divisor := 1.0
-	for _, u := range units {
-		if cut, ok := strings.CutSuffix(text, u.name); ok {
-			text = cut
-			multiplier = u.multiplier
-			divisor = u.divisor
+	for _, unit := range units {
+		if number, ok := strings.CutSuffix(text, unit.name); ok {
+			text = number
+			multiplier = unit.multiplier
+			divisor = unit.divisor
 			break
 		}
 	}
-	n, err := strconv.ParseFloat(text, 64)
+	parsed, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		panic(err) // the lexer takes nothing else
 	}
-	return n * multiplier / divisor
+	return parsed * multiplier / divisor
 }
 
 // Verdict says whether a claim holds.
@@ -200,37 +200,37 @@
 // Evaluate evaluates a claim by the figures of several runs, with a confidence such as 0.95. An == must hold in each
 // run, a comparison of sizes on average: it is certain if the margin's interval is on one side of 0.
 func (c *Claim) Evaluate(runs []map[string]float64, confidence float64) Evaluation {
-	j := Evaluation{Claim: c.Text}
+	evaluation := Evaluation{Claim: c.Text}
 	var margins []float64
-	same := true
+	allEqual := true
 	for _, figures := range runs {
 		left := c.comparison.Left.evaluate(figures)
 		right := c.comparison.Right.evaluate(figures)
-		j.Left += left / float64(len(runs))
-		j.Right += right / float64(len(runs))
-		same = same && left == right
+		evaluation.Left += left / float64(len(runs))
+		evaluation.Right += right / float64(len(runs))
+		allEqual = allEqual && left == right
 		margin := left - right
 		if strings.HasPrefix(c.comparison.Op, "<") {
 			margin = right - left
 		}
 		margins = append(margins, margin)
 	}
-	j.Margin = stats.StudentT(margins, confidence)
+	evaluation.Margin = stats.StudentT(margins, confidence)
 	strict := c.comparison.Op == "<" || c.comparison.Op == ">"
 	switch {
-	case c.comparison.Op == "==" && !same:
-		j.Verdict = Fails
+	case c.comparison.Op == "==" && !allEqual:
+		evaluation.Verdict = Fails
 	case c.comparison.Op == "==":
 	case len(runs) == 1: // nothing is known of what another run would come to
-		j.Verdict = Inconclusive
-		if j.Margin.Mean < 0 {
-			j.Verdict = Fails
+		evaluation.Verdict = Inconclusive
+		if evaluation.Margin.Mean < 0 {
+			evaluation.Verdict = Fails
 		}
-	case j.Margin.Low > 0 || !strict && j.Margin.Low >= 0:
-	case j.Margin.High < 0 || strict && j.Margin.High <= 0:
-		j.Verdict = Fails
+	case evaluation.Margin.Low > 0 || !strict && evaluation.Margin.Low >= 0:
+	case evaluation.Margin.High < 0 || strict && evaluation.Margin.High <= 0:
+		evaluation.Verdict = Fails
 	default:
-		j.Verdict = Inconclusive
+		evaluation.Verdict = Inconclusive
 	}
-	return j
+	return evaluation
 }
--- a/internal/experiment/claim/claim_test.go
+++ b/internal/experiment/claim/claim_test.go
@@ -23,21 +23,21 @@
 		"p99 <= 100000us + 20ms":   Holds,
 		"service >= 0.99 - 2 * 1%": Fails,
 	} {
-		c, err := Parse(text, func(name string) bool { _, ok := figures[name]; return ok })
+		parsed, err := Parse(text, func(name string) bool { _, ok := figures[name]; return ok })
 		if err != nil {
 			t.Errorf("%s: %v", text, err)
 			continue
 		}
-		if got := c.Evaluate(runs, 0.95); got.Verdict != want {
+		if got := parsed.Evaluate(runs, 0.95); got.Verdict != want {
 			t.Errorf("%s: %v (%v against %v)", text, got.Verdict, got.Left, got.Right)
 		}
 	}
-	for _, bad := range []string{
+	for _, invalid := range []string{
 		"", "service", "service >= ", "service => 1", "nothing > 1", "service > 1 > 0", "1 = 1", "service > 1min",
 		"(a > 1",
 	} {
-		if _, err := Parse(bad, func(name string) bool { _, ok := figures[name]; return ok }); err == nil {
-			t.Errorf("%q was taken", bad)
+		if _, err := Parse(invalid, func(name string) bool { _, ok := figures[name]; return ok }); err == nil {
+			t.Errorf("%q was taken", invalid)
 		}
 	}
 }
@@ -45,17 +45,17 @@
 // Runs that differ decide a claim only as far as they agree; an == must hold in each.
 func TestJudgesByRuns(t *testing.T) {
 	evaluate := func(text string, v ...float64) Verdict {
-		c, err := Parse(text, nil)
+		parsed, err := Parse(text, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var runs []map[string]float64
-		for _, x := range v {
-			runs = append(runs, map[string]float64{"x": x})
+		for _, testCase := range v {
+			runs = append(runs, map[string]float64{"x": testCase})
 		}
-		return c.Evaluate(runs, 0.95).Verdict
+		return parsed.Evaluate(runs, 0.95).Verdict
 	}
-	for _, x := range []struct {
+	for _, testCase := range []struct {
 		text string
 		v    []float64
 		want Verdict
@@ -68,8 +68,8 @@
 		{"x == 0", []float64{0, 0, 0}, Holds},
 		{"x == 0", []float64{0, 1, 0}, Fails},
 	} {
-		if got := evaluate(x.text, x.v...); got != x.want {
-			t.Errorf("%s of %v: %v, want %v", x.text, x.v, got, x.want)
+		if got := evaluate(testCase.text, testCase.v...); got != testCase.want {
+			t.Errorf("%s of %v: %v, want %v", testCase.text, testCase.v, got, testCase.want)
 		}
 	}
 }
--- a/internal/experiment/library/library.go
+++ b/internal/experiment/library/library.go
@@ -15,24 +15,24 @@
 )
 
 //go:embed *.toml
-var files embed.FS
+var scenarioFiles embed.FS
 
 // Names returns the names of all scenarios, in order.
 func Names() []string {
-	entries, err := fs.ReadDir(files, ".")
+	entries, err := fs.ReadDir(scenarioFiles, ".")
 	if err != nil {
 		panic(err) // they are a part of the program
 	}
 	var names []string
-	for _, e := range entries {
-		names = append(names, strings.TrimSuffix(e.Name(), ".toml"))
+	for _, entry := range entries {
+		names = append(names, strings.TrimSuffix(entry.Name(), ".toml"))
 	}
 	return names
 }
 
 // Text returns the text of a scenario's file.
 func Text(name string) ([]byte, error) {
-	text, err := files.ReadFile(name + ".toml")
+	text, err := scenarioFiles.ReadFile(name + ".toml")
 	if err != nil {
 		return nil, fmt.Errorf("no scenario is named %q; there are %s", name, strings.Join(Names(), ", "))
 	}
@@ -41,15 +41,15 @@
 
 // Load reads a scenario by its name in the library, or from a file: what has a dot or a slash in it is one. A file may
 // be based on one in its own folder, or in the library.
-func Load(name string) (*scenario.Scenario, error) {
-	if !strings.ContainsAny(name, "./") {
-		text, err := Text(name)
+func Load(nameOrPath string) (*scenario.Scenario, error) {
+	if !strings.ContainsAny(nameOrPath, "./") {
+		text, err := Text(nameOrPath)
 		if err != nil {
 			return nil, err
 		}
 		return scenario.Parse(text, Text)
 	}
-	text, err := os.ReadFile(name)
+	text, err := os.ReadFile(nameOrPath)
 	if err != nil {
 		return nil, err
 	}
@@ -57,6 +57,6 @@
 		if slices.Contains(Names(), base) {
 			return Text(base)
 		}
-		return os.ReadFile(filepath.Join(filepath.Dir(name), base))
+		return os.ReadFile(filepath.Join(filepath.Dir(nameOrPath), base))
 	})
 }
--- a/internal/experiment/report/charts.go
+++ b/internal/experiment/report/charts.go
@@ -29,8 +29,8 @@
 )
 
 const (
-	width  = 17 * vg.Centimeter
-	height = 6 * vg.Centimeter
+	chartWidth  = 17 * vg.Centimeter
+	chartHeight = 6 * vg.Centimeter
 )
 
 // chart is a picture with what it shows.
@@ -39,10 +39,10 @@
 	SVG          template.HTML
 }
 
-func newPlot(x, y string) *plot.Plot {
+func newPlot(xLabel, yLabel string) *plot.Plot {
 	p := plot.New()
-	p.X.Label.Text = x
-	p.Y.Label.Text = y
+	p.X.Label.Text = xLabel
+	p.Y.Label.Text = yLabel
 	p.Legend.Top = true
 	p.Legend.Left = false
 	// A browser without the plot's own font shows a wider one: small text keeps within the picture.
@@ -59,39 +59,39 @@
 
 // svg renders a plot. The library makes the text, and escapes the labels, which are the only part from users.
 func svg(p *plot.Plot, height vg.Length) (template.HTML, error) {
-	c := vgsvg.NewWith(vgsvg.UseWH(width, height))
-	p.Draw(draw.New(c))
-	var b bytes.Buffer
-	if _, err := c.WriteTo(&b); err != nil {
+	canvas := vgsvg.NewWith(vgsvg.UseWH(chartWidth, height))
+	p.Draw(draw.New(canvas))
+	var buffer bytes.Buffer
+	if _, err := canvas.WriteTo(&buffer); err != nil {
 		return "", err
 	}
-	text := b.Bytes()
-	if at := bytes.Index(text, []byte("<svg")); at > 0 {
-		text = text[at:] // without the XML declaration
+	markup := buffer.Bytes()
+	if declarationLength := bytes.Index(markup, []byte("<svg")); declarationLength > 0 {
+		markup = markup[declarationLength:] // without the XML declaration
 	}
-	return template.HTML(text), nil
+	return template.HTML(markup), nil
 }
 
 // variantRuns are the runs of one variant, and its colours.
 type variantRuns struct {
-	name string
-	runs []*measure.Result
-	line color.Color
-	band color.Color
+	name      string
+	runs      []*measure.Result
+	lineColor color.Color
+	bandColor color.Color
 }
 
-func variants(c *experiment.Comparison) []variantRuns {
-	all := []variantRuns{{"A", c.RunsA, colourA, bandA}}
-	if c.RunsB != nil {
-		all = append(all, variantRuns{"B", c.RunsB, colourB, bandB})
+func comparedVariants(comparison *experiment.Comparison) []variantRuns {
+	compared := []variantRuns{{"A", comparison.RunsA, colourA, bandA}}
+	if comparison.RunsB != nil {
+		compared = append(compared, variantRuns{"B", comparison.RunsB, colourB, bandB})
 	}
-	return all
+	return compared
 }
 
 // valuesAt returns the sorted values of all runs at a bin of a series.
-func (v *variantRuns) valuesAt(of func(s *measure.Series) []float64, bin int) (values []float64) {
+func (v *variantRuns) valuesAt(selectSeries func(s *measure.Series) []float64, bin int) (values []float64) {
 	for _, r := range v.runs {
-		if series := of(&r.Series); bin < len(series) {
+		if series := selectSeries(&r.Series); bin < len(series) {
 			values = append(values, series[bin])
 		}
 	}
@@ -99,32 +99,32 @@
 	return values
 }
 
-// overTime draws a line of the runs' mean, with the band in which nine of ten runs lie.
-func overTime(
-	c *experiment.Comparison, y string, of func(s *measure.Series) []float64, maxValue float64,
+// seriesChart draws a line of the runs' mean, with the band in which nine of ten runs lie.
+func seriesChart(
+	comparison *experiment.Comparison, yLabel string, selectSeries func(s *measure.Series) []float64, maxY float64,
 ) (template.HTML, error) {
-	p := newPlot("seconds", y)
-	for _, s := range variants(c) {
+	p := newPlot("seconds", yLabel)
+	for _, variant := range comparedVariants(comparison) {
 		var mean plotter.XYs
 		var low, high plotter.XYs
-		for i := range of(&s.runs[0].Series) {
-			v := s.valuesAt(of, i)
+		for i := range selectSeries(&variant.runs[0].Series) {
+			values := variant.valuesAt(selectSeries, i)
 			var sum float64
-			for _, x := range v {
-				sum += x
+			for _, value := range values {
+				sum += value
 			}
-			at := (float64(i) + 0.5) * float64(s.runs[0].Series.Bin) / 1e6
-			mean = append(mean, plotter.XY{X: at, Y: sum / float64(len(v))})
-			low = append(low, plotter.XY{X: at, Y: v[int(0.05*float64(len(v)-1))]})
-			high = append(high, plotter.XY{X: at, Y: v[int(math.Ceil(0.95*float64(len(v)-1)))]})
+			seconds := (float64(i) + 0.5) * float64(variant.runs[0].Series.Bin) / 1e6
+			mean = append(mean, plotter.XY{X: seconds, Y: sum / float64(len(values))})
+			low = append(low, plotter.XY{X: seconds, Y: values[int(0.05*float64(len(values)-1))]})
+			high = append(high, plotter.XY{X: seconds, Y: values[int(math.Ceil(0.95*float64(len(values)-1)))]})
 		}
-		if len(s.runs) > 1 {
+		if len(variant.runs) > 1 {
 			slices.Reverse(high)
 			band, err := plotter.NewPolygon(append(low, high...))
 			if err != nil {
 				return "", err
 			}
-			band.Color = s.band
+			band.Color = variant.bandColor
 			band.LineStyle.Width = 0
 			p.Add(band)
 		}
@@ -132,16 +132,16 @@
 		if err != nil {
 			return "", err
 		}
-		line.Color = s.line
+		line.Color = variant.lineColor
 		line.Width = vg.Points(1.5)
 		p.Add(line)
-		p.Legend.Add(s.name, line)
+		p.Legend.Add(variant.name, line)
 	}
 	p.Y.Min = 0
-	if maxValue > 0 {
-		p.Y.Max = maxValue
+	if maxY > 0 {
+		p.Y.Max = maxY
 	}
-	return svg(p, height)
+	return svg(p, chartHeight)
 }
 
 // differenceChart draws differences, multiplied by a factor, with their intervals.
@@ -152,76 +152,76 @@
 		plotter.XYs
 		plotter.XErrors
 	}
-	var all bars
+	var errorBars bars
 	for i := range rows {
-		r := rows[len(rows)-1-i]
-		if math.IsInf(r.Difference.HalfWidth(), 0) {
+		row := rows[len(rows)-1-i]
+		if math.IsInf(row.Difference.HalfWidth(), 0) {
 			continue
 		}
-		names = append(names, r.Name)
-		at := plotter.XY{X: r.Difference.Mean * factor, Y: float64(len(names) - 1)}
-		all.XYs = append(all.XYs, at)
-		all.XErrors = append(all.XErrors, struct{ Low, High float64 }{
-			(r.Difference.Low - r.Difference.Mean) * factor, (r.Difference.High - r.Difference.Mean) * factor,
+		names = append(names, row.Name)
+		point := plotter.XY{X: row.Difference.Mean * factor, Y: float64(len(names) - 1)}
+		errorBars.XYs = append(errorBars.XYs, point)
+		errorBars.XErrors = append(errorBars.XErrors, struct{ Low, High float64 }{
+			(row.Difference.Low - row.Difference.Mean) * factor, (row.Difference.High - row.Difference.Mean) * factor,
 		})
 	}
 	if len(names) == 0 {
 		return "", nil
 	}
-	intervals, err := plotter.NewXErrorBars(all)
+	intervals, err := plotter.NewXErrorBars(errorBars)
 	if err != nil {
 		return "", err
 	}
 	intervals.Color = colourB
 	intervals.Width = vg.Points(1.5)
-	dots, err := plotter.NewScatter(all.XYs)
+	means, err := plotter.NewScatter(errorBars.XYs)
 	if err != nil {
 		return "", err
 	}
-	dots.Color = colourB
-	dots.Shape = draw.CircleGlyph{}
-	dots.Radius = vg.Points(3)
+	means.Color = colourB
+	means.Shape = draw.CircleGlyph{}
+	means.Radius = vg.Points(3)
 	zero, err := plotter.NewLine(plotter.XYs{{X: 0, Y: -0.5}, {X: 0, Y: float64(len(names)) - 0.5}})
 	if err != nil {
 		return "", err
 	}
 	zero.Color = grey
-	p.Add(zero, intervals, dots)
+	p.Add(zero, intervals, means)
 	p.NominalY(names...)
 	return svg(p, vg.Length(1.6+0.6*float64(len(names)))*vg.Centimeter)
 }
 
 // latencies draws the quantiles of latencies, with a line for each class.
-func latencies(c *experiment.Comparison) (template.HTML, error) {
+func latencyChart(comparison *experiment.Comparison) (template.HTML, error) {
 	p := newPlot("part of the answers that took no longer", "milliseconds")
-	nines := func(q float64) float64 { return -math.Log10(1 - q/100) }
+	logScale := func(percentile float64) float64 { return -math.Log10(1 - percentile/100) }
 	var ticks []plot.Tick
-	for _, q := range []float64{0, 50, 90, 99, 99.9, 99.99} {
-		ticks = append(ticks, plot.Tick{Value: nines(q), Label: fmt.Sprint(q, "%")})
+	for _, percentile := range []float64{0, 50, 90, 99, 99.9, 99.99} {
+		ticks = append(ticks, plot.Tick{Value: logScale(percentile), Label: fmt.Sprint(percentile, "%")})
 	}
 	p.X.Tick.Marker = plot.ConstantTicks(ticks)
-	for _, s := range variants(c) {
-		for i := range s.runs[0].Classes {
-			var pts plotter.XYs
-			for j, q := range s.runs[0].Classes[i].Quantiles {
-				if q[0] >= 100 {
+	for _, variant := range comparedVariants(comparison) {
+		for classIndex := range variant.runs[0].Classes {
+			var points plotter.XYs
+			for quantileIndex, percentile := range variant.runs[0].Classes[classIndex].Quantiles {
+				if percentile[0] >= 100 {
 					continue
 				}
 				var sum float64
-				for _, r := range s.runs {
-					sum += r.Classes[i].Quantiles[j][1]
+				for _, result := range variant.runs {
+					sum += result.Classes[classIndex].Quantiles[quantileIndex][1]
 				}
-				pts = append(pts, plotter.XY{X: nines(q[0]), Y: sum / float64(len(s.runs))})
+				points = append(points, plotter.XY{X: logScale(percentile[0]), Y: sum / float64(len(variant.runs))})
 			}
-			line, err := plotter.NewLine(pts)
+			line, err := plotter.NewLine(points)
 			if err != nil {
 				return "", err
 			}
-			line.Color = s.line
+			line.Color = variant.lineColor
 			line.Width = vg.Points(1.2)
-			line.Dashes = dashes[i%len(dashes)]
+			line.Dashes = dashPatterns[classIndex%len(dashPatterns)]
 			p.Add(line)
-			p.Legend.Add(s.name+" "+s.runs[0].Classes[i].Name, line)
+			p.Legend.Add(variant.name+" "+variant.runs[0].Classes[classIndex].Name, line)
 		}
 	}
 	p.Legend.Left = true
@@ -229,7 +229,7 @@
 	return svg(p, 7*vg.Centimeter)
 }
 
-var dashes = [][]vg.Length{
+var dashPatterns = [][]vg.Length{
 	nil, {vg.Points(6), vg.Points(2)}, {vg.Points(2), vg.Points(2)},
 	{vg.Points(8), vg.Points(2), vg.Points(2), vg.Points(2)},
 }
@@ -237,47 +237,47 @@
 // maxLoadBars is the largest number of endpoints whose loads are drawn.
 const maxLoadBars = 60
 
-// endpointLoads draws the utilization of each endpoint. There is no picture for more than maxLoadBars.
-func endpointLoads(c *experiment.Comparison) (template.HTML, error) {
-	nodes := c.RunsA[0].Endpoints
-	if len(nodes) == 0 || len(nodes) > maxLoadBars {
+// endpointLoadChart draws the utilization of each endpoint. There is no picture for more than maxLoadBars.
+func endpointLoadChart(comparison *experiment.Comparison) (template.HTML, error) {
+	endpoints := comparison.RunsA[0].Endpoints
+	if len(endpoints) == 0 || len(endpoints) > maxLoadBars {
 		return "", nil
 	}
 	p := newPlot("", "core time at work")
-	zones := c.Plan.Scenario.Fleet.Zones
-	order := make([]int, len(nodes))
-	for i := range order {
-		order[i] = i
+	zones := comparison.Plan.Scenario.Fleet.Zones
+	endpointOrder := make([]int, len(endpoints))
+	for i := range endpointOrder {
+		endpointOrder[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return nodes[a].Zone - nodes[b].Zone })
+	slices.SortStableFunc(endpointOrder, func(a, b int) int { return endpoints[a].Zone - endpoints[b].Zone })
 	var names []string
-	for _, i := range order {
+	for _, i := range endpointOrder {
 		zone := ""
-		if nodes[i].Zone < len(zones) {
-			zone = zones[nodes[i].Zone]
+		if endpoints[i].Zone < len(zones) {
+			zone = zones[endpoints[i].Zone]
 		}
-		names = append(names, zone+" "+nodes[i].Name)
+		names = append(names, zone+" "+endpoints[i].Name)
 	}
-	all := variants(c)
-	wide := min(vg.Points(10), width*0.8/vg.Length(len(nodes)*len(all)))
-	for k, s := range all {
-		var v plotter.Values
-		for _, i := range order {
+	variants := comparedVariants(comparison)
+	barWidth := min(vg.Points(10), chartWidth*0.8/vg.Length(len(endpoints)*len(variants)))
+	for variantIndex, variant := range variants {
+		var utilizations plotter.Values
+		for _, i := range endpointOrder {
 			var sum float64
-			for _, r := range s.runs {
-				sum += r.Endpoints[i].Utilization
+			for _, result := range variant.runs {
+				sum += result.Endpoints[i].Utilization
 			}
-			v = append(v, sum/float64(len(s.runs)))
+			utilizations = append(utilizations, sum/float64(len(variant.runs)))
 		}
-		bar, err := plotter.NewBarChart(v, wide)
+		bar, err := plotter.NewBarChart(utilizations, barWidth)
 		if err != nil {
 			return "", err
 		}
-		bar.Color = s.line
+		bar.Color = variant.lineColor
 		bar.LineStyle.Width = 0
-		bar.Offset = wide * (vg.Length(k) - vg.Length(len(all)-1)/2)
+		bar.Offset = barWidth * (vg.Length(variantIndex) - vg.Length(len(variants)-1)/2)
 		p.Add(bar)
-		p.Legend.Add(s.name, bar)
+		p.Legend.Add(variant.name, bar)
 	}
 	p.NominalX(names...)
 	p.X.Tick.Label.Rotation = math.Pi / 3
@@ -303,12 +303,12 @@
 }
 
 // charts draws all pictures of a comparison.
-func charts(c *experiment.Comparison) ([]chart, error) {
+func charts(comparison *experiment.Comparison) ([]chart, error) {
 	l := &chartList{}
-	for _, add := range []func(c *experiment.Comparison) error{
+	for _, add := range []func(comparison *experiment.Comparison) error{
 		l.addDifferences, l.addSeries, l.addLatencies, l.addEndpointLoads,
 	} {
-		if err := add(c); err != nil {
+		if err := add(comparison); err != nil {
 			return nil, err
 		}
 	}
@@ -316,17 +316,17 @@
 }
 
 // addDifferences adds the differences of shares and of times, if two variants are compared.
-func (l *chartList) addDifferences(c *experiment.Comparison) error {
-	if c.RunsB == nil {
+func (l *chartList) addDifferences(comparison *experiment.Comparison) error {
+	if comparison.RunsB == nil {
 		return nil
 	}
 	var shares, times []experiment.Row
-	for _, r := range c.Rows {
+	for _, row := range comparison.Rows {
 		switch {
-		case r.Unit == "ms" && r.Name != "p999":
-			times = append(times, r)
-		case r.Unit == "" && !r.CountsViolations:
-			shares = append(shares, r)
+		case row.Unit == "ms" && row.Name != "p999":
+			times = append(times, row)
+		case row.Unit == "" && !row.CountsViolations:
+			shares = append(shares, row)
 		}
 	}
 	picture, err := differenceChart(shares, 100, "B less A, percentage points, with 95% intervals")
@@ -340,7 +340,7 @@
 }
 
 // addSeries adds the figures over time.
-func (l *chartList) addSeries(c *experiment.Comparison) error {
+func (l *chartList) addSeries(comparison *experiment.Comparison) error {
 	for _, series := range []struct {
 		title, about, label string
 		of                  func(s *measure.Series) []float64
@@ -365,7 +365,7 @@
 			"milliseconds", func(s *measure.Series) []float64 { return s.P99 }, 0,
 		},
 	} {
-		picture, err := overTime(c, series.label, series.of, series.maxValue)
+		picture, err := seriesChart(comparison, series.label, series.of, series.maxValue)
 		if err := l.add(series.title, series.about, picture, err); err != nil {
 			return err
 		}
@@ -375,62 +375,62 @@
 
 // unsuccessfulRequests are the requests that were rejected, failed or had no response, a second.
 func unsuccessfulRequests(s *measure.Series) []float64 {
-	v := slices.Clone(s.Rejected)
-	for i := range v {
-		v[i] += s.Failed[i]
+	sums := slices.Clone(s.Rejected)
+	for i := range sums {
+		sums[i] += s.Failed[i]
 	}
-	return v
+	return sums
 }
 
-func (l *chartList) addLatencies(c *experiment.Comparison) error {
-	picture, err := latencies(c)
+func (l *chartList) addLatencies(comparison *experiment.Comparison) error {
+	picture, err := latencyChart(comparison)
 	return l.add("How long answers took",
 		"Each class a line. From one mark to the next ten times fewer answers take longer.", picture, err)
 }
 
-func (l *chartList) addEndpointLoads(c *experiment.Comparison) error {
-	picture, err := endpointLoads(c)
+func (l *chartList) addEndpointLoads(comparison *experiment.Comparison) error {
+	picture, err := endpointLoadChart(comparison)
 	return l.add("Load by endpoint",
 		"The part of its core time for which each endpoint was at work, over the whole run, by zone.", picture, err)
 }
 
 // sweepChart draws a figure over the points of a sweep: along its last axis, a line for each value of the other.
-func sweepChart(s *experiment.Sweep, figure string) (template.HTML, error) {
-	last := s.Axes[len(s.Axes)-1]
-	p := newPlot(last.Key, figure)
-	n := len(last.Values)
-	for k := 0; k*n < len(s.Points); k++ {
-		var e struct {
+func sweepChart(sweep *experiment.Sweep, figure string) (template.HTML, error) {
+	xAxis := sweep.Axes[len(sweep.Axes)-1]
+	p := newPlot(xAxis.Key, figure)
+	valuesPerLine := len(xAxis.Values)
+	for lineIndex := 0; lineIndex*valuesPerLine < len(sweep.Points); lineIndex++ {
+		var errorBars struct {
 			plotter.XYs
 			plotter.YErrors
 		}
-		for i := range n {
-			v, _ := s.Points[k*n+i].Figure(figure)
-			e.XYs = append(e.XYs, plotter.XY{X: float64(i), Y: v.Mean})
-			half := v.HalfWidth()
-			if math.IsInf(half, 0) {
-				half = 0
+		for valueIndex := range valuesPerLine {
+			interval, _ := sweep.Points[lineIndex*valuesPerLine+valueIndex].Figure(figure)
+			errorBars.XYs = append(errorBars.XYs, plotter.XY{X: float64(valueIndex), Y: interval.Mean})
+			halfWidth := interval.HalfWidth()
+			if math.IsInf(halfWidth, 0) {
+				halfWidth = 0
 			}
-			e.YErrors = append(e.YErrors, struct{ Low, High float64 }{-half, half})
+			errorBars.YErrors = append(errorBars.YErrors, struct{ Low, High float64 }{-halfWidth, halfWidth})
 		}
-		line, err := plotter.NewLine(e.XYs)
+		line, err := plotter.NewLine(errorBars.XYs)
 		if err != nil {
 			return "", err
 		}
-		bars, err := plotter.NewYErrorBars(e)
+		bars, err := plotter.NewYErrorBars(errorBars)
 		if err != nil {
 			return "", err
 		}
-		c := []color.Color{colourA, colourB, grey}[k%3]
-		line.Color = c
+		lineColor := []color.Color{colourA, colourB, grey}[lineIndex%3]
+		line.Color = lineColor
 		line.Width = vg.Points(1.5)
-		line.Dashes = dashes[k/3%len(dashes)]
-		bars.Color = c
+		line.Dashes = dashPatterns[lineIndex/3%len(dashPatterns)]
+		bars.Color = lineColor
 		p.Add(line, bars)
-		if len(s.Axes) == 2 {
-			p.Legend.Add(s.Axes[0].Key+"="+s.Axes[0].Values[k], line)
+		if len(sweep.Axes) == 2 {
+			p.Legend.Add(sweep.Axes[0].Key+"="+sweep.Axes[0].Values[lineIndex], line)
 		}
 	}
-	p.NominalX(last.Values...)
+	p.NominalX(xAxis.Values...)
 	return svg(p, 7*vg.Centimeter)
 }
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -18,65 +18,65 @@
 )
 
 //go:embed page.html
-var page string
+var pageHTML string
 
-var pageTemplate = template.Must(template.New("page").Parse(page))
+var pageTemplate = template.Must(template.New("page").Parse(pageHTML))
 
 // part is what a page says of one scenario.
 type scenarioSection struct {
-	Name, About, Length, Line, Verdict string
-	Seeds, Instances, Nodes            int
-	Rate                               float64
-	Rows                               []row
-	Claims                             []claim.Evaluation
-	Charts                             []chart
+	Name, About, Length, Summary, Verdict string
+	Seeds, Instances, Nodes               int
+	Rate                                  float64
+	Rows                                  []figureRow
+	Claims                                []claim.Evaluation
+	Charts                                []chart
 }
 
-type row struct{ Name, About, A, B, Difference, Note, Class string }
+type figureRow struct{ Name, About, A, B, Difference, Note, Class string }
 
-type data struct {
+type pageData struct {
 	Title, A, B, Method string
 	Comparing           bool
 	Confidence          float64
-	Parts               []scenarioSection
+	Scenarios           []scenarioSection
 	Figures             []measure.Figure
 
 	// Of a sweep.
-	Head   []string
-	Lines  [][]string
-	Charts []chart
+	SweepColumns []string
+	SweepRows    [][]string
+	Charts       []chart
 }
 
 // Write writes a report to a file, by its name's end: .html or .md.
-func Write(path string, all ...*experiment.Comparison) (err error) {
-	var write func(w io.Writer, all []*experiment.Comparison) error
+func Write(path string, comparisons ...*experiment.Comparison) (err error) {
+	var writeTo func(w io.Writer, comparisons []*experiment.Comparison) error
 	switch filepath.Ext(path) {
 	case ".html":
-		write = HTML
+		writeTo = HTML
 	case ".md":
-		write = Markdown
+		writeTo = Markdown
 	default:
 		return fmt.Errorf("%s: a report ends in .html or .md", path)
 	}
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
 	defer func() {
-		if closeErr := f.Close(); err == nil {
+		if closeErr := file.Close(); err == nil {
 			err = closeErr
 		}
 	}()
-	return write(f, all)
+	return writeTo(file, comparisons)
 }
 
 // WriteSweep writes what came of a sweep to an .html file: figures of each place, and their pictures.
-func WriteSweep(path string, s *experiment.Sweep, figures []string) error {
+func WriteSweep(path string, sweep *experiment.Sweep, figures []string) error {
 	if filepath.Ext(path) != ".html" {
 		return fmt.Errorf("%s: a report of a sweep ends in .html", path)
 	}
-	plan := &s.Points[0].Plan
-	d := &data{
+	plan := &sweep.Points[0].Plan
+	data := &pageData{
 		Title:      "Values compared",
 		A:          plan.A.Spec,
 		Confidence: 100 * experiment.Confidence,
@@ -84,170 +84,175 @@
 	}
 	for _, name := range figures {
 		if f, ok := measure.Describe(name); ok {
-			d.Figures = append(d.Figures, f)
+			data.Figures = append(data.Figures, f)
 		}
-		picture, err := sweepChart(s, name)
+		picture, err := sweepChart(sweep, name)
 		if err != nil {
 			return fmt.Errorf("picture of %s: %w", name, err)
 		}
-		d.Charts = append(d.Charts, chart{
+		data.Charts = append(data.Charts, chart{
 			Title: name,
 			SVG:   picture,
 			About: fmt.Sprintf("Means with intervals of 95%%, over %d seeds of %s.",
-				len(s.Points[0].Seeds), plan.Scenario.Name),
+				len(sweep.Points[0].Seeds), plan.Scenario.Name),
 		})
 	}
-	for _, a := range s.Axes {
-		d.Head = append(d.Head, a.Key)
+	for _, axis := range sweep.Axes {
+		data.SweepColumns = append(data.SweepColumns, axis.Key)
 	}
 	for _, name := range figures {
-		d.Head = append(d.Head, name, "less the first")
+		data.SweepColumns = append(data.SweepColumns, name, "less the first")
 	}
-	for i := range s.Points {
-		p := &s.Points[i]
-		line := append([]string{}, p.Values...)
+	for i := range sweep.Points {
+		point := &sweep.Points[i]
+		cells := append([]string{}, point.Values...)
 		for _, name := range figures {
 			f, _ := measure.Describe(name)
-			value, difference := p.Figure(name)
-			line = append(line, experiment.Number(f, value))
+			value, difference := point.Figure(name)
+			cells = append(cells, experiment.Number(f, value))
 			if difference == nil {
-				line = append(line, "")
+				cells = append(cells, "")
 				continue
 			}
 			text := experiment.Signed(f, difference.Difference)
 			if difference.Verdict != experiment.Inconclusive {
 				text += " " + difference.Verdict.String()
 			}
-			line = append(line, text)
+			cells = append(cells, text)
 		}
-		d.Lines = append(d.Lines, line)
+		data.SweepRows = append(data.SweepRows, cells)
 	}
-	var b bytes.Buffer
-	if err := pageTemplate.Execute(&b, d); err != nil {
+	var html bytes.Buffer
+	if err := pageTemplate.Execute(&html, data); err != nil {
 		return err
 	}
-	return os.WriteFile(path, b.Bytes(), 0o644)
+	return os.WriteFile(path, html.Bytes(), 0o644)
 }
 
 // HTML writes a page.
-func HTML(w io.Writer, all []*experiment.Comparison) error {
-	d, err := buildData(all, true)
+func HTML(w io.Writer, comparisons []*experiment.Comparison) error {
+	data, err := buildPageData(comparisons, true)
 	if err != nil {
 		return err
 	}
-	return pageTemplate.Execute(w, d)
+	return pageTemplate.Execute(w, data)
 }
 
-// buildData collects what the templates need; pictures are drawn only for pages that show them.
-func buildData(all []*experiment.Comparison, pictures bool) (*data, error) {
-	p := &all[0].Plan
-	d := &data{
+// buildPageData collects what the templates need; pictures are drawn only for pages that show them.
+func buildPageData(comparisons []*experiment.Comparison, pictures bool) (*pageData, error) {
+	plan := &comparisons[0].Plan
+	data := &pageData{
 		Title:      "Runs of the fleet's model",
-		A:          p.A.Spec,
+		A:          plan.A.Spec,
 		Confidence: 100 * experiment.Confidence,
 		Figures:    measure.Figures,
 		Method:     "Intervals are Student's, of the differences pair by pair."}
-	if p.Method == "bootstrap" {
-		d.Method = "Intervals are by percentiles of the bootstrap, of the differences pair by pair."
-	}
-	if p.B != nil {
-		d.Title = "Two variants compared"
-		d.B = p.B.Spec
-		d.Comparing = true
-	}
-	for _, c := range all {
-		s := c.Plan.Scenario
-		plan := s.Draw(c.Plan.FirstSeed)
-		x := scenarioSection{
+	if plan.Method == "bootstrap" {
+		data.Method = "Intervals are by percentiles of the bootstrap, of the differences pair by pair."
+	}
+	if plan.B != nil {
+		data.Title = "Two variants compared"
+		data.B = plan.B.Spec
+		data.Comparing = true
+	}
+	for _, comparison := range comparisons {
+		s := comparison.Plan.Scenario
+		plan := s.Draw(comparison.Plan.FirstSeed)
+		section := scenarioSection{
 			Name:      s.Name,
 			About:     s.About,
 			Length:    s.Length.Duration.String(),
-			Line:      c.Line(),
-			Seeds:     len(c.Seeds),
+			Summary:   comparison.Line(),
+			Seeds:     len(comparison.Seeds),
 			Instances: len(plan.Instances),
 			Nodes:     len(plan.Endpoints), Rate: plan.Rate}
-		if c.RunsB != nil && c.Rows[0].Verdict != experiment.Inconclusive {
-			x.Verdict = c.Rows[0].Verdict.String()
+		if comparison.RunsB != nil && comparison.Rows[0].Verdict != experiment.Inconclusive {
+			section.Verdict = comparison.Rows[0].Verdict.String()
 		}
-		for i := range c.Rows {
-			x.Rows = append(x.Rows, rowText(c, &c.Rows[i]))
+		for i := range comparison.Rows {
+			section.Rows = append(section.Rows, newFigureRow(comparison, &comparison.Rows[i]))
 		}
 		var err error
-		if c.RunsB == nil && len(c.Seeds) > 1 {
-			if x.Claims, err = c.Claims(s.Expect); err != nil {
+		if comparison.RunsB == nil && len(comparison.Seeds) > 1 {
+			if section.Claims, err = comparison.Claims(s.Expect); err != nil {
 				return nil, err
 			}
 		}
 		if pictures {
-			if x.Charts, err = charts(c); err != nil {
+			if section.Charts, err = charts(comparison); err != nil {
 				return nil, err
 			}
 		}
-		d.Parts = append(d.Parts, x)
+		data.Scenarios = append(data.Scenarios, section)
 	}
-	return d, nil
+	return data, nil
 }
 
-// rowText returns the texts of one figure.
-func rowText(c *experiment.Comparison, r *experiment.Row) row {
-	text := row{Name: r.Name, About: r.Description, A: experiment.Number(r.Figure, r.A), Note: r.Note}
-	if c.RunsB == nil {
-		return text
-	}
-	text.B = experiment.Number(r.Figure, r.B)
-	text.Difference = experiment.Signed(r.Figure, r.Difference)
-	if r.Verdict != experiment.Inconclusive {
-		text.Class = r.Verdict.String()
-		text.Note = strings.TrimSpace(text.Class + " " + text.Note)
-	}
-	return text
+// newFigureRow returns the texts of one figure.
+func newFigureRow(comparison *experiment.Comparison, figure *experiment.Row) figureRow {
+	row := figureRow{
+		Name:  figure.Name,
+		About: figure.Description,
+		A:     experiment.Number(figure.Figure, figure.A),
+		Note:  figure.Note,
+	}
+	if comparison.RunsB == nil {
+		return row
+	}
+	row.B = experiment.Number(figure.Figure, figure.B)
+	row.Difference = experiment.Signed(figure.Figure, figure.Difference)
+	if figure.Verdict != experiment.Inconclusive {
+		row.Class = figure.Verdict.String()
+		row.Note = strings.TrimSpace(row.Class + " " + row.Note)
+	}
+	return row
 }
 
 // Markdown writes the same without pictures.
-func Markdown(w io.Writer, all []*experiment.Comparison) error {
-	d, err := buildData(all, false)
+func Markdown(w io.Writer, comparisons []*experiment.Comparison) error {
+	data, err := buildPageData(comparisons, false)
 	if err != nil {
 		return err
 	}
-	var b strings.Builder
-	fmt.Fprintf(&b, "# %s\n\nA is `%s`", d.Title, d.A)
-	if d.Comparing {
-		fmt.Fprintf(&b, ", B is `%s`; both on the same plans", d.B)
+	var markdown strings.Builder
+	fmt.Fprintf(&markdown, "# %s\n\nA is `%s`", data.Title, data.A)
+	if data.Comparing {
+		fmt.Fprintf(&markdown, ", B is `%s`; both on the same plans", data.B)
 	}
-	b.WriteString(".\n")
-	for _, x := range d.Parts {
+	markdown.WriteString(".\n")
+	for _, section := range data.Scenarios {
 		fmt.Fprintf(
-			&b,
+			&markdown,
 			"\n## %s\n\n%s %d seeds, %s each; %d instances, %d endpoints, %.0f stories a second.\n\n**%s**\n\n",
-			x.Name,
-			x.About,
-			x.Seeds,
-			x.Length,
-			x.Instances, x.Nodes, x.Rate, x.Line)
-		if len(x.Claims) > 0 {
-			b.WriteString("| claim | verdict | is | margin |\n| --- | --- | --- | --- |\n")
-			for _, j := range x.Claims {
+			section.Name,
+			section.About,
+			section.Seeds,
+			section.Length,
+			section.Instances, section.Nodes, section.Rate, section.Summary)
+		if len(section.Claims) > 0 {
+			markdown.WriteString("| claim | verdict | is | margin |\n| --- | --- | --- | --- |\n")
+			for _, evaluation := range section.Claims {
 				fmt.Fprintf(
-					&b, "| `%s` | %v | %.4g | %.3g ± %.2g |\n", j.Claim, j.Verdict, j.Left, j.Margin.Mean,
-					j.Margin.HalfWidth(),
+					&markdown, "| `%s` | %v | %.4g | %.3g ± %.2g |\n", evaluation.Claim, evaluation.Verdict,
+					evaluation.Left, evaluation.Margin.Mean, evaluation.Margin.HalfWidth(),
 				)
 			}
-			b.WriteString("\n")
+			markdown.WriteString("\n")
 		}
-		if d.Comparing {
-			b.WriteString("| figure | A | B | B less A | |\n| --- | --- | --- | --- | --- |\n")
+		if data.Comparing {
+			markdown.WriteString("| figure | A | B | B less A | |\n| --- | --- | --- | --- | --- |\n")
 		} else {
-			b.WriteString("| figure | A | |\n| --- | --- | --- |\n")
+			markdown.WriteString("| figure | A | |\n| --- | --- | --- |\n")
 		}
-		for _, r := range x.Rows {
-			if d.Comparing {
-				fmt.Fprintf(&b, "| %s | %s | %s | %s | %s |\n", r.Name, r.A, r.B, r.Difference, r.Note)
+		for _, row := range section.Rows {
+			if data.Comparing {
+				fmt.Fprintf(&markdown, "| %s | %s | %s | %s | %s |\n", row.Name, row.A, row.B, row.Difference, row.Note)
 			} else {
-				fmt.Fprintf(&b, "| %s | %s | %s |\n", r.Name, r.A, r.Note)
+				fmt.Fprintf(&markdown, "| %s | %s | %s |\n", row.Name, row.A, row.Note)
 			}
 		}
 	}
-	fmt.Fprintf(&b, "\n%s Intervals are of %v%%.\n", d.Method, d.Confidence)
-	_, err = io.WriteString(w, b.String())
+	fmt.Fprintf(&markdown, "\n%s Intervals are of %v%%.\n", data.Method, data.Confidence)
+	_, err = io.WriteString(w, markdown.String())
 	return err
 }
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -16,53 +16,54 @@
 	"dunlinsail/internal/fake/require"
 )
 
-func compared(t *testing.T, b *experiment.Variant) *experiment.Comparison {
+func runComparison(t *testing.T, variantB *experiment.Variant) *experiment.Comparison {
 	t.Helper()
-	s, err := library.Load("calm")
+	scenario, err := library.Load("calm")
 	if err == nil {
-		s, err = experiment.Resize(s, []string{"length=4s", `about="a < b & \"c\""`}, 2, 5)
+		scenario, err = experiment.Resize(scenario, []string{"length=4s", `about="a < b & \"c\""`}, 2, 5)
 	}
 	require.NoError(t, err)
-	a, err := experiment.ParseVariant(experiment.Shipped)
+	variantA, err := experiment.ParseVariant(experiment.Shipped)
 	require.NoError(t, err)
-	c, err := (&experiment.Runner{}).Compare(
-		context.Background(), experiment.Plan{Scenario: s, A: a, B: b, FirstSeed: 1, MinSeeds: 3},
+	comparison, err := (&experiment.Runner{}).Compare(
+		context.Background(), experiment.Plan{Scenario: scenario, A: variantA, B: variantB, FirstSeed: 1, MinSeeds: 3},
 	)
 	require.NoError(t, err)
-	return c
+	return comparison
 }
 
 // checkPage fails the test unless a page is well-formed and needs nothing from elsewhere. It returns the numbers of
 // pictures and table rows.
-func checkPage(t *testing.T, text []byte) (pictures, rows int) {
+func checkPage(t *testing.T, page []byte) (pictures, rows int) {
 	t.Helper()
-	d := xml.NewDecoder(bytes.NewReader(text))
-	d.Strict = false
-	d.AutoClose = xml.HTMLAutoClose
-	d.Entity = xml.HTMLEntity
+	decoder := xml.NewDecoder(bytes.NewReader(page))
+	decoder.Strict = false
+	decoder.AutoClose = xml.HTMLAutoClose
+	decoder.Entity = xml.HTMLEntity
 	for {
-		token, err := d.Token()
+		token, err := decoder.Token()
 		if errors.Is(err, io.EOF) {
 			return pictures, rows
 		}
 		if err != nil {
 			t.Fatalf("not well-formed: %v", err)
 		}
-		start, ok := token.(xml.StartElement)
+		element, ok := token.(xml.StartElement)
 		if !ok {
 			continue
 		}
-		switch start.Name.Local {
+		switch element.Name.Local {
 		case "svg":
 			pictures++
 		case "tr":
 			rows++
 		case "script", "link", "img", "iframe":
-			t.Errorf("there is a %s", start.Name.Local)
+			t.Errorf("there is a %s", element.Name.Local)
 		}
-		for _, a := range start.Attr {
-			if (a.Name.Local == "href" || a.Name.Local == "src") && !strings.HasPrefix(a.Value, "#") {
-				t.Errorf("it needs %s", a.Value)
+		for _, attribute := range element.Attr {
+			if (attribute.Name.Local == "href" || attribute.Name.Local == "src") &&
+				!strings.HasPrefix(attribute.Value, "#") {
+				t.Errorf("it needs %s", attribute.Value)
 			}
 		}
 	}
@@ -70,19 +71,19 @@
 
 // A page is sound, has its pictures in it, needs nothing from elsewhere, and takes no text for markup.
 func TestPage(t *testing.T) {
-	b, err := experiment.ParseVariant("shipped,harm=0.4")
+	variantB, err := experiment.ParseVariant("shipped,harm=0.4")
 	require.NoError(t, err)
-	b.Spec = "<script>alert(1)</script>"
-	for _, c := range []*experiment.Comparison{compared(t, b), compared(t, nil)} {
+	variantB.Spec = "<script>alert(1)</script>"
+	for _, comparison := range []*experiment.Comparison{runComparison(t, variantB), runComparison(t, nil)} {
 		path := filepath.Join(t.TempDir(), "r.html")
-		require.NoError(t, Write(path, c))
-		text, err := os.ReadFile(path)
+		require.NoError(t, Write(path, comparison))
+		page, err := os.ReadFile(path)
 		require.NoError(t, err)
-		pictures, rows := checkPage(t, text)
+		pictures, rows := checkPage(t, page)
 		want := 6
-		if c.RunsB != nil {
+		if comparison.RunsB != nil {
 			want = 8
-			if !strings.Contains(string(text), "B is worse") || !strings.Contains(string(text), "&lt;script&gt;") {
+			if !strings.Contains(string(page), "B is worse") || !strings.Contains(string(page), "&lt;script&gt;") {
 				t.Error("the verdict or the variant's text is missing")
 			}
 		}
@@ -94,18 +95,18 @@
 
 func TestMarkdown(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.md")
-	require.NoError(t, Write(path, compared(t, nil)))
-	text, err := os.ReadFile(path)
+	require.NoError(t, Write(path, runComparison(t, nil)))
+	markdown, err := os.ReadFile(path)
 	require.NoError(t, err)
 	for _, want := range []string{"## calm", "| service | 0.9", "| `breaks == 0` | holds |"} {
-		if !strings.Contains(string(text), want) {
-			t.Errorf("%q is missing in\n%s", want, text)
+		if !strings.Contains(string(markdown), want) {
+			t.Errorf("%q is missing in\n%s", want, markdown)
 		}
 	}
-	if err := Write(filepath.Join(t.TempDir(), "r.pdf"), compared(t, nil)); err == nil {
+	if err := Write(filepath.Join(t.TempDir(), "r.pdf"), runComparison(t, nil)); err == nil {
 		t.Error("a report of a kind that is not known was written")
 	}
-	if err := Write(filepath.Join(t.TempDir(), "no", "r.md"), compared(t, nil)); err == nil {
+	if err := Write(filepath.Join(t.TempDir(), "no", "r.md"), runComparison(t, nil)); err == nil {
 		t.Error("a report was written where no folder is")
 	}
 }
--- a/internal/experiment/soak/check.go
+++ b/internal/experiment/soak/check.go
@@ -17,22 +17,22 @@
 	// latencyObjective is that of all classes, as in the configurations.
 	latencyObjective = 500 * time.Millisecond
 
-	// idleResponseTime is the time in which an idle endpoint responds at most: the longest service time, and its way.
-	idleResponseTime = 10 * time.Millisecond
+	// maxIdleResponseTime is the time in which an idle endpoint responds at most: the longest service time, and its way.
+	maxIdleResponseTime = 10 * time.Millisecond
 
 	// recoveryTime is how long a process that goes on after SIGSTOP may take to answer what has waited for it.
 	recoveryTime = 500 * time.Millisecond
 )
 
 // violate records a broken rule.
-func (r *run) violate(format string, args ...any) {
+func (r *run) recordViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Violations = append(r.report.Violations, fmt.Sprintf(format, args...))
 }
 
 // check checks the rules once all processes have ended.
-func (r *run) check() {
+func (r *run) checkRules() {
 	sent := r.sentRequests()
 	r.classifyWrongResponses()
 	for _, result := range r.results {
@@ -41,22 +41,22 @@
 	}
 	r.checkEffects()
 	r.checkDrains()
-	for _, p := range r.programs.all {
+	for _, p := range r.processes.started {
 		if p.killed && !r.pausedSince(p.terminatedAt) {
-			r.violate("a process had not ended %v after SIGTERM", killAfter)
+			r.recordViolation("a process had not ended %v after SIGTERM", killAfter)
 		}
-		if p.err != nil && !p.killed && !p.rejected() {
-			r.violate("a process ended with %v", p.err)
+		if p.exitErr != nil && !p.killed && !p.rejectedByTakeover() {
+			r.recordViolation("a process ended with %v", p.exitErr)
 		}
 	}
-	if left := r.leftovers(); len(left) > 0 && !r.anyKilled() {
-		r.violate("socket files left: %v", left)
+	if sockets := r.leftoverSockets(); len(sockets) > 0 && !r.anyKilled() {
+		r.recordViolation("socket files left: %v", sockets)
 	}
 }
 
 // anyKilled reports whether the platform has killed a process, which then could not remove its files.
 func (r *run) anyKilled() bool {
-	for _, p := range r.programs.all {
+	for _, p := range r.processes.started {
 		if p.killed {
 			return true
 		}
@@ -66,7 +66,7 @@
 
 // checkResult checks that a request got its own final response in time.
 func (r *run) checkResult(result *client.Result) {
-	if errors.Is(result.Err, errClosing) {
+	if errors.Is(result.Err, errNoNewConnections) {
 		return // it was never sent, or was not read by a process that closed its connection
 	}
 	r.report.Requests++
@@ -80,15 +80,15 @@
 			r.report.Excused++
 			return
 		}
-		r.violate("%s %s: %v after %v: %v", result.Class, result.ID, result.Verdict, result.Latency, result.Err)
+		r.recordViolation("%s %s: %v after %v: %v", result.Class, result.ID, result.Verdict, result.Latency, result.Err)
 	}
 }
 
 // sentRequests returns the IDs of the requests that have reached an endpoint.
 func (r *run) sentRequests() map[string]bool {
 	sent := map[string]bool{}
-	for _, ran := range r.fleet.ledger.Runs() {
-		sent[ran.TraceID] = true
+	for _, execution := range r.fleet.ledger.Runs() {
+		sent[execution.TraceID] = true
 	}
 	return sent
 }
@@ -100,9 +100,10 @@
 	if result.Verdict != client.Rejected || sent[result.ID] {
 		return
 	}
-	if result.Latency+idleResponseTime < latencyObjective {
-		r.violate("%s %s, sent at %v, was rejected after %v while endpoints had capacity: %s", result.Class, result.ID,
-			result.StartedAt.Sub(r.startedAt).Round(time.Millisecond), result.Latency, result.Reason)
+	if result.Latency+maxIdleResponseTime < latencyObjective {
+		r.recordViolation("%s %s, sent at %v, was rejected after %v while endpoints had capacity: %s",
+			result.Class, result.ID, result.StartedAt.Sub(r.startedAt).Round(time.Millisecond),
+			result.Latency, result.Reason)
 	}
 }
 
@@ -110,7 +111,7 @@
 // be late, or lost if the platform killed that process before it could finish.
 func (r *run) overlapsPause(start, end time.Time) bool {
 	for _, p := range r.pauses {
-		if start.Before(p.to.Add(recoveryTime)) && end.After(p.from) {
+		if start.Before(p.end.Add(recoveryTime)) && end.After(p.start) {
 			return true
 		}
 	}
@@ -120,14 +121,14 @@
 // checkEffects checks that no request of an unsafe or keyed class took effect twice.
 func (r *run) checkEffects() {
 	effects := map[string]int{}
-	for _, ran := range r.fleet.ledger.Runs() {
-		if ran.TookEffect && ran.Class != "look" {
-			effects[ran.Class+" "+ran.TraceID]++
+	for _, execution := range r.fleet.ledger.Runs() {
+		if execution.TookEffect && execution.Class != "look" {
+			effects[execution.Class+" "+execution.TraceID]++
 		}
 	}
-	for what, n := range effects {
-		if n > 1 {
-			r.violate("%s took effect %d times", what, n)
+	for request, count := range effects {
+		if count > 1 {
+			r.recordViolation("%s took effect %d times", request, count)
 		}
 	}
 }
@@ -135,19 +136,20 @@
 // checkDrains checks that a draining endpoint got nothing new after the grace. A process that was stopped meanwhile may
 // send what it had decided before, right after it goes on.
 func (r *run) checkDrains() {
-	for _, ran := range r.fleet.ledger.Runs() {
-		listed, draining := r.drained[ran.Endpoint]
-		if !draining || ran.StartedAt.Sub(listed) <= drainGrace+drainSlack {
+	for _, execution := range r.fleet.ledger.Runs() {
+		drainingSince, draining := r.drainingSince[execution.Endpoint]
+		if !draining || execution.StartedAt.Sub(drainingSince) <= drainGrace+drainSlack {
 			continue
 		}
 		allowed := false
 		for _, p := range r.pauses {
-			justAfter := ran.StartedAt.After(p.to) && ran.StartedAt.Sub(p.to) < drainGrace+drainSlack
-			allowed = allowed || justAfter && p.from.Before(listed.Add(drainGrace))
+			startedJustAfter := execution.StartedAt.After(p.end) &&
+				execution.StartedAt.Sub(p.end) < drainGrace+drainSlack
+			allowed = allowed || startedJustAfter && p.start.Before(drainingSince.Add(drainGrace))
 		}
 		if !allowed {
-			r.violate("%s %s reached %s %v after that was listed as draining",
-				ran.Class, ran.TraceID, ran.Endpoint, ran.StartedAt.Sub(listed))
+			r.recordViolation("%s %s reached %s %v after that was listed as draining",
+				execution.Class, execution.TraceID, execution.Endpoint, execution.StartedAt.Sub(drainingSince))
 		}
 	}
 }
--- a/internal/experiment/soak/check_test.go
+++ b/internal/experiment/soak/check_test.go
@@ -13,18 +13,18 @@
 // Each broken rule is reported, and what a pause of a process explains is excused.
 func TestChecks(t *testing.T) {
 	now := time.Now()
-	lost := errors.New("reset")
+	errReset := errors.New("reset")
 	for want, result := range map[string]client.Result{
 		"look a got another": {ID: "a", Class: "look", Verdict: client.WrongResponse, StartedAt: now},
-		"look b: lost":       {ID: "b", Class: "look", Verdict: client.ConnectionLost, Err: lost, StartedAt: now},
-		"look c: timed out":  {ID: "c", Class: "look", Verdict: client.TimedOut, Err: lost, StartedAt: now},
+		"look b: lost":       {ID: "b", Class: "look", Verdict: client.ConnectionLost, Err: errReset, StartedAt: now},
+		"look c: timed out":  {ID: "c", Class: "look", Verdict: client.TimedOut, Err: errReset, StartedAt: now},
 	} {
 		r := &run{report: &Report{}}
 		r.checkResult(&result)
-		if v := r.report.Violations; len(v) != 1 || !strings.HasPrefix(v[0], want) {
-			t.Errorf("%q, want %q", v, want)
+		if violations := r.report.Violations; len(violations) != 1 || !strings.HasPrefix(violations[0], want) {
+			t.Errorf("%q, want %q", violations, want)
 		}
-		r = &run{report: &Report{}, pauses: []pause{{from: now.Add(-time.Second), to: now}}}
+		r = &run{report: &Report{}, pauses: []pause{{start: now.Add(-time.Second), end: now}}}
 		r.checkResult(&result)
 		excused := result.Verdict != client.WrongResponse
 		if (r.report.Excused == 1) != excused || (len(r.report.Violations) == 0) != excused {
@@ -32,7 +32,7 @@
 		}
 	}
 	r := &run{report: &Report{}, fleet: &fleet{ledger: &endpoint.Ledger{}}}
-	r.checkResult(&client.Result{Verdict: client.ConnectionLost, Err: errClosing})
+	r.checkResult(&client.Result{Verdict: client.ConnectionLost, Err: errNoNewConnections})
 	r.checkEffects()
 	r.checkDrains()
 	if r.report.Requests != 0 || len(r.report.Violations) != 0 {
@@ -42,7 +42,7 @@
 
 // A rejection while endpoints have capacity is a violation, unless the request's time was over or it had reached one.
 func TestRejectionWhileEndpointsHaveCapacity(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name    string
 		verdict client.Verdict
 		latency time.Duration
@@ -56,9 +56,11 @@
 		{"served", client.Served, time.Millisecond, nil, 0},
 	} {
 		r := &run{report: &Report{}}
-		r.checkRejection(&client.Result{ID: "a", Class: "look", Verdict: c.verdict, Latency: c.latency}, c.sent)
-		if got := len(r.report.Violations); got != c.want {
-			t.Errorf("%s: %d violations, want %d", c.name, got, c.want)
+		r.checkRejection(&client.Result{
+			ID: "a", Class: "look", Verdict: testCase.verdict, Latency: testCase.latency,
+		}, testCase.sent)
+		if got := len(r.report.Violations); got != testCase.want {
+			t.Errorf("%s: %d violations, want %d", testCase.name, got, testCase.want)
 		}
 	}
 }
--- a/internal/experiment/soak/config.go
+++ b/internal/experiment/soak/config.go
@@ -9,8 +9,8 @@
 
 // sidecarConfig returns the configuration of dunlinsail as the platform writes it, with the endpoints known at the
 // start.
-func sidecarConfig(addr, discoveryAddr string, entries []discovery.Instance) (string, error) {
-	known, err := json.Marshal(discovery.List{Generation: 1, Reset: true, Instances: entries})
+func sidecarConfig(addr, discoveryAddr string, instances []discovery.Instance) (string, error) {
+	knownEndpoints, err := json.Marshal(discovery.List{Generation: 1, Reset: true, Instances: instances})
 	if err != nil {
 		return "", err
 	}
@@ -24,21 +24,21 @@
 "contract":{"drain-grace":250000,"cold-from":0.2,"ramp-time":10000000,"fall-multiple":2.5,
 "overload-for":2000000,"ask-within":10000000},
 "limits":{"cancel":true,"most-tries":3,"most-held":1000,"dial-timeout":1000000,"keepalive":15000000}}}`,
-		addr, discoveryAddr, known), nil
+		addr, discoveryAddr, knownEndpoints), nil
 }
 
-// requestsInFlight is the daemon's limit of requests in flight, where its connections have no bound.
-const requestsInFlight = 64
+// defaultRequestsInFlight is the daemon's limit of requests in flight, where its connections have no bound.
+const defaultRequestsInFlight = 64
 
 // daemonConfig returns the configuration of dunlinsaild. With a bound of connections fewer requests are in flight, so
 // that each of them has one.
 func daemonConfig(addr, discoveryAddr, dir string, bounds connectionBounds) string {
-	inFlight := requestsInFlight
-	if bounds.open > 0 {
-		inFlight = bounds.open - spareConnections
+	inFlight := defaultRequestsInFlight
+	if bounds.maxOpen > 0 {
+		inFlight = bounds.maxOpen - spareConnections
 	}
 	// One instance has the whole of the limit that is set for each endpoint.
-	idlePerEndpoint := float64(bounds.idle) / endpointCount
+	idlePerEndpoint := float64(bounds.maxIdle) / endpointCount
 	return fmt.Sprintf(`name = "soak"
 [process]
 descriptors = 512
@@ -88,5 +88,5 @@
 share = 1.0
 [attempts]
 dial_timeout = "1s"
-`, discoveryAddr, dir, bounds.open, inFlight, addr, idlePerEndpoint)
+`, discoveryAddr, dir, bounds.maxOpen, inFlight, addr, idlePerEndpoint)
 }
--- a/internal/experiment/soak/events.go
+++ b/internal/experiment/soak/events.go
@@ -10,7 +10,7 @@
 )
 
 // pause is a time for which a process was stopped by SIGSTOP.
-type pause struct{ from, to time.Time }
+type pause struct{ start, end time.Time }
 
 const (
 	minPause  = 100 * time.Millisecond
@@ -19,22 +19,22 @@
 	maxEvents = 4
 )
 
-var errClosing = errors.New("clients open no connections any more")
+var errNoNewConnections = errors.New("clients open no connections any more")
 
 // dial opens a client's connection, unless the last process is stopping.
 func (r *run) dial(deadline time.Time) (net.Conn, error) {
 	r.mu.Lock()
-	closing := !r.closingTime.IsZero() && time.Now().After(r.closingTime)
+	closing := !r.lastDialTime.IsZero() && time.Now().After(r.lastDialTime)
 	r.mu.Unlock()
 	if closing {
-		return nil, errClosing
+		return nil, errNoNewConnections
 	}
-	return (&net.Dialer{Deadline: deadline}).Dial("tcp", r.programs.addr)
+	return (&net.Dialer{Deadline: deadline}).Dial("tcp", r.processes.clientAddr)
 }
 
-// playEvents makes drawn events happen one after another, and returns the process that serves at the end.
-func (r *run) playEvents(ctx context.Context, serving *process) *process {
-	time.Sleep(quietStart)
+// runEvents makes drawn events happen one after another, and returns the process that serves at the end.
+func (r *run) runEvents(ctx context.Context, serving *process) *process {
+	time.Sleep(delayBeforeEvents)
 	for range minEvents + r.rng.IntN(maxEvents-minEvents+1) {
 		time.Sleep(time.Duration(r.rng.Int64N(int64(maxEventGap))))
 		switch r.rng.IntN(6) {
@@ -43,7 +43,7 @@
 		case 2:
 			serving = r.restart(ctx, serving, true)
 		case 3:
-			r.note("SIGHUP")
+			r.recordEvent("SIGHUP")
 			serving.signal(syscall.SIGHUP)
 		case 4:
 			r.pauseProcess(serving)
@@ -60,65 +60,65 @@
 // restart has another process take over, and stops the ones before it once it serves. With twice, a third one is
 // started while the second one takes over; either may be the last to serve. It returns the process that serves.
 func (r *run) restart(ctx context.Context, serving *process, twice bool) *process {
-	r.note("restart, twice %v", twice)
-	starts := 1
+	r.recordEvent("restart, twice %v", twice)
+	startCount := 1
 	if twice {
-		starts = 2
+		startCount = 2
 	}
-	all := []*process{serving}
-	for range starts {
-		next, err := r.programs.start()
+	processes := []*process{serving}
+	for range startCount {
+		candidate, err := r.processes.start()
 		if err != nil {
-			r.violate("start: %v", err)
+			r.recordViolation("start: %v", err)
 			return serving
 		}
-		all = append(all, next)
+		processes = append(processes, candidate)
 	}
 	if r.rng.IntN(4) == 0 {
-		r.pauseProcess(all[r.rng.IntN(2)])
+		r.pauseProcess(processes[r.rng.IntN(2)])
 	}
-	for _, next := range all[1:] {
-		if next.awaitReady(ctx) {
+	for _, candidate := range processes[1:] {
+		if candidate.awaitReady(ctx) {
 			continue
 		}
-		next.kill()
-		if !twice && !r.pausedSince(next.startedAt) {
-			r.violate("a new process was not ready in time")
+		candidate.kill()
+		if !twice && !r.pausedSince(candidate.startedAt) {
+			r.recordViolation("a new process was not ready in time")
 		}
 	}
-	for _, next := range all[1:] {
-		if next.servedAt().After(serving.servedAt()) {
-			serving = next
+	for _, candidate := range processes[1:] {
+		if candidate.servedAt().After(serving.servedAt()) {
+			serving = candidate
 		}
 	}
-	interrupt := r.rng.IntN(3) == 0
-	for _, p := range all {
+	sendSIGINT := r.rng.IntN(3) == 0
+	for _, p := range processes {
 		if p != serving {
-			r.stop(p, interrupt)
+			r.stop(p, sendSIGINT)
 		}
 	}
 	return serving
 }
 
 // stop sends SIGTERM to a process, perhaps SIGINT right behind it, and has it killed when the platform may do so.
-func (r *run) stop(p *process, interrupt bool) {
-	r.note("SIGTERM, then SIGINT %v", interrupt)
+func (r *run) stop(p *process, sendSIGINT bool) {
+	r.recordEvent("SIGTERM, then SIGINT %v", sendSIGINT)
 	p.terminate()
-	if interrupt {
+	if sendSIGINT {
 		p.signal(syscall.SIGINT)
 	}
 }
 
 // pauseProcess stops a process by SIGSTOP, and has it continue later.
 func (r *run) pauseProcess(p *process) {
-	length := time.Duration(float64(minPause) * math.Pow(float64(maxPause)/float64(minPause), r.rng.Float64()))
-	r.note("SIGSTOP for %v", length.Round(time.Millisecond))
+	duration := time.Duration(float64(minPause) * math.Pow(float64(maxPause)/float64(minPause), r.rng.Float64()))
+	r.recordEvent("SIGSTOP for %v", duration.Round(time.Millisecond))
 	p.signal(syscall.SIGSTOP)
 	r.mu.Lock()
-	r.pauses = append(r.pauses, pause{time.Now(), time.Now().Add(length)})
+	r.pauses = append(r.pauses, pause{time.Now(), time.Now().Add(duration)})
 	r.mu.Unlock()
-	r.programs.background.Go(func() {
-		time.Sleep(length)
+	r.processes.background.Go(func() {
+		time.Sleep(duration)
 		p.signal(syscall.SIGCONT)
 	})
 }
@@ -128,7 +128,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.pauses {
-		if p.to.After(instant) {
+		if p.end.After(instant) {
 			return true
 		}
 	}
@@ -137,14 +137,14 @@
 
 // drainEndpoint has discovery list an endpoint as draining.
 func (r *run) drainEndpoint() {
-	name := r.fleet.drain(r.rng.IntN(len(r.fleet.endpoints)))
-	r.note("%s drains", name)
-	if err := r.programs.writeKnown(r.fleet); err != nil {
-		r.violate("configuration: %v", err)
+	name := r.fleet.startDraining(r.rng.IntN(len(r.fleet.endpoints)))
+	r.recordEvent("%s drains", name)
+	if err := r.processes.writeSidecarConfig(r.fleet); err != nil {
+		r.recordViolation("configuration: %v", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, known := r.drained[name]; !known {
-		r.drained[name] = time.Now()
+	if _, known := r.drainingSince[name]; !known {
+		r.drainingSince[name] = time.Now()
 	}
 }
--- a/internal/experiment/soak/fleet.go
+++ b/internal/experiment/soak/fleet.go
@@ -17,22 +17,22 @@
 	discovery *discoveryserver.Server
 	ledger    *endpoint.Ledger
 	endpoints []*endpoint.Server
-	entries   []discovery.Instance
+	instances []discovery.Instance
 
 	secondResponses secondResponses
 
-	mu  sync.Mutex
-	rng *rand.Rand // of the endpoints' faults
+	mu       sync.Mutex
+	faultRNG *rand.Rand // of the endpoints' faults
 }
 
 const (
-	endpointCount = 4
-	serviceTime   = 3 * time.Millisecond
-	dedupWindow   = 400 * time.Millisecond // as in the configurations
-	faultOneIn    = 20                     // requests
+	endpointCount    = 4
+	meanServiceTime  = 3 * time.Millisecond
+	dedupWindow      = 400 * time.Millisecond // as in the configurations
+	requestsPerFault = 20                     // requests
 )
 
-// faults are what endpoints do to one of faultOneIn requests.
+// faults are what endpoints do to one of requestsPerFault requests.
 var faults = []endpoint.Fault{
 	endpoint.SecondResponse,
 	endpoint.PartialResponse,
@@ -43,27 +43,27 @@
 }
 
 // startFleet starts endpoints whose faults are drawn from rng, and whose second responses are as given.
-func startFleet(rng *rand.Rand, second secondResponses) (*fleet, error) {
-	f := &fleet{ledger: &endpoint.Ledger{}, rng: rng, secondResponses: second}
+func startFleet(rng *rand.Rand, responses secondResponses) (*fleet, error) {
+	f := &fleet{ledger: &endpoint.Ledger{}, faultRNG: rng, secondResponses: responses}
 	for i := range endpointCount {
-		s, err := endpoint.Start(endpoint.Options{
+		server, err := endpoint.Start(endpoint.Options{
 			Name:              fmt.Sprint("s-", i),
-			ServiceTime:       map[string]time.Duration{"": serviceTime},
+			ServiceTime:       map[string]time.Duration{"": meanServiceTime},
 			Spread:            0.5,
 			IdempotencyWindow: dedupWindow,
 			Ledger:            f.ledger,
 
 			SecondResponseDelay:      f.drawSecondResponseDelay,
-			CloseAfterSecondResponse: second.closeConnection,
+			CloseAfterSecondResponse: responses.closeConnection,
 		})
 		if err != nil {
 			return nil, err
 		}
-		s.SetFaults(f.drawFault)
-		f.endpoints = append(f.endpoints, s)
-		f.entries = append(f.entries, discovery.Instance{
+		server.SetFaults(f.drawFault)
+		f.endpoints = append(f.endpoints, server)
+		f.instances = append(f.instances, discovery.Instance{
 			ID:        fmt.Sprint("s-", i),
-			Address:   s.Addr,
+			Address:   server.Addr,
 			Zone:      "a",
 			Kind:      "m1",
 			Lifecycle: "up",
@@ -71,7 +71,7 @@
 		})
 	}
 	var err error
-	f.discovery, err = discoveryserver.Start(f.entries...)
+	f.discovery, err = discoveryserver.Start(f.instances...)
 	return f, err
 }
 
@@ -80,8 +80,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	fault := endpoint.NoFault
-	if f.rng.IntN(faultOneIn) == 0 {
-		fault = faults[f.rng.IntN(len(faults))]
+	if f.faultRNG.IntN(requestsPerFault) == 0 {
+		fault = faults[f.faultRNG.IntN(len(faults))]
 	}
 	if fault == endpoint.NoFault && f.secondResponses.drawExtra() {
 		fault = endpoint.SecondResponse
@@ -97,17 +97,17 @@
 }
 
 // drain lists an endpoint as draining, and returns its name. Two endpoints always stay up.
-func (f *fleet) drain(i int) (name string) {
-	i %= endpointCount - 2
-	f.entries[i].Lifecycle = "draining"
-	f.discovery.Set(f.entries[i])
-	return f.entries[i].ID
+func (f *fleet) startDraining(index int) (name string) {
+	index %= endpointCount - 2
+	f.instances[index].Lifecycle = "draining"
+	f.discovery.Set(f.instances[index])
+	return f.instances[index].ID
 }
 
 // close stops the endpoints and discovery.
 func (f *fleet) close() {
-	for _, s := range f.endpoints {
-		s.Close()
+	for _, server := range f.endpoints {
+		server.Close()
 	}
 	if f.discovery != nil {
 		f.discovery.Close()
--- a/internal/experiment/soak/process.go
+++ b/internal/experiment/soak/process.go
@@ -29,50 +29,52 @@
 const daemonProgram = "dunlinsaild"
 
 // programs starts processes of one program that take over from one another.
-type programs struct {
-	program string
-	dir     string   // shared by the processes
-	addr    string   // at which clients connect
-	config  string   // path of the configuration
-	socket  *os.File // the clients' listening socket, which the sidecar inherits; nil for the daemon
+type processManager struct {
+	program      string
+	dir          string   // shared by the processes
+	clientAddr   string   // at which clients connect
+	configPath   string   // path of the configuration
+	clientSocket *os.File // the clients' listening socket, which the sidecar inherits; nil for the daemon
 
-	all        []*process
+	started    []*process
 	background sync.WaitGroup // the goroutines that continue or kill processes
 }
 
-// newPrograms writes the configuration of a program. The bounds are for the daemon.
-func newPrograms(program, dir string, f *fleet, bounds connectionBounds) (*programs, error) {
-	p := &programs{program: program, dir: dir, config: filepath.Join(dir, "config")}
+// newProcessManager writes the configuration of a program. The bounds are for the daemon.
+func newProcessManager(program, dir string, f *fleet, bounds connectionBounds) (*processManager, error) {
+	m := &processManager{program: program, dir: dir, configPath: filepath.Join(dir, "config")}
 	if filepath.Base(program) == daemonProgram {
 		var err error
-		if p.addr, err = freeport.Free(); err != nil {
+		if m.clientAddr, err = freeport.Free(); err != nil {
 			return nil, err
 		}
-		return p, os.WriteFile(p.config, []byte(daemonConfig(p.addr, f.discovery.Addr, dir, bounds)), configMode)
+		return m, os.WriteFile(
+			m.configPath, []byte(daemonConfig(m.clientAddr, f.discovery.Addr, dir, bounds)), configMode,
+		)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	defer ln.Close()
-	p.addr = ln.Addr().String()
-	if p.socket, err = ln.(*net.TCPListener).File(); err != nil {
+	m.clientAddr = ln.Addr().String()
+	if m.clientSocket, err = ln.(*net.TCPListener).File(); err != nil {
 		return nil, err
 	}
-	return p, p.writeKnown(f)
+	return m, m.writeSidecarConfig(f)
 }
 
-// writeKnown writes the sidecar's configuration with the endpoints as they are listed now, as the platform does before
+// writeSidecarConfig writes the sidecar's configuration with the endpoints as they are listed now, as the platform does before
 // it starts a process. It does nothing for the daemon.
-func (p *programs) writeKnown(f *fleet) error {
-	if p.socket == nil {
+func (m *processManager) writeSidecarConfig(f *fleet) error {
+	if m.clientSocket == nil {
 		return nil
 	}
-	text, err := sidecarConfig(p.addr, f.discovery.Addr, f.entries)
+	text, err := sidecarConfig(m.clientAddr, f.discovery.Addr, f.instances)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(p.config, []byte(text), configMode)
+	return os.WriteFile(m.configPath, []byte(text), configMode)
 }
 
 // configMode is the permissions of a configuration file.
@@ -80,13 +82,13 @@
 
 // process is one process of a program. Its fields are read after its end, unless noted.
 type process struct {
-	programs     *programs
+	manager      *processManager
 	cmd          *exec.Cmd
 	log          lockedBuffer
 	startedAt    time.Time
 	terminatedAt time.Time // when SIGTERM was sent; zero: not yet
 	killed       bool      // by the platform
-	err          error
+	exitErr      error
 	endedAt      time.Time
 	ended        chan struct{}
 }
@@ -112,44 +114,44 @@
 }
 
 // start starts a process, which takes over from the one that serves.
-func (p *programs) start() (*process, error) {
-	q := &process{programs: p, startedAt: time.Now(), ended: make(chan struct{})}
-	if p.socket == nil {
-		q.cmd = exec.Command(p.program, "--config", p.config)
+func (m *processManager) start() (*process, error) {
+	proc := &process{manager: m, startedAt: time.Now(), ended: make(chan struct{})}
+	if m.clientSocket == nil {
+		proc.cmd = exec.Command(m.program, "--config", m.configPath)
 	} else {
-		q.cmd = exec.Command(p.program)
-		q.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+p.config, "ROUTER_LISTEN="+p.addr, "ROUTER_INHERITED_FD=3",
-			"TMPDIR="+p.dir)
-		q.cmd.ExtraFiles = []*os.File{p.socket}
+		proc.cmd = exec.Command(m.program)
+		proc.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+m.configPath, "ROUTER_LISTEN="+m.clientAddr,
+			"ROUTER_INHERITED_FD=3", "TMPDIR="+m.dir)
+		proc.cmd.ExtraFiles = []*os.File{m.clientSocket}
 	}
-	q.cmd.Stderr = &q.log
-	q.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := q.cmd.Start(); err != nil {
+	proc.cmd.Stderr = &proc.log
+	proc.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := proc.cmd.Start(); err != nil {
 		return nil, err
 	}
-	p.all = append(p.all, q)
+	m.started = append(m.started, proc)
 	go func() {
-		q.err = q.cmd.Wait()
-		q.endedAt = time.Now()
-		close(q.ended)
+		proc.exitErr = proc.cmd.Wait()
+		proc.endedAt = time.Now()
+		close(proc.ended)
 	}()
-	return q, nil
+	return proc, nil
 }
 
 // servingMessage is the log message of a process that has begun to serve.
 const servingMessage = "msg=serving"
 
 // awaitReady waits until a process serves, and reports whether it does in time.
-func (q *process) awaitReady(ctx context.Context) bool {
+func (proc *process) awaitReady(ctx context.Context) bool {
 	tick := time.NewTicker(readyInterval)
 	defer tick.Stop()
-	for time.Since(q.startedAt) < readyTimeout {
-		if strings.Contains(q.log.String(), servingMessage) {
+	for time.Since(proc.startedAt) < readyTimeout {
+		if strings.Contains(proc.log.String(), servingMessage) {
 			return true
 		}
 		select {
 		case <-tick.C:
-		case <-q.ended:
+		case <-proc.ended:
 			return false
 		case <-ctx.Done():
 			return false
@@ -159,13 +161,13 @@
 }
 
 // servedAt returns when a process began to serve, by its log; zero if it has not.
-func (q *process) servedAt() time.Time {
-	for line := range strings.Lines(q.log.String()) {
+func (proc *process) servedAt() time.Time {
+	for line := range strings.Lines(proc.log.String()) {
 		if stamp, found := strings.CutPrefix(line, "time="); found && strings.Contains(line, servingMessage) {
 			stamp, _, _ = strings.Cut(stamp, " ")
-			at, err := time.Parse(time.RFC3339Nano, stamp)
+			loggedAt, err := time.Parse(time.RFC3339Nano, stamp)
 			if err == nil {
-				return at
+				return loggedAt
 			}
 		}
 	}
@@ -173,11 +175,11 @@
 }
 
 // awaitEndpoints waits until the process that serves has endpoints for requests, and reports whether it does in time.
-func (p *programs) awaitEndpoints(ctx context.Context) bool {
+func (m *processManager) awaitEndpoints(ctx context.Context) bool {
 	tick := time.NewTicker(readyInterval)
 	defer tick.Stop()
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
-		response, err := http.Get("http://" + p.addr + "/-/ready")
+		response, err := http.Get("http://" + m.clientAddr + "/-/ready")
 		if err == nil {
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
@@ -194,16 +196,16 @@
 }
 
 // signal sends a signal to a process that has not ended.
-func (q *process) signal(signal syscall.Signal) {
-	if !q.hasEnded() {
-		_ = q.cmd.Process.Signal(signal) // it may end meanwhile
+func (proc *process) signal(signal syscall.Signal) {
+	if !proc.hasEnded() {
+		_ = proc.cmd.Process.Signal(signal) // it may end meanwhile
 	}
 }
 
 // hasEnded reports whether a process has ended.
-func (q *process) hasEnded() bool {
+func (proc *process) hasEnded() bool {
 	select {
-	case <-q.ended:
+	case <-proc.ended:
 		return true
 	default:
 		return false
@@ -211,63 +213,63 @@
 }
 
 // terminate sends SIGTERM, and has the process killed as early as the platform may.
-func (q *process) terminate() {
-	q.terminatedAt = time.Now()
-	q.signal(syscall.SIGTERM)
-	q.programs.background.Go(func() {
+func (proc *process) terminate() {
+	proc.terminatedAt = time.Now()
+	proc.signal(syscall.SIGTERM)
+	proc.manager.background.Go(func() {
 		select {
-		case <-q.ended:
+		case <-proc.ended:
 		case <-time.After(killAfter):
-			q.kill()
+			proc.kill()
 		}
 	})
 }
 
 // kill kills a process and waits for its end.
-func (q *process) kill() {
-	if q.hasEnded() {
+func (proc *process) kill() {
+	if proc.hasEnded() {
 		return
 	}
-	q.killed = true
-	_ = q.cmd.Process.Kill() // it may end meanwhile
-	<-q.ended
+	proc.killed = true
+	_ = proc.cmd.Process.Kill() // it may end meanwhile
+	<-proc.ended
 }
 
 // awaitEnd waits for the end of a process that was terminated.
-func (q *process) awaitEnd() { <-q.ended }
+func (proc *process) awaitEnd() { <-proc.ended }
 
 // rejected reports whether a process ended because another one was taking over.
-func (q *process) rejected() bool {
-	return strings.Contains(q.log.String(), "another takeover is under way")
+func (proc *process) rejectedByTakeover() bool {
+	return strings.Contains(proc.log.String(), "another takeover is under way")
 }
 
 // awaitAll waits until all processes have ended. What has not been terminated is killed.
-func (p *programs) awaitAll() {
-	p.background.Wait()
-	for _, q := range p.all {
-		if q.terminatedAt.IsZero() {
-			q.kill()
+func (m *processManager) awaitAll() {
+	m.background.Wait()
+	for _, proc := range m.started {
+		if proc.terminatedAt.IsZero() {
+			proc.kill()
 		}
-		<-q.ended
+		<-proc.ended
 	}
 }
 
 // close ends all processes.
-func (p *programs) close() {
-	p.background.Wait()
-	for _, q := range p.all {
-		q.kill()
+func (m *processManager) close() {
+	m.background.Wait()
+	for _, proc := range m.started {
+		proc.kill()
 	}
-	if p.socket != nil {
-		p.socket.Close()
+	if m.clientSocket != nil {
+		m.clientSocket.Close()
 	}
 }
 
 // logs returns what all processes have logged.
-func (p *programs) logs() string {
-	var all strings.Builder
-	for i, q := range p.all {
-		fmt.Fprintf(&all, "---- process %d\n%s", i, q.log.String())
+func (m *processManager) logs() string {
+	var logs strings.Builder
+	for i, proc := range m.started {
+		fmt.Fprintf(&logs, "---- process %d\n%s", i, proc.log.String())
 	}
-	return all.String()
+	return logs.String()
 }
--- a/internal/experiment/soak/soak.go
+++ b/internal/experiment/soak/soak.go
@@ -40,39 +40,39 @@
 
 // The second halves of the random generators' seeds.
 const (
-	seedStream          = 50 // of events
+	eventSeedStream     = 50 // of events
 	faultSeedStream     = 51 // of endpoints' faults
 	variationSeedStream = 52 // of what runs differ in beside
 )
 
 const (
-	requestRate    = 120.0                  // requests per second
-	crowdRate      = 400.0                  // the same, in a run with a crowd
-	quietStart     = 300 * time.Millisecond // before the first event
-	maxEventGap    = 500 * time.Millisecond // between two events
-	acceptingAfter = 200 * time.Millisecond // for which clients still connect after the last SIGTERM
-	clientGrace    = 500 * time.Millisecond // after its timeout a response counts as lost
-	maxRunTime     = 2 * time.Minute
-	maxOpen        = 200 // requests of the clients
+	requestRate       = 120.0                  // requests per second
+	highRequestRate   = 400.0                  // the same, in a run with a crowd
+	delayBeforeEvents = 300 * time.Millisecond // before the first event
+	maxEventGap       = 500 * time.Millisecond // between two events
+	dialAfterStop     = 200 * time.Millisecond // for which clients still connect after the last SIGTERM
+	clientGrace       = 500 * time.Millisecond // after its timeout a response counts as lost
+	maxRunTime        = 2 * time.Minute
+	maxOpenRequests   = 200 // requests of the clients
 )
 
 // run is a run in progress.
 type run struct {
-	options  Options
-	rng      *rand.Rand
-	dir      string
-	fleet    *fleet
-	programs *programs
-	report   *Report
+	options   Options
+	rng       *rand.Rand
+	dir       string
+	fleet     *fleet
+	processes *processManager
+	report    *Report
 
 	startedAt time.Time
 
-	mu          sync.Mutex
-	results     []client.Result
-	wrong       map[string]wrongResponse // by the ID of the request that got it; set by classifyWrongResponses
-	pauses      []pause
-	drained     map[string]time.Time // endpoints by the instant at which they were listed as draining
-	closingTime time.Time            // from then on clients open no connection; zero: not yet
+	mu             sync.Mutex
+	results        []client.Result
+	wrongResponses map[string]wrongResponse // by the ID of the request that got it; set by classifyWrongResponses
+	pauses         []pause
+	drainingSince  map[string]time.Time // endpoints by the instant at which they were listed as draining
+	lastDialTime   time.Time            // from then on clients open no connection; zero: not yet
 }
 
 // Run plays one seed. An error means that it could not be played.
@@ -86,74 +86,74 @@
 	defer cancel()
 	r := &run{
 		options: options,
-		rng:     rand.New(rand.NewPCG(options.Seed, seedStream)),
+		rng:     rand.New(rand.NewPCG(options.Seed, eventSeedStream)),
 		dir:     dir,
 		report:  &Report{},
 
-		startedAt: time.Now(),
-		drained:   map[string]time.Time{},
+		startedAt:     time.Now(),
+		drainingSince: map[string]time.Time{},
 	}
-	v := drawVariation(rand.New(rand.NewPCG(options.Seed, variationSeedStream)), options.SecondResponses)
-	r.report.Variation = v.secondResponses.String()
+	drawn := drawVariation(rand.New(rand.NewPCG(options.Seed, variationSeedStream)), options.SecondResponses)
+	r.report.Variation = drawn.secondResponses.String()
 	if filepath.Base(options.Program) == daemonProgram {
-		r.report.Variation += ", " + v.bounds.String()
+		r.report.Variation += ", " + drawn.bounds.String()
 	}
-	r.fleet, err = startFleet(rand.New(rand.NewPCG(options.Seed, faultSeedStream)), v.secondResponses)
+	r.fleet, err = startFleet(rand.New(rand.NewPCG(options.Seed, faultSeedStream)), drawn.secondResponses)
 	if err != nil {
 		return nil, err
 	}
 	defer r.fleet.close()
-	if r.programs, err = newPrograms(options.Program, dir, r.fleet, v.bounds); err != nil {
+	if r.processes, err = newProcessManager(options.Program, dir, r.fleet, drawn.bounds); err != nil {
 		return nil, err
 	}
-	defer r.programs.close()
-	if err := r.play(ctx); err != nil {
-		return nil, fmt.Errorf("seed %d: %w; logs:\n%s", options.Seed, err, r.programs.logs())
+	defer r.processes.close()
+	if err := r.runLoadAndEvents(ctx); err != nil {
+		return nil, fmt.Errorf("seed %d: %w; logs:\n%s", options.Seed, err, r.processes.logs())
 	}
-	r.check()
+	r.checkRules()
 	r.report.Seconds = len(r.fleet.ledger.SecondResponses())
-	r.report.Logs = r.programs.logs()
+	r.report.Logs = r.processes.logs()
 	return r.report, nil
 }
 
 // play starts the first process and the clients, makes the events happen, and stops everything.
-func (r *run) play(ctx context.Context) error {
-	first, err := r.programs.start()
+func (r *run) runLoadAndEvents(ctx context.Context) error {
+	first, err := r.processes.start()
 	if err != nil {
 		return err
 	}
-	if !first.awaitReady(ctx) || !r.programs.awaitEndpoints(ctx) {
+	if !first.awaitReady(ctx) || !r.processes.awaitEndpoints(ctx) {
 		return errors.New("the first process is not ready")
 	}
-	load := r.newClient(r.rng.IntN(3) == 0)
+	loadClient := r.newClient(r.rng.IntN(3) == 0)
 	loadContext, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
-	loaded := make(chan struct{})
+	loadDone := make(chan struct{})
 	go func() {
-		defer close(loaded)
-		load.Run(loadContext)
+		defer close(loadDone)
+		loadClient.Run(loadContext)
 	}()
-	serving := r.playEvents(ctx, first)
+	serving := r.runEvents(ctx, first)
 	r.stopServing(serving)
 	stopLoad()
-	<-loaded
+	<-loadDone
 	return ctx.Err()
 }
 
 // newClient returns the client processes' side: an open loop over persistent connections, which it uses until they are
 // closed.
-func (r *run) newClient(crowd bool) *client.Client {
+func (r *run) newClient(highLoad bool) *client.Client {
 	rate := requestRate
-	if crowd {
-		rate = crowdRate
-		r.note("a crowd")
+	if highLoad {
+		rate = highRequestRate
+		r.recordEvent("a crowd")
 	}
 	const timeout = 900 * time.Millisecond
 	return client.New(client.Options{
 		Name:     "soak",
 		Tenant:   "acme",
 		Rate:     rate,
-		MaxOpen:  maxOpen,
+		MaxOpen:  maxOpenRequests,
 		Duration: maxRunTime,
 		Seed:     r.options.Seed,
 		Grace:    clientGrace,
@@ -177,21 +177,21 @@
 }
 
 // note records an event for the report, with its time since the start of the run.
-func (r *run) note(format string, args ...any) {
-	at := time.Since(r.startedAt).Round(time.Millisecond)
-	r.report.Events = append(r.report.Events, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
+func (r *run) recordEvent(format string, args ...any) {
+	elapsed := time.Since(r.startedAt).Round(time.Millisecond)
+	r.report.Events = append(r.report.Events, fmt.Sprintf("%v: ", elapsed)+fmt.Sprintf(format, args...))
 }
 
 // stopServing sends the last SIGTERM, perhaps with a SIGINT behind it, while clients go on using their connections, and
 // kills the process as early as the platform may.
 func (r *run) stopServing(serving *process) {
 	r.mu.Lock()
-	r.closingTime = time.Now().Add(acceptingAfter)
+	r.lastDialTime = time.Now().Add(dialAfterStop)
 	r.mu.Unlock()
-	r.note("last stop")
+	r.recordEvent("last stop")
 	r.stop(serving, r.rng.IntN(2) == 0)
 	serving.awaitEnd()
-	r.programs.awaitAll()
+	r.processes.awaitAll()
 }
 
 // sidecarSocket is the socket file of the sidecar's hot restart, which stays after its end: another process may have
@@ -200,8 +200,8 @@
 
 // leftovers returns the socket files in the folder that the processes shared, and the sidecar's only if a process
 // listens at it.
-func (r *run) leftovers() []string {
-	var found []string
+func (r *run) leftoverSockets() []string {
+	var sockets []string
 	entries, err := os.ReadDir(r.dir)
 	if err != nil {
 		return []string{err.Error()}
@@ -211,13 +211,13 @@
 			continue
 		}
 		if entry.Name() == sidecarSocket {
-			listening, err := net.Dial("unixpacket", filepath.Join(r.dir, sidecarSocket))
+			conn, err := net.Dial("unixpacket", filepath.Join(r.dir, sidecarSocket))
 			if err != nil {
 				continue
 			}
-			listening.Close()
+			conn.Close()
 		}
-		found = append(found, entry.Name())
+		sockets = append(sockets, entry.Name())
 	}
-	return found
+	return sockets
 }
--- a/internal/experiment/soak/variation.go
+++ b/internal/experiment/soak/variation.go
@@ -35,54 +35,54 @@
 
 // secondResponses are the second responses that the endpoints of a run send; all endpoints have the same software.
 type secondResponses struct {
-	lateness        time.Duration // after the first response, in the mean
-	closeConnection bool          // the endpoint closes the connection after a second response
-	extraOneIn      int           // one of so many requests gets one beside the drawn faults; 0 is none
-	rng             *rand.Rand
+	meanLateness     time.Duration // after the first response, in the mean
+	closeConnection  bool          // the endpoint closes the connection after a second response
+	requestsPerExtra int           // one of so many requests gets one beside the drawn faults; 0 is none
+	rng              *rand.Rand
 }
 
 // connectionBounds are bounds of the daemon's connections to endpoints; 0 is no bound.
 type connectionBounds struct {
-	idle int // idle ones of all endpoints (Pool.LimitIdle)
-	open int // all of them
+	maxIdle int // idle ones of all endpoints (Pool.LimitIdle)
+	maxOpen int // all of them
 }
 
 // drawVariation draws the variation of a run. Its second responses go on drawing from rng.
 func drawVariation(rng *rand.Rand, extraOneIn int) variation {
-	v := variation{secondResponses: secondResponses{
-		lateness:        drawLateness(rng),
-		closeConnection: rng.IntN(2) == 0,
-		extraOneIn:      extraOneIn,
-		rng:             rng,
+	drawn := variation{secondResponses: secondResponses{
+		meanLateness:     drawMeanLateness(rng),
+		closeConnection:  rng.IntN(2) == 0,
+		requestsPerExtra: extraOneIn,
+		rng:              rng,
 	}}
 	switch rng.IntN(3) {
 	case 0:
-		v.bounds.idle = minIdleBound + rng.IntN(maxIdleBound-minIdleBound+1)
+		drawn.bounds.maxIdle = minIdleBound + rng.IntN(maxIdleBound-minIdleBound+1)
 	case 1:
-		v.bounds.open = minConnectionBound + rng.IntN(maxConnectionBound-minConnectionBound+1)
+		drawn.bounds.maxOpen = minConnectionBound + rng.IntN(maxConnectionBound-minConnectionBound+1)
 	}
-	return v
+	return drawn
 }
 
-// drawLateness draws a lateness so that each doubling of it is as likely as another.
-func drawLateness(rng *rand.Rand) time.Duration {
+// drawMeanLateness draws a lateness so that each doubling of it is as likely as another.
+func drawMeanLateness(rng *rand.Rand) time.Duration {
 	return time.Duration(float64(minLateness) * math.Pow(float64(maxLateness)/float64(minLateness), rng.Float64()))
 }
 
 // drawDelay draws the lateness of one second response.
 func (s *secondResponses) drawDelay() time.Duration {
 	factor := 1 + latenessSpread*(2*s.rng.Float64()-1)
-	return time.Duration(float64(s.lateness) * factor)
+	return time.Duration(float64(s.meanLateness) * factor)
 }
 
 // drawExtra draws whether a request without a fault gets a second response.
 func (s *secondResponses) drawExtra() bool {
-	return s.extraOneIn > 0 && s.rng.IntN(s.extraOneIn) == 0
+	return s.requestsPerExtra > 0 && s.rng.IntN(s.requestsPerExtra) == 0
 }
 
 // String describes the second responses for the report.
 func (s *secondResponses) String() string {
-	text := fmt.Sprintf("second responses about %v late", s.lateness.Round(100*time.Microsecond))
+	text := fmt.Sprintf("second responses about %v late", s.meanLateness.Round(100*time.Microsecond))
 	if s.closeConnection {
 		text += ", closing"
 	}
@@ -92,11 +92,11 @@
 // String describes the bounds for the report, "no bounds" without any.
 func (b connectionBounds) String() string {
 	var parts []string
-	if b.idle > 0 {
-		parts = append(parts, fmt.Sprintf("idle connections up to %d", b.idle))
+	if b.maxIdle > 0 {
+		parts = append(parts, fmt.Sprintf("idle connections up to %d", b.maxIdle))
 	}
-	if b.open > 0 {
-		parts = append(parts, fmt.Sprintf("connections up to %d", b.open))
+	if b.maxOpen > 0 {
+		parts = append(parts, fmt.Sprintf("connections up to %d", b.maxOpen))
 	}
 	if len(parts) == 0 {
 		return "no bounds"
--- a/internal/experiment/stats/stats_test.go
+++ b/internal/experiment/stats/stats_test.go
@@ -16,57 +16,58 @@
 		return v
 	}
 	const rounds = 2000
-	var byT, byBootstrap, one int
+	var coveredByT, coveredByBootstrap, coveredByPrediction int
 	for i := range rounds {
-		v := draw(12)
-		if x := StudentT(v, 0.95); x.Low <= 5 && 5 <= x.High {
-			byT++
+		sample := draw(12)
+		if interval := StudentT(sample, 0.95); interval.Low <= 5 && 5 <= interval.High {
+			coveredByT++
 		}
 		if i < 300 {
-			if x := Bootstrap(v, 0.95, uint64(i)); x.Low <= 5 && 5 <= x.High {
-				byBootstrap++
+			if interval := Bootstrap(sample, 0.95, uint64(i)); interval.Low <= 5 && 5 <= interval.High {
+				coveredByBootstrap++
 			}
 		}
-		if x, next := PredictionInterval(v, 0.95), draw(1)[0]; x.Low <= next && next <= x.High {
-			one++
+		if interval, nextValue := PredictionInterval(sample, 0.95), draw(1)[0]; interval.Low <= nextValue &&
+			nextValue <= interval.High {
+			coveredByPrediction++
 		}
 	}
-	if got := float64(byT) / rounds; math.Abs(got-0.95) > 0.02 {
+	if got := float64(coveredByT) / rounds; math.Abs(got-0.95) > 0.02 {
 		t.Errorf("t covers %v", got)
 	}
-	if got := float64(byBootstrap) / 300; got < 0.86 || got > 0.98 { // it is a little short with few
+	if got := float64(coveredByBootstrap) / 300; got < 0.86 || got > 0.98 { // it is a little short with few
 		t.Errorf("the bootstrap covers %v", got)
 	}
-	if got := float64(one) / rounds; math.Abs(got-0.95) > 0.02 {
+	if got := float64(coveredByPrediction) / rounds; math.Abs(got-0.95) > 0.02 {
 		t.Errorf("the prediction covers %v", got)
 	}
 }
 
 // Too few numbers give no interval.
 func TestFew(t *testing.T) {
-	for _, v := range [][]float64{nil, {3}} {
-		if x := StudentT(v, 0.95); !math.IsInf(x.HalfWidth(), 1) {
-			t.Errorf("%v: %+v", v, x)
+	for _, values := range [][]float64{nil, {3}} {
+		if interval := StudentT(values, 0.95); !math.IsInf(interval.HalfWidth(), 1) {
+			t.Errorf("%v: %+v", values, interval)
 		}
 	}
-	if x := StudentT([]float64{2, 2, 2}, 0.95); x.HalfWidth() != 0 || x.Mean != 2 {
-		t.Errorf("%+v", x)
+	if interval := StudentT([]float64{2, 2, 2}, 0.95); interval.HalfWidth() != 0 || interval.Mean != 2 {
+		t.Errorf("%+v", interval)
 	}
-	if x := RateInterval(0, 1_000_000, 0.95); x.Low != 0 || x.High < 3e-6 || x.High > 4e-6 {
-		t.Errorf("none of a million: %+v", x)
+	if interval := RateInterval(0, 1_000_000, 0.95); interval.Low != 0 || interval.High < 3e-6 || interval.High > 4e-6 {
+		t.Errorf("none of a million: %+v", interval)
 	}
-	if x := RateInterval(0, 0, 0.95); x.High != 1 {
-		t.Errorf("none of none: %+v", x)
+	if interval := RateInterval(0, 0, 0.95); interval.High != 1 {
+		t.Errorf("none of none: %+v", interval)
 	}
-	if x := RateInterval(5, 5, 0.95); x.High != 1 || x.Low > 0.5 {
-		t.Errorf("all of five: %+v", x)
+	if interval := RateInterval(5, 5, 0.95); interval.High != 1 || interval.Low > 0.5 {
+		t.Errorf("all of five: %+v", interval)
 	}
-	for _, x := range []struct {
+	for _, interval := range []struct {
 		a, b int64
 		sure bool
 	}{{0, 0, false}, {0, 1, false}, {0, 5, false}, {0, 7, true}, {10, 12, false}, {3, 30, true}} {
-		if p := RateEqualityPValue(x.a, x.b); (p < 0.05) != x.sure {
-			t.Errorf("%d and %d: p %v", x.a, x.b, p)
+		if p := RateEqualityPValue(interval.a, interval.b); (p < 0.05) != interval.sure {
+			t.Errorf("%d and %d: p %v", interval.a, interval.b, p)
 		}
 	}
 }
