--- a/internal/experiment/claim/claim.go
+++ b/internal/experiment/claim/claim.go
@@ -1,5 +1,5 @@
 // Package claim parses claims about runs, such as "service >= 0.95", "p99.book < 1.2 * p99 + 20ms" or "breaks == 0",
-// and evaluates them by the figures of several runs. Figures are known by name only.
+// and evaluates them with the figures of several runs. The package knows figures only by their names.
 package claim
 
 import (
@@ -21,8 +21,8 @@
 	{Name: "space", Pattern: `\s+`},
 })), participle.UseLookahead(2))
 
-// The grammar: comparison = sum op sum; sum = product {("+" | "-") product}; product = value {("*" | "/") value};
-// value = number | name | "(" sum ")" | "-" value.
+// comparison is the root of the grammar: comparison = sum op sum; sum = product {("+" | "-") product};
+// product = value {("*" | "/") value}; value = number | name | "(" sum ")" | "-" value.
 type comparison struct {
 	Left  *sum   `parser:"@@"`
 	Op    string `parser:"@('<=' | '>=' | '==' | '<' | '>')"`
@@ -62,8 +62,8 @@
 	comparison *comparison
 }
 
-// Parse parses a claim. known reports whether a figure exists; nil allows all. It returns an error for a syntax error
-// or an unknown figure.
+// Parse parses a claim. It returns an error if the syntax is wrong or a figure does not exist. isFigure
+// reports whether a figure exists; if isFigure is nil, every name is accepted.
 func Parse(text string, isFigure func(name string) bool) (*Claim, error) {
 	parsed, err := parser.ParseString("", text)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return claim, nil
 }
 
-// Figures returns the figures that it speaks of.
+// Figures returns the sorted names of the figures that occur in the claim.
 func (c *Claim) Figures() []string {
 	var names []string
 	var collectSum func(s *sum)
@@ -140,7 +140,8 @@
 	return result
 }
 
-// units of numbers in claims; durations are in milliseconds, as those of figures are.
+// units are the units of numbers in claims. Durations are converted to milliseconds, the unit of the figures;
+// percentages are converted to fractions.
 var units = []struct {
 	name                string
 	multiplier, divisor float64
@@ -168,15 +169,16 @@
 	}
 	parsed, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		panic(err) // the lexer takes nothing else
+		panic(err) // unreachable: the lexer accepts only valid numbers
 	}
 	return parsed * multiplier / divisor
 }
 
-// Verdict says whether a claim holds.
+// Verdict is the result of evaluating a claim.
 type Verdict uint8
 
-// The verdicts.
+// Holds and Fails mean that the runs satisfy or contradict a claim. Inconclusive means that the runs are not
+// enough to decide.
 const (
 	Holds Verdict = iota
 	Fails
@@ -185,20 +187,21 @@
 
 var verdictNames = [...]string{"holds", "fails", "cannot tell"}
 
-// String returns the verdict as it is printed.
+// String returns the printed name of the verdict.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Evaluation is a claim judged by runs.
+// Evaluation is the result of evaluating a claim with the figures of several runs.
 type Evaluation struct {
 	Claim   string
 	Verdict Verdict
-	Left    float64        // mean over the runs
-	Right   float64        // the same
-	Margin  stats.Interval // by how much it holds; less than nothing is that it does not
+	Left    float64        // mean of the left side over the runs
+	Right   float64        // mean of the right side over the runs
+	Margin  stats.Interval // amount by which the claim is satisfied; negative if it is not satisfied
 }
 
-// Evaluate evaluates a claim by the figures of several runs, with a confidence such as 0.95. An == must hold in each
-// run, a comparison of sizes on average: it is certain if the margin's interval is on one side of 0.
+// Evaluate evaluates the claim with the figures of several runs, at a confidence level such as 0.95. A claim
+// with == must be satisfied in each run. Any other comparison must be satisfied on average: it is decided if
+// the confidence interval of the margin lies on one side of 0.
 func (c *Claim) Evaluate(runs []map[string]float64, confidence float64) Evaluation {
 	evaluation := Evaluation{Claim: c.Text}
 	var margins []float64
@@ -221,7 +224,7 @@
 	case c.comparison.Op == "==" && !allEqual:
 		evaluation.Verdict = Fails
 	case c.comparison.Op == "==":
-	case len(runs) == 1: // nothing is known of what another run would come to
+	case len(runs) == 1: // a single run does not show how much runs vary
 		evaluation.Verdict = Inconclusive
 		if evaluation.Margin.Mean < 0 {
 			evaluation.Verdict = Fails
--- a/internal/experiment/claim/claim_test.go
+++ b/internal/experiment/claim/claim_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Claims mean what they say, with units, in the usual order of operations.
+// Claims are evaluated with units and the usual operator precedence, and invalid claims are rejected.
 func TestClaims(t *testing.T) {
 	figures := map[string]float64{"service": 0.95, "p99": 120, "p99.book": 200, "breaks": 0, "a": 2, "b": 3}
 	runs := []map[string]float64{figures, figures, figures}
@@ -42,7 +42,8 @@
 	}
 }
 
-// Runs that differ decide a claim only as far as they agree; an == must hold in each.
+// A comparison is inconclusive if the runs vary too much to decide it. A claim with == must be satisfied in
+// each run.
 func TestJudgesByRuns(t *testing.T) {
 	evaluate := func(text string, v ...float64) Verdict {
 		parsed, err := Parse(text, nil)
--- a/internal/experiment/library/library.go
+++ b/internal/experiment/library/library.go
@@ -1,5 +1,5 @@
-// Package library holds the scenarios that come with the program. Each says in a line what it is about, and what must
-// hold of the shipped settings in it.
+// Package library contains the scenarios that are embedded in the program. Each scenario states in one line what it is
+// about, and which claims the shipped settings must satisfy in it.
 package library
 
 import (
@@ -17,11 +17,11 @@
 //go:embed *.toml
 var scenarioFiles embed.FS
 
-// Names returns the names of all scenarios, in order.
+// Names returns the names of all embedded scenarios, sorted.
 func Names() []string {
 	entries, err := fs.ReadDir(scenarioFiles, ".")
 	if err != nil {
-		panic(err) // they are a part of the program
+		panic(err) // unreachable: the files are embedded in the program
 	}
 	var names []string
 	for _, entry := range entries {
@@ -30,7 +30,7 @@
 	return names
 }
 
-// Text returns the text of a scenario's file.
+// Text returns the content of the file of an embedded scenario.
 func Text(name string) ([]byte, error) {
 	text, err := scenarioFiles.ReadFile(name + ".toml")
 	if err != nil {
@@ -39,8 +39,9 @@
 	return text, nil
 }
 
-// Load reads a scenario by its name in the library, or from a file: what has a dot or a slash in it is one. A file may
-// be based on one in its own folder, or in the library.
+// Load reads a scenario by its name in the library, or from a file. An argument with a dot or a slash is the
+// path of a file. The scenario in a file may be based on a file in the same folder, or on a scenario of the
+// library.
 func Load(nameOrPath string) (*scenario.Scenario, error) {
 	if !strings.ContainsAny(nameOrPath, "./") {
 		text, err := Text(nameOrPath)
--- a/internal/experiment/report/charts.go
+++ b/internal/experiment/report/charts.go
@@ -19,7 +19,8 @@
 	"dunlinsail/internal/simulation/measure"
 )
 
-// Colours of A and B that are distinct with any colour vision (Okabe, Ito: "Color Universal Design", 2008).
+// Colors of variants A and B, and of neutral lines. A and B are distinguishable with any color vision (Okabe,
+// Ito: "Color Universal Design", 2008).
 var (
 	colourA = color.RGBA{0, 114, 178, 255}
 	colourB = color.RGBA{213, 94, 0, 255}
@@ -33,7 +34,7 @@
 	chartHeight = 6 * vg.Centimeter
 )
 
-// chart is a picture with what it shows.
+// chart is a rendered picture with its title and a description of what it shows.
 type chart struct {
 	Title, About string
 	SVG          template.HTML
@@ -45,7 +46,8 @@
 	p.Y.Label.Text = yLabel
 	p.Legend.Top = true
 	p.Legend.Left = false
-	// A browser without the plot's own font shows a wider one: small text keeps within the picture.
+	// A browser that lacks the plot's font substitutes a wider one; text of this size still fits into the
+	// picture.
 	for _, f := range []*font.Font{
 		&p.X.Label.TextStyle.Font, &p.Y.Label.TextStyle.Font, &p.X.Tick.Label.Font, &p.Y.Tick.Label.Font,
 		&p.Legend.TextStyle.Font,
@@ -57,7 +59,8 @@
 	return p
 }
 
-// svg renders a plot. The library makes the text, and escapes the labels, which are the only part from users.
+// svg renders a plot. The plotting library generates the markup and escapes the labels, which are the only
+// user input.
 func svg(p *plot.Plot, height vg.Length) (template.HTML, error) {
 	canvas := vgsvg.NewWith(vgsvg.UseWH(chartWidth, height))
 	p.Draw(draw.New(canvas))
@@ -67,12 +70,12 @@
 	}
 	markup := buffer.Bytes()
 	if declarationLength := bytes.Index(markup, []byte("<svg")); declarationLength > 0 {
-		markup = markup[declarationLength:] // without the XML declaration
+		markup = markup[declarationLength:] // removes the XML declaration
 	}
 	return template.HTML(markup), nil
 }
 
-// variantRuns are the runs of one variant, and its colours.
+// variantRuns holds the runs of one variant and the colors in which the variant is drawn.
 type variantRuns struct {
 	name      string
 	runs      []*measure.Result
@@ -88,7 +91,7 @@
 	return compared
 }
 
-// valuesAt returns the sorted values of all runs at a bin of a series.
+// valuesAt returns the sorted values of all runs in one time bin of a series.
 func (v *variantRuns) valuesAt(selectSeries func(s *measure.Series) []float64, bin int) (values []float64) {
 	for _, r := range v.runs {
 		if series := selectSeries(&r.Series); bin < len(series) {
@@ -99,7 +102,8 @@
 	return values
 }
 
-// seriesChart draws a line of the runs' mean, with the band in which nine of ten runs lie.
+// seriesChart draws a series over time: a line for the mean of the runs, and the band between their 5th and
+// 95th percentiles. A maxY of 0 scales the axis to the values.
 func seriesChart(
 	comparison *experiment.Comparison, yLabel string, selectSeries func(s *measure.Series) []float64, maxY float64,
 ) (template.HTML, error) {
@@ -144,7 +148,8 @@
 	return svg(p, chartHeight)
 }
 
-// differenceChart draws differences, multiplied by a factor, with their intervals.
+// differenceChart draws the differences between the variants with their confidence intervals, multiplied by a
+// factor.
 func differenceChart(rows []experiment.Row, factor float64, label string) (template.HTML, error) {
 	p := newPlot(label, "")
 	var names []string
@@ -191,7 +196,7 @@
 	return svg(p, vg.Length(1.6+0.6*float64(len(names)))*vg.Centimeter)
 }
 
-// latencies draws the quantiles of latencies, with a line for each class.
+// latencyChart draws the latency quantiles of each variant, with a line for each request class.
 func latencyChart(comparison *experiment.Comparison) (template.HTML, error) {
 	p := newPlot("part of the answers that took no longer", "milliseconds")
 	logScale := func(percentile float64) float64 { return -math.Log10(1 - percentile/100) }
@@ -234,10 +239,11 @@
 	{vg.Points(8), vg.Points(2), vg.Points(2), vg.Points(2)},
 }
 
-// maxLoadBars is the largest number of endpoints whose loads are drawn.
+// maxLoadBars is the largest number of endpoints for which endpointLoadChart draws a chart.
 const maxLoadBars = 60
 
-// endpointLoadChart draws the utilization of each endpoint. There is no picture for more than maxLoadBars.
+// endpointLoadChart draws the utilization of each endpoint, sorted by zone. It returns no picture for more
+// than maxLoadBars endpoints.
 func endpointLoadChart(comparison *experiment.Comparison) (template.HTML, error) {
 	endpoints := comparison.RunsA[0].Endpoints
 	if len(endpoints) == 0 || len(endpoints) > maxLoadBars {
@@ -288,10 +294,10 @@
 	return svg(p, 8*vg.Centimeter)
 }
 
-// chartList collects the pictures of a page.
+// chartList collects the charts of a page.
 type chartList struct{ charts []chart }
 
-// add adds a picture, unless it is empty.
+// add appends a chart, unless its picture is empty.
 func (l *chartList) add(title, about string, picture template.HTML, err error) error {
 	if err != nil {
 		return fmt.Errorf("picture %q: %w", title, err)
@@ -302,7 +308,7 @@
 	return nil
 }
 
-// charts draws all pictures of a comparison.
+// charts draws all charts of a comparison.
 func charts(comparison *experiment.Comparison) ([]chart, error) {
 	l := &chartList{}
 	for _, add := range []func(comparison *experiment.Comparison) error{
@@ -315,7 +321,7 @@
 	return l.charts, nil
 }
 
-// addDifferences adds the differences of shares and of times, if two variants are compared.
+// addDifferences adds charts of the differences in shares and in times, if two variants are compared.
 func (l *chartList) addDifferences(comparison *experiment.Comparison) error {
 	if comparison.RunsB == nil {
 		return nil
@@ -339,7 +345,7 @@
 	return l.add("Differences of times", "Left of the line B is faster.", picture, err)
 }
 
-// addSeries adds the figures over time.
+// addSeries adds charts of the figures over time.
 func (l *chartList) addSeries(comparison *experiment.Comparison) error {
 	for _, series := range []struct {
 		title, about, label string
@@ -373,7 +379,8 @@
 	return nil
 }
 
-// unsuccessfulRequests are the requests that were rejected, failed or had no response, a second.
+// unsuccessfulRequests returns the number of requests per second that were rejected, failed, or got no
+// response, for each time bin.
 func unsuccessfulRequests(s *measure.Series) []float64 {
 	sums := slices.Clone(s.Rejected)
 	for i := range sums {
@@ -394,7 +401,8 @@
 		"The part of its core time for which each endpoint was at work, over the whole run, by zone.", picture, err)
 }
 
-// sweepChart draws a figure over the points of a sweep: along its last axis, a line for each value of the other.
+// sweepChart draws a figure over the points of a sweep. The x-axis is the last axis of the sweep; each value
+// of the other axis has its own line.
 func sweepChart(sweep *experiment.Sweep, figure string) (template.HTML, error) {
 	xAxis := sweep.Axes[len(sweep.Axes)-1]
 	p := newPlot(xAxis.Key, figure)
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes what came of experiments, for people who never saw the tool: one page of HTML that needs
-// nothing beside itself, or Markdown. It knows comparisons, and runs nothing.
+// Package report writes the results of experiments for readers who do not know the tool: a single self-contained HTML
+// page, or Markdown. It renders comparisons, and does not run experiments.
 package report
 
 import (
@@ -22,7 +22,7 @@
 
 var pageTemplate = template.Must(template.New("page").Parse(pageHTML))
 
-// part is what a page says of one scenario.
+// scenarioSection is the section of a page about one scenario.
 type scenarioSection struct {
 	Name, About, Length, Summary, Verdict string
 	Seeds, Instances, Nodes               int
@@ -41,13 +41,13 @@
 	Scenarios           []scenarioSection
 	Figures             []measure.Figure
 
-	// Of a sweep.
+	// The following fields are set only for a sweep.
 	SweepColumns []string
 	SweepRows    [][]string
 	Charts       []chart
 }
 
-// Write writes a report to a file, by its name's end: .html or .md.
+// Write writes a report to a file, in the format of the file name's extension: .html or .md.
 func Write(path string, comparisons ...*experiment.Comparison) (err error) {
 	var writeTo func(w io.Writer, comparisons []*experiment.Comparison) error
 	switch filepath.Ext(path) {
@@ -70,7 +70,8 @@
 	return writeTo(file, comparisons)
 }
 
-// WriteSweep writes what came of a sweep to an .html file: figures of each place, and their pictures.
+// WriteSweep writes the results of a sweep to an .html file: the figures at each point of the sweep, and a
+// chart of each figure.
 func WriteSweep(path string, sweep *experiment.Sweep, figures []string) error {
 	if filepath.Ext(path) != ".html" {
 		return fmt.Errorf("%s: a report of a sweep ends in .html", path)
@@ -129,7 +130,7 @@
 	return os.WriteFile(path, html.Bytes(), 0o644)
 }
 
-// HTML writes a page.
+// HTML writes a report as an HTML page.
 func HTML(w io.Writer, comparisons []*experiment.Comparison) error {
 	data, err := buildPageData(comparisons, true)
 	if err != nil {
@@ -138,7 +139,7 @@
 	return pageTemplate.Execute(w, data)
 }
 
-// buildPageData collects what the templates need; pictures are drawn only for pages that show them.
+// buildPageData collects the data of a report. Charts are drawn only if pictures is set.
 func buildPageData(comparisons []*experiment.Comparison, pictures bool) (*pageData, error) {
 	plan := &comparisons[0].Plan
 	data := &pageData{
@@ -188,7 +189,7 @@
 	return data, nil
 }
 
-// newFigureRow returns the texts of one figure.
+// newFigureRow returns the formatted table row of one figure.
 func newFigureRow(comparison *experiment.Comparison, figure *experiment.Row) figureRow {
 	row := figureRow{
 		Name:  figure.Name,
@@ -208,7 +209,7 @@
 	return row
 }
 
-// Markdown writes the same without pictures.
+// Markdown writes a report as Markdown, without charts.
 func Markdown(w io.Writer, comparisons []*experiment.Comparison) error {
 	data, err := buildPageData(comparisons, false)
 	if err != nil {
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -32,8 +32,8 @@
 	return comparison
 }
 
-// checkPage fails the test unless a page is well-formed and needs nothing from elsewhere. It returns the numbers of
-// pictures and table rows.
+// checkPage fails the test unless a page is well-formed and refers to no external resources. It returns the
+// numbers of pictures and table rows.
 func checkPage(t *testing.T, page []byte) (pictures, rows int) {
 	t.Helper()
 	decoder := xml.NewDecoder(bytes.NewReader(page))
@@ -69,7 +69,7 @@
 	}
 }
 
-// A page is sound, has its pictures in it, needs nothing from elsewhere, and takes no text for markup.
+// A page is well-formed, contains its pictures, refers to no external resources, and escapes markup in texts.
 func TestPage(t *testing.T) {
 	variantB, err := experiment.ParseVariant("shipped,harm=0.4")
 	require.NoError(t, err)
--- a/internal/experiment/soak/check.go
+++ b/internal/experiment/soak/check.go
@@ -9,29 +9,32 @@
 )
 
 const (
-	// drainSlack is how long after the grace of a drain a request may still begin: 50 ms of the rules on sockets, and
-	// 150 ms for which a process may be held up.
+	// drainSlack is how long after the drain grace a request may still start: 50 ms allowed by the rules on
+	// sockets, and 150 ms for which the operating system may delay a process.
 	drainSlack = 200 * time.Millisecond
-	drainGrace = 250 * time.Millisecond // as in the configurations
+	drainGrace = 250 * time.Millisecond // equals drain-grace in the configurations
 
-	// latencyObjective is that of all classes, as in the configurations.
+	// latencyObjective is the latency objective of all request classes, equal to the one in the
+	// configurations.
 	latencyObjective = 500 * time.Millisecond
 
-	// maxIdleResponseTime is the time in which an idle endpoint responds at most: the longest service time, and its way.
+	// maxIdleResponseTime bounds the response time of an idle endpoint: the longest service time and the
+	// network round trip.
 	maxIdleResponseTime = 10 * time.Millisecond
 
-	// recoveryTime is how long a process that goes on after SIGSTOP may take to answer what has waited for it.
+	// recoveryTime is how long a process that continues after SIGSTOP may take to respond to the requests
+	// that waited for it.
 	recoveryTime = 500 * time.Millisecond
 )
 
-// violate records a broken rule.
+// recordViolation adds a violated rule to the report.
 func (r *run) recordViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Violations = append(r.report.Violations, fmt.Sprintf(format, args...))
 }
 
-// check checks the rules once all processes have ended.
+// checkRules checks all rules of the soak after all processes have ended.
 func (r *run) checkRules() {
 	sent := r.sentRequests()
 	r.classifyWrongResponses()
@@ -54,7 +57,8 @@
 	}
 }
 
-// anyKilled reports whether the platform has killed a process, which then could not remove its files.
+// anyKilled reports whether the fake platform has killed a process; a killed process cannot remove its socket
+// files.
 func (r *run) anyKilled() bool {
 	for _, p := range r.processes.started {
 		if p.killed {
@@ -64,10 +68,10 @@
 	return false
 }
 
-// checkResult checks that a request got its own final response in time.
+// checkResult checks that a request received its own final response in time.
 func (r *run) checkResult(result *client.Result) {
 	if errors.Is(result.Err, errNoNewConnections) {
-		return // it was never sent, or was not read by a process that closed its connection
+		return // the request was never sent, or the process closed its connection before reading it
 	}
 	r.report.Requests++
 	r.report.Verdicts[result.Verdict]++
@@ -84,7 +88,7 @@
 	}
 }
 
-// sentRequests returns the IDs of the requests that have reached an endpoint.
+// sentRequests returns the IDs of the requests that reached an endpoint.
 func (r *run) sentRequests() map[string]bool {
 	sent := map[string]bool{}
 	for _, execution := range r.fleet.ledger.Runs() {
@@ -93,9 +97,9 @@
 	return sent
 }
 
-// checkRejection checks that no request was rejected that an idle endpoint would have answered within its latency
-// objective. The endpoints have no bound on concurrent requests, so that they have capacity at any time; a request
-// that has reached one is left out, since its fault may have used up what retries are allowed.
+// checkRejection checks that no request was rejected that an idle endpoint could have served within the
+// latency objective. The endpoints do not limit concurrent requests, so they always have capacity. A request
+// that reached an endpoint is skipped, since faults of that endpoint may have used up its permitted retries.
 func (r *run) checkRejection(result *client.Result, sent map[string]bool) {
 	if result.Verdict != client.Rejected || sent[result.ID] {
 		return
@@ -107,8 +111,9 @@
 	}
 }
 
-// overlapsPause reports whether a process was stopped by SIGSTOP at some time of a request. What waited for it then may
-// be late, or lost if the platform killed that process before it could finish.
+// overlapsPause reports whether a process was stopped by SIGSTOP during a request, or shortly before it.
+// Requests that waited for the stopped process may be late, or lost if the platform killed the process before
+// it could finish.
 func (r *run) overlapsPause(start, end time.Time) bool {
 	for _, p := range r.pauses {
 		if start.Before(p.end.Add(recoveryTime)) && end.After(p.start) {
@@ -133,8 +138,9 @@
 	}
 }
 
-// checkDrains checks that a draining endpoint got nothing new after the grace. A process that was stopped meanwhile may
-// send what it had decided before, right after it goes on.
+// checkDrains checks that a draining endpoint received no new request after the drain grace. A process that
+// was stopped by SIGSTOP in the meantime may, right after it continues, send requests that it had assigned to
+// the endpoint before.
 func (r *run) checkDrains() {
 	for _, execution := range r.fleet.ledger.Runs() {
 		drainingSince, draining := r.drainingSince[execution.Endpoint]
--- a/internal/experiment/soak/check_test.go
+++ b/internal/experiment/soak/check_test.go
@@ -10,7 +10,8 @@
 	"dunlinsail/internal/fake/endpoint"
 )
 
-// Each broken rule is reported, and what a pause of a process explains is excused.
+// Each violated rule is reported, except that a request lost or late because a process was paused is counted
+// as excused.
 func TestChecks(t *testing.T) {
 	now := time.Now()
 	errReset := errors.New("reset")
@@ -40,14 +41,15 @@
 	}
 }
 
-// A rejection while endpoints have capacity is a violation, unless the request's time was over or it had reached one.
+// A rejection while endpoints have capacity is a violation, unless the latency objective could no longer be
+// met or the request had already reached an endpoint.
 func TestRejectionWhileEndpointsHaveCapacity(t *testing.T) {
 	for _, testCase := range []struct {
 		name    string
 		verdict client.Verdict
 		latency time.Duration
 		sent    map[string]bool
-		want    int // violations
+		want    int // number of violations
 	}{
 		{"at once", client.Rejected, time.Millisecond, nil, 1},
 		{"after a pause, in time", client.Rejected, 489 * time.Millisecond, nil, 1},
--- a/internal/experiment/soak/config.go
+++ b/internal/experiment/soak/config.go
@@ -7,8 +7,8 @@
 	"dunlinsail/internal/discovery"
 )
 
-// sidecarConfig returns the configuration of dunlinsail as the platform writes it, with the endpoints known at the
-// start.
+// sidecarConfig returns the configuration of dunlinsail as the platform writes it, including the endpoints
+// known when the process starts.
 func sidecarConfig(addr, discoveryAddr string, instances []discovery.Instance) (string, error) {
 	knownEndpoints, err := json.Marshal(discovery.List{Generation: 1, Reset: true, Instances: instances})
 	if err != nil {
@@ -27,17 +27,18 @@
 		addr, discoveryAddr, knownEndpoints), nil
 }
 
-// defaultRequestsInFlight is the daemon's limit of requests in flight, where its connections have no bound.
+// defaultRequestsInFlight is the daemon's limit of requests in flight when the number of its connections is
+// not bounded.
 const defaultRequestsInFlight = 64
 
-// daemonConfig returns the configuration of dunlinsaild. With a bound of connections fewer requests are in flight, so
-// that each of them has one.
+// daemonConfig returns the configuration of dunlinsaild. If the number of connections is bounded, the limit
+// of requests in flight is lower than that bound, so that each request in flight has a connection.
 func daemonConfig(addr, discoveryAddr, dir string, bounds connectionBounds) string {
 	inFlight := defaultRequestsInFlight
 	if bounds.maxOpen > 0 {
 		inFlight = bounds.maxOpen - spareConnections
 	}
-	// One instance has the whole of the limit that is set for each endpoint.
+	// The limit of idle connections is configured per endpoint; the only daemon instance gets all of it.
 	idlePerEndpoint := float64(bounds.maxIdle) / endpointCount
 	return fmt.Sprintf(`name = "soak"
 [process]
--- a/internal/experiment/soak/events.go
+++ b/internal/experiment/soak/events.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// pause is a time for which a process was stopped by SIGSTOP.
+// pause is the period during which a process was stopped by SIGSTOP.
 type pause struct{ start, end time.Time }
 
 const (
@@ -21,7 +21,7 @@
 
 var errNoNewConnections = errors.New("clients open no connections any more")
 
-// dial opens a client's connection, unless the last process is stopping.
+// dial opens a client connection, unless the last process is already stopping.
 func (r *run) dial(deadline time.Time) (net.Conn, error) {
 	r.mu.Lock()
 	closing := !r.lastDialTime.IsZero() && time.Now().After(r.lastDialTime)
@@ -32,7 +32,7 @@
 	return (&net.Dialer{Deadline: deadline}).Dial("tcp", r.processes.clientAddr)
 }
 
-// runEvents makes drawn events happen one after another, and returns the process that serves at the end.
+// runEvents triggers randomly drawn events one after another, and returns the process that serves at the end.
 func (r *run) runEvents(ctx context.Context, serving *process) *process {
 	time.Sleep(delayBeforeEvents)
 	for range minEvents + r.rng.IntN(maxEvents-minEvents+1) {
@@ -57,8 +57,9 @@
 	return serving
 }
 
-// restart has another process take over, and stops the ones before it once it serves. With twice, a third one is
-// started while the second one takes over; either may be the last to serve. It returns the process that serves.
+// restart starts a process that takes over, and stops the other processes once the new one serves. If twice
+// is set, a third process is started while the second one takes over; either of them may be the last to
+// serve. restart returns the process that serves.
 func (r *run) restart(ctx context.Context, serving *process, twice bool) *process {
 	r.recordEvent("restart, twice %v", twice)
 	startCount := 1
@@ -100,7 +101,8 @@
 	return serving
 }
 
-// stop sends SIGTERM to a process, perhaps SIGINT right behind it, and has it killed when the platform may do so.
+// stop sends SIGTERM to a process, optionally followed at once by SIGINT. The process is killed if it has not
+// ended when the platform is allowed to kill it.
 func (r *run) stop(p *process, sendSIGINT bool) {
 	r.recordEvent("SIGTERM, then SIGINT %v", sendSIGINT)
 	p.terminate()
@@ -109,7 +111,7 @@
 	}
 }
 
-// pauseProcess stops a process by SIGSTOP, and has it continue later.
+// pauseProcess stops a process with SIGSTOP, and continues it with SIGCONT after a randomly drawn time.
 func (r *run) pauseProcess(p *process) {
 	duration := time.Duration(float64(minPause) * math.Pow(float64(maxPause)/float64(minPause), r.rng.Float64()))
 	r.recordEvent("SIGSTOP for %v", duration.Round(time.Millisecond))
@@ -123,7 +125,7 @@
 	})
 }
 
-// pausedSince reports whether a process has been stopped by SIGSTOP since an instant, or was so at it.
+// pausedSince reports whether a process was stopped by SIGSTOP at a given instant or later.
 func (r *run) pausedSince(instant time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,7 +137,7 @@
 	return false
 }
 
-// drainEndpoint has discovery list an endpoint as draining.
+// drainEndpoint makes discovery list a randomly drawn endpoint as draining.
 func (r *run) drainEndpoint() {
 	name := r.fleet.startDraining(r.rng.IntN(len(r.fleet.endpoints)))
 	r.recordEvent("%s drains", name)
--- a/internal/experiment/soak/fleet.go
+++ b/internal/experiment/soak/fleet.go
@@ -12,7 +12,7 @@
 	"dunlinsail/internal/fake/endpoint"
 )
 
-// fleet is the endpoints and discovery of a run.
+// fleet holds the fake endpoints and the fake discovery server of a run.
 type fleet struct {
 	discovery *discoveryserver.Server
 	ledger    *endpoint.Ledger
@@ -22,17 +22,17 @@
 	secondResponses secondResponses
 
 	mu       sync.Mutex
-	faultRNG *rand.Rand // of the endpoints' faults
+	faultRNG *rand.Rand // draws the faults of the endpoints; guarded by mu
 }
 
 const (
 	endpointCount    = 4
 	meanServiceTime  = 3 * time.Millisecond
-	dedupWindow      = 400 * time.Millisecond // as in the configurations
-	requestsPerFault = 20                     // requests
+	dedupWindow      = 400 * time.Millisecond // equals the deduplication window in the configurations
+	requestsPerFault = 20                     // one in this many requests gets a fault
 )
 
-// faults are what endpoints do to one of requestsPerFault requests.
+// faults are the faults from which one is drawn for one in requestsPerFault requests.
 var faults = []endpoint.Fault{
 	endpoint.SecondResponse,
 	endpoint.PartialResponse,
@@ -42,7 +42,7 @@
 	endpoint.InternalError,
 }
 
-// startFleet starts endpoints whose faults are drawn from rng, and whose second responses are as given.
+// startFleet starts the endpoints and the discovery server. The endpoints' faults are drawn from rng.
 func startFleet(rng *rand.Rand, responses secondResponses) (*fleet, error) {
 	f := &fleet{ledger: &endpoint.Ledger{}, faultRNG: rng, secondResponses: responses}
 	for i := range endpointCount {
@@ -75,7 +75,7 @@
 	return f, err
 }
 
-// drawFault draws the fault of one request.
+// drawFault draws the fault of one request, which may be none.
 func (f *fleet) drawFault(*http.Request) endpoint.Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,14 +89,15 @@
 	return fault
 }
 
-// drawSecondResponseDelay draws the delay of one second response.
+// drawSecondResponseDelay draws how long after the first response one second response is sent.
 func (f *fleet) drawSecondResponseDelay() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.secondResponses.drawDelay()
 }
 
-// drain lists an endpoint as draining, and returns its name. Two endpoints always stay up.
+// startDraining makes discovery list an endpoint as draining, and returns the endpoint's name. The last two
+// endpoints never drain.
 func (f *fleet) startDraining(index int) (name string) {
 	index %= endpointCount - 2
 	f.instances[index].Lifecycle = "draining"
@@ -104,7 +105,7 @@
 	return f.instances[index].ID
 }
 
-// close stops the endpoints and discovery.
+// close stops the endpoints and the discovery server.
 func (f *fleet) close() {
 	for _, server := range f.endpoints {
 		server.Close()
--- a/internal/experiment/soak/process.go
+++ b/internal/experiment/soak/process.go
@@ -18,29 +18,30 @@
 )
 
 const (
-	readyTimeout  = 6 * time.Second // of a new process
-	readyInterval = 5 * time.Millisecond
-	// killAfter is how long after SIGTERM the platform kills a process at the earliest: the longest deadline, 3 s at
-	// most, and 0.7 s.
+	readyTimeout  = 6 * time.Second      // how long a new process may take until it serves
+	readyInterval = 5 * time.Millisecond // interval at which readiness is polled
+	// killAfter is how long after SIGTERM the platform kills a process at the earliest: the longest deadline,
+	// which is at most 3 s, and 0.7 s.
 	killAfter = 3700 * time.Millisecond
 )
 
-// daemonProgram is the file name of the daemon, which has another configuration than the sidecar.
+// daemonProgram is the file name of the daemon, whose configuration format differs from the sidecar's.
 const daemonProgram = "dunlinsaild"
 
-// programs starts processes of one program that take over from one another.
+// processManager starts processes of one program that take over from one another.
 type processManager struct {
 	program      string
-	dir          string   // shared by the processes
-	clientAddr   string   // at which clients connect
-	configPath   string   // path of the configuration
-	clientSocket *os.File // the clients' listening socket, which the sidecar inherits; nil for the daemon
+	dir          string   // folder shared by the processes
+	clientAddr   string   // address to which clients connect
+	configPath   string   // path of the configuration file
+	clientSocket *os.File // listening socket for clients, inherited by the sidecar; nil for the daemon
 
 	started    []*process
-	background sync.WaitGroup // the goroutines that continue or kill processes
+	background sync.WaitGroup // goroutines that continue or kill processes
 }
 
-// newProcessManager writes the configuration of a program. The bounds are for the daemon.
+// newProcessManager returns a process manager, and writes the configuration of the program. The bounds apply
+// to the daemon only.
 func newProcessManager(program, dir string, f *fleet, bounds connectionBounds) (*processManager, error) {
 	m := &processManager{program: program, dir: dir, configPath: filepath.Join(dir, "config")}
 	if filepath.Base(program) == daemonProgram {
@@ -64,8 +65,8 @@
 	return m, m.writeSidecarConfig(f)
 }
 
-// writeSidecarConfig writes the sidecar's configuration with the endpoints as they are listed now, as the platform does before
-// it starts a process. It does nothing for the daemon.
+// writeSidecarConfig writes the sidecar's configuration with the endpoints that discovery lists now, as the
+// platform does before it starts a process. It does nothing for the daemon.
 func (m *processManager) writeSidecarConfig(f *fleet) error {
 	if m.clientSocket == nil {
 		return nil
@@ -77,43 +78,43 @@
 	return os.WriteFile(m.configPath, []byte(text), configMode)
 }
 
-// configMode is the permissions of a configuration file.
+// configMode holds the permission bits of a configuration file.
 const configMode = 0o600
 
-// process is one process of a program. Its fields are read after its end, unless noted.
+// process is one process of a program. Fields that are set at its end are read after ended is closed.
 type process struct {
 	manager      *processManager
 	cmd          *exec.Cmd
 	log          lockedBuffer
 	startedAt    time.Time
-	terminatedAt time.Time // when SIGTERM was sent; zero: not yet
-	killed       bool      // by the platform
+	terminatedAt time.Time // when SIGTERM was sent; zero if it was not sent
+	killed       bool      // whether the fake platform sent SIGKILL
 	exitErr      error
 	endedAt      time.Time
 	ended        chan struct{}
 }
 
-// lockedBuffer is a buffer that a process writes while others read it.
+// lockedBuffer is a buffer to which a process writes its log while other goroutines read it.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-// Write appends to the buffer.
+// Write appends text to the buffer.
 func (b *lockedBuffer) Write(text []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(text)
 }
 
-// String returns what was written so far.
+// String returns the text written so far.
 func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
 }
 
-// start starts a process, which takes over from the one that serves.
+// start starts a process, which takes over from the process that serves.
 func (m *processManager) start() (*process, error) {
 	proc := &process{manager: m, startedAt: time.Now(), ended: make(chan struct{})}
 	if m.clientSocket == nil {
@@ -138,10 +139,10 @@
 	return proc, nil
 }
 
-// servingMessage is the log message of a process that has begun to serve.
+// servingMessage is the text that a process logs once it serves.
 const servingMessage = "msg=serving"
 
-// awaitReady waits until a process serves, and reports whether it does in time.
+// awaitReady waits until a process serves, and reports whether it does so within readyTimeout.
 func (proc *process) awaitReady(ctx context.Context) bool {
 	tick := time.NewTicker(readyInterval)
 	defer tick.Stop()
@@ -160,7 +161,7 @@
 	return false
 }
 
-// servedAt returns when a process began to serve, by its log; zero if it has not.
+// servedAt returns when a process started to serve according to its log, or the zero time if it did not.
 func (proc *process) servedAt() time.Time {
 	for line := range strings.Lines(proc.log.String()) {
 		if stamp, found := strings.CutPrefix(line, "time="); found && strings.Contains(line, servingMessage) {
@@ -174,7 +175,8 @@
 	return time.Time{}
 }
 
-// awaitEndpoints waits until the process that serves has endpoints for requests, and reports whether it does in time.
+// awaitEndpoints waits until the process that serves reports that it is ready, which requires known
+// endpoints. It reports whether that happens within readyTimeout.
 func (m *processManager) awaitEndpoints(ctx context.Context) bool {
 	tick := time.NewTicker(readyInterval)
 	defer tick.Stop()
@@ -195,14 +197,14 @@
 	return false
 }
 
-// signal sends a signal to a process that has not ended.
+// signal sends a signal to the process unless the process has ended.
 func (proc *process) signal(signal syscall.Signal) {
 	if !proc.hasEnded() {
-		_ = proc.cmd.Process.Signal(signal) // it may end meanwhile
+		_ = proc.cmd.Process.Signal(signal) // fails if the process has just ended
 	}
 }
 
-// hasEnded reports whether a process has ended.
+// hasEnded reports whether the process has ended.
 func (proc *process) hasEnded() bool {
 	select {
 	case <-proc.ended:
@@ -212,7 +214,8 @@
 	}
 }
 
-// terminate sends SIGTERM, and has the process killed as early as the platform may.
+// terminate sends SIGTERM, and kills the process if it has not ended after killAfter, the earliest time at
+// which the platform may kill it.
 func (proc *process) terminate() {
 	proc.terminatedAt = time.Now()
 	proc.signal(syscall.SIGTERM)
@@ -225,25 +228,25 @@
 	})
 }
 
-// kill kills a process and waits for its end.
+// kill kills the process and waits for its end.
 func (proc *process) kill() {
 	if proc.hasEnded() {
 		return
 	}
 	proc.killed = true
-	_ = proc.cmd.Process.Kill() // it may end meanwhile
+	_ = proc.cmd.Process.Kill() // fails if the process has just ended
 	<-proc.ended
 }
 
-// awaitEnd waits for the end of a process that was terminated.
+// awaitEnd waits until the process ends.
 func (proc *process) awaitEnd() { <-proc.ended }
 
-// rejected reports whether a process ended because another one was taking over.
+// rejectedByTakeover reports whether the process ended because another process was already taking over.
 func (proc *process) rejectedByTakeover() bool {
 	return strings.Contains(proc.log.String(), "another takeover is under way")
 }
 
-// awaitAll waits until all processes have ended. What has not been terminated is killed.
+// awaitAll waits until all processes have ended, and kills processes to which no SIGTERM was sent.
 func (m *processManager) awaitAll() {
 	m.background.Wait()
 	for _, proc := range m.started {
@@ -254,7 +257,7 @@
 	}
 }
 
-// close ends all processes.
+// close kills all processes that still run, and closes the listening socket.
 func (m *processManager) close() {
 	m.background.Wait()
 	for _, proc := range m.started {
@@ -265,7 +268,7 @@
 	}
 }
 
-// logs returns what all processes have logged.
+// logs returns the log output of all processes.
 func (m *processManager) logs() string {
 	var logs strings.Builder
 	for i, proc := range m.started {
--- a/internal/experiment/soak/soak.go
+++ b/internal/experiment/soak/soak.go
@@ -1,6 +1,7 @@
-// Package soak plays restarts of real processes under load, with all events drawn from one seed, and checks the rules
-// of the service afterwards: each request gets its own final response in time, nothing takes effect twice, a draining
-// endpoint gets nothing new, and nothing is left over. Endpoints, clients, discovery and the platform are fakes.
+// Package soak restarts real processes under load, with all events drawn from one seed, and afterwards checks the
+// rules of the service: each request gets its own final response in time, no request of an unsafe or keyed class takes
+// effect twice, a draining endpoint receives no new request, and no socket files are left over. The endpoints, the
+// clients, discovery and the platform are fakes.
 package soak
 
 import (
@@ -17,46 +18,47 @@
 	"dunlinsail/internal/fake/client"
 )
 
-// Options configure a run.
+// Options configures a run.
 type Options struct {
 	Program string // path of dunlinsail or dunlinsaild
 	Seed    uint64
-	// SecondResponses has one of so many requests get a second response beside those of the drawn faults; 0 is none.
+	// SecondResponses makes endpoints send a second response to one in this many requests, in addition to the
+	// second responses among the drawn faults; 0 adds none.
 	SecondResponses int
 }
 
 // Report is the outcome of a run.
 type Report struct {
-	Events     []string // what happened, in order
+	Events     []string // descriptions of the events, in order of time
 	Requests   int
 	Verdicts   [client.VerdictCount]int
-	Excused    int      // requests that were lost or late while a process was stopped by SIGSTOP
-	Violations []string // broken rules
-	Permitted  []string // wrong responses that HTTP/1.1 leaves possible (run.classifyWrongResponses)
-	Variation  string   // in what the run differs from others beside its events
-	Seconds    int      // second responses that endpoints sent
-	Logs       string   // what the processes logged
+	Excused    int      // number of requests lost or late while a process was stopped by SIGSTOP
+	Violations []string // descriptions of the violated rules
+	Permitted  []string // wrong responses that HTTP/1.1 cannot prevent (run.classifyWrongResponses)
+	Variation  string   // conditions drawn for the run besides its events
+	Seconds    int      // number of second responses that endpoints sent
+	Logs       string   // log output of the processes
 }
 
-// The second halves of the random generators' seeds.
+// Streams of the random number generators: the second half of each generator's seed.
 const (
-	eventSeedStream     = 50 // of events
-	faultSeedStream     = 51 // of endpoints' faults
-	variationSeedStream = 52 // of what runs differ in beside
+	eventSeedStream     = 50 // draws the events and the request rate
+	faultSeedStream     = 51 // draws the endpoints' faults
+	variationSeedStream = 52 // draws the variation
 )
 
 const (
 	requestRate       = 120.0                  // requests per second
-	highRequestRate   = 400.0                  // the same, in a run with a crowd
-	delayBeforeEvents = 300 * time.Millisecond // before the first event
-	maxEventGap       = 500 * time.Millisecond // between two events
-	dialAfterStop     = 200 * time.Millisecond // for which clients still connect after the last SIGTERM
-	clientGrace       = 500 * time.Millisecond // after its timeout a response counts as lost
+	highRequestRate   = 400.0                  // requests per second in a run with high load
+	delayBeforeEvents = 300 * time.Millisecond // between the start of the load and the first event
+	maxEventGap       = 500 * time.Millisecond // longest time between two events
+	dialAfterStop     = 200 * time.Millisecond // how long clients still connect after the last SIGTERM
+	clientGrace       = 500 * time.Millisecond // time after a request's timeout until it counts as lost
 	maxRunTime        = 2 * time.Minute
-	maxOpenRequests   = 200 // requests of the clients
+	maxOpenRequests   = 200 // limit of concurrent requests of the clients
 )
 
-// run is a run in progress.
+// run is the state of a run in progress.
 type run struct {
 	options   Options
 	rng       *rand.Rand
@@ -69,13 +71,14 @@
 
 	mu             sync.Mutex
 	results        []client.Result
-	wrongResponses map[string]wrongResponse // by the ID of the request that got it; set by classifyWrongResponses
+	wrongResponses map[string]wrongResponse // by the ID of the request that received it; set by classifyWrongResponses
 	pauses         []pause
-	drainingSince  map[string]time.Time // endpoints by the instant at which they were listed as draining
-	lastDialTime   time.Time            // from then on clients open no connection; zero: not yet
+	drainingSince  map[string]time.Time // when endpoints were listed as draining, by endpoint name
+	lastDialTime   time.Time            // clients open no connections after it; zero until the last process is stopped
 }
 
-// Run plays one seed. An error means that it could not be played.
+// Run runs the soak of one seed. An error means that the run could not be completed; violated rules are in
+// the report.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -116,7 +119,8 @@
 	return r.report, nil
 }
 
-// play starts the first process and the clients, makes the events happen, and stops everything.
+// runLoadAndEvents starts the first process and the clients, triggers the events, and stops the clients and
+// all processes.
 func (r *run) runLoadAndEvents(ctx context.Context) error {
 	first, err := r.processes.start()
 	if err != nil {
@@ -140,8 +144,8 @@
 	return ctx.Err()
 }
 
-// newClient returns the client processes' side: an open loop over persistent connections, which it uses until they are
-// closed.
+// newClient returns the fake client: an open loop over persistent connections, which the client uses until
+// they are closed.
 func (r *run) newClient(highLoad bool) *client.Client {
 	rate := requestRate
 	if highLoad {
@@ -158,7 +162,7 @@
 		Seed:     r.options.Seed,
 		Grace:    clientGrace,
 
-		ResendAfterReset: true, // checkEffects finds requests that ran twice
+		ResendAfterReset: true, // checkEffects detects requests that took effect twice
 		Dial:             r.dial,
 		OnDone:           r.addResult,
 		Classes: []client.Class{
@@ -169,21 +173,21 @@
 	})
 }
 
-// addResult records the end of a request.
+// addResult records the result of a request.
 func (r *run) addResult(result client.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results = append(r.results, result)
 }
 
-// note records an event for the report, with its time since the start of the run.
+// recordEvent adds an event to the report, with the time since the start of the run.
 func (r *run) recordEvent(format string, args ...any) {
 	elapsed := time.Since(r.startedAt).Round(time.Millisecond)
 	r.report.Events = append(r.report.Events, fmt.Sprintf("%v: ", elapsed)+fmt.Sprintf(format, args...))
 }
 
-// stopServing sends the last SIGTERM, perhaps with a SIGINT behind it, while clients go on using their connections, and
-// kills the process as early as the platform may.
+// stopServing sends the last SIGTERM, optionally followed by SIGINT, while clients keep using their
+// connections. The process is killed if it has not ended when the platform is allowed to kill it.
 func (r *run) stopServing(serving *process) {
 	r.mu.Lock()
 	r.lastDialTime = time.Now().Add(dialAfterStop)
@@ -194,12 +198,12 @@
 	r.processes.awaitAll()
 }
 
-// sidecarSocket is the socket file of the sidecar's hot restart, which stays after its end: another process may have
-// replaced it by then (takeover.ListenReplacing).
+// sidecarSocket is the socket file of the sidecar's hot restart. The sidecar leaves the file in place when it
+// ends, because another process may have replaced the file by then (takeover.ListenReplacing).
 const sidecarSocket = "dunlinsail.takeover"
 
-// leftovers returns the socket files in the folder that the processes shared, and the sidecar's only if a process
-// listens at it.
+// leftoverSockets returns the socket files left in the folder that the processes shared. The file
+// sidecarSocket is included only if a process still listens on it.
 func (r *run) leftoverSockets() []string {
 	var sockets []string
 	entries, err := os.ReadDir(r.dir)
--- a/internal/experiment/soak/variation.go
+++ b/internal/experiment/soak/variation.go
@@ -8,46 +8,51 @@
 	"time"
 )
 
-// This file draws in what runs differ beside their events. It has a stream of random numbers of its own, so that the
-// events of a seed stay as they are when something is added here.
+// This file draws the variation of a run: its conditions besides the events. The variation uses its own
+// stream of random numbers, so that the events of a seed stay the same when the variation is extended.
 
 const (
-	// The lateness of a run's second responses, in the mean; each one's is within latenessSpread of it.
+	// Range of the mean lateness of the second responses in a run. The lateness of each second response
+	// differs from the mean by at most the fraction latenessSpread.
 	minLateness    = time.Millisecond
 	maxLateness    = 60 * time.Millisecond
 	latenessSpread = 0.2
 
-	// Bounds of idle connections over all endpoints, and of connections to endpoints. The usual load of a run fits into
-	// the least of them; what has waited for a process that was stopped waits for its turn.
+	// Ranges of the bound on idle connections over all endpoints and of the bound on all connections to
+	// endpoints. The usual load of a run fits into the smallest bounds; requests that accumulated while a
+	// process was stopped by SIGSTOP have to queue for a connection.
 	minIdleBound       = 2
 	maxIdleBound       = 8
 	minConnectionBound = 8
 	maxConnectionBound = 16
-	// spareConnections are how many connections a bound leaves beside those of the requests in flight: for probes.
+	// spareConnections is the number of connections that a bound leaves for probes, in addition to those of
+	// the requests in flight.
 	spareConnections = 2
 )
 
-// variation is in what a run differs from others beside its events.
+// variation holds the conditions, besides the events, in which one run differs from others.
 type variation struct {
 	secondResponses secondResponses
 	bounds          connectionBounds
 }
 
-// secondResponses are the second responses that the endpoints of a run send; all endpoints have the same software.
+// secondResponses describes the second responses that the endpoints of a run send. The values apply to all
+// endpoints, as if they ran the same software.
 type secondResponses struct {
-	meanLateness     time.Duration // after the first response, in the mean
-	closeConnection  bool          // the endpoint closes the connection after a second response
-	requestsPerExtra int           // one of so many requests gets one beside the drawn faults; 0 is none
+	meanLateness     time.Duration // mean time between the first and the second response
+	closeConnection  bool          // whether the endpoint closes the connection after a second response
+	requestsPerExtra int           // one in this many requests without a fault gets a second response; 0 adds none
 	rng              *rand.Rand
 }
 
-// connectionBounds are bounds of the daemon's connections to endpoints; 0 is no bound.
+// connectionBounds limits the daemon's connections to endpoints; 0 means no limit.
 type connectionBounds struct {
-	maxIdle int // idle ones of all endpoints (Pool.LimitIdle)
-	maxOpen int // all of them
+	maxIdle int // limit of idle connections over all endpoints (Pool.LimitIdle)
+	maxOpen int // limit of all connections to endpoints
 }
 
-// drawVariation draws the variation of a run. Its second responses go on drawing from rng.
+// drawVariation draws the variation of a run. The returned secondResponses keeps drawing from rng during the
+// run.
 func drawVariation(rng *rand.Rand, extraOneIn int) variation {
 	drawn := variation{secondResponses: secondResponses{
 		meanLateness:     drawMeanLateness(rng),
@@ -64,7 +69,8 @@
 	return drawn
 }
 
-// drawMeanLateness draws a lateness so that each doubling of it is as likely as another.
+// drawMeanLateness draws a mean lateness from a logarithmic distribution: every doubling of it is equally
+// likely.
 func drawMeanLateness(rng *rand.Rand) time.Duration {
 	return time.Duration(float64(minLateness) * math.Pow(float64(maxLateness)/float64(minLateness), rng.Float64()))
 }
@@ -89,7 +95,7 @@
 	return text
 }
 
-// String describes the bounds for the report, "no bounds" without any.
+// String describes the bounds for the report; without bounds it returns "no bounds".
 func (b connectionBounds) String() string {
 	var parts []string
 	if b.maxIdle > 0 {
--- a/internal/experiment/soak/variation_test.go
+++ b/internal/experiment/soak/variation_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The variation of a seed is in its ranges, the same each time, and some seeds have each bound.
+// The variation of a seed is within its ranges and the same in each run. Among many seeds, each bound and
+// each property of second responses occurs often, but not always.
 func TestVariations(t *testing.T) {
 	var idleBounded, openBounded, unbounded, closing, tolerated int
 	const seeds = 300
@@ -39,7 +40,7 @@
 	}
 }
 
-// Second responses beside the drawn faults come at the rate that is set, and not at all at rate 0.
+// Requests without a fault get second responses at the configured rate, and none at rate 0.
 func TestExtraSecondResponses(t *testing.T) {
 	for oneIn, want := range map[int]int{0: 0, 1: 1000} {
 		drawn := drawVariation(variationRNG(1), oneIn)
@@ -53,7 +54,7 @@
 	}
 }
 
-// The bounds are in the daemon's configuration.
+// The daemon's configuration contains the connection bounds and the resulting limit of requests in flight.
 func TestDaemonConfigBounds(t *testing.T) {
 	for want, bounds := range map[string]connectionBounds{
 		"endpoints = 0\n[requests]\nin_flight = 64\n":  {},
@@ -67,10 +68,10 @@
 	}
 }
 
-// variationRNG returns the random numbers that a run draws its variation from.
+// variationRNG returns the random number generator from which a run draws its variation.
 func variationRNG(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, variationSeedStream)) }
 
-// count adds one if a condition holds.
+// countIf increments the counter if the condition is true.
 func countIf(counter *int, condition bool) {
 	if condition {
 		*counter++
--- a/internal/experiment/soak/wrongresponse.go
+++ b/internal/experiment/soak/wrongresponse.go
@@ -10,21 +10,23 @@
 	"dunlinsail/internal/fake/endpoint"
 )
 
-// This file checks that no request is served with the response to another one.
+// This file checks that no request receives the response to another request.
 
-// toleratedLateness is how late a second response may be that must never reach another request. One that is later may
-// do so once in each process: HTTP/1.1 does not name the request that a response belongs to, and a process that knows
-// nothing of its endpoints yet cannot distinguish it from the response to the next request.
+// toleratedLateness is the largest lateness at which a second response must never reach another request. A
+// later one may do so once in each process: HTTP/1.1 does not name the request to which a response belongs,
+// and a process that has not yet observed its endpoints cannot distinguish the second response from the
+// response to the next request on the connection.
 const toleratedLateness = 15 * time.Millisecond
 
-// wrongResponse is what is known of a response that belonged to another request.
+// wrongResponse describes the cause of a response that belonged to another request.
 type wrongResponse struct {
-	cause     *endpoint.SecondResponseRecord // nil: no endpoint has sent a second response to the request it belongs to
-	permitted bool
+	cause     *endpoint.SecondResponseRecord // nil if no endpoint sent a second response to the other request
+	permitted bool                           // whether the wrong response is not a violation
 }
 
-// classifyWrongResponses finds the second response behind each wrong response, and decides which are permitted: those
-// whose second response was over toleratedLateness late, once for each process that has served.
+// classifyWrongResponses finds the second response that caused each wrong response, and decides which wrong
+// responses are permitted: one for each process that served, if the second response was later than
+// toleratedLateness.
 func (r *run) classifyWrongResponses() {
 	var wrongResults []*client.Result
 	for i := range r.results {
@@ -44,11 +46,11 @@
 	}
 }
 
-// endTime returns when a request got its response.
+// endTime returns when a request received its response.
 func endTime(result *client.Result) time.Time { return result.StartedAt.Add(result.Latency) }
 
-// secondResponseTo returns the second response that was sent to a request, the least late if it got several, nil
-// without one.
+// secondResponseTo returns the second response that was sent to a request, or nil if there was none. Of
+// several second responses it returns the least late one.
 func (r *run) secondResponseTo(requestID string) *endpoint.SecondResponseRecord {
 	var leastLate *endpoint.SecondResponseRecord
 	for _, record := range r.fleet.ledger.SecondResponses() {
@@ -59,10 +61,10 @@
 	return leastLate
 }
 
-// processLifetime is the time of a process that has served, from its start to its end.
+// processLifetime is the period from the start of a process that served to its end.
 type processLifetime struct{ start, end time.Time }
 
-// servingLifetimes returns the lives of the processes that have served, those that ended first first.
+// servingLifetimes returns the lifetimes of the processes that served, sorted by their ends.
 func (r *run) servingLifetimes() []processLifetime {
 	var lifetimes []processLifetime
 	for _, p := range r.processes.started {
@@ -74,8 +76,9 @@
 	return lifetimes
 }
 
-// removeProcessAt removes the first process that was alive at an instant, and reports whether there was one. For
-// instants in their order, and processes in the order of their ends, it finds a process for as many as possible.
+// removeProcessAt removes the first lifetime that contains an instant, and reports whether there was one.
+// Called with instants in ascending order and lifetimes sorted by their ends, it finds lifetimes for as many
+// instants as possible.
 func removeProcessAt(lifetimes []processLifetime, instant time.Time) (remaining []processLifetime, found bool) {
 	i := slices.IndexFunc(lifetimes, func(lifetime processLifetime) bool {
 		return !instant.Before(lifetime.start) && !instant.After(lifetime.end)
@@ -86,7 +89,8 @@
 	return slices.Delete(lifetimes, i, i+1), true
 }
 
-// checkWrongResponse reports a response that belonged to another request, as a violation unless it is permitted.
+// checkWrongResponse reports a response that belonged to another request. It is a violation unless it is
+// permitted.
 func (r *run) checkWrongResponse(result *client.Result) {
 	response := r.wrongResponses[result.ID]
 	text := fmt.Sprintf("%s %s got another response, status %d, that of %s; %s", result.Class, result.ID, result.Status,
@@ -98,8 +102,8 @@
 	r.recordViolation("%s", text)
 }
 
-// describeCause describes why the response to a request may have reached another one: it was a second response, or its
-// own request had got another one's on the same connection.
+// describeCause describes why a request may have received the response to another request: the response was a
+// second response, or the other request had itself received a wrong response on the same connection.
 func (r *run) describeCause(result *client.Result) string {
 	if cause := r.wrongResponses[result.ID].cause; cause != nil {
 		lateness := cause.Lateness.Round(10 * time.Microsecond)
--- a/internal/experiment/soak/wrongresponse_test.go
+++ b/internal/experiment/soak/wrongresponse_test.go
@@ -9,16 +9,16 @@
 	"dunlinsail/internal/fake/endpoint"
 )
 
-// A wrong response is a violation, unless its second response was over toleratedLateness late: then each process that
-// has served may give one.
+// A wrong response is a violation unless it was a second response later than toleratedLateness. Then one
+// wrong response is permitted for each process that served.
 func TestWrongResponses(t *testing.T) {
 	const (
 		late    = toleratedLateness + time.Millisecond
 		notLate = toleratedLateness
 	)
 	type responseCase struct {
-		at       time.Duration // since the start of the run
-		lateness time.Duration // of the second response; 0: there was none
+		at       time.Duration // when the wrong response was received, since the start of the run
+		lateness time.Duration // lateness of the second response; 0 if no endpoint sent one
 	}
 	processA := timeSpan{start: 0, end: 10 * time.Second}
 	processB := timeSpan{start: 5 * time.Second, end: 20 * time.Second}
@@ -63,7 +63,8 @@
 	}
 }
 
-// The violation names the request whose response it was, the endpoint and how late that really was.
+// The text of a violation names the request to which the response belonged, the endpoint, and the measured
+// lateness.
 func TestWrongResponseText(t *testing.T) {
 	r := newCheckedRun([]timeSpan{{0, time.Second}})
 	r.addWrongResponse(0, time.Millisecond, 12340*time.Microsecond)
@@ -75,7 +76,8 @@
 	}
 }
 
-// A response whose request had got another one itself has no second response behind it, and is a violation as well.
+// A wrong response may belong to a request that itself received a wrong response. No second response caused
+// it, so that it is a violation.
 func TestWrongResponseAfterAnother(t *testing.T) {
 	r := newCheckedRun([]timeSpan{{0, time.Second}})
 	r.addWrongResponse(0, time.Millisecond, toleratedLateness+time.Millisecond)
@@ -92,7 +94,8 @@
 	}
 }
 
-// Of several second responses to one request the least late one counts: which of them reached another is not known.
+// If a request got several second responses, the least late one decides whether a wrong response is
+// permitted, since it is not known which of them reached the other request.
 func TestSeveralSecondResponses(t *testing.T) {
 	r := newCheckedRun([]timeSpan{{0, time.Second}})
 	r.addWrongResponse(0, time.Millisecond, toleratedLateness+time.Millisecond)
@@ -107,7 +110,7 @@
 	}
 }
 
-// A process that has not begun to serve permits nothing.
+// No wrong response is permitted for a process that never served.
 func TestProcessThatHasNotServed(t *testing.T) {
 	r := newCheckedRun([]timeSpan{{0, time.Second}})
 	r.processes.started[0].log = lockedBuffer{}
@@ -116,10 +119,10 @@
 	}
 }
 
-// life is the time of a process since the start of a run.
+// timeSpan is the lifetime of a process; start and end are measured from the start of the run.
 type timeSpan struct{ start, end time.Duration }
 
-// newCheckedRun returns a run whose processes have ended.
+// newCheckedRun returns a run whose processes served and have ended.
 func newCheckedRun(lifetimes []timeSpan) *run {
 	start := time.Now()
 	r := &run{
@@ -136,7 +139,8 @@
 	return r
 }
 
-// addWrongResponse adds a request that got the second response of another one, or a response that none was behind.
+// addWrongResponse adds the result of a request that received the response to another request. With a
+// positive lateness, an endpoint sent that response as a second response.
 func (r *run) addWrongResponse(index int, receivedAt, lateness time.Duration) {
 	sentID := fmt.Sprint("sent-", index)
 	if lateness > 0 {
--- a/internal/experiment/stats/stats.go
+++ b/internal/experiment/stats/stats.go
@@ -1,4 +1,5 @@
-// Package stats computes confidence intervals and tests of measured figures. It must not import what measures them.
+// Package stats computes confidence intervals and statistical tests of measured figures. It must not import the
+// packages that measure them.
 package stats
 
 import (
@@ -10,7 +11,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Interval is an estimate with the ends of its confidence interval.
+// Interval is an estimate and its confidence interval.
 type Interval struct {
 	Mean float64 `json:"Mean"`
 	Low  float64 `json:"Low"`
@@ -18,11 +19,11 @@
 	N    int     `json:"N"`
 }
 
-// HalfWidth is half of the interval's width.
+// HalfWidth returns half of the interval's width.
 func (i Interval) HalfWidth() float64 { return (i.High - i.Low) / 2 }
 
-// StudentT returns the mean of some numbers with Student's interval of a confidence such as 0.95. Of fewer than two
-// numbers it is without end.
+// StudentT returns the mean of the values and its confidence interval from Student's t-distribution, at a
+// confidence level such as 0.95. For fewer than two values the interval is infinite.
 func StudentT(values []float64, confidence float64) Interval {
 	if len(values) < 2 {
 		interval := Interval{Low: math.Inf(-1), High: math.Inf(1), N: len(values)}
@@ -37,8 +38,9 @@
 	return Interval{mean, mean - halfWidth, mean + halfWidth, len(values)}
 }
 
-// Bootstrap returns the mean of some numbers with the interval by percentiles of the means of samples drawn from them
-// (Efron, Tibshirani: "An Introduction to the Bootstrap", 1993, chapter 13). The seed makes it the same each time.
+// Bootstrap returns the mean of the values and its percentile bootstrap interval, computed from the means of
+// samples drawn with replacement (Efron, Tibshirani: "An Introduction to the Bootstrap", 1993, chapter 13).
+// The same seed gives the same interval.
 func Bootstrap(values []float64, confidence float64, seed uint64) Interval {
 	if len(values) < 2 {
 		return StudentT(values, confidence)
@@ -61,19 +63,19 @@
 	}
 }
 
-// PredictionInterval returns the mean of some numbers, and the interval in which one more of their kind lies with a
-// confidence.
+// PredictionInterval returns the mean of the values, and the interval that contains one further value of the
+// same distribution with the given confidence.
 func PredictionInterval(values []float64, confidence float64) Interval {
 	interval := StudentT(values, confidence)
 	if len(values) < 2 {
 		return interval
 	}
-	// The interval of the mean is t·s/√n wide; that of one more is t·s·√(1+1/n).
+	// The half-width of the mean's interval is t·s/√n; that of a further value's interval is t·s·√(1+1/n).
 	halfWidth := interval.HalfWidth() * math.Sqrt(float64(len(values))+1)
 	return Interval{interval.Mean, interval.Mean - halfWidth, interval.Mean + halfWidth, interval.N}
 }
 
-// PairedDifferences returns b less a, pair by pair.
+// PairedDifferences returns b[i] - a[i] for each index i.
 func PairedDifferences(a, b []float64) []float64 {
 	differences := make([]float64, len(a))
 	for i := range a {
@@ -82,8 +84,9 @@
 	return differences
 }
 
-// RateInterval returns the part of trials in which something happened, with the exact interval (Clopper, Pearson 1934):
-// that it has not been seen does not say that it never happens.
+// RateInterval returns the fraction of trials in which an event occurred, with the exact confidence interval
+// (Clopper, Pearson 1934). The interval's upper end is above 0 even if the event never occurred in the
+// trials.
 func RateInterval(occurrences, trials int64, confidence float64) Interval {
 	if trials <= 0 {
 		return Interval{Low: 0, High: 1}
@@ -101,8 +104,9 @@
 	return interval
 }
 
-// RateEqualityPValue returns how likely two counts of the same exposure are at least as unlike as these, if what is
-// counted is as frequent in both (the exact conditional test of Przyborowski and Wilenski, 1940).
+// RateEqualityPValue returns the probability that two counts from equal exposures differ at least as much as
+// a and b do, if the counted events have the same rate in both (the exact conditional test of Przyborowski
+// and Wilenski, 1940).
 func RateEqualityPValue(a, b int64) float64 {
 	n := a + b
 	if n == 0 {
--- a/internal/experiment/stats/stats_test.go
+++ b/internal/experiment/stats/stats_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Intervals cover what they are to cover, about as often as they say.
+// The intervals contain the true mean, or the next value, about as often as their confidence level states.
 func TestCoverage(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	draw := func(n int) (v []float64) {
@@ -35,7 +35,7 @@
 	if got := float64(coveredByT) / rounds; math.Abs(got-0.95) > 0.02 {
 		t.Errorf("t covers %v", got)
 	}
-	if got := float64(coveredByBootstrap) / 300; got < 0.86 || got > 0.98 { // it is a little short with few
+	if got := float64(coveredByBootstrap) / 300; got < 0.86 || got > 0.98 { // intervals of 12 values are a little too narrow
 		t.Errorf("the bootstrap covers %v", got)
 	}
 	if got := float64(coveredByPrediction) / rounds; math.Abs(got-0.95) > 0.02 {
@@ -43,7 +43,8 @@
 	}
 }
 
-// Too few numbers give no interval.
+// Fewer than two values give an infinite interval. Rates and p-values are correct for counts of zero and for
+// small counts.
 func TestFew(t *testing.T) {
 	for _, values := range [][]float64{nil, {3}} {
 		if interval := StudentT(values, 0.95); !math.IsInf(interval.HalfWidth(), 1) {
