--- a/internal/experiment/claim/claim_test.go
+++ b/internal/experiment/claim/claim_test.go
@@ -37,7 +37,7 @@
 		"(a > 1",
 	} {
 		if _, err := Parse(invalid, func(name string) bool { _, ok := figures[name]; return ok }); err == nil {
-			t.Errorf("%q was taken", invalid)
+			t.Errorf("%q was accepted", invalid)
 		}
 	}
 }
--- a/internal/experiment/library/library.go
+++ b/internal/experiment/library/library.go
@@ -34,7 +34,7 @@
 func Text(name string) ([]byte, error) {
 	text, err := scenarioFiles.ReadFile(name + ".toml")
 	if err != nil {
-		return nil, fmt.Errorf("no scenario is named %q; there are %s", name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("no scenario is named %q; available scenarios: %s", name, strings.Join(Names(), ", "))
 	}
 	return text, nil
 }
--- a/internal/experiment/report/charts.go
+++ b/internal/experiment/report/charts.go
@@ -300,7 +300,7 @@
 // add appends a chart, unless its picture is empty.
 func (l *chartList) add(title, about string, picture template.HTML, err error) error {
 	if err != nil {
-		return fmt.Errorf("picture %q: %w", title, err)
+		return fmt.Errorf("draw chart %q: %w", title, err)
 	}
 	if picture != "" {
 		l.charts = append(l.charts, chart{title, about, picture})
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -56,7 +56,7 @@
 	case ".md":
 		writeTo = Markdown
 	default:
-		return fmt.Errorf("%s: a report ends in .html or .md", path)
+		return fmt.Errorf("%s: the file name of a report must end in .html or .md", path)
 	}
 	file, err := os.Create(path)
 	if err != nil {
@@ -74,7 +74,7 @@
 // chart of each figure.
 func WriteSweep(path string, sweep *experiment.Sweep, figures []string) error {
 	if filepath.Ext(path) != ".html" {
-		return fmt.Errorf("%s: a report of a sweep ends in .html", path)
+		return fmt.Errorf("%s: the file name of a sweep report must end in .html", path)
 	}
 	plan := &sweep.Points[0].Plan
 	data := &pageData{
@@ -89,7 +89,7 @@
 		}
 		picture, err := sweepChart(sweep, name)
 		if err != nil {
-			return fmt.Errorf("picture of %s: %w", name, err)
+			return fmt.Errorf("draw chart of %s: %w", name, err)
 		}
 		data.Charts = append(data.Charts, chart{
 			Title: name,
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -58,12 +58,12 @@
 		case "tr":
 			rows++
 		case "script", "link", "img", "iframe":
-			t.Errorf("there is a %s", element.Name.Local)
+			t.Errorf("the page contains an element %s", element.Name.Local)
 		}
 		for _, attribute := range element.Attr {
 			if (attribute.Name.Local == "href" || attribute.Name.Local == "src") &&
 				!strings.HasPrefix(attribute.Value, "#") {
-				t.Errorf("it needs %s", attribute.Value)
+				t.Errorf("the page refers to %s", attribute.Value)
 			}
 		}
 	}
@@ -104,9 +104,9 @@
 		}
 	}
 	if err := Write(filepath.Join(t.TempDir(), "r.pdf"), runComparison(t, nil)); err == nil {
-		t.Error("a report of a kind that is not known was written")
+		t.Error("a report with an unknown file name extension was written")
 	}
 	if err := Write(filepath.Join(t.TempDir(), "no", "r.md"), runComparison(t, nil)); err == nil {
-		t.Error("a report was written where no folder is")
+		t.Error("a report was written to a folder that does not exist")
 	}
 }
--- a/internal/experiment/soak/check_test.go
+++ b/internal/experiment/soak/check_test.go
@@ -23,13 +23,13 @@
 		r := &run{report: &Report{}}
 		r.checkResult(&result)
 		if violations := r.report.Violations; len(violations) != 1 || !strings.HasPrefix(violations[0], want) {
-			t.Errorf("%q, want %q", violations, want)
+			t.Errorf("violations %q, want %q", violations, want)
 		}
 		r = &run{report: &Report{}, pauses: []pause{{start: now.Add(-time.Second), end: now}}}
 		r.checkResult(&result)
 		excused := result.Verdict != client.WrongResponse
 		if (r.report.Excused == 1) != excused || (len(r.report.Violations) == 0) != excused {
-			t.Errorf("in a pause: %d excused, %q", r.report.Excused, r.report.Violations)
+			t.Errorf("during a pause: %d excused, violations %q", r.report.Excused, r.report.Violations)
 		}
 	}
 	r := &run{report: &Report{}, fleet: &fleet{ledger: &endpoint.Ledger{}}}
--- a/internal/experiment/soak/events.go
+++ b/internal/experiment/soak/events.go
@@ -19,7 +19,7 @@
 	maxEvents = 4
 )
 
-var errNoNewConnections = errors.New("clients open no connections any more")
+var errNoNewConnections = errors.New("clients no longer open connections")
 
 // dial opens a client connection, unless the last process is already stopping.
 func (r *run) dial(deadline time.Time) (net.Conn, error) {
--- a/internal/experiment/soak/variation_test.go
+++ b/internal/experiment/soak/variation_test.go
@@ -15,16 +15,16 @@
 		drawn := drawVariation(variationRNG(seed), 0)
 		if repeated := drawVariation(variationRNG(seed), 0); repeated.bounds != drawn.bounds ||
 			repeated.secondResponses.meanLateness != drawn.secondResponses.meanLateness {
-			t.Fatalf("seed %d: %v and %v", seed, drawn, repeated)
+			t.Fatalf("seed %d drew different variations: %v and %v", seed, drawn, repeated)
 		}
 		responses := &drawn.secondResponses
 		if responses.meanLateness < minLateness || responses.meanLateness > maxLateness {
-			t.Errorf("seed %d: %v", seed, responses.meanLateness)
+			t.Errorf("seed %d: mean lateness %v is out of range", seed, responses.meanLateness)
 		}
 		lateness := responses.drawDelay()
 		if ratio := float64(lateness) / float64(responses.meanLateness); ratio < 1-latenessSpread ||
 			ratio > 1+latenessSpread {
-			t.Errorf("seed %d: %v of %v", seed, lateness, responses.meanLateness)
+			t.Errorf("seed %d: lateness %v is too far from the mean %v", seed, lateness, responses.meanLateness)
 		}
 		countIf(&idleBounded, drawn.bounds.maxIdle > 0)
 		countIf(&openBounded, drawn.bounds.maxOpen > 0)
@@ -35,7 +35,7 @@
 	for name, n := range map[string]int{"idle bound": idleBounded, "open bound": openBounded, "no bound": unbounded,
 		"closing": closing, "tolerated": tolerated} {
 		if n < seeds/5 || n > seeds*4/5 {
-			t.Errorf("%s: %d of %d seeds", name, n, seeds)
+			t.Errorf("%s: %d of %d seeds, want between a fifth and four fifths", name, n, seeds)
 		}
 	}
 }
--- a/internal/experiment/soak/wrongresponse_test.go
+++ b/internal/experiment/soak/wrongresponse_test.go
@@ -115,7 +115,7 @@
 	r := newCheckedRun([]timeSpan{{0, time.Second}})
 	r.processes.started[0].log = lockedBuffer{}
 	if lifetimes := r.servingLifetimes(); len(lifetimes) != 0 {
-		t.Errorf("%v", lifetimes)
+		t.Errorf("lifetimes of serving processes: %v, want none", lifetimes)
 	}
 }
 
--- a/internal/experiment/stats/stats_test.go
+++ b/internal/experiment/stats/stats_test.go
@@ -33,13 +33,13 @@
 		}
 	}
 	if got := float64(coveredByT) / rounds; math.Abs(got-0.95) > 0.02 {
-		t.Errorf("t covers %v", got)
+		t.Errorf("Student's interval covers the mean in a fraction of %v", got)
 	}
-	if got := float64(coveredByBootstrap) / 300; got < 0.86 || got > 0.98 { // intervals of 12 values are a little too narrow
-		t.Errorf("the bootstrap covers %v", got)
+	if got := float64(coveredByBootstrap) / 300; got < 0.86 || got > 0.98 { // slightly narrow intervals for 12 values
+		t.Errorf("the bootstrap interval covers the mean in a fraction of %v", got)
 	}
 	if got := float64(coveredByPrediction) / rounds; math.Abs(got-0.95) > 0.02 {
-		t.Errorf("the prediction covers %v", got)
+		t.Errorf("the prediction interval covers the next value in a fraction of %v", got)
 	}
 }
 
