--- a/internal/experiment/claim/claim_test.go
+++ b/internal/experiment/claim/claim_test.go
@@ -45,21 +45,21 @@
 // A comparison is inconclusive if the runs vary too much to decide it. A claim with == must be satisfied in
 // each run.
 func TestJudgesByRuns(t *testing.T) {
-	evaluate := func(text string, v ...float64) Verdict {
+	evaluate := func(text string, values ...float64) Verdict {
 		parsed, err := Parse(text, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var runs []map[string]float64
-		for _, testCase := range v {
-			runs = append(runs, map[string]float64{"x": testCase})
+		for _, value := range values {
+			runs = append(runs, map[string]float64{"x": value})
 		}
 		return parsed.Evaluate(runs, 0.95).Verdict
 	}
 	for _, testCase := range []struct {
-		text string
-		v    []float64
-		want Verdict
+		text   string
+		values []float64
+		want   Verdict
 	}{
 		{"x >= 1", []float64{1.2, 1.3, 1.25}, Holds},
 		{"x >= 1", []float64{0.7, 0.8, 0.75}, Fails},
@@ -69,8 +69,8 @@
 		{"x == 0", []float64{0, 0, 0}, Holds},
 		{"x == 0", []float64{0, 1, 0}, Fails},
 	} {
-		if got := evaluate(testCase.text, testCase.v...); got != testCase.want {
-			t.Errorf("%s of %v: %v, want %v", testCase.text, testCase.v, got, testCase.want)
+		if got := evaluate(testCase.text, testCase.values...); got != testCase.want {
+			t.Errorf("%s of %v: %v, want %v", testCase.text, testCase.values, got, testCase.want)
 		}
 	}
 }
--- a/internal/experiment/report/charts.go
+++ b/internal/experiment/report/charts.go
@@ -22,11 +22,11 @@
 // Colors of variants A and B, and of neutral lines. A and B are distinguishable with any color vision (Okabe,
 // Ito: "Color Universal Design", 2008).
 var (
-	colourA = color.RGBA{0, 114, 178, 255}
-	colourB = color.RGBA{213, 94, 0, 255}
-	bandA   = color.RGBA{0, 114, 178, 45}
-	bandB   = color.RGBA{213, 94, 0, 45}
-	grey    = color.RGBA{150, 150, 150, 255}
+	colorA       = color.RGBA{0, 114, 178, 255}
+	colorB       = color.RGBA{213, 94, 0, 255}
+	bandColorA   = color.RGBA{0, 114, 178, 45}
+	bandColorB   = color.RGBA{213, 94, 0, 45}
+	neutralColor = color.RGBA{150, 150, 150, 255}
 )
 
 const (
@@ -61,7 +61,7 @@
 
 // svg renders a plot. The plotting library generates the markup and escapes the labels, which are the only
 // user input.
-func svg(p *plot.Plot, height vg.Length) (template.HTML, error) {
+func renderSVG(p *plot.Plot, height vg.Length) (template.HTML, error) {
 	canvas := vgsvg.NewWith(vgsvg.UseWH(chartWidth, height))
 	p.Draw(draw.New(canvas))
 	var buffer bytes.Buffer
@@ -84,9 +84,9 @@
 }
 
 func comparedVariants(comparison *experiment.Comparison) []variantRuns {
-	compared := []variantRuns{{"A", comparison.RunsA, colourA, bandA}}
+	compared := []variantRuns{{"A", comparison.RunsA, colorA, bandColorA}}
 	if comparison.RunsB != nil {
-		compared = append(compared, variantRuns{"B", comparison.RunsB, colourB, bandB})
+		compared = append(compared, variantRuns{"B", comparison.RunsB, colorB, bandColorB})
 	}
 	return compared
 }
@@ -110,7 +110,7 @@
 	p := newPlot("seconds", yLabel)
 	for _, variant := range comparedVariants(comparison) {
 		var mean plotter.XYs
-		var low, high plotter.XYs
+		var bandLow, bandHigh plotter.XYs
 		for i := range selectSeries(&variant.runs[0].Series) {
 			values := variant.valuesAt(selectSeries, i)
 			var sum float64
@@ -119,12 +119,12 @@
 			}
 			seconds := (float64(i) + 0.5) * float64(variant.runs[0].Series.Bin) / 1e6
 			mean = append(mean, plotter.XY{X: seconds, Y: sum / float64(len(values))})
-			low = append(low, plotter.XY{X: seconds, Y: values[int(0.05*float64(len(values)-1))]})
-			high = append(high, plotter.XY{X: seconds, Y: values[int(math.Ceil(0.95*float64(len(values)-1)))]})
+			bandLow = append(bandLow, plotter.XY{X: seconds, Y: values[int(0.05*float64(len(values)-1))]})
+			bandHigh = append(bandHigh, plotter.XY{X: seconds, Y: values[int(math.Ceil(0.95*float64(len(values)-1)))]})
 		}
 		if len(variant.runs) > 1 {
-			slices.Reverse(high)
-			band, err := plotter.NewPolygon(append(low, high...))
+			slices.Reverse(bandHigh)
+			band, err := plotter.NewPolygon(append(bandLow, bandHigh...))
 			if err != nil {
 				return "", err
 			}
@@ -145,7 +145,7 @@
 	if maxY > 0 {
 		p.Y.Max = maxY
 	}
-	return svg(p, chartHeight)
+	return renderSVG(p, chartHeight)
 }
 
 // differenceChart draws the differences between the variants with their confidence intervals, multiplied by a
@@ -153,11 +153,11 @@
 func differenceChart(rows []experiment.Row, factor float64, label string) (template.HTML, error) {
 	p := newPlot(label, "")
 	var names []string
-	type bars struct {
+	type horizontalErrorBars struct {
 		plotter.XYs
 		plotter.XErrors
 	}
-	var errorBars bars
+	var errorBars horizontalErrorBars
 	for i := range rows {
 		row := rows[len(rows)-1-i]
 		if math.IsInf(row.Difference.HalfWidth(), 0) {
@@ -177,23 +177,23 @@
 	if err != nil {
 		return "", err
 	}
-	intervals.Color = colourB
+	intervals.Color = colorB
 	intervals.Width = vg.Points(1.5)
 	means, err := plotter.NewScatter(errorBars.XYs)
 	if err != nil {
 		return "", err
 	}
-	means.Color = colourB
+	means.Color = colorB
 	means.Shape = draw.CircleGlyph{}
 	means.Radius = vg.Points(3)
 	zero, err := plotter.NewLine(plotter.XYs{{X: 0, Y: -0.5}, {X: 0, Y: float64(len(names)) - 0.5}})
 	if err != nil {
 		return "", err
 	}
-	zero.Color = grey
+	zero.Color = neutralColor
 	p.Add(zero, intervals, means)
 	p.NominalY(names...)
-	return svg(p, vg.Length(1.6+0.6*float64(len(names)))*vg.Centimeter)
+	return renderSVG(p, vg.Length(1.6+0.6*float64(len(names)))*vg.Centimeter)
 }
 
 // latencyChart draws the latency quantiles of each variant, with a line for each request class.
@@ -231,7 +231,7 @@
 	}
 	p.Legend.Left = true
 	p.Y.Min = 0
-	return svg(p, 7*vg.Centimeter)
+	return renderSVG(p, 7*vg.Centimeter)
 }
 
 var dashPatterns = [][]vg.Length{
@@ -291,7 +291,7 @@
 	p.X.Tick.Label.YAlign = draw.YCenter
 	p.Y.Min = 0
 	p.Y.Max = 1
-	return svg(p, 8*vg.Centimeter)
+	return renderSVG(p, 8*vg.Centimeter)
 }
 
 // chartList collects the charts of a page.
@@ -309,7 +309,7 @@
 }
 
 // charts draws all charts of a comparison.
-func charts(comparison *experiment.Comparison) ([]chart, error) {
+func comparisonCharts(comparison *experiment.Comparison) ([]chart, error) {
 	l := &chartList{}
 	for _, add := range []func(comparison *experiment.Comparison) error{
 		l.addDifferences, l.addSeries, l.addLatencies, l.addEndpointLoads,
@@ -349,8 +349,8 @@
 func (l *chartList) addSeries(comparison *experiment.Comparison) error {
 	for _, series := range []struct {
 		title, about, label string
-		of                  func(s *measure.Series) []float64
-		maxValue            float64
+		selectSeries        func(s *measure.Series) []float64
+		maxY                float64
 	}{
 		{
 			"Service over time",
@@ -371,7 +371,7 @@
 			"milliseconds", func(s *measure.Series) []float64 { return s.P99 }, 0,
 		},
 	} {
-		picture, err := seriesChart(comparison, series.label, series.of, series.maxValue)
+		picture, err := seriesChart(comparison, series.label, series.selectSeries, series.maxY)
 		if err := l.add(series.title, series.about, picture, err); err != nil {
 			return err
 		}
@@ -429,7 +429,7 @@
 		if err != nil {
 			return "", err
 		}
-		lineColor := []color.Color{colourA, colourB, grey}[lineIndex%3]
+		lineColor := []color.Color{colorA, colorB, neutralColor}[lineIndex%3]
 		line.Color = lineColor
 		line.Width = vg.Points(1.5)
 		line.Dashes = dashPatterns[lineIndex/3%len(dashPatterns)]
@@ -440,5 +440,5 @@
 		}
 	}
 	p.NominalX(xAxis.Values...)
-	return svg(p, 7*vg.Centimeter)
+	return renderSVG(p, 7*vg.Centimeter)
 }
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -84,8 +84,8 @@
 		Method:     "Differences are from the first place, pair by pair.",
 	}
 	for _, name := range figures {
-		if f, ok := measure.Describe(name); ok {
-			data.Figures = append(data.Figures, f)
+		if definition, ok := measure.Describe(name); ok {
+			data.Figures = append(data.Figures, definition)
 		}
 		picture, err := sweepChart(sweep, name)
 		if err != nil {
@@ -108,14 +108,14 @@
 		point := &sweep.Points[i]
 		cells := append([]string{}, point.Values...)
 		for _, name := range figures {
-			f, _ := measure.Describe(name)
+			definition, _ := measure.Describe(name)
 			value, difference := point.Figure(name)
-			cells = append(cells, experiment.Number(f, value))
+			cells = append(cells, experiment.Number(definition, value))
 			if difference == nil {
 				cells = append(cells, "")
 				continue
 			}
-			text := experiment.Signed(f, difference.Difference)
+			text := experiment.Signed(definition, difference.Difference)
 			if difference.Verdict != experiment.Inconclusive {
 				text += " " + difference.Verdict.String()
 			}
@@ -157,16 +157,16 @@
 		data.Comparing = true
 	}
 	for _, comparison := range comparisons {
-		s := comparison.Plan.Scenario
-		plan := s.Draw(comparison.Plan.FirstSeed)
+		scenario := comparison.Plan.Scenario
+		drawnPlan := scenario.Draw(comparison.Plan.FirstSeed)
 		section := scenarioSection{
-			Name:      s.Name,
-			About:     s.About,
-			Length:    s.Length.Duration.String(),
+			Name:      scenario.Name,
+			About:     scenario.About,
+			Length:    scenario.Length.Duration.String(),
 			Summary:   comparison.Line(),
 			Seeds:     len(comparison.Seeds),
-			Instances: len(plan.Instances),
-			Nodes:     len(plan.Endpoints), Rate: plan.Rate}
+			Instances: len(drawnPlan.Instances),
+			Nodes:     len(drawnPlan.Endpoints), Rate: drawnPlan.Rate}
 		if comparison.RunsB != nil && comparison.Rows[0].Verdict != experiment.Inconclusive {
 			section.Verdict = comparison.Rows[0].Verdict.String()
 		}
@@ -175,12 +175,12 @@
 		}
 		var err error
 		if comparison.RunsB == nil && len(comparison.Seeds) > 1 {
-			if section.Claims, err = comparison.Claims(s.Expect); err != nil {
+			if section.Claims, err = comparison.Claims(scenario.Expect); err != nil {
 				return nil, err
 			}
 		}
 		if pictures {
-			if section.Charts, err = charts(comparison); err != nil {
+			if section.Charts, err = comparisonCharts(comparison); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/experiment/soak/check.go
+++ b/internal/experiment/soak/check.go
@@ -36,11 +36,11 @@
 
 // checkRules checks all rules of the soak after all processes have ended.
 func (r *run) checkRules() {
-	sent := r.sentRequests()
+	reachedEndpoint := r.sentRequests()
 	r.classifyWrongResponses()
 	for _, result := range r.results {
 		r.checkResult(&result)
-		r.checkRejection(&result, sent)
+		r.checkRejection(&result, reachedEndpoint)
 	}
 	r.checkEffects()
 	r.checkDrains()
@@ -100,8 +100,8 @@
 // checkRejection checks that no request was rejected that an idle endpoint could have served within the
 // latency objective. The endpoints do not limit concurrent requests, so they always have capacity. A request
 // that reached an endpoint is skipped, since faults of that endpoint may have used up its permitted retries.
-func (r *run) checkRejection(result *client.Result, sent map[string]bool) {
-	if result.Verdict != client.Rejected || sent[result.ID] {
+func (r *run) checkRejection(result *client.Result, reachedEndpoint map[string]bool) {
+	if result.Verdict != client.Rejected || reachedEndpoint[result.ID] {
 		return
 	}
 	if result.Latency+maxIdleResponseTime < latencyObjective {
@@ -125,13 +125,13 @@
 
 // checkEffects checks that no request of an unsafe or keyed class took effect twice.
 func (r *run) checkEffects() {
-	effects := map[string]int{}
+	effectCounts := map[string]int{}
 	for _, execution := range r.fleet.ledger.Runs() {
 		if execution.TookEffect && execution.Class != "look" {
-			effects[execution.Class+" "+execution.TraceID]++
+			effectCounts[execution.Class+" "+execution.TraceID]++
 		}
 	}
-	for request, count := range effects {
+	for request, count := range effectCounts {
 		if count > 1 {
 			r.recordViolation("%s took effect %d times", request, count)
 		}
@@ -147,13 +147,13 @@
 		if !draining || execution.StartedAt.Sub(drainingSince) <= drainGrace+drainSlack {
 			continue
 		}
-		allowed := false
+		excused := false
 		for _, p := range r.pauses {
 			startedJustAfter := execution.StartedAt.After(p.end) &&
 				execution.StartedAt.Sub(p.end) < drainGrace+drainSlack
-			allowed = allowed || startedJustAfter && p.start.Before(drainingSince.Add(drainGrace))
+			excused = excused || startedJustAfter && p.start.Before(drainingSince.Add(drainGrace))
 		}
-		if !allowed {
+		if !excused {
 			r.recordViolation("%s %s reached %s %v after that was listed as draining",
 				execution.Class, execution.TraceID, execution.Endpoint, execution.StartedAt.Sub(drainingSince))
 		}
--- a/internal/experiment/soak/check_test.go
+++ b/internal/experiment/soak/check_test.go
@@ -13,19 +13,19 @@
 // Each violated rule is reported, except that a request lost or late because a process was paused is counted
 // as excused.
 func TestChecks(t *testing.T) {
-	now := time.Now()
+	start := time.Now()
 	errReset := errors.New("reset")
 	for want, result := range map[string]client.Result{
-		"look a got another": {ID: "a", Class: "look", Verdict: client.WrongResponse, StartedAt: now},
-		"look b: lost":       {ID: "b", Class: "look", Verdict: client.ConnectionLost, Err: errReset, StartedAt: now},
-		"look c: timed out":  {ID: "c", Class: "look", Verdict: client.TimedOut, Err: errReset, StartedAt: now},
+		"look a got another": {ID: "a", Class: "look", Verdict: client.WrongResponse, StartedAt: start},
+		"look b: lost":       {ID: "b", Class: "look", Verdict: client.ConnectionLost, Err: errReset, StartedAt: start},
+		"look c: timed out":  {ID: "c", Class: "look", Verdict: client.TimedOut, Err: errReset, StartedAt: start},
 	} {
 		r := &run{report: &Report{}}
 		r.checkResult(&result)
 		if violations := r.report.Violations; len(violations) != 1 || !strings.HasPrefix(violations[0], want) {
 			t.Errorf("violations %q, want %q", violations, want)
 		}
-		r = &run{report: &Report{}, pauses: []pause{{start: now.Add(-time.Second), end: now}}}
+		r = &run{report: &Report{}, pauses: []pause{{start: start.Add(-time.Second), end: start}}}
 		r.checkResult(&result)
 		excused := result.Verdict != client.WrongResponse
 		if (r.report.Excused == 1) != excused || (len(r.report.Violations) == 0) != excused {
--- a/internal/experiment/soak/process.go
+++ b/internal/experiment/soak/process.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	readyTimeout  = 6 * time.Second      // how long a new process may take until it serves
-	readyInterval = 5 * time.Millisecond // interval at which readiness is polled
+	readyTimeout      = 6 * time.Second      // how long a new process may take until it serves
+	readyPollInterval = 5 * time.Millisecond // interval at which readiness is polled
 	// killAfter is how long after SIGTERM the platform kills a process at the earliest: the longest deadline,
 	// which is at most 3 s, and 0.7 s.
 	killAfter = 3700 * time.Millisecond
@@ -31,7 +31,7 @@
 // processManager starts processes of one program that take over from one another.
 type processManager struct {
 	program      string
-	dir          string   // folder shared by the processes
+	sharedDir    string   // folder shared by the processes
 	clientAddr   string   // address to which clients connect
 	configPath   string   // path of the configuration file
 	clientSocket *os.File // listening socket for clients, inherited by the sidecar; nil for the daemon
@@ -43,7 +43,7 @@
 // newProcessManager returns a process manager, and writes the configuration of the program. The bounds apply
 // to the daemon only.
 func newProcessManager(program, dir string, f *fleet, bounds connectionBounds) (*processManager, error) {
-	m := &processManager{program: program, dir: dir, configPath: filepath.Join(dir, "config")}
+	m := &processManager{program: program, sharedDir: dir, configPath: filepath.Join(dir, "config")}
 	if filepath.Base(program) == daemonProgram {
 		var err error
 		if m.clientAddr, err = freeport.Free(); err != nil {
@@ -122,7 +122,7 @@
 	} else {
 		proc.cmd = exec.Command(m.program)
 		proc.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+m.configPath, "ROUTER_LISTEN="+m.clientAddr,
-			"ROUTER_INHERITED_FD=3", "TMPDIR="+m.dir)
+			"ROUTER_INHERITED_FD=3", "TMPDIR="+m.sharedDir)
 		proc.cmd.ExtraFiles = []*os.File{m.clientSocket}
 	}
 	proc.cmd.Stderr = &proc.log
@@ -144,14 +144,14 @@
 
 // awaitReady waits until a process serves, and reports whether it does so within readyTimeout.
 func (proc *process) awaitReady(ctx context.Context) bool {
-	tick := time.NewTicker(readyInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(readyPollInterval)
+	defer ticker.Stop()
 	for time.Since(proc.startedAt) < readyTimeout {
 		if strings.Contains(proc.log.String(), servingMessage) {
 			return true
 		}
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-proc.ended:
 			return false
 		case <-ctx.Done():
@@ -178,9 +178,9 @@
 // awaitEndpoints waits until the process that serves reports that it is ready, which requires known
 // endpoints. It reports whether that happens within readyTimeout.
 func (m *processManager) awaitEndpoints(ctx context.Context) bool {
-	tick := time.NewTicker(readyInterval)
-	defer tick.Stop()
-	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
+	ticker := time.NewTicker(readyPollInterval)
+	defer ticker.Stop()
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); {
 		response, err := http.Get("http://" + m.clientAddr + "/-/ready")
 		if err == nil {
 			response.Body.Close()
@@ -189,7 +189,7 @@
 			}
 		}
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return false
 		}
--- a/internal/experiment/soak/soak.go
+++ b/internal/experiment/soak/soak.go
@@ -62,7 +62,7 @@
 type run struct {
 	options   Options
 	rng       *rand.Rand
-	dir       string
+	sharedDir string
 	fleet     *fleet
 	processes *processManager
 	report    *Report
@@ -88,10 +88,10 @@
 	ctx, cancel := context.WithTimeout(ctx, maxRunTime)
 	defer cancel()
 	r := &run{
-		options: options,
-		rng:     rand.New(rand.NewPCG(options.Seed, eventSeedStream)),
-		dir:     dir,
-		report:  &Report{},
+		options:   options,
+		rng:       rand.New(rand.NewPCG(options.Seed, eventSeedStream)),
+		sharedDir: dir,
+		report:    &Report{},
 
 		startedAt:     time.Now(),
 		drainingSince: map[string]time.Time{},
@@ -122,11 +122,11 @@
 // runLoadAndEvents starts the first process and the clients, triggers the events, and stops the clients and
 // all processes.
 func (r *run) runLoadAndEvents(ctx context.Context) error {
-	first, err := r.processes.start()
+	firstProcess, err := r.processes.start()
 	if err != nil {
 		return err
 	}
-	if !first.awaitReady(ctx) || !r.processes.awaitEndpoints(ctx) {
+	if !firstProcess.awaitReady(ctx) || !r.processes.awaitEndpoints(ctx) {
 		return errors.New("the first process is not ready")
 	}
 	loadClient := r.newClient(r.rng.IntN(3) == 0)
@@ -137,7 +137,7 @@
 		defer close(loadDone)
 		loadClient.Run(loadContext)
 	}()
-	serving := r.runEvents(ctx, first)
+	serving := r.runEvents(ctx, firstProcess)
 	r.stopServing(serving)
 	stopLoad()
 	<-loadDone
@@ -206,7 +206,7 @@
 // sidecarSocket is included only if a process still listens on it.
 func (r *run) leftoverSockets() []string {
 	var sockets []string
-	entries, err := os.ReadDir(r.dir)
+	entries, err := os.ReadDir(r.sharedDir)
 	if err != nil {
 		return []string{err.Error()}
 	}
@@ -215,7 +215,7 @@
 			continue
 		}
 		if entry.Name() == sidecarSocket {
-			conn, err := net.Dial("unixpacket", filepath.Join(r.dir, sidecarSocket))
+			conn, err := net.Dial("unixpacket", filepath.Join(r.sharedDir, sidecarSocket))
 			if err != nil {
 				continue
 			}
--- a/internal/experiment/soak/variation.go
+++ b/internal/experiment/soak/variation.go
@@ -53,11 +53,11 @@
 
 // drawVariation draws the variation of a run. The returned secondResponses keeps drawing from rng during the
 // run.
-func drawVariation(rng *rand.Rand, extraOneIn int) variation {
+func drawVariation(rng *rand.Rand, requestsPerExtra int) variation {
 	drawn := variation{secondResponses: secondResponses{
 		meanLateness:     drawMeanLateness(rng),
 		closeConnection:  rng.IntN(2) == 0,
-		requestsPerExtra: extraOneIn,
+		requestsPerExtra: requestsPerExtra,
 		rng:              rng,
 	}}
 	switch rng.IntN(3) {
--- a/internal/experiment/soak/variation_test.go
+++ b/internal/experiment/soak/variation_test.go
@@ -42,14 +42,14 @@
 
 // Requests without a fault get second responses at the configured rate, and none at rate 0.
 func TestExtraSecondResponses(t *testing.T) {
-	for oneIn, want := range map[int]int{0: 0, 1: 1000} {
-		drawn := drawVariation(variationRNG(1), oneIn)
-		got := 0
+	for requestsPerExtra, want := range map[int]int{0: 0, 1: 1000} {
+		drawn := drawVariation(variationRNG(1), requestsPerExtra)
+		extraCount := 0
 		for range 1000 {
-			countIf(&got, drawn.secondResponses.drawExtra())
+			countIf(&extraCount, drawn.secondResponses.drawExtra())
 		}
-		if got != want {
-			t.Errorf("one in %d: %d of 1000, want %d", oneIn, got, want)
+		if extraCount != want {
+			t.Errorf("one in %d: %d of 1000, want %d", requestsPerExtra, extraCount, want)
 		}
 	}
 }
--- a/internal/experiment/soak/wrongresponse.go
+++ b/internal/experiment/soak/wrongresponse.go
@@ -93,13 +93,13 @@
 // permitted.
 func (r *run) checkWrongResponse(result *client.Result) {
 	response := r.wrongResponses[result.ID]
-	text := fmt.Sprintf("%s %s got another response, status %d, that of %s; %s", result.Class, result.ID, result.Status,
-		cmp.Or(result.NamedID, "no request"), r.describeCause(result))
+	description := fmt.Sprintf("%s %s got another response, status %d, that of %s; %s",
+		result.Class, result.ID, result.Status, cmp.Or(result.NamedID, "no request"), r.describeCause(result))
 	if response.permitted {
-		r.report.Permitted = append(r.report.Permitted, text)
+		r.report.Permitted = append(r.report.Permitted, description)
 		return
 	}
-	r.recordViolation("%s", text)
+	r.recordViolation("%s", description)
 }
 
 // describeCause describes why a request may have received the response to another request: the response was a
--- a/internal/experiment/stats/stats_test.go
+++ b/internal/experiment/stats/stats_test.go
@@ -9,16 +9,16 @@
 // The intervals contain the true mean, or the next value, about as often as their confidence level states.
 func TestCoverage(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	draw := func(n int) (v []float64) {
-		for range n {
-			v = append(v, 5+2*rng.NormFloat64())
+	drawSample := func(size int) (values []float64) {
+		for range size {
+			values = append(values, 5+2*rng.NormFloat64())
 		}
-		return v
+		return values
 	}
 	const rounds = 2000
 	var coveredByT, coveredByBootstrap, coveredByPrediction int
 	for i := range rounds {
-		sample := draw(12)
+		sample := drawSample(12)
 		if interval := StudentT(sample, 0.95); interval.Low <= 5 && 5 <= interval.High {
 			coveredByT++
 		}
@@ -27,7 +27,7 @@
 				coveredByBootstrap++
 			}
 		}
-		if interval, nextValue := PredictionInterval(sample, 0.95), draw(1)[0]; interval.Low <= nextValue &&
+		if interval, nextValue := PredictionInterval(sample, 0.95), drawSample(1)[0]; interval.Low <= nextValue &&
 			nextValue <= interval.High {
 			coveredByPrediction++
 		}
@@ -63,12 +63,12 @@
 	if interval := RateInterval(5, 5, 0.95); interval.High != 1 || interval.Low > 0.5 {
 		t.Errorf("all of five: %+v", interval)
 	}
-	for _, interval := range []struct {
-		a, b int64
-		sure bool
+	for _, testCase := range []struct {
+		a, b        int64
+		significant bool
 	}{{0, 0, false}, {0, 1, false}, {0, 5, false}, {0, 7, true}, {10, 12, false}, {3, 30, true}} {
-		if p := RateEqualityPValue(interval.a, interval.b); (p < 0.05) != interval.sure {
-			t.Errorf("%d and %d: p %v", interval.a, interval.b, p)
+		if p := RateEqualityPValue(testCase.a, testCase.b); (p < 0.05) != testCase.significant {
+			t.Errorf("%d and %d: p %v", testCase.a, testCase.b, p)
 		}
 	}
 }
