--- a/internal/experiment/soak/check.go
+++ b/internal/experiment/soak/check.go
@@ -12,7 +12,7 @@
 	// drainSlack is how long after the drain grace a request may still start: 50 ms allowed by the rules on
 	// sockets, and 150 ms for which the operating system may delay a process.
 	drainSlack = 200 * time.Millisecond
-	drainGrace = 250 * time.Millisecond // equals drain-grace in the configurations
+	drainGrace = 250 * time.Millisecond // drain grace of endpoints, equal to the one in the configurations
 
 	// latencyObjective is the latency objective of all request classes, equal to the one in the
 	// configurations.
--- a/internal/experiment/soak/config.go
+++ b/internal/experiment/soak/config.go
@@ -38,7 +38,7 @@
 	if bounds.maxOpen > 0 {
 		inFlight = bounds.maxOpen - spareConnections
 	}
-	// The limit of idle connections is configured per endpoint; the only daemon instance gets all of it.
+	// The limit of idle connections is configured per endpoint; the only daemon instance may use it in full.
 	idlePerEndpoint := float64(bounds.maxIdle) / endpointCount
 	return fmt.Sprintf(`name = "soak"
 [process]
--- a/internal/experiment/soak/process.go
+++ b/internal/experiment/soak/process.go
@@ -21,7 +21,7 @@
 	readyTimeout      = 6 * time.Second      // how long a new process may take until it serves
 	readyPollInterval = 5 * time.Millisecond // interval at which readiness is polled
 	// killAfter is how long after SIGTERM the platform kills a process at the earliest: the longest deadline,
-	// which is at most 3 s, and 0.7 s.
+	// which is at most 3 s, plus 0.7 s.
 	killAfter = 3700 * time.Millisecond
 )
 
@@ -88,7 +88,7 @@
 	log          lockedBuffer
 	startedAt    time.Time
 	terminatedAt time.Time // when SIGTERM was sent; zero if it was not sent
-	killed       bool      // whether the fake platform sent SIGKILL
+	killed       bool      // whether the process was killed by the fake platform
 	exitErr      error
 	endedAt      time.Time
 	ended        chan struct{}
--- a/internal/experiment/soak/soak.go
+++ b/internal/experiment/soak/soak.go
@@ -50,7 +50,7 @@
 const (
 	requestRate       = 120.0                  // requests per second
 	highRequestRate   = 400.0                  // requests per second in a run with high load
-	delayBeforeEvents = 300 * time.Millisecond // between the start of the load and the first event
+	delayBeforeEvents = 300 * time.Millisecond // time between the start of the load and the first event
 	maxEventGap       = 500 * time.Millisecond // longest time between two events
 	dialAfterStop     = 200 * time.Millisecond // how long clients still connect after the last SIGTERM
 	clientGrace       = 500 * time.Millisecond // time after a request's timeout until it counts as lost
@@ -71,7 +71,7 @@
 
 	mu             sync.Mutex
 	results        []client.Result
-	wrongResponses map[string]wrongResponse // by the ID of the request that received it; set by classifyWrongResponses
+	wrongResponses map[string]wrongResponse // by the ID of the receiving request; set by classifyWrongResponses
 	pauses         []pause
 	drainingSince  map[string]time.Time // when endpoints were listed as draining, by endpoint name
 	lastDialTime   time.Time            // clients open no connections after it; zero until the last process is stopped
