--- a/internal/experiment/soak/fleet.go
+++ b/internal/experiment/soak/fleet.go
@@ -28,7 +28,7 @@
 const (
 	endpointCount    = 4
 	meanServiceTime  = 3 * time.Millisecond
-	dedupWindow      = 400 * time.Millisecond // how long endpoints deduplicate requests, equal to "window" in the configurations
+	dedupWindow      = 400 * time.Millisecond // deduplication window, equal to the one in the configurations
 	requestsPerFault = 20                     // one in this many requests gets a fault
 )
 
