--- a/internal/experiment/claim/claim_test.go
+++ b/internal/experiment/claim/claim_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Claims mean what they say, with units, in the usual order of operations.
+// Claims are evaluated with units and the usual operator precedence, and invalid claims are rejected.
 func TestClaims(t *testing.T) {
 	figures := map[string]float64{"service": 0.95, "p99": 120, "p99.book": 200, "breaks": 0, "a": 2, "b": 3}
 	runs := []map[string]float64{figures, figures, figures}
@@ -23,42 +23,43 @@
 		"p99 <= 100000us + 20ms":   Holds,
 		"service >= 0.99 - 2 * 1%": Fails,
 	} {
-		c, err := Parse(text, func(name string) bool { _, ok := figures[name]; return ok })
+		parsed, err := Parse(text, func(name string) bool { _, ok := figures[name]; return ok })
 		if err != nil {
 			t.Errorf("%s: %v", text, err)
 			continue
 		}
-		if got := c.Evaluate(runs, 0.95); got.Verdict != want {
+		if got := parsed.Evaluate(runs, 0.95); got.Verdict != want {
 			t.Errorf("%s: %v (%v against %v)", text, got.Verdict, got.Left, got.Right)
 		}
 	}
-	for _, bad := range []string{
+	for _, invalid := range []string{
 		"", "service", "service >= ", "service => 1", "nothing > 1", "service > 1 > 0", "1 = 1", "service > 1min",
 		"(a > 1",
 	} {
-		if _, err := Parse(bad, func(name string) bool { _, ok := figures[name]; return ok }); err == nil {
-			t.Errorf("%q was taken", bad)
+		if _, err := Parse(invalid, func(name string) bool { _, ok := figures[name]; return ok }); err == nil {
+			t.Errorf("%q was accepted", invalid)
 		}
 	}
 }
 
-// Runs that differ decide a claim only as far as they agree; an == must hold in each.
+// A comparison is inconclusive if the runs vary too much to decide it. A claim with == must be satisfied in
+// each run.
 func TestJudgesByRuns(t *testing.T) {
-	evaluate := func(text string, v ...float64) Verdict {
-		c, err := Parse(text, nil)
+	evaluate := func(text string, values ...float64) Verdict {
+		parsed, err := Parse(text, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var runs []map[string]float64
-		for _, x := range v {
-			runs = append(runs, map[string]float64{"x": x})
+		for _, value := range values {
+			runs = append(runs, map[string]float64{"x": value})
 		}
-		return c.Evaluate(runs, 0.95).Verdict
+		return parsed.Evaluate(runs, 0.95).Verdict
 	}
-	for _, x := range []struct {
-		text string
-		v    []float64
-		want Verdict
+	for _, testCase := range []struct {
+		text   string
+		values []float64
+		want   Verdict
 	}{
 		{"x >= 1", []float64{1.2, 1.3, 1.25}, Holds},
 		{"x >= 1", []float64{0.7, 0.8, 0.75}, Fails},
@@ -68,8 +69,8 @@
 		{"x == 0", []float64{0, 0, 0}, Holds},
 		{"x == 0", []float64{0, 1, 0}, Fails},
 	} {
-		if got := evaluate(x.text, x.v...); got != x.want {
-			t.Errorf("%s of %v: %v, want %v", x.text, x.v, got, x.want)
+		if got := evaluate(testCase.text, testCase.values...); got != testCase.want {
+			t.Errorf("%s of %v: %v, want %v", testCase.text, testCase.values, got, testCase.want)
 		}
 	}
 }
--- a/internal/experiment/soak/check.go
+++ b/internal/experiment/soak/check.go
@@ -9,54 +9,58 @@
 )
 
 const (
-	// drainSlack is how long after the grace of a drain a request may still begin: 50 ms of the rules on sockets, and
-	// 150 ms for which a process may be held up.
+	// drainSlack is how long after the drain grace a request may still start: 50 ms allowed by the rules on
+	// sockets, and 150 ms for which the operating system may delay a process.
 	drainSlack = 200 * time.Millisecond
-	drainGrace = 250 * time.Millisecond // as in the configurations
+	drainGrace = 250 * time.Millisecond // drain grace of endpoints, equal to the one in the configurations
 
-	// latencyObjective is that of all classes, as in the configurations.
+	// latencyObjective is the latency objective of all request classes, equal to the one in the
+	// configurations.
 	latencyObjective = 500 * time.Millisecond
 
-	// idleResponseTime is the time in which an idle endpoint responds at most: the longest service time, and its way.
-	idleResponseTime = 10 * time.Millisecond
+	// maxIdleResponseTime bounds the response time of an idle endpoint: the longest service time and the
+	// network round trip.
+	maxIdleResponseTime = 10 * time.Millisecond
 
-	// recoveryTime is how long a process that goes on after SIGSTOP may take to answer what has waited for it.
+	// recoveryTime is how long a process that continues after SIGSTOP may take to respond to the requests
+	// that waited for it.
 	recoveryTime = 500 * time.Millisecond
 )
 
-// violate records a broken rule.
-func (r *run) violate(format string, args ...any) {
+// recordViolation adds a violated rule to the report.
+func (r *run) recordViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Violations = append(r.report.Violations, fmt.Sprintf(format, args...))
 }
 
-// check checks the rules once all processes have ended.
-func (r *run) check() {
-	sent := r.sentRequests()
+// checkRules checks all rules of the soak after all processes have ended.
+func (r *run) checkRules() {
+	reachedEndpoint := r.sentRequests()
 	r.classifyWrongResponses()
 	for _, result := range r.results {
 		r.checkResult(&result)
-		r.checkRejection(&result, sent)
+		r.checkRejection(&result, reachedEndpoint)
 	}
 	r.checkEffects()
 	r.checkDrains()
-	for _, p := range r.programs.all {
+	for _, p := range r.processes.started {
 		if p.killed && !r.pausedSince(p.terminatedAt) {
-			r.violate("a process had not ended %v after SIGTERM", killAfter)
+			r.recordViolation("a process had not ended %v after SIGTERM", killAfter)
 		}
-		if p.err != nil && !p.killed && !p.rejected() {
-			r.violate("a process ended with %v", p.err)
+		if p.exitErr != nil && !p.killed && !p.rejectedByTakeover() {
+			r.recordViolation("a process ended with %v", p.exitErr)
 		}
 	}
-	if left := r.leftovers(); len(left) > 0 && !r.anyKilled() {
-		r.violate("socket files left: %v", left)
+	if sockets := r.leftoverSockets(); len(sockets) > 0 && !r.anyKilled() {
+		r.recordViolation("socket files left: %v", sockets)
 	}
 }
 
-// anyKilled reports whether the platform has killed a process, which then could not remove its files.
+// anyKilled reports whether the fake platform has killed a process; a killed process cannot remove its socket
+// files.
 func (r *run) anyKilled() bool {
-	for _, p := range r.programs.all {
+	for _, p := range r.processes.started {
 		if p.killed {
 			return true
 		}
@@ -64,10 +68,10 @@
 	return false
 }
 
-// checkResult checks that a request got its own final response in time.
+// checkResult checks that a request received its own final response in time.
 func (r *run) checkResult(result *client.Result) {
-	if errors.Is(result.Err, errClosing) {
-		return // it was never sent, or was not read by a process that closed its connection
+	if errors.Is(result.Err, errNoNewConnections) {
+		return // the request was never sent, or the process closed its connection before reading it
 	}
 	r.report.Requests++
 	r.report.Verdicts[result.Verdict]++
@@ -80,37 +84,39 @@
 			r.report.Excused++
 			return
 		}
-		r.violate("%s %s: %v after %v: %v", result.Class, result.ID, result.Verdict, result.Latency, result.Err)
+		r.recordViolation("%s %s: %v after %v: %v", result.Class, result.ID, result.Verdict, result.Latency, result.Err)
 	}
 }
 
-// sentRequests returns the IDs of the requests that have reached an endpoint.
+// sentRequests returns the IDs of the requests that reached an endpoint.
 func (r *run) sentRequests() map[string]bool {
 	sent := map[string]bool{}
-	for _, ran := range r.fleet.ledger.Runs() {
-		sent[ran.TraceID] = true
+	for _, execution := range r.fleet.ledger.Runs() {
+		sent[execution.TraceID] = true
 	}
 	return sent
 }
 
-// checkRejection checks that no request was rejected that an idle endpoint would have answered within its latency
-// objective. The endpoints have no bound on concurrent requests, so that they have capacity at any time; a request
-// that has reached one is left out, since its fault may have used up what retries are allowed.
-func (r *run) checkRejection(result *client.Result, sent map[string]bool) {
-	if result.Verdict != client.Rejected || sent[result.ID] {
+// checkRejection checks that no request was rejected that an idle endpoint could have served within the
+// latency objective. The endpoints do not limit concurrent requests, so they always have capacity. A request
+// that reached an endpoint is skipped, since faults of that endpoint may have used up its permitted retries.
+func (r *run) checkRejection(result *client.Result, reachedEndpoint map[string]bool) {
+	if result.Verdict != client.Rejected || reachedEndpoint[result.ID] {
 		return
 	}
-	if result.Latency+idleResponseTime < latencyObjective {
-		r.violate("%s %s, sent at %v, was rejected after %v while endpoints had capacity: %s", result.Class, result.ID,
-			result.StartedAt.Sub(r.startedAt).Round(time.Millisecond), result.Latency, result.Reason)
+	if result.Latency+maxIdleResponseTime < latencyObjective {
+		r.recordViolation("%s %s, sent at %v, was rejected after %v while endpoints had capacity: %s",
+			result.Class, result.ID, result.StartedAt.Sub(r.startedAt).Round(time.Millisecond),
+			result.Latency, result.Reason)
 	}
 }
 
-// overlapsPause reports whether a process was stopped by SIGSTOP at some time of a request. What waited for it then may
-// be late, or lost if the platform killed that process before it could finish.
+// overlapsPause reports whether a process was stopped by SIGSTOP during a request, or shortly before it.
+// Requests that waited for the stopped process may be late, or lost if the platform killed the process before
+// it could finish.
 func (r *run) overlapsPause(start, end time.Time) bool {
 	for _, p := range r.pauses {
-		if start.Before(p.to.Add(recoveryTime)) && end.After(p.from) {
+		if start.Before(p.end.Add(recoveryTime)) && end.After(p.start) {
 			return true
 		}
 	}
@@ -119,35 +125,37 @@
 
 // checkEffects checks that no request of an unsafe or keyed class took effect twice.
 func (r *run) checkEffects() {
-	effects := map[string]int{}
-	for _, ran := range r.fleet.ledger.Runs() {
-		if ran.TookEffect && ran.Class != "look" {
-			effects[ran.Class+" "+ran.TraceID]++
+	effectCounts := map[string]int{}
+	for _, execution := range r.fleet.ledger.Runs() {
+		if execution.TookEffect && execution.Class != "look" {
+			effectCounts[execution.Class+" "+execution.TraceID]++
 		}
 	}
-	for what, n := range effects {
-		if n > 1 {
-			r.violate("%s took effect %d times", what, n)
+	for request, count := range effectCounts {
+		if count > 1 {
+			r.recordViolation("%s took effect %d times", request, count)
 		}
 	}
 }
 
-// checkDrains checks that a draining endpoint got nothing new after the grace. A process that was stopped meanwhile may
-// send what it had decided before, right after it goes on.
+// checkDrains checks that a draining endpoint received no new request after the drain grace. A process that
+// was stopped by SIGSTOP in the meantime may, right after it continues, send requests that it had assigned to
+// the endpoint before.
 func (r *run) checkDrains() {
-	for _, ran := range r.fleet.ledger.Runs() {
-		listed, draining := r.drained[ran.Endpoint]
-		if !draining || ran.StartedAt.Sub(listed) <= drainGrace+drainSlack {
+	for _, execution := range r.fleet.ledger.Runs() {
+		drainingSince, draining := r.drainingSince[execution.Endpoint]
+		if !draining || execution.StartedAt.Sub(drainingSince) <= drainGrace+drainSlack {
 			continue
 		}
-		allowed := false
+		excused := false
 		for _, p := range r.pauses {
-			justAfter := ran.StartedAt.After(p.to) && ran.StartedAt.Sub(p.to) < drainGrace+drainSlack
-			allowed = allowed || justAfter && p.from.Before(listed.Add(drainGrace))
+			startedJustAfter := execution.StartedAt.After(p.end) &&
+				execution.StartedAt.Sub(p.end) < drainGrace+drainSlack
+			excused = excused || startedJustAfter && p.start.Before(drainingSince.Add(drainGrace))
 		}
-		if !allowed {
-			r.violate("%s %s reached %s %v after that was listed as draining",
-				ran.Class, ran.TraceID, ran.Endpoint, ran.StartedAt.Sub(listed))
+		if !excused {
+			r.recordViolation("%s %s reached %s %v after that was listed as draining",
+				execution.Class, execution.TraceID, execution.Endpoint, execution.StartedAt.Sub(drainingSince))
 		}
 	}
 }
--- a/internal/experiment/soak/process.go
+++ b/internal/experiment/soak/process.go
@@ -18,138 +18,141 @@
 )
 
 const (
-	readyTimeout  = 6 * time.Second // of a new process
-	readyInterval = 5 * time.Millisecond
-	// killAfter is how long after SIGTERM the platform kills a process at the earliest: the longest deadline, 3 s at
-	// most, and 0.7 s.
+	readyTimeout      = 6 * time.Second      // how long a new process may take until it serves
+	readyPollInterval = 5 * time.Millisecond // interval at which readiness is polled
+	// killAfter is how long after SIGTERM the platform kills a process at the earliest: the longest deadline,
+	// which is at most 3 s, plus 0.7 s.
 	killAfter = 3700 * time.Millisecond
 )
 
-// daemonProgram is the file name of the daemon, which has another configuration than the sidecar.
+// daemonProgram is the file name of the daemon, whose configuration format differs from the sidecar's.
 const daemonProgram = "dunlinsaild"
 
-// programs starts processes of one program that take over from one another.
-type programs struct {
-	program string
-	dir     string   // shared by the processes
-	addr    string   // at which clients connect
-	config  string   // path of the configuration
-	socket  *os.File // the clients' listening socket, which the sidecar inherits; nil for the daemon
+// processManager starts processes of one program that take over from one another.
+type processManager struct {
+	program      string
+	sharedDir    string   // folder shared by the processes
+	clientAddr   string   // address to which clients connect
+	configPath   string   // path of the configuration file
+	clientSocket *os.File // listening socket for clients, inherited by the sidecar; nil for the daemon
 
-	all        []*process
-	background sync.WaitGroup // the goroutines that continue or kill processes
+	started    []*process
+	background sync.WaitGroup // goroutines that continue or kill processes
 }
 
-// newPrograms writes the configuration of a program. The bounds are for the daemon.
-func newPrograms(program, dir string, f *fleet, bounds connectionBounds) (*programs, error) {
-	p := &programs{program: program, dir: dir, config: filepath.Join(dir, "config")}
+// newProcessManager returns a process manager, and writes the configuration of the program. The bounds apply
+// to the daemon only.
+func newProcessManager(program, dir string, f *fleet, bounds connectionBounds) (*processManager, error) {
+	m := &processManager{program: program, sharedDir: dir, configPath: filepath.Join(dir, "config")}
 	if filepath.Base(program) == daemonProgram {
 		var err error
-		if p.addr, err = freeport.Free(); err != nil {
+		if m.clientAddr, err = freeport.Free(); err != nil {
 			return nil, err
 		}
-		return p, os.WriteFile(p.config, []byte(daemonConfig(p.addr, f.discovery.Addr, dir, bounds)), configMode)
+		return m, os.WriteFile(
+			m.configPath, []byte(daemonConfig(m.clientAddr, f.discovery.Addr, dir, bounds)), configMode,
+		)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	defer ln.Close()
-	p.addr = ln.Addr().String()
-	if p.socket, err = ln.(*net.TCPListener).File(); err != nil {
+	m.clientAddr = ln.Addr().String()
+	if m.clientSocket, err = ln.(*net.TCPListener).File(); err != nil {
 		return nil, err
 	}
-	return p, p.writeKnown(f)
+	return m, m.writeSidecarConfig(f)
 }
 
-// writeKnown writes the sidecar's configuration with the endpoints as they are listed now, as the platform does before
-// it starts a process. It does nothing for the daemon.
-func (p *programs) writeKnown(f *fleet) error {
-	if p.socket == nil {
+// writeSidecarConfig writes the sidecar's configuration with the endpoints that discovery lists now, as the
+// platform does before it starts a process. It does nothing for the daemon.
+func (m *processManager) writeSidecarConfig(f *fleet) error {
+	if m.clientSocket == nil {
 		return nil
 	}
-	text, err := sidecarConfig(p.addr, f.discovery.Addr, f.entries)
+	text, err := sidecarConfig(m.clientAddr, f.discovery.Addr, f.instances)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(p.config, []byte(text), configMode)
+	return os.WriteFile(m.configPath, []byte(text), configMode)
 }
 
-// configMode is the permissions of a configuration file.
+// configMode holds the permission bits of a configuration file.
 const configMode = 0o600
 
-// process is one process of a program. Its fields are read after its end, unless noted.
+// process is one process of a program. Fields that are set at its end are read after ended is closed.
 type process struct {
-	programs     *programs
+	manager      *processManager
 	cmd          *exec.Cmd
 	log          lockedBuffer
 	startedAt    time.Time
-	terminatedAt time.Time // when SIGTERM was sent; zero: not yet
-	killed       bool      // by the platform
-	err          error
+	terminatedAt time.Time // when SIGTERM was sent; zero if it was not sent
+	killed       bool      // whether the process was killed by the fake platform
+	exitErr      error
 	endedAt      time.Time
 	ended        chan struct{}
 }
 
-// lockedBuffer is a buffer that a process writes while others read it.
+// lockedBuffer is a buffer to which a process writes its log while other goroutines read it.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-// Write appends to the buffer.
+// Write appends text to the buffer.
 func (b *lockedBuffer) Write(text []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(text)
 }
 
-// String returns what was written so far.
+// String returns the text written so far.
 func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
 }
 
-// start starts a process, which takes over from the one that serves.
-func (p *programs) start() (*process, error) {
-	q := &process{programs: p, startedAt: time.Now(), ended: make(chan struct{})}
-	if p.socket == nil {
-		q.cmd = exec.Command(p.program, "--config", p.config)
+// start starts a process, which takes over from the process that serves.
+func (m *processManager) start() (*process, error) {
+	proc := &process{manager: m, startedAt: time.Now(), ended: make(chan struct{})}
+	if m.clientSocket == nil {
+		proc.cmd = exec.Command(m.program, "--config", m.configPath)
 	} else {
-		q.cmd = exec.Command(p.program)
-		q.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+p.config, "ROUTER_LISTEN="+p.addr, "ROUTER_INHERITED_FD=3",
-			"TMPDIR="+p.dir)
-		q.cmd.ExtraFiles = []*os.File{p.socket}
+		proc.cmd = exec.Command(m.program)
+		proc.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+m.configPath, "ROUTER_LISTEN="+m.clientAddr,
+			"ROUTER_INHERITED_FD=3", "TMPDIR="+m.sharedDir)
+		proc.cmd.ExtraFiles = []*os.File{m.clientSocket}
 	}
-	q.cmd.Stderr = &q.log
-	q.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := q.cmd.Start(); err != nil {
+	proc.cmd.Stderr = &proc.log
+	proc.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := proc.cmd.Start(); err != nil {
 		return nil, err
 	}
-	p.all = append(p.all, q)
+	m.started = append(m.started, proc)
 	go func() {
-		q.err = q.cmd.Wait()
-		q.endedAt = time.Now()
-		close(q.ended)
+		proc.exitErr = proc.cmd.Wait()
+		proc.endedAt = time.Now()
+		close(proc.ended)
 	}()
-	return q, nil
+	return proc, nil
 }
 
-// servingMessage is the log message of a process that has begun to serve.
+// servingMessage is the text that a process logs once it serves.
 const servingMessage = "msg=serving"
 
-// awaitReady waits until a process serves, and reports whether it does in time.
-func (q *process) awaitReady(ctx context.Context) bool {
-	tick := time.NewTicker(readyInterval)
-	defer tick.Stop()
-	for time.Since(q.startedAt) < readyTimeout {
-		if strings.Contains(q.log.String(), servingMessage) {
+// awaitReady waits until a process serves, and reports whether it does so within readyTimeout.
+func (proc *process) awaitReady(ctx context.Context) bool {
+	ticker := time.NewTicker(readyPollInterval)
+	defer ticker.Stop()
+	for time.Since(proc.startedAt) < readyTimeout {
+		if strings.Contains(proc.log.String(), servingMessage) {
 			return true
 		}
 		select {
-		case <-tick.C:
-		case <-q.ended:
+		case <-ticker.C:
+		case <-proc.ended:
 			return false
 		case <-ctx.Done():
 			return false
@@ -158,26 +161,27 @@
 	return false
 }
 
-// servedAt returns when a process began to serve, by its log; zero if it has not.
-func (q *process) servedAt() time.Time {
-	for line := range strings.Lines(q.log.String()) {
+// servedAt returns when a process started to serve according to its log, or the zero time if it did not.
+func (proc *process) servedAt() time.Time {
+	for line := range strings.Lines(proc.log.String()) {
 		if stamp, found := strings.CutPrefix(line, "time="); found && strings.Contains(line, servingMessage) {
 			stamp, _, _ = strings.Cut(stamp, " ")
-			at, err := time.Parse(time.RFC3339Nano, stamp)
+			loggedAt, err := time.Parse(time.RFC3339Nano, stamp)
 			if err == nil {
-				return at
+				return loggedAt
 			}
 		}
 	}
 	return time.Time{}
 }
 
-// awaitEndpoints waits until the process that serves has endpoints for requests, and reports whether it does in time.
-func (p *programs) awaitEndpoints(ctx context.Context) bool {
-	tick := time.NewTicker(readyInterval)
-	defer tick.Stop()
-	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
-		response, err := http.Get("http://" + p.addr + "/-/ready")
+// awaitEndpoints waits until the process that serves reports that it is ready, which requires known
+// endpoints. It reports whether that happens within readyTimeout.
+func (m *processManager) awaitEndpoints(ctx context.Context) bool {
+	ticker := time.NewTicker(readyPollInterval)
+	defer ticker.Stop()
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); {
+		response, err := http.Get("http://" + m.clientAddr + "/-/ready")
 		if err == nil {
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
@@ -185,7 +189,7 @@
 			}
 		}
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return false
 		}
@@ -193,81 +197,82 @@
 	return false
 }
 
-// signal sends a signal to a process that has not ended.
-func (q *process) signal(signal syscall.Signal) {
-	if !q.hasEnded() {
-		_ = q.cmd.Process.Signal(signal) // it may end meanwhile
+// signal sends a signal to the process unless the process has ended.
+func (proc *process) signal(signal syscall.Signal) {
+	if !proc.hasEnded() {
+		_ = proc.cmd.Process.Signal(signal) // fails if the process has just ended
 	}
 }
 
-// hasEnded reports whether a process has ended.
-func (q *process) hasEnded() bool {
+// hasEnded reports whether the process has ended.
+func (proc *process) hasEnded() bool {
 	select {
-	case <-q.ended:
+	case <-proc.ended:
 		return true
 	default:
 		return false
 	}
 }
 
-// terminate sends SIGTERM, and has the process killed as early as the platform may.
-func (q *process) terminate() {
-	q.terminatedAt = time.Now()
-	q.signal(syscall.SIGTERM)
-	q.programs.background.Go(func() {
+// terminate sends SIGTERM, and kills the process if it has not ended after killAfter, the earliest time at
+// which the platform may kill it.
+func (proc *process) terminate() {
+	proc.terminatedAt = time.Now()
+	proc.signal(syscall.SIGTERM)
+	proc.manager.background.Go(func() {
 		select {
-		case <-q.ended:
+		case <-proc.ended:
 		case <-time.After(killAfter):
-			q.kill()
+			proc.kill()
 		}
 	})
 }
 
-// kill kills a process and waits for its end.
-func (q *process) kill() {
-	if q.hasEnded() {
+// kill kills the process and waits for its end.
+func (proc *process) kill() {
+	if proc.hasEnded() {
 		return
 	}
-	q.killed = true
-	_ = q.cmd.Process.Kill() // it may end meanwhile
-	<-q.ended
+	proc.killed = true
+	_ = proc.cmd.Process.Kill() // fails if the process has just ended
+	<-proc.ended
 }
 
-// awaitEnd waits for the end of a process that was terminated.
-func (q *process) awaitEnd() { <-q.ended }
+// awaitEnd waits until the process ends.
+func (proc *process) awaitEnd() { <-proc.ended }
 
-// rejected reports whether a process ended because another one was taking over.
-func (q *process) rejected() bool {
-	return strings.Contains(q.log.String(), "another takeover is under way")
+// rejectedByTakeover reports whether the process ended because another process was already taking over.
+func (proc *process) rejectedByTakeover() bool {
+	return strings.Contains(proc.log.String(), "another takeover is under way")
 }
 
-// awaitAll waits until all processes have ended. What has not been terminated is killed.
-func (p *programs) awaitAll() {
-	p.background.Wait()
-	for _, q := range p.all {
-		if q.terminatedAt.IsZero() {
-			q.kill()
+// awaitAll waits until all processes have ended, and kills processes to which no SIGTERM was sent.
+func (m *processManager) awaitAll() {
+	m.background.Wait()
+	for _, proc := range m.started {
+		if proc.terminatedAt.IsZero() {
+			proc.kill()
 		}
-		<-q.ended
+		<-proc.ended
 	}
 }
 
-// close ends all processes.
-func (p *programs) close() {
-	p.background.Wait()
-	for _, q := range p.all {
-		q.kill()
+// close kills all processes that still run, and closes the listening socket.
+func (m *processManager) close() {
+	m.background.Wait()
+	for _, proc := range m.started {
+		proc.kill()
 	}
-	if p.socket != nil {
-		p.socket.Close()
+	if m.clientSocket != nil {
+		m.clientSocket.Close()
 	}
 }
 
-// logs returns what all processes have logged.
-func (p *programs) logs() string {
-	var all strings.Builder
-	for i, q := range p.all {
-		fmt.Fprintf(&all, "---- process %d\n%s", i, q.log.String())
+// logs returns the log output of all processes.
+func (m *processManager) logs() string {
+	var logs strings.Builder
+	for i, proc := range m.started {
+		fmt.Fprintf(&logs, "---- process %d\n%s", i, proc.log.String())
 	}
-	return all.String()
+	return logs.String()
 }
--- a/internal/experiment/soak/soak.go
+++ b/internal/experiment/soak/soak.go
@@ -1,6 +1,7 @@
-// Package soak plays restarts of real processes under load, with all events drawn from one seed, and checks the rules
-// of the service afterwards: each request gets its own final response in time, nothing takes effect twice, a draining
-// endpoint gets nothing new, and nothing is left over. Endpoints, clients, discovery and the platform are fakes.
+// Package soak restarts real processes under load, with all events drawn from one seed, and afterwards checks the
+// rules of the service: each request gets its own final response in time, no request of an unsafe or keyed class takes
+// effect twice, a draining endpoint receives no new request, and no socket files are left over. The endpoints, the
+// clients, discovery and the platform are fakes.
 package soak
 
 import (
@@ -17,65 +18,67 @@
 	"dunlinsail/internal/fake/client"
 )
 
-// Options configure a run.
+// Options configures a run.
 type Options struct {
 	Program string // path of dunlinsail or dunlinsaild
 	Seed    uint64
-	// SecondResponses has one of so many requests get a second response beside those of the drawn faults; 0 is none.
+	// SecondResponses makes endpoints send a second response to one in this many requests, in addition to the
+	// second responses among the drawn faults; 0 adds none.
 	SecondResponses int
 }
 
 // Report is the outcome of a run.
 type Report struct {
-	Events     []string // what happened, in order
+	Events     []string // descriptions of the events, in order of time
 	Requests   int
 	Verdicts   [client.VerdictCount]int
-	Excused    int      // requests that were lost or late while a process was stopped by SIGSTOP
-	Violations []string // broken rules
-	Permitted  []string // wrong responses that HTTP/1.1 leaves possible (run.classifyWrongResponses)
-	Variation  string   // in what the run differs from others beside its events
-	Seconds    int      // second responses that endpoints sent
-	Logs       string   // what the processes logged
+	Excused    int      // number of requests lost or late while a process was stopped by SIGSTOP
+	Violations []string // descriptions of the violated rules
+	Permitted  []string // wrong responses that HTTP/1.1 cannot prevent (run.classifyWrongResponses)
+	Variation  string   // conditions drawn for the run besides its events
+	Seconds    int      // number of second responses that endpoints sent
+	Logs       string   // log output of the processes
 }
 
-// The second halves of the random generators' seeds.
+// Streams of the random number generators: the second half of each generator's seed.
 const (
-	seedStream          = 50 // of events
-	faultSeedStream     = 51 // of endpoints' faults
-	variationSeedStream = 52 // of what runs differ in beside
+	eventSeedStream     = 50 // draws the events and the request rate
+	faultSeedStream     = 51 // draws the endpoints' faults
+	variationSeedStream = 52 // draws the variation
 )
 
 const (
-	requestRate    = 120.0                  // requests per second
-	crowdRate      = 400.0                  // the same, in a run with a crowd
-	quietStart     = 300 * time.Millisecond // before the first event
-	maxEventGap    = 500 * time.Millisecond // between two events
-	acceptingAfter = 200 * time.Millisecond // for which clients still connect after the last SIGTERM
-	clientGrace    = 500 * time.Millisecond // after its timeout a response counts as lost
-	maxRunTime     = 2 * time.Minute
-	maxOpen        = 200 // requests of the clients
+	requestRate       = 120.0                  // requests per second
+	highRequestRate   = 400.0                  // requests per second in a run with high load
+	delayBeforeEvents = 300 * time.Millisecond // time between the start of the load and the first event
+	maxEventGap       = 500 * time.Millisecond // longest time between two events
+	dialAfterStop     = 200 * time.Millisecond // how long clients still connect after the last SIGTERM
+	clientGrace       = 500 * time.Millisecond // time after a request's timeout until it counts as lost
+	maxRunTime        = 2 * time.Minute
+	maxOpenRequests   = 200 // limit of concurrent requests of the clients
 )
 
-// run is a run in progress.
+// run is the state of a run in progress.
 type run struct {
-	options  Options
-	rng      *rand.Rand
-	dir      string
-	fleet    *fleet
-	programs *programs
-	report   *Report
+	options   Options
+	rng       *rand.Rand
+	sharedDir string
+	fleet     *fleet
+	processes *processManager
+	report    *Report
 
 	startedAt time.Time
 
-	mu          sync.Mutex
-	results     []client.Result
-	wrong       map[string]wrongResponse // by the ID of the request that got it; set by classifyWrongResponses
-	pauses      []pause
-	drained     map[string]time.Time // endpoints by the instant at which they were listed as draining
-	closingTime time.Time            // from then on clients open no connection; zero: not yet
+	mu             sync.Mutex
+	results        []client.Result
+	wrongResponses map[string]wrongResponse // by the ID of the receiving request; set by classifyWrongResponses
+	pauses         []pause
+	drainingSince  map[string]time.Time // when endpoints were listed as draining, by endpoint name
+	lastDialTime   time.Time            // clients open no connections after it; zero until the last process is stopped
 }
 
-// Run plays one seed. An error means that it could not be played.
+// Run runs the soak of one seed. An error means that the run could not be completed; violated rules are in
+// the report.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -85,80 +88,81 @@
 	ctx, cancel := context.WithTimeout(ctx, maxRunTime)
 	defer cancel()
 	r := &run{
-		options: options,
-		rng:     rand.New(rand.NewPCG(options.Seed, seedStream)),
-		dir:     dir,
-		report:  &Report{},
+		options:   options,
+		rng:       rand.New(rand.NewPCG(options.Seed, eventSeedStream)),
+		sharedDir: dir,
+		report:    &Report{},
 
-		startedAt: time.Now(),
-		drained:   map[string]time.Time{},
+		startedAt:     time.Now(),
+		drainingSince: map[string]time.Time{},
 	}
-	v := drawVariation(rand.New(rand.NewPCG(options.Seed, variationSeedStream)), options.SecondResponses)
-	r.report.Variation = v.secondResponses.String()
+	drawn := drawVariation(rand.New(rand.NewPCG(options.Seed, variationSeedStream)), options.SecondResponses)
+	r.report.Variation = drawn.secondResponses.String()
 	if filepath.Base(options.Program) == daemonProgram {
-		r.report.Variation += ", " + v.bounds.String()
+		r.report.Variation += ", " + drawn.bounds.String()
 	}
-	r.fleet, err = startFleet(rand.New(rand.NewPCG(options.Seed, faultSeedStream)), v.secondResponses)
+	r.fleet, err = startFleet(rand.New(rand.NewPCG(options.Seed, faultSeedStream)), drawn.secondResponses)
 	if err != nil {
 		return nil, err
 	}
 	defer r.fleet.close()
-	if r.programs, err = newPrograms(options.Program, dir, r.fleet, v.bounds); err != nil {
+	if r.processes, err = newProcessManager(options.Program, dir, r.fleet, drawn.bounds); err != nil {
 		return nil, err
 	}
-	defer r.programs.close()
-	if err := r.play(ctx); err != nil {
-		return nil, fmt.Errorf("seed %d: %w; logs:\n%s", options.Seed, err, r.programs.logs())
+	defer r.processes.close()
+	if err := r.runLoadAndEvents(ctx); err != nil {
+		return nil, fmt.Errorf("seed %d: %w; logs:\n%s", options.Seed, err, r.processes.logs())
 	}
-	r.check()
+	r.checkRules()
 	r.report.Seconds = len(r.fleet.ledger.SecondResponses())
-	r.report.Logs = r.programs.logs()
+	r.report.Logs = r.processes.logs()
 	return r.report, nil
 }
 
-// play starts the first process and the clients, makes the events happen, and stops everything.
-func (r *run) play(ctx context.Context) error {
-	first, err := r.programs.start()
+// runLoadAndEvents starts the first process and the clients, triggers the events, and stops the clients and
+// all processes.
+func (r *run) runLoadAndEvents(ctx context.Context) error {
+	firstProcess, err := r.processes.start()
 	if err != nil {
 		return err
 	}
-	if !first.awaitReady(ctx) || !r.programs.awaitEndpoints(ctx) {
+	if !firstProcess.awaitReady(ctx) || !r.processes.awaitEndpoints(ctx) {
 		return errors.New("the first process is not ready")
 	}
-	load := r.newClient(r.rng.IntN(3) == 0)
+	loadClient := r.newClient(r.rng.IntN(3) == 0)
 	loadContext, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
-	loaded := make(chan struct{})
+	loadDone := make(chan struct{})
 	go func() {
-		defer close(loaded)
-		load.Run(loadContext)
+		defer close(loadDone)
+		loadClient.Run(loadContext)
 	}()
-	serving := r.playEvents(ctx, first)
+	serving := r.runEvents(ctx, firstProcess)
 	r.stopServing(serving)
 	stopLoad()
-	<-loaded
+	<-loadDone
 	return ctx.Err()
 }
 
-// newClient returns the client processes' side: an open loop over persistent connections, which it uses until they are
-// closed.
-func (r *run) newClient(crowd bool) *client.Client {
+// newClient returns the fake client: an open loop over persistent connections, which the client uses until
+// they are closed.
+func (r *run) newClient(highLoad bool) *client.Client {
 	rate := requestRate
-	if crowd {
-		rate = crowdRate
-		r.note("a crowd")
+	if highLoad {
+		rate = highRequestRate
+		r.recordEvent("a crowd")
 	}
 	const timeout = 900 * time.Millisecond
 	return client.New(client.Options{
 		Name:     "soak",
 		Tenant:   "acme",
 		Rate:     rate,
-		MaxOpen:  maxOpen,
+		MaxOpen:  maxOpenRequests,
 		Duration: maxRunTime,
 		Seed:     r.options.Seed,
 		Grace:    clientGrace,
 
-		ResendAfterReset: true, // checkEffects finds requests that ran twice
+		ResendAfterReset: true, // checkEffects detects requests that took effect twice
 		Dial:             r.dial,
 		OnDone:           r.addResult,
 		Classes: []client.Class{
@@ -169,40 +173,40 @@
 	})
 }
 
-// addResult records the end of a request.
+// addResult records the result of a request.
 func (r *run) addResult(result client.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results = append(r.results, result)
 }
 
-// note records an event for the report, with its time since the start of the run.
-func (r *run) note(format string, args ...any) {
-	at := time.Since(r.startedAt).Round(time.Millisecond)
-	r.report.Events = append(r.report.Events, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
+// recordEvent adds an event to the report, with the time since the start of the run.
+func (r *run) recordEvent(format string, args ...any) {
+	elapsed := time.Since(r.startedAt).Round(time.Millisecond)
+	r.report.Events = append(r.report.Events, fmt.Sprintf("%v: ", elapsed)+fmt.Sprintf(format, args...))
 }
 
-// stopServing sends the last SIGTERM, perhaps with a SIGINT behind it, while clients go on using their connections, and
-// kills the process as early as the platform may.
+// stopServing sends the last SIGTERM, optionally followed by SIGINT, while clients keep using their
+// connections. The process is killed if it has not ended when the platform is allowed to kill it.
 func (r *run) stopServing(serving *process) {
 	r.mu.Lock()
-	r.closingTime = time.Now().Add(acceptingAfter)
+	r.lastDialTime = time.Now().Add(dialAfterStop)
 	r.mu.Unlock()
-	r.note("last stop")
+	r.recordEvent("last stop")
 	r.stop(serving, r.rng.IntN(2) == 0)
 	serving.awaitEnd()
-	r.programs.awaitAll()
+	r.processes.awaitAll()
 }
 
-// sidecarSocket is the socket file of the sidecar's hot restart, which stays after its end: another process may have
-// replaced it by then (takeover.ListenReplacing).
+// sidecarSocket is the socket file of the sidecar's hot restart. The sidecar leaves the file in place when it
+// ends, because another process may have replaced the file by then (takeover.ListenReplacing).
 const sidecarSocket = "dunlinsail.takeover"
 
-// leftovers returns the socket files in the folder that the processes shared, and the sidecar's only if a process
-// listens at it.
-func (r *run) leftovers() []string {
-	var found []string
-	entries, err := os.ReadDir(r.dir)
+// leftoverSockets returns the socket files left in the folder that the processes shared. The file
+// sidecarSocket is included only if a process still listens on it.
+func (r *run) leftoverSockets() []string {
+	var sockets []string
+	entries, err := os.ReadDir(r.sharedDir)
 	if err != nil {
 		return []string{err.Error()}
 	}
@@ -211,13 +215,13 @@
 			continue
 		}
 		if entry.Name() == sidecarSocket {
-			listening, err := net.Dial("unixpacket", filepath.Join(r.dir, sidecarSocket))
+			conn, err := net.Dial("unixpacket", filepath.Join(r.sharedDir, sidecarSocket))
 			if err != nil {
 				continue
 			}
-			listening.Close()
+			conn.Close()
 		}
-		found = append(found, entry.Name())
+		sockets = append(sockets, entry.Name())
 	}
-	return found
+	return sockets
 }
