--- a/cmd/dunlinsail-experiment/gossip.go
+++ b/cmd/dunlinsail-experiment/gossip.go
@@ -162,8 +162,8 @@
 	s := gossipsim.Settings{
 		Members:      c.Members,
 		Candidates:   leaseCandidates,
-		Units:        c.Units,
-		Demand:       c.Demand * c.Units,
+		BudgetRate:   c.Units,
+		DemandRate:   c.Demand * c.Units,
 		Duration:     c.For.Microseconds(),
 		Seed:         seed,
 		Coordination: gossipsim.DefaultSettings(),
--- a/cmd/dunlinsail-experiment/real.go
+++ b/cmd/dunlinsail-experiment/real.go
@@ -98,7 +98,7 @@
 			digits = 1
 		}
 		fmt.Fprintf(
-			t, "%s\t%s\t%.*f\t%s\n", row.Name, experiment.Number(row.Figure, row.Model), digits, row.Processes,
+			t, "%s\t%s\t%.*f\t%s\n", row.Name, experiment.FormatMean(row.Figure, row.Model), digits, row.Processes,
 			mark,
 		)
 	}
--- a/cmd/dunlinsail-experiment/records.go
+++ b/cmd/dunlinsail-experiment/records.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	all := rec.Check()
+	all := rec.Findings()
 	for _, line := range all {
 		fmt.Fprintln(w, line)
 	}
@@ -74,7 +74,7 @@
 	fmt.Fprintln(t, "class\tstories\ttries each\tserved\tp50\tp99\tverdicts of tries")
 	byClass := map[string][]*accesslog.Operation{}
 	for _, s := range operations {
-		byClass[s.First().Class] = append(byClass[s.First().Class], s)
+		byClass[s.FirstAttempt().Class] = append(byClass[s.FirstAttempt().Class], s)
 	}
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
 		printClass(t, class, byClass[class])
@@ -95,7 +95,7 @@
 		}
 		if s.Served() {
 			served++
-			latencies = append(latencies, s.Attempts[len(s.Attempts)-1].End()-s.First().Arrived)
+			latencies = append(latencies, s.Attempts[len(s.Attempts)-1].End()-s.FirstAttempt().Arrived)
 		}
 	}
 	slices.Sort(latencies)
--- a/cmd/dunlinsail-experiment/runs.go
+++ b/cmd/dunlinsail-experiment/runs.go
@@ -219,7 +219,7 @@
 	fmt.Fprintln(w, got.Line())
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range got.Rows {
-		fmt.Fprintf(t, "%s\t%s\t%s\n", row.Name, experiment.Number(row.Figure, row.A), row.Note)
+		fmt.Fprintf(t, "%s\t%s\t%s\n", row.Name, experiment.FormatMean(row.Figure, row.A), row.Note)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -379,8 +379,8 @@
 			verdict = strings.TrimSpace(verdict + " " + row.Note)
 		}
 		fmt.Fprintf(
-			t, "%s\t%s\t%s\t%s\t%s\n", row.Name, experiment.Number(row.Figure, row.A),
-			experiment.Number(row.Figure, row.B), experiment.Signed(row.Figure, row.Difference), verdict,
+			t, "%s\t%s\t%s\t%s\t%s\n", row.Name, experiment.FormatMean(row.Figure, row.A),
+			experiment.FormatMean(row.Figure, row.B), experiment.FormatSignedMean(row.Figure, row.Difference), verdict,
 		)
 	}
 	return t.Flush()
@@ -447,7 +447,7 @@
 	if err != nil {
 		return false, err
 	}
-	evaluations, err := got.Claims(s.Expect)
+	evaluations, err := got.EvaluateClaims(s.Expect)
 	if err != nil {
 		return false, fmt.Errorf("scenario %s: %w", s.Name, err)
 	}
--- a/cmd/dunlinsail-experiment/search.go
+++ b/cmd/dunlinsail-experiment/search.go
@@ -101,9 +101,9 @@
 		for _, name := range c.Figure {
 			f, _ := measure.Describe(name)
 			value, d := sweep.Points[i].Figure(name)
-			fmt.Fprintf(t, "%s\t", experiment.Number(f, value))
+			fmt.Fprintf(t, "%s\t", experiment.FormatMean(f, value))
 			if d != nil {
-				fmt.Fprint(t, experiment.Signed(f, d.Difference))
+				fmt.Fprint(t, experiment.FormatSignedMean(f, d.Difference))
 				if d.Verdict != experiment.Inconclusive {
 					fmt.Fprint(t, " ", d.Verdict)
 				}
@@ -144,7 +144,7 @@
 		return err
 	}
 	if c.Against != "" {
-		if h.Against, err = experiment.ParseVariant(c.Against); err != nil {
+		if h.Baseline, err = experiment.ParseVariant(c.Against); err != nil {
 			return err
 		}
 	}
@@ -210,8 +210,8 @@
 		100*p.Inconclusive.Low, 100*p.Inconclusive.High,
 	)
 	fmt.Fprintf(
-		w, "a harm of %g: found in %.1f%% (%.1f..%.1f%%)\n", p.Harm, 100*p.Found.Mean, 100*p.Found.Low,
-		100*p.Found.High,
+		w, "a harm of %g: found in %.1f%% (%.1f..%.1f%%)\n", p.Harm, 100*p.HarmDetected.Mean, 100*p.HarmDetected.Low,
+		100*p.HarmDetected.High,
 	)
 	return nil
 }
--- a/cmd/dunlinsail-experiment/soak.go
+++ b/cmd/dunlinsail-experiment/soak.go
@@ -77,9 +77,9 @@
 	for _, program := range programs {
 		for i := range c.Seeds {
 			runs = append(runs, &soakRun{options: soak.Options{
-				Program:         program,
-				Seed:            c.Seed + uint64(i),
-				SecondResponses: c.SecondResponses,
+				Program:                   program,
+				Seed:                      c.Seed + uint64(i),
+				RequestsPerSecondResponse: c.SecondResponses,
 			}})
 		}
 	}
@@ -106,7 +106,7 @@
 			fmt.Fprintf(w, "%d %v, ", n, client.Verdict(v))
 		}
 	}
-	fmt.Fprintf(w, "%d excused; %d %s\n", r.Excused, r.Seconds, r.Variation)
+	fmt.Fprintf(w, "%d excused; %d %s\n", r.Excused, r.SecondResponses, r.Variation)
 	for _, permitted := range r.Permitted {
 		fmt.Fprintf(w, "    permitted: %s\n", permitted)
 	}
--- a/cmd/dunlinsaild/work.go
+++ b/cmd/dunlinsaild/work.go
@@ -194,7 +194,7 @@
 	if err != nil {
 		return err
 	}
-	for _, instance := range v.Silent {
+	for _, instance := range v.SilentInstances {
 		if instance.Name == c.Instance {
 			return c.submitAndPrint(ctx, maintenance.Command{Forget: &instance})
 		}
--- a/cmd/dunlinsaild/workview.go
+++ b/cmd/dunlinsaild/workview.go
@@ -23,7 +23,7 @@
 		fmt.Fprint(w, "; all is held")
 	}
 	fmt.Fprintln(w)
-	for _, instance := range v.Silent {
+	for _, instance := range v.SilentInstances {
 		fmt.Fprintf(w, "%s has not been heard for long: no further machine can be told ahead."+
 			" If its process is dead for certain: work forget %s\n", instance.Name, instance.Name)
 	}
@@ -32,7 +32,7 @@
 	}
 	for i := range v.Machines {
 		m := &v.Machines[i]
-		since := micros(v.Now - m.Since).Round(time.Second)
+		since := micros(v.Now - m.PhaseSince).Round(time.Second)
 		requests := strings.Join(m.Requests, " ")
 		fmt.Fprintf(w, "%s\t%v\t%v ago\t%s\t%s\n", m.Name, m.Phase, since, requests, attentionFor(m))
 	}
--- a/internal/accesslog/golden_test.go
+++ b/internal/accesslog/golden_test.go
@@ -53,7 +53,7 @@
 func writeGolden(t *testing.T, dir string) string {
 	t.Helper()
 	clock := func() time.Time { return goldenNow }
-	w := startWriter(t, Options{Dir: dir, Instance: "golden-instance", Sample: 1, Now: clock})
+	w := startWriter(t, Options{Dir: dir, Instance: "golden-instance", SampleFraction: 1, Now: clock})
 	for _, r := range goldenRows() {
 		w.Add(r)
 	}
@@ -117,7 +117,7 @@
 	run := *rec.Runs[0]
 	countsMatch := run.Segments == 1 && run.Rows == 5 && run.Missing == 0 && run.Dropped == 0 && run.Sample == 1
 	offset := goldenNow.UnixMicro() - 1_700_000_000_005_007
-	if run.Instance != "golden-instance" || !countsMatch || run.Offset != offset {
+	if run.Instance != "golden-instance" || !countsMatch || run.ClockOffset != offset {
 		t.Errorf("summary of the run: %+v", run)
 	}
 	want := goldenRows()
--- a/internal/accesslog/operations.go
+++ b/internal/accesslog/operations.go
@@ -7,8 +7,8 @@
 	Attempts []Request // at least one, in the order of their arrival
 }
 
-// First returns the first attempt.
-func (op *Operation) First() *Request { return &op.Attempts[0] }
+// FirstAttempt returns the first attempt.
+func (op *Operation) FirstAttempt() *Request { return &op.Attempts[0] }
 
 // Served reports whether one of the attempts was served.
 func (op *Operation) Served() bool {
@@ -67,7 +67,7 @@
 // addByKey adds a request that has an idempotency key to the operation of this key, or starts an operation.
 func (g *operationGrouper) addByKey(q Request) {
 	op := g.byKey[q.KeyHash]
-	if op != nil && q.Arrived-op.First().Arrived < keyLifetime && len(op.Attempts) < maxAttempts {
+	if op != nil && q.Arrived-op.FirstAttempt().Arrived < keyLifetime && len(op.Attempts) < maxAttempts {
 		op.Attempts = append(op.Attempts, q)
 		return
 	}
--- a/internal/accesslog/record_test.go
+++ b/internal/accesslog/record_test.go
@@ -26,14 +26,14 @@
 // records every request, and a segment has at most 1000 rows and no age limit that the test reaches.
 func startWriter(t *testing.T, o Options) *Writer {
 	t.Helper()
-	if o.Sample == 0 {
-		o.Sample = 1
+	if o.SampleFraction == 0 {
+		o.SampleFraction = 1
 	}
-	if o.Rows == 0 {
-		o.Rows = 1000
+	if o.MaxRows == 0 {
+		o.MaxRows = 1000
 	}
-	if o.Age == 0 {
-		o.Age = time.Hour
+	if o.MaxAge == 0 {
+		o.MaxAge = time.Hour
 	}
 	o.Log = discardLogger
 	w, err := NewWriter(o)
@@ -65,7 +65,7 @@
 	now := time.UnixMilli(1_700_000_000_000)
 	wantRows := map[string]Row{}
 	for i, instance := range []string{"desk", "desk-2"} {
-		w := startWriter(t, Options{Dir: dir, Instance: instance, Rows: 40, Now: func() time.Time { return now }})
+		w := startWriter(t, Options{Dir: dir, Instance: instance, MaxRows: 40, Now: func() time.Time { return now }})
 		var adders sync.WaitGroup
 		for row := range 100 {
 			r := Row{
@@ -98,7 +98,7 @@
 			t.Errorf("%+v", r)
 		}
 	}
-	if findings := rec.Check(); len(findings) != 0 {
+	if findings := rec.Findings(); len(findings) != 0 {
 		t.Errorf("unexpected findings: %q", findings)
 	}
 }
@@ -107,7 +107,7 @@
 // are counted.
 func TestTruncatedSegments(t *testing.T) {
 	dir := t.TempDir()
-	w := startWriter(t, Options{Dir: dir, Instance: "a", Rows: 100})
+	w := startWriter(t, Options{Dir: dir, Instance: "a", MaxRows: 100})
 	for row := range 400 {
 		w.Add(Row{Arrived: int64(1_700_000_000_000_000 + row), Class: "look", KeyHash: uint64(row + 1)})
 		if (row+1)%100 == 0 { // waits for each segment: Add does not wait for the disk, and would drop rows
@@ -177,7 +177,7 @@
 // removed, but none of another instance.
 func TestDiskThatTakesNothing(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "record")
-	w := startWriter(t, Options{Dir: dir, Instance: "a", Rows: 10, Keep: 8000})
+	w := startWriter(t, Options{Dir: dir, Instance: "a", MaxRows: 10, MaxTotalBytes: 8000})
 	require.NoError(t, os.RemoveAll(dir))
 	if err := os.WriteFile(dir, nil, 0o600); err != nil { // a file in place of the folder makes every write fail
 		t.Fatal(err)
@@ -249,7 +249,7 @@
 		defer mu.Unlock()
 		return systemTime
 	}
-	writerA := startWriter(t, Options{Dir: dir, Instance: "a", Rows: 10, Now: clock})
+	writerA := startWriter(t, Options{Dir: dir, Instance: "a", MaxRows: 10, Now: clock})
 	for segment := range 3 {
 		mu.Lock()
 		systemTime = base.Add(time.Duration(segment) * time.Second)
@@ -397,7 +397,7 @@
 // requireFindings fails the test unless the findings on a recording contain all of the given texts.
 func requireFindings(t *testing.T, rec *Recording, texts ...string) {
 	t.Helper()
-	findings := strings.Join(rec.Check(), "\n")
+	findings := strings.Join(rec.Findings(), "\n")
 	for _, text := range texts {
 		if !strings.Contains(findings, text) {
 			t.Errorf("no %q in the findings: %s", text, findings)
@@ -408,7 +408,8 @@
 // BenchmarkRow measures the cost of recording one request, including its two hashes.
 func BenchmarkRow(b *testing.B) {
 	w, err := NewWriter(Options{
-		Dir: b.TempDir(), Instance: "a", Sample: 1, Rows: 20_000, Age: time.Hour, Keep: 64 << 20, Log: discardLogger,
+		Dir: b.TempDir(), Instance: "a", SampleFraction: 1, MaxRows: 20_000, MaxAge: time.Hour,
+		MaxTotalBytes: 64 << 20, Log: discardLogger,
 	})
 	require.NoError(b, err)
 	hasher := NewHasherFromSecret([]byte("0123456789abcdef"))
--- a/internal/accesslog/recording.go
+++ b/internal/accesslog/recording.go
@@ -25,17 +25,17 @@
 // Run summarizes the segments that one process of an instance wrote. The run's clock is the clock of
 // Row.Arrived, which does not step during a run.
 type Run struct {
-	Instance, Process string
-	Segments          int     // number of readable segments
-	Rows              int64   // number of rows that were read
-	Missing           int64   // number of lost rows, computed from gaps in the row numbers; 0 for a sample
-	Dropped           int64   // number of rows that the instance counted as dropped
-	Sample            float64 // fraction of requests that the instance recorded
-	From, To          int64   // first arrival and latest end of a request, in Unix microseconds
-	Offset            int64   // system's clock minus the run's clock, in microseconds, as summarize chooses it
-	Steps             []int64 // steps of the system's clock from one segment to the next, in microseconds
-	clockOffsets      []int64 // system's clock minus the run's clock at the end of each segment, in microseconds
-	lastSeq           int64   // largest row number
+	Instance, Process     string
+	Segments              int     // number of readable segments
+	Rows                  int64   // number of rows that were read
+	Missing               int64   // number of lost rows, computed from gaps in the row numbers; 0 for a sample
+	Dropped               int64   // number of rows that the instance counted as dropped
+	Sample                float64 // fraction of requests that the instance recorded
+	FirstArrival, LastEnd int64   // first arrival and latest end of a request, in Unix microseconds
+	ClockOffset           int64   // system's clock minus the run's clock, in microseconds, as summarize chooses it
+	ClockSteps            []int64 // steps of the system's clock from one segment to the next, in microseconds
+	clockOffsets          []int64 // system's clock minus the run's clock at the end of each segment, in microseconds
+	lastSeq               int64   // largest row number
 }
 
 // Recording is the content of a number of segments, from any number of folders.
@@ -132,10 +132,10 @@
 		seenRows[runName][row.Seq] = true
 		r.Rows++
 		r.lastSeq = max(r.lastSeq, row.Seq)
-		if r.From == 0 || row.Arrived < r.From {
-			r.From = row.Arrived
+		if r.FirstArrival == 0 || row.Arrived < r.FirstArrival {
+			r.FirstArrival = row.Arrived
 		}
-		r.To = max(r.To, row.Arrived+row.Duration)
+		r.LastEnd = max(r.LastEnd, row.Arrived+row.Duration)
 		lastEnd = max(lastEnd, row.Arrived+row.Duration)
 		rec.Requests = append(rec.Requests, Request{row, r.Instance})
 	}
@@ -192,14 +192,14 @@
 	for i, offset := range r.clockOffsets {
 		if i > 0 {
 			if step := offset - r.clockOffsets[i-1]; step > minClockStep || step < -minClockStep {
-				r.Steps = append(r.Steps, step)
+				r.ClockSteps = append(r.ClockSteps, step)
 			}
 		}
 	}
 	if n := len(r.clockOffsets); n > 0 {
 		sortedOffsets := slices.Sorted(slices.Values(r.clockOffsets))
-		if r.Offset = sortedOffsets[n/2]; len(r.Steps) > 0 {
-			r.Offset = r.clockOffsets[n-1] // after its last step the clock is most likely right
+		if r.ClockOffset = sortedOffsets[n/2]; len(r.ClockSteps) > 0 {
+			r.ClockOffset = r.clockOffsets[n-1] // after its last step the clock is most likely right
 		}
 	}
 }
@@ -208,13 +208,13 @@
 // several instances are in the right order.
 func (rec *Recording) Align() {
 	for _, r := range rec.Runs {
-		if r.Offset > -minClockStep && r.Offset < minClockStep+maxWriteDelay {
+		if r.ClockOffset > -minClockStep && r.ClockOffset < minClockStep+maxWriteDelay {
 			continue
 		}
 		for i := range rec.Requests {
 			request := &rec.Requests[i]
-			if request.Instance == r.Instance && request.Arrived >= r.From && request.Arrived <= r.To {
-				request.Arrived += r.Offset
+			if request.Instance == r.Instance && request.Arrived >= r.FirstArrival && request.Arrived <= r.LastEnd {
+				request.Arrived += r.ClockOffset
 			}
 		}
 	}
@@ -225,9 +225,9 @@
 // microseconds. If the system's clock is ahead of the run's clock by less, the run's clock may be right.
 const maxWriteDelay = 60_000_000
 
-// Check returns the reasons why a replay of the recording may differ from the recorded traffic, one line for
+// Findings returns the reasons why a replay of the recording may differ from the recorded traffic, one line for
 // each.
-func (rec *Recording) Check() (findings []string) {
+func (rec *Recording) Findings() (findings []string) {
 	findings = append(findings, rec.Problems...)
 	if len(rec.Requests) == 0 {
 		return append(findings, "there is no request")
@@ -253,11 +253,12 @@
 	if r.Sample < 1 {
 		add("only a fraction of %g of the requests is recorded; a replay is scaled up accordingly", r.Sample)
 	}
-	for _, step := range r.Steps {
+	for _, step := range r.ClockSteps {
 		add("the system's clock stepped by %.3f s during the run; the run's own clock did not", inSeconds(step))
 	}
-	if r.Offset < -minClockStep || r.Offset > maxWriteDelay+minClockStep {
-		add("its clock was %.3f s off at the end; align the run before it is combined with others", inSeconds(r.Offset))
+	if r.ClockOffset < -minClockStep || r.ClockOffset > maxWriteDelay+minClockStep {
+		add("its clock was %.3f s off at the end; align the run before it is combined with others",
+			inSeconds(r.ClockOffset))
 	}
 	return findings
 }
@@ -276,11 +277,11 @@
 func (rec *Recording) checkSpans() (findings []string) {
 	from, to := rec.Span()
 	for _, r := range rec.Runs {
-		if gap := r.From - from; gap > minReportedSpanGap && gap > (to-from)/spanGapDivisor {
+		if gap := r.FirstArrival - from; gap > minReportedSpanGap && gap > (to-from)/spanGapDivisor {
 			findings = append(findings, fmt.Sprintf("instance %s, run %s: starts %.0f s after the recording starts",
 				r.Instance, r.Process, inSeconds(gap)))
 		}
-		if gap := to - r.To; gap > minReportedSpanGap && gap > (to-from)/spanGapDivisor {
+		if gap := to - r.LastEnd; gap > minReportedSpanGap && gap > (to-from)/spanGapDivisor {
 			findings = append(findings, fmt.Sprintf("instance %s, run %s: ends %.0f s before the recording ends",
 				r.Instance, r.Process, inSeconds(gap)))
 		}
--- a/internal/accesslog/writer.go
+++ b/internal/accesslog/writer.go
@@ -18,14 +18,14 @@
 
 // Options configure a Writer.
 type Options struct {
-	Dir      string        // folder of the segments; NewWriter creates it if it does not exist
-	Instance string        // name of the instance, which is a part of the segments' file names
-	Sample   float64       // fraction of requests to record, above 0 and at most 1 (see Sampled)
-	Rows     int           // number of rows at which a segment is complete
-	Age      time.Duration // age at which a segment is written even if it has fewer rows
-	Keep     int64         // bytes that the segments of this instance may take; the oldest are removed; 0: no limit
-	Log      *slog.Logger
-	Now      func() time.Time // returns the time of the system's clock; nil means time.Now
+	Dir            string        // folder of the segments; NewWriter creates it if it does not exist
+	Instance       string        // name of the instance, which is a part of the segments' file names
+	SampleFraction float64       // fraction of requests to record, above 0 and at most 1 (see Sampled)
+	MaxRows        int           // number of rows at which a segment is complete
+	MaxAge         time.Duration // age at which a segment is written even if it has fewer rows
+	MaxTotalBytes  int64         // limit on the bytes of all segments of this instance; the oldest are removed; 0: none
+	Log            *slog.Logger
+	Now            func() time.Time // returns the time of the system's clock; nil means time.Now
 }
 
 // Writer writes access records. Add never waits for the disk: rows that cannot be written in time are dropped
@@ -135,7 +135,7 @@
 		segmentStart: o.Now(),
 		pending:      make(chan segment, maxPendingSegments),
 		done:         make(chan struct{}),
-		ageTicker:    time.NewTicker(max(o.Age/ageChecksPerSegment, minAgeCheckInterval)),
+		ageTicker:    time.NewTicker(max(o.MaxAge/ageChecksPerSegment, minAgeCheckInterval)),
 	}
 	entries, err := os.ReadDir(o.Dir)
 	if err != nil {
@@ -167,14 +167,14 @@
 	}
 	w.lastSeq++
 	r.Seq = w.lastSeq
-	if !Sampled(&r, w.options.Sample) {
+	if !Sampled(&r, w.options.SampleFraction) {
 		return
 	}
 	if w.rows == nil {
-		w.rows = make([]Row, 0, min(w.options.Rows, initialRows))
+		w.rows = make([]Row, 0, min(w.options.MaxRows, initialRows))
 	}
 	w.rows = append(w.rows, r)
-	if len(w.rows) >= w.options.Rows {
+	if len(w.rows) >= w.options.MaxRows {
 		w.handOverLocked()
 	}
 }
@@ -206,7 +206,7 @@
 			w.write(s)
 		case <-w.ageTicker.C:
 			w.mu.Lock()
-			if !w.closed && len(w.rows) > 0 && w.options.Now().Sub(w.segmentStart) >= w.options.Age {
+			if !w.closed && len(w.rows) > 0 && w.options.Now().Sub(w.segmentStart) >= w.options.MaxAge {
 				w.handOverLocked()
 			}
 			w.mu.Unlock()
@@ -286,7 +286,7 @@
 		"version":       fmt.Sprint(Version),
 		"instance":      w.options.Instance,
 		"process":       w.process,
-		"sample":        strconv.FormatFloat(w.options.Sample, 'g', -1, 64),
+		"sample":        strconv.FormatFloat(w.options.SampleFraction, 'g', -1, 64),
 		"dropped":       fmt.Sprint(s.dropped),
 		"began_wall_us": fmt.Sprint(s.start.UnixMicro()),
 		"ended_wall_us": fmt.Sprint(w.options.Now().UnixMicro()),
@@ -312,7 +312,7 @@
 // rotate removes the oldest segments of this instance while its segments together take more than Options.Keep
 // bytes. The newest segment is never removed.
 func (w *Writer) rotate() error {
-	if w.options.Keep <= 0 {
+	if w.options.MaxTotalBytes <= 0 {
 		return nil
 	}
 	entries, err := os.ReadDir(w.options.Dir)
@@ -341,7 +341,7 @@
 		return strings.Compare(a.path, b.path)
 	})
 	for _, oldest := range segments[:max(0, len(segments)-1)] {
-		if totalBytes <= w.options.Keep {
+		if totalBytes <= w.options.MaxTotalBytes {
 			return nil
 		}
 		if err := os.Remove(oldest.path); err != nil && !os.IsNotExist(err) {
--- a/internal/bench/quietfleet/quietfleet.go
+++ b/internal/bench/quietfleet/quietfleet.go
@@ -118,7 +118,7 @@
 			Settings:         settings(options.Instances),
 			Classes:          []string{"look"},
 			Zones:            []string{"a"},
-			Kinds:            []string{""},
+			MachineTypes:     []string{""},
 			LoadReportFields: []string{"inflight", "queue"},
 			KeepAlive:        keepAlive,
 		},
--- a/internal/bench/secondresponses.go
+++ b/internal/bench/secondresponses.go
@@ -27,8 +27,8 @@
 	AtOnce   int // runs at the same time
 }
 
-// SecondResponses measures how many requests are served with a response to another request where endpoints send some
-// responses twice: for each kind of endpoint, pool and lateness of the second responses.
+// SecondResponses measures how many requests are served with a response to another request where
+// endpoints send some responses twice: for each kind of endpoint, pool and lateness of the second responses.
 func SecondResponses(ctx context.Context, w io.Writer, options SecondResponsesOptions) error {
 	pools, err := secondResponsePools(options.Pools)
 	if err != nil {
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -24,7 +24,7 @@
 		Name:         "dunlinsaild",
 		Process:      Process{Memory: stricttoml.Size{Bytes: 256 << 20}, Descriptors: 4096},
 		Discovery:    Discovery{Mode: "watch"},
-		Takeover:     Takeover{ReadyWithin: seconds(10), DrainWithin: seconds(5)},
+		Takeover:     Takeover{ReadyTimeout: seconds(10), DrainTimeout: seconds(5)},
 		AccessLog:    defaultAccessLog(),
 		ControlPlane: defaultControlPlane(),
 		Connections:  Connections{MaxIdleTime: seconds(15), MinIdleTime: millis(100)},
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -176,9 +176,9 @@
 	// is ADDRESS. The default is none.
 	AddressMappings []string `toml:"ways"`
 
-	// SpentLog is the path of a file that gets one line for each unit of a budget that is spent. The default is "",
-	// which disables the file.
-	SpentLog string `toml:"spent"`
+	// SpentBudgetLog is the path of a file that gets one line for each unit of a budget that is spent. The
+	// default is "", which disables the file.
+	SpentBudgetLog string `toml:"spent"`
 }
 
 // Maintenance configures maintenance plans, which are replicated by consensus and decide when machines are taken
--- a/internal/config/host.go
+++ b/internal/config/host.go
@@ -35,12 +35,12 @@
 	// disables hot restart: each process starts without the state of its predecessor.
 	Socket string `toml:"socket"`
 
-	// ReadyWithin is the time within which a new process must be ready; otherwise the old process continues to
+	// ReadyTimeout is the time within which a new process must be ready; otherwise the old process continues to
 	// serve. It must be positive; the default is 10s.
-	ReadyWithin stricttoml.Duration `toml:"ready_within"`
+	ReadyTimeout stricttoml.Duration `toml:"ready_within"`
 
-	// DrainWithin is the time within which the old process must finish its open requests. The default is 5s.
-	DrainWithin stricttoml.Duration `toml:"drain_within"`
+	// DrainTimeout is the time within which the old process must finish its open requests. The default is 5s.
+	DrainTimeout stricttoml.Duration `toml:"drain_within"`
 }
 
 // Admin configures the HTTP interface for operators.
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -84,10 +84,10 @@
 	// methods.
 	Class string `toml:"class"`
 
-	// Tenant and Object state where the tenant and the object of a request are read from: "header:NAME",
+	// TenantSource and ObjectSource state where the tenant and the object of a request are read from: "header:NAME",
 	// "path:NAME", "client" or, for a constant, "=NAME". The default is "": requests have no tenant or object.
-	Tenant string `toml:"tenant"`
-	Object string `toml:"object"`
+	TenantSource string `toml:"tenant"`
+	ObjectSource string `toml:"object"`
 
 	// Key, ID and Deadline name the headers, as "header:NAME", with the idempotency key, the request ID and the
 	// number of milliseconds until the client's deadline. The default is "": requests have no such value. Key is
@@ -130,8 +130,8 @@
 	// the response has a Retry-After header. For unsafe classes they count as errors. The default is 429, 503.
 	RejectionStatuses []int `toml:"full"`
 
-	// ToHost replaces the Host header of requests. The default is "", which keeps the header.
-	ToHost string `toml:"to_host"`
+	// HostRewrite replaces the Host header of requests. The default is "", which keeps the header.
+	HostRewrite string `toml:"to_host"`
 
 	// StripPrefix is removed from the start of the path; it must consist of complete segments of Path. AddPrefix is
 	// then put in front of the path. The default of both is "".
@@ -143,14 +143,14 @@
 	// "rfc7239" sends Forwarded.
 	Forwarded string `toml:"forwarded"`
 
-	// Trusted passes on what the client's forwarding headers state about earlier hops. It is only valid with the
+	// TrustForwarded passes on what the client's forwarding headers state about earlier hops. It is only valid with the
 	// modes "x-forwarded" and "rfc7239". The default is false.
-	Trusted bool `toml:"trusted"`
+	TrustForwarded bool `toml:"trusted"`
 
-	// Request and Response are changes of the headers of forwarded requests and responses. The default is no
-	// change.
-	Request  HeaderEdits `toml:"request"`
-	Response HeaderEdits `toml:"answer"`
+	// RequestHeaderEdits and ResponseHeaderEdits are changes of the headers of forwarded requests and
+	// responses. The default is no change.
+	RequestHeaderEdits  HeaderEdits `toml:"request"`
+	ResponseHeaderEdits HeaderEdits `toml:"answer"`
 }
 
 // HeaderEdits are changes of headers by name, applied in the order Remove, Set, Add. The headers in reservedHeaders
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -34,7 +34,7 @@
 	polled := stricttoml.Enum(&v.Validation, "discovery.mode", c.Discovery.Mode,
 		map[string]bool{"watch": false, "ask": true})
 
-	v.Require(c.Takeover.ReadyWithin.Duration > 0, "takeover.ready_within", "must be positive")
+	v.Require(c.Takeover.ReadyTimeout.Duration > 0, "takeover.ready_within", "must be positive")
 
 	host, _, _ := net.SplitHostPort(c.Admin.Address)
 	v.Require(c.Admin.Address == "" || isHostPort(c.Admin.Address, 1) && net.ParseIP(host).IsLoopback(),
--- a/internal/config/validate_routes.go
+++ b/internal/config/validate_routes.go
@@ -104,8 +104,8 @@
 // valueSources returns pointers to the fields that state where values of a request are read from, by key.
 func (r *Route) valueSources() map[string]*string {
 	return map[string]*string{
-		"tenant":   &r.Tenant,
-		"object":   &r.Object,
+		"tenant":   &r.TenantSource,
+		"object":   &r.ObjectSource,
 		"key":      &r.Key,
 		"id":       &r.ID,
 		"deadline": &r.Deadline,
@@ -155,7 +155,8 @@
 
 // routeRewrites validates the changes that the route makes to forwarded requests and responses.
 func (v *validator) routeRewrites(r *Route, keyAt func(string) string) {
-	v.Require(r.ToHost == "" || !strings.ContainsAny(r.ToHost, " /?#@"), keyAt("to_host"), "%q is no host", r.ToHost)
+	v.Require(r.HostRewrite == "" || !strings.ContainsAny(r.HostRewrite, " /?#@"),
+		keyAt("to_host"), "%q is no host", r.HostRewrite)
 	v.Require(r.StripPrefix == "" || r.prefixIsStrippable(), keyAt("strip_prefix"),
 		"%q is no beginning, in whole segments, of path %q", r.StripPrefix, r.Path)
 	if r.AddPrefix != "" {
@@ -165,14 +166,16 @@
 	}
 	stricttoml.Enum(&v.Validation, keyAt("forwarded"), r.Forwarded,
 		map[string]bool{"as-is": true, "none": true, "x-forwarded": true, "rfc7239": true})
-	v.Require(!r.Trusted || r.Forwarded == "x-forwarded" || r.Forwarded == "rfc7239", keyAt("trusted"),
+	v.Require(!r.TrustForwarded || r.Forwarded == "x-forwarded" || r.Forwarded == "rfc7239", keyAt("trusted"),
 		"means nothing with forwarded = %q", r.Forwarded)
-	for key, edits := range map[string]*HeaderEdits{"request": &r.Request, "answer": &r.Response} {
+	for key, edits := range map[string]*HeaderEdits{
+		"request": &r.RequestHeaderEdits, "answer": &r.ResponseHeaderEdits,
+	} {
 		v.headerEdits(keyAt(key), edits)
 	}
 	for key, source := range map[string]string{"key": r.Key, "id": r.ID, "deadline": r.Deadline} {
 		name, _ := strings.CutPrefix(source, "header:")
-		v.Require(name == "" || !r.Request.changesHeader(name), keyAt("request"),
+		v.Require(name == "" || !r.RequestHeaderEdits.changesHeader(name), keyAt("request"),
 			"%s, which %s names, must reach the endpoint as it is", name, key)
 	}
 }
--- a/internal/config/validate_site.go
+++ b/internal/config/validate_site.go
@@ -32,7 +32,7 @@
 	v.attemptsAndRules(&c.Attempts, &c.Rules)
 	v.pricesAndGoal(c)
 	site.Zones = c.Fleet.Zones
-	site.Kinds = c.Fleet.MachineTypes
+	site.MachineTypes = c.Fleet.MachineTypes
 	site.KeepAlive = c.Fleet.KeepAlive.Duration
 	site.Settings = v.balancerSettings(c, polled)
 	v.overload(&c.Overload)
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -37,21 +37,21 @@
 // OperatorReply is the leader's reply to the OperatorRequest with the same number.
 type OperatorReply struct {
 	Number uint64 `json:"Number"`
-	Answer string `json:"Answer"` // result text of a command that was applied
+	Result string `json:"Answer"` // result text of a command that was applied
 	Error  string `json:"Error"`  // reason why the command had no effect; empty if it had one
 	View   *View  `json:"View"`   // reply to a request for the View; nil for a command
 }
 
 // View is the maintenance plan and the state of its instances as the leader knows them, for display to operators.
 type View struct {
-	Leader    string                 `json:"Leader"`
-	Now       monotime.Micros        `json:"Now"` // time of the replicated state's clock
-	OnHold    bool                   `json:"Held"`
-	Requests  []maintenance.Request  `json:"Jobs"`      // sorted by time of the request, oldest first
-	Machines  []maintenance.Machine  `json:"Items"`     // sorted by name
-	Instances []maintenance.Instance `json:"Instances"` // sorted by name
-	Events    []maintenance.Event    `json:"Events"`    // oldest first
-	Silent    []maintenance.Instance `json:"Silent"`    // without a report for silentAfterLeases lease durations
+	Leader          string                 `json:"Leader"`
+	Now             monotime.Micros        `json:"Now"` // time of the replicated state's clock
+	OnHold          bool                   `json:"Held"`
+	Requests        []maintenance.Request  `json:"Jobs"`      // sorted by time of the request, oldest first
+	Machines        []maintenance.Machine  `json:"Items"`     // sorted by name
+	Instances       []maintenance.Instance `json:"Instances"` // sorted by name
+	Events          []maintenance.Event    `json:"Events"`    // oldest first
+	SilentInstances []maintenance.Instance `json:"Silent"`    // without a report for silentAfterLeases lease durations
 }
 
 // logEntry is the data of an entry of the raft log.
--- a/internal/consensus/operators.go
+++ b/internal/consensus/operators.go
@@ -85,11 +85,11 @@
 	state := n.state
 	silentAfter := silentAfterLeases * n.settings.Maintenance.LeaseDuration
 	view := &View{
-		Leader: n.settings.Self,
-		Now:    n.stateClock(now),
-		OnHold: state.OnHold,
-		Events: slices.Clone(state.Events),
-		Silent: n.term.coordinator.SilentInstances(now, state, silentAfter),
+		Leader:          n.settings.Self,
+		Now:             n.stateClock(now),
+		OnHold:          state.OnHold,
+		Events:          slices.Clone(state.Events),
+		SilentInstances: n.term.coordinator.SilentInstances(now, state, silentAfter),
 	}
 	for _, request := range state.Requests {
 		view.Requests = append(view.Requests, *request)
--- a/internal/consensus/raftlog.go
+++ b/internal/consensus/raftlog.go
@@ -168,7 +168,7 @@
 		return
 	}
 	delete(n.pendingCalls, entry.ProposalID)
-	reply := OperatorReply{Number: call.requestNumber, Answer: result}
+	reply := OperatorReply{Number: call.requestNumber, Result: result}
 	if err != nil {
 		reply.Error = err.Error()
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -170,7 +170,7 @@
 	}
 	core.ClientGone(c) // has no effect after the response
 	counts := make(chan [2]int, 1)
-	core.post(func(monotime.Micros) { counts <- [2]int{core.engine.Calls(), client.OpenCalls()} })
+	core.post(func(monotime.Micros) { counts <- [2]int{core.engine.OpenCalls(), client.OpenCalls()} })
 	if n := scriptedpeer.Receive(t, counts, "counts"); n != [2]int{} {
 		t.Errorf("after the end: %d calls and %d request IDs left", n[0], n[1])
 	}
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -76,10 +76,10 @@
 		return l.catchUp.endsAt
 	}
 	wakeup := monotime.Micros(math.MaxInt64)
-	if due, ok := l.engine.Next(); ok {
+	if due, ok := l.engine.NextTimer(); ok {
 		wakeup = due
 	}
-	if l.engine.Waiting() {
+	if l.engine.AwaitsEndpoint() {
 		wakeup = min(wakeup, now+stall.HeartbeatInterval)
 	}
 	return wakeup
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -77,12 +77,12 @@
 // Counts returns the pool's request counts, and the number of open requests of all pools.
 func (p *Pool) Counts() PoolCounts {
 	return query(p.core, func(monotime.Micros) PoolCounts {
-		queued, inFlight, maxInFlight := p.enginePool.Counts()
+		queued, inFlight, maxInFlight := p.enginePool.RequestCounts()
 		return PoolCounts{
 			Queued:      queued,
 			InFlight:    inFlight,
 			MaxInFlight: maxInFlight,
-			OpenCalls:   p.core.engine.Calls(),
+			OpenCalls:   p.core.engine.OpenCalls(),
 		}
 	})
 }
--- a/internal/daemon/accesslog.go
+++ b/internal/daemon/accesslog.go
@@ -19,13 +19,13 @@
 		return fmt.Errorf("access record: %w", err)
 	}
 	g.accessLog, err = accesslog.NewWriter(accesslog.Options{
-		Dir:      settings.Dir,
-		Instance: g.options.Config.Name,
-		Sample:   settings.SampleRate,
-		Rows:     settings.SegmentRows,
-		Age:      settings.SegmentAge.Duration,
-		Keep:     settings.MaxBytes.Bytes,
-		Log:      g.log,
+		Dir:            settings.Dir,
+		Instance:       g.options.Config.Name,
+		SampleFraction: settings.SampleRate,
+		MaxRows:        settings.SegmentRows,
+		MaxAge:         settings.SegmentAge.Duration,
+		MaxTotalBytes:  settings.MaxBytes.Bytes,
+		Log:            g.log,
 	})
 	if err != nil {
 		return fmt.Errorf("access record: %w", err)
--- a/internal/daemon/consensus.go
+++ b/internal/daemon/consensus.go
@@ -290,5 +290,5 @@
 		Forget:        operatorCommand.Forget,
 	}
 	reply, err := member.propose(ctx, func(now monotime.Micros) uint64 { return member.node.Submit(now, command) })
-	return []byte(reply.Answer), err
+	return []byte(reply.Result), err
 }
--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -108,7 +108,7 @@
 		Upstream:    g.upstreams,
 		Log:         options.Log,
 	}
-	if path := c.Peers.SpentLog; path != "" {
+	if path := c.Peers.SpentBudgetLog; path != "" {
 		var err error
 		if g.spentLog, err = openSpentLog(path, options.Log); err != nil {
 			return fmt.Errorf("peers.spent: %w", err)
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -54,9 +54,9 @@
 func newLifecycle(stopContext context.Context, g *generation, predecessor *takeover.Conn) *lifecycle {
 	takeoverSettings := g.options.Config.Takeover
 	timeouts := decide.Times{
-		Ready: clock.Micros(takeoverSettings.ReadyWithin.Duration),
+		Ready: clock.Micros(takeoverSettings.ReadyTimeout.Duration),
 		Reply: clock.Micros(replyTimeout),
-		Drain: clock.Micros(takeoverSettings.DrainWithin.Duration),
+		Drain: clock.Micros(takeoverSettings.DrainTimeout.Duration),
 	}
 	l := &lifecycle{
 		generation:       g,
--- a/internal/daemon/routes.go
+++ b/internal/daemon/routes.go
@@ -75,8 +75,8 @@
 		Pool:             g.pools[conf.Pool].corePool,
 		SafeClass:        classIndex(config.ReadClass),
 		UnsafeClass:      classIndex(config.WriteClass),
-		Tenant:           valueSource(conf.Tenant),
-		Object:           valueSource(conf.Object),
+		Tenant:           valueSource(conf.TenantSource),
+		Object:           valueSource(conf.ObjectSource),
 		IdempotencyKey:   valueSource(conf.Key),
 		RequestID:        valueSource(conf.ID),
 		Deadline:         valueSource(conf.Deadline),
@@ -84,13 +84,13 @@
 		MaxBodyBytes:     conf.MaxBody.Bytes,
 		MaxBufferedBytes: conf.MaxBufferedBody.Bytes,
 		StreamTimeout:    conf.TotalTimeout.Duration,
-		HostOverride:     conf.ToHost,
+		HostOverride:     conf.HostRewrite,
 		StripPrefix:      conf.StripPrefix,
 		AddPrefix:        conf.AddPrefix,
-		TrustForwarded:   conf.Trusted,
+		TrustForwarded:   conf.TrustForwarded,
 		ForwardedMode:    http1.ForwardedMode(slices.Index(config.ForwardedModes, conf.Forwarded)),
-		RequestEdits:     newHeaderEdits(&conf.Request),
-		ResponseEdits:    newHeaderEdits(&conf.Response),
+		RequestEdits:     newHeaderEdits(&conf.RequestHeaderEdits),
+		ResponseEdits:    newHeaderEdits(&conf.ResponseHeaderEdits),
 	}
 	for name := range conf.Headers {
 		singletonHeaders[http.CanonicalHeaderKey(name)] = true
--- a/internal/decide/maintenance/requests.go
+++ b/internal/decide/maintenance/requests.go
@@ -50,7 +50,7 @@
 	m := state.Machines[name]
 	switch {
 	case m == nil:
-		state.Machines[name] = &Machine{Name: name, Requests: []string{request.ID}, Since: state.Now}
+		state.Machines[name] = &Machine{Name: name, Requests: []string{request.ID}, PhaseSince: state.Now}
 	case m.Phase == Returning:
 		m.Requests = []string{request.ID}
 		state.setPhase(m, Requested)
--- a/internal/decide/maintenance/schedule.go
+++ b/internal/decide/maintenance/schedule.go
@@ -24,7 +24,7 @@
 // advanceMachine marks a machine under maintenance as overdue after its due time, and removes a returning
 // machine from the plan once it is warmed up and healthy.
 func (state *State) advanceMachine(m *Machine) {
-	warmedUp := m.Phase == Returning && state.Now >= m.Since+state.settings.Warmup
+	warmedUp := m.Phase == Returning && state.Now >= m.PhaseSince+state.settings.Warmup
 	switch {
 	case m.Phase == UnderMaintenance && state.Now >= m.DueAt && !m.Overdue:
 		m.Overdue = true
--- a/internal/decide/maintenance/state.go
+++ b/internal/decide/maintenance/state.go
@@ -136,7 +136,7 @@
 		m.PlanVersion = state.PlanVersion
 	}
 	m.Phase = p
-	m.Since = state.Now
+	m.PhaseSince = state.Now
 	m.WaitReason = ""
 	m.RecallReason = ""
 	m.Overdue = false
--- a/internal/decide/maintenance/types.go
+++ b/internal/decide/maintenance/types.go
@@ -67,7 +67,7 @@
 	Name         string          `json:"Machine"`
 	Requests     []string        `json:"Jobs"` // IDs of the open requests for the machine, the oldest first
 	Phase        Phase           `json:"Phase"`
-	Since        monotime.Micros `json:"Since"`   // time at which the machine entered its phase
+	PhaseSince   monotime.Micros `json:"Since"`   // time at which the machine entered its phase
 	DueAt        monotime.Micros `json:"Until"`   // time by which the work should be complete
 	PlanVersion  uint64          `json:"Version"` // version of the plan in which the machine last changed its list
 	Overdue      bool            `json:"Overdue"` // the machine is still under maintenance after DueAt
--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -183,10 +183,10 @@
 	p.concurrency.AddSample(now, class, serviceTime, c.inFlightAtAdmission, limitReached)
 }
 
-// Counts returns the number of the pool's requests that are queued and in flight, and the learned limit of
+// RequestCounts returns the number of the pool's requests that are queued and in flight, and the learned limit of
 // requests in flight, which is lowered while the limiter runs a measurement. The limit is 0 if it is not
 // learned.
-func (p *Pool) Counts() (queued, inFlight, maxInFlight int) {
+func (p *Pool) RequestCounts() (queued, inFlight, maxInFlight int) {
 	queued, inFlight = p.queue.Counts()
 	if p.concurrency != nil {
 		maxInFlight = p.concurrency.Limit()
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -156,7 +156,7 @@
 	return balancer.Endpoint{
 		ID:        e.Number,
 		Zone:      indexOf(site.Zones, info.Zone),
-		Kind:      indexOf(site.Kinds, info.Kind),
+		Kind:      indexOf(site.MachineTypes, info.Kind),
 		Cell:      info.Cell,
 		State:     info.State,
 		Share:     info.Weight,
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -59,9 +59,9 @@
 	return eng
 }
 
-// Calls returns the number of calls in the request table: calls without a final response, and calls with an
+// OpenCalls returns the number of calls in the request table: calls without a final response, and calls with an
 // attempt in flight.
-func (eng *Engine) Calls() int { return len(eng.calls) }
+func (eng *Engine) OpenCalls() int { return len(eng.calls) }
 
 // Pools returns the number of pools that are started and not dissolved.
 func (eng *Engine) Pools() int { return len(eng.pools) }
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -165,7 +165,7 @@
 		Tenants:      []string{"t", "free"},
 		TenantLimits: []float64{limit, 0},
 		Zones:        []string{"z"},
-		Kinds:        []string{"k"},
+		MachineTypes: []string{"k"},
 		Settings: balancer.Settings{
 			Balancers: instances, Position: position, OverQuotaWeight: 1,
 			Classes: []balancer.Class{
@@ -227,7 +227,7 @@
 
 // advanceTo fires all timers that are due at or before now, each at the instant at which it is due.
 func advanceTo(engine *Engine, now monotime.Micros) {
-	for due, ok := engine.Next(); ok && due <= now; due, ok = engine.Next() {
+	for due, ok := engine.NextTimer(); ok && due <= now; due, ok = engine.NextTimer() {
 		engine.Advance(due)
 	}
 	engine.Advance(now)
--- a/internal/engine/machinestatus.go
+++ b/internal/engine/machinestatus.go
@@ -46,7 +46,7 @@
 	e := p.byName[info.Name]
 	ejected := e != nil && p.balancer.IsEjected(now, e.Number)
 	kind := info.Kind
-	if !slices.Contains(eng.config.Site.Kinds, kind) {
+	if !slices.Contains(eng.config.Site.MachineTypes, kind) {
 		kind = ""
 	}
 	return maintenance.MachineStatus{
--- a/internal/engine/overload_test.go
+++ b/internal/engine/overload_test.go
@@ -27,9 +27,9 @@
 		t.Errorf("%d attempts for 300 requests, %d probes in 7 s", sent, h.probes)
 	}
 	if unserved := h.verdicts[Rejected] + h.verdicts[Failed] + h.verdicts[TimedOut]; unserved != 300 ||
-		h.engine.Calls() != 0 {
+		h.engine.OpenCalls() != 0 {
 		t.Errorf("%d of 300 requests ended unserved, %d calls are open: verdicts %v",
-			unserved, h.engine.Calls(), h.verdicts)
+			unserved, h.engine.OpenCalls(), h.verdicts)
 	}
 	if bounds := h.pool.overload.bounds; bounds.RetryAllowed || bounds.Reason == overload.None {
 		t.Errorf("bounds while all endpoints fail: %+v", bounds)
--- a/internal/engine/stall.go
+++ b/internal/engine/stall.go
@@ -25,10 +25,10 @@
 	}
 }
 
-// Waiting reports whether an endpoint is expected to respond to an attempt or a probe. While it returns true,
+// AwaitsEndpoint reports whether an endpoint is expected to respond to an attempt or a probe. While it returns true,
 // the host should run its event loop at least every stall.HeartbeatInterval, so that stalls are detected in
 // full length.
-func (eng *Engine) Waiting() bool { return len(eng.calls) > 0 || eng.openProbes > 0 }
+func (eng *Engine) AwaitsEndpoint() bool { return len(eng.calls) > 0 || eng.openProbes > 0 }
 
 // extendTimeout extends an attempt's own timeout by the time during which this process did not run, but not
 // beyond the request's deadline.
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -122,7 +122,7 @@
 			t.Errorf("learned round trip time %v before and %v after the stall", want, got)
 		}
 	}
-	if engine.Waiting() {
+	if engine.AwaitsEndpoint() {
 		t.Error("Waiting is true without an open attempt or probe")
 	}
 }
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Next returns the instant at which the next timer is due. ok is false if no timer is pending.
-func (eng *Engine) Next() (due monotime.Micros, ok bool) {
+// NextTimer returns the instant at which the next timer is due. ok is false if no timer is pending.
+func (eng *Engine) NextTimer() (due monotime.Micros, ok bool) {
 	if eng.timers.Len() == 0 {
 		return 0, false
 	}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -43,8 +43,8 @@
 // String returns the verdict in the wording of printed tables.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Row holds the values of one figure for both variants, and their difference.
-type Row struct {
+// FigureRow holds the values of one figure for both variants, and their difference.
+type FigureRow struct {
 	measure.Figure
 	A          stats.Interval `json:"A"`          // mean over A's runs
 	B          stats.Interval `json:"B"`          // mean over B's runs
@@ -60,7 +60,7 @@
 	Seeds     []uint64
 	RunsA     []*measure.Result
 	RunsB     []*measure.Result // nil if the plan has no variant B
-	Rows      []Row             // the primary figure is the first row
+	Rows      []FigureRow       // the primary figure is the first row
 	Identical bool              // each run of B has the same digest as the run of A with its seed
 }
 
@@ -177,8 +177,8 @@
 }
 
 // compareFigure computes the row of one figure.
-func (c *Comparison) compareFigure(f measure.Figure) Row {
-	row := Row{Figure: f}
+func (c *Comparison) compareFigure(f measure.Figure) FigureRow {
+	row := FigureRow{Figure: f}
 	valuesA := FigureValues(c.RunsA, f.Name)
 	row.A = c.meanInterval(valuesA)
 	if f.CountsViolations {
@@ -229,7 +229,7 @@
 
 // compareViolations compares how often runs of A and of B violated a rule, and returns a note for the row. A count
 // of 0 does not show that violations never happen, so that the note also gives the upper bound of their rate.
-func (c *Comparison) compareViolations(row *Row, f measure.Figure) string {
+func (c *Comparison) compareViolations(row *FigureRow, f measure.Figure) string {
 	sumViolations := func(runs []*measure.Result) (violations, operations int64) {
 		for _, r := range runs {
 			violations += int64(r.Figures[f.Name])
@@ -266,7 +266,7 @@
 	row := c.Rows[0]
 	if c.RunsB == nil {
 		return fmt.Sprintf(
-			"%s: %s %s over %d runs", c.Plan.Scenario.Name, row.Name, Number(row.Figure, row.A), len(c.Seeds),
+			"%s: %s %s over %d runs", c.Plan.Scenario.Name, row.Name, FormatMean(row.Figure, row.A), len(c.Seeds),
 		)
 	}
 	if c.Identical {
@@ -276,13 +276,14 @@
 		)
 	}
 	text := fmt.Sprintf(
-		"%s: B is %v: %s %s, %s of A", c.Plan.Scenario.Name, row.Verdict, row.Name, Signed(row.Figure, row.Difference),
-		Number(row.Figure, row.A),
+		"%s: B is %v: %s %s, %s of A",
+		c.Plan.Scenario.Name, row.Verdict, row.Name, FormatSignedMean(row.Figure, row.Difference),
+		FormatMean(row.Figure, row.A),
 	)
 	if row.Verdict == Inconclusive {
 		text = fmt.Sprintf(
 			"%s: cannot tell: %s differs by %s, %s of A", c.Plan.Scenario.Name, row.Name,
-			Signed(row.Figure, row.Difference), Number(row.Figure, row.A),
+			FormatSignedMean(row.Figure, row.Difference), FormatMean(row.Figure, row.A),
 		)
 	}
 	if row.Note != "" {
@@ -291,8 +292,8 @@
 	return text + fmt.Sprintf(", over %d seeds", len(c.Seeds))
 }
 
-// Number formats a mean and half the width of its confidence interval, such as "0.9512 ± 0.0031".
-func Number(f measure.Figure, i stats.Interval) string {
+// FormatMean formats a mean and half the width of its confidence interval, such as "0.9512 ± 0.0031".
+func FormatMean(f measure.Figure, i stats.Interval) string {
 	digits := 4
 	if f.Unit == "ms" {
 		digits = 1
@@ -303,9 +304,9 @@
 	return fmt.Sprintf("%.*f ± %.*f", digits, i.Mean, digits, i.HalfWidth())
 }
 
-// Signed formats a difference like Number, with an explicit plus sign if it is not negative.
-func Signed(f measure.Figure, i stats.Interval) string {
-	text := Number(f, i)
+// FormatSignedMean formats a difference like FormatMean, with an explicit plus sign if it is not negative.
+func FormatSignedMean(f measure.Figure, i stats.Interval) string {
+	text := FormatMean(f, i)
 	if i.Mean >= 0 && !strings.HasPrefix(text, "-") {
 		return "+" + text
 	}
@@ -314,12 +315,12 @@
 
 // Summary is the JSON form of a comparison, without its runs.
 type Summary struct {
-	Scenario string   `json:"Scenario"`
-	A        string   `json:"A"`
-	B        string   `json:"B"`
-	Line     string   `json:"Line"`
-	Seeds    []uint64 `json:"Seeds"`
-	Rows     []Row    `json:"Rows"`
+	Scenario string      `json:"Scenario"`
+	A        string      `json:"A"`
+	B        string      `json:"B"`
+	Line     string      `json:"Line"`
+	Seeds    []uint64    `json:"Seeds"`
+	Rows     []FigureRow `json:"Rows"`
 }
 
 // Summary returns the comparison without its runs, for JSON output.
@@ -334,8 +335,8 @@
 // MarshalText encodes a verdict as the text that String returns.
 func (v Verdict) MarshalText() ([]byte, error) { return []byte(v.String()), nil }
 
-// Claims parses claims and evaluates them against the runs of A.
-func (c *Comparison) Claims(texts []string) ([]claim.Evaluation, error) {
+// EvaluateClaims parses claims and evaluates them against the runs of A.
+func (c *Comparison) EvaluateClaims(texts []string) ([]claim.Evaluation, error) {
 	var runs []map[string]float64
 	for _, r := range c.RunsA {
 		runs = append(runs, r.Figures)
--- a/internal/experiment/fit.go
+++ b/internal/experiment/fit.go
@@ -64,7 +64,7 @@
 func (f *fit) countBy(key func(q *accesslog.Request) string) (values []string, counts map[string]int) {
 	counts = map[string]int{}
 	for _, operation := range f.operations {
-		counts[key(operation.First())]++
+		counts[key(operation.FirstAttempt())]++
 	}
 	return slices.Sorted(maps.Keys(counts)), counts
 }
@@ -101,7 +101,7 @@
 		requests = append(requests, float64(counts[name]))
 	}
 	mean, stdDev := trimmedMeanStdDev(requests)
-	f.scenario.Fleet.Uneven = roundToThousandths(stdDev / mean)
+	f.scenario.Fleet.TrafficShareCV = roundToThousandths(stdDev / mean)
 }
 
 // fitTenants estimates the tenants and their shares of the operations.
@@ -140,26 +140,26 @@
 	for _, name := range names {
 		var serviceTimes []float64
 		for _, operation := range f.operations {
-			request := operation.First()
+			request := operation.FirstAttempt()
 			if request.Class == name && request.Verdict == accesslog.Served && request.Attempts == 1 &&
 				isQuietAt(request.Arrived) {
 				serviceTimes = append(serviceTimes, float64(request.Duration-request.QueueTime))
 			}
 		}
-		class := scenario.Class{Name: name, Share: f.share(counts[name]), Dist: "lognormal"}
+		class := scenario.Class{Name: name, Share: f.share(counts[name]), WorkDistribution: "lognormal"}
 		baseIndex := slices.IndexFunc(f.base.Classes, func(b scenario.Class) bool { return b.Name == name })
 		if baseIndex >= 0 {
 			class.Work = f.base.Classes[baseIndex].Work
-			class.CV = f.base.Classes[baseIndex].CV
-			class.Noise = f.base.Classes[baseIndex].Noise
+			class.WorkCV = f.base.Classes[baseIndex].WorkCV
+			class.AttemptWorkCV = f.base.Classes[baseIndex].AttemptWorkCV
 		}
 		if len(serviceTimes) >= minFitSamples {
 			mean, stdDev := trimmedMeanStdDev(serviceTimes)
-			networkTime := 2 * float64(s.Network.Within.Micros()+s.Host.Overhead.Micros()/2)
+			networkTime := 2 * float64(s.Network.SameZoneDelay.Micros()+s.Host.Overhead.Micros()/2)
 			work := max(100, (mean-networkTime)*meanSpeed)
 			class.Work.Duration = microsToDuration(int64(work)).Round(1e5)
-			class.CV = roundToThousandths(stdDev / mean)
-			class.Noise = 0
+			class.WorkCV = roundToThousandths(stdDev / mean)
+			class.AttemptWorkCV = 0
 			f.addNote("class %s: work %v by %d requests served at their first attempt in the quietest third, "+
 				"at a mean speed of %.2f", name, class.Work.Duration, len(serviceTimes), meanSpeed)
 		} else {
@@ -181,7 +181,7 @@
 	retried := 0
 	unserved := 0
 	for _, operation := range f.operations {
-		if operation.First().Verdict == accesslog.Served {
+		if operation.FirstAttempt().Verdict == accesslog.Served {
 			continue
 		}
 		unserved++
@@ -231,7 +231,7 @@
 	points := int(min(maxShapePoints, max(1, (to-from)/1_000_000)))
 	counts := make([]float64, points)
 	for _, operation := range operations {
-		counts[min(int64(points-1), (operation.First().Arrived-from)*int64(points)/max(1, to-from))]++
+		counts[min(int64(points-1), (operation.FirstAttempt().Arrived-from)*int64(points)/max(1, to-from))]++
 	}
 	mean := float64(len(operations)) / float64(points)
 	for i, count := range counts {
@@ -247,7 +247,7 @@
 func quietSecondsFilter(operations []*accesslog.Operation, from, to int64) func(at int64) bool {
 	counts := make([]int, (to-from)/1_000_000+1)
 	for _, operation := range operations {
-		counts[(operation.First().Arrived-from)/1_000_000]++
+		counts[(operation.FirstAttempt().Arrived-from)/1_000_000]++
 	}
 	sorted := slices.Sorted(slices.Values(counts))
 	maxQuietCount := sorted[len(sorted)/3]
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -105,7 +105,7 @@
 func goldenSummary() Summary {
 	return Summary{
 		Scenario: "golden", A: "shipped", B: "shipped,pick=2", Line: "golden: better", Seeds: []uint64{1, 2},
-		Rows: []Row{{
+		Rows: []FigureRow{{
 			Figure: measure.Figure{
 				Name:             "service",
 				Description:      "what it is",
@@ -156,8 +156,8 @@
 		Tenant:    6,
 		OneClient: true,
 		Zone:      7,
-		To:        8,
-		Every:     9, Delay: 10, Instances: []int{11}, Others: []int{12}, Way: "from",
+		OtherZone: 8,
+		Every:     9, Delay: 10, Instances: []int{11}, OtherInstances: []int{12}, Direction: "from",
 	}}
 	faultRun := &FaultRun{Result: goldenResult(), EvidenceDir: t.TempDir()}
 	plan := &scenario.Plan{PlannedEvents: plannedEvents}
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -432,7 +432,7 @@
 		return must[*Finding](t)((&Runner{}).Search(context.Background(), SearchOptions{
 			Scenario: shortScenario(t, "clients.retries=[0, 0]", "length=8s"),
 			Variant:  parseVariant(t, "shipped,attempts.most=1"),
-			Against:  parseVariant(t, Shipped), Budget: 40, Seed: 2}))
+			Baseline: parseVariant(t, Shipped), Budget: 40, Seed: 2}))
 	}
 	finding := search()
 	if finding.Loss < 0.02 {
@@ -467,7 +467,7 @@
 	proof := must[*Proof](t)((&Runner{}).Prove(
 		context.Background(), shortScenario(t), parseVariant(t, Shipped), 6, 4, 0.05,
 	))
-	if proof.Inconclusive.Mean < 0.7 || proof.Found.Mean < 0.8 {
+	if proof.Inconclusive.Mean < 0.7 || proof.HarmDetected.Mean < 0.8 {
 		t.Errorf("%+v", proof)
 	}
 }
--- a/internal/experiment/processes/daemonconfig.go
+++ b/internal/experiment/processes/daemonconfig.go
@@ -29,7 +29,7 @@
 	if r.hasHotRestarts() {
 		doc["takeover"] = map[string]any{
 			"socket":       filepath.Join(r.workDir, fmt.Sprint("takeover-", inst.index)),
-			"drain_within": r.config.Takeover.DrainWithin.String(),
+			"drain_within": r.config.Takeover.DrainTimeout.String(),
 		}
 	}
 	delete(doc, "record")
--- a/internal/experiment/processes/discovery.go
+++ b/internal/experiment/processes/discovery.go
@@ -41,17 +41,17 @@
 // for that state, plus the extra delay of active events.
 func (r *run) announceState(endpointIndex int, state balancer.EndpointState, vanished bool) {
 	delays := &r.plan.Discovery
-	delayRange := delays.Add
+	delayRange := delays.ReadyDelay
 	lifecycle := "up"
 	switch {
 	case vanished:
-		delayRange = delays.Silent
+		delayRange = delays.MachineLostDelay
 		lifecycle = "removed"
 	case state == balancer.Draining:
-		delayRange = delays.Drain
+		delayRange = delays.DrainDelay
 		lifecycle = "draining"
 	case state == balancer.Gone:
-		delayRange = delays.Gone
+		delayRange = delays.ProcessEndDelay
 		lifecycle = "removed"
 	}
 	r.mu.Lock()
--- a/internal/experiment/processes/events.go
+++ b/internal/experiment/processes/events.go
@@ -194,7 +194,7 @@
 		e.runAtEnd(r.applySilence)
 		return
 	}
-	zones := [2]int{e.Zone, e.To}
+	zones := [2]int{e.Zone, e.OtherZone}
 	e.runAt(e.At, func() {
 		r.updateCounts(func(*counts) { r.zonePartitions = append(r.zonePartitions, zones) })
 		r.applySilence()
--- a/internal/experiment/processes/front.go
+++ b/internal/experiment/processes/front.go
@@ -44,9 +44,9 @@
 // sleepNetworkDelay sleeps for the one-way network latency between the instance and the endpoint.
 func (l *endpointListener) sleepNetworkDelay() {
 	plan := l.endpoint.run.plan
-	delay := plan.Network.Between.Duration
+	delay := plan.Network.CrossZoneDelay.Duration
 	if plan.Instances[l.instance].Zone == l.endpoint.planned.Zone {
-		delay = plan.Network.Within.Duration
+		delay = plan.Network.SameZoneDelay.Duration
 	}
 	delay += time.Duration(plan.Network.Jitter * rand.ExpFloat64() * float64(delay))
 	delay += time.Duration(plan.ExtraDelay(l.endpoint.run.now(), l.instance, l.endpoint.index)) * time.Microsecond
--- a/internal/experiment/processes/job.go
+++ b/internal/experiment/processes/job.go
@@ -44,7 +44,7 @@
 	}
 	newJob.Class = op.Class
 	newJob.Work = simendpoint.DrawWork(r.workNoiseRand.For(operationID, attemptID), op.Work,
-		r.plan.Classes[plannedClass].Noise)
+		r.plan.Classes[plannedClass].AttemptWorkCV)
 	newJob.Chance = r.outcomeRand.For(operationID, attemptID).Float64()
 	if header := httpRequest.Header.Get("Idempotency-Key"); header != "" {
 		if newJob.IdempotencyKey, err = strconv.ParseUint(header, 16, 64); err != nil {
--- a/internal/experiment/processes/sidecar.go
+++ b/internal/experiment/processes/sidecar.go
@@ -59,7 +59,7 @@
 		"position":         inst.index,
 		"zone":             zone,
 		"areas":            r.site.Zones,
-		"skus":             r.site.Kinds,
+		"skus":             r.site.MachineTypes,
 		"discovery":        mode,
 		"classes":          classes,
 		"tenants":          tenants,
--- a/internal/experiment/prove.go
+++ b/internal/experiment/prove.go
@@ -11,7 +11,7 @@
 type Proof struct {
 	Comparisons  int
 	Inconclusive stats.Interval // rate of Inconclusive between a variant and itself; ideally 1
-	Found        stats.Interval // rate of Worse for a variant with a known harm; ideally 1
+	HarmDetected stats.Interval // rate of Worse for a variant with a known harm; ideally 1
 	Harm         float64
 }
 
@@ -47,6 +47,6 @@
 	}
 	total := int64(comparisons)
 	p.Inconclusive = stats.RateInterval(inconclusive, total, Confidence)
-	p.Found = stats.RateInterval(detected, total, Confidence)
+	p.HarmDetected = stats.RateInterval(detected, total, Confidence)
 	return p, nil
 }
--- a/internal/experiment/recorder.go
+++ b/internal/experiment/recorder.go
@@ -41,13 +41,13 @@
 func (r *recorder) writer(instance int) (*accesslog.Writer, error) {
 	for len(r.writers) <= instance {
 		writer, err := accesslog.NewWriter(accesslog.Options{
-			Dir:      r.dir,
-			Instance: fmt.Sprint("instance-", len(r.writers)),
-			Sample:   1,
-			Rows:     1 << 20,
-			Age:      24 * time.Hour,
-			Log:      slog.New(slog.DiscardHandler),
-			Now:      func() time.Time { return time.UnixMicro(r.now.Load()) },
+			Dir:            r.dir,
+			Instance:       fmt.Sprint("instance-", len(r.writers)),
+			SampleFraction: 1,
+			MaxRows:        1 << 20,
+			MaxAge:         24 * time.Hour,
+			Log:            slog.New(slog.DiscardHandler),
+			Now:            func() time.Time { return time.UnixMicro(r.now.Load()) },
 		})
 		if err != nil {
 			return nil, err
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -106,7 +106,7 @@
 	}
 	replay := newReplay(p, runs, from+p.Replay.Start.Micros())
 	for index, operation := range recorded {
-		if err := replay.add(index, operation.First()); err != nil {
+		if err := replay.add(index, operation.FirstAttempt()); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/experiment/replay_test.go
+++ b/internal/experiment/replay_test.go
@@ -39,7 +39,7 @@
 func TestReplayKeepsFirstRequests(t *testing.T) {
 	dir, original := recordRun(t, retryStorm(t))
 	rec := must[*accesslog.Recording](t)(accesslog.Read(dir))
-	if problems := rec.Check(); len(problems) != 0 {
+	if problems := rec.Findings(); len(problems) != 0 {
 		t.Errorf("problems of the record: %q", problems)
 	}
 	if original.Figures["tries"] < 1.2 || int64(len(rec.Requests)) != original.Costs.ClientRequests {
@@ -94,11 +94,11 @@
 	rec := must[*accesslog.Recording](t)(accesslog.Read(dir))
 	sampleDir := t.TempDir()
 	writer := must[*accesslog.Writer](t)(accesslog.NewWriter(accesslog.Options{
-		Dir:      sampleDir,
-		Instance: "instance-0",
-		Sample:   0.25,
-		Rows:     1 << 20,
-		Age:      1 << 50,
+		Dir:            sampleDir,
+		Instance:       "instance-0",
+		SampleFraction: 0.25,
+		MaxRows:        1 << 20,
+		MaxAge:         1 << 50,
 	}))
 	for _, request := range rec.Requests {
 		writer.Add(request.Row)
--- a/internal/experiment/report/charts.go
+++ b/internal/experiment/report/charts.go
@@ -150,7 +150,7 @@
 
 // differenceChart draws the differences between the variants with their confidence intervals, multiplied by a
 // factor.
-func differenceChart(rows []experiment.Row, factor float64, label string) (template.HTML, error) {
+func differenceChart(rows []experiment.FigureRow, factor float64, label string) (template.HTML, error) {
 	p := newPlot(label, "")
 	var names []string
 	type horizontalErrorBars struct {
@@ -326,7 +326,7 @@
 	if comparison.RunsB == nil {
 		return nil
 	}
-	var shares, times []experiment.Row
+	var shares, times []experiment.FigureRow
 	for _, row := range comparison.Rows {
 		switch {
 		case row.Unit == "ms" && row.Name != "p999":
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -110,12 +110,12 @@
 		for _, name := range figures {
 			definition, _ := measure.Describe(name)
 			value, difference := point.Figure(name)
-			cells = append(cells, experiment.Number(definition, value))
+			cells = append(cells, experiment.FormatMean(definition, value))
 			if difference == nil {
 				cells = append(cells, "")
 				continue
 			}
-			text := experiment.Signed(definition, difference.Difference)
+			text := experiment.FormatSignedMean(definition, difference.Difference)
 			if difference.Verdict != experiment.Inconclusive {
 				text += " " + difference.Verdict.String()
 			}
@@ -175,7 +175,7 @@
 		}
 		var err error
 		if comparison.RunsB == nil && len(comparison.Seeds) > 1 {
-			if section.Claims, err = comparison.Claims(scenario.Expect); err != nil {
+			if section.Claims, err = comparison.EvaluateClaims(scenario.Expect); err != nil {
 				return nil, err
 			}
 		}
@@ -190,18 +190,18 @@
 }
 
 // newFigureRow returns the formatted table row of one figure.
-func newFigureRow(comparison *experiment.Comparison, figure *experiment.Row) figureRow {
+func newFigureRow(comparison *experiment.Comparison, figure *experiment.FigureRow) figureRow {
 	row := figureRow{
 		Name:  figure.Name,
 		About: figure.Description,
-		A:     experiment.Number(figure.Figure, figure.A),
+		A:     experiment.FormatMean(figure.Figure, figure.A),
 		Note:  figure.Note,
 	}
 	if comparison.RunsB == nil {
 		return row
 	}
-	row.B = experiment.Number(figure.Figure, figure.B)
-	row.Difference = experiment.Signed(figure.Figure, figure.Difference)
+	row.B = experiment.FormatMean(figure.Figure, figure.B)
+	row.Difference = experiment.FormatSignedMean(figure.Figure, figure.Difference)
 	if figure.Verdict != experiment.Inconclusive {
 		row.Class = figure.Verdict.String()
 		row.Note = strings.TrimSpace(row.Class + " " + row.Note)
--- a/internal/experiment/scale.go
+++ b/internal/experiment/scale.go
@@ -60,7 +60,7 @@
 		Subset: min(max(sc.Subset, minSubsetFactor*size.Endpoints/size.Instances), size.Endpoints),
 	}
 	if run.Subset < size.Endpoints {
-		s.Fleet.Subset = run.Subset
+		s.Fleet.SubsetSize = run.Subset
 	}
 	run.Rate = s.Draw(sc.Seed).Rate
 	run.Length = time.Duration(float64(sc.Operations) / run.Rate * float64(time.Second)).Round(10 * time.Millisecond)
--- a/internal/experiment/search.go
+++ b/internal/experiment/search.go
@@ -18,7 +18,7 @@
 type SearchOptions struct {
 	Scenario  *scenario.Scenario // the search varies its events and keeps everything else
 	Variant   *Variant           // the variant whose worst plan is searched for
-	Against   *Variant           // the variant compared with; nil: the upper bound MaxServableShare
+	Baseline  *Variant           // the variant compared with; nil: the upper bound MaxServableShare
 	Budget    int                // approximate number of runs of Variant, including those for shrinking
 	Seed      uint64
 	OnFinding func(Finding) // called for each finding worse than all before; may be nil
@@ -28,7 +28,7 @@
 type Finding struct {
 	Scenario   *scenario.Scenario
 	Seed       uint64
-	Loss       float64 // Against's service minus Variant's; without Against: MaxServableShare minus the served share
+	Loss       float64 // Baseline's service minus Variant's; without Baseline: MaxServableShare minus the served share
 	Violations float64 // rule violations; a plan with any is worse than one with none, whatever the losses
 	Service    float64
 	Runs       int // number of plans evaluated when this one was found
@@ -120,11 +120,11 @@
 	return x.candidates[0]
 }
 
-// evaluate runs plans with the variant, and with Against if there is one, and sets the figures of each finding.
+// evaluate runs plans with the variant, and with Baseline if there is one, and sets the figures of each finding.
 func (x *search) evaluate(ctx context.Context, findings []*Finding) error {
 	var tasks []Task
 	for _, finding := range findings {
-		for _, v := range []*Variant{x.Variant, x.Against} {
+		for _, v := range []*Variant{x.Variant, x.Baseline} {
 			if v == nil {
 				continue
 			}
@@ -142,7 +142,7 @@
 	x.runs += len(findings)
 	for i, finding := range findings {
 		var result, baseline *measure.Result
-		if x.Against == nil {
+		if x.Baseline == nil {
 			result = results[i]
 			finding.Loss = finding.Scenario.Draw(finding.Seed).MaxServableShare() - result.Figures["served"]
 		} else {
--- a/internal/experiment/soak/soak.go
+++ b/internal/experiment/soak/soak.go
@@ -22,22 +22,22 @@
 type Options struct {
 	Program string // path of dunlinsail or dunlinsaild
 	Seed    uint64
-	// SecondResponses makes endpoints send a second response to one in this many requests, in addition to the
+	// RequestsPerSecondResponse makes endpoints send a second response to one in this many requests, in addition to the
 	// second responses among the drawn faults; 0 adds none.
-	SecondResponses int
+	RequestsPerSecondResponse int
 }
 
 // Report is the outcome of a run.
 type Report struct {
-	Events     []string // descriptions of the events, in order of time
-	Requests   int
-	Verdicts   [client.VerdictCount]int
-	Excused    int      // number of requests lost or late while a process was stopped by SIGSTOP
-	Violations []string // descriptions of the violated rules
-	Permitted  []string // wrong responses that HTTP/1.1 cannot prevent (run.classifyWrongResponses)
-	Variation  string   // conditions drawn for the run besides its events
-	Seconds    int      // number of second responses that endpoints sent
-	Logs       string   // log output of the processes
+	Events          []string // descriptions of the events, in order of time
+	Requests        int
+	Verdicts        [client.VerdictCount]int
+	Excused         int      // number of requests lost or late while a process was stopped by SIGSTOP
+	Violations      []string // descriptions of the violated rules
+	Permitted       []string // wrong responses that HTTP/1.1 cannot prevent (run.classifyWrongResponses)
+	Variation       string   // conditions drawn for the run besides its events
+	SecondResponses int      // number of second responses that endpoints sent
+	Logs            string   // log output of the processes
 }
 
 // Streams of the random number generators: the second half of each generator's seed.
@@ -96,7 +96,7 @@
 		startedAt:     time.Now(),
 		drainingSince: map[string]time.Time{},
 	}
-	drawn := drawVariation(rand.New(rand.NewPCG(options.Seed, variationSeedStream)), options.SecondResponses)
+	drawn := drawVariation(rand.New(rand.NewPCG(options.Seed, variationSeedStream)), options.RequestsPerSecondResponse)
 	r.report.Variation = drawn.secondResponses.String()
 	if filepath.Base(options.Program) == daemonProgram {
 		r.report.Variation += ", " + drawn.bounds.String()
@@ -114,7 +114,7 @@
 		return nil, fmt.Errorf("seed %d: %w; logs:\n%s", options.Seed, err, r.processes.logs())
 	}
 	r.checkRules()
-	r.report.Seconds = len(r.fleet.ledger.SecondResponses())
+	r.report.SecondResponses = len(r.fleet.ledger.SecondResponses())
 	r.report.Logs = r.processes.logs()
 	return r.report, nil
 }
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -81,7 +81,7 @@
 
 // Figure returns the value of a figure at the point, and the row with its difference from the sweep's first point.
 // At the first point, difference is nil.
-func (p *SweepPoint) Figure(figure string) (value stats.Interval, difference *Row) {
+func (p *SweepPoint) Figure(figure string) (value stats.Interval, difference *FigureRow) {
 	runs := p.RunsB
 	if runs == nil {
 		runs = p.RunsA
--- a/internal/experiment/variant.go
+++ b/internal/experiment/variant.go
@@ -198,17 +198,17 @@
 // modelSettings converts a daemon configuration to the settings of the simulation.
 func modelSettings(c *config.Config) *simulation.Settings {
 	s := &simulation.Settings{
-		Site:           c.Site,
-		Concurrency:    c.ConcurrencySettings(),
-		MaxConnections: c.Connections.MaxEndpoints,
-		Clients:        c.ConnectionLimits(),
-		Client:         fairqueue.ClientSpec{Weight: 1},
-		Subset:         c.Fleet.SubsetSettings(),
-		Overload:       c.Overload.Settings(c.Fleet.Instances),
-		Coordination:   c.Coordination(0),
+		Site:              c.Site,
+		Concurrency:       c.ConcurrencySettings(),
+		MaxConnections:    c.Connections.MaxEndpoints,
+		ClientConnections: c.ConnectionLimits(),
+		ClientProcess:     fairqueue.ClientSpec{Weight: 1},
+		Subset:            c.Fleet.SubsetSettings(),
+		Overload:          c.Overload.Settings(c.Fleet.Instances),
+		Coordination:      c.Coordination(0),
 	}
 	if len(c.Clients) > 0 {
-		s.Client = c.Clients[0].ClientSpec(c.Clients[0].Name)
+		s.ClientProcess = c.Clients[0].ClientSpec(c.Clients[0].Name)
 	}
 	if len(c.Pools) > 0 {
 		s.RetryBudget = c.Pools[0].RetryBudget
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -320,7 +320,7 @@
 func (c *Config) setNames(settings *settingsNames) error {
 	site := &c.Site
 	site.Zones = settings.Zones
-	site.Kinds = settings.Kinds
+	site.MachineTypes = settings.Kinds
 	for i, class := range settings.Classes {
 		if class.Name == "" {
 			return &ConfigError{fmt.Sprintf("settings.classes.%d.name", i), errors.New("is missing")}
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -261,7 +261,7 @@
 	random := r.workRand.For(operationID, attemptKey)
 	a.job = simendpoint.Job{
 		Class:          operation.Class,
-		Work:           simendpoint.DrawWork(random, operation.Work, class.Noise),
+		Work:           simendpoint.DrawWork(random, operation.Work, class.AttemptWorkCV),
 		IdempotencyKey: a.request.IdempotencyKey,
 		Chance:         r.faultRand.For(operationID, attemptKey).Float64(),
 		HostData:       a,
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -88,14 +88,14 @@
 func (d *discoveryService) endpointChanged(index int, state balancer.EndpointState, vanished bool) {
 	r := d.run
 	delays := &d.run.plan.Discovery
-	delayRange := delays.Add
+	delayRange := delays.ReadyDelay
 	switch {
 	case vanished:
-		delayRange = delays.Silent
+		delayRange = delays.MachineLostDelay
 	case state == balancer.Draining:
-		delayRange = delays.Drain
+		delayRange = delays.DrainDelay
 	case state == balancer.Gone:
-		delayRange = delays.Gone
+		delayRange = delays.ProcessEndDelay
 	}
 	d.notificationCount++
 	minDelay := float64(delayRange.From.Microseconds())
@@ -140,7 +140,7 @@
 // send sends a watch event to its instance. The events of an instance arrive in order.
 func (d *discoveryService) send(event *watchEvent) {
 	in := event.instance
-	maxSpread := float64(d.run.plan.Discovery.Spread.Micros())
+	maxSpread := float64(d.run.plan.Discovery.UpdateSpread.Micros())
 	in.lastWatchEventAt = max(in.lastWatchEventAt+1,
 		d.run.now+1+monotime.Micros(maxSpread*d.delayRand.For(uint64(in.index)|1<<62, uint64(d.generation)).Float64()))
 	d.run.events.push(in.lastWatchEventAt, watchEventArrives, 0, event)
--- a/internal/simulation/gossipsim/faults.go
+++ b/internal/simulation/gossipsim/faults.go
@@ -130,7 +130,7 @@
 	case faultDemandOverstated:
 		x.demandFactor = fault.Factor
 	case faultBudgetChange:
-		x.setBudget(sim.settings.Units * fault.Factor)
+		x.setBudget(sim.settings.BudgetRate * fault.Factor)
 	case faultTakeover:
 		sim.replaceProcess(x)
 	}
@@ -151,7 +151,7 @@
 		case faultDemandOverstated:
 			x.demandFactor = 1
 		case faultBudgetChange:
-			x.setBudget(sim.settings.Units)
+			x.setBudget(sim.settings.BudgetRate)
 		}
 	}
 }
--- a/internal/simulation/gossipsim/gossipsim.go
+++ b/internal/simulation/gossipsim/gossipsim.go
@@ -20,8 +20,8 @@
 type Settings struct {
 	Members      int
 	Candidates   int     // number of members that may become the allocator
-	Units        float64 // budget of all members together, in units a second
-	Demand       float64 // demand of all members together, in units a second
+	BudgetRate   float64 // budget of all members together, in units a second
+	DemandRate   float64 // demand of all members together, in units a second
 	Duration     monotime.Micros
 	Seed         uint64
 	Coordination coordination.Settings          // settings of each member; Run sets the names and seeds
--- a/internal/simulation/gossipsim/gossipsim_test.go
+++ b/internal/simulation/gossipsim/gossipsim_test.go
@@ -11,8 +11,8 @@
 	return Settings{
 		Members:      members,
 		Candidates:   3,
-		Units:        200,
-		Demand:       400,
+		BudgetRate:   200,
+		DemandRate:   400,
 		Duration:     44 * second,
 		Seed:         seed,
 		Coordination: DefaultSettings(),
--- a/internal/simulation/gossipsim/simulation.go
+++ b/internal/simulation/gossipsim/simulation.go
@@ -98,8 +98,8 @@
 		index:        index,
 		name:         memberName(index),
 		demandFactor: 1,
-		budgetUnits:  sim.settings.Units,
-		demandRate:   sim.settings.Demand / float64(sim.settings.Members),
+		budgetUnits:  sim.settings.BudgetRate,
+		demandRate:   sim.settings.DemandRate / float64(sim.settings.Members),
 	}
 	sim.members = append(sim.members, x)
 	sim.byName[x.name] = x
--- a/internal/simulation/gossipsim/spending.go
+++ b/internal/simulation/gossipsim/spending.go
@@ -52,10 +52,10 @@
 
 // maxBudget returns the largest budget that any member's configuration has during the run.
 func (sim *simulation) maxBudget() float64 {
-	maxUnits := sim.settings.Units
+	maxUnits := sim.settings.BudgetRate
 	for i := range sim.settings.Faults {
 		if fault := &sim.settings.Faults[i]; fault.Kind == faultBudgetChange {
-			maxUnits = max(maxUnits, sim.settings.Units*fault.Factor)
+			maxUnits = max(maxUnits, sim.settings.BudgetRate*fault.Factor)
 		}
 	}
 	return maxUnits
@@ -64,7 +64,7 @@
 // summarize computes the results that depend on the whole run.
 func (sim *simulation) summarize() {
 	result := &sim.result
-	unitsPerSecond := int(sim.settings.Units)
+	unitsPerSecond := int(sim.settings.BudgetRate)
 	demandedUnits := 0
 	spentUnits := 0
 	for i, secondTotals := range result.Seconds {
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	if in.connTable, err = connlimit.New[*clientConn](r.settings.Clients, nil); err != nil {
+	if in.connTable, err = connlimit.New[*clientConn](r.settings.ClientConnections, nil); err != nil {
 		return err
 	}
 	if err := in.createClients(); err != nil {
@@ -154,7 +154,7 @@
 	in.connOwners = nil
 	in.idleClientConns = nil
 	for process := range r.plan.Clients.Processes {
-		spec := r.settings.Client
+		spec := r.settings.ClientProcess
 		spec.Name = fmt.Sprint(process)
 		client, err := engine.NewClient(spec)
 		if err != nil {
@@ -222,7 +222,7 @@
 // advanceEngine runs the engine's due timers, and schedules a wake-up for the next one.
 func (in *instance) advanceEngine() {
 	for in.engine != nil {
-		at, ok := in.engine.Next()
+		at, ok := in.engine.NextTimer()
 		if !ok {
 			return
 		}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -30,9 +30,9 @@
 		jitter:          settings.Jitter,
 		loss:            settings.Loss,
 		retransmitAfter: float64(settings.Retransmit.Micros()),
-		meanDelays: [3]float64{float64(settings.Client.Micros()), float64(settings.Within.Micros()),
-			float64(settings.Between.Micros())},
-		schedulingSlack: float64(plan.Host.Slack.Micros()),
+		meanDelays: [3]float64{float64(settings.ClientDelay.Micros()), float64(settings.SameZoneDelay.Micros()),
+			float64(settings.CrossZoneDelay.Micros())},
+		schedulingSlack: float64(plan.Host.SchedulingDelay.Micros()),
 	}
 }
 
--- a/internal/simulation/plannedevents.go
+++ b/internal/simulation/plannedevents.go
@@ -74,7 +74,7 @@
 	case scenario.EventRollingRestart:
 		r.stepEvent(eventIndex, 0)
 	case scenario.EventZonePartition:
-		r.network.partitionedZones = append(r.network.partitionedZones, [2]int{planned.Zone, planned.To})
+		r.network.partitionedZones = append(r.network.partitionedZones, [2]int{planned.Zone, planned.OtherZone})
 	case scenario.EventDiscoveryDelay:
 		r.discovery.extraDelay += planned.Delay
 	case scenario.EventDiscoverySilent:
@@ -173,7 +173,8 @@
 			r.endpoints[index].start(false)
 		}
 	case scenario.EventZonePartition:
-		if position := slices.Index(r.network.partitionedZones, [2]int{planned.Zone, planned.To}); position >= 0 {
+		if position := slices.Index(
+			r.network.partitionedZones, [2]int{planned.Zone, planned.OtherZone}); position >= 0 {
 			r.network.partitionedZones = slices.Delete(r.network.partitionedZones, position, position+1)
 		}
 	case scenario.EventDiscoveryDelay:
--- a/internal/simulation/randstream/randstream.go
+++ b/internal/simulation/randstream/randstream.go
@@ -54,8 +54,8 @@
 	return rand.New(rand.NewPCG(s.key, xxhash.Sum64(seedBytes[:])))
 }
 
-// Range draws a number from the uniform distribution between two ends.
-func Range(random *rand.Rand, ends [2]float64) float64 {
+// Uniform draws a number from the uniform distribution between two ends.
+func Uniform(random *rand.Rand, ends [2]float64) float64 {
 	return ends[0] + (ends[1]-ends[0])*random.Float64()
 }
 
--- a/internal/simulation/scenario/capacity.go
+++ b/internal/simulation/scenario/capacity.go
@@ -134,7 +134,7 @@
 	if config.WarmupDuration <= 0 || age >= config.WarmupDuration {
 		return 1
 	}
-	return config.WarmupFrom + (1-config.WarmupFrom)*float64(age)/float64(config.WarmupDuration)
+	return config.WarmupStartShare + (1-config.WarmupStartShare)*float64(age)/float64(config.WarmupDuration)
 }
 
 // eventSpeedFactor returns the fraction of its useful speed that an endpoint keeps during an event. position is
--- a/internal/simulation/scenario/check.go
+++ b/internal/simulation/scenario/check.go
@@ -22,10 +22,11 @@
 	}
 	validation.Require(fleet.Instances >= 1 && fleet.Instances <= 100_000, "fleet.instances",
 		"%d: must be in 1..100000", fleet.Instances)
-	validation.Require(fleet.Uneven >= 0 && fleet.Uneven <= 3, "fleet.uneven", "%v: must be in 0..3", fleet.Uneven)
+	validation.Require(fleet.TrafficShareCV >= 0 && fleet.TrafficShareCV <= 3,
+		"fleet.uneven", "%v: must be in 0..3", fleet.TrafficShareCV)
 	validation.Require(fleet.ZoneSkew >= 0 && fleet.ZoneSkew <= 1, "fleet.zone_skew", "%v: must be in 0..1",
 		fleet.ZoneSkew)
-	validation.Require(fleet.Subset >= 0, "fleet.subset", "%d is negative", fleet.Subset)
+	validation.Require(fleet.SubsetSize >= 0, "fleet.subset", "%d is negative", fleet.SubsetSize)
 	network := &s.Network
 	validation.Require(network.Jitter >= 0 && network.Jitter <= 10, "network.jitter", "%v: must be in 0..10",
 		network.Jitter)
@@ -97,10 +98,11 @@
 		validation.Require(kind.PauseFor.Duration == 0 || kind.PauseEvery.Duration > kind.PauseFor.Duration,
 			keyPath("pause_every"),
 			"%v is not over pause_for, %v", kind.PauseEvery, kind.PauseFor)
-		validation.Require(kind.Conns >= 0, keyPath("connections"), "%d is negative", kind.Conns)
-		validation.Require(kind.Cell >= 1, keyPath("cell"), "%d: must be at least 1", kind.Cell)
-		validation.Require(kind.Noise >= 0 && kind.Noise <= 1, keyPath("report_noise"), "%v: must be in 0..1",
-			kind.Noise)
+		validation.Require(kind.MaxConnections >= 0, keyPath("connections"), "%d is negative", kind.MaxConnections)
+		validation.Require(kind.CellSize >= 1, keyPath("cell"), "%d: must be at least 1", kind.CellSize)
+		validation.Require(kind.ReportNoise >= 0 && kind.ReportNoise <= 1,
+			keyPath("report_noise"), "%v: must be in 0..1",
+			kind.ReportNoise)
 	}
 }
 
@@ -118,11 +120,13 @@
 			"%v: must not be negative", class.Share)
 		shareSum += class.Share
 		validation.Require(class.Work.Duration > 0, keyPath("work"), "is missing")
-		stricttoml.Enum(validation, keyPath("dist"), class.Dist,
+		stricttoml.Enum(validation, keyPath("dist"), class.WorkDistribution,
 			map[string]bool{"lognormal": true, "exponential": true, "fixed": true})
-		validation.Require(class.CV >= 0 && class.CV <= 10, keyPath("cv"), "%v: must be in 0..10", class.CV)
-		validation.Require(class.CV == 0 || class.Dist == "lognormal", keyPath("cv"), "is for \"lognormal\" only")
-		validation.Require(class.Noise >= 0 && class.Noise <= 10, keyPath("noise"), "%v: must be in 0..10", class.Noise)
+		validation.Require(class.WorkCV >= 0 && class.WorkCV <= 10, keyPath("cv"), "%v: must be in 0..10", class.WorkCV)
+		validation.Require(class.WorkCV == 0 || class.WorkDistribution == "lognormal",
+			keyPath("cv"), "is for \"lognormal\" only")
+		validation.Require(class.AttemptWorkCV >= 0 && class.AttemptWorkCV <= 10,
+			keyPath("noise"), "%v: must be in 0..10", class.AttemptWorkCV)
 	}
 	validation.Require(shareSum > 0, "class", "the shares add up to nothing")
 	tenantNames := map[string]bool{}
--- a/internal/simulation/scenario/checkevent.go
+++ b/internal/simulation/scenario/checkevent.go
@@ -53,8 +53,8 @@
 func (s *Scenario) checkEventNames(validation *stricttoml.Validation, event *Event, keyPath keyPathFunc) {
 	validation.Require(event.Zone == "" || slices.Contains(s.Fleet.Zones, event.Zone), keyPath("zone"),
 		"%q is none of fleet.zones", event.Zone)
-	validation.Require(event.To == "" || slices.Contains(s.Fleet.Zones, event.To), keyPath("to"),
-		"%q is none of fleet.zones", event.To)
+	validation.Require(event.OtherZone == "" || slices.Contains(s.Fleet.Zones, event.OtherZone), keyPath("to"),
+		"%q is none of fleet.zones", event.OtherZone)
 	validation.Require(event.Kind == "" || slices.ContainsFunc(s.EndpointKinds,
 		func(kind EndpointKind) bool { return kind.Kind == event.Kind }), keyPath("kind"),
 		"%q is none of the kinds of nodes",
@@ -73,17 +73,19 @@
 	validation.Require(takesInstances || len(event.Instances) == 0, keyPath("instances"),
 		"%q does not happen to instances", event.What)
 	checkRange(validation, keyPath("instances"), event.Instances, 0, 1)
-	validation.Require(takesInstances || len(event.Named) == 0, keyPath("named"), "%q does not happen to instances",
+	validation.Require(takesInstances || len(event.InstanceIndexes) == 0,
+		keyPath("named"), "%q does not happen to instances",
 		event.What)
-	validation.Require(len(event.Named) == 0 || len(event.Instances) == 0, keyPath("named"),
+	validation.Require(len(event.InstanceIndexes) == 0 || len(event.Instances) == 0, keyPath("named"),
 		"either named or instances")
-	validation.Require(len(event.Others) == 0 || event.What == EventInstancePartition, keyPath("others"),
+	validation.Require(len(event.OtherInstances) == 0 || event.What == EventInstancePartition, keyPath("others"),
 		"is for part only")
-	for _, number := range append(slices.Clone(event.Named), event.Others...) {
+	for _, number := range append(slices.Clone(event.InstanceIndexes), event.OtherInstances...) {
 		validation.Require(number >= 0, keyPath("named"), "%d is negative", number)
 	}
-	stricttoml.Enum(validation, keyPath("way"), event.Way, map[string]bool{"": true, WayTo: true, WayFrom: true})
-	validation.Require(event.Way == "" || event.What == EventPathBlocked || event.What == EventInstancePartition,
+	stricttoml.Enum(validation, keyPath("way"), event.Direction,
+		map[string]bool{"": true, DirectionTo: true, DirectionFrom: true})
+	validation.Require(event.Direction == "" || event.What == EventPathBlocked || event.What == EventInstancePartition,
 		keyPath("way"),
 		"is for sever and part only")
 }
@@ -105,7 +107,7 @@
 	validation.Require(event.Class == "" || event.What == EventErrors || event.What == EventSurge, keyPath("class"),
 		"is for errors and surge only")
 	validation.Require(event.Tenant == "" || event.What == EventSurge, keyPath("tenant"), "is for surge only")
-	validation.Require(!event.One || event.What == EventSurge, keyPath("one"), "is for surge only")
+	validation.Require(!event.OneClient || event.What == EventSurge, keyPath("one"), "is for surge only")
 }
 
 // checkEventTimes checks the keys every and for of an event.
@@ -134,7 +136,7 @@
 		checkRange(validation, keyPath("size"), event.Size, 1, 1e9)
 	case EventZonePartition:
 		validation.Require(event.Zone != "", keyPath("zone"), "is missing: which zone is cut off")
-		validation.Require(event.To != event.Zone, keyPath("to"), "a zone cannot be cut off from itself")
+		validation.Require(event.OtherZone != event.Zone, keyPath("to"), "a zone cannot be cut off from itself")
 	}
 }
 
--- a/internal/simulation/scenario/draw.go
+++ b/internal/simulation/scenario/draw.go
@@ -51,9 +51,9 @@
 			rng := stream.For(uint64(kindIndex), uint64(i))
 			config := simendpoint.Config{
 				Cores:               kind.Cores,
-				Speed:               randstream.Range(rng, kind.Speed.bounds(1)),
+				Speed:               randstream.Uniform(rng, kind.Speed.bounds(1)),
 				QueueCapacity:       kind.Queue,
-				WarmupFrom:          kind.WarmupFrom,
+				WarmupStartShare:    kind.WarmupFrom,
 				WarmupDuration:      kind.WarmupDuration.Micros(),
 				CollapseLoad:        kind.CollapseLoad,
 				CollapseWindow:      kind.CollapseWindow.Micros(),
@@ -63,15 +63,15 @@
 				ContentionLoss:      kind.ContentionLoss,
 				ProbeWork:           kind.ProbeWork.Micros(),
 				HandshakeWork:       kind.Handshake.Micros(),
-				MaxConnections:      kind.Conns,
-				ReportInterval:      kind.Report.Micros(),
-				ReportNoise:         kind.Noise,
+				MaxConnections:      kind.MaxConnections,
+				ReportInterval:      kind.ReportInterval.Micros(),
+				ReportNoise:         kind.ReportNoise,
 			}
 			p.Endpoints = append(p.Endpoints, Endpoint{
 				Name:          fmt.Sprintf("%s-%d", kind.Kind, i),
 				Kind:          kindIndex,
 				Zone:          zones[i%len(zones)],
-				Cell:          kindIndex<<16 | i/kind.Cell,
+				Cell:          kindIndex<<16 | i/kind.CellSize,
 				StartsWithRun: kind.StartsWithRun,
 				Config:        config,
 				Idle:          kind.Idle.Micros(),
@@ -101,7 +101,7 @@
 		rng := stream.For(uint64(i))
 		instance := Instance{
 			Zone:  i % zones,
-			Share: randstream.LogNormal(rng, 1, p.Fleet.Uneven),
+			Share: randstream.LogNormal(rng, 1, p.Fleet.TrafficShareCV),
 			Skew:  monotime.Micros((2*rng.Float64() - 1) * float64(p.Clocks.Skew.Micros())),
 			Drift: (2*rng.Float64() - 1) * p.Clocks.Drift,
 		}
@@ -110,7 +110,7 @@
 		} else {
 			instance.Share *= 1 - p.Fleet.ZoneSkew
 		}
-		if p.Fleet.Subset > 0 && p.Fleet.Subset < len(p.Endpoints) {
+		if p.Fleet.SubsetSize > 0 && p.Fleet.SubsetSize < len(p.Endpoints) {
 			instance.Endpoints = p.subset(i)
 		}
 		shareSum += instance.Share
@@ -128,7 +128,7 @@
 // subset returns the endpoints on the endpoint list of an instance. Each endpoint is on equally many lists
 // (deterministic subsetting: Beyer et al., "Site Reliability Engineering", chapter 20).
 func (p *Plan) subset(instance int) []int {
-	listSize := p.Fleet.Subset
+	listSize := p.Fleet.SubsetSize
 	listsPerRound := len(p.Endpoints) / listSize
 	shuffled := randstream.New(p.Seed, "subset").For(uint64(instance / listsPerRound)).Perm(len(p.Endpoints))
 	start := (instance % listsPerRound) * listSize
@@ -151,7 +151,7 @@
 	case event.Count > 0:
 		count = min(count, event.Count)
 	case len(event.Part) > 0:
-		count = int(math.Round(randstream.Range(rng, event.Part.bounds(1)) * float64(count)))
+		count = int(math.Round(randstream.Uniform(rng, event.Part.bounds(1)) * float64(count)))
 	}
 	return drawSample(rng, eligible, count)
 }
@@ -174,12 +174,13 @@
 			eligible = append(eligible, i)
 		}
 	}
-	if len(event.Named) > 0 {
-		return slices.DeleteFunc(sortedCopy(event.Named), func(count int) bool { return count >= len(p.Instances) })
+	if len(event.InstanceIndexes) > 0 {
+		return slices.DeleteFunc(sortedCopy(event.InstanceIndexes),
+			func(count int) bool { return count >= len(p.Instances) })
 	}
 	count := len(eligible)
 	if len(event.Instances) > 0 {
-		count = int(math.Round(randstream.Range(rng, event.Instances.bounds(1)) * float64(count)))
+		count = int(math.Round(randstream.Uniform(rng, event.Instances.bounds(1)) * float64(count)))
 	}
 	return drawSample(rng, eligible, count)
 }
@@ -189,7 +190,7 @@
 	planned.Class = slices.IndexFunc(p.Classes, func(class Class) bool { return class.Name == event.Class })
 	planned.Tenant = slices.IndexFunc(p.Tenants, func(tenant Tenant) bool { return tenant.Name == event.Tenant })
 	planned.Zone = slices.Index(p.Fleet.Zones, event.Zone)
-	planned.To = slices.Index(p.Fleet.Zones, event.To)
+	planned.OtherZone = slices.Index(p.Fleet.Zones, event.OtherZone)
 }
 
 // drawPlannedEvents draws the times, sizes, endpoints and instances of the events, and sorts the events by start.
@@ -200,26 +201,26 @@
 		rng := stream.For(uint64(i))
 		planned := PlannedEvent{
 			What:      event.What,
-			At:        monotime.Micros(randstream.Range(rng, spanBounds(event.At))),
+			At:        monotime.Micros(randstream.Uniform(rng, spanBounds(event.At))),
 			Until:     math.MaxInt64,
-			OneClient: event.One,
+			OneClient: event.OneClient,
 			Every:     event.Every.Micros(),
-			Delay:     monotime.Micros(randstream.Range(rng, spanBounds(event.Delay))),
+			Delay:     monotime.Micros(randstream.Uniform(rng, spanBounds(event.Delay))),
 		}
 		if event.For != nil {
-			planned.Until = planned.At + monotime.Micros(randstream.Range(rng, spanBounds(event.For)))
+			planned.Until = planned.At + monotime.Micros(randstream.Uniform(rng, spanBounds(event.For)))
 		}
 		p.resolveNames(event, &planned)
 		if eventKinds[event.What].appliesToEndpoints {
 			planned.Endpoints = p.chooseEndpoints(event, rng)
 			for range planned.Endpoints {
-				planned.Sizes = append(planned.Sizes, randstream.Range(rng, event.Size.bounds(0)))
+				planned.Sizes = append(planned.Sizes, randstream.Uniform(rng, event.Size.bounds(0)))
 			}
 		} else {
-			planned.Sizes = []float64{randstream.Range(rng, event.Size.bounds(0))}
+			planned.Sizes = []float64{randstream.Uniform(rng, event.Size.bounds(0))}
 		}
-		planned.Way = event.Way
-		planned.Others = sortedCopy(event.Others)
+		planned.Direction = event.Direction
+		planned.OtherInstances = sortedCopy(event.OtherInstances)
 		planned.Instances = p.chooseInstances(event, stream.For(uint64(i), 1))
 		p.PlannedEvents = append(p.PlannedEvents, planned)
 	}
--- a/internal/simulation/scenario/eventkind.go
+++ b/internal/simulation/scenario/eventkind.go
@@ -40,8 +40,8 @@
 // The directions of EventPathBlocked and EventInstancePartition are the values of an event's key "way". Without
 // the key, both directions are blocked.
 const (
-	WayTo   = "to"   // messages to the endpoints (EventPathBlocked) or to the instances (EventInstancePartition)
-	WayFrom = "from" // messages from these endpoints or instances
+	DirectionTo   = "to"   // messages to the endpoints (EventPathBlocked) or to the instances (EventInstancePartition)
+	DirectionFrom = "from" // messages from these endpoints or instances
 )
 
 // eventKind describes what the events of a kind apply to.
--- a/internal/simulation/scenario/operations.go
+++ b/internal/simulation/scenario/operations.go
@@ -192,12 +192,12 @@
 // Draw draws the work of an operation, in microseconds, from the distribution of its class.
 func (class *Class) Draw(rng *rand.Rand) monotime.Micros {
 	work := float64(class.Work.Micros())
-	switch class.Dist {
+	switch class.WorkDistribution {
 	case "fixed":
 	case "exponential":
 		work *= rng.ExpFloat64()
 	default:
-		work = randstream.LogNormal(rng, work, class.CV)
+		work = randstream.LogNormal(rng, work, class.WorkCV)
 	}
 	return max(1, monotime.Micros(work))
 }
--- a/internal/simulation/scenario/parse.go
+++ b/internal/simulation/scenario/parse.go
@@ -23,19 +23,19 @@
 		Length: duration(30 * time.Second),
 		Fleet:  Fleet{Instances: 3},
 		Network: Network{
-			Client:     duration(70 * time.Microsecond),
-			Within:     duration(250 * time.Microsecond),
-			Between:    duration(time.Millisecond),
-			Jitter:     0.2,
-			Retransmit: duration(200 * time.Millisecond),
+			ClientDelay:    duration(70 * time.Microsecond),
+			SameZoneDelay:  duration(250 * time.Microsecond),
+			CrossZoneDelay: duration(time.Millisecond),
+			Jitter:         0.2,
+			Retransmit:     duration(200 * time.Millisecond),
 		},
-		Host: Host{Overhead: duration(100 * time.Microsecond), Slack: duration(50 * time.Microsecond)},
+		Host: Host{Overhead: duration(100 * time.Microsecond), SchedulingDelay: duration(50 * time.Microsecond)},
 		Discovery: Discovery{
-			Add:    newSpan(500*time.Millisecond, 2*time.Second),
-			Drain:  newSpan(100*time.Millisecond, 500*time.Millisecond),
-			Gone:   newSpan(2*time.Second, 5*time.Second),
-			Silent: newSpan(5*time.Second, 10*time.Second),
-			Spread: duration(100 * time.Millisecond),
+			ReadyDelay:       newSpan(500*time.Millisecond, 2*time.Second),
+			DrainDelay:       newSpan(100*time.Millisecond, 500*time.Millisecond),
+			ProcessEndDelay:  newSpan(2*time.Second, 5*time.Second),
+			MachineLostDelay: newSpan(5*time.Second, 10*time.Second),
+			UpdateSpread:     duration(100 * time.Millisecond),
 		},
 		Clients: Clients{
 			Processes:       4,
@@ -146,8 +146,8 @@
 		s.EndpointKinds[i].setDefaults()
 	}
 	for i := range s.Classes {
-		if class := &s.Classes[i]; class.Dist == "" {
-			class.Dist = "lognormal"
+		if class := &s.Classes[i]; class.WorkDistribution == "" {
+			class.WorkDistribution = "lognormal"
 		}
 	}
 }
@@ -170,8 +170,9 @@
 	clone.EndpointKinds = slices.Clone(s.EndpointKinds)
 	clone.Classes = slices.Clone(s.Classes)
 	clone.Tenants = slices.Clone(s.Tenants)
-	for _, span := range []**stricttoml.Span{&clone.Clients.Backoff, &clone.Discovery.Add, &clone.Discovery.Drain,
-		&clone.Discovery.Gone, &clone.Discovery.Silent} {
+	for _, span := range []**stricttoml.Span{
+		&clone.Clients.Backoff, &clone.Discovery.ReadyDelay, &clone.Discovery.DrainDelay,
+		&clone.Discovery.ProcessEndDelay, &clone.Discovery.MachineLostDelay} {
 		spanCopy := **span
 		*span = &spanCopy
 	}
@@ -208,8 +209,8 @@
 	if kind.Cancel == "" {
 		kind.Cancel = "queued"
 	}
-	if kind.Cell == 0 {
-		kind.Cell = 4
+	if kind.CellSize == 0 {
+		kind.CellSize = 4
 	}
 	if kind.Idle.Duration == 0 {
 		kind.Idle = duration(15 * time.Second)
--- a/internal/simulation/scenario/plannedevent.go
+++ b/internal/simulation/scenario/plannedevent.go
@@ -20,16 +20,16 @@
 	Tenant    int             `json:"Tenant"` // index of the tenant; -1: all tenants
 	OneClient bool            `json:"One"`    // whether only the instances' first client process is affected
 	Zone      int             `json:"Zone"`   // index of the zone; -1: all zones
-	To        int             `json:"To"`     // index of the other zone; -1: all zones
+	OtherZone int             `json:"To"`     // index of the other zone; -1: all zones
 	Every     monotime.Micros `json:"Every"`
 	Delay     monotime.Micros `json:"Delay"`
 	// Instances are the indices of the affected instances, or of the instances whose network paths are
 	// affected.
 	Instances []int `json:"Instances"`
-	// Others are the indices of the instances on the other side of an EventInstancePartition; nil: all other
+	// OtherInstances are the indices of the instances on the other side of an EventInstancePartition; nil: all other
 	// instances.
-	Others []int  `json:"Others"`
-	Way    string `json:"Way"`
+	OtherInstances []int  `json:"Others"`
+	Direction      string `json:"Way"`
 }
 
 // Frozen reports whether the event stops its instances at an instant, and the earliest time at which they
@@ -49,7 +49,7 @@
 // set, from the endpoint to the instance.
 func (event *PlannedEvent) BlocksPath(now monotime.Micros, instance, endpoint int, toInstance bool) bool {
 	return event.What == EventPathBlocked && now >= event.At && now < event.Until &&
-		(event.Way == "" || (event.Way == WayFrom) == toInstance) &&
+		(event.Direction == "" || (event.Direction == DirectionFrom) == toInstance) &&
 		contains(event.Instances, instance) && contains(event.Endpoints, endpoint)
 }
 
@@ -63,10 +63,10 @@
 		}
 		fromInside := contains(event.Instances, from)
 		toInside := contains(event.Instances, to)
-		if event.Others != nil && !contains(event.Others, from) && !contains(event.Others, to) {
+		if event.OtherInstances != nil && !contains(event.OtherInstances, from) && !contains(event.OtherInstances, to) {
 			continue
 		}
-		if fromInside != toInside && (event.Way == "" || (event.Way == WayTo) == toInside) {
+		if fromInside != toInside && (event.Direction == "" || (event.Direction == DirectionTo) == toInside) {
 			return true
 		}
 	}
@@ -128,7 +128,7 @@
 	case EventErrors:
 		condition.ErrorRate = min(1, condition.ErrorRate+size)
 		if event.Class >= 0 {
-			condition.OneClass = true
+			condition.ErrorsInOneClassOnly = true
 			condition.Class = classOf[event.Class]
 		}
 	case EventUnanswered:
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -40,35 +40,35 @@
 type Fleet struct {
 	Zones     []string `toml:"zones"`
 	Instances int      `toml:"instances"`
-	// Uneven is the coefficient of variation of the instances' shares of the traffic.
-	Uneven   float64 `toml:"uneven,omitempty"`
-	ZoneSkew float64 `toml:"zone_skew,omitempty"` // 0: all zones have equal traffic; 1: the first zone has all traffic
-	Subset   int     `toml:"subset,omitempty"`    // number of endpoints on an instance's endpoint list; 0: all
+	// TrafficShareCV is the coefficient of variation of the instances' shares of the traffic.
+	TrafficShareCV float64 `toml:"uneven,omitempty"`
+	ZoneSkew       float64 `toml:"zone_skew,omitempty"` // 0: all zones have equal traffic; 1: the first zone has all traffic
+	SubsetSize     int     `toml:"subset,omitempty"`    // number of endpoints on an instance's endpoint list; 0: all
 }
 
 // Network describes the network between clients, instances and endpoints.
 type Network struct {
-	Client     stricttoml.Duration `toml:"client"`  // one-way delay between a client and its instance
-	Within     stricttoml.Duration `toml:"within"`  // one-way delay within a zone
-	Between    stricttoml.Duration `toml:"between"` // one-way delay between zones
-	Jitter     float64             `toml:"jitter"`  // mean random addition to a delay, as a fraction of the delay
-	Loss       float64             `toml:"loss"`    // fraction of messages that are lost and retransmitted
-	Retransmit stricttoml.Duration `toml:"retransmit"`
+	ClientDelay    stricttoml.Duration `toml:"client"`  // one-way delay between a client and its instance
+	SameZoneDelay  stricttoml.Duration `toml:"within"`  // one-way delay within a zone
+	CrossZoneDelay stricttoml.Duration `toml:"between"` // one-way delay between zones
+	Jitter         float64             `toml:"jitter"`  // mean random addition to a delay, as a fraction of the delay
+	Loss           float64             `toml:"loss"`    // fraction of messages that are lost and retransmitted
+	Retransmit     stricttoml.Duration `toml:"retransmit"`
 }
 
 // Host describes the delays within an instance.
 type Host struct {
-	Overhead stricttoml.Duration `toml:"overhead"` // delay of a request in its instance, in addition to its attempts
-	Slack    stricttoml.Duration `toml:"slack"`    // mean delay of timers and schedulers
+	Overhead        stricttoml.Duration `toml:"overhead"` // delay of a request in its instance, in addition to its attempts
+	SchedulingDelay stricttoml.Duration `toml:"slack"`    // mean delay of timers and schedulers
 }
 
 // Discovery describes how long discovery takes to detect a change, and to notify instances.
 type Discovery struct {
-	Add    *stricttoml.Span    `toml:"add"`    // delay until discovery detects that an endpoint is ready
-	Drain  *stricttoml.Span    `toml:"drain"`  // delay until discovery detects that an endpoint is draining
-	Gone   *stricttoml.Span    `toml:"gone"`   // delay until discovery detects that a process has ended
-	Silent *stricttoml.Span    `toml:"silent"` // delay until discovery detects that a machine has disappeared
-	Spread stricttoml.Duration `toml:"spread"` // largest difference between instances in the delay of an update
+	ReadyDelay       *stricttoml.Span    `toml:"add"`    // delay until discovery detects that an endpoint is ready
+	DrainDelay       *stricttoml.Span    `toml:"drain"`  // delay until discovery detects that an endpoint is draining
+	ProcessEndDelay  *stricttoml.Span    `toml:"gone"`   // delay until discovery detects that a process has ended
+	MachineLostDelay *stricttoml.Span    `toml:"silent"` // delay until discovery detects that a machine has disappeared
+	UpdateSpread     stricttoml.Duration `toml:"spread"` // largest difference between instances in the delay of an update
 }
 
 // Clocks bounds the errors of the instances' clocks.
@@ -98,12 +98,12 @@
 	PauseFor            stricttoml.Duration `toml:"pause_for,omitempty"`
 	ProbeWork           stricttoml.Duration `toml:"probe_work,omitempty"`
 	Handshake           stricttoml.Duration `toml:"handshake,omitempty"`
-	Conns               int                 `toml:"connections,omitempty"`
+	MaxConnections      int                 `toml:"connections,omitempty"`
 	Idle                stricttoml.Duration `toml:"idle,omitempty"`
-	// Cell is the number of endpoints that share their deduplication state.
-	Cell   int                 `toml:"cell,omitempty"`
-	Report stricttoml.Duration `toml:"report_every,omitempty"`
-	Noise  float64             `toml:"report_noise,omitempty"`
+	// CellSize is the number of endpoints that share their deduplication state.
+	CellSize       int                 `toml:"cell,omitempty"`
+	ReportInterval stricttoml.Duration `toml:"report_every,omitempty"`
+	ReportNoise    float64             `toml:"report_noise,omitempty"`
 	// StartsWithRun specifies that the endpoints start at the start of the run and warm up; otherwise they are
 	// already warm.
 	StartsWithRun bool `toml:"cold,omitempty"`
@@ -111,13 +111,13 @@
 
 // Class is a class of requests, with the same name as in the settings.
 type Class struct {
-	Name  string              `toml:"name,omitempty"`
-	Share float64             `toml:"share,omitempty"`
-	Work  stricttoml.Duration `toml:"work,omitempty"` // mean work of an operation, as time on a core of speed 1
-	Dist  string              `toml:"dist,omitempty"` // "lognormal", "exponential" or "fixed"
-	CV    float64             `toml:"cv,omitempty"`
-	// Noise is the coefficient of variation of the work of a request's attempts.
-	Noise float64 `toml:"noise,omitempty"`
+	Name             string              `toml:"name,omitempty"`
+	Share            float64             `toml:"share,omitempty"`
+	Work             stricttoml.Duration `toml:"work,omitempty"` // mean work of an operation, as time on a core of speed 1
+	WorkDistribution string              `toml:"dist,omitempty"` // "lognormal", "exponential" or "fixed"
+	WorkCV           float64             `toml:"cv,omitempty"`
+	// AttemptWorkCV is the coefficient of variation of the work of a request's attempts.
+	AttemptWorkCV float64 `toml:"noise,omitempty"`
 }
 
 // Tenant is a tenant and its share of the traffic. Its name is the same as in the settings.
@@ -176,24 +176,24 @@
 	Part  Range  `toml:"part,omitempty"`
 	Count int    `toml:"count,omitempty"`
 
-	Size   Range  `toml:"size,omitempty"`   // severity of the event; its meaning depends on What (eventKinds)
-	Class  string `toml:"class,omitempty"`  // EventErrors, EventSurge: only requests of this class
-	Tenant string `toml:"tenant,omitempty"` // EventSurge: only requests of this tenant
-	One    bool   `toml:"one,omitempty"`    // EventSurge: only one client process of each instance
+	Size      Range  `toml:"size,omitempty"`   // severity of the event; its meaning depends on What (eventKinds)
+	Class     string `toml:"class,omitempty"`  // EventErrors, EventSurge: only requests of this class
+	Tenant    string `toml:"tenant,omitempty"` // EventSurge: only requests of this tenant
+	OneClient bool   `toml:"one,omitempty"`    // EventSurge: only one client process of each instance
 	// Every is the time between the restarts of an EventRollingRestart. An EventNeighbour, EventInstanceFreeze
 	// or EventInstancePartition is active and inactive in turn, each for this time.
-	Every stricttoml.Duration `toml:"every,omitempty"`
-	Delay *stricttoml.Span    `toml:"delay,omitempty"` // delay of the kinds of events in kindsWithDelay
-	To    string              `toml:"to,omitempty"`    // EventZonePartition: the other zone; empty: all other zones
+	Every     stricttoml.Duration `toml:"every,omitempty"`
+	Delay     *stricttoml.Span    `toml:"delay,omitempty"` // delay of the kinds of events in kindsWithDelay
+	OtherZone string              `toml:"to,omitempty"`    // EventZonePartition: the other zone; empty: all other zones
 
 	// Instances is the fraction of the instances of the zone that the event applies to; without it, all of
 	// them.
-	Instances Range `toml:"instances,omitempty"`
-	Named     []int `toml:"named,omitempty"`  // indices of the affected instances, instead of Instances
-	Others    []int `toml:"others,omitempty"` // EventInstancePartition: indices of the instances on the other side
-	// Way is the blocked direction, WayTo or WayFrom, relative to the endpoints of an EventPathBlocked or the
-	// instances of an EventInstancePartition. Empty: both directions.
-	Way string `toml:"way,omitempty"`
+	Instances       Range `toml:"instances,omitempty"`
+	InstanceIndexes []int `toml:"named,omitempty"`  // indices of the affected instances, instead of Instances
+	OtherInstances  []int `toml:"others,omitempty"` // EventInstancePartition: indices of the instances on the other side
+	// Direction is the blocked direction, DirectionTo or DirectionFrom, relative to the endpoints of an
+	// EventPathBlocked or the instances of an EventInstancePartition. Empty: both directions.
+	Direction string `toml:"way,omitempty"`
 }
 
 // Range is a fixed number, or the two bounds between which a number is drawn.
--- a/internal/simulation/simendpoint/config.go
+++ b/internal/simulation/simendpoint/config.go
@@ -19,7 +19,7 @@
 	Cores               int             // requests that can run at the same time
 	Speed               float64         // speed of a core: microseconds of work that it does in a microsecond
 	QueueCapacity       int             // requests that may be queued; 0 is no limit
-	WarmupFrom          float64         // fraction of the full speed at the start of the process; 1 is no warm-up
+	WarmupStartShare    float64         // fraction of the full speed at the start of the process; 1 is no warm-up
 	WarmupDuration      monotime.Micros // time from the start of the process to its full speed
 	CollapseLoad        float64         // ratio of offered work to capacity at which it collapses during warm-up
 	CollapseWindow      monotime.Micros // time over which the offered work is summed; 0: it never collapses
@@ -36,14 +36,14 @@
 
 // Condition describes the temporary faults of an endpoint. The zero value is an endpoint without faults.
 type Condition struct {
-	Slowdown       float64 // factor on service times; 0 means 1
-	StolenShare    float64 // fraction of the machine that another program uses
-	ErrorRate      float64 // fraction of the requests that fail at once, without having run
-	OneClass       bool    // ErrorRate applies only to Class
-	Class          int
-	UnansweredRate float64         // fraction of the requests that never get a response
-	RejectRate     float64         // fraction of the requests that are rejected despite free capacity
-	FalseReports   bool            // all values of its load reports are zero
-	InvalidReports bool            // values of its load reports are impossible or missing
-	ReportDelay    monotime.Micros // age of its load reports
+	Slowdown             float64 // factor on service times; 0 means 1
+	StolenShare          float64 // fraction of the machine that another program uses
+	ErrorRate            float64 // fraction of the requests that fail at once, without having run
+	ErrorsInOneClassOnly bool    // ErrorRate applies only to Class
+	Class                int
+	UnansweredRate       float64         // fraction of the requests that never get a response
+	RejectRate           float64         // fraction of the requests that are rejected despite free capacity
+	FalseReports         bool            // all values of its load reports are zero
+	InvalidReports       bool            // values of its load reports are impossible or missing
+	ReportDelay          monotime.Micros // age of its load reports
 }
--- a/internal/simulation/simendpoint/endpoint.go
+++ b/internal/simulation/simendpoint/endpoint.go
@@ -186,11 +186,12 @@
 
 // WarmupShare returns the fraction of the full speed that the process has reached in its warm-up.
 func (e *Endpoint) WarmupShare(now monotime.Micros) float64 {
-	if e.startedWarm || e.config.WarmupDuration <= 0 || e.config.WarmupFrom <= 0 ||
+	if e.startedWarm || e.config.WarmupDuration <= 0 || e.config.WarmupStartShare <= 0 ||
 		now-e.startedAt >= e.config.WarmupDuration {
 		return 1
 	}
-	return e.config.WarmupFrom + (1-e.config.WarmupFrom)*float64(now-e.startedAt)/float64(e.config.WarmupDuration)
+	return e.config.WarmupStartShare +
+		(1-e.config.WarmupStartShare)*float64(now-e.startedAt)/float64(e.config.WarmupDuration)
 }
 
 // Capacity returns the microseconds of work that all cores together do in a microsecond now.
@@ -229,7 +230,7 @@
 	if e.collapsed || job.Chance < e.condition.RejectRate {
 		return Rejected
 	}
-	if (!e.condition.OneClass || e.condition.Class == job.Class) && job.Chance >= e.config.ErrorRate &&
+	if (!e.condition.ErrorsInOneClassOnly || e.condition.Class == job.Class) && job.Chance >= e.config.ErrorRate &&
 		job.Chance < e.config.ErrorRate+e.condition.ErrorRate {
 		e.report.windowErrors++
 		return Failed
--- a/internal/simulation/simendpoint/endpoint_test.go
+++ b/internal/simulation/simendpoint/endpoint_test.go
@@ -28,13 +28,13 @@
 func drawConfig(t *rapid.T) Config {
 	t.Helper()
 	return Config{
-		Cores:          rapid.IntRange(1, 4).Draw(t, "cores"),
-		Speed:          rapid.Float64Range(0.3, 2).Draw(t, "speed"),
-		QueueCapacity:  rapid.IntRange(0, 5).Draw(t, "queue"),
-		Cancellation:   Cancellation(rapid.IntRange(0, 2).Draw(t, "cancel")),
-		ErrorRate:      0.1,
-		WarmupFrom:     0.2,
-		WarmupDuration: second,
+		Cores:            rapid.IntRange(1, 4).Draw(t, "cores"),
+		Speed:            rapid.Float64Range(0.3, 2).Draw(t, "speed"),
+		QueueCapacity:    rapid.IntRange(0, 5).Draw(t, "queue"),
+		Cancellation:     Cancellation(rapid.IntRange(0, 2).Draw(t, "cancel")),
+		ErrorRate:        0.1,
+		WarmupStartShare: 0.2,
+		WarmupDuration:   second,
 	}
 }
 
@@ -140,12 +140,12 @@
 // started again. An endpoint that is warm, or is offered no more work than it can do, must not collapse.
 func TestFallsOver(t *testing.T) {
 	config := Config{
-		Cores:          2,
-		Speed:          1,
-		WarmupFrom:     0.2,
-		WarmupDuration: 20 * second,
-		CollapseLoad:   2.5,
-		CollapseWindow: 2 * second,
+		Cores:            2,
+		Speed:            1,
+		WarmupStartShare: 0.2,
+		WarmupDuration:   20 * second,
+		CollapseLoad:     2.5,
+		CollapseWindow:   2 * second,
 	}
 	offerLoad := func(e *Endpoint, from monotime.Micros, load float64) bool {
 		const work = 20_000
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -37,15 +37,15 @@
 
 // Settings configure the instances of a simulated fleet.
 type Settings struct {
-	Site           siteconfig.Site            // site configuration; each instance gets its own position and zone in it
-	Concurrency    engine.ConcurrencySettings // concurrency limits of each instance
-	RetryBudget    float64                    // retries allowed per request, for each instance's pool
-	Subset         *subset.Settings           // endpoint subsetting, with each instance's own position; nil: off
-	Overload       *overload.Settings         // overload control, with the run's number of instances; nil: off
-	Coordination   *engine.Coordination       // fleet coordination, with each instance's own name; nil: off
-	MaxConnections int                        // connections that an instance may open to endpoints; 0 is no limit
-	Clients        connlimit.Limits           // limits on the client connections of each instance
-	Client         fairqueue.ClientSpec       // limits of each client process
+	Site              siteconfig.Site            // site configuration; each instance gets a position and a zone
+	Concurrency       engine.ConcurrencySettings // concurrency limits of each instance
+	RetryBudget       float64                    // retries allowed per request, for each instance's pool
+	Subset            *subset.Settings           // endpoint subsetting, with each instance's own position; nil: off
+	Overload          *overload.Settings         // overload control, with the run's number of instances; nil: off
+	Coordination      *engine.Coordination       // fleet coordination, with each instance's own name; nil: off
+	MaxConnections    int                        // connections that an instance may open to endpoints; 0 is no limit
+	ClientConnections connlimit.Limits           // limits on the client connections of each instance
+	ClientProcess     fairqueue.ClientSpec       // limits of each client process
 
 	// DecisionSeed is the seed of the instances' own random decisions. Runs with the same plan, the same
 	// other settings and different decision seeds differ only in these decisions and their consequences.
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -115,24 +115,24 @@
 	}
 	return &Settings{
 		Site: siteconfig.Site{
-			Settings:  balancerSettings,
-			Classes:   []string{"look", "book", "sell"},
-			Tenants:   []string{"p"},
-			Zones:     []string{"x", "y"},
-			Kinds:     []string{"n"},
-			KeepAlive: 15 * time.Second,
+			Settings:     balancerSettings,
+			Classes:      []string{"look", "book", "sell"},
+			Tenants:      []string{"p"},
+			Zones:        []string{"x", "y"},
+			MachineTypes: []string{"n"},
+			KeepAlive:    15 * time.Second,
 		},
 		Concurrency: engine.ConcurrencySettings{
 			MaxOpen:  1000,
 			Adaptive: &concurrency.Settings{Min: 4, Max: 500, Initial: 16},
 		},
-		Clients: connlimit.Limits{
+		ClientConnections: connlimit.Limits{
 			MaxConnections: 500,
 			MaxIdle:        100,
 			MaxIdleTime:    15 * second,
 			MinIdleTime:    second / 10,
 		},
-		Client: fairqueue.ClientSpec{Weight: 1},
+		ClientProcess: fairqueue.ClientSpec{Weight: 1},
 	}
 }
 
--- a/internal/siteconfig/site.go
+++ b/internal/siteconfig/site.go
@@ -22,10 +22,10 @@
 
 	// Names of classes, tenants, zones and machine types as they are used in requests and endpoint lists. The
 	// position of a name is its index in Settings.
-	Classes []string
-	Tenants []string
-	Zones   []string
-	Kinds   []string // machine types of endpoints
+	Classes      []string
+	Tenants      []string
+	Zones        []string
+	MachineTypes []string // machine types of endpoints
 
 	// TenantLimits are the largest numbers of requests a second that all instances together admit for each tenant,
 	// in the order of Tenants; 0 is no limit.
