--- a/cmd/dunlinsail/main.go
+++ b/cmd/dunlinsail/main.go
@@ -16,13 +16,13 @@
 
 func main() {
 	// First of all, because a SIGHUP without a handler ends the program.
-	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	// A sidecar has one core, which it may share with other sidecars.
 	runtime.GOMAXPROCS(1)
-	read := func() (*platform.Config, error) { return platform.Read(os.Getenv) }
-	config, err := read()
+	readConfig := func() (*platform.Config, error) { return platform.Read(os.Getenv) }
+	config, err := readConfig()
 	if err != nil {
 		log.Error("cannot start", "error", err)
 		os.Exit(2)
@@ -31,14 +31,14 @@
 	debug.SetMemoryLimit(int64(config.MemoryMB) << 20 / 2)
 	// The signals are never reset: a SIGTERM of the platform may come while this process, after a handover, ends by
 	// itself, and must not kill it.
-	stop, cancel := context.WithCancel(context.Background())
-	signals := make(chan os.Signal, 1)
-	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
+	ctx, cancel := context.WithCancel(context.Background())
+	stopSignals := make(chan os.Signal, 1)
+	signal.Notify(stopSignals, syscall.SIGTERM, os.Interrupt)
 	go func() { // until the program ends
-		<-signals
+		<-stopSignals
 		cancel()
 	}()
-	if err := sidecar.Run(stop, config, reload, read, log); err != nil {
+	if err := sidecar.Run(ctx, config, reloadSignals, readConfig, log); err != nil {
 		log.Error("ended", "error", err)
 		os.Exit(1)
 	}
--- a/cmd/dunlinsail/main_test.go
+++ b/cmd/dunlinsail/main_test.go
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-const config = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
+const sidecarConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
 	"known":{"generation":1,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"up"}]},
 	"settings":{"peers-total":1,"areas":["a"],"skus":["m1"],"discovery":"automatic",
 	"classes":[{"name":"look","repeat":"pure","target":500000,"give-up":1000000,"credit":1.0}],
@@ -44,20 +44,20 @@
 
 // SIGHUP does not end the program, whatever the file holds by then; SIGTERM ends it with 0.
 func TestSignals(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	addr := ln.Addr().String()
-	ln.Close()
-	file := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(file, []byte(config), 0o600))
+	addr := listener.Addr().String()
+	listener.Close()
+	configPath := filepath.Join(t.TempDir(), "config.json")
+	require.NoError(t, os.WriteFile(configPath, []byte(sidecarConfig), 0o600))
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+file, "ROUTER_LISTEN="+addr)
+	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+configPath, "ROUTER_LISTEN="+addr)
 	cmd.Stderr = os.Stderr
 	require.NoError(t, cmd.Start())
 	defer cmd.Process.Kill()
-	ready := func() {
+	awaitReady := func() {
 		t.Helper()
-		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
+		for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); {
 			if resp, err := http.Get("http://" + addr + "/-/ready"); err == nil {
 				resp.Body.Close()
 				if resp.StatusCode == 200 {
@@ -67,11 +67,11 @@
 		}
 		t.Fatal("not ready")
 	}
-	ready()
-	for _, text := range []string{config, "{"} {
-		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
+	awaitReady()
+	for _, configText := range []string{sidecarConfig, "{"} {
+		require.NoError(t, os.WriteFile(configPath, []byte(configText), 0o600))
 		require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
-		ready()
+		awaitReady()
 	}
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	if err := cmd.Wait(); err != nil {
--- a/cmd/dunlinsail/size_test.go
+++ b/cmd/dunlinsail/size_test.go
@@ -29,13 +29,13 @@
 
 // openLargeResponse sends a request, and reads the first part of its response.
 func openLargeResponse(addr string) (*largeResponse, error) {
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Now().Add(time.Minute))
-	io.WriteString(c, requestHead("GET", "/look/1", "X-Expires-In-Ms: 1000\r\n"))
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	conn.SetDeadline(time.Now().Add(time.Minute))
+	io.WriteString(conn, requestHead("GET", "/look/1", "X-Expires-In-Ms: 1000\r\n"))
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err == nil && resp.StatusCode != 200 {
 		err = fmt.Errorf("answered %s", resp.Status)
 	}
@@ -43,10 +43,10 @@
 		_, err = io.CopyN(io.Discard, resp.Body, firstPartSize)
 	}
 	if err != nil {
-		c.Close()
+		conn.Close()
 		return nil, err
 	}
-	return &largeResponse{conn: c, response: resp}, nil
+	return &largeResponse{conn: conn, response: resp}, nil
 }
 
 // readRest reads the response to its end, and returns how many bytes that were.
@@ -58,11 +58,11 @@
 // startLargeServer starts a server that answers each request with a number of bytes, and returns its address.
 func startLargeServer(t *testing.T, size int) string {
 	t.Helper()
-	part := make([]byte, firstPartSize)
+	chunk := make([]byte, firstPartSize)
 	return scriptedpeer.StartHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(size))
-		for range size / len(part) {
-			if _, err := w.Write(part); err != nil {
+		for range size / len(chunk) {
+			if _, err := w.Write(chunk); err != nil {
 				return
 			}
 		}
@@ -85,49 +85,50 @@
 // the sidecar buffers none of them, and all are read to their ends afterwards.
 func TestLargeAnswersInLittleMemory(t *testing.T) {
 	const (
-		answers  = 50
-		size     = 32 << 20
-		memoryMB = 32
+		responses = 50
+		size      = 32 << 20
+		memoryMB  = 32
 	)
-	large := startLargeServer(t, size)
+	endpointAddress := startLargeServer(t, size)
 	h := newHost(t)
-	text, err := os.ReadFile(h.config)
+	originalText, err := os.ReadFile(h.configPath)
 	require.NoError(t, err)
-	known := strings.Replace(config, "127.0.0.1:1\",\"lifecycle", large+"\",\"lifecycle", 1)
+	configText := strings.Replace(sidecarConfig, "127.0.0.1:1\",\"lifecycle", endpointAddress+"\",\"lifecycle", 1)
 	limits := fmt.Sprintf(`"seed":"1f","limits":{"memory_mb":%d,"sockets":256},`, memoryMB)
-	known = strings.Replace(known, `"seed":"1f",`, limits, 1)
-	if known == config || len(text) == 0 || os.WriteFile(h.config, []byte(known), 0o600) != nil {
+	configText = strings.Replace(configText, `"seed":"1f",`, limits, 1)
+	if configText == sidecarConfig || len(originalText) == 0 ||
+		os.WriteFile(h.configPath, []byte(configText), 0o600) != nil {
 		t.Fatal("no configuration")
 	}
 	// As it is built for the platform: with the race detector a process is several times as large.
-	program := filepath.Join(t.TempDir(), "dunlinsail")
-	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
+	programPath := filepath.Join(t.TempDir(), "dunlinsail")
+	if out, err := exec.Command("go", "build", "-o", programPath, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	p := h.startAs(program).ready()
-	firstPart, goOn := make(chan error), make(chan struct{})
-	var all sync.WaitGroup
-	for range answers {
-		all.Go(func() {
-			r, err := openLargeResponse(h.addr)
-			if firstPart <- err; err != nil {
+	sidecar := h.startProgram(programPath).awaitReady()
+	firstPartRead, resume := make(chan error), make(chan struct{})
+	var readers sync.WaitGroup
+	for range responses {
+		readers.Go(func() {
+			response, err := openLargeResponse(h.addr)
+			if firstPartRead <- err; err != nil {
 				return
 			}
-			<-goOn
-			if n, err := r.readRest(); err != nil || n != size-firstPartSize {
-				t.Errorf("%d bytes more, %v", n, err)
+			<-resume
+			if restSize, err := response.readRest(); err != nil || restSize != size-firstPartSize {
+				t.Errorf("%d bytes more, %v", restSize, err)
 			}
 		})
 		// One after the other: so many at once are more than the one endpoint can be expected to answer in time.
-		if err := scriptedpeer.Receive(t, firstPart, "the first part of an answer"); err != nil {
+		if err := scriptedpeer.Receive(t, firstPartRead, "the first part of an answer"); err != nil {
 			t.Error(err)
 		}
 	}
-	close(goOn)
-	all.Wait()
-	peak := peakMemoryKB(t, p.cmd.Process.Pid)
-	t.Logf("resident at most: %d kB of %d MB", peak, memoryMB)
-	if peak > memoryMB<<10 {
-		t.Errorf("resident at most: %d kB of %d MB", peak, memoryMB)
+	close(resume)
+	readers.Wait()
+	peakKB := peakMemoryKB(t, sidecar.cmd.Process.Pid)
+	t.Logf("resident at most: %d kB of %d MB", peakKB, memoryMB)
+	if peakKB > memoryMB<<10 {
+		t.Errorf("resident at most: %d kB of %d MB", peakKB, memoryMB)
 	}
 }
--- a/cmd/dunlinsaild/config.go
+++ b/cmd/dunlinsaild/config.go
@@ -44,50 +44,50 @@
 // loadVersions reads the file and the versions on disk. A state that can be read in part only is used, and the error
 // is printed to standard error.
 func (f *fileFlag) loadVersions() (*cachedVersions, error) {
-	c, err := f.read()
+	conf, err := f.read()
 	if err != nil {
 		return nil, err
 	}
-	k := &cachedVersions{file: c, state: &rollout.PersistentState{}}
-	if c.ControlPlane.StateDir == "" {
-		return k, nil
+	versions := &cachedVersions{file: conf, state: &rollout.PersistentState{}}
+	if conf.ControlPlane.StateDir == "" {
+		return versions, nil
 	}
-	if _, err := os.Stat(c.ControlPlane.StateDir); errors.Is(err, fs.ErrNotExist) {
-		return k, nil // the instance has never served
+	if _, err := os.Stat(conf.ControlPlane.StateDir); errors.Is(err, fs.ErrNotExist) {
+		return versions, nil // the instance has never served
 	}
-	if k.cache, err = configcache.Open(c.ControlPlane.StateDir); err != nil {
+	if versions.cache, err = configcache.Open(conf.ControlPlane.StateDir); err != nil {
 		return nil, err
 	}
-	state, fileName, err := k.cache.Load()
+	state, fileName, err := versions.cache.Load()
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "dunlinsaild: %v\n", err)
 	}
 	if state != nil {
-		k.state = state
+		versions.state = state
 		if fileName != "state" {
 			fmt.Fprintf(os.Stderr, "dunlinsaild: what follows is from %s\n", fileName)
 		}
 	}
-	return k, nil
+	return versions, nil
 }
 
 // resources returns the resources of a version by its name: "good", "before", "file", its number as versions lists it,
 // or the path of a file of resources in JSON.
-func (k *cachedVersions) resources(name string) ([]config.Resource, error) {
+func (v *cachedVersions) resourcesByName(name string) ([]config.Resource, error) {
 	switch name {
 	case "good":
-		return k.layeredResources(k.state.LastKnownGood)
+		return v.resourcesOfVersion(v.state.LastKnownGood)
 	case "before":
-		return k.layeredResources(k.state.PreviousGood)
+		return v.resourcesOfVersion(v.state.PreviousGood)
 	case "file":
-		return config.Resources(k.file)
+		return config.Resources(v.file)
 	}
-	for _, version := range []*rollout.LayeredVersion{k.state.LastKnownGood, k.state.PreviousGood} {
+	for _, version := range []*rollout.LayeredVersion{v.state.LastKnownGood, v.state.PreviousGood} {
 		if version != nil && version.ControlPlane != nil && version.ControlPlane.ID.String() == name {
-			return k.layeredResources(version)
+			return v.resourcesOfVersion(version)
 		}
 	}
-	text, err := os.ReadFile(name)
+	content, err := os.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("%q is neither good, before, file, a version that is kept,"+
 			" nor a file of resources", name)
@@ -95,34 +95,34 @@
 	if err != nil {
 		return nil, err
 	}
-	return parseResources(text)
+	return parseResources(content)
 }
 
-// layeredResources returns the resources of the control plane's version, or of the file if there is none.
-func (k *cachedVersions) layeredResources(version *rollout.LayeredVersion) ([]config.Resource, error) {
+// resourcesOfVersion returns the resources of the control plane's version, or of the file if there is none.
+func (v *cachedVersions) resourcesOfVersion(version *rollout.LayeredVersion) ([]config.Resource, error) {
 	if version == nil || version.ControlPlane == nil {
-		return config.Resources(k.file)
+		return config.Resources(v.file)
 	}
-	text, err := k.cache.Content(version.ControlPlane.Digest)
+	content, err := v.cache.Content(version.ControlPlane.Digest)
 	if err != nil {
 		return nil, err
 	}
-	return parseResources(text)
+	return parseResources(content)
 }
 
 // parseResources parses resources in JSON. An unknown field is an error.
-func parseResources(text []byte) ([]config.Resource, error) {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
+func parseResources(content []byte) ([]config.Resource, error) {
+	decoder := json.NewDecoder(bytes.NewReader(content))
+	decoder.DisallowUnknownFields()
 	var resources []config.Resource
-	return resources, d.Decode(&resources)
+	return resources, decoder.Decode(&resources)
 }
 
 type versionsCmd struct{ fileFlag }
 
 // Run prints the versions in the state on disk, a line each: label, version, digest and, of a rejected one, the reason.
 func (c *versionsCmd) Run() error {
-	k, err := c.loadVersions()
+	versions, err := c.loadVersions()
 	if err != nil {
 		return err
 	}
@@ -136,24 +136,24 @@
 			fmt.Fprintf(table, "%s\t%v\t%.12s\n", label, version, digest)
 		}
 	}
-	printVersion("good", k.state.LastKnownGood)
-	printVersion("before", k.state.PreviousGood)
-	if v := k.state.Unconfirmed; v != nil {
+	printVersion("good", versions.state.LastKnownGood)
+	printVersion("before", versions.state.PreviousGood)
+	if unconfirmed := versions.state.Unconfirmed; unconfirmed != nil {
 		fmt.Fprintf(table, "on trial\t%v\t%.12s\tin process %d of those that tried it\n",
-			v.ID, v.Digest, k.state.ApplyAttempts)
+			unconfirmed.ID, unconfirmed.Digest, versions.state.ApplyAttempts)
 	}
-	for i := range k.state.Rejected {
-		r := &k.state.Rejected[i]
+	for i := range versions.state.Rejected {
+		rejected := &versions.state.Rejected[i]
 		outcome := "refused"
-		if r.RolledBack {
+		if rejected.RolledBack {
 			outcome = "gone back from"
 		}
-		fmt.Fprintf(table, "%s\t%v\t%.12s\t%s\n", outcome, r.ID, r.Digest, r.Reason)
+		fmt.Fprintf(table, "%s\t%v\t%.12s\t%s\n", outcome, rejected.ID, rejected.Digest, rejected.Reason)
 	}
-	if len(k.state.AbandonedEpochs) > 0 {
-		fmt.Fprintf(table, "epochs left\t%s\n", strings.Join(k.state.AbandonedEpochs, ", "))
+	if len(versions.state.AbandonedEpochs) > 0 {
+		fmt.Fprintf(table, "epochs left\t%s\n", strings.Join(versions.state.AbandonedEpochs, ", "))
 	}
-	if k.state.LastKnownGood == nil {
+	if versions.state.LastKnownGood == nil {
 		fmt.Fprintln(table, "no version is kept: the file alone is what runs")
 	}
 	return table.Flush()
@@ -167,25 +167,25 @@
 
 // Run prints the resources of a version as JSON, or the combined configuration as TOML.
 func (c *showCmd) Run() error {
-	k, err := c.loadVersions()
+	versions, err := c.loadVersions()
 	if err != nil {
 		return err
 	}
-	resources, err := k.resources(c.Version)
+	resources, err := versions.resourcesByName(c.Version)
 	if err != nil {
 		return err
 	}
 	if c.Combined {
-		combined, err := config.Combine(k.file, resources)
+		combined, err := config.Combine(versions.file, resources)
 		if err != nil {
 			return err
 		}
 		_, err = os.Stdout.Write(combined.Text)
 		return err
 	}
-	e := json.NewEncoder(os.Stdout)
-	e.SetIndent("", "  ")
-	return e.Encode(resources)
+	encoder := json.NewEncoder(os.Stdout)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(resources)
 }
 
 type diffCmd struct {
@@ -196,15 +196,15 @@
 
 // Run prints the differences between two versions, a line each.
 func (c *diffCmd) Run() error {
-	k, err := c.loadVersions()
+	versions, err := c.loadVersions()
 	if err != nil {
 		return err
 	}
-	from, err := k.resources(c.From)
+	from, err := versions.resourcesByName(c.From)
 	if err != nil {
 		return err
 	}
-	to, err := k.resources(c.To)
+	to, err := versions.resourcesByName(c.To)
 	if err != nil {
 		return err
 	}
@@ -221,20 +221,20 @@
 
 // Run prints whether a version is valid at this instance, and whether it would be applied while serving.
 func (c *dryRunCmd) Run() error {
-	k, err := c.loadVersions()
+	versions, err := c.loadVersions()
 	if err != nil {
 		return err
 	}
-	resources, err := k.resources(c.Resources)
+	resources, err := versions.resourcesByName(c.Resources)
 	if err != nil {
 		return &fileError{c.Resources, err}
 	}
-	combined, err := config.Combine(k.file, resources)
+	combined, err := config.Combine(versions.file, resources)
 	if err != nil {
 		return &fileError{c.Resources, err}
 	}
 	fmt.Printf("%s: sound\n", c.Resources)
-	if tables := k.running().TablesNeedingRestart(combined); len(tables) > 0 {
+	if tables := versions.startupConfig().TablesNeedingRestart(combined); len(tables) > 0 {
 		fmt.Printf("a new generation would take over, for %s: open requests end in the old one, connections go on\n",
 			strings.Join(tables, ", "))
 	} else {
@@ -245,17 +245,17 @@
 
 // running returns the configuration that the instance starts with: the last known good version over the file, or the
 // file alone if there is no such version that is valid with it.
-func (k *cachedVersions) running() *config.Config {
-	if k.state.LastKnownGood == nil || k.state.LastKnownGood.ControlPlane == nil {
-		return k.file
+func (v *cachedVersions) startupConfig() *config.Config {
+	if v.state.LastKnownGood == nil || v.state.LastKnownGood.ControlPlane == nil {
+		return v.file
 	}
-	resources, err := k.layeredResources(k.state.LastKnownGood)
+	resources, err := v.resourcesOfVersion(v.state.LastKnownGood)
 	if err != nil {
-		return k.file
+		return v.file
 	}
-	combined, err := config.Combine(k.file, resources)
+	combined, err := config.Combine(v.file, resources)
 	if err != nil {
-		return k.file
+		return v.file
 	}
 	return combined
 }
@@ -264,9 +264,9 @@
 
 // Run prints the JSON Schema of a version's resources.
 func (*schemaCmd) Run() error {
-	text, err := config.Schema()
+	schema, err := config.Schema()
 	if err == nil {
-		_, err = os.Stdout.Write(text)
+		_, err = os.Stdout.Write(schema)
 	}
 	return err
 }
--- a/cmd/dunlinsaild/golden_test.go
+++ b/cmd/dunlinsaild/golden_test.go
@@ -17,7 +17,7 @@
 	require.NoError(t, err)
 	fileText, err := os.ReadFile(filepath.Join(folder, "file.toml"))
 	require.NoError(t, err)
-	path := write(t, fmt.Sprintf("%s\n[control]\nstate = %q\n", fileText, filepath.Join(folder, "versions")))
+	path := writeConfig(t, fmt.Sprintf("%s\n[control]\nstate = %q\n", fileText, filepath.Join(folder, "versions")))
 	candidate := filepath.Join("testdata", "golden", "candidate.json")
 	for output, args := range map[string][]string{
 		"versions.txt":    {"config", "versions"},
@@ -32,7 +32,7 @@
 		t.Run(output, func(t *testing.T) {
 			want, err := os.ReadFile(filepath.Join(folder, output))
 			require.NoError(t, err)
-			code, out, stderr := ends(t, append(args[:2:2], append([]string{"--config", path}, args[2:]...)...)...)
+			code, out, stderr := runToEnd(t, append(args[:2:2], append([]string{"--config", path}, args[2:]...)...)...)
 			out = strings.ReplaceAll(out, folder, "FOLDER")
 			if code != 0 || stderr != "" || out != string(want) {
 				t.Errorf("%v: code %d, errors %q, got\n%s\nwant\n%s", args, code, stderr, out, want)
--- a/cmd/dunlinsaild/main.go
+++ b/cmd/dunlinsaild/main.go
@@ -39,38 +39,38 @@
 
 func main() {
 	// First of all, because a SIGHUP without a handler ends the program.
-	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP)
-	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	code := run(stop, os.Args[1:], reload)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	code := run(ctx, os.Args[1:], reloadSignals)
 	_ = cancel // not called: it would let a SIGTERM at this moment kill the program
 	os.Exit(code)
 }
 
 // run runs the command of the arguments and returns the exit code.
-func run(stop context.Context, args []string, reload <-chan os.Signal) int {
-	var c commands
-	parser, err := kong.New(&c, kong.Name("dunlinsaild"),
+func run(ctx context.Context, args []string, reloadSignals <-chan os.Signal) int {
+	var cmds commands
+	parser, err := kong.New(&cmds, kong.Name("dunlinsaild"),
 		kong.Description("Balances the requests of a host's client processes. See docs/operators/daemon.md."),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 		kong.Vars{"user": os.Getenv("USER")}, commandsHelp, adminHelp, configHelp, workHelp)
 	if err != nil {
 		panic(err) // the tags of the commands are invalid
 	}
-	command, err := parser.Parse(args)
+	parsed, err := parser.Parse(args)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "dunlinsaild: %v; dunlinsaild --help tells more\n", err)
 		return exitUsage
 	}
-	command.BindTo(stop, (*context.Context)(nil))
-	command.Bind(reload)
-	err = command.Run()
-	var invalid *fileError
+	parsed.BindTo(ctx, (*context.Context)(nil))
+	parsed.Bind(reloadSignals)
+	err = parsed.Run()
+	var fileErr *fileError
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.As(err, &invalid):
-		invalid.print()
+	case errors.As(err, &fileErr):
+		fileErr.print()
 		return exitUsage
 	}
 	fmt.Fprintln(os.Stderr, "dunlinsaild:", err)
@@ -87,12 +87,12 @@
 
 // print prints the error to standard error, a line for each mistake.
 func (e *fileError) print() {
-	var all stricttoml.Errors
-	if !errors.As(e.err, &all) {
+	var mistakes stricttoml.Errors
+	if !errors.As(e.err, &mistakes) {
 		fmt.Fprintln(os.Stderr, e.err)
 		return
 	}
-	for _, mistake := range all {
+	for _, mistake := range mistakes {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", e.path, mistake)
 	}
 }
--- a/cmd/dunlinsaild/members.go
+++ b/cmd/dunlinsaild/members.go
@@ -20,73 +20,74 @@
 }
 
 // Run prints a daemon's view of its fleet.
-func (c *membersCmd) Run(stop context.Context) error {
-	text, err := c.call(stop, admin.PathMembers, nil)
+func (c *membersCmd) Run(ctx context.Context) error {
+	body, err := c.call(ctx, admin.PathMembers, nil)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		_, err = fmt.Fprintf(os.Stdout, "%s\n", text)
+		_, err = fmt.Fprintf(os.Stdout, "%s\n", body)
 		return err
 	}
-	var v daemon.View
-	if err := json.Unmarshal(text, &v); err != nil {
+	var view daemon.View
+	if err := json.Unmarshal(body, &view); err != nil {
 		return err
 	}
-	return printMembers(os.Stdout, &v)
+	return printMembers(os.Stdout, &view)
 }
 
 // micros returns a number of microseconds as a duration, rounded to 10 ms.
-func micros(v int64) time.Duration {
-	return (time.Duration(v) * time.Microsecond).Round(10 * time.Millisecond)
+func microsToDuration(microseconds int64) time.Duration {
+	return (time.Duration(microseconds) * time.Microsecond).Round(10 * time.Millisecond)
 }
 
 // printMembers prints a daemon's view of its fleet for people.
-func printMembers(out io.Writer, v *daemon.View) error {
+func printMembers(out io.Writer, view *daemon.View) error {
 	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "%s sees:\n", v.Name)
+	fmt.Fprintf(w, "%s sees:\n", view.Name)
 	fmt.Fprintln(w, "INSTANCE\tADDRESS\tSTATE\tSINCE")
-	for _, m := range v.Members {
+	for _, member := range view.Members {
 		state := "alive"
-		if !m.Alive {
+		if !member.Alive {
 			state = "gone, or not to be reached"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", m.Name, m.Address, state, m.Since.UTC().Format(time.RFC3339))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", member.Name, member.Address, state, member.Since.UTC().Format(time.RFC3339))
 	}
 	fmt.Fprintln(w)
-	printQuota(w, &v.Fleet)
+	printQuota(w, &view.Fleet)
 	return w.Flush()
 }
 
 // printQuota prints the instance's quota lease and budgets and, at the allocator, the leases that it has granted.
-func printQuota(w io.Writer, f *coordination.View) {
+func printQuota(w io.Writer, fleet *coordination.View) {
 	switch {
-	case !f.Active:
+	case !fleet.Active:
 		fmt.Fprintln(w, "It takes no part yet: another process has its place.")
-	case f.Allocator == "":
+	case fleet.Allocator == "":
 		fmt.Fprintln(w, "Nobody lends, as far as it knows: it goes on with its least.")
-	case f.LeaseRemaining == 0:
+	case fleet.LeaseRemaining == 0:
 		fmt.Fprintf(w, "%s lends, and has not answered for %v: it goes on with its least.\n",
-			f.Allocator, micros(f.SinceLastGrant))
+			fleet.Allocator, microsToDuration(fleet.SinceLastGrant))
 	default:
 		fmt.Fprintf(w, "%s lends (heard %v ago); its loan ends in %v if it is not renewed.\n",
-			f.Allocator, micros(f.SinceLastGrant), micros(f.LeaseRemaining))
+			fleet.Allocator, microsToDuration(fleet.SinceLastGrant), microsToDuration(fleet.LeaseRemaining))
 	}
-	if len(f.Budgets) > 0 {
+	if len(fleet.Budgets) > 0 {
 		fmt.Fprintln(w, "BUDGET\tIT MAY SPEND A SECOND\tSPENT IN THE LAST")
-		for _, s := range f.Budgets {
-			fmt.Fprintf(w, "%s\t%d\t%d\n", s.Budget, s.Allowed, s.Spent)
+		for _, budget := range fleet.Budgets {
+			fmt.Fprintf(w, "%s\t%d\t%d\n", budget.Budget, budget.Allowed, budget.Spent)
 		}
 	}
-	if f.RecoveryRemaining > 0 {
+	if fleet.RecoveryRemaining > 0 {
 		fmt.Fprintf(w, "\nIt lends since a moment: for %v only what the others show that they hold.\n",
-			micros(f.RecoveryRemaining))
+			microsToDuration(fleet.RecoveryRemaining))
 	}
-	if len(f.Leases) > 0 {
+	if len(fleet.Leases) > 0 {
 		fmt.Fprintln(w, "\nIt has lent:")
 		fmt.Fprintln(w, "TO\tBUDGET\tUNITS\tIS TO HAVE\tASKED FOR")
-		for _, l := range f.Leases {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.1f\n", l.Lessee, l.Budget, l.Units, l.Target, l.Requested)
+		for _, lease := range fleet.Leases {
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.1f\n",
+				lease.Lessee, lease.Budget, lease.Units, lease.Target, lease.Requested)
 		}
 	}
 }
--- a/cmd/dunlinsaild/members_test.go
+++ b/cmd/dunlinsaild/members_test.go
@@ -38,25 +38,26 @@
 // startTwoFleets starts the daemons with an endpoint, and waits until each serves. They end with the test.
 func startTwoFleets(t *testing.T) *twoFleets {
 	t.Helper()
-	e, err := endpoint.Start(endpoint.Options{Name: "s-1"})
+	server, err := endpoint.Start(endpoint.Options{Name: "s-1"})
 	require.NoError(t, err)
-	t.Cleanup(func() { e.Close() })
-	r, err := discoveryserver.Start(scripteddiscovery.Up("s-1", e.Addr))
+	t.Cleanup(func() { server.Close() })
+	discoveryServer, err := discoveryserver.Start(scripteddiscovery.Up("s-1", server.Addr))
 	require.NoError(t, err)
-	t.Cleanup(func() { r.Close() })
+	t.Cleanup(func() { discoveryServer.Close() })
 	f := &twoFleets{processes: map[string]*daemonProcess{}}
-	var join []string
+	var joinAddresses []string
 	for _, name := range daemonNames {
 		p := &daemonProcess{
 			gossipAddress: scriptedpeer.ClosedAddress(t),
 			adminAddress:  scriptedpeer.ClosedAddress(t),
 		}
 		f.processes[name] = p
-		join = append(join, fmt.Sprintf("%q", p.gossipAddress))
+		joinAddresses = append(joinAddresses, fmt.Sprintf("%q", p.gossipAddress))
 	}
 	for i, name := range daemonNames {
 		p := f.processes[name]
-		text := strings.Replace(file(t, r.Addr, t.TempDir()), "[discovery]", fmt.Sprintf(`[peers]
+		configText := strings.Replace(daemonConfig(t, discoveryServer.Addr, t.TempDir()), "[discovery]",
+			fmt.Sprintf(`[peers]
 on = true
 fleet = "fleet-%d"
 address = %q
@@ -70,17 +71,17 @@
 [[tenant]]
 name = "t"
 limit = 40.0
-[discovery]`, i/2, p.gossipAddress, strings.Join(join, ", "), allocatorOf(i), p.adminAddress), 1)
-		p.clientAddress = deskAddress(text)
-		p.start(t, name, "name = \""+name+"\"\n"+text)
+[discovery]`, i/2, p.gossipAddress, strings.Join(joinAddresses, ", "), allocatorOf(i), p.adminAddress), 1)
+		p.clientAddress = deskAddress(configText)
+		p.start(t, name, "name = \""+name+"\"\n"+configText)
 	}
 	return f
 }
 
 // start starts a daemon by the text of its file, and waits until it serves. It is killed at the end of the test.
-func (p *daemonProcess) start(t *testing.T, name, text string) {
+func (p *daemonProcess) start(t *testing.T, name, configText string) {
 	t.Helper()
-	p.cmd = program("--config", write(t, text), "--announce")
+	p.cmd = programCommand("--config", writeConfig(t, configText), "--announce")
 	out, err := p.cmd.StdoutPipe()
 	require.NoError(t, err)
 	require.NoError(t, p.cmd.Start())
@@ -94,21 +95,21 @@
 }
 
 // view returns what the command members prints of a daemon for programs.
-func (f *twoFleets) view(t *testing.T, name string) (v daemon.View) {
+func (f *twoFleets) view(t *testing.T, name string) (view daemon.View) {
 	t.Helper()
-	code, out, stderr := ends(t, "members", "--at", f.processes[name].adminAddress, "--json")
-	if code != 0 || json.Unmarshal([]byte(out), &v) != nil {
+	code, out, stderr := runToEnd(t, "members", "--at", f.processes[name].adminAddress, "--json")
+	if code != 0 || json.Unmarshal([]byte(out), &view) != nil {
 		t.Fatalf("members of %s: %d %q %q", name, code, out, stderr)
 	}
-	return v
+	return view
 }
 
 // alive returns the names of the members that a daemon sees alive, one after another.
-func (f *twoFleets) alive(t *testing.T, name string) (names string) {
+func (f *twoFleets) aliveMembers(t *testing.T, name string) (names string) {
 	t.Helper()
-	for _, m := range f.view(t, name).Members {
-		if m.Alive {
-			names += m.Name
+	for _, member := range f.view(t, name).Members {
+		if member.Alive {
+			names += member.Name
 		}
 	}
 	return names
@@ -119,12 +120,12 @@
 	t.Helper()
 	for i, name := range daemonNames {
 		scriptedpeer.Eventually(t, name+" is lent nothing", func() bool {
-			fleet := f.view(t, name).Fleet
-			leased := fleet.Allocator == allocatorOf(i) && fleet.LeaseRemaining > 0
-			return leased && len(fleet.Budgets) == 1 && fleet.Budgets[0].Allowed > 2
+			fleetView := f.view(t, name).Fleet
+			leased := fleetView.Allocator == allocatorOf(i) && fleetView.LeaseRemaining > 0
+			return leased && len(fleetView.Budgets) == 1 && fleetView.Budgets[0].Allowed > 2
 		})
-		if s := f.alive(t, name); s != "ab" && s != "cd" || !strings.Contains(s, name) {
-			t.Errorf("%s sees %q", name, s)
+		if alive := f.aliveMembers(t, name); alive != "ab" && alive != "cd" || !strings.Contains(alive, name) {
+			t.Errorf("%s sees %q", name, alive)
 		}
 	}
 }
@@ -133,12 +134,12 @@
 // Each other one has to be rejected with Retry-After.
 func (p *daemonProcess) overload(t *testing.T, name string) (admitted int) {
 	t.Helper()
-	for k := range 60 {
-		q, err := http.NewRequest(http.MethodGet, "http://"+p.clientAddress+"/look/x", nil)
+	for i := range 60 {
+		req, err := http.NewRequest(http.MethodGet, "http://"+p.clientAddress+"/look/x", nil)
 		require.NoError(t, err)
-		q.Header.Set("X-Trace-Id", fmt.Sprintf("%s-%d", name, k))
-		q.Header.Set("X-Customer", "t")
-		resp, err := http.DefaultClient.Do(q)
+		req.Header.Set("X-Trace-Id", fmt.Sprintf("%s-%d", name, i))
+		req.Header.Set("X-Customer", "t")
+		resp, err := http.DefaultClient.Do(req)
 		require.NoError(t, err)
 		resp.Body.Close()
 		switch {
@@ -174,7 +175,7 @@
 func TestFleets(t *testing.T) {
 	f := startTwoFleets(t)
 	f.awaitLeases(t)
-	code, out, _ := ends(t, "members", "--at", f.processes["a"].adminAddress)
+	code, out, _ := runToEnd(t, "members", "--at", f.processes["a"].adminAddress)
 	if code != 0 || !strings.Contains(out, "a lends") || !strings.Contains(out, "tenant/t") ||
 		!strings.Contains(out, "It has lent") {
 		t.Errorf("%d %q", code, out)
@@ -194,8 +195,8 @@
 		t.Error("its figures do not say that it has a loan")
 	}
 	f.processes["b"].cmd.Process.Kill()
-	scriptedpeer.Eventually(t, "nobody sees that b is gone", func() bool { return f.alive(t, "a") == "a" })
-	if code, _, stderr := ends(t, "members", "--at", scriptedpeer.ClosedAddress(t)); code != 1 || stderr == "" {
+	scriptedpeer.Eventually(t, "nobody sees that b is gone", func() bool { return f.aliveMembers(t, "a") == "a" })
+	if code, _, stderr := runToEnd(t, "members", "--at", scriptedpeer.ClosedAddress(t)); code != 1 || stderr == "" {
 		t.Errorf("nobody there: %d %q", code, stderr)
 	}
 }
--- a/cmd/dunlinsaild/playground.go
+++ b/cmd/dunlinsaild/playground.go
@@ -14,17 +14,17 @@
 }
 
 // Run runs the playground until stop ends or its time is over.
-func (c *playgroundCmd) Run(stop context.Context) error {
-	self, err := os.Executable()
+func (c *playgroundCmd) Run(ctx context.Context) error {
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	info, err := os.Stdout.Stat()
-	terminal := err == nil && info.Mode()&os.ModeCharDevice != 0
-	return playground.Run(stop, playground.Options{
-		Program: self,
+	stdoutInfo, err := os.Stdout.Stat()
+	isTerminal := err == nil && stdoutInfo.Mode()&os.ModeCharDevice != 0
+	return playground.Run(ctx, playground.Options{
+		Program: executable,
 		Out:     os.Stdout,
-		Clear:   terminal,
+		Clear:   isTerminal,
 		For:     c.For,
 		Quiet:   c.Quiet,
 	})
@@ -33,6 +33,6 @@
 type clientCmd struct{}
 
 // Run runs a client process of the playground, which talks to its parent by standard input and output.
-func (*clientCmd) Run(stop context.Context) error {
-	return playground.Client(stop, os.Stdin, os.Stdout)
+func (*clientCmd) Run(ctx context.Context) error {
+	return playground.Client(ctx, os.Stdin, os.Stdout)
 }
--- a/cmd/dunlinsaild/serve.go
+++ b/cmd/dunlinsaild/serve.go
@@ -21,11 +21,11 @@
 
 // read reads the file. The error is a *fileError.
 func (f *fileFlag) read() (*config.Config, error) {
-	c, err := config.Read(f.Config)
+	conf, err := config.Read(f.Config)
 	if err != nil {
 		return nil, &fileError{f.Config, err}
 	}
-	return c, nil
+	return conf, nil
 }
 
 type checkCmd struct{ fileFlag }
@@ -46,7 +46,7 @@
 }
 
 // Run serves until stop ends or another process has taken over.
-func (c *serveCmd) Run(stop context.Context, reload <-chan os.Signal) error {
+func (c *serveCmd) Run(ctx context.Context, reloadSignals <-chan os.Signal) error {
 	conf, err := c.read()
 	if err != nil {
 		return err
@@ -56,17 +56,17 @@
 		level = slog.LevelDebug
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	o := daemon.Options{
+	options := daemon.Options{
 		Config:  conf,
 		Log:     log,
-		Reload:  reload,
-		Prepare: prepare,
+		Reload:  reloadSignals,
+		Prepare: applyProcessSettings,
 		Read:    func() (*config.Config, error) { return config.Read(c.Config) },
 	}
 	if c.Announce {
-		o.Serving = func(map[string]string) { fmt.Println("serving") }
+		options.Serving = func(map[string]string) { fmt.Println("serving") }
 	}
-	if err := daemon.Run(stop, o); err != nil {
+	if err := daemon.Run(ctx, options); err != nil {
 		log.Error("ended", "error", err)
 		return errors.New("ended by an error")
 	}
@@ -75,30 +75,30 @@
 }
 
 // prepare applies the settings of the whole process: cores, memory and descriptors.
-func prepare(p *config.Process) error {
-	if p.Cores > 0 {
-		runtime.GOMAXPROCS(p.Cores)
+func applyProcessSettings(settings *config.Process) error {
+	if settings.Cores > 0 {
+		runtime.GOMAXPROCS(settings.Cores)
 	}
-	debug.SetMemoryLimit(p.Memory.Bytes / 2) // the collector works harder from half of the memory on
-	return raiseDescriptorLimit(uint64(p.Descriptors))
+	debug.SetMemoryLimit(settings.Memory.Bytes / 2) // the collector works harder from half of the memory on
+	return raiseDescriptorLimit(uint64(settings.Descriptors))
 }
 
 // raiseDescriptorLimit raises this process's limit of descriptors to twice the setting, because two generations are
 // open during a change of the configuration. A system limit below that is used as far as it goes; one below the setting
 // is an error.
-func raiseDescriptorLimit(want uint64) error {
+func raiseDescriptorLimit(required uint64) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("limit of descriptors: %w", err)
 	}
-	if limit.Max < want {
+	if limit.Max < required {
 		return fmt.Errorf("process.descriptors is %d, and this process may have %d:"+
-			" set a lower one, or raise the limit (ulimit -n)", want, limit.Max)
+			" set a lower one, or raise the limit (ulimit -n)", required, limit.Max)
 	}
-	if limit.Cur >= min(limit.Max, 2*want) {
+	if limit.Cur >= min(limit.Max, 2*required) {
 		return nil
 	}
-	limit.Cur = min(limit.Max, 2*want)
+	limit.Cur = min(limit.Max, 2*required)
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("limit of descriptors: %w", err)
 	}
--- a/cmd/dunlinsaild/work.go
+++ b/cmd/dunlinsaild/work.go
@@ -38,31 +38,31 @@
 }
 
 // submit sends a command for the consensus log, and returns the answer.
-func (f *adminFlag) submit(ctx context.Context, command maintenance.Command) (string, error) {
-	answer, err := f.call(ctx, admin.PathMaintenanceCommand, command)
-	return strings.TrimSpace(string(answer)), err
+func (f *adminFlag) submitCommand(ctx context.Context, command maintenance.Command) (string, error) {
+	response, err := f.call(ctx, admin.PathMaintenanceCommand, command)
+	return strings.TrimSpace(string(response)), err
 }
 
 // submitAndPrint sends a command for the consensus log, and prints the answer.
 func (f *adminFlag) submitAndPrint(ctx context.Context, command maintenance.Command) error {
-	answer, err := f.submit(ctx, command)
+	response, err := f.submitCommand(ctx, command)
 	if err == nil {
-		fmt.Println(answer)
+		fmt.Println(response)
 	}
 	return err
 }
 
 // view returns the leader's view of the maintenance plan.
-func (f *adminFlag) view(ctx context.Context) (*consensus.View, error) {
-	text, err := f.call(ctx, admin.PathMaintenance, nil)
+func (f *adminFlag) maintenanceView(ctx context.Context) (*consensus.View, error) {
+	body, err := f.call(ctx, admin.PathMaintenance, nil)
 	if err != nil {
 		return nil, err
 	}
-	var v consensus.View
-	if err := json.Unmarshal(text, &v); err != nil {
+	var view consensus.View
+	if err := json.Unmarshal(body, &view); err != nil {
 		return nil, err
 	}
-	return &v, nil
+	return &view, nil
 }
 
 type workRequestCmd struct {
@@ -80,7 +80,7 @@
 	if c.ID == "" {
 		c.ID = "job-" + time.Now().UTC().Format("20060102-150405.000")
 	}
-	answer, err := c.submit(ctx, maintenance.Command{Request: &maintenance.Request{
+	response, err := c.submitCommand(ctx, maintenance.Command{Request: &maintenance.Request{
 		ID:        c.ID,
 		Machines:  c.Machines,
 		Duration:  c.Duration.Microseconds(),
@@ -89,7 +89,7 @@
 		Urgent:    c.Urgent,
 	}})
 	if err == nil {
-		fmt.Printf("%s: %s\n", c.ID, answer)
+		fmt.Printf("%s: %s\n", c.ID, response)
 	}
 	return err
 }
@@ -102,17 +102,17 @@
 // Run prints the view, as text or as the JSON that the daemon sends.
 func (c *workListCmd) Run(ctx context.Context) error {
 	if c.JSON {
-		text, err := c.call(ctx, admin.PathMaintenance, nil)
+		body, err := c.call(ctx, admin.PathMaintenance, nil)
 		if err == nil {
-			fmt.Printf("%s\n", text)
+			fmt.Printf("%s\n", body)
 		}
 		return err
 	}
-	v, err := c.view(ctx)
+	view, err := c.maintenanceView(ctx)
 	if err != nil {
 		return err
 	}
-	return printView(os.Stdout, v)
+	return printMaintenanceView(os.Stdout, view)
 }
 
 type workWatchCmd struct{ adminFlag }
@@ -124,12 +124,12 @@
 func (c *workWatchCmd) Run(ctx context.Context) error {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
-	last := monotime.Micros(-1)
+	lastEventTime := monotime.Micros(-1)
 	for {
-		v, err := c.view(ctx)
+		view, err := c.maintenanceView(ctx)
 		switch {
 		case err == nil:
-			last = printEventsAfter(os.Stdout, v.Events, last)
+			lastEventTime = printEventsAfter(os.Stdout, view.Events, lastEventTime)
 		case ctx.Err() == nil:
 			fmt.Fprintln(os.Stderr, err)
 		}
@@ -190,11 +190,11 @@
 
 // Run has the fleet forget an instance. It is an error if the instance is not silent.
 func (c *workForgetCmd) Run(ctx context.Context) error {
-	v, err := c.view(ctx)
+	view, err := c.maintenanceView(ctx)
 	if err != nil {
 		return err
 	}
-	for _, instance := range v.Silent {
+	for _, instance := range view.Silent {
 		if instance.Name == c.Instance {
 			return c.submitAndPrint(ctx, maintenance.Command{Forget: &instance})
 		}
--- a/cmd/simhost/golden_test.go
+++ b/cmd/simhost/golden_test.go
@@ -73,12 +73,12 @@
 	started uint64
 }
 
-func list(number uint8, entries []entry) []byte {
-	fields := []any{number, uint32(len(entries))}
+func entriesRecord(listNumber uint8, entries []entry) []byte {
+	fields := []any{listNumber, uint32(len(entries))}
 	for _, e := range entries {
 		fields = append(fields, e.id, uint8(e.id%3), uint8(e.id%2), uint16(e.id%4), e.state, float32(1), e.started)
 	}
-	return rec(26, fields...)
+	return encodeRecord(26, fields...)
 }
 
 // goldenScript draws a script of all event codes for two instances from a seed: requests, outcomes of each status,
@@ -93,33 +93,33 @@
 // goldenStatuses are the statuses of outcomes, in the frequencies in which they are drawn.
 var goldenStatuses = []uint16{200, 200, 200, 200, 500, 503, 504, 502, 598, 499, 410}
 
-// goldenInput returns the batches of a script.
-func goldenInput(seed uint64, discovery string, probes bool) [][]byte {
+// goldenBatches returns the batches of a script.
+func goldenBatches(seed uint64, discovery string, probes bool) [][]byte {
 	settings := fmt.Sprintf(goldenSettings, discovery, probes)
-	s := &goldenScript{
+	script := &goldenScript{
 		random:  rand.New(rand.NewPCG(seed, 3)),
 		entries: []entry{{id: 11}, {id: 12}, {id: 13}, {id: 14}, {id: 15}, {id: 16}},
 		now:     1000,
 	}
-	batches := [][]byte{batch(1, 1000, list(0, s.entries),
-		at(1), startRecord(settings), members(0, 3),
-		at(2), startRecord(settings), members(0, 3))}
+	batches := [][]byte{encodeBatch(1, 1000, entriesRecord(0, script.entries),
+		instanceRecord(1), startRecord(settings), endpointListRecord(0, 3),
+		instanceRecord(2), startRecord(settings), endpointListRecord(0, 3))}
 	for n := uint32(2); n < 400; n++ {
-		s.now += 1000 * (1 + s.random.Uint64N(10))
-		records := [][]byte{at(1 + uint32(s.random.IntN(2)))}
-		for range 1 + s.random.IntN(6) {
-			records = append(records, s.events()...)
+		script.now += 1000 * (1 + script.random.Uint64N(10))
+		records := [][]byte{instanceRecord(1 + uint32(script.random.IntN(2)))}
+		for range 1 + script.random.IntN(6) {
+			records = append(records, script.drawEvents()...)
 		}
 		if n%150 == 0 {
-			records = append(records, rec(25), startRecord(settings), members(0, 3))
+			records = append(records, encodeRecord(25), startRecord(settings), endpointListRecord(0, 3))
 		}
-		batches = append(batches, batch(n, s.now, records...))
+		batches = append(batches, encodeBatch(n, script.now, records...))
 	}
 	return batches
 }
 
 // events draws the records of one kind of event.
-func (s *goldenScript) events() [][]byte {
+func (s *goldenScript) drawEvents() [][]byte {
 	random := s.random
 	endpoint := 11 + uint32(random.IntN(6))
 	earlier := s.lastID - random.Uint64N(min(s.lastID, 5)+1)
@@ -127,32 +127,32 @@
 	switch random.IntN(10) {
 	case 0, 1, 2, 3:
 		s.lastID++
-		return [][]byte{rec(18, s.lastID, s.lastID, s.now+400_000, uint32(random.IntN(20_000)),
+		return [][]byte{encodeRecord(18, s.lastID, s.lastID, s.now+400_000, uint32(random.IntN(20_000)),
 			uint8(random.IntN(8)), uint16(random.IntN(3)), uint8(random.IntN(4)))}
 	case 4, 5:
-		return [][]byte{rec(20, earlier, uint16(random.IntN(2)), endpoint, status,
+		return [][]byte{encodeRecord(20, earlier, uint16(random.IntN(2)), endpoint, status,
 			uint32(random.IntN(60_000)), uint8(random.IntN(2)), uint8(2), float32(random.IntN(5)), float32(4))}
 	case 6:
-		return [][]byte{rec(23, endpoint, status, uint32(500), uint8(2), float32(random.IntN(9)), float32(5))}
+		return [][]byte{encodeRecord(23, endpoint, status, uint32(500), uint8(2), float32(random.IntN(9)), float32(5))}
 	case 7:
 		token := uint32(random.IntN(3))
 		if random.IntN(2) == 0 {
 			token = uint32(1<<20 + 16 + random.IntN(8)) // of a request
 		}
-		return [][]byte{rec(22, token)}
+		return [][]byte{encodeRecord(22, token)}
 	case 8:
 		return [][]byte{
-			rec(19, earlier, uint16(0), endpoint, uint32(3000)),
-			rec(21, earlier),
-			rec(24, uint16(2), uint16(3), "abc"),
+			encodeRecord(19, earlier, uint16(0), endpoint, uint32(3000)),
+			encodeRecord(21, earlier),
+			encodeRecord(24, uint16(2), uint16(3), "abc"),
 		}
 	default:
-		return s.listEvents(endpoint)
+		return s.drawListEvents(endpoint)
 	}
 }
 
-// listEvents draws a change of an endpoint, and perhaps a complete list.
-func (s *goldenScript) listEvents(endpoint uint32) [][]byte {
+// drawListEvents draws a change of an endpoint, and perhaps a complete list.
+func (s *goldenScript) drawListEvents(endpoint uint32) [][]byte {
 	changed := entry{id: endpoint}
 	switch s.random.IntN(8) {
 	case 0:
@@ -162,9 +162,9 @@
 	case 2:
 		changed.started = s.now - 5
 	}
-	records := [][]byte{list(1, []entry{changed}), members(1, 0)}
-	if kind := s.random.IntN(8); kind < 3 {
-		records = append(records, list(2, s.entries), members(2, []uint8{4, 3, 2}[kind]))
+	records := [][]byte{entriesRecord(1, []entry{changed}), endpointListRecord(1, 0)}
+	if choice := s.random.IntN(8); choice < 3 {
+		records = append(records, entriesRecord(2, s.entries), endpointListRecord(2, []uint8{4, 3, 2}[choice]))
 	}
 	return records
 }
@@ -180,11 +180,12 @@
 	for seed := range uint64(3) {
 		for _, discovery := range []string{"automatic", "subscribe"} {
 			for _, probes := range []bool{true, false} {
-				out, stderr, err := drive(t, goldenInput(seed, discovery, probes)...)
+				out, stderr, err := runBatches(t, goldenBatches(seed, discovery, probes)...)
 				if err != nil || stderr != "" {
 					t.Fatal(stderr, err)
 				}
-				lines = append(lines, fmt.Sprintf("%s probes=%v seed=%d", discovery, probes, seed)+summary(out))
+				lines = append(lines,
+					fmt.Sprintf("%s probes=%v seed=%d", discovery, probes, seed)+summarizeReplies(out))
 			}
 		}
 	}
@@ -194,24 +195,24 @@
 }
 
 // summary returns the number of records of each action code in the replies, and a hash of all but trace records.
-func summary(replies string) string {
+func summarizeReplies(replies string) string {
 	digest := sha256.New()
 	counts := map[byte]int{}
-	for rest := []byte(replies); len(rest) > 0; {
-		size := int(binary.BigEndian.Uint32(rest[4:]))
-		digest.Write(rest[:4])
-		digest.Write(rest[8:12])
-		for _, record := range replyRecords(rest[:size]) {
+	for remaining := []byte(replies); len(remaining) > 0; {
+		size := int(binary.BigEndian.Uint32(remaining[4:]))
+		digest.Write(remaining[:4])
+		digest.Write(remaining[8:12])
+		for _, record := range replyRecords(remaining[:size]) {
 			counts[record[0]]++
 			if record[0] != byte(wire.ActionLog) {
 				digest.Write(record)
 			}
 		}
-		rest = rest[size:]
+		remaining = remaining[size:]
 	}
-	text := ""
+	summary := ""
 	for code := byte(wire.ActionSend); code <= byte(wire.ActionInstance); code++ {
-		text += fmt.Sprintf(" %d:%d", code, counts[code])
+		summary += fmt.Sprintf(" %d:%d", code, counts[code])
 	}
-	return text + " sha256=" + hex.EncodeToString(digest.Sum(nil)[:16])
+	return summary + " sha256=" + hex.EncodeToString(digest.Sum(nil)[:16])
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -52,15 +52,15 @@
 	h := &host{instances: map[uint32]*instance{}, stderr: stderr}
 	var frame []byte
 	for {
-		next, err := wire.ReadFrame(in, frame)
+		newFrame, err := wire.ReadFrame(in, frame)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		frame = next
-		if err := h.batch(frame); err != nil {
+		frame = newFrame
+		if err := h.handleBatch(frame); err != nil {
 			return err
 		}
 		if _, err := out.Write(h.reply.Bytes()); err != nil {
@@ -70,23 +70,23 @@
 }
 
 // batch handles the events of a frame, and builds the reply to it.
-func (h *host) batch(frame []byte) error {
-	number, now, err := h.decoder.Reset(frame)
+func (h *host) handleBatch(frame []byte) error {
+	batchNumber, now, err := h.decoder.Reset(frame)
 	if err != nil {
 		return err
 	}
-	h.reply.Reset(number)
-	var e wire.Event
+	h.reply.Reset(batchNumber)
+	var event wire.Event
 	target := eventTarget{}
 	for {
-		err := h.decoder.Next(&e)
+		err := h.decoder.Next(&event)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := h.event(now, &e, &target); err != nil {
+		if err := h.handleEvent(now, &event, &target); err != nil {
 			return err
 		}
 	}
@@ -94,69 +94,70 @@
 
 // eventTarget is the instance that the events of a batch are for.
 type eventTarget struct {
-	number uint32
-	known  bool // an EventInstance has named it
+	number   uint32
+	selected bool // an EventInstance has named it
 }
 
 // event handles one event: it sets the target of later ones, or is for an instance. Unknown codes are skipped.
-func (h *host) event(now monotime.Micros, e *wire.Event, target *eventTarget) error {
+func (h *host) handleEvent(now monotime.Micros, event *wire.Event, target *eventTarget) error {
 	switch {
-	case e.Code == wire.EventEntries:
+	case event.Code == wire.EventEntries:
 		return nil // the decoder holds the list
-	case e.Code == wire.EventInstance:
-		target.number = e.Instance
-		target.known = true
-		h.reply.Instance(e.Instance)
+	case event.Code == wire.EventInstance:
+		target.number = event.Instance
+		target.selected = true
+		h.reply.Instance(event.Instance)
 		return nil
-	case e.Code < wire.EventStart || e.Code > wire.EventInstance:
-		h.reportUnknown(e)
+	case event.Code < wire.EventStart || event.Code > wire.EventInstance:
+		h.reportUnknown(event)
 		return nil
 	}
-	i, err := h.instance(e, target)
+	inst, err := h.targetInstance(event, target)
 	if err != nil {
 		return err
 	}
-	i.handle(now, e)
+	inst.handle(now, event)
 	return nil
 }
 
 // reportUnknown writes a line on an unknown code to standard error, once for each code.
-func (h *host) reportUnknown(e *wire.Event) {
-	if h.reportedUnknown[e.Code] {
+func (h *host) reportUnknown(event *wire.Event) {
+	if h.reportedUnknown[event.Code] {
 		return
 	}
-	h.reportedUnknown[e.Code] = true
-	fmt.Fprintf(h.stderr, "simhost: %v at byte %d: unknown code, skipped\n", e.Code, e.Offset)
+	h.reportedUnknown[event.Code] = true
+	fmt.Fprintf(h.stderr, "simhost: %v at byte %d: unknown code, skipped\n", event.Code, event.Offset)
 }
 
 // instance returns the instance that an event is for. An EventStart creates it.
-func (h *host) instance(e *wire.Event, target *eventTarget) (*instance, error) {
-	if !target.known {
-		return nil, &wire.FrameError{Record: e.Code.String(), Offset: e.Offset, Reason: "comes before any instance"}
+func (h *host) targetInstance(event *wire.Event, target *eventTarget) (*instance, error) {
+	if !target.selected {
+		return nil, &wire.FrameError{
+			Record: event.Code.String(), Offset: event.Offset, Reason: "comes before any instance"}
 	}
-	if i := h.instances[target.number]; i != nil {
-		return i, nil
+	if inst := h.instances[target.number]; inst != nil {
+		return inst, nil
 	}
-	if e.Code != wire.EventStart {
+	if event.Code != wire.EventStart {
 		reason := fmt.Sprintf("instance %d has not begun", target.number)
-		return nil, &wire.FrameError{Record: e.Code.String(), Offset: e.Offset, Reason: reason}
+		return nil, &wire.FrameError{Record: event.Code.String(), Offset: event.Offset, Reason: reason}
 	}
-	i := &instance{host: h, number: target.number}
-	h.instances[target.number] = i
-	return i, nil
+	inst := &instance{host: h, number: target.number}
+	h.instances[target.number] = inst
+	return inst, nil
 }
 
 // handle passes an event to the balancer. A panic ends the balancer, and becomes an exception on the wire.
-func (i *instance) handle(now monotime.Micros, e *wire.Event) {
+func (i *instance) handle(now monotime.Micros, event *wire.Event) {
 	defer func() {
-		if p := recover(); p != nil {
+		if panicValue := recover(); panicValue != nil {
 			i.balancer = nil
-			i.reply.Exception(fmt.Sprintf("panic in %v: %v", e.Code, p))
+			i.reply.Exception(fmt.Sprintf("panic in %v: %v", event.Code, panicValue))
 		}
 	}()
-	switch e.Code {
+	switch event.Code {
 	case wire.EventStart:
-		i.start(now, e)
+		i.start(now, event)
 		return
 	case wire.EventStop:
 		i.balancer = nil
@@ -165,30 +166,30 @@
 	if b == nil {
 		return
 	}
-	switch e.Code {
+	switch event.Code {
 	case wire.EventEndpointList:
-		b.UpdateEndpoints(now, e.ListKind, e.Entries)
+		b.UpdateEndpoints(now, event.ListKind, event.Entries)
 	case wire.EventRequest:
-		b.HandleRequest(now, e.Request)
+		b.HandleRequest(now, event.Request)
 	case wire.EventHeaders:
-		b.HandleHeaders(now, e.Outcome.ID, e.Outcome.Attempt, e.Outcome.Latency)
+		b.HandleHeaders(now, event.Outcome.ID, event.Outcome.Attempt, event.Outcome.Latency)
 	case wire.EventOutcome:
-		b.HandleOutcome(now, e.Outcome)
+		b.HandleOutcome(now, event.Outcome)
 	case wire.EventClientGone:
-		b.HandleClientGone(now, e.Outcome.ID)
+		b.HandleClientGone(now, event.Outcome.ID)
 	case wire.EventTimer:
-		b.HandleTimer(now, e.Token)
+		b.HandleTimer(now, event.Token)
 	case wire.EventProbe:
-		b.HandleProbe(now, e.Endpoint, e.Status, e.Latency, e.Load)
+		b.HandleProbe(now, event.Endpoint, event.Status, event.Latency, event.Load)
 	}
 }
 
 // start replaces the balancer by a new one. Invalid settings become an exception on the wire.
-func (i *instance) start(now monotime.Micros, e *wire.Event) {
+func (i *instance) start(now monotime.Micros, event *wire.Event) {
 	i.balancer = nil
-	s, err := wire.ParseSettings(e.Settings)
+	settings, err := wire.ParseSettings(event.Settings)
 	if err == nil {
-		i.balancer, err = balancer.New(s, e.Seed, i)
+		i.balancer, err = balancer.New(settings, event.Seed, i)
 	}
 	if err != nil {
 		i.reply.Exception(err.Error())
