--- a/cmd/dunlinsail/host_test.go
+++ b/cmd/dunlinsail/host_test.go
@@ -25,29 +25,32 @@
 	"dunlinsail/internal/takeover"
 )
 
-// readyTimeout is how long the platform waits for a new process.
+// readyTimeout is the longest time that the platform waits until a new process is ready.
 const readyTimeout = 6 * time.Second
 
-// host is what the platform has for one sidecar: the clients' listening socket and a folder.
+// host holds what the platform provides for one sidecar: a listening socket for its clients, its configuration file
+// and a directory for temporary files.
 type host struct {
 	t            *testing.T
 	listenerFile *os.File
 	addr         string
 	tempDir      string
 	configPath   string
-	requests     [2]atomic.Int64 // requests at the endpoints s-0 and s-1
-	release      atomic.Pointer[chan struct{}]
+	requests     [2]atomic.Int64               // numbers of requests that the endpoints s-0 and s-1 have received
+	release      atomic.Pointer[chan struct{}] // a response to /pay/held waits for a value on it
 
-	startedProcesses int // that were started
+	startedProcesses int // number of processes that start has started
 }
 
-// programs are what the first, third, ... and the second, fourth, ... process of a host run: this build's
-// program, unless .ci/mixed-restart names that of another build.
+// programs are the paths of the programs that the processes of a host run: the first path for the first, third, ...
+// process, the second path for the second, fourth, ... process. Both default to the program of this build; the
+// script .ci/mixed-restart sets the paths of other builds.
 var programs = [2]string{
 	cmp.Or(os.Getenv("DUNLINSAIL_PREDECESSOR"), os.Args[0]),
 	cmp.Or(os.Getenv("DUNLINSAIL_SUCCESSOR"), os.Args[0]),
 }
 
+// newHost returns a host with two running endpoints, s-0 and s-1, and a listening socket, but without a process.
 func newHost(t *testing.T) *host {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,7 +80,7 @@
 	return h
 }
 
-// process is one version of the sidecar.
+// process is one process of the sidecar, with its log.
 type process struct {
 	host         *host
 	cmd          *exec.Cmd
@@ -86,7 +89,7 @@
 	exited       chan error
 }
 
-// start starts a process without waiting for it.
+// start starts the next process of the host without waiting until it is ready. Its program is taken from programs.
 func (h *host) start() *process {
 	h.t.Helper()
 	program := programs[h.startedProcesses%len(programs)]
@@ -94,7 +97,7 @@
 	return h.startProgram(program)
 }
 
-// startProgram starts a process of a program without waiting for it.
+// startProgram starts a process that runs the given program, without waiting until it is ready.
 func (h *host) startProgram(program string) *process {
 	h.t.Helper()
 	adminAddress, err := freeport.Free()
@@ -102,7 +105,7 @@
 	p := &process{host: h, adminAddress: adminAddress, cmd: exec.Command(program), exited: make(chan error, 1)}
 	p.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+h.configPath, "ROUTER_LISTEN="+h.addr,
 		"ROUTER_OPERATOR="+adminAddress, "ROUTER_INHERITED_FD=3", "TMPDIR="+h.tempDir,
-		"GORACE=atexit_sleep_ms=0") // without the race detector's own wait at the end
+		"GORACE=atexit_sleep_ms=0") // skips the race detector's wait of one second at exit
 	p.cmd.ExtraFiles = []*os.File{h.listenerFile}
 	p.cmd.Stderr = &p.log
 	require.NoError(h.t, p.cmd.Start())
@@ -111,7 +114,8 @@
 	return p
 }
 
-// call makes an operator's call.
+// adminCall sends a request to the admin interface of a process, and returns the status code and the body of the
+// response. If the call fails, it returns 0 and the error text.
 func (p *process) adminCall(method, path, body string) (int, string) {
 	req, err := http.NewRequest(method, "http://"+p.adminAddress+path, strings.NewReader(body))
 	require.NoError(p.host.t, err)
@@ -124,7 +128,7 @@
 	return resp.StatusCode, string(responseBody)
 }
 
-// setCordon makes an operator's call that disables or enables an endpoint.
+// setCordon disables or enables an endpoint through the admin interface.
 func (p *process) setCordon(action, target string) {
 	p.host.t.Helper()
 	if code, responseBody := p.adminCall("POST", "/endpoints/"+action, `{"target":"`+target+`"}`); code != 200 {
@@ -132,7 +136,7 @@
 	}
 }
 
-// ready waits until a process accepts clients.
+// awaitReady waits until a process accepts clients. The test fails if that takes longer than readyTimeout.
 func (p *process) awaitReady() *process {
 	p.host.t.Helper()
 	for deadline := time.Now().Add(readyTimeout); ; time.Sleep(5 * time.Millisecond) {
@@ -152,8 +156,8 @@
 	}
 }
 
-// restored checks, once a process has ended, that all its predecessor learned arrived: at its start, and again
-// at the handover.
+// checkRestored checks, after a process has exited, that it received its predecessor's complete learned state
+// twice: at its start, and again at the handover.
 func (p *process) checkRestored() {
 	p.host.t.Helper()
 	matches := regexp.MustCompile(restoredLine).FindAllStringSubmatch(p.log.String(), -1)
@@ -165,12 +169,12 @@
 	p.host.t.Logf("%s: %s; %s", filepath.Base(p.cmd.Path), matches[0][0], matches[1][0])
 }
 
-// restoredLine matches the log line of a snapshot that was restored completely; the second form is that of
-// builds before this message was renamed.
+// restoredLine matches the log line for a snapshot that was restored completely. Its second alternative is the
+// wording of builds from before this message was renamed.
 const restoredLine = `msg="(?:snapshot restored" when="(at the [a-z]+)" skipped|` +
 	`what the other process learned is taken over" when="(at the [a-z]+)" "passed over")=\[\]`
 
-// ends waits for a process that was stopped, or has handed over.
+// awaitExit waits for the exit of a process that was stopped or has handed over. The exit code must be 0.
 func (p *process) awaitExit() {
 	p.host.t.Helper()
 	if err := scriptedpeer.Receive(p.host.t, p.exited, "end"); err != nil {
@@ -178,16 +182,18 @@
 	}
 }
 
+// lastTraceID is the trace ID of the latest request, for unique IDs.
 var lastTraceID atomic.Int64
 
-// requestHead returns the head of a request of the class that its path names, with further header lines.
+// requestHead returns the head of a request with additional header lines. The first element of its path names the
+// request class.
 func requestHead(method, path, extraHeaders string) string {
 	class, _, _ := strings.Cut(path[1:], "/")
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %d\r\nX-Qos: %s\r\n%s\r\n",
 		method, path, lastTraceID.Add(1), class, extraHeaders)
 }
 
-// exchange sends a request on a connection and returns the status of the response.
+// exchange sends the text of a request on a connection, reads the response and returns its status code.
 func exchange(conn net.Conn, reader *bufio.Reader, request string) (int, error) {
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
 	if _, err := io.WriteString(conn, request); err != nil {
@@ -201,7 +207,7 @@
 	return resp.StatusCode, err
 }
 
-// dial connects to the sidecar as a client. The connection is closed with the test.
+// dial connects to the sidecar as a client. The connection is closed at the end of the test.
 func (h *host) dial() net.Conn {
 	h.t.Helper()
 	conn, err := net.Dial("tcp", h.addr)
@@ -210,10 +216,10 @@
 	return conn
 }
 
-// endpointRequests returns the number of requests that the endpoints have received.
+// endpointRequests returns the total number of requests that the endpoints have received.
 func (h *host) endpointRequests() int64 { return h.requests[0].Load() + h.requests[1].Load() }
 
-// requestOnce sends a request on a connection of its own, which must be served.
+// requestOnce sends a request on a new connection. The test fails if the status code of the response is not 200.
 func (h *host) requestOnce(method, path, extraHeaders string) {
 	h.t.Helper()
 	conn := h.dial()
@@ -223,8 +229,8 @@
 	}
 }
 
-// openRequest sends a request that is held at an endpoint until h.hold lets it go, and returns the channel for the
-// status of its response.
+// openRequest sends a request that stays open at an endpoint until h.release lets it continue, and returns a
+// channel that receives the status code of the response.
 func (h *host) openRequest() <-chan int {
 	h.t.Helper()
 	conn := h.dial()
@@ -238,11 +244,11 @@
 	return statuses
 }
 
-// load starts clients that send requests without a pause, each on a new connection for every fourth one, until stop is
-// called, which returns the number of requests. A request that is not served fails the test.
+// startLoad starts clients that send requests without a pause, up to four on each connection. The returned function
+// stops them and returns the number of requests. The test fails if a request is not served.
 func (h *host) startLoad(clients int) (stop func() int64) {
 	h.t.Helper()
-	// Before it has learned response times, a sidecar assumes long ones, and rejects requests that come at once.
+	// Before it has learned response times, a sidecar assumes long ones and rejects simultaneous requests.
 	for range 10 {
 		h.requestOnce("POST", "/pay/1", "Content-Length: 0\r\n")
 	}
@@ -265,8 +271,8 @@
 	}
 }
 
-// sendOnNewConn sends up to four requests on a new connection, until done, and reports whether each was served. There
-// must be nothing behind the last response.
+// sendOnNewConn sends up to four requests on a new connection, until stopped is set, and reports whether all were
+// served. The test fails if bytes follow the last response.
 func (h *host) sendOnNewConn(stopped *atomic.Bool, requests *atomic.Int64) (served bool) {
 	conn, err := net.Dial("tcp", h.addr)
 	if err != nil {
@@ -280,7 +286,8 @@
 			return true
 		}
 		requests.Add(1)
-		// Unsafe requests, so that none is retried elsewhere because the machine is slow.
+		// Requests of a class with side effects, which are not retried at another endpoint when the machine is
+		// slow.
 		if code, err := exchange(conn, reader, requestHead("POST", "/pay/1", "Content-Length: 0\r\n")); code != 200 {
 			h.t.Errorf("answered %d, %v", code, err)
 			return false
@@ -292,7 +299,7 @@
 	return true
 }
 
-// actAsPredecessor listens for a successor as the process that serves would.
+// actAsPredecessor listens for a successor in place of the process that serves.
 func (h *host) actAsPredecessor() *takeover.Listener {
 	h.t.Helper()
 	listener, err := takeover.Listen(filepath.Join(h.tempDir, "dunlinsail.takeover"))
@@ -301,8 +308,8 @@
 	return listener
 }
 
-// connectAsSuccessor connects as a process that wants to take over, and completes a number of steps: Hello, Ready,
-// Prepared.
+// connectAsSuccessor connects to the serving process as its successor, and completes the given number of steps of
+// the takeover protocol, in the order Hello, Ready, Prepared.
 func (h *host) connectAsSuccessor(steps int) *takeover.Conn {
 	h.t.Helper()
 	conn, err := takeover.Dial(filepath.Join(h.tempDir, "dunlinsail.takeover"))
--- a/cmd/dunlinsail/main.go
+++ b/cmd/dunlinsail/main.go
@@ -1,4 +1,4 @@
-// Command dunlinsail is a sidecar that balances its application's requests over endpoints.
+// Command dunlinsail is a sidecar that balances the requests of its application over endpoints.
 package main
 
 import (
@@ -15,7 +15,7 @@
 )
 
 func main() {
-	// First of all, because a SIGHUP without a handler ends the program.
+	// Installed before everything else, because a SIGHUP without a handler ends the program.
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
@@ -27,14 +27,15 @@
 		log.Error("cannot start", "error", err)
 		os.Exit(2)
 	}
-	// The collector works harder from half of the memory on; at the limit itself the platform kills the process.
+	// Garbage collection becomes more frequent above half of the memory; the platform kills a process that exceeds
+	// the full amount.
 	debug.SetMemoryLimit(int64(config.MemoryMB) << 20 / 2)
-	// The signals are never reset: a SIGTERM of the platform may come while this process, after a handover, ends by
-	// itself, and must not kill it.
+	// The signal handlers are never removed: the platform may send SIGTERM while this process exits after a
+	// handover, and the signal must not kill it.
 	ctx, cancel := context.WithCancel(context.Background())
 	stopSignals := make(chan os.Signal, 1)
 	signal.Notify(stopSignals, syscall.SIGTERM, os.Interrupt)
-	go func() { // until the program ends
+	go func() { // runs until the first signal or the end of the program
 		<-stopSignals
 		cancel()
 	}()
--- a/cmd/dunlinsail/main_test.go
+++ b/cmd/dunlinsail/main_test.go
@@ -14,7 +14,7 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// TestMain runs the program itself where a test has started this binary for that.
+// TestMain runs the program instead of the tests in a process that a test has started from this test binary.
 func TestMain(m *testing.M) {
 	if os.Getenv("ROUTER_CONFIG") != "" {
 		main()
@@ -23,6 +23,7 @@
 	os.Exit(m.Run())
 }
 
+// sidecarConfig is the configuration of a sidecar with one endpoint, on which nothing listens.
 const sidecarConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
 	"known":{"generation":1,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"up"}]},
 	"settings":{"peers-total":1,"areas":["a"],"skus":["m1"],"discovery":"automatic",
@@ -31,7 +32,8 @@
 	"overload-for":2000000,"ask-within":10000000},
 	"limits":{"cancel":true,"most-tries":3,"most-held":1000,"dial-timeout":1000000,"keepalive":15000000}}}`
 
-// The sidecar has to fit into a few megabytes: it links the standard library and this project, nothing else.
+// The program links only the standard library and this project, because a sidecar must fit into a few megabytes of
+// memory.
 func TestLinksNoLibrary(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{with .Module}}{{.Path}}{{end}}", ".").Output()
 	require.NoError(t, err)
@@ -42,7 +44,8 @@
 	}
 }
 
-// SIGHUP does not end the program, whatever the file holds by then; SIGTERM ends it with 0.
+// SIGHUP does not end the program, whether the configuration file is valid or malformed at that time. SIGTERM ends
+// the program with exit code 0.
 func TestSignals(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/cmd/dunlinsail/size_test.go
+++ b/cmd/dunlinsail/size_test.go
@@ -18,16 +18,16 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// firstPartSize is how much of a large response a reader reads before it stops.
+// firstPartSize is the number of bytes of a large response that a client reads before it pauses.
 const firstPartSize = 64 << 10
 
-// largeResponse is a response of which the first part has been read.
+// largeResponse is a response of which only the first part has been read, and its connection.
 type largeResponse struct {
 	conn     net.Conn
 	response *http.Response
 }
 
-// openLargeResponse sends a request, and reads the first part of its response.
+// openLargeResponse sends a request and reads the first part of its response.
 func openLargeResponse(addr string) (*largeResponse, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -49,13 +49,13 @@
 	return &largeResponse{conn: conn, response: resp}, nil
 }
 
-// readRest reads the response to its end, and returns how many bytes that were.
+// readRest reads the rest of the response and returns its number of bytes.
 func (r *largeResponse) readRest() (int64, error) {
 	defer r.conn.Close()
 	return io.Copy(io.Discard, r.response.Body)
 }
 
-// startLargeServer starts a server that answers each request with a number of bytes, and returns its address.
+// startLargeServer starts a server that responds to each request with size bytes, and returns its address.
 func startLargeServer(t *testing.T, size int) string {
 	t.Helper()
 	chunk := make([]byte, firstPartSize)
@@ -69,7 +69,7 @@
 	})
 }
 
-// peakMemoryKB returns the most that a process has had resident, in kB.
+// peakMemoryKB returns the peak resident memory of a process, in kB.
 func peakMemoryKB(t *testing.T, pid int) (peak int) {
 	t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -81,8 +81,9 @@
 	return peak
 }
 
-// Fifty responses of 32 MB to readers that stop after the first part, in the smallest memory that the platform gives:
-// the sidecar buffers none of them, and all are read to their ends afterwards.
+// Fifty clients read only the first part of a response of 32 MB each, while the sidecar has the smallest memory
+// that the platform assigns. The sidecar must stay within it, so it cannot buffer the responses, and the clients
+// read the responses to the end afterwards.
 func TestLargeAnswersInLittleMemory(t *testing.T) {
 	const (
 		responses = 50
@@ -100,7 +101,7 @@
 		os.WriteFile(h.configPath, []byte(configText), 0o600) != nil {
 		t.Fatal("no configuration")
 	}
-	// As it is built for the platform: with the race detector a process is several times as large.
+	// Built without the race detector, as for the platform: with it, a process needs several times as much memory.
 	programPath := filepath.Join(t.TempDir(), "dunlinsail")
 	if out, err := exec.Command("go", "build", "-o", programPath, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
@@ -119,7 +120,8 @@
 				t.Errorf("%d bytes more, %v", restSize, err)
 			}
 		})
-		// One after the other: so many at once are more than the one endpoint can be expected to answer in time.
+		// Requests are sent one after another: the single endpoint could not respond to all of them in time at
+		// once.
 		if err := scriptedpeer.Receive(t, firstPartRead, "the first part of an answer"); err != nil {
 			t.Error(err)
 		}
--- a/cmd/dunlinsail/upgrade_test.go
+++ b/cmd/dunlinsail/upgrade_test.go
@@ -23,8 +23,9 @@
 	"dunlinsail/internal/takeover"
 )
 
-// Three processes follow one another under load: no connection is rejected, a request that is sent in part and one that
-// is open are answered, connections are kept, and a cordoned endpoint gets no request until its cordon is lifted.
+// Three processes succeed one another under load: no connection is rejected, a request that has been sent in part
+// and a request that is open get their responses, client connections stay open, and a cordoned endpoint gets no
+// request until its cordon is lifted.
 func TestUpgrades(t *testing.T) {
 	h := newHost(t)
 	release := make(chan struct{})
@@ -90,8 +91,8 @@
 	t.Logf("%d requests, each answered once with 200", total)
 }
 
-// The old process is stopped by SIGSTOP, or was killed and its socket is left: the new one serves in time, with the
-// cordons.
+// The predecessor is suspended by SIGSTOP, or killed so that its socket file remains: the successor becomes ready
+// in time and applies the cordons.
 func TestPredecessorIsLost(t *testing.T) {
 	for _, signal := range []syscall.Signal{syscall.SIGSTOP, syscall.SIGKILL} {
 		t.Run(signal.String(), func(t *testing.T) {
@@ -106,7 +107,7 @@
 			}
 			successor := h.start().awaitReady()
 			if signal == syscall.SIGSTOP {
-				predecessor.cmd.Process.Signal(syscall.SIGKILL) // its connections are lost in any case
+				predecessor.cmd.Process.Signal(syscall.SIGKILL) // its connections are lost with either signal
 				<-predecessor.exited
 			}
 			requestsBefore := h.requests[0].Load()
@@ -121,7 +122,8 @@
 	}
 }
 
-// The new process is lost at each step: the old one serves on, and the next one takes over.
+// A successor disconnects after each step of the takeover: the predecessor continues to serve, a SIGHUP during the
+// hot restart still has its effect, and the next successor takes over.
 func TestSuccessorIsLost(t *testing.T) {
 	for steps := range 4 {
 		t.Run(fmt.Sprint(steps), func(t *testing.T) {
@@ -129,7 +131,7 @@
 			h := newHost(t)
 			predecessor := h.start().awaitReady()
 			stopLoad := func() int64 { return 0 }
-			if steps < 3 { // after Prepared, connections are handed over to the process that is lost
+			if steps < 3 { // after Prepared, connections are handed over to the successor that disconnects
 				stopLoad = h.startLoad(2)
 			}
 			successor := h.connectAsSuccessor(steps)
@@ -151,9 +153,10 @@
 	}
 }
 
-// The predecessor is stopped at each step of a handover to a successor that sends nothing more, or is lost at that
-// moment. Open requests are answered, and one that becomes complete later is answered before the platform kills the
-// process: after 3 s, the longest deadline that counts, and 0.7 s. The endpoint of the later one never answers.
+// The predecessor is stopped after each step of a handover to a successor that sends nothing more or disconnects.
+// Open requests get their responses. A request whose body becomes complete only after the stop gets a response
+// before the platform kills the process: 3.7 s after the stop, which is the longest deadline that applies (3 s) and
+// 0.7 s. The endpoint never responds to that request.
 func TestStopDuringHotRestart(t *testing.T) {
 	for steps := range 4 {
 		for _, lost := range []bool{false, true} {
@@ -175,12 +178,12 @@
 				if lost {
 					successor.Close()
 				}
-				release <- struct{}{} // the first has its answer
+				release <- struct{}{} // lets the endpoint respond to the open request
 				if code := scriptedpeer.Receive(t, statuses, "answer to what was open"); code != 200 {
 					t.Errorf("what was open was answered %d", code)
 				}
 				const killDelay = 3700 * time.Millisecond
-				time.Sleep(time.Until(stopTime.Add(time.Second))) // complete so late, its own deadline would be at 4 s
+				time.Sleep(time.Until(stopTime.Add(time.Second))) // its deadline, 3 s later, is after killDelay
 				code, err := exchange(partialConn, bufio.NewReader(partialConn), "k")
 				if elapsed := time.Since(stopTime); code != 504 || elapsed > killDelay {
 					t.Errorf("what was whole later: %d, %v after %v", code, err, elapsed)
@@ -194,7 +197,8 @@
 	}
 }
 
-// respondToSteps answers a number of a successor's messages as its predecessor, and reads one more.
+// respondToSteps acts as the predecessor: it responds to the given number of a successor's messages, and reads the
+// next message.
 func respondToSteps(t *testing.T, conn *takeover.Conn, steps int) {
 	t.Helper()
 	for i, response := range []decide.Event{decide.Offer, decide.Handover, decide.Activate} {
@@ -210,8 +214,9 @@
 	}
 }
 
-// A successor is stopped, twice at once, at each step before it serves: it ends with 0, has served no client, and its
-// predecessor sees its end. The predecessor is scripted, so that the stop comes at that step each time.
+// A successor gets SIGTERM twice after each step before it serves: it exits with code 0 without serving a client,
+// and its predecessor sees the connection close. The predecessor is simulated, so that the signal always arrives at
+// the intended step.
 func TestSuccessorStoppedBeforeItServes(t *testing.T) {
 	for steps, lastMessage := range []decide.Event{decide.Hello, decide.Ready, decide.Prepared} {
 		t.Run("after "+lastMessage.String(), func(t *testing.T) {
@@ -228,7 +233,7 @@
 			successor.cmd.Process.Signal(syscall.SIGTERM)
 			successor.cmd.Process.Signal(syscall.SIGTERM)
 			successor.awaitExit()
-			client.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // what the process has done has come by now
+			client.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // a response would have arrived already
 			if n, err := client.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("a client that waits to be accepted: %d bytes, %v", n, err)
 			}
@@ -240,8 +245,8 @@
 	}
 }
 
-// A process that has just taken over is stopped while its predecessor still has an open request: the request is
-// answered, and both end.
+// A process that has just taken over is stopped while its predecessor still has an open request: the request gets
+// its response, and both processes exit.
 func TestBothProcessesStop(t *testing.T) {
 	h := newHost(t)
 	release := make(chan struct{})
@@ -258,8 +263,9 @@
 	predecessor.awaitExit()
 }
 
-// Guards against connections that are lost with a request on them: a process that is stopped while its predecessor
-// hands connections over, or that hands its own over to a successor meanwhile, serves them or hands them on.
+// Guards against lost connections with a request on them: while its predecessor hands connections over, a process
+// is stopped or hands its own connections over to a successor. It must serve the connections that it receives or
+// hand them on.
 func TestConnectionsHandedOverToProcessThatEnds(t *testing.T) {
 	for _, hasSuccessor := range []bool{false, true} {
 		t.Run(fmt.Sprintf("successor %v", hasSuccessor), func(t *testing.T) {
@@ -299,7 +305,7 @@
 	}
 }
 
-// awaitMessage reads messages until one of a kind.
+// awaitMessage reads messages until one of the wanted kind arrives.
 func awaitMessage(t *testing.T, conn *takeover.Conn, wanted decide.Event) {
 	t.Helper()
 	for {
@@ -314,8 +320,8 @@
 	}
 }
 
-// serveHandedOver serves the connections that a predecessor hands over, with one response to one request each. It reads
-// the request: the kernel resets a connection that is closed with unread bytes.
+// serveHandedOver serves the connections that a predecessor hands over: one response to one request on each. It
+// reads the request, because the kernel resets a connection that is closed with unread bytes.
 func serveHandedOver(conn *takeover.Conn) {
 	for {
 		message, err := conn.Read()
@@ -349,8 +355,8 @@
 	return client, server
 }
 
-// A predecessor that has another version of the protocol, sends malformed messages, or sends nothing more at some step:
-// the new process serves in time and does not end.
+// The predecessor has another version of the protocol, sends malformed messages, or sends nothing more after some
+// step: the new process becomes ready in time, applies the stored cordons and continues to run.
 func TestPredecessorSendsGarbage(t *testing.T) {
 	for name, responses := range map[string][]takeover.Message{
 		"says nothing":       {},
@@ -368,7 +374,7 @@
 			require.NoError(t, os.WriteFile(filepath.Join(h.tempDir, "dunlinsail.words"), cordons, 0o600))
 			listener := h.actAsPredecessor()
 			connClosed := make(chan struct{})
-			go func() { // until the successor closes the connection
+			go func() { // runs until the successor closes the connection
 				defer close(connClosed)
 				respondToSuccessor(listener, responses)
 			}()
@@ -386,7 +392,8 @@
 	}
 }
 
-// respondToSuccessor accepts a successor and answers its messages one after another, but for answers of the kind Hello.
+// respondToSuccessor accepts a successor and responds to its messages with one of responses each, in order. A
+// response of the zero kind, Hello, is not sent.
 func respondToSuccessor(listener *takeover.Listener, responses []takeover.Message) {
 	conn, err := listener.Accept()
 	if err != nil {
@@ -405,7 +412,7 @@
 	}
 }
 
-// A cordon that is set at one of two processes that are both alive is in effect in both.
+// While predecessor and successor are both alive, a cordon that is set at one of them takes effect in both.
 func TestCordonsReachBothProcesses(t *testing.T) {
 	h := newHost(t)
 	release := make(chan struct{})
@@ -433,19 +440,19 @@
 	predecessor.awaitExit()
 }
 
-// Guards against a process that neither hands over nor ends because its accept blocks: the platform, which shares the
-// listening socket, may make that blocking, as package os/exec does when it starts the next process.
+// Guards against a process that neither hands over nor exits because its accept call blocks: the platform shares
+// the listening socket and may make it blocking, as package os/exec does when it starts the next process.
 func TestInheritedSocketIsMadeBlocking(t *testing.T) {
 	h := newHost(t)
 	sidecar := h.start().awaitReady()
 	h.requestOnce("GET", "/look/1", "")
 	require.NoError(t, syscall.SetNonblock(int(h.listenerFile.Fd()), false))
-	h.requestOnce("GET", "/look/1", "") // after it the process calls accept with no connection in the queue
+	h.requestOnce("GET", "/look/1", "") // afterwards the process calls accept with an empty queue of connections
 	sidecar.cmd.Process.Signal(syscall.SIGTERM)
 	sidecar.awaitExit()
 }
 
-// The inherited descriptor must be a listening stream socket.
+// A process exits with an error if the inherited descriptor is not a listening stream socket.
 func TestInheritedSocket(t *testing.T) {
 	h := newHost(t)
 	r, w, err := os.Pipe()
--- a/cmd/dunlinsaild/adminflag.go
+++ b/cmd/dunlinsaild/adminflag.go
@@ -11,17 +11,18 @@
 	"dunlinsail/internal/config"
 )
 
-// adminHelp holds the help texts that are too long for a tag on one line.
+// adminHelp holds the help texts that are too long for a struct tag on one line.
 var adminHelp = kong.Vars{"admin_config_help": "The daemon's file; it is asked at operators.address."}
 
-// adminFlag is the address at which a daemon takes operators' calls, or the file that has it. Commands that make such
-// calls embed it.
+// adminFlag holds the flags that locate a daemon's admin interface: its address, or the configuration file that
+// contains the address. Commands that call the interface embed it.
 type adminFlag struct {
 	Config string `help:"${admin_config_help}" placeholder:"FILE" xor:"where" required:""`
 	At     string `help:"Or where it is asked." placeholder:"HOST:PORT" xor:"where" required:""`
 }
 
-// address returns the host:port that the flags name. The error is a *fileError if the file cannot be read.
+// address returns the host:port of the admin interface. The error is a *fileError if the configuration file cannot
+// be read.
 func (f *adminFlag) address() (string, error) {
 	if f.Config == "" {
 		return f.At, nil
@@ -36,10 +37,11 @@
 	return conf.Admin.Address, nil
 }
 
-// callTimeout bounds a call to a daemon.
+// callTimeout is the longest duration of one call to a daemon's admin interface.
 const callTimeout = 3 * time.Second
 
-// call makes an operators' call, with a body in JSON unless it is nil, and returns the body of the answer.
+// call calls the admin interface with body encoded as JSON, or without a body if it is nil, and returns the body of
+// the response.
 func (f *adminFlag) call(ctx context.Context, path string, body any) ([]byte, error) {
 	address, err := f.address()
 	if err != nil {
--- a/cmd/dunlinsaild/config.go
+++ b/cmd/dunlinsaild/config.go
@@ -17,15 +17,15 @@
 	"dunlinsail/internal/decide/rollout"
 )
 
-// configHelp holds the help texts that are too long for a tag on one line.
+// configHelp holds the help texts that are too long for a struct tag on one line.
 var configHelp = kong.Vars{
 	"config_versions_help": "Say what is known of versions from the control service: good, on trial, refused and why.",
 	"config_try_help":      "Say what would become of a version at this instance, without a service.",
 	"config_version_help":  "good, before, file, a version that is kept, or a file of resources.",
 }
 
-// configCmd has the commands for versions of the configuration. The names of commands, flags and arguments are
-// operators', in tags where the Go name differs.
+// configCmd groups the commands for configuration versions. The names of commands, flags and arguments are part of
+// the command line that operators use; a struct tag sets the name where it differs from the Go name.
 type configCmd struct {
 	Versions versionsCmd `cmd:"" help:"${config_versions_help}"`
 	Show     showCmd     `cmd:"" help:"Print what is in one."`
@@ -34,15 +34,16 @@
 	Schema   schemaCmd   `cmd:"" help:"Print the JSON Schema of what a version may hold."`
 }
 
-// cachedVersions are the file of an instance and the versions of the control plane that it has on disk.
+// cachedVersions holds the configuration file of an instance and the configuration versions from the control plane
+// that the instance has stored on disk.
 type cachedVersions struct {
 	file  *config.Config
-	cache *configcache.Cache       // nil if the instance has none yet
+	cache *configcache.Cache       // nil if the instance has not stored any version yet
 	state *rollout.PersistentState // never nil
 }
 
-// loadVersions reads the file and the versions on disk. A state that can be read in part only is used, and the error
-// is printed to standard error.
+// loadVersions reads the configuration file and the stored versions. If the stored state can be read only in part,
+// that part is used and the error is printed to standard error.
 func (f *fileFlag) loadVersions() (*cachedVersions, error) {
 	conf, err := f.read()
 	if err != nil {
@@ -71,8 +72,9 @@
 	return versions, nil
 }
 
-// resources returns the resources of a version by its name: "good", "before", "file", its number as versions lists it,
-// or the path of a file of resources in JSON.
+// resourcesByName returns the resources of the version that name denotes: "good" (the last known good one),
+// "before" (the good one before it), "file", a version ID as the versions command prints it, or the path of a JSON
+// file of resources.
 func (v *cachedVersions) resourcesByName(name string) ([]config.Resource, error) {
 	switch name {
 	case "good":
@@ -98,7 +100,8 @@
 	return parseResources(content)
 }
 
-// resourcesOfVersion returns the resources of the control plane's version, or of the file if there is none.
+// resourcesOfVersion returns the resources of a version from the control plane, or those of the configuration file
+// if version has no part from the control plane.
 func (v *cachedVersions) resourcesOfVersion(version *rollout.LayeredVersion) ([]config.Resource, error) {
 	if version == nil || version.ControlPlane == nil {
 		return config.Resources(v.file)
@@ -118,9 +121,11 @@
 	return resources, decoder.Decode(&resources)
 }
 
+// versionsCmd is the command that lists the stored configuration versions.
 type versionsCmd struct{ fileFlag }
 
-// Run prints the versions in the state on disk, a line each: label, version, digest and, of a rejected one, the reason.
+// Run prints one line for each stored version: its label, ID and digest, and the reason if the version was
+// rejected.
 func (c *versionsCmd) Run() error {
 	versions, err := c.loadVersions()
 	if err != nil {
@@ -159,13 +164,14 @@
 	return table.Flush()
 }
 
+// showCmd is the command that prints the contents of a configuration version.
 type showCmd struct {
 	fileFlag
 	Version  string `arg:"" optional:"" default:"good" help:"${config_version_help}"`
 	Combined bool   `name:"whole" help:"Print the whole configuration that it comes to over the file, as TOML."`
 }
 
-// Run prints the resources of a version as JSON, or the combined configuration as TOML.
+// Run prints the resources of a version as JSON, or, combined with the configuration file, as TOML.
 func (c *showCmd) Run() error {
 	versions, err := c.loadVersions()
 	if err != nil {
@@ -188,13 +194,14 @@
 	return encoder.Encode(resources)
 }
 
+// diffCmd is the command that compares two configuration versions.
 type diffCmd struct {
 	fileFlag
 	From string `arg:"" help:"${config_version_help}"`
 	To   string `arg:"" help:"The same."`
 }
 
-// Run prints the differences between two versions, a line each.
+// Run prints one line for each difference between two versions.
 func (c *diffCmd) Run() error {
 	versions, err := c.loadVersions()
 	if err != nil {
@@ -214,12 +221,14 @@
 	return nil
 }
 
+// dryRunCmd is the command that checks resources against an instance without applying them.
 type dryRunCmd struct {
 	fileFlag
 	Resources string `arg:"" help:"A file of resources in JSON, as config show prints them." type:"existingfile"`
 }
 
-// Run prints whether a version is valid at this instance, and whether it would be applied while serving.
+// Run prints whether the resources are valid for this instance, and whether they could be applied without starting
+// a new generation.
 func (c *dryRunCmd) Run() error {
 	versions, err := c.loadVersions()
 	if err != nil {
@@ -243,8 +252,8 @@
 	return nil
 }
 
-// running returns the configuration that the instance starts with: the last known good version over the file, or the
-// file alone if there is no such version that is valid with it.
+// startupConfig returns the configuration with which the instance starts: the configuration file combined with the
+// last known good version, or the file alone if there is no such version or the two are not valid together.
 func (v *cachedVersions) startupConfig() *config.Config {
 	if v.state.LastKnownGood == nil || v.state.LastKnownGood.ControlPlane == nil {
 		return v.file
@@ -260,9 +269,10 @@
 	return combined
 }
 
+// schemaCmd is the command that prints the schema of configuration resources.
 type schemaCmd struct{}
 
-// Run prints the JSON Schema of a version's resources.
+// Run prints the JSON Schema of the resources of a configuration version.
 func (*schemaCmd) Run() error {
 	schema, err := config.Schema()
 	if err == nil {
--- a/cmd/dunlinsaild/golden_test.go
+++ b/cmd/dunlinsaild/golden_test.go
@@ -10,8 +10,9 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// The files under testdata/golden were written by the build of 870f4ac and never change: a folder of cached versions,
-// and what the config commands printed of it, with FOLDER in place of the path of testdata/golden.
+// The output of the config commands equals the golden files under testdata/golden, which the build of commit
+// 870f4ac wrote and which never change: a directory of stored configuration versions, and the output of each
+// command for it. In the golden files FOLDER stands for the path of testdata/golden.
 func TestGoldenConfigCommands(t *testing.T) {
 	folder, err := filepath.Abs(filepath.Join("testdata", "golden"))
 	require.NoError(t, err)
--- a/cmd/dunlinsaild/hot_restart_test.go
+++ b/cmd/dunlinsaild/hot_restart_test.go
@@ -24,18 +24,20 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// programs are what the first and third, and what the second process of a hot restart run: this build's
-// program, unless .ci/mixed-restart names that of another build.
+// programs are the paths of the programs that the processes of a hot restart run: the first path for the first and
+// third process, the second path for the second process. An empty path stands for the program of this build. The
+// script .ci/mixed-restart sets the paths of other builds.
 var programs = [2]string{os.Getenv("DUNLINSAILD_PREDECESSOR"), os.Getenv("DUNLINSAILD_SUCCESSOR")}
 
-// served is a daemon's process.
+// runningDaemon is the process of a daemon, with its log.
 type runningDaemon struct {
 	cmd    *exec.Cmd
 	log    bytes.Buffer
 	exited chan error
 }
 
-// startProgram starts a daemon by a build's program ("" is this one's) and waits until it serves.
+// startProgram starts a daemon with the configuration file path and waits until it serves. An empty programPath
+// stands for the program of this build.
 func startProgram(t *testing.T, programPath, path string) *runningDaemon {
 	t.Helper()
 	p := &runningDaemon{cmd: programCommand("--config", path, "--announce"), exited: make(chan error, 1)}
@@ -58,7 +60,7 @@
 	return p
 }
 
-// ends waits for a process that has handed over, or was stopped.
+// awaitExit waits for the exit of a process that was stopped or has handed over. The exit code must be 0.
 func (p *runningDaemon) awaitExit(t *testing.T) {
 	t.Helper()
 	if err := scriptedpeer.Receive(t, p.exited, "end"); err != nil {
@@ -66,8 +68,8 @@
 	}
 }
 
-// restored checks, once a process has ended, that all its predecessor learned arrived: at its start, and again
-// at the handover.
+// checkRestored checks, after a process has exited, that it received its predecessor's complete learned state
+// twice: at its start, and again at the handover.
 func (p *runningDaemon) checkRestored(t *testing.T) {
 	t.Helper()
 	matches := regexp.MustCompile(restoredLine).FindAllStringSubmatch(p.log.String(), -1)
@@ -79,13 +81,13 @@
 	t.Logf("%s: %s; %s", filepath.Base(p.cmd.Path), matches[0][0], matches[1][0])
 }
 
-// restoredLine matches the log line of a snapshot of one pool that was restored completely; the second form is
-// that of builds before this message was renamed.
+// restoredLine matches the log line for a snapshot of one pool that was restored completely. Its second alternative
+// is the wording of builds from before this message was renamed.
 const restoredLine = `msg="(?:snapshot restored" when="(at the [a-z]+)" pools=1 skipped|` +
 	`what the other process learned is taken over" when="(at the [a-z]+)" pools=1 "passed over")=\[\]`
 
-// TestHotRestartUnderLoad restarts a daemon twice under load: each request has exactly one final answer,
-// nothing takes effect twice, and what was learned arrives.
+// TestHotRestartUnderLoad restarts a daemon twice under load: each request gets exactly one final response, no
+// request takes effect twice, and the learned state reaches each successor.
 func TestHotRestartUnderLoad(t *testing.T) {
 	ledger := &endpoint.Ledger{}
 	var instances []discovery.Instance
@@ -118,11 +120,12 @@
 	addr := deskAddress(configText)
 	path := writeConfig(t, configText)
 	currentDaemon := startProgram(t, programs[0], path)
-	// Long times, so that no request is given up, or retried, because the machine is slow.
+	// Long deadlines, so that no request is abandoned or retried because the machine is slow.
 	classes := []client.Class{
 		{Name: "book", Share: 0.5, Method: "POST", SendIdempotencyKey: true, BodySize: 300, Timeout: 9 * time.Second},
 		{Name: "pay", Share: 0.5, Method: "POST", BodySize: 300, Timeout: 9 * time.Second}}
-	// A daemon that knows nothing yet rejects what comes at once beyond its guesses.
+	// Before it has learned response times, a daemon rejects simultaneous requests that exceed its initial
+	// estimates.
 	warmupClient := client.New(client.Options{Name: "warm", Network: "tcp", Addr: addr})
 	var servedRequests int
 	scriptedpeer.Eventually(t, "requests that are served", func() bool {
--- a/cmd/dunlinsaild/main.go
+++ b/cmd/dunlinsaild/main.go
@@ -1,4 +1,5 @@
-// Command dunlinsaild is the fleet daemon: one instance that balances the requests of a host's client processes.
+// Command dunlinsaild is the fleet daemon: one instance that balances the requests of all client processes of a
+// host.
 package main
 
 import (
@@ -14,19 +15,20 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// The exit codes of the program.
+// Exit codes of the program.
 const (
 	exitOK     = iota
 	exitFailed // the command failed
 	exitUsage  // the arguments or a file are invalid, and nothing was started
 )
 
-// commandsHelp holds the help texts that are too long for a tag on one line.
+// commandsHelp holds the help texts that are too long for a struct tag on one line.
 var commandsHelp = kong.Vars{
 	"serve_help": "Serve; take over from the process that serves now. (The default.)",
 	"work_help":  "Machines that go out for work, in an order that the instances settle among themselves.",
 }
 
+// commands declares the command line of the program for the parser kong.
 type commands struct {
 	Serve            serveCmd      `cmd:"" default:"withargs" help:"${serve_help}"`
 	Check            checkCmd      `cmd:"" help:"Say what is wrong with a file."`
@@ -38,16 +40,16 @@
 }
 
 func main() {
-	// First of all, because a SIGHUP without a handler ends the program.
+	// Installed before everything else, because a SIGHUP without a handler ends the program.
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	code := run(ctx, os.Args[1:], reloadSignals)
-	_ = cancel // not called: it would let a SIGTERM at this moment kill the program
+	_ = cancel // not called: afterwards a SIGTERM would kill the program before it exits
 	os.Exit(code)
 }
 
-// run runs the command of the arguments and returns the exit code.
+// run executes the command that args name and returns the exit code.
 func run(ctx context.Context, args []string, reloadSignals <-chan os.Signal) int {
 	var cmds commands
 	parser, err := kong.New(&cmds, kong.Name("dunlinsaild"),
@@ -55,7 +57,7 @@
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 		kong.Vars{"user": os.Getenv("USER")}, commandsHelp, adminHelp, configHelp, workHelp)
 	if err != nil {
-		panic(err) // the tags of the commands are invalid
+		panic(err) // the struct tags of the commands are invalid
 	}
 	parsed, err := parser.Parse(args)
 	if err != nil {
@@ -77,7 +79,7 @@
 	return exitFailed
 }
 
-// fileError is the error of a file that cannot be read or is invalid.
+// fileError is the error of an input file that cannot be read or is invalid.
 type fileError struct {
 	path string
 	err  error
@@ -85,7 +87,7 @@
 
 func (e *fileError) Error() string { return e.err.Error() }
 
-// print prints the error to standard error, a line for each mistake.
+// print writes the error to standard error, with one line for each mistake in the file.
 func (e *fileError) print() {
 	var mistakes stricttoml.Errors
 	if !errors.As(e.err, &mistakes) {
--- a/cmd/dunlinsaild/main_test.go
+++ b/cmd/dunlinsaild/main_test.go
@@ -22,7 +22,8 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// TestMain runs the program itself where a test, or the program under test, has started this binary for that.
+// TestMain runs the program instead of the tests in a process that a test, or the program under test, has started
+// from this test binary.
 func TestMain(m *testing.M) {
 	if os.Getenv("DUNLINSAILD_TEST_MAIN") != "" {
 		main()
@@ -30,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-// program returns a command that runs the program.
+// programCommand returns a command that runs the program with the given arguments.
 func programCommand(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "DUNLINSAILD_TEST_MAIN=1")
@@ -38,13 +39,14 @@
 	return cmd
 }
 
-// ends runs the program to its end.
+// runToEnd runs the program until it exits, and returns its exit code and what it printed. The test fails if the
+// program does not exit within scriptedpeer.WaitTimeout.
 func runToEnd(t *testing.T, args ...string) (code int, out, stderr string) {
 	t.Helper()
 	cmd := programCommand(args...)
 	var outBuffer, errBuffer bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &outBuffer, &errBuffer
-	// A program that does not end prints its goroutines at SIGQUIT.
+	// SIGQUIT makes a program that does not exit print its goroutines.
 	require.NoError(t, cmd.Start())
 	quitTimer := time.AfterFunc(scriptedpeer.WaitTimeout, func() { cmd.Process.Signal(syscall.SIGQUIT) })
 	err := cmd.Wait()
@@ -58,7 +60,7 @@
 	return cmd.ProcessState.ExitCode(), outBuffer.String(), errBuffer.String()
 }
 
-// write writes a configuration file and returns its path.
+// writeConfig writes a configuration file to a new directory and returns its path.
 func writeConfig(t *testing.T, content string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "d.toml")
@@ -66,7 +68,8 @@
 	return path
 }
 
-// A mistake in the file or in the arguments is printed with its place, and the program ends with 2 and starts nothing.
+// An error in the configuration file or in the arguments is printed with its position, the exit code is 2, and
+// nothing is started. Too high a number of descriptors ends the daemon with exit code 1.
 func TestCheck(t *testing.T) {
 	code, out, stderr := runToEnd(t, "check", "--config", "../../deploy/dunlinsaild.toml")
 	if code != 0 || !strings.Contains(out, "sound") {
@@ -98,14 +101,15 @@
 	}
 }
 
-// deskAddress returns the address of the listener desk in a file.
+// deskAddress returns the address of the listener "desk" in a configuration text.
 func deskAddress(configText string) string {
 	_, afterName, _ := strings.Cut(configText, "name = \"desk\"\naddress = \"")
 	address, _, _ := strings.Cut(afterName, "\"")
 	return address
 }
 
-// file returns a daemon's file with one client, one class and a takeover socket in dir.
+// daemonConfig returns the text of a daemon's configuration with one client, one request class and a takeover
+// socket in dir.
 func daemonConfig(t *testing.T, discovery, dir string) string {
 	t.Helper()
 	return `
@@ -130,7 +134,8 @@
 `
 }
 
-// startAndWatch starts a daemon and waits until it serves. ended receives its end, and read each reload of its file.
+// startAndWatch starts a daemon and waits until it serves. The channel exited receives the result of its process,
+// and reloads receives a value for each reload of its configuration file.
 func startAndWatch(t *testing.T, path string, reloads chan<- error) (cmd *exec.Cmd, exited <-chan error) {
 	t.Helper()
 	cmd = programCommand("--config", path, "--announce")
@@ -140,7 +145,7 @@
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
 	t.Cleanup(func() { cmd.Process.Kill() })
-	go func() { // until the end of the log
+	go func() { // runs until the end of the log
 		for lines := bufio.NewScanner(logPipe); lines.Scan(); {
 			if strings.Contains(lines.Text(), "configuration ") {
 				reloads <- nil
@@ -158,7 +163,8 @@
 	return cmd, exitResult
 }
 
-// checkServes sends requests on a connection that is open already until one is served.
+// checkServes sends requests on an open connection until one is served. The test fails if the daemon closes the
+// connection, or serves no request within scriptedpeer.WaitTimeout.
 func checkServes(t *testing.T, conn net.Conn, situation string) {
 	t.Helper()
 	reader := bufio.NewReader(conn)
@@ -185,8 +191,9 @@
 	}
 }
 
-// A daemon serves on while a successor's file cannot be read, is malformed or names a discovery without a list, and
-// through signals. A successor with a valid file takes over, and SIGTERM ends it with 0.
+// A daemon continues to serve after signals to reload, and while a successor fails to start: its configuration file
+// cannot be read, is malformed, names a discovery service that sends no endpoint list, or names a listener address
+// that is in use. A successor with a valid file takes over, and exits with code 0 after SIGTERM.
 func TestServe(t *testing.T) {
 	server, err := endpoint.Start(endpoint.Options{Name: "s-1"})
 	require.NoError(t, err)
@@ -198,7 +205,7 @@
 	configText := daemonConfig(t, discoveryServer.Addr, dir)
 	path := writeConfig(t, configText)
 	addr := deskAddress(configText)
-	reloads := make(chan error, 16) // receives each reload of the file, successful or not, in any process
+	reloads := make(chan error, 16) // receives a value for each reload of the file, successful or not, in any process
 	firstDaemon, firstExited := startAndWatch(t, path, reloads)
 	conn, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
@@ -229,7 +236,8 @@
 			t.Errorf("%s: the new process ended with %d, and said %q", fault, code, stderr)
 		}
 		require.NoError(t, firstDaemon.Process.Signal(syscall.SIGHUP))
-		// Before the file changes again: a process that has switched to the silent discovery hands that over.
+		// Wait for the reload before the file changes again: a process that has already switched to the silent
+		// discovery would hand that over.
 		_ = scriptedpeer.Receive(t, reloads, "a file read again")
 		checkServing(fault)
 	}
@@ -245,7 +253,7 @@
 	}
 }
 
-// The playground shows requests served, and leaves nothing running.
+// The playground shows that requests are served and none is lost, and then exits.
 func TestPlayground(t *testing.T) {
 	code, out, stderr := runToEnd(t, "playground", "--for", "2500ms", "--quiet")
 	if code != 0 || stderr != "" {
--- a/cmd/dunlinsaild/members.go
+++ b/cmd/dunlinsaild/members.go
@@ -14,12 +14,13 @@
 	"dunlinsail/internal/decide/coordination"
 )
 
+// membersCmd is the command that prints a daemon's view of its fleet: the members and the quota leases.
 type membersCmd struct {
 	adminFlag
 	JSON bool `name:"json" help:"For programs."`
 }
 
-// Run prints a daemon's view of its fleet.
+// Run prints a daemon's view of its fleet, as text or as the JSON that the daemon sends.
 func (c *membersCmd) Run(ctx context.Context) error {
 	body, err := c.call(ctx, admin.PathMembers, nil)
 	if err != nil {
@@ -36,12 +37,12 @@
 	return printMembers(os.Stdout, &view)
 }
 
-// micros returns a number of microseconds as a duration, rounded to 10 ms.
+// microsToDuration converts a number of microseconds to a duration, rounded to 10 ms.
 func microsToDuration(microseconds int64) time.Duration {
 	return (time.Duration(microseconds) * time.Microsecond).Round(10 * time.Millisecond)
 }
 
-// printMembers prints a daemon's view of its fleet for people.
+// printMembers prints a daemon's view of its fleet as text.
 func printMembers(out io.Writer, view *daemon.View) error {
 	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%s sees:\n", view.Name)
@@ -58,7 +59,8 @@
 	return w.Flush()
 }
 
-// printQuota prints the instance's quota lease and budgets and, at the allocator, the leases that it has granted.
+// printQuota prints the instance's quota lease and its budgets. At the allocator it also prints the leases that
+// were granted.
 func printQuota(w io.Writer, fleet *coordination.View) {
 	switch {
 	case !fleet.Active:
--- a/cmd/dunlinsaild/members_test.go
+++ b/cmd/dunlinsaild/members_test.go
@@ -17,25 +17,26 @@
 	"dunlinsail/internal/fake/scriptedpeer"
 )
 
-// daemonProcess is the process of a daemon, with the addresses in its file.
+// daemonProcess is a running daemon, with the addresses in its configuration.
 type daemonProcess struct {
 	cmd                                        *exec.Cmd
 	gossipAddress, adminAddress, clientAddress string
 }
 
-// twoFleets are the daemons a and b of one fleet, and c and d of another, which stand in each other's lists of
-// addresses to join. The first of each fleet is the only candidate for its quota allocator.
+// twoFleets holds the daemons a and b of one fleet and c and d of another. All four daemons have the same list of
+// addresses to join. The first daemon of each fleet is the only candidate for the quota allocator of its fleet.
 type twoFleets struct {
 	processes map[string]*daemonProcess
 }
 
-// daemonNames are the names of the daemons of twoFleets, in order; each two are a fleet.
+// daemonNames are the names of the daemons of twoFleets: the first two form one fleet, the last two the other.
 var daemonNames = []string{"a", "b", "c", "d"}
 
-// allocatorOf returns the name of the allocator of the fleet of daemonNames[i].
+// allocatorOf returns the name of the quota allocator in the fleet of daemonNames[i].
 func allocatorOf(i int) string { return daemonNames[i/2*2] }
 
-// startTwoFleets starts the daemons with an endpoint, and waits until each serves. They end with the test.
+// startTwoFleets starts the four daemons and one endpoint, and waits until each daemon serves. All are stopped at
+// the end of the test.
 func startTwoFleets(t *testing.T) *twoFleets {
 	t.Helper()
 	server, err := endpoint.Start(endpoint.Options{Name: "s-1"})
@@ -78,7 +79,8 @@
 	return f
 }
 
-// start starts a daemon by the text of its file, and waits until it serves. It is killed at the end of the test.
+// start starts a daemon with the given configuration text and waits until it serves. The process is killed at the
+// end of the test.
 func (p *daemonProcess) start(t *testing.T, name, configText string) {
 	t.Helper()
 	p.cmd = programCommand("--config", writeConfig(t, configText), "--announce")
@@ -94,7 +96,7 @@
 	}
 }
 
-// view returns what the command members prints of a daemon for programs.
+// view returns a daemon's view of its fleet, as the command members prints it in JSON.
 func (f *twoFleets) view(t *testing.T, name string) (view daemon.View) {
 	t.Helper()
 	code, out, stderr := runToEnd(t, "members", "--at", f.processes[name].adminAddress, "--json")
@@ -104,7 +106,7 @@
 	return view
 }
 
-// alive returns the names of the members that a daemon sees alive, one after another.
+// aliveMembers returns the concatenated names of the members that a daemon sees alive.
 func (f *twoFleets) aliveMembers(t *testing.T, name string) (names string) {
 	t.Helper()
 	for _, member := range f.view(t, name).Members {
@@ -115,7 +117,8 @@
 	return names
 }
 
-// awaitLeases waits until each daemon has a lease of its own fleet's allocator, and sees its own fleet only.
+// awaitLeases waits until each daemon has a lease from the allocator of its own fleet, and checks that it sees only
+// members of that fleet.
 func (f *twoFleets) awaitLeases(t *testing.T) {
 	t.Helper()
 	for i, name := range daemonNames {
@@ -130,8 +133,8 @@
 	}
 }
 
-// overload sends a daemon many more requests of a tenant at once than its limit, and returns how many were admitted.
-// Each other one has to be rejected with Retry-After.
+// overload sends a daemon many more requests of one tenant than its limit allows, and returns the number of
+// admitted requests. Each other request must be rejected with a Retry-After header.
 func (p *daemonProcess) overload(t *testing.T, name string) (admitted int) {
 	t.Helper()
 	for i := range 60 {
@@ -152,7 +155,7 @@
 	return admitted
 }
 
-// hasMetric reports whether a line stands among a daemon's metrics.
+// hasMetric reports whether a daemon's metrics contain the given line.
 func (p *daemonProcess) hasMetric(t *testing.T, line string) bool {
 	t.Helper()
 	resp, err := http.Get("http://" + p.adminAddress + "/metrics")
@@ -170,8 +173,8 @@
 	return false
 }
 
-// Two fleets on one machine whose files name each other's addresses stay separate: each allocates its own quota. A
-// member that is killed is seen to be gone, and the command members prints all of it.
+// Two fleets on one machine whose configurations list each other's addresses stay separate: each allocates its own
+// quota. A member that is killed is no longer seen alive. The command members prints the allocator and the leases.
 func TestFleets(t *testing.T) {
 	f := startTwoFleets(t)
 	f.awaitLeases(t)
@@ -180,8 +183,8 @@
 		!strings.Contains(out, "It has lent") {
 		t.Errorf("%d %q", code, out)
 	}
-	// Far more requests than the limits at once: each fleet admits its own quota, and rejects the others with
-	// Retry-After.
+	// Send far more requests at once than the limits allow: each fleet admits requests up to its own quota and
+	// rejects the others with Retry-After.
 	admitted := map[int]int{}
 	for i, name := range daemonNames {
 		admitted[i/2] += f.processes[name].overload(t, name)
--- a/cmd/dunlinsaild/serve.go
+++ b/cmd/dunlinsaild/serve.go
@@ -14,12 +14,12 @@
 	"dunlinsail/internal/daemon"
 )
 
-// fileFlag is the path of the daemon's configuration file. Commands that read it embed it.
+// fileFlag is the flag with the path of the daemon's configuration file. Commands that read the file embed it.
 type fileFlag struct {
 	Config string `help:"The daemon's file." required:"" placeholder:"FILE"`
 }
 
-// read reads the file. The error is a *fileError.
+// read reads the configuration file. Its error is a *fileError.
 func (f *fileFlag) read() (*config.Config, error) {
 	conf, err := config.Read(f.Config)
 	if err != nil {
@@ -28,9 +28,10 @@
 	return conf, nil
 }
 
+// checkCmd is the command that validates a configuration file.
 type checkCmd struct{ fileFlag }
 
-// Run checks the file and prints that it is valid.
+// Run validates the configuration file and prints that it is valid.
 func (c *checkCmd) Run() error {
 	if _, err := c.read(); err != nil {
 		return err
@@ -39,13 +40,15 @@
 	return nil
 }
 
+// serveCmd is the command that runs the daemon.
 type serveCmd struct {
 	fileFlag
 	Debug    bool `help:"Log more."`
 	Announce bool `help:"Print a line once serving."`
 }
 
-// Run serves until stop ends or another process has taken over.
+// Run serves until ctx is done or another process has taken over. Each signal on reloadSignals makes it read the
+// configuration file again.
 func (c *serveCmd) Run(ctx context.Context, reloadSignals <-chan os.Signal) error {
 	conf, err := c.read()
 	if err != nil {
@@ -74,18 +77,19 @@
 	return nil
 }
 
-// prepare applies the settings of the whole process: cores, memory and descriptors.
+// applyProcessSettings applies the settings of the whole process: the number of cores, the memory limit and the
+// number of file descriptors.
 func applyProcessSettings(settings *config.Process) error {
 	if settings.Cores > 0 {
 		runtime.GOMAXPROCS(settings.Cores)
 	}
-	debug.SetMemoryLimit(settings.Memory.Bytes / 2) // the collector works harder from half of the memory on
+	debug.SetMemoryLimit(settings.Memory.Bytes / 2) // garbage collection becomes more frequent above half of the memory
 	return raiseDescriptorLimit(uint64(settings.Descriptors))
 }
 
-// raiseDescriptorLimit raises this process's limit of descriptors to twice the setting, because two generations are
-// open during a change of the configuration. A system limit below that is used as far as it goes; one below the setting
-// is an error.
+// raiseDescriptorLimit raises the soft limit on file descriptors of this process to twice the required number,
+// because two generations are open while the configuration changes. If the hard limit is lower than that, the soft
+// limit becomes equal to it. A hard limit below the required number is an error.
 func raiseDescriptorLimit(required uint64) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/cmd/dunlinsaild/work.go
+++ b/cmd/dunlinsaild/work.go
@@ -16,16 +16,18 @@
 	"dunlinsail/internal/monotime"
 )
 
-// This file has the commands for maintenance, below "dunlinsaild work". The names of commands, flags and arguments are
-// operators', in tags where the Go name differs.
+// This file declares the maintenance commands, which are subcommands of "dunlinsaild work". The names of commands,
+// flags and arguments are part of the command line that operators use; a struct tag sets the name where it differs
+// from the Go name.
 
-// workHelp holds the help texts that are too long for a tag on one line.
+// workHelp holds the help texts that are too long for a struct tag on one line.
 var workHelp = kong.Vars{
 	"work_forget_help": "Say that an instance's process is dead for certain:" +
 		" it keeps no machine from being taken out any more.",
 	"work_id_help": "The job's name; asking twice with one is asking once. One is made of the time without it.",
 }
 
+// workCmd groups the maintenance commands.
 type workCmd struct {
 	Request  workRequestCmd  `cmd:"" name:"ask" help:"Ask for machines to be taken out."`
 	List     workListCmd     `cmd:"" help:"Show how all stands."`
@@ -37,13 +39,15 @@
 	Forget   workForgetCmd   `cmd:"" help:"${work_forget_help}"`
 }
 
-// submit sends a command for the consensus log, and returns the answer.
+// submitCommand sends a maintenance command, which the fleet appends to its consensus log, and returns the text of
+// the response.
 func (f *adminFlag) submitCommand(ctx context.Context, command maintenance.Command) (string, error) {
 	response, err := f.call(ctx, admin.PathMaintenanceCommand, command)
 	return strings.TrimSpace(string(response)), err
 }
 
-// submitAndPrint sends a command for the consensus log, and prints the answer.
+// submitAndPrint sends a maintenance command, which the fleet appends to its consensus log, and prints the text of
+// the response.
 func (f *adminFlag) submitAndPrint(ctx context.Context, command maintenance.Command) error {
 	response, err := f.submitCommand(ctx, command)
 	if err == nil {
@@ -52,7 +56,7 @@
 	return err
 }
 
-// view returns the leader's view of the maintenance plan.
+// maintenanceView returns the leader's view of the maintenance plan.
 func (f *adminFlag) maintenanceView(ctx context.Context) (*consensus.View, error) {
 	body, err := f.call(ctx, admin.PathMaintenance, nil)
 	if err != nil {
@@ -65,6 +69,7 @@
 	return &view, nil
 }
 
+// workRequestCmd is the command that requests maintenance of machines.
 type workRequestCmd struct {
 	adminFlag
 	Machines  []string      `arg:"" help:"Endpoints, by their ids."`
@@ -75,7 +80,7 @@
 	Urgent    bool          `help:"It goes before what is not."`
 }
 
-// Run submits a maintenance request and prints the answer.
+// Run submits a maintenance request and prints its ID with the text of the response.
 func (c *workRequestCmd) Run(ctx context.Context) error {
 	if c.ID == "" {
 		c.ID = "job-" + time.Now().UTC().Format("20060102-150405.000")
@@ -94,12 +99,13 @@
 	return err
 }
 
+// workListCmd is the command that prints the maintenance plan.
 type workListCmd struct {
 	adminFlag
 	JSON bool `name:"json" help:"For programs."`
 }
 
-// Run prints the view, as text or as the JSON that the daemon sends.
+// Run prints the leader's view of the maintenance plan, as text or as the JSON that the daemon sends.
 func (c *workListCmd) Run(ctx context.Context) error {
 	if c.JSON {
 		body, err := c.call(ctx, admin.PathMaintenance, nil)
@@ -115,12 +121,14 @@
 	return printMaintenanceView(os.Stdout, view)
 }
 
+// workWatchCmd is the command that prints maintenance events as they occur.
 type workWatchCmd struct{ adminFlag }
 
-// watchInterval is the time between two views.
+// watchInterval is the interval at which the watch command requests the maintenance view.
 const watchInterval = 500 * time.Millisecond
 
-// Run prints events as they come, until ctx ends. A view that fails is printed to standard error and tried again.
+// Run prints maintenance events as they occur, until ctx is done. An error of a call is printed to standard error,
+// and the call is repeated after watchInterval.
 func (c *workWatchCmd) Run(ctx context.Context) error {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
@@ -141,54 +149,60 @@
 	}
 }
 
+// workCompleteCmd is the command that reports completed maintenance work.
 type workCompleteCmd struct {
 	adminFlag
 	Request string `arg:"" name:"job" help:"The job."`
 	Machine string `arg:"" optional:"" help:"One of its machines; all without it."`
 }
 
-// Run completes the work on a request's machines.
+// Run reports that the work on one machine of a request, or on all of them, is complete.
 func (c *workCompleteCmd) Run(ctx context.Context) error {
 	completion := maintenance.Completion{Request: c.Request, Machine: c.Machine}
 	return c.submitAndPrint(ctx, maintenance.Command{Complete: &completion})
 }
 
+// workCancelCmd is the command that cancels a maintenance request.
 type workCancelCmd struct {
 	adminFlag
 	Request string `arg:"" name:"job" help:"The job."`
 }
 
-// Run cancels a request.
+// Run cancels a maintenance request.
 func (c *workCancelCmd) Run(ctx context.Context) error {
 	return c.submitAndPrint(ctx, maintenance.Command{CancelRequest: c.Request})
 }
 
+// workHoldCmd is the command that puts maintenance requests on hold: no further work of theirs starts.
 type workHoldCmd struct {
 	adminFlag
 	Request string `arg:"" name:"job" optional:"" help:"The job; all without it."`
 }
 
-// Run starts a hold on a request, or on all.
+// Run puts one maintenance request on hold, or all of them if none is named.
 func (c *workHoldCmd) Run(ctx context.Context) error {
 	return c.submitAndPrint(ctx, maintenance.Command{Hold: &maintenance.Hold{Request: c.Request, On: true}})
 }
 
+// workReleaseCmd is the command that ends a hold on maintenance requests.
 type workReleaseCmd struct {
 	adminFlag
 	Request string `arg:"" name:"job" optional:"" help:"The job; all without it."`
 }
 
-// Run ends a hold on a request, or on all.
+// Run ends the hold on one maintenance request, or on all of them if none is named.
 func (c *workReleaseCmd) Run(ctx context.Context) error {
 	return c.submitAndPrint(ctx, maintenance.Command{Hold: &maintenance.Hold{Request: c.Request}})
 }
 
+// workForgetCmd is the command that declares the process of a silent instance dead.
 type workForgetCmd struct {
 	adminFlag
 	Instance string `arg:"" help:"Its name."`
 }
 
-// Run has the fleet forget an instance. It is an error if the instance is not silent.
+// Run makes the fleet forget an instance, which then no longer keeps machines from being taken out. It fails if the
+// leader does not list the instance as silent.
 func (c *workForgetCmd) Run(ctx context.Context) error {
 	view, err := c.maintenanceView(ctx)
 	if err != nil {
--- a/cmd/dunlinsaild/workview.go
+++ b/cmd/dunlinsaild/workview.go
@@ -12,10 +12,10 @@
 	"dunlinsail/internal/monotime"
 )
 
-// microsPerSecond converts the times of events.
+// microsPerSecond is the number of microseconds in a second, for the times of maintenance events.
 const microsPerSecond = 1e6
 
-// printMaintenanceView prints the leader's view of the maintenance plan for people.
+// printMaintenanceView prints the leader's view of the maintenance plan as text.
 func printMaintenanceView(out io.Writer, view *consensus.View) error {
 	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%s leads; %d instances obey", view.Leader, len(view.Instances))
@@ -44,7 +44,8 @@
 	return w.Flush()
 }
 
-// waitsForText returns what a machine waits for, or what an operator has to do about it.
+// waitsForText returns the text of the column WAITS FOR: the reason why a machine waits, or the action that an
+// operator has to take.
 func waitsForText(machine *maintenance.Machine) string {
 	switch {
 	case machine.Overdue:
@@ -55,7 +56,8 @@
 	return machine.WaitReason
 }
 
-// printEventsAfter prints the events after an instant, and returns the instant of the last one.
+// printEventsAfter prints the events that occurred after lastTime. It returns the time of the last event, or
+// lastTime if there is none.
 func printEventsAfter(out io.Writer, events []maintenance.Event, lastTime monotime.Micros) monotime.Micros {
 	for _, event := range events {
 		if event.Time > lastTime {
--- a/cmd/simhost/golden_test.go
+++ b/cmd/simhost/golden_test.go
@@ -13,6 +13,8 @@
 	"dunlinsail/internal/wire"
 )
 
+// goldenSettings are the settings of the balancers in the golden script, with placeholders for the kind of
+// discovery and for whether probes are allowed.
 const goldenSettings = `peers-total=3
 zone=1
 areas=a,b,c
@@ -66,13 +68,15 @@
 tenants.1.share=0.3
 `
 
-// entry is one entry of a numbered list on the wire.
+// entry is one endpoint of a numbered list on the wire.
 type entry struct {
 	id      uint32
 	state   uint8
 	started uint64
 }
 
+// entriesRecord encodes a numbered list of endpoint entries. Fields that entry does not have are derived from the
+// endpoint's ID.
 func entriesRecord(listNumber uint8, entries []entry) []byte {
 	fields := []any{listNumber, uint32(len(entries))}
 	for _, e := range entries {
@@ -81,19 +85,20 @@
 	return encodeRecord(26, fields...)
 }
 
-// goldenScript draws a script of all event codes for two instances from a seed: requests, outcomes of each status,
-// probes, timers, lists, a stop and a new start. The order of its draws must not change.
+// goldenScript generates pseudo-random events of all codes for two instances from a seed: requests, outcomes of
+// each status, probes, timers, endpoint lists, a stop and a new start. The order of its random draws must not
+// change, because the golden file depends on it.
 type goldenScript struct {
 	random  *rand.Rand
 	entries []entry
 	now     uint64 // microseconds
-	lastID  uint64 // of the latest request
+	lastID  uint64 // ID of the latest request
 }
 
-// goldenStatuses are the statuses of outcomes, in the frequencies in which they are drawn.
+// goldenStatuses are the statuses of outcomes. A status that occurs several times is drawn more often.
 var goldenStatuses = []uint16{200, 200, 200, 200, 500, 503, 504, 502, 598, 499, 410}
 
-// goldenBatches returns the batches of a script.
+// goldenBatches returns the encoded batches of the script for a seed.
 func goldenBatches(seed uint64, discovery string, probes bool) [][]byte {
 	settings := fmt.Sprintf(goldenSettings, discovery, probes)
 	script := &goldenScript{
@@ -118,7 +123,7 @@
 	return batches
 }
 
-// events draws the records of one kind of event.
+// drawEvents returns the records of one randomly drawn kind of event.
 func (s *goldenScript) drawEvents() [][]byte {
 	random := s.random
 	endpoint := 11 + uint32(random.IntN(6))
@@ -137,7 +142,7 @@
 	case 7:
 		token := uint32(random.IntN(3))
 		if random.IntN(2) == 0 {
-			token = uint32(1<<20 + 16 + random.IntN(8)) // of a request
+			token = uint32(1<<20 + 16 + random.IntN(8)) // token of a request's timer
 		}
 		return [][]byte{encodeRecord(22, token)}
 	case 8:
@@ -151,7 +156,8 @@
 	}
 }
 
-// drawListEvents draws a change of an endpoint, and perhaps a complete list.
+// drawListEvents returns the records of a change to one endpoint, in some draws followed by a complete endpoint
+// list.
 func (s *goldenScript) drawListEvents(endpoint uint32) [][]byte {
 	changed := entry{id: endpoint}
 	switch s.random.IntN(8) {
@@ -169,8 +175,9 @@
 	return records
 }
 
-// The replies of simhost to scripted input, as hashes: decisions and the wire's form. The texts
-// of trace records are left out. The file is written anew only by a change that means to alter decisions.
+// The replies of simhost to scripted input are compared as hashes with the golden file, which covers the decisions
+// and the wire format. The texts of trace records are excluded. The golden file may be rewritten only by a change
+// that is intended to alter decisions.
 func TestRepliesAreUnchanged(t *testing.T) {
 	golden, err := os.ReadFile("testdata/replies.golden")
 	if err != nil {
@@ -194,7 +201,8 @@
 	}
 }
 
-// summary returns the number of records of each action code in the replies, and a hash of all but trace records.
+// summarizeReplies returns the number of records of each action code in the replies, and a hash of all records
+// except trace records.
 func summarizeReplies(replies string) string {
 	digest := sha256.New()
 	counts := map[byte]int{}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost hosts balancers behind the simulator's wire: it reads batches of events from standard input and
-// writes a reply to each to standard output. Package wire maps the names of records to those of package balancer.
+// Command simhost runs balancers for the simulator: it reads batches of events from standard input and writes one
+// reply for each batch to standard output. Package wire maps the names of wire records to the names that package
+// balancer uses.
 package main
 
 import (
@@ -17,7 +18,7 @@
 )
 
 const (
-	// gcPercent makes garbage collection rare, since nothing is allocated in the steady state.
+	// gcPercent makes garbage collections rare, which saves CPU time: the steady state allocates nothing.
 	gcPercent = 400
 	// inputBufferSize is the size in bytes of the buffer of standard input.
 	inputBufferSize = 1 << 18
@@ -31,23 +32,23 @@
 	}
 }
 
-// host runs the instances of one process, which share its buffers only.
+// host runs the instances of one process, which share only its decoder and reply buffers.
 type host struct {
 	decoder         wire.Decoder
 	reply           wire.Reply
 	instances       map[uint32]*instance
-	reportedUnknown [256]bool // by code: an unknown one that has been reported
+	reportedUnknown [256]bool // by event code: an unknown code that has been reported
 	stderr          io.Writer
 }
 
-// instance is one balancer, and the balancer.Actions that it calls.
+// instance is one balancer, together with the implementation of balancer.Actions that the balancer calls.
 type instance struct {
 	*host
 	number   uint32
-	balancer *balancer.Balancer // nil before a valid start, once stopped, and after a panic
+	balancer *balancer.Balancer // nil before a valid start, after a stop and after a panic
 }
 
-// run replies to all batches of in. It returns nil at the end of input.
+// run replies to each batch that it reads from in. It returns nil at the end of the input.
 func run(in io.Reader, out, stderr io.Writer) error {
 	h := &host{instances: map[uint32]*instance{}, stderr: stderr}
 	var frame []byte
@@ -69,7 +70,7 @@
 	}
 }
 
-// batch handles the events of a frame, and builds the reply to it.
+// handleBatch handles the events of a frame and builds the reply to it.
 func (h *host) handleBatch(frame []byte) error {
 	batchNumber, now, err := h.decoder.Reset(frame)
 	if err != nil {
@@ -92,17 +93,18 @@
 	}
 }
 
-// eventTarget is the instance that the events of a batch are for.
+// eventTarget is the instance that receives the events of a batch.
 type eventTarget struct {
 	number   uint32
-	selected bool // an EventInstance has named it
+	selected bool // an EventInstance has set number
 }
 
-// event handles one event: it sets the target of later ones, or is for an instance. Unknown codes are skipped.
+// handleEvent handles one event. An EventInstance sets the target of the events after it; other events go to the
+// target. Events with an unknown code are skipped.
 func (h *host) handleEvent(now monotime.Micros, event *wire.Event, target *eventTarget) error {
 	switch {
 	case event.Code == wire.EventEntries:
-		return nil // the decoder holds the list
+		return nil // the decoder keeps the list
 	case event.Code == wire.EventInstance:
 		target.number = event.Instance
 		target.selected = true
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// reportUnknown writes a line on an unknown code to standard error, once for each code.
+// reportUnknown writes a line about an unknown event code to standard error, once for each code.
 func (h *host) reportUnknown(event *wire.Event) {
 	if h.reportedUnknown[event.Code] {
 		return
@@ -129,7 +131,8 @@
 	fmt.Fprintf(h.stderr, "simhost: %v at byte %d: unknown code, skipped\n", event.Code, event.Offset)
 }
 
-// instance returns the instance that an event is for. An EventStart creates it.
+// targetInstance returns the instance that an event is for. An EventStart creates the instance if it does not
+// exist.
 func (h *host) targetInstance(event *wire.Event, target *eventTarget) (*instance, error) {
 	if !target.selected {
 		return nil, &wire.FrameError{
@@ -147,7 +150,8 @@
 	return inst, nil
 }
 
-// handle passes an event to the balancer. A panic ends the balancer, and becomes an exception on the wire.
+// handle passes an event to the balancer. A panic of the balancer stops it and is reported as an exception on the
+// wire.
 func (i *instance) handle(now monotime.Micros, event *wire.Event) {
 	defer func() {
 		if panicValue := recover(); panicValue != nil {
@@ -184,7 +188,7 @@
 	}
 }
 
-// start replaces the balancer by a new one. Invalid settings become an exception on the wire.
+// start replaces the balancer with a new one. Invalid settings are reported as an exception on the wire.
 func (i *instance) start(now monotime.Micros, event *wire.Event) {
 	i.balancer = nil
 	settings, err := wire.ParseSettings(event.Settings)
@@ -198,30 +202,30 @@
 	i.balancer.Start(now)
 }
 
-// Send writes a record "deliver".
+// Send adds a wire record "deliver" to the reply.
 func (i *instance) Send(id uint64, endpoint uint32, timeout monotime.Micros) {
 	i.reply.Send(id, endpoint, timeout)
 }
 
-// Reject writes a record "decline".
+// Reject adds a wire record "decline" to the reply.
 func (i *instance) Reject(id uint64, retryAfter monotime.Micros) { i.reply.Reject(id, retryAfter) }
 
-// Fail writes a record "fail".
+// Fail adds a wire record "fail" to the reply.
 func (i *instance) Fail(id uint64) { i.reply.Fail(id) }
 
-// Cancel writes a record "revoke".
+// Cancel adds a wire record "revoke" to the reply.
 func (i *instance) Cancel(id uint64, attempt int) { i.reply.Cancel(id, attempt) }
 
-// SetTimer writes a record "arm".
+// SetTimer adds a wire record "arm" to the reply.
 func (i *instance) SetTimer(delay monotime.Micros, token uint32) { i.reply.SetTimer(delay, token) }
 
-// Probe writes a record "sound_out".
+// Probe adds a wire record "sound_out" to the reply.
 func (i *instance) Probe(endpoint uint32) { i.reply.Probe(endpoint) }
 
-// Watch writes a record "track".
+// Watch adds a wire record "track" to the reply.
 func (i *instance) Watch(on bool) { i.reply.Watch(on) }
 
-// Log writes a record "trace": the message, then keys and values.
+// Log adds a wire record "trace" to the reply: the message, followed by keys and values.
 func (i *instance) Log(message string, args ...any) {
 	i.reply.Log(strings.TrimSuffix(fmt.Sprintln(append([]any{message}, args...)...), "\n"))
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -9,6 +9,7 @@
 	"dunlinsail/internal/fake/require"
 )
 
+// testSettings are the settings of the balancers in these tests, in the format of the wire.
 const testSettings = `classes.count=1
 prices.probe=1000
 classes.0.give-up=500000
@@ -23,7 +24,7 @@
 reporting.how=probe
 `
 
-// rec returns a record with fields in big endian.
+// encodeRecord encodes a wire record: its code, the size of its fields, and the fields in big endian.
 func encodeRecord(code byte, fields ...any) []byte {
 	var body bytes.Buffer
 	for _, field := range fields {
@@ -38,7 +39,7 @@
 	return append(out, body.Bytes()...)
 }
 
-// batch returns a frame of records at an instant.
+// encodeBatch encodes a frame of records with its batch number and time in microseconds.
 func encodeBatch(number uint32, now uint64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	frame := binary.BigEndian.AppendUint32(nil, number)
@@ -47,14 +48,15 @@
 	return append(frame, body...)
 }
 
-// at names the instance of the records that follow.
+// instanceRecord encodes the event that sets the target instance of the records after it.
 func instanceRecord(instance uint32) []byte { return encodeRecord(27, instance) }
 
+// startRecord encodes the event that starts a balancer with the given settings and the seed 5.
 func startRecord(settingsText string) []byte {
 	return encodeRecord(16, uint64(5), uint32(len(settingsText)), settingsText)
 }
 
-// manifest returns list 0, of ready endpoints.
+// readyEntriesRecord encodes the numbered list 0 of endpoint entries, with ready endpoints of the given IDs.
 func readyEntriesRecord(ids ...uint32) []byte {
 	fields := []any{uint8(0), uint32(len(ids))}
 	for _, id := range ids {
@@ -63,17 +65,22 @@
 	return encodeRecord(26, fields...)
 }
 
+// endpointListRecord encodes the event that passes a numbered list of entries to the balancer, as an endpoint list
+// of the given kind.
 func endpointListRecord(list, kind uint8) []byte { return encodeRecord(17, uint32(1), list, kind) }
 
+// requestRecord encodes the event of a new request with its deadline in microseconds.
 func requestRecord(id uint64, deadline uint64) []byte {
 	return encodeRecord(18, id, uint64(0), deadline, uint32(0), uint8(0), uint16(0), uint8(0))
 }
 
+// outcomeRecord encodes the outcome of a request's first attempt, with a latency of 3 ms. A nonzero value of final
+// means that the request has its final response.
 func outcomeRecord(id uint64, endpoint uint32, status uint16, final uint8) []byte {
 	return encodeRecord(20, id, uint16(0), endpoint, status, uint32(3000), final, uint8(0))
 }
 
-// drive returns what simhost writes for batches.
+// runBatches runs simhost on encoded batches and returns what it writes to standard output and standard error.
 func runBatches(t *testing.T, batches ...[]byte) (out, stderr string, err error) {
 	t.Helper()
 	var outBuffer, errBuffer bytes.Buffer
@@ -81,7 +88,8 @@
 	return outBuffer.String(), errBuffer.String(), err
 }
 
-// actions returns the number of one reply and the codes of its records.
+// actionCodes returns the batch number of a reply and the codes of its records. It checks the size and the number
+// of records in the header.
 func actionCodes(t *testing.T, reply []byte) (number uint32, codes []byte) {
 	t.Helper()
 	if int(binary.BigEndian.Uint32(reply[4:])) != len(reply) {
@@ -98,14 +106,15 @@
 
 // replyRecords returns the records of a reply.
 func replyRecords(reply []byte) (records [][]byte) {
-	for start := 12; start < len(reply); { // behind the header of the reply
-		size := 5 + int(binary.BigEndian.Uint32(reply[start+1:])) // with the header of the record
+	for start := 12; start < len(reply); { // after the header of the reply
+		size := 5 + int(binary.BigEndian.Uint32(reply[start+1:])) // including the header of the record
 		records = append(records, reply[start:start+size])
 		start += size
 	}
 	return records
 }
 
+// A batch without events gets a reply without records, and the end of the input ends the run without an error.
 func TestEmptyBatchAndEnd(t *testing.T) {
 	out, _, err := runBatches(t, encodeBatch(1, 100))
 	if err != nil || out != "\x00\x00\x00\x01\x00\x00\x00\x0c\x00\x00\x00\x00" {
@@ -113,6 +122,7 @@
 	}
 }
 
+// A request is sent to an endpoint once, and the reply has the number of its batch.
 func TestRequestIsDelivered(t *testing.T) {
 	out, stderr, err := runBatches(t, encodeBatch(7, 1000, instanceRecord(3), startRecord(testSettings),
 		readyEntriesRecord(11, 12), endpointListRecord(0, 3), requestRecord(5, 500_000)))
@@ -125,6 +135,7 @@
 	}
 }
 
+// A balancer that starts in the batch that stopped another one does not know the requests of that one.
 func TestStopAndStartInOneBatch(t *testing.T) {
 	out, _, err := runBatches(t,
 		encodeBatch(1, 1000, instanceRecord(3), startRecord(testSettings), readyEntriesRecord(11),
@@ -139,6 +150,7 @@
 	}
 }
 
+// Two instances in one process take the same actions as in a process each, and two runs give the same output.
 func TestInstancesAreIndependent(t *testing.T) {
 	batchesFor := func(instances ...uint32) [][]byte {
 		var batches [][]byte
@@ -178,7 +190,7 @@
 	}
 }
 
-// recordCounts returns how often each record is in replies.
+// recordCounts returns the number of occurrences of each record in replies.
 func recordCounts(replies string) map[string]int {
 	counts := map[string]int{}
 	for remaining := []byte(replies); len(remaining) > 0; {
@@ -191,6 +203,7 @@
 	return counts
 }
 
+// A malformed batch ends the run with an error of one line that names the record or position, and gets no reply.
 func TestBadInputEndsTheProcess(t *testing.T) {
 	goodBatch := encodeBatch(1, 1000, instanceRecord(3), startRecord(testSettings))
 	for _, tc := range []struct {
@@ -214,6 +227,7 @@
 	}
 }
 
+// An unknown event code is skipped and reported on standard error once.
 func TestUnknownEventIsReportedOnce(t *testing.T) {
 	_, stderr, err := runBatches(t, encodeBatch(1, 1000, encodeRecord(99, uint32(1)), encodeRecord(99),
 		instanceRecord(3), startRecord(testSettings)))
@@ -222,6 +236,7 @@
 	}
 }
 
+// Invalid settings are reported as an exception record on the wire, and the run continues.
 func TestBadSettingsAreAnException(t *testing.T) {
 	for _, text := range []string{
 		strings.Replace(testSettings, "repeat=pure", "repeat=never", 1),
