--- a/cmd/dunlinsail/host_test.go
+++ b/cmd/dunlinsail/host_test.go
@@ -145,7 +145,7 @@
 		}
 		select {
 		case err := <-p.exited:
-			p.host.t.Fatalf("ended: %v\n%s", err, p.log.String())
+			p.host.t.Fatalf("ended before it was ready: %v\n%s", err, p.log.String())
 		default:
 		}
 		if time.Now().After(deadline) {
@@ -163,7 +163,7 @@
 	matches := regexp.MustCompile(restoredLine).FindAllStringSubmatch(p.log.String(), -1)
 	if len(matches) != 2 || matches[0][1]+matches[0][2] != "at the start" ||
 		matches[1][1]+matches[1][2] != "at the handover" {
-		p.host.t.Errorf("what was learned arrived %q:\n%s", matches, p.log.String())
+		p.host.t.Errorf("learned state not restored twice and completely; log lines %q in\n%s", matches, p.log.String())
 		return
 	}
 	p.host.t.Logf("%s: %s; %s", filepath.Base(p.cmd.Path), matches[0][0], matches[1][0])
@@ -177,7 +177,7 @@
 // awaitExit waits for the exit of a process that was stopped or has handed over. The exit code must be 0.
 func (p *process) awaitExit() {
 	p.host.t.Helper()
-	if err := scriptedpeer.Receive(p.host.t, p.exited, "end"); err != nil {
+	if err := scriptedpeer.Receive(p.host.t, p.exited, "exit of the sidecar"); err != nil {
 		p.host.t.Errorf("ended with %v\n%s", err, p.log.String())
 	}
 }
@@ -225,7 +225,7 @@
 	conn := h.dial()
 	defer conn.Close()
 	if code, err := exchange(conn, bufio.NewReader(conn), requestHead(method, path, extraHeaders)); code != 200 {
-		h.t.Fatalf("answered %d, %v", code, err)
+		h.t.Fatalf("status %d, %v", code, err)
 	}
 }
 
@@ -289,12 +289,12 @@
 		// Requests of a class with side effects, which are not retried at another endpoint when the machine is
 		// slow.
 		if code, err := exchange(conn, reader, requestHead("POST", "/pay/1", "Content-Length: 0\r\n")); code != 200 {
-			h.t.Errorf("answered %d, %v", code, err)
+			h.t.Errorf("status %d, %v", code, err)
 			return false
 		}
 	}
 	if extraBytes := reader.Buffered(); extraBytes != 0 {
-		h.t.Errorf("%d bytes behind an answer", extraBytes)
+		h.t.Errorf("%d bytes after the last response", extraBytes)
 	}
 	return true
 }
--- a/cmd/dunlinsail/main_test.go
+++ b/cmd/dunlinsail/main_test.go
@@ -39,7 +39,7 @@
 	require.NoError(t, err)
 	for _, module := range strings.Fields(string(out)) {
 		if module != "dunlinsail" {
-			t.Errorf("it links %s", module)
+			t.Errorf("the program links module %s", module)
 		}
 	}
 }
--- a/cmd/dunlinsail/size_test.go
+++ b/cmd/dunlinsail/size_test.go
@@ -37,7 +37,7 @@
 	io.WriteString(conn, requestHead("GET", "/look/1", "X-Expires-In-Ms: 1000\r\n"))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err == nil && resp.StatusCode != 200 {
-		err = fmt.Errorf("answered %s", resp.Status)
+		err = fmt.Errorf("status %s", resp.Status)
 	}
 	if err == nil {
 		_, err = io.CopyN(io.Discard, resp.Body, firstPartSize)
@@ -99,7 +99,7 @@
 	configText = strings.Replace(configText, `"seed":"1f",`, limits, 1)
 	if configText == sidecarConfig || len(originalText) == 0 ||
 		os.WriteFile(h.configPath, []byte(configText), 0o600) != nil {
-		t.Fatal("no configuration")
+		t.Fatal("the configuration was not changed")
 	}
 	// Built without the race detector, as for the platform: with it, a process needs several times as much memory.
 	programPath := filepath.Join(t.TempDir(), "dunlinsail")
@@ -117,20 +117,20 @@
 			}
 			<-resume
 			if restSize, err := response.readRest(); err != nil || restSize != size-firstPartSize {
-				t.Errorf("%d bytes more, %v", restSize, err)
+				t.Errorf("rest of a response: %d bytes, %v", restSize, err)
 			}
 		})
 		// Requests are sent one after another: the single endpoint could not respond to all of them in time at
 		// once.
-		if err := scriptedpeer.Receive(t, firstPartRead, "the first part of an answer"); err != nil {
+		if err := scriptedpeer.Receive(t, firstPartRead, "the first part of a response"); err != nil {
 			t.Error(err)
 		}
 	}
 	close(resume)
 	readers.Wait()
 	peakKB := peakMemoryKB(t, sidecar.cmd.Process.Pid)
-	t.Logf("resident at most: %d kB of %d MB", peakKB, memoryMB)
+	t.Logf("peak resident memory: %d kB of %d MB", peakKB, memoryMB)
 	if peakKB > memoryMB<<10 {
-		t.Errorf("resident at most: %d kB of %d MB", peakKB, memoryMB)
+		t.Errorf("peak resident memory: %d kB of %d MB", peakKB, memoryMB)
 	}
 }
--- a/cmd/dunlinsail/upgrade_test.go
+++ b/cmd/dunlinsail/upgrade_test.go
@@ -35,7 +35,7 @@
 	first.setCordon("disable", "s-0")
 	first.setCordon("disable", "s-0")
 	if code, responseBody := first.adminCall("POST", "/endpoints/disable", `{"target":"s-9"}`); code != 404 {
-		t.Errorf("an id that nobody has: %d %s", code, responseBody)
+		t.Errorf("cordon of an unknown endpoint: %d %s", code, responseBody)
 	}
 	time.Sleep(50 * time.Millisecond) // for requests that were sent before the cordon
 	cordonedRequests := h.requests[0].Load()
@@ -57,11 +57,11 @@
 		successor := h.start().awaitReady()
 		current.cmd.Process.Signal(syscall.SIGTERM)
 		release <- struct{}{}
-		if code := scriptedpeer.Receive(t, statuses, "answer to the one that was held"); code != 200 {
-			t.Errorf("held over the upgrade: %d", code)
+		if code := scriptedpeer.Receive(t, statuses, "response to the held request"); code != 200 {
+			t.Errorf("request open during the takeover: status %d", code)
 		}
 		if code, err := exchange(partialConn, bufio.NewReader(partialConn), request[len(request)/2:]); code != 200 {
-			t.Errorf("half sent before the upgrade: %d %v", code, err)
+			t.Errorf("request sent in part before the takeover: status %d, %v", code, err)
 		}
 		partialConn.Close()
 		heldConn.Close()
@@ -72,23 +72,23 @@
 		current = successor
 	}
 	if newRequests := h.requests[0].Load() - cordonedRequests; newRequests != 0 {
-		t.Errorf("%d requests to the endpoint that was out", newRequests)
+		t.Errorf("%d requests to the cordoned endpoint", newRequests)
 	}
 	_, metrics := current.adminCall("GET", "/metrics", "")
 	if !strings.Contains(metrics, "registry_entries=2\nout_of_rotation=1\n") {
 		t.Errorf("metrics:\n%s", metrics)
 	}
 	current.setCordon("enable", "s-0")
-	scriptedpeer.Eventually(t, "requests to the enabled one",
+	scriptedpeer.Eventually(t, "requests to the enabled endpoint",
 		func() bool { return h.requests[0].Load() > cordonedRequests })
 	total := stopLoad()
 	if total < 20 {
-		t.Errorf("%d requests in all", total)
+		t.Errorf("%d requests in total, too few for this test", total)
 	}
 	current.cmd.Process.Signal(syscall.SIGTERM)
 	current.awaitExit()
 	current.checkRestored()
-	t.Logf("%d requests, each answered once with 200", total)
+	t.Logf("%d requests, each with one response of status 200", total)
 }
 
 // The predecessor is suspended by SIGSTOP, or killed so that its socket file remains: the successor becomes ready
@@ -137,7 +137,7 @@
 			successor := h.connectAsSuccessor(steps)
 			predecessor.cmd.Process.Signal(syscall.SIGHUP) // during the hot restart
 			successor.Close()
-			scriptedpeer.Eventually(t, "the old one serves as before", func() bool {
+			scriptedpeer.Eventually(t, "the predecessor is ready again", func() bool {
 				code, _ := predecessor.adminCall("GET", "/ready", "")
 				return code == 200
 			})
@@ -179,14 +179,14 @@
 					successor.Close()
 				}
 				release <- struct{}{} // lets the endpoint respond to the open request
-				if code := scriptedpeer.Receive(t, statuses, "answer to what was open"); code != 200 {
-					t.Errorf("what was open was answered %d", code)
+				if code := scriptedpeer.Receive(t, statuses, "response to the open request"); code != 200 {
+					t.Errorf("status of the open request: %d", code)
 				}
 				const killDelay = 3700 * time.Millisecond
 				time.Sleep(time.Until(stopTime.Add(time.Second))) // its deadline, 3 s later, is after killDelay
 				code, err := exchange(partialConn, bufio.NewReader(partialConn), "k")
 				if elapsed := time.Since(stopTime); code != 504 || elapsed > killDelay {
-					t.Errorf("what was whole later: %d, %v after %v", code, err, elapsed)
+					t.Errorf("request completed after the stop: status %d, %v after %v", code, err, elapsed)
 				}
 				predecessor.awaitExit()
 				if elapsed := time.Since(stopTime); elapsed > killDelay {
@@ -235,11 +235,11 @@
 			successor.awaitExit()
 			client.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // a response would have arrived already
 			if n, err := client.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("a client that waits to be accepted: %d bytes, %v", n, err)
+				t.Errorf("client that was not accepted yet: read %d bytes, %v", n, err)
 			}
 			if message, err := conn.ReadWithin(scriptedpeer.WaitTimeout); err == nil {
 				message.CloseFiles()
-				t.Errorf("it said %v as it ended", message.Kind)
+				t.Errorf("it sent %v as it exited", message.Kind)
 			}
 		})
 	}
@@ -257,8 +257,8 @@
 	successor.cmd.Process.Signal(syscall.SIGTERM)
 	successor.awaitExit()
 	close(release)
-	if code := scriptedpeer.Receive(t, statuses, "answer"); code != 200 {
-		t.Errorf("open as both were to end: %d", code)
+	if code := scriptedpeer.Receive(t, statuses, "response to the open request"); code != 200 {
+		t.Errorf("request open while both processes stopped: status %d", code)
 	}
 	predecessor.awaitExit()
 }
@@ -295,7 +295,7 @@
 			require.NoError(t, conn.HandOver(serverConn))
 			serverConn.Close()
 			if code, err := exchange(clientConn, bufio.NewReader(clientConn), ""); code != 200 {
-				t.Errorf("the request on a connection that was handed over: %d, %v", code, err)
+				t.Errorf("request on a connection that was handed over: status %d, %v", code, err)
 			}
 			conn.Close()
 			if !hasSuccessor {
@@ -422,7 +422,7 @@
 	successor := h.start().awaitReady()
 	awaitCordoned := func(p *process, want int) {
 		t.Helper()
-		scriptedpeer.Eventually(t, "the same in both", func() bool {
+		scriptedpeer.Eventually(t, "the cordons of the other process", func() bool {
 			_, metrics := p.adminCall("GET", "/metrics", "")
 			return strings.Contains(metrics, fmt.Sprintf("out_of_rotation=%d\n", want))
 		})
@@ -434,8 +434,8 @@
 	successor.setCordon("disable", "s-1")
 	awaitCordoned(predecessor, 1)
 	close(release)
-	if code := scriptedpeer.Receive(t, statuses, "answer"); code != 200 {
-		t.Errorf("held over the upgrade: %d", code)
+	if code := scriptedpeer.Receive(t, statuses, "response to the open request"); code != 200 {
+		t.Errorf("request open during the takeover: status %d", code)
 	}
 	predecessor.awaitExit()
 }
@@ -462,7 +462,7 @@
 	h.listenerFile = r
 	sidecar := h.start()
 	var exitErr *exec.ExitError
-	err = scriptedpeer.Receive(t, sidecar.exited, "end")
+	err = scriptedpeer.Receive(t, sidecar.exited, "exit of the sidecar")
 	if !errors.As(err, &exitErr) || !strings.Contains(sidecar.log.String(), "no listening stream socket") {
 		t.Errorf("%v\n%s", err, sidecar.log.String())
 	}
--- a/cmd/dunlinsaild/adminflag.go
+++ b/cmd/dunlinsaild/adminflag.go
@@ -32,7 +32,7 @@
 		return "", &fileError{f.Config, err}
 	}
 	if conf.Admin.Address == "" {
-		return "", errors.New("operators.address is not set in that file: nobody can be asked")
+		return "", errors.New("the file does not set operators.address: the address of the daemon is unknown")
 	}
 	return conf.Admin.Address, nil
 }
--- a/cmd/dunlinsaild/hot_restart_test.go
+++ b/cmd/dunlinsaild/hot_restart_test.go
@@ -63,7 +63,7 @@
 // awaitExit waits for the exit of a process that was stopped or has handed over. The exit code must be 0.
 func (p *runningDaemon) awaitExit(t *testing.T) {
 	t.Helper()
-	if err := scriptedpeer.Receive(t, p.exited, "end"); err != nil {
+	if err := scriptedpeer.Receive(t, p.exited, "exit of the daemon"); err != nil {
 		t.Errorf("ended with %v\n%s", err, p.log.String())
 	}
 }
@@ -75,7 +75,7 @@
 	matches := regexp.MustCompile(restoredLine).FindAllStringSubmatch(p.log.String(), -1)
 	if len(matches) != 2 || matches[0][1]+matches[0][2] != "at the start" ||
 		matches[1][1]+matches[1][2] != "at the handover" {
-		t.Errorf("what was learned arrived %q:\n%s", matches, p.log.String())
+		t.Errorf("learned state not restored twice and completely; log lines %q in\n%s", matches, p.log.String())
 		return
 	}
 	t.Logf("%s: %s; %s", filepath.Base(p.cmd.Path), matches[0][0], matches[1][0])
@@ -168,7 +168,7 @@
 	stop()
 	report := scriptedpeer.Receive(t, reports, "report")
 	if report.ByVerdict[client.Served] != report.Scheduled || report.Scheduled < 300 {
-		t.Errorf("%d asked, %v", report.Scheduled, report.ByVerdict)
+		t.Errorf("%d requests scheduled, by verdict %v", report.Scheduled, report.ByVerdict)
 	}
 	currentDaemon.cmd.Process.Signal(syscall.SIGTERM)
 	currentDaemon.awaitExit(t)
@@ -184,5 +184,6 @@
 			t.Errorf("%s took effect %d times", request, count)
 		}
 	}
-	t.Logf("%d requests, each with one final answer; longest gap between two %v", report.Scheduled, report.LongestGap)
+	t.Logf("%d requests, each with one final response; longest gap between responses %v",
+		report.Scheduled, report.LongestGap)
 }
--- a/cmd/dunlinsaild/main_test.go
+++ b/cmd/dunlinsaild/main_test.go
@@ -51,7 +51,7 @@
 	quitTimer := time.AfterFunc(scriptedpeer.WaitTimeout, func() { cmd.Process.Signal(syscall.SIGQUIT) })
 	err := cmd.Wait()
 	if !quitTimer.Stop() {
-		t.Fatalf("%v did not end; it printed %q", args, errBuffer.String())
+		t.Fatalf("%v did not exit; it printed %q", args, errBuffer.String())
 	}
 	var exitErr *exec.ExitError
 	if err != nil && !errors.As(err, &exitErr) {
@@ -73,31 +73,31 @@
 func TestCheck(t *testing.T) {
 	code, out, stderr := runToEnd(t, "check", "--config", "../../deploy/dunlinsaild.toml")
 	if code != 0 || !strings.Contains(out, "sound") {
-		t.Errorf("the file that ships: %d %q %q", code, out, stderr)
+		t.Errorf("deploy/dunlinsaild.toml: code %d, output %q, errors %q", code, out, stderr)
 	}
 	badPath := writeConfig(t, "[[listener]]\nname = \"desk\"\nadress = \"127.0.0.1:0\"\n")
 	for _, args := range [][]string{{"check", "--config", badPath}, {"--config", badPath}} {
 		code, _, stderr := runToEnd(t, args...)
 		if code != 2 || !strings.Contains(stderr, badPath+": line 3: listener.adress: is not a known key") {
-			t.Errorf("%v: %d %q", args, code, stderr)
+			t.Errorf("%v: code %d, errors %q", args, code, stderr)
 		}
 	}
 	for _, args := range [][]string{
 		{}, {"--config"}, {"check"}, {"sell"}, {"--config", "x", "y"}, {"--sell"}, {"playground", "x"},
 	} {
 		if code, _, stderr := runToEnd(t, args...); code != 2 || stderr == "" {
-			t.Errorf("%v: %d %q", args, code, stderr)
+			t.Errorf("%v: code %d, errors %q", args, code, stderr)
 		}
 	}
 	code, _, stderr = runToEnd(t, "--config", "/nowhere/at/all")
 	if code != 2 || !strings.Contains(stderr, "/nowhere/at/all") {
-		t.Errorf("no file: %d %q", code, stderr)
+		t.Errorf("missing file: code %d, errors %q", code, stderr)
 	}
 	configText := daemonConfig(t, "127.0.0.1:1", t.TempDir())
 	greedyPath := writeConfig(t, strings.Replace(configText, "descriptors = 256", "descriptors = 1000000000", 1))
 	if code, _, stderr := runToEnd(t, "--config", greedyPath); code != 1 ||
 		!strings.Contains(stderr, "process.descriptors") {
-		t.Errorf("more descriptors than there are: %d %q", code, stderr)
+		t.Errorf("more descriptors than the limit: code %d, errors %q", code, stderr)
 	}
 }
 
@@ -173,20 +173,20 @@
 		require.NoError(t, err)
 		req.Header.Set("X-Trace-Id", "t1")
 		if err := req.Write(conn); err != nil {
-			t.Fatalf("%s: on a connection that was open: %v", situation, err)
+			t.Fatalf("%s: on the open connection: %v", situation, err)
 		}
 		resp, err := http.ReadResponse(reader, req)
 		if err != nil {
-			t.Fatalf("%s: on a connection that was open: %v", situation, err)
+			t.Fatalf("%s: on the open connection: %v", situation, err)
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
-			t.Fatalf("%s: on a connection that was open: close %v, %v", situation, resp.Close, err)
+			t.Fatalf("%s: on the open connection: close %v, %v", situation, resp.Close, err)
 		}
 		if resp.StatusCode == 200 {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: %s", situation, resp.Status)
+			t.Fatalf("%s: no request served, last status %s", situation, resp.Status)
 		}
 	}
 }
@@ -214,7 +214,7 @@
 		t.Helper()
 		checkServes(t, conn, situation)
 	}
-	checkServing("at first")
+	checkServing("after the start")
 	silentDiscovery := scripteddiscovery.New(t)
 	writeFile := func(content string) {
 		t.Helper()
@@ -222,34 +222,34 @@
 	}
 	for fault, breakFile := range map[string]func(){
 		"a file that cannot be read": func() { os.Remove(path) },
-		"a file that makes no sense": func() { writeFile("[listener") },
-		"one that does not get ready": func() {
+		"a file that is malformed":   func() { writeFile("[listener") },
+		"a successor that does not become ready": func() {
 			writeFile(strings.Replace(configText, discoveryServer.Addr, silentDiscovery.Addr, 1))
 		},
-		"a listener that cannot be had": func() {
+		"a listener address that is in use": func() {
 			writeFile(configText + "[[listener]]\nname = \"x\"\naddress = \"" +
 				discoveryServer.Addr + "\"\nclient = \"desk\"\n")
 		},
 	} {
 		breakFile()
 		if code, _, stderr := runToEnd(t, "--config", path); code == 0 || stderr == "" {
-			t.Errorf("%s: the new process ended with %d, and said %q", fault, code, stderr)
+			t.Errorf("%s: the new process ended with code %d, and printed %q", fault, code, stderr)
 		}
 		require.NoError(t, firstDaemon.Process.Signal(syscall.SIGHUP))
 		// Wait for the reload before the file changes again: a process that has already switched to the silent
 		// discovery would hand that over.
-		_ = scriptedpeer.Receive(t, reloads, "a file read again")
+		_ = scriptedpeer.Receive(t, reloads, "a reload of the file")
 		checkServing(fault)
 	}
 	require.NoError(t, os.WriteFile(path, []byte(configText), 0o600))
 	secondDaemon, secondExited := startAndWatch(t, path, reloads)
-	if err := scriptedpeer.Receive(t, firstExited, "end of the first"); err != nil {
-		t.Errorf("the first ended with %v", err)
+	if err := scriptedpeer.Receive(t, firstExited, "exit of the first daemon"); err != nil {
+		t.Errorf("the first daemon ended with %v", err)
 	}
 	checkServing("after the takeover")
 	secondDaemon.Process.Signal(syscall.SIGTERM)
-	if err := scriptedpeer.Receive(t, secondExited, "end of the second"); err != nil {
-		t.Errorf("the second ended with %v", err)
+	if err := scriptedpeer.Receive(t, secondExited, "exit of the second daemon"); err != nil {
+		t.Errorf("the second daemon ended with %v", err)
 	}
 }
 
@@ -257,7 +257,7 @@
 func TestPlayground(t *testing.T) {
 	code, out, stderr := runToEnd(t, "playground", "--for", "2500ms", "--quiet")
 	if code != 0 || stderr != "" {
-		t.Fatalf("%d %q", code, stderr)
+		t.Fatalf("code %d, errors %q", code, stderr)
 	}
 	screens := strings.Split(out, "dunlinsaild playground, ")
 	lastScreen := screens[len(screens)-1]
@@ -270,11 +270,11 @@
 	for line := range strings.Lines(lastScreen) {
 		if fields := strings.Fields(line); len(fields) == 8 && fields[0] == "all" {
 			if hasTotals = true; fields[1] == "0" || fields[5] != "0" {
-				t.Errorf("nothing served, or some lost:\n%s", lastScreen)
+				t.Errorf("no request served, or some lost:\n%s", lastScreen)
 			}
 		}
 	}
 	if !hasTotals {
-		t.Errorf("no line of all:\n%s", lastScreen)
+		t.Errorf("no line of totals (all):\n%s", lastScreen)
 	}
 }
--- a/cmd/dunlinsaild/members_test.go
+++ b/cmd/dunlinsaild/members_test.go
@@ -92,7 +92,7 @@
 		_ = p.cmd.Wait() // killed
 	})
 	if line, err := bufio.NewReader(out).ReadString('\n'); err != nil || line != "serving\n" {
-		t.Fatalf("%s: %q, %v", name, line, err)
+		t.Fatalf("start of %s: printed %q, %v", name, line, err)
 	}
 }
 
@@ -101,7 +101,7 @@
 	t.Helper()
 	code, out, stderr := runToEnd(t, "members", "--at", f.processes[name].adminAddress, "--json")
 	if code != 0 || json.Unmarshal([]byte(out), &view) != nil {
-		t.Fatalf("members of %s: %d %q %q", name, code, out, stderr)
+		t.Fatalf("members of %s: code %d, output %q, errors %q", name, code, out, stderr)
 	}
 	return view
 }
@@ -122,13 +122,13 @@
 func (f *twoFleets) awaitLeases(t *testing.T) {
 	t.Helper()
 	for i, name := range daemonNames {
-		scriptedpeer.Eventually(t, name+" is lent nothing", func() bool {
+		scriptedpeer.Eventually(t, name+" has a lease", func() bool {
 			fleetView := f.view(t, name).Fleet
 			leased := fleetView.Allocator == allocatorOf(i) && fleetView.LeaseRemaining > 0
 			return leased && len(fleetView.Budgets) == 1 && fleetView.Budgets[0].Allowed > 2
 		})
 		if alive := f.aliveMembers(t, name); alive != "ab" && alive != "cd" || !strings.Contains(alive, name) {
-			t.Errorf("%s sees %q", name, alive)
+			t.Errorf("%s sees the members %q alive", name, alive)
 		}
 	}
 }
@@ -149,7 +149,7 @@
 		case resp.StatusCode == http.StatusOK:
 			admitted++
 		case resp.StatusCode != http.StatusTooManyRequests || resp.Header.Get("Retry-After") == "":
-			t.Fatalf("%d %v", resp.StatusCode, resp.Header)
+			t.Fatalf("status %d, headers %v", resp.StatusCode, resp.Header)
 		}
 	}
 	return admitted
@@ -181,7 +181,7 @@
 	code, out, _ := runToEnd(t, "members", "--at", f.processes["a"].adminAddress)
 	if code != 0 || !strings.Contains(out, "a lends") || !strings.Contains(out, "tenant/t") ||
 		!strings.Contains(out, "It has lent") {
-		t.Errorf("%d %q", code, out)
+		t.Errorf("members: code %d, output %q", code, out)
 	}
 	// Send far more requests at once than the limits allow: each fleet admits requests up to its own quota and
 	// rejects the others with Retry-After.
@@ -191,15 +191,16 @@
 	}
 	for i := range 2 {
 		if admitted[i] < 10 {
-			t.Errorf("fleet %d lets in %d", i, admitted[i])
+			t.Errorf("fleet %d admitted %d requests", i, admitted[i])
 		}
 	}
 	if !f.processes["b"].hasMetric(t, "peers_lent=1") {
-		t.Error("its figures do not say that it has a loan")
+		t.Error("the metrics of b do not report its lease")
 	}
 	f.processes["b"].cmd.Process.Kill()
-	scriptedpeer.Eventually(t, "nobody sees that b is gone", func() bool { return f.aliveMembers(t, "a") == "a" })
+	scriptedpeer.Eventually(t, "a sees only itself alive after b was killed",
+		func() bool { return f.aliveMembers(t, "a") == "a" })
 	if code, _, stderr := runToEnd(t, "members", "--at", scriptedpeer.ClosedAddress(t)); code != 1 || stderr == "" {
-		t.Errorf("nobody there: %d %q", code, stderr)
+		t.Errorf("members without a daemon: code %d, errors %q", code, stderr)
 	}
 }
--- a/cmd/dunlinsaild/serve.go
+++ b/cmd/dunlinsaild/serve.go
@@ -93,18 +93,18 @@
 func raiseDescriptorLimit(required uint64) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return fmt.Errorf("limit of descriptors: %w", err)
+		return fmt.Errorf("limit on file descriptors: %w", err)
 	}
 	if limit.Max < required {
-		return fmt.Errorf("process.descriptors is %d, and this process may have %d:"+
-			" set a lower one, or raise the limit (ulimit -n)", required, limit.Max)
+		return fmt.Errorf("process.descriptors is %d, but the limit of this process is %d:"+
+			" lower the setting, or raise the limit (ulimit -n)", required, limit.Max)
 	}
 	if limit.Cur >= min(limit.Max, 2*required) {
 		return nil
 	}
 	limit.Cur = min(limit.Max, 2*required)
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return fmt.Errorf("limit of descriptors: %w", err)
+		return fmt.Errorf("limit on file descriptors: %w", err)
 	}
 	return nil
 }
--- a/cmd/dunlinsaild/work.go
+++ b/cmd/dunlinsaild/work.go
@@ -213,5 +213,5 @@
 			return c.submitAndPrint(ctx, maintenance.Command{Forget: &instance})
 		}
 	}
-	return fmt.Errorf("%s is heard, or not known: it is not forgotten", c.Instance)
+	return fmt.Errorf("instance %s is unknown, or not silent: it is not forgotten", c.Instance)
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -136,13 +136,13 @@
 func (h *host) targetInstance(event *wire.Event, target *eventTarget) (*instance, error) {
 	if !target.selected {
 		return nil, &wire.FrameError{
-			Record: event.Code.String(), Offset: event.Offset, Reason: "comes before any instance"}
+			Record: event.Code.String(), Offset: event.Offset, Reason: "no instance was selected before it"}
 	}
 	if inst := h.instances[target.number]; inst != nil {
 		return inst, nil
 	}
 	if event.Code != wire.EventStart {
-		reason := fmt.Sprintf("instance %d has not begun", target.number)
+		reason := fmt.Sprintf("instance %d has not started", target.number)
 		return nil, &wire.FrameError{Record: event.Code.String(), Offset: event.Offset, Reason: reason}
 	}
 	inst := &instance{host: h, number: target.number}
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -118,7 +118,7 @@
 func TestEmptyBatchAndEnd(t *testing.T) {
 	out, _, err := runBatches(t, encodeBatch(1, 100))
 	if err != nil || out != "\x00\x00\x00\x01\x00\x00\x00\x0c\x00\x00\x00\x00" {
-		t.Errorf("%x %v", out, err)
+		t.Errorf("output %x, error %v", out, err)
 	}
 }
 
@@ -131,7 +131,7 @@
 	}
 	number, codes := actionCodes(t, []byte(out))
 	if number != 7 || codes[0] != 92 || bytes.Count(codes, []byte{80}) != 1 {
-		t.Errorf("number %d, codes %v", number, codes)
+		t.Errorf("batch number %d, codes %v", number, codes)
 	}
 }
 
@@ -146,7 +146,7 @@
 	firstSize := int(binary.BigEndian.Uint32([]byte(out)[4:]))
 	_, codes := actionCodes(t, []byte(out)[firstSize:])
 	if bytes.Count(codes, []byte{80}) != 1 || bytes.IndexByte(codes, 81) >= 0 || bytes.IndexByte(codes, 82) >= 0 {
-		t.Errorf("the new balancer knows a request of the old one: %v", codes)
+		t.Errorf("the new balancer acted on a request of the stopped one: codes %v", codes)
 	}
 }
 
@@ -212,8 +212,8 @@
 		want  string
 	}{
 		{"event before instance", encodeBatch(2, 1000, encodeRecord(22, uint32(1))), "timeout_fired at byte 16"},
-		{"event before begin", encodeBatch(2, 1000, instanceRecord(4), encodeRecord(22, uint32(1))),
-			"instance 4 has not begun"},
+		{"event before start", encodeBatch(2, 1000, instanceRecord(4), encodeRecord(22, uint32(1))),
+			"instance 4 has not started"},
 		{"truncated", encodeBatch(2, 1000, instanceRecord(3))[:20], "batch at byte 20"},
 		{"overrun", encodeBatch(2, 1000, []byte{18, 0, 0, 1, 0}), "request at byte 17"},
 	} {
@@ -222,7 +222,7 @@
 			t.Errorf("%s: %v", tc.name, err)
 		}
 		if number, _ := actionCodes(t, []byte(out)); number != 1 {
-			t.Errorf("%s: something was written for the bad batch", tc.name)
+			t.Errorf("%s: the malformed batch got a reply", tc.name)
 		}
 	}
 }
@@ -232,7 +232,7 @@
 	_, stderr, err := runBatches(t, encodeBatch(1, 1000, encodeRecord(99, uint32(1)), encodeRecord(99),
 		instanceRecord(3), startRecord(testSettings)))
 	if err != nil || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, "event 99") {
-		t.Errorf("%q %v", stderr, err)
+		t.Errorf("standard error %q, error %v", stderr, err)
 	}
 }
 
@@ -245,7 +245,7 @@
 		out, _, err := runBatches(t, encodeBatch(1, 1000, instanceRecord(3), startRecord(text)))
 		require.NoError(t, err)
 		if _, codes := actionCodes(t, []byte(out)); codes[len(codes)-1] != 89 {
-			t.Errorf("codes %v", codes)
+			t.Errorf("codes %v, last one is not an exception", codes)
 		}
 	}
 }
