--- a/cmd/dunlinsail/host_test.go
+++ b/cmd/dunlinsail/host_test.go
@@ -37,7 +37,7 @@
 	tempDir      string
 	configPath   string
 	requests     [2]atomic.Int64               // numbers of requests that the endpoints s-0 and s-1 have received
-	release      atomic.Pointer[chan struct{}] // a response to /pay/held waits for a value on it
+	release      atomic.Pointer[chan struct{}] // each response to /pay/held waits for a value on this channel
 
 	startedProcesses int // number of processes that start has started
 }
--- a/cmd/dunlinsail/upgrade_test.go
+++ b/cmd/dunlinsail/upgrade_test.go
@@ -37,7 +37,7 @@
 	if code, responseBody := first.adminCall("POST", "/endpoints/disable", `{"target":"s-9"}`); code != 404 {
 		t.Errorf("cordon of an unknown endpoint: %d %s", code, responseBody)
 	}
-	time.Sleep(50 * time.Millisecond) // for requests that were sent before the cordon
+	time.Sleep(50 * time.Millisecond) // requests that were sent before the cordon arrive
 	cordonedRequests := h.requests[0].Load()
 	current := first
 	for range 2 {
@@ -135,7 +135,7 @@
 				stopLoad = h.startLoad(2)
 			}
 			successor := h.connectAsSuccessor(steps)
-			predecessor.cmd.Process.Signal(syscall.SIGHUP) // during the hot restart
+			predecessor.cmd.Process.Signal(syscall.SIGHUP) // a reload during the hot restart
 			successor.Close()
 			scriptedpeer.Eventually(t, "the predecessor is ready again", func() bool {
 				code, _ := predecessor.adminCall("GET", "/ready", "")
--- a/cmd/dunlinsaild/members_test.go
+++ b/cmd/dunlinsaild/members_test.go
@@ -89,7 +89,7 @@
 	require.NoError(t, p.cmd.Start())
 	t.Cleanup(func() {
 		p.cmd.Process.Kill()
-		_ = p.cmd.Wait() // killed
+		_ = p.cmd.Wait() // an error, because the process was killed
 	})
 	if line, err := bufio.NewReader(out).ReadString('\n'); err != nil || line != "serving\n" {
 		t.Fatalf("start of %s: printed %q, %v", name, line, err)
--- a/cmd/simhost/golden_test.go
+++ b/cmd/simhost/golden_test.go
@@ -91,7 +91,7 @@
 type goldenScript struct {
 	random  *rand.Rand
 	entries []entry
-	now     uint64 // microseconds
+	now     uint64 // current time in microseconds
 	lastID  uint64 // ID of the latest request
 }
 
