--- a/cmd/dunlinsail/main_test.go
+++ b/cmd/dunlinsail/main_test.go
@@ -14,7 +14,7 @@
 	"dunlinsail/internal/fake/require"
 )
 
-// TestMain runs the program itself where a test has started this binary for that.
+// TestMain runs the program instead of the tests in a process that a test has started from this test binary.
 func TestMain(m *testing.M) {
 	if os.Getenv("ROUTER_CONFIG") != "" {
 		main()
@@ -23,7 +23,8 @@
 	os.Exit(m.Run())
 }
 
-const config = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
+// sidecarConfig is the configuration of a sidecar with one endpoint, on which nothing listens.
+const sidecarConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
 	"known":{"generation":1,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"up"}]},
 	"settings":{"peers-total":1,"areas":["a"],"skus":["m1"],"discovery":"automatic",
 	"classes":[{"name":"look","repeat":"pure","target":500000,"give-up":1000000,"credit":1.0}],
@@ -31,33 +32,35 @@
 	"overload-for":2000000,"ask-within":10000000},
 	"limits":{"cancel":true,"most-tries":3,"most-held":1000,"dial-timeout":1000000,"keepalive":15000000}}}`
 
-// The sidecar has to fit into a few megabytes: it links the standard library and this project, nothing else.
+// The program links only the standard library and this project, because a sidecar must fit into a few megabytes of
+// memory.
 func TestLinksNoLibrary(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{with .Module}}{{.Path}}{{end}}", ".").Output()
 	require.NoError(t, err)
 	for _, module := range strings.Fields(string(out)) {
 		if module != "dunlinsail" {
-			t.Errorf("it links %s", module)
+			t.Errorf("the program links module %s", module)
 		}
 	}
 }
 
-// SIGHUP does not end the program, whatever the file holds by then; SIGTERM ends it with 0.
+// SIGHUP does not end the program, whether the configuration file is valid or malformed at that time. SIGTERM ends
+// the program with exit code 0.
 func TestSignals(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	addr := ln.Addr().String()
-	ln.Close()
-	file := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(file, []byte(config), 0o600))
+	addr := listener.Addr().String()
+	listener.Close()
+	configPath := filepath.Join(t.TempDir(), "config.json")
+	require.NoError(t, os.WriteFile(configPath, []byte(sidecarConfig), 0o600))
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+file, "ROUTER_LISTEN="+addr)
+	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+configPath, "ROUTER_LISTEN="+addr)
 	cmd.Stderr = os.Stderr
 	require.NoError(t, cmd.Start())
 	defer cmd.Process.Kill()
-	ready := func() {
+	awaitReady := func() {
 		t.Helper()
-		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
+		for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); {
 			if resp, err := http.Get("http://" + addr + "/-/ready"); err == nil {
 				resp.Body.Close()
 				if resp.StatusCode == 200 {
@@ -67,11 +70,11 @@
 		}
 		t.Fatal("not ready")
 	}
-	ready()
-	for _, text := range []string{config, "{"} {
-		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
+	awaitReady()
+	for _, configText := range []string{sidecarConfig, "{"} {
+		require.NoError(t, os.WriteFile(configPath, []byte(configText), 0o600))
 		require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
-		ready()
+		awaitReady()
 	}
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	if err := cmd.Wait(); err != nil {
--- a/cmd/dunlinsaild/config.go
+++ b/cmd/dunlinsaild/config.go
@@ -17,15 +17,15 @@
 	"dunlinsail/internal/decide/rollout"
 )
 
-// configHelp holds the help texts that are too long for a tag on one line.
+// configHelp holds the help texts that are too long for a struct tag on one line.
 var configHelp = kong.Vars{
 	"config_versions_help": "Say what is known of versions from the control service: good, on trial, refused and why.",
 	"config_try_help":      "Say what would become of a version at this instance, without a service.",
 	"config_version_help":  "good, before, file, a version that is kept, or a file of resources.",
 }
 
-// configCmd has the commands for versions of the configuration. The names of commands, flags and arguments are
-// operators', in tags where the Go name differs.
+// configCmd groups the commands for configuration versions. The names of commands, flags and arguments are part of
+// the command line that operators use; a struct tag sets the name where it differs from the Go name.
 type configCmd struct {
 	Versions versionsCmd `cmd:"" help:"${config_versions_help}"`
 	Show     showCmd     `cmd:"" help:"Print what is in one."`
@@ -34,60 +34,62 @@
 	Schema   schemaCmd   `cmd:"" help:"Print the JSON Schema of what a version may hold."`
 }
 
-// cachedVersions are the file of an instance and the versions of the control plane that it has on disk.
+// cachedVersions holds the configuration file of an instance and the configuration versions from the control plane
+// that the instance has stored on disk.
 type cachedVersions struct {
 	file  *config.Config
-	cache *configcache.Cache       // nil if the instance has none yet
+	cache *configcache.Cache       // nil if the instance has not stored any version yet
 	state *rollout.PersistentState // never nil
 }
 
-// loadVersions reads the file and the versions on disk. A state that can be read in part only is used, and the error
-// is printed to standard error.
+// loadVersions reads the configuration file and the stored versions. If the stored state can be read only in part,
+// that part is used and the error is printed to standard error.
 func (f *fileFlag) loadVersions() (*cachedVersions, error) {
-	c, err := f.read()
+	conf, err := f.read()
 	if err != nil {
 		return nil, err
 	}
-	k := &cachedVersions{file: c, state: &rollout.PersistentState{}}
-	if c.ControlPlane.StateDir == "" {
-		return k, nil
+	versions := &cachedVersions{file: conf, state: &rollout.PersistentState{}}
+	if conf.ControlPlane.StateDir == "" {
+		return versions, nil
 	}
-	if _, err := os.Stat(c.ControlPlane.StateDir); errors.Is(err, fs.ErrNotExist) {
-		return k, nil // the instance has never served
+	if _, err := os.Stat(conf.ControlPlane.StateDir); errors.Is(err, fs.ErrNotExist) {
+		return versions, nil // the instance has never served
 	}
-	if k.cache, err = configcache.Open(c.ControlPlane.StateDir); err != nil {
+	if versions.cache, err = configcache.Open(conf.ControlPlane.StateDir); err != nil {
 		return nil, err
 	}
-	state, fileName, err := k.cache.Load()
+	state, fileName, err := versions.cache.Load()
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "dunlinsaild: %v\n", err)
 	}
 	if state != nil {
-		k.state = state
+		versions.state = state
 		if fileName != "state" {
 			fmt.Fprintf(os.Stderr, "dunlinsaild: what follows is from %s\n", fileName)
 		}
 	}
-	return k, nil
+	return versions, nil
 }
 
-// resources returns the resources of a version by its name: "good", "before", "file", its number as versions lists it,
-// or the path of a file of resources in JSON.
-func (k *cachedVersions) resources(name string) ([]config.Resource, error) {
+// resourcesByName returns the resources of the version that name denotes: "good" (the last known good one),
+// "before" (the good one before it), "file", a version ID as the versions command prints it, or the path of a JSON
+// file of resources.
+func (v *cachedVersions) resourcesByName(name string) ([]config.Resource, error) {
 	switch name {
 	case "good":
-		return k.layeredResources(k.state.LastKnownGood)
+		return v.resourcesOfVersion(v.state.LastKnownGood)
 	case "before":
-		return k.layeredResources(k.state.PreviousGood)
+		return v.resourcesOfVersion(v.state.PreviousGood)
 	case "file":
-		return config.Resources(k.file)
+		return config.Resources(v.file)
 	}
-	for _, version := range []*rollout.LayeredVersion{k.state.LastKnownGood, k.state.PreviousGood} {
+	for _, version := range []*rollout.LayeredVersion{v.state.LastKnownGood, v.state.PreviousGood} {
 		if version != nil && version.ControlPlane != nil && version.ControlPlane.ID.String() == name {
-			return k.layeredResources(version)
+			return v.resourcesOfVersion(version)
 		}
 	}
-	text, err := os.ReadFile(name)
+	content, err := os.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("%q is neither good, before, file, a version that is kept,"+
 			" nor a file of resources", name)
@@ -95,34 +97,37 @@
 	if err != nil {
 		return nil, err
 	}
-	return parseResources(text)
+	return parseResources(content)
 }
 
-// layeredResources returns the resources of the control plane's version, or of the file if there is none.
-func (k *cachedVersions) layeredResources(version *rollout.LayeredVersion) ([]config.Resource, error) {
+// resourcesOfVersion returns the resources of a version from the control plane, or those of the configuration file
+// if version has no part from the control plane.
+func (v *cachedVersions) resourcesOfVersion(version *rollout.LayeredVersion) ([]config.Resource, error) {
 	if version == nil || version.ControlPlane == nil {
-		return config.Resources(k.file)
+		return config.Resources(v.file)
 	}
-	text, err := k.cache.Content(version.ControlPlane.Digest)
+	content, err := v.cache.Content(version.ControlPlane.Digest)
 	if err != nil {
 		return nil, err
 	}
-	return parseResources(text)
+	return parseResources(content)
 }
 
 // parseResources parses resources in JSON. An unknown field is an error.
-func parseResources(text []byte) ([]config.Resource, error) {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
+func parseResources(content []byte) ([]config.Resource, error) {
+	decoder := json.NewDecoder(bytes.NewReader(content))
+	decoder.DisallowUnknownFields()
 	var resources []config.Resource
-	return resources, d.Decode(&resources)
+	return resources, decoder.Decode(&resources)
 }
 
+// versionsCmd is the command that lists the stored configuration versions.
 type versionsCmd struct{ fileFlag }
 
-// Run prints the versions in the state on disk, a line each: label, version, digest and, of a rejected one, the reason.
+// Run prints one line for each stored version: its label, ID and digest, and the reason if the version was
+// rejected.
 func (c *versionsCmd) Run() error {
-	k, err := c.loadVersions()
+	versions, err := c.loadVersions()
 	if err != nil {
 		return err
 	}
@@ -136,75 +141,77 @@
 			fmt.Fprintf(table, "%s\t%v\t%.12s\n", label, version, digest)
 		}
 	}
-	printVersion("good", k.state.LastKnownGood)
-	printVersion("before", k.state.PreviousGood)
-	if v := k.state.Unconfirmed; v != nil {
+	printVersion("good", versions.state.LastKnownGood)
+	printVersion("before", versions.state.PreviousGood)
+	if unconfirmed := versions.state.Unconfirmed; unconfirmed != nil {
 		fmt.Fprintf(table, "on trial\t%v\t%.12s\tin process %d of those that tried it\n",
-			v.ID, v.Digest, k.state.ApplyAttempts)
+			unconfirmed.ID, unconfirmed.Digest, versions.state.ApplyAttempts)
 	}
-	for i := range k.state.Rejected {
-		r := &k.state.Rejected[i]
+	for i := range versions.state.Rejected {
+		rejected := &versions.state.Rejected[i]
 		outcome := "refused"
-		if r.RolledBack {
+		if rejected.RolledBack {
 			outcome = "gone back from"
 		}
-		fmt.Fprintf(table, "%s\t%v\t%.12s\t%s\n", outcome, r.ID, r.Digest, r.Reason)
+		fmt.Fprintf(table, "%s\t%v\t%.12s\t%s\n", outcome, rejected.ID, rejected.Digest, rejected.Reason)
 	}
-	if len(k.state.AbandonedEpochs) > 0 {
-		fmt.Fprintf(table, "epochs left\t%s\n", strings.Join(k.state.AbandonedEpochs, ", "))
+	if len(versions.state.AbandonedEpochs) > 0 {
+		fmt.Fprintf(table, "epochs left\t%s\n", strings.Join(versions.state.AbandonedEpochs, ", "))
 	}
-	if k.state.LastKnownGood == nil {
+	if versions.state.LastKnownGood == nil {
 		fmt.Fprintln(table, "no version is kept: the file alone is what runs")
 	}
 	return table.Flush()
 }
 
+// showCmd is the command that prints the contents of a configuration version.
 type showCmd struct {
 	fileFlag
 	Version  string `arg:"" optional:"" default:"good" help:"${config_version_help}"`
 	Combined bool   `name:"whole" help:"Print the whole configuration that it comes to over the file, as TOML."`
 }
 
-// Run prints the resources of a version as JSON, or the combined configuration as TOML.
+// Run prints the resources of a version as JSON, or, combined with the configuration file, as TOML.
 func (c *showCmd) Run() error {
-	k, err := c.loadVersions()
+	versions, err := c.loadVersions()
 	if err != nil {
 		return err
 	}
-	resources, err := k.resources(c.Version)
+	resources, err := versions.resourcesByName(c.Version)
 	if err != nil {
 		return err
 	}
 	if c.Combined {
-		combined, err := config.Combine(k.file, resources)
+		combined, err := config.Combine(versions.file, resources)
 		if err != nil {
 			return err
 		}
 		_, err = os.Stdout.Write(combined.Text)
 		return err
 	}
-	e := json.NewEncoder(os.Stdout)
-	e.SetIndent("", "  ")
-	return e.Encode(resources)
+	encoder := json.NewEncoder(os.Stdout)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(resources)
 }
 
+// diffCmd is the command that compares two configuration versions.
 type diffCmd struct {
 	fileFlag
 	From string `arg:"" help:"${config_version_help}"`
 	To   string `arg:"" help:"The same."`
 }
 
-// Run prints the differences between two versions, a line each.
+// Run prints one line for each difference between two versions.
 func (c *diffCmd) Run() error {
-	k, err := c.loadVersions()
+	versions, err := c.loadVersions()
 	if err != nil {
 		return err
 	}
-	from, err := k.resources(c.From)
+	from, err := versions.resourcesByName(c.From)
 	if err != nil {
 		return err
 	}
-	to, err := k.resources(c.To)
+	to, err := versions.resourcesByName(c.To)
 	if err != nil {
 		return err
 	}
@@ -214,27 +221,29 @@
 	return nil
 }
 
+// dryRunCmd is the command that checks resources against an instance without applying them.
 type dryRunCmd struct {
 	fileFlag
 	Resources string `arg:"" help:"A file of resources in JSON, as config show prints them." type:"existingfile"`
 }
 
-// Run prints whether a version is valid at this instance, and whether it would be applied while serving.
+// Run prints whether the resources are valid for this instance, and whether they could be applied without starting
+// a new generation.
 func (c *dryRunCmd) Run() error {
-	k, err := c.loadVersions()
+	versions, err := c.loadVersions()
 	if err != nil {
 		return err
 	}
-	resources, err := k.resources(c.Resources)
+	resources, err := versions.resourcesByName(c.Resources)
 	if err != nil {
 		return &fileError{c.Resources, err}
 	}
-	combined, err := config.Combine(k.file, resources)
+	combined, err := config.Combine(versions.file, resources)
 	if err != nil {
 		return &fileError{c.Resources, err}
 	}
 	fmt.Printf("%s: sound\n", c.Resources)
-	if tables := k.running().TablesNeedingRestart(combined); len(tables) > 0 {
+	if tables := versions.startupConfig().TablesNeedingRestart(combined); len(tables) > 0 {
 		fmt.Printf("a new generation would take over, for %s: open requests end in the old one, connections go on\n",
 			strings.Join(tables, ", "))
 	} else {
@@ -243,30 +252,31 @@
 	return nil
 }
 
-// running returns the configuration that the instance starts with: the last known good version over the file, or the
-// file alone if there is no such version that is valid with it.
-func (k *cachedVersions) running() *config.Config {
-	if k.state.LastKnownGood == nil || k.state.LastKnownGood.ControlPlane == nil {
-		return k.file
+// startupConfig returns the configuration with which the instance starts: the configuration file combined with the
+// last known good version, or the file alone if there is no such version or the two are not valid together.
+func (v *cachedVersions) startupConfig() *config.Config {
+	if v.state.LastKnownGood == nil || v.state.LastKnownGood.ControlPlane == nil {
+		return v.file
 	}
-	resources, err := k.layeredResources(k.state.LastKnownGood)
+	resources, err := v.resourcesOfVersion(v.state.LastKnownGood)
 	if err != nil {
-		return k.file
+		return v.file
 	}
-	combined, err := config.Combine(k.file, resources)
+	combined, err := config.Combine(v.file, resources)
 	if err != nil {
-		return k.file
+		return v.file
 	}
 	return combined
 }
 
+// schemaCmd is the command that prints the schema of configuration resources.
 type schemaCmd struct{}
 
-// Run prints the JSON Schema of a version's resources.
+// Run prints the JSON Schema of the resources of a configuration version.
 func (*schemaCmd) Run() error {
-	text, err := config.Schema()
+	schema, err := config.Schema()
 	if err == nil {
-		_, err = os.Stdout.Write(text)
+		_, err = os.Stdout.Write(schema)
 	}
 	return err
 }
--- a/cmd/dunlinsaild/main.go
+++ b/cmd/dunlinsaild/main.go
@@ -1,4 +1,5 @@
-// Command dunlinsaild is the fleet daemon: one instance that balances the requests of a host's client processes.
+// Command dunlinsaild is the fleet daemon: one instance that balances the requests of all client processes of a
+// host.
 package main
 
 import (
@@ -14,19 +15,20 @@
 	"dunlinsail/internal/stricttoml"
 )
 
-// The exit codes of the program.
+// Exit codes of the program.
 const (
 	exitOK     = iota
 	exitFailed // the command failed
 	exitUsage  // the arguments or a file are invalid, and nothing was started
 )
 
-// commandsHelp holds the help texts that are too long for a tag on one line.
+// commandsHelp holds the help texts that are too long for a struct tag on one line.
 var commandsHelp = kong.Vars{
 	"serve_help": "Serve; take over from the process that serves now. (The default.)",
 	"work_help":  "Machines that go out for work, in an order that the instances settle among themselves.",
 }
 
+// commands declares the command line of the program for the parser kong.
 type commands struct {
 	Serve            serveCmd      `cmd:"" default:"withargs" help:"${serve_help}"`
 	Check            checkCmd      `cmd:"" help:"Say what is wrong with a file."`
@@ -38,46 +40,46 @@
 }
 
 func main() {
-	// First of all, because a SIGHUP without a handler ends the program.
-	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP)
-	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	code := run(stop, os.Args[1:], reload)
-	_ = cancel // not called: it would let a SIGTERM at this moment kill the program
+	// Installed before everything else, because a SIGHUP without a handler ends the program.
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	code := run(ctx, os.Args[1:], reloadSignals)
+	_ = cancel // not called: afterwards a SIGTERM would kill the program before it exits
 	os.Exit(code)
 }
 
-// run runs the command of the arguments and returns the exit code.
-func run(stop context.Context, args []string, reload <-chan os.Signal) int {
-	var c commands
-	parser, err := kong.New(&c, kong.Name("dunlinsaild"),
+// run executes the command that args name and returns the exit code.
+func run(ctx context.Context, args []string, reloadSignals <-chan os.Signal) int {
+	var cmds commands
+	parser, err := kong.New(&cmds, kong.Name("dunlinsaild"),
 		kong.Description("Balances the requests of a host's client processes. See docs/operators/daemon.md."),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 		kong.Vars{"user": os.Getenv("USER")}, commandsHelp, adminHelp, configHelp, workHelp)
 	if err != nil {
-		panic(err) // the tags of the commands are invalid
+		panic(err) // the struct tags of the commands are invalid
 	}
-	command, err := parser.Parse(args)
+	parsed, err := parser.Parse(args)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "dunlinsaild: %v; dunlinsaild --help tells more\n", err)
 		return exitUsage
 	}
-	command.BindTo(stop, (*context.Context)(nil))
-	command.Bind(reload)
-	err = command.Run()
-	var invalid *fileError
+	parsed.BindTo(ctx, (*context.Context)(nil))
+	parsed.Bind(reloadSignals)
+	err = parsed.Run()
+	var fileErr *fileError
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.As(err, &invalid):
-		invalid.print()
+	case errors.As(err, &fileErr):
+		fileErr.print()
 		return exitUsage
 	}
 	fmt.Fprintln(os.Stderr, "dunlinsaild:", err)
 	return exitFailed
 }
 
-// fileError is the error of a file that cannot be read or is invalid.
+// fileError is the error of an input file that cannot be read or is invalid.
 type fileError struct {
 	path string
 	err  error
@@ -85,14 +87,14 @@
 
 func (e *fileError) Error() string { return e.err.Error() }
 
-// print prints the error to standard error, a line for each mistake.
+// print writes the error to standard error, with one line for each mistake in the file.
 func (e *fileError) print() {
-	var all stricttoml.Errors
-	if !errors.As(e.err, &all) {
+	var mistakes stricttoml.Errors
+	if !errors.As(e.err, &mistakes) {
 		fmt.Fprintln(os.Stderr, e.err)
 		return
 	}
-	for _, mistake := range all {
+	for _, mistake := range mistakes {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", e.path, mistake)
 	}
 }
--- a/cmd/dunlinsaild/serve.go
+++ b/cmd/dunlinsaild/serve.go
@@ -14,23 +14,24 @@
 	"dunlinsail/internal/daemon"
 )
 
-// fileFlag is the path of the daemon's configuration file. Commands that read it embed it.
+// fileFlag is the flag with the path of the daemon's configuration file. Commands that read the file embed it.
 type fileFlag struct {
 	Config string `help:"The daemon's file." required:"" placeholder:"FILE"`
 }
 
-// read reads the file. The error is a *fileError.
+// read reads the configuration file. Its error is a *fileError.
 func (f *fileFlag) read() (*config.Config, error) {
-	c, err := config.Read(f.Config)
+	conf, err := config.Read(f.Config)
 	if err != nil {
 		return nil, &fileError{f.Config, err}
 	}
-	return c, nil
+	return conf, nil
 }
 
+// checkCmd is the command that validates a configuration file.
 type checkCmd struct{ fileFlag }
 
-// Run checks the file and prints that it is valid.
+// Run validates the configuration file and prints that it is valid.
 func (c *checkCmd) Run() error {
 	if _, err := c.read(); err != nil {
 		return err
@@ -39,14 +40,16 @@
 	return nil
 }
 
+// serveCmd is the command that runs the daemon.
 type serveCmd struct {
 	fileFlag
 	Debug    bool `help:"Log more."`
 	Announce bool `help:"Print a line once serving."`
 }
 
-// Run serves until stop ends or another process has taken over.
-func (c *serveCmd) Run(stop context.Context, reload <-chan os.Signal) error {
+// Run serves until ctx is done or another process has taken over. Each signal on reloadSignals makes it read the
+// configuration file again.
+func (c *serveCmd) Run(ctx context.Context, reloadSignals <-chan os.Signal) error {
 	conf, err := c.read()
 	if err != nil {
 		return err
@@ -56,17 +59,17 @@
 		level = slog.LevelDebug
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	o := daemon.Options{
+	options := daemon.Options{
 		Config:               conf,
 		Log:                  log,
-		Reload:               reload,
-		ApplyProcessSettings: prepare,
+		Reload:               reloadSignals,
+		ApplyProcessSettings: applyProcessSettings,
 		ReadConfig:           func() (*config.Config, error) { return config.Read(c.Config) },
 	}
 	if c.Announce {
-		o.OnServing = func(map[string]string) { fmt.Println("serving") }
+		options.OnServing = func(map[string]string) { fmt.Println("serving") }
 	}
-	if err := daemon.Run(stop, o); err != nil {
+	if err := daemon.Run(ctx, options); err != nil {
 		log.Error("ended", "error", err)
 		return errors.New("ended by an error")
 	}
@@ -74,33 +77,34 @@
 	return nil
 }
 
-// prepare applies the settings of the whole process: cores, memory and descriptors.
-func prepare(p *config.Process) error {
-	if p.Cores > 0 {
-		runtime.GOMAXPROCS(p.Cores)
+// applyProcessSettings applies the settings of the whole process: the number of cores, the memory limit and the
+// number of file descriptors.
+func applyProcessSettings(settings *config.Process) error {
+	if settings.Cores > 0 {
+		runtime.GOMAXPROCS(settings.Cores)
 	}
-	debug.SetMemoryLimit(p.Memory.Bytes / 2) // the collector works harder from half of the memory on
-	return raiseDescriptorLimit(uint64(p.Descriptors))
+	debug.SetMemoryLimit(settings.Memory.Bytes / 2) // garbage collection becomes more frequent above half of the memory
+	return raiseDescriptorLimit(uint64(settings.Descriptors))
 }
 
-// raiseDescriptorLimit raises this process's limit of descriptors to twice the setting, because two generations are
-// open during a change of the configuration. A system limit below that is used as far as it goes; one below the setting
-// is an error.
-func raiseDescriptorLimit(want uint64) error {
+// raiseDescriptorLimit raises the soft limit on file descriptors of this process to twice the required number,
+// because two generations are open while the configuration changes. If the hard limit is lower than that, the soft
+// limit becomes equal to it. A hard limit below the required number is an error.
+func raiseDescriptorLimit(required uint64) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return fmt.Errorf("limit of descriptors: %w", err)
+		return fmt.Errorf("limit on file descriptors: %w", err)
 	}
-	if limit.Max < want {
-		return fmt.Errorf("process.descriptors is %d, and this process may have %d:"+
-			" set a lower one, or raise the limit (ulimit -n)", want, limit.Max)
+	if limit.Max < required {
+		return fmt.Errorf("process.descriptors is %d, but the limit of this process is %d:"+
+			" lower the setting, or raise the limit (ulimit -n)", required, limit.Max)
 	}
-	if limit.Cur >= min(limit.Max, 2*want) {
+	if limit.Cur >= min(limit.Max, 2*required) {
 		return nil
 	}
-	limit.Cur = min(limit.Max, 2*want)
+	limit.Cur = min(limit.Max, 2*required)
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return fmt.Errorf("limit of descriptors: %w", err)
+		return fmt.Errorf("limit on file descriptors: %w", err)
 	}
 	return nil
 }
