--- a/internal/experiment/processes/instance.go
+++ b/internal/experiment/processes/instance.go
@@ -195,7 +195,7 @@
 	readyPollInterval = 5 * time.Millisecond
 )
 
-// signal sends a signal to the instance's process, unless the runner has killed or is replacing it.
+// signalProcess sends a signal to the instance's process, unless the runner has killed or is replacing it.
 func (inst *instance) signalProcess(sig syscall.Signal) {
 	inst.mu.Lock()
 	defer inst.mu.Unlock()
--- a/internal/experiment/report/charts.go
+++ b/internal/experiment/report/charts.go
@@ -59,7 +59,7 @@
 	return p
 }
 
-// svg renders a plot. The plotting library generates the markup and escapes the labels, which are the only
+// renderSVG renders a plot. The plotting library generates the markup and escapes the labels, which are the only
 // user input.
 func renderSVG(p *plot.Plot, height vg.Length) (template.HTML, error) {
 	canvas := vgsvg.NewWith(vgsvg.UseWH(chartWidth, height))
@@ -308,7 +308,7 @@
 	return nil
 }
 
-// charts draws all charts of a comparison.
+// comparisonCharts draws all charts of a comparison.
 func comparisonCharts(comparison *experiment.Comparison) ([]chart, error) {
 	l := &chartList{}
 	for _, add := range []func(comparison *experiment.Comparison) error{
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -95,7 +95,7 @@
 	return -1
 }
 
-// create replaces the engine and the other state of the process. The new process has no endpoint list yet.
+// createProcess replaces the engine and the other state of the process. The new process has no endpoint list yet.
 func (in *instance) createProcess() error {
 	r := in.run
 	in.engine = engine.New(engine.Config{
