--- a/internal/experiment/processes/instance.go
+++ b/internal/experiment/processes/instance.go
@@ -167,7 +167,7 @@
 	for _, instanceIndex := range instances {
 		inst := r.instances[instanceIndex]
 		inst.suspendedUntil.Store(max(inst.suspendedUntil.Load(), resumeAt+resumeTolerance))
-		inst.signal(syscall.SIGSTOP)
+		inst.signalProcess(syscall.SIGSTOP)
 	}
 }
 
@@ -175,7 +175,7 @@
 func (r *run) resumeInstances(instances []int) {
 	for _, instanceIndex := range instances {
 		inst := r.instances[instanceIndex]
-		inst.signal(syscall.SIGCONT)
+		inst.signalProcess(syscall.SIGCONT)
 		inst.suspendedUntil.Store(r.now() + resumeTolerance)
 	}
 }
@@ -190,7 +190,7 @@
 )
 
 // signal sends a signal to the instance's process, unless it was killed.
-func (inst *instance) signal(sig syscall.Signal) {
+func (inst *instance) signalProcess(sig syscall.Signal) {
 	inst.mu.Lock()
 	defer inst.mu.Unlock()
 	if inst.processEnded != nil && !inst.endExpected.Load() {
--- a/internal/experiment/processes/maintenance.go
+++ b/internal/experiment/processes/maintenance.go
@@ -99,18 +99,18 @@
 		Reason:    "a new kernel",
 		Requester: "lab",
 	}}
-	turn := 0
+	firstInstance := 0
 	requested := false
 	workSince := map[int]time.Time{}
 	for ctx.Err() == nil && r.now() < event.Until {
-		turn++
+		firstInstance++
 		if !requested {
-			_, err := r.callAnyInstance(ctx, turn, "/work/say", request)
+			_, err := r.callAnyInstance(ctx, firstInstance, "/work/say", request)
 			requested = err == nil
 			time.Sleep(maintenancePollInterval)
 			continue
 		}
-		response, err := r.callAnyInstance(ctx, turn, "/work", nil)
+		response, err := r.callAnyInstance(ctx, firstInstance, "/work", nil)
 		var view consensus.View
 		if err != nil || json.Unmarshal(response, &view) != nil {
 			continue
@@ -120,7 +120,7 @@
 			return
 		}
 		for _, endpointIndex := range finished {
-			r.completeMaintenance(ctx, turn, endpointIndex)
+			r.completeMaintenance(ctx, firstInstance, endpointIndex)
 			delete(workSince, endpointIndex) // should the call be lost, its phase is seen again, and work begins anew
 		}
 		time.Sleep(maintenancePollInterval)
@@ -160,11 +160,11 @@
 }
 
 // completeMaintenance reports a machine as back. Requests may come from then on: they are not counted any more.
-func (r *run) completeMaintenance(ctx context.Context, turn, endpointIndex int) {
+func (r *run) completeMaintenance(ctx context.Context, firstInstance, endpointIndex int) {
 	m := r.maintenance
 	m.mu.Lock()
 	delete(m.underMaintenance, endpointIndex)
 	m.mu.Unlock()
 	completion := &maintenance.Completion{Request: maintenanceID, Machine: r.plan.Endpoints[endpointIndex].Name}
-	_, _ = r.callAnyInstance(ctx, turn, "/work/say", maintenance.Command{Complete: completion})
+	_, _ = r.callAnyInstance(ctx, firstInstance, "/work/say", maintenance.Command{Complete: completion})
 }
